--- /dev/null
+++ b/internal/api/golden_test.go
@@ -0,0 +1,103 @@
+package api
+
+import (
+	"bytes"
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"reflect"
+	"strconv"
+	"testing"
+	"time"
+
+	"github.com/labstack/echo/v4"
+	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/testgolden"
+	"github.com/micahill/micahill/internal/worker"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+func ptr[T any](v T) *T { return &v }
+
+// TestGoldenRun: a submission is read as it ever was.
+func TestGoldenRun(t *testing.T) {
+	runs := testgolden.Values{"run": run{
+		ID: ptr("job-000412"), Workload: ptr("train"), Owner: ptr("vision"), Shape: ptr("group"), Urgency: ptr("urgent"), Pieces: ptr(16.0),
+		VCPUs: ptr(8.5), GPUs: ptr(1.25), MemoryGB: ptr(64.75), Bundle: ptr("img-07"), ImageGB: ptr(6.2), Flavours: []string{"g8", "g4"}, Site: ptr("a"),
+		SamePlace: ptr(true), Apart: ptr(true), Loaner: ptr(true), ExpectedS: ptr(240.5), EveryS: ptr(30.25), CostS: ptr(4.5), DueS: ptr(900.75),
+		Prereqs: []string{"job-000398", "job-000402"},
+	}}
+	testgolden.Check(t, testgolden.Msgpack, runs)
+	testgolden.Full(t, runs)
+	want := core.Spec{
+		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: core.Urgent, Tasks: 16, Need: core.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
+		Image: "img-07", ImageGB: 6.2, Flavours: []string{"g8", "g4"}, Zone: "a", SamePlace: true, Apart: true, Spot: true,
+		Expected: 240_500 * time.Millisecond, SaveEvery: 30_250 * time.Millisecond, SaveCost: 4_500 * time.Millisecond, Due: 900_750 * time.Millisecond,
+		Prereqs: []string{"job-000398", "job-000402"},
+	}
+	if got, bad := parseRun(testgolden.Bytes(t, "run")); bad != "" || !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: read as\n%+v\nwant\n%+v", bad, got, want)
+	}
+}
+
+// saying is a core that answers everything with the same effect.
+type saying struct{ e core.Effect }
+
+func (c saying) Healthy() bool { return true }
+func (c saying) Ask(context.Context, func(uint64) core.Command) (core.Effect, error) {
+	return c.e, nil
+}
+
+// TestGoldenAnswers: users and workers are answered as ever.
+func TestGoldenAnswers(t *testing.T) {
+	report := core.ReportReply{Status: 200, Epoch: 411, Orders: []core.Order{
+		{Verb: core.Start, Job: "job-000412", Index: 5, Try: 2},
+		{Verb: core.Halt, Job: "job-000413", Index: 6, Try: 300, WindDown: 30_250 * time.Millisecond},
+		{Verb: core.Clear, Job: "job-000414", Index: 7, Try: 4},
+	}}
+	body, err := msgpack.Marshal(worker.Report{Host: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Tenure: 3, Tick: 88, Epoch: 411})
+	if err != nil {
+		t.Fatal(err)
+	}
+	testgolden.Same(t, "report", body)
+	job := core.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, Promised: 90_500 * time.Millisecond, PromiseRev: 2}
+	for name, x := range map[string]struct {
+		method, body string
+		handle       func(*handlers, echo.Context) error
+		says         core.Effect
+	}{
+		"query":   {http.MethodGet, "", (*handlers).query, job},
+		"abort":   {http.MethodPost, "", (*handlers).abort, job},
+		"submit":  {http.MethodPost, "run", (*handlers).submit, job},
+		"refused": {http.MethodPost, "run", (*handlers).submit, core.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
+		"report":  {http.MethodPost, "report", (*handlers).report, report},
+		"steward": {http.MethodPost, "report", (*handlers).report, core.ReportReply{Status: 421, Steward: "ctl-3"}},
+		"away":    {http.MethodPost, "report", (*handlers).report, core.ReportReply{Status: 503}},
+		"health":  {http.MethodGet, "", (*handlers).health, nil},
+	} {
+		var body []byte
+		if x.body != "" {
+			body = testgolden.Bytes(t, x.body)
+		}
+		rec := httptest.NewRecorder()
+		c := echo.New().NewContext(httptest.NewRequest(x.method, "/", bytes.NewReader(body)), rec)
+		c.SetParamNames("id")
+		c.SetParamValues("job-000412")
+		if err := x.handle(&handlers{core: saying{x.says}, conns: newConns(8)}, c); err != nil {
+			t.Fatal(err)
+		}
+		// The maps of an answer come in any order.
+		var m map[string]any
+		if err := msgpack.Unmarshal(rec.Body.Bytes(), &m); err != nil {
+			t.Fatal(err)
+		}
+		var sorted bytes.Buffer
+		e := msgpack.NewEncoder(&sorted)
+		e.SetSortMapKeys(true)
+		if err := e.Encode(m); err != nil {
+			t.Fatal(err)
+		}
+		told := strconv.Itoa(rec.Code) + " " + rec.Header().Get(echo.HeaderRetryAfter) + "\n" + sorted.String()
+		testgolden.Same(t, "answer-"+name, []byte(told))
+	}
+}
--- /dev/null
+++ b/internal/division/golden_test.go
@@ -0,0 +1,34 @@
+package division
+
+import (
+	"testing"
+
+	"github.com/micahill/micahill/internal/testgolden"
+)
+
+// TestGoldenRecords: shares and lots are written as they ever were, and what stands there
+// is read.
+func TestGoldenRecords(t *testing.T) {
+	records := testgolden.Values{
+		"share": shareRecord{Host: "ctl-2", Nonce: "n-18.1", Epoch: 411, Teams: []string{"ops", "vision"}, Rest: true, RestEpoch: 409, Machines: []string{"vm-000007"}},
+		"lot": lotRecord{Share: "ctl-2.1", Groups: []groupRec{
+			{Epoch: 412, Prefix: "vm-", Width: 6, Runs: []uint64{5, 3, 70_000, 7}},
+			{Epoch: 413, Names: []string{"odd", "uneven"}},
+		}},
+	}
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) { return encode(v), nil },
+		Read:  func(b []byte, into any) error { return decode(b, into) },
+	}, records)
+	testgolden.Full(t, records)
+}
+
+// TestGoldenLot: the machines of a lot that stands there are read, and written as they
+// stood.
+func TestGoldenLot(t *testing.T) {
+	share, groups, err := decodeLot(testgolden.Bytes(t, "lot"))
+	if err != nil || share != "ctl-2.1" || len(groups) != 2 || len(groups[0].names) != 10 || groups[0].names[3] != "vm-070008" {
+		t.Fatalf("read as %q, %v, %v", share, groups, err)
+	}
+	testgolden.Still(t, "lot", encodeLot(share, groups))
+}
--- /dev/null
+++ b/internal/overflow/link/golden_test.go
@@ -0,0 +1,138 @@
+package link
+
+import (
+	"bytes"
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/overflow"
+	"github.com/micahill/micahill/internal/testgolden"
+	"google.golang.org/protobuf/proto"
+)
+
+func goldenLoan(job string, n uint64) overflow.Loan {
+	return overflow.Loan{Home: "east", Job: job, N: n}
+}
+
+var goldenReport = overflow.Report{
+	From: "west", Epoch: 411, Tick: 88, HomeEpoch: 412, Draining: true, Lender: true, Stop: 82_125 * time.Millisecond, Images: []string{"img-07", "img-08"},
+	Room: []overflow.Room{{Flavour: "g8", Zone: "a", Spot: true, Each: core.Resources{CPU: 96.5, GPU: 8.25, Memory: 700.75}, Machines: 3, In: 9_250 * time.Millisecond, Price: 0.2, Rate: 0.5}},
+	Loans: []overflow.LoanReport{
+		{Loan: goldenLoan("job-000412", 2), State: overflow.Gone, Cause: overflow.GivenBack, Done: 5, Running: 6},
+		{Loan: goldenLoan("job-000413", 300), State: overflow.Finished, Cause: overflow.Stopped, Done: 7},
+		{Loan: goldenLoan("job-000414", 4), State: overflow.Held, Cause: overflow.Draining},
+		{Loan: goldenLoan("job-000415", 5), State: overflow.Gone, Cause: overflow.NoRoom},
+		{Loan: goldenLoan("job-000416", 6), State: overflow.Gone, Cause: overflow.LeaseOver},
+		{Loan: goldenLoan("job-000417", 7), State: overflow.Gone, Cause: overflow.Refused},
+	},
+}
+
+var goldenAnswer = overflow.Answer{Epoch: 413, Lease: 15_500 * time.Millisecond, Orders: []overflow.Order{
+	{Verb: overflow.Take, Loan: goldenLoan("job-000418", 8), Age: 3_125 * time.Millisecond, Spec: core.Spec{
+		Workload: "train", Urgency: core.Urgent, Tasks: 16, Need: core.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75}, Image: "img-07", ImageGB: 6.2, Spot: true,
+		Expected: 240_500 * time.Millisecond, SaveEvery: 30_250 * time.Millisecond, SaveCost: 4_500 * time.Millisecond, Due: 900_750 * time.Millisecond,
+	}},
+	{Verb: overflow.Keep, Loan: goldenLoan("job-000419", 9)},
+	{Verb: overflow.Stop, Loan: goldenLoan("job-000420", 10)},
+	{Verb: overflow.Forget, Loan: goldenLoan("job-000421", 11)},
+}}
+
+const goldenSeq = 77
+
+// TestGoldenFrames: what clusters tell each other is written as it ever was, bound to the
+// connection, and what others write is read.
+func TestGoldenFrames(t *testing.T) {
+	b := &binder{key: bytes.Repeat([]byte{7}, keyBytes), home: "east", from: "west"}
+	write := func(f *Frame) ([]byte, error) {
+		f.Version, f.Seq = Version, goldenSeq
+		return proto.MarshalOptions{Deterministic: true}.Marshal(f)
+	}
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) {
+			w, err := b.report(goldenSeq, v.(overflow.Report))
+			if err != nil {
+				return nil, err
+			}
+			return write(&Frame{Body: &Frame_Report{w}})
+		},
+		Read: func(p []byte, into any) error {
+			var f Frame
+			err := proto.Unmarshal(p, &f)
+			if err == nil {
+				*into.(*overflow.Report), err = b.checked(&f, goldenSeq-1)
+			}
+			return err
+		},
+	}, testgolden.Values{"report": goldenReport})
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) {
+			w, err := b.answer(goldenSeq, v.(overflow.Answer))
+			if err != nil {
+				return nil, err
+			}
+			return write(&Frame{Body: &Frame_Answer{w}})
+		},
+		Read: func(p []byte, into any) error {
+			var f Frame
+			err := proto.Unmarshal(p, &f)
+			if err == nil {
+				*into.(*overflow.Answer), err = b.readAnswer(f.Seq, f.GetAnswer())
+			}
+			return err
+		},
+	}, testgolden.Values{"answer": goldenAnswer})
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) {
+			r := v.(Refused)
+			return write(&Frame{Body: &Frame_Refusal{&Refusal{Code: r.Code, Reason: r.Reason}}})
+		},
+		Read: func(p []byte, into any) error {
+			var f Frame
+			err := proto.Unmarshal(p, &f)
+			*into.(*Refused) = Refused{f.GetRefusal().GetCode(), f.GetRefusal().GetReason()}
+			return err
+		},
+	}, testgolden.Values{"refusal": Refused{Code: Code_NOT_PEER, Reason: "no peer"}})
+
+	// All fields of all messages, also of those that are bound.
+	var sent []proto.Message
+	for name, bound := range map[string]func(*Frame) ([]*Bound, proto.Message){
+		"report":  func(f *Frame) ([]*Bound, proto.Message) { return f.GetReport().GetLoans(), &LoanReport{} },
+		"answer":  func(f *Frame) ([]*Bound, proto.Message) { return f.GetAnswer().GetOrders(), &Order{} },
+		"refusal": func(*Frame) ([]*Bound, proto.Message) { return nil, nil },
+	} {
+		var f Frame
+		if err := proto.Unmarshal(testgolden.Bytes(t, name), &f); err != nil {
+			t.Fatal(err)
+		}
+		sent = append(sent, &f)
+		bs, m := bound(&f)
+		for _, x := range bs {
+			m = m.ProtoReflect().New().Interface()
+			if err := proto.Unmarshal(x.Record, m); err != nil {
+				t.Fatal(err)
+			}
+			sent = append(sent, m)
+		}
+	}
+	testgolden.FullProto(t, File_internal_overflow_link_link_proto, sent...)
+	// The key of a connection's MACs comes from its handshake under this name.
+	if exporterLabel != "EXPORTER-micahill-overflow-1" || Version != 1 {
+		t.Errorf("version %d with keys from %q", Version, exporterLabel)
+	}
+}
+
+// TestGoldenCodes: refusals and verbs mean what they ever meant, and loans have the names
+// under which they are stored.
+func TestGoldenCodes(t *testing.T) {
+	for want, code := range []Code{Code_UNKNOWN, Code_NOT_LEADER, Code_VERSION, Code_NOT_PEER, Code_FORGED, Code_STALE} {
+		if int(code) != want {
+			t.Errorf("%s is %d, want %d", code, code, want)
+		}
+	}
+	l := goldenLoan("job-000412", 2)
+	if l.String() != "east/job-000412/2" || l.GuestID() != "job-lent-east-2-000412" {
+		t.Errorf("a loan is named %s, its job %s", l, l.GuestID())
+	}
+}
--- /dev/null
+++ b/internal/peer/golden_test.go
@@ -0,0 +1,81 @@
+package peer
+
+import (
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/division"
+	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/testgolden"
+	"google.golang.org/protobuf/proto"
+)
+
+func goldenAttempt(job string, index int, try uint64) ownership.Attempt {
+	return ownership.Attempt{Job: job, Index: index, Try: try}
+}
+
+// goldenNews has all that controllers tell each other.
+var goldenNews = core.PeerNews{
+	From: "ctl-2", Life: "n-18.1", Asks: true, Tells: true, StateAway: true, Seq: 4_321,
+	Progress: []core.Progress{{ID: "job-000411", Done: 7, Running: 9}},
+	Loads:    []core.Load{{Team: "vision", Workload: "train", Rate: 0.5, Ratio: 1.25, Dev: 0.75, Samples: 41}},
+	Hosts: []core.HostNews{
+		{ID: "vm-000007", Addr: "10.1.0.7:9000", Flavour: "g8", Zone: "a", Spot: true, Images: map[string]float64{"img-07": 6.2, "img-08": 0.5}},
+	},
+	ToSpare: []string{"vm-000011", "vm-000012"}, Idle: []string{"vm-000013"},
+	Wants:   []core.Want{{Flavour: "g4", Zone: "b", Spot: true, Count: 3}},
+	Spare:   []core.Want{{Flavour: "g2", Zone: "c", Count: 4}},
+	Blocked: []core.Want{{Flavour: "g1", Zone: "d", Count: 500}},
+	Teams:   []core.TeamLoad{{Team: "ops", CPU: 96.5}},
+	Offers:  []division.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
+	Release: []division.Ask{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
+	Rentals: []core.RentalNews{{ID: "vm-000015", Addr: "10.1.0.15:9000", Flavour: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
+	Wards: []ownership.Ask{{Machine: "vm-000016", Attempts: []ownership.Asked{
+		{Attempt: goldenAttempt("job-000412", 5, 2), Want: ownership.Stop, WindDown: 30_250 * time.Millisecond},
+		{Attempt: goldenAttempt("job-000413", 6, 300), Want: ownership.Settled},
+		{Attempt: goldenAttempt("job-000414", 7, 4), Want: ownership.Keep},
+	}}},
+	Told: []ownership.Tell{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []ownership.Told{
+		{Attempt: goldenAttempt("job-000415", 8, 9), State: ownership.Ended, Cause: "done"},
+		{Attempt: goldenAttempt("job-000416", 9, 10), State: ownership.Gone, Cause: "lost"},
+		{Attempt: goldenAttempt("job-000417", 10, 11), State: ownership.Fetching},
+		{Attempt: goldenAttempt("job-000417", 11, 12), State: ownership.Running},
+		{Attempt: goldenAttempt("job-000417", 12, 13), State: ownership.Flushing},
+		{Attempt: goldenAttempt("job-000417", 13, 14), State: ownership.Unknown},
+	}}},
+	Rates: &core.Rates{Requests: 40.5, Changes: 20.25},
+	Needs: []core.HostNeed{{Flavour: "g8", Zone: "a", Spot: true, Need: core.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: core.Urgent}},
+	Lacks: []core.HostNeed{{Flavour: "g4", Zone: "b", Need: core.Resources{CPU: 48}, Workload: "infer", Urgency: core.Critical}},
+	Empty: []core.HostNeed{{Flavour: "g2", Zone: "c", Need: core.Resources{Memory: 350}, Urgency: core.Normal}},
+	Costs: []core.HostCost{{Flavour: "g1", Zone: "d", Spot: true, Down: 16_125 * time.Millisecond}},
+	Quotes: []core.TeamQuotes{
+		{Team: "ops", Value: []byte{0x81, 0xa1, 'v', 0x01}},
+	},
+	Came:         []core.Came{{ID: "vm-000018", Epoch: 413, Tenure: 3, Tick: 88}},
+	Cancelled:    []core.CancelNews{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, Stamp: 5_432}},
+	CancelsHeard: []string{"job-000419", "job-000420"},
+}
+
+// TestGoldenNews: what controllers tell each other is written as it ever was, and what
+// others write is read.
+func TestGoldenNews(t *testing.T) {
+	news := testgolden.Values{"news": goldenNews}
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) {
+			// Images are a map.
+			return proto.MarshalOptions{Deterministic: true}.Marshal(wire(v.(core.PeerNews)))
+		},
+		Read: func(b []byte, into any) error {
+			var m News
+			err := proto.Unmarshal(b, &m)
+			*into.(*core.PeerNews) = m.core()
+			return err
+		},
+	}, news)
+	testgolden.Full(t, news)
+	testgolden.FullProto(t, File_internal_peer_peer_proto, wire(goldenNews))
+	if hello != 0 {
+		t.Errorf("a connection begins with %d, want 0", hello)
+	}
+}
--- /dev/null
+++ b/internal/promise/golden_test.go
@@ -0,0 +1,53 @@
+package promise
+
+import (
+	"testing"
+
+	"github.com/micahill/micahill/internal/testgolden"
+)
+
+// TestGoldenRecords: records of dates, quotes and totals are written as they ever were,
+// and what stands there is read.
+func TestGoldenRecords(t *testing.T) {
+	ratios := make([]int, ratioSteps)
+	for i := range ratios {
+		ratios[i] = 1000 + 3*i
+	}
+	records := testgolden.Values{
+		"page": pageRecord{V: form, E: []row{
+			{Job: "job-000411", MS: 120_300, Rev: 3, Why: Mistake}, {Job: "job-000412", MS: 90_500, Rev: 1, Why: First},
+			{Job: "job-000413", MS: 80_100, Rev: 2, Why: MachinesLost}, {Job: "job-000414", MS: 70_200, Rev: 4, Why: Outage},
+			{Job: "job-000415", MS: 60_600, Rev: 5, Why: RankingChanged}, {Job: "job-000416", MS: 50_700, Rev: 2, Why: EstimateWrong},
+		}},
+		"quotes": quotesRecord{V: form, Team: "vision", Classes: []classQuote{
+			{Name: "train", WaitMS: 3_456, Room: 41, Ratio: 117, Dev: 23, F0: 170, F1: 182, F2: 195, F3: 311}, {Name: "infer"},
+		}},
+		"totals": totalsRecord{V: form, Rev: 77_777, First: 88, Ratios: ratios, Rows: []totalRow{
+			{Team: "ops", Class: "train", Jobs: 100, Made: 90, Kept: 70, Broken: 20, Revised: 30, WorstMS: 4_567}, {Team: "vision", Class: "infer", Jobs: 5},
+		}},
+	}
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) { return encode(v), nil },
+		Read:  func(b []byte, into any) error { return decode(b, into) },
+	}, records)
+	testgolden.Full(t, records)
+}
+
+// TestGoldenUse: what stands there is taken up, and written as it stood.
+func TestGoldenUse(t *testing.T) {
+	es, err := DecodePage(testgolden.Bytes(t, "page"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	testgolden.Still(t, "page", encodePage(es))
+	team, q, err := DecodeQuotes(testgolden.Bytes(t, "quotes"), 0.95)
+	if err != nil {
+		t.Fatal(err)
+	}
+	testgolden.Still(t, "quotes", q.Encode(team, 4096))
+	totals, err := DecodeTotals(testgolden.Bytes(t, "totals"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	testgolden.Still(t, "totals", totals.Encode(4096))
+}
--- /dev/null
+++ b/internal/ranking/golden_test.go
@@ -0,0 +1,36 @@
+package ranking
+
+import (
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/testgolden"
+)
+
+// TestGoldenRecord: a ranking is written as it ever was, and what stands there is read.
+func TestGoldenRecord(t *testing.T) {
+	stored := testgolden.Values{"wire": wire{Form: 3, Rev: 12, By: "ops", At: 1_750_000_000_123, Derived: true, Classes: []wireClass{
+		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", BoundMS: 90_500, Part: 0.25},
+		{Name: "rest", Urgency: "normal"},
+	}}}
+	testgolden.Check(t, testgolden.Msgpack, stored)
+	testgolden.Full(t, stored)
+
+	records := testgolden.Values{"ranking": Record{Rev: 13, By: "ada", At: time.UnixMilli(1_750_000_001_234), Derived: true, Classes: []Class{
+		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", Bound: 90_500 * time.Millisecond, Part: 0.25},
+		{Name: "rest", Urgency: "normal"},
+	}}}
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) { return v.(Record).Encode(), nil },
+		Read: func(b []byte, into any) (err error) {
+			*into.(*Record), err = Decode(b)
+			return err
+		},
+		Strict: true,
+	}, records)
+	records["wire"] = stored["wire"]
+	testgolden.Full(t, records)
+	if rev := Rev(testgolden.Bytes(t, "ranking")); rev != 13 {
+		t.Errorf("revision %d is read alone, want 13", rev)
+	}
+}
--- /dev/null
+++ b/internal/state/golden_test.go
@@ -0,0 +1,87 @@
+package state
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/testgolden"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// sorted writes a request's body with its maps in order.
+func sorted(t *testing.T, v any) []byte {
+	t.Helper()
+	var b bytes.Buffer
+	e := msgpack.NewEncoder(&b)
+	e.SetSortMapKeys(true)
+	if err := e.Encode(v); err != nil {
+		t.Fatal(err)
+	}
+	return b.Bytes()
+}
+
+// TestGoldenRequests: the state service is asked as it ever was.
+func TestGoldenRequests(t *testing.T) {
+	for name, op := range map[string]core.StateOp{
+		"txn": {
+			Kind: core.OpTxn, When: []core.Cond{{Key: "ctl/lead", Stamp: 411}, {Key: "open/job-000412", Stamp: 412}},
+			Apply: []core.Change{
+				{Key: "job/job-000412", Value: []byte{0x81, 0xa1, 's', 0xa4, 'd', 'o', 'n', 'e'}},
+				{Key: "open/job-000412"}, {Key: "ctl/node/ctl-2", Value: []byte{0x80}, Grant: 413},
+			},
+		},
+		"txn-bare":    {Kind: core.OpTxn},
+		"grant-new":   {Kind: core.OpGrantNew, TTL: 6_500 * time.Millisecond},
+		"grant-renew": {Kind: core.OpGrantRenew, Grant: 414},
+		"grant-drop":  {Kind: core.OpGrantDrop, Grant: 415},
+		"get":         {Kind: core.OpGet, Key: "job/job-000412"},
+		"list":        {Kind: core.OpList, Key: "open/", From: "open/job-000412"},
+		"list-first":  {Kind: core.OpList, Key: "open/"},
+		"follow":      {Kind: core.OpFollow, Key: "ctl/", Rev: 416, Hold: 9_500 * time.Millisecond},
+	} {
+		method, path, body := request(op)
+		sent := []byte(method + " " + path + "\n")
+		if body != nil {
+			sent = append(sent, sorted(t, body)...)
+		}
+		testgolden.Same(t, "request-"+name, sent)
+	}
+}
+
+// TestGoldenAnswers: what the state service answers is read as it ever was.
+func TestGoldenAnswers(t *testing.T) {
+	raw := func(s string) msgpack.RawMessage { return append(msgpack.RawMessage{0xa0 | byte(len(s))}, s...) }
+	answers := testgolden.Values{"answer": answer{
+		Key: "job/job-000411", Value: raw("one"), Stamp: 411, Rev: 412, Truncated: true, Failed: []string{"ctl/lead"}, Permit: 413, Error: "lease over",
+		Rows: []row{{Key: "open/job-000412", Put: "open/job-000413", Remove: "open/job-000414", Value: raw("two"), Stamp: 414}},
+		News: []row{
+			{Key: "-", Put: "open/job-000415", Value: raw("three"), Stamp: 415}, {Key: "-", Remove: "open/job-000416", Value: raw("four"), Stamp: 416},
+		},
+	}}
+	c := testgolden.Msgpack
+	// A value that is not there is no MessagePack.
+	c.Strict = true
+	testgolden.Check(t, c, answers)
+	_, _, body := request(core.StateOp{Kind: core.OpTxn, When: []core.Cond{{Key: "ctl/lead", Stamp: 411}}, Apply: []core.Change{{Key: "open/job-000412"}}})
+	answers["asked"] = body
+	testgolden.Full(t, answers)
+
+	var a answer
+	if err := c.Read(testgolden.Bytes(t, "answer"), &a); err != nil {
+		t.Fatal(err)
+	}
+	got := core.StateDone{Status: core.StateOK}
+	fill(&got, core.StateOp{Kind: core.OpGet}, &a)
+	want := core.StateDone{Status: core.StateOK, Truncated: true, Rev: 412, Failed: []string{"ctl/lead"}, Grant: 413, Items: []core.Item{
+		{Key: "job/job-000411", Value: raw("one"), Stamp: 411},
+		{Key: "open/job-000412", Value: raw("two"), Stamp: 414},
+		{Key: "open/job-000415", Value: raw("three"), Stamp: 415},
+		{Key: "open/job-000416", Value: raw("four"), Stamp: 416, Removed: true},
+	}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+	}
+}
--- /dev/null
+++ b/internal/worker/golden_test.go
@@ -0,0 +1,52 @@
+package worker
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/testgolden"
+)
+
+// TestGoldenWire: reports and orders are on the wire as they ever were.
+func TestGoldenWire(t *testing.T) {
+	recall := 28.5
+	wire := testgolden.Values{
+		"report": Report{
+			Host: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Loaner: true, Tenure: 3, Tick: 88, Epoch: 411, RecallS: &recall,
+			Pieces: []Piece{
+				{Piece: "job-000412/5", Try: 2, Status: "ended", Cause: "done", Stored: true},
+				{Piece: "job-000413/6", Try: 300, Status: "fetching"},
+				{Piece: "job-000413/7", Try: 1, Status: "gathering"},
+				{Piece: "job-000413/8", Try: 1, Status: "running"},
+				{Piece: "job-000413/9", Try: 1, Status: "flushing"},
+			},
+		},
+		"orders": Orders{Epoch: 412, Tenure: 4, Orders: Wire([]core.Order{
+			{Verb: core.Start, Job: "job-000412", Index: 5, Try: 2},
+			{Verb: core.Halt, Job: "job-000413", Index: 6, Try: 300, WindDown: 30_250 * time.Millisecond},
+			{Verb: core.Clear, Job: "job-000414", Index: 7, Try: 4},
+		})},
+	}
+	testgolden.Check(t, testgolden.Msgpack, wire)
+	testgolden.Full(t, wire)
+
+	var r Report
+	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "report"), &r); err != nil {
+		t.Fatal(err)
+	}
+	want := core.Report{
+		Machine: "vm-000231", Addr: "10.1.0.232:9000", Flavour: "g8", Zone: "a", Spot: true, Tenure: 3, Tick: 88, Epoch: 411, Recall: 28_500 * time.Millisecond,
+		Tasks: []core.TaskReport{
+			{Job: "job-000412", Index: 5, Try: 2, Status: core.Ended, Cause: "done", Stored: true},
+			{Job: "job-000413", Index: 6, Try: 300, Status: core.Fetching},
+			{Job: "job-000413", Index: 7, Try: 1, Status: core.Fetching},
+			{Job: "job-000413", Index: 8, Try: 1, Status: core.Running},
+			{Job: "job-000413", Index: 9, Try: 1, Status: core.Flushing},
+		},
+	}
+	if got := r.Core(); !reflect.DeepEqual(got, want) {
+		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+	}
+}
