--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -149,7 +149,7 @@
 	}
 	nonce := fmt.Sprintf("%x", binary.LittleEndian.Uint64(seed[:8]))
 	set := c.Core(pol, nonce)
-	set.Product = extras.Product()
+	set.Capabilities = extras.Product()
 	node := core.New(set, rand.New(rand.NewChaCha8(seed)))
 
 	ctx, cancel := context.WithCancel(ctx)
@@ -165,23 +165,23 @@
 	pn := peer.Start(ctx, peers)
 	met := metrics.New()
 	var dates func(core.PromiseTotals)
-	if set.Product.Promises {
+	if set.Capabilities.Promises {
 		dates = metrics.Promises(met.Registry())
 	}
 	srv := server.New(node, server.Outside{
-		State: func(ctx context.Context, op core.StateOp) core.StateDone {
+		State: func(ctx context.Context, op core.StoreRequest) core.StoreResponse {
 			began := time.Now()
 			done := st.Do(ctx, op)
 			met.State(op.Kind, done.Status, time.Since(began))
 			return done
 		},
-		Cloud: func(ctx context.Context, op core.CloudOp) core.CloudDone {
+		Cloud: func(ctx context.Context, op core.CloudRequest) core.CloudResponse {
 			began := time.Now()
 			done := cl.Do(ctx, op)
 			met.Cloud(op.Kind, done.Status, time.Since(began))
 			return done
 		},
-		Worker: func(ctx context.Context, op core.WorkerOp) core.WorkerDone {
+		Worker: func(ctx context.Context, op core.WorkerRequest) core.WorkerResponse {
 			began := time.Now()
 			done := wk.Do(ctx, op)
 			met.Orders(done, time.Since(began))
@@ -208,16 +208,16 @@
 		}
 		more = append(more, routes)
 	}
-	if set.Product.Ranking {
+	if set.Capabilities.Ranking {
 		more = append(more, api.Ranking(srv))
 	}
-	if set.Product.Promises {
+	if set.Capabilities.Promises {
 		more = append(more, api.Promises(srv))
 	}
 	go func() { errs <- api.Serve(ctx, c.APIAddr, d.Quota.Sockets, srv, met.Request) }()
 	go func() {
 		// Users and workers are served while this address is still in use.
-		back, err := peer.Listen(ctx, c.Back, func(n core.PeerNews) { srv.Post(n) })
+		back, err := peer.Listen(ctx, c.Back, func(n core.PeerUpdate) { srv.Post(n) })
 		if err != nil {
 			errs <- err
 			return
--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -71,8 +71,8 @@
 		"same_place": false, "apart": false, "loaner": true, "expected_s": 0.5, "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil}
 }
 
-func spec(o obj) core.Spec {
-	return core.Spec{ID: o["id"].(string), Team: o["owner"].(string), Tasks: o["pieces"].(int), Need: core.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 0.1, Spot: true}
+func spec(o obj) core.JobSpec {
+	return core.JobSpec{ID: o["id"].(string), Team: o["owner"].(string), Tasks: o["pieces"].(int), Need: core.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 0.1, AllowSpot: true}
 }
 
 func call(t *testing.T, method, url string, body any) (int, obj, http.Header) {
@@ -122,8 +122,8 @@
 	for range 3 {
 		api, back = append(api, freeAddr(t)), append(back, freeAddr(t))
 	}
-	types := []core.Flavour{{Name: "small", Size: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, PullRate: 1, Price: 1, SpotPrice: 0.3, Ready: 300 * time.Millisecond, Zones: []string{"a"}}}
-	set := core.Settings{ReportEvery: 400 * time.Millisecond, Lease: 4 * time.Second, ListLag: 500 * time.Millisecond, ValueBytes: 4096, TxnOps: 12}
+	types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+	set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
 	live := standin.NewLive(set, 100, 50, types, map[string]int{"small/a/true": 3, "small/a/false": 4}, api)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer live.Stop()
@@ -221,7 +221,7 @@
 	owner := -1
 	eventually(t, "an owner shows its status", func() bool {
 		for i := range 3 {
-			if s, err := fetchStatus(ctx, back[i]); err == nil && s.IsOwner {
+			if s, err := fetchStatus(ctx, back[i]); err == nil && s.IsShardLeader {
 				owner = i
 				return printStatus(io.Discard, s) == nil
 			}
--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -99,8 +99,10 @@
 			}
 			ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 			defer cancel()
-			x, err := srv.Ask(ctx, func(r uint64) core.Command { return core.DrainOp{Reply: r, On: on, By: time.Now().Add(by)} })
-			if d, ok := x.(core.LoanDone); err != nil || !ok || d.Status != core.LoanDurable {
+			x, err := srv.Ask(ctx, func(r uint64) core.Command {
+				return core.DrainCommand{Reply: r, Enabled: on, Deadline: time.Now().Add(by)}
+			})
+			if d, ok := x.(core.LoanReply); err != nil || !ok || d.Status != core.LoanDurable {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, "not written: the state service does not answer")
 			}
 			return c.JSON(http.StatusOK, map[string]bool{"draining": on})
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -48,8 +48,8 @@
 	out := map[string]*cluster{}
 	for _, name := range names {
 		c := &cluster{name: name, api: freeAddr(t), back: freeAddr(t), link: freeAddr(t)}
-		types := []core.Flavour{{Name: "small", Size: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, PullRate: 1, Price: 1, SpotPrice: 0.3, Ready: 300 * time.Millisecond, Zones: []string{"a"}}}
-		set := core.Settings{ReportEvery: 400 * time.Millisecond, Lease: 4 * time.Second, ListLag: 500 * time.Millisecond}
+		types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+		set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond}
 		c.live = standin.NewLive(set, 200, 100, types, map[string]int{"small/a/true": room[name]}, []string{c.api})
 		t.Cleanup(c.live.Stop)
 		go c.live.Run(ctx)
--- a/cmd/micahill/promises.go
+++ b/cmd/micahill/promises.go
@@ -57,10 +57,10 @@
 	if !jobsOnly {
 		s := p.Sum
 		fmt.Fprintf(out, "%s: %d ended, %d with a date: %d kept, %d broken, %d revised; worst %s late; half were promised up to %.2f times what they took; %d open\n",
-			p.Host, s.Ended, s.Made, s.Kept, s.Broken, s.Revised, secs(s.WorstS), p.Ratio, len(p.Open)+p.LeftOut)
+			p.Host, s.Ended, s.Made, s.Kept, s.Broken, s.Revised, secs(s.WorstSeconds), p.MedianRatio, len(p.Open)+p.Omitted)
 		fmt.Fprintln(w, "\nTEAM\tCLASS\tENDED\tMADE\tKEPT\tBROKEN\tREVISED\tWORST")
 		for _, r := range p.Rows {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Team, r.Class, r.Ended, r.Made, r.Kept, r.Broken, r.Revised, secs(r.WorstS))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Team, r.Class, r.Ended, r.Made, r.Kept, r.Broken, r.Revised, secs(r.WorstSeconds))
 		}
 	}
 	if len(p.Open) == 0 && jobsOnly {
@@ -70,14 +70,14 @@
 		fmt.Fprintln(w, "\nJOB\tTEAM\tCLASS\tSTATE\tPROMISED\tREV\tWHY\tAGE\tAT RISK")
 		for _, o := range p.Open {
 			date := "none yet"
-			if o.Rev > 0 {
-				date = secs(o.PromisedS)
+			if o.Revision > 0 {
+				date = secs(o.PromisedSeconds)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%v\n", o.Job, o.Team, o.Class, o.State, date, o.Rev, o.Why, secs(o.AgeS), o.AtRisk)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%v\n", o.Job, o.Team, o.Class, o.State, date, o.Revision, o.Reason, secs(o.AgeSeconds), o.AtRisk)
 		}
 	}
-	if p.LeftOut > 0 {
-		fmt.Fprintf(w, "\nand %d more\n", p.LeftOut)
+	if p.Omitted > 0 {
+		fmt.Fprintf(w, "\nand %d more\n", p.Omitted)
 	}
 	return w.Flush()
 }
--- a/cmd/micahill/ranking.go
+++ b/cmd/micahill/ranking.go
@@ -29,8 +29,8 @@
 }
 
 // askRanking asks a controller on its own address.
-func askRanking(ctx context.Context, verb, method, addr string, q url.Values, text []byte) (*core.RankReply, error) {
-	var r core.RankReply
+func askRanking(ctx context.Context, verb, method, addr string, q url.Values, text []byte) (*core.RankingReply, error) {
+	var r core.RankingReply
 	if err := askBack(ctx, "ranking: "+verb, "ranking", method, addr, "/ranking?"+q.Encode(), text, &r); err != nil {
 		return nil, err
 	}
@@ -54,7 +54,7 @@
 			case plain:
 				return asJSON(cmd.OutOrStdout(), r)
 			case why != "":
-				_, err = fmt.Fprintln(cmd.OutOrStdout(), r.Why)
+				_, err = fmt.Fprintln(cmd.OutOrStdout(), r.Explanation)
 				return err
 			}
 			return printRanking(cmd.OutOrStdout(), r)
@@ -66,27 +66,27 @@
 	return c
 }
 
-func printRanking(out io.Writer, r *core.RankReply) error {
+func printRanking(out io.Writer, r *core.RankingReply) error {
 	switch {
-	case r.Rev == 0:
+	case r.Revision == 0:
 		fmt.Fprintln(out, "no ranking yet: the leader writes one")
 	case r.Derived:
-		fmt.Fprintf(out, "revision %d, derived by %s from its policy, %s\n", r.Rev, r.By, r.At.Format(time.RFC3339))
+		fmt.Fprintf(out, "revision %d, derived by %s from its policy, %s\n", r.Revision, r.SetBy, r.SetAt.Format(time.RFC3339))
 	default:
-		fmt.Fprintf(out, "revision %d, set by %s, %s\n", r.Rev, r.By, r.At.Format(time.RFC3339))
+		fmt.Fprintf(out, "revision %d, set by %s, %s\n", r.Revision, r.SetBy, r.SetAt.Format(time.RFC3339))
 	}
-	if r.Bad != "" {
-		fmt.Fprintf(out, "a newer record can't be read, and this one goes on to count: %s\n", r.Bad)
+	if r.InvalidReason != "" {
+		fmt.Fprintf(out, "a newer record can't be read, and this one goes on to count: %s\n", r.InvalidReason)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nPLACE\tCLASS\tWORKLOADS\tURGENCY\tBOUND\tPART\tJOBS\tWAITING\tLIVE")
 	for _, c := range r.Classes {
 		bound, part, names, urgency := "default", "default", strings.Join(c.Workloads, " "), c.Urgency
-		if c.BoundS > 0 {
-			bound = fmt.Sprintf("%.0f s", c.BoundS)
+		if c.WaitBoundSeconds > 0 {
+			bound = fmt.Sprintf("%.0f s", c.WaitBoundSeconds)
 		}
-		if c.Part > 0 {
-			part = fmt.Sprintf("%.2f", c.Part)
+		if c.ReservedFraction > 0 {
+			part = fmt.Sprintf("%.2f", c.ReservedFraction)
 		}
 		if names == "" {
 			names = "all"
@@ -94,7 +94,7 @@
 		if urgency == "" {
 			urgency = "any"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Place, c.Name, names, urgency, bound, part, c.Jobs, c.Waiting, c.Live)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\n", c.Rank, c.Name, names, urgency, bound, part, c.Jobs, c.WaitingTasks, c.LiveTasks)
 	}
 	fmt.Fprintf(w, "\n(in brackets): what no class names; jobs and tasks are those of the teams that %s has\n", r.Host)
 	return w.Flush()
@@ -163,7 +163,7 @@
 			if err != nil {
 				return err
 			}
-			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d holds\n", r.Rev)
+			_, err = fmt.Fprintf(cmd.OutOrStdout(), "revision %d holds\n", r.Revision)
 			return err
 		},
 	}
@@ -193,7 +193,7 @@
 				for _, c := range x.Classes {
 					names = append(names, c.Name)
 				}
-				fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\n", x.Rev, x.By, x.At.Format(time.RFC3339), x.Derived, strings.Join(names, " "))
+				fmt.Fprintf(w, "%d\t%s\t%s\t%v\t%s\n", x.Revision, x.SetBy, x.SetAt.Format(time.RFC3339), x.Derived, strings.Join(names, " "))
 			}
 			return w.Flush()
 		},
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -31,8 +31,8 @@
 	for range 3 {
 		api, back = append(api, freeAddr(t)), append(back, freeAddr(t))
 	}
-	types := []core.Flavour{{Name: "small", Size: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, PullRate: 1, Price: 1, SpotPrice: 0.3, Ready: 300 * time.Millisecond, Zones: []string{"a"}}}
-	set := core.Settings{ReportEvery: 400 * time.Millisecond, Lease: 4 * time.Second, ListLag: 500 * time.Millisecond, ValueBytes: 4096, TxnOps: 12}
+	types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+	set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
 	live := standin.NewLive(set, 100, 50, types, map[string]int{"small/a/true": 1}, api)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer live.Stop()
--- a/cmd/micahill/status.go
+++ b/cmd/micahill/status.go
@@ -68,10 +68,10 @@
 	if s.IsLeader {
 		roles = append(roles, "leader")
 	}
-	if s.IsOwner {
+	if s.IsShardLeader {
 		var teams []string
 		for _, t := range s.Teams {
-			if t.Here {
+			if t.IsLocal {
 				teams = append(teams, t.Name)
 			}
 		}
@@ -80,9 +80,9 @@
 	if len(roles) == 0 {
 		roles = append(roles, "standing by")
 	}
-	fmt.Fprintf(out, "%s: %s; healthy: %v; leader: %s; controllers: %s\n", s.Host, strings.Join(roles, ", "), s.Healthy, s.Leader, strings.Join(s.Nodes, ", "))
-	if s.Defects > 0 {
-		fmt.Fprintf(out, "%d requests of its own were malformed; its log names them\n", s.Defects)
+	fmt.Fprintf(out, "%s: %s; healthy: %v; leader: %s; controllers: %s\n", s.Host, strings.Join(roles, ", "), s.Healthy, s.Leader, strings.Join(s.Controllers, ", "))
+	if s.InternalErrors > 0 {
+		fmt.Fprintf(out, "%d requests of its own were malformed; its log names them\n", s.InternalErrors)
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(s.Teams) > 1 {
@@ -91,40 +91,40 @@
 			fmt.Fprintf(w, "%s\t%s\t%.0f\n", t.Name, t.Owner, t.CPU)
 		}
 	}
-	if len(s.Shares) > 1 {
+	if len(s.Shards) > 1 {
 		fmt.Fprintln(w, "\nSHARE\tHOLDER\tALIVE\tTEAMS\tREST\tLOTS")
-		for _, x := range s.Shares {
-			fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%v\t%d\n", x.Name, x.Holder, x.Alive, x.Teams, x.Rest, x.Lots)
+		for _, x := range s.Shards {
+			fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%v\t%d\n", x.Name, x.Leader, x.Alive, x.Teams, x.HoldsCatchAll, x.Segments)
 		}
 	}
-	if s.Wards.Afar+s.Wards.Here > 0 {
-		fmt.Fprintf(w, "\nruns elsewhere for teams here: %d; runs here for teams elsewhere: %d\n", s.Wards.Afar, s.Wards.Here)
+	if s.RemoteAttempts.OnOthersMachines+s.RemoteAttempts.OthersHere > 0 {
+		fmt.Fprintf(w, "\nruns elsewhere for teams here: %d; runs here for teams elsewhere: %d\n", s.RemoteAttempts.OnOthersMachines, s.RemoteAttempts.OthersHere)
 	}
 	if len(s.Workloads) > 0 {
 		fmt.Fprintln(w, "\nWORKLOAD\tJOBS\tWAITING\tLIVE\tDONE\tTASKS/S\tRUN/ESTIMATE")
 		for _, l := range s.Workloads {
-			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\n", l.Name, l.Jobs, l.Waiting, l.Live, l.Done, l.Rate, l.Ratio)
+			fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\n", l.Name, l.Jobs, l.Waiting, l.Live, l.Done, l.TasksPerSecond, l.RunToEstimate)
 		}
 	}
 	if s.Pipelines > 0 {
 		fmt.Fprintf(w, "\njobs here that wait for others: %d\n", s.Pipelines)
-		for _, h := range s.Behind {
-			fmt.Fprintf(w, "%d wait for %s, which is %s\n", h.Jobs, h.Job, h.State)
+		for _, h := range s.BlockingJobs {
+			fmt.Fprintf(w, "%d wait for %s, which is %s\n", h.Dependents, h.Job, h.State)
 		}
 	}
-	if len(s.GPURooms) > 0 {
+	if len(s.GPUFreeCapacity) > 0 {
 		fmt.Fprintln(w, "\nGPU HOSTS\tZONE\tSPOT\tHOSTS\tWHOLE\tFREE GPUS\tIN PIECES\tLARGEST REPLICA NOW")
-		for _, r := range s.GPURooms {
-			fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%.0f\t%.0f\t%.0f GPUs\n", r.Flavour, r.Zone, r.Spot, r.Hosts, r.Whole, r.Free, r.Pieces, r.Largest)
+		for _, r := range s.GPUFreeCapacity {
+			fmt.Fprintf(w, "%s\t%s\t%v\t%d\t%d\t%.0f\t%.0f\t%.0f GPUs\n", r.MachineType, r.Zone, r.Spot, r.Machines, r.EmptyMachines, r.FreeGPUs, r.FragmentedGPUs, r.LargestReplicaGPUs)
 		}
 	}
-	if m := s.Moves; m != nil && m.Plans+len(m.Now) > 0 {
-		fmt.Fprintf(w, "\nmoves: %d planned, %d replicas moved, %d dropped before their stop; longest down %.1f s\n", m.Plans, m.Moved, m.Dropped, m.LongestS)
-		if len(m.Now) > 0 {
+	if m := s.Migrations; m != nil && m.Plans+len(m.InProgress) > 0 {
+		fmt.Fprintf(w, "\nmoves: %d planned, %d replicas moved, %d dropped before their stop; longest down %.1f s\n", m.Plans, m.Moved, m.Dropped, m.LongestDownSeconds)
+		if len(m.InProgress) > 0 {
 			fmt.Fprintln(w, "\nREPLICA\tFROM\tTO\tMAKES ROOM FOR\tSTATE\tEXPECTED DOWN\tGIVEN UP IN")
 		}
-		for _, x := range m.Now {
-			fmt.Fprintf(w, "%s/%d\t%s\t%s\t%s\t%s\t%.1f s\t%.0f s\n", x.Job, x.Task, x.From, x.To, x.For, x.State, x.DownS, x.EndsS)
+		for _, x := range m.InProgress {
+			fmt.Fprintf(w, "%s/%d\t%s\t%s\t%s\t%s\t%.1f s\t%.0f s\n", x.Job, x.Task, x.From, x.To, x.For, x.State, x.ExpectedDownSeconds, x.GivenUpInSeconds)
 		}
 	}
 	if len(s.Machines) > 0 {
@@ -140,7 +140,7 @@
 		fmt.Fprintf(w, "\nmachines: %s\n", strings.Join(states, ", "))
 		fmt.Fprintln(w, "\nMACHINE\tFLAVOUR\tZONE\tSPOT\tSTATE\tTASKS\tCPU\tHEARD")
 		for _, m := range s.Machines {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%.0f/%.0f\t%s\n", m.ID, m.Flavour, m.Zone, m.Spot, m.State, m.Tasks, m.UsedCPU, m.CPU, m.Heard)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%v\t%s\t%d\t%.0f/%.0f\t%s\n", m.ID, m.MachineType, m.Zone, m.Spot, m.State, m.Tasks, m.UsedCPU, m.CPU, m.LastHeartbeatAge)
 		}
 	}
 	return w.Flush()
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -74,7 +74,7 @@
 func (h *handlers) status(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), patience)
 	defer cancel()
-	e, err := h.core.Ask(ctx, func(r uint64) core.Command { return core.StatusQuery{Reply: r} })
+	e, err := h.core.Ask(ctx, func(r uint64) core.Command { return core.QueryStatus{Reply: r} })
 	if err != nil {
 		return busy(c)
 	}
@@ -191,7 +191,7 @@
 		return busy(c)
 	}
 	// The core may have answered long before this goes on.
-	if _, instead, late := core.Late(r, time.Now()); late {
+	if _, instead, late := core.CheckDeadline(r, time.Now()); late {
 		r = instead.(core.UserReply)
 	}
 	if r.RetryAfter > 0 {
@@ -204,8 +204,8 @@
 	if c.Request().Method == http.MethodGet {
 		m["done"], m["running"] = r.Done, r.Running
 	}
-	if r.PromiseRev > 0 {
-		m["promised_s"], m["promise_rev"] = r.Promised.Seconds(), r.PromiseRev
+	if r.PromiseRevision > 0 {
+		m["promised_s"], m["promise_rev"] = r.PromisedAfter.Seconds(), r.PromiseRevision
 	}
 	return answer(c, r.Status, m)
 }
@@ -227,7 +227,7 @@
 	if !idForm.MatchString(id) {
 		return fail(c, http.StatusNotFound, "no such job")
 	}
-	return h.ask(c, func(r uint64) core.Command { return core.Query{Reply: r, ID: id} })
+	return h.ask(c, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} })
 }
 
 func (h *handlers) abort(c echo.Context) error {
@@ -235,7 +235,7 @@
 	if !idForm.MatchString(id) {
 		return fail(c, http.StatusNotFound, "no such job")
 	}
-	return h.ask(c, func(r uint64) core.Command { return core.Abort{Reply: r, ID: id} })
+	return h.ask(c, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} })
 }
 
 func (h *handlers) submit(c echo.Context) error {
@@ -247,7 +247,7 @@
 	if spec.ID == "" {
 		return h.bad(c, bad)
 	}
-	return h.ask(c, func(r uint64) core.Command { return core.Submit{Reply: r, Spec: spec, Bad: bad} })
+	return h.ask(c, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec, MalformedReason: bad} })
 }
 
 func (h *handlers) report(c echo.Context) error {
@@ -263,26 +263,26 @@
 		return h.bad(c, "not a MessagePack map with a report's fields: "+err.Error())
 	}
 	report := r.Core()
-	if why := report.Bad(); why != "" {
+	if why := report.Validate(); why != "" {
 		return h.bad(c, "field "+why)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), patience)
 	defer cancel()
-	e, err := h.core.Ask(ctx, func(reply uint64) core.Command { return core.WorkerReport{Reply: reply, Report: report} })
-	a, ok := e.(core.ReportReply)
+	e, err := h.core.Ask(ctx, func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: report} })
+	a, ok := e.(core.HeartbeatReply)
 	if ok {
 		// The core may have answered long before this goes on.
-		if _, instead, late := core.Late(a, time.Now()); late {
-			a, ok = instead.(core.ReportReply)
+		if _, instead, late := core.CheckDeadline(a, time.Now()); late {
+			a, ok = instead.(core.HeartbeatReply)
 		}
 	}
 	switch {
 	case err != nil || !ok:
 		return busy(c)
 	case a.Status == http.StatusOK:
-		return answer(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.Wire(a.Orders)})
-	case a.Steward != "":
-		return answer(c, a.Status, map[string]any{"steward": a.Steward})
+		return answer(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.Wire(a.Commands)})
+	case a.MachineOwner != "":
+		return answer(c, a.Status, map[string]any{"steward": a.MachineOwner})
 	}
 	return fail(c, a.Status, "not the steward")
 }
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -19,8 +19,8 @@
 type mute struct{}
 
 func (mute) Ask(_ context.Context, mk func(uint64) core.Command) (core.Effect, error) {
-	if _, ok := mk(1).(core.WorkerReport); ok {
-		return core.ReportReply{Status: 200, Epoch: 1}, nil
+	if _, ok := mk(1).(core.WorkerHeartbeat); ok {
+		return core.HeartbeatReply{Status: 200, Epoch: 1}, nil
 	}
 	return core.UserReply{Status: 404, Message: "no such job"}, nil
 }
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -22,7 +22,7 @@
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		spec, bad := parseRun(b)
-		if bad == "" && (spec.Tasks < 1 || spec.Tasks > 100000 || !validate.IsAmount(spec.Need.CPU) || spec.Expected < 0 || spec.ID == "") {
+		if bad == "" && (spec.Tasks < 1 || spec.Tasks > 100000 || !validate.IsAmount(spec.Need.CPU) || spec.ExpectedRunTime < 0 || spec.ID == "") {
 			t.Fatalf("taken: %+v", spec)
 		}
 	})
@@ -45,7 +45,7 @@
 			return
 		}
 		c := r.Core()
-		if c.Bad() != "" {
+		if c.Validate() != "" {
 			return
 		}
 		for _, p := range c.Tasks {
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -29,11 +29,11 @@
 	}}
 	testgolden.Check(t, testgolden.Msgpack, runs)
 	testgolden.Full(t, runs)
-	want := core.Spec{
+	want := core.JobSpec{
 		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: core.Urgent, Tasks: 16, Need: core.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
-		Image: "img-07", ImageGB: 6.2, Flavours: []string{"g8", "g4"}, Zone: "a", SamePlace: true, Apart: true, Spot: true,
-		Expected: 240_500 * time.Millisecond, SaveEvery: 30_250 * time.Millisecond, SaveCost: 4_500 * time.Millisecond, Due: 900_750 * time.Millisecond,
-		Prereqs: []string{"job-000398", "job-000402"},
+		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a", SameZone: true, SpreadZones: true, AllowSpot: true,
+		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
+		Dependencies: []string{"job-000398", "job-000402"},
 	}
 	if got, bad := parseRun(testgolden.Bytes(t, "run")); bad != "" || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: read as\n%+v\nwant\n%+v", bad, got, want)
@@ -50,17 +50,17 @@
 
 // TestGoldenAnswers: users and workers are answered as ever.
 func TestGoldenAnswers(t *testing.T) {
-	report := core.ReportReply{Status: 200, Epoch: 411, Orders: []core.Order{
-		{Verb: core.Start, Job: "job-000412", Index: 5, Try: 2},
-		{Verb: core.Halt, Job: "job-000413", Index: 6, Try: 300, WindDown: 30_250 * time.Millisecond},
-		{Verb: core.Clear, Job: "job-000414", Index: 7, Try: 4},
+	report := core.HeartbeatReply{Status: 200, Epoch: 411, Commands: []core.TaskCommand{
+		{Kind: core.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
+		{Kind: core.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
+		{Kind: core.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
 	}}
 	body, err := msgpack.Marshal(worker.Report{Host: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Tenure: 3, Tick: 88, Epoch: 411})
 	if err != nil {
 		t.Fatal(err)
 	}
 	testgolden.Same(t, "report", body)
-	job := core.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, Promised: 90_500 * time.Millisecond, PromiseRev: 2}
+	job := core.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, PromisedAfter: 90_500 * time.Millisecond, PromiseRevision: 2}
 	for name, x := range map[string]struct {
 		method, body string
 		handle       func(*handlers, echo.Context) error
@@ -71,8 +71,8 @@
 		"submit":  {http.MethodPost, "run", (*handlers).submit, job},
 		"refused": {http.MethodPost, "run", (*handlers).submit, core.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
 		"report":  {http.MethodPost, "report", (*handlers).report, report},
-		"steward": {http.MethodPost, "report", (*handlers).report, core.ReportReply{Status: 421, Steward: "ctl-3"}},
-		"away":    {http.MethodPost, "report", (*handlers).report, core.ReportReply{Status: 503}},
+		"steward": {http.MethodPost, "report", (*handlers).report, core.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
+		"away":    {http.MethodPost, "report", (*handlers).report, core.HeartbeatReply{Status: 503}},
 		"health":  {http.MethodGet, "", (*handlers).health, nil},
 	} {
 		var body []byte
--- a/internal/api/promises.go
+++ b/internal/api/promises.go
@@ -19,7 +19,7 @@
 			ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorPatience)
 			defer cancel()
 			x, err := c.Ask(ctx, func(r uint64) core.Command {
-				return core.PromiseQuery{Reply: r, Job: ec.QueryParam("job"), Class: ec.QueryParam("class"), AtRisk: risk == "true"}
+				return core.QueryPromises{Reply: r, Job: ec.QueryParam("job"), Class: ec.QueryParam("class"), OnlyAtRisk: risk == "true"}
 			})
 			p, ok := x.(core.PromiseReply)
 			if err != nil || !ok || !p.OK {
--- a/internal/api/promises_test.go
+++ b/internal/api/promises_test.go
@@ -23,7 +23,7 @@
 // TestPromisedFields: an answer has the two fields if there is a date, and neither else.
 func TestPromisedFields(t *testing.T) {
 	for rev, after := range map[int]time.Duration{0: 0, 2: 90500 * time.Millisecond} {
-		h := &handlers{core: telling{core.UserReply{Status: 200, ID: "job-1", State: "queued", Promised: after, PromiseRev: rev}}}
+		h := &handlers{core: telling{core.UserReply{Status: 200, ID: "job-1", State: "queued", PromisedAfter: after, PromiseRevision: rev}}}
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/v2/runs/job-1", nil), rec)
 		c.SetParamNames("id")
@@ -47,7 +47,7 @@
 // TestLateAnswerToUser: the core has answered, and the process stood still before that left.
 func TestLateAnswerToUser(t *testing.T) {
 	for late, status := range map[time.Duration]int{-time.Minute: http.StatusOK, time.Millisecond: http.StatusServiceUnavailable} {
-		h := &handlers{core: telling{core.UserReply{Status: 200, ID: "job-1", State: "queued", Until: time.Now().Add(-late)}}}
+		h := &handlers{core: telling{core.UserReply{Status: 200, ID: "job-1", State: "queued", SendDeadline: time.Now().Add(-late)}}}
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/v2/runs/job-1", nil), rec)
 		c.SetParamNames("id")
--- a/internal/api/ranking.go
+++ b/internal/api/ranking.go
@@ -22,7 +22,7 @@
 		ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorPatience)
 		defer cancel()
 		e, err := c.Ask(ctx, mk)
-		r, ok := e.(core.RankReply)
+		r, ok := e.(core.RankingReply)
 		if err != nil || !ok {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "no answer in time")
 		}
@@ -33,7 +33,7 @@
 	}
 	return func(e *echo.Echo) {
 		e.GET("/ranking", func(ec echo.Context) error {
-			q := core.RankQuery{Job: ec.QueryParam("why"), History: ec.QueryParam("history") == "true"}
+			q := core.QueryRanking{Job: ec.QueryParam("why"), History: ec.QueryParam("history") == "true"}
 			if q.Job != "" && !idForm.MatchString(q.Job) {
 				return echo.NewHTTPError(http.StatusBadRequest, "why: "+strconv.Quote(q.Job)+" is no job's id: want job- and up to 64 letters, digits, hyphens and underscores")
 			}
@@ -44,9 +44,9 @@
 			if err != nil {
 				return err
 			}
-			s := core.RankSet{AnyRev: ec.QueryParam("rev") == "", Until: time.Now().Add(operatorPatience * 3 / 4)}
-			if !s.AnyRev {
-				if s.Rev, err = strconv.ParseUint(ec.QueryParam("rev"), 10, 64); err != nil {
+			s := core.SetRanking{AnyRevision: ec.QueryParam("rev") == "", Deadline: time.Now().Add(operatorPatience * 3 / 4)}
+			if !s.AnyRevision {
+				if s.Revision, err = strconv.ParseUint(ec.QueryParam("rev"), 10, 64); err != nil {
 					return echo.NewHTTPError(http.StatusBadRequest, "rev: "+strconv.Quote(ec.QueryParam("rev"))+": want a revision, as show gives it")
 				}
 			}
--- a/internal/api/run.go
+++ b/internal/api/run.go
@@ -103,10 +103,10 @@
 
 // parseRun reads a submission. A reason comes with whatever of the id could be
 // read: a known job is answered with its state, whatever the body.
-func parseRun(b []byte) (core.Spec, string) {
+func parseRun(b []byte) (core.JobSpec, string) {
 	const noMap = "not a MessagePack map with a job's fields"
 	if !isMap(b) {
-		return core.Spec{}, noMap
+		return core.JobSpec{}, noMap
 	}
 	var r run
 	if msgpack.Unmarshal(b, &r) != nil {
@@ -118,12 +118,12 @@
 			ID string `msgpack:"id"`
 		}
 		if msgpack.Unmarshal(b, &only) == nil && idForm.MatchString(only.ID) {
-			return core.Spec{ID: only.ID}, why
+			return core.JobSpec{ID: only.ID}, why
 		}
-		return core.Spec{}, why
+		return core.JobSpec{}, why
 	}
 	if r.ID == nil || !idForm.MatchString(*r.ID) {
-		return core.Spec{}, missing("id")
+		return core.JobSpec{}, missing("id")
 	}
 	if err := check.Struct(&r); err != nil {
 		var ve validator.ValidationErrors
@@ -131,21 +131,21 @@
 		if errors.As(err, &ve) {
 			why = missing(ve[0].Field())
 		}
-		return core.Spec{ID: *r.ID}, why
+		return core.JobSpec{ID: *r.ID}, why
 	}
-	s := core.Spec{
-		ID: *r.ID, Workload: *r.Workload, Team: *r.Owner, Standing: *r.Shape == "standing", Gang: *r.Shape == "group",
+	s := core.JobSpec{
+		ID: *r.ID, Workload: *r.Workload, Team: *r.Owner, LongRunning: *r.Shape == "standing", Gang: *r.Shape == "group",
 		Urgency: urgencies[*r.Urgency], Tasks: int(*r.Pieces),
 		Need:  core.Resources{CPU: *r.VCPUs, GPU: *r.GPUs, Memory: *r.MemoryGB},
-		Image: *r.Bundle, ImageGB: *r.ImageGB, Flavours: r.Flavours,
-		Prereqs: r.Prereqs, SamePlace: *r.SamePlace, Apart: *r.Apart, Spot: *r.Loaner,
-		Expected: core.Seconds(*r.ExpectedS), SaveEvery: core.Seconds(*r.EveryS), SaveCost: core.Seconds(*r.CostS),
+		Image: *r.Bundle, ImageGB: *r.ImageGB, MachineTypes: r.Flavours,
+		Dependencies: r.Prereqs, SameZone: *r.SamePlace, SpreadZones: *r.Apart, AllowSpot: *r.Loaner,
+		ExpectedRunTime: core.Seconds(*r.ExpectedS), CheckpointInterval: core.Seconds(*r.EveryS), CheckpointCost: core.Seconds(*r.CostS),
 	}
 	if r.Site != nil {
 		s.Zone = *r.Site
 	}
 	if r.DueS != nil {
-		s.Due = core.Seconds(*r.DueS)
+		s.Deadline = core.Seconds(*r.DueS)
 	}
 	return s, ""
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -93,8 +93,8 @@
 }
 
 // Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op core.CloudOp) core.CloudDone {
-	out := core.CloudDone{ID: op.ID, Status: core.CloudRefused}
+func (c *Client) Do(ctx context.Context, op core.CloudRequest) core.CloudResponse {
+	out := core.CloudResponse{ID: op.ID, Status: core.CloudRefused}
 	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
 	if c.limit.Wait(ctx) != nil {
@@ -103,35 +103,35 @@
 	var status int
 	var err error
 	switch op.Kind {
-	case core.CloudTypes:
+	case core.CloudListTypes:
 		var a typeList
 		status, err = c.send(ctx, http.MethodGet, "/machine_types", nil, &a)
 		for _, f := range a.Flavours {
-			out.Flavours = append(out.Flavours, core.Flavour{
-				Name: f.Name, Size: core.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
-				DiskGB: f.LocalGB, PullRate: f.PullRate, Price: f.Price, SpotPrice: f.MarketPrice,
-				Ready: core.Seconds(f.ReadyS), Zones: f.Sites,
+			out.MachineTypes = append(out.MachineTypes, core.MachineType{
+				Name: f.Name, Capacity: core.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
+				DiskGB: f.LocalGB, ImageFetchRate: f.PullRate, CostPerHour: f.Price, SpotCostPerHour: f.MarketPrice,
+				ProvisioningTime: core.Seconds(f.ReadyS), Zones: f.Sites,
 			})
 		}
-	case core.CloudList:
+	case core.CloudListMachines:
 		q := url.Values{"limit": {strconv.Itoa(listPage)}}
-		if op.From != "" {
-			q.Set("from", op.From)
+		if op.StartAfter != "" {
+			q.Set("from", op.StartAfter)
 		}
 		var a hostList
 		status, err = c.send(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &a)
 		for _, h := range a.Hosts {
-			out.Machines = append(out.Machines, core.Listed{
-				ID: h.ID, Addr: h.Address, Flavour: h.Flavour, Zone: h.Site, Spot: h.Loaner,
-				Status: h.Status, Held: core.Seconds(h.HeldS),
+			out.Machines = append(out.Machines, core.CloudMachine{
+				ID: h.ID, Addr: h.Address, MachineType: h.Flavour, Zone: h.Site, Spot: h.Loaner,
+				Status: h.Status, Age: core.Seconds(h.HeldS),
 			})
 		}
 		out.Truncated = a.Truncated
 	case core.CloudRent:
 		var a hostNames
-		status, err = c.send(ctx, http.MethodPost, "/rentals", booking{op.Booking, op.Flavour, op.Zone, op.Spot, op.Count}, &a)
+		status, err = c.send(ctx, http.MethodPost, "/rentals", booking{op.IdempotencyKey, op.MachineType, op.Zone, op.Spot, op.Count}, &a)
 		out.Rented = a.Hosts
-	case core.CloudReturn:
+	case core.CloudRelease:
 		status, err = c.send(ctx, http.MethodPost, "/rentals/return", hostNames{op.Machines}, nil)
 	}
 	switch {
@@ -142,7 +142,7 @@
 	case status == http.StatusOK:
 		out.Status = core.CloudOK
 	case status == http.StatusBadRequest:
-		out.Status = core.CloudBad
+		out.Status = core.CloudMalformed
 	}
 	return out
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -175,25 +175,25 @@
 	limits := d.State.Tighter()
 	s := core.Settings{
 		Host: c.HostName, Zones: d.Zones,
-		ReportEvery: core.Seconds(d.Workers.ReportS), Lease: core.Seconds(d.Workers.LeaseS),
-		Cancel: core.Seconds(d.Workers.CancelS), ClockBound: core.Seconds(d.TimeBoundMS / 1000),
-		TxnOps: limits.TxnOps, ValueBytes: int(limits.ValueKB * 1024), PresentValueBytes: int(d.State.ValueKB * 1024),
-		ListLag: core.Seconds(d.Cloud.ListLagS), CloudRPS: d.Cloud.RPS, StateRequests: d.State.RPS, StateWrites: limits.WriteRPS,
-		Nonce: nonce, Policy: policy,
+		HeartbeatInterval: core.Seconds(d.Workers.ReportS), WorkerLease: core.Seconds(d.Workers.LeaseS),
+		CancellationBound: core.Seconds(d.Workers.CancelS), MaxClockError: core.Seconds(d.TimeBoundMS / 1000),
+		MaxTxnWrites: limits.TxnOps, MaxValueBytes: int(limits.ValueKB * 1024), CurrentMaxValueBytes: int(d.State.ValueKB * 1024),
+		CloudListLag: core.Seconds(d.Cloud.ListLagS), CloudRequestsPerSecond: d.Cloud.RPS, StoreRequestsPerSecond: d.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
+		Incarnation: nonce, Policy: policy,
 	}
 	for _, p := range c.Seeds {
 		s.Peers = append(s.Peers, p.HostName)
 	}
 	for _, t := range d.Teams {
 		s.Teams = append(s.Teams, core.Team{
-			Name:      t.Name,
-			Guarantee: core.Resources{CPU: t.CPUs, GPU: t.GPUs},
-			Limit:     core.Resources{CPU: t.CPUsMax, GPU: t.GPUsMax},
+			Name:            t.Name,
+			GuaranteedQuota: core.Resources{CPU: t.CPUs, GPU: t.GPUs},
+			QuotaLimit:      core.Resources{CPU: t.CPUsMax, GPU: t.GPUsMax},
 		})
 	}
 	for _, o := range d.Objectives {
 		s.Objectives = append(s.Objectives, core.Objective{
-			Kind: o.Kind, Workload: o.Class, Within: core.Seconds(o.WithinS), Share: o.Share, Times: o.Times,
+			Kind: o.Kind, Workload: o.Class, Within: core.Seconds(o.WithinS), Fraction: o.Share, DeadlineFactor: o.Times,
 		})
 	}
 	return s
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -68,8 +68,8 @@
 			t.Fatalf("%q: %v", c.next, err)
 		}
 		s := conf.Core(core.DefaultPolicy(), "n")
-		if s.ValueBytes != c.value || s.PresentValueBytes != c.present || s.TxnOps != c.ops || s.StateWrites != c.writes {
-			t.Errorf("%q: %d and %d bytes, %d changes, %g a second", c.next, s.ValueBytes, s.PresentValueBytes, s.TxnOps, s.StateWrites)
+		if s.MaxValueBytes != c.value || s.CurrentMaxValueBytes != c.present || s.MaxTxnWrites != c.ops || s.StoreWritesPerSecond != c.writes {
+			t.Errorf("%q: %d and %d bytes, %d changes, %g a second", c.next, s.MaxValueBytes, s.CurrentMaxValueBytes, s.MaxTxnWrites, s.StoreWritesPerSecond)
 		}
 	}
 }
--- a/internal/config/extras.go
+++ b/internal/config/extras.go
@@ -50,16 +50,16 @@
 }
 
 // Product is what the core is told of them.
-func (x *Extras) Product() core.Product {
-	var p core.Product
+func (x *Extras) Product() core.Capabilities {
+	var p core.Capabilities
 	if r := x.Ranking; r != nil {
 		p.Ranking = r.Enabled
 	}
 	if r := x.Promises; r != nil {
-		p.Promises, p.PromiseShare = r.Enabled, r.Share
+		p.Promises, p.PromiseFraction = r.Enabled, r.Share
 	}
 	if r := x.Models; r != nil {
-		p.Models, p.MovePart, p.MoveAgain = r.Enabled, r.Part, core.Seconds(r.AgainS)
+		p.Models, p.MaxMigratingFraction, p.MigrationCooldown = r.Enabled, r.Part, core.Seconds(r.AgainS)
 	}
 	return p
 }
--- a/internal/core/budgets.go
+++ b/internal/core/budgets.go
@@ -11,114 +11,114 @@
 // the others once a second what it asks for, and reckons its own part.
 
 const (
-	// pulseEvery is how often the others are told.
-	pulseEvery = time.Second
-	// pulseFresh is how long a word counts; after that a controller that lives is
+	// ratesPublishInterval is how often the others are told.
+	ratesPublishInterval = time.Second
+	// ratesTTL is how long a word counts; after that a controller that lives is
 	// taken to need what its roles mostly do.
-	pulseFresh = 10 * time.Second
+	ratesTTL = 10 * time.Second
 	// ownerAsks and otherAsks are what a controller asks for a second, requests and
 	// changes, as long as it has not said so.
-	ownerRequests, ownerChanges = 25, 10
-	otherRequests, otherChanges = 8, 1.5
-	// partStep is by how much a part must change to be passed on.
-	partStep = 0.05
-	// writeAhead is for how long the owner's writes under way may keep its part of the
+	shardLeaderRequests, shardLeaderWrites = 25, 10
+	followerRequests, followerWrites       = 8, 1.5
+	// minRateChange is by how much a part must change to be passed on.
+	minRateChange = 0.05
+	// writeAheadWindow is for how long the owner's writes under way may keep its part of the
 	// changes busy. What waits longer is put together late: it shares writes, the most
 	// urgent comes first, jobs that were cancelled meanwhile fail no write of others, and
 	// what users wait for finds the part with room.
-	writeAhead = 500 * time.Millisecond
-	// writeLeast is how many changes may be under way however small the part: an end.
-	writeLeast = 2
+	writeAheadWindow = 500 * time.Millisecond
+	// minWritesInFlight is how many changes may be under way however small the part: an end.
+	minWritesInFlight = 2
 )
 
 // Rates is what a controller asks of the state service a second.
 type Rates struct {
 	Requests float64
-	Changes  float64
+	Writes   float64
 }
 
-// budgets is what this controller asks for, and what the others have said.
-type budgets struct {
-	requests, changes budget.Meter
-	others            map[string]told
-	part              Rates
+// rateLimits is what this controller asks for, and what the others have said.
+type rateLimits struct {
+	requests, writes budget.Meter
+	peers            map[string]peerRates
+	allotted         Rates
 	// short: what is asked for has not the usual headroom in its part.
-	short bool
+	writesShort bool
 }
 
-type told struct {
-	at time.Time
+type peerRates struct {
+	receivedAt time.Time
 	Rates
 }
 
-// asked notes a request to the state service.
-func (b *budgets) asked(op *StateOp) {
+// countRequest notes a request to the state service.
+func (b *rateLimits) countRequest(op *StoreRequest) {
 	b.requests.Add(1)
-	b.changes.Add(float64(len(op.Apply)))
+	b.writes.Add(float64(len(op.Writes)))
 }
 
-// pulse tells the others what this controller asks for, and passes its part on.
-func pulse(n *Node) {
-	n.after(pulseEvery, func() { pulse(n) })
-	b := &n.budgets
-	r := Rates{b.requests.Rate(n.now), b.changes.Rate(n.now)}
-	for _, p := range n.set.Peers {
-		n.emit(PeerSend{To: p, News: PeerNews{From: n.set.Host, Rates: &r}})
+// publishRates tells the others what this controller asks for, and passes its part on.
+func publishRates(n *Controller) {
+	n.after(ratesPublishInterval, func() { publishRates(n) })
+	b := &n.rateLimits
+	r := Rates{b.requests.Rate(n.now), b.writes.Rate(n.now)}
+	for _, p := range n.settings.Peers {
+		n.emit(SendPeerUpdate{To: p, Update: PeerUpdate{From: n.settings.Host, Rates: &r}})
 	}
-	if n.set.StateRequests <= 0 || n.set.StateWrites <= 0 {
+	if n.settings.StoreRequestsPerSecond <= 0 || n.settings.StoreWritesPerSecond <= 0 {
 		return
 	}
-	requests, changes := []float64{r.Requests}, []float64{r.Changes}
-	for _, h := range n.set.Peers {
-		if _, lives := n.sess.nodes[h]; !lives && n.sess.loaded {
+	requests, writes := []float64{r.Requests}, []float64{r.Writes}
+	for _, h := range n.settings.Peers {
+		if _, lives := n.membership.controllers[h]; !lives && n.membership.loaded {
 			continue
 		}
-		x := b.others[h]
-		if n.now.Sub(x.at) > pulseFresh {
-			x.Rates = Rates{otherRequests, otherChanges}
-			for _, s := range n.sess.book.Shares() {
+		peer := b.peers[h]
+		if n.now.Sub(peer.receivedAt) > ratesTTL {
+			peer.Rates = Rates{followerRequests, followerWrites}
+			for _, s := range n.membership.shardMap.Shares() {
 				if s.Host == h && len(s.Teams) > 0 {
-					x.Rates = Rates{ownerRequests, ownerChanges}
+					peer.Rates = Rates{shardLeaderRequests, shardLeaderWrites}
 				}
 			}
 		}
-		requests, changes = append(requests, x.Requests), append(changes, x.Changes)
+		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	part := Rates{budget.Divide(n.set.StateRequests, requests)[0], budget.Divide(n.set.StateWrites, changes)[0]}
-	b.short = r.Changes*budget.Headroom > part.Changes*(1+partStep)
-	if differs(part.Requests, b.part.Requests) || differs(part.Changes, b.part.Changes) {
-		b.part = part
-		n.emit(part)
+	allotted := Rates{budget.Divide(n.settings.StoreRequestsPerSecond, requests)[0], budget.Divide(n.settings.StoreWritesPerSecond, writes)[0]}
+	b.writesShort = r.Writes*budget.Headroom > allotted.Writes*(1+minRateChange)
+	if ratesDiffer(allotted.Requests, b.allotted.Requests) || ratesDiffer(allotted.Writes, b.allotted.Writes) {
+		b.allotted = allotted
+		n.emit(allotted)
 	}
 }
 
-// changesShort says that there are hardly enough changes for what can't wait.
-func (n *Node) changesShort() bool { return n.budgets.short }
+// writesShort says that there are hardly enough changes for what can't wait.
+func (n *Controller) writesShort() bool { return n.rateLimits.writesShort }
 
-// roomToWrite is how many changes more the owner may have under way.
-func (n *Node) roomToWrite() int {
-	part := n.budgets.part.Changes
-	if part <= 0 {
-		part = n.set.StateWrites / float64(1+len(n.set.Peers))
+// writesAllowed is how many changes more the owner may have under way.
+func (n *Controller) writesAllowed() int {
+	allotted := n.rateLimits.allotted.Writes
+	if allotted <= 0 {
+		allotted = n.settings.StoreWritesPerSecond / float64(1+len(n.settings.Peers))
 	}
-	if part <= 0 {
-		return n.set.TxnOps
+	if allotted <= 0 {
+		return n.settings.MaxTxnWrites
 	}
-	return max(writeLeast, int(part*writeAhead.Seconds())) - n.owner.ahead
+	return max(minWritesInFlight, int(allotted*writeAheadWindow.Seconds())) - n.shardLeader.writesInFlight
 }
 
-// write sends a write of the owner's and counts it as under way.
-func (n *Node) write(op StateOp, fn func(StateDone)) {
-	o, changes := n.owner, len(op.Apply)
-	o.inFlight++
-	o.ahead += changes
-	n.ask(op, func(d StateDone) {
-		o.inFlight--
-		o.ahead -= changes
+// writeTxn sends a write of the owner's and counts it as under way.
+func (n *Controller) writeTxn(op StoreRequest, fn func(StoreResponse)) {
+	o, writes := n.shardLeader, len(op.Writes)
+	o.txnsInFlight++
+	o.writesInFlight += writes
+	n.requestStore(op, func(d StoreResponse) {
+		o.txnsInFlight--
+		o.writesInFlight -= writes
 		fn(d)
 	})
 }
 
-func differs(a, b float64) bool { return math.Abs(a-b) > partStep*b }
+func ratesDiffer(a, b float64) bool { return math.Abs(a-b) > minRateChange*b }
 
 func (Rates) effect() {}
--- a/internal/core/cancelnews.go
+++ b/internal/core/cancelnews.go
@@ -16,129 +16,129 @@
 // horizon, since nobody vouches that it is all there is.
 
 const (
-	// cancelGather is how long a cancellation waits for others to share its message.
-	cancelGather = 50 * time.Millisecond
-	// cancelAgain separates two messages of the same to a peer that has not answered.
-	cancelAgain = time.Second
-	// cancelNewsMost bounds the jobs in a message, of some hundred bytes each, and
-	// cancelNewsKept those that wait to be heard; what is more is left to the records.
-	cancelNewsMost = 200
-	cancelNewsKept = 2000
+	// cancellationBatchDelay is how long a cancellation waits for others to share its message.
+	cancellationBatchDelay = 50 * time.Millisecond
+	// cancellationResendInterval separates two messages of the same to a peer that has not answered.
+	cancellationResendInterval = time.Second
+	// maxCancellationsPerUpdate bounds the jobs in a message, of some hundred bytes each, and
+	// maxUnackedCancellations those that wait to be heard; what is more is left to the records.
+	maxCancellationsPerUpdate = 200
+	maxUnackedCancellations   = 2000
 )
 
-// CancelNews is a job's record in open/ as its cancellation has written it.
-type CancelNews struct {
-	ID     string
-	Record []byte
-	Stamp  uint64
+// Cancellation is a job's record in open/ as its cancellation has written it.
+type Cancellation struct {
+	ID          string
+	Record      []byte
+	ModRevision uint64
 }
 
-// cancelTelling is what was told to peers that have not acknowledged it yet.
-type cancelTelling struct {
-	news CancelNews
-	// owed are those peers, and when it was last sent to them.
-	owed  map[string]time.Time
-	until time.Time
+// unackedCancellation is what was told to peers that have not acknowledged it yet.
+type unackedCancellation struct {
+	cancellation Cancellation
+	// unackedPeers are those peers, and when it was last sent to them.
+	unackedPeers map[string]time.Time
+	expiresAt    time.Time
 }
 
-// cancelNews is what this node has told peers: by job, whether some wait for more to go
+// cancellationGossip is what this node has told peers: by job, whether some wait for more to go
 // with them, and whether some will be sent again.
-type cancelNews struct {
-	told                 map[string]*cancelTelling
-	gathering, repeating bool
+type cancellationGossip struct {
+	unacked             map[string]*unackedCancellation
+	batching, resending bool
 }
 
-// tellCancelled tells peers of a cancellation whose record is durable.
-func tellCancelled(n *Node, news CancelNews, peers []string) {
-	if n.cancels.told[news.ID] != nil || len(n.cancels.told) >= cancelNewsKept || len(peers) == 0 {
+// publishCancellation tells peers of a cancellation whose record is durable.
+func publishCancellation(n *Controller, cancellation Cancellation, peers []string) {
+	if n.cancellations.unacked[cancellation.ID] != nil || len(n.cancellations.unacked) >= maxUnackedCancellations || len(peers) == 0 {
 		return
 	}
 	// Later the lease has done what this is for.
-	x := &cancelTelling{news: news, owed: map[string]time.Time{}, until: n.now.Add(n.set.Cancel)}
+	pending := &unackedCancellation{cancellation: cancellation, unackedPeers: map[string]time.Time{}, expiresAt: n.now.Add(n.settings.CancellationBound)}
 	for _, p := range peers {
-		x.owed[p] = time.Time{}
+		pending.unackedPeers[p] = time.Time{}
 	}
-	n.cancels.told[news.ID] = x
-	if !n.cancels.gathering {
-		n.cancels.gathering = true
-		n.after(cancelGather, func() {
-			n.cancels.gathering = false
-			n.tellCancellations()
+	n.cancellations.unacked[cancellation.ID] = pending
+	if !n.cancellations.batching {
+		n.cancellations.batching = true
+		n.after(cancellationBatchDelay, func() {
+			n.cancellations.batching = false
+			n.publishCancellations()
 		})
 	}
 }
 
-// tellCancellations sends what is owed, and goes on as long as anything is.
-func (n *Node) tellCancellations() {
-	to := map[string][]CancelNews{}
-	for _, id := range sortedKeys(n.cancels.told) {
-		x := n.cancels.told[id]
-		if n.now.After(x.until) || len(x.owed) == 0 {
-			delete(n.cancels.told, id)
+// publishCancellations sends what is owed, and goes on as long as anything is.
+func (n *Controller) publishCancellations() {
+	byPeer := map[string][]Cancellation{}
+	for _, id := range sortedKeys(n.cancellations.unacked) {
+		pending := n.cancellations.unacked[id]
+		if n.now.After(pending.expiresAt) || len(pending.unackedPeers) == 0 {
+			delete(n.cancellations.unacked, id)
 			continue
 		}
-		for p, sent := range x.owed {
-			if n.now.Sub(sent) >= cancelAgain && len(to[p]) < cancelNewsMost {
-				x.owed[p] = n.now
-				to[p] = append(to[p], x.news)
+		for p, sentAt := range pending.unackedPeers {
+			if n.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[p]) < maxCancellationsPerUpdate {
+				pending.unackedPeers[p] = n.now
+				byPeer[p] = append(byPeer[p], pending.cancellation)
 			}
 		}
 	}
-	for _, p := range sortedKeys(to) {
-		n.emit(PeerSend{To: p, News: PeerNews{From: n.set.Host, Cancelled: to[p]}})
+	for _, p := range sortedKeys(byPeer) {
+		n.emit(SendPeerUpdate{To: p, Update: PeerUpdate{From: n.settings.Host, Cancellations: byPeer[p]}})
 	}
-	if len(n.cancels.told) > 0 && !n.cancels.repeating {
-		n.cancels.repeating = true
-		n.after(cancelAgain, func() {
-			n.cancels.repeating = false
-			n.tellCancellations()
+	if len(n.cancellations.unacked) > 0 && !n.cancellations.resending {
+		n.cancellations.resending = true
+		n.after(cancellationResendInterval, func() {
+			n.cancellations.resending = false
+			n.publishCancellations()
 		})
 	}
 }
 
-// takeCancelled takes in cancellations that a peer tells of. One that does not fit what is
+// receiveCancellations takes in cancellations that a peer tells of. One that does not fit what is
 // known of the job is passed over: the record will tell.
-func takeCancelled(n *Node, from string, told []CancelNews) {
-	var heard []string
-	for _, c := range told {
-		heard = append(heard, c.ID)
-		var r openRecord
-		if !decode(c.Record, &r) || !r.Cancelled || r.bad() != "" {
-			n.complain("news", from, "a cancellation that can't be read")
+func receiveCancellations(n *Controller, from string, cancellations []Cancellation) {
+	var acks []string
+	for _, c := range cancellations {
+		acks = append(acks, c.ID)
+		var r openJobRecord
+		if !decode(c.Record, &r) || !r.Cancelled || r.validate() != "" {
+			n.rejectInput("news", from, "a cancellation that can't be read")
 			continue
 		}
-		l, open := n.users.mirror.open[c.ID]
-		if !open || l.rec.Cancelled || c.Stamp <= l.stamp || r.At != l.rec.At || r.Team != l.rec.Team || r.Tasks != l.rec.Tasks {
+		l, open := n.frontend.watchCache.openJobs[c.ID]
+		if !open || l.rec.Cancelled || c.ModRevision <= l.modRevision || r.SubmittedAtMillis != l.rec.SubmittedAtMillis || r.Team != l.rec.Team || r.Tasks != l.rec.Tasks {
 			continue
 		}
-		if n.owner != nil && n.owner.jobs[c.ID] != nil {
-			n.ownerSees(Item{Key: openPrefix + c.ID, Value: c.Record, Stamp: c.Stamp})
+		if n.shardLeader != nil && n.shardLeader.jobs[c.ID] != nil {
+			n.observeOwnWrite(KeyValue{Key: openJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
 			continue
 		}
-		if s := n.sess.book.Team(r.Team); s != nil && s.Host != n.set.Host && s.Host != from {
-			tellCancelled(n, c, []string{s.Host})
+		if s := n.membership.shardMap.Team(r.Team); s != nil && s.Host != n.settings.Host && s.Host != from {
+			publishCancellation(n, c, []string{s.Host})
 		}
 	}
-	n.emit(PeerSend{To: from, News: PeerNews{From: n.set.Host, CancelsHeard: heard}})
+	n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, CancellationAcks: acks}})
 }
 
-// cancelsHeard notes that a peer has heard of cancellations.
-func cancelsHeard(n *Node, from string, jobs []string) {
+// acknowledgeCancellations notes that a peer has heard of cancellations.
+func acknowledgeCancellations(n *Controller, from string, jobs []string) {
 	for _, id := range jobs {
-		if x := n.cancels.told[id]; x != nil {
-			delete(x.owed, from)
+		if x := n.cancellations.unacked[id]; x != nil {
+			delete(x.unackedPeers, from)
 		}
 	}
 }
 
-// badCancels judges what a peer tells of cancellations.
-func badCancels(k *validate.Check, c *PeerNews) {
-	k.Count("cancelled", len(c.Cancelled), 0, cancelNewsMost)
-	for _, x := range c.Cancelled {
+// validateCancellations judges what a peer tells of cancellations.
+func validateCancellations(k *validate.Check, c *PeerUpdate) {
+	k.Count("cancelled", len(c.Cancellations), 0, maxCancellationsPerUpdate)
+	for _, x := range c.Cancellations {
 		k.Name("cancelled.id", x.ID, true)
 	}
-	k.Count("cancels_heard", len(c.CancelsHeard), 0, cancelNewsMost)
-	for _, id := range c.CancelsHeard {
+	k.Count("cancels_heard", len(c.CancellationAcks), 0, maxCancellationsPerUpdate)
+	for _, id := range c.CancellationAcks {
 		k.Name("cancels_heard.id", id, true)
 	}
 }
--- a/internal/core/contact.go
+++ b/internal/core/contact.go
@@ -6,204 +6,206 @@
 )
 
 const (
-	// probeReports is after how many of the longest report intervals a silent
-	// machine is asked directly. When it has not answered probesSilent times,
+	// probeAfterIntervals is after how many of the longest report intervals a silent
+	// machine is asked directly. When it has not answered unresponsiveProbes times,
 	// it is taken for lost and returned rather than waited for. Where reports
 	// are seldom, waiting for several of them to be missed would cost its tasks
 	// the longer.
-	probeReports = 1.15
-	probesSilent = 2
-	// probeEvery separates the questions to a silent machine.
-	probeEvery = 3 * time.Second
-	// contactMost bounds the questions to machines that are under way: those
+	probeAfterIntervals = 1.15
+	unresponsiveProbes  = 2
+	// probeInterval separates the questions to a silent machine.
+	probeInterval = 3 * time.Second
+	// maxContactsInFlight bounds the questions to machines that are under way: those
 	// to silent hosts hang, and a successor has a thousand to ask.
-	contactMost = 48
+	maxContactsInFlight = 48
 )
 
 // contact asks a machine of a former owner for its status and so learns its
 // tenure, which orders need; the orders carry the higher epoch.
-func (n *Node) contact(m *machine) {
-	if m.addr == "" || m.inFlight || m.questioned || m.returning || n.now.Sub(m.probed) < probeEvery {
+func (n *Controller) contact(m *machine) {
+	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || n.now.Sub(m.probed) < probeInterval {
 		return
 	}
-	if n.owner.contacts >= contactMost {
+	if n.shardLeader.contactsInFlight >= maxContactsInFlight {
 		return
 	}
-	m.questioned, m.probed = true, n.now
-	n.owner.contacts++
-	gen, was := n.owner.gen, m.seen()
-	n.call(WorkerOp{Machine: m.id, Addr: m.addr, Ask: true}, func(d WorkerDone) {
-		if n.owner == nil || n.owner.gen != gen {
+	m.statusRequested, m.probed = true, n.now
+	n.shardLeader.contactsInFlight++
+	gen, was := n.shardLeader.generation, m.snapshot()
+	n.requestWorker(WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(d WorkerResponse) {
+		if n.shardLeader == nil || n.shardLeader.generation != gen {
 			return
 		}
-		m.questioned = false
-		n.owner.contacts--
-		n.contactHeirs()
-		if d.NotSent || m.forgotten {
+		m.statusRequested = false
+		n.shardLeader.contactsInFlight--
+		n.contactInheritedMachines()
+		if d.NotSent || m.removed {
 			return
 		}
-		if !answered(n, m, d.Report, was) {
+		if !applyPollReply(n, m, d.Heartbeat, was) {
 			return
 		}
-		if m.seenEpoch < m.epoch && !m.inFlight {
-			n.claimMachine(m)
+		if m.seenEpoch < m.epoch && !m.dispatchInFlight {
+			n.showEpoch(m)
 			return
 		}
-		if stopping := m.attemptsIf(func(t *task) bool { return t.stop != stopNone }); len(stopping) > 0 || m.hasForeign {
+		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOthersAttempts {
 			// The order may be lost, and perhaps no report comes: of a machine that reaches
 			// no controller, answers are all that is heard.
-			n.mark(m)
+			n.markDispatchPending(m)
 		}
 	})
 }
 
-// contactHeirs goes on reaching the machines of a former owner, some at a time,
+// contactInheritedMachines goes on reaching the machines of a former owner, some at a time,
 // those with work first. One that has reported meanwhile has heard of the epoch.
-func (n *Node) contactHeirs() {
-	o := n.owner
-	for len(o.heirs) > 0 && o.contacts < contactMost {
-		m := o.heirs[0]
-		o.heirs = o.heirs[1:]
-		if !m.forgotten && m.seenEpoch < m.epoch {
+func (n *Controller) contactInheritedMachines() {
+	o := n.shardLeader
+	for len(o.inheritedMachines) > 0 && o.contactsInFlight < maxContactsInFlight {
+		m := o.inheritedMachines[0]
+		o.inheritedMachines = o.inheritedMachines[1:]
+		if !m.removed && m.seenEpoch < m.epoch {
 			n.contact(m)
 		}
 	}
 }
 
-// claimMachine shows the worker the current epoch with an empty order.
-func (n *Node) claimMachine(m *machine) {
-	gen, epoch := n.owner.gen, m.epoch
-	m.inFlight = true
-	n.owner.contacts++
-	was := m.seen()
-	n.call(WorkerOp{Machine: m.id, Addr: m.addr, Until: n.sess.sureUntil, Epoch: epoch, Tenure: m.tenure}, func(d WorkerDone) {
-		if n.owner == nil || n.owner.gen != gen {
+// showEpoch shows the worker the current epoch with an empty order.
+func (n *Controller) showEpoch(m *machine) {
+	gen, epoch := n.shardLeader.generation, m.epoch
+	m.dispatchInFlight = true
+	n.shardLeader.contactsInFlight++
+	was := m.snapshot()
+	n.requestWorker(WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: n.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(d WorkerResponse) {
+		if n.shardLeader == nil || n.shardLeader.generation != gen {
 			return
 		}
-		m.inFlight = false
-		n.owner.contacts--
-		n.contactHeirs()
-		if m.forgotten {
+		m.dispatchInFlight = false
+		n.shardLeader.contactsInFlight--
+		n.contactInheritedMachines()
+		if m.removed {
 			return
 		}
-		if !d.NotSent && answered(n, m, d.Report, was) {
-			n.mark(m)
+		if !d.NotSent && applyPollReply(n, m, d.Heartbeat, was) {
+			n.markDispatchPending(m)
 		}
 	})
 }
 
 // sweep looks for leases that ran out and for attempts that were never sent.
-func (n *Node) sweep() {
-	o := n.owner
-	n.contactHeirs()
-	for _, id := range sortedKeys(o.afar) {
-		if m := o.afar[id]; m.recall {
-			n.drain(m)
+func (n *Controller) sweep() {
+	o := n.shardLeader
+	n.contactInheritedMachines()
+	for _, id := range sortedKeys(o.remoteMachines) {
+		if m := o.remoteMachines[id]; m.reclaimNoticed {
+			n.drainReclaimed(m)
 		}
 	}
-	for _, m := range slices.Clone(o.byID) {
-		if m.reports() && (n.quietFor(m) > time.Duration(probeReports*float64(n.longestReport())) || !m.reach.Hears()) {
+	for _, m := range slices.Clone(o.machinesByID) {
+		if m.expectsHeartbeats() && (n.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(n.maxHeartbeatInterval())) || !m.reachability.Hears()) {
 			n.contact(m)
 		}
 		if !m.leaseEnd.IsZero() && n.now.After(m.leaseEnd) {
-			if !m.empty() {
-				n.leaseOver(m)
+			if !m.isEmpty() {
+				n.leaseExpired(m)
 				continue
 			}
 			// If it is ever heard of again, it is in a later tenure and empty.
-			o.forget(m)
+			o.removeMachine(m)
 			continue
 		}
-		if m.recall {
-			n.drain(m)
+		if m.reclaimNoticed {
+			n.drainReclaimed(m)
 		}
-		for _, k := range m.attemptsIf(func(t *task) bool { return t.stop != stopNone && !t.sent }) {
+		for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone && !t.startSent }) {
 			// Never told to anybody, so it is nowhere.
-			n.gone(o.jobs[k.job], k.index, false)
+			n.endAttempt(o.jobs[k.job], k.index, false)
 		}
 	}
 }
 
-// leaseOver counts a lease that has run out, with all that the machine had on it, once
+// leaseExpired counts a lease that has run out, with all that the machine had on it, once
 // it is sure that the machine was this owner's until then: another one would have
 // prolonged it.
-func (n *Node) leaseOver(m *machine) {
-	if n.now.Sub(m.checking) < checkEvery {
+func (n *Controller) leaseExpired(m *machine) {
+	if n.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
 		return
 	}
-	m.checking = n.now
-	gen := n.owner.gen
-	n.ctlSure(func() {
-		if n.owner == nil || n.owner.gen != gen || m.forgotten || !n.now.After(m.leaseEnd) {
+	m.ownershipCheckedAt = n.now
+	gen := n.shardLeader.generation
+	n.confirmControlRecords(func() {
+		if n.shardLeader == nil || n.shardLeader.generation != gen || m.removed || !n.now.After(m.leaseEnd) {
 			return
 		}
 		n.info("lease surely over", "machine", m.id, "attempts", len(m.attempts))
-		n.loseAll(m, nil)
+		n.loseAllAttempts(m, nil)
 	})
 }
 
-// checkEvery separates two looks at the division for a lease that is over, when the
+// leaseCheckInterval separates two looks at the division for a lease that is over, when the
 // first got no answer.
-const checkEvery = 2 * time.Second
+const leaseCheckInterval = 2 * time.Second
 
-// noticeError is how much longer than announced a machine may stay.
-const noticeError = 1.5
+// reclaimNoticeFactor is how much longer than announced a machine may stay.
+const reclaimNoticeFactor = 1.5
 
-// drain stops what cannot end before the cloud takes the machine: what saves,
+// drainReclaimed stops what cannot end before the cloud takes the machine: what saves,
 // just in time to save; other work at once, as it is lost in any case and can
 // begin elsewhere the sooner.
-func (n *Node) drain(m *machine) {
-	left := m.recallAt.Sub(n.now)
+func (n *Controller) drainReclaimed(m *machine) {
+	untilReclaim := m.reclaimAt.Sub(n.now)
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
-		j := n.owner.jobs[k.job]
-		if t.stop != stopNone {
+		j := n.shardLeader.jobs[k.job]
+		if t.stopReason != stopNone {
 			continue
 		}
-		rest := n.expects(j)
-		if !t.started.IsZero() {
-			rest -= n.now.Sub(t.started)
+		remaining := n.expectedRunTime(j)
+		if !t.startedAt.IsZero() {
+			remaining -= n.now.Sub(t.startedAt)
 		}
-		saves := j.SaveEvery > 0 && !t.started.IsZero()
-		if saves && left < j.SaveCost+n.longestReport() || !saves && (j.Standing || rest.Seconds() > noticeError*left.Seconds()) {
-			t.stop = stopDrain
-			n.mark(m)
+		checkpoints := j.CheckpointInterval > 0 && !t.startedAt.IsZero()
+		if checkpoints && untilReclaim < j.CheckpointCost+n.maxHeartbeatInterval() || !checkpoints && (j.LongRunning || remaining.Seconds() > reclaimNoticeFactor*untilReclaim.Seconds()) {
+			t.stopReason = stopDrain
+			n.markDispatchPending(m)
 		}
 	}
 }
 
-// longestReport is the longest pause between two reports of a living worker.
-func (n *Node) longestReport() time.Duration { return n.set.ReportEvery * 5 / 4 }
+// maxHeartbeatInterval is the longest pause between two reports of a living worker.
+func (n *Controller) maxHeartbeatInterval() time.Duration {
+	return n.settings.HeartbeatInterval * 5 / 4
+}
 
-// reports says that a machine should be heard of: it has been, or a former owner
+// expectsHeartbeats says that a machine should be heard of: it has been, or a former owner
 // had work on it.
-func (m *machine) reports() bool { return m.heard || !m.empty() }
+func (m *machine) expectsHeartbeats() bool { return m.heard || !m.isEmpty() }
 
-// quietFor is how long nothing has been heard of a machine; after a takeover
+// sinceLastHeartbeat is how long nothing has been heard of a machine; after a takeover
 // the count begins when this owner was ready to hear, and of a machine that comes
 // later, perhaps with work, when it came.
-func (n *Node) quietFor(m *machine) time.Duration {
-	return n.now.Sub(later(later(m.lastHeard, m.here), n.owner.readyAt))
+func (n *Controller) sinceLastHeartbeat(m *machine) time.Duration {
+	return n.now.Sub(later(later(m.lastHeard, m.ownedSince), n.shardLeader.readyAt))
 }
 
-// silent says that a machine has missed reports and does not answer. One that
+// unresponsive says that a machine has missed reports and does not answer. One that
 // a former owner had work on counts as well, though it was never heard of here:
 // it may have been lost before the takeover.
-func (n *Node) silent(m *machine) bool {
-	if !m.reports() {
+func (n *Controller) unresponsive(m *machine) bool {
+	if !m.expectsHeartbeats() {
 		return false
 	}
-	if m.recall && n.now.After(m.recallAt) {
+	if m.reclaimNoticed && n.now.After(m.reclaimAt) {
 		// Taken, as it was announced.
-		return n.quietFor(m) > n.longestReport()
+		return n.sinceLastHeartbeat(m) > n.maxHeartbeatInterval()
 	}
-	return n.quietFor(m) > n.silentAfter(m) && n.now.Sub(m.cameAt) > n.silentAfter(m)
+	return n.sinceLastHeartbeat(m) > n.unresponsiveAfter(m) && n.now.Sub(m.reroutedAt) > n.unresponsiveAfter(m)
 }
 
-// silentAfter is how long nothing must have been heard of a machine.
-func (n *Node) silentAfter(m *machine) time.Duration {
-	limit := time.Duration(probeReports*float64(n.longestReport())) + probesSilent*probeEvery
-	if m.heard && m.unanswered < probesSilent {
+// unresponsiveAfter is how long nothing must have been heard of a machine.
+func (n *Controller) unresponsiveAfter(m *machine) time.Duration {
+	limit := time.Duration(probeAfterIntervals*float64(n.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
+	if m.heard && m.unansweredProbes < unresponsiveProbes {
 		// Not asked often enough, for want of connections.
 		limit *= 2
 	}
--- a/internal/core/deaf.go
+++ b/internal/core/deaf.go
@@ -17,204 +17,204 @@
 // come back, it asks those that it has just heard; if none answers, it is mute.
 
 const (
-	// hearsPrefix keeps what a controller says of machines that come back to it.
-	hearsPrefix = ctlPrefix + "hears/"
-	// strayLeast is how many machines must come back before anybody says so. One
+	// reroutePrefix keeps what a controller says of machines that come back to it.
+	reroutePrefix = controlPrefix + "hears/"
+	// minReroutedMachines is how many machines must come back before anybody says so. One
 	// may have lost its way by itself.
-	strayLeast = 2
-	// hearsEvery separates two such records, and hearsFresh is how long one counts.
-	hearsEvery = 3 * time.Second
-	hearsFresh = 10 * time.Second
-	// deafLong is how long a controller that gave up stands back, unless a report
+	minReroutedMachines = 2
+	// rerouteRecordInterval separates two such records, and rerouteRecordTTL is how long one counts.
+	rerouteRecordInterval = 3 * time.Second
+	rerouteRecordTTL      = 10 * time.Second
+	// partitionStandDown is how long a controller that gave up stands back, unless a report
 	// comes before; it goes on serving users.
-	deafLong = 2 * time.Minute
-	// deafWait is how long it leaves the lead to others when there is none. If all
+	partitionStandDown = 2 * time.Minute
+	// partitionLeadDelay is how long it leaves the lead to others when there is none. If all
 	// have given up, one of them has to lead after all.
-	deafWait = 3 * time.Second
+	partitionLeadDelay = 3 * time.Second
 )
 
-// hearsRecord says that machines of the controller Of, in its life Nonce, keep
+// rerouteRecord says that machines of the controller Of, in its life Nonce, keep
 // coming to whoever writes it.
-type hearsRecord struct {
-	Of       string `msgpack:"of"`
-	Nonce    string `msgpack:"nonce"`
-	Machines int    `msgpack:"n"`
+type rerouteRecord struct {
+	Controller  string `msgpack:"of"`
+	Incarnation string `msgpack:"nonce"`
+	Machines    int    `msgpack:"n"`
 }
 
-// deaf says that this controller has lately given up for hearing no worker.
-func (s *session) deaf(now time.Time) bool { return now.Before(s.deafUntil) }
+// receivesNothing says that this controller has lately given up for hearing no worker.
+func (s *membership) receivesNothing(now time.Time) bool { return now.Before(s.receivesNothingUntil) }
 
-// reportCame notes that a report has reached this controller at all.
-func reportCame(n *Node, r *Report) {
+// heartbeatReceived notes that a report has reached this controller at all.
+func heartbeatReceived(n *Controller, r *Heartbeat) {
 	n.selfMonitor.Heard(n.now)
 	switch {
-	case !n.sess.deaf(n.now):
-	case !n.sess.mute:
-		hearsAgain(n)
-	case n.now.Sub(n.askedHears) > probeEvery:
+	case !n.membership.receivesNothing(n.now):
+	case !n.membership.unheard:
+		endStandDown(n)
+	case n.now.Sub(n.reachabilityRequestedAt) > probeInterval:
 		// That it hears the worker is nothing new.
-		n.askedHears = n.now
-		n.call(WorkerOp{Machine: r.Machine, Addr: r.Addr, Ask: true}, func(d WorkerDone) {
-			if d.Report != nil && n.sess.deaf(n.now) {
-				hearsAgain(n)
+		n.reachabilityRequestedAt = n.now
+		n.requestWorker(WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d WorkerResponse) {
+			if d.Heartbeat != nil && n.membership.receivesNothing(n.now) {
+				endStandDown(n)
 			}
 		})
 	}
 }
 
-// askLatest asks the machines that were last heard whether they hear this owner.
-func askLatest(n *Node) {
-	var ms []*machine
-	for _, m := range n.owner.byID {
-		if m.heard && !m.returning {
-			ms = append(ms, m)
+// pollRecentMachines asks the machines that were last heard whether they hear this owner.
+func pollRecentMachines(n *Controller) {
+	var machines []*machine
+	for _, m := range n.shardLeader.machinesByID {
+		if m.heard && !m.releasing {
+			machines = append(machines, m)
 		}
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int { return b.lastHeard.Compare(a.lastHeard) })
-	for _, m := range ms[:min(len(ms), latestAsked)] {
+	slices.SortStableFunc(machines, func(a, b *machine) int { return b.lastHeard.Compare(a.lastHeard) })
+	for _, m := range machines[:min(len(machines), maxRecentPolls)] {
 		n.contact(m)
 	}
 }
 
-// latestAsked is how many machines are asked when others say that they come back.
-const latestAsked = 4
+// maxRecentPolls is how many machines are asked when others say that they come back.
+const maxRecentPolls = 4
 
-// hearsAgain lets the controller be chosen again.
-func hearsAgain(n *Node) {
-	n.sess.deafUntil, n.sess.mute = time.Time{}, false
-	if n.sess.grant != 0 && n.sess.loaded {
+// endStandDown lets the controller be chosen again.
+func endStandDown(n *Controller) {
+	n.membership.receivesNothingUntil, n.membership.unheard = time.Time{}, false
+	if n.membership.leaseID != 0 && n.membership.loaded {
 		n.register()
 	}
 }
 
-// strayed notes that a machine was sent to its steward, and tells that steward
+// noteRerouted notes that a machine was sent to its steward, and tells that steward
 // when its machines keep coming here. One that does not hear where it is sent says
 // nothing of its steward, so it is asked.
-func strayed(n *Node, r *Report, steward string) {
-	s := &n.sess
-	node, ok := s.nodes[steward]
-	if !ok || steward == n.set.Host {
+func noteRerouted(n *Controller, r *Heartbeat, ownerHost string) {
+	s := &n.membership
+	ownerRecord, ok := s.controllers[ownerHost]
+	if !ok || ownerHost == n.settings.Host {
 		return
 	}
-	if n.strays.Sent(n.now, r.Machine, steward) && n.askingStrays < straysAsked {
-		n.askingStrays++
+	if n.reroutedMachines.Sent(n.now, r.Machine, ownerHost) && n.reroutedPollsInFlight < maxReroutedPolls {
+		n.reroutedPollsInFlight++
 		id := r.Machine
-		n.call(WorkerOp{Machine: id, Addr: r.Addr, Ask: true}, func(d WorkerDone) {
-			n.askingStrays--
-			if d.Report != nil && d.Report.Machine == id {
-				n.strays.Answered(n.now, id)
-				tellStrays(n, steward, node.Nonce)
+		n.requestWorker(WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d WorkerResponse) {
+			n.reroutedPollsInFlight--
+			if d.Heartbeat != nil && d.Heartbeat.Machine == id {
+				n.reroutedMachines.Answered(n.now, id)
+				publishRerouted(n, ownerHost, ownerRecord.Incarnation)
 			}
 		})
 	}
-	tellStrays(n, steward, node.Nonce)
-	relay(n, r, steward)
+	publishRerouted(n, ownerHost, ownerRecord.Incarnation)
+	queueReroutedHeartbeat(n, r, ownerHost)
 }
 
 const (
-	// cameMost bounds the reports that one message tells of, and cameEvery separates
+	// maxReroutedHeartbeats bounds the reports that one message tells of, and reroutedHeartbeatInterval separates
 	// two messages.
-	cameMost  = 1000
-	cameEvery = 500 * time.Millisecond
+	maxReroutedHeartbeats     = 1000
+	reroutedHeartbeatInterval = 500 * time.Millisecond
 )
 
-// relay tells a steward that a report of its machine came here: it may not have heard
+// queueReroutedHeartbeat tells a steward that a report of its machine came here: it may not have heard
 // it for long, and take one that only doesn't hear the answers for one that is gone.
-func relay(n *Node, r *Report, steward string) {
-	if len(n.came) == 0 {
-		n.after(cameEvery, func() {
-			for _, to := range sortedKeys(n.came) {
-				n.emit(PeerSend{To: to, News: PeerNews{From: n.set.Host, Came: n.came[to]}})
+func queueReroutedHeartbeat(n *Controller, r *Heartbeat, ownerHost string) {
+	if len(n.reroutedHeartbeats) == 0 {
+		n.after(reroutedHeartbeatInterval, func() {
+			for _, to := range sortedKeys(n.reroutedHeartbeats) {
+				n.emit(SendPeerUpdate{To: to, Update: PeerUpdate{From: n.settings.Host, Rerouted: n.reroutedHeartbeats[to]}})
 			}
-			n.came = nil
+			n.reroutedHeartbeats = nil
 		})
-		n.came = map[string][]Came{}
+		n.reroutedHeartbeats = map[string][]ReroutedHeartbeat{}
 	}
-	if len(n.came[steward]) < cameMost {
-		n.came[steward] = append(n.came[steward], Came{r.Machine, r.Epoch, r.Tenure, r.Tick})
+	if len(n.reroutedHeartbeats[ownerHost]) < maxReroutedHeartbeats {
+		n.reroutedHeartbeats[ownerHost] = append(n.reroutedHeartbeats[ownerHost], ReroutedHeartbeat{r.Machine, r.Epoch, r.Incarnation, r.Sequence})
 	}
 }
 
-// takeCame takes in which machines of this owner reported to another. A report that this
+// applyReroutedHeartbeats takes in which machines of this owner reported to another. A report that this
 // owner would have taken for a sign of life is one there, too: such a machine lives, and
 // likely doesn't hear what is sent to it.
-func takeCame(n *Node, came []Came) {
-	for _, x := range came {
-		m := n.owner.machines[x.ID]
-		r := Report{Epoch: x.Epoch, Tenure: x.Tenure, Tick: x.Tick}
-		if m == nil || !m.heard || x.Epoch < m.epoch || m.older(&r) || (&machine{tenure: m.came.Tenure, tick: m.came.Tick}).older(&r) {
+func applyReroutedHeartbeats(n *Controller, heartbeats []ReroutedHeartbeat) {
+	for _, x := range heartbeats {
+		m := n.shardLeader.machines[x.ID]
+		r := Heartbeat{Epoch: x.Epoch, Incarnation: x.Incarnation, Sequence: x.Sequence}
+		if m == nil || !m.heard || x.Epoch < m.epoch || m.supersedes(&r) || (&machine{incarnation: m.rerouted.Incarnation, sequence: m.rerouted.Sequence}).supersedes(&r) {
 			continue
 		}
-		m.cameAt, m.came = n.now, x
-		m.reach.Elsewhere(n.now)
-		probe(n, m)
+		m.reroutedAt, m.rerouted = n.now, x
+		m.reachability.Elsewhere(n.now)
+		probeIfUnreachable(n, m)
 	}
 }
 
-// straysAsked bounds the questions under way to machines that came back.
-const straysAsked = 8
+// maxReroutedPolls bounds the questions under way to machines that came back.
+const maxReroutedPolls = 8
 
-// tellStrays tells a steward, in its present life, that its machines come here.
-func tellStrays(n *Node, steward, nonce string) {
-	s := &n.sess
-	if n.now.Sub(n.toldStrays) < hearsEvery || s.grant == 0 || n.now.After(s.sureUntil) {
+// publishRerouted tells a steward, in its present life, that its machines come here.
+func publishRerouted(n *Controller, ownerHost, ownerIncarnation string) {
+	s := &n.membership
+	if n.now.Sub(n.reroutedPublishedAt) < rerouteRecordInterval || s.leaseID == 0 || n.now.After(s.leaseValidUntil) {
 		return
 	}
-	k := n.strays.Back(n.now, steward)
-	if k < strayLeast {
+	count := n.reroutedMachines.Back(n.now, ownerHost)
+	if count < minReroutedMachines {
 		return
 	}
-	n.toldStrays = n.now
-	n.info("machines come back from their steward", "steward", steward, "machines", k)
-	rec := encode(hearsRecord{Of: steward, Nonce: nonce, Machines: k})
-	n.ask(StateOp{Kind: OpTxn, Prio: PrioStart, Apply: []Change{{Key: hearsPrefix + n.set.Host, Value: rec, Grant: s.grant}}}, func(StateDone) {})
+	n.reroutedPublishedAt = n.now
+	n.info("machines come back from their steward", "steward", ownerHost, "machines", count)
+	rec := encode(rerouteRecord{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Writes: []Write{{Key: reroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(StoreResponse) {})
 }
 
-// hearsItem takes in what another controller says of this one's machines.
-func hearsItem(n *Node, it Item) {
-	var r hearsRecord
-	if !it.Removed && decode(it.Value, &r) && r.Of == n.set.Host && r.Nonce == n.life() {
-		if n.now.Sub(n.sess.othersHear) > hearsFresh {
+// applyRerouteRecord takes in what another controller says of this one's machines.
+func applyRerouteRecord(n *Controller, it KeyValue) {
+	var r rerouteRecord
+	if !it.Deleted && decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
+		if n.now.Sub(n.membership.reroutesReportedAt) > rerouteRecordTTL {
 			// What was asked before says nothing of now.
 			n.selfMonitor.Arrived()
 		}
-		n.sess.othersHear = n.now
+		n.membership.reroutesReportedAt = n.now
 	}
 }
 
-// checkEars gives the share up when this owner hears nothing and others do.
-func checkEars(n *Node) {
-	o, s := n.owner, &n.sess
-	if s.grant == 0 || n.now.Sub(s.othersHear) > hearsFresh {
+// checkPartition gives the share up when this owner hears nothing and others do.
+func checkPartition(n *Controller) {
+	o, s := n.shardLeader, &n.membership
+	if s.leaseID == 0 || n.now.Sub(s.reroutesReportedAt) > rerouteRecordTTL {
 		return
 	}
 	reporting := 0
-	for _, m := range o.byID {
-		if m.reports() && !m.returning {
+	for _, m := range o.machinesByID {
+		if m.expectsHeartbeats() && !m.releasing {
 			reporting++
 		}
 	}
-	deaf := n.selfMonitor.Deaf(n.now, o.readyAt, reporting, n.longestReport())
-	if !deaf {
-		askLatest(n)
+	receivesNothing := n.selfMonitor.Deaf(n.now, o.readyAt, reporting, n.maxHeartbeatInterval())
+	if !receivesNothing {
+		pollRecentMachines(n)
 	}
-	if !deaf && (reporting < 2 || !n.selfMonitor.Mute(n.now)) {
+	if !receivesNothing && (reporting < 2 || !n.selfMonitor.Mute(n.now)) {
 		return
 	}
-	n.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !deaf)
-	grant := s.grant
-	s.othersHear, s.deafUntil, s.mute = time.Time{}, n.now.Add(deafLong), !deaf
-	n.after(deafLong, func() {
-		if !s.deaf(n.now) {
-			hearsAgain(n)
+	n.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !receivesNothing)
+	grant := s.leaseID
+	s.reroutesReportedAt, s.receivesNothingUntil, s.unheard = time.Time{}, n.now.Add(partitionStandDown), !receivesNothing
+	n.after(partitionStandDown, func() {
+		if !s.receivesNothing(n.now) {
+			endStandDown(n)
 		}
 	})
-	n.endTerm("hears no worker")
+	n.relinquishRoles("hears no worker")
 	// Ended, the grant takes the lead and the node's record with it at once. A new
 	// one is asked for only then: this node is not to look alive in between.
-	n.ask(StateOp{Kind: OpGrantDrop, Prio: PrioSession, Grant: grant}, func(StateDone) {
-		if s.grant == 0 {
-			n.grantNew()
+	n.requestStore(StoreRequest{Kind: OpLeaseRevoke, Priority: PriorityMembership, LeaseID: grant}, func(StoreResponse) {
+		if s.leaseID == 0 {
+			n.createLease()
 		}
 	})
 }
--- a/internal/core/divide.go
+++ b/internal/core/divide.go
@@ -13,171 +13,171 @@
 // written on condition that this leader still leads, and counts for everybody, the
 // leader too, only when the watch brings it.
 
-// listPatience is for how long records name machines that the lists, which lag, do not
+// unlistedGracePeriod is for how long records name machines that the lists, which lag, do not
 // show.
-const listPatience = time.Minute
+const unlistedGracePeriod = time.Minute
 
-// loadWeight is the weight of the newest word on what a team keeps busy, one a second:
+// loadSmoothing is the weight of the newest word on what a team keeps busy, one a second:
 // a mean over a minute, as teams that are alike differ by half from one moment to the
 // next, and a move for that would be one in vain.
-const loadWeight = 1.0 / 60
+const loadSmoothing = 1.0 / 60
 
-// dividing is what the leader knows for the division.
-type dividing struct {
-	div  *division.Divider
-	busy bool
-	// rev is when it last wrote: nothing more is planned before that has been read.
-	rev uint64
-	// rented are machines that were rented for a controller and that no record
+// shardPlanning is what the leader knows for the division.
+type shardPlanning struct {
+	planner *division.Divider
+	writing bool
+	// writtenRevision is when it last wrote: nothing more is planned before that has been read.
+	writtenRevision uint64
+	// unrecordedMachines are machines that were rented for a controller and that no record
 	// names for it yet.
-	rented map[string]division.Rented
-	offers map[string]division.Offer
-	loads  map[string]float64
+	unrecordedMachines map[string]division.Rented
+	offers             map[string]division.Offer
+	loads              map[string]float64
 }
 
-// bounds are the state service's limits.
-func (n *Node) bounds() bounds.Limits {
-	return bounds.Limits{ValueBytes: n.set.ValueBytes, Ops: n.set.TxnOps}
+// storeLimits are the state service's limits.
+func (n *Controller) storeLimits() bounds.Limits {
+	return bounds.Limits{ValueBytes: n.settings.MaxValueBytes, Ops: n.settings.MaxTxnWrites}
 }
 
-// boundsOf are those that a transaction keeps to. As long as a controller of the version
+// requestLimits are those that a transaction keeps to. As long as a controller of the version
 // before can come back, records of tasks are as it writes and reads them.
-func (n *Node) boundsOf(op *StateOp) bounds.Limits {
-	l := n.bounds()
-	if n.taskForm().part {
+func (n *Controller) requestLimits(op *StoreRequest) bounds.Limits {
+	l := n.storeLimits()
+	if n.segmentFormat().sized {
 		return l
 	}
-	for _, a := range op.Apply {
-		if strings.HasPrefix(a.Key, taskPrefix) || a.Key == probeKey {
-			l.ValueBytes = n.set.presentBytes()
+	for _, a := range op.Writes {
+		if strings.HasPrefix(a.Key, taskSegmentPrefix) || a.Key == limitProbeKey {
+			l.ValueBytes = n.settings.currentMaxValueBytes()
 		}
 	}
 	return l
 }
 
-func newDividing(n *Node) dividing {
-	return dividing{
-		div:    division.New(n.bounds(), fmt.Sprint(n.sess.leadStamp), n.set.Policy.ShareInterval, n.now),
-		rented: map[string]division.Rented{}, offers: map[string]division.Offer{}, loads: map[string]float64{},
+func newShardPlanning(n *Controller) shardPlanning {
+	return shardPlanning{
+		planner:            division.New(n.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
+		unrecordedMachines: map[string]division.Rented{}, offers: map[string]division.Offer{}, loads: map[string]float64{},
 	}
 }
 
-// divide writes the next change of the division, if there is one.
-func divide(n *Node) {
-	l, s := n.leader, &n.sess
-	x := &l.divide
-	if x.busy || s.rev < x.rev || !s.loaded || n.now.After(s.sureUntil) {
+// planShards writes the next change of the division, if there is one.
+func planShards(n *Controller) {
+	l, s := n.leader, &n.membership
+	planning := &l.sharding
+	if planning.writing || s.revision < planning.writtenRevision || !s.loaded || n.now.After(s.leaseValidUntil) {
 		return
 	}
-	in := division.Input{Book: s.book, Self: n.set.Host, Load: x.loads, Offers: x.offers, Gone: n.surelyGone}
-	for _, h := range sortedKeys(s.nodes) {
-		r := s.nodes[h]
-		deaf := r.Deaf || h == n.set.Host && s.deaf(n.now)
-		in.Nodes = append(in.Nodes, division.Node{Host: h, Nonce: r.Nonce, Able: !deaf, Young: n.young(r)})
+	input := division.Input{Book: s.shardMap, Self: n.settings.Host, Load: planning.loads, Offers: planning.offers, Gone: n.confirmedGone}
+	for _, h := range sortedKeys(s.controllers) {
+		r := s.controllers[h]
+		receivesNothing := r.ReceivesNothing || h == n.settings.Host && s.receivesNothing(n.now)
+		input.Nodes = append(input.Nodes, division.Node{Host: h, Nonce: r.Incarnation, Able: !receivesNothing, Young: n.recentlyStarted(r)})
 	}
-	for _, t := range n.set.Teams {
-		in.Teams = append(in.Teams, t.Name)
+	for _, t := range n.settings.Teams {
+		input.Teams = append(input.Teams, t.Name)
 	}
-	for _, id := range sortedKeys(x.rented) {
-		r := x.rented[id]
-		if o, ok := s.book.Owner(id); ok && o.Host == r.Host || n.surelyGone(id) {
-			delete(x.rented, id)
+	for _, id := range sortedKeys(planning.unrecordedMachines) {
+		r := planning.unrecordedMachines[id]
+		if o, ok := s.shardMap.Owner(id); ok && o.Host == r.Host || n.confirmedGone(id) {
+			delete(planning.unrecordedMachines, id)
 			continue
 		}
-		in.New = append(in.New, r)
+		input.New = append(input.New, r)
 	}
-	ws := x.div.Plan(n.now, in)
-	clear(x.offers)
-	if len(ws) == 0 {
+	writes := planning.planner.Plan(n.now, input)
+	clear(planning.offers)
+	if len(writes) == 0 {
 		return
 	}
-	op := StateOp{Kind: OpTxn, Prio: PrioSession, When: []Cond{{leadKey, l.stamp}}}
-	for _, w := range ws {
-		key := lotPrefix + w.Name
+	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, l.modRevision}}}
+	for _, w := range writes {
+		key := shardSegmentPrefix + w.Name
 		if w.Share {
-			key = sharePrefix + w.Name
+			key = shardPrefix + w.Name
 			n.info("division", "share", w.Name, "gone", w.Value == nil)
 		}
-		op.When = append(op.When, Cond{key, w.Stamp})
-		op.Apply = append(op.Apply, Change{Key: key, Value: w.Value})
+		op.Compares = append(op.Compares, Compare{key, w.Stamp})
+		op.Writes = append(op.Writes, Write{Key: key, Value: w.Value})
 	}
-	x.busy = true
+	planning.writing = true
 	gen := l.gen
-	n.ask(op, func(d StateDone) {
+	n.requestStore(op, func(d StoreResponse) {
 		if n.leader == nil || n.leader.gen != gen {
 			return
 		}
-		x.busy = false
-		if d.Status == StateOK || d.Status == StateConflict {
+		planning.writing = false
+		if d.Status == StoreOK || d.Status == StoreConflict {
 			// After a conflict the watch is behind.
-			x.rev = d.Rev
+			planning.writtenRevision = d.Revision
 			return
 		}
-		pause := n.jitter(retryPause)
-		if d.Status == StateBad {
+		pause := n.jitter(storeRetryDelay)
+		if d.Status == StoreMalformed {
 			// The same would be planned again. Other changes may go meanwhile, when what
 			// they rest on is another.
-			pause = defectPause
+			pause = malformedRetryDelay
 		}
 		n.after(pause, func() {
 			if n.leader != nil && n.leader.gen == gen {
-				divide(n)
+				planShards(n)
 			}
 		})
 	})
 }
 
-// surelyGone says that a machine is gone: its return was answered, or the cloud has
+// confirmedGone says that a machine is gone: its return was answered, or the cloud has
 // not listed it for long. That is no proof for what ran there, only for the records.
-func (n *Node) surelyGone(id string) bool {
+func (n *Controller) confirmedGone(id string) bool {
 	l := n.leader
-	if l.answered[id] {
+	if l.confirmedReleases[id] {
 		return true
 	}
 	if r := l.rentals[id]; r != nil {
-		return !r.gone.IsZero()
+		return !r.releasedAt.IsZero()
 	}
-	at, missed := l.unlisted[id]
-	return missed && n.now.Sub(at) > listPatience
+	unlistedSince, unlisted := l.unlistedSince[id]
+	return unlisted && n.now.Sub(unlistedSince) > unlistedGracePeriod
 }
 
-// missed notes which machines that records name a list does not show. A new one is
+// markUnlisted notes which machines that records name a list does not show. A new one is
 // missing for a while, and so is all that a former leader rented just before.
-func missed(n *Node) {
+func markUnlisted(n *Controller) {
 	l := n.leader
-	n.sess.book.Each(func(id string) {
+	n.membership.shardMap.Each(func(id string) {
 		if l.rentals[id] != nil {
-			delete(l.unlisted, id)
-		} else if _, known := l.unlisted[id]; !known {
-			l.unlisted[id] = n.now
+			delete(l.unlistedSince, id)
+		} else if _, known := l.unlistedSince[id]; !known {
+			l.unlistedSince[id] = n.now
 		}
 	})
-	for id := range l.unlisted {
-		if !n.sess.book.Named(id) {
-			delete(l.unlisted, id)
+	for id := range l.unlistedSince {
+		if !n.membership.shardMap.Named(id) {
+			delete(l.unlistedSince, id)
 		}
 	}
 }
 
-// loadsOf takes in what an owner's teams keep busy, as a mean over the last while.
-func loadsOf(n *Node, ls []TeamLoad) {
-	loads := n.leader.divide.loads
-	for _, x := range ls {
+// recordTeamLoads takes in what an owner's teams keep busy, as a mean over the last while.
+func recordTeamLoads(n *Controller, teamLoads []TeamLoad) {
+	loads := n.leader.sharding.loads
+	for _, x := range teamLoads {
 		if _, known := loads[x.Team]; !known {
 			loads[x.Team] = x.CPU
 		}
-		loads[x.Team] += loadWeight * (x.CPU - loads[x.Team])
+		loads[x.Team] += loadSmoothing * (x.CPU - loads[x.Team])
 	}
 }
 
-// ownNews is what this leader, as an owner, would tell the leader.
-func ownNews(n *Node) {
-	l, o := n.leader, n.owner
-	loadsOf(n, n.teamLoads())
-	if a, ok := l.divide.div.Asked(); ok && a.From == n.set.Host {
-		o.release, o.releaseAt = a, n.now
+// applyOwnUpdate is what this leader, as an owner, would tell the leader.
+func applyOwnUpdate(n *Controller) {
+	l, o := n.leader, n.shardLeader
+	recordTeamLoads(n, n.teamLoads())
+	if a, ok := l.sharding.planner.Asked(); ok && a.From == n.settings.Host {
+		o.teamRelease, o.teamReleaseAt = a, n.now
 		for _, x := range n.offers() {
-			l.divide.offers[x.Team] = x
+			l.sharding.offers[x.Team] = x
 		}
 	}
 }
--- a/internal/core/effects_test.go
+++ b/internal/core/effects_test.go
@@ -1,10 +1,10 @@
 package core
 
-// emitted are the effects of one kind that the node has returned since its effects were
+// emittedEffects are the effects of one kind that the node has returned since its effects were
 // last taken away.
-func emitted[E Effect](n *Node) []E {
+func emittedEffects[E Effect](n *Controller) []E {
 	var out []E
-	for _, e := range n.out {
+	for _, e := range n.effects {
 		if x, is := e.(E); is {
 			out = append(out, x)
 		}
--- a/internal/core/emptying.go
+++ b/internal/core/emptying.go
@@ -17,285 +17,285 @@
 
 // HostNeed is a kind of which a whole host is needed, and for what.
 type HostNeed struct {
-	Flavour string
-	Zone    string
-	Spot    bool
-	Need    Resources
+	MachineType string
+	Zone        string
+	Spot        bool
+	Need        Resources
 	// Workload and Urgency are what the ranking goes by.
 	Workload string
 	Urgency  Urgency
 }
 
-// spec is the work that needs the host, as far as it is known.
-func (h *HostNeed) spec() Spec {
-	return Spec{ID: givePrefix + kindName(h.kind()), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
+// jobSpec is the work that needs the host, as far as it is known.
+func (h *HostNeed) jobSpec() JobSpec {
+	return JobSpec{ID: evacuationPrefix + kindName(h.machineKind()), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
 }
 
 // HostCost is how long replicas would be down for a host of a kind to be emptied.
 type HostCost struct {
-	Flavour string
-	Zone    string
-	Spot    bool
-	Down    time.Duration
+	MachineType string
+	Zone        string
+	Spot        bool
+	Downtime    time.Duration
 }
 
 const (
-	// refusedLately is how long a kind counts as refused after the cloud last did: it
+	// refusedWindow is how long a kind counts as refused after the cloud last did: it
 	// is asked again now and then.
-	refusedLately = 3 * refusedPause
-	// emptyDearest is what emptying a host for another owner may cost, in time down.
-	emptyDearest = time.Minute
-	// costEvery is how often an owner reckons what emptying would cost it.
-	costEvery = 5 * time.Second
-	// needsAfter is how long small work waits in vain before a host is emptied for it:
+	refusedWindow = 3 * refusedBackoff
+	// maxEvacuationCost is what emptying a host for another owner may cost, in time down.
+	maxEvacuationCost = time.Minute
+	// evacuationCostInterval is how often an owner reckons what emptying would cost it.
+	evacuationCostInterval = 5 * time.Second
+	// hostNeedDelay is how long small work waits in vain before a host is emptied for it:
 	// others may have pieces, but machines go whole.
-	needsAfter = 20 * time.Second
-	// needsMost bounds the kinds in one news.
-	needsMost = 64
-	// givePrefix begins the name, in records of moves, of what a host is emptied for:
+	hostNeedDelay = 20 * time.Second
+	// maxHostNeeds bounds the kinds in one news.
+	maxHostNeeds = 64
+	// evacuationPrefix begins the name, in records of moves, of what a host is emptied for:
 	// no job is named so.
-	givePrefix = "~"
+	evacuationPrefix = "~"
 )
 
-// between is what an owner knows of others' needs, and they of its own.
-type between struct {
-	// refused is when the cloud last refused a kind.
-	refused map[kind]time.Time
+// evacuation is what an owner knows of others' needs, and they of its own.
+type evacuation struct {
+	// refusedAt is when the cloud last refused a kind.
+	refusedAt map[machineKind]time.Time
 	// needs are this owner's.
 	needs []HostNeed
-	// lacks are others', and empty what this one is asked to empty, as of at.
-	lacks, empty []HostNeed
-	at           time.Time
-	costs        []HostCost
-	costed       time.Time
+	// othersNeeds are others', and empty what this one is asked to empty, as of at.
+	othersNeeds, assigned []HostNeed
+	receivedAt            time.Time
+	costs                 []HostCost
+	costedAt              time.Time
 }
 
-func (h *HostNeed) kind() kind { return kind{h.Flavour, h.Zone, h.Spot} }
+func (h *HostNeed) machineKind() machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
 
-// takeNeeds takes in what the leader says of others' needs.
-func takeNeeds(n *Node, lacks, empty []HostNeed) {
-	if mv := movesOf(n); mv != nil {
-		mv.between.lacks, mv.between.empty, mv.between.at = lacks, empty, n.now
+// receiveHostNeeds takes in what the leader says of others' needs.
+func receiveHostNeeds(n *Controller, othersNeeds, assigned []HostNeed) {
+	if mv := migrationsOf(n); mv != nil {
+		mv.evacuation.othersNeeds, mv.evacuation.assigned, mv.evacuation.receivedAt = othersNeeds, assigned, n.now
 	}
 }
 
-// asked is what the owner is asked to empty a host of a kind for, nil if it is not.
-func (mv *moving) asked(now time.Time, name string) *HostNeed {
-	if now.Sub(mv.between.at) > newsFresh {
+// evacuationRequest is what the owner is asked to empty a host of a kind for, nil if it is not.
+func (mv *migrations) evacuationRequest(now time.Time, name string) *HostNeed {
+	if now.Sub(mv.evacuation.receivedAt) > updateTTL {
 		return nil
 	}
-	for i := range mv.between.empty {
-		if h := &mv.between.empty[i]; givePrefix+kindName(h.kind()) == name {
+	for i := range mv.evacuation.assigned {
+		if h := &mv.evacuation.assigned[i]; evacuationPrefix+kindName(h.machineKind()) == name {
 			return h
 		}
 	}
 	return nil
 }
 
-// needHosts says on which kinds a whole host would help work that waits in vain.
-func needHosts(n *Node, mv *moving) {
-	b := &mv.between
-	v := n.owner.view
+// updateHostNeeds says on which kinds a whole host would help work that waits in vain.
+func updateHostNeeds(n *Controller, mv *migrations) {
+	b := &mv.evacuation
+	v := n.shardLeader.fleetView
 	b.needs = nil
-	if v == nil || !n.otherOwners() {
+	if v == nil || !n.hasOtherShardLeaders() {
 		return
 	}
-	for k, until := range v.blocked {
+	for k, until := range v.blockedUntil {
 		if until.After(n.now) {
-			b.refused[k] = n.now
+			b.refusedAt[k] = n.now
 		}
 	}
-	var first *job
+	var waiting *job
 	lately := false
-	for _, at := range b.refused {
-		lately = lately || n.now.Sub(at) < refusedLately
+	for _, at := range b.refusedAt {
+		lately = lately || n.now.Sub(at) < refusedWindow
 	}
 	if !lately {
 		return
 	}
-	for _, j := range n.order() {
+	for _, j := range n.jobsInQueueOrder() {
 		// Its own moves go first.
-		if x := mv.misfits[j.ID]; x != nil && x.tried.IsZero() || j.Gang || j.guest != "" || j.pending() <= mv.book.For(j.ID) || !n.withinLimit(j) {
+		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.For(j.ID) || !n.withinQuotaLimit(j) {
 			continue
 		}
-		if n.now.Sub(later(j.free(), n.owner.readyAt)) < 2*movesAfter || fitsSomewhere(n, j) {
+		if n.now.Sub(later(j.readySince(), n.shardLeader.readyAt)) < 2*migrationDelay || hasCapacityFor(n, j) {
 			continue
 		}
-		first = j
+		waiting = j
 		break
 	}
-	if first == nil {
+	if waiting == nil {
 		return
 	}
-	for _, name := range sortedKeys(n.types) {
-		f := n.types[name]
-		if !first.Need.Fits(f.Size) || !isLarge(first.Need, f.Size) && n.now.Sub(later(first.at, n.owner.readyAt)) < needsAfter {
+	for _, name := range sortedKeys(n.machineTypes) {
+		f := n.machineTypes[name]
+		if !waiting.Need.Fits(f.Capacity) || !isLarge(waiting.Need, f.Capacity) && n.now.Sub(later(waiting.submittedAt, n.shardLeader.readyAt)) < hostNeedDelay {
 			continue
 		}
 		for _, z := range f.Zones {
 			for _, spot := range [...]bool{true, false} {
-				k := kind{name, z, spot}
-				if first.allows(name, z, spot) && first.zoneOK(z) && n.now.Sub(b.refused[k]) < refusedLately && len(b.needs) < needsMost {
-					b.needs = append(b.needs, HostNeed{name, z, spot, first.Need, first.Workload, first.Urgency})
+				k := machineKind{name, z, spot}
+				if waiting.allowsMachine(name, z, spot) && waiting.zoneAllowed(z) && n.now.Sub(b.refusedAt[k]) < refusedWindow && len(b.needs) < maxHostNeeds {
+					b.needs = append(b.needs, HostNeed{name, z, spot, waiting.Need, waiting.Workload, waiting.Urgency})
 				}
 			}
 		}
 	}
 }
 
-// fitsSomewhere says that there is room for a task of j, or a machine for it is coming.
-func fitsSomewhere(n *Node, j *job) bool {
-	for _, m := range n.owner.byID {
-		if n.usable(m) && j.allows(m.flavour, m.zone, m.spot) && j.zoneOK(m.zone) && j.Need.Fits(m.free()) {
+// hasCapacityFor says that there is room for a task of j, or a machine for it is coming.
+func hasCapacityFor(n *Controller, j *job) bool {
+	for _, m := range n.shardLeader.machinesByID {
+		if n.usable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && j.Need.Fits(m.free()) {
 			return true
 		}
 	}
-	for r := range n.comingFor(j) {
-		if j.Need.Fits(n.types[r.flavour].Size) {
+	for r := range n.expectedFor(j) {
+		if j.Need.Fits(n.machineTypes[r.machineType].Capacity) {
 			return true
 		}
 	}
 	return false
 }
 
-// emptyFor reckons what emptying a host would cost, and begins to empty the one that
+// planEvacuation reckons what emptying a host would cost, and begins to empty the one that
 // this owner is asked for. It says whether it has asked the planner.
-func emptyFor(n *Node, mv *moving) bool {
-	b := &mv.between
-	if n.now.Sub(b.at) > newsFresh {
+func planEvacuation(n *Controller, mv *migrations) bool {
+	b := &mv.evacuation
+	if n.now.Sub(b.receivedAt) > updateTTL {
 		b.costs = nil
 		return false
 	}
-	for i := range b.empty {
-		h := &b.empty[i]
-		team := giver(n, mv)
-		if team == "" || mv.book.For(givePrefix+kindName(h.kind())) > 0 || writeAt(n, mv).After(n.now) || hasWhole(n, h.kind()) {
+	for i := range b.assigned {
+		h := &b.assigned[i]
+		team := donorTeam(n, mv)
+		if team == "" || mv.tracker.For(evacuationPrefix+kindName(h.machineKind())) > 0 || nextMigrationWrite(n, mv).After(n.now) || hasEmptyHost(n, h.machineKind()) {
 			continue
 		}
-		p := emptyProblem(n, mv, h)
+		p := evacuationProblem(n, mv, h)
 		if plan, ok := moves.Find(p); ok {
-			beginPlan(n, mv, team, p, plan)
+			beginMigration(n, mv, team, p, plan)
 		}
 		return true
 	}
-	if len(b.lacks) == 0 || n.now.Sub(b.costed) < costEvery {
+	if len(b.othersNeeds) == 0 || n.now.Sub(b.costedAt) < evacuationCostInterval {
 		return false
 	}
-	b.costed, b.costs = n.now, nil
+	b.costedAt, b.costs = n.now, nil
 	// One kind after another would be asked for by each: the first that waits is first.
 	tries := 0
-	for i := range b.lacks {
-		h := &b.lacks[i]
-		if mv.book.For(givePrefix+kindName(h.kind())) > 0 || hasWhole(n, h.kind()) {
-			b.costs = append(b.costs, HostCost{h.Flavour, h.Zone, h.Spot, 0})
+	for i := range b.othersNeeds {
+		h := &b.othersNeeds[i]
+		if mv.tracker.For(evacuationPrefix+kindName(h.machineKind())) > 0 || hasEmptyHost(n, h.machineKind()) {
+			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, 0})
 			continue
 		}
-		if tries++; tries > needsKinds {
+		if tries++; tries > maxCostedKinds {
 			break
 		}
-		if plan, ok := moves.Find(emptyProblem(n, mv, h)); ok {
-			b.costs = append(b.costs, HostCost{h.Flavour, h.Zone, h.Spot, plan.Cost})
+		if plan, ok := moves.Find(evacuationProblem(n, mv, h)); ok {
+			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, plan.Cost})
 		}
 	}
 	return true
 }
 
-// needsKinds bounds the kinds for which an owner reckons costs in one look.
-const needsKinds = 2
+// maxCostedKinds bounds the kinds for which an owner reckons costs in one look.
+const maxCostedKinds = 2
 
-// giver is the team under which an owner writes moves for others: the first that has
+// donorTeam is the team under which an owner writes moves for others: the first that has
 // no write under way.
-func giver(n *Node, mv *moving) string {
-	for _, t := range sortedKeys(n.owner.teams) {
-		if rec := mv.recs[t]; rec != nil && !rec.busy && len(mv.book.Fresh(t)) == 0 && n.owner.teams[t].ready {
+func donorTeam(n *Controller, mv *migrations) string {
+	for _, t := range sortedKeys(n.shardLeader.teams) {
+		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.Fresh(t)) == 0 && n.shardLeader.teams[t].ready {
 			return t
 		}
 	}
 	return ""
 }
 
-// hasWhole says that an empty host of a kind is there already: it is to spare when it is
+// hasEmptyHost says that an empty host of a kind is there already: it is to spare when it is
 // not needed here.
-func hasWhole(n *Node, k kind) bool {
-	return slices.ContainsFunc(n.owner.byID, func(m *machine) bool {
-		return (kind{m.flavour, m.zone, m.spot}) == k && m.empty() && n.usable(m)
+func hasEmptyHost(n *Controller, k machineKind) bool {
+	return slices.ContainsFunc(n.shardLeader.machinesByID, func(m *machine) bool {
+		return (machineKind{m.machineType, m.zone, m.spot}) == k && m.isEmpty() && n.usable(m)
 	})
 }
 
-// emptyProblem is what the planner is asked for a whole host of a kind.
-func emptyProblem(n *Node, mv *moving, h *HostNeed) *moves.Problem {
-	k := h.kind()
-	other := &job{Spec: h.spec()}
-	p, hosts := planRoom(n, mv, other)
-	p.Dearest = emptyDearest
-	p.Want = moves.Want{Job: other.ID, Need: n.types[h.Flavour].Size, Allowed: func(i int) bool {
+// evacuationProblem is what the planner is asked for a whole host of a kind.
+func evacuationProblem(n *Controller, mv *migrations, h *HostNeed) *moves.Problem {
+	k := h.machineKind()
+	other := &job{JobSpec: h.jobSpec()}
+	p, hosts := migrationCandidates(n, mv, other)
+	p.Dearest = maxEvacuationCost
+	p.Want = moves.Want{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
 		m := hosts[i]
-		return (kind{m.flavour, m.zone, m.spot}) == k && !m.empty()
+		return (machineKind{m.machineType, m.zone, m.spot}) == k && !m.isEmpty()
 	}}
 	return p
 }
 
-// kindsOf names the kinds of needs.
-func kindsOf(hs []HostNeed) []string {
+// kindNames names the kinds of needs.
+func kindNames(hs []HostNeed) []string {
 	var out []string
 	for i := range hs {
-		out = append(out, kindName(hs[i].kind()))
+		out = append(out, kindName(hs[i].machineKind()))
 	}
 	return out
 }
 
-// brokerHosts has the leader decide who empties a host for whom. It says what each owner
+// assignEvacuations has the leader decide who empties a host for whom. It says what each owner
 // is told of others' needs and is asked for.
-func brokerHosts(n *Node) (lacks, empty map[string][]HostNeed) {
-	if !n.set.Product.Models {
+func assignEvacuations(n *Controller) (othersNeeds, assigned map[string][]HostNeed) {
+	if !n.settings.Capabilities.Models {
 		return nil, nil
 	}
 	needs, costs := map[string][]HostNeed{}, map[string][]HostCost{}
-	if o := n.owner; o != nil && o.ready && o.moves != nil {
-		needs[n.set.Host], costs[n.set.Host] = o.moves.between.needs, o.moves.between.costs
+	if o := n.shardLeader; o != nil && o.ready && o.migrations != nil {
+		needs[n.settings.Host], costs[n.settings.Host] = o.migrations.evacuation.needs, o.migrations.evacuation.costs
 	}
-	for _, host := range sortedKeys(n.leader.news) {
-		if w, ok := n.heard(host); ok {
-			needs[host], costs[host] = w.news.Needs, w.news.Costs
+	for _, host := range sortedKeys(n.leader.updates) {
+		if w, ok := n.freshUpdate(host); ok {
+			needs[host], costs[host] = w.update.HostNeeds, w.update.EvacuationCosts
 		}
 	}
-	var ds []moves.Needed
-	var cs []moves.Cost
+	var needed []moves.Needed
+	var offered []moves.Cost
 	for _, host := range sortedKeys(needs) {
 		if len(needs[host]) > 0 {
-			ds = append(ds, moves.Needed{Owner: host, Kinds: kindsOf(needs[host])})
+			needed = append(needed, moves.Needed{Owner: host, Kinds: kindNames(needs[host])})
 		}
 		for _, c := range costs[host] {
-			cs = append(cs, moves.Cost{Owner: host, Kind: kindName(kind{c.Flavour, c.Zone, c.Spot}), Down: c.Down})
+			offered = append(offered, moves.Cost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Down: c.Downtime})
 		}
 	}
-	lacks, empty = map[string][]HostNeed{}, map[string][]HostNeed{}
+	othersNeeds, assigned = map[string][]HostNeed{}, map[string][]HostNeed{}
 	for _, host := range slices.Sorted(maps.Keys(needs)) {
 		if len(needs[host]) > 0 {
 			// Who needs a host itself has none to give.
 			continue
 		}
-		for _, d := range ds {
+		for _, d := range needed {
 			for _, h := range needs[d.Owner] {
-				if len(lacks[host]) < needsMost && !slices.ContainsFunc(lacks[host], func(x HostNeed) bool { return x.kind() == h.kind() }) {
-					lacks[host] = append(lacks[host], h)
+				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(x HostNeed) bool { return x.machineKind() == h.machineKind() }) {
+					othersNeeds[host] = append(othersNeeds[host], h)
 				}
 			}
 		}
 	}
-	for _, a := range n.leader.emptying.Look(n.now, ds, cs) {
+	for _, a := range n.leader.evacuations.Look(n.now, needed, offered) {
 		for _, h := range needs[a.Needy] {
-			if kindName(h.kind()) == a.Kind {
-				empty[a.Owner] = append(empty[a.Owner], h)
+			if kindName(h.machineKind()) == a.Kind {
+				assigned[a.Owner] = append(assigned[a.Owner], h)
 				break
 			}
 		}
 	}
-	if o := n.owner; o != nil && o.ready {
-		takeNeeds(n, lacks[n.set.Host], empty[n.set.Host])
+	if o := n.shardLeader; o != nil && o.ready {
+		receiveHostNeeds(n, othersNeeds[n.settings.Host], assigned[n.settings.Host])
 	}
-	return lacks, empty
+	return othersNeeds, assigned
 }
 
-// isGift says that a place is held to empty its host for another owner.
-func isGift(job string) bool { return strings.HasPrefix(job, givePrefix) }
+// isEvacuationHold says that a place is held to empty its host for another owner.
+func isEvacuationHold(job string) bool { return strings.HasPrefix(job, evacuationPrefix) }
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -7,202 +7,202 @@
 	"github.com/micahill/micahill/internal/bounds"
 )
 
-// orphansMost bounds the records of tasks of ended jobs that are kept while changes are
+// maxOrphanedRecords bounds the records of tasks of ended jobs that are kept while changes are
 // short: they are two pages for a successor to read.
-const orphansMost = 1000
+const maxOrphanedRecords = 1000
 
-// endJobs writes the end of jobs whose tasks are all done, and clears away
+// writeJobEnds writes the end of jobs whose tasks are all done, and clears away
 // cancelled ones whose tasks are all gone.
-func (n *Node) endJobs() {
-	o := n.owner
-	var over, behind []*job
+func (n *Controller) writeJobEnds() {
+	o := n.shardLeader
+	var endedJobs, cancelledDependents []*job
 	for _, j := range o.jobs {
-		if !j.ending && j.derived {
-			behind = append(behind, j)
-		} else if !j.ending && (j.cancelled && j.live == 0 || !j.cancelled && j.done == len(j.tasks)) {
-			over = append(over, j)
+		if !j.ending && j.cancelDerived {
+			cancelledDependents = append(cancelledDependents, j)
+		} else if !j.ending && (j.cancelled && j.liveTasks == 0 || !j.cancelled && j.doneTasks == len(j.tasks)) {
+			endedJobs = append(endedJobs, j)
 		}
 	}
 	byName := func(a, b *job) int { return strings.Compare(a.ID, b.ID) }
-	slices.SortFunc(over, byName)
-	for len(over) > 0 && o.inFlight < chunkTxns+2 && n.roomToWrite() > 0 {
-		over = n.endSome(over)
+	slices.SortFunc(endedJobs, byName)
+	for len(endedJobs) > 0 && o.txnsInFlight < maxSegmentTxns+2 && n.writesAllowed() > 0 {
+		endedJobs = n.writeEndBatch(endedJobs)
 	}
-	if len(behind) > 0 && o.inFlight == 0 && !n.changesShort() {
+	if len(cancelledDependents) > 0 && o.txnsInFlight == 0 && !n.writesShort() {
 		// That they are cancelled is known without; it is only that they leave the books.
-		slices.SortFunc(behind, byName)
-		n.endSome(behind)
+		slices.SortFunc(cancelledDependents, byName)
+		n.writeEndBatch(cancelledDependents)
 	}
-	if len(o.orphans) > 0 && o.inFlight == 0 && (!n.changesShort() || len(o.orphans) > orphansMost) {
-		n.dropOrphans()
+	if len(o.orphanedRecords) > 0 && o.txnsInFlight == 0 && (!n.writesShort() || len(o.orphanedRecords) > maxOrphanedRecords) {
+		n.deleteOrphanedRecords()
 	}
 }
 
-// ended is a job whose end is being written: its record, and the records of its tasks,
+// jobEnd is a job whose end is being written: its record, and the records of its tasks,
 // which mean nothing without it and go when there is time: changes are short just when
 // many jobs end and others start.
-type ended struct {
-	j    *job
-	rec  jobRecord
-	rest []string
+type jobEnd struct {
+	job         *job
+	rec         jobStatusRecord
+	segmentKeys []string
 }
 
-// endSome writes the ends of as many jobs as share a transaction, and returns the others.
-func (n *Node) endSome(over []*job) []*job {
-	op := StateOp{Kind: OpTxn, Prio: PrioStart}
-	most := min(n.set.TxnOps, n.roomToWrite())
-	var parts []ended
+// writeEndBatch writes the ends of as many jobs as share a transaction, and returns the others.
+func (n *Controller) writeEndBatch(endedJobs []*job) []*job {
+	op := StoreRequest{Kind: OpTxn, Priority: PriorityStart}
+	maxWrites := min(n.settings.MaxTxnWrites, n.writesAllowed())
+	var batch []jobEnd
 	size := 0
-	for len(over) > 0 {
-		j := over[0]
-		e := ended{j: j, rec: endRecord(n, j)}
-		var apply []Change
-		if !j.cancelled || j.derived {
-			apply = append(apply, Change{Key: jobPrefix + j.ID, Value: encode(e.rec)})
-		}
-		apply = append(apply, Change{Key: openPrefix + j.ID})
-		conds := append(n.shareConds(j.Team), Cond{openPrefix + j.ID, j.stamp})
-		for _, a := range apply {
+	for len(endedJobs) > 0 {
+		j := endedJobs[0]
+		e := jobEnd{job: j, rec: endRecord(n, j)}
+		var writes []Write
+		if !j.cancelled || j.cancelDerived {
+			writes = append(writes, Write{Key: jobStatusPrefix + j.ID, Value: encode(e.rec)})
+		}
+		writes = append(writes, Write{Key: openJobPrefix + j.ID})
+		compares := append(n.shardCompares(j.Team), Compare{openJobPrefix + j.ID, j.modRevision})
+		for _, a := range writes {
 			size += bounds.ChangeBytes(bounds.Change{Key: a.Key, Value: a.Value})
 		}
-		for _, c := range conds {
+		for _, c := range compares {
 			size += bounds.CondBytes(c.Key)
 		}
-		if j.derived {
-			op.Prio = PrioLazy
+		if j.cancelDerived {
+			op.Priority = PriorityLazy
 		}
-		if len(parts) > 0 && (len(op.Apply)+len(apply) > most || size > txnFull || j.endAlone || parts[0].j.endAlone) {
+		if len(batch) > 0 && (len(op.Writes)+len(writes) > maxWrites || size > targetTxnBytes || j.endWriteAlone || batch[0].job.endWriteAlone) {
 			break
 		}
-		for _, c := range conds {
-			if !slices.Contains(op.When, c) {
-				op.When = append(op.When, c)
+		for _, c := range compares {
+			if !slices.Contains(op.Compares, c) {
+				op.Compares = append(op.Compares, c)
 			}
 		}
-		op.Apply = append(op.Apply, apply...)
-		e.rest = slices.Clone(j.former)
-		for _, k := range sortedKeys(j.chunks) {
-			if c := j.chunks[k]; c.stamp != 0 || c.busy {
-				e.rest = append(e.rest, j.chunkKey(c))
+		op.Writes = append(op.Writes, writes...)
+		e.segmentKeys = slices.Clone(j.formerKeys)
+		for _, k := range sortedKeys(j.segments) {
+			if c := j.segments[k]; c.modRevision != 0 || c.writeInFlight {
+				e.segmentKeys = append(e.segmentKeys, j.segmentKey(c))
 			}
 		}
 		j.ending = true
-		parts, over = append(parts, e), over[1:]
+		batch, endedJobs = append(batch, e), endedJobs[1:]
 	}
-	gen := n.owner.gen
-	n.write(op, func(d StateDone) {
-		for _, e := range parts {
-			n.endWritten(e, d, gen, len(parts) == 1)
+	gen := n.shardLeader.generation
+	n.writeTxn(op, func(d StoreResponse) {
+		for _, e := range batch {
+			n.handleEndResponse(e, d, gen, len(batch) == 1)
 		}
 	})
-	return over
+	return endedJobs
 }
 
-// endWritten deals with the answer to the write of a job's end, alone or with others'.
-func (n *Node) endWritten(e ended, d StateDone, gen int, alone bool) {
-	j := e.j
-	if d.Status == StateOK && e.rec.Status == Done {
-		n.setFinal(j.ID, Done)
-		promiseEnded(n, j, e.rec)
-		n.debug("job done", "job", j.ID, "workload", j.Workload, "age", n.now.Sub(j.at))
+// handleEndResponse deals with the answer to the write of a job's end, alone or with others'.
+func (n *Controller) handleEndResponse(e jobEnd, d StoreResponse, gen int, alone bool) {
+	j := e.job
+	if d.Status == StoreOK && e.rec.Status == Done {
+		n.cacheFinalStatus(j.ID, Done)
+		learnFromEnd(n, j, e.rec)
+		n.debug("job done", "job", j.ID, "workload", j.Workload, "age", n.now.Sub(j.submittedAt))
 	}
-	if n.owner == nil || n.owner.gen != gen {
+	if n.shardLeader == nil || n.shardLeader.generation != gen {
 		return
 	}
-	again := func() { j.ending = false }
+	retry := func() { j.ending = false }
 	switch d.Status {
-	case StateOK:
-		n.jobOver(j, e.rest)
-	case StateConflict:
-		others := func(key string) bool {
-			return strings.HasPrefix(key, openPrefix) && key != openPrefix+j.ID
+	case StoreOK:
+		n.removeEndedJob(j, e.segmentKeys)
+	case StoreConflict:
+		isOthersRecord := func(key string) bool {
+			return strings.HasPrefix(key, openJobPrefix) && key != openJobPrefix+j.ID
 		}
-		if !alone && !slices.ContainsFunc(d.Failed, func(key string) bool { return !others(key) }) {
+		if !alone && !slices.ContainsFunc(d.FailedKeys, func(key string) bool { return !isOthersRecord(key) }) {
 			// Only others of the same write have changed.
-			again()
+			retry()
 			return
 		}
-		n.endConflict(e, gen)
-	case StateBad:
+		n.resolveEndConflict(e, gen)
+	case StoreMalformed:
 		// Of several one is at fault, and the others are not to suffer for it.
 		if !alone {
-			j.endAlone = true
-			again()
+			j.endWriteAlone = true
+			retry()
 			return
 		}
-		n.after(defectPause, again)
+		n.after(malformedRetryDelay, retry)
 	default:
-		n.after(n.jitter(retryPause), again)
+		n.after(n.jitter(storeRetryDelay), retry)
 	}
 }
 
-// endConflict finds out why an end could not be written: an earlier try that got no
+// resolveEndConflict finds out why an end could not be written: an earlier try that got no
 // answer may have been carried out.
-func (n *Node) endConflict(e ended, gen int) {
-	j := e.j
-	again := func() { j.ending = false }
-	n.ask(StateOp{Kind: OpGet, Prio: PrioStart, Key: jobPrefix + j.ID}, func(d StateDone) {
-		var r jobRecord
-		if d.Status == StateOK && decode(d.Items[0].Value, &r) && r.Status == Done {
-			n.setFinal(j.ID, Done)
-			doneDate(n, j.ID, r)
-			if n.owner != nil && n.owner.gen == gen {
-				n.jobOver(j, e.rest)
+func (n *Controller) resolveEndConflict(e jobEnd, gen int) {
+	j := e.job
+	retry := func() { j.ending = false }
+	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: jobStatusPrefix + j.ID}, func(d StoreResponse) {
+		var r jobStatusRecord
+		if d.Status == StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status == Done {
+			n.cacheFinalStatus(j.ID, Done)
+			cacheDoneDate(n, j.ID, r)
+			if n.shardLeader != nil && n.shardLeader.generation == gen {
+				n.removeEndedJob(j, e.segmentKeys)
 			}
 			return
 		}
-		if j.cancelled && d.Status == StateOK {
-			n.ask(StateOp{Kind: OpGet, Prio: PrioStart, Key: openPrefix + j.ID}, func(d StateDone) {
-				if d.Status == StateNotFound && n.owner != nil && n.owner.gen == gen {
-					n.jobOver(j, e.rest)
+		if j.cancelled && d.Status == StoreOK {
+			n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: openJobPrefix + j.ID}, func(d StoreResponse) {
+				if d.Status == StoreNotFound && n.shardLeader != nil && n.shardLeader.generation == gen {
+					n.removeEndedJob(j, e.segmentKeys)
 					return
 				}
-				n.after(n.jitter(retryPause), again)
+				n.after(n.jitter(storeRetryDelay), retry)
 			})
 			return
 		}
-		n.after(n.jitter(retryPause), again)
+		n.after(n.jitter(storeRetryDelay), retry)
 	})
 }
 
-func (n *Node) jobOver(j *job, rest []string) {
-	o := n.owner
+func (n *Controller) removeEndedJob(j *job, segmentKeys []string) {
+	o := n.shardLeader
 	if o.jobs[j.ID] == j {
 		delete(o.jobs, j.ID)
 	}
-	o.blame.JobOver(j.ID)
-	o.orphans = append(o.orphans, rest...)
+	o.faultAttribution.JobOver(j.ID)
+	o.orphanedRecords = append(o.orphanedRecords, segmentKeys...)
 }
 
-// dropOrphans removes records of tasks whose job is over. Each removal needs
+// deleteOrphanedRecords removes records of tasks whose job is over. Each removal needs
 // that the job's open record is gone: a record that a list showed may belong to
 // a job that came after open/ was listed, and that another controller runs.
-func (n *Node) dropOrphans() {
-	o := n.owner
-	k := min(len(o.orphans), lazyMost, n.set.TxnOps)
-	keys := o.orphans[:k]
-	o.orphans = slices.Clone(o.orphans[k:])
-	op := StateOp{Kind: OpTxn, Prio: PrioLazy, When: n.shareConds("")}
+func (n *Controller) deleteOrphanedRecords() {
+	o := n.shardLeader
+	k := min(len(o.orphanedRecords), maxLazyWrites, n.settings.MaxTxnWrites)
+	keys := o.orphanedRecords[:k]
+	o.orphanedRecords = slices.Clone(o.orphanedRecords[k:])
+	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares("")}
 	for _, key := range keys {
-		if open := (Cond{openPrefix + jobID(key, taskPrefix), 0}); !slices.Contains(op.When, open) {
-			op.When = append(op.When, open)
+		if open := (Compare{openJobPrefix + jobIDFromKey(key, taskSegmentPrefix), 0}); !slices.Contains(op.Compares, open) {
+			op.Compares = append(op.Compares, open)
 		}
-		op.Apply = append(op.Apply, Change{Key: key})
+		op.Writes = append(op.Writes, Write{Key: key})
 	}
-	gen := o.gen
-	n.write(op, func(d StateDone) {
-		if n.owner == nil || n.owner.gen != gen {
+	gen := o.generation
+	n.writeTxn(op, func(d StoreResponse) {
+		if n.shardLeader == nil || n.shardLeader.generation != gen {
 			return
 		}
-		if d.Status == StateOK || d.Status == StateBad {
+		if d.Status == StoreOK || d.Status == StoreMalformed {
 			return
 		}
 		keys = slices.DeleteFunc(keys, func(key string) bool {
-			return slices.Contains(d.Failed, openPrefix+jobID(key, taskPrefix))
+			return slices.Contains(d.FailedKeys, openJobPrefix+jobIDFromKey(key, taskSegmentPrefix))
 		})
-		n.after(n.jitter(retryPause), func() {
-			if n.owner != nil && n.owner.gen == gen {
-				n.owner.orphans = append(n.owner.orphans, keys...)
+		n.after(n.jitter(storeRetryDelay), func() {
+			if n.shardLeader != nil && n.shardLeader.generation == gen {
+				n.shardLeader.orphanedRecords = append(n.shardLeader.orphanedRecords, keys...)
 			}
 		})
 	})
--- a/internal/core/ends_test.go
+++ b/internal/core/ends_test.go
@@ -8,173 +8,173 @@
 	"time"
 )
 
-// doneJobs makes jobs whose only task is done, with a record of it.
-func doneJobs(n *Node, count int) []*job {
+// newDoneJobs makes jobs whose only task is done, with a record of it.
+func newDoneJobs(n *Controller, count int) []*job {
 	var out []*job
 	for i := range count {
-		j := n.newJob(Spec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: n.set.Teams[0].Name, Tasks: 1, Need: Resources{CPU: 1}, Expected: time.Minute}, n.now, uint64(100+i))
-		j.fresh, j.done, j.tasks[0].done = 1, 1, true
-		j.chunks[0] = &chunk{stamp: uint64(200 + i), ver: 1, saved: 1}
+		j := n.addJob(JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, uint64(100+i))
+		j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
+		j.segments[0] = &taskSegment{modRevision: uint64(200 + i), version: 1, persistedVersion: 1}
 		out = append(out, j)
 	}
 	return out
 }
 
-// txns are the transactions that were sent since the last look.
-func txns(n *Node) []StateOp {
-	var out []StateOp
-	for _, op := range emitted[StateOp](n) {
+// sentTxns are the transactions that were sent since the last look.
+func sentTxns(n *Controller) []StoreRequest {
+	var out []StoreRequest
+	for _, op := range emittedEffects[StoreRequest](n) {
 		if op.Kind == OpTxn {
 			out = append(out, op)
 		}
 	}
-	n.out = nil
+	n.effects = nil
 	return out
 }
 
-// TestEndsShareWrites: the ends of several jobs are one transaction, with the conditions
+// TestJobEndsShareTransaction: the ends of several jobs are one transaction, with the conditions
 // of each; when one of them was cancelled meanwhile the others are over with the next
 // write, without a read, and that one is asked about.
-func TestEndsShareWrites(t *testing.T) {
+func TestJobEndsShareTransaction(t *testing.T) {
 	n := largePool(4)
-	jobs := doneJobs(n, 3)
-	n.out = nil
-	n.endJobs()
-	ops := txns(n)
-	if len(ops) != 1 || len(ops[0].Apply) != 6 {
+	jobs := newDoneJobs(n, 3)
+	n.effects = nil
+	n.writeJobEnds()
+	ops := sentTxns(n)
+	if len(ops) != 1 || len(ops[0].Writes) != 6 {
 		t.Fatalf("three ends were sent as %+v", ops)
 	}
 	for _, j := range jobs {
-		if !slices.Contains(ops[0].When, Cond{openPrefix + j.ID, j.stamp}) {
+		if !slices.Contains(ops[0].Compares, Compare{openJobPrefix + j.ID, j.modRevision}) {
 			t.Errorf("the end of %s does not name its record", j.ID)
 		}
 	}
-	n.state[ops[0].ID](StateDone{Status: StateConflict, Failed: []string{openPrefix + jobs[1].ID}})
+	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreConflict, FailedKeys: []string{openJobPrefix + jobs[1].ID}})
 	if jobs[0].ending || jobs[2].ending || !jobs[1].ending {
 		t.Errorf("after a conflict of the second: ending %v %v %v", jobs[0].ending, jobs[1].ending, jobs[2].ending)
 	}
-	n.out = nil
-	n.endJobs()
-	if ops = txns(n); len(ops) != 1 || len(ops[0].Apply) != 4 {
+	n.effects = nil
+	n.writeJobEnds()
+	if ops = sentTxns(n); len(ops) != 1 || len(ops[0].Writes) != 4 {
 		t.Fatalf("the others were sent as %+v", ops)
 	}
-	n.state[ops[0].ID](StateDone{Status: StateOK, Rev: 300})
-	if n.users.final[jobs[0].ID] != Done || n.users.final[jobs[2].ID] != Done || n.users.final[jobs[1].ID] == Done || n.owner.jobs[jobs[1].ID] == nil {
-		t.Errorf("final: %v", n.users.final)
+	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreOK, Revision: 300})
+	if n.frontend.finalStatuses[jobs[0].ID] != Done || n.frontend.finalStatuses[jobs[2].ID] != Done || n.frontend.finalStatuses[jobs[1].ID] == Done || n.shardLeader.jobs[jobs[1].ID] == nil {
+		t.Errorf("final: %v", n.frontend.finalStatuses)
 	}
 }
 
-// TestMalformedEndAlone: a write of several ends that is called malformed is sent again
+// TestMalformedJobEndIsWrittenAlone: a write of several ends that is called malformed is sent again
 // for each by itself, and only the one at fault waits.
-func TestMalformedEndAlone(t *testing.T) {
+func TestMalformedJobEndIsWrittenAlone(t *testing.T) {
 	n := largePool(4)
-	jobs := doneJobs(n, 3)
-	n.out = nil
-	n.endJobs()
-	n.state[txns(n)[0].ID](StateDone{Status: StateBad})
-	n.endJobs()
-	ops := txns(n)
+	jobs := newDoneJobs(n, 3)
+	n.effects = nil
+	n.writeJobEnds()
+	n.storeCallbacks[sentTxns(n)[0].ID](StoreResponse{Status: StoreMalformed})
+	n.writeJobEnds()
+	ops := sentTxns(n)
 	if len(ops) != 3 {
 		t.Fatalf("%d writes for three ends that are tried alone", len(ops))
 	}
-	n.state[ops[0].ID](StateDone{Status: StateOK})
-	n.state[ops[1].ID](StateDone{Status: StateBad})
-	n.state[ops[2].ID](StateDone{Status: StateOK})
-	n.endJobs()
-	if len(n.users.final) != 2 || n.owner.jobs[jobs[1].ID] == nil {
-		t.Errorf("over: %v", n.users.final)
+	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreOK})
+	n.storeCallbacks[ops[1].ID](StoreResponse{Status: StoreMalformed})
+	n.storeCallbacks[ops[2].ID](StoreResponse{Status: StoreOK})
+	n.writeJobEnds()
+	if len(n.frontend.finalStatuses) != 2 || n.shardLeader.jobs[jobs[1].ID] == nil {
+		t.Errorf("over: %v", n.frontend.finalStatuses)
 	}
 }
 
-// TestWritesArePutTogetherLate: the writes under way take at most half a second's part of
+// TestWritesInFlightAreBounded: the writes under way take at most half a second's part of
 // the changes, so that a hundred ends don't stand before what users wait for, and as
 // answers come the others follow.
-func TestWritesArePutTogetherLate(t *testing.T) {
+func TestWritesInFlightAreBounded(t *testing.T) {
 	n := largePool(4)
-	n.budgets.part = Rates{Requests: 20, Changes: 16}
-	doneJobs(n, 100)
-	n.out = nil
+	n.rateLimits.allotted = Rates{Requests: 20, Writes: 16}
+	newDoneJobs(n, 100)
+	n.effects = nil
 	over := 0
 	for range 200 {
-		n.endJobs()
-		n.writeChunks()
+		n.writeJobEnds()
+		n.writeSegments()
 		changes := 0
-		ops := txns(n)
+		ops := sentTxns(n)
 		for _, op := range ops {
-			changes += len(op.Apply)
+			changes += len(op.Writes)
 		}
 		if changes > 8 {
 			t.Fatalf("%d changes are under way at 16 a second", changes)
 		}
 		for _, op := range ops {
-			n.state[op.ID](StateDone{Status: StateOK})
+			n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK})
 		}
-		n.out = nil
-		if over = len(n.users.final); over == 100 {
+		n.effects = nil
+		if over = len(n.frontend.finalStatuses); over == 100 {
 			break
 		}
 	}
-	if over < 100 || n.owner.ahead != 0 || n.owner.inFlight != 0 {
-		t.Errorf("%d of 100 are over, with %d changes of %d writes under way", over, n.owner.ahead, n.owner.inFlight)
+	if over < 100 || n.shardLeader.writesInFlight != 0 || n.shardLeader.txnsInFlight != 0 {
+		t.Errorf("%d of 100 are over, with %d changes of %d writes under way", over, n.shardLeader.writesInFlight, n.shardLeader.txnsInFlight)
 	}
 }
 
-// TestTaskRecordsWait: the records of tasks of ended jobs are not removed while changes
+// TestOrphanedRecordsWaitForWrites: the records of tasks of ended jobs are not removed while changes
 // are short, unless there are more than a successor is to read, and go when they are not.
-func TestTaskRecordsWait(t *testing.T) {
+func TestOrphanedRecordsWaitForWrites(t *testing.T) {
 	n := largePool(4)
 	removed := func() int {
-		n.out = nil
-		n.endJobs()
-		ops := txns(n)
+		n.effects = nil
+		n.writeJobEnds()
+		ops := sentTxns(n)
 		for _, op := range ops {
-			n.state[op.ID](StateDone{Status: StateOK})
+			n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK})
 		}
 		return len(ops)
 	}
-	for i := range orphansMost + lazyMost {
-		n.owner.orphans = append(n.owner.orphans, fmt.Sprintf("task/small-%d/0", i))
+	for i := range maxOrphanedRecords + maxLazyWrites {
+		n.shardLeader.orphanedRecords = append(n.shardLeader.orphanedRecords, fmt.Sprintf("task/small-%d/0", i))
 	}
-	n.budgets.short = true
-	if removed() != 1 || removed() != 0 || len(n.owner.orphans) != orphansMost {
-		t.Errorf("%d records wait while changes are short", len(n.owner.orphans))
+	n.rateLimits.writesShort = true
+	if removed() != 1 || removed() != 0 || len(n.shardLeader.orphanedRecords) != maxOrphanedRecords {
+		t.Errorf("%d records wait while changes are short", len(n.shardLeader.orphanedRecords))
 	}
-	n.budgets.short = false
-	for range orphansMost {
+	n.rateLimits.writesShort = false
+	for range maxOrphanedRecords {
 		removed()
 	}
-	if len(n.owner.orphans) != 0 {
-		t.Errorf("%d records are left", len(n.owner.orphans))
+	if len(n.shardLeader.orphanedRecords) != 0 {
+		t.Errorf("%d records are left", len(n.shardLeader.orphanedRecords))
 	}
 }
 
-// TestStartsAndEndsTakeTurns: while a hundred ends wait a start is written soon, and the
+// TestStartAndEndWritesAlternate: while a hundred ends wait a start is written soon, and the
 // other way round; a job that is done is written by its end alone.
-func TestStartsAndEndsTakeTurns(t *testing.T) {
+func TestStartAndEndWritesAlternate(t *testing.T) {
 	n := largePool(4)
-	n.budgets.part = Rates{Requests: 20, Changes: 8}
-	for _, j := range doneJobs(n, 100) {
-		j.touch(0, n.now, true)
-	}
-	j := n.newJob(Spec{ID: "starts", Workload: "w", Team: n.set.Teams[0].Name, Tasks: 1, Need: Resources{CPU: 1}, Expected: time.Minute}, n.now, 99)
-	j.fresh = 1
-	begin(n, j, 0, n.owner.byID[0])
-	n.out = nil
+	n.rateLimits.allotted = Rates{Requests: 20, Writes: 8}
+	for _, j := range newDoneJobs(n, 100) {
+		j.markChanged(0, n.now, true)
+	}
+	j := n.addJob(JobSpec{ID: "starts", Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 99)
+	j.nextFresh = 1
+	startAttempt(n, j, 0, n.shardLeader.machinesByID[0])
+	n.effects = nil
 	for look := 1; !j.durable(0); look++ {
 		if look > 3 {
 			t.Fatalf("the start is not written after %d looks", look-1)
 		}
-		n.writeDue()
-		for _, op := range txns(n) {
-			for _, a := range op.Apply {
-				if a.Key != "task/starts/0" && strings.HasPrefix(a.Key, taskPrefix) && a.Value != nil {
+		n.writeShardLeaderRecords()
+		for _, op := range sentTxns(n) {
+			for _, a := range op.Writes {
+				if a.Key != "task/starts/0" && strings.HasPrefix(a.Key, taskSegmentPrefix) && a.Value != nil {
 					t.Errorf("%s is written though its job is done", a.Key)
 				}
 			}
-			n.state[op.ID](StateDone{Status: StateOK, Rev: 500})
+			n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 500})
 		}
 	}
-	if over := len(n.users.final); over == 0 || over == 100 {
+	if over := len(n.frontend.finalStatuses); over == 0 || over == 100 {
 		t.Errorf("%d of 100 ends were written meanwhile", over)
 	}
 }
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -13,193 +13,193 @@
 const (
 	// leaderPeriod is how often the leader looks at the fleet.
 	leaderPeriod = time.Second
-	// typesEvery is how often prices are read again.
-	typesEvery = 30 * time.Second
-	// refusedPause keeps from asking again at once for a kind of machine the
+	// machineTypesInterval is how often prices are read again.
+	machineTypesInterval = 30 * time.Second
+	// refusedBackoff keeps from asking again at once for a kind of machine the
 	// cloud has just refused.
-	refusedPause = 12 * time.Second
-	// rentMost and returnMost are the cloud's limits for one request.
-	rentMost   = 50
-	returnMost = 100
+	refusedBackoff = 12 * time.Second
+	// maxRentPerRequest and maxReleasePerRequest are the cloud's limits for one request.
+	maxRentPerRequest    = 50
+	maxReleasePerRequest = 100
 	// settleTime after a takeover: nobody is taken for silent or idle before.
 	settleTime = 8 * time.Second
 )
 
-// Want is a wish for machines of one kind.
-type Want struct {
-	Flavour string
-	Zone    string
-	Spot    bool
-	Count   int
+// CapacityRequest is a wish for machines of one kind.
+type CapacityRequest struct {
+	MachineType string
+	Zone        string
+	Spot        bool
+	Count       int
 }
 
-type kind struct {
-	flavour string
-	zone    string
-	spot    bool
+type machineKind struct {
+	machineType string
+	zone        string
+	spot        bool
 }
 
-type peerWants struct {
-	at   time.Time
-	news PeerNews
+type receivedUpdate struct {
+	receivedAt time.Time
+	update     PeerUpdate
 }
 
-// takeNews takes in what an owner asks. Another life of it knows nothing of what its
+// receiveUpdate takes in what an owner asks. Another life of it knows nothing of what its
 // former one was told.
-func (l *leader) takeNews(now time.Time, c PeerNews) {
-	if l.news[c.From].news.Life != c.Life {
-		delete(l.acked, c.From)
+func (l *leader) receiveUpdate(now time.Time, update PeerUpdate) {
+	if l.updates[update.From].update.Incarnation != update.Incarnation {
+		delete(l.ackedSeq, update.From)
 		for _, r := range l.rentals {
-			if r.toldTo == c.From {
-				r.toldTo = ""
+			if r.publishedTo == update.From {
+				r.publishedTo = ""
 			}
 		}
 	}
-	l.news[c.From] = peerWants{at: now, news: c}
+	l.updates[update.From] = receivedUpdate{receivedAt: now, update: update}
 }
 
-// heard is an owner's word, if it is fresh and of the life that takes part now: what a
+// freshUpdate is an owner's word, if it is fresh and of the life that takes part now: what a
 // former one did not need, the present one may.
-func (n *Node) heard(host string) (peerWants, bool) {
-	w, ok := n.leader.news[host]
-	return w, ok && n.now.Sub(w.at) <= newsFresh && n.current(&w.news)
+func (n *Controller) freshUpdate(host string) (receivedUpdate, bool) {
+	w, ok := n.leader.updates[host]
+	return w, ok && n.now.Sub(w.receivedAt) <= updateTTL && n.fromCurrentIncarnation(&w.update)
 }
 
-// newsFresh is how long an owner's wishes and a leader's view hold.
-const newsFresh = 4 * time.Second
+// updateTTL is how long an owner's wishes and a leader's view hold.
+const updateTTL = 4 * time.Second
 
-// ask is a booking under way for an owner.
-type ask struct {
-	owner string
-	kind  kind
+// bookingKey is a booking under way for an owner.
+type bookingKey struct {
+	owner       string
+	machineKind machineKind
 }
 
-// view is what an owner knows of its machines from the leader.
-type view struct {
-	from    string
-	life    string
-	seq     uint64
-	at      time.Time
-	rentals map[string]*rental
-	blocked map[kind]time.Time
-	renting map[kind]int
-	// spare is what other owners have to spare.
-	spare map[kind]int
+// fleetView is what an owner knows of its machines from the leader.
+type fleetView struct {
+	leaderHost     string
+	incarnation    string
+	seq            uint64
+	receivedAt     time.Time
+	rentals        map[string]*rental
+	blockedUntil   map[machineKind]time.Time
+	pendingRentals map[machineKind]int
+	// surplus is what other owners have to spare.
+	surplus map[machineKind]int
 }
 
 // rental is a machine as the cloud knows it.
 type rental struct {
-	kind
-	id        string
-	addr      string
-	since     time.Time
-	status    string
-	returning bool
-	listed    time.Time
-	// toldTo, toldAs and toldSeq are which owner was last told what of it, and by
+	machineKind
+	id         string
+	addr       string
+	rentedAt   time.Time
+	status     string
+	releasing  bool
+	lastListed time.Time
+	// publishedTo, publishedStatus and publishedSeq are which owner was last told what of it, and by
 	// which news; told is when an owner was told of it.
-	toldTo, toldAs string
-	toldSeq        uint64
-	told           time.Time
-	// handed is when it was last handed over to another owner.
-	handed time.Time
-	// gone is when its return was answered; kept a while for its owner to hear.
-	gone time.Time
+	publishedTo, publishedStatus string
+	publishedSeq                 uint64
+	publishedAt                  time.Time
+	// handedOverAt is when it was last handed over to another owner.
+	handedOverAt time.Time
+	// releasedAt is when its return was answered; kept a while for its owner to hear.
+	releasedAt time.Time
 }
 
 // leader owns the dealings with the cloud and writes the shares.
 type leader struct {
-	stamp    uint64
-	gen      int
-	wake     time.Time
-	looked   time.Time
-	told     time.Time
-	rentals  map[string]*rental
-	listedOK bool
-	listing  bool
-	listAt   time.Time
-	blocked  map[kind]time.Time
-	renting  map[ask]int
-	// answered are machines whose return this leader has had answered; late lists
+	modRevision    uint64
+	gen            int
+	wakeAt         time.Time
+	lastScan       time.Time
+	lastLogged     time.Time
+	rentals        map[string]*rental
+	hasListed      bool
+	listInFlight   bool
+	lastListAt     time.Time
+	blockedUntil   map[machineKind]time.Time
+	pendingRentals map[bookingKey]int
+	// confirmedReleases are machines whose return this leader has had answered; late lists
 	// go on naming them.
-	answered map[string]bool
+	confirmedReleases map[string]bool
 	// booking names the requests to rent that are not answered yet.
 	booking map[string]bool
 	// seq numbers what the owners are told; an owner's wishes count only when
-	// it knows of what was rented for it last, which is needSeq.
-	seq     uint64
-	needSeq map[string]uint64
-	booked  uint64
-	news    map[string]peerWants
-	divide  dividing
-	// turn says which machines the owners are told of next, and acked up to which
+	// it knows of what was rented for it last, which is requiredSeq.
+	seq         uint64
+	requiredSeq map[string]uint64
+	bookingSeq  uint64
+	updates     map[string]receivedUpdate
+	sharding    shardPlanning
+	// publishTurn says which machines the owners are told of next, and acked up to which
 	// of its news each has them all.
-	turn  int
-	acked map[string]uint64
-	// handed is when a machine was last handed over.
-	handed map[string]time.Time
-	// emptying are the hosts that owners are asked to empty for others.
-	emptying moves.Emptying
-	// unlisted are machines that records name and lists do not show, since when.
-	unlisted map[string]time.Time
+	publishTurn int
+	ackedSeq    map[string]uint64
+	// handedOverAt is when a machine was last handed over.
+	handedOverAt map[string]time.Time
+	// evacuations are the hosts that owners are asked to empty for others.
+	evacuations moves.Emptying
+	// unlistedSince are machines that records name and lists do not show, since when.
+	unlistedSince map[string]time.Time
 }
 
-func (n *Node) loadTypes() {
-	n.askCloud(CloudOp{Kind: CloudTypes}, func(d CloudDone) {
+func (n *Controller) loadMachineTypes() {
+	n.requestCloud(CloudRequest{Kind: CloudListTypes}, func(d CloudResponse) {
 		if d.Status == CloudOK {
-			n.types = map[string]Flavour{}
-			for _, f := range d.Flavours {
-				n.types[f.Name] = f
+			n.machineTypes = map[string]MachineType{}
+			for _, f := range d.MachineTypes {
+				n.machineTypes[f.Name] = f
 			}
-			if n.owner != nil {
-				for _, m := range n.owner.machines {
-					if f, ok := n.types[m.flavour]; ok {
-						m.size, m.disk = f.Size, f.DiskGB
+			if n.shardLeader != nil {
+				for _, m := range n.shardLeader.machines {
+					if f, ok := n.machineTypes[m.machineType]; ok {
+						m.size, m.disk = f.Capacity, f.DiskGB
 					}
 				}
 			}
-			n.after(n.jitter(typesEvery), n.loadTypes)
+			n.after(n.jitter(machineTypesInterval), n.loadMachineTypes)
 			return
 		}
-		n.after(n.jitter(time.Second), n.loadTypes)
+		n.after(n.jitter(time.Second), n.loadMachineTypes)
 	})
 }
 
-func (n *Node) becomeLeader() {
-	if n.leader != nil && n.leader.stamp == n.sess.leadStamp {
-		divide(n)
+func (n *Controller) becomeLeader() {
+	if n.leader != nil && n.leader.modRevision == n.membership.leaderModRevision {
+		planShards(n)
 		return
 	}
 	n.leader = &leader{
-		stamp: n.sess.leadStamp, gen: int(n.id()),
-		rentals: map[string]*rental{}, blocked: map[kind]time.Time{}, renting: map[ask]int{}, booking: map[string]bool{}, needSeq: map[string]uint64{},
-		news: map[string]peerWants{}, answered: map[string]bool{}, acked: map[string]uint64{}, unlisted: map[string]time.Time{}, handed: map[string]time.Time{}, divide: newDividing(n),
+		modRevision: n.membership.leaderModRevision, gen: int(n.nextID()),
+		rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[bookingKey]int{}, booking: map[string]bool{}, requiredSeq: map[string]uint64{},
+		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(n),
 	}
-	n.info("leader", "stamp", n.sess.leadStamp)
-	divide(n)
+	n.info("leader", "stamp", n.membership.leaderModRevision)
+	planShards(n)
 }
 
-func (n *Node) dropLead() {
+func (n *Controller) stepDown() {
 	if n.leader != nil {
 		n.info("leader no more")
 		n.leader = nil
 	}
 }
 
-func (n *Node) leaderTick() {
+func (n *Controller) leaderTick() {
 	l := n.leader
-	if n.now.Sub(l.looked) < leaderPeriod {
-		l.wake = l.looked.Add(leaderPeriod)
+	if n.now.Sub(l.lastScan) < leaderPeriod {
+		l.wakeAt = l.lastScan.Add(leaderPeriod)
 		return
 	}
-	l.looked = n.now
-	l.wake = n.now.Add(leaderPeriod)
-	rankDerive(n)
-	if !l.listing && n.now.Sub(l.listAt) >= n.listEvery() {
-		n.list("", nil)
+	l.lastScan = n.now
+	l.wakeAt = n.now.Add(leaderPeriod)
+	deriveRanking(n)
+	if !l.listInFlight && n.now.Sub(l.lastListAt) >= n.listInterval() {
+		n.listMachines("", nil)
 	}
 	for id, r := range l.rentals {
-		if !r.gone.IsZero() && n.now.Sub(r.gone) > 2*newsFresh {
+		if !r.releasedAt.IsZero() && n.now.Sub(r.releasedAt) > 2*updateTTL {
 			delete(l.rentals, id)
 		}
 	}
@@ -207,59 +207,61 @@
 	// asks for are held on the way and executed when the cut ends, under a
 	// successor that uses the machines. So nothing is decided unless the
 	// grant surely lives.
-	if !l.listedOK || n.now.After(n.sess.sureUntil) {
+	if !l.hasListed || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	for _, host := range sortedKeys(l.news) {
-		if w, ok := n.heard(host); ok {
-			l.acked[host] = max(l.acked[host], w.news.Seq)
-			for _, x := range w.news.Offers {
-				l.divide.offers[x.Team] = x
+	for _, host := range sortedKeys(l.updates) {
+		if w, ok := n.freshUpdate(host); ok {
+			l.ackedSeq[host] = max(l.ackedSeq[host], w.update.Seq)
+			for _, x := range w.update.Offers {
+				l.sharding.offers[x.Team] = x
 			}
-			if w.at.After(l.looked.Add(-leaderPeriod)) {
-				loadsOf(n, w.news.Teams)
+			if w.receivedAt.After(l.lastScan.Add(-leaderPeriod)) {
+				recordTeamLoads(n, w.update.TeamLoads)
 			}
 		}
 	}
-	if o := n.owner; o != nil && o.ready {
-		ownNews(n)
+	if o := n.shardLeader; o != nil && o.ready {
+		applyOwnUpdate(n)
 	}
-	divide(n)
-	trade(n)
-	n.tellOwners()
-	if n.owner != nil && n.now.Sub(l.told) >= fleetLog {
-		l.told = n.now
+	planShards(n)
+	exchangeMachines(n)
+	n.publishRentals()
+	if n.shardLeader != nil && n.now.Sub(l.lastLogged) >= fleetLogInterval {
+		l.lastLogged = n.now
 		n.logFleet()
 	}
 }
 
-// listPage is about how many machines the cloud lists in one answer.
-const listPage = 500
+// listPageSize is about how many machines the cloud lists in one answer.
+const listPageSize = 500
 
-// listEvery is how often the machines are listed: the longer the list the more
+// listInterval is how often the machines are listed: the longer the list the more
 // seldom, since it is late in any case, and costs a request for each page.
-func (n *Node) listEvery() time.Duration {
-	return max(n.set.ListLag/2, 2*time.Second) * time.Duration(1+len(n.leader.rentals)/listPage)
+func (n *Controller) listInterval() time.Duration {
+	return max(n.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(n.leader.rentals)/listPageSize)
 }
 
-// bookings is how many requests to rent may be sent in one look: half of the
+// bookingBudget is how many requests to rent may be sent in one look: half of the
 // cloud's limit, since lists, returns and prices need some as well.
-func (n *Node) bookings() int { return max(1, int(n.set.CloudRPS/2*leaderPeriod.Seconds())) }
+func (n *Controller) bookingBudget() int {
+	return max(1, int(n.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
+}
 
 // ownerOf is whose machine it is, by the records.
-func (n *Node) ownerOf(id string) string {
-	if o, ok := n.sess.book.Owner(id); ok {
+func (n *Controller) ownerOf(id string) string {
+	if o, ok := n.membership.shardMap.Owner(id); ok {
 		return o.Host
 	}
 	return ""
 }
 
-// goneAlready tells the owner of a machine that its return was answered before it
+// confirmReleased tells the owner of a machine that its return was answered before it
 // came to this owner.
-func (n *Node) goneAlready(id, host string) {
+func (n *Controller) confirmReleased(id, host string) {
 	l := n.leader
-	if host == n.set.Host {
-		if m := n.owner.machines[id]; m != nil {
+	if host == n.settings.Host {
+		if m := n.shardLeader.machines[id]; m != nil {
 			n.dropMachine(m, "returned")
 		}
 		return
@@ -269,121 +271,121 @@
 		r = &rental{id: id}
 		l.rentals[id] = r
 	}
-	r.gone = n.now
+	r.releasedAt = n.now
 }
 
-// promised says that a machine was rented for another controller, whose record is
+// isRentedForOther says that a machine was rented for another controller, whose record is
 // being written: it is not to be given work before.
-func (n *Node) promised(id string) bool {
+func (n *Controller) isRentedForOther(id string) bool {
 	if n.leader == nil {
 		return false
 	}
-	r, ok := n.leader.divide.rented[id]
-	return ok && r.Host != n.set.Host
+	r, ok := n.leader.sharding.unrecordedMachines[id]
+	return ok && r.Host != n.settings.Host
 }
 
-// rentedFor is whose machine it is or is about to be.
-func (n *Node) rentedFor(id string) string {
-	if r, ok := n.leader.divide.rented[id]; ok {
+// assignedHost is whose machine it is or is about to be.
+func (n *Controller) assignedHost(id string) string {
+	if r, ok := n.leader.sharding.unrecordedMachines[id]; ok {
 		return r.Host
 	}
 	return n.ownerOf(id)
 }
 
-// tellMost bounds the machines in one news.
-const tellMost = 3000
+// maxRentalsPerUpdate bounds the machines in one news.
+const maxRentalsPerUpdate = 3000
 
-// tellTurns is in how many turns, a second each, an owner is told of all its machines;
+// publishTurns is in how many turns, a second each, an owner is told of all its machines;
 // of what has changed it is told at once, and until it has shown that it knows.
-const tellTurns = 5
+const publishTurns = 5
 
-// tellOwners tells the other owners of their machines.
-func (n *Node) tellOwners() {
+// publishRentals tells the other owners of their machines.
+func (n *Controller) publishRentals() {
 	l := n.leader
-	lacks, empty := brokerHosts(n)
-	news := map[string]*PeerNews{}
-	for _, x := range n.sess.book.Shares() {
-		if x.Host != n.set.Host && slices.Contains(n.set.Peers, x.Host) && news[x.Host] == nil {
-			news[x.Host] = &PeerNews{From: n.set.Host, Tells: true}
+	othersNeeds, empty := assignEvacuations(n)
+	updates := map[string]*PeerUpdate{}
+	for _, x := range n.membership.shardMap.Shares() {
+		if x.Host != n.settings.Host && slices.Contains(n.settings.Peers, x.Host) && updates[x.Host] == nil {
+			updates[x.Host] = &PeerUpdate{From: n.settings.Host, IsLeaderUpdate: true}
 		}
 	}
-	if len(news) == 0 {
+	if len(updates) == 0 {
 		return
 	}
 	l.seq++
-	l.turn = (l.turn + 1) % tellTurns
+	l.publishTurn = (l.publishTurn + 1) % publishTurns
 	for i, id := range sortedKeys(l.rentals) {
 		r := l.rentals[id]
-		host := n.rentedFor(id)
-		m := news[host]
+		host := n.assignedHost(id)
+		m := updates[host]
 		if m == nil {
 			continue
 		}
 		status := r.status
 		switch {
-		case !r.gone.IsZero():
+		case !r.releasedAt.IsZero():
 			status = "returned"
 		case status == "running" && n.ownerOf(id) != host:
-			status = coming
+			status = statusComing
 		}
-		if r.toldTo != host || r.toldAs != status {
-			r.toldTo, r.toldAs, r.toldSeq = host, status, l.seq
+		if r.publishedTo != host || r.publishedStatus != status {
+			r.publishedTo, r.publishedStatus, r.publishedSeq = host, status, l.seq
 		}
-		if len(m.Rentals) >= tellMost {
+		if len(m.RentalUpdates) >= maxRentalsPerUpdate {
 			// It goes with the next news, until it is known to be known.
-			r.toldSeq = l.seq + 1
+			r.publishedSeq = l.seq + 1
 			continue
 		}
-		if r.toldSeq > l.acked[host] || i%tellTurns == l.turn {
-			m.Rentals = append(m.Rentals, RentalNews{r.id, r.addr, r.flavour, r.zone, r.spot, status, n.now.Sub(r.since)})
+		if r.publishedSeq > l.ackedSeq[host] || i%publishTurns == l.publishTurn {
+			m.RentalUpdates = append(m.RentalUpdates, RentalUpdate{r.id, r.addr, r.machineType, r.zone, r.spot, status, n.now.Sub(r.rentedAt)})
 		}
 	}
-	var blocked []Want
-	for _, k := range sortedKinds(l.blocked) {
-		if l.blocked[k].After(n.now) {
-			blocked = append(blocked, Want{k.flavour, k.zone, k.spot, 1})
+	var blocked []CapacityRequest
+	for _, k := range sortedKinds(l.blockedUntil) {
+		if l.blockedUntil[k].After(n.now) {
+			blocked = append(blocked, CapacityRequest{k.machineType, k.zone, k.spot, 1})
 		}
 	}
-	asked, some := l.divide.div.Asked()
-	for _, host := range sortedKeys(news) {
-		m := news[host]
-		m.Seq, m.Blocked, m.Spare = l.seq, blocked, spareFor(n, host)
-		m.Lacks, m.Empty = lacks[host], empty[host]
-		if some && asked.From == host {
-			m.Release = []division.Ask{asked}
+	request, hasRequest := l.sharding.planner.Asked()
+	for _, host := range sortedKeys(updates) {
+		m := updates[host]
+		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, surplusFor(n, host)
+		m.OthersNeeds, m.EvacuationRequests = othersNeeds[host], empty[host]
+		if hasRequest && request.From == host {
+			m.TeamRelease = []division.Ask{request}
 		}
-		n.emit(PeerSend{To: host, News: *m})
+		n.emit(SendPeerUpdate{To: host, Update: *m})
 	}
 }
 
-// viewNews takes in what the leader tells of this owner's machines. Its word
+// receiveLeaderUpdate takes in what the leader tells of this owner's machines. Its word
 // that a return was answered, or that the cloud calls a machine failed, is the
 // proof that the machine is gone.
-func (n *Node) viewNews(c PeerNews) {
-	o := n.owner
-	v := &view{rentals: map[string]*rental{}}
-	switch old := o.view; {
-	case old == nil || old.from != c.From || old.life != c.Life:
-	case old.seq > c.Seq && n.now.Sub(old.at) < newsFresh:
+func (n *Controller) receiveLeaderUpdate(update PeerUpdate) {
+	o := n.shardLeader
+	v := &fleetView{rentals: map[string]*rental{}}
+	switch old := o.fleetView; {
+	case old == nil || old.leaderHost != update.From || old.incarnation != update.Incarnation:
+	case old.seq > update.Seq && n.now.Sub(old.receivedAt) < updateTTL:
 		return
 	default:
 		// It tells of some at a time. What it names no more is gone.
 		v.rentals = old.rentals
 		for id, r := range v.rentals {
-			if _, mine := n.mine(id); !mine && r.status != "booting" && r.status != coming || n.now.Sub(r.told) > 2*tellTurns*leaderPeriod+newsFresh {
+			if _, mine := n.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || n.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
 				delete(v.rentals, id)
 			}
 		}
 	}
-	v.from, v.life = c.From, c.Life
-	v.seq, v.at, v.blocked, v.renting = c.Seq, n.now, map[kind]time.Time{}, map[kind]int{}
-	for _, x := range c.Rentals {
+	v.leaderHost, v.incarnation = update.From, update.Incarnation
+	v.seq, v.receivedAt, v.blockedUntil, v.pendingRentals = update.Seq, n.now, map[machineKind]time.Time{}, map[machineKind]int{}
+	for _, x := range update.RentalUpdates {
 		// News says where to look, never what is owned: one that boots is counted on
 		// before any record names it, and used only then.
-		if _, mine := n.mine(x.ID); !mine && x.Status != "booting" && x.Status != coming {
+		if _, mine := n.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
 			continue
 		}
-		r := &rental{told: n.now, id: x.ID, addr: x.Addr, kind: kind{x.Flavour, x.Zone, x.Spot}, since: n.now.Add(-x.Age), status: x.Status, returning: n.returned[x.ID]}
+		r := &rental{publishedAt: n.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: n.now.Add(-x.Age), status: x.Status, releasing: n.released[x.ID]}
 		v.rentals[x.ID] = r
 		if !o.ready {
 			continue
@@ -397,42 +399,42 @@
 			delete(v.rentals, x.ID)
 			continue
 		}
-		if !n.returned[x.ID] {
+		if !n.released[x.ID] {
 			n.adopt(r)
 		}
 	}
-	v.spare = map[kind]int{}
-	for _, w := range c.Spare {
-		v.spare[kind{w.Flavour, w.Zone, w.Spot}] += w.Count
+	v.surplus = map[machineKind]int{}
+	for _, w := range update.SurplusElsewhere {
+		v.surplus[machineKind{w.MachineType, w.Zone, w.Spot}] += w.Count
 	}
-	for _, w := range c.Blocked {
-		v.blocked[kind{w.Flavour, w.Zone, w.Spot}] = n.now.Add(newsFresh)
+	for _, w := range update.Blocked {
+		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = n.now.Add(updateTTL)
 	}
-	o.view = v
-	takeNeeds(n, c.Lacks, c.Empty)
-	for _, a := range c.Release {
-		o.release, o.releaseAt = a, n.now
+	o.fleetView = v
+	receiveHostNeeds(n, update.OthersNeeds, update.EvacuationRequests)
+	for _, a := range update.TeamRelease {
+		o.teamRelease, o.teamReleaseAt = a, n.now
 	}
 }
 
-// fleetLog is how often the fleet is described in the log, at debug.
-const fleetLog = 10 * time.Second
+// fleetLogInterval is how often the fleet is described in the log, at debug.
+const fleetLogInterval = 10 * time.Second
 
-func (n *Node) logFleet() {
+func (n *Controller) logFleet() {
 	type sums struct{ up, idle, booting int }
-	by := map[kind]*sums{}
+	byKind := map[machineKind]*sums{}
 	var used, size float64
 	for _, r := range n.leader.rentals {
-		s := by[r.kind]
+		s := byKind[r.machineKind]
 		if s == nil {
 			s = &sums{}
-			by[r.kind] = s
+			byKind[r.machineKind] = s
 		}
-		m := n.owner.machines[r.id]
+		m := n.shardLeader.machines[r.id]
 		switch {
 		case m == nil || !m.heard:
 			s.booting++
-		case m.empty():
+		case m.isEmpty():
 			s.up++
 			s.idle++
 		default:
@@ -444,74 +446,74 @@
 		}
 	}
 	args := []any{"used", used, "cpus", size}
-	for _, k := range sortedKinds(by) {
-		s := by[k]
-		name := k.flavour
+	for _, k := range sortedKinds(byKind) {
+		s := byKind[k]
+		name := k.machineType
 		if k.spot {
 			name += "/spot"
 		}
 		args = append(args, name, fmt.Sprintf("%d up, %d idle, %d booting", s.up, s.idle, s.booting))
 	}
-	for _, j := range n.order() {
-		args = append(args, j.Workload, j.pending())
+	for _, j := range n.jobsInQueueOrder() {
+		args = append(args, j.Workload, j.pendingTasks())
 	}
 	n.debug("fleet", args...)
 }
 
-func (n *Node) list(from string, got []Listed) {
+func (n *Controller) listMachines(from string, got []CloudMachine) {
 	l := n.leader
 	gen := l.gen
-	l.listing = true
-	n.askCloud(CloudOp{Kind: CloudList, From: from}, func(d CloudDone) {
+	l.listInFlight = true
+	n.requestCloud(CloudRequest{Kind: CloudListMachines, StartAfter: from}, func(d CloudResponse) {
 		l := n.leader
 		if l == nil || l.gen != gen {
 			return
 		}
 		if d.Status != CloudOK {
-			l.listing = false
-			l.listAt = n.now
+			l.listInFlight = false
+			l.lastListAt = n.now
 			return
 		}
 		got = append(got, d.Machines...)
 		if d.Truncated && len(d.Machines) > 0 {
-			n.list(got[len(got)-1].ID, got)
+			n.listMachines(got[len(got)-1].ID, got)
 			return
 		}
-		l.listing, l.listAt, l.listedOK = false, n.now, true
-		n.listed(got)
+		l.listInFlight, l.lastListAt, l.hasListed = false, n.now, true
+		n.receiveMachineList(got)
 	})
 }
 
-// listed takes in a list, which may be older than the one before.
-func (n *Node) listed(ms []Listed) {
+// receiveMachineList takes in a list, which may be older than the one before.
+func (n *Controller) receiveMachineList(listed []CloudMachine) {
 	l := n.leader
 	var again []string
-	for _, x := range ms {
-		if n.returned[x.ID] && (l.answered[x.ID] || n.ownerOf(x.ID) == n.set.Host) {
-			if l.rentals[x.ID] == nil && !l.answered[x.ID] {
+	for _, x := range listed {
+		if n.released[x.ID] && (l.confirmedReleases[x.ID] || n.ownerOf(x.ID) == n.settings.Host) {
+			if l.rentals[x.ID] == nil && !l.confirmedReleases[x.ID] {
 				// Its return was asked for under an earlier leader, with whom the
 				// wish was lost. Nobody else would ever ask again.
-				l.rentals[x.ID] = &rental{id: x.ID, kind: kind{x.Flavour, x.Zone, x.Spot}, addr: x.Addr, since: n.now.Add(-x.Held), status: x.Status, listed: n.now}
+				l.rentals[x.ID] = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, addr: x.Addr, rentedAt: n.now.Add(-x.Age), status: x.Status, lastListed: n.now}
 				again = append(again, x.ID)
 			}
 			continue
 		}
 		r := l.rentals[x.ID]
 		if r == nil {
-			r = &rental{id: x.ID, kind: kind{x.Flavour, x.Zone, x.Spot}, since: n.now.Add(-x.Held)}
+			r = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: n.now.Add(-x.Age)}
 			l.rentals[x.ID] = r
 		}
-		r.addr, r.listed = x.Addr, n.now
-		if x.Status == "failed" && r.status != "failed" && n.owner != nil {
-			if m := n.owner.machines[x.ID]; m != nil {
+		r.addr, r.lastListed = x.Addr, n.now
+		if x.Status == "failed" && r.status != "failed" && n.shardLeader != nil {
+			if m := n.shardLeader.machines[x.ID]; m != nil {
 				n.dropMachine(m, "failed")
 			}
 		}
 		r.status = x.Status
 		n.adopt(r)
 	}
-	for ; len(again) > 0; again = again[min(len(again), returnMost):] {
-		n.giveBack(again[:min(len(again), returnMost)])
+	for ; len(again) > 0; again = again[min(len(again), maxReleasePerRequest):] {
+		n.releaseMachines(again[:min(len(again), maxReleasePerRequest)])
 	}
 	for _, id := range sortedKeys(l.rentals) {
 		r := l.rentals[id]
@@ -519,127 +521,127 @@
 		// older than the one before, so wait some lists before forgetting;
 		// absence is no proof for its tasks, which go on by reports, lease or
 		// the answer to a return.
-		patience := 4*n.set.ListLag + 5*time.Second + 2*n.listEvery()
-		if n.ownerOf(id) != n.set.Host {
+		forgetAfter := 4*n.settings.CloudListLag + 5*time.Second + 2*n.listInterval()
+		if n.ownerOf(id) != n.settings.Host {
 			// Its owner has to learn of it and may still need it returned.
-			patience += 2 * n.set.Lease
+			forgetAfter += 2 * n.settings.WorkerLease
 		}
-		if !r.listed.IsZero() && n.now.Sub(r.listed) > patience {
-			if n.owner != nil {
-				if m := n.owner.machines[id]; m != nil && (!m.empty() || !n.silent(m)) {
+		if !r.lastListed.IsZero() && n.now.Sub(r.lastListed) > forgetAfter {
+			if n.shardLeader != nil {
+				if m := n.shardLeader.machines[id]; m != nil && (!m.isEmpty() || !n.unresponsive(m)) {
 					continue
 				}
-				if m := n.owner.machines[id]; m != nil {
-					n.owner.forget(m)
+				if m := n.shardLeader.machines[id]; m != nil {
+					n.shardLeader.removeMachine(m)
 				}
 			}
 			delete(l.rentals, id)
 		}
 	}
-	missed(n)
+	markUnlisted(n)
 }
 
 // adopt makes a rental known to the owner of the pool.
-func (n *Node) adopt(r *rental) {
-	o := n.owner
-	if o == nil || r.status == "failed" || r.returning || !o.ready {
+func (n *Controller) adopt(r *rental) {
+	o := n.shardLeader
+	if o == nil || r.status == "failed" || r.releasing || !o.ready {
 		return
 	}
-	if _, mine := n.mine(r.id); !mine || n.leader != nil && n.leader.divide.rented[r.id].Host != "" {
+	if _, mine := n.ownedMachine(r.id); !mine || n.leader != nil && n.leader.sharding.unrecordedMachines[r.id].Host != "" {
 		// Another's, or about to be.
 		return
 	}
-	m := n.machine(r.id)
-	if !n.sess.book.Named(r.id) && !o.restSince.IsZero() && r.since.After(o.restSince) {
+	m := n.ensureMachine(r.id)
+	if !n.membership.shardMap.Named(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
 		// Rented since, and named by nobody: it never was another's.
-		m.former = time.Time{}
+		m.formerOwnerUntil = time.Time{}
 	}
-	if m.flavour == "" || m.addr == "" {
-		n.describe(m, r.addr, r.flavour, r.zone, r.spot)
+	if m.machineType == "" || m.addr == "" {
+		n.describe(m, r.addr, r.machineType, r.zone, r.spot)
 	}
-	if !m.heard && (r.status == "running" || r.status == coming) && r.addr != "" {
+	if !m.heard && (r.status == "running" || r.status == statusComing) && r.addr != "" {
 		n.contact(m)
 	}
 }
 
-// returns picks the machines to give back: failed ones, such as never came up, silent
+// selectReleases picks the machines to give back: failed ones, such as never came up, silent
 // ones, faulty ones and idle ones that are spare. A look at the fleet may have
 // taken a while, so each is judged by what it is now.
-func (n *Node) returns(spare map[string]bool) {
-	o := n.owner
+func (n *Controller) selectReleases(surplus map[string]bool) {
+	o := n.shardLeader
 	settled := n.now.Sub(o.since) > settleTime
-	lost := map[string]bool{}
-	for _, id := range lostMachines(n) {
-		lost[id] = true
+	unresponsive := map[string]bool{}
+	for _, id := range unresponsiveMachines(n) {
+		unresponsive[id] = true
 	}
-	cheapest := n.cheapest()
-	for _, m := range o.byID {
+	cheapest := n.cheapestCPUCost()
+	for _, m := range o.machinesByID {
 		// One that the leader no longer lists may be gone, or a list was late;
 		// only the answer to a return is proof. If one was asked for already, the
 		// wish may have been lost, or answered to another owner.
-		if id := m.id; o.view.rentals[id] == nil && !m.empty() && (lost[id] || m.returning || n.returned[id]) && settled && len(o.gone) < returnMost {
-			n.returned[id] = true
-			m.returning = true
-			o.gone = append(o.gone, id)
+		if id := m.id; o.fleetView.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || n.released[id]) && settled && len(o.machinesToRelease) < maxReleasePerRequest {
+			n.released[id] = true
+			m.releasing = true
+			o.machinesToRelease = append(o.machinesToRelease, id)
 		}
 	}
-	for _, id := range sortedKeys(o.view.rentals) {
-		r := o.view.rentals[id]
+	for _, id := range sortedKeys(o.fleetView.rentals) {
+		r := o.fleetView.rentals[id]
 		m := o.machines[id]
-		if r.returning && n.leader == nil {
+		if r.releasing && n.leader == nil {
 			// Asked for already; the wish may have been lost.
-			o.gone = append(o.gone, id)
+			o.machinesToRelease = append(o.machinesToRelease, id)
 		}
-		if r.returning {
+		if r.releasing {
 			continue
 		}
-		why := ""
+		reason := ""
 		switch {
 		case r.status == "failed":
-			why = "failed"
+			reason = "failed"
 		case m == nil:
-		case !m.heard && settled && n.givenUp(r) && m.empty() && n.now.Sub(m.here) > min(settleTime, m.here.Sub(o.since)):
+		case !m.heard && settled && n.isGivenUp(r) && m.isEmpty() && n.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(o.since)):
 			// Not one that has just come from another owner, however long ago it was
 			// rented. What came with the takeover is settled with it.
-			why = "never came up"
-		case lost[id] && settled:
-			why = "silent"
-		case m.bad && m.empty():
-			why = "faulty"
-		case settled && spare[id] && n.idle(m, cheapest):
-			why = "idle"
-		}
-		if why == "" || len(o.gone) >= returnMost {
+			reason = "never came up"
+		case unresponsive[id] && settled:
+			reason = "silent"
+		case m.faulty && m.isEmpty():
+			reason = "faulty"
+		case settled && surplus[id] && n.isIdleExpired(m, cheapest):
+			reason = "idle"
+		}
+		if reason == "" || len(o.machinesToRelease) >= maxReleasePerRequest {
 			continue
 		}
-		n.info("return", "machine", id, "why", why)
-		if why == "never came up" && !n.returned[id] {
+		n.info("return", "machine", id, "why", reason)
+		if reason == "never came up" && !n.released[id] {
 			// Once, however often the leader is asked.
-			n.bootsOf(r.kind).Lost(n.now)
-			o.neverUp++
-			o.neverCost += n.price(r.kind) * n.now.Sub(r.since).Hours()
-			n.info("machines that never served", "count", o.neverUp, "cost", o.neverCost)
+			n.provisioningOf(r.machineKind).Lost(n.now)
+			o.neverReadyCount++
+			o.neverReadyCost += n.costPerHour(r.machineKind) * n.now.Sub(r.rentedAt).Hours()
+			n.info("machines that never served", "count", o.neverReadyCount, "cost", o.neverReadyCost)
 		}
-		o.gone = append(o.gone, id)
+		o.machinesToRelease = append(o.machinesToRelease, id)
 		// Never given work again, whatever becomes of the return.
-		n.returned[id] = true
+		n.released[id] = true
 		if m != nil {
-			m.returning = true
+			m.releasing = true
 		}
 	}
 }
 
-// giveBack asks the cloud to take machines back until it says that it has.
-func (n *Node) giveBack(ids []string) {
+// releaseMachines asks the cloud to take machines back until it says that it has.
+func (n *Controller) releaseMachines(ids []string) {
 	l := n.leader
 	for _, id := range ids {
-		n.returned[id] = true
+		n.released[id] = true
 		if r := l.rentals[id]; r != nil {
-			r.returning = true
+			r.releasing = true
 		}
 	}
 	gen := l.gen
-	n.askCloud(CloudOp{Kind: CloudReturn, Until: n.sess.sureUntil, Machines: ids}, func(d CloudDone) {
+	n.requestCloud(CloudRequest{Kind: CloudRelease, SendDeadline: n.membership.leaseValidUntil, Machines: ids}, func(d CloudResponse) {
 		if n.leader == nil || n.leader.gen != gen {
 			return
 		}
@@ -647,68 +649,68 @@
 			// Executed or not, they get no more work; ask until it is sure.
 			n.after(n.jitter(time.Second), func() {
 				if n.leader != nil && n.leader.gen == gen {
-					n.giveBack(ids)
+					n.releaseMachines(ids)
 				}
 			})
 			return
 		}
 		for _, id := range ids {
-			n.leader.answered[id] = true
-			if n.owner != nil {
-				if m := n.owner.machines[id]; m != nil {
+			n.leader.confirmedReleases[id] = true
+			if n.shardLeader != nil {
+				if m := n.shardLeader.machines[id]; m != nil {
 					n.dropMachine(m, "returned")
 				}
 			}
 			if r := n.leader.rentals[id]; r != nil {
-				r.gone = n.now
+				r.releasedAt = n.now
 			}
 		}
 	})
 }
 
-// warmWindow is how far back arrivals are looked at, and lately the part of it
+// arrivalWindow is how far back arrivals are looked at, and lately the part of it
 // that shows soonest when they have ended.
 const (
-	warmWindow = 90 * time.Second
-	lately     = 30 * time.Second
+	arrivalWindow = 90 * time.Second
+	recentWindow  = 30 * time.Second
 )
 
-func sortedKinds[V any](m map[kind]V) []kind {
-	ks := make([]kind, 0, len(m))
+func sortedKinds[V any](m map[machineKind]V) []machineKind {
+	ks := make([]machineKind, 0, len(m))
 	for k := range m {
 		ks = append(ks, k)
 	}
-	slices.SortFunc(ks, func(a, b kind) int {
-		return cmp.Or(cmp.Compare(a.flavour, b.flavour), cmp.Compare(a.zone, b.zone), cmp.Compare(b2f(a.spot), b2f(b.spot)))
+	slices.SortFunc(ks, func(a, b machineKind) int {
+		return cmp.Or(cmp.Compare(a.machineType, b.machineType), cmp.Compare(a.zone, b.zone), cmp.Compare(boolToFloat(a.spot), boolToFloat(b.spot)))
 	})
 	return ks
 }
 
 // booked notes that a booking is answered.
-func (n *Node) booked(a ask, booking string, count int) {
+func (n *Controller) booked(a bookingKey, booking string, count int) {
 	l := n.leader
 	delete(l.booking, booking)
-	if l.renting[a] -= count; l.renting[a] <= 0 {
-		delete(l.renting, a)
+	if l.pendingRentals[a] -= count; l.pendingRentals[a] <= 0 {
+		delete(l.pendingRentals, a)
 	}
 }
 
-// rentKind sends one booking for an owner. A booking without an answer is
+// sendBooking sends one booking for an owner. A booking without an answer is
 // repeated under the same name, which rents nothing twice.
-func (n *Node) rentKind(host string, k kind, count int, booking string) {
+func (n *Controller) sendBooking(host string, k machineKind, count int, booking string) {
 	l := n.leader
 	if booking == "" {
-		l.booked++
-		booking = fmt.Sprintf("%d-%s-%s-%d", l.stamp, n.set.Host, n.set.Nonce, l.booked)
-		n.debug("rent", "flavour", k.flavour, "spot", k.spot, "count", count, "for", host)
+		l.bookingSeq++
+		booking = fmt.Sprintf("%d-%s-%s-%d", l.modRevision, n.settings.Host, n.settings.Incarnation, l.bookingSeq)
+		n.debug("rent", "flavour", k.machineType, "spot", k.spot, "count", count, "for", host)
 	}
-	a := ask{host, k}
+	a := bookingKey{host, k}
 	if again := booking != "" && l.booking[booking]; !again {
 		l.booking[booking] = true
-		l.renting[a] += count
+		l.pendingRentals[a] += count
 	}
 	gen := l.gen
-	n.askCloud(CloudOp{Kind: CloudRent, Until: n.sess.sureUntil, Booking: booking, Flavour: k.flavour, Zone: k.zone, Spot: k.spot, Count: count}, func(d CloudDone) {
+	n.requestCloud(CloudRequest{Kind: CloudRent, SendDeadline: n.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(d CloudResponse) {
 		l := n.leader
 		if l == nil || l.gen != gen {
 			return
@@ -717,30 +719,30 @@
 		case CloudOK:
 			n.booked(a, booking, count)
 			for _, id := range d.Rented {
-				r := &rental{id: id, kind: k, since: n.now, status: "booting"}
+				r := &rental{id: id, machineKind: k, rentedAt: n.now, status: "booting"}
 				l.rentals[id] = r
 				if n.ownerOf(id) != host {
-					l.divide.rented[id] = division.Rented{ID: id, Host: host, At: n.now}
+					l.sharding.unrecordedMachines[id] = division.Rented{ID: id, Host: host, At: n.now}
 				}
 				n.adopt(r)
 			}
 			// Its wishes count again when it knows of these.
-			l.needSeq[host] = l.seq + 1
+			l.requiredSeq[host] = l.seq + 1
 			if len(d.Rented) < count {
-				l.blocked[k] = n.now.Add(n.jitter(refusedPause))
+				l.blockedUntil[k] = n.now.Add(n.jitter(refusedBackoff))
 			}
-			divide(n)
+			planShards(n)
 		case CloudNoCapacity:
 			n.booked(a, booking, count)
-			l.blocked[k] = n.now.Add(n.jitter(refusedPause))
-		case CloudBad:
+			l.blockedUntil[k] = n.now.Add(n.jitter(refusedBackoff))
+		case CloudMalformed:
 			n.booked(a, booking, count)
-			l.blocked[k] = n.now.Add(time.Minute)
-			n.info("the cloud calls a booking malformed", "flavour", k.flavour)
+			l.blockedUntil[k] = n.now.Add(time.Minute)
+			n.info("the cloud calls a booking malformed", "flavour", k.machineType)
 		default:
 			n.after(n.jitter(time.Second), func() {
 				if n.leader != nil && n.leader.gen == gen {
-					n.rentKind(host, k, count, booking)
+					n.sendBooking(host, k, count, booking)
 				}
 			})
 		}
--- a/internal/core/forms.go
+++ b/internal/core/forms.go
@@ -16,211 +16,215 @@
 // limit of now and can't read others, so nothing changes until no controller of that
 // version can come back. Each controller that knows parts says so in a record of its
 // own, which outlives it; when all have, which stays true for ever, the leader writes
-// formKey, and from then on records stand as parts. What stood before is read, and never
+// formatKey, and from then on records stand as parts. What stood before is read, and never
 // written again: see docs/design.md, "Two versions, and lower limits".
 
 const (
-	formKey    = "ctl/form"
-	formPrefix = "ctl/form/"
-	// partMark is what the names of parts begin with, after the job's.
-	partMark = "s"
+	formatKey           = "ctl/form"
+	formatSupportPrefix = "ctl/form/"
+	// sizedSegmentMark is what the names of parts begin with, after the job's.
+	sizedSegmentMark = "s"
 )
 
-// formRecord says how many tasks share a part; in a controller's own record it only
+// formatRecord says how many tasks share a part; in a controller's own record it only
 // says that it knows parts.
-type formRecord struct {
-	Tasks int `msgpack:"n"`
+type formatRecord struct {
+	TasksPerSegment int `msgpack:"n"`
 }
 
-// taskForm is how a job's tasks are divided among records: so many share one, which is
+// segmentFormat is how a job's tasks are divided among records: so many share one, which is
 // numbered alone, or is a part whose name says how many.
-type taskForm struct {
-	per  int
-	part bool
+type segmentFormat struct {
+	tasksPerSegment int
+	sized           bool
 }
 
-func (f taskForm) name(k int) string {
-	if !f.part {
+func (f segmentFormat) nameOf(k int) string {
+	if !f.sized {
 		return strconv.Itoa(k)
 	}
-	return fmt.Sprintf("%s%d.%d", partMark, f.per, k)
+	return fmt.Sprintf("%s%d.%d", sizedSegmentMark, f.tasksPerSegment, k)
 }
 
-func (f taskForm) key(id string, k int) string { return taskPrefix + id + "/" + f.name(k) }
+func (f segmentFormat) keyOf(id string, k int) string {
+	return taskSegmentPrefix + id + "/" + f.nameOf(k)
+}
 
-// presentBytes is the limit of values by which records without parts are numbered.
-func (s *Settings) presentBytes() int { return max(s.ValueBytes, s.PresentValueBytes) }
+// currentMaxValueBytes is the limit of values by which records without parts are numbered.
+func (s *Settings) currentMaxValueBytes() int { return max(s.MaxValueBytes, s.CurrentMaxValueBytes) }
 
-// numbered is the form without parts.
-func (s *Settings) numbered() taskForm { return taskForm{per: chunkTasks(s.presentBytes())} }
+// unsizedFormat is the form without parts.
+func (s *Settings) unsizedFormat() segmentFormat {
+	return segmentFormat{tasksPerSegment: maxTasksPerSegment(s.currentMaxValueBytes())}
+}
 
-// taskForm is the form in which records of tasks are written now.
-func (n *Node) taskForm() taskForm {
-	if n.sess.form.per > 0 {
-		return n.sess.form
+// segmentFormat is the form in which records of tasks are written now.
+func (n *Controller) segmentFormat() segmentFormat {
+	if n.membership.format.tasksPerSegment > 0 {
+		return n.membership.format
 	}
-	return n.set.numbered()
+	return n.settings.unsizedFormat()
 }
 
-// formOf reads the form of a record of tasks and its number from its key.
-func (n *Node) formOf(key string) (f taskForm, k int, ok bool) {
+// parseSegmentKey reads the form of a record of tasks and its number from its key.
+func (n *Controller) parseSegmentKey(key string) (f segmentFormat, k int, ok bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
-	f = n.set.numbered()
-	if part, is := strings.CutPrefix(name, partMark); is {
+	f = n.settings.unsizedFormat()
+	if part, sized := strings.CutPrefix(name, sizedSegmentMark); sized {
 		per, rest, _ := strings.Cut(part, ".")
-		f.part = true
-		f.per, _ = strconv.Atoi(per)
+		f.sized = true
+		f.tasksPerSegment, _ = strconv.Atoi(per)
 		name = rest
 	}
 	k, err := strconv.Atoi(name)
-	ok = err == nil && k >= 0 && f.per > 0 && key[strings.LastIndexByte(key, '/')+1:] == f.name(k)
+	ok = err == nil && k >= 0 && f.tasksPerSegment > 0 && key[strings.LastIndexByte(key, '/')+1:] == f.nameOf(k)
 	return f, k, ok
 }
 
-// formItem takes in what ctl/ says of forms. It is never taken back.
-func formItem(n *Node, it Item) {
-	var r formRecord
+// applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
+func applyFormatRecord(n *Controller, it KeyValue) {
+	var r formatRecord
 	switch {
-	case it.Removed:
-	case it.Key != formKey:
-		n.sess.forms[strings.TrimPrefix(it.Key, formPrefix)] = true
-	case !decode(it.Value, &r) || r.Tasks <= 0:
-		n.complain("record", it.Key, "it can't be read")
+	case it.Deleted:
+	case it.Key != formatKey:
+		n.membership.formatSupport[strings.TrimPrefix(it.Key, formatSupportPrefix)] = true
+	case !decode(it.Value, &r) || r.TasksPerSegment <= 0:
+		n.rejectInput("record", it.Key, "it can't be read")
 	default:
-		n.sess.formStamp = it.Stamp
-		learnForm(n, taskForm{r.Tasks, true})
+		n.membership.formatModRevision = it.ModRevision
+		adoptFormat(n, segmentFormat{r.TasksPerSegment, true})
 	}
 }
 
-// learnForm goes over to a form if it is finer than the one that counts: one that has
+// adoptFormat goes over to a form if it is finer than the one that counts: one that has
 // come to count once counts for all, and stays.
-func learnForm(n *Node, f taskForm) {
-	if !f.part || f.per >= n.taskForm().per && n.taskForm().part {
+func adoptFormat(n *Controller, f segmentFormat) {
+	if !f.sized || f.tasksPerSegment >= n.segmentFormat().tasksPerSegment && n.segmentFormat().sized {
 		return
 	}
-	n.sess.form = f
-	n.info("records of tasks are parts", "tasks", f.per)
-	if n.owner == nil {
+	n.membership.format = f
+	n.info("records of tasks are parts", "tasks", f.tasksPerSegment)
+	if n.shardLeader == nil {
 		return
 	}
-	for _, j := range n.owner.jobs {
-		j.takeForm(f)
+	for _, j := range n.shardLeader.jobs {
+		j.changeFormat(f)
 	}
 }
 
-// formCheck says that this controller knows parts, where they will be needed, and as the
+// advanceFormat says that this controller knows parts, where they will be needed, and as the
 // leader that all do.
-func formCheck(n *Node) {
-	s := &n.sess
-	wanted := chunkTasks(n.set.ValueBytes)
-	if s.forming || !s.loaded || s.grant == 0 || wanted >= n.taskForm().per {
+func advanceFormat(n *Controller) {
+	s := &n.membership
+	target := maxTasksPerSegment(n.settings.MaxValueBytes)
+	if s.writingFormat || !s.loaded || s.leaseID == 0 || target >= n.segmentFormat().tasksPerSegment {
 		return
 	}
-	op := StateOp{Kind: OpTxn, Prio: PrioSession}
-	rec := encode(formRecord{Tasks: wanted})
+	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership}
+	rec := encode(formatRecord{TasksPerSegment: target})
 	switch {
-	case !s.forms[n.set.Host]:
-		key := formPrefix + n.set.Host
-		op.When = []Cond{{key, 0}}
-		op.Apply = []Change{{Key: key, Value: rec}}
-	case s.lowered && n.owner != nil:
-		op.When = append(n.shareConds(""), Cond{formKey, s.formStamp})
-		op.Apply = []Change{{Key: formKey, Value: rec}}
-	case n.leader != nil && allKnowParts(n):
-		op.When = []Cond{{leadKey, n.leader.stamp}, {formKey, s.formStamp}}
-		op.Apply = []Change{{Key: formKey, Value: rec}}
+	case !s.formatSupport[n.settings.Host]:
+		key := formatSupportPrefix + n.settings.Host
+		op.Compares = []Compare{{key, 0}}
+		op.Writes = []Write{{Key: key, Value: rec}}
+	case s.limitsLowered && n.shardLeader != nil:
+		op.Compares = append(n.shardCompares(""), Compare{formatKey, s.formatModRevision})
+		op.Writes = []Write{{Key: formatKey, Value: rec}}
+	case n.leader != nil && allSupportSizedSegments(n):
+		op.Compares = []Compare{{leaderKey, n.leader.modRevision}, {formatKey, s.formatModRevision}}
+		op.Writes = []Write{{Key: formatKey, Value: rec}}
 	default:
 		return
 	}
-	s.forming = true
-	n.ask(op, func(StateDone) {
+	s.writingFormat = true
+	n.requestStore(op, func(StoreResponse) {
 		// The watch brings it, whoever wrote it.
-		n.after(n.jitter(retryPause), func() {
-			s.forming = false
-			formCheck(n)
+		n.after(n.jitter(storeRetryDelay), func() {
+			s.writingFormat = false
+			advanceFormat(n)
 		})
 	})
 }
 
-// probeKey holds a value between the limits, where it was ever asked for.
-const probeKey = "form/probe"
+// limitProbeKey holds a value between the limits, where it was ever asked for.
+const limitProbeKey = "form/probe"
 
-// probeLimit finds out whether the state service has lowered its limit of values, which
+// probeValueLimit finds out whether the state service has lowered its limit of values, which
 // it does only when the upgrade is over: a controller may have been cut off since it was
 // replaced, and has not said so. A record that was called malformed may be so for another
 // reason; a plain text that is too large for the limit to come is not.
-func probeLimit(n *Node) {
-	s := &n.sess
-	text := encode(strings.Repeat("x", n.set.ValueBytes))
-	if size, err := bounds.JSON(text); err != nil || size > n.set.presentBytes() || s.lowered || s.probing || n.taskForm().part {
+func probeValueLimit(n *Controller) {
+	s := &n.membership
+	text := encode(strings.Repeat("x", n.settings.MaxValueBytes))
+	if size, err := bounds.JSON(text); err != nil || size > n.settings.currentMaxValueBytes() || s.limitsLowered || s.probingLimits || n.segmentFormat().sized {
 		return
 	}
-	s.probing = true
-	n.ask(StateOp{Kind: OpTxn, Prio: PrioStart, Apply: []Change{{Key: probeKey, Value: text}}}, func(d StateDone) {
-		s.lowered = d.Status == StateBad
-		n.after(defectPause, func() { s.probing = false })
-		formCheck(n)
+	s.probingLimits = true
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Writes: []Write{{Key: limitProbeKey, Value: text}}}, func(d StoreResponse) {
+		s.limitsLowered = d.Status == StoreMalformed
+		n.after(malformedRetryDelay, func() { s.probingLimits = false })
+		advanceFormat(n)
 	})
 }
 
-// allKnowParts says that every controller of the deployment has said that it knows parts.
+// allSupportSizedSegments says that every controller of the deployment has said that it knows parts.
 // Its process of the version before is over by then and never comes back.
-func allKnowParts(n *Node) bool {
-	for _, h := range n.set.Peers {
-		if !n.sess.forms[h] {
+func allSupportSizedSegments(n *Controller) bool {
+	for _, h := range n.settings.Peers {
+		if !n.membership.formatSupport[h] {
 			return false
 		}
 	}
-	return n.sess.forms[n.set.Host]
+	return n.membership.formatSupport[n.settings.Host]
 }
 
-// takeForm divides the job's tasks anew. What is durable stays so where it stands; what
+// changeFormat divides the job's tasks anew. What is durable stays so where it stands; what
 // is not, or perhaps is not, has to be written in the new form.
-func (j *job) takeForm(f taskForm) {
-	if f == j.taskForm {
+func (j *job) changeFormat(f segmentFormat) {
+	if f == j.segmentFormat {
 		return
 	}
-	old, oldForm := j.chunks, j.taskForm
-	j.taskForm, j.chunks = f, map[int]*chunk{}
+	old, oldForm := j.segments, j.segmentFormat
+	j.segmentFormat, j.segments = f, map[int]*taskSegment{}
 	for _, k := range sortedKeys(old) {
 		c := old[k]
-		if c.stamp != 0 || c.busy {
-			j.former = append(j.former, oldForm.key(j.ID, k))
+		if c.modRevision != 0 || c.writeInFlight {
+			j.formerKeys = append(j.formerKeys, oldForm.keyOf(j.ID, k))
 		}
-		for i := k * oldForm.per; i < min((k+1)*oldForm.per, len(j.tasks)); i++ {
+		for i := k * oldForm.tasksPerSegment; i < min((k+1)*oldForm.tasksPerSegment, len(j.tasks)); i++ {
 			t := &j.tasks[i]
-			if t.ver == 0 {
+			if t.version == 0 {
 				continue
 			}
-			x := j.former0(i, c.rank)
-			if t.ver <= c.saved {
-				t.ver = 1
+			target := j.formerSegment(i, c.rankingRevision)
+			if t.version <= c.persistedVersion {
+				t.version = 1
 				continue
 			}
-			x.ver, t.ver = 2, 2
-			x.urgent, x.since = x.urgent || c.urgent || c.busy, c.since
-			j.unsaved = true
+			target.version, t.version = 2, 2
+			target.urgent, target.changedSince = target.urgent || c.urgent || c.writeInFlight, c.changedSince
+			j.unpersisted = true
 		}
 	}
 }
 
-// former0 is the chunk of a task whose state stands in a record of a former form.
-func (j *job) former0(i int, rank uint64) *chunk {
-	c := j.chunkOf(i)
-	if c.ver == 0 {
-		c.ver, c.saved, c.writing = 1, 1, 1
+// formerSegment is the chunk of a task whose state stands in a record of a former form.
+func (j *job) formerSegment(i int, rank uint64) *taskSegment {
+	c := j.segmentOf(i)
+	if c.version == 0 {
+		c.version, c.persistedVersion, c.inFlightVersion = 1, 1, 1
 	}
-	c.rank = max(c.rank, rank)
+	c.rankingRevision = max(c.rankingRevision, rank)
 	return c
 }
 
-// firstRecords are conditions that nothing of a job's first tasks was ever written, in
+// neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
 // whatever form it may be by the time that they are judged.
-func (n *Node) firstRecords(id string) []Cond {
-	var out []Cond
-	for _, f := range [...]taskForm{n.set.numbered(), n.taskForm(), {chunkTasks(n.set.ValueBytes), true}} {
-		c := Cond{f.key(id, 0), 0}
-		if f.part && !n.taskForm().part && f.per >= n.taskForm().per {
+func (n *Controller) neverStartedCompares(id string) []Compare {
+	var out []Compare
+	for _, f := range [...]segmentFormat{n.settings.unsizedFormat(), n.segmentFormat(), {maxTasksPerSegment(n.settings.MaxValueBytes), true}} {
+		c := Compare{f.keyOf(id, 0), 0}
+		if f.sized && !n.segmentFormat().sized && f.tasksPerSegment >= n.segmentFormat().tasksPerSegment {
 			// It never comes to that.
 			continue
 		}
@@ -231,11 +235,11 @@
 	return out
 }
 
-// byForm orders records of tasks: those that count before others come first.
-func (n *Node) byForm(a, b Item) int {
-	rank := func(it Item) int {
-		if f, _, ok := n.formOf(it.Key); ok && f.part {
-			return f.per
+// compareFormats orders records of tasks: those that count before others come first.
+func (n *Controller) compareFormats(a, b KeyValue) int {
+	rank := func(it KeyValue) int {
+		if f, _, ok := n.parseSegmentKey(it.Key); ok && f.sized {
+			return f.tasksPerSegment
 		}
 		return math.MaxInt
 	}
--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -13,32 +13,32 @@
 
 // goldenRecords are the core's records of the state service.
 var goldenRecords = testgolden.Values{
-	"node":  nodeRecord{Grant: 411, Nonce: "n-17.3", Deaf: true, Born: 1_750_000_000_123},
-	"life":  lifeRecord{Born: 1_750_000_001_234, Short: 3},
-	"lead":  leadRecord{Host: "ctl-2", Nonce: "n-18.1"},
-	"form":  formRecord{Tasks: 21},
-	"hears": hearsRecord{Of: "ctl-3", Nonce: "n-19.2", Machines: 5},
-	"drain": drainRecord{On: true, By: 1_750_000_600_000},
-	"guest": guestRecord{Job: "job-lent-east-2-000412", Cause: "given_back", Renewed: 1_750_000_002_345},
-	"job": jobRecord{
-		Status: Done, Tasks: 16, Team: "vision", Class: "train", Guest: true, After: 90_500, P: 120_300, Rev: 2, First: true,
+	"node":  controllerRecord{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
+	"life":  incarnationRecord{StartedAt: 1_750_000_001_234, ShortLived: 3},
+	"lead":  leaderRecord{Host: "ctl-2", Incarnation: "n-18.1"},
+	"form":  formatRecord{TasksPerSegment: 21},
+	"hears": rerouteRecord{Controller: "ctl-3", Incarnation: "n-19.2", Machines: 5},
+	"drain": drainRecord{Enabled: true, Deadline: 1_750_000_600_000},
+	"guest": offloadedJobRecord{Job: "job-lent-east-2-000412", Cause: "given_back", RenewedAt: 1_750_000_002_345},
+	"job": jobStatusRecord{
+		Status: Done, Tasks: 16, Team: "vision", Workload: "train", Offloaded: true, EndedAfterMillis: 90_500, PromisedMillis: 120_300, PromiseRevision: 2, PromisedAtSubmit: true,
 	},
-	"open": openRecord{
-		Workload: "train", Team: "vision", Standing: true, Gang: true, Urgency: int(Urgent), Tasks: 16,
-		CPU: 8.5, GPU: 1.25, Memory: 64.75, Image: "img-07", ImageGB: 6.2, Flavours: []string{"g8", "g4"}, Zone: "a",
-		Same: true, Apart: true, Spot: true, Expected: 240.5, SaveEvery: 30.25, SaveCost: 4.5, Due: 900.75, At: 1_750_000_003_456,
-		Cancelled: true, CancelledAt: 1_750_000_004_567, Lent: "east", LentN: 7, LentStop: 82_000, Wanted: true,
-		Guest: "west/job-000077/4", P: 130_400, Prereqs: pipeline.Encode([]string{"job-000398", "job-000402", "job-x"}),
+	"open": openJobRecord{
+		Workload: "train", Team: "vision", LongRunning: true, Gang: true, Urgency: int(Urgent), Tasks: 16,
+		CPU: 8.5, GPU: 1.25, Memory: 64.75, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a",
+		SameZone: true, SpreadZones: true, AllowSpot: true, ExpectedSeconds: 240.5, CheckpointIntervalSeconds: 30.25, CheckpointCostSeconds: 4.5, DeadlineSeconds: 900.75, SubmittedAtMillis: 1_750_000_003_456,
+		Cancelled: true, CancelledAtMillis: 1_750_000_004_567, LentTo: "east", LendCount: 7, StopBoundMillis: 82_000, CancelRequested: true,
+		BorrowedLoan: "west/job-000077/4", PromisedMillis: 130_400, Dependencies: pipeline.Encode([]string{"job-000398", "job-000402", "job-x"}),
 	},
-	"task": chunkRecord{
-		Prefix: "vm-000", Runs: []int{0, 4, 6, 9}, Marks: []int64{1_750_000_005_678}, Times: []int64{2_340, 3_450}, Rank: 93,
-		Rows: []taskRow{
+	"task": taskSegmentRecord{
+		MachinePrefix: "vm-000", DoneRanges: []int{0, 4, 6, 9}, RelaunchedGroups: []int64{1_750_000_005_678}, RunTimes: []int64{2_340, 3_450}, RankingRevision: 93,
+		Rows: []taskEntry{
 			{Index: 5, Try: 2, Machine: "231", Group: 1_750_000_005_678, Relaunched: true},
 			{Index: 10, Try: 300, Machine: "232", Group: 1_750_000_006_789, Done: true},
 			{Index: 70_000, Try: 1, Group: 1_750_000_007_890},
 		},
 	},
-	"warm": warmRecord{Prefix: "vm-", Width: 6, Images: []warmImage{
+	"warm": prewarmedRecord{MachinePrefix: "vm-", NumberWidth: 6, Images: []prewarmedImage{
 		{Name: "img-07", GB: 6.2, Machines: []int{231, 232}}, {Name: "img-08", GB: 0.5, Machines: []int{77_777}},
 	}},
 }
@@ -61,7 +61,7 @@
 // TestGoldenSpec: what stands in open/ is read as the job that it was, every field of the
 // job is there, and it is written again as it stood.
 func TestGoldenSpec(t *testing.T) {
-	var r openRecord
+	var r openJobRecord
 	if !decode(testgolden.Bytes(t, "open"), &r) {
 		t.Fatal("not a record")
 	}
@@ -69,10 +69,10 @@
 	all := maps.Clone(goldenRecords)
 	all["spec"] = s
 	testgolden.Full(t, all)
-	again := s.record(time.UnixMilli(r.At))
-	again.Cancelled, again.CancelledAt = r.Cancelled, r.CancelledAt
-	again.Lent, again.LentN, again.LentStop, again.Wanted = r.Lent, r.LentN, r.LentStop, r.Wanted
-	again.Guest, again.P = r.Guest, r.P
+	again := s.openRecord(time.UnixMilli(r.SubmittedAtMillis))
+	again.Cancelled, again.CancelledAtMillis = r.Cancelled, r.CancelledAtMillis
+	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = r.LentTo, r.LendCount, r.StopBoundMillis, r.CancelRequested
+	again.BorrowedLoan, again.PromisedMillis = r.BorrowedLoan, r.PromisedMillis
 	testgolden.Still(t, "open", encode(again))
 }
 
@@ -80,29 +80,29 @@
 // mean what they ever meant.
 func TestGoldenNames(t *testing.T) {
 	for want, got := range map[string]string{
-		"ctl/":                     ctlPrefix,
-		"ctl/lead":                 leadKey,
-		"ctl/node/":                nodePrefix,
-		"ctl/share/":               sharePrefix,
-		"ctl/lot/":                 lotPrefix,
+		"ctl/":                     controlPrefix,
+		"ctl/lead":                 leaderKey,
+		"ctl/node/":                controllerPrefix,
+		"ctl/share/":               shardPrefix,
+		"ctl/lot/":                 shardSegmentPrefix,
 		"ctl/drain":                drainKey,
-		"ctl/hears/":               hearsPrefix,
-		"ctl/form":                 formKey,
-		"ctl/form/":                formPrefix,
+		"ctl/hears/":               reroutePrefix,
+		"ctl/form":                 formatKey,
+		"ctl/form/":                formatSupportPrefix,
 		"ctl/ranking":              rankingKey,
-		"ranking/":                 historyPrefix,
-		"life/":                    lifePrefix,
-		"job/":                     jobPrefix,
-		"open/":                    openPrefix,
-		"open/~ops/":               pagesOf("ops"),
-		"open/~~7893bac725199fbd/": pagesOf("o p s"),
-		"task/job-000412/3":        taskForm{per: 42}.key("job-000412", 3),
-		"task/job-000412/s21.3":    taskForm{per: 21, part: true}.key("job-000412", 3),
-		"form/probe":               probeKey,
-		"warm/":                    warmPrefix,
-		"guest/":                   guestPrefix,
-		"guest/0/":                 renewedPrefix,
-		"move/ops":                 moveKey("ops"),
+		"ranking/":                 rankingHistoryPrefix,
+		"life/":                    incarnationPrefix,
+		"job/":                     jobStatusPrefix,
+		"open/":                    openJobPrefix,
+		"open/~ops/":               teamPagePrefix("ops"),
+		"open/~~7893bac725199fbd/": teamPagePrefix("o p s"),
+		"task/job-000412/3":        segmentFormat{tasksPerSegment: 42}.keyOf("job-000412", 3),
+		"task/job-000412/s21.3":    segmentFormat{tasksPerSegment: 21, sized: true}.keyOf("job-000412", 3),
+		"form/probe":               limitProbeKey,
+		"warm/":                    prewarmedPrefix,
+		"guest/":                   offloadedJobPrefix,
+		"guest/0/":                 renewalPrefix,
+		"move/ops":                 migrationKey("ops"),
 		"promise/quotes/":          quotesPrefix,
 		"promise/totals":           totalsKey,
 		"queued":                   string(Queued),
--- a/internal/core/heap.go
+++ b/internal/core/heap.go
@@ -1,49 +1,49 @@
 package core
 
-// pile is a heap, the first element before all others. It is the innermost part of
+// heap is a heap, the first element before all others. It is the innermost part of
 // planning and placing, and so holds values, and not interfaces as container/heap.
-type pile[T any, P interface {
+type heap[T any, P interface {
 	*T
 	before(*T) bool
 }] struct {
-	es []T
+	elems []T
 }
 
-func (h *pile[T, P]) push(e T) {
-	h.es = append(h.es, e)
-	for k := len(h.es) - 1; k > 0; {
+func (h *heap[T, P]) push(e T) {
+	h.elems = append(h.elems, e)
+	for k := len(h.elems) - 1; k > 0; {
 		up := (k - 1) / 2
-		if !P(&h.es[k]).before(&h.es[up]) {
+		if !P(&h.elems[k]).before(&h.elems[up]) {
 			return
 		}
-		h.es[k], h.es[up] = h.es[up], h.es[k]
+		h.elems[k], h.elems[up] = h.elems[up], h.elems[k]
 		k = up
 	}
 }
 
-// sink puts the first element where it belongs after it has become later.
-func (h *pile[T, P]) sink() {
+// siftDown puts the first element where it belongs after it has become later.
+func (h *heap[T, P]) siftDown() {
 	for k := 0; ; {
 		c := 2*k + 1
-		if c >= len(h.es) {
+		if c >= len(h.elems) {
 			return
 		}
-		if c+1 < len(h.es) && P(&h.es[c+1]).before(&h.es[c]) {
+		if c+1 < len(h.elems) && P(&h.elems[c+1]).before(&h.elems[c]) {
 			c++
 		}
-		if !P(&h.es[c]).before(&h.es[k]) {
+		if !P(&h.elems[c]).before(&h.elems[k]) {
 			return
 		}
-		h.es[k], h.es[c] = h.es[c], h.es[k]
+		h.elems[k], h.elems[c] = h.elems[c], h.elems[k]
 		k = c
 	}
 }
 
-func (h *pile[T, P]) pop() T {
-	e := h.es[0]
-	last := len(h.es) - 1
-	h.es[0] = h.es[last]
-	h.es = h.es[:last]
-	h.sink()
+func (h *heap[T, P]) pop() T {
+	e := h.elems[0]
+	last := len(h.elems) - 1
+	h.elems[0] = h.elems[last]
+	h.elems = h.elems[:last]
+	h.siftDown()
 	return e
 }
