--- a/internal/core/hear.go
+++ b/internal/core/hear.go
@@ -12,55 +12,55 @@
 // that counts is one that shows this owner's epoch, which nobody could have sent before
 // its time, or the answer to a direct question.
 
-// unheardMost is how many reports of a machine that has shown no sign of this owner's
+// maxUnprovenReplies is how many reports of a machine that has shown no sign of this owner's
 // answers are answered while its address does not answer either. Each answer counts as
 // one that prolonged its lease, and would put off the proof that this has run out.
-const unheardMost = 3
+const maxUnprovenReplies = 3
 
-// answerWait is how long a worker waits for the answer to a report.
-const answerWait = 4 * time.Second
+// heartbeatReplyTimeout is how long a worker waits for the answer to a report.
+const heartbeatReplyTimeout = 4 * time.Second
 
-// older says that something newer than the report was heard. What a worker has seen of
+// supersedes says that something newer than the report was heard. What a worker has seen of
 // epochs never falls: a copy of before it began anew may have a higher tenure, but not
 // the epoch of a later owner.
-func (m *machine) older(r *Report) bool {
-	return r.Epoch < m.seenEpoch || r.Tenure < m.tenure || r.Tenure == m.tenure && r.Tick <= m.tick
+func (m *machine) supersedes(r *Heartbeat) bool {
+	return r.Epoch < m.seenEpoch || r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence
 }
 
-// passedOver deals with reports that prove nothing, and says whether this is one.
-func passedOver(n *Node, m *machine, c *WorkerReport) bool {
-	r := &c.Report
+// handleUnprovenHeartbeat deals with reports that prove nothing, and says whether this is one.
+func handleUnprovenHeartbeat(n *Controller, m *machine, c *WorkerHeartbeat) bool {
+	r := &c.Heartbeat
 	switch {
-	case m.heard && m.older(r):
+	case m.heard && m.supersedes(r):
 		// A copy, or overtaken: it was sent before what is known came, so that nobody
 		// waits for its answer any more when that is long ago. Else it is answered and
 		// ordered nothing. Perhaps the worker has begun anew: its own answer would tell.
 		n.contact(m)
-		if n.now.Sub(m.newest) > answerWait {
-			n.emit(ReportReply{Reply: c.Reply, Status: 503})
+		if n.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
+			n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
 			break
 		}
-		renewOnly(n, m, c)
-	case m.anew != 0 && r.Epoch <= m.anew:
+		renewWithoutCommands(n, m, c)
+	case m.restartEpoch != 0 && r.Epoch <= m.restartEpoch:
 		// Perhaps of the time before its worker began anew. Its own answers tell, until
 		// its reports show an epoch that it can only have seen since.
 		m.probed = time.Time{}
 		n.contact(m)
-		renewOnly(n, m, c)
+		renewWithoutCommands(n, m, c)
 	case !m.heard && r.Epoch < m.epoch:
 		if m.addr == "" {
-			n.describe(m, r.Addr, r.Flavour, r.Zone, r.Spot)
+			n.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
 		}
-		if m.unanswered >= probesSilent && m.unheard >= unheardMost {
-			n.emit(ReportReply{Reply: c.Reply, Status: 503})
+		if m.unansweredProbes >= unresponsiveProbes && m.unheardHeartbeats >= maxUnprovenReplies {
+			n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
 		} else {
-			m.unheard++
-			renewOnly(n, m, c)
+			m.unheardHeartbeats++
+			renewWithoutCommands(n, m, c)
 		}
 		// If the answer arrives, the worker shows that with its next report, half a second
 		// later. Shown the epoch directly, it answers sooner.
-		if m.tenure = r.Tenure; !m.inFlight && n.owner.contacts < contactMost {
-			n.claimMachine(m)
+		if m.incarnation = r.Incarnation; !m.dispatchInFlight && n.shardLeader.contactsInFlight < maxContactsInFlight {
+			n.showEpoch(m)
 		}
 	default:
 		return false
@@ -68,133 +68,135 @@
 	return true
 }
 
-// seen is what was known of a machine before a message of it.
-type seen struct {
-	heard        bool
-	tenure, tick uint64
-	epoch        uint64
-	last         []TaskReport
+// machineSnapshot is what was known of a machine before a message of it.
+type machineSnapshot struct {
+	heard                 bool
+	incarnation, sequence uint64
+	epoch                 uint64
+	taskReports           []TaskReport
 }
 
-func (m *machine) seen() seen { return seen{m.heard, m.tenure, m.tick, m.seenEpoch, m.last} }
+func (m *machine) snapshot() machineSnapshot {
+	return machineSnapshot{m.heard, m.incarnation, m.sequence, m.seenEpoch, m.lastTaskReports}
+}
 
-// signs looks at a report that was taken in for what only an answer or order of ours
+// detectReachability looks at a report that was taken in for what only an answer or order of ours
 // can have brought.
-func signs(n *Node, m *machine, r *Report, was seen) {
-	m.unheard = 0
-	shown := m.shown || was.epoch < m.epoch && r.Epoch >= m.epoch
-	m.shown = false
+func detectReachability(n *Controller, m *machine, r *Heartbeat, was machineSnapshot) {
+	m.unheardHeartbeats = 0
+	shown := m.shownReachable || was.epoch < m.epoch && r.Epoch >= m.epoch
+	m.shownReachable = false
 	if !was.heard {
 		if shown {
-			m.reach.Shown()
+			m.reachability.Shown()
 		}
 		return
 	}
-	if r.Tenure > was.tenure {
-		m.reach.Tenure(n.now)
-		probe(n, m)
+	if r.Incarnation > was.incarnation {
+		m.reachability.Tenure(n.now)
+		probeIfUnreachable(n, m)
 		return
 	}
-	for i := range was.last {
+	for i := range was.taskReports {
 		// Cleared: only an order does that. They are cleared in their order.
-		if p := &was.last[i]; p.Status == Ended {
-			q, there := m.pieces[taskKey{p.Job, p.Index}]
-			shown = shown || !there || q.Try != p.Try
+		if p := &was.taskReports[i]; p.Status == Ended {
+			q, there := m.taskReports[taskKey{p.Job, p.Index}]
+			shown = shown || !there || q.Attempt != p.Attempt
 			break
 		}
 	}
 	if shown {
-		m.reach.Shown()
+		m.reachability.Shown()
 		n.selfMonitor.Arrived()
 		return
 	}
-	m.reach.Report(n.now, r.Tick > was.tick+1, n.leaseAfter(n.now).Sub(n.now))
-	probe(n, m)
+	m.reachability.Report(n.now, r.Sequence > was.sequence+1, n.leaseEndAfter(n.now).Sub(n.now))
+	probeIfUnreachable(n, m)
 }
 
-// probe asks a machine at once of which it is not sure that it hears.
-func probe(n *Node, m *machine) {
-	if !m.reach.Hears() {
+// probeIfUnreachable asks a machine at once of which it is not sure that it hears.
+func probeIfUnreachable(n *Controller, m *machine) {
+	if !m.reachability.Hears() {
 		m.probed = time.Time{}
 		n.contact(m)
 	}
 }
 
-// expectSign notes what an answer to a report will have to show.
-func expectSign(m *machine, orders []Order) {
+// expectAcknowledgment notes what an answer to a report will have to show.
+func expectAcknowledgment(m *machine, commands []TaskCommand) {
 	if m.seenEpoch < m.epoch {
-		m.reach.Expects()
+		m.reachability.Expects()
 	}
-	for _, o := range orders {
-		if o.Verb != Halt {
-			m.reach.Expects()
+	for _, o := range commands {
+		if o.Kind != StopTask {
+			m.reachability.Expects()
 			return
 		}
 	}
 }
 
-// answered takes in the answer of a machine to a direct request, or that there was
+// applyPollReply takes in the answer of a machine to a direct request, or that there was
 // none. was is what was known of the machine when the request left: if the answer is
 // older, the worker has begun anew, under the same name and without its tasks. No late
 // message can look like that, since it answers our own question. The worker then knows
 // nothing of its tenure, its epoch and its tasks: what should run there is ordered to
 // start there again, as any start may be repeated, and goes elsewhere only by the usual
 // proof. Late reports and orders of before are told apart by a higher epoch.
-func answered(n *Node, m *machine, r *Report, was seen) bool {
+func applyPollReply(n *Controller, m *machine, r *Heartbeat, was machineSnapshot) bool {
 	if r == nil || r.Machine != m.id {
-		m.unanswered++
+		m.unansweredProbes++
 		if was.heard {
 			// Before that it may not have been up.
-			m.reach.Unanswered(n.now)
+			m.reachability.Unanswered(n.now)
 		}
 		n.selfMonitor.Unanswered(n.now)
 		return false
 	}
-	m.reach.Answered()
-	m.questioned = false
+	m.reachability.Answered()
+	m.statusRequested = false
 	n.selfMonitor.Arrived()
-	if old := (machine{tenure: was.tenure, tick: was.tick, seenEpoch: was.epoch}); was.heard && old.older(r) {
-		n.info("a worker has begun anew", "machine", m.id, "tenure", r.Tenure)
-		m.tenure, m.tick, m.seenEpoch = r.Tenure, r.Tick-min(r.Tick, 1), 0
-		m.anew, m.came = m.epoch, Came{}
-		m.leaseEnd = later(m.leaseEnd, n.leaseAfter(later(n.now, m.former)))
-		if m.replyTick != 0 {
-			m.replyTick = r.Tick
+	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
+		n.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
+		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
+		m.restartEpoch, m.rerouted = m.epoch, ReroutedHeartbeat{}
+		m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(later(n.now, m.formerOwnerUntil)))
+		if m.replySequence != 0 {
+			m.replySequence = r.Sequence
 		}
-		m.pieces, m.last, m.images = nil, nil, map[string]*image{}
+		m.taskReports, m.lastTaskReports, m.images = nil, nil, map[string]*image{}
 		for _, k := range sortedAttempts(m) {
 			if t := m.attempts[k]; t.isRunning() {
-				n.owner.jobs[k.job].running--
+				n.shardLeader.jobs[k.job].runningTasks--
 			}
-			m.attempts[k].seen, m.attempts[k].started = false, time.Time{}
+			m.attempts[k].reported, m.attempts[k].startedAt = false, time.Time{}
 		}
-		n.countForeign(m)
+		n.recountOthersUsed(m)
 	}
-	n.hear(m, r, false)
-	m.shown = false
+	n.applyHeartbeat(m, r, false)
+	m.shownReachable = false
 	return true
 }
 
-// unhearing names the machines that report and hear nothing, and are to be given back.
-func unhearing(n *Node, reporting int) []string {
-	o := n.owner
-	var deaf []reachability.Machine
-	for _, m := range o.byID {
-		if !m.heard || m.returning || n.silent(m) {
+// unreachableMachines names the machines that report and hear nothing, and are to be given back.
+func unreachableMachines(n *Controller, reporting int) []string {
+	o := n.shardLeader
+	var unreachable []reachability.Machine
+	for _, m := range o.machinesByID {
+		if !m.heard || m.releasing || n.unresponsive(m) {
 			continue
 		}
-		if d, is := m.reach.Deaf(n.now); is {
-			deaf = append(deaf, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.Count(m.id), For: d})
+		if d, is := m.reachability.Deaf(n.now); is {
+			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.Count(m.id), For: d})
 		}
 	}
-	if len(deaf) == 0 {
+	if len(unreachable) == 0 {
 		return nil
 	}
-	p := reachability.Patience{Alone: probesSilent*probeEvery + n.longestReport(), Lease: n.leaseAfter(n.now).Sub(n.now), Returned: o.deafBack}
-	back := reachability.GiveBack(n.now, p, reporting, deaf)
-	if len(back) > 0 {
-		o.deafBack = n.now
-		n.info("machines report and hear nothing", "machines", len(deaf), "of", reporting, "given back", len(back))
+	p := reachability.Patience{Alone: unresponsiveProbes*probeInterval + n.maxHeartbeatInterval(), Lease: n.leaseEndAfter(n.now).Sub(n.now), Returned: o.unreachableReleasedAt}
+	toRelease := reachability.GiveBack(n.now, p, reporting, unreachable)
+	if len(toRelease) > 0 {
+		o.unreachableReleasedAt = n.now
+		n.info("machines report and hear nothing", "machines", len(unreachable), "of", reporting, "given back", len(toRelease))
 	}
-	return back
+	return toRelease
 }
--- a/internal/core/hear_test.go
+++ b/internal/core/hear_test.go
@@ -5,300 +5,300 @@
 	"time"
 )
 
-// firstWork gives the first machine of a pool one task that runs there.
-func firstWork(n *Node) (*machine, *job) {
-	n.owner.jobs = map[string]*job{}
-	for _, m := range n.owner.byID {
+// machineWithTask gives the first machine of a pool one task that runs there.
+func machineWithTask(n *Controller) (*machine, *job) {
+	n.shardLeader.jobs = map[string]*job{}
+	for _, m := range n.shardLeader.machinesByID {
 		m.attempts, m.used = map[taskKey]*task{}, Resources{}
 	}
-	m := n.owner.byID[0]
-	j := n.onMachine("job-000900", m)
-	j.chunkOf(0).saved = 1
-	n.again(0, TaskReport{Job: j.ID, Index: 0, Try: 1, Status: Running})
+	m := n.shardLeader.machinesByID[0]
+	j := n.addJobOn("job-000900", m)
+	j.segmentOf(0).persistedVersion = 1
+	n.nextHeartbeat(0, TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: Running})
 	return m, j
 }
 
 // ask takes what the node has just asked a machine, and answers it or not.
-func (n *Node) ask1(t *testing.T, m *machine, r *Report) {
+func (n *Controller) answerPoll(t *testing.T, m *machine, r *Heartbeat) {
 	t.Helper()
-	for _, op := range emitted[WorkerOp](n) {
+	for _, op := range emittedEffects[WorkerRequest](n) {
 		if op.Machine == m.id {
-			n.out = nil
-			n.command(WorkerDone{ID: op.ID, OK: true, Report: r})
+			n.effects = nil
+			n.handleCommand(WorkerResponse{ID: op.ID, OK: true, Heartbeat: r})
 			return
 		}
 	}
 	t.Fatal("the machine is not asked")
 }
 
-// TestOrderWithoutAnswer: after an order without an answer nothing more is placed on a
+// TestCommandWithoutReply: after an order without an answer nothing more is placed on a
 // machine, though it reports; it is asked, and used again with its first answer.
-func TestOrderWithoutAnswer(t *testing.T) {
+func TestCommandWithoutReply(t *testing.T) {
 	n := largePool(12)
-	m, _ := firstWork(n)
-	n.out = nil
+	m, _ := machineWithTask(n)
+	n.effects = nil
 	n.contact(m)
-	n.ask1(t, m, nil)
-	n.again(0, m.last...)
+	n.answerPoll(t, m, nil)
+	n.nextHeartbeat(0, m.lastTaskReports...)
 	if n.usable(m) {
 		t.Fatal("it gets more work")
 	}
 	n.contact(m)
-	n.ask1(t, m, nil)
+	n.answerPoll(t, m, nil)
 	n.now = n.now.Add(20 * time.Second)
-	for _, x := range n.owner.byID {
+	for _, x := range n.shardLeader.machinesByID {
 		x.lastHeard = n.now
 	}
-	if back := unhearing(n, 12); len(back) != 1 || back[0] != m.id {
+	if back := unreachableMachines(n, 12); len(back) != 1 || back[0] != m.id {
 		t.Errorf("%v are given back, want %s", back, m.id)
 	}
 	n.contact(m)
-	r := n.poolReport(0)
-	r.Tick, r.Epoch, r.Tasks = m.tick+1, m.epoch, m.last
-	n.ask1(t, m, r)
-	if !n.usable(m) || len(unhearing(n, 12)) != 0 {
+	r := n.poolHeartbeat(0)
+	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
+	n.answerPoll(t, m, r)
+	if !n.usable(m) || len(unreachableMachines(n, 12)) != 0 {
 		t.Error("it answers, and is not used again")
 	}
 }
 
-// TestLeaseRunsOutWhileHeard: a later tenure of a machine that reports is proof for its
+// TestLeaseExpiresDespiteHeartbeats: a later tenure of a machine that reports is proof for its
 // tasks and a doubt about its hearing; a report that shows a start ends the doubt.
-func TestLeaseRunsOutWhileHeard(t *testing.T) {
+func TestLeaseExpiresDespiteHeartbeats(t *testing.T) {
 	n := largePool(12)
-	m, j := firstWork(n)
-	report := func(tenure, tick uint64, tasks ...TaskReport) {
-		r := n.poolReport(0)
-		r.Tenure, r.Tick, r.Epoch, r.Tasks = tenure, tick, m.epoch, tasks
+	m, j := machineWithTask(n)
+	sendHeartbeat := func(tenure, tick uint64, tasks ...TaskReport) {
+		r := n.poolHeartbeat(0)
+		r.Incarnation, r.Sequence, r.Epoch, r.Tasks = tenure, tick, m.epoch, tasks
 		n.now = n.now.Add(3 * time.Second)
-		n.workerReport(WorkerReport{Reply: 1, Report: *r})
+		n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	}
-	report(2, m.tick+1)
-	if j.live != 0 || n.usable(m) {
-		t.Fatalf("%d tasks are live, usable %v", j.live, n.usable(m))
+	sendHeartbeat(2, m.sequence+1)
+	if j.liveTasks != 0 || n.usable(m) {
+		t.Fatalf("%d tasks are live, usable %v", j.liveTasks, n.usable(m))
 	}
 	t1 := &j.tasks[0]
-	t1.try, t1.sent = 2, true
-	n.attach(j, 0, m)
-	report(2, m.tick+1, TaskReport{Job: j.ID, Index: 0, Try: 2, Status: Fetching})
+	t1.attempt, t1.startSent = 2, true
+	n.attachAttempt(j, 0, m)
+	sendHeartbeat(2, m.sequence+1, TaskReport{Job: j.ID, Index: 0, Attempt: 2, Status: Fetching})
 	if !n.usable(m) {
 		t.Error("it has started what it was told to, and is not used")
 	}
 }
 
-// TestCopies: a report that comes once more, or first of all under an epoch of before,
+// TestDuplicateHeartbeats: a report that comes once more, or first of all under an epoch of before,
 // is no sign of life, no notice and no end of an attempt, orders nothing, and puts no
 // proof off.
-func TestCopies(t *testing.T) {
+func TestDuplicateHeartbeats(t *testing.T) {
 	n := largePool(12)
-	m, j := firstWork(n)
-	heard, tick, end := m.lastHeard, m.tick, m.leaseEnd
-	old := n.poolReport(0)
-	old.Tick, old.Epoch, old.Recall = 1, m.epoch, time.Second
-	old.Tasks = []TaskReport{{Job: j.ID, Index: 0, Try: 1, Status: Ended, Cause: "done"}}
+	m, j := machineWithTask(n)
+	heard, tick, end := m.lastHeard, m.sequence, m.leaseEnd
+	old := n.poolHeartbeat(0)
+	old.Sequence, old.Epoch, old.ReclaimIn = 1, m.epoch, time.Second
+	old.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: Ended, Cause: "done"}}
 	n.now = n.now.Add(time.Hour)
-	n.out = nil
-	n.workerReport(WorkerReport{Reply: 1, Report: *old})
-	if m.lastHeard != heard || m.tick != tick || m.recall || j.done != 0 || m.leaseEnd != end {
+	n.effects = nil
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *old})
+	if m.lastHeard != heard || m.sequence != tick || m.reclaimNoticed || j.doneTasks != 0 || m.leaseEnd != end {
 		t.Error("a copy counts")
 	}
-	for _, r := range emitted[ReportReply](n) {
+	for _, r := range emittedEffects[HeartbeatReply](n) {
 		if r.Status != 503 {
-			t.Errorf("it is answered %d with %v", r.Status, r.Orders)
+			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
 		}
 	}
 	// One that was overtaken is waited for, and its answer counts.
-	n.now, n.out = m.newest.Add(time.Second), nil
+	n.now, n.effects = m.newestMessageAt.Add(time.Second), nil
 	m.leaseEnd = n.now
-	n.workerReport(WorkerReport{Reply: 1, Report: *old})
-	for _, r := range emitted[ReportReply](n) {
-		if r.Status != 200 || len(r.Orders) > 0 {
-			t.Errorf("it is answered %d with %v", r.Status, r.Orders)
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *old})
+	for _, r := range emittedEffects[HeartbeatReply](n) {
+		if r.Status != 200 || len(r.Commands) > 0 {
+			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
 		}
 	}
-	if m.leaseEnd.Before(n.leaseAfter(n.now)) || m.tick != tick {
+	if m.leaseEnd.Before(n.leaseEndAfter(n.now)) || m.sequence != tick {
 		t.Error("its lease is prolonged, and not counted")
 	}
 	// A successor knows no earlier tick.
 	n = largePool(1)
-	x := Report{Machine: "vm-000900", Addr: "x", Flavour: "box", Zone: "z", Tenure: 1, Tick: 70, Epoch: 0, Recall: time.Second}
-	x.Tasks = []TaskReport{{Job: j.ID, Index: 0, Try: 1, Status: Ended, Cause: "done"}}
-	n.workerReport(WorkerReport{Reply: 1, Report: x})
-	m = n.owner.machines[x.Machine]
-	if m.heard || m.recall || n.usable(m) || len(m.pieces) > 0 {
+	earlyHeartbeat := Heartbeat{Machine: "vm-000900", Addr: "x", MachineType: "box", Zone: "z", Incarnation: 1, Sequence: 70, Epoch: 0, ReclaimIn: time.Second}
+	earlyHeartbeat.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: Ended, Cause: "done"}}
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+	m = n.shardLeader.machines[earlyHeartbeat.Machine]
+	if m.heard || m.reclaimNoticed || n.usable(m) || len(m.taskReports) > 0 {
 		t.Fatal("the first report of all, of an epoch of before, counts")
 	}
-	n.ask1(t, m, nil)
+	n.answerPoll(t, m, nil)
 	for range 2 {
 		// Its address does not answer, and more copies come.
-		n.now, n.out = n.now.Add(4*time.Second), nil
-		x.Tick++
-		n.workerReport(WorkerReport{Reply: 1, Report: x})
-		n.ask1(t, m, nil)
+		n.now, n.effects = n.now.Add(4*time.Second), nil
+		earlyHeartbeat.Sequence++
+		n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+		n.answerPoll(t, m, nil)
 	}
 	end = m.leaseEnd
 	n.now = n.now.Add(4 * time.Second)
-	n.workerReport(WorkerReport{Reply: 1, Report: x})
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	if m.leaseEnd != end {
 		t.Error("copies put the end of its lease off")
 	}
-	x.Tick, x.Epoch = x.Tick+1, m.epoch
-	n.workerReport(WorkerReport{Reply: 1, Report: x})
-	if !m.heard || !m.recall {
+	earlyHeartbeat.Sequence, earlyHeartbeat.Epoch = earlyHeartbeat.Sequence+1, m.epoch
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+	if !m.heard || !m.reclaimNoticed {
 		t.Error("a report with this owner's epoch does not count")
 	}
 }
 
-// TestBegunAnew: a worker that answers with less than was known has begun anew. Its
+// TestWorkerRestart: a worker that answers with less than was known has begun anew. Its
 // tasks start there again, a late report of before is told apart, and so is one that
 // only looks like its first reports.
-func TestBegunAnew(t *testing.T) {
+func TestWorkerRestart(t *testing.T) {
 	n := largePool(12)
-	m, j := firstWork(n)
-	first := n.poolReport(0)
-	first.Tick, first.Epoch = 1, 0
-	n.workerReport(WorkerReport{Reply: 1, Report: *first})
-	if m.anew != 0 || m.tick == 1 {
+	m, j := machineWithTask(n)
+	first := n.poolHeartbeat(0)
+	first.Sequence, first.Epoch = 1, 0
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *first})
+	if m.restartEpoch != 0 || m.sequence == 1 {
 		t.Fatal("a copy of its first report is taken for a new beginning")
 	}
-	n.out, m.questioned, m.probed = nil, false, time.Time{}
-	m.came = Came{m.id, m.epoch, m.tenure, 900}
+	n.effects, m.statusRequested, m.probed = nil, false, time.Time{}
+	m.rerouted = ReroutedHeartbeat{m.id, m.epoch, m.incarnation, 900}
 	n.contact(m)
-	n.ask1(t, m, first)
-	if m.came != (Came{}) {
+	n.answerPoll(t, m, first)
+	if m.rerouted != (ReroutedHeartbeat{}) {
 		t.Error("what it told others before is held against its reports")
 	}
-	if m.anew != m.epoch || j.live != 1 {
-		t.Fatalf("begun anew under %d, %d tasks live", m.anew, j.live)
+	if m.restartEpoch != m.epoch || j.liveTasks != 1 {
+		t.Fatalf("begun anew under %d, %d tasks live", m.restartEpoch, j.liveTasks)
 	}
-	if os := n.reconcile(m); len(os) != 1 || os[0].Verb != Start {
+	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StartTask {
 		t.Errorf("ordered %v, want its task's start", os)
 	}
 	// A report of before comes late, with a higher tick and without the task.
-	late := n.poolReport(0)
-	late.Tick, late.Epoch = 900, m.epoch
-	n.workerReport(WorkerReport{Reply: 1, Report: *late})
-	if m.tick == 900 || j.live != 1 {
+	late := n.poolHeartbeat(0)
+	late.Sequence, late.Epoch = 900, m.epoch
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
+	if m.sequence == 900 || j.liveTasks != 1 {
 		t.Error("a report of before counts")
 	}
 	// Under a higher epoch, which only the new one can have seen, reports count again.
-	n.lotOf(t, n.set.Host, 9, m.id)
-	n.ownerCheck()
-	late.Tick, late.Epoch = 5, 9
-	late.Tasks = []TaskReport{{Job: j.ID, Index: 0, Try: 1, Status: Running}}
-	n.workerReport(WorkerReport{Reply: 1, Report: *late})
-	if m.epoch != 9 || m.tick != 5 {
+	n.putSegment(t, n.settings.Host, 9, m.id)
+	n.syncShardLeader()
+	late.Sequence, late.Epoch = 5, 9
+	late.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: Running}}
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
+	if m.epoch != 9 || m.sequence != 5 {
 		t.Error("a report under the higher epoch does not count")
 	}
 	// A copy of before has a higher tenure, and an epoch that the worker left behind.
-	late.Tenure, late.Tick, late.Epoch, late.Tasks = 7, 1, 8, nil
-	n.workerReport(WorkerReport{Reply: 1, Report: *late})
-	if m.tenure == 7 || j.live != 1 {
+	late.Incarnation, late.Sequence, late.Epoch, late.Tasks = 7, 1, 8, nil
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
+	if m.incarnation == 7 || j.liveTasks != 1 {
 		t.Error("a copy of an earlier owner's time is proof of a lease that ran out")
 	}
 }
 
-// TestLateAnswer: the answer to a submission may come after the job was cancelled and is
+// TestLateSubmitReply: the answer to a submission may come after the job was cancelled and is
 // over; it does not bring the job back into the owner's books.
-func TestLateAnswer(t *testing.T) {
-	n := two(t)
-	n.users.mirror.rev = 20
-	spec := Spec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}
-	n.owner.teams["ops"] = &teamHeld{ready: true}
-	put := Item{Key: openPrefix + spec.ID, Value: encode(spec.record(n.now)), Stamp: 21}
-	n.ownerSees(put)
-	if n.owner.jobs[spec.ID] == nil {
+func TestLateSubmitReply(t *testing.T) {
+	n := twoControllers(t)
+	n.frontend.watchCache.revision = 20
+	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}
+	n.shardLeader.teams["ops"] = &heldTeam{ready: true}
+	put := KeyValue{Key: openJobPrefix + spec.ID, Value: encode(spec.openRecord(n.now)), ModRevision: 21}
+	n.observeOwnWrite(put)
+	if n.shardLeader.jobs[spec.ID] == nil {
 		t.Fatal("a job that was just accepted is not taken up")
 	}
-	delete(n.owner.jobs, spec.ID)
-	n.users.mirror.rev = 22
-	n.ownerSees(put)
-	if n.owner.jobs[spec.ID] != nil {
+	delete(n.shardLeader.jobs, spec.ID)
+	n.frontend.watchCache.revision = 22
+	n.observeOwnWrite(put)
+	if n.shardLeader.jobs[spec.ID] != nil {
 		t.Error("an answer that comes late brings it back")
 	}
 }
 
-// TestCutOffStartsNothing: one whose grant may have ended goes on answering its workers
+// TestExpiredLeaseStartsNothing: one whose grant may have ended goes on answering its workers
 // and starts nothing, not even what is durable: its job may have been cancelled.
-func TestCutOffStartsNothing(t *testing.T) {
+func TestExpiredLeaseStartsNothing(t *testing.T) {
 	n := largePool(12)
-	m, j := firstWork(n)
-	n.attach(j, 0, m)
-	j.tasks[0].sent = false
-	report := func() (out []Order) {
-		n.out = nil
-		r := n.poolReport(0)
-		r.Tick, r.Epoch = m.tick+1, m.epoch
-		n.workerReport(WorkerReport{Reply: 1, Report: *r})
-		for _, a := range emitted[ReportReply](n) {
+	m, j := machineWithTask(n)
+	n.attachAttempt(j, 0, m)
+	j.tasks[0].startSent = false
+	sendHeartbeat := func() (out []TaskCommand) {
+		n.effects = nil
+		r := n.poolHeartbeat(0)
+		r.Sequence, r.Epoch = m.sequence+1, m.epoch
+		n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+		for _, a := range emittedEffects[HeartbeatReply](n) {
 			if a.Status != 200 {
 				t.Fatalf("a report is answered %d", a.Status)
 			}
-			out = append(out, a.Orders...)
+			out = append(out, a.Commands...)
 		}
 		return out
 	}
-	n.sess.sureUntil = n.now.Add(-time.Second)
-	if os := report(); len(os) != 0 || j.tasks[0].sent {
+	n.membership.leaseValidUntil = n.now.Add(-time.Second)
+	if os := sendHeartbeat(); len(os) != 0 || j.tasks[0].startSent {
 		t.Errorf("ordered %v", os)
 	}
-	n.sess.sureUntil = n.now.Add(time.Second)
-	if os := report(); len(os) != 1 || os[0].Verb != Start {
+	n.membership.leaseValidUntil = n.now.Add(time.Second)
+	if os := sendHeartbeat(); len(os) != 1 || os[0].Kind != StartTask {
 		t.Errorf("ordered %v, want its start", os)
 	}
 }
 
-// TestCame: a machine that reports to others lives and may not hear this owner: it is no
+// TestReroutedHeartbeats: a machine that reports to others lives and may not hear this owner: it is no
 // silent one, and gets no work. What is older, or of a time before, says nothing.
-func TestCame(t *testing.T) {
+func TestReroutedHeartbeats(t *testing.T) {
 	n := largePool(12)
-	m, _ := firstWork(n)
-	n.now = n.now.Add(5 * n.silentAfter(m))
-	for _, x := range []Came{{m.id, m.epoch, m.tenure, m.tick}, {m.id, m.epoch - 1, m.tenure, m.tick + 5}, {m.id, m.epoch, m.tenure - 1, m.tick + 5}} {
-		takeCame(n, []Came{x})
-		if !n.silent(m) {
+	m, _ := machineWithTask(n)
+	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	for _, x := range []ReroutedHeartbeat{{m.id, m.epoch, m.incarnation, m.sequence}, {m.id, m.epoch - 1, m.incarnation, m.sequence + 5}, {m.id, m.epoch, m.incarnation - 1, m.sequence + 5}} {
+		applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
+		if !n.unresponsive(m) {
 			t.Errorf("%v is a sign of life", x)
 		}
 	}
 	m.epoch++
-	takeCame(n, []Came{{m.id, m.epoch - 1, m.tenure, m.tick + 5}})
-	if !n.silent(m) {
+	applyReroutedHeartbeats(n, []ReroutedHeartbeat{{m.id, m.epoch - 1, m.incarnation, m.sequence + 5}})
+	if !n.unresponsive(m) {
 		t.Error("a report that shows no epoch of this owner's time is a sign of life")
 	}
 	m.epoch--
-	x := Came{m.id, m.epoch, m.tenure, m.tick + 5}
-	takeCame(n, []Came{x})
-	if n.silent(m) || n.usable(m) {
-		t.Errorf("silent %v, usable %v", n.silent(m), n.usable(m))
-	}
-	n.now = n.now.Add(5 * n.silentAfter(m))
-	takeCame(n, []Came{x})
-	if !n.silent(m) {
+	x := ReroutedHeartbeat{m.id, m.epoch, m.incarnation, m.sequence + 5}
+	applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
+	if n.unresponsive(m) || n.usable(m) {
+		t.Errorf("silent %v, usable %v", n.unresponsive(m), n.usable(m))
+	}
+	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
+	if !n.unresponsive(m) {
 		t.Error("told again, it is a sign of life again")
 	}
-	if (&PeerNews{From: "b", Came: make([]Came, cameMost+1)}).bad() == "" || (&PeerNews{From: "b", Came: []Came{{}}}).bad() == "" {
+	if (&PeerUpdate{From: "b", Rerouted: make([]ReroutedHeartbeat, maxReroutedHeartbeats+1)}).validate() == "" || (&PeerUpdate{From: "b", Rerouted: []ReroutedHeartbeat{{}}}).validate() == "" {
 		t.Error("bad news is taken")
 	}
 }
 
-// TestReportUnderEarlierEpoch: a newer report under an epoch of before, of a machine that
+// TestHeartbeatUnderEarlierEpoch: a newer report under an epoch of before, of a machine that
 // is known, tells what was there, and not that the machine lives now.
-func TestReportUnderEarlierEpoch(t *testing.T) {
+func TestHeartbeatUnderEarlierEpoch(t *testing.T) {
 	n := largePool(12)
-	m, _ := firstWork(n)
+	m, _ := machineWithTask(n)
 	was := m.epoch
-	n.lotOf(t, n.set.Host, 9, m.id)
-	n.ownerCheck()
-	n.now = n.now.Add(5 * n.silentAfter(m))
-	n.sess.sureUntil = n.now.Add(time.Second)
-	r := n.poolReport(0)
-	r.Tick, r.Epoch, r.Tasks = m.tick+1, was, m.last
-	n.workerReport(WorkerReport{Reply: 1, Report: *r})
-	if m.tick != r.Tick || !n.silent(m) {
-		t.Errorf("known up to tick %d, silent %v", m.tick, n.silent(m))
-	}
-	r.Tick, r.Epoch = m.tick+1, m.epoch
-	n.workerReport(WorkerReport{Reply: 1, Report: *r})
-	if n.silent(m) {
+	n.putSegment(t, n.settings.Host, 9, m.id)
+	n.syncShardLeader()
+	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.membership.leaseValidUntil = n.now.Add(time.Second)
+	r := n.poolHeartbeat(0)
+	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, was, m.lastTaskReports
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	if m.sequence != r.Sequence || !n.unresponsive(m) {
+		t.Errorf("known up to tick %d, silent %v", m.sequence, n.unresponsive(m))
+	}
+	r.Sequence, r.Epoch = m.sequence+1, m.epoch
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	if n.unresponsive(m) {
 		t.Error("a report under the epoch of now is no sign of life")
 	}
 }
--- a/internal/core/horizon.go
+++ b/internal/core/horizon.go
@@ -13,78 +13,78 @@
 // internal/horizon. What an answer rests on is judged once more when it leaves; see
 // late.go.
 
-// Horizon is how the settings bound answers that prolong leases.
-func (s *Settings) Horizon() horizon.Rule {
+// RenewalBound is how the settings bound answers that prolong leases.
+func (s *Settings) RenewalBound() horizon.Rule {
 	return horizon.Rule{
-		Cancel: s.Cancel, Lease: s.Lease,
-		Margin: leaseMargin + time.Duration(float64(s.Cancel)*clockDrift),
+		Cancel: s.CancellationBound, Lease: s.WorkerLease,
+		Margin: leaseMargin + time.Duration(float64(s.CancellationBound)*clockDrift),
 	}
 }
 
-// renewUntil is the last moment at which this owner prolongs any lease, by its grant and
+// renewalDeadline is the last moment at which this owner prolongs any lease, by its grant and
 // by what it knows of cancellations.
-func (n *Node) renewUntil() time.Time {
-	return earlier(n.sess.sureUntil.Add(n.grace()), n.set.Horizon().Until(n.users.mirror.asOf))
+func (n *Controller) renewalDeadline() time.Time {
+	return earlier(n.membership.leaseValidUntil.Add(n.grace()), n.settings.RenewalBound().Until(n.frontend.watchCache.asOf))
 }
 
-// startsKnown is the last moment at which a start leaves, whoever it is for. A direct order
+// startDeadline is the last moment at which a start leaves, whoever it is for. A direct order
 // names a session that had begun by then and that no answer prolongs beyond the horizon's
 // window: so it ends in time for a cancellation that this owner can't know, also where the
 // session has just begun. A grant says nothing of that; it may be renewed while open/ can't
 // be read.
-func (n *Node) startsKnown() time.Time {
-	return earlier(n.sess.sureUntil, n.set.Horizon().Until(n.users.mirror.asOf))
+func (n *Controller) startDeadline() time.Time {
+	return earlier(n.membership.leaseValidUntil, n.settings.RenewalBound().Until(n.frontend.watchCache.asOf))
 }
 
-// renewUntilOn is renewUntil for one machine: as long as tasks of a cancelled job may be on
+// machineRenewalDeadline is renewalDeadline for one machine: as long as tasks of a cancelled job may be on
 // it or begin there, their time counts too. They were told to stop, but what was told may
 // never arrive, and a start that was sent before may yet. settled: see machine.settled.
 // listed is what a report names that is not taken in: of a machine that has just come it
 // may be all there is to tell of another owner's cancelled tasks.
-func (n *Node) renewUntilOn(m *machine, settled bool, listed []TaskReport) time.Time {
-	until := n.renewUntil()
+func (n *Controller) machineRenewalDeadline(m *machine, settled bool, reported []TaskReport) time.Time {
+	until := n.renewalDeadline()
 	if m.seenEpoch < m.epoch {
-		until = earlier(until, n.unreadBound())
+		until = earlier(until, n.unreadTeamsDeadline())
 	}
-	for _, p := range listed {
+	for _, p := range reported {
 		if p.Status != Ended {
-			until = earlier(until, n.cancelBound(p.Job))
+			until = earlier(until, n.cancelledJobDeadline(p.Job))
 		}
 	}
-	if settled && !m.hasForeign {
+	if settled && !m.hasOthersAttempts {
 		return until
 	}
 	for k := range m.attempts {
-		until = earlier(until, n.cancelBound(k.job))
+		until = earlier(until, n.cancelledJobDeadline(k.job))
 	}
-	for k, p := range m.pieces {
+	for k, p := range m.taskReports {
 		if p.Status != Ended {
-			until = earlier(until, n.cancelBound(k.job))
+			until = earlier(until, n.cancelledJobDeadline(k.job))
 		}
 	}
-	for _, a := range n.owner.registry.Living(m.id) {
-		until = earlier(until, n.cancelBound(a.Job))
+	for _, a := range n.shardLeader.registry.Living(m.id) {
+		until = earlier(until, n.cancelledJobDeadline(a.Job))
 	}
 	return until
 }
 
-// cancelBound is the last moment for an answer to a machine that may have a task of a job,
+// cancelledJobDeadline is the last moment for an answer to a machine that may have a task of a job,
 // if it is cancelled, and zero else. What is not in the picture yet is later than the
 // horizon.
-func (n *Node) cancelBound(job string) time.Time {
-	l, open := n.users.mirror.open[job]
+func (n *Controller) cancelledJobDeadline(job string) time.Time {
+	l, open := n.frontend.watchCache.openJobs[job]
 	if !open || !l.rec.Cancelled {
 		return time.Time{}
 	}
-	return n.set.Horizon().Until(n.cancelledAt(&l.rec))
+	return n.settings.RenewalBound().Until(n.earliestCancellation(&l.rec))
 }
 
-// unreadBound is the last moment for an answer to a machine that a former owner may have
+// unreadTeamsDeadline is the last moment for an answer to a machine that a former owner may have
 // ordered something of which this one has not read, while there are teams whose records it
 // has not. When the machine has shown this owner's epoch, nothing of before can begin there.
-func (n *Node) unreadBound() (until time.Time) {
+func (n *Controller) unreadTeamsDeadline() (until time.Time) {
 	unread := map[string]bool{}
-	for t, h := range n.owner.teams {
+	for t, h := range n.shardLeader.teams {
 		if !h.ready {
 			unread[t] = true
 		}
@@ -92,73 +92,73 @@
 	if len(unread) == 0 {
 		return until
 	}
-	for job, l := range n.users.mirror.open {
+	for job, l := range n.frontend.watchCache.openJobs {
 		// A record without a team is of an earlier form.
 		if unread[l.rec.Team] || l.rec.Team == "" {
-			until = earlier(until, n.cancelBound(job))
+			until = earlier(until, n.cancelledJobDeadline(job))
 		}
 	}
 	return until
 }
 
-// cancelledAt is the earliest moment, by this node's clock, at which anybody can have been
+// earliestCancellation is the earliest moment, by this node's clock, at which anybody can have been
 // told that a job is cancelled. A record without it is of an earlier version: it may be
 // long ago.
-func (n *Node) cancelledAt(r *openRecord) time.Time {
-	if r.CancelledAt <= 0 {
+func (n *Controller) earliestCancellation(r *openJobRecord) time.Time {
+	if r.CancelledAtMillis <= 0 {
 		return time.Time{}
 	}
 	// Both clocks may be off, each its own way.
-	age := max(0, n.now.Sub(time.UnixMilli(r.CancelledAt))) + 2*n.set.ClockBound
+	age := max(0, n.now.Sub(time.UnixMilli(r.CancelledAtMillis))) + 2*n.settings.MaxClockError
 	return n.now.Add(-age)
 }
 
-// renewal is until when a report of m may be answered so that its lease goes on, which is
+// renewLease is until when a report of m may be answered so that its lease goes on, which is
 // noted. When that is over it is refused, the lease is to run out, and what has to stop is
 // ordered directly; so is the epoch shown that may be the proof that all is gone.
-func renewal(n *Node, m *machine, settled bool, listed []TaskReport, reply uint64) (until time.Time, renews bool) {
-	until = n.renewUntilOn(m, settled, listed)
+func renewLease(n *Controller, m *machine, settled bool, reported []TaskReport, reply uint64) (until time.Time, renews bool) {
+	until = n.machineRenewalDeadline(m, settled, reported)
 	if n.now.After(until) {
-		n.mark(m)
-		if m.seenEpoch < m.epoch && !m.inFlight && !n.now.After(n.sess.sureUntil) && n.owner.contacts < contactMost {
-			n.claimMachine(m)
+		n.markDispatchPending(m)
+		if m.seenEpoch < m.epoch && !m.dispatchInFlight && !n.now.After(n.membership.leaseValidUntil) && n.shardLeader.contactsInFlight < maxContactsInFlight {
+			n.showEpoch(m)
 		}
-		n.emit(ReportReply{Reply: reply, Status: 503})
+		n.emit(HeartbeatReply{Reply: reply, Status: 503})
 		return until, false
 	}
-	m.leaseEnd = later(m.leaseEnd, n.leaseAfter(n.now))
+	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(n.now))
 	return until, true
 }
 
-// renewOnly answers a report that proves nothing: it orders nothing.
-func renewOnly(n *Node, m *machine, c *WorkerReport) {
-	if until, renews := renewal(n, m, m.settled(), c.Report.Tasks, c.Reply); renews {
-		n.emit(ReportReply{Reply: c.Reply, Until: until, Status: 200, Epoch: m.epoch})
+// renewWithoutCommands answers a report that proves nothing: it orders nothing.
+func renewWithoutCommands(n *Controller, m *machine, c *WorkerHeartbeat) {
+	if until, renews := renewLease(n, m, m.settled(), c.Heartbeat.Tasks, c.Reply); renews {
+		n.emit(HeartbeatReply{Reply: c.Reply, SendDeadline: until, Status: 200, Epoch: m.epoch})
 	}
 }
 
-// renewUnread answers a report before the owner has read which attempts there should be:
+// renewBeforeRecovery answers a report before the owner has read which attempts there should be:
 // it starts nothing, and halts what it knows to be cancelled. A start of the owner before
 // that is on its way is of a lower epoch than this answer's, but may come before it.
-func renewUnread(n *Node, c *WorkerReport, epoch uint64) {
-	until := n.renewUntil()
-	if c.Report.Epoch < epoch {
-		until = earlier(until, n.unreadBound())
-	}
-	var halts []Order
-	for _, p := range c.Report.Tasks {
-		bound := n.cancelBound(p.Job)
-		if p.Status == Ended || bound.IsZero() && n.users.final[p.Job] != Cancelled {
+func renewBeforeRecovery(n *Controller, c *WorkerHeartbeat, epoch uint64) {
+	until := n.renewalDeadline()
+	if c.Heartbeat.Epoch < epoch {
+		until = earlier(until, n.unreadTeamsDeadline())
+	}
+	var stops []TaskCommand
+	for _, p := range c.Heartbeat.Tasks {
+		bound := n.cancelledJobDeadline(p.Job)
+		if p.Status == Ended || bound.IsZero() && n.frontend.finalStatuses[p.Job] != Cancelled {
 			continue
 		}
 		until = earlier(until, bound)
-		if len(halts) < ordersMost {
-			halts = append(halts, Order{Verb: Halt, Job: p.Job, Index: p.Index, Try: p.Try})
+		if len(stops) < maxCommands {
+			stops = append(stops, TaskCommand{Kind: StopTask, Job: p.Job, Index: p.Index, Attempt: p.Attempt})
 		}
 	}
 	if n.now.After(until) {
-		n.emit(ReportReply{Reply: c.Reply, Status: 503})
+		n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
 		return
 	}
-	n.emit(ReportReply{Reply: c.Reply, Until: until, Status: 200, Epoch: epoch, Orders: halts})
+	n.emit(HeartbeatReply{Reply: c.Reply, SendDeadline: until, Status: 200, Epoch: epoch, Commands: stops})
 }
--- a/internal/core/huge_test.go
+++ b/internal/core/huge_test.go
@@ -13,134 +13,134 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// hugeDay is an owner with one job, its machines and a state service that answers all
+// hugeJobRun is an owner with one job, its machines and a state service that answers all
 // its writes at the next step, a second later.
-type hugeDay struct {
-	n   *Node
-	j   *job
-	on  map[string][]TaskReport
-	end map[taskKey]time.Time
-	// run is how long a task takes, and tick that of the newest report.
-	run  time.Duration
-	tick uint64
-	next []Command
-	rev  uint64
-	// kept is what stands in the state service, and the others count the writes: their
+type hugeJobRun struct {
+	controller *Controller
+	job        *job
+	reports    map[string][]TaskReport
+	endsAt     map[taskKey]time.Time
+	// taskDuration is how long a task takes, and tick that of the newest report.
+	taskDuration time.Duration
+	sequence     uint64
+	pending      []Command
+	revision     uint64
+	// stored is what stands in the state service, and the others count the writes: their
 	// changes and bytes, the most changes in one and the longest value.
-	kept                               map[string]Item
-	txns, changes, bytes, most, widest int
+	stored                                          map[string]KeyValue
+	txns, writes, bytes, maxTxnWrites, longestValue int
 }
 
-const hugeTasks = validate.MostTasks
+const maxHugeTasks = validate.MostTasks
 
-// newHuge has a job of so many tasks accepted on so many machines, each with room for
+// newHugeJob has a job of so many tasks accepted on so many machines, each with room for
 // eight tasks of it at a time.
-func newHuge(tasks, machines int) *hugeDay {
+func newHugeJob(tasks, machines int) *hugeJobRun {
 	n := largePool(0)
 	n.rng = rand.New(rand.NewPCG(1, 2))
-	n.sess.ready, n.users.mirror.loaded, n.users.mirror.waiting = true, true, true
-	n.users.mirror.open = map[string]living{}
-	d := &hugeDay{n: n, on: map[string][]TaskReport{}, end: map[taskKey]time.Time{}, run: 20 * time.Second, kept: map[string]Item{}}
+	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
+	n.frontend.watchCache.openJobs = map[string]openJob{}
+	d := &hugeJobRun{controller: n, reports: map[string][]TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]KeyValue{}}
 	for i := range machines {
-		r := n.poolReport(0)
+		r := n.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.hear(n.machine(r.Machine), r, true)
+		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
 	}
 	n.now = n.now.Add(time.Second)
-	n.submit(Submit{Reply: 1, Spec: Spec{
-		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: Normal, Tasks: tasks, Spot: true, Need: Resources{CPU: 4, Memory: 4},
-		Image: "img", ImageGB: 1, Expected: d.run, Due: time.Hour,
+	n.submitJob(SubmitJob{Reply: 1, Spec: JobSpec{
+		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: Normal, Tasks: tasks, AllowSpot: true, Need: Resources{CPU: 4, Memory: 4},
+		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
 	}})
-	n.usersFlush()
-	d.take(n.out)
-	for _, c := range d.next {
-		n.command(c)
+	n.flushSubmissions()
+	d.handleEffects(n.effects)
+	for _, c := range d.pending {
+		n.handleCommand(c)
 	}
-	d.next = nil
-	d.j = n.owner.jobs["job-huge"]
+	d.pending = nil
+	d.job = n.shardLeader.jobs["job-huge"]
 	return d
 }
 
-// take answers what the owner asks for.
-func (d *hugeDay) take(out []Effect) {
+// handleEffects answers what the owner asks for.
+func (d *hugeJobRun) handleEffects(out []Effect) {
 	for _, e := range out {
 		switch e := e.(type) {
-		case StateOp:
+		case StoreRequest:
 			if e.Kind != OpTxn {
 				continue
 			}
-			d.rev++
+			d.revision++
 			d.txns++
-			d.most = max(d.most, len(e.Apply))
-			for _, c := range e.Apply {
-				d.changes++
+			d.maxTxnWrites = max(d.maxTxnWrites, len(e.Writes))
+			for _, c := range e.Writes {
+				d.writes++
 				d.bytes += len(c.Value)
 				if c.Value == nil {
-					delete(d.kept, c.Key)
+					delete(d.stored, c.Key)
 					continue
 				}
 				size, err := bounds.JSON(c.Value)
 				if err != nil {
 					panic(err)
 				}
-				d.widest = max(d.widest, size)
-				d.kept[c.Key] = Item{Key: c.Key, Value: c.Value, Stamp: d.rev}
+				d.longestValue = max(d.longestValue, size)
+				d.stored[c.Key] = KeyValue{Key: c.Key, Value: c.Value, ModRevision: d.revision}
 			}
-			d.next = append(d.next, StateDone{ID: e.ID, Status: StateOK, Rev: d.rev, Sent: d.n.now})
-		case WorkerOp:
-			d.orders(e.Machine, e.Orders)
-			d.next = append(d.next, WorkerDone{ID: e.ID, OK: true, Report: d.report(e.Machine)})
-		case ReportReply:
-			d.orders(fmt.Sprintf("vm-%06d", e.Reply-1), e.Orders)
+			d.pending = append(d.pending, StoreResponse{ID: e.ID, Status: StoreOK, Revision: d.revision, SentAt: d.controller.now})
+		case WorkerRequest:
+			d.runCommands(e.Machine, e.Commands)
+			d.pending = append(d.pending, WorkerResponse{ID: e.ID, OK: true, Heartbeat: d.heartbeat(e.Machine)})
+		case HeartbeatReply:
+			d.runCommands(fmt.Sprintf("vm-%06d", e.Reply-1), e.Commands)
 		}
 	}
 }
 
-func (d *hugeDay) orders(machine string, all []Order) {
-	for _, o := range all {
+func (d *hugeJobRun) runCommands(machine string, commands []TaskCommand) {
+	for _, o := range commands {
 		k := taskKey{o.Job, o.Index}
-		switch o.Verb {
-		case Start:
-			d.on[machine] = append(d.on[machine], TaskReport{Job: o.Job, Index: o.Index, Try: o.Try, Status: Running})
-			d.end[k] = d.n.now.Add(d.run)
-		case Clear:
-			d.on[machine] = slices.DeleteFunc(d.on[machine], func(p TaskReport) bool { return p.Index == o.Index && p.Try == o.Try })
+		switch o.Kind {
+		case StartTask:
+			d.reports[machine] = append(d.reports[machine], TaskReport{Job: o.Job, Index: o.Index, Attempt: o.Attempt, Status: Running})
+			d.endsAt[k] = d.controller.now.Add(d.taskDuration)
+		case ClearTask:
+			d.reports[machine] = slices.DeleteFunc(d.reports[machine], func(p TaskReport) bool { return p.Index == o.Index && p.Attempt == o.Attempt })
 		}
 	}
 }
 
-// report is what a machine says now.
-func (d *hugeDay) report(machine string) *Report {
-	d.tick++
-	r := d.n.poolReport(0)
-	r.Machine, r.Tick, r.Tasks = machine, d.tick, slices.Clone(d.on[machine])
+// heartbeat is what a machine says now.
+func (d *hugeJobRun) heartbeat(machine string) *Heartbeat {
+	d.sequence++
+	r := d.controller.poolHeartbeat(0)
+	r.Machine, r.Sequence, r.Tasks = machine, d.sequence, slices.Clone(d.reports[machine])
 	for i := range r.Tasks {
-		if p := &r.Tasks[i]; !d.n.now.Before(d.end[taskKey{p.Job, p.Index}]) {
+		if p := &r.Tasks[i]; !d.controller.now.Before(d.endsAt[taskKey{p.Job, p.Index}]) {
 			p.Status, p.Cause = Ended, "done"
 		}
 	}
 	return r
 }
 
-// second plays one second, with a report of each machine.
-func (d *hugeDay) second() {
-	n := d.n
+// runSecond plays one second, with a report of each machine.
+func (d *hugeJobRun) runSecond() {
+	n := d.controller
 	// Ten times a second, as a busy controller steps, with a tenth of the reports each.
 	for part := range 10 {
 		n.now = n.now.Add(100 * time.Millisecond)
-		cmds := d.next
-		d.next = nil
-		for i := part; i < len(n.owner.byID); i += 10 {
-			cmds = append(cmds, WorkerReport{Reply: uint64(i + 1), Report: *d.report(n.owner.byID[i].id)})
+		cmds := d.pending
+		d.pending = nil
+		for i := part; i < len(n.shardLeader.machinesByID); i += 10 {
+			cmds = append(cmds, WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(n.shardLeader.machinesByID[i].id)})
 		}
-		d.take(n.Step(n.now, cmds))
+		d.handleEffects(n.Step(n.now, cmds))
 	}
 }
 
-// play goes on until the job is done, or for so long.
-func (d *hugeDay) play(most int) (seconds int) {
-	for seconds = 0; seconds < most && d.n.owner.jobs[d.j.ID] != nil; seconds++ {
-		d.second()
+// runUntilDone goes on until the job is done, or for so long.
+func (d *hugeJobRun) runUntilDone(maxSeconds int) (seconds int) {
+	for seconds = 0; seconds < maxSeconds && d.controller.shardLeader.jobs[d.job.ID] != nil; seconds++ {
+		d.runSecond()
 	}
 	return seconds
 }
@@ -149,31 +149,31 @@
 // one change, and keeps the bounds of values and transactions to its end. Its tasks share
 // their changes.
 func TestHugeJobRecords(t *testing.T) {
-	d := newHuge(20_000, 1000)
-	if d.j == nil || d.changes != 1 {
-		t.Fatalf("accepted: %v, with %d changes", d.j != nil, d.changes)
+	d := newHugeJob(20_000, 1000)
+	if d.job == nil || d.writes != 1 {
+		t.Fatalf("accepted: %v, with %d changes", d.job != nil, d.writes)
 	}
-	took := d.play(1000)
-	if d.n.owner.jobs[d.j.ID] != nil {
-		t.Fatalf("%d of %d done after %d s", d.j.done, len(d.j.tasks), took)
+	took := d.runUntilDone(1000)
+	if d.controller.shardLeader.jobs[d.job.ID] != nil {
+		t.Fatalf("%d of %d done after %d s", d.job.doneTasks, len(d.job.tasks), took)
 	}
-	set := d.n.set
-	if d.widest > set.ValueBytes || d.most > set.TxnOps || d.n.defects > 0 {
-		t.Errorf("the longest value has %d bytes, the largest transaction %d changes; %d defects", d.widest, d.most, d.n.defects)
+	set := d.controller.settings
+	if d.longestValue > set.MaxValueBytes || d.maxTxnWrites > set.MaxTxnWrites || d.controller.internalErrors > 0 {
+		t.Errorf("the longest value has %d bytes, the largest transaction %d changes; %d defects", d.longestValue, d.maxTxnWrites, d.controller.internalErrors)
 	}
-	if d.changes > len(d.j.tasks)/10 {
-		t.Errorf("%d changes for %d tasks", d.changes, len(d.j.tasks))
+	if d.writes > len(d.job.tasks)/10 {
+		t.Errorf("%d changes for %d tasks", d.writes, len(d.job.tasks))
 	}
 }
 
-// read gives what stands in the state service to a successor.
-func (d *hugeDay) read() (open, tasks []Item) {
-	for _, k := range sortedKeys(d.kept) {
+// storedRecords gives what stands in the state service to a successor.
+func (d *hugeJobRun) storedRecords() (open, tasks []KeyValue) {
+	for _, k := range sortedKeys(d.stored) {
 		switch {
-		case strings.HasPrefix(k, openPrefix):
-			open = append(open, d.kept[k])
-		case strings.HasPrefix(k, taskPrefix):
-			tasks = append(tasks, d.kept[k])
+		case strings.HasPrefix(k, openJobPrefix):
+			open = append(open, d.stored[k])
+		case strings.HasPrefix(k, taskSegmentPrefix):
+			tasks = append(tasks, d.stored[k])
 		}
 	}
 	return open, tasks
@@ -195,21 +195,21 @@
 func TestHugeJobIsLinear(t *testing.T) {
 	const machines = 200
 	measure := func(tasks int) (second, takeover uint64) {
-		d := newHuge(tasks, machines)
+		d := newHugeJob(tasks, machines)
 		for range 30 {
-			d.second()
+			d.runSecond()
 		}
-		second = allocations(d.second)
-		open, items := d.read()
-		n := heir()
-		takeover = allocations(func() { n.inherits(open, items) })
-		if j := n.owner.jobs[d.j.ID]; j == nil || j.done == 0 || j.live == 0 {
+		second = allocations(d.runSecond)
+		open, items := d.storedRecords()
+		n := successor()
+		takeover = allocations(func() { n.takeOverRecords(open, items) })
+		if j := n.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
 			t.Fatal("nothing is restored")
 		}
 		return second, takeover
 	}
-	s1, t1 := measure(hugeTasks / 10)
-	s2, t2 := measure(hugeTasks)
+	s1, t1 := measure(maxHugeTasks / 10)
+	s2, t2 := measure(maxHugeTasks)
 	if s2 > 2*s1 || t2 > 12*t1 {
 		t.Errorf("a job of ten times the tasks: %d allocations a second after %d, %d for a takeover after %d", s2, s1, t2, t1)
 	}
@@ -219,14 +219,14 @@
 // is copied for each that is taken out of it: after the loss of many machines that was the
 // square of their tasks in one step.
 func TestLongQueueIsNotMoved(t *testing.T) {
-	j := newJob(Spec{ID: "job-huge", Tasks: hugeTasks}, time.Time{}, 1, 4096)
+	j := newJob(JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
 	for i := range j.tasks {
-		j.again = append(j.again, i)
+		j.requeued = append(j.requeued, i)
 	}
-	j.fresh = len(j.tasks)
-	second := &j.again[1]
-	if i := j.nextPending(time.Time{}); i != 0 || &j.again[0] != second {
-		t.Errorf("task %d is next, and the others were moved: %v", i, &j.again[0] != second)
+	j.nextFresh = len(j.tasks)
+	second := &j.requeued[1]
+	if i := j.takePending(time.Time{}); i != 0 || &j.requeued[0] != second {
+		t.Errorf("task %d is next, and the others were moved: %v", i, &j.requeued[0] != second)
 	}
 }
 
@@ -235,8 +235,8 @@
 	const machines = 2000
 	b.Run("accept", func(b *testing.B) {
 		for b.Loop() {
-			d := newHuge(hugeTasks, 0)
-			if d.j == nil || d.changes != 1 {
+			d := newHugeJob(maxHugeTasks, 0)
+			if d.job == nil || d.writes != 1 {
 				b.Fatal("not accepted")
 			}
 		}
@@ -244,31 +244,31 @@
 	b.Run("place", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
-			d := newHuge(hugeTasks, machines)
-			d.n.now = d.n.now.Add(time.Second)
+			d := newHugeJob(maxHugeTasks, machines)
+			d.controller.now = d.controller.now.Add(time.Second)
 			b.StartTimer()
-			d.n.placeAll()
-			if d.j.live != 8*machines {
-				b.Fatalf("%d are placed", d.j.live)
+			d.controller.placeAll()
+			if d.job.liveTasks != 8*machines {
+				b.Fatalf("%d are placed", d.job.liveTasks)
 			}
 		}
 	})
 	b.Run("place-anew", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
-			d := newHuge(hugeTasks, machines)
-			d.n.placeAll()
-			d.j.fresh = len(d.j.tasks)
-			for i := range d.j.tasks {
-				if d.n.gone(d.j, i, false); d.j.tasks[i].try == 0 {
-					d.j.again = append(d.j.again, i)
+			d := newHugeJob(maxHugeTasks, machines)
+			d.controller.placeAll()
+			d.job.nextFresh = len(d.job.tasks)
+			for i := range d.job.tasks {
+				if d.controller.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
+					d.job.requeued = append(d.job.requeued, i)
 				}
 			}
-			d.n.now = d.n.now.Add(time.Second)
+			d.controller.now = d.controller.now.Add(time.Second)
 			b.StartTimer()
-			d.n.placeAll()
-			if d.j.live != 8*machines {
-				b.Fatalf("%d are placed", d.j.live)
+			d.controller.placeAll()
+			if d.job.liveTasks != 8*machines {
+				b.Fatalf("%d are placed", d.job.liveTasks)
 			}
 		}
 	})
@@ -277,39 +277,39 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			d := newHuge(hugeTasks, machines)
-			took := d.play(100)
+			d := newHugeJob(maxHugeTasks, machines)
+			took := d.runUntilDone(100)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			took += d.play(10_000)
-			if d.n.owner.jobs[d.j.ID] != nil {
+			took += d.runUntilDone(10_000)
+			if d.controller.shardLeader.jobs[d.job.ID] != nil {
 				b.Fatal("it is not done")
 			}
-			done, txns := d.changes, d.txns
-			for len(d.n.owner.orphans) > 0 || d.n.owner.inFlight > 0 {
-				d.second()
+			done, txns := d.writes, d.txns
+			for len(d.controller.shardLeader.orphanedRecords) > 0 || d.controller.shardLeader.txnsInFlight > 0 {
+				d.runSecond()
 			}
-			b.ReportMetric(float64(d.changes-done), "changes-to-clear-away")
+			b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
 			b.ReportMetric(float64(took), "seconds-played")
 			b.ReportMetric(float64(txns), "txns")
 			b.ReportMetric(float64(done), "changes")
 			b.ReportMetric(float64(d.bytes>>10), "KB-written")
-			b.ReportMetric(float64(d.widest), "widest-bytes")
+			b.ReportMetric(float64(d.longestValue), "widest-bytes")
 			b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-kept")
 		}
 	})
 	b.Run("takeover", func(b *testing.B) {
-		d := newHuge(hugeTasks, machines)
-		d.play(70)
-		open, tasks := d.read()
+		d := newHugeJob(maxHugeTasks, machines)
+		d.runUntilDone(70)
+		open, tasks := d.storedRecords()
 		size := 0
 		for _, it := range tasks {
 			size += len(it.Value)
 		}
 		for b.Loop() {
-			n := heir()
-			n.inherits(open, tasks)
-			if n.owner.jobs[d.j.ID].done == 0 {
+			n := successor()
+			n.takeOverRecords(open, tasks)
+			if n.shardLeader.jobs[d.job.ID].doneTasks == 0 {
 				b.Fatal("nothing is restored")
 			}
 		}
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// stopWhy is why a live attempt is to be stopped.
-type stopWhy uint8
+// stopReason is why a live attempt is to be stopped.
+type stopReason uint8
 
 const (
-	stopNone stopWhy = iota
+	stopNone stopReason = iota
 	stopCancel
 	stopRelaunch
 	stopPreempt
@@ -20,28 +20,28 @@
 // task is one task of a job. Its attempt is live while m is set: from the
 // decision to start it there until there is proof that it is gone.
 type task struct {
-	try   uint64
-	m     *machine
-	group int64
-	// ver is the chunk version at which the task last changed.
-	ver uint64
-	// rank is the stamp of the ranking under which it was placed.
-	rank      uint64
-	started   time.Time
-	avoid     string
-	notBefore time.Time
-	stopped   time.Time
-	fails     int
-	preempted int
-	status    TaskStatus
-	// misses counts the reports in a row that did not show it though it was ordered.
-	misses uint8
+	attempt    uint64
+	machine    *machine
+	groupStart int64
+	// version is the chunk version at which the task last changed.
+	version uint64
+	// rankingRevision is the stamp of the ranking under which it was placed.
+	rankingRevision uint64
+	startedAt       time.Time
+	avoidMachine    string
+	notBefore       time.Time
+	stoppedAt       time.Time
+	failures        int
+	preemptions     int
+	status          TaskStatus
+	// missedStarts counts the reports in a row that did not show it though it was ordered.
+	missedStarts uint8
 	// sent: a start may be on its way. left: one surely left and had no answer. seen: the worker has reported it.
-	sent       bool
-	left       bool
-	seen       bool
-	stop       stopWhy
-	relaunched bool
+	startSent       bool
+	startUnanswered bool
+	reported        bool
+	stopReason      stopReason
+	relaunched      bool
 	// inherited: a former owner started it, so this one does not know when it
 	// began to run.
 	inherited bool
@@ -50,84 +50,84 @@
 
 // group is the tasks of a job that were started together.
 type group struct {
-	start  time.Time
-	tasks  []int
-	marked bool
+	startedAt       time.Time
+	tasks           []int
+	relaunchDecided bool
 }
 
-// chunk is the durable record of some consecutive tasks.
-type chunk struct {
-	n       int
-	stamp   uint64
-	ver     uint64
-	saved   uint64
-	writing uint64
-	busy    bool
-	// rank is the stamp of the ranking that the record of its last starts names.
-	rank uint64
-	// refused is the version that the state service called malformed.
-	refused uint64
+// taskSegment is the durable record of some consecutive tasks.
+type taskSegment struct {
+	index            int
+	modRevision      uint64
+	version          uint64
+	persistedVersion uint64
+	inFlightVersion  uint64
+	writeInFlight    bool
+	// rankingRevision is the stamp of the ranking that the record of its last starts names.
+	rankingRevision uint64
+	// rejectedVersion is the version that the state service called malformed.
+	rejectedVersion uint64
 	// alone: a write that it shared was malformed, and it is to be written by itself.
-	alone bool
+	writeAlone bool
 	// urgent: a start waits for the write; otherwise it may wait and share.
-	urgent bool
-	since  time.Time
+	urgent       bool
+	changedSince time.Time
 }
 
 type job struct {
-	Spec
-	at        time.Time
-	stamp     uint64
-	cancelled bool
-	ending    bool
-	// endAlone: a write that its end shared was malformed.
-	endAlone bool
-	// taskForm is how the tasks are divided among records. former are keys of records
+	JobSpec
+	submittedAt time.Time
+	modRevision uint64
+	cancelled   bool
+	ending      bool
+	// endWriteAlone: a write that its end shared was malformed.
+	endWriteAlone bool
+	// segmentFormat is how the tasks are divided among records. former are keys of records
 	// of other forms, which only go with the job, and covered the tasks of which such
 	// records say nothing that counts, while the job is restored.
-	taskForm
-	former  []string
-	covered []bool
-	tasks   []task
-	chunks  map[int]*chunk
+	segmentFormat
+	formerKeys []string
+	covered    []bool
+	tasks      []task
+	segments   map[int]*taskSegment
 	// unsaved: some chunk may have changed since it was written.
-	unsaved bool
-	fresh   int
-	again   []int
-	done    int
-	live    int
-	// running counts the attempts that are reported as running.
-	running int
-	groups  map[int64]*group
-	// times are the last finished run times, in the order of their ends;
+	unpersisted bool
+	nextFresh   int
+	requeued    []int
+	doneTasks   int
+	liveTasks   int
+	// runningTasks counts the attempts that are reported as running.
+	runningTasks int
+	groups       map[int64]*group
+	// recentRunTimes are the last finished run times, in the order of their ends;
 	// sorted holds all of them in order, so that the median costs nothing.
-	times  []time.Duration
-	sorted []time.Duration
+	recentRunTimes []time.Duration
+	sortedRunTimes []time.Duration
 	// notBefore is when a job that fails everywhere may be tried again.
 	notBefore time.Time
-	// preempted is when it last looked for work to stop, and coming for how
+	// lastPreemptionScan is when it last looked for work to stop, and coming for how
 	// many of its tasks that makes room.
-	preempted time.Time
-	coming    int
+	lastPreemptionScan time.Time
+	preemptionCapacity int
 	// overdue: it has waited behind others for longer than it may, and early: what of
 	// it goes first for that is being placed. placedAt is when a task of it was last
 	// given a place, and waitsFrom since when some wait for one without a break.
-	overdue, early      bool
-	placedAt, waitsFrom time.Time
-	zoneLive            map[string]int
-	lastTold            Progress
-	// rank is its place in the table of rankVer.
-	rank, rankVer int
-	behind
-	loan
-	dated
+	overdue, placingOverdue    bool
+	lastPlacedAt, waitingSince time.Time
+	liveByZone                 map[string]int
+	lastPublished              Progress
+	// rankingPlace is its place in the table of rankingVersion.
+	rankingPlace, rankingVersion int
+	dependencyState
+	loanState
+	dateState
 }
 
-func newJob(spec Spec, at time.Time, stamp uint64, valueBytes int) *job {
+func newJob(spec JobSpec, at time.Time, stamp uint64, valueBytes int) *job {
 	return &job{
-		Spec: spec, at: at, stamp: stamp, taskForm: taskForm{per: chunkTasks(valueBytes)},
-		tasks:  make([]task, spec.Tasks),
-		chunks: map[int]*chunk{}, groups: map[int64]*group{}, zoneLive: map[string]int{},
+		JobSpec: spec, submittedAt: at, modRevision: stamp, segmentFormat: segmentFormat{tasksPerSegment: maxTasksPerSegment(valueBytes)},
+		tasks:    make([]task, spec.Tasks),
+		segments: map[int]*taskSegment{}, groups: map[int64]*group{}, liveByZone: map[string]int{},
 	}
 }
 
@@ -137,224 +137,224 @@
 func (j *job) grow(tasks int) {
 	j.tasks = append(j.tasks, make([]task, tasks-len(j.tasks))...)
 	for i := range j.tasks {
-		if t := &j.tasks[i]; t.m != nil {
-			t.m.attempts[taskKey{j.ID, i}] = t
+		if t := &j.tasks[i]; t.machine != nil {
+			t.machine.attempts[taskKey{j.ID, i}] = t
 		}
 	}
 }
 
 func (j *job) progress() Progress {
-	return Progress{ID: j.ID, Done: j.done, Running: j.running}
+	return Progress{ID: j.ID, Done: j.doneTasks, Running: j.runningTasks}
 }
 
 // isRunning says that a worker reports the attempt as running.
-func (t *task) isRunning() bool { return t.m != nil && t.seen && t.status == Running }
+func (t *task) isRunning() bool { return t.machine != nil && t.reported && t.status == Running }
 
-// ran takes note of a finished run time.
-func (j *job) ran(d time.Duration) {
-	i, _ := slices.BinarySearch(j.sorted, d)
-	j.sorted = slices.Insert(j.sorted, i, d)
-	j.times = append(j.times, d)
-	if len(j.times) > 2*keptTimes {
-		j.times = slices.Clone(j.times[len(j.times)-keptTimes:])
+// recordRunTime takes note of a finished run time.
+func (j *job) recordRunTime(d time.Duration) {
+	i, _ := slices.BinarySearch(j.sortedRunTimes, d)
+	j.sortedRunTimes = slices.Insert(j.sortedRunTimes, i, d)
+	j.recentRunTimes = append(j.recentRunTimes, d)
+	if len(j.recentRunTimes) > 2*keptRunTimes {
+		j.recentRunTimes = slices.Clone(j.recentRunTimes[len(j.recentRunTimes)-keptRunTimes:])
 	}
 }
 
-// keptTimes is how many of the last run times a record holds: enough for a
+// keptRunTimes is how many of the last run times a record holds: enough for a
 // successor's median.
-const keptTimes = 16
+const keptRunTimes = 16
 
-func (j *job) chunkOf(i int) *chunk {
-	c := j.chunks[i/j.per]
+func (j *job) segmentOf(i int) *taskSegment {
+	c := j.segments[i/j.tasksPerSegment]
 	if c == nil {
-		c = &chunk{n: i / j.per}
-		j.chunks[c.n] = c
+		c = &taskSegment{index: i / j.tasksPerSegment}
+		j.segments[c.index] = c
 	}
 	return c
 }
 
-func (j *job) chunkKey(c *chunk) string { return j.key(j.ID, c.n) }
+func (j *job) segmentKey(c *taskSegment) string { return j.keyOf(j.ID, c.index) }
 
-// touch notes that task i changed and has to be written.
-func (j *job) touch(i int, now time.Time, urgent bool) {
-	c := j.chunkOf(i)
-	if c.ver == c.writing || c.ver == c.saved {
-		c.since = now
+// markChanged notes that task i changed and has to be written.
+func (j *job) markChanged(i int, now time.Time, urgent bool) {
+	c := j.segmentOf(i)
+	if c.version == c.inFlightVersion || c.version == c.persistedVersion {
+		c.changedSince = now
 	}
-	c.ver++
-	j.unsaved = true
+	c.version++
+	j.unpersisted = true
 	c.urgent = c.urgent || urgent
-	j.tasks[i].ver = c.ver
+	j.tasks[i].version = c.version
 }
 
 // durable says whether the last change of task i is in the state service.
 func (j *job) durable(i int) bool {
-	c := j.chunks[i/j.per]
-	return c != nil && j.tasks[i].ver <= c.saved
+	c := j.segments[i/j.tasksPerSegment]
+	return c != nil && j.tasks[i].version <= c.persistedVersion
 }
 
-// pending counts the tasks that wait for a place.
-func (j *job) pending() int {
-	if j.cancelled || j.ending || j.waits || j.elsewhere() {
+// pendingTasks counts the tasks that wait for a place.
+func (j *job) pendingTasks() int {
+	if j.cancelled || j.ending || j.dependenciesPending || j.elsewhere() {
 		return 0
 	}
-	return len(j.tasks) - j.fresh + len(j.again)
+	return len(j.tasks) - j.nextFresh + len(j.requeued)
 }
 
-// nextPending returns the next task to place, or -1.
-func (j *job) nextPending(now time.Time) int {
-	for k, i := range j.again {
+// takePending returns the next task to place, or -1.
+func (j *job) takePending(now time.Time) int {
+	for k, i := range j.requeued {
 		if !j.tasks[i].notBefore.After(now) {
 			if k == 0 {
 				// Mostly so; of a long queue nothing is moved then.
-				j.again = j.again[1:]
+				j.requeued = j.requeued[1:]
 			} else {
-				j.again = slices.Delete(j.again, k, k+1)
+				j.requeued = slices.Delete(j.requeued, k, k+1)
 			}
 			return i
 		}
 	}
-	if j.fresh < len(j.tasks) {
-		j.fresh++
-		return j.fresh - 1
+	if j.nextFresh < len(j.tasks) {
+		j.nextFresh++
+		return j.nextFresh - 1
 	}
 	return -1
 }
 
-// avoided is the machine that none of the job's waiting tasks may go to, if there
+// avoidedMachine is the machine that none of the job's waiting tasks may go to, if there
 // is one: it is no room for them, and a plan that counted on it would leave them
 // waiting beside it for ever.
-func (j *job) avoided() string {
-	if j.fresh < len(j.tasks) || len(j.again) == 0 {
+func (j *job) avoidedMachine() string {
+	if j.nextFresh < len(j.tasks) || len(j.requeued) == 0 {
 		return ""
 	}
-	away := j.tasks[j.again[0]].avoid
-	for _, i := range j.again {
-		if t := &j.tasks[i]; t.avoid != away || !t.shuns(away) {
+	away := j.tasks[j.requeued[0]].avoidMachine
+	for _, i := range j.requeued {
+		if t := &j.tasks[i]; t.avoidMachine != away || !t.avoids(away) {
 			return ""
 		}
 	}
 	return away
 }
 
-// shuns says that the task is to go elsewhere: it failed there, or was too slow.
+// avoids says that the task is to go elsewhere: it failed there, or was too slow.
 // One that has failed in many places may go anywhere.
-func (t *task) shuns(machine string) bool {
-	return t.avoid == machine && t.fails < failsAnywhere
+func (t *task) avoids(machine string) bool {
+	return t.avoidMachine == machine && t.failures < jobFaultFailures
 }
 
-// failsAnywhere is after how many failures the fault is likely the job's own.
-const failsAnywhere = 4
+// jobFaultFailures is after how many failures the fault is likely the job's own.
+const jobFaultFailures = 4
 
-// record is the chunk in durable form.
-func (j *job) record(c *chunk) chunkRecord {
-	r := chunkRecord{Rank: c.rank}
-	lo, hi := c.n*j.per, min((c.n+1)*j.per, len(j.tasks))
+// segmentRecord is the chunk in durable form.
+func (j *job) segmentRecord(c *taskSegment) taskSegmentRecord {
+	r := taskSegmentRecord{RankingRevision: c.rankingRevision}
+	lo, hi := c.index*j.tasksPerSegment, min((c.index+1)*j.tasksPerSegment, len(j.tasks))
 	groups := map[int64]bool{}
 	for i := lo; i < hi; i++ {
 		t := &j.tasks[i]
 		switch {
 		case t.done:
-			if k := len(r.Runs); k > 0 && r.Runs[k-1] == i-1 {
-				r.Runs[k-1] = i
+			if k := len(r.DoneRanges); k > 0 && r.DoneRanges[k-1] == i-1 {
+				r.DoneRanges[k-1] = i
 			} else {
-				r.Runs = append(r.Runs, i, i)
+				r.DoneRanges = append(r.DoneRanges, i, i)
 			}
-		case t.try > 0:
-			row := taskRow{Index: i, Try: t.try, Group: t.group, Relaunched: t.relaunched}
-			if t.m != nil {
-				row.Machine = t.m.id
+		case t.attempt > 0:
+			row := taskEntry{Index: i, Try: t.attempt, Group: t.groupStart, Relaunched: t.relaunched}
+			if t.machine != nil {
+				row.Machine = t.machine.id
 			}
 			r.Rows = append(r.Rows, row)
-			groups[t.group] = true
+			groups[t.groupStart] = true
 		}
 	}
 	for g := range groups {
-		if gr := j.groups[g]; gr != nil && gr.marked {
-			r.Marks = append(r.Marks, g)
+		if gr := j.groups[g]; gr != nil && gr.relaunchDecided {
+			r.RelaunchedGroups = append(r.RelaunchedGroups, g)
 		}
 	}
-	slices.Sort(r.Marks)
-	r.shorten()
-	for _, d := range j.times[max(0, len(j.times)-keptTimes):] {
-		r.Times = append(r.Times, d.Milliseconds())
+	slices.Sort(r.RelaunchedGroups)
+	r.factorMachinePrefix()
+	for _, d := range j.recentRunTimes[max(0, len(j.recentRunTimes)-keptRunTimes):] {
+		r.RunTimes = append(r.RunTimes, d.Milliseconds())
 	}
 	return r
 }
 
-// median is the middle of the job's finished run times.
-func (j *job) median() (time.Duration, bool) {
-	if len(j.sorted) == 0 {
+// medianRunTime is the middle of the job's finished run times.
+func (j *job) medianRunTime() (time.Duration, bool) {
+	if len(j.sortedRunTimes) == 0 {
 		return 0, false
 	}
-	return j.sorted[len(j.sorted)/2], true
+	return j.sortedRunTimes[len(j.sortedRunTimes)/2], true
 }
 
-// allows says whether a task of the job may ever start on such a machine.
-func (j *job) allows(flavour, zone string, spot bool) bool {
-	if len(j.Flavours) > 0 && !slices.Contains(j.Flavours, flavour) {
+// allowsMachine says whether a task of the job may ever start on such a machine.
+func (j *job) allowsMachine(machineType, zone string, spot bool) bool {
+	if len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, machineType) {
 		return false
 	}
 	if j.Zone != "" && j.Zone != zone {
 		return false
 	}
-	return j.Spot || !spot
+	return j.AllowSpot || !spot
 }
 
-// zoneOK judges same_place and apart against the job's live tasks.
-func (j *job) zoneOK(zone string) bool {
-	if j.Apart && j.zoneLive[""] > 0 {
+// zoneAllowed judges same_place and apart against the job's live tasks.
+func (j *job) zoneAllowed(zone string) bool {
+	if j.SpreadZones && j.liveByZone[""] > 0 {
 		// After a takeover, before a machine has been heard of or listed, it
 		// is not known where its tasks are. For the same place that is as good
 		// as another zone, below.
 		return false
 	}
-	if j.SamePlace && j.live > 0 {
-		for z, k := range j.zoneLive {
+	if j.SameZone && j.liveTasks > 0 {
+		for z, k := range j.liveByZone {
 			if k > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	return !j.Apart || j.zoneLive[zone] < (len(j.tasks)+1)/2
+	return !j.SpreadZones || j.liveByZone[zone] < (len(j.tasks)+1)/2
 }
 
-// estimate learns how wrong a workload's estimates have lately been.
-type estimate struct {
+// estimator learns how wrong a workload's estimates have lately been.
+type estimator struct {
 	ratio float64
-	// dev is how far single run times are from the corrected estimate, as a
+	// deviation is how far single run times are from the corrected estimate, as a
 	// share of it.
-	dev float64
-	n   int
+	deviation float64
+	samples   int
 }
 
-// estimateWeight is the weight of the newest finished task in the average.
-const estimateWeight = 0.08
+// minEstimatorWeight is the weight of the newest finished task in the average.
+const minEstimatorWeight = 0.08
 
-func (n *Node) learn(j *job, ran time.Duration) {
-	if j.Expected <= 0 {
+func (n *Controller) updateEstimator(j *job, ran time.Duration) {
+	if j.ExpectedRunTime <= 0 {
 		return
 	}
-	e := n.errs[j.Workload]
+	e := n.estimators[j.Workload]
 	if e == nil {
-		e = &estimate{ratio: 1, dev: lateShare}
-		n.errs[j.Workload] = e
+		e = &estimator{ratio: 1, deviation: minSafetyFraction}
+		n.estimators[j.Workload] = e
 	}
-	e.n++
-	r := ran.Seconds() / j.Expected.Seconds()
-	w := max(estimateWeight, 1/float64(e.n+1))
+	e.samples++
+	r := ran.Seconds() / j.ExpectedRunTime.Seconds()
+	w := max(minEstimatorWeight, 1/float64(e.samples+1))
 	r = min(r, 4)
-	e.dev += w * (math.Abs(r-e.ratio)/max(e.ratio, 0.1) - e.dev)
+	e.deviation += w * (math.Abs(r-e.ratio)/max(e.ratio, 0.1) - e.deviation)
 	e.ratio += w * (r - e.ratio)
 }
 
-// expects is the corrected estimate of a task's run time.
-func (n *Node) expects(j *job) time.Duration {
-	if m, ok := j.median(); ok {
+// expectedRunTime is the corrected estimate of a task's run time.
+func (n *Controller) expectedRunTime(j *job) time.Duration {
+	if m, ok := j.medianRunTime(); ok {
 		return m
 	}
-	d := j.Expected
-	if e := n.errs[j.Workload]; e != nil {
+	d := j.ExpectedRunTime
+	if e := n.estimators[j.Workload]; e != nil {
 		d = time.Duration(float64(d) * e.ratio)
 	}
 	return d
--- a/internal/core/lanes.go
+++ b/internal/core/lanes.go
@@ -12,189 +12,189 @@
 // their own. A machine taken elsewhere makes its entries out of date, which is put
 // right when they come up.
 
-// entry is a machine in a lane: its place in the plan, when a task could start to
+// simulatedCandidate is a machine in a lane: its place in the plan, when a task could start to
 // fetch there, and how many tasks it had taken by then.
-type entry struct {
-	start    time.Duration
-	i, taken int32
+type simulatedCandidate struct {
+	start             time.Duration
+	index, placements int32
 }
 
 //lint:ignore U1000 heap calls it by its type parameter
-func (e *entry) before(o *entry) bool {
-	return e.start < o.start || e.start == o.start && e.i < o.i
+func (e *simulatedCandidate) before(o *simulatedCandidate) bool {
+	return e.start < o.start || e.start == o.start && e.index < o.index
 }
 
-// laneKey is what the machines of a lane have in common.
-type laneKey struct {
-	// perGB is how long they take for one GB of an image, in seconds.
-	perGB float64
+// candidateQueueKey is what the machines of a lane have in common.
+type candidateQueueKey struct {
+	// secondsPerGB is how long they take for one GB of an image, in seconds.
+	secondsPerGB float64
 	// needed: other work that waits depends on them.
-	needed bool
+	neededElsewhere bool
 }
 
-type lane struct {
-	laneKey
-	pile[entry, *entry]
+type candidateQueue struct {
+	candidateQueueKey
+	heap[simulatedCandidate, *simulatedCandidate]
 }
 
-// lanes are some machines of a plan, up to the one known last.
-type lanes struct {
-	known int
-	all   []*lane
+// candidateQueues are some machines of a plan, up to the one known last.
+type candidateQueues struct {
+	indexed int
+	all     []*candidateQueue
 }
 
-func (ls *lanes) add(key laneKey, e entry) {
+func (ls *candidateQueues) add(key candidateQueueKey, e simulatedCandidate) {
 	for _, l := range ls.all {
-		if l.laneKey == key {
+		if l.candidateQueueKey == key {
 			l.push(e)
 			return
 		}
 	}
-	l := &lane{laneKey: key}
+	l := &candidateQueue{candidateQueueKey: key}
 	ls.all = append(ls.all, l)
 	l.push(e)
 }
 
-// queue is the machines for one kind of task: all of them as if they had no
+// shapeCandidates is the machines for one kind of task: all of them as if they had no
 // image, and for each image those that hold or fetch it.
-type queue struct {
-	lanes
-	held map[int32]*lanes
+type shapeCandidates struct {
+	candidateQueues
+	byImage map[int32]*candidateQueues
 	// off: the tasks stay off machines with GPUs.
-	off bool
+	avoidGPUs bool
 }
 
-// asked is a job for which places are looked for in a plan.
-type asked struct {
-	j     *job
-	need  Resources
-	gb    float64
-	image int32
-	run   time.Duration
-	q     *queue
-	held  *lanes
-	// avoid is the machine that no waiting task of it may go to, or -1.
-	avoid int32
+// placementRequest is a job for which places are looked for in a plan.
+type placementRequest struct {
+	job        *job
+	need       Resources
+	imageGB    float64
+	imageID    int32
+	run        time.Duration
+	candidates *shapeCandidates
+	holders    *candidateQueues
+	// avoidedMachine is the machine that no waiting task of it may go to, or -1.
+	avoidedMachine int32
 	// each: every machine is looked at, as its tasks are not all alike.
-	each   bool
-	offers []offer
-	zones  *zonePlan
+	fullScan   bool
+	offers     []offer
+	zoneLimits *zoneLimits
 }
 
 // offer is a kind of machine that may be rented for a job.
 type offer struct {
-	kind
-	fit   int
-	price float64
-	ready time.Duration
-	pull  time.Duration
+	machineKind
+	tasksPerMachine int
+	costPerHour     float64
+	timeToReady     time.Duration
+	fetchTime       time.Duration
 }
 
-// ask prepares to look for places for a job's tasks.
-func (p *plan) ask(j *job) *asked {
-	a := &asked{
-		j: j, need: j.Need, gb: j.ImageGB, image: p.imageID(j.Image), run: p.n.runs(j), avoid: -1,
-		each: j.Gang || j.SamePlace || j.Apart, zones: newZonePlan(j),
+// newRequest prepares to look for places for a job's tasks.
+func (p *simulation) newRequest(j *job) *placementRequest {
+	a := &placementRequest{
+		job: j, need: j.Need, imageGB: j.ImageGB, imageID: p.imageID(j.Image), run: p.controller.expectedOccupancy(j), avoidedMachine: -1,
+		fullScan: j.Gang || j.SameZone || j.SpreadZones, zoneLimits: newZoneLimits(j),
 	}
 	if j.Image == "" {
-		a.gb = 0
+		a.imageGB = 0
 	}
-	if away := j.avoided(); away != "" {
-		a.avoid = int32(slices.IndexFunc(p.vs, func(v *virtual) bool { return v.m != nil && v.m.id == away }))
+	if away := j.avoidedMachine(); away != "" {
+		a.avoidedMachine = int32(slices.IndexFunc(p.machines, func(v *simulatedMachine) bool { return v.machine != nil && v.machine.id == away }))
 	}
-	like := j.shape()
-	a.q = p.queues[like]
-	if a.q == nil {
-		a.q = &queue{held: map[int32]*lanes{}, off: p.n.keepsOff(j)}
+	shape := j.taskShape()
+	a.candidates = p.queues[shape]
+	if a.candidates == nil {
+		a.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.avoidsGPUs(j)}
 		if p.queues == nil {
-			p.queues = map[shape]*queue{}
+			p.queues = map[taskShape]*shapeCandidates{}
 		}
-		p.queues[like] = a.q
+		p.queues[shape] = a.candidates
 	}
-	a.held = a.q.held[a.image]
-	if a.held == nil {
-		a.held = &lanes{}
-		a.q.held[a.image] = a.held
+	a.holders = a.candidates.byImage[a.imageID]
+	if a.holders == nil {
+		a.holders = &candidateQueues{}
+		a.candidates.byImage[a.imageID] = a.holders
 	}
-	a.offers = p.offers(j, a.q.off)
+	a.offers = p.offers(j, a.candidates.avoidGPUs)
 	return a
 }
 
 // imageID numbers the images of a plan. Those of its machines are numbered when
 // the room is looked at.
-func (p *plan) imageID(name string) int32 {
-	id, ok := p.images[name]
+func (p *simulation) imageID(name string) int32 {
+	id, ok := p.imageIDs[name]
 	if !ok {
-		id = int32(len(p.images))
-		p.images[name] = id
+		id = int32(len(p.imageIDs))
+		p.imageIDs[name] = id
 	}
-	for len(p.holders) <= int(id) {
-		p.holders = append(p.holders, nil)
+	for len(p.imageHolders) <= int(id) {
+		p.imageHolders = append(p.imageHolders, nil)
 	}
 	return id
 }
 
-// index notes which machines of the plan hold or fetch which images.
-func (p *plan) index() {
-	p.holders = make([][]int32, len(p.images))
-	for i, v := range p.vs {
-		for _, set := range [...][]int32{v.has, v.cached, v.coming} {
+// indexImages notes which machines of the plan hold or fetch which images.
+func (p *simulation) indexImages() {
+	p.imageHolders = make([][]int32, len(p.imageIDs))
+	for i, v := range p.machines {
+		for _, set := range [...][]int32{v.placedImages, v.cached, v.fetchingImages} {
 			for _, id := range set {
-				p.holders[id] = append(p.holders[id], int32(i))
+				p.imageHolders[id] = append(p.imageHolders[id], int32(i))
 			}
 		}
 	}
 }
 
-// refresh takes in machines that were added since, and those that were given the
+// refreshCandidates takes in machines that were added since, and those that were given the
 // image.
-func (p *plan) refresh(a *asked) {
-	add := func(ls *lanes, i int32, held bool) {
-		v := p.vs[i]
-		if !a.j.allows(v.k.flavour, v.k.zone, v.k.spot) {
+func (p *simulation) refreshCandidates(a *placementRequest) {
+	add := func(ls *candidateQueues, i int32, held bool) {
+		v := p.machines[i]
+		if !a.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) {
 			return
 		}
-		start, ok := v.earliest(a.need, false, a.q.off)
+		start, ok := v.earliestStart(a.need, false, a.candidates.avoidGPUs)
 		if !ok {
 			return
 		}
-		key := laneKey{perGB: v.perGB, needed: p.needed(a.j, v.k.flavour)}
+		key := candidateQueueKey{secondsPerGB: v.secondsPerGB, neededElsewhere: p.isNeededElsewhere(a.job, v.machineKind.machineType)}
 		if held {
-			key.perGB = 0
-			if !slices.Contains(v.has, a.image) && !slices.Contains(v.cached, a.image) {
-				key.perGB = v.half
+			key.secondsPerGB = 0
+			if !slices.Contains(v.placedImages, a.imageID) && !slices.Contains(v.cached, a.imageID) {
+				key.secondsPerGB = v.fetchingSecondsPerGB
 			}
 		}
-		ls.add(key, entry{start, i, int32(v.taken)})
+		ls.add(key, simulatedCandidate{start, i, int32(v.placements)})
 	}
-	for ; a.q.known < len(p.vs); a.q.known++ {
+	for ; a.candidates.indexed < len(p.machines); a.candidates.indexed++ {
 		p.spend(1)
-		add(&a.q.lanes, int32(a.q.known), false)
+		add(&a.candidates.candidateQueues, int32(a.candidates.indexed), false)
 	}
-	for has := p.holders[a.image]; a.held.known < len(has); a.held.known++ {
+	for has := p.imageHolders[a.imageID]; a.holders.indexed < len(has); a.holders.indexed++ {
 		p.spend(1)
-		add(a.held, has[a.held.known], true)
+		add(a.holders, has[a.holders.indexed], true)
 	}
 }
 
-// best is the machine on which a task that comes at the time from could run
+// bestMachine is the machine on which a task that comes at the time from could run
 // first, its image there, and when. yields looks only at those that no other
 // waiting work depends on.
-func (p *plan) best(a *asked, from time.Time, yields bool) (*virtual, time.Time) {
+func (p *simulation) bestMachine(a *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
 	wait := max(0, from.Sub(p.now))
-	if a.each {
-		v, at := p.bestOfAll(a, wait, yields)
+	if a.fullScan {
+		v, at := p.bestByFullScan(a, wait, avoidNeeded)
 		return v, p.now.Add(at)
 	}
-	p.refresh(a)
+	p.refreshCandidates(a)
 	best, at := int32(-1), time.Duration(0)
-	for _, set := range [...][]*lane{a.q.all, a.held.all} {
+	for _, set := range [...][]*candidateQueue{a.candidates.all, a.holders.all} {
 		for _, l := range set {
-			if yields && l.needed {
+			if avoidNeeded && l.neededElsewhere {
 				continue
 			}
-			if i, start, ok := p.first(l, a, wait); ok {
-				if t := start + Seconds(l.perGB*a.gb); best < 0 || t < at || t == at && i < best {
+			if i, start, ok := p.firstInQueue(l, a, wait); ok {
+				if t := start + Seconds(l.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
 					best, at = i, t
 				}
 			}
@@ -203,7 +203,7 @@
 	if best < 0 {
 		return nil, p.now
 	}
-	return p.vs[best], p.now.Add(at)
+	return p.machines[best], p.now.Add(at)
 }
 
 // lookAhead is how many of the first machines of a lane are compared for a task
@@ -211,38 +211,38 @@
 // the plan is to be taken, so that others stay idle.
 const lookAhead = 15
 
-// first is the machine of a lane on which a task could start first, and when.
-func (p *plan) first(l *lane, a *asked, wait time.Duration) (int32, time.Duration, bool) {
-	var aside entry
+// firstInQueue is the machine of a lane on which a task could start first, and when.
+func (p *simulation) firstInQueue(l *candidateQueue, a *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
+	var aside simulatedCandidate
 	set := false
-	for len(l.es) > 0 {
-		e := &l.es[0]
-		v := p.vs[e.i]
-		if int32(v.taken) != e.taken {
-			if start, ok := v.earliest(a.need, false, a.q.off); ok {
-				e.start, e.taken = start, int32(v.taken)
-				l.sink()
+	for len(l.elems) > 0 {
+		e := &l.elems[0]
+		v := p.machines[e.index]
+		if int32(v.placements) != e.placements {
+			if start, ok := v.earliestStart(a.need, false, a.candidates.avoidGPUs); ok {
+				e.start, e.placements = start, int32(v.placements)
+				l.siftDown()
 			} else {
 				l.pop()
 			}
 			continue
 		}
-		if e.i != a.avoid {
+		if e.index != a.avoidedMachine {
 			break
 		}
 		aside, set = l.pop(), true
 	}
-	if len(l.es) == 0 {
+	if len(l.elems) == 0 {
 		if set {
 			l.push(aside)
 		}
 		return 0, 0, false
 	}
-	i, start := l.es[0].i, max(l.es[0].start, wait)
-	if l.es[0].start < wait {
-		for _, x := range l.es[1:min(len(l.es), lookAhead)] {
-			if x.start <= wait && x.i < i && x.i != a.avoid && int32(p.vs[x.i].taken) == x.taken {
-				i = x.i
+	i, start := l.elems[0].index, max(l.elems[0].start, wait)
+	if l.elems[0].start < wait {
+		for _, x := range l.elems[1:min(len(l.elems), lookAhead)] {
+			if x.start <= wait && x.index < i && x.index != a.avoidedMachine && int32(p.machines[x.index].placements) == x.placements {
+				i = x.index
 			}
 		}
 	}
@@ -252,17 +252,17 @@
 	return i, start, true
 }
 
-// bestOfAll looks at every machine, for tasks that are not all alike.
-func (p *plan) bestOfAll(a *asked, wait time.Duration, yields bool) (*virtual, time.Duration) {
-	var best *virtual
+// bestByFullScan looks at every machine, for tasks that are not all alike.
+func (p *simulation) bestByFullScan(a *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
+	var best *simulatedMachine
 	var at time.Duration
-	p.spend(len(p.vs))
-	for i, v := range p.vs {
-		if !a.j.allows(v.k.flavour, v.k.zone, v.k.spot) || a.zones.room(v.k.zone) == 0 || int32(i) == a.avoid || yields && p.needed(a.j, v.k.flavour) {
+	p.spend(len(p.machines))
+	for i, v := range p.machines {
+		if !a.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) || a.zoneLimits.capacity(v.machineKind.zone) == 0 || int32(i) == a.avoidedMachine || avoidNeeded && p.isNeededElsewhere(a.job, v.machineKind.machineType) {
 			continue
 		}
-		if start, ok := v.earliest(a.need, a.j.Gang, a.q.off); ok {
-			if t := max(start, wait) + p.fetch(v, a); best == nil || t < at {
+		if start, ok := v.earliestStart(a.need, a.job.Gang, a.candidates.avoidGPUs); ok {
+			if t := max(start, wait) + p.fetchTime(v, a); best == nil || t < at {
 				best, at = v, t
 			}
 		}
@@ -270,42 +270,42 @@
 	return best, at
 }
 
-// fetch is how long v would take to have the image.
-func (p *plan) fetch(v *virtual, a *asked) time.Duration {
+// fetchTime is how long v would take to have the image.
+func (p *simulation) fetchTime(v *simulatedMachine, a *placementRequest) time.Duration {
 	switch {
-	case slices.Contains(v.has, a.image) || slices.Contains(v.cached, a.image):
+	case slices.Contains(v.placedImages, a.imageID) || slices.Contains(v.cached, a.imageID):
 		return 0
-	case slices.Contains(v.coming, a.image):
-		return Seconds(v.half * a.gb)
+	case slices.Contains(v.fetchingImages, a.imageID):
+		return Seconds(v.fetchingSecondsPerGB * a.imageGB)
 	}
-	return Seconds(v.perGB * a.gb)
+	return Seconds(v.secondsPerGB * a.imageGB)
 }
 
-// take lets up to count tasks start on v, as many as fit there at one time, and
+// placeTasks lets up to count tasks start on v, as many as fit there at one time, and
 // says how many, when, and how long the fetch of their image is that the first of
 // them counts; for the others the image is taken to be there. Alike tasks that come
 // together count as one.
-func (p *plan) take(a *asked, v *virtual, from time.Time, count int) (int, time.Time, time.Duration) {
-	at, ok := v.earliest(a.need, a.j.Gang, a.q.off)
+func (p *simulation) placeTasks(a *placementRequest, v *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
+	at, ok := v.earliestStart(a.need, a.job.Gang, a.candidates.avoidGPUs)
 	if !ok {
 		return count, from, 0
 	}
 	at = max(at, from.Sub(p.now))
-	fetch := p.fetch(v, a)
-	if !slices.Contains(v.has, a.image) && !slices.Contains(v.cached, a.image) {
-		v.has = append(slices.Clip(v.has), a.image)
-		p.holders[a.image] = append(p.holders[a.image], v.i)
+	fetch := p.fetchTime(v, a)
+	if !slices.Contains(v.placedImages, a.imageID) && !slices.Contains(v.cached, a.imageID) {
+		v.placedImages = append(slices.Clip(v.placedImages), a.imageID)
+		p.imageHolders[a.imageID] = append(p.imageHolders[a.imageID], v.index)
 	}
-	if a.each {
+	if a.fullScan {
 		count = 1
 	}
 	k := 0
 	if fetch > 0 {
-		k = v.take(a.need, at, fetch+a.run, 1, a.q.off)
+		k = v.placeTasks(a.need, at, fetch+a.run, 1, a.candidates.avoidGPUs)
 	}
-	if more := min(count-k, v.open(v.free, a.q.off).Times(a.need)); k == 0 || more > 0 {
-		k += v.take(a.need, at, a.run, count-k, a.q.off)
+	if more := min(count-k, v.freeFor(v.free, a.candidates.avoidGPUs).Times(a.need)); k == 0 || more > 0 {
+		k += v.placeTasks(a.need, at, a.run, count-k, a.candidates.avoidGPUs)
 	}
-	a.zones.take(v.k.zone, k)
+	a.zoneLimits.add(v.machineKind.zone, k)
 	return k, p.now.Add(at + fetch), fetch
 }
--- a/internal/core/late.go
+++ b/internal/core/late.go
@@ -12,25 +12,25 @@
 // lived, and whoever sends it looks at the clock once more. So do answers to users that
 // rest on a read, unless they tell of an end: another controller may have told more since.
 
-// Late says whether an effect must not leave any more, and what its sender hears
+// CheckDeadline says whether an effect must not leave any more, and what its sender hears
 // instead: an answer for the core, or another answer for the worker that waits.
-func Late(e Effect, now time.Time) (back Command, instead Effect, late bool) {
+func CheckDeadline(e Effect, now time.Time) (rejection Command, instead Effect, late bool) {
 	passed := func(t time.Time) bool { return !t.IsZero() && now.After(t) }
 	switch e := e.(type) {
-	case CloudOp:
-		return CloudDone{ID: e.ID, Status: CloudRefused}, nil, passed(e.Until)
-	case WorkerOp:
-		return WorkerDone{ID: e.ID, NotSent: true}, nil, passed(e.Until)
-	case ReportReply:
-		if !passed(e.Until) && passed(e.StartsUntil) {
+	case CloudRequest:
+		return CloudResponse{ID: e.ID, Status: CloudRefused}, nil, passed(e.SendDeadline)
+	case WorkerRequest:
+		return WorkerResponse{ID: e.ID, NotSent: true}, nil, passed(e.SendDeadline)
+	case HeartbeatReply:
+		if !passed(e.SendDeadline) && passed(e.StartsDeadline) {
 			// Its lease is prolonged all the same.
-			e.StartsUntil = time.Time{}
-			e.Orders = slices.DeleteFunc(slices.Clone(e.Orders), func(o Order) bool { return o.Verb == Start })
+			e.StartsDeadline = time.Time{}
+			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(o TaskCommand) bool { return o.Kind == StartTask })
 			return nil, e, true
 		}
-		return nil, ReportReply{Reply: e.Reply, Status: 503}, passed(e.Until)
+		return nil, HeartbeatReply{Reply: e.Reply, Status: 503}, passed(e.SendDeadline)
 	case UserReply:
-		return nil, UserReply{Reply: e.Reply, ID: e.ID, Status: 503, Message: "this took too long", RetryAfter: comeBack}, passed(e.Until)
+		return nil, UserReply{Reply: e.Reply, ID: e.ID, Status: 503, Message: "this took too long", RetryAfter: retryAfter}, passed(e.SendDeadline)
 	}
 	return nil, nil, false
 }
--- a/internal/core/late_test.go
+++ b/internal/core/late_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestLateAnswersToUsers: what rests on a read is told as long as it is waited for, also
+// TestUserReplyDeadline: what rests on a read is told as long as it is waited for, also
 // when its sender stands still meanwhile; ends and refusals are told at any time.
-func TestLateAnswersToUsers(t *testing.T) {
+func TestUserReplyDeadline(t *testing.T) {
 	n := largePool(1)
 	for _, x := range []struct {
 		r    UserReply
@@ -22,15 +22,15 @@
 		{UserReply{Status: 200, State: "cancelled"}, true},
 		{UserReply{Status: 503, Message: "starting"}, true},
 	} {
-		w := n.newWaiter(7, "job-1")
-		asked := n.now
-		n.now, n.out = n.now.Add(time.Second), nil
-		n.finish(w, x.r)
-		told := n.out[0].(UserReply)
-		if _, _, late := Late(told, asked.Add(userPatience)); late {
+		w := n.newUserRequest(7, "job-1")
+		requestedAt := n.now
+		n.now, n.effects = n.now.Add(time.Second), nil
+		n.answerRequest(w, x.r)
+		reply := n.effects[0].(UserReply)
+		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
 			t.Errorf("%+v is late while it is waited for", x.r)
 		}
-		_, instead, late := Late(told, asked.Add(userPatience+time.Millisecond))
+		_, instead, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout+time.Millisecond))
 		if late == x.good {
 			t.Errorf("%+v leaves late: %v", x.r, !late)
 		}
--- a/internal/core/loans.go
+++ b/internal/core/loans.go
@@ -14,627 +14,631 @@
 // home names that record's stamp. A borrowed one is a job like any other in the
 // guests' team, which may start only while its home has lately said so.
 
-// loan is what of a job concerns lending.
-type loan struct {
-	// lent is the peer that has it, or "". lending: that is being written.
-	lent    string
-	lentN   uint64
-	wanted  bool
-	lending bool
-	// guest is the loan by which it is here, and startable until when its tasks
+// loanState is what of a job concerns lending.
+type loanState struct {
+	// lentTo is the peer that has it, or "". lending: that is being written.
+	lentTo          string
+	lendCount       uint64
+	cancelRequested bool
+	lending         bool
+	// borrowedLoan is the loan by which it is here, and startable until when its tasks
 	// may be started.
-	guest     string
-	startable time.Time
+	borrowedLoan   string
+	startableUntil time.Time
 }
 
-func (l *loan) elsewhere() bool { return l.lent != "" || l.lending || l.wanted }
+func (l *loanState) elsewhere() bool { return l.lentTo != "" || l.lending || l.cancelRequested }
 
 // mayStart says whether tasks may be started now: of a borrowed job only while
 // the home has lately called it ours, as it may have taken it back.
-func (l *loan) mayStart(now time.Time) bool { return l.guest == "" || now.Before(l.startable) }
+func (l *loanState) mayStart(now time.Time) bool {
+	return l.borrowedLoan == "" || now.Before(l.startableUntil)
+}
 
-func (l *loan) loaned(r *openRecord) {
-	l.lent, l.lentN, l.wanted, l.guest = r.Lent, r.LentN, r.Wanted, r.Guest
+func (l *loanState) setLoanFrom(r *openJobRecord) {
+	l.lentTo, l.lendCount, l.cancelRequested, l.borrowedLoan = r.LentTo, r.LendCount, r.CancelRequested, r.BorrowedLoan
 }
 
-// LoanKind is what is to be made durable.
-type LoanKind int
+// LoanCommandKind is what is to be made durable.
+type LoanCommandKind int
 
 // The kinds: of our own jobs, that a peer has one, that it is ours again, that
 // the peer has done it, and that it ended as its user wanted; of a peer's, that it
 // is taken in, given up, and forgotten.
 const (
-	LoanLend LoanKind = iota
-	LoanBack
+	LoanLend LoanCommandKind = iota
+	LoanTakeBack
 	LoanSettle
-	LoanCancelled
+	LoanEndCancelled
 	LoanAccept
 	LoanGiveUp
 	LoanDrop
 )
 
-// LoanOp asks for one transaction. Job is our own job, or the guest id of a
+// LoanCommand asks for one transaction. Job is our own job, or the guest id of a
 // borrowed one, and Loan the loan's name.
-type LoanOp struct {
-	Reply uint64
-	Kind  LoanKind
-	Job   string
-	Loan  string
-	N     uint64
+type LoanCommand struct {
+	Reply     uint64
+	Kind      LoanCommandKind
+	Job       string
+	Loan      string
+	LendCount uint64
 	// Peer and Stop go with LoanLend; Spec, Age and Team with LoanAccept.
-	Peer  string
-	Stop  time.Duration
-	Spec  Spec
-	Age   time.Duration
-	Cause string
+	Peer      string
+	StopBound time.Duration
+	Spec      JobSpec
+	Age       time.Duration
+	Cause     string
 }
 
-// LoanStatus is how a LoanOp ended.
+// LoanStatus is how a LoanCommand ended.
 type LoanStatus int
 
 // Done: durable. Not: its conditions do not hold, and it never will be applied.
 // Unsure: perhaps applied, perhaps later; ask again.
 const (
 	LoanDurable LoanStatus = iota
-	LoanNot
-	LoanUnsure
+	LoanNotApplied
+	LoanUncertain
 )
 
-// LoanDone answers a LoanOp.
-type LoanDone struct {
+// LoanReply answers a LoanCommand.
+type LoanReply struct {
 	Reply  uint64
 	Status LoanStatus
 }
 
-// LoanQuery asks for what lending needs to know. Startable says, for borrowed jobs
+// QueryLoans asks for what lending needs to know. Startable says, for borrowed jobs
 // by guest id, until when they may be started; what it does not name may not.
-type LoanQuery struct {
-	Reply     uint64
-	Startable map[string]time.Time
+type QueryLoans struct {
+	Reply          uint64
+	StartableUntil map[string]time.Time
 	// Progress is what peers say of our jobs, for display.
 	Progress []Progress
-	// Plan asks for Waiting and Room as well, which cost a look ahead.
-	Plan bool
-	// Team is the guests' team.
-	Team string
+	// WithSimulation asks for Waiting and Room as well, which cost a look ahead.
+	WithSimulation bool
+	// GuestTeam is the guests' team.
+	GuestTeam string
 }
 
-// LoanView answers a LoanQuery, as of a moment after it was asked. OK is false while
+// LoanView answers a QueryLoans, as of a moment after it was asked. OK is false while
 // nothing can be read. Leads: this controller leads, and answers peers; Leader says
 // which one does. Guests: it runs the guests' team, and speaks for the cluster as a
 // borrower.
 type LoanView struct {
-	Reply     uint64
-	OK        bool
-	Leads     bool
-	Leader    string
-	Epoch     uint64
-	SureUntil time.Time
-	Guests    bool
-	// GuestEpoch is the stamp of the share with the guests' team, and GuestTerm
+	Reply           uint64
+	OK              bool
+	IsLeader        bool
+	Leader          string
+	Epoch           uint64
+	LeaseValidUntil time.Time
+	RunsGuestTeam   bool
+	// GuestTeamEpoch is the stamp of the share with the guests' team, and GuestTeamTerm
 	// changes whenever the team is taken up anew.
-	GuestEpoch uint64
-	GuestTerm  int
-	Drain      bool
-	DrainBy    time.Time
-	Lent       []LentJob
-	Borrowed   []BorrowedJob
-	// Renewed is, for each home, when a report was sent that is known to have been
+	GuestTeamEpoch uint64
+	GuestTeamTerm  int
+	Draining       bool
+	DrainDeadline  time.Time
+	Lent           []LentJob
+	Borrowed       []BorrowedJob
+	// RenewedAt is, for each home, when a report was sent that is known to have been
 	// answered, in the time of day.
-	Renewed  map[string]time.Time
-	Waiting  []WaitingJob
-	Room     []FreeRoom
-	Images   []string
-	Late     bool
-	Urgency  Urgency
-	Cheapest float64
+	RenewedAt       map[string]time.Time
+	Waiting         []WaitingJob
+	FreeCapacity    []FreeCapacity
+	CachedImages    []string
+	OwnWorkLate     bool
+	LateUrgency     Urgency
+	CheapestCPUHour float64
 }
 
 // LentJob is a job of ours that a peer has.
 type LentJob struct {
-	Spec   Spec
-	At     time.Time
-	Peer   string
-	N      uint64
-	Stop   time.Duration
-	Wanted bool
+	Spec            JobSpec
+	SubmittedAt     time.Time
+	Peer            string
+	LendCount       uint64
+	StopBound       time.Duration
+	CancelRequested bool
 }
 
 // BorrowedJob is a job of a peer's. Status is queued, done or cancelled; Known is
 // false while that has to be read first.
 type BorrowedJob struct {
-	Loan    string
-	Job     string
-	Spec    Spec
-	Status  JobStatus
-	Known   bool
-	Ending  bool
-	Cause   string
-	Began   bool
-	Done    int
-	Running int
+	Loan         string
+	Job          string
+	Spec         JobSpec
+	Status       JobStatus
+	StatusKnown  bool
+	Ending       bool
+	Cause        string
+	Started      bool
+	DoneTasks    int
+	RunningTasks int
 }
 
 // WaitingJob is a job of ours of which nothing was ever started.
 type WaitingJob struct {
-	Spec    Spec
-	Aim     time.Duration
-	HomeEnd time.Duration
-	Run     time.Duration
-	LentN   uint64
+	Spec       JobSpec
+	SLODue     time.Duration
+	HomeFinish time.Duration
+	RunTime    time.Duration
+	LendCount  uint64
 }
 
-// FreeRoom is room that own work will not want for a while.
-type FreeRoom struct {
-	Flavour  string
-	Zone     string
-	Spot     bool
-	Each     Resources
-	Machines int
-	// In is how long until it is there: of machines that are to be rented first.
-	In time.Duration
-	// Price is for one CPU, an hour.
-	Price float64
-	Rate  float64
+// FreeCapacity is room that own work will not want for a while.
+type FreeCapacity struct {
+	MachineType string
+	Zone        string
+	Spot        bool
+	PerMachine  Resources
+	Machines    int
+	// AvailableIn is how long until it is there: of machines that are to be rented first.
+	AvailableIn time.Duration
+	// CostPerCPUHour is for one CPU, an hour.
+	CostPerCPUHour float64
+	FetchRate      float64
 }
 
-// DrainOp begins or ends the emptying of the cluster of borrowed work.
-type DrainOp struct {
-	Reply uint64
-	On    bool
-	// By is when all borrowed work is to be gone.
-	By time.Time
+// DrainCommand begins or ends the emptying of the cluster of borrowed work.
+type DrainCommand struct {
+	Reply   uint64
+	Enabled bool
+	// Deadline is when all borrowed work is to be gone.
+	Deadline time.Time
 }
 
-func (LoanOp) command()    {}
-func (LoanQuery) command() {}
-func (DrainOp) command()   {}
-func (LoanDone) effect()   {}
-func (LoanView) effect()   {}
+func (LoanCommand) command()  {}
+func (QueryLoans) command()   {}
+func (DrainCommand) command() {}
+func (LoanReply) effect()     {}
+func (LoanView) effect()      {}
 
 type drainRecord struct {
-	On bool  `msgpack:"on"`
-	By int64 `msgpack:"by"`
+	Enabled  bool  `msgpack:"on"`
+	Deadline int64 `msgpack:"by"`
 }
 
-// guestRecord is a loan that was taken, or the time when a home last answered.
-type guestRecord struct {
-	Job     string `msgpack:"j,omitempty"`
-	Cause   string `msgpack:"c,omitempty"`
-	Renewed int64  `msgpack:"r,omitempty"`
+// offloadedJobRecord is a loan that was taken, or the time when a home last answered.
+type offloadedJobRecord struct {
+	Job       string `msgpack:"j,omitempty"`
+	Cause     string `msgpack:"c,omitempty"`
+	RenewedAt int64  `msgpack:"r,omitempty"`
 }
 
-// renewedPrefix holds the times of answered reports, one record for each home. No
+// renewalPrefix holds the times of answered reports, one record for each home. No
 // loan's name begins like that, as no cluster's does.
-const renewedPrefix = guestPrefix + "0/"
+const renewalPrefix = offloadedJobPrefix + "0/"
 
-// guests is the picture that the owner of the guests' team has of guest/, in the
+// offloadedJobs is the picture that the owner of the guests' team has of guest/, in the
 // given term as its owner.
-type guests struct {
-	team    string
-	term    int
-	loaded  bool
-	loading bool
-	by      map[string]guestRecord
-	renewed map[string]time.Time
+type offloadedJobs struct {
+	team      string
+	term      int
+	loaded    bool
+	loading   bool
+	byLoan    map[string]offloadedJobRecord
+	renewedAt map[string]time.Time
 }
 
-// loanOp carries out one transaction. Each names the record of whoever decides, the
+// runLoanCommand carries out one transaction. Each names the record of whoever decides, the
 // leader's for what is lent, the share with the guests' team for what is borrowed, so
 // that nothing of a deposed one's is applied, and the record the decision rests on.
-func loanOp(n *Node, c LoanOp) {
-	done := func(s LoanStatus) { n.emit(LoanDone{c.Reply, s}) }
-	owns := n.owner != nil && n.owner.ready
-	op := StateOp{Kind: OpTxn, Prio: PrioStart}
-	switch borrows := c.Kind >= LoanAccept; {
-	case borrows && owns && guestsKnown(n):
-		op.When = append(op.When, n.shareConds(n.guests.team)...)
-	case !borrows && n.leader != nil:
-		op.When = append(op.When, Cond{leadKey, n.leader.stamp})
+func runLoanCommand(n *Controller, cmd LoanCommand) {
+	done := func(s LoanStatus) { n.emit(LoanReply{cmd.Reply, s}) }
+	ownerReady := n.shardLeader != nil && n.shardLeader.ready
+	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart}
+	switch borrowing := cmd.Kind >= LoanAccept; {
+	case borrowing && ownerReady && offloadedJobsLoaded(n):
+		req.Compares = append(req.Compares, n.shardCompares(n.offloadedJobs.team)...)
+	case !borrowing && n.leader != nil:
+		req.Compares = append(req.Compares, Compare{leaderKey, n.leader.modRevision})
 	default:
-		done(LoanNot)
+		done(LoanNotApplied)
 		return
 	}
-	open := openPrefix + c.Job
+	openKey := openJobPrefix + cmd.Job
 	var j *job
-	if owns {
-		j = n.owner.jobs[c.Job]
+	if ownerReady {
+		j = n.shardLeader.jobs[cmd.Job]
 	}
-	after := func() {}
-	var item Item
-	switch l, there := n.users.mirror.open[c.Job]; c.Kind {
+	onApplied := func() {}
+	var openUpdate KeyValue
+	switch current, isOpen := n.frontend.watchCache.openJobs[cmd.Job]; cmd.Kind {
 	case LoanLend:
-		if j == nil || !j.untouched() || !settledDate(n, j) {
-			done(LoanNot)
+		if j == nil || !j.isLendable() || !isDateDurable(n, j) {
+			done(LoanNotApplied)
 			return
 		}
-		rec := j.record0()
-		rec.Lent, rec.LentN, rec.LentStop = c.Peer, c.N, c.Stop.Milliseconds()
+		rec := j.currentRecord()
+		rec.LentTo, rec.LendCount, rec.StopBoundMillis = cmd.Peer, cmd.LendCount, cmd.StopBound.Milliseconds()
 		j.lending = true
 		// Without an answer it may be carried out when the job has been started here,
 		// which leaves open/ as it is: the first task's record must not be there either.
-		op.When = append(append(op.When, n.shareConds(j.Team)...), Cond{open, j.stamp})
-		op.When = append(op.When, n.firstRecords(c.Job)...)
-		item = Item{Key: open, Value: encode(rec)}
-	case LoanBack:
-		if !there || l.rec.Lent == "" || l.rec.LentN != c.N {
-			done(LoanNot)
+		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), Compare{openKey, j.modRevision})
+		req.Compares = append(req.Compares, n.neverStartedCompares(cmd.Job)...)
+		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
+	case LoanTakeBack:
+		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
+			done(LoanNotApplied)
 			return
 		}
-		rec := l.rec
-		rec.Lent, rec.LentStop, rec.Wanted = "", 0, false
-		op.When = append(op.When, Cond{open, l.stamp})
-		item = Item{Key: open, Value: encode(rec)}
-	case LoanSettle, LoanCancelled:
-		if !there || l.rec.Lent == "" || l.rec.LentN != c.N {
-			done(LoanNot)
+		rec := current.rec
+		rec.LentTo, rec.StopBoundMillis, rec.CancelRequested = "", 0, false
+		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
+		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
+	case LoanSettle, LoanEndCancelled:
+		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
+			done(LoanNotApplied)
 			return
 		}
 		status := Done
-		if c.Kind == LoanCancelled {
+		if cmd.Kind == LoanEndCancelled {
 			status = Cancelled
 		}
-		over := overRecord(n, c.Job, status, &l)
-		op.When = append(op.When, Cond{open, l.stamp})
-		op.Apply = append(op.Apply, Change{Key: jobPrefix + c.Job, Value: encode(over)})
-		item = Item{Key: open, Removed: true}
-		after = func() {
-			n.setFinal(c.Job, status)
-			doneDate(n, c.Job, over)
+		endRec := endRecordFromCache(n, cmd.Job, status, &current)
+		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
+		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRec)})
+		openUpdate = KeyValue{Key: openKey, Deleted: true}
+		onApplied = func() {
+			n.cacheFinalStatus(cmd.Job, status)
+			cacheDoneDate(n, cmd.Job, endRec)
 		}
 	case LoanAccept:
-		rec := c.Spec.record(n.now.Add(-c.Age))
-		rec.Guest = c.Loan
-		op.When = append(op.When, Cond{guestPrefix + c.Loan, 0}, Cond{open, 0}, Cond{jobPrefix + c.Job, 0})
-		op.Apply = append(op.Apply, Change{Key: guestPrefix + c.Loan, Value: encode(guestRecord{Job: c.Job})})
-		item = Item{Key: open, Value: encode(rec)}
-		after = func() { n.guests.by[c.Loan] = guestRecord{Job: c.Job} }
+		rec := cmd.Spec.openRecord(n.now.Add(-cmd.Age))
+		rec.BorrowedLoan = cmd.Loan
+		req.Compares = append(req.Compares, Compare{offloadedJobPrefix + cmd.Loan, 0}, Compare{openKey, 0}, Compare{jobStatusPrefix + cmd.Job, 0})
+		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(offloadedJobRecord{Job: cmd.Job})})
+		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
+		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = offloadedJobRecord{Job: cmd.Job} }
 	case LoanGiveUp:
-		if !there || l.rec.Cancelled {
-			done(LoanNot)
+		if !isOpen || current.rec.Cancelled {
+			done(LoanNotApplied)
 			return
 		}
-		rec := l.rec
-		rec.Cancelled, rec.CancelledAt = true, n.now.UnixMilli()
-		rec.shorten(n.set.ValueBytes)
-		g := guestRecord{Job: c.Job, Cause: c.Cause}
-		op.When = append(op.When, Cond{open, l.stamp})
-		op.Apply = append(op.Apply, Change{Key: jobPrefix + c.Job, Value: encode(overRecord(n, c.Job, Cancelled, &l))},
-			Change{Key: guestPrefix + c.Loan, Value: encode(g)})
-		item = Item{Key: open, Value: encode(rec)}
-		after = func() { n.guests.by[c.Loan] = g }
+		rec := current.rec
+		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
+		rec.shrinkToFit(n.settings.MaxValueBytes)
+		g := offloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
+		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
+		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, Cancelled, &current))},
+			Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(g)})
+		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
+		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = g }
 	case LoanDrop:
-		op.When = append(op.When, Cond{open, 0})
-		op.Apply = append(op.Apply, Change{Key: guestPrefix + c.Loan}, Change{Key: jobPrefix + c.Job})
-		after = func() {
-			delete(n.guests.by, c.Loan)
-			delete(n.users.final, c.Job)
+		req.Compares = append(req.Compares, Compare{openKey, 0})
+		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan}, Write{Key: jobStatusPrefix + cmd.Job})
+		onApplied = func() {
+			delete(n.offloadedJobs.byLoan, cmd.Loan)
+			delete(n.frontend.finalStatuses, cmd.Job)
 		}
 	}
-	if item.Key != "" {
-		op.Apply = append(op.Apply, Change{Key: item.Key, Value: item.Value})
+	if openUpdate.Key != "" {
+		req.Writes = append(req.Writes, Write{Key: openUpdate.Key, Value: openUpdate.Value})
 	}
-	n.ask(op, func(d StateDone) {
+	n.requestStore(req, func(resp StoreResponse) {
 		if j != nil {
 			j.lending = false
 		}
-		switch d.Status {
-		case StateOK:
-			item.Stamp = d.Rev
-			after()
-			if item.Key != "" {
-				n.ownerSees(item)
+		switch resp.Status {
+		case StoreOK:
+			openUpdate.ModRevision = resp.Revision
+			onApplied()
+			if openUpdate.Key != "" {
+				n.observeOwnWrite(openUpdate)
 			}
 			done(LoanDurable)
-		case StateConflict, StateRefused, StateBad, StateNoGrant:
-			done(LoanNot)
+		case StoreConflict, StoreRefused, StoreMalformed, StoreNoLease:
+			done(LoanNotApplied)
 		default:
-			if c.Kind >= LoanAccept {
+			if cmd.Kind >= LoanAccept {
 				// Carried out or not: what has been taken is read again before the next step.
-				n.guests.loaded = false
+				n.offloadedJobs.loaded = false
 			}
-			done(LoanUnsure)
+			done(LoanUncertain)
 		}
 	})
 }
 
-// began says that some task of the job was ever started, is being started or waits
+// hasStarted says that some task of the job was ever started, is being started or waits
 // for a write: each of these makes a record of its part of the tasks. One that only
 // found no room has none.
-func (j *job) began() bool { return len(j.chunks) > 0 || len(j.former) > 0 || j.live > 0 }
+func (j *job) hasStarted() bool {
+	return len(j.segments) > 0 || len(j.formerKeys) > 0 || j.liveTasks > 0
+}
 
-// untouched says that the job may be lent: nothing of it can be anywhere.
-func (j *job) untouched() bool {
-	return !j.began() && !j.cancelled && !j.ending && !j.waits && !j.elsewhere() && j.guest == ""
+// isLendable says that the job may be lent: nothing of it can be anywhere.
+func (j *job) isLendable() bool {
+	return !j.hasStarted() && !j.cancelled && !j.ending && !j.dependenciesPending && !j.elsewhere() && j.borrowedLoan == ""
 }
 
-// record0 is the job's record in open/ as it stands.
-func (j *job) record0() openRecord {
-	r := j.Spec.record(j.at)
-	if j.raised {
-		r.Urgency = int(j.own)
+// currentRecord is the job's record in open/ as it stands.
+func (j *job) currentRecord() openJobRecord {
+	r := j.JobSpec.openRecord(j.submittedAt)
+	if j.urgencyRaised {
+		r.Urgency = int(j.ownUrgency)
 	}
-	r.LentN, r.Guest, r.P = j.lentN, j.guest, int(j.first.Milliseconds())
+	r.LendCount, r.BorrowedLoan, r.PromisedMillis = j.lendCount, j.borrowedLoan, int(j.firstPromise.Milliseconds())
 	return r
 }
 
-// cancelLent notes that a lent job's user wants it cancelled. That is told only
+// cancelLentJob notes that a lent job's user wants it cancelled. That is told only
 // when the peer has stopped it or surely runs it no more; until then the user is
 // asked to come back, and gets no answer that could turn out to be wrong.
-func cancelLent(n *Node, w *waiter, f found) {
-	again := func() {
-		n.after(cancelLook, func() {
-			if !w.done {
-				n.cancel(w)
+func cancelLentJob(n *Controller, w *userRequest, f jobLookup) {
+	retry := func() {
+		n.after(lentCancelPoll, func() {
+			if !w.answered {
+				n.cancelOpenJob(w)
 			}
 		})
 	}
-	if f.open.Wanted {
-		again()
+	if f.open.CancelRequested {
+		retry()
 		return
 	}
 	rec := f.open
-	rec.Wanted = true
-	it := Item{Key: openPrefix + w.id, Value: encode(rec)}
-	n.ask(StateOp{Kind: OpTxn, Prio: PrioUser, When: []Cond{{it.Key, f.stamp}}, Apply: []Change{{Key: it.Key, Value: it.Value}}}, func(d StateDone) {
-		if d.Status == StateOK {
-			it.Stamp = d.Rev
-			n.ownerSees(it)
+	rec.CancelRequested = true
+	it := KeyValue{Key: openJobPrefix + w.id, Value: encode(rec)}
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{it.Key, f.modRevision}}, Writes: []Write{{Key: it.Key, Value: it.Value}}}, func(d StoreResponse) {
+		if d.Status == StoreOK {
+			it.ModRevision = d.Revision
+			n.observeOwnWrite(it)
 		}
-		again()
+		retry()
 	})
 }
 
-// cancelLook is how often a waiting cancellation looks whether the peer has
+// lentCancelPoll is how often a waiting cancellation looks whether the peer has
 // answered.
-const cancelLook = 250 * time.Millisecond
+const lentCancelPoll = 250 * time.Millisecond
 
-// guestsKnown says that guest/ has been read in this term as owner.
-func guestsKnown(n *Node) bool {
-	held := n.owner.teams[n.guests.team]
-	return n.guests.loaded && held != nil && held.term == n.guests.term
+// offloadedJobsLoaded says that guest/ has been read in this term as owner.
+func offloadedJobsLoaded(n *Controller) bool {
+	held := n.shardLeader.teams[n.offloadedJobs.team]
+	return n.offloadedJobs.loaded && held != nil && held.holdID == n.offloadedJobs.term
 }
 
-// loadGuests reads guest/ for a new owner of the guests' team.
-func loadGuests(n *Node, team string) {
-	g := &n.guests
+// loadOffloadedJobs reads guest/ for a new owner of the guests' team.
+func loadOffloadedJobs(n *Controller, team string) {
+	g := &n.offloadedJobs
 	if g.loading {
 		return
 	}
 	g.loading = true
-	term := n.owner.teams[team].term
-	by, renewed := map[string]guestRecord{}, map[string]time.Time{}
+	term := n.shardLeader.teams[team].holdID
+	by, renewed := map[string]offloadedJobRecord{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
-		n.ask(StateOp{Kind: OpList, Prio: PrioSession, Key: guestPrefix, From: from}, func(d StateDone) {
-			if held := n.owner; d.Status != StateOK || held == nil || held.teams[team] == nil || held.teams[team].term != term {
+		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityMembership, Key: offloadedJobPrefix, StartAfter: from}, func(resp StoreResponse) {
+			if held := n.shardLeader; resp.Status != StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
 				g.loading = false
 				return
 			}
-			for _, it := range d.Items {
-				var r guestRecord
+			for _, it := range resp.KeyValues {
+				var r offloadedJobRecord
 				switch {
 				case !decode(it.Value, &r):
 					n.info("unreadable record", "key", it.Key)
-				case strings.HasPrefix(it.Key, renewedPrefix):
-					renewed[strings.TrimPrefix(it.Key, renewedPrefix)] = time.UnixMilli(r.Renewed)
+				case strings.HasPrefix(it.Key, renewalPrefix):
+					renewed[strings.TrimPrefix(it.Key, renewalPrefix)] = time.UnixMilli(r.RenewedAt)
 				default:
-					by[strings.TrimPrefix(it.Key, guestPrefix)] = r
+					by[strings.TrimPrefix(it.Key, offloadedJobPrefix)] = r
 				}
 			}
-			if d.Truncated && len(d.Items) > 0 {
-				list(d.Items[len(d.Items)-1].Key)
+			if resp.Truncated && len(resp.KeyValues) > 0 {
+				list(resp.KeyValues[len(resp.KeyValues)-1].Key)
 				return
 			}
-			*g = guests{team: team, term: term, loaded: true, by: by, renewed: renewed}
+			*g = offloadedJobs{team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
 		})
 	}
 	list("")
 }
 
-// RenewOp writes down when the homes' answered reports were sent, for a successor:
+// RenewCommand writes down when the homes' answered reports were sent, for a successor:
 // earlier than true is safe, and so is a loss.
-type RenewOp struct{ Renewed map[string]time.Time }
+type RenewCommand struct{ RenewedAt map[string]time.Time }
 
-func (RenewOp) command() {}
+func (RenewCommand) command() {}
 
-func renewOp(n *Node, c RenewOp) {
-	if n.owner == nil || !guestsKnown(n) {
+func runRenewCommand(n *Controller, c RenewCommand) {
+	if n.shardLeader == nil || !offloadedJobsLoaded(n) {
 		return
 	}
-	op := StateOp{Kind: OpTxn, Prio: PrioLazy, When: n.shareConds(n.guests.team)}
-	for _, home := range sortedKeys(c.Renewed) {
-		if len(op.Apply) < n.set.TxnOps {
-			op.Apply = append(op.Apply, Change{Key: renewedPrefix + home, Value: encode(guestRecord{Renewed: c.Renewed[home].UnixMilli()})})
+	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares(n.offloadedJobs.team)}
+	for _, home := range sortedKeys(c.RenewedAt) {
+		if len(op.Writes) < n.settings.MaxTxnWrites {
+			op.Writes = append(op.Writes, Write{Key: renewalPrefix + home, Value: encode(offloadedJobRecord{RenewedAt: c.RenewedAt[home].UnixMilli()})})
 		}
 	}
-	if len(op.Apply) > 0 {
-		n.ask(op, func(StateDone) {})
+	if len(op.Writes) > 0 {
+		n.requestStore(op, func(StoreResponse) {})
 	}
 }
 
-// loanQuery answers when the picture of open/ is as of a moment after the
+// queryLoans answers when the picture of open/ is as of a moment after the
 // question.
-func loanQuery(n *Node, c LoanQuery) {
+func queryLoans(n *Controller, c QueryLoans) {
 	for _, p := range c.Progress {
-		n.display[p.ID] = p
+		n.progressByJob[p.ID] = p
 	}
-	if o := n.owner; o != nil {
+	if o := n.shardLeader; o != nil {
 		for id, j := range o.jobs {
-			if j.guest != "" {
-				if was := j.startable; c.Startable[id].After(was) || c.Startable[id].IsZero() {
-					j.startable = c.Startable[id]
-					o.place = o.place || was.Before(n.now)
+			if j.borrowedLoan != "" {
+				if was := j.startableUntil; c.StartableUntil[id].After(was) || c.StartableUntil[id].IsZero() {
+					j.startableUntil = c.StartableUntil[id]
+					o.placementDue = o.placementDue || was.Before(n.now)
 				}
 			}
 		}
 	}
-	no := func() { n.emit(LoanView{Reply: c.Reply, Leader: n.sess.lead.Host}) }
-	here := func() bool {
-		return n.owner != nil && n.owner.teams[c.Team] != nil && n.owner.teams[c.Team].ready
+	unavailable := func() { n.emit(LoanView{Reply: c.Reply, Leader: n.membership.leader.Host}) }
+	runsGuestTeam := func() bool {
+		return n.shardLeader != nil && n.shardLeader.teams[c.GuestTeam] != nil && n.shardLeader.teams[c.GuestTeam].ready
 	}
-	if here() && !guestsKnown(n) {
-		loadGuests(n, c.Team)
-		no()
+	if runsGuestTeam() && !offloadedJobsLoaded(n) {
+		loadOffloadedJobs(n, c.GuestTeam)
+		unavailable()
 		return
 	}
-	if n.leader == nil && !here() {
-		n.emit(LoanView{Reply: c.Reply, OK: true, Leader: n.sess.lead.Host})
+	if n.leader == nil && !runsGuestTeam() {
+		n.emit(LoanView{Reply: c.Reply, OK: true, Leader: n.membership.leader.Host})
 		return
 	}
-	n.freshen(func(ok bool) {
-		if !ok || here() && !guestsKnown(n) {
-			no()
+	n.refresh(func(ok bool) {
+		if !ok || runsGuestTeam() && !offloadedJobsLoaded(n) {
+			unavailable()
 			return
 		}
-		n.emit(loanView(n, c, here()))
+		n.emit(buildLoanView(n, c, runsGuestTeam()))
 	})
 }
 
-func loanView(n *Node, c LoanQuery, guests bool) LoanView {
-	m := &n.users.mirror
+func buildLoanView(n *Controller, c QueryLoans, runsGuestTeam bool) LoanView {
+	cache := &n.frontend.watchCache
 	v := LoanView{
-		Reply: c.Reply, OK: true, Leader: n.sess.lead.Host, SureUntil: n.sess.sureUntil,
-		Drain: n.sess.drain.On, Renewed: maps.Clone(n.guests.renewed), Guests: guests,
+		Reply: c.Reply, OK: true, Leader: n.membership.leader.Host, LeaseValidUntil: n.membership.leaseValidUntil,
+		Draining: n.membership.drain.Enabled, RenewedAt: maps.Clone(n.offloadedJobs.renewedAt), RunsGuestTeam: runsGuestTeam,
 	}
 	if n.leader != nil {
-		v.Leads, v.Epoch = true, n.leader.stamp
+		v.IsLeader, v.Epoch = true, n.leader.modRevision
 	}
-	if guests {
-		v.GuestEpoch, v.GuestTerm = n.sess.book.Team(c.Team).Since(), n.guests.term
+	if runsGuestTeam {
+		v.GuestTeamEpoch, v.GuestTeamTerm = n.membership.shardMap.Team(c.GuestTeam).Since(), n.offloadedJobs.term
 	}
-	if n.sess.drain.By > 0 {
-		v.DrainBy = time.UnixMilli(n.sess.drain.By)
+	if n.membership.drain.Deadline > 0 {
+		v.DrainDeadline = time.UnixMilli(n.membership.drain.Deadline)
 	}
-	for _, id := range sortedKeys(m.open) {
-		if r := m.open[id].rec; v.Leads && r.Lent != "" {
-			v.Lent = append(v.Lent, LentJob{Spec: r.spec(id), At: time.UnixMilli(r.At), Peer: r.Lent, N: r.LentN, Stop: time.Duration(r.LentStop) * time.Millisecond, Wanted: r.Wanted})
+	for _, id := range sortedKeys(cache.openJobs) {
+		if r := cache.openJobs[id].rec; v.IsLeader && r.LentTo != "" {
+			v.Lent = append(v.Lent, LentJob{Spec: r.spec(id), SubmittedAt: time.UnixMilli(r.SubmittedAtMillis), Peer: r.LentTo, LendCount: r.LendCount, StopBound: time.Duration(r.StopBoundMillis) * time.Millisecond, CancelRequested: r.CancelRequested})
 		}
 	}
-	if guests {
-		for _, name := range sortedKeys(n.guests.by) {
-			v.Borrowed = append(v.Borrowed, borrowedJob(n, name))
+	if runsGuestTeam {
+		for _, name := range sortedKeys(n.offloadedJobs.byLoan) {
+			v.Borrowed = append(v.Borrowed, buildBorrowedJob(n, name))
 		}
 	}
-	if o := n.owner; o != nil && o.ready && c.Plan {
-		loanPlan(n, &v)
+	if o := n.shardLeader; o != nil && o.ready && c.WithSimulation {
+		simulateLoans(n, &v)
 	}
 	return v
 }
 
-// borrowedJob is what is durable of a loan that was taken.
-func borrowedJob(n *Node, name string) BorrowedJob {
-	g := n.guests.by[name]
-	b := BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: Queued, Began: true}
-	if l, there := n.users.mirror.open[g.Job]; there {
-		b.Known, b.Spec, b.Ending = true, l.rec.spec(g.Job), l.rec.Cancelled
-	} else if s, ok := n.users.final[g.Job]; ok {
-		b.Known, b.Status = true, s
+// buildBorrowedJob is what is durable of a loan that was taken.
+func buildBorrowedJob(n *Controller, name string) BorrowedJob {
+	g := n.offloadedJobs.byLoan[name]
+	b := BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: Queued, Started: true}
+	if l, there := n.frontend.watchCache.openJobs[g.Job]; there {
+		b.StatusKnown, b.Spec, b.Ending = true, l.rec.spec(g.Job), l.rec.Cancelled
+	} else if s, ok := n.frontend.finalStatuses[g.Job]; ok {
+		b.StatusKnown, b.Status = true, s
 	} else {
-		n.read(g.Job, func(d StateDone) {
-			var r jobRecord
-			if d.Status == StateOK && decode(d.Items[0].Value, &r) && r.Status.Final() {
-				n.setFinal(g.Job, r.Status)
+		n.readStatusRecord(g.Job, func(d StoreResponse) {
+			var r jobStatusRecord
+			if d.Status == StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
+				n.cacheFinalStatus(g.Job, r.Status)
 			}
 		})
 	}
-	p := n.progress(g.Job)
-	b.Done, b.Running = p.Done, p.Running
-	if j := n.owner.jobs[g.Job]; j != nil {
-		b.Began = j.began()
+	p := n.progressOf(g.Job)
+	b.DoneTasks, b.RunningTasks = p.Done, p.Running
+	if j := n.shardLeader.jobs[g.Job]; j != nil {
+		b.Started = j.hasStarted()
 	}
 	return b
 }
 
-// loanPlan plays the queue forward on the machines there are: which jobs of which
+// simulateLoans plays the queue forward on the machines there are: which jobs of which
 // nothing was started end too late, and which machines nothing of ours will want.
-func loanPlan(n *Node, v *LoanView) {
-	v.Cheapest = n.cheapest()
+func simulateLoans(n *Controller, v *LoanView) {
+	v.CheapestCPUHour = n.cheapestCPUCost()
 	images := map[string]bool{}
-	r := n.futureRoom()
-	p := n.newPlan(copyRoom(r, nil), r.images, nil)
-	for _, d := range n.demands(n.horizon(), true, false) {
-		last, none := time.Time{}, d.count == 0
-		p.play(d, func(_ int, x *virtual, _, at time.Time) {
-			if none = none || x == nil; x != nil {
+	capacity := n.futureFreeCapacity()
+	sim := n.newSimulation(copyFreeCapacity(capacity, nil), capacity.imageIDs, nil)
+	for _, d := range n.demands(n.planningHorizon(), true, false) {
+		last, unplaceable := time.Time{}, d.count == 0
+		sim.simulate(d, func(_ int, x *simulatedMachine, _, at time.Time) {
+			if unplaceable = unplaceable || x == nil; x != nil {
 				last = later(last, at)
 			}
 		})
-		if d.spread > 0 || d.j.guest != "" {
+		if d.arrivalSpread > 0 || d.job.borrowedLoan != "" {
 			continue
 		}
-		end := last.Add(n.runs(d.j)).Sub(n.now)
-		if none {
-			end = hopelessly
+		finish := last.Add(n.expectedOccupancy(d.job)).Sub(n.now)
+		if unplaceable {
+			finish = maxLateness
 		}
 		// What waits may also run on machines that are rented for it, unless the
 		// cloud has lately had none of the kind.
-		for k, f := range bookable(n) {
-			if d.j.allows(k.flavour, k.zone, k.spot) && d.j.Need.Fits(f.Size) {
-				end = min(end, f.Ready+pull(&f, d.j)+n.runs(d.j))
+		for k, f := range rentableKinds(n) {
+			if d.job.allowsMachine(k.machineType, k.zone, k.spot) && d.job.Need.Fits(f.Capacity) {
+				finish = min(finish, f.ProvisioningTime+newMachineFetchTime(&f, d.job)+n.expectedOccupancy(d.job))
 			}
 		}
-		aim := n.latest(d.j).Add(n.expects(d.j)).Sub(n.now)
-		if end > aim {
-			v.Late, v.Urgency = true, max(v.Urgency, d.j.Urgency)
+		sloDue := n.latestStart(d.job).Add(n.expectedRunTime(d.job)).Sub(n.now)
+		if finish > sloDue {
+			v.OwnWorkLate, v.LateUrgency = true, max(v.LateUrgency, d.job.Urgency)
 		}
-		if d.j.untouched() {
+		if d.job.isLendable() {
 			v.Waiting = append(v.Waiting, WaitingJob{
-				Spec: d.j.Spec, Aim: aim, HomeEnd: end, Run: n.expects(d.j), LentN: d.j.lentN,
+				Spec: d.job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: n.expectedRunTime(d.job), LendCount: d.job.lendCount,
 			})
 		}
 	}
 	type like struct {
-		k    kind
+		k    machineKind
 		each Resources
 	}
 	count := map[like]int{}
-	for _, x := range p.vs {
-		if x.m == nil || x.taken > 0 || !n.usable(x.m) || x.m.retiring {
+	for _, x := range sim.machines {
+		if x.machine == nil || x.placements > 0 || !n.usable(x.machine) || x.machine.decommissioning {
 			continue
 		}
-		count[like{x.k, x.m.free()}]++
-		for name, im := range x.m.images {
+		count[like{x.machineKind, x.machine.free()}]++
+		for name, im := range x.machine.images {
 			images[name] = images[name] || im.cached
 		}
 	}
-	for k, f := range bookable(n) {
-		v.Room = append(v.Room, FreeRoom{Flavour: k.flavour, Zone: k.zone, Spot: k.spot, Each: f.Size, Machines: bookMost, In: f.Ready, Price: n.price(k) / max(f.Size.CPU, 1), Rate: f.PullRate})
+	for k, f := range rentableKinds(n) {
+		v.FreeCapacity = append(v.FreeCapacity, FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: n.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
 	for l, k := range count {
-		f := n.types[l.k.flavour]
-		v.Room = append(v.Room, FreeRoom{Flavour: l.k.flavour, Zone: l.k.zone, Spot: l.k.spot, Each: l.each, Machines: k, Price: n.price(l.k) / max(f.Size.CPU, 1), Rate: f.PullRate})
+		f := n.machineTypes[l.k.machineType]
+		v.FreeCapacity = append(v.FreeCapacity, FreeCapacity{MachineType: l.k.machineType, Zone: l.k.zone, Spot: l.k.spot, PerMachine: l.each, Machines: k, CostPerCPUHour: n.costPerHour(l.k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
-	slices.SortFunc(v.Room, func(a, b FreeRoom) int {
-		return cmp.Or(strings.Compare(a.Flavour, b.Flavour), strings.Compare(a.Zone, b.Zone), cmp.Compare(b2f(a.Spot), b2f(b.Spot)), cmp.Compare(a.In, b.In), cmp.Compare(a.Each.CPU, b.Each.CPU), cmp.Compare(a.Each.Memory, b.Each.Memory))
+	slices.SortFunc(v.FreeCapacity, func(a, b FreeCapacity) int {
+		return cmp.Or(strings.Compare(a.MachineType, b.MachineType), strings.Compare(a.Zone, b.Zone), cmp.Compare(boolToFloat(a.Spot), boolToFloat(b.Spot)), cmp.Compare(a.AvailableIn, b.AvailableIn), cmp.Compare(a.PerMachine.CPU, b.PerMachine.CPU), cmp.Compare(a.PerMachine.Memory, b.PerMachine.Memory))
 	})
 	for _, name := range sortedKeys(images) {
 		if images[name] {
-			v.Images = append(v.Images, name)
+			v.CachedImages = append(v.CachedImages, name)
 		}
 	}
 }
 
-// bookMost is how many machines of a kind are offered to peers that would have to
+// maxOfferedPerKind is how many machines of a kind are offered to peers that would have to
 // be rented for them: the cloud does not tell how many it has.
-const bookMost = 8
+const maxOfferedPerKind = 8
 
-// bookAgain is for how long after a refusal has passed a kind is not counted on. It
+// refusalMemory is for how long after a refusal has passed a kind is not counted on. It
 // is asked for again much sooner; but a plan that counts on it each time anew would
 // keep at home what then waits.
-const bookAgain = time.Minute
+const refusalMemory = time.Minute
 
-// bookable are the kinds of machines that the cloud has not lately refused.
-func bookable(n *Node) map[kind]Flavour {
-	out := map[kind]Flavour{}
-	if n.owner.view == nil {
+// rentableKinds are the kinds of machines that the cloud has not lately refused.
+func rentableKinds(n *Controller) map[machineKind]MachineType {
+	out := map[machineKind]MachineType{}
+	if n.shardLeader.fleetView == nil {
 		return out
 	}
-	for _, f := range n.types {
+	for _, f := range n.machineTypes {
 		for _, z := range f.Zones {
 			for _, spot := range [...]bool{true, false} {
-				k := kind{f.Name, z, spot}
-				if n.now.Sub(n.owner.view.blocked[k]) > bookAgain {
+				k := machineKind{f.Name, z, spot}
+				if n.now.Sub(n.shardLeader.fleetView.blockedUntil[k]) > refusalMemory {
 					out[k] = f
 				}
 			}
@@ -643,15 +647,15 @@
 	return out
 }
 
-// drainOp writes whether the cluster is being emptied of borrowed work.
-func drainOp(n *Node, c DrainOp) {
-	rec := encode(drainRecord{On: c.On, By: c.By.UnixMilli()})
-	n.ask(StateOp{Kind: OpTxn, Prio: PrioUser, Apply: []Change{{Key: drainKey, Value: rec}}}, func(d StateDone) {
-		s := LoanUnsure
-		if d.Status == StateOK {
+// runDrainCommand writes whether the cluster is being emptied of borrowed work.
+func runDrainCommand(n *Controller, c DrainCommand) {
+	rec := encode(drainRecord{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Writes: []Write{{Key: drainKey, Value: rec}}}, func(d StoreResponse) {
+		s := LoanUncertain
+		if d.Status == StoreOK {
 			s = LoanDurable
-			n.ctlItem(Item{Key: drainKey, Value: rec, Stamp: d.Rev})
+			n.applyControlRecord(KeyValue{Key: drainKey, Value: rec, ModRevision: d.Revision})
 		}
-		n.emit(LoanDone{c.Reply, s})
+		n.emit(LoanReply{c.Reply, s})
 	})
 }
--- a/internal/core/lost.go
+++ b/internal/core/lost.go
@@ -6,43 +6,43 @@
 	"github.com/micahill/micahill/internal/loss"
 )
 
-// startsAhead is for how many seconds' worth of changes tasks of lost machines are
+// releaseAheadSeconds is for how many seconds' worth of changes tasks of lost machines are
 // set free at a time; most share a change with others.
-const startsAhead = 4
+const releaseAheadSeconds = 4
 
-// lostLog separates two lines in the log on machines that are silent together.
-const lostLog = 5 * time.Second
+// correlatedFailureLogInterval separates two lines in the log on machines that are silent together.
+const correlatedFailureLogInterval = 5 * time.Second
 
-// lostMachines names the silent machines that are to be given back now.
-func lostMachines(n *Node) []string {
-	p := loss.Pool{Lease: n.set.Lease, Starts: int(startsAhead * n.set.StateWrites)}
-	var silent []loss.Machine
-	for _, m := range n.owner.byID {
-		if !m.reports() || m.returning {
+// unresponsiveMachines names the silent machines that are to be given back now.
+func unresponsiveMachines(n *Controller) []string {
+	pool := loss.Pool{Lease: n.settings.WorkerLease, Starts: int(releaseAheadSeconds * n.settings.StoreWritesPerSecond)}
+	var unresponsive []loss.Machine
+	for _, m := range n.shardLeader.machinesByID {
+		if !m.expectsHeartbeats() || m.releasing {
 			continue
 		}
-		p.Reporting++
-		if !n.silent(m) {
+		pool.Reporting++
+		if !n.unresponsive(m) {
 			continue
 		}
-		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.owner.registry.Count(m.id), Over: n.quietFor(m) - n.silentAfter(m)}
+		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.Count(m.id), Over: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
 		for k := range m.attempts {
-			j := n.owner.jobs[k.job]
-			if l, u := n.latest(j), rankHeight(n, j); u > x.Urgency || x.Latest.IsZero() || u == x.Urgency && l.Before(x.Latest) {
+			j := n.shardLeader.jobs[k.job]
+			if l, u := n.latestStart(j), inverseRank(n, j); u > x.Urgency || x.Latest.IsZero() || u == x.Urgency && l.Before(x.Latest) {
 				x.Urgency, x.Latest = u, l
 			}
 		}
-		silent = append(silent, x)
+		unresponsive = append(unresponsive, x)
 	}
-	p.Deaf = n.selfMonitor.Deaf(n.now, n.owner.readyAt, p.Reporting, n.longestReport())
-	if p.Reporting > 1 && len(silent) == p.Reporting {
+	pool.Deaf = n.selfMonitor.Deaf(n.now, n.shardLeader.readyAt, pool.Reporting, n.maxHeartbeatInterval())
+	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// When all fall silent together, the fault is likely ours.
 		return nil
 	}
-	back := append(loss.GiveBack(p, silent), unhearing(n, p.Reporting)...)
-	if loss.Many(p, len(silent)) && n.now.Sub(n.owner.toldLost) >= lostLog {
-		n.owner.toldLost = n.now
-		n.info("machines are silent together", "silent", len(silent), "of", p.Reporting, "given back", len(back))
+	toRelease := append(loss.GiveBack(pool, unresponsive), unreachableMachines(n, pool.Reporting)...)
+	if loss.Many(pool, len(unresponsive)) && n.now.Sub(n.shardLeader.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
+		n.shardLeader.correlatedFailureLoggedAt = n.now
+		n.info("machines are silent together", "silent", len(unresponsive), "of", pool.Reporting, "given back", len(toRelease))
 	}
-	return back
+	return toRelease
 }
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -8,239 +8,243 @@
 )
 
 const (
-	// freshEvery separates two reads for what users ask. Those that ask in
+	// minRefreshInterval separates two reads for what users ask. Those that ask in
 	// between share the next one, so that the number of polls, which grows with
 	// that of living jobs, is none for the state service.
-	freshEvery = 150 * time.Millisecond
-	// freshAtLeast keeps the picture from falling far behind when nobody asks. An owner
+	minRefreshInterval = 150 * time.Millisecond
+	// maxRefreshInterval keeps the picture from falling far behind when nobody asks. An owner
 	// reads more often; see internal/horizon.
-	freshAtLeast = 10 * time.Second
+	maxRefreshInterval = 10 * time.Second
 )
 
-// mirror is this node's picture of open/, the jobs that are not over. An answer
+// watchCache is this node's picture of open/, the jobs that are not over. An answer
 // rests on it only after it was brought up to date by a read that began after
 // the question came.
-type mirror struct {
+type watchCache struct {
 	loaded  bool
 	loading bool
 	// rev: the picture is exact as of this revision. asOf is this node's horizon: all
 	// that was written before it is in the picture. It is the sending of the newest read
 	// or watch that was answered; see horizon.go.
-	rev  uint64
-	asOf time.Time
-	open map[string]living
-	// graph has the jobs that need others, as of the same revision; see prereqs.go.
-	graph *pipeline.Graph
-	// pages are the promised dates that stand beside them.
-	pages promise.Pages
+	revision uint64
+	asOf     time.Time
+	openJobs map[string]openJob
+	// dependencyGraph has the jobs that need others, as of the same revision; see prereqs.go.
+	dependencyGraph *pipeline.Graph
+	// promisePages are the promised dates that stand beside them.
+	promisePages promise.Pages
 	// watching: a watch is open, as long as this node is an owner.
 	watching bool
-	// asking wait for the read under way, next for one that has not begun.
-	asking, next []func(ok bool)
-	busy         bool
-	readAt       time.Time
-	waiting      bool
+	// readWaiters wait for the read under way, next for one that has not begun.
+	readWaiters, nextReadWaiters []func(ok bool)
+	readInFlight                 bool
+	lastReadAt                   time.Time
+	refreshScheduled             bool
 }
 
-// living is a job in open/.
-type living struct {
-	stamp uint64
-	rec   openRecord
+// openJob is a job in open/.
+type openJob struct {
+	modRevision uint64
+	rec         openJobRecord
 }
 
-// mirrorStart reads open/ and keeps the picture from ageing.
-func (n *Node) mirrorStart() {
-	m := &n.users.mirror
+// startWatchCache reads open/ and keeps the picture from ageing.
+func (n *Controller) startWatchCache() {
+	m := &n.frontend.watchCache
 	if m.loaded || m.loading {
 		return
 	}
-	n.mirrorLoad()
-	n.mirrorKeep()
+	n.loadWatchCache()
+	n.keepWatchCacheFresh()
 }
 
-func (n *Node) mirrorKeep() {
-	every := freshAtLeast
-	if n.owner != nil {
-		every = min(every, n.set.Horizon().ReadEvery())
+func (n *Controller) keepWatchCacheFresh() {
+	every := maxRefreshInterval
+	if n.shardLeader != nil {
+		every = min(every, n.settings.RenewalBound().ReadEvery())
 	}
-	n.after(every, n.mirrorKeep)
-	if m := &n.users.mirror; m.loaded && n.now.Sub(m.readAt) >= every {
-		n.freshen(func(bool) {})
+	n.after(every, n.keepWatchCacheFresh)
+	if m := &n.frontend.watchCache; m.loaded && n.now.Sub(m.lastReadAt) >= every {
+		n.refresh(func(bool) {})
 	}
 }
 
-func (n *Node) mirrorLoad() {
-	m := &n.users.mirror
+func (n *Controller) loadWatchCache() {
+	m := &n.frontend.watchCache
 	m.loading, m.loaded = true, false
-	open, pages := map[string]living{}, m.pages.Anew()
-	var rev uint64
+	open, pages := map[string]openJob{}, m.promisePages.Anew()
+	var revision uint64
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.ask(StateOp{Kind: OpList, Prio: PrioUser, Key: openPrefix, From: from}, func(d StateDone) {
-			if d.Status != StateOK {
-				n.after(n.jitter(retryPause), func() { list(from) })
+		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityUser, Key: openJobPrefix, StartAfter: from}, func(d StoreResponse) {
+			if d.Status != StoreOK {
+				n.after(n.jitter(storeRetryDelay), func() { list(from) })
 				return
 			}
 			if from == "" {
-				rev, began = d.Rev, d.Sent
+				revision, began = d.Revision, d.SentAt
 			}
-			for _, it := range d.Items {
-				if !pageItem(n, &pages, it) {
-					mirrorItem(open, it)
+			for _, it := range d.KeyValues {
+				if !applyPage(n, &pages, it) {
+					applyOpenJobRecord(open, it)
 				}
 			}
-			if d.Truncated && len(d.Items) > 0 {
-				list(d.Items[len(d.Items)-1].Key)
+			if d.Truncated && len(d.KeyValues) > 0 {
+				list(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
 			// Later pages tell of later changes, which the next read, from the
 			// revision of the first, brings again in order.
-			m.open, m.pages, m.rev, m.loaded, m.loading = open, pages, rev, true, false
+			m.openJobs, m.promisePages, m.revision, m.loaded, m.loading = open, pages, revision, true, false
 			m.asOf = later(m.asOf, began)
-			n.pipelineLoaded()
-			ownerReads(n)
-			n.freshNext()
-			n.mirrorWatch()
+			n.rebuildDependencyGraph()
+			syncOpenJobs(n)
+			n.startNextRefresh()
+			n.watchOpenJobs()
 		})
 	}
 	list("")
 }
 
-// mirrorNews takes in what a read or a watch has brought, all changes after a revision
+// applyOpenJobUpdates takes in what a read or a watch has brought, all changes after a revision
 // that was known. Two may be under way; of what both bring each change counts once.
-func (n *Node) mirrorNews(d StateDone) {
-	m := &n.users.mirror
-	for _, it := range d.Items {
-		if it.Stamp > m.rev && !pageItem(n, &m.pages, it) {
-			mirrorItem(m.open, it)
-			n.pipelineItem(it)
-			if n.owner != nil {
-				n.openItem(it)
+func (n *Controller) applyOpenJobUpdates(d StoreResponse) {
+	m := &n.frontend.watchCache
+	for _, it := range d.KeyValues {
+		if it.ModRevision > m.revision && !applyPage(n, &m.promisePages, it) {
+			applyOpenJobRecord(m.openJobs, it)
+			n.updateDependencyGraph(it)
+			if n.shardLeader != nil {
+				n.applyOpenJob(it)
 			}
 		}
 	}
-	m.rev = max(m.rev, d.Rev)
-	m.asOf = later(m.asOf, d.Sent)
+	m.revision = max(m.revision, d.Revision)
+	m.asOf = later(m.asOf, d.SentAt)
 }
 
-// mirrorWatch lets an owner hear of new jobs at once.
-func (n *Node) mirrorWatch() {
-	m := &n.users.mirror
-	if m.watching || !m.loaded || n.owner == nil {
+// watchOpenJobs lets an owner hear of new jobs at once.
+func (n *Controller) watchOpenJobs() {
+	m := &n.frontend.watchCache
+	if m.watching || !m.loaded || n.shardLeader == nil {
 		return
 	}
 	m.watching = true
-	n.ask(StateOp{Kind: OpFollow, Prio: PrioSession, Key: openPrefix, Rev: m.rev, Hold: watchHold}, func(d StateDone) {
+	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityMembership, Key: openJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d StoreResponse) {
 		m.watching = false
 		switch {
 		case !m.loaded:
 			// Being read again.
-		case d.Status == StateOK:
-			n.mirrorNews(d)
-			n.mirrorWatch()
-		case d.Status == StateGone:
-			n.mirrorLoad()
+		case d.Status == StoreOK:
+			n.applyOpenJobUpdates(d)
+			n.watchOpenJobs()
+		case d.Status == StoreCompacted:
+			n.loadWatchCache()
 		default:
-			n.after(n.jitter(retryPause), n.mirrorWatch)
+			n.after(n.jitter(storeRetryDelay), n.watchOpenJobs)
 		}
 	})
 }
 
-func mirrorItem(open map[string]living, it Item) {
-	id := jobID(it.Key, openPrefix)
-	if it.Removed {
+func applyOpenJobRecord(open map[string]openJob, it KeyValue) {
+	id := jobIDFromKey(it.Key, openJobPrefix)
+	if it.Deleted {
 		delete(open, id)
 		return
 	}
-	var r openRecord
+	var r openJobRecord
 	if decode(it.Value, &r) {
-		open[id] = living{it.Stamp, r}
+		open[id] = openJob{it.ModRevision, r}
 	}
 }
 
-// freshen calls fn once the picture is as of a moment after this call, or with
+// refresh calls fn once the picture is as of a moment after this call, or with
 // false when it can't be had.
-func (n *Node) freshen(fn func(ok bool)) {
-	m := &n.users.mirror
-	m.next = append(m.next, fn)
-	n.freshNext()
+func (n *Controller) refresh(fn func(ok bool)) {
+	m := &n.frontend.watchCache
+	m.nextReadWaiters = append(m.nextReadWaiters, fn)
+	n.startNextRefresh()
 }
 
-func (n *Node) freshNext() {
-	m := &n.users.mirror
-	if m.busy || !m.loaded || len(m.next) == 0 || m.waiting {
+func (n *Controller) startNextRefresh() {
+	m := &n.frontend.watchCache
+	if m.readInFlight || !m.loaded || len(m.nextReadWaiters) == 0 || m.refreshScheduled {
 		return
 	}
-	if wait := m.readAt.Add(freshEvery).Sub(n.now); wait > 0 {
-		m.waiting = true
+	if wait := m.lastReadAt.Add(minRefreshInterval).Sub(n.now); wait > 0 {
+		m.refreshScheduled = true
 		n.after(wait, func() {
-			m.waiting = false
-			n.freshNext()
+			m.refreshScheduled = false
+			n.startNextRefresh()
 		})
 		return
 	}
-	m.asking, m.next, m.busy, m.readAt = m.next, nil, true, n.now
-	n.ask(StateOp{Kind: OpFollow, Prio: PrioUser, Key: openPrefix, Rev: m.rev}, func(d StateDone) {
-		m.busy = false
-		fns := m.asking
-		m.asking = nil
-		ok := d.Status == StateOK
+	m.readWaiters, m.nextReadWaiters, m.readInFlight, m.lastReadAt = m.nextReadWaiters, nil, true, n.now
+	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityUser, Key: openJobPrefix, Revision: m.revision}, func(d StoreResponse) {
+		m.readInFlight = false
+		waiters := m.readWaiters
+		m.readWaiters = nil
+		ok := d.Status == StoreOK
 		if ok && m.loaded {
-			n.mirrorNews(d)
+			n.applyOpenJobUpdates(d)
 		}
-		if d.Status == StateGone || ok && !m.loaded {
+		if d.Status == StoreCompacted || ok && !m.loaded {
 			// Too far behind: read it all again. Who asked waits for that.
-			m.next = append(fns, m.next...)
+			m.nextReadWaiters = append(waiters, m.nextReadWaiters...)
 			if !m.loading {
-				n.mirrorLoad()
+				n.loadWatchCache()
 			}
 			return
 		}
-		for _, fn := range fns {
+		for _, fn := range waiters {
 			fn(ok)
 		}
-		n.freshNext()
+		n.startNextRefresh()
 	})
 }
 
-// found is what the state service says of a job.
-type found struct {
+// jobLookup is what the state service says of a job.
+type jobLookup struct {
 	// ok: it could be asked. known: the job was accepted at some time.
-	ok, known bool
-	rec       jobRecord
-	// stamp is that of open/, while the job is not over, and open what it says.
-	stamp uint64
-	open  openRecord
-	// date is its newest date, as of the same moment, while it is not over.
-	date promise.Date
+	ok, accepted bool
+	rec          jobStatusRecord
+	// modRevision is that of open/, while the job is not over, and open what it says.
+	modRevision uint64
+	open        openJobRecord
+	// promisedDate is its newest date, as of the same moment, while it is not over.
+	promisedDate promise.Date
 }
 
-// look tells what is durable of a job, as of a moment after this call.
-func (n *Node) look(id string, fn func(found)) { n.lookOf(id, n.lookBefore, fn) }
+// readJob tells what is durable of a job, as of a moment after this call.
+func (n *Controller) readJob(id string, fn func(jobLookup)) {
+	n.readJobUsing(id, n.lookupWithDependencies, fn)
+}
 
-// lookRecord tells the same but for what follows from the jobs that it needs.
-func (n *Node) lookRecord(id string, fn func(found)) { n.lookOf(id, n.foundOpen, fn) }
+// readJobRecord tells the same but for what follows from the jobs that it needs.
+func (n *Controller) readJobRecord(id string, fn func(jobLookup)) {
+	n.readJobUsing(id, n.lookupOfOpenJob, fn)
+}
 
-func (n *Node) lookOf(id string, open func(string, *living, func(found)), fn func(found)) {
-	n.freshen(func(ok bool) {
+func (n *Controller) readJobUsing(id string, onOpen func(string, *openJob, func(jobLookup)), fn func(jobLookup)) {
+	n.refresh(func(ok bool) {
 		if !ok {
-			fn(found{})
+			fn(jobLookup{})
 			return
 		}
-		if l, there := n.users.mirror.open[id]; there {
-			open(id, &l, fn)
+		if l, there := n.frontend.watchCache.openJobs[id]; there {
+			onOpen(id, &l, fn)
 			return
 		}
 		// Over, or never accepted.
-		n.read(id, func(d StateDone) {
-			if d.Status == StateNotFound && n.now.Sub(n.users.told[id]) <= userPatience {
+		n.readStatusRecord(id, func(d StoreResponse) {
+			if d.Status == StoreNotFound && n.now.Sub(n.frontend.acceptedAt[id]) <= userRequestTimeout {
 				// Somebody was told since it was read.
-				n.lookOf(id, open, fn)
+				n.readJobUsing(id, onOpen, fn)
 				return
 			}
-			f := found{ok: d.Status == StateOK || d.Status == StateNotFound, known: d.Status == StateOK}
-			if f.known && (len(d.Items) != 1 || !decode(d.Items[0].Value, &f.rec)) {
+			f := jobLookup{ok: d.Status == StoreOK || d.Status == StoreNotFound, accepted: d.Status == StoreOK}
+			if f.accepted && (len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &f.rec)) {
 				f.ok = false
 			}
 			fn(f)
@@ -248,9 +252,9 @@
 	})
 }
 
-// foundOpen tells of an open job by its own record.
-func (n *Node) foundOpen(id string, l *living, fn func(found)) {
-	f := found{ok: true, known: true, stamp: l.stamp, open: l.rec, rec: jobRecord{Status: Queued, Tasks: l.rec.Tasks}, date: dateOf(n, id, l)}
+// lookupOfOpenJob tells of an open job by its own record.
+func (n *Controller) lookupOfOpenJob(id string, l *openJob, fn func(jobLookup)) {
+	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: jobStatusRecord{Status: Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
 	if l.rec.Cancelled {
 		f.rec.Status = Cancelled
 	}
--- a/internal/core/names.go
+++ b/internal/core/names.go
@@ -1,15 +1,15 @@
 package core
 
 // String names the kinds and outcomes for logs and metrics.
-func (k StateKind) String() string {
+func (k StoreRequestKind) String() string {
 	return [...]string{"get", "list", "txn", "follow", "grant", "renew", "drop"}[k]
 }
 
-func (s StateStatus) String() string {
+func (s StoreStatus) String() string {
 	return [...]string{"ok", "not_found", "conflict", "gone", "no_grant", "refused", "bad", "unknown"}[s]
 }
 
-func (k CloudKind) String() string {
+func (k CloudRequestKind) String() string {
 	return [...]string{"types", "list", "rent", "return"}[k]
 }
 
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -14,27 +14,27 @@
 // state service, by the changes of job/ since, each record of which is written once.
 
 const (
-	// totalsEvery is how often the leader looks what has ended, and tellTotals how
+	// totalsInterval is how often the leader looks what has ended, and totalsLogInterval how
 	// often the log tells of the totals.
-	totalsEvery = 10 * time.Second
-	tellTotals  = 30 * time.Second
-	// totalsBehind is after how many revisions the record is written though nothing
+	totalsInterval    = 10 * time.Second
+	totalsLogInterval = 30 * time.Second
+	// maxTotalsLag is after how many revisions the record is written though nothing
 	// has ended: the state service keeps the last 10,000 changes only, and to read all
 	// of job/ anew takes long.
-	totalsBehind = 5000
+	maxTotalsLag = 5000
 )
 
-// totals is the leader's account of the record, as long as it leads.
-type totals struct {
-	// by is the leadership under which the record was read, and stamp the record's.
-	by    *leader
-	stamp uint64
-	// written is the revision in the record, and now the counts as of a later one, up
+// totalsTracker is the leader's account of the record, as long as it leads.
+type totalsTracker struct {
+	// leadership is the leadership under which the record was read, and stamp the record's.
+	leadership  *leader
+	modRevision uint64
+	// writtenRevision is the revision in the record, and now the counts as of a later one, up
 	// to which nothing more has ended.
-	written uint64
-	now     *promise.Totals
-	busy    bool
-	told    time.Time
+	writtenRevision uint64
+	current         *promise.Totals
+	inFlight        bool
+	loggedAt        time.Time
 }
 
 // TeamQuotes is what quotes for a team rest on, as in its record.
@@ -45,51 +45,51 @@
 
 // PromiseTotals tells the shell what has become of the dates, for its metrics.
 type PromiseTotals struct {
-	Sum   promise.Row
-	Ratio float64
+	Sum         promise.Row
+	MedianRatio float64
 }
 
 func (PromiseTotals) effect() {}
 
-// promisesStart reads what quotes rest on, which is there after the end of all too, and
+// startPromises reads what quotes rest on, which is there after the end of all too, and
 // lets the leader count.
-func promisesStart(n *Node) {
+func startPromises(n *Controller) {
 	n.promises.quotes = map[string]*promise.Quotes{}
-	n.users.dates = map[string]uint64{}
-	if !n.promising() {
+	n.frontend.endDates = map[string]uint64{}
+	if !n.promisesEnabled() {
 		return
 	}
-	readAll(n, quotesPrefix, PrioUser, func() bool { return true }, func(its []Item) {
+	readAll(n, quotesPrefix, PriorityUser, func() bool { return true }, func(its []KeyValue) {
 		for _, it := range its {
-			takeQuotes(n, it.Key, it.Value, false)
+			acceptQuotes(n, it.Key, it.Value, false)
 		}
 	})
 	totalsLoop(n)
 }
 
-// takeQuotes takes in quotes of another's team, from news or, where none has come yet,
+// acceptQuotes takes in quotes of another's team, from news or, where none has come yet,
 // from the record.
-func takeQuotes(n *Node, from string, value []byte, news bool) {
-	team, q, err := promise.DecodeQuotes(value, n.set.Product.PromiseShare)
+func acceptQuotes(n *Controller, from string, value []byte, fromPeer bool) {
+	team, q, err := promise.DecodeQuotes(value, n.settings.Capabilities.PromiseFraction)
 	if err != nil {
-		n.complain("quotes", from, err.Error())
+		n.rejectInput("quotes", from, err.Error())
 		return
 	}
-	if n.team(team) == nil || !news && n.promises.quotes[team] != nil || n.owner != nil && n.owner.teams[team] != nil {
+	if n.team(team) == nil || !fromPeer && n.promises.quotes[team] != nil || n.shardLeader != nil && n.shardLeader.teams[team] != nil {
 		return
 	}
 	n.promises.quotes[team] = q
 }
 
-// quotesNews are the quotes of the teams here, for the others.
-func quotesNews(n *Node) []TeamQuotes {
-	if !n.promising() {
+// quotesUpdate are the quotes of the teams here, for the others.
+func quotesUpdate(n *Controller) []TeamQuotes {
+	if !n.promisesEnabled() {
 		return nil
 	}
 	var out []TeamQuotes
-	for _, t := range sortedKeys(n.owner.teams) {
+	for _, t := range sortedKeys(n.shardLeader.teams) {
 		if q := n.promises.quotes[t]; q != nil {
-			out = append(out, TeamQuotes{t, q.Encode(t, n.pageBytes())})
+			out = append(out, TeamQuotes{t, q.Encode(t, n.maxPageBytes())})
 		}
 	}
 	return out
@@ -97,36 +97,36 @@
 
 // storeQuotes writes the quotes of one team, if they have changed: they are read only
 // after an end of all, and what they then say of the load is old anyway.
-func storeQuotes(n *Node) {
-	o := n.owner
+func storeQuotes(n *Controller) {
+	o := n.shardLeader
 	// The controllers share the pace.
-	if n.now.Sub(o.dates.stored) < quotesEvery*time.Duration(1+len(n.set.Peers)) && !o.dates.stored.IsZero() || n.now.After(n.sess.sureUntil) {
+	if n.now.Sub(o.promiseDates.quotesStoredAt) < quoteStoreInterval*time.Duration(1+len(n.settings.Peers)) && !o.promiseDates.quotesStoredAt.IsZero() || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	teams := sortedKeys(o.dates.books)
+	teams := sortedKeys(o.promiseDates.pageWriters)
 	for range teams {
 		next := ""
 		for _, t := range teams {
-			if t > o.dates.storedTeam {
+			if t > o.promiseDates.quotesStoredTeam {
 				next = t
 				break
 			}
 		}
-		if o.dates.storedTeam = next; next == "" {
+		if o.promiseDates.quotesStoredTeam = next; next == "" {
 			continue
 		}
-		value := quotesFor(n, next, true).Encode(next, n.pageBytes())
+		value := quoterFor(n, next, true).Encode(next, n.maxPageBytes())
 		hash := xxhash.Sum64(value)
-		if o.dates.storedAs[next] == hash {
+		if o.promiseDates.quotesStoredHash[next] == hash {
 			continue
 		}
-		o.dates.stored = n.now
-		n.ask(StateOp{Kind: OpTxn, Prio: PrioLazy, When: n.shareConds(next), Apply: []Change{{Key: quotesPrefix + teamKey(next), Value: value}}}, func(d StateDone) {
-			if n.owner == o && d.Status == StateOK {
-				if o.dates.storedAs == nil {
-					o.dates.storedAs = map[string]uint64{}
+		o.promiseDates.quotesStoredAt = n.now
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares(next), Writes: []Write{{Key: quotesPrefix + teamKey(next), Value: value}}}, func(d StoreResponse) {
+			if n.shardLeader == o && d.Status == StoreOK {
+				if o.promiseDates.quotesStoredHash == nil {
+					o.promiseDates.quotesStoredHash = map[string]uint64{}
 				}
-				o.dates.storedAs[next] = hash
+				o.promiseDates.quotesStoredHash[next] = hash
 			}
 		})
 		return
@@ -134,24 +134,24 @@
 }
 
 // totalsLoop lets the leader count what has ended.
-func totalsLoop(n *Node) {
-	n.after(totalsEvery, func() { totalsLoop(n) })
+func totalsLoop(n *Controller) {
+	n.after(totalsInterval, func() { totalsLoop(n) })
 	x := &n.promises.totals
-	if n.leader == nil || x.busy || n.now.After(n.sess.sureUntil) {
+	if n.leader == nil || x.inFlight || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	x.busy = true
-	if x.by != n.leader {
+	x.inFlight = true
+	if x.leadership != n.leader {
 		readTotals(n)
 		return
 	}
 	followTotals(n)
 }
 
-// totalsLead says whether a step of the leader's may go on, which began under by.
-func totalsLead(n *Node, by *leader) bool {
+// isStillLeader says whether a step of the leader's may go on, which began under by.
+func isStillLeader(n *Controller, by *leader) bool {
 	if n.leader != by || by == nil {
-		n.promises.totals.busy = false
+		n.promises.totals.inFlight = false
 		return false
 	}
 	return true
@@ -159,78 +159,78 @@
 
 // readTotals begins from the record. One that is damaged is counted anew, from all of
 // job/; one of another version is left to it.
-func readTotals(n *Node) {
+func readTotals(n *Controller) {
 	by := n.leader
-	x := &n.promises.totals
-	n.ask(StateOp{Kind: OpGet, Prio: PrioLazy, Key: totalsKey}, func(d StateDone) {
-		if !totalsLead(n, by) {
+	tracker := &n.promises.totals
+	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityLazy, Key: totalsKey}, func(resp StoreResponse) {
+		if !isStillLeader(n, by) {
 			return
 		}
 		var t *promise.Totals
 		var stamp uint64
-		switch d.Status {
-		case StateNotFound:
+		switch resp.Status {
+		case StoreNotFound:
 			t = &promise.Totals{}
-		case StateOK:
+		case StoreOK:
 			var err error
-			stamp = d.Items[0].Stamp
-			if t, err = promise.DecodeTotals(d.Items[0].Value); err != nil {
-				n.complain("record", totalsKey, err.Error())
+			stamp = resp.KeyValues[0].ModRevision
+			if t, err = promise.DecodeTotals(resp.KeyValues[0].Value); err != nil {
+				n.rejectInput("record", totalsKey, err.Error())
 				if errors.Is(err, promise.ErrForm) {
-					x.busy = false
+					tracker.inFlight = false
 					return
 				}
 				t = &promise.Totals{}
 			}
 		default:
-			x.busy = false
+			tracker.inFlight = false
 			return
 		}
-		x.by, x.stamp, x.written, x.now = by, stamp, t.Rev, t
+		tracker.leadership, tracker.modRevision, tracker.writtenRevision, tracker.current = by, stamp, t.Rev, t
 		followTotals(n)
 	})
 }
 
 // followTotals takes in what has ended since.
-func followTotals(n *Node) {
+func followTotals(n *Controller) {
 	by := n.leader
 	x := &n.promises.totals
-	n.ask(StateOp{Kind: OpFollow, Prio: PrioLazy, Key: jobPrefix, Rev: x.now.Rev}, func(d StateDone) {
-		if !totalsLead(n, by) {
+	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityLazy, Key: jobStatusPrefix, Revision: x.current.Rev}, func(d StoreResponse) {
+		if !isStillLeader(n, by) {
 			return
 		}
 		switch d.Status {
-		case StateOK:
-			t := x.now.Clone()
-			ended := countEnds(t, d.Items, t.Rev, d.Rev)
-			t.Rev = d.Rev
+		case StoreOK:
+			t := x.current.Clone()
+			ended := countEnds(t, d.KeyValues, t.Rev, d.Revision)
+			t.Rev = d.Revision
 			writeTotals(n, t, ended)
-		case StateGone:
-			listEnds(n, x.now.Clone(), "", 0, x.now.Rev)
+		case StoreCompacted:
+			listEnds(n, x.current.Clone(), "", 0, x.current.Rev)
 		default:
-			x.busy = false
+			x.inFlight = false
 		}
 	})
 }
 
 // listEnds counts from all of job/ what has ended since a revision, up to that of the
 // first page: what ends meanwhile the next look brings.
-func listEnds(n *Node, t *promise.Totals, from string, upTo, since uint64) {
+func listEnds(n *Controller, t *promise.Totals, from string, upTo, since uint64) {
 	by := n.leader
-	n.ask(StateOp{Kind: OpList, Prio: PrioLazy, Key: jobPrefix, From: from}, func(d StateDone) {
-		if !totalsLead(n, by) {
+	n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityLazy, Key: jobStatusPrefix, StartAfter: from}, func(d StoreResponse) {
+		if !isStillLeader(n, by) {
 			return
 		}
-		if d.Status != StateOK {
-			n.promises.totals.busy = false
+		if d.Status != StoreOK {
+			n.promises.totals.inFlight = false
 			return
 		}
 		if from == "" {
-			upTo = d.Rev
+			upTo = d.Revision
 		}
-		countEnds(t, d.Items, since, upTo)
-		if d.Truncated && len(d.Items) > 0 {
-			listEnds(n, t, d.Items[len(d.Items)-1].Key, upTo, since)
+		countEnds(t, d.KeyValues, since, upTo)
+		if d.Truncated && len(d.KeyValues) > 0 {
+			listEnds(n, t, d.KeyValues[len(d.KeyValues)-1].Key, upTo, since)
 			return
 		}
 		t.Rev = upTo
@@ -240,194 +240,194 @@
 
 // countEnds counts the ends after a revision and up to another. Each job's stands there
 // once; of work borrowed from peers its home counts.
-func countEnds(t *promise.Totals, items []Item, since, upTo uint64) bool {
-	some := false
+func countEnds(t *promise.Totals, items []KeyValue, since, upTo uint64) bool {
+	counted := false
 	for _, it := range items {
-		var r jobRecord
-		if it.Removed || it.Stamp <= since || it.Stamp > upTo || !decode(it.Value, &r) || !r.Status.Final() || r.Guest {
+		var r jobStatusRecord
+		if it.Deleted || it.ModRevision <= since || it.ModRevision > upTo || !decode(it.Value, &r) || !r.Status.IsFinal() || r.Offloaded {
 			continue
 		}
-		some = true
-		t.Add(promise.End{Team: r.Team, Class: r.Class, Date: r.date(), Took: time.Duration(min(max(r.After, 0), longestDate)) * time.Millisecond, First: r.First})
+		counted = true
+		t.Add(promise.End{Team: r.Team, Class: r.Workload, Date: r.date(), Took: time.Duration(min(max(r.EndedAfterMillis, 0), maxDateMillis)) * time.Millisecond, First: r.PromisedAtSubmit})
 	}
-	return some
+	return counted
 }
 
 // writeTotals writes the record if it says something new. It names the leader's record
 // and its own stamp, so that nothing is counted twice, whoever else believes to lead.
-func writeTotals(n *Node, t *promise.Totals, ended bool) {
-	x := &n.promises.totals
+func writeTotals(n *Controller, t *promise.Totals, ended bool) {
+	tracker := &n.promises.totals
 	by := n.leader
-	x.now = t
-	if !ended && t.Rev-x.written < totalsBehind {
-		x.busy = false
-		sayTotals(n)
+	tracker.current = t
+	if !ended && t.Rev-tracker.writtenRevision < maxTotalsLag {
+		tracker.inFlight = false
+		reportTotals(n)
 		return
 	}
-	value := t.Encode(n.pageBytes())
-	n.ask(StateOp{Kind: OpTxn, Prio: PrioLazy, When: []Cond{{leadKey, by.stamp}, {totalsKey, x.stamp}}, Apply: []Change{{Key: totalsKey, Value: value}}}, func(d StateDone) {
-		x.busy = false
-		if n.leader != by || d.Status != StateOK {
+	value := t.Encode(n.maxPageBytes())
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: []Compare{{leaderKey, by.modRevision}, {totalsKey, tracker.modRevision}}, Writes: []Write{{Key: totalsKey, Value: value}}}, func(d StoreResponse) {
+		tracker.inFlight = false
+		if n.leader != by || d.Status != StoreOK {
 			// What became of it the record tells, before anything more is counted.
-			x.by = nil
+			tracker.leadership = nil
 			return
 		}
-		x.stamp, x.written = d.Rev, t.Rev
-		sayTotals(n)
+		tracker.modRevision, tracker.writtenRevision = d.Revision, t.Rev
+		reportTotals(n)
 	})
 }
 
-// sayTotals tells the shell, and now and then the log.
-func sayTotals(n *Node) {
+// reportTotals tells the shell, and now and then the log.
+func reportTotals(n *Controller) {
 	x := &n.promises.totals
-	s := x.now.Sum()
-	n.emit(PromiseTotals{s, x.now.Ratio()})
-	if n.now.Sub(x.told) < tellTotals {
+	s := x.current.Sum()
+	n.emit(PromiseTotals{s, x.current.Ratio()})
+	if n.now.Sub(x.loggedAt) < totalsLogInterval {
 		return
 	}
-	x.told = n.now
+	x.loggedAt = n.now
 	open := 0
-	for id, l := range n.users.mirror.open {
-		if dateOf(n, id, &l).Rev > 0 {
+	for id, l := range n.frontend.watchCache.openJobs {
+		if durableDate(n, id, &l).Rev > 0 {
 			open++
 		}
 	}
 	n.info("promises", "ended", s.Jobs, "made", s.Made, "kept", s.Kept, "broken", s.Broken, "revised", s.Revised,
-		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.now.Ratio()), "first", x.now.First, "open", open)
+		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.current.Ratio()), "first", x.current.First, "open", open)
 }
 
-// PromiseQuery asks for the dates, for operators: of one class or job, or only those
+// QueryPromises asks for the dates, for operators: of one class or job, or only those
 // that are about to be missed.
-type PromiseQuery struct {
+type QueryPromises struct {
 	Reply      uint64
 	Job, Class string
-	AtRisk     bool
+	OnlyAtRisk bool
 }
 
-func (PromiseQuery) command() {}
+func (QueryPromises) command() {}
 
 // PromiseReply is the answer. Rows are the totals as of revision Rev, of all classes,
 // and Open the dates of jobs that are not over, those due first. Left out counts what is
 // beyond the bound.
 type PromiseReply struct {
-	Reply   uint64        `json:"-"`
-	OK      bool          `json:"-"`
-	Host    string        `json:"host"`
-	Rev     uint64        `json:"revision"`
-	Ratio   float64       `json:"median_ratio"`
-	First   int           `json:"with_first_answer"`
-	Sum     PromiseRow    `json:"sum"`
-	Rows    []PromiseRow  `json:"rows"`
-	Open    []OpenPromise `json:"open"`
-	LeftOut int           `json:"left_out,omitempty"`
+	Reply            uint64        `json:"-"`
+	OK               bool          `json:"-"`
+	Host             string        `json:"host"`
+	Revision         uint64        `json:"revision"`
+	MedianRatio      float64       `json:"median_ratio"`
+	PromisedAtAccept int           `json:"with_first_answer"`
+	Sum              PromiseRow    `json:"sum"`
+	Rows             []PromiseRow  `json:"rows"`
+	Open             []OpenPromise `json:"open"`
+	Omitted          int           `json:"left_out,omitempty"`
 }
 
 func (PromiseReply) effect() {}
 
 // PromiseRow is a row of the totals.
 type PromiseRow struct {
-	Team    string  `json:"team"`
-	Class   string  `json:"class"`
-	Ended   int     `json:"ended"`
-	Made    int     `json:"made"`
-	Kept    int     `json:"kept"`
-	Broken  int     `json:"broken"`
-	Revised int     `json:"revised"`
-	WorstS  float64 `json:"worst_s"`
+	Team         string  `json:"team"`
+	Class        string  `json:"class"`
+	Ended        int     `json:"ended"`
+	Made         int     `json:"made"`
+	Kept         int     `json:"kept"`
+	Broken       int     `json:"broken"`
+	Revised      int     `json:"revised"`
+	WorstSeconds float64 `json:"worst_s"`
 }
 
 // OpenPromise is the date of a job that is not over, or of the one asked for. Rev is 0
 // while there is none. At risk: it has passed, or would be missed by what is expected.
 type OpenPromise struct {
-	Job       string  `json:"job"`
-	Team      string  `json:"team"`
-	Class     string  `json:"class"`
-	State     string  `json:"state"`
-	PromisedS float64 `json:"promised_s"`
-	Rev       int     `json:"promise_rev"`
-	Why       string  `json:"why"`
-	AgeS      float64 `json:"age_s"`
-	AtRisk    bool    `json:"at_risk"`
+	Job             string  `json:"job"`
+	Team            string  `json:"team"`
+	Class           string  `json:"class"`
+	State           string  `json:"state"`
+	PromisedSeconds float64 `json:"promised_s"`
+	Revision        int     `json:"promise_rev"`
+	Reason          string  `json:"why"`
+	AgeSeconds      float64 `json:"age_s"`
+	AtRisk          bool    `json:"at_risk"`
 }
 
 // openMost bounds the jobs in one answer.
 const openMost = 1000
 
-func promiseRow(r promise.Row) PromiseRow {
+func newPromiseRow(r promise.Row) PromiseRow {
 	return PromiseRow{r.Team, r.Class, r.Jobs, r.Made, r.Kept, r.Broken, r.Revised, r.Worst.Seconds()}
 }
 
-// promiseQuery answers from a fresh read, so that any controller tells the same.
-func promiseQuery(n *Node, c PromiseQuery) {
-	r := PromiseReply{Reply: c.Reply, Host: n.set.Host, Rows: []PromiseRow{}, Open: []OpenPromise{}}
-	n.freshen(func(ok bool) {
+// queryPromises answers from a fresh read, so that any controller tells the same.
+func queryPromises(n *Controller, query QueryPromises) {
+	reply := PromiseReply{Reply: query.Reply, Host: n.settings.Host, Rows: []PromiseRow{}, Open: []OpenPromise{}}
+	n.refresh(func(ok bool) {
 		if !ok {
-			n.emit(r)
+			n.emit(reply)
 			return
 		}
-		openPromises(n, c, &r)
-		n.ask(StateOp{Kind: OpGet, Prio: PrioUser, Key: totalsKey}, func(d StateDone) {
+		addOpenPromises(n, query, &reply)
+		n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityUser, Key: totalsKey}, func(resp StoreResponse) {
 			t := &promise.Totals{}
-			if d.Status == StateOK {
-				x, err := promise.DecodeTotals(d.Items[0].Value)
+			if resp.Status == StoreOK {
+				x, err := promise.DecodeTotals(resp.KeyValues[0].Value)
 				if err != nil {
-					n.complain("record", totalsKey, err.Error())
-					n.emit(r)
+					n.rejectInput("record", totalsKey, err.Error())
+					n.emit(reply)
 					return
 				}
 				t = x
-			} else if d.Status != StateNotFound {
-				n.emit(r)
+			} else if resp.Status != StoreNotFound {
+				n.emit(reply)
 				return
 			}
-			r.OK, r.Rev, r.Ratio, r.First, r.Sum = true, t.Rev, t.Ratio(), t.First, promiseRow(t.Sum())
+			reply.OK, reply.Revision, reply.MedianRatio, reply.PromisedAtAccept, reply.Sum = true, t.Rev, t.Ratio(), t.First, newPromiseRow(t.Sum())
 			for _, x := range t.Rows() {
-				if c.Class == "" || c.Class == x.Class {
-					r.Rows = append(r.Rows, promiseRow(x))
+				if query.Class == "" || query.Class == x.Class {
+					reply.Rows = append(reply.Rows, newPromiseRow(x))
 				}
 			}
-			if c.Job == "" || len(r.Open) > 0 {
-				n.emit(r)
+			if query.Job == "" || len(reply.Open) > 0 {
+				n.emit(reply)
 				return
 			}
-			n.read(c.Job, func(d StateDone) {
-				var j jobRecord
-				if d.Status == StateOK && decode(d.Items[0].Value, &j) {
+			n.readStatusRecord(query.Job, func(resp StoreResponse) {
+				var j jobStatusRecord
+				if resp.Status == StoreOK && decode(resp.KeyValues[0].Value, &j) {
 					x := j.date()
-					r.Open = append(r.Open, OpenPromise{Job: c.Job, Team: j.Team, Class: j.Class, State: string(j.Status), PromisedS: x.After.Seconds(), Rev: x.Rev, AgeS: float64(j.After) / 1000})
+					reply.Open = append(reply.Open, OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Rev, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
 				}
-				n.emit(r)
+				n.emit(reply)
 			})
 		})
 	})
 }
 
-func openPromises(n *Node, c PromiseQuery, r *PromiseReply) {
-	m := &n.users.mirror
-	for _, id := range sortedKeys(m.open) {
-		l := m.open[id]
-		if l.rec.Cancelled || c.Job != "" && c.Job != id || c.Class != "" && c.Class != l.rec.Workload {
+func addOpenPromises(n *Controller, query QueryPromises, reply *PromiseReply) {
+	cache := &n.frontend.watchCache
+	for _, id := range sortedKeys(cache.openJobs) {
+		l := cache.openJobs[id]
+		if l.rec.Cancelled || query.Job != "" && query.Job != id || query.Class != "" && query.Class != l.rec.Workload {
 			continue
 		}
-		age := n.now.Sub(time.UnixMilli(l.rec.At))
-		d := dateOf(n, id, &l)
-		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.known(id, Queued).State, PromisedS: d.After.Seconds(), Rev: d.Rev, AgeS: age.Seconds()}
-		if e, _ := m.pages.Of(id, pagesOf(l.rec.Team), l.stamp); d.Rev > 0 {
-			x.Why = e.Why.String()
+		age := n.now.Sub(time.UnixMilli(l.rec.SubmittedAtMillis))
+		d := durableDate(n, id, &l)
+		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Rev, AgeSeconds: age.Seconds()}
+		if e, _ := cache.promisePages.Of(id, teamPagePrefix(l.rec.Team), l.modRevision); d.Rev > 0 {
+			x.Reason = e.Why.String()
 		}
-		left, up := time.Duration(0), false
-		if n.owner != nil && n.owner.jobs[id] != nil {
-			j := n.owner.jobs[id]
-			up = !j.up.IsZero()
-			left, _ = outlook(n, j, quotesFor(n, j.Team, true))
+		left, allUp := time.Duration(0), false
+		if n.shardLeader != nil && n.shardLeader.jobs[id] != nil {
+			j := n.shardLeader.jobs[id]
+			allUp = !j.allUpAt.IsZero()
+			left, _ = forecastRemaining(n, j, quoterFor(n, j.Team, true))
 		}
-		x.AtRisk = d.Rev > 0 && !up && age+left > d.After
+		x.AtRisk = d.Rev > 0 && !allUp && age+left > d.After
 		switch {
-		case c.AtRisk && !x.AtRisk:
-		case len(r.Open) >= openMost:
-			r.LeftOut++
+		case query.OnlyAtRisk && !x.AtRisk:
+		case len(reply.Open) >= openMost:
+			reply.Omitted++
 		default:
-			r.Open = append(r.Open, x)
+			reply.Open = append(reply.Open, x)
 		}
 	}
 }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -10,199 +10,199 @@
 )
 
 const (
-	// ownerPeriod is how often the owner looks round without being asked.
-	ownerPeriod = 500 * time.Millisecond
-	// placeEvery separates two rounds of placing. Ends and arrivals come by
+	// shardLeaderTickInterval is how often the owner looks round without being asked.
+	shardLeaderTickInterval = 500 * time.Millisecond
+	// placementInterval separates two rounds of placing. Ends and arrivals come by
 	// the dozen a second in a large pool; a round looks at every machine, and
 	// what it places shares a write.
-	placeEvery = 150 * time.Millisecond
-	// raiseEvery bounds how often an owner raises its epoch by itself.
-	raiseEvery = 3 * time.Second
-	// saveEvery separates two looks at what is to be written, which go through all
+	placementInterval = 150 * time.Millisecond
+	// epochBumpInterval bounds how often an owner raises its epoch by itself.
+	epochBumpInterval = 3 * time.Second
+	// persistInterval separates two looks at what is to be written, which go through all
 	// jobs, but after a round of placing: hundreds of reports come in a second.
-	saveEvery = 20 * time.Millisecond
+	persistInterval = 20 * time.Millisecond
 )
 
-// owner runs the teams and machines of the shares that this controller holds.
-type owner struct {
-	since   time.Time
-	ready   bool
-	readyAt time.Time
-	gen     int
+// shardLeader runs the teams and machines of the shares that this controller holds.
+type shardLeader struct {
+	since      time.Time
+	ready      bool
+	readyAt    time.Time
+	generation int
 	// teams are those of the shares that are held; see tenure.go.
-	teams  map[string]*teamHeld
-	shares map[string]bool
-	// restSince is since when one of the shares has the machines that no lot names.
-	restSince time.Time
+	teams  map[string]*heldTeam
+	shards map[string]bool
+	// catchAllSince is since when one of the shares has the machines that no lot names.
+	catchAllSince time.Time
 	// loading: records of teams are being read.
-	loading  bool
-	jobs     map[string]*job
-	machines map[string]*machine
-	// afar are machines of other owners on which attempts of these jobs are, and
+	loadingTeams bool
+	jobs         map[string]*job
+	machines     map[string]*machine
+	// remoteMachines are machines of other owners on which attempts of these jobs are, and
 	// registry the account of others' attempts on the machines here; see remote.go.
-	afar     map[string]*machine
-	registry ownership.Registry
-	remote   remoteTimes
-	dates    ownerDates
-	// higher are machines that have seen an epoch above the one they are owned
+	remoteMachines map[string]*machine
+	registry       ownership.Registry
+	remote         remoteRequestState
+	promiseDates   shardLeaderDates
+	// higherEpochSeen are machines that have seen an epoch above the one they are owned
 	// under, and raises counts the lots written to raise epochs.
-	higher map[string]time.Time
-	raises int
-	// gathered is when machines were last gathered; see turns.go.
-	gathered time.Time
-	// byID are the machines in the order of their names, and dirty those for
+	higherEpochSeen map[string]time.Time
+	epochBumps      int
+	// machinesReservedAt is when machines were last gathered; see turns.go.
+	machinesReservedAt time.Time
+	// machinesByID are the machines in the order of their names, and dirty those for
 	// which orders may be due.
-	byID []*machine
-	// past is the newest that was heard of machines that were dropped; see past.go.
-	past  map[string]lastWord
-	dirty []*machine
-	// deafBack is when a machine that hears nothing was last given back.
-	deafBack time.Time
-	// heirs are machines of a former owner that are still to be contacted, and
+	machinesByID []*machine
+	// lastHeartbeats is the newest that was heard of machines that were dropped; see past.go.
+	lastHeartbeats map[string]lastHeartbeat
+	dirtyMachines  []*machine
+	// unreachableReleasedAt is when a machine that hears nothing was last given back.
+	unreachableReleasedAt time.Time
+	// inheritedMachines are machines of a former owner that are still to be contacted, and
 	// contacts counts the questions under way.
-	heirs    []*machine
-	contacts int
-	used     map[string]Resources
-	// blame tells faulty machines from jobs that fail everywhere.
-	blame blame.Book
-	// inFlight counts the writes under way, and ahead their changes.
-	inFlight, ahead int
+	inheritedMachines []*machine
+	contactsInFlight  int
+	usedByTeam        map[string]Resources
+	// faultAttribution tells faulty machines from jobs that fail everywhere.
+	faultAttribution blame.Book
+	// txnsInFlight counts the writes under way, and ahead their changes.
+	txnsInFlight, writesInFlight int
 	// startsFirst: of what is to be written starts went before ends last time.
 	startsFirst bool
-	// lazy counts the writes under way for which no start waits.
-	lazy  int
-	wake  time.Time
-	swept time.Time
+	// lazyTxnsInFlight counts the writes under way for which no start waits.
+	lazyTxnsInFlight int
+	wakeAt           time.Time
+	sweptAt          time.Time
 	// place: something has changed that may let tasks be placed, and hurry:
 	// for one whose wait is bounded. placed is when that was last done.
-	place, hurry bool
-	placed       time.Time
-	// roundTook is how long the step with the last round of placing took.
-	roundTook time.Duration
-	// saved is when what is to be written was last looked at.
-	saved time.Time
-	// prey is where urgent work may take the place of other work.
-	prey map[preyKey]*prey
-	// view is the leader's knowledge of this owner's machines; wants and gone
+	placementDue, placementUrgent bool
+	placedAt                      time.Time
+	// roundDuration is how long the step with the last round of placing took.
+	roundDuration time.Duration
+	// persistedAt is when what is to be written was last looked at.
+	persistedAt time.Time
+	// preemptionVictims is where urgent work may take the place of other work.
+	preemptionVictims map[preemptionVictimsKey]*preemptionVictims
+	// fleetView is the leader's knowledge of this owner's machines; wants and gone
 	// are what is asked of it.
-	view    *view
-	planned time.Time
-	// pass is a look at the fleet that is under way, to be carried on at passAt,
-	// and wantsSeq the leader's news that it rests on.
-	pass     *pass
-	passAt   time.Time
-	wantsSeq uint64
-	// retired is when dear machines were last chosen to be retired.
-	retired time.Time
-	// stuck are the kinds of which machines have stopped coming up, and neverUp
+	fleetView      *fleetView
+	fleetPlannedAt time.Time
+	// planningPass is a look at the fleet that is under way, to be carried on at planningPassAt,
+	// and leaderUpdateSeq the leader's news that it rests on.
+	planningPass    *planningPass
+	planningPassAt  time.Time
+	leaderUpdateSeq uint64
+	// decommissionedAt is when dear machines were last chosen to be retired.
+	decommissionedAt time.Time
+	// neverReadyKinds are the kinds of which machines have stopped coming up, and neverReadyCount
 	// counts the machines that were given up for it, and what they cost.
-	stuck     map[kind]bool
-	neverUp   int
-	neverCost float64
-	wants     map[kind]int
-	gone      []string
-	// spare are idle machines that neither what waits nor what is expected needs, the
+	neverReadyKinds   map[machineKind]bool
+	neverReadyCount   int
+	neverReadyCost    float64
+	capacityRequests  map[machineKind]int
+	machinesToRelease []string
+	// surplusMachines are idle machines that neither what waits nor what is expected needs, the
 	// dearest first: others may have them.
-	spare []string
-	// release is a team that the leader wants to move, and when it last said so.
-	release   division.Ask
-	releaseAt time.Time
-	raised    time.Time
-	// toldLost is when the log last told of machines that are silent together.
-	toldLost time.Time
-	// orphans are task/ records whose job is over.
-	orphans []string
+	surplusMachines []string
+	// teamRelease is a team that the leader wants to move, and when it last said so.
+	teamRelease   division.Ask
+	teamReleaseAt time.Time
+	epochBumpedAt time.Time
+	// correlatedFailureLoggedAt is when the log last told of machines that are silent together.
+	correlatedFailureLoggedAt time.Time
+	// orphanedRecords are task/ records whose job is over.
+	orphanedRecords []string
 	// arrivals remember when work of each team and workload came, for warm room.
-	arrivals map[loadKey][]arrival
-	// packs is what is usual on machines with GPUs, while models are on.
-	packs     *packs
-	roomsTold time.Time
+	arrivals map[workloadKey][]arrival
+	// packingProfile is what is usual on machines with GPUs, while models are on.
+	packingProfile         *packingProfile
+	freeCapacityReportedAt time.Time
 	// workloads holds the newest job of each workload.
 	workloads map[string]*workload
-	// waiting is, for each workload with tasks that wait for a place, when the
+	// startDeadlines is, for each workload with tasks that wait for a place, when the
 	// first of them should start at the latest.
-	waiting   map[string]time.Time
-	told      time.Time
-	toldLoads time.Time
-	// warm is what machines held under a former owner; warmed is when a record
-	// of that was last written, warming that one is under way, and warmFrom
-	// and warmKey where the next begins.
-	warm              map[string]map[string]float64
-	warmed            time.Time
-	warming           bool
-	warmFrom, warmKey int
-	// pathsAt is when the paths of pipelines were last looked at.
-	pathsAt time.Time
-	paths   map[string]pipeline.Path
-	// turn says which machines the others are told of next.
-	turn int
-	// moves are replicas on the move; see models.go.
-	moves *moving
+	startDeadlines   map[string]time.Time
+	publishedAt      time.Time
+	loadsPublishedAt time.Time
+	// prewarmedImages is what machines held under a former owner; warmed is when a record
+	// of that was last written, warming that one is under way, and prewarmedNextMachine
+	// and prewarmedNextKey where the next begins.
+	prewarmedImages                        map[string]map[string]float64
+	prewarmedWrittenAt                     time.Time
+	writingPrewarmed                       bool
+	prewarmedNextMachine, prewarmedNextKey int
+	// pathsScannedAt is when the paths of pipelines were last looked at.
+	pathsScannedAt time.Time
+	paths          map[string]pipeline.Path
+	// publishTurn says which machines the others are told of next.
+	publishTurn int
+	// migrations are replicas on the move; see models.go.
+	migrations *migrations
 }
 
 type workload struct {
-	spec *Spec
-	last time.Time
+	spec     *JobSpec
+	lastSeen time.Time
 }
 
 type arrival struct {
-	at    time.Time
-	tasks int
-	need  Resources
-	spec  *Spec
+	arrivedAt time.Time
+	tasks     int
+	need      Resources
+	spec      *JobSpec
 }
 
 // grace is H: how long an owner goes on answering its workers after its grant
 // may have ended. A full lease, so that a long outage of the state service
 // costs no work; a successor that reaches the workers needs not wait for it,
 // because the higher epoch reaches them at once.
-func (n *Node) grace() time.Duration { return n.set.Lease }
+func (n *Controller) grace() time.Duration { return n.settings.WorkerLease }
 
-func (n *Node) dropOwner(why string) {
-	if n.owner == nil {
+func (n *Controller) dropShardLeader(reason string) {
+	if n.shardLeader == nil {
 		return
 	}
-	n.info("owner no more", "why", why)
-	n.owner.endPass()
-	if n.owner.packs != nil {
-		n.emit(GPURooms{})
+	n.info("owner no more", "why", reason)
+	n.shardLeader.endPlanningPass()
+	if n.shardLeader.packingProfile != nil {
+		n.emit(GPUFreeCapacityReport{})
 	}
-	n.owner = nil
+	n.shardLeader = nil
 }
 
-// ownerSees tells the owner at once of a change this node wrote itself, unless the
+// observeOwnWrite tells the owner at once of a change this node wrote itself, unless the
 // picture is newer: its answer may come after the job was cancelled and over.
-func (n *Node) ownerSees(it Item) {
-	if n.owner != nil && it.Stamp > n.users.mirror.rev {
-		n.openItem(it)
+func (n *Controller) observeOwnWrite(it KeyValue) {
+	if n.shardLeader != nil && it.ModRevision > n.frontend.watchCache.revision {
+		n.applyOpenJob(it)
 	}
 }
 
-func (n *Node) openItem(it Item) {
-	o := n.owner
-	id := jobID(it.Key, openPrefix)
+func (n *Controller) applyOpenJob(it KeyValue) {
+	o := n.shardLeader
+	id := jobIDFromKey(it.Key, openJobPrefix)
 	j := o.jobs[id]
-	if it.Removed {
+	if it.Deleted {
 		if j != nil && j.elsewhere() {
 			// Settled by the leader, who has heard from the peer.
 			delete(o.jobs, id)
 		}
 		return
 	}
-	if j != nil && it.Stamp <= j.stamp {
+	if j != nil && it.ModRevision <= j.modRevision {
 		return
 	}
-	if _, ended := n.users.final[id]; ended && j == nil && n.users.final[id] == Done {
+	if _, ended := n.frontend.finalStatuses[id]; ended && j == nil && n.frontend.finalStatuses[id] == Done {
 		return
 	}
-	var r openRecord
+	var r openJobRecord
 	if !decode(it.Value, &r) {
-		n.complain("record", it.Key, "it can't be read")
+		n.rejectInput("record", it.Key, "it can't be read")
 		return
 	}
-	if bad := r.bad(); bad != "" {
+	if problem := r.validate(); problem != "" {
 		// Its job stays queued until somebody mends the record or cancels it.
-		n.complain("record", it.Key, bad)
+		n.rejectInput("record", it.Key, problem)
 		return
 	}
 	if j == nil {
@@ -218,168 +218,168 @@
 		}
 		// It has just come, and this clock is the one that its waits are judged by
 		// here; another controller's may be a second off.
-		j = n.newJob(spec, n.now, it.Stamp)
+		j = n.addJob(spec, n.now, it.ModRevision)
 		if !r.Cancelled {
-			k := loadKey{j.Team, j.Workload}
-			o.arrivals[k] = append(o.arrivals[k], arrival{n.now, j.Tasks, j.Need, &j.Spec})
+			k := workloadKey{j.Team, j.Workload}
+			o.arrivals[k] = append(o.arrivals[k], arrival{n.now, j.Tasks, j.Need, &j.JobSpec})
 		}
-		j.loaned(&r)
-		promiseComes(n, j)
+		j.setLoanFrom(&r)
+		noteBaseQuote(n, j)
 	}
-	n.jobRecord(j, it.Stamp, &r)
-	o.place = true
+	n.applyJobRecord(j, it.ModRevision, &r)
+	o.placementDue = true
 }
 
-// newJob takes a job into the owner's books.
-func (n *Node) newJob(spec Spec, at time.Time, stamp uint64) *job {
-	o := n.owner
-	j := newJob(spec, at, stamp, n.set.presentBytes())
-	j.taskForm = n.taskForm()
+// addJob takes a job into the owner's books.
+func (n *Controller) addJob(spec JobSpec, at time.Time, stamp uint64) *job {
+	o := n.shardLeader
+	j := newJob(spec, at, stamp, n.settings.currentMaxValueBytes())
+	j.segmentFormat = n.segmentFormat()
 	o.jobs[j.ID] = j
 	if j.Workload != "" {
-		n.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Due, "image", j.Image, "age", n.now.Sub(j.at))
-		o.workloads[j.Workload] = &workload{&j.Spec, n.now}
-		o.hurry = o.hurry || n.waitBound(j.Workload) > 0
+		n.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", n.now.Sub(j.submittedAt))
+		o.workloads[j.Workload] = &workload{&j.JobSpec, n.now}
+		o.placementUrgent = o.placementUrgent || n.waitObjective(j.Workload) > 0
 	}
-	n.waitFor(j)
+	n.awaitDependencies(j)
 	return j
 }
 
-// jobRecord takes in a job's record in open/ as it stands now.
-func (n *Node) jobRecord(j *job, stamp uint64, r *openRecord) {
+// applyJobRecord takes in a job's record in open/ as it stands now.
+func (n *Controller) applyJobRecord(j *job, stamp uint64, r *openJobRecord) {
 	id := j.ID
-	j.stamp = stamp
-	j.loaned(r)
-	promiseSeen(n, j, r)
+	j.modRevision = stamp
+	j.setLoanFrom(r)
+	notePromiseRecord(n, j, r)
 	if r.Cancelled {
 		// Whoever wrote that has written job/ with it.
-		j.derived = false
+		j.cancelDerived = false
 	}
 	if r.Cancelled && !j.cancelled {
 		j.cancelled = true
-		n.setFinal(id, Cancelled)
-		for i := range j.tasks[:j.fresh] {
-			if t := &j.tasks[i]; t.m != nil {
-				t.stop = stopCancel
-				n.mark(t.m)
+		n.cacheFinalStatus(id, Cancelled)
+		for i := range j.tasks[:j.nextFresh] {
+			if t := &j.tasks[i]; t.machine != nil {
+				t.stopReason = stopCancel
+				n.markDispatchPending(t.machine)
 			}
 		}
 	}
 }
 
-// attach makes the attempt of task i live on m.
-func (n *Node) attach(j *job, i int, m *machine) {
+// attachAttempt makes the attempt of task i live on m.
+func (n *Controller) attachAttempt(j *job, i int, m *machine) {
 	t := &j.tasks[i]
-	t.m = m
-	j.live++
-	j.zoneLive[m.zone]++
+	t.machine = m
+	j.liveTasks++
+	j.liveByZone[m.zone]++
 	m.attempts[taskKey{j.ID, i}] = t
 	m.used = m.used.Plus(j.Need, 1)
-	u := n.owner.used[j.Team]
-	n.owner.used[j.Team] = u.Plus(j.Need, 1)
+	u := n.shardLeader.usedByTeam[j.Team]
+	n.shardLeader.usedByTeam[j.Team] = u.Plus(j.Need, 1)
 }
 
-// gone takes note of the proof that a live attempt is over.
-func (n *Node) gone(j *job, i int, done bool) {
+// endAttempt takes note of the proof that a live attempt is over.
+func (n *Controller) endAttempt(j *job, i int, done bool) {
 	t := &j.tasks[i]
-	m := t.m
+	m := t.machine
 	if m == nil {
 		return
 	}
-	o := n.owner
+	o := n.shardLeader
 	delete(m.attempts, taskKey{j.ID, i})
 	m.used = m.used.Plus(j.Need, -1)
-	o.used[j.Team] = o.used[j.Team].Plus(j.Need, -1)
-	j.live--
-	j.zoneLive[m.zone]--
+	o.usedByTeam[j.Team] = o.usedByTeam[j.Team].Plus(j.Need, -1)
+	j.liveTasks--
+	j.liveByZone[m.zone]--
 	if len(m.attempts) == 0 {
 		m.idleSince = n.now
 		m.used = Resources{}
-		if m.afar {
-			o.dropAfar(m)
+		if m.remote {
+			o.dropRemoteMachine(m)
 		}
 	}
 	if t.isRunning() {
-		j.running--
+		j.runningTasks--
 	}
-	t.m, t.seen, t.started = nil, false, time.Time{}
-	if t.stop == stopRelaunch {
-		t.avoid = m.id
+	t.machine, t.reported, t.startedAt = nil, false, time.Time{}
+	if t.stopReason == stopRelaunch {
+		t.avoidMachine = m.id
 	}
-	t.stop = stopNone
+	t.stopReason = stopNone
 	if done {
 		t.done = true
-		j.done++
+		j.doneTasks++
 	} else if !j.cancelled {
-		j.again = append(j.again, i)
+		j.requeued = append(j.requeued, i)
 	}
-	j.touch(i, n.now, done && j.done == len(j.tasks))
-	o.place = true
+	j.markChanged(i, n.now, done && j.doneTasks == len(j.tasks))
+	o.placementDue = true
 }
 
-// ownerTick does what is due: sweep the machines, relaunch, place, write, and
+// shardLeaderTick does what is due: sweep the machines, relaunch, place, write, and
 // send orders.
-func (n *Node) ownerTick() {
-	o := n.owner
+func (n *Controller) shardLeaderTick() {
+	o := n.shardLeader
 	if !o.ready {
-		o.wake = n.now.Add(ownerPeriod)
+		o.wakeAt = n.now.Add(shardLeaderTickInterval)
 		return
 	}
-	if n.now.Sub(o.swept) >= ownerPeriod {
-		o.swept = n.now
+	if n.now.Sub(o.sweptAt) >= shardLeaderTickInterval {
+		o.sweptAt = n.now
 		n.sweep()
-		rankSweep(n)
-		startsNothing(n)
-		if checkEars(n); n.owner != o {
+		retryRankingRefresh(n)
+		quarantineNonStarting(n)
+		if checkPartition(n); n.shardLeader != o {
 			return
 		}
 		n.relaunch()
-		n.maybeRaise()
-		movesTick(n)
+		n.maybeBumpEpoch()
+		migrationTick(n)
 		n.planFleet(true)
-		n.tellPeers()
-		askRemote(n)
-		n.pathsTick()
+		n.publishToPeers()
+		requestRemoteAttempts(n)
+		n.updateCriticalPaths()
 		promisesTick(n)
-		n.writeWarm()
-		n.tellRooms()
-		o.place = true
+		n.writePrewarmed()
+		n.reportGPUFreeCapacity()
+		o.placementDue = true
 	}
-	if o.pass != nil {
+	if o.planningPass != nil {
 		n.planFleet(false)
 	}
-	if o.place && !n.now.Before(o.nextRound()) {
-		o.place, o.hurry, o.placed = false, false, n.now
-		n.placed = true
+	if o.placementDue && !n.now.Before(o.nextPlacementRound()) {
+		o.placementDue, o.placementUrgent, o.placedAt = false, false, n.now
+		n.placementRan = true
 		n.placeAll()
-		o.saved = time.Time{}
+		o.persistedAt = time.Time{}
 	}
-	if n.now.Sub(o.saved) >= saveEvery {
-		o.saved = n.now
-		n.writeDue()
+	if n.now.Sub(o.persistedAt) >= persistInterval {
+		o.persistedAt = n.now
+		n.writeShardLeaderRecords()
 	}
-	n.directAll()
-	tellRemote(n)
-	if o.remote.soon {
-		askRemote(n)
+	n.dispatchAll()
+	publishRemoteAttempts(n)
+	if o.remote.due {
+		requestRemoteAttempts(n)
 	}
-	o.wake = o.swept.Add(ownerPeriod)
-	if next := o.saved.Add(saveEvery); o.saved != n.now && next.Before(o.wake) {
-		o.wake = next
+	o.wakeAt = o.sweptAt.Add(shardLeaderTickInterval)
+	if next := o.persistedAt.Add(persistInterval); o.persistedAt != n.now && next.Before(o.wakeAt) {
+		o.wakeAt = next
 	}
-	if next := o.nextRound(); o.place && next.Before(o.wake) {
-		o.wake = next
+	if next := o.nextPlacementRound(); o.placementDue && next.Before(o.wakeAt) {
+		o.wakeAt = next
 	}
 }
 
-// nextRound is when tasks may be placed again. A round that took long leaves as
+// nextPlacementRound is when tasks may be placed again. A round that took long leaves as
 // much time and half of it again to others, however much work waits.
-func (o *owner) nextRound() time.Time {
-	gap := placeEvery
-	if o.hurry {
+func (o *shardLeader) nextPlacementRound() time.Time {
+	gap := placementInterval
+	if o.placementUrgent {
 		gap = 0
 	}
-	return o.placed.Add(max(gap, o.roundTook*5/2))
+	return o.placedAt.Add(max(gap, o.roundDuration*5/2))
 }
 
 func later(a, b time.Time) time.Time {
