--- a/internal/core/packing.go
+++ b/internal/core/packing.go
@@ -16,135 +16,135 @@
 // some, but for what no model there could use.
 
 const (
-	// packEvery is how often what is usual is learnt anew.
-	packEvery = time.Second
-	// strayAfter is how long work without GPUs waits in vain, with nothing of its job
+	// packingProfileInterval is how often what is usual is learnt anew.
+	packingProfileInterval = time.Second
+	// gpuFallbackAfter is how long work without GPUs waits in vain, with nothing of its job
 	// started, before it may take machines with GPUs as well: the other kinds may be
 	// refused for hours. While replicas wait for GPUs it is twice as long.
-	strayAfter = 2 * time.Minute
-	// briefMost is how long work without GPUs whose wait is bounded may run and take them
+	gpuFallbackAfter = 2 * time.Minute
+	// maxBriefRunTime is how long work without GPUs whose wait is bounded may run and take them
 	// at once, at the price that it costs the replicas, as long as none waits.
-	briefMost = 30 * time.Second
-	// clearMost is the most work lost for which work without GPUs is stopped to make
+	maxBriefRunTime = 30 * time.Second
+	// maxReplicaPreemptionLoss is the most work lost for which work without GPUs is stopped to make
 	// room for a replica: about what a machine rented for it would take to come.
-	clearMost = time.Minute
-	// roomsEvery is how often the metrics are told how the room lies.
-	roomsEvery = 5 * time.Second
+	maxReplicaPreemptionLoss = time.Minute
+	// gpuCapacityInterval is how often the metrics are told how the room lies.
+	gpuCapacityInterval = 5 * time.Second
 )
 
-// packs is what is usual on the kinds of machines that have GPUs.
-type packs struct {
+// packingProfile is what is usual on the kinds of machines that have GPUs.
+type packingProfile struct {
 	at time.Time
 	// kinds are by flavour those on which anything is usual.
 	kinds map[string]*packing.Kind
-	// stray are the workloads without GPUs that have waited in vain for too long, and waits
+	// gpuFallback are the workloads without GPUs that have waited in vain for too long, and waits
 	// says that replicas wait.
-	stray map[string]bool
-	waits bool
+	gpuFallback     map[string]bool
+	replicasWaiting bool
 }
 
-// packKey is replicas that are alike for what room is worth.
-type packKey struct {
-	need     Resources
-	flavours string
+// replicaShape is replicas that are alike for what room is worth.
+type replicaShape struct {
+	need         Resources
+	machineTypes string
 }
 
-// packsNow is what is usual now, or nil when the capability is off. It is learnt from the
+// currentPackingProfile is what is usual now, or nil when the capability is off. It is learnt from the
 // jobs there are and from the newest of each workload that came lately, so that it takes
 // no records, and a successor has it with the jobs.
-func (n *Node) packsNow() *packs {
-	o := n.owner
-	if !n.set.Product.Models || o.packs != nil && n.now.Sub(o.packs.at) < packEvery && !n.now.Before(o.packs.at) {
-		return o.packs
+func (n *Controller) currentPackingProfile() *packingProfile {
+	o := n.shardLeader
+	if !n.settings.Capabilities.Models || o.packingProfile != nil && n.now.Sub(o.packingProfile.at) < packingProfileInterval && !n.now.Before(o.packingProfile.at) {
+		return o.packingProfile
 	}
-	p := &packs{at: n.now, kinds: map[string]*packing.Kind{}, stray: map[string]bool{}}
-	o.packs = p
+	p := &packingProfile{at: n.now, kinds: map[string]*packing.Kind{}, gpuFallback: map[string]bool{}}
+	o.packingProfile = p
 	type tally struct {
 		// In whole megabytes, so that the order in which jobs are looked at is no matter.
 		tasks, mb int64
 		waits     bool
 	}
-	by := map[packKey]tally{}
-	add := func(s *Spec, tasks int, waiting bool) {
-		if s.Need.GPU <= slack || tasks <= 0 {
+	by := map[replicaShape]tally{}
+	add := func(s *JobSpec, tasks int, waiting bool) {
+		if s.Need.GPU <= roundingTolerance || tasks <= 0 {
 			return
 		}
-		k := packKey{s.Need, strings.Join(s.Flavours, " ")}
+		k := replicaShape{s.Need, strings.Join(s.MachineTypes, " ")}
 		c := by[k]
 		c.tasks, c.mb, c.waits = c.tasks+int64(tasks), c.mb+int64(tasks)*int64(s.ImageGB*1000), c.waits || waiting
 		by[k] = c
-		p.waits = p.waits || waiting
+		p.replicasWaiting = p.replicasWaiting || waiting
 	}
 	for _, j := range o.jobs {
-		add(&j.Spec, j.live+j.pending(), n.triable(j) > 0 && n.withinLimit(j) && !o.blame.Broken(j.ID))
+		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), n.placeableTasks(j) > 0 && n.withinQuotaLimit(j) && !o.faultAttribution.Broken(j.ID))
 	}
 	for _, w := range o.workloads {
-		if n.now.Sub(w.last) < workloadMemory {
+		if n.now.Sub(w.lastSeen) < workloadRetention {
 			add(w.spec, 1, false)
 		}
 	}
 	if len(by) == 0 {
 		return p
 	}
-	keys := slices.SortedFunc(maps.Keys(by), func(a, b packKey) int {
-		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.flavours, b.flavours))
+	keys := slices.SortedFunc(maps.Keys(by), func(a, b replicaShape) int {
+		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.machineTypes, b.machineTypes))
 	})
-	for _, name := range sortedKeys(n.types) {
-		f := n.types[name]
-		if f.Size.GPU <= slack {
+	for _, name := range sortedKeys(n.machineTypes) {
+		f := n.machineTypes[name]
+		if f.Capacity.GPU <= roundingTolerance {
 			continue
 		}
 		var seen []packing.Seen
 		for _, k := range keys {
-			if c := by[k]; k.flavours == "" || slices.Contains(strings.Fields(k.flavours), name) {
+			if c := by[k]; k.machineTypes == "" || slices.Contains(strings.Fields(k.machineTypes), name) {
 				seen = append(seen, packing.Seen{Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)), GB: float64(c.mb) / 1000 / float64(c.tasks), Waits: c.waits})
 			}
 		}
-		if k := packing.Of(f.Size, f.PullRate, seen); k != nil {
+		if k := packing.Of(f.Capacity, f.ImageFetchRate, seen); k != nil {
 			p.kinds[name] = k
 		}
 	}
-	patience := strayAfter
-	if p.waits {
-		patience = 2 * strayAfter
+	fallbackAfter := gpuFallbackAfter
+	if p.replicasWaiting {
+		fallbackAfter = 2 * gpuFallbackAfter
 	}
 	for _, j := range o.jobs {
-		if since := later(later(j.free(), j.placedAt), o.readyAt); j.Need.GPU <= slack && n.now.Sub(since) > patience && n.triable(j) > 0 {
-			p.stray[j.Workload] = true
+		if since := later(later(j.readySince(), j.lastPlacedAt), o.readyAt); j.Need.GPU <= roundingTolerance && n.now.Sub(since) > fallbackAfter && n.placeableTasks(j) > 0 {
+			p.gpuFallback[j.Workload] = true
 		}
 	}
 	return p
 }
 
 // kind is what is usual on machines of a flavour; nil is none.
-func (p *packs) kind(flavour string) *packing.Kind {
+func (p *packingProfile) kind(machineType string) *packing.Kind {
 	if p == nil {
 		return nil
 	}
-	return p.kinds[flavour]
+	return p.kinds[machineType]
 }
 
-// offNow says that a job's tasks stay off machines with GPUs now, but for what no replica
+// avoidsGPUsNow says that a job's tasks stay off machines with GPUs now, but for what no replica
 // could use there.
-func (n *Node) offNow(j *job) bool {
-	p := n.packsNow()
-	return n.keepsOff(j) && !p.stray[j.Workload] &&
-		(p.waits || j.Standing || n.waitBound(j.Workload) == 0 || n.expects(j) > briefMost)
+func (n *Controller) avoidsGPUsNow(j *job) bool {
+	p := n.currentPackingProfile()
+	return n.avoidsGPUs(j) && !p.gpuFallback[j.Workload] &&
+		(p.replicasWaiting || j.LongRunning || n.waitObjective(j.Workload) == 0 || n.expectedRunTime(j) > maxBriefRunTime)
 }
 
-// keepsOff says that no machine with GPUs is wanted for a job's tasks: they need none, and
+// avoidsGPUs says that no machine with GPUs is wanted for a job's tasks: they need none, and
 // fit other kinds.
-func (n *Node) keepsOff(j *job) bool {
-	p := n.packsNow()
-	if p == nil || j.Need.GPU > slack || len(p.kinds) == 0 {
+func (n *Controller) avoidsGPUs(j *job) bool {
+	p := n.currentPackingProfile()
+	if p == nil || j.Need.GPU > roundingTolerance || len(p.kinds) == 0 {
 		return false
 	}
-	for name, f := range n.types {
-		if p.kinds[name] != nil || !j.Need.Fits(f.Size) {
+	for name, f := range n.machineTypes {
+		if p.kinds[name] != nil || !j.Need.Fits(f.Capacity) {
 			continue
 		}
 		for _, z := range f.Zones {
-			if j.allows(name, z, true) || j.allows(name, z, false) {
+			if j.allowsMachine(name, z, true) || j.allowsMachine(name, z, false) {
 				return true
 			}
 		}
@@ -152,127 +152,129 @@
 	return false
 }
 
-// openTo says that a job's tasks may go to a machine as to any other. off is what
-// offNow says of the job.
-func (n *Node) openTo(off bool, m *machine) bool {
-	return !off || n.packsNow().kind(m.flavour) == nil
+// gpuPolicyAllows says that a job's tasks may go to a machine as to any other. off is what
+// avoidsGPUsNow says of the job.
+func (n *Controller) gpuPolicyAllows(avoidGPUs bool, m *machine) bool {
+	return !avoidGPUs || n.currentPackingProfile().kind(m.machineType) == nil
 }
 
-// plain is what work without GPUs takes on a machine, also that of others' jobs when
+// nonGPUUse is what work without GPUs takes on a machine, also that of others' jobs when
 // none of it has GPUs.
-func (n *Node) plain(m *machine) Resources {
+func (n *Controller) nonGPUUse(m *machine) Resources {
 	// Counted in millionths, so that the order is no matter.
 	var cpu, memory int64
 	for k := range m.attempts {
-		if j := n.owner.jobs[k.job]; j != nil && j.Need.GPU <= slack {
-			cpu += int64(math.Round(j.Need.CPU / slack))
-			memory += int64(math.Round(j.Need.Memory / slack))
+		if j := n.shardLeader.jobs[k.job]; j != nil && j.Need.GPU <= roundingTolerance {
+			cpu += int64(math.Round(j.Need.CPU / roundingTolerance))
+			memory += int64(math.Round(j.Need.Memory / roundingTolerance))
 		}
 	}
-	r := Resources{CPU: float64(cpu) * slack, Memory: float64(memory) * slack}
-	if m.foreign.GPU <= slack {
-		r = r.Plus(m.foreign, 1)
+	r := Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
+	if m.othersUsed.GPU <= roundingTolerance {
+		r = r.Plus(m.othersUsed, 1)
 	}
 	return r
 }
 
-// packed rates a machine with GPUs for a task of j, in seconds; less is better.
-func (n *Node) packed(k *packing.Kind, j *job, m *machine, free Resources, off bool) (float64, bool) {
-	if off {
-		return 0, j.Need.Fits(k.Spare(free, n.plain(m)))
+// rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better.
+func (n *Controller) rateGPUMachine(k *packing.Kind, j *job, m *machine, free Resources, avoidGPUs bool) (float64, bool) {
+	if avoidGPUs {
+		return 0, j.Need.Fits(k.Spare(free, n.nonGPUUse(m)))
 	}
 	score := k.Leaves(free, j.Need)
-	if j.Need.GPU > slack {
+	if j.Need.GPU > roundingTolerance {
 		// Of places that leave as much the fullest, as ever, but by what counts here.
 		score += (free.GPU - j.Need.GPU) / m.size.GPU
 	}
 	return score, true
 }
 
-// packedSince enters the machines anew on which others were placed since a lot was last
+// reratePacked enters the machines anew on which others were placed since a lot was last
 // used: one that is no longer whole suits better than before, and would be found behind
 // the whole ones.
-func (n *Node) packedSince(r *round, l *lot, j *job) {
-	for ; l.seen < len(r.packed); l.seen++ {
-		s := r.packed[l.seen]
+func (n *Controller) reratePacked(r *placementRound, l *candidateGroup, j *job) {
+	for ; l.packedSeen < len(r.packedCandidates); l.packedSeen++ {
+		s := r.packedCandidates[l.packedSeen]
 		if score, ok := l.rate(n, j, s); ok {
-			l.push(s.fetch(j), place{s, score})
+			l.push(s.fetchSeconds(j), ratedCandidate{s, score})
 		}
 	}
 }
 
-// roomOn is the room on a machine for a job's tasks.
-func (n *Node) roomOn(l *lot, s *spot) Resources {
-	if l.off && s.pack != nil {
-		return s.pack.Spare(s.m.free(), n.plain(s.m))
+// freeCapacityOn is the room on a machine for a job's tasks.
+func (n *Controller) freeCapacityOn(l *candidateGroup, s *candidateMachine) Resources {
+	if l.avoidGPUs && s.packingKind != nil {
+		return s.packingKind.Spare(s.machine.free(), n.nonGPUUse(s.machine))
 	}
-	return s.m.free()
+	return s.machine.free()
 }
 
-// open is the room of a virtual machine's free room for tasks that stay off GPUs or don't.
-func (v *virtual) open(free Resources, off bool) Resources {
-	if v.pack == nil || !off {
+// freeFor is the room of a virtual machine's free room for tasks that stay off GPUs or don't.
+func (v *simulatedMachine) freeFor(free Resources, avoidGPUs bool) Resources {
+	if v.packingKind == nil || !avoidGPUs {
 		return free
 	}
-	r := v.pack.Rest(free)
-	return Resources{CPU: min(r.CPU, v.rest.CPU), Memory: min(r.Memory, v.rest.Memory)}
+	r := v.packingKind.Rest(free)
+	return Resources{CPU: min(r.CPU, v.nonGPUFree.CPU), Memory: min(r.Memory, v.nonGPUFree.Memory)}
 }
 
-// clears says that lower work without GPUs is stopped where a task of j waits: it took
+// preemptsForReplica says that lower work without GPUs is stopped where a task of j waits: it took
 // room that no model could use when it came, or was there before.
-func (n *Node) clears(j *job) bool { return n.set.Product.Models && j.Need.GPU > slack }
+func (n *Controller) preemptsForReplica(j *job) bool {
+	return n.settings.Capabilities.Models && j.Need.GPU > roundingTolerance
+}
 
-// clearsOnly says that a job may have nothing else stopped: nothing bounds its wait, and
+// preemptsOnlyNonGPU says that a job may have nothing else stopped: nothing bounds its wait, and
 // it has not waited too long.
-func (n *Node) clearsOnly(j *job) bool {
-	return n.clears(j) && !j.early && n.waitBound(j.Workload) == 0
+func (n *Controller) preemptsOnlyNonGPU(j *job) bool {
+	return n.preemptsForReplica(j) && !j.placingOverdue && n.waitObjective(j.Workload) == 0
 }
 
-// losesMost is the most work that may be lost where tasks are stopped for one of j's. A
+// maxPreemptionLoss is the most work that may be lost where tasks are stopped for one of j's. A
 // replica has no run time of its own to measure it by.
-func (n *Node) losesMost(j *job) time.Duration {
-	if n.clears(j) && j.Standing {
-		return max(n.expects(j), clearMost)
+func (n *Controller) maxPreemptionLoss(j *job) time.Duration {
+	if n.preemptsForReplica(j) && j.LongRunning {
+		return max(n.expectedRunTime(j), maxReplicaPreemptionLoss)
 	}
-	return n.expects(j)
+	return n.expectedRunTime(j)
 }
 
-// usedPart is what part of a machine is in use: of its GPUs, where models count.
-func (n *Node) usedPart(m *machine) float64 {
-	if n.set.Product.Models && m.size.GPU > slack {
+// utilization is what part of a machine is in use: of its GPUs, where models count.
+func (n *Controller) utilization(m *machine) float64 {
+	if n.settings.Capabilities.Models && m.size.GPU > roundingTolerance {
 		return m.used.GPU / m.size.GPU
 	}
 	return m.used.CPU / max(m.size.CPU, 1)
 }
 
-// gpuRooms is how the room on the usable machines with GPUs lies, by kind.
-func (n *Node) gpuRooms() []GPURoom {
-	if !n.set.Product.Models {
+// gpuFreeCapacity is how the room on the usable machines with GPUs lies, by kind.
+func (n *Controller) gpuFreeCapacity() []GPUFreeCapacity {
+	if !n.settings.Capabilities.Models {
 		return nil
 	}
-	by := map[kind]*packing.Room{}
-	for _, m := range n.owner.byID {
-		if m.size.GPU <= slack || !n.usable(m) {
+	by := map[machineKind]*packing.Room{}
+	for _, m := range n.shardLeader.machinesByID {
+		if m.size.GPU <= roundingTolerance || !n.usable(m) {
 			continue
 		}
-		k := kind{m.flavour, m.zone, m.spot}
+		k := machineKind{m.machineType, m.zone, m.spot}
 		if by[k] == nil {
 			by[k] = &packing.Room{}
 		}
-		by[k].Add(n.packsNow().kind(m.flavour), m.size, m.free())
+		by[k].Add(n.currentPackingProfile().kind(m.machineType), m.size, m.free())
 	}
-	var out []GPURoom
+	var out []GPUFreeCapacity
 	for _, k := range sortedKinds(by) {
 		r := by[k]
-		out = append(out, GPURoom{Flavour: k.flavour, Zone: k.zone, Spot: k.spot, Hosts: r.Hosts, Whole: r.Whole, Free: r.Free, Pieces: r.Pieces, Largest: r.Largest})
+		out = append(out, GPUFreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Machines: r.Hosts, EmptyMachines: r.Whole, FreeGPUs: r.Free, FragmentedGPUs: r.Pieces, LargestReplicaGPUs: r.Largest})
 	}
 	return out
 }
 
-// tellRooms tells the metrics of it every now and then.
-func (n *Node) tellRooms() {
-	if p := n.packsNow(); p != nil && n.now.Sub(n.owner.roomsTold) >= roomsEvery {
-		n.owner.roomsTold = n.now
-		n.emit(GPURooms{n.gpuRooms(), movesStatus(n)})
+// reportGPUFreeCapacity tells the metrics of it every now and then.
+func (n *Controller) reportGPUFreeCapacity() {
+	if p := n.currentPackingProfile(); p != nil && n.now.Sub(n.shardLeader.freeCapacityReportedAt) >= gpuCapacityInterval {
+		n.shardLeader.freeCapacityReportedAt = n.now
+		n.emit(GPUFreeCapacityReport{n.gpuFreeCapacity(), migrationsStatus(n)})
 	}
 }
--- a/internal/core/pass.go
+++ b/internal/core/pass.go
@@ -5,152 +5,152 @@
 	"time"
 )
 
-// pass is a look at the fleet, carried on bit by bit: playing a large pool forward
+// planningPass is a look at the fleet, carried on bit by bit: playing a large pool forward
 // takes longer than reports, polls and renewals can wait. It is a coroutine and not
 // a goroutine: it goes on only inside Step, at the owner's word, so the same inputs
 // give the same decisions. What it reads of machines and jobs may have changed when
 // it ends, so what it decides is judged again before it is done.
-type pass struct {
+type planningPass struct {
 	next func() (struct{}, bool)
 	stop func()
 	// used and slice are the work done in this slice and allowed in it.
-	used, slice int
-	over        bool
+	used, sliceLimit int
+	stopped          bool
 }
 
-// newPass prepares a pass; nothing of it happens before run.
-func newPass(look func(tick)) *pass {
-	ps := &pass{}
+// newPlanningPass prepares a pass; nothing of it happens before run.
+func newPlanningPass(scan func(chargeFunc)) *planningPass {
+	ps := &planningPass{}
 	ps.next, ps.stop = iter.Pull(func(yield func(struct{}) bool) {
-		look(func(units int) bool {
+		scan(func(units int) bool {
 			ps.used += units
-			if ps.over || ps.used < ps.slice {
-				return !ps.over
+			if ps.stopped || ps.used < ps.sliceLimit {
+				return !ps.stopped
 			}
 			// Stopped, it must not ask to be put aside again.
-			ps.over = !yield(struct{}{})
-			return !ps.over
+			ps.stopped = !yield(struct{}{})
+			return !ps.stopped
 		})
 	})
 	return ps
 }
 
 // run carries the pass on for a slice and says whether it has ended.
-func (ps *pass) run(slice int) bool {
-	ps.used, ps.slice = 0, slice
+func (ps *planningPass) run(slice int) bool {
+	ps.used, ps.sliceLimit = 0, slice
 	_, more := ps.next()
 	return !more
 }
 
 // planFleet decides which machines this owner wants and which may go. begin allows
 // a new look; one that is under way goes on in any case.
-func (n *Node) planFleet(begin bool) {
-	o := n.owner
-	if o.pass == nil {
-		if !begin || n.now.Sub(o.planned) < leaderPeriod {
+func (n *Controller) planFleet(startNew bool) {
+	o := n.shardLeader
+	if o.planningPass == nil {
+		if !startNew || n.now.Sub(o.fleetPlannedAt) < leaderPeriod {
 			return
 		}
-		o.planned = n.now
-		if !n.viewFleet() {
+		o.fleetPlannedAt = n.now
+		if !n.refreshFleetView() {
 			return
 		}
-		o.wants, o.gone, o.spare = nil, nil, nil
-		if o.view == nil || n.now.Sub(o.view.at) > newsFresh || n.now.After(n.sess.sureUntil) {
+		o.capacityRequests, o.machinesToRelease, o.surplusMachines = nil, nil, nil
+		if o.fleetView == nil || n.now.Sub(o.fleetView.receivedAt) > updateTTL || n.now.After(n.membership.leaseValidUntil) {
 			return
 		}
-		o.wantsSeq = o.view.seq
-		o.pass = newPass(n.lookAtFleet)
-		o.passAt = n.now
+		o.leaderUpdateSeq = o.fleetView.seq
+		o.planningPass = newPlanningPass(n.scanFleet)
+		o.planningPassAt = n.now
 	}
-	if n.now.Before(o.passAt) {
+	if n.now.Before(o.planningPassAt) {
 		return
 	}
-	if n.now.After(n.sess.sureUntil) {
+	if n.now.After(n.membership.leaseValidUntil) {
 		// Perhaps deposed: what it would ask for is no longer its to ask.
-		o.endPass()
+		o.endPlanningPass()
 		return
 	}
-	ps := o.pass
-	if ps.run(n.pace.Slice()) {
-		o.pass, o.planned = nil, n.now
+	ps := o.planningPass
+	if ps.run(n.throttle.Slice()) {
+		o.planningPass, o.fleetPlannedAt = nil, n.now
 	}
-	n.sliced = ps.used
+	n.lastSliceWork = ps.used
 }
 
-func (o *owner) endPass() {
-	if o.pass != nil {
-		o.pass.stop()
-		o.pass = nil
+func (o *shardLeader) endPlanningPass() {
+	if o.planningPass != nil {
+		o.planningPass.stop()
+		o.planningPass = nil
 	}
 }
 
-// viewFleet brings the owner's view up to date where it leads itself, and says
+// refreshFleetView brings the owner's view up to date where it leads itself, and says
 // whether there is one.
-func (n *Node) viewFleet() bool {
-	l, o := n.leader, n.owner
+func (n *Controller) refreshFleetView() bool {
+	l, o := n.leader, n.shardLeader
 	if l == nil {
 		return true
 	}
-	if !l.listedOK {
+	if !l.hasListed {
 		return false
 	}
-	v := &view{at: n.now, rentals: map[string]*rental{}, blocked: l.blocked, renting: map[kind]int{}, spare: map[kind]int{}}
-	for _, w := range spareFor(n, n.set.Host) {
-		v.spare[kind{w.Flavour, w.Zone, w.Spot}] = w.Count
+	v := &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: l.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
+	for _, w := range surplusFor(n, n.settings.Host) {
+		v.surplus[machineKind{w.MachineType, w.Zone, w.Spot}] = w.Count
 	}
 	for id, r := range l.rentals {
-		if r.gone.IsZero() && n.rentedFor(id) == n.set.Host {
+		if r.releasedAt.IsZero() && n.assignedHost(id) == n.settings.Host {
 			v.rentals[id] = r
 		}
 	}
-	for a, c := range l.renting {
-		if a.owner == n.set.Host {
-			v.renting[a.kind] = c
+	for a, c := range l.pendingRentals {
+		if a.owner == n.settings.Host {
+			v.pendingRentals[a.machineKind] = c
 		}
 	}
-	o.view = v
+	o.fleetView = v
 	return true
 }
 
-// lookAtFleet is what a pass does.
-func (n *Node) lookAtFleet(t tick) {
-	o := n.owner
+// scanFleet is what a pass does.
+func (n *Controller) scanFleet(charge chargeFunc) {
+	o := n.shardLeader
 	// What runs and when it ends is the same for all that is planned now.
-	r := n.futureRoom()
-	if !t(len(r.vs)) {
+	r := n.futureFreeCapacity()
+	if !charge(len(r.machines)) {
 		return
 	}
-	tellStuck(n, n.stuckKinds())
-	if n.now.Sub(o.retired) >= leaderPeriod*time.Duration(1+len(o.byID)/retireSlow) {
-		n.retire(r, t)
-		o.retired = n.now
+	logNeverReady(n, n.neverReadyKinds())
+	if n.now.Sub(o.decommissionedAt) >= leaderPeriod*time.Duration(1+len(o.machinesByID)/slowDecommissionSize) {
+		n.decommissionExpensive(r, charge)
+		o.decommissionedAt = n.now
 	}
-	spare := n.spare(r, t)
-	if !t(0) {
+	spare := n.surplusMachines(r, charge)
+	if !charge(0) {
 		return
 	}
-	o.spare = n.toSpare(spare)
-	n.returns(spare)
-	wants := n.rent(r, t)
-	if !t(0) {
+	o.surplusMachines = n.surplusForOthers(spare)
+	n.selectReleases(spare)
+	wants := n.planScaleOut(r, charge)
+	if !charge(0) {
 		return
 	}
-	o.wants = wants
+	o.capacityRequests = wants
 }
 
-// Took tells how long the last step took here, with all that it sent off: planning
+// StepTook tells how long the last step took here, with all that it sent off: planning
 // is divided so that steps stay short, and placing leaves time to the rest.
-func (n *Node) Took(d time.Duration) {
-	if n.placed && n.owner != nil {
-		n.owner.roundTook = d
+func (n *Controller) StepTook(d time.Duration) {
+	if n.placementRan && n.shardLeader != nil {
+		n.shardLeader.roundDuration = d
 	}
-	n.placed = false
-	if n.sliced == 0 {
+	n.placementRan = false
+	if n.lastSliceWork == 0 {
 		return
 	}
-	rest := n.pace.Took(n.sliced, d)
-	n.sliced = 0
-	if n.owner != nil {
-		n.owner.passAt = n.now.Add(d + rest)
+	rest := n.throttle.Took(n.lastSliceWork, d)
+	n.lastSliceWork = 0
+	if n.shardLeader != nil {
+		n.shardLeader.planningPassAt = n.now.Add(d + rest)
 	}
 }
--- a/internal/core/prereqs.go
+++ b/internal/core/prereqs.go
@@ -19,35 +19,35 @@
 // changes a job's end.
 
 const (
-	// pathsEvery separates two looks at what the jobs behind others ask of these.
-	pathsEvery = time.Second
-	// waitsTold bounds the names that are told of what a job waits for.
-	waitsTold = 5
+	// criticalPathInterval separates two looks at what the jobs behind others ask of these.
+	criticalPathInterval = time.Second
+	// maxNamedDependencies bounds the names that are told of what a job waits for.
+	maxNamedDependencies = 5
 )
 
-// behind is what of a job concerns those that it needs and those that need it.
-type behind struct {
+// dependencyState is what of a job concerns those that it needs and those that need it.
+type dependencyState struct {
 	// waits: not all that it needs is known to be done. released is when it was.
-	waits    bool
-	released time.Time
+	dependenciesPending bool
+	releasedAt          time.Time
 	// derived: it is cancelled with one that it needs, and job/ may not say so yet.
-	derived bool
-	// own is the urgency that its record names, and path what the jobs behind it ask.
-	own  Urgency
-	path pipeline.Path
+	cancelDerived bool
+	// ownUrgency is the urgency that its record names, and path what the jobs behind it ask.
+	ownUrgency   Urgency
+	criticalPath pipeline.Path
 	// raised: the urgency that it has now is that of a job behind it.
-	raised bool
+	urgencyRaised bool
 }
 
-// free is since when nothing but room holds the job up.
-func (j *job) free() time.Time { return later(j.at, j.released) }
+// readySince is since when nothing but room holds the job up.
+func (j *job) readySince() time.Time { return later(j.submittedAt, j.releasedAt) }
 
-// badPrereqs says why a job can't need what it names.
-func (n *Node) badPrereqs(s *Spec) string {
-	if len(s.Prereqs) == 0 {
+// validateDependencies says why a job can't need what it names.
+func (n *Controller) validateDependencies(s *JobSpec) string {
+	if len(s.Dependencies) == 0 {
 		return ""
 	}
-	names := slices.Clone(s.Prereqs)
+	names := slices.Clone(s.Dependencies)
 	slices.Sort(names)
 	for i, p := range names {
 		if p == s.ID {
@@ -58,76 +58,76 @@
 		}
 	}
 	without := *s
-	without.Prereqs = nil
-	size, err := bounds.JSON(encode(without.record(n.now)))
-	room := n.set.ValueBytes - openSpare - size - prereqsFrame
-	if takes := len(pipeline.Encode(s.Prereqs)); err == nil && takes > room {
-		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), takes, max(room, 0))
+	without.Dependencies = nil
+	size, err := bounds.JSON(encode(without.openRecord(n.now)))
+	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
+	if encodedSize := len(pipeline.Encode(s.Dependencies)); err == nil && encodedSize > freeBytes {
+		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
 	}
 	return ""
 }
 
-// prereqsFrame is what the names take in a record beside themselves.
-const prereqsFrame = 16
+// dependenciesOverhead is what the names take in a record beside themselves.
+const dependenciesOverhead = 16
 
-// prereqsKnown goes on once all names are known to be those of accepted jobs. One that is
+// checkDependenciesAccepted goes on once all names are known to be those of accepted jobs. One that is
 // not is refused only after a read that began after the request.
-func (n *Node) prereqsKnown(w *waiter, names []string, then func()) {
-	left, unread, missing := 1, false, []string{}
-	done := func() {
-		if left--; left > 0 {
+func (n *Controller) checkDependenciesAccepted(w *userRequest, names []string, proceed func()) {
+	pending, unread, missing := 1, false, []string{}
+	finish := func() {
+		if pending--; pending > 0 {
 			return
 		}
 		switch {
 		case len(missing) > 0:
-			n.lookFirst(w, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
+			n.answerFromRecord(w, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
 		case unread:
-			n.refuse(w, "the state service does not answer")
+			n.refuseRequest(w, "the state service does not answer")
 		default:
-			then()
+			proceed()
 		}
 	}
 	for _, p := range names {
-		if n.pipelineState(p) != pipeline.Unknown {
+		if n.cachedJobState(p) != pipeline.Unknown {
 			continue
 		}
-		left++
-		n.lookRecord(p, func(f found) {
+		pending++
+		n.readJobRecord(p, func(f jobLookup) {
 			switch {
 			case !f.ok:
 				unread = true
-			case !f.known:
+			case !f.accepted:
 				missing = append(missing, p)
 			}
-			done()
+			finish()
 		})
 	}
-	done()
+	finish()
 }
 
-// accepted is the answer to a submission that was stored. One that names a cancelled job is
+// acceptedReply is the answer to a submission that was stored. One that names a cancelled job is
 // cancelled from the start.
-func (n *Node) accepted(s *submission) UserReply {
+func (n *Controller) acceptedReply(s *submission) UserReply {
 	r := UserReply{Status: 201, ID: s.spec.ID, State: string(Queued)}
-	for _, p := range s.spec.Prereqs {
-		if n.pipelineState(p) == pipeline.Cancelled {
-			n.setFinal(s.spec.ID, Cancelled)
+	for _, p := range s.spec.Dependencies {
+		if n.cachedJobState(p) == pipeline.Cancelled {
+			n.cacheFinalStatus(s.spec.ID, Cancelled)
 			r.State = string(Cancelled)
 			return r
 		}
 	}
-	return r.told(s.date())
+	return r.withDate(s.promisedDate())
 }
 
-// pipelineState is what this node knows of a job by itself.
-func (n *Node) pipelineState(id string) pipeline.State {
-	switch n.users.final[id] {
+// cachedJobState is what this node knows of a job by itself.
+func (n *Controller) cachedJobState(id string) pipeline.State {
+	switch n.frontend.finalStatuses[id] {
 	case Done:
 		return pipeline.Done
 	case Cancelled:
 		return pipeline.Cancelled
 	}
-	l, open := n.users.mirror.open[id]
+	l, open := n.frontend.watchCache.openJobs[id]
 	switch {
 	case open && l.rec.Cancelled:
 		return pipeline.Cancelled
@@ -137,288 +137,288 @@
 	return pipeline.Unknown
 }
 
-// graph is the one of the picture.
-func (n *Node) graph() *pipeline.Graph {
-	if n.users.mirror.graph == nil {
-		n.users.mirror.graph = pipeline.New(n.pipelineState)
+// dependencyGraph is the one of the picture.
+func (n *Controller) dependencyGraph() *pipeline.Graph {
+	if n.frontend.watchCache.dependencyGraph == nil {
+		n.frontend.watchCache.dependencyGraph = pipeline.New(n.cachedJobState)
 	}
-	return n.users.mirror.graph
+	return n.frontend.watchCache.dependencyGraph
 }
 
-// pipelineLoaded makes the graph anew after the picture has been read anew.
-func (n *Node) pipelineLoaded() {
-	n.users.mirror.graph = nil
-	for _, id := range sortedKeys(n.users.mirror.open) {
-		l := n.users.mirror.open[id]
-		n.pipelineTakes(n.graph().Put(id, l.rec.needs()))
+// rebuildDependencyGraph makes the graph anew after the picture has been read anew.
+func (n *Controller) rebuildDependencyGraph() {
+	n.frontend.watchCache.dependencyGraph = nil
+	for _, id := range sortedKeys(n.frontend.watchCache.openJobs) {
+		l := n.frontend.watchCache.openJobs[id]
+		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.dependencies()))
 	}
-	if n.owner == nil {
+	if n.shardLeader == nil {
 		return
 	}
-	for _, id := range sortedKeys(n.owner.jobs) {
-		n.waitFor(n.owner.jobs[id])
+	for _, id := range sortedKeys(n.shardLeader.jobs) {
+		n.awaitDependencies(n.shardLeader.jobs[id])
 	}
 }
 
-// pipelineItem takes in a change of open/.
-func (n *Node) pipelineItem(it Item) {
-	id := jobID(it.Key, openPrefix)
-	l, open := n.users.mirror.open[id]
+// updateDependencyGraph takes in a change of open/.
+func (n *Controller) updateDependencyGraph(it KeyValue) {
+	id := jobIDFromKey(it.Key, openJobPrefix)
+	l, open := n.frontend.watchCache.openJobs[id]
 	if open {
-		n.pipelineTakes(n.graph().Put(id, l.rec.needs()))
+		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.dependencies()))
 	}
-	n.pipelineSees(id)
+	n.noteDependencyState(id)
 	if !open {
-		n.readEnd(id)
-		n.graph().Remove(id)
+		n.readFinalState(id)
+		n.dependencyGraph().Remove(id)
 	}
 }
 
-// pipelineSees takes in what is now known of a job.
-func (n *Node) pipelineSees(id string) {
-	n.pipelineTakes(n.graph().Set(id, n.pipelineState(id)))
+// noteDependencyState takes in what is now known of a job.
+func (n *Controller) noteDependencyState(id string) {
+	n.applyDependencyChanges(n.dependencyGraph().Set(id, n.cachedJobState(id)))
 }
 
-// pipelineTakes carries out what has changed for jobs behind others.
-func (n *Node) pipelineTakes(changes []pipeline.Change) {
+// applyDependencyChanges carries out what has changed for jobs behind others.
+func (n *Controller) applyDependencyChanges(changes []pipeline.Change) {
 	for _, c := range changes {
 		var j *job
-		if n.owner != nil {
-			j = n.owner.jobs[c.ID]
+		if n.shardLeader != nil {
+			j = n.shardLeader.jobs[c.ID]
 		}
 		switch {
 		case c.Cancelled:
-			if n.users.final[c.ID] == "" {
-				n.setFinal(c.ID, Cancelled)
+			if n.frontend.finalStatuses[c.ID] == "" {
+				n.cacheFinalStatus(c.ID, Cancelled)
 			}
-			n.cancelBehind(j)
+			n.cancelDependent(j)
 		case j != nil:
 			n.releaseJob(j)
 		}
 	}
 }
 
-// cancelBehind cancels a job here with one that it needs: nothing of it has ever started,
-// since that one is not done. Its end is written as any other; see endJobs.
-func (n *Node) cancelBehind(j *job) {
-	if j == nil || j.cancelled || j.began() {
+// cancelDependent cancels a job here with one that it needs: nothing of it has ever started,
+// since that one is not done. Its end is written as any other; see writeJobEnds.
+func (n *Controller) cancelDependent(j *job) {
+	if j == nil || j.cancelled || j.hasStarted() {
 		return
 	}
-	j.cancelled, j.derived = true, true
+	j.cancelled, j.cancelDerived = true, true
 }
 
 // releaseJob lets a job go when all that it needs is done.
-func (n *Node) releaseJob(j *job) {
-	if !j.waits {
+func (n *Controller) releaseJob(j *job) {
+	if !j.dependenciesPending {
 		return
 	}
-	j.waits, j.released = false, n.now
-	n.owner.place = true
-	n.owner.hurry = n.owner.hurry || n.waitBound(j.Workload) > 0
+	j.dependenciesPending, j.releasedAt = false, n.now
+	n.shardLeader.placementDue = true
+	n.shardLeader.placementUrgent = n.shardLeader.placementUrgent || n.waitObjective(j.Workload) > 0
 }
 
-// waitFor has a job here wait for what it needs.
-func (n *Node) waitFor(j *job) {
-	if len(j.Prereqs) == 0 {
+// awaitDependencies has a job here wait for what it needs.
+func (n *Controller) awaitDependencies(j *job) {
+	if len(j.Dependencies) == 0 {
 		return
 	}
-	g := n.graph()
-	n.pipelineTakes(g.Put(j.ID, j.Prereqs))
+	g := n.dependencyGraph()
+	n.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
 	switch {
 	case g.Cancelled(j.ID):
-		n.cancelBehind(j)
-	case j.began() || !j.released.IsZero():
+		n.cancelDependent(j)
+	case j.hasStarted() || !j.releasedAt.IsZero():
 	case g.Released(j.ID):
-		j.released = n.now
+		j.releasedAt = n.now
 	default:
-		j.waits = true
+		j.dependenciesPending = true
 		for _, p := range g.Unread(j.ID, true) {
-			n.readEnd(p)
+			n.readFinalState(p)
 		}
 	}
 }
 
-// beganBefore: what has begun under a former owner waits for nothing.
-func (j *job) beganBefore() {
-	if !j.began() {
+// releaseIfStarted: what has begun under a former owner waits for nothing.
+func (j *job) releaseIfStarted() {
+	if !j.hasStarted() {
 		return
 	}
-	j.waits, j.released = false, time.Time{}
+	j.dependenciesPending, j.releasedAt = false, time.Time{}
 	for _, g := range j.groups {
-		if j.released.IsZero() || g.start.Before(j.released) {
-			j.released = g.start
+		if j.releasedAt.IsZero() || g.startedAt.Before(j.releasedAt) {
+			j.releasedAt = g.startedAt
 		}
 	}
 }
 
-// readEnd reads what became of a job that is open no more, if one here waits for it.
-func (n *Node) readEnd(id string) {
-	if n.pipelineState(id) != pipeline.Unknown || !n.neededHere(id) {
+// readFinalState reads what became of a job that is open no more, if one here waits for it.
+func (n *Controller) readFinalState(id string) {
+	if n.cachedJobState(id) != pipeline.Unknown || !n.hasWaitingDependents(id) {
 		return
 	}
-	n.read(id, func(d StateDone) {
-		if !n.endRead(id, d) {
-			n.after(n.jitter(retryPause), func() { n.readEnd(id) })
+	n.readStatusRecord(id, func(d StoreResponse) {
+		if !n.applyFinalState(id, d) {
+			n.after(n.jitter(storeRetryDelay), func() { n.readFinalState(id) })
 		}
 	})
 }
 
-// neededHere says whether a job here waits for a job.
-func (n *Node) neededHere(id string) bool {
-	return n.owner != nil && slices.ContainsFunc(n.graph().Needed(id), func(after string) bool {
-		j := n.owner.jobs[after]
-		return j != nil && j.waits && !j.cancelled
+// hasWaitingDependents says whether a job here waits for a job.
+func (n *Controller) hasWaitingDependents(id string) bool {
+	return n.shardLeader != nil && slices.ContainsFunc(n.dependencyGraph().Needed(id), func(after string) bool {
+		j := n.shardLeader.jobs[after]
+		return j != nil && j.dependenciesPending && !j.cancelled
 	})
 }
 
-// endRead takes in the answer to a read of job/, and says whether there was one. A job
+// applyFinalState takes in the answer to a read of job/, and says whether there was one. A job
 // that is needed was accepted before: one that is neither open nor over shows that a
 // record is damaged. What needs it waits until somebody cancels it.
-func (n *Node) endRead(id string, d StateDone) bool {
-	var r jobRecord
+func (n *Controller) applyFinalState(id string, d StoreResponse) bool {
+	var r jobStatusRecord
 	switch {
-	case n.pipelineState(id) != pipeline.Unknown:
-	case d.Status == StateNotFound:
-		n.complain("record", openPrefix+id, "it is needed by others and was never accepted")
-		n.pipelineTakes(n.graph().Set(id, pipeline.Missing))
-	case d.Status != StateOK || len(d.Items) != 1 || !decode(d.Items[0].Value, &r) || !r.Status.Final():
+	case n.cachedJobState(id) != pipeline.Unknown:
+	case d.Status == StoreNotFound:
+		n.rejectInput("record", openJobPrefix+id, "it is needed by others and was never accepted")
+		n.applyDependencyChanges(n.dependencyGraph().Set(id, pipeline.Missing))
+	case d.Status != StoreOK || len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
 		return false
 	default:
-		n.setFinal(id, r.Status)
-		doneDate(n, id, r)
+		n.cacheFinalStatus(id, r.Status)
+		cacheDoneDate(n, id, r)
 	}
 	return true
 }
 
-// lookBefore tells of an open job, which is cancelled if one that it needs is: what is not
+// lookupWithDependencies tells of an open job, which is cancelled if one that it needs is: what is not
 // known of these is read first.
-func (n *Node) lookBefore(id string, l *living, fn func(found)) {
-	unread := n.graph().Unread(id, false)
+func (n *Controller) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
+	unread := n.dependencyGraph().Unread(id, false)
 	if len(unread) > 0 && !l.rec.Cancelled {
-		n.readBefore(id, unread, fn)
+		n.readDependencyStates(id, unread, fn)
 		return
 	}
-	n.foundOpen(id, l, func(f found) {
-		if n.graph().Cancelled(id) {
+	n.lookupOfOpenJob(id, l, func(f jobLookup) {
+		if n.dependencyGraph().Cancelled(id) {
 			f.rec.Status = Cancelled
 		}
 		fn(f)
 	})
 }
 
-// readBefore reads the ends that a job's state rests on, and looks again.
-func (n *Node) readBefore(id string, unread []string, fn func(found)) {
+// readDependencyStates reads the ends that a job's state rests on, and looks again.
+func (n *Controller) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
 	left, failed := len(unread), false
 	for _, p := range unread {
-		n.read(p, func(d StateDone) {
-			failed = !n.endRead(p, d) || failed
+		n.readStatusRecord(p, func(d StoreResponse) {
+			failed = !n.applyFinalState(p, d) || failed
 			if left--; left > 0 {
 				return
 			}
 			if failed {
-				fn(found{})
+				fn(jobLookup{})
 				return
 			}
-			n.look(id, fn)
+			n.readJob(id, fn)
 		})
 	}
 }
 
-// pathsTick brings up to date what the jobs behind others ask of those here: the highest
+// updateCriticalPaths brings up to date what the jobs behind others ask of those here: the highest
 // urgency of all that need a job, and when it has to be over for them to be in time.
-func (n *Node) pathsTick() {
-	o := n.owner
-	if n.now.Sub(o.pathsAt) < pathsEvery || !n.graph().Some() {
+func (n *Controller) updateCriticalPaths() {
+	o := n.shardLeader
+	if n.now.Sub(o.pathsScannedAt) < criticalPathInterval || !n.dependencyGraph().Some() {
 		return
 	}
-	o.pathsAt = n.now
-	paths, circle := n.graph().Paths(n.pathTask)
-	if len(circle) > 0 {
-		n.complain("record", openPrefix+circle[0], "jobs need each other: "+strings.Join(circle, ", "))
+	o.pathsScannedAt = n.now
+	paths, cycle := n.dependencyGraph().Paths(n.criticalPathTask)
+	if len(cycle) > 0 {
+		n.rejectInput("record", openJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
 	}
 	for id := range o.paths {
 		if j := o.jobs[id]; j != nil && paths[id] == (pipeline.Path{}) {
-			n.onPath(j, pipeline.Path{})
+			n.applyCriticalPath(j, pipeline.Path{})
 		}
 	}
 	for id, p := range paths {
 		if j := o.jobs[id]; j != nil {
-			n.onPath(j, p)
+			n.applyCriticalPath(j, p)
 		}
 	}
 	o.paths = paths
 }
 
-// onPath gives a job what those behind it ask.
-func (n *Node) onPath(j *job, p pipeline.Path) {
-	j.path = p
-	if !j.raised {
-		j.own = j.Urgency
+// applyCriticalPath gives a job what those behind it ask.
+func (n *Controller) applyCriticalPath(j *job, p pipeline.Path) {
+	j.criticalPath = p
+	if !j.urgencyRaised {
+		j.ownUrgency = j.Urgency
 	}
-	if u := max(j.own, Urgency(p.Urgency)); u != j.Urgency {
-		j.Urgency, j.rankVer = u, -1
+	if u := max(j.ownUrgency, Urgency(p.Urgency)); u != j.Urgency {
+		j.Urgency, j.rankingVersion = u, -1
 	}
-	j.raised = j.Urgency != j.own
+	j.urgencyRaised = j.Urgency != j.ownUrgency
 }
 
-// pathTask is an open job as the paths see it.
-func (n *Node) pathTask(id string) (pipeline.Task, bool) {
-	l, open := n.users.mirror.open[id]
+// criticalPathTask is an open job as the paths see it.
+func (n *Controller) criticalPathTask(id string) (pipeline.Task, bool) {
+	l, open := n.frontend.watchCache.openJobs[id]
 	if !open || l.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
-	t := pipeline.Task{Urgency: l.rec.Urgency, Run: Seconds(l.rec.Expected)}
-	if l.rec.Due > 0 {
-		t.Due = time.UnixMilli(l.rec.At).Add(Seconds(l.rec.Due))
+	t := pipeline.Task{Urgency: l.rec.Urgency, Run: Seconds(l.rec.ExpectedSeconds)}
+	if l.rec.DeadlineSeconds > 0 {
+		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(Seconds(l.rec.DeadlineSeconds))
 	}
-	if e := n.errs[l.rec.Workload]; e != nil {
+	if e := n.estimators[l.rec.Workload]; e != nil {
 		t.Run = time.Duration(float64(t.Run) * e.ratio)
 	}
 	return t, true
 }
 
-// waitsFor names some of what a job waits for, with how many it is.
-func (n *Node) waitsFor(id string) string {
-	names := n.graph().Waits(id)
-	text := strings.Join(names[:min(len(names), waitsTold)], ", ")
-	if len(names) > waitsTold {
-		text += fmt.Sprintf(" and %d others", len(names)-waitsTold)
+// describeDependencies names some of what a job waits for, with how many it is.
+func (n *Controller) describeDependencies(id string) string {
+	names := n.dependencyGraph().Waits(id)
+	text := strings.Join(names[:min(len(names), maxNamedDependencies)], ", ")
+	if len(names) > maxNamedDependencies {
+		text += fmt.Sprintf(" and %d others", len(names)-maxNamedDependencies)
 	}
 	return text
 }
 
-// HoldsStatus is a job for which jobs here wait, how many, and what is known of it.
-type HoldsStatus struct {
-	Job   string `json:"job"`
-	Jobs  int    `json:"jobs"`
-	State string `json:"state"`
+// BlockingJobStatus is a job for which jobs here wait, how many, and what is known of it.
+type BlockingJobStatus struct {
+	Job        string `json:"job"`
+	Dependents int    `json:"jobs"`
+	State      string `json:"state"`
 }
 
-// holdsTold bounds the jobs in a status that others wait for.
-const holdsTold = 10
+// maxBlockingJobs bounds the jobs in a status that others wait for.
+const maxBlockingJobs = 10
 
-// holdsStatus counts the jobs here that wait for others, and tells for which most of them
+// blockingJobs counts the jobs here that wait for others, and tells for which most of them
 // do, themselves not waiting.
-func (n *Node) holdsStatus() (waiting int, holds []HoldsStatus) {
+func (n *Controller) blockingJobs() (waiting int, blocking []BlockingJobStatus) {
 	count := map[string]int{}
-	for id, j := range n.owner.jobs {
-		if !j.waits || j.cancelled {
+	for id, j := range n.shardLeader.jobs {
+		if !j.dependenciesPending || j.cancelled {
 			continue
 		}
 		waiting++
-		for _, p := range n.graph().Waits(id) {
-			if n.graph().Released(p) {
+		for _, p := range n.dependencyGraph().Waits(id) {
+			if n.dependencyGraph().Released(p) {
 				count[p]++
 			}
 		}
 	}
 	for _, p := range sortedKeys(count) {
-		h := HoldsStatus{Job: p, Jobs: count[p], State: "unknown"}
-		if _, open := n.users.mirror.open[p]; open {
-			h.State = n.known(p, Queued).State
+		h := BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
+		if _, open := n.frontend.watchCache.openJobs[p]; open {
+			h.State = n.replyWithStatus(p, Queued).State
 		}
-		holds = append(holds, h)
+		blocking = append(blocking, h)
 	}
-	slices.SortStableFunc(holds, func(a, b HoldsStatus) int { return cmp.Compare(b.Jobs, a.Jobs) })
-	return waiting, holds[:min(len(holds), holdsTold)]
+	slices.SortStableFunc(blocking, func(a, b BlockingJobStatus) int { return cmp.Compare(b.Dependents, a.Dependents) })
+	return waiting, blocking[:min(len(blocking), maxBlockingJobs)]
 }
--- a/internal/core/raise.go
+++ b/internal/core/raise.go
@@ -6,74 +6,74 @@
 	"github.com/micahill/micahill/internal/division"
 )
 
-// maybeRaise names machines once more, for a higher epoch: where a start without an
+// maybeBumpEpoch names machines once more, for a higher epoch: where a start without an
 // answer stands in the way, which can no longer be executed then, where a machine has
 // seen a higher epoch than that under which it is this owner's, and where its worker has
 // begun anew.
-func (n *Node) maybeRaise() {
-	o := n.owner
-	if n.raising || n.now.Sub(o.raised) < raiseEvery || n.now.After(n.sess.sureUntil) {
+func (n *Controller) maybeBumpEpoch() {
+	o := n.shardLeader
+	if n.bumpingEpoch || n.now.Sub(o.epochBumpedAt) < epochBumpInterval || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	some := len(o.higher) > 0
-	for _, m := range o.byID {
-		some = some || m.anew != 0 && m.anew == m.epoch || m.unacked != 0 && m.unacked == m.epoch && !m.noDirect && m.stuck(&o.registry)
+	needed := len(o.higherEpochSeen) > 0
+	for _, m := range o.machinesByID {
+		needed = needed || m.restartEpoch != 0 && m.restartEpoch == m.epoch || m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&o.registry)
 	}
-	if !some {
+	if !needed {
 		return
 	}
 	// Only as of now: a machine that has seen a higher epoch is another's more likely,
 	// of which the watch has not told yet.
-	o.raised = n.now
-	n.ctlSure(func() {
-		if n.owner == o {
-			raise(n)
+	o.epochBumpedAt = n.now
+	n.confirmControlRecords(func() {
+		if n.shardLeader == o {
+			bumpEpoch(n)
 		}
 	})
 }
 
-// raise names the machines that need it once more.
-func raise(n *Node) {
-	o := n.owner
-	if n.raising {
+// bumpEpoch names the machines that need it once more.
+func bumpEpoch(n *Controller) {
+	o := n.shardLeader
+	if n.bumpingEpoch {
 		return
 	}
-	by := map[string][]string{}
+	byShard := map[string][]string{}
 	add := func(id string) {
-		if x, mine := n.mine(id); mine {
-			by[x.Name] = append(by[x.Name], id)
+		if x, mine := n.ownedMachine(id); mine {
+			byShard[x.Name] = append(byShard[x.Name], id)
 		}
 	}
-	for _, m := range o.byID {
+	for _, m := range o.machinesByID {
 		// While the machine is out of reach a higher epoch does not reach it either.
-		if m.unacked != 0 && m.unacked == m.epoch && !m.noDirect && m.stuck(&o.registry) {
+		if m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&o.registry) {
 			add(m.id)
-		} else if m.anew != 0 && m.anew == m.epoch {
+		} else if m.restartEpoch != 0 && m.restartEpoch == m.epoch {
 			add(m.id)
 		}
 	}
-	for _, id := range sortedKeys(o.higher) {
-		if _, mine := n.mine(id); !mine {
-			delete(o.higher, id)
-		} else if n.now.Sub(o.higher[id]) > raiseEvery {
+	for _, id := range sortedKeys(o.higherEpochSeen) {
+		if _, mine := n.ownedMachine(id); !mine {
+			delete(o.higherEpochSeen, id)
+		} else if n.now.Sub(o.higherEpochSeen[id]) > epochBumpInterval {
 			add(id)
 		}
 	}
-	for _, name := range sortedKeys(by) {
-		s := n.sess.book.Find(name)
-		o.raises++
-		w, some := division.Raise(n.bounds(), fmt.Sprintf("%s-%d-%d", n.life(), o.gen, o.raises), s, by[name])
-		if len(some) == 0 {
+	for _, name := range sortedKeys(byShard) {
+		s := n.membership.shardMap.Find(name)
+		o.epochBumps++
+		w, bumped := division.Raise(n.storeLimits(), fmt.Sprintf("%s-%d-%d", n.incarnation(), o.generation, o.epochBumps), s, byShard[name])
+		if len(bumped) == 0 {
 			continue
 		}
-		n.raising = true
-		n.info("machines get a higher epoch", "machines", len(some), "such as", some[0], "share", name)
-		n.ask(StateOp{Kind: OpTxn, Prio: PrioStart, When: []Cond{{sharePrefix + name, s.Stamp}, {lotPrefix + w.Name, 0}},
-			Apply: []Change{{Key: lotPrefix + w.Name, Value: w.Value}}}, func(StateDone) {
-			n.raising = false
-			if n.owner == o {
-				for _, id := range some {
-					delete(o.higher, id)
+		n.bumpingEpoch = true
+		n.info("machines get a higher epoch", "machines", len(bumped), "such as", bumped[0], "share", name)
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: []Compare{{shardPrefix + name, s.Stamp}, {shardSegmentPrefix + w.Name, 0}},
+			Writes: []Write{{Key: shardSegmentPrefix + w.Name, Value: w.Value}}}, func(StoreResponse) {
+			n.bumpingEpoch = false
+			if n.shardLeader == o {
+				for _, id := range bumped {
+					delete(o.higherEpochSeen, id)
 				}
 			}
 		})
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -19,117 +19,117 @@
 // Nothing here runs without Product.Ranking.
 
 const (
-	rankingKey = ctlPrefix + "ranking"
-	// historyPrefix has the last rankings, by their revision modulo ranking.History.
-	historyPrefix = "ranking/"
-	// rankFresh is how long after a moment as of which the ranking is known a start may
+	rankingKey = controlPrefix + "ranking"
+	// rankingHistoryPrefix has the last rankings, by their revision modulo ranking.History.
+	rankingHistoryPrefix = "ranking/"
+	// maxRankingStaleness is how long after a moment as of which the ranking is known a start may
 	// leave: the operators' bound for one that an older ranking decided.
-	rankFresh = 2 * time.Second
-	// rankMargin is how much of that must be left when a start is ordered: one that
+	maxRankingStaleness = 2 * time.Second
+	// rankingStalenessMargin is how much of that must be left when a start is ordered: one that
 	// becomes late on its way out costs a report's answer its starts, or an order.
-	rankMargin = 250 * time.Millisecond
-	// rankValue is the part of a value's limit that a record of the ranking may take.
-	rankValue = 0.75
-	// queuePart is the part of the requests that may wait for the state service that is
+	rankingStalenessMargin = 250 * time.Millisecond
+	// rankingValueFraction is the part of a value's limit that a record of the ranking may take.
+	rankingValueFraction = 0.75
+	// lowestRankQueueFraction is the part of the requests that may wait for the state service that is
 	// open to submissions of the last place; that of the first is all.
-	queuePart = 0.5
+	lowestRankQueueFraction = 0.5
 )
 
-// ranks is what this controller knows of the ranking.
-type ranks struct {
-	// stamp is that of the record as it stands, 0 for none, also if it can't be read;
+// rankingState is what this controller knows of the ranking.
+type rankingState struct {
+	// modRevision is that of the record as it stands, 0 for none, also if it can't be read;
 	// taken is the one under which the order was decided last, and rev the highest
 	// revision seen.
-	stamp, taken uint64
-	rev          uint64
-	// rec and table are the last good record; bad says why a later one does not count.
-	rec   ranking.Record
-	table *ranking.Table
-	bad   string
+	modRevision, appliedModRevision uint64
+	highestRevision                 uint64
+	// lastValid and table are the last good record; bad says why a later one does not count.
+	lastValid     ranking.Record
+	table         *ranking.Table
+	invalidReason string
 	// asOf: nobody has set another one before then.
 	asOf time.Time
 	// stale: a write has failed on the stamp, and what stands there is not known yet.
 	stale bool
-	// held are machines with starts that wait until the ranking is known anew, and asking
+	// heldMachines are machines with starts that wait until the ranking is known anew, and asking
 	// that it is being read for that.
-	held   map[*machine]bool
-	asking bool
+	heldMachines map[*machine]bool
+	refreshing   bool
 	// writing: a derived record is on its way. looked: the history was read for a good
 	// record, as the one that stands can't be read.
-	writing, looked bool
-	// ver counts the tables, so that jobs know when the place that they remember is none.
-	ver int
+	writingDerived, historyRead bool
+	// tableVersion counts the tables, so that jobs know when the place that they remember is none.
+	tableVersion int
 }
 
-// rankItem takes in the record as a read or a watch of ctl/ brings it. What can't be
+// applyRankingRecord takes in the record as a read or a watch of ctl/ brings it. What can't be
 // read is told, and the last good one goes on to count.
-func rankItem(n *Node, it Item) {
-	if !n.set.Product.Ranking {
+func applyRankingRecord(n *Controller, it KeyValue) {
+	if !n.settings.Capabilities.Ranking {
 		return
 	}
-	r := &n.sess.ranks
-	if it.Removed {
+	r := &n.membership.ranking
+	if it.Deleted {
 		// Whoever leads writes one anew.
-		r.stamp, r.rec, r.table, r.bad = 0, ranking.Record{}, nil, ""
-		r.ver++
+		r.modRevision, r.lastValid, r.table, r.invalidReason = 0, ranking.Record{}, nil, ""
+		r.tableVersion++
 		return
 	}
-	r.stamp = it.Stamp
-	r.rev = max(r.rev, ranking.Rev(it.Value))
+	r.modRevision = it.ModRevision
+	r.highestRevision = max(r.highestRevision, ranking.Rev(it.Value))
 	rec, err := ranking.Decode(it.Value)
 	if err != nil {
-		r.bad = err.Error()
-		n.complain("record", it.Key, r.bad)
-		if r.table == nil && !r.looked {
-			r.looked = true
-			rankFromHistory(n)
+		r.invalidReason = err.Error()
+		n.rejectInput("record", it.Key, r.invalidReason)
+		if r.table == nil && !r.historyRead {
+			r.historyRead = true
+			recoverRankingFromHistory(n)
 		}
 		return
 	}
-	r.rec, r.table, r.bad = rec, rec.Table(), ""
-	r.ver++
+	r.lastValid, r.table, r.invalidReason = rec, rec.Table(), ""
+	r.tableVersion++
 }
 
-// rankRead takes in that a whole read of ctl/ did not show a record.
-func rankRead(n *Node, items []Item) {
-	if !slices.ContainsFunc(items, func(it Item) bool { return it.Key == rankingKey }) {
-		rankItem(n, Item{Key: rankingKey, Removed: true})
+// noteRankingAbsence takes in that a whole read of ctl/ did not show a record.
+func noteRankingAbsence(n *Controller, items []KeyValue) {
+	if !slices.ContainsFunc(items, func(it KeyValue) bool { return it.Key == rankingKey }) {
+		applyRankingRecord(n, KeyValue{Key: rankingKey, Deleted: true})
 	}
 }
 
-// rankFromHistory looks for the last good record where this life has seen none: all
+// recoverRankingFromHistory looks for the last good record where this life has seen none: all
 // controllers are to rank alike, also those that begin beside a damaged one.
-func rankFromHistory(n *Node) {
-	rankHistory(n, time.Time{}, func(recs []ranking.Record) {
-		r := &n.sess.ranks
-		if r.table != nil || r.stamp == 0 || len(recs) == 0 {
+func recoverRankingFromHistory(n *Controller) {
+	readRankingHistory(n, time.Time{}, func(recs []ranking.Record) {
+		r := &n.membership.ranking
+		if r.table != nil || r.modRevision == 0 || len(recs) == 0 {
 			return
 		}
-		r.rec, r.table = recs[0], recs[0].Table()
-		r.ver++
-		r.rev = max(r.rev, r.rec.Rev)
-		n.info("an earlier ranking counts, as the newest can't be read", "revision", r.rec.Rev)
-		rankAnew(n)
+		r.lastValid, r.table = recs[0], recs[0].Table()
+		r.tableVersion++
+		r.highestRevision = max(r.highestRevision, r.lastValid.Rev)
+		n.info("an earlier ranking counts, as the newest can't be read", "revision", r.lastValid.Rev)
+		replanUnsentStarts(n)
 	})
 }
 
-// rankHistory reads the rankings that are kept, the newest first. It gives up at until,
+// readRankingHistory reads the rankings that are kept, the newest first. It gives up at until,
 // and has none to tell of then; a zero one is never.
-func rankHistory(n *Node, until time.Time, fn func([]ranking.Record)) {
-	n.ask(StateOp{Kind: OpList, Prio: PrioUser, Key: historyPrefix}, func(d StateDone) {
-		if d.Status != StateOK && !until.IsZero() && n.now.After(until) {
+func readRankingHistory(n *Controller, deadline time.Time, fn func([]ranking.Record)) {
+	n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityUser, Key: rankingHistoryPrefix}, func(d StoreResponse) {
+		if d.Status != StoreOK && !deadline.IsZero() && n.now.After(deadline) {
 			fn(nil)
 			return
 		}
-		if d.Status != StateOK {
-			n.after(n.jitter(retryPause), func() { rankHistory(n, until, fn) })
+		if d.Status != StoreOK {
+			n.after(n.jitter(storeRetryDelay), func() { readRankingHistory(n, deadline, fn) })
 			return
 		}
 		var out []ranking.Record
-		for _, it := range d.Items {
+		for _, it := range d.KeyValues {
 			rec, err := ranking.Decode(it.Value)
 			if err != nil {
-				n.complain("record", it.Key, err.Error())
+				n.rejectInput("record", it.Key, err.Error())
 				continue
 			}
 			out = append(out, rec)
@@ -139,141 +139,143 @@
 	})
 }
 
-// rankKnown notes a moment before which nobody has set a ranking that is not known here:
+// noteRankingKnown notes a moment before which nobody has set a ranking that is not known here:
 // that at which a read of ctl/ began, or a write which named the ranking and went through.
 // Also if another one has come since: it came after that write.
-func rankKnown(n *Node, at time.Time) { n.sess.ranks.asOf = later(n.sess.ranks.asOf, at) }
+func noteRankingKnown(n *Controller, at time.Time) {
+	n.membership.ranking.asOf = later(n.membership.ranking.asOf, at)
+}
 
-// rankBehind notes that a write failed on the ranking that it named: somebody has set another ranking. Until that
+// noteRankingOutdated notes that a write failed on the ranking that it named: somebody has set another ranking. Until that
 // has been read nothing is placed and no start written: all of it would fail.
-func rankBehind(n *Node, stamp uint64) {
-	if r := &n.sess.ranks; stamp == r.stamp {
+func noteRankingOutdated(n *Controller, stamp uint64) {
+	if r := &n.membership.ranking; stamp == r.modRevision {
 		r.stale = true
-		rankAsk(n)
+		refreshRanking(n)
 	}
 }
 
-// rankTaken decides anew when another ranking has come.
-func rankTaken(n *Node) {
-	r := &n.sess.ranks
-	if r.stamp == r.taken {
+// applyRankingChange decides anew when another ranking has come.
+func applyRankingChange(n *Controller) {
+	r := &n.membership.ranking
+	if r.modRevision == r.appliedModRevision {
 		return
 	}
-	if r.taken != 0 {
-		n.promises.ranked = n.now
+	if r.appliedModRevision != 0 {
+		n.promises.rankingChangedAt = n.now
 	}
-	r.taken, r.stale = r.stamp, false
-	if r.stamp != 0 && r.bad == "" {
-		n.info("ranking", "revision", r.rec.Rev, "by", r.rec.By, "classes", len(r.rec.Classes))
+	r.appliedModRevision, r.stale = r.modRevision, false
+	if r.modRevision != 0 && r.invalidReason == "" {
+		n.info("ranking", "revision", r.lastValid.Rev, "by", r.lastValid.By, "classes", len(r.lastValid.Classes))
 	}
-	rankAnew(n)
+	replanUnsentStarts(n)
 }
 
-// rankAnew takes back what was decided and told to nobody, and has all that waits placed
+// replanUnsentStarts takes back what was decided and told to nobody, and has all that waits placed
 // in the new order.
-func rankAnew(n *Node) {
-	o := n.owner
+func replanUnsentStarts(n *Controller) {
+	o := n.shardLeader
 	if o == nil {
 		return
 	}
-	for _, m := range o.byID {
-		for _, k := range m.attemptsIf(func(t *task) bool { return !t.sent }) {
-			n.gone(o.jobs[k.job], k.index, false)
+	for _, m := range o.machinesByID {
+		for _, k := range m.attemptsWhere(func(t *task) bool { return !t.startSent }) {
+			n.endAttempt(o.jobs[k.job], k.index, false)
 		}
 	}
-	o.place, o.hurry = true, true
-	o.prey = nil
+	o.placementDue, o.placementUrgent = true, true
+	o.preemptionVictims = nil
 }
 
-// rankAsk reads the ranking anew for what waits for it.
-func rankAsk(n *Node) {
-	r := &n.sess.ranks
-	if r.asking || !n.sess.loaded {
+// refreshRanking reads the ranking anew for what waits for it.
+func refreshRanking(n *Controller) {
+	r := &n.membership.ranking
+	if r.refreshing || !n.membership.loaded {
 		return
 	}
-	r.asking = true
+	r.refreshing = true
 	// Without an answer nobody is called: the next look round asks again.
-	n.after(retryPause, func() { r.asking = false })
-	n.ctlSure(func() {
-		r.stale, r.asking = false, false
-		held := r.held
-		r.held = nil
-		if n.owner == nil {
+	n.after(storeRetryDelay, func() { r.refreshing = false })
+	n.confirmControlRecords(func() {
+		r.stale, r.refreshing = false, false
+		held := r.heldMachines
+		r.heldMachines = nil
+		if n.shardLeader == nil {
 			return
 		}
 		for m := range held {
 			// It may be of a time as owner that is over.
-			if n.owner.machines[m.id] == m {
-				n.mark(m)
+			if n.shardLeader.machines[m.id] == m {
+				n.markDispatchPending(m)
 			}
 		}
-		n.owner.place = true
+		n.shardLeader.placementDue = true
 	})
 }
 
-// rankSweep asks again for what still waits.
-func rankSweep(n *Node) {
-	if r := &n.sess.ranks; r.stale || len(r.held) > 0 {
-		rankAsk(n)
+// retryRankingRefresh asks again for what still waits.
+func retryRankingRefresh(n *Controller) {
+	if r := &n.membership.ranking; r.stale || len(r.heldMachines) > 0 {
+		refreshRanking(n)
 	}
 }
 
-// leaves says whether the start of a task on m may be ordered now. One that has left
+// mayDispatchStart says whether the start of a task on m may be ordered now. One that has left
 // before is repeated as ever: held back, it could run all the same. Any other leaves
 // under the ranking of now or not at all: one that is nowhere, never sent or proven
 // absent, is placed anew when another ranking decided it; of one that was in an answer or
 // an order of which it is not known whether it was in time, the next report tells.
-func leaves(n *Node, m *machine, j *job, i int, quiet bool) bool {
+func mayDispatchStart(n *Controller, m *machine, j *job, i int, provenAbsent bool) bool {
 	t := &j.tasks[i]
-	if !n.set.Product.Ranking || t.left && !quiet {
+	if !n.settings.Capabilities.Ranking || t.startUnanswered && !provenAbsent {
 		return true
 	}
-	r := &n.sess.ranks
-	if t.rank != r.stamp {
+	r := &n.membership.ranking
+	if t.rankingRevision != r.modRevision {
 		switch {
-		case !t.sent || quiet:
-			n.gone(j, i, false)
-		case m.unacked != 0:
+		case !t.startSent || provenAbsent:
+			n.endAttempt(j, i, false)
+		case m.unackedStartEpoch != 0:
 			// Another start stands in the way of the proof: only a higher epoch gives it.
-			t.stop = stopDrain
+			t.stopReason = stopDrain
 		}
 		return false
 	}
-	if r.stale || n.now.After(r.asOf.Add(rankFresh-rankMargin)) {
-		if r.held == nil {
-			r.held = map[*machine]bool{}
+	if r.stale || n.now.After(r.asOf.Add(maxRankingStaleness-rankingStalenessMargin)) {
+		if r.heldMachines == nil {
+			r.heldMachines = map[*machine]bool{}
 		}
-		r.held[m] = true
-		rankAsk(n)
+		r.heldMachines[m] = true
+		refreshRanking(n)
 		return false
 	}
-	m.fresh = true
+	m.hasNewStarts = true
 	return true
 }
 
-// leftUnanswered notes that orders had no answer though they left: their starts may be
+// noteUnansweredStarts notes that orders had no answer though they left: their starts may be
 // carried out at any time.
-func leftUnanswered(n *Node, m *machine, orders []Order) {
-	for _, x := range orders {
-		if t := m.attempts[taskKey{x.Job, x.Index}]; t != nil && x.Verb == Start && t.try == x.Try {
-			t.left = true
+func noteUnansweredStarts(n *Controller, m *machine, commands []TaskCommand) {
+	for _, x := range commands {
+		if t := m.attempts[taskKey{x.Job, x.Index}]; t != nil && x.Kind == StartTask && t.attempt == x.Attempt {
+			t.startUnanswered = true
 		}
 	}
 }
 
-// startsUntil is until when what has just been ordered for m may leave: starts that are
+// startDispatchDeadline is until when what has just been ordered for m may leave: starts that are
 // nowhere else no longer than the ranking is surely known. Zero for any time.
-func startsUntil(n *Node, m *machine) time.Time {
-	if !m.fresh {
+func startDispatchDeadline(n *Controller, m *machine) time.Time {
+	if !m.hasNewStarts {
 		return time.Time{}
 	}
-	return n.sess.ranks.asOf.Add(rankFresh)
+	return n.membership.ranking.asOf.Add(maxRankingStaleness)
 }
 
-// startsIn says whether a chunk's record makes a start durable.
-func (j *job) startsIn(c *chunk) bool {
-	for i := c.n * j.per; i < min((c.n+1)*j.per, j.fresh); i++ {
-		if t := &j.tasks[i]; t.m != nil && !t.sent && t.stop == stopNone {
+// segmentHasStarts says whether a chunk's record makes a start durable.
+func (j *job) segmentHasStarts(c *taskSegment) bool {
+	for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, j.nextFresh); i++ {
+		if t := &j.tasks[i]; t.machine != nil && !t.startSent && t.stopReason == stopNone {
 			return true
 		}
 	}
@@ -282,212 +284,216 @@
 
 // rankOf is a job's place in the ranking, lower first; without one, by its urgency. It is
 // asked for by every comparison of two jobs.
-func rankOf(n *Node, j *job) int {
-	if r := &n.sess.ranks; r.ver == 0 || j.rankVer != r.ver {
-		j.rank, j.rankVer = rankSpec(n, &j.Spec), r.ver
+func rankOf(n *Controller, j *job) int {
+	if r := &n.membership.ranking; r.tableVersion == 0 || j.rankingVersion != r.tableVersion {
+		j.rankingPlace, j.rankingVersion = rankOfSpec(n, &j.JobSpec), r.tableVersion
 	}
-	return j.rank
+	return j.rankingPlace
 }
 
-func rankSpec(n *Node, s *Spec) int { return n.sess.ranks.table.Place(s.Workload, int(s.Urgency)) }
+func rankOfSpec(n *Controller, s *JobSpec) int {
+	return n.membership.ranking.table.Place(s.Workload, int(s.Urgency))
+}
 
-// rankHeight is the same the other way round: higher goes first, 0 is the last.
-func rankHeight(n *Node, j *job) int { return n.sess.ranks.table.Places() - 1 - rankOf(n, j) }
+// inverseRank is the same the other way round: higher goes first, 0 is the last.
+func inverseRank(n *Controller, j *job) int {
+	return n.membership.ranking.table.Places() - 1 - rankOf(n, j)
+}
 
-// weightOf is the policy script's weight of a job: it counts only without a ranking, into
+// policyWeight is the policy script's weight of a job: it counts only without a ranking, into
 // which the leader's has gone.
-func weightOf(n *Node, j *job) float64 {
-	if n.sess.ranks.table != nil {
+func policyWeight(n *Controller, j *job) float64 {
+	if n.membership.ranking.table != nil {
 		return 0
 	}
-	return n.set.Policy.Weight[j.Workload]
+	return n.settings.Policy.WorkloadWeights[j.Workload]
 }
 
 // waitBound is how long a job may wait behind others, and the part of the room that it
 // then takes before all others; 0 is the built-in default.
-func waitBound(n *Node, j *job) (time.Duration, float64) {
-	return n.sess.ranks.table.Bound(j.Workload, int(j.Urgency))
+func waitBound(n *Controller, j *job) (time.Duration, float64) {
+	return n.membership.ranking.table.Bound(j.Workload, int(j.Urgency))
 }
 
-// rankHeirs puts the machines that a successor reaches first into order: those with work
+// sortInheritedByRank puts the machines that a successor reaches first into order: those with work
 // before idle ones, and of these the ones with the highest-ranked.
-func rankHeirs(n *Node, ms []*machine) {
-	first := map[*machine]int{}
-	for _, m := range ms {
-		first[m] = n.sess.ranks.table.Places()
+func sortInheritedByRank(n *Controller, machines []*machine) {
+	bestRank := map[*machine]int{}
+	for _, m := range machines {
+		bestRank[m] = n.membership.ranking.table.Places()
 		for k := range m.attempts {
-			if n.set.Product.Ranking {
-				first[m] = min(first[m], rankOf(n, n.owner.jobs[k.job]))
+			if n.settings.Capabilities.Ranking {
+				bestRank[m] = min(bestRank[m], rankOf(n, n.shardLeader.jobs[k.job]))
 			}
 		}
 	}
-	slices.SortStableFunc(ms, func(a, b *machine) int {
-		return cmp.Or(cmp.Compare(b2f(len(a.attempts) == 0), b2f(len(b.attempts) == 0)), cmp.Compare(first[a], first[b]))
+	slices.SortStableFunc(machines, func(a, b *machine) int {
+		return cmp.Or(cmp.Compare(boolToFloat(len(a.attempts) == 0), boolToFloat(len(b.attempts) == 0)), cmp.Compare(bestRank[a], bestRank[b]))
 	})
 }
 
-// rankRefuses says that a submission is refused under overload: the later a job's place,
+// overloadRefuses says that a submission is refused under overload: the later a job's place,
 // the smaller the part of what may wait for the state service that is open to it.
-func rankRefuses(n *Node, s *Spec) bool {
-	if !n.set.Product.Ranking || s.Workload == "" {
+func overloadRefuses(n *Controller, s *JobSpec) bool {
+	if !n.settings.Capabilities.Ranking || s.Workload == "" {
 		return false
 	}
-	place := float64(rankSpec(n, s)) / float64(max(1, n.sess.ranks.table.Places()-1))
-	return float64(n.users.waiting) >= maxWaiting*(1-(1-queuePart)*place)
+	relativeRank := float64(rankOfSpec(n, s)) / float64(max(1, n.membership.ranking.table.Places()-1))
+	return float64(n.frontend.waitingRequests) >= maxWaitingRequests*(1-(1-lowestRankQueueFraction)*relativeRank)
 }
 
-// rankFits says whether a record can be stored.
-func rankFits(n *Node, rec ranking.Record) bool {
+// rankingFits says whether a record can be stored.
+func rankingFits(n *Controller, rec ranking.Record) bool {
 	size, err := bounds.JSON(rec.Encode())
-	return err == nil && float64(size) <= rankValue*float64(n.set.ValueBytes)
+	return err == nil && float64(size) <= rankingValueFraction*float64(n.settings.MaxValueBytes)
 }
 
-// rankPuts are the changes that set a ranking: the record, and the same as history.
-func rankPuts(rec ranking.Record) []Change {
+// rankingWrites are the changes that set a ranking: the record, and the same as history.
+func rankingWrites(rec ranking.Record) []Write {
 	b := rec.Encode()
-	return []Change{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(historyPrefix, rec.Rev%ranking.History), Value: b}}
+	return []Write{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(rankingHistoryPrefix, rec.Rev%ranking.History), Value: b}}
 }
 
-// rankDerive has a leader write the ranking that its script stands for, where there is
+// deriveRanking has a leader write the ranking that its script stands for, where there is
 // none. From then on the record counts, not a controller's own script.
-func rankDerive(n *Node) {
-	r := &n.sess.ranks
-	if !n.set.Product.Ranking || r.stamp != 0 || r.writing || !n.sess.loaded || n.now.After(n.sess.sureUntil) {
+func deriveRanking(n *Controller) {
+	r := &n.membership.ranking
+	if !n.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !n.membership.loaded || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	rec, exact := ranking.Derive(n.set.Policy.Weight, func(rec ranking.Record) bool { return rankFits(n, rec) })
-	if !exact {
+	rec, lossless := ranking.Derive(n.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return rankingFits(n, rec) })
+	if !lossless {
 		n.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
 	}
-	rec.Rev, rec.By, rec.At = r.rev+1, n.set.Host, n.now
-	r.writing = true
-	n.ask(StateOp{Kind: OpTxn, Prio: PrioSession, When: []Cond{{leadKey, n.leader.stamp}, {rankingKey, 0}}, Apply: rankPuts(rec)}, func(d StateDone) {
-		pause := n.jitter(retryPause)
-		if d.Status == StateBad {
-			pause = defectPause
+	rec.Rev, rec.By, rec.At = r.highestRevision+1, n.settings.Host, n.now
+	r.writingDerived = true
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, n.leader.modRevision}, {rankingKey, 0}}, Writes: rankingWrites(rec)}, func(d StoreResponse) {
+		pause := n.jitter(storeRetryDelay)
+		if d.Status == StoreMalformed {
+			pause = malformedRetryDelay
 		}
 		// The watch brings it, whoever wrote it.
-		n.after(pause, func() { r.writing = false })
+		n.after(pause, func() { r.writingDerived = false })
 	})
 }
 
-// RankSet sets a ranking. AnyRev: whichever stands there; else only if Rev does. Until:
+// SetRanking sets a ranking. AnyRevision: whichever stands there; else only if Rev does. Until:
 // whoever asked has gone by then, and nothing is written later.
-type RankSet struct {
-	Reply  uint64
-	Record ranking.Record
-	AnyRev bool
-	Rev    uint64
-	Until  time.Time
+type SetRanking struct {
+	Reply       uint64
+	Record      ranking.Record
+	AnyRevision bool
+	Revision    uint64
+	Deadline    time.Time
 }
 
-// RankQuery asks for the ranking, why a job waits, or the last rankings.
-type RankQuery struct {
+// QueryRanking asks for the ranking, why a job waits, or the last rankings.
+type QueryRanking struct {
 	Reply   uint64
 	Job     string
 	History bool
 }
 
-func (RankSet) command()   {}
-func (RankQuery) command() {}
+func (SetRanking) command()   {}
+func (QueryRanking) command() {}
 
-// RankReply answers both. Status is an HTTP status; with another than 200 Message says
+// RankingReply answers both. Status is an HTTP status; with another than 200 Message says
 // what is wrong.
-type RankReply struct {
-	Reply   uint64    `json:"-"`
-	Status  int       `json:"-"`
-	Message string    `json:"-"`
-	Host    string    `json:"host"`
-	Rev     uint64    `json:"rev"`
-	By      string    `json:"by"`
-	At      time.Time `json:"at"`
-	Derived bool      `json:"derived"`
-	// Bad says why a newer record does not count, and AsOfS how many seconds ago this
+type RankingReply struct {
+	Reply    uint64    `json:"-"`
+	Status   int       `json:"-"`
+	Message  string    `json:"-"`
+	Host     string    `json:"host"`
+	Revision uint64    `json:"rev"`
+	SetBy    string    `json:"by"`
+	SetAt    time.Time `json:"at"`
+	Derived  bool      `json:"derived"`
+	// InvalidReason says why a newer record does not count, and AsOfSeconds how many seconds ago this
 	// was known to be the newest, -1 for never.
-	Bad     string       `json:"bad,omitempty"`
-	AsOfS   float64      `json:"as_of_s"`
-	Classes []RankClass  `json:"classes,omitempty"`
-	Why     string       `json:"why,omitempty"`
-	History []RankRecord `json:"history,omitempty"`
+	InvalidReason string          `json:"bad,omitempty"`
+	AsOfSeconds   float64         `json:"as_of_s"`
+	Classes       []RankingClass  `json:"classes,omitempty"`
+	Explanation   string          `json:"why,omitempty"`
+	History       []RankingRecord `json:"history,omitempty"`
 }
 
-// RankRecord is one of the last rankings.
-type RankRecord struct {
-	Rev     uint64     `json:"rev"`
-	By      string     `json:"by"`
-	At      time.Time  `json:"at"`
-	Derived bool       `json:"derived"`
-	Classes []RankText `json:"classes"`
+// RankingRecord is one of the last rankings.
+type RankingRecord struct {
+	Revision uint64             `json:"rev"`
+	SetBy    string             `json:"by"`
+	SetAt    time.Time          `json:"at"`
+	Derived  bool               `json:"derived"`
+	Classes  []RankingClassSpec `json:"classes"`
 }
 
-// RankText is a class as it was set, in seconds.
-type RankText struct {
-	Name      string   `json:"name"`
-	Workloads []string `json:"workloads,omitempty"`
-	Urgency   string   `json:"urgency,omitempty"`
-	BoundS    float64  `json:"bound_s,omitempty"`
-	Part      float64  `json:"part,omitempty"`
+// RankingClassSpec is a class as it was set, in seconds.
+type RankingClassSpec struct {
+	Name             string   `json:"name"`
+	Workloads        []string `json:"workloads,omitempty"`
+	Urgency          string   `json:"urgency,omitempty"`
+	WaitBoundSeconds float64  `json:"bound_s,omitempty"`
+	ReservedFraction float64  `json:"part,omitempty"`
 }
 
-func rankText(c ranking.Class) RankText {
-	return RankText{c.Name, c.Workloads, c.Urgency, c.Bound.Seconds(), c.Part}
+func rankingClassSpec(c ranking.Class) RankingClassSpec {
+	return RankingClassSpec{c.Name, c.Workloads, c.Urgency, c.Bound.Seconds(), c.Part}
 }
 
-// RankClass is a class with what of it is here. Those without Set are the urgencies that
+// RankingClass is a class with what of it is here. Those without Set are the urgencies that
 // stand behind the named.
-type RankClass struct {
-	RankText
-	Place   int  `json:"place"`
-	Set     bool `json:"set"`
-	Jobs    int  `json:"jobs"`
-	Waiting int  `json:"waiting"`
-	Live    int  `json:"live"`
+type RankingClass struct {
+	RankingClassSpec
+	Rank         int  `json:"place"`
+	Configured   bool `json:"set"`
+	Jobs         int  `json:"jobs"`
+	WaitingTasks int  `json:"waiting"`
+	LiveTasks    int  `json:"live"`
 }
 
-func (RankReply) effect() {}
+func (RankingReply) effect() {}
 
-// rankSet writes a ranking in the place of the one that it was read over.
-func rankSet(n *Node, c RankSet) {
-	r := &n.sess.ranks
+// setRanking writes a ranking in the place of the one that it was read over.
+func setRanking(n *Controller, cmd SetRanking) {
+	state := &n.membership.ranking
 	refuse := func(status int, format string, args ...any) {
-		n.emit(RankReply{Reply: c.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
+		n.emit(RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
 	}
 	switch {
-	case !n.set.Product.Ranking:
+	case !n.settings.Capabilities.Ranking:
 		refuse(404, "it is not switched on")
 		return
-	case !rankFits(n, c.Record):
-		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankValue*float64(n.set.ValueBytes))
+	case !rankingFits(n, cmd.Record):
+		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankingValueFraction*float64(n.settings.MaxValueBytes))
 		return
-	case n.stateDown(n.now) || !n.sess.loaded:
+	case n.storeDown(n.now) || !n.membership.loaded:
 		refuse(503, "nothing is set: the state service does not answer")
 		return
 	}
-	asked, over := false, false
-	n.after(c.Until.Sub(n.now), func() {
-		if over = true; !asked {
+	readDone, timedOut := false, false
+	n.after(cmd.Deadline.Sub(n.now), func() {
+		if timedOut = true; !readDone {
 			refuse(503, "nothing is set: the state service does not answer")
 		}
 	})
-	n.ctlSure(func() {
-		if over {
+	n.confirmControlRecords(func() {
+		if timedOut {
 			return
 		}
-		asked = true
+		readDone = true
 		switch {
-		case !c.AnyRev && c.Rev != r.rev:
-			refuse(409, "nothing is set: revision %d stands there, not %d; look at it and give --rev %d", r.rev, c.Rev, r.rev)
+		case !cmd.AnyRevision && cmd.Revision != state.highestRevision:
+			refuse(409, "nothing is set: revision %d stands there, not %d; look at it and give --rev %d", state.highestRevision, cmd.Revision, state.highestRevision)
 			return
 		}
-		rec := c.Record
-		rec.Rev, rec.At = r.rev+1, n.now
-		n.ask(StateOp{Kind: OpTxn, Prio: PrioUser, When: []Cond{{rankingKey, r.stamp}}, Apply: rankPuts(rec)}, func(d StateDone) {
-			switch d.Status {
-			case StateOK:
-				n.emit(RankReply{Reply: c.Reply, Status: 200, Host: n.set.Host, Rev: rec.Rev, By: rec.By, At: rec.At})
-			case StateConflict:
+		rec := cmd.Record
+		rec.Rev, rec.At = state.highestRevision+1, n.now
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{rankingKey, state.modRevision}}, Writes: rankingWrites(rec)}, func(resp StoreResponse) {
+			switch resp.Status {
+			case StoreOK:
+				n.emit(RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Rev, SetBy: rec.By, SetAt: rec.At})
+			case StoreConflict:
 				refuse(409, "nothing is set: somebody else set a ranking meanwhile; look at it and try again")
-			case StateUnknown:
+			case StoreUnknown:
 				refuse(503, "no answer: revision %d may be set or not, or soon; look before trying again", rec.Rev)
 			default:
 				refuse(503, "nothing is set: the state service refuses it for now")
@@ -496,140 +502,140 @@
 	})
 }
 
-// rankQuery shows the ranking as it is known here.
-func rankQuery(n *Node, c RankQuery) {
-	r := &n.sess.ranks
-	if !n.set.Product.Ranking {
-		n.emit(RankReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
+// queryRanking shows the ranking as it is known here.
+func queryRanking(n *Controller, c QueryRanking) {
+	r := &n.membership.ranking
+	if !n.settings.Capabilities.Ranking {
+		n.emit(RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
 		return
 	}
 	if c.History {
-		rankHistory(n, n.now.Add(userPatience), func(recs []ranking.Record) {
-			if len(recs) == 0 && r.stamp != 0 {
-				n.emit(RankReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
+		readRankingHistory(n, n.now.Add(userRequestTimeout), func(recs []ranking.Record) {
+			if len(recs) == 0 && r.modRevision != 0 {
+				n.emit(RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
 				return
 			}
-			out := RankReply{Reply: c.Reply, Status: 200, Host: n.set.Host, Rev: r.rec.Rev}
+			reply := RankingReply{Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Rev}
 			for _, x := range recs {
-				h := RankRecord{Rev: x.Rev, By: x.By, At: x.At, Derived: x.Derived}
+				h := RankingRecord{Revision: x.Rev, SetBy: x.By, SetAt: x.At, Derived: x.Derived}
 				for _, c := range x.Classes {
-					h.Classes = append(h.Classes, rankText(c))
+					h.Classes = append(h.Classes, rankingClassSpec(c))
 				}
-				out.History = append(out.History, h)
+				reply.History = append(reply.History, h)
 			}
-			n.emit(out)
+			n.emit(reply)
 		})
 		return
 	}
-	out := RankReply{
-		Reply: c.Reply, Status: 200, Host: n.set.Host, Rev: r.rec.Rev, By: r.rec.By, At: r.rec.At, Derived: r.rec.Derived, Bad: r.bad,
-		AsOfS: max(0, n.now.Sub(r.asOf).Seconds()), Classes: rankClasses(n),
+	reply := RankingReply{
+		Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Rev, SetBy: r.lastValid.By, SetAt: r.lastValid.At, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
+		AsOfSeconds: max(0, n.now.Sub(r.asOf).Seconds()), Classes: rankingClasses(n),
 	}
 	if r.asOf.IsZero() {
-		out.AsOfS = -1
+		reply.AsOfSeconds = -1
 	}
 	if c.Job != "" {
-		out.Why = rankWhy(n, c.Job)
+		reply.Explanation = explainRank(n, c.Job)
 	}
-	n.emit(out)
+	n.emit(reply)
 }
 
-// rankClasses are all places with what of them this owner has.
-func rankClasses(n *Node) []RankClass {
-	r := &n.sess.ranks
-	out := make([]RankClass, r.table.Places())
+// rankingClasses are all places with what of them this owner has.
+func rankingClasses(n *Controller) []RankingClass {
+	r := &n.membership.ranking
+	out := make([]RankingClass, r.table.Places())
 	for i := range out {
-		out[i].Place = i + 1
-		if i < len(r.rec.Classes) && r.table != nil {
-			out[i].Set, out[i].RankText = true, rankText(r.rec.Classes[i])
+		out[i].Rank = i + 1
+		if i < len(r.lastValid.Classes) && r.table != nil {
+			out[i].Configured, out[i].RankingClassSpec = true, rankingClassSpec(r.lastValid.Classes[i])
 		} else {
 			out[i].Urgency = ranking.Urgencies[len(out)-1-i]
 			out[i].Name = "(" + out[i].Urgency + ")"
 		}
 	}
-	if n.owner == nil {
+	if n.shardLeader == nil {
 		return out
 	}
-	for _, j := range n.owner.jobs {
+	for _, j := range n.shardLeader.jobs {
 		x := &out[rankOf(n, j)]
 		x.Jobs++
-		x.Waiting += j.pending()
-		x.Live += j.live
+		x.WaitingTasks += j.pendingTasks()
+		x.LiveTasks += j.liveTasks
 	}
 	return out
 }
 
-// rankWhy says in a line what stands before a job and what would let it go.
-func rankWhy(n *Node, id string) string {
-	s, ok := n.users.final[id]
+// explainRank says in a line what stands before a job and what would let it go.
+func explainRank(n *Controller, id string) string {
+	s, ok := n.frontend.finalStatuses[id]
 	if ok {
 		return fmt.Sprintf("%s is %s", id, s)
 	}
-	l, open := n.users.mirror.open[id]
+	l, open := n.frontend.watchCache.openJobs[id]
 	if !open {
-		return fmt.Sprintf("%s is not open, as far as %s has read", id, n.set.Host)
+		return fmt.Sprintf("%s is not open, as far as %s has read", id, n.settings.Host)
 	}
 	var j *job
-	if n.owner != nil {
-		j = n.owner.jobs[id]
+	if n.shardLeader != nil {
+		j = n.shardLeader.jobs[id]
 	}
 	if j == nil {
-		if x := n.sess.book.Team(l.rec.Team); x != nil && x.Host != n.set.Host {
+		if x := n.membership.shardMap.Team(l.rec.Team); x != nil && x.Host != n.settings.Host {
 			return fmt.Sprintf("%s is run by %s, which has its team %s: ask there", id, x.Host, l.rec.Team)
 		}
 		return fmt.Sprintf("%s waits until its team %s has an owner that has read it", id, l.rec.Team)
 	}
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
-	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.sess.ranks.table.Name(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.sess.ranks.table.Places(), j.pending(), len(j.tasks))
-	if j.pending() > 0 {
-		rankBefore(n, j, add)
+	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.membership.ranking.table.Name(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.membership.ranking.table.Places(), j.pendingTasks(), len(j.tasks))
+	if j.pendingTasks() > 0 {
+		explainJobsAhead(n, j, add)
 	}
-	for _, why := range rankBlocks(n, j) {
+	for _, why := range explainBlockers(n, j) {
 		add("%s", why)
 	}
 	return strings.Join(parts, "; ")
 }
 
-// rankBefore tells of the jobs that wait in front of j.
-func rankBefore(n *Node, j *job, add func(string, ...any)) {
+// explainJobsAhead tells of the jobs that wait in front of j.
+func explainJobsAhead(n *Controller, j *job, add func(string, ...any)) {
 	type front struct{ jobs, tasks int }
-	fronts := map[int]front{}
+	ahead := map[int]front{}
 	names := map[int]string{}
-	own, found := 0, false
-	for _, x := range n.order() {
+	aheadInClass, found := 0, false
+	for _, x := range n.jobsInQueueOrder() {
 		if found = x == j; found {
 			break
 		}
 		p := rankOf(n, x)
 		if p == rankOf(n, j) {
-			own++
+			aheadInClass++
 		}
-		f := fronts[p]
-		fronts[p] = front{f.jobs + 1, f.tasks + x.pending()}
-		names[p] = n.sess.ranks.table.Name(x.Workload, int(x.Urgency))
+		f := ahead[p]
+		ahead[p] = front{f.jobs + 1, f.tasks + x.pendingTasks()}
+		names[p] = n.membership.ranking.table.Name(x.Workload, int(x.Urgency))
 	}
 	if !found {
 		return
 	}
-	add("number %d of its class", own+1)
-	for _, p := range sortedKeys(fronts) {
-		add("before it %s with %d jobs, %d tasks", names[p], fronts[p].jobs, fronts[p].tasks)
+	add("number %d of its class", aheadInClass+1)
+	for _, p := range sortedKeys(ahead) {
+		add("before it %s with %d jobs, %d tasks", names[p], ahead[p].jobs, ahead[p].tasks)
 	}
 }
 
-// rankBlocks names what keeps a job's tasks from starting, other than their turn.
-func rankBlocks(n *Node, j *job) []string {
-	o := n.owner
+// explainBlockers names what keeps a job's tasks from starting, other than their turn.
+func explainBlockers(n *Controller, j *job) []string {
+	o := n.shardLeader
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	fetching, unsent := 0, 0
-	for i := range j.tasks[:j.fresh] {
+	for i := range j.tasks[:j.nextFresh] {
 		switch t := &j.tasks[i]; {
-		case t.m == nil || t.stop != stopNone:
-		case !t.sent:
+		case t.machine == nil || t.stopReason != stopNone:
+		case !t.startSent:
 			unsent++
-		case !t.seen || t.status == Fetching:
+		case !t.reported || t.status == Fetching:
 			fetching++
 		}
 	}
@@ -643,62 +649,62 @@
 	case j.cancelled:
 		add("it is cancelled")
 	case j.elsewhere():
-		add("it is lent to %s", j.lent)
-	case j.waits:
-		add("it waits for %s", n.waitsFor(j.ID))
-	case j.pending() == 0:
+		add("it is lent to %s", j.lentTo)
+	case j.dependenciesPending:
+		add("it waits for %s", n.describeDependencies(j.ID))
+	case j.pendingTasks() == 0:
 	case !j.mayStart(n.now):
 		add("its home has not lately said that it may start here")
-	case o.blame.Broken(j.ID):
+	case o.faultAttribution.Broken(j.ID):
 		add("it fails on every machine and is tried one task at a time")
-	case !n.withinLimit(j):
+	case !n.withinQuotaLimit(j):
 		add("its team %s is at its limit: it goes on when tasks of the team end", j.Team)
 	default:
-		out = append(out, rankRoom(n, j)...)
+		out = append(out, explainCapacity(n, j)...)
 	}
 	return out
 }
 
-// rankRoom says on how many machines the next task of j would fit, and else what is
+// explainCapacity says on how many machines the next task of j would fit, and else what is
 // missing.
-func rankRoom(n *Node, j *job) []string {
-	suits, fits, zones := 0, 0, 0
-	for _, m := range n.owner.byID {
-		if !j.allows(m.flavour, m.zone, m.spot) || !j.Need.Fits(m.size) || !n.usable(m) {
+func explainCapacity(n *Controller, j *job) []string {
+	suitable, fitting, wrongZone := 0, 0, 0
+	for _, m := range n.shardLeader.machinesByID {
+		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) || !n.usable(m) {
 			continue
 		}
-		suits++
+		suitable++
 		switch {
 		case !j.Need.Fits(m.free()):
-		case !j.zoneOK(m.zone):
-			zones++
+		case !j.zoneAllowed(m.zone):
+			wrongZone++
 		default:
-			fits++
+			fitting++
 		}
 	}
-	refused := 0
-	if v := n.owner.view; v != nil {
-		for k, until := range v.blocked {
-			if f, ok := n.types[k.flavour]; ok && until.After(n.now) && j.allows(k.flavour, k.zone, k.spot) && j.Need.Fits(f.Size) {
-				refused++
+	refusedKinds := 0
+	if v := n.shardLeader.fleetView; v != nil {
+		for k, until := range v.blockedUntil {
+			if f, ok := n.machineTypes[k.machineType]; ok && until.After(n.now) && j.allowsMachine(k.machineType, k.zone, k.spot) && j.Need.Fits(f.Capacity) {
+				refusedKinds++
 			}
 		}
 	}
 	var out []string
 	switch {
-	case fits > 0 && j.Gang:
-		out = append(out, fmt.Sprintf("%d machines have room for one of its tasks: it starts when all fit at once", fits))
-	case fits > 0:
-		out = append(out, fmt.Sprintf("%d machines have room: it goes with the next round, or others depend on them more", fits))
-	case zones > 0:
-		out = append(out, fmt.Sprintf("%d machines have room, in places that its same_place or apart rules out", zones))
-	case suits > 0:
-		out = append(out, fmt.Sprintf("%d machines suit it and are full: it goes when tasks there end, or one more is rented", suits))
+	case fitting > 0 && j.Gang:
+		out = append(out, fmt.Sprintf("%d machines have room for one of its tasks: it starts when all fit at once", fitting))
+	case fitting > 0:
+		out = append(out, fmt.Sprintf("%d machines have room: it goes with the next round, or others depend on them more", fitting))
+	case wrongZone > 0:
+		out = append(out, fmt.Sprintf("%d machines have room, in places that its same_place or apart rules out", wrongZone))
+	case suitable > 0:
+		out = append(out, fmt.Sprintf("%d machines suit it and are full: it goes when tasks there end, or one more is rented", suitable))
 	default:
 		out = append(out, "no machine that is up suits it: it goes when one is rented")
 	}
-	if refused > 0 {
-		out = append(out, fmt.Sprintf("the cloud has lately refused %d kinds that would do", refused))
+	if refusedKinds > 0 {
+		out = append(out, fmt.Sprintf("the cloud has lately refused %d kinds that would do", refusedKinds))
 	}
 	return out
 }
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -11,24 +11,24 @@
 	"pgregory.net/rapid"
 )
 
-// rankedPool is an owner that follows a ranking, known as of now.
-func rankedPool(machines int, text string) *Node {
+// newRankedNode is an owner that follows a ranking, known as of now.
+func newRankedNode(machines int, text string) *Controller {
 	n := largePool(machines)
-	n.set.Product.Ranking = true
-	n.set.Objectives = nil
-	n.users.mirror.loaded, n.users.mirror.open = true, map[string]living{}
+	n.settings.Capabilities.Ranking = true
+	n.settings.Objectives = nil
+	n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
 	n.setRanking(text, 7)
 	return n
 }
 
 // setRanking has a ranking come with a read that began now.
-func (n *Node) setRanking(text string, stamp uint64) {
+func (n *Controller) setRanking(text string, stamp uint64) {
 	rec, err := ranking.Parse([]byte(text))
 	if err != nil {
 		panic(err)
 	}
 	rec.Rev = stamp
-	n.ctlNews(StateDone{Status: StateOK, Sent: n.now, Rev: stamp, Items: []Item{{Key: rankingKey, Value: rec.Encode(), Stamp: stamp}}})
+	n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []KeyValue{{Key: rankingKey, Value: rec.Encode(), ModRevision: stamp}}})
 }
 
 const (
@@ -36,41 +36,41 @@
 	barFirst = "[[class]]\nname=\"bar\"\nworkloads=[\"bar*\"]\n[[class]]\nname=\"foo\"\nworkloads=[\"foo*\"]\n"
 )
 
-// waits adds a job that waits.
-func (n *Node) waits(id, workload string, tasks int, cpu float64) *job {
-	j := newJob(Spec{ID: id, Workload: workload, Team: "ops", Urgency: Normal, Tasks: tasks, Spot: true, Need: Resources{CPU: cpu, Memory: cpu}, Expected: time.Minute}, n.now, 1, 4096)
-	n.owner.jobs[id] = j
+// addWaitingJob adds a job that waits.
+func (n *Controller) addWaitingJob(id, workload string, tasks int, cpu float64) *job {
+	j := newJob(JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: Normal, Tasks: tasks, AllowSpot: true, Need: Resources{CPU: cpu, Memory: cpu}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
+	n.shardLeader.jobs[id] = j
 	return j
 }
 
-func names(op *StateOp, key string) (uint64, bool) {
-	i := slices.IndexFunc(op.When, func(c Cond) bool { return c.Key == key })
+func comparedRevision(op *StoreRequest, key string) (uint64, bool) {
+	i := slices.IndexFunc(op.Compares, func(c Compare) bool { return c.Key == key })
 	if i < 0 {
 		return 0, false
 	}
-	return op.When[i].Stamp, true
+	return op.Compares[i].ModRevision, true
 }
 
 // TestStartsNameTheRanking: the record of a start fails when another ranking has come, and
 // what it was to begin is decided anew when that has been read, not before.
 func TestStartsNameTheRanking(t *testing.T) {
-	n := rankedPool(1, barFirst)
-	foo, bar := n.waits("job-1", "foo", 1, 20), n.waits("job-2", "bar", 1, 20)
-	n.out = nil
+	n := newRankedNode(1, barFirst)
+	foo, bar := n.addWaitingJob("job-1", "foo", 1, 20), n.addWaitingJob("job-2", "bar", 1, 20)
+	n.effects = nil
 	n.placeAll()
-	n.writeChunks()
-	ops := ops(n)
-	if foo.live != 0 || bar.live != 1 || len(ops) != 1 {
-		t.Fatalf("foo has %d, bar %d places, %d writes", foo.live, bar.live, len(ops))
+	n.writeSegments()
+	ops := sentStoreRequests(n)
+	if foo.liveTasks != 0 || bar.liveTasks != 1 || len(ops) != 1 {
+		t.Fatalf("foo has %d, bar %d places, %d writes", foo.liveTasks, bar.liveTasks, len(ops))
 	}
-	if stamp, ok := names(&ops[0], rankingKey); !ok || stamp != 7 {
-		t.Fatalf("the start names %v", ops[0].When)
+	if stamp, ok := comparedRevision(&ops[0], rankingKey); !ok || stamp != 7 {
+		t.Fatalf("the start names %v", ops[0].Compares)
 	}
-	n.out = nil
-	n.command(StateDone{ID: ops[0].ID, Status: StateConflict, Failed: []string{rankingKey}})
+	n.effects = nil
+	n.handleCommand(StoreResponse{ID: ops[0].ID, Status: StoreConflict, FailedKeys: []string{rankingKey}})
 	n.placeAll()
-	n.writeChunks()
-	for _, op := range emitted[StateOp](n) {
+	n.writeSegments()
+	for _, op := range emittedEffects[StoreRequest](n) {
 		if op.Kind == OpTxn {
 			t.Fatal("a start is written though the ranking is not known")
 		}
@@ -78,36 +78,36 @@
 	// Also one that another write of the same transaction made fail; meanwhile time goes on.
 	n.now = n.now.Add(100 * time.Millisecond)
 	n.setRanking(fooFirst, 9)
-	n.out = nil
+	n.effects = nil
 	n.placeAll()
-	n.writeChunks()
+	n.writeSegments()
 	some := false
-	for _, op := range emitted[StateOp](n) {
+	for _, op := range emittedEffects[StoreRequest](n) {
 		if op.Kind == OpTxn {
-			stamp, _ := names(&op, rankingKey)
+			stamp, _ := comparedRevision(&op, rankingKey)
 			some = some || stamp == 9
 		}
 	}
-	if foo.live != 1 || bar.live != 0 || !some {
-		t.Errorf("under the new ranking foo has %d, bar %d places, written %v", foo.live, bar.live, some)
+	if foo.liveTasks != 1 || bar.liveTasks != 0 || !some {
+		t.Errorf("under the new ranking foo has %d, bar %d places, written %v", foo.liveTasks, bar.liveTasks, some)
 	}
 }
 
-// rankedStart is a node with a durable start that was not sent yet.
-func rankedStart() (*Node, *machine, *job) {
-	n := rankedPool(1, fooFirst)
-	m := n.owner.byID[0]
-	j := n.waits("job-1", "foo", 1, 1)
+// nodeWithUnsentStart is a node with a durable start that was not sent yet.
+func nodeWithUnsentStart() (*Controller, *machine, *job) {
+	n := newRankedNode(1, fooFirst)
+	m := n.shardLeader.machinesByID[0]
+	j := n.addWaitingJob("job-1", "foo", 1, 1)
 	n.placeAll()
-	j.chunkOf(0).saved = j.chunkOf(0).ver
-	n.out = nil
+	j.segmentOf(0).persistedVersion = j.segmentOf(0).version
+	n.effects = nil
 	return n, m, j
 }
 
-func starts(os []Order) int {
+func countStarts(os []TaskCommand) int {
 	k := 0
 	for _, o := range os {
-		k += int(b2f(o.Verb == Start))
+		k += int(boolToFloat(o.Kind == StartTask))
 	}
 	return k
 }
@@ -115,47 +115,47 @@
 // TestUnsentStartsAreJudgedAtDeparture: a start that is durable leaves while the ranking is
 // known as of two seconds ago, else after it was read, and none that is held in a queue.
 func TestUnsentStartsAreJudgedAtDeparture(t *testing.T) {
-	n, m, j := rankedStart()
+	n, m, j := nodeWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
-	n.direct(m)
-	if len(n.calls) != 0 || j.tasks[0].sent {
+	n.dispatch(m)
+	if len(n.workerCallbacks) != 0 || j.tasks[0].startSent {
 		t.Fatal("a start leaves three seconds after the ranking was known")
 	}
-	op := ops(n)[0]
-	if op.Kind != OpFollow || op.Key != ctlPrefix || op.Hold != 0 {
+	op := sentStoreRequests(n)[0]
+	if op.Kind != OpWatch || op.Key != controlPrefix || op.WatchTimeout != 0 {
 		t.Fatalf("it waits for %+v", op)
 	}
-	n.command(StateDone{ID: op.ID, Status: StateOK, Sent: n.now, Rev: 8})
-	n.out = nil
-	n.directAll()
-	if len(n.calls) != 1 {
+	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreOK, SentAt: n.now, Revision: 8})
+	n.effects = nil
+	n.dispatchAll()
+	if len(n.workerCallbacks) != 1 {
 		t.Fatal("the start does not leave though the ranking is known")
 	}
-	w := n.out[0].(WorkerOp)
-	if _, _, late := Late(w, n.now.Add(rankFresh+time.Millisecond)); !late {
+	w := n.effects[0].(WorkerRequest)
+	if _, _, late := CheckDeadline(w, n.now.Add(maxRankingStaleness+time.Millisecond)); !late {
 		t.Error("it may leave later than the ranking is known")
 	}
 	// In the answer to a report it is left out, and the lease goes on.
-	n, m, _ = rankedStart()
+	n, m, _ = nodeWithUnsentStart()
 	n.now = n.now.Add(time.Second)
-	r := n.poolReport(0)
-	r.Tick, r.Epoch = 5, m.epoch
-	n.workerReport(WorkerReport{Reply: 1, Report: *r})
-	a := n.out[len(n.out)-1].(ReportReply)
-	if starts(a.Orders) != 1 {
+	r := n.poolHeartbeat(0)
+	r.Sequence, r.Epoch = 5, m.epoch
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	a := n.effects[len(n.effects)-1].(HeartbeatReply)
+	if countStarts(a.Commands) != 1 {
 		t.Fatalf("answered %+v", a)
 	}
-	_, instead, late := Late(a, n.now.Add(rankFresh))
-	if b, ok := instead.(ReportReply); !late || !ok || b.Status != 200 || starts(b.Orders) != 0 {
+	_, instead, late := CheckDeadline(a, n.now.Add(maxRankingStaleness))
+	if b, ok := instead.(HeartbeatReply); !late || !ok || b.Status != 200 || countStarts(b.Commands) != 0 {
 		t.Errorf("late it becomes %+v", instead)
 	}
 	// It never arrived; when the machine says so, it counts as one that never left.
 	n.setRanking(barFirst, 9)
-	r.Tick = 6
-	n.out = nil
-	n.workerReport(WorkerReport{Reply: 2, Report: *r})
-	for _, a := range emitted[ReportReply](n) {
-		if starts(a.Orders) != 0 {
+	r.Sequence = 6
+	n.effects = nil
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 2, Heartbeat: *r})
+	for _, a := range emittedEffects[HeartbeatReply](n) {
+		if countStarts(a.Commands) != 0 {
 			t.Error("a start that is proven nowhere leaves under the old ranking")
 		}
 	}
@@ -164,50 +164,50 @@
 // TestHeldOfAFormerTime: a start that waited for the ranking when the owner lost its share is
 // no business of the time after: its job may not even be in the books then.
 func TestHeldOfAFormerTime(t *testing.T) {
-	n, m, j := rankedStart()
+	n, m, j := nodeWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
-	n.direct(m)
-	op := ops(n)[0]
-	again := n.machine("vm-again")
-	delete(n.owner.machines, m.id)
-	n.owner.byID = []*machine{again}
-	delete(n.owner.jobs, j.ID)
-	n.command(StateDone{ID: op.ID, Status: StateOK, Sent: n.now, Rev: 8})
-	n.directAll()
-	if len(n.calls) != 0 {
+	n.dispatch(m)
+	op := sentStoreRequests(n)[0]
+	again := n.ensureMachine("vm-again")
+	delete(n.shardLeader.machines, m.id)
+	n.shardLeader.machinesByID = []*machine{again}
+	delete(n.shardLeader.jobs, j.ID)
+	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreOK, SentAt: n.now, Revision: 8})
+	n.dispatchAll()
+	if len(n.workerCallbacks) != 0 {
 		t.Error("something is ordered for a machine of a former time")
 	}
 }
 
-// TestHeirDecidesAnew: a successor orders what its ranking decided, and places anew what is
+// TestSuccessorReplansStarts: a successor orders what its ranking decided, and places anew what is
 // proven nowhere and was decided under another one. What had no answer is repeated, and
 // what perhaps never left waits for the proof.
-func TestHeirDecidesAnew(t *testing.T) {
+func TestSuccessorReplansStarts(t *testing.T) {
 	for _, c := range []struct {
 		rank        uint64
 		quiet, left bool
 		want        int
 		anew        bool
 	}{{7, true, false, 1, false}, {6, true, false, 0, true}, {6, false, false, 0, false}, {6, false, true, 1, false}, {6, true, true, 0, true}, {7, false, false, 1, false}} {
-		n := rankedPool(1, fooFirst)
-		m := n.owner.byID[0]
-		j := n.waits("job-1", "foo", 1, 1)
-		rec := chunkRecord{Rank: c.rank, Rows: []taskRow{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
-		n.restore(j, Item{Key: taskPrefix + "job-1/0", Stamp: 2}, &rec)
+		n := newRankedNode(1, fooFirst)
+		m := n.shardLeader.machinesByID[0]
+		j := n.addWaitingJob("job-1", "foo", 1, 1)
+		rec := taskSegmentRecord{RankingRevision: c.rank, Rows: []taskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
+		n.recoverSegment(j, KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
 		if !c.quiet {
-			m.unacked = m.epoch
+			m.unackedStartEpoch = m.epoch
 		}
-		j.tasks[0].left = c.left
-		if got := starts(n.reconcile(m)); got != c.want {
+		j.tasks[0].startUnanswered = c.left
+		if got := countStarts(n.reconcile(m)); got != c.want {
 			t.Errorf("%+v: %d starts", c, got)
 		}
-		if anew := len(j.again) == 1; anew != c.anew {
+		if anew := len(j.requeued) == 1; anew != c.anew {
 			t.Errorf("%+v: placed anew %v", c, anew)
 		}
-		if proof := m.stuck(&n.owner.registry); proof != (c.want == 0 && !c.anew) {
+		if proof := m.waitsForStartProof(&n.shardLeader.registry); proof != (c.want == 0 && !c.anew) {
 			t.Errorf("%+v: a higher epoch is asked for: %v", c, proof)
 		}
-		if got := j.record(j.chunkOf(0)).Rank; got != c.rank {
+		if got := j.segmentRecord(j.segmentOf(0)).RankingRevision; got != c.rank {
 			t.Errorf("the record says %d, read as %d", got, c.rank)
 		}
 	}
@@ -216,70 +216,70 @@
 // TestWritersOfTheRanking: whoever sets one names the record that he saw, a leader that
 // derives one its lead and that there is none.
 func TestWritersOfTheRanking(t *testing.T) {
-	n := rankedPool(1, fooFirst)
-	set := func(rev uint64) (*StateOp, *RankReply) {
-		n.out = nil
+	n := newRankedNode(1, fooFirst)
+	set := func(rev uint64) (*StoreRequest, *RankingReply) {
+		n.effects = nil
 		rec, _ := ranking.Parse([]byte(barFirst))
-		n.command(RankSet{Reply: 1, Record: rec, Rev: rev, Until: n.now.Add(time.Second)})
-		n.command(StateDone{ID: ops(n)[0].ID, Status: StateOK, Sent: n.now, Rev: 8})
-		for _, r := range emitted[RankReply](n) {
+		n.handleCommand(SetRanking{Reply: 1, Record: rec, Revision: rev, Deadline: n.now.Add(time.Second)})
+		n.handleCommand(StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: StoreOK, SentAt: n.now, Revision: 8})
+		for _, r := range emittedEffects[RankingReply](n) {
 			return nil, &r
 		}
-		all := ops(n)
+		all := sentStoreRequests(n)
 		return &all[len(all)-1], nil
 	}
 	if _, r := set(6); r == nil || r.Status != 409 {
 		t.Fatalf("over another revision: %+v", r)
 	}
 	op, _ := set(7)
-	if stamp, ok := names(op, rankingKey); !ok || stamp != 7 || len(op.Apply) != 2 || op.Apply[1].Key != "ranking/8" {
+	if stamp, ok := comparedRevision(op, rankingKey); !ok || stamp != 7 || len(op.Writes) != 2 || op.Writes[1].Key != "ranking/8" {
 		t.Fatalf("set with %+v", op)
 	}
-	n.command(StateDone{ID: op.ID, Status: StateConflict, Failed: []string{rankingKey}})
-	if r := n.out[len(n.out)-1].(RankReply); r.Status != 409 {
+	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreConflict, FailedKeys: []string{rankingKey}})
+	if r := n.effects[len(n.effects)-1].(RankingReply); r.Status != 409 {
 		t.Errorf("the second of two is told %+v", r)
 	}
-	rankItem(n, Item{Key: rankingKey, Removed: true})
-	n.leader = &leader{stamp: 5}
-	n.out = nil
-	rankDerive(n)
-	rankDerive(n)
-	all := ops(n)
-	lead, a := names(&all[0], leadKey)
-	none, b := names(&all[0], rankingKey)
+	applyRankingRecord(n, KeyValue{Key: rankingKey, Deleted: true})
+	n.leader = &leader{modRevision: 5}
+	n.effects = nil
+	deriveRanking(n)
+	deriveRanking(n)
+	all := sentStoreRequests(n)
+	lead, a := comparedRevision(&all[0], leaderKey)
+	none, b := comparedRevision(&all[0], rankingKey)
 	if !a || !b || lead != 5 || none != 0 || len(all) != 1 {
-		t.Errorf("%d derived with %+v", len(all), all[0].When)
+		t.Errorf("%d derived with %+v", len(all), all[0].Compares)
 	}
 }
 
 // TestDamagedRanking: the last good one goes on to count, it is told, and writes name the
 // record that stands; without one of its own a controller looks into the history.
 func TestDamagedRanking(t *testing.T) {
-	n := rankedPool(1, barFirst)
-	foo, bar := n.waits("job-1", "foo", 1, 1), n.waits("job-2", "bar", 1, 1)
-	good := n.sess.ranks.rec.Encode()
+	n := newRankedNode(1, barFirst)
+	foo, bar := n.addWaitingJob("job-1", "foo", 1, 1), n.addWaitingJob("job-2", "bar", 1, 1)
+	good := n.membership.ranking.lastValid.Encode()
 	later := encode(map[string]any{"v": 9, "rev": 30})
 	for i, b := range [][]byte{{0x81}, later, encode(map[string]any{"v": 1, "rev": 3, "c": []any{}}), nil} {
 		n.now = n.now.Add(2 * time.Minute)
-		n.out = nil
-		n.ctlNews(StateDone{Status: StateOK, Sent: n.now, Rev: uint64(20 + i), Items: []Item{{Key: rankingKey, Value: b, Stamp: uint64(20 + i)}}})
-		if rankOf(n, bar) >= rankOf(n, foo) || n.sess.ranks.stamp != uint64(20+i) || n.sess.ranks.bad == "" || len(n.out) == 0 {
-			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.sess.ranks.stamp, len(n.out))
+		n.effects = nil
+		n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []KeyValue{{Key: rankingKey, Value: b, ModRevision: uint64(20 + i)}}})
+		if rankOf(n, bar) >= rankOf(n, foo) || n.membership.ranking.modRevision != uint64(20+i) || n.membership.ranking.invalidReason == "" || len(n.effects) == 0 {
+			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.membership.ranking.modRevision, len(n.effects))
 		}
 	}
-	if n.sess.ranks.rev != 30 {
+	if n.membership.ranking.highestRevision != 30 {
 		t.Error("the next revision would not be above that of a later form")
 	}
-	n.sess.ranks = ranks{}
-	n.out = nil
-	n.ctlNews(StateDone{Status: StateOK, Sent: n.now, Rev: 40, Items: []Item{{Key: rankingKey, Value: later, Stamp: 40}}})
-	all := ops(n)
-	if len(all) != 1 || all[0].Kind != OpList || all[0].Key != historyPrefix {
+	n.membership.ranking = rankingState{}
+	n.effects = nil
+	n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: 40, KeyValues: []KeyValue{{Key: rankingKey, Value: later, ModRevision: 40}}})
+	all := sentStoreRequests(n)
+	if len(all) != 1 || all[0].Kind != OpList || all[0].Key != rankingHistoryPrefix {
 		t.Fatalf("asked %+v", all)
 	}
-	n.command(StateDone{ID: all[0].ID, Status: StateOK, Items: []Item{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
-	if n.sess.ranks.rec.Rev != 7 || rankOf(n, bar) >= rankOf(n, foo) {
-		t.Errorf("revision %d counts", n.sess.ranks.rec.Rev)
+	n.handleCommand(StoreResponse{ID: all[0].ID, Status: StoreOK, KeyValues: []KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
+	if n.membership.ranking.lastValid.Rev != 7 || rankOf(n, bar) >= rankOf(n, foo) {
+		t.Errorf("revision %d counts", n.membership.ranking.lastValid.Rev)
 	}
 }
 
@@ -287,14 +287,14 @@
 // not of what stands before it.
 func TestRankedWorkIsNotStopped(t *testing.T) {
 	for _, text := range []string{fooFirst, barFirst} {
-		n := rankedPool(1, text)
-		m := n.owner.byID[0]
-		low := n.waits("job-1", "foo", 1, 32)
+		n := newRankedNode(1, text)
+		m := n.shardLeader.machinesByID[0]
+		low := n.addWaitingJob("job-1", "foo", 1, 32)
 		n.placeAll()
-		high := n.waits("job-2", "bar", 1, 32)
+		high := n.addWaitingJob("job-2", "bar", 1, 32)
 		high.Urgency = Urgent
-		ts, _, ok := n.victims(high, m, m.free())
-		if ok != (text == barFirst) || low.live != 1 {
+		ts, _, ok := n.preemptionVictimsOn(high, m, m.free())
+		if ok != (text == barFirst) || low.liveTasks != 1 {
 			t.Errorf("%d victims, %v", len(ts), ok)
 		}
 	}
@@ -305,74 +305,74 @@
 func TestNoLaterRankedFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SampledFrom([]string{fooFirst, barFirst, "[[class]]\nname=\"u\"\nurgency=\"urgent\"\n[[class]]\nname=\"b\"\nworkloads=[\"ba*\"]\n"}).Draw(t, "ranking")
-		n := rankedPool(0, text)
-		n.set.Teams = []Team{{Name: "ops", Limit: Resources{CPU: rapid.Float64Range(10, 200).Draw(t, "limit")}}}
+		n := newRankedNode(0, text)
+		n.settings.Teams = []Team{{Name: "ops", QuotaLimit: Resources{CPU: rapid.Float64Range(10, 200).Draw(t, "limit")}}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
-			r := n.poolReport(i * rapid.IntRange(1, 8).Draw(t, "kind"))
+			r := n.poolHeartbeat(i * rapid.IntRange(1, 8).Draw(t, "kind"))
 			r.Machine = fmt.Sprintf("vm-%02d", i)
-			n.hear(n.machine(r.Machine), r, true)
+			n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
 		}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
-			j := n.waits(fmt.Sprintf("job-%02d", i), rapid.SampledFrom([]string{"foo", "foo2", "bar", "baz", "x"}).Draw(t, "workload"),
+			j := n.addWaitingJob(fmt.Sprintf("job-%02d", i), rapid.SampledFrom([]string{"foo", "foo2", "bar", "baz", "x"}).Draw(t, "workload"),
 				rapid.IntRange(1, 6).Draw(t, "tasks"), rapid.SampledFrom([]float64{1, 2, 4, 6, 16}).Draw(t, "cpu"))
 			j.Urgency = Urgency(rapid.IntRange(0, 3).Draw(t, "urgency"))
-			j.Spot = rapid.Bool().Draw(t, "spot")
-			n.owner.workloads[j.Workload] = &workload{&j.Spec, n.now}
+			j.AllowSpot = rapid.Bool().Draw(t, "spot")
+			n.shardLeader.workloads[j.Workload] = &workload{&j.JobSpec, n.now}
 		}
 		n.placeAll()
-		for _, m := range n.owner.byID {
+		for _, m := range n.shardLeader.machinesByID {
 			for k := range m.attempts {
-				l := n.owner.jobs[k.job]
+				l := n.shardLeader.jobs[k.job]
 				m.used = m.used.Plus(l.Need, -1)
-				n.owner.used["ops"] = n.owner.used["ops"].Plus(l.Need, -1)
-				r := n.newRound()
-				for _, h := range n.owner.jobs {
-					if rankOf(n, h) >= rankOf(n, l) || n.triable(h) == 0 || !n.withinLimit(h) {
+				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].Plus(l.Need, -1)
+				r := n.newPlacementRound()
+				for _, h := range n.shardLeader.jobs {
+					if rankOf(n, h) >= rankOf(n, l) || n.placeableTasks(h) == 0 || !n.withinQuotaLimit(h) {
 						continue
 					}
-					for _, s := range r.open {
-						if s.m != m {
+					for _, s := range r.candidates {
+						if s.machine != m {
 							continue
 						}
-						if _, suits := n.lotFor(r, h).rate(n, h, s); suits {
+						if _, suits := n.candidateGroupFor(r, h).rate(n, h, s); suits {
 							t.Fatalf("%s of %s, place %d, is on %s; %s of %s, place %d, waits", l.ID, l.Workload, rankOf(n, l), m.id, h.ID, h.Workload, rankOf(n, h))
 						}
 					}
 				}
 				m.used = m.used.Plus(l.Need, 1)
-				n.owner.used["ops"] = n.owner.used["ops"].Plus(l.Need, 1)
+				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].Plus(l.Need, 1)
 			}
 		}
 	})
 }
 
-// TestOverloadRefusesTheLastFirst: what may wait for the state service is kept for those
+// TestOverloadRefusesLowestRankFirst: what may wait for the state service is kept for those
 // that stand in front.
-func TestOverloadRefusesTheLastFirst(t *testing.T) {
-	n := rankedPool(1, fooFirst)
-	n.users.waiting = maxWaiting * 3 / 4
-	first, last := Spec{Workload: "foo", Urgency: Normal}, Spec{Workload: "x", Urgency: BestEffort}
-	if rankRefuses(n, &first) || !rankRefuses(n, &last) {
+func TestOverloadRefusesLowestRankFirst(t *testing.T) {
+	n := newRankedNode(1, fooFirst)
+	n.frontend.waitingRequests = maxWaitingRequests * 3 / 4
+	first, last := JobSpec{Workload: "foo", Urgency: Normal}, JobSpec{Workload: "x", Urgency: BestEffort}
+	if overloadRefuses(n, &first) || !overloadRefuses(n, &last) {
 		t.Error("the first is refused, or the last is not")
 	}
-	if n.set.Product.Ranking = false; rankRefuses(n, &last) {
+	if n.settings.Capabilities.Ranking = false; overloadRefuses(n, &last) {
 		t.Error("refused without a ranking")
 	}
 }
 
-// TestWhy: a line says what stands before a job and what would let it go.
-func TestWhy(t *testing.T) {
-	n := rankedPool(1, fooFirst)
-	first := n.waits("job-1", "foo", 2, 20)
+// TestExplainRank: a line says what stands before a job and what would let it go.
+func TestExplainRank(t *testing.T) {
+	n := newRankedNode(1, fooFirst)
+	first := n.addWaitingJob("job-1", "foo", 2, 20)
 	n.placeAll()
-	n.waits("job-2", "bar", 3, 20)
-	n.waits("job-3", "bar", 1, 99)
-	for id, j := range n.owner.jobs {
-		n.users.mirror.open[id] = living{rec: j.Spec.record(n.now)}
+	n.addWaitingJob("job-2", "bar", 3, 20)
+	n.addWaitingJob("job-3", "bar", 1, 99)
+	for id, j := range n.shardLeader.jobs {
+		n.frontend.watchCache.openJobs[id] = openJob{rec: j.JobSpec.openRecord(n.now)}
 	}
-	n.owner.used["ops"] = first.Need
-	n.set.Teams = []Team{{Name: "ops", Limit: Resources{CPU: 110}}}
-	n.users.final["job-9"] = Done
+	n.shardLeader.usedByTeam["ops"] = first.Need
+	n.settings.Teams = []Team{{Name: "ops", QuotaLimit: Resources{CPU: 110}}}
+	n.frontend.finalStatuses["job-9"] = Done
 	for id, want := range map[string]string{
 		"job-1": "job-1: class foo, place 1 of 6; 1 of 2 tasks wait; number 1 of its class; 1 tasks have a place and wait for their record; 1 machines suit it and are full: it goes when tasks there end, or one more is rented",
 		"job-2": "job-2: class bar, place 2 of 6; 3 of 3 tasks wait; number 1 of its class; before it foo with 1 jobs, 1 tasks; 1 machines suit it and are full: it goes when tasks there end, or one more is rented",
@@ -380,7 +380,7 @@
 		"job-8": "job-8 is not open, as far as a has read",
 		"job-9": "job-9 is done",
 	} {
-		if got := rankWhy(n, id); got != want {
+		if got := explainRank(n, id); got != want {
 			t.Errorf("%s:\n got %s\nwant %s", id, got, want)
 		}
 	}
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -8,53 +8,53 @@
 	"github.com/micahill/micahill/internal/ownership"
 )
 
-// mark notes that orders may be due for m. Going through all machines after
+// markDispatchPending notes that orders may be due for m. Going through all machines after
 // every batch of commands would cost a large pool more than its reports do.
-func (n *Node) mark(m *machine) {
-	if o := n.owner; o != nil && !m.dirty {
-		m.dirty = true
-		o.dirty = append(o.dirty, m)
+func (n *Controller) markDispatchPending(m *machine) {
+	if o := n.shardLeader; o != nil && !m.dispatchPending {
+		m.dispatchPending = true
+		o.dirtyMachines = append(o.dirtyMachines, m)
 	}
 }
 
-// directAll sends the orders that are due.
-func (n *Node) directAll() {
-	o := n.owner
-	if len(o.dirty) == 0 {
+// dispatchAll sends the orders that are due.
+func (n *Controller) dispatchAll() {
+	o := n.shardLeader
+	if len(o.dirtyMachines) == 0 {
 		return
 	}
-	slices.SortFunc(o.dirty, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
-	now := o.dirty
-	o.dirty = nil
+	slices.SortFunc(o.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
+	now := o.dirtyMachines
+	o.dirtyMachines = nil
 	for _, m := range now {
-		if m.forgotten {
+		if m.removed {
 			continue
 		}
-		if m.dirty {
-			n.direct(m)
+		if m.dispatchPending {
+			n.dispatch(m)
 		}
-		if m.dirty {
-			o.dirty = append(o.dirty, m)
+		if m.dispatchPending {
+			o.dirtyMachines = append(o.dirtyMachines, m)
 		}
 	}
 }
 
-// quiet says that no start for m is on its way anywhere.
-func (n *Node) quiet(m *machine) bool {
-	return m.seenEpoch >= m.epoch && m.unacked == 0 && m.replyTick == 0 && !m.inFlight
+// noStartInFlight says that no start for m is on its way anywhere.
+func (n *Controller) noStartInFlight(m *machine) bool {
+	return m.seenEpoch >= m.epoch && m.unackedStartEpoch == 0 && m.replySequence == 0 && !m.dispatchInFlight
 }
 
-// stuck says that a start without an answer keeps m from being settled.
-func (m *machine) stuck(d *ownership.Registry) bool {
-	if d.Unseen(m.id) {
+// waitsForStartProof says that a start without an answer keeps m from being settled.
+func (m *machine) waitsForStartProof(registry *ownership.Registry) bool {
+	if registry.Unseen(m.id) {
 		return true
 	}
 	for _, t := range m.attempts {
-		if t.stop != stopNone {
+		if t.stopReason != stopNone {
 			return true
 		}
 	}
-	for _, p := range m.pieces {
+	for _, p := range m.taskReports {
 		if p.Status == Ended {
 			return true
 		}
@@ -62,167 +62,167 @@
 	return false
 }
 
-// ordersMost bounds the orders of one answer or request to a worker, whose body may
+// maxCommands bounds the orders of one answer or request to a worker, whose body may
 // have 64 KiB: an order takes some 70 bytes and its job's name.
-const ordersMost = 500
+const maxCommands = 500
 
 // reconcile is what the worker has to be told, from its newest report and what
 // should be there. Repeating an order does no harm but for a start after its
 // clear, so clear waits until no start can be on its way.
-func (n *Node) reconcile(m *machine) []Order { return n.ordersDue(m, m.settled()) }
+func (n *Controller) reconcile(m *machine) []TaskCommand { return n.pendingCommands(m, m.settled()) }
 
-// ordersDue is reconcile for who has looked already whether the machine is settled.
-func (n *Node) ordersDue(m *machine, settled bool) []Order {
-	o := n.owner
-	m.dirty, m.fresh = false, false
+// pendingCommands is reconcile for who has looked already whether the machine is settled.
+func (n *Controller) pendingCommands(m *machine, settled bool) []TaskCommand {
+	o := n.shardLeader
+	m.dispatchPending, m.hasNewStarts = false, false
 	if settled {
 		return nil
 	}
 	// Clearing up comes last, with the room that is left: thousands of short tasks may
 	// have ended here, and what is to start or stop is not to wait behind them. What is
 	// left of it goes with the next report's answer.
-	var orders, clears []Order
-	quiet := n.quiet(m)
-	for _, k := range sortedTasks(m.pieces) {
-		if len(orders) >= ordersMost {
-			n.mark(m)
+	var commands, clears []TaskCommand
+	noStartInFlight := n.noStartInFlight(m)
+	for _, k := range sortedTasks(m.taskReports) {
+		if len(commands) >= maxCommands {
+			n.markDispatchPending(m)
 			break
 		}
-		p := m.pieces[k]
+		p := m.taskReports[k]
 		j := o.jobs[k.job]
 		var t *task
 		if j != nil && k.index < len(j.tasks) {
 			t = &j.tasks[k.index]
 		}
 		if j == nil {
-			if x, some := n.others(m, p, quiet); some && x.Verb == Clear {
-				clears = append(clears, x)
+			if cmd, some := n.commandForOthers(m, p, noStartInFlight); some && cmd.Kind == ClearTask {
+				clears = append(clears, cmd)
 			} else if some {
-				orders = append(orders, x)
+				commands = append(commands, cmd)
 			}
 			continue
 		}
-		ours := t != nil && t.m == m && t.try == p.Try
+		isCurrent := t != nil && t.machine == m && t.attempt == p.Attempt
 		switch {
-		case ours && t.stop != stopNone && p.Status == Flushing && n.windDown(m, j, t) > 0:
+		case isCurrent && t.stopReason != stopNone && p.Status == Checkpointing && n.gracePeriod(m, j, t) > 0:
 			// It saves already.
-		case ours && t.stop != stopNone && p.Status != Ended:
-			orders = append(orders, Order{Verb: Halt, Job: k.job, Index: k.index, Try: p.Try, WindDown: n.windDown(m, j, t)})
-		case ours:
+		case isCurrent && t.stopReason != stopNone && p.Status != Ended:
+			commands = append(commands, TaskCommand{Kind: StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt, GracePeriod: n.gracePeriod(m, j, t)})
+		case isCurrent:
 		case p.Status != Ended:
-			orders = append(orders, Order{Verb: Halt, Job: k.job, Index: k.index, Try: p.Try})
-		case quiet && (t == nil || j.durable(k.index)):
-			x := Order{Verb: Clear, Job: k.job, Index: k.index, Try: p.Try}
+			commands = append(commands, TaskCommand{Kind: StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt})
+		case noStartInFlight && (t == nil || j.durable(k.index)):
+			cmd := TaskCommand{Kind: ClearTask, Job: k.job, Index: k.index, Attempt: p.Attempt}
 			if m.attempts[k] != nil {
 				// Another attempt of it is to start here.
-				orders = append(orders, x)
+				commands = append(commands, cmd)
 			} else {
-				clears = append(clears, x)
+				clears = append(clears, cmd)
 			}
 		}
 	}
 	for _, k := range sortedAttempts(m) {
-		if n.now.After(n.startsKnown()) {
+		if n.now.After(n.startDeadline()) {
 			// A job may have been cancelled that this node can't hear of.
 			break
 		}
-		if len(orders) >= ordersMost {
+		if len(commands) >= maxCommands {
 			// The rest goes with the next.
-			n.mark(m)
+			n.markDispatchPending(m)
 			break
 		}
 		t := m.attempts[k]
 		j := o.jobs[k.job]
-		if t.stop != stopNone || !j.durable(k.index) || j.waits || !j.mayStart(n.now) {
+		if t.stopReason != stopNone || !j.durable(k.index) || j.dependenciesPending || !j.mayStart(n.now) {
 			continue
 		}
-		if p, ok := m.pieces[k]; ok && p.Try == t.try {
+		if p, ok := m.taskReports[k]; ok && p.Attempt == t.attempt {
 			continue
 		} else if ok && p.Status != Ended {
 			continue
 		}
-		if !leaves(n, m, j, k.index, quiet) {
+		if !mayDispatchStart(n, m, j, k.index, noStartInFlight) {
 			continue
 		}
-		t.sent = true
-		orders = append(orders, Order{Verb: Start, Job: k.job, Index: k.index, Try: t.try})
+		t.startSent = true
+		commands = append(commands, TaskCommand{Kind: StartTask, Job: k.job, Index: k.index, Attempt: t.attempt})
 	}
-	return append(orders, clears[:min(len(clears), max(0, ordersMost-len(orders)))]...)
+	return append(commands, clears[:min(len(clears), max(0, maxCommands-len(commands)))]...)
 }
 
 // settled says that what is there is what should be, so that there is nothing
 // to order.
 func (m *machine) settled() bool {
-	if len(m.attempts) != len(m.pieces) {
+	if len(m.attempts) != len(m.taskReports) {
 		return false
 	}
 	for k, t := range m.attempts {
-		p, ok := m.pieces[k]
-		if !ok || p.Try != t.try || t.stop != stopNone || p.Status == Ended {
+		p, ok := m.taskReports[k]
+		if !ok || p.Attempt != t.attempt || t.stopReason != stopNone || p.Status == Ended {
 			return false
 		}
 	}
 	return true
 }
 
-// windDown is the time a stopped task gets to save.
-func (n *Node) windDown(m *machine, j *job, t *task) time.Duration {
-	if j.SaveEvery <= 0 || t.stop == stopCancel {
+// gracePeriod is the time a stopped task gets to save.
+func (n *Controller) gracePeriod(m *machine, j *job, t *task) time.Duration {
+	if j.CheckpointInterval <= 0 || t.stopReason == stopCancel {
 		return 0
 	}
-	if m.recall && n.now.Add(j.SaveCost).After(m.recallAt) {
+	if m.reclaimNoticed && n.now.Add(j.CheckpointCost).After(m.reclaimAt) {
 		return 0
 	}
 	// A little over the cost, so that rounding does not lose the work.
-	return j.SaveCost + time.Second
+	return j.CheckpointCost + time.Second
 }
 
-// direct sends orders to the worker at once, without waiting for its report.
-func (n *Node) direct(m *machine) {
-	o := n.owner
-	if m.afar {
+// dispatch sends orders to the worker at once, without waiting for its report.
+func (n *Controller) dispatch(m *machine) {
+	o := n.shardLeader
+	if m.remote {
 		// Its owner is asked.
-		m.dirty = false
-		o.remote.soon = true
+		m.dispatchPending = false
+		o.remote.due = true
 		return
 	}
-	if m.inFlight || m.questioned || m.noDirect || m.returning || m.addr == "" || !m.heard {
+	if m.dispatchInFlight || m.statusRequested || m.dispatchUnanswered || m.releasing || m.addr == "" || !m.heard {
 		return
 	}
-	if n.now.After(n.sess.sureUntil) {
+	if n.now.After(n.membership.leaseValidUntil) {
 		// Perhaps deposed already; reports go on being answered for a while.
 		return
 	}
-	orders := n.reconcile(m)
-	if len(orders) == 0 {
+	commands := n.reconcile(m)
+	if len(commands) == 0 {
 		return
 	}
-	if !slices.ContainsFunc(orders, func(o Order) bool { return o.Verb != Clear }) {
+	if !slices.ContainsFunc(commands, func(o TaskCommand) bool { return o.Kind != ClearTask }) {
 		// Clearing up can wait for the next report's answer.
 		return
 	}
-	starts := slices.ContainsFunc(orders, func(o Order) bool { return o.Verb == Start })
-	until := n.sess.sureUntil
+	starts := slices.ContainsFunc(commands, func(o TaskCommand) bool { return o.Kind == StartTask })
+	until := n.membership.leaseValidUntil
 	if starts {
-		until = earlier(n.startsKnown(), startsUntil(n, m))
+		until = earlier(n.startDeadline(), startDispatchDeadline(n, m))
 	}
-	m.inFlight = true
-	was := m.seen()
-	epoch, gen := m.epoch, o.gen
-	n.call(WorkerOp{Machine: m.id, Addr: m.addr, Until: until, Epoch: epoch, Tenure: m.tenure, Orders: orders}, func(d WorkerDone) {
-		if n.owner == nil || n.owner.gen != gen || m.forgotten {
+	m.dispatchInFlight = true
+	before := m.snapshot()
+	epoch, gen := m.epoch, o.generation
+	n.requestWorker(WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(d WorkerResponse) {
+		if n.shardLeader == nil || n.shardLeader.generation != gen || m.removed {
 			return
 		}
-		m.inFlight = false
+		m.dispatchInFlight = false
 		if d.NotSent {
-			n.mark(m)
+			n.markDispatchPending(m)
 			return
 		}
-		if !answered(n, m, d.Report, was) {
-			m.noDirect = true
+		if !applyPollReply(n, m, d.Heartbeat, before) {
+			m.dispatchUnanswered = true
 			if starts {
-				m.unacked = max(m.unacked, epoch)
-				leftUnanswered(n, m, orders)
+				m.unackedStartEpoch = max(m.unackedStartEpoch, epoch)
+				noteUnansweredStarts(n, m, commands)
 			}
 		}
 	})
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -17,109 +17,109 @@
 // is read as well. task/ holds its tasks in chunks, apart from open/ so that
 // the owner's watch for new jobs is not woken by its own progress.
 const (
-	ctlPrefix  = "ctl/"
-	leadKey    = "ctl/lead"
-	nodePrefix = "ctl/node/"
+	controlPrefix    = "ctl/"
+	leaderKey        = "ctl/lead"
+	controllerPrefix = "ctl/node/"
 	// The shares and lots of the division; see internal/division.
-	sharePrefix = "ctl/share/"
-	lotPrefix   = "ctl/lot/"
-	jobPrefix   = "job/"
-	openPrefix  = "open/"
-	taskPrefix  = "task/"
-	warmPrefix  = "warm/"
+	shardPrefix        = "ctl/share/"
+	shardSegmentPrefix = "ctl/lot/"
+	jobStatusPrefix    = "job/"
+	openJobPrefix      = "open/"
+	taskSegmentPrefix  = "task/"
+	prewarmedPrefix    = "warm/"
 	// guest/ holds the loans that this cluster has taken, and drain whether it is
 	// being emptied.
-	guestPrefix = "guest/"
-	drainKey    = "ctl/drain"
+	offloadedJobPrefix = "guest/"
+	drainKey           = "ctl/drain"
 	// life/ has a record for each controller, outside ctl/: only itself reads it.
-	lifePrefix = "life/"
+	incarnationPrefix = "life/"
 )
 
-type nodeRecord struct {
-	Grant uint64 `msgpack:"grant"`
-	Nonce string `msgpack:"nonce"`
+type controllerRecord struct {
+	LeaseID     uint64 `msgpack:"grant"`
+	Incarnation string `msgpack:"nonce"`
 	// Deaf: it hears no worker and wants no share.
-	Deaf bool `msgpack:"deaf,omitempty"`
-	// Born is when its process began, in Unix milliseconds.
-	Born int64 `msgpack:"born,omitempty"`
+	ReceivesNothing bool `msgpack:"deaf,omitempty"`
+	// StartedAt is when its process began, in Unix milliseconds.
+	StartedAt int64 `msgpack:"born,omitempty"`
 }
 
-// lifeRecord is what a controller's lives leave for the next one. It outlives their
+// incarnationRecord is what a controller's lives leave for the next one. It outlives their
 // grants.
-type lifeRecord struct {
-	Born  int64 `msgpack:"born"`
-	Short int   `msgpack:"short"`
+type incarnationRecord struct {
+	StartedAt  int64 `msgpack:"born"`
+	ShortLived int   `msgpack:"short"`
 }
 
-type leadRecord struct {
-	Host  string `msgpack:"host"`
-	Nonce string `msgpack:"nonce"`
+type leaderRecord struct {
+	Host        string `msgpack:"host"`
+	Incarnation string `msgpack:"nonce"`
 }
 
-type jobRecord struct {
+type jobStatusRecord struct {
 	Status JobStatus `msgpack:"s"`
 	Tasks  int       `msgpack:"n"`
 	// With promises: whose it was, of a peer's or not, and when it ended, in
 	// milliseconds after its submission; its newest date, in the same way, with the
 	// revision, and whether its first date was there when it was accepted.
-	Team  string `msgpack:"o,omitempty"`
-	Class string `msgpack:"c,omitempty"`
-	Guest bool   `msgpack:"gu,omitempty"`
-	After int    `msgpack:"a,omitempty"`
-	P     int    `msgpack:"p,omitempty"`
-	Rev   int    `msgpack:"r,omitempty"`
-	First bool   `msgpack:"q,omitempty"`
+	Team             string `msgpack:"o,omitempty"`
+	Workload         string `msgpack:"c,omitempty"`
+	Offloaded        bool   `msgpack:"gu,omitempty"`
+	EndedAfterMillis int    `msgpack:"a,omitempty"`
+	PromisedMillis   int    `msgpack:"p,omitempty"`
+	PromiseRevision  int    `msgpack:"r,omitempty"`
+	PromisedAtSubmit bool   `msgpack:"q,omitempty"`
 }
 
-// openRecord is the description of a living job. Whatever ends the job changes
+// openJobRecord is the description of a living job. Whatever ends the job changes
 // or removes it together with writing job/<id>: a start that names its stamp in
 // its conditions cannot follow a cancellation.
-type openRecord struct {
-	Workload  string   `msgpack:"w"`
-	Team      string   `msgpack:"o"`
-	Standing  bool     `msgpack:"st,omitempty"`
-	Gang      bool     `msgpack:"gg,omitempty"`
-	Urgency   int      `msgpack:"u"`
-	Tasks     int      `msgpack:"n"`
-	CPU       float64  `msgpack:"c"`
-	GPU       float64  `msgpack:"g,omitempty"`
-	Memory    float64  `msgpack:"m"`
-	Image     string   `msgpack:"i"`
-	ImageGB   float64  `msgpack:"ig"`
-	Flavours  []string `msgpack:"f,omitempty"`
-	Zone      string   `msgpack:"z,omitempty"`
-	Same      bool     `msgpack:"sp,omitempty"`
-	Apart     bool     `msgpack:"ap,omitempty"`
-	Spot      bool     `msgpack:"l,omitempty"`
-	Expected  float64  `msgpack:"e"`
-	SaveEvery float64  `msgpack:"se,omitempty"`
-	SaveCost  float64  `msgpack:"sc,omitempty"`
-	Due       float64  `msgpack:"d,omitempty"`
-	At        int64    `msgpack:"at"`
-	Cancelled bool     `msgpack:"x,omitempty"`
-	// CancelledAt is when the change that cancelled it was sent, in Unix milliseconds by
+type openJobRecord struct {
+	Workload                  string   `msgpack:"w"`
+	Team                      string   `msgpack:"o"`
+	LongRunning               bool     `msgpack:"st,omitempty"`
+	Gang                      bool     `msgpack:"gg,omitempty"`
+	Urgency                   int      `msgpack:"u"`
+	Tasks                     int      `msgpack:"n"`
+	CPU                       float64  `msgpack:"c"`
+	GPU                       float64  `msgpack:"g,omitempty"`
+	Memory                    float64  `msgpack:"m"`
+	Image                     string   `msgpack:"i"`
+	ImageGB                   float64  `msgpack:"ig"`
+	MachineTypes              []string `msgpack:"f,omitempty"`
+	Zone                      string   `msgpack:"z,omitempty"`
+	SameZone                  bool     `msgpack:"sp,omitempty"`
+	SpreadZones               bool     `msgpack:"ap,omitempty"`
+	AllowSpot                 bool     `msgpack:"l,omitempty"`
+	ExpectedSeconds           float64  `msgpack:"e"`
+	CheckpointIntervalSeconds float64  `msgpack:"se,omitempty"`
+	CheckpointCostSeconds     float64  `msgpack:"sc,omitempty"`
+	DeadlineSeconds           float64  `msgpack:"d,omitempty"`
+	SubmittedAtMillis         int64    `msgpack:"at"`
+	Cancelled                 bool     `msgpack:"x,omitempty"`
+	// CancelledAtMillis is when the change that cancelled it was sent, in Unix milliseconds by
 	// the sender's clock: nobody can have been told before.
-	CancelledAt int64 `msgpack:"xa,omitempty"`
-	// Lent names the peer that has the job, LentN how often it was lent, and LentStop
+	CancelledAtMillis int64 `msgpack:"xa,omitempty"`
+	// LentTo names the peer that has the job, LendCount how often it was lent, and StopBoundMillis
 	// the peer's bound in milliseconds.
 	// Wanted: its user wants it cancelled, which the peer has to hear first.
-	Lent     string `msgpack:"ln,omitempty"`
-	LentN    uint64 `msgpack:"lc,omitempty"`
-	LentStop int64  `msgpack:"ls,omitempty"`
-	Wanted   bool   `msgpack:"cw,omitempty"`
-	// Guest is the loan by which a job of another cluster is here.
-	Guest string `msgpack:"gu,omitempty"`
-	// P is the promised date, in milliseconds after the submission: its first revision.
-	P int `msgpack:"p,omitempty"`
-	// Prereqs names the jobs that it needs; see internal/pipeline.
-	Prereqs string `msgpack:"pr,omitempty"`
-}
-
-// shorten has a cancelled job's record fit a value also where the description was written
+	LentTo          string `msgpack:"ln,omitempty"`
+	LendCount       uint64 `msgpack:"lc,omitempty"`
+	StopBoundMillis int64  `msgpack:"ls,omitempty"`
+	CancelRequested bool   `msgpack:"cw,omitempty"`
+	// BorrowedLoan is the loan by which a job of another cluster is here.
+	BorrowedLoan string `msgpack:"gu,omitempty"`
+	// PromisedMillis is the promised date, in milliseconds after the submission: its first revision.
+	PromisedMillis int `msgpack:"p,omitempty"`
+	// Dependencies names the jobs that it needs; see internal/pipeline.
+	Dependencies string `msgpack:"pr,omitempty"`
+}
+
+// shrinkToFit has a cancelled job's record fit a value also where the description was written
 // under a larger limit: what it leaves out says only where a task may start.
-func (r *openRecord) shorten(valueBytes int) {
+func (r *openJobRecord) shrinkToFit(valueBytes int) {
 	for _, leave := range [...]func(){
-		func() { r.Flavours = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
+		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
 	} {
 		if size, err := bounds.JSON(encode(r)); err == nil && size <= valueBytes {
 			return
@@ -128,10 +128,10 @@
 	}
 }
 
-// taskRow is one task that was ever started: index, attempt, machine ("" when
+// taskEntry is one task that was ever started: index, attempt, machine ("" when
 // it is on none), its group's start in Unix milliseconds, whether it was
 // relaunched, and whether it is done.
-type taskRow struct {
+type taskEntry struct {
 	//lint:ignore U1000 its tag has rows stored as lists
 	_msgpack   struct{} `msgpack:",as_array"`
 	Index      int
@@ -142,25 +142,25 @@
 	Done       bool
 }
 
-// chunkRecord holds some consecutive tasks of a job. Runs lists finished tasks
+// taskSegmentRecord holds some consecutive tasks of a job. Runs lists finished tasks
 // as pairs of first and last index, rows the others; marks are the groups
 // whose relaunch has been decided. Times are run times in milliseconds, the
 // last few, from which a successor rebuilds the median.
-type chunkRecord struct {
-	// Prefix is what the names of all machines in the rows begin with; the rows
+type taskSegmentRecord struct {
+	// MachinePrefix is what the names of all machines in the rows begin with; the rows
 	// have the rest, so that long names take no more room than short ones.
-	Prefix string    `msgpack:"p,omitempty"`
-	Runs   []int     `msgpack:"d,omitempty"`
-	Rows   []taskRow `msgpack:"t,omitempty"`
-	Marks  []int64   `msgpack:"m,omitempty"`
-	Times  []int64   `msgpack:"rt,omitempty"`
-	// Rank is the stamp of the ranking under which the newest starts were decided.
-	Rank uint64 `msgpack:"rk,omitempty"`
+	MachinePrefix    string      `msgpack:"p,omitempty"`
+	DoneRanges       []int       `msgpack:"d,omitempty"`
+	Rows             []taskEntry `msgpack:"t,omitempty"`
+	RelaunchedGroups []int64     `msgpack:"m,omitempty"`
+	RunTimes         []int64     `msgpack:"rt,omitempty"`
+	// RankingRevision is the stamp of the ranking under which the newest starts were decided.
+	RankingRevision uint64 `msgpack:"rk,omitempty"`
 }
 
-// shorten puts what all machines' names begin with into one place. The last row's name
+// factorMachinePrefix puts what all machines' names begin with into one place. The last row's name
 // keeps a character at least, as "" stands for none.
-func (r *chunkRecord) shorten() {
+func (r *taskSegmentRecord) factorMachinePrefix() {
 	prefix, first := "", true
 	for _, row := range r.Rows {
 		switch {
@@ -181,19 +181,19 @@
 	if len(prefix) == 0 {
 		return
 	}
-	r.Prefix = prefix
+	r.MachinePrefix = prefix
 	for i := range r.Rows {
 		r.Rows[i].Machine = strings.TrimPrefix(r.Rows[i].Machine, prefix)
 	}
 }
 
-// rowBytes is an upper bound for a row in JSON form: an index of six digits, an
+// maxTaskEntryBytes is an upper bound for a row in JSON form: an index of six digits, an
 // attempt, a machine name, a group's time and two flags.
-const rowBytes = 72
+const maxTaskEntryBytes = 72
 
-// chunkTasks says how many tasks share a value, leaving a quarter for the rest.
-func chunkTasks(valueBytes int) int {
-	return max(8, valueBytes*3/4/rowBytes)
+// maxTasksPerSegment says how many tasks share a value, leaving a quarter for the rest.
+func maxTasksPerSegment(valueBytes int) int {
+	return max(8, valueBytes*3/4/maxTaskEntryBytes)
 }
 
 func encode(v any) []byte {
@@ -214,37 +214,37 @@
 	return msgpack.Unmarshal(b, v) == nil
 }
 
-func (s *Spec) record(at time.Time) openRecord {
-	return openRecord{
-		Workload: s.Workload, Team: s.Team, Standing: s.Standing, Gang: s.Gang, Urgency: int(s.Urgency),
+func (s *JobSpec) openRecord(at time.Time) openJobRecord {
+	return openJobRecord{
+		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
 		Tasks: s.Tasks, CPU: s.Need.CPU, GPU: s.Need.GPU, Memory: s.Need.Memory,
-		Image: s.Image, ImageGB: s.ImageGB, Flavours: s.Flavours, Zone: s.Zone,
-		Same: s.SamePlace, Apart: s.Apart, Spot: s.Spot,
-		Expected: s.Expected.Seconds(), SaveEvery: s.SaveEvery.Seconds(), SaveCost: s.SaveCost.Seconds(),
-		Due: s.Due.Seconds(), At: at.UnixMilli(), Prereqs: pipeline.Encode(s.Prereqs),
+		Image: s.Image, ImageGB: s.ImageGB, MachineTypes: s.MachineTypes, Zone: s.Zone,
+		SameZone: s.SameZone, SpreadZones: s.SpreadZones, AllowSpot: s.AllowSpot,
+		ExpectedSeconds: s.ExpectedRunTime.Seconds(), CheckpointIntervalSeconds: s.CheckpointInterval.Seconds(), CheckpointCostSeconds: s.CheckpointCost.Seconds(),
+		DeadlineSeconds: s.Deadline.Seconds(), SubmittedAtMillis: at.UnixMilli(), Dependencies: pipeline.Encode(s.Dependencies),
 	}
 }
 
-func (r *openRecord) spec(id string) Spec {
-	return Spec{
-		ID: id, Workload: r.Workload, Team: r.Team, Standing: r.Standing, Gang: r.Gang, Urgency: Urgency(r.Urgency),
+func (r *openJobRecord) spec(id string) JobSpec {
+	return JobSpec{
+		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: Urgency(r.Urgency),
 		Tasks: r.Tasks, Need: Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
-		Flavours: r.Flavours, Zone: r.Zone, SamePlace: r.Same, Apart: r.Apart, Spot: r.Spot,
-		Expected: Seconds(r.Expected), SaveEvery: Seconds(r.SaveEvery), SaveCost: Seconds(r.SaveCost),
-		Due: Seconds(r.Due), Prereqs: r.needs(),
+		MachineTypes: r.MachineTypes, Zone: r.Zone, SameZone: r.SameZone, SpreadZones: r.SpreadZones, AllowSpot: r.AllowSpot,
+		ExpectedRunTime: Seconds(r.ExpectedSeconds), CheckpointInterval: Seconds(r.CheckpointIntervalSeconds), CheckpointCost: Seconds(r.CheckpointCostSeconds),
+		Deadline: Seconds(r.DeadlineSeconds), Dependencies: r.dependencies(),
 	}
 }
 
-// needs are the jobs that it names; none if they can't be read, which bad tells.
-func (r *openRecord) needs() []string {
-	names, _ := pipeline.Decode(r.Prereqs)
+// dependencies are the jobs that it names; none if they can't be read, which bad tells.
+func (r *openJobRecord) dependencies() []string {
+	names, _ := pipeline.Decode(r.Dependencies)
 	return names
 }
 
 // Seconds converts a decimal number of seconds at the edge.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func jobID(key, prefix string) string {
+func jobIDFromKey(key, prefix string) string {
 	id := strings.TrimPrefix(key, prefix)
 	if i := strings.IndexByte(id, '/'); i >= 0 {
 		id = id[:i]
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -16,146 +16,146 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// bench holds real cores against our state service, with everything else in the
+// harness holds real cores against our state service, with everything else in the
 // hands of a scenario: which requests are lost, held or applied late, what a
 // worker says and when. It is for single conditions of the safety argument;
 // whole days are played in internal/standin.
-type bench struct {
-	t     *testing.T
-	now   time.Time
-	state *standin.StateService
-	nodes map[string]*benchNode
-	vms   map[string]*benchVM
-	// room bounds the machines that can be rented, and unlisted keeps new ones
+type harness struct {
+	t           *testing.T
+	now         time.Time
+	store       *standin.StateService
+	controllers map[string]*harnessController
+	vms         map[string]*scriptedWorker
+	// maxMachines bounds the machines that can be rented, and unlisted keeps new ones
 	// out of the machine list.
-	room     int
-	unlisted bool
-	returns  string
-	bookings map[string]bool
-	// silence are reports whose answers nobody wants to read.
-	silence map[uint64]*benchVM
-	// copies are reports by the names that a scenario gave them.
-	copies map[string]core.Report
-	out    []string
-	shown  map[string]bool
+	maxMachines int
+	unlisted    bool
+	releaseMode string
+	bookings    map[string]bool
+	// ignoredReplies are reports whose answers nobody wants to read.
+	ignoredReplies map[uint64]*scriptedWorker
+	// heartbeatCopies are reports by the names that a scenario gave them.
+	heartbeatCopies map[string]core.Heartbeat
+	output          []string
+	shown           map[string]bool
 }
 
-type benchNode struct {
-	b     *bench
-	name  string
-	life  int
-	node  *core.Node
-	queue []core.Command
+type harnessController struct {
+	harness     *harness
+	name        string
+	incarnation int
+	controller  *core.Controller
+	queue       []core.Command
 	// rules say what becomes of requests to the state service.
-	rules  []benchRule
-	held   []benchHeld
-	txns   []string
-	direct []benchOrder
-	news   bool
-	next   uint64
-	asked  map[uint64]string
+	rules          []storeRule
+	heldRequests   []heldRequest
+	txns           []string
+	workerCommands []workerCommand
+	peersConnected bool
+	lastReply      uint64
+	replyNames     map[uint64]string
 }
 
-// benchRule is for requests whose text contains only. Mode: "refuse", "lose"
+// storeRule is for requests whose text contains only. Mode: "refuse", "lose"
 // (executed, no answer), "late" (no answer, executed at deliver), "hold" (executed
 // and answered at deliver), "gone" (once: the watch is too far behind).
-type benchRule struct{ mode, only string }
+type storeRule struct{ mode, contains string }
 
-// benchHeld is a request that is executed at deliver; what becomes of a transaction
+// heldRequest is a request that is executed at deliver; what becomes of a transaction
 // then is what say prints.
-type benchHeld struct {
+type heldRequest struct {
 	text string
-	exec func(done func(core.StateDone))
+	exec func(done func(core.StoreResponse))
 }
 
-// benchOrder is a direct order, and when it was sent.
-type benchOrder struct {
-	core.WorkerOp
-	at time.Time
+// workerCommand is a direct order, and when it was sent.
+type workerCommand struct {
+	core.WorkerRequest
+	sentAt time.Time
 }
 
-// askPatience is after how long a question that the scenario does not answer
+// pollTimeout is after how long a question that the scenario does not answer
 // has no answer. Orders wait for the scenario.
-const askPatience = 2 * time.Second
+const pollTimeout = 2 * time.Second
 
-// benchVM is what a scripted worker knows of itself.
-type benchVM struct {
-	id           string
-	zone         string
-	tenure, tick uint64
-	epoch        uint64
-	failed       bool
-	gone         bool
-	unlisted     bool
+// scriptedWorker is what a scripted worker knows of itself.
+type scriptedWorker struct {
+	id                    string
+	zone                  string
+	incarnation, sequence uint64
+	epoch                 uint64
+	failed                bool
+	released              bool
+	unlisted              bool
 	// deaf: what a kept worker says arrives, and no answer and no order reaches it.
-	deaf   bool
-	keep   func()
-	kept   *datadriven.TestData
-	keptAt time.Time
-	// again sends its report once more.
-	again func() *datadriven.TestData
-	// said is what it reports, while it reports a higher epoch.
-	said *datadriven.TestData
+	unreachable bool
+	repeat      func()
+	repeated    *datadriven.TestData
+	repeatedAt  time.Time
+	// resend sends its report once more.
+	resend func() *datadriven.TestData
+	// reported is what it reports, while it reports a higher epoch.
+	reported *datadriven.TestData
 }
 
-func newBench(t *testing.T) *bench {
-	return &bench{
-		t: t, now: time.Unix(1_750_000_000, 0), state: standin.NewStateService(),
-		nodes: map[string]*benchNode{}, vms: map[string]*benchVM{}, room: 2, bookings: map[string]bool{}, silence: map[uint64]*benchVM{}, copies: map[string]core.Report{}, shown: map[string]bool{},
+func newHarness(t *testing.T) *harness {
+	return &harness{
+		t: t, now: time.Unix(1_750_000_000, 0), store: standin.NewStateService(),
+		controllers: map[string]*harnessController{}, vms: map[string]*scriptedWorker{}, maxMachines: 2, bookings: map[string]bool{}, ignoredReplies: map[uint64]*scriptedWorker{}, heartbeatCopies: map[string]core.Heartbeat{}, shown: map[string]bool{},
 	}
 }
 
-var benchHosts = []string{"a", "b"}
+var harnessHosts = []string{"a", "b"}
 
-func (b *bench) boot(name string) *benchNode {
-	n := b.nodes[name]
+func (b *harness) start(name string) *harnessController {
+	n := b.controllers[name]
 	if n == nil {
-		n = &benchNode{b: b, name: name}
-		b.nodes[name] = n
+		n = &harnessController{harness: b, name: name}
+		b.controllers[name] = n
 	}
-	n.life++
-	n.rules, n.news, n.asked = nil, true, map[uint64]string{}
-	n.queue, n.held, n.direct, n.txns = nil, nil, nil, nil
+	n.incarnation++
+	n.rules, n.peersConnected, n.replyNames = nil, true, map[uint64]string{}
+	n.queue, n.heldRequests, n.workerCommands, n.txns = nil, nil, nil, nil
 	set := core.Settings{
-		Host: name, Nonce: fmt.Sprintf("%s.%d", name, n.life), Zones: []string{"z1", "z2"},
-		ReportEvery: 3 * time.Second, Lease: 24 * time.Second, Cancel: 54 * time.Second, TxnOps: 12, ValueBytes: 4096, StateWrites: 30,
-		ListLag: 4 * time.Second, CloudRPS: 4, Policy: core.DefaultPolicy(),
-		Teams: []core.Team{{Name: "ops"}, {Name: "lab", Limit: core.Resources{CPU: 8}}},
+		Host: name, Incarnation: fmt.Sprintf("%s.%d", name, n.incarnation), Zones: []string{"z1", "z2"},
+		HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second, CancellationBound: 54 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30,
+		CloudListLag: 4 * time.Second, CloudRequestsPerSecond: 4, Policy: core.DefaultPolicy(),
+		Teams: []core.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: core.Resources{CPU: 8}}},
 	}
-	for _, h := range benchHosts {
+	for _, h := range harnessHosts {
 		if h != name {
 			set.Peers = append(set.Peers, h)
 		}
 	}
-	n.node = core.New(set, rand.New(rand.NewPCG(1, uint64(n.life))))
+	n.controller = core.New(set, rand.New(rand.NewPCG(1, uint64(n.incarnation))))
 	return n
 }
 
 // run lets time pass in steps of 50 ms.
-func (b *bench) run(d time.Duration) {
+func (b *harness) run(d time.Duration) {
 	for end := b.now.Add(d); ; b.now = b.now.Add(50 * time.Millisecond) {
-		b.state.Tick(b.now)
+		b.store.Tick(b.now)
 		for _, vm := range b.sortedVMs() {
-			if vm.keep != nil && b.now.Sub(vm.keptAt) >= 3*time.Second {
-				vm.keptAt = b.now
-				vm.keep()
+			if vm.repeat != nil && b.now.Sub(vm.repeatedAt) >= 3*time.Second {
+				vm.repeatedAt = b.now
+				vm.repeat()
 			}
 		}
 		for busy := true; busy; {
 			busy = false
-			for _, h := range benchHosts {
-				if n := b.nodes[h]; n != nil && n.node != nil {
-					n.direct = slices.DeleteFunc(n.direct, func(op benchOrder) bool {
-						late := len(op.Orders) == 0 && b.now.Sub(op.at) > askPatience
+			for _, h := range harnessHosts {
+				if n := b.controllers[h]; n != nil && n.controller != nil {
+					n.workerCommands = slices.DeleteFunc(n.workerCommands, func(op workerCommand) bool {
+						late := len(op.Commands) == 0 && b.now.Sub(op.sentAt) > pollTimeout
 						if late {
-							n.push(core.WorkerDone{ID: op.ID})
+							n.push(core.WorkerResponse{ID: op.ID})
 						}
 						return late
 					})
 					q := n.queue
 					n.queue = nil
-					for _, e := range n.node.Step(b.now, q) {
-						n.do(e)
+					for _, e := range n.controller.Step(b.now, q) {
+						n.execute(e)
 					}
 					busy = busy || len(n.queue) > 0
 				}
@@ -167,50 +167,50 @@
 	}
 }
 
-func (n *benchNode) push(c core.Command) {
-	if n.node != nil {
+func (n *harnessController) push(c core.Command) {
+	if n.controller != nil {
 		n.queue = append(n.queue, c)
 	}
 }
 
-func (n *benchNode) do(e core.Effect) {
-	b := n.b
+func (n *harnessController) execute(e core.Effect) {
+	b := n.harness
 	switch e := e.(type) {
-	case core.StateOp:
-		n.stateOp(e)
-	case core.CloudOp:
-		n.push(b.cloud(e))
-	case core.WorkerOp:
+	case core.StoreRequest:
+		n.handleStoreRequest(e)
+	case core.CloudRequest:
+		n.push(b.handleCloudRequest(e))
+	case core.WorkerRequest:
 		vm := b.vms[e.Machine]
-		said := vm.kept
-		if vm.said != nil {
-			said = vm.said
+		said := vm.repeated
+		if vm.reported != nil {
+			said = vm.reported
 		}
-		if said != nil && len(e.Orders) == 0 && !vm.deaf {
+		if said != nil && len(e.Commands) == 0 && !vm.unreachable {
 			// A kept worker answers questions by itself, and so does one that has just
 			// learnt a higher epoch.
 			vm.epoch = max(vm.epoch, e.Epoch)
-			r := b.report(said, vm)
-			n.push(core.WorkerDone{ID: e.ID, OK: true, Report: &r})
+			r := b.heartbeat(said, vm)
+			n.push(core.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &r})
 			return
 		}
-		n.direct = append(n.direct, benchOrder{e, b.now})
+		n.workerCommands = append(n.workerCommands, workerCommand{e, b.now})
 	case core.UserReply:
-		b.out = append(b.out, strings.TrimSpace(fmt.Sprintf("%s %d %s", n.asked[e.Reply], e.Status, e.State)))
-	case core.ReportReply:
-		if vm := b.silence[e.Reply]; vm != nil {
-			delete(b.silence, e.Reply)
-			if vm.deaf {
-				b.once(fmt.Sprintf("%s %d in vain", vm.id, e.Status))
+		b.output = append(b.output, strings.TrimSpace(fmt.Sprintf("%s %d %s", n.replyNames[e.Reply], e.Status, e.State)))
+	case core.HeartbeatReply:
+		if vm := b.ignoredReplies[e.Reply]; vm != nil {
+			delete(b.ignoredReplies, e.Reply)
+			if vm.unreachable {
+				b.printOnce(fmt.Sprintf("%s %d in vain", vm.id, e.Status))
 				return
 			}
 			vm.epoch = max(vm.epoch, e.Epoch)
-			if text := orders(e.Orders); strings.Contains(text, " start ") {
-				b.once(vm.id + text)
+			if text := formatCommands(e.Commands); strings.Contains(text, " start ") {
+				b.printOnce(vm.id + text)
 			}
 			return
 		}
-		vm := b.vms[n.asked[e.Reply]]
+		vm := b.vms[n.replyNames[e.Reply]]
 		text := fmt.Sprint(e.Status)
 		if e.Status == 200 {
 			switch {
@@ -218,97 +218,97 @@
 				// A copy: nobody waits for its answer.
 			case e.Epoch < vm.epoch:
 				text += " dropped"
-			case e.Epoch > vm.epoch && vm.again != nil:
+			case e.Epoch > vm.epoch && vm.resend != nil:
 				// A higher epoch is a change, which the worker reports at once; the
 				// answer to that is printed.
 				vm.epoch = e.Epoch
-				vm.said = vm.again()
+				vm.reported = vm.resend()
 				return
 			default:
 				vm.epoch = e.Epoch
 			}
-			text += orders(e.Orders)
+			text += formatCommands(e.Commands)
 		}
-		if e.Steward != "" {
-			text += " to " + e.Steward
+		if e.MachineOwner != "" {
+			text += " to " + e.MachineOwner
 		}
-		b.out = append(b.out, fmt.Sprintf("%s %s", n.asked[e.Reply], text))
-	case core.LoanDone:
-		b.out = append(b.out, n.asked[e.Reply]+" "+[...]string{"durable", "not", "unsure"}[e.Status])
+		b.output = append(b.output, fmt.Sprintf("%s %s", n.replyNames[e.Reply], text))
+	case core.LoanReply:
+		b.output = append(b.output, n.replyNames[e.Reply]+" "+[...]string{"durable", "not", "unsure"}[e.Status])
 	case core.LoanView:
-		text := fmt.Sprintf("view ok=%v leads=%v guests=%v", e.OK, e.Leads, e.Guests)
+		text := fmt.Sprintf("view ok=%v leads=%v guests=%v", e.OK, e.IsLeader, e.RunsGuestTeam)
 		for _, l := range e.Lent {
-			text += fmt.Sprintf(" lent=%s#%d->%s", l.Spec.ID, l.N, l.Peer)
+			text += fmt.Sprintf(" lent=%s#%d->%s", l.Spec.ID, l.LendCount, l.Peer)
 		}
 		for _, l := range e.Borrowed {
 			text += fmt.Sprintf(" borrowed=%s:%s:ending=%v", l.Loan, l.Status, l.Ending)
 		}
-		b.out = append(b.out, text)
-	case core.PeerSend:
-		if o := b.nodes[e.To]; o != nil && n.news && o.news {
-			o.push(e.News)
+		b.output = append(b.output, text)
+	case core.SendPeerUpdate:
+		if o := b.controllers[e.To]; o != nil && n.peersConnected && o.peersConnected {
+			o.push(e.Update)
 		}
 	}
 }
 
-func orders(os []core.Order) string {
+func formatCommands(commands []core.TaskCommand) string {
 	var out []string
-	for _, o := range os {
-		out = append(out, fmt.Sprintf(" %s %s/%d#%d", o.Verb, o.Job, o.Index, o.Try))
+	for _, o := range commands {
+		out = append(out, fmt.Sprintf(" %s %s/%d#%d", o.Kind, o.Job, o.Index, o.Attempt))
 	}
 	slices.Sort(out)
 	return strings.Join(out, "")
 }
 
-// stateText is how a request reads in a scenario: a transaction as its
+// describeRequest is how a request reads in a scenario: a transaction as its
 // conditions, each with whether it stands now, and its changes.
-func (n *benchNode) stateText(op core.StateOp) string {
+func (n *harnessController) describeRequest(op core.StoreRequest) string {
 	switch {
-	case op.Kind == core.OpFollow && op.Hold == 0:
+	case op.Kind == core.OpWatch && op.WatchTimeout == 0:
 		return "read " + op.Key
 	case op.Kind != core.OpTxn:
 		return fmt.Sprintf("%s %s", op.Kind, op.Key)
 	}
-	var when, apply []string
-	for _, c := range op.When {
+	var compares, writes []string
+	for _, c := range op.Compares {
 		how := "="
-		if c.Stamp == 0 {
+		if c.ModRevision == 0 {
 			how = " absent"
 		}
-		when = append(when, c.Key+how)
+		compares = append(compares, c.Key+how)
 	}
-	for _, a := range op.Apply {
+	for _, a := range op.Writes {
 		verb := "put "
 		if a.Value == nil {
 			verb = "remove "
 		}
-		apply = append(apply, verb+a.Key)
+		writes = append(writes, verb+a.Key)
 	}
-	slices.Sort(when)
-	return fmt.Sprintf("when %s: %s", strings.Join(when, ", "), strings.Join(apply, ", "))
+	slices.Sort(compares)
+	return fmt.Sprintf("when %s: %s", strings.Join(compares, ", "), strings.Join(writes, ", "))
 }
 
-func (n *benchNode) stateOp(op core.StateOp) {
-	b := n.b
-	text := n.stateText(op)
+func (n *harnessController) handleStoreRequest(op core.StoreRequest) {
+	b := n.harness
+	text := n.describeRequest(op)
 	if op.Kind == core.OpTxn {
 		n.txns = append(n.txns, text)
 	}
-	sent, life := b.now, n.life
-	exec := func(answer bool, done func(core.StateDone)) {
-		b.state.Do(b.now, op, func(d core.StateDone) {
-			if d.Sent = sent; answer && n.life == life {
+	sent, life := b.now, n.incarnation
+	exec := func(answer bool, done func(core.StoreResponse)) {
+		b.store.Do(b.now, op, func(d core.StoreResponse) {
+			if d.SentAt = sent; answer && n.incarnation == life {
 				n.push(d)
 			}
 			done(d)
 		})
 	}
 	hold := func(answer bool) {
-		n.held = append(n.held, benchHeld{text, func(done func(core.StateDone)) { exec(answer, done) }})
+		n.heldRequests = append(n.heldRequests, heldRequest{text, func(done func(core.StoreResponse)) { exec(answer, done) }})
 	}
-	nobody := func(core.StateDone) {}
+	nobody := func(core.StoreResponse) {}
 	mode := "ok"
-	if i := slices.IndexFunc(n.rules, func(r benchRule) bool { return strings.Contains(text, r.only) }); i >= 0 {
+	if i := slices.IndexFunc(n.rules, func(r storeRule) bool { return strings.Contains(text, r.contains) }); i >= 0 {
 		if mode = n.rules[i].mode; mode == "gone" {
 			n.rules = slices.Delete(n.rules, i, i+1)
 		}
@@ -317,93 +317,93 @@
 	case "ok":
 		exec(true, nobody)
 	case "refuse":
-		n.push(core.StateDone{ID: op.ID, Status: core.StateRefused, Sent: sent})
+		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreRefused, SentAt: sent})
 	case "lose":
 		exec(false, nobody)
-		n.push(core.StateDone{ID: op.ID, Status: core.StateUnknown, Sent: sent})
+		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreUnknown, SentAt: sent})
 	case "late":
 		hold(false)
-		n.push(core.StateDone{ID: op.ID, Status: core.StateUnknown, Sent: sent})
+		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreUnknown, SentAt: sent})
 	case "hold":
 		hold(true)
 	case "gone":
-		n.push(core.StateDone{ID: op.ID, Status: core.StateGone, Sent: sent})
+		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreCompacted, SentAt: sent})
 	default:
 		b.t.Fatalf("unknown mode %s", mode)
 	}
 }
 
-func (b *bench) cloud(op core.CloudOp) core.CloudDone {
-	d := core.CloudDone{ID: op.ID}
+func (b *harness) handleCloudRequest(op core.CloudRequest) core.CloudResponse {
+	d := core.CloudResponse{ID: op.ID}
 	switch op.Kind {
-	case core.CloudTypes:
-		d.Flavours = []core.Flavour{{Name: "box", Size: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, PullRate: 1, Price: 0.2, SpotPrice: 0.1, Ready: 5 * time.Second, Zones: []string{"z1", "z2"}}}
+	case core.CloudListTypes:
+		d.MachineTypes = []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
 	case core.CloudRent:
-		if b.bookings[op.Booking] {
-			b.out = append(b.out, "booking used again: "+op.Booking)
+		if b.bookings[op.IdempotencyKey] {
+			b.output = append(b.output, "booking used again: "+op.IdempotencyKey)
 		}
-		b.bookings[op.Booking] = true
-		for range min(op.Count, b.room-len(b.vms)) {
-			vm := &benchVM{id: fmt.Sprintf("vm-%d", len(b.vms)+1), zone: op.Zone, tenure: 1, unlisted: b.unlisted}
+		b.bookings[op.IdempotencyKey] = true
+		for range min(op.Count, b.maxMachines-len(b.vms)) {
+			vm := &scriptedWorker{id: fmt.Sprintf("vm-%d", len(b.vms)+1), zone: op.Zone, incarnation: 1, unlisted: b.unlisted}
 			b.vms[vm.id] = vm
 			d.Rented = append(d.Rented, vm.id)
 		}
 		if len(d.Rented) == 0 {
 			d.Status = core.CloudNoCapacity
 		}
-	case core.CloudList:
+	case core.CloudListMachines:
 		for _, vm := range b.sortedVMs() {
 			status := "running"
 			if vm.failed {
 				status = "failed"
 			}
-			if !vm.gone && !vm.unlisted {
-				d.Machines = append(d.Machines, core.Listed{ID: vm.id, Addr: vm.id, Flavour: "box", Zone: vm.zone, Status: status, Held: time.Minute})
+			if !vm.released && !vm.unlisted {
+				d.Machines = append(d.Machines, core.CloudMachine{ID: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Status: status, Age: time.Minute})
 			}
 		}
-	case core.CloudReturn:
-		b.once("return " + strings.Join(op.Machines, " "))
-		if b.returns == "unknown" {
+	case core.CloudRelease:
+		b.printOnce("return " + strings.Join(op.Machines, " "))
+		if b.releaseMode == "unknown" {
 			d.Status = core.CloudUnknown
 			return d
 		}
 		for _, id := range op.Machines {
-			b.vms[id].gone = true
+			b.vms[id].released = true
 		}
 	}
 	return d
 }
 
-// once prints what is repeated again and again only the first time.
-func (b *bench) once(text string) {
+// printOnce prints what is repeated again and again only the first time.
+func (b *harness) printOnce(text string) {
 	if !b.shown[text] {
 		b.shown[text] = true
-		b.out = append(b.out, text)
+		b.output = append(b.output, text)
 	}
 }
 
-func (b *bench) sortedVMs() []*benchVM {
-	var vms []*benchVM
+func (b *harness) sortedVMs() []*scriptedWorker {
+	var vms []*scriptedWorker
 	for _, vm := range b.vms {
 		vms = append(vms, vm)
 	}
-	slices.SortFunc(vms, func(x, y *benchVM) int { return strings.Compare(x.id, y.id) })
+	slices.SortFunc(vms, func(x, y *scriptedWorker) int { return strings.Compare(x.id, y.id) })
 	return vms
 }
 
-func (b *bench) ask(n *benchNode, what string, mk func(uint64) core.Command) {
-	n.next++
-	n.asked[n.next] = what
-	n.push(mk(n.next))
+func (b *harness) pushRequest(n *harnessController, what string, newCommand func(uint64) core.Command) {
+	n.lastReply++
+	n.replyNames[n.lastReply] = what
+	n.push(newCommand(n.lastReply))
 }
 
 // worker makes a report of vm as the scenario says: tasks=(job/0#1=running,...).
-func (b *bench) report(d *datadriven.TestData, vm *benchVM) core.Report {
-	uintArg(b.t, d, "tenure", &vm.tenure)
-	vm.tick++
-	r := core.Report{Machine: vm.id, Addr: vm.id, Flavour: "box", Zone: vm.zone, Tenure: vm.tenure, Tick: vm.tick, Epoch: vm.epoch, Recall: -1}
-	uintArg(b.t, d, "tick", &r.Tick)
-	vm.tick = max(vm.tick, r.Tick)
+func (b *harness) heartbeat(d *datadriven.TestData, vm *scriptedWorker) core.Heartbeat {
+	uintArg(b.t, d, "tenure", &vm.incarnation)
+	vm.sequence++
+	r := core.Heartbeat{Machine: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Incarnation: vm.incarnation, Sequence: vm.sequence, Epoch: vm.epoch, ReclaimIn: -1}
+	uintArg(b.t, d, "tick", &r.Sequence)
+	vm.sequence = max(vm.sequence, r.Sequence)
 	if d.HasArg("newer") {
 		// The worker has seen an epoch above all that this state service gave.
 		r.Epoch += 1000
@@ -414,26 +414,26 @@
 		}
 		for _, v := range a.Vals {
 			name, status, ok := strings.Cut(v, "=")
-			p := core.TaskReport{}
+			task := core.TaskReport{}
 			last := 0
-			if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "-", " ", "#", " ").Replace(name), "%s %d %d %d", &p.Job, &p.Index, &last, &p.Try); err != nil || !ok {
-				if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "#", " ").Replace(name), "%s %d %d", &p.Job, &p.Index, &p.Try); err != nil || !ok {
+			if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "-", " ", "#", " ").Replace(name), "%s %d %d %d", &task.Job, &task.Index, &last, &task.Attempt); err != nil || !ok {
+				if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "#", " ").Replace(name), "%s %d %d", &task.Job, &task.Index, &task.Attempt); err != nil || !ok {
 					d.Fatalf(b.t, "tasks: %q is not job/0#1=status or job/0-3#1=status", v)
 				}
-				last = p.Index
+				last = task.Index
 			}
 			switch status {
 			case "fetching":
-				p.Status = core.Fetching
+				task.Status = core.Fetching
 			case "running":
-				p.Status = core.Running
+				task.Status = core.Running
 			case "flushing":
-				p.Status = core.Flushing
+				task.Status = core.Checkpointing
 			default:
-				p.Status, p.Cause = core.Ended, status
+				task.Status, task.Cause = core.Ended, status
 			}
-			for ; p.Index <= last; p.Index++ {
-				r.Tasks = append(r.Tasks, p)
+			for ; task.Index <= last; task.Index++ {
+				r.Tasks = append(r.Tasks, task)
 			}
 		}
 	}
@@ -446,17 +446,17 @@
 	}
 }
 
-func (b *bench) flush() string {
-	out := b.out
-	b.out = nil
+func (b *harness) flush() string {
+	out := b.output
+	b.output = nil
 	if len(out) == 0 {
 		return ""
 	}
 	return strings.Join(out, "\n") + "\n"
 }
 
-// command carries out one line of a scenario.
-func (b *bench) command(d *datadriven.TestData) string {
+// runCommand carries out one line of a scenario.
+func (b *harness) runCommand(d *datadriven.TestData) string {
 	t := b.t
 	first := func() string {
 		if len(d.CmdArgs) == 0 {
@@ -464,13 +464,13 @@
 		}
 		return d.CmdArgs[0].Key
 	}
-	n := b.nodes["a"]
+	n := b.controllers["a"]
 	if d.HasArg("node") {
 		var name string
 		d.ScanArgs(t, "node", &name)
-		n = b.nodes[name]
+		n = b.controllers[name]
 	}
-	vm := func() *benchVM {
+	vm := func() *scriptedWorker {
 		v := b.vms[first()]
 		if v == nil {
 			d.Fatalf(t, "%s: no machine %s; there are %d", d.Cmd, first(), len(b.vms))
@@ -487,91 +487,91 @@
 	case "boot":
 		// late=(text): requests with that text get no answer until deliver; lose=(text):
 		// they are executed, and get none.
-		booted := b.boot(first())
+		booted := b.start(first())
 		for _, mode := range []string{"late", "lose"} {
 			if d.HasArg(mode) {
-				r := benchRule{mode: mode}
-				d.ScanArgs(t, mode, &r.only)
+				r := storeRule{mode: mode}
+				d.ScanArgs(t, mode, &r.contains)
 				booted.rules = append(booted.rules, r)
 			}
 		}
 		b.run(core.Seconds(number("for", 1)))
 	case "end":
 		// The process ends; what it sent may still be applied.
-		b.nodes[first()].node = nil
+		b.controllers[first()].controller = nil
 	case "room":
-		b.room = int(number("machines", 2))
+		b.maxMachines = int(number("machines", 2))
 		b.unlisted = d.HasArg("unlisted")
 	case "submit":
-		s := core.Spec{ID: first(), Workload: "w", Team: "ops", Urgency: core.Normal, Tasks: int(number("tasks", 1)),
-			Need: core.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, Expected: core.Seconds(number("expected", 20)),
-			SamePlace: d.HasArg("same"), Apart: d.HasArg("apart")}
+		s := core.JobSpec{ID: first(), Workload: "w", Team: "ops", Urgency: core.Normal, Tasks: int(number("tasks", 1)),
+			Need: core.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: core.Seconds(number("expected", 20)),
+			SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart")}
 		for _, a := range d.CmdArgs {
 			if a.Key == "prereqs" {
-				s.Prereqs = a.Vals
+				s.Dependencies = a.Vals
 			}
 		}
 		if d.HasArg("team") {
 			d.ScanArgs(t, "team", &s.Team)
 		}
-		b.ask(n, s.ID, func(r uint64) core.Command { return core.Submit{Reply: r, Spec: s} })
+		b.pushRequest(n, s.ID, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: s} })
 		b.run(core.Seconds(number("for", 2)))
 	case "loan":
 		// One step of a loan: what, job, n=1.
 		kinds := []string{"lend", "back", "settle", "cancelled", "accept", "give_up", "drop"}
 		id := d.CmdArgs[1].Key
-		op := core.LoanOp{
-			Kind: core.LoanKind(slices.Index(kinds, first())), Job: id, N: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
-			Spec: core.Spec{ID: id, Team: "ops", Urgency: core.Normal, Tasks: 1, Need: core.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, Expected: 20 * time.Second},
+		op := core.LoanCommand{
+			Kind: core.LoanCommandKind(slices.Index(kinds, first())), Job: id, LendCount: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
+			Spec: core.JobSpec{ID: id, Team: "ops", Urgency: core.Normal, Tasks: 1, Need: core.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
 		}
-		b.ask(n, first()+" "+id, func(r uint64) core.Command { op.Reply = r; return op })
+		b.pushRequest(n, first()+" "+id, func(r uint64) core.Command { op.Reply = r; return op })
 		b.run(core.Seconds(number("for", 0.5)))
 	case "view":
 		// startable=job: that borrowed job may be started for the next 10 s.
-		q := core.LoanQuery{Team: "ops", Startable: map[string]time.Time{}}
+		q := core.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
 		if d.HasArg("startable") {
 			var id string
 			d.ScanArgs(t, "startable", &id)
-			q.Startable[id] = b.now.Add(10 * time.Second)
+			q.StartableUntil[id] = b.now.Add(10 * time.Second)
 		}
-		b.ask(n, "view", func(r uint64) core.Command { q.Reply = r; return q })
+		b.pushRequest(n, "view", func(r uint64) core.Command { q.Reply = r; return q })
 		b.run(core.Seconds(number("for", 0.5)))
 	case "query":
 		id := first()
-		b.ask(n, id, func(r uint64) core.Command { return core.Query{Reply: r, ID: id} })
+		b.pushRequest(n, id, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} })
 		b.run(core.Seconds(number("for", 0.3)))
 	case "abort":
 		id := first()
-		b.ask(n, id, func(r uint64) core.Command { return core.Abort{Reply: r, ID: id} })
+		b.pushRequest(n, id, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} })
 		b.run(core.Seconds(number("for", 0.3)))
 	case "wait":
 		b.run(core.Seconds(number("for", 1)))
 	case "state":
 		// What becomes of the node's requests to the state service; ok: all as usual.
-		r := benchRule{mode: first()}
+		r := storeRule{mode: first()}
 		if d.HasArg("only") {
-			d.ScanArgs(t, "only", &r.only)
+			d.ScanArgs(t, "only", &r.contains)
 		}
 		if n.rules = append(n.rules, r); r.mode == "ok" {
 			n.rules = nil
 		}
 	case "deliver":
 		// say: prints what became of each, which shows that there was one.
-		held := n.held
-		n.held = nil
+		held := n.heldRequests
+		n.heldRequests = nil
 		for _, h := range held {
-			h.exec(func(r core.StateDone) {
+			h.exec(func(r core.StoreResponse) {
 				kind, text, txn := strings.Cut(h.text, ": ")
 				switch {
 				case !d.HasArg("say"):
 				case !txn:
-					b.out = append(b.out, fmt.Sprintf("%s tells of %d", kind, len(r.Items)))
-				case r.Status == core.StateOK:
-					b.out = append(b.out, "applied "+text)
-				case r.Status == core.StateNoGrant:
-					b.out = append(b.out, "refused "+text+", its grant has ended")
+					b.output = append(b.output, fmt.Sprintf("%s tells of %d", kind, len(r.KeyValues)))
+				case r.Status == core.StoreOK:
+					b.output = append(b.output, "applied "+text)
+				case r.Status == core.StoreNoLease:
+					b.output = append(b.output, "refused "+text+", its grant has ended")
 				default:
-					b.out = append(b.out, fmt.Sprintf("refused %s, as of another stamp: %s", text, strings.Join(r.Failed, ", ")))
+					b.output = append(b.output, fmt.Sprintf("refused %s, as of another stamp: %s", text, strings.Join(r.FailedKeys, ", ")))
 				}
 			})
 		}
@@ -586,17 +586,17 @@
 		}
 		for _, x := range n.txns {
 			if strings.Contains(x, only) {
-				b.out = append(b.out, x)
+				b.output = append(b.output, x)
 			}
 		}
 		n.txns = nil
 	case "news":
-		n.news = first() == "on"
+		n.peersConnected = first() == "on"
 	case "machine":
 		// One that has been rented some other way, or has a fault.
 		vm := b.vms[first()]
 		if vm == nil {
-			vm = &benchVM{id: first(), zone: "z1", tenure: 1}
+			vm = &scriptedWorker{id: first(), zone: "z1", incarnation: 1}
 			b.vms[vm.id] = vm
 		}
 		if d.HasArg("zone") {
@@ -605,83 +605,83 @@
 		vm.failed, vm.unlisted = d.HasArg("failed"), d.HasArg("unlisted")
 		if d.HasArg("anew") {
 			// Its worker begins anew under the same name, knowing nothing.
-			vm.tenure, vm.tick, vm.epoch = 1, 0, 0
+			vm.incarnation, vm.sequence, vm.epoch = 1, 0, 0
 		}
 	case "returns":
-		b.returns = first()
+		b.releaseMode = first()
 		clear(b.shown)
 	case "report":
 		vm := vm()
-		r := b.report(d, vm)
+		r := b.heartbeat(d, vm)
 		send := func() {
-			b.ask(n, vm.id, func(id uint64) core.Command { return core.WorkerReport{Reply: id, Report: r} })
+			b.pushRequest(n, vm.id, func(id uint64) core.Command { return core.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 		}
-		vm.again = func() *datadriven.TestData {
-			vm.tick++
-			r.Tick, r.Epoch, vm.again = vm.tick, vm.epoch, nil
+		vm.resend = func() *datadriven.TestData {
+			vm.sequence++
+			r.Sequence, r.Epoch, vm.resend = vm.sequence, vm.epoch, nil
 			send()
 			return d
 		}
 		if d.HasArg("once") {
-			vm.again = nil
+			vm.resend = nil
 		}
 		if d.HasArg("as") {
 			var name string
 			d.ScanArgs(t, "as", &name)
-			b.copies[name] = r
+			b.heartbeatCopies[name] = r
 		}
 		send()
 		b.run(0)
-		vm.again, vm.said = nil, nil
+		vm.resend, vm.reported = nil, nil
 	case "late":
 		// A copy of a report arrives, as it was sent, at whoever is asked for.
-		r, ok := b.copies[first()]
+		r, ok := b.heartbeatCopies[first()]
 		if !ok {
 			d.Fatalf(t, "late: no report was sent as %s", first())
 		}
-		b.ask(n, "late "+first(), func(id uint64) core.Command { return core.WorkerReport{Reply: id, Report: r} })
+		b.pushRequest(n, "late "+first(), func(id uint64) core.Command { return core.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 		b.run(0)
 	case "keep":
 		// The worker goes on reporting the same, to whoever is asked for.
 		vm, node, said := vm(), n, *d // datadriven uses d again
-		vm.keep = func() {
-			r := b.report(&said, vm)
-			b.ask(node, "", func(id uint64) core.Command { return core.WorkerReport{Reply: id, Report: r} })
-			b.silence[node.next] = vm
+		vm.repeat = func() {
+			r := b.heartbeat(&said, vm)
+			b.pushRequest(node, "", func(id uint64) core.Command { return core.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+			b.ignoredReplies[node.lastReply] = vm
 		}
-		vm.kept, vm.deaf = &said, d.HasArg("deaf")
+		vm.repeated, vm.unreachable = &said, d.HasArg("deaf")
 		if d.HasArg("off") {
-			vm.keep, vm.kept, vm.deaf = nil, nil, false
+			vm.repeat, vm.repeated, vm.unreachable = nil, nil, false
 		}
 	case "direct":
 		// The direct orders that wait for their answer.
 		b.run(0)
-		for _, op := range n.direct {
-			text := orders(op.Orders)
+		for _, op := range n.workerCommands {
+			text := formatCommands(op.Commands)
 			switch {
-			case op.Ask:
+			case op.StatusOnly:
 				text = " ask"
 			case text == "":
 				text = " epoch"
 			}
-			b.out = append(b.out, op.Machine+text)
+			b.output = append(b.output, op.Machine+text)
 		}
 	case "answer":
 		// The first of the machine's direct orders is answered, or not: lost. Without
 		// one it is a question.
 		b.run(0)
 		vm := vm()
-		i := slices.IndexFunc(n.direct, func(op benchOrder) bool { return op.Machine == vm.id && len(op.Orders) > 0 })
+		i := slices.IndexFunc(n.workerCommands, func(op workerCommand) bool { return op.Machine == vm.id && len(op.Commands) > 0 })
 		if i < 0 {
-			i = slices.IndexFunc(n.direct, func(op benchOrder) bool { return op.Machine == vm.id })
+			i = slices.IndexFunc(n.workerCommands, func(op workerCommand) bool { return op.Machine == vm.id })
 		}
 		if i < 0 {
 			return "no order\n"
 		}
-		op := n.direct[i]
-		n.direct = slices.Delete(n.direct, i, i+1)
+		op := n.workerCommands[i]
+		n.workerCommands = slices.Delete(n.workerCommands, i, i+1)
 		if d.HasArg("lost") {
-			n.push(core.WorkerDone{ID: op.ID})
+			n.push(core.WorkerResponse{ID: op.ID})
 		} else {
 			if d.HasArg("from") {
 				// Another machine has its address by now.
@@ -689,11 +689,11 @@
 				d.ScanArgs(t, "from", &other)
 				vm = b.vms[other]
 			}
-			if !op.Ask && !d.HasArg("refused") && op.Epoch >= vm.epoch {
+			if !op.StatusOnly && !d.HasArg("refused") && op.Epoch >= vm.epoch {
 				vm.epoch = op.Epoch
 			}
-			r := b.report(d, vm)
-			n.push(core.WorkerDone{ID: op.ID, OK: !d.HasArg("refused"), Report: &r})
+			r := b.heartbeat(d, vm)
+			n.push(core.WorkerResponse{ID: op.ID, OK: !d.HasArg("refused"), Heartbeat: &r})
 		}
 		b.run(0)
 	case "put":
@@ -702,17 +702,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.state.Do(b.now, core.StateOp{Kind: core.OpTxn, Apply: []core.Change{{Key: first(), Value: raw}}}, func(core.StateDone) {})
+		b.store.Do(b.now, core.StoreRequest{Kind: core.OpTxn, Writes: []core.Write{{Key: first(), Value: raw}}}, func(core.StoreResponse) {})
 	case "teams":
 		// A leader gives shares these teams, in one change: a=(ops) b=(lab).
-		op := core.StateOp{Kind: core.OpTxn}
+		op := core.StoreRequest{Kind: core.OpTxn}
 		for _, a := range d.CmdArgs {
 			if a.Key == "for" {
 				continue
 			}
 			key, share := "ctl/share/"+a.Key, map[string]any{}
-			b.state.Do(b.now, core.StateOp{Kind: core.OpGet, Key: key}, func(g core.StateDone) {
-				if err := msgpack.Unmarshal(g.Items[0].Value, &share); err != nil {
+			b.store.Do(b.now, core.StoreRequest{Kind: core.OpGet, Key: key}, func(g core.StoreResponse) {
+				if err := msgpack.Unmarshal(g.KeyValues[0].Value, &share); err != nil {
 					t.Fatal(err)
 				}
 			})
@@ -721,9 +721,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			op.Apply = append(op.Apply, core.Change{Key: key, Value: raw})
+			op.Writes = append(op.Writes, core.Write{Key: key, Value: raw})
 		}
-		b.state.Do(b.now, op, func(core.StateDone) {})
+		b.store.Do(b.now, op, func(core.StoreResponse) {})
 		b.run(core.Seconds(number("for", 0.5)))
 	case "lot":
 		// A leader names machines for a share: lot name share=b machines=(vm-1).
@@ -731,18 +731,18 @@
 		d.ScanArgs(t, "share", &share)
 		i := slices.IndexFunc(d.CmdArgs, func(a datadriven.CmdArg) bool { return a.Key == "machines" })
 		w, _ := division.Raise(bounds.Limits{ValueBytes: 4096}, first(), &division.Share{Name: share}, d.CmdArgs[i].Vals)
-		b.state.Do(b.now, core.StateOp{Kind: core.OpTxn, Apply: []core.Change{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(core.StateDone) {})
+		b.store.Do(b.now, core.StoreRequest{Kind: core.OpTxn, Writes: []core.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(core.StoreResponse) {})
 		b.run(core.Seconds(number("for", 0.5)))
 	case "keys":
-		b.state.Do(b.now, core.StateOp{Kind: core.OpList, Key: first()}, func(d core.StateDone) {
-			for _, it := range d.Items {
-				b.out = append(b.out, it.Key)
+		b.store.Do(b.now, core.StoreRequest{Kind: core.OpList, Key: first()}, func(d core.StoreResponse) {
+			for _, it := range d.KeyValues {
+				b.output = append(b.output, it.Key)
 			}
 		})
 	case "owner":
-		for _, h := range benchHosts {
-			if x := b.nodes[h]; x != nil && x.node != nil && x.node.IsOwner() {
-				b.out = append(b.out, h)
+		for _, h := range harnessHosts {
+			if x := b.controllers[h]; x != nil && x.controller != nil && x.controller.IsShardLeader() {
+				b.output = append(b.output, h)
 			}
 		}
 	default:
@@ -755,7 +755,7 @@
 // lines that they guard.
 func TestSafety(t *testing.T) {
 	datadriven.Walk(t, "testdata/safety", func(t *testing.T, path string) {
-		b := newBench(t)
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return b.command(d) })
+		b := newHarness(t)
+		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return b.runCommand(d) })
 	})
 }
--- a/internal/core/scale_test.go
+++ b/internal/core/scale_test.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// inheritance is what a successor finds in the state service: some machines, each
+// predecessorRecords is what a successor finds in the state service: some machines, each
 // with three tasks of a job of sixty.
-func inheritance(machines int) (open, tasks []Item) {
+func predecessorRecords(machines int) (open, tasks []KeyValue) {
 	const each, size = 3, 60
 	for k := 0; k*size < machines*each; k++ {
-		spec := Spec{
-			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: Normal, Tasks: size, Spot: true,
-			Need: Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, Expected: 25 * time.Second, Due: time.Minute,
+		spec := JobSpec{
+			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: Normal, Tasks: size, AllowSpot: true,
+			Need: Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		open = append(open, Item{Key: openPrefix + spec.ID, Value: encode(spec.record(time.Unix(1_750_000_000, 0))), Stamp: uint64(k + 1)})
-		per := chunkTasks(4096)
-		for c := 0; c*per < size; c++ {
-			var r chunkRecord
-			for i := c * per; i < min((c+1)*per, size); i++ {
+		open = append(open, KeyValue{Key: openJobPrefix + spec.ID, Value: encode(spec.openRecord(time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
+		perSegment := maxTasksPerSegment(4096)
+		for c := 0; c*perSegment < size; c++ {
+			var r taskSegmentRecord
+			for i := c * perSegment; i < min((c+1)*perSegment, size); i++ {
 				m := (k*size + i) / each
-				r.Rows = append(r.Rows, taskRow{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
+				r.Rows = append(r.Rows, taskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
 			}
-			tasks = append(tasks, Item{Key: fmt.Sprintf("%s%s/%d", taskPrefix, spec.ID, c), Value: encode(r), Stamp: uint64(k + 1)})
+			tasks = append(tasks, KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, spec.ID, c), Value: encode(r), ModRevision: uint64(k + 1)})
 		}
 	}
 	return open, tasks
 }
 
-// heir is an owner that has read nothing yet.
-func heir() *Node {
+// successor is an owner that has read nothing yet.
+func successor() *Controller {
 	n := largePool(0)
-	n.owner.ready, n.owner.readyAt = false, time.Time{}
-	n.owner.teams["ops"] = &teamHeld{}
-	n.owner.warm = map[string]map[string]float64{}
+	n.shardLeader.ready, n.shardLeader.readyAt = false, time.Time{}
+	n.shardLeader.teams["ops"] = &heldTeam{}
+	n.shardLeader.prewarmedImages = map[string]map[string]float64{}
 	return n
 }
 
-// inherits lets an owner take over what was read.
-func (n *Node) inherits(open, tasks []Item) {
-	m := &n.users.mirror
-	m.open = map[string]living{}
+// takeOverRecords lets an owner take over what was read.
+func (n *Controller) takeOverRecords(open, tasks []KeyValue) {
+	m := &n.frontend.watchCache
+	m.openJobs = map[string]openJob{}
 	for _, it := range open {
-		mirrorItem(m.open, it)
+		applyOpenJobRecord(m.openJobs, it)
 	}
-	teamsLoaded(n, map[string]*teamHeld{"ops": n.owner.teams["ops"]}, tasks, nil, n.now)
+	recoverTeams(n, map[string]*heldTeam{"ops": n.shardLeader.teams["ops"]}, tasks, nil, n.now)
 }
 
 // BenchmarkTakeover is what a successor does between its last read and its first
@@ -55,43 +55,43 @@
 func BenchmarkTakeover(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			open, tasks := inheritance(size)
+			open, tasks := predecessorRecords(size)
 			for b.Loop() {
-				n := heir()
-				n.inherits(open, tasks)
+				n := successor()
+				n.takeOverRecords(open, tasks)
 			}
 		})
 	}
 }
 
-// BenchmarkHeard is the first report of each machine after a takeover.
-func BenchmarkHeard(b *testing.B) {
+// BenchmarkFirstHeartbeat is the first report of each machine after a takeover.
+func BenchmarkFirstHeartbeat(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			open, tasks := inheritance(size)
+			open, tasks := predecessorRecords(size)
 			i := size
-			var n *Node
+			var n *Controller
 			for b.Loop() {
 				if i == size {
 					b.StopTimer()
-					i, n = 0, heir()
-					n.inherits(open, tasks)
+					i, n = 0, successor()
+					n.takeOverRecords(open, tasks)
 					b.StartTimer()
 				}
-				hearHeir(n, i)
+				firstHeartbeat(n, i)
 				i++
 			}
 		})
 	}
 }
 
-func hearHeir(n *Node, i int) {
-	r := n.poolReport(i)
-	for k, t := range n.machine(r.Machine).attempts {
-		r.Tasks = append(r.Tasks, TaskReport{Job: k.job, Index: k.index, Try: t.try, Status: Running})
+func firstHeartbeat(n *Controller, i int) {
+	r := n.poolHeartbeat(i)
+	for k, t := range n.ensureMachine(r.Machine).attempts {
+		r.Tasks = append(r.Tasks, TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: Running})
 	}
-	n.out = n.out[:0]
-	n.workerReport(WorkerReport{Reply: 1, Report: *r})
+	n.effects = n.effects[:0]
+	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 }
 
 // BenchmarkStep is a step with one poll and one submission in it, in which nothing
@@ -101,22 +101,22 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n := largePool(size)
 			n.rng = rand.New(rand.NewPCG(1, 2))
-			n.sess.ready, n.users.mirror.loaded = true, true
-			n.users.mirror.open = map[string]living{}
-			n.users.mirror.waiting = true
+			n.membership.ready, n.frontend.watchCache.loaded = true, true
+			n.frontend.watchCache.openJobs = map[string]openJob{}
+			n.frontend.watchCache.refreshScheduled = true
 			now, k := n.now, 0
 			n.Step(now, nil)
-			n.owner.endPass()
+			n.shardLeader.endPlanningPass()
 			for b.Loop() {
 				k++
 				id := fmt.Sprintf("job-x%06d", k)
 				n.Step(now, []Command{
-					Query{Reply: 1, ID: id},
-					Submit{Reply: 2, Spec: Spec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}},
+					QueryJob{Reply: 1, ID: id},
+					SubmitJob{Reply: 2, Spec: JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}},
 				})
-				clear(n.state)
-				n.users.queue, n.users.inFlight, n.users.waiting, n.users.expiry = nil, 0, 0, nil
-				n.users.mirror.next = nil
+				clear(n.storeCallbacks)
+				n.frontend.submitQueue, n.frontend.inFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
+				n.frontend.watchCache.nextReadWaiters = nil
 				n.timers = nil
 			}
 		})
@@ -128,16 +128,16 @@
 // is given, and what is built up for a moment is no multiple of it.
 func TestTakeoverStaysWithinMemory(t *testing.T) {
 	const machines = 10_000
-	open, tasks := inheritance(machines)
+	open, tasks := predecessorRecords(machines)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	n := heir()
-	n.inherits(open, tasks)
+	n := successor()
+	n.takeOverRecords(open, tasks)
 	for i := range machines {
-		hearHeir(n, i)
+		firstHeartbeat(n, i)
 	}
-	n.out = nil
+	n.effects = nil
 	n.planFleet(true)
 	runtime.ReadMemStats(&after)
 	churned := (after.TotalAlloc - before.TotalAlloc) >> 20
@@ -145,8 +145,8 @@
 	runtime.ReadMemStats(&after)
 	kept := (after.HeapAlloc - before.HeapAlloc) >> 20
 	t.Logf("%d MB kept, %d MB allocated in all", kept, churned)
-	if len(n.owner.byID) != machines || len(n.owner.jobs) != 500 {
-		t.Fatalf("%d machines and %d jobs are restored", len(n.owner.byID), len(n.owner.jobs))
+	if len(n.shardLeader.machinesByID) != machines || len(n.shardLeader.jobs) != 500 {
+		t.Fatalf("%d machines and %d jobs are restored", len(n.shardLeader.machinesByID), len(n.shardLeader.jobs))
 	}
 	// A controller with 256 MB leaves 150 to Go's heap.
 	if kept > 75 {
--- a/internal/core/size_test.go
+++ b/internal/core/size_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// mostPerMachine is what the core may keep for each machine with its tasks and its part
+// maxBytesPerMachine is what the core may keep for each machine with its tasks and its part
 // of the jobs: at 2,000 machines a tenth of the smallest quota of the sites known.
-const mostPerMachine = 12 << 10
+const maxBytesPerMachine = 12 << 10
 
 // TestMemoryBySize: what the core keeps grows with the machines and stays far within the
 // quota, also while the fleet is planned and all of it reports.
@@ -21,15 +21,15 @@
 			runtime.ReadMemStats(&before)
 			n := largePool(machines)
 			for i := range machines {
-				r := n.poolReport(i)
-				r.Tick = 7
-				n.hear(n.owner.byID[i], r, true)
+				r := n.poolHeartbeat(i)
+				r.Sequence = 7
+				n.applyHeartbeat(n.shardLeader.machinesByID[i], r, true)
 			}
 			n.now = n.now.Add(time.Second)
-			n.lookAtFleet(func(int) bool { return true })
+			n.scanFleet(func(int) bool { return true })
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			if kept := int64(after.HeapAlloc) - int64(before.HeapAlloc); kept > int64(machines)*mostPerMachine {
+			if kept := int64(after.HeapAlloc) - int64(before.HeapAlloc); kept > int64(machines)*maxBytesPerMachine {
 				t.Errorf("%d machines keep %d KB", machines, kept>>10)
 			}
 			runtime.KeepAlive(n)
