--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -2,166 +2,166 @@
 
 import "time"
 
-// StatusQuery asks for a picture of this controller, for its operators.
-type StatusQuery struct{ Reply uint64 }
+// QueryStatus asks for a picture of this controller, for its operators.
+type QueryStatus struct{ Reply uint64 }
 
-func (StatusQuery) command() {}
+func (QueryStatus) command() {}
 
 // StatusReply is the picture.
 type StatusReply struct {
-	Reply    uint64        `json:"-"`
-	Host     string        `json:"host"`
-	Healthy  bool          `json:"healthy"`
-	Leader   string        `json:"leader"`
-	IsLeader bool          `json:"is_leader"`
-	IsOwner  bool          `json:"is_owner"`
-	Teams    []TeamStatus  `json:"teams,omitempty"`
-	Shares   []ShareStatus `json:"shares,omitempty"`
-	Wards    WardStatus    `json:"wards"`
-	// Defects counts mistakes of the program's own, such as malformed requests.
-	Defects int `json:"defects"`
-	// BadInput counts what came from outside and made no sense.
-	BadInput  int              `json:"bad_input"`
-	Nodes     []string         `json:"nodes"`
-	Workloads []WorkloadStatus `json:"workloads,omitempty"`
-	Machines  []MachineStatus  `json:"machines,omitempty"`
+	Reply          uint64              `json:"-"`
+	Host           string              `json:"host"`
+	Healthy        bool                `json:"healthy"`
+	Leader         string              `json:"leader"`
+	IsLeader       bool                `json:"is_leader"`
+	IsShardLeader  bool                `json:"is_owner"`
+	Teams          []TeamStatus        `json:"teams,omitempty"`
+	Shards         []ShardStatus       `json:"shares,omitempty"`
+	RemoteAttempts RemoteAttemptStatus `json:"wards"`
+	// InternalErrors counts mistakes of the program's own, such as malformed requests.
+	InternalErrors int `json:"defects"`
+	// RejectedInputs counts what came from outside and made no sense.
+	RejectedInputs int              `json:"bad_input"`
+	Controllers    []string         `json:"nodes"`
+	Workloads      []WorkloadStatus `json:"workloads,omitempty"`
+	Machines       []MachineStatus  `json:"machines,omitempty"`
 	// Pipelines are the jobs here that wait for others, and Behind those that hold most up.
-	Pipelines int           `json:"pipelines,omitempty"`
-	Behind    []HoldsStatus `json:"behind,omitempty"`
-	// Moves is there where models are switched on.
-	Moves *MovesStatus `json:"moves,omitempty"`
-	// GPURooms are there while models are on.
-	GPURooms []GPURoom `json:"gpu_rooms,omitempty"`
+	Pipelines    int                 `json:"pipelines,omitempty"`
+	BlockingJobs []BlockingJobStatus `json:"behind,omitempty"`
+	// Migrations is there where models are switched on.
+	Migrations *MigrationsStatus `json:"moves,omitempty"`
+	// GPUFreeCapacity are there while models are on.
+	GPUFreeCapacity []GPUFreeCapacity `json:"gpu_rooms,omitempty"`
 }
 
 func (StatusReply) effect() {}
 
 // TeamStatus is a team and who runs it; what it keeps busy is known to that controller.
 type TeamStatus struct {
-	Name  string  `json:"name"`
-	Owner string  `json:"owner,omitempty"`
-	Here  bool    `json:"here,omitempty"`
-	Ready bool    `json:"ready,omitempty"`
-	CPU   float64 `json:"cpu,omitempty"`
+	Name    string  `json:"name"`
+	Owner   string  `json:"owner,omitempty"`
+	IsLocal bool    `json:"here,omitempty"`
+	Ready   bool    `json:"ready,omitempty"`
+	CPU     float64 `json:"cpu,omitempty"`
 }
 
-// ShareStatus is a share of the division and its holder.
-type ShareStatus struct {
-	Name   string `json:"name"`
-	Holder string `json:"holder"`
-	Alive  bool   `json:"alive"`
-	Teams  int    `json:"teams"`
-	Rest   bool   `json:"rest,omitempty"`
-	Lots   int    `json:"lots"`
+// ShardStatus is a share of the division and its holder.
+type ShardStatus struct {
+	Name          string `json:"name"`
+	Leader        string `json:"holder"`
+	Alive         bool   `json:"alive"`
+	Teams         int    `json:"teams"`
+	HoldsCatchAll bool   `json:"rest,omitempty"`
+	Segments      int    `json:"lots"`
 }
 
-// WardStatus counts attempts of the jobs here on machines of others, and of others'
+// RemoteAttemptStatus counts attempts of the jobs here on machines of others, and of others'
 // jobs on the machines here.
-type WardStatus struct {
-	Afar int `json:"afar"`
-	Here int `json:"here"`
+type RemoteAttemptStatus struct {
+	OnOthersMachines int `json:"afar"`
+	OthersHere       int `json:"here"`
 }
 
 // WorkloadStatus sums up the open jobs of a workload.
 type WorkloadStatus struct {
-	Name    string  `json:"name"`
-	Jobs    int     `json:"jobs"`
-	Waiting int     `json:"waiting"`
-	Live    int     `json:"live"`
-	Done    int     `json:"done"`
-	Rate    float64 `json:"tasks_per_s"`
-	Ratio   float64 `json:"run_to_estimate"`
+	Name           string  `json:"name"`
+	Jobs           int     `json:"jobs"`
+	Waiting        int     `json:"waiting"`
+	Live           int     `json:"live"`
+	Done           int     `json:"done"`
+	TasksPerSecond float64 `json:"tasks_per_s"`
+	RunToEstimate  float64 `json:"run_to_estimate"`
 }
 
-// GPURoom is how the room on the machines of a kind with GPUs lies: how many machines are
+// GPUFreeCapacity is how the room on the machines of a kind with GPUs lies: how many machines are
 // whole, how many GPUs are free, how many of these on machines that are not, and the most
 // that one replica could have now.
-type GPURoom struct {
-	Flavour string  `json:"flavour"`
-	Zone    string  `json:"zone"`
-	Spot    bool    `json:"spot"`
-	Hosts   int     `json:"hosts"`
-	Whole   int     `json:"whole"`
-	Free    float64 `json:"free_gpus"`
-	Pieces  float64 `json:"gpus_in_pieces"`
-	Largest float64 `json:"largest_replica_gpus"`
+type GPUFreeCapacity struct {
+	MachineType        string  `json:"flavour"`
+	Zone               string  `json:"zone"`
+	Spot               bool    `json:"spot"`
+	Machines           int     `json:"hosts"`
+	EmptyMachines      int     `json:"whole"`
+	FreeGPUs           float64 `json:"free_gpus"`
+	FragmentedGPUs     float64 `json:"gpus_in_pieces"`
+	LargestReplicaGPUs float64 `json:"largest_replica_gpus"`
 }
 
 // MachineStatus is one machine.
 type MachineStatus struct {
-	ID      string  `json:"id"`
-	Flavour string  `json:"flavour"`
-	Zone    string  `json:"zone"`
-	Spot    bool    `json:"spot"`
-	State   string  `json:"state"`
-	Tasks   int     `json:"tasks"`
-	UsedCPU float64 `json:"used_cpu"`
-	CPU     float64 `json:"cpu"`
-	Heard   string  `json:"heard"`
+	ID               string  `json:"id"`
+	MachineType      string  `json:"flavour"`
+	Zone             string  `json:"zone"`
+	Spot             bool    `json:"spot"`
+	State            string  `json:"state"`
+	Tasks            int     `json:"tasks"`
+	UsedCPU          float64 `json:"used_cpu"`
+	CPU              float64 `json:"cpu"`
+	LastHeartbeatAge string  `json:"heard"`
 }
 
-func (n *Node) status(c StatusQuery) {
+func (n *Controller) replyStatus(c QueryStatus) {
 	s := StatusReply{
-		Reply: c.Reply, Host: n.set.Host, Healthy: n.Healthy(n.now), Leader: n.sess.lead.Host,
-		Defects:  n.defects,
-		BadInput: n.badInput,
-		Moves:    movesStatus(n),
-		IsLeader: n.leader != nil, IsOwner: n.IsOwner(), Nodes: sortedKeys(n.sess.nodes),
+		Reply: c.Reply, Host: n.settings.Host, Healthy: n.Healthy(n.now), Leader: n.membership.leader.Host,
+		InternalErrors: n.internalErrors,
+		RejectedInputs: n.rejectedInputs,
+		Migrations:     migrationsStatus(n),
+		IsLeader:       n.leader != nil, IsShardLeader: n.IsShardLeader(), Controllers: sortedKeys(n.membership.controllers),
 	}
 	cpus := map[string]float64{}
-	if n.owner != nil {
+	if n.shardLeader != nil {
 		for _, l := range n.teamLoads() {
 			cpus[l.Team] = l.CPU
 		}
 	}
-	for _, t := range n.set.Teams {
+	for _, t := range n.settings.Teams {
 		ts := TeamStatus{Name: t.Name, CPU: cpus[t.Name]}
-		if x := n.sess.book.Team(t.Name); x != nil {
+		if x := n.membership.shardMap.Team(t.Name); x != nil {
 			ts.Owner = x.Host
 		}
-		if n.owner != nil && n.owner.teams[t.Name] != nil {
-			ts.Here, ts.Ready = true, n.owner.teams[t.Name].ready
+		if n.shardLeader != nil && n.shardLeader.teams[t.Name] != nil {
+			ts.IsLocal, ts.Ready = true, n.shardLeader.teams[t.Name].ready
 		}
 		s.Teams = append(s.Teams, ts)
 	}
-	for _, x := range n.sess.book.Shares() {
-		s.Shares = append(s.Shares, ShareStatus{
-			Name: x.Name, Holder: x.Host, Alive: n.sess.nodes[x.Host].Nonce == x.Nonce, Teams: len(x.Teams), Rest: x.Rest,
-			Lots: len(n.sess.book.LotsOf(x.Name)),
+	for _, x := range n.membership.shardMap.Shares() {
+		s.Shards = append(s.Shards, ShardStatus{
+			Name: x.Name, Leader: x.Host, Alive: n.membership.controllers[x.Host].Incarnation == x.Nonce, Teams: len(x.Teams), HoldsCatchAll: x.Rest,
+			Segments: len(n.membership.shardMap.LotsOf(x.Name)),
 		})
 	}
-	if o := n.owner; o != nil {
-		s.GPURooms = n.gpuRooms()
-		for _, a := range o.afar {
-			s.Wards.Afar += len(a.attempts)
+	if o := n.shardLeader; o != nil {
+		s.GPUFreeCapacity = n.gpuFreeCapacity()
+		for _, a := range o.remoteMachines {
+			s.RemoteAttempts.OnOthersMachines += len(a.attempts)
 		}
 		for _, id := range o.registry.Machines() {
-			s.Wards.Here += o.registry.Count(id)
+			s.RemoteAttempts.OthersHere += o.registry.Count(id)
 		}
 		by := map[string]*WorkloadStatus{}
 		for _, j := range o.jobs {
 			w := by[j.Workload]
 			if w == nil {
-				w = &WorkloadStatus{Name: j.Workload, Rate: n.arrivalRate(j.Workload, warmWindow), Ratio: 1}
-				if e := n.errs[j.Workload]; e != nil {
-					w.Ratio = e.ratio
+				w = &WorkloadStatus{Name: j.Workload, TasksPerSecond: n.arrivalRate(j.Workload, arrivalWindow), RunToEstimate: 1}
+				if e := n.estimators[j.Workload]; e != nil {
+					w.RunToEstimate = e.ratio
 				}
 				by[j.Workload] = w
 			}
 			w.Jobs++
-			w.Waiting += j.pending()
-			w.Live += j.live
-			w.Done += j.done
+			w.Waiting += j.pendingTasks()
+			w.Live += j.liveTasks
+			w.Done += j.doneTasks
 		}
-		s.Pipelines, s.Behind = n.holdsStatus()
+		s.Pipelines, s.BlockingJobs = n.blockingJobs()
 		for _, name := range sortedKeys(by) {
 			s.Workloads = append(s.Workloads, *by[name])
 		}
 		for _, id := range sortedKeys(o.machines) {
 			m := o.machines[id]
-			ms := MachineStatus{ID: id, Flavour: m.flavour, Zone: m.zone, Spot: m.spot, State: n.machineState(m), Tasks: len(m.attempts), UsedCPU: m.used.CPU, CPU: m.size.CPU}
+			ms := MachineStatus{ID: id, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, State: n.machineState(m), Tasks: len(m.attempts), UsedCPU: m.used.CPU, CPU: m.size.CPU}
 			if m.heard {
-				ms.Heard = n.now.Sub(m.lastHeard).Round(100 * time.Millisecond).String()
+				ms.LastHeartbeatAge = n.now.Sub(m.lastHeard).Round(100 * time.Millisecond).String()
 			}
 			s.Machines = append(s.Machines, ms)
 		}
@@ -169,21 +169,21 @@
 	n.emit(s)
 }
 
-func (n *Node) machineState(m *machine) string {
+func (n *Controller) machineState(m *machine) string {
 	switch {
-	case m.returning:
+	case m.releasing:
 		return "returning"
 	case !m.heard:
 		return "booting"
-	case n.silent(m):
+	case n.unresponsive(m):
 		return "silent"
-	case !m.reach.Hears():
+	case !m.reachability.Hears():
 		return "deaf"
-	case m.recall:
+	case m.reclaimNoticed:
 		return "recalled"
-	case m.bad:
+	case m.faulty:
 		return "faulty"
-	case m.retiring:
+	case m.decommissioning:
 		return "retiring"
 	}
 	return "up"
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -12,75 +12,75 @@
 // machines are this controller's, by the records that it has read. What comes is taken
 // up where it is, what goes is let go where it is; nothing else is disturbed.
 
-// teamHeld is a team of this owner.
-type teamHeld struct {
+// heldTeam is a team of this owner.
+type heldTeam struct {
 	// ready: its records have been read, since readyAt.
 	ready   bool
 	readyAt time.Time
-	// term tells this time from others that the team was here.
-	term int
+	// holdID tells this time from others that the team was here.
+	holdID int
 	// away: it has been another's since it came, even if it is back by now. That other
 	// has written of its jobs, so that what is in the books is not what stands there.
-	away bool
+	reassigned bool
 }
 
-// teamsAway notes which teams are another's as of the revision that ctl/ has just been
+// markReassignedTeams notes which teams are another's as of the revision that ctl/ has just been
 // brought to. One answer may tell of many: that a team went and that it came back.
-func teamsAway(n *Node) {
-	if n.owner == nil {
+func markReassignedTeams(n *Controller) {
+	if n.shardLeader == nil {
 		return
 	}
-	for t, h := range n.owner.teams {
-		s := n.sess.book.Team(t)
-		h.away = h.away || s == nil || s.Host != n.set.Host || s.Nonce != n.life()
+	for t, h := range n.shardLeader.teams {
+		s := n.membership.shardMap.Team(t)
+		h.reassigned = h.reassigned || s == nil || s.Host != n.settings.Host || s.Nonce != n.incarnation()
 	}
 }
 
-// teamsReread does the same when ctl/ has been read anew and what happened in between
+// markReassignedAfterReRead does the same when ctl/ has been read anew and what happened in between
 // is not told: only a share that has not been written since has kept its teams.
-func teamsReread(n *Node, before *division.Book) {
-	if n.owner == nil {
+func markReassignedAfterReRead(n *Controller, before *division.Book) {
+	if n.shardLeader == nil {
 		return
 	}
-	for t, h := range n.owner.teams {
-		was, is := before.Team(t), n.sess.book.Team(t)
-		h.away = h.away || was == nil || is == nil || was.Stamp != is.Stamp
+	for t, h := range n.shardLeader.teams {
+		was, is := before.Team(t), n.membership.shardMap.Team(t)
+		h.reassigned = h.reassigned || was == nil || is == nil || was.Stamp != is.Stamp
 	}
 }
 
-// ownerCheck brings the owner's books in step with ctl/.
-func (n *Node) ownerCheck() {
-	s := &n.sess
+// syncShardLeader brings the owner's books in step with ctl/.
+func (n *Controller) syncShardLeader() {
+	s := &n.membership
 	if !s.loaded {
 		return
 	}
-	var held []*division.Share
-	if s.grant != 0 {
-		held = slices.DeleteFunc(s.book.Holds(n.set.Host, n.life()), func(x *division.Share) bool {
-			return len(x.Teams) == 0 && !x.Rest && !s.book.Names(x.Name)
+	var heldShards []*division.Share
+	if s.leaseID != 0 {
+		heldShards = slices.DeleteFunc(s.shardMap.Holds(n.settings.Host, n.incarnation()), func(x *division.Share) bool {
+			return len(x.Teams) == 0 && !x.Rest && !s.shardMap.Names(x.Name)
 		})
 	}
-	if len(held) == 0 {
-		n.dropOwner("no share")
+	if len(heldShards) == 0 {
+		n.dropShardLeader("no share")
 		return
 	}
-	if n.owner == nil {
-		n.owner = &owner{
-			since: n.now, gen: int(n.id()),
-			teams: map[string]*teamHeld{}, shares: map[string]bool{},
-			jobs: map[string]*job{}, machines: map[string]*machine{}, afar: map[string]*machine{}, used: map[string]Resources{},
-			higher: map[string]time.Time{}, arrivals: map[loadKey][]arrival{}, workloads: map[string]*workload{}, warm: map[string]map[string]float64{},
+	if n.shardLeader == nil {
+		n.shardLeader = &shardLeader{
+			since: n.now, generation: int(n.nextID()),
+			teams: map[string]*heldTeam{}, shards: map[string]bool{},
+			jobs: map[string]*job{}, machines: map[string]*machine{}, remoteMachines: map[string]*machine{}, usedByTeam: map[string]Resources{},
+			higherEpochSeen: map[string]time.Time{}, arrivals: map[workloadKey][]arrival{}, workloads: map[string]*workload{}, prewarmedImages: map[string]map[string]float64{},
 		}
-		n.info("owner", "shares", shareNames(held))
-		n.mirrorWatch()
+		n.info("owner", "shares", shardNames(heldShards))
+		n.watchOpenJobs()
 	}
-	syncMachines(n, held)
-	syncTeams(n, held)
+	syncMachines(n, heldShards)
+	syncTeams(n, heldShards)
 }
 
-func shareNames(held []*division.Share) []string {
+func shardNames(heldShards []*division.Share) []string {
 	var out []string
-	for _, x := range held {
+	for _, x := range heldShards {
 		out = append(out, x.Name)
 	}
 	return out
@@ -88,76 +88,76 @@
 
 // syncTeams lets go of the teams that are another's now, and reads the records of
 // those that have come.
-func syncTeams(n *Node, held []*division.Share) {
-	o := n.owner
-	now := map[string]bool{}
-	for _, x := range held {
+func syncTeams(n *Controller, heldShards []*division.Share) {
+	o := n.shardLeader
+	assigned := map[string]bool{}
+	for _, x := range heldShards {
 		for _, t := range x.Teams {
-			now[t] = n.sess.book.Team(t) == x
+			assigned[t] = n.membership.shardMap.Team(t) == x
 		}
 	}
 	for _, t := range sortedKeys(o.teams) {
-		if !now[t] || o.teams[t].away {
+		if !assigned[t] || o.teams[t].reassigned {
 			n.info("a team goes", "team", t)
-			letTeamGo(n, t)
+			handOverTeam(n, t)
 		}
 	}
-	for _, t := range sortedKeys(now) {
-		if now[t] && o.teams[t] == nil {
+	for _, t := range sortedKeys(assigned) {
+		if assigned[t] && o.teams[t] == nil {
 			n.info("a team comes", "team", t)
-			o.teams[t] = &teamHeld{term: int(n.id())}
+			o.teams[t] = &heldTeam{holdID: int(n.nextID())}
 		}
 	}
 	loadTeams(n)
 }
 
-// letTeamGo takes a team's jobs out of the books. What of them runs here goes on, in
+// handOverTeam takes a team's jobs out of the books. What of them runs here goes on, in
 // the care of this controller, until their new owner asks for it or it ends.
-func letTeamGo(n *Node, team string) {
-	o := n.owner
+func handOverTeam(n *Controller, team string) {
+	o := n.shardLeader
 	delete(o.teams, team)
-	to := ""
-	if s := n.sess.book.Team(team); s != nil {
-		to = s.Host
+	newOwner := ""
+	if s := n.membership.shardMap.Team(team); s != nil {
+		newOwner = s.Host
 	}
-	left := map[string]*machine{}
+	affected := map[string]*machine{}
 	for _, id := range sortedKeys(o.jobs) {
 		j := o.jobs[id]
 		if j.Team != team {
 			continue
 		}
-		for i := range j.tasks[:j.fresh] {
+		for i := range j.tasks[:j.nextFresh] {
 			t := &j.tasks[i]
-			m := t.m
+			m := t.machine
 			if m == nil {
 				continue
 			}
 			delete(m.attempts, taskKey{id, i})
 			m.used = m.used.Plus(j.Need, -1)
-			if m.afar {
-				o.dropAfar(m)
+			if m.remote {
+				o.dropRemoteMachine(m)
 				continue
 			}
 			// It may run or yet begin, and takes room. Whoever owns the job now reads
 			// of it and asks. What was never told to anybody is nowhere.
-			a := ownership.Attempt{Job: id, Index: i, Try: t.try}
-			o.registry.Ask(n.now, to, ownership.Ask{Machine: m.id, Attempts: []ownership.Asked{{Attempt: a}}})
-			if !t.sent {
+			a := ownership.Attempt{Job: id, Index: i, Try: t.attempt}
+			o.registry.Ask(n.now, newOwner, ownership.Ask{Machine: m.id, Attempts: []ownership.Asked{{Attempt: a}}})
+			if !t.startSent {
 				o.registry.Nowhere(n.now, m.id, a)
 			}
-			left[m.id] = m
+			affected[m.id] = m
 		}
 		delete(o.jobs, id)
-		o.blame.JobOver(id)
+		o.faultAttribution.JobOver(id)
 	}
 	// Only now: what belongs to a job in the books is not counted as another's.
-	for _, id := range sortedKeys(left) {
-		n.countForeign(left[id])
-		n.mark(left[id])
+	for _, id := range sortedKeys(affected) {
+		n.recountOthersUsed(affected[id])
+		n.markDispatchPending(affected[id])
 	}
-	delete(o.used, team)
-	forgetMoves(n, team)
-	delete(o.dates.books, team)
+	delete(o.usedByTeam, team)
+	forgetMigrations(n, team)
+	delete(o.promiseDates.pageWriters, team)
 	for k := range o.arrivals {
 		if k.team == team {
 			delete(o.arrivals, k)
@@ -167,148 +167,148 @@
 
 // syncMachines lets go of the machines that are another's now, takes up those that
 // have come, and notes whose the others are.
-func syncMachines(n *Node, held []*division.Share) {
-	o := n.owner
-	clear(o.shares)
-	rest := false
-	for _, x := range held {
-		o.shares[x.Name] = true
-		rest = rest || x.Rest
+func syncMachines(n *Controller, heldShards []*division.Share) {
+	o := n.shardLeader
+	clear(o.shards)
+	catchAll := false
+	for _, x := range heldShards {
+		o.shards[x.Name] = true
+		catchAll = catchAll || x.Rest
 	}
 	switch {
-	case !rest:
-		o.restSince = time.Time{}
-	case o.restSince.IsZero():
-		o.restSince = n.now
+	case !catchAll:
+		o.catchAllSince = time.Time{}
+	case o.catchAllSince.IsZero():
+		o.catchAllSince = n.now
 	}
-	for _, m := range slices.Clone(o.byID) {
-		x, mine := n.mine(m.id)
+	for _, m := range slices.Clone(o.machinesByID) {
+		x, mine := n.ownedMachine(m.id)
 		switch {
 		case !mine:
-			letMachineGo(n, m)
+			handOverMachine(n, m)
 		case x.Epoch != m.epoch:
 			// It may have been another's in between, of which this one has read only
 			// now: what was seen of it, and when its lease ends, count anew.
-			m.epoch, m.former = x.Epoch, n.now.Add(n.former())
+			m.epoch, m.formerOwnerUntil = x.Epoch, n.now.Add(n.formerOwnerGrace())
 			if !m.leaseEnd.IsZero() {
-				m.leaseEnd = later(m.leaseEnd, n.leaseAfter(m.former))
+				m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
 			}
 			o.registry.Doubt(m.id)
-			n.mark(m)
+			n.markDispatchPending(m)
 		}
 	}
-	for _, id := range sortedKeys(o.afar) {
-		if _, mine := n.mine(id); mine {
-			takeMachine(n, o.afar[id])
+	for _, id := range sortedKeys(o.remoteMachines) {
+		if _, mine := n.ownedMachine(id); mine {
+			takeOverMachine(n, o.remoteMachines[id])
 		}
 	}
 }
 
-// letMachineGo forgets a machine that is another's now. The attempts of this owner's
+// handOverMachine forgets a machine that is another's now. The attempts of this owner's
 // jobs on it stay there: its new owner is asked about them.
-func letMachineGo(n *Node, m *machine) {
-	o := n.owner
-	o.forget(m)
+func handOverMachine(n *Controller, m *machine) {
+	o := n.shardLeader
+	o.removeMachine(m)
 	o.registry.Drop(m.id)
-	delete(o.higher, m.id)
+	delete(o.higherEpochSeen, m.id)
 	if len(m.attempts) == 0 {
 		return
 	}
-	a := n.afar(m.id)
-	a.zone, a.flavour, a.spot = m.zone, m.flavour, m.spot
+	asRemote := n.remoteMachine(m.id)
+	asRemote.zone, asRemote.machineType, asRemote.spot = m.zone, m.machineType, m.spot
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
-		if !t.sent {
+		if !t.startSent {
 			// Never told to anybody, so it is nowhere.
-			n.gone(o.jobs[k.job], k.index, false)
+			n.endAttempt(o.jobs[k.job], k.index, false)
 			continue
 		}
-		t.m = a
-		a.attempts[k] = t
-		a.used = a.used.Plus(o.jobs[k.job].Need, 1)
+		t.machine = asRemote
+		asRemote.attempts[k] = t
+		asRemote.used = asRemote.used.Plus(o.jobs[k.job].Need, 1)
 	}
-	o.dropAfar(a)
-	o.remote.soon = true
+	o.dropRemoteMachine(asRemote)
+	o.remote.due = true
 }
 
-// takeMachine takes up a machine on which this owner's jobs have run under another.
-func takeMachine(n *Node, a *machine) {
-	o := n.owner
-	delete(o.afar, a.id)
-	a.forgotten = true
-	m := n.machine(a.id)
-	if m.flavour == "" && a.flavour != "" {
-		m.zone, m.flavour, m.spot = a.zone, a.flavour, a.spot
-		if f, ok := n.types[a.flavour]; ok {
-			m.size, m.disk = f.Size, f.DiskGB
+// takeOverMachine takes up a machine on which this owner's jobs have run under another.
+func takeOverMachine(n *Controller, asRemote *machine) {
+	o := n.shardLeader
+	delete(o.remoteMachines, asRemote.id)
+	asRemote.removed = true
+	m := n.ensureMachine(asRemote.id)
+	if m.machineType == "" && asRemote.machineType != "" {
+		m.zone, m.machineType, m.spot = asRemote.zone, asRemote.machineType, asRemote.spot
+		if f, ok := n.machineTypes[asRemote.machineType]; ok {
+			m.size, m.disk = f.Capacity, f.DiskGB
 		}
 	}
-	for _, k := range sortedAttempts(a) {
-		t := a.attempts[k]
+	for _, k := range sortedAttempts(asRemote) {
+		t := asRemote.attempts[k]
 		j := o.jobs[k.job]
-		j.zoneLive[a.zone]--
-		j.zoneLive[m.zone]++
-		t.m, t.sent = m, true
+		j.liveByZone[asRemote.zone]--
+		j.liveByZone[m.zone]++
+		t.machine, t.startSent = m, true
 		m.attempts[k] = t
 		m.used = m.used.Plus(j.Need, 1)
 	}
 	// Whoever had it may go on answering it for a while.
-	m.leaseEnd = later(m.leaseEnd, n.leaseAfter(m.former))
-	n.rehear(m)
-	if h := n.heirloom[m.id]; n.now.Sub(h.heard) < hostMemory && m.addr == "" {
-		n.describe(m, h.Addr, h.Flavour, h.Zone, h.Spot)
+	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
+	n.rePoll(m)
+	if h := n.predecessorMachines[m.id]; n.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
+		n.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 	}
-	o.heirs = append(o.heirs, m)
+	o.inheritedMachines = append(o.inheritedMachines, m)
 }
 
-// afar is a machine of another owner, as far as this one's jobs have attempts there.
-func (n *Node) afar(id string) *machine {
-	a := n.owner.afar[id]
+// remoteMachine is a machine of another owner, as far as this one's jobs have attempts there.
+func (n *Controller) remoteMachine(id string) *machine {
+	a := n.shardLeader.remoteMachines[id]
 	if a == nil {
-		a = &machine{id: id, afar: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
-		if h, ok := n.heirloom[id]; ok {
-			a.zone, a.flavour, a.spot = h.Zone, h.Flavour, h.Spot
+		a = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
+		if h, ok := n.predecessorMachines[id]; ok {
+			a.zone, a.machineType, a.spot = h.Zone, h.MachineType, h.Spot
 		}
-		n.owner.afar[id] = a
+		n.shardLeader.remoteMachines[id] = a
 	}
 	return a
 }
 
-// dropAfar forgets a machine of another owner when nothing of ours is on it.
-func (o *owner) dropAfar(a *machine) {
+// dropRemoteMachine forgets a machine of another owner when nothing of ours is on it.
+func (o *shardLeader) dropRemoteMachine(a *machine) {
 	if len(a.attempts) == 0 {
-		delete(o.afar, a.id)
-		a.forgotten = true
+		delete(o.remoteMachines, a.id)
+		a.removed = true
 	}
 }
 
-// machineOf is the machine that a record names, whoever owns it.
-func (n *Node) machineOf(id string) *machine {
-	if _, mine := n.mine(id); mine {
-		return n.machine(id)
+// ownedOrRemoteMachine is the machine that a record names, whoever owns it.
+func (n *Controller) ownedOrRemoteMachine(id string) *machine {
+	if _, mine := n.ownedMachine(id); mine {
+		return n.ensureMachine(id)
 	}
-	return n.afar(id)
+	return n.remoteMachine(id)
 }
 
-// shareConds are what a write for these teams has among its conditions: that their
+// shardCompares are what a write for these teams has among its conditions: that their
 // shares are as this owner has read them. "" stands for any of its shares.
-func (n *Node) shareConds(teams ...string) []Cond {
-	var out []Cond
+func (n *Controller) shardCompares(teams ...string) []Compare {
+	var out []Compare
 	for _, t := range teams {
-		s := n.sess.book.Team(t)
-		if s == nil || !n.owner.shares[s.Name] {
-			for _, name := range sortedKeys(n.owner.shares) {
-				if s = n.sess.book.Find(name); s != nil {
+		s := n.membership.shardMap.Team(t)
+		if s == nil || !n.shardLeader.shards[s.Name] {
+			for _, name := range sortedKeys(n.shardLeader.shards) {
+				if s = n.membership.shardMap.Find(name); s != nil {
 					break
 				}
 			}
 		}
 		if s == nil {
 			// Nothing is held any more; the write is to fail.
-			out = append(out, Cond{sharePrefix + n.set.Host, ^uint64(0)})
+			out = append(out, Compare{shardPrefix + n.settings.Host, ^uint64(0)})
 			continue
 		}
-		if c := (Cond{sharePrefix + s.Name, s.Stamp}); !slices.Contains(out, c) {
+		if c := (Compare{shardPrefix + s.Name, s.Stamp}); !slices.Contains(out, c) {
 			out = append(out, c)
 		}
 	}
@@ -318,12 +318,12 @@
 // loadTeams reads the records of teams that are not ready: first what is open, as of
 // a moment after they came, then the tasks. Whoever had them before can write nothing
 // in between: what it writes names its own share.
-func loadTeams(n *Node) {
-	o := n.owner
-	if o.loading {
+func loadTeams(n *Controller) {
+	o := n.shardLeader
+	if o.loadingTeams {
 		return
 	}
-	teams := map[string]*teamHeld{}
+	teams := map[string]*heldTeam{}
 	for t, h := range o.teams {
 		if !h.ready {
 			teams[t] = h
@@ -332,21 +332,21 @@
 	if len(teams) == 0 && o.ready {
 		return
 	}
-	o.loading = true
+	o.loadingTeams = true
 	began := n.now
-	gen := o.gen
-	var tasks, under []Item
-	current := func() bool { return n.owner != nil && n.owner.gen == gen }
-	var open, listTasks func()
-	var listWarm func(from string)
-	open = func() {
-		n.freshen(func(ok bool) {
+	gen := o.generation
+	var tasks, migrationItems []KeyValue
+	current := func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }
+	var readOpenJobs, listTasks func()
+	var listPrewarmed func(from string)
+	readOpenJobs = func() {
+		n.refresh(func(ok bool) {
 			switch {
 			case !current():
 			case !ok:
-				n.after(n.jitter(retryPause), func() {
+				n.after(n.jitter(storeRetryDelay), func() {
 					if current() {
-						open()
+						readOpenJobs()
 					}
 				})
 			default:
@@ -355,56 +355,56 @@
 		})
 	}
 	listTasks = func() {
-		readAll(n, taskPrefix, PrioSession, current, func(its []Item) {
+		readAll(n, taskSegmentPrefix, PriorityMembership, current, func(its []KeyValue) {
 			tasks = its
-			readMoves(n, func(its []Item) {
-				under = its
+			readMigrations(n, func(its []KeyValue) {
+				migrationItems = its
 				if o.ready {
-					teamsLoaded(n, teams, tasks, under, began)
+					recoverTeams(n, teams, tasks, migrationItems, began)
 				} else {
-					listWarm("")
+					listPrewarmed("")
 				}
 			})
 		})
 	}
 	// Images are no more than a help: without them it goes on as well.
-	listWarm = func(from string) {
-		n.ask(StateOp{Kind: OpList, Prio: PrioSession, Key: warmPrefix, From: from}, func(d StateDone) {
+	listPrewarmed = func(from string) {
+		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityMembership, Key: prewarmedPrefix, StartAfter: from}, func(d StoreResponse) {
 			if !current() {
 				return
 			}
-			for _, it := range d.Items {
-				n.warmItem(it)
+			for _, it := range d.KeyValues {
+				n.applyPrewarmedRecord(it)
 			}
-			if d.Status == StateOK && d.Truncated && len(d.Items) > 0 {
-				listWarm(d.Items[len(d.Items)-1].Key)
+			if d.Status == StoreOK && d.Truncated && len(d.KeyValues) > 0 {
+				listPrewarmed(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			teamsLoaded(n, teams, tasks, under, began)
+			recoverTeams(n, teams, tasks, migrationItems, began)
 		})
 	}
-	open()
+	readOpenJobs()
 }
 
 // readAll reads all that stands under a prefix, page by page and again until it is
 // answered, as long as it is wanted, and gives it to then.
-func readAll(n *Node, prefix string, prio Priority, wanted func() bool, then func([]Item)) {
-	var got []Item
+func readAll(n *Controller, prefix string, prio Priority, wanted func() bool, then func([]KeyValue)) {
+	var got []KeyValue
 	var list func(from string)
 	list = func(from string) {
-		n.ask(StateOp{Kind: OpList, Prio: prio, Key: prefix, From: from}, func(d StateDone) {
+		n.requestStore(StoreRequest{Kind: OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d StoreResponse) {
 			switch {
 			case !wanted():
-			case d.Status != StateOK:
-				n.after(n.jitter(retryPause), func() {
+			case d.Status != StoreOK:
+				n.after(n.jitter(storeRetryDelay), func() {
 					if wanted() {
 						list(from)
 					}
 				})
 			default:
-				got = append(got, d.Items...)
-				if d.Truncated && len(d.Items) > 0 {
-					list(d.Items[len(d.Items)-1].Key)
+				got = append(got, d.KeyValues...)
+				if d.Truncated && len(d.KeyValues) > 0 {
+					list(d.KeyValues[len(d.KeyValues)-1].Key)
 					return
 				}
 				then(got)
@@ -414,116 +414,116 @@
 	list("")
 }
 
-// teamsLoaded restores the jobs of teams from what was read.
-func teamsLoaded(n *Node, come map[string]*teamHeld, tasks, under []Item, began time.Time) {
-	o := n.owner
-	o.loading = false
-	first := !o.ready
+// recoverTeams restores the jobs of teams from what was read.
+func recoverTeams(n *Controller, requested map[string]*heldTeam, tasks, migrationItems []KeyValue, began time.Time) {
+	o := n.shardLeader
+	o.loadingTeams = false
+	firstLoad := !o.ready
 	// Some may have gone while their records were read, and others may have written
 	// more of them, even if they are back by now.
-	teams := slices.DeleteFunc(sortedKeys(come), func(t string) bool { return o.teams[t] != come[t] })
-	restored := map[string]*job{}
+	teams := slices.DeleteFunc(sortedKeys(requested), func(t string) bool { return o.teams[t] != requested[t] })
+	recovered := map[string]*job{}
 	for _, it := range tasks {
 		// Whoever wrote a part knew that all know parts.
-		if f, _, ok := n.formOf(it.Key); ok {
-			learnForm(n, f)
+		if f, _, ok := n.parseSegmentKey(it.Key); ok {
+			adoptFormat(n, f)
 		}
 	}
-	for _, id := range sortedKeys(n.users.mirror.open) {
-		l := n.users.mirror.open[id]
-		if !slices.Contains(teams, l.rec.Team) && !(first && l.rec.Cancelled && l.rec.Team == "") || o.jobs[id] != nil {
+	for _, id := range sortedKeys(n.frontend.watchCache.openJobs) {
+		l := n.frontend.watchCache.openJobs[id]
+		if !slices.Contains(teams, l.rec.Team) && !(firstLoad && l.rec.Cancelled && l.rec.Team == "") || o.jobs[id] != nil {
 			continue
 		}
-		if n.users.final[id] == Done {
+		if n.frontend.finalStatuses[id] == Done {
 			continue
 		}
-		if bad := l.rec.bad(); bad != "" {
-			n.complain("record", openPrefix+id, bad)
+		if bad := l.rec.validate(); bad != "" {
+			n.rejectInput("record", openJobPrefix+id, bad)
 			continue
 		}
 		spec := l.rec.spec(id)
 		if l.rec.Cancelled {
 			spec.Tasks = l.rec.Tasks
 		}
-		j := n.newJob(spec, time.UnixMilli(l.rec.At), l.stamp)
-		restored[id] = j
-		n.jobRecord(j, l.stamp, &l.rec)
+		j := n.addJob(spec, time.UnixMilli(l.rec.SubmittedAtMillis), l.modRevision)
+		recovered[id] = j
+		n.applyJobRecord(j, l.modRevision, &l.rec)
 	}
 	attempts := 0
-	slices.SortStableFunc(tasks, n.byForm)
+	slices.SortStableFunc(tasks, n.compareFormats)
 	for _, it := range tasks {
-		id := jobID(it.Key, taskPrefix)
-		j := restored[id]
+		id := jobIDFromKey(it.Key, taskSegmentPrefix)
+		j := recovered[id]
 		if j == nil {
-			if _, open := n.users.mirror.open[id]; first && !open {
-				o.orphans = append(o.orphans, it.Key)
+			if _, open := n.frontend.watchCache.openJobs[id]; firstLoad && !open {
+				o.orphanedRecords = append(o.orphanedRecords, it.Key)
 			}
 			continue
 		}
-		var r chunkRecord
+		var r taskSegmentRecord
 		if !decode(it.Value, &r) {
-			n.complain("record", it.Key, "it can't be read")
+			n.rejectInput("record", it.Key, "it can't be read")
 			continue
 		}
-		n.restore(j, it, &r)
+		n.recoverSegment(j, it, &r)
 	}
-	for _, id := range sortedKeys(restored) {
-		n.settleRestored(restored[id])
-		attempts += restored[id].live
+	for _, id := range sortedKeys(recovered) {
+		n.queueRecovered(recovered[id])
+		attempts += recovered[id].liveTasks
 	}
 	for _, t := range teams {
 		o.teams[t].ready, o.teams[t].readyAt = true, n.now
-		promisesLoaded(n, t, restored)
+		recoverPromises(n, t, recovered)
 	}
-	restoreMoves(n, teams, under)
-	o.place = true
-	o.remote.soon = true
-	for _, m := range o.byID {
+	recoverMigrations(n, teams, migrationItems)
+	o.placementDue = true
+	o.remote.due = true
+	for _, m := range o.machinesByID {
 		// What runs there may have been another's until now.
-		n.rehear(m)
+		n.rePoll(m)
 	}
-	if first {
+	if firstLoad {
 		o.ready, o.readyAt = true, n.now
-		takeHeirloom(n)
+		adoptPredecessorMachines(n)
 	}
-	n.info("owner ready", "teams", teams, "jobs", len(restored), "attempts", attempts, "machines", len(o.machines), "after", n.now.Sub(began))
+	n.info("owner ready", "teams", teams, "jobs", len(recovered), "attempts", attempts, "machines", len(o.machines), "after", n.now.Sub(began))
 	// Reach the machines at once, those with living attempts first: the epoch ends
 	// what a former owner may still order, and their reports are the proof. Those
 	// without are contacted as well, or they would stay with a former owner that has
 	// lost the state service alone, for the whole of its grace.
-	o.heirs = slices.Clone(o.byID)
-	rankHeirs(n, o.heirs)
-	n.contactHeirs()
+	o.inheritedMachines = slices.Clone(o.machinesByID)
+	sortInheritedByRank(n, o.inheritedMachines)
+	n.contactInheritedMachines()
 	loadTeams(n)
 }
 
-// takeHeirloom takes up what other owners last told of machines that are this one's.
-func takeHeirloom(n *Node) {
-	for _, id := range sortedKeys(n.heirloom) {
-		h := n.heirloom[id]
-		if _, mine := n.mine(id); !mine || n.now.Sub(h.heard) >= hostMemory || n.returned[id] {
+// adoptPredecessorMachines takes up what other owners last told of machines that are this one's.
+func adoptPredecessorMachines(n *Controller) {
+	for _, id := range sortedKeys(n.predecessorMachines) {
+		h := n.predecessorMachines[id]
+		if _, mine := n.ownedMachine(id); !mine || n.now.Sub(h.receivedAt) >= machineUpdateTTL || n.released[id] {
 			continue
 		}
-		m := n.machine(id)
-		n.describe(m, h.Addr, h.Flavour, h.Zone, h.Spot)
+		m := n.ensureMachine(id)
+		n.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 		for name, gb := range h.Images {
-			m.images[name] = &image{gb: gb, last: n.now, cached: true}
+			m.images[name] = &image{sizeGB: gb, last: n.now, cached: true}
 		}
 	}
 }
 
-// ownerReads brings the jobs in step with open/ after it has been read anew, since
+// syncOpenJobs brings the jobs in step with open/ after it has been read anew, since
 // the watch was too far behind.
-func ownerReads(n *Node) {
-	o := n.owner
+func syncOpenJobs(n *Controller) {
+	o := n.shardLeader
 	if o == nil || !o.ready {
 		return
 	}
-	open := n.users.mirror.open
+	open := n.frontend.watchCache.openJobs
 	for _, id := range sortedKeys(o.jobs) {
 		if l, there := open[id]; there {
-			if l.stamp > o.jobs[id].stamp {
-				n.jobRecord(o.jobs[id], l.stamp, &l.rec)
+			if l.modRevision > o.jobs[id].modRevision {
+				n.applyJobRecord(o.jobs[id], l.modRevision, &l.rec)
 			}
 		} else if o.jobs[id].elsewhere() {
 			delete(o.jobs, id)
@@ -531,10 +531,12 @@
 	}
 	for _, id := range sortedKeys(open) {
 		if l := open[id]; o.jobs[id] == nil {
-			n.openItem(Item{Key: openPrefix + id, Value: encode(l.rec), Stamp: l.stamp})
+			n.applyOpenJob(KeyValue{Key: openJobPrefix + id, Value: encode(l.rec), ModRevision: l.modRevision})
 		}
 	}
 }
 
-// IsOwner says whether this node runs jobs now.
-func (n *Node) IsOwner() bool { return n.owner != nil && n.owner.ready && len(n.owner.teams) > 0 }
+// IsShardLeader says whether this node runs jobs now.
+func (n *Controller) IsShardLeader() bool {
+	return n.shardLeader != nil && n.shardLeader.ready && len(n.shardLeader.teams) > 0
+}
--- a/internal/core/trade.go
+++ b/internal/core/trade.go
@@ -12,162 +12,162 @@
 // to spare and another wants; what is decided is in internal/market.
 
 const (
-	// handMost bounds the machines handed over in one look, and handPause is how long
+	// maxHandovers bounds the machines handed over in one look, and handoverCooldown is how long
 	// one that was stays where it is: to and fro it would only report.
-	handMost  = 200
-	handPause = 20 * time.Second
-	// spareMost bounds the machines that an owner says it has to spare.
-	spareMost = 200
-	// handTime is how long a machine that is handed over takes to be of use there.
-	handTime = 2 * time.Second
-	// coming is the status of a machine that is being handed over, for whoever gets it.
-	coming = "coming"
+	maxHandovers     = 200
+	handoverCooldown = 20 * time.Second
+	// maxSurplus bounds the machines that an owner says it has to spare.
+	maxSurplus = 200
+	// handoverTime is how long a machine that is handed over takes to be of use there.
+	handoverTime = 2 * time.Second
+	// statusComing is the status of a machine that is being handed over, for whoever gets it.
+	statusComing = "coming"
 )
 
-func (k kind) market() market.Kind {
-	return market.Kind{Flavour: k.flavour, Zone: k.zone, Spot: k.spot}
+func (k machineKind) exchangeKind() market.Kind {
+	return market.Kind{Flavour: k.machineType, Zone: k.zone, Spot: k.spot}
 }
 
-func coreKind(k market.Kind) kind { return kind{k.Flavour, k.Zone, k.Spot} }
+func fromExchangeKind(k market.Kind) machineKind { return machineKind{k.Flavour, k.Zone, k.Spot} }
 
-// wish is what an owner asks of the leader.
-type wish struct {
-	host  string
-	wants map[kind]int
-	gone  []string
-	spare []string
+// fleetRequest is what an owner asks of the leader.
+type fleetRequest struct {
+	host     string
+	capacity map[machineKind]int
+	releases []string
+	surplus  []string
 }
 
-// wishes are those of all owners whose word is fresh.
-func wishes(n *Node) []wish {
+// fleetRequests are those of all owners whose word is fresh.
+func fleetRequests(n *Controller) []fleetRequest {
 	l := n.leader
-	var out []wish
-	if o := n.owner; o != nil && o.ready {
+	var out []fleetRequest
+	if o := n.shardLeader; o != nil && o.ready {
 		// What could not be booked at once stays wanted until the next look.
-		out = append(out, wish{n.set.Host, o.wants, o.gone, o.spare})
-		o.gone = nil
+		out = append(out, fleetRequest{n.settings.Host, o.capacityRequests, o.machinesToRelease, o.surplusMachines})
+		o.machinesToRelease = nil
 	}
-	for _, host := range sortedKeys(l.news) {
-		w, ok := n.heard(host)
-		if !ok || w.news.Seq < l.needSeq[host] {
+	for _, host := range sortedKeys(l.updates) {
+		w, ok := n.freshUpdate(host)
+		if !ok || w.update.Seq < l.requiredSeq[host] {
 			continue
 		}
-		x := wish{host, map[kind]int{}, w.news.Idle, w.news.ToSpare}
-		for _, k := range w.news.Wants {
-			x.wants[kind{k.Flavour, k.Zone, k.Spot}] += k.Count
+		x := fleetRequest{host, map[machineKind]int{}, w.update.ToRelease, w.update.Surplus}
+		for _, k := range w.update.CapacityRequests {
+			x.capacity[machineKind{k.MachineType, k.Zone, k.Spot}] += k.Count
 		}
 		out = append(out, x)
 	}
 	return out
 }
 
-// trade meets the wishes.
-func trade(n *Node) {
+// exchangeMachines meets the wishes.
+func exchangeMachines(n *Controller) {
 	l := n.leader
-	if n.sess.rev < l.divide.rev {
+	if n.membership.revision < l.sharding.writtenRevision {
 		// Whose the machines are is not known before what was written has been read.
 		return
 	}
-	all := wishes(n)
+	requests := fleetRequests(n)
 	var owners []market.Owner
-	for _, w := range all {
+	for _, w := range requests {
 		o := market.Owner{Host: w.host, Wants: map[market.Kind]int{}}
-		for k, c := range w.wants {
-			o.Wants[k.market()] = c
+		for k, c := range w.capacity {
+			o.Wants[k.exchangeKind()] = c
 		}
-		for _, id := range w.spare {
-			if r := l.rentals[id]; r != nil && r.status == "running" && handable(n, id, w.host) {
-				o.Spare = append(o.Spare, market.Machine{ID: id, Kind: r.kind.market()})
+		for _, id := range w.surplus {
+			if r := l.rentals[id]; r != nil && r.status == "running" && canHandOver(n, id, w.host) {
+				o.Spare = append(o.Spare, market.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
 			}
 		}
 		owners = append(owners, o)
 	}
-	moves, books := market.Match(owners, market.Limits{
-		Moves: handMost, Bookings: n.bookings(), Each: rentMost,
+	handovers, bookings := market.Match(owners, market.Limits{
+		Moves: maxHandovers, Bookings: n.bookingBudget(), Each: maxRentPerRequest,
 		// One more wish is heard only when all bookings of it are answered.
 		Busy: func(host string, k market.Kind) bool {
-			return l.renting[ask{host, coreKind(k)}] > 0 || l.blocked[coreKind(k)].After(n.now)
+			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(n.now)
 		},
 	})
-	for _, m := range moves {
-		l.divide.rented[m.ID] = division.Rented{ID: m.ID, Host: m.To, At: n.now}
-		l.handed[m.ID] = n.now
-		l.rentals[m.ID].handed = n.now
+	for _, m := range handovers {
+		l.sharding.unrecordedMachines[m.ID] = division.Rented{ID: m.ID, Host: m.To, At: n.now}
+		l.handedOverAt[m.ID] = n.now
+		l.rentals[m.ID].handedOverAt = n.now
 		// Its wishes count again when it knows of these.
-		l.needSeq[m.To] = l.seq + 1
+		l.requiredSeq[m.To] = l.seq + 1
 		n.debug("handed over", "machine", m.ID, "from", m.From, "to", m.To)
 	}
-	for i := range all {
-		w := &all[i]
-		if w.host == n.set.Host {
-			for k := range w.wants {
+	for i := range requests {
+		w := &requests[i]
+		if w.host == n.settings.Host {
+			for k := range w.capacity {
 				// What is left of them stays wanted until the next look.
 				j := slices.IndexFunc(owners, func(o market.Owner) bool { return o.Host == w.host })
-				w.wants[k] = owners[j].Wants[k.market()]
+				w.capacity[k] = owners[j].Wants[k.exchangeKind()]
 			}
 		}
-		giveBackFor(n, w.host, w.gone)
+		releaseFor(n, w.host, w.releases)
 	}
-	for _, b := range books {
-		n.rentKind(b.Host, coreKind(b.Kind), b.Count, "")
+	for _, b := range bookings {
+		n.sendBooking(b.Host, fromExchangeKind(b.Kind), b.Count, "")
 	}
-	for id, at := range l.handed {
-		if n.now.Sub(at) > handPause {
-			delete(l.handed, id)
+	for id, at := range l.handedOverAt {
+		if n.now.Sub(at) > handoverCooldown {
+			delete(l.handedOverAt, id)
 		}
 	}
 }
 
-// handable says that a machine may be handed over by an owner now.
-func handable(n *Node, id, host string) bool {
+// canHandOver says that a machine may be handed over by an owner now.
+func canHandOver(n *Controller, id, host string) bool {
 	l := n.leader
-	_, promised := l.divide.rented[id]
-	_, lately := l.handed[id]
-	return n.ownerOf(id) == host && !promised && !lately && !n.returned[id]
+	_, assigned := l.sharding.unrecordedMachines[id]
+	_, recentlyHandedOver := l.handedOverAt[id]
+	return n.ownerOf(id) == host && !assigned && !recentlyHandedOver && !n.released[id]
 }
 
-// giveBackFor returns machines that their owner no longer wants.
-func giveBackFor(n *Node, host string, gone []string) {
+// releaseFor returns machines that their owner no longer wants.
+func releaseFor(n *Controller, host string, ids []string) {
 	l := n.leader
-	var back []string
-	for _, id := range gone {
-		_, promised := l.divide.rented[id]
+	var releasable []string
+	for _, id := range ids {
+		_, assigned := l.sharding.unrecordedMachines[id]
 		r := l.rentals[id]
 		switch {
-		case n.ownerOf(id) != host || promised:
-		case l.answered[id]:
-			n.goneAlready(id, host)
-		case len(back) < returnMost && (r == nil || !r.returning):
-			back = append(back, id)
+		case n.ownerOf(id) != host || assigned:
+		case l.confirmedReleases[id]:
+			n.confirmReleased(id, host)
+		case len(releasable) < maxReleasePerRequest && (r == nil || !r.releasing):
+			releasable = append(releasable, id)
 		}
 	}
-	if len(back) > 0 {
-		n.giveBack(back)
+	if len(releasable) > 0 {
+		n.releaseMachines(releasable)
 	}
 }
 
-// spareFor counts what others than an owner have to spare, by kind.
-func spareFor(n *Node, host string) []Want {
+// surplusFor counts what others than an owner have to spare, by kind.
+func surplusFor(n *Controller, host string) []CapacityRequest {
 	l := n.leader
-	by := map[kind]int{}
+	byKind := map[machineKind]int{}
 	count := func(of string, ids []string) {
 		for _, id := range ids {
-			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && handable(n, id, of) {
-				by[r.kind]++
+			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && canHandOver(n, id, of) {
+				byKind[r.machineKind]++
 			}
 		}
 	}
-	if o := n.owner; o != nil && o.ready {
-		count(n.set.Host, o.spare)
+	if o := n.shardLeader; o != nil && o.ready {
+		count(n.settings.Host, o.surplusMachines)
 	}
-	for _, h := range sortedKeys(l.news) {
-		if w, ok := n.heard(h); ok {
-			count(h, w.news.ToSpare)
+	for _, h := range sortedKeys(l.updates) {
+		if w, ok := n.freshUpdate(h); ok {
+			count(h, w.update.Surplus)
 		}
 	}
-	var out []Want
-	for _, k := range sortedKinds(by) {
-		out = append(out, Want{k.flavour, k.zone, k.spot, by[k]})
+	var out []CapacityRequest
+	for _, k := range sortedKinds(byKind) {
+		out = append(out, CapacityRequest{k.machineType, k.zone, k.spot, byKind[k]})
 	}
 	return out
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -21,65 +21,65 @@
 	Critical
 )
 
-// Spec is a job as its user described it.
-type Spec struct {
-	ID       string
-	Workload string
-	Team     string
-	Standing bool
+// JobSpec is a job as its user described it.
+type JobSpec struct {
+	ID          string
+	Workload    string
+	Team        string
+	LongRunning bool
 	// Gang: the tasks run only all together.
-	Gang      bool
-	Urgency   Urgency
-	Tasks     int
-	Need      Resources
-	Image     string
-	ImageGB   float64
-	Flavours  []string
-	Zone      string
-	SamePlace bool
-	Apart     bool
-	Spot      bool
-	Expected  time.Duration
-	SaveEvery time.Duration
-	SaveCost  time.Duration
-	// Due counts from the submission; 0 means no deadline.
-	Due time.Duration
-	// Prereqs are the jobs that have to be done before any task of it starts.
-	Prereqs []string
+	Gang               bool
+	Urgency            Urgency
+	Tasks              int
+	Need               Resources
+	Image              string
+	ImageGB            float64
+	MachineTypes       []string
+	Zone               string
+	SameZone           bool
+	SpreadZones        bool
+	AllowSpot          bool
+	ExpectedRunTime    time.Duration
+	CheckpointInterval time.Duration
+	CheckpointCost     time.Duration
+	// Deadline counts from the submission; 0 means no deadline.
+	Deadline time.Duration
+	// Dependencies are the jobs that have to be done before any task of it starts.
+	Dependencies []string
 }
 
 // Resources is an amount of what a machine offers or a task takes.
 type Resources = amount.Resources
 
-// slack absorbs rounding of amounts; see internal/amount.
-const slack = amount.Slack
-
-// Flavour is a machine type as the cloud describes it.
-type Flavour struct {
-	Name      string
-	Size      Resources
-	DiskGB    float64
-	PullRate  float64
-	Price     float64
-	SpotPrice float64
-	Ready     time.Duration
-	Zones     []string
+// roundingTolerance absorbs rounding of amounts; see internal/amount.
+const roundingTolerance = amount.Slack
+
+// MachineType is a machine type as the cloud describes it.
+type MachineType struct {
+	Name             string
+	Capacity         Resources
+	DiskGB           float64
+	ImageFetchRate   float64
+	CostPerHour      float64
+	SpotCostPerHour  float64
+	ProvisioningTime time.Duration
+	Zones            []string
 }
 
 // Team has a guarantee and a limit; a zero amount means none.
 type Team struct {
-	Name      string
-	Guarantee Resources
-	Limit     Resources
+	Name            string
+	GuaranteedQuota Resources
+	QuotaLimit      Resources
 }
 
 // Objective repeats one of the operators' aims.
 type Objective struct {
-	Kind     string
-	Workload string
-	Within   time.Duration
-	Share    float64
-	Times    float64
+	Kind           string
+	Workload       string
+	Within         time.Duration
+	Fraction       float64
+	DeadlineFactor float64
 }
 
 // Settings is everything the core is told at start.
@@ -90,72 +90,72 @@
 	Teams      []Team
 	Objectives []Objective
 
-	ReportEvery time.Duration
-	Lease       time.Duration
-	// Cancel is how long after its confirmation a cancelled job's tasks may last.
-	Cancel time.Duration
-	// ClockBound is how far a controller's time of day is off at the most.
-	ClockBound time.Duration
+	HeartbeatInterval time.Duration
+	WorkerLease       time.Duration
+	// CancellationBound is how long after its confirmation a cancelled job's tasks may last.
+	CancellationBound time.Duration
+	// MaxClockError is how far a controller's time of day is off at the most.
+	MaxClockError time.Duration
 
-	// StateRequests and StateWrites are the state service's limits of requests and
+	// StoreRequestsPerSecond and StoreWritesPerSecond are the state service's limits of requests and
 	// of changes a second, which all controllers share.
-	StateRequests float64
-	StateWrites   float64
-	TxnOps        int
-	ValueBytes    int
-	// PresentValueBytes is the limit of values under which records may stand in the
+	StoreRequestsPerSecond float64
+	StoreWritesPerSecond   float64
+	MaxTxnWrites           int
+	MaxValueBytes          int
+	// CurrentMaxValueBytes is the limit of values under which records may stand in the
 	// state service, if it is larger than ValueBytes: the service will lower its limit.
-	PresentValueBytes int
-	ListLag           time.Duration
-	// CloudRPS is the cloud's limit of requests a second.
-	CloudRPS float64
+	CurrentMaxValueBytes int
+	CloudListLag         time.Duration
+	// CloudRequestsPerSecond is the cloud's limit of requests a second.
+	CloudRequestsPerSecond float64
 
-	// Product is what the files under deploy/ switch on.
-	Product Product
+	// Capabilities is what the files under deploy/ switch on.
+	Capabilities Capabilities
 
-	// Nonce tells the lives of one controller apart.
-	Nonce  string
-	Policy Policy
+	// Incarnation tells the lives of one controller apart.
+	Incarnation string
+	Policy      Policy
 }
 
-// Product says which capabilities round the scheduler are on; see docs/product.md.
-type Product struct {
+// Capabilities says which capabilities round the scheduler are on; see docs/product.md.
+type Capabilities struct {
 	// Ranking: the order of work follows the record of classes in the state service.
 	Ranking bool
-	// Promises: each accepted job gets a committed finish, which PromiseShare of them
+	// Promises: each accepted job gets a committed finish, which PromiseFraction of them
 	// are to keep.
-	Promises     bool
-	PromiseShare float64
-	// Models: replicas are packed, and moved so that larger ones fit: at most MovePart
-	// of the machines of a kind at a time, and none again within MoveAgain.
-	Models    bool
-	MovePart  float64
-	MoveAgain time.Duration
+	Promises        bool
+	PromiseFraction float64
+	// Models: replicas are packed, and moved so that larger ones fit: at most MaxMigratingFraction
+	// of the machines of a kind at a time, and none again within MigrationCooldown.
+	Models               bool
+	MaxMigratingFraction float64
+	MigrationCooldown    time.Duration
 }
 
 // Policy holds the operators' own choices; see internal/policy.
 type Policy struct {
 	// RelaunchFactor is the paper's w.
 	RelaunchFactor float64
-	// ShareInterval is how often the leader may move machines between shares.
-	ShareInterval time.Duration
-	// WarmRoom multiplies the room kept free for work that must start at once.
-	WarmRoom float64
-	// IdleKeep is how long an idle machine is kept before it is returned.
-	IdleKeep time.Duration
-	// Prefer multiplies a flavour's price when flavours are compared.
-	Prefer map[string]float64
-	// Weight orders workloads of the same urgency; higher goes first.
-	Weight map[string]float64
+	// RebalanceInterval is how often the leader may move machines between shares.
+	RebalanceInterval time.Duration
+	// HeadroomFactor multiplies the room kept free for work that must start at once.
+	HeadroomFactor float64
+	// IdleTimeout is how long an idle machine is kept before it is returned.
+	IdleTimeout time.Duration
+	// CostFactors multiplies a flavour's price when flavours are compared.
+	CostFactors map[string]float64
+	// WorkloadWeights orders workloads of the same urgency; higher goes first.
+	WorkloadWeights map[string]float64
 }
 
 // DefaultPolicy is what holds without an operators' script.
 func DefaultPolicy() Policy {
 	return Policy{
-		RelaunchFactor: 2,
-		ShareInterval:  30 * time.Second,
-		WarmRoom:       1,
-		IdleKeep:       45 * time.Second,
+		RelaunchFactor:    2,
+		RebalanceInterval: 30 * time.Second,
+		HeadroomFactor:    1,
+		IdleTimeout:       45 * time.Second,
 	}
 }
 
@@ -169,8 +169,8 @@
 	Done      JobStatus = "done"
 )
 
-// Final says that a status never changes again.
-func (s JobStatus) Final() bool { return s == Cancelled || s == Done }
+// IsFinal says that a status never changes again.
+func (s JobStatus) IsFinal() bool { return s == Cancelled || s == Done }
 
 // TaskStatus is what a worker says of an attempt.
 type TaskStatus int
@@ -179,61 +179,61 @@
 const (
 	Fetching TaskStatus = iota
 	Running
-	Flushing
+	Checkpointing
 	Ended
 )
 
 // TaskReport is one attempt in a worker's report.
 type TaskReport struct {
-	Job    string
-	Index  int
-	Try    uint64
-	Status TaskStatus
-	Cause  string
-	Stored bool
+	Job              string
+	Index            int
+	Attempt          uint64
+	Status           TaskStatus
+	Cause            string
+	CheckpointStored bool
 }
 
-// Report is a worker's account of itself.
-type Report struct {
-	Machine string
-	Addr    string
-	Flavour string
-	Zone    string
-	Spot    bool
-	Tenure  uint64
-	Tick    uint64
-	Epoch   uint64
-	// Recall is negative without a notice.
-	Recall time.Duration
-	Tasks  []TaskReport
+// Heartbeat is a worker's account of itself.
+type Heartbeat struct {
+	Machine     string
+	Addr        string
+	MachineType string
+	Zone        string
+	Spot        bool
+	Incarnation uint64
+	Sequence    uint64
+	Epoch       uint64
+	// ReclaimIn is negative without a notice.
+	ReclaimIn time.Duration
+	Tasks     []TaskReport
 }
 
-// Verb is what a worker is told to do.
-type Verb string
+// TaskCommandKind is what a worker is told to do.
+type TaskCommandKind string
 
 // The verbs, by their meaning.
 const (
-	Start Verb = "start"
-	Halt  Verb = "halt"
-	Clear Verb = "clear"
+	StartTask TaskCommandKind = "start"
+	StopTask  TaskCommandKind = "halt"
+	ClearTask TaskCommandKind = "clear"
 )
 
-// Order is one command to a worker.
-type Order struct {
-	Verb     Verb
-	Job      string
-	Index    int
-	Try      uint64
-	WindDown time.Duration
+// TaskCommand is one command to a worker.
+type TaskCommand struct {
+	Kind        TaskCommandKind
+	Job         string
+	Index       int
+	Attempt     uint64
+	GracePeriod time.Duration
 }
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
-	ID      string
-	Addr    string
-	Flavour string
-	Zone    string
-	Spot    bool
-	Status  string
-	Held    time.Duration
+// CloudMachine is a machine in the cloud's list.
+type CloudMachine struct {
+	ID          string
+	Addr        string
+	MachineType string
+	Zone        string
+	Spot        bool
+	Status      string
+	Age         time.Duration
 }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -12,223 +12,223 @@
 )
 
 const (
-	// submitsInFlight bounds the transactions that carry submissions and
+	// maxSubmitTxns bounds the transactions that carry submissions and
 	// cancellations; what waits meanwhile shares the next one.
-	submitsInFlight = 3
-	// maxWaiting bounds what waits for the state service; the rest is
+	maxSubmitTxns = 3
+	// maxWaitingRequests bounds what waits for the state service; the rest is
 	// refused at once.
-	maxWaiting = 400
-	// userPatience is how long a request may wait for the state service
+	maxWaitingRequests = 400
+	// userRequestTimeout is how long a request may wait for the state service
 	// before it is refused. Less than the 2 s a user waits for a poll.
-	userPatience = 1500 * time.Millisecond
-	// comeBack is the Retry-After while the service is only briefly behind, and
-	// comeBackLate while the state service is away. The latter is spread by a half
+	userRequestTimeout = 1500 * time.Millisecond
+	// retryAfter is the Retry-After while the service is only briefly behind, and
+	// retryAfterOutage while the state service is away. The latter is spread by a half
 	// either way, so that hundreds who were refused do not return together.
-	comeBack     = time.Second
-	comeBackLate = 2 * time.Second
+	retryAfter       = time.Second
+	retryAfterOutage = 2 * time.Second
 )
 
-type users struct {
-	// final caches terminal states for good, and dates the dates of done jobs:
+type frontend struct {
+	// finalStatuses caches terminal states for good, and dates the dates of done jobs:
 	// milliseconds, and in the lowest byte the revision.
-	final    map[string]JobStatus
-	dates    map[string]uint64
-	queue    []*submission
-	inFlight int
-	// polls are who waits for a read of a job's record, and lookups which reads that
+	finalStatuses map[string]JobStatus
+	endDates      map[string]uint64
+	submitQueue   []*submission
+	inFlight      int
+	// statusWaiters are who waits for a read of a job's record, and lookups which reads that
 	// takes.
-	polls   map[string][]func(StateDone)
-	lookups lookup.Book
-	turn    bool
-	waiting int
-	expiry  []*waiter
-	// told are the jobs of which somebody was told lately that they are accepted, and
+	statusWaiters      map[string][]func(StoreResponse)
+	readBatches        lookup.Book
+	batchTurnScheduled bool
+	waitingRequests    int
+	requestsByDeadline []*userRequest
+	// acceptedAt are the jobs of which somebody was told lately that they are accepted, and
 	// when; tellings are the same in order.
-	told     map[string]time.Time
-	tellings []telling
-	mirror   mirror
+	acceptedAt      map[string]time.Time
+	acceptedAnswers []acceptedAnswer
+	watchCache      watchCache
 }
 
-type telling struct {
-	at time.Time
-	id string
+type acceptedAnswer struct {
+	answeredAt time.Time
+	id         string
 }
 
-// tells notes that an answer leaves that says that a job is accepted. It is kept for as
+// noteAccepted notes that an answer leaves that says that a job is accepted. It is kept for as
 // long as a request may wait that was read before.
-func (u *users) tells(id string, now time.Time) {
-	for len(u.tellings) > 0 && now.Sub(u.tellings[0].at) > userPatience {
-		if first := u.tellings[0]; u.told[first.id].Equal(first.at) {
-			delete(u.told, first.id)
+func (u *frontend) noteAccepted(id string, now time.Time) {
+	for len(u.acceptedAnswers) > 0 && now.Sub(u.acceptedAnswers[0].answeredAt) > userRequestTimeout {
+		if first := u.acceptedAnswers[0]; u.acceptedAt[first.id].Equal(first.answeredAt) {
+			delete(u.acceptedAt, first.id)
 		}
-		u.tellings = u.tellings[1:]
+		u.acceptedAnswers = u.acceptedAnswers[1:]
 	}
-	if !u.told[id].Equal(now) {
-		u.told[id] = now
-		u.tellings = append(u.tellings, telling{now, id})
+	if !u.acceptedAt[id].Equal(now) {
+		u.acceptedAt[id] = now
+		u.acceptedAnswers = append(u.acceptedAnswers, acceptedAnswer{now, id})
 	}
 }
 
-// waiter is a user's request that still wants its answer.
-type waiter struct {
+// userRequest is a user's request that still wants its answer.
+type userRequest struct {
 	reply uint64
 	id    string
-	// until is how long it is waited for; see userPatience.
-	until time.Time
-	done  bool
+	// deadline is how long it is waited for; see userRequestTimeout.
+	deadline time.Time
+	answered bool
 }
 
 type submission struct {
-	w    *waiter
-	spec Spec
-	at   time.Time
+	request     *userRequest
+	spec        JobSpec
+	submittedAt time.Time
 	// alone: a transaction with others was malformed; it is stored by itself.
-	alone bool
-	// promised is the date that goes with it, 0 for none at hand.
-	promised time.Duration
+	storeAlone bool
+	// promisedAfter is the date that goes with it, 0 for none at hand.
+	promisedAfter time.Duration
 }
 
-// date is what is told of it with its acceptance.
-func (s *submission) date() promise.Date {
-	r := s.record()
+// promisedDate is what is told of it with its acceptance.
+func (s *submission) promisedDate() promise.Date {
+	r := s.openRecord()
 	return r.firstDate()
 }
 
-func (s *submission) record() openRecord {
-	r := s.spec.record(s.at)
-	r.P = int(s.promised.Milliseconds())
+func (s *submission) openRecord() openJobRecord {
+	r := s.spec.openRecord(s.submittedAt)
+	r.PromisedMillis = int(s.promisedAfter.Milliseconds())
 	return r
 }
 
-func (u *users) init() {
-	u.final, u.told = map[string]JobStatus{}, map[string]time.Time{}
-	u.polls = map[string][]func(StateDone){}
+func (u *frontend) init() {
+	u.finalStatuses, u.acceptedAt = map[string]JobStatus{}, map[string]time.Time{}
+	u.statusWaiters = map[string][]func(StoreResponse){}
 }
 
-func (n *Node) newWaiter(reply uint64, id string) *waiter {
-	w := &waiter{reply: reply, id: id, until: n.now.Add(userPatience)}
-	n.users.waiting++
-	if len(n.users.expiry) == 0 {
-		n.after(userPatience, n.expireUsers)
+func (n *Controller) newUserRequest(reply uint64, id string) *userRequest {
+	request := &userRequest{reply: reply, id: id, deadline: n.now.Add(userRequestTimeout)}
+	n.frontend.waitingRequests++
+	if len(n.frontend.requestsByDeadline) == 0 {
+		n.after(userRequestTimeout, n.expireUserRequests)
 	}
-	n.users.expiry = append(n.users.expiry, w)
-	return w
+	n.frontend.requestsByDeadline = append(n.frontend.requestsByDeadline, request)
+	return request
 }
 
-func (n *Node) expireUsers() {
-	u := &n.users
+func (n *Controller) expireUserRequests() {
+	u := &n.frontend
 	i := 0
-	for ; i < len(u.expiry) && !u.expiry[i].until.After(n.now); i++ {
-		if w := u.expiry[i]; !w.done {
-			n.refuse(w, "the state service does not answer")
+	for ; i < len(u.requestsByDeadline) && !u.requestsByDeadline[i].deadline.After(n.now); i++ {
+		if request := u.requestsByDeadline[i]; !request.answered {
+			n.refuseRequest(request, "the state service does not answer")
 		}
 	}
-	u.expiry = slices.Delete(u.expiry, 0, i)
-	if len(u.expiry) > 0 {
-		n.after(u.expiry[0].until.Sub(n.now), n.expireUsers)
+	u.requestsByDeadline = slices.Delete(u.requestsByDeadline, 0, i)
+	if len(u.requestsByDeadline) > 0 {
+		n.after(u.requestsByDeadline[0].deadline.Sub(n.now), n.expireUserRequests)
 	}
 }
 
-func (n *Node) finish(w *waiter, r UserReply) {
-	if w.done {
+func (n *Controller) answerRequest(request *userRequest, r UserReply) {
+	if request.answered {
 		return
 	}
-	w.done = true
-	n.users.waiting--
-	if s, over := n.users.final[w.id]; over && r.Status < 500 && r.State != string(s) {
+	request.answered = true
+	n.frontend.waitingRequests--
+	if s, isFinal := n.frontend.finalStatuses[request.id]; isFinal && r.Status < 500 && r.State != string(s) {
 		// It was read before the end, which others may have been told since.
-		r = n.known(w.id, s)
+		r = n.replyWithStatus(request.id, s)
 	}
-	if r.Status < 300 && n.users.waiting > 0 {
-		n.users.tells(w.id, n.now)
+	if r.Status < 300 && n.frontend.waitingRequests > 0 {
+		n.frontend.noteAccepted(request.id, n.now)
 	}
-	r.Reply = w.reply
+	r.Reply = request.reply
 	if r.ID == "" {
-		r.ID = w.id
+		r.ID = request.id
 	}
-	if r.Status != 503 && !JobStatus(r.State).Final() {
+	if r.Status != 503 && !JobStatus(r.State).IsFinal() {
 		// It rests on a read that began after the question. Whoever asked waits for no
 		// more than this, and may hear something newer from another controller then.
-		r.Until = w.until
+		r.SendDeadline = request.deadline
 	}
 	n.emit(r)
 }
 
-func (n *Node) refuse(w *waiter, why string) {
-	n.finish(w, UserReply{Status: 503, Message: why, RetryAfter: comeBack})
+func (n *Controller) refuseRequest(request *userRequest, reason string) {
+	n.answerRequest(request, UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
 }
 
-// cannotDecide refuses at once while nothing can be read or stored.
+// refuseIfUnavailable refuses at once while nothing can be read or stored.
 // s is what is submitted, if anything is.
-func (n *Node) cannotDecide(reply uint64, id string, s *Spec) bool {
+func (n *Controller) refuseIfUnavailable(reply uint64, id string, s *JobSpec) bool {
 	switch {
-	case !n.sess.ready:
-		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: comeBack})
-	case n.stateDown(n.now):
-		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: n.spread(comeBackLate)})
-	case n.users.waiting >= maxWaiting || s != nil && rankRefuses(n, s):
-		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: n.spread(comeBackLate)})
+	case !n.membership.ready:
+		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
+	case n.storeDown(n.now):
+		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: n.spread(retryAfterOutage)})
+	case n.frontend.waitingRequests >= maxWaitingRequests || s != nil && overloadRefuses(n, s):
+		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: n.spread(retryAfterOutage)})
 	default:
 		return false
 	}
 	return true
 }
 
-func (n *Node) known(id string, s JobStatus) UserReply {
+func (n *Controller) replyWithStatus(id string, s JobStatus) UserReply {
 	r := UserReply{Status: 200, ID: id, State: string(s)}
-	if !s.Final() {
-		p := n.progress(id)
+	if !s.IsFinal() {
+		p := n.progressOf(id)
 		r.Done, r.Running = p.Done, p.Running
 		if p.Running > 0 {
 			r.State = "running"
 		}
-	} else if d, ok := n.users.dates[id]; ok && s == Done {
-		r = r.told(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Rev: int(d & 0xff)})
+	} else if d, ok := n.frontend.endDates[id]; ok && s == Done {
+		r = r.withDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Rev: int(d & 0xff)})
 	}
 	return r
 }
 
-// progress is a job's count of tasks as far as this node knows; for display.
-func (n *Node) progress(id string) Progress {
-	if n.owner != nil {
-		if j := n.owner.jobs[id]; j != nil {
+// progressOf is a job's count of tasks as far as this node knows; for display.
+func (n *Controller) progressOf(id string) Progress {
+	if n.shardLeader != nil {
+		if j := n.shardLeader.jobs[id]; j != nil {
 			return j.progress()
 		}
 	}
-	return n.display[id]
+	return n.progressByJob[id]
 }
 
-func (n *Node) submit(c Submit) {
+func (n *Controller) submitJob(c SubmitJob) {
 	id := c.Spec.ID
-	if s, ok := n.users.final[id]; ok {
-		n.emit(withReply(n.known(id, s), c.Reply))
+	if s, ok := n.frontend.finalStatuses[id]; ok {
+		n.emit(withReply(n.replyWithStatus(id, s), c.Reply))
 		return
 	}
-	if n.cannotDecide(c.Reply, id, &c.Spec) {
+	if n.refuseIfUnavailable(c.Reply, id, &c.Spec) {
 		return
 	}
-	w := n.newWaiter(c.Reply, id)
-	status, why := 0, ""
+	request := n.newUserRequest(c.Reply, id)
+	status, reason := 0, ""
 	switch {
-	case c.Bad != "":
-		status, why = 400, c.Bad
-	case n.types == nil:
-		n.lookFirst(w, 503, "machine types are not known yet")
+	case c.MalformedReason != "":
+		status, reason = 400, c.MalformedReason
+	case n.machineTypes == nil:
+		n.answerFromRecord(request, 503, "machine types are not known yet")
 		return
 	default:
-		c.Spec = n.bound(c.Spec)
-		status, why = n.validate(&c.Spec)
+		c.Spec = n.restrictToFittingDisks(c.Spec)
+		status, reason = n.validateSpec(&c.Spec)
 	}
 	if status != 0 {
 		// A known job is never called malformed or impossible, so look
 		// before refusing.
-		n.lookFirst(w, status, why)
+		n.answerFromRecord(request, status, reason)
 		return
 	}
-	s := &submission{w: w, spec: c.Spec, at: n.now}
-	n.prereqsKnown(w, c.Spec.Prereqs, func() {
-		s.promised = quote(n, &s.spec)
-		n.users.queue = append(n.users.queue, s)
+	s := &submission{request: request, spec: c.Spec, submittedAt: n.now}
+	n.checkDependenciesAccepted(request, c.Spec.Dependencies, func() {
+		s.promisedAfter = quoteDate(n, &s.spec)
+		n.frontend.submitQueue = append(n.frontend.submitQueue, s)
 	})
 }
 
@@ -237,73 +237,73 @@
 	return r
 }
 
-// validate says why a job can never run here.
-func (n *Node) validate(s *Spec) (int, string) {
+// validateSpec says why a job can never run here.
+func (n *Controller) validateSpec(s *JobSpec) (int, string) {
 	var team *Team
-	for i := range n.set.Teams {
-		if n.set.Teams[i].Name == s.Team {
-			team = &n.set.Teams[i]
+	for i := range n.settings.Teams {
+		if n.settings.Teams[i].Name == s.Team {
+			team = &n.settings.Teams[i]
 		}
 	}
 	if team == nil {
 		return 422, "unknown owner " + s.Team
 	}
-	fits := n.offeredTo(s)
-	if len(fits.flavours) == 0 {
+	eligible := n.eligibleTypesFor(s)
+	if len(eligible.machineTypes) == 0 {
 		return 422, "a task fits no allowed flavour"
 	}
-	if s.Gang && s.Apart && s.Tasks > 1 && (s.SamePlace || len(fits.zones) == 1) {
+	if s.Gang && s.SpreadZones && s.Tasks > 1 && (s.SameZone || len(eligible.zones) == 1) {
 		return 422, "tasks that start together cannot be apart in one zone"
 	}
 	count := 1.0
-	if s.Standing || s.Gang {
+	if s.LongRunning || s.Gang {
 		count = float64(s.Tasks)
 	}
 	all := Resources{}.Plus(s.Need, count)
-	if (team.Limit.CPU > 0 && all.CPU > team.Limit.CPU+slack) || (team.Limit.GPU > 0 && all.GPU > team.Limit.GPU+slack) {
+	if (team.QuotaLimit.CPU > 0 && all.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && all.GPU > team.QuotaLimit.GPU+roundingTolerance) {
 		return 422, "the job needs more than its owner's limit"
 	}
-	if why := n.badPrereqs(s); why != "" {
-		return 422, why
+	if reason := n.validateDependencies(s); reason != "" {
+		return 422, reason
 	}
-	if size, err := bounds.JSON(encode(s.record(n.now))); err != nil || size+openSpare > n.set.ValueBytes {
+	if size, err := bounds.JSON(encode(s.openRecord(n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
 }
 
-// openSpare is the room left in a job's record for what is added later: that it is
+// openRecordReserve is the room left in a job's record for what is added later: that it is
 // cancelled, lent or borrowed.
-const openSpare = 256
+const openRecordReserve = 256
 
-func b2f(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// offered are the kinds of machines on which a task can run.
-type offered struct {
-	flavours []string
-	zones    map[string]bool
-	// tooSmall: others are allowed that it would fit but for its image.
-	tooSmall bool
+// eligibleTypes are the kinds of machines on which a task can run.
+type eligibleTypes struct {
+	machineTypes []string
+	zones        map[string]bool
+	// excludedByDisk: others are allowed that it would fit but for its image.
+	excludedByDisk bool
 }
 
-// offeredTo finds what is offered anywhere of what a job allows.
-func (n *Node) offeredTo(s *Spec) offered {
-	out := offered{zones: map[string]bool{}}
-	for _, name := range sortedKeys(n.types) {
-		f := n.types[name]
+// eligibleTypesFor finds what is offered anywhere of what a job allows.
+func (n *Controller) eligibleTypesFor(s *JobSpec) eligibleTypes {
+	out := eligibleTypes{zones: map[string]bool{}}
+	for _, name := range sortedKeys(n.machineTypes) {
+		f := n.machineTypes[name]
 		zones := slices.DeleteFunc(slices.Clone(f.Zones), func(z string) bool { return s.Zone != "" && s.Zone != z })
-		allowed := len(s.Flavours) == 0 || slices.Contains(s.Flavours, name)
+		allowed := len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)
 		switch {
-		case !allowed || len(zones) == 0 || !s.Need.Fits(f.Size):
+		case !allowed || len(zones) == 0 || !s.Need.Fits(f.Capacity):
 		case f.DiskGB > 0 && s.ImageGB > f.DiskGB:
-			out.tooSmall = true
+			out.excludedByDisk = true
 		default:
-			out.flavours = append(out.flavours, name)
+			out.machineTypes = append(out.machineTypes, name)
 			for _, z := range zones {
 				out.zones[z] = true
 			}
@@ -312,277 +312,277 @@
 	return out
 }
 
-// bound is a job that allows only flavours whose disks have room for its image: whoever
+// restrictToFittingDisks is a job that allows only flavours whose disks have room for its image: whoever
 // places it or rents for it looks at nothing but what it allows.
-func (n *Node) bound(s Spec) Spec {
-	if fits := n.offeredTo(&s); fits.tooSmall && len(fits.flavours) > 0 {
-		s.Flavours = fits.flavours
+func (n *Controller) restrictToFittingDisks(s JobSpec) JobSpec {
+	if eligible := n.eligibleTypesFor(&s); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
+		s.MachineTypes = eligible.machineTypes
 	}
 	return s
 }
 
-// lookFirst answers with the job's state if it is known, else as told.
-func (n *Node) lookFirst(w *waiter, status int, why string) {
-	n.look(w.id, func(f found) {
+// answerFromRecord answers with the job's state if it is known, else as told.
+func (n *Controller) answerFromRecord(request *userRequest, status int, reason string) {
+	n.readJob(request.id, func(f jobLookup) {
 		switch {
 		case !f.ok:
-			n.refuse(w, "the state service does not answer")
-		case f.known:
-			n.finish(w, n.tell(w.id, f))
+			n.refuseRequest(request, "the state service does not answer")
+		case f.accepted:
+			n.answerRequest(request, n.replyFor(request.id, f))
 		default:
-			r := UserReply{Status: status, Message: why}
+			r := UserReply{Status: status, Message: reason}
 			if status == 503 {
-				r.RetryAfter = comeBack
+				r.RetryAfter = retryAfter
 			}
-			n.finish(w, r)
+			n.answerRequest(request, r)
 		}
 	})
 }
 
-// tell is the answer for a record just read.
-func (n *Node) tell(id string, f found) UserReply {
+// replyFor is the answer for a record just read.
+func (n *Controller) replyFor(id string, f jobLookup) UserReply {
 	r := f.rec
-	if r.Status.Final() {
-		n.setFinal(id, r.Status)
-		doneDate(n, id, r)
+	if r.Status.IsFinal() {
+		n.cacheFinalStatus(id, r.Status)
+		cacheDoneDate(n, id, r)
 	}
-	a := n.known(id, r.Status)
+	reply := n.replyWithStatus(id, r.Status)
 	if r.Status == Done {
-		a.Done = r.Tasks
-	} else if !r.Status.Final() {
-		a = a.told(f.date)
+		reply.Done = r.Tasks
+	} else if !r.Status.IsFinal() {
+		reply = reply.withDate(f.promisedDate)
 	}
-	return a
+	return reply
 }
 
-func (n *Node) setFinal(id string, s JobStatus) {
-	n.users.final[id] = s
-	delete(n.display, id)
-	n.pipelineSees(id)
+func (n *Controller) cacheFinalStatus(id string, s JobStatus) {
+	n.frontend.finalStatuses[id] = s
+	delete(n.progressByJob, id)
+	n.noteDependencyState(id)
 }
 
-// read gets job/<id> with a read begun after this call. Many that wait together share
+// readStatusRecord gets job/<id> with a read begun after this call. Many that wait together share
 // few reads; see internal/lookup.
-func (n *Node) read(id string, fn func(StateDone)) {
-	u := &n.users
-	u.polls[id] = append(u.polls[id], fn)
-	u.lookups.Ask(id)
-	n.readNext()
+func (n *Controller) readStatusRecord(id string, fn func(StoreResponse)) {
+	u := &n.frontend
+	u.statusWaiters[id] = append(u.statusWaiters[id], fn)
+	u.readBatches.Ask(id)
+	n.sendReadBatches()
 }
 
-// readNext sends the reads that are due.
-func (n *Node) readNext() {
-	u := &n.users
+// sendReadBatches sends the reads that are due.
+func (n *Controller) sendReadBatches() {
+	u := &n.frontend
 	for {
-		r, ok := u.lookups.Next()
+		r, ok := u.readBatches.Next()
 		if !ok {
 			return
 		}
-		if !u.turn {
-			u.turn = true
-			n.after(freshEvery, func() {
-				u.turn = false
-				u.lookups.Turn()
-				n.readNext()
+		if !u.batchTurnScheduled {
+			u.batchTurnScheduled = true
+			n.after(minRefreshInterval, func() {
+				u.batchTurnScheduled = false
+				u.readBatches.Turn()
+				n.sendReadBatches()
 			})
 		}
 		// It answers those that asked before it began.
-		fns := map[string][]func(StateDone){}
+		waiters := map[string][]func(StoreResponse){}
 		for _, id := range r.Asked() {
-			fns[id] = u.polls[id]
-			delete(u.polls, id)
+			waiters[id] = u.statusWaiters[id]
+			delete(u.statusWaiters, id)
 		}
-		op := StateOp{Kind: OpGet, Prio: PrioUser, Key: jobPrefix + r.ID}
+		op := StoreRequest{Kind: OpGet, Priority: PriorityUser, Key: jobStatusPrefix + r.ID}
 		if r.List {
-			op.Kind, op.Key, op.From = OpList, jobPrefix, jobPrefix+r.From
+			op.Kind, op.Key, op.StartAfter = OpList, jobStatusPrefix, jobStatusPrefix+r.From
 		}
-		n.ask(op, func(d StateDone) { n.readDone(r, d, fns) })
+		n.requestStore(op, func(d StoreResponse) { n.handleReadBatch(r, d, waiters) })
 	}
 }
 
-// readDone answers what a read was for.
-func (n *Node) readDone(r lookup.Read, d StateDone, fns map[string][]func(StateDone)) {
-	u := &n.users
-	ok, last, found := d.Status == StateOK, "", map[string]Item{}
-	for _, it := range d.Items {
-		last = strings.TrimPrefix(it.Key, jobPrefix)
+// handleReadBatch answers what a read was for.
+func (n *Controller) handleReadBatch(r lookup.Read, d StoreResponse, waiters map[string][]func(StoreResponse)) {
+	u := &n.frontend
+	ok, last, found := d.Status == StoreOK, "", map[string]KeyValue{}
+	for _, it := range d.KeyValues {
+		last = strings.TrimPrefix(it.Key, jobStatusPrefix)
 		found[last] = it
-		var rec jobRecord
-		if r.List && decode(it.Value, &rec) && rec.Status.Final() {
+		var rec jobStatusRecord
+		if r.List && decode(it.Value, &rec) && rec.Status.IsFinal() {
 			// An end is for good, whoever asks for it.
-			n.setFinal(last, rec.Status)
-			doneDate(n, last, rec)
+			n.cacheFinalStatus(last, rec.Status)
+			cacheDoneDate(n, last, rec)
 		}
 	}
-	settled := u.lookups.Done(r, ok, last, d.Truncated && last != "")
+	settled := u.readBatches.Done(r, ok, last, d.Truncated && last != "")
 	// What the list did not come to waits for the next.
-	for id, rest := range fns {
+	for id, rest := range waiters {
 		if !slices.Contains(settled, id) {
-			u.polls[id] = append(rest, u.polls[id]...)
+			u.statusWaiters[id] = append(rest, u.statusWaiters[id]...)
 		}
 	}
 	for _, id := range settled {
 		one := d
 		if it, there := found[id]; r.List && ok && there {
-			one.Items = []Item{it}
+			one.KeyValues = []KeyValue{it}
 		} else if r.List && ok {
-			one.Status, one.Items = StateNotFound, nil
+			one.Status, one.KeyValues = StoreNotFound, nil
 		}
-		for _, fn := range fns[id] {
+		for _, fn := range waiters[id] {
 			fn(one)
 		}
 	}
-	n.readNext()
+	n.sendReadBatches()
 }
 
-func (n *Node) query(c Query) {
-	if s, ok := n.users.final[c.ID]; ok {
-		n.emit(withReply(n.known(c.ID, s), c.Reply))
+func (n *Controller) queryJob(c QueryJob) {
+	if s, ok := n.frontend.finalStatuses[c.ID]; ok {
+		n.emit(withReply(n.replyWithStatus(c.ID, s), c.Reply))
 		return
 	}
-	if n.cannotDecide(c.Reply, c.ID, nil) {
+	if n.refuseIfUnavailable(c.Reply, c.ID, nil) {
 		return
 	}
-	n.lookFirst(n.newWaiter(c.Reply, c.ID), 404, "no such job")
+	n.answerFromRecord(n.newUserRequest(c.Reply, c.ID), 404, "no such job")
 }
 
-// usersFlush puts waiting submissions into transactions, many in one.
-func (n *Node) usersFlush() {
-	u := &n.users
-	for len(u.queue) > 0 && u.inFlight < submitsInFlight {
+// flushSubmissions puts waiting submissions into transactions, many in one.
+func (n *Controller) flushSubmissions() {
+	u := &n.frontend
+	for len(u.submitQueue) > 0 && u.inFlight < maxSubmitTxns {
 		var batch []*submission
 		seen := map[string]bool{}
 		size := 0
-		for len(u.queue) > 0 && len(batch) < n.set.TxnOps {
-			s := u.queue[0]
-			if s.w.done {
-				u.queue = u.queue[1:]
+		for len(u.submitQueue) > 0 && len(batch) < n.settings.MaxTxnWrites {
+			s := u.submitQueue[0]
+			if s.request.answered {
+				u.submitQueue = u.submitQueue[1:]
 				continue
 			}
 			// The same id twice in a transaction would conflict with itself.
-			if seen[s.spec.ID] || len(batch) > 0 && (s.alone || batch[0].alone) {
+			if seen[s.spec.ID] || len(batch) > 0 && (s.storeAlone || batch[0].storeAlone) {
 				break
 			}
-			one, err := bounds.JSON(encode(s.record()))
-			if size += one + submitFrame; (err != nil || size > txnFull) && len(batch) > 0 {
+			one, err := bounds.JSON(encode(s.openRecord()))
+			if size += one + submitOverheadBytes; (err != nil || size > targetTxnBytes) && len(batch) > 0 {
 				break
 			}
 			seen[s.spec.ID] = true
 			batch = append(batch, s)
-			u.queue = u.queue[1:]
+			u.submitQueue = u.submitQueue[1:]
 		}
 		if len(batch) == 0 {
 			break
 		}
 		u.inFlight++
-		n.store(batch)
+		n.storeSubmissions(batch)
 	}
 }
 
-// submitFrame is what a submission takes of a transaction beside its record: three
+// submitOverheadBytes is what a submission takes of a transaction beside its record: three
 // keys with what goes round them.
-const submitFrame = 512
+const submitOverheadBytes = 512
 
-func (n *Node) store(batch []*submission) {
-	var op StateOp
-	op.Kind, op.Prio = OpTxn, PrioUser
+func (n *Controller) storeSubmissions(batch []*submission) {
+	var op StoreRequest
+	op.Kind, op.Priority = OpTxn, PriorityUser
 	for _, s := range batch {
 		id := s.spec.ID
 		// Neither over nor open: never accepted before. One change is enough;
 		// job/ is written when the job is over.
-		op.When = append(op.When, Cond{jobPrefix + id, 0}, Cond{openPrefix + id, 0})
-		op.Apply = append(op.Apply, Change{Key: openPrefix + id, Value: encode(s.record())})
+		op.Compares = append(op.Compares, Compare{jobStatusPrefix + id, 0}, Compare{openJobPrefix + id, 0})
+		op.Writes = append(op.Writes, Write{Key: openJobPrefix + id, Value: encode(s.openRecord())})
 	}
-	n.ask(op, func(d StateDone) {
-		n.users.inFlight--
+	n.requestStore(op, func(d StoreResponse) {
+		n.frontend.inFlight--
 		switch d.Status {
-		case StateOK:
+		case StoreOK:
 			for _, s := range batch {
-				n.finish(s.w, n.accepted(s))
-				n.ownerSees(Item{Key: openPrefix + s.spec.ID, Value: encode(s.record()), Stamp: d.Rev})
+				n.answerRequest(s.request, n.acceptedReply(s))
+				n.observeOwnWrite(KeyValue{Key: openJobPrefix + s.spec.ID, Value: encode(s.openRecord()), ModRevision: d.Revision})
 			}
-		case StateConflict:
+		case StoreConflict:
 			var again []*submission
 			for _, s := range batch {
-				if slices.Contains(d.Failed, jobPrefix+s.spec.ID) || slices.Contains(d.Failed, openPrefix+s.spec.ID) {
-					n.lookFirst(s.w, 503, "conflict")
+				if slices.Contains(d.FailedKeys, jobStatusPrefix+s.spec.ID) || slices.Contains(d.FailedKeys, openJobPrefix+s.spec.ID) {
+					n.answerFromRecord(s.request, 503, "conflict")
 				} else {
 					again = append(again, s)
 				}
 			}
-			n.users.queue = append(again, n.users.queue...)
-		case StateBad:
+			n.frontend.submitQueue = append(again, n.frontend.submitQueue...)
+		case StoreMalformed:
 			if len(batch) == 1 {
 				s := batch[0]
-				n.lookFirst(s.w, 400, fmt.Sprintf("job %s cannot be stored", s.spec.ID))
+				n.answerFromRecord(s.request, 400, fmt.Sprintf("job %s cannot be stored", s.spec.ID))
 				break
 			}
 			// One of them is at fault, and the others are not to suffer for it.
 			for _, s := range batch {
-				s.alone = true
+				s.storeAlone = true
 			}
-			n.users.queue = append(batch, n.users.queue...)
+			n.frontend.submitQueue = append(batch, n.frontend.submitQueue...)
 		default:
 			for _, s := range batch {
-				n.refuse(s.w, "the state service does not answer")
+				n.refuseRequest(s.request, "the state service does not answer")
 			}
 		}
 	})
 }
 
-func (n *Node) abort(c Abort) {
-	if s, ok := n.users.final[c.ID]; ok {
-		n.emit(withReply(n.known(c.ID, s), c.Reply))
+func (n *Controller) cancelJob(c CancelJob) {
+	if s, ok := n.frontend.finalStatuses[c.ID]; ok {
+		n.emit(withReply(n.replyWithStatus(c.ID, s), c.Reply))
 		return
 	}
-	if n.cannotDecide(c.Reply, c.ID, nil) {
+	if n.refuseIfUnavailable(c.Reply, c.ID, nil) {
 		return
 	}
-	n.cancel(n.newWaiter(c.Reply, c.ID))
+	n.cancelOpenJob(n.newUserRequest(c.Reply, c.ID))
 }
 
-func (n *Node) cancel(w *waiter) {
-	n.look(w.id, func(f found) {
+func (n *Controller) cancelOpenJob(request *userRequest) {
+	n.readJob(request.id, func(f jobLookup) {
 		switch {
 		case !f.ok:
-			n.refuse(w, "the state service does not answer")
+			n.refuseRequest(request, "the state service does not answer")
 			return
-		case !f.known:
-			n.finish(w, UserReply{Status: 404, Message: "no such job"})
+		case !f.accepted:
+			n.answerRequest(request, UserReply{Status: 404, Message: "no such job"})
 			return
-		case f.rec.Status.Final() || f.stamp == 0:
-			n.finish(w, n.tell(w.id, f))
+		case f.rec.Status.IsFinal() || f.modRevision == 0:
+			n.answerRequest(request, n.replyFor(request.id, f))
 			return
-		case w.done:
+		case request.answered:
 			return
-		case f.open.Lent != "":
-			cancelLent(n, w, f)
+		case f.open.LentTo != "":
+			cancelLentJob(n, request, f)
 			return
 		}
-		id := w.id
+		id := request.id
 		// What its tasks take stays known: until they are gone they count for
 		// their team's limit, under whatever owner.
 		rec := f.open
-		rec.Cancelled, rec.CancelledAt = true, n.now.UnixMilli()
-		rec.shorten(n.set.ValueBytes)
+		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
+		rec.shrinkToFit(n.settings.MaxValueBytes)
 		open := encode(rec)
 		// Both records change together: the stamp of open/ guards starts.
-		n.ask(StateOp{Kind: OpTxn, Prio: PrioUser, When: []Cond{{openPrefix + id, f.stamp}},
-			Apply: []Change{
-				{Key: jobPrefix + id, Value: encode(overRecord(n, id, Cancelled, &living{f.stamp, f.open}))},
-				{Key: openPrefix + id, Value: open},
-			}}, func(d StateDone) {
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{openJobPrefix + id, f.modRevision}},
+			Writes: []Write{
+				{Key: jobStatusPrefix + id, Value: encode(endRecordFromCache(n, id, Cancelled, &openJob{f.modRevision, f.open}))},
+				{Key: openJobPrefix + id, Value: open},
+			}}, func(d StoreResponse) {
 			switch d.Status {
-			case StateOK:
-				n.setFinal(id, Cancelled)
-				n.ownerSees(Item{Key: openPrefix + id, Value: open, Stamp: d.Rev})
-				tellCancelled(n, CancelNews{ID: id, Record: open, Stamp: d.Rev}, n.set.Peers)
-				n.finish(w, n.known(id, Cancelled))
-			case StateConflict:
+			case StoreOK:
+				n.cacheFinalStatus(id, Cancelled)
+				n.observeOwnWrite(KeyValue{Key: openJobPrefix + id, Value: open, ModRevision: d.Revision})
+				publishCancellation(n, Cancellation{ID: id, Record: open, ModRevision: d.Revision}, n.settings.Peers)
+				n.answerRequest(request, n.replyWithStatus(id, Cancelled))
+			case StoreConflict:
 				// Done or cancelled in between: look again.
-				n.cancel(w)
+				n.cancelOpenJob(request)
 			default:
-				n.refuse(w, "the state service does not answer")
+				n.refuseRequest(request, "the state service does not answer")
 			}
 		})
 	})
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -12,15 +12,15 @@
 // and records, which may be damaged or written by mistake. What makes no sense is not
 // taken, and told of; nothing ends for it.
 
-// Bad is what is wrong with a report, "" for nothing.
-func (r *Report) Bad() string {
+// Validate is what is wrong with a report, "" for nothing.
+func (r *Heartbeat) Validate() string {
 	var c validate.Check
 	c.Name("host", r.Machine, true)
 	c.Name("address", r.Addr, false)
-	c.Name("flavour", r.Flavour, false)
+	c.Name("flavour", r.MachineType, false)
 	c.Name("site", r.Zone, false)
-	if r.Recall >= 0 {
-		c.Amount("recall_s", r.Recall.Seconds())
+	if r.ReclaimIn >= 0 {
+		c.Amount("recall_s", r.ReclaimIn.Seconds())
 	}
 	for i := range r.Tasks {
 		c.Name("piece", r.Tasks[i].Job, true)
@@ -29,93 +29,93 @@
 	return c.Bad()
 }
 
-// bad is what is wrong with news, "" for nothing.
-func (c *PeerNews) bad() string {
-	var k validate.Check
-	wants := func(field string, ws []Want) {
-		for _, w := range ws {
-			k.Name(field+".flavour", w.Flavour, false)
-			k.Name(field+".zone", w.Zone, false)
-			k.Count(field+".count", w.Count, 0, validate.MostTasks)
+// validate is what is wrong with news, "" for nothing.
+func (c *PeerUpdate) validate() string {
+	var check validate.Check
+	checkRequests := func(field string, requests []CapacityRequest) {
+		for _, w := range requests {
+			check.Name(field+".flavour", w.MachineType, false)
+			check.Name(field+".zone", w.Zone, false)
+			check.Count(field+".count", w.Count, 0, validate.MostTasks)
 		}
 	}
-	wants("wants", c.Wants)
-	wants("spare", c.Spare)
-	wants("blocked", c.Blocked)
+	checkRequests("wants", c.CapacityRequests)
+	checkRequests("spare", c.SurplusElsewhere)
+	checkRequests("blocked", c.Blocked)
 	if c.Rates != nil {
-		k.Amount("rates.requests", c.Rates.Requests)
-		k.Amount("rates.changes", c.Rates.Changes)
+		check.Amount("rates.requests", c.Rates.Requests)
+		check.Amount("rates.changes", c.Rates.Writes)
 	}
-	for _, l := range c.Loads {
-		k.Name("loads.workload", l.Workload, true)
-		k.Amount("loads.rate", l.Rate)
-		k.Amount("loads.ratio", l.Ratio)
-		k.Amount("loads.dev", l.Dev)
-		k.Count("loads.samples", l.Samples, 0, 1<<40)
+	for _, l := range c.WorkloadLoads {
+		check.Name("loads.workload", l.Workload, true)
+		check.Amount("loads.rate", l.TasksPerSecond)
+		check.Amount("loads.ratio", l.RunTimeRatio)
+		check.Amount("loads.dev", l.Deviation)
+		check.Count("loads.samples", l.Samples, 0, 1<<40)
 	}
 	for _, q := range c.Quotes {
-		k.Name("quotes.team", q.Team, true)
-		k.Count("quotes.value", len(q.Value), 1, bounds.TxnMost)
+		check.Name("quotes.team", q.Team, true)
+		check.Count("quotes.value", len(q.Value), 1, bounds.TxnMost)
 	}
 	for _, p := range c.Progress {
-		k.Count("progress.done", p.Done, 0, validate.MostTasks)
-		k.Count("progress.running", p.Running, 0, validate.MostTasks)
+		check.Count("progress.done", p.Done, 0, validate.MostTasks)
+		check.Count("progress.running", p.Running, 0, validate.MostTasks)
 	}
-	for _, t := range c.Teams {
-		k.Amount("teams.cpu", t.CPU)
+	for _, t := range c.TeamLoads {
+		check.Amount("teams.cpu", t.CPU)
 	}
-	for _, h := range c.Hosts {
-		k.Name("hosts.id", h.ID, true)
+	for _, h := range c.MachineUpdates {
+		check.Name("hosts.id", h.ID, true)
 		for _, gb := range h.Images {
-			k.Amount("hosts.images", gb)
+			check.Amount("hosts.images", gb)
 		}
 	}
-	for _, r := range c.Rentals {
-		k.Name("rentals.id", r.ID, true)
-		k.Amount("rentals.age", r.Age.Seconds())
+	for _, r := range c.RentalUpdates {
+		check.Name("rentals.id", r.ID, true)
+		check.Amount("rentals.age", r.Age.Seconds())
 	}
-	k.Count("came", len(c.Came), 0, cameMost)
-	for _, x := range c.Came {
-		k.Name("came.id", x.ID, true)
+	check.Count("came", len(c.Rerouted), 0, maxReroutedHeartbeats)
+	for _, x := range c.Rerouted {
+		check.Name("came.id", x.ID, true)
 	}
-	badCancels(&k, c)
-	for _, a := range c.Wards {
-		k.Name("wards.machine", a.Machine, true)
+	validateCancellations(&check, c)
+	for _, a := range c.RemoteAttempts {
+		check.Name("wards.machine", a.Machine, true)
 		for _, t := range a.Attempts {
-			k.Count("wards.index", t.Index, 0, validate.MostTasks-1)
-			k.Amount("wards.wind_down", t.WindDown.Seconds())
+			check.Count("wards.index", t.Index, 0, validate.MostTasks-1)
+			check.Amount("wards.wind_down", t.WindDown.Seconds())
 		}
 	}
-	needs := func(field string, hs []HostNeed) {
-		for _, h := range hs {
-			k.Name(field+".flavour", h.Flavour, true)
-			k.Name(field+".zone", h.Zone, false)
-			k.Name(field+".workload", h.Workload, false)
-			k.Amount(field+".cpu", h.Need.CPU)
-			k.Amount(field+".gpu", h.Need.GPU)
-			k.Amount(field+".memory", h.Need.Memory)
-			k.Count(field+".urgency", int(h.Urgency), int(BestEffort), int(Critical))
+	checkNeeds := func(field string, needs []HostNeed) {
+		for _, h := range needs {
+			check.Name(field+".flavour", h.MachineType, true)
+			check.Name(field+".zone", h.Zone, false)
+			check.Name(field+".workload", h.Workload, false)
+			check.Amount(field+".cpu", h.Need.CPU)
+			check.Amount(field+".gpu", h.Need.GPU)
+			check.Amount(field+".memory", h.Need.Memory)
+			check.Count(field+".urgency", int(h.Urgency), int(BestEffort), int(Critical))
 		}
 	}
-	needs("needs", c.Needs)
-	needs("lacks", c.Lacks)
-	needs("empty", c.Empty)
-	for _, h := range c.Costs {
-		k.Name("costs.flavour", h.Flavour, true)
-		k.Amount("costs.down", h.Down.Seconds())
+	checkNeeds("needs", c.HostNeeds)
+	checkNeeds("lacks", c.OthersNeeds)
+	checkNeeds("empty", c.EvacuationRequests)
+	for _, h := range c.EvacuationCosts {
+		check.Name("costs.flavour", h.MachineType, true)
+		check.Amount("costs.down", h.Downtime.Seconds())
 	}
-	for _, a := range c.Told {
-		k.Name("told.machine", a.Machine, true)
+	for _, a := range c.RemoteStatuses {
+		check.Name("told.machine", a.Machine, true)
 		for _, t := range a.Attempts {
-			k.Count("told.index", t.Index, 0, validate.MostTasks-1)
+			check.Count("told.index", t.Index, 0, validate.MostTasks-1)
 		}
 	}
-	return k.Bad()
+	return check.Bad()
 }
 
-// bad is what is wrong with a job's record, "" for nothing. One that is over and was
+// validate is what is wrong with a job's record, "" for nothing. One that is over and was
 // kept by an earlier form says nothing but that.
-func (r *openRecord) bad() string {
+func (r *openJobRecord) validate() string {
 	var c validate.Check
 	if r.Cancelled && r.Team == "" {
 		return ""
@@ -124,23 +124,23 @@
 	for _, f := range [...]struct {
 		name string
 		is   float64
-	}{{"c", r.CPU}, {"g", r.GPU}, {"m", r.Memory}, {"ig", r.ImageGB}, {"e", r.Expected}, {"se", r.SaveEvery}, {"sc", r.SaveCost}, {"d", r.Due}} {
+	}{{"c", r.CPU}, {"g", r.GPU}, {"m", r.Memory}, {"ig", r.ImageGB}, {"e", r.ExpectedSeconds}, {"se", r.CheckpointIntervalSeconds}, {"sc", r.CheckpointCostSeconds}, {"d", r.DeadlineSeconds}} {
 		c.Amount(f.name, f.is)
 	}
 	c.Count("u", r.Urgency, int(BestEffort), int(Critical))
-	if _, ok := pipeline.Decode(r.Prereqs); !ok {
+	if _, ok := pipeline.Decode(r.Dependencies); !ok {
 		return "pr is no list of names"
 	}
 	return c.Bad()
 }
 
-// longestRun bounds a run time in a record.
-const longestRun = 366 * 24 * time.Hour
+// maxRunTime bounds a run time in a record.
+const maxRunTime = 366 * 24 * time.Hour
 
-// complain tells of bad input, once a minute for each cause; all of it is counted.
-func (n *Node) complain(what, from, why string) {
-	n.badInput++
-	if n.complaints.Say(n.now, what+" "+from+" "+why) {
-		n.info("bad input is not taken", "what", what, "from", from, "why", why, "in all", n.badInput)
+// rejectInput tells of bad input, once a minute for each cause; all of it is counted.
+func (n *Controller) rejectInput(what, from, why string) {
+	n.rejectedInputs++
+	if n.rejections.Say(n.now, what+" "+from+" "+why) {
+		n.info("bad input is not taken", "what", what, "from", from, "why", why, "in all", n.rejectedInputs)
 	}
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -141,12 +141,12 @@
 			return err
 		}
 	}
-	types := []core.Flavour{{
-		Name: "box", Size: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, PullRate: 2, Price: 0.2, SpotPrice: 0.07,
-		Ready: 2 * time.Second, Zones: []string{"a"},
+	types := []core.MachineType{{
+		Name: "box", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
+		ProvisioningTime: 2 * time.Second, Zones: []string{"a"},
 	}}
 	site := f.opt.Site
-	set := core.Settings{ReportEvery: site.ReportEvery, Lease: site.Lease, ListLag: time.Second}
+	set := core.Settings{HeartbeatInterval: site.ReportEvery, WorkerLease: site.Lease, CloudListLag: time.Second}
 	for i, name := range names[:f.opt.Clusters] {
 		c := &Cluster{Name: name, fleet: f, dir: filepath.Join(f.opt.Dir, name), procs: make([]*exec.Cmd, f.opt.Controllers)}
 		if err := os.MkdirAll(c.dir, 0o700); err != nil {
@@ -194,7 +194,7 @@
 }
 
 // learn tells workers of a job, also under a name by which it was lent.
-func (f *Fleet) learn(id string) (core.Spec, time.Duration, bool) {
+func (f *Fleet) learn(id string) (core.JobSpec, time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	own := id
@@ -202,7 +202,7 @@
 		own = OwnID(id)
 	}
 	j, ok := f.jobs[own]
-	return core.Spec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: core.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, Spot: true, Standing: j.Standing}, j.Run, ok
+	return core.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: core.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.Run, ok
 }
 
 // OwnID is the name that a lent job has at home.
--- a/internal/lab/scale/change.go
+++ b/internal/lab/scale/change.go
@@ -52,7 +52,7 @@
 	for _, addr := range l.c.Back {
 		for {
 			got, err := ranking(ctx, http.MethodGet, addr, "", "")
-			if err == nil && got.Rev >= set.Rev {
+			if err == nil && got.Revision >= set.Revision {
 				break
 			}
 			if ctx.Err() != nil {
@@ -64,7 +64,7 @@
 	return time.Since(began), true
 }
 
-func ranking(ctx context.Context, method, addr, query, text string) (*core.RankReply, error) {
+func ranking(ctx context.Context, method, addr, query, text string) (*core.RankingReply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/ranking"+query, strings.NewReader(text))
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer resp.Body.Close()
-	var r core.RankReply
+	var r core.RankingReply
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil || resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("scale: %s: ranking: %s", addr, resp.Status)
 	}
--- a/internal/lab/scale/rung.go
+++ b/internal/lab/scale/rung.go
@@ -398,11 +398,11 @@
 		role := Role{Host: fmt.Sprintf("node-%d", i), Role: "other", Cores: (x.cpu - before.procs[i].cpu) / s, RSSMB: x.rssMB, PeakMB: x.peakMB, Files: x.files, Threads: x.threads}
 		role.Teams = len(teamsOf(st))
 		switch {
-		case st.IsLeader && st.IsOwner:
+		case st.IsLeader && st.IsShardLeader:
 			role.Role = "leader+owner"
 		case st.IsLeader:
 			role.Role = "leader"
-		case st.IsOwner:
+		case st.IsShardLeader:
 			role.Role = "owner"
 		}
 		r.Roles = append(r.Roles, role)
@@ -414,7 +414,7 @@
 func teamsOf(s *core.StatusReply) []string {
 	var out []string
 	for _, t := range s.Teams {
-		if t.Here {
+		if t.IsLocal {
 			out = append(out, t.Name)
 		}
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -75,22 +75,22 @@
 
 // State notes a request to the state service. Watches wait by design and are
 // left out.
-func (s *Set) State(kind core.StateKind, status core.StateStatus, took time.Duration) {
-	if kind != core.OpFollow {
+func (s *Set) State(kind core.StoreRequestKind, status core.StoreStatus, took time.Duration) {
+	if kind != core.OpWatch {
 		s.state.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
 	}
 }
 
 // Cloud notes a request to the cloud.
-func (s *Set) Cloud(kind core.CloudKind, status core.CloudStatus, took time.Duration) {
+func (s *Set) Cloud(kind core.CloudRequestKind, status core.CloudStatus, took time.Duration) {
 	s.cloud.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
 }
 
 // Orders notes a direct order.
-func (s *Set) Orders(done core.WorkerDone, took time.Duration) {
+func (s *Set) Orders(done core.WorkerResponse, took time.Duration) {
 	outcome := "executed"
 	switch {
-	case done.Report == nil:
+	case done.Heartbeat == nil:
 		outcome = "unanswered"
 	case !done.OK:
 		outcome = "refused"
@@ -104,36 +104,36 @@
 // Rates notes the controller's part of the state service's limits.
 func (s *Set) Rates(r core.Rates) {
 	s.part.WithLabelValues("requests").Set(r.Requests)
-	s.part.WithLabelValues("changes").Set(r.Changes)
+	s.part.WithLabelValues("changes").Set(r.Writes)
 }
 
 // GPURooms notes how the room on machines with GPUs lies. It is called by one goroutine.
-func (s *Set) GPURooms(r core.GPURooms) {
+func (s *Set) GPURooms(r core.GPUFreeCapacityReport) {
 	if !s.known {
 		s.known = true
 		s.reg.MustRegister(s.rooms, s.moves)
 	}
 	s.rooms.Reset()
 	s.moves.Reset()
-	if m := r.Moves; m != nil {
+	if m := r.Migrations; m != nil {
 		down := 0.0
-		for _, x := range m.Now {
-			down = max(down, x.DownS)
+		for _, x := range m.InProgress {
+			down = max(down, x.ExpectedDownSeconds)
 		}
-		for of, v := range map[string]float64{"under_way": float64(len(m.Now)), "planned": float64(m.Plans), "moved": float64(m.Moved), "dropped": float64(m.Dropped), "longest_down_s": m.LongestS, "expected_down_s": down} {
+		for of, v := range map[string]float64{"under_way": float64(len(m.InProgress)), "planned": float64(m.Plans), "moved": float64(m.Moved), "dropped": float64(m.Dropped), "longest_down_s": m.LongestDownSeconds, "expected_down_s": down} {
 			s.moves.WithLabelValues(of).Set(v)
 		}
 	}
-	for _, x := range r.Rooms {
-		for of, v := range map[string]float64{"hosts": float64(x.Hosts), "whole": float64(x.Whole), "free": x.Free, "pieces": x.Pieces, "largest": x.Largest} {
-			s.rooms.WithLabelValues(x.Flavour, x.Zone, strconv.FormatBool(x.Spot), of).Set(v)
+	for _, x := range r.Kinds {
+		for of, v := range map[string]float64{"hosts": float64(x.Machines), "whole": float64(x.EmptyMachines), "free": x.FreeGPUs, "pieces": x.FragmentedGPUs, "largest": x.LargestReplicaGPUs} {
+			s.rooms.WithLabelValues(x.MachineType, x.Zone, strconv.FormatBool(x.Spot), of).Set(v)
 		}
 	}
 }
 
 // Role notes the controller's roles.
 func (s *Set) Role(r core.Role) {
-	for name, on := range map[string]bool{"leader": r.Leader, "owner": r.Owner} {
+	for name, on := range map[string]bool{"leader": r.Leader, "owner": r.ShardLeader} {
 		v := 0.0
 		if on {
 			v = 1
--- a/internal/metrics/promises.go
+++ b/internal/metrics/promises.go
@@ -17,6 +17,6 @@
 			jobs.WithLabelValues(name).Set(float64(k))
 		}
 		worst.Set(t.Sum.Worst.Seconds())
-		ratio.Set(t.Ratio)
+		ratio.Set(t.MedianRatio)
 	}
 }
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -210,11 +210,11 @@
 func (b *Broker) look(ctx context.Context) {
 	now := time.Now()
 	plan := now.Sub(b.planned) >= planEvery && len(b.set.Peers) > 0
-	q := core.LoanQuery{Startable: map[string]time.Time{}, Plan: plan, Team: b.set.GuestTeam}
+	q := core.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: plan, GuestTeam: b.set.GuestTeam}
 	for _, x := range b.view.Borrowed {
 		if l, ok := parseLoan(x.Loan); ok {
 			if u := b.guest.Startable(l); !u.IsZero() {
-				q.Startable[x.Job] = u
+				q.StartableUntil[x.Job] = u
 			}
 		}
 	}
@@ -235,20 +235,20 @@
 		}
 		return
 	}
-	if v.Leads && (!b.leads || v.Epoch != b.epoch) {
+	if v.IsLeader && (!b.leads || v.Epoch != b.epoch) {
 		slog.Info("overflow: answers peers", "epoch", v.Epoch, "lent", len(v.Lent))
 		b.newHome(b.viewed)
 		b.epoch = v.Epoch
 	}
-	if v.Guests && (!b.guests || v.GuestTerm != b.term) {
-		slog.Info("overflow: borrows", "epoch", v.GuestEpoch, "borrowed", len(v.Borrowed))
+	if v.RunsGuestTeam && (!b.guests || v.GuestTeamTerm != b.term) {
+		slog.Info("overflow: borrows", "epoch", v.GuestTeamEpoch, "borrowed", len(v.Borrowed))
 		b.newGuest()
-		b.term, b.renewed = v.GuestTerm, b.viewed
+		b.term, b.renewed = v.GuestTeamTerm, b.viewed
 	}
-	b.leads, b.guests = v.Leads, v.Guests
+	b.leads, b.guests = v.IsLeader, v.RunsGuestTeam
 	if !plan {
 		// What was planned last holds a little longer.
-		v.Waiting, v.Room, v.Images, v.Late, v.Urgency, v.Cheapest = b.view.Waiting, b.view.Room, b.view.Images, b.view.Late, b.view.Urgency, b.view.Cheapest
+		v.Waiting, v.FreeCapacity, v.CachedImages, v.OwnWorkLate, v.LateUrgency, v.CheapestCPUHour = b.view.Waiting, b.view.FreeCapacity, b.view.CachedImages, b.view.OwnWorkLate, b.view.LateUrgency, b.view.CheapestCPUHour
 	}
 	b.view = v
 	b.step(plan, waiting)
@@ -288,7 +288,7 @@
 	if b.guests && now.Sub(b.renewed) >= renewEvery {
 		b.renewed = now
 		if r := b.guest.Renewals(b.set.Lease, gv); len(r) > 0 {
-			b.core.Post(core.RenewOp{Renewed: r})
+			b.core.Post(core.RenewCommand{RenewedAt: r})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.members)) {
@@ -308,7 +308,7 @@
 
 func (b *Broker) peerOf(l overflow.Loan) string {
 	for _, x := range b.view.Lent {
-		if x.Spec.ID == l.Job && x.N == l.N {
+		if x.Spec.ID == l.Job && x.LendCount == l.N {
 			return x.Peer
 		}
 	}
@@ -391,7 +391,7 @@
 	switch {
 	case !b.set.Borrow:
 		return overflow.Refused
-	case b.view.Drain:
+	case b.view.Draining:
 		return overflow.Draining
 	}
 	why := overflow.Admit(o, &b.admit, b.set.Limits)
@@ -404,28 +404,28 @@
 // plan chooses what to lend and what to give back.
 func (b *Broker) plan(now time.Time, gv overflow.GuestView) {
 	v := &b.view
-	if !v.Late {
+	if !v.OwnWorkLate {
 		b.late = time.Time{}
 	} else if b.late.IsZero() {
 		b.late = now
 	}
-	b.admit = overflow.Accepting{In: len(v.Borrowed), Room: gv.Room, Late: v.Late, Waiting: v.Urgency}
-	p := overflow.Pressure{Late: v.Late, Urgency: v.Urgency, Drain: -1}
-	if v.Late {
+	b.admit = overflow.Accepting{In: len(v.Borrowed), Room: gv.Room, Late: v.OwnWorkLate, Waiting: v.LateUrgency}
+	p := overflow.Pressure{Late: v.OwnWorkLate, Urgency: v.LateUrgency, Drain: -1}
+	if v.OwnWorkLate {
 		p.For = now.Sub(b.late)
 	}
-	if v.Drain {
-		p.Drain = max(0, time.Until(v.DrainBy))
+	if v.Draining {
+		p.Drain = max(0, time.Until(v.DrainDeadline))
 	}
-	rest := func(x overflow.Borrowed) time.Duration { return x.Spec.Expected }
+	rest := func(x overflow.Borrowed) time.Duration { return x.Spec.ExpectedRunTime }
 	for _, l := range overflow.Release(gv.Borrowed, p, rest) {
 		why := overflow.GivenBack
-		if v.Drain {
+		if v.Draining {
 			why = overflow.Draining
 		}
 		b.guestOp(overflow.GuestOp{Kind: overflow.GiveUp, Loan: l, Cause: why})
 	}
-	if !b.set.Lend || v.Drain || !b.leads {
+	if !b.set.Lend || v.Draining || !b.leads {
 		return
 	}
 	for job, at := range b.rest {
@@ -437,7 +437,7 @@
 	for _, w := range v.Waiting {
 		_, rest := b.rest[w.Spec.ID]
 		cs = append(cs, overflow.Candidate{
-			Job: w.Spec.ID, Spec: w.Spec, Aim: w.Aim, HomeEnd: w.HomeEnd, Run: w.Run, Lent: w.LentN, Rest: rest,
+			Job: w.Spec.ID, Spec: w.Spec, Aim: w.SLODue, HomeEnd: w.HomeFinish, Run: w.RunTime, Lent: w.LendCount, Rest: rest,
 		})
 	}
 	out := map[string]int{}
@@ -448,7 +448,7 @@
 	for _, name := range slices.Sorted(maps.Keys(b.members)) {
 		ps = append(ps, b.members[name].View(now, out[name]))
 	}
-	for _, o := range overflow.Choose(cs, ps, b.set.Limits, v.Cheapest) {
+	for _, o := range overflow.Choose(cs, ps, b.set.Limits, v.CheapestCPUHour) {
 		i := slices.IndexFunc(cs, func(c overflow.Candidate) bool { return c.Job == o.Job })
 		l := overflow.Loan{Home: b.set.Cluster, Job: o.Job, N: cs[i].Lent + 1}
 		slog.Info("overflow: lends", "loan", l, "peer", o.Peer, "why", o.Why, "there_in", o.PeerEnd, "here_in", cs[i].HomeEnd, "aim_in", cs[i].Aim)
@@ -458,8 +458,8 @@
 
 // homeOp has one step of a loan of ours made durable.
 func (b *Broker) homeOp(op overflow.HomeOp) {
-	kind := map[overflow.HomeOpKind]core.LoanKind{
-		overflow.Lend: core.LoanLend, overflow.TakeBack: core.LoanBack, overflow.Settle: core.LoanSettle, overflow.EndCancelled: core.LoanCancelled,
+	kind := map[overflow.HomeOpKind]core.LoanCommandKind{
+		overflow.Lend: core.LoanLend, overflow.TakeBack: core.LoanTakeBack, overflow.Settle: core.LoanSettle, overflow.EndCancelled: core.LoanEndCancelled,
 	}[op.Kind]
 	if op.Kind != overflow.Lend {
 		slog.Info("overflow: loan ends", "loan", op.Loan, "how", op.Kind, "cause", op.Cause)
@@ -471,11 +471,11 @@
 		home.Closed(op.Loan)
 		return
 	}
-	b.do(op.Loan, core.LoanOp{Kind: kind, Job: op.Loan.Job, Loan: op.Loan.String(), N: op.Loan.N, Peer: op.Peer, Stop: op.Stop, Cause: string(op.Cause)}, func(s core.LoanStatus) {
+	b.do(op.Loan, core.LoanCommand{Kind: kind, Job: op.Loan.Job, Loan: op.Loan.String(), LendCount: op.Loan.N, Peer: op.Peer, StopBound: op.Stop, Cause: string(op.Cause)}, func(s core.LoanStatus) {
 		if b.home != home {
 			return
 		}
-		if s == core.LoanNot {
+		if s == core.LoanNotApplied {
 			home.Closed(op.Loan)
 		}
 		if op.Kind == overflow.TakeBack && s == core.LoanDurable {
@@ -486,15 +486,15 @@
 
 // guestOp has one step of a peer's loan made durable.
 func (b *Broker) guestOp(op overflow.GuestOp) {
-	kind := map[overflow.GuestOpKind]core.LoanKind{
+	kind := map[overflow.GuestOpKind]core.LoanCommandKind{
 		overflow.Accept: core.LoanAccept, overflow.GiveUp: core.LoanGiveUp, overflow.Drop: core.LoanDrop,
 	}[op.Kind]
 	spec := op.Spec
 	spec.ID, spec.Team = op.Loan.GuestID(), b.set.GuestTeam
 	slog.Info("overflow: borrowed", "loan", op.Loan, "what", op.Kind, "cause", op.Cause)
 	guest := b.guest
-	b.do(op.Loan, core.LoanOp{Kind: kind, Job: spec.ID, Loan: op.Loan.String(), Spec: spec, Age: op.Age, Cause: string(op.Cause)}, func(s core.LoanStatus) {
-		if b.guest == guest && op.Kind == overflow.Accept && s == core.LoanNot {
+	b.do(op.Loan, core.LoanCommand{Kind: kind, Job: spec.ID, Loan: op.Loan.String(), Spec: spec, Age: op.Age, Cause: string(op.Cause)}, func(s core.LoanStatus) {
+		if b.guest == guest && op.Kind == overflow.Accept && s == core.LoanNotApplied {
 			// Durable ones are told once a view shows them, so that no report
 			// can leave them out.
 			guest.Accepted(op.Loan, false)
@@ -503,7 +503,7 @@
 }
 
 // do runs a transaction until its outcome is known. One at a time for a loan.
-func (b *Broker) do(l overflow.Loan, op core.LoanOp, over func(core.LoanStatus)) {
+func (b *Broker) do(l overflow.Loan, op core.LoanCommand, over func(core.LoanStatus)) {
 	if b.busy[l] {
 		return
 	}
@@ -514,7 +514,7 @@
 			ctx, cancel := context.WithTimeout(b.ctx, corePatience)
 			e, err := b.core.Ask(ctx, func(r uint64) core.Command { op.Reply = r; return op })
 			cancel()
-			if d, ok := e.(core.LoanDone); ok && err == nil && d.Status != core.LoanUnsure {
+			if d, ok := e.(core.LoanReply); ok && err == nil && d.Status != core.LoanUncertain {
 				b.post(func() {
 					if b.home == home && b.guest == guest {
 						delete(b.busy, l)
@@ -529,10 +529,10 @@
 }
 
 func (b *Broker) homeView() overflow.HomeView {
-	hv := overflow.HomeView{Epoch: b.view.Epoch, SureUntil: b.view.SureUntil}
+	hv := overflow.HomeView{Epoch: b.view.Epoch, SureUntil: b.view.LeaseValidUntil}
 	for _, x := range b.view.Lent {
 		hv.Lent = append(hv.Lent, overflow.Lent{
-			Loan: overflow.Loan{Home: b.set.Cluster, Job: x.Spec.ID, N: x.N}, Peer: x.Peer, Spec: x.Spec, At: x.At, Stop: x.Stop, Cancel: x.Wanted,
+			Loan: overflow.Loan{Home: b.set.Cluster, Job: x.Spec.ID, N: x.LendCount}, Peer: x.Peer, Spec: x.Spec, At: x.SubmittedAt, Stop: x.StopBound, Cancel: x.CancelRequested,
 		})
 	}
 	return hv
@@ -541,26 +541,26 @@
 func (b *Broker) guestView() overflow.GuestView {
 	v := &b.view
 	gv := overflow.GuestView{
-		Epoch: v.GuestEpoch, Draining: v.Drain, Lender: len(v.Lent) > 0 || v.Late,
-		Stop: workerLeases*b.set.WorkerLease + stopSlack, Images: v.Images, Renewed: map[string]time.Time{},
+		Epoch: v.GuestTeamEpoch, Draining: v.Draining, Lender: len(v.Lent) > 0 || v.OwnWorkLate,
+		Stop: workerLeases*b.set.WorkerLease + stopSlack, Images: v.CachedImages, Renewed: map[string]time.Time{},
 	}
-	for home, t := range v.Renewed {
+	for home, t := range v.RenewedAt {
 		// Written by another controller's clock: neither is sure of the time of day.
 		gv.Renewed[home] = t.Add(-2 * b.set.ClockBound)
 	}
-	for _, r := range v.Room {
-		gv.Room = append(gv.Room, overflow.Room{Flavour: r.Flavour, Zone: r.Zone, Spot: r.Spot, Each: r.Each, Machines: r.Machines, In: r.In, Price: r.Price, Rate: r.Rate})
+	for _, r := range v.FreeCapacity {
+		gv.Room = append(gv.Room, overflow.Room{Flavour: r.MachineType, Zone: r.Zone, Spot: r.Spot, Each: r.PerMachine, Machines: r.Machines, In: r.AvailableIn, Price: r.CostPerCPUHour, Rate: r.FetchRate})
 	}
 	for _, x := range v.Borrowed {
 		l, ok := parseLoan(x.Loan)
 		if !ok {
 			continue
 		}
-		y := overflow.Borrowed{Loan: l, Spec: x.Spec, Ending: x.Ending, Began: x.Began, Done: x.Done, Running: x.Running, Cause: overflow.Cause(x.Cause)}
+		y := overflow.Borrowed{Loan: l, Spec: x.Spec, Ending: x.Ending, Began: x.Started, Done: x.DoneTasks, Running: x.RunningTasks, Cause: overflow.Cause(x.Cause)}
 		switch {
-		case x.Known && x.Status == core.Done:
+		case x.StatusKnown && x.Status == core.Done:
 			y.State = overflow.Finished
-		case x.Known && x.Status == core.Cancelled:
+		case x.StatusKnown && x.Status == core.Cancelled:
 			y.State = overflow.Gone
 		}
 		gv.Borrowed = append(gv.Borrowed, y)
--- a/internal/overflow/broker/status.go
+++ b/internal/overflow/broker/status.go
@@ -61,7 +61,7 @@
 }
 
 func (b *Broker) status(now time.Time) Status {
-	s := Status{Cluster: b.set.Cluster, Leads: b.leads, Guests: b.guests, Leader: b.view.Leader, Draining: b.view.Drain, DrainBy: b.view.DrainBy, Peers: []PeerStatus{}, Lent: []LoanStatus{}, Borrowed: []LoanStatus{}}
+	s := Status{Cluster: b.set.Cluster, Leads: b.leads, Guests: b.guests, Leader: b.view.Leader, Draining: b.view.Draining, DrainBy: b.view.DrainDeadline, Peers: []PeerStatus{}, Lent: []LoanStatus{}, Borrowed: []LoanStatus{}}
 	if !b.leads && !b.guests {
 		return s
 	}
@@ -69,10 +69,10 @@
 	for _, x := range b.view.Lent {
 		lent[x.Peer]++
 		state := "lent"
-		if x.Wanted {
+		if x.CancelRequested {
 			state = "being cancelled"
 		}
-		l := overflow.Loan{Home: b.set.Cluster, Job: x.Spec.ID, N: x.N}
+		l := overflow.Loan{Home: b.set.Cluster, Job: x.Spec.ID, N: x.LendCount}
 		s.Lent = append(s.Lent, LoanStatus{l.String(), x.Peer, state, x.Spec.Tasks})
 	}
 	for _, x := range b.guestView().Borrowed {
--- a/internal/overflow/decide.go
+++ b/internal/overflow/decide.go
@@ -29,7 +29,7 @@
 // Candidate is a job of ours that waits and of which no task was ever started.
 type Candidate struct {
 	Job  string
-	Spec core.Spec
+	Spec core.JobSpec
 	// Aim is when its next aim is, from now; it may be over. HomeEnd is when it
 	// would be done at home, as the plan played forward says.
 	Aim     time.Duration
@@ -162,7 +162,7 @@
 // lease on it would only cost; a job that names zones means ours.
 func lendable(c Candidate, lim Limits) bool {
 	s := &c.Spec
-	return !s.Standing && !s.Gang && s.Zone == "" && !s.SamePlace && !s.Apart && len(s.Flavours) == 0 &&
+	return !s.LongRunning && !s.Gang && s.Zone == "" && !s.SameZone && !s.SpreadZones && len(s.MachineTypes) == 0 &&
 		s.Tasks <= lim.Tasks && c.Lent < lim.LendsMost && !c.Rest
 }
 
@@ -187,7 +187,7 @@
 			break
 		}
 		each := pl.Each.Times(c.Spec.Need)
-		if each == 0 || pl.left == 0 || pl.Spot && !c.Spec.Spot {
+		if each == 0 || pl.left == 0 || pl.Spot && !c.Spec.AllowSpot {
 			continue
 		}
 		n := min(pl.left, (left+each-1)/each)
@@ -238,7 +238,7 @@
 	rest := slices.Clone(a.Room)
 	for i := range rest {
 		each := rest[i].Each.Times(o.Spec.Need)
-		if each == 0 || rest[i].Spot && !o.Spec.Spot {
+		if each == 0 || rest[i].Spot && !o.Spec.AllowSpot {
 			continue
 		}
 		n := min(rest[i].Machines, (left+each-1)/each)
--- a/internal/overflow/link/golden_test.go
+++ b/internal/overflow/link/golden_test.go
@@ -29,9 +29,9 @@
 }
 
 var goldenAnswer = overflow.Answer{Epoch: 413, Lease: 15_500 * time.Millisecond, Orders: []overflow.Order{
-	{Verb: overflow.Take, Loan: goldenLoan("job-000418", 8), Age: 3_125 * time.Millisecond, Spec: core.Spec{
-		Workload: "train", Urgency: core.Urgent, Tasks: 16, Need: core.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75}, Image: "img-07", ImageGB: 6.2, Spot: true,
-		Expected: 240_500 * time.Millisecond, SaveEvery: 30_250 * time.Millisecond, SaveCost: 4_500 * time.Millisecond, Due: 900_750 * time.Millisecond,
+	{Verb: overflow.Take, Loan: goldenLoan("job-000418", 8), Age: 3_125 * time.Millisecond, Spec: core.JobSpec{
+		Workload: "train", Urgency: core.Urgent, Tasks: 16, Need: core.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75}, Image: "img-07", ImageGB: 6.2, AllowSpot: true,
+		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
 	}},
 	{Verb: overflow.Keep, Loan: goldenLoan("job-000419", 9)},
 	{Verb: overflow.Stop, Loan: goldenLoan("job-000420", 10)},
--- a/internal/overflow/link/link_test.go
+++ b/internal/overflow/link/link_test.go
@@ -64,9 +64,9 @@
 }
 
 var take = overflow.Answer{Epoch: 7, Lease: 15 * time.Second, Orders: []overflow.Order{
-	{Verb: overflow.Take, Loan: overflow.Loan{Home: "east", Job: "job-2", N: 1}, Age: 3 * time.Second, Spec: core.Spec{
-		Workload: "w", Urgency: core.Urgent, Tasks: 3, Need: core.Resources{CPU: 2, Memory: 4}, Image: "img", ImageGB: 1.5, Spot: true,
-		Expected: 20 * time.Second, SaveEvery: 5 * time.Second, SaveCost: time.Second, Due: time.Minute,
+	{Verb: overflow.Take, Loan: overflow.Loan{Home: "east", Job: "job-2", N: 1}, Age: 3 * time.Second, Spec: core.JobSpec{
+		Workload: "w", Urgency: core.Urgent, Tasks: 3, Need: core.Resources{CPU: 2, Memory: 4}, Image: "img", ImageGB: 1.5, AllowSpot: true,
+		ExpectedRunTime: 20 * time.Second, CheckpointInterval: 5 * time.Second, CheckpointCost: time.Second, Deadline: time.Minute,
 	}},
 	{Verb: overflow.Forget, Loan: overflow.Loan{Home: "east", Job: "job-1", N: 2}},
 }}
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -184,18 +184,18 @@
 	return core.Resources{CPU: a.GetCpu(), GPU: a.GetGpu(), Memory: a.GetMemory()}
 }
 
-func spec(s *core.Spec) *Spec {
+func spec(s *core.JobSpec) *Spec {
 	return &Spec{
 		Workload: s.Workload, Urgency: int32(s.Urgency), Tasks: int64(s.Tasks), Need: amount(s.Need),
-		Image: s.Image, ImageGb: s.ImageGB, Spot: s.Spot, ExpectedMs: s.Expected.Milliseconds(),
-		SaveEveryMs: s.SaveEvery.Milliseconds(), SaveCostMs: s.SaveCost.Milliseconds(), DueMs: s.Due.Milliseconds(),
+		Image: s.Image, ImageGb: s.ImageGB, Spot: s.AllowSpot, ExpectedMs: s.ExpectedRunTime.Milliseconds(),
+		SaveEveryMs: s.CheckpointInterval.Milliseconds(), SaveCostMs: s.CheckpointCost.Milliseconds(), DueMs: s.Deadline.Milliseconds(),
 	}
 }
 
-func coreSpec(s *Spec) core.Spec {
-	return core.Spec{
+func coreSpec(s *Spec) core.JobSpec {
+	return core.JobSpec{
 		Workload: s.Workload, Urgency: core.Urgency(min(max(s.Urgency, int32(core.BestEffort)), int32(core.Critical))),
-		Tasks: int(s.Tasks), Need: resources(s.Need), Image: s.Image, ImageGB: s.ImageGb, Spot: s.Spot,
-		Expected: ms(s.ExpectedMs), SaveEvery: ms(s.SaveEveryMs), SaveCost: ms(s.SaveCostMs), Due: ms(s.DueMs),
+		Tasks: int(s.Tasks), Need: resources(s.Need), Image: s.Image, ImageGB: s.ImageGb, AllowSpot: s.Spot,
+		ExpectedRunTime: ms(s.ExpectedMs), CheckpointInterval: ms(s.SaveEveryMs), CheckpointCost: ms(s.SaveCostMs), Deadline: ms(s.DueMs),
 	}
 }
--- a/internal/overflow/model_test.go
+++ b/internal/overflow/model_test.go
@@ -51,7 +51,7 @@
 }
 
 type mloan struct {
-	spec    core.Spec
+	spec    core.JobSpec
 	state   State
 	cause   Cause
 	ending  bool
@@ -172,7 +172,7 @@
 	for _, id := range sortedJobs(w.jobs) {
 		j := w.jobs[id]
 		if j.peer != "" && j.end == "" {
-			v.Lent = append(v.Lent, Lent{Loan: Loan{"east", id, j.n}, Peer: j.peer, Spec: core.Spec{ID: id, Tasks: 1}, At: w.began, Stop: modelStop, Cancel: j.cancel})
+			v.Lent = append(v.Lent, Lent{Loan: Loan{"east", id, j.n}, Peer: j.peer, Spec: core.JobSpec{ID: id, Tasks: 1}, At: w.began, Stop: modelStop, Cancel: j.cancel})
 			if w.bad.earlyLease {
 				v.Lent[len(v.Lent)-1].Stop = 0
 			}
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -49,7 +49,7 @@
 
 // TestHomeProof: what the home takes for proof that a guest does not run a job.
 func TestHomeProof(t *testing.T) {
-	lent := Lent{Loan: loanOf(1), Peer: "west", At: day, Stop: 10 * time.Second, Spec: core.Spec{ID: "job-1", Tasks: 1}}
+	lent := Lent{Loan: loanOf(1), Peer: "west", At: day, Stop: 10 * time.Second, Spec: core.JobSpec{ID: "job-1", Tasks: 1}}
 	view := func(now time.Time, l Lent) HomeView {
 		return HomeView{Epoch: 7, SureUntil: now.Add(time.Second), Lent: []Lent{l}}
 	}
@@ -117,7 +117,7 @@
 func candidate(id string, urgency core.Urgency, aim, home float64) Candidate {
 	return Candidate{
 		Job: id, Aim: core.Seconds(aim), HomeEnd: core.Seconds(home), Run: 20 * time.Second,
-		Spec: core.Spec{ID: id, Tasks: 4, Urgency: urgency, Need: core.Resources{CPU: 2, Memory: 2}, Image: "img", ImageGB: 2},
+		Spec: core.JobSpec{ID: id, Tasks: 4, Urgency: urgency, Need: core.Resources{CPU: 2, Memory: 2}, Image: "img", ImageGB: 2},
 	}
 }
 
@@ -204,7 +204,7 @@
 // TestAdmitAndRelease: what a guest takes, and what it gives back.
 func TestAdmitAndRelease(t *testing.T) {
 	order := func(tasks int, u core.Urgency) Order {
-		return Order{Verb: Take, Spec: core.Spec{Tasks: tasks, Urgency: u, Need: core.Resources{CPU: 2, Memory: 2}}}
+		return Order{Verb: Take, Spec: core.JobSpec{Tasks: tasks, Urgency: u, Need: core.Resources{CPU: 2, Memory: 2}}}
 	}
 	a := Accepting{Room: free(2)}
 	for i, c := range []struct {
@@ -222,9 +222,9 @@
 		t.Error("own late work of the same urgency goes before, of a lower one does not")
 	}
 	bs := []Borrowed{
-		{Loan: loanOf(1), Spec: core.Spec{Urgency: core.Normal}},
-		{Loan: loanOf(2), Spec: core.Spec{Urgency: core.Normal}, Began: true},
-		{Loan: loanOf(3), Spec: core.Spec{Urgency: core.Critical}},
+		{Loan: loanOf(1), Spec: core.JobSpec{Urgency: core.Normal}},
+		{Loan: loanOf(2), Spec: core.JobSpec{Urgency: core.Normal}, Began: true},
+		{Loan: loanOf(3), Spec: core.JobSpec{Urgency: core.Critical}},
 		{Loan: loanOf(4), Ending: true}, {Loan: loanOf(5), State: Finished},
 	}
 	run := func(Borrowed) time.Duration { return 30 * time.Second }
--- a/internal/overflow/types.go
+++ b/internal/overflow/types.go
@@ -114,7 +114,7 @@
 type Order struct {
 	Verb Verb
 	Loan Loan
-	Spec core.Spec
+	Spec core.JobSpec
 	Age  time.Duration
 }
 
@@ -132,7 +132,7 @@
 type Lent struct {
 	Loan Loan
 	Peer string
-	Spec core.Spec
+	Spec core.JobSpec
 	At   time.Time
 	// Stop is the guest's bound, as it was told when the job was lent.
 	Stop time.Duration
@@ -172,7 +172,7 @@
 // service.
 type Borrowed struct {
 	Loan Loan
-	Spec core.Spec
+	Spec core.JobSpec
 	// State and Cause are what can be reported: Gone only when no task is left.
 	State State
 	Cause Cause
@@ -188,7 +188,7 @@
 type GuestOp struct {
 	Kind  GuestOpKind
 	Loan  Loan
-	Spec  core.Spec
+	Spec  core.JobSpec
 	Age   time.Duration
 	Cause Cause
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -16,27 +16,27 @@
 }
 
 // goldenNews has all that controllers tell each other.
-var goldenNews = core.PeerNews{
-	From: "ctl-2", Life: "n-18.1", Asks: true, Tells: true, StateAway: true, Seq: 4_321,
-	Progress: []core.Progress{{ID: "job-000411", Done: 7, Running: 9}},
-	Loads:    []core.Load{{Team: "vision", Workload: "train", Rate: 0.5, Ratio: 1.25, Dev: 0.75, Samples: 41}},
-	Hosts: []core.HostNews{
-		{ID: "vm-000007", Addr: "10.1.0.7:9000", Flavour: "g8", Zone: "a", Spot: true, Images: map[string]float64{"img-07": 6.2, "img-08": 0.5}},
+var goldenNews = core.PeerUpdate{
+	From: "ctl-2", Incarnation: "n-18.1", IsCapacityRequest: true, IsLeaderUpdate: true, StoreUnavailable: true, Seq: 4_321,
+	Progress:      []core.Progress{{ID: "job-000411", Done: 7, Running: 9}},
+	WorkloadLoads: []core.WorkloadLoad{{Team: "vision", Workload: "train", TasksPerSecond: 0.5, RunTimeRatio: 1.25, Deviation: 0.75, Samples: 41}},
+	MachineUpdates: []core.MachineUpdate{
+		{ID: "vm-000007", Addr: "10.1.0.7:9000", MachineType: "g8", Zone: "a", Spot: true, Images: map[string]float64{"img-07": 6.2, "img-08": 0.5}},
 	},
-	ToSpare: []string{"vm-000011", "vm-000012"}, Idle: []string{"vm-000013"},
-	Wants:   []core.Want{{Flavour: "g4", Zone: "b", Spot: true, Count: 3}},
-	Spare:   []core.Want{{Flavour: "g2", Zone: "c", Count: 4}},
-	Blocked: []core.Want{{Flavour: "g1", Zone: "d", Count: 500}},
-	Teams:   []core.TeamLoad{{Team: "ops", CPU: 96.5}},
-	Offers:  []division.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
-	Release: []division.Ask{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
-	Rentals: []core.RentalNews{{ID: "vm-000015", Addr: "10.1.0.15:9000", Flavour: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
-	Wards: []ownership.Ask{{Machine: "vm-000016", Attempts: []ownership.Asked{
+	Surplus: []string{"vm-000011", "vm-000012"}, ToRelease: []string{"vm-000013"},
+	CapacityRequests: []core.CapacityRequest{{MachineType: "g4", Zone: "b", Spot: true, Count: 3}},
+	SurplusElsewhere: []core.CapacityRequest{{MachineType: "g2", Zone: "c", Count: 4}},
+	Blocked:          []core.CapacityRequest{{MachineType: "g1", Zone: "d", Count: 500}},
+	TeamLoads:        []core.TeamLoad{{Team: "ops", CPU: 96.5}},
+	Offers:           []division.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
+	TeamRelease:      []division.Ask{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
+	RentalUpdates:    []core.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
+	RemoteAttempts: []ownership.Ask{{Machine: "vm-000016", Attempts: []ownership.Asked{
 		{Attempt: goldenAttempt("job-000412", 5, 2), Want: ownership.Stop, WindDown: 30_250 * time.Millisecond},
 		{Attempt: goldenAttempt("job-000413", 6, 300), Want: ownership.Settled},
 		{Attempt: goldenAttempt("job-000414", 7, 4), Want: ownership.Keep},
 	}}},
-	Told: []ownership.Tell{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []ownership.Told{
+	RemoteStatuses: []ownership.Tell{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []ownership.Told{
 		{Attempt: goldenAttempt("job-000415", 8, 9), State: ownership.Ended, Cause: "done"},
 		{Attempt: goldenAttempt("job-000416", 9, 10), State: ownership.Gone, Cause: "lost"},
 		{Attempt: goldenAttempt("job-000417", 10, 11), State: ownership.Fetching},
@@ -44,17 +44,17 @@
 		{Attempt: goldenAttempt("job-000417", 12, 13), State: ownership.Flushing},
 		{Attempt: goldenAttempt("job-000417", 13, 14), State: ownership.Unknown},
 	}}},
-	Rates: &core.Rates{Requests: 40.5, Changes: 20.25},
-	Needs: []core.HostNeed{{Flavour: "g8", Zone: "a", Spot: true, Need: core.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: core.Urgent}},
-	Lacks: []core.HostNeed{{Flavour: "g4", Zone: "b", Need: core.Resources{CPU: 48}, Workload: "infer", Urgency: core.Critical}},
-	Empty: []core.HostNeed{{Flavour: "g2", Zone: "c", Need: core.Resources{Memory: 350}, Urgency: core.Normal}},
-	Costs: []core.HostCost{{Flavour: "g1", Zone: "d", Spot: true, Down: 16_125 * time.Millisecond}},
+	Rates:              &core.Rates{Requests: 40.5, Writes: 20.25},
+	HostNeeds:          []core.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: core.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: core.Urgent}},
+	OthersNeeds:        []core.HostNeed{{MachineType: "g4", Zone: "b", Need: core.Resources{CPU: 48}, Workload: "infer", Urgency: core.Critical}},
+	EvacuationRequests: []core.HostNeed{{MachineType: "g2", Zone: "c", Need: core.Resources{Memory: 350}, Urgency: core.Normal}},
+	EvacuationCosts:    []core.HostCost{{MachineType: "g1", Zone: "d", Spot: true, Downtime: 16_125 * time.Millisecond}},
 	Quotes: []core.TeamQuotes{
 		{Team: "ops", Value: []byte{0x81, 0xa1, 'v', 0x01}},
 	},
-	Came:         []core.Came{{ID: "vm-000018", Epoch: 413, Tenure: 3, Tick: 88}},
-	Cancelled:    []core.CancelNews{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, Stamp: 5_432}},
-	CancelsHeard: []string{"job-000419", "job-000420"},
+	Rerouted:         []core.ReroutedHeartbeat{{ID: "vm-000018", Epoch: 413, Incarnation: 3, Sequence: 88}},
+	Cancellations:    []core.Cancellation{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: 5_432}},
+	CancellationAcks: []string{"job-000419", "job-000420"},
 }
 
 // TestGoldenNews: what controllers tell each other is written as it ever was, and what
@@ -64,12 +64,12 @@
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
 			// Images are a map.
-			return proto.MarshalOptions{Deterministic: true}.Marshal(wire(v.(core.PeerNews)))
+			return proto.MarshalOptions{Deterministic: true}.Marshal(wire(v.(core.PeerUpdate)))
 		},
 		Read: func(b []byte, into any) error {
 			var m News
 			err := proto.Unmarshal(b, &m)
-			*into.(*core.PeerNews) = m.core()
+			*into.(*core.PeerUpdate) = m.core()
 			return err
 		},
 	}, news)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -34,14 +34,14 @@
 
 // Net sends to the peers and listens for them.
 type Net struct {
-	queues map[string]chan core.PeerNews
+	queues map[string]chan core.PeerUpdate
 }
 
 // Start begins to send to the peers, by name and address.
 func Start(ctx context.Context, peers map[string]string) *Net {
-	n := &Net{queues: map[string]chan core.PeerNews{}}
+	n := &Net{queues: map[string]chan core.PeerUpdate{}}
 	for name, addr := range peers {
-		q := make(chan core.PeerNews, queueLen)
+		q := make(chan core.PeerUpdate, queueLen)
 		n.queues[name] = q
 		go send(ctx, addr, q)
 	}
@@ -49,7 +49,7 @@
 }
 
 // Send queues news for a peer, dropping the oldest when the queue is full.
-func (n *Net) Send(to string, news core.PeerNews) {
+func (n *Net) Send(to string, news core.PeerUpdate) {
 	q := n.queues[to]
 	for q != nil {
 		select {
@@ -64,7 +64,7 @@
 	}
 }
 
-func send(ctx context.Context, addr string, q chan core.PeerNews) {
+func send(ctx context.Context, addr string, q chan core.PeerUpdate) {
 	var conn net.Conn
 	var last time.Time
 	defer func() {
@@ -73,7 +73,7 @@
 		}
 	}()
 	for {
-		var news core.PeerNews
+		var news core.PeerUpdate
 		select {
 		case <-ctx.Done():
 			return
@@ -118,7 +118,7 @@
 
 // Listen takes news from peers and hands it to post. Connections that are not
 // a peer's come out of the listener it returns.
-func Listen(ctx context.Context, addr string, post func(core.PeerNews)) (net.Listener, error) {
+func Listen(ctx context.Context, addr string, post func(core.PeerUpdate)) (net.Listener, error) {
 	ln, err := ports.Listen(ctx, "back", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
@@ -154,7 +154,7 @@
 }
 
 // accept tells a peer from others by the first byte.
-func accept(conn net.Conn, post func(core.PeerNews), rest *others) {
+func accept(conn net.Conn, post func(core.PeerUpdate), rest *others) {
 	conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	r := bufio.NewReader(conn)
 	first, err := r.Peek(1)
@@ -202,7 +202,7 @@
 func (o *others) Close() error   { return nil }
 func (o *others) Addr() net.Addr { return o.addr }
 
-func receive(conn net.Conn, r *bufio.Reader, post func(core.PeerNews)) {
+func receive(conn net.Conn, r *bufio.Reader, post func(core.PeerUpdate)) {
 	defer conn.Close()
 	opts := protodelim.UnmarshalOptions{MaxSize: maxMessage}
 	for {
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -72,15 +72,15 @@
 	case "relaunch_factor":
 		return number(name, v, factorBounds, &p.RelaunchFactor)
 	case "share_interval_s":
-		return seconds(name, v, intervalBounds, &p.ShareInterval)
+		return seconds(name, v, intervalBounds, &p.RebalanceInterval)
 	case "warm_room":
-		return number(name, v, warmBounds, &p.WarmRoom)
+		return number(name, v, warmBounds, &p.HeadroomFactor)
 	case "idle_keep_s":
-		return seconds(name, v, idleBounds, &p.IdleKeep)
+		return seconds(name, v, idleBounds, &p.IdleTimeout)
 	case "prefer":
-		return table(name, v, preferBounds, &p.Prefer)
+		return table(name, v, preferBounds, &p.CostFactors)
 	case "weights":
-		return table(name, v, weightBounds, &p.Weight)
+		return table(name, v, weightBounds, &p.WorkloadWeights)
 	}
 	if _, ok := v.(starlark.Callable); ok || name[0] == '_' {
 		// Helpers of the script's own.
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -11,7 +11,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.RelaunchFactor != 2 || p.IdleKeep != 45*time.Second || p.Prefer["lab-rack"] != 0.95 || p.Weight["rush-rx"] != 10 {
+	if p.RelaunchFactor != 2 || p.IdleTimeout != 45*time.Second || p.CostFactors["lab-rack"] != 0.95 || p.WorkloadWeights["rush-rx"] != 10 {
 		t.Errorf("the example gives %+v", p)
 	}
 	if _, err := Load(""); err != nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -28,17 +28,17 @@
 
 // Outside is what carries out effects.
 type Outside struct {
-	State  func(context.Context, core.StateOp) core.StateDone
-	Cloud  func(context.Context, core.CloudOp) core.CloudDone
-	Worker func(context.Context, core.WorkerOp) core.WorkerDone
-	Peer   func(to string, news core.PeerNews)
+	State  func(context.Context, core.StoreRequest) core.StoreResponse
+	Cloud  func(context.Context, core.CloudRequest) core.CloudResponse
+	Worker func(context.Context, core.WorkerRequest) core.WorkerResponse
+	Peer   func(to string, news core.PeerUpdate)
 	Role   func(core.Role)
 	// Rates is told the controller's part of the state service's limits.
 	Rates func(core.Rates)
 	// Promises is told what has become of promised dates; nil where there are none.
 	Promises func(core.PromiseTotals)
 	// GPURooms is told how the room on machines with GPUs lies, while models are on.
-	GPURooms func(core.GPURooms)
+	GPURooms func(core.GPUFreeCapacityReport)
 	// Defect is told of every mistake of the program's own that it goes on with.
 	Defect func()
 	// Observe is told how long a step took and how many commands it had.
@@ -52,7 +52,7 @@
 
 // Server is the loop round one core.
 type Server struct {
-	node     *core.Node
+	node     *core.Controller
 	out      Outside
 	requests chan request
 	results  chan core.Command
@@ -62,7 +62,7 @@
 }
 
 // New makes a server. Run starts it.
-func New(node *core.Node, out Outside) *Server {
+func New(node *core.Controller, out Outside) *Server {
 	return &Server{
 		node: node, out: out,
 		requests: make(chan request, queueLen),
@@ -115,7 +115,7 @@
 		}
 		s.healthy.Store(s.node.Healthy(now))
 		took := time.Since(now)
-		s.node.Took(took)
+		s.node.StepTook(took)
 		if s.out.Observe != nil {
 			s.out.Observe(took, len(batch))
 		}
@@ -161,7 +161,7 @@
 
 // send carries an effect out and brings the answer back, unless it has become late.
 func (s *Server) send(e core.Effect, out func() core.Command) {
-	back, _, late := core.Late(e, time.Now())
+	back, _, late := core.CheckDeadline(e, time.Now())
 	if !late {
 		back = out()
 	}
@@ -172,11 +172,11 @@
 	switch e := e.(type) {
 	case core.UserReply:
 		s.reply(e.Reply, e)
-	case core.ReportReply:
+	case core.HeartbeatReply:
 		s.reply(e.Reply, e)
 	case core.StatusReply:
 		s.reply(e.Reply, e)
-	case core.RankReply:
+	case core.RankingReply:
 		s.reply(e.Reply, e)
 	case core.PromiseReply:
 		s.reply(e.Reply, e)
@@ -186,31 +186,31 @@
 		}
 	case core.LoanView:
 		s.reply(e.Reply, e)
-	case core.LoanDone:
+	case core.LoanReply:
 		s.reply(e.Reply, e)
-	case core.StateOp:
+	case core.StoreRequest:
 		go s.send(e, func() core.Command { return s.out.State(ctx, e) })
-	case core.CloudOp:
+	case core.CloudRequest:
 		go s.send(e, func() core.Command { return s.out.Cloud(ctx, e) })
-	case core.WorkerOp:
+	case core.WorkerRequest:
 		go s.send(e, func() core.Command { return s.out.Worker(ctx, e) })
-	case core.PeerSend:
-		s.out.Peer(e.To, e.News)
+	case core.SendPeerUpdate:
+		s.out.Peer(e.To, e.Update)
 	case core.Role:
 		s.out.Role(e)
 	case core.Rates:
 		s.out.Rates(e)
-	case core.GPURooms:
+	case core.GPUFreeCapacityReport:
 		s.out.GPURooms(e)
 	case core.Log:
 		switch {
 		case e.Debug:
-			slog.Debug(e.Text, e.Args...)
+			slog.Debug(e.Message, e.Args...)
 		case e.Error:
-			slog.Error(e.Text, e.Args...)
+			slog.Error(e.Message, e.Args...)
 			s.out.Defect()
 		default:
-			slog.Info(e.Text, e.Args...)
+			slog.Info(e.Message, e.Args...)
 		}
 	}
 }
--- a/internal/standin/close_looks_test.go
+++ b/internal/standin/close_looks_test.go
@@ -103,12 +103,12 @@
 }
 
 // noted is told of each change, before anybody hears of it.
-func (c *closeLooks) noted(it core.Item) {
+func (c *closeLooks) noted(it core.KeyValue) {
 	id, over := strings.CutPrefix(it.Key, "job/")
 	var r struct {
 		Status fate `msgpack:"s"`
 	}
-	if !over || it.Removed || msgpack.Unmarshal(it.Value, &r) != nil {
+	if !over || it.Deleted || msgpack.Unmarshal(it.Value, &r) != nil {
 		return
 	}
 	if at := c.now(); r.Status == done {
@@ -130,14 +130,14 @@
 func (c *closeLooks) ask(to int, kind lookKind, id string) {
 	w, asked, over := c.w, c.now(), false
 	patience := 5 * time.Second
-	mk := func(r uint64) core.Command { return core.Submit{Reply: r, Spec: w.jobs[id].spec} }
+	mk := func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
 	switch kind {
 	case lookPoll:
 		patience = 2 * time.Second
-		mk = func(r uint64) core.Command { return core.Query{Reply: r, ID: id} }
+		mk = func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }
 	case lookAbort:
 		w.jobs[id].aborting = true
-		mk = func(r uint64) core.Command { return core.Abort{Reply: r, ID: id} }
+		mk = func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }
 	}
 	finish := func(r core.UserReply) {
 		if over {
@@ -244,8 +244,8 @@
 
 // job is one that comes at a moment. Its user asks each second until he knows how it ended.
 func (c *closeLooks) job(at time.Duration, id string, run time.Duration, tasks int, on fate) {
-	spec := core.Spec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: tasks,
-		Need: core.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, Expected: run}
+	spec := core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: tasks,
+		Need: core.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 	c.w.jobs[id] = newUserJob(spec, run)
 	c.w.after(at, func() {
 		c.w.jobs[id].submitted = c.w.now
@@ -405,23 +405,23 @@
 		return e
 	}
 	unguarded := func(e core.Effect, first, without string) core.Effect {
-		op, ok := e.(core.StateOp)
-		if !ok || op.Kind != core.OpTxn || len(op.Apply) == 0 || !strings.HasPrefix(op.Apply[0].Key, first) {
+		op, ok := e.(core.StoreRequest)
+		if !ok || op.Kind != core.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
 			return e
 		}
-		var when []core.Cond
-		for _, c := range op.When {
+		var when []core.Compare
+		for _, c := range op.Compares {
 			if !strings.HasPrefix(c.Key, without) {
 				when = append(when, c)
 			}
 		}
-		op.When = when
+		op.Compares = when
 		return op
 	}
 	for name, wrong := range map[string]func(core.Effect) core.Effect{
 		"nothing": nil,
 		"polls are answered from the picture": func(e core.Effect) core.Effect {
-			if op, ok := e.(core.StateOp); ok && op.Kind == core.OpFollow && op.Hold == 0 && op.Key == "open/" {
+			if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
 				// It goes on and brings no news.
 				op.Key = "none/"
 				return op
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -9,8 +9,8 @@
 )
 
 // cloud executes a request to the cloud.
-func (w *World) cloud(op core.CloudOp) core.CloudDone {
-	d := core.CloudDone{ID: op.ID, Status: core.CloudOK}
+func (w *World) cloud(op core.CloudRequest) core.CloudResponse {
+	d := core.CloudResponse{ID: op.ID, Status: core.CloudOK}
 	if w.cloudOut || !w.calls.AllowN(w.now, 1) {
 		if !w.cloudOut {
 			w.Calls.Refused++
@@ -20,23 +20,23 @@
 	}
 	w.Calls.Done++
 	switch op.Kind {
-	case core.CloudTypes:
+	case core.CloudListTypes:
 		for _, k := range sorted(w.types) {
-			d.Flavours = append(d.Flavours, w.types[k])
+			d.MachineTypes = append(d.MachineTypes, w.types[k])
 		}
-	case core.CloudList:
+	case core.CloudListMachines:
 		// As of some time ago, that differs from list to list.
-		at := w.now.Add(-time.Duration(float64(w.set.ListLag) * (0.5 + 1.5*w.rng.Float64())))
-		for _, id := range w.order[sort.SearchStrings(w.order, op.From):] {
+		at := w.now.Add(-time.Duration(float64(w.set.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
+		for _, id := range w.order[sort.SearchStrings(w.order, op.StartAfter):] {
 			m := w.machine[id]
-			if id <= op.From || m.rentedAt.After(at) || !m.goneAt.IsZero() && !m.goneAt.After(at) {
+			if id <= op.StartAfter || m.rentedAt.After(at) || !m.goneAt.IsZero() && !m.goneAt.After(at) {
 				continue
 			}
 			if len(d.Machines) == cloudPage {
 				d.Truncated = true
 				break
 			}
-			l := core.Listed{ID: id, Addr: m.Addr, Flavour: m.Flavour, Zone: m.Zone, Spot: m.Spot, Status: "running", Held: at.Sub(m.rentedAt)}
+			l := core.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.Flavour, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: at.Sub(m.rentedAt)}
 			switch {
 			case m.dead && !m.taken && at.Sub(m.diedAt) > deathLag:
 				l.Status = "failed"
@@ -46,23 +46,23 @@
 			d.Machines = append(d.Machines, l)
 		}
 	case core.CloudRent:
-		if op.Count < 1 || op.Count > 50 || op.Booking == "" {
+		if op.Count < 1 || op.Count > 50 || op.IdempotencyKey == "" {
 			w.broke("malformed", "a booking of %d machines", op.Count)
-			d.Status = core.CloudBad
+			d.Status = core.CloudMalformed
 			return d
 		}
-		if names, ok := w.booked[op.Booking]; ok {
+		if names, ok := w.booked[op.IdempotencyKey]; ok {
 			d.Rented = names
 			return d
 		}
-		key := fmt.Sprintf("%s/%s/%v", op.Flavour, op.Zone, op.Spot)
+		key := fmt.Sprintf("%s/%s/%v", op.MachineType, op.Zone, op.Spot)
 		for range min(op.Count, w.room[key]) {
 			w.names++
-			f := w.types[op.Flavour]
+			f := w.types[op.MachineType]
 			id := fmt.Sprintf("vm-%06d", w.names)
 			m := &Worker{
-				ID: id, Addr: id, Flavour: op.Flavour, Zone: op.Zone, Spot: op.Spot, Size: f.Size,
-				Pull: f.PullRate, rentedAt: w.now, upAt: w.now.Add(w.upAfter(f)),
+				ID: id, Addr: id, Flavour: op.MachineType, Zone: op.Zone, Spot: op.Spot, Size: f.Capacity,
+				Pull: f.ImageFetchRate, rentedAt: w.now, upAt: w.now.Add(w.upAfter(f)),
 				images: map[string]time.Time{}, tasks: map[string]*workerTask{}, node: w.rng.IntN(max(1, len(w.nodes))),
 			}
 			w.machine[m.ID] = m
@@ -75,11 +75,11 @@
 			d.Status = core.CloudNoCapacity
 			return d
 		}
-		w.booked[op.Booking] = d.Rented
-	case core.CloudReturn:
+		w.booked[op.IdempotencyKey] = d.Rented
+	case core.CloudRelease:
 		if len(op.Machines) > 100 {
 			w.broke("malformed", "a return of %d machines", len(op.Machines))
-			d.Status = core.CloudBad
+			d.Status = core.CloudMalformed
 			return d
 		}
 		for _, id := range op.Machines {
--- a/internal/standin/dates.go
+++ b/internal/standin/dates.go
@@ -24,7 +24,7 @@
 
 // dates sums up the dates of a day, nil without promises.
 func (w *World) dates() *DayDates {
-	if !w.set.Product.Promises {
+	if !w.set.Capabilities.Promises {
 		return nil
 	}
 	d := &DayDates{PagesS: float64(w.state.pages) / w.now.Sub(w.began).Seconds()}
--- a/internal/standin/dates_test.go
+++ b/internal/standin/dates_test.go
@@ -64,8 +64,8 @@
 	d := &dates{w: w, newest: map[string]told{}, made: map[string]time.Time{}, changes: map[string]int{}}
 	w.state.noted = d.noted
 	w.answered = func(asked time.Time, r core.UserReply) {
-		if r.PromiseRev > 0 {
-			d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: dateOp{job: r.ID}, Call: d.since(asked), Output: told{r.PromiseRev, r.Promised}, Return: d.since(w.now)})
+		if r.PromiseRevision > 0 {
+			d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: dateOp{job: r.ID}, Call: d.since(asked), Output: told{r.PromiseRevision, r.PromisedAfter}, Return: d.since(w.now)})
 		}
 	}
 	return d
@@ -89,9 +89,9 @@
 	d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: dateOp{id, x}, Call: at, Output: told{}, Return: at + 1})
 }
 
-func (d *dates) noted(it core.Item) {
+func (d *dates) noted(it core.KeyValue) {
 	d.changes[strings.SplitN(it.Key, "/", 2)[0]]++
-	if it.Removed {
+	if it.Deleted {
 		return
 	}
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
@@ -148,7 +148,7 @@
 		for _, p := range w.nodes {
 			asked := w.now
 			w.sendMsg("user", p.name, func() {
-				p.ask(func(r uint64) core.Command { return core.Query{Reply: r, ID: id} }, func(e core.Effect) {
+				p.ask(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, func(e core.Effect) {
 					r := e.(core.UserReply)
 					w.sendMsg(p.name, "user", func() {
 						// Who asked has gone after the protocol's two seconds.
@@ -167,7 +167,7 @@
 func datesWorld(seed uint64, n int) *World {
 	types, room := testTypes()
 	set := testSettings()
-	set.Product = core.Product{Promises: true, PromiseShare: 0.95}
+	set.Capabilities = core.Capabilities{Promises: true, PromiseFraction: 0.95}
 	return NewWorld(seed, n, set, testCancel, types, room)
 }
 
@@ -200,8 +200,8 @@
 
 // isPage says that an effect writes a page of dates.
 func isPage(e core.Effect) bool {
-	op, ok := e.(core.StateOp)
-	return ok && op.Kind == core.OpTxn && len(op.Apply) > 0 && strings.HasPrefix(op.Apply[0].Key, "open/~")
+	op, ok := e.(core.StoreRequest)
+	return ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
 }
 
 // tell asks all controllers about all jobs and says what is to be said of the dates: how
@@ -214,7 +214,7 @@
 	alike := true
 	w.answered = func(asked time.Time, r core.UserReply) {
 		answered(asked, r)
-		x := told{r.PromiseRev, r.Promised}
+		x := told{r.PromiseRevision, r.PromisedAfter}
 		if was, there := last[r.ID]; r.Status == 200 && r.State != "cancelled" {
 			alike = alike && (!there || was == x)
 			last[r.ID] = x
@@ -280,22 +280,22 @@
 		first := map[string]told{}
 		w.sabotage = func(e core.Effect) core.Effect {
 			r, ok := e.(core.UserReply)
-			if !ok || r.PromiseRev == 0 {
+			if !ok || r.PromiseRevision == 0 {
 				return e
 			}
 			x, there := first[r.ID]
 			if !there {
-				x = told{r.PromiseRev, r.Promised}
+				x = told{r.PromiseRevision, r.PromisedAfter}
 				first[r.ID] = x
 			}
 			if lies && w.rng.IntN(20) == 0 {
-				r.PromiseRev, r.Promised = x.rev, x.after
+				r.PromiseRevision, r.PromisedAfter = x.rev, x.after
 			}
 			return r
 		}
 		for i := range 4 {
-			w.Submit(core.Spec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: 70 * time.Second}, 300*time.Second, false)
+			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
+				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
 		}
 		d.askAll(w.began.Add(5 * time.Minute))
 		w.Run(8 * time.Minute)
@@ -312,13 +312,13 @@
 func TestDatesAreGuarded(t *testing.T) {
 	w := datesWorld(6, 3)
 	d := watchDates(w)
-	var writes []core.StateOp
+	var writes []core.StoreRequest
 	w.sabotage = func(e core.Effect) core.Effect {
-		op, ok := e.(core.StateOp)
-		if !ok || len(op.Apply) == 0 {
+		op, ok := e.(core.StoreRequest)
+		if !ok || len(op.Writes) == 0 {
 			return e
 		}
-		key := op.Apply[0].Key
+		key := op.Writes[0].Key
 		fence := ""
 		switch {
 		case strings.HasPrefix(key, "open/~"):
@@ -329,20 +329,20 @@
 			return e
 		}
 		own, fenced := false, false
-		for _, c := range op.When {
+		for _, c := range op.Compares {
 			own = own || c.Key == key
 			fenced = fenced || strings.HasPrefix(c.Key, fence)
 		}
-		if !own || !fenced || len(op.Apply) > 1 {
-			t.Errorf("%s is written under %v", key, op.When)
+		if !own || !fenced || len(op.Writes) > 1 {
+			t.Errorf("%s is written under %v", key, op.Compares)
 		}
 		writes = append(writes, op)
 		return e
 	}
 	for i := range 60 {
 		w.after(time.Duration(i)*4*time.Second, func() {
-			w.Submit(core.Spec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: core.Normal, Tasks: 1 + i%5,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
+			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: core.Normal, Tasks: 1 + i%5,
+				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
 			if i%9 == 8 {
 				w.after(30*time.Second, func() { w.Abort(fmt.Sprintf("job-%03d", i)) })
 			}
@@ -356,13 +356,13 @@
 	w.Run(6 * time.Minute)
 	w.state.limits = nil
 	for _, op := range writes {
-		if op.When[len(op.When)-1].Stamp == 0 {
+		if op.Compares[len(op.Compares)-1].ModRevision == 0 {
 			// A page that has gone may come back so: all jobs in it are over.
 			continue
 		}
-		w.state.Do(w.now, op, func(done core.StateDone) {
-			if done.Status != core.StateConflict {
-				t.Errorf("a late write of %s is carried out", op.Apply[0].Key)
+		w.state.Do(w.now, op, func(done core.StoreResponse) {
+			if done.Status != core.StoreConflict {
+				t.Errorf("a late write of %s is carried out", op.Writes[0].Key)
 			}
 		})
 	}
@@ -386,12 +386,12 @@
 	d := watchDates(w)
 	submit := func(from, to int) {
 		for i := from; i < to; i++ {
-			w.Submit(core.Spec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: 200 * time.Second}, 200*time.Second, false)
+			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
+				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 		}
 	}
 	roll := func(on bool) {
-		w.set.Product = core.Product{Promises: on, PromiseShare: 0.95}
+		w.set.Capabilities = core.Capabilities{Promises: on, PromiseFraction: 0.95}
 		for i := range w.nodes {
 			w.Crash(i, 500*time.Millisecond)
 			w.Run(6 * time.Second)
@@ -439,8 +439,8 @@
 	d := watchDates(w)
 	for i := range 6 {
 		w.after(time.Duration(i)*40*time.Second, func() {
-			w.Submit(core.Spec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", Standing: true, Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: time.Hour}, time.Hour, false)
+			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 2,
+				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Hour}, time.Hour, false)
 		})
 	}
 	w.Run(7 * time.Minute)
--- a/internal/standin/day.go
+++ b/internal/standin/day.go
@@ -157,25 +157,25 @@
 	values := []int{1, 2, 4, 16}[rng.IntN(4)] << 10
 	starts := float64(p.Jobs) * 8 / float64(p.Minutes*60)
 	set := core.Settings{
-		Zones: []string{"a", "b"}[:1+rng.IntN(2)], ReportEvery: time.Duration(3+rng.IntN(6)) * time.Second,
-		TxnOps: 4 + rng.IntN(20), ValueBytes: values, ListLag: time.Duration(2+rng.IntN(9)) * time.Second, CloudRPS: 3 + 7*rng.Float64(),
+		Zones: []string{"a", "b"}[:1+rng.IntN(2)], HeartbeatInterval: time.Duration(3+rng.IntN(6)) * time.Second,
+		MaxTxnWrites: 4 + rng.IntN(20), MaxValueBytes: values, CloudListLag: time.Duration(2+rng.IntN(9)) * time.Second, CloudRequestsPerSecond: 3 + 7*rng.Float64(),
 		// Small, but enough for what comes.
-		StateWrites:   10 + starts + 3*float64(p.Jobs)/float64(p.Minutes*60) + 5*rng.Float64(),
-		StateRequests: 20*float64(p.Controllers) + 2*starts,
-		Policy:        core.DefaultPolicy(),
-		Objectives:    []core.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Share: 0.9}, {Kind: "deadline", Workload: "rush", Share: 0.98, Times: 1}},
+		StoreWritesPerSecond:   10 + starts + 3*float64(p.Jobs)/float64(p.Minutes*60) + 5*rng.Float64(),
+		StoreRequestsPerSecond: 20*float64(p.Controllers) + 2*starts,
+		Policy:                 core.DefaultPolicy(),
+		Objectives:             []core.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.9}, {Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1}},
 	}
-	set.Lease = 4*set.ReportEvery + time.Duration(4+rng.IntN(10))*time.Second
+	set.WorkerLease = 4*set.HeartbeatInterval + time.Duration(4+rng.IntN(10))*time.Second
 	for i := range p.Teams {
 		t := core.Team{Name: fmt.Sprintf("team-%c", 'a'+i)}
 		if rng.IntN(4) == 0 {
 			// Enough for the team's part of the work.
-			t.Limit.CPU = math.Round(max(32, float64(p.Machines)*4*d.weight(i)/(float64(p.Teams)-1+float64(p.Hot))))
+			t.QuotaLimit.CPU = math.Round(max(32, float64(p.Machines)*4*d.weight(i)/(float64(p.Teams)-1+float64(p.Hot))))
 		}
 		if rng.IntN(5) == 0 {
-			t.Guarantee.CPU = math.Round(float64(p.Machines) * 2 / float64(p.Teams))
-			if t.Limit.CPU > 0 {
-				t.Guarantee.CPU = min(t.Guarantee.CPU, t.Limit.CPU)
+			t.GuaranteedQuota.CPU = math.Round(float64(p.Machines) * 2 / float64(p.Teams))
+			if t.QuotaLimit.CPU > 0 {
+				t.GuaranteedQuota.CPU = min(t.GuaranteedQuota.CPU, t.QuotaLimit.CPU)
 			}
 		}
 		set.Teams = append(set.Teams, t)
@@ -220,17 +220,17 @@
 		drawModels(&d)
 	}
 	if p.Mixed {
-		d.Settings.ClockBound = clockBound
+		d.Settings.MaxClockError = clockBound
 	}
-	d.Settings.Product, _ = p.product()
+	d.Settings.Capabilities, _ = p.product()
 	return d
 }
 
 // cloud is what machines there are, and how many of each.
-func (d *Day) cloud() ([]core.Flavour, map[string]int) {
-	types := []core.Flavour{
-		{Name: "box", Size: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, PullRate: 0.3, Price: 0.2, SpotPrice: 0.07, Ready: 40 * time.Second, Zones: d.Settings.Zones},
-		{Name: "rack", Size: core.Resources{CPU: 32, Memory: 128}, DiskGB: 70, PullRate: 0.4, Price: 1.45, SpotPrice: 0.53, Ready: 20 * time.Second, Zones: d.Settings.Zones[:1]},
+func (d *Day) cloud() ([]core.MachineType, map[string]int) {
+	types := []core.MachineType{
+		{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
+		{Name: "rack", Capacity: core.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: d.Settings.Zones[:1]},
 	}
 	room := map[string]int{}
 	for _, z := range d.Settings.Zones {
@@ -368,11 +368,11 @@
 		}
 		w.names++
 		run := time.Duration(float64(c.run) * (0.5 + rng.Float64()))
-		spec := core.Spec{
+		spec := core.JobSpec{
 			ID: fmt.Sprintf("job-%06d", w.names), Workload: c.name, Team: d.Settings.Teams[team].Name, Urgency: c.urgency,
 			Tasks: max(1, int(c.tasks*(0.2+1.6*rng.Float64()))), Need: core.Resources{CPU: c.cpu, Memory: 3 * c.cpu},
-			Image: fmt.Sprintf("%s-%d", c.name, min(rng.IntN(12), rng.IntN(12))), ImageGB: c.gb, Spot: rng.IntN(5) > 0, Expected: c.run,
-			Due: time.Duration(c.due*float64(run)) + core.Seconds(15*min(1, c.due)),
+			Image: fmt.Sprintf("%s-%d", c.name, min(rng.IntN(12), rng.IntN(12))), ImageGB: c.gb, AllowSpot: rng.IntN(5) > 0, ExpectedRunTime: c.run,
+			Deadline: time.Duration(c.due*float64(run)) + core.Seconds(15*min(1, c.due)),
 		}
 		mixed.change(&spec)
 		broken := d.mistakes > 0 && mistakes.Float64() < d.mistakes
@@ -384,7 +384,7 @@
 		if t, ok := d.Cancels.when(c.name, at, cancels); ok {
 			w.after(t, func() { w.Abort(spec.ID) })
 		}
-		if spec.Standing {
+		if spec.LongRunning {
 			w.after(at+mixed.stands(), func() { w.Abort(spec.ID) })
 		}
 		if rng.IntN(25) == 0 {
@@ -529,8 +529,8 @@
 				s.served++
 				end = j.finished
 			}
-			if j.spec.Due > 0 {
-				_ = s.late.RecordValue(max(1, end.Sub(j.submitted.Add(j.spec.Due)).Milliseconds()))
+			if j.spec.Deadline > 0 {
+				_ = s.late.RecordValue(max(1, end.Sub(j.submitted.Add(j.spec.Deadline)).Milliseconds()))
 			}
 		}
 	}
@@ -558,9 +558,9 @@
 			end = m.diedAt
 		}
 		f := w.types[m.Flavour]
-		price := f.Price
+		price := f.CostPerHour
 		if m.Spot {
-			price = f.SpotPrice
+			price = f.SpotCostPerHour
 		}
 		r.Money += price * max(end.Sub(m.rentedAt), time.Minute).Hours()
 		if !m.used {
--- a/internal/standin/elsewhere_test.go
+++ b/internal/standin/elsewhere_test.go
@@ -45,7 +45,7 @@
 // told it or succeeded it they still ran.
 func (e elsewhere) play(seed uint64) (broken []string, met bool) {
 	set := testSettings()
-	set.Lease, set.Teams = e.lease, nil
+	set.WorkerLease, set.Teams = e.lease, nil
 	for i := range e.teams {
 		set.Teams = append(set.Teams, core.Team{Name: fmt.Sprintf("team-%d", i)})
 	}
@@ -56,9 +56,9 @@
 	for i := range 8 * e.teams {
 		id := fmt.Sprintf("job-%03d", i)
 		ids = append(ids, id)
-		w.Submit(core.Spec{
+		w.Submit(core.JobSpec{
 			ID: id, Workload: "batch", Team: set.Teams[i%e.teams].Name, Urgency: core.Normal, Tasks: 2,
-			Need: core.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 1, Expected: 15 * time.Minute,
+			Need: core.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 1, ExpectedRunTime: 15 * time.Minute,
 		}, 15*time.Minute, false)
 	}
 	w.Run(90 * time.Second)
--- a/internal/standin/half.go
+++ b/internal/standin/half.go
@@ -42,7 +42,7 @@
 }
 
 // copyReport sends the copy of a report, if it gets one.
-func (w *World) copyReport(r core.Report) {
+func (w *World) copyReport(r core.Heartbeat) {
 	if !w.now.Before(w.copyTill) || w.rng.Float64() >= w.copies {
 		return
 	}
@@ -53,7 +53,7 @@
 	d := time.Second + time.Duration(w.rng.Int64N(int64(max(w.copyLongest, 2*time.Second)-time.Second)))
 	p := w.nodes[w.rng.IntN(len(w.nodes))]
 	w.after(d, func() {
-		p.ask(func(reply uint64) core.Command { return core.WorkerReport{Reply: reply, Report: r} }, func(core.Effect) {})
+		p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
 	})
 }
 
@@ -124,7 +124,7 @@
 	case 0:
 		w.DeafMachines(w.SomeMachines([]float64{0.05, 0.3, 1}[rng.IntN(3)], []string{"", "a", "b"}[rng.IntN(3)], rng), d, hold)
 	case 1:
-		w.Copies(0.3, 5*w.set.Lease, d)
+		w.Copies(0.3, 5*w.set.WorkerLease, d)
 	case 2:
 		for _, id := range w.SomeMachines([]float64{0.05, 0.3}[rng.IntN(2)], "", rng) {
 			w.Anew(w.machine[id], back)
--- a/internal/standin/half_test.go
+++ b/internal/standin/half_test.go
@@ -22,14 +22,14 @@
 						t.Parallel()
 						w := newTestWorldOf(uint64(back), nodes)
 						for i := range 8 {
-							w.Submit(core.Spec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-								Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: 20 * time.Second}, 20*time.Second, false)
+							w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
+								Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 						}
 						w.Run(35 * time.Second)
 						w.CrashIn(back*time.Millisecond, sent, moments[in])
 						// The one that is claimed from, and once all of them.
 						for i, p := range w.nodes {
-							if p.node.IsOwner() || back == 500 {
+							if p.node.IsShardLeader() || back == 500 {
 								w.Crash(i, back*time.Millisecond)
 							}
 						}
@@ -74,8 +74,8 @@
 				w.state.rows[fmt.Sprintf("job/job-%06d", 2*i)] = &stateRow{value: rec, stamp: w.state.rev}
 			}
 			for i := range 40 {
-				w.Submit(core.Spec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1,
-					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: 200 * time.Second}, 200*time.Second, false)
+				w.Submit(core.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1,
+					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 			}
 			w.Run(10 * time.Second)
 			for i := range w.nodes {
@@ -83,7 +83,7 @@
 			}
 			began, reads := w.now, 0
 			w.sabotage = func(e core.Effect) core.Effect {
-				if op, ok := e.(core.StateOp); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != core.OpTxn {
+				if op, ok := e.(core.StoreRequest); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != core.OpTxn {
 					reads++
 				}
 				return e
@@ -91,7 +91,7 @@
 			answered := map[string]time.Duration{}
 			var ask func(id, want string)
 			ask = func(id, want string) {
-				w.userCall(func(r uint64) core.Command { return core.Query{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+				w.userCall(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
 					switch {
 					case r == nil || r.Status == 503:
 					case want == "" && r.Status != 404 || want == "done" && r.State != "done" || want == "queued" && r.Status != 200:
--- a/internal/standin/held_test.go
+++ b/internal/standin/held_test.go
@@ -19,11 +19,11 @@
 
 // holdOrder holds the next order with starts for d, with all that is sent to its machine
 // meanwhile; what the machine sends arrives. then happens a second after it has left.
-func (s *scenario) holdOrder(d time.Duration, then func(core.WorkerOp)) {
+func (s *scenario) holdOrder(d time.Duration, then func(core.WorkerRequest)) {
 	w := s.w
 	var h *heldOrder
 	w.sabotage = func(e core.Effect) core.Effect {
-		op, ok := e.(core.WorkerOp)
+		op, ok := e.(core.WorkerRequest)
 		if !ok {
 			return e
 		}
@@ -32,8 +32,8 @@
 			return e
 		}
 		x := &heldOrder{machine: op.Machine}
-		for _, o := range op.Orders {
-			if o.Verb == core.Start {
+		for _, o := range op.Commands {
+			if o.Kind == core.StartTask {
 				x.starts = append(x.starts, startName(o))
 			}
 		}
@@ -55,20 +55,22 @@
 }
 
 // others counts other attempts of what is held that are ordered to start meanwhile.
-func (h *heldOrder) others(w *World, op core.WorkerOp) {
+func (h *heldOrder) others(w *World, op core.WorkerRequest) {
 	if !w.now.Before(w.machine[h.machine].deafTill) {
 		return
 	}
-	for _, o := range op.Orders {
+	for _, o := range op.Commands {
 		for _, k := range h.starts {
-			if o.Verb == core.Start && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
+			if o.Kind == core.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
 				h.again++
 			}
 		}
 	}
 }
 
-func startName(o core.Order) string { return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Try) }
+func startName(o core.TaskCommand) string {
+	return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
+}
 
 func (h *heldOrder) String() string {
 	if h == nil {
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -127,24 +127,24 @@
 }
 
 // atOnce is how many tasks of a job its team's limit and the cloud allow at a time.
-func (d *Day) atOnce(s *core.Spec) int {
+func (d *Day) atOnce(s *core.JobSpec) int {
 	types, room := d.cloud()
 	fit := 0
 	for _, t := range types {
 		for _, z := range t.Zones {
-			if len(s.Flavours) > 0 && !slices.Contains(s.Flavours, t.Name) || s.Zone != "" && s.Zone != z {
+			if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, t.Name) || s.Zone != "" && s.Zone != z {
 				continue
 			}
 			machines := room[t.Name+"/"+z+"/false"]
-			if s.Spot {
+			if s.AllowSpot {
 				machines += room[t.Name+"/"+z+"/true"]
 			}
-			fit += machines * t.Size.Times(s.Need)
+			fit += machines * t.Capacity.Times(s.Need)
 		}
 	}
 	for _, t := range d.Settings.Teams {
-		if t.Name == s.Team && t.Limit.CPU > 0 {
-			fit = min(fit, t.Limit.Times(core.Resources{CPU: s.Need.CPU}))
+		if t.Name == s.Team && t.QuotaLimit.CPU > 0 {
+			fit = min(fit, t.QuotaLimit.Times(core.Resources{CPU: s.Need.CPU}))
 		}
 	}
 	return min(fit, s.Tasks)
@@ -167,7 +167,7 @@
 
 // served says that a job was served: done, or all of a standing job's replicas began.
 func (j *userJob) served() bool {
-	if j.spec.Standing {
+	if j.spec.LongRunning {
 		return j.ran() == j.spec.Tasks
 	}
 	return j.told == "done"
@@ -176,7 +176,7 @@
 // unended says that a job is under way of which more is to be judged.
 func (w *World) unended() bool {
 	for _, j := range w.jobs {
-		if j.counts() && (j.spec.Standing || !j.served()) {
+		if j.counts() && (j.spec.LongRunning || !j.served()) {
 			return true
 		}
 	}
@@ -185,7 +185,7 @@
 
 // ran is how many tasks are done, or replicas ever began.
 func (j *userJob) ran() int {
-	if j.spec.Standing {
+	if j.spec.LongRunning {
 		return len(j.began)
 	}
 	return len(j.results)
--- a/internal/standin/judge_test.go
+++ b/internal/standin/judge_test.go
@@ -11,21 +11,21 @@
 )
 
 // withoutOrders takes the orders that a test picks out of whatever goes to workers.
-func withoutOrders(e core.Effect, which func(core.Order) bool) core.Effect {
+func withoutOrders(e core.Effect, which func(core.TaskCommand) bool) core.Effect {
 	switch x := e.(type) {
-	case core.WorkerOp:
-		x.Orders = slices.DeleteFunc(slices.Clone(x.Orders), which)
+	case core.WorkerRequest:
+		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
 		return x
-	case core.ReportReply:
-		x.Orders = slices.DeleteFunc(slices.Clone(x.Orders), which)
+	case core.HeartbeatReply:
+		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
 		return x
 	}
 	return e
 }
 
 // noStarts does so with starts.
-func noStarts(e core.Effect, which func(core.Order) bool) core.Effect {
-	return withoutOrders(e, func(o core.Order) bool { return o.Verb == core.Start && which(o) })
+func noStarts(e core.Effect, which func(core.TaskCommand) bool) core.Effect {
+	return withoutOrders(e, func(o core.TaskCommand) bool { return o.Kind == core.StartTask && which(o) })
 }
 
 // TestDaysNoticeWhatIsWrong: each condition on a day fails on a core made wrong on
@@ -75,21 +75,21 @@
 			return e
 		}},
 		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e core.Effect) core.Effect {
-			return noStarts(e, func(o core.Order) bool { return o.Job == largest })
+			return noStarts(e, func(o core.TaskCommand) bool { return o.Job == largest })
 		}},
 		{"all but its first task put off", "first after", false, func(_ *World, e core.Effect) core.Effect {
-			return noStarts(e, func(o core.Order) bool { return o.Job == largest && o.Index > 0 })
+			return noStarts(e, func(o core.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
 		}},
 		{"begun late", "rush begins late: " + largest, false, func(w *World, e core.Effect) core.Effect {
-			return noStarts(e, func(o core.Order) bool {
+			return noStarts(e, func(o core.TaskCommand) bool {
 				return o.Job == largest && w.now.Before(w.jobs[largest].submitted.Add(beginWithin+5*time.Second))
 			})
 		}},
 		{"a class never started", "batch 0.00 of", false, func(w *World, e core.Effect) core.Effect {
-			return noStarts(e, func(o core.Order) bool { return class(w, o.Job) == "batch" })
+			return noStarts(e, func(o core.TaskCommand) bool { return class(w, o.Job) == "batch" })
 		}},
 		{"a team never started", "team-b 0.00 of", false, func(w *World, e core.Effect) core.Effect {
-			return noStarts(e, func(o core.Order) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
+			return noStarts(e, func(o core.TaskCommand) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standin/large_test.go
+++ b/internal/standin/large_test.go
@@ -14,18 +14,18 @@
 func largeWorld(seed uint64, scale float64) *World {
 	set := testSettings()
 	set.Zones = []string{"a"}
-	set.ReportEvery, set.Lease = 8*time.Second, 34*time.Second
+	set.HeartbeatInterval, set.WorkerLease = 8*time.Second, 34*time.Second
 	set.Teams = []core.Team{{Name: "ops"}}
-	set.CloudRPS = 10
+	set.CloudRequestsPerSecond = 10
 	set.Objectives = []core.Objective{
-		{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Share: 0.88},
-		{Kind: "deadline", Workload: "rush", Share: 0.98, Times: 1},
-		{Kind: "finished", Workload: "wide", Within: 120 * time.Second, Share: 0.85},
+		{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.88},
+		{Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1},
+		{Kind: "finished", Workload: "wide", Within: 120 * time.Second, Fraction: 0.85},
 	}
 	room := func(n float64) int { return max(1, int(n*scale)) }
-	return NewWorld(seed, 3, set, 64*time.Second, []core.Flavour{
-		{Name: "box", Size: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, PullRate: 0.3, Price: 0.2, SpotPrice: 0.07, Ready: 50 * time.Second, Zones: []string{"a"}},
-		{Name: "rack", Size: core.Resources{CPU: 32, Memory: 128}, DiskGB: 70, PullRate: 0.4, Price: 1.45, SpotPrice: 0.53, Ready: 20 * time.Second, Zones: []string{"a"}},
+	return NewWorld(seed, 3, set, 64*time.Second, []core.MachineType{
+		{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"a"}},
+		{Name: "rack", Capacity: core.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"box/a/true": room(800), "box/a/false": room(700), "rack/a/true": room(100), "rack/a/false": room(59)})
 }
 
@@ -51,11 +51,11 @@
 		n := int(k.rate * d.Seconds())
 		for range n {
 			w.names++
-			spec := core.Spec{
+			spec := core.JobSpec{
 				ID: fmt.Sprintf("job-%06d", w.names), Workload: k.name, Team: "ops", Urgency: k.urgent,
 				Tasks: max(1, int(float64(k.tasks)*scale*(0.3+1.4*rng.Float64()))), Need: core.Resources{CPU: k.cpu, Memory: k.mem},
-				Image: fmt.Sprintf("%s-%d", k.name, min(rng.IntN(k.images), rng.IntN(k.images))), ImageGB: k.gb, Spot: true, Expected: k.run,
-				Due: time.Duration(k.due*float64(k.run)) + core.Seconds(10*min(1, k.due)),
+				Image: fmt.Sprintf("%s-%d", k.name, min(rng.IntN(k.images), rng.IntN(k.images))), ImageGB: k.gb, AllowSpot: true, ExpectedRunTime: k.run,
+				Deadline: time.Duration(k.due*float64(k.run)) + core.Seconds(10*min(1, k.due)),
 			}
 			run := time.Duration(float64(k.run) * (0.7 + 0.6*rng.Float64()))
 			w.after(time.Duration(rng.Float64()*float64(d)), func() { w.Submit(spec, run, false) })
@@ -118,7 +118,7 @@
 	w.after(130*time.Second, func() { some(20, func(m *Worker) { m.hungTill = w.now.Add(25 * time.Second) }) })
 	w.after(150*time.Second, func() {
 		for _, p := range w.nodes {
-			if p.alive && p.node.IsOwner() {
+			if p.alive && p.node.IsShardLeader() {
 				w.Cut(p.name, "state", 30*time.Second, true)
 			}
 		}
@@ -136,7 +136,7 @@
 	allTold(t, w, false)
 	// The model of the state service refuses nothing, so its limit is checked
 	// here: what the cores ask for, without the clients that hold them back.
-	if limit := int(10 * w.set.StateWrites); most > limit {
+	if limit := int(10 * w.set.StoreWritesPerSecond); most > limit {
 		t.Errorf("%d changes in ten seconds, more than the limit of %d", most, limit)
 	}
 	if w.Started < 1000 {
--- a/internal/standin/later.go
+++ b/internal/standin/later.go
@@ -66,7 +66,7 @@
 	// copiesForNext: copies of reports are kept, in kept, until another controller leads
 	// than ledBy, or until keptTill.
 	copiesForNext bool
-	kept          []core.Report
+	kept          []core.Heartbeat
 	keptTill      time.Time
 	ledBy         string
 	// odd counts odd jobs.
@@ -95,7 +95,7 @@
 		f.Kind, f.AtOnce, f.Share = "late_writes", true, share(0.05, 0.2, 0.5)
 	case "copies.for_next":
 		f.Kind, f.ForNext = "copies", true
-		f.Late, f.Share = between(rng, 2*time.Second, 5*d.Settings.Lease), share(0.05, 0.3, 1)
+		f.Late, f.Share = between(rng, 2*time.Second, 5*d.Settings.WorkerLease), share(0.05, 0.3, 1)
 	case "late_commands":
 		f.Share = share(0.05, 0.3, 1)
 	case "slow_node":
@@ -207,9 +207,9 @@
 }
 
 // commandLate says whether a direct command to m is held up, and brings it then.
-func (p *proc) commandLate(m *Worker, op core.WorkerOp) bool {
+func (p *proc) commandLate(m *Worker, op core.WorkerRequest) bool {
 	w := p.w
-	if op.Ask || !w.now.Before(w.commandTill) || w.rng.Float64() >= w.commands {
+	if op.StatusOnly || !w.now.Before(w.commandTill) || w.rng.Float64() >= w.commands {
 		return false
 	}
 	life := m.life
@@ -228,7 +228,7 @@
 }
 
 // keepCopy keeps the copy of a report for the next leader.
-func (w *World) keepCopy(r core.Report) {
+func (w *World) keepCopy(r core.Heartbeat) {
 	if len(w.kept) == 0 {
 		w.ledBy = w.leads()
 	}
@@ -257,7 +257,7 @@
 	for _, p := range w.nodes {
 		for _, r := range kept {
 			w.after(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.ask(func(reply uint64) core.Command { return core.WorkerReport{Reply: reply, Report: r} }, func(core.Effect) {})
+				p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
 			})
 		}
 	}
@@ -273,11 +273,11 @@
 	for i := range w.nodes {
 		for range lookTimes {
 			w.after(soon(), func() {
-				w.closeLook(i, j, func(r uint64) core.Command { return core.Query{Reply: r, ID: j.spec.ID} })
+				w.closeLook(i, j, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} })
 			})
 		}
 		w.after(soon(), func() {
-			w.closeLook(i, j, func(r uint64) core.Command { return core.Submit{Reply: r, Spec: j.spec} })
+			w.closeLook(i, j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
 		})
 	}
 	if !j.aborting && !over(j.told) && w.rng.IntN(looksCancel) == 0 {
@@ -333,10 +333,10 @@
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(unfinished) > 0:
 		j := unfinished[w.rng.IntN(len(unfinished))]
-		w.closeLook(w.rng.IntN(len(w.nodes)), j, func(r uint64) core.Command { return core.Submit{Reply: r, Spec: j.spec} })
+		w.closeLook(w.rng.IntN(len(w.nodes)), j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
 	case k == 1 && len(done) > 0:
 		j := done[w.rng.IntN(len(done))]
-		w.closeLook(w.rng.IntN(len(w.nodes)), j, func(r uint64) core.Command { return core.Abort{Reply: r, ID: j.spec.ID} })
+		w.closeLook(w.rng.IntN(len(w.nodes)), j, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: j.spec.ID} })
 	case k >= 2 && len(unfinished) > 0:
 		w.oddJob(unfinished[w.rng.IntN(len(unfinished))].spec)
 	}
@@ -344,21 +344,21 @@
 
 // oddJob sends a job like another one that fits no machine, needs more than there is, or
 // lacks a field. None of them may be accepted.
-func (w *World) oddJob(s core.Spec) {
+func (w *World) oddJob(s core.JobSpec) {
 	w.odd++
 	s.ID = fmt.Sprintf("job-8%05d", w.odd)
-	c := core.Submit{Spec: s}
+	c := core.SubmitJob{Spec: s}
 	switch w.rng.IntN(5) {
 	case 0:
 		c.Spec.Need.CPU = 1e6
 	case 1:
-		c.Spec.Flavours = []string{"none"}
+		c.Spec.MachineTypes = []string{"none"}
 	case 2:
 		c.Spec.Zone = "nowhere"
 	case 3:
 		c.Spec.Team = "nobody"
 	case 4:
-		c = core.Submit{Spec: core.Spec{ID: s.ID}, Bad: "pieces is missing"}
+		c = core.SubmitJob{Spec: core.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
 	}
 	w.userCall(func(r uint64) core.Command { c.Reply = r; return c }, 5*time.Second, func(r *core.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
--- a/internal/standin/later_test.go
+++ b/internal/standin/later_test.go
@@ -11,9 +11,9 @@
 )
 
 // longJob is an array that outlasts every test.
-func longJob(id string, tasks int) core.Spec {
-	return core.Spec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: tasks, Need: core.Resources{CPU: 1, Memory: 1},
-		Image: "i", ImageGB: 0.1, Expected: time.Hour}
+func longJob(id string, tasks int) core.JobSpec {
+	return core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: tasks, Need: core.Resources{CPU: 1, Memory: 1},
+		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
 }
 
 // busyWorld has three jobs of four tasks that run, a minute after its begin.
@@ -91,7 +91,7 @@
 	w := newTestWorld(3)
 	w.cancelEnds, w.cancelEndTill = 1, w.now.Add(time.Hour)
 	s := longJob("job-000001", 2)
-	s.Expected = 10 * time.Second
+	s.ExpectedRunTime = 10 * time.Second
 	w.Submit(s, 10*time.Second, false)
 	w.Run(2 * time.Minute)
 	if j := w.jobs[s.ID]; !j.aborting || len(j.results) != 2 || !over(j.told) {
@@ -117,7 +117,7 @@
 	if m.leaseFrom != before {
 		t.Error("its lease was prolonged")
 	}
-	w.Run(w.set.Lease)
+	w.Run(w.set.WorkerLease)
 	if m.tenure < 2 {
 		t.Error("its lease has not run out")
 	}
@@ -131,14 +131,14 @@
 	m, x := busyMachine(w)
 	w.LateCommands(1, time.Second)
 	p := w.nodes[0]
-	halt := core.WorkerOp{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Tenure: m.tenure, Orders: []core.Order{{Verb: core.Halt, Job: x.job.spec.ID, Index: x.index, Try: x.try}}}
+	halt := core.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.tenure, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.try}}}
 	other := halt
-	other.Tenure++
+	other.Incarnation++
 	if !p.commandLate(m, other) || !p.commandLate(m, halt) {
 		t.Fatal("not held up")
 	}
 	question := halt
-	question.Ask = true
+	question.StatusOnly = true
 	if p.commandLate(m, question) {
 		t.Error("a question is held up")
 	}
@@ -158,7 +158,7 @@
 	w := busyWorld(t)
 	m, x := busyMachine(w)
 	w.LateCommands(1, time.Second)
-	w.nodes[0].commandLate(m, core.WorkerOp{Machine: m.ID, Epoch: m.epoch, Tenure: m.tenure + 1, Orders: []core.Order{{Verb: core.Halt, Job: x.job.spec.ID, Index: x.index, Try: x.try}}})
+	w.nodes[0].commandLate(m, core.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.tenure + 1, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.try}}})
 	w.Run(lateCommandLeast + lateCommandMost)
 	if !x.onMachine() {
 		t.Error("carried out")
@@ -174,13 +174,13 @@
 		key := fmt.Sprint("x/", id)
 		// What reaches the process stays in its queue.
 		w.Still(p.index, time.Second)
-		p.stateOp(core.StateOp{ID: id, Kind: core.OpTxn, Apply: []core.Change{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
+		p.stateOp(core.StoreRequest{ID: id, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
 		w.Run(900 * time.Millisecond)
 		if w.state.rows[key] == nil {
 			t.Errorf("%s is not written", key)
 		}
 		return slices.ContainsFunc(p.queue, func(c core.Command) bool {
-			d, ok := c.(core.StateDone)
+			d, ok := c.(core.StoreResponse)
 			return ok && d.ID == id
 		})
 	}
@@ -264,8 +264,8 @@
 			w.looksTill = w.now.Add(time.Hour)
 			for i, id := range []string{"job-000001", "job-000002", "job-000003", "job-000004"} {
 				s := longJob(id, 2)
-				s.Expected = time.Duration(10+10*i) * time.Second
-				w.Submit(s, s.Expected, false)
+				s.ExpectedRunTime = time.Duration(10+10*i) * time.Second
+				w.Submit(s, s.ExpectedRunTime, false)
 			}
 			w.OddRequests(time.Minute)
 			w.Run(2 * time.Minute)
--- a/internal/standin/limits.go
+++ b/internal/standin/limits.go
@@ -13,7 +13,7 @@
 
 // StateTooMany stands for a 429, of which the cores never hear: their client tries
 // again.
-const StateTooMany core.StateStatus = -1
+const StateTooMany core.StoreStatus = -1
 
 // limits are those of the protocol and the settings. Sizes are counted by writing the
 // JSON, on purpose: the controllers reckon them another way, and would agree with
@@ -34,7 +34,7 @@
 // transactions, and requests and changes a second with bursts of one second's worth.
 // Settings that say nothing of sizes leave it without limits.
 func (s *StateService) Limit(set core.Settings) {
-	if set.TxnOps == 0 || set.ValueBytes == 0 {
+	if set.MaxTxnWrites == 0 || set.MaxValueBytes == 0 {
 		return
 	}
 	limit := func(rps float64, burst int) *rate.Limiter {
@@ -44,37 +44,37 @@
 		return rate.NewLimiter(rate.Limit(rps), max(burst, int(rps)))
 	}
 	s.limits = &limits{
-		valueBytes: set.ValueBytes, ops: set.TxnOps, page: pageMost,
-		requests: limit(set.StateRequests, 1), changes: limit(set.StateWrites, set.TxnOps),
+		valueBytes: set.MaxValueBytes, ops: set.MaxTxnWrites, page: pageMost,
+		requests: limit(set.StoreRequestsPerSecond, 1), changes: limit(set.StoreWritesPerSecond, set.MaxTxnWrites),
 	}
 }
 
 // allow takes a request's part of the rates, if there is enough left. A transaction
 // that is refused for its changes counts as a request all the same.
-func (l *limits) allow(now time.Time, op *core.StateOp) bool {
-	return l.requests.AllowN(now, 1) && (len(op.Apply) == 0 || l.changes.AllowN(now, len(op.Apply)))
+func (l *limits) allow(now time.Time, op *core.StoreRequest) bool {
+	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.changes.AllowN(now, len(op.Writes)))
 }
 
 // malformed says what a 400 is for, or nothing.
-func (l *limits) malformed(op *core.StateOp) string {
+func (l *limits) malformed(op *core.StoreRequest) string {
 	if op.Kind != core.OpTxn {
 		return ""
 	}
-	if len(op.Apply) > l.ops {
-		return fmt.Sprintf("%d changes", len(op.Apply))
+	if len(op.Writes) > l.ops {
+		return fmt.Sprintf("%d changes", len(op.Writes))
 	}
-	if len(op.When) > 4*l.ops {
-		return fmt.Sprintf("%d conditions", len(op.When))
+	if len(op.Compares) > 4*l.ops {
+		return fmt.Sprintf("%d conditions", len(op.Compares))
 	}
 	whole := obj{}
 	var when, apply []any
-	for _, c := range op.When {
+	for _, c := range op.Compares {
 		if !goodKey(c.Key) {
 			return "key " + c.Key
 		}
-		when = append(when, obj{"key": c.Key, "stamp": c.Stamp})
+		when = append(when, obj{"key": c.Key, "stamp": c.ModRevision})
 	}
-	for _, a := range op.Apply {
+	for _, a := range op.Writes {
 		if !goodKey(a.Key) {
 			return "key " + a.Key
 		}
@@ -93,7 +93,7 @@
 		if len(b) > l.valueBytes {
 			return fmt.Sprintf("%d bytes for %s", len(b), a.Key)
 		}
-		apply = append(apply, obj{"put": a.Key, "value": json.RawMessage(b), "permit": a.Grant})
+		apply = append(apply, obj{"put": a.Key, "value": json.RawMessage(b), "permit": a.LeaseID})
 	}
 	whole["when"], whole["apply"] = when, apply
 	if b, err := json.Marshal(whole); err != nil || len(b) > txnMost {
--- a/internal/standin/live.go
+++ b/internal/standin/live.go
@@ -41,7 +41,7 @@
 type obj = map[string]any
 
 // NewLive starts state service and cloud. Stop ends them.
-func NewLive(set core.Settings, rps, wps float64, types []core.Flavour, room map[string]int, nodes []string) *Live {
+func NewLive(set core.Settings, rps, wps float64, types []core.MachineType, room map[string]int, nodes []string) *Live {
 	l := &Live{
 		nodes: nodes, reqs: rate.NewLimiter(rate.Limit(rps), int(rps)), puts: rate.NewLimiter(rate.Limit(wps), int(wps)),
 		hosts: map[*Worker]*httptest.Server{}, clients: map[*Worker]*http.Client{}, counts: newCounts(),
@@ -130,7 +130,7 @@
 }
 
 // Know tells the workers of a job, as its user's upload would.
-func (l *Live) Know(spec core.Spec, run time.Duration) {
+func (l *Live) Know(spec core.JobSpec, run time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.w.jobs[spec.ID] = newUserJob(spec, run)
@@ -138,7 +138,7 @@
 
 // Learn lets the workers fetch descriptions of jobs from the function, which is
 // called with a job's id.
-func (l *Live) Learn(fn func(id string) (core.Spec, time.Duration, bool)) {
+func (l *Live) Learn(fn func(id string) (core.JobSpec, time.Duration, bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.w.learn = fn
@@ -214,13 +214,13 @@
 func (l *Live) state(rw http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	op, writes, bad := stateOp(r)
-	out := make(chan core.StateDone, 1)
+	out := make(chan core.StoreResponse, 1)
 	switch {
 	case bad:
 		l.mu.Unlock()
 		reply(rw, 400, obj{"error": "malformed"})
 		return
-	case l.away && op.Kind != core.OpFollow:
+	case l.away && op.Kind != core.OpWatch:
 		l.mu.Unlock()
 		reply(rw, 503, obj{"error": "trouble"})
 		return
@@ -231,9 +231,9 @@
 		return
 	}
 	l.counts.request(&op, false)
-	l.w.state.Do(time.Now(), op, func(d core.StateDone) { out <- d })
+	l.w.state.Do(time.Now(), op, func(d core.StoreResponse) { out <- d })
 	l.mu.Unlock()
-	var d core.StateDone
+	var d core.StoreResponse
 	select {
 	case d = <-out:
 	case <-r.Context().Done():
@@ -242,43 +242,43 @@
 	l.stateAnswer(rw, op, d)
 }
 
-func stateOp(r *http.Request) (op core.StateOp, writes int, bad bool) {
+func stateOp(r *http.Request) (op core.StoreRequest, writes int, bad bool) {
 	q := r.URL.Query()
 	path := r.URL.Path
 	switch {
 	case path == "/store":
-		op = core.StateOp{Kind: core.OpList, Key: q.Get("under"), From: q.Get("from")}
+		op = core.StoreRequest{Kind: core.OpList, Key: q.Get("under"), StartAfter: q.Get("from")}
 	case strings.HasPrefix(path, "/store/"):
-		op = core.StateOp{Kind: core.OpGet, Key: strings.TrimPrefix(path, "/store/")}
+		op = core.StoreRequest{Kind: core.OpGet, Key: strings.TrimPrefix(path, "/store/")}
 	case path == "/follow":
 		hold, _ := strconv.Atoi(q.Get("hold_ms"))
 		rev, err := strconv.ParseUint(q.Get("from"), 10, 64)
-		op = core.StateOp{Kind: core.OpFollow, Key: q.Get("under"), Rev: rev, Hold: time.Duration(hold) * time.Millisecond}
+		op = core.StoreRequest{Kind: core.OpWatch, Key: q.Get("under"), Revision: rev, WatchTimeout: time.Duration(hold) * time.Millisecond}
 		bad = err != nil || hold > 60000
 	case path == "/grants":
 		ttl := num(read(r)["ttl_ms"])
-		op = core.StateOp{Kind: core.OpGrantNew, TTL: time.Duration(ttl) * time.Millisecond}
+		op = core.StoreRequest{Kind: core.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
 		bad = ttl < 100 || ttl > 600000
 	case strings.HasSuffix(path, "/renew"):
-		op = core.StateOp{Kind: core.OpGrantRenew, Grant: num(strings.Split(path, "/")[2])}
+		op = core.StoreRequest{Kind: core.OpLeaseRenew, LeaseID: num(strings.Split(path, "/")[2])}
 	case strings.HasPrefix(path, "/grants/"):
-		op = core.StateOp{Kind: core.OpGrantDrop, Grant: num(strings.Split(path, "/")[2])}
+		op = core.StoreRequest{Kind: core.OpLeaseRevoke, LeaseID: num(strings.Split(path, "/")[2])}
 	case path == "/multi":
 		op.Kind = core.OpTxn
 		o := read(r)
 		for _, c := range list(o["when"]) {
 			m := c.(obj)
-			op.When = append(op.When, core.Cond{Key: str(m["key"]), Stamp: num(m["stamp"])})
+			op.Compares = append(op.Compares, core.Compare{Key: str(m["key"]), ModRevision: num(m["stamp"])})
 		}
 		for _, c := range list(o["apply"]) {
 			m := c.(obj)
 			writes++
 			if k := str(m["remove"]); k != "" {
-				op.Apply = append(op.Apply, core.Change{Key: k})
+				op.Writes = append(op.Writes, core.Write{Key: k})
 				continue
 			}
 			_, isMap := m["value"].(obj)
-			op.Apply = append(op.Apply, core.Change{Key: str(m["put"]), Value: raw(m["value"]), Grant: num(m["permit"])})
+			op.Writes = append(op.Writes, core.Write{Key: str(m["put"]), Value: raw(m["value"]), LeaseID: num(m["permit"])})
 			bad = bad || str(m["put"]) == "" || !isMap
 		}
 	default:
@@ -287,15 +287,15 @@
 	return op, writes, bad
 }
 
-func (l *Live) stateAnswer(rw http.ResponseWriter, op core.StateOp, d core.StateDone) {
+func (l *Live) stateAnswer(rw http.ResponseWriter, op core.StoreRequest, d core.StoreResponse) {
 	rows := func() []any {
 		out := []any{}
-		for _, it := range d.Items {
-			o := obj{"stamp": it.Stamp}
+		for _, it := range d.KeyValues {
+			o := obj{"stamp": it.ModRevision}
 			switch {
-			case it.Removed:
+			case it.Deleted:
 				o["remove"] = it.Key
-			case op.Kind == core.OpFollow:
+			case op.Kind == core.OpWatch:
 				o["put"], o["value"] = it.Key, value(it.Value)
 			default:
 				o["key"], o["value"] = it.Key, value(it.Value)
@@ -305,31 +305,31 @@
 		return out
 	}
 	switch d.Status {
-	case core.StateNotFound:
-		reply(rw, 404, obj{"ledger_rev": d.Rev})
-	case core.StateConflict:
-		reply(rw, 409, obj{"failed": d.Failed, "ledger_rev": d.Rev})
-	case core.StateGone:
+	case core.StoreNotFound:
+		reply(rw, 404, obj{"ledger_rev": d.Revision})
+	case core.StoreConflict:
+		reply(rw, 409, obj{"failed": d.FailedKeys, "ledger_rev": d.Revision})
+	case core.StoreCompacted:
 		reply(rw, 410, obj{"error": "too old"})
-	case core.StateNoGrant:
+	case core.StoreNoLease:
 		reply(rw, 400, obj{"error": "no such lease"})
-	case core.StateBad:
+	case core.StoreMalformed:
 		reply(rw, 400, obj{"error": "malformed"})
 	case StateTooMany:
 		reply(rw, 429, obj{"error": "rate"})
 	default:
 		switch op.Kind {
 		case core.OpGet:
-			it := d.Items[0]
-			reply(rw, 200, obj{"key": it.Key, "value": value(it.Value), "stamp": it.Stamp})
+			it := d.KeyValues[0]
+			reply(rw, 200, obj{"key": it.Key, "value": value(it.Value), "stamp": it.ModRevision})
 		case core.OpList:
-			reply(rw, 200, obj{"rows": rows(), "truncated": d.Truncated, "ledger_rev": d.Rev})
-		case core.OpFollow:
-			reply(rw, 200, obj{"news": rows(), "ledger_rev": d.Rev})
-		case core.OpGrantNew:
-			reply(rw, 200, obj{"permit": d.Grant})
+			reply(rw, 200, obj{"rows": rows(), "truncated": d.Truncated, "ledger_rev": d.Revision})
+		case core.OpWatch:
+			reply(rw, 200, obj{"news": rows(), "ledger_rev": d.Revision})
+		case core.OpLeaseGrant:
+			reply(rw, 200, obj{"permit": d.LeaseID})
 		default:
-			reply(rw, 200, obj{"ledger_rev": d.Rev})
+			reply(rw, 200, obj{"ledger_rev": d.Revision})
 		}
 	}
 }
@@ -341,21 +341,21 @@
 	switch r.Method + r.URL.Path {
 	case "GET/machine_types":
 		var out []any
-		for _, f := range l.w.cloud(core.CloudOp{Kind: core.CloudTypes}).Flavours {
-			out = append(out, obj{"name": f.Name, "vcpus": f.Size.CPU, "gpus": f.Size.GPU, "memory_gb": f.Size.Memory, "local_gb": f.DiskGB,
-				"pull_gb_per_s": f.PullRate, "price": f.Price, "market_price": f.SpotPrice, "ready_s": f.Ready.Seconds(), "sites": f.Zones})
+		for _, f := range l.w.cloud(core.CloudRequest{Kind: core.CloudListTypes}).MachineTypes {
+			out = append(out, obj{"name": f.Name, "vcpus": f.Capacity.CPU, "gpus": f.Capacity.GPU, "memory_gb": f.Capacity.Memory, "local_gb": f.DiskGB,
+				"pull_gb_per_s": f.ImageFetchRate, "price": f.CostPerHour, "market_price": f.SpotCostPerHour, "ready_s": f.ProvisioningTime.Seconds(), "sites": f.Zones})
 		}
 		reply(rw, 200, obj{"flavours": out})
 	case "GET/rentals":
 		out := []any{}
-		for _, m := range l.w.cloud(core.CloudOp{Kind: core.CloudList}).Machines {
-			out = append(out, obj{"id": m.ID, "address": m.Addr, "flavour": m.Flavour, "site": m.Zone, "loaner": m.Spot, "status": m.Status, "held_s": m.Held.Seconds()})
+		for _, m := range l.w.cloud(core.CloudRequest{Kind: core.CloudListMachines}).Machines {
+			out = append(out, obj{"id": m.ID, "address": m.Addr, "flavour": m.MachineType, "site": m.Zone, "loaner": m.Spot, "status": m.Status, "held_s": m.Age.Seconds()})
 		}
 		reply(rw, 200, obj{"hosts": out, "truncated": false})
 	case "POST/rentals":
 		o := read(r)
 		spot, _ := o["loaner"].(bool)
-		d := l.w.cloud(core.CloudOp{Kind: core.CloudRent, Booking: str(o["booking"]), Flavour: str(o["flavour"]), Zone: str(o["site"]), Spot: spot, Count: int(num(o["count"]))})
+		d := l.w.cloud(core.CloudRequest{Kind: core.CloudRent, IdempotencyKey: str(o["booking"]), MachineType: str(o["flavour"]), Zone: str(o["site"]), Spot: spot, Count: int(num(o["count"]))})
 		if d.Status == core.CloudNoCapacity {
 			reply(rw, 503, obj{"error": "no capacity"})
 			return
@@ -366,22 +366,22 @@
 		for _, h := range list(read(r)["hosts"]) {
 			ids = append(ids, str(h))
 		}
-		l.w.cloud(core.CloudOp{Kind: core.CloudReturn, Machines: ids})
+		l.w.cloud(core.CloudRequest{Kind: core.CloudRelease, Machines: ids})
 		reply(rw, 200, obj{})
 	default:
 		reply(rw, 400, obj{"error": "malformed"})
 	}
 }
 
-func wireReport(r *core.Report) obj {
-	o := obj{"host": r.Machine, "address": r.Addr, "flavour": r.Flavour, "site": r.Zone, "loaner": r.Spot,
-		"tenure": r.Tenure, "tick": r.Tick, "epoch": r.Epoch, "recall_s": nil}
-	if r.Recall >= 0 {
-		o["recall_s"] = r.Recall.Seconds()
+func wireReport(r *core.Heartbeat) obj {
+	o := obj{"host": r.Machine, "address": r.Addr, "flavour": r.MachineType, "site": r.Zone, "loaner": r.Spot,
+		"tenure": r.Incarnation, "tick": r.Sequence, "epoch": r.Epoch, "recall_s": nil}
+	if r.ReclaimIn >= 0 {
+		o["recall_s"] = r.ReclaimIn.Seconds()
 	}
 	pieces := []any{}
 	for _, t := range r.Tasks {
-		p := obj{"piece": taskName(t.Job, t.Index), "try": t.Try, "status": [...]string{"fetching", "running", "flushing", "ended"}[t.Status]}
+		p := obj{"piece": taskName(t.Job, t.Index), "try": t.Attempt, "status": [...]string{"fetching", "running", "flushing", "ended"}[t.Status]}
 		if t.Status == core.Ended {
 			p["cause"] = t.Cause
 		}
@@ -391,14 +391,14 @@
 	return o
 }
 
-func coreOrders(v any) []core.Order {
-	var out []core.Order
+func coreOrders(v any) []core.TaskCommand {
+	var out []core.TaskCommand
 	for _, x := range list(v) {
 		o := x.(obj)
 		piece := str(o["piece"])
 		i := strings.LastIndexByte(piece, '/')
 		wind, _ := strconv.ParseFloat(fmt.Sprint(o["wind_down_s"]), 64)
-		out = append(out, core.Order{Verb: core.Verb(str(o["verb"])), Job: piece[:i], Index: int(num(piece[i+1:])), Try: num(o["try"]), WindDown: core.Seconds(wind)})
+		out = append(out, core.TaskCommand{Kind: core.TaskCommandKind(str(o["verb"])), Job: piece[:i], Index: int(num(piece[i+1:])), Attempt: num(o["try"]), GracePeriod: core.Seconds(wind)})
 	}
 	return out
 }
@@ -413,21 +413,21 @@
 			panic(http.ErrAbortHandler)
 		}
 		l.counts.Orders[r.URL.Path]++
-		op := core.WorkerOp{Ask: r.URL.Path == "/status"}
-		if !op.Ask {
+		op := core.WorkerRequest{StatusOnly: r.URL.Path == "/status"}
+		if !op.StatusOnly {
 			o := read(r)
 			if o["epoch"] == nil || o["tenure"] == nil {
 				reply(rw, 400, obj{"error": "missing"})
 				return
 			}
-			op.Epoch, op.Tenure, op.Orders = num(o["epoch"]), num(o["tenure"]), coreOrders(o["orders"])
+			op.Epoch, op.Incarnation, op.Commands = num(o["epoch"]), num(o["tenure"]), coreOrders(o["orders"])
 		}
 		d := l.w.direct(m, op)
 		status := 200
 		if !d.OK {
 			status = 409
 		}
-		reply(rw, status, wireReport(d.Report))
+		reply(rw, status, wireReport(d.Heartbeat))
 	})
 }
 
--- a/internal/standin/livecount.go
+++ b/internal/standin/livecount.go
@@ -44,17 +44,17 @@
 }
 
 // request counts one to the state service.
-func (c *LiveCounts) request(op *core.StateOp, refused bool) {
-	kind := map[core.StateKind]string{
-		core.OpGet: "get", core.OpList: "list", core.OpFollow: "follow", core.OpTxn: "multi",
-		core.OpGrantNew: "grant", core.OpGrantRenew: "renew", core.OpGrantDrop: "drop",
+func (c *LiveCounts) request(op *core.StoreRequest, refused bool) {
+	kind := map[core.StoreRequestKind]string{
+		core.OpGet: "get", core.OpList: "list", core.OpWatch: "follow", core.OpTxn: "multi",
+		core.OpLeaseGrant: "grant", core.OpLeaseRenew: "renew", core.OpLeaseRevoke: "drop",
 	}[op.Kind]
 	c.Requests[kind]++
 	if refused {
 		c.Refused++
 		return
 	}
-	for _, a := range op.Apply {
+	for _, a := range op.Writes {
 		family, _, _ := strings.Cut(a.Key, "/")
 		c.Changes[family]++
 	}
@@ -125,7 +125,7 @@
 				continue
 			}
 			tasks++
-			if t.job.spec.Standing {
+			if t.job.spec.LongRunning {
 				standing++
 			}
 		}
