--- a/internal/standin/lost_answers_test.go
+++ b/internal/standin/lost_answers_test.go
@@ -25,13 +25,13 @@
 	l := &lostAnswers{share: share, chosen: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
 	w.ends = func(p *proc, e core.Effect) bool {
-		if op, ok := e.(core.StateOp); ok && op.Kind == core.OpTxn && len(op.Apply) > 0 && rng.Float64() < l.share {
-			l.chosen[op.Apply[0].Key] = p.name
+		if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
+			l.chosen[op.Writes[0].Key] = p.name
 		}
 		return false
 	}
 	noted := w.state.noted
-	w.state.noted = func(it core.Item) {
+	w.state.noted = func(it core.KeyValue) {
 		if p, chosen := l.chosen[it.Key]; chosen {
 			delete(l.chosen, it.Key)
 			l.lost[recordKind(it.Key)]++
@@ -69,7 +69,7 @@
 				t.Parallel()
 				types, room := testTypes()
 				set := testSettings()
-				set.Product = core.Product{Ranking: true, Promises: true, PromiseShare: 0.95, Models: true, MovePart: 0.5, MoveAgain: time.Minute}
+				set.Capabilities = core.Capabilities{Ranking: true, Promises: true, PromiseFraction: 0.95, Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: time.Minute}
 				w := NewWorld(seed, 3+2*int(seed%2), set, testCancel, types, room)
 				w.CheckRanking()
 				w.ranked.only = true
@@ -79,7 +79,7 @@
 				for k := range 10 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.after(time.Duration(10+k*30)*time.Second, func() {
-						w.Rank(k%len(w.nodes), core.RankSet{Record: mustRank(t, text, "somebody"), AnyRev: true}, func(core.RankReply) {})
+						w.Rank(k%len(w.nodes), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
 					})
 				}
 				w.after(8*time.Minute, func() { l.share = 0 })
--- a/internal/standin/lower_test.go
+++ b/internal/standin/lower_test.go
@@ -23,16 +23,16 @@
 func newLowerWorld(seed uint64) *lowerWorld {
 	set := testSettings()
 	set.Zones, set.Teams = []string{"a"}, []core.Team{{Name: "ops"}, {Name: "lab"}}
-	types := []core.Flavour{{Name: "box", Size: core.Resources{CPU: 16, Memory: 64}, DiskGB: 50, PullRate: 0.5, Price: 0.2, Ready: 20 * time.Second, Zones: []string{"a"}}}
+	types := []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	l := &lowerWorld{World: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 40}), next: set, replaced: make([]bool, 3)}
-	l.next.ValueBytes, l.next.PresentValueBytes, l.next.TxnOps, l.next.StateWrites = 1024, set.ValueBytes, 4, 21
+	l.next.MaxValueBytes, l.next.CurrentMaxValueBytes, l.next.MaxTxnWrites, l.next.StoreWritesPerSecond = 1024, set.MaxValueBytes, 4, 21
 	l.tune = func(i int, set *core.Settings) {
 		if l.replaced[i] {
-			set.ValueBytes, set.PresentValueBytes = l.next.ValueBytes, l.next.PresentValueBytes
-			set.TxnOps, set.StateWrites = l.next.TxnOps, l.next.StateWrites
+			set.MaxValueBytes, set.CurrentMaxValueBytes = l.next.MaxValueBytes, l.next.CurrentMaxValueBytes
+			set.MaxTxnWrites, set.StoreWritesPerSecond = l.next.MaxTxnWrites, l.next.StoreWritesPerSecond
 		}
 	}
-	l.state.noted = func(it core.Item) {
+	l.state.noted = func(it core.KeyValue) {
 		if strings.HasPrefix(it.Key, "task/") && strings.Contains(it.Key, "/s") && !l.all() {
 			l.early++
 		}
--- a/internal/standin/meetings.go
+++ b/internal/standin/meetings.go
@@ -103,9 +103,9 @@
 		w.names++
 		at := max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(before)))
 		run := time.Duration(float64(importRun) * (0.75 + rng.Float64()/2))
-		spec := core.Spec{
+		spec := core.JobSpec{
 			ID: fmt.Sprintf("job-%06d", w.names), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: core.Normal,
-			Tasks: 1 + rng.IntN(3), Need: core.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, Spot: true, Expected: importRun,
+			Tasks: 1 + rng.IntN(3), Need: core.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: importRun,
 		}
 		w.after(at, func() { w.Submit(spec, run, false) })
 		if t, ok := d.Cancels.when(spec.Workload, at, rng); ok {
@@ -193,7 +193,7 @@
 			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
 		}
 	case "copies":
-		f.Late, f.Share = between(rng, 2*time.Second, 5*d.Settings.Lease), part(0.05, 0.3, 1)
+		f.Late, f.Share = between(rng, 2*time.Second, 5*d.Settings.WorkerLease), part(0.05, 0.3, 1)
 	case "cut_alone":
 		f.Link = []string{"", "", "refused"}[rng.IntN(3)]
 	case "election":
@@ -212,7 +212,7 @@
 
 // cancelWithin is in how long the tasks of a cancelled job have to be gone.
 func (d *Day) cancelWithin() time.Duration {
-	return d.Settings.Lease + time.Duration(cmp.Or(d.CancelRoom, cancelRoom))*time.Second
+	return d.Settings.WorkerLease + time.Duration(cmp.Or(d.CancelRoom, cancelRoom))*time.Second
 }
 
 // cancelRoom is by how many seconds cancel_s is longer than a lease on all known sites.
@@ -246,7 +246,7 @@
 }
 
 // writeLate says whether a transaction gets no answer, and how late it is carried out.
-func (w *World) writeLate(e core.StateOp) (time.Duration, bool) {
+func (w *World) writeLate(e core.StoreRequest) (time.Duration, bool) {
 	if e.Kind != core.OpTxn || !w.now.Before(w.lateWriteTill) || w.rng.Float64() >= w.lateWrites {
 		return 0, false
 	}
--- a/internal/standin/meetings_test.go
+++ b/internal/standin/meetings_test.go
@@ -12,7 +12,7 @@
 
 // noHalts takes the stops out of whatever goes to workers.
 func noHalts(e core.Effect) core.Effect {
-	return withoutOrders(e, func(o core.Order) bool { return o.Verb == core.Halt })
+	return withoutOrders(e, func(o core.TaskCommand) bool { return o.Kind == core.StopTask })
 }
 
 // TestCancelledInTime: the checker of cancellations counts from the answer that leaves a
@@ -69,11 +69,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(3)
-			w.Submit(core.Spec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2, Need: core.Resources{CPU: 2, Memory: 2},
-				Image: "i", ImageGB: c.image, Expected: time.Hour}, time.Hour, false)
+			w.Submit(core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2, Need: core.Resources{CPU: 2, Memory: 2},
+				Image: "i", ImageGB: c.image, ExpectedRunTime: time.Hour}, time.Hour, false)
 			w.Run(50 * time.Second)
 			// No machine is returned, and no lease ends.
-			w.cloudOut, w.set.Lease = true, time.Hour
+			w.cloudOut, w.set.WorkerLease = true, time.Hour
 			c.abort(w)
 			w.Abort(id)
 			w.Run(w.cancel - time.Second)
@@ -195,7 +195,7 @@
 	w.LateWrites(1, time.Second)
 	p := w.nodes[0]
 	write := func(key string) {
-		p.stateOp(core.StateOp{ID: 1 << 40, Kind: core.OpTxn, Apply: []core.Change{{Key: key, Value: value}}}, w.now.Add(time.Minute))
+		p.stateOp(core.StoreRequest{ID: 1 << 40, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
 	}
 	there := func(key string) bool { return w.state.rows[key] != nil }
 	write("x/old")
@@ -218,13 +218,13 @@
 	w.Run(20 * time.Second)
 	p := w.nodes[w.leader(0)]
 	told := 0
-	p.watch(core.StateOp{Kind: core.OpFollow, Key: "x/", Rev: w.state.rev, Hold: time.Hour}, w.now.Add(time.Hour), func(core.StateDone) { told++ })
+	p.watch(core.StoreRequest{Kind: core.OpWatch, Key: "x/", Revision: w.state.rev, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(core.StoreResponse) { told++ })
 	w.meetingTrouble(DayFault{Kind: "refused_outage", Node: p.index, Late: 2 * time.Second, For: time.Minute})
 	w.Run(time.Second)
 	if !p.stateNo || w.outage {
 		t.Error("not the one alone")
 	}
-	w.state.txn(core.StateOp{Apply: []core.Change{{Key: "x/1", Value: []byte{0x80}}}}, &core.StateDone{})
+	w.state.txn(core.StoreRequest{Writes: []core.Write{{Key: "x/1", Value: []byte{0x80}}}}, &core.StoreResponse{})
 	w.Run(time.Second)
 	grants := len(w.state.grants)
 	w.Run(50 * time.Second)
--- a/internal/standin/met_links_test.go
+++ b/internal/standin/met_links_test.go
@@ -11,9 +11,9 @@
 )
 
 // arriveAtAll brings a report to every controller, and tells of their answers.
-func (w *World) arriveAtAll(r core.Report, tell func(core.ReportReply)) {
+func (w *World) arriveAtAll(r core.Heartbeat, tell func(core.HeartbeatReply)) {
 	for _, p := range w.nodes {
-		p.ask(func(reply uint64) core.Command { return core.WorkerReport{Reply: reply, Report: r} }, func(e core.Effect) { tell(e.(core.ReportReply)) })
+		p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) { tell(e.(core.HeartbeatReply)) })
 	}
 }
 
@@ -27,13 +27,13 @@
 	// many copies were answered.
 	play := func(t *testing.T, before bool, kind string, at time.Duration) (next time.Duration, answered int) {
 		set := testSettings()
-		set.Teams = []core.Team{{Name: "ops", Limit: core.Resources{CPU: 7}}}
+		set.Teams = []core.Team{{Name: "ops", QuotaLimit: core.Resources{CPU: 7}}}
 		w := smallWorld(5, set)
 		// Two machines with room for one of the small jobs each.
 		w.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
 		w.Run(45 * time.Second)
 		// Of machines without the task, and later with it.
-		var old []core.Report
+		var old []core.Heartbeat
 		for _, m := range w.fleet {
 			old = append(old, m.report(w.now))
 		}
@@ -44,7 +44,7 @@
 			t.Fatalf("%d machines have the task", len(ms))
 		}
 		m := ms[0]
-		i := slices.IndexFunc(old, func(r core.Report) bool { return r.Machine == m.ID })
+		i := slices.IndexFunc(old, func(r core.Heartbeat) bool { return r.Machine == m.ID })
 		if i < 0 {
 			t.Fatal("the task did not come to a machine that had reported before")
 		}
@@ -74,7 +74,7 @@
 		if at > 0 {
 			// Three times, as a worker repeats its report.
 			for k := range 3 {
-				w.after(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(core.ReportReply) { answered++ }) })
+				w.after(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(core.HeartbeatReply) { answered++ }) })
 			}
 		}
 		if next = w.when(3*time.Minute, func() bool { return w.Started > started }); next < 0 {
@@ -119,7 +119,7 @@
 			w := NewWorld(seed, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 12, "small/b/false": 8, "small/b/true": 4})
 			for i := range 9 {
 				spec := metJob(fmt.Sprintf("job-b%03d", i), "ops", []int{1, 3, 6}[i%3], 2, 40*time.Second)
-				spec.Zone, spec.SamePlace, spec.Spot = "b", i%4 == 0, i%2 == 0
+				spec.Zone, spec.SameZone, spec.AllowSpot = "b", i%4 == 0, i%2 == 0
 				w.Submit(spec, 40*time.Second, false)
 			}
 			w.submitMany("a", "ops", 6, 2, 2, 40*time.Second)
@@ -248,7 +248,7 @@
 				other := (former + 1) % 3
 				for _, id := range ids {
 					w.jobs[id].aborting = true
-					w.userCallTo(other, func(r uint64) core.Command { return core.Abort{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+					w.userCallTo(other, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 						if r == nil || r.State != "cancelled" {
 							t.Errorf("the cancellation of %s: %v", id, r)
 						}
@@ -262,7 +262,7 @@
 				for end := w.now.Add(80 * time.Second); w.now.Before(end); w.Run(time.Second) {
 					for _, id := range ids {
 						asked++
-						w.userCallTo(former, func(r uint64) core.Command { return core.Query{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+						w.userCallTo(former, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
 							if r != nil && r.Status == 200 && r.State != "cancelled" {
 								t.Errorf("the former leader calls %s %s", id, r.State)
 							}
@@ -418,7 +418,7 @@
 func TestCommandOfFormerLeader(t *testing.T) {
 	var early, late atomic.Int64
 	t.Run("offsets", func(t *testing.T) {
-		for _, verb := range []core.Verb{core.Start, core.Halt} {
+		for _, verb := range []core.TaskCommandKind{core.StartTask, core.StopTask} {
 			held := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
 			for _, i := range spread(len(held), 7) {
 				d := held[i]
@@ -429,15 +429,15 @@
 					w.submitMany("g", "ops", 2, 2, 2, 20*time.Second)
 					w.Run(80 * time.Second)
 					owner := w.ownerOf("ops")
-					var op core.WorkerOp
+					var op core.WorkerRequest
 					if w.live("job-f000") == 0 {
 						t.Fatal("nothing runs")
 					}
 					last := w.lastSeen("job-f000", "job-f001")
 					held, done, accepted := false, false, false
 					w.sabotage = func(e core.Effect) core.Effect {
-						x, ok := e.(core.WorkerOp)
-						if held || !ok || !slices.ContainsFunc(x.Orders, func(o core.Order) bool { return o.Verb == verb }) {
+						x, ok := e.(core.WorkerRequest)
+						if held || !ok || !slices.ContainsFunc(x.Commands, func(o core.TaskCommand) bool { return o.Kind == verb }) {
 							return e
 						}
 						held, op = true, x
@@ -456,7 +456,7 @@
 						})
 						return nil
 					}
-					if verb == core.Halt {
+					if verb == core.StopTask {
 						w.Abort("job-f000")
 						w.Abort("job-f001")
 					} else {
@@ -467,11 +467,11 @@
 					if !held || !done {
 						t.Fatalf("held %v, arrived %v", held, done)
 					}
-					if verb == core.Halt {
+					if verb == core.StopTask {
 						goneWithin(t, w, last, reachedWithin)
 					}
 					w.Run(4 * time.Minute)
-					if want := map[core.Verb]int{core.Start: 12, core.Halt: 8}[verb]; w.Started != want {
+					if want := map[core.TaskCommandKind]int{core.StartTask: 12, core.StopTask: 8}[verb]; w.Started != want {
 						t.Errorf("%d starts of %d tasks", w.Started, want)
 					}
 					allTold(t, w, true)
--- a/internal/standin/met_test.go
+++ b/internal/standin/met_test.go
@@ -16,10 +16,10 @@
 // test fails too when its meeting did not come about.
 
 // metJob is a job whose tasks take a while.
-func metJob(id, team string, tasks int, cpu float64, run time.Duration) core.Spec {
-	return core.Spec{
+func metJob(id, team string, tasks int, cpu float64, run time.Duration) core.JobSpec {
+	return core.JobSpec{
 		ID: id, Workload: "batch", Team: team, Urgency: core.Normal, Tasks: tasks, Need: core.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, Expected: run,
+		Image: "img", ImageGB: 1, ExpectedRunTime: run,
 	}
 }
 
@@ -204,7 +204,7 @@
 // controller takes a step of the takeover.
 func TestCancelledAtStepsOfTakeover(t *testing.T) {
 	steps := maps.Clone(moments)
-	steps["ready"] = func(e core.Effect) bool { l, ok := e.(core.Log); return ok && l.Text == "owner ready" }
+	steps["ready"] = func(e core.Effect) bool { l, ok := e.(core.Log); return ok && l.Message == "owner ready" }
 	for _, step := range []string{"claim", "share", "read", "epoch", "ready", "report"} {
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s all=%v", step, all), func(t *testing.T) {
@@ -306,7 +306,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			set := testSettings()
-			set.Teams = []core.Team{{Name: "ops", Limit: core.Resources{CPU: limit}}, {Name: "lab", Limit: core.Resources{CPU: limit}}}
+			set.Teams = []core.Team{{Name: "ops", QuotaLimit: core.Resources{CPU: limit}}, {Name: "lab", QuotaLimit: core.Resources{CPU: limit}}}
 			w := smallWorld(seed, set)
 			run := map[string][]string{}
 			for _, team := range []string{"ops", "lab"} {
@@ -395,7 +395,7 @@
 				t.Parallel()
 				types, _ := testTypes()
 				for i := range types {
-					types[i].Ready = 1500 * time.Millisecond
+					types[i].ProvisioningTime = 1500 * time.Millisecond
 				}
 				w := NewWorld(uint64(step), 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 15, "small/b/false": 15})
 				w.Run(20 * time.Second)
--- a/internal/standin/met_users_test.go
+++ b/internal/standin/met_users_test.go
@@ -16,7 +16,7 @@
 func askAll(t *testing.T, w *World, id, want string) {
 	t.Helper()
 	for i := range w.nodes {
-		w.userCallTo(i, func(r uint64) core.Command { return core.Query{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+		w.userCallTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 			if r != nil && r.Status != 503 && r.State != want {
 				t.Errorf("%s is %s, node-%d answers %d %s", id, want, i, r.Status, r.State)
 			}
@@ -164,7 +164,7 @@
 		w.Run(at)
 		j.aborting = true
 		asked := w.now
-		w.userCallTo(node, func(r uint64) core.Command { return core.Abort{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *core.UserReply) {
+		w.userCallTo(node, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *core.UserReply) {
 			if r != nil && r.Status == 200 {
 				w.hear(j, asked, r)
 			} else {
@@ -172,8 +172,8 @@
 			}
 		})
 		for i := range w.nodes {
-			w.userCallTo(i, func(r uint64) core.Command { return core.Query{Reply: r, ID: spec.ID} }, 2*time.Second, func(*core.UserReply) {})
-			w.userCallTo(i, func(r uint64) core.Command { return core.Submit{Reply: r, Spec: spec} }, 5*time.Second, func(r *core.UserReply) {
+			w.userCallTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*core.UserReply) {})
+			w.userCallTo(i, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *core.UserReply) {
 				if r != nil && r.Status != 200 && r.Status != 503 {
 					t.Errorf("the repeated submission is answered %d", r.Status)
 				}
--- a/internal/standin/mixed.go
+++ b/internal/standin/mixed.go
@@ -42,21 +42,21 @@
 }
 
 // change makes a job one of another kind, or leaves it.
-func (x *mix) change(s *core.Spec) {
+func (x *mix) change(s *core.JobSpec) {
 	if x == nil {
 		return
 	}
 	switch k := x.rng.IntN(12); {
 	case k < 3:
-		s.SaveEvery, s.SaveCost = 10*time.Second, time.Duration(1+x.rng.IntN(20))*time.Second
+		s.CheckpointInterval, s.CheckpointCost = 10*time.Second, time.Duration(1+x.rng.IntN(20))*time.Second
 	case k < 5:
 		s.Zone = x.zones[x.rng.IntN(len(x.zones))]
 	case k < 6:
-		s.SamePlace = true
+		s.SameZone = true
 	case k < 7:
-		s.Apart = true
+		s.SpreadZones = true
 	case k < 8:
-		s.Standing, s.Due, s.Expected = true, 0, 0
+		s.LongRunning, s.Deadline, s.ExpectedRunTime = true, 0, 0
 	}
 }
 
--- a/internal/standin/models.go
+++ b/internal/standin/models.go
@@ -22,7 +22,7 @@
 }
 
 // product is what is switched on, with what deploy/ has for it.
-func (p *DayParams) product() (out core.Product, err error) {
+func (p *DayParams) product() (out core.Capabilities, err error) {
 	for _, s := range p.On {
 		all := s == "all"
 		switch s {
@@ -34,26 +34,26 @@
 			out.Ranking = true
 		}
 		if all || s == "promises" {
-			out.Promises, out.PromiseShare = true, 0.95
+			out.Promises, out.PromiseFraction = true, 0.95
 		}
 		if all || s == "models" {
-			out.Models, out.MovePart, out.MoveAgain = true, 0.1, 5*time.Minute
+			out.Models, out.MaxMigratingFraction, out.MigrationCooldown = true, 0.1, 5*time.Minute
 		}
 	}
 	return out, err
 }
 
-func modelHost(zone string) core.Flavour {
-	return core.Flavour{
-		Name: "host", Size: core.Resources{CPU: 64, GPU: hostGPUs, Memory: 512}, DiskGB: 300, PullRate: 1, Price: 12, SpotPrice: 4.5,
-		Ready: 40 * time.Second, Zones: []string{zone},
+func modelHost(zone string) core.MachineType {
+	return core.MachineType{
+		Name: "host", Capacity: core.Resources{CPU: 64, GPU: hostGPUs, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
+		ProvisioningTime: 40 * time.Second, Zones: []string{zone},
 	}
 }
 
 // modelJob is a model that comes at a time of the day, and is cancelled at another
 // unless that is 0.
 type modelJob struct {
-	spec   core.Spec
+	spec   core.JobSpec
 	at     time.Duration
 	cancel time.Duration
 }
@@ -68,8 +68,8 @@
 	part := func(from, to float64) time.Duration { return time.Duration(span * (from + (to-from)*rng.Float64())) }
 	left := 0
 	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u core.Urgency, from, to float64) {
-		m := modelJob{at: part(from, to), spec: core.Spec{
-			Workload: name, Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Standing: true, Urgency: u, Tasks: replicas,
+		m := modelJob{at: part(from, to), spec: core.JobSpec{
+			Workload: name, Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, LongRunning: true, Urgency: u, Tasks: replicas,
 			Need: core.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
 		}}
 		if rng.Float64() < cancelled {
@@ -79,8 +79,8 @@
 		}
 		for i := range d.Settings.Teams {
 			// A limit is enough for the team's models as well.
-			if t := &d.Settings.Teams[i]; t.Name == m.spec.Team && t.Limit.CPU > 0 {
-				t.Limit.CPU += m.spec.Need.CPU * float64(replicas)
+			if t := &d.Settings.Teams[i]; t.Name == m.spec.Team && t.QuotaLimit.CPU > 0 {
+				t.QuotaLimit.CPU += m.spec.Need.CPU * float64(replicas)
 			}
 		}
 		d.models = append(d.models, m)
@@ -122,7 +122,7 @@
 }
 
 func (w *World) replicaUp(t *workerTask) {
-	if !t.job.spec.Standing {
+	if !t.job.spec.LongRunning {
 		return
 	}
 	r := t.job.replicas[t.index]
@@ -167,7 +167,7 @@
 	up, whole := 0.0, 0.0
 	for _, id := range sorted(w.jobs) {
 		j := w.jobs[id]
-		if !j.spec.Standing || j.aborting {
+		if !j.spec.LongRunning || j.aborting {
 			continue
 		}
 		begun := time.Time{}
--- a/internal/standin/models_fit_test.go
+++ b/internal/standin/models_fit_test.go
@@ -21,17 +21,17 @@
 			set := testSettings()
 			set.Objectives = nil
 			set.Teams = []core.Team{{Name: "ops"}, {Name: "lab"}, {Name: "web"}}
-			set.Product = core.Product{Models: true, MovePart: 0.1, MoveAgain: 5 * time.Minute}
-			w := NewWorld(seed, 3, set, testCancel, []core.Flavour{
-				{Name: "host", Size: core.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400, PullRate: 1, Price: 12, SpotPrice: 4.5, Ready: 45 * time.Second, Zones: []string{"a", "b"}},
-				{Name: "box", Size: core.Resources{CPU: 8, Memory: 32}, DiskGB: 50, PullRate: 0.4, Price: 0.4, SpotPrice: 0.15, Ready: 30 * time.Second, Zones: []string{"a", "b"}},
+			set.Capabilities = core.Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
+			w := NewWorld(seed, 3, set, testCancel, []core.MachineType{
+				{Name: "host", Capacity: core.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 45 * time.Second, Zones: []string{"a", "b"}},
+				{Name: "box", Capacity: core.Resources{CPU: 8, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.4, CostPerHour: 0.4, SpotCostPerHour: 0.15, ProvisioningTime: 30 * time.Second, Zones: []string{"a", "b"}},
 			}, map[string]int{"host/a/false": hosts / 2, "host/b/false": hosts / 2})
 			rng := rand.New(rand.NewPCG(seed, 7))
 			teams := []string{"ops", "ops", "ops", "lab", "lab", "web"}
 			come := func(at time.Duration, kind string, gpus, gb float64, tasks int, u core.Urgency, stays float64) {
 				w.after(at, func() {
 					id := fmt.Sprintf("job-%s%04d", kind, len(w.jobs))
-					w.Submit(core.Spec{ID: id, Workload: "model-" + kind, Team: teams[rng.IntN(len(teams))], Standing: true, Urgency: u, Tasks: tasks,
+					w.Submit(core.JobSpec{ID: id, Workload: "model-" + kind, Team: teams[rng.IntN(len(teams))], LongRunning: true, Urgency: u, Tasks: tasks,
 						Need: core.Resources{CPU: 12 * gpus, GPU: gpus, Memory: 96 * gpus}, Image: fmt.Sprintf("%s-%d", kind, rng.IntN(4)), ImageGB: gb}, 0, false)
 					if rng.Float64() > stays {
 						w.after(time.Duration(60+rng.IntN(180))*time.Second, func() { w.Abort(id) })
@@ -50,7 +50,7 @@
 			}
 			changes := 0
 			w.sabotage = func(e core.Effect) core.Effect {
-				if op, ok := e.(core.StateOp); ok && op.Kind == core.OpTxn && strings.HasPrefix(op.Apply[0].Key, "move/") {
+				if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpTxn && strings.HasPrefix(op.Writes[0].Key, "move/") {
 					changes++
 				}
 				return e
--- a/internal/standin/models_test.go
+++ b/internal/standin/models_test.go
@@ -25,14 +25,14 @@
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Objectives = []string{"a"}, nil
-	set.Product = core.Product{Models: true, MovePart: 0.5, MoveAgain: 5 * time.Minute}
-	w := NewWorld(seed, nodes, set, testCancel, []core.Flavour{
-		{Name: "host", Size: core.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, PullRate: 1, Price: 12, SpotPrice: 4, Ready: 15 * time.Second, Zones: []string{"a"}},
+	set.Capabilities = core.Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
+	w := NewWorld(seed, nodes, set, testCancel, []core.MachineType{
+		{Name: "host", Capacity: core.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"host/a/false": 4})
 	p := &pieces{World: w}
 	for i := range 8 {
 		id := fmt.Sprintf("job-s%05d", i)
-		w.Submit(core.Spec{ID: id, Workload: "small", Team: "ops", Standing: true, Urgency: core.Normal, Tasks: 2,
+		w.Submit(core.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 2,
 			Need: core.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
 		p.small = append(p.small, id)
 		w.Run(time.Second)
@@ -87,7 +87,7 @@
 
 // large submits a replica that needs a whole host.
 func (p *pieces) large() {
-	p.Submit(core.Spec{ID: "job-large", Workload: "large", Team: "ops", Standing: true, Urgency: core.Normal, Tasks: 1,
+	p.Submit(core.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 1,
 		Need: core.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
@@ -103,8 +103,8 @@
 
 // written takes in the first move that an effect writes.
 func (p *pieces) written(e core.Effect) bool {
-	op, ok := e.(core.StateOp)
-	if !ok || op.Kind != core.OpTxn || len(op.Apply) == 0 || !strings.HasPrefix(op.Apply[0].Key, "move/") {
+	op, ok := e.(core.StoreRequest)
+	if !ok || op.Kind != core.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
 		return false
 	}
 	var r struct {
@@ -116,7 +116,7 @@
 			} `msgpack:"s"`
 		} `msgpack:"p"`
 	}
-	if msgpack.Unmarshal(op.Apply[0].Value, &r) != nil || len(r.Plans) == 0 {
+	if msgpack.Unmarshal(op.Writes[0].Value, &r) != nil || len(r.Plans) == 0 {
 		return false
 	}
 	p.from, p.to, p.host = r.Plans[0].Steps[0].From, r.Plans[0].Steps[0].To, r.Plans[0].Host
@@ -124,16 +124,16 @@
 }
 
 // orders says that an effect has such an order for a job.
-func orders(e core.Effect, verb core.Verb, job string) bool {
-	var all []core.Order
+func orders(e core.Effect, verb core.TaskCommandKind, job string) bool {
+	var all []core.TaskCommand
 	switch e := e.(type) {
-	case core.WorkerOp:
-		all = e.Orders
-	case core.ReportReply:
-		all = e.Orders
+	case core.WorkerRequest:
+		all = e.Commands
+	case core.HeartbeatReply:
+		all = e.Commands
 	}
 	for _, o := range all {
-		if o.Verb == verb && strings.HasPrefix(o.Job, job) {
+		if o.Kind == verb && strings.HasPrefix(o.Job, job) {
 			return true
 		}
 	}
@@ -173,9 +173,9 @@
 func TestMovesSurviveFaults(t *testing.T) {
 	steps := map[string]func(*pieces, core.Effect) bool{
 		"intent":   func(p *pieces, e core.Effect) bool { return p.written(e) },
-		"stop":     func(p *pieces, e core.Effect) bool { return orders(e, core.Halt, "job-s") },
-		"start":    func(p *pieces, e core.Effect) bool { return orders(e, core.Start, "job-s") },
-		"receiver": func(p *pieces, e core.Effect) bool { return orders(e, core.Start, "job-large") },
+		"stop":     func(p *pieces, e core.Effect) bool { return orders(e, core.StopTask, "job-s") },
+		"start":    func(p *pieces, e core.Effect) bool { return orders(e, core.StartTask, "job-s") },
+		"receiver": func(p *pieces, e core.Effect) bool { return orders(e, core.StartTask, "job-large") },
 	}
 	type fault struct {
 		do func(*pieces)
@@ -200,8 +200,8 @@
 	kill := func(p *pieces, m *Worker) { p.kill(m) }
 	silent := func(p *pieces, m *Worker) { p.Cut(m.ID, "*", 70*time.Second, false) }
 	faults := map[string]fault{
-		"owner":         crash(func(x *proc) bool { return x.node.IsOwner() }),
-		"others":        crash(func(x *proc) bool { return !x.node.IsOwner() }),
+		"owner":         crash(func(x *proc) bool { return x.node.IsShardLeader() }),
+		"others":        crash(func(x *proc) bool { return !x.node.IsShardLeader() }),
 		"all":           crash(func(*proc) bool { return true }),
 		"state":         {do: func(p *pieces) { p.Outage(15 * time.Second) }},
 		"owner's state": {do: func(p *pieces) { p.Cut(p.nodes[p.owner()].name, "state", 15*time.Second, true) }},
--- a/internal/standin/move_test.go
+++ b/internal/standin/move_test.go
@@ -15,24 +15,24 @@
 func moving(t *testing.T, seed uint64, teams int) *World {
 	t.Helper()
 	set := testSettings()
-	set.Zones, set.Teams, set.StateWrites = []string{"a"}, nil, 60
+	set.Zones, set.Teams, set.StoreWritesPerSecond = []string{"a"}, nil, 60
 	for i := range teams {
 		set.Teams = append(set.Teams, core.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
 	}
-	w := NewWorld(seed, 3, set, testCancel, []core.Flavour{
-		{Name: "small", Size: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, PullRate: 0.5, Price: 0.2, SpotPrice: 0.07, Ready: 15 * time.Second, Zones: []string{"a"}},
-		{Name: "big", Size: core.Resources{CPU: 16, Memory: 64}, DiskGB: 40, PullRate: 0.5, Price: 0.8, SpotPrice: 0.3, Ready: 15 * time.Second, Zones: []string{"a"}},
+	w := NewWorld(seed, 3, set, testCancel, []core.MachineType{
+		{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+		{Name: "big", Capacity: core.Resources{CPU: 16, Memory: 64}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 0.8, SpotCostPerHour: 0.3, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"small/a/true": 30, "small/a/false": 30, "big/a/true": 12, "big/a/false": 10})
 	for i := range teams {
 		team := set.Teams[i].Name
-		w.Submit(core.Spec{ID: "job-s" + team, Workload: "service", Team: team, Standing: true, Urgency: core.Urgent, Tasks: 3,
+		w.Submit(core.JobSpec{ID: "job-s" + team, Workload: "service", Team: team, LongRunning: true, Urgency: core.Urgent, Tasks: 3,
 			Need: core.Resources{CPU: 1, Memory: 1}, Image: "svc", ImageGB: 1}, 0, false)
 		k := 0
 		var next func()
 		next = func() {
 			k++
-			w.Submit(core.Spec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: core.Normal, Tasks: 3,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, Spot: true, Expected: 20 * time.Second}, 20*time.Second, false)
+			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: core.Normal, Tasks: 3,
+				Need: core.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 			w.after(2*time.Second, next)
 		}
 		w.after(time.Duration(i)*100*time.Millisecond, next)
@@ -87,9 +87,9 @@
 			continue
 		}
 		out[p.name] = 0
-		p.ask(func(r uint64) core.Command { return core.StatusQuery{Reply: r} }, func(e core.Effect) {
+		p.ask(func(r uint64) core.Command { return core.QueryStatus{Reply: r} }, func(e core.Effect) {
 			for _, x := range e.(core.StatusReply).Teams {
-				if x.Here && x.Ready {
+				if x.IsLocal && x.Ready {
 					out[p.name]++
 				}
 			}
@@ -207,7 +207,7 @@
 			}
 			late := 0
 			for _, j := range w.jobs {
-				if !j.spec.Standing && j.told != "done" && w.now.Sub(j.submitted) > 100*time.Second {
+				if !j.spec.LongRunning && j.told != "done" && w.now.Sub(j.submitted) > 100*time.Second {
 					late++
 				}
 			}
--- a/internal/standin/odd_jobs_test.go
+++ b/internal/standin/odd_jobs_test.go
@@ -13,42 +13,42 @@
 func TestOddJobs(t *testing.T) {
 	w := newTestWorld(11)
 	const run = 8 * time.Second
-	submit := func(id string, change func(*core.Spec)) {
-		s := core.Spec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 3, Need: core.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, Expected: run}
+	submit := func(id string, change func(*core.JobSpec)) {
+		s := core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 3, Need: core.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 		change(&s)
 		w.Submit(s, run, false)
 	}
-	possible := map[string]func(*core.Spec){
-		"apart-same-place":  func(s *core.Spec) { s.Apart, s.SamePlace = true, true },
-		"apart-in-a-zone":   func(s *core.Spec) { s.Apart, s.Zone = true, "a" },
-		"apart-on-big":      func(s *core.Spec) { s.Apart, s.Flavours = true, []string{"big"} },
-		"gang-of-one-apart": func(s *core.Spec) { s.Gang, s.Apart, s.SamePlace, s.Tasks = true, true, true, 1 },
-		"gang-apart":        func(s *core.Spec) { s.Gang, s.Apart, s.Tasks = true, true, 2 },
-		"takes-nothing":     func(s *core.Spec) { s.Need = core.Resources{} },
-		"only-memory":       func(s *core.Spec) { s.Need = core.Resources{Memory: 16} },
-		"no-image":          func(s *core.Spec) { s.Image, s.ImageGB = "", 0 },
-		"no-estimate":       func(s *core.Spec) { s.Expected = 0 },
-		"due-at-once":       func(s *core.Spec) { s.Due = time.Millisecond },
-		"saves-always":      func(s *core.Spec) { s.SaveEvery, s.SaveCost = 10*time.Millisecond, time.Millisecond },
-		"a-whole-machine":   func(s *core.Spec) { s.Need, s.Tasks = core.Resources{CPU: 32, Memory: 128}, 2 },
-		"full-disk":         func(s *core.Spec) { s.ImageGB, s.Flavours, s.Tasks = 20, []string{"small"}, 1 },
-		"over-small-disks":  func(s *core.Spec) { s.ImageGB, s.Tasks = 30, 2 },
-		"some-unknown":      func(s *core.Spec) { s.Flavours = []string{"none", "small"} },
-		"above-its-limit":   func(s *core.Spec) { s.Team, s.Tasks, s.Need.CPU = "lab", 15, 4 },
-		"best-effort-due":   func(s *core.Spec) { s.Urgency, s.Due = core.BestEffort, run },
+	possible := map[string]func(*core.JobSpec){
+		"apart-same-place":  func(s *core.JobSpec) { s.SpreadZones, s.SameZone = true, true },
+		"apart-in-a-zone":   func(s *core.JobSpec) { s.SpreadZones, s.Zone = true, "a" },
+		"apart-on-big":      func(s *core.JobSpec) { s.SpreadZones, s.MachineTypes = true, []string{"big"} },
+		"gang-of-one-apart": func(s *core.JobSpec) { s.Gang, s.SpreadZones, s.SameZone, s.Tasks = true, true, true, 1 },
+		"gang-apart":        func(s *core.JobSpec) { s.Gang, s.SpreadZones, s.Tasks = true, true, 2 },
+		"takes-nothing":     func(s *core.JobSpec) { s.Need = core.Resources{} },
+		"only-memory":       func(s *core.JobSpec) { s.Need = core.Resources{Memory: 16} },
+		"no-image":          func(s *core.JobSpec) { s.Image, s.ImageGB = "", 0 },
+		"no-estimate":       func(s *core.JobSpec) { s.ExpectedRunTime = 0 },
+		"due-at-once":       func(s *core.JobSpec) { s.Deadline = time.Millisecond },
+		"saves-always":      func(s *core.JobSpec) { s.CheckpointInterval, s.CheckpointCost = 10*time.Millisecond, time.Millisecond },
+		"a-whole-machine":   func(s *core.JobSpec) { s.Need, s.Tasks = core.Resources{CPU: 32, Memory: 128}, 2 },
+		"full-disk":         func(s *core.JobSpec) { s.ImageGB, s.MachineTypes, s.Tasks = 20, []string{"small"}, 1 },
+		"over-small-disks":  func(s *core.JobSpec) { s.ImageGB, s.Tasks = 30, 2 },
+		"some-unknown":      func(s *core.JobSpec) { s.MachineTypes = []string{"none", "small"} },
+		"above-its-limit":   func(s *core.JobSpec) { s.Team, s.Tasks, s.Need.CPU = "lab", 15, 4 },
+		"best-effort-due":   func(s *core.JobSpec) { s.Urgency, s.Deadline = core.BestEffort, run },
 	}
 	for _, id := range sorted(possible) {
 		submit("job-"+id, possible[id])
 	}
-	impossible := map[string]func(*core.Spec){
-		"no-zone":     func(s *core.Spec) { s.Zone = "c" },
-		"no-flavour":  func(s *core.Spec) { s.Flavours = []string{"none"} },
-		"not-there":   func(s *core.Spec) { s.Flavours, s.Zone = []string{"big"}, "b" },
-		"no-team":     func(s *core.Spec) { s.Team = "nobody" },
-		"too-large":   func(s *core.Spec) { s.Need.CPU = 33 },
-		"no-disk":     func(s *core.Spec) { s.ImageGB = 41 },
-		"lab-too-big": func(s *core.Spec) { s.Team, s.Standing, s.Tasks = "lab", true, 41 },
-		"gang-on-big": func(s *core.Spec) { s.Gang, s.Apart, s.Flavours = true, true, []string{"big"} },
+	impossible := map[string]func(*core.JobSpec){
+		"no-zone":     func(s *core.JobSpec) { s.Zone = "c" },
+		"no-flavour":  func(s *core.JobSpec) { s.MachineTypes = []string{"none"} },
+		"not-there":   func(s *core.JobSpec) { s.MachineTypes, s.Zone = []string{"big"}, "b" },
+		"no-team":     func(s *core.JobSpec) { s.Team = "nobody" },
+		"too-large":   func(s *core.JobSpec) { s.Need.CPU = 33 },
+		"no-disk":     func(s *core.JobSpec) { s.ImageGB = 41 },
+		"lab-too-big": func(s *core.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 41 },
+		"gang-on-big": func(s *core.JobSpec) { s.Gang, s.SpreadZones, s.MachineTypes = true, true, []string{"big"} },
 	}
 	for _, id := range sorted(impossible) {
 		submit("job-"+id, impossible[id])
@@ -83,14 +83,14 @@
 			state  string
 			mk     func(uint64) core.Command
 		}{
-			{200, "done", func(r uint64) core.Command { return core.Submit{Reply: r, Spec: over} }},
+			{200, "done", func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: over} }},
 			{200, "done", func(r uint64) core.Command {
-				return core.Submit{Reply: r, Spec: core.Spec{ID: over.ID}, Bad: "field owner is missing or invalid"}
+				return core.SubmitJob{Reply: r, Spec: core.JobSpec{ID: over.ID}, MalformedReason: "field owner is missing or invalid"}
 			}},
-			{200, "done", func(r uint64) core.Command { return core.Abort{Reply: r, ID: over.ID} }},
-			{404, "", func(r uint64) core.Command { return core.Abort{Reply: r, ID: "job-no-zone"} }},
+			{200, "done", func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: over.ID} }},
+			{404, "", func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: "job-no-zone"} }},
 			{400, "", func(r uint64) core.Command {
-				return core.Submit{Reply: r, Spec: core.Spec{ID: "job-bad"}, Bad: "field owner is missing or invalid"}
+				return core.SubmitJob{Reply: r, Spec: core.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
 			}},
 		} {
 			w.userCallTo(to, c.mk, 5*time.Second, func(r *core.UserReply) {
--- a/internal/standin/pipelines.go
+++ b/internal/standin/pipelines.go
@@ -91,8 +91,8 @@
 
 // bindNeeds links a job with those that it needs, as far as anybody submitted them.
 func (w *World) bindNeeds(j *userJob) {
-	j.needsAccepted = len(j.spec.Prereqs) > 0
-	for _, id := range j.spec.Prereqs {
+	j.needsAccepted = len(j.spec.Dependencies) > 0
+	for _, id := range j.spec.Dependencies {
 		n := w.jobs[id]
 		j.needsAccepted = j.needsAccepted && n != nil && n.accepted
 		if n != nil && n != j {
@@ -116,7 +116,7 @@
 		to := (first + i) % len(w.nodes)
 		w.after(time.Duration(w.rng.Int64N(int64(togetherWithin))), func() {
 			asked := w.now
-			w.userCallTo(to, func(r uint64) core.Command { return core.Abort{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+			w.userCallTo(to, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 				if r != nil && r.Status == 200 {
 					w.hear(j, asked, r)
 				} else if !over(j.told) {
@@ -131,7 +131,7 @@
 // known.
 func (w *World) repeat(j *userJob) {
 	node := w.rng.IntN(len(w.nodes))
-	w.closeLook(node, j, func(r uint64) core.Command { return core.Submit{Reply: r, Spec: j.spec} })
+	w.closeLook(node, j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
 }
 
 // pipeline draws one: steps one after the other, of one job or several side by side, each
@@ -150,13 +150,13 @@
 		for range side {
 			w.names++
 			run := time.Duration(float64(pipelineRun) * (0.3 + rng.Float64()))
-			spec := core.Spec{
+			spec := core.JobSpec{
 				ID: fmt.Sprintf("job-%06d", w.names), Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: core.BestEffort,
-				Tasks: 1 + rng.IntN(5), Need: core.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, Spot: rng.IntN(4) > 0,
-				Expected: run, Prereqs: before,
+				Tasks: 1 + rng.IntN(5), Need: core.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, AllowSpot: rng.IntN(4) > 0,
+				ExpectedRunTime: run, Dependencies: before,
 			}
 			if k == last {
-				spec.Workload, spec.Urgency, spec.Due = "last", core.Urgent, time.Duration(last+1)*3*pipelineRun
+				spec.Workload, spec.Urgency, spec.Deadline = "last", core.Urgent, time.Duration(last+1)*3*pipelineRun
 			}
 			names = append(names, spec.ID)
 			step = append(step, newUserJob(spec, run))
@@ -241,7 +241,7 @@
 	if rng.IntN(2) == 0 {
 		w.names++
 		spec := steps[len(steps)-1][0].spec
-		spec.ID, spec.Prereqs = fmt.Sprintf("job-%06d", w.names), []string{j.spec.ID}
+		spec.ID, spec.Dependencies = fmt.Sprintf("job-%06d", w.names), []string{j.spec.ID}
 		more := newUserJob(spec, pipelineRun)
 		wait := time.Duration(rng.Float64() * float64(2*d.cancelWithin()))
 		j.once(whenOver, func() { w.after(wait, func() { w.submitJob(more) }) })
@@ -255,7 +255,7 @@
 	w.names++
 	spec := first.spec
 	spec.ID = fmt.Sprintf("job-%06d", w.names)
-	spec.Prereqs = [][]string{{fmt.Sprintf("job-8%05d", rng.IntN(100000))}, {spec.ID}, {first.spec.ID, first.spec.ID}}[rng.IntN(3)]
+	spec.Dependencies = [][]string{{fmt.Sprintf("job-8%05d", rng.IntN(100000))}, {spec.ID}, {first.spec.ID, first.spec.ID}}[rng.IntN(3)]
 	odd := newUserJob(spec, pipelineRun)
 	odd.impossible = true
 	first.once(whenAccepted, func() { w.submitJob(odd) })
--- a/internal/standin/pipelines_test.go
+++ b/internal/standin/pipelines_test.go
@@ -11,9 +11,9 @@
 )
 
 // stepJob is a job that needs others.
-func stepJob(id string, tasks int, run time.Duration, prereqs ...string) core.Spec {
+func stepJob(id string, tasks int, run time.Duration, prereqs ...string) core.JobSpec {
 	spec := metJob(id, "ops", tasks, 1, run)
-	spec.Prereqs = prereqs
+	spec.Dependencies = prereqs
 	return spec
 }
 
@@ -42,22 +42,22 @@
 // startsEarly puts the start of a job's first task before the first orders for any machine, and
 // lets nothing stop it.
 func startsEarly(id string) func(core.Effect) core.Effect {
-	start, left := core.Order{Verb: core.Start, Job: id, Try: 99}, 1
-	add := func(orders []core.Order) []core.Order {
-		orders = slices.DeleteFunc(slices.Clone(orders), func(o core.Order) bool { return o.Verb == core.Halt && o.Job == id })
+	start, left := core.TaskCommand{Kind: core.StartTask, Job: id, Attempt: 99}, 1
+	add := func(orders []core.TaskCommand) []core.TaskCommand {
+		orders = slices.DeleteFunc(slices.Clone(orders), func(o core.TaskCommand) bool { return o.Kind == core.StopTask && o.Job == id })
 		if len(orders) == 0 || left == 0 {
 			return orders
 		}
 		left--
-		return append([]core.Order{start}, orders...)
+		return append([]core.TaskCommand{start}, orders...)
 	}
 	return func(e core.Effect) core.Effect {
 		switch x := e.(type) {
-		case core.WorkerOp:
-			x.Orders = add(x.Orders)
+		case core.WorkerRequest:
+			x.Commands = add(x.Commands)
 			return x
-		case core.ReportReply:
-			x.Orders = add(x.Orders)
+		case core.HeartbeatReply:
+			x.Commands = add(x.Commands)
 			return x
 		}
 		return e
@@ -113,7 +113,7 @@
 		}, ""},
 		{"a later job is never released", RuleWaiting, func(w *World) func(core.Effect) core.Effect {
 			return func(e core.Effect) core.Effect {
-				return withoutOrders(e, func(o core.Order) bool { return o.Verb == core.Start && o.Job == b })
+				return withoutOrders(e, func(o core.TaskCommand) bool { return o.Kind == core.StartTask && o.Job == b })
 			}
 		}, ""},
 	} {
@@ -162,7 +162,7 @@
 	for i, prereqs := range [][]string{{"job-999999"}, {"job-00000a", "job-999998"}, {"job-00000x"}, {"job-00000a", "job-00000a"}} {
 		j := newUserJob(stepJob(fmt.Sprintf("job-00000%c", 'u'+i), 1, 10*time.Second, prereqs...), 10*time.Second)
 		if i == 2 {
-			j.spec.Prereqs = []string{j.spec.ID}
+			j.spec.Dependencies = []string{j.spec.ID}
 		}
 		j.impossible = true
 		refused = append(refused, j)
@@ -171,7 +171,7 @@
 	w.Run(20 * time.Second)
 	for _, j := range refused {
 		if j.Refused != 422 || j.accepted {
-			t.Errorf("%s, which needs %v, is answered %d", j.spec.ID, j.spec.Prereqs, j.Refused)
+			t.Errorf("%s, which needs %v, is answered %d", j.spec.ID, j.spec.Dependencies, j.Refused)
 		}
 	}
 	if w.when(5*time.Minute, func() bool { return c.told == "done" }) < 0 || a.told != "done" || b.told != "done" {
@@ -260,13 +260,13 @@
 		wrong func(*World, core.Effect) core.Effect
 	}{
 		{"too_early", func(w *World, e core.Effect) core.Effect {
-			op, ok := e.(core.WorkerOp)
-			if !ok || len(op.Orders) == 0 {
+			op, ok := e.(core.WorkerRequest)
+			if !ok || len(op.Commands) == 0 {
 				return e
 			}
 			for _, id := range sorted(w.jobs) {
 				if j := w.jobs[id]; j.accepted && !j.released() && len(j.began) == 0 {
-					op.Orders = append(op.Orders[:len(op.Orders):len(op.Orders)], core.Order{Verb: core.Start, Job: id, Try: 99})
+					op.Commands = append(op.Commands[:len(op.Commands):len(op.Commands)], core.TaskCommand{Kind: core.StartTask, Job: id, Attempt: 99})
 					return op
 				}
 			}
@@ -306,7 +306,7 @@
 	}
 	join := newUserJob(stepJob("job-900001", 3, run, needs...), run)
 	behind := newUserJob(stepJob("job-900002", 3, run, needs...), run)
-	behind.spec.Prereqs = append(slices.Clone(needs), "job-900003")
+	behind.spec.Dependencies = append(slices.Clone(needs), "job-900003")
 	last := newUserJob(metJob("job-900003", "ops", 1, 1, time.Hour), time.Hour)
 	w.submitAfter(join, whenAccepted, others...)
 	w.after(time.Minute, func() { w.submitJob(last) })
@@ -317,7 +317,7 @@
 		if before == nil {
 			w.after(6*time.Second, func() { w.submitJob(j) })
 		} else {
-			j.spec.Prereqs = []string{before.spec.ID}
+			j.spec.Dependencies = []string{before.spec.ID}
 			w.submitAfter(j, whenAccepted, before)
 		}
 		before = j
@@ -346,8 +346,8 @@
 		w.sabotage = func(e core.Effect) core.Effect {
 			if !over && changes(e, "job/"+a.spec.ID) {
 				refused++
-				op := e.(core.StateOp)
-				op.When = append(slices.Clone(op.When), core.Cond{Key: "none", Stamp: 1})
+				op := e.(core.StoreRequest)
+				op.Compares = append(slices.Clone(op.Compares), core.Compare{Key: "none", ModRevision: 1})
 				return op
 			}
 			return e
--- a/internal/standin/proc.go
+++ b/internal/standin/proc.go
@@ -20,7 +20,7 @@
 	w       *World
 	index   int
 	name    string
-	node    *core.Node
+	node    *core.Controller
 	life    int
 	alive   bool
 	queue   []core.Command
@@ -48,8 +48,8 @@
 
 // checkLead: nobody rents or returns but the leader. What a deposed one would send
 // has no conditions that could stop it.
-func (p *proc) checkLead(e core.CloudOp) {
-	if e.Kind != core.CloudRent && e.Kind != core.CloudReturn {
+func (p *proc) checkLead(e core.CloudRequest) {
+	if e.Kind != core.CloudRent && e.Kind != core.CloudRelease {
 		return
 	}
 	if lead := p.w.leads(); lead != "" && lead != p.name {
@@ -62,11 +62,11 @@
 	p.life++
 	p.alive = true
 	set := p.w.set
-	set.Host, set.Nonce = p.name, fmt.Sprintf("%s.%d", p.name, p.life)
+	set.Host, set.Incarnation = p.name, fmt.Sprintf("%s.%d", p.name, p.life)
 	set.Peers = nil
-	set.Cancel = p.w.cancel
+	set.CancellationBound = p.w.cancel
 	if p.w.coreLease > 0 {
-		set.Lease = p.w.coreLease
+		set.WorkerLease = p.w.coreLease
 	}
 	for _, o := range p.w.nodes {
 		if o != p {
@@ -78,7 +78,7 @@
 	}
 	// Until it says what it needs, each has an equal part.
 	many := float64(len(p.w.nodes))
-	p.gate = state.NewGate(p.w.now, core.Rates{Requests: set.StateRequests / many, Changes: set.StateWrites / many})
+	p.gate = state.NewGate(p.w.now, core.Rates{Requests: set.StoreRequestsPerSecond / many, Writes: set.StoreWritesPerSecond / many})
 	p.node = core.New(set, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.life))))
 	p.queue, p.queued, p.wake = nil, false, time.Time{}
 	p.stillTill, p.held = time.Time{}, nil
@@ -159,7 +159,7 @@
 
 // send carries an effect out, unless it has become late.
 func (p *proc) send(e core.Effect) {
-	if back, instead, late := core.Late(e, p.clock()); late {
+	if back, instead, late := core.CheckDeadline(e, p.clock()); late {
 		if back != nil {
 			p.push(back)
 		} else {
@@ -237,7 +237,7 @@
 			return
 		}
 		over = true
-		if d, ok := c.(core.StateDone); ok && d.Status == StateTooMany {
+		if d, ok := c.(core.StoreResponse); ok && d.Status == StateTooMany {
 			tooMany()
 			return
 		}
@@ -256,22 +256,22 @@
 }
 
 // stateOp is one try of a request to the state service.
-func (p *proc) stateOp(e core.StateOp, until time.Time) {
+func (p *proc) stateOp(e core.StoreRequest, until time.Time) {
 	w, life := p.w, p.life
 	sent := p.clock()
-	done := func(answer func(core.Command)) func(core.StateDone) {
-		return func(d core.StateDone) {
-			d.Sent = sent
+	done := func(answer func(core.Command)) func(core.StoreResponse) {
+		return func(d core.StoreResponse) {
+			d.SentAt = sent
 			w.ranked.look()
 			answer(d)
 		}
 	}
 	exec := func(answer func(core.Command)) {
 		switch {
-		case e.Kind == core.OpFollow && e.Hold > 0:
+		case e.Kind == core.OpWatch && e.WatchTimeout > 0:
 			p.watch(e, until, done(answer))
 		case w.outage || p.stateNo:
-			answer(core.StateDone{ID: e.ID, Status: core.StateRefused, Sent: sent})
+			answer(core.StoreResponse{ID: e.ID, Status: core.StoreRefused, SentAt: sent})
 		default:
 			w.state.Do(w.now, e, done(answer))
 		}
@@ -290,7 +290,7 @@
 			return
 		}
 		exec(answer)
-	}, core.StateDone{ID: e.ID, Status: core.StateUnknown}, func() {
+	}, core.StoreResponse{ID: e.ID, Status: core.StoreUnknown}, func() {
 		pause := state.TooMany + time.Duration(w.rng.Int64N(int64(state.TooManySpread)))
 		w.after(pause, func() {
 			switch {
@@ -298,7 +298,7 @@
 			case w.now.Before(until):
 				p.stateOp(e, until)
 			default:
-				p.push(core.StateDone{ID: e.ID, Status: core.StateRefused})
+				p.push(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
 			}
 		})
 	})
@@ -306,7 +306,7 @@
 
 // watch opens a watch. While the service is away, or refuses the process alone, it tells
 // nothing: it waits until that is over, or the process has given it up.
-func (p *proc) watch(e core.StateOp, until time.Time, answer func(core.StateDone)) {
+func (p *proc) watch(e core.StoreRequest, until time.Time, answer func(core.StoreResponse)) {
 	w := p.w
 	silent := func() bool {
 		if !w.outage && !p.stateNo {
@@ -320,7 +320,7 @@
 	if silent() {
 		return
 	}
-	w.state.Do(w.now, e, func(d core.StateDone) {
+	w.state.Do(w.now, e, func(d core.StoreResponse) {
 		if !silent() {
 			answer(d)
 		}
@@ -331,12 +331,12 @@
 	w := p.w
 	w.ranked.leaves(p, e)
 	switch e := e.(type) {
-	case core.StateOp:
+	case core.StoreRequest:
 		// As the real client does: it waits for its turn, and tries again what is
 		// refused for the rate.
 		d, ok := p.gate.Wait(w.now, e)
 		if !ok {
-			p.push(core.StateDone{ID: e.ID, Status: core.StateRefused})
+			p.push(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
 			return
 		}
 		life := p.life
@@ -347,46 +347,46 @@
 		})
 	case core.Rates:
 		p.gate.Set(w.now, e)
-	case core.CloudOp:
+	case core.CloudRequest:
 		p.checkLead(e)
-		p.call("cloud", false, 5*time.Second, func(answer func(core.Command)) { answer(w.cloud(e)) }, core.CloudDone{ID: e.ID, Status: core.CloudUnknown})
-	case core.WorkerOp:
+		p.call("cloud", false, 5*time.Second, func(answer func(core.Command)) { answer(w.cloud(e)) }, core.CloudResponse{ID: e.ID, Status: core.CloudUnknown})
+	case core.WorkerRequest:
 		m := w.machine[e.Machine]
 		if m == nil {
-			p.push(core.WorkerDone{ID: e.ID})
+			p.push(core.WorkerResponse{ID: e.ID})
 			return
 		}
 		if p.commandLate(m, e) {
-			p.call(m.ID, false, workerDeadline, func(func(core.Command)) {}, core.WorkerDone{ID: e.ID})
+			p.call(m.ID, false, workerDeadline, func(func(core.Command)) {}, core.WorkerResponse{ID: e.ID})
 			return
 		}
-		p.call(m.ID, !e.Ask, workerDeadline, func(answer func(core.Command)) {
+		p.call(m.ID, !e.StatusOnly, workerDeadline, func(answer func(core.Command)) {
 			if !w.now.Before(m.upAt) {
 				answer(w.direct(m, e))
 			}
-		}, core.WorkerDone{ID: e.ID})
+		}, core.WorkerResponse{ID: e.ID})
 	case core.UserReply:
 		w.confirmed(e)
 		p.reply(e.Reply, e)
-	case core.ReportReply:
+	case core.HeartbeatReply:
 		p.reply(e.Reply, e)
-	case core.RankReply:
+	case core.RankingReply:
 		p.reply(e.Reply, e)
 	case core.StatusReply:
 		p.reply(e.Reply, e)
 	case core.PromiseReply:
 		p.reply(e.Reply, e)
-	case core.PeerSend:
+	case core.SendPeerUpdate:
 		if i := w.nodeIndex(e.To); i >= 0 {
 			w.sendMsg(p.name, e.To, func() {
 				if w.nodes[i].alive {
-					w.nodes[i].push(e.News)
+					w.nodes[i].push(e.Update)
 				}
 			})
 		}
 	case core.Log:
 		if !e.Debug || w.trace != "" && containsAny(fmt.Sprint(e.Args...), w.trace) {
-			w.logs = append(w.logs, fmt.Sprintf("%.1f %s %s %v", w.now.Sub(w.began).Seconds(), p.name, e.Text, e.Args))
+			w.logs = append(w.logs, fmt.Sprintf("%.1f %s %s %v", w.now.Sub(w.began).Seconds(), p.name, e.Message, e.Args))
 		}
 	}
 }
--- a/internal/standin/product.go
+++ b/internal/standin/product.go
@@ -31,7 +31,7 @@
 				f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
 			}
 		case "copies":
-			f.For, f.Late = time.Duration(10+rng.IntN(110))*time.Second, between(rng, time.Second, 5*d.Settings.Lease)
+			f.For, f.Late = time.Duration(10+rng.IntN(110))*time.Second, between(rng, time.Second, 5*d.Settings.WorkerLease)
 			f.Share, f.Back = []float64{0.05, 0.3, 1}[rng.IntN(3)], 0
 		case "cut_alone":
 			f.For, f.Back, f.Link = between(rng, 5*time.Second, 2*time.Minute), 0, []string{"", "", "refused"}[rng.IntN(3)]
--- a/internal/standin/ranking.go
+++ b/internal/standin/ranking.go
@@ -69,7 +69,7 @@
 // decided sees the decisions of a core's step.
 func (r *ranked) decided(p *proc, e core.Effect) {
 	l, ok := e.(core.Log)
-	if r == nil || !ok || l.Text != "placed" {
+	if r == nil || !ok || l.Message != "placed" {
 		return
 	}
 	args := map[string]any{}
@@ -99,12 +99,12 @@
 		o := w.jobs[x]
 		s := &o.spec
 		switch {
-		case o == j || s.Team != j.spec.Team || s.Gang || s.SamePlace || s.Apart || o.calledOff() || o.broken:
+		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.calledOff() || o.broken:
 		case !o.released() || w.now.Sub(o.from()) < rankSettled || len(j.followers) > 0:
 			// What others need may go first for their sake.
 		case r.table.Place(s.Workload, int(s.Urgency)) >= place:
 		case o.told != "queued" || w.now.Sub(o.toldAt) < rankSettled || len(r.placed[x]) >= s.Tasks:
-		case !s.Need.Fits(j.spec.Need) || len(s.Flavours) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot:
+		case !s.Need.Fits(j.spec.Need) || len(s.MachineTypes) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot:
 		default:
 			w.broke("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", p.name, id, m.ID, x, s.Workload)
 		}
@@ -116,17 +116,17 @@
 	if r == nil {
 		return
 	}
-	var orders []core.Order
+	var orders []core.TaskCommand
 	switch x := e.(type) {
-	case core.WorkerOp:
-		orders = x.Orders
-	case core.ReportReply:
-		orders = x.Orders
+	case core.WorkerRequest:
+		orders = x.Commands
+	case core.HeartbeatReply:
+		orders = x.Commands
 	}
 	for _, o := range orders {
-		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Try)
+		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
 		under, known := r.under[name]
-		if o.Verb != core.Start || r.left[name] || !known {
+		if o.Kind != core.StartTask || r.left[name] || !known {
 			// What may have left before is repeated as ever.
 			continue
 		}
@@ -144,7 +144,7 @@
 }
 
 // Rank has a controller set a ranking, and tells its answer, if there is one.
-func (w *World) Rank(i int, c core.RankSet, tell func(core.RankReply)) {
-	c.Until = w.now.Add(4 * time.Second)
-	w.nodes[i].ask(func(reply uint64) core.Command { c.Reply = reply; return c }, func(e core.Effect) { tell(e.(core.RankReply)) })
+func (w *World) Rank(i int, c core.SetRanking, tell func(core.RankingReply)) {
+	c.Deadline = w.now.Add(4 * time.Second)
+	w.nodes[i].ask(func(reply uint64) core.Command { c.Reply = reply; return c }, func(e core.Effect) { tell(e.(core.RankingReply)) })
 }
--- a/internal/standin/ranking_test.go
+++ b/internal/standin/ranking_test.go
@@ -20,7 +20,7 @@
 func rankedWorld(seed uint64, nodes int) *World {
 	types, room := testTypes()
 	set := testSettings()
-	set.Product.Ranking = true
+	set.Capabilities.Ranking = true
 	set.Objectives = nil
 	w := NewWorld(seed, nodes, set, testCancel, types, room)
 	w.CheckRanking()
@@ -50,8 +50,8 @@
 		for w.jobs[id] != nil {
 			id += "x"
 		}
-		w.Submit(core.Spec{ID: id, Workload: workload, Team: "ops", Urgency: core.Normal, Tasks: 2, Spot: true,
-			Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, Expected: run}, run, false)
+		w.Submit(core.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: core.Normal, Tasks: 2, AllowSpot: true,
+			Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: run}, run, false)
 	}
 }
 
@@ -71,9 +71,9 @@
 	}
 	told := make([]string, len(nodes))
 	for k, i := range nodes {
-		c := core.RankSet{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRev: !d.HasArg("rev"), Rev: uint64(arg(t, d, "rev", 0))}
+		c := core.SetRanking{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
 		told[k] = "no answer"
-		s.w.Rank(i, c, func(r core.RankReply) { told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Rev, r.Message) })
+		s.w.Rank(i, c, func(r core.RankingReply) { told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message) })
 	}
 	s.w.Run(seconds(t, d, "for", 4.5))
 	if d.HasArg("quiet") {
@@ -103,8 +103,8 @@
 		if !p.alive {
 			continue
 		}
-		s.w.nodes[i].ask(func(r uint64) core.Command { return core.RankQuery{Reply: r} }, func(e core.Effect) {
-			if e.(core.RankReply).Rev != rec.Rev {
+		s.w.nodes[i].ask(func(r uint64) core.Command { return core.QueryRanking{Reply: r} }, func(e core.Effect) {
+			if e.(core.RankingReply).Revision != rec.Rev {
 				behind++
 			}
 		})
@@ -116,7 +116,7 @@
 // why asks the owner of a job's team why it waits.
 func (s *scenario) why(id string) string {
 	out := "no answer"
-	s.w.nodes[s.w.ownerOf("ops")].ask(func(r uint64) core.Command { return core.RankQuery{Reply: r, Job: id} }, func(e core.Effect) { out = e.(core.RankReply).Why })
+	s.w.nodes[s.w.ownerOf("ops")].ask(func(r uint64) core.Command { return core.QueryRanking{Reply: r, Job: id} }, func(e core.Effect) { out = e.(core.RankingReply).Explanation })
 	s.w.Run(time.Second)
 	// What is free just then is luck.
 	out, _, _ = strings.Cut(out, ";")
@@ -164,13 +164,13 @@
 			t.Run(fmt.Sprint(on, nodes), func(t *testing.T) {
 				types, _ := testTypes()
 				set := testSettings()
-				set.Product.Ranking = on
+				set.Capabilities.Ranking = on
 				set.Objectives = nil
 				w := NewWorld(7, nodes, set, testCancel, types, map[string]int{"small/a/true": 3})
 				w.CheckRanking()
 				favours := func(rush float64) core.Policy {
 					p := core.DefaultPolicy()
-					p.Weight = map[string]float64{"rush-rx": rush, "reprint": -rush}
+					p.WorkloadWeights = map[string]float64{"rush-rx": rush, "reprint": -rush}
 					return p
 				}
 				w.tune = func(i int, s *core.Settings) { s.Policy = favours(1) }
@@ -262,10 +262,10 @@
 					owner := w.ownerOf("ops")
 					setter := (owner + 1) % nodes
 					w.twice = 0.05
-					w.Rank(setter, core.RankSet{Record: mustRank(t, rushFirst, "first"), AnyRev: true}, func(core.RankReply) {})
+					w.Rank(setter, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(core.RankingReply) {})
 					w.Run(4 * time.Second)
-					var told core.RankReply
-					w.Rank(setter, core.RankSet{Record: mustRank(t, reprintFirst, "second"), AnyRev: true}, func(r core.RankReply) { told = r })
+					var told core.RankingReply
+					w.Rank(setter, core.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r core.RankingReply) { told = r })
 					w.Run(step)
 					switch who {
 					case "setter":
@@ -310,8 +310,8 @@
 // meanwhile by one that lives.
 func TestStartsOfAStall(t *testing.T) {
 	order := func(e core.Effect) bool {
-		op, ok := e.(core.WorkerOp)
-		return ok && len(op.Orders) > 0 && op.Orders[0].Verb == core.Start
+		op, ok := e.(core.WorkerRequest)
+		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == core.StartTask
 	}
 	for what, moment := range map[string]func(core.Effect) bool{"record": moments["start"], "order": order, "report": moments["report"]} {
 		for _, long := range []time.Duration{3400 * time.Millisecond, time.Minute} {
@@ -329,7 +329,7 @@
 						w.Run(time.Millisecond)
 					}
 					if w.now.Before(p.stillTill) {
-						w.Rank((owner+1)%3, core.RankSet{Record: mustRank(t, rushFirst, "first"), AnyRev: true}, func(r core.RankReply) {
+						w.Rank((owner+1)%3, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r core.RankingReply) {
 							overtaken += boolInt(r.Status == 200 && w.now.Before(p.stillTill.Add(-rankLate)))
 						})
 					}
@@ -363,7 +363,7 @@
 				for k := range 60 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.after(time.Duration(k)*time.Second, func() {
-						w.Rank(k%5, core.RankSet{Record: mustRank(t, text, "somebody"), AnyRev: true}, func(r core.RankReply) { held += boolInt(r.Status == 200) })
+						w.Rank(k%5, core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r core.RankingReply) { held += boolInt(r.Status == 200) })
 					})
 				}
 				flood(w, "reprint-a", 30, 5*time.Second)
@@ -396,8 +396,8 @@
 			t.Parallel()
 			types, room := testTypes()
 			set := testSettings()
-			set.Product = productOf(seed)
-			set.Product.Ranking = true
+			set.Capabilities = productOf(seed)
+			set.Capabilities.Ranking = true
 			w := NewWorld(seed, 3+int(seed%2)*2, set, testCancel, types, room)
 			w.CheckRanking()
 			// Many things bear on the order on such a day: limits, pauses, images.
@@ -407,7 +407,7 @@
 			for k := range 30 {
 				text := []string{rushFirst, reprintFirst, "[[class]]\nname = \"b\"\nworkloads = [\"batch\"]\nurgency = \"normal\"\n"}[rng.IntN(3)]
 				w.after(time.Duration(10+k*11+rng.IntN(5))*time.Second, func() {
-					w.Rank(rng.IntN(len(w.nodes)), core.RankSet{Record: mustRank(t, text, "somebody"), AnyRev: true}, func(core.RankReply) {})
+					w.Rank(rng.IntN(len(w.nodes)), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
 				})
 			}
 			randomDay(w, seed+500)
@@ -427,20 +427,20 @@
 	wait := func(reprints int) (before, after time.Duration) {
 		types, room := testTypes()
 		set := testSettings()
-		set.Product.Ranking = true
-		set.Objectives = []core.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Share: 0.9}}
+		set.Capabilities.Ranking = true
+		set.Objectives = []core.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
 		w := NewWorld(11, 5, set, testCancel, types, room)
 		w.CheckRanking()
 		w.ranked.only = true
 		w.Run(10 * time.Second)
-		w.Rank(2, core.RankSet{Record: mustRank(t, rushFirst, "me"), AnyRev: true}, func(core.RankReply) {})
+		w.Rank(2, core.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(core.RankingReply) {})
 		rush := func(part string) (worst time.Duration) {
 			var ids []string
 			for i := range 10 {
 				id := fmt.Sprintf("job-%s-%02d", part, i)
 				ids = append(ids, id)
-				w.Submit(core.Spec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: core.Urgent, Tasks: 2, Spot: true,
-					Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, Expected: 6 * time.Second}, 6*time.Second, false)
+				w.Submit(core.JobSpec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: core.Urgent, Tasks: 2, AllowSpot: true,
+					Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: 6 * time.Second}, 6*time.Second, false)
 				w.Run(1500 * time.Millisecond)
 			}
 			w.Run(time.Minute)
@@ -489,11 +489,11 @@
 func TestRankingIsSwitched(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		w := rankedWorld(21, nodes)
-		w.set.Product.Ranking = false
+		w.set.Capabilities.Ranking = false
 		// Those without one are not held to it.
 		w.ranked = nil
 		on := false
-		w.tune = func(_ int, s *core.Settings) { s.Product.Ranking = on }
+		w.tune = func(_ int, s *core.Settings) { s.Capabilities.Ranking = on }
 		for i := range nodes {
 			w.Crash(i, time.Second)
 		}
--- a/internal/standin/scenario_test.go
+++ b/internal/standin/scenario_test.go
@@ -16,18 +16,18 @@
 
 func testSettings() core.Settings {
 	return core.Settings{
-		Zones: []string{"a", "b"}, ReportEvery: 3 * time.Second, Lease: 24 * time.Second,
-		TxnOps: 12, ValueBytes: 4096, StateRequests: 150, StateWrites: 30, CloudRPS: 8, ListLag: 4 * time.Second,
+		Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second,
+		MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 150, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 8, CloudListLag: 4 * time.Second,
 		Policy:     core.DefaultPolicy(),
-		Objectives: []core.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Share: 0.9}},
-		Teams:      []core.Team{{Name: "ops"}, {Name: "lab", Limit: core.Resources{CPU: 40}}},
+		Objectives: []core.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Fraction: 0.9}},
+		Teams:      []core.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: core.Resources{CPU: 40}}},
 	}
 }
 
-func testTypes() ([]core.Flavour, map[string]int) {
-	return []core.Flavour{
-			{Name: "small", Size: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, PullRate: 0.5, Price: 0.2, SpotPrice: 0.07, Ready: 20 * time.Second, Zones: []string{"a", "b"}},
-			{Name: "big", Size: core.Resources{CPU: 32, Memory: 128}, DiskGB: 40, PullRate: 0.5, Price: 1.5, SpotPrice: 0.5, Ready: 15 * time.Second, Zones: []string{"a"}},
+func testTypes() ([]core.MachineType, map[string]int) {
+	return []core.MachineType{
+			{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
+			{Name: "big", Capacity: core.Resources{CPU: 32, Memory: 128}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 1.5, SpotCostPerHour: 0.5, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 		}, map[string]int{
 			"small/a/true": 4, "small/a/false": 6, "small/b/true": 3, "small/b/false": 6, "big/a/true": 1, "big/a/false": 2,
 		}
@@ -63,10 +63,10 @@
 		s.deafened[id] = true
 	}
 	s.w.sabotage = func(e core.Effect) core.Effect {
-		if op, ok := e.(core.WorkerOp); ok && s.deafened[op.Machine] && s.w.now.Before(s.w.machine[op.Machine].deafTill) {
-			for _, o := range op.Orders {
-				if o.Verb == core.Start {
-					s.onDeaf[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Try)] = true
+		if op, ok := e.(core.WorkerRequest); ok && s.deafened[op.Machine] && s.w.now.Before(s.w.machine[op.Machine].deafTill) {
+			for _, o := range op.Commands {
+				if o.Kind == core.StartTask {
+					s.onDeaf[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)] = true
 				}
 			}
 		}
@@ -88,51 +88,54 @@
 func (s *scenario) submit(t *testing.T, d *datadriven.TestData) {
 	run := seconds(t, d, "run", 20)
 	cpu := arg(t, d, "cpu", 2.0)
-	spec := core.Spec{
+	spec := core.JobSpec{
 		ID: arg(t, d, "id", ""), Workload: arg(t, d, "workload", "batch"), Team: arg(t, d, "team", "ops"),
-		Standing: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: core.Urgency(arg(t, d, "urgency", 1)),
+		LongRunning: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: core.Urgency(arg(t, d, "urgency", 1)),
 		Tasks: arg(t, d, "tasks", 1), Need: core.Resources{CPU: cpu, Memory: cpu},
 		Image: arg(t, d, "image", "img-1"), ImageGB: 1, Zone: arg(t, d, "zone", ""),
-		SamePlace: d.HasArg("same"), Apart: d.HasArg("apart"), Spot: d.HasArg("spot"),
-		Expected: seconds(t, d, "expected", run.Seconds()), SaveEvery: seconds(t, d, "save", 0), SaveCost: seconds(t, d, "cost", 0),
-		Due: seconds(t, d, "due", 0),
+		SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart"), AllowSpot: d.HasArg("spot"),
+		ExpectedRunTime: seconds(t, d, "expected", run.Seconds()), CheckpointInterval: seconds(t, d, "save", 0), CheckpointCost: seconds(t, d, "cost", 0),
+		Deadline: seconds(t, d, "due", 0),
 	}
 	if f := arg(t, d, "flavour", ""); f != "" {
-		spec.Flavours = []string{f}
+		spec.MachineTypes = []string{f}
 	}
 	if needs := arg(t, d, "needs", ""); needs != "" {
-		spec.Prereqs = strings.Split(needs, "+")
+		spec.Dependencies = strings.Split(needs, "+")
 	}
 	s.w.Submit(spec, run, d.HasArg("broken"))
 }
 
 // moments are what a process may be about to send when it stands still.
 var moments = map[string]func(core.Effect) bool{
-	"renew":    func(e core.Effect) bool { op, ok := e.(core.StateOp); return ok && op.Kind == core.OpGrantRenew },
+	"renew":    func(e core.Effect) bool { op, ok := e.(core.StoreRequest); return ok && op.Kind == core.OpLeaseRenew },
 	"claim":    func(e core.Effect) bool { return changes(e, "ctl/lead") },
 	"share":    func(e core.Effect) bool { return changes(e, "ctl/share/") },
 	"register": func(e core.Effect) bool { return changes(e, "ctl/node/") },
 	"read": func(e core.Effect) bool {
-		op, ok := e.(core.StateOp)
+		op, ok := e.(core.StoreRequest)
 		return ok && op.Kind == core.OpList && op.Key == "task/"
 	},
-	"epoch": func(e core.Effect) bool { op, ok := e.(core.WorkerOp); return ok && !op.Ask && len(op.Orders) == 0 },
+	"epoch": func(e core.Effect) bool {
+		op, ok := e.(core.WorkerRequest)
+		return ok && !op.StatusOnly && len(op.Commands) == 0
+	},
 	"submit": func(e core.Effect) bool {
-		op, ok := e.(core.StateOp)
-		return ok && op.Kind == core.OpTxn && op.Prio == core.PrioUser
+		op, ok := e.(core.StoreRequest)
+		return ok && op.Kind == core.OpTxn && op.Priority == core.PriorityUser
 	},
 	"start": func(e core.Effect) bool {
-		op, ok := e.(core.StateOp)
-		return ok && op.Kind == core.OpTxn && op.Prio == core.PrioStart
+		op, ok := e.(core.StoreRequest)
+		return ok && op.Kind == core.OpTxn && op.Priority == core.PriorityStart
 	},
-	"rent":   func(e core.Effect) bool { op, ok := e.(core.CloudOp); return ok && op.Kind == core.CloudRent },
-	"return": func(e core.Effect) bool { op, ok := e.(core.CloudOp); return ok && op.Kind == core.CloudReturn },
-	"orders": func(e core.Effect) bool { op, ok := e.(core.WorkerOp); return ok && len(op.Orders) > 0 },
+	"rent":   func(e core.Effect) bool { op, ok := e.(core.CloudRequest); return ok && op.Kind == core.CloudRent },
+	"return": func(e core.Effect) bool { op, ok := e.(core.CloudRequest); return ok && op.Kind == core.CloudRelease },
+	"orders": func(e core.Effect) bool { op, ok := e.(core.WorkerRequest); return ok && len(op.Commands) > 0 },
 	"rank": func(e core.Effect) bool {
-		op, ok := e.(core.StateOp)
-		return ok && op.Kind == core.OpTxn && len(op.Apply) > 0 && op.Apply[0].Key == "ctl/ranking"
+		op, ok := e.(core.StoreRequest)
+		return ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && op.Writes[0].Key == "ctl/ranking"
 	},
-	"report": func(e core.Effect) bool { r, ok := e.(core.ReportReply); return ok && r.Status == 200 },
+	"report": func(e core.Effect) bool { r, ok := e.(core.HeartbeatReply); return ok && r.Status == 200 },
 	"accept": func(e core.Effect) bool { r, ok := e.(core.UserReply); return ok && r.Status == 201 },
 	"page":   isPage,
 	"poll":   func(e core.Effect) bool { r, ok := e.(core.UserReply); return ok && r.Status == 200 },
@@ -140,8 +143,8 @@
 
 // changes says that an effect writes a key with this beginning.
 func changes(e core.Effect, key string) bool {
-	op, ok := e.(core.StateOp)
-	return ok && slices.ContainsFunc(op.Apply, func(c core.Change) bool { return strings.HasPrefix(c.Key, key) })
+	op, ok := e.(core.StoreRequest)
+	return ok && slices.ContainsFunc(op.Writes, func(c core.Write) bool { return strings.HasPrefix(c.Key, key) })
 }
 
 // busiest is the nth machine with the most tasks on it.
@@ -158,7 +161,7 @@
 // owner is the controller that runs the jobs.
 func (s *scenario) owner() int {
 	for i, p := range s.w.nodes {
-		if p.alive && p.node.IsOwner() {
+		if p.alive && p.node.IsShardLeader() {
 			return i
 		}
 	}
@@ -169,7 +172,7 @@
 func (s *scenario) owners() string {
 	var b strings.Builder
 	for _, p := range s.w.nodes {
-		if p.alive && p.node.IsOwner() {
+		if p.alive && p.node.IsShardLeader() {
 			fmt.Fprintln(&b, p.name)
 		}
 	}
@@ -225,7 +228,7 @@
 		w.refuse(w.nodes[node()], dur)
 	case "still":
 		// In the middle of something, or at once; the owner, or whoever comes first.
-		who := func(p *proc) bool { return !d.HasArg("owner") || p.node.IsOwner() }
+		who := func(p *proc) bool { return !d.HasArg("owner") || p.node.IsShardLeader() }
 		is, ok := moments[arg(t, d, "in", "")]
 		if !ok {
 			w.Still(node(), dur)
@@ -299,9 +302,9 @@
 	case "held_order":
 		// d is another command's by then.
 		abort, crash, recall := d.HasArg("abort"), d.HasArg("crash"), d.HasArg("recall")
-		s.holdOrder(dur, func(op core.WorkerOp) {
+		s.holdOrder(dur, func(op core.WorkerRequest) {
 			if abort {
-				w.Abort(op.Orders[0].Job)
+				w.Abort(op.Commands[0].Job)
 			}
 			if crash {
 				w.Crash(s.owner(), 50*time.Millisecond)
@@ -330,7 +333,7 @@
 		w.meetingTrouble(DayFault{Kind: what, Share: arg(t, d, "share", 0.2), For: dur})
 	case "damage":
 		// Somebody writes what no version understands.
-		w.state.txn(core.StateOp{Apply: []core.Change{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &core.StateDone{})
+		w.state.txn(core.StoreRequest{Writes: []core.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &core.StoreResponse{})
 	case "loss":
 		w.meetingTrouble(DayFault{Kind: what, Share: arg(t, d, "share", 0.02), For: dur})
 	default:
@@ -371,9 +374,9 @@
 				if d.HasArg("lease") {
 					// cancel_s as far behind it as on all sites, if nothing else is said.
 					set := testSettings()
-					set.Lease, set.ReportEvery = seconds(t, d, "lease", 0), seconds(t, d, "lease", 0)/6
+					set.WorkerLease, set.HeartbeatInterval = seconds(t, d, "lease", 0), seconds(t, d, "lease", 0)/6
 					types, room := testTypes()
-					s.w = NewWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3), set, seconds(t, d, "cancel", set.Lease.Seconds()+30), types, room)
+					s.w = NewWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3), set, seconds(t, d, "cancel", set.WorkerLease.Seconds()+30), types, room)
 				}
 				if d.HasArg("ranking") {
 					s.w = rankedWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
@@ -409,8 +412,8 @@
 					if s.w.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
 						continue
 					}
-					s.w.Submit(core.Spec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1 + i%4,
-						Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, Spot: i%2 == 0, Expected: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
+					s.w.Submit(core.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1 + i%4,
+						Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
 				}
 			case "abort":
 				id, at := arg(t, d, "id", ""), moment(arg(t, d, "at", ""))
@@ -486,14 +489,14 @@
 			id++
 			run := time.Duration(5+rng.IntN(30)) * time.Second
 			cpu := []float64{1, 2, 4, 8}[rng.IntN(4)]
-			spec := core.Spec{
+			spec := core.JobSpec{
 				ID: fmt.Sprintf("job-%06d", id), Workload: []string{"batch", "rush"}[rng.IntN(2)], Team: []string{"ops", "lab"}[rng.IntN(2)],
 				Urgency: core.Urgency(rng.IntN(4)), Tasks: 1 + rng.IntN(6), Need: core.Resources{CPU: cpu, Memory: cpu},
-				Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 0.5 + rng.Float64()*3, Spot: rng.IntN(3) > 0,
-				Expected: run, SamePlace: rng.IntN(5) == 0, Apart: cpu <= 4 && rng.IntN(6) == 0, Gang: cpu <= 2 && rng.IntN(8) == 0,
+				Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 0.5 + rng.Float64()*3, AllowSpot: rng.IntN(3) > 0,
+				ExpectedRunTime: run, SameZone: rng.IntN(5) == 0, SpreadZones: cpu <= 4 && rng.IntN(6) == 0, Gang: cpu <= 2 && rng.IntN(8) == 0,
 			}
 			if rng.IntN(4) == 0 {
-				spec.SaveEvery, spec.SaveCost = 5*time.Second, 2*time.Second
+				spec.CheckpointInterval, spec.CheckpointCost = 5*time.Second, 2*time.Second
 			}
 			w.Submit(spec, run, false)
 			if rng.IntN(8) == 0 {
@@ -525,7 +528,7 @@
 }
 
 // productOf switches on each part of the product on half of the days, by chance.
-func productOf(seed uint64) core.Product {
+func productOf(seed uint64) core.Capabilities {
 	rng := rand.New(rand.NewPCG(seed, 64))
 	p := DayParams{}
 	for _, part := range []string{"ranking", "promises", "models"} {
@@ -545,7 +548,7 @@
 			t.Parallel()
 			types, room := testTypes()
 			set := testSettings()
-			set.Product = productOf(seed)
+			set.Capabilities = productOf(seed)
 			w := NewWorld(seed, 3, set, testCancel, types, room)
 			switch seed % 4 {
 			case 1:
@@ -595,7 +598,7 @@
 			// Stops get lost, and answers prolong leases all the same: an owner that has
 			// no proof would let the lease run out.
 			w.sabotage = func(e core.Effect) core.Effect {
-				if x, ok := e.(core.ReportReply); ok && x.Status == 503 {
+				if x, ok := e.(core.HeartbeatReply); ok && x.Status == 503 {
 					x.Status, x.Epoch = 200, math.MaxUint64
 					e = x
 				}
@@ -617,8 +620,8 @@
 			w := newTestWorld(5)
 			c.break_(w)
 			for i := range 12 {
-				w.Submit(core.Spec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, Expected: 90 * time.Second}, 90*time.Second, false)
+				w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
+					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 90 * time.Second}, 90*time.Second, false)
 			}
 			w.Run(60 * time.Second)
 			for i := range 4 {
--- a/internal/standin/slack.go
+++ b/internal/standin/slack.go
@@ -90,7 +90,7 @@
 
 // waits says that a job that is to run has a task that is neither done nor on a machine.
 func (j *userJob) waits() bool {
-	if !j.accepted || j.calledOff() || !j.released() || j.broken || over(j.told) || j.spec.Apart || j.spec.Gang {
+	if !j.accepted || j.calledOff() || !j.released() || j.broken || over(j.told) || j.spec.SpreadZones || j.spec.Gang {
 		return false
 	}
 	for i := range j.spec.Tasks {
@@ -142,12 +142,12 @@
 // one and its team is under its limit.
 func (w *World) roomFor(j *userJob, free map[*Worker]core.Resources, used map[string]core.Resources) *Worker {
 	s := &j.spec
-	limit, takes := w.team(s.Team).Limit, used[s.Team].Plus(s.Need, 1)
+	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].Plus(s.Need, 1)
 	if limit.CPU > 0 && takes.CPU > limit.CPU || limit.GPU > 0 && takes.GPU > limit.GPU {
 		return nil
 	}
 	zone := s.Zone
-	if s.SamePlace {
+	if s.SameZone {
 		w.onAllMachines(j, func(_ *workerTask, m *Worker) { zone = m.Zone })
 	}
 	for _, m := range w.fleet {
@@ -159,12 +159,12 @@
 }
 
 // mayUse says that a job allows a machine, in that zone unless it is empty.
-func mayUse(s *core.Spec, m *Worker, zone string) bool {
-	flavour := len(s.Flavours) == 0
-	for _, f := range s.Flavours {
+func mayUse(s *core.JobSpec, m *Worker, zone string) bool {
+	flavour := len(s.MachineTypes) == 0
+	for _, f := range s.MachineTypes {
 		flavour = flavour || f == m.Flavour
 	}
-	return flavour && (zone == "" || zone == m.Zone) && (s.Spot || !m.Spot)
+	return flavour && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
 }
 
 func least(rs []core.Resources) core.Resources {
--- a/internal/standin/slack_test.go
+++ b/internal/standin/slack_test.go
@@ -15,11 +15,11 @@
 func waitingWorld(limit float64) *World {
 	types, room := testTypes()
 	set := testSettings()
-	set.Teams[0].Limit.CPU = limit
+	set.Teams[0].QuotaLimit.CPU = limit
 	w := NewWorld(3, 3, set, testCancel, types, room)
 	w.calm = w.now
 	w.sabotage = func(e core.Effect) core.Effect {
-		return noStarts(e, func(o core.Order) bool { return o.Job == "job-000002" })
+		return noStarts(e, func(o core.TaskCommand) bool { return o.Job == "job-000002" })
 	}
 	return w
 }
@@ -65,7 +65,7 @@
 	w := busyWorld(t)
 	const left = 12 * time.Second
 	till := w.now.Add(w.cancel - left)
-	w.cloudOut, w.set.Lease = true, time.Hour
+	w.cloudOut, w.set.WorkerLease = true, time.Hour
 	w.sabotage = func(e core.Effect) core.Effect {
 		if w.now.Before(till) {
 			return noHalts(e)
@@ -131,17 +131,17 @@
 	types, _ := testTypes()
 	// None is dear: idle ones are kept for a while.
 	for i := range types {
-		types[i].SpotPrice = types[i].Price
+		types[i].SpotCostPerHour = types[i].CostPerHour
 	}
 	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 4})
 	w.calm = w.now
 	s := longJob("job-000001", 3)
-	s.Need.CPU, s.Expected = 4, time.Minute
+	s.Need.CPU, s.ExpectedRunTime = 4, time.Minute
 	w.Submit(s, time.Minute, false)
 	w.Run(20 * time.Second)
 	s = longJob("job-000002", 5)
-	s.Team, s.Need.CPU, s.Expected = "lab", 2, 110*time.Second
-	w.Submit(s, s.Expected, false)
+	s.Team, s.Need.CPU, s.ExpectedRunTime = "lab", 2, 110*time.Second
+	w.Submit(s, s.ExpectedRunTime, false)
 	w.Run(4 * time.Minute)
 	noneBroken(t, w)
 	first, j := w.jobs["job-000001"], w.jobs["job-000002"]
@@ -165,13 +165,13 @@
 	// The one machine that is not dear is taken for a while.
 	w.room["small/a/false"] = 1
 	taken := longJob("job-000002", 1)
-	taken.Need.CPU, taken.Need.Memory, taken.Expected = 4, 14, 150*time.Second
-	taken.Flavours = []string{"small"}
-	w.Submit(taken, taken.Expected, false)
+	taken.Need.CPU, taken.Need.Memory, taken.ExpectedRunTime = 4, 14, 150*time.Second
+	taken.MachineTypes = []string{"small"}
+	w.Submit(taken, taken.ExpectedRunTime, false)
 	w.Run(40 * time.Second)
 	s := longJob("job-000003", 2)
-	s.Need.CPU, s.Expected = 2, 110*time.Second
-	w.Submit(s, s.Expected, false)
+	s.Need.CPU, s.ExpectedRunTime = 2, 110*time.Second
+	w.Submit(s, s.ExpectedRunTime, false)
 	w.Run(3 * time.Minute)
 	noneBroken(t, w)
 	if left := w.slack[RuleWaiting].Left; left < waitingMost/3 || left > waitingMost-20*time.Second {
--- a/internal/standin/small_test.go
+++ b/internal/standin/small_test.go
@@ -24,12 +24,12 @@
 func newSmallJobs(seed uint64, changesASecond float64) *smallJobs {
 	set := testSettings()
 	set.Zones, set.Teams = []string{"a"}, []core.Team{{Name: "ops"}}
-	set.StateRequests, set.StateWrites = 80, changesASecond
-	types := []core.Flavour{{Name: "box", Size: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, PullRate: 0.5, Price: 0.2, Ready: 20 * time.Second, Zones: []string{"a"}}}
+	set.StoreRequestsPerSecond, set.StoreWritesPerSecond = 80, changesASecond
+	types := []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	s := &smallJobs{w: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 150}), changes: map[string]int{}}
-	s.w.state.noted = func(it core.Item) {
+	s.w.state.noted = func(it core.KeyValue) {
 		prefix, _, _ := strings.Cut(it.Key, "/")
-		if it.Removed {
+		if it.Deleted {
 			prefix += " removed"
 		}
 		s.changes[prefix]++
@@ -47,9 +47,9 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range int(rate * d.Seconds()) {
 		s.jobs++
-		spec := core.Spec{
+		spec := core.JobSpec{
 			ID: fmt.Sprintf("small-%04d", s.jobs), Workload: "rush", Team: "ops", Urgency: core.Urgent, Tasks: 1,
-			Need: core.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("rush-%d", rng.IntN(6)), ImageGB: 0.9, Expected: 15 * time.Second, Due: 45 * time.Second,
+			Need: core.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("rush-%d", rng.IntN(6)), ImageGB: 0.9, ExpectedRunTime: 15 * time.Second, Deadline: 45 * time.Second,
 		}
 		run := time.Duration(5+rng.IntN(20)) * time.Second
 		at := time.Duration(rng.Float64() * float64(d))
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -24,9 +24,9 @@
 	nextID uint64
 	// puts counts the changes.
 	puts int
-	news []core.Item
+	news []core.KeyValue
 	// noted is told of every change, and pages counts those of pages of dates.
-	noted func(core.Item)
+	noted func(core.KeyValue)
 	pages int
 	// lost is the newest revision whose change is no longer kept.
 	lost    uint64
@@ -53,9 +53,9 @@
 }
 
 type watch struct {
-	op     core.StateOp
+	op     core.StoreRequest
 	ends   time.Time
-	answer func(core.StateDone)
+	answer func(core.StoreResponse)
 }
 
 // NewStateService makes an empty one.
@@ -78,7 +78,7 @@
 	keep := s.waiting[:0]
 	for _, w := range s.waiting {
 		if now.After(w.ends) {
-			w.answer(core.StateDone{ID: w.op.ID, Status: core.StateOK, Rev: s.rev})
+			w.answer(core.StoreResponse{ID: w.op.ID, Status: core.StoreOK, Revision: s.rev})
 		} else {
 			keep = append(keep, w)
 		}
@@ -115,11 +115,11 @@
 func (s *StateService) remove(key string) {
 	if _, ok := s.rows[key]; ok {
 		delete(s.rows, key)
-		s.note(core.Item{Key: key, Stamp: s.rev, Removed: true})
+		s.note(core.KeyValue{Key: key, ModRevision: s.rev, Deleted: true})
 	}
 }
 
-func (s *StateService) note(it core.Item) {
+func (s *StateService) note(it core.KeyValue) {
 	s.news = append(s.news, it)
 	if strings.HasPrefix(it.Key, "open/~") {
 		s.pages++
@@ -128,7 +128,7 @@
 		s.noted(it)
 	}
 	if len(s.news) > keptNews {
-		s.lost = s.news[0].Stamp
+		s.lost = s.news[0].ModRevision
 		s.news = s.news[1:]
 	}
 }
@@ -137,7 +137,7 @@
 	keep := s.waiting[:0]
 	var ready []*watch
 	for _, w := range s.waiting {
-		if len(s.since(w.op.Key, w.op.Rev)) > 0 {
+		if len(s.since(w.op.Key, w.op.Revision)) > 0 {
 			ready = append(ready, w)
 		} else {
 			keep = append(keep, w)
@@ -145,13 +145,13 @@
 	}
 	s.waiting = keep
 	for _, w := range ready {
-		w.answer(core.StateDone{ID: w.op.ID, Status: core.StateOK, Rev: s.rev, Items: s.since(w.op.Key, w.op.Rev)})
+		w.answer(core.StoreResponse{ID: w.op.ID, Status: core.StoreOK, Revision: s.rev, KeyValues: s.since(w.op.Key, w.op.Revision)})
 	}
 }
 
-func (s *StateService) since(prefix string, rev uint64) []core.Item {
-	var out []core.Item
-	i := sort.Search(len(s.news), func(i int) bool { return s.news[i].Stamp > rev })
+func (s *StateService) since(prefix string, rev uint64) []core.KeyValue {
+	var out []core.KeyValue
+	i := sort.Search(len(s.news), func(i int) bool { return s.news[i].ModRevision > rev })
 	for _, it := range s.news[i:] {
 		if strings.HasPrefix(it.Key, prefix) {
 			out = append(out, it)
@@ -161,25 +161,25 @@
 }
 
 // malformed says that a request breaks the limits of now.
-func (s *StateService) malformed(op *core.StateOp) bool {
+func (s *StateService) malformed(op *core.StoreRequest) bool {
 	return s.limits != nil && s.limits.malformed(op) != ""
 }
 
 // Do executes a request; the answer may come later, for a watch. Without limits, set
 // by Limit, it takes requests of any size, as often as they come.
-func (s *StateService) Do(now time.Time, op core.StateOp, answer func(core.StateDone)) {
+func (s *StateService) Do(now time.Time, op core.StoreRequest, answer func(core.StoreResponse)) {
 	s.Tick(now)
-	out := core.StateDone{ID: op.ID, Status: core.StateOK, Rev: s.rev}
+	out := core.StoreResponse{ID: op.ID, Status: core.StoreOK, Revision: s.rev}
 	if s.limits != nil {
 		if why := s.limits.malformed(&op); why != "" {
 			s.Bad++
 			s.LastBad = why
-			answer(core.StateDone{ID: op.ID, Status: core.StateBad})
+			answer(core.StoreResponse{ID: op.ID, Status: core.StoreMalformed})
 			return
 		}
 		if !s.limits.allow(now, &op) {
 			s.Refused++
-			answer(core.StateDone{ID: op.ID, Status: StateTooMany})
+			answer(core.StoreResponse{ID: op.ID, Status: StateTooMany})
 			return
 		}
 	}
@@ -189,36 +189,36 @@
 	switch op.Kind {
 	case core.OpGet:
 		if r, ok := s.rows[op.Key]; ok {
-			out.Items = []core.Item{{Key: op.Key, Value: r.value, Stamp: r.stamp}}
+			out.KeyValues = []core.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.stamp}}
 		} else {
-			out.Status = core.StateNotFound
+			out.Status = core.StoreNotFound
 		}
 	case core.OpList:
-		out.Items, out.Truncated = s.list(op.Key, op.From)
-	case core.OpFollow:
-		if op.Rev < s.lost {
-			out.Status = core.StateGone
+		out.KeyValues, out.Truncated = s.list(op.Key, op.StartAfter)
+	case core.OpWatch:
+		if op.Revision < s.lost {
+			out.Status = core.StoreCompacted
 			break
 		}
-		if out.Items = s.since(op.Key, op.Rev); len(out.Items) == 0 && op.Hold > 0 {
-			s.waiting = append(s.waiting, &watch{op, now.Add(op.Hold), answer})
+		if out.KeyValues = s.since(op.Key, op.Revision); len(out.KeyValues) == 0 && op.WatchTimeout > 0 {
+			s.waiting = append(s.waiting, &watch{op, now.Add(op.WatchTimeout), answer})
 			return
 		}
-	case core.OpGrantNew:
+	case core.OpLeaseGrant:
 		s.nextID++
 		s.grants[s.nextID] = &grant{op.TTL, now.Add(op.TTL)}
-		out.Grant = s.nextID
-	case core.OpGrantRenew:
-		if g, ok := s.grants[op.Grant]; ok {
+		out.LeaseID = s.nextID
+	case core.OpLeaseRenew:
+		if g, ok := s.grants[op.LeaseID]; ok {
 			g.ends = now.Add(g.ttl)
 		} else {
-			out.Status = core.StateNotFound
+			out.Status = core.StoreNotFound
 		}
-	case core.OpGrantDrop:
-		if _, ok := s.grants[op.Grant]; ok {
-			s.dropGrant(op.Grant)
+	case core.OpLeaseRevoke:
+		if _, ok := s.grants[op.LeaseID]; ok {
+			s.dropGrant(op.LeaseID)
 		} else {
-			out.Status = core.StateNotFound
+			out.Status = core.StoreNotFound
 		}
 	case core.OpTxn:
 		s.txn(op, &out)
@@ -232,7 +232,7 @@
 	listBytes = 512 << 10
 )
 
-func (s *StateService) list(prefix, from string) ([]core.Item, bool) {
+func (s *StateService) list(prefix, from string) ([]core.KeyValue, bool) {
 	var keys []string
 	for k := range s.rows {
 		if strings.HasPrefix(k, prefix) && k > from {
@@ -248,50 +248,50 @@
 	if more {
 		keys = keys[:page]
 	}
-	var out []core.Item
+	var out []core.KeyValue
 	size := 0
 	for _, k := range keys {
 		if size += 3 * len(s.rows[k].value); size > listBytes && len(out) > 0 {
 			return out, true
 		}
-		out = append(out, core.Item{Key: k, Value: s.rows[k].value, Stamp: s.rows[k].stamp})
+		out = append(out, core.KeyValue{Key: k, Value: s.rows[k].value, ModRevision: s.rows[k].stamp})
 	}
 	return out, more
 }
 
-func (s *StateService) txn(op core.StateOp, out *core.StateDone) {
-	for _, a := range op.Apply {
-		if _, ok := s.grants[a.Grant]; a.Value != nil && a.Grant != 0 && !ok {
-			out.Status = core.StateNoGrant
+func (s *StateService) txn(op core.StoreRequest, out *core.StoreResponse) {
+	for _, a := range op.Writes {
+		if _, ok := s.grants[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
+			out.Status = core.StoreNoLease
 			return
 		}
 	}
-	for _, c := range op.When {
+	for _, c := range op.Compares {
 		var stamp uint64
 		if r, ok := s.rows[c.Key]; ok {
 			stamp = r.stamp
 		}
-		if stamp != c.Stamp {
-			out.Failed = append(out.Failed, c.Key)
+		if stamp != c.ModRevision {
+			out.FailedKeys = append(out.FailedKeys, c.Key)
 		}
 	}
-	if len(out.Failed) > 0 {
-		out.Status = core.StateConflict
+	if len(out.FailedKeys) > 0 {
+		out.Status = core.StoreConflict
 		return
 	}
-	if len(op.Apply) == 0 {
+	if len(op.Writes) == 0 {
 		return
 	}
 	s.rev++
-	s.puts += len(op.Apply)
-	for _, a := range op.Apply {
+	s.puts += len(op.Writes)
+	for _, a := range op.Writes {
 		if a.Value == nil {
 			s.remove(a.Key)
 			continue
 		}
-		s.rows[a.Key] = &stateRow{a.Value, s.rev, a.Grant}
-		s.note(core.Item{Key: a.Key, Value: a.Value, Stamp: s.rev})
+		s.rows[a.Key] = &stateRow{a.Value, s.rev, a.LeaseID}
+		s.note(core.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.rev})
 	}
-	out.Rev = s.rev
+	out.Revision = s.rev
 	s.wake()
 }
--- a/internal/standin/unlisted.go
+++ b/internal/standin/unlisted.go
@@ -29,8 +29,8 @@
 
 // upAfter is how long a machine that is rented now takes to come up: mostly near what
 // the flavour says, now and then several times as long, and a few never.
-func (w *World) upAfter(f core.Flavour) time.Duration {
-	d := w.jitter(f.Ready)
+func (w *World) upAfter(f core.MachineType) time.Duration {
+	d := w.jitter(f.ProvisioningTime)
 	if w.weather == nil {
 		return d
 	}
@@ -133,12 +133,12 @@
 	case "price":
 		for _, k := range sorted(w.types) {
 			x := w.types[k]
-			old := x.SpotPrice
-			x.SpotPrice *= 0.67 + 0.66*rng.Float64()
+			old := x.SpotCostPerHour
+			x.SpotCostPerHour *= 0.67 + 0.66*rng.Float64()
 			w.types[k] = x
 			w.after(f.For, func() {
 				x := w.types[k]
-				x.SpotPrice = old
+				x.SpotCostPerHour = old
 				w.types[k] = x
 			})
 		}
@@ -154,13 +154,13 @@
 	if d.guest == "" {
 		return
 	}
-	long := core.Spec{Workload: "recount", Urgency: core.BestEffort, Tasks: max(2, d.Machines/8), Need: core.Resources{CPU: 4, Memory: 8}, Spot: true, Expected: 50 * time.Second}
-	huge := core.Spec{Workload: "rebuild", Urgency: core.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: core.Resources{CPU: 0.25, Memory: 0.5}, Spot: true, Expected: 4 * time.Second}
-	single := core.Spec{Workload: "lookups", Urgency: core.Normal, Tasks: 1, Need: core.Resources{CPU: 1, Memory: 2}, Spot: true, Expected: 5 * time.Second}
-	add := func(s core.Spec, at time.Duration) {
+	long := core.JobSpec{Workload: "recount", Urgency: core.BestEffort, Tasks: max(2, d.Machines/8), Need: core.Resources{CPU: 4, Memory: 8}, AllowSpot: true, ExpectedRunTime: 50 * time.Second}
+	huge := core.JobSpec{Workload: "rebuild", Urgency: core.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: core.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
+	single := core.JobSpec{Workload: "lookups", Urgency: core.Normal, Tasks: 1, Need: core.Resources{CPU: 1, Memory: 2}, AllowSpot: true, ExpectedRunTime: 5 * time.Second}
+	add := func(s core.JobSpec, at time.Duration) {
 		w.names++
 		s.ID, s.Team, s.Image, s.ImageGB = fmt.Sprintf("job-%06d", w.names), d.guest, s.Workload, 0.5
-		w.after(at, func() { w.Submit(s, s.Expected, false) })
+		w.after(at, func() { w.Submit(s, s.ExpectedRunTime, false) })
 	}
 	at := span / 3
 	for range 3 {
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -9,7 +9,7 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	spec    core.Spec
+	spec    core.JobSpec
 	run     time.Duration
 	broken  bool
 	results map[int]bool
@@ -63,13 +63,13 @@
 	}
 }
 
-func newUserJob(spec core.Spec, run time.Duration) *userJob {
+func newUserJob(spec core.JobSpec, run time.Duration) *userJob {
 	return &userJob{spec: spec, run: run, results: map[int]bool{}, saved: map[int]time.Duration{}, places: map[int][]*Worker{}, began: map[int]time.Time{}, replicas: map[int]*replica{},
 		moments: map[moment][]func(){}}
 }
 
 // Submit sends a job and keeps trying, then polls until it is over.
-func (w *World) Submit(spec core.Spec, run time.Duration, broken bool) {
+func (w *World) Submit(spec core.JobSpec, run time.Duration, broken bool) {
 	j := newUserJob(spec, run)
 	j.broken = broken
 	w.submitJob(j)
@@ -124,11 +124,11 @@
 
 func (w *World) trySubmit(j *userJob) {
 	asked := w.now
-	w.userCall(func(r uint64) core.Command { return core.Submit{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *core.UserReply) {
+	w.userCall(func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *core.UserReply) {
 		switch {
 		case r != nil && (r.Status == 201 || r.Status == 200):
 			if j.impossible {
-				w.broke("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Prereqs)
+				w.broke("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Dependencies)
 			}
 			w.hear(j, asked, r)
 			w.after(w.jitter(5*time.Second), func() { w.poll(j) })
@@ -138,7 +138,7 @@
 				w.broke("forgotten", "%s answered %d", j.spec.ID, r.Status)
 			}
 			if j.needsAccepted && !j.impossible {
-				w.broke("refused_wrongly", "%s, which needs %v, answered %d: %s", j.spec.ID, j.spec.Prereqs, r.Status, r.Message)
+				w.broke("refused_wrongly", "%s, which needs %v, answered %d: %s", j.spec.ID, j.spec.Dependencies, r.Status, r.Message)
 			}
 		default:
 			w.after(w.jitter(time.Second), func() { w.trySubmit(j) })
@@ -148,7 +148,7 @@
 
 func (w *World) poll(j *userJob) {
 	asked := w.now
-	w.userCallTo(w.keepsTo(j), func(r uint64) core.Command { return core.Query{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *core.UserReply) {
+	w.userCallTo(w.keepsTo(j), func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *core.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 404) {
 			w.hear(j, asked, r)
 		}
@@ -169,7 +169,7 @@
 func (w *World) Abort(id string) {
 	j, asked := w.jobs[id], w.now
 	j.aborting = true
-	w.userCall(func(r uint64) core.Command { return core.Abort{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+	w.userCall(func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 		if r == nil || r.Status != 200 {
 			w.after(w.jitter(time.Second), func() { w.Abort(id) })
 			return
@@ -180,7 +180,7 @@
 
 // Stranger asks for a job that nobody submitted.
 func (w *World) Stranger(id string) {
-	w.userCall(func(r uint64) core.Command { return core.Query{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+	w.userCall(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
 		if r != nil && r.Status == 200 {
 			w.broke("invented", "%s", id)
 		}
@@ -197,18 +197,18 @@
 		}
 		return
 	}
-	j.firstDate = j.firstDate || !j.accepted && r.PromiseRev > 0
+	j.firstDate = j.firstDate || !j.accepted && r.PromiseRevision > 0
 	w.silence(j)
 	w.checkOrphan(j, r)
 	news := !j.accepted || over(r.State) && j.told != r.State
 	j.accepted, j.heard = true, w.now
-	if r.PromiseRev > 0 {
+	if r.PromiseRevision > 0 {
 		// An answer to an abort may overtake one to a poll.
-		if r.PromiseRev < j.rev && !j.aborting || r.PromiseRev == j.rev && r.Promised != j.promised {
-			w.broke("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.rev, r.Promised, r.PromiseRev)
+		if r.PromiseRevision < j.rev && !j.aborting || r.PromiseRevision == j.rev && r.PromisedAfter != j.promised {
+			w.broke("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.rev, r.PromisedAfter, r.PromiseRevision)
 		}
-		if r.PromiseRev >= j.rev {
-			j.rev, j.promised = r.PromiseRev, r.Promised
+		if r.PromiseRevision >= j.rev {
+			j.rev, j.promised = r.PromiseRevision, r.PromisedAfter
 		}
 	}
 	switch {
@@ -258,16 +258,16 @@
 		zones[o.Zone]++
 	}, t.index)
 	team := w.team(s.Team)
-	if u := w.used[s.Team]; team.Limit.CPU > 0 && u.CPU > team.Limit.CPU+1e-6 || team.Limit.GPU > 0 && u.GPU > team.Limit.GPU+1e-6 {
+	if u := w.used[s.Team]; team.QuotaLimit.CPU > 0 && u.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && u.GPU > team.QuotaLimit.GPU+1e-6 {
 		w.broke("quota", "%s uses %v", s.Team, u)
 	}
-	if len(s.Flavours) > 0 && !slices.Contains(s.Flavours, m.Flavour) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.Spot {
+	if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.Flavour) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot {
 		w.broke("wrong_place", "%s on %s", name, m.ID)
 	}
-	if s.SamePlace && len(zones) > 0 && zones[m.Zone] == 0 {
+	if s.SameZone && len(zones) > 0 && zones[m.Zone] == 0 {
 		w.broke("wrong_place", "%s not with the others", name)
 	}
-	if s.Apart && zones[m.Zone]+1 > (s.Tasks+1)/2 {
+	if s.SpreadZones && zones[m.Zone]+1 > (s.Tasks+1)/2 {
 		w.broke("wrong_place", "%s too many in %s", name, m.Zone)
 	}
 	if !j.cancelled.IsZero() {
@@ -315,7 +315,7 @@
 			return !there
 		})
 	}
-	if !j.spec.SamePlace && !j.spec.Apart {
+	if !j.spec.SameZone && !j.spec.SpreadZones {
 		look(index)
 		return
 	}
@@ -334,9 +334,9 @@
 }
 
 // checkBody judges the size of an answer to a worker.
-func (w *World) checkBody(a core.ReportReply) {
+func (w *World) checkBody(a core.HeartbeatReply) {
 	size := 0
-	for _, o := range a.Orders {
+	for _, o := range a.Commands {
 		size += len(o.Job) + orderBytes
 	}
 	if size > bodyMost {
--- a/internal/standin/waits_test.go
+++ b/internal/standin/waits_test.go
@@ -24,24 +24,24 @@
 			var more func()
 			more = func() {
 				flood++
-				w.Submit(core.Spec{
+				w.Submit(core.JobSpec{
 					ID: fmt.Sprintf("job-%06d", flood), Workload: "flood", Team: "ops", Urgency: core.Urgent, Tasks: 20,
-					Need: core.Resources{CPU: 4, Memory: 8}, Image: "flood", ImageGB: 0.5, Expected: 20 * time.Second, Due: 30 * time.Second,
+					Need: core.Resources{CPU: 4, Memory: 8}, Image: "flood", ImageGB: 0.5, ExpectedRunTime: 20 * time.Second, Deadline: 30 * time.Second,
 				}, 20*time.Second, false)
 				w.after(8*time.Second, more)
 			}
 			more()
-			whole := core.Spec{ID: "job-900001", Workload: "whole", Team: "ops", Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 32, Memory: 100}, Image: "whole", ImageGB: 1, Expected: 30 * time.Second}
-			low := core.Spec{ID: "job-900002", Workload: "low", Team: "ops", Urgency: core.BestEffort, Tasks: 6,
-				Need: core.Resources{CPU: 2, Memory: 4}, Image: "low", ImageGB: 0.5, Expected: 30 * time.Second}
+			whole := core.JobSpec{ID: "job-900001", Workload: "whole", Team: "ops", Urgency: core.Normal, Tasks: 2,
+				Need: core.Resources{CPU: 32, Memory: 100}, Image: "whole", ImageGB: 1, ExpectedRunTime: 30 * time.Second}
+			low := core.JobSpec{ID: "job-900002", Workload: "low", Team: "ops", Urgency: core.BestEffort, Tasks: 6,
+				Need: core.Resources{CPU: 2, Memory: 4}, Image: "low", ImageGB: 0.5, ExpectedRunTime: 30 * time.Second}
 			w.after(90*time.Second, func() {
 				w.Submit(whole, 30*time.Second, false)
 				w.Submit(low, 30*time.Second, false)
 			})
 			w.after(3*time.Minute, func() {
 				for i := range w.nodes {
-					if w.nodes[i].node.IsOwner() {
+					if w.nodes[i].node.IsShardLeader() {
 						w.Crash(i, 5*time.Second)
 					}
 				}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -81,48 +81,48 @@
 
 // onMachine says that a task counts as being on its machine.
 func (t *workerTask) onMachine() bool {
-	return t.status == core.Running || t.status == core.Flushing
+	return t.status == core.Running || t.status == core.Checkpointing
 }
 
-func (m *Worker) report(now time.Time) core.Report {
+func (m *Worker) report(now time.Time) core.Heartbeat {
 	m.tick++
-	r := core.Report{
-		Machine: m.ID, Addr: m.Addr, Flavour: m.Flavour, Zone: m.Zone, Spot: m.Spot,
-		Tenure: m.tenure, Tick: m.tick, Epoch: m.epoch, Recall: -1,
+	r := core.Heartbeat{
+		Machine: m.ID, Addr: m.Addr, MachineType: m.Flavour, Zone: m.Zone, Spot: m.Spot,
+		Incarnation: m.tenure, Sequence: m.tick, Epoch: m.epoch, ReclaimIn: -1,
 	}
 	if !m.recallAt.IsZero() {
-		r.Recall = max(0, m.recallAt.Sub(now))
+		r.ReclaimIn = max(0, m.recallAt.Sub(now))
 	}
 	for _, k := range sorted(m.tasks) {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, core.TaskReport{Job: t.job.spec.ID, Index: t.index, Try: t.try, Status: t.status, Cause: t.cause, Stored: t.stored})
+		r.Tasks = append(r.Tasks, core.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.try, Status: t.status, Cause: t.cause, CheckpointStored: t.stored})
 	}
 	return r
 }
 
 // execute carries out orders one after another.
-func (w *World) execute(m *Worker, orders []core.Order) {
+func (w *World) execute(m *Worker, orders []core.TaskCommand) {
 	for _, o := range orders {
-		k := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Try)
+		k := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 		t := m.tasks[k]
-		switch o.Verb {
-		case core.Start:
+		switch o.Kind {
+		case core.StartTask:
 			if t == nil && !m.lazy {
 				w.startTask(m, o, k)
 			}
-		case core.Halt:
+		case core.StopTask:
 			if t == nil || t.status == core.Ended {
 				continue
 			}
-			save := t.job.spec.SaveEvery > 0 && t.status == core.Running && o.WindDown >= t.job.spec.SaveCost
+			save := t.job.spec.CheckpointInterval > 0 && t.status == core.Running && o.GracePeriod >= t.job.spec.CheckpointCost
 			switch {
 			case save:
-				t.status, t.flush = core.Flushing, w.now.Add(t.job.spec.SaveCost)
-			case t.status == core.Flushing && o.WindDown > 0:
+				t.status, t.flush = core.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
+			case t.status == core.Checkpointing && o.GracePeriod > 0:
 			default:
 				w.end(m, t, "stopped")
 			}
-		case core.Clear:
+		case core.ClearTask:
 			if t != nil && t.status == core.Ended {
 				delete(m.tasks, k)
 			}
@@ -130,7 +130,7 @@
 	}
 }
 
-func (w *World) startTask(m *Worker, o core.Order, k string) {
+func (w *World) startTask(m *Worker, o core.TaskCommand, k string) {
 	j := w.jobs[o.Job]
 	if j == nil && w.learn != nil {
 		if spec, run, ok := w.learn(o.Job); ok {
@@ -141,7 +141,7 @@
 	if j == nil {
 		return
 	}
-	t := &workerTask{job: j, index: o.Index, try: o.Try, status: core.Fetching}
+	t := &workerTask{job: j, index: o.Index, try: o.Attempt, status: core.Fetching}
 	m.tasks[k] = t
 	if !slices.Contains(j.places[o.Index], m) {
 		j.places[o.Index] = append(j.places[o.Index], m)
@@ -189,7 +189,7 @@
 func (w *World) advance(m *Worker, d time.Duration) {
 	// A hanging machine goes on within its lease or not at all, so the end of
 	// a lease comes to it as well.
-	if m.tenure > 0 && w.now.Sub(m.leaseFrom) > w.set.Lease {
+	if m.tenure > 0 && w.now.Sub(m.leaseFrom) > w.set.WorkerLease {
 		for _, t := range m.tasks {
 			if t.onMachine() {
 				w.LostToLease++
@@ -221,18 +221,18 @@
 				continue
 			}
 			t.left -= d
-			if every := t.job.spec.SaveEvery; every > 0 && t.left > 0 {
+			if every := t.job.spec.CheckpointInterval; every > 0 && t.left > 0 {
 				// Saved progress is what is left rounded up to a checkpoint.
 				steps := (t.job.run - t.left) / every
 				t.job.save(t.index, t.job.run-steps*every)
 			}
-			if t.left <= 0 && !t.job.spec.Standing {
+			if t.left <= 0 && !t.job.spec.LongRunning {
 				t.job.results[t.index] = true
 				w.end(m, t, "done")
 				w.resultsComplete(t.job)
 				w.endsNear(t.job)
 			}
-		case core.Flushing:
+		case core.Checkpointing:
 			if !t.flush.After(w.now) {
 				t.job.save(t.index, t.left)
 				t.stored = true
@@ -243,7 +243,7 @@
 	// No more often than every half second, and every report interval.
 	if !m.reporting && (!w.now.Before(m.nextAt) || m.changed && w.now.Sub(m.lastAt) >= 500*time.Millisecond) {
 		m.reporting, m.changed, m.lastAt = true, false, w.now
-		m.nextAt = w.now.Add(w.jitter(w.set.ReportEvery))
+		m.nextAt = w.now.Add(w.jitter(w.set.HeartbeatInterval))
 		w.reporter(m)
 	}
 }
@@ -272,13 +272,13 @@
 	if w.twice > 0 && w.rng.Float64() < w.twice {
 		w.after(w.late(), func() {
 			w.sendMsg(m.ID, p.name, func() {
-				p.ask(func(reply uint64) core.Command { return core.WorkerReport{Reply: reply, Report: r} }, func(core.Effect) {})
+				p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
 			})
 		})
 	}
 	w.sendMsg(m.ID, p.name, func() {
-		p.ask(func(reply uint64) core.Command { return core.WorkerReport{Reply: reply, Report: r} }, func(e core.Effect) {
-			a := e.(core.ReportReply)
+		p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) {
+			a := e.(core.HeartbeatReply)
 			w.sendMsg(p.name, m.ID, func() {
 				if answered {
 					// Given up: the answer is dropped.
@@ -286,9 +286,9 @@
 				}
 				answered = true
 				switch {
-				case a.Status == 421 && a.Steward != "" && w.nodeIndex(a.Steward) >= 0 && w.nodeIndex(a.Steward) != to:
+				case a.Status == 421 && a.MachineOwner != "" && w.nodeIndex(a.MachineOwner) >= 0 && w.nodeIndex(a.MachineOwner) != to:
 					m.reporting = false
-					m.node = w.nodeIndex(a.Steward)
+					m.node = w.nodeIndex(a.MachineOwner)
 					m.nextAt = w.now.Add(w.jitter(250 * time.Millisecond))
 				case a.Status != 200:
 					next(time.Second)
@@ -302,7 +302,7 @@
 						m.epoch, m.changed = a.Epoch, true
 					}
 					m.leaseFrom = sent
-					w.execute(m, a.Orders)
+					w.execute(m, a.Commands)
 				}
 			})
 		})
@@ -310,20 +310,20 @@
 }
 
 // direct is a request to the worker's own address.
-func (w *World) direct(m *Worker, op core.WorkerOp) core.WorkerDone {
-	d := core.WorkerDone{ID: op.ID, OK: true}
-	if !op.Ask {
-		if op.Epoch < m.epoch || op.Tenure != m.tenure {
+func (w *World) direct(m *Worker, op core.WorkerRequest) core.WorkerResponse {
+	d := core.WorkerResponse{ID: op.ID, OK: true}
+	if !op.StatusOnly {
+		if op.Epoch < m.epoch || op.Incarnation != m.tenure {
 			d.OK = false
 		} else {
 			if op.Epoch > m.epoch {
 				m.epoch, m.changed = op.Epoch, true
 			}
-			w.execute(m, op.Orders)
+			w.execute(m, op.Commands)
 		}
 	}
 	r := m.report(w.now)
-	d.Report = &r
+	d.Heartbeat = &r
 	return d
 }
 
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -34,7 +34,7 @@
 	// used is what each team's tasks take.
 	used   map[string]core.Resources
 	calls  *rate.Limiter
-	types  map[string]core.Flavour
+	types  map[string]core.MachineType
 	room   map[string]int
 	booked map[string][]string
 	jobs   map[string]*userJob
@@ -93,7 +93,7 @@
 	gone     func(*Worker)
 	// learn, when set, is where workers fetch the description of a job that nobody
 	// told them of.
-	learn func(id string) (core.Spec, time.Duration, bool)
+	learn func(id string) (core.JobSpec, time.Duration, bool)
 	// stills picks the effect before which a process stands still, for stillFor.
 	stills   func(*proc, core.Effect) bool
 	stillFor time.Duration
@@ -147,16 +147,16 @@
 }
 
 // NewWorld makes a world with n controllers, which start at once.
-func NewWorld(seed uint64, n int, set core.Settings, cancel time.Duration, types []core.Flavour, room map[string]int) *World {
+func NewWorld(seed uint64, n int, set core.Settings, cancel time.Duration, types []core.MachineType, room map[string]int) *World {
 	w := &World{
 		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), set: set, cancel: cancel,
-		state: NewStateService(), machine: map[string]*Worker{}, types: map[string]core.Flavour{},
+		state: NewStateService(), machine: map[string]*Worker{}, types: map[string]core.MachineType{},
 		room: room, booked: map[string][]string{}, jobs: map[string]*userJob{}, cuts: map[string]*cut{}, oneWay: map[string]int{},
 		used: map[string]core.Resources{}, slack: map[string]Slack{}, calls: rate.NewLimiter(rate.Inf, 1),
 	}
-	if set.CloudRPS > 0 {
+	if set.CloudRequestsPerSecond > 0 {
 		// Bursts of two seconds' worth.
-		w.calls = rate.NewLimiter(rate.Limit(set.CloudRPS), max(1, int(2*set.CloudRPS)))
+		w.calls = rate.NewLimiter(rate.Limit(set.CloudRequestsPerSecond), max(1, int(2*set.CloudRequestsPerSecond)))
 	}
 	w.began = w.now
 	w.state.Limit(set)
--- a/internal/state/gate.go
+++ b/internal/state/gate.go
@@ -26,18 +26,18 @@
 func (g *Gate) Set(now time.Time, r core.Rates) {
 	g.reqs.SetLimitAt(now, rate.Limit(r.Requests))
 	g.reqs.SetBurstAt(now, max(leastBurst, int(r.Requests)))
-	g.writes.SetLimitAt(now, rate.Limit(r.Changes))
-	g.writes.SetBurstAt(now, max(leastBurst, int(r.Changes)))
+	g.writes.SetLimitAt(now, rate.Limit(r.Writes))
+	g.writes.SetBurstAt(now, max(leastBurst, int(r.Writes)))
 }
 
 // Wait says how long a request must wait for its turn; ok is false if that is longer
 // than it may. The session comes first, and then what users wait for: they take their
 // part without waiting, and the others wait the longer. Users' own requests wait only
 // when they alone are more than the rate allows.
-func (g *Gate) Wait(now time.Time, op core.StateOp) (d time.Duration, ok bool) {
-	k := min(len(op.Apply), g.writes.Burst())
+func (g *Gate) Wait(now time.Time, op core.StoreRequest) (d time.Duration, ok bool) {
+	k := min(len(op.Writes), g.writes.Burst())
 	ahead := g.writes.TokensAt(now) > -userAhead*float64(g.writes.Limit()) && g.reqs.TokensAt(now) > -userAhead*float64(g.reqs.Limit())
-	if op.Prio == core.PrioSession || op.Prio == core.PrioUser && ahead {
+	if op.Priority == core.PriorityMembership || op.Priority == core.PriorityUser && ahead {
 		g.reqs.ReserveN(now, 1)
 		if k > 0 {
 			g.writes.ReserveN(now, k)
@@ -45,7 +45,7 @@
 		return 0, true
 	}
 	limit := Deadline(op)
-	if op.Prio >= core.PrioStart {
+	if op.Priority >= core.PriorityStart {
 		// Nobody waits at the other end of these, and few are under way at a
 		// time. Were a large write refused because its turn comes after the
 		// deadline of a request, small ones would pass it for ever.
@@ -68,11 +68,11 @@
 }
 
 // Deadline is how long an answer is waited for.
-func Deadline(op core.StateOp) time.Duration {
+func Deadline(op core.StoreRequest) time.Duration {
 	switch {
-	case op.Kind == core.OpFollow:
-		return op.Hold + longDeadline
-	case op.Kind == core.OpList || op.Prio == core.PrioLazy:
+	case op.Kind == core.OpWatch:
+		return op.WatchTimeout + longDeadline
+	case op.Kind == core.OpList || op.Priority == core.PriorityLazy:
 		return longDeadline
 	}
 	return shortDeadline
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -25,22 +25,22 @@
 
 // TestGoldenRequests: the state service is asked as it ever was.
 func TestGoldenRequests(t *testing.T) {
-	for name, op := range map[string]core.StateOp{
+	for name, op := range map[string]core.StoreRequest{
 		"txn": {
-			Kind: core.OpTxn, When: []core.Cond{{Key: "ctl/lead", Stamp: 411}, {Key: "open/job-000412", Stamp: 412}},
-			Apply: []core.Change{
+			Kind: core.OpTxn, Compares: []core.Compare{{Key: "ctl/lead", ModRevision: 411}, {Key: "open/job-000412", ModRevision: 412}},
+			Writes: []core.Write{
 				{Key: "job/job-000412", Value: []byte{0x81, 0xa1, 's', 0xa4, 'd', 'o', 'n', 'e'}},
-				{Key: "open/job-000412"}, {Key: "ctl/node/ctl-2", Value: []byte{0x80}, Grant: 413},
+				{Key: "open/job-000412"}, {Key: "ctl/node/ctl-2", Value: []byte{0x80}, LeaseID: 413},
 			},
 		},
 		"txn-bare":    {Kind: core.OpTxn},
-		"grant-new":   {Kind: core.OpGrantNew, TTL: 6_500 * time.Millisecond},
-		"grant-renew": {Kind: core.OpGrantRenew, Grant: 414},
-		"grant-drop":  {Kind: core.OpGrantDrop, Grant: 415},
+		"grant-new":   {Kind: core.OpLeaseGrant, TTL: 6_500 * time.Millisecond},
+		"grant-renew": {Kind: core.OpLeaseRenew, LeaseID: 414},
+		"grant-drop":  {Kind: core.OpLeaseRevoke, LeaseID: 415},
 		"get":         {Kind: core.OpGet, Key: "job/job-000412"},
-		"list":        {Kind: core.OpList, Key: "open/", From: "open/job-000412"},
+		"list":        {Kind: core.OpList, Key: "open/", StartAfter: "open/job-000412"},
 		"list-first":  {Kind: core.OpList, Key: "open/"},
-		"follow":      {Kind: core.OpFollow, Key: "ctl/", Rev: 416, Hold: 9_500 * time.Millisecond},
+		"follow":      {Kind: core.OpWatch, Key: "ctl/", Revision: 416, WatchTimeout: 9_500 * time.Millisecond},
 	} {
 		method, path, body := request(op)
 		sent := []byte(method + " " + path + "\n")
@@ -65,7 +65,7 @@
 	// A value that is not there is no MessagePack.
 	c.Strict = true
 	testgolden.Check(t, c, answers)
-	_, _, body := request(core.StateOp{Kind: core.OpTxn, When: []core.Cond{{Key: "ctl/lead", Stamp: 411}}, Apply: []core.Change{{Key: "open/job-000412"}}})
+	_, _, body := request(core.StoreRequest{Kind: core.OpTxn, Compares: []core.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []core.Write{{Key: "open/job-000412"}}})
 	answers["asked"] = body
 	testgolden.Full(t, answers)
 
@@ -73,13 +73,13 @@
 	if err := c.Read(testgolden.Bytes(t, "answer"), &a); err != nil {
 		t.Fatal(err)
 	}
-	got := core.StateDone{Status: core.StateOK}
-	fill(&got, core.StateOp{Kind: core.OpGet}, &a)
-	want := core.StateDone{Status: core.StateOK, Truncated: true, Rev: 412, Failed: []string{"ctl/lead"}, Grant: 413, Items: []core.Item{
-		{Key: "job/job-000411", Value: raw("one"), Stamp: 411},
-		{Key: "open/job-000412", Value: raw("two"), Stamp: 414},
-		{Key: "open/job-000415", Value: raw("three"), Stamp: 415},
-		{Key: "open/job-000416", Value: raw("four"), Stamp: 416, Removed: true},
+	got := core.StoreResponse{Status: core.StoreOK}
+	fill(&got, core.StoreRequest{Kind: core.OpGet}, &a)
+	want := core.StoreResponse{Status: core.StoreOK, Truncated: true, Revision: 412, FailedKeys: []string{"ctl/lead"}, LeaseID: 413, KeyValues: []core.KeyValue{
+		{Key: "job/job-000411", Value: raw("one"), ModRevision: 411},
+		{Key: "open/job-000412", Value: raw("two"), ModRevision: 414},
+		{Key: "open/job-000415", Value: raw("three"), ModRevision: 415},
+		{Key: "open/job-000416", Value: raw("four"), ModRevision: 416, Deleted: true},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -60,11 +60,11 @@
 					wg.Go(func() {
 						defer func() { <-turns }()
 						key := fmt.Sprintf("task/job-%06d/0", i)
-						for _, op := range []core.StateOp{
-							{Kind: core.OpGet, Prio: core.PrioLazy, Key: key},
-							{Kind: core.OpTxn, Prio: core.PrioLazy, Apply: []core.Change{{Key: key, Value: []byte{0xc0}}}},
+						for _, op := range []core.StoreRequest{
+							{Kind: core.OpGet, Priority: core.PriorityLazy, Key: key},
+							{Kind: core.OpTxn, Priority: core.PriorityLazy, Writes: []core.Write{{Key: key, Value: []byte{0xc0}}}},
 						} {
-							if c.Do(context.Background(), op).Status != core.StateOK {
+							if c.Do(context.Background(), op).Status != core.StoreOK {
 								refused.Add(1)
 							}
 						}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -58,7 +58,7 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	gate := NewGate(time.Now(), core.Rates{Requests: rps / float64(n), Changes: wps / float64(n)})
+	gate := NewGate(time.Now(), core.Rates{Requests: rps / float64(n), Writes: wps / float64(n)})
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: tr}, gate: gate}
 }
 
@@ -87,8 +87,8 @@
 }
 
 type cond struct {
-	Key   string `msgpack:"key"`
-	Stamp uint64 `msgpack:"stamp"`
+	Key         string `msgpack:"key"`
+	ModRevision uint64 `msgpack:"stamp"`
 }
 
 type multi struct {
@@ -97,8 +97,8 @@
 }
 
 // Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op core.StateOp) core.StateDone {
-	out := core.StateDone{ID: op.ID, Status: core.StateRefused}
+func (c *Client) Do(ctx context.Context, op core.StoreRequest) core.StoreResponse {
+	out := core.StoreResponse{ID: op.ID, Status: core.StoreRefused}
 	wait, ok := c.gate.Wait(time.Now(), op)
 	if !ok {
 		return out
@@ -114,13 +114,13 @@
 	defer cancel()
 	method, path, body := request(op)
 	for {
-		out.Sent = time.Now()
+		out.SentAt = time.Now()
 		status, a, err := c.send(ctx, method, path, body)
 		switch {
 		case err != nil:
-			out.Status = core.StateUnknown
+			out.Status = core.StoreUnknown
 			if neverSent(err) {
-				out.Status = core.StateRefused
+				out.Status = core.StoreRefused
 			}
 			return out
 		case status == http.StatusTooManyRequests:
@@ -138,38 +138,38 @@
 	}
 }
 
-func request(op core.StateOp) (method, path string, body any) {
+func request(op core.StoreRequest) (method, path string, body any) {
 	switch op.Kind {
 	case core.OpGet:
 		return http.MethodGet, "/store/" + op.Key, nil
 	case core.OpList:
 		q := url.Values{"under": {op.Key}, "limit": {strconv.Itoa(listPage)}}
-		if op.From != "" {
-			q.Set("from", op.From)
+		if op.StartAfter != "" {
+			q.Set("from", op.StartAfter)
 		}
 		return http.MethodGet, "/store?" + q.Encode(), nil
-	case core.OpFollow:
-		q := url.Values{"under": {op.Key}, "from": {strconv.FormatUint(op.Rev, 10)}, "hold_ms": {strconv.FormatInt(op.Hold.Milliseconds(), 10)}}
+	case core.OpWatch:
+		q := url.Values{"under": {op.Key}, "from": {strconv.FormatUint(op.Revision, 10)}, "hold_ms": {strconv.FormatInt(op.WatchTimeout.Milliseconds(), 10)}}
 		return http.MethodGet, "/follow?" + q.Encode(), nil
-	case core.OpGrantNew:
+	case core.OpLeaseGrant:
 		return http.MethodPost, "/grants", map[string]any{"ttl_ms": op.TTL.Milliseconds()}
-	case core.OpGrantRenew:
-		return http.MethodPost, fmt.Sprintf("/grants/%d/renew", op.Grant), map[string]any{}
-	case core.OpGrantDrop:
-		return http.MethodDelete, fmt.Sprintf("/grants/%d", op.Grant), nil
+	case core.OpLeaseRenew:
+		return http.MethodPost, fmt.Sprintf("/grants/%d/renew", op.LeaseID), map[string]any{}
+	case core.OpLeaseRevoke:
+		return http.MethodDelete, fmt.Sprintf("/grants/%d", op.LeaseID), nil
 	}
 	m := multi{When: []cond{}}
-	for _, w := range op.When {
+	for _, w := range op.Compares {
 		m.When = append(m.When, cond(w))
 	}
-	for _, a := range op.Apply {
+	for _, a := range op.Writes {
 		ch := map[string]any{}
 		if a.Value == nil {
 			ch["remove"] = a.Key
 		} else {
 			ch["put"], ch["value"] = a.Key, msgpack.RawMessage(a.Value)
-			if a.Grant != 0 {
-				ch["permit"] = a.Grant
+			if a.LeaseID != 0 {
+				ch["permit"] = a.LeaseID
 			}
 		}
 		m.Apply = append(m.Apply, ch)
@@ -217,43 +217,43 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func outcome(op core.StateOp, status int, a *answer) core.StateStatus {
+func outcome(op core.StoreRequest, status int, a *answer) core.StoreStatus {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
-		return core.StateOK
+		return core.StoreOK
 	case http.StatusNotFound:
-		return core.StateNotFound
+		return core.StoreNotFound
 	case http.StatusConflict:
-		return core.StateConflict
+		return core.StoreConflict
 	case http.StatusGone:
-		return core.StateGone
+		return core.StoreCompacted
 	case http.StatusBadRequest:
 		if strings.Contains(a.Error, "lease") {
-			return core.StateNoGrant
+			return core.StoreNoLease
 		}
-		return core.StateBad
+		return core.StoreMalformed
 	case http.StatusServiceUnavailable:
-		return core.StateRefused
+		return core.StoreRefused
 	}
 	if op.Kind == core.OpTxn {
-		return core.StateUnknown
+		return core.StoreUnknown
 	}
-	return core.StateRefused
+	return core.StoreRefused
 }
 
-func fill(out *core.StateDone, op core.StateOp, a *answer) {
-	out.Rev, out.Failed, out.Grant, out.Truncated = a.Rev, a.Failed, a.Permit, a.Truncated
-	if op.Kind == core.OpGet && out.Status == core.StateOK {
-		out.Items = []core.Item{{Key: a.Key, Value: a.Value, Stamp: a.Stamp}}
+func fill(out *core.StoreResponse, op core.StoreRequest, a *answer) {
+	out.Revision, out.FailedKeys, out.LeaseID, out.Truncated = a.Rev, a.Failed, a.Permit, a.Truncated
+	if op.Kind == core.OpGet && out.Status == core.StoreOK {
+		out.KeyValues = []core.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.Stamp}}
 	}
 	for _, r := range a.Rows {
-		out.Items = append(out.Items, core.Item{Key: r.Key, Value: r.Value, Stamp: r.Stamp})
+		out.KeyValues = append(out.KeyValues, core.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.Stamp})
 	}
 	for _, r := range a.News {
-		it := core.Item{Key: r.Put, Value: r.Value, Stamp: r.Stamp}
+		it := core.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.Stamp}
 		if r.Remove != "" {
-			it.Key, it.Removed = r.Remove, true
+			it.Key, it.Deleted = r.Remove, true
 		}
-		out.Items = append(out.Items, it)
+		out.KeyValues = append(out.KeyValues, it)
 	}
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -27,25 +27,25 @@
 	}))
 	defer srv.Close()
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 20, 1)
-	c.SetRates(core.Rates{Requests: 700, Changes: 14})
-	write := func(changes int, prio core.Priority) core.StateStatus {
+	c.SetRates(core.Rates{Requests: 700, Writes: 14})
+	write := func(changes int, prio core.Priority) core.StoreStatus {
 		t.Helper()
-		op := core.StateOp{Kind: core.OpTxn, Prio: prio}
+		op := core.StoreRequest{Kind: core.OpTxn, Priority: prio}
 		for i := range changes {
-			op.Apply = append(op.Apply, core.Change{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
+			op.Writes = append(op.Writes, core.Write{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
 		}
 		return c.Do(context.Background(), op).Status
 	}
 	// Users' changes take a second's worth of the rate before it is there.
 	for i := range 2 {
-		if s := write(12, core.PrioUser); s != core.StateOK {
+		if s := write(12, core.PriorityUser); s != core.StoreOK {
 			t.Fatal("a user's write:", i, s)
 		}
 	}
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
-			if s := write(12, core.PrioStart); s != core.StateOK {
+			if s := write(12, core.PriorityStart); s != core.StoreOK {
 				t.Error("a large write for starts:", s)
 			}
 		})
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -23,10 +23,10 @@
 				{Piece: "job-000413/9", Try: 1, Status: "flushing"},
 			},
 		},
-		"orders": Orders{Epoch: 412, Tenure: 4, Orders: Wire([]core.Order{
-			{Verb: core.Start, Job: "job-000412", Index: 5, Try: 2},
-			{Verb: core.Halt, Job: "job-000413", Index: 6, Try: 300, WindDown: 30_250 * time.Millisecond},
-			{Verb: core.Clear, Job: "job-000414", Index: 7, Try: 4},
+		"orders": Orders{Epoch: 412, Tenure: 4, Orders: Wire([]core.TaskCommand{
+			{Kind: core.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
+			{Kind: core.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
+			{Kind: core.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
 		})},
 	}
 	testgolden.Check(t, testgolden.Msgpack, wire)
@@ -36,14 +36,14 @@
 	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "report"), &r); err != nil {
 		t.Fatal(err)
 	}
-	want := core.Report{
-		Machine: "vm-000231", Addr: "10.1.0.232:9000", Flavour: "g8", Zone: "a", Spot: true, Tenure: 3, Tick: 88, Epoch: 411, Recall: 28_500 * time.Millisecond,
+	want := core.Heartbeat{
+		Machine: "vm-000231", Addr: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Incarnation: 3, Sequence: 88, Epoch: 411, ReclaimIn: 28_500 * time.Millisecond,
 		Tasks: []core.TaskReport{
-			{Job: "job-000412", Index: 5, Try: 2, Status: core.Ended, Cause: "done", Stored: true},
-			{Job: "job-000413", Index: 6, Try: 300, Status: core.Fetching},
-			{Job: "job-000413", Index: 7, Try: 1, Status: core.Fetching},
-			{Job: "job-000413", Index: 8, Try: 1, Status: core.Running},
-			{Job: "job-000413", Index: 9, Try: 1, Status: core.Flushing},
+			{Job: "job-000412", Index: 5, Attempt: 2, Status: core.Ended, Cause: "done", CheckpointStored: true},
+			{Job: "job-000413", Index: 6, Attempt: 300, Status: core.Fetching},
+			{Job: "job-000413", Index: 7, Attempt: 1, Status: core.Fetching},
+			{Job: "job-000413", Index: 8, Attempt: 1, Status: core.Running},
+			{Job: "job-000413", Index: 9, Attempt: 1, Status: core.Checkpointing},
 		},
 	}
 	if got := r.Core(); !reflect.DeepEqual(got, want) {
--- a/internal/worker/size_test.go
+++ b/internal/worker/size_test.go
@@ -50,8 +50,8 @@
 			var wg sync.WaitGroup
 			for i := range machines {
 				wg.Go(func() {
-					d := cl.Do(ctx, core.WorkerOp{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), Ask: true})
-					if d.Report != nil {
+					d := cl.Do(ctx, core.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
+					if d.Heartbeat != nil {
 						t.Error("an answer out of nothing")
 					}
 				})
@@ -78,7 +78,7 @@
 	// A free place and an ended context are there at once, and either may be seen first.
 	cl := New(800)
 	for range 100 {
-		if d := cl.Do(ctx, core.WorkerOp{Machine: "vm-1", Addr: "127.0.0.1:1", Ask: true}); !d.NotSent {
+		if d := cl.Do(ctx, core.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !d.NotSent {
 			t.Fatal("it counts as sent")
 		}
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -71,20 +71,20 @@
 
 // Core turns a report from the wire into the core's form. Lines that make no
 // sense are left out.
-func (r *Report) Core() core.Report {
-	out := core.Report{
-		Machine: r.Host, Addr: r.Address, Flavour: r.Flavour, Zone: r.Site, Spot: r.Loaner,
-		Tenure: r.Tenure, Tick: r.Tick, Epoch: r.Epoch, Recall: -1,
+func (r *Report) Core() core.Heartbeat {
+	out := core.Heartbeat{
+		Machine: r.Host, Addr: r.Address, MachineType: r.Flavour, Zone: r.Site, Spot: r.Loaner,
+		Incarnation: r.Tenure, Sequence: r.Tick, Epoch: r.Epoch, ReclaimIn: -1,
 	}
 	if r.RecallS != nil {
-		out.Recall = core.Seconds(*r.RecallS)
+		out.ReclaimIn = core.Seconds(*r.RecallS)
 	}
 	for _, p := range r.Pieces {
 		job, index, ok := splitPiece(p.Piece)
 		if !ok {
 			continue
 		}
-		t := core.TaskReport{Job: job, Index: index, Try: p.Try, Cause: p.Cause, Stored: p.Stored}
+		t := core.TaskReport{Job: job, Index: index, Attempt: p.Try, Cause: p.Cause, CheckpointStored: p.Stored}
 		switch p.Status {
 		case "fetching", "gathering":
 			// A gang's task that waits for its mates has not begun either.
@@ -92,7 +92,7 @@
 		case "running":
 			t.Status = core.Running
 		case "flushing":
-			t.Status = core.Flushing
+			t.Status = core.Checkpointing
 		case "ended":
 			t.Status = core.Ended
 		default:
@@ -114,12 +114,12 @@
 }
 
 // Wire turns orders into their wire form.
-func Wire(orders []core.Order) []Order {
+func Wire(orders []core.TaskCommand) []Order {
 	out := make([]Order, 0, len(orders))
 	for _, o := range orders {
-		w := Order{Verb: string(o.Verb), Piece: o.Job + "/" + strconv.Itoa(o.Index), Try: o.Try}
-		if o.Verb == core.Halt {
-			s := o.WindDown.Seconds()
+		w := Order{Verb: string(o.Kind), Piece: o.Job + "/" + strconv.Itoa(o.Index), Try: o.Attempt}
+		if o.Kind == core.StopTask {
+			s := o.GracePeriod.Seconds()
 			w.WindDownS = &s
 		}
 		out = append(out, w)
@@ -146,8 +146,8 @@
 }
 
 // Do carries out op. Without an answer the orders may still be executed later.
-func (c *Client) Do(ctx context.Context, op core.WorkerOp) core.WorkerDone {
-	out := core.WorkerDone{ID: op.ID}
+func (c *Client) Do(ctx context.Context, op core.WorkerRequest) core.WorkerResponse {
+	out := core.WorkerResponse{ID: op.ID}
 	ctx, cancel := context.WithTimeout(ctx, deadline)
 	defer cancel()
 	select {
@@ -157,7 +157,7 @@
 		out.NotSent = true
 		return out
 	}
-	if _, _, late := core.Late(op, time.Now()); late || ctx.Err() != nil {
+	if _, _, late := core.CheckDeadline(op, time.Now()); late || ctx.Err() != nil {
 		// Its turn came with its deadline. The transport would open a connection for it
 		// all the same, beside those that are allowed.
 		out.NotSent = true
@@ -168,14 +168,14 @@
 		return out
 	}
 	rep := r.Core()
-	out.Report, out.OK = &rep, status == http.StatusOK
+	out.Heartbeat, out.OK = &rep, status == http.StatusOK
 	return out
 }
 
-func (c *Client) send(ctx context.Context, op core.WorkerOp) (*Report, int, error) {
+func (c *Client) send(ctx context.Context, op core.WorkerRequest) (*Report, int, error) {
 	method, path, rd := http.MethodGet, "/status", io.Reader(nil)
-	if !op.Ask {
-		b, err := msgpack.Marshal(Orders{op.Epoch, op.Tenure, Wire(op.Orders)})
+	if !op.StatusOnly {
+		b, err := msgpack.Marshal(Orders{op.Epoch, op.Incarnation, Wire(op.Commands)})
 		if err != nil {
 			return nil, 0, fmt.Errorf("worker: encode: %w", err)
 		}
