--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -62,10 +62,10 @@
 // holdAllShards makes the node the holder of one share with all teams and machines.
 func (n *Controller) holdAllShards() {
 	s := &n.membership
-	s.leaseID, s.loaded, s.shardMap = 1, true, division.NewBook()
+	s.leaseID, s.loaded, s.shardMap = 1, true, division.NewMap()
 	s.controllers = map[string]controllerRecord{n.settings.Host: {Incarnation: n.incarnation()}}
 	b := encode(map[string]any{"host": n.settings.Host, "nonce": n.incarnation(), "teams": []string{"ops"}, "rest": true})
-	if err := s.shardMap.Share(n.settings.Host, b, 1); err != nil {
+	if err := s.shardMap.ApplyShard(n.settings.Host, b, 1); err != nil {
 		panic(err)
 	}
 }
--- a/internal/core/budgets.go
+++ b/internal/core/budgets.go
@@ -76,7 +76,7 @@
 		peer := b.peers[h]
 		if n.now.Sub(peer.receivedAt) > ratesTTL {
 			peer.Rates = Rates{followerRequests, followerWrites}
-			for _, s := range n.membership.shardMap.Shares() {
+			for _, s := range n.membership.shardMap.Shards() {
 				if s.Host == h && len(s.Teams) > 0 {
 					peer.Rates = Rates{shardLeaderRequests, shardLeaderWrites}
 				}
--- a/internal/core/divide.go
+++ b/internal/core/divide.go
@@ -24,13 +24,13 @@
 
 // shardPlanning is what the leader knows for the division.
 type shardPlanning struct {
-	planner *division.Divider
+	planner *division.Planner
 	writing bool
 	// writtenRevision is when it last wrote: nothing more is planned before that has been read.
 	writtenRevision uint64
 	// unrecordedMachines are machines that were rented for a controller and that no record
 	// names for it yet.
-	unrecordedMachines map[string]division.Rented
+	unrecordedMachines map[string]division.NewMachine
 	offers             map[string]division.Offer
 	loads              map[string]float64
 }
@@ -58,7 +58,7 @@
 func newShardPlanning(n *Controller) shardPlanning {
 	return shardPlanning{
 		planner:            division.New(n.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
-		unrecordedMachines: map[string]division.Rented{}, offers: map[string]division.Offer{}, loads: map[string]float64{},
+		unrecordedMachines: map[string]division.NewMachine{}, offers: map[string]division.Offer{}, loads: map[string]float64{},
 	}
 }
 
@@ -69,11 +69,11 @@
 	if planning.writing || s.revision < planning.writtenRevision || !s.loaded || n.now.After(s.leaseValidUntil) {
 		return
 	}
-	input := division.Input{Book: s.shardMap, Self: n.settings.Host, Load: planning.loads, Offers: planning.offers, Gone: n.confirmedGone}
+	input := division.Input{Map: s.shardMap, Self: n.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: n.confirmedGone}
 	for _, h := range sortedKeys(s.controllers) {
 		r := s.controllers[h]
 		receivesNothing := r.ReceivesNothing || h == n.settings.Host && s.receivesNothing(n.now)
-		input.Nodes = append(input.Nodes, division.Node{Host: h, Nonce: r.Incarnation, Able: !receivesNothing, Young: n.recentlyStarted(r)})
+		input.Controllers = append(input.Controllers, division.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: n.recentlyStarted(r)})
 	}
 	for _, t := range n.settings.Teams {
 		input.Teams = append(input.Teams, t.Name)
@@ -84,7 +84,7 @@
 			delete(planning.unrecordedMachines, id)
 			continue
 		}
-		input.New = append(input.New, r)
+		input.NewMachines = append(input.NewMachines, r)
 	}
 	writes := planning.planner.Plan(n.now, input)
 	clear(planning.offers)
@@ -94,11 +94,11 @@
 	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, l.modRevision}}}
 	for _, w := range writes {
 		key := shardSegmentPrefix + w.Name
-		if w.Share {
+		if w.IsShard {
 			key = shardPrefix + w.Name
 			n.info("division", "share", w.Name, "gone", w.Value == nil)
 		}
-		op.Compares = append(op.Compares, Compare{key, w.Stamp})
+		op.Compares = append(op.Compares, Compare{key, w.ModRevision})
 		op.Writes = append(op.Writes, Write{Key: key, Value: w.Value})
 	}
 	planning.writing = true
@@ -145,7 +145,7 @@
 // missing for a while, and so is all that a former leader rented just before.
 func markUnlisted(n *Controller) {
 	l := n.leader
-	n.membership.shardMap.Each(func(id string) {
+	n.membership.shardMap.EachMachine(func(id string) {
 		if l.rentals[id] != nil {
 			delete(l.unlistedSince, id)
 		} else if _, known := l.unlistedSince[id]; !known {
@@ -153,7 +153,7 @@
 		}
 	})
 	for id := range l.unlistedSince {
-		if !n.membership.shardMap.Named(id) {
+		if !n.membership.shardMap.IsAssigned(id) {
 			delete(l.unlistedSince, id)
 		}
 	}
@@ -174,7 +174,7 @@
 func applyOwnUpdate(n *Controller) {
 	l, o := n.leader, n.shardLeader
 	recordTeamLoads(n, n.teamLoads())
-	if a, ok := l.sharding.planner.Asked(); ok && a.From == n.settings.Host {
+	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == n.settings.Host {
 		o.teamRelease, o.teamReleaseAt = a, n.now
 		for _, x := range n.offers() {
 			l.sharding.offers[x.Team] = x
--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -98,7 +98,7 @@
 	SurplusElsewhere []CapacityRequest
 	RentalUpdates    []RentalUpdate
 	Blocked          []CapacityRequest
-	TeamRelease      []division.Ask
+	TeamRelease      []division.MoveRequest
 	// RemoteAttempts are attempts of the sender's jobs on the receiver's machines, and Told
 	// what the sender knows of those of the receiver's jobs on its own.
 	RemoteAttempts []ownership.Ask
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -304,7 +304,7 @@
 	l := n.leader
 	othersNeeds, empty := assignEvacuations(n)
 	updates := map[string]*PeerUpdate{}
-	for _, x := range n.membership.shardMap.Shares() {
+	for _, x := range n.membership.shardMap.Shards() {
 		if x.Host != n.settings.Host && slices.Contains(n.settings.Peers, x.Host) && updates[x.Host] == nil {
 			updates[x.Host] = &PeerUpdate{From: n.settings.Host, IsLeaderUpdate: true}
 		}
@@ -346,13 +346,13 @@
 			blocked = append(blocked, CapacityRequest{k.machineType, k.zone, k.spot, 1})
 		}
 	}
-	request, hasRequest := l.sharding.planner.Asked()
+	request, hasRequest := l.sharding.planner.PendingMove()
 	for _, host := range sortedKeys(updates) {
 		m := updates[host]
 		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, surplusFor(n, host)
 		m.OthersNeeds, m.EvacuationRequests = othersNeeds[host], empty[host]
 		if hasRequest && request.From == host {
-			m.TeamRelease = []division.Ask{request}
+			m.TeamRelease = []division.MoveRequest{request}
 		}
 		n.emit(SendPeerUpdate{To: host, Update: *m})
 	}
@@ -552,7 +552,7 @@
 		return
 	}
 	m := n.ensureMachine(r.id)
-	if !n.membership.shardMap.Named(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
+	if !n.membership.shardMap.IsAssigned(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
 		// Rented since, and named by nobody: it never was another's.
 		m.formerOwnerUntil = time.Time{}
 	}
@@ -722,7 +722,7 @@
 				r := &rental{id: id, machineKind: k, rentedAt: n.now, status: "booting"}
 				l.rentals[id] = r
 				if n.ownerOf(id) != host {
-					l.sharding.unrecordedMachines[id] = division.Rented{ID: id, Host: host, At: n.now}
+					l.sharding.unrecordedMachines[id] = division.NewMachine{ID: id, Host: host, KnownAt: n.now}
 				}
 				n.adopt(r)
 			}
--- a/internal/core/loans.go
+++ b/internal/core/loans.go
@@ -505,7 +505,7 @@
 		v.IsLeader, v.Epoch = true, n.leader.modRevision
 	}
 	if runsGuestTeam {
-		v.GuestTeamEpoch, v.GuestTeamTerm = n.membership.shardMap.Team(c.GuestTeam).Since(), n.offloadedJobs.term
+		v.GuestTeamEpoch, v.GuestTeamTerm = n.membership.shardMap.Team(c.GuestTeam).HeldSince(), n.offloadedJobs.term
 	}
 	if n.membership.drain.Deadline > 0 {
 		v.DrainDeadline = time.UnixMilli(n.membership.drain.Deadline)
--- a/internal/core/models_test.go
+++ b/internal/core/models_test.go
@@ -74,7 +74,7 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	share := n.membership.shardMap.Team("ops")
-	for _, c := range []Compare{{shardPrefix + "a", share.Stamp}, {openJobPrefix + "job-large", 7}, {"move/ops", 0}} {
+	for _, c := range []Compare{{shardPrefix + "a", share.ModRevision}, {openJobPrefix + "job-large", 7}, {"move/ops", 0}} {
 		if !slices.Contains(op.Compares, c) {
 			t.Errorf("conditions %v, want %v among them", op.Compares, c)
 		}
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -298,7 +298,7 @@
 // nextMigrationWrite is when moves may be written next.
 func nextMigrationWrite(n *Controller, mv *migrations) time.Time {
 	owners := 0
-	for _, s := range n.membership.shardMap.Shares() {
+	for _, s := range n.membership.shardMap.Shards() {
 		if len(s.Teams) > 0 {
 			owners++
 		}
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -105,7 +105,7 @@
 	// dearest first: others may have them.
 	surplusMachines []string
 	// teamRelease is a team that the leader wants to move, and when it last said so.
-	teamRelease   division.Ask
+	teamRelease   division.MoveRequest
 	teamReleaseAt time.Time
 	epochBumpedAt time.Time
 	// correlatedFailureLoggedAt is when the log last told of machines that are silent together.
--- a/internal/core/owner_test.go
+++ b/internal/core/owner_test.go
@@ -15,7 +15,7 @@
 	if host == n.settings.Host {
 		b = encode(map[string]any{"host": host, "nonce": n.incarnation(), "teams": teams, "rest": rest})
 	}
-	if err := n.membership.shardMap.Share(name, b, stamp); err != nil {
+	if err := n.membership.shardMap.ApplyShard(name, b, stamp); err != nil {
 		t.Fatal(err)
 	}
 	n.membership.controllers["b"] = controllerRecord{Incarnation: "b#1"}
@@ -24,11 +24,11 @@
 // putSegment names machines for a share.
 func (n *Controller) putSegment(t *testing.T, share string, stamp uint64, ids ...string) {
 	t.Helper()
-	w, some := division.Raise(n.storeLimits(), "l"+ids[0], n.membership.shardMap.Find(share), ids)
+	w, some := division.BumpEpoch(n.storeLimits(), "l"+ids[0], n.membership.shardMap.Shard(share), ids)
 	if len(some) != len(ids) {
 		t.Fatal("too many")
 	}
-	if err := n.membership.shardMap.Lot(w.Name, w.Value, stamp); err != nil {
+	if err := n.membership.shardMap.ApplySegment(w.Name, w.Value, stamp); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -70,7 +70,7 @@
 	}
 	n.applyControlUpdates(StoreResponse{Status: StoreOK, Revision: 9, KeyValues: []KeyValue{item("c", 7), item("d", 9)}})
 	n.applyControlUpdates(StoreResponse{Status: StoreOK, Revision: 7, KeyValues: []KeyValue{item("c", 7)}})
-	if s := n.membership.shardMap.Find("x"); s.Host != "d" || n.membership.revision != 9 {
+	if s := n.membership.shardMap.Shard("x"); s.Host != "d" || n.membership.revision != 9 {
 		t.Errorf("the share is %s's as of %d, want the later holder's", s.Host, n.membership.revision)
 	}
 }
--- a/internal/core/raise.go
+++ b/internal/core/raise.go
@@ -60,15 +60,15 @@
 		}
 	}
 	for _, name := range sortedKeys(byShard) {
-		s := n.membership.shardMap.Find(name)
+		s := n.membership.shardMap.Shard(name)
 		o.epochBumps++
-		w, bumped := division.Raise(n.storeLimits(), fmt.Sprintf("%s-%d-%d", n.incarnation(), o.generation, o.epochBumps), s, byShard[name])
+		w, bumped := division.BumpEpoch(n.storeLimits(), fmt.Sprintf("%s-%d-%d", n.incarnation(), o.generation, o.epochBumps), s, byShard[name])
 		if len(bumped) == 0 {
 			continue
 		}
 		n.bumpingEpoch = true
 		n.info("machines get a higher epoch", "machines", len(bumped), "such as", bumped[0], "share", name)
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: []Compare{{shardPrefix + name, s.Stamp}, {shardSegmentPrefix + w.Name, 0}},
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: []Compare{{shardPrefix + name, s.ModRevision}, {shardSegmentPrefix + w.Name, 0}},
 			Writes: []Write{{Key: shardSegmentPrefix + w.Name, Value: w.Value}}}, func(StoreResponse) {
 			n.bumpingEpoch = false
 			if n.shardLeader == o {
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -59,7 +59,7 @@
 
 // hasOtherShardLeaders says that there are other owners.
 func (n *Controller) hasOtherShardLeaders() bool {
-	for _, s := range n.membership.shardMap.Shares() {
+	for _, s := range n.membership.shardMap.Shards() {
 		if s.Host != n.settings.Host && len(s.Teams) > 0 {
 			return true
 		}
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -730,7 +730,7 @@
 		var share string
 		d.ScanArgs(t, "share", &share)
 		i := slices.IndexFunc(d.CmdArgs, func(a datadriven.CmdArg) bool { return a.Key == "machines" })
-		w, _ := division.Raise(bounds.Limits{ValueBytes: 4096}, first(), &division.Share{Name: share}, d.CmdArgs[i].Vals)
+		w, _ := division.BumpEpoch(bounds.Limits{ValueBytes: 4096}, first(), &division.Shard{Name: share}, d.CmdArgs[i].Vals)
 		b.store.Do(b.now, core.StoreRequest{Kind: core.OpTxn, Writes: []core.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(core.StoreResponse) {})
 		b.run(core.Seconds(number("for", 0.5)))
 	case "keys":
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -60,7 +60,7 @@
 	leader             leaderRecord
 	leaderModRevision  uint64
 	controllers        map[string]controllerRecord
-	shardMap           *division.Book
+	shardMap           *division.Map
 	claimingLeadership bool
 	drain              drainRecord
 	// formatSupport are the controllers that know parts of records, and form the one that all
@@ -120,7 +120,7 @@
 func (n *Controller) startMembership() {
 	n.membership.started, n.membership.startedAt = true, n.now
 	n.membership.controllers, n.membership.formatSupport = map[string]controllerRecord{}, map[string]bool{}
-	n.membership.shardMap = division.NewBook()
+	n.membership.shardMap = division.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
 	ended, waited := false, false
@@ -351,7 +351,7 @@
 			s.leader, s.leaderModRevision, s.drain = leaderRecord{}, 0, drainRecord{}
 			clear(s.controllers)
 			oldShardMap := s.shardMap
-			s.shardMap = division.NewBook()
+			s.shardMap = division.NewMap()
 			for _, it := range items {
 				n.applyControlRecord(it)
 			}
@@ -482,9 +482,9 @@
 			s.controllers[host] = r
 		}
 	case strings.HasPrefix(it.Key, shardPrefix):
-		err = s.shardMap.Share(strings.TrimPrefix(it.Key, shardPrefix), value, it.ModRevision)
+		err = s.shardMap.ApplyShard(strings.TrimPrefix(it.Key, shardPrefix), value, it.ModRevision)
 	case strings.HasPrefix(it.Key, shardSegmentPrefix):
-		err = s.shardMap.Lot(strings.TrimPrefix(it.Key, shardSegmentPrefix), value, it.ModRevision)
+		err = s.shardMap.ApplySegment(strings.TrimPrefix(it.Key, shardSegmentPrefix), value, it.ModRevision)
 	}
 	if err != nil {
 		n.rejectInput("record", it.Key, err.Error())
@@ -554,7 +554,7 @@
 // lives.
 func (n *Controller) liveMachineOwner(machine string) string {
 	o, ok := n.membership.shardMap.Owner(machine)
-	if !ok || !n.membership.loaded || n.membership.controllers[o.Host].Incarnation != o.Nonce {
+	if !ok || !n.membership.loaded || n.membership.controllers[o.Host].Incarnation != o.Incarnation {
 		return ""
 	}
 	return o.Host
@@ -564,7 +564,7 @@
 // and under which epoch.
 func (n *Controller) ownedMachine(machine string) (division.Owner, bool) {
 	o, ok := n.membership.shardMap.Owner(machine)
-	return o, ok && o.Host == n.settings.Host && o.Nonce == n.incarnation() && n.membership.leaseID != 0 && n.membership.loaded
+	return o, ok && o.Host == n.settings.Host && o.Incarnation == n.incarnation() && n.membership.leaseID != 0 && n.membership.loaded
 }
 
 // sortedKeys gives an order to a map, so that the same inputs give the same
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -124,10 +124,10 @@
 		}
 		s.Teams = append(s.Teams, ts)
 	}
-	for _, x := range n.membership.shardMap.Shares() {
+	for _, x := range n.membership.shardMap.Shards() {
 		s.Shards = append(s.Shards, ShardStatus{
-			Name: x.Name, Leader: x.Host, Alive: n.membership.controllers[x.Host].Incarnation == x.Nonce, Teams: len(x.Teams), HoldsCatchAll: x.Rest,
-			Segments: len(n.membership.shardMap.LotsOf(x.Name)),
+			Name: x.Name, Leader: x.Host, Alive: n.membership.controllers[x.Host].Incarnation == x.Incarnation, Teams: len(x.Teams), HoldsCatchAll: x.CatchAll,
+			Segments: len(n.membership.shardMap.SegmentsOf(x.Name)),
 		})
 	}
 	if o := n.shardLeader; o != nil {
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -32,19 +32,19 @@
 	}
 	for t, h := range n.shardLeader.teams {
 		s := n.membership.shardMap.Team(t)
-		h.reassigned = h.reassigned || s == nil || s.Host != n.settings.Host || s.Nonce != n.incarnation()
+		h.reassigned = h.reassigned || s == nil || s.Host != n.settings.Host || s.Incarnation != n.incarnation()
 	}
 }
 
 // markReassignedAfterReRead does the same when ctl/ has been read anew and what happened in between
 // is not told: only a share that has not been written since has kept its teams.
-func markReassignedAfterReRead(n *Controller, before *division.Book) {
+func markReassignedAfterReRead(n *Controller, before *division.Map) {
 	if n.shardLeader == nil {
 		return
 	}
 	for t, h := range n.shardLeader.teams {
 		was, is := before.Team(t), n.membership.shardMap.Team(t)
-		h.reassigned = h.reassigned || was == nil || is == nil || was.Stamp != is.Stamp
+		h.reassigned = h.reassigned || was == nil || is == nil || was.ModRevision != is.ModRevision
 	}
 }
 
@@ -54,10 +54,10 @@
 	if !s.loaded {
 		return
 	}
-	var heldShards []*division.Share
+	var heldShards []*division.Shard
 	if s.leaseID != 0 {
-		heldShards = slices.DeleteFunc(s.shardMap.Holds(n.settings.Host, n.incarnation()), func(x *division.Share) bool {
-			return len(x.Teams) == 0 && !x.Rest && !s.shardMap.Names(x.Name)
+		heldShards = slices.DeleteFunc(s.shardMap.HeldBy(n.settings.Host, n.incarnation()), func(x *division.Shard) bool {
+			return len(x.Teams) == 0 && !x.CatchAll && !s.shardMap.HasMachines(x.Name)
 		})
 	}
 	if len(heldShards) == 0 {
@@ -78,7 +78,7 @@
 	syncTeams(n, heldShards)
 }
 
-func shardNames(heldShards []*division.Share) []string {
+func shardNames(heldShards []*division.Shard) []string {
 	var out []string
 	for _, x := range heldShards {
 		out = append(out, x.Name)
@@ -88,7 +88,7 @@
 
 // syncTeams lets go of the teams that are another's now, and reads the records of
 // those that have come.
-func syncTeams(n *Controller, heldShards []*division.Share) {
+func syncTeams(n *Controller, heldShards []*division.Shard) {
 	o := n.shardLeader
 	assigned := map[string]bool{}
 	for _, x := range heldShards {
@@ -167,13 +167,13 @@
 
 // syncMachines lets go of the machines that are another's now, takes up those that
 // have come, and notes whose the others are.
-func syncMachines(n *Controller, heldShards []*division.Share) {
+func syncMachines(n *Controller, heldShards []*division.Shard) {
 	o := n.shardLeader
 	clear(o.shards)
 	catchAll := false
 	for _, x := range heldShards {
 		o.shards[x.Name] = true
-		catchAll = catchAll || x.Rest
+		catchAll = catchAll || x.CatchAll
 	}
 	switch {
 	case !catchAll:
@@ -298,7 +298,7 @@
 		s := n.membership.shardMap.Team(t)
 		if s == nil || !n.shardLeader.shards[s.Name] {
 			for _, name := range sortedKeys(n.shardLeader.shards) {
-				if s = n.membership.shardMap.Find(name); s != nil {
+				if s = n.membership.shardMap.Shard(name); s != nil {
 					break
 				}
 			}
@@ -308,7 +308,7 @@
 			out = append(out, Compare{shardPrefix + n.settings.Host, ^uint64(0)})
 			continue
 		}
-		if c := (Compare{shardPrefix + s.Name, s.Stamp}); !slices.Contains(out, c) {
+		if c := (Compare{shardPrefix + s.Name, s.ModRevision}); !slices.Contains(out, c) {
 			out = append(out, c)
 		}
 	}
--- a/internal/core/trade.go
+++ b/internal/core/trade.go
@@ -90,7 +90,7 @@
 		},
 	})
 	for _, m := range handovers {
-		l.sharding.unrecordedMachines[m.ID] = division.Rented{ID: m.ID, Host: m.To, At: n.now}
+		l.sharding.unrecordedMachines[m.ID] = division.NewMachine{ID: m.ID, Host: m.To, KnownAt: n.now}
 		l.handedOverAt[m.ID] = n.now
 		l.rentals[m.ID].handedOverAt = n.now
 		// Its wishes count again when it knows of these.
--- a/internal/division/book.go
+++ b/internal/division/book.go
@@ -7,90 +7,90 @@
 	"strings"
 )
 
-// Share is a share as of the revision that a book has been brought to.
-type Share struct {
-	Name  string
-	Host  string
-	Nonce string
-	// Stamp is the record's last change: what a write that rests on the share has
+// Shard is a share as of the revision that a book has been brought to.
+type Shard struct {
+	Name        string
+	Host        string
+	Incarnation string
+	// ModRevision is the record's last change: what a write that rests on the share has
 	// among its conditions.
-	Stamp uint64
-	Teams []string
-	Rest  bool
+	ModRevision uint64
+	Teams       []string
+	CatchAll    bool
 
-	epoch     uint64
-	restEpoch uint64
-	// old are the machines that a record of the earlier form names.
-	old *Lot
+	epoch         uint64
+	catchAllEpoch uint64
+	// legacySegment are the machines that a record of the earlier form names.
+	legacySegment *Segment
 }
 
-// Lot is some machines that belong to a share.
-type Lot struct {
-	Name   string
-	Share  string
-	Stamp  uint64
-	groups []group
+// Segment is some machines that belong to a share.
+type Segment struct {
+	Name        string
+	Shard       string
+	ModRevision uint64
+	groups      []epochGroup
 }
 
 // Owner is whose a machine is, and the epoch under which.
 type Owner struct {
-	*Share
+	*Shard
 	Epoch uint64
 }
 
-// naming is a lot that names a machine, and since when.
-type naming struct {
-	lot   *Lot
-	epoch uint64
+// assignment is a lot that names a machine, and since when.
+type assignment struct {
+	segment *Segment
+	epoch   uint64
 }
 
-// Since is the revision at which the share came to its holder.
-func (s *Share) Since() uint64 { return s.epoch }
+// HeldSince is the revision at which the share came to its holder.
+func (s *Shard) HeldSince() uint64 { return s.epoch }
 
-// Book is all shares and lots as of one revision. It is not safe for concurrent use.
-type Book struct {
-	shares map[string]*Share
-	lots   map[string]*Lot
-	teams  map[string]*Share
-	rest   *Share
-	// machines holds for each named machine the lot that named it last, and more
+// Map is all shares and lots as of one revision. It is not safe for concurrent use.
+type Map struct {
+	shards   map[string]*Shard
+	segments map[string]*Segment
+	teams    map[string]*Shard
+	catchAll *Shard
+	// current holds for each named machine the lot that named it last, and more
 	// the others, of which there are few and not for long.
-	machines map[string]naming
-	more     map[string][]naming
+	current    map[string]assignment
+	superseded map[string][]assignment
 	// names and order are the shares by name, as kept up to date.
-	order []string
+	shardNames []string
 }
 
-// NewBook makes an empty one.
-func NewBook() *Book {
-	return &Book{
-		shares: map[string]*Share{}, lots: map[string]*Lot{}, teams: map[string]*Share{},
-		machines: map[string]naming{}, more: map[string][]naming{},
+// NewMap makes an empty one.
+func NewMap() *Map {
+	return &Map{
+		shards: map[string]*Shard{}, segments: map[string]*Segment{}, teams: map[string]*Shard{},
+		current: map[string]assignment{}, superseded: map[string][]assignment{},
 	}
 }
 
-// Share applies a share's record; value nil: it has been removed. An error says that
+// ApplyShard applies a share's record; value nil: it has been removed. An error says that
 // the record can't be read, and leaves the share out.
-func (b *Book) Share(name string, value []byte, stamp uint64) error {
-	if old := b.shares[name]; old != nil {
-		b.unname(old.old)
-		delete(b.shares, name)
+func (b *Map) ApplyShard(name string, value []byte, modRevision uint64) error {
+	if old := b.shards[name]; old != nil {
+		b.unassign(old.legacySegment)
+		delete(b.shards, name)
 	}
 	var err error
 	if value != nil {
-		var r shareRecord
+		var r shardRecord
 		if err = decode(value, &r); err != nil {
 			err = fmt.Errorf("share %s: %w", name, err)
 		} else {
-			s := &Share{
-				Name: name, Host: cmp.Or(r.Host, name), Nonce: r.Nonce, Stamp: stamp, Teams: r.Teams, Rest: r.Rest,
-				epoch: cmp.Or(r.Epoch, stamp), restEpoch: cmp.Or(r.RestEpoch, stamp),
+			s := &Shard{
+				Name: name, Host: cmp.Or(r.Host, name), Incarnation: r.Incarnation, ModRevision: modRevision, Teams: r.Teams, CatchAll: r.CatchAll,
+				epoch: cmp.Or(r.Epoch, modRevision), catchAllEpoch: cmp.Or(r.CatchAllEpoch, modRevision),
 			}
 			if len(r.Machines) > 0 {
-				s.old = &Lot{Share: name, Stamp: stamp, groups: []group{{s.epoch, r.Machines}}}
-				b.name(s.old)
+				s.legacySegment = &Segment{Shard: name, ModRevision: modRevision, groups: []epochGroup{{s.epoch, r.Machines}}}
+				b.assign(s.legacySegment)
 			}
-			b.shares[name] = s
+			b.shards[name] = s
 		}
 	}
 	b.reindex()
@@ -99,98 +99,98 @@
 
 // reindex finds out who has which team and who has the rest. Shares are few. Of two
 // that say they have the same the later one counts; the divider never writes that.
-func (b *Book) reindex() {
-	b.order = b.order[:0]
-	for n := range b.shares {
-		b.order = append(b.order, n)
+func (b *Map) reindex() {
+	b.shardNames = b.shardNames[:0]
+	for n := range b.shards {
+		b.shardNames = append(b.shardNames, n)
 	}
-	slices.Sort(b.order)
+	slices.Sort(b.shardNames)
 	clear(b.teams)
-	b.rest = nil
-	for _, n := range b.order {
-		s := b.shares[n]
+	b.catchAll = nil
+	for _, n := range b.shardNames {
+		s := b.shards[n]
 		for _, t := range s.Teams {
-			if o := b.teams[t]; o == nil || s.Stamp > o.Stamp {
+			if o := b.teams[t]; o == nil || s.ModRevision > o.ModRevision {
 				b.teams[t] = s
 			}
 		}
-		if s.Rest && (b.rest == nil || s.restEpoch > b.rest.restEpoch) {
-			b.rest = s
+		if s.CatchAll && (b.catchAll == nil || s.catchAllEpoch > b.catchAll.catchAllEpoch) {
+			b.catchAll = s
 		}
 	}
 }
 
-// Lot applies a lot's record, as Share does.
-func (b *Book) Lot(name string, value []byte, stamp uint64) error {
-	if old := b.lots[name]; old != nil {
-		b.unname(old)
-		delete(b.lots, name)
+// ApplySegment applies a lot's record, as Share does.
+func (b *Map) ApplySegment(name string, value []byte, modRevision uint64) error {
+	if old := b.segments[name]; old != nil {
+		b.unassign(old)
+		delete(b.segments, name)
 	}
 	if value == nil {
 		return nil
 	}
-	share, groups, err := decodeLot(value)
+	shard, groups, err := decodeSegment(value)
 	if err != nil {
 		return fmt.Errorf("lot %s: %w", name, err)
 	}
 	for i := range groups {
-		groups[i].epoch = cmp.Or(groups[i].epoch, stamp)
+		groups[i].epoch = cmp.Or(groups[i].epoch, modRevision)
 	}
-	l := &Lot{Name: name, Share: share, Stamp: stamp, groups: groups}
-	b.lots[name] = l
-	b.name(l)
+	segment := &Segment{Name: name, Shard: shard, ModRevision: modRevision, groups: groups}
+	b.segments[name] = segment
+	b.assign(segment)
 	return nil
 }
 
-// later says which of two namings of a machine counts.
-func (x naming) later(y naming) bool {
-	return x.epoch > y.epoch || x.epoch == y.epoch && x.lot.Name > y.lot.Name
+// supersedes says which of two namings of a machine counts.
+func (x assignment) supersedes(y assignment) bool {
+	return x.epoch > y.epoch || x.epoch == y.epoch && x.segment.Name > y.segment.Name
 }
 
-func (b *Book) name(l *Lot) {
-	for _, g := range l.groups {
+func (b *Map) assign(segment *Segment) {
+	for _, g := range segment.groups {
 		for _, id := range g.names {
-			x := naming{l, g.epoch}
-			y, ok := b.machines[id]
+			x := assignment{segment, g.epoch}
+			y, ok := b.current[id]
 			switch {
 			case !ok:
-				b.machines[id] = x
-			case x.later(y):
-				b.machines[id] = x
-				b.more[id] = append(b.more[id], y)
+				b.current[id] = x
+			case x.supersedes(y):
+				b.current[id] = x
+				b.superseded[id] = append(b.superseded[id], y)
 			default:
-				b.more[id] = append(b.more[id], x)
+				b.superseded[id] = append(b.superseded[id], x)
 			}
 		}
 	}
 }
 
-func (b *Book) unname(l *Lot) {
-	if l == nil {
+func (b *Map) unassign(segment *Segment) {
+	if segment == nil {
 		return
 	}
-	for _, g := range l.groups {
+	for _, g := range segment.groups {
 		for _, id := range g.names {
-			others := b.more[id]
-			if b.machines[id].lot != l {
-				others = slices.DeleteFunc(others, func(x naming) bool { return x.lot == l })
+			others := b.superseded[id]
+			if b.current[id].segment != segment {
+				others = slices.DeleteFunc(others, func(x assignment) bool { return x.segment == segment })
 			} else if len(others) == 0 {
-				delete(b.machines, id)
+				delete(b.current, id)
 				continue
 			} else {
-				last := 0
+				newest := 0
 				for i, x := range others {
-					if x.later(others[last]) {
-						last = i
+					if x.supersedes(others[newest]) {
+						newest = i
 					}
 				}
-				b.machines[id] = others[last]
-				others = slices.Delete(others, last, last+1)
+				b.current[id] = others[newest]
+				others = slices.Delete(others, newest, newest+1)
 			}
 			if len(others) == 0 {
-				delete(b.more, id)
+				delete(b.superseded, id)
 			} else {
-				b.more[id] = others
+				b.superseded[id] = others
 			}
 		}
 	}
@@ -199,68 +199,68 @@
 // Owner tells whose a machine is. It takes the same time however many there are. ok
 // is false while no record says: nobody has the rest, or the share of its lot is
 // gone.
-func (b *Book) Owner(machine string) (o Owner, ok bool) {
-	if x, named := b.machines[machine]; named {
-		if s := b.shares[x.lot.Share]; s != nil {
+func (b *Map) Owner(machine string) (o Owner, ok bool) {
+	if x, named := b.current[machine]; named {
+		if s := b.shards[x.segment.Shard]; s != nil {
 			return Owner{s, max(x.epoch, s.epoch)}, true
 		}
 	}
-	if b.rest == nil {
+	if b.catchAll == nil {
 		return Owner{}, false
 	}
-	return Owner{b.rest, max(b.rest.restEpoch, b.rest.epoch)}, true
+	return Owner{b.catchAll, max(b.catchAll.catchAllEpoch, b.catchAll.epoch)}, true
 }
 
-// Named says whether a lot names a machine.
-func (b *Book) Named(machine string) bool { _, ok := b.machines[machine]; return ok }
+// IsAssigned says whether a lot names a machine.
+func (b *Map) IsAssigned(machine string) bool { _, ok := b.current[machine]; return ok }
 
-// Each calls fn with every machine that a lot names, in no order.
-func (b *Book) Each(fn func(machine string)) {
-	for id := range b.machines {
+// EachMachine calls fn with every machine that a lot names, in no order.
+func (b *Map) EachMachine(fn func(machine string)) {
+	for id := range b.current {
 		fn(id)
 	}
 }
 
 // Team tells whose share a team is in, or nil.
-func (b *Book) Team(team string) *Share { return b.teams[team] }
+func (b *Map) Team(team string) *Shard { return b.teams[team] }
 
-// Find is the share of that name, or nil.
-func (b *Book) Find(share string) *Share { return b.shares[share] }
+// Shard is the share of that name, or nil.
+func (b *Map) Shard(name string) *Shard { return b.shards[name] }
 
-// Shares are all shares, in the order of their names.
-func (b *Book) Shares() []*Share {
-	out := make([]*Share, 0, len(b.order))
-	for _, n := range b.order {
-		out = append(out, b.shares[n])
+// Shards are all shares, in the order of their names.
+func (b *Map) Shards() []*Shard {
+	out := make([]*Shard, 0, len(b.shardNames))
+	for _, n := range b.shardNames {
+		out = append(out, b.shards[n])
 	}
 	return out
 }
 
-// Holds are the shares that the life of a controller holds, in order.
-func (b *Book) Holds(host, nonce string) []*Share {
-	var out []*Share
-	for _, n := range b.order {
-		if s := b.shares[n]; s.Host == host && s.Nonce == nonce {
+// HeldBy are the shares that the life of a controller holds, in order.
+func (b *Map) HeldBy(host, incarnation string) []*Shard {
+	var out []*Shard
+	for _, n := range b.shardNames {
+		if s := b.shards[n]; s.Host == host && s.Incarnation == incarnation {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// Lots counts the lots, and the machines that they name.
-func (b *Book) Lots() (lots, machines int) { return len(b.lots), len(b.machines) }
+// Counts counts the lots, and the machines that they name.
+func (b *Map) Counts() (segments, machines int) { return len(b.segments), len(b.current) }
 
 // Machines are the machines named for a share, in order.
-func (b *Book) Machines(share string) []string {
+func (b *Map) Machines(shard string) []string {
 	var out []string
-	for _, l := range b.sortedLots() {
-		if l.Share != share {
+	for _, l := range b.sortedSegments() {
+		if l.Shard != shard {
 			continue
 		}
-		out = append(out, b.names(l)...)
+		out = append(out, b.currentMachines(l)...)
 	}
-	for id, x := range b.machines {
-		if x.lot.Name == "" && x.lot.Share == share {
+	for id, x := range b.current {
+		if x.segment.Name == "" && x.segment.Shard == shard {
 			out = append(out, id)
 		}
 	}
@@ -268,34 +268,34 @@
 	return out
 }
 
-// LotsOf names the lots of a share, in no order.
-func (b *Book) LotsOf(share string) []string {
+// SegmentsOf names the lots of a share, in no order.
+func (b *Map) SegmentsOf(shard string) []string {
 	var out []string
-	for name, l := range b.lots {
-		if l.Share == share {
+	for name, l := range b.segments {
+		if l.Shard == shard {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// Names says whether any record names machines for a share.
-func (b *Book) Names(share string) bool {
-	for _, l := range b.lots {
-		if l.Share == share {
+// HasMachines says whether any record names machines for a share.
+func (b *Map) HasMachines(shard string) bool {
+	for _, l := range b.segments {
+		if l.Shard == shard {
 			return true
 		}
 	}
-	s := b.shares[share]
-	return s != nil && s.old != nil
+	s := b.shards[shard]
+	return s != nil && s.legacySegment != nil
 }
 
-// names are the machines of a lot that no later one names.
-func (b *Book) names(l *Lot) []string {
+// currentMachines are the machines of a lot that no later one names.
+func (b *Map) currentMachines(segment *Segment) []string {
 	var out []string
-	for _, g := range l.groups {
+	for _, g := range segment.groups {
 		for _, id := range g.names {
-			if b.machines[id].lot == l {
+			if b.current[id].segment == segment {
 				out = append(out, id)
 			}
 		}
@@ -303,23 +303,23 @@
 	return out
 }
 
-func (b *Book) sortedLots() []*Lot {
-	out := make([]*Lot, 0, len(b.lots))
-	for _, l := range b.lots {
+func (b *Map) sortedSegments() []*Segment {
+	out := make([]*Segment, 0, len(b.segments))
+	for _, l := range b.segments {
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b *Lot) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(out, func(a, b *Segment) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
 // record is the share's stored form, with the epochs that it has now.
-func (s *Share) record() shareRecord {
-	r := shareRecord{Host: s.Host, Nonce: s.Nonce, Epoch: s.epoch, Teams: slices.Clone(s.Teams), Rest: s.Rest}
-	if s.Rest {
-		r.RestEpoch = s.restEpoch
+func (s *Shard) record() shardRecord {
+	r := shardRecord{Host: s.Host, Incarnation: s.Incarnation, Epoch: s.epoch, Teams: slices.Clone(s.Teams), CatchAll: s.CatchAll}
+	if s.CatchAll {
+		r.CatchAllEpoch = s.catchAllEpoch
 	}
-	if s.old != nil {
-		for _, g := range s.old.groups {
+	if s.legacySegment != nil {
+		for _, g := range s.legacySegment.groups {
 			r.Machines = append(r.Machines, g.names...)
 		}
 	}
--- a/internal/division/division_test.go
+++ b/internal/division/division_test.go
@@ -17,59 +17,59 @@
 // store is a state service with the records of the division alone, and a reader
 // that applies them in order. It keeps what each machine's owners and epochs were.
 type store struct {
-	limits bounds.Limits
-	rev    uint64
-	stamps map[string]uint64
-	book   *Book
-	// last is each machine's owner and highest epoch so far.
-	last    map[string]Owner
-	changes int
-	lead    uint64
-	gone    map[string]bool
+	limits       bounds.Limits
+	revision     uint64
+	modRevisions map[string]uint64
+	shardMap     *Map
+	// lastOwners is each machine's owner and highest epoch so far.
+	lastOwners     map[string]Owner
+	changes        int
+	leaderRevision uint64
+	gone           map[string]bool
 }
 
 func newStore(l bounds.Limits) *store {
-	return &store{limits: l, stamps: map[string]uint64{}, book: NewBook(), last: map[string]Owner{}, gone: map[string]bool{}}
+	return &store{limits: l, modRevisions: map[string]uint64{}, shardMap: NewMap(), lastOwners: map[string]Owner{}, gone: map[string]bool{}}
 }
 
-func key(w Write) string {
-	if w.Share {
+func writeKey(w Write) string {
+	if w.IsShard {
 		return "ctl/share/" + w.Name
 	}
 	return "ctl/lot/" + w.Name
 }
 
-type failer interface{ Fatalf(string, ...any) }
+type fataler interface{ Fatalf(string, ...any) }
 
 // apply carries a transaction out, if its conditions hold, and checks its size.
-func (s *store) apply(t failer, ws []Write) bool {
-	when := []string{"ctl/lead"}
-	var apply []bounds.Change
+func (s *store) apply(t fataler, ws []Write) bool {
+	compares := []string{"ctl/lead"}
+	var writes []bounds.Change
 	for _, w := range ws {
-		when = append(when, key(w))
-		apply = append(apply, bounds.Change{Key: key(w), Value: w.Value})
+		compares = append(compares, writeKey(w))
+		writes = append(writes, bounds.Change{Key: writeKey(w), Value: w.Value})
 	}
-	if err := s.limits.Txn(when, apply); err != nil {
+	if err := s.limits.Txn(compares, writes); err != nil {
 		t.Fatalf("%v", err)
 	}
 	for _, w := range ws {
-		if s.stamps[key(w)] != w.Stamp {
+		if s.modRevisions[writeKey(w)] != w.ModRevision {
 			return false
 		}
 	}
-	s.rev++
+	s.revision++
 	s.changes += len(ws)
 	for _, w := range ws {
-		stamp := s.rev
+		modRevision := s.revision
 		if w.Value == nil {
-			stamp = 0
+			modRevision = 0
 		}
-		s.stamps[key(w)] = stamp
+		s.modRevisions[writeKey(w)] = modRevision
 		var err error
-		if w.Share {
-			err = s.book.Share(w.Name, w.Value, s.rev)
+		if w.IsShard {
+			err = s.shardMap.ApplyShard(w.Name, w.Value, s.revision)
 		} else {
-			err = s.book.Lot(w.Name, w.Value, s.rev)
+			err = s.shardMap.ApplySegment(w.Name, w.Value, s.revision)
 		}
 		if err != nil {
 			t.Fatalf("%v", err)
@@ -81,176 +81,176 @@
 // check: whoever comes to own a machine has an epoch above all that any other has
 // used for it, and the epoch of one that keeps it does not fall. Of many machines
 // some are looked at each time.
-func (s *store) check(t failer, machines []string) {
+func (s *store) check(t fataler, machines []string) {
 	for i, id := range machines {
-		if len(machines) > 1000 && i%17 != int(s.rev%17) {
+		if len(machines) > 1000 && i%17 != int(s.revision%17) {
 			continue
 		}
-		o, ok := s.book.Owner(id)
+		o, ok := s.shardMap.Owner(id)
 		if !ok || s.gone[id] {
 			continue
 		}
-		was, known := s.last[id]
+		was, known := s.lastOwners[id]
 		if known && o.Epoch < was.Epoch {
 			t.Fatalf("%s: epoch %d after %d", id, o.Epoch, was.Epoch)
 		}
-		if known && (o.Host != was.Host || o.Nonce != was.Nonce) && o.Epoch <= was.Epoch {
+		if known && (o.Host != was.Host || o.Incarnation != was.Incarnation) && o.Epoch <= was.Epoch {
 			t.Fatalf("%s goes from %s to %s with epoch %d after %d", id, was.Host, o.Host, o.Epoch, was.Epoch)
 		}
-		s.last[id] = Owner{&Share{Host: o.Host, Nonce: o.Nonce}, o.Epoch}
+		s.lastOwners[id] = Owner{&Shard{Host: o.Host, Incarnation: o.Incarnation}, o.Epoch}
 	}
 }
 
-// world is a fleet whose division is planned.
-type world struct {
+// simulation is a fleet whose division is planned.
+type simulation struct {
 	*store
-	now    time.Time
-	d      *Divider
-	life   map[string]int
-	unable map[string]bool
-	young  map[string]bool
-	teams  []string
-	load   map[string]float64
-	ids    []string
-	news   []Rented
-	offers map[string]Offer
-	raised int
-	moves  int
+	now          time.Time
+	planner      *Planner
+	incarnations map[string]int
+	incapable    map[string]bool
+	onProbation  map[string]bool
+	teams        []string
+	teamLoads    map[string]float64
+	machines     []string
+	newMachines  []NewMachine
+	offers       map[string]Offer
+	epochBumps   int
+	teamMoves    int
 }
 
-func newWorld(l bounds.Limits, hosts, teams int) *world {
-	w := &world{
-		store: newStore(l), now: time.Unix(1_750_000_000, 0), life: map[string]int{}, unable: map[string]bool{}, young: map[string]bool{},
-		load: map[string]float64{}, offers: map[string]Offer{},
+func newSimulation(l bounds.Limits, hosts, teams int) *simulation {
+	w := &simulation{
+		store: newStore(l), now: time.Unix(1_750_000_000, 0), incarnations: map[string]int{}, incapable: map[string]bool{}, onProbation: map[string]bool{},
+		teamLoads: map[string]float64{}, offers: map[string]Offer{},
 	}
 	for i := range hosts {
-		w.life[fmt.Sprintf("worker-%d", i)] = 1
+		w.incarnations[fmt.Sprintf("worker-%d", i)] = 1
 	}
 	for i := range teams {
 		w.teams = append(w.teams, fmt.Sprintf("team-%02d", i))
 	}
-	w.elect()
+	w.electLeader()
 	return w
 }
 
 // elect: another divides, and knows nothing of what the one before meant to do.
-func (w *world) elect() {
-	w.rev++
-	w.lead = w.rev
-	w.d = New(w.limits, fmt.Sprint(w.lead), 30*time.Second, w.now)
+func (w *simulation) electLeader() {
+	w.revision++
+	w.leaderRevision = w.revision
+	w.planner = New(w.limits, fmt.Sprint(w.leaderRevision), 30*time.Second, w.now)
 }
 
-func (w *world) hosts() []string { return slices.Sorted(maps.Keys(w.life)) }
+func (w *simulation) hosts() []string { return slices.Sorted(maps.Keys(w.incarnations)) }
 
-func (w *world) input() Input {
-	in := Input{Book: w.book, Teams: w.teams, Load: w.load, Offers: w.offers, Gone: func(id string) bool { return w.gone[id] }}
+func (w *simulation) input() Input {
+	in := Input{Map: w.shardMap, Teams: w.teams, TeamLoads: w.teamLoads, Offers: w.offers, IsGone: func(id string) bool { return w.gone[id] }}
 	for _, h := range w.hosts() {
-		if w.life[h] > 0 {
+		if w.incarnations[h] > 0 {
 			in.Self = h
-			in.Nodes = append(in.Nodes, Node{Host: h, Nonce: fmt.Sprintf("%s#%d", h, w.life[h]), Able: !w.unable[h], Young: w.young[h]})
+			in.Controllers = append(in.Controllers, Controller{Host: h, Incarnation: fmt.Sprintf("%s#%d", h, w.incarnations[h]), Capable: !w.incapable[h], OnProbation: w.onProbation[h]})
 		}
 	}
-	for _, x := range w.news {
-		if o, ok := w.book.Owner(x.ID); !ok || !w.book.Named(x.ID) || o.Host != x.Host {
-			in.New = append(in.New, x)
+	for _, x := range w.newMachines {
+		if o, ok := w.shardMap.Owner(x.ID); !ok || !w.shardMap.IsAssigned(x.ID) || o.Host != x.Host {
+			in.NewMachines = append(in.NewMachines, x)
 		}
 	}
 	return in
 }
 
-// plan divides as long as there is something to write now, and answers asks.
-func (w *world) plan(t failer) {
+// planUntilStable divides as long as there is something to write now, and answers asks.
+func (w *simulation) planUntilStable(t fataler) {
 	for k := 0; ; k++ {
 		if k > 200 {
 			t.Fatalf("the division never comes to rest")
 		}
-		if a, ok := w.d.Asked(); ok {
-			w.offers[a.Team] = Offer{a.Team, w.owned(a.From)[:len(w.owned(a.From))/2]}
+		if a, ok := w.planner.PendingMove(); ok {
+			w.offers[a.Team] = Offer{a.Team, w.ownedBy(a.From)[:len(w.ownedBy(a.From))/2]}
 		} else {
 			clear(w.offers)
 		}
-		before := w.book.Team
-		home := map[string]string{}
+		shardOfTeam := w.shardMap.Team
+		holders := map[string]string{}
 		for _, team := range w.teams {
-			if s := before(team); s != nil && w.lives(s) {
-				home[team] = s.Host
+			if s := shardOfTeam(team); s != nil && w.holderAlive(s) {
+				holders[team] = s.Host
 			}
 		}
-		ws := w.d.Plan(w.now, w.input())
+		ws := w.planner.Plan(w.now, w.input())
 		if len(ws) == 0 {
-			if _, ok := w.d.Asked(); ok {
+			if _, ok := w.planner.PendingMove(); ok {
 				continue
 			}
 			return
 		}
 		w.apply(t, ws)
-		w.check(t, w.ids)
-		for team, h := range home {
-			if s := w.book.Team(team); s == nil || s.Host != h {
-				w.moves++
+		w.check(t, w.machines)
+		for team, h := range holders {
+			if s := w.shardMap.Team(team); s == nil || s.Host != h {
+				w.teamMoves++
 			}
 		}
 	}
 }
 
-func (w *world) lives(s *Share) bool {
-	return w.life[s.Host] > 0 && s.Nonce == fmt.Sprintf("%s#%d", s.Host, w.life[s.Host])
+func (w *simulation) holderAlive(s *Shard) bool {
+	return w.incarnations[s.Host] > 0 && s.Incarnation == fmt.Sprintf("%s#%d", s.Host, w.incarnations[s.Host])
 }
 
-func (w *world) owned(host string) []string {
+func (w *simulation) ownedBy(host string) []string {
 	var out []string
-	for _, id := range w.ids {
-		if o, ok := w.book.Owner(id); ok && o.Host == host && !w.gone[id] {
+	for _, id := range w.machines {
+		if o, ok := w.shardMap.Owner(id); ok && o.Host == host && !w.gone[id] {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-func (w *world) rent(host string, n int) {
+func (w *simulation) addMachines(host string, n int) {
 	for range n {
-		id := fmt.Sprintf("vm-%06d", len(w.ids)+1)
-		w.ids = append(w.ids, id)
-		w.news = append(w.news, Rented{id, host, w.now.Add(-gather)})
+		id := fmt.Sprintf("vm-%06d", len(w.machines)+1)
+		w.machines = append(w.machines, id)
+		w.newMachines = append(w.newMachines, NewMachine{id, host, w.now.Add(-batchDelay)})
 	}
 }
 
-// whole checks a division at rest: each team is run once, by a living controller,
+// checkComplete checks a division at rest: each team is run once, by a living controller,
 // and every machine has an owner, which a scan over all records finds as well.
-func (w *world) whole(t failer) {
-	count := map[string]int{}
-	for _, s := range w.book.Shares() {
-		if len(s.Teams) > 0 && !w.lives(s) {
+func (w *simulation) checkComplete(t fataler) {
+	shardsPerTeam := map[string]int{}
+	for _, s := range w.shardMap.Shards() {
+		if len(s.Teams) > 0 && !w.holderAlive(s) {
 			t.Fatalf("share %s is held by %s, which is dead", s.Name, s.Host)
 		}
 		for _, team := range s.Teams {
-			count[team]++
+			shardsPerTeam[team]++
 		}
 	}
 	for _, team := range w.teams {
-		if count[team] != 1 {
-			t.Fatalf("%s is in %d shares", team, count[team])
+		if shardsPerTeam[team] != 1 {
+			t.Fatalf("%s is in %d shares", team, shardsPerTeam[team])
 		}
 	}
-	for _, id := range w.ids {
+	for _, id := range w.machines {
 		if w.gone[id] {
 			continue
 		}
-		o, ok := w.book.Owner(id)
+		o, ok := w.shardMap.Owner(id)
 		if !ok {
 			t.Fatalf("%s has no owner", id)
 		}
-		var best naming
-		for _, l := range w.book.sortedLots() {
+		var newest assignment
+		for _, l := range w.shardMap.sortedSegments() {
 			for _, g := range l.groups {
-				if slices.Contains(g.names, id) && (best.lot == nil || g.epoch >= best.epoch) {
-					best = naming{l, g.epoch}
+				if slices.Contains(g.names, id) && (newest.segment == nil || g.epoch >= newest.epoch) {
+					newest = assignment{l, g.epoch}
 				}
 			}
 		}
-		want := w.book.rest
-		if best.lot != nil {
-			want = w.book.Find(best.lot.Share)
+		want := w.shardMap.catchAll
+		if newest.segment != nil {
+			want = w.shardMap.Shard(newest.segment.Shard)
 		}
 		if want == nil || o.Name != want.Name {
 			t.Fatalf("%s is %s's, a scan finds %v", id, o.Name, want)
@@ -258,70 +258,70 @@
 	}
 }
 
-// TestDivision plays random lives, rentals, losses, moves and changes of whoever
+// TestShardingInvariants plays random lives, rentals, losses, moves and changes of whoever
 // divides: nobody ever gets a machine but under a higher epoch, all records stay
 // within their bounds, and the division comes to rest whole.
-func TestDivision(t *testing.T) {
+func TestShardingInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := bounds.Limits{ValueBytes: rapid.SampledFrom([]int{512, 1024, 4096, 16384}).Draw(t, "value"), Ops: rapid.IntRange(4, 24).Draw(t, "ops")}
-		w := newWorld(l, rapid.IntRange(1, 7).Draw(t, "hosts"), rapid.IntRange(1, 12).Draw(t, "teams"))
-		w.plan(t)
+		w := newSimulation(l, rapid.IntRange(1, 7).Draw(t, "hosts"), rapid.IntRange(1, 12).Draw(t, "teams"))
+		w.planUntilStable(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) { w.now = w.now.Add(time.Second) },
 			"end": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
-				if w.life[h] > 0 && len(w.input().Nodes) > 1 {
-					w.life[h] = -w.life[h]
+				if w.incarnations[h] > 0 && len(w.input().Controllers) > 1 {
+					w.incarnations[h] = -w.incarnations[h]
 				}
 			},
 			"start": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
-				if w.life[h] < 0 {
-					w.life[h] = -w.life[h] + 1
+				if w.incarnations[h] < 0 {
+					w.incarnations[h] = -w.incarnations[h] + 1
 				}
 			},
 			"deaf": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
-				w.unable[h] = !w.unable[h]
+				w.incapable[h] = !w.incapable[h]
 			},
-			"lead": func(t *rapid.T) { w.elect() },
+			"lead": func(t *rapid.T) { w.electLeader() },
 			"rent": func(t *rapid.T) {
-				w.rent(rapid.SampledFrom(w.hosts()).Draw(t, "host"), rapid.IntRange(1, 60).Draw(t, "count"))
+				w.addMachines(rapid.SampledFrom(w.hosts()).Draw(t, "host"), rapid.IntRange(1, 60).Draw(t, "count"))
 			},
 			"lose": func(t *rapid.T) {
 				for range rapid.IntRange(0, 40).Draw(t, "count") {
-					if len(w.ids) > 0 {
-						w.gone[rapid.SampledFrom(w.ids).Draw(t, "machine")] = true
+					if len(w.machines) > 0 {
+						w.gone[rapid.SampledFrom(w.machines).Draw(t, "machine")] = true
 					}
 				}
 			},
 			"raise": func(t *rapid.T) {
-				s := w.book.Team(w.teams[0])
-				if s == nil || !w.lives(s) {
+				s := w.shardMap.Team(w.teams[0])
+				if s == nil || !w.holderAlive(s) {
 					return
 				}
-				if mine := w.owned(s.Host); len(mine) > 0 {
+				if mine := w.ownedBy(s.Host); len(mine) > 0 {
 					// Of the machines of one share: whose they are is asked for each.
-					mine = slices.DeleteFunc(mine, func(id string) bool { o, _ := w.book.Owner(id); return o.Name != s.Name })
-					w.raised++
-					if x, some := Raise(w.limits, fmt.Sprintf("%s-r%d", s.Nonce, w.raised), s, mine); len(some) > 0 {
+					mine = slices.DeleteFunc(mine, func(id string) bool { o, _ := w.shardMap.Owner(id); return o.Name != s.Name })
+					w.epochBumps++
+					if x, some := BumpEpoch(w.limits, fmt.Sprintf("%s-r%d", s.Incarnation, w.epochBumps), s, mine); len(some) > 0 {
 						w.apply(t, []Write{x})
-						w.check(t, w.ids)
+						w.check(t, w.machines)
 					}
 				}
 			},
 			"load": func(t *rapid.T) {
-				w.load[rapid.SampledFrom(w.teams).Draw(t, "team")] = rapid.Float64Range(0, 500).Draw(t, "cpus")
+				w.teamLoads[rapid.SampledFrom(w.teams).Draw(t, "team")] = rapid.Float64Range(0, 500).Draw(t, "cpus")
 			},
 			"wait": func(t *rapid.T) {
 				w.now = w.now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second)
-				w.plan(t)
-				w.whole(t)
+				w.planUntilStable(t)
+				w.checkComplete(t)
 			},
 			"plan": func(t *rapid.T) {
-				if ws := w.d.Plan(w.now, w.input()); len(ws) > 0 {
+				if ws := w.planner.Plan(w.now, w.input()); len(ws) > 0 {
 					w.apply(t, ws)
-					w.check(t, w.ids)
+					w.check(t, w.machines)
 				}
 			},
 		})
@@ -331,40 +331,40 @@
 // TestLateRecords: a reader that has fallen behind sees, for every machine, a lower
 // epoch than the owner of now, or the same owner.
 func TestLateRecords(t *testing.T) {
-	w := newWorld(testLimits, 3, 4)
-	w.plan(t)
-	behind := NewBook()
-	var held []Write
-	w.rent("worker-0", 40)
-	w.rent("worker-1", 40)
+	w := newSimulation(testLimits, 3, 4)
+	w.planUntilStable(t)
+	stale := NewMap()
+	var unread []Write
+	w.addMachines("worker-0", 40)
+	w.addMachines("worker-1", 40)
 	for range 40 {
 		w.now = w.now.Add(10 * time.Second)
-		ws := w.d.Plan(w.now, w.input())
+		ws := w.planner.Plan(w.now, w.input())
 		if w.apply(t, ws) {
-			held = append(held, ws...)
+			unread = append(unread, ws...)
 		}
-		for _, id := range w.ids {
-			o, ok := behind.Owner(id)
-			now, _ := w.book.Owner(id)
-			if ok && o.Epoch >= now.Epoch && (o.Host != now.Host || o.Nonce != now.Nonce) {
+		for _, id := range w.machines {
+			o, ok := stale.Owner(id)
+			now, _ := w.shardMap.Owner(id)
+			if ok && o.Epoch >= now.Epoch && (o.Host != now.Host || o.Incarnation != now.Incarnation) {
 				t.Fatalf("%s: %s believes in epoch %d, %s has %d", id, o.Host, o.Epoch, now.Host, now.Epoch)
 			}
 		}
-		if len(held) > 6 {
-			x := held[0]
-			held = held[1:]
+		if len(unread) > 6 {
+			x := unread[0]
+			unread = unread[1:]
 			// Its revision does not matter here but for the order.
-			if x.Share {
-				behind.Share(x.Name, x.Value, x.Stamp+1)
+			if x.IsShard {
+				stale.ApplyShard(x.Name, x.Value, x.ModRevision+1)
 			} else {
-				behind.Lot(x.Name, x.Value, x.Stamp+1)
+				stale.ApplySegment(x.Name, x.Value, x.ModRevision+1)
 			}
 		}
 		switch {
-		case w.life["worker-1"] == 1:
-			w.life["worker-1"] = -1
-		case w.life["worker-1"] == -1:
-			w.life["worker-1"] = 2
+		case w.incarnations["worker-1"] == 1:
+			w.incarnations["worker-1"] = -1
+		case w.incarnations["worker-1"] == -1:
+			w.incarnations["worker-1"] = 2
 		}
 	}
 }
@@ -373,21 +373,21 @@
 // 4 KiB and 12 changes a transaction, and a thousand machines rented and a thousand
 // lost in a minute cost some few changes a second.
 func TestTenThousand(t *testing.T) {
-	w := newWorld(testLimits, 7, 50)
-	w.plan(t)
+	w := newSimulation(testLimits, 7, 50)
+	w.planUntilStable(t)
 	hosts := w.hosts()
 	minute := func(rented, lost int) float64 {
 		before, from := w.changes, w.now
 		for s := range 60 {
 			for k := rented * s / 60; k < rented*(s+1)/60; k += 50 {
-				w.rent(hosts[(s+k)%len(hosts)], min(50, rented*(s+1)/60-k))
+				w.addMachines(hosts[(s+k)%len(hosts)], min(50, rented*(s+1)/60-k))
 			}
 			for k := range lost / 60 {
 				// Some of all ages.
-				w.gone[w.ids[(s*7919+k*104729)%len(w.ids)]] = true
+				w.gone[w.machines[(s*7919+k*104729)%len(w.machines)]] = true
 			}
 			w.now = w.now.Add(time.Second)
-			w.plan(t)
+			w.planUntilStable(t)
 		}
 		return float64(w.changes-before) / w.now.Sub(from).Seconds()
 	}
@@ -396,11 +396,11 @@
 			t.Errorf("%.1f changes a second while a thousand machines are rented in a minute", rate)
 		}
 	}
-	w.whole(t)
-	lots, named := w.book.Lots()
-	t.Logf("%d machines, %d of them in %d lots", len(w.ids), named, lots)
-	if lots > 2*len(w.ids)/lotNames+60 {
-		t.Errorf("%d lots for %d machines", lots, named)
+	w.checkComplete(t)
+	segments, named := w.shardMap.Counts()
+	t.Logf("%d machines, %d of them in %d lots", len(w.machines), named, segments)
+	if segments > 2*len(w.machines)/maxSegmentMachines+60 {
+		t.Errorf("%d lots for %d machines", segments, named)
 	}
 	rate := minute(1000, 1000)
 	t.Logf("%.1f changes a second with a thousand rented and a thousand lost in a minute", rate)
@@ -409,15 +409,15 @@
 	}
 	// A controller's death costs one change for each of its shares.
 	before := w.changes
-	w.life[hosts[3]] = -1
-	w.plan(t)
+	w.incarnations[hosts[3]] = -1
+	w.planUntilStable(t)
 	if k := w.changes - before; k > 8 {
 		t.Errorf("%d changes for the death of a controller", k)
 	}
 	if rate := minute(0, 0); rate > 1 {
 		t.Errorf("%.1f changes a second while nothing happens", rate)
 	}
-	w.whole(t)
+	w.checkComplete(t)
 }
 
 // TestSpread: a controller that comes back gets work within a minute, and then
@@ -425,27 +425,27 @@
 func TestSpread(t *testing.T) {
 	for _, teams := range []int{1, 2, 3, 4, 9, 50} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
-			w := newWorld(testLimits, 3, teams)
+			w := newSimulation(testLimits, 3, teams)
 			for i, team := range w.teams {
-				w.load[team] = 100 + float64(i)
+				w.teamLoads[team] = 100 + float64(i)
 			}
 			step := func(n int) {
 				for range n {
 					w.now = w.now.Add(time.Second)
-					w.plan(t)
+					w.planUntilStable(t)
 				}
 			}
 			step(20)
 			for _, h := range w.hosts() {
-				w.rent(h, 30)
+				w.addMachines(h, 30)
 			}
 			step(100)
-			w.life["worker-1"] = -1
+			w.incarnations["worker-1"] = -1
 			step(10)
-			w.life["worker-1"] = 2
+			w.incarnations["worker-1"] = 2
 			step(60)
 			per := map[string]int{}
-			for _, s := range w.book.Shares() {
+			for _, s := range w.shardMap.Shards() {
 				per[s.Host] += len(s.Teams)
 			}
 			for _, h := range w.hosts() {
@@ -454,130 +454,130 @@
 				}
 			}
 			step(300)
-			before := w.moves
+			before := w.teamMoves
 			step(900)
-			if w.moves != before {
-				t.Errorf("%d moves with nothing changing", w.moves-before)
+			if w.teamMoves != before {
+				t.Errorf("%d moves with nothing changing", w.teamMoves-before)
 			}
-			w.whole(t)
+			w.checkComplete(t)
 		})
 	}
 }
 
-// TestTidyKeepsEpochs: records that are joined, and joined again, leave each machine
+// TestCompactionKeepsEpochs: records that are joined, and joined again, leave each machine
 // with the owner and the epoch that it had.
-func TestTidyKeepsEpochs(t *testing.T) {
-	w := newWorld(testLimits, 2, 2)
-	w.plan(t)
+func TestCompactionKeepsEpochs(t *testing.T) {
+	w := newSimulation(testLimits, 2, 2)
+	w.planUntilStable(t)
 	host := "worker-0"
-	if w.book.rest.Host == host {
+	if w.shardMap.catchAll.Host == host {
 		host = "worker-1"
 	}
 	for range 12 {
-		w.rent(host, 12)
+		w.addMachines(host, 12)
 		w.now = w.now.Add(time.Second)
-		w.plan(t)
+		w.planUntilStable(t)
 	}
 	for range 6 {
-		lots, _ := w.book.Lots()
+		segments, _ := w.shardMap.Counts()
 		was := map[string]Owner{}
-		for _, id := range w.ids {
-			was[id], _ = w.book.Owner(id)
+		for _, id := range w.machines {
+			was[id], _ = w.shardMap.Owner(id)
 		}
-		for i := range w.ids {
-			w.gone[w.ids[i]] = w.gone[w.ids[i]] || i%7 == lots%7
+		for i := range w.machines {
+			w.gone[w.machines[i]] = w.gone[w.machines[i]] || i%7 == segments%7
 		}
-		w.now = w.now.Add(2 * tidyEvery)
-		w.plan(t)
-		for _, id := range w.ids {
-			if o, _ := w.book.Owner(id); !w.gone[id] && (o.Epoch != was[id].Epoch || o.Host != was[id].Host) {
+		w.now = w.now.Add(2 * compactEvery)
+		w.planUntilStable(t)
+		for _, id := range w.machines {
+			if o, _ := w.shardMap.Owner(id); !w.gone[id] && (o.Epoch != was[id].Epoch || o.Host != was[id].Host) {
 				t.Fatalf("%s was %s's under %d and is %s's under %d", id, was[id].Host, was[id].Epoch, o.Host, o.Epoch)
 			}
 		}
 	}
-	if lots, _ := w.book.Lots(); lots > 3 {
-		t.Errorf("%d lots are left", lots)
+	if segments, _ := w.shardMap.Counts(); segments > 3 {
+		t.Errorf("%d lots are left", segments)
 	}
 }
 
-// TestYoung: one that has just begun keeps what it holds and gets nothing while another
+// TestOnProbation: one that has just begun keeps what it holds and gets nothing while another
 // can have it; where all have just begun they get it all the same.
-func TestYoung(t *testing.T) {
-	w := newWorld(testLimits, 3, 3)
+func TestOnProbation(t *testing.T) {
+	w := newSimulation(testLimits, 3, 3)
 	for _, h := range w.hosts() {
-		w.young[h] = true
+		w.onProbation[h] = true
 	}
-	w.plan(t)
+	w.planUntilStable(t)
 	for _, team := range w.teams {
-		if w.book.Team(team) == nil {
+		if w.shardMap.Team(team) == nil {
 			t.Fatalf("all are young, and %s is nobody's", team)
 		}
 	}
-	holder := w.book.Team(w.teams[0]).Host
+	holder := w.shardMap.Team(w.teams[0]).Host
 	changes := w.changes
 	for _, h := range w.hosts() {
-		w.young[h] = h == holder
+		w.onProbation[h] = h == holder
 	}
-	w.plan(t)
+	w.planUntilStable(t)
 	if w.changes != changes {
 		t.Error("what a young one holds is taken from it")
 	}
 	// It ends and is back at once: its share is another's, and stays there.
-	w.life[holder]++
-	w.plan(t)
-	if s := w.book.Team(w.teams[0]); s.Host == holder {
+	w.incarnations[holder]++
+	w.planUntilStable(t)
+	if s := w.shardMap.Team(w.teams[0]); s.Host == holder {
 		t.Error("one that is back at once gets its share again while others can have it")
 	}
 }
 
-// TestUnable: a controller that can run nothing, since it hears no worker, loses its
+// TestIncapable: a controller that can run nothing, since it hears no worker, loses its
 // shares though it lives, and gets none while another can; where none can everything
 // stays.
-func TestUnable(t *testing.T) {
-	w := newWorld(testLimits, 2, 1)
-	w.plan(t)
-	first := w.book.Team("team-00").Host
+func TestIncapable(t *testing.T) {
+	w := newSimulation(testLimits, 2, 1)
+	w.planUntilStable(t)
+	first := w.shardMap.Team("team-00").Host
 	other := map[string]string{"worker-0": "worker-1", "worker-1": "worker-0"}[first]
-	w.unable[first] = true
-	w.plan(t)
-	if s := w.book.Team("team-00"); s.Host != other {
+	w.incapable[first] = true
+	w.planUntilStable(t)
+	if s := w.shardMap.Team("team-00"); s.Host != other {
 		t.Errorf("the share is %s's, want that of the one who can", s.Host)
 	}
 	changes := w.changes
-	w.unable[other] = true
-	w.plan(t)
-	if s := w.book.Team("team-00"); s.Host != other || w.changes != changes {
+	w.incapable[other] = true
+	w.planUntilStable(t)
+	if s := w.shardMap.Team("team-00"); s.Host != other || w.changes != changes {
 		t.Errorf("nobody can, and the share goes to %s", s.Host)
 	}
 }
 
-// TestEarlierForm: shares that name their machines one by one, as an earlier form
+// TestLegacyFormat: shares that name their machines one by one, as an earlier form
 // did, are read, and written anew within their bounds.
-func TestEarlierForm(t *testing.T) {
-	w := newWorld(testLimits, 2, 2)
+func TestLegacyFormat(t *testing.T) {
+	w := newSimulation(testLimits, 2, 2)
 	var ids []string
 	for i := range 150 {
 		ids = append(ids, fmt.Sprintf("vm-%06d", i))
 	}
-	old := func(name string, r shareRecord) {
-		if !w.apply(t, []Write{{Share: true, Name: name, Value: encode(&r)}}) {
+	old := func(name string, r shardRecord) {
+		if !w.apply(t, []Write{{IsShard: true, Name: name, Value: encode(&r)}}) {
 			t.Fatal("not stored")
 		}
 	}
-	old("worker-0", shareRecord{Nonce: "before", Teams: []string{"team-00"}, Rest: true})
-	old("worker-1", shareRecord{Nonce: "before", Teams: []string{"team-01"}, Machines: ids})
-	w.ids = append(ids, "vm-000900")
-	if o, ok := w.book.Owner("vm-000007"); !ok || o.Host != "worker-1" {
+	old("worker-0", shardRecord{Incarnation: "before", Teams: []string{"team-00"}, CatchAll: true})
+	old("worker-1", shardRecord{Incarnation: "before", Teams: []string{"team-01"}, Machines: ids})
+	w.machines = append(ids, "vm-000900")
+	if o, ok := w.shardMap.Owner("vm-000007"); !ok || o.Host != "worker-1" {
 		t.Errorf("a machine of the earlier form is %v's", o)
 	}
-	w.check(t, w.ids)
+	w.check(t, w.machines)
 	for range 30 {
 		w.now = w.now.Add(time.Second)
-		w.plan(t)
+		w.planUntilStable(t)
 	}
-	w.whole(t)
-	if o, _ := w.book.Owner("vm-000007"); o.Share == nil || o.Name != "worker-1" || !w.book.Named("vm-000007") || len(w.book.Machines("worker-1")) != len(ids) {
-		t.Errorf("after the way over: %v, %d machines", o, len(w.book.Machines("worker-1")))
+	w.checkComplete(t)
+	if o, _ := w.shardMap.Owner("vm-000007"); o.Shard == nil || o.Name != "worker-1" || !w.shardMap.IsAssigned("vm-000007") || len(w.shardMap.Machines("worker-1")) != len(ids) {
+		t.Errorf("after the way over: %v, %d machines", o, len(w.shardMap.Machines("worker-1")))
 	}
 }
 
@@ -591,12 +591,12 @@
 		ids := rapid.SliceOfN(name, 1, 200).Draw(t, "names")
 		slices.Sort(ids)
 		ids = slices.Compact(ids)
-		_, gs, err := decodeLot(encodeLot("s", []group{{7, ids}}))
+		_, groups, err := decodeSegment(encodeSegment("s", []epochGroup{{7, ids}}))
 		if err != nil {
 			t.Fatal(err)
 		}
 		var got []string
-		for _, g := range gs {
+		for _, g := range groups {
 			if g.epoch != 7 {
 				t.Fatalf("epoch %d", g.epoch)
 			}
@@ -611,16 +611,16 @@
 
 // FuzzRecords: no record, however damaged, makes a reader panic or take all memory.
 func FuzzRecords(f *testing.F) {
-	f.Add(encodeLot("s", []group{{0, []string{"vm-000001", "vm-000002", "odd"}}}))
-	f.Add(encode(&shareRecord{Host: "a", Nonce: "b", Teams: []string{"t"}, Machines: []string{"vm-1"}}))
+	f.Add(encodeSegment("s", []epochGroup{{0, []string{"vm-000001", "vm-000002", "odd"}}}))
+	f.Add(encode(&shardRecord{Host: "a", Incarnation: "b", Teams: []string{"t"}, Machines: []string{"vm-1"}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		book := NewBook()
-		_ = book.Share("s", b, 1)
-		_ = book.Lot("l", b, 2)
+		book := NewMap()
+		_ = book.ApplyShard("s", b, 1)
+		_ = book.ApplySegment("l", b, 2)
 		book.Owner("vm-000001")
-		_ = book.Lot("l", nil, 3)
-		_ = book.Share("s", nil, 4)
-		if len(book.machines)+len(book.more) > 0 {
+		_ = book.ApplySegment("l", nil, 3)
+		_ = book.ApplyShard("s", nil, 4)
+		if len(book.current)+len(book.superseded) > 0 {
 			t.Fatal("machines are left")
 		}
 	})
@@ -630,16 +630,16 @@
 func BenchmarkOwner(b *testing.B) {
 	for _, size := range []int{300, 1300, 5000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			w := newWorld(testLimits, 7, 9)
-			w.plan(b)
+			w := newSimulation(testLimits, 7, 9)
+			w.planUntilStable(b)
 			for i := range size / 50 {
-				w.rent(w.hosts()[i%7], 50)
+				w.addMachines(w.hosts()[i%7], 50)
 			}
 			w.now = w.now.Add(time.Second)
-			w.plan(b)
+			w.planUntilStable(b)
 			i := 0
 			for b.Loop() {
-				w.book.Owner(w.ids[i%len(w.ids)])
+				w.shardMap.Owner(w.machines[i%len(w.machines)])
 				i++
 			}
 		})
--- a/internal/division/golden_test.go
+++ b/internal/division/golden_test.go
@@ -10,8 +10,8 @@
 // is read.
 func TestGoldenRecords(t *testing.T) {
 	records := testgolden.Values{
-		"share": shareRecord{Host: "ctl-2", Nonce: "n-18.1", Epoch: 411, Teams: []string{"ops", "vision"}, Rest: true, RestEpoch: 409, Machines: []string{"vm-000007"}},
-		"lot": lotRecord{Share: "ctl-2.1", Groups: []groupRec{
+		"share": shardRecord{Host: "ctl-2", Incarnation: "n-18.1", Epoch: 411, Teams: []string{"ops", "vision"}, CatchAll: true, CatchAllEpoch: 409, Machines: []string{"vm-000007"}},
+		"lot": segmentRecord{Shard: "ctl-2.1", Groups: []groupRecord{
 			{Epoch: 412, Prefix: "vm-", Width: 6, Runs: []uint64{5, 3, 70_000, 7}},
 			{Epoch: 413, Names: []string{"odd", "uneven"}},
 		}},
@@ -26,9 +26,9 @@
 // TestGoldenLot: the machines of a lot that stands there are read, and written as they
 // stood.
 func TestGoldenLot(t *testing.T) {
-	share, groups, err := decodeLot(testgolden.Bytes(t, "lot"))
+	share, groups, err := decodeSegment(testgolden.Bytes(t, "lot"))
 	if err != nil || share != "ctl-2.1" || len(groups) != 2 || len(groups[0].names) != 10 || groups[0].names[3] != "vm-070008" {
 		t.Fatalf("read as %q, %v, %v", share, groups, err)
 	}
-	testgolden.Still(t, "lot", encodeLot(share, groups))
+	testgolden.Still(t, "lot", encodeSegment(share, groups))
 }
--- a/internal/division/plan.go
+++ b/internal/division/plan.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// lotNames is how many machines a lot names at most. Fewer make more records to
+	// maxSegmentMachines is how many machines a lot names at most. Fewer make more records to
 	// read for a successor, more make each change cost more to everybody that
 	// watches: a lot of that size takes half a KiB mostly.
-	lotNames = 160
-	// lotSmall is from where on a lot is worth joining with others.
-	lotSmall = lotNames / 4
-	// lotStale is the part of a lot's names that must be in vain, gone or named
+	maxSegmentMachines = 160
+	// smallSegment is from where on a lot is worth joining with others.
+	smallSegment = maxSegmentMachines / 4
+	// staleFraction is the part of a lot's names that must be in vain, gone or named
 	// elsewhere since, before it is written anew.
-	lotStale = 0.25
-	// tidyEvery separates two writes that only make records fewer or shorter.
-	tidyEvery = 5 * time.Second
-	// gather is how long new machines wait for others, to share a record.
-	gather = 400 * time.Millisecond
-	// gain is the part of the largest load that must be won before anything moves
+	staleFraction = 0.25
+	// compactEvery separates two writes that only make records fewer or shorter.
+	compactEvery = 5 * time.Second
+	// batchDelay is how long new machines wait for others, to share a record.
+	batchDelay = 400 * time.Millisecond
+	// minLoadGain is the part of the largest load that must be won before anything moves
 	// between controllers that do well, and steady for how many share intervals that
 	// must have been so.
-	gain   = 0.25
-	steady = 0.5
-	// returnPause is how long a team that has moved stays, in share intervals.
-	returnPause = 4
-	// offerPatience is how long a controller may take to say which machines go
-	// with a team, and refusedPause how long it is left alone when it doesn't.
-	offerPatience = 6 * time.Second
-	refusedPause  = 30 * time.Second
-	// shareFull is the part of a value's limit that a share's teams may take.
-	shareFull = 0.75
+	minLoadGain        = 0.25
+	imbalanceIntervals = 0.5
+	// teamCooldownIntervals is how long a team that has moved stays, in share intervals.
+	teamCooldownIntervals = 4
+	// offerTimeout is how long a controller may take to say which machines go
+	// with a team, and refusedBackoff how long it is left alone when it doesn't.
+	offerTimeout   = 6 * time.Second
+	refusedBackoff = 30 * time.Second
+	// maxShardFill is the part of a value's limit that a share's teams may take.
+	maxShardFill = 0.75
 )
 
-// Node is a living controller. Able: it can run shares. Young: it has begun so lately
+// Controller is a living controller. Able: it can run shares. Young: it has begun so lately
 // that it gets none while another can have it; what it has it keeps.
-type Node struct {
-	Host, Nonce string
-	Able, Young bool
+type Controller struct {
+	Host, Incarnation    string
+	Capable, OnProbation bool
 }
 
 // Offer says which machines a controller would give along with a team.
@@ -53,214 +53,214 @@
 	Machines []string
 }
 
-// Rented is a machine that was rented for a controller, or is handed over to it, and
+// NewMachine is a machine that was rented for a controller, or is handed over to it, and
 // when that was known.
-type Rented struct {
-	ID   string
-	Host string
-	At   time.Time
+type NewMachine struct {
+	ID      string
+	Host    string
+	KnownAt time.Time
 }
 
 // Input is what the division rests on.
 type Input struct {
-	Book *Book
+	Map *Map
 	// Self divides; of controllers with the same load it comes first.
-	Self  string
-	Nodes []Node
+	Self        string
+	Controllers []Controller
 	// Teams are those of the settings, and Load what each keeps busy, in CPUs.
-	Teams []string
-	Load  map[string]float64
+	Teams     []string
+	TeamLoads map[string]float64
 	// Offers are what controllers answer to Asks, by team.
 	Offers map[string]Offer
-	// New are machines rented for a controller that no lot names yet.
-	New []Rented
-	// Gone says that a machine is known to be gone, or surely forgotten.
-	Gone func(machine string) bool
+	// NewMachines are machines rented for a controller that no lot names yet.
+	NewMachines []NewMachine
+	// IsGone says that a machine is known to be gone, or surely forgotten.
+	IsGone func(machine string) bool
 }
 
 // Write is one change of the records, on condition that the key has the stamp (0:
 // is absent). Value nil removes it.
 type Write struct {
-	Share bool
-	Name  string
-	Stamp uint64
-	Value []byte
+	IsShard     bool
+	Name        string
+	ModRevision uint64
+	Value       []byte
 }
 
-// Ask is a team that is to move, and where to.
-type Ask struct {
+// MoveRequest is a team that is to move, and where to.
+type MoveRequest struct {
 	Team     string
 	From, To string
 }
 
-// Divider decides about the division, over time. The zero value is of no use.
-type Divider struct {
+// Planner decides about the division, over time. The zero value is of no use.
+type Planner struct {
 	limits   bounds.Limits
 	interval time.Duration
 	// term makes names of new lots, which are never used again.
-	term string
-	next int
+	term         string
+	segmentCount int
 
-	nodes   string
-	changed time.Time
-	tidied  time.Time
-	moved   map[string]time.Time
-	ask     *Ask
-	asked   time.Time
-	refused map[string]time.Time
-	// uneven is since when a move would win enough.
-	uneven time.Time
+	controllers string
+	changedAt   time.Time
+	compactedAt time.Time
+	movedAt     map[string]time.Time
+	request     *MoveRequest
+	requestedAt time.Time
+	refusedAt   map[string]time.Time
+	// imbalancedSince is since when a move would win enough.
+	imbalancedSince time.Time
 }
 
 // New makes a divider for one term as the one who divides. interval is the least
 // time between two moves of teams.
-func New(limits bounds.Limits, term string, interval time.Duration, now time.Time) *Divider {
-	return &Divider{
-		limits: limits, term: term, interval: interval, changed: now, tidied: now,
-		moved: map[string]time.Time{}, refused: map[string]time.Time{},
+func New(limits bounds.Limits, term string, interval time.Duration, now time.Time) *Planner {
+	return &Planner{
+		limits: limits, term: term, interval: interval, changedAt: now, compactedAt: now,
+		movedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
 	}
 }
 
-// Asked is the team that is to move, if any: its owner is to say which machines go
+// PendingMove is the team that is to move, if any: its owner is to say which machines go
 // along.
-func (d *Divider) Asked() (Ask, bool) {
-	if d.ask == nil {
-		return Ask{}, false
+func (d *Planner) PendingMove() (MoveRequest, bool) {
+	if d.request == nil {
+		return MoveRequest{}, false
 	}
-	return *d.ask, true
+	return *d.request, true
 }
 
 // draft is the division that a plan is about to write.
 type draft struct {
-	d      *Divider
-	in     Input
-	shares map[string]*shareRecord
-	dirty  map[string]bool
-	lots   []Write
-	load   map[string]float64
-	able   []Node
-	// takers are those of the able that get what is given away.
-	takers []Node
+	planner       *Planner
+	input         Input
+	shards        map[string]*shardRecord
+	changedShards map[string]bool
+	segmentWrites []Write
+	loads         map[string]float64
+	capable       []Controller
+	// recipients are those of the able that get what is given away.
+	recipients []Controller
 }
 
 // Plan says what to write next, all of it in one transaction, or nothing.
-func (d *Divider) Plan(now time.Time, in Input) []Write {
-	p := &draft{d: d, in: in, shares: map[string]*shareRecord{}, dirty: map[string]bool{}, load: map[string]float64{}}
+func (d *Planner) Plan(now time.Time, in Input) []Write {
+	p := &draft{planner: d, input: in, shards: map[string]*shardRecord{}, changedShards: map[string]bool{}, loads: map[string]float64{}}
 	var names []string
-	for _, n := range in.Nodes {
-		names = append(names, n.Host+" "+n.Nonce)
-		if n.Able {
-			p.able = append(p.able, n)
+	for _, n := range in.Controllers {
+		names = append(names, n.Host+" "+n.Incarnation)
+		if n.Capable {
+			p.capable = append(p.capable, n)
 		}
 	}
-	if len(p.able) == 0 {
-		p.able = slices.Clone(in.Nodes)
+	if len(p.capable) == 0 {
+		p.capable = slices.Clone(in.Controllers)
 	}
-	slices.SortFunc(p.able, func(a, b Node) int { return strings.Compare(a.Host, b.Host) })
-	for _, n := range p.able {
-		if !n.Young {
-			p.takers = append(p.takers, n)
+	slices.SortFunc(p.capable, func(a, b Controller) int { return strings.Compare(a.Host, b.Host) })
+	for _, n := range p.capable {
+		if !n.OnProbation {
+			p.recipients = append(p.recipients, n)
 		}
 	}
-	if len(p.takers) == 0 {
-		p.takers = p.able
+	if len(p.recipients) == 0 {
+		p.recipients = p.capable
 	}
 	slices.Sort(names)
-	if all := strings.Join(names, ","); all != d.nodes {
+	if all := strings.Join(names, ","); all != d.controllers {
 		// Who lives has changed: let the dust settle before anything moves that need
 		// not.
-		d.nodes, d.changed = all, now
+		d.controllers, d.changedAt = all, now
 	}
-	for _, s := range in.Book.Shares() {
+	for _, s := range in.Map.Shards() {
 		r := s.record()
-		p.shares[s.Name] = &r
+		p.shards[s.Name] = &r
 	}
-	for _, r := range p.shares {
-		if p.holds(r) {
-			p.load[r.Host] += p.weigh(r)
+	for _, r := range p.shards {
+		if p.holderAlive(r) {
+			p.loads[r.Host] += p.shardWeight(r)
 		}
 	}
-	if len(p.able) == 0 {
+	if len(p.capable) == 0 {
 		return nil
 	}
-	if p.shrink() {
+	if p.shrinkOversized() {
 		return p.writes()
 	}
-	p.inherit()
-	p.settle()
-	p.giveRest()
-	if len(p.dirty) == 0 {
-		p.balance(now)
+	p.reassignOrphaned()
+	p.assignTeams()
+	p.assignCatchAll()
+	if len(p.changedShards) == 0 {
+		p.rebalance(now)
 	}
-	p.newLots(now)
-	if len(p.dirty) == 0 && len(p.lots) == 0 {
-		p.tidy(now)
+	p.assignNewMachines(now)
+	if len(p.changedShards) == 0 && len(p.segmentWrites) == 0 {
+		p.compact(now)
 	}
 	return p.writes()
 }
 
-// holds says that a share's holder lives and may go on.
-func (p *draft) holds(r *shareRecord) bool {
-	return slices.ContainsFunc(p.able, func(n Node) bool { return n.Host == r.Host && n.Nonce == r.Nonce })
+// holderAlive says that a share's holder lives and may go on.
+func (p *draft) holderAlive(r *shardRecord) bool {
+	return slices.ContainsFunc(p.capable, func(n Controller) bool { return n.Host == r.Host && n.Incarnation == r.Incarnation })
 }
 
-// weight is a team's part in the load of a controller. One that does nothing counts
+// teamWeight is a team's part in the load of a controller. One that does nothing counts
 // a little, so that teams are spread before they have work.
-func (p *draft) weight(team string) float64 { return 1 + p.in.Load[team] }
+func (p *draft) teamWeight(team string) float64 { return 1 + p.input.TeamLoads[team] }
 
-func (p *draft) weigh(r *shareRecord) float64 {
-	sum := 0.0
+func (p *draft) shardWeight(r *shardRecord) float64 {
+	total := 0.0
 	for _, t := range r.Teams {
-		sum += p.weight(t)
+		total += p.teamWeight(t)
 	}
-	return sum
+	return total
 }
 
-// least is the controller with the least load of those that get anything; of equals,
+// leastLoaded is the controller with the least load of those that get anything; of equals,
 // the one that divides.
-func (p *draft) least() Node {
-	best := p.takers[0]
-	for _, n := range p.takers {
-		if l, b := p.load[n.Host], p.load[best.Host]; l < b || l == b && n.Host == p.in.Self {
+func (p *draft) leastLoaded() Controller {
+	best := p.recipients[0]
+	for _, n := range p.recipients {
+		if l, b := p.loads[n.Host], p.loads[best.Host]; l < b || l == b && n.Host == p.input.Self {
 			best = n
 		}
 	}
 	return best
 }
 
-func (p *draft) empty(name string) bool {
-	r := p.shares[name]
-	return len(r.Teams) == 0 && !r.Rest && len(r.Machines) == 0 && !slices.ContainsFunc(p.in.Book.sortedLots(), func(l *Lot) bool { return l.Share == name })
+func (p *draft) isEmpty(name string) bool {
+	r := p.shards[name]
+	return len(r.Teams) == 0 && !r.CatchAll && len(r.Machines) == 0 && !slices.ContainsFunc(p.input.Map.sortedSegments(), func(l *Segment) bool { return l.Shard == name })
 }
 
-// inherit gives the shares of the dead other holders, one share as a whole to one:
+// reassignOrphaned gives the shares of the dead other holders, one share as a whole to one:
 // its teams' tasks are on its machines. The largest goes first. A share with nothing
 // in it is removed.
-func (p *draft) inherit() {
-	var dead []string
-	for _, n := range p.names() {
-		if r := p.shares[n]; !p.holds(r) {
-			dead = append(dead, n)
-		}
-	}
-	slices.SortStableFunc(dead, func(a, b string) int { return cmp.Compare(p.weigh(p.shares[b]), p.weigh(p.shares[a])) })
-	for _, n := range dead {
-		r := p.shares[n]
-		if p.empty(n) {
-			delete(p.shares, n)
-			p.dirty[n] = true
+func (p *draft) reassignOrphaned() {
+	var orphaned []string
+	for _, n := range p.shardNames() {
+		if r := p.shards[n]; !p.holderAlive(r) {
+			orphaned = append(orphaned, n)
+		}
+	}
+	slices.SortStableFunc(orphaned, func(a, b string) int { return cmp.Compare(p.shardWeight(p.shards[b]), p.shardWeight(p.shards[a])) })
+	for _, n := range orphaned {
+		r := p.shards[n]
+		if p.isEmpty(n) {
+			delete(p.shards, n)
+			p.changedShards[n] = true
 			continue
 		}
-		to := p.least()
-		r.Host, r.Nonce, r.Epoch = to.Host, to.Nonce, 0
-		p.dirty[n] = true
-		p.load[to.Host] += p.weigh(r)
+		to := p.leastLoaded()
+		r.Host, r.Incarnation, r.Epoch = to.Host, to.Incarnation, 0
+		p.changedShards[n] = true
+		p.loads[to.Host] += p.shardWeight(r)
 	}
 }
 
-func (p *draft) names() []string {
-	out := make([]string, 0, len(p.shares))
-	for n := range p.shares {
+func (p *draft) shardNames() []string {
+	out := make([]string, 0, len(p.shards))
+	for n := range p.shards {
 		out = append(out, n)
 	}
 	slices.Sort(out)
@@ -268,17 +268,17 @@
 }
 
 // fits says that a share's record stays within its part of a value.
-func (p *draft) fits(r *shareRecord) bool {
+func (p *draft) fits(r *shardRecord) bool {
 	n, err := bounds.JSON(encode(r))
-	return err == nil && n <= int(shareFull*float64(p.d.limits.ValueBytes))
+	return err == nil && n <= int(maxShardFill*float64(p.planner.limits.ValueBytes))
 }
 
-// shareOf is a share of the controller that has room for one more team: the first,
+// shardFor is a share of the controller that has room for one more team: the first,
 // or a new one.
-func (p *draft) shareOf(n Node, team string) string {
-	for _, name := range p.names() {
-		r := p.shares[name]
-		if r.Host != n.Host || r.Nonce != n.Nonce {
+func (p *draft) shardFor(n Controller, team string) string {
+	for _, name := range p.shardNames() {
+		r := p.shards[name]
+		if r.Host != n.Host || r.Incarnation != n.Incarnation {
 			continue
 		}
 		with := *r
@@ -292,274 +292,276 @@
 		if k > 0 {
 			name = fmt.Sprintf("%s.%d", n.Host, k)
 		}
-		if p.shares[name] == nil && !p.dirty[name] {
-			p.shares[name] = &shareRecord{Host: n.Host, Nonce: n.Nonce}
-			p.dirty[name] = true
+		if p.shards[name] == nil && !p.changedShards[name] {
+			p.shards[name] = &shardRecord{Host: n.Host, Incarnation: n.Incarnation}
+			p.changedShards[name] = true
 			return name
 		}
 	}
 }
 
-// shrink takes teams out of shares that were written under a larger limit of values: they
+// shrinkOversized takes teams out of shares that were written under a larger limit of values: they
 // could not be written again, whoever is to have them. The teams are nobody's until the
 // next plan, so that none is in two shares however many writes it takes.
-func (p *draft) shrink() bool {
-	for _, name := range p.names() {
-		r := p.shares[name]
-		if n, err := bounds.JSON(encode(r)); err != nil || n <= p.d.limits.ValueBytes || p.room() == 0 {
+func (p *draft) shrinkOversized() bool {
+	for _, name := range p.shardNames() {
+		r := p.shards[name]
+		if n, err := bounds.JSON(encode(r)); err != nil || n <= p.planner.limits.ValueBytes || p.remainingOps() == 0 {
 			continue
 		}
 		for len(r.Teams) > 1 && !p.fits(r) {
 			r.Teams = r.Teams[:len(r.Teams)-1]
-			p.dirty[name] = true
+			p.changedShards[name] = true
 		}
 	}
-	return len(p.dirty) > 0
+	return len(p.changedShards) > 0
 }
 
-func (p *draft) give(team string, to Node) {
-	name := p.shareOf(to, team)
-	r := p.shares[name]
+func (p *draft) assignTeam(team string, to Controller) {
+	name := p.shardFor(to, team)
+	r := p.shards[name]
 	r.Teams = append(r.Teams, team)
 	slices.Sort(r.Teams)
-	p.dirty[name] = true
-	p.load[to.Host] += p.weight(team)
+	p.changedShards[name] = true
+	p.loads[to.Host] += p.teamWeight(team)
 }
 
-// settle gives teams that nobody runs to the controllers with the least load.
-func (p *draft) settle() {
-	has := map[string]bool{}
-	for _, r := range p.shares {
+// assignTeams gives teams that nobody runs to the controllers with the least load.
+func (p *draft) assignTeams() {
+	assigned := map[string]bool{}
+	for _, r := range p.shards {
 		for _, t := range r.Teams {
-			has[t] = true
+			assigned[t] = true
 		}
 	}
-	for _, t := range p.in.Teams {
-		if !has[t] {
-			has[t] = true
-			p.give(t, p.least())
+	for _, t := range p.input.Teams {
+		if !assigned[t] {
+			assigned[t] = true
+			p.assignTeam(t, p.leastLoaded())
 		}
 	}
 }
 
-// giveRest sees to it that one share has the machines that no lot names: that of the
+// assignCatchAll sees to it that one share has the machines that no lot names: that of the
 // one who divides, if it runs any team, since it is the first to know of machines.
-func (p *draft) giveRest() {
+func (p *draft) assignCatchAll() {
 	best := ""
-	for _, n := range p.names() {
-		r := p.shares[n]
-		if r.Rest {
+	for _, n := range p.shardNames() {
+		r := p.shards[n]
+		if r.CatchAll {
 			return
 		}
 		switch {
 		case len(r.Teams) == 0:
-		case best == "", r.Host == p.in.Self && p.shares[best].Host != p.in.Self:
+		case best == "", r.Host == p.input.Self && p.shards[best].Host != p.input.Self:
 			best = n
 		}
 	}
 	if best != "" {
-		p.shares[best].Rest, p.shares[best].RestEpoch = true, 0
-		p.dirty[best] = true
+		p.shards[best].CatchAll, p.shards[best].CatchAllEpoch = true, 0
+		p.changedShards[best] = true
 	}
 }
 
-// balance moves a share or a team from the controller with the most to the one with
+// rebalance moves a share or a team from the controller with the most to the one with
 // the least load, when that wins enough and nothing has moved for a while. A share
 // moves as it is. A team moves when its owner has said which machines go along, so
 // that the receiver does not begin with none; nothing of it stops meanwhile.
-func (p *draft) balance(now time.Time) {
-	d := p.d
-	if d.ask != nil {
-		if p.answered(now) {
+func (p *draft) rebalance(now time.Time) {
+	d := p.planner
+	if d.request != nil {
+		if p.continueMove(now) {
 			return
 		}
 	}
-	if d.ask != nil || now.Sub(d.changed) < d.interval || len(p.able) < 2 {
+	if d.request != nil || now.Sub(d.changedAt) < d.interval || len(p.capable) < 2 {
 		return
 	}
-	most, least := p.able[0], p.least()
-	for _, n := range p.able {
-		if p.load[n.Host] > p.load[most.Host] {
-			most = n
+	mostLoaded, leastLoaded := p.capable[0], p.leastLoaded()
+	for _, n := range p.capable {
+		if p.loads[n.Host] > p.loads[mostLoaded.Host] {
+			mostLoaded = n
 		}
 	}
-	level := func(w float64) float64 {
-		return p.load[most.Host] - max(p.load[most.Host]-w, p.load[least.Host]+w)
+	improvement := func(w float64) float64 {
+		return p.loads[mostLoaded.Host] - max(p.loads[mostLoaded.Host]-w, p.loads[leastLoaded.Host]+w)
 	}
 	// The one that levels best, of shares first: they take their machines along.
-	share, team, won, enough := "", "", 0.0, gain*p.load[most.Host]
-	var mine []string
-	for _, n := range p.names() {
-		if r := p.shares[n]; r.Host == most.Host && len(r.Teams) > 0 {
-			mine = append(mine, n)
+	shard, team, bestGain, minGain := "", "", 0.0, minLoadGain*p.loads[mostLoaded.Host]
+	var candidates []string
+	for _, n := range p.shardNames() {
+		if r := p.shards[n]; r.Host == mostLoaded.Host && len(r.Teams) > 0 {
+			candidates = append(candidates, n)
 		}
 	}
-	for _, n := range mine {
-		if w := level(p.weigh(p.shares[n])); len(mine) > 1 && w >= enough && w > won {
-			share, won = n, w
+	for _, n := range candidates {
+		if w := improvement(p.shardWeight(p.shards[n])); len(candidates) > 1 && w >= minGain && w > bestGain {
+			shard, bestGain = n, w
 		}
 	}
-	for _, n := range mine {
-		if r := p.shares[n]; share == "" && len(r.Teams) > 1 {
+	for _, n := range candidates {
+		if r := p.shards[n]; shard == "" && len(r.Teams) > 1 {
 			for _, t := range r.Teams {
-				if w := level(p.weight(t)); w >= enough && w > won && !d.stays(t, now) {
-					team, won = t, w
+				if w := improvement(p.teamWeight(t)); w >= minGain && w > bestGain && !d.onCooldown(t, now) {
+					team, bestGain = t, w
 				}
 			}
 		}
 	}
 	switch {
-	case share == "" && team == "":
-		d.uneven = time.Time{}
+	case shard == "" && team == "":
+		d.imbalancedSince = time.Time{}
 		return
-	case d.uneven.IsZero():
-		d.uneven = now
+	case d.imbalancedSince.IsZero():
+		d.imbalancedSince = now
 	}
-	if float64(now.Sub(d.uneven)) < steady*float64(d.interval) {
+	if float64(now.Sub(d.imbalancedSince)) < imbalanceIntervals*float64(d.interval) {
 		return
 	}
-	d.uneven = time.Time{}
-	if share == "" {
-		d.ask, d.asked = &Ask{team, most.Host, least.Host}, now
+	d.imbalancedSince = time.Time{}
+	if shard == "" {
+		d.request, d.requestedAt = &MoveRequest{team, mostLoaded.Host, leastLoaded.Host}, now
 		return
 	}
-	r := p.shares[share]
-	r.Host, r.Nonce, r.Epoch = least.Host, least.Nonce, 0
-	p.dirty[share] = true
-	d.changed = now
+	r := p.shards[shard]
+	r.Host, r.Incarnation, r.Epoch = leastLoaded.Host, leastLoaded.Incarnation, 0
+	p.changedShards[shard] = true
+	d.changedAt = now
 }
 
-// stays says that a team is not to move: it has moved not long ago, or its owner has
+// onCooldown says that a team is not to move: it has moved not long ago, or its owner has
 // lately not said which machines go along.
-func (d *Divider) stays(team string, now time.Time) bool {
-	within := func(at time.Time, t time.Duration) bool { return !at.IsZero() && now.Sub(at) < t }
-	return within(d.moved[team], returnPause*d.interval) || within(d.refused[team], refusedPause)
+func (d *Planner) onCooldown(team string, now time.Time) bool {
+	within := func(at time.Time, period time.Duration) bool { return !at.IsZero() && now.Sub(at) < period }
+	return within(d.movedAt[team], teamCooldownIntervals*d.interval) || within(d.refusedAt[team], refusedBackoff)
 }
 
-// answered carries a move on that was asked for, and says whether it is written now.
-func (p *draft) answered(now time.Time) bool {
-	d := p.d
-	a := *d.ask
+// continueMove carries a move on that was asked for, and says whether it is written now.
+func (p *draft) continueMove(now time.Time) bool {
+	d := p.planner
+	move := *d.request
 	from := ""
-	for n, r := range p.shares {
-		if slices.Contains(r.Teams, a.Team) {
+	for n, r := range p.shards {
+		if slices.Contains(r.Teams, move.Team) {
 			from = n
 		}
 	}
-	i := slices.IndexFunc(p.able, func(n Node) bool { return n.Host == a.To })
-	switch offer, ok := p.in.Offers[a.Team]; {
-	case from == "" || i < 0 || p.shares[from].Host != a.From:
-		d.ask = nil
+	i := slices.IndexFunc(p.capable, func(n Controller) bool { return n.Host == move.To })
+	switch offer, ok := p.input.Offers[move.Team]; {
+	case from == "" || i < 0 || p.shards[from].Host != move.From:
+		d.request = nil
 	case ok:
-		d.ask = nil
-		d.changed, d.moved[a.Team] = now, now
-		r := p.shares[from]
-		r.Teams = slices.DeleteFunc(r.Teams, func(t string) bool { return t == a.Team })
-		p.dirty[from] = true
-		p.give(a.Team, p.able[i])
+		d.request = nil
+		d.changedAt, d.movedAt[move.Team] = now, now
+		r := p.shards[from]
+		r.Teams = slices.DeleteFunc(r.Teams, func(t string) bool { return t == move.Team })
+		p.changedShards[from] = true
+		p.assignTeam(move.Team, p.capable[i])
 		to := ""
-		for n, r := range p.shares {
-			if slices.Contains(r.Teams, a.Team) {
+		for n, r := range p.shards {
+			if slices.Contains(r.Teams, move.Team) {
 				to = n
 			}
 		}
 		var ids []string
 		for _, id := range offer.Machines {
-			if o, ok := p.in.Book.Owner(id); ok && o.Host == a.From {
+			if o, ok := p.input.Map.Owner(id); ok && o.Host == move.From {
 				ids = append(ids, id)
 			}
 		}
-		p.lot(to, ids)
+		p.addSegments(to, ids)
 		return true
-	case now.Sub(d.asked) > offerPatience:
-		d.refused[a.Team] = now
-		d.ask = nil
+	case now.Sub(d.requestedAt) > offerTimeout:
+		d.refusedAt[move.Team] = now
+		d.request = nil
 	}
 	return false
 }
 
-// room is how many more changes the transaction takes.
-func (p *draft) room() int { return p.d.limits.Ops - len(p.dirty) - len(p.lots) }
+// remainingOps is how many more changes the transaction takes.
+func (p *draft) remainingOps() int {
+	return p.planner.limits.Ops - len(p.changedShards) - len(p.segmentWrites)
+}
 
-// lot names machines for a share, in as many lots as it takes and there is room for.
-func (p *draft) lot(share string, ids []string) {
+// addSegments names machines for a share, in as many lots as it takes and there is room for.
+func (p *draft) addSegments(shard string, ids []string) {
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
-	for len(ids) > 0 && p.room() > 0 {
-		k := min(len(ids), lotNames)
+	for len(ids) > 0 && p.remainingOps() > 0 {
+		count := min(len(ids), maxSegmentMachines)
 		var value []byte
-		for ; ; k = max(1, k/2) {
-			value = encodeLot(share, []group{{0, ids[:k]}})
-			if n, err := bounds.JSON(value); err == nil && n <= p.d.limits.ValueBytes {
+		for ; ; count = max(1, count/2) {
+			value = encodeSegment(shard, []epochGroup{{0, ids[:count]}})
+			if n, err := bounds.JSON(value); err == nil && n <= p.planner.limits.ValueBytes {
 				break
 			}
-			if k == 1 {
+			if count == 1 {
 				// A name that fits no record. It stays with the rest.
 				value = nil
 				break
 			}
 		}
 		if value != nil {
-			p.d.next++
-			p.lots = append(p.lots, Write{Name: fmt.Sprintf("%s-%d", p.d.term, p.d.next), Value: value})
+			p.planner.segmentCount++
+			p.segmentWrites = append(p.segmentWrites, Write{Name: fmt.Sprintf("%s-%d", p.planner.term, p.planner.segmentCount), Value: value})
 		}
-		ids = ids[k:]
+		ids = ids[count:]
 	}
 }
 
-// newLots names the machines that were rented for, or are handed over to, controllers
+// assignNewMachines names the machines that were rented for, or are handed over to, controllers
 // whose they are not yet.
-func (p *draft) newLots(now time.Time) {
-	by := map[string][]string{}
-	ripe := false
-	for _, x := range p.in.New {
-		if o, ok := p.in.Book.Owner(x.ID); ok && o.Host == x.Host || p.in.Gone(x.ID) {
+func (p *draft) assignNewMachines(now time.Time) {
+	byShard := map[string][]string{}
+	due := false
+	for _, x := range p.input.NewMachines {
+		if o, ok := p.input.Map.Owner(x.ID); ok && o.Host == x.Host || p.input.IsGone(x.ID) {
 			continue
 		}
 		// The first of its shares with teams, or the one with the rest.
 		name := ""
-		for _, n := range p.names() {
-			if r := p.shares[n]; r.Host == x.Host && (name == "" && len(r.Teams) > 0 || r.Rest) {
+		for _, n := range p.shardNames() {
+			if r := p.shards[n]; r.Host == x.Host && (name == "" && len(r.Teams) > 0 || r.CatchAll) {
 				name = n
 			}
 		}
 		if name != "" {
-			by[name] = append(by[name], x.ID)
-			ripe = ripe || now.Sub(x.At) >= gather
+			byShard[name] = append(byShard[name], x.ID)
+			due = due || now.Sub(x.KnownAt) >= batchDelay
 		}
 	}
-	if !ripe {
+	if !due {
 		return
 	}
-	for _, n := range p.names() {
-		if len(by[n]) > 0 {
-			p.lot(n, by[n])
+	for _, n := range p.shardNames() {
+		if len(byShard[n]) > 0 {
+			p.addSegments(n, byShard[n])
 		}
 	}
 }
 
-// tidy writes small and stale lots anew: together, without what is gone or named
+// compact writes small and stale lots anew: together, without what is gone or named
 // elsewhere since, and each machine with the epoch that it has.
-func (p *draft) tidy(now time.Time) {
-	d := p.d
-	if now.Sub(d.tidied) < tidyEvery {
+func (p *draft) compact(now time.Time) {
+	d := p.planner
+	if now.Sub(d.compactedAt) < compactEvery {
 		return
 	}
-	d.tidied = now
-	b := p.in.Book
-	for _, n := range p.names() {
-		if old := b.shares[n].old; old != nil {
-			p.lot(n, b.names(old))
-			p.shares[n].Machines = nil
-			p.dirty[n] = true
+	d.compactedAt = now
+	b := p.input.Map
+	for _, n := range p.shardNames() {
+		if old := b.shards[n].legacySegment; old != nil {
+			p.addSegments(n, b.currentMachines(old))
+			p.shards[n].Machines = nil
+			p.changedShards[n] = true
 			return
 		}
 	}
-	live := func(l *Lot) (out []group, count, all int) {
-		for _, g := range l.groups {
-			keep := group{epoch: g.epoch}
+	currentGroups := func(segment *Segment) (out []epochGroup, count, all int) {
+		for _, g := range segment.groups {
+			keep := epochGroup{epoch: g.epoch}
 			for _, id := range g.names {
-				if all++; b.machines[id].lot == l && b.machines[id].epoch == g.epoch && !p.in.Gone(id) {
+				if all++; b.current[id].segment == segment && b.current[id].epoch == g.epoch && !p.input.IsGone(id) {
 					keep.names = append(keep.names, id)
 				}
 			}
@@ -569,81 +571,81 @@
 		}
 		return out, count, all
 	}
-	by := map[string][]found{}
-	for _, l := range b.sortedLots() {
-		groups, count, all := live(l)
-		stale := float64(all-count) >= lotStale*float64(all)
-		if count < lotSmall || stale || b.shares[l.Share] == nil {
-			by[l.Share] = append(by[l.Share], found{l, groups, count, stale})
+	candidates := map[string][]mergeCandidate{}
+	for _, segment := range b.sortedSegments() {
+		groups, count, all := currentGroups(segment)
+		stale := float64(all-count) >= staleFraction*float64(all)
+		if count < smallSegment || stale || b.shards[segment.Shard] == nil {
+			candidates[segment.Shard] = append(candidates[segment.Shard], mergeCandidate{segment, groups, count, stale})
 		}
 	}
 	// The share in which most is won: each lot less is one, and each that is stale.
 	var best []Write
-	most := 0
-	for _, s := range slices.Sorted(maps.Keys(by)) {
-		if ws, won := p.join(s, by[s]); won > most {
-			best, most = ws, won
+	bestSaving := 0
+	for _, s := range slices.Sorted(maps.Keys(candidates)) {
+		if ws, saving := p.mergeSegments(s, candidates[s]); saving > bestSaving {
+			best, bestSaving = ws, saving
 		}
 	}
-	p.lots = append(p.lots, best...)
+	p.segmentWrites = append(p.segmentWrites, best...)
 }
 
-// found is a lot that may be written anew: what of it counts, and how many names.
-type found struct {
-	l      *Lot
-	groups []group
-	count  int
-	stale  bool
+// mergeCandidate is a lot that may be written anew: what of it counts, and how many names.
+type mergeCandidate struct {
+	segment      *Segment
+	groups       []epochGroup
+	machineCount int
+	stale        bool
 }
 
-// join writes lots of a share as one, and says how much that wins.
-func (p *draft) join(share string, fs []found) (ws []Write, won int) {
+// mergeSegments writes lots of a share as one, and says how much that wins.
+func (p *draft) mergeSegments(shard string, candidates []mergeCandidate) (ws []Write, saving int) {
 	// The smallest first: the more of them fit together.
-	slices.SortStableFunc(fs, func(a, b found) int { return cmp.Compare(a.count, b.count) })
-	var groups []group
-	var into *Lot
+	slices.SortStableFunc(candidates, func(a, b mergeCandidate) int { return cmp.Compare(a.machineCount, b.machineCount) })
+	var groups []epochGroup
+	var target *Segment
 	var value []byte
 	count := 0
-	for _, f := range fs {
-		if len(ws) >= p.room()-1 {
+	for _, f := range candidates {
+		if len(ws) >= p.remainingOps()-1 {
 			break
 		}
-		more := append(slices.Clone(groups), f.groups...)
-		v := encodeLot(share, joined(more))
-		if n, err := bounds.JSON(v); count+f.count > lotNames || err != nil || n > p.d.limits.ValueBytes {
+		merged := append(slices.Clone(groups), f.groups...)
+		v := encodeSegment(shard, mergeGroups(merged))
+		if n, err := bounds.JSON(v); count+f.machineCount > maxSegmentMachines || err != nil || n > p.planner.limits.ValueBytes {
 			continue
 		}
-		groups, value, count = more, v, count+f.count
+		groups, value, count = merged, v, count+f.machineCount
 		if f.stale {
-			won++
+			saving++
 		}
-		if into == nil {
-			into = f.l
+		if target == nil {
+			target = f.segment
 			continue
 		}
-		won++
-		ws = append(ws, Write{Name: f.l.Name, Stamp: f.l.Stamp})
+		saving++
+		ws = append(ws, Write{Name: f.segment.Name, ModRevision: f.segment.ModRevision})
 	}
-	if into == nil {
+	if target == nil {
 		return nil, 0
 	}
 	if count == 0 {
 		value = nil
 	}
-	return append(ws, Write{Name: into.Name, Stamp: into.Stamp, Value: value}), won
+	return append(ws, Write{Name: target.Name, ModRevision: target.ModRevision, Value: value}), saving
 }
 
-// joined puts groups of the same epoch together.
-func joined(gs []group) []group {
-	by := map[uint64][]string{}
-	for _, g := range gs {
-		by[g.epoch] = append(by[g.epoch], g.names...)
+// mergeGroups puts groups of the same epoch together.
+func mergeGroups(groups []epochGroup) []epochGroup {
+	byEpoch := map[uint64][]string{}
+	for _, g := range groups {
+		byEpoch[g.epoch] = append(byEpoch[g.epoch], g.names...)
 	}
-	var out []group
-	for e, names := range by {
-		out = append(out, group{e, names})
+	var out []epochGroup
+	for e, names := range byEpoch {
+		out = append(out, epochGroup{e, names})
 	}
-	slices.SortFunc(out, func(a, b group) int { return cmp.Compare(a.epoch, b.epoch) })
+	slices.SortFunc(out, func(a, b epochGroup) int { return cmp.Compare(a.epoch, b.epoch) })
 	return out
 }
 
@@ -653,34 +655,34 @@
 func (p *draft) writes() []Write {
 	var out []Write
 	var names []string
-	for n := range p.dirty {
+	for n := range p.changedShards {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	for _, n := range names {
-		w := Write{Share: true, Name: n}
-		if s := p.in.Book.Find(n); s != nil {
-			w.Stamp = s.Stamp
+		w := Write{IsShard: true, Name: n}
+		if s := p.input.Map.Shard(n); s != nil {
+			w.ModRevision = s.ModRevision
 		}
-		if r := p.shares[n]; r != nil {
+		if r := p.shards[n]; r != nil {
 			w.Value = encode(r)
-		} else if w.Stamp == 0 {
+		} else if w.ModRevision == 0 {
 			continue
 		}
 		out = append(out, w)
 	}
-	out = append(out, p.lots...)
-	return out[:min(len(out), p.d.limits.Ops)]
+	out = append(out, p.segmentWrites...)
+	return out[:min(len(out), p.planner.limits.Ops)]
 }
 
-// Raise names machines that an owner has already for its share once more, so that
+// BumpEpoch names machines that an owner has already for its share once more, so that
 // they get a higher epoch: under it orders that got no answer can't be executed any
 // more. name must never have been used.
-func Raise(limits bounds.Limits, name string, share *Share, machines []string) (Write, []string) {
-	for k := min(len(machines), lotNames); k > 0; k /= 2 {
-		v := encodeLot(share.Name, []group{{0, machines[:k]}})
+func BumpEpoch(limits bounds.Limits, name string, shard *Shard, machines []string) (Write, []string) {
+	for count := min(len(machines), maxSegmentMachines); count > 0; count /= 2 {
+		v := encodeSegment(shard.Name, []epochGroup{{0, machines[:count]}})
 		if n, err := bounds.JSON(v); err == nil && n <= limits.ValueBytes {
-			return Write{Name: name, Value: v}, machines[:k]
+			return Write{Name: name, Value: v}, machines[:count]
 		}
 	}
 	return Write{}, nil
--- a/internal/division/record.go
+++ b/internal/division/record.go
@@ -31,33 +31,33 @@
 // ErrRecord says that a value is no record of this package.
 var ErrRecord = errors.New("division: unreadable record")
 
-// shareRecord is a share as it is stored.
-type shareRecord struct {
+// shardRecord is a share as it is stored.
+type shardRecord struct {
 	// Host holds the share, in the life called Nonce: a restarted controller does
 	// not go on with its former life's epochs, under which orders may still be on
 	// their way. Without Host, an earlier form, the share's name is the host's.
-	Host  string `msgpack:"host,omitempty"`
-	Nonce string `msgpack:"nonce"`
+	Host        string `msgpack:"host,omitempty"`
+	Incarnation string `msgpack:"nonce"`
 	// Epoch is the revision since which the holder has it; 0: the record's own.
 	Epoch uint64   `msgpack:"e,omitempty"`
 	Teams []string `msgpack:"teams"`
-	// Rest: it has all machines that no lot names, since RestEpoch, as Epoch.
-	Rest      bool   `msgpack:"rest,omitempty"`
-	RestEpoch uint64 `msgpack:"re,omitempty"`
+	// Rest: it has all machines that no lot names, since CatchAllEpoch, as Epoch.
+	CatchAll      bool   `msgpack:"rest,omitempty"`
+	CatchAllEpoch uint64 `msgpack:"re,omitempty"`
 	// Machines are those of an earlier form, which named them one by one.
 	Machines []string `msgpack:"machines,omitempty"`
 }
 
-// lotRecord is a lot as it is stored.
-type lotRecord struct {
-	Share  string     `msgpack:"s"`
-	Groups []groupRec `msgpack:"g"`
+// segmentRecord is a lot as it is stored.
+type segmentRecord struct {
+	Shard  string        `msgpack:"s"`
+	Groups []groupRecord `msgpack:"g"`
 }
 
-// groupRec is some machines of a lot that came to its share together. Their names
+// groupRecord is some machines of a lot that came to its share together. Their names
 // are a prefix and a number of so many digits; Runs are pairs of a gap after the
 // last run and a length, and Names those that have no number.
-type groupRec struct {
+type groupRecord struct {
 	//lint:ignore U1000 its tag has rows stored as lists
 	_msgpack struct{} `msgpack:",as_array"`
 	Epoch    uint64
@@ -67,83 +67,83 @@
 	Names    []string
 }
 
-// group is machines with one epoch; 0 stands for the record's own revision.
-type group struct {
+// epochGroup is machines with one epoch; 0 stands for the record's own revision.
+type epochGroup struct {
 	epoch uint64
 	names []string
 }
 
-// numberDigits bounds the digits that count as a machine's number.
-const numberDigits = 18
+// maxNumberDigits bounds the digits that count as a machine's number.
+const maxNumberDigits = 18
 
-// numbered splits a name into what stands before its number, and that.
-func numbered(name string) (prefix string, value uint64, width int, ok bool) {
+// splitNumber splits a name into what stands before its number, and that.
+func splitNumber(name string) (prefix string, value uint64, width int, ok bool) {
 	prefix = strings.TrimRight(name, "0123456789")
 	digits := name[len(prefix):]
-	if digits == "" || len(digits) > numberDigits {
+	if digits == "" || len(digits) > maxNumberDigits {
 		return "", 0, 0, false
 	}
 	value, err := strconv.ParseUint(digits, 10, 64)
 	return prefix, value, len(digits), err == nil
 }
 
-func (g *group) records() []groupRec {
+func (g *epochGroup) toRecords() []groupRecord {
 	type kind struct {
 		prefix string
 		width  int
 	}
-	by := map[kind][]uint64{}
-	var odd []string
+	numbersByFormat := map[kind][]uint64{}
+	var unnumbered []string
 	for _, name := range g.names {
-		if p, v, w, ok := numbered(name); ok {
-			by[kind{p, w}] = append(by[kind{p, w}], v)
+		if p, v, w, ok := splitNumber(name); ok {
+			numbersByFormat[kind{p, w}] = append(numbersByFormat[kind{p, w}], v)
 		} else {
-			odd = append(odd, name)
+			unnumbered = append(unnumbered, name)
 		}
 	}
-	kinds := make([]kind, 0, len(by))
-	for k := range by {
+	kinds := make([]kind, 0, len(numbersByFormat))
+	for k := range numbersByFormat {
 		kinds = append(kinds, k)
 	}
 	slices.SortFunc(kinds, func(a, b kind) int { return cmp.Or(strings.Compare(a.prefix, b.prefix), a.width-b.width) })
-	var out []groupRec
+	var out []groupRecord
 	for _, k := range kinds {
-		r := groupRec{Epoch: g.epoch, Prefix: k.prefix, Width: k.width}
-		vs := by[k]
-		slices.Sort(vs)
-		vs = slices.Compact(vs)
+		r := groupRecord{Epoch: g.epoch, Prefix: k.prefix, Width: k.width}
+		numbers := numbersByFormat[k]
+		slices.Sort(numbers)
+		numbers = slices.Compact(numbers)
 		end := uint64(0)
-		for i := 0; i < len(vs); {
+		for i := 0; i < len(numbers); {
 			j := i + 1
-			for j < len(vs) && vs[j] == vs[j-1]+1 {
+			for j < len(numbers) && numbers[j] == numbers[j-1]+1 {
 				j++
 			}
-			r.Runs = append(r.Runs, vs[i]-end, uint64(j-i))
-			end = vs[i] + uint64(j-i)
+			r.Runs = append(r.Runs, numbers[i]-end, uint64(j-i))
+			end = numbers[i] + uint64(j-i)
 			i = j
 		}
 		out = append(out, r)
 	}
-	if len(odd) > 0 {
-		slices.Sort(odd)
-		out = append(out, groupRec{Epoch: g.epoch, Names: slices.Compact(odd)})
+	if len(unnumbered) > 0 {
+		slices.Sort(unnumbered)
+		out = append(out, groupRecord{Epoch: g.epoch, Names: slices.Compact(unnumbered)})
 	}
 	return out
 }
 
-// namesMost bounds the machines that a record may name: one that claims more is
+// maxRecordMachines bounds the machines that a record may name: one that claims more is
 // damaged, and would take all memory.
-const namesMost = 1 << 16
+const maxRecordMachines = 1 << 16
 
-func (r *groupRec) group() (group, error) {
-	g := group{epoch: r.Epoch, names: r.Names}
-	if len(r.Runs)%2 != 0 || r.Width < 0 || r.Width > numberDigits {
+func (r *groupRecord) toGroup() (epochGroup, error) {
+	g := epochGroup{epoch: r.Epoch, names: r.Names}
+	if len(r.Runs)%2 != 0 || r.Width < 0 || r.Width > maxNumberDigits {
 		return g, ErrRecord
 	}
 	end := uint64(0)
 	for i := 0; i < len(r.Runs); i += 2 {
 		gap, n := r.Runs[i], r.Runs[i+1]
-		if n > namesMost || len(g.names)+int(n) > namesMost || gap > 1e18 || end > 1e18 {
+		if n > maxRecordMachines || len(g.names)+int(n) > maxRecordMachines || gap > 1e18 || end > 1e18 {
 			return g, ErrRecord
 		}
 		for v := end + gap; v < end+gap+n; v++ {
@@ -164,11 +164,11 @@
 	return b
 }
 
-// encodeLot is the record of a lot.
-func encodeLot(share string, groups []group) []byte {
-	r := lotRecord{Share: share}
+// encodeSegment is the record of a lot.
+func encodeSegment(shard string, groups []epochGroup) []byte {
+	r := segmentRecord{Shard: shard}
 	for _, g := range groups {
-		r.Groups = append(r.Groups, g.records()...)
+		r.Groups = append(r.Groups, g.toRecords()...)
 	}
 	return encode(&r)
 }
@@ -185,21 +185,21 @@
 	return nil
 }
 
-func decodeLot(b []byte) (share string, groups []group, err error) {
-	var r lotRecord
+func decodeSegment(b []byte) (shard string, groups []epochGroup, err error) {
+	var r segmentRecord
 	if err := decode(b, &r); err != nil {
 		return "", nil, err
 	}
-	sum := 0
+	total := 0
 	for i := range r.Groups {
-		g, err := r.Groups[i].group()
+		g, err := r.Groups[i].toGroup()
 		if err != nil {
 			return "", nil, err
 		}
-		if sum += len(g.names); sum > namesMost {
+		if total += len(g.names); total > maxRecordMachines {
 			return "", nil, ErrRecord
 		}
 		groups = append(groups, g)
 	}
-	return r.Share, groups, nil
+	return r.Shard, groups, nil
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -29,7 +29,7 @@
 	Blocked:          []core.CapacityRequest{{MachineType: "g1", Zone: "d", Count: 500}},
 	TeamLoads:        []core.TeamLoad{{Team: "ops", CPU: 96.5}},
 	Offers:           []division.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
-	TeamRelease:      []division.Ask{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
+	TeamRelease:      []division.MoveRequest{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
 	RentalUpdates:    []core.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
 	RemoteAttempts: []ownership.Ask{{Machine: "vm-000016", Attempts: []ownership.Asked{
 		{Attempt: goldenAttempt("job-000412", 5, 2), Want: ownership.Stop, WindDown: 30_250 * time.Millisecond},
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -130,7 +130,7 @@
 		n.Offers = append(n.Offers, division.Offer{Team: o.Team, Machines: o.Machines})
 	}
 	for _, r := range m.Release {
-		n.TeamRelease = append(n.TeamRelease, division.Ask{Team: r.Team, From: r.From, To: r.To})
+		n.TeamRelease = append(n.TeamRelease, division.MoveRequest{Team: r.Team, From: r.From, To: r.To})
 	}
 	for _, a := range m.Wards {
 		x := ownership.Ask{Machine: a.Machine}
