--- a/internal/core/effects.go
+++ b/internal/core/effects.go
@@ -101,8 +101,8 @@
 	TeamRelease      []division.MoveRequest
 	// RemoteAttempts are attempts of the sender's jobs on the receiver's machines, and Told
 	// what the sender knows of those of the receiver's jobs on its own.
-	RemoteAttempts []ownership.Ask
-	RemoteStatuses []ownership.Tell
+	RemoteAttempts []ownership.Request
+	RemoteStatuses []ownership.MachineStatus
 	// Rates is what the sender asks of the state service.
 	Rates *Rates
 	// StateAway: the state service does not answer here.
--- a/internal/core/hear.go
+++ b/internal/core/hear.go
@@ -186,7 +186,7 @@
 			continue
 		}
 		if d, is := m.reachability.Deaf(n.now); is {
-			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.Count(m.id), For: d})
+			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.LiveCount(m.id), For: d})
 		}
 	}
 	if len(unreachable) == 0 {
--- a/internal/core/horizon.go
+++ b/internal/core/horizon.go
@@ -62,7 +62,7 @@
 			until = earlier(until, n.cancelledJobDeadline(k.job))
 		}
 	}
-	for _, a := range n.shardLeader.registry.Living(m.id) {
+	for _, a := range n.shardLeader.registry.LiveAttempts(m.id) {
 		until = earlier(until, n.cancelledJobDeadline(a.Job))
 	}
 	return until
--- a/internal/core/lost.go
+++ b/internal/core/lost.go
@@ -25,7 +25,7 @@
 		if !n.unresponsive(m) {
 			continue
 		}
-		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.Count(m.id), Over: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
+		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.LiveCount(m.id), Over: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
 		for k := range m.attempts {
 			j := n.shardLeader.jobs[k.job]
 			if l, u := n.latestStart(j), inverseRank(n, j); u > x.Urgency || x.Latest.IsZero() || u == x.Urgency && l.Before(x.Latest) {
--- a/internal/core/owner_test.go
+++ b/internal/core/owner_test.go
@@ -116,7 +116,7 @@
 	if m.epoch != 4 || m.leaseEnd.Before(least) {
 		t.Errorf("under epoch %d its lease counts as over after %v, want %v at least", m.epoch, m.leaseEnd.Sub(n.now), least.Sub(n.now))
 	}
-	receiveRemoteRequests(n, "b", []ownership.Ask{{Machine: "vm-000088", Attempts: []ownership.Asked{{Attempt: ownership.Attempt{Job: "job-000900", Index: 0, Try: 1}}}}})
+	receiveRemoteRequests(n, "b", []ownership.Request{{Machine: "vm-000088", Attempts: []ownership.AttemptRequest{{AttemptID: ownership.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
 	if m = n.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
 		t.Errorf("a machine with others' work: %+v", m)
 	}
@@ -150,7 +150,7 @@
 	}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, spec.openRecord(n.now)}
 	// Asked to stop it, it does.
-	receiveRemoteRequests(n, "b", []ownership.Ask{{Machine: m.id, Attempts: []ownership.Asked{{Attempt: ownership.Attempt{Job: spec.ID, Index: 0, Try: 1}, Want: ownership.Stop}}}})
+	receiveRemoteRequests(n, "b", []ownership.Request{{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: ownership.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: ownership.Stop}}}})
 	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StopTask {
 		t.Errorf("ordered %v, want a stop", os)
 	}
@@ -167,8 +167,8 @@
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Tasks = 2, []TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: Checkpointing}}
 	n.applyHeartbeat(m, r, true)
-	a := ownership.Attempt{Job: spec.ID, Index: 0, Try: 1}
-	receiveRemoteRequests(n, "b", []ownership.Ask{{Machine: m.id, Attempts: []ownership.Asked{{Attempt: a, Want: ownership.Stop, WindDown: 20 * time.Second}}}})
+	a := ownership.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
+	receiveRemoteRequests(n, "b", []ownership.Request{{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: a, Intent: ownership.Stop, WindDown: 20 * time.Second}}}})
 	if os := n.reconcile(m); len(os) > 0 {
 		t.Errorf("ordered %v while it saves", os)
 	}
@@ -215,7 +215,7 @@
 	if n.shardLeader.jobs[spec.ID] != nil || m.isEmpty() || m.othersUsed.CPU != 3 {
 		t.Fatalf("left behind it takes %v, empty %v", m.othersUsed, m.isEmpty())
 	}
-	requests := []ownership.Ask{{Machine: m.id, Attempts: []ownership.Asked{{Attempt: ownership.Attempt{Job: spec.ID, Index: 0, Try: 1}}}}}
+	requests := []ownership.Request{{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: ownership.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
 	publishedState := func() ownership.State {
 		n.now, n.effects = n.now.Add(2*time.Second), nil
 		receiveRemoteRequests(n, "b", requests)
@@ -254,7 +254,7 @@
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.attachAttempt(j, 0, n.ownedOrRemoteMachine("vm-000077"))
 	publish := func(from string, epoch uint64) {
-		receiveRemoteAttempts(n, from, []ownership.Tell{{Machine: "vm-000077", Epoch: epoch, Attempts: []ownership.Told{{Attempt: ownership.Attempt{Job: j.ID, Index: 0, Try: 1}, State: ownership.Gone}}}})
+		receiveRemoteAttempts(n, from, []ownership.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []ownership.AttemptStatus{{AttemptID: ownership.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: ownership.Gone}}}})
 	}
 	publish("b", 4)
 	publish("c", 5)
--- a/internal/core/reconcile.go
+++ b/internal/core/reconcile.go
@@ -46,7 +46,7 @@
 
 // waitsForStartProof says that a start without an answer keeps m from being settled.
 func (m *machine) waitsForStartProof(registry *ownership.Registry) bool {
-	if registry.Unseen(m.id) {
+	if registry.HasUnreported(m.id) {
 		return true
 	}
 	for _, t := range m.attempts {
--- a/internal/core/remote.go
+++ b/internal/core/remote.go
@@ -26,8 +26,8 @@
 }
 
 // remoteAttempt names a task's attempt.
-func remoteAttempt(k taskKey, attempt uint64) ownership.Attempt {
-	return ownership.Attempt{Job: k.job, Index: k.index, Try: attempt}
+func remoteAttempt(k taskKey, attempt uint64) ownership.AttemptID {
+	return ownership.AttemptID{Job: k.job, Index: k.index, Attempt: attempt}
 }
 
 // requestRemoteAttempts asks the owners of other machines for the attempts of this owner's jobs
@@ -38,7 +38,7 @@
 		return
 	}
 	o.remote.due, o.remote.requested = false, n.now
-	requests := map[string][]ownership.Ask{}
+	requests := map[string][]ownership.Request{}
 	count := 0
 	ids := sortedKeys(o.remoteMachines)
 	// Of more than fit, those after the last that were asked for come next.
@@ -53,12 +53,12 @@
 		if !ok || x.Host == n.settings.Host {
 			continue
 		}
-		request := ownership.Ask{Machine: id}
+		request := ownership.Request{Machine: id}
 		for _, key := range sortedAttempts(a) {
 			t := a.attempts[key]
-			w := ownership.Asked{Attempt: remoteAttempt(key, t.attempt)}
+			w := ownership.AttemptRequest{AttemptID: remoteAttempt(key, t.attempt)}
 			if t.stopReason != stopNone {
-				w.Want, w.WindDown = ownership.Stop, n.gracePeriod(a, o.jobs[key.job], t)
+				w.Intent, w.WindDown = ownership.Stop, n.gracePeriod(a, o.jobs[key.job], t)
 			}
 			request.Attempts = append(request.Attempts, w)
 		}
@@ -74,16 +74,16 @@
 }
 
 // receiveRemoteRequests takes in what a jobs' owner asks about machines of this one.
-func receiveRemoteRequests(n *Controller, from string, requests []ownership.Ask) {
+func receiveRemoteRequests(n *Controller, from string, requests []ownership.Request) {
 	o := n.shardLeader
 	for _, a := range requests {
 		if _, mine := n.ownedMachine(a.Machine); !mine || !o.ready {
 			continue
 		}
-		changed := o.registry.Ask(n.now, from, a)
+		changed := o.registry.Request(n.now, from, a)
 		m := o.machines[a.Machine]
 		if m == nil {
-			if o.registry.Count(a.Machine) == 0 {
+			if o.registry.LiveCount(a.Machine) == 0 {
 				// All that was asked for is known to be gone.
 				continue
 			}
@@ -107,9 +107,9 @@
 // publishRemoteAttempts tells the others what is known of the attempts of their jobs here.
 func publishRemoteAttempts(n *Controller) {
 	o := n.shardLeader
-	updates := o.registry.Tells(n.now, func(id string) (ownership.About, bool) {
+	updates := o.registry.DueStatuses(n.now, func(id string) (ownership.MachineInfo, bool) {
 		x, mine := n.ownedMachine(id)
-		about := ownership.About{Epoch: x.Epoch, Owner: func(job string) string {
+		about := ownership.MachineInfo{Epoch: x.Epoch, JobOwner: func(job string) string {
 			if l, open := n.frontend.watchCache.openJobs[job]; open {
 				if s := n.membership.shardMap.Team(l.rec.Team); s != nil && s.Host != n.settings.Host {
 					return s.Host
@@ -133,7 +133,7 @@
 // counts only from whom the division names as the machine's owner now, under the
 // epoch of now: since an earlier one the machine may have been this owner's again,
 // and the attempt may have been started.
-func receiveRemoteAttempts(n *Controller, from string, updates []ownership.Tell) {
+func receiveRemoteAttempts(n *Controller, from string, updates []ownership.MachineStatus) {
 	o := n.shardLeader
 	for _, update := range updates {
 		x, ok := n.membership.shardMap.Owner(update.Machine)
@@ -141,19 +141,19 @@
 			continue
 		}
 		a := o.remoteMachines[update.Machine]
-		var back ownership.Ask
+		var back ownership.Request
 		for _, w := range update.Attempts {
 			j := o.jobs[w.Job]
 			if j == nil || w.Index < 0 || w.Index >= len(j.tasks) {
 				continue
 			}
 			t := &j.tasks[w.Index]
-			if a != nil && t.machine == a && t.attempt == w.Try {
+			if a != nil && t.machine == a && t.attempt == w.Attempt {
 				applyRemoteAttempt(n, j, a, w)
 			} else if w.State == ownership.Ended && j.durable(w.Index) {
-				back.Attempts = append(back.Attempts, ownership.Asked{Attempt: w.Attempt, Want: ownership.Settled})
-			} else if w.State == ownership.Fetching || w.State == ownership.Running || w.State == ownership.Flushing {
-				back.Attempts = append(back.Attempts, ownership.Asked{Attempt: w.Attempt, Want: ownership.Stop})
+				back.Attempts = append(back.Attempts, ownership.AttemptRequest{AttemptID: w.AttemptID, Intent: ownership.Settled})
+			} else if w.State == ownership.Fetching || w.State == ownership.Running || w.State == ownership.Checkpointing {
+				back.Attempts = append(back.Attempts, ownership.AttemptRequest{AttemptID: w.AttemptID, Intent: ownership.Stop})
 			}
 		}
 		if a != nil && a.zone == "" && update.Zone != "" {
@@ -161,21 +161,21 @@
 		}
 		if len(back.Attempts) > 0 {
 			back.Machine = update.Machine
-			n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, RemoteAttempts: []ownership.Ask{back}}})
+			n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, RemoteAttempts: []ownership.Request{back}}})
 		}
 	}
 }
 
 // applyRemoteAttempt takes in the state of one live attempt on another's machine.
-func applyRemoteAttempt(n *Controller, j *job, a *machine, w ownership.Told) {
+func applyRemoteAttempt(n *Controller, j *job, a *machine, w ownership.AttemptStatus) {
 	k := taskKey{j.ID, w.Index}
-	p := TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Try, Cause: w.Cause}
+	p := TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Attempt, Cause: w.Cause}
 	switch w.State {
 	case ownership.Fetching:
 		p.Status = Fetching
 	case ownership.Running:
 		p.Status = Running
-	case ownership.Flushing:
+	case ownership.Checkpointing:
 		p.Status = Checkpointing
 	case ownership.Ended:
 		p.Status = Ended
@@ -189,21 +189,21 @@
 }
 
 // toRemoteTask is a reported state in the ownership package's terms.
-func toRemoteTask(p TaskReport) ownership.Piece {
-	s := [...]ownership.State{Fetching: ownership.Fetching, Running: ownership.Running, Checkpointing: ownership.Flushing, Ended: ownership.Ended}[p.Status]
-	return ownership.Piece{Attempt: ownership.Attempt{Job: p.Job, Index: p.Index, Try: p.Attempt}, State: s, Cause: p.Cause}
+func toRemoteTask(p TaskReport) ownership.ReportedAttempt {
+	s := [...]ownership.State{Fetching: ownership.Fetching, Running: ownership.Running, Checkpointing: ownership.Checkpointing, Ended: ownership.Ended}[p.Status]
+	return ownership.ReportedAttempt{AttemptID: ownership.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: s, Cause: p.Cause}
 }
 
 // updateRegistry hands the newest report of a machine to the registry.
 func updateRegistry(n *Controller, m *machine) {
 	o := n.shardLeader
-	var tasks []ownership.Piece
+	var tasks []ownership.ReportedAttempt
 	for _, p := range m.taskReports {
 		tasks = append(tasks, toRemoteTask(p))
 	}
 	// Under the epoch that it has shown nothing older can be executed any more; and a
 	// start of this owner's own may be on its way, from before the job went to another.
-	o.registry.Saw(n.now, m.id, tasks, func(job string) bool { return o.jobs[job] != nil }, n.noStartInFlight(m))
+	o.registry.ObserveHeartbeat(n.now, m.id, tasks, func(job string) bool { return o.jobs[job] != nil }, n.noStartInFlight(m))
 	n.recountOthersUsed(m)
 }
 
@@ -212,7 +212,7 @@
 	o := n.shardLeader
 	hadOthersAttempts := m.hasOthersAttempts
 	m.othersUsed, m.hasOthersAttempts, m.hasUnknownTasks = Resources{}, false, false
-	for _, a := range o.registry.Living(m.id) {
+	for _, a := range o.registry.LiveAttempts(m.id) {
 		if o.jobs[a.Job] != nil {
 			continue
 		}
@@ -253,9 +253,9 @@
 // over and it is cleared away.
 func (n *Controller) commandForOthers(m *machine, p TaskReport, quiet bool) (TaskCommand, bool) {
 	o := n.shardLeader
-	a := ownership.Attempt{Job: p.Job, Index: p.Index, Try: p.Attempt}
-	since, w, requested := o.registry.Since(m.id, a)
-	stop, over := requested && w.Want == ownership.Stop, requested && w.Want == ownership.Settled
+	a := ownership.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
+	since, w, requested := o.registry.Find(m.id, a)
+	stop, over := requested && w.Intent == ownership.Stop, requested && w.Intent == ownership.Settled
 	_, final := n.frontend.finalStatuses[p.Job]
 	switch l, open := n.frontend.watchCache.openJobs[p.Job]; {
 	case final:
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -360,9 +360,9 @@
 		}
 		n.endAttempt(n.shardLeader.jobs[k.job], k.index, false)
 	}
-	n.shardLeader.registry.Lost(n.now, m.id, func(a ownership.Attempt) bool {
+	n.shardLeader.registry.MarkMachineGone(n.now, m.id, func(a ownership.AttemptID) bool {
 		return r != nil && slices.ContainsFunc(r.Tasks, func(p TaskReport) bool {
-			return p.Job == a.Job && p.Index == a.Index && p.Attempt == a.Try
+			return p.Job == a.Job && p.Index == a.Index && p.Attempt == a.Attempt
 		})
 	})
 	m.taskReports, m.lastTaskReports = nil, nil
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -136,7 +136,7 @@
 			s.RemoteAttempts.OnOthersMachines += len(a.attempts)
 		}
 		for _, id := range o.registry.Machines() {
-			s.RemoteAttempts.OthersHere += o.registry.Count(id)
+			s.RemoteAttempts.OthersHere += o.registry.LiveCount(id)
 		}
 		by := map[string]*WorkloadStatus{}
 		for _, j := range o.jobs {
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -140,10 +140,10 @@
 			}
 			// It may run or yet begin, and takes room. Whoever owns the job now reads
 			// of it and asks. What was never told to anybody is nowhere.
-			a := ownership.Attempt{Job: id, Index: i, Try: t.attempt}
-			o.registry.Ask(n.now, newOwner, ownership.Ask{Machine: m.id, Attempts: []ownership.Asked{{Attempt: a}}})
+			a := ownership.AttemptID{Job: id, Index: i, Attempt: t.attempt}
+			o.registry.Request(n.now, newOwner, ownership.Request{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: a}}})
 			if !t.startSent {
-				o.registry.Nowhere(n.now, m.id, a)
+				o.registry.MarkGone(n.now, m.id, a)
 			}
 			affected[m.id] = m
 		}
@@ -193,7 +193,7 @@
 			if !m.leaseEnd.IsZero() {
 				m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
 			}
-			o.registry.Doubt(m.id)
+			o.registry.ForgetObservations(m.id)
 			n.markDispatchPending(m)
 		}
 	}
@@ -209,7 +209,7 @@
 func handOverMachine(n *Controller, m *machine) {
 	o := n.shardLeader
 	o.removeMachine(m)
-	o.registry.Drop(m.id)
+	o.registry.ForgetMachine(m.id)
 	delete(o.higherEpochSeen, m.id)
 	if len(m.attempts) == 0 {
 		return
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -19,38 +19,38 @@
 )
 
 const (
-	// memory is how long an attempt is kept in mind that nobody asks for any more:
+	// requestTTL is how long an attempt is kept in mind that nobody asks for any more:
 	// its owner may have ended, and a successor asks only when it has read all.
-	memory = time.Minute
-	// again is how often the same is told once more.
-	again = time.Second
-	// tellMost bounds the attempts in one message to a controller.
-	tellMost = 2000
+	requestTTL = time.Minute
+	// resendEvery is how often the same is told once more.
+	resendEvery = time.Second
+	// maxAttemptsPerMessage bounds the attempts in one message to a controller.
+	maxAttemptsPerMessage = 2000
 )
 
-// Attempt names one attempt of a task. An attempt goes to one machine, once.
-type Attempt struct {
-	Job   string
-	Index int
-	Try   uint64
+// AttemptID names one attempt of a task. An attempt goes to one machine, once.
+type AttemptID struct {
+	Job     string
+	Index   int
+	Attempt uint64
 }
 
-func (a Attempt) compare(b Attempt) int {
+func (a AttemptID) compare(b AttemptID) int {
 	if c := strings.Compare(a.Job, b.Job); c != 0 {
 		return c
 	}
 	if a.Index != b.Index {
 		return a.Index - b.Index
 	}
-	return int(a.Try) - int(b.Try)
+	return int(a.Attempt) - int(b.Attempt)
 }
 
-// Want is what a job's owner wants of an attempt.
-type Want uint8
+// Intent is what a job's owner wants of an attempt.
+type Intent uint8
 
 // Keep it as it is; stop it; its end is durable, so that it may be cleared away.
 const (
-	Keep Want = iota
+	Keep Intent = iota
 	Stop
 	Settled
 )
@@ -64,43 +64,43 @@
 	Unknown State = iota
 	Fetching
 	Running
-	Flushing
+	Checkpointing
 	Ended
 	Gone
 )
 
-// Asked is an attempt and what its owner wants.
-type Asked struct {
-	Attempt
-	Want Want
+// AttemptRequest is an attempt and what its owner wants.
+type AttemptRequest struct {
+	AttemptID
+	Intent Intent
 	// WindDown goes with Stop: how long it may take to save.
 	WindDown time.Duration
 }
 
-// Ask is what a job's owner says of its attempts on a machine of another's.
-type Ask struct {
+// Request is what a job's owner says of its attempts on a machine of another's.
+type Request struct {
 	Machine  string
-	Attempts []Asked
+	Attempts []AttemptRequest
 }
 
-// Told is what is known of an attempt. Cause says how it ended.
-type Told struct {
-	Attempt
+// AttemptStatus is what is known of an attempt. Cause says how it ended.
+type AttemptStatus struct {
+	AttemptID
 	State State
 	Cause string
 }
 
-// Tell is what a machine's owner says, under the epoch by which it owns it.
-type Tell struct {
+// MachineStatus is what a machine's owner says, under the epoch by which it owns it.
+type MachineStatus struct {
 	Machine  string
 	Epoch    uint64
 	Zone     string
-	Attempts []Told
+	Attempts []AttemptStatus
 }
 
-// Piece is one attempt in the machine's newest report.
-type Piece struct {
-	Attempt
+// ReportedAttempt is one attempt in the machine's newest report.
+type ReportedAttempt struct {
+	AttemptID
 	State State
 	Cause string
 }
@@ -108,142 +108,142 @@
 // Registry is a machine owner's account of the attempts on its machines whose jobs
 // belong to others. The zero value is empty and ready.
 type Registry struct {
-	machines map[string]*held
+	machines map[string]*machineState
 }
 
-type held struct {
-	asked map[Attempt]*asked
-	// pieces are those of the newest report, and since when each is known.
-	pieces map[Attempt]*piece
+type machineState struct {
+	requested map[AttemptID]*requested
+	// reported are those of the newest report, and since when each is known.
+	reported map[AttemptID]*sighting
 	// gone are attempts that are proven to be nowhere.
-	gone map[Attempt]time.Time
-	// told is when this was last told, and news that something has changed since.
-	told time.Time
-	news bool
+	gone map[AttemptID]time.Time
+	// publishedAt is when this was last told, and news that something has changed since.
+	publishedAt time.Time
+	changed     bool
 }
 
-type asked struct {
-	Asked
-	from string
-	at   time.Time
+type requested struct {
+	AttemptRequest
+	requester   string
+	requestedAt time.Time
 }
 
-type piece struct {
-	Piece
+type sighting struct {
+	ReportedAttempt
 	since time.Time
 }
 
-func (d *Registry) held(machine string) *held {
+func (d *Registry) machineStateOf(machine string) *machineState {
 	if d.machines == nil {
-		d.machines = map[string]*held{}
+		d.machines = map[string]*machineState{}
 	}
 	h := d.machines[machine]
 	if h == nil {
-		h = &held{asked: map[Attempt]*asked{}, pieces: map[Attempt]*piece{}, gone: map[Attempt]time.Time{}}
+		h = &machineState{requested: map[AttemptID]*requested{}, reported: map[AttemptID]*sighting{}, gone: map[AttemptID]time.Time{}}
 		d.machines[machine] = h
 	}
 	return h
 }
 
-// Ask takes in what a job's owner asks. It says whether anything is to be stopped
+// Request takes in what a job's owner asks. It says whether anything is to be stopped
 // or cleared that was not before.
-func (d *Registry) Ask(now time.Time, from string, a Ask) bool {
-	h := d.held(a.Machine)
+func (d *Registry) Request(now time.Time, from string, a Request) bool {
+	h := d.machineStateOf(a.Machine)
 	changed := false
 	for _, x := range a.Attempts {
-		old := h.asked[x.Attempt]
+		old := h.requested[x.AttemptID]
 		if old == nil {
-			old = &asked{}
-			h.asked[x.Attempt] = old
-			h.news = true
+			old = &requested{}
+			h.requested[x.AttemptID] = old
+			h.changed = true
 		}
-		if old.Want != Keep && x.Want == Keep {
+		if old.Intent != Keep && x.Intent == Keep {
 			// A stop stands: what comes later was sent earlier, or its sender has
 			// forgotten. A settled attempt never lives again.
-			x.Want, x.WindDown = old.Want, old.WindDown
+			x.Intent, x.WindDown = old.Intent, old.WindDown
 		}
-		changed = changed || x.Want != old.Want
-		*old = asked{x, from, now}
+		changed = changed || x.Intent != old.Intent
+		*old = requested{x, from, now}
 	}
 	return changed
 }
 
-// Saw takes in the newest report of a machine, all of it; own says which jobs the
+// ObserveHeartbeat takes in the newest report of a machine, all of it; own says which jobs the
 // machine's owner takes for its own. What is asked for counts as there though the
 // owner believes that it is its own: it may not have read yet that the job has gone to
 // another. proof: nothing that was sent under an earlier epoch can be executed there
 // any more, and no start under the current one is on its way, so that what is not
 // listed is nowhere.
-func (d *Registry) Saw(now time.Time, machine string, pieces []Piece, own func(job string) bool, proof bool) {
+func (d *Registry) ObserveHeartbeat(now time.Time, machine string, reported []ReportedAttempt, isOwn func(job string) bool, conclusive bool) {
 	h := d.machines[machine]
 	if h == nil {
-		if !slices.ContainsFunc(pieces, func(p Piece) bool { return !own(p.Job) }) {
+		if !slices.ContainsFunc(reported, func(p ReportedAttempt) bool { return !isOwn(p.Job) }) {
 			return
 		}
-		h = d.held(machine)
+		h = d.machineStateOf(machine)
 	}
-	seen := make(map[Attempt]*piece, len(pieces))
-	for _, p := range pieces {
-		if own(p.Job) && h.asked[p.Attempt] == nil {
+	seen := make(map[AttemptID]*sighting, len(reported))
+	for _, p := range reported {
+		if isOwn(p.Job) && h.requested[p.AttemptID] == nil {
 			continue
 		}
-		x := h.pieces[p.Attempt]
+		x := h.reported[p.AttemptID]
 		if x == nil {
-			x = &piece{since: now}
-			h.news = true
+			x = &sighting{since: now}
+			h.changed = true
 		}
-		h.news = h.news || x.State != p.State
-		x.Piece = p
-		seen[p.Attempt] = x
+		h.changed = h.changed || x.State != p.State
+		x.ReportedAttempt = p
+		seen[p.AttemptID] = x
 	}
-	h.pieces = seen
-	if !proof {
+	h.reported = seen
+	if !conclusive {
 		return
 	}
-	for a := range h.asked {
+	for a := range h.requested {
 		if seen[a] == nil && h.gone[a].IsZero() {
-			h.gone[a], h.news = now, true
+			h.gone[a], h.changed = now, true
 		}
 	}
 }
 
-// Nowhere notes that one attempt is proven to be nowhere.
-func (d *Registry) Nowhere(now time.Time, machine string, a Attempt) {
-	if h := d.machines[machine]; h != nil && h.asked[a] != nil && h.gone[a].IsZero() {
-		h.gone[a], h.news = now, true
+// MarkGone notes that one attempt is proven to be nowhere.
+func (d *Registry) MarkGone(now time.Time, machine string, a AttemptID) {
+	if h := d.machines[machine]; h != nil && h.requested[a] != nil && h.gone[a].IsZero() {
+		h.gone[a], h.changed = now, true
 	}
 }
 
-// Lost notes that everything on the machine is proven gone, but for what it has begun
+// MarkMachineGone notes that everything on the machine is proven gone, but for what it has begun
 // since.
-func (d *Registry) Lost(now time.Time, machine string, since func(Attempt) bool) {
+func (d *Registry) MarkMachineGone(now time.Time, machine string, since func(AttemptID) bool) {
 	h := d.machines[machine]
 	if h == nil {
 		return
 	}
-	for a := range h.asked {
+	for a := range h.requested {
 		if h.gone[a].IsZero() && !since(a) {
-			h.gone[a], h.news = now, true
+			h.gone[a], h.changed = now, true
 		}
 	}
-	clear(h.pieces)
+	clear(h.reported)
 }
 
-// Count is how many attempts of others are, or may yet begin, on a machine.
-func (d *Registry) Count(machine string) int { return len(d.Living(machine)) }
+// LiveCount is how many attempts of others are, or may yet begin, on a machine.
+func (d *Registry) LiveCount(machine string) int { return len(d.LiveAttempts(machine)) }
 
-// Doubt forgets what was seen of a machine under an epoch that has passed: it may have
+// ForgetObservations forgets what was seen of a machine under an epoch that has passed: it may have
 // been another's in between, who has started there what was not there before. What is
 // asked for stands.
-func (d *Registry) Doubt(machine string) {
+func (d *Registry) ForgetObservations(machine string) {
 	if h := d.machines[machine]; h != nil {
 		clear(h.gone)
-		clear(h.pieces)
+		clear(h.reported)
 	}
 }
 
-// Drop forgets a machine that now belongs to another.
-func (d *Registry) Drop(machine string) { delete(d.machines, machine) }
+// ForgetMachine forgets a machine that now belongs to another.
+func (d *Registry) ForgetMachine(machine string) { delete(d.machines, machine) }
 
 // Machines names the machines with anything of others on them or asked for there.
 func (d *Registry) Machines() []string {
@@ -255,120 +255,120 @@
 	return out
 }
 
-// Unseen says that something is asked for on a machine that has not been reported and
+// HasUnreported says that something is asked for on a machine that has not been reported and
 // is not known to be gone.
-func (d *Registry) Unseen(machine string) bool {
+func (d *Registry) HasUnreported(machine string) bool {
 	h := d.machines[machine]
 	if h == nil {
 		return false
 	}
-	for a := range h.asked {
-		if h.pieces[a] == nil && h.gone[a].IsZero() {
+	for a := range h.requested {
+		if h.reported[a] == nil && h.gone[a].IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// Living are the attempts that take room on a machine, in order: those reported and
+// LiveAttempts are the attempts that take room on a machine, in order: those reported and
 // not ended, and those asked for that may yet begin there.
-func (d *Registry) Living(machine string) []Attempt {
+func (d *Registry) LiveAttempts(machine string) []AttemptID {
 	h := d.machines[machine]
 	if h == nil {
 		return nil
 	}
-	var out []Attempt
-	for a, p := range h.pieces {
+	var out []AttemptID
+	for a, p := range h.reported {
 		if p.State != Ended {
 			out = append(out, a)
 		}
 	}
-	for a, x := range h.asked {
-		if h.pieces[a] == nil && h.gone[a].IsZero() && x.Want != Settled {
+	for a, x := range h.requested {
+		if h.reported[a] == nil && h.gone[a].IsZero() && x.Intent != Settled {
 			out = append(out, a)
 		}
 	}
-	slices.SortFunc(out, Attempt.compare)
+	slices.SortFunc(out, AttemptID.compare)
 	return out
 }
 
-// Since is when a piece was first reported, and what its job's owner wants of it; ok
+// Find is when a piece was first reported, and what its job's owner wants of it; ok
 // is false when nobody has asked for it.
-func (d *Registry) Since(machine string, a Attempt) (since time.Time, want Asked, ok bool) {
+func (d *Registry) Find(machine string, a AttemptID) (since time.Time, request AttemptRequest, ok bool) {
 	h := d.machines[machine]
 	if h == nil {
-		return time.Time{}, Asked{}, false
+		return time.Time{}, AttemptRequest{}, false
 	}
-	if p := h.pieces[a]; p != nil {
+	if p := h.reported[a]; p != nil {
 		since = p.since
 	}
-	if x := h.asked[a]; x != nil {
-		return since, x.Asked, true
+	if x := h.requested[a]; x != nil {
+		return since, x.AttemptRequest, true
 	}
-	return since, Asked{}, false
+	return since, AttemptRequest{}, false
 }
 
-// About tells of a machine whatever its owner adds to it: epoch and zone, and who
+// MachineInfo tells of a machine whatever its owner adds to it: epoch and zone, and who
 // owns the job of an attempt that nobody asks for; "" for nobody else.
-type About struct {
-	Epoch uint64
-	Zone  string
-	Owner func(job string) string
+type MachineInfo struct {
+	Epoch    uint64
+	Zone     string
+	JobOwner func(job string) string
 }
 
-// Tells are the messages due, by controller. What has changed is told at once, the
+// DueStatuses are the messages due, by controller. What has changed is told at once, the
 // rest again every second, so that a lost word is said once more.
-func (d *Registry) Tells(now time.Time, about func(machine string) (About, bool)) map[string][]Tell {
-	var out map[string][]Tell
-	count := map[string]int{}
+func (d *Registry) DueStatuses(now time.Time, infoOf func(machine string) (MachineInfo, bool)) map[string][]MachineStatus {
+	var out map[string][]MachineStatus
+	counts := map[string]int{}
 	for _, id := range d.Machines() {
 		h := d.machines[id]
-		for a, x := range h.asked {
-			if now.Sub(x.at) > memory {
-				delete(h.asked, a)
+		for a, x := range h.requested {
+			if now.Sub(x.requestedAt) > requestTTL {
+				delete(h.requested, a)
 				delete(h.gone, a)
 			}
 		}
-		if len(h.asked) == 0 && len(h.pieces) == 0 {
+		if len(h.requested) == 0 && len(h.reported) == 0 {
 			delete(d.machines, id)
 			continue
 		}
-		if !h.news && now.Sub(h.told) < again {
+		if !h.changed && now.Sub(h.publishedAt) < resendEvery {
 			continue
 		}
-		ab, ok := about(id)
+		info, ok := infoOf(id)
 		if !ok {
 			continue
 		}
-		h.news, h.told = false, now
-		by := map[string][]Told{}
-		for a, x := range h.asked {
-			t := Told{Attempt: a}
-			if p := h.pieces[a]; p != nil {
+		h.changed, h.publishedAt = false, now
+		byController := map[string][]AttemptStatus{}
+		for a, x := range h.requested {
+			t := AttemptStatus{AttemptID: a}
+			if p := h.reported[a]; p != nil {
 				t.State, t.Cause = p.State, p.Cause
 			} else if !h.gone[a].IsZero() {
 				t.State = Gone
 			}
-			by[x.from] = append(by[x.from], t)
+			byController[x.requester] = append(byController[x.requester], t)
 		}
-		for a, p := range h.pieces {
-			if h.asked[a] == nil {
-				if who := ab.Owner(a.Job); who != "" {
-					by[who] = append(by[who], Told{a, p.State, p.Cause})
+		for a, p := range h.reported {
+			if h.requested[a] == nil {
+				if controller := info.JobOwner(a.Job); controller != "" {
+					byController[controller] = append(byController[controller], AttemptStatus{a, p.State, p.Cause})
 				}
 			}
 		}
-		for who, ts := range by {
-			if count[who] += len(ts); count[who] > tellMost && count[who] > len(ts) {
+		for controller, statuses := range byController {
+			if counts[controller] += len(statuses); counts[controller] > maxAttemptsPerMessage && counts[controller] > len(statuses) {
 				// The rest of it in the next round.
-				h.news = true
+				h.changed = true
 				continue
 			}
-			slices.SortFunc(ts, func(a, b Told) int { return a.compare(b.Attempt) })
+			slices.SortFunc(statuses, func(a, b AttemptStatus) int { return a.compare(b.AttemptID) })
 			if out == nil {
-				out = map[string][]Tell{}
+				out = map[string][]MachineStatus{}
 			}
-			out[who] = append(out[who], Tell{id, ab.Epoch, ab.Zone, ts})
+			out[controller] = append(out[controller], MachineStatus{id, info.Epoch, info.Zone, statuses})
 		}
 	}
 	return out
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func goldenAttempt(job string, index int, try uint64) ownership.Attempt {
-	return ownership.Attempt{Job: job, Index: index, Try: try}
+func goldenAttempt(job string, index int, try uint64) ownership.AttemptID {
+	return ownership.AttemptID{Job: job, Index: index, Attempt: try}
 }
 
 // goldenNews has all that controllers tell each other.
@@ -31,18 +31,18 @@
 	Offers:           []division.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
 	TeamRelease:      []division.MoveRequest{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
 	RentalUpdates:    []core.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
-	RemoteAttempts: []ownership.Ask{{Machine: "vm-000016", Attempts: []ownership.Asked{
-		{Attempt: goldenAttempt("job-000412", 5, 2), Want: ownership.Stop, WindDown: 30_250 * time.Millisecond},
-		{Attempt: goldenAttempt("job-000413", 6, 300), Want: ownership.Settled},
-		{Attempt: goldenAttempt("job-000414", 7, 4), Want: ownership.Keep},
+	RemoteAttempts: []ownership.Request{{Machine: "vm-000016", Attempts: []ownership.AttemptRequest{
+		{AttemptID: goldenAttempt("job-000412", 5, 2), Intent: ownership.Stop, WindDown: 30_250 * time.Millisecond},
+		{AttemptID: goldenAttempt("job-000413", 6, 300), Intent: ownership.Settled},
+		{AttemptID: goldenAttempt("job-000414", 7, 4), Intent: ownership.Keep},
 	}}},
-	RemoteStatuses: []ownership.Tell{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []ownership.Told{
-		{Attempt: goldenAttempt("job-000415", 8, 9), State: ownership.Ended, Cause: "done"},
-		{Attempt: goldenAttempt("job-000416", 9, 10), State: ownership.Gone, Cause: "lost"},
-		{Attempt: goldenAttempt("job-000417", 10, 11), State: ownership.Fetching},
-		{Attempt: goldenAttempt("job-000417", 11, 12), State: ownership.Running},
-		{Attempt: goldenAttempt("job-000417", 12, 13), State: ownership.Flushing},
-		{Attempt: goldenAttempt("job-000417", 13, 14), State: ownership.Unknown},
+	RemoteStatuses: []ownership.MachineStatus{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []ownership.AttemptStatus{
+		{AttemptID: goldenAttempt("job-000415", 8, 9), State: ownership.Ended, Cause: "done"},
+		{AttemptID: goldenAttempt("job-000416", 9, 10), State: ownership.Gone, Cause: "lost"},
+		{AttemptID: goldenAttempt("job-000417", 10, 11), State: ownership.Fetching},
+		{AttemptID: goldenAttempt("job-000417", 11, 12), State: ownership.Running},
+		{AttemptID: goldenAttempt("job-000417", 12, 13), State: ownership.Checkpointing},
+		{AttemptID: goldenAttempt("job-000417", 13, 14), State: ownership.Unknown},
 	}}},
 	Rates:              &core.Rates{Requests: 40.5, Writes: 20.25},
 	HostNeeds:          []core.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: core.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: core.Urgent}},
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -51,14 +51,14 @@
 	for _, a := range n.RemoteAttempts {
 		x := &Ask{Machine: a.Machine}
 		for _, t := range a.Attempts {
-			x.Attempts = append(x.Attempts, &Attempt{Job: t.Job, Index: int64(t.Index), Try: t.Try, Want: uint32(t.Want), WindDownMs: t.WindDown.Milliseconds()})
+			x.Attempts = append(x.Attempts, &Attempt{Job: t.Job, Index: int64(t.Index), Try: t.Attempt, Want: uint32(t.Intent), WindDownMs: t.WindDown.Milliseconds()})
 		}
 		m.Wards = append(m.Wards, x)
 	}
 	for _, a := range n.RemoteStatuses {
 		x := &Tell{Machine: a.Machine, Epoch: a.Epoch, Zone: a.Zone}
 		for _, t := range a.Attempts {
-			x.Attempts = append(x.Attempts, &Attempt{Job: t.Job, Index: int64(t.Index), Try: t.Try, State: uint32(t.State), Cause: t.Cause})
+			x.Attempts = append(x.Attempts, &Attempt{Job: t.Job, Index: int64(t.Index), Try: t.Attempt, State: uint32(t.State), Cause: t.Cause})
 		}
 		m.Told = append(m.Told, x)
 	}
@@ -133,16 +133,16 @@
 		n.TeamRelease = append(n.TeamRelease, division.MoveRequest{Team: r.Team, From: r.From, To: r.To})
 	}
 	for _, a := range m.Wards {
-		x := ownership.Ask{Machine: a.Machine}
+		x := ownership.Request{Machine: a.Machine}
 		for _, t := range a.Attempts {
-			x.Attempts = append(x.Attempts, ownership.Asked{Attempt: t.core(), Want: ownership.Want(t.Want), WindDown: time.Duration(t.WindDownMs) * time.Millisecond})
+			x.Attempts = append(x.Attempts, ownership.AttemptRequest{AttemptID: t.core(), Intent: ownership.Intent(t.Want), WindDown: time.Duration(t.WindDownMs) * time.Millisecond})
 		}
 		n.RemoteAttempts = append(n.RemoteAttempts, x)
 	}
 	for _, a := range m.Told {
-		x := ownership.Tell{Machine: a.Machine, Epoch: a.Epoch, Zone: a.Zone}
+		x := ownership.MachineStatus{Machine: a.Machine, Epoch: a.Epoch, Zone: a.Zone}
 		for _, t := range a.Attempts {
-			x.Attempts = append(x.Attempts, ownership.Told{Attempt: t.core(), State: ownership.State(t.State), Cause: t.Cause})
+			x.Attempts = append(x.Attempts, ownership.AttemptStatus{AttemptID: t.core(), State: ownership.State(t.State), Cause: t.Cause})
 		}
 		n.RemoteStatuses = append(n.RemoteStatuses, x)
 	}
@@ -153,8 +153,8 @@
 	return n
 }
 
-func (t *Attempt) core() ownership.Attempt {
-	return ownership.Attempt{Job: t.Job, Index: int(t.Index), Try: t.Try}
+func (t *Attempt) core() ownership.AttemptID {
+	return ownership.AttemptID{Job: t.Job, Index: int(t.Index), Attempt: t.Try}
 }
 
 func coreWants(ws []*Want) []core.CapacityRequest {
