--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -154,12 +154,12 @@
 		}
 		var r incarnationRecord
 		known := d.Status == StoreOK && len(d.KeyValues) == 1 && decode(d.KeyValues[0].Value, &r)
-		past, wait := incarnation.Begin(n.now, incarnation.Past{Born: time.UnixMilli(r.StartedAt), Short: r.ShortLived}, known)
+		past, wait := incarnation.Start(n.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
 		// It need not be waited for: lost, it only makes the next life wait less.
-		rec := encode(incarnationRecord{StartedAt: past.Born.UnixMilli(), ShortLived: past.Short})
+		rec := encode(incarnationRecord{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
 		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Writes: []Write{{Key: key, Value: rec}}}, func(StoreResponse) {})
 		if wait > 0 {
-			n.info("earlier lives were short: this one waits", "lives", past.Short, "for", wait)
+			n.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
 		}
 		n.after(wait, fn)
 	})
@@ -288,7 +288,7 @@
 // recentlyStarted says that a controller began so lately that it gets no duty yet that another
 // can have.
 func (n *Controller) recentlyStarted(r controllerRecord) bool {
-	return r.StartedAt != 0 && incarnation.IsYoung(n.now, time.UnixMilli(r.StartedAt))
+	return r.StartedAt != 0 && incarnation.OnProbation(n.now, time.UnixMilli(r.StartedAt))
 }
 
 // hasEstablishedPeer says that some other controller has been up for a while.
@@ -502,7 +502,7 @@
 		case s.receivesNothing(n.now):
 			// The others first; see deaf.go.
 			wait = partitionLeadDelay
-		case incarnation.IsYoung(n.now, s.startedAt) && n.hasEstablishedPeer():
+		case incarnation.OnProbation(n.now, s.startedAt) && n.hasEstablishedPeer():
 			// Others have been up for longer, and may be for longer yet.
 			wait = recentStartLeadDelay
 		}
--- a/internal/incarnation/incarnation.go
+++ b/internal/incarnation/incarnation.go
@@ -10,59 +10,59 @@
 import "time"
 
 const (
-	// Young is how long a life must last before it gets a duty that another could
+	// Probation is how long a life must last before it gets a duty that another could
 	// have, and before its end no longer counts as short. Longer than a takeover
 	// takes, so that a duty is not taken over from somebody who has not taken it over
 	// yet; shorter than what people would call a controller that has come back.
-	Young = 10 * time.Second
-	// clockError bounds how far the time of day of two controllers differs, for what a
+	Probation = 10 * time.Second
+	// maxClockSkew bounds how far the time of day of two controllers differs, for what a
 	// former life wrote of itself.
-	clockError = 2 * time.Second
-	// firstWait is how long a life waits after one short life, and doubles with each
-	// more, up to longestWait: then one that ends at once costs less than a request
+	maxClockSkew = 2 * time.Second
+	// initialBackoff is how long a life waits after one short life, and doubles with each
+	// more, up to maxBackoff: then one that ends at once costs less than a request
 	// a second.
-	firstWait   = 500 * time.Millisecond
-	longestWait = 8 * time.Second
-	// memory is after how long nothing of former lives counts any more.
-	memory = time.Minute
+	initialBackoff = 500 * time.Millisecond
+	maxBackoff     = 8 * time.Second
+	// historyTTL is after how long nothing of former lives counts any more.
+	historyTTL = time.Minute
 )
 
-// Past is what a controller's lives leave for the next one.
-type Past struct {
-	// Born is when the last life began, and Short how many in a row, before it,
+// History is what a controller's lives leave for the next one.
+type History struct {
+	// StartedAt is when the last life began, and Short how many in a row, before it,
 	// ended before they were grown.
-	Born  time.Time
-	Short int
+	StartedAt time.Time
+	ShortRuns int
 }
 
-// Begin says what a life that begins now leaves for the next, and how long it waits
+// Start says what a life that begins now leaves for the next, and how long it waits
 // before it reads and claims anything. known is false when nothing was left, or it
 // can't be read: then it waits for nothing, as after a long life.
-func Begin(now time.Time, last Past, known bool) (Past, time.Duration) {
-	next := Past{Born: now}
-	lived := now.Sub(last.Born)
+func Start(now time.Time, previous History, known bool) (History, time.Duration) {
+	next := History{StartedAt: now}
+	uptime := now.Sub(previous.StartedAt)
 	// A time of day that runs backwards tells nothing; it counts as a short life, as
 	// it may be one.
-	if !known || lived >= memory || lived >= Young+clockError || last.Short < 0 {
+	if !known || uptime >= historyTTL || uptime >= Probation+maxClockSkew || previous.ShortRuns < 0 {
 		return next, 0
 	}
-	next.Short = last.Short + 1
-	if last.Short == 0 {
+	next.ShortRuns = previous.ShortRuns + 1
+	if previous.ShortRuns == 0 {
 		// The life before was long, and this is the first that came soon after: an
 		// end alone costs nothing.
 		return next, 0
 	}
-	wait := firstWait
-	for range last.Short - 1 {
-		if wait *= 2; wait >= longestWait {
-			return next, longestWait
+	backoff := initialBackoff
+	for range previous.ShortRuns - 1 {
+		if backoff *= 2; backoff >= maxBackoff {
+			return next, maxBackoff
 		}
 	}
-	return next, wait
+	return next, backoff
 }
 
-// IsYoung says that a life that began at the time born is to get no duty yet that
+// OnProbation says that a life that began at the time born is to get no duty yet that
 // another can have. The zero time is that of a life which says nothing of itself.
-func IsYoung(now, born time.Time) bool {
-	return !born.IsZero() && now.Sub(born) < Young
+func OnProbation(now, startedAt time.Time) bool {
+	return !startedAt.IsZero() && now.Sub(startedAt) < Probation
 }
