--- a/internal/core/deaf.go
+++ b/internal/core/deaf.go
@@ -46,7 +46,7 @@
 
 // heartbeatReceived notes that a report has reached this controller at all.
 func heartbeatReceived(n *Controller, r *Heartbeat) {
-	n.selfMonitor.Heard(n.now)
+	n.selfMonitor.HeartbeatReceived(n.now)
 	switch {
 	case !n.membership.receivesNothing(n.now):
 	case !n.membership.unheard:
@@ -96,13 +96,13 @@
 	if !ok || ownerHost == n.settings.Host {
 		return
 	}
-	if n.reroutedMachines.Sent(n.now, r.Machine, ownerHost) && n.reroutedPollsInFlight < maxReroutedPolls {
+	if n.reroutedMachines.Rerouted(n.now, r.Machine, ownerHost) && n.reroutedPollsInFlight < maxReroutedPolls {
 		n.reroutedPollsInFlight++
 		id := r.Machine
 		n.requestWorker(WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d WorkerResponse) {
 			n.reroutedPollsInFlight--
 			if d.Heartbeat != nil && d.Heartbeat.Machine == id {
-				n.reroutedMachines.Answered(n.now, id)
+				n.reroutedMachines.ProbeAnswered(n.now, id)
 				publishRerouted(n, ownerHost, ownerRecord.Incarnation)
 			}
 		})
@@ -160,7 +160,7 @@
 	if n.now.Sub(n.reroutedPublishedAt) < rerouteRecordInterval || s.leaseID == 0 || n.now.After(s.leaseValidUntil) {
 		return
 	}
-	count := n.reroutedMachines.Back(n.now, ownerHost)
+	count := n.reroutedMachines.CountReappeared(n.now, ownerHost)
 	if count < minReroutedMachines {
 		return
 	}
@@ -176,7 +176,7 @@
 	if !it.Deleted && decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
 		if n.now.Sub(n.membership.reroutesReportedAt) > rerouteRecordTTL {
 			// What was asked before says nothing of now.
-			n.selfMonitor.Arrived()
+			n.selfMonitor.RequestDelivered()
 		}
 		n.membership.reroutesReportedAt = n.now
 	}
@@ -194,11 +194,11 @@
 			reporting++
 		}
 	}
-	receivesNothing := n.selfMonitor.Deaf(n.now, o.readyAt, reporting, n.maxHeartbeatInterval())
+	receivesNothing := n.selfMonitor.ReceivesNothing(n.now, o.readyAt, reporting, n.maxHeartbeatInterval())
 	if !receivesNothing {
 		pollRecentMachines(n)
 	}
-	if !receivesNothing && (reporting < 2 || !n.selfMonitor.Mute(n.now)) {
+	if !receivesNothing && (reporting < 2 || !n.selfMonitor.Unheard(n.now)) {
 		return
 	}
 	n.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !receivesNothing)
--- a/internal/core/hear.go
+++ b/internal/core/hear.go
@@ -107,7 +107,7 @@
 	}
 	if shown {
 		m.reachability.Shown()
-		n.selfMonitor.Arrived()
+		n.selfMonitor.RequestDelivered()
 		return
 	}
 	m.reachability.Report(n.now, r.Sequence > was.sequence+1, n.leaseEndAfter(n.now).Sub(n.now))
@@ -149,12 +149,12 @@
 			// Before that it may not have been up.
 			m.reachability.Unanswered(n.now)
 		}
-		n.selfMonitor.Unanswered(n.now)
+		n.selfMonitor.RequestUnanswered(n.now)
 		return false
 	}
 	m.reachability.Answered()
 	m.statusRequested = false
-	n.selfMonitor.Arrived()
+	n.selfMonitor.RequestDelivered()
 	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
 		n.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
 		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
--- a/internal/core/lost.go
+++ b/internal/core/lost.go
@@ -34,7 +34,7 @@
 		}
 		unresponsive = append(unresponsive, x)
 	}
-	pool.Deaf = n.selfMonitor.Deaf(n.now, n.shardLeader.readyAt, pool.Reporting, n.maxHeartbeatInterval())
+	pool.Deaf = n.selfMonitor.ReceivesNothing(n.now, n.shardLeader.readyAt, pool.Reporting, n.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// When all fall silent together, the fault is likely ours.
 		return nil
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -53,7 +53,7 @@
 	// selfMonitor and strays are what this node hears of workers, and which it sent on;
 	// see deaf.go.
 	selfMonitor         selfmonitor.Monitor
-	reroutedMachines    selfmonitor.Strays
+	reroutedMachines    selfmonitor.ReroutedMachines
 	reroutedPublishedAt time.Time
 	// reroutedPollsInFlight counts the questions under way to machines that came back.
 	reroutedPollsInFlight int
@@ -112,7 +112,7 @@
 func (n *Controller) Step(now time.Time, cmds []Command) []Effect {
 	n.now = now
 	n.effects = nil
-	n.selfMonitor.Run(now)
+	n.selfMonitor.Ran(now)
 	if !n.membership.started {
 		n.startMembership()
 	}
--- a/internal/selfmonitor/selfmonitor_test.go
+++ b/internal/selfmonitor/selfmonitor_test.go
@@ -10,9 +10,9 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-// TestDeaf guards against giving up a share for a silence that chance, a pause of
+// TestReceivesNothing guards against giving up a share for a silence that chance, a pause of
 // the process itself or the takeover explain.
-func TestDeaf(t *testing.T) {
+func TestReceivesNothing(t *testing.T) {
 	const every = 10 * time.Second
 	for _, c := range []struct {
 		name     string
@@ -36,45 +36,45 @@
 			if c.still && s > c.heard && s < c.now-1 {
 				continue
 			}
-			o.Run(at(s))
+			o.Ran(at(s))
 			if s == c.heard {
-				o.Heard(at(s))
+				o.HeartbeatReceived(at(s))
 			}
 		}
-		if got := o.Deaf(at(c.now), at(c.since), c.machines, every); got != c.want {
+		if got := o.ReceivesNothing(at(c.now), at(c.since), c.machines, every); got != c.want {
 			t.Errorf("%s: deaf %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestStrays: only machines that come back after a while count, each once.
-func TestStrays(t *testing.T) {
-	var s Strays
-	s.Sent(at(0), "vm-1", "a")
-	s.Sent(at(0.3), "vm-1", "a") // a doubled report
-	if k := s.Back(at(1), "a"); k != 0 {
-		t.Errorf("a doubled report counts as %d back", k)
+// TestReroutedMachines: only machines that come back after a while count, each once.
+func TestReroutedMachines(t *testing.T) {
+	var s ReroutedMachines
+	s.Rerouted(at(0), "vm-1", "a")
+	s.Rerouted(at(0.3), "vm-1", "a") // a doubled report
+	if count := s.CountReappeared(at(1), "a"); count != 0 {
+		t.Errorf("a doubled report counts as %d back", count)
 	}
 	for i := range 5 {
-		s.Sent(at(5*float64(i)), "vm-1", "a")
+		s.Rerouted(at(5*float64(i)), "vm-1", "a")
 	}
-	if k := s.Back(at(20), "a"); k != 0 {
-		t.Errorf("one that may not hear where it is sent counts as %d back", k)
+	if count := s.CountReappeared(at(20), "a"); count != 0 {
+		t.Errorf("one that may not hear where it is sent counts as %d back", count)
 	}
-	s.Answered(at(20), "vm-1")
-	s.Sent(at(20), "vm-2", "a")
-	s.Sent(at(20), "vm-3", "b")
-	s.Sent(at(25), "vm-3", "a") // there is another owner now
-	if k := s.Back(at(25), "a"); k != 1 {
-		t.Errorf("%d back, want 1", k)
+	s.ProbeAnswered(at(20), "vm-1")
+	s.Rerouted(at(20), "vm-2", "a")
+	s.Rerouted(at(20), "vm-3", "b")
+	s.Rerouted(at(25), "vm-3", "a") // there is another owner now
+	if count := s.CountReappeared(at(25), "a"); count != 1 {
+		t.Errorf("%d back, want 1", count)
 	}
-	if k := s.Back(at(60), "a"); k != 0 {
-		t.Errorf("%d back after a long time, want none", k)
+	if count := s.CountReappeared(at(60), "a"); count != 0 {
+		t.Errorf("%d back after a long time, want none", count)
 	}
-	for i := range 3 * remembered {
-		s.Sent(at(100+float64(i)/1000), fmt.Sprint("vm-", i), "a")
+	for i := range 3 * maxTracked {
+		s.Rerouted(at(100+float64(i)/1000), fmt.Sprint("vm-", i), "a")
 	}
-	if len(s.sent) > remembered {
-		t.Errorf("%d machines are kept in mind", len(s.sent))
+	if len(s.reroutes) > maxTracked {
+		t.Errorf("%d machines are kept in mind", len(s.reroutes))
 	}
 }
