--- a/internal/core/contact.go
+++ b/internal/core/contact.go
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, m := range slices.Clone(o.machinesByID) {
-		if m.expectsHeartbeats() && (n.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(n.maxHeartbeatInterval())) || !m.reachability.Hears()) {
+		if m.expectsHeartbeats() && (n.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(n.maxHeartbeatInterval())) || !m.reachability.Reachable()) {
 			n.contact(m)
 		}
 		if !m.leaseEnd.IsZero() && n.now.After(m.leaseEnd) {
--- a/internal/core/deaf.go
+++ b/internal/core/deaf.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		m.reroutedAt, m.rerouted = n.now, x
-		m.reachability.Elsewhere(n.now)
+		m.reachability.ReportedElsewhere(n.now)
 		probeIfUnreachable(n, m)
 	}
 }
--- a/internal/core/hear.go
+++ b/internal/core/hear.go
@@ -88,12 +88,12 @@
 	m.shownReachable = false
 	if !was.heard {
 		if shown {
-			m.reachability.Shown()
+			m.reachability.EffectSeen()
 		}
 		return
 	}
 	if r.Incarnation > was.incarnation {
-		m.reachability.Tenure(n.now)
+		m.reachability.Incarnation(n.now)
 		probeIfUnreachable(n, m)
 		return
 	}
@@ -106,17 +106,17 @@
 		}
 	}
 	if shown {
-		m.reachability.Shown()
+		m.reachability.EffectSeen()
 		n.selfMonitor.RequestDelivered()
 		return
 	}
-	m.reachability.Report(n.now, r.Sequence > was.sequence+1, n.leaseEndAfter(n.now).Sub(n.now))
+	m.reachability.HeartbeatWithoutEffect(n.now, r.Sequence > was.sequence+1, n.leaseEndAfter(n.now).Sub(n.now))
 	probeIfUnreachable(n, m)
 }
 
 // probeIfUnreachable asks a machine at once of which it is not sure that it hears.
 func probeIfUnreachable(n *Controller, m *machine) {
-	if !m.reachability.Hears() {
+	if !m.reachability.Reachable() {
 		m.probed = time.Time{}
 		n.contact(m)
 	}
@@ -125,11 +125,11 @@
 // expectAcknowledgment notes what an answer to a report will have to show.
 func expectAcknowledgment(m *machine, commands []TaskCommand) {
 	if m.seenEpoch < m.epoch {
-		m.reachability.Expects()
+		m.reachability.ExpectEffect()
 	}
 	for _, o := range commands {
 		if o.Kind != StopTask {
-			m.reachability.Expects()
+			m.reachability.ExpectEffect()
 			return
 		}
 	}
@@ -147,12 +147,12 @@
 		m.unansweredProbes++
 		if was.heard {
 			// Before that it may not have been up.
-			m.reachability.Unanswered(n.now)
+			m.reachability.ProbeUnanswered(n.now)
 		}
 		n.selfMonitor.RequestUnanswered(n.now)
 		return false
 	}
-	m.reachability.Answered()
+	m.reachability.ProbeAnswered()
 	m.statusRequested = false
 	n.selfMonitor.RequestDelivered()
 	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
@@ -185,15 +185,15 @@
 		if !m.heard || m.releasing || n.unresponsive(m) {
 			continue
 		}
-		if d, is := m.reachability.Deaf(n.now); is {
-			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.LiveCount(m.id), For: d})
+		if d, is := m.reachability.Unreachable(n.now); is {
+			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.LiveCount(m.id), UnreachableFor: d})
 		}
 	}
 	if len(unreachable) == 0 {
 		return nil
 	}
-	p := reachability.Patience{Alone: unresponsiveProbes*probeInterval + n.maxHeartbeatInterval(), Lease: n.leaseEndAfter(n.now).Sub(n.now), Returned: o.unreachableReleasedAt}
-	toRelease := reachability.GiveBack(n.now, p, reporting, unreachable)
+	p := reachability.ReleasePolicy{SingleTimeout: unresponsiveProbes*probeInterval + n.maxHeartbeatInterval(), LeaseRemaining: n.leaseEndAfter(n.now).Sub(n.now), LastReleased: o.unreachableReleasedAt}
+	toRelease := reachability.SelectReleases(n.now, p, reporting, unreachable)
 	if len(toRelease) > 0 {
 		o.unreachableReleasedAt = n.now
 		n.info("machines report and hear nothing", "machines", len(unreachable), "of", reporting, "given back", len(toRelease))
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -300,7 +300,7 @@
 
 // usable says whether tasks may be placed on m now.
 func (n *Controller) usable(m *machine) bool {
-	return !n.isRentedForOther(m.id) && m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks && m.size.CPU > 0 && m.reachability.Hears() && !n.unresponsive(m)
+	return !n.isRentedForOther(m.id) && m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks && m.size.CPU > 0 && m.reachability.Reachable() && !n.unresponsive(m)
 }
 
 // placeAll places what waits, in order.
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		reporting++
-		if _, unreachable := m.reachability.Deaf(n.now); unreachable {
+		if _, unreachable := m.reachability.Unreachable(n.now); unreachable {
 			// It hears nothing of what it is told; see unhearing.
 			continue
 		}
--- a/internal/core/status.go
+++ b/internal/core/status.go
@@ -177,7 +177,7 @@
 		return "booting"
 	case n.unresponsive(m):
 		return "silent"
-	case !m.reachability.Hears():
+	case !m.reachability.Reachable():
 		return "deaf"
 	case m.reclaimNoticed:
 		return "recalled"
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -17,154 +17,154 @@
 )
 
 const (
-	// missMost is how many reports in a row may fail to show what the answers before
+	// maxMisses is how many reports in a row may fail to show what the answers before
 	// them must have brought. One answer may be late and dropped, or lost.
-	missMost = 2
-	// asksMost is after how many direct requests without an answer, and no other sign,
+	maxMisses = 2
+	// maxUnansweredProbes is after how many direct requests without an answer, and no other sign,
 	// a machine that reports counts as one that hears nothing.
-	asksMost = 2
-	// hintEvery separates two doubts that rest on skipped ticks alone: where reports
+	maxUnansweredProbes = 2
+	// gapDoubtEvery separates two doubts that rest on skipped ticks alone: where reports
 	// are lost now and then, or others ask the machine, they prove little.
-	hintEvery = 30 * time.Second
+	gapDoubtEvery = 30 * time.Second
 )
 
 // Detector is what shows whether one machine hears its owner. The zero value is one of
 // which nothing raises a doubt.
 type Detector struct {
-	expects bool
-	misses  int
-	// doubted is since when there is a doubt, and asks how many direct requests have
+	expectsEffect bool
+	misses        int
+	// doubtedSince is since when there is a doubt, and asks how many direct requests have
 	// had no answer since the last sign.
-	doubted time.Time
-	asks    int
-	hinted  time.Time
+	doubtedSince     time.Time
+	unansweredProbes int
+	lastGapDoubt     time.Time
 	// steady: the last report followed on the one before. After a takeover machines come
 	// by way of others.
-	steady bool
-	// tenureAt is when the newest tenure was first reported.
-	tenureAt time.Time
-	// byReports: its address gave no answer, and answers to its reports arrived.
-	byReports bool
+	consecutive bool
+	// incarnationAt is when the newest tenure was first reported.
+	incarnationAt time.Time
+	// reachedByReplies: its address gave no answer, and answers to its reports arrived.
+	reachedByReplies bool
 }
 
-// Answered notes the answer to a direct request.
-func (e *Detector) Answered() {
-	e.byReports = false
-	e.clear()
+// ProbeAnswered notes the answer to a direct request.
+func (e *Detector) ProbeAnswered() {
+	e.reachedByReplies = false
+	e.reset()
 }
 
-// Shown notes a report that could not look so without an answer or order.
-func (e *Detector) Shown() {
-	e.byReports = e.byReports || e.asks > 0
-	e.clear()
+// EffectSeen notes a report that could not look so without an answer or order.
+func (e *Detector) EffectSeen() {
+	e.reachedByReplies = e.reachedByReplies || e.unansweredProbes > 0
+	e.reset()
 }
 
-func (e *Detector) clear() {
-	e.expects, e.misses, e.asks, e.doubted = false, 0, 0, time.Time{}
+func (e *Detector) reset() {
+	e.expectsEffect, e.misses, e.unansweredProbes, e.doubtedSince = false, 0, 0, time.Time{}
 }
 
-// Expects notes that an answer has left which a later report has to show.
-func (e *Detector) Expects() { e.expects = true }
+// ExpectEffect notes that an answer has left which a later report has to show.
+func (e *Detector) ExpectEffect() { e.expectsEffect = true }
 
-// Unanswered notes that a direct request had no answer.
-func (e *Detector) Unanswered(now time.Time) {
-	e.asks++
-	if !e.byReports {
+// ProbeUnanswered notes that a direct request had no answer.
+func (e *Detector) ProbeUnanswered(now time.Time) {
+	e.unansweredProbes++
+	if !e.reachedByReplies {
 		e.doubt(now)
 	}
 }
 
-// Tenure notes a report of a later tenure: the lease ran out. If nothing prolonged it
+// Incarnation notes a report of a later tenure: the lease ran out. If nothing prolonged it
 // though its reports were answered, they were not heard.
-func (e *Detector) Tenure(now time.Time) {
-	e.tenureAt = now
+func (e *Detector) Incarnation(now time.Time) {
+	e.incarnationAt = now
 	e.doubt(now)
 }
 
-// Report notes a report that shows nothing of our answers. skipped: the machine has
+// HeartbeatWithoutEffect notes a report that shows nothing of our answers. skipped: the machine has
 // sent others in between that came to nobody here. lease is for how long a lease
 // surely runs.
-func (e *Detector) Report(now time.Time, skipped bool, lease time.Duration) {
-	if e.expects {
-		if e.misses++; e.misses >= missMost {
+func (e *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
+	if e.expectsEffect {
+		if e.misses++; e.misses >= maxMisses {
 			e.doubt(now)
 		}
 	}
-	if skipped && e.steady && now.Sub(e.hinted) > hintEvery {
-		e.hinted = now
+	if skipped && e.consecutive && now.Sub(e.lastGapDoubt) > gapDoubtEvery {
+		e.lastGapDoubt = now
 		e.doubt(now)
 	}
-	e.steady = !skipped
-	since := e.doubted
-	if e.tenureAt.After(since) {
-		since = e.tenureAt
+	e.consecutive = !skipped
+	since := e.doubtedSince
+	if e.incarnationAt.After(since) {
+		since = e.incarnationAt
 	}
-	if !e.doubted.IsZero() && now.Sub(since) > lease {
+	if !e.doubtedSince.IsZero() && now.Sub(since) > lease {
 		// Since then its lease would have run out, had no answer prolonged it.
-		e.Shown()
+		e.EffectSeen()
 	}
 }
 
-// Elsewhere notes that it has reported to another controller since it was last heard.
-func (e *Detector) Elsewhere(now time.Time) { e.doubt(now) }
+// ReportedElsewhere notes that it has reported to another controller since it was last heard.
+func (e *Detector) ReportedElsewhere(now time.Time) { e.doubt(now) }
 
 func (e *Detector) doubt(now time.Time) {
-	if e.doubted.IsZero() {
-		e.doubted = now
+	if e.doubtedSince.IsZero() {
+		e.doubtedSince = now
 	}
 }
 
-// Hears says that nothing speaks against it that answers and orders arrive.
-func (e *Detector) Hears() bool { return e.doubted.IsZero() }
+// Reachable says that nothing speaks against it that answers and orders arrive.
+func (e *Detector) Reachable() bool { return e.doubtedSince.IsZero() }
 
-// Deaf says that the doubt has been asked about, and for how long it stands.
-func (e *Detector) Deaf(now time.Time) (time.Duration, bool) {
-	if e.Hears() || e.asks < asksMost {
+// Unreachable says that the doubt has been asked about, and for how long it stands.
+func (e *Detector) Unreachable(now time.Time) (time.Duration, bool) {
+	if e.Reachable() || e.unansweredProbes < maxUnansweredProbes {
 		return 0, false
 	}
-	return now.Sub(e.doubted), true
+	return now.Sub(e.doubtedSince), true
 }
 
 // Machine is one that reports and hears nothing, and for how long that is known.
 type Machine struct {
-	ID    string
-	Tasks int
-	For   time.Duration
+	ID             string
+	Tasks          int
+	UnreachableFor time.Duration
 }
 
-// Patience says how long deaf machines are kept.
-type Patience struct {
-	// Alone is how long one by itself is waited for: as long as for a silent one.
-	Alone time.Duration
-	// Lease is how long the lease of one that hears nothing may still run.
-	Lease time.Duration
-	// Returned is when one of many was last given back.
-	Returned time.Time
+// ReleasePolicy says how long deaf machines are kept.
+type ReleasePolicy struct {
+	// SingleTimeout is how long one by itself is waited for: as long as for a silent one.
+	SingleTimeout time.Duration
+	// LeaseRemaining is how long the lease of one that hears nothing may still run.
+	LeaseRemaining time.Duration
+	// LastReleased is when one of many was last given back.
+	LastReleased time.Time
 }
 
-// returnEvery separates the returns of single machines while many hear nothing: the
+// releaseEvery separates the returns of single machines while many hear nothing: the
 // fault is then likely in a link, and each that is kept is of use again at its end.
-const returnEvery = 10 * time.Second
+const releaseEvery = 10 * time.Second
 
-// GiveBack picks the machines to give back now. One by itself goes as a silent one
+// SelectReleases picks the machines to give back now. One by itself goes as a silent one
 // does: the answer is the proof that its tasks wait for. Of many none goes before its
 // lease has surely run out, which proves the same for nothing, and then one at a time,
 // those without tasks last. If all that report hear nothing, none goes: the fault is
 // in what leaves here.
-func GiveBack(now time.Time, p Patience, reporting int, deaf []Machine) []string {
-	if len(deaf) >= reporting && reporting > 1 {
+func SelectReleases(now time.Time, policy ReleasePolicy, reporting int, unreachable []Machine) []string {
+	if len(unreachable) >= reporting && reporting > 1 {
 		return nil
 	}
-	many := loss.Many(loss.Pool{Reporting: reporting}, len(deaf))
-	ms := slices.Clone(deaf)
-	slices.SortStableFunc(ms, func(a, b Machine) int {
-		return cmp.Or(cmp.Compare(min(b.Tasks, 1), min(a.Tasks, 1)), cmp.Compare(b.For, a.For), cmp.Compare(a.ID, b.ID))
+	correlated := loss.Many(loss.Pool{Reporting: reporting}, len(unreachable))
+	sorted := slices.Clone(unreachable)
+	slices.SortStableFunc(sorted, func(a, b Machine) int {
+		return cmp.Or(cmp.Compare(min(b.Tasks, 1), min(a.Tasks, 1)), cmp.Compare(b.UnreachableFor, a.UnreachableFor), cmp.Compare(a.ID, b.ID))
 	})
 	var out []string
-	for _, m := range ms {
+	for _, m := range sorted {
 		switch {
-		case m.For <= p.Alone || many && (m.For <= p.Lease || now.Sub(p.Returned) < returnEvery):
-		case many:
+		case m.UnreachableFor <= policy.SingleTimeout || correlated && (m.UnreachableFor <= policy.LeaseRemaining || now.Sub(policy.LastReleased) < releaseEvery):
+		case correlated:
 			return append(out, m.ID)
 		default:
 			out = append(out, m.ID)
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -24,98 +24,108 @@
 		want bool
 	}{
 		{"nothing is known", func(*Detector) {}, true},
-		{"an answer was late once", func(e *Detector) { e.Expects(); e.Report(at(1), false, lease) }, true},
-		{"two reports show nothing of it", func(e *Detector) { e.Expects(); e.Report(at(1), false, lease); e.Report(at(2), false, lease) }, false},
-		{"nothing was to be shown", func(e *Detector) { e.Report(at(1), false, lease); e.Report(at(2), false, lease) }, true},
-		{"the lease ran out", func(e *Detector) { e.Tenure(at(1)) }, false},
-		{"an order had no answer", func(e *Detector) { e.Unanswered(at(1)) }, false},
-		{"it answers", func(e *Detector) { e.Unanswered(at(1)); e.Unanswered(at(4)); e.Answered() }, true},
-		{"it went elsewhere", func(e *Detector) { e.Report(at(97), false, lease); e.Report(at(100), true, lease) }, false},
-		{"it has come by way of others", func(e *Detector) { e.Report(at(100), true, lease) }, true},
+		{"an answer was late once", func(e *Detector) { e.ExpectEffect(); e.HeartbeatWithoutEffect(at(1), false, lease) }, true},
+		{"two reports show nothing of it", func(e *Detector) {
+			e.ExpectEffect()
+			e.HeartbeatWithoutEffect(at(1), false, lease)
+			e.HeartbeatWithoutEffect(at(2), false, lease)
+		}, false},
+		{"nothing was to be shown", func(e *Detector) {
+			e.HeartbeatWithoutEffect(at(1), false, lease)
+			e.HeartbeatWithoutEffect(at(2), false, lease)
+		}, true},
+		{"the lease ran out", func(e *Detector) { e.Incarnation(at(1)) }, false},
+		{"an order had no answer", func(e *Detector) { e.ProbeUnanswered(at(1)) }, false},
+		{"it answers", func(e *Detector) { e.ProbeUnanswered(at(1)); e.ProbeUnanswered(at(4)); e.ProbeAnswered() }, true},
+		{"it went elsewhere", func(e *Detector) {
+			e.HeartbeatWithoutEffect(at(97), false, lease)
+			e.HeartbeatWithoutEffect(at(100), true, lease)
+		}, false},
+		{"it has come by way of others", func(e *Detector) { e.HeartbeatWithoutEffect(at(100), true, lease) }, true},
 		{"reports are lost now and then", func(e *Detector) {
-			e.Report(at(97), false, lease)
-			e.Report(at(100), true, lease)
-			e.Answered()
-			e.Report(at(107), false, lease)
-			e.Report(at(110), true, lease)
+			e.HeartbeatWithoutEffect(at(97), false, lease)
+			e.HeartbeatWithoutEffect(at(100), true, lease)
+			e.ProbeAnswered()
+			e.HeartbeatWithoutEffect(at(107), false, lease)
+			e.HeartbeatWithoutEffect(at(110), true, lease)
 		}, true},
-		{"its address never answers, its reports show a start", func(e *Detector) { e.Unanswered(at(1)); e.Shown(); e.Unanswered(at(5)) }, true},
+		{"its address never answers, its reports show a start", func(e *Detector) { e.ProbeUnanswered(at(1)); e.EffectSeen(); e.ProbeUnanswered(at(5)) }, true},
 		{"its address never answers, and its lease goes on", func(e *Detector) {
-			e.Unanswered(at(1))
-			e.Report(at(20), false, lease)
-			e.Report(at(27), false, lease)
-			e.Unanswered(at(30))
+			e.ProbeUnanswered(at(1))
+			e.HeartbeatWithoutEffect(at(20), false, lease)
+			e.HeartbeatWithoutEffect(at(27), false, lease)
+			e.ProbeUnanswered(at(30))
 		}, true},
-		{"its lease is not yet over", func(e *Detector) { e.Unanswered(at(1)); e.Report(at(20), false, lease) }, false},
+		{"its lease is not yet over", func(e *Detector) { e.ProbeUnanswered(at(1)); e.HeartbeatWithoutEffect(at(20), false, lease) }, false},
 		{"its leases run out one after another", func(e *Detector) {
-			e.Unanswered(at(1))
-			e.Tenure(at(20))
-			e.Report(at(40), false, lease)
-			e.Tenure(at(44))
-			e.Report(at(60), false, lease)
+			e.ProbeUnanswered(at(1))
+			e.Incarnation(at(20))
+			e.HeartbeatWithoutEffect(at(40), false, lease)
+			e.Incarnation(at(44))
+			e.HeartbeatWithoutEffect(at(60), false, lease)
 		}, false},
 	} {
 		var e Detector
-		if c.do(&e); e.Hears() != c.want {
-			t.Errorf("%s: hears %v, want %v", c.name, e.Hears(), c.want)
+		if c.do(&e); e.Reachable() != c.want {
+			t.Errorf("%s: hears %v, want %v", c.name, e.Reachable(), c.want)
 		}
 	}
 	var e Detector
-	e.Unanswered(at(1))
-	if _, deaf := e.Deaf(at(9)); deaf {
+	e.ProbeUnanswered(at(1))
+	if _, unreachable := e.Unreachable(at(9)); unreachable {
 		t.Error("asked once, it counts as deaf")
 	}
-	e.Unanswered(at(4))
-	if d, deaf := e.Deaf(at(9)); !deaf || d != 8*time.Second {
-		t.Errorf("deaf %v for %v, want for 8s", deaf, d)
+	e.ProbeUnanswered(at(4))
+	if d, unreachable := e.Unreachable(at(9)); !unreachable || d != 8*time.Second {
+		t.Errorf("deaf %v for %v, want for 8s", unreachable, d)
 	}
 }
 
 // TestGiveBack: machines that hear nothing go in time, not before that, never all of
 // them, and of many no more than one at a time and only after their leases.
-func TestGiveBack(t *testing.T) {
+func TestSelectReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reporting := rapid.IntRange(1, 60).Draw(t, "reporting")
-		p := Patience{Alone: 10 * time.Second, Lease: lease, Returned: at(rapid.Float64Range(-20, 0).Draw(t, "returned"))}
-		var ms []Machine
+		policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(rapid.Float64Range(-20, 0).Draw(t, "returned"))}
+		var unreachable []Machine
 		for i := range rapid.IntRange(0, reporting).Draw(t, "deaf") {
-			ms = append(ms, Machine{ID: fmt.Sprint("vm-", i), Tasks: rapid.IntRange(0, 2).Draw(t, "tasks"), For: time.Duration(rapid.Float64Range(0, 60).Draw(t, "for") * float64(time.Second))})
+			unreachable = append(unreachable, Machine{ID: fmt.Sprint("vm-", i), Tasks: rapid.IntRange(0, 2).Draw(t, "tasks"), UnreachableFor: time.Duration(rapid.Float64Range(0, 60).Draw(t, "for") * float64(time.Second))})
 		}
-		got := GiveBack(t0, p, reporting, ms)
-		many := len(ms) >= 4 && 10*len(ms) >= reporting
+		got := SelectReleases(t0, policy, reporting, unreachable)
+		correlated := len(unreachable) >= 4 && 10*len(unreachable) >= reporting
 		due := 0
-		for _, m := range ms {
-			if m.For > p.Alone && (!many || m.For > lease) {
+		for _, m := range unreachable {
+			if m.UnreachableFor > policy.SingleTimeout && (!correlated || m.UnreachableFor > lease) {
 				due++
 			}
-			if slices.Contains(got, m.ID) && m.For <= p.Alone {
+			if slices.Contains(got, m.ID) && m.UnreachableFor <= policy.SingleTimeout {
 				t.Fatalf("%v goes too soon", m)
 			}
 		}
 		want := due
 		switch {
-		case len(ms) == reporting && reporting > 1:
+		case len(unreachable) == reporting && reporting > 1:
 			want = 0
-		case many && t0.Sub(p.Returned) < returnEvery:
+		case correlated && t0.Sub(policy.LastReleased) < releaseEvery:
 			want = 0
-		case many:
+		case correlated:
 			want = min(due, 1)
 		}
 		if len(got) != want {
-			t.Fatalf("%d of %d go, want %d", len(got), len(ms), want)
+			t.Fatalf("%d of %d go, want %d", len(got), len(unreachable), want)
 		}
 	})
 }
 
-// TestAllHearNothing: where all that report hear nothing the fault is in what leaves
+// TestAllUnreachable: where all that report hear nothing the fault is in what leaves
 // here, and none goes; a single machine is no such case.
-func TestAllHearNothing(t *testing.T) {
-	p := Patience{Alone: 10 * time.Second, Lease: lease, Returned: at(-60)}
-	ms := []Machine{{"vm-1", 1, time.Minute}, {"vm-2", 0, time.Minute}}
-	if got := GiveBack(t0, p, 2, ms); len(got) != 0 {
+func TestAllUnreachable(t *testing.T) {
+	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
+	unreachable := []Machine{{"vm-1", 1, time.Minute}, {"vm-2", 0, time.Minute}}
+	if got := SelectReleases(t0, policy, 2, unreachable); len(got) != 0 {
 		t.Errorf("%v of two go", got)
 	}
-	if got := GiveBack(t0, p, 3, ms); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
+	if got := SelectReleases(t0, policy, 3, unreachable); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
 		t.Errorf("%v of three go, want both", got)
 	}
 }
@@ -123,13 +133,13 @@
 // TestManyBeforeTheirLease: of many that hear nothing one goes when its lease has surely
 // run out, and none before, though each by itself would.
 func TestManyBeforeTheirLease(t *testing.T) {
-	p := Patience{Alone: 10 * time.Second, Lease: lease, Returned: at(-60)}
-	ms := []Machine{{"vm-1", 1, lease}, {"vm-2", 0, lease}, {"vm-3", 0, lease}, {"vm-4", 0, lease}}
-	if got := GiveBack(t0, p, 30, ms); len(got) != 0 {
+	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
+	unreachable := []Machine{{"vm-1", 1, lease}, {"vm-2", 0, lease}, {"vm-3", 0, lease}, {"vm-4", 0, lease}}
+	if got := SelectReleases(t0, policy, 30, unreachable); len(got) != 0 {
 		t.Errorf("%v go before their lease has run out", got)
 	}
-	ms[2].For += time.Second
-	if got := GiveBack(t0, p, 30, ms); len(got) != 1 || got[0] != "vm-3" {
+	unreachable[2].UnreachableFor += time.Second
+	if got := SelectReleases(t0, policy, 30, unreachable); len(got) != 1 || got[0] != "vm-3" {
 		t.Errorf("%v go, want vm-3 alone", got)
 	}
 }
