--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -162,7 +162,7 @@
 	st := state.New(c.Outside.State, d.State.RPS, d.State.Tighter().WriteRPS, len(c.Seeds)+1)
 	cl := cloud.New(c.Outside.Cloud, d.Cloud.RPS)
 	wk := worker.New(d.Quota.Sockets)
-	pn := peer.Start(ctx, peers)
+	pn := peer.StartSender(ctx, peers)
 	met := metrics.New()
 	var dates func(core.PromiseTotals)
 	if set.Capabilities.Promises {
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -64,18 +64,18 @@
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
 			// Images are a map.
-			return proto.MarshalOptions{Deterministic: true}.Marshal(wire(v.(core.PeerUpdate)))
+			return proto.MarshalOptions{Deterministic: true}.Marshal(toProto(v.(core.PeerUpdate)))
 		},
 		Read: func(b []byte, into any) error {
 			var m News
 			err := proto.Unmarshal(b, &m)
-			*into.(*core.PeerUpdate) = m.core()
+			*into.(*core.PeerUpdate) = m.toUpdate()
 			return err
 		},
 	}, news)
 	testgolden.Full(t, news)
-	testgolden.FullProto(t, File_internal_peer_peer_proto, wire(goldenNews))
-	if hello != 0 {
-		t.Errorf("a connection begins with %d, want 0", hello)
+	testgolden.FullProto(t, File_internal_peer_peer_proto, toProto(goldenNews))
+	if peerHandshakeByte != 0 {
+		t.Errorf("a connection begins with %d, want 0", peerHandshakeByte)
 	}
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -17,94 +17,94 @@
 )
 
 const (
-	// queueLen bounds what waits for a slow peer; older news is dropped.
-	queueLen = 32
+	// sendQueueLen bounds what waits for a slow peer; older news is dropped.
+	sendQueueLen = 32
 	// dialTimeout, writeTimeout: a silent host must not hold a sender long.
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 3 * time.Second
 	// idleTimeout ends a connection on which nothing came for long.
 	idleTimeout = 2 * time.Minute
-	// redialPause separates tries to reach a peer.
-	redialPause = time.Second
-	// maxMessage bounds one message.
-	maxMessage = 1 << 20
+	// minRedialInterval separates tries to reach a peer.
+	minRedialInterval = time.Second
+	// maxMessageBytes bounds one message.
+	maxMessageBytes = 1 << 20
 	// maxPeerConns bounds accepted connections.
 	maxPeerConns = 32
 )
 
-// Net sends to the peers and listens for them.
-type Net struct {
+// Sender sends to the peers and listens for them.
+type Sender struct {
 	queues map[string]chan core.PeerUpdate
 }
 
-// Start begins to send to the peers, by name and address.
-func Start(ctx context.Context, peers map[string]string) *Net {
-	n := &Net{queues: map[string]chan core.PeerUpdate{}}
+// StartSender begins to send to the peers, by name and address.
+func StartSender(ctx context.Context, peers map[string]string) *Sender {
+	sender := &Sender{queues: map[string]chan core.PeerUpdate{}}
 	for name, addr := range peers {
-		q := make(chan core.PeerUpdate, queueLen)
-		n.queues[name] = q
-		go send(ctx, addr, q)
+		queue := make(chan core.PeerUpdate, sendQueueLen)
+		sender.queues[name] = queue
+		go send(ctx, addr, queue)
 	}
-	return n
+	return sender
 }
 
 // Send queues news for a peer, dropping the oldest when the queue is full.
-func (n *Net) Send(to string, news core.PeerUpdate) {
-	q := n.queues[to]
-	for q != nil {
+func (n *Sender) Send(to string, update core.PeerUpdate) {
+	queue := n.queues[to]
+	for queue != nil {
 		select {
-		case q <- news:
+		case queue <- update:
 			return
 		default:
 		}
 		select {
-		case <-q:
+		case <-queue:
 		default:
 		}
 	}
 }
 
-func send(ctx context.Context, addr string, q chan core.PeerUpdate) {
+func send(ctx context.Context, addr string, queue chan core.PeerUpdate) {
 	var conn net.Conn
-	var last time.Time
+	var lastDial time.Time
 	defer func() {
 		if conn != nil {
 			conn.Close()
 		}
 	}()
 	for {
-		var news core.PeerUpdate
+		var update core.PeerUpdate
 		select {
 		case <-ctx.Done():
 			return
-		case news = <-q:
+		case update = <-queue:
 		}
 		if conn == nil {
-			if time.Since(last) < redialPause {
+			if time.Since(lastDial) < minRedialInterval {
 				continue
 			}
-			last = time.Now()
-			c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
+			lastDial = time.Now()
+			dialed, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 			if err != nil {
 				slog.Debug("peer not reached", "addr", addr, "err", err)
 				continue
 			}
-			c.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := c.Write([]byte{hello}); err != nil {
-				c.Close()
+			dialed.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := dialed.Write([]byte{peerHandshakeByte}); err != nil {
+				dialed.Close()
 				continue
 			}
-			conn = c
+			conn = dialed
 		}
-		m := wire(news)
-		if size := proto.Size(m); size > maxMessage {
+		encoded := toProto(update)
+		if size := proto.Size(encoded); size > maxMessageBytes {
 			// It would end the connection at the other end. What is in it is bounded by
 			// whoever makes it, so this is a defect.
-			slog.Error("news to a controller is too large", "addr", addr, "bytes", size, "most", maxMessage)
+			slog.Error("news to a controller is too large", "addr", addr, "bytes", size, "most", maxMessageBytes)
 			continue
 		}
 		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := protodelim.MarshalTo(conn, m); err != nil {
+		if _, err := protodelim.MarshalTo(conn, encoded); err != nil {
 			slog.Debug("peer lost", "addr", addr, "err", err)
 			conn.Close()
 			conn = nil
@@ -112,19 +112,19 @@
 	}
 }
 
-// hello is the first byte of a peer's connection. Anything else that connects
+// peerHandshakeByte is the first byte of a peer's connection. Anything else that connects
 // here, an operator's tool, speaks HTTP, which never begins with it.
-const hello = 0
+const peerHandshakeByte = 0
 
 // Listen takes news from peers and hands it to post. Connections that are not
 // a peer's come out of the listener it returns.
-func Listen(ctx context.Context, addr string, post func(core.PeerUpdate)) (net.Listener, error) {
+func Listen(ctx context.Context, addr string, handle func(core.PeerUpdate)) (net.Listener, error) {
 	ln, err := ports.Listen(ctx, "back", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	free := make(chan struct{}, maxPeerConns)
-	rest := &others{addr: ln.Addr(), conns: make(chan net.Conn), done: ctx.Done()}
+	slots := make(chan struct{}, maxPeerConns)
+	otherConns := &otherConnListener{addr: ln.Addr(), conns: make(chan net.Conn), done: ctx.Done()}
 	go func() {
 		<-ctx.Done()
 		ln.Close()
@@ -140,57 +140,57 @@
 				continue
 			}
 			select {
-			case free <- struct{}{}:
+			case slots <- struct{}{}:
 				go func() {
-					accept(conn, post, rest)
-					<-free
+					handleConn(conn, handle, otherConns)
+					<-slots
 				}()
 			default:
 				conn.Close()
 			}
 		}
 	}()
-	return rest, nil
+	return otherConns, nil
 }
 
-// accept tells a peer from others by the first byte.
-func accept(conn net.Conn, post func(core.PeerUpdate), rest *others) {
+// handleConn tells a peer from others by the first byte.
+func handleConn(conn net.Conn, handle func(core.PeerUpdate), otherConns *otherConnListener) {
 	conn.SetReadDeadline(time.Now().Add(idleTimeout))
-	r := bufio.NewReader(conn)
-	first, err := r.Peek(1)
+	reader := bufio.NewReader(conn)
+	firstByte, err := reader.Peek(1)
 	if err != nil {
 		conn.Close()
 		return
 	}
-	if first[0] == hello {
-		r.Discard(1)
-		receive(conn, r, post)
+	if firstByte[0] == peerHandshakeByte {
+		reader.Discard(1)
+		receiveUpdates(conn, reader, handle)
 		return
 	}
 	conn.SetReadDeadline(time.Time{})
 	select {
-	case rest.conns <- &peeked{conn, r}:
-	case <-rest.done:
+	case otherConns.conns <- &peekedConn{conn, reader}:
+	case <-otherConns.done:
 		conn.Close()
 	}
 }
 
-// peeked is a connection whose first bytes have been read already.
-type peeked struct {
+// peekedConn is a connection whose first bytes have been read already.
+type peekedConn struct {
 	net.Conn
-	r *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (p *peeked) Read(b []byte) (int, error) { return p.r.Read(b) }
+func (p *peekedConn) Read(b []byte) (int, error) { return p.reader.Read(b) }
 
-// others is a listener for the connections that are not a peer's.
-type others struct {
+// otherConnListener is a listener for the connections that are not a peer's.
+type otherConnListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  <-chan struct{}
 }
 
-func (o *others) Accept() (net.Conn, error) {
+func (o *otherConnListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-o.conns:
 		return c, nil
@@ -199,18 +199,18 @@
 	}
 }
 
-func (o *others) Close() error   { return nil }
-func (o *others) Addr() net.Addr { return o.addr }
+func (o *otherConnListener) Close() error   { return nil }
+func (o *otherConnListener) Addr() net.Addr { return o.addr }
 
-func receive(conn net.Conn, r *bufio.Reader, post func(core.PeerUpdate)) {
+func receiveUpdates(conn net.Conn, reader *bufio.Reader, handle func(core.PeerUpdate)) {
 	defer conn.Close()
-	opts := protodelim.UnmarshalOptions{MaxSize: maxMessage}
+	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTimeout))
-		var m News
-		if err := opts.UnmarshalFrom(r, &m); err != nil {
+		var pb News
+		if err := opts.UnmarshalFrom(reader, &pb); err != nil {
 			return
 		}
-		post(m.core())
+		handle(pb.toUpdate())
 	}
 }
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -12,9 +12,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestLifeTravels: news names the life that sent it.
-func TestLifeTravels(t *testing.T) {
-	b, err := proto.Marshal(wire(core.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []core.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}))
+// TestIncarnationRoundTrip: news names the life that sent it.
+func TestIncarnationRoundTrip(t *testing.T) {
+	b, err := proto.Marshal(toProto(core.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []core.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,16 +22,16 @@
 	if err := proto.Unmarshal(b, &m); err != nil {
 		t.Fatal(err)
 	}
-	if n := m.core(); n.From != "a" || n.Incarnation != "n.2" || !n.StoreUnavailable || len(n.Quotes) != 1 || n.Quotes[0].Team != "ops" || string(n.Quotes[0].Value) != "\x01\x02" {
+	if n := m.toUpdate(); n.From != "a" || n.Incarnation != "n.2" || !n.StoreUnavailable || len(n.Quotes) != 1 || n.Quotes[0].Team != "ops" || string(n.Quotes[0].Value) != "\x01\x02" {
 		t.Errorf("came as %+v", n)
 	}
 }
 
-// TestNeedsTravel: whole hosts that are needed, and what emptying one would cost.
-func TestNeedsTravel(t *testing.T) {
-	h := core.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: core.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: core.Urgent}
-	was := core.PeerUpdate{From: "a", HostNeeds: []core.HostNeed{h}, OthersNeeds: []core.HostNeed{h, h}, EvacuationRequests: []core.HostNeed{h}, EvacuationCosts: []core.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
-	b, err := proto.Marshal(wire(was))
+// TestMachineNeedsRoundTrip: whole hosts that are needed, and what emptying one would cost.
+func TestMachineNeedsRoundTrip(t *testing.T) {
+	need := core.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: core.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: core.Urgent}
+	want := core.PeerUpdate{From: "a", HostNeeds: []core.HostNeed{need}, OthersNeeds: []core.HostNeed{need, need}, EvacuationRequests: []core.HostNeed{need}, EvacuationCosts: []core.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
+	b, err := proto.Marshal(toProto(want))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,15 +39,15 @@
 	if err := proto.Unmarshal(b, &m); err != nil {
 		t.Fatal(err)
 	}
-	if n := m.core(); !reflect.DeepEqual(n, was) {
+	if n := m.toUpdate(); !reflect.DeepEqual(n, want) {
 		t.Errorf("came as %+v", n)
 	}
 }
 
-// TestCameTravels: what came of the receiver's machines arrives as it was told.
-func TestCameTravels(t *testing.T) {
+// TestReroutedHeartbeatsRoundTrip: what came of the receiver's machines arrives as it was told.
+func TestReroutedHeartbeatsRoundTrip(t *testing.T) {
 	want := []core.ReroutedHeartbeat{{ID: "vm-1", Epoch: 3, Incarnation: 2, Sequence: 40}}
-	b, err := proto.Marshal(wire(core.PeerUpdate{From: "a", Rerouted: want}))
+	b, err := proto.Marshal(toProto(core.PeerUpdate{From: "a", Rerouted: want}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,13 +55,13 @@
 	if err := proto.Unmarshal(b, &m); err != nil {
 		t.Fatal(err)
 	}
-	if n := m.core(); !slices.Equal(n.Rerouted, want) {
+	if n := m.toUpdate(); !slices.Equal(n.Rerouted, want) {
 		t.Errorf("came as %+v", n.Rerouted)
 	}
 }
 
-// FuzzNews: whatever another controller sends, nothing ends for it.
-func FuzzNews(f *testing.F) {
+// FuzzPeerUpdate: whatever another controller sends, nothing ends for it.
+func FuzzPeerUpdate(f *testing.F) {
 	for _, n := range []core.PeerUpdate{
 		{From: "b", Rates: &core.Rates{Requests: math.NaN(), Writes: -1}},
 		{From: "b", WorkloadLoads: []core.WorkloadLoad{{Workload: "w", TasksPerSecond: math.Inf(1), Samples: -4}}, IsCapacityRequest: true, CapacityRequests: []core.CapacityRequest{{MachineType: "box", Count: -1}}},
@@ -70,7 +70,7 @@
 		{From: "b", Cancellations: []core.Cancellation{{ID: "job-1", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: math.MaxUint64}, {}}, CancellationAcks: []string{"", "job-1"}},
 		{From: "b", IsLeaderUpdate: true, RentalUpdates: []core.RentalUpdate{{ID: "vm", Age: -time.Hour}}, Progress: []core.Progress{{ID: "job-1", Done: -1}}},
 	} {
-		b, err := proto.Marshal(wire(n))
+		b, err := proto.Marshal(toProto(n))
 		if err != nil {
 			f.Fatal(err)
 		}
@@ -84,7 +84,7 @@
 		n := core.New(core.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: core.DefaultPolicy(),
 			Teams: []core.Team{{Name: "ops"}}, Capabilities: core.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_750_000_000, 0)
-		n.Step(now, []core.Command{m.core()})
+		n.Step(now, []core.Command{m.toUpdate()})
 		n.Step(now.Add(2*time.Second), nil)
 	})
 }
