--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -168,8 +168,8 @@
 	if set.Capabilities.Promises {
 		dates = metrics.Promises(met.Registry())
 	}
-	srv := server.New(node, server.Outside{
-		State: func(ctx context.Context, op core.StoreRequest) core.StoreResponse {
+	srv := server.New(node, server.EffectHandlers{
+		Store: func(ctx context.Context, op core.StoreRequest) core.StoreResponse {
 			began := time.Now()
 			done := st.Do(ctx, op)
 			met.State(op.Kind, done.Status, time.Since(began))
@@ -187,16 +187,16 @@
 			met.Orders(done, time.Since(began))
 			return done
 		},
-		Peer: pn.Send,
-		Role: met.Role,
-		Rates: func(r core.Rates) {
+		SendPeerUpdate: pn.Send,
+		RoleChanged:    met.Role,
+		SetRates: func(r core.Rates) {
 			st.SetRates(r)
 			met.Rates(r)
 		},
-		Defect:   met.Defect,
-		Observe:  met.Step,
-		Promises: dates,
-		GPURooms: met.GPURooms,
+		InternalError: met.Defect,
+		ObserveStep:   met.Step,
+		PromiseTotals: dates,
+		GPUCapacity:   met.GPURooms,
 	})
 	slog.Info("micahill starts", "version", version, "host", c.HostName, "nonce", nonce)
 	errs := make(chan error, 5)
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -13,61 +13,61 @@
 )
 
 const (
-	// queueLen bounds the requests that wait for the loop; more are refused.
-	queueLen = 1024
-	// resultsLen holds answers of outside services on their way to the loop.
-	resultsLen = 1024
-	// batchMost is how many commands one step takes.
-	batchMost = 256
-	// idleStep is the longest the loop sleeps.
-	idleStep = time.Second
+	// requestQueueLen bounds the requests that wait for the loop; more are refused.
+	requestQueueLen = 1024
+	// responseQueueLen holds answers of outside services on their way to the loop.
+	responseQueueLen = 1024
+	// maxBatch is how many commands one step takes.
+	maxBatch = 256
+	// maxIdle is the longest the loop sleeps.
+	maxIdle = time.Second
 )
 
 // ErrBusy says that the queue is full.
 var ErrBusy = errors.New("server: the queue is full")
 
-// Outside is what carries out effects.
-type Outside struct {
-	State  func(context.Context, core.StoreRequest) core.StoreResponse
-	Cloud  func(context.Context, core.CloudRequest) core.CloudResponse
-	Worker func(context.Context, core.WorkerRequest) core.WorkerResponse
-	Peer   func(to string, news core.PeerUpdate)
-	Role   func(core.Role)
-	// Rates is told the controller's part of the state service's limits.
-	Rates func(core.Rates)
-	// Promises is told what has become of promised dates; nil where there are none.
-	Promises func(core.PromiseTotals)
-	// GPURooms is told how the room on machines with GPUs lies, while models are on.
-	GPURooms func(core.GPUFreeCapacityReport)
-	// Defect is told of every mistake of the program's own that it goes on with.
-	Defect func()
-	// Observe is told how long a step took and how many commands it had.
-	Observe func(took time.Duration, commands int)
+// EffectHandlers is what carries out effects.
+type EffectHandlers struct {
+	Store          func(context.Context, core.StoreRequest) core.StoreResponse
+	Cloud          func(context.Context, core.CloudRequest) core.CloudResponse
+	Worker         func(context.Context, core.WorkerRequest) core.WorkerResponse
+	SendPeerUpdate func(to string, news core.PeerUpdate)
+	RoleChanged    func(core.Role)
+	// SetRates is told the controller's part of the state service's limits.
+	SetRates func(core.Rates)
+	// PromiseTotals is told what has become of promised dates; nil where there are none.
+	PromiseTotals func(core.PromiseTotals)
+	// GPUCapacity is told how the room on machines with GPUs lies, while models are on.
+	GPUCapacity func(core.GPUFreeCapacityReport)
+	// InternalError is told of every mistake of the program's own that it goes on with.
+	InternalError func()
+	// ObserveStep is told how long a step took and how many commands it had.
+	ObserveStep func(took time.Duration, commands int)
 }
 
 type request struct {
-	make func(reply uint64) core.Command
-	ch   chan core.Effect
+	newCommand func(reply uint64) core.Command
+	reply      chan core.Effect
 }
 
 // Server is the loop round one core.
 type Server struct {
-	node     *core.Controller
-	out      Outside
-	requests chan request
-	results  chan core.Command
-	healthy  atomic.Bool
-	replies  map[uint64]chan core.Effect
-	next     uint64
+	controller  *core.Controller
+	handlers    EffectHandlers
+	requests    chan request
+	responses   chan core.Command
+	healthy     atomic.Bool
+	replies     map[uint64]chan core.Effect
+	lastReplyID uint64
 }
 
 // New makes a server. Run starts it.
-func New(node *core.Controller, out Outside) *Server {
+func New(ctrl *core.Controller, handlers EffectHandlers) *Server {
 	return &Server{
-		node: node, out: out,
-		requests: make(chan request, queueLen),
-		results:  make(chan core.Command, resultsLen),
-		replies:  map[uint64]chan core.Effect{},
+		controller: ctrl, handlers: handlers,
+		requests:  make(chan request, requestQueueLen),
+		responses: make(chan core.Command, responseQueueLen),
+		replies:   map[uint64]chan core.Effect{},
 	}
 }
 
@@ -75,15 +75,15 @@
 func (s *Server) Healthy() bool { return s.healthy.Load() }
 
 // Ask hands a command to the core and waits for its reply.
-func (s *Server) Ask(ctx context.Context, mk func(reply uint64) core.Command) (core.Effect, error) {
-	r := request{mk, make(chan core.Effect, 1)}
+func (s *Server) Ask(ctx context.Context, newCommand func(reply uint64) core.Command) (core.Effect, error) {
+	req := request{newCommand, make(chan core.Effect, 1)}
 	select {
-	case s.requests <- r:
+	case s.requests <- req:
 	default:
 		return nil, ErrBusy
 	}
 	select {
-	case e := <-r.ch:
+	case e := <-req.reply:
 		return e, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -91,7 +91,7 @@
 }
 
 // Post hands a command to the core that needs no reply.
-func (s *Server) Post(c core.Command) { s.results <- c }
+func (s *Server) Post(c core.Command) { s.responses <- c }
 
 // Run feeds the core until the context ends.
 func (s *Server) Run(ctx context.Context) error {
@@ -104,47 +104,47 @@
 			return ctx.Err()
 		case <-timer.C:
 		case r := <-s.requests:
-			batch = append(batch, s.admit(r))
-		case c := <-s.results:
+			batch = append(batch, s.register(r))
+		case c := <-s.responses:
 			batch = append(batch, c)
 		}
-		batch = s.drain(batch)
+		batch = s.fillBatch(batch)
 		now := time.Now()
-		for _, e := range s.node.Step(now, batch) {
-			s.do(ctx, e)
+		for _, e := range s.controller.Step(now, batch) {
+			s.execute(ctx, e)
 		}
-		s.healthy.Store(s.node.Healthy(now))
+		s.healthy.Store(s.controller.Healthy(now))
 		took := time.Since(now)
-		s.node.StepTook(took)
-		if s.out.Observe != nil {
-			s.out.Observe(took, len(batch))
+		s.controller.StepTook(took)
+		if s.handlers.ObserveStep != nil {
+			s.handlers.ObserveStep(took, len(batch))
 		}
-		wait := idleStep
-		if d := s.node.Deadline(); !d.IsZero() {
+		wait := maxIdle
+		if d := s.controller.Deadline(); !d.IsZero() {
 			wait = min(wait, max(time.Until(d), time.Millisecond))
 		}
 		timer.Reset(wait)
 	}
 }
 
-func (s *Server) admit(r request) core.Command {
-	s.next++
-	s.replies[s.next] = r.ch
-	return r.make(s.next)
+func (s *Server) register(r request) core.Command {
+	s.lastReplyID++
+	s.replies[s.lastReplyID] = r.reply
+	return r.newCommand(s.lastReplyID)
 }
 
-func (s *Server) drain(batch []core.Command) []core.Command {
-	for len(batch) < batchMost {
+func (s *Server) fillBatch(batch []core.Command) []core.Command {
+	for len(batch) < maxBatch {
 		// Answers first: they free what the requests wait for.
 		select {
-		case c := <-s.results:
+		case c := <-s.responses:
 			batch = append(batch, c)
 			continue
 		default:
 		}
 		select {
 		case r := <-s.requests:
-			batch = append(batch, s.admit(r))
+			batch = append(batch, s.register(r))
 		default:
 			return batch
 		}
@@ -159,16 +159,16 @@
 	}
 }
 
-// send carries an effect out and brings the answer back, unless it has become late.
-func (s *Server) send(e core.Effect, out func() core.Command) {
-	back, _, late := core.CheckDeadline(e, time.Now())
+// sendUnlessLate carries an effect out and brings the answer back, unless it has become late.
+func (s *Server) sendUnlessLate(e core.Effect, call func() core.Command) {
+	response, _, late := core.CheckDeadline(e, time.Now())
 	if !late {
-		back = out()
+		response = call()
 	}
-	s.Post(back)
+	s.Post(response)
 }
 
-func (s *Server) do(ctx context.Context, e core.Effect) {
+func (s *Server) execute(ctx context.Context, e core.Effect) {
 	switch e := e.(type) {
 	case core.UserReply:
 		s.reply(e.Reply, e)
@@ -181,34 +181,34 @@
 	case core.PromiseReply:
 		s.reply(e.Reply, e)
 	case core.PromiseTotals:
-		if s.out.Promises != nil {
-			s.out.Promises(e)
+		if s.handlers.PromiseTotals != nil {
+			s.handlers.PromiseTotals(e)
 		}
 	case core.LoanView:
 		s.reply(e.Reply, e)
 	case core.LoanReply:
 		s.reply(e.Reply, e)
 	case core.StoreRequest:
-		go s.send(e, func() core.Command { return s.out.State(ctx, e) })
+		go s.sendUnlessLate(e, func() core.Command { return s.handlers.Store(ctx, e) })
 	case core.CloudRequest:
-		go s.send(e, func() core.Command { return s.out.Cloud(ctx, e) })
+		go s.sendUnlessLate(e, func() core.Command { return s.handlers.Cloud(ctx, e) })
 	case core.WorkerRequest:
-		go s.send(e, func() core.Command { return s.out.Worker(ctx, e) })
+		go s.sendUnlessLate(e, func() core.Command { return s.handlers.Worker(ctx, e) })
 	case core.SendPeerUpdate:
-		s.out.Peer(e.To, e.Update)
+		s.handlers.SendPeerUpdate(e.To, e.Update)
 	case core.Role:
-		s.out.Role(e)
+		s.handlers.RoleChanged(e)
 	case core.Rates:
-		s.out.Rates(e)
+		s.handlers.SetRates(e)
 	case core.GPUFreeCapacityReport:
-		s.out.GPURooms(e)
+		s.handlers.GPUCapacity(e)
 	case core.Log:
 		switch {
 		case e.Debug:
 			slog.Debug(e.Message, e.Args...)
 		case e.Error:
 			slog.Error(e.Message, e.Args...)
-			s.out.Defect()
+			s.handlers.InternalError()
 		default:
 			slog.Info(e.Message, e.Args...)
 		}
