--- a/internal/standin/proc.go
+++ b/internal/standin/proc.go
@@ -31,7 +31,7 @@
 	stateNo bool
 	// refusedTill is when the last time is over in which it alone is refused.
 	refusedTill time.Time
-	gate        *state.Gate
+	gate        *state.RateLimiter
 	// stillTill: the process stands still until then; its clock runs on. held is
 	// what it had decided and not sent yet.
 	stillTill time.Time
@@ -78,7 +78,7 @@
 	}
 	// Until it says what it needs, each has an equal part.
 	many := float64(len(p.w.nodes))
-	p.gate = state.NewGate(p.w.now, core.Rates{Requests: set.StoreRequestsPerSecond / many, Writes: set.StoreWritesPerSecond / many})
+	p.gate = state.NewRateLimiter(p.w.now, core.Rates{Requests: set.StoreRequestsPerSecond / many, Writes: set.StoreWritesPerSecond / many})
 	p.node = core.New(set, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.life))))
 	p.queue, p.queued, p.wake = nil, false, time.Time{}
 	p.stillTill, p.held = time.Time{}, nil
@@ -291,7 +291,7 @@
 		}
 		exec(answer)
 	}, core.StoreResponse{ID: e.ID, Status: core.StoreUnknown}, func() {
-		pause := state.TooMany + time.Duration(w.rng.Int64N(int64(state.TooManySpread)))
+		pause := state.RetryPause + time.Duration(w.rng.Int64N(int64(state.RetryJitter)))
 		w.after(pause, func() {
 			switch {
 			case p.life != life:
@@ -334,7 +334,7 @@
 	case core.StoreRequest:
 		// As the real client does: it waits for its turn, and tries again what is
 		// refused for the rate.
-		d, ok := p.gate.Wait(w.now, e)
+		d, ok := p.gate.Reserve(w.now, e)
 		if !ok {
 			p.push(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
 			return
@@ -342,11 +342,11 @@
 		life := p.life
 		w.after(d, func() {
 			if p.life == life {
-				p.stateOp(e, w.now.Add(state.Deadline(e)))
+				p.stateOp(e, w.now.Add(state.Timeout(e)))
 			}
 		})
 	case core.Rates:
-		p.gate.Set(w.now, e)
+		p.gate.SetRates(w.now, e)
 	case core.CloudRequest:
 		p.checkLead(e)
 		p.call("cloud", false, 5*time.Second, func(answer func(core.Command)) { answer(w.cloud(e)) }, core.CloudResponse{ID: e.ID, Status: core.CloudUnknown})
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -42,7 +42,7 @@
 		"list-first":  {Kind: core.OpList, Key: "open/"},
 		"follow":      {Kind: core.OpWatch, Key: "ctl/", Revision: 416, WatchTimeout: 9_500 * time.Millisecond},
 	} {
-		method, path, body := request(op)
+		method, path, body := encodeRequest(op)
 		sent := []byte(method + " " + path + "\n")
 		if body != nil {
 			sent = append(sent, sorted(t, body)...)
@@ -54,27 +54,27 @@
 // TestGoldenAnswers: what the state service answers is read as it ever was.
 func TestGoldenAnswers(t *testing.T) {
 	raw := func(s string) msgpack.RawMessage { return append(msgpack.RawMessage{0xa0 | byte(len(s))}, s...) }
-	answers := testgolden.Values{"answer": answer{
-		Key: "job/job-000411", Value: raw("one"), Stamp: 411, Rev: 412, Truncated: true, Failed: []string{"ctl/lead"}, Permit: 413, Error: "lease over",
-		Rows: []row{{Key: "open/job-000412", Put: "open/job-000413", Remove: "open/job-000414", Value: raw("two"), Stamp: 414}},
-		News: []row{
-			{Key: "-", Put: "open/job-000415", Value: raw("three"), Stamp: 415}, {Key: "-", Remove: "open/job-000416", Value: raw("four"), Stamp: 416},
+	answers := testgolden.Values{"answer": response{
+		Key: "job/job-000411", Value: raw("one"), ModRevision: 411, Revision: 412, Truncated: true, Failed: []string{"ctl/lead"}, Lease: 413, Error: "lease over",
+		Items: []storedItem{{Key: "open/job-000412", Put: "open/job-000413", Remove: "open/job-000414", Value: raw("two"), ModRevision: 414}},
+		Changes: []storedItem{
+			{Key: "-", Put: "open/job-000415", Value: raw("three"), ModRevision: 415}, {Key: "-", Remove: "open/job-000416", Value: raw("four"), ModRevision: 416},
 		},
 	}}
 	c := testgolden.Msgpack
 	// A value that is not there is no MessagePack.
 	c.Strict = true
 	testgolden.Check(t, c, answers)
-	_, _, body := request(core.StoreRequest{Kind: core.OpTxn, Compares: []core.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []core.Write{{Key: "open/job-000412"}}})
+	_, _, body := encodeRequest(core.StoreRequest{Kind: core.OpTxn, Compares: []core.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []core.Write{{Key: "open/job-000412"}}})
 	answers["asked"] = body
 	testgolden.Full(t, answers)
 
-	var a answer
+	var a response
 	if err := c.Read(testgolden.Bytes(t, "answer"), &a); err != nil {
 		t.Fatal(err)
 	}
 	got := core.StoreResponse{Status: core.StoreOK}
-	fill(&got, core.StoreRequest{Kind: core.OpGet}, &a)
+	fillResponse(&got, core.StoreRequest{Kind: core.OpGet}, &a)
 	want := core.StoreResponse{Status: core.StoreOK, Truncated: true, Revision: 412, FailedKeys: []string{"ctl/lead"}, LeaseID: 413, KeyValues: []core.KeyValue{
 		{Key: "job/job-000411", Value: raw("one"), ModRevision: 411},
 		{Key: "open/job-000412", Value: raw("two"), ModRevision: 414},
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -29,17 +29,17 @@
 func TestRequestsBySize(t *testing.T) {
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
-			answer, err := msgpack.Marshal(map[string]any{"ledger_rev": 1, "key": "k", "stamp": 1})
+			reply, err := msgpack.Marshal(map[string]any{"ledger_rev": 1, "key": "k", "stamp": 1})
 			if err != nil {
 				t.Fatal(err)
 			}
-			var open, most atomic.Int64
-			srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(answer) }))
+			var open, mostOpen atomic.Int64
+			srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write(reply) }))
 			srv.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 				switch s {
 				case http.StateNew:
 					k := open.Add(1)
-					for was := most.Load(); k > was && !most.CompareAndSwap(was, k); was = most.Load() {
+					for was := mostOpen.Load(); k > was && !mostOpen.CompareAndSwap(was, k); was = mostOpen.Load() {
 					}
 				case http.StateClosed, http.StateHijacked:
 					open.Add(-1)
@@ -51,14 +51,14 @@
 			c := New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 			defer c.http.CloseIdleConnections()
 			var refused atomic.Int64
-			ask := func(requests int) {
+			sendRequests := func(requests int) {
 				var wg sync.WaitGroup
 				// The core has some under way at a time, not all.
-				turns := make(chan struct{}, 2*maxConns)
+				slots := make(chan struct{}, 2*maxConns)
 				for i := range requests {
-					turns <- struct{}{}
+					slots <- struct{}{}
 					wg.Go(func() {
-						defer func() { <-turns }()
+						defer func() { <-slots }()
 						key := fmt.Sprintf("task/job-%06d/0", i)
 						for _, op := range []core.StoreRequest{
 							{Kind: core.OpGet, Priority: core.PriorityLazy, Key: key},
@@ -73,14 +73,14 @@
 				wg.Wait()
 			}
 			// What is made once, whatever the size, does not count.
-			ask(10 * maxConns)
+			sendRequests(10 * maxConns)
 			before, routines := heap(), runtime.NumGoroutine()
-			ask(machines)
+			sendRequests(machines)
 			if k := refused.Load(); k > 0 {
 				t.Errorf("%d requests are not answered", k)
 			}
 			// The other end sees some of them go a little later than the client.
-			if m := most.Load(); m > maxConns*3/2 {
+			if m := mostOpen.Load(); m > maxConns*3/2 {
 				t.Errorf("%d connections, of %d at most", m, maxConns)
 			}
 			// Two goroutines at each end of a connection that is kept, and what ends
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -22,84 +22,84 @@
 )
 
 const (
-	// shortDeadline is for requests somebody waits for.
-	shortDeadline = 1300 * time.Millisecond
-	// longDeadline is for reads of whole prefixes and lazy writes.
-	longDeadline = 3 * time.Second
-	// queueDeadline bounds the wait of a write for its turn.
-	queueDeadline = 8 * time.Second
+	// shortTimeout is for requests somebody waits for.
+	shortTimeout = 1300 * time.Millisecond
+	// longTimeout is for reads of whole prefixes and lazy writes.
+	longTimeout = 3 * time.Second
+	// maxQueueWait bounds the wait of a write for its turn.
+	maxQueueWait = 8 * time.Second
 	// listPage is how many rows are asked for at once.
 	listPage = 500
 	// maxConns bounds the connections to the service.
 	maxConns = 24
-	// maxAnswer bounds an answer; a page of a list holds at most 512 KiB.
-	maxAnswer = 4 << 20
-	// userAhead is how many seconds' worth of the rate users' requests may
+	// maxResponseBytes bounds an answer; a page of a list holds at most 512 KiB.
+	maxResponseBytes = 4 << 20
+	// userAdvance is how many seconds' worth of the rate users' requests may
 	// take before it is there.
-	userAhead = 1.0
-	// leastBurst is what may be sent at once however small the part.
-	leastBurst = 4
+	userAdvance = 1.0
+	// minBurst is what may be sent at once however small the part.
+	minBurst = 4
 )
 
 // Client is one controller's access to the state service.
 type Client struct {
-	base string
-	http *http.Client
-	gate *Gate
+	base    string
+	http    *http.Client
+	limiter *RateLimiter
 }
 
 // New makes a client for the service at addr, whose limits are shared by n
 // controllers: alike, until SetRates says otherwise.
-func New(addr string, rps, wps float64, n int) *Client {
-	tr := &http.Transport{
+func New(addr string, requestsPerSecond, writesPerSecond float64, controllers int) *Client {
+	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
 		MaxIdleConnsPerHost: maxConns / 2,
 		MaxConnsPerHost:     maxConns,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	gate := NewGate(time.Now(), core.Rates{Requests: rps / float64(n), Writes: wps / float64(n)})
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: tr}, gate: gate}
+	limiter := NewRateLimiter(time.Now(), core.Rates{Requests: requestsPerSecond / float64(controllers), Writes: writesPerSecond / float64(controllers)})
+	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, limiter: limiter}
 }
 
 // SetRates gives this controller its part of the limits.
-func (c *Client) SetRates(r core.Rates) { c.gate.Set(time.Now(), r) }
+func (c *Client) SetRates(r core.Rates) { c.limiter.SetRates(time.Now(), r) }
 
-type row struct {
-	Key    string             `msgpack:"key"`
-	Put    string             `msgpack:"put"`
-	Remove string             `msgpack:"remove"`
-	Value  msgpack.RawMessage `msgpack:"value"`
-	Stamp  uint64             `msgpack:"stamp"`
+type storedItem struct {
+	Key         string             `msgpack:"key"`
+	Put         string             `msgpack:"put"`
+	Remove      string             `msgpack:"remove"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision uint64             `msgpack:"stamp"`
 }
 
-type answer struct {
-	Key       string             `msgpack:"key"`
-	Value     msgpack.RawMessage `msgpack:"value"`
-	Stamp     uint64             `msgpack:"stamp"`
-	Rev       uint64             `msgpack:"ledger_rev"`
-	Rows      []row              `msgpack:"rows"`
-	Truncated bool               `msgpack:"truncated"`
-	News      []row              `msgpack:"news"`
-	Failed    []string           `msgpack:"failed"`
-	Permit    uint64             `msgpack:"permit"`
-	Error     string             `msgpack:"error"`
+type response struct {
+	Key         string             `msgpack:"key"`
+	Value       msgpack.RawMessage `msgpack:"value"`
+	ModRevision uint64             `msgpack:"stamp"`
+	Revision    uint64             `msgpack:"ledger_rev"`
+	Items       []storedItem       `msgpack:"rows"`
+	Truncated   bool               `msgpack:"truncated"`
+	Changes     []storedItem       `msgpack:"news"`
+	Failed      []string           `msgpack:"failed"`
+	Lease       uint64             `msgpack:"permit"`
+	Error       string             `msgpack:"error"`
 }
 
-type cond struct {
+type compare struct {
 	Key         string `msgpack:"key"`
 	ModRevision uint64 `msgpack:"stamp"`
 }
 
-type multi struct {
-	When  []cond           `msgpack:"when"`
-	Apply []map[string]any `msgpack:"apply,omitempty"`
+type transaction struct {
+	Compares []compare        `msgpack:"when"`
+	Writes   []map[string]any `msgpack:"apply,omitempty"`
 }
 
 // Do carries out op and tells how it ended.
 func (c *Client) Do(ctx context.Context, op core.StoreRequest) core.StoreResponse {
 	out := core.StoreResponse{ID: op.ID, Status: core.StoreRefused}
-	wait, ok := c.gate.Wait(time.Now(), op)
+	wait, ok := c.limiter.Reserve(time.Now(), op)
 	if !ok {
 		return out
 	}
@@ -110,9 +110,9 @@
 		case <-time.After(wait):
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, Deadline(op))
+	ctx, cancel := context.WithTimeout(ctx, Timeout(op))
 	defer cancel()
-	method, path, body := request(op)
+	method, path, body := encodeRequest(op)
 	for {
 		out.SentAt = time.Now()
 		status, a, err := c.send(ctx, method, path, body)
@@ -128,29 +128,29 @@
 			select {
 			case <-ctx.Done():
 				return out
-			case <-time.After(TooMany + rand.N(TooManySpread)):
+			case <-time.After(RetryPause + rand.N(RetryJitter)):
 			}
 			continue
 		}
-		out.Status = outcome(op, status, a)
-		fill(&out, op, a)
+		out.Status = statusOf(op, status, a)
+		fillResponse(&out, op, a)
 		return out
 	}
 }
 
-func request(op core.StoreRequest) (method, path string, body any) {
+func encodeRequest(op core.StoreRequest) (method, path string, body any) {
 	switch op.Kind {
 	case core.OpGet:
 		return http.MethodGet, "/store/" + op.Key, nil
 	case core.OpList:
-		q := url.Values{"under": {op.Key}, "limit": {strconv.Itoa(listPage)}}
+		query := url.Values{"under": {op.Key}, "limit": {strconv.Itoa(listPage)}}
 		if op.StartAfter != "" {
-			q.Set("from", op.StartAfter)
+			query.Set("from", op.StartAfter)
 		}
-		return http.MethodGet, "/store?" + q.Encode(), nil
+		return http.MethodGet, "/store?" + query.Encode(), nil
 	case core.OpWatch:
-		q := url.Values{"under": {op.Key}, "from": {strconv.FormatUint(op.Revision, 10)}, "hold_ms": {strconv.FormatInt(op.WatchTimeout.Milliseconds(), 10)}}
-		return http.MethodGet, "/follow?" + q.Encode(), nil
+		query := url.Values{"under": {op.Key}, "from": {strconv.FormatUint(op.Revision, 10)}, "hold_ms": {strconv.FormatInt(op.WatchTimeout.Milliseconds(), 10)}}
+		return http.MethodGet, "/follow?" + query.Encode(), nil
 	case core.OpLeaseGrant:
 		return http.MethodPost, "/grants", map[string]any{"ttl_ms": op.TTL.Milliseconds()}
 	case core.OpLeaseRenew:
@@ -158,35 +158,35 @@
 	case core.OpLeaseRevoke:
 		return http.MethodDelete, fmt.Sprintf("/grants/%d", op.LeaseID), nil
 	}
-	m := multi{When: []cond{}}
+	txn := transaction{Compares: []compare{}}
 	for _, w := range op.Compares {
-		m.When = append(m.When, cond(w))
+		txn.Compares = append(txn.Compares, compare(w))
 	}
 	for _, a := range op.Writes {
-		ch := map[string]any{}
+		write := map[string]any{}
 		if a.Value == nil {
-			ch["remove"] = a.Key
+			write["remove"] = a.Key
 		} else {
-			ch["put"], ch["value"] = a.Key, msgpack.RawMessage(a.Value)
+			write["put"], write["value"] = a.Key, msgpack.RawMessage(a.Value)
 			if a.LeaseID != 0 {
-				ch["permit"] = a.LeaseID
+				write["permit"] = a.LeaseID
 			}
 		}
-		m.Apply = append(m.Apply, ch)
+		txn.Writes = append(txn.Writes, write)
 	}
-	return http.MethodPost, "/multi", m
+	return http.MethodPost, "/multi", txn
 }
 
-func (c *Client) send(ctx context.Context, method, path string, body any) (int, *answer, error) {
-	var rd io.Reader
+func (c *Client) send(ctx context.Context, method, path string, body any) (int, *response, error) {
+	var payload io.Reader
 	if body != nil {
 		b, err := msgpack.Marshal(body)
 		if err != nil {
 			return 0, nil, fmt.Errorf("state: encode: %w", err)
 		}
-		rd = bytes.NewReader(b)
+		payload = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, c.base+path, payload)
 	if err != nil {
 		return 0, nil, fmt.Errorf("state: %w", err)
 	}
@@ -198,11 +198,11 @@
 		return 0, nil, fmt.Errorf("state: %w", err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("state: read: %w", err)
 	}
-	var a answer
+	var a response
 	if len(b) > 0 {
 		if err := msgpack.Unmarshal(b, &a); err != nil && resp.StatusCode == http.StatusOK {
 			return 0, nil, fmt.Errorf("state: decode: %w", err)
@@ -217,7 +217,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func outcome(op core.StoreRequest, status int, a *answer) core.StoreStatus {
+func statusOf(op core.StoreRequest, status int, a *response) core.StoreStatus {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
 		return core.StoreOK
@@ -241,19 +241,19 @@
 	return core.StoreRefused
 }
 
-func fill(out *core.StoreResponse, op core.StoreRequest, a *answer) {
-	out.Revision, out.FailedKeys, out.LeaseID, out.Truncated = a.Rev, a.Failed, a.Permit, a.Truncated
+func fillResponse(out *core.StoreResponse, op core.StoreRequest, a *response) {
+	out.Revision, out.FailedKeys, out.LeaseID, out.Truncated = a.Revision, a.Failed, a.Lease, a.Truncated
 	if op.Kind == core.OpGet && out.Status == core.StoreOK {
-		out.KeyValues = []core.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.Stamp}}
+		out.KeyValues = []core.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.ModRevision}}
 	}
-	for _, r := range a.Rows {
-		out.KeyValues = append(out.KeyValues, core.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.Stamp})
+	for _, r := range a.Items {
+		out.KeyValues = append(out.KeyValues, core.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.ModRevision})
 	}
-	for _, r := range a.News {
-		it := core.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.Stamp}
+	for _, r := range a.Changes {
+		item := core.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.ModRevision}
 		if r.Remove != "" {
-			it.Key, it.Deleted = r.Remove, true
+			item.Key, item.Deleted = r.Remove, true
 		}
-		out.KeyValues = append(out.KeyValues, it)
+		out.KeyValues = append(out.KeyValues, item)
 	}
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -13,11 +13,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestLargeWriteIsNotPassedForEver guards against large writes that are refused
+// TestLargeWriteIsNotStarved guards against large writes that are refused
 // because their turn in the rate comes after a request's deadline, while small
 // ones go on taking all of the rate: after a restart of all controllers no task
 // was started for ten seconds.
-func TestLargeWriteIsNotPassedForEver(t *testing.T) {
+func TestLargeWriteIsNotStarved(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b, err := msgpack.Marshal(map[string]any{"ledger_rev": 1})
 		if err != nil {
