--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -87,7 +87,7 @@
 			"leaves no time for a lost report", fmt.Sprintf("more than %g would do", least)})
 	}
 	s := core.Settings{CancellationBound: core.Seconds(d.Workers.CancelS), WorkerLease: core.Seconds(d.Workers.LeaseS)}
-	if short := s.RenewalBound().Short(); short > 0 {
+	if short := s.RenewalBound().Shortfall(); short > 0 {
 		tight = append(tight, finding{"deployment.workers.cancel_s", d.Workers.CancelS,
 			fmt.Sprintf("leaves no time beside lease_s (%g): on a machine out of reach, and while the state service is away, a cancelled task may last up to %.1f s too long", d.Workers.LeaseS, short.Seconds()),
 			fmt.Sprintf("%.0f would do", math.Ceil((s.CancellationBound+short).Seconds())+1)})
--- a/internal/core/horizon.go
+++ b/internal/core/horizon.go
@@ -16,15 +16,15 @@
 // RenewalBound is how the settings bound answers that prolong leases.
 func (s *Settings) RenewalBound() horizon.Rule {
 	return horizon.Rule{
-		Cancel: s.CancellationBound, Lease: s.WorkerLease,
-		Margin: leaseMargin + time.Duration(float64(s.CancellationBound)*clockDrift),
+		CancelTimeout: s.CancellationBound, LeaseDuration: s.WorkerLease,
+		ClockMargin: leaseMargin + time.Duration(float64(s.CancellationBound)*clockDrift),
 	}
 }
 
 // renewalDeadline is the last moment at which this owner prolongs any lease, by its grant and
 // by what it knows of cancellations.
 func (n *Controller) renewalDeadline() time.Time {
-	return earlier(n.membership.leaseValidUntil.Add(n.grace()), n.settings.RenewalBound().Until(n.frontend.watchCache.asOf))
+	return earlier(n.membership.leaseValidUntil.Add(n.grace()), n.settings.RenewalBound().Deadline(n.frontend.watchCache.asOf))
 }
 
 // startDeadline is the last moment at which a start leaves, whoever it is for. A direct order
@@ -33,7 +33,7 @@
 // session has just begun. A grant says nothing of that; it may be renewed while open/ can't
 // be read.
 func (n *Controller) startDeadline() time.Time {
-	return earlier(n.membership.leaseValidUntil, n.settings.RenewalBound().Until(n.frontend.watchCache.asOf))
+	return earlier(n.membership.leaseValidUntil, n.settings.RenewalBound().Deadline(n.frontend.watchCache.asOf))
 }
 
 // machineRenewalDeadline is renewalDeadline for one machine: as long as tasks of a cancelled job may be on
@@ -76,7 +76,7 @@
 	if !open || !l.rec.Cancelled {
 		return time.Time{}
 	}
-	return n.settings.RenewalBound().Until(n.earliestCancellation(&l.rec))
+	return n.settings.RenewalBound().Deadline(n.earliestCancellation(&l.rec))
 }
 
 // unreadTeamsDeadline is the last moment for an answer to a machine that a former owner may have
--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -61,7 +61,7 @@
 func (n *Controller) keepWatchCacheFresh() {
 	every := maxRefreshInterval
 	if n.shardLeader != nil {
-		every = min(every, n.settings.RenewalBound().ReadEvery())
+		every = min(every, n.settings.RenewalBound().ReadInterval())
 	}
 	n.after(every, n.keepWatchCacheFresh)
 	if m := &n.frontend.watchCache; m.loaded && n.now.Sub(m.lastReadAt) >= every {
--- a/internal/horizon/horizon.go
+++ b/internal/horizon/horizon.go
@@ -20,43 +20,45 @@
 import "time"
 
 const (
-	// leastWindow is what is left for answers where the settings leave no room between
+	// minWindow is what is left for answers where the settings leave no room between
 	// the lease and the time that a cancellation has. Less would have every lease run
 	// out; it covers a round of reads of the state service, which take some ten
 	// milliseconds and at times a few hundred.
-	leastWindow = time.Second
-	// readsInWindow is how often an owner reads within its window at the least, so that a
+	minWindow = time.Second
+	// readsPerWindow is how often an owner reads within its window at the least, so that a
 	// lost or slow read or two do not end its answers.
-	readsInWindow = 5
-	// readSeldom is how often it reads at the least where the window is long: every read
+	readsPerWindow = 5
+	// maxReadInterval is how often it reads at the least where the window is long: every read
 	// that is missing when the state service goes away is time that work is kept less.
-	readSeldom = 2 * time.Second
+	maxReadInterval = 2 * time.Second
 )
 
 // Rule is what the settings say. Margin covers what the two clocks may differ by in the
 // time that a cancellation has, and the steps in which a worker looks at its lease. The
 // way of an answer needs no part of it: a lease counts from the sending of the report.
 type Rule struct {
-	// Cancel is how long after its confirmation a cancelled job's tasks may last.
-	Cancel time.Duration
-	// Lease is how long a worker's lease lasts from the sending of an answered report.
-	Lease time.Duration
-	// Margin is taken off.
-	Margin time.Duration
+	// CancelTimeout is how long after its confirmation a cancelled job's tasks may last.
+	CancelTimeout time.Duration
+	// LeaseDuration is how long a worker's lease lasts from the sending of an answered report.
+	LeaseDuration time.Duration
+	// ClockMargin is taken off.
+	ClockMargin time.Duration
 }
 
 // Window is for how long after its horizon an owner prolongs leases.
-func (r Rule) Window() time.Duration { return max(leastWindow, r.Cancel-r.Lease-r.Margin) }
+func (r Rule) Window() time.Duration {
+	return max(minWindow, r.CancelTimeout-r.LeaseDuration-r.ClockMargin)
+}
 
-// Short is by how much a cancelled task may outlast its time because the settings leave no
+// Shortfall is by how much a cancelled task may outlast its time because the settings leave no
 // window; 0 where they do.
-func (r Rule) Short() time.Duration {
-	return max(0, leastWindow-(r.Cancel-r.Lease-r.Margin))
+func (r Rule) Shortfall() time.Duration {
+	return max(0, minWindow-(r.CancelTimeout-r.LeaseDuration-r.ClockMargin))
 }
 
-// Until is the last moment for an answer that prolongs a lease, if all cancellations that
+// Deadline is the last moment for an answer that prolongs a lease, if all cancellations that
 // were confirmed before the moment known are known.
-func (r Rule) Until(known time.Time) time.Time { return known.Add(r.Window()) }
+func (r Rule) Deadline(knownUntil time.Time) time.Time { return knownUntil.Add(r.Window()) }
 
-// ReadEvery is how often an owner reads when nothing else has it read.
-func (r Rule) ReadEvery() time.Duration { return min(readSeldom, r.Window()/readsInWindow) }
+// ReadInterval is how often an owner reads when nothing else has it read.
+func (r Rule) ReadInterval() time.Duration { return min(maxReadInterval, r.Window()/readsPerWindow) }
