--- a/internal/bounds/bounds.go
+++ b/internal/bounds/bounds.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// KeyMost is the longest key of the state service, in bytes.
-	KeyMost = 200
-	// TxnMost is the most that one transaction may take, in bytes of JSON.
-	TxnMost = 64 << 10
-	// BodyMost is the most that a body to or from workers and users may take.
-	BodyMost = 64 << 10
-	// CondTimes is how many conditions a transaction may have for each change.
-	CondTimes = 4
-	// between is what JSON puts between two values, or after a key, with the space
+	// MaxKeyBytes is the longest key of the state service, in bytes.
+	MaxKeyBytes = 200
+	// MaxTxnBytes is the most that one transaction may take, in bytes of JSON.
+	MaxTxnBytes = 64 << 10
+	// MaxBodyBytes is the most that a body to or from workers and users may take.
+	MaxBodyBytes = 64 << 10
+	// ComparesPerOp is how many conditions a transaction may have for each change.
+	ComparesPerOp = 4
+	// separatorBytes is what JSON puts between two values, or after a key, with the space
 	// that some writers add.
-	between = 2
-	// deepest bounds how deep values may be nested.
-	deepest = 64
+	separatorBytes = 2
+	// maxDepth bounds how deep values may be nested.
+	maxDepth = 64
 )
 
 // ErrValue says that bytes are not one MessagePack value without binary parts.
@@ -37,29 +37,29 @@
 // JSON is an upper bound for the length, in bytes, that a MessagePack value has as
 // JSON: with spaces after commas and colons, and with all but ASCII escaped.
 func JSON(b []byte) (int, error) {
-	n, rest, err := value(b, 0)
+	n, rest, err := valueSize(b, 0)
 	if err == nil && len(rest) > 0 {
 		err = ErrValue
 	}
 	return n, err
 }
 
-func value(b []byte, depth int) (int, []byte, error) {
-	if len(b) == 0 || depth > deepest {
+func valueSize(b []byte, depth int) (int, []byte, error) {
+	if len(b) == 0 || depth > maxDepth {
 		return 0, nil, ErrValue
 	}
 	c, b := b[0], b[1:]
 	switch {
 	case c <= 0x7f:
-		return digits(uint64(c)), b, nil
+		return digitCount(uint64(c)), b, nil
 	case c >= 0xe0:
-		return 1 + digits(uint64(-int64(int8(c)))), b, nil
+		return 1 + digitCount(uint64(-int64(int8(c)))), b, nil
 	case c&0xf0 == 0x80:
-		return sequence(b, 2*int(c&0x0f), depth)
+		return sequenceSize(b, 2*int(c&0x0f), depth)
 	case c&0xf0 == 0x90:
-		return sequence(b, int(c&0x0f), depth)
+		return sequenceSize(b, int(c&0x0f), depth)
 	case c&0xe0 == 0xa0:
-		return text(b, int(c&0x1f))
+		return textSize(b, int(c&0x1f))
 	}
 	switch c {
 	case 0xc0:
@@ -69,7 +69,7 @@
 	case 0xc3:
 		return len("true"), b, nil
 	case 0xca, 0xcb:
-		u, b, err := number(b, 4<<(c-0xca))
+		u, b, err := readUint(b, 4<<(c-0xca))
 		f := math.Float64frombits(u)
 		if c == 0xca {
 			f = float64(math.Float32frombits(uint32(u)))
@@ -77,59 +77,59 @@
 		// One writer has an exponent where another has digits, or adds ".0".
 		return max(len(strconv.FormatFloat(f, 'g', -1, 64)), len(strconv.FormatFloat(f, 'f', -1, 64))) + 2, b, err
 	case 0xcc, 0xcd, 0xce, 0xcf:
-		u, b, err := number(b, 1<<(c-0xcc))
-		return digits(u), b, err
+		u, b, err := readUint(b, 1<<(c-0xcc))
+		return digitCount(u), b, err
 	case 0xd0, 0xd1, 0xd2, 0xd3:
-		_, b, err := number(b, 1<<(c-0xd0))
+		_, b, err := readUint(b, 1<<(c-0xd0))
 		return [...]int{4, 6, 11, 20}[c-0xd0], b, err
 	case 0xd9, 0xda, 0xdb:
-		u, b, err := number(b, 1<<(c-0xd9))
+		u, b, err := readUint(b, 1<<(c-0xd9))
 		if err != nil {
 			return 0, nil, err
 		}
-		return text(b, int(u))
+		return textSize(b, int(u))
 	case 0xdc, 0xdd:
-		u, b, err := number(b, 2<<(c-0xdc))
+		u, b, err := readUint(b, 2<<(c-0xdc))
 		if err != nil {
 			return 0, nil, err
 		}
-		return sequence(b, int(u), depth)
+		return sequenceSize(b, int(u), depth)
 	case 0xde, 0xdf:
-		u, b, err := number(b, 2<<(c-0xde))
+		u, b, err := readUint(b, 2<<(c-0xde))
 		if err != nil {
 			return 0, nil, err
 		}
-		return sequence(b, 2*int(u), depth)
+		return sequenceSize(b, 2*int(u), depth)
 	}
 	return 0, nil, ErrValue
 }
 
-// sequence is so many values with brackets round them. A map's keys and values
+// sequenceSize is so many values with brackets round them. A map's keys and values
 // count alike: a colon with a space takes no more than a comma with one.
-func sequence(b []byte, count, depth int) (int, []byte, error) {
+func sequenceSize(b []byte, count, depth int) (int, []byte, error) {
 	if count > len(b) {
 		return 0, nil, ErrValue
 	}
-	sum := 2 + count*between
+	total := 2 + count*separatorBytes
 	for range count {
-		n, rest, err := value(b, depth+1)
+		n, rest, err := valueSize(b, depth+1)
 		if err != nil {
 			return 0, nil, err
 		}
-		sum, b = sum+n, rest
+		total, b = total+n, rest
 	}
-	return sum, b, nil
+	return total, b, nil
 }
 
-func text(b []byte, n int) (int, []byte, error) {
+func textSize(b []byte, n int) (int, []byte, error) {
 	if n > len(b) {
 		return 0, nil, ErrValue
 	}
-	return Text(string(b[:n])), b[n:], nil
+	return StringSize(string(b[:n])), b[n:], nil
 }
 
-// Text is an upper bound for a string's length as JSON.
-func Text(s string) int {
+// StringSize is an upper bound for a string's length as JSON.
+func StringSize(s string) int {
 	n := 2
 	for _, r := range s {
 		switch {
@@ -146,7 +146,7 @@
 	return n
 }
 
-func number(b []byte, n int) (uint64, []byte, error) {
+func readUint(b []byte, n int) (uint64, []byte, error) {
 	if len(b) < n {
 		return 0, nil, ErrValue
 	}
@@ -155,7 +155,7 @@
 	return binary.BigEndian.Uint64(full[:]), b[n:], nil
 }
 
-func digits(u uint64) int {
+func digitCount(u uint64) int {
 	n := 1
 	for ; u >= 10; u /= 10 {
 		n++
@@ -171,23 +171,23 @@
 	Ops        int
 }
 
-// Change is a put of a value, or a removal when Value is nil.
-type Change struct {
+// Write is a put of a value, or a removal when Value is nil.
+type Write struct {
 	Key   string
 	Value []byte
 }
 
-// changeFrame and condFrame are what the JSON form of a change and of a condition
+// writeOverhead and compareOverhead are what the JSON form of a change and of a condition
 // take beside key and value, at most: names, braces, a grant or a stamp.
 const (
-	changeFrame = len(`{"put": , "value": , "permit": 18446744073709551615}, `)
-	condFrame   = len(`{"key": , "stamp": 18446744073709551615}, `)
-	txnFrame    = len(`{"when": [], "apply": []}`)
+	writeOverhead   = len(`{"put": , "value": , "permit": 18446744073709551615}, `)
+	compareOverhead = len(`{"key": , "stamp": 18446744073709551615}, `)
+	txnOverhead     = len(`{"when": [], "apply": []}`)
 )
 
-// ChangeBytes and CondBytes are what a change and a condition take of a
+// WriteBytes and CompareBytes are what a change and a condition take of a
 // transaction. A value that is none counts as passing every limit.
-func ChangeBytes(c Change) int {
+func WriteBytes(c Write) int {
 	n := 0
 	if c.Value != nil {
 		var err error
@@ -195,52 +195,52 @@
 			return math.MaxInt32
 		}
 	}
-	return changeFrame + Text(c.Key) + n
+	return writeOverhead + StringSize(c.Key) + n
 }
 
-// CondBytes is what a condition on a key takes of a transaction.
-func CondBytes(key string) int { return condFrame + Text(key) }
+// CompareBytes is what a condition on a key takes of a transaction.
+func CompareBytes(key string) int { return compareOverhead + StringSize(key) }
 
-// Txn says what is wrong with a transaction, or nothing: an error names the limit,
+// CheckTxn says what is wrong with a transaction, or nothing: an error names the limit,
 // the key and the size.
-func (l Limits) Txn(when []string, apply []Change) error {
-	if len(apply) > l.Ops {
-		return fmt.Errorf("bounds: %d changes in a transaction, at most %d are allowed", len(apply), l.Ops)
+func (l Limits) CheckTxn(compares []string, writes []Write) error {
+	if len(writes) > l.Ops {
+		return fmt.Errorf("bounds: %d changes in a transaction, at most %d are allowed", len(writes), l.Ops)
 	}
-	if most := CondTimes * l.Ops; len(when) > most {
-		return fmt.Errorf("bounds: %d conditions in a transaction, at most %d are allowed", len(when), most)
+	if maxCompares := ComparesPerOp * l.Ops; len(compares) > maxCompares {
+		return fmt.Errorf("bounds: %d conditions in a transaction, at most %d are allowed", len(compares), maxCompares)
 	}
-	sum := txnFrame
-	for _, k := range when {
-		if err := key(k); err != nil {
+	total := txnOverhead
+	for _, k := range compares {
+		if err := checkKey(k); err != nil {
 			return err
 		}
-		sum += CondBytes(k)
+		total += CompareBytes(k)
 	}
-	for _, a := range apply {
-		if err := key(a.Key); err != nil {
+	for _, write := range writes {
+		if err := checkKey(write.Key); err != nil {
 			return err
 		}
-		if a.Value != nil {
-			n, err := JSON(a.Value)
+		if write.Value != nil {
+			n, err := JSON(write.Value)
 			if err != nil {
-				return fmt.Errorf("bounds: key %s: %w", a.Key, err)
+				return fmt.Errorf("bounds: key %s: %w", write.Key, err)
 			}
 			if n > l.ValueBytes {
-				return fmt.Errorf("bounds: key %s: a value of %d bytes, at most %d are allowed", a.Key, n, l.ValueBytes)
+				return fmt.Errorf("bounds: key %s: a value of %d bytes, at most %d are allowed", write.Key, n, l.ValueBytes)
 			}
 		}
-		sum += ChangeBytes(a)
+		total += WriteBytes(write)
 	}
-	if sum > TxnMost {
-		return fmt.Errorf("bounds: a transaction of %d bytes, at most %d are allowed", sum, TxnMost)
+	if total > MaxTxnBytes {
+		return fmt.Errorf("bounds: a transaction of %d bytes, at most %d are allowed", total, MaxTxnBytes)
 	}
 	return nil
 }
 
-func key(k string) error {
-	if k == "" || len(k) > KeyMost {
-		return fmt.Errorf("bounds: a key of %d bytes, 1 to %d are allowed", len(k), KeyMost)
+func checkKey(k string) error {
+	if k == "" || len(k) > MaxKeyBytes {
+		return fmt.Errorf("bounds: a key of %d bytes, 1 to %d are allowed", len(k), MaxKeyBytes)
 	}
 	if strings.ContainsAny(k, " \t\r\n") {
 		return fmt.Errorf("bounds: key %q has a space in it", k)
--- a/internal/bounds/bounds_test.go
+++ b/internal/bounds/bounds_test.go
@@ -40,24 +40,24 @@
 		if err != nil {
 			t.Fatalf("%v: %v", v, err)
 		}
-		plain, err := json.Marshal(v)
+		compact, err := json.Marshal(v)
 		if err != nil {
 			t.Fatal(err)
 		}
 		spaced, _ := json.MarshalIndent(v, "", "")
 		// Indented, each comma and bracket has a line's end with it; an ASCII form
 		// writes every other character as an escape.
-		escaped := len(plain)
-		for _, r := range string(plain) {
+		escaped := len(compact)
+		for _, r := range string(compact) {
 			if r > 0x7f {
 				escaped += 6*len(utf16.Encode([]rune{r})) - utf8.RuneLen(r)
 			}
 		}
-		want := max(len(plain), escaped, len(strings.ReplaceAll(string(spaced), "\n", " "))-strings.Count(string(spaced), "[")-strings.Count(string(spaced), "{"))
+		want := max(len(compact), escaped, len(strings.ReplaceAll(string(spaced), "\n", " "))-strings.Count(string(spaced), "[")-strings.Count(string(spaced), "{"))
 		// Go escapes <, > and & as no other does.
-		want -= 5 * (strings.Count(string(plain), `\u003c`) + strings.Count(string(plain), `\u003e`) + strings.Count(string(plain), `\u0026`))
+		want -= 5 * (strings.Count(string(compact), `\u003c`) + strings.Count(string(compact), `\u003e`) + strings.Count(string(compact), `\u0026`))
 		if n < want {
-			t.Fatalf("%d bytes are reckoned, JSON takes %d: %s", n, want, plain)
+			t.Fatalf("%d bytes are reckoned, JSON takes %d: %s", n, want, compact)
 		}
 	})
 }
@@ -72,38 +72,38 @@
 	})
 }
 
-// TestTxn: each limit is named when it is passed.
-func TestTxn(t *testing.T) {
+// TestCheckTxn: each limit is named when it is passed.
+func TestCheckTxn(t *testing.T) {
 	l := Limits{ValueBytes: 100, Ops: 2}
-	val := func(n int) []byte {
+	valueOf := func(n int) []byte {
 		b, err := msgpack.Marshal(map[string]any{"v": strings.Repeat("x", n)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return b
 	}
-	put := func(k string, n int) []Change { return []Change{{k, val(n)}} }
+	put := func(k string, n int) []Write { return []Write{{k, valueOf(n)}} }
 	for _, c := range []struct {
 		what  string
 		when  []string
-		apply []Change
+		apply []Write
 		says  string
 	}{
 		{"fits", []string{"a/b"}, put("a/b", 80), ""},
 		{"value", nil, put("a/b", 100), "key a/b: a value of"},
-		{"changes", nil, []Change{{"a", nil}, {"b", nil}, {"c", nil}}, "3 changes"},
+		{"changes", nil, []Write{{"a", nil}, {"b", nil}, {"c", nil}}, "3 changes"},
 		{"conditions", make([]string, 9), nil, "9 conditions"},
-		{"key", nil, put(strings.Repeat("k", KeyMost+1), 1), "a key of 201 bytes"},
+		{"key", nil, put(strings.Repeat("k", MaxKeyBytes+1), 1), "a key of 201 bytes"},
 		{"space", nil, put("a b", 1), "has a space"},
-		{"binary", nil, []Change{{"a", []byte{0xc4, 1, 0}}}, "not a value"},
+		{"binary", nil, []Write{{"a", []byte{0xc4, 1, 0}}}, "not a value"},
 	} {
-		err := l.Txn(c.when, c.apply)
+		err := l.CheckTxn(c.when, c.apply)
 		if c.says == "" != (err == nil) || err != nil && !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%s: %v, want %q", c.what, err, c.says)
 		}
 	}
-	big := Limits{ValueBytes: math.MaxInt32, Ops: 100}
-	if err := big.Txn(nil, put("a", TxnMost)); err == nil || !strings.Contains(err.Error(), "a transaction of") {
+	unlimited := Limits{ValueBytes: math.MaxInt32, Ops: 100}
+	if err := unlimited.CheckTxn(nil, put("a", MaxTxnBytes)); err == nil || !strings.Contains(err.Error(), "a transaction of") {
 		t.Errorf("a large transaction: %v", err)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -72,7 +72,7 @@
 		}
 	}
 	for i, t := range d.Teams {
-		if size := bounds.Text(t.Name); float64(size) > state.ValueKB*1024*teamPart {
+		if size := bounds.StringSize(t.Name); float64(size) > state.ValueKB*1024*teamPart {
 			wrong = append(wrong, finding{fmt.Sprintf("deployment.teams[%d].name", i), fmt.Sprintf("%.20q...", t.Name),
 				fmt.Sprintf("takes %d bytes of a record, of which there are %.0f", size, state.ValueKB*1024),
 				fmt.Sprintf("up to %.0f would do", state.ValueKB*1024*teamPart)})
--- a/internal/core/bounded_test.go
+++ b/internal/core/bounded_test.go
@@ -152,7 +152,7 @@
 		ws = append(ws, wire{string(o.Kind), fmt.Sprintf("%s/%d", o.Job, o.Index), o.Attempt, 10})
 	}
 	b, err := json.Marshal(map[string]any{"epoch": 1, "orders": ws})
-	if err != nil || len(commands) == 0 || len(b) > bounds.BodyMost {
+	if err != nil || len(commands) == 0 || len(b) > bounds.MaxBodyBytes {
 		t.Errorf("%d orders in %d bytes, %v", len(commands), len(b), err)
 	}
 	// The rest follows with the answer to the next report, which lists what is left.
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -63,10 +63,10 @@
 		writes = append(writes, Write{Key: openJobPrefix + j.ID})
 		compares := append(n.shardCompares(j.Team), Compare{openJobPrefix + j.ID, j.modRevision})
 		for _, a := range writes {
-			size += bounds.ChangeBytes(bounds.Change{Key: a.Key, Value: a.Value})
+			size += bounds.WriteBytes(bounds.Write{Key: a.Key, Value: a.Value})
 		}
 		for _, c := range compares {
-			size += bounds.CondBytes(c.Key)
+			size += bounds.CompareBytes(c.Key)
 		}
 		if j.cancelDerived {
 			op.Priority = PriorityLazy
--- a/internal/core/forms_test.go
+++ b/internal/core/forms_test.go
@@ -165,7 +165,7 @@
 	t.Helper()
 	key, value := j.segmentKey(c), encode(j.segmentRecord(c))
 	op := StoreRequest{Kind: OpTxn, Writes: []Write{{Key: key, Value: value}}}
-	if err := n.requestLimits(&op).Txn(nil, []bounds.Change{{Key: key, Value: value}}); err != nil {
+	if err := n.requestLimits(&op).CheckTxn(nil, []bounds.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatal(err)
 	}
 	if rows != nil {
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -302,14 +302,14 @@
 func (n *Controller) requestStore(op StoreRequest, fn func(StoreResponse)) {
 	op.ID = n.nextID()
 	if op.Kind == OpTxn {
-		compares, writes := make([]string, len(op.Compares)), make([]bounds.Change, len(op.Writes))
+		compares, writes := make([]string, len(op.Compares)), make([]bounds.Write, len(op.Writes))
 		for i, c := range op.Compares {
 			compares[i] = c.Key
 		}
 		for i, c := range op.Writes {
-			writes[i] = bounds.Change{Key: c.Key, Value: c.Value}
+			writes[i] = bounds.Write{Key: c.Key, Value: c.Value}
 		}
-		if err := n.requestLimits(&op).Txn(compares, writes); err != nil {
+		if err := n.requestLimits(&op).CheckTxn(compares, writes); err != nil {
 			n.internalError("a request passes the state service's limits", "err", err)
 			n.after(0, func() { fn(StoreResponse{ID: op.ID, Status: StoreMalformed, SentAt: n.now}) })
 			return
--- a/internal/core/promises_test.go
+++ b/internal/core/promises_test.go
@@ -232,7 +232,7 @@
 	for _, team := range []string{"ops", "a b", "a/b", "a%20b", "a?b", "a#b", "a.b", "~ops", "é", strings.Repeat("x", 300), ""} {
 		key := teamPagePrefix(team) + "0"
 		u, err := url.Parse("http://state/store/" + key)
-		if err != nil || u.Path != "/store/"+key || len(key) > bounds.KeyMost {
+		if err != nil || u.Path != "/store/"+key || len(key) > bounds.MaxKeyBytes {
 			t.Errorf("%q: key %q is read as %v %v", team, key, u, err)
 		}
 		if other, same := seen[key]; same {
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -55,7 +55,7 @@
 	}
 	for _, q := range c.Quotes {
 		check.Name("quotes.team", q.Team, true)
-		check.Count("quotes.value", len(q.Value), 1, bounds.TxnMost)
+		check.Count("quotes.value", len(q.Value), 1, bounds.MaxTxnBytes)
 	}
 	for _, p := range c.Progress {
 		check.Count("progress.done", p.Done, 0, validate.MostTasks)
--- a/internal/core/warm.go
+++ b/internal/core/warm.go
@@ -70,7 +70,7 @@
 			i, ok := at[name]
 			cost := width + 2
 			if !ok {
-				cost += bounds.Text(name) + prewarmedImageOverhead
+				cost += bounds.StringSize(name) + prewarmedImageOverhead
 			}
 			if cost > bytesLeft {
 				if before == maxBytes {
--- a/internal/division/division_test.go
+++ b/internal/division/division_test.go
@@ -44,12 +44,12 @@
 // apply carries a transaction out, if its conditions hold, and checks its size.
 func (s *store) apply(t fataler, ws []Write) bool {
 	compares := []string{"ctl/lead"}
-	var writes []bounds.Change
+	var writes []bounds.Write
 	for _, w := range ws {
 		compares = append(compares, writeKey(w))
-		writes = append(writes, bounds.Change{Key: writeKey(w), Value: w.Value})
+		writes = append(writes, bounds.Write{Key: writeKey(w), Value: w.Value})
 	}
-	if err := s.limits.Txn(compares, writes); err != nil {
+	if err := s.limits.CheckTxn(compares, writes); err != nil {
 		t.Fatalf("%v", err)
 	}
 	for _, w := range ws {
--- a/internal/moves/record.go
+++ b/internal/moves/record.go
@@ -320,7 +320,7 @@
 	return ""
 }
 
-func named(s string) bool { return s != "" && len(s) <= bounds.KeyMost }
+func named(s string) bool { return s != "" && len(s) <= bounds.MaxKeyBytes }
 
 // sized says that these are amounts that a task may take.
 func sized(f []float64) bool {
