--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -14,34 +14,34 @@
 	// Headroom is how much more than it asks for a controller is given while there is
 	// enough: what is asked for is a mean, and what comes varies.
 	Headroom = 1.6
-	// leastHeadroom is what is left of it when all together ask for nearly everything:
+	// minHeadroom is what is left of it when all together ask for nearly everything:
 	// what one has beyond its need the others lack.
-	leastHeadroom = 1.2
-	// floorPart is the part of an equal division that everybody has in any case.
-	floorPart = 0.3
-	// memory is the time over which what is asked for is averaged.
-	memory = 4 * time.Second
+	minHeadroom = 1.2
+	// floorFraction is the part of an equal division that everybody has in any case.
+	floorFraction = 0.3
+	// averagingWindow is the time over which what is asked for is averaged.
+	averagingWindow = 4 * time.Second
 )
 
-// Divide divides a capacity among demands, all in units a second: to each what it
+// Allocate divides a capacity among demands, all in units a second: to each what it
 // asks for with headroom, as far as there is enough; else the small ones in full and
 // the large ones alike. What is left over goes to all alike. The parts add up to the
 // capacity.
-func Divide(capacity float64, demands []float64) []float64 {
+func Allocate(capacity float64, demands []float64) []float64 {
 	n := len(demands)
 	if n == 0 {
 		return nil
 	}
-	sum := 0.0
-	for _, d := range demands {
-		sum += d
+	total := 0.0
+	for _, demand := range demands {
+		total += demand
 	}
 	headroom := Headroom
-	if sum > 0 {
-		headroom = min(Headroom, max(leastHeadroom, capacity/sum))
+	if total > 0 {
+		headroom = min(Headroom, max(minHeadroom, capacity/total))
 	}
-	floor := floorPart * capacity / float64(n)
-	out := make([]float64, n)
+	floor := floorFraction * capacity / float64(n)
+	allocations := make([]float64, n)
 	order := make([]int, n)
 	for i := range order {
 		order[i] = i
@@ -55,40 +55,40 @@
 		}
 		return 0
 	})
-	left := capacity
+	remaining := capacity
 	for k, i := range order {
-		want := max(floor, headroom*demands[i])
-		out[i] = min(want, left/float64(n-k))
-		left -= out[i]
+		target := max(floor, headroom*demands[i])
+		allocations[i] = min(target, remaining/float64(n-k))
+		remaining -= allocations[i]
 	}
-	for i := range out {
-		out[i] += left / float64(n)
+	for i := range allocations {
+		allocations[i] += remaining / float64(n)
 	}
-	return out
+	return allocations
 }
 
 // Meter averages what is asked for. The zero value is ready.
 type Meter struct {
-	at   time.Time
-	rate float64
-	some float64
+	updatedAt time.Time
+	rate      float64
+	count     float64
 }
 
 // Add notes that n more were asked for.
-func (m *Meter) Add(n float64) { m.some += n }
+func (m *Meter) Add(n float64) { m.count += n }
 
 // Rate is what was asked for a second, as a mean over the last while.
 func (m *Meter) Rate(now time.Time) float64 {
-	if m.at.IsZero() {
-		m.at = now
+	if m.updatedAt.IsZero() {
+		m.updatedAt = now
 		return 0
 	}
-	d := now.Sub(m.at)
-	if d < 200*time.Millisecond {
+	elapsed := now.Sub(m.updatedAt)
+	if elapsed < 200*time.Millisecond {
 		return m.rate
 	}
-	w := min(1, float64(d)/float64(memory))
-	m.rate += w * (m.some/d.Seconds() - m.rate)
-	m.at, m.some = now, 0
+	weight := min(1, float64(elapsed)/float64(averagingWindow))
+	m.rate += weight * (m.count/elapsed.Seconds() - m.rate)
+	m.updatedAt, m.count = now, 0
 	return m.rate
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,32 +9,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestDivide: the parts add up to the capacity and never to more, nobody is left
+// TestAllocate: the parts add up to the capacity and never to more, nobody is left
 // without, nobody gets less than it asks for while there is enough for all, and one
 // that asks for more never gets less than one that asks for less.
-func TestDivide(t *testing.T) {
+func TestAllocate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.Float64Range(1, 1000).Draw(t, "capacity")
-		d := rapid.SliceOfN(rapid.Float64Range(0, 2000), 1, 9).Draw(t, "demands")
-		parts := Divide(capacity, d)
-		sum, asked := 0.0, 0.0
-		for i, p := range parts {
-			sum += p
-			asked += max(d[i]*Headroom, floorPart*capacity/float64(len(d)))
-			if p < floorPart*capacity/float64(len(d))*0.999 {
-				t.Fatalf("%v of %v for %v is less than the floor", p, capacity, d[i])
+		demands := rapid.SliceOfN(rapid.Float64Range(0, 2000), 1, 9).Draw(t, "demands")
+		allocations := Allocate(capacity, demands)
+		total, wanted := 0.0, 0.0
+		for i, p := range allocations {
+			total += p
+			wanted += max(demands[i]*Headroom, floorFraction*capacity/float64(len(demands)))
+			if p < floorFraction*capacity/float64(len(demands))*0.999 {
+				t.Fatalf("%v of %v for %v is less than the floor", p, capacity, demands[i])
 			}
 		}
-		if math.Abs(sum-capacity) > 1e-6*capacity {
-			t.Fatalf("the parts add up to %v of %v", sum, capacity)
+		if math.Abs(total-capacity) > 1e-6*capacity {
+			t.Fatalf("the parts add up to %v of %v", total, capacity)
 		}
-		for i := range parts {
-			if asked <= capacity && parts[i] < d[i] {
-				t.Fatalf("%v of %v for %v, with enough for all", parts[i], capacity, d)
+		for i := range allocations {
+			if wanted <= capacity && allocations[i] < demands[i] {
+				t.Fatalf("%v of %v for %v, with enough for all", allocations[i], capacity, demands)
 			}
-			for k := range parts {
-				if d[i] > d[k] && parts[i] < parts[k]-1e-9*capacity {
-					t.Fatalf("%v gets %v, %v gets %v", d[i], parts[i], d[k], parts[k])
+			for k := range allocations {
+				if demands[i] > demands[k] && allocations[i] < allocations[k]-1e-9*capacity {
+					t.Fatalf("%v gets %v, %v gets %v", demands[i], allocations[i], demands[k], allocations[k])
 				}
 			}
 		}
@@ -58,15 +58,15 @@
 	}
 }
 
-// TestDivideShort: while all together ask for nearly everything, those that ask for
+// TestAllocateUnderScarcity: while all together ask for nearly everything, those that ask for
 // little keep some headroom, and the rest of it goes to who lacks it.
-func TestDivideShort(t *testing.T) {
-	for _, p := range Divide(25, []float64{18, 3, 3})[1:] {
+func TestAllocateUnderScarcity(t *testing.T) {
+	for _, p := range Allocate(25, []float64{18, 3, 3})[1:] {
 		if p < 3*1.1 || p > 3*1.3 {
 			t.Errorf("%v for 3 while changes are short", p)
 		}
 	}
-	if p := Divide(25, []float64{4, 3, 3}); p[1] < 3*Headroom {
+	if p := Allocate(25, []float64{4, 3, 3}); p[1] < 3*Headroom {
 		t.Errorf("%v of 25 for 3 while there is enough", p[1])
 	}
 }
--- a/internal/core/budgets.go
+++ b/internal/core/budgets.go
@@ -84,7 +84,7 @@
 		}
 		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	allotted := Rates{budget.Divide(n.settings.StoreRequestsPerSecond, requests)[0], budget.Divide(n.settings.StoreWritesPerSecond, writes)[0]}
+	allotted := Rates{budget.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], budget.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
 	b.writesShort = r.Writes*budget.Headroom > allotted.Writes*(1+minRateChange)
 	if ratesDiffer(allotted.Requests, b.allotted.Requests) || ratesDiffer(allotted.Writes, b.allotted.Writes) {
 		b.allotted = allotted
