--- a/internal/api/ranking.go
+++ b/internal/api/ranking.go
@@ -53,8 +53,8 @@
 			if s.Record, err = ranking.Parse(b); err != nil {
 				return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 			}
-			if s.Record.By = ec.QueryParam("by"); s.Record.By == "" || len(s.Record.By) > ranking.ByMost {
-				return echo.NewHTTPError(http.StatusBadRequest, "by: want a name of 1 to "+strconv.Itoa(ranking.ByMost)+" bytes")
+			if s.Record.SetBy = ec.QueryParam("by"); s.Record.SetBy == "" || len(s.Record.SetBy) > ranking.MaxSetByLen {
+				return echo.NewHTTPError(http.StatusBadRequest, "by: want a name of 1 to "+strconv.Itoa(ranking.MaxSetByLen)+" bytes")
 			}
 			return ask(ec, func(reply uint64) core.Command { s.Reply = reply; return s })
 		})
--- a/internal/core/fuzz_test.go
+++ b/internal/core/fuzz_test.go
@@ -51,7 +51,7 @@
 	f.Add("lot/1", []byte{0x81, 0xa1, 'x', 0x01})
 	f.Add("node/b", encode(controllerRecord{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
 	f.Add("lead", encode(leaderRecord{Host: "b"}))
-	f.Add("ranking", ranking.Record{Rev: 2, Classes: []ranking.Class{{Name: "a", Urgency: "urgent"}}}.Encode())
+	f.Add("ranking", ranking.Record{Revision: 2, Classes: []ranking.Class{{Name: "a", Urgency: "urgent"}}}.Encode())
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		n := twoControllers(t)
 		n.settings.Capabilities.Ranking = true
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -75,7 +75,7 @@
 		return
 	}
 	r.modRevision = it.ModRevision
-	r.highestRevision = max(r.highestRevision, ranking.Rev(it.Value))
+	r.highestRevision = max(r.highestRevision, ranking.Revision(it.Value))
 	rec, err := ranking.Decode(it.Value)
 	if err != nil {
 		r.invalidReason = err.Error()
@@ -107,8 +107,8 @@
 		}
 		r.lastValid, r.table = recs[0], recs[0].Table()
 		r.tableVersion++
-		r.highestRevision = max(r.highestRevision, r.lastValid.Rev)
-		n.info("an earlier ranking counts, as the newest can't be read", "revision", r.lastValid.Rev)
+		r.highestRevision = max(r.highestRevision, r.lastValid.Revision)
+		n.info("an earlier ranking counts, as the newest can't be read", "revision", r.lastValid.Revision)
 		replanUnsentStarts(n)
 	})
 }
@@ -134,7 +134,7 @@
 			}
 			out = append(out, rec)
 		}
-		slices.SortFunc(out, func(a, b ranking.Record) int { return cmp.Compare(b.Rev, a.Rev) })
+		slices.SortFunc(out, func(a, b ranking.Record) int { return cmp.Compare(b.Revision, a.Revision) })
 		fn(out)
 	})
 }
@@ -166,7 +166,7 @@
 	}
 	r.appliedModRevision, r.stale = r.modRevision, false
 	if r.modRevision != 0 && r.invalidReason == "" {
-		n.info("ranking", "revision", r.lastValid.Rev, "by", r.lastValid.By, "classes", len(r.lastValid.Classes))
+		n.info("ranking", "revision", r.lastValid.Revision, "by", r.lastValid.SetBy, "classes", len(r.lastValid.Classes))
 	}
 	replanUnsentStarts(n)
 }
@@ -292,12 +292,12 @@
 }
 
 func rankOfSpec(n *Controller, s *JobSpec) int {
-	return n.membership.ranking.table.Place(s.Workload, int(s.Urgency))
+	return n.membership.ranking.table.Rank(s.Workload, int(s.Urgency))
 }
 
 // inverseRank is the same the other way round: higher goes first, 0 is the last.
 func inverseRank(n *Controller, j *job) int {
-	return n.membership.ranking.table.Places() - 1 - rankOf(n, j)
+	return n.membership.ranking.table.RankCount() - 1 - rankOf(n, j)
 }
 
 // policyWeight is the policy script's weight of a job: it counts only without a ranking, into
@@ -312,7 +312,7 @@
 // waitBound is how long a job may wait behind others, and the part of the room that it
 // then takes before all others; 0 is the built-in default.
 func waitBound(n *Controller, j *job) (time.Duration, float64) {
-	return n.membership.ranking.table.Bound(j.Workload, int(j.Urgency))
+	return n.membership.ranking.table.WaitBound(j.Workload, int(j.Urgency))
 }
 
 // sortInheritedByRank puts the machines that a successor reaches first into order: those with work
@@ -320,7 +320,7 @@
 func sortInheritedByRank(n *Controller, machines []*machine) {
 	bestRank := map[*machine]int{}
 	for _, m := range machines {
-		bestRank[m] = n.membership.ranking.table.Places()
+		bestRank[m] = n.membership.ranking.table.RankCount()
 		for k := range m.attempts {
 			if n.settings.Capabilities.Ranking {
 				bestRank[m] = min(bestRank[m], rankOf(n, n.shardLeader.jobs[k.job]))
@@ -338,7 +338,7 @@
 	if !n.settings.Capabilities.Ranking || s.Workload == "" {
 		return false
 	}
-	relativeRank := float64(rankOfSpec(n, s)) / float64(max(1, n.membership.ranking.table.Places()-1))
+	relativeRank := float64(rankOfSpec(n, s)) / float64(max(1, n.membership.ranking.table.RankCount()-1))
 	return float64(n.frontend.waitingRequests) >= maxWaitingRequests*(1-(1-lowestRankQueueFraction)*relativeRank)
 }
 
@@ -351,7 +351,7 @@
 // rankingWrites are the changes that set a ranking: the record, and the same as history.
 func rankingWrites(rec ranking.Record) []Write {
 	b := rec.Encode()
-	return []Write{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(rankingHistoryPrefix, rec.Rev%ranking.History), Value: b}}
+	return []Write{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(rankingHistoryPrefix, rec.Revision%ranking.HistoryLen), Value: b}}
 }
 
 // deriveRanking has a leader write the ranking that its script stands for, where there is
@@ -365,7 +365,7 @@
 	if !lossless {
 		n.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
 	}
-	rec.Rev, rec.By, rec.At = r.highestRevision+1, n.settings.Host, n.now
+	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, n.settings.Host, n.now
 	r.writingDerived = true
 	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, n.leader.modRevision}, {rankingKey, 0}}, Writes: rankingWrites(rec)}, func(d StoreResponse) {
 		pause := n.jitter(storeRetryDelay)
@@ -436,7 +436,7 @@
 }
 
 func rankingClassSpec(c ranking.Class) RankingClassSpec {
-	return RankingClassSpec{c.Name, c.Workloads, c.Urgency, c.Bound.Seconds(), c.Part}
+	return RankingClassSpec{c.Name, c.Workloads, c.Urgency, c.WaitBound.Seconds(), c.ReservedFraction}
 }
 
 // RankingClass is a class with what of it is here. Those without Set are the urgencies that
@@ -486,15 +486,15 @@
 			return
 		}
 		rec := cmd.Record
-		rec.Rev, rec.At = state.highestRevision+1, n.now
+		rec.Revision, rec.SetAt = state.highestRevision+1, n.now
 		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{rankingKey, state.modRevision}}, Writes: rankingWrites(rec)}, func(resp StoreResponse) {
 			switch resp.Status {
 			case StoreOK:
-				n.emit(RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Rev, SetBy: rec.By, SetAt: rec.At})
+				n.emit(RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
 			case StoreConflict:
 				refuse(409, "nothing is set: somebody else set a ranking meanwhile; look at it and try again")
 			case StoreUnknown:
-				refuse(503, "no answer: revision %d may be set or not, or soon; look before trying again", rec.Rev)
+				refuse(503, "no answer: revision %d may be set or not, or soon; look before trying again", rec.Revision)
 			default:
 				refuse(503, "nothing is set: the state service refuses it for now")
 			}
@@ -515,9 +515,9 @@
 				n.emit(RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
 				return
 			}
-			reply := RankingReply{Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Rev}
+			reply := RankingReply{Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision}
 			for _, x := range recs {
-				h := RankingRecord{Revision: x.Rev, SetBy: x.By, SetAt: x.At, Derived: x.Derived}
+				h := RankingRecord{Revision: x.Revision, SetBy: x.SetBy, SetAt: x.SetAt, Derived: x.Derived}
 				for _, c := range x.Classes {
 					h.Classes = append(h.Classes, rankingClassSpec(c))
 				}
@@ -528,7 +528,7 @@
 		return
 	}
 	reply := RankingReply{
-		Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Rev, SetBy: r.lastValid.By, SetAt: r.lastValid.At, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
+		Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision, SetBy: r.lastValid.SetBy, SetAt: r.lastValid.SetAt, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
 		AsOfSeconds: max(0, n.now.Sub(r.asOf).Seconds()), Classes: rankingClasses(n),
 	}
 	if r.asOf.IsZero() {
@@ -543,7 +543,7 @@
 // rankingClasses are all places with what of them this owner has.
 func rankingClasses(n *Controller) []RankingClass {
 	r := &n.membership.ranking
-	out := make([]RankingClass, r.table.Places())
+	out := make([]RankingClass, r.table.RankCount())
 	for i := range out {
 		out[i].Rank = i + 1
 		if i < len(r.lastValid.Classes) && r.table != nil {
@@ -587,7 +587,7 @@
 	}
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
-	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.membership.ranking.table.Name(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.membership.ranking.table.Places(), j.pendingTasks(), len(j.tasks))
+	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.membership.ranking.table.ClassName(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.membership.ranking.table.RankCount(), j.pendingTasks(), len(j.tasks))
 	if j.pendingTasks() > 0 {
 		explainJobsAhead(n, j, add)
 	}
@@ -613,7 +613,7 @@
 		}
 		f := ahead[p]
 		ahead[p] = front{f.jobs + 1, f.tasks + x.pendingTasks()}
-		names[p] = n.membership.ranking.table.Name(x.Workload, int(x.Urgency))
+		names[p] = n.membership.ranking.table.ClassName(x.Workload, int(x.Urgency))
 	}
 	if !found {
 		return
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		panic(err)
 	}
-	rec.Rev = stamp
+	rec.Revision = stamp
 	n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []KeyValue{{Key: rankingKey, Value: rec.Encode(), ModRevision: stamp}}})
 }
 
@@ -278,8 +278,8 @@
 		t.Fatalf("asked %+v", all)
 	}
 	n.handleCommand(StoreResponse{ID: all[0].ID, Status: StoreOK, KeyValues: []KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
-	if n.membership.ranking.lastValid.Rev != 7 || rankOf(n, bar) >= rankOf(n, foo) {
-		t.Errorf("revision %d counts", n.membership.ranking.lastValid.Rev)
+	if n.membership.ranking.lastValid.Revision != 7 || rankOf(n, bar) >= rankOf(n, foo) {
+		t.Errorf("revision %d counts", n.membership.ranking.lastValid.Revision)
 	}
 }
 
--- a/internal/ranking/golden_test.go
+++ b/internal/ranking/golden_test.go
@@ -9,15 +9,15 @@
 
 // TestGoldenRecord: a ranking is written as it ever was, and what stands there is read.
 func TestGoldenRecord(t *testing.T) {
-	stored := testgolden.Values{"wire": wire{Form: 3, Rev: 12, By: "ops", At: 1_750_000_000_123, Derived: true, Classes: []wireClass{
-		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", BoundMS: 90_500, Part: 0.25},
+	stored := testgolden.Values{"wire": storedRecord{Format: 3, Revision: 12, SetBy: "ops", SetAt: 1_750_000_000_123, Derived: true, Classes: []storedClass{
+		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", WaitBoundMS: 90_500, ReservedFraction: 0.25},
 		{Name: "rest", Urgency: "normal"},
 	}}}
 	testgolden.Check(t, testgolden.Msgpack, stored)
 	testgolden.Full(t, stored)
 
-	records := testgolden.Values{"ranking": Record{Rev: 13, By: "ada", At: time.UnixMilli(1_750_000_001_234), Derived: true, Classes: []Class{
-		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", Bound: 90_500 * time.Millisecond, Part: 0.25},
+	records := testgolden.Values{"ranking": Record{Revision: 13, SetBy: "ada", SetAt: time.UnixMilli(1_750_000_001_234), Derived: true, Classes: []Class{
+		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", WaitBound: 90_500 * time.Millisecond, ReservedFraction: 0.25},
 		{Name: "rest", Urgency: "normal"},
 	}}}
 	testgolden.Check(t, testgolden.Codec{
@@ -30,7 +30,7 @@
 	}, records)
 	records["wire"] = stored["wire"]
 	testgolden.Full(t, records)
-	if rev := Rev(testgolden.Bytes(t, "ranking")); rev != 13 {
+	if rev := Revision(testgolden.Bytes(t, "ranking")); rev != 13 {
 		t.Errorf("revision %d is read alone, want 13", rev)
 	}
 }
--- a/internal/ranking/parse.go
+++ b/internal/ranking/parse.go
@@ -11,8 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// file is a ranking as an operator writes it.
-type file struct {
+// rankingFile is a ranking as an operator writes it.
+type rankingFile struct {
 	Class []struct {
 		Name      string   `toml:"name"`
 		Workloads []string `toml:"workloads"`
@@ -25,7 +25,7 @@
 // Parse reads a ranking's file. It is taken as a whole or refused: an error says line,
 // column and field, and what would be right.
 func Parse(text []byte) (Record, error) {
-	var f file
+	var f rankingFile
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&f); err != nil {
 		var se *toml.StrictMissingError
 		if errors.As(err, &se) && len(se.Errors) > 0 {
@@ -41,30 +41,30 @@
 	}
 	var r Record
 	for i, c := range f.Class {
-		if !(c.BoundS >= 0 && c.BoundS <= boundMost.Seconds()) {
-			row, col := where(text, i, "bound_s")
-			return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].bound_s: %v: want 0 for the default, or %v to %v seconds", row, col, i, c.BoundS, boundLeast.Seconds(), boundMost.Seconds())
+		if !(c.BoundS >= 0 && c.BoundS <= maxWaitBound.Seconds()) {
+			row, col := locate(text, i, "bound_s")
+			return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].bound_s: %v: want 0 for the default, or %v to %v seconds", row, col, i, c.BoundS, minWaitBound.Seconds(), maxWaitBound.Seconds())
 		}
 		r.Classes = append(r.Classes, Class{c.Name, c.Workloads, c.Urgency, time.Duration(c.BoundS * float64(time.Second)), c.Part})
 	}
-	if bad := r.check(); bad != nil {
-		row, col := where(text, bad.class, bad.field)
-		return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].%s: %s", row, col, bad.class, bad.field, bad.why)
+	if problem := r.validate(); problem != nil {
+		row, col := locate(text, problem.class, problem.field)
+		return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].%s: %s", row, col, problem.class, problem.field, problem.reason)
 	}
 	return r, nil
 }
 
-var classHead = regexp.MustCompile(`^\s*\[\[\s*class\s*\]\]`)
+var classHeader = regexp.MustCompile(`^\s*\[\[\s*class\s*\]\]`)
 
-// where finds the line and column of a class's field, from 1; of one that is not there
+// locate finds the line and column of a class's field, from 1; of one that is not there
 // the class's head.
-func where(text []byte, class int, field string) (row, col int) {
+func locate(text []byte, class int, field string) (row, col int) {
 	named := regexp.MustCompile(`^\s*"?` + regexp.QuoteMeta(field) + `"?\s*=`)
 	row, col = 1, 1
 	at := -1
 	for i, line := range strings.Split(string(text), "\n") {
 		indent := 1 + len(line) - len(strings.TrimLeft(line, " \t"))
-		if classHead.MatchString(line) {
+		if classHeader.MatchString(line) {
 			if at++; at == class {
 				row, col = i+1, indent
 			}
--- a/internal/ranking/ranking_test.go
+++ b/internal/ranking/ranking_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-func always(Record) bool { return true }
+func acceptAll(Record) bool { return true }
 
 // TestDerivedOrdersAsWeightsDo: with the derived ranking any two jobs stand to each other
 // as urgency and then weight have them.
@@ -29,9 +29,9 @@
 				weights[n] = weight.Draw(t, n)
 			}
 		}
-		r, exact := Derive(weights, always)
-		if !exact || r.check() != nil {
-			t.Fatalf("%v gives %+v, exact %v: %v", weights, r, exact, r.check())
+		r, exact := Derive(weights, acceptAll)
+		if !exact || r.validate() != nil {
+			t.Fatalf("%v gives %+v, exact %v: %v", weights, r, exact, r.validate())
 		}
 		tab := r.Table()
 		for _, a := range names {
@@ -39,7 +39,7 @@
 				for ua := range Urgencies {
 					for ub := range Urgencies {
 						want := cmp.Or(cmp.Compare(ub, ua), cmp.Compare(weights[b], weights[a]))
-						if got := cmp.Compare(tab.Place(a, ua), tab.Place(b, ub)); got != want {
+						if got := cmp.Compare(tab.Rank(a, ua), tab.Rank(b, ub)); got != want {
 							t.Fatalf("%v: %s of %s to %s of %s: %d, want %d", weights, a, Urgencies[ua], b, Urgencies[ub], got, want)
 						}
 					}
@@ -56,15 +56,15 @@
 		weights := rapid.MapOfN(rapid.StringMatching(`[a-z*]{0,110}`), rapid.Float64Range(-1000, 1000), 0, 40).Draw(t, "weights")
 		small := func(r Record) bool { return len(r.Encode()) < 3000 }
 		r, _ := Derive(weights, small)
-		r.Rev = 1
+		r.Revision = 1
 		if back, err := Decode(r.Encode()); err != nil || len(back.Classes) != len(r.Classes) || !small(r) {
 			t.Fatalf("%d classes, %d bytes: %v", len(r.Classes), len(r.Encode()), err)
 		}
 		tab := r.Table()
 		for a, wa := range weights {
 			for b, wb := range weights {
-				named := tab.Name(a, 1) != "normal" && tab.Name(b, 1) != "normal"
-				if named && wa > wb && tab.Place(a, 1) > tab.Place(b, 1) {
+				named := tab.ClassName(a, 1) != "normal" && tab.ClassName(b, 1) != "normal"
+				if named && wa > wb && tab.Rank(a, 1) > tab.Rank(b, 1) {
 					t.Fatalf("%s weighs %v and stands behind %s with %v", a, wa, b, wb)
 				}
 			}
@@ -72,8 +72,8 @@
 	})
 }
 
-// TestPlace: the first class that matches, and urgency behind all of them.
-func TestPlace(t *testing.T) {
+// TestRank: the first class that matches, and urgency behind all of them.
+func TestRank(t *testing.T) {
 	r, err := Parse([]byte("[[class]]\nname = \"crit\"\nurgency = \"critical\"\n[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\", \"outage\"]\nbound_s = 30\npart = 0.1\n" +
 		"[[class]]\nname = \"late\"\nworkloads = [\"slow\"]\nurgency = \"critical\"\n[[class]]\nname = \"any\"\nworkloads = [\"rush-x\"]\n"))
 	if err != nil {
@@ -89,15 +89,15 @@
 		{"rush-x", 3, "crit", 0}, {"rush-x", 0, "rush", 1}, {"rush", 2, "(urgent)", 5}, {"outage", 1, "rush", 1}, {"slow", 3, "late", 2},
 		{"slow", 2, "(urgent)", 5}, {"x", 0, "(best_effort)", 7}, {"x", 99, "crit", 0}, {"x", -5, "(best_effort)", 7},
 	} {
-		if name, place := tab.Name(c.workload, c.urgency), tab.Place(c.workload, c.urgency); name != c.name || place != c.place {
+		if name, place := tab.ClassName(c.workload, c.urgency), tab.Rank(c.workload, c.urgency); name != c.name || place != c.place {
 			t.Errorf("%s of %d is %s at %d, want %s at %d", c.workload, c.urgency, name, place, c.name, c.place)
 		}
 	}
-	if b, p := tab.Bound("rush-1", 1); b != 30*time.Second || p != 0.1 {
+	if b, p := tab.WaitBound("rush-1", 1); b != 30*time.Second || p != 0.1 {
 		t.Error("bound", b, "part", p)
 	}
 	var none *Table
-	if none.Place("x", 3) != 0 || none.Place("x", 0) != 3 {
+	if none.Rank("x", 3) != 0 || none.Rank("x", 0) != 3 {
 		t.Error("without a ranking urgency does not decide")
 	}
 	if w := strings.Join(r.Warnings(), "\n"); !strings.Contains(w, "urgent") || !strings.Contains(w, "rush-x belongs to class rush") || strings.Contains(w, "critical:") {
@@ -130,34 +130,34 @@
 	}
 }
 
-// TestLaterForm: a record of a later form is told apart from a damaged one, and its
+// TestLaterFormat: a record of a later form is told apart from a damaged one, and its
 // revision is known.
-func TestLaterForm(t *testing.T) {
+func TestLaterFormat(t *testing.T) {
 	b, err := msgpack.Marshal(map[string]any{"v": 2, "rev": 9, "c": "other"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Decode(b); !errors.Is(err, ErrForm) || Rev(b) != 9 {
-		t.Error(err, Rev(b))
+	if _, err := Decode(b); !errors.Is(err, ErrFormat) || Revision(b) != 9 {
+		t.Error(err, Revision(b))
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	r, _ := Derive(map[string]float64{"a": 1, "b": -1}, always)
-	r.Rev, r.By = 3, "me"
+	r, _ := Derive(map[string]float64{"a": 1, "b": -1}, acceptAll)
+	r.Revision, r.SetBy = 3, "me"
 	f.Add(r.Encode())
 	f.Add([]byte{0x81, 0xa1, 'c', 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		Rev(b)
+		Revision(b)
 		r, err := Decode(b)
 		if err != nil {
 			return
 		}
 		again, err := Decode(r.Encode())
-		if err != nil || !reflect.DeepEqual(r.Classes, again.Classes) || r.Rev != again.Rev {
+		if err != nil || !reflect.DeepEqual(r.Classes, again.Classes) || r.Revision != again.Revision {
 			t.Fatalf("%+v comes back as %+v: %v", r, again, err)
 		}
-		r.Table().Place("a", 3)
+		r.Table().Rank("a", 3)
 	})
 }
 
@@ -169,7 +169,7 @@
 		if err != nil {
 			return
 		}
-		r.Rev, r.By, r.At = 1, "x", time.UnixMilli(5)
+		r.Revision, r.SetBy, r.SetAt = 1, "x", time.UnixMilli(5)
 		if back, err := Decode(r.Encode()); err != nil || len(back.Classes) != len(r.Classes) {
 			t.Fatalf("%q is taken and can't be read back: %v", s, err)
 		}
--- a/internal/standin/ranking.go
+++ b/internal/standin/ranking.go
@@ -94,7 +94,7 @@
 	if r.only || j == nil || m == nil || w.now.Sub(r.came[len(r.came)-1]) < rankSettled || w.now.Sub(j.submitted) > rankPatience {
 		return
 	}
-	place := r.table.Place(j.spec.Workload, int(j.spec.Urgency))
+	place := r.table.Rank(j.spec.Workload, int(j.spec.Urgency))
 	for _, x := range sorted(w.jobs) {
 		o := w.jobs[x]
 		s := &o.spec
@@ -102,7 +102,7 @@
 		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.calledOff() || o.broken:
 		case !o.released() || w.now.Sub(o.from()) < rankSettled || len(j.followers) > 0:
 			// What others need may go first for their sake.
-		case r.table.Place(s.Workload, int(s.Urgency)) >= place:
+		case r.table.Rank(s.Workload, int(s.Urgency)) >= place:
 		case o.told != "queued" || w.now.Sub(o.toldAt) < rankSettled || len(r.placed[x]) >= s.Tasks:
 		case !s.Need.Fits(j.spec.Need) || len(s.MachineTypes) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot:
 		default:
--- a/internal/standin/ranking_test.go
+++ b/internal/standin/ranking_test.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	rec.By = by
+	rec.SetBy = by
 	return rec
 }
 
@@ -104,13 +104,13 @@
 			continue
 		}
 		s.w.nodes[i].ask(func(r uint64) core.Command { return core.QueryRanking{Reply: r} }, func(e core.Effect) {
-			if e.(core.RankingReply).Revision != rec.Rev {
+			if e.(core.RankingReply).Revision != rec.Revision {
 				behind++
 			}
 		})
 	}
 	s.w.Run(time.Second)
-	return fmt.Sprintf("revision %d by %s: %s; %d behind\n", rec.Rev, rec.By, strings.Join(names, ", "), behind)
+	return fmt.Sprintf("revision %d by %s: %s; %d behind\n", rec.Revision, rec.SetBy, strings.Join(names, ", "), behind)
 }
 
 // why asks the owner of a job's team why it waits.
