--- a/internal/core/mirror.go
+++ b/internal/core/mirror.go
@@ -72,7 +72,7 @@
 func (n *Controller) loadWatchCache() {
 	m := &n.frontend.watchCache
 	m.loading, m.loaded = true, false
-	open, pages := map[string]openJob{}, m.promisePages.Anew()
+	open, pages := map[string]openJob{}, m.promisePages.ForReRead()
 	var revision uint64
 	var began time.Time
 	var list func(from string)
--- a/internal/core/outcomes.go
+++ b/internal/core/outcomes.go
@@ -54,7 +54,7 @@
 // startPromises reads what quotes rest on, which is there after the end of all too, and
 // lets the leader count.
 func startPromises(n *Controller) {
-	n.promises.quotes = map[string]*promise.Quotes{}
+	n.promises.quotes = map[string]*promise.Quoter{}
 	n.frontend.endDates = map[string]uint64{}
 	if !n.promisesEnabled() {
 		return
@@ -70,7 +70,7 @@
 // acceptQuotes takes in quotes of another's team, from news or, where none has come yet,
 // from the record.
 func acceptQuotes(n *Controller, from string, value []byte, fromPeer bool) {
-	team, q, err := promise.DecodeQuotes(value, n.settings.Capabilities.PromiseFraction)
+	team, q, err := promise.DecodeQuoter(value, n.settings.Capabilities.PromiseFraction)
 	if err != nil {
 		n.rejectInput("quotes", from, err.Error())
 		return
@@ -176,7 +176,7 @@
 			stamp = resp.KeyValues[0].ModRevision
 			if t, err = promise.DecodeTotals(resp.KeyValues[0].Value); err != nil {
 				n.rejectInput("record", totalsKey, err.Error())
-				if errors.Is(err, promise.ErrForm) {
+				if errors.Is(err, promise.ErrFormat) {
 					tracker.inFlight = false
 					return
 				}
@@ -186,7 +186,7 @@
 			tracker.inFlight = false
 			return
 		}
-		tracker.leadership, tracker.modRevision, tracker.writtenRevision, tracker.current = by, stamp, t.Rev, t
+		tracker.leadership, tracker.modRevision, tracker.writtenRevision, tracker.current = by, stamp, t.Revision, t
 		followTotals(n)
 	})
 }
@@ -195,18 +195,18 @@
 func followTotals(n *Controller) {
 	by := n.leader
 	x := &n.promises.totals
-	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityLazy, Key: jobStatusPrefix, Revision: x.current.Rev}, func(d StoreResponse) {
+	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityLazy, Key: jobStatusPrefix, Revision: x.current.Revision}, func(d StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
 		switch d.Status {
 		case StoreOK:
 			t := x.current.Clone()
-			ended := countEnds(t, d.KeyValues, t.Rev, d.Revision)
-			t.Rev = d.Revision
+			ended := countEnds(t, d.KeyValues, t.Revision, d.Revision)
+			t.Revision = d.Revision
 			writeTotals(n, t, ended)
 		case StoreCompacted:
-			listEnds(n, x.current.Clone(), "", 0, x.current.Rev)
+			listEnds(n, x.current.Clone(), "", 0, x.current.Revision)
 		default:
 			x.inFlight = false
 		}
@@ -233,7 +233,7 @@
 			listEnds(n, t, d.KeyValues[len(d.KeyValues)-1].Key, upTo, since)
 			return
 		}
-		t.Rev = upTo
+		t.Revision = upTo
 		writeTotals(n, t, true)
 	})
 }
@@ -248,7 +248,7 @@
 			continue
 		}
 		counted = true
-		t.Add(promise.End{Team: r.Team, Class: r.Workload, Date: r.date(), Took: time.Duration(min(max(r.EndedAfterMillis, 0), maxDateMillis)) * time.Millisecond, First: r.PromisedAtSubmit})
+		t.Add(promise.JobEnd{Team: r.Team, Class: r.Workload, Date: r.date(), Duration: time.Duration(min(max(r.EndedAfterMillis, 0), maxDateMillis)) * time.Millisecond, PromisedAtAccept: r.PromisedAtSubmit})
 	}
 	return counted
 }
@@ -259,7 +259,7 @@
 	tracker := &n.promises.totals
 	by := n.leader
 	tracker.current = t
-	if !ended && t.Rev-tracker.writtenRevision < maxTotalsLag {
+	if !ended && t.Revision-tracker.writtenRevision < maxTotalsLag {
 		tracker.inFlight = false
 		reportTotals(n)
 		return
@@ -272,7 +272,7 @@
 			tracker.leadership = nil
 			return
 		}
-		tracker.modRevision, tracker.writtenRevision = d.Revision, t.Rev
+		tracker.modRevision, tracker.writtenRevision = d.Revision, t.Revision
 		reportTotals(n)
 	})
 }
@@ -281,19 +281,19 @@
 func reportTotals(n *Controller) {
 	x := &n.promises.totals
 	s := x.current.Sum()
-	n.emit(PromiseTotals{s, x.current.Ratio()})
+	n.emit(PromiseTotals{s, x.current.MedianRatio()})
 	if n.now.Sub(x.loggedAt) < totalsLogInterval {
 		return
 	}
 	x.loggedAt = n.now
 	open := 0
 	for id, l := range n.frontend.watchCache.openJobs {
-		if durableDate(n, id, &l).Rev > 0 {
+		if durableDate(n, id, &l).Revision > 0 {
 			open++
 		}
 	}
 	n.info("promises", "ended", s.Jobs, "made", s.Made, "kept", s.Kept, "broken", s.Broken, "revised", s.Revised,
-		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.current.Ratio()), "first", x.current.First, "open", open)
+		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.current.MedianRatio()), "first", x.current.PromisedAtAccept, "open", open)
 }
 
 // QueryPromises asks for the dates, for operators: of one class or job, or only those
@@ -380,7 +380,7 @@
 				n.emit(reply)
 				return
 			}
-			reply.OK, reply.Revision, reply.MedianRatio, reply.PromisedAtAccept, reply.Sum = true, t.Rev, t.Ratio(), t.First, newPromiseRow(t.Sum())
+			reply.OK, reply.Revision, reply.MedianRatio, reply.PromisedAtAccept, reply.Sum = true, t.Revision, t.MedianRatio(), t.PromisedAtAccept, newPromiseRow(t.Sum())
 			for _, x := range t.Rows() {
 				if query.Class == "" || query.Class == x.Class {
 					reply.Rows = append(reply.Rows, newPromiseRow(x))
@@ -394,7 +394,7 @@
 				var j jobStatusRecord
 				if resp.Status == StoreOK && decode(resp.KeyValues[0].Value, &j) {
 					x := j.date()
-					reply.Open = append(reply.Open, OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Rev, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
+					reply.Open = append(reply.Open, OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
 				}
 				n.emit(reply)
 			})
@@ -411,9 +411,9 @@
 		}
 		age := n.now.Sub(time.UnixMilli(l.rec.SubmittedAtMillis))
 		d := durableDate(n, id, &l)
-		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Rev, AgeSeconds: age.Seconds()}
-		if e, _ := cache.promisePages.Of(id, teamPagePrefix(l.rec.Team), l.modRevision); d.Rev > 0 {
-			x.Reason = e.Why.String()
+		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
+		if e, _ := cache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision); d.Revision > 0 {
+			x.Reason = e.Reason.String()
 		}
 		left, allUp := time.Duration(0), false
 		if n.shardLeader != nil && n.shardLeader.jobs[id] != nil {
@@ -421,7 +421,7 @@
 			allUp = !j.allUpAt.IsZero()
 			left, _ = forecastRemaining(n, j, quoterFor(n, j.Team, true))
 		}
-		x.AtRisk = d.Rev > 0 && !allUp && age+left > d.After
+		x.AtRisk = d.Revision > 0 && !allUp && age+left > d.After
 		switch {
 		case query.OnlyAtRisk && !x.AtRisk:
 		case len(reply.Open) >= openMost:
--- a/internal/core/promises.go
+++ b/internal/core/promises.go
@@ -39,14 +39,14 @@
 	// run for longer than expected.
 	overrunFraction = 0.25
 	// maxDateMillis is the longest date in milliseconds.
-	maxDateMillis = int(promise.Longest / time.Millisecond)
+	maxDateMillis = int(promise.MaxDate / time.Millisecond)
 )
 
 // promiseState is what a controller has of dates beside its jobs.
 type promiseState struct {
 	// quotes are what quotes rest on, by team: what their owner told or wrote last,
 	// or, of a team here, what it learns.
-	quotes map[string]*promise.Quotes
+	quotes map[string]*promise.Quoter
 	// lastOutage is when the state service last did not answer here, and ranked when the
 	// order of work was last changed.
 	lastOutage, rankingChangedAt time.Time
@@ -78,7 +78,7 @@
 
 // shardLeaderDates is what an owner has of dates beside the jobs.
 type shardLeaderDates struct {
-	pageWriters map[string]*promise.Book
+	pageWriters map[string]*promise.PageWriter
 	checkedAt   time.Time
 	// busy: a page is being written, or read after a write without an answer. turn is
 	// the team whose page was the last.
@@ -123,7 +123,7 @@
 	if it.Deleted {
 		value = nil
 	}
-	if err := pages.Take(it.Key, it.ModRevision, value); err != nil {
+	if err := pages.Apply(it.Key, it.ModRevision, value); err != nil {
 		n.rejectInput("record", it.Key, err.Error())
 	}
 	return true
@@ -135,11 +135,11 @@
 	if !n.promisesEnabled() || l.rec.Cancelled {
 		return promise.Date{}
 	}
-	e, known := n.frontend.watchCache.promisePages.Of(id, teamPagePrefix(l.rec.Team), l.modRevision)
+	e, known := n.frontend.watchCache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision)
 	if !known {
 		return promise.Date{}
 	}
-	if e.Rev > 0 {
+	if e.Revision > 0 {
 		return e.Date
 	}
 	return l.rec.firstDate()
@@ -147,7 +147,7 @@
 
 // firstDate is the date in the accepting record; what makes no sense is none.
 func (r *openJobRecord) firstDate() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Rev: 1}
+	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: 1}
 	if r.PromisedMillis <= 0 || r.PromisedMillis > maxDateMillis {
 		return promise.Date{}
 	}
@@ -156,14 +156,14 @@
 
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
 func cacheDoneDate(n *Controller, id string, r jobStatusRecord) {
-	if d := r.date(); n.promisesEnabled() && d.Rev > 0 {
-		n.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Rev)
+	if d := r.date(); n.promisesEnabled() && d.Revision > 0 {
+		n.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
 }
 
 func (r *jobStatusRecord) date() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Rev: r.PromiseRevision}
-	if r.Status != Done || r.PromisedMillis > maxDateMillis || d.Bad() != "" {
+	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
+	if r.Status != Done || r.PromisedMillis > maxDateMillis || d.Validate() != "" {
 		return promise.Date{}
 	}
 	return d
@@ -171,15 +171,15 @@
 
 // withDate is the answer with a date.
 func (r UserReply) withDate(d promise.Date) UserReply {
-	r.PromisedAfter, r.PromiseRevision = d.After, d.Rev
+	r.PromisedAfter, r.PromiseRevision = d.After, d.Revision
 	return r
 }
 
 // quoterFor is what quotes of a team rest on here, if anything.
-func quoterFor(n *Controller, team string, create bool) *promise.Quotes {
+func quoterFor(n *Controller, team string, create bool) *promise.Quoter {
 	q := n.promises.quotes[team]
 	if q == nil && create {
-		q = promise.NewQuotes(n.settings.Capabilities.PromiseFraction)
+		q = promise.NewQuoter(n.settings.Capabilities.PromiseFraction)
 		n.promises.quotes[team] = q
 	}
 	return q
@@ -201,7 +201,7 @@
 			p.perGB = kinds / rate
 		}
 	}
-	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, Fetch: Seconds(s.ImageGB * p.perGB)}
+	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, FetchTime: Seconds(s.ImageGB * p.perGB)}
 }
 
 // quoteDate is the date for a job that is accepted here, if one is at hand.
@@ -227,7 +227,7 @@
 
 // notePromiseRecord takes in a job's record as its owner reads it.
 func notePromiseRecord(n *Controller, j *job, r *openJobRecord) {
-	if d := r.firstDate(); n.promisesEnabled() && d.Rev > 0 && j.promised.Rev == 0 && !j.dateUnreadable {
+	if d := r.firstDate(); n.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
 }
@@ -249,20 +249,20 @@
 	cache := &n.frontend.watchCache
 	prefix := teamPagePrefix(team)
 	if o.promiseDates.pageWriters == nil {
-		o.promiseDates.pageWriters = map[string]*promise.Book{}
+		o.promiseDates.pageWriters = map[string]*promise.PageWriter{}
 	}
-	o.promiseDates.pageWriters[team] = cache.promisePages.Book(prefix, n.maxPageBytes())
+	o.promiseDates.pageWriters[team] = cache.promisePages.NewWriter(prefix, n.maxPageBytes())
 	quoterFor(n, team, true)
 	for id, j := range restored {
 		if j.Team != team {
 			continue
 		}
 		j.takenOver = true
-		e, known := cache.promisePages.Of(id, prefix, j.modRevision)
+		e, known := cache.promisePages.Newest(id, prefix, j.modRevision)
 		switch {
 		case !known:
 			j.dateUnreadable, j.promised = true, promise.Date{}
-		case e.Rev > 0:
+		case e.Revision > 0:
 			j.promised, j.promisedAt = e.Date, n.now
 		}
 	}
@@ -271,7 +271,7 @@
 // isDateDurable says that nothing of the job's date waits to be written.
 func isDateDurable(n *Controller, j *job) bool {
 	b := n.shardLeader.promiseDates.pageWriters[j.Team]
-	return b == nil || b.Durable(j.ID)
+	return b == nil || b.IsDurable(j.ID)
 }
 
 // endRecordFromCache is the record of a job that is over, by its record in open/, for whoever
@@ -284,8 +284,8 @@
 	}
 	r.Team, r.Workload, r.Offloaded = l.rec.Team, l.rec.Workload, l.rec.BorrowedLoan != ""
 	if s == Done {
-		if d := durableDate(n, id, l); d.Rev > 0 {
-			r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Rev, l.rec.PromisedMillis > 0
+		if d := durableDate(n, id, l); d.Revision > 0 {
+			r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Revision, l.rec.PromisedMillis > 0
 		}
 		r.EndedAfterMillis = int(max(0, n.now.UnixMilli()-l.rec.SubmittedAtMillis))
 	}
@@ -307,8 +307,8 @@
 		return r
 	}
 	r.EndedAfterMillis = int(max(0, n.now.Sub(j.submittedAt).Milliseconds()))
-	if d := j.promised; d.Rev > 0 {
-		r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Rev, j.firstPromise > 0
+	if d := j.promised; d.Revision > 0 {
+		r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Revision, j.firstPromise > 0
 	}
 	return r
 }
@@ -328,15 +328,15 @@
 func learnFromDuration(n *Controller, j *job, took time.Duration) {
 	q, pj := quoterFor(n, j.Team, true), promiseJob(n, &j.JobSpec)
 	if !j.takenOver {
-		q.Finished(pj, j.baseQuote, took)
+		q.LearnFinish(pj, j.baseQuote, took)
 	}
 	learnOutcome(j, q, pj, took <= j.promised.After)
 }
 
-func learnOutcome(j *job, q *promise.Quotes, pj promise.Job, kept bool) {
-	if j.promised.Rev > 0 && !j.outcomeLearned {
+func learnOutcome(j *job, q *promise.Quoter, pj promise.Job, kept bool) {
+	if j.promised.Revision > 0 && !j.outcomeLearned {
 		j.outcomeLearned = true
-		q.Outcome(pj, kept)
+		q.LearnOutcome(pj, kept)
 	}
 }
 
@@ -400,9 +400,9 @@
 		}
 		seen[k.team][k.workload] = true
 		freeCapacity := n.capacityFor(class.sample)
-		load := promise.Load{Room: freeCapacity, Ratio: 1, Dev: minSafetyFraction}
+		load := promise.Load{FreeCapacity: freeCapacity, RunRatio: 1, RunSpread: minSafetyFraction}
 		if e := n.estimators[k.workload]; e != nil {
-			load.Ratio, load.Dev = e.ratio, e.deviation
+			load.RunRatio, load.RunSpread = e.ratio, e.deviation
 		}
 		clearTime := n.planningHorizon()
 		if freeCapacity >= 1 {
@@ -411,12 +411,12 @@
 		// What is rented meanwhile is not counted, so that work before it holds one up
 		// no longer than the oldest has waited and machines take to come.
 		load.Wait = max(class.oldestWait, min(clearTime, class.oldestWait+2*n.planningHorizon()))
-		if quoterFor(n, k.team, true).See(k.workload, load) {
+		if quoterFor(n, k.team, true).UpdateLoad(k.workload, load) {
 			o.loadsPublishedAt = time.Time{}
 		}
 	}
 	for team := range o.teams {
-		quoterFor(n, team, true).Quiet(seen[team])
+		quoterFor(n, team, true).ClearWaitExcept(seen[team])
 	}
 }
 
@@ -436,20 +436,20 @@
 			j.allUpAt = n.now
 			learnFromDuration(n, j, age)
 		}
-		if !j.allUpAt.IsZero() && j.promised.Rev > 0 {
+		if !j.allUpAt.IsZero() && j.promised.Revision > 0 {
 			return
 		}
 	}
-	if j.promised.Rev == 0 {
+	if j.promised.Revision == 0 {
 		after, _ := q.Quote(pj)
 		if remaining, remainingHigh := forecastRemaining(n, j, q); j.takenOver || age > 2*dateCheckInterval {
 			after = max(after, age+max(remaining, remainingHigh))
 		}
-		j.promised, j.promisedAt = promise.Date{After: promise.Round(after), Rev: 1}, n.now
+		j.promised, j.promisedAt = promise.Date{After: promise.Round(after), Revision: 1}, n.now
 		writer.Put(promise.Entry{Job: j.ID, Date: j.promised})
 		return
 	}
-	if !writer.Durable(j.ID) {
+	if !writer.IsDurable(j.ID) {
 		// A date is made when others can read it, which is not known yet.
 		j.promisedAt = n.now
 	}
@@ -458,19 +458,19 @@
 		return
 	}
 	remaining, remainingHigh := forecastRemaining(n, j, q)
-	d, ok := promise.Revise(j.promised, n.now.Sub(j.promisedAt), promise.Outlook{Age: age, Left: remaining, High: remainingHigh})
+	d, ok := promise.Revise(j.promised, n.now.Sub(j.promisedAt), promise.Forecast{Age: age, Remaining: remaining, RemainingHigh: remainingHigh})
 	if !ok {
 		return
 	}
 	j.promised, j.promisedAt = d, n.now
-	e := promise.Entry{Job: j.ID, Date: d, Why: revisionReason(n, j)}
+	e := promise.Entry{Job: j.ID, Date: d, Reason: revisionReason(n, j)}
 	writer.Put(e)
-	n.debug("date revised", "job", j.ID, "to", d.After, "rev", d.Rev, "why", e.Why)
+	n.debug("date revised", "job", j.ID, "to", d.After, "rev", d.Revision, "why", e.Reason)
 }
 
 // forecastRemaining is how long the job is expected to take still, and how long with the spread
 // of its run times.
-func forecastRemaining(n *Controller, j *job, q *promise.Quotes) (remaining, remainingHigh time.Duration) {
+func forecastRemaining(n *Controller, j *job, q *promise.Quoter) (remaining, remainingHigh time.Duration) {
 	run := n.expectedRunTime(j)
 	if j.LongRunning {
 		run = 0
@@ -482,10 +482,10 @@
 			load.Wait = 0
 		}
 		rounds := 1.0
-		if freeCapacity := max(load.Room, float64(j.liveTasks)); freeCapacity >= 1 {
+		if freeCapacity := max(load.FreeCapacity, float64(j.liveTasks)); freeCapacity >= 1 {
 			rounds = max(1, float64(p)/freeCapacity)
 		}
-		remaining = load.Wait + promiseJob(n, &j.JobSpec).Fetch + time.Duration(rounds*float64(run))
+		remaining = load.Wait + promiseJob(n, &j.JobSpec).FetchTime + time.Duration(rounds*float64(run))
 	}
 	for i := range j.tasks[:j.nextFresh] {
 		t := &j.tasks[i]
@@ -506,12 +506,12 @@
 }
 
 // revisionReason is the reason of a revision.
-func revisionReason(n *Controller, j *job) promise.Why {
+func revisionReason(n *Controller, j *job) promise.Reason {
 	o := n.shardLeader
 	held := o.teams[j.Team]
 	switch lost := hasLostAttempt(j); {
 	case o.faultAttribution.Broken(j.ID):
-		return promise.Mistake
+		return promise.JobMistake
 	case lost:
 		return promise.MachinesLost
 	case n.now.Sub(n.promises.lastOutage) < recentCauseWindow || j.takenOver && held != nil && n.now.Sub(held.readyAt) < recentCauseWindow:
@@ -541,16 +541,16 @@
 	}
 	open := n.frontend.watchCache.openJobs
 	var team string
-	var writer *promise.Book
-	var w promise.Write
+	var writer *promise.PageWriter
+	var w promise.PageWrite
 	for _, t := range sortedKeys(o.promiseDates.pageWriters) {
 		candidate := o.promiseDates.pageWriters[t]
-		candidate.Sweep(func(id string) bool {
+		candidate.RemoveEnded(func(id string) bool {
 			_, there := open[id]
 			return !there && o.jobs[id] == nil
 		})
 		// In turns, so that a team with many does not keep the others' from being told.
-		if next, ok := candidate.Next(); ok && (writer == nil || team <= o.promiseDates.lastTeam && t > o.promiseDates.lastTeam) {
+		if next, ok := candidate.NextWrite(); ok && (writer == nil || team <= o.promiseDates.lastTeam && t > o.promiseDates.lastTeam) {
 			team, writer, w = t, candidate, next
 		}
 	}
@@ -558,12 +558,12 @@
 		return
 	}
 	o.promiseDates.pageInFlight, o.promiseDates.lastTeam = true, team
-	key := teamPagePrefix(team) + strconv.Itoa(w.N)
-	if !w.Known {
+	key := teamPagePrefix(team) + strconv.Itoa(w.Number)
+	if !w.RevisionKnown {
 		readPage(n, writer, key, w)
 		return
 	}
-	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: append(n.shardCompares(team), Compare{key, w.Stamp}), Writes: []Write{{Key: key, Value: w.Value}}}
+	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: append(n.shardCompares(team), Compare{key, w.ModRevision}), Writes: []Write{{Key: key, Value: w.Value}}}
 	n.requestStore(req, func(resp StoreResponse) {
 		if n.shardLeader != o {
 			return
@@ -575,19 +575,19 @@
 			if w.Value == nil {
 				stamp = 0
 			}
-			writer.Wrote(w, stamp)
+			writer.MarkWritten(w, stamp)
 		case StoreMalformed:
 			o.promiseDates.checkedAt = n.now.Add(malformedRetryDelay)
 		case StoreConflict, StoreUnknown:
 			// Perhaps an earlier write of this owner's, carried out late; another's
 			// would have needed its own share.
-			writer.Doubt(w.N)
+			writer.MarkUncertain(w.Number)
 		}
 	})
 }
 
 // readPage finds out on what a page is to be written.
-func readPage(n *Controller, writer *promise.Book, key string, w promise.Write) {
+func readPage(n *Controller, writer *promise.PageWriter, key string, w promise.PageWrite) {
 	o := n.shardLeader
 	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: key}, func(d StoreResponse) {
 		if n.shardLeader != o {
@@ -598,12 +598,12 @@
 		case StoreOK:
 			if _, err := promise.DecodePage(d.KeyValues[0].Value); err != nil {
 				n.rejectInput("record", key, err.Error())
-				writer.Leave(w.N)
+				writer.Abandon(w.Number)
 				return
 			}
-			writer.Stood(w.N, d.KeyValues[0].ModRevision)
+			writer.SetRevision(w.Number, d.KeyValues[0].ModRevision)
 		case StoreNotFound:
-			writer.Stood(w.N, 0)
+			writer.SetRevision(w.Number, 0)
 		}
 	})
 }
@@ -613,5 +613,5 @@
 func cannotKeepDate(n *Controller, j *job) bool {
 	d := j.promised
 	end := j.submittedAt.Add(d.After)
-	return d.Rev > 0 && !j.LongRunning && n.now.Before(end) && n.now.Add(n.expectedRunTime(j)).After(end)
+	return d.Revision > 0 && !j.LongRunning && n.now.Before(end) && n.now.Add(n.expectedRunTime(j)).After(end)
 }
--- a/internal/core/promises_test.go
+++ b/internal/core/promises_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	n := largePool(4)
 	n.settings.Capabilities = Capabilities{Promises: true, PromiseFraction: 0.95}
-	n.promises.quotes, n.frontend.endDates = map[string]*promise.Quotes{}, map[string]uint64{}
+	n.promises.quotes, n.frontend.endDates = map[string]*promise.Quoter{}, map[string]uint64{}
 	team := n.settings.Teams[0].Name
 	recoverPromises(n, team, nil)
 	return n, team
@@ -45,8 +45,8 @@
 	promisesTick(n)
 	for id, want := range map[string]bool{"job-old": false, "job-new": true} {
 		l := m.openJobs[id]
-		told, end := durableDate(n, id, &l).Rev > 0, endRecord(n, jobs[id])
-		if _, entered := n.shardLeader.promiseDates.pageWriters[team].Of(id); told != want || entered || (end.PromiseRevision > 0) != want {
+		told, end := durableDate(n, id, &l).Revision > 0, endRecord(n, jobs[id])
+		if _, entered := n.shardLeader.promiseDates.pageWriters[team].Lookup(id); told != want || entered || (end.PromiseRevision > 0) != want {
 			t.Errorf("%s: told %v, entered %v, ends with %d", id, told, entered, end.PromiseRevision)
 		}
 	}
@@ -72,7 +72,7 @@
 	n, team := newPromisingNode(t)
 	add := func(id string, at time.Duration, date time.Duration) {
 		j := n.addJob(JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: 100 * time.Second}, n.now.Add(at), 1)
-		j.promised = promise.Date{After: date, Rev: 1}
+		j.promised = promise.Date{After: date, Revision: 1}
 	}
 	for _, c := range []struct {
 		apart time.Duration
@@ -96,33 +96,33 @@
 	n, team := newPromisingNode(t)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	j := n.addJob(JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
-	j.firstPromise, j.promised = time.Minute, promise.Date{After: time.Minute, Rev: 1}
+	j.firstPromise, j.promised = time.Minute, promise.Date{After: time.Minute, Revision: 1}
 	if rec := j.currentRecord(); rec.PromisedMillis != 60_000 {
 		t.Errorf("its record has %d", rec.PromisedMillis)
 	}
 	b := n.shardLeader.promiseDates.pageWriters[team]
-	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Rev: 2}})
+	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
 	n.effects = nil
 	n.leader = &leader{}
 	if runLoanCommand(n, LoanCommand{Kind: LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
 		t.Error("lent before its date is durable")
 	}
-	w, _ := b.Next()
-	b.Wrote(w, 7)
+	w, _ := b.NextWrite()
+	b.MarkWritten(w, 7)
 	if runLoanCommand(n, LoanCommand{Kind: LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
 		t.Error("not lent")
 	}
 	j.promisedAt = n.now.Add(-time.Hour)
 	j.promised.After = time.Hour
 	updateDate(n, j)
-	if !b.Durable(j.ID) {
+	if !b.IsDurable(j.ID) {
 		t.Error("a new date while it is away")
 	}
-	if err := n.frontend.watchCache.promisePages.Take(teamPagePrefix(team)+"0", 7, w.Value); err != nil {
+	if err := n.frontend.watchCache.promisePages.Apply(teamPagePrefix(team)+"0", 7, w.Value); err != nil {
 		t.Fatal(err)
 	}
 	rec := j.currentRecord()
-	if r := endRecordFromCache(n, j.ID, Done, &openJob{8, rec}); r.date() != (promise.Date{After: 2 * time.Minute, Rev: 2}) || r.Team != team {
+	if r := endRecordFromCache(n, j.ID, Done, &openJob{8, rec}); r.date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
 		t.Errorf("it ends with %+v", r)
 	}
 	if r := endRecordFromCache(n, j.ID, Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
@@ -160,20 +160,20 @@
 		return out
 	}
 	tick(100 * time.Second)
-	if w := writes(); len(w) != 1 || j.promised.Rev != 1 || durableDate(n, spec.ID, &l).Rev != 0 {
-		t.Fatalf("%d writes, revision %d, told %v", len(w), j.promised.Rev, durableDate(n, spec.ID, &l))
+	if w := writes(); len(w) != 1 || j.promised.Revision != 1 || durableDate(n, spec.ID, &l).Revision != 0 {
+		t.Fatalf("%d writes, revision %d, told %v", len(w), j.promised.Revision, durableDate(n, spec.ID, &l))
 	}
 	op := writes()[0]
 	n.effects = nil
 	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreOK, Revision: 7})
 	applyPage(n, &m.promisePages, KeyValue{Key: op.Writes[0].Key, ModRevision: 7, Value: op.Writes[0].Value})
-	tick(promise.Apart - 2*dateCheckInterval)
-	if j.promised.Rev != 1 || durableDate(n, spec.ID, &l).Rev != 1 {
-		t.Errorf("revision %d within a minute, told %v", j.promised.Rev, durableDate(n, spec.ID, &l))
+	tick(promise.MinRevisionInterval - 2*dateCheckInterval)
+	if j.promised.Revision != 1 || durableDate(n, spec.ID, &l).Revision != 1 {
+		t.Errorf("revision %d within a minute, told %v", j.promised.Revision, durableDate(n, spec.ID, &l))
 	}
 	tick(4 * dateCheckInterval)
-	if w := writes(); j.promised.Rev != 2 || len(w) != 1 || durableDate(n, spec.ID, &l).Rev != 1 {
-		t.Errorf("revision %d, %d writes, told %v", j.promised.Rev, len(w), durableDate(n, spec.ID, &l))
+	if w := writes(); j.promised.Revision != 2 || len(w) != 1 || durableDate(n, spec.ID, &l).Revision != 1 {
+		t.Errorf("revision %d, %d writes, told %v", j.promised.Revision, len(w), durableDate(n, spec.ID, &l))
 	}
 }
 
@@ -183,7 +183,7 @@
 	n, team := newPromisingNode(t)
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
 	j := n.addJob(JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
-	j.promised, j.promisedAt = promise.Date{After: 5 * time.Minute, Rev: 1}, n.now
+	j.promised, j.promisedAt = promise.Date{After: 5 * time.Minute, Revision: 1}, n.now
 	j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
 	n.now = n.now.Add(290 * time.Second)
 	n.effects = nil
@@ -194,8 +194,8 @@
 		n.runTimers()
 		promisesTick(n)
 	}
-	if j.ending || j.promised.Rev != 1 {
-		t.Errorf("ending %v, its date is revision %d, its late end carries 1", j.ending, j.promised.Rev)
+	if j.ending || j.promised.Revision != 1 {
+		t.Errorf("ending %v, its date is revision %d, its late end carries 1", j.ending, j.promised.Revision)
 	}
 }
 
@@ -217,7 +217,7 @@
 	}
 	x := &n.promises.totals
 	x.leadership, x.modRevision, x.inFlight = n.leader, 7, true
-	writeTotals(n, &promise.Totals{Rev: 5}, true)
+	writeTotals(n, &promise.Totals{Revision: 5}, true)
 	n.storeCallbacks[last().ID](StoreResponse{Status: StoreUnknown})
 	totalsLoop(n)
 	if op := last(); op.Kind != OpGet {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -183,7 +183,7 @@
 			r.State = "running"
 		}
 	} else if d, ok := n.frontend.endDates[id]; ok && s == Done {
-		r = r.withDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Rev: int(d & 0xff)})
+		r = r.withDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Revision: int(d & 0xff)})
 	}
 	return r
 }
--- a/internal/promise/golden_test.go
+++ b/internal/promise/golden_test.go
@@ -9,20 +9,20 @@
 // TestGoldenRecords: records of dates, quotes and totals are written as they ever were,
 // and what stands there is read.
 func TestGoldenRecords(t *testing.T) {
-	ratios := make([]int, ratioSteps)
+	ratios := make([]int, ratioBuckets)
 	for i := range ratios {
 		ratios[i] = 1000 + 3*i
 	}
 	records := testgolden.Values{
-		"page": pageRecord{V: form, E: []row{
-			{Job: "job-000411", MS: 120_300, Rev: 3, Why: Mistake}, {Job: "job-000412", MS: 90_500, Rev: 1, Why: First},
+		"page": pageRecord{Format: formatVersion, Entries: []storedEntry{
+			{Job: "job-000411", MS: 120_300, Rev: 3, Why: JobMistake}, {Job: "job-000412", MS: 90_500, Rev: 1, Why: FirstDate},
 			{Job: "job-000413", MS: 80_100, Rev: 2, Why: MachinesLost}, {Job: "job-000414", MS: 70_200, Rev: 4, Why: Outage},
 			{Job: "job-000415", MS: 60_600, Rev: 5, Why: RankingChanged}, {Job: "job-000416", MS: 50_700, Rev: 2, Why: EstimateWrong},
 		}},
-		"quotes": quotesRecord{V: form, Team: "vision", Classes: []classQuote{
+		"quotes": quotesRecord{Format: formatVersion, Team: "vision", Classes: []storedClass{
 			{Name: "train", WaitMS: 3_456, Room: 41, Ratio: 117, Dev: 23, F0: 170, F1: 182, F2: 195, F3: 311}, {Name: "infer"},
 		}},
-		"totals": totalsRecord{V: form, Rev: 77_777, First: 88, Ratios: ratios, Rows: []totalRow{
+		"totals": totalsRecord{Format: formatVersion, Revision: 77_777, PromisedAtAccept: 88, Ratios: ratios, Rows: []storedTotalsRow{
 			{Team: "ops", Class: "train", Jobs: 100, Made: 90, Kept: 70, Broken: 20, Revised: 30, WorstMS: 4_567}, {Team: "vision", Class: "infer", Jobs: 5},
 		}},
 	}
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	testgolden.Still(t, "page", encodePage(es))
-	team, q, err := DecodeQuotes(testgolden.Bytes(t, "quotes"), 0.95)
+	team, q, err := DecodeQuoter(testgolden.Bytes(t, "quotes"), 0.95)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/promise/limits_test.go
+++ b/internal/promise/limits_test.go
@@ -16,7 +16,7 @@
 	pages := func() *Pages {
 		p := &Pages{}
 		for k, v := range rows {
-			if err := p.Take(k, stamp, v); err != nil {
+			if err := p.Apply(k, stamp, v); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -26,62 +26,62 @@
 	check := func() {
 		p := pages()
 		for id, d := range want {
-			if e, known := p.Of(id, "open/~ops/", 0); !known || e.Date != d {
+			if e, known := p.Newest(id, "open/~ops/", 0); !known || e.Date != d {
 				t.Fatalf("%s is %+v, told was %+v", id, e.Date, d)
 			}
 		}
 	}
-	write := func(b *Book) bool {
-		w, some := b.Next()
+	write := func(b *PageWriter) bool {
+		w, some := b.NextWrite()
 		if !some {
 			return false
 		}
 		stamp++
 		if w.Value == nil {
-			delete(rows, key(w.N))
-			b.Wrote(w, 0)
+			delete(rows, key(w.Number))
+			b.MarkWritten(w, 0)
 		} else {
-			if k := size(w.Value); k > b.limit {
-				t.Fatalf("a page of %d bytes, at most %d fit", k, b.limit)
+			if k := jsonSize(w.Value); k > b.maxBytes {
+				t.Fatalf("a page of %d bytes, at most %d fit", k, b.maxBytes)
 			}
-			rows[key(w.N)] = w.Value
-			b.Wrote(w, stamp)
+			rows[key(w.Number)] = w.Value
+			b.MarkWritten(w, stamp)
 		}
 		check()
 		return true
 	}
-	b := NewBook(before)
+	b := NewPageWriter(before)
 	for i := range 200 {
-		e := Entry{Job: fmt.Sprintf("job-%06d", i), Date: Date{After: time.Duration(100+i) * time.Second, Rev: 1}}
+		e := Entry{Job: fmt.Sprintf("job-%06d", i), Date: Date{After: time.Duration(100+i) * time.Second, Revision: 1}}
 		b.Put(e)
 	}
 	for {
-		w, some := b.Next()
+		w, some := b.NextWrite()
 		if !some {
 			break
 		}
 		stamp++
-		rows[key(w.N)] = w.Value
-		b.Wrote(w, stamp)
+		rows[key(w.Number)] = w.Value
+		b.MarkWritten(w, stamp)
 		for id, e := range w.entries {
 			want[id] = e.Date
 		}
 	}
 	// Each successor gets a little further, and dates change meanwhile.
 	for k := range 12 {
-		b = pages().Book("open/~ops/", after)
+		b = pages().NewWriter("open/~ops/", after)
 		for range k {
 			write(b)
 		}
 	}
-	b = pages().Book("open/~ops/", after)
+	b = pages().NewWriter("open/~ops/", after)
 	for i := range 40 {
 		id := fmt.Sprintf("job-%06d", 5*i)
-		e := Entry{Job: id, Date: Date{After: want[id].After + time.Minute, Rev: 2}}
+		e := Entry{Job: id, Date: Date{After: want[id].After + time.Minute, Revision: 2}}
 		b.Put(e)
 		// It is told when it is durable.
-		for !b.Durable(id) {
-			w, some := b.Next()
+		for !b.IsDurable(id) {
+			w, some := b.NextWrite()
 			if !some {
 				t.Fatal("a date waits for ever")
 			}
@@ -94,7 +94,7 @@
 	for write(b) {
 	}
 	for k, v := range rows {
-		if n := size(v); n > after {
+		if n := jsonSize(v); n > after {
 			t.Errorf("%s still has %d bytes", k, n)
 		}
 	}
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -14,116 +14,116 @@
 )
 
 const (
-	// Apart is the least time between two dates of a job: a minute, and what the clocks
+	// MinRevisionInterval is the least time between two dates of a job: a minute, and what the clocks
 	// of two controllers and an answer on its way may add to it, 5 s.
-	Apart = time.Minute + 5*time.Second
-	// Most is how often a date is revised; then it stands.
-	Most = 4
-	// Longest bounds a date: nothing runs for more than a year.
-	Longest = 366 * 24 * time.Hour
-	// step is what dates are rounded up to: people read them, and shares of a second
+	MinRevisionInterval = time.Minute + 5*time.Second
+	// MaxRevisions is how often a date is revised; then it stands.
+	MaxRevisions = 4
+	// MaxDate bounds a date: nothing runs for more than a year.
+	MaxDate = 366 * 24 * time.Hour
+	// roundingStep is what dates are rounded up to: people read them, and shares of a second
 	// promise what nobody can know.
-	step = 100 * time.Millisecond
-	// nameMost bounds names in records.
-	nameMost = 200
+	roundingStep = 100 * time.Millisecond
+	// maxNameLen bounds names in records.
+	maxNameLen = 200
 )
 
-// Why is the reason of a date.
-type Why uint8
+// Reason is the reason of a date.
+type Reason uint8
 
 // The reasons: the job's first date, and those of revisions.
 const (
-	First Why = iota
+	FirstDate Reason = iota
 	MachinesLost
 	Outage
 	RankingChanged
-	Mistake
+	JobMistake
 	EstimateWrong
-	whys
+	reasonCount
 )
 
-func (w Why) String() string {
-	return [...]string{"first date", "machines lost", "outage", "ranking changed", "mistake in the job", "estimate wrong", "unknown"}[min(w, whys)]
+func (w Reason) String() string {
+	return [...]string{"first date", "machines lost", "outage", "ranking changed", "mistake in the job", "estimate wrong", "unknown"}[min(w, reasonCount)]
 }
 
 // Job is what of a job its date rests on. Expected is a task's run time and Fetch that
 // of its image, both as they are estimated; of a standing job all are to be up.
 type Job struct {
-	Team, Class     string
-	Tasks           int
-	Expected, Fetch time.Duration
-	Standing        bool
+	Team, Class         string
+	Tasks               int
+	Expected, FetchTime time.Duration
+	Standing            bool
 }
 
 // Date is a promise: how long after the submission, and which revision, from 1 on. The
 // zero Date is none.
 type Date struct {
-	After time.Duration
-	Rev   int
+	After    time.Duration
+	Revision int
 }
 
 // Entry is a job's date in a page, and its reason.
 type Entry struct {
 	Job string
 	Date
-	Why Why
+	Reason Reason
 }
 
-// Bad is what is wrong with a date that was read, "" for nothing.
-func (d Date) Bad() string {
+// Validate is what is wrong with a date that was read, "" for nothing.
+func (d Date) Validate() string {
 	switch {
-	case d.After <= 0 || d.After > Longest:
-		return fmt.Sprintf("the date is %v: want more than 0 and up to %v", d.After, Longest)
-	case d.Rev < 1 || d.Rev > Most+1:
-		return fmt.Sprintf("the revision is %d: want 1 to %d", d.Rev, Most+1)
+	case d.After <= 0 || d.After > MaxDate:
+		return fmt.Sprintf("the date is %v: want more than 0 and up to %v", d.After, MaxDate)
+	case d.Revision < 1 || d.Revision > MaxRevisions+1:
+		return fmt.Sprintf("the revision is %d: want 1 to %d", d.Revision, MaxRevisions+1)
 	}
 	return ""
 }
 
 // Round is d as it is promised.
 func Round(d time.Duration) time.Duration {
-	return min(max(step, (d+step-1)/step*step), Longest)
+	return min(max(roundingStep, (d+roundingStep-1)/roundingStep*roundingStep), MaxDate)
 }
 
-// Outlook is how its team's owner sees a job: its age since the submission, how long it
+// Forecast is how its team's owner sees a job: its age since the submission, how long it
 // is expected to take still, and how long with its spread, of which a new date is made.
-type Outlook struct {
-	Age, Left, High time.Duration
+type Forecast struct {
+	Age, Remaining, RemainingHigh time.Duration
 }
 
 const (
-	// grossly is how many times as long as it takes a job may be promised before an
-	// earlier date is told, if that is worth earlyLeast at least: such a date is a
+	// earlyFactor is how many times as long as it takes a job may be promised before an
+	// earlier date is told, if that is worth minEarlyGain at least: such a date is a
 	// revision too, of which there are few, and half of them are kept for delays.
-	grossly    = 3
-	earlyLeast = 2 * time.Minute
+	earlyFactor  = 3
+	minEarlyGain = 2 * time.Minute
 )
 
 // Revise says whether a date is to be revised, and to what: only when it would be
 // missed or is grossly too late, not within Apart of the date before, which was made
 // since ago, at most Most times, and never after it has passed: then it is broken.
-func Revise(d Date, since time.Duration, o Outlook) (Date, bool) {
-	if d.Rev == 0 || d.Rev > Most || since < Apart || o.Age >= d.After {
+func Revise(d Date, since time.Duration, forecast Forecast) (Date, bool) {
+	if d.Revision == 0 || d.Revision > MaxRevisions || since < MinRevisionInterval || forecast.Age >= d.After {
 		return d, false
 	}
-	next := Date{Round(o.Age + max(o.Left, o.High)), d.Rev + 1}
-	switch left := d.After - o.Age; {
-	case o.Left > left:
+	next := Date{Round(forecast.Age + max(forecast.Remaining, forecast.RemainingHigh)), d.Revision + 1}
+	switch left := d.After - forecast.Age; {
+	case forecast.Remaining > left:
 		return next, next.After > d.After
-	case d.Rev <= Most/2 && next.After+earlyLeast < d.After && left > grossly*max(o.Left, o.High):
+	case d.Revision <= MaxRevisions/2 && next.After+minEarlyGain < d.After && left > earlyFactor*max(forecast.Remaining, forecast.RemainingHigh):
 		return next, true
 	}
 	return d, false
 }
 
-// errRecord is a record that can't be used, and ErrForm one of another version's form.
+// errRecord is a record that can't be used, and ErrFormat one of another version's form.
 var (
 	errRecord = errors.New("promise: record")
-	ErrForm   = errors.New("promise: another form")
+	ErrFormat = errors.New("promise: another form")
 )
 
-// form is the number of the records' form.
-const form = 1
+// formatVersion is the number of the records' form.
+const formatVersion = 1
 
 // decode reads a record. A list's length is taken at its word by the library, which
 // makes room for it, so a damaged record is found before.
@@ -137,9 +137,9 @@
 	return nil
 }
 
-func checkForm(v int) error {
-	if v != form {
-		return fmt.Errorf("%w: field v is %d: want %d", ErrForm, v, form)
+func checkFormat(v int) error {
+	if v != formatVersion {
+		return fmt.Errorf("%w: field v is %d: want %d", ErrFormat, v, formatVersion)
 	}
 	return nil
 }
@@ -153,8 +153,8 @@
 	return b
 }
 
-// size is an upper bound of a value's length as JSON.
-func size(b []byte) int {
+// jsonSize is an upper bound of a value's length as JSON.
+func jsonSize(b []byte) int {
 	n, err := bounds.JSON(b)
 	if err != nil {
 		panic("promise: " + err.Error())
--- a/internal/promise/promise_test.go
+++ b/internal/promise/promise_test.go
@@ -25,17 +25,17 @@
 		made, now := time.Duration(0), time.Duration(0)
 		for range 80 {
 			now += secs("step", 40)
-			o := Outlook{Age: now, Left: secs("left", 400)}
-			o.High = o.Left + secs("spread", 100)
+			o := Forecast{Age: now, Remaining: secs("left", 400)}
+			o.RemainingHigh = o.Remaining + secs("spread", 100)
 			next, ok := Revise(d, now-made, o)
 			if !ok {
 				continue
 			}
-			late, early := o.Age+o.Left > d.After, next.After < d.After
+			late, early := o.Age+o.Remaining > d.After, next.After < d.After
 			switch {
-			case now-made < time.Minute, next.Rev != d.Rev+1, next.Rev > Most+1, now >= d.After, next.Bad() != "":
+			case now-made < time.Minute, next.Revision != d.Revision+1, next.Revision > MaxRevisions+1, now >= d.After, next.Validate() != "":
 				t.Fatalf("%v after %v, made %v ago, at %v", next, d, now-made, now)
-			case late == early, next.After < o.Age+o.Left:
+			case late == early, next.After < o.Age+o.Remaining:
 				t.Fatalf("%v after %v: %+v", next, d, o)
 			}
 			d, made = next, now
@@ -43,10 +43,10 @@
 	})
 }
 
-// TestBook: a team's pages as their owner writes them, over a state service that loses
+// TestPageWriter: a team's pages as their owner writes them, over a state service that loses
 // answers and carries writes out late. A reader of the service never sees an older date
 // of a living job after a newer one, all dates get there, and pages keep their bound.
-func TestBook(t *testing.T) {
+func TestPageWriter(t *testing.T) {
 	const limit = 400
 	rapid.Check(t, func(t *rapid.T) {
 		type stored struct {
@@ -55,52 +55,52 @@
 		}
 		store, stamp := map[int]stored{}, uint64(0)
 		var pages Pages
-		var late []Write
-		b := NewBook(limit)
-		living, shown := map[string]Entry{}, map[string]int{}
-		apply := func(w Write) bool {
-			if store[w.N].stamp != w.Stamp {
+		var late []PageWrite
+		b := NewPageWriter(limit)
+		openDates, shown := map[string]Entry{}, map[string]int{}
+		apply := func(w PageWrite) bool {
+			if store[w.Number].stamp != w.ModRevision {
 				return false
 			}
 			stamp++
 			if w.Value == nil {
-				delete(store, w.N)
+				delete(store, w.Number)
 			} else {
-				if size(w.Value) > limit {
-					t.Fatalf("a page of %d bytes", size(w.Value))
+				if jsonSize(w.Value) > limit {
+					t.Fatalf("a page of %d bytes", jsonSize(w.Value))
 				}
-				store[w.N] = stored{stamp, w.Value}
+				store[w.Number] = stored{stamp, w.Value}
 			}
-			if err := pages.Take(fmt.Sprint("p/", w.N), stamp, w.Value); err != nil {
+			if err := pages.Apply(fmt.Sprint("p/", w.Number), stamp, w.Value); err != nil {
 				t.Fatal(err)
 			}
-			for id := range living {
-				e, known := pages.Of(id, "p/", 0)
-				if !known || e.Rev < shown[id] {
+			for id := range openDates {
+				e, known := pages.Newest(id, "p/", 0)
+				if !known || e.Revision < shown[id] {
 					t.Fatalf("%s: %v after %d", id, e, shown[id])
 				}
-				shown[id] = e.Rev
+				shown[id] = e.Revision
 			}
 			return true
 		}
 		write := func(kind int) bool {
-			w, ok := b.Next()
+			w, ok := b.NextWrite()
 			switch {
 			case !ok:
 				return false
-			case !w.Known:
-				b.Stood(w.N, store[w.N].stamp)
+			case !w.RevisionKnown:
+				b.SetRevision(w.Number, store[w.Number].stamp)
 			case kind == 0:
 				// Lost on its way, or held up.
 				late = append(late, w)
-				b.Doubt(w.N)
+				b.MarkUncertain(w.Number)
 			case !apply(w):
-				b.Doubt(w.N)
+				b.MarkUncertain(w.Number)
 			case kind == 1:
-				b.Doubt(w.N)
+				b.MarkUncertain(w.Number)
 			default:
-				at := store[w.N].stamp
-				b.Wrote(w, at)
+				at := store[w.Number].stamp
+				b.MarkWritten(w, at)
 			}
 			return true
 		}
@@ -109,14 +109,14 @@
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1:
 				names++
-				e := Entry{fmt.Sprintf("job-%04d", names), Date{time.Duration(names+1) * time.Second, 1}, First}
-				living[e.Job] = e
+				e := Entry{fmt.Sprintf("job-%04d", names), Date{time.Duration(names+1) * time.Second, 1}, FirstDate}
+				openDates[e.Job] = e
 				b.Put(e)
 			case 2:
-				for _, id := range slices.Sorted(maps.Keys(living)) {
-					if e := living[id]; e.Rev <= Most && rapid.Bool().Draw(t, "revised") {
-						e.Rev, e.After, e.Why = e.Rev+1, e.After+time.Second, MachinesLost
-						living[id] = e
+				for _, id := range slices.Sorted(maps.Keys(openDates)) {
+					if e := openDates[id]; e.Revision <= MaxRevisions && rapid.Bool().Draw(t, "revised") {
+						e.Revision, e.After, e.Reason = e.Revision+1, e.After+time.Second, MachinesLost
+						openDates[id] = e
 						b.Put(e)
 						// The same again, or an older one, is nothing.
 						e.After += time.Hour
@@ -125,12 +125,12 @@
 					}
 				}
 			case 3:
-				for _, id := range slices.Sorted(maps.Keys(living)) {
+				for _, id := range slices.Sorted(maps.Keys(openDates)) {
 					if rapid.IntRange(0, 2).Draw(t, "over") == 0 {
-						delete(living, id)
+						delete(openDates, id)
 					}
 				}
-				b.Sweep(func(id string) bool { _, lives := living[id]; return !lives })
+				b.RemoveEnded(func(id string) bool { _, lives := openDates[id]; return !lives })
 			case 4:
 				if len(late) > 0 {
 					apply(late[rapid.IntRange(0, len(late)-1).Draw(t, "late")])
@@ -141,12 +141,12 @@
 				// Another owner takes over and goes on from what stands there. What was
 				// not written is not promised; its share's stamp keeps late writes out.
 				late = nil
-				b = pages.Book("p/", limit)
-				for id, e := range living {
-					if was, ok := b.Of(id); !ok {
+				b = pages.NewWriter("p/", limit)
+				for id, e := range openDates {
+					if was, ok := b.Lookup(id); !ok {
 						b.Put(e)
 					} else {
-						living[id] = was
+						openDates[id] = was
 					}
 				}
 			}
@@ -156,17 +156,17 @@
 		for range 200 {
 			write(2)
 		}
-		b = pages.Book("p/", limit)
-		b.Sweep(func(id string) bool { _, lives := living[id]; return !lives })
+		b = pages.NewWriter("p/", limit)
+		b.RemoveEnded(func(id string) bool { _, lives := openDates[id]; return !lives })
 		for range 200 {
 			write(2)
 		}
-		for id, e := range living {
-			if got, _ := pages.Of(id, "p/", 0); got != e || !b.Durable(id) {
+		for id, e := range openDates {
+			if got, _ := pages.Newest(id, "p/", 0); got != e || !b.IsDurable(id) {
 				t.Fatalf("%s is %v in the end, %v was promised", id, got, e)
 			}
 		}
-		if len(living) == 0 && len(store) > 0 {
+		if len(openDates) == 0 && len(store) > 0 {
 			t.Fatalf("pages without living jobs are left: %v", store)
 		}
 	})
@@ -178,42 +178,42 @@
 	e := Entry{"job-1", Date{time.Minute, 2}, Outage}
 	good := encodePage(map[string]Entry{e.Job: e})
 	var p Pages
-	for stamp, value := range [][]byte{good, []byte("x"), encode(pageRecord{V: 2})} {
-		err := p.Take("p/0", uint64(stamp)+5, value)
-		if got, known := p.Of(e.Job, "p/", 1); got != e || !known || (err != nil) != (stamp > 0) {
+	for stamp, value := range [][]byte{good, []byte("x"), encode(pageRecord{Format: 2})} {
+		err := p.Apply("p/0", uint64(stamp)+5, value)
+		if got, known := p.Newest(e.Job, "p/", 1); got != e || !known || (err != nil) != (stamp > 0) {
 			t.Fatalf("%d: %v, %v, %v", stamp, got, known, err)
 		}
 	}
-	q := p.Anew()
-	if err := q.Take("p/0", 7, []byte("x")); err == nil {
+	q := p.ForReRead()
+	if err := q.Apply("p/0", 7, []byte("x")); err == nil {
 		t.Fatal("taken")
 	}
-	if got, known := q.Of(e.Job, "p/", 1); got != e || !known {
+	if got, known := q.Newest(e.Job, "p/", 1); got != e || !known {
 		t.Fatalf("read anew: %v, %v", got, known)
 	}
-	b := q.Book("p/", 400)
-	w, ok := b.Next()
-	if es, err := DecodePage(w.Value); !ok || w.N == 0 || err != nil || es[e.Job] != e {
+	b := q.NewWriter("p/", 400)
+	w, ok := b.NextWrite()
+	if es, err := DecodePage(w.Value); !ok || w.Number == 0 || err != nil || es[e.Job] != e {
 		t.Fatalf("goes on with %+v, %v, %v", w, ok, err)
 	}
 	q = Pages{}
-	if err := q.Take("p/0", 7, []byte("x")); err == nil {
+	if err := q.Apply("p/0", 7, []byte("x")); err == nil {
 		t.Fatal("taken")
 	}
 	for stamp, want := range map[uint64]bool{6: false, 8: true} {
-		if _, known := q.Of(e.Job, "p/", stamp); known != want {
+		if _, known := q.Newest(e.Job, "p/", stamp); known != want {
 			t.Errorf("a job of stamp %d: known %v", stamp, known)
 		}
 	}
-	if _, known := q.Of(e.Job, "o/", 1); !known {
+	if _, known := q.Newest(e.Job, "o/", 1); !known {
 		t.Error("another team's")
 	}
 	// A write that turns out to stand on such a page goes elsewhere.
-	b = NewBook(400)
+	b = NewPageWriter(400)
 	b.Put(e)
-	b.Leave(0)
-	if w, ok := b.Next(); !ok || w.N != 1 {
-		t.Errorf("written to %d, %v", w.N, ok)
+	b.Abandon(0)
+	if w, ok := b.NextWrite(); !ok || w.Number != 1 {
+		t.Errorf("written to %d, %v", w.Number, ok)
 	}
 }
 
@@ -225,35 +225,35 @@
 		tot := &Totals{}
 		var want Row
 		for i := range rapid.IntRange(0, 300).Draw(t, "ends") {
-			e := End{Team: fmt.Sprint("team-", rapid.IntRange(0, 9).Draw(t, "team")), Class: fmt.Sprint("class-", rapid.IntRange(0, 9).Draw(t, "class")), Took: time.Duration(rapid.IntRange(0, 900).Draw(t, "took")) * time.Second}
+			e := JobEnd{Team: fmt.Sprint("team-", rapid.IntRange(0, 9).Draw(t, "team")), Class: fmt.Sprint("class-", rapid.IntRange(0, 9).Draw(t, "class")), Duration: time.Duration(rapid.IntRange(0, 900).Draw(t, "took")) * time.Second}
 			if rapid.Bool().Draw(t, "dated") {
-				e.Date = Date{time.Duration(rapid.IntRange(1, 900).Draw(t, "date")) * time.Second, rapid.IntRange(1, Most+1).Draw(t, "rev")}
+				e.Date = Date{time.Duration(rapid.IntRange(1, 900).Draw(t, "date")) * time.Second, rapid.IntRange(1, MaxRevisions+1).Draw(t, "rev")}
 			}
 			want.Jobs++
-			if e.Date.Rev > 0 {
+			if e.Date.Revision > 0 {
 				want.Made++
-				if e.Date.Rev > 1 {
+				if e.Date.Revision > 1 {
 					want.Revised++
 				}
-				if e.Took > e.Date.After {
+				if e.Duration > e.Date.After {
 					want.Broken++
-					want.Worst = max(want.Worst, e.Took-e.Date.After)
+					want.Worst = max(want.Worst, e.Duration-e.Date.After)
 				} else {
 					want.Kept++
 				}
 			}
 			tot.Add(e)
-			tot.Rev = uint64(i)
+			tot.Revision = uint64(i)
 			if rapid.IntRange(0, 20).Draw(t, "written") == 0 {
 				b := tot.Encode(limit)
 				next, err := DecodeTotals(b)
-				if err != nil || size(b) > limit || next.Rev != tot.Rev || !bytes.Equal(next.Encode(limit), b) {
-					t.Fatalf("%d bytes, limit %d: %v", size(b), limit, err)
+				if err != nil || jsonSize(b) > limit || next.Revision != tot.Revision || !bytes.Equal(next.Encode(limit), b) {
+					t.Fatalf("%d bytes, limit %d: %v", jsonSize(b), limit, err)
 				}
 				tot = next.Clone()
 			}
 		}
-		if got := tot.Sum(); got != want || len(tot.Rows()) > rowsMost+1 {
+		if got := tot.Sum(); got != want || len(tot.Rows()) > maxRows+1 {
 			t.Fatalf("%+v, want %+v", got, want)
 		}
 	})
@@ -279,28 +279,28 @@
 		var dates, ends []float64
 		for seed := range uint64(6) {
 			rng := rand.New(rand.NewPCG(seed, 31))
-			q := NewQuotes(0.95)
+			q := NewQuoter(0.95)
 			for i := range 600 {
 				est := 40.0
-				true_ := est
+				actual := est
 				if c.wrong {
-					true_ = est * (0.5 + float64(i/200)*0.5)
+					actual = est * (0.5 + float64(i/200)*0.5)
 				}
 				var wait float64
 				if c.bursts && i%100 >= 80 {
 					wait = 120 * rng.Float64()
 				}
-				q.See("c", Load{Wait: time.Duration(wait * float64(time.Second)), Room: 100, Ratio: 1, Dev: 0.3})
-				j := Job{Team: "t", Class: "c", Tasks: 1 + rng.IntN(30), Expected: 40 * time.Second, Fetch: 2 * time.Second}
+				q.UpdateLoad("c", Load{Wait: time.Duration(wait * float64(time.Second)), FreeCapacity: 100, RunRatio: 1, RunSpread: 0.3})
+				j := Job{Team: "t", Class: "c", Tasks: 1 + rng.IntN(30), Expected: 40 * time.Second, FetchTime: 2 * time.Second}
 				run := 0.0
 				for range j.Tasks {
-					run = max(run, true_*math.Exp(c.spread*rng.NormFloat64()))
+					run = max(run, actual*math.Exp(c.spread*rng.NormFloat64()))
 				}
 				took := time.Duration((wait*(0.7+0.6*rng.Float64()) + 2 + run) * float64(time.Second))
 				base := q.Base(j)
 				date, known := q.Quote(j)
-				q.Finished(j, base, took)
-				q.Outcome(j, took <= date)
+				q.LearnFinish(j, base, took)
+				q.LearnOutcome(j, took <= date)
 				if !known {
 					t.Fatal("a class that was seen is not known")
 				}
@@ -321,33 +321,33 @@
 	}
 }
 
-// TestQuotesTravel: what another controller reads quotes the same, for classes and sizes
+// TestQuoterRoundTrip: what another controller reads quotes the same, for classes and sizes
 // that were seen; only as many classes are kept and told as fit.
-func TestQuotesTravel(t *testing.T) {
-	q := NewQuotes(0.95)
+func TestQuoterRoundTrip(t *testing.T) {
+	q := NewQuoter(0.95)
 	for i := range 50 {
-		j := Job{Team: "t", Class: fmt.Sprint("class-", i), Tasks: 1 + i, Expected: time.Minute, Fetch: time.Second}
-		q.See(j.Class, Load{Wait: time.Duration(i) * time.Second, Room: 10, Ratio: 1.5, Dev: 0.25})
-		q.Finished(j, q.Base(j), time.Duration(i+1)*time.Minute)
+		j := Job{Team: "t", Class: fmt.Sprint("class-", i), Tasks: 1 + i, Expected: time.Minute, FetchTime: time.Second}
+		q.UpdateLoad(j.Class, Load{Wait: time.Duration(i) * time.Second, FreeCapacity: 10, RunRatio: 1.5, RunSpread: 0.25})
+		q.LearnFinish(j, q.Base(j), time.Duration(i+1)*time.Minute)
 	}
 	b := q.Encode("t", 1500)
-	if size(b) > 1500 {
-		t.Fatalf("%d bytes", size(b))
+	if jsonSize(b) > 1500 {
+		t.Fatalf("%d bytes", jsonSize(b))
 	}
-	team, x, err := DecodeQuotes(b, 0.95)
-	if err != nil || team != "t" || len(x.classes) < 10 || len(q.classes) > classesMost {
+	team, x, err := DecodeQuoter(b, 0.95)
+	if err != nil || team != "t" || len(x.classes) < 10 || len(q.classes) > maxClasses {
 		t.Fatalf("%s, %d classes of %d, %v", team, len(x.classes), len(q.classes), err)
 	}
 	for name := range x.classes {
 		for i := range 50 {
-			j := Job{Team: "t", Class: name, Tasks: 1 + i, Expected: time.Minute, Fetch: time.Second}
+			j := Job{Team: "t", Class: name, Tasks: 1 + i, Expected: time.Minute, FetchTime: time.Second}
 			if name != fmt.Sprint("class-", i) {
 				continue
 			}
 			a, _ := q.Quote(j)
 			c, known := x.Quote(j)
 			// Of long ones the others know less of the spread.
-			if diff := math.Abs(a.Seconds()/c.Seconds() - 1); !known || diff > 0.3 || a < revisable && diff > 0.03 {
+			if diff := math.Abs(a.Seconds()/c.Seconds() - 1); !known || diff > 0.3 || a < revisableAfter && diff > 0.03 {
 				t.Errorf("%s: %v here, %v there", name, a, c)
 			}
 		}
@@ -357,10 +357,10 @@
 // FuzzRecords: whatever stands in a record, nothing ends for it, and what is taken is
 // sound and comes back as it was.
 func FuzzRecords(f *testing.F) {
-	q := NewQuotes(0.9)
-	q.See("c", Load{Wait: time.Second, Room: 3, Ratio: 1, Dev: 0.2})
-	tot := &Totals{Rev: 5}
-	tot.Add(End{Team: "t", Class: "c", Date: Date{time.Minute, 2}, Took: time.Hour})
+	q := NewQuoter(0.9)
+	q.UpdateLoad("c", Load{Wait: time.Second, FreeCapacity: 3, RunRatio: 1, RunSpread: 0.2})
+	tot := &Totals{Revision: 5}
+	tot.Add(JobEnd{Team: "t", Class: "c", Date: Date{time.Minute, 2}, Duration: time.Hour})
 	f.Add(encodePage(map[string]Entry{"job-1": {"job-1", Date{time.Minute, 1}, Outage}}))
 	f.Add(q.Encode("t", 4000))
 	f.Add(tot.Encode(4000))
@@ -372,11 +372,11 @@
 				t.Errorf("page %v: %v", es, err)
 			}
 		}
-		if team, q, err := DecodeQuotes(b, 0.95); err == nil {
-			if d, _ := q.Quote(Job{Team: team, Class: "c", Tasks: 5, Expected: time.Hour}); d <= 0 || d > Longest {
+		if team, q, err := DecodeQuoter(b, 0.95); err == nil {
+			if d, _ := q.Quote(Job{Team: team, Class: "c", Tasks: 5, Expected: time.Hour}); d <= 0 || d > MaxDate {
 				t.Errorf("quotes %v", d)
 			}
-			if _, _, err := DecodeQuotes(q.Encode(team, 1<<20), 0.95); err != nil {
+			if _, _, err := DecodeQuoter(q.Encode(team, 1<<20), 0.95); err != nil {
 				t.Error(err)
 			}
 		}
--- a/internal/promise/totals.go
+++ b/internal/promise/totals.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// rowsMost bounds the rows of the totals; what goes beyond is summed up in others.
+// maxRows bounds the rows of the totals; what goes beyond is summed up in others.
 const (
-	rowsMost = 48
-	others   = "~others"
-	// before is the row of jobs that a version without promises ended: it wrote neither
+	maxRows    = 48
+	othersTeam = "~others"
+	// legacyTeam is the row of jobs that a version without promises ended: it wrote neither
 	// team nor class.
-	before = "~before"
+	legacyTeam = "~before"
 )
 
-// End is what of a job's end the totals count. Took is from its submission to its end.
+// JobEnd is what of a job's end the totals count. Took is from its submission to its end.
 // First says that the date was at hand when the job was accepted.
-type End struct {
-	Team, Class string
-	Date        Date
-	Took        time.Duration
-	First       bool
+type JobEnd struct {
+	Team, Class      string
+	Date             Date
+	Duration         time.Duration
+	PromisedAtAccept bool
 }
 
 // Row counts jobs that are over: those with a date, and of these the kept, the broken,
@@ -49,30 +49,30 @@
 // The ratios of promise to finish are counted in steps of an eighth of a doubling,
 // from a quarter to 64.
 const (
-	ratioSteps = 64
-	ratioPart  = 8
-	ratioLeast = -2
+	ratioBuckets       = 64
+	bucketsPerDoubling = 8
+	minRatioLog2       = -2
 )
 
 // Totals are the outcomes of all jobs that ended up to a revision of the state service.
 type Totals struct {
 	// Rev: exact as of this revision. First counts the dates that were told with the
 	// first answer.
-	Rev    uint64
-	First  int
-	rows   map[[2]string]*Row
-	ratios [ratioSteps]int
+	Revision         uint64
+	PromisedAtAccept int
+	rows             map[[2]string]*Row
+	ratios           [ratioBuckets]int
 }
 
 type totalsRecord struct {
-	V      int        `msgpack:"v"`
-	Rev    uint64     `msgpack:"r"`
-	First  int        `msgpack:"f"`
-	Rows   []totalRow `msgpack:"t"`
-	Ratios []int      `msgpack:"h"`
+	Format           int               `msgpack:"v"`
+	Revision         uint64            `msgpack:"r"`
+	PromisedAtAccept int               `msgpack:"f"`
+	Rows             []storedTotalsRow `msgpack:"t"`
+	Ratios           []int             `msgpack:"h"`
 }
 
-type totalRow struct {
+type storedTotalsRow struct {
 	//lint:ignore U1000 its tag has rows stored as lists
 	_msgpack                          struct{} `msgpack:",as_array"`
 	Team, Class                       string
@@ -81,35 +81,35 @@
 }
 
 // Add counts a job's end.
-func (t *Totals) Add(e End) {
+func (t *Totals) Add(e JobEnd) {
 	r := Row{Team: e.Team, Class: e.Class, Jobs: 1}
 	if e.Team == "" {
-		r.Team, r.Class = before, ""
+		r.Team, r.Class = legacyTeam, ""
 	}
-	if e.Date.Rev > 0 {
+	if e.Date.Revision > 0 {
 		r.Made = 1
-		r.Revised = min(1, e.Date.Rev-1)
-		if late := e.Took - e.Date.After; late > 0 {
+		r.Revised = min(1, e.Date.Revision-1)
+		if late := e.Duration - e.Date.After; late > 0 {
 			r.Broken, r.Worst = 1, late
 		} else {
 			r.Kept = 1
 		}
-		if e.First {
-			t.First++
+		if e.PromisedAtAccept {
+			t.PromisedAtAccept++
 		}
-		k := int(math.Floor(ratioPart * (math.Log2(e.Date.After.Seconds()/max(e.Took.Seconds(), step.Seconds())) - ratioLeast)))
-		t.ratios[min(max(k, 0), ratioSteps-1)]++
+		k := int(math.Floor(bucketsPerDoubling * (math.Log2(e.Date.After.Seconds()/max(e.Duration.Seconds(), roundingStep.Seconds())) - minRatioLog2)))
+		t.ratios[min(max(k, 0), ratioBuckets-1)]++
 	}
-	t.row(r)
+	t.addRow(r)
 }
 
-func (t *Totals) row(r Row) {
+func (t *Totals) addRow(r Row) {
 	if t.rows == nil {
 		t.rows = map[[2]string]*Row{}
 	}
 	key := [2]string{r.Team, r.Class}
-	if t.rows[key] == nil && len(t.rows) >= rowsMost {
-		key = [2]string{others, ""}
+	if t.rows[key] == nil && len(t.rows) >= maxRows {
+		key = [2]string{othersTeam, ""}
 	}
 	x := t.rows[key]
 	if x == nil {
@@ -138,8 +138,8 @@
 	return s
 }
 
-// Ratio is the median of promise to finish, 0 while there is none.
-func (t *Totals) Ratio() float64 {
+// MedianRatio is the median of promise to finish, 0 while there is none.
+func (t *Totals) MedianRatio() float64 {
 	all := 0
 	for _, k := range t.ratios {
 		all += k
@@ -147,7 +147,7 @@
 	seen := 0
 	for i, k := range t.ratios {
 		if seen += k; all > 0 && 2*seen >= all {
-			return math.Exp2((float64(i)+0.5)/ratioPart + ratioLeast)
+			return math.Exp2((float64(i)+0.5)/bucketsPerDoubling + minRatioLog2)
 		}
 	}
 	return 0
@@ -168,28 +168,28 @@
 // with the fewest jobs are summed up, here too, so that all go on from the same.
 func (t *Totals) Encode(limit int) []byte {
 	for {
-		r := totalsRecord{V: form, Rev: t.Rev, First: t.First, Ratios: slices.Clone(t.ratios[:])}
+		r := totalsRecord{Format: formatVersion, Revision: t.Revision, PromisedAtAccept: t.PromisedAtAccept, Ratios: slices.Clone(t.ratios[:])}
 		for _, x := range t.Rows() {
-			r.Rows = append(r.Rows, totalRow{Team: x.Team, Class: x.Class, Jobs: x.Jobs, Made: x.Made, Kept: x.Kept, Broken: x.Broken, Revised: x.Revised, WorstMS: int(x.Worst.Milliseconds())})
+			r.Rows = append(r.Rows, storedTotalsRow{Team: x.Team, Class: x.Class, Jobs: x.Jobs, Made: x.Made, Kept: x.Kept, Broken: x.Broken, Revised: x.Revised, WorstMS: int(x.Worst.Milliseconds())})
 		}
 		b := encode(r)
-		if size(b) <= limit || len(t.rows) <= 1 {
+		if jsonSize(b) <= limit || len(t.rows) <= 1 {
 			return b
 		}
 		least := [2]string{}
 		for _, k := range slices.SortedFunc(maps.Keys(t.rows), func(a, b [2]string) int {
 			return cmp.Or(strings.Compare(a[0], b[0]), strings.Compare(a[1], b[1]))
 		}) {
-			if k[0] != others && (least[0] == "" || t.rows[k].Jobs < t.rows[least].Jobs) {
+			if k[0] != othersTeam && (least[0] == "" || t.rows[k].Jobs < t.rows[least].Jobs) {
 				least = k
 			}
 		}
 		x := *t.rows[least]
 		delete(t.rows, least)
-		x.Team, x.Class = others, ""
-		key := [2]string{others, ""}
+		x.Team, x.Class = othersTeam, ""
+		key := [2]string{othersTeam, ""}
 		if t.rows[key] == nil {
-			t.rows[key] = &Row{Team: others}
+			t.rows[key] = &Row{Team: othersTeam}
 		}
 		t.rows[key].add(x)
 	}
@@ -201,36 +201,36 @@
 	if err := decode(b, &r); err != nil {
 		return nil, err
 	}
-	if err := checkForm(r.V); err != nil {
+	if err := checkFormat(r.Format); err != nil {
 		return nil, err
 	}
-	t := &Totals{Rev: r.Rev, First: r.First, rows: map[[2]string]*Row{}}
-	if len(r.Ratios) != ratioSteps || r.First < 0 || len(r.Rows) > rowsMost+1 {
-		return nil, fmt.Errorf("%w: fields h, f, t have %d, %d, %d: want %d, 0 or more, up to %d", errRecord, len(r.Ratios), r.First, len(r.Rows), ratioSteps, rowsMost+1)
+	t := &Totals{Revision: r.Revision, PromisedAtAccept: r.PromisedAtAccept, rows: map[[2]string]*Row{}}
+	if len(r.Ratios) != ratioBuckets || r.PromisedAtAccept < 0 || len(r.Rows) > maxRows+1 {
+		return nil, fmt.Errorf("%w: fields h, f, t have %d, %d, %d: want %d, 0 or more, up to %d", errRecord, len(r.Ratios), r.PromisedAtAccept, len(r.Rows), ratioBuckets, maxRows+1)
 	}
 	for i, k := range r.Ratios {
-		if k < 0 || k > countMost {
-			return nil, fmt.Errorf("%w: field h[%d] is %d: want 0 to %d", errRecord, i, k, countMost)
+		if k < 0 || k > maxCount {
+			return nil, fmt.Errorf("%w: field h[%d] is %d: want 0 to %d", errRecord, i, k, maxCount)
 		}
 		t.ratios[i] = k
 	}
 	for i, x := range r.Rows {
 		for _, k := range [...]int{x.Jobs, x.Made, x.Kept, x.Broken, x.Revised} {
-			if k < 0 || k > countMost {
-				return nil, fmt.Errorf("%w: field t[%d] counts %d: want 0 to %d", errRecord, i, k, countMost)
+			if k < 0 || k > maxCount {
+				return nil, fmt.Errorf("%w: field t[%d] counts %d: want 0 to %d", errRecord, i, k, maxCount)
 			}
 		}
-		if x.Kept+x.Broken != x.Made || x.Made > x.Jobs || x.Revised > x.Made || x.WorstMS < 0 || x.WorstMS > int(Longest.Milliseconds()) {
+		if x.Kept+x.Broken != x.Made || x.Made > x.Jobs || x.Revised > x.Made || x.WorstMS < 0 || x.WorstMS > int(MaxDate.Milliseconds()) {
 			return nil, fmt.Errorf("%w: field t[%d]: the counts of %s, %s do not fit each other", errRecord, i, x.Team, x.Class)
 		}
 		key := [2]string{x.Team, x.Class}
-		if x.Team == "" || len(x.Team) > nameMost || len(x.Class) > nameMost || t.rows[key] != nil {
-			return nil, fmt.Errorf("%w: field t[%d]: team %q, class %q: want each once, and names of up to %d bytes", errRecord, i, x.Team, x.Class, nameMost)
+		if x.Team == "" || len(x.Team) > maxNameLen || len(x.Class) > maxNameLen || t.rows[key] != nil {
+			return nil, fmt.Errorf("%w: field t[%d]: team %q, class %q: want each once, and names of up to %d bytes", errRecord, i, x.Team, x.Class, maxNameLen)
 		}
 		t.rows[key] = &Row{x.Team, x.Class, x.Jobs, x.Made, x.Kept, x.Broken, x.Revised, time.Duration(x.WorstMS) * time.Millisecond}
 	}
 	return t, nil
 }
 
-// countMost bounds a count in a record, so that sums can't overflow.
-const countMost = 1 << 40
+// maxCount bounds a count in a record, so that sums can't overflow.
+const maxCount = 1 << 40
--- a/internal/standin/dates_test.go
+++ b/internal/standin/dates_test.go
@@ -103,7 +103,7 @@
 			d.wrong = append(d.wrong, err.Error())
 		}
 		for _, id := range sorted(es) {
-			d.commit(id, told{es[id].Rev, es[id].After})
+			d.commit(id, told{es[id].Revision, es[id].After})
 		}
 	case strings.HasPrefix(it.Key, "open/"):
 		var r struct {
@@ -267,7 +267,7 @@
 	if s.Jobs != ended || s.Made != made || s.Kept+s.Broken != s.Made {
 		t.Errorf("totals say %+v: %d ended, %d with a date", s, ended, made)
 	}
-	t.Logf("totals %+v, ratio %.2f, first %d", s, x.Ratio(), x.First)
+	t.Logf("totals %+v, ratio %.2f, first %d", s, x.MedianRatio(), x.PromisedAtAccept)
 	return x
 }
 
