--- a/internal/core/golden_test.go
+++ b/internal/core/golden_test.go
@@ -28,7 +28,7 @@
 		CPU: 8.5, GPU: 1.25, Memory: 64.75, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a",
 		SameZone: true, SpreadZones: true, AllowSpot: true, ExpectedSeconds: 240.5, CheckpointIntervalSeconds: 30.25, CheckpointCostSeconds: 4.5, DeadlineSeconds: 900.75, SubmittedAtMillis: 1_750_000_003_456,
 		Cancelled: true, CancelledAtMillis: 1_750_000_004_567, LentTo: "east", LendCount: 7, StopBoundMillis: 82_000, CancelRequested: true,
-		BorrowedLoan: "west/job-000077/4", PromisedMillis: 130_400, Dependencies: pipeline.Encode([]string{"job-000398", "job-000402", "job-x"}),
+		BorrowedLoan: "west/job-000077/4", PromisedMillis: 130_400, Dependencies: pipeline.EncodeNames([]string{"job-000398", "job-000402", "job-x"}),
 	},
 	"task": taskSegmentRecord{
 		MachinePrefix: "vm-000", DoneRanges: []int{0, 4, 6, 9}, RelaunchedGroups: []int64{1_750_000_005_678}, RunTimes: []int64{2_340, 3_450}, RankingRevision: 93,
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -133,7 +133,7 @@
 	prewarmedNextMachine, prewarmedNextKey int
 	// pathsScannedAt is when the paths of pipelines were last looked at.
 	pathsScannedAt time.Time
-	paths          map[string]pipeline.Path
+	paths          map[string]pipeline.CriticalPath
 	// publishTurn says which machines the others are told of next.
 	publishTurn int
 	// migrations are replicas on the move; see models.go.
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -216,7 +216,7 @@
 	// Of two that are as pressing, to the second, what can still keep its date goes
 	// before what can't: that is late either way.
 	return cmp.Or(a.latestStart.Truncate(time.Second).Compare(b.latestStart.Truncate(time.Second)),
-		cmp.Compare(boolToFloat(a.missesPromise), boolToFloat(b.missesPromise)), cmp.Compare(b.job.criticalPath.Left, a.job.criticalPath.Left), a.latestStart.Compare(b.latestStart))
+		cmp.Compare(boolToFloat(a.missesPromise), boolToFloat(b.missesPromise)), cmp.Compare(b.job.criticalPath.Remaining, a.job.criticalPath.Remaining), a.latestStart.Compare(b.latestStart))
 }
 
 // deferLateJobs lets as many jobs as possible be in time when not all can be. Taken in
--- a/internal/core/prereqs.go
+++ b/internal/core/prereqs.go
@@ -34,7 +34,7 @@
 	cancelDerived bool
 	// ownUrgency is the urgency that its record names, and path what the jobs behind it ask.
 	ownUrgency   Urgency
-	criticalPath pipeline.Path
+	criticalPath pipeline.CriticalPath
 	// raised: the urgency that it has now is that of a job behind it.
 	urgencyRaised bool
 }
@@ -61,7 +61,7 @@
 	without.Dependencies = nil
 	size, err := bounds.JSON(encode(without.openRecord(n.now)))
 	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
-	if encodedSize := len(pipeline.Encode(s.Dependencies)); err == nil && encodedSize > freeBytes {
+	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
 	}
 	return ""
@@ -176,7 +176,7 @@
 
 // noteDependencyState takes in what is now known of a job.
 func (n *Controller) noteDependencyState(id string) {
-	n.applyDependencyChanges(n.dependencyGraph().Set(id, n.cachedJobState(id)))
+	n.applyDependencyChanges(n.dependencyGraph().SetState(id, n.cachedJobState(id)))
 }
 
 // applyDependencyChanges carries out what has changed for jobs behind others.
@@ -225,14 +225,14 @@
 	g := n.dependencyGraph()
 	n.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
 	switch {
-	case g.Cancelled(j.ID):
+	case g.IsCancelled(j.ID):
 		n.cancelDependent(j)
 	case j.hasStarted() || !j.releasedAt.IsZero():
-	case g.Released(j.ID):
+	case g.IsReleased(j.ID):
 		j.releasedAt = n.now
 	default:
 		j.dependenciesPending = true
-		for _, p := range g.Unread(j.ID, true) {
+		for _, p := range g.Unresolved(j.ID, true) {
 			n.readFinalState(p)
 		}
 	}
@@ -265,7 +265,7 @@
 
 // hasWaitingDependents says whether a job here waits for a job.
 func (n *Controller) hasWaitingDependents(id string) bool {
-	return n.shardLeader != nil && slices.ContainsFunc(n.dependencyGraph().Needed(id), func(after string) bool {
+	return n.shardLeader != nil && slices.ContainsFunc(n.dependencyGraph().Dependents(id), func(after string) bool {
 		j := n.shardLeader.jobs[after]
 		return j != nil && j.dependenciesPending && !j.cancelled
 	})
@@ -280,7 +280,7 @@
 	case n.cachedJobState(id) != pipeline.Unknown:
 	case d.Status == StoreNotFound:
 		n.rejectInput("record", openJobPrefix+id, "it is needed by others and was never accepted")
-		n.applyDependencyChanges(n.dependencyGraph().Set(id, pipeline.Missing))
+		n.applyDependencyChanges(n.dependencyGraph().SetState(id, pipeline.Missing))
 	case d.Status != StoreOK || len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
 		return false
 	default:
@@ -293,13 +293,13 @@
 // lookupWithDependencies tells of an open job, which is cancelled if one that it needs is: what is not
 // known of these is read first.
 func (n *Controller) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
-	unread := n.dependencyGraph().Unread(id, false)
+	unread := n.dependencyGraph().Unresolved(id, false)
 	if len(unread) > 0 && !l.rec.Cancelled {
 		n.readDependencyStates(id, unread, fn)
 		return
 	}
 	n.lookupOfOpenJob(id, l, func(f jobLookup) {
-		if n.dependencyGraph().Cancelled(id) {
+		if n.dependencyGraph().IsCancelled(id) {
 			f.rec.Status = Cancelled
 		}
 		fn(f)
@@ -328,17 +328,17 @@
 // urgency of all that need a job, and when it has to be over for them to be in time.
 func (n *Controller) updateCriticalPaths() {
 	o := n.shardLeader
-	if n.now.Sub(o.pathsScannedAt) < criticalPathInterval || !n.dependencyGraph().Some() {
+	if n.now.Sub(o.pathsScannedAt) < criticalPathInterval || !n.dependencyGraph().HasDependencies() {
 		return
 	}
 	o.pathsScannedAt = n.now
-	paths, cycle := n.dependencyGraph().Paths(n.criticalPathTask)
+	paths, cycle := n.dependencyGraph().CriticalPaths(n.criticalPathTask)
 	if len(cycle) > 0 {
 		n.rejectInput("record", openJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
 	}
 	for id := range o.paths {
-		if j := o.jobs[id]; j != nil && paths[id] == (pipeline.Path{}) {
-			n.applyCriticalPath(j, pipeline.Path{})
+		if j := o.jobs[id]; j != nil && paths[id] == (pipeline.CriticalPath{}) {
+			n.applyCriticalPath(j, pipeline.CriticalPath{})
 		}
 	}
 	for id, p := range paths {
@@ -350,7 +350,7 @@
 }
 
 // applyCriticalPath gives a job what those behind it ask.
-func (n *Controller) applyCriticalPath(j *job, p pipeline.Path) {
+func (n *Controller) applyCriticalPath(j *job, p pipeline.CriticalPath) {
 	j.criticalPath = p
 	if !j.urgencyRaised {
 		j.ownUrgency = j.Urgency
@@ -367,19 +367,19 @@
 	if !open || l.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
-	t := pipeline.Task{Urgency: l.rec.Urgency, Run: Seconds(l.rec.ExpectedSeconds)}
+	t := pipeline.Task{Urgency: l.rec.Urgency, RunTime: Seconds(l.rec.ExpectedSeconds)}
 	if l.rec.DeadlineSeconds > 0 {
 		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(Seconds(l.rec.DeadlineSeconds))
 	}
 	if e := n.estimators[l.rec.Workload]; e != nil {
-		t.Run = time.Duration(float64(t.Run) * e.ratio)
+		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
 	}
 	return t, true
 }
 
 // describeDependencies names some of what a job waits for, with how many it is.
 func (n *Controller) describeDependencies(id string) string {
-	names := n.dependencyGraph().Waits(id)
+	names := n.dependencyGraph().PendingDependencies(id)
 	text := strings.Join(names[:min(len(names), maxNamedDependencies)], ", ")
 	if len(names) > maxNamedDependencies {
 		text += fmt.Sprintf(" and %d others", len(names)-maxNamedDependencies)
@@ -406,8 +406,8 @@
 			continue
 		}
 		waiting++
-		for _, p := range n.dependencyGraph().Waits(id) {
-			if n.dependencyGraph().Released(p) {
+		for _, p := range n.dependencyGraph().PendingDependencies(id) {
+			if n.dependencyGraph().IsReleased(p) {
 				count[p]++
 			}
 		}
--- a/internal/core/record.go
+++ b/internal/core/record.go
@@ -221,7 +221,7 @@
 		Image: s.Image, ImageGB: s.ImageGB, MachineTypes: s.MachineTypes, Zone: s.Zone,
 		SameZone: s.SameZone, SpreadZones: s.SpreadZones, AllowSpot: s.AllowSpot,
 		ExpectedSeconds: s.ExpectedRunTime.Seconds(), CheckpointIntervalSeconds: s.CheckpointInterval.Seconds(), CheckpointCostSeconds: s.CheckpointCost.Seconds(),
-		DeadlineSeconds: s.Deadline.Seconds(), SubmittedAtMillis: at.UnixMilli(), Dependencies: pipeline.Encode(s.Dependencies),
+		DeadlineSeconds: s.Deadline.Seconds(), SubmittedAtMillis: at.UnixMilli(), Dependencies: pipeline.EncodeNames(s.Dependencies),
 	}
 }
 
@@ -237,7 +237,7 @@
 
 // dependencies are the jobs that it names; none if they can't be read, which bad tells.
 func (r *openJobRecord) dependencies() []string {
-	names, _ := pipeline.Decode(r.Dependencies)
+	names, _ := pipeline.DecodeNames(r.Dependencies)
 	return names
 }
 
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -128,7 +128,7 @@
 		c.Amount(f.name, f.is)
 	}
 	c.Count("u", r.Urgency, int(BestEffort), int(Critical))
-	if _, ok := pipeline.Decode(r.Dependencies); !ok {
+	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
 		return "pr is no list of names"
 	}
 	return c.Bad()
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -16,57 +16,57 @@
 	partMark  = ":"
 	stepMark  = "."
 	wholeMark = "~"
-	base      = 36
-	// digitsMost bounds the digits of a number, which has to fit 64 bits, and stepsMost
+	radix     = 36
+	// maxDigits bounds the digits of a number, which has to fit 64 bits, and stepsMost
 	// the names that a string is read as.
-	digitsMost = 18
-	stepsMost  = 100_000
+	maxDigits = 18
+	maxSteps  = 100_000
 )
 
-type numbered struct {
+type numberedName struct {
 	prefix string
 	digits int
 	value  uint64
 }
 
-// Encode is a list of names as one string. Their order is not kept.
-func Encode(names []string) string {
-	var ns []numbered
+// EncodeNames is a list of names as one string. Their order is not kept.
+func EncodeNames(names []string) string {
+	var ns []numberedName
 	var groups []string
 	for _, name := range names {
-		if x, ok := number(name); ok {
+		if x, ok := parseNumbered(name); ok {
 			ns = append(ns, x)
 		} else {
 			groups = append(groups, wholeMark+name)
 		}
 	}
 	slices.Sort(groups)
-	slices.SortFunc(ns, func(a, b numbered) int {
+	slices.SortFunc(ns, func(a, b numberedName) int {
 		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.digits, b.digits), cmp.Compare(a.value, b.value))
 	})
 	for i := 0; i < len(ns); {
 		first := ns[i]
-		text := first.prefix + partMark + strconv.Itoa(first.digits) + partMark + strconv.FormatUint(first.value, base)
+		text := first.prefix + partMark + strconv.Itoa(first.digits) + partMark + strconv.FormatUint(first.value, radix)
 		for i++; i < len(ns) && ns[i].prefix == first.prefix && ns[i].digits == first.digits; i++ {
-			text += stepMark + strconv.FormatUint(ns[i].value-ns[i-1].value, base)
+			text += stepMark + strconv.FormatUint(ns[i].value-ns[i-1].value, radix)
 		}
 		groups = append(groups, text)
 	}
 	return strings.Join(groups, groupMark)
 }
 
-func number(name string) (numbered, bool) {
+func parseNumbered(name string) (numberedName, bool) {
 	prefix := strings.TrimRight(name, "0123456789")
 	digits := len(name) - len(prefix)
-	if digits > digitsMost {
-		prefix, digits = name[:len(name)-digitsMost], digitsMost
+	if digits > maxDigits {
+		prefix, digits = name[:len(name)-maxDigits], maxDigits
 	}
 	value, err := strconv.ParseUint(name[len(prefix):], 10, 64)
-	return numbered{prefix, digits, value}, err == nil
+	return numberedName{prefix, digits, value}, err == nil
 }
 
-// Decode is the list that a string stands for, sorted; ok is false if it stands for none.
-func Decode(s string) (names []string, ok bool) {
+// DecodeNames is the list that a string stands for, sorted; ok is false if it stands for none.
+func DecodeNames(s string) (names []string, ok bool) {
 	if s == "" {
 		return nil, true
 	}
@@ -80,12 +80,12 @@
 			return nil, false
 		}
 		digits, err := strconv.Atoi(parts[1])
-		if err != nil || digits < 1 || digits > digitsMost || strings.Count(parts[2], stepMark) > stepsMost {
+		if err != nil || digits < 1 || digits > maxDigits || strings.Count(parts[2], stepMark) > maxSteps {
 			return nil, false
 		}
 		value := uint64(0)
 		for _, step := range strings.Split(parts[2], stepMark) {
-			by, err := strconv.ParseUint(step, base, 62)
+			by, err := strconv.ParseUint(step, radix, 62)
 			text := strconv.FormatUint(value+by, 10)
 			if err != nil || len(text) > digits {
 				return nil, false
--- a/internal/pipeline/path.go
+++ b/internal/pipeline/path.go
@@ -7,69 +7,69 @@
 type Task struct {
 	Urgency int
 	Due     time.Time
-	Run     time.Duration
+	RunTime time.Duration
 }
 
-// Path is what the jobs behind a job ask of it: the highest urgency of all that need it,
+// CriticalPath is what the jobs behind a job ask of it: the highest urgency of all that need it,
 // when it has to be over at the latest for them to be in time, and the time that the
 // longest path takes from its start to the end of all.
-type Path struct {
-	Urgency int
-	Due     time.Time
-	Left    time.Duration
+type CriticalPath struct {
+	Urgency   int
+	Due       time.Time
+	Remaining time.Duration
 }
 
-// Paths are those of all jobs that open jobs need, and the jobs that are on a circle,
+// CriticalPaths are those of all jobs that open jobs need, and the jobs that are on a circle,
 // which only damaged records can show: what comes behind these counts for nobody.
-func (g *Graph) Paths(task func(id string) (Task, bool)) (paths map[string]Path, circle []string) {
-	w := walk{g: g, task: task, paths: map[string]Path{}, on: map[string]bool{}}
+func (g *Graph) CriticalPaths(task func(id string) (Task, bool)) (paths map[string]CriticalPath, cycle []string) {
+	walker := pathWalker{graph: g, task: task, paths: map[string]CriticalPath{}, visiting: map[string]bool{}}
 	for id, j := range g.jobs {
-		if len(j.after) > 0 && !j.state.Final() {
-			w.path(id)
+		if len(j.dependents) > 0 && !j.state.Final() {
+			walker.visit(id)
 		}
 	}
-	return w.paths, sorted(w.circle)
+	return walker.paths, sortedIDs(walker.cycle)
 }
 
-type walk struct {
-	g      *Graph
-	task   func(id string) (Task, bool)
-	paths  map[string]Path
-	on     map[string]bool
-	circle map[string]bool
+type pathWalker struct {
+	graph    *Graph
+	task     func(id string) (Task, bool)
+	paths    map[string]CriticalPath
+	visiting map[string]bool
+	cycle    map[string]bool
 }
 
-// path is the one of a job; ok is false if nothing is known of it or it is on a circle.
-func (w *walk) path(id string) (p Path, ok bool) {
+// visit is the one of a job; ok is false if nothing is known of it or it is on a circle.
+func (w *pathWalker) visit(id string) (p CriticalPath, ok bool) {
 	if p, ok := w.paths[id]; ok {
 		return p, true
 	}
-	if w.on[id] {
-		if w.circle == nil {
-			w.circle = map[string]bool{}
+	if w.visiting[id] {
+		if w.cycle == nil {
+			w.cycle = map[string]bool{}
 		}
-		w.circle[id] = true
-		return Path{}, false
+		w.cycle[id] = true
+		return CriticalPath{}, false
 	}
 	t, ok := w.task(id)
 	if !ok {
-		return Path{}, false
+		return CriticalPath{}, false
 	}
-	w.on[id] = true
-	defer delete(w.on, id)
-	p = Path{t.Urgency, t.Due, t.Run}
-	for after := range w.g.jobs[id].after {
-		if w.g.jobs[after].cancelled {
+	w.visiting[id] = true
+	defer delete(w.visiting, id)
+	p = CriticalPath{t.Urgency, t.Due, t.RunTime}
+	for dependent := range w.graph.jobs[id].dependents {
+		if w.graph.jobs[dependent].cancelled {
 			continue
 		}
-		next, ok := w.path(after)
+		next, ok := w.visit(dependent)
 		if !ok {
 			continue
 		}
 		p.Urgency = max(p.Urgency, next.Urgency)
-		p.Left = max(p.Left, t.Run+next.Left)
-		then, _ := w.task(after)
-		if by := next.Due.Add(-then.Run); !next.Due.IsZero() && (p.Due.IsZero() || by.Before(p.Due)) {
+		p.Remaining = max(p.Remaining, t.RunTime+next.Remaining)
+		then, _ := w.task(dependent)
+		if by := next.Due.Add(-then.RunTime); !next.Due.IsZero() && (p.Due.IsZero() || by.Before(p.Due)) {
 			p.Due = by
 		}
 	}
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -27,11 +27,11 @@
 type job struct {
 	state State
 	// open: it is an open job, whose needs are those that its record names.
-	open  bool
-	needs []string
-	after map[string]bool
-	// undone counts its needs that are not done.
-	undone int
+	isOpen       bool
+	dependencies []string
+	dependents   map[string]bool
+	// pending counts its needs that are not done.
+	pending int
 	// cancelled: it is, or one that it needs, directly or through others.
 	cancelled bool
 }
@@ -39,10 +39,10 @@
 // Graph has the open jobs that need others, and what they need.
 type Graph struct {
 	jobs map[string]*job
-	// state tells what is known of a job that is named for the first time.
-	state func(id string) State
-	// unknown counts the jobs of which nothing is known.
-	unknown int
+	// lookupState tells what is known of a job that is named for the first time.
+	lookupState func(id string) State
+	// unknownCount counts the jobs of which nothing is known.
+	unknownCount int
 }
 
 // Change is a job that has become cancelled by another's cancellation, or free to start.
@@ -53,102 +53,102 @@
 
 // New is an empty graph; state tells what is known of a job that is named for the first
 // time.
-func New(state func(id string) State) *Graph {
-	return &Graph{jobs: map[string]*job{}, state: state}
+func New(lookupState func(id string) State) *Graph {
+	return &Graph{jobs: map[string]*job{}, lookupState: lookupState}
 }
 
 // Put takes in an open job with what it needs, and returns what that changes: the job
 // itself, if it is cancelled or free at once. What a job needs never changes, so that a
 // repeat has no effect.
-func (g *Graph) Put(id string, needs []string) []Change {
-	if len(needs) == 0 || g.jobs[id] != nil && g.jobs[id].open {
+func (g *Graph) Put(id string, dependencies []string) []Change {
+	if len(dependencies) == 0 || g.jobs[id] != nil && g.jobs[id].isOpen {
 		return nil
 	}
-	j := g.named(id)
-	j.open, j.needs = true, needs
+	j := g.ensure(id)
+	j.isOpen, j.dependencies = true, dependencies
 	if !j.state.Final() {
-		g.set(j, Open)
+		g.applyState(j, Open)
 	}
 	lost := false
-	for _, p := range needs {
-		before := g.named(p)
-		before.after[id] = true
-		lost = lost || before.cancelled
-		if before.state != Done {
-			j.undone++
+	for _, p := range dependencies {
+		dependency := g.ensure(p)
+		dependency.dependents[id] = true
+		lost = lost || dependency.cancelled
+		if dependency.state != Done {
+			j.pending++
 		}
 	}
 	switch {
 	case j.state == Done || j.cancelled:
 		return nil
 	case lost:
-		return append([]Change{{id, true}}, g.cancel(id)...)
-	case j.undone == 0:
+		return append([]Change{{id, true}}, g.cancelDependents(id)...)
+	case j.pending == 0:
 		return []Change{{ID: id}}
 	}
 	return nil
 }
 
-// named is the job of that name, which enters the graph if it is new to it.
-func (g *Graph) named(id string) *job {
+// ensure is the job of that name, which enters the graph if it is new to it.
+func (g *Graph) ensure(id string) *job {
 	j := g.jobs[id]
 	if j == nil {
-		j = &job{state: g.state(id), after: map[string]bool{}}
+		j = &job{state: g.lookupState(id), dependents: map[string]bool{}}
 		j.cancelled = j.state == Cancelled
 		if j.state == Unknown {
-			g.unknown++
+			g.unknownCount++
 		}
 		g.jobs[id] = j
 	}
 	return j
 }
 
-func (g *Graph) set(j *job, s State) {
+func (g *Graph) applyState(j *job, s State) {
 	if j.state == Unknown {
-		g.unknown--
+		g.unknownCount--
 	}
 	if j.state = s; s == Unknown {
-		g.unknown++
+		g.unknownCount++
 	}
 }
 
-// Set takes in what the records say of a job, and returns what that changes for those
+// SetState takes in what the records say of a job, and returns what that changes for those
 // that need it. A job that nobody needs is none of the graph's.
-func (g *Graph) Set(id string, s State) []Change {
+func (g *Graph) SetState(id string, s State) []Change {
 	j := g.jobs[id]
 	if j == nil || j.state == s || j.state.Final() {
 		return nil
 	}
-	g.set(j, s)
+	g.applyState(j, s)
 	switch {
 	case s == Cancelled && !j.cancelled:
-		return g.cancel(id)
+		return g.cancelDependents(id)
 	case s != Done || j.cancelled:
 		return nil
 	}
 	var out []Change
-	for _, after := range sorted(j.after) {
-		next := g.jobs[after]
-		if next.undone--; next.undone == 0 && !next.cancelled {
-			out = append(out, Change{ID: after})
+	for _, dependent := range sortedIDs(j.dependents) {
+		next := g.jobs[dependent]
+		if next.pending--; next.pending == 0 && !next.cancelled {
+			out = append(out, Change{ID: dependent})
 		}
 	}
 	return out
 }
 
-// cancel marks a job and all behind it, and returns these.
-func (g *Graph) cancel(id string) []Change {
+// cancelDependents marks a job and all behind it, and returns these.
+func (g *Graph) cancelDependents(id string) []Change {
 	var out []Change
 	g.jobs[id].cancelled = true
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		for _, after := range sorted(g.jobs[queue[0]].after) {
-			next := g.jobs[after]
+		for _, dependent := range sortedIDs(g.jobs[queue[0]].dependents) {
+			next := g.jobs[dependent]
 			if next.cancelled || next.state == Done {
 				continue
 			}
 			next.cancelled = true
-			out = append(out, Change{after, true})
-			queue = append(queue, after)
+			out = append(out, Change{dependent, true})
+			queue = append(queue, dependent)
 		}
 	}
 	return out
@@ -161,56 +161,56 @@
 	if j == nil {
 		return
 	}
-	for _, p := range j.needs {
+	for _, p := range j.dependencies {
 		if before := g.jobs[p]; before != nil {
-			delete(before.after, id)
+			delete(before.dependents, id)
 			g.forget(p)
 		}
 	}
-	j.open, j.needs, j.undone = false, nil, 0
+	j.isOpen, j.dependencies, j.pending = false, nil, 0
 	g.forget(id)
 }
 
 // forget drops a job that is neither open nor needed.
 func (g *Graph) forget(id string) {
 	j := g.jobs[id]
-	if j == nil || j.open || len(j.after) > 0 {
+	if j == nil || j.isOpen || len(j.dependents) > 0 {
 		return
 	}
 	if j.state == Unknown {
-		g.unknown--
+		g.unknownCount--
 	}
 	delete(g.jobs, id)
 }
 
-// Cancelled says whether a job is, by its own record or by that of one before it.
-func (g *Graph) Cancelled(id string) bool {
+// IsCancelled says whether a job is, by its own record or by that of one before it.
+func (g *Graph) IsCancelled(id string) bool {
 	j := g.jobs[id]
 	return j != nil && j.cancelled
 }
 
-// Released says whether all that a job needs is done.
-func (g *Graph) Released(id string) bool {
+// IsReleased says whether all that a job needs is done.
+func (g *Graph) IsReleased(id string) bool {
 	j := g.jobs[id]
-	return j == nil || !j.open || j.undone == 0 && !j.cancelled
+	return j == nil || !j.isOpen || j.pending == 0 && !j.cancelled
 }
 
-// Needed are the open jobs that need a job.
-func (g *Graph) Needed(id string) []string {
+// Dependents are the open jobs that need a job.
+func (g *Graph) Dependents(id string) []string {
 	if j := g.jobs[id]; j != nil {
-		return sorted(j.after)
+		return sortedIDs(j.dependents)
 	}
 	return nil
 }
 
-// Waits are those of a job's needs that are not done.
-func (g *Graph) Waits(id string) []string {
+// PendingDependencies are those of a job's needs that are not done.
+func (g *Graph) PendingDependencies(id string) []string {
 	j := g.jobs[id]
 	if j == nil {
 		return nil
 	}
 	var out []string
-	for _, p := range j.needs {
+	for _, p := range j.dependencies {
 		if g.jobs[p].state != Done {
 			out = append(out, p)
 		}
@@ -218,24 +218,24 @@
 	return out
 }
 
-// Unread are the jobs of which nothing is known and without which it can't be told
+// Unresolved are the jobs of which nothing is known and without which it can't be told
 // whether a job is cancelled. Near: only those that it needs itself.
-func (g *Graph) Unread(id string, near bool) []string {
+func (g *Graph) Unresolved(id string, directOnly bool) []string {
 	j := g.jobs[id]
-	if g.unknown == 0 || j == nil || j.cancelled {
+	if g.unknownCount == 0 || j == nil || j.cancelled {
 		return nil
 	}
 	var out []string
 	seen := map[string]bool{id: true}
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		for _, p := range g.jobs[queue[0]].needs {
+		for _, p := range g.jobs[queue[0]].dependencies {
 			if seen[p] {
 				continue
 			}
 			seen[p] = true
 			if g.jobs[p].state == Unknown {
 				out = append(out, p)
-			} else if !near {
+			} else if !directOnly {
 				queue = append(queue, p)
 			}
 		}
@@ -243,21 +243,21 @@
 	return out
 }
 
-// Some says whether any job needs another.
-func (g *Graph) Some() bool { return len(g.jobs) > 0 }
+// HasDependencies says whether any job needs another.
+func (g *Graph) HasDependencies() bool { return len(g.jobs) > 0 }
 
-// Waiting counts the open jobs that wait for others.
-func (g *Graph) Waiting() int {
+// WaitingCount counts the open jobs that wait for others.
+func (g *Graph) WaitingCount() int {
 	some := 0
 	for _, j := range g.jobs {
-		if j.open && j.undone > 0 && !j.cancelled {
+		if j.isOpen && j.pending > 0 && !j.cancelled {
 			some++
 		}
 	}
 	return some
 }
 
-func sorted(set map[string]bool) []string {
+func sortedIDs(set map[string]bool) []string {
 	out := make([]string, 0, len(set))
 	for id := range set {
 		out = append(out, id)
