--- a/cmd/micahill/keys.go
+++ b/cmd/micahill/keys.go
@@ -64,7 +64,7 @@
 	}
 	issue.Flags().StringVar(&cluster, "cluster", "", "the cluster's name, as in overflow.cluster")
 	issue.Flags().StringVar(&out, "out", "", "the folder to write to")
-	issue.Flags().IntVar(&days, "days", int(keys.CertLife.Hours()/24), "for how many days it is good")
+	issue.Flags().IntVar(&days, "days", int(keys.CertValidity.Hours()/24), "for how many days it is good")
 	show := &cobra.Command{
 		Use: "show", Short: "Show a folder's certificates; status 1 if one is not good", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -86,7 +86,7 @@
 				return err
 			}
 			if finish {
-				if err := keys.Finish(dir); err != nil {
+				if err := keys.FinishRotation(dir); err != nil {
 					return err
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: the old CA is trusted no more, once ca.pem is copied to every cluster.\n", dir)
--- a/internal/config/extras.go
+++ b/internal/config/extras.go
@@ -204,7 +204,7 @@
 func newExtrasCheck() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
-	err := v.RegisterValidation("clustername", func(fl validator.FieldLevel) bool { return keys.IsCluster(fl.Field().String()) })
+	err := v.RegisterValidation("clustername", func(fl validator.FieldLevel) bool { return keys.IsClusterName(fl.Field().String()) })
 	if err != nil {
 		panic("config: " + err.Error())
 	}
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -36,22 +36,22 @@
 	CAKeyFile = "ca.key"
 	CertFile  = "cert.pem"
 	KeyFile   = "key.pem"
-	// caLife is how long a CA is good for, and CertLife how long a cluster's
+	// caValidity is how long a CA is good for, and CertValidity how long a cluster's
 	// certificate is if nothing else is said.
-	caLife   = 10 * 365 * 24 * time.Hour
-	CertLife = 90 * 24 * time.Hour
+	caValidity   = 10 * 365 * 24 * time.Hour
+	CertValidity = 90 * 24 * time.Hour
 	// backdate allows for clocks that differ.
 	backdate = 10 * time.Minute
 	// ownerOnly is the mode of all files: keys are nobody else's business.
 	ownerOnly fs.FileMode = 0o600
-	scheme                = "micahill"
+	uriScheme             = "micahill"
 )
 
 var clusterName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`)
 
-// IsCluster says whether a name is fit for a cluster: for its certificate and for
+// IsClusterName says whether a name is fit for a cluster: for its certificate and for
 // keys in the state service.
-func IsCluster(name string) bool { return clusterName.MatchString(name) }
+func IsClusterName(name string) bool { return clusterName.MatchString(name) }
 
 // ErrExists says that a folder already holds a CA, which is never overwritten.
 var ErrExists = errors.New("already holds a CA; rotate makes a new one beside it")
@@ -74,12 +74,12 @@
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: "micahill CA " + now.UTC().Format("2006-01-02 15:04:05")},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(caLife),
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(caValidity),
 		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign,
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, t, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
@@ -88,7 +88,7 @@
 	if err := writeKey(filepath.Join(dir, CAKeyFile), key); err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(dir, CAFile), append(pemOf("CERTIFICATE", der), old...))
+	return writeFile(filepath.Join(dir, CAFile), append(encodePEM("CERTIFICATE", der), old...))
 }
 
 // Rotate makes a new CA beside the old one, which stays trusted until Finish.
@@ -104,9 +104,9 @@
 	return newCA(dir, text, now)
 }
 
-// Finish ends a rotation: the old CA is trusted no more. Every cluster must have a
+// FinishRotation ends a rotation: the old CA is trusted no more. Every cluster must have a
 // certificate of the new one by then.
-func Finish(dir string) error {
+func FinishRotation(dir string) error {
 	certs, _, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return err
@@ -114,23 +114,23 @@
 	if len(certs) < 2 {
 		return fmt.Errorf("keys: %s: no rotation is under way", dir)
 	}
-	return writeFile(filepath.Join(dir, CAFile), pemOf("CERTIFICATE", certs[0].Raw))
+	return writeFile(filepath.Join(dir, CAFile), encodePEM("CERTIFICATE", certs[0].Raw))
 }
 
 // Issue writes a certificate of the CA in dir for a cluster, with the CAs to trust,
 // into out. An earlier certificate there is replaced in one step.
-func Issue(dir, cluster, out string, life time.Duration, now time.Time) error {
-	if !IsCluster(cluster) {
+func Issue(dir, cluster, out string, validity time.Duration, now time.Time) error {
+	if !IsClusterName(cluster) {
 		return fmt.Errorf("keys: %q is no cluster's name: want a small letter, then at most 30 small letters, digits and hyphens", cluster)
 	}
-	if life <= 0 || life > caLife {
-		return fmt.Errorf("keys: a certificate for %s: want more than nothing and at most %s", life, caLife)
+	if validity <= 0 || validity > caValidity {
+		return fmt.Errorf("keys: a certificate for %s: want more than nothing and at most %s", validity, caValidity)
 	}
 	cas, text, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return err
 	}
-	signer, err := readKey(filepath.Join(dir, CAKeyFile))
+	signer, err := readSigner(filepath.Join(dir, CAKeyFile))
 	if err != nil {
 		return err
 	}
@@ -141,13 +141,13 @@
 	if err != nil {
 		return err
 	}
-	t := &x509.Certificate{
+	template := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: cluster},
-		URIs:      []*url.URL{{Scheme: scheme, Host: "cluster", Path: "/" + cluster}},
-		NotBefore: now.Add(-backdate), NotAfter: now.Add(life),
+		URIs:      []*url.URL{{Scheme: uriScheme, Host: "cluster", Path: "/" + cluster}},
+		NotBefore: now.Add(-backdate), NotAfter: now.Add(validity),
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, cas[0], &key.PublicKey, signer)
+	der, err := x509.CreateCertificate(rand.Reader, template, cas[0], &key.PublicKey, signer)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
@@ -156,7 +156,7 @@
 	}
 	// Key and certificate go into one file as well: a reader never sees the key of
 	// one with the certificate of the other.
-	k, err := pemKey(key)
+	k, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	if err := writeFile(filepath.Join(out, KeyFile), k); err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(out, CertFile), append(pemOf("CERTIFICATE", der), k...))
+	return writeFile(filepath.Join(out, CertFile), append(encodePEM("CERTIFICATE", der), k...))
 }
 
 // Info describes one certificate of a folder.
@@ -193,7 +193,7 @@
 	pool := x509.NewCertPool()
 	for _, c := range cas {
 		pool.AddCert(c)
-		out = append(out, info(CAFile, c, now))
+		out = append(out, describe(CAFile, c, now))
 	}
 	certs, _, err := readCerts(filepath.Join(dir, CertFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -201,7 +201,7 @@
 	} else if err != nil {
 		return nil, err
 	}
-	i := info(CertFile, certs[0], now)
+	i := describe(CertFile, certs[0], now)
 	opts := x509.VerifyOptions{Roots: pool, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
 	if _, err := certs[0].Verify(opts); err != nil && i.Problem == "" {
 		i.Problem = "not of a CA in " + CAFile
@@ -214,7 +214,7 @@
 	return append(out, i), nil
 }
 
-func info(file string, c *x509.Certificate, now time.Time) Info {
+func describe(file string, c *x509.Certificate, now time.Time) Info {
 	sum := sha256.Sum256(c.Raw)
 	i := Info{File: file, Name: c.Subject.CommonName, Cluster: ClusterOf(c), CA: c.IsCA, NotAfter: c.NotAfter, Fingerprint: hex.EncodeToString(sum[:8])}
 	switch {
@@ -229,7 +229,7 @@
 // ClusterOf is the cluster that a certificate names, or nothing.
 func ClusterOf(c *x509.Certificate) string {
 	for _, u := range c.URIs {
-		if u.Scheme == scheme && u.Host == "cluster" && len(u.Path) > 1 && IsCluster(u.Path[1:]) {
+		if u.Scheme == uriScheme && u.Host == "cluster" && len(u.Path) > 1 && IsClusterName(u.Path[1:]) {
 			return u.Path[1:]
 		}
 	}
@@ -249,20 +249,20 @@
 	return key, serial, nil
 }
 
-func pemOf(kind string, der []byte) []byte {
+func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
-func pemKey(key *ecdsa.PrivateKey) ([]byte, error) {
+func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	return pemOf("PRIVATE KEY", der), nil
+	return encodePEM("PRIVATE KEY", der), nil
 }
 
 func writeKey(path string, key *ecdsa.PrivateKey) error {
-	b, err := pemKey(key)
+	b, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
@@ -314,7 +314,7 @@
 	return out, b, nil
 }
 
-func readKey(path string) (crypto.Signer, error) {
+func readSigner(path string) (crypto.Signer, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -12,28 +12,28 @@
 	"time"
 )
 
-// folders makes a CA and a certificate for each cluster.
-func folders(t *testing.T, clusters ...string) (ca string, of map[string]string) {
+// newClusterDirs makes a CA and a certificate for each cluster.
+func newClusterDirs(t *testing.T, clusters ...string) (ca string, dirs map[string]string) {
 	t.Helper()
-	ca, of = filepath.Join(t.TempDir(), "ca"), map[string]string{}
+	ca, dirs = filepath.Join(t.TempDir(), "ca"), map[string]string{}
 	if err := Init(ca, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range clusters {
-		of[c] = filepath.Join(t.TempDir(), c)
-		issue(t, ca, c, of[c])
+		dirs[c] = filepath.Join(t.TempDir(), c)
+		issueCert(t, ca, c, dirs[c])
 	}
-	return ca, of
+	return ca, dirs
 }
 
-func issue(t *testing.T, ca, cluster, out string) {
+func issueCert(t *testing.T, ca, cluster, out string) {
 	t.Helper()
-	if err := Issue(ca, cluster, out, CertLife, time.Now()); err != nil {
+	if err := Issue(ca, cluster, out, CertValidity, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func open(t *testing.T, dir string) *Store {
+func openStore(t *testing.T, dir string) *Store {
 	t.Helper()
 	s, err := Open(dir)
 	if err != nil {
@@ -42,10 +42,10 @@
 	return s
 }
 
-// shake connects a client to a server over loopback and says what the server saw.
-func shake(t *testing.T, server, client *Store, want string) (string, error) {
+// handshake connects a client to a server over loopback and says what the server saw.
+func handshake(t *testing.T, server, client *Store, want string) (string, error) {
 	t.Helper()
-	ln, err := tls.Listen("tcp", "127.0.0.1:0", server.Server())
+	ln, err := tls.Listen("tcp", "127.0.0.1:0", server.ServerConfig())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	c := tls.Client(raw, client.Client(want))
+	c := tls.Client(raw, client.ClientConfig(want))
 	err = c.HandshakeContext(ctx)
 	if err == nil {
 		// Only the first byte shows whether the server took our certificate.
@@ -82,27 +82,27 @@
 	return <-saw, err
 }
 
-// TestPeersKnowEachOther: by certificates of the operators' CA that name the
+// TestMutualAuthentication: by certificates of the operators' CA that name the
 // cluster, and by nothing else.
-func TestPeersKnowEachOther(t *testing.T) {
-	ca, of := folders(t, "east", "west")
-	_, others := folders(t, "west")
+func TestMutualAuthentication(t *testing.T) {
+	ca, of := newClusterDirs(t, "east", "west")
+	_, others := newClusterDirs(t, "west")
 	expired := filepath.Join(t.TempDir(), "old")
 	if err := Issue(ca, "west", expired, time.Hour, time.Now().Add(-2*time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	east := open(t, of["east"])
-	if saw, err := shake(t, east, open(t, of["west"]), "east"); err != nil || saw != "west" {
+	east := openStore(t, of["east"])
+	if saw, err := handshake(t, east, openStore(t, of["west"]), "east"); err != nil || saw != "west" {
 		t.Errorf("east saw %q, %v", saw, err)
 	}
-	if _, err := shake(t, east, open(t, of["west"]), "north"); !errors.Is(err, ErrNotPeer) {
+	if _, err := handshake(t, east, openStore(t, of["west"]), "north"); !errors.Is(err, ErrNotPeer) {
 		t.Errorf("east was taken for north: %v", err)
 	}
 	for what, dir := range map[string]string{"of another CA": others["west"], "expired": expired} {
-		if saw, err := shake(t, east, open(t, dir), "east"); err == nil || saw != "refused" {
+		if saw, err := handshake(t, east, openStore(t, dir), "east"); err == nil || saw != "refused" {
 			t.Errorf("a certificate %s: east saw %q, %v", what, saw, err)
 		}
-		if _, err := shake(t, open(t, dir), east, "west"); err == nil {
+		if _, err := handshake(t, openStore(t, dir), east, "west"); err == nil {
 			t.Errorf("a server with a certificate %s is believed", what)
 		}
 	}
@@ -111,8 +111,8 @@
 // TestRotation: at every step the clusters still reach each other, without being
 // started anew; in the end the old CA is worth nothing.
 func TestRotation(t *testing.T) {
-	ca, of := folders(t, "east", "west")
-	east, west := open(t, of["east"]), open(t, of["west"])
+	ca, of := newClusterDirs(t, "east", "west")
+	east, west := openStore(t, of["east"]), openStore(t, of["west"])
 	old := filepath.Join(t.TempDir(), "old")
 	if err := os.CopyFS(old, os.DirFS(of["west"])); err != nil {
 		t.Fatal(err)
@@ -122,13 +122,13 @@
 		// Files are looked at once a second at most.
 		for _, s := range []*Store{east, west} {
 			s.mu.Lock()
-			s.looked = time.Time{}
+			s.checkedAt = time.Time{}
 			s.mu.Unlock()
 		}
-		if saw, err := shake(t, east, west, "east"); err != nil || saw != "west" {
+		if saw, err := handshake(t, east, west, "east"); err != nil || saw != "west" {
 			t.Fatalf("%s: east saw %q, %v", step, saw, err)
 		}
-		if saw, err := shake(t, west, east, "west"); err != nil || saw != "east" {
+		if saw, err := handshake(t, west, east, "west"); err != nil || saw != "east" {
 			t.Fatalf("%s: west saw %q, %v", step, saw, err)
 		}
 	}
@@ -153,32 +153,32 @@
 	check("the new CA is known to one")
 	hand(of["west"])
 	check("the new CA is known to both")
-	issue(t, ca, "west", of["west"])
+	issueCert(t, ca, "west", of["west"])
 	check("one has a new certificate")
-	issue(t, ca, "east", of["east"])
+	issueCert(t, ca, "east", of["east"])
 	check("both have")
-	if err := Finish(ca); err != nil {
+	if err := FinishRotation(ca); err != nil {
 		t.Fatal(err)
 	}
 	hand(of["east"])
 	check("one has finished")
 	hand(of["west"])
 	check("both have finished")
-	if saw, err := shake(t, east, open(t, old), "east"); err == nil || saw != "refused" {
+	if saw, err := handshake(t, east, openStore(t, old), "east"); err == nil || saw != "refused" {
 		t.Errorf("the old certificate is still taken: %q, %v", saw, err)
 	}
 }
 
 // TestShow: what is wrong is said.
 func TestShow(t *testing.T) {
-	ca, of := folders(t, "east")
+	ca, of := newClusterDirs(t, "east")
 	for _, c := range []struct {
 		what, dir string
 		at        time.Time
 		want      string
 	}{
 		{"as issued", of["east"], time.Now(), ""},
-		{"after its end", of["east"], time.Now().Add(CertLife + time.Hour), "expired"},
+		{"after its end", of["east"], time.Now().Add(CertValidity + time.Hour), "expired"},
 	} {
 		is, err := Show(c.dir, c.at)
 		if err != nil || len(is) != 2 || is[1].Cluster != "east" || is[1].Problem != c.want {
@@ -200,7 +200,7 @@
 		"a CA over a CA":        Init(ca, time.Now()),
 		"a name that is none":   Issue(ca, "East 1", t.TempDir(), time.Hour, time.Now()),
 		"no life":               Issue(ca, "west", t.TempDir(), 0, time.Now()),
-		"finish with no rotate": Finish(ca),
+		"finish with no rotate": FinishRotation(ca),
 		"no CA there":           Issue(t.TempDir(), "west", t.TempDir(), time.Hour, time.Now()),
 	} {
 		if err == nil {
--- a/internal/keys/tls.go
+++ b/internal/keys/tls.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// recheck is how often the files are looked at for a change, at the most.
-const recheck = time.Second
+// recheckInterval is how often the files are looked at for a change, at the most.
+const recheckInterval = time.Second
 
 // Store holds a cluster's certificate and the CAs it trusts, and reads them again
 // when their files change: rotation needs no restart, and connections that stand
@@ -20,11 +20,11 @@
 type Store struct {
 	dir string
 	mu  sync.Mutex
-	// looked is when the files were last looked at, and stamp how they looked.
-	looked time.Time
-	stamp  string
-	cert   *tls.Certificate
-	pool   *x509.CertPool
+	// checkedAt is when the files were last looked at, and stamp how they looked.
+	checkedAt time.Time
+	fileState string
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
 // Open reads a cluster's folder. An error names the file.
@@ -38,17 +38,17 @@
 
 // Cluster is the cluster that the certificate is for.
 func (s *Store) Cluster() string {
-	cert, _ := s.now()
+	cert, _ := s.current()
 	return ClusterOf(cert.Leaf)
 }
 
 // NotAfter is when the certificate expires.
 func (s *Store) NotAfter() time.Time {
-	cert, _ := s.now()
+	cert, _ := s.current()
 	return cert.Leaf.NotAfter
 }
 
-func (s *Store) look() string {
+func (s *Store) readFileState() string {
 	text := ""
 	for _, f := range []string{CAFile, CertFile} {
 		if st, err := os.Stat(filepath.Join(s.dir, f)); err == nil {
@@ -59,7 +59,7 @@
 }
 
 func (s *Store) load() error {
-	stamp := s.look()
+	stamp := s.readFileState()
 	// The certificate's file holds its key as well, so that the two always fit.
 	path := filepath.Join(s.dir, CertFile)
 	cert, err := tls.LoadX509KeyPair(path, path)
@@ -77,20 +77,20 @@
 	for _, c := range cas {
 		pool.AddCert(c)
 	}
-	s.stamp, s.cert, s.pool = stamp, &cert, pool
+	s.fileState, s.cert, s.pool = stamp, &cert, pool
 	return nil
 }
 
-// now is what holds now. Files that cannot be read, in the middle of a change or
+// current is what holds now. Files that cannot be read, in the middle of a change or
 // for good, leave what was read before.
-func (s *Store) now() (*tls.Certificate, *x509.CertPool) {
+func (s *Store) current() (*tls.Certificate, *x509.CertPool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Since(s.looked) > recheck {
-		s.looked = time.Now()
-		if s.look() != s.stamp {
+	if time.Since(s.checkedAt) > recheckInterval {
+		s.checkedAt = time.Now()
+		if s.readFileState() != s.fileState {
 			if err := s.load(); err != nil {
-				s.stamp = ""
+				s.fileState = ""
 			}
 		}
 	}
@@ -100,13 +100,13 @@
 // ErrNotPeer says that a certificate is not that of the cluster that was meant.
 var ErrNotPeer = errors.New("keys: the certificate names another cluster")
 
-// Server is for connections from peers: TLS 1.3, and a certificate of a CA that is
+// ServerConfig is for connections from peers: TLS 1.3, and a certificate of a CA that is
 // trusted now. Which cluster it names is told by PeerOf.
-func (s *Store) Server() *tls.Config {
+func (s *Store) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := s.now()
+			cert, pool := s.current()
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert},
 				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
@@ -118,9 +118,9 @@
 	}
 }
 
-// Client is for a connection to the named peer.
-func (s *Store) Client(peer string) *tls.Config {
-	cert, pool := s.now()
+// ClientConfig is for a connection to the named peer.
+func (s *Store) ClientConfig(peer string) *tls.Config {
+	cert, pool := s.current()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert},
 		// Peers are known by cluster, not by host name: the chain and the name are
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -169,7 +169,7 @@
 		c.Live.Learn(f.learn)
 		go c.Live.Run(ctx)
 		if f.opt.Overflow {
-			if err := keys.Issue(ca, name, filepath.Join(c.dir, "keys"), keys.CertLife, time.Now()); err != nil {
+			if err := keys.Issue(ca, name, filepath.Join(c.dir, "keys"), keys.CertValidity, time.Now()); err != nil {
 				return err
 			}
 		}
--- a/internal/overflow/link/link.go
+++ b/internal/overflow/link/link.go
@@ -99,7 +99,7 @@
 			go func() {
 				defer func() { <-free }()
 				defer c.Close()
-				if err := s.serve(ctx, tls.Server(c, s.Store.Server())); err != nil && ctx.Err() == nil {
+				if err := s.serve(ctx, tls.Server(c, s.Store.ServerConfig())); err != nil && ctx.Err() == nil {
 					slog.Debug("overflow: connection ended", "addr", c.RemoteAddr(), "err", err)
 				}
 			}()
@@ -249,7 +249,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	t := tls.Client(raw, c.Store.Client(peer))
+	t := tls.Client(raw, c.Store.ClientConfig(peer))
 	if err := t.HandshakeContext(ctx); err != nil {
 		raw.Close()
 		return nil, fmt.Errorf("link: %s at %s: %w", peer, addr, err)
