--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -70,7 +70,7 @@
 	lim.LoansOut, lim.LoansIn, lim.Tasks = o.LoansOut, o.LoansIn, o.TasksMost
 	lim.MinGain, lim.MaxCostRatio = core.Seconds(o.GainS), o.Dearest
 	set := broker.Settings{
-		Cluster: o.Cluster, GuestTeam: o.GuestTeam, Lend: o.Lend, Borrow: o.Borrow, Every: core.Seconds(o.ReportS), Lease: core.Seconds(o.LeaseS),
+		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: core.Seconds(o.ReportS), LoanLease: core.Seconds(o.LeaseS),
 		WorkerLease: core.Seconds(c.Deployment.Workers.LeaseS), ClockBound: core.Seconds(c.Deployment.TimeBoundMS / 1000), Limits: lim, Peers: map[string][]string{},
 	}
 	known := map[string]bool{}
@@ -78,7 +78,7 @@
 		set.Peers[p.Cluster], known[p.Cluster] = p.Addresses, true
 	}
 	b := broker.New(ctx, set, srv, &link.Client{Store: st, Cluster: o.Cluster}, broker.NewMetrics(reg), rng)
-	s := &link.Server{Store: st, Cluster: o.Cluster, Peers: known, Allow: allow, Handle: b.Answer}
+	s := &link.Server{Store: st, Cluster: o.Cluster, Peers: known, AllowedPrefixes: allow, Handle: b.HandleHeartbeat}
 	go func() { errs <- b.Run() }()
 	go func() { errs <- s.Serve(ctx, ln) }()
 	return func(e *echo.Echo) {
@@ -133,19 +133,19 @@
 }
 
 func printPeers(out io.Writer, s *broker.Status) error {
-	if !s.Leads && !s.Guests {
+	if !s.IsLeader && !s.RunsGuestTeam {
 		fmt.Fprintf(out, "%s: this controller neither leads nor runs the guests' team; ask %s\n", s.Cluster, s.Leader)
 		return nil
 	}
 	state := "serving"
 	if s.Draining {
-		state = "draining, borrowed work gone by " + s.DrainBy.Format(time.RFC3339)
+		state = "draining, borrowed work gone by " + s.DrainDeadline.Format(time.RFC3339)
 	}
 	lent, borrowed := fmt.Sprint(len(s.Lent)), fmt.Sprint(len(s.Borrowed))
-	if !s.Leads {
+	if !s.IsLeader {
 		lent = "not known here, ask " + s.Leader
 	}
-	if !s.Guests {
+	if !s.RunsGuestTeam {
 		borrowed = "not known here"
 	}
 	fmt.Fprintf(out, "%s: %s; lent: %s; borrowed: %s\n", s.Cluster, state, lent, borrowed)
@@ -153,13 +153,13 @@
 	fmt.Fprintln(w, "\nPEER\tSTATE\tTRUST\tDELAY\tHEARD\tCIRCUIT\tOFFERS\tLENT\tBORROWED")
 	for _, p := range s.Peers {
 		circuit, heard := "closed", "never"
-		if p.Open {
+		if p.BreakerOpen {
 			circuit = "open"
 		}
-		if p.HeardS > 0 {
-			heard = fmt.Sprintf("%.0f s ago", p.HeardS)
+		if p.HeardSeconds > 0 {
+			heard = fmt.Sprintf("%.0f s ago", p.HeardSeconds)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.2f\t%.0f ms\t%s\t%s\t%d machines\t%d\t%d\n", p.Cluster, p.State, p.Trust, p.DelayMS, heard, circuit, p.Machines, p.Lent, p.Borrowed)
+		fmt.Fprintf(w, "%s\t%s\t%.2f\t%.0f ms\t%s\t%s\t%d machines\t%d\t%d\n", p.Cluster, p.State, p.Trust, p.LatencyMS, heard, circuit, p.OfferedMachines, p.Lent, p.Borrowed)
 	}
 	if len(s.Lent)+len(s.Borrowed) > 0 {
 		fmt.Fprintln(w, "\nLOAN\tSIDE\tPEER\tSTATE\tTASKS")
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -170,7 +170,7 @@
 	if lent() == 0 {
 		t.Fatal("nothing is lent")
 	}
-	if err := printPeers(io.Discard, &broker.Status{Leads: true}); err != nil {
+	if err := printPeers(io.Discard, &broker.Status{IsLeader: true}); err != nil {
 		t.Error(err)
 	}
 	// A cancellation of a lent job is told only when the peer has stopped it.
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -21,51 +21,51 @@
 )
 
 const (
-	// lookEvery is how often the core is asked what is durable; a peer's report is
+	// pollInterval is how often the core is asked what is durable; a peer's report is
 	// answered at once, with a look of its own.
-	lookEvery = time.Second
-	// aloneEvery is how often the core is asked where the file names no peers.
-	aloneEvery = 10 * time.Second
-	// planEvery is how often the queue is played forward to choose offers.
-	planEvery = 2 * time.Second
+	pollInterval = time.Second
+	// idlePollInterval is how often the core is asked where the file names no peers.
+	idlePollInterval = 10 * time.Second
+	// planInterval is how often the queue is played forward to choose offers.
+	planInterval = 2 * time.Second
 	// renewEvery is how often the times of answered reports are written down.
 	renewEvery = 5 * time.Second
-	// reportPatience bounds a report to a peer, and corePatience a question to the
+	// heartbeatTimeout bounds a report to a peer, and controllerTimeout a question to the
 	// core.
-	reportPatience = 4 * time.Second
-	corePatience   = 3 * time.Second
-	// unsurePause separates tries of a transaction whose outcome is not known.
-	unsurePause = 500 * time.Millisecond
+	heartbeatTimeout  = 4 * time.Second
+	controllerTimeout = 3 * time.Second
+	// uncertainRetryPause separates tries of a transaction whose outcome is not known.
+	uncertainRetryPause = 500 * time.Millisecond
 	// queueLen bounds what waits for the loop.
 	queueLen = 256
-	// restAfterBack is for how long a job that came back stays at home.
-	restAfterBack = 30 * time.Second
-	// workerLeases and stopSlack make the bound on how long tasks may go on after a
+	// giveBackCooldown is for how long a job that came back stays at home.
+	giveBackCooldown = 30 * time.Second
+	// workerLeaseCount and stopMargin make the bound on how long tasks may go on after a
 	// loan's end: an owner that has lost the state service answers its workers for
 	// one lease, theirs runs one more, and a successor counts a third.
-	workerLeases = 3
-	stopSlack    = 10 * time.Second
+	workerLeaseCount = 3
+	stopMargin       = 10 * time.Second
 )
 
-// Core is what the broker needs of the server.
-type Core interface {
+// Controller is what the broker needs of the server.
+type Controller interface {
 	Ask(ctx context.Context, mk func(reply uint64) core.Command) (core.Effect, error)
 	Post(core.Command)
 }
 
-// Reporter sends a report to a peer; link.Client is one.
-type Reporter interface {
-	Report(ctx context.Context, peer, addr string, r overflow.Heartbeat) (overflow.HeartbeatReply, error)
+// HeartbeatSender sends a report to a peer; link.Client is one.
+type HeartbeatSender interface {
+	SendHeartbeat(ctx context.Context, peer, addr string, r overflow.Heartbeat) (overflow.HeartbeatReply, error)
 }
 
 // Settings are the broker's, converted from the file under deploy/.
 type Settings struct {
-	Cluster   string
-	GuestTeam string
-	Lend      bool
-	Borrow    bool
-	Every     time.Duration
-	Lease     time.Duration
+	Cluster           string
+	GuestTeam         string
+	LendEnabled       bool
+	BorrowEnabled     bool
+	HeartbeatInterval time.Duration
+	LoanLease         time.Duration
 	// WorkerLease is this cluster's own workers' lease, and ClockBound how far the
 	// times of day of two controllers may be apart from the truth.
 	WorkerLease time.Duration
@@ -76,94 +76,94 @@
 
 // Broker is the lending side of one controller.
 type Broker struct {
-	ctx    context.Context
-	set    Settings
-	core   Core
-	link   Reporter
-	met    *Metrics
-	rng    *rand.Rand
-	events chan func()
-	snap   chan chan Status
+	ctx            context.Context
+	settings       Settings
+	controller     Controller
+	sender         HeartbeatSender
+	metrics        *Metrics
+	rng            *rand.Rand
+	events         chan func()
+	statusRequests chan chan Status
 
-	// leads and guests say which side this controller is now, in which term.
-	leads, guests bool
-	epoch         uint64
-	term          int
-	home          *overflow.Lender
-	guest         *overflow.Borrower
-	members       map[string]*overflow.PeerTracker
-	view          core.LoanView
-	viewed        time.Time
-	planned       time.Time
-	renewed       time.Time
-	waiting       []question
-	// busy are loans with a transaction under way.
-	busy map[overflow.Loan]bool
-	// rest are jobs that came back lately, and progress what peers say of ours.
-	rest     map[string]time.Time
-	progress map[string]core.Progress
-	// late is since when own work has been late.
-	late  time.Time
-	admit overflow.AdmissionState
+	// isLeader and guests say which side this controller is now, in which term.
+	isLeader, runsGuestTeam bool
+	epoch                   uint64
+	term                    int
+	lender                  *overflow.Lender
+	borrower                *overflow.Borrower
+	peers                   map[string]*overflow.PeerTracker
+	view                    core.LoanView
+	viewedAt                time.Time
+	plannedAt               time.Time
+	renewedAt               time.Time
+	pendingHeartbeats       []pendingHeartbeat
+	// inFlight are loans with a transaction under way.
+	inFlight map[overflow.Loan]bool
+	// returnedAt are jobs that came back lately, and progress what peers say of ours.
+	returnedAt map[string]time.Time
+	progress   map[string]core.Progress
+	// lateSince is since when own work has been late.
+	lateSince time.Time
+	admission overflow.AdmissionState
 }
 
-// question is a peer's report that waits for its answer.
-type question struct {
-	r   overflow.Heartbeat
-	out chan answered
+// pendingHeartbeat is a peer's report that waits for its answer.
+type pendingHeartbeat struct {
+	heartbeat overflow.Heartbeat
+	result    chan heartbeatResult
 }
 
-type answered struct {
-	a   overflow.HeartbeatReply
-	err error
+type heartbeatResult struct {
+	reply overflow.HeartbeatReply
+	err   error
 }
 
 // New makes a broker, which lives as long as the context. Run starts it.
-func New(ctx context.Context, set Settings, c Core, l Reporter, met *Metrics, rng *rand.Rand) *Broker {
+func New(ctx context.Context, settings Settings, c Controller, l HeartbeatSender, met *Metrics, rng *rand.Rand) *Broker {
 	b := &Broker{
-		ctx: ctx, set: set, core: c, link: l, met: met, rng: rng,
-		events: make(chan func(), queueLen), snap: make(chan chan Status),
+		ctx: ctx, settings: settings, controller: c, sender: l, metrics: met, rng: rng,
+		events: make(chan func(), queueLen), statusRequests: make(chan chan Status),
 	}
 	now := time.Now()
-	b.newHome(now)
-	b.newGuest()
-	b.members = map[string]*overflow.PeerTracker{}
-	for name, addrs := range set.Peers {
-		b.members[name] = overflow.NewPeerTracker(name, addrs, set.Every, now)
+	b.resetLender(now)
+	b.resetBorrower()
+	b.peers = map[string]*overflow.PeerTracker{}
+	for name, addrs := range settings.Peers {
+		b.peers[name] = overflow.NewPeerTracker(name, addrs, settings.HeartbeatInterval, now)
 	}
-	b.busy, b.rest, b.progress = map[overflow.Loan]bool{}, map[string]time.Time{}, map[string]core.Progress{}
+	b.inFlight, b.returnedAt, b.progress = map[overflow.Loan]bool{}, map[string]time.Time{}, map[string]core.Progress{}
 	return b
 }
 
-// newHome and newGuest forget what holds for one term only.
-func (b *Broker) newHome(now time.Time) {
-	b.home = overflow.NewLender(b.set.Cluster, now, b.set.Lease)
-	b.drop(func(l overflow.Loan) bool { return l.Home == b.set.Cluster })
+// resetLender and resetBorrower forget what holds for one term only.
+func (b *Broker) resetLender(now time.Time) {
+	b.lender = overflow.NewLender(b.settings.Cluster, now, b.settings.LoanLease)
+	b.dropInFlight(func(l overflow.Loan) bool { return l.Home == b.settings.Cluster })
 }
 
-func (b *Broker) newGuest() {
-	b.guest = overflow.NewBorrower()
-	b.drop(func(l overflow.Loan) bool { return l.Home != b.set.Cluster })
+func (b *Broker) resetBorrower() {
+	b.borrower = overflow.NewBorrower()
+	b.dropInFlight(func(l overflow.Loan) bool { return l.Home != b.settings.Cluster })
 }
 
-// drop forgets transactions under way: whoever decided on them is no more.
-func (b *Broker) drop(is func(overflow.Loan) bool) {
-	maps.DeleteFunc(b.busy, func(l overflow.Loan, _ bool) bool { return is(l) })
+// dropInFlight forgets transactions under way: whoever decided on them is no more.
+func (b *Broker) dropInFlight(is func(overflow.Loan) bool) {
+	maps.DeleteFunc(b.inFlight, func(l overflow.Loan, _ bool) bool { return is(l) })
 }
 
-// Answer takes a peer's report; it is the link server's handler.
-func (b *Broker) Answer(ctx context.Context, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
-	q := question{r, make(chan answered, 1)}
+// HandleHeartbeat takes a peer's report; it is the link server's handler.
+func (b *Broker) HandleHeartbeat(ctx context.Context, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
+	q := pendingHeartbeat{r, make(chan heartbeatResult, 1)}
 	select {
-	case b.events <- func() { b.waiting = append(b.waiting, q) }:
+	case b.events <- func() { b.pendingHeartbeats = append(b.pendingHeartbeats, q) }:
 	default:
 		return overflow.HeartbeatReply{}, link.ErrStale
 	}
-	ctx, cancel := context.WithTimeout(ctx, corePatience)
+	ctx, cancel := context.WithTimeout(ctx, controllerTimeout)
 	defer cancel()
 	select {
-	case x := <-q.out:
-		return x.a, x.err
+	case x := <-q.result:
+		return x.reply, x.err
 	case <-ctx.Done():
 		return overflow.HeartbeatReply{}, link.ErrStale
 	}
@@ -180,7 +180,7 @@
 			return ctx.Err()
 		case fn := <-b.events:
 			fn()
-		case out := <-b.snap:
+		case out := <-b.statusRequests:
 			out <- b.status(time.Now())
 			continue
 		case <-timer.C:
@@ -194,26 +194,26 @@
 			}
 		}
 		now := time.Now()
-		every := lookEvery
-		if len(b.set.Peers) == 0 {
+		every := pollInterval
+		if len(b.settings.Peers) == 0 {
 			// Nobody to lend to: only loans from before need to be seen to.
-			every = aloneEvery
+			every = idlePollInterval
 		}
-		if len(b.waiting) > 0 || now.Sub(b.viewed) >= every {
-			b.look(ctx)
+		if len(b.pendingHeartbeats) > 0 || now.Sub(b.viewedAt) >= every {
+			b.poll(ctx)
 		}
-		timer.Reset(max(10*time.Millisecond, time.Until(b.viewed.Add(every))))
+		timer.Reset(max(10*time.Millisecond, time.Until(b.viewedAt.Add(every))))
 	}
 }
 
-// look asks the core what is durable and does what follows from it.
-func (b *Broker) look(ctx context.Context) {
+// poll asks the core what is durable and does what follows from it.
+func (b *Broker) poll(ctx context.Context) {
 	now := time.Now()
-	plan := now.Sub(b.planned) >= planEvery && len(b.set.Peers) > 0
-	q := core.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: plan, GuestTeam: b.set.GuestTeam}
+	withSimulation := now.Sub(b.plannedAt) >= planInterval && len(b.settings.Peers) > 0
+	q := core.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: b.settings.GuestTeam}
 	for _, x := range b.view.Borrowed {
 		if l, ok := parseLoan(x.Loan); ok {
-			if u := b.guest.StartableUntil(l); !u.IsZero() {
+			if u := b.borrower.StartableUntil(l); !u.IsZero() {
 				q.StartableUntil[x.Job] = u
 			}
 		}
@@ -222,88 +222,88 @@
 		q.Progress = append(q.Progress, b.progress[id])
 	}
 	clear(b.progress)
-	ctx, cancel := context.WithTimeout(ctx, corePatience)
+	ctx, cancel := context.WithTimeout(ctx, controllerTimeout)
 	defer cancel()
-	e, err := b.core.Ask(ctx, func(r uint64) core.Command { q.Reply = r; return q })
-	b.viewed = time.Now()
+	e, err := b.controller.Ask(ctx, func(r uint64) core.Command { q.Reply = r; return q })
+	b.viewedAt = time.Now()
 	v, ok := e.(core.LoanView)
-	waiting := b.waiting
-	b.waiting = nil
+	waiting := b.pendingHeartbeats
+	b.pendingHeartbeats = nil
 	if err != nil || !ok || !v.OK {
 		for _, q := range waiting {
-			q.out <- answered{err: link.ErrStale}
+			q.result <- heartbeatResult{err: link.ErrStale}
 		}
 		return
 	}
-	if v.IsLeader && (!b.leads || v.Epoch != b.epoch) {
+	if v.IsLeader && (!b.isLeader || v.Epoch != b.epoch) {
 		slog.Info("overflow: answers peers", "epoch", v.Epoch, "lent", len(v.Lent))
-		b.newHome(b.viewed)
+		b.resetLender(b.viewedAt)
 		b.epoch = v.Epoch
 	}
-	if v.RunsGuestTeam && (!b.guests || v.GuestTeamTerm != b.term) {
+	if v.RunsGuestTeam && (!b.runsGuestTeam || v.GuestTeamTerm != b.term) {
 		slog.Info("overflow: borrows", "epoch", v.GuestTeamEpoch, "borrowed", len(v.Borrowed))
-		b.newGuest()
-		b.term, b.renewed = v.GuestTeamTerm, b.viewed
+		b.resetBorrower()
+		b.term, b.renewedAt = v.GuestTeamTerm, b.viewedAt
 	}
-	b.leads, b.guests = v.IsLeader, v.RunsGuestTeam
-	if !plan {
+	b.isLeader, b.runsGuestTeam = v.IsLeader, v.RunsGuestTeam
+	if !withSimulation {
 		// What was planned last holds a little longer.
 		v.Waiting, v.FreeCapacity, v.CachedImages, v.OwnWorkLate, v.LateUrgency, v.CheapestCPUHour = b.view.Waiting, b.view.FreeCapacity, b.view.CachedImages, b.view.OwnWorkLate, b.view.LateUrgency, b.view.CheapestCPUHour
 	}
 	b.view = v
-	b.step(plan, waiting)
+	b.advance(withSimulation, waiting)
 }
 
-// step does what the fresh view asks for.
-func (b *Broker) step(planned bool, waiting []question) {
-	now := b.viewed
-	hv, gv := b.homeView(), b.guestView()
+// advance does what the fresh view asks for.
+func (b *Broker) advance(simulated bool, waiting []pendingHeartbeat) {
+	now := b.viewedAt
+	lenderView, borrowerView := b.lenderView(), b.borrowerView()
 	for _, q := range waiting {
-		if !b.leads {
-			q.out <- answered{err: link.ErrNotLeader}
+		if !b.isLeader {
+			q.result <- heartbeatResult{err: link.ErrNotLeader}
 			continue
 		}
-		q.out <- b.answer(now, hv, q.r)
+		q.result <- b.answerHeartbeat(now, lenderView, q.heartbeat)
 	}
-	if b.leads {
-		for _, op := range b.home.ExpiredLoans(now, hv) {
-			if m := b.members[b.peerOf(op.Loan)]; m != nil {
+	if b.isLeader {
+		for _, op := range b.lender.ExpiredLoans(now, lenderView) {
+			if m := b.peers[b.peerOf(op.Loan)]; m != nil {
 				m.NoteBroken(now)
 			}
-			b.homeOp(op)
+			b.commitLenderTransition(op)
 		}
 	}
-	if b.guests {
-		for _, x := range gv.Borrowed {
-			b.guest.NoteAccepted(x.Loan, true)
+	if b.runsGuestTeam {
+		for _, x := range borrowerView.Borrowed {
+			b.borrower.NoteAccepted(x.Loan, true)
 		}
-		for _, op := range b.guest.ExpiredLoans(now, b.set.Lease, gv) {
-			b.guestOp(op)
+		for _, op := range b.borrower.ExpiredLoans(now, b.settings.LoanLease, borrowerView) {
+			b.commitBorrowerTransition(op)
 		}
 	}
-	if planned {
-		b.planned = now
-		b.plan(now, gv)
+	if simulated {
+		b.plannedAt = now
+		b.planLoans(now, borrowerView)
 	}
-	if b.guests && now.Sub(b.renewed) >= renewEvery {
-		b.renewed = now
-		if r := b.guest.Renewals(b.set.Lease, gv); len(r) > 0 {
-			b.core.Post(core.RenewCommand{RenewedAt: r})
+	if b.runsGuestTeam && now.Sub(b.renewedAt) >= renewEvery {
+		b.renewedAt = now
+		if r := b.borrower.Renewals(b.settings.LoanLease, borrowerView); len(r) > 0 {
+			b.controller.Post(core.RenewCommand{RenewedAt: r})
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.members)) {
-		m := b.members[name]
+	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
+		m := b.peers[name]
 		if s, changed := m.StateChanged(now); changed {
 			slog.Info("overflow: peer", "cluster", name, "state", s, "trust", m.Trust(now))
 		}
-		if !b.guests {
+		if !b.runsGuestTeam {
 			continue
 		}
 		if addr, due := m.NextRequest(now); due {
-			b.report(now, name, addr, gv)
+			b.sendHeartbeat(now, name, addr, borrowerView)
 		}
 	}
-	b.met.loans(b.view)
+	b.metrics.setLoans(b.view)
 }
 
 func (b *Broker) peerOf(l overflow.Loan) string {
@@ -315,19 +315,19 @@
 	return ""
 }
 
-// answer takes one report of a guest in.
-func (b *Broker) answer(now time.Time, hv overflow.LenderView, r overflow.Heartbeat) answered {
-	m := b.members[r.From]
+// answerHeartbeat takes one report of a guest in.
+func (b *Broker) answerHeartbeat(now time.Time, lenderView overflow.LenderView, heartbeat overflow.Heartbeat) heartbeatResult {
+	m := b.peers[heartbeat.From]
 	if m == nil {
-		return answered{err: link.ErrStale}
+		return heartbeatResult{err: link.ErrStale}
 	}
-	a, ops, ok := b.home.HandleHeartbeat(now, hv, r)
+	a, ops, ok := b.lender.HandleHeartbeat(now, lenderView, heartbeat)
 	if !ok {
-		return answered{err: link.ErrStale}
+		return heartbeatResult{err: link.ErrStale}
 	}
-	m.NoteHeartbeat(now, r)
-	for _, l := range r.Loans {
-		if l.Loan.Home == b.set.Cluster && l.State == overflow.Held {
+	m.NoteHeartbeat(now, heartbeat)
+	for _, l := range heartbeat.Loans {
+		if l.Loan.Home == b.settings.Cluster && l.State == overflow.Held {
 			b.progress[l.Loan.Job] = core.Progress{ID: l.Loan.Job, Done: l.DoneTasks, Running: l.RunningTasks}
 		}
 		if l.State == overflow.Gone && l.Cause == overflow.NoRoom && slices.ContainsFunc(ops, func(op overflow.LenderTransition) bool { return op.Loan == l.Loan }) {
@@ -335,108 +335,108 @@
 		}
 	}
 	for _, op := range ops {
-		b.homeOp(op)
+		b.commitLenderTransition(op)
 	}
-	return answered{a: a}
+	return heartbeatResult{reply: a}
 }
 
-// report sends a report to a peer, beside the loop.
-func (b *Broker) report(now time.Time, peer, addr string, gv overflow.BorrowerView) {
-	r := b.guest.NewHeartbeat(now, b.set.Cluster, peer, gv)
-	if !b.set.Borrow {
-		r.FreeCapacity = nil
+// sendHeartbeat sends a report to a peer, beside the loop.
+func (b *Broker) sendHeartbeat(now time.Time, peer, addr string, borrowerView overflow.BorrowerView) {
+	heartbeat := b.borrower.NewHeartbeat(now, b.settings.Cluster, peer, borrowerView)
+	if !b.settings.BorrowEnabled {
+		heartbeat.FreeCapacity = nil
 	}
-	guest, m := b.guest, b.members[peer]
+	guest, tracker := b.borrower, b.peers[peer]
 	go func() {
-		ctx, cancel := context.WithTimeout(b.ctx, reportPatience)
+		ctx, cancel := context.WithTimeout(b.ctx, heartbeatTimeout)
 		defer cancel()
-		a, err := b.link.Report(ctx, peer, addr, r)
+		a, err := b.sender.SendHeartbeat(ctx, peer, addr, heartbeat)
 		took := time.Since(now)
-		b.post(func() {
-			b.met.answered(peer, err, took)
+		b.enqueue(func() {
+			b.metrics.observeReply(peer, err, took)
 			switch now := time.Now(); {
 			case errors.Is(err, link.ErrNotLeader):
-				m.NoteRedirect(now, "")
+				tracker.NoteRedirect(now, "")
 			case err != nil:
 				slog.Debug("overflow: no answer", "peer", peer, "addr", addr, "err", err)
-				m.NoteFailure(now, b.rng)
+				tracker.NoteFailure(now, b.rng)
 			default:
-				m.NoteReply(now, took, b.rng)
-				if b.guest == guest && b.guests {
-					b.told(peer, r.Sequence, a)
+				tracker.NoteReply(now, took, b.rng)
+				if b.borrower == guest && b.runsGuestTeam {
+					b.handleReply(peer, heartbeat.Sequence, a)
 				}
 			}
 		})
 	}()
 }
 
-// post hands something to the loop, unless all ends.
-func (b *Broker) post(fn func()) {
+// enqueue hands something to the loop, unless all ends.
+func (b *Broker) enqueue(fn func()) {
 	select {
 	case b.events <- fn:
 	case <-b.ctx.Done():
 	}
 }
 
-// told takes a home's answer in.
-func (b *Broker) told(peer string, tick uint64, a overflow.HeartbeatReply) {
-	gv := b.guestView()
-	for _, op := range b.guest.HandleReply(peer, tick, a, gv, b.accept) {
-		b.guestOp(op)
+// handleReply takes a home's answer in.
+func (b *Broker) handleReply(peer string, tick uint64, a overflow.HeartbeatReply) {
+	borrowerView := b.borrowerView()
+	for _, op := range b.borrower.HandleReply(peer, tick, a, borrowerView, b.admitLoan) {
+		b.commitBorrowerTransition(op)
 	}
 }
 
-// accept says whether a peer's job is taken in.
-func (b *Broker) accept(o overflow.Command) overflow.Cause {
+// admitLoan says whether a peer's job is taken in.
+func (b *Broker) admitLoan(o overflow.Command) overflow.Cause {
 	switch {
-	case !b.set.Borrow:
+	case !b.settings.BorrowEnabled:
 		return overflow.Refused
 	case b.view.Draining:
 		return overflow.Draining
 	}
-	why := overflow.Admit(o, &b.admit, b.set.Limits)
+	why := overflow.Admit(o, &b.admission, b.settings.Limits)
 	if why != "" {
-		b.met.refused(why)
+		b.metrics.countRefusal(why)
 	}
 	return why
 }
 
-// plan chooses what to lend and what to give back.
-func (b *Broker) plan(now time.Time, gv overflow.BorrowerView) {
+// planLoans chooses what to lend and what to give back.
+func (b *Broker) planLoans(now time.Time, borrowerView overflow.BorrowerView) {
 	v := &b.view
 	if !v.OwnWorkLate {
-		b.late = time.Time{}
-	} else if b.late.IsZero() {
-		b.late = now
+		b.lateSince = time.Time{}
+	} else if b.lateSince.IsZero() {
+		b.lateSince = now
 	}
-	b.admit = overflow.AdmissionState{LoansIn: len(v.Borrowed), FreeCapacity: gv.FreeCapacity, OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency}
-	p := overflow.Pressure{OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency, DrainIn: -1}
+	b.admission = overflow.AdmissionState{LoansIn: len(v.Borrowed), FreeCapacity: borrowerView.FreeCapacity, OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency}
+	pressure := overflow.Pressure{OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency, DrainIn: -1}
 	if v.OwnWorkLate {
-		p.LateFor = now.Sub(b.late)
+		pressure.LateFor = now.Sub(b.lateSince)
 	}
 	if v.Draining {
-		p.DrainIn = max(0, time.Until(v.DrainDeadline))
+		pressure.DrainIn = max(0, time.Until(v.DrainDeadline))
 	}
 	rest := func(x overflow.BorrowedLoan) time.Duration { return x.Spec.ExpectedRunTime }
-	for _, l := range overflow.ChooseGiveBacks(gv.Borrowed, p, rest) {
+	for _, l := range overflow.ChooseGiveBacks(borrowerView.Borrowed, pressure, rest) {
 		why := overflow.GivenBack
 		if v.Draining {
 			why = overflow.Draining
 		}
-		b.guestOp(overflow.BorrowerTransition{Kind: overflow.GiveUp, Loan: l, Cause: why})
+		b.commitBorrowerTransition(overflow.BorrowerTransition{Kind: overflow.GiveUp, Loan: l, Cause: why})
 	}
-	if !b.set.Lend || v.Draining || !b.leads {
+	if !b.settings.LendEnabled || v.Draining || !b.isLeader {
 		return
 	}
-	for job, at := range b.rest {
-		if now.Sub(at) > restAfterBack {
-			delete(b.rest, job)
+	for job, at := range b.returnedAt {
+		if now.Sub(at) > giveBackCooldown {
+			delete(b.returnedAt, job)
 		}
 	}
-	var cs []overflow.Candidate
+	var candidates []overflow.Candidate
 	for _, w := range v.Waiting {
-		_, rest := b.rest[w.Spec.ID]
-		cs = append(cs, overflow.Candidate{
+		_, rest := b.returnedAt[w.Spec.ID]
+		candidates = append(candidates, overflow.Candidate{
 			Job: w.Spec.ID, Spec: w.Spec, SLODue: w.SLODue, HomeFinish: w.HomeFinish, RunTime: w.RunTime, LendCount: w.LendCount, CoolingDown: rest,
 		})
 	}
@@ -444,112 +444,112 @@
 	for _, l := range v.Lent {
 		out[l.Peer]++
 	}
-	var ps []overflow.PeerSnapshot
-	for _, name := range slices.Sorted(maps.Keys(b.members)) {
-		ps = append(ps, b.members[name].Snapshot(now, out[name]))
+	var peers []overflow.PeerSnapshot
+	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
+		peers = append(peers, b.peers[name].Snapshot(now, out[name]))
 	}
-	for _, o := range overflow.ChooseOffers(cs, ps, b.set.Limits, v.CheapestCPUHour) {
-		i := slices.IndexFunc(cs, func(c overflow.Candidate) bool { return c.Job == o.Job })
-		l := overflow.Loan{Home: b.set.Cluster, Job: o.Job, LendCount: cs[i].LendCount + 1}
-		slog.Info("overflow: lends", "loan", l, "peer", o.Peer, "why", o.Reason, "there_in", o.PeerFinish, "here_in", cs[i].HomeFinish, "aim_in", cs[i].SLODue)
-		b.homeOp(overflow.LenderTransition{Kind: overflow.Lend, Loan: l, Peer: o.Peer, StopBound: b.members[o.Peer].StopBound()})
+	for _, o := range overflow.ChooseOffers(candidates, peers, b.settings.Limits, v.CheapestCPUHour) {
+		i := slices.IndexFunc(candidates, func(c overflow.Candidate) bool { return c.Job == o.Job })
+		l := overflow.Loan{Home: b.settings.Cluster, Job: o.Job, LendCount: candidates[i].LendCount + 1}
+		slog.Info("overflow: lends", "loan", l, "peer", o.Peer, "why", o.Reason, "there_in", o.PeerFinish, "here_in", candidates[i].HomeFinish, "aim_in", candidates[i].SLODue)
+		b.commitLenderTransition(overflow.LenderTransition{Kind: overflow.Lend, Loan: l, Peer: o.Peer, StopBound: b.peers[o.Peer].StopBound()})
 	}
 }
 
-// homeOp has one step of a loan of ours made durable.
-func (b *Broker) homeOp(op overflow.LenderTransition) {
+// commitLenderTransition has one step of a loan of ours made durable.
+func (b *Broker) commitLenderTransition(transition overflow.LenderTransition) {
 	kind := map[overflow.LenderTransitionKind]core.LoanCommandKind{
 		overflow.Lend: core.LoanLend, overflow.TakeBack: core.LoanTakeBack, overflow.Settle: core.LoanSettle, overflow.EndCancelled: core.LoanEndCancelled,
-	}[op.Kind]
-	if op.Kind != overflow.Lend {
-		slog.Info("overflow: loan ends", "loan", op.Loan, "how", op.Kind, "cause", op.Cause)
-		b.met.ended(op)
+	}[transition.Kind]
+	if transition.Kind != overflow.Lend {
+		slog.Info("overflow: loan ends", "loan", transition.Loan, "how", transition.Kind, "cause", transition.Cause)
+		b.metrics.countEnd(transition)
 	}
-	home := b.home
-	if b.busy[op.Loan] {
+	lender := b.lender
+	if b.inFlight[transition.Loan] {
 		// An earlier step is still being written: decided again when it is known.
-		home.CloseFailed(op.Loan)
+		lender.CloseFailed(transition.Loan)
 		return
 	}
-	b.do(op.Loan, core.LoanCommand{Kind: kind, Job: op.Loan.Job, Loan: op.Loan.String(), LendCount: op.Loan.LendCount, Peer: op.Peer, StopBound: op.StopBound, Cause: string(op.Cause)}, func(s core.LoanStatus) {
-		if b.home != home {
+	b.commit(transition.Loan, core.LoanCommand{Kind: kind, Job: transition.Loan.Job, Loan: transition.Loan.String(), LendCount: transition.Loan.LendCount, Peer: transition.Peer, StopBound: transition.StopBound, Cause: string(transition.Cause)}, func(s core.LoanStatus) {
+		if b.lender != lender {
 			return
 		}
 		if s == core.LoanNotApplied {
-			home.CloseFailed(op.Loan)
+			lender.CloseFailed(transition.Loan)
 		}
-		if op.Kind == overflow.TakeBack && s == core.LoanDurable {
-			b.rest[op.Loan.Job] = time.Now()
+		if transition.Kind == overflow.TakeBack && s == core.LoanDurable {
+			b.returnedAt[transition.Loan.Job] = time.Now()
 		}
 	})
 }
 
-// guestOp has one step of a peer's loan made durable.
-func (b *Broker) guestOp(op overflow.BorrowerTransition) {
+// commitBorrowerTransition has one step of a peer's loan made durable.
+func (b *Broker) commitBorrowerTransition(transition overflow.BorrowerTransition) {
 	kind := map[overflow.BorrowerTransitionKind]core.LoanCommandKind{
 		overflow.Accept: core.LoanAccept, overflow.GiveUp: core.LoanGiveUp, overflow.Drop: core.LoanDrop,
-	}[op.Kind]
-	spec := op.Spec
-	spec.ID, spec.Team = op.Loan.OffloadedJobID(), b.set.GuestTeam
-	slog.Info("overflow: borrowed", "loan", op.Loan, "what", op.Kind, "cause", op.Cause)
-	guest := b.guest
-	b.do(op.Loan, core.LoanCommand{Kind: kind, Job: spec.ID, Loan: op.Loan.String(), Spec: spec, Age: op.Age, Cause: string(op.Cause)}, func(s core.LoanStatus) {
-		if b.guest == guest && op.Kind == overflow.Accept && s == core.LoanNotApplied {
+	}[transition.Kind]
+	spec := transition.Spec
+	spec.ID, spec.Team = transition.Loan.OffloadedJobID(), b.settings.GuestTeam
+	slog.Info("overflow: borrowed", "loan", transition.Loan, "what", transition.Kind, "cause", transition.Cause)
+	borrower := b.borrower
+	b.commit(transition.Loan, core.LoanCommand{Kind: kind, Job: spec.ID, Loan: transition.Loan.String(), Spec: spec, Age: transition.Age, Cause: string(transition.Cause)}, func(s core.LoanStatus) {
+		if b.borrower == borrower && transition.Kind == overflow.Accept && s == core.LoanNotApplied {
 			// Durable ones are told once a view shows them, so that no report
 			// can leave them out.
-			guest.NoteAccepted(op.Loan, false)
+			borrower.NoteAccepted(transition.Loan, false)
 		}
 	})
 }
 
-// do runs a transaction until its outcome is known. One at a time for a loan.
-func (b *Broker) do(l overflow.Loan, op core.LoanCommand, over func(core.LoanStatus)) {
-	if b.busy[l] {
+// commit runs a transaction until its outcome is known. One at a time for a loan.
+func (b *Broker) commit(l overflow.Loan, op core.LoanCommand, onDone func(core.LoanStatus)) {
+	if b.inFlight[l] {
 		return
 	}
-	b.busy[l] = true
-	home, guest := b.home, b.guest
+	b.inFlight[l] = true
+	lender, borrower := b.lender, b.borrower
 	go func() {
 		for b.ctx.Err() == nil {
-			ctx, cancel := context.WithTimeout(b.ctx, corePatience)
-			e, err := b.core.Ask(ctx, func(r uint64) core.Command { op.Reply = r; return op })
+			ctx, cancel := context.WithTimeout(b.ctx, controllerTimeout)
+			e, err := b.controller.Ask(ctx, func(r uint64) core.Command { op.Reply = r; return op })
 			cancel()
 			if d, ok := e.(core.LoanReply); ok && err == nil && d.Status != core.LoanUncertain {
-				b.post(func() {
-					if b.home == home && b.guest == guest {
-						delete(b.busy, l)
-						over(d.Status)
+				b.enqueue(func() {
+					if b.lender == lender && b.borrower == borrower {
+						delete(b.inFlight, l)
+						onDone(d.Status)
 					}
 				})
 				return
 			}
-			time.Sleep(unsurePause)
+			time.Sleep(uncertainRetryPause)
 		}
 	}()
 }
 
-func (b *Broker) homeView() overflow.LenderView {
+func (b *Broker) lenderView() overflow.LenderView {
 	hv := overflow.LenderView{Epoch: b.view.Epoch, LeaseValidUntil: b.view.LeaseValidUntil}
 	for _, x := range b.view.Lent {
 		hv.Lent = append(hv.Lent, overflow.LentLoan{
-			Loan: overflow.Loan{Home: b.set.Cluster, Job: x.Spec.ID, LendCount: x.LendCount}, Peer: x.Peer, Spec: x.Spec, SubmittedAt: x.SubmittedAt, StopBound: x.StopBound, CancelRequested: x.CancelRequested,
+			Loan: overflow.Loan{Home: b.settings.Cluster, Job: x.Spec.ID, LendCount: x.LendCount}, Peer: x.Peer, Spec: x.Spec, SubmittedAt: x.SubmittedAt, StopBound: x.StopBound, CancelRequested: x.CancelRequested,
 		})
 	}
 	return hv
 }
 
-func (b *Broker) guestView() overflow.BorrowerView {
+func (b *Broker) borrowerView() overflow.BorrowerView {
 	v := &b.view
-	gv := overflow.BorrowerView{
+	view := overflow.BorrowerView{
 		Epoch: v.GuestTeamEpoch, Draining: v.Draining, LendsItself: len(v.Lent) > 0 || v.OwnWorkLate,
-		StopBound: workerLeases*b.set.WorkerLease + stopSlack, CachedImages: v.CachedImages, RenewedAt: map[string]time.Time{},
+		StopBound: workerLeaseCount*b.settings.WorkerLease + stopMargin, CachedImages: v.CachedImages, RenewedAt: map[string]time.Time{},
 	}
 	for home, t := range v.RenewedAt {
 		// Written by another controller's clock: neither is sure of the time of day.
-		gv.RenewedAt[home] = t.Add(-2 * b.set.ClockBound)
+		view.RenewedAt[home] = t.Add(-2 * b.settings.ClockBound)
 	}
 	for _, r := range v.FreeCapacity {
-		gv.FreeCapacity = append(gv.FreeCapacity, overflow.FreeCapacity{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, PerMachine: r.PerMachine, Machines: r.Machines, AvailableIn: r.AvailableIn, CostPerCPUHour: r.CostPerCPUHour, FetchRate: r.FetchRate})
+		view.FreeCapacity = append(view.FreeCapacity, overflow.FreeCapacity{MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot, PerMachine: r.PerMachine, Machines: r.Machines, AvailableIn: r.AvailableIn, CostPerCPUHour: r.CostPerCPUHour, FetchRate: r.FetchRate})
 	}
 	for _, x := range v.Borrowed {
 		l, ok := parseLoan(x.Loan)
@@ -563,9 +563,9 @@
 		case x.StatusKnown && x.Status == core.Cancelled:
 			y.State = overflow.Gone
 		}
-		gv.Borrowed = append(gv.Borrowed, y)
+		view.Borrowed = append(view.Borrowed, y)
 	}
-	return gv
+	return view
 }
 
 // parseLoan reads a loan's name, as it stands in keys.
--- a/internal/overflow/link/golden_test.go
+++ b/internal/overflow/link/golden_test.go
@@ -43,14 +43,14 @@
 // TestGoldenFrames: what clusters tell each other is written as it ever was, bound to the
 // connection, and what others write is read.
 func TestGoldenFrames(t *testing.T) {
-	b := &binder{key: bytes.Repeat([]byte{7}, keyBytes), home: "east", from: "west"}
+	b := &binder{key: bytes.Repeat([]byte{7}, keyBytes), lender: "east", borrower: "west"}
 	write := func(f *Frame) ([]byte, error) {
 		f.Version, f.Seq = Version, goldenSeq
 		return proto.MarshalOptions{Deterministic: true}.Marshal(f)
 	}
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
-			w, err := b.report(goldenSeq, v.(overflow.Heartbeat))
+			w, err := b.encodeHeartbeat(goldenSeq, v.(overflow.Heartbeat))
 			if err != nil {
 				return nil, err
 			}
@@ -60,14 +60,14 @@
 			var f Frame
 			err := proto.Unmarshal(p, &f)
 			if err == nil {
-				*into.(*overflow.Heartbeat), err = b.checked(&f, goldenSeq-1)
+				*into.(*overflow.Heartbeat), err = b.decodeFrame(&f, goldenSeq-1)
 			}
 			return err
 		},
 	}, testgolden.Values{"report": goldenReport})
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
-			w, err := b.answer(goldenSeq, v.(overflow.HeartbeatReply))
+			w, err := b.encodeReply(goldenSeq, v.(overflow.HeartbeatReply))
 			if err != nil {
 				return nil, err
 			}
@@ -77,23 +77,23 @@
 			var f Frame
 			err := proto.Unmarshal(p, &f)
 			if err == nil {
-				*into.(*overflow.HeartbeatReply), err = b.readAnswer(f.Seq, f.GetAnswer())
+				*into.(*overflow.HeartbeatReply), err = b.decodeReply(f.Seq, f.GetAnswer())
 			}
 			return err
 		},
 	}, testgolden.Values{"answer": goldenAnswer})
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
-			r := v.(Refused)
+			r := v.(RefusedError)
 			return write(&Frame{Body: &Frame_Refusal{&Refusal{Code: r.Code, Reason: r.Reason}}})
 		},
 		Read: func(p []byte, into any) error {
 			var f Frame
 			err := proto.Unmarshal(p, &f)
-			*into.(*Refused) = Refused{f.GetRefusal().GetCode(), f.GetRefusal().GetReason()}
+			*into.(*RefusedError) = RefusedError{f.GetRefusal().GetCode(), f.GetRefusal().GetReason()}
 			return err
 		},
-	}, testgolden.Values{"refusal": Refused{Code: Code_NOT_PEER, Reason: "no peer"}})
+	}, testgolden.Values{"refusal": RefusedError{Code: Code_NOT_PEER, Reason: "no peer"}})
 
 	// All fields of all messages, also of those that are bound.
 	var sent []proto.Message
--- a/internal/overflow/link/link.go
+++ b/internal/overflow/link/link.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// frameMost bounds one frame: some thousand loans.
-	frameMost = 4 << 20
-	// connsMost bounds the connections that peers may hold here, and idleMost is
+	// maxFrameBytes bounds one frame: some thousand loans.
+	maxFrameBytes = 4 << 20
+	// maxConns bounds the connections that peers may hold here, and idleTimeout is
 	// how long one may say nothing.
-	connsMost = 64
-	idleMost  = 2 * time.Minute
-	// shakeMost bounds a handshake, and writeMost the writing of a frame.
-	shakeMost = 3 * time.Second
-	writeMost = 3 * time.Second
-	// connAge is after how long a connection is made anew, so that a certificate
+	maxConns    = 64
+	idleTimeout = 2 * time.Minute
+	// handshakeTimeout bounds a handshake, and writeTimeout the writing of a frame.
+	handshakeTimeout = 3 * time.Second
+	writeTimeout     = 3 * time.Second
+	// maxConnAge is after how long a connection is made anew, so that a certificate
 	// that has expired or whose CA has gone is noticed on a busy one as well.
-	connAge = 5 * time.Minute
+	maxConnAge = 5 * time.Minute
 )
 
 // ErrNotLeader says that another controller of the cluster answers reports.
@@ -39,18 +39,18 @@
 // cluster cannot answer now.
 var ErrStale = errors.New("link: not now")
 
-// Refused is a peer's refusal, with its reason.
-type Refused struct {
+// RefusedError is a peer's refusal, with its reason.
+type RefusedError struct {
 	Code   Code
 	Reason string
 }
 
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	return fmt.Sprintf("link: refused: %s (%s)", r.Reason, r.Code)
 }
 
 // Unwrap lets callers tell what a refusal means for them.
-func (r *Refused) Unwrap() error {
+func (r *RefusedError) Unwrap() error {
 	switch r.Code {
 	case Code_NOT_LEADER:
 		return ErrNotLeader
@@ -65,11 +65,11 @@
 
 // Server takes reports of peers.
 type Server struct {
-	Store   *keys.Store
-	Cluster string
-	Peers   map[string]bool
-	Allow   []netip.Prefix
-	Handle  Handler
+	Store           *keys.Store
+	Cluster         string
+	Peers           map[string]bool
+	AllowedPrefixes []netip.Prefix
+	Handle          Handler
 }
 
 // Serve takes connections until the context ends.
@@ -78,7 +78,7 @@
 		<-ctx.Done()
 		ln.Close()
 	}()
-	free := make(chan struct{}, connsMost)
+	slots := make(chan struct{}, maxConns)
 	for {
 		c, err := ln.Accept()
 		if ctx.Err() != nil {
@@ -89,15 +89,15 @@
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		if !s.allowed(c.RemoteAddr()) {
+		if !s.isAllowed(c.RemoteAddr()) {
 			slog.Info("overflow: connection from an address that is not allowed", "addr", c.RemoteAddr())
 			c.Close()
 			continue
 		}
 		select {
-		case free <- struct{}{}:
+		case slots <- struct{}{}:
 			go func() {
-				defer func() { <-free }()
+				defer func() { <-slots }()
 				defer c.Close()
 				if err := s.serve(ctx, tls.Server(c, s.Store.ServerConfig())); err != nil && ctx.Err() == nil {
 					slog.Debug("overflow: connection ended", "addr", c.RemoteAddr(), "err", err)
@@ -109,12 +109,12 @@
 	}
 }
 
-func (s *Server) allowed(a net.Addr) bool {
+func (s *Server) isAllowed(a net.Addr) bool {
 	ap, err := netip.ParseAddrPort(a.String())
 	if err != nil {
 		return false
 	}
-	for _, p := range s.Allow {
+	for _, p := range s.AllowedPrefixes {
 		if p.Contains(ap.Addr().Unmap()) {
 			return true
 		}
@@ -123,9 +123,9 @@
 }
 
 func (s *Server) serve(ctx context.Context, c *tls.Conn) error {
-	shake, cancel := context.WithTimeout(ctx, shakeMost)
+	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	if err := c.HandshakeContext(shake); err != nil {
+	if err := c.HandshakeContext(handshakeCtx); err != nil {
 		slog.Info("overflow: a peer was not let in", "addr", c.RemoteAddr(), "why", err)
 		return err
 	}
@@ -135,9 +135,9 @@
 		return err
 	}
 	r := bufio.NewReader(c)
-	opts := protodelim.UnmarshalOptions{MaxSize: frameMost}
+	opts := protodelim.UnmarshalOptions{MaxSize: maxFrameBytes}
 	for last := uint64(0); ; {
-		c.SetReadDeadline(time.Now().Add(idleMost))
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		var f Frame
 		if err := opts.UnmarshalFrom(r, &f); err != nil {
 			return err
@@ -146,52 +146,52 @@
 		refuse := func(code Code, format string, args ...any) {
 			out.Body = &Frame_Refusal{&Refusal{Code: code, Reason: fmt.Sprintf(format, args...)}}
 		}
-		bad := true
-		switch rep, err := b.checked(&f, last); {
+		invalid := true
+		switch heartbeat, err := b.decodeFrame(&f, last); {
 		case f.Version != Version:
 			refuse(Code_VERSION, "version %d is not known here; this controller speaks %d", f.Version, Version)
 		case peer == "" || !s.Peers[peer]:
 			refuse(Code_NOT_PEER, "cluster %q is no peer of %s", peer, s.Cluster)
 		case err != nil:
 			refuse(Code_FORGED, "%v", err)
-		case rep.From != peer:
-			refuse(Code_NOT_PEER, "cluster %q speaks as %q", peer, rep.From)
+		case heartbeat.From != peer:
+			refuse(Code_NOT_PEER, "cluster %q speaks as %q", peer, heartbeat.From)
 		default:
-			bad, last = false, f.Seq
-			a, err := s.Handle(ctx, rep)
+			invalid, last = false, f.Seq
+			a, err := s.Handle(ctx, heartbeat)
 			switch {
 			case errors.Is(err, ErrNotLeader):
 				refuse(Code_NOT_LEADER, "another controller of %s answers", s.Cluster)
 			case err != nil:
 				refuse(Code_STALE, "%v", err)
 			default:
-				w, err := b.answer(f.Seq, a)
+				w, err := b.encodeReply(f.Seq, a)
 				if err != nil {
 					return err
 				}
 				out.Body = &Frame_Answer{w}
 			}
 		}
-		c.SetWriteDeadline(time.Now().Add(writeMost))
+		c.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := protodelim.MarshalTo(c, out); err != nil {
 			return err
 		}
-		if bad {
+		if invalid {
 			return fmt.Errorf("link: %s: %s", peer, out.GetRefusal().GetReason())
 		}
 	}
 }
 
-// checked reads a report out of a frame: its number must be above the last one's,
+// decodeFrame reads a report out of a frame: its number must be above the last one's,
 // so that nothing that was sent before is taken again.
-func (b *binder) checked(f *Frame, last uint64) (overflow.Heartbeat, error) {
+func (b *binder) decodeFrame(f *Frame, last uint64) (overflow.Heartbeat, error) {
 	if f.GetReport() == nil {
 		return overflow.Heartbeat{}, errors.New("link: not a report")
 	}
 	if f.Seq <= last {
 		return overflow.Heartbeat{}, fmt.Errorf("%w: frame %d after %d", ErrForged, f.Seq, last)
 	}
-	return b.readReport(f.Seq, f.GetReport())
+	return b.decodeHeartbeat(f.Seq, f.GetReport())
 }
 
 // Client sends reports to peers, over one connection to each of their controllers.
@@ -204,18 +204,18 @@
 }
 
 type conn struct {
-	c   *tls.Conn
-	r   *bufio.Reader
-	b   *binder
-	seq uint64
-	// born is when the connection was made.
-	born time.Time
+	tlsConn *tls.Conn
+	reader  *bufio.Reader
+	binder  *binder
+	seq     uint64
+	// openedAt is when the connection was made.
+	openedAt time.Time
 }
 
-// Report sends a report to a controller of a peer and waits for its answer. One
+// SendHeartbeat sends a report to a controller of a peer and waits for its answer. One
 // report to an address is under way at a time; the caller sees to that. Any error
 // ends the connection: an answer that comes later has no one to take it.
-func (c *Client) Report(ctx context.Context, peer, addr string, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
+func (c *Client) SendHeartbeat(ctx context.Context, peer, addr string, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
 	c.mu.Lock()
 	if c.conns == nil {
 		c.conns = map[string]*conn{}
@@ -223,8 +223,8 @@
 	x := c.conns[addr]
 	delete(c.conns, addr)
 	c.mu.Unlock()
-	if x != nil && time.Since(x.born) > connAge {
-		x.c.Close()
+	if x != nil && time.Since(x.openedAt) > maxConnAge {
+		x.tlsConn.Close()
 		x = nil
 	}
 	if x == nil {
@@ -233,9 +233,9 @@
 			return overflow.HeartbeatReply{}, err
 		}
 	}
-	a, err := x.report(ctx, r)
+	a, err := x.roundTrip(ctx, r)
 	if err != nil && !errors.Is(err, ErrNotLeader) && !errors.Is(err, ErrStale) {
-		x.c.Close()
+		x.tlsConn.Close()
 		return a, err
 	}
 	c.mu.Lock()
@@ -259,32 +259,32 @@
 		raw.Close()
 		return nil, err
 	}
-	return &conn{c: t, r: bufio.NewReader(t), b: b, born: time.Now()}, nil
+	return &conn{tlsConn: t, reader: bufio.NewReader(t), binder: b, openedAt: time.Now()}, nil
 }
 
-func (x *conn) report(ctx context.Context, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
+func (x *conn) roundTrip(ctx context.Context, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
 	if d, ok := ctx.Deadline(); ok {
-		x.c.SetDeadline(d)
+		x.tlsConn.SetDeadline(d)
 	}
 	x.seq++
-	w, err := x.b.report(x.seq, r)
+	w, err := x.binder.encodeHeartbeat(x.seq, r)
 	if err != nil {
 		return overflow.HeartbeatReply{}, err
 	}
-	if _, err := protodelim.MarshalTo(x.c, &Frame{Version: Version, Seq: x.seq, Body: &Frame_Report{w}}); err != nil {
+	if _, err := protodelim.MarshalTo(x.tlsConn, &Frame{Version: Version, Seq: x.seq, Body: &Frame_Report{w}}); err != nil {
 		return overflow.HeartbeatReply{}, fmt.Errorf("link: %w", err)
 	}
 	var f Frame
-	if err := (protodelim.UnmarshalOptions{MaxSize: frameMost}).UnmarshalFrom(x.r, &f); err != nil {
+	if err := (protodelim.UnmarshalOptions{MaxSize: maxFrameBytes}).UnmarshalFrom(x.reader, &f); err != nil {
 		return overflow.HeartbeatReply{}, fmt.Errorf("link: %w", err)
 	}
 	switch {
 	case f.GetRefusal() != nil:
-		return overflow.HeartbeatReply{}, &Refused{f.GetRefusal().Code, f.GetRefusal().Reason}
+		return overflow.HeartbeatReply{}, &RefusedError{f.GetRefusal().Code, f.GetRefusal().Reason}
 	case f.Version != Version:
 		return overflow.HeartbeatReply{}, fmt.Errorf("link: the answer has version %d, not %d", f.Version, Version)
 	case f.Seq != x.seq || f.GetAnswer() == nil:
 		return overflow.HeartbeatReply{}, fmt.Errorf("%w: not the answer to frame %d", ErrForged, x.seq)
 	}
-	return x.b.readAnswer(x.seq, f.GetAnswer())
+	return x.binder.decodeReply(x.seq, f.GetAnswer())
 }
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -25,9 +25,9 @@
 // binder makes and checks the MACs of one connection. Its key comes out of the TLS
 // handshake, so that both ends of this connection have it and nobody else.
 type binder struct {
-	key  []byte
-	home string // the cluster that answers
-	from string // the cluster that reports
+	key      []byte
+	lender   string // the cluster that answers
+	borrower string // the cluster that reports
 }
 
 const (
@@ -41,13 +41,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	return &binder{key: key, from: from, home: home}, nil
+	return &binder{key: key, borrower: from, lender: home}, nil
 }
 
 // directions keep a report from serving as an order.
 const (
-	dirReport = byte(1)
-	dirAnswer = byte(2)
+	directionHeartbeat = byte(1)
+	directionReply     = byte(2)
 )
 
 func (b *binder) mac(dir byte, seq uint64, x *Bound) ([]byte, error) {
@@ -61,7 +61,7 @@
 	}
 	h.Write([]byte{dir})
 	h.Write(binary.BigEndian.AppendUint64(nil, seq))
-	for _, s := range []string{b.from, b.home, x.Home, x.Job} {
+	for _, s := range []string{b.borrower, b.lender, x.Home, x.Job} {
 		text([]byte(s))
 	}
 	h.Write(binary.BigEndian.AppendUint64(nil, x.N))
@@ -79,7 +79,7 @@
 	return x, err
 }
 
-func (b *binder) open(dir byte, seq uint64, x *Bound, m proto.Message) (overflow.Loan, error) {
+func (b *binder) verify(dir byte, seq uint64, x *Bound, m proto.Message) (overflow.Loan, error) {
 	l := overflow.Loan{Home: x.Home, Job: x.Job, LendCount: x.N}
 	want, err := b.mac(dir, seq, x)
 	if err != nil {
@@ -94,19 +94,19 @@
 	return l, nil
 }
 
-func (b *binder) report(seq uint64, r overflow.Heartbeat) (*Report, error) {
+func (b *binder) encodeHeartbeat(seq uint64, r overflow.Heartbeat) (*Report, error) {
 	m := &Report{
 		From: r.From, Epoch: r.Epoch, Tick: r.Sequence, HomeEpoch: r.HomeEpoch, Draining: r.Draining, Lender: r.LendsItself,
 		StopMs: r.StopBound.Milliseconds(), Images: r.CachedImages,
 	}
 	for _, x := range r.FreeCapacity {
 		m.Room = append(m.Room, &Room{
-			Flavour: x.MachineType, Zone: x.Zone, Spot: x.Spot, Each: amount(x.PerMachine), Machines: int64(x.Machines),
+			Flavour: x.MachineType, Zone: x.Zone, Spot: x.Spot, Each: encodeResources(x.PerMachine), Machines: int64(x.Machines),
 			InMs: x.AvailableIn.Milliseconds(), Price: x.CostPerCPUHour, Rate: x.FetchRate,
 		})
 	}
 	for _, l := range r.Loans {
-		x, err := b.bind(dirReport, seq, l.Loan, &LoanReport{State: int32(l.State), Cause: string(l.Cause), Done: int64(l.DoneTasks), Running: int64(l.RunningTasks)})
+		x, err := b.bind(directionHeartbeat, seq, l.Loan, &LoanReport{State: int32(l.State), Cause: string(l.Cause), Done: int64(l.DoneTasks), Running: int64(l.RunningTasks)})
 		if err != nil {
 			return nil, err
 		}
@@ -115,20 +115,20 @@
 	return m, nil
 }
 
-func (b *binder) readReport(seq uint64, m *Report) (overflow.Heartbeat, error) {
+func (b *binder) decodeHeartbeat(seq uint64, m *Report) (overflow.Heartbeat, error) {
 	r := overflow.Heartbeat{
 		From: m.From, Epoch: m.Epoch, Sequence: m.Tick, HomeEpoch: m.HomeEpoch, Draining: m.Draining, LendsItself: m.Lender,
-		StopBound: ms(m.StopMs), CachedImages: m.Images,
+		StopBound: millis(m.StopMs), CachedImages: m.Images,
 	}
 	for _, x := range m.Room {
 		r.FreeCapacity = append(r.FreeCapacity, overflow.FreeCapacity{
-			MachineType: x.Flavour, Zone: x.Zone, Spot: x.Spot, PerMachine: resources(x.Each), Machines: int(x.Machines),
-			AvailableIn: ms(x.InMs), CostPerCPUHour: x.Price, FetchRate: x.Rate,
+			MachineType: x.Flavour, Zone: x.Zone, Spot: x.Spot, PerMachine: decodeResources(x.Each), Machines: int(x.Machines),
+			AvailableIn: millis(x.InMs), CostPerCPUHour: x.Price, FetchRate: x.Rate,
 		})
 	}
 	for _, x := range m.Loans {
 		var lr LoanReport
-		l, err := b.open(dirReport, seq, x, &lr)
+		l, err := b.verify(directionHeartbeat, seq, x, &lr)
 		if err != nil {
 			return r, err
 		}
@@ -140,14 +140,14 @@
 	return r, nil
 }
 
-func (b *binder) answer(seq uint64, a overflow.HeartbeatReply) (*Answer, error) {
+func (b *binder) encodeReply(seq uint64, a overflow.HeartbeatReply) (*Answer, error) {
 	m := &Answer{Epoch: a.Epoch, LeaseMs: a.Lease.Milliseconds()}
 	for _, o := range a.Commands {
 		w := &Order{Verb: int32(o.Kind), AgeMs: o.Age.Milliseconds()}
 		if o.Kind == overflow.Take {
-			w.Spec = spec(&o.Spec)
+			w.Spec = encodeSpec(&o.Spec)
 		}
-		x, err := b.bind(dirAnswer, seq, o.Loan, w)
+		x, err := b.bind(directionReply, seq, o.Loan, w)
 		if err != nil {
 			return nil, err
 		}
@@ -156,46 +156,48 @@
 	return m, nil
 }
 
-func (b *binder) readAnswer(seq uint64, m *Answer) (overflow.HeartbeatReply, error) {
-	a := overflow.HeartbeatReply{Epoch: m.Epoch, Lease: ms(m.LeaseMs)}
+func (b *binder) decodeReply(seq uint64, m *Answer) (overflow.HeartbeatReply, error) {
+	a := overflow.HeartbeatReply{Epoch: m.Epoch, Lease: millis(m.LeaseMs)}
 	for _, x := range m.Orders {
 		var w Order
-		l, err := b.open(dirAnswer, seq, x, &w)
+		l, err := b.verify(directionReply, seq, x, &w)
 		if err != nil {
 			return a, err
 		}
-		o := overflow.Command{Kind: overflow.CommandKind(w.Verb), Loan: l, Age: ms(w.AgeMs)}
+		o := overflow.Command{Kind: overflow.CommandKind(w.Verb), Loan: l, Age: millis(w.AgeMs)}
 		if w.Verb < int32(overflow.Take) || w.Verb > int32(overflow.Forget) || o.Kind == overflow.Take && w.Spec == nil {
 			return a, fmt.Errorf("link: loan %s: order %d is not known", l, w.Verb)
 		}
 		if o.Kind == overflow.Take {
-			o.Spec = coreSpec(w.Spec)
+			o.Spec = decodeSpec(w.Spec)
 		}
 		a.Commands = append(a.Commands, o)
 	}
 	return a, nil
 }
 
-func ms(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func amount(r core.Resources) *Amount { return &Amount{Cpu: r.CPU, Gpu: r.GPU, Memory: r.Memory} }
+func encodeResources(r core.Resources) *Amount {
+	return &Amount{Cpu: r.CPU, Gpu: r.GPU, Memory: r.Memory}
+}
 
-func resources(a *Amount) core.Resources {
+func decodeResources(a *Amount) core.Resources {
 	return core.Resources{CPU: a.GetCpu(), GPU: a.GetGpu(), Memory: a.GetMemory()}
 }
 
-func spec(s *core.JobSpec) *Spec {
+func encodeSpec(s *core.JobSpec) *Spec {
 	return &Spec{
-		Workload: s.Workload, Urgency: int32(s.Urgency), Tasks: int64(s.Tasks), Need: amount(s.Need),
+		Workload: s.Workload, Urgency: int32(s.Urgency), Tasks: int64(s.Tasks), Need: encodeResources(s.Need),
 		Image: s.Image, ImageGb: s.ImageGB, Spot: s.AllowSpot, ExpectedMs: s.ExpectedRunTime.Milliseconds(),
 		SaveEveryMs: s.CheckpointInterval.Milliseconds(), SaveCostMs: s.CheckpointCost.Milliseconds(), DueMs: s.Deadline.Milliseconds(),
 	}
 }
 
-func coreSpec(s *Spec) core.JobSpec {
+func decodeSpec(s *Spec) core.JobSpec {
 	return core.JobSpec{
 		Workload: s.Workload, Urgency: core.Urgency(min(max(s.Urgency, int32(core.BestEffort)), int32(core.Critical))),
-		Tasks: int(s.Tasks), Need: resources(s.Need), Image: s.Image, ImageGB: s.ImageGb, AllowSpot: s.Spot,
-		ExpectedRunTime: ms(s.ExpectedMs), CheckpointInterval: ms(s.SaveEveryMs), CheckpointCost: ms(s.SaveCostMs), Deadline: ms(s.DueMs),
+		Tasks: int(s.Tasks), Need: decodeResources(s.Need), Image: s.Image, ImageGB: s.ImageGb, AllowSpot: s.Spot,
+		ExpectedRunTime: millis(s.ExpectedMs), CheckpointInterval: millis(s.SaveEveryMs), CheckpointCost: millis(s.SaveCostMs), Deadline: millis(s.DueMs),
 	}
 }
