--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -11,174 +11,178 @@
 )
 
 const (
-	// jobPlaces is on how many machines a job or a task must have failed, with
+	// jobFaultMachines is on how many machines a job or a task must have failed, with
 	// nothing of it done, before the fault counts as its own. Faulty machines are
 	// rare; that one job meets three of them in a row and no sound one is rarer.
-	jobPlaces = 3
-	// machineJobs is how many jobs, none of them at fault by itself, must have failed
+	jobFaultMachines = 3
+	// machineFaultJobs is how many jobs, none of them at fault by itself, must have failed
 	// on a machine that got nothing else done meanwhile, before it counts as faulty
 	// though none of them was done elsewhere yet.
-	machineJobs = 2
-	// firstPause is how long a job that fails everywhere waits before one of its
+	machineFaultJobs = 2
+	// minPause is how long a job that fails everywhere waits before one of its
 	// tasks is tried again; it doubles up to longestPause. It is never given up: its
 	// user may mend what it needs, and only its user may end it.
-	firstPause   = 2 * time.Second
-	longestPause = 2 * time.Minute
+	minPause = 2 * time.Second
+	maxPause = 2 * time.Minute
 )
 
-// Book is the account of failures. The zero value is empty and ready.
-type Book struct {
-	jobs     map[string]*job
-	machines map[string]*machine
+// Tracker is the account of failures. The zero value is empty and ready.
+type Tracker struct {
+	jobs     map[string]*jobRecord
+	machines map[string]*machineRecord
 }
 
-type job struct {
-	// places are the machines on which tasks of it failed, up to jobPlaces, and
+type jobRecord struct {
+	// failedMachines are the machines on which tasks of it failed, up to jobFaultMachines, and
 	// tasks those of each task that is not done.
-	places []string
-	tasks  map[int][]string
+	failedMachines     []string
+	taskFailedMachines map[int][]string
 	// done: some task of it was done. tries counts failures since it is broken.
-	done  bool
-	tries int
+	hasSucceeded bool
+	failures     int
 }
 
-type machine struct {
-	// jobs are those that failed here and have no fault of their own, since it last
+type machineRecord struct {
+	// failedJobs are those that failed here and have no fault of their own, since it last
 	// got anything done; proven: something that failed here was done elsewhere.
-	jobs   map[string]bool
-	proven bool
+	failedJobs   map[string]bool
+	provenFaulty bool
 }
 
-func (j *job) broken() bool { return !j.done && len(j.places) >= jobPlaces }
+func (j *jobRecord) failsEverywhere() bool {
+	return !j.hasSucceeded && len(j.failedMachines) >= jobFaultMachines
+}
 
-// excused says that a failure of the task says nothing of the machine.
-func (j *job) excused(index int) bool { return j.broken() || len(j.tasks[index]) >= jobPlaces }
+// exoneratesMachine says that a failure of the task says nothing of the machine.
+func (j *jobRecord) exoneratesMachine(index int) bool {
+	return j.failsEverywhere() || len(j.taskFailedMachines[index]) >= jobFaultMachines
+}
 
-// Failed takes in that a task of a job failed on a machine. It names the machines of
+// TaskFailed takes in that a task of a job failed on a machine. It names the machines of
 // which is thought otherwise now.
-func (b *Book) Failed(id string, index int, host string) (changed []string) {
-	j := b.job(id)
-	if len(j.places) < jobPlaces && !slices.Contains(j.places, host) {
-		j.places = append(j.places, host)
+func (b *Tracker) TaskFailed(id string, index int, host string) (changed []string) {
+	j := b.jobRecord(id)
+	if len(j.failedMachines) < jobFaultMachines && !slices.Contains(j.failedMachines, host) {
+		j.failedMachines = append(j.failedMachines, host)
 	}
-	if t := j.tasks[index]; len(t) < jobPlaces && !slices.Contains(t, host) {
-		j.tasks[index] = append(t, host)
+	if t := j.taskFailedMachines[index]; len(t) < jobFaultMachines && !slices.Contains(t, host) {
+		j.taskFailedMachines[index] = append(t, host)
 	}
-	if j.broken() {
-		j.tries++
+	if j.failsEverywhere() {
+		j.failures++
 	}
-	if !j.excused(index) {
+	if !j.exoneratesMachine(index) {
 		m := b.machines[host]
 		if m == nil {
-			m = &machine{jobs: map[string]bool{}}
+			m = &machineRecord{failedJobs: map[string]bool{}}
 			b.machines[host] = m
 		}
-		return b.judged(host, func() { m.jobs[id] = true })
+		return b.updateFault(host, func() { m.failedJobs[id] = true })
 	}
 	// What was held against the machines for its sake counts no more.
-	for _, at := range append(slices.Clone(j.places), j.tasks[index]...) {
-		if m := b.machines[at]; m != nil && m.jobs[id] && !j.others(index, at) {
-			changed = append(changed, b.judged(at, func() { delete(m.jobs, id) })...)
+	for _, machine := range append(slices.Clone(j.failedMachines), j.taskFailedMachines[index]...) {
+		if m := b.machines[machine]; m != nil && m.failedJobs[id] && !j.otherTaskFailedOn(index, machine) {
+			changed = append(changed, b.updateFault(machine, func() { delete(m.failedJobs, id) })...)
 		}
 	}
 	return changed
 }
 
-// job is the account of a job, opened with its first failure.
-func (b *Book) job(id string) *job {
+// jobRecord is the account of a job, opened with its first failure.
+func (b *Tracker) jobRecord(id string) *jobRecord {
 	if b.jobs == nil {
-		b.jobs, b.machines = map[string]*job{}, map[string]*machine{}
+		b.jobs, b.machines = map[string]*jobRecord{}, map[string]*machineRecord{}
 	}
 	j := b.jobs[id]
 	if j == nil {
-		j = &job{tasks: map[int][]string{}}
+		j = &jobRecord{taskFailedMachines: map[int][]string{}}
 		b.jobs[id] = j
 	}
 	return j
 }
 
-// Works takes in, before a failure, that some task of the job is done, whenever and
+// MarkJobWorks takes in, before a failure, that some task of the job is done, whenever and
 // under whichever owner: such a job does not fail everywhere.
-func (b *Book) Works(id string) { b.job(id).done = true }
+func (b *Tracker) MarkJobWorks(id string) { b.jobRecord(id).hasSucceeded = true }
 
-// others says that another task of the job, not excused, failed on the machine.
-func (j *job) others(index int, host string) bool {
-	for i, places := range j.tasks {
-		if i != index && !j.excused(i) && slices.Contains(places, host) {
+// otherTaskFailedOn says that another task of the job, not excused, failed on the machine.
+func (j *jobRecord) otherTaskFailedOn(index int, host string) bool {
+	for i, machines := range j.taskFailedMachines {
+		if i != index && !j.exoneratesMachine(i) && slices.Contains(machines, host) {
 			return true
 		}
 	}
 	return false
 }
 
-// judged makes a change and names the machine if it is thought of otherwise then.
-func (b *Book) judged(host string, change func()) []string {
-	was := b.Faulty(host)
+// updateFault makes a change and names the machine if it is thought of otherwise then.
+func (b *Tracker) updateFault(host string, change func()) []string {
+	was := b.IsFaulty(host)
 	change()
-	if b.Faulty(host) == was {
+	if b.IsFaulty(host) == was {
 		return nil
 	}
 	return []string{host}
 }
 
-// Done takes in that a task of a job was done on a machine. It names the machines of
+// TaskDone takes in that a task of a job was done on a machine. It names the machines of
 // which is thought otherwise now: those on which it had failed were at fault, unless
 // it failed in so many places that the task itself is the likelier cause.
-func (b *Book) Done(id string, index int, host string) (changed []string) {
-	if m := b.machines[host]; m != nil && len(m.jobs) > 0 {
-		changed = b.judged(host, func() { clear(m.jobs) })
+func (b *Tracker) TaskDone(id string, index int, host string) (changed []string) {
+	if m := b.machines[host]; m != nil && len(m.failedJobs) > 0 {
+		changed = b.updateFault(host, func() { clear(m.failedJobs) })
 	}
 	j := b.jobs[id]
 	if j == nil {
 		return changed
 	}
-	j.done, j.tries = true, 0
-	if places := j.tasks[index]; len(places) < jobPlaces {
-		for _, at := range places {
-			m := b.machines[at]
-			if at == host {
+	j.hasSucceeded, j.failures = true, 0
+	if failedMachines := j.taskFailedMachines[index]; len(failedMachines) < jobFaultMachines {
+		for _, machine := range failedMachines {
+			m := b.machines[machine]
+			if machine == host {
 				continue
 			}
 			if m == nil {
-				m = &machine{jobs: map[string]bool{}}
-				b.machines[at] = m
+				m = &machineRecord{failedJobs: map[string]bool{}}
+				b.machines[machine] = m
 			}
-			changed = append(changed, b.judged(at, func() { m.proven = true })...)
+			changed = append(changed, b.updateFault(machine, func() { m.provenFaulty = true })...)
 		}
 	}
-	delete(j.tasks, index)
+	delete(j.taskFailedMachines, index)
 	return changed
 }
 
-// Broken says that a job fails wherever it runs.
-func (b *Book) Broken(id string) bool {
+// FailsEverywhere says that a job fails wherever it runs.
+func (b *Tracker) FailsEverywhere(id string) bool {
 	j := b.jobs[id]
-	return j != nil && j.broken()
+	return j != nil && j.failsEverywhere()
 }
 
-// Pause is how long a job that fails everywhere waits for its next try.
-func (b *Book) Pause(id string) time.Duration {
-	if !b.Broken(id) {
+// RetryBackoff is how long a job that fails everywhere waits for its next try.
+func (b *Tracker) RetryBackoff(id string) time.Duration {
+	if !b.FailsEverywhere(id) {
 		return 0
 	}
-	d := firstPause
-	for range b.jobs[id].tries - 1 {
-		if d *= 2; d >= longestPause {
-			return longestPause
+	backoff := minPause
+	for range b.jobs[id].failures - 1 {
+		if backoff *= 2; backoff >= maxPause {
+			return maxPause
 		}
 	}
-	return d
+	return backoff
 }
 
-// Faulty says that a machine fails what runs on it.
-func (b *Book) Faulty(host string) bool {
+// IsFaulty says that a machine fails what runs on it.
+func (b *Tracker) IsFaulty(host string) bool {
 	m := b.machines[host]
-	return m != nil && (m.proven || len(m.jobs) >= machineJobs)
+	return m != nil && (m.provenFaulty || len(m.failedJobs) >= machineFaultJobs)
 }
 
-// JobOver forgets a job. What was held against machines for its sake stands, unless
+// ForgetJob forgets a job. What was held against machines for its sake stands, unless
 // it failed everywhere.
-func (b *Book) JobOver(id string) { delete(b.jobs, id) }
+func (b *Tracker) ForgetJob(id string) { delete(b.jobs, id) }
 
-// MachineGone forgets a machine.
-func (b *Book) MachineGone(host string) { delete(b.machines, host) }
+// ForgetMachine forgets a machine.
+func (b *Tracker) ForgetMachine(host string) { delete(b.machines, host) }
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -170,7 +170,7 @@
 	if o.jobs[j.ID] == j {
 		delete(o.jobs, j.ID)
 	}
-	o.faultAttribution.JobOver(j.ID)
+	o.faultAttribution.ForgetJob(j.ID)
 	o.orphanedRecords = append(o.orphanedRecords, segmentKeys...)
 }
 
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -157,7 +157,7 @@
 	}
 	m.removed = true
 	o.keepLastHeartbeat(m)
-	o.faultAttribution.MachineGone(m.id)
+	o.faultAttribution.ForgetMachine(m.id)
 }
 
 func (n *Controller) describe(m *machine, addr, machineType, zone string, spot bool) {
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -64,7 +64,7 @@
 	contactsInFlight  int
 	usedByTeam        map[string]Resources
 	// faultAttribution tells faulty machines from jobs that fail everywhere.
-	faultAttribution blame.Book
+	faultAttribution blame.Tracker
 	// txnsInFlight counts the writes under way, and ahead their changes.
 	txnsInFlight, writesInFlight int
 	// startsFirst: of what is to be written starts went before ends last time.
--- a/internal/core/packing.go
+++ b/internal/core/packing.go
@@ -76,7 +76,7 @@
 		p.replicasWaiting = p.replicasWaiting || waiting
 	}
 	for _, j := range o.jobs {
-		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), n.placeableTasks(j) > 0 && n.withinQuotaLimit(j) && !o.faultAttribution.Broken(j.ID))
+		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), n.placeableTasks(j) > 0 && n.withinQuotaLimit(j) && !o.faultAttribution.FailsEverywhere(j.ID))
 	}
 	for _, w := range o.workloads {
 		if n.now.Sub(w.lastSeen) < workloadRetention {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -151,7 +151,7 @@
 	switch {
 	case j.pendingTasks() == 0 || !j.mayStart(n.now) || j.notBefore.After(n.now):
 		return 0
-	case !n.shardLeader.faultAttribution.Broken(j.ID):
+	case !n.shardLeader.faultAttribution.FailsEverywhere(j.ID):
 		return j.pendingTasks()
 	case j.liveTasks > 0:
 		return 0
@@ -351,7 +351,7 @@
 	bound := n.waitObjective(j.Workload)
 	if bound == 0 || j.Urgency == BestEffort {
 		place(forever, most())
-		if (j.placingOverdue || n.preemptsForReplica(j)) && most() > 0 && !n.shardLeader.faultAttribution.Broken(j.ID) {
+		if (j.placingOverdue || n.preemptsForReplica(j)) && most() > 0 && !n.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
 			// Work of lower urgency makes room for what has waited too long, and such
 			// without GPUs for replicas.
 			n.preemptIfDue(j, forever)
@@ -365,7 +365,7 @@
 	place(max(left, 0), most())
 	freeing := 0
 	switch {
-	case n.placeableTasks(j) == 0 || n.shardLeader.faultAttribution.Broken(j.ID):
+	case n.placeableTasks(j) == 0 || n.shardLeader.faultAttribution.FailsEverywhere(j.ID):
 	case left > 0:
 		freeing = n.preemptIfDue(j, left)
 	case n.latestStart(j).Sub(n.now) < bound:
--- a/internal/core/promises.go
+++ b/internal/core/promises.go
@@ -510,7 +510,7 @@
 	o := n.shardLeader
 	held := o.teams[j.Team]
 	switch lost := hasLostAttempt(j); {
-	case o.faultAttribution.Broken(j.ID):
+	case o.faultAttribution.FailsEverywhere(j.ID):
 		return promise.JobMistake
 	case lost:
 		return promise.MachinesLost
--- a/internal/core/rank.go
+++ b/internal/core/rank.go
@@ -655,7 +655,7 @@
 	case j.pendingTasks() == 0:
 	case !j.mayStart(n.now):
 		add("its home has not lately said that it may start here")
-	case o.faultAttribution.Broken(j.ID):
+	case o.faultAttribution.FailsEverywhere(j.ID):
 		add("it fails on every machine and is tried one task at a time")
 	case !n.withinQuotaLimit(j):
 		add("its team %s is at its limit: it goes on when tasks of the team end", j.Team)
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -269,7 +269,7 @@
 				n.updateEstimator(j, ran)
 			}
 			// What failed elsewhere is done here.
-			n.updateFaultyMachines(n.shardLeader.faultAttribution.Done(j.ID, k.index, m.id))
+			n.updateFaultyMachines(n.shardLeader.faultAttribution.TaskDone(j.ID, k.index, m.id))
 			n.endAttempt(j, k.index, true)
 		case "error":
 			n.recordTaskFailure(m, j, k.index)
@@ -317,14 +317,14 @@
 	b := &n.shardLeader.faultAttribution
 	if j.doneTasks > 0 {
 		// What was done before its first failure, or under a former owner, counts.
-		b.Works(j.ID)
+		b.MarkJobWorks(j.ID)
 	}
-	was := b.Broken(j.ID)
-	n.updateFaultyMachines(b.Failed(j.ID, index, m.id))
-	if pause := b.Pause(j.ID); pause > 0 {
+	was := b.FailsEverywhere(j.ID)
+	n.updateFaultyMachines(b.TaskFailed(j.ID, index, m.id))
+	if pause := b.RetryBackoff(j.ID); pause > 0 {
 		j.notBefore = n.now.Add(n.jitter(pause))
 	}
-	if b.Broken(j.ID) && !was {
+	if b.FailsEverywhere(j.ID) && !was {
 		n.info("a job fails on every machine: it is tried ever more slowly", "job", j.ID, "workload", j.Workload, "owner", j.Team)
 	}
 }
@@ -336,7 +336,7 @@
 		if m == nil {
 			continue
 		}
-		m.faulty = n.shardLeader.faultAttribution.Faulty(id)
+		m.faulty = n.shardLeader.faultAttribution.IsFaulty(id)
 		if m.faulty {
 			n.info("machine is faulty", "machine", id)
 		} else {
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -148,7 +148,7 @@
 			affected[m.id] = m
 		}
 		delete(o.jobs, id)
-		o.faultAttribution.JobOver(id)
+		o.faultAttribution.ForgetJob(id)
 	}
 	// Only now: what belongs to a job in the books is not counted as another's.
 	for _, id := range sortedKeys(affected) {
--- a/internal/core/turns.go
+++ b/internal/core/turns.go
@@ -35,7 +35,7 @@
 			Waited: n.waitTime(j), Bound: bound, Part: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
 			Waiting: n.placeableTasks(j), Together: j.Gang,
 		}
-		if n.shardLeader.faultAttribution.Broken(j.ID) {
+		if n.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
 			// What it waits for is its own cure.
 			p.Waited = 0
 		}
