--- a/internal/core/lost.go
+++ b/internal/core/lost.go
@@ -15,7 +15,7 @@
 
 // unresponsiveMachines names the silent machines that are to be given back now.
 func unresponsiveMachines(n *Controller) []string {
-	pool := loss.Pool{Lease: n.settings.WorkerLease, Starts: int(releaseAheadSeconds * n.settings.StoreWritesPerSecond)}
+	pool := loss.Pool{Lease: n.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * n.settings.StoreWritesPerSecond)}
 	var unresponsive []loss.Machine
 	for _, m := range n.shardLeader.machinesByID {
 		if !m.expectsHeartbeats() || m.releasing {
@@ -25,22 +25,22 @@
 		if !n.unresponsive(m) {
 			continue
 		}
-		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.LiveCount(m.id), Over: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
+		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.LiveCount(m.id), UnresponsiveFor: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
 		for k := range m.attempts {
 			j := n.shardLeader.jobs[k.job]
-			if l, u := n.latestStart(j), inverseRank(n, j); u > x.Urgency || x.Latest.IsZero() || u == x.Urgency && l.Before(x.Latest) {
-				x.Urgency, x.Latest = u, l
+			if l, u := n.latestStart(j), inverseRank(n, j); u > x.Urgency || x.LatestStart.IsZero() || u == x.Urgency && l.Before(x.LatestStart) {
+				x.Urgency, x.LatestStart = u, l
 			}
 		}
 		unresponsive = append(unresponsive, x)
 	}
-	pool.Deaf = n.selfMonitor.ReceivesNothing(n.now, n.shardLeader.readyAt, pool.Reporting, n.maxHeartbeatInterval())
+	pool.ReceivesNothing = n.selfMonitor.ReceivesNothing(n.now, n.shardLeader.readyAt, pool.Reporting, n.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// When all fall silent together, the fault is likely ours.
 		return nil
 	}
-	toRelease := append(loss.GiveBack(pool, unresponsive), unreachableMachines(n, pool.Reporting)...)
-	if loss.Many(pool, len(unresponsive)) && n.now.Sub(n.shardLeader.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
+	toRelease := append(loss.SelectReleases(pool, unresponsive), unreachableMachines(n, pool.Reporting)...)
+	if loss.IsCorrelated(pool, len(unresponsive)) && n.now.Sub(n.shardLeader.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
 		n.shardLeader.correlatedFailureLoggedAt = n.now
 		n.info("machines are silent together", "silent", len(unresponsive), "of", pool.Reporting, "given back", len(toRelease))
 	}
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -182,7 +182,7 @@
 			}
 		}
 	}
-	if len(nonStarting) == 0 || loss.Many(loss.Pool{Reporting: reporting}, len(nonStarting)) {
+	if len(nonStarting) == 0 || loss.IsCorrelated(loss.Pool{Reporting: reporting}, len(nonStarting)) {
 		return
 	}
 	for _, m := range nonStarting {
--- a/internal/loss/loss.go
+++ b/internal/loss/loss.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// manyLeast and manyPart say when silence is one event: so many machines, and
+	// minCorrelated and correlatedFraction say when silence is one event: so many machines, and
 	// so large a part of the pool.
-	manyLeast = 4
-	manyPart  = 0.1
-	// halfPatience is how much longer machines are waited for when more than half
+	minCorrelated      = 4
+	correlatedFraction = 0.1
+	// majorityGrace is how much longer machines are waited for when more than half
 	// of the pool is silent, or nothing is heard of any. The fault is then likely
 	// the controller's, and the others, to whom the machines turn, say so within
 	// this time.
-	halfPatience = 10 * time.Second
+	majorityGrace = 10 * time.Second
 )
 
 // Machine is a silent machine.
@@ -29,11 +29,11 @@
 	ID string
 	// Tasks counts what runs there. Of these, Urgency is the highest, and Latest
 	// when the most pressing should start at the latest.
-	Tasks   int
-	Urgency int
-	Latest  time.Time
-	// Over is for how long the machine has counted as silent.
-	Over time.Duration
+	Tasks       int
+	Urgency     int
+	LatestStart time.Time
+	// UnresponsiveFor is for how long the machine has counted as silent.
+	UnresponsiveFor time.Duration
 }
 
 // Pool is what is known of all machines.
@@ -41,39 +41,39 @@
 	// Reporting counts the machines that should report, the silent included.
 	Reporting int
 	Lease     time.Duration
-	// Starts is how many tasks may be set free at a time.
-	Starts int
+	// MaxStarts is how many tasks may be set free at a time.
+	MaxStarts int
 	// Deaf: no report of any machine has come for longer than chance explains.
-	Deaf bool
+	ReceivesNothing bool
 }
 
-// Many says that so many silent machines are one event.
-func Many(p Pool, silent int) bool {
-	return silent >= manyLeast && float64(silent) >= manyPart*float64(p.Reporting)
+// IsCorrelated says that so many silent machines are one event.
+func IsCorrelated(p Pool, unresponsive int) bool {
+	return unresponsive >= minCorrelated && float64(unresponsive) >= correlatedFraction*float64(p.Reporting)
 }
 
-// GiveBack picks the machines to give back now, the most pressing first.
-func GiveBack(p Pool, silent []Machine) []string {
-	ms := slices.Clone(silent)
-	slices.SortStableFunc(ms, func(a, b Machine) int {
+// SelectReleases picks the machines to give back now, the most pressing first.
+func SelectReleases(p Pool, unresponsive []Machine) []string {
+	sorted := slices.Clone(unresponsive)
+	slices.SortStableFunc(sorted, func(a, b Machine) int {
 		return cmp.Or(
 			cmp.Compare(min(b.Tasks, 1), min(a.Tasks, 1)), cmp.Compare(b.Urgency, a.Urgency),
-			a.Latest.Compare(b.Latest), cmp.Compare(a.ID, b.ID))
+			a.LatestStart.Compare(b.LatestStart), cmp.Compare(a.ID, b.ID))
 	})
-	many := Many(p, len(ms))
-	half := p.Reporting > 1 && (p.Deaf || 2*len(ms) > p.Reporting)
+	correlated := IsCorrelated(p, len(sorted))
+	majority := p.Reporting > 1 && (p.ReceivesNothing || 2*len(sorted) > p.Reporting)
 	var out []string
-	freed := 0
-	for _, m := range ms {
+	freedTasks := 0
+	for _, m := range sorted {
 		switch {
-		case half && m.Over < halfPatience:
+		case majority && m.UnresponsiveFor < majorityGrace:
 			continue
-		case many && m.Tasks == 0 && m.Over < p.Lease:
+		case correlated && m.Tasks == 0 && m.UnresponsiveFor < p.Lease:
 			continue
-		case many && freed > 0 && freed+m.Tasks > p.Starts:
+		case correlated && freedTasks > 0 && freedTasks+m.Tasks > p.MaxStarts:
 			continue
 		}
-		freed += m.Tasks
+		freedTasks += m.Tasks
 		out = append(out, m.ID)
 	}
 	return out
--- a/internal/loss/loss_test.go
+++ b/internal/loss/loss_test.go
@@ -12,57 +12,57 @@
 
 var t0 = time.Unix(1_750_000_000, 0)
 
-// TestGiveBack: who is given back when, by how much of the pool is silent.
-func TestGiveBack(t *testing.T) {
-	p := Pool{Reporting: 100, Lease: 30 * time.Second, Starts: 6}
-	one := []Machine{{ID: "a"}, {ID: "b", Tasks: 2}}
-	if got := GiveBack(p, one); !slices.Equal(got, []string{"b", "a"}) {
+// TestSelectReleases: who is given back when, by how much of the pool is silent.
+func TestSelectReleases(t *testing.T) {
+	p := Pool{Reporting: 100, Lease: 30 * time.Second, MaxStarts: 6}
+	few := []Machine{{ID: "a"}, {ID: "b", Tasks: 2}}
+	if got := SelectReleases(p, few); !slices.Equal(got, []string{"b", "a"}) {
 		t.Errorf("of a few silent ones %v are given back, want all, those with work first", got)
 	}
 	var many []Machine
 	for i := range 20 {
-		many = append(many, Machine{ID: fmt.Sprint("n", i), Tasks: 2, Urgency: 1, Latest: t0.Add(time.Duration(20-i) * time.Second)})
+		many = append(many, Machine{ID: fmt.Sprint("n", i), Tasks: 2, Urgency: 1, LatestStart: t0.Add(time.Duration(20-i) * time.Second)})
 	}
-	many = append(many, Machine{ID: "idle"}, Machine{ID: "idle-long", Over: time.Minute}, Machine{ID: "urgent", Tasks: 2, Urgency: 2, Latest: t0.Add(time.Hour)})
-	if got := GiveBack(p, many); !slices.Equal(got, []string{"urgent", "n19", "n18", "idle-long"}) {
+	many = append(many, Machine{ID: "idle"}, Machine{ID: "idle-long", UnresponsiveFor: time.Minute}, Machine{ID: "urgent", Tasks: 2, Urgency: 2, LatestStart: t0.Add(time.Hour)})
+	if got := SelectReleases(p, many); !slices.Equal(got, []string{"urgent", "n19", "n18", "idle-long"}) {
 		t.Errorf("of many %v are given back, want the urgent, then the most pressing, as many as can start elsewhere", got)
 	}
-	p.Deaf = true
-	if got := GiveBack(p, one); len(got) != 0 {
+	p.ReceivesNothing = true
+	if got := SelectReleases(p, few); len(got) != 0 {
 		t.Errorf("%v are given back by a controller that hears nobody", got)
 	}
-	p.Deaf, p.Reporting = false, 24
-	if got := GiveBack(p, many); !slices.Equal(got, []string{"idle-long"}) {
+	p.ReceivesNothing, p.Reporting = false, 24
+	if got := SelectReleases(p, many); !slices.Equal(got, []string{"idle-long"}) {
 		t.Errorf("of more than half of the pool %v are given back before others could say that they hear them", got)
 	}
 }
 
-// TestEverySilentMachineIsGivenBackInTheEnd: whatever is silent, patience ends.
-func TestEverySilentMachineIsGivenBackInTheEnd(t *testing.T) {
+// TestEveryUnresponsiveMachineIsReleased: whatever is silent, patience ends.
+func TestEveryUnresponsiveMachineIsReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := Pool{Reporting: rapid.IntRange(1, 50).Draw(t, "reporting"), Lease: 30 * time.Second, Starts: rapid.IntRange(0, 8).Draw(t, "starts")}
-		var ms []Machine
+		p := Pool{Reporting: rapid.IntRange(1, 50).Draw(t, "reporting"), Lease: 30 * time.Second, MaxStarts: rapid.IntRange(0, 8).Draw(t, "starts")}
+		var unresponsive []Machine
 		for i := range rapid.IntRange(1, p.Reporting).Draw(t, "silent") {
-			ms = append(ms, Machine{
+			unresponsive = append(unresponsive, Machine{
 				ID: fmt.Sprint(i), Tasks: rapid.IntRange(0, 12).Draw(t, "tasks"), Urgency: rapid.IntRange(0, 3).Draw(t, "urgency"),
-				Latest: t0.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "latest")) * time.Second),
+				LatestStart: t0.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "latest")) * time.Second),
 			})
 		}
 		for range 200 {
-			gone := GiveBack(p, ms)
-			for k := 1; k < len(gone); k++ {
-				if slices.Index(gone, gone[k-1]) != k-1 {
-					t.Fatalf("%s is given back twice", gone[k-1])
+			released := SelectReleases(p, unresponsive)
+			for k := 1; k < len(released); k++ {
+				if slices.Index(released, released[k-1]) != k-1 {
+					t.Fatalf("%s is given back twice", released[k-1])
 				}
 			}
-			ms = slices.DeleteFunc(ms, func(m Machine) bool { return slices.Contains(gone, m.ID) })
-			if len(ms) == 0 {
+			unresponsive = slices.DeleteFunc(unresponsive, func(m Machine) bool { return slices.Contains(released, m.ID) })
+			if len(unresponsive) == 0 {
 				return
 			}
-			for i := range ms {
-				ms[i].Over += time.Second
+			for i := range unresponsive {
+				unresponsive[i].UnresponsiveFor += time.Second
 			}
 		}
-		t.Fatalf("%d are never given back", len(ms))
+		t.Fatalf("%d are never given back", len(unresponsive))
 	})
 }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// TestGiveBack: machines that hear nothing go in time, not before that, never all of
+// TestSelectReleases: machines that hear nothing go in time, not before that, never all of
 // them, and of many no more than one at a time and only after their leases.
 func TestSelectReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
