--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -399,7 +399,7 @@
 		return false
 	}
 	bound, _ := waitBound(n, j)
-	if p := (patience.Job{Waited: n.waitTime(j), Bound: bound, Waiting: 1}); !p.Overdue() {
+	if p := (patience.Job{Waited: n.waitTime(j), MaxWait: bound, WaitingTasks: 1}); !p.Overdue() {
 		return false
 	}
 	stops := 0
--- a/internal/core/turns.go
+++ b/internal/core/turns.go
@@ -32,8 +32,8 @@
 		j := r.job
 		bound, part := waitBound(n, j)
 		p := patience.Job{
-			Waited: n.waitTime(j), Bound: bound, Part: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
-			Waiting: n.placeableTasks(j), Together: j.Gang,
+			Waited: n.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
+			WaitingTasks: n.placeableTasks(j), Gang: j.Gang,
 		}
 		if n.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
 			// What it waits for is its own cure.
@@ -46,15 +46,15 @@
 				room = n.totalCapacityFor(j)
 				rooms[shape] = room
 			}
-			p.Each = 1 / max(room, 1)
-			p.Holds = float64(j.liveTasks) * p.Each
+			p.TaskFraction = 1 / max(room, 1)
+			p.RunningFraction = float64(j.liveTasks) * p.TaskFraction
 		}
 		jobs[i] = p
 	}
-	ts := patience.Turns(jobs)
+	ts := patience.QueueOrder(jobs)
 	out := make([]queueEntry, len(ts))
 	for i, t := range ts {
-		out[i] = queueEntry{rs[t.Job].job, t.Tasks, t.First}
+		out[i] = queueEntry{rs[t.Job].job, t.Tasks, t.Promoted}
 	}
 	return out
 }
@@ -99,7 +99,7 @@
 // machineReservation is a job that machines are gathered for, and those that could be.
 type machineReservation struct {
 	job             *job
-	hosts           []patience.Host
+	hosts           []patience.Candidate
 	fittingMachines int
 	// machinesNeeded is how many machines its waiting tasks would fill.
 	machinesNeeded int
@@ -140,17 +140,17 @@
 			usable++
 		}
 	}
-	left := max(1, int(patience.Gathered*float64(usable)))
+	left := max(1, int(patience.MaxReservedFraction*float64(usable)))
 	for _, most := range [...]int{1, usable} {
 		for _, g := range reservations {
-			for _, id := range patience.Gather(g.hosts, min(left, most, g.machinesNeeded), g.fittingMachines) {
+			for _, id := range patience.Reserve(g.hosts, min(left, most, g.machinesNeeded), g.fittingMachines) {
 				if reservedFor[id] == "" {
 					reservedFor[id] = g.job.ID
 					g.machinesNeeded--
 					left--
 				}
 			}
-			g.hosts = slices.DeleteFunc(g.hosts, func(h patience.Host) bool { return reservedFor[h.ID] != "" })
+			g.hosts = slices.DeleteFunc(g.hosts, func(h patience.Candidate) bool { return reservedFor[h.ID] != "" })
 		}
 	}
 	for _, m := range o.machinesByID {
@@ -172,7 +172,7 @@
 		g.fittingMachines++
 		each = max(each, m.size.Times(j.Need))
 		if at, ok := n.timeUntilFits(m, j.Need); ok && j.zoneAllowed(m.zone) {
-			g.hosts = append(g.hosts, patience.Host{ID: m.id, At: at, Held: m.reservedFor == j.ID})
+			g.hosts = append(g.hosts, patience.Candidate{ID: m.id, FreeIn: at, Reserved: m.reservedFor == j.ID})
 		}
 	}
 	g.machinesNeeded = (n.placeableTasks(j) + each - 1) / each
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -12,74 +12,74 @@
 // TestTurns: whatever the jobs are, each has all its tasks in turns; what has waited too
 // long goes before all of its own or lower urgency, but not before what a guarantee
 // covers; and what goes first stays within its part, one task apart.
-func TestTurns(t *testing.T) {
+func TestFairOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := make([]Job, rapid.IntRange(0, 12).Draw(t, "jobs"))
 		for i := range jobs {
 			jobs[i] = Job{
 				Waited:  time.Duration(rapid.IntRange(0, 400).Draw(t, "waited")) * time.Second,
 				Urgency: rapid.IntRange(0, 3).Draw(t, "urgency"), Guaranteed: rapid.Bool().Draw(t, "guaranteed"),
-				Waiting: rapid.IntRange(1, 50).Draw(t, "waiting"), Each: rapid.SampledFrom([]float64{0.001, 0.02, 0.4, 1}).Draw(t, "each"),
-				Holds: rapid.SampledFrom([]float64{0, 0, 0.1, 0.5}).Draw(t, "holds"), Together: rapid.Bool().Draw(t, "together"),
+				WaitingTasks: rapid.IntRange(1, 50).Draw(t, "waiting"), TaskFraction: rapid.SampledFrom([]float64{0.001, 0.02, 0.4, 1}).Draw(t, "each"),
+				RunningFraction: rapid.SampledFrom([]float64{0, 0, 0.1, 0.5}).Draw(t, "holds"), Gang: rapid.Bool().Draw(t, "together"),
 			}
 		}
-		turns := Turns(jobs)
+		entries := QueueOrder(jobs)
 		tasks := make([]int, len(jobs))
-		taken, gangs, largest, firsts := 0.0, 0.0, 0.0, 0
+		taken, gangs, largest, promoted := 0.0, 0.0, 0.0, 0
 		for i := range jobs {
-			largest = max(largest, jobs[i].Each)
+			largest = max(largest, jobs[i].TaskFraction)
 		}
-		for k, turn := range turns {
-			j := &jobs[turn.Job]
-			if tasks[turn.Job] += turn.Tasks; turn.Tasks <= 0 {
-				t.Fatalf("an empty turn %v", turn)
+		for k, entry := range entries {
+			j := &jobs[entry.Job]
+			if tasks[entry.Job] += entry.Tasks; entry.Tasks <= 0 {
+				t.Fatalf("an empty turn %v", entry)
 			}
-			if !turn.First {
+			if !entry.Promoted {
 				continue
 			}
-			firsts++
+			promoted++
 			if !j.Overdue() {
-				t.Fatalf("%v goes first and has not waited too long", turn)
+				t.Fatalf("%v goes first and has not waited too long", entry)
 			}
 			// The part, as much once more for those of which nothing runs, and one task
 			// in any case.
-			if j.Together {
-				gangs += float64(turn.Tasks) * j.Each
+			if j.Gang {
+				gangs += float64(entry.Tasks) * j.TaskFraction
 			}
-			if taken += float64(turn.Tasks) * j.Each; taken > 2*Part+largest+gangs+1e-9 {
-				t.Fatalf("%v: %.2f of the room goes first", turn, taken)
+			if taken += float64(entry.Tasks) * j.TaskFraction; taken > 2*DefaultPriorityFraction+largest+gangs+1e-9 {
+				t.Fatalf("%v: %.2f of the room goes first", entry, taken)
 			}
-			for _, before := range turns[:k] {
-				b := &jobs[before.Job]
-				if !before.First && b.Urgency <= j.Urgency && (j.Guaranteed || !b.Guaranteed) {
-					t.Fatalf("%v comes after %v", turn, before)
+			for _, earlier := range entries[:k] {
+				b := &jobs[earlier.Job]
+				if !earlier.Promoted && b.Urgency <= j.Urgency && (j.Guaranteed || !b.Guaranteed) {
+					t.Fatalf("%v comes after %v", entry, earlier)
 				}
 			}
 		}
-		late := false
+		anyOverdue := false
 		for i := range jobs {
-			if tasks[i] != jobs[i].Waiting {
-				t.Fatalf("job %d has %d of %d tasks in turns", i, tasks[i], jobs[i].Waiting)
+			if tasks[i] != jobs[i].WaitingTasks {
+				t.Fatalf("job %d has %d of %d tasks in turns", i, tasks[i], jobs[i].WaitingTasks)
 			}
-			late = late || jobs[i].Overdue()
+			anyOverdue = anyOverdue || jobs[i].Overdue()
 		}
-		free := !slices.ContainsFunc(jobs, func(j Job) bool { return j.Holds > 0 })
-		if late && free && firsts == 0 {
+		noneRunning := !slices.ContainsFunc(jobs, func(j Job) bool { return j.RunningFraction > 0 })
+		if anyOverdue && noneRunning && promoted == 0 {
 			t.Fatal("nothing goes first though some have waited too long")
 		}
 	})
 }
 
-// TestGather: what is held stays held, and never more than the part, but one.
-func TestGather(t *testing.T) {
-	hosts := []Host{{"a", 5 * time.Second, false}, {"b", time.Second, false}, {"c", 9 * time.Second, true}, {"d", 2 * time.Second, false}}
-	if got := Gather(hosts, 9, 8); !slices.Equal(got, []string{"c", "b"}) {
+// TestReserve: what is held stays held, and never more than the part, but one.
+func TestReserve(t *testing.T) {
+	candidates := []Candidate{{"a", 5 * time.Second, false}, {"b", time.Second, false}, {"c", 9 * time.Second, true}, {"d", 2 * time.Second, false}}
+	if got := Reserve(candidates, 9, 8); !slices.Equal(got, []string{"c", "b"}) {
 		t.Errorf("a quarter of eight: %v", got)
 	}
-	if got := Gather(hosts, 1, 100); !slices.Equal(got, []string{"c"}) {
+	if got := Reserve(candidates, 1, 100); !slices.Equal(got, []string{"c"}) {
 		t.Errorf("one task: %v", got)
 	}
-	if got := Gather(hosts, 3, 2); len(got) != 1 {
+	if got := Reserve(candidates, 3, 2); len(got) != 1 {
 		t.Errorf("one in any case: %v", got)
 	}
 }
