--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -64,7 +64,7 @@
 	// provisioningTimes is what was learnt of how long machines of each kind take to come up.
 	provisioningTimes map[machineKind]*boottime.Kind
 	// throttle divides planning into slices, and sliced is the work of the last one.
-	throttle      pace.Pace
+	throttle      pace.SliceBudget
 	lastSliceWork int
 	// placed: the last step had a round of placing in it.
 	placementRan bool
--- a/internal/core/pass.go
+++ b/internal/core/pass.go
@@ -148,7 +148,7 @@
 	if n.lastSliceWork == 0 {
 		return
 	}
-	rest := n.throttle.Took(n.lastSliceWork, d)
+	rest := n.throttle.Record(n.lastSliceWork, d)
 	n.lastSliceWork = 0
 	if n.shardLeader != nil {
 		n.shardLeader.planningPassAt = n.now.Add(d + rest)
