--- a/internal/core/trade.go
+++ b/internal/core/trade.go
@@ -25,10 +25,10 @@
 )
 
 func (k machineKind) exchangeKind() market.Kind {
-	return market.Kind{Flavour: k.machineType, Zone: k.zone, Spot: k.spot}
+	return market.Kind{MachineType: k.machineType, Zone: k.zone, Spot: k.spot}
 }
 
-func fromExchangeKind(k market.Kind) machineKind { return machineKind{k.Flavour, k.Zone, k.Spot} }
+func fromExchangeKind(k market.Kind) machineKind { return machineKind{k.MachineType, k.Zone, k.Spot} }
 
 // fleetRequest is what an owner asks of the leader.
 type fleetRequest struct {
@@ -71,21 +71,21 @@
 	requests := fleetRequests(n)
 	var owners []market.Owner
 	for _, w := range requests {
-		o := market.Owner{Host: w.host, Wants: map[market.Kind]int{}}
+		o := market.Owner{Host: w.host, CapacityRequests: map[market.Kind]int{}}
 		for k, c := range w.capacity {
-			o.Wants[k.exchangeKind()] = c
+			o.CapacityRequests[k.exchangeKind()] = c
 		}
 		for _, id := range w.surplus {
 			if r := l.rentals[id]; r != nil && r.status == "running" && canHandOver(n, id, w.host) {
-				o.Spare = append(o.Spare, market.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
+				o.Surplus = append(o.Surplus, market.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
 			}
 		}
 		owners = append(owners, o)
 	}
 	handovers, bookings := market.Match(owners, market.Limits{
-		Moves: maxHandovers, Bookings: n.bookingBudget(), Each: maxRentPerRequest,
+		MaxTransfers: maxHandovers, MaxScaleOuts: n.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
 		// One more wish is heard only when all bookings of it are answered.
-		Busy: func(host string, k market.Kind) bool {
+		IsBusy: func(host string, k market.Kind) bool {
 			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(n.now)
 		},
 	})
@@ -103,7 +103,7 @@
 			for k := range w.capacity {
 				// What is left of them stays wanted until the next look.
 				j := slices.IndexFunc(owners, func(o market.Owner) bool { return o.Host == w.host })
-				w.capacity[k] = owners[j].Wants[k.exchangeKind()]
+				w.capacity[k] = owners[j].CapacityRequests[k.exchangeKind()]
 			}
 		}
 		releaseFor(n, w.host, w.releases)
--- a/internal/market/market.go
+++ b/internal/market/market.go
@@ -12,20 +12,20 @@
 
 // Kind is a kind of machine.
 type Kind struct {
-	Flavour string
-	Zone    string
-	Spot    bool
+	MachineType string
+	Zone        string
+	Spot        bool
 }
 
 // Compare orders kinds.
-func (k Kind) Compare(o Kind) int {
-	s := func(b bool) int {
+func (k Kind) Compare(other Kind) int {
+	toInt := func(b bool) int {
 		if b {
 			return 1
 		}
 		return 0
 	}
-	return cmp.Or(strings.Compare(k.Flavour, o.Flavour), strings.Compare(k.Zone, o.Zone), s(k.Spot)-s(o.Spot))
+	return cmp.Or(strings.Compare(k.MachineType, other.MachineType), strings.Compare(k.Zone, other.Zone), toInt(k.Spot)-toInt(other.Spot))
 }
 
 // Machine is one that an owner has to spare.
@@ -37,19 +37,19 @@
 // Owner is what one owner wishes for and has to spare. Wishes count the machines of
 // each kind; Spare come the best to give first.
 type Owner struct {
-	Host  string
-	Wants map[Kind]int
-	Spare []Machine
+	Host             string
+	CapacityRequests map[Kind]int
+	Surplus          []Machine
 }
 
-// Move hands a machine over.
-type Move struct {
+// Transfer hands a machine over.
+type Transfer struct {
 	ID       string
 	From, To string
 }
 
-// Booking is a request to rent.
-type Booking struct {
+// ScaleOut is a request to rent.
+type ScaleOut struct {
 	Host  string
 	Kind  Kind
 	Count int
@@ -58,88 +58,88 @@
 // Limits bound what is done at once: machines handed over, bookings, and machines in
 // a booking. Busy says that a kind can't be booked for an owner now.
 type Limits struct {
-	Moves    int
-	Bookings int
-	Each     int
-	Busy     func(host string, k Kind) bool
+	MaxTransfers   int
+	MaxScaleOuts   int
+	MaxPerScaleOut int
+	IsBusy         func(host string, k Kind) bool
 }
 
 // Match meets wishes. Wants are reduced by what is met. An owner is given nothing of
 // a kind of which it has some to spare itself.
-func Match(owners []Owner, l Limits) ([]Move, []Booking) {
+func Match(owners []Owner, limits Limits) ([]Transfer, []ScaleOut) {
 	owners = slices.Clone(owners)
 	slices.SortFunc(owners, func(a, b Owner) int { return strings.Compare(a.Host, b.Host) })
-	moves := hand(owners, l.Moves)
-	return moves, book(owners, l)
+	transfers := transferSurplus(owners, limits.MaxTransfers)
+	return transfers, scaleOutRest(owners, limits)
 }
 
-// hand gives spare machines to those who want such, one after another in turns.
-func hand(owners []Owner, most int) []Move {
+// transferSurplus gives spare machines to those who want such, one after another in turns.
+func transferSurplus(owners []Owner, limit int) []Transfer {
 	type spare struct {
 		from int
 		id   string
 	}
-	by := map[Kind][]spare{}
-	own := make([]map[Kind]bool, len(owners))
+	surplus := map[Kind][]spare{}
+	hasSurplus := make([]map[Kind]bool, len(owners))
 	for i, o := range owners {
-		own[i] = map[Kind]bool{}
-		for _, m := range o.Spare {
-			by[m.Kind] = append(by[m.Kind], spare{i, m.ID})
-			own[i][m.Kind] = true
+		hasSurplus[i] = map[Kind]bool{}
+		for _, m := range o.Surplus {
+			surplus[m.Kind] = append(surplus[m.Kind], spare{i, m.ID})
+			hasSurplus[i][m.Kind] = true
 		}
 	}
-	kinds := make([]Kind, 0, len(by))
-	for k := range by {
+	kinds := make([]Kind, 0, len(surplus))
+	for k := range surplus {
 		kinds = append(kinds, k)
 	}
 	slices.SortFunc(kinds, Kind.Compare)
-	var out []Move
+	var out []Transfer
 	for _, k := range kinds {
-		for given := true; given; {
-			given = false
+		for progressed := true; progressed; {
+			progressed = false
 			for i, o := range owners {
-				if len(by[k]) == 0 || len(out) >= most || o.Wants[k] <= 0 || own[i][k] {
+				if len(surplus[k]) == 0 || len(out) >= limit || o.CapacityRequests[k] <= 0 || hasSurplus[i][k] {
 					continue
 				}
-				s := by[k][0]
-				by[k] = by[k][1:]
-				o.Wants[k]--
-				out = append(out, Move{s.id, owners[s.from].Host, o.Host})
-				given = true
+				s := surplus[k][0]
+				surplus[k] = surplus[k][1:]
+				o.CapacityRequests[k]--
+				out = append(out, Transfer{s.id, owners[s.from].Host, o.Host})
+				progressed = true
 			}
 		}
 	}
 	return out
 }
 
-// book asks the cloud for the rest, in turns of the owners and, for each, of the
+// scaleOutRest asks the cloud for the rest, in turns of the owners and, for each, of the
 // kinds.
-func book(owners []Owner, l Limits) []Booking {
-	var out []Booking
-	next := make([][]Kind, len(owners))
+func scaleOutRest(owners []Owner, limits Limits) []ScaleOut {
+	var out []ScaleOut
+	pending := make([][]Kind, len(owners))
 	for i, o := range owners {
-		for k, n := range o.Wants {
-			if n > 0 && (l.Busy == nil || !l.Busy(o.Host, k)) {
-				next[i] = append(next[i], k)
+		for k, n := range o.CapacityRequests {
+			if n > 0 && (limits.IsBusy == nil || !limits.IsBusy(o.Host, k)) {
+				pending[i] = append(pending[i], k)
 			}
 		}
-		slices.SortFunc(next[i], Kind.Compare)
+		slices.SortFunc(pending[i], Kind.Compare)
 	}
-	for more := true; more && len(out) < l.Bookings; {
-		more = false
+	for progressed := true; progressed && len(out) < limits.MaxScaleOuts; {
+		progressed = false
 		for i, o := range owners {
-			if len(next[i]) == 0 || len(out) >= l.Bookings {
+			if len(pending[i]) == 0 || len(out) >= limits.MaxScaleOuts {
 				continue
 			}
-			k := next[i][0]
-			c := min(o.Wants[k], l.Each)
-			out = append(out, Booking{o.Host, k, c})
-			if o.Wants[k] -= c; o.Wants[k] > 0 {
-				next[i] = append(next[i][1:], k)
+			k := pending[i][0]
+			count := min(o.CapacityRequests[k], limits.MaxPerScaleOut)
+			out = append(out, ScaleOut{o.Host, k, count})
+			if o.CapacityRequests[k] -= count; o.CapacityRequests[k] > 0 {
+				pending[i] = append(pending[i][1:], k)
 			} else {
-				next[i] = next[i][1:]
+				pending[i] = pending[i][1:]
 			}
-			more = true
+			progressed = true
 		}
 	}
 	return out
--- a/internal/market/market_test.go
+++ b/internal/market/market_test.go
@@ -16,95 +16,95 @@
 func TestMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var owners []Owner
-		want := map[string]map[Kind]int{}
-		home := map[string]string{}
+		requests := map[string]map[Kind]int{}
+		ownerOf := map[string]string{}
 		kindOf := map[string]Kind{}
-		spare := map[string]map[Kind]int{}
+		surplus := map[string]map[Kind]int{}
 		for i := range rapid.IntRange(1, 5).Draw(t, "owners") {
-			o := Owner{Host: fmt.Sprintf("worker-%d", i), Wants: map[Kind]int{}}
-			spare[o.Host] = map[Kind]int{}
+			o := Owner{Host: fmt.Sprintf("worker-%d", i), CapacityRequests: map[Kind]int{}}
+			surplus[o.Host] = map[Kind]int{}
 			for _, k := range kinds {
 				if n := rapid.IntRange(0, 60).Draw(t, "want"); n > 0 {
-					o.Wants[k] = n
+					o.CapacityRequests[k] = n
 				}
 				for range rapid.IntRange(0, 20).Draw(t, "spare") {
-					id := fmt.Sprintf("vm-%d", len(home))
-					home[id], kindOf[id] = o.Host, k
-					spare[o.Host][k]++
-					o.Spare = append(o.Spare, Machine{id, k})
+					id := fmt.Sprintf("vm-%d", len(ownerOf))
+					ownerOf[id], kindOf[id] = o.Host, k
+					surplus[o.Host][k]++
+					o.Surplus = append(o.Surplus, Machine{id, k})
 				}
 			}
-			want[o.Host] = maps.Clone(o.Wants)
+			requests[o.Host] = maps.Clone(o.CapacityRequests)
 			owners = append(owners, o)
 		}
-		l := Limits{Moves: rapid.IntRange(0, 200).Draw(t, "moves"), Bookings: rapid.IntRange(1, 8).Draw(t, "bookings"), Each: 50}
-		moves, books := Match(owners, l)
-		got := map[string]map[Kind]int{}
+		limits := Limits{MaxTransfers: rapid.IntRange(0, 200).Draw(t, "moves"), MaxScaleOuts: rapid.IntRange(1, 8).Draw(t, "bookings"), MaxPerScaleOut: 50}
+		transfers, scaleOuts := Match(owners, limits)
+		received := map[string]map[Kind]int{}
 		seen := map[string]bool{}
-		handed := map[Kind]int{}
-		for _, m := range moves {
-			if home[m.ID] != m.From || m.To == m.From || seen[m.ID] {
-				t.Fatalf("%v: its owner is %s", m, home[m.ID])
+		transferred := map[Kind]int{}
+		for _, m := range transfers {
+			if ownerOf[m.ID] != m.From || m.To == m.From || seen[m.ID] {
+				t.Fatalf("%v: its owner is %s", m, ownerOf[m.ID])
 			}
 			seen[m.ID] = true
-			handed[kindOf[m.ID]]++
-			if got[m.To] == nil {
-				got[m.To] = map[Kind]int{}
+			transferred[kindOf[m.ID]]++
+			if received[m.To] == nil {
+				received[m.To] = map[Kind]int{}
 			}
-			got[m.To][kindOf[m.ID]]++
-			if spare[m.To][kindOf[m.ID]] > 0 {
+			received[m.To][kindOf[m.ID]]++
+			if surplus[m.To][kindOf[m.ID]] > 0 {
 				t.Fatalf("%s is given a %v and has some to spare", m.To, kindOf[m.ID])
 			}
 		}
-		if len(moves) > l.Moves || len(books) > l.Bookings {
-			t.Fatalf("%d moves and %d bookings", len(moves), len(books))
+		if len(transfers) > limits.MaxTransfers || len(scaleOuts) > limits.MaxScaleOuts {
+			t.Fatalf("%d moves and %d bookings", len(transfers), len(scaleOuts))
 		}
-		for _, b := range books {
-			if got[b.Host] == nil {
-				got[b.Host] = map[Kind]int{}
+		for _, b := range scaleOuts {
+			if received[b.Host] == nil {
+				received[b.Host] = map[Kind]int{}
 			}
-			got[b.Host][b.Kind] += b.Count
+			received[b.Host][b.Kind] += b.Count
 			left := 0
-			for h := range spare {
+			for h := range surplus {
 				if h != b.Host {
-					left += spare[h][b.Kind]
+					left += surplus[h][b.Kind]
 				}
 			}
-			if spare[b.Host][b.Kind] == 0 && handed[b.Kind] < left && len(moves) < l.Moves {
+			if surplus[b.Host][b.Kind] == 0 && transferred[b.Kind] < left && len(transfers) < limits.MaxTransfers {
 				t.Fatalf("%v is rented for %s beside spare ones", b.Kind, b.Host)
 			}
 		}
-		for h, by := range got {
+		for h, by := range received {
 			for k, n := range by {
-				if n > want[h][k] {
-					t.Fatalf("%s gets %d of %v and wants %d", h, n, k, want[h][k])
+				if n > requests[h][k] {
+					t.Fatalf("%s gets %d of %v and wants %d", h, n, k, requests[h][k])
 				}
 			}
 		}
 	})
 }
 
-// TestTurns: of a short kind nobody gets all before another has any.
-func TestTurns(t *testing.T) {
+// TestFairOrder: of a short kind nobody gets all before another has any.
+func TestFairOrder(t *testing.T) {
 	k := kinds[0]
-	wants := func(n int) map[Kind]int { return map[Kind]int{k: n} }
-	spare := Owner{Host: "c"}
+	requests := func(n int) map[Kind]int { return map[Kind]int{k: n} }
+	donor := Owner{Host: "c"}
 	for i := range 10 {
-		spare.Spare = append(spare.Spare, Machine{fmt.Sprint("vm-", i), k})
+		donor.Surplus = append(donor.Surplus, Machine{fmt.Sprint("vm-", i), k})
 	}
-	moves, books := Match([]Owner{{Host: "a", Wants: wants(500)}, {Host: "b", Wants: wants(3)}, spare}, Limits{Moves: 100, Bookings: 4, Each: 50})
-	by := map[string]int{}
-	for _, m := range moves {
-		by[m.To]++
+	transfers, scaleOuts := Match([]Owner{{Host: "a", CapacityRequests: requests(500)}, {Host: "b", CapacityRequests: requests(3)}, donor}, Limits{MaxTransfers: 100, MaxScaleOuts: 4, MaxPerScaleOut: 50})
+	transferred := map[string]int{}
+	for _, m := range transfers {
+		transferred[m.To]++
 	}
-	if by["a"] != 7 || by["b"] != 3 {
-		t.Errorf("handed over %v", by)
+	if transferred["a"] != 7 || transferred["b"] != 3 {
+		t.Errorf("handed over %v", transferred)
 	}
-	if len(books) != 4 || books[0].Host != "a" {
-		t.Errorf("booked %v", books)
+	if len(scaleOuts) != 4 || scaleOuts[0].Host != "a" {
+		t.Errorf("booked %v", scaleOuts)
 	}
-	_, books = Match([]Owner{{Host: "a", Wants: wants(500)}, {Host: "b", Wants: wants(500)}}, Limits{Bookings: 4, Each: 50})
-	if len(books) != 4 || books[0].Host != "a" || books[1].Host != "b" || books[2].Host != "a" {
-		t.Errorf("booked %v, want turns", books)
+	_, scaleOuts = Match([]Owner{{Host: "a", CapacityRequests: requests(500)}, {Host: "b", CapacityRequests: requests(500)}}, Limits{MaxScaleOuts: 4, MaxPerScaleOut: 50})
+	if len(scaleOuts) != 4 || scaleOuts[0].Host != "a" || scaleOuts[1].Host != "b" || scaleOuts[2].Host != "a" {
+		t.Errorf("booked %v, want turns", scaleOuts)
 	}
 }
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestTurns: whatever the jobs are, each has all its tasks in turns; what has waited too
+// TestFairOrder: whatever the jobs are, each has all its tasks in turns; what has waited too
 // long goes before all of its own or lower urgency, but not before what a guarantee
 // covers; and what goes first stays within its part, one task apart.
 func TestFairOrder(t *testing.T) {
