--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -38,7 +38,7 @@
 	// statusWaiters are who waits for a read of a job's record, and lookups which reads that
 	// takes.
 	statusWaiters      map[string][]func(StoreResponse)
-	readBatches        lookup.Book
+	readBatches        lookup.Batcher
 	batchTurnScheduled bool
 	waitingRequests    int
 	requestsByDeadline []*userRequest
@@ -366,7 +366,7 @@
 func (n *Controller) readStatusRecord(id string, fn func(StoreResponse)) {
 	u := &n.frontend
 	u.statusWaiters[id] = append(u.statusWaiters[id], fn)
-	u.readBatches.Ask(id)
+	u.readBatches.Request(id)
 	n.sendReadBatches()
 }
 
@@ -382,19 +382,19 @@
 			u.batchTurnScheduled = true
 			n.after(minRefreshInterval, func() {
 				u.batchTurnScheduled = false
-				u.readBatches.Turn()
+				u.readBatches.BeginRound()
 				n.sendReadBatches()
 			})
 		}
 		// It answers those that asked before it began.
 		waiters := map[string][]func(StoreResponse){}
-		for _, id := range r.Asked() {
+		for _, id := range r.Requested() {
 			waiters[id] = u.statusWaiters[id]
 			delete(u.statusWaiters, id)
 		}
 		op := StoreRequest{Kind: OpGet, Priority: PriorityUser, Key: jobStatusPrefix + r.ID}
-		if r.List {
-			op.Kind, op.Key, op.StartAfter = OpList, jobStatusPrefix, jobStatusPrefix+r.From
+		if r.IsList {
+			op.Kind, op.Key, op.StartAfter = OpList, jobStatusPrefix, jobStatusPrefix+r.After
 		}
 		n.requestStore(op, func(d StoreResponse) { n.handleReadBatch(r, d, waiters) })
 	}
@@ -408,13 +408,13 @@
 		last = strings.TrimPrefix(it.Key, jobStatusPrefix)
 		found[last] = it
 		var rec jobStatusRecord
-		if r.List && decode(it.Value, &rec) && rec.Status.IsFinal() {
+		if r.IsList && decode(it.Value, &rec) && rec.Status.IsFinal() {
 			// An end is for good, whoever asks for it.
 			n.cacheFinalStatus(last, rec.Status)
 			cacheDoneDate(n, last, rec)
 		}
 	}
-	settled := u.readBatches.Done(r, ok, last, d.Truncated && last != "")
+	settled := u.readBatches.Complete(r, ok, last, d.Truncated && last != "")
 	// What the list did not come to waits for the next.
 	for id, rest := range waiters {
 		if !slices.Contains(settled, id) {
@@ -423,9 +423,9 @@
 	}
 	for _, id := range settled {
 		one := d
-		if it, there := found[id]; r.List && ok && there {
+		if it, there := found[id]; r.IsList && ok && there {
 			one.KeyValues = []KeyValue{it}
-		} else if r.List && ok {
+		} else if r.IsList && ok {
 			one.Status, one.KeyValues = StoreNotFound, nil
 		}
 		for _, fn := range waiters[id] {
--- a/internal/lookup/lookup.go
+++ b/internal/lookup/lookup.go
@@ -9,93 +9,93 @@
 import "slices"
 
 const (
-	// singlesMost bounds the reads of single records in a turn.
-	singlesMost = 3
-	// listFrom is how many must wait for a list to be worth its time: it brings a
+	// maxSingleReads bounds the reads of single records in a turn.
+	maxSingleReads = 3
+	// minListSize is how many must wait for a list to be worth its time: it brings a
 	// thousand records or some hundred kilobytes.
-	listFrom = 8
+	minListSize = 8
 )
 
 // Read is one request: a single record, or all those that follow From in the order of
 // their names. From itself is not among them.
 type Read struct {
-	ID   string
-	List bool
-	From string
-	// asked are the names that were asked for before it began.
-	asked []string
+	ID     string
+	IsList bool
+	After  string
+	// requested are the names that were asked for before it began.
+	requested []string
 }
 
-// Asked are the names that were asked for before the read begins.
-func (r Read) Asked() []string { return r.asked }
+// Requested are the names that were asked for before the read begins.
+func (r Read) Requested() []string { return r.requested }
 
-// Book has the names that are asked for. Its zero value is empty.
-type Book struct {
-	// waiting are sorted; no name is twice in it.
-	waiting []string
-	// singles counts the single reads of this turn, and listed says that it had its list,
+// Batcher has the names that are asked for. Its zero value is empty.
+type Batcher struct {
+	// pending are sorted; no name is twice in it.
+	pending []string
+	// singleReads counts the single reads of this turn, and listed says that it had its list,
 	// listing that one is under way.
-	singles         int
-	listed, listing bool
-	// after is where the last list ended: those behind it come first, or the names at
+	singleReads          int
+	hasListed, isListing bool
+	// resumeAfter is where the last list ended: those behind it come first, or the names at
 	// the end would wait for as long as others come.
-	after string
+	resumeAfter string
 }
 
-// Ask notes that a record is asked for, and is to be read by a request that has not
+// Request notes that a record is asked for, and is to be read by a request that has not
 // begun.
-func (b *Book) Ask(id string) {
-	if i, there := slices.BinarySearch(b.waiting, id); !there {
-		b.waiting = slices.Insert(b.waiting, i, id)
+func (b *Batcher) Request(id string) {
+	if i, there := slices.BinarySearch(b.pending, id); !there {
+		b.pending = slices.Insert(b.pending, i, id)
 	}
 }
 
-// Turn begins the next turn.
-func (b *Book) Turn() { b.singles, b.listed = 0, false }
+// BeginRound begins the next turn.
+func (b *Batcher) BeginRound() { b.singleReads, b.hasListed = 0, false }
 
 // Next is a read that is to be sent now; ok is false if there is none in this turn.
-func (b *Book) Next() (r Read, ok bool) {
+func (b *Batcher) Next() (r Read, ok bool) {
 	switch {
-	case len(b.waiting) == 0:
+	case len(b.pending) == 0:
 		return Read{}, false
-	case len(b.waiting) < listFrom && b.singles < singlesMost:
-		b.singles++
-		id := b.waiting[0]
-		b.waiting = slices.Delete(b.waiting, 0, 1)
-		return Read{ID: id, asked: []string{id}}, true
-	case len(b.waiting) < listFrom || b.listed || b.listing:
+	case len(b.pending) < minListSize && b.singleReads < maxSingleReads:
+		b.singleReads++
+		id := b.pending[0]
+		b.pending = slices.Delete(b.pending, 0, 1)
+		return Read{ID: id, requested: []string{id}}, true
+	case len(b.pending) < minListSize || b.hasListed || b.isListing:
 		return Read{}, false
 	}
-	i, _ := slices.BinarySearch(b.waiting, b.after)
-	if i == len(b.waiting) {
+	i, _ := slices.BinarySearch(b.pending, b.resumeAfter)
+	if i == len(b.pending) {
 		i = 0
 	}
-	b.listed, b.listing = true, true
-	first := b.waiting[i]
-	r = Read{List: true, From: first[:len(first)-1], asked: slices.Clone(b.waiting[i:])}
-	b.waiting = slices.Delete(b.waiting, i, len(b.waiting))
+	b.hasListed, b.isListing = true, true
+	first := b.pending[i]
+	r = Read{IsList: true, After: first[:len(first)-1], requested: slices.Clone(b.pending[i:])}
+	b.pending = slices.Delete(b.pending, i, len(b.pending))
 	return r, true
 }
 
-// Done takes in the answer to a read, and says for which names it is one. last is the
+// Complete takes in the answer to a read, and says for which names it is one. last is the
 // last name that a list brought, and more that others follow. If it failed, it is an
 // answer to all that were asked for: that it failed.
-func (b *Book) Done(r Read, ok bool, last string, more bool) []string {
-	if !r.List {
-		return r.asked
+func (b *Batcher) Complete(r Read, ok bool, lastName string, hasMore bool) []string {
+	if !r.IsList {
+		return r.requested
 	}
-	b.listing = false
-	if !ok || !more {
-		b.after = ""
-		return r.asked
+	b.isListing = false
+	if !ok || !hasMore {
+		b.resumeAfter = ""
+		return r.requested
 	}
-	k := len(r.asked)
-	for k > 0 && r.asked[k-1] > last {
+	k := len(r.requested)
+	for k > 0 && r.requested[k-1] > lastName {
 		k--
 	}
-	b.after = last
-	for _, id := range r.asked[k:] {
-		b.Ask(id)
+	b.resumeAfter = lastName
+	for _, id := range r.requested[k:] {
+		b.Request(id)
 	}
-	return r.asked[:k]
+	return r.requested[:k]
 }
--- a/internal/lookup/lookup_test.go
+++ b/internal/lookup/lookup_test.go
@@ -9,17 +9,17 @@
 	"pgregory.net/rapid"
 )
 
-// page is how many records a list of the model brings.
-const page = 40
+// pageSize is how many records a list of the model brings.
+const pageSize = 40
 
-// answer is what the model's store says to a read.
-func answer(r Read, stored []string) (last string, more bool) {
-	i, there := slices.BinarySearch(stored, r.From)
+// listAnswer is what the model's store says to a read.
+func listAnswer(r Read, stored []string) (last string, more bool) {
+	i, there := slices.BinarySearch(stored, r.After)
 	if there {
 		i++
 	}
-	if more = len(stored)-i > page; more {
-		return stored[i+page-1], true
+	if more = len(stored)-i > pageSize; more {
+		return stored[i+pageSize-1], true
 	}
 	return "", false
 }
@@ -32,14 +32,14 @@
 		for i := range rapid.IntRange(0, 400).Draw(t, "stored") {
 			stored = append(stored, fmt.Sprintf("job-%06d", 3*i))
 		}
-		var b Book
-		asks := map[string]int{} // open questions, and the step of the newest
-		began := map[string][]int{}
+		var b Batcher
+		open := map[string]int{} // open questions, and the step of the newest
+		readsOf := map[string][]int{}
 		type flight struct {
 			r    Read
 			step int
 		}
-		var under []flight
+		var inFlight []flight
 		step := 0
 		send := func() {
 			for {
@@ -48,23 +48,23 @@
 					return
 				}
 				step++
-				under = append(under, flight{r, step})
+				inFlight = append(inFlight, flight{r, step})
 			}
 		}
 		finish := func(i int, ok bool) {
-			f := under[i]
-			under = slices.Delete(under, i, i+1)
+			f := inFlight[i]
+			inFlight = slices.Delete(inFlight, i, i+1)
 			last, more := "", false
-			if f.r.List {
-				last, more = answer(f.r, stored)
+			if f.r.IsList {
+				last, more = listAnswer(f.r, stored)
 			}
-			for _, id := range b.Done(f.r, ok, last, more) {
-				if f.r.List && ok && (id <= f.r.From || more && id > last) || !f.r.List && id != f.r.ID {
+			for _, id := range b.Complete(f.r, ok, last, more) {
+				if f.r.IsList && ok && (id <= f.r.After || more && id > last) || !f.r.IsList && id != f.r.ID {
 					t.Fatalf("%s is answered by a read that does not cover it", id)
 				}
-				began[id] = append(began[id], f.step)
-				if asks[id] < f.step {
-					delete(asks, id)
+				readsOf[id] = append(readsOf[id], f.step)
+				if open[id] < f.step {
+					delete(open, id)
 				}
 			}
 			send()
@@ -74,65 +74,65 @@
 				for range rapid.IntRange(1, 60).Draw(t, "many") {
 					step++
 					id := fmt.Sprintf("job-%06d", rapid.IntRange(0, 1300).Draw(t, "id"))
-					asks[id] = step
-					b.Ask(id)
+					open[id] = step
+					b.Request(id)
 				}
 				send()
 			},
 			"answer": func(t *rapid.T) {
-				if len(under) > 0 {
-					finish(rapid.IntRange(0, len(under)-1).Draw(t, "which"), rapid.Bool().Draw(t, "ok"))
+				if len(inFlight) > 0 {
+					finish(rapid.IntRange(0, len(inFlight)-1).Draw(t, "which"), rapid.Bool().Draw(t, "ok"))
 				}
 			},
 		})
 		reads := 0
-		for len(under) > 0 || len(b.waiting) > 0 {
-			if len(under) > 0 {
+		for len(inFlight) > 0 || len(b.pending) > 0 {
+			if len(inFlight) > 0 {
 				finish(0, true)
 			}
-			b.Turn()
+			b.BeginRound()
 			send()
 			if reads++; reads > 200 {
 				t.Fatal("the reads have no end")
 			}
 		}
-		if len(asks) > 0 {
-			t.Fatalf("%d questions have no answer", len(asks))
+		if len(open) > 0 {
+			t.Fatalf("%d questions have no answer", len(open))
 		}
 	})
 }
 
 // TestStormIsFewReads: a thousand records cost a few reads, not a thousand.
 func TestStormIsFewReads(t *testing.T) {
-	var b Book
+	var b Batcher
 	var stored []string
 	for i := range 1000 {
 		stored = append(stored, fmt.Sprintf("job-%06d", i))
-		b.Ask(stored[i])
+		b.Request(stored[i])
 	}
 	reads := 0
-	for len(b.waiting) > 0 {
+	for len(b.pending) > 0 {
 		r, ok := b.Next()
 		if !ok {
-			b.Turn()
+			b.BeginRound()
 			continue
 		}
 		reads++
-		last, more := answer(r, stored)
-		b.Done(r, true, last, more)
+		last, more := listAnswer(r, stored)
+		b.Complete(r, true, last, more)
 	}
-	if reads > 1000/page+listFrom {
+	if reads > 1000/pageSize+minListSize {
 		t.Errorf("%d reads", reads)
 	}
 	// A few do not wait for a list, and more of them than a turn has share the next.
-	b.Turn()
-	for i := range singlesMost {
-		b.Ask(stored[i])
-		if r, ok := b.Next(); !ok || r.List {
+	b.BeginRound()
+	for i := range maxSingleReads {
+		b.Request(stored[i])
+		if r, ok := b.Next(); !ok || r.IsList {
 			t.Errorf("the read of %s waits", stored[i])
 		}
 	}
-	b.Ask(stored[9])
+	b.Request(stored[9])
 	if _, ok := b.Next(); ok {
 		t.Error("a turn has no end of reads")
 	}
