--- a/internal/core/boot.go
+++ b/internal/core/boot.go
@@ -10,13 +10,13 @@
 // boot.go joins the core to internal/boottime: how long machines take to come up, learnt
 // for each kind.
 
-func (n *Controller) provisioningOf(k machineKind) *boottime.Kind {
+func (n *Controller) provisioningOf(k machineKind) *boottime.Estimator {
 	b := n.provisioningTimes[k]
 	if b == nil {
-		b = &boottime.Kind{}
+		b = &boottime.Estimator{}
 		n.provisioningTimes[k] = b
 	}
-	b.Fade(n.now, n.machineTypes[k.machineType].ProvisioningTime)
+	b.Expire(n.now, n.machineTypes[k.machineType].ProvisioningTime)
 	return b
 }
 
@@ -28,7 +28,7 @@
 		return
 	}
 	if r := v.rentals[m.id]; r != nil && r.status == "booting" && r.rentedAt.After(n.shardLeader.readyAt) {
-		n.provisioningOf(r.machineKind).Up(n.now, n.now.Sub(r.rentedAt))
+		n.provisioningOf(r.machineKind).RecordReady(n.now, n.now.Sub(r.rentedAt))
 	}
 }
 
@@ -48,7 +48,7 @@
 // it is a better bet than another.
 func (n *Controller) isExpected(r *rental) bool {
 	f, ok := n.machineTypes[r.machineType]
-	return ok && !r.releasing && r.status != "returned" && r.status != "failed" && n.provisioningOf(r.machineKind).Coming(n.now.Sub(r.rentedAt), f.ProvisioningTime)
+	return ok && !r.releasing && r.status != "returned" && r.status != "failed" && n.provisioningOf(r.machineKind).IsWorthWaiting(n.now.Sub(r.rentedAt), f.ProvisioningTime)
 }
 
 // expectedFor are the machines on their way that are counted on and that a job allows.
@@ -73,15 +73,15 @@
 // neverReadyKinds are the kinds of which machines have stopped coming up.
 func (n *Controller) neverReadyKinds() map[machineKind]bool {
 	o := n.shardLeader
-	provisioning := map[machineKind][]boottime.Booting{}
+	provisioning := map[machineKind][]boottime.Provisioning{}
 	for id, r := range o.fleetView.rentals {
 		if m := o.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(o.readyAt) {
-			provisioning[r.machineKind] = append(provisioning[r.machineKind], boottime.Booting(r.rentedAt))
+			provisioning[r.machineKind] = append(provisioning[r.machineKind], boottime.Provisioning(r.rentedAt))
 		}
 	}
 	neverReady := map[machineKind]bool{}
 	for k, machines := range provisioning {
-		if n.provisioningOf(k).Stuck(n.now, n.machineTypes[k.machineType].ProvisioningTime, machines) {
+		if n.provisioningOf(k).NeverReady(n.now, n.machineTypes[k.machineType].ProvisioningTime, machines) {
 			neverReady[k] = true
 		}
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -617,7 +617,7 @@
 		n.info("return", "machine", id, "why", reason)
 		if reason == "never came up" && !n.released[id] {
 			// Once, however often the leader is asked.
-			n.provisioningOf(r.machineKind).Lost(n.now)
+			n.provisioningOf(r.machineKind).RecordGivenUp(n.now)
 			o.neverReadyCount++
 			o.neverReadyCost += n.costPerHour(r.machineKind) * n.now.Sub(r.rentedAt).Hours()
 			n.info("machines that never served", "count", o.neverReadyCount, "cost", o.neverReadyCost)
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -62,7 +62,7 @@
 	// reachabilityRequestedAt is when a worker was last asked whether it hears this node again.
 	reachabilityRequestedAt time.Time
 	// provisioningTimes is what was learnt of how long machines of each kind take to come up.
-	provisioningTimes map[machineKind]*boottime.Kind
+	provisioningTimes map[machineKind]*boottime.Estimator
 	// throttle divides planning into slices, and sliced is the work of the last one.
 	throttle      pace.SliceBudget
 	lastSliceWork int
@@ -102,7 +102,7 @@
 	}
 	n.malformedTxns = map[uint64]bool{}
 	n.cancellations.unacked = map[string]*unackedCancellation{}
-	n.provisioningTimes = map[machineKind]*boottime.Kind{}
+	n.provisioningTimes = map[machineKind]*boottime.Estimator{}
 	n.rateLimits.peers = map[string]peerRates{}
 	n.frontend.init()
 	return n
