--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -47,7 +47,7 @@
 	core  Core
 	conns *conns
 	mu    sync.Mutex
-	told  validate.Minute
+	told  validate.LogLimiter
 }
 
 // connKey finds a request's connection in its context.
@@ -214,7 +214,7 @@
 // all are counted by the answers' histogram.
 func (h *handlers) bad(c echo.Context, why string) error {
 	h.mu.Lock()
-	tell := h.told.Say(time.Now(), c.Path()+why)
+	tell := h.told.Allow(time.Now(), c.Path()+why)
 	h.mu.Unlock()
 	if tell {
 		slog.Info("bad input is not taken", "what", c.Path(), "from", c.RealIP(), "why", why)
--- a/internal/core/huge_test.go
+++ b/internal/core/huge_test.go
@@ -31,7 +31,7 @@
 	txns, writes, bytes, maxTxnWrites, longestValue int
 }
 
-const maxHugeTasks = validate.MostTasks
+const maxHugeTasks = validate.MaxTasks
 
 // newHugeJob has a job of so many tasks accepted on so many machines, each with room for
 // eight tasks of it at a time.
--- a/internal/core/node.go
+++ b/internal/core/node.go
@@ -75,7 +75,7 @@
 	malformedTxns  map[uint64]bool
 	// rejectedInputs counts what made no sense, and complaints are what was told of it.
 	rejectedInputs int
-	rejections     validate.Minute
+	rejections     validate.LogLimiter
 	// offloadedJobs are the loans this cluster has taken, as far as this node has read.
 	offloadedJobs offloadedJobs
 	// cancellations are the cancellations that peers are told of; see cancelnews.go.
--- a/internal/core/validate.go
+++ b/internal/core/validate.go
@@ -24,9 +24,9 @@
 	}
 	for i := range r.Tasks {
 		c.Name("piece", r.Tasks[i].Job, true)
-		c.Count("piece", r.Tasks[i].Index, 0, validate.MostTasks-1)
+		c.Count("piece", r.Tasks[i].Index, 0, validate.MaxTasks-1)
 	}
-	return c.Bad()
+	return c.Problem()
 }
 
 // validate is what is wrong with news, "" for nothing.
@@ -36,7 +36,7 @@
 		for _, w := range requests {
 			check.Name(field+".flavour", w.MachineType, false)
 			check.Name(field+".zone", w.Zone, false)
-			check.Count(field+".count", w.Count, 0, validate.MostTasks)
+			check.Count(field+".count", w.Count, 0, validate.MaxTasks)
 		}
 	}
 	checkRequests("wants", c.CapacityRequests)
@@ -58,8 +58,8 @@
 		check.Count("quotes.value", len(q.Value), 1, bounds.MaxTxnBytes)
 	}
 	for _, p := range c.Progress {
-		check.Count("progress.done", p.Done, 0, validate.MostTasks)
-		check.Count("progress.running", p.Running, 0, validate.MostTasks)
+		check.Count("progress.done", p.Done, 0, validate.MaxTasks)
+		check.Count("progress.running", p.Running, 0, validate.MaxTasks)
 	}
 	for _, t := range c.TeamLoads {
 		check.Amount("teams.cpu", t.CPU)
@@ -82,7 +82,7 @@
 	for _, a := range c.RemoteAttempts {
 		check.Name("wards.machine", a.Machine, true)
 		for _, t := range a.Attempts {
-			check.Count("wards.index", t.Index, 0, validate.MostTasks-1)
+			check.Count("wards.index", t.Index, 0, validate.MaxTasks-1)
 			check.Amount("wards.wind_down", t.WindDown.Seconds())
 		}
 	}
@@ -107,10 +107,10 @@
 	for _, a := range c.RemoteStatuses {
 		check.Name("told.machine", a.Machine, true)
 		for _, t := range a.Attempts {
-			check.Count("told.index", t.Index, 0, validate.MostTasks-1)
+			check.Count("told.index", t.Index, 0, validate.MaxTasks-1)
 		}
 	}
-	return check.Bad()
+	return check.Problem()
 }
 
 // validate is what is wrong with a job's record, "" for nothing. One that is over and was
@@ -120,7 +120,7 @@
 	if r.Cancelled && r.Team == "" {
 		return ""
 	}
-	c.Count("n", r.Tasks, 1, validate.MostTasks)
+	c.Count("n", r.Tasks, 1, validate.MaxTasks)
 	for _, f := range [...]struct {
 		name string
 		is   float64
@@ -131,7 +131,7 @@
 	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
 		return "pr is no list of names"
 	}
-	return c.Bad()
+	return c.Problem()
 }
 
 // maxRunTime bounds a run time in a record.
@@ -140,7 +140,7 @@
 // rejectInput tells of bad input, once a minute for each cause; all of it is counted.
 func (n *Controller) rejectInput(what, from, why string) {
 	n.rejectedInputs++
-	if n.rejections.Say(n.now, what+" "+from+" "+why) {
+	if n.rejections.Allow(n.now, what+" "+from+" "+why) {
 		n.info("bad input is not taken", "what", what, "from", from, "why", why, "in all", n.rejectedInputs)
 	}
 }
