--- a/internal/amount/amount.go
+++ b/internal/amount/amount.go
@@ -12,26 +12,26 @@
 	Memory float64
 }
 
-// Slack absorbs rounding when amounts in decimal form are added up and taken away
+// Tolerance absorbs rounding when amounts in decimal form are added up and taken away
 // again over a long life.
-const Slack = 1e-6
+const Tolerance = 1e-6
 
 // Fits says whether r fits into free.
 func (r Resources) Fits(free Resources) bool {
-	return r.CPU <= free.CPU+Slack && r.GPU <= free.GPU+Slack && r.Memory <= free.Memory+Slack
+	return r.CPU <= free.CPU+Tolerance && r.GPU <= free.GPU+Tolerance && r.Memory <= free.Memory+Tolerance
 }
 
-// Plus adds n times o.
-func (r Resources) Plus(o Resources, n float64) Resources {
+// AddScaled adds n times o.
+func (r Resources) AddScaled(o Resources, n float64) Resources {
 	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Memory + n*o.Memory}
 }
 
-// Times says how many tasks of size o fit into r.
-func (r Resources) Times(o Resources) int {
+// FitCount says how many tasks of size o fit into r.
+func (r Resources) FitCount(o Resources) int {
 	n := math.Inf(1)
-	for _, d := range [...][2]float64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
-		if d[1] > Slack {
-			n = min(n, math.Floor((d[0]+Slack)/d[1]))
+	for _, dimension := range [...][2]float64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
+		if dimension[1] > Tolerance {
+			n = min(n, math.Floor((dimension[0]+Tolerance)/dimension[1]))
 		}
 	}
 	if math.IsInf(n, 1) {
--- a/internal/core/lanes.go
+++ b/internal/core/lanes.go
@@ -303,7 +303,7 @@
 	if fetch > 0 {
 		k = v.placeTasks(a.need, at, fetch+a.run, 1, a.candidates.avoidGPUs)
 	}
-	if more := min(count-k, v.freeFor(v.free, a.candidates.avoidGPUs).Times(a.need)); k == 0 || more > 0 {
+	if more := min(count-k, v.freeFor(v.free, a.candidates.avoidGPUs).FitCount(a.need)); k == 0 || more > 0 {
 		k += v.placeTasks(a.need, at, a.run, count-k, a.candidates.avoidGPUs)
 	}
 	a.zoneLimits.add(v.machineKind.zone, k)
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -141,7 +141,7 @@
 
 // free is the room on a machine for one more task.
 func (m *machine) free() Resources {
-	return m.size.Plus(m.used, -1).Plus(m.othersUsed, -1).Plus(m.reservedForMigration, -1)
+	return m.size.AddScaled(m.used, -1).AddScaled(m.othersUsed, -1).AddScaled(m.reservedForMigration, -1)
 }
 
 // isEmpty says that no task is on a machine or may yet begin there.
--- a/internal/core/models.go
+++ b/internal/core/models.go
@@ -151,7 +151,7 @@
 			if m.reservedForMigration == (Resources{}) {
 				mv.held = append(mv.held, m)
 			}
-			m.reservedForMigration = m.reservedForMigration.Plus(h.Need, 1)
+			m.reservedForMigration = m.reservedForMigration.AddScaled(h.Need, 1)
 			m.evacuatingForOther = m.evacuatingForOther || isEvacuationHold(h.Job)
 		}
 		if h.Index >= 0 {
@@ -189,7 +189,7 @@
 			continue
 		}
 		// What is held for others is taken off, what is held for it is not.
-		if !j.Need.Fits(m.free().Plus(h.Need, 1)) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !n.withinQuotaLimit(j) {
+		if !j.Need.Fits(m.free().AddScaled(h.Need, 1)) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !n.withinQuotaLimit(j) {
 			continue
 		}
 		i := takeReservedTask(n, mv, j, h.Index, m)
@@ -235,7 +235,7 @@
 	}
 	for k := range mv.pinnedUntil {
 		if o := n.shardLeader.jobs[k.job]; o != nil && o != j && o.Team == j.Team && k.index < len(o.tasks) && o.tasks[k.index].machine == nil {
-			sum = sum.Plus(o.Need, 1)
+			sum = sum.AddScaled(o.Need, 1)
 		}
 	}
 	return sum
@@ -314,7 +314,7 @@
 	if m == nil {
 		return Resources{}, false
 	}
-	return m.free().Plus(m.reservedForMigration, 1), f.n.usable(m)
+	return m.free().AddScaled(m.reservedForMigration, 1), f.n.usable(m)
 }
 
 func (f migrationFacts) Unknown(host string) bool {
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -115,7 +115,7 @@
 			return false
 		}
 		large = large || isLarge(j.Need, m.size)
-		sum = sum.Plus(Resources{CPU: max(0, free.CPU), GPU: max(0, free.GPU), Memory: max(0, free.Memory)}, 1)
+		sum = sum.AddScaled(Resources{CPU: max(0, free.CPU), GPU: max(0, free.GPU), Memory: max(0, free.Memory)}, 1)
 	}
 	return large && j.Need.Fits(sum)
 }
--- a/internal/core/owner.go
+++ b/internal/core/owner.go
@@ -274,9 +274,9 @@
 	j.liveTasks++
 	j.liveByZone[m.zone]++
 	m.attempts[taskKey{j.ID, i}] = t
-	m.used = m.used.Plus(j.Need, 1)
+	m.used = m.used.AddScaled(j.Need, 1)
 	u := n.shardLeader.usedByTeam[j.Team]
-	n.shardLeader.usedByTeam[j.Team] = u.Plus(j.Need, 1)
+	n.shardLeader.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
 }
 
 // endAttempt takes note of the proof that a live attempt is over.
@@ -288,8 +288,8 @@
 	}
 	o := n.shardLeader
 	delete(m.attempts, taskKey{j.ID, i})
-	m.used = m.used.Plus(j.Need, -1)
-	o.usedByTeam[j.Team] = o.usedByTeam[j.Team].Plus(j.Need, -1)
+	m.used = m.used.AddScaled(j.Need, -1)
+	o.usedByTeam[j.Team] = o.usedByTeam[j.Team].AddScaled(j.Need, -1)
 	j.liveTasks--
 	j.liveByZone[m.zone]--
 	if len(m.attempts) == 0 {
--- a/internal/core/packing.go
+++ b/internal/core/packing.go
@@ -171,7 +171,7 @@
 	}
 	r := Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
 	if m.othersUsed.GPU <= roundingTolerance {
-		r = r.Plus(m.othersUsed, 1)
+		r = r.AddScaled(m.othersUsed, 1)
 	}
 	return r
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -114,7 +114,7 @@
 	if t == nil {
 		return false
 	}
-	u := n.shardLeader.usedByTeam[j.Team].Plus(j.Need, 1).Plus(migratingResources(n, j), 1)
+	u := n.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1).AddScaled(migratingResources(n, j), 1)
 	return (t.QuotaLimit.CPU <= 0 || u.CPU <= t.QuotaLimit.CPU+roundingTolerance) && (t.QuotaLimit.GPU <= 0 || u.GPU <= t.QuotaLimit.GPU+roundingTolerance)
 }
 
@@ -124,7 +124,7 @@
 	if t == nil || t.GuaranteedQuota.CPU <= 0 && t.GuaranteedQuota.GPU <= 0 {
 		return false
 	}
-	u := n.shardLeader.usedByTeam[j.Team].Plus(j.Need, 1)
+	u := n.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1)
 	return u.CPU <= t.GuaranteedQuota.CPU+roundingTolerance && u.GPU <= t.GuaranteedQuota.GPU+roundingTolerance
 }
 
@@ -277,18 +277,18 @@
 	all, free, avoidGPUs := 0, 0, n.avoidsGPUs(j)
 	for _, m := range n.shardLeader.machinesByID {
 		if j.allowsMachine(m.machineType, m.zone, m.spot) && n.usable(m) && n.gpuPolicyAllows(avoidGPUs, m) {
-			all += m.size.Times(j.Need)
-			free += m.free().Times(j.Need)
+			all += m.size.FitCount(j.Need)
+			free += m.free().FitCount(j.Need)
 		}
 	}
 	if v := n.shardLeader.fleetView; v != nil {
 		// What boots is there before the aims of what waits are over.
 		for r := range n.expectedFor(j) {
-			free += n.machineTypes[r.machineType].Capacity.Times(j.Need)
+			free += n.machineTypes[r.machineType].Capacity.FitCount(j.Need)
 		}
 		for k, c := range v.pendingRentals {
 			if j.allowsMachine(k.machineType, k.zone, k.spot) {
-				free += c * n.machineTypes[k.machineType].Capacity.Times(j.Need)
+				free += c * n.machineTypes[k.machineType].Capacity.FitCount(j.Need)
 			}
 		}
 	}
@@ -453,7 +453,7 @@
 		if j.Need.Fits(free) {
 			break
 		}
-		free = free.Plus(v.need, 1)
+		free = free.AddScaled(v.need, 1)
 		sum += v.loss
 		out = append(out, v.t)
 	}
@@ -502,7 +502,7 @@
 // without end.
 func (n *Controller) gangFits(j *job, r *placementRound) bool {
 	if t := n.team(j.Team); t != nil {
-		u := n.shardLeader.usedByTeam[j.Team].Plus(j.Need, float64(j.pendingTasks()))
+		u := n.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, float64(j.pendingTasks()))
 		if t.QuotaLimit.CPU > 0 && u.CPU > t.QuotaLimit.CPU+roundingTolerance || t.QuotaLimit.GPU > 0 && u.GPU > t.QuotaLimit.GPU+roundingTolerance {
 			return false
 		}
@@ -520,7 +520,7 @@
 		if _, ok := l.rate(n, j, s); !ok {
 			continue
 		}
-		k := n.freeCapacityOn(l, s).Times(j.Need)
+		k := n.freeCapacityOn(l, s).FitCount(j.Need)
 		if j.SpreadZones {
 			k = min(k, (len(j.tasks)+1)/2-zones[m.zone])
 			zones[m.zone] += k
--- a/internal/core/play.go
+++ b/internal/core/play.go
@@ -287,7 +287,7 @@
 	}
 	for i := range v.releases {
 		e := &v.releases[i]
-		free = free.Plus(e.need, 1)
+		free = free.AddScaled(e.need, 1)
 		if need.Fits(v.freeFor(free, avoidGPUs)) {
 			return max(v.at, e.at), true
 		}
@@ -299,17 +299,17 @@
 // says how many found room.
 func (v *simulatedMachine) placeTasks(need Resources, at, run time.Duration, count int, avoidGPUs bool) int {
 	for len(v.releases) > 0 && !need.Fits(v.freeFor(v.free, avoidGPUs)) {
-		v.free = v.free.Plus(v.releases[0].need, 1)
+		v.free = v.free.AddScaled(v.releases[0].need, 1)
 		v.at = max(v.at, v.releases[0].at)
 		v.releases = v.releases[1:]
 	}
-	k := max(1, min(count, v.freeFor(v.free, avoidGPUs).Times(need)))
+	k := max(1, min(count, v.freeFor(v.free, avoidGPUs).FitCount(need)))
 	v.placements++
 	if avoidGPUs {
-		v.nonGPUFree = v.nonGPUFree.Plus(need, -float64(k))
+		v.nonGPUFree = v.nonGPUFree.AddScaled(need, -float64(k))
 	}
-	v.free = v.free.Plus(need, -float64(k))
-	end := release{at + run, Resources{}.Plus(need, float64(k))}
+	v.free = v.free.AddScaled(need, -float64(k))
+	end := release{at + run, Resources{}.AddScaled(need, float64(k))}
 	i, _ := slices.BinarySearchFunc(v.releases, end, func(a, b release) int { return cmp.Compare(a.at, b.at) })
 	v.releases = slices.Insert(v.releases, i, end)
 	return k
@@ -424,15 +424,15 @@
 	for _, j := range n.jobsInQueueOrder() {
 		count := max(0, n.placeableTasks(j)-reservedTasks(n, j))
 		if t := n.team(j.Team); t != nil {
-			u := o.usedByTeam[j.Team].Plus(over[j.Team], 1)
+			u := o.usedByTeam[j.Team].AddScaled(over[j.Team], 1)
 			left := Resources{CPU: t.QuotaLimit.CPU - u.CPU, GPU: t.QuotaLimit.GPU - u.GPU}
 			if t.QuotaLimit.CPU > 0 {
-				count = min(count, Resources{CPU: left.CPU}.Times(Resources{CPU: j.Need.CPU}))
+				count = min(count, Resources{CPU: left.CPU}.FitCount(Resources{CPU: j.Need.CPU}))
 			}
 			if t.QuotaLimit.GPU > 0 {
-				count = min(count, Resources{GPU: left.GPU}.Times(Resources{GPU: j.Need.GPU}))
+				count = min(count, Resources{GPU: left.GPU}.FitCount(Resources{GPU: j.Need.GPU}))
 			}
-			over[j.Team] = over[j.Team].Plus(j.Need, float64(count))
+			over[j.Team] = over[j.Team].AddScaled(j.Need, float64(count))
 		}
 		out = append(out, demand{job: j, count: count, latestStart: dueStart(n, j)})
 	}
--- a/internal/core/rank_test.go
+++ b/internal/core/rank_test.go
@@ -323,8 +323,8 @@
 		for _, m := range n.shardLeader.machinesByID {
 			for k := range m.attempts {
 				l := n.shardLeader.jobs[k.job]
-				m.used = m.used.Plus(l.Need, -1)
-				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].Plus(l.Need, -1)
+				m.used = m.used.AddScaled(l.Need, -1)
+				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(l.Need, -1)
 				r := n.newPlacementRound()
 				for _, h := range n.shardLeader.jobs {
 					if rankOf(n, h) >= rankOf(n, l) || n.placeableTasks(h) == 0 || !n.withinQuotaLimit(h) {
@@ -339,8 +339,8 @@
 						}
 					}
 				}
-				m.used = m.used.Plus(l.Need, 1)
-				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].Plus(l.Need, 1)
+				m.used = m.used.AddScaled(l.Need, 1)
+				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(l.Need, 1)
 			}
 		}
 	})
--- a/internal/core/remote.go
+++ b/internal/core/remote.go
@@ -218,7 +218,7 @@
 		}
 		m.hasOthersAttempts = true
 		if l, open := n.frontend.watchCache.openJobs[a.Job]; open {
-			m.othersUsed = m.othersUsed.Plus(Resources{CPU: l.rec.CPU, GPU: l.rec.GPU, Memory: l.rec.Memory}, 1)
+			m.othersUsed = m.othersUsed.AddScaled(Resources{CPU: l.rec.CPU, GPU: l.rec.GPU, Memory: l.rec.Memory}, 1)
 		} else {
 			// Its size is not known.
 			m.hasUnknownTasks = true
--- a/internal/core/rent.go
+++ b/internal/core/rent.go
@@ -360,7 +360,7 @@
 	var out []offer
 	for _, name := range sortedKeys(p.controller.machineTypes) {
 		f := p.controller.machineTypes[name]
-		fit := f.Capacity.Times(j.Need)
+		fit := f.Capacity.FitCount(j.Need)
 		if fit == 0 || off && p.controller.currentPackingProfile().kind(name) != nil {
 			continue
 		}
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -418,7 +418,7 @@
 	f := m.free()
 	for k, t := range m.attempts {
 		if t.stopReason == stopPreempt && n.now.Sub(t.stoppedAt) < stopTimeout {
-			f = f.Plus(n.shardLeader.jobs[k.job].Need, 1)
+			f = f.AddScaled(n.shardLeader.jobs[k.job].Need, 1)
 		}
 	}
 	return f
@@ -438,7 +438,7 @@
 	}
 	for _, m := range p.withCapacity {
 		if need > 0 && suits(m) {
-			need -= n.freeAfterPreemption(m).Times(j.Need)
+			need -= n.freeAfterPreemption(m).FitCount(j.Need)
 		}
 	}
 	most := n.maxPreemptionLoss(j)
@@ -450,7 +450,7 @@
 			continue
 		}
 		free := n.freeAfterPreemption(m)
-		if k := free.Times(j.Need); k > 0 {
+		if k := free.FitCount(j.Need); k > 0 {
 			// Stopped for another job a moment ago, or something has ended.
 			need -= k
 			continue
--- a/internal/core/tenure.go
+++ b/internal/core/tenure.go
@@ -133,7 +133,7 @@
 				continue
 			}
 			delete(m.attempts, taskKey{id, i})
-			m.used = m.used.Plus(j.Need, -1)
+			m.used = m.used.AddScaled(j.Need, -1)
 			if m.remote {
 				o.dropRemoteMachine(m)
 				continue
@@ -225,7 +225,7 @@
 		}
 		t.machine = asRemote
 		asRemote.attempts[k] = t
-		asRemote.used = asRemote.used.Plus(o.jobs[k.job].Need, 1)
+		asRemote.used = asRemote.used.AddScaled(o.jobs[k.job].Need, 1)
 	}
 	o.dropRemoteMachine(asRemote)
 	o.remote.due = true
@@ -250,7 +250,7 @@
 		j.liveByZone[m.zone]++
 		t.machine, t.startSent = m, true
 		m.attempts[k] = t
-		m.used = m.used.Plus(j.Need, 1)
+		m.used = m.used.AddScaled(j.Need, 1)
 	}
 	// Whoever had it may go on answering it for a while.
 	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
--- a/internal/core/turns.go
+++ b/internal/core/turns.go
@@ -77,7 +77,7 @@
 	all, avoidGPUs := 0, n.avoidsGPUsNow(j)
 	for _, m := range n.shardLeader.machinesByID {
 		if j.allowsMachine(m.machineType, m.zone, m.spot) && n.usable(m) && n.gpuPolicyAllows(avoidGPUs, m) {
-			all += m.size.Times(j.Need)
+			all += m.size.FitCount(j.Need)
 		}
 	}
 	return float64(all)
@@ -170,7 +170,7 @@
 			continue
 		}
 		g.fittingMachines++
-		each = max(each, m.size.Times(j.Need))
+		each = max(each, m.size.FitCount(j.Need))
 		if at, ok := n.timeUntilFits(m, j.Need); ok && j.zoneAllowed(m.zone) {
 			g.hosts = append(g.hosts, patience.Candidate{ID: m.id, FreeIn: at, Reserved: m.reservedFor == j.ID})
 		}
@@ -197,7 +197,7 @@
 			left = max(left-n.now.Sub(t.startedAt), left/5)
 		}
 		last = max(last, left)
-		free = free.Plus(j.Need, 1)
+		free = free.AddScaled(j.Need, 1)
 	}
 	return last, need.Fits(free)
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -52,7 +52,7 @@
 type Resources = amount.Resources
 
 // roundingTolerance absorbs rounding of amounts; see internal/amount.
-const roundingTolerance = amount.Slack
+const roundingTolerance = amount.Tolerance
 
 // MachineType is a machine type as the cloud describes it.
 type MachineType struct {
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -259,7 +259,7 @@
 	if s.LongRunning || s.Gang {
 		count = float64(s.Tasks)
 	}
-	all := Resources{}.Plus(s.Need, count)
+	all := Resources{}.AddScaled(s.Need, count)
 	if (team.QuotaLimit.CPU > 0 && all.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && all.GPU > team.QuotaLimit.GPU+roundingTolerance) {
 		return 422, "the job needs more than its owner's limit"
 	}
--- a/internal/moves/book.go
+++ b/internal/moves/book.go
@@ -451,7 +451,7 @@
 	}
 	for _, h := range b.Holds() {
 		if h.Host == host && (h.Job != s.Job || h.Index != s.Index) && (h.Entry == nil || h.Entry != without) {
-			free = free.Plus(h.Need, -1)
+			free = free.AddScaled(h.Need, -1)
 		}
 	}
 	return s.Need.Fits(free)
--- a/internal/moves/plan.go
+++ b/internal/moves/plan.go
@@ -217,7 +217,7 @@
 		}
 	}
 	for k := range top {
-		s.sums[k+1] = s.sums[k].Plus(top[k], 1)
+		s.sums[k+1] = s.sums[k].AddScaled(top[k], 1)
 	}
 }
 
@@ -320,7 +320,7 @@
 	}
 }
 
-func (f *finder) add(h int, r amount.Resources, n float64) { f.net[h] = f.net[h].Plus(r, n) }
+func (f *finder) add(h int, r amount.Resources, n float64) { f.net[h] = f.net[h].AddScaled(r, n) }
 
 // fetch is how long a host takes to have the image of a sort.
 func (f *finder) fetch(s *sort, h int) time.Duration {
@@ -611,10 +611,10 @@
 	for _, s := range f.order[:at] {
 		r := &f.p.Replicas[s.replica]
 		if s.to == to {
-			free = free.Plus(r.Need, -1)
+			free = free.AddScaled(r.Need, -1)
 		}
 		if r.Host == to {
-			free = free.Plus(r.Need, 1)
+			free = free.AddScaled(r.Need, 1)
 		}
 	}
 	return f.p.Replicas[f.order[at].replica].Need.Fits(free)
--- a/internal/moves/plan_test.go
+++ b/internal/moves/plan_test.go
@@ -50,9 +50,9 @@
 					c += time.Duration(r.ImageGB / m.Pull * float64(time.Second))
 				}
 				moved[i] = true
-				free[r.Host], free[h] = free[r.Host].Plus(r.Need, 1), free[h].Plus(r.Need, -1)
+				free[r.Host], free[h] = free[r.Host].AddScaled(r.Need, 1), free[h].AddScaled(r.Need, -1)
 				try(left-1, cost+c)
-				free[r.Host], free[h] = free[r.Host].Plus(r.Need, -1), free[h].Plus(r.Need, 1)
+				free[r.Host], free[h] = free[r.Host].AddScaled(r.Need, -1), free[h].AddScaled(r.Need, 1)
 				moved[i] = false
 			}
 		}
@@ -90,11 +90,11 @@
 		case !r.Movable, !p.Hosts[to].Target, r.Allowed != nil && !r.Allowed(to):
 			return fmt.Errorf("%s/%d may not go to %s", v.Job, v.Index, v.To)
 		}
-		free[r.Host] = free[r.Host].Plus(r.Need, 1)
+		free[r.Host] = free[r.Host].AddScaled(r.Need, 1)
 		if !r.Need.Fits(free[to]) {
 			return fmt.Errorf("no room for %s/%d on %s", v.Job, v.Index, v.To)
 		}
-		free[to] = free[to].Plus(r.Need, -1)
+		free[to] = free[to].AddScaled(r.Need, -1)
 		down := time.Duration(0)
 		if !p.Hosts[to].Images[r.Image] && r.ImageGB > 0 {
 			down = time.Duration(r.ImageGB / p.Hosts[to].Pull * float64(time.Second))
@@ -154,7 +154,7 @@
 		if !r.Need.Fits(p.Hosts[h].Free) {
 			continue
 		}
-		p.Hosts[h].Free = p.Hosts[h].Free.Plus(r.Need, -1)
+		p.Hosts[h].Free = p.Hosts[h].Free.AddScaled(r.Need, -1)
 		p.Replicas = append(p.Replicas, r)
 	}
 	w := need("want", 1, 2, 4, 8, 8)
@@ -284,7 +284,7 @@
 			}
 			im := rnd.IntN(30)
 			image := fmt.Sprint("model-", im)
-			m.Free = m.Free.Plus(per(g), -1)
+			m.Free = m.Free.AddScaled(per(g), -1)
 			m.Images[image] = true
 			p.Replicas = append(p.Replicas, Replica{Job: fmt.Sprintf("job-%d", im), Index: h*8 + k, Host: h, Need: per(g),
 				Image: image, ImageGB: 10 + 4*float64(im), Movable: rnd.IntN(4) > 0})
--- a/internal/overflow/decide.go
+++ b/internal/overflow/decide.go
@@ -186,7 +186,7 @@
 		if remaining == 0 {
 			break
 		}
-		each := pl.PerMachine.Times(c.Spec.Need)
+		each := pl.PerMachine.FitCount(c.Spec.Need)
 		if each == 0 || pl.remaining == 0 || pl.Spot && !c.Spec.AllowSpot {
 			continue
 		}
@@ -237,7 +237,7 @@
 	left := command.Spec.Tasks
 	rest := slices.Clone(state.FreeCapacity)
 	for i := range rest {
-		each := rest[i].PerMachine.Times(command.Spec.Need)
+		each := rest[i].PerMachine.FitCount(command.Spec.Need)
 		if each == 0 || rest[i].Spot && !command.Spec.AllowSpot {
 			continue
 		}
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -53,12 +53,12 @@
 // they have no GPU or nothing is seen that would use one. The whole machine always counts
 // as if somebody waited for it: what needs it can go nowhere else, and comes rarely.
 func Of(size amount.Resources, pull float64, seen []Seen) *Kind {
-	if size.GPU <= amount.Slack {
+	if size.GPU <= amount.Tolerance {
 		return nil
 	}
 	var sizes []Seen
 	for _, s := range seen {
-		if s.Need.GPU <= amount.Slack || s.Tasks <= 0 || !s.Need.Fits(size) {
+		if s.Need.GPU <= amount.Tolerance || s.Tasks <= 0 || !s.Need.Fits(size) {
 			continue
 		}
 		i := slices.IndexFunc(sizes, func(o Seen) bool { return o.Need == s.Need })
@@ -81,7 +81,7 @@
 	k := &Kind{size: size}
 	for _, s := range sizes {
 		// What can't use all GPUs of an empty machine has no say in what the others need.
-		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+amount.Slack && size.GPU/g*s.Need.Memory <= size.Memory+amount.Slack {
+		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+amount.Tolerance && size.GPU/g*s.Need.Memory <= size.Memory+amount.Tolerance {
 			k.each.CPU, k.each.Memory = max(k.each.CPU, s.Need.CPU/g), max(k.each.Memory, s.Need.Memory/g)
 		}
 	}
@@ -102,7 +102,7 @@
 		k.usual = append(k.usual, Usual{s.Need, part * k.again})
 	}
 	whole := Usual{amount.Resources{CPU: k.each.CPU * size.GPU, GPU: size.GPU, Memory: k.each.Memory * size.GPU}, k.again}
-	if i := slices.IndexFunc(k.usual, func(u Usual) bool { return u.Need.GPU > size.GPU-amount.Slack }); i >= 0 {
+	if i := slices.IndexFunc(k.usual, func(u Usual) bool { return u.Need.GPU > size.GPU-amount.Tolerance }); i >= 0 {
 		k.usual[i].Seconds = k.again
 	} else {
 		k.usual = append(k.usual, whole)
@@ -125,19 +125,19 @@
 // itself takes of them. A machine that is not whole is the likelier emptied by moves the
 // more of it is free, and then the task is one more to move.
 func (k *Kind) Leaves(free, need amount.Resources) float64 {
-	left := free.Plus(need, -1)
+	left := free.AddScaled(need, -1)
 	cost := 0.0
 	for i := range k.usual {
 		u := &k.usual[i]
-		before := free.Times(u.Need)
+		before := free.FitCount(u.Need)
 		if before == 0 {
 			continue
 		}
-		if lost := float64(before-left.Times(u.Need)) - need.GPU/u.Need.GPU; lost > 0 {
+		if lost := float64(before-left.FitCount(u.Need)) - need.GPU/u.Need.GPU; lost > 0 {
 			cost += lost * u.Seconds
 		}
 	}
-	if need.GPU > amount.Slack && free.GPU < k.size.GPU-amount.Slack {
+	if need.GPU > amount.Tolerance && free.GPU < k.size.GPU-amount.Tolerance {
 		open := max(0, left.GPU) / k.size.GPU
 		cost += open * open * k.again
 	}
@@ -146,7 +146,7 @@
 
 // Rest is what of some free room no GPU there needs beside it.
 func (k *Kind) Rest(free amount.Resources) amount.Resources {
-	r := free.Plus(k.each, -max(0, free.GPU))
+	r := free.AddScaled(k.each, -max(0, free.GPU))
 	return amount.Resources{CPU: max(0, r.CPU), Memory: max(0, r.Memory)}
 }
 
@@ -154,7 +154,7 @@
 // free now nor those that are free once all work with GPUs has gone. Plain is what work
 // without GPUs takes there already.
 func (k *Kind) Spare(free, plain amount.Resources) amount.Resources {
-	now, empty := k.Rest(free), k.Rest(k.size.Plus(plain, -1))
+	now, empty := k.Rest(free), k.Rest(k.size.AddScaled(plain, -1))
 	return amount.Resources{CPU: min(now.CPU, empty.CPU), Memory: min(now.Memory, empty.Memory)}
 }
 
@@ -184,9 +184,9 @@
 			}
 		}
 	}
-	g = math.Floor(g + amount.Slack)
+	g = math.Floor(g + amount.Tolerance)
 	r.Largest = max(r.Largest, g)
-	if g >= size.GPU-amount.Slack {
+	if g >= size.GPU-amount.Tolerance {
 		r.Whole++
 	} else {
 		r.Pieces += max(0, free.GPU)
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -36,7 +36,7 @@
 		need := seen[0].Need
 		whole := k.Leaves(host, need)
 		taken := gpus(float64(rapid.IntRange(1, 7).Draw(t, "taken")), 8, 64)
-		broken := host.Plus(taken, -1)
+		broken := host.AddScaled(taken, -1)
 		if !need.Fits(broken) {
 			return
 		}
@@ -64,21 +64,21 @@
 		free, plain := host, amount.Resources{}
 		for _, s := range seen {
 			if s.Need.Fits(free) && rapid.Bool().Draw(t, "runs") {
-				free = free.Plus(s.Need, -1)
+				free = free.AddScaled(s.Need, -1)
 			}
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "others") {
 			o := amount.Resources{CPU: float64(rapid.IntRange(1, 16).Draw(t, "its cpu")), Memory: float64(rapid.IntRange(1, 128).Draw(t, "its memory"))}
 			if o.Fits(k.Spare(free, plain)) {
-				free, plain = free.Plus(o, -1), plain.Plus(o, 1)
+				free, plain = free.AddScaled(o, -1), plain.AddScaled(o, 1)
 			}
 		}
 		for _, s := range seen {
-			if !s.Need.Fits(host) || float64(host.Times(s.Need)) < math.Floor(host.GPU/s.Need.GPU) {
+			if !s.Need.Fits(host) || float64(host.FitCount(s.Need)) < math.Floor(host.GPU/s.Need.GPU) {
 				continue
 			}
-			empty := host.Plus(plain, -1)
-			if got, want := empty.Times(s.Need), host.Times(s.Need); got != want && plain != (amount.Resources{}) {
+			empty := host.AddScaled(plain, -1)
+			if got, want := empty.FitCount(s.Need), host.FitCount(s.Need); got != want && plain != (amount.Resources{}) {
 				t.Fatalf("%d of %v fit beside %v, %d without", got, s.Need, plain, want)
 			}
 		}
@@ -89,14 +89,14 @@
 	small, large := gpus(1, 6, 40), gpus(8, 6, 40)
 	seen := []Seen{{Need: small, Tasks: 90, GB: 8}, {Need: gpus(2, 6, 40), Tasks: 10, GB: 16}}
 	k := Of(host, 1, seen)
-	broken := host.Plus(small, -3)
+	broken := host.AddScaled(small, -3)
 	saved := k.Leaves(host, small) - k.Leaves(broken, small)
 	if saved < 4 || saved > 16 {
 		t.Errorf("a whole host is worth %v s, of images that take 8 to 16 s", saved)
 	}
 	// What waits counts in full.
 	waits := Of(host, 1, append(seen, Seen{Need: gpus(4, 6, 40), Tasks: 1, GB: 30, Waits: true}))
-	four := host.Plus(small, -4)
+	four := host.AddScaled(small, -4)
 	if k.Leaves(four, small) >= waits.Leaves(four, small) {
 		t.Error("the last place for one that waits is worth no more than if nobody did")
 	}
@@ -107,7 +107,7 @@
 	if s := k.Spare(host, amount.Resources{}); s.CPU != 16 || s.Memory != 192 || s.GPU != 0 {
 		t.Errorf("%v is spare on an empty host", s)
 	}
-	full := host.Plus(large, -1)
+	full := host.AddScaled(large, -1)
 	if s := k.Spare(full, amount.Resources{CPU: 10}); s.CPU != 6 {
 		t.Errorf("%v is spare beside others", s)
 	}
--- a/internal/standin/judge.go
+++ b/internal/standin/judge.go
@@ -139,12 +139,12 @@
 			if s.AllowSpot {
 				machines += room[t.Name+"/"+z+"/true"]
 			}
-			fit += machines * t.Capacity.Times(s.Need)
+			fit += machines * t.Capacity.FitCount(s.Need)
 		}
 	}
 	for _, t := range d.Settings.Teams {
 		if t.Name == s.Team && t.QuotaLimit.CPU > 0 {
-			fit = min(fit, t.QuotaLimit.Times(core.Resources{CPU: s.Need.CPU}))
+			fit = min(fit, t.QuotaLimit.FitCount(core.Resources{CPU: s.Need.CPU}))
 		}
 	}
 	return min(fit, s.Tasks)
--- a/internal/standin/slack.go
+++ b/internal/standin/slack.go
@@ -121,8 +121,8 @@
 		left := m.Size
 		for _, t := range m.tasks {
 			if t.status != core.Ended {
-				left = left.Plus(t.job.spec.Need, -1)
-				used[t.job.spec.Team] = used[t.job.spec.Team].Plus(t.job.spec.Need, 1)
+				left = left.AddScaled(t.job.spec.Need, -1)
+				used[t.job.spec.Team] = used[t.job.spec.Team].AddScaled(t.job.spec.Need, 1)
 			}
 		}
 		if m.up(w.now) && m.tenure > 0 && !m.lazy && !m.faulty && m.slow == 0 && m.recallAt.IsZero() {
@@ -142,7 +142,7 @@
 // one and its team is under its limit.
 func (w *World) roomFor(j *userJob, free map[*Worker]core.Resources, used map[string]core.Resources) *Worker {
 	s := &j.spec
-	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].Plus(s.Need, 1)
+	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].AddScaled(s.Need, 1)
 	if limit.CPU > 0 && takes.CPU > limit.CPU || limit.GPU > 0 && takes.GPU > limit.GPU {
 		return nil
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -150,14 +150,14 @@
 	used := core.Resources{}
 	for _, x := range m.tasks {
 		if x != t && x.status != core.Ended {
-			used = used.Plus(x.job.spec.Need, 1)
+			used = used.AddScaled(x.job.spec.Need, 1)
 			if x.job == j && x.index == o.Index {
 				t.status, t.cause = core.Ended, "in_use"
 				return
 			}
 		}
 	}
-	if !j.spec.Need.Fits(m.Size.Plus(used, -1)) {
+	if !j.spec.Need.Fits(m.Size.AddScaled(used, -1)) {
 		t.status, t.cause = core.Ended, "no_room"
 		return
 	}
@@ -212,7 +212,7 @@
 			if !t.ready.After(w.now) {
 				t.status, m.changed, m.used = core.Running, true, true
 				team := t.job.spec.Team
-				w.used[team] = w.used[team].Plus(t.job.spec.Need, 1)
+				w.used[team] = w.used[team].AddScaled(t.job.spec.Need, 1)
 				w.checkStart(m, t)
 			}
 		case core.Running:
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -303,7 +303,7 @@
 func (w *World) leaves(t *workerTask) {
 	if t.onMachine() {
 		team := t.job.spec.Team
-		w.used[team] = w.used[team].Plus(t.job.spec.Need, -1)
+		w.used[team] = w.used[team].AddScaled(t.job.spec.Need, -1)
 		w.replicaDown(t)
 	}
 }
