--- a/internal/core/packing.go
+++ b/internal/core/packing.go
@@ -36,7 +36,7 @@
 type packingProfile struct {
 	at time.Time
 	// kinds are by flavour those on which anything is usual.
-	kinds map[string]*packing.Kind
+	kinds map[string]*packing.Profile
 	// gpuFallback are the workloads without GPUs that have waited in vain for too long, and waits
 	// says that replicas wait.
 	gpuFallback     map[string]bool
@@ -57,7 +57,7 @@
 	if !n.settings.Capabilities.Models || o.packingProfile != nil && n.now.Sub(o.packingProfile.at) < packingProfileInterval && !n.now.Before(o.packingProfile.at) {
 		return o.packingProfile
 	}
-	p := &packingProfile{at: n.now, kinds: map[string]*packing.Kind{}, gpuFallback: map[string]bool{}}
+	p := &packingProfile{at: n.now, kinds: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
 	o.packingProfile = p
 	type tally struct {
 		// In whole megabytes, so that the order in which jobs are looked at is no matter.
@@ -94,13 +94,13 @@
 		if f.Capacity.GPU <= roundingTolerance {
 			continue
 		}
-		var seen []packing.Seen
+		var seen []packing.Demand
 		for _, k := range keys {
 			if c := by[k]; k.machineTypes == "" || slices.Contains(strings.Fields(k.machineTypes), name) {
-				seen = append(seen, packing.Seen{Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)), GB: float64(c.mb) / 1000 / float64(c.tasks), Waits: c.waits})
+				seen = append(seen, packing.Demand{Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)), GB: float64(c.mb) / 1000 / float64(c.tasks), HasWaiting: c.waits})
 			}
 		}
-		if k := packing.Of(f.Capacity, f.ImageFetchRate, seen); k != nil {
+		if k := packing.NewProfile(f.Capacity, f.ImageFetchRate, seen); k != nil {
 			p.kinds[name] = k
 		}
 	}
@@ -117,7 +117,7 @@
 }
 
 // kind is what is usual on machines of a flavour; nil is none.
-func (p *packingProfile) kind(machineType string) *packing.Kind {
+func (p *packingProfile) kind(machineType string) *packing.Profile {
 	if p == nil {
 		return nil
 	}
@@ -177,11 +177,11 @@
 }
 
 // rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better.
-func (n *Controller) rateGPUMachine(k *packing.Kind, j *job, m *machine, free Resources, avoidGPUs bool) (float64, bool) {
+func (n *Controller) rateGPUMachine(k *packing.Profile, j *job, m *machine, free Resources, avoidGPUs bool) (float64, bool) {
 	if avoidGPUs {
-		return 0, j.Need.Fits(k.Spare(free, n.nonGPUUse(m)))
+		return 0, j.Need.Fits(k.NonGPUCapacity(free, n.nonGPUUse(m)))
 	}
-	score := k.Leaves(free, j.Need)
+	score := k.FragmentationCost(free, j.Need)
 	if j.Need.GPU > roundingTolerance {
 		// Of places that leave as much the fullest, as ever, but by what counts here.
 		score += (free.GPU - j.Need.GPU) / m.size.GPU
@@ -204,7 +204,7 @@
 // freeCapacityOn is the room on a machine for a job's tasks.
 func (n *Controller) freeCapacityOn(l *candidateGroup, s *candidateMachine) Resources {
 	if l.avoidGPUs && s.packingKind != nil {
-		return s.packingKind.Spare(s.machine.free(), n.nonGPUUse(s.machine))
+		return s.packingKind.NonGPUCapacity(s.machine.free(), n.nonGPUUse(s.machine))
 	}
 	return s.machine.free()
 }
@@ -214,7 +214,7 @@
 	if v.packingKind == nil || !avoidGPUs {
 		return free
 	}
-	r := v.packingKind.Rest(free)
+	r := v.packingKind.NonGPUSurplus(free)
 	return Resources{CPU: min(r.CPU, v.nonGPUFree.CPU), Memory: min(r.Memory, v.nonGPUFree.Memory)}
 }
 
@@ -252,21 +252,21 @@
 	if !n.settings.Capabilities.Models {
 		return nil
 	}
-	by := map[machineKind]*packing.Room{}
+	by := map[machineKind]*packing.FreeCapacity{}
 	for _, m := range n.shardLeader.machinesByID {
 		if m.size.GPU <= roundingTolerance || !n.usable(m) {
 			continue
 		}
 		k := machineKind{m.machineType, m.zone, m.spot}
 		if by[k] == nil {
-			by[k] = &packing.Room{}
+			by[k] = &packing.FreeCapacity{}
 		}
 		by[k].Add(n.currentPackingProfile().kind(m.machineType), m.size, m.free())
 	}
 	var out []GPUFreeCapacity
 	for _, k := range sortedKinds(by) {
 		r := by[k]
-		out = append(out, GPUFreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Machines: r.Hosts, EmptyMachines: r.Whole, FreeGPUs: r.Free, FragmentedGPUs: r.Pieces, LargestReplicaGPUs: r.Largest})
+		out = append(out, GPUFreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Machines: r.Machines, EmptyMachines: r.WholeMachines, FreeGPUs: r.FreeGPUs, FragmentedGPUs: r.FragmentedGPUs, LargestReplicaGPUs: r.LargestFit})
 	}
 	return out
 }
--- a/internal/core/play.go
+++ b/internal/core/play.go
@@ -266,7 +266,7 @@
 	releases                           []release
 	// packingKind is what is usual on machines of its kind, if they have GPUs, and rest the room
 	// for work without.
-	packingKind *packing.Kind
+	packingKind *packing.Profile
 	nonGPUFree  Resources
 }
 
@@ -357,7 +357,7 @@
 		v := &all[i]
 		*v = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingKind: usual.kind(m.machineType)}
 		if v.packingKind != nil && !v.idle {
-			v.nonGPUFree = v.packingKind.Spare(v.free, n.nonGPUUse(m))
+			v.nonGPUFree = v.packingKind.NonGPUCapacity(v.free, n.nonGPUUse(m))
 		}
 		lo := len(ends)
 		for k, t := range m.attempts {
--- a/internal/core/round.go
+++ b/internal/core/round.go
@@ -40,7 +40,7 @@
 	fetchRate      float64
 	fetchCount     int
 	// packingKind is what is usual on machines of its kind, if they have GPUs.
-	packingKind *packing.Kind
+	packingKind *packing.Profile
 }
 
 // taskShape is what of a task decides where it may go.
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -16,13 +16,13 @@
 	return amount.Resources{CPU: g * cpu, GPU: g, Memory: g * memory}
 }
 
-// drawSeen draws replicas of one to eight GPUs with what they need for each.
-func drawSeen(t *rapid.T, cpuMost int) []Seen {
-	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Seen {
-		return Seen{
+// drawDemands draws replicas of one to eight GPUs with what they need for each.
+func drawDemands(t *rapid.T, cpuMost int) []Demand {
+	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Demand {
+		return Demand{
 			Need: gpus(rapid.SampledFrom([]float64{1, 2, 4, 8}).Draw(t, "gpus"), float64(rapid.IntRange(1, cpuMost).Draw(t, "cpu")),
 				float64(rapid.IntRange(0, 64).Draw(t, "memory"))),
-			Tasks: rapid.IntRange(1, 50).Draw(t, "tasks"), GB: float64(rapid.IntRange(1, 60).Draw(t, "gb")), Waits: rapid.Bool().Draw(t, "waits"),
+			Tasks: rapid.IntRange(1, 50).Draw(t, "tasks"), GB: float64(rapid.IntRange(1, 60).Draw(t, "gb")), HasWaiting: rapid.Bool().Draw(t, "waits"),
 		}
 	}), 1, 12).Draw(t, "seen")
 }
@@ -31,22 +31,22 @@
 // one, and one that is filled up costs nothing.
 func TestWholeHostsAreKeptWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seen := drawSeen(t, 8)
-		k := Of(host, 1, seen)
-		need := seen[0].Need
-		whole := k.Leaves(host, need)
+		demands := drawDemands(t, 8)
+		k := NewProfile(host, 1, demands)
+		need := demands[0].Need
+		whole := k.FragmentationCost(host, need)
 		taken := gpus(float64(rapid.IntRange(1, 7).Draw(t, "taken")), 8, 64)
-		broken := host.AddScaled(taken, -1)
-		if !need.Fits(broken) {
+		partlyUsed := host.AddScaled(taken, -1)
+		if !need.Fits(partlyUsed) {
 			return
 		}
-		if c := k.Leaves(broken, need); c < 0 || c > whole+1e-9 {
+		if c := k.FragmentationCost(partlyUsed, need); c < 0 || c > whole+1e-9 {
 			t.Fatalf("a host with %v taken costs %v, a whole one %v", taken, c, whole)
 		}
 		if need.GPU < host.GPU && whole <= 0 {
 			t.Fatalf("a whole host costs %v", whole)
 		}
-		if c := k.Leaves(need, need); c > 1e-9 {
+		if c := k.FragmentationCost(need, need); c > 1e-9 {
 			t.Fatalf("a place that it fills costs %v", c)
 		}
 	})
@@ -56,30 +56,30 @@
 // could use all GPUs of an empty host still can, those free now and those free later.
 func TestUnusedIsUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		seen := drawSeen(t, 12)
-		k := Of(host, 1, seen)
+		demands := drawDemands(t, 12)
+		k := NewProfile(host, 1, demands)
 		if k == nil {
 			return
 		}
-		free, plain := host, amount.Resources{}
-		for _, s := range seen {
+		free, nonGPUUsed := host, amount.Resources{}
+		for _, s := range demands {
 			if s.Need.Fits(free) && rapid.Bool().Draw(t, "runs") {
 				free = free.AddScaled(s.Need, -1)
 			}
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "others") {
 			o := amount.Resources{CPU: float64(rapid.IntRange(1, 16).Draw(t, "its cpu")), Memory: float64(rapid.IntRange(1, 128).Draw(t, "its memory"))}
-			if o.Fits(k.Spare(free, plain)) {
-				free, plain = free.AddScaled(o, -1), plain.AddScaled(o, 1)
+			if o.Fits(k.NonGPUCapacity(free, nonGPUUsed)) {
+				free, nonGPUUsed = free.AddScaled(o, -1), nonGPUUsed.AddScaled(o, 1)
 			}
 		}
-		for _, s := range seen {
+		for _, s := range demands {
 			if !s.Need.Fits(host) || float64(host.FitCount(s.Need)) < math.Floor(host.GPU/s.Need.GPU) {
 				continue
 			}
-			empty := host.AddScaled(plain, -1)
-			if got, want := empty.FitCount(s.Need), host.FitCount(s.Need); got != want && plain != (amount.Resources{}) {
-				t.Fatalf("%d of %v fit beside %v, %d without", got, s.Need, plain, want)
+			empty := host.AddScaled(nonGPUUsed, -1)
+			if got, want := empty.FitCount(s.Need), host.FitCount(s.Need); got != want && nonGPUUsed != (amount.Resources{}) {
+				t.Fatalf("%d of %v fit beside %v, %d without", got, s.Need, nonGPUUsed, want)
 			}
 		}
 	})
@@ -87,35 +87,35 @@
 
 func TestImageOrPacking(t *testing.T) {
 	small, large := gpus(1, 6, 40), gpus(8, 6, 40)
-	seen := []Seen{{Need: small, Tasks: 90, GB: 8}, {Need: gpus(2, 6, 40), Tasks: 10, GB: 16}}
-	k := Of(host, 1, seen)
-	broken := host.AddScaled(small, -3)
-	saved := k.Leaves(host, small) - k.Leaves(broken, small)
+	seen := []Demand{{Need: small, Tasks: 90, GB: 8}, {Need: gpus(2, 6, 40), Tasks: 10, GB: 16}}
+	k := NewProfile(host, 1, seen)
+	partlyUsed := host.AddScaled(small, -3)
+	saved := k.FragmentationCost(host, small) - k.FragmentationCost(partlyUsed, small)
 	if saved < 4 || saved > 16 {
 		t.Errorf("a whole host is worth %v s, of images that take 8 to 16 s", saved)
 	}
 	// What waits counts in full.
-	waits := Of(host, 1, append(seen, Seen{Need: gpus(4, 6, 40), Tasks: 1, GB: 30, Waits: true}))
+	waits := NewProfile(host, 1, append(seen, Demand{Need: gpus(4, 6, 40), Tasks: 1, GB: 30, HasWaiting: true}))
 	four := host.AddScaled(small, -4)
-	if k.Leaves(four, small) >= waits.Leaves(four, small) {
+	if k.FragmentationCost(four, small) >= waits.FragmentationCost(four, small) {
 		t.Error("the last place for one that waits is worth no more than if nobody did")
 	}
-	if Of(host, 1, seen[:0]) != nil || Of(amount.Resources{CPU: 8, Memory: 8}, 1, seen) != nil {
+	if NewProfile(host, 1, seen[:0]) != nil || NewProfile(amount.Resources{CPU: 8, Memory: 8}, 1, seen) != nil {
 		t.Error("something is usual where nothing is known")
 	}
 	// Without GPUs: what all eight need beside them is left.
-	if s := k.Spare(host, amount.Resources{}); s.CPU != 16 || s.Memory != 192 || s.GPU != 0 {
+	if s := k.NonGPUCapacity(host, amount.Resources{}); s.CPU != 16 || s.Memory != 192 || s.GPU != 0 {
 		t.Errorf("%v is spare on an empty host", s)
 	}
 	full := host.AddScaled(large, -1)
-	if s := k.Spare(full, amount.Resources{CPU: 10}); s.CPU != 6 {
+	if s := k.NonGPUCapacity(full, amount.Resources{CPU: 10}); s.CPU != 6 {
 		t.Errorf("%v is spare beside others", s)
 	}
-	var r Room
+	var r FreeCapacity
 	r.Add(k, host, host)
-	r.Add(k, host, broken)
+	r.Add(k, host, partlyUsed)
 	r.Add(k, host, amount.Resources{CPU: 12, GPU: 5, Memory: 512})
-	if want := (Room{Hosts: 3, Whole: 1, Free: 18, Pieces: 10, Largest: 8}); r != want {
+	if want := (FreeCapacity{Machines: 3, WholeMachines: 1, FreeGPUs: 18, FragmentedGPUs: 10, LargestFit: 8}); r != want {
 		t.Errorf("room %+v, want %+v", r, want)
 	}
 }
