--- a/internal/core/emptying.go
+++ b/internal/core/emptying.go
@@ -115,7 +115,7 @@
 	}
 	for _, j := range n.jobsInQueueOrder() {
 		// Its own moves go first.
-		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.For(j.ID) || !n.withinQuotaLimit(j) {
+		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.HeldFor(j.ID) || !n.withinQuotaLimit(j) {
 			continue
 		}
 		if n.now.Sub(later(j.readySince(), n.shardLeader.readyAt)) < 2*migrationDelay || hasCapacityFor(n, j) {
@@ -169,7 +169,7 @@
 	for i := range b.assigned {
 		h := &b.assigned[i]
 		team := donorTeam(n, mv)
-		if team == "" || mv.tracker.For(evacuationPrefix+kindName(h.machineKind())) > 0 || nextMigrationWrite(n, mv).After(n.now) || hasEmptyHost(n, h.machineKind()) {
+		if team == "" || mv.tracker.HeldFor(evacuationPrefix+kindName(h.machineKind())) > 0 || nextMigrationWrite(n, mv).After(n.now) || hasEmptyHost(n, h.machineKind()) {
 			continue
 		}
 		p := evacuationProblem(n, mv, h)
@@ -186,7 +186,7 @@
 	tries := 0
 	for i := range b.othersNeeds {
 		h := &b.othersNeeds[i]
-		if mv.tracker.For(evacuationPrefix+kindName(h.machineKind())) > 0 || hasEmptyHost(n, h.machineKind()) {
+		if mv.tracker.HeldFor(evacuationPrefix+kindName(h.machineKind())) > 0 || hasEmptyHost(n, h.machineKind()) {
 			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, 0})
 			continue
 		}
@@ -207,7 +207,7 @@
 // no write under way.
 func donorTeam(n *Controller, mv *migrations) string {
 	for _, t := range sortedKeys(n.shardLeader.teams) {
-		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.Fresh(t)) == 0 && n.shardLeader.teams[t].ready {
+		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.UnsavedPlans(t)) == 0 && n.shardLeader.teams[t].ready {
 			return t
 		}
 	}
@@ -227,8 +227,8 @@
 	k := h.machineKind()
 	other := &job{JobSpec: h.jobSpec()}
 	p, hosts := migrationCandidates(n, mv, other)
-	p.Dearest = maxEvacuationCost
-	p.Want = moves.Want{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
+	p.MaxCost = maxEvacuationCost
+	p.WaitingTask = moves.WaitingTask{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
 		m := hosts[i]
 		return (machineKind{m.machineType, m.zone, m.spot}) == k && !m.isEmpty()
 	}}
@@ -259,14 +259,14 @@
 			needs[host], costs[host] = w.update.HostNeeds, w.update.EvacuationCosts
 		}
 	}
-	var needed []moves.Needed
-	var offered []moves.Cost
+	var needed []moves.MachineNeed
+	var offered []moves.EvacuationCost
 	for _, host := range sortedKeys(needs) {
 		if len(needs[host]) > 0 {
-			needed = append(needed, moves.Needed{Owner: host, Kinds: kindNames(needs[host])})
+			needed = append(needed, moves.MachineNeed{Owner: host, Kinds: kindNames(needs[host])})
 		}
 		for _, c := range costs[host] {
-			offered = append(offered, moves.Cost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Down: c.Downtime})
+			offered = append(offered, moves.EvacuationCost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Downtime: c.Downtime})
 		}
 	}
 	othersNeeds, assigned = map[string][]HostNeed{}, map[string][]HostNeed{}
@@ -283,8 +283,8 @@
 			}
 		}
 	}
-	for _, a := range n.leader.evacuations.Look(n.now, needed, offered) {
-		for _, h := range needs[a.Needy] {
+	for _, a := range n.leader.evacuations.Update(n.now, needed, offered) {
+		for _, h := range needs[a.Recipient] {
 			if kindName(h.machineKind()) == a.Kind {
 				assigned[a.Owner] = append(assigned[a.Owner], h)
 				break
--- a/internal/core/emptying_test.go
+++ b/internal/core/emptying_test.go
@@ -34,7 +34,7 @@
 	if cs := n.shardLeader.migrations.evacuation.costs; len(cs) != 1 || cs[0].MachineType != "host" || cs[0].Downtime > 10*time.Second {
 		t.Fatalf("costs %+v", cs)
 	}
-	if len(n.shardLeader.migrations.tracker.Entries()) > 0 {
+	if len(n.shardLeader.migrations.tracker.Plans()) > 0 {
 		t.Fatal("emptied unasked")
 	}
 	n.setHostNeeds(true)
@@ -43,7 +43,7 @@
 		t.Errorf("conditions %v", op.Compares)
 	}
 	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
-	s := n.shardLeader.migrations.tracker.Entries()[0].Steps[0]
+	s := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
 	j := n.shardLeader.jobs[s.Job]
 	n.endAttempt(j, 0, false)
 	n.placeAll()
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -139,7 +139,7 @@
 	// handedOverAt is when a machine was last handed over.
 	handedOverAt map[string]time.Time
 	// evacuations are the hosts that owners are asked to empty for others.
-	evacuations moves.Emptying
+	evacuations moves.Evacuations
 	// unlistedSince are machines that records name and lists do not show, since when.
 	unlistedSince map[string]time.Time
 }
--- a/internal/core/models.go
+++ b/internal/core/models.go
@@ -16,7 +16,7 @@
 
 // migrations is an owner's moves.
 type migrations struct {
-	tracker *moves.Book
+	tracker *moves.Tracker
 	records map[string]*migrationRecord
 	// held are the machines with places held, and pinned the tasks that wait for theirs.
 	held        []*machine
@@ -51,11 +51,11 @@
 	}
 	if o.migrations == nil {
 		o.migrations = &migrations{
-			tracker: moves.NewBook(n.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
+			tracker: moves.NewTracker(n.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
 			pinnedUntil: map[taskKey]time.Time{}, unschedulable: map[string]*unschedulableReplica{}, evacuation: evacuation{refusedAt: map[machineKind]time.Time{}},
 		}
 	}
-	o.migrations.tracker.Bytes = n.maxMigrationRecordBytes()
+	o.migrations.tracker.MaxRecordBytes = n.maxMigrationRecordBytes()
 	return o.migrations
 }
 
@@ -81,14 +81,14 @@
 	}
 	for _, team := range teams {
 		rec := &migrationRecord{}
-		mv.tracker.Forget(team)
+		mv.tracker.ForgetTeam(team)
 		mv.records[team] = rec
 		for _, it := range items {
 			if it.Key != migrationKey(team) {
 				continue
 			}
 			rec.modRevision = it.ModRevision
-			if err := mv.tracker.Restore(n.now, team, it.Value); err != nil {
+			if err := mv.tracker.Recover(n.now, team, it.Value); err != nil {
 				// Its replicas run, or start on the ordinary path.
 				n.rejectInput("record", it.Key, err.Error())
 			}
@@ -101,7 +101,7 @@
 // forgetMigrations lets go of what is under way for a team that is another owner's now.
 func forgetMigrations(n *Controller, team string) {
 	if mv := n.shardLeader.migrations; mv != nil {
-		mv.tracker.Forget(team)
+		mv.tracker.ForgetTeam(team)
 		delete(mv.records, team)
 		updateReservations(n, mv)
 	}
@@ -127,7 +127,7 @@
 	if n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	for _, s := range mv.tracker.Look(n.now, migrationFacts{n}) {
+	for _, s := range mv.tracker.Update(n.now, migrationFacts{n}) {
 		j := n.shardLeader.jobs[s.Job]
 		t := &j.tasks[s.Index]
 		n.info("replica moves", "job", s.Job, "task", s.Index, "from", t.machine.id)
@@ -178,7 +178,7 @@
 // placeReserved starts what has its place held, there.
 func placeReserved(n *Controller) {
 	mv := n.shardLeader.migrations
-	if mv == nil || len(mv.tracker.Entries()) == 0 {
+	if mv == nil || len(mv.tracker.Plans()) == 0 {
 		return
 	}
 	advanceMigrations(n, mv)
@@ -196,8 +196,8 @@
 		if i < 0 {
 			continue
 		}
-		if h.Entry != nil {
-			mv.tracker.Received(h.Entry)
+		if h.Plan != nil {
+			mv.tracker.MarkServed(h.Plan)
 		}
 		startAttempt(n, j, i, m)
 		placed = true
@@ -248,7 +248,7 @@
 	if mv == nil {
 		return 0
 	}
-	k := mv.tracker.For(j.ID)
+	k := mv.tracker.HeldFor(j.ID)
 	for _, i := range j.requeued {
 		if _, pinned := mv.pinnedUntil[taskKey{j.ID, i}]; pinned {
 			k++
@@ -277,14 +277,14 @@
 	if j == nil {
 		return moves.Task{}
 	}
-	out := moves.Task{Known: true, Try: t.attempt, Running: t.isRunning(), Stopping: t.stopReason != stopNone}
+	out := moves.Task{Known: true, Attempt: t.attempt, Running: t.isRunning(), Stopping: t.stopReason != stopNone}
 	if t.machine != nil {
 		out.Host = t.machine.id
 	}
 	return out
 }
 
-func (f migrationFacts) Up(id string) (int, int) {
+func (f migrationFacts) RunningReplicas(id string) (int, int) {
 	j := f.n.shardLeader.jobs[id]
 	if j == nil {
 		return 0, 0
@@ -298,7 +298,7 @@
 	return up, len(j.tasks)
 }
 
-func (f migrationFacts) Waiting(id string) int {
+func (f migrationFacts) WaitingTasks(id string) int {
 	if isEvacuationHold(id) {
 		return int(boolToFloat(f.n.shardLeader.migrations.evacuationRequest(f.n.now, id) != nil))
 	}
@@ -309,7 +309,7 @@
 	return j.pendingTasks()
 }
 
-func (f migrationFacts) Free(host string) (Resources, bool) {
+func (f migrationFacts) FreeCapacity(host string) (Resources, bool) {
 	m := f.n.shardLeader.machines[host]
 	if m == nil {
 		return Resources{}, false
@@ -317,7 +317,7 @@
 	return m.free().AddScaled(m.reservedForMigration, 1), f.n.usable(m)
 }
 
-func (f migrationFacts) Unknown(host string) bool {
+func (f migrationFacts) Unheard(host string) bool {
 	n := f.n
 	if _, mine := n.ownedMachine(host); !mine || n.released[host] {
 		return false
@@ -326,7 +326,7 @@
 	return (m == nil || !m.heard) && n.now.Sub(later(n.shardLeader.readyAt, n.shardLeader.migrations.recoveredAt)) < 3*n.maxHeartbeatInterval()
 }
 
-func (f migrationFacts) Down(id, host string) time.Duration {
+func (f migrationFacts) Downtime(id, host string) time.Duration {
 	j, m := f.n.shardLeader.jobs[id], f.n.shardLeader.machines[host]
 	if j == nil || m == nil {
 		return 0
@@ -334,7 +334,7 @@
 	return f.n.fetchTime(m, j)
 }
 
-func (f migrationFacts) Yields(id, other string) bool {
+func (f migrationFacts) YieldsTo(id, other string) bool {
 	j, o := f.n.shardLeader.jobs[id], f.n.shardLeader.jobs[other]
 	if h := f.n.shardLeader.migrations.evacuationRequest(f.n.now, other); h != nil {
 		o = &job{JobSpec: h.jobSpec()}
@@ -382,13 +382,13 @@
 		return nil
 	}
 	b := n.shardLeader.migrations.tracker
-	s := &MigrationsStatus{Plans: b.Tally.Begun, Moved: b.Tally.Moved, Dropped: b.Tally.Dropped, LongestDownSeconds: b.Tally.Longest.Seconds()}
-	for _, e := range b.Entries() {
+	s := &MigrationsStatus{Plans: b.Stats.Started, Moved: b.Stats.Moved, Dropped: b.Stats.Dropped, LongestDownSeconds: b.Stats.LongestDowntime.Seconds()}
+	for _, e := range b.Plans() {
 		for i := range e.Steps {
 			x := &e.Steps[i]
 			s.InProgress = append(s.InProgress, MigrationStatus{
-				Job: x.Job, Task: x.Index, From: x.From, To: x.To, For: e.For, State: x.State.String(),
-				ExpectedDownSeconds: x.Down.Seconds(), GivenUpInSeconds: e.Until.Sub(n.now).Seconds(),
+				Job: x.Job, Task: x.Index, From: x.From, To: x.To, For: e.HeldFor, State: x.State.String(),
+				ExpectedDownSeconds: x.Downtime.Seconds(), GivenUpInSeconds: e.Until.Sub(n.now).Seconds(),
 			})
 		}
 	}
--- a/internal/core/models_test.go
+++ b/internal/core/models_test.go
@@ -79,7 +79,7 @@
 			t.Errorf("conditions %v, want %v among them", op.Compares, c)
 		}
 	}
-	moved := n.shardLeader.migrations.tracker.Entries()[0].Steps[0]
+	moved := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
 	if !slices.Contains(op.Compares, Compare{openJobPrefix + moved.Job, 7}) {
 		t.Errorf("conditions %v, want the moved job's", op.Compares)
 	}
@@ -150,7 +150,7 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
-	s := n.shardLeader.migrations.tracker.Entries()[0].Steps[0]
+	s := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
 	j := n.shardLeader.jobs[s.Job]
 	from := n.shardLeader.machines[s.From]
 	n.endAttempt(j, 0, false)
@@ -197,11 +197,11 @@
 func TestSuccessorRecoversMigrations(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
-	s := n.shardLeader.migrations.tracker.Entries()[0].Steps[0]
+	s := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
 	successor := largePool(0)
 	successor.settings.Capabilities, successor.machineTypes = n.settings.Capabilities, n.machineTypes
 	j, l := successor.addReplica(s.Job, 4), successor.addReplica("job-large", 8)
-	j.nextFresh, j.tasks[0].attempt = 1, s.Try
+	j.nextFresh, j.tasks[0].attempt = 1, s.Attempt
 	successor.attachAttempt(j, 0, successor.ensureMachine(s.From))
 	successor.ensureMachine(s.To)
 	successor.shardLeader.readyAt = successor.now
--- a/internal/core/moving.go
+++ b/internal/core/moving.go
@@ -37,10 +37,10 @@
 // planMigrations looks for moves for the first job in turn that needs them.
 func planMigrations(n *Controller, mv *migrations) {
 	o := n.shardLeader
-	if n.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Entries()) > 0 {
+	if n.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
 		mv.lastLogged = n.now
-		t := mv.tracker.Tally
-		n.info("moves", "under way", len(mv.tracker.Entries()), "planned", t.Begun, "moved", t.Moved, "dropped", t.Dropped, "longest down", t.Longest.Round(time.Millisecond))
+		t := mv.tracker.Stats
+		n.info("moves", "under way", len(mv.tracker.Plans()), "planned", t.Started, "moved", t.Moved, "dropped", t.Dropped, "longest down", t.LongestDowntime.Round(time.Millisecond))
 	}
 	unschedulable := map[string]*unschedulableReplica{}
 	// Of a long queue of alike jobs only the first looks at every machine.
@@ -56,7 +56,7 @@
 				alike[j.taskShape()] = in
 			}
 		}
-		if !in && (mv.unschedulable[id] == nil || mv.tracker.For(id) == 0) {
+		if !in && (mv.unschedulable[id] == nil || mv.tracker.HeldFor(id) == 0) {
 			continue
 		}
 		if unschedulable[id] = mv.unschedulable[id]; unschedulable[id] == nil {
@@ -71,10 +71,10 @@
 	}
 	for _, j := range n.jobsInQueueOrder() {
 		x := unschedulable[j.ID]
-		if x == nil || mv.tracker.For(j.ID) >= j.pendingTasks() || n.now.Sub(x.since) < migrationDelay || !x.lastTried.IsZero() && n.now.Sub(x.lastTried) < migrationRetryInterval {
+		if x == nil || mv.tracker.HeldFor(j.ID) >= j.pendingTasks() || n.now.Sub(x.since) < migrationDelay || !x.lastTried.IsZero() && n.now.Sub(x.lastTried) < migrationRetryInterval {
 			continue
 		}
-		if rec := mv.records[j.Team]; rec == nil || rec.writing || len(mv.tracker.Fresh(j.Team)) > 0 || nextMigrationWrite(n, mv).After(n.now) {
+		if rec := mv.records[j.Team]; rec == nil || rec.writing || len(mv.tracker.UnsavedPlans(j.Team)) > 0 || nextMigrationWrite(n, mv).After(n.now) {
 			// The next plan would wait for its write, holding places.
 			continue
 		}
@@ -90,7 +90,7 @@
 	if j.Gang || j.borrowedLoan != "" || n.placeableTasks(j) == 0 || !n.withinQuotaLimit(j) {
 		return false
 	}
-	if j.pendingTasks() <= mv.tracker.For(j.ID) && mv.unschedulable[j.ID] == nil {
+	if j.pendingTasks() <= mv.tracker.HeldFor(j.ID) && mv.unschedulable[j.ID] == nil {
 		return false
 	}
 	for _, f := range n.machineTypes {
@@ -129,7 +129,7 @@
 	p := migrationProblem(n, mv, j)
 	plan, ok := moves.Find(p)
 	if !ok {
-		n.debug("no moves", "job", j.ID, "dearest", p.Dearest)
+		n.debug("no moves", "job", j.ID, "dearest", p.MaxCost)
 		return
 	}
 	beginMigration(n, mv, j.Team, p, plan)
@@ -142,9 +142,9 @@
 		_, t := movableReplica(n, m.Job, m.Index)
 		attempts = append(attempts, t.attempt)
 	}
-	reason := mv.tracker.Begin(n.now, team, &p.Want, plan, p.Dearest, attempts, moves.Limits{
-		Bytes: n.maxMigrationRecordBytes(), Part: n.settings.Capabilities.MaxMigratingFraction,
-		Kind: func(host string) (string, int) {
+	reason := mv.tracker.Start(n.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, moves.Limits{
+		MaxRecordBytes: n.maxMigrationRecordBytes(), MaxMovingFraction: n.settings.Capabilities.MaxMigratingFraction,
+		KindOf: func(host string) (string, int) {
 			m := n.shardLeader.machines[host]
 			if m == nil {
 				return "", 0
@@ -159,10 +159,10 @@
 		},
 	})
 	if reason != "" {
-		n.debug("moves are not begun", "for", p.Want.Job, "why", reason)
+		n.debug("moves are not begun", "for", p.WaitingTask.Job, "why", reason)
 		return
 	}
-	n.info("moves planned", "for", p.Want.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "instead of", p.Dearest)
+	n.info("moves planned", "for", p.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "instead of", p.MaxCost)
 	updateReservations(n, mv)
 }
 
@@ -177,8 +177,8 @@
 // migrationProblem is what the planner is asked for a task of j.
 func migrationProblem(n *Controller, mv *migrations, j *job) *moves.Problem {
 	p, hosts := migrationCandidates(n, mv, j)
-	p.Dearest = maxMigrationCost(n, j)
-	p.Want = moves.Want{Job: j.ID, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB, Allowed: func(h int) bool {
+	p.MaxCost = maxMigrationCost(n, j)
+	p.WaitingTask = moves.WaitingTask{Job: j.ID, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB, Allowed: func(h int) bool {
 		m := hosts[h]
 		return j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && m.id != j.avoidedMachine() && !m.reservedForOther(j)
 	}}
@@ -188,7 +188,7 @@
 // migrationCandidates is the hosts there are, and the replicas that may be moved for a job.
 func migrationCandidates(n *Controller, mv *migrations, j *job) (*moves.Problem, []*machine) {
 	o := n.shardLeader
-	p := &moves.Problem{Most: moves.MovesMost}
+	p := &moves.Problem{MaxMoves: moves.MaxMoves}
 	var hosts []*machine
 	place := map[*machine]int{}
 	for _, m := range o.machinesByID {
@@ -199,7 +199,7 @@
 		// themselves, and work that waits in vain is not to wait beside it.
 		h := moves.Host{
 			ID: m.id, Kind: kindName(machineKind{m.machineType, m.zone, m.spot}), Size: m.size, Free: m.free(),
-			Target: !m.reservedForOther(j), Images: map[string]bool{}, Pull: n.imageFetchRate(m),
+			Schedulable: !m.reservedForOther(j), Images: map[string]bool{}, FetchRate: n.imageFetchRate(m),
 		}
 		for name, im := range m.images {
 			if im.cached {
@@ -216,12 +216,12 @@
 	for _, m := range hosts {
 		for _, k := range sortedAttempts(m) {
 			r, t := movableReplica(n, k.job, k.index)
-			if r == nil || !t.isRunning() || t.stopReason != stopNone || !r.durable(k.index) || !mv.tracker.Rested(n.now, k.job, k.index) {
+			if r == nil || !t.isRunning() || t.stopReason != stopNone || !r.durable(k.index) || !mv.tracker.MayMove(n.now, k.job, k.index) {
 				continue
 			}
 			can, known := canSpare[k.job]
 			if !known {
-				up, of := migrationFacts{n}.Up(k.job)
+				up, of := migrationFacts{n}.RunningReplicas(k.job)
 				can = r != j && (of > 1 || yieldsTo(n, r, j)) && (of == 1 || 2*(up-1) >= of)
 				canSpare[k.job] = can
 			}
@@ -232,9 +232,9 @@
 			if allowed[key] == nil {
 				allowed[key] = allowedHosts(r, m.zone, hosts)
 			}
-			x := moves.Replica{Job: k.job, Index: k.index, Host: place[m], Need: r.Need, Image: r.Image, ImageGB: r.ImageGB, Movable: true, Allowed: allowed[key]}
+			x := moves.Replica{Job: k.job, Index: k.index, HostIndex: place[m], Need: r.Need, Image: r.Image, ImageGB: r.ImageGB, Movable: true, Allowed: allowed[key]}
 			if r.CheckpointInterval > 0 {
-				x.Loss = r.CheckpointCost
+				x.LostWork = r.CheckpointCost
 			}
 			p.Replicas = append(p.Replicas, x)
 		}
@@ -317,12 +317,12 @@
 	var bestSince time.Time
 	bestFresh := false
 	for _, team := range mv.tracker.Teams() {
-		since, fresh, due := mv.tracker.Due(team)
+		since, fresh, due := mv.tracker.WriteDue(team)
 		rec := mv.records[team]
 		if rec == nil || rec.writing || !due || !fresh && n.now.Sub(since) < migrationLazyDelay {
 			continue
 		}
-		if _, ver := mv.tracker.Write(team); ver == rec.rejectedVersion {
+		if _, ver := mv.tracker.EncodeRecord(team); ver == rec.rejectedVersion {
 			continue
 		}
 		if best == "" || fresh && !bestFresh || fresh == bestFresh && since.Before(bestSince) {
@@ -338,15 +338,15 @@
 
 func writeMigration(n *Controller, mv *migrations, team string) {
 	rec := mv.records[team]
-	val, ver := mv.tracker.Write(team)
+	val, ver := mv.tracker.EncodeRecord(team)
 	key := migrationKey(team)
 	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy}
 	teams := []string{team}
-	for _, e := range mv.tracker.Fresh(team) {
+	for _, e := range mv.tracker.UnsavedPlans(team) {
 		op.Priority = PriorityStart
 		var jobs []string
-		if !isEvacuationHold(e.For) {
-			jobs = append(jobs, e.For)
+		if !isEvacuationHold(e.HeldFor) {
+			jobs = append(jobs, e.HeldFor)
 		}
 		for i := range e.Steps {
 			jobs = append(jobs, e.Steps[i].Job)
@@ -355,7 +355,7 @@
 			j := n.shardLeader.jobs[id]
 			if j == nil {
 				// Over or gone: nothing of this plan is to be done.
-				mv.tracker.Refused(team, n.now)
+				mv.tracker.WriteRefused(team, n.now)
 				return
 			}
 			teams = append(teams, j.Team)
@@ -368,7 +368,7 @@
 	op.Compares = append(op.Compares, Compare{key, rec.modRevision})
 	op.Writes = []Write{{Key: key, Value: val}}
 	if val == nil && rec.modRevision == 0 {
-		mv.tracker.Saved(team, ver)
+		mv.tracker.MarkPersisted(team, ver)
 		return
 	}
 	rec.writing = true
@@ -384,12 +384,12 @@
 			if val == nil {
 				rec.modRevision = 0
 			}
-			mv.tracker.Saved(team, ver)
+			mv.tracker.MarkPersisted(team, ver)
 			advanceMigrations(n, mv)
 		case StoreConflict:
 			if !slices.Contains(d.FailedKeys, key) {
 				// A job or a share is not what it was: plan anew, if it is still needed.
-				mv.tracker.Refused(team, n.now)
+				mv.tracker.WriteRefused(team, n.now)
 				updateReservations(n, mv)
 				return
 			}
@@ -397,8 +397,8 @@
 		case StoreUnknown:
 			reReadMigration(n, mv, team, rec)
 		case StoreMalformed:
-			mv.tracker.Refused(team, n.now)
-			_, rec.rejectedVersion = mv.tracker.Write(team)
+			mv.tracker.WriteRefused(team, n.now)
+			_, rec.rejectedVersion = mv.tracker.EncodeRecord(team)
 			updateReservations(n, mv)
 		}
 	})
@@ -427,6 +427,6 @@
 			})
 			return
 		}
-		mv.tracker.Unsure(team, n.now)
+		mv.tracker.WriteUncertain(team, n.now)
 	})
 }
--- a/internal/moves/golden_test.go
+++ b/internal/moves/golden_test.go
@@ -10,27 +10,27 @@
 // TestGoldenRecord: a team's moves are written as they ever were, and what stands there is
 // read, taken up by an owner, and written as it stood.
 func TestGoldenRecord(t *testing.T) {
-	records := testgolden.Values{"moves": record{V: form, Plans: []planRow{{
-		ID: 7, For: "job-000001", Need: []float64{8.5, 1.25, 64.75}, Host: "vm-000003", Until: 1_750_000_060_123, Dearest: 61_000,
+	records := testgolden.Values{"moves": record{Version: formatVersion, Plans: []planRow{{
+		ID: 7, HeldFor: "job-000001", Need: []float64{8.5, 1.25, 64.75}, Host: "vm-000003", Until: 1_750_000_060_123, MaxCost: 61_000,
 		Steps: []stepRow{
-			{Job: "job-000002", Index: 5, Try: 3, From: "vm-000003", To: "vm-000004", Need: []float64{2.5, 0.25, 16.75}, Down: 9_200},
-			{Job: "job-000003", Index: 6, Try: 300, From: "vm-000004", To: "vm-000005", Need: []float64{1.5, 0.75, 8.25}, Down: 8_300},
+			{Job: "job-000002", Index: 5, Attempt: 3, From: "vm-000003", To: "vm-000004", Need: []float64{2.5, 0.25, 16.75}, Downtime: 9_200},
+			{Job: "job-000003", Index: 6, Attempt: 300, From: "vm-000004", To: "vm-000005", Need: []float64{1.5, 0.75, 8.25}, Downtime: 8_300},
 		},
 	}}, Recent: []recentRow{{Job: "job-000004", Index: 70_000, Until: 1_750_000_070_234}}}}
 	testgolden.Check(t, testgolden.Codec{
 		Write: testgolden.Msgpack.Write,
 		Read: func(b []byte, into any) (err error) {
-			*into.(*record), err = decode(b)
+			*into.(*record), err = decodeRecord(b)
 			return err
 		},
 		Strict: true,
 	}, records)
 	testgolden.Full(t, records)
 
-	b := NewBook(time.Hour)
-	if err := b.Restore(time.UnixMilli(1_750_000_000_000), "team", testgolden.Bytes(t, "moves")); err != nil {
+	b := NewTracker(time.Hour)
+	if err := b.Recover(time.UnixMilli(1_750_000_000_000), "team", testgolden.Bytes(t, "moves")); err != nil {
 		t.Fatal(err)
 	}
-	value, _ := b.Write("team")
+	value, _ := b.EncodeRecord("team")
 	testgolden.Still(t, "moves", value)
 }
--- a/internal/moves/limits_test.go
+++ b/internal/moves/limits_test.go
@@ -13,8 +13,8 @@
 // replicas, then plans, which only hold places.
 func TestRecordAboveTheLimit(t *testing.T) {
 	now := time.UnixMilli(1_750_000_000_000)
-	r := good()
-	for i := range recentMost - len(r.Recent) {
+	r := validRecord()
+	for i := range maxRecent - len(r.Recent) {
 		r.Recent = append(r.Recent, recentRow{fmt.Sprintf("job-with-a-long-name-%03d", i), 0, now.Add(time.Duration(i+1) * time.Second).UnixMilli()})
 	}
 	v, err := msgpack.Marshal(r)
@@ -22,19 +22,19 @@
 		t.Fatal(err)
 	}
 	for _, limit := range []int{0, 1536, 300, 40} {
-		b := NewBook(time.Hour)
-		b.Bytes = limit
-		if err := b.Restore(now, "team", v); err != nil {
+		b := NewTracker(time.Hour)
+		b.MaxRecordBytes = limit
+		if err := b.Recover(now, "team", v); err != nil {
 			t.Fatal(err)
 		}
-		_, _, due := b.Due("team")
-		if limit == 0 && (due || len(b.record("team").Recent) != recentMost) {
+		_, _, due := b.WriteDue("team")
+		if limit == 0 && (due || len(b.record("team").Recent) != maxRecent) {
 			t.Error("trimmed without a limit")
 		}
-		if size := b.bytes("team"); limit > 0 && (size > limit || !due) {
+		if size := b.recordBytes("team"); limit > 0 && (size > limit || !due) {
 			t.Errorf("%d bytes of %d, to be written %v", size, limit, due)
 		}
-		if limit == 1536 && len(b.Entries()) != len(r.Plans) {
+		if limit == 1536 && len(b.Plans()) != len(r.Plans) {
 			t.Error("plans are dropped though the rest would have done")
 		}
 	}
--- a/internal/moves/plan_test.go
+++ b/internal/moves/plan_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// cheapest tries every sequence of moves: the measure that Find is held to.
-func cheapest(p *Problem) (time.Duration, bool) {
+// cheapestCost tries every sequence of moves: the measure that Find is held to.
+func cheapestCost(p *Problem) (time.Duration, bool) {
 	best, found := time.Duration(0), false
 	free := make([]amount.Resources, len(p.Hosts))
 	for h := range p.Hosts {
@@ -20,11 +20,11 @@
 	moved := make([]bool, len(p.Replicas))
 	var try func(left int, cost time.Duration)
 	try = func(left int, cost time.Duration) {
-		if cost > p.Dearest || found && cost >= best {
+		if cost > p.MaxCost || found && cost >= best {
 			return
 		}
 		for h := range p.Hosts {
-			if w := &p.Want; p.Hosts[h].Target && w.Need.Fits(free[h]) && (w.Allowed == nil || w.Allowed(h)) {
+			if w := &p.WaitingTask; p.Hosts[h].Schedulable && w.Need.Fits(free[h]) && (w.Allowed == nil || w.Allowed(h)) {
 				best, found = cost, true
 				return
 			}
@@ -39,36 +39,36 @@
 			}
 			for h := range p.Hosts {
 				m := &p.Hosts[h]
-				if h == r.Host || !m.Target || !r.Need.Fits(free[h]) || r.Allowed != nil && !r.Allowed(h) {
+				if h == r.HostIndex || !m.Schedulable || !r.Need.Fits(free[h]) || r.Allowed != nil && !r.Allowed(h) {
 					continue
 				}
-				c := r.Loss
+				c := r.LostWork
 				if !m.Images[r.Image] && r.ImageGB > 0 {
-					if m.Pull <= 0 {
+					if m.FetchRate <= 0 {
 						continue
 					}
-					c += time.Duration(r.ImageGB / m.Pull * float64(time.Second))
+					c += time.Duration(r.ImageGB / m.FetchRate * float64(time.Second))
 				}
 				moved[i] = true
-				free[r.Host], free[h] = free[r.Host].AddScaled(r.Need, 1), free[h].AddScaled(r.Need, -1)
+				free[r.HostIndex], free[h] = free[r.HostIndex].AddScaled(r.Need, 1), free[h].AddScaled(r.Need, -1)
 				try(left-1, cost+c)
-				free[r.Host], free[h] = free[r.Host].AddScaled(r.Need, -1), free[h].AddScaled(r.Need, 1)
+				free[r.HostIndex], free[h] = free[r.HostIndex].AddScaled(r.Need, -1), free[h].AddScaled(r.Need, 1)
 				moved[i] = false
 			}
 		}
 	}
-	try(min(p.Most, MovesMost), 0)
+	try(min(p.MaxMoves, MaxMoves), 0)
 	return best, found
 }
 
-// carriedOut plays a plan and says what is wrong with it.
-func carriedOut(p *Problem, plan Plan) error {
+// checkPlan plays a plan and says what is wrong with it.
+func checkPlan(p *Problem, plan Plan) error {
 	at := map[string]int{}
 	free := make([]amount.Resources, len(p.Hosts))
 	for h := range p.Hosts {
 		at[p.Hosts[h].ID], free[h] = h, p.Hosts[h].Free
 	}
-	if len(plan.Moves) > min(p.Most, MovesMost) {
+	if len(plan.Moves) > min(p.MaxMoves, MaxMoves) {
 		return fmt.Errorf("%d moves", len(plan.Moves))
 	}
 	seen, cost := map[int]bool{}, time.Duration(0)
@@ -85,33 +85,33 @@
 		seen[i] = true
 		r, to := &p.Replicas[i], at[v.To]
 		switch {
-		case p.Hosts[r.Host].ID != v.From, v.From == v.To, r.Need != v.Need:
+		case p.Hosts[r.HostIndex].ID != v.From, v.From == v.To, r.Need != v.Need:
 			return fmt.Errorf("%s/%d from %s to %s", v.Job, v.Index, v.From, v.To)
-		case !r.Movable, !p.Hosts[to].Target, r.Allowed != nil && !r.Allowed(to):
+		case !r.Movable, !p.Hosts[to].Schedulable, r.Allowed != nil && !r.Allowed(to):
 			return fmt.Errorf("%s/%d may not go to %s", v.Job, v.Index, v.To)
 		}
-		free[r.Host] = free[r.Host].AddScaled(r.Need, 1)
+		free[r.HostIndex] = free[r.HostIndex].AddScaled(r.Need, 1)
 		if !r.Need.Fits(free[to]) {
 			return fmt.Errorf("no room for %s/%d on %s", v.Job, v.Index, v.To)
 		}
 		free[to] = free[to].AddScaled(r.Need, -1)
 		down := time.Duration(0)
 		if !p.Hosts[to].Images[r.Image] && r.ImageGB > 0 {
-			down = time.Duration(r.ImageGB / p.Hosts[to].Pull * float64(time.Second))
+			down = time.Duration(r.ImageGB / p.Hosts[to].FetchRate * float64(time.Second))
 		}
-		if v.Down != down {
-			return fmt.Errorf("%s/%d is down for %v, not %v", v.Job, v.Index, down, v.Down)
+		if v.Downtime != down {
+			return fmt.Errorf("%s/%d is down for %v, not %v", v.Job, v.Index, down, v.Downtime)
 		}
-		cost += down + r.Loss
+		cost += down + r.LostWork
 	}
 	h, ok := at[plan.Host]
-	switch w := &p.Want; {
-	case !ok || !p.Hosts[h].Target || w.Allowed != nil && !w.Allowed(h):
+	switch w := &p.WaitingTask; {
+	case !ok || !p.Hosts[h].Schedulable || w.Allowed != nil && !w.Allowed(h):
 		return fmt.Errorf("%q is no place", plan.Host)
 	case !w.Need.Fits(free[h]):
 		return fmt.Errorf("no room on %s: %+v", plan.Host, free[h])
-	case plan.Cost != cost || cost > p.Dearest:
-		return fmt.Errorf("costs %v, not %v; at most %v", cost, plan.Cost, p.Dearest)
+	case plan.Cost != cost || cost > p.MaxCost:
+		return fmt.Errorf("costs %v, not %v; at most %v", cost, plan.Cost, p.MaxCost)
 	}
 	return nil
 }
@@ -119,15 +119,15 @@
 // drawProblem fills hosts of one or two sizes with replicas of four. Fuller ones leave
 // only chains.
 func drawProblem(t *rapid.T, hostsMost, replicasMost int) *Problem {
-	p := &Problem{Most: rapid.IntRange(0, MovesMost).Draw(t, "most"), Dearest: time.Duration(rapid.SampledFrom([]int{10, 60, 600}).Draw(t, "dearest")) * time.Second}
-	p.Most = rapid.SampledFrom([]int{p.Most, MovesMost, MovesMost}).Draw(t, "or three")
+	p := &Problem{MaxMoves: rapid.IntRange(0, MaxMoves).Draw(t, "most"), MaxCost: time.Duration(rapid.SampledFrom([]int{10, 60, 600}).Draw(t, "dearest")) * time.Second}
+	p.MaxMoves = rapid.SampledFrom([]int{p.MaxMoves, MaxMoves, MaxMoves}).Draw(t, "or three")
 	images := []string{"a", "b", "c"}
 	gbs := []float64{2, 16, 40}
 	n := rapid.IntRange(2, hostsMost).Draw(t, "hosts")
 	for h := range n {
 		size := amount.Resources{CPU: 32, GPU: float64(rapid.SampledFrom([]int{8, 8, 8, 4}).Draw(t, "gpus")), Memory: 64}
 		m := Host{ID: fmt.Sprintf("h%d", h), Kind: fmt.Sprint(size.GPU), Size: size, Free: size, Images: map[string]bool{},
-			Target: rapid.IntRange(0, 5).Draw(t, "no target") > 0, Pull: rapid.SampledFrom([]float64{1, 2, 0}).Draw(t, "pull")}
+			Schedulable: rapid.IntRange(0, 5).Draw(t, "no target") > 0, FetchRate: rapid.SampledFrom([]float64{1, 2, 0}).Draw(t, "pull")}
 		for _, im := range images {
 			if rapid.IntRange(0, 2).Draw(t, "has "+im) == 0 {
 				m.Images[im] = true
@@ -148,9 +148,9 @@
 	}
 	for i := range rapid.IntRange(replicasMost/2, replicasMost).Draw(t, "replicas") {
 		h, im := rapid.IntRange(0, n-1).Draw(t, "host"), rapid.IntRange(0, 2).Draw(t, "image")
-		r := Replica{Job: fmt.Sprintf("j%d", i/3), Index: i, Host: h, Need: need("need", 1, 1, 2, 2, 4, 8), Image: images[im], ImageGB: gbs[im],
+		r := Replica{Job: fmt.Sprintf("j%d", i/3), Index: i, HostIndex: h, Need: need("need", 1, 1, 2, 2, 4, 8), Image: images[im], ImageGB: gbs[im],
 			Movable: rapid.IntRange(0, 7).Draw(t, "fixed") > 0, Allowed: allowed("allowed"),
-			Loss: time.Duration(rapid.SampledFrom([]int{0, 0, 3, 20}).Draw(t, "loss")) * time.Second}
+			LostWork: time.Duration(rapid.SampledFrom([]int{0, 0, 3, 20}).Draw(t, "loss")) * time.Second}
 		if !r.Need.Fits(p.Hosts[h].Free) {
 			continue
 		}
@@ -164,7 +164,7 @@
 			m.Free.GPU = w.GPU - float64(rapid.IntRange(1, int(w.GPU)).Draw(t, "missing"))
 		}
 	}
-	p.Want = Want{Job: "w", Need: w, Image: images[rapid.IntRange(0, 2).Draw(t, "its image")], Allowed: allowed("where it may go")}
+	p.WaitingTask = WaitingTask{Job: "w", Need: w, Image: images[rapid.IntRange(0, 2).Draw(t, "its image")], Allowed: allowed("where it may go")}
 	return p
 }
 
@@ -174,7 +174,7 @@
 	lengths := map[int]int{}
 	check := func(p *Problem) error {
 		plan, ok := Find(p)
-		best, exists := cheapest(p)
+		best, exists := cheapestCost(p)
 		switch {
 		case ok != exists:
 			return fmt.Errorf("a plan is found: %v, there is one: %v", ok, exists)
@@ -182,10 +182,10 @@
 			return nil
 		}
 		lengths[len(plan.Moves)]++
-		if float64(plan.Cost) > enough*float64(best) {
+		if float64(plan.Cost) > costTolerance*float64(best) {
 			return fmt.Errorf("costs %v, the cheapest %v", plan.Cost, best)
 		}
-		return carriedOut(p, plan)
+		return checkPlan(p, plan)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		if err := check(drawProblem(t, 6, 10)); err != nil {
@@ -205,48 +205,48 @@
 	t.Log("plans by length:", lengths)
 }
 
-// TestChangePlaces: two replicas may only change places, which takes that a third leaves
+// TestReplicasChangePlaces: two replicas may only change places, which takes that a third leaves
 // first, though in sum there would be room without.
-func TestChangePlaces(t *testing.T) {
+func TestReplicasChangePlaces(t *testing.T) {
 	gpu := func(g float64) amount.Resources { return amount.Resources{GPU: g} }
 	host := func(id string, size, free float64) Host {
-		return Host{ID: id, Size: gpu(size), Free: gpu(free), Target: true}
+		return Host{ID: id, Size: gpu(size), Free: gpu(free), Schedulable: true}
 	}
 	only := func(h int) func(int) bool { return func(x int) bool { return x == h } }
 	p := &Problem{
 		Hosts: []Host{host("h", 12, 2), host("x", 8, 4), host("z", 2, 2)},
-		Replicas: []Replica{{Job: "b", Host: 0, Need: gpu(8), Movable: true, Allowed: only(1)}, {Job: "a", Host: 1, Need: gpu(4), Movable: true, Allowed: only(0)},
-			{Job: "c", Host: 0, Need: gpu(2), Movable: true, Loss: time.Second, Allowed: only(2)}},
-		Want: Want{Need: gpu(6), Allowed: only(0)}, Most: MovesMost, Dearest: time.Minute,
+		Replicas: []Replica{{Job: "b", HostIndex: 0, Need: gpu(8), Movable: true, Allowed: only(1)}, {Job: "a", HostIndex: 1, Need: gpu(4), Movable: true, Allowed: only(0)},
+			{Job: "c", HostIndex: 0, Need: gpu(2), Movable: true, LostWork: time.Second, Allowed: only(2)}},
+		WaitingTask: WaitingTask{Need: gpu(6), Allowed: only(0)}, MaxMoves: MaxMoves, MaxCost: time.Minute,
 	}
 	plan, ok := Find(p)
 	if !ok || len(plan.Moves) != 3 || plan.Moves[0].Job != "c" {
 		t.Fatalf("%v, %+v", ok, plan)
 	}
-	if err := carriedOut(p, plan); err != nil {
+	if err := checkPlan(p, plan); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestFindInPartAgainstWhole: what is left out among many hosts costs little.
-func TestFindInPartAgainstWhole(t *testing.T) {
+// TestBoundedFindAgainstExhaustive: what is left out among many hosts costs little.
+func TestBoundedFindAgainstExhaustive(t *testing.T) {
 	lengths := map[int]int{}
-	var sum, least time.Duration
+	var boundedSum, exhaustiveSum time.Duration
 	for seed := range uint64(120) {
-		p := fleet(24+int(seed%4)*8, seed, 0.4+0.4*float64(seed%5), []float64{4, 8}[seed%2])
+		p := newFleet(24+int(seed%4)*8, seed, 0.4+0.4*float64(seed%5), []float64{4, 8}[seed%2])
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		for i := range p.Replicas {
 			r := &p.Replicas[i]
-			r.Loss = time.Duration(rnd.IntN(20)) * time.Second
+			r.LostWork = time.Duration(rnd.IntN(20)) * time.Second
 			if rnd.IntN(3) == 0 {
 				part := rnd.IntN(4)
 				r.Allowed = func(h int) bool { return h%4 != part }
 			}
 		}
 		for h := range p.Hosts {
-			p.Hosts[h].Pull = float64(1 + rnd.IntN(4))
+			p.Hosts[h].FetchRate = float64(1 + rnd.IntN(4))
 		}
-		some, ok := find(p, false)
+		bounded, ok := find(p, false)
 		best, exists := find(p, true)
 		if ok != exists {
 			t.Fatalf("seed %d: a plan is found: %v, there is one: %v", seed, ok, exists)
@@ -254,28 +254,28 @@
 		if !ok {
 			continue
 		}
-		if err := carriedOut(p, some); err != nil {
+		if err := checkPlan(p, bounded); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		lengths[len(some.Moves)]++
-		sum, least = sum+some.Cost, least+best.Cost
-		if float64(some.Cost) > enough*enough*float64(best.Cost) {
-			t.Errorf("seed %d: costs %v, the cheapest %v", seed, some.Cost, best.Cost)
+		lengths[len(bounded.Moves)]++
+		boundedSum, exhaustiveSum = boundedSum+bounded.Cost, exhaustiveSum+best.Cost
+		if float64(bounded.Cost) > costTolerance*costTolerance*float64(best.Cost) {
+			t.Errorf("seed %d: costs %v, the cheapest %v", seed, bounded.Cost, best.Cost)
 		}
 	}
-	t.Log("plans by length:", lengths, "cost", sum, "the cheapest", least)
+	t.Log("plans by length:", lengths, "cost", boundedSum, "the cheapest", exhaustiveSum)
 }
 
-// fleet is a number of eight-GPU hosts, five replicas each on the average, with about so
+// newFleet is a number of eight-GPU hosts, five replicas each on the average, with about so
 // many GPUs free on each; none of them whole. A replica of half a host waits, or one of a
 // whole.
-func fleet(hosts int, seed uint64, free float64, want float64) *Problem {
+func newFleet(hosts int, seed uint64, free float64, want float64) *Problem {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	size := amount.Resources{CPU: 64, GPU: 8, Memory: 512}
 	per := func(g float64) amount.Resources { return amount.Resources{CPU: 6 * g, GPU: g, Memory: 48 * g} }
-	p := &Problem{Most: MovesMost, Dearest: 10 * time.Minute}
+	p := &Problem{MaxMoves: MaxMoves, MaxCost: 10 * time.Minute}
 	for h := range hosts {
-		m := Host{ID: fmt.Sprintf("host-%05d", h), Kind: "g8", Size: size, Free: size, Target: true, Images: map[string]bool{}, Pull: 2}
+		m := Host{ID: fmt.Sprintf("host-%05d", h), Kind: "g8", Size: size, Free: size, Schedulable: true, Images: map[string]bool{}, FetchRate: 2}
 		left := min(free*2*rnd.Float64(), want-1)
 		for k := 0; m.Free.GPU > left; k++ {
 			g := []float64{1, 1, 1, 2, 4}[rnd.IntN(5)]
@@ -286,12 +286,12 @@
 			image := fmt.Sprint("model-", im)
 			m.Free = m.Free.AddScaled(per(g), -1)
 			m.Images[image] = true
-			p.Replicas = append(p.Replicas, Replica{Job: fmt.Sprintf("job-%d", im), Index: h*8 + k, Host: h, Need: per(g),
+			p.Replicas = append(p.Replicas, Replica{Job: fmt.Sprintf("job-%d", im), Index: h*8 + k, HostIndex: h, Need: per(g),
 				Image: image, ImageGB: 10 + 4*float64(im), Movable: rnd.IntN(4) > 0})
 		}
 		p.Hosts = append(p.Hosts, m)
 	}
-	p.Want = Want{Job: "large", Need: per(want), Image: "model-11", ImageGB: 54}
+	p.WaitingTask = WaitingTask{Job: "large", Need: per(want), Image: "model-11", ImageGB: 54}
 	return p
 }
 
@@ -301,12 +301,12 @@
 		free, want float64
 	}{{"half", 1.5, 4}, {"whole", 1.5, 8}, {"tight", 0.6, 4}, {"tight whole", 0.6, 8}, {"none", 0.2, 8}} {
 		for _, hosts := range []int{100, 200, 500, 1000, 2000} {
-			p := fleet(hosts, 1, c.free, c.want)
+			p := newFleet(hosts, 1, c.free, c.want)
 			b.Run(fmt.Sprintf("%s/hosts=%d", c.name, hosts), func(b *testing.B) {
 				for b.Loop() {
 					plan, ok := Find(p)
 					b.ReportMetric(float64(len(p.Replicas)), "replicas")
-					b.ReportMetric(float64(len(plan.Moves))*b2f(ok), "moves")
+					b.ReportMetric(float64(len(plan.Moves))*foundSign(ok), "moves")
 					b.ReportMetric(plan.Cost.Seconds(), "cost-s")
 				}
 			})
@@ -314,7 +314,7 @@
 	}
 }
 
-func b2f(b bool) float64 {
+func foundSign(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/moves/types.go
+++ b/internal/moves/types.go
@@ -18,34 +18,34 @@
 	Size amount.Resources
 	// Free is what neither tasks nor places held for moves take.
 	Free amount.Resources
-	// Target says that replicas may be placed there now.
-	Target bool
+	// Schedulable says that replicas may be placed there now.
+	Schedulable bool
 	// Images are those it holds, and Pull how many GB it fetches in a second.
-	Images map[string]bool
-	Pull   float64
+	Images    map[string]bool
+	FetchRate float64
 }
 
 // Replica is a task that runs on a host.
 type Replica struct {
 	Job   string
 	Index int
-	// Host is its place in Problem.Hosts.
-	Host    int
-	Need    amount.Resources
-	Image   string
-	ImageGB float64
+	// HostIndex is its place in Problem.Hosts.
+	HostIndex int
+	Need      amount.Resources
+	Image     string
+	ImageGB   float64
 	// Movable: its job can do without it for the time of a move, it was not moved
 	// lately, and it is not on the move.
 	Movable bool
 	// Allowed says on which hosts its job lets it be, given the job's other tasks; nil:
 	// on any.
 	Allowed func(host int) bool
-	// Loss is the work that a stop loses.
-	Loss time.Duration
+	// LostWork is the work that a stop loses.
+	LostWork time.Duration
 }
 
-// Want is a task that waits and fits nowhere.
-type Want struct {
+// WaitingTask is a task that waits and fits nowhere.
+type WaitingTask struct {
 	Job     string
 	Index   int
 	Need    amount.Resources
@@ -56,27 +56,27 @@
 
 // Problem is what the planner is asked.
 type Problem struct {
-	Hosts    []Host
-	Replicas []Replica
-	Want     Want
-	// Most bounds the moves, MovesMost at most, and Dearest what they may cost: what
+	Hosts       []Host
+	Replicas    []Replica
+	WaitingTask WaitingTask
+	// MaxMoves bounds the moves, MaxMoves at most, and Dearest what they may cost: what
 	// renting or waiting would.
-	Most    int
-	Dearest time.Duration
+	MaxMoves int
+	MaxCost  time.Duration
 }
 
-// MovesMost is the longest chain of moves.
-const MovesMost = 3
+// MaxMoves is the longest chain of moves.
+const MaxMoves = 3
 
 // Move takes a replica from one host to another. Down is how long it is expected to be
 // down: the fetch of its image, and no other replica of it before.
 type Move struct {
-	Job   string
-	Index int
-	From  string
-	To    string
-	Need  amount.Resources
-	Down  time.Duration
+	Job      string
+	Index    int
+	From     string
+	To       string
+	Need     amount.Resources
+	Downtime time.Duration
 }
 
 // Plan is the moves, in their order, after which the task that waits fits on Host. Cost
