--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -258,11 +258,11 @@
 	if nc, ok := c.Request().Context().Value(connKey{}).(net.Conn); ok && h.conns.report(nc) {
 		c.Response().Header().Set(echo.HeaderConnection, "close")
 	}
-	var r worker.Report
+	var r worker.Heartbeat
 	if err := msgpack.Unmarshal(b, &r); err != nil {
 		return h.bad(c, "not a MessagePack map with a report's fields: "+err.Error())
 	}
-	report := r.Core()
+	report := r.Decode()
 	if why := report.Validate(); why != "" {
 		return h.bad(c, "field "+why)
 	}
@@ -280,7 +280,7 @@
 	case err != nil || !ok:
 		return busy(c)
 	case a.Status == http.StatusOK:
-		return answer(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.Wire(a.Commands)})
+		return answer(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.EncodeCommands(a.Commands)})
 	case a.MachineOwner != "":
 		return answer(c, a.Status, map[string]any{"steward": a.MachineOwner})
 	}
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -32,19 +32,19 @@
 // given.
 func FuzzReport(f *testing.F) {
 	recall := 12.5
-	good, err := msgpack.Marshal(worker.Report{Host: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Tenure: 1, Tick: 88, Epoch: 41, RecallS: &recall,
-		Pieces: []worker.Piece{{Piece: "job-000412/3", Try: 2, Status: "running"}, {Piece: "x/-1"}}})
+	good, err := msgpack.Marshal(worker.Heartbeat{Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 88, Epoch: 41, ReclaimS: &recall,
+		Tasks: []worker.TaskReport{{Task: "job-000412/3", Attempt: 2, Status: "running"}, {Task: "x/-1"}}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(good)
 	f.Add(good[:len(good)/2])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var r worker.Report
+		var r worker.Heartbeat
 		if msgpack.Unmarshal(b, &r) != nil {
 			return
 		}
-		c := r.Core()
+		c := r.Decode()
 		if c.Validate() != "" {
 			return
 		}
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -55,7 +55,7 @@
 		{Kind: core.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
 		{Kind: core.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
 	}}
-	body, err := msgpack.Marshal(worker.Report{Host: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Tenure: 3, Tick: 88, Epoch: 411})
+	body, err := msgpack.Marshal(worker.Heartbeat{Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Incarnation: 3, Sequence: 88, Epoch: 411})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -13,17 +13,17 @@
 func TestGoldenWire(t *testing.T) {
 	recall := 28.5
 	wire := testgolden.Values{
-		"report": Report{
-			Host: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Loaner: true, Tenure: 3, Tick: 88, Epoch: 411, RecallS: &recall,
-			Pieces: []Piece{
-				{Piece: "job-000412/5", Try: 2, Status: "ended", Cause: "done", Stored: true},
-				{Piece: "job-000413/6", Try: 300, Status: "fetching"},
-				{Piece: "job-000413/7", Try: 1, Status: "gathering"},
-				{Piece: "job-000413/8", Try: 1, Status: "running"},
-				{Piece: "job-000413/9", Try: 1, Status: "flushing"},
+		"report": Heartbeat{
+			Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Incarnation: 3, Sequence: 88, Epoch: 411, ReclaimS: &recall,
+			Tasks: []TaskReport{
+				{Task: "job-000412/5", Attempt: 2, Status: "ended", Cause: "done", Checkpointed: true},
+				{Task: "job-000413/6", Attempt: 300, Status: "fetching"},
+				{Task: "job-000413/7", Attempt: 1, Status: "gathering"},
+				{Task: "job-000413/8", Attempt: 1, Status: "running"},
+				{Task: "job-000413/9", Attempt: 1, Status: "flushing"},
 			},
 		},
-		"orders": Orders{Epoch: 412, Tenure: 4, Orders: Wire([]core.TaskCommand{
+		"orders": TaskCommands{Epoch: 412, Incarnation: 4, Commands: EncodeCommands([]core.TaskCommand{
 			{Kind: core.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
 			{Kind: core.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
 			{Kind: core.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
@@ -32,7 +32,7 @@
 	testgolden.Check(t, testgolden.Msgpack, wire)
 	testgolden.Full(t, wire)
 
-	var r Report
+	var r Heartbeat
 	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "report"), &r); err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 			{Job: "job-000413", Index: 9, Attempt: 1, Status: core.Checkpointing},
 		},
 	}
-	if got := r.Core(); !reflect.DeepEqual(got, want) {
+	if got := r.Decode(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
 	}
 }
--- a/internal/worker/size_test.go
+++ b/internal/worker/size_test.go
@@ -12,10 +12,10 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// TestOrdersToSilentHosts: thousands of orders to machines that take connections and
+// TestCommandsToUnresponsiveMachines: thousands of orders to machines that take connections and
 // never answer, as after the end of all controllers, stay within the sockets that orders
 // may have, and take no threads of their own.
-func TestOrdersToSilentHosts(t *testing.T) {
+func TestCommandsToUnresponsiveMachines(t *testing.T) {
 	const sockets = 800
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -24,14 +24,14 @@
 				t.Fatal(err)
 			}
 			defer ln.Close()
-			var open, most atomic.Int64
+			var open, mostOpen atomic.Int64
 			go func() {
 				for {
 					c, err := ln.Accept()
 					if err != nil {
 						return
 					}
-					most.Store(max(most.Load(), open.Add(1)))
+					mostOpen.Store(max(mostOpen.Load(), open.Add(1)))
 					go func() {
 						// Held until the client gives it up.
 						var b [1 << 10]byte
@@ -46,12 +46,12 @@
 				}
 			}()
 			ctx, cancel := context.WithCancel(context.Background())
-			cl := New(sockets)
+			client := New(sockets)
 			var wg sync.WaitGroup
 			for i := range machines {
 				wg.Go(func() {
-					d := cl.Do(ctx, core.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
-					if d.Heartbeat != nil {
+					result := client.Do(ctx, core.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
+					if result.Heartbeat != nil {
 						t.Error("an answer out of nothing")
 					}
 				})
@@ -60,7 +60,7 @@
 			cancel()
 			// Each is given up at its own deadline, and the next have their turn; the
 			// other end sees some of them go a little later.
-			if m := most.Load(); m > sockets/2 {
+			if m := mostOpen.Load(); m > sockets/2 {
 				t.Errorf("%d connections at a time, of %d sockets", m, sockets)
 			}
 			if k := pprof.Lookup("threadcreate").Count(); k > 200 {
@@ -70,15 +70,15 @@
 	}
 }
 
-// TestTurnAtDeadline: an order whose turn comes with its deadline is not sent, and its
+// TestSlotAtDeadlineIsNotSent: an order whose turn comes with its deadline is not sent, and its
 // core knows that.
-func TestTurnAtDeadline(t *testing.T) {
+func TestSlotAtDeadlineIsNotSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	// A free place and an ended context are there at once, and either may be seen first.
-	cl := New(800)
+	client := New(800)
 	for range 100 {
-		if d := cl.Do(ctx, core.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !d.NotSent {
+		if d := client.Do(ctx, core.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !d.NotSent {
 			t.Fatal("it counts as sent")
 		}
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -18,141 +18,141 @@
 )
 
 const (
-	// deadline of a direct order: a silent host must not hold anything up
+	// requestTimeout of a direct order: a silent host must not hold anything up
 	// for long, and its next report is only seconds away.
-	deadline = 2 * time.Second
-	// maxAnswer bounds an answer; the protocol's limit is 64 KiB as JSON.
-	maxAnswer = 256 << 10
-	// idlePart of the sockets may be connections kept for later orders: a new
-	// one for each order costs more than the order. busyPart may be orders under
+	requestTimeout = 2 * time.Second
+	// maxResponseBytes bounds an answer; the protocol's limit is 64 KiB as JSON.
+	maxResponseBytes = 256 << 10
+	// idleFraction of the sockets may be connections kept for later orders: a new
+	// one for each order costs more than the order. inFlightFraction may be orders under
 	// way; more of them wait for their turn, since a thousand starts may be due at
 	// once, and those to silent hosts hang.
-	idlePart = 0.12
-	busyPart = 0.1
+	idleFraction     = 0.12
+	inFlightFraction = 0.1
 )
 
-// Piece is one attempt in a report.
-type Piece struct {
-	Piece  string `msgpack:"piece"`
-	Try    uint64 `msgpack:"try"`
-	Status string `msgpack:"status"`
-	Cause  string `msgpack:"cause"`
-	Stored bool   `msgpack:"stored"`
+// TaskReport is one attempt in a report.
+type TaskReport struct {
+	Task         string `msgpack:"piece"`
+	Attempt      uint64 `msgpack:"try"`
+	Status       string `msgpack:"status"`
+	Cause        string `msgpack:"cause"`
+	Checkpointed bool   `msgpack:"stored"`
 }
 
-// Report is a worker's report on the wire.
-type Report struct {
-	Host    string   `msgpack:"host"`
-	Address string   `msgpack:"address"`
-	Flavour string   `msgpack:"flavour"`
-	Site    string   `msgpack:"site"`
-	Loaner  bool     `msgpack:"loaner"`
-	Tenure  uint64   `msgpack:"tenure"`
-	Tick    uint64   `msgpack:"tick"`
-	Epoch   uint64   `msgpack:"epoch"`
-	RecallS *float64 `msgpack:"recall_s"`
-	Pieces  []Piece  `msgpack:"pieces"`
+// Heartbeat is a worker's report on the wire.
+type Heartbeat struct {
+	Machine     string       `msgpack:"host"`
+	Address     string       `msgpack:"address"`
+	MachineType string       `msgpack:"flavour"`
+	Zone        string       `msgpack:"site"`
+	Spot        bool         `msgpack:"loaner"`
+	Incarnation uint64       `msgpack:"tenure"`
+	Sequence    uint64       `msgpack:"tick"`
+	Epoch       uint64       `msgpack:"epoch"`
+	ReclaimS    *float64     `msgpack:"recall_s"`
+	Tasks       []TaskReport `msgpack:"pieces"`
 }
 
-// Order is a command on the wire.
-type Order struct {
-	Verb      string   `msgpack:"verb"`
-	Piece     string   `msgpack:"piece"`
-	Try       uint64   `msgpack:"try"`
+// TaskCommand is a command on the wire.
+type TaskCommand struct {
+	Kind      string   `msgpack:"verb"`
+	Task      string   `msgpack:"piece"`
+	Attempt   uint64   `msgpack:"try"`
 	WindDownS *float64 `msgpack:"wind_down_s,omitempty"`
 }
 
-// Orders is the body of a direct order.
-type Orders struct {
-	Epoch  uint64  `msgpack:"epoch"`
-	Tenure uint64  `msgpack:"tenure"`
-	Orders []Order `msgpack:"orders"`
+// TaskCommands is the body of a direct order.
+type TaskCommands struct {
+	Epoch       uint64        `msgpack:"epoch"`
+	Incarnation uint64        `msgpack:"tenure"`
+	Commands    []TaskCommand `msgpack:"orders"`
 }
 
-// Core turns a report from the wire into the core's form. Lines that make no
+// Decode turns a report from the wire into the core's form. Lines that make no
 // sense are left out.
-func (r *Report) Core() core.Heartbeat {
+func (r *Heartbeat) Decode() core.Heartbeat {
 	out := core.Heartbeat{
-		Machine: r.Host, Addr: r.Address, MachineType: r.Flavour, Zone: r.Site, Spot: r.Loaner,
-		Incarnation: r.Tenure, Sequence: r.Tick, Epoch: r.Epoch, ReclaimIn: -1,
+		Machine: r.Machine, Addr: r.Address, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot,
+		Incarnation: r.Incarnation, Sequence: r.Sequence, Epoch: r.Epoch, ReclaimIn: -1,
 	}
-	if r.RecallS != nil {
-		out.ReclaimIn = core.Seconds(*r.RecallS)
+	if r.ReclaimS != nil {
+		out.ReclaimIn = core.Seconds(*r.ReclaimS)
 	}
-	for _, p := range r.Pieces {
-		job, index, ok := splitPiece(p.Piece)
+	for _, wireTask := range r.Tasks {
+		job, index, ok := parseTask(wireTask.Task)
 		if !ok {
 			continue
 		}
-		t := core.TaskReport{Job: job, Index: index, Attempt: p.Try, Cause: p.Cause, CheckpointStored: p.Stored}
-		switch p.Status {
+		task := core.TaskReport{Job: job, Index: index, Attempt: wireTask.Attempt, Cause: wireTask.Cause, CheckpointStored: wireTask.Checkpointed}
+		switch wireTask.Status {
 		case "fetching", "gathering":
 			// A gang's task that waits for its mates has not begun either.
-			t.Status = core.Fetching
+			task.Status = core.Fetching
 		case "running":
-			t.Status = core.Running
+			task.Status = core.Running
 		case "flushing":
-			t.Status = core.Checkpointing
+			task.Status = core.Checkpointing
 		case "ended":
-			t.Status = core.Ended
+			task.Status = core.Ended
 		default:
 			// A state added later: on the machine, and not ended.
-			t.Status = core.Running
+			task.Status = core.Running
 		}
-		out.Tasks = append(out.Tasks, t)
+		out.Tasks = append(out.Tasks, task)
 	}
 	return out
 }
 
-func splitPiece(s string) (string, int, bool) {
-	i := strings.LastIndexByte(s, '/')
-	if i < 0 {
+func parseTask(s string) (string, int, bool) {
+	slash := strings.LastIndexByte(s, '/')
+	if slash < 0 {
 		return "", 0, false
 	}
-	k, err := strconv.Atoi(s[i+1:])
-	return s[:i], k, err == nil && k >= 0
+	index, err := strconv.Atoi(s[slash+1:])
+	return s[:slash], index, err == nil && index >= 0
 }
 
-// Wire turns orders into their wire form.
-func Wire(orders []core.TaskCommand) []Order {
-	out := make([]Order, 0, len(orders))
-	for _, o := range orders {
-		w := Order{Verb: string(o.Kind), Piece: o.Job + "/" + strconv.Itoa(o.Index), Try: o.Attempt}
+// EncodeCommands turns orders into their wire form.
+func EncodeCommands(commands []core.TaskCommand) []TaskCommand {
+	out := make([]TaskCommand, 0, len(commands))
+	for _, o := range commands {
+		command := TaskCommand{Kind: string(o.Kind), Task: o.Job + "/" + strconv.Itoa(o.Index), Attempt: o.Attempt}
 		if o.Kind == core.StopTask {
-			s := o.GracePeriod.Seconds()
-			w.WindDownS = &s
+			seconds := o.GracePeriod.Seconds()
+			command.WindDownS = &seconds
 		}
-		out = append(out, w)
+		out = append(out, command)
 	}
 	return out
 }
 
 // Client sends orders to workers.
 type Client struct {
-	http *http.Client
-	busy chan struct{}
+	http     *http.Client
+	inFlight chan struct{}
 }
 
 // New makes a client that may use some of so many sockets.
 func New(sockets int) *Client {
-	tr := &http.Transport{
+	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
-		MaxIdleConns:        max(16, int(float64(sockets)*idlePart)),
+		MaxIdleConns:        max(16, int(float64(sockets)*idleFraction)),
 		MaxIdleConnsPerHost: 1,
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	return &Client{http: &http.Client{Transport: tr}, busy: make(chan struct{}, max(8, int(float64(sockets)*busyPart)))}
+	return &Client{http: &http.Client{Transport: transport}, inFlight: make(chan struct{}, max(8, int(float64(sockets)*inFlightFraction)))}
 }
 
 // Do carries out op. Without an answer the orders may still be executed later.
 func (c *Client) Do(ctx context.Context, op core.WorkerRequest) core.WorkerResponse {
 	out := core.WorkerResponse{ID: op.ID}
-	ctx, cancel := context.WithTimeout(ctx, deadline)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	select {
-	case c.busy <- struct{}{}:
-		defer func() { <-c.busy }()
+	case c.inFlight <- struct{}{}:
+		defer func() { <-c.inFlight }()
 	case <-ctx.Done():
 		out.NotSent = true
 		return out
@@ -163,29 +163,29 @@
 		out.NotSent = true
 		return out
 	}
-	r, status, err := c.send(ctx, op)
-	if err != nil || r.Host != op.Machine {
+	decoded, status, err := c.send(ctx, op)
+	if err != nil || decoded.Machine != op.Machine {
 		return out
 	}
-	rep := r.Core()
-	out.Heartbeat, out.OK = &rep, status == http.StatusOK
+	heartbeat := decoded.Decode()
+	out.Heartbeat, out.OK = &heartbeat, status == http.StatusOK
 	return out
 }
 
-func (c *Client) send(ctx context.Context, op core.WorkerRequest) (*Report, int, error) {
-	method, path, rd := http.MethodGet, "/status", io.Reader(nil)
+func (c *Client) send(ctx context.Context, op core.WorkerRequest) (*Heartbeat, int, error) {
+	method, path, payload := http.MethodGet, "/status", io.Reader(nil)
 	if !op.StatusOnly {
-		b, err := msgpack.Marshal(Orders{op.Epoch, op.Incarnation, Wire(op.Commands)})
+		b, err := msgpack.Marshal(TaskCommands{op.Epoch, op.Incarnation, EncodeCommands(op.Commands)})
 		if err != nil {
 			return nil, 0, fmt.Errorf("worker: encode: %w", err)
 		}
-		method, path, rd = http.MethodPost, "/orders", bytes.NewReader(b)
+		method, path, payload = http.MethodPost, "/orders", bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+op.Addr+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+op.Addr+path, payload)
 	if err != nil {
 		return nil, 0, fmt.Errorf("worker: %w", err)
 	}
-	if rd != nil {
+	if payload != nil {
 		req.Header.Set("Content-Type", "application/msgpack")
 	}
 	resp, err := c.http.Do(req)
@@ -193,16 +193,16 @@
 		return nil, 0, fmt.Errorf("worker: %w", err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return nil, 0, fmt.Errorf("worker: read: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return nil, 0, fmt.Errorf("worker: status %d", resp.StatusCode)
 	}
-	var r Report
-	if err := msgpack.Unmarshal(b, &r); err != nil {
+	var heartbeat Heartbeat
+	if err := msgpack.Unmarshal(b, &heartbeat); err != nil {
 		return nil, 0, fmt.Errorf("worker: decode: %w", err)
 	}
-	return &r, resp.StatusCode, nil
+	return &heartbeat, resp.StatusCode, nil
 }
