--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -19,98 +19,98 @@
 )
 
 const (
-	// deadline of one request; the cloud takes some tenths of a second.
-	deadline = 5 * time.Second
+	// requestTimeout of one request; the cloud takes some tenths of a second.
+	requestTimeout = 5 * time.Second
 	// listPage is the most the cloud lists at once.
 	listPage = 500
-	// maxAnswer bounds an answer.
-	maxAnswer = 4 << 20
-	// ownPart of the limit: one leader does nearly all; the rest is left for
+	// maxResponseBytes bounds an answer.
+	maxResponseBytes = 4 << 20
+	// rateFraction of the limit: one leader does nearly all; the rest is left for
 	// controllers that only ask for the types.
-	ownPart = 0.8
+	rateFraction = 0.8
 )
 
 // Client is one controller's access to the cloud.
 type Client struct {
-	base  string
-	http  *http.Client
-	limit *rate.Limiter
+	base    string
+	http    *http.Client
+	limiter *rate.Limiter
 }
 
 // New makes a client for the cloud at addr with its limit of requests a second.
-func New(addr string, rps float64) *Client {
-	tr := &http.Transport{
+func New(addr string, requestsPerSecond float64) *Client {
+	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
 		MaxIdleConnsPerHost: 4,
 		MaxConnsPerHost:     8,
 		DisableCompression:  true,
 	}
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: tr}, limit: rate.NewLimiter(rate.Limit(rps*ownPart), max(1, int(rps*ownPart)))}
+	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*rateFraction), max(1, int(requestsPerSecond*rateFraction)))}
 }
 
-type flavour struct {
-	Name        string   `msgpack:"name"`
-	VCPUs       float64  `msgpack:"vcpus"`
-	GPUs        float64  `msgpack:"gpus"`
-	MemoryGB    float64  `msgpack:"memory_gb"`
-	LocalGB     float64  `msgpack:"local_gb"`
-	PullRate    float64  `msgpack:"pull_gb_per_s"`
-	Price       float64  `msgpack:"price"`
-	MarketPrice float64  `msgpack:"market_price"`
-	ReadyS      float64  `msgpack:"ready_s"`
-	Sites       []string `msgpack:"sites"`
+type machineType struct {
+	Name            string   `msgpack:"name"`
+	VCPUs           float64  `msgpack:"vcpus"`
+	GPUs            float64  `msgpack:"gpus"`
+	MemoryGB        float64  `msgpack:"memory_gb"`
+	DiskGB          float64  `msgpack:"local_gb"`
+	FetchRate       float64  `msgpack:"pull_gb_per_s"`
+	CostPerHour     float64  `msgpack:"price"`
+	SpotCostPerHour float64  `msgpack:"market_price"`
+	ReadyS          float64  `msgpack:"ready_s"`
+	Zones           []string `msgpack:"sites"`
 }
 
-type host struct {
-	ID      string  `msgpack:"id"`
-	Address string  `msgpack:"address"`
-	Flavour string  `msgpack:"flavour"`
-	Site    string  `msgpack:"site"`
-	Loaner  bool    `msgpack:"loaner"`
-	Status  string  `msgpack:"status"`
-	HeldS   float64 `msgpack:"held_s"`
+type machine struct {
+	ID          string  `msgpack:"id"`
+	Address     string  `msgpack:"address"`
+	MachineType string  `msgpack:"flavour"`
+	Zone        string  `msgpack:"site"`
+	Spot        bool    `msgpack:"loaner"`
+	Status      string  `msgpack:"status"`
+	AgeS        float64 `msgpack:"held_s"`
 }
 
-type booking struct {
-	Booking string `msgpack:"booking"`
-	Flavour string `msgpack:"flavour"`
-	Site    string `msgpack:"site"`
-	Loaner  bool   `msgpack:"loaner"`
-	Count   int    `msgpack:"count"`
+type rentalRequest struct {
+	RequestID   string `msgpack:"booking"`
+	MachineType string `msgpack:"flavour"`
+	Zone        string `msgpack:"site"`
+	Spot        bool   `msgpack:"loaner"`
+	Count       int    `msgpack:"count"`
 }
 
-type hostNames struct {
-	Hosts []string `msgpack:"hosts"`
+type machineIDs struct {
+	IDs []string `msgpack:"hosts"`
 }
 
-type typeList struct {
-	Flavours []flavour `msgpack:"flavours"`
+type machineTypeList struct {
+	Types []machineType `msgpack:"flavours"`
 }
 
-type hostList struct {
-	Hosts     []host `msgpack:"hosts"`
-	Truncated bool   `msgpack:"truncated"`
+type machineList struct {
+	Machines  []machine `msgpack:"hosts"`
+	Truncated bool      `msgpack:"truncated"`
 }
 
 // Do carries out op and tells how it ended.
 func (c *Client) Do(ctx context.Context, op core.CloudRequest) core.CloudResponse {
 	out := core.CloudResponse{ID: op.ID, Status: core.CloudRefused}
-	ctx, cancel := context.WithTimeout(ctx, deadline)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if c.limit.Wait(ctx) != nil {
+	if c.limiter.Wait(ctx) != nil {
 		return out
 	}
 	var status int
 	var err error
 	switch op.Kind {
 	case core.CloudListTypes:
-		var a typeList
+		var a machineTypeList
 		status, err = c.send(ctx, http.MethodGet, "/machine_types", nil, &a)
-		for _, f := range a.Flavours {
+		for _, f := range a.Types {
 			out.MachineTypes = append(out.MachineTypes, core.MachineType{
 				Name: f.Name, Capacity: core.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
-				DiskGB: f.LocalGB, ImageFetchRate: f.PullRate, CostPerHour: f.Price, SpotCostPerHour: f.MarketPrice,
-				ProvisioningTime: core.Seconds(f.ReadyS), Zones: f.Sites,
+				DiskGB: f.DiskGB, ImageFetchRate: f.FetchRate, CostPerHour: f.CostPerHour, SpotCostPerHour: f.SpotCostPerHour,
+				ProvisioningTime: core.Seconds(f.ReadyS), Zones: f.Zones,
 			})
 		}
 	case core.CloudListMachines:
@@ -118,21 +118,21 @@
 		if op.StartAfter != "" {
 			q.Set("from", op.StartAfter)
 		}
-		var a hostList
+		var a machineList
 		status, err = c.send(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &a)
-		for _, h := range a.Hosts {
+		for _, h := range a.Machines {
 			out.Machines = append(out.Machines, core.CloudMachine{
-				ID: h.ID, Addr: h.Address, MachineType: h.Flavour, Zone: h.Site, Spot: h.Loaner,
-				Status: h.Status, Age: core.Seconds(h.HeldS),
+				ID: h.ID, Addr: h.Address, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
+				Status: h.Status, Age: core.Seconds(h.AgeS),
 			})
 		}
 		out.Truncated = a.Truncated
 	case core.CloudRent:
-		var a hostNames
-		status, err = c.send(ctx, http.MethodPost, "/rentals", booking{op.IdempotencyKey, op.MachineType, op.Zone, op.Spot, op.Count}, &a)
-		out.Rented = a.Hosts
+		var a machineIDs
+		status, err = c.send(ctx, http.MethodPost, "/rentals", rentalRequest{op.IdempotencyKey, op.MachineType, op.Zone, op.Spot, op.Count}, &a)
+		out.Rented = a.IDs
 	case core.CloudRelease:
-		status, err = c.send(ctx, http.MethodPost, "/rentals/return", hostNames{op.Machines}, nil)
+		status, err = c.send(ctx, http.MethodPost, "/rentals/return", machineIDs{op.Machines}, nil)
 	}
 	switch {
 	case err == errNoCapacity:
@@ -150,15 +150,15 @@
 var errNoCapacity = fmt.Errorf("cloud: no capacity")
 
 func (c *Client) send(ctx context.Context, method, path string, body, into any) (int, error) {
-	var rd io.Reader
+	var payload io.Reader
 	if body != nil {
 		b, err := msgpack.Marshal(body)
 		if err != nil {
 			return 0, fmt.Errorf("cloud: encode: %w", err)
 		}
-		rd = bytes.NewReader(b)
+		payload = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, rd)
+	req, err := http.NewRequestWithContext(ctx, method, c.base+path, payload)
 	if err != nil {
 		return 0, fmt.Errorf("cloud: %w", err)
 	}
@@ -170,7 +170,7 @@
 		return 0, fmt.Errorf("cloud: %w", err)
 	}
 	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return 0, fmt.Errorf("cloud: read: %w", err)
 	}
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -10,14 +10,14 @@
 // were.
 func TestGoldenWire(t *testing.T) {
 	wire := testgolden.Values{
-		"types": typeList{Flavours: []flavour{{
-			Name: "g8", VCPUs: 96.5, GPUs: 8.25, MemoryGB: 700.75, LocalGB: 1_900.5, PullRate: 0.25, Price: 12.5, MarketPrice: 4.75, ReadyS: 41.5, Sites: []string{"a", "b"},
+		"types": machineTypeList{Types: []machineType{{
+			Name: "g8", VCPUs: 96.5, GPUs: 8.25, MemoryGB: 700.75, DiskGB: 1_900.5, FetchRate: 0.25, CostPerHour: 12.5, SpotCostPerHour: 4.75, ReadyS: 41.5, Zones: []string{"a", "b"},
 		}}},
-		"hosts": hostList{Truncated: true, Hosts: []host{{
-			ID: "vm-000231", Address: "10.1.0.232:9000", Flavour: "g8", Site: "a", Loaner: true, Status: "up", HeldS: 61.5,
+		"hosts": machineList{Truncated: true, Machines: []machine{{
+			ID: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "up", AgeS: 61.5,
 		}}},
-		"booking": booking{Booking: "411.ctl-2.7", Flavour: "g8", Site: "a", Loaner: true, Count: 3},
-		"names":   hostNames{Hosts: []string{"vm-000231", "vm-000232"}},
+		"booking": rentalRequest{RequestID: "411.ctl-2.7", MachineType: "g8", Zone: "a", Spot: true, Count: 3},
+		"names":   machineIDs{IDs: []string{"vm-000231", "vm-000232"}},
 	}
 	testgolden.Check(t, testgolden.Msgpack, wire)
 	testgolden.Full(t, wire)
