--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -209,10 +209,10 @@
 		more = append(more, routes)
 	}
 	if set.Capabilities.Ranking {
-		more = append(more, api.Ranking(srv))
+		more = append(more, api.RankingRoutes(srv))
 	}
 	if set.Capabilities.Promises {
-		more = append(more, api.Promises(srv))
+		more = append(more, api.PromiseRoutes(srv))
 	}
 	go func() { errs <- api.Serve(ctx, c.APIAddr, d.Quota.Sockets, srv, met.Request) }()
 	go func() {
@@ -222,7 +222,7 @@
 			errs <- err
 			return
 		}
-		errs <- api.Operators(ctx, back, srv, met.Handler(), more...)
+		errs <- api.ServeOperators(ctx, back, srv, met.Handler(), more...)
 	}()
 	go func() { errs <- srv.Run(ctx) }()
 	return <-errs
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -25,8 +25,8 @@
 const (
 	// maxBody is the protocol's limit for request bodies.
 	maxBody = 64 << 10
-	// patience bounds the wait for the core, which answers earlier by itself.
-	patience = 1900 * time.Millisecond
+	// coreTimeout bounds the wait for the core, which answers earlier by itself.
+	coreTimeout = 1900 * time.Millisecond
 	// headerTimeout, idleTimeout and writeTimeout keep slow or silent peers
 	// from holding sockets for ever.
 	headerTimeout = 10 * time.Second
@@ -34,62 +34,64 @@
 	writeTimeout  = 10 * time.Second
 )
 
-// idForm is what job ids look like.
-var idForm = regexp.MustCompile(`^job-[0-9A-Za-z_-]{1,64}$`)
+// jobIDPattern is what job ids look like.
+var jobIDPattern = regexp.MustCompile(`^job-[0-9A-Za-z_-]{1,64}$`)
 
-// Core is what the handlers need of the server.
-type Core interface {
+// Backend is what the handlers need of the server.
+type Backend interface {
 	Ask(ctx context.Context, mk func(reply uint64) core.Command) (core.Effect, error)
 	Healthy() bool
 }
 
 type handlers struct {
-	core  Core
-	conns *conns
-	mu    sync.Mutex
-	told  validate.LogLimiter
+	backend   Backend
+	conns     *connTracker
+	mu        sync.Mutex
+	rejectLog validate.LogLimiter
 }
 
-// connKey finds a request's connection in its context.
-type connKey struct{}
+// connContextKey finds a request's connection in its context.
+type connContextKey struct{}
 
 // Observer is told of every answer.
 type Observer func(route, status string, took time.Duration)
 
-// Operators serves the operators' view on the controllers' own address: the
+// ServeOperators serves the operators' view on the controllers' own address: the
 // status as JSON and the metrics. Users do not reach it.
 // more adds the routes of what is switched on.
-func Operators(ctx context.Context, ln net.Listener, c Core, metrics http.Handler, more ...func(*echo.Echo)) error {
-	h := &handlers{core: c}
+func ServeOperators(ctx context.Context, ln net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
+	h := &handlers{backend: backend}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.GET("/metrics", echo.WrapHandler(metrics))
 	e.GET("/status", h.status)
-	for _, add := range more {
+	for _, add := range extraRoutes {
 		add(e)
 	}
 	return serve(ctx, ln, e, nil)
 }
 
 func (h *handlers) status(c echo.Context) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), patience)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
 	defer cancel()
-	e, err := h.core.Ask(ctx, func(r uint64) core.Command { return core.QueryStatus{Reply: r} })
+	e, err := h.backend.Ask(ctx, func(r uint64) core.Command { return core.QueryStatus{Reply: r} })
 	if err != nil {
-		return busy(c)
+		return respondBusy(c)
 	}
 	return c.JSON(http.StatusOK, e)
 }
 
-func serve(ctx context.Context, ln net.Listener, handler http.Handler, cs *conns) error {
+func serve(ctx context.Context, ln net.Listener, handler http.Handler, tracker *connTracker) error {
 	srv := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
 		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	if cs != nil {
-		srv.ConnState = cs.state
-		srv.ConnContext = func(ctx context.Context, nc net.Conn) context.Context { return context.WithValue(ctx, connKey{}, nc) }
+	if tracker != nil {
+		srv.ConnState = tracker.trackState
+		srv.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, nc)
+		}
 	}
 	go func() {
 		<-ctx.Done()
@@ -102,28 +104,28 @@
 }
 
 // Serve listens on addr until the context ends.
-func Serve(ctx context.Context, addr string, sockets int, c Core, observe Observer) error {
-	h := &handlers{core: c, conns: newConns(sockets)}
+func Serve(ctx context.Context, addr string, sockets int, backend Backend, observe Observer) error {
+	h := &handlers{backend: backend, conns: newConnTracker(sockets)}
 	e := echo.New()
 	e.HideBanner, e.HidePort = true, true
 	e.Use(func(next echo.HandlerFunc) echo.HandlerFunc {
-		return func(c echo.Context) error {
+		return func(backend echo.Context) error {
 			began := time.Now()
-			err := next(c)
+			err := next(backend)
 			if err != nil {
-				c.Error(err)
+				backend.Error(err)
 			}
-			observe(c.Path(), strconv.Itoa(c.Response().Status), time.Since(began))
+			observe(backend.Path(), strconv.Itoa(backend.Response().Status), time.Since(began))
 			return nil
 		}
 	})
-	e.POST("/v2/runs", h.submit)
-	e.GET("/v2/runs/:id", h.query)
-	e.POST("/v2/runs/:id/abort", h.abort)
+	e.POST("/v2/runs", h.submitJob)
+	e.GET("/v2/runs/:id", h.queryJob)
+	e.POST("/v2/runs/:id/abort", h.cancelJob)
 	e.GET("/healthz", h.health)
-	e.POST("/v1/report", h.report)
-	e.HTTPErrorHandler = func(err error, c echo.Context) {
-		if c.Response().Committed {
+	e.POST("/v1/report", h.heartbeat)
+	e.HTTPErrorHandler = func(err error, backend echo.Context) {
+		if backend.Response().Committed {
 			return
 		}
 		status := http.StatusInternalServerError
@@ -131,7 +133,7 @@
 		if errors.As(err, &he) {
 			status = he.Code
 		}
-		if err := fail(c, status, http.StatusText(status)); err != nil {
+		if err := respondError(backend, status, http.StatusText(status)); err != nil {
 			slog.Debug("answer not sent", "err", err)
 		}
 	}
@@ -139,28 +141,28 @@
 	if err != nil {
 		return fmt.Errorf("api: %w", err)
 	}
-	return serve(ctx, &listener{ln, h.conns}, e, h.conns)
+	return serve(ctx, &limitedListener{ln, h.conns}, e, h.conns)
 }
 
-func answer(c echo.Context, status int, v any) error {
-	b, err := msgpack.Marshal(v)
+func respond(c echo.Context, status int, body any) error {
+	b, err := msgpack.Marshal(body)
 	if err != nil {
 		return fmt.Errorf("api: encode: %w", err)
 	}
 	return c.Blob(status, "application/msgpack", b)
 }
 
-func fail(c echo.Context, status int, why string) error {
-	return answer(c, status, map[string]any{"error": why})
+func respondError(c echo.Context, status int, reason string) error {
+	return respond(c, status, map[string]any{"error": reason})
 }
 
-func busy(c echo.Context) error {
+func respondBusy(c echo.Context) error {
 	c.Response().Header().Set(echo.HeaderRetryAfter, "1")
-	return fail(c, http.StatusServiceUnavailable, "busy")
+	return respondError(c, http.StatusServiceUnavailable, "busy")
 }
 
-// body reads a request's body, or answers itself.
-func body(c echo.Context) ([]byte, error) {
+// readBody reads a request's body, or answers itself.
+func readBody(c echo.Context) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBody+1))
 	if err != nil {
 		return nil, echo.NewHTTPError(http.StatusBadRequest)
@@ -172,23 +174,23 @@
 }
 
 func (h *handlers) health(c echo.Context) error {
-	if !h.core.Healthy() {
-		return busy(c)
+	if !h.backend.Healthy() {
+		return respondBusy(c)
 	}
-	return answer(c, http.StatusOK, map[string]any{"status": "ok"})
+	return respond(c, http.StatusOK, map[string]any{"status": "ok"})
 }
 
-// ask passes a user's request to the core and renders the reply.
-func (h *handlers) ask(c echo.Context, mk func(reply uint64) core.Command) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), patience)
+// forward passes a user's request to the core and renders the reply.
+func (h *handlers) forward(c echo.Context, newCommand func(reply uint64) core.Command) error {
+	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
 	defer cancel()
-	e, err := h.core.Ask(ctx, mk)
+	e, err := h.backend.Ask(ctx, newCommand)
 	if err != nil {
-		return busy(c)
+		return respondBusy(c)
 	}
 	r, ok := e.(core.UserReply)
 	if !ok || ctx.Err() != nil {
-		return busy(c)
+		return respondBusy(c)
 	}
 	// The core may have answered long before this goes on.
 	if _, instead, late := core.CheckDeadline(r, time.Now()); late {
@@ -198,7 +200,7 @@
 		c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(max(1, int((r.RetryAfter+time.Second-1)/time.Second))))
 	}
 	if r.State == "" {
-		return fail(c, r.Status, r.Message)
+		return respondError(c, r.Status, r.Message)
 	}
 	m := map[string]any{"id": r.ID, "status": r.State}
 	if c.Request().Method == http.MethodGet {
@@ -207,68 +209,68 @@
 	if r.PromiseRevision > 0 {
 		m["promised_s"], m["promise_rev"] = r.PromisedAfter.Seconds(), r.PromiseRevision
 	}
-	return answer(c, r.Status, m)
+	return respond(c, r.Status, m)
 }
 
-// bad refuses a body that makes no sense, and tells of it once a minute for each cause;
+// rejectInput refuses a body that makes no sense, and tells of it once a minute for each cause;
 // all are counted by the answers' histogram.
-func (h *handlers) bad(c echo.Context, why string) error {
+func (h *handlers) rejectInput(c echo.Context, reason string) error {
 	h.mu.Lock()
-	tell := h.told.Allow(time.Now(), c.Path()+why)
+	shouldLog := h.rejectLog.Allow(time.Now(), c.Path()+reason)
 	h.mu.Unlock()
-	if tell {
-		slog.Info("bad input is not taken", "what", c.Path(), "from", c.RealIP(), "why", why)
+	if shouldLog {
+		slog.Info("bad input is not taken", "what", c.Path(), "from", c.RealIP(), "why", reason)
 	}
-	return fail(c, http.StatusBadRequest, why)
+	return respondError(c, http.StatusBadRequest, reason)
 }
 
-func (h *handlers) query(c echo.Context) error {
+func (h *handlers) queryJob(c echo.Context) error {
 	id := c.Param("id")
-	if !idForm.MatchString(id) {
-		return fail(c, http.StatusNotFound, "no such job")
+	if !jobIDPattern.MatchString(id) {
+		return respondError(c, http.StatusNotFound, "no such job")
 	}
-	return h.ask(c, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} })
+	return h.forward(c, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} })
 }
 
-func (h *handlers) abort(c echo.Context) error {
+func (h *handlers) cancelJob(c echo.Context) error {
 	id := c.Param("id")
-	if !idForm.MatchString(id) {
-		return fail(c, http.StatusNotFound, "no such job")
+	if !jobIDPattern.MatchString(id) {
+		return respondError(c, http.StatusNotFound, "no such job")
 	}
-	return h.ask(c, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} })
+	return h.forward(c, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} })
 }
 
-func (h *handlers) submit(c echo.Context) error {
-	b, err := body(c)
+func (h *handlers) submitJob(c echo.Context) error {
+	b, err := readBody(c)
 	if err != nil {
 		return err
 	}
-	spec, bad := parseRun(b)
+	spec, reason := parseJobRequest(b)
 	if spec.ID == "" {
-		return h.bad(c, bad)
+		return h.rejectInput(c, reason)
 	}
-	return h.ask(c, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec, MalformedReason: bad} })
+	return h.forward(c, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec, MalformedReason: reason} })
 }
 
-func (h *handlers) report(c echo.Context) error {
-	b, err := body(c)
+func (h *handlers) heartbeat(c echo.Context) error {
+	b, err := readBody(c)
 	if err != nil {
 		return err
 	}
-	if nc, ok := c.Request().Context().Value(connKey{}).(net.Conn); ok && h.conns.report(nc) {
+	if nc, ok := c.Request().Context().Value(connContextKey{}).(net.Conn); ok && h.conns.markWorker(nc) {
 		c.Response().Header().Set(echo.HeaderConnection, "close")
 	}
-	var r worker.Heartbeat
-	if err := msgpack.Unmarshal(b, &r); err != nil {
-		return h.bad(c, "not a MessagePack map with a report's fields: "+err.Error())
+	var wireHeartbeat worker.Heartbeat
+	if err := msgpack.Unmarshal(b, &wireHeartbeat); err != nil {
+		return h.rejectInput(c, "not a MessagePack map with a report's fields: "+err.Error())
 	}
-	report := r.Decode()
-	if why := report.Validate(); why != "" {
-		return h.bad(c, "field "+why)
+	heartbeat := wireHeartbeat.Decode()
+	if reason := heartbeat.Validate(); reason != "" {
+		return h.rejectInput(c, "field "+reason)
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), patience)
+	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
 	defer cancel()
-	e, err := h.core.Ask(ctx, func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: report} })
+	e, err := h.backend.Ask(ctx, func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat} })
 	a, ok := e.(core.HeartbeatReply)
 	if ok {
 		// The core may have answered long before this goes on.
@@ -278,11 +280,11 @@
 	}
 	switch {
 	case err != nil || !ok:
-		return busy(c)
+		return respondBusy(c)
 	case a.Status == http.StatusOK:
-		return answer(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.EncodeCommands(a.Commands)})
+		return respond(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.EncodeCommands(a.Commands)})
 	case a.MachineOwner != "":
-		return answer(c, a.Status, map[string]any{"steward": a.MachineOwner})
+		return respond(c, a.Status, map[string]any{"steward": a.MachineOwner})
 	}
-	return fail(c, a.Status, "not the steward")
+	return respondError(c, a.Status, "not the steward")
 }
--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -9,68 +9,68 @@
 )
 
 const (
-	// hardPart of the sockets may be incoming connections; the rest is for orders
+	// hardLimitFraction of the sockets may be incoming connections; the rest is for orders
 	// to workers, the state service, the cloud and the other controllers.
-	hardPart = 0.7
-	// softPart is from where on a report's connection is closed with its answer.
+	hardLimitFraction = 0.7
+	// softLimitFraction is from where on a report's connection is closed with its answer.
 	// A pool larger than the sockets is served all the same, since a report takes
 	// a moment and the next one is seconds away; and what lies between the two is
 	// kept for users and health checks.
-	softPart = 0.55
-	// leastConns is what is let in however few sockets there are.
-	leastConns = 8
-	// sweepWait is how long a new connection waits for one in use to end.
-	sweepWait = 200 * time.Millisecond
+	softLimitFraction = 0.55
+	// minConns is what is let in however few sockets there are.
+	minConns = 8
+	// admitRetryInterval is how long a new connection waits for one in use to end.
+	admitRetryInterval = 200 * time.Millisecond
 )
 
-// conns counts the incoming connections and keeps them within the sockets. When
+// connTracker counts the incoming connections and keeps them within the sockets. When
 // none is left for a new one, the connection that has been idle the longest is
 // closed, those of workers first: they come again with their next report, while a
 // connection that is not accepted is a controller that does not answer.
-type conns struct {
-	mu         sync.Mutex
-	soft, hard int
-	open       map[net.Conn]*conn
+type connTracker struct {
+	mu                   sync.Mutex
+	softLimit, hardLimit int
+	open                 map[net.Conn]*trackedConn
 	// idle are the connections without a request, the oldest first: workers' and
 	// others'.
-	workers, others *list.List
-	freed           chan struct{}
+	idleWorkers, idleOthers *list.List
+	freed                   chan struct{}
 }
 
-type conn struct {
-	worker bool
-	in     *list.List
-	at     *list.Element
+type trackedConn struct {
+	isWorker    bool
+	idleList    *list.List
+	idleElement *list.Element
 }
 
-func newConns(sockets int) *conns {
-	return &conns{
-		soft: max(leastConns/2, int(softPart*float64(sockets))), hard: max(leastConns, int(hardPart*float64(sockets))),
-		open: map[net.Conn]*conn{}, workers: list.New(), others: list.New(), freed: make(chan struct{}, 1),
+func newConnTracker(sockets int) *connTracker {
+	return &connTracker{
+		softLimit: max(minConns/2, int(softLimitFraction*float64(sockets))), hardLimit: max(minConns, int(hardLimitFraction*float64(sockets))),
+		open: map[net.Conn]*trackedConn{}, idleWorkers: list.New(), idleOthers: list.New(), freed: make(chan struct{}, 1),
 	}
 }
 
-// state follows a connection's life, as net/http tells it.
-func (c *conns) state(nc net.Conn, s http.ConnState) {
+// trackState follows a connection's life, as net/http tells it.
+func (c *connTracker) trackState(nc net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	x := c.open[nc]
+	tracked := c.open[nc]
 	switch s {
 	case http.StateNew:
-		c.open[nc] = &conn{}
+		c.open[nc] = &trackedConn{}
 		return
 	case http.StateActive:
-		c.busy(x)
+		c.removeIdle(tracked)
 	case http.StateIdle:
-		if x != nil {
-			c.busy(x)
-			if x.in = c.others; x.worker {
-				x.in = c.workers
+		if tracked != nil {
+			c.removeIdle(tracked)
+			if tracked.idleList = c.idleOthers; tracked.isWorker {
+				tracked.idleList = c.idleWorkers
 			}
-			x.at = x.in.PushBack(nc)
+			tracked.idleElement = tracked.idleList.PushBack(nc)
 		}
 	case http.StateClosed, http.StateHijacked:
-		c.busy(x)
+		c.removeIdle(tracked)
 		delete(c.open, nc)
 	}
 	select {
@@ -79,36 +79,36 @@
 	}
 }
 
-func (c *conns) busy(x *conn) {
-	if x != nil && x.at != nil {
-		x.in.Remove(x.at)
-		x.at = nil
+func (c *connTracker) removeIdle(tracked *trackedConn) {
+	if tracked != nil && tracked.idleElement != nil {
+		tracked.idleList.Remove(tracked.idleElement)
+		tracked.idleElement = nil
 	}
 }
 
-// report notes that a connection carries a worker's reports, and says whether
+// markWorker notes that a connection carries a worker's reports, and says whether
 // connections run short, so that it is to be closed.
-func (c *conns) report(nc net.Conn) bool {
+func (c *connTracker) markWorker(nc net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if x := c.open[nc]; x != nil {
-		x.worker = true
+	if tracked := c.open[nc]; tracked != nil {
+		tracked.isWorker = true
 	}
-	return len(c.open) > c.soft
+	return len(c.open) > c.softLimit
 }
 
-// room says whether there is room for one more connection, and closes an idle one
+// admit says whether there is room for one more connection, and closes an idle one
 // if there is none.
-func (c *conns) room() bool {
+func (c *connTracker) admit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.open) < c.hard {
+	if len(c.open) < c.hardLimit {
 		return true
 	}
-	for _, l := range [...]*list.List{c.workers, c.others} {
+	for _, l := range [...]*list.List{c.idleWorkers, c.idleOthers} {
 		if e := l.Front(); e != nil {
 			nc := e.Value.(net.Conn)
-			c.busy(c.open[nc])
+			c.removeIdle(c.open[nc])
 			delete(c.open, nc)
 			nc.Close()
 			return true
@@ -117,17 +117,17 @@
 	return false
 }
 
-// listener accepts only while there is room.
-type listener struct {
+// limitedListener accepts only while there is room.
+type limitedListener struct {
 	net.Listener
-	c *conns
+	tracker *connTracker
 }
 
-func (l *listener) Accept() (net.Conn, error) {
-	for !l.c.room() {
+func (l *limitedListener) Accept() (net.Conn, error) {
+	for !l.tracker.admit() {
 		select {
-		case <-l.c.freed:
-		case <-time.After(sweepWait):
+		case <-l.tracker.freed:
+		case <-time.After(admitRetryInterval):
 		}
 	}
 	return l.Listener.Accept()
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -15,17 +15,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// mute is a core that answers every report and nothing else.
-type mute struct{}
+// heartbeatBackend is a core that answers every report and nothing else.
+type heartbeatBackend struct{}
 
-func (mute) Ask(_ context.Context, mk func(uint64) core.Command) (core.Effect, error) {
+func (heartbeatBackend) Ask(_ context.Context, mk func(uint64) core.Command) (core.Effect, error) {
 	if _, ok := mk(1).(core.WorkerHeartbeat); ok {
 		return core.HeartbeatReply{Status: 200, Epoch: 1}, nil
 	}
 	return core.UserReply{Status: 404, Message: "no such job"}, nil
 }
 
-func (mute) Healthy() bool { return true }
+func (heartbeatBackend) Healthy() bool { return true }
 
 // TestMoreWorkersThanSockets guards against workers whose lease ends because all
 // connections are held by others, which are idle: a pool several times larger than
@@ -41,7 +41,7 @@
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	go Serve(ctx, addr, sockets, mute{}, func(string, string, time.Duration) {})
+	go Serve(ctx, addr, sockets, heartbeatBackend{}, func(string, string, time.Duration) {})
 	body, _ := msgpack.Marshal(map[string]any{"host": "vm-1", "tenure": 1, "tick": 1, "epoch": 1, "pieces": []any{}})
 	for i := 0; ; i++ {
 		if c, err := net.Dial("tcp", addr); err == nil {
@@ -116,46 +116,46 @@
 // TestConns: connections stay within the limit, a worker's idle one goes before a
 // user's, and one with a request under way never.
 func TestConns(t *testing.T) {
-	c := newConns(0)
+	c := newConnTracker(0)
 	var all []net.Conn
 	open := func(worker, idle bool) net.Conn {
 		a, b := net.Pipe()
 		t.Cleanup(func() { b.Close() })
-		c.state(a, http.StateNew)
-		c.state(a, http.StateActive)
+		c.trackState(a, http.StateNew)
+		c.trackState(a, http.StateActive)
 		if worker {
-			c.report(a)
+			c.markWorker(a)
 		}
 		if idle {
-			c.state(a, http.StateIdle)
+			c.trackState(a, http.StateIdle)
 		}
 		all = append(all, a)
 		return a
 	}
 	user := open(false, true)
 	worker := open(true, true)
-	for range leastConns - 2 {
+	for range minConns - 2 {
 		open(true, false)
 	}
-	if !c.report(worker) {
+	if !c.markWorker(worker) {
 		t.Error("connections are not short though all are taken")
 	}
-	if !c.room() {
+	if !c.admit() {
 		t.Fatal("no room though one is idle")
 	}
 	if c.open[worker] != nil || c.open[user] == nil {
 		t.Error("not the worker's idle connection was closed")
 	}
 	open(true, false)
-	if !c.room() || c.open[user] != nil {
+	if !c.admit() || c.open[user] != nil {
 		t.Error("the last idle connection was not closed")
 	}
 	open(true, false)
-	if c.room() {
+	if c.admit() {
 		t.Error("room though every connection is in use")
 	}
-	c.state(all[len(all)-1], http.StateClosed)
-	if !c.room() {
+	c.trackState(all[len(all)-1], http.StateClosed)
+	if !c.admit() {
 		t.Error("no room after one has ended")
 	}
 }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -21,11 +21,11 @@
 
 // TestGoldenRun: a submission is read as it ever was.
 func TestGoldenRun(t *testing.T) {
-	runs := testgolden.Values{"run": run{
-		ID: ptr("job-000412"), Workload: ptr("train"), Owner: ptr("vision"), Shape: ptr("group"), Urgency: ptr("urgent"), Pieces: ptr(16.0),
-		VCPUs: ptr(8.5), GPUs: ptr(1.25), MemoryGB: ptr(64.75), Bundle: ptr("img-07"), ImageGB: ptr(6.2), Flavours: []string{"g8", "g4"}, Site: ptr("a"),
-		SamePlace: ptr(true), Apart: ptr(true), Loaner: ptr(true), ExpectedS: ptr(240.5), EveryS: ptr(30.25), CostS: ptr(4.5), DueS: ptr(900.75),
-		Prereqs: []string{"job-000398", "job-000402"},
+	runs := testgolden.Values{"run": jobRequest{
+		ID: ptr("job-000412"), Workload: ptr("train"), Team: ptr("vision"), Shape: ptr("group"), Urgency: ptr("urgent"), Tasks: ptr(16.0),
+		VCPUs: ptr(8.5), GPUs: ptr(1.25), MemoryGB: ptr(64.75), Image: ptr("img-07"), ImageGB: ptr(6.2), MachineTypes: []string{"g8", "g4"}, Zone: ptr("a"),
+		ZoneAffinity: ptr(true), ZoneAntiAffinity: ptr(true), SpotAllowed: ptr(true), ExpectedS: ptr(240.5), CheckpointEveryS: ptr(30.25), CheckpointCostS: ptr(4.5), DeadlineS: ptr(900.75),
+		Dependencies: []string{"job-000398", "job-000402"},
 	}}
 	testgolden.Check(t, testgolden.Msgpack, runs)
 	testgolden.Full(t, runs)
@@ -35,7 +35,7 @@
 		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
 		Dependencies: []string{"job-000398", "job-000402"},
 	}
-	if got, bad := parseRun(testgolden.Bytes(t, "run")); bad != "" || !reflect.DeepEqual(got, want) {
+	if got, bad := parseJobRequest(testgolden.Bytes(t, "run")); bad != "" || !reflect.DeepEqual(got, want) {
 		t.Errorf("%s: read as\n%+v\nwant\n%+v", bad, got, want)
 	}
 }
@@ -66,13 +66,13 @@
 		handle       func(*handlers, echo.Context) error
 		says         core.Effect
 	}{
-		"query":   {http.MethodGet, "", (*handlers).query, job},
-		"abort":   {http.MethodPost, "", (*handlers).abort, job},
-		"submit":  {http.MethodPost, "run", (*handlers).submit, job},
-		"refused": {http.MethodPost, "run", (*handlers).submit, core.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
-		"report":  {http.MethodPost, "report", (*handlers).report, report},
-		"steward": {http.MethodPost, "report", (*handlers).report, core.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
-		"away":    {http.MethodPost, "report", (*handlers).report, core.HeartbeatReply{Status: 503}},
+		"query":   {http.MethodGet, "", (*handlers).queryJob, job},
+		"abort":   {http.MethodPost, "", (*handlers).cancelJob, job},
+		"submit":  {http.MethodPost, "run", (*handlers).submitJob, job},
+		"refused": {http.MethodPost, "run", (*handlers).submitJob, core.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
+		"report":  {http.MethodPost, "report", (*handlers).heartbeat, report},
+		"steward": {http.MethodPost, "report", (*handlers).heartbeat, core.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
+		"away":    {http.MethodPost, "report", (*handlers).heartbeat, core.HeartbeatReply{Status: 503}},
 		"health":  {http.MethodGet, "", (*handlers).health, nil},
 	} {
 		var body []byte
@@ -83,7 +83,7 @@
 		c := echo.New().NewContext(httptest.NewRequest(x.method, "/", bytes.NewReader(body)), rec)
 		c.SetParamNames("id")
 		c.SetParamValues("job-000412")
-		if err := x.handle(&handlers{core: saying{x.says}, conns: newConns(8)}, c); err != nil {
+		if err := x.handle(&handlers{backend: saying{x.says}, conns: newConnTracker(8)}, c); err != nil {
 			t.Fatal(err)
 		}
 		// The maps of an answer come in any order.
--- a/internal/api/promises.go
+++ b/internal/api/promises.go
@@ -8,24 +8,24 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// Promises adds the route that shows promised dates to the operators' server.
-func Promises(c Core) func(*echo.Echo) {
+// PromiseRoutes adds the route that shows promised dates to the operators' server.
+func PromiseRoutes(backend Backend) func(*echo.Echo) {
 	return func(e *echo.Echo) {
 		e.GET("/promises", func(ec echo.Context) error {
-			risk := ec.QueryParam("at_risk")
-			if risk != "" && risk != "true" && risk != "false" {
+			atRisk := ec.QueryParam("at_risk")
+			if atRisk != "" && atRisk != "true" && atRisk != "false" {
 				return echo.NewHTTPError(http.StatusBadRequest, "at_risk: want true or false")
 			}
-			ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorPatience)
+			ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorTimeout)
 			defer cancel()
-			x, err := c.Ask(ctx, func(r uint64) core.Command {
-				return core.QueryPromises{Reply: r, Job: ec.QueryParam("job"), Class: ec.QueryParam("class"), OnlyAtRisk: risk == "true"}
+			effect, err := backend.Ask(ctx, func(r uint64) core.Command {
+				return core.QueryPromises{Reply: r, Job: ec.QueryParam("job"), Class: ec.QueryParam("class"), OnlyAtRisk: atRisk == "true"}
 			})
-			p, ok := x.(core.PromiseReply)
-			if err != nil || !ok || !p.OK {
+			reply, ok := effect.(core.PromiseReply)
+			if err != nil || !ok || !reply.OK {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, "not known now: the state service does not answer")
 			}
-			return ec.JSON(http.StatusOK, p)
+			return ec.JSON(http.StatusOK, reply)
 		})
 	}
 }
--- a/internal/api/promises_test.go
+++ b/internal/api/promises_test.go
@@ -12,23 +12,23 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// telling is a core that answers everything the same.
-type telling struct{ r core.UserReply }
+// fixedBackend is a core that answers everything the same.
+type fixedBackend struct{ reply core.UserReply }
 
-func (c telling) Healthy() bool { return true }
-func (c telling) Ask(context.Context, func(uint64) core.Command) (core.Effect, error) {
-	return c.r, nil
+func (c fixedBackend) Healthy() bool { return true }
+func (c fixedBackend) Ask(context.Context, func(uint64) core.Command) (core.Effect, error) {
+	return c.reply, nil
 }
 
 // TestPromisedFields: an answer has the two fields if there is a date, and neither else.
 func TestPromisedFields(t *testing.T) {
 	for rev, after := range map[int]time.Duration{0: 0, 2: 90500 * time.Millisecond} {
-		h := &handlers{core: telling{core.UserReply{Status: 200, ID: "job-1", State: "queued", PromisedAfter: after, PromiseRevision: rev}}}
+		h := &handlers{backend: fixedBackend{core.UserReply{Status: 200, ID: "job-1", State: "queued", PromisedAfter: after, PromiseRevision: rev}}}
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/v2/runs/job-1", nil), rec)
 		c.SetParamNames("id")
 		c.SetParamValues("job-1")
-		if err := h.query(c); err != nil {
+		if err := h.queryJob(c); err != nil {
 			t.Fatal(err)
 		}
 		var m struct {
@@ -47,12 +47,12 @@
 // TestLateAnswerToUser: the core has answered, and the process stood still before that left.
 func TestLateAnswerToUser(t *testing.T) {
 	for late, status := range map[time.Duration]int{-time.Minute: http.StatusOK, time.Millisecond: http.StatusServiceUnavailable} {
-		h := &handlers{core: telling{core.UserReply{Status: 200, ID: "job-1", State: "queued", SendDeadline: time.Now().Add(-late)}}}
+		h := &handlers{backend: fixedBackend{core.UserReply{Status: 200, ID: "job-1", State: "queued", SendDeadline: time.Now().Add(-late)}}}
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/v2/runs/job-1", nil), rec)
 		c.SetParamNames("id")
 		c.SetParamValues("job-1")
-		if err := h.query(c); err != nil {
+		if err := h.queryJob(c); err != nil {
 			t.Fatal(err)
 		}
 		if rec.Code != status || status != 200 && rec.Header().Get(echo.HeaderRetryAfter) == "" {
--- a/internal/api/ranking.go
+++ b/internal/api/ranking.go
@@ -11,17 +11,17 @@
 	"github.com/micahill/micahill/internal/ranking"
 )
 
-// operatorPatience bounds the wait for what an operator asks, such as for a ranking to be
+// operatorTimeout bounds the wait for what an operator asks, such as for a ranking to be
 // read and written; he waits longer than a user.
-const operatorPatience = 4 * time.Second
+const operatorTimeout = 4 * time.Second
 
-// Ranking adds the routes for the order of work to the operators' server. Those for
+// RankingRoutes adds the routes for the order of work to the operators' server. Those for
 // reading answer from what this controller knows, also while the state service is away.
-func Ranking(c Core) func(*echo.Echo) {
-	ask := func(ec echo.Context, mk func(reply uint64) core.Command) error {
-		ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorPatience)
+func RankingRoutes(backend Backend) func(*echo.Echo) {
+	forward := func(ec echo.Context, newCommand func(reply uint64) core.Command) error {
+		ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorTimeout)
 		defer cancel()
-		e, err := c.Ask(ctx, mk)
+		e, err := backend.Ask(ctx, newCommand)
 		r, ok := e.(core.RankingReply)
 		if err != nil || !ok {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "no answer in time")
@@ -33,30 +33,30 @@
 	}
 	return func(e *echo.Echo) {
 		e.GET("/ranking", func(ec echo.Context) error {
-			q := core.QueryRanking{Job: ec.QueryParam("why"), History: ec.QueryParam("history") == "true"}
-			if q.Job != "" && !idForm.MatchString(q.Job) {
-				return echo.NewHTTPError(http.StatusBadRequest, "why: "+strconv.Quote(q.Job)+" is no job's id: want job- and up to 64 letters, digits, hyphens and underscores")
+			query := core.QueryRanking{Job: ec.QueryParam("why"), History: ec.QueryParam("history") == "true"}
+			if query.Job != "" && !jobIDPattern.MatchString(query.Job) {
+				return echo.NewHTTPError(http.StatusBadRequest, "why: "+strconv.Quote(query.Job)+" is no job's id: want job- and up to 64 letters, digits, hyphens and underscores")
 			}
-			return ask(ec, func(reply uint64) core.Command { q.Reply = reply; return q })
+			return forward(ec, func(reply uint64) core.Command { query.Reply = reply; return query })
 		})
 		e.POST("/ranking", func(ec echo.Context) error {
-			b, err := body(ec)
+			b, err := readBody(ec)
 			if err != nil {
 				return err
 			}
-			s := core.SetRanking{AnyRevision: ec.QueryParam("rev") == "", Deadline: time.Now().Add(operatorPatience * 3 / 4)}
-			if !s.AnyRevision {
-				if s.Revision, err = strconv.ParseUint(ec.QueryParam("rev"), 10, 64); err != nil {
+			set := core.SetRanking{AnyRevision: ec.QueryParam("rev") == "", Deadline: time.Now().Add(operatorTimeout * 3 / 4)}
+			if !set.AnyRevision {
+				if set.Revision, err = strconv.ParseUint(ec.QueryParam("rev"), 10, 64); err != nil {
 					return echo.NewHTTPError(http.StatusBadRequest, "rev: "+strconv.Quote(ec.QueryParam("rev"))+": want a revision, as show gives it")
 				}
 			}
-			if s.Record, err = ranking.Parse(b); err != nil {
+			if set.Record, err = ranking.Parse(b); err != nil {
 				return echo.NewHTTPError(http.StatusBadRequest, err.Error())
 			}
-			if s.Record.SetBy = ec.QueryParam("by"); s.Record.SetBy == "" || len(s.Record.SetBy) > ranking.MaxSetByLen {
+			if set.Record.SetBy = ec.QueryParam("by"); set.Record.SetBy == "" || len(set.Record.SetBy) > ranking.MaxSetByLen {
 				return echo.NewHTTPError(http.StatusBadRequest, "by: want a name of 1 to "+strconv.Itoa(ranking.MaxSetByLen)+" bytes")
 			}
-			return ask(ec, func(reply uint64) core.Command { s.Reply = reply; return s })
+			return forward(ec, func(reply uint64) core.Command { set.Reply = reply; return set })
 		})
 	}
 }
--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -47,7 +47,7 @@
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				Serve(ctx, addr, sockets, mute{}, func(string, string, time.Duration) {})
+				Serve(ctx, addr, sockets, heartbeatBackend{}, func(string, string, time.Duration) {})
 			}()
 			body, err := msgpack.Marshal(map[string]any{"host": "vm-1", "tenure": 1, "tick": 1, "epoch": 1, "pieces": []any{}})
 			if err != nil {
@@ -56,10 +56,10 @@
 			// So many machines report at a time, each once, and then hold their
 			// connections, four times as many as may be open, while they are let.
 			const crowd = 100
-			hard := int(hardPart * sockets)
+			hardLimit := int(hardLimitFraction * sockets)
 			var answered, next atomic.Int64
-			var most int
-			var held []net.Conn
+			var mostGoroutines int
+			var openConns []net.Conn
 			var mu sync.Mutex
 			var wg sync.WaitGroup
 			for range crowd {
@@ -67,12 +67,12 @@
 					for next.Add(1) <= int64(machines) {
 						// A connection may be closed for another's sake just as it is used.
 						for range 100 {
-							c, ok := reports(addr, body)
+							c, ok := sendHeartbeat(addr, body)
 							if c != nil {
 								mu.Lock()
-								if held = append(held, c); len(held) > 4*hard {
-									held[0].Close()
-									held = held[1:]
+								if openConns = append(openConns, c); len(openConns) > 4*hardLimit {
+									openConns[0].Close()
+									openConns = openConns[1:]
 								}
 								mu.Unlock()
 							}
@@ -83,7 +83,7 @@
 						}
 						k := runtime.NumGoroutine()
 						mu.Lock()
-						most = max(most, k)
+						mostGoroutines = max(mostGoroutines, k)
 						mu.Unlock()
 					}
 				})
@@ -92,14 +92,14 @@
 			if k := answered.Load(); k != int64(machines) {
 				t.Errorf("%d of %d machines got an answer", k, machines)
 			}
-			if bound := routines + crowd + connRoutines*hard + serverRoutines; most > bound {
-				t.Errorf("%d goroutines, of %d at most", most, bound)
+			if maxGoroutines := routines + crowd + connRoutines*hardLimit + serverRoutines; mostGoroutines > maxGoroutines {
+				t.Errorf("%d goroutines, of %d at most", mostGoroutines, maxGoroutines)
 			}
-			for _, c := range held {
+			for _, c := range openConns {
 				c.Close()
 			}
-			held = nil
-			if kept := heap() - before; kept > int64(hard*connMemory+machines*workerMemory) {
+			openConns = nil
+			if kept := heap() - before; kept > int64(hardLimit*connMemory+machines*workerMemory) {
 				t.Errorf("%d KB are kept after %d machines", kept>>10, machines)
 			}
 			cancel()
@@ -108,8 +108,8 @@
 	}
 }
 
-// reports hands in one report on a connection of its own, which it leaves open.
-func reports(addr string, body []byte) (net.Conn, bool) {
+// sendHeartbeat hands in one report on a connection of its own, which it leaves open.
+func sendHeartbeat(addr string, body []byte) (net.Conn, bool) {
 	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
 		return nil, false
