--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -90,7 +90,7 @@
 			for _, w := range c.Warnings() {
 				fmt.Fprintln(cmd.ErrOrStderr(), "micahill: settings: warning:", w)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: controller %s of %d, %d team(s): ok\n", path, c.HostName, len(c.Seeds)+1, len(c.Deployment.Teams))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: controller %s of %d, %d team(s): ok\n", path, c.HostName, len(c.Peers)+1, len(c.Deployment.Teams))
 			return nil
 		},
 	}
@@ -140,7 +140,7 @@
 	}
 	// One thread at a time runs here anyway; more would only switch.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(c.Deployment.Quota.RAMMB * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(c.Deployment.Quota.MemoryMB * memoryPart * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 
 	var seed [32]byte
@@ -148,19 +148,19 @@
 		return fmt.Errorf("seed: %w", err)
 	}
 	nonce := fmt.Sprintf("%x", binary.LittleEndian.Uint64(seed[:8]))
-	set := c.Core(pol, nonce)
-	set.Capabilities = extras.Product()
+	set := c.Settings(pol, nonce)
+	set.Capabilities = extras.Capabilities()
 	node := core.New(set, rand.New(rand.NewChaCha8(seed)))
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	peers := map[string]string{}
-	for _, p := range c.Seeds {
+	for _, p := range c.Peers {
 		peers[p.HostName] = p.Address
 	}
 	d := &c.Deployment
-	st := state.New(c.Outside.State, d.State.RPS, d.State.Tighter().WriteRPS, len(c.Seeds)+1)
-	cl := cloud.New(c.Outside.Cloud, d.Cloud.RPS)
+	st := state.New(c.Endpoints.State, d.State.RPS, d.State.Strictest().WriteRPS, len(c.Peers)+1)
+	cl := cloud.New(c.Endpoints.Cloud, d.Cloud.RPS)
 	wk := worker.New(d.Quota.Sockets)
 	pn := peer.StartSender(ctx, peers)
 	met := metrics.New()
@@ -217,7 +217,7 @@
 	go func() { errs <- api.Serve(ctx, c.APIAddr, d.Quota.Sockets, srv, met.Request) }()
 	go func() {
 		// Users and workers are served while this address is still in use.
-		back, err := peer.Listen(ctx, c.Back, func(n core.PeerUpdate) { srv.Post(n) })
+		back, err := peer.Listen(ctx, c.InternalAddr, func(n core.PeerUpdate) { srv.Post(n) })
 		if err != nil {
 			errs <- err
 			return
--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -33,30 +33,30 @@
 	if o.Borrow && !slices.ContainsFunc(c.Deployment.Teams, func(t config.Team) bool { return t.Name == o.GuestTeam }) {
 		return fmt.Errorf("overflow: field guest_team: %s is no team of the settings", o.GuestTeam)
 	}
-	st, err := keys.Open(o.Keys)
+	st, err := keys.Open(o.CertDir)
 	if err != nil {
 		return fmt.Errorf("overflow: field keys: %w", err)
 	}
 	if st.Cluster() != o.Cluster {
-		return fmt.Errorf("overflow: field keys: the certificate in %s is for cluster %s, not %s", o.Keys, st.Cluster(), o.Cluster)
+		return fmt.Errorf("overflow: field keys: the certificate in %s is for cluster %s, not %s", o.CertDir, st.Cluster(), o.Cluster)
 	}
-	_, err = o.Prefixes()
+	_, err = o.AllowedPrefixes()
 	return err
 }
 
 // startOverflow runs lending beside the controller. errs is told when it ends.
 func startOverflow(ctx context.Context, o *config.Overflow, c *config.Config, srv *server.Server, reg prometheus.Registerer, rng *rand.Rand, errs chan<- error) (func(*echo.Echo), error) {
-	st, err := keys.Open(o.Keys)
+	st, err := keys.Open(o.CertDir)
 	if err != nil {
 		return nil, fmt.Errorf("overflow: %w", err)
 	}
-	allow, err := o.Prefixes()
+	allow, err := o.AllowedPrefixes()
 	if err != nil {
 		return nil, err
 	}
 	addr := o.Listen
 	if addr == "" {
-		host, _, err := net.SplitHostPort(c.Back)
+		host, _, err := net.SplitHostPort(c.InternalAddr)
 		if err != nil {
 			return nil, fmt.Errorf("overflow: back: %w", err)
 		}
@@ -67,11 +67,11 @@
 		return nil, fmt.Errorf("overflow: field listen: %w", err)
 	}
 	lim := overflow.DefaultLimits()
-	lim.LoansOut, lim.LoansIn, lim.Tasks = o.LoansOut, o.LoansIn, o.TasksMost
-	lim.MinGain, lim.MaxCostRatio = core.Seconds(o.GainS), o.Dearest
+	lim.LoansOut, lim.LoansIn, lim.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
+	lim.MinGain, lim.MaxCostRatio = core.Seconds(o.MinGainS), o.MaxCostRatio
 	set := broker.Settings{
 		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: core.Seconds(o.ReportS), LoanLease: core.Seconds(o.LeaseS),
-		WorkerLease: core.Seconds(c.Deployment.Workers.LeaseS), ClockBound: core.Seconds(c.Deployment.TimeBoundMS / 1000), Limits: lim, Peers: map[string][]string{},
+		WorkerLease: core.Seconds(c.Deployment.Workers.LeaseS), ClockBound: core.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: lim, Peers: map[string][]string{},
 	}
 	known := map[string]bool{}
 	for _, p := range o.Peers {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// TestNextLimits: the tighter of the limits of now and to come counts for all that is
+// TestUpcomingLimits: the tighter of the limits of now and to come counts for all that is
 // written, and the present size of values stays known, as records were numbered by it.
-func TestNextLimits(t *testing.T) {
+func TestUpcomingLimits(t *testing.T) {
 	good, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatalf("%q: %v", c.next, err)
 		}
-		s := conf.Core(core.DefaultPolicy(), "n")
+		s := conf.Settings(core.DefaultPolicy(), "n")
 		if s.MaxValueBytes != c.value || s.CurrentMaxValueBytes != c.present || s.MaxTxnWrites != c.ops || s.StoreWritesPerSecond != c.writes {
 			t.Errorf("%q: %d and %d bytes, %d changes, %g a second", c.next, s.MaxValueBytes, s.CurrentMaxValueBytes, s.MaxTxnWrites, s.StoreWritesPerSecond)
 		}
--- a/internal/config/extras.go
+++ b/internal/config/extras.go
@@ -35,33 +35,33 @@
 // Promises gives each accepted job a committed finish; see docs/operations/promises.md.
 type Promises struct {
 	Enabled bool `toml:"enabled"`
-	// Share is the part of the promises that are to be kept.
-	Share float64 `toml:"share" validate:"gte=0.5,lte=0.999"`
+	// TargetFraction is the part of the promises that are to be kept.
+	TargetFraction float64 `toml:"share" validate:"gte=0.5,lte=0.999"`
 }
 
 // Models packs replicas and moves them so that larger ones fit; see
 // docs/operations/models.md.
 type Models struct {
 	Enabled bool `toml:"enabled"`
-	// Part is the part of the machines of a kind on which replicas may be moving at a
-	// time, and AgainS how long a replica that was moved is left alone.
-	Part   float64 `toml:"part" validate:"gte=0,lte=1"`
-	AgainS float64 `toml:"again_s" validate:"gte=60,lte=86400"`
+	// MaxMigratingFraction is the part of the machines of a kind on which replicas may be moving at a
+	// time, and MigrationCooldownS how long a replica that was moved is left alone.
+	MaxMigratingFraction float64 `toml:"part" validate:"gte=0,lte=1"`
+	MigrationCooldownS   float64 `toml:"again_s" validate:"gte=60,lte=86400"`
 }
 
-// Product is what the core is told of them.
-func (x *Extras) Product() core.Capabilities {
-	var p core.Capabilities
+// Capabilities is what the core is told of them.
+func (x *Extras) Capabilities() core.Capabilities {
+	var capabilities core.Capabilities
 	if r := x.Ranking; r != nil {
-		p.Ranking = r.Enabled
+		capabilities.Ranking = r.Enabled
 	}
 	if r := x.Promises; r != nil {
-		p.Promises, p.PromiseFraction = r.Enabled, r.Share
+		capabilities.Promises, capabilities.PromiseFraction = r.Enabled, r.TargetFraction
 	}
 	if r := x.Models; r != nil {
-		p.Models, p.MaxMigratingFraction, p.MigrationCooldown = r.Enabled, r.Part, core.Seconds(r.AgainS)
+		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, core.Seconds(r.MigrationCooldownS)
 	}
-	return p
+	return capabilities
 }
 
 // Overflow lets this cluster lend work to its peers and borrow theirs.
@@ -72,11 +72,11 @@
 	// Listen is where peers reach this controller; absent: the host of back, port
 	// DefaultOverflowPort.
 	Listen string `toml:"listen" validate:"omitempty,hostname_port"`
-	// Keys is the folder with ca.pem, cert.pem and key.pem, as micahill keys
+	// CertDir is the folder with ca.pem, cert.pem and key.pem, as micahill keys
 	// issue writes them. They are read again when they change.
-	Keys string `toml:"keys" validate:"required"`
-	// Allow are the networks from which peers may connect, such as 10.3.0.0/16.
-	Allow []string `toml:"allow" validate:"required,min=1,dive,cidr"`
+	CertDir string `toml:"keys" validate:"required"`
+	// AllowedNetworks are the networks from which peers may connect, such as 10.3.0.0/16.
+	AllowedNetworks []string `toml:"allow" validate:"required,min=1,dive,cidr"`
 	// GuestTeam is the team in whose name borrowed work runs; its limit bounds it.
 	GuestTeam string `toml:"guest_team" validate:"required_if=Borrow true"`
 	Lend      bool   `toml:"lend"`
@@ -85,16 +85,16 @@
 	// may keep our work without an answer of ours.
 	ReportS float64 `toml:"report_s" validate:"gte=0.5,lte=60"`
 	LeaseS  float64 `toml:"lease_s" validate:"gte=5,lte=600,gtfield=ReportS"`
-	// LoansOut bounds the loans to one peer, LoansIn those taken from all, and
-	// TasksMost the tasks of one.
-	LoansOut  int `toml:"loans_out" validate:"gte=0,lte=10000"`
-	LoansIn   int `toml:"loans_in" validate:"gte=0,lte=10000"`
-	TasksMost int `toml:"tasks_most" validate:"gte=1,lte=100000"`
-	// GainS is by how much sooner a job must be done at a peer, and Dearest how
+	// MaxLoansOut bounds the loans to one peer, LoansIn those taken from all, and
+	// MaxLoanTasks the tasks of one.
+	MaxLoansOut  int `toml:"loans_out" validate:"gte=0,lte=10000"`
+	MaxLoansIn   int `toml:"loans_in" validate:"gte=0,lte=10000"`
+	MaxLoanTasks int `toml:"tasks_most" validate:"gte=1,lte=100000"`
+	// MinGainS is by how much sooner a job must be done at a peer, and Dearest how
 	// many times our own price a peer's may be.
-	GainS   float64 `toml:"gain_s" validate:"gte=0,lte=3600"`
-	Dearest float64 `toml:"dearest" validate:"gte=0.1,lte=100"`
-	Peers   []Peer  `toml:"peers" validate:"unique=Cluster,dive"`
+	MinGainS     float64 `toml:"gain_s" validate:"gte=0,lte=3600"`
+	MaxCostRatio float64 `toml:"dearest" validate:"gte=0.1,lte=100"`
+	Peers        []Peer  `toml:"peers" validate:"unique=Cluster,dive"`
 }
 
 // Peer is another cluster: its name, as in its certificate, and the addresses of
@@ -111,14 +111,14 @@
 func defaultOverflow() *Overflow {
 	return &Overflow{
 		Lend: true, Borrow: true, ReportS: 2, LeaseS: 15,
-		LoansOut: 32, LoansIn: 64, TasksMost: 2000, GainS: 5, Dearest: 3,
+		MaxLoansOut: 32, MaxLoansIn: 64, MaxLoanTasks: 2000, MinGainS: 5, MaxCostRatio: 3,
 	}
 }
 
-// Prefixes are the allowed networks.
-func (o *Overflow) Prefixes() ([]netip.Prefix, error) {
+// AllowedPrefixes are the allowed networks.
+func (o *Overflow) AllowedPrefixes() ([]netip.Prefix, error) {
 	var out []netip.Prefix
-	for _, a := range o.Allow {
+	for _, a := range o.AllowedNetworks {
 		p, err := netip.ParsePrefix(a)
 		if err != nil {
 			return nil, fmt.Errorf("overflow.allow: %w", err)
@@ -133,7 +133,7 @@
 // Unlike in the settings, an unknown field is an error; each error says file,
 // line, field and what would be right.
 func LoadExtras(paths []string) (*Extras, error) {
-	x := &Extras{}
+	extras := &Extras{}
 	texts := map[string][]byte{}
 	for _, path := range paths {
 		b, err := os.ReadFile(path)
@@ -141,51 +141,51 @@
 			return nil, fmt.Errorf("enable: %w", err)
 		}
 		texts[path] = b
-		var named struct {
+		var present struct {
 			Overflow any `toml:"overflow"`
 			Ranking  any `toml:"ranking"`
 			Promises any `toml:"promises"`
 			Models   any `toml:"models"`
 		}
-		if toml.Unmarshal(b, &named) == nil {
-			if named.Overflow != nil && x.Overflow == nil {
-				x.Overflow = defaultOverflow()
+		if toml.Unmarshal(b, &present) == nil {
+			if present.Overflow != nil && extras.Overflow == nil {
+				extras.Overflow = defaultOverflow()
 			}
-			if named.Ranking != nil && x.Ranking == nil {
-				x.Ranking = &Ranking{Enabled: true}
+			if present.Ranking != nil && extras.Ranking == nil {
+				extras.Ranking = &Ranking{Enabled: true}
 			}
-			if named.Promises != nil && x.Promises == nil {
-				x.Promises = &Promises{Enabled: true, Share: 0.95}
+			if present.Promises != nil && extras.Promises == nil {
+				extras.Promises = &Promises{Enabled: true, TargetFraction: 0.95}
 			}
-			if named.Models != nil && x.Models == nil {
-				x.Models = &Models{Enabled: true, Part: 0.1, AgainS: 300}
+			if present.Models != nil && extras.Models == nil {
+				extras.Models = &Models{Enabled: true, MaxMigratingFraction: 0.1, MigrationCooldownS: 300}
 			}
 		}
-		if err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(x); err != nil {
-			return nil, placed(path, err)
+		if err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(extras); err != nil {
+			return nil, locateError(path, err)
 		}
 	}
-	if err := extrasCheck.Struct(x); err != nil {
-		var ve validator.ValidationErrors
-		if !errors.As(err, &ve) {
+	if err := extrasValidator.Struct(extras); err != nil {
+		var violations validator.ValidationErrors
+		if !errors.As(err, &violations) {
 			return nil, fmt.Errorf("enable: %w", err)
 		}
-		field := strings.TrimPrefix(ve[0].Namespace(), "Extras.")
-		return nil, fmt.Errorf("enable: %s: field %s: %s", whereIs(paths, texts, field), field, wanted(ve[0]))
+		field := strings.TrimPrefix(violations[0].Namespace(), "Extras.")
+		return nil, fmt.Errorf("enable: %s: field %s: %s", locateField(paths, texts, field), field, describeViolation(violations[0]))
 	}
-	if o := x.Overflow; o != nil {
+	if o := extras.Overflow; o != nil {
 		for i, p := range o.Peers {
 			if p.Cluster == o.Cluster {
 				field := fmt.Sprintf("overflow.peers[%d].cluster", i)
-				return nil, fmt.Errorf("enable: %s: field %s: %s is this cluster itself", whereIs(paths, texts, field), field, p.Cluster)
+				return nil, fmt.Errorf("enable: %s: field %s: %s is this cluster itself", locateField(paths, texts, field), field, p.Cluster)
 			}
 		}
 	}
-	return x, nil
+	return extras, nil
 }
 
-// placed says where in a file a reading error lies.
-func placed(path string, err error) error {
+// locateError says where in a file a reading error lies.
+func locateError(path string, err error) error {
 	var se *toml.StrictMissingError
 	if errors.As(err, &se) && len(se.Errors) > 0 {
 		row, col := se.Errors[0].Position()
@@ -199,9 +199,9 @@
 	return fmt.Errorf("enable: %s: %w", path, err)
 }
 
-var extrasCheck = newExtrasCheck()
+var extrasValidator = newExtrasValidator()
 
-func newExtrasCheck() *validator.Validate {
+func newExtrasValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
 	err := v.RegisterValidation("clustername", func(fl validator.FieldLevel) bool { return keys.IsClusterName(fl.Field().String()) })
@@ -211,8 +211,8 @@
 	return v
 }
 
-// wanted says of a field what would be right.
-func wanted(e validator.FieldError) string {
+// describeViolation says of a field what would be right.
+func describeViolation(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required", "required_if":
 		return "is missing or empty"
@@ -236,13 +236,13 @@
 	return fmt.Sprintf("%v does not satisfy %s", e.Value(), e.Tag())
 }
 
-// whereIs finds the line of a field, in the last file that names it; of a field
+// locateField finds the line of a field, in the last file that names it; of a field
 // that none names, the section.
-func whereIs(paths []string, texts map[string][]byte, field string) string {
+func locateField(paths []string, texts map[string][]byte, field string) string {
 	parts := strings.Split(regexp.MustCompile(`\[\d+\]`).ReplaceAllString(field, ""), ".")
 	key := parts[len(parts)-1]
-	for _, want := range []string{`^\s*` + regexp.QuoteMeta(key) + `\s*=`, `^\s*\[+` + regexp.QuoteMeta(parts[0])} {
-		re := regexp.MustCompile(want)
+	for _, pattern := range []string{`^\s*` + regexp.QuoteMeta(key) + `\s*=`, `^\s*\[+` + regexp.QuoteMeta(parts[0])} {
+		re := regexp.MustCompile(pattern)
 		for i := len(paths) - 1; i >= 0; i-- {
 			for n, line := range strings.Split(string(texts[paths[i]]), "\n") {
 				if re.MatchString(line) {
--- a/internal/config/extras_test.go
+++ b/internal/config/extras_test.go
@@ -18,7 +18,7 @@
 addresses = ["10.4.0.1:7443"]
 `
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(p, []byte(text), 0o600); err != nil {
@@ -34,7 +34,7 @@
 	if err != nil || x.Overflow != nil {
 		t.Fatalf("without files something is switched on: %+v, %v", x, err)
 	}
-	x, err = LoadExtras([]string{write(t, overflowFile), write(t, "[overflow]\nlease_s = 30\n")})
+	x, err = LoadExtras([]string{writeFile(t, overflowFile), writeFile(t, "[overflow]\nlease_s = 30\n")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 		{"lease too short", strings.Replace(overflowFile, "guest_team", "lease_s = 5\nreport_s = 9\nguest_team", 1), "x.toml:5: field overflow.lease_s: 5 is too small: want more than report_s"},
 		{"not TOML", "[overflow\n", "x.toml:1:"},
 	} {
-		_, err := LoadExtras([]string{write(t, c.text)})
+		_, err := LoadExtras([]string{writeFile(t, c.text)})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.what, err, c.want)
 		}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// pauses is how many of the workers' report intervals may pass between two
+	// maxHeartbeatFactor is how many of the workers' report intervals may pass between two
 	// reports: give or take a quarter, as the protocol has it.
-	pauses = 1.25
-	// answerS is how long a worker waits for the answer to a report, in seconds.
-	answerS = 4
-	// renewals is what every controller asks of the state service in a second just
+	maxHeartbeatFactor = 1.25
+	// heartbeatTimeoutS is how long a worker waits for the answer to a report, in seconds.
+	heartbeatTimeoutS = 4
+	// renewalsPerSecond is what every controller asks of the state service in a second just
 	// to stay alive, and useful what serving users and workers takes at least.
-	renewals, useful = 1, 5
-	// leastKB holds the description of a job, and leastWrites is a change a second
+	renewalsPerSecond, minUsefulRPS = 1, 5
+	// minValueKB holds the description of a job, and minWriteRPS is a change a second
 	// for starts and one for submissions.
-	leastKB, leastWrites = 1, 2
-	// tightCPU, tightMB and tightSockets are what a controller of a small site
+	minValueKB, minWriteRPS = 1, 2
+	// recommendedCPU, recommendedMemoryMB and recommendedSockets are what a controller of a small site
 	// takes; docs/operations/sizing.md has what a large one does.
-	tightCPU, tightMB, tightSockets = 0.02, 64, 64
+	recommendedCPU, recommendedMemoryMB, recommendedSockets = 0.02, 64, 64
 )
 
-// hostMost is how long a controller's name may be: it is part of keys, which have 200
-// bytes at most. teamPart is the part of a value that a team's name may take.
+// maxHostName is how long a controller's name may be: it is part of keys, which have 200
+// bytes at most. maxTeamNameFraction is the part of a value that a team's name may take.
 const (
-	hostMost = 120
-	teamPart = 0.25
+	maxHostName         = 120
+	maxTeamNameFraction = 0.25
 )
 
-func hostNames(seeds []Seed) []string {
+func peerNames(seeds []PeerController) []string {
 	var out []string
 	for _, s := range seeds {
 		out = append(out, s.HostName)
@@ -43,87 +43,87 @@
 
 // finding is what is wrong or tight about a field.
 type finding struct {
-	field string
-	value any
-	why   string
-	do    string
+	field  string
+	value  any
+	reason string
+	remedy string
 }
 
 func (f finding) String() string {
-	return fmt.Sprintf("field %s: %v %s; %s", f.field, f.value, f.why, f.do)
+	return fmt.Sprintf("field %s: %v %s; %s", f.field, f.value, f.reason, f.remedy)
 }
 
-// limits judges fields against one another. What can't work is wrong; what is
+// checkLimits judges fields against one another. What can't work is wrong; what is
 // merely tight starts, with a warning.
-func (c *Config) limits() (wrong, tight []finding) {
-	d := &c.Deployment
-	nodes := float64(len(c.Seeds) + 1)
-	state := d.State.Tighter()
-	valueField := d.State.field("value_kb", state.ValueKB < d.State.ValueKB)
-	writeField := d.State.field("write_rps", state.WriteRPS < d.State.WriteRPS)
-	for i, name := range append([]string{c.HostName}, hostNames(c.Seeds)...) {
+func (c *Config) checkLimits() (invalid, tight []finding) {
+	deployment := &c.Deployment
+	controllers := float64(len(c.Peers) + 1)
+	state := deployment.State.Strictest()
+	valueField := deployment.State.fieldPath("value_kb", state.ValueKB < deployment.State.ValueKB)
+	writeField := deployment.State.fieldPath("write_rps", state.WriteRPS < deployment.State.WriteRPS)
+	for i, name := range append([]string{c.HostName}, peerNames(c.Peers)...) {
 		field := "host_name"
 		if i > 0 {
 			field = fmt.Sprintf("seeds[%d].host_name", i-1)
 		}
-		if len(name) > hostMost || strings.ContainsAny(name, " \t\r\n/") {
-			wrong = append(wrong, finding{field, fmt.Sprintf("%q", name), "can't be part of a key of the state service",
-				fmt.Sprintf("up to %d characters without spaces and slashes would do", hostMost)})
+		if len(name) > maxHostName || strings.ContainsAny(name, " \t\r\n/") {
+			invalid = append(invalid, finding{field, fmt.Sprintf("%q", name), "can't be part of a key of the state service",
+				fmt.Sprintf("up to %d characters without spaces and slashes would do", maxHostName)})
 		}
 	}
-	for i, t := range d.Teams {
-		if size := bounds.StringSize(t.Name); float64(size) > state.ValueKB*1024*teamPart {
-			wrong = append(wrong, finding{fmt.Sprintf("deployment.teams[%d].name", i), fmt.Sprintf("%.20q...", t.Name),
+	for i, t := range deployment.Teams {
+		if size := bounds.StringSize(t.Name); float64(size) > state.ValueKB*1024*maxTeamNameFraction {
+			invalid = append(invalid, finding{fmt.Sprintf("deployment.teams[%d].name", i), fmt.Sprintf("%.20q...", t.Name),
 				fmt.Sprintf("takes %d bytes of a record, of which there are %.0f", size, state.ValueKB*1024),
-				fmt.Sprintf("up to %.0f would do", state.ValueKB*1024*teamPart)})
+				fmt.Sprintf("up to %.0f would do", state.ValueKB*1024*maxTeamNameFraction)})
 		}
 	}
-	if least := pauses*d.Workers.ReportS + answerS; d.Workers.LeaseS <= pauses*d.Workers.ReportS {
-		wrong = append(wrong, finding{"deployment.workers.lease_s", d.Workers.LeaseS,
-			fmt.Sprintf("is not longer than the longest pause between two reports (report_s %g and a quarter), so every worker would lose its tasks", d.Workers.ReportS),
-			fmt.Sprintf("more than %g would do", least)})
-	} else if d.Workers.LeaseS < least {
-		tight = append(tight, finding{"deployment.workers.lease_s", d.Workers.LeaseS,
-			"leaves no time for a lost report", fmt.Sprintf("more than %g would do", least)})
+	if minimum := maxHeartbeatFactor*deployment.Workers.HeartbeatS + heartbeatTimeoutS; deployment.Workers.LeaseS <= maxHeartbeatFactor*deployment.Workers.HeartbeatS {
+		invalid = append(invalid, finding{"deployment.workers.lease_s", deployment.Workers.LeaseS,
+			fmt.Sprintf("is not longer than the longest pause between two reports (report_s %g and a quarter), so every worker would lose its tasks", deployment.Workers.HeartbeatS),
+			fmt.Sprintf("more than %g would do", minimum)})
+	} else if deployment.Workers.LeaseS < minimum {
+		tight = append(tight, finding{"deployment.workers.lease_s", deployment.Workers.LeaseS,
+			"leaves no time for a lost report", fmt.Sprintf("more than %g would do", minimum)})
 	}
-	s := core.Settings{CancellationBound: core.Seconds(d.Workers.CancelS), WorkerLease: core.Seconds(d.Workers.LeaseS)}
-	if short := s.RenewalBound().Shortfall(); short > 0 {
-		tight = append(tight, finding{"deployment.workers.cancel_s", d.Workers.CancelS,
-			fmt.Sprintf("leaves no time beside lease_s (%g): on a machine out of reach, and while the state service is away, a cancelled task may last up to %.1f s too long", d.Workers.LeaseS, short.Seconds()),
-			fmt.Sprintf("%.0f would do", math.Ceil((s.CancellationBound+short).Seconds())+1)})
+	settings := core.Settings{CancellationBound: core.Seconds(deployment.Workers.CancelWithinS), WorkerLease: core.Seconds(deployment.Workers.LeaseS)}
+	if short := settings.RenewalBound().Shortfall(); short > 0 {
+		tight = append(tight, finding{"deployment.workers.cancel_s", deployment.Workers.CancelWithinS,
+			fmt.Sprintf("leaves no time beside lease_s (%g): on a machine out of reach, and while the state service is away, a cancelled task may last up to %.1f s too long", deployment.Workers.LeaseS, short.Seconds()),
+			fmt.Sprintf("%.0f would do", math.Ceil((settings.CancellationBound+short).Seconds())+1)})
 	}
-	if least := renewals * nodes; d.State.RPS <= least {
-		wrong = append(wrong, finding{"deployment.state.rps", d.State.RPS,
-			fmt.Sprintf("is used up by %g controllers that each renew a grant once a second", nodes),
-			fmt.Sprintf("%g would do", least+useful*nodes)})
-	} else if d.State.RPS < least+useful*nodes {
-		tight = append(tight, finding{"deployment.state.rps", d.State.RPS,
-			fmt.Sprintf("leaves little beside the renewals of %g controllers", nodes), fmt.Sprintf("%g would do", least+useful*nodes)})
+	if minimum := renewalsPerSecond * controllers; deployment.State.RPS <= minimum {
+		invalid = append(invalid, finding{"deployment.state.rps", deployment.State.RPS,
+			fmt.Sprintf("is used up by %g controllers that each renew a grant once a second", controllers),
+			fmt.Sprintf("%g would do", minimum+minUsefulRPS*controllers)})
+	} else if deployment.State.RPS < minimum+minUsefulRPS*controllers {
+		tight = append(tight, finding{"deployment.state.rps", deployment.State.RPS,
+			fmt.Sprintf("leaves little beside the renewals of %g controllers", controllers), fmt.Sprintf("%g would do", minimum+minUsefulRPS*controllers)})
 	}
-	if state.ValueKB < leastKB {
-		wrong = append(wrong, finding{valueField, state.ValueKB,
-			"does not hold the description of a job", fmt.Sprintf("%d would do", leastKB)})
+	if state.ValueKB < minValueKB {
+		invalid = append(invalid, finding{valueField, state.ValueKB,
+			"does not hold the description of a job", fmt.Sprintf("%d would do", minValueKB)})
 	}
-	if state.WriteRPS < leastWrites {
+	if state.WriteRPS < minWriteRPS {
 		tight = append(tight, finding{writeField, state.WriteRPS,
-			"lets jobs wait for one another's records", fmt.Sprintf("%d would do", leastWrites)})
+			"lets jobs wait for one another's records", fmt.Sprintf("%d would do", minWriteRPS)})
 	}
-	if d.Quota.CPU < tightCPU {
-		tight = append(tight, finding{"deployment.quota.cpu", d.Quota.CPU, "is little even for some dozen machines", fmt.Sprintf("%g would do", tightCPU)})
+	if deployment.Quota.CPU < recommendedCPU {
+		tight = append(tight, finding{"deployment.quota.cpu", deployment.Quota.CPU, "is little even for some dozen machines", fmt.Sprintf("%g would do", recommendedCPU)})
 	}
-	if d.Quota.RAMMB < tightMB {
-		tight = append(tight, finding{"deployment.quota.ram_mb", d.Quota.RAMMB, "is little even for some dozen machines", fmt.Sprintf("%d would do", tightMB)})
+	if deployment.Quota.MemoryMB < recommendedMemoryMB {
+		tight = append(tight, finding{"deployment.quota.ram_mb", deployment.Quota.MemoryMB, "is little even for some dozen machines", fmt.Sprintf("%d would do", recommendedMemoryMB)})
 	}
-	if d.Quota.Sockets < tightSockets {
-		tight = append(tight, finding{"deployment.quota.sockets", d.Quota.Sockets,
-			"makes workers open a connection for each report", fmt.Sprintf("%d would do", tightSockets)})
+	if deployment.Quota.Sockets < recommendedSockets {
+		tight = append(tight, finding{"deployment.quota.sockets", deployment.Quota.Sockets,
+			"makes workers open a connection for each report", fmt.Sprintf("%d would do", recommendedSockets)})
 	}
-	return wrong, tight
+	return invalid, tight
 }
 
 // Warnings says, a line each, what of the settings is merely tight.
 func (c *Config) Warnings() []string {
-	_, tight := c.limits()
+	_, tight := c.checkLimits()
 	var out []string
 	for _, f := range tight {
 		out = append(out, f.String())
