--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestInvalidScripts(t *testing.T) {
 	for _, c := range []struct{ src, want string }{
 		{"\nrelaunch_factor = 0.5", "p.star:2: relaunch_factor is 0.5, want a number from 1 to 100"},
 		{"warm_room = 'much'", "p.star:1: warm_room"},
