--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -22,7 +22,7 @@
 
 func freeAddr(t *testing.T) string {
 	t.Helper()
-	addr, err := ports.Free()
+	addr, err := ports.FreeAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -137,7 +137,7 @@
 			slog.Debug("answer not sent", "err", err)
 		}
 	}
-	ln, err := ports.Listen(ctx, "api_addr", addr)
+	ln, err := ports.TCP(ctx, "api_addr", addr)
 	if err != nil {
 		return fmt.Errorf("api: %w", err)
 	}
--- a/internal/blame/blame.go
+++ b/internal/blame/blame.go
@@ -20,7 +20,7 @@
 	// though none of them was done elsewhere yet.
 	machineFaultJobs = 2
 	// minPause is how long a job that fails everywhere waits before one of its
-	// tasks is tried again; it doubles up to longestPause. It is never given up: its
+	// tasks is tried again; it doubles up to maxPause. It is never given up: its
 	// user may mend what it needs, and only its user may end it.
 	minPause = 2 * time.Second
 	maxPause = 2 * time.Minute
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -154,7 +154,7 @@
 		}
 		for range f.opt.Controllers {
 			for _, into := range []*[]string{&c.API, &c.Back, &c.Link} {
-				a, err := ports.Free()
+				a, err := ports.FreeAddr()
 				if err != nil {
 					return err
 				}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -119,7 +119,7 @@
 // Listen takes news from peers and hands it to post. Connections that are not
 // a peer's come out of the listener it returns.
 func Listen(ctx context.Context, addr string, handle func(core.PeerUpdate)) (net.Listener, error) {
-	ln, err := ports.Listen(ctx, "back", addr)
+	ln, err := ports.TCP(ctx, "back", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
--- a/internal/ports/ports.go
+++ b/internal/ports/ports.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// firstPause separates the first tries and grows to longestPause: soon enough for
+	// minPause separates the first tries and grows to maxPause: soon enough for
 	// a port that is free in a moment, and seldom enough for one that is not.
-	firstPause   = 20 * time.Millisecond
-	longestPause = 2 * time.Second
-	// tellEvery is how often the log says that a port is still waited for.
-	tellEvery = 10 * time.Second
+	minPause = 20 * time.Millisecond
+	maxPause = 2 * time.Second
+	// logEvery is how often the log says that a port is still waited for.
+	logEvery = 10 * time.Second
 )
 
-// passing says that an error to listen may be over by itself. All others are of the
+// isTransient says that an error to listen may be over by itself. All others are of the
 // settings: an address that is malformed, not this machine's or not allowed.
-func passing(err error) bool {
+func isTransient(err error) bool {
 	for _, e := range [...]error{syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR} {
 		if errors.Is(err, e) {
 			return true
@@ -34,24 +34,24 @@
 	return false
 }
 
-// Listen opens a TCP address, which the settings have in the field of that name. It
+// TCP opens a TCP address, which the settings have in the field of that name. It
 // waits for one that is in use until the context ends; any other error is returned,
 // with the field.
-func Listen(ctx context.Context, field, addr string) (net.Listener, error) {
-	var told time.Time
-	for pause := firstPause; ; pause = min(2*pause, longestPause) {
+func TCP(ctx context.Context, field, addr string) (net.Listener, error) {
+	var lastLogged time.Time
+	for pause := minPause; ; pause = min(2*pause, maxPause) {
 		ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
 		if err == nil {
-			if !told.IsZero() {
+			if !lastLogged.IsZero() {
 				slog.Info("the address is free now", "field", field, "addr", addr)
 			}
 			return ln, nil
 		}
-		if !passing(err) {
+		if !isTransient(err) {
 			return nil, fmt.Errorf("settings: %s %q: cannot listen there: %w", field, addr, err)
 		}
-		if time.Since(told) >= tellEvery {
-			told = time.Now()
+		if time.Since(lastLogged) >= logEvery {
+			lastLogged = time.Now()
 			slog.Error("an address is in use and waited for", "field", field, "addr", addr, "err", err)
 		}
 		select {
