--- a/cmd/micahill-lab/seek.go
+++ b/cmd/micahill-lab/seek.go
@@ -39,9 +39,9 @@
 	if err := os.MkdirAll(s.out, 0o755); err != nil {
 		return fmt.Errorf("days: %w", err)
 	}
-	r := seek.Search(standin.Seeking(p, s.note), seek.Options{
-		Seed: s.seed, Runs: s.runs, For: s.limit, Parallel: parallel, First: s.first,
-		Told: func(runs int) { fmt.Fprintf(progress, "%d runs, %d broken\n", runs, s.failed) },
+	r := seek.Run(standin.Seeking(p, s.note), seek.Options{
+		Seed: s.seed, Runs: s.runs, TimeLimit: s.limit, Parallel: parallel, FocusRule: s.first,
+		OnBatch: func(runs int) { fmt.Fprintf(progress, "%d runs, %d broken\n", runs, s.failed) },
 	})
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "RULE\tLEAST S\tNEXT S\tRUN\tDAY\tTROUBLES")
--- a/internal/standin/seek.go
+++ b/internal/standin/seek.go
@@ -38,7 +38,7 @@
 // told of each day that was played, from several at a time.
 func Seeking(p DayParams, played func(DayResult)) seek.Problem[Day] {
 	return seek.Problem[Day]{
-		Draw: func(rng *rand.Rand) Day {
+		Generate: func(rng *rand.Rand) Day {
 			x := p
 			x.Seed, x.Meetings = rng.Uint64N(1<<32), true
 			x.Minutes = cmp.Or(x.Minutes, seekMinutes)
@@ -53,13 +53,13 @@
 			}
 			return d
 		},
-		Change: func(rng *rand.Rand, d Day) Day {
+		Mutate: func(rng *rand.Rand, d Day) Day {
 			for range 1 + rng.IntN(3) {
 				d = d.changed(rng)
 			}
 			return d
 		},
-		Play: func(d Day) map[string]float64 {
+		Evaluate: func(d Day) map[string]float64 {
 			r := PlayDay(d, "")
 			played(r)
 			return r.margins()
--- a/internal/standin/slack_test.go
+++ b/internal/standin/slack_test.go
@@ -84,7 +84,7 @@
 func TestDayPlaysAgain(t *testing.T) {
 	p := Seeking(DayParams{Machines: 20, Teams: 1, Minutes: 1}, func(DayResult) {})
 	rng := rand.New(rand.NewPCG(1, 1))
-	d := p.Change(rng, p.Draw(rng))
+	d := p.Mutate(rng, p.Generate(rng))
 	file := filepath.Join(t.TempDir(), "day.json")
 	if err := d.Save(file); err != nil {
 		t.Fatal(err)
@@ -106,10 +106,10 @@
 func TestChangedDays(t *testing.T) {
 	p := Seeking(DayParams{Teams: 2}, func(DayResult) {})
 	rng := rand.New(rand.NewPCG(2, 1))
-	d := p.Draw(rng)
+	d := p.Generate(rng)
 	for range 2000 {
 		faults, cancels := append([]DayFault{}, d.Faults...), *d.Cancels
-		next := p.Change(rng, d)
+		next := p.Mutate(rng, d)
 		if !reflect.DeepEqual(faults, d.Faults) || cancels != *d.Cancels {
 			t.Fatal("the day that was changed is another one")
 		}
