--- a/internal/testseed/testseed_test.go
+++ b/internal/testseed/testseed_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestAll: no package with property tests draws anew in each run.
-func TestAll(t *testing.T) {
+// TestPropertyTestsAreSeeded: no package with property tests draws anew in each run.
+func TestPropertyTestsAreSeeded(t *testing.T) {
 	uses, seeded := map[string]bool{}, map[string]bool{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") || filepath.Dir(path) == "../../internal/testseed" {
@@ -25,8 +25,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for dir, yes := range uses {
-		if yes && !seeded[dir] {
+	for dir, usesRapid := range uses {
+		if usesRapid && !seeded[dir] {
 			t.Errorf("%s: no test file imports internal/testseed", dir)
 		}
 	}
