--- a/cmd/micahill-lab/conditions.go
+++ b/cmd/micahill-lab/conditions.go
@@ -51,7 +51,7 @@
 				wg.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					results[i] = l.Try(cmd.Context(), x)
+					results[i] = l.TestMutant(cmd.Context(), x)
 					mu.Lock()
 					defer mu.Unlock()
 					fmt.Fprintln(cmd.ErrOrStderr(), progressLine(results[i]))
@@ -103,7 +103,7 @@
 		}
 		rows = append(rows, w)
 		if table {
-			guard := r.Condition.Guards
+			guard := r.Condition.GuardTest
 			if guard == "" && len(r.Failed) > 0 {
 				guard = r.Failed[len(r.Failed)-1]
 			}
--- a/internal/lab/conditions/conditions.go
+++ b/internal/lab/conditions/conditions.go
@@ -23,14 +23,14 @@
 // list's root, Text stands exactly once; with Without in its place the program
 // still builds, and some test of Packages must fail.
 type Condition struct {
-	Name      string `toml:"name"`
-	Invariant string `toml:"invariant"`
-	File      string `toml:"file"`
-	Text      string `toml:"text"`
-	Without   string `toml:"without"`
-	// Guards is the test that is meant to fail, as go test prints it. Another
+	Name        string `toml:"name"`
+	Invariant   string `toml:"invariant"`
+	File        string `toml:"file"`
+	Text        string `toml:"text"`
+	Replacement string `toml:"without"`
+	// GuardTest is the test that is meant to fail, as go test prints it. Another
 	// one may fail first.
-	Guards string `toml:"guards"`
+	GuardTest string `toml:"guards"`
 }
 
 // List is a file of conditions.
@@ -74,23 +74,23 @@
 			return nil, fmt.Errorf("conditions: %s: %q stands twice", path, c.Name)
 		}
 		seen[c.Name] = true
-		if _, err := l.without(c); err != nil {
+		if _, err := l.mutate(c); err != nil {
 			return nil, err
 		}
 	}
 	return l, nil
 }
 
-// without is the condition's file with the condition taken out.
-func (l *List) without(c *Condition) ([]byte, error) {
+// mutate is the condition's file with the condition taken out.
+func (l *List) mutate(c *Condition) ([]byte, error) {
 	b, err := os.ReadFile(filepath.Join(l.root, c.File))
 	if err != nil {
 		return nil, fmt.Errorf("conditions: %q: %w", c.Name, err)
 	}
-	if k := strings.Count(string(b), c.Text); k != 1 {
-		return nil, fmt.Errorf("conditions: %q: its text stands %d times in %s, not once: %q", c.Name, k, c.File, c.Text)
+	if occurrences := strings.Count(string(b), c.Text); occurrences != 1 {
+		return nil, fmt.Errorf("conditions: %q: its text stands %d times in %s, not once: %q", c.Name, occurrences, c.File, c.Text)
 	}
-	return []byte(strings.Replace(string(b), c.Text, c.Without, 1)), nil
+	return []byte(strings.Replace(string(b), c.Text, c.Replacement, 1)), nil
 }
 
 var failedTest = regexp.MustCompile(`(?m)^\s*--- FAIL: (\S+)`)
@@ -99,9 +99,9 @@
 // nothing about the tests.
 var errBuild = errors.New("the sources do not build without it")
 
-// knownRed is a pattern of the tests that fail anyway, by KNOWN-RED.txt at the root: their
+// knownFailures is a pattern of the tests that fail anyway, by KNOWN-RED.txt at the root: their
 // failing shows nothing of a condition. Without any it is that of no test.
-func (l *List) knownRed() string {
+func (l *List) knownFailures() string {
 	b, err := os.ReadFile(filepath.Join(l.root, "KNOWN-RED.txt"))
 	if err != nil {
 		return "^$"
@@ -115,68 +115,68 @@
 	return "^(" + strings.Join(names, "|") + ")$"
 }
 
-// Try runs the tests without the condition. The tree is left as it is: the
+// TestMutant runs the tests without the condition. The tree is left as it is: the
 // compiler is given the changed file in the place of the real one.
-func (l *List) Try(ctx context.Context, c Condition) Result {
-	res := Result{Condition: c}
+func (l *List) TestMutant(ctx context.Context, c Condition) Result {
+	result := Result{Condition: c}
 	dir, err := os.MkdirTemp("", "conditions")
 	if err != nil {
-		res.Err = fmt.Errorf("conditions: %w", err)
-		return res
+		result.Err = fmt.Errorf("conditions: %w", err)
+		return result
 	}
 	defer os.RemoveAll(dir)
-	src, err := l.without(&c)
+	mutated, err := l.mutate(&c)
 	if err != nil {
-		res.Err = err
-		return res
+		result.Err = err
+		return result
 	}
-	real, err := filepath.Abs(filepath.Join(l.root, c.File))
+	sourcePath, err := filepath.Abs(filepath.Join(l.root, c.File))
 	if err != nil {
-		res.Err = fmt.Errorf("conditions: %w", err)
-		return res
+		result.Err = fmt.Errorf("conditions: %w", err)
+		return result
 	}
-	changed, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
-	over, err := json.Marshal(map[string]any{"Replace": map[string]string{real: changed}})
+	mutatedPath, overlay := filepath.Join(dir, "changed.go"), filepath.Join(dir, "overlay.json")
+	overlayJSON, err := json.Marshal(map[string]any{"Replace": map[string]string{sourcePath: mutatedPath}})
 	if err == nil {
-		err = errors.Join(os.WriteFile(changed, src, 0o600), os.WriteFile(overlay, over, 0o600))
+		err = errors.Join(os.WriteFile(mutatedPath, mutated, 0o600), os.WriteFile(overlay, overlayJSON, 0o600))
 	}
 	if err != nil {
-		res.Err = fmt.Errorf("conditions: %w", err)
-		return res
+		result.Err = fmt.Errorf("conditions: %w", err)
+		return result
 	}
 	// One package after another, as they stand in the list, the quick ones first: a
 	// condition that one notices need not be tried with the others.
 	var out []byte
 	for _, p := range l.Packages {
 		// vet is left out: what a condition leaves behind need not be tidy.
-		cmd := exec.CommandContext(ctx, "go", "test", "-vet=off", "-overlay", overlay, "-timeout", "10m", "-skip", l.knownRed(), p)
+		cmd := exec.CommandContext(ctx, "go", "test", "-vet=off", "-overlay", overlay, "-timeout", "10m", "-skip", l.knownFailures(), p)
 		cmd.Dir = l.root
 		out, err = cmd.CombinedOutput()
 		if ctx.Err() != nil {
-			res.Err = ctx.Err()
-			return res
+			result.Err = ctx.Err()
+			return result
 		}
 		if err != nil {
 			break
 		}
 	}
 	if err == nil {
-		return res
+		return result
 	}
 	if bytes.Contains(out, []byte("[build failed]")) || bytes.Contains(out, []byte("[setup failed]")) {
-		res.Err = fmt.Errorf("conditions: %q: %w: %s", c.Name, errBuild, firstLines(out, 4))
-		return res
+		result.Err = fmt.Errorf("conditions: %q: %w: %s", c.Name, errBuild, firstLines(out, 4))
+		return result
 	}
 	for _, m := range failedTest.FindAllStringSubmatch(string(out), -1) {
-		if !slices.Contains(res.Failed, m[1]) {
-			res.Failed = append(res.Failed, m[1])
+		if !slices.Contains(result.Failed, m[1]) {
+			result.Failed = append(result.Failed, m[1])
 		}
 	}
-	if len(res.Failed) == 0 {
+	if len(result.Failed) == 0 {
 		// A panic or the time limit: noticed, but without a test's name.
-		res.Failed = []string{firstLines(out, 1)}
+		result.Failed = []string{firstLines(out, 1)}
 	}
-	return res
+	return result
 }
 
 func firstLines(b []byte, n int) string {
--- a/internal/lab/conditions/conditions_test.go
+++ b/internal/lab/conditions/conditions_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-// TestListIsOfTheseSources: every condition of the list stands in the sources
+// TestListMatchesSources: every condition of the list stands in the sources
 // as it says, so that the list cannot go stale without being noticed. Trying
 // them all takes minutes and is done by hand: micahill-lab conditions.
-func TestListIsOfTheseSources(t *testing.T) {
+func TestListMatchesSources(t *testing.T) {
 	l, err := Load(filepath.Join("..", "..", "core", "conditions.toml"), filepath.Join("..", "..", ".."))
 	if err != nil {
 		t.Fatal(err)
@@ -20,10 +20,10 @@
 	}
 }
 
-// TestTry takes a condition out of a small module of its own: one that a test
+// TestMutants takes a condition out of a small module of its own: one that a test
 // guards, one that none guards, and one without which nothing builds. A test that is known
 // to fail notices none.
-func TestTry(t *testing.T) {
+func TestMutants(t *testing.T) {
 	dir := t.TempDir()
 	for name, text := range map[string]string{
 		"go.mod":        "module m\n\ngo 1.26\n",
@@ -42,13 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := l.Try(context.Background(), l.Conditions[0]); len(r.Failed) != 1 || r.Failed[0] != "TestLow" || r.Err != nil {
+	if r := l.TestMutant(context.Background(), l.Conditions[0]); len(r.Failed) != 1 || r.Failed[0] != "TestLow" || r.Err != nil {
 		t.Errorf("the guarded one: %+v", r)
 	}
-	if r := l.Try(context.Background(), l.Conditions[1]); len(r.Failed) != 0 || r.Err != nil {
+	if r := l.TestMutant(context.Background(), l.Conditions[1]); len(r.Failed) != 0 || r.Err != nil {
 		t.Errorf("the one that nothing guards: %+v", r)
 	}
-	if r := l.Try(context.Background(), l.Conditions[2]); r.Err == nil {
+	if r := l.TestMutant(context.Background(), l.Conditions[2]); r.Err == nil {
 		t.Errorf("the one without which nothing builds: %+v", r)
 	}
 	if _, err := Load(filepath.Join(dir, "stale.toml"), dir); err == nil {
