--- a/cmd/micahill-lab/overflow.go
+++ b/cmd/micahill-lab/overflow.go
@@ -66,11 +66,11 @@
 			defer os.RemoveAll(dir)
 			opt.Dir, opt.Program, opt.Overflow, opt.LogLevel = dir, program(program_), !off, "info"
 			opt.Machines = []int{2, 12}
-			f, err := fleet.Up(cmd.Context(), opt)
+			f, err := fleet.Start(cmd.Context(), opt)
 			if err != nil {
 				return err
 			}
-			defer f.Down()
+			defer f.Stop()
 			r := runOverflow(cmd, f, opt, jobs, seed, fault)
 			return tellOverflow(cmd.OutOrStdout(), r, asJSON)
 		},
@@ -122,7 +122,7 @@
 			next = next.Add(handIn)
 			all = append(all, &labJob{Job: fleet.Job{
 				ID: fmt.Sprintf("job-%06d", len(all)+1), Team: "ops", Tasks: 1 + rng.IntN(4), CPUs: 2, Urgency: "normal",
-				Run: time.Duration(2+rng.IntN(4)) * time.Second, Due: 20 * time.Second,
+				RunTime: time.Duration(2+rng.IntN(4)) * time.Second, Deadline: 20 * time.Second,
 			}})
 		}
 		look(f, twice, lent)
@@ -178,7 +178,7 @@
 		r.Final++
 		w := j.final.Sub(j.accepted)
 		waits = append(waits, w.Seconds())
-		if w <= j.Due {
+		if w <= j.Deadline {
 			inTime++
 		}
 	}
@@ -223,7 +223,7 @@
 		for _, x := range tasks {
 			id, index, _ := strings.Cut(x, "/")
 			if strings.HasPrefix(id, "job-lent-") {
-				id = fleet.OwnID(id)
+				id = fleet.OriginalID(id)
 				lent[id] = true
 			}
 			if x = id + "/" + index; at[x] {
@@ -250,7 +250,7 @@
 		each(peer, peer.Pause)
 		return func() { each(peer, peer.Resume) }
 	case "drain-peer":
-		_ = exec.Command(opt.Program, "drain", "--addr", peer.Back[0], "--within", "20s").Run()
+		_ = exec.Command(opt.Program, "drain", "--addr", peer.InternalAddrs[0], "--within", "20s").Run()
 	case "cut":
 		// The home's controllers stand still, so that neither hears the other.
 		home := f.Clusters[0]
--- a/cmd/micahill-lab/up.go
+++ b/cmd/micahill-lab/up.go
@@ -47,19 +47,19 @@
 				}
 				defer os.RemoveAll(opt.Dir)
 			}
-			opt.Enable = slices.DeleteFunc(opt.Enable, func(x string) bool { return x == "" })
+			opt.EnableFiles = slices.DeleteFunc(opt.EnableFiles, func(x string) bool { return x == "" })
 			opt.Program, opt.Overflow, opt.LogLevel = program(program_), opt.Clusters > 1, "info"
-			f, err := fleet.Up(cmd.Context(), opt)
+			f, err := fleet.Start(cmd.Context(), opt)
 			if err != nil {
 				return err
 			}
-			defer f.Down()
+			defer f.Stop()
 			for _, c := range f.Clusters {
-				for i := range c.API {
-					fmt.Fprintf(out, "%s node-%d: users at %s, operators at %s, process %d\n", c.Name, i, c.API[i], c.Back[i], c.PID(i))
+				for i := range c.APIAddrs {
+					fmt.Fprintf(out, "%s node-%d: users at %s, operators at %s, process %d\n", c.Name, i, c.APIAddrs[i], c.InternalAddrs[i], c.PID(i))
 				}
 			}
-			fmt.Fprintf(out, "logs: %s\nlook: %s status --addr %s\n", opt.Dir, opt.Program, f.Clusters[0].Back[0])
+			fmt.Fprintf(out, "logs: %s\nlook: %s status --addr %s\n", opt.Dir, opt.Program, f.Clusters[0].InternalAddrs[0])
 			if first {
 				if err := firstJob(cmd, f.Clusters[0]); err != nil {
 					return err
@@ -80,7 +80,7 @@
 	c.Flags().IntSliceVar(&opt.Machines, "machines", nil, "machines that each cluster's cloud has, such as 1,20,20")
 	c.Flags().BoolVar(&first, "job", true, "run a first job of four tasks")
 	c.Flags().IntVar(&jobs, "jobs", 0, "hand so many more jobs in, one a second, of the workloads alert, report and reprint")
-	c.Flags().StringArrayVar(&opt.Enable, "enable", []string{"deploy/ranking.toml", "deploy/promises.toml", "deploy/models.toml"}, "file that switches something on at all controllers; repeatable; --enable= for none")
+	c.Flags().StringArrayVar(&opt.EnableFiles, "enable", []string{"deploy/ranking.toml", "deploy/promises.toml", "deploy/models.toml"}, "file that switches something on at all controllers; repeatable; --enable= for none")
 	c.Flags().StringVar(&program_, "micahill", "", "the controllers' program (default: beside this one)")
 	c.Flags().StringVar(&dir, "dir", "", "folder for settings, keys and logs (default: a temporary one)")
 	return c
@@ -88,7 +88,7 @@
 
 func firstJob(cmd *cobra.Command, c *fleet.Cluster) error {
 	began := time.Now()
-	j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Tasks: 4, CPUs: 1, Run: 3 * time.Second, Urgency: "normal"}
+	j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Tasks: 4, CPUs: 1, RunTime: 3 * time.Second, Urgency: "normal"}
 	said := ""
 	for accepted := false; time.Since(began) < time.Minute; time.Sleep(100 * time.Millisecond) {
 		if !accepted {
@@ -114,12 +114,12 @@
 // large one that nothing hurries.
 func moreJobs(ctx context.Context, c *fleet.Cluster, jobs int) error {
 	for i := range jobs {
-		j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Workload: "report", Tasks: 4, CPUs: 1, Run: 10 * time.Second, Urgency: "normal"}
+		j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Workload: "report", Tasks: 4, CPUs: 1, RunTime: 10 * time.Second, Urgency: "normal"}
 		switch {
 		case i%7 == 3:
-			j.Workload, j.Tasks, j.Run, j.Urgency = "alert", 1, 2*time.Second, "urgent"
+			j.Workload, j.Tasks, j.RunTime, j.Urgency = "alert", 1, 2*time.Second, "urgent"
 		case i%3 == 2:
-			j.Workload, j.Tasks, j.Run = "reprint", 8, 15*time.Second
+			j.Workload, j.Tasks, j.RunTime = "reprint", 8, 15*time.Second
 		}
 		for accepted := false; !accepted; {
 			var err error
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -37,44 +37,44 @@
 	Machines              []int
 	// Overflow switches lending on.
 	Overflow bool
-	// Enable are files such as those under deploy/, for all controllers.
-	Enable   []string
-	LogLevel string
-	// Site is what the clusters are told of their surroundings; none: DefaultSite.
-	Site *Site
+	// EnableFiles are files such as those under deploy/, for all controllers.
+	EnableFiles []string
+	LogLevel    string
+	// Deployment is what the clusters are told of their surroundings; none: DefaultDeployment.
+	Deployment *Deployment
 }
 
-// Site is what a deployment is told of its surroundings, and what these keep to.
-type Site struct {
-	Teams                      []string
-	ReportEvery, Lease, Cancel time.Duration
-	// Requests and Changes a second at the state service, and its limits of sizes.
-	Requests, Changes, ValueKB float64
-	TxnOps                     int
-	CloudRPS                   float64
-	// CPU, RAMMB and Sockets are a controller's quota.
-	CPU, RAMMB float64
-	Sockets    int
+// Deployment is what a deployment is told of its surroundings, and what these keep to.
+type Deployment struct {
+	Teams                                        []string
+	HeartbeatInterval, WorkerLease, CancelWithin time.Duration
+	// StateRPS and Changes a second at the state service, and its limits of sizes.
+	StateRPS, StateWriteRPS, ValueKB float64
+	TxnOps                           int
+	CloudRPS                         float64
+	// CPU, MemoryMB and Sockets are a controller's quota.
+	CPU, MemoryMB float64
+	Sockets       int
 }
 
-// DefaultSite is a small one, for a hundred machines.
-func DefaultSite() Site {
-	return Site{
-		Teams: []string{"ops", "guests"}, ReportEvery: time.Second, Lease: 6 * time.Second, Cancel: 20 * time.Second,
-		Requests: 300, Changes: 150, ValueKB: 8, TxnOps: 16, CloudRPS: 10, CPU: 1, RAMMB: 512, Sockets: 1000,
+// DefaultDeployment is a small one, for a hundred machines.
+func DefaultDeployment() Deployment {
+	return Deployment{
+		Teams: []string{"ops", "guests"}, HeartbeatInterval: time.Second, WorkerLease: 6 * time.Second, CancelWithin: 20 * time.Second,
+		StateRPS: 300, StateWriteRPS: 150, ValueKB: 8, TxnOps: 16, CloudRPS: 10, CPU: 1, MemoryMB: 512, Sockets: 1000,
 	}
 }
 
 // maxControllers bounds a cluster.
 const maxControllers = 19
 
-// names of clusters; there are no more.
-var names = []string{"east", "west", "north", "south", "centre"}
+// clusterNames of clusters; there are no more.
+var clusterNames = []string{"east", "west", "north", "south", "centre"}
 
 // Fleet is what was brought up.
 type Fleet struct {
 	Clusters []*Cluster
-	opt      Options
+	options  Options
 	cancel   context.CancelFunc
 
 	mu   sync.Mutex
@@ -83,12 +83,12 @@
 
 // Cluster is one of them.
 type Cluster struct {
-	Name            string
-	API, Back, Link []string
-	Live            *standin.Live
-	fleet           *Fleet
-	dir             string
-	procs           []*exec.Cmd
+	Name                                   string
+	APIAddrs, InternalAddrs, OverflowAddrs []string
+	Live                                   *standin.Live
+	fleet                                  *Fleet
+	dir                                    string
+	procs                                  []*exec.Cmd
 }
 
 // Job is a job as its user describes it, all tasks alike.
@@ -98,45 +98,45 @@
 	Workload string
 	Tasks    int
 	CPUs     float64
-	Run      time.Duration
-	Due      time.Duration
+	RunTime  time.Duration
+	Deadline time.Duration
 	Urgency  string
 	// Standing: its tasks run until it is cancelled.
 	Standing bool
 }
 
-// ErrTooMany says that more was asked for than is sensible on one machine.
-var ErrTooMany = errors.New("fleet: at most 5 clusters of at most 19 controllers")
+// ErrTooLarge says that more was asked for than is sensible on one machine.
+var ErrTooLarge = errors.New("fleet: at most 5 clusters of at most 19 controllers")
 
-// Up brings the clusters up. Down ends them.
-func Up(ctx context.Context, opt Options) (*Fleet, error) {
-	if opt.Clusters < 1 || opt.Clusters > len(names) || opt.Controllers < 1 || opt.Controllers > maxControllers {
-		return nil, ErrTooMany
+// Start brings the clusters up. Down ends them.
+func Start(ctx context.Context, options Options) (*Fleet, error) {
+	if options.Clusters < 1 || options.Clusters > len(clusterNames) || options.Controllers < 1 || options.Controllers > maxControllers {
+		return nil, ErrTooLarge
 	}
-	if opt.Site == nil {
-		site := DefaultSite()
-		opt.Site = &site
+	if options.Deployment == nil {
+		deployment := DefaultDeployment()
+		options.Deployment = &deployment
 	}
-	if _, err := os.Stat(opt.Program); err != nil {
+	if _, err := os.Stat(options.Program); err != nil {
 		return nil, fmt.Errorf("fleet: the controllers' program: %w; build it first (see README.md)", err)
 	}
-	for _, x := range opt.Enable {
+	for _, x := range options.EnableFiles {
 		if _, err := os.Stat(x); err != nil {
 			return nil, fmt.Errorf("fleet: what is to be switched on: %w", err)
 		}
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	f := &Fleet{opt: opt, cancel: cancel, jobs: map[string]Job{}}
-	if err := f.up(ctx); err != nil {
-		f.Down()
+	fleet := &Fleet{options: options, cancel: cancel, jobs: map[string]Job{}}
+	if err := fleet.start(ctx); err != nil {
+		fleet.Stop()
 		return nil, err
 	}
-	return f, nil
+	return fleet, nil
 }
 
-func (f *Fleet) up(ctx context.Context) error {
-	ca := filepath.Join(f.opt.Dir, "ca")
-	if f.opt.Overflow {
+func (f *Fleet) start(ctx context.Context) error {
+	ca := filepath.Join(f.options.Dir, "ca")
+	if f.options.Overflow {
 		if err := keys.Init(ca, time.Now()); err != nil {
 			return err
 		}
@@ -145,30 +145,30 @@
 		Name: "box", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
 		ProvisioningTime: 2 * time.Second, Zones: []string{"a"},
 	}}
-	site := f.opt.Site
-	set := core.Settings{HeartbeatInterval: site.ReportEvery, WorkerLease: site.Lease, CloudListLag: time.Second}
-	for i, name := range names[:f.opt.Clusters] {
-		c := &Cluster{Name: name, fleet: f, dir: filepath.Join(f.opt.Dir, name), procs: make([]*exec.Cmd, f.opt.Controllers)}
+	deployment := f.options.Deployment
+	settings := core.Settings{HeartbeatInterval: deployment.HeartbeatInterval, WorkerLease: deployment.WorkerLease, CloudListLag: time.Second}
+	for i, name := range clusterNames[:f.options.Clusters] {
+		c := &Cluster{Name: name, fleet: f, dir: filepath.Join(f.options.Dir, name), procs: make([]*exec.Cmd, f.options.Controllers)}
 		if err := os.MkdirAll(c.dir, 0o700); err != nil {
 			return fmt.Errorf("fleet: %w", err)
 		}
-		for range f.opt.Controllers {
-			for _, into := range []*[]string{&c.API, &c.Back, &c.Link} {
+		for range f.options.Controllers {
+			for _, addrs := range []*[]string{&c.APIAddrs, &c.InternalAddrs, &c.OverflowAddrs} {
 				a, err := ports.FreeAddr()
 				if err != nil {
 					return err
 				}
-				*into = append(*into, a)
+				*addrs = append(*addrs, a)
 			}
 		}
 		machines := 20
-		if n := len(f.opt.Machines); n > 0 {
-			machines = f.opt.Machines[min(i, n-1)]
+		if n := len(f.options.Machines); n > 0 {
+			machines = f.options.Machines[min(i, n-1)]
 		}
-		c.Live = standin.NewLive(set, site.Requests, site.Changes, types, map[string]int{"box/a/true": machines}, c.API)
-		c.Live.Learn(f.learn)
+		c.Live = standin.NewLive(settings, deployment.StateRPS, deployment.StateWriteRPS, types, map[string]int{"box/a/true": machines}, c.APIAddrs)
+		c.Live.Learn(f.describeJob)
 		go c.Live.Run(ctx)
-		if f.opt.Overflow {
+		if f.options.Overflow {
 			if err := keys.Issue(ca, name, filepath.Join(c.dir, "keys"), keys.CertValidity, time.Now()); err != nil {
 				return err
 			}
@@ -177,7 +177,7 @@
 	}
 	for _, c := range f.Clusters {
 		for i := range c.procs {
-			if err := c.write(i); err != nil {
+			if err := c.writeConfig(i); err != nil {
 				return err
 			}
 			if err := c.Start(i); err != nil {
@@ -186,96 +186,96 @@
 		}
 	}
 	for _, c := range f.Clusters {
-		if err := c.wait(ctx, 20*time.Second); err != nil {
+		if err := c.waitHealthy(ctx, 20*time.Second); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// learn tells workers of a job, also under a name by which it was lent.
-func (f *Fleet) learn(id string) (core.JobSpec, time.Duration, bool) {
+// describeJob tells workers of a job, also under a name by which it was lent.
+func (f *Fleet) describeJob(id string) (core.JobSpec, time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	own := id
+	original := id
 	if strings.HasPrefix(id, "job-lent-") {
-		own = OwnID(id)
+		original = OriginalID(id)
 	}
-	j, ok := f.jobs[own]
-	return core.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: core.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.Run, ok
+	j, ok := f.jobs[original]
+	return core.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: core.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.RunTime, ok
 }
 
-// OwnID is the name that a lent job has at home.
-func OwnID(guest string) string {
+// OriginalID is the name that a lent job has at home.
+func OriginalID(lentID string) string {
 	// job-lent-CLUSTER-N-REST: clusters here have plain names.
-	p := strings.SplitN(strings.TrimPrefix(guest, "job-lent-"), "-", 3)
-	return "job-" + p[len(p)-1]
+	parts := strings.SplitN(strings.TrimPrefix(lentID, "job-lent-"), "-", 3)
+	return "job-" + parts[len(parts)-1]
 }
 
-func (c *Cluster) write(i int) error {
+func (c *Cluster) writeConfig(i int) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "host_name = \"node-%d\"\narea = \"a\"\napi_addr = %q\nback = %q\n", i, c.API[i], c.Back[i])
-	for k := range c.API {
+	fmt.Fprintf(&b, "host_name = \"node-%d\"\narea = \"a\"\napi_addr = %q\nback = %q\n", i, c.APIAddrs[i], c.InternalAddrs[i])
+	for k := range c.APIAddrs {
 		if k != i {
-			fmt.Fprintf(&b, "[[seeds]]\nhost_name = \"node-%d\"\narea = \"a\"\naddress = %q\n", k, c.Back[k])
+			fmt.Fprintf(&b, "[[seeds]]\nhost_name = \"node-%d\"\narea = \"a\"\naddress = %q\n", k, c.InternalAddrs[k])
 		}
 	}
 	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.Live.Cloud, c.Live.State)
-	site := c.fleet.opt.Site
-	fmt.Fprintf(&b, "[deployment]\ninitial_size = %d\nzones = [\"a\"]\ntime_bound_ms = 100.0\n", len(c.API))
-	for _, team := range site.Teams {
+	deployment := c.fleet.options.Deployment
+	fmt.Fprintf(&b, "[deployment]\ninitial_size = %d\nzones = [\"a\"]\ntime_bound_ms = 100.0\n", len(c.APIAddrs))
+	for _, team := range deployment.Teams {
 		fmt.Fprintf(&b, "[[deployment.teams]]\nname = %q\n", team)
 	}
-	fmt.Fprintf(&b, "[deployment.workers]\nreport_s = %.3f\nlease_s = %.3f\ncancel_s = %.3f\n", site.ReportEvery.Seconds(), site.Lease.Seconds(), site.Cancel.Seconds())
-	fmt.Fprintf(&b, "[deployment.state]\nrps = %.1f\nwrite_rps = %.1f\nvalue_kb = %.1f\ntxn_ops = %d\n", site.Requests, site.Changes, site.ValueKB, site.TxnOps)
-	fmt.Fprintf(&b, "[deployment.cloud]\nrps = %.1f\nlist_lag_s = 1.0\n", site.CloudRPS)
-	fmt.Fprintf(&b, "[deployment.quota]\ncpu = %.2f\nram_mb = %.1f\nsockets = %d\n", site.CPU, site.RAMMB, site.Sockets)
-	if err := os.WriteFile(c.file(i, "settings.toml"), []byte(b.String()), 0o600); err != nil {
+	fmt.Fprintf(&b, "[deployment.workers]\nreport_s = %.3f\nlease_s = %.3f\ncancel_s = %.3f\n", deployment.HeartbeatInterval.Seconds(), deployment.WorkerLease.Seconds(), deployment.CancelWithin.Seconds())
+	fmt.Fprintf(&b, "[deployment.state]\nrps = %.1f\nwrite_rps = %.1f\nvalue_kb = %.1f\ntxn_ops = %d\n", deployment.StateRPS, deployment.StateWriteRPS, deployment.ValueKB, deployment.TxnOps)
+	fmt.Fprintf(&b, "[deployment.cloud]\nrps = %.1f\nlist_lag_s = 1.0\n", deployment.CloudRPS)
+	fmt.Fprintf(&b, "[deployment.quota]\ncpu = %.2f\nram_mb = %.1f\nsockets = %d\n", deployment.CPU, deployment.MemoryMB, deployment.Sockets)
+	if err := os.WriteFile(c.filePath(i, "settings.toml"), []byte(b.String()), 0o600); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	if !c.fleet.opt.Overflow {
+	if !c.fleet.options.Overflow {
 		return nil
 	}
 	b.Reset()
-	fmt.Fprintf(&b, "[overflow]\ncluster = %q\nlisten = %q\nkeys = %q\nallow = [\"127.0.0.0/8\"]\nguest_team = \"guests\"\nreport_s = 1\nlease_s = 6\ngain_s = 2\n", c.Name, c.Link[i], filepath.Join(c.dir, "keys"))
-	for _, o := range c.fleet.Clusters {
-		if o != c {
-			fmt.Fprintf(&b, "[[overflow.peers]]\ncluster = %q\naddresses = [\"%s\"]\n", o.Name, strings.Join(o.Link, "\", \""))
+	fmt.Fprintf(&b, "[overflow]\ncluster = %q\nlisten = %q\nkeys = %q\nallow = [\"127.0.0.0/8\"]\nguest_team = \"guests\"\nreport_s = 1\nlease_s = 6\ngain_s = 2\n", c.Name, c.OverflowAddrs[i], filepath.Join(c.dir, "keys"))
+	for _, other := range c.fleet.Clusters {
+		if other != c {
+			fmt.Fprintf(&b, "[[overflow.peers]]\ncluster = %q\naddresses = [\"%s\"]\n", other.Name, strings.Join(other.OverflowAddrs, "\", \""))
 		}
 	}
-	if err := os.WriteFile(c.file(i, "overflow.toml"), []byte(b.String()), 0o600); err != nil {
+	if err := os.WriteFile(c.filePath(i, "overflow.toml"), []byte(b.String()), 0o600); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
 	return nil
 }
 
-func (c *Cluster) file(i int, name string) string {
+func (c *Cluster) filePath(i int, name string) string {
 	return filepath.Join(c.dir, fmt.Sprintf("node-%d-%s", i, name))
 }
 
 // Start starts controller i.
 func (c *Cluster) Start(i int) error {
-	log, err := os.OpenFile(c.file(i, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(c.filePath(i, "log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	defer log.Close()
-	args := []string{"--config", c.file(i, "settings.toml")}
-	for _, x := range c.fleet.opt.Enable {
+	defer logFile.Close()
+	args := []string{"--config", c.filePath(i, "settings.toml")}
+	for _, x := range c.fleet.options.EnableFiles {
 		args = append(args, "--enable", x)
 	}
-	if c.fleet.opt.Overflow {
-		args = append(args, "--enable", c.file(i, "overflow.toml"))
+	if c.fleet.options.Overflow {
+		args = append(args, "--enable", c.filePath(i, "overflow.toml"))
 	}
-	p := exec.Command(c.fleet.opt.Program, args...)
-	p.Env = append(os.Environ(), "LOG_LEVEL="+c.fleet.opt.LogLevel)
-	p.Stderr = log
+	process := exec.Command(c.fleet.options.Program, args...)
+	process.Env = append(os.Environ(), "LOG_LEVEL="+c.fleet.options.LogLevel)
+	process.Stderr = logFile
 	// Whatever ends this tool ends its controllers too.
-	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := p.Start(); err != nil {
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := process.Start(); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	c.procs[i] = p
+	c.procs[i] = process
 	return nil
 }
 
@@ -299,17 +299,17 @@
 // Controllers is how many it has.
 func (c *Cluster) Controllers() int { return len(c.procs) }
 
-func (c *Cluster) wait(ctx context.Context, most time.Duration) error {
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
+func (c *Cluster) waitHealthy(ctx context.Context, timeout time.Duration) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		if s, _, err := c.call(ctx, http.MethodGet, "/healthz", nil); err == nil && s == http.StatusOK {
 			return nil
 		}
 	}
-	return fmt.Errorf("fleet: %s is not healthy after %s; its logs are in %s", c.Name, most, c.dir)
+	return fmt.Errorf("fleet: %s is not healthy after %s; its logs are in %s", c.Name, timeout, c.dir)
 }
 
-// Down ends all processes and servers.
-func (f *Fleet) Down() {
+// Stop ends all processes and servers.
+func (f *Fleet) Stop() {
 	for _, c := range f.Clusters {
 		for i := range c.procs {
 			c.Kill(i)
@@ -328,25 +328,25 @@
 
 // callFrom asks the first that answers, from the one with that number on.
 func (c *Cluster) callFrom(ctx context.Context, first int, method, path string, body any) (int, map[string]any, error) {
-	var raw []byte
+	var payload []byte
 	if body != nil {
 		var err error
-		if raw, err = msgpack.Marshal(body); err != nil {
+		if payload, err = msgpack.Marshal(body); err != nil {
 			return 0, nil, fmt.Errorf("fleet: %w", err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	var last error
-	for i := range c.API {
-		a := c.API[(first+i)%len(c.API)]
-		req, err := http.NewRequestWithContext(ctx, method, "http://"+a+path, bytes.NewReader(raw))
+	var lastErr error
+	for i := range c.APIAddrs {
+		addr := c.APIAddrs[(first+i)%len(c.APIAddrs)]
+		req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(payload))
 		if err != nil {
 			return 0, nil, fmt.Errorf("fleet: %w", err)
 		}
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			last = err
+			lastErr = err
 			continue
 		}
 		b, err := io.ReadAll(io.LimitReader(resp.Body, 1<<20))
@@ -355,9 +355,9 @@
 		if err == nil && msgpack.Unmarshal(b, &m) == nil {
 			return resp.StatusCode, m, nil
 		}
-		last = err
+		lastErr = err
 	}
-	return 0, nil, fmt.Errorf("fleet: %s: %w", c.Name, last)
+	return 0, nil, fmt.Errorf("fleet: %s: %w", c.Name, lastErr)
 }
 
 // Submit hands a job in, and says whether it was accepted, now or before.
@@ -373,32 +373,32 @@
 	if j.Workload == "" {
 		j.Workload = "lab"
 	}
-	m := map[string]any{
+	body := map[string]any{
 		"id": j.ID, "workload": j.Workload, "owner": j.Team, "shape": "array", "urgency": j.Urgency, "pieces": j.Tasks,
 		"vcpus": j.CPUs, "gpus": 0.0, "memory_gb": j.CPUs, "bundle": "img", "image_gb": 0.2, "flavours": nil, "site": nil,
-		"same_place": false, "apart": false, "loaner": true, "expected_s": j.Run.Seconds(), "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil,
+		"same_place": false, "apart": false, "loaner": true, "expected_s": j.RunTime.Seconds(), "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil,
 	}
 	if j.Standing {
-		m["shape"], m["expected_s"] = "standing", 0.0
+		body["shape"], body["expected_s"] = "standing", 0.0
 	}
-	if j.Due > 0 {
-		m["due_s"] = j.Due.Seconds()
+	if j.Deadline > 0 {
+		body["due_s"] = j.Deadline.Seconds()
 	}
-	s, o, err := c.callFrom(ctx, first, http.MethodPost, "/v2/runs", m)
-	if err == nil && s/100 == 4 && s != http.StatusTooManyRequests {
-		return false, fmt.Errorf("fleet: %s: %d %v", j.ID, s, o["error"])
+	status, response, err := c.callFrom(ctx, first, http.MethodPost, "/v2/runs", body)
+	if err == nil && status/100 == 4 && status != http.StatusTooManyRequests {
+		return false, fmt.Errorf("fleet: %s: %d %v", j.ID, status, response["error"])
 	}
-	return s == http.StatusOK || s == http.StatusCreated, nil
+	return status == http.StatusOK || status == http.StatusCreated, nil
 }
 
 // Query is a job's state as its user sees it; 0 when nobody answered.
 func (c *Cluster) Query(ctx context.Context, id string) (status int, state string) {
-	s, o, err := c.call(ctx, http.MethodGet, "/v2/runs/"+id, nil)
+	code, response, err := c.call(ctx, http.MethodGet, "/v2/runs/"+id, nil)
 	if err != nil {
 		return 0, ""
 	}
-	state, _ = o["status"].(string)
-	return s, state
+	state, _ = response["status"].(string)
+	return code, state
 }
 
 // Pause holds controller i still, as a machine that hangs: it goes on later as if
--- a/internal/lab/scale/change.go
+++ b/internal/lab/scale/change.go
@@ -45,11 +45,11 @@
 	ctx, cancel := context.WithTimeout(ctx, changeMost)
 	defer cancel()
 	began := time.Now()
-	set, err := ranking(ctx, http.MethodPost, l.c.Back[n%len(l.c.Back)], "?by=scale", rankings[n%len(rankings)])
+	set, err := ranking(ctx, http.MethodPost, l.c.InternalAddrs[n%len(l.c.InternalAddrs)], "?by=scale", rankings[n%len(rankings)])
 	if err != nil {
 		return 0, false
 	}
-	for _, addr := range l.c.Back {
+	for _, addr := range l.c.InternalAddrs {
 		for {
 			got, err := ranking(ctx, http.MethodGet, addr, "", "")
 			if err == nil && got.Revision >= set.Revision {
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -129,15 +129,15 @@
 )
 
 // site is what the controllers are told. Their own share of the processor is one core.
-func (p *Plan) site() *fleet.Site {
-	s := fleet.DefaultSite()
+func (p *Plan) site() *fleet.Deployment {
+	s := fleet.DefaultDeployment()
 	s.Teams = nil
 	for i := range p.Teams {
 		s.Teams = append(s.Teams, team(i))
 	}
-	s.ReportEvery, s.Lease, s.Cancel = p.Report, leaseReports*p.Report, 2*leaseReports*p.Report
-	s.Requests, s.Changes, s.ValueKB = p.Requests, p.Changes, 16
-	s.CloudRPS, s.RAMMB, s.Sockets = 20, math.Max(512, 0.2*float64(p.Workers)), 2*p.Workers+1000
+	s.HeartbeatInterval, s.WorkerLease, s.CancelWithin = p.Report, leaseReports*p.Report, 2*leaseReports*p.Report
+	s.StateRPS, s.StateWriteRPS, s.ValueKB = p.Requests, p.Changes, 16
+	s.CloudRPS, s.MemoryMB, s.Sockets = 20, math.Max(512, 0.2*float64(p.Workers)), 2*p.Workers+1000
 	return &s
 }
 
--- a/internal/lab/scale/rung.go
+++ b/internal/lab/scale/rung.go
@@ -121,14 +121,14 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := fleet.Up(ctx, fleet.Options{
+	f, err := fleet.Start(ctx, fleet.Options{
 		Program: p.Program, Dir: p.Dir, Clusters: 1, Controllers: p.Controllers, Machines: []int{p.Workers},
-		Enable: enable, LogLevel: "info", Site: p.site(),
+		EnableFiles: enable, LogLevel: "info", Deployment: p.site(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer f.Down()
+	defer f.Stop()
 	l := &load{plan: p, c: f.Clusters[0]}
 	r := &Rung{Workers: p.Workers, Controllers: p.Controllers, Teams: p.Teams, Wanted: p.Starts}
 	if err := l.fill(ctx, r); err != nil {
@@ -248,7 +248,7 @@
 // alive is an error when a controller has ended by itself, or all take too much memory.
 func (l *load) alive() error {
 	mb := 0.0
-	for i := range l.c.API {
+	for i := range l.c.APIAddrs {
 		pid := l.c.PID(i)
 		if pid == 0 {
 			continue
@@ -284,7 +284,7 @@
 
 func (l *load) sample() (sample, error) {
 	s := sample{counts: l.c.Live.Counts()}
-	for i := range l.c.API {
+	for i := range l.c.APIAddrs {
 		x, err := look(l.c.PID(i))
 		if err != nil || x.ended {
 			return s, fmt.Errorf("scale: node-%d ended by itself; its log is in %s", i, l.plan.Dir)
@@ -327,11 +327,11 @@
 		due = l.plan.Starts * time.Since(before.at).Seconds()
 		for float64(given+l.plan.Tasks) <= due {
 			given += l.plan.Tasks
-			l.hand(ctx, l.names, l.job(fleet.Job{Workload: "array", Tasks: l.plan.Tasks, CPUs: smallCPUs, Run: l.plan.Run, Urgency: "normal"}))
+			l.hand(ctx, l.names, l.job(fleet.Job{Workload: "array", Tasks: l.plan.Tasks, CPUs: smallCPUs, RunTime: l.plan.Run, Urgency: "normal"}))
 		}
 		if now := time.Now(); !now.Before(urgent) {
 			urgent = urgent.Add(urgentEvery)
-			l.hand(ctx, l.names, l.job(fleet.Job{Workload: "alert", Tasks: 1, CPUs: smallCPUs, Run: time.Second, Urgency: "urgent"}))
+			l.hand(ctx, l.names, l.job(fleet.Job{Workload: "alert", Tasks: 1, CPUs: smallCPUs, RunTime: time.Second, Urgency: "urgent"}))
 		}
 		if time.Since(told) > 10*time.Second {
 			told = time.Now()
@@ -391,7 +391,7 @@
 func (l *load) roles(ctx context.Context, r *Rung, before, after sample) error {
 	s := after.at.Sub(before.at).Seconds()
 	for i, x := range after.procs {
-		st, err := status(ctx, l.c.Back[i])
+		st, err := status(ctx, l.c.InternalAddrs[i])
 		if err != nil {
 			return err
 		}
@@ -463,7 +463,7 @@
 func (l *load) takeover(ctx context.Context, r *Rung) error {
 	victim := slices.MaxFunc(r.Roles, func(a, b Role) int { return weight(a) - weight(b) })
 	at := slices.IndexFunc(r.Roles, func(x Role) bool { return x.Host == victim.Host })
-	st, err := status(ctx, l.c.Back[at])
+	st, err := status(ctx, l.c.InternalAddrs[at])
 	if err != nil {
 		return err
 	}
@@ -479,7 +479,7 @@
 	for next := ended; time.Since(ended) < takeoverMost && ctx.Err() == nil && (t.NamedS == 0 || t.StartS == 0); sleep(ctx, askEvery/2) {
 		if now := time.Now(); now.After(next) {
 			next = now.Add(urgentEvery)
-			j := l.job(fleet.Job{Workload: "alert", Tasks: 1, CPUs: smallCPUs, Run: time.Second, Urgency: "urgent"})
+			j := l.job(fleet.Job{Workload: "alert", Tasks: 1, CPUs: smallCPUs, RunTime: time.Second, Urgency: "urgent"})
 			j.Team = teams[len(ids)%len(teams)]
 			ids = append(ids, j.ID)
 			l.hand(ctx, at+1, j)
@@ -526,7 +526,7 @@
 }
 
 func (l *load) named(ctx context.Context, but int, name string) bool {
-	for i, addr := range l.c.Back {
+	for i, addr := range l.c.InternalAddrs {
 		if i == but {
 			continue
 		}
