--- a/cmd/micahill-lab/scale.go
+++ b/cmd/micahill-lab/scale.go
@@ -28,7 +28,7 @@
 		Use: "scale", Short: "Run clusters of growing size with hollow workers and measure what each role takes", Args: cobra.NoArgs,
 		Long: "For each number of workers: real controllers and hollow workers on loopback, each with an\naddress, a session and tasks of its own that speaks the protocol whole, tasks being\ntimers. Measures processor and memory of each controller by role, requests and changes\nat the state service, reports, acceptance, urgent starts and the takeover when the\ncontroller that runs most is ended, and fits lines through the rungs. What other work\nthe machine had meanwhile stands under OTHERS, in cores.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			p.Program, p.Say = program(program_), cmd.ErrOrStderr()
+			p.Program, p.Progress = program(program_), cmd.ErrOrStderr()
 			if len(earlier) > 0 && !cmd.Flags().Changed("workers") {
 				workers = nil
 			}
@@ -38,24 +38,24 @@
 			plans := make([]scale.Plan, len(workers))
 			for i, n := range workers {
 				plans[i] = p
-				plans[i].Workers, plans[i].Starts = n, starts[min(i, len(starts)-1)]
-				if err := plans[i].Check(); err != nil {
+				plans[i].Workers, plans[i].StartsPerSecond = n, starts[min(i, len(starts)-1)]
+				if err := plans[i].Validate(); err != nil {
 					return err
 				}
 			}
-			var l scale.Ladder
+			var l scale.Series
 			for _, name := range earlier {
 				if err := addLadder(&l, name); err != nil {
 					return err
 				}
 			}
 			for i := range plans {
-				fmt.Fprintf(p.Say, "rung %d of %d: %d workers, %g starts/s\n", i+1, len(plans), plans[i].Workers, plans[i].Starts)
+				fmt.Fprintf(p.Progress, "rung %d of %d: %d workers, %g starts/s\n", i+1, len(plans), plans[i].Workers, plans[i].StartsPerSecond)
 				r, err := playRung(cmd, plans[i])
 				if err != nil {
 					return err
 				}
-				l.Rungs = append(l.Rungs, r)
+				l.Measurements = append(l.Measurements, r)
 			}
 			l.Fit()
 			return tellScale(cmd.OutOrStdout(), &l, asJSON)
@@ -67,15 +67,15 @@
 	f.IntVar(&p.Teams, "teams", 12, "teams, 1 to 250")
 	f.Float64SliceVar(&starts, "starts", []float64{5}, "starts of tasks a second, one number for each rung; the last holds for the rest")
 	f.IntVar(&p.Tasks, "tasks", 20, "tasks of a job")
-	f.DurationVar(&p.Run, "run", 10*time.Second, "how long a task runs")
-	f.DurationVar(&p.For, "for", 40*time.Second, "how long each rung is measured")
-	f.DurationVar(&p.Report, "report", 5*time.Second, "how often workers report; a lease is six times that")
-	f.Float64Var(&p.Requests, "requests", 2000, "requests a second that the state service takes")
-	f.Float64Var(&p.Changes, "changes", 1000, "changes a second that it takes")
+	f.DurationVar(&p.TaskRunTime, "run", 10*time.Second, "how long a task runs")
+	f.DurationVar(&p.Duration, "for", 40*time.Second, "how long each rung is measured")
+	f.DurationVar(&p.HeartbeatInterval, "report", 5*time.Second, "how often workers report; a lease is six times that")
+	f.Float64Var(&p.StateRPS, "requests", 2000, "requests a second that the state service takes")
+	f.Float64Var(&p.StateWriteRPS, "changes", 1000, "changes a second that it takes")
 	f.DurationVar(&p.ChangeEvery, "change-every", 0, "switch the ranking on and change it that long after all controllers had the last change; 0: not")
-	f.IntVar(&p.Lose, "lose", 0, "lose so many workers at once after each measurement, and wait until their tasks run elsewhere")
+	f.IntVar(&p.LostWorkers, "lose", 0, "lose so many workers at once after each measurement, and wait until their tasks run elsewhere")
 	f.BoolVar(&p.Takeover, "takeover", true, "end the controller that runs most after each measurement")
-	f.StringArrayVar(&p.Enable, "enable", nil, "file that switches something on at all controllers; repeatable")
+	f.StringArrayVar(&p.EnableFiles, "enable", nil, "file that switches something on at all controllers; repeatable")
 	f.StringVar(&program_, "micahill", "", "the controllers' program (default: beside this one)")
 	f.StringArrayVar(&earlier, "add", nil, "JSON of an earlier run, whose rungs stand in the table and the fits beside the new ones; repeatable; without --workers nothing new is run")
 	f.BoolVar(&asJSON, "json", false, "as JSON")
@@ -83,34 +83,34 @@
 }
 
 // addLadder adds the rungs of an earlier run.
-func addLadder(l *scale.Ladder, name string) error {
+func addLadder(l *scale.Series, name string) error {
 	b, err := os.ReadFile(name)
 	if err != nil {
 		return fmt.Errorf("scale: --add: %w", err)
 	}
-	var o scale.Ladder
+	var o scale.Series
 	if err := json.Unmarshal(b, &o); err != nil {
 		return fmt.Errorf("scale: --add %s: %w", name, err)
 	}
-	l.Rungs = append(l.Rungs, o.Rungs...)
+	l.Measurements = append(l.Measurements, o.Measurements...)
 	return nil
 }
 
 // playRung plays one in a folder of its own, which stays if it fails.
-func playRung(cmd *cobra.Command, p scale.Plan) (*scale.Rung, error) {
+func playRung(cmd *cobra.Command, p scale.Plan) (*scale.Measurement, error) {
 	dir, err := os.MkdirTemp("", "micahill-scale")
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	p.Dir = filepath.Clean(dir)
-	r, err := scale.Play(cmd.Context(), p)
+	r, err := scale.Measure(cmd.Context(), p)
 	if err != nil {
 		return nil, err
 	}
 	return r, os.RemoveAll(dir)
 }
 
-func tellScale(out io.Writer, l *scale.Ladder, asJSON bool) error {
+func tellScale(out io.Writer, l *scale.Series, asJSON bool) error {
 	if asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
@@ -120,9 +120,9 @@
 	} else if err := l.Print(out); err != nil {
 		return err
 	}
-	for _, r := range l.Rungs {
-		if len(r.Broken) > 0 {
-			return fmt.Errorf("%w: %s", errScale, r.Broken[0])
+	for _, r := range l.Measurements {
+		if len(r.Violations) > 0 {
+			return fmt.Errorf("%w: %s", errScale, r.Violations[0])
 		}
 	}
 	return nil
--- a/cmd/micahill-lab/scale_test.go
+++ b/cmd/micahill-lab/scale_test.go
@@ -16,7 +16,7 @@
 // of them fails the command, and what can't be run is told before anything starts.
 func TestEarlierRungs(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "ladder.json")
-	run := func(l scale.Ladder, args ...string) (string, error) {
+	run := func(l scale.Series, args ...string) (string, error) {
 		b, err := json.Marshal(l)
 		if err != nil {
 			t.Fatal(err)
@@ -32,16 +32,16 @@
 		err = c.Execute()
 		return out.String(), err
 	}
-	var l scale.Ladder
+	var l scale.Series
 	for i := range 5 {
-		r := &scale.Rung{Workers: 100 << i, Starts: float64(7 * i * i), Reports: 20 * float64(int(1)<<i)}
-		l.Rungs = append(l.Rungs, r)
+		r := &scale.Measurement{Workers: 100 << i, StartsPerSecond: float64(7 * i * i), HeartbeatsPerSecond: 20 * float64(int(1)<<i)}
+		l.Measurements = append(l.Measurements, r)
 	}
 	out, err := run(l)
 	if err != nil || !regexp.MustCompile(`\nreports/s +-?0\.000 +200\.000 `).MatchString(out) {
 		t.Errorf("%v\n%s", err, out)
 	}
-	l.Rungs[2].Broken = []string{"ran_twice"}
+	l.Measurements[2].Violations = []string{"ran_twice"}
 	if _, err := run(l); err == nil || !strings.Contains(err.Error(), "ran_twice") {
 		t.Errorf("a broken rule: %v", err)
 	}
--- a/internal/lab/scale/change.go
+++ b/internal/lab/scale/change.go
@@ -17,54 +17,54 @@
 // The one record of configuration that controllers follow while they run is the ranking;
 // its changes stand for those of any such record.
 const (
-	changeMost  = 20 * time.Second
-	changeLook  = 20 * time.Millisecond
-	rankingFile = "[ranking]\nenabled = true\n"
+	maxChangeWait      = 20 * time.Second
+	changePollInterval = 20 * time.Millisecond
+	rankingFile        = "[ranking]\nenabled = true\n"
 )
 
-// rankings are set by turns, each another order.
-var rankings = [2]string{
+// rankingTexts are set by turns, each another order.
+var rankingTexts = [2]string{
 	"[[class]]\nname = \"alerts\"\nworkloads = [\"alert\"]\n[[class]]\nname = \"arrays\"\nworkloads = [\"array\"]\n",
 	"[[class]]\nname = \"alerts\"\nworkloads = [\"alert\"]\n[[class]]\nname = \"standing\"\nworkloads = [\"standing\"]\n",
 }
 
-// enable writes the file that switches the ranking on.
-func (p *Plan) enable() ([]string, error) {
+// enableFiles writes the file that switches the ranking on.
+func (p *Plan) enableFiles() ([]string, error) {
 	if p.ChangeEvery == 0 {
-		return p.Enable, nil
+		return p.EnableFiles, nil
 	}
 	name := filepath.Join(p.Dir, "ranking.toml")
 	if err := os.WriteFile(name, []byte(rankingFile), 0o600); err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
 	}
-	return append(slices.Clone(p.Enable), name), nil
+	return append(slices.Clone(p.EnableFiles), name), nil
 }
 
-// change sets a ranking at a controller, and waits until all say that they have it.
-func (l *load) change(ctx context.Context, n int) (time.Duration, bool) {
-	ctx, cancel := context.WithTimeout(ctx, changeMost)
+// changeRanking sets a ranking at a controller, and waits until all say that they have it.
+func (l *workload) changeRanking(ctx context.Context, n int) (time.Duration, bool) {
+	ctx, cancel := context.WithTimeout(ctx, maxChangeWait)
 	defer cancel()
 	began := time.Now()
-	set, err := ranking(ctx, http.MethodPost, l.c.InternalAddrs[n%len(l.c.InternalAddrs)], "?by=scale", rankings[n%len(rankings)])
+	set, err := requestRanking(ctx, http.MethodPost, l.cluster.InternalAddrs[n%len(l.cluster.InternalAddrs)], "?by=scale", rankingTexts[n%len(rankingTexts)])
 	if err != nil {
 		return 0, false
 	}
-	for _, addr := range l.c.InternalAddrs {
+	for _, addr := range l.cluster.InternalAddrs {
 		for {
-			got, err := ranking(ctx, http.MethodGet, addr, "", "")
+			got, err := requestRanking(ctx, http.MethodGet, addr, "", "")
 			if err == nil && got.Revision >= set.Revision {
 				break
 			}
 			if ctx.Err() != nil {
 				return 0, false
 			}
-			sleep(ctx, changeLook)
+			sleep(ctx, changePollInterval)
 		}
 	}
 	return time.Since(began), true
 }
 
-func ranking(ctx context.Context, method, addr, query, text string) (*core.RankingReply, error) {
+func requestRanking(ctx context.Context, method, addr, query, text string) (*core.RankingReply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/ranking"+query, strings.NewReader(text))
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
@@ -81,25 +81,25 @@
 	return &r, nil
 }
 
-// changes sets rankings for as long as the measurement lasts.
-func (l *load) changes(ctx context.Context) func() Waits {
+// changeRankings sets rankings for as long as the measurement lasts.
+func (l *workload) changeRankings(ctx context.Context) func() Latencies {
 	if l.plan.ChangeEvery == 0 {
-		return func() Waits { return Waits{} }
+		return func() Latencies { return Latencies{} }
 	}
-	done := make(chan Waits)
-	end := time.Now().Add(l.plan.For)
+	done := make(chan Latencies)
+	end := time.Now().Add(l.plan.Duration)
 	go func() {
-		var all []float64
-		never := 0
+		var latencies []float64
+		failed := 0
 		for n := 0; time.Now().Before(end) && ctx.Err() == nil; n++ {
-			if took, ok := l.change(ctx, n); ok {
-				all = append(all, took.Seconds())
+			if took, ok := l.changeRanking(ctx, n); ok {
+				latencies = append(latencies, took.Seconds())
 			} else {
-				never++
+				failed++
 			}
 			sleep(ctx, l.plan.ChangeEvery)
 		}
-		done <- waits(all, never)
+		done <- summarize(latencies, failed)
 	}()
-	return func() Waits { return <-done }
+	return func() Latencies { return <-done }
 }
--- a/internal/lab/scale/proc.go
+++ b/internal/lab/scale/proc.go
@@ -10,48 +10,48 @@
 // clockTicks is how many of /proc's ticks a second has; Linux shows 100 everywhere.
 const clockTicks = 100
 
-// process is what the system says of a process.
-type process struct {
-	cpu            float64
-	rssMB, peakMB  float64
-	files, threads int
+// processStats is what the system says of a process.
+type processStats struct {
+	cpuSeconds         float64
+	rssMB, peakMB      float64
+	openFiles, threads int
 	// ended: it is no more, or only waits to be noticed.
-	ended bool
+	exited bool
 }
 
-func look(pid int) (process, error) {
-	var p process
+func readProcess(pid int) (processStats, error) {
+	var stats processStats
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	b, err := os.ReadFile(dir + "stat")
 	if err != nil {
-		return process{ended: true}, fmt.Errorf("scale: %w", err)
+		return processStats{exited: true}, fmt.Errorf("scale: %w", err)
 	}
 	// The name, in brackets, may have blanks in it.
 	_, rest, _ := strings.Cut(string(b), ") ")
-	f := strings.Fields(rest)
-	if len(f) < 13 {
-		return p, fmt.Errorf("scale: %sstat has %d fields", dir, len(f))
+	parts := strings.Fields(rest)
+	if len(parts) < 13 {
+		return stats, fmt.Errorf("scale: %sstat has %d fields", dir, len(parts))
 	}
-	p.ended = f[0] == "Z" || f[0] == "X"
-	user, _ := strconv.ParseFloat(f[11], 64)
-	system, _ := strconv.ParseFloat(f[12], 64)
-	p.cpu = (user + system) / clockTicks
-	if p.ended {
-		return p, nil
+	stats.exited = parts[0] == "Z" || parts[0] == "X"
+	user, _ := strconv.ParseFloat(parts[11], 64)
+	system, _ := strconv.ParseFloat(parts[12], 64)
+	stats.cpuSeconds = (user + system) / clockTicks
+	if stats.exited {
+		return stats, nil
 	}
-	lines, err := fields(dir + "status")
+	lines, err := readNumericFields(dir + "status")
 	if err != nil {
-		return p, err
+		return stats, err
 	}
-	p.rssMB, p.peakMB, p.threads = lines["VmRSS"]/1024, lines["VmHWM"]/1024, int(lines["Threads"])
+	stats.rssMB, stats.peakMB, stats.threads = lines["VmRSS"]/1024, lines["VmHWM"]/1024, int(lines["Threads"])
 	if names, err := os.ReadDir(dir + "fd"); err == nil {
-		p.files = len(names)
+		stats.openFiles = len(names)
 	}
-	return p, nil
+	return stats, nil
 }
 
-// fields reads lines such as "VmRSS:  1234 kB".
-func fields(path string) (map[string]float64, error) {
+// readNumericFields reads lines such as "VmRSS:  1234 kB".
+func readNumericFields(path string) (map[string]float64, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
--- a/internal/lab/scale/rung.go
+++ b/internal/lab/scale/rung.go
@@ -16,46 +16,46 @@
 	"github.com/micahill/micahill/internal/standin"
 )
 
-// Rung is what was measured; rates are a second.
-type Rung struct {
-	Workers     int     `json:"workers"`
-	Controllers int     `json:"controllers"`
-	Teams       int     `json:"teams"`
-	Wanted      float64 `json:"starts_wanted"`
-	ForS        float64 `json:"for_s"`
+// Measurement is what was measured; rates are a second.
+type Measurement struct {
+	Workers      int     `json:"workers"`
+	Controllers  int     `json:"controllers"`
+	Teams        int     `json:"teams"`
+	StartsWanted float64 `json:"starts_wanted"`
+	ForS         float64 `json:"for_s"`
 	// FillS is how long it took until all workers reported; Up and Running are those
 	// that did, and the tasks on them, at the end of the measurement.
-	FillS   float64 `json:"fill_s"`
-	Up      int     `json:"up"`
-	Running int     `json:"running"`
-	Starts  float64 `json:"starts"`
-	Roles   []Role  `json:"roles"`
-	// Lab is the processor share of this process: all workers, the state service and
+	FillS           float64 `json:"fill_s"`
+	WorkersUp       int     `json:"up"`
+	TasksRunning    int     `json:"running"`
+	StartsPerSecond float64 `json:"starts"`
+	Roles           []Role  `json:"roles"`
+	// SimulationCores is the processor share of this process: all workers, the state service and
 	// the cloud together. Load is what else ran on the machine, in cores.
-	Lab      float64 `json:"lab_cores"`
-	Load     float64 `json:"others_cores"`
-	Reports  float64 `json:"reports"`
-	Strayed  float64 `json:"reports_not_200"`
-	KB       float64 `json:"report_kb_per_worker"`
-	OrdersKB float64 `json:"order_kb_per_worker"`
-	Orders   float64 `json:"orders"`
-	Requests float64 `json:"requests"`
-	Changes  float64 `json:"changes"`
-	// ByKind and ByFamily split requests and changes.
-	ByKind     map[string]float64 `json:"requests_by_kind"`
-	ByFamily   map[string]float64 `json:"changes_by_family"`
-	Refused    int                `json:"refused"`
-	CloudCalls float64            `json:"cloud_calls"`
-	Jobs       int                `json:"jobs"`
-	Accept     Waits              `json:"accept"`
-	Urgent     Waits              `json:"urgent_start"`
-	// Change is how long a change of the ranking took until all controllers had it.
-	Change   Waits     `json:"change"`
-	Takeover *Takeover `json:"takeover,omitempty"`
-	// LossS is how long after the loss of workers all that stands ran again.
-	LossS  float64  `json:"loss_s,omitempty"`
-	Lost   int      `json:"lost_to_lease"`
-	Broken []string `json:"broken"`
+	SimulationCores     float64 `json:"lab_cores"`
+	OtherCores          float64 `json:"others_cores"`
+	HeartbeatsPerSecond float64 `json:"reports"`
+	HeartbeatsRejected  float64 `json:"reports_not_200"`
+	HeartbeatKB         float64 `json:"report_kb_per_worker"`
+	CommandKB           float64 `json:"order_kb_per_worker"`
+	CommandsPerSecond   float64 `json:"orders"`
+	StateRPS            float64 `json:"requests"`
+	StateWriteRPS       float64 `json:"changes"`
+	// RequestsByKind and WritesByFamily split requests and changes.
+	RequestsByKind     map[string]float64 `json:"requests_by_kind"`
+	WritesByFamily     map[string]float64 `json:"changes_by_family"`
+	RateLimited        int                `json:"refused"`
+	CloudCalls         float64            `json:"cloud_calls"`
+	Jobs               int                `json:"jobs"`
+	AcceptLatency      Latencies          `json:"accept"`
+	UrgentStartLatency Latencies          `json:"urgent_start"`
+	// RankingLatency is how long a change of the ranking took until all controllers had it.
+	RankingLatency Latencies `json:"change"`
+	Takeover       *Takeover `json:"takeover,omitempty"`
+	// RecoveryS is how long after the loss of workers all that stands ran again.
+	RecoveryS   float64  `json:"loss_s,omitempty"`
+	LostToLease int      `json:"lost_to_lease"`
+	Violations  []string `json:"broken"`
 }
 
 // Role is a controller, what it was, and what it took.
@@ -70,135 +70,135 @@
 	Threads int     `json:"threads"`
 }
 
-// Waits are times in seconds; Never counts those that had none in time.
-type Waits struct {
-	P50   float64 `json:"p50_s"`
-	P99   float64 `json:"p99_s"`
-	Max   float64 `json:"max_s"`
-	N     int     `json:"n"`
-	Never int     `json:"never"`
+// Latencies are times in seconds; Never counts those that had none in time.
+type Latencies struct {
+	P50        float64 `json:"p50_s"`
+	P99        float64 `json:"p99_s"`
+	Max        float64 `json:"max_s"`
+	Count      int     `json:"n"`
+	Unfinished int     `json:"never"`
 }
 
-func waits(all []float64, never int) Waits {
-	slices.Sort(all)
-	at := func(part float64) float64 {
-		if len(all) == 0 {
+func summarize(samples []float64, never int) Latencies {
+	slices.Sort(samples)
+	quantile := func(part float64) float64 {
+		if len(samples) == 0 {
 			return 0
 		}
-		return all[min(len(all)-1, int(part*float64(len(all))))]
+		return samples[min(len(samples)-1, int(part*float64(len(samples))))]
 	}
-	return Waits{P50: at(0.5), P99: at(0.99), Max: at(1), N: len(all), Never: never}
+	return Latencies{P50: quantile(0.5), P99: quantile(0.99), Max: quantile(1), Count: len(samples), Unfinished: never}
 }
 
 // Takeover is what followed the end of a controller without a word, counted from it.
 type Takeover struct {
 	Host string `json:"host"`
 	Role string `json:"role"`
-	// NamedS is when another said that it runs the teams, and StartS when the first
+	// ClaimedS is when another said that it runs the teams, and FirstStartS when the first
 	// urgent job of one of these began, of those that came after the end.
-	NamedS float64 `json:"named_s"`
-	StartS float64 `json:"first_start_s"`
+	ClaimedS    float64 `json:"named_s"`
+	FirstStartS float64 `json:"first_start_s"`
 }
 
 // Times of a rung beside its measurement.
 const (
-	fillMost     = 3 * time.Minute
-	urgentEvery  = 500 * time.Millisecond
-	urgentMost   = 30 * time.Second
-	takeoverMost = time.Minute
-	lossMost     = 3 * time.Minute
-	askEvery     = 100 * time.Millisecond
+	maxFillTime     = 3 * time.Minute
+	urgentInterval  = 500 * time.Millisecond
+	maxUrgentWait   = 30 * time.Second
+	maxTakeoverTime = time.Minute
+	maxRecoveryTime = 3 * time.Minute
+	pollInterval    = 100 * time.Millisecond
 )
 
-// Play brings a rung up, measures it and ends what it started.
-func Play(ctx context.Context, p Plan) (*Rung, error) {
-	if err := p.Check(); err != nil {
+// Measure brings a rung up, measures it and ends what it started.
+func Measure(ctx context.Context, p Plan) (*Measurement, error) {
+	if err := p.Validate(); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, fillMost+lossMost+p.For+urgentMost+takeoverMost+time.Minute)
+	ctx, cancel := context.WithTimeout(ctx, maxFillTime+maxRecoveryTime+p.Duration+maxUrgentWait+maxTakeoverTime+time.Minute)
 	defer cancel()
-	enable, err := p.enable()
+	enable, err := p.enableFiles()
 	if err != nil {
 		return nil, err
 	}
-	f, err := fleet.Start(ctx, fleet.Options{
+	testFleet, err := fleet.Start(ctx, fleet.Options{
 		Program: p.Program, Dir: p.Dir, Clusters: 1, Controllers: p.Controllers, Machines: []int{p.Workers},
-		EnableFiles: enable, LogLevel: "info", Deployment: p.site(),
+		EnableFiles: enable, LogLevel: "info", Deployment: p.deployment(),
 	})
 	if err != nil {
 		return nil, err
 	}
-	defer f.Stop()
-	l := &load{plan: p, c: f.Clusters[0]}
-	r := &Rung{Workers: p.Workers, Controllers: p.Controllers, Teams: p.Teams, Wanted: p.Starts}
-	if err := l.fill(ctx, r); err != nil {
+	defer testFleet.Stop()
+	load := &workload{plan: p, cluster: testFleet.Clusters[0]}
+	result := &Measurement{Workers: p.Workers, Controllers: p.Controllers, Teams: p.Teams, StartsWanted: p.StartsPerSecond}
+	if err := load.startWorkers(ctx, result); err != nil {
 		return nil, err
 	}
-	if err := l.measure(ctx, r); err != nil {
+	if err := load.measure(ctx, result); err != nil {
 		return nil, err
 	}
-	if p.Lose > 0 {
-		if err := l.lose(ctx, r); err != nil {
+	if p.LostWorkers > 0 {
+		if err := load.measureWorkerLoss(ctx, result); err != nil {
 			return nil, err
 		}
 	}
 	if p.Takeover {
-		if err := l.takeover(ctx, r); err != nil {
+		if err := load.measureTakeover(ctx, result); err != nil {
 			return nil, err
 		}
 	}
-	r.Broken = l.c.Live.Broken()
-	return r, nil
+	result.Violations = load.cluster.Live.Broken()
+	return result, nil
 }
 
-// load is the work that a rung is given, and its users.
-type load struct {
-	plan  Plan
-	c     *fleet.Cluster
-	names int
+// workload is the work that a rung is given, and its users.
+type workload struct {
+	plan     Plan
+	cluster  *fleet.Cluster
+	jobCount int
 
-	mu     sync.Mutex
-	accept []float64
-	failed int
-	urgent map[string]time.Time
-	wg     sync.WaitGroup
+	mu           sync.Mutex
+	acceptTimes  []float64
+	rejectedJobs int
+	urgentJobs   map[string]time.Time
+	wg           sync.WaitGroup
 }
 
-func (l *load) say(format string, args ...any) {
-	fmt.Fprintf(l.plan.Say, format+"\n", args...)
+func (l *workload) logf(format string, args ...any) {
+	fmt.Fprintf(l.plan.Progress, format+"\n", args...)
 }
 
-func (l *load) job(j fleet.Job) fleet.Job {
-	l.names++
-	j.ID = fmt.Sprintf("job-%08x", l.names)
-	j.Team = team(l.names % l.plan.Teams)
+func (l *workload) newJob(j fleet.Job) fleet.Job {
+	l.jobCount++
+	j.ID = fmt.Sprintf("job-%08x", l.jobCount)
+	j.Team = teamName(l.jobCount % l.plan.Teams)
 	return j
 }
 
-// hand hands a job in until it is accepted; the first answer's time counts.
-func (l *load) hand(ctx context.Context, first int, j fleet.Job) {
+// submit hands a job in until it is accepted; the first answer's time counts.
+func (l *workload) submit(ctx context.Context, first int, j fleet.Job) {
 	began := time.Now()
 	if j.Urgency == "urgent" {
 		l.mu.Lock()
-		l.urgent[j.ID] = began
+		l.urgentJobs[j.ID] = began
 		l.mu.Unlock()
 	}
 	l.wg.Go(func() {
 		for ctx.Err() == nil {
-			ok, err := l.c.SubmitAt(ctx, first, j)
+			ok, err := l.cluster.SubmitAt(ctx, first, j)
 			if ok {
 				l.mu.Lock()
-				l.accept = append(l.accept, time.Since(began).Seconds())
+				l.acceptTimes = append(l.acceptTimes, time.Since(began).Seconds())
 				l.mu.Unlock()
 				return
 			}
-			if err != nil && time.Since(began) > urgentMost {
+			if err != nil && time.Since(began) > maxUrgentWait {
 				break
 			}
 			sleep(ctx, time.Second)
 		}
 		l.mu.Lock()
-		l.failed++
+		l.rejectedJobs++
 		l.mu.Unlock()
 	})
 }
@@ -210,98 +210,98 @@
 	}
 }
 
-// fill has all workers rented, by tasks that stand, one to a worker.
-func (l *load) fill(ctx context.Context, r *Rung) error {
-	l.urgent = map[string]time.Time{}
+// startWorkers has all workers rented, by tasks that stand, one to a worker.
+func (l *workload) startWorkers(ctx context.Context, r *Measurement) error {
+	l.urgentJobs = map[string]time.Time{}
 	began := time.Now()
 	for i := range l.plan.Teams {
 		n := l.plan.Workers / l.plan.Teams
 		if i < l.plan.Workers%l.plan.Teams {
 			n++
 		}
-		l.hand(ctx, i, l.job(fleet.Job{Workload: "standing", Tasks: n, CPUs: largeCPUs, Urgency: "normal", Standing: true}))
+		l.submit(ctx, i, l.newJob(fleet.Job{Workload: "standing", Tasks: n, CPUs: serviceTaskCPUs, Urgency: "normal", Standing: true}))
 	}
-	for told := began; ; sleep(ctx, askEvery) {
-		up, tasks, standing := l.c.Live.Workers()
+	for lastLogged := began; ; sleep(ctx, pollInterval) {
+		up, tasks, standing := l.cluster.Live.Workers()
 		if up >= l.plan.Workers && standing >= l.plan.Workers {
 			break
 		}
-		if err := l.alive(); err != nil {
+		if err := l.checkAlive(); err != nil {
 			return err
 		}
-		if time.Since(began) > fillMost || ctx.Err() != nil {
+		if time.Since(began) > maxFillTime || ctx.Err() != nil {
 			return fmt.Errorf("scale: after %.0f s only %d of %d workers are up, with %d tasks", time.Since(began).Seconds(), up, l.plan.Workers, tasks)
 		}
-		if time.Since(told) > 5*time.Second {
-			told = time.Now()
-			l.say("%5.0f s: %d of %d workers, %d tasks", time.Since(began).Seconds(), up, l.plan.Workers, tasks)
+		if time.Since(lastLogged) > 5*time.Second {
+			lastLogged = time.Now()
+			l.logf("%5.0f s: %d of %d workers, %d tasks", time.Since(began).Seconds(), up, l.plan.Workers, tasks)
 		}
 	}
 	r.FillS = time.Since(began).Seconds()
-	l.say("%5.0f s: all %d workers are up", r.FillS, l.plan.Workers)
+	l.logf("%5.0f s: all %d workers are up", r.FillS, l.plan.Workers)
 	// What was on its way when the last one came is over some reports later.
-	sleep(ctx, l.plan.Report)
-	l.accept, l.failed = nil, 0
+	sleep(ctx, l.plan.HeartbeatInterval)
+	l.acceptTimes, l.rejectedJobs = nil, 0
 	return nil
 }
 
-// alive is an error when a controller has ended by itself, or all take too much memory.
-func (l *load) alive() error {
-	mb := 0.0
-	for i := range l.c.APIAddrs {
-		pid := l.c.PID(i)
+// checkAlive is an error when a controller has ended by itself, or all take too much memory.
+func (l *workload) checkAlive() error {
+	totalMB := 0.0
+	for i := range l.cluster.APIAddrs {
+		pid := l.cluster.PID(i)
 		if pid == 0 {
 			continue
 		}
-		x, err := look(pid)
-		if err != nil || x.ended {
+		x, err := readProcess(pid)
+		if err != nil || x.exited {
 			return fmt.Errorf("scale: node-%d ended by itself; its log is in %s", i, l.plan.Dir)
 		}
-		mb += x.rssMB
+		totalMB += x.rssMB
 	}
-	me, err := look(os.Getpid())
+	me, err := readProcess(os.Getpid())
 	if err != nil {
 		return err
 	}
-	m, err := fields("/proc/meminfo")
+	m, err := readNumericFields("/proc/meminfo")
 	if err != nil {
 		return err
 	}
-	if most := memoryPart * m["MemTotal"] / 1024; mb+me.rssMB > most {
-		return fmt.Errorf("scale: %.0f MB are taken, and half of the memory is %.0f; fewer --workers would do", mb+me.rssMB, most)
+	if limitMB := memoryFraction * m["MemTotal"] / 1024; totalMB+me.rssMB > limitMB {
+		return fmt.Errorf("scale: %.0f MB are taken, and half of the memory is %.0f; fewer --workers would do", totalMB+me.rssMB, limitMB)
 	}
 	return nil
 }
 
-// sample is what is read at the begin and the end of a measurement.
-type sample struct {
-	at     time.Time
-	counts standin.LiveCounts
-	procs  []process
-	lab    process
-	all    float64
+// snapshot is what is read at the begin and the end of a measurement.
+type snapshot struct {
+	at         time.Time
+	counts     standin.LiveCounts
+	procs      []processStats
+	self       processStats
+	machineCPU float64
 }
 
-func (l *load) sample() (sample, error) {
-	s := sample{counts: l.c.Live.Counts()}
-	for i := range l.c.APIAddrs {
-		x, err := look(l.c.PID(i))
-		if err != nil || x.ended {
+func (l *workload) takeSnapshot() (snapshot, error) {
+	s := snapshot{counts: l.cluster.Live.Counts()}
+	for i := range l.cluster.APIAddrs {
+		x, err := readProcess(l.cluster.PID(i))
+		if err != nil || x.exited {
 			return s, fmt.Errorf("scale: node-%d ended by itself; its log is in %s", i, l.plan.Dir)
 		}
 		s.procs = append(s.procs, x)
 	}
 	var err error
-	if s.lab, err = look(os.Getpid()); err != nil {
+	if s.self, err = readProcess(os.Getpid()); err != nil {
 		return s, err
 	}
-	s.all, err = busy()
+	s.machineCPU, err = machineCPUSeconds()
 	s.at = time.Now()
 	return s, err
 }
 
-// busy is the processor time that the whole machine has used.
-func busy() (float64, error) {
+// machineCPUSeconds is the processor time that the whole machine has used.
+func machineCPUSeconds() (float64, error) {
 	b, err := os.ReadFile("/proc/stat")
 	if err != nil {
 		return 0, fmt.Errorf("scale: %w", err)
@@ -315,94 +315,94 @@
 }
 
 // measure gives work for as long as was asked for, and measures.
-func (l *load) measure(ctx context.Context, r *Rung) error {
-	before, err := l.sample()
+func (l *workload) measure(ctx context.Context, r *Measurement) error {
+	before, err := l.takeSnapshot()
 	if err != nil {
 		return err
 	}
-	changed := l.changes(ctx)
-	due, given, urgent := 0.0, 0, before.at
+	rankingLatencies := l.changeRankings(ctx)
+	due, submitted, nextUrgent := 0.0, 0, before.at
 	const step = 50 * time.Millisecond
-	for told := before.at; time.Since(before.at) < l.plan.For && ctx.Err() == nil; sleep(ctx, step) {
-		due = l.plan.Starts * time.Since(before.at).Seconds()
-		for float64(given+l.plan.Tasks) <= due {
-			given += l.plan.Tasks
-			l.hand(ctx, l.names, l.job(fleet.Job{Workload: "array", Tasks: l.plan.Tasks, CPUs: smallCPUs, RunTime: l.plan.Run, Urgency: "normal"}))
+	for lastLogged := before.at; time.Since(before.at) < l.plan.Duration && ctx.Err() == nil; sleep(ctx, step) {
+		due = l.plan.StartsPerSecond * time.Since(before.at).Seconds()
+		for float64(submitted+l.plan.Tasks) <= due {
+			submitted += l.plan.Tasks
+			l.submit(ctx, l.jobCount, l.newJob(fleet.Job{Workload: "array", Tasks: l.plan.Tasks, CPUs: arrayTaskCPUs, RunTime: l.plan.TaskRunTime, Urgency: "normal"}))
 		}
-		if now := time.Now(); !now.Before(urgent) {
-			urgent = urgent.Add(urgentEvery)
-			l.hand(ctx, l.names, l.job(fleet.Job{Workload: "alert", Tasks: 1, CPUs: smallCPUs, RunTime: time.Second, Urgency: "urgent"}))
+		if now := time.Now(); !now.Before(nextUrgent) {
+			nextUrgent = nextUrgent.Add(urgentInterval)
+			l.submit(ctx, l.jobCount, l.newJob(fleet.Job{Workload: "alert", Tasks: 1, CPUs: arrayTaskCPUs, RunTime: time.Second, Urgency: "urgent"}))
 		}
-		if time.Since(told) > 10*time.Second {
-			told = time.Now()
-			l.say("%5.0f s: %d tasks handed in", time.Since(before.at).Seconds(), given)
-			if err := l.alive(); err != nil {
+		if time.Since(lastLogged) > 10*time.Second {
+			lastLogged = time.Now()
+			l.logf("%5.0f s: %d tasks handed in", time.Since(before.at).Seconds(), submitted)
+			if err := l.checkAlive(); err != nil {
 				return err
 			}
 		}
 	}
-	after, err := l.sample()
+	after, err := l.takeSnapshot()
 	if err != nil {
 		return err
 	}
-	l.rates(r, before, after)
-	if err := l.roles(ctx, r, before, after); err != nil {
+	l.setRates(r, before, after)
+	if err := l.setRoles(ctx, r, before, after); err != nil {
 		return err
 	}
-	r.Up, r.Running, _ = l.c.Live.Workers()
+	r.WorkersUp, r.TasksRunning, _ = l.cluster.Live.Workers()
 	l.wg.Wait()
-	r.Change = changed()
-	r.Accept = waits(l.accept, l.failed)
-	r.Jobs = len(l.accept)
-	r.Urgent = l.urgentWaits(ctx)
+	r.RankingLatency = rankingLatencies()
+	r.AcceptLatency = summarize(l.acceptTimes, l.rejectedJobs)
+	r.Jobs = len(l.acceptTimes)
+	r.UrgentStartLatency = l.urgentLatencies(ctx)
 	return nil
 }
 
-func (l *load) rates(r *Rung, before, after sample) {
-	s := after.at.Sub(before.at).Seconds()
-	d := after.counts.Minus(before.counts)
-	each := func(m map[string]int) (float64, map[string]float64) {
+func (l *workload) setRates(r *Measurement, before, after snapshot) {
+	seconds := after.at.Sub(before.at).Seconds()
+	delta := after.counts.Minus(before.counts)
+	perSecond := func(m map[string]int) (float64, map[string]float64) {
 		sum, out := 0.0, map[string]float64{}
 		for k, v := range m {
-			out[k] = float64(v) / s
+			out[k] = float64(v) / seconds
 			sum += out[k]
 		}
 		return sum, out
 	}
-	r.ForS, r.Starts, r.Refused, r.CloudCalls, r.Lost = s, float64(d.Started)/s, d.Refused, float64(d.CloudCalls)/s, d.LostToLease
-	for status, n := range d.Reports {
-		r.Reports += float64(n) / s
+	r.ForS, r.StartsPerSecond, r.RateLimited, r.CloudCalls, r.LostToLease = seconds, float64(delta.Started)/seconds, delta.Refused, float64(delta.CloudCalls)/seconds, delta.LostToLease
+	for status, n := range delta.Reports {
+		r.HeartbeatsPerSecond += float64(n) / seconds
 		if status != http.StatusOK {
-			r.Strayed += float64(n) / s
+			r.HeartbeatsRejected += float64(n) / seconds
 		}
 	}
-	kb := 1024 * s * float64(r.Workers)
-	r.KB, r.OrdersKB = float64(d.ReportsOut+d.ReportsIn)/kb, float64(d.OrdersOut+d.OrdersIn)/kb
-	r.Orders, _ = each(d.Orders)
-	r.Requests, r.ByKind = each(d.Requests)
-	r.Changes, r.ByFamily = each(d.Changes)
-	r.Lab = (after.lab.cpu - before.lab.cpu) / s
-	r.Load = (after.all-before.all)/s - r.Lab
+	kb := 1024 * seconds * float64(r.Workers)
+	r.HeartbeatKB, r.CommandKB = float64(delta.ReportsOut+delta.ReportsIn)/kb, float64(delta.OrdersOut+delta.OrdersIn)/kb
+	r.CommandsPerSecond, _ = perSecond(delta.Orders)
+	r.StateRPS, r.RequestsByKind = perSecond(delta.Requests)
+	r.StateWriteRPS, r.WritesByFamily = perSecond(delta.Changes)
+	r.SimulationCores = (after.self.cpuSeconds - before.self.cpuSeconds) / seconds
+	r.OtherCores = (after.machineCPU-before.machineCPU)/seconds - r.SimulationCores
 	for i, x := range after.procs {
-		r.Load -= (x.cpu - before.procs[i].cpu) / s
+		r.OtherCores -= (x.cpuSeconds - before.procs[i].cpuSeconds) / seconds
 	}
 }
 
-func (l *load) roles(ctx context.Context, r *Rung, before, after sample) error {
+func (l *workload) setRoles(ctx context.Context, r *Measurement, before, after snapshot) error {
 	s := after.at.Sub(before.at).Seconds()
 	for i, x := range after.procs {
-		st, err := status(ctx, l.c.InternalAddrs[i])
+		reply, err := status(ctx, l.cluster.InternalAddrs[i])
 		if err != nil {
 			return err
 		}
-		role := Role{Host: fmt.Sprintf("node-%d", i), Role: "other", Cores: (x.cpu - before.procs[i].cpu) / s, RSSMB: x.rssMB, PeakMB: x.peakMB, Files: x.files, Threads: x.threads}
-		role.Teams = len(teamsOf(st))
+		role := Role{Host: fmt.Sprintf("node-%d", i), Role: "other", Cores: (x.cpuSeconds - before.procs[i].cpuSeconds) / s, RSSMB: x.rssMB, PeakMB: x.peakMB, Files: x.openFiles, Threads: x.threads}
+		role.Teams = len(teamsOf(reply))
 		switch {
-		case st.IsLeader && st.IsShardLeader:
+		case reply.IsLeader && reply.IsShardLeader:
 			role.Role = "leader+owner"
-		case st.IsLeader:
+		case reply.IsLeader:
 			role.Role = "leader"
-		case st.IsShardLeader:
+		case reply.IsShardLeader:
 			role.Role = "owner"
 		}
 		r.Roles = append(r.Roles, role)
@@ -440,84 +440,84 @@
 	return &s, nil
 }
 
-// urgentWaits waits for the urgent jobs to begin, counted from when they were handed in.
-func (l *load) urgentWaits(ctx context.Context) Waits {
+// urgentLatencies waits for the urgent jobs to begin, counted from when they were handed in.
+func (l *workload) urgentLatencies(ctx context.Context) Latencies {
 	var all []float64
-	end := time.Now().Add(urgentMost)
-	for id, at := range l.urgent {
+	end := time.Now().Add(maxUrgentWait)
+	for id, at := range l.urgentJobs {
 		for ctx.Err() == nil {
-			if first, ok := l.c.Live.Began(id); ok {
+			if first, ok := l.cluster.Live.Began(id); ok {
 				all = append(all, first.Sub(at).Seconds())
 				break
 			}
 			if time.Now().After(end) {
 				break
 			}
-			sleep(ctx, askEvery)
+			sleep(ctx, pollInterval)
 		}
 	}
-	return waits(all, len(l.urgent)-len(all))
+	return summarize(all, len(l.urgentJobs)-len(all))
 }
 
-// takeover ends the controller that runs most, and waits until its teams' work begins.
-func (l *load) takeover(ctx context.Context, r *Rung) error {
-	victim := slices.MaxFunc(r.Roles, func(a, b Role) int { return weight(a) - weight(b) })
+// measureTakeover ends the controller that runs most, and waits until its teams' work begins.
+func (l *workload) measureTakeover(ctx context.Context, r *Measurement) error {
+	victim := slices.MaxFunc(r.Roles, func(a, b Role) int { return takeoverWeight(a) - takeoverWeight(b) })
 	at := slices.IndexFunc(r.Roles, func(x Role) bool { return x.Host == victim.Host })
-	st, err := status(ctx, l.c.InternalAddrs[at])
+	reply, err := status(ctx, l.cluster.InternalAddrs[at])
 	if err != nil {
 		return err
 	}
-	teams := teamsOf(st)
+	teams := teamsOf(reply)
 	if len(teams) == 0 {
 		return fmt.Errorf("scale: nobody runs a team any more")
 	}
-	l.say("ending %s, %s of %d teams", victim.Host, victim.Role, len(teams))
-	t := &Takeover{Host: victim.Host, Role: victim.Role}
+	l.logf("ending %s, %s of %d teams", victim.Host, victim.Role, len(teams))
+	takeover := &Takeover{Host: victim.Host, Role: victim.Role}
 	ended := time.Now()
-	l.c.Kill(at)
+	l.cluster.Kill(at)
 	var ids []string
-	for next := ended; time.Since(ended) < takeoverMost && ctx.Err() == nil && (t.NamedS == 0 || t.StartS == 0); sleep(ctx, askEvery/2) {
+	for next := ended; time.Since(ended) < maxTakeoverTime && ctx.Err() == nil && (takeover.ClaimedS == 0 || takeover.FirstStartS == 0); sleep(ctx, pollInterval/2) {
 		if now := time.Now(); now.After(next) {
-			next = now.Add(urgentEvery)
-			j := l.job(fleet.Job{Workload: "alert", Tasks: 1, CPUs: smallCPUs, RunTime: time.Second, Urgency: "urgent"})
+			next = now.Add(urgentInterval)
+			j := l.newJob(fleet.Job{Workload: "alert", Tasks: 1, CPUs: arrayTaskCPUs, RunTime: time.Second, Urgency: "urgent"})
 			j.Team = teams[len(ids)%len(teams)]
 			ids = append(ids, j.ID)
-			l.hand(ctx, at+1, j)
+			l.submit(ctx, at+1, j)
 		}
-		if t.NamedS == 0 && l.named(ctx, at, teams[0]) {
-			t.NamedS = time.Since(ended).Seconds()
+		if takeover.ClaimedS == 0 && l.isClaimed(ctx, at, teams[0]) {
+			takeover.ClaimedS = time.Since(ended).Seconds()
 		}
 		for _, id := range ids {
-			if first, ok := l.c.Live.Began(id); ok && t.StartS == 0 {
-				t.StartS = first.Sub(ended).Seconds()
+			if first, ok := l.cluster.Live.Began(id); ok && takeover.FirstStartS == 0 {
+				takeover.FirstStartS = first.Sub(ended).Seconds()
 			}
 		}
 	}
-	r.Takeover = t
-	if t.StartS == 0 {
-		return fmt.Errorf("scale: no task of the ended controller's teams began within %s", takeoverMost)
+	r.Takeover = takeover
+	if takeover.FirstStartS == 0 {
+		return fmt.Errorf("scale: no task of the ended controller's teams began within %s", maxTakeoverTime)
 	}
 	return nil
 }
 
-// lose ends workers all at once, and waits until everything that stands runs again.
-func (l *load) lose(ctx context.Context, r *Rung) error {
-	lost := l.c.Live.Lose(l.plan.Lose)
-	l.say("%d workers are lost", lost)
+// measureWorkerLoss ends workers all at once, and waits until everything that stands runs again.
+func (l *workload) measureWorkerLoss(ctx context.Context, r *Measurement) error {
+	lost := l.cluster.Live.Lose(l.plan.LostWorkers)
+	l.logf("%d workers are lost", lost)
 	began := time.Now()
-	for ; ctx.Err() == nil && time.Since(began) < lossMost; sleep(ctx, askEvery) {
-		if _, _, standing := l.c.Live.Workers(); standing >= l.plan.Workers {
-			r.LossS = time.Since(began).Seconds()
-			l.say("%5.1f s: all that stands runs again", r.LossS)
+	for ; ctx.Err() == nil && time.Since(began) < maxRecoveryTime; sleep(ctx, pollInterval) {
+		if _, _, standing := l.cluster.Live.Workers(); standing >= l.plan.Workers {
+			r.RecoveryS = time.Since(began).Seconds()
+			l.logf("%5.1f s: all that stands runs again", r.RecoveryS)
 			return nil
 		}
 	}
-	_, _, standing := l.c.Live.Workers()
-	return fmt.Errorf("scale: %s after the loss of %d workers %d of %d tasks that stand run", lossMost, lost, standing, l.plan.Workers)
+	_, _, standing := l.cluster.Live.Workers()
+	return fmt.Errorf("scale: %s after the loss of %d workers %d of %d tasks that stand run", maxRecoveryTime, lost, standing, l.plan.Workers)
 }
 
-// weight orders controllers by what their end takes away.
-func weight(r Role) int {
+// takeoverWeight orders controllers by what their end takes away.
+func takeoverWeight(r Role) int {
 	w := r.Teams
 	if strings.HasPrefix(r.Role, "leader") && r.Teams > 0 {
 		w += 1000
@@ -525,9 +525,9 @@
 	return w
 }
 
-func (l *load) named(ctx context.Context, but int, name string) bool {
-	for i, addr := range l.c.InternalAddrs {
-		if i == but {
+func (l *workload) isClaimed(ctx context.Context, except int, name string) bool {
+	for i, addr := range l.cluster.InternalAddrs {
+		if i == except {
 			continue
 		}
 		if st, err := status(ctx, addr); err == nil && slices.Contains(teamsOf(st), name) {
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -8,39 +8,39 @@
 	"text/tabwriter"
 )
 
-// Ladder is what several rungs gave, and the fits through them.
-type Ladder struct {
-	Rungs []*Rung `json:"rungs"`
-	Fits  []Fit   `json:"fits"`
+// Series is what several rungs gave, and the fits through them.
+type Series struct {
+	Measurements []*Measurement `json:"rungs"`
+	Fits         []Fit          `json:"fits"`
 }
 
-// figures are what is fitted, each as a number of a rung; NaN: it has none.
-var figures = []struct {
+// fittedFigures are what is fitted, each as a number of a rung; NaN: it has none.
+var fittedFigures = []struct {
 	name string
-	of   func(*Rung) float64
+	of   func(*Measurement) float64
 }{
-	{"cores of all controllers", func(r *Rung) float64 { return r.sum("", func(x Role) float64 { return x.Cores }) }},
-	{"cores of the leader", func(r *Rung) float64 { return r.sum("leader", func(x Role) float64 { return x.Cores }) }},
-	{"MB of all controllers", func(r *Rung) float64 { return r.sum("", func(x Role) float64 { return x.RSSMB }) }},
-	{"reports/s", func(r *Rung) float64 { return r.Reports }},
-	{"report KB/s of all workers", func(r *Rung) float64 { return r.KB * float64(r.Workers) }},
-	{"orders/s", func(r *Rung) float64 { return r.Orders }},
-	{"requests/s", func(r *Rung) float64 { return r.Requests }},
-	{"changes/s", func(r *Rung) float64 { return r.Changes }},
-	{"takeover first start s", func(r *Rung) float64 {
+	{"cores of all controllers", func(r *Measurement) float64 { return r.sumRoles("", func(x Role) float64 { return x.Cores }) }},
+	{"cores of the leader", func(r *Measurement) float64 { return r.sumRoles("leader", func(x Role) float64 { return x.Cores }) }},
+	{"MB of all controllers", func(r *Measurement) float64 { return r.sumRoles("", func(x Role) float64 { return x.RSSMB }) }},
+	{"reports/s", func(r *Measurement) float64 { return r.HeartbeatsPerSecond }},
+	{"report KB/s of all workers", func(r *Measurement) float64 { return r.HeartbeatKB * float64(r.Workers) }},
+	{"orders/s", func(r *Measurement) float64 { return r.CommandsPerSecond }},
+	{"requests/s", func(r *Measurement) float64 { return r.StateRPS }},
+	{"changes/s", func(r *Measurement) float64 { return r.StateWriteRPS }},
+	{"takeover first start s", func(r *Measurement) float64 {
 		if r.Takeover == nil {
 			return math.NaN()
 		}
-		return r.Takeover.StartS
+		return r.Takeover.FirstStartS
 	}},
 }
 
-// sum adds up a figure of the roles that begin with the word.
-func (r *Rung) sum(role string, of func(Role) float64) float64 {
+// sumRoles adds up a figure of the roles that begin with the word.
+func (r *Measurement) sumRoles(role string, figure func(Role) float64) float64 {
 	out := 0.0
 	for _, x := range r.Roles {
 		if strings.HasPrefix(x.Role, role) {
-			out += of(x)
+			out += figure(x)
 		}
 	}
 	return out
@@ -48,20 +48,20 @@
 
 // Fit fits each figure to workers and starts, or to workers alone where the rungs do not
 // tell the two apart.
-func (l *Ladder) Fit() {
-	for _, f := range figures {
+func (l *Series) Fit() {
+	for _, f := range fittedFigures {
 		var both, one [][]float64
 		var y []float64
-		for _, r := range l.Rungs {
+		for _, r := range l.Measurements {
 			if math.IsNaN(f.of(r)) {
 				continue
 			}
 			w := float64(r.Workers)
-			both, one, y = append(both, []float64{w, r.Starts}), append(one, []float64{w}), append(y, f.of(r))
+			both, one, y = append(both, []float64{w, r.StartsPerSecond}), append(one, []float64{w}), append(y, f.of(r))
 		}
-		fit, ok := Line(f.name, both, y)
+		fit, ok := FitLine(f.name, both, y)
 		if !ok {
-			fit, ok = Line(f.name, one, y)
+			fit, ok = FitLine(f.name, one, y)
 		}
 		if ok {
 			l.Fits = append(l.Fits, fit)
@@ -70,19 +70,19 @@
 }
 
 // Print writes the ladder as a table.
-func (l *Ladder) Print(out io.Writer) error {
+func (l *Series) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WORKERS\tSTARTS/S\tFOR\tFILL\tREPORTS/S\tREPORT KB/S\tORDERS/S\tREQUESTS/S\tCHANGES/S\t429\tACCEPT P50/P99\tURGENT P50/P99/MAX\tNEVER\tCHANGE P50/MAX\tLOSS\tTAKEOVER\tLAB\tOTHERS\tBROKEN")
-	for _, r := range l.Rungs {
+	for _, r := range l.Measurements {
 		takeover := "-"
 		if t := r.Takeover; t != nil {
-			takeover = fmt.Sprintf("%.1f/%.1f", t.NamedS, t.StartS)
+			takeover = fmt.Sprintf("%.1f/%.1f", t.ClaimedS, t.FirstStartS)
 		}
-		fmt.Fprintf(w, "%d\t%.1f\t%.0f\t%.0f\t%.1f\t%.3f\t%.1f\t%.1f\t%.1f\t%d\t%.3f/%.3f\t%.2f/%.2f/%.2f\t%d\t%.2f/%.2f\t%.1f\t%s\t%.2f\t%.2f\t%d\n", r.Workers, r.Starts, r.ForS, r.FillS, r.Reports, r.KB,
-			r.Orders, r.Requests, r.Changes, r.Refused, r.Accept.P50, r.Accept.P99, r.Urgent.P50, r.Urgent.P99, r.Urgent.Max, r.Urgent.Never, r.Change.P50, r.Change.Max, r.LossS, takeover, r.Lab, r.Load, len(r.Broken))
+		fmt.Fprintf(w, "%d\t%.1f\t%.0f\t%.0f\t%.1f\t%.3f\t%.1f\t%.1f\t%.1f\t%d\t%.3f/%.3f\t%.2f/%.2f/%.2f\t%d\t%.2f/%.2f\t%.1f\t%s\t%.2f\t%.2f\t%d\n", r.Workers, r.StartsPerSecond, r.ForS, r.FillS, r.HeartbeatsPerSecond, r.HeartbeatKB,
+			r.CommandsPerSecond, r.StateRPS, r.StateWriteRPS, r.RateLimited, r.AcceptLatency.P50, r.AcceptLatency.P99, r.UrgentStartLatency.P50, r.UrgentStartLatency.P99, r.UrgentStartLatency.Max, r.UrgentStartLatency.Unfinished, r.RankingLatency.P50, r.RankingLatency.Max, r.RecoveryS, takeover, r.SimulationCores, r.OtherCores, len(r.Violations))
 	}
 	fmt.Fprintln(w, "\nWORKERS\tHOST\tROLE\tTEAMS\tCORES\tMB\tPEAK MB\tFILES\tTHREADS")
-	for _, r := range l.Rungs {
+	for _, r := range l.Measurements {
 		for _, x := range r.Roles {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%.3f\t%.0f\t%.0f\t%d\t%d\n", r.Workers, x.Host, x.Role, x.Teams, x.Cores, x.RSSMB, x.PeakMB, x.Files, x.Threads)
 		}
@@ -95,7 +95,7 @@
 		if len(f.Slopes) > 1 {
 			starts = fmt.Sprintf("%.4f", f.Slopes[1])
 		}
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%.3f\t%d\n", f.Of, f.Base, 1000*f.Slopes[0], starts, f.Residual, f.Points)
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%s\t%.3f\t%d\n", f.Figure, f.Intercept, 1000*f.Slopes[0], starts, f.Residual, f.Points)
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("scale: %w", err)
