--- a/cmd/micahill/back.go
+++ b/cmd/micahill/back.go
@@ -10,21 +10,21 @@
 	"strings"
 )
 
-// fromBack asks a controller on its own address for something of overflow, and decodes
+// requestOverflow asks a controller on its own address for something of overflow, and decodes
 // the JSON answer.
-func fromBack(ctx context.Context, area, method, addr, path string, into any) error {
-	return askBack(ctx, area, "overflow", method, addr, path, nil, into)
+func requestOverflow(ctx context.Context, area, method, addr, path string, target any) error {
+	return requestJSON(ctx, area, "overflow", method, addr, path, nil, target)
 }
 
-// askBack asks a controller on its own address and decodes the JSON answer. Errors begin
+// requestJSON asks a controller on its own address and decodes the JSON answer. Errors begin
 // with the area, and part names the file under deploy/ that switches on what is asked.
-func askBack(ctx context.Context, area, part, method, addr, path string, text []byte, into any) error {
+func requestJSON(ctx context.Context, area, feature, method, addr, path string, payload []byte, target any) error {
 	if addr == "" {
 		return fmt.Errorf("%s: --addr HOST:PORT is missing; it is the controller's own address, back in its settings", area)
 	}
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(payload))
 	if err != nil {
 		return fmt.Errorf("%s: %w", area, err)
 	}
@@ -38,7 +38,7 @@
 	case err != nil:
 		return fmt.Errorf("%s: %w", area, err)
 	case resp.StatusCode == http.StatusNotFound:
-		return fmt.Errorf("%s: %s: not switched on there (--enable deploy/%s.toml)", area, addr, part)
+		return fmt.Errorf("%s: %s: not switched on there (--enable deploy/%s.toml)", area, addr, feature)
 	case resp.StatusCode != http.StatusOK:
 		var e struct {
 			Message string `json:"message"`
@@ -46,16 +46,16 @@
 		if json.Unmarshal(b, &e) != nil || e.Message == "" {
 			e.Message = resp.Status
 		}
-		return fmt.Errorf("%s: %s: %s", area, addr, strings.TrimPrefix(e.Message, part+": "))
+		return fmt.Errorf("%s: %s: %s", area, addr, strings.TrimPrefix(e.Message, feature+": "))
 	}
-	if err := json.Unmarshal(b, into); err != nil {
+	if err := json.Unmarshal(b, target); err != nil {
 		return fmt.Errorf("%s: %w", area, err)
 	}
 	return nil
 }
 
-// asJSON prints for programs.
-func asJSON(out io.Writer, v any) error {
+// printJSON prints for programs.
+func printJSON(out io.Writer, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
--- a/cmd/micahill/keys.go
+++ b/cmd/micahill/keys.go
@@ -30,7 +30,7 @@
 	var dir, cluster, out string
 	var days int
 	var finish, asJSON bool
-	need := func(flag, v string) error {
+	requireFlag := func(flag, v string) error {
 		if v == "" {
 			return fmt.Errorf("keys: --%s is missing; see micahill keys --help", flag)
 		}
@@ -39,7 +39,7 @@
 	initCA := &cobra.Command{
 		Use: "init", Short: "Make a CA in a new folder", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := need("dir", dir); err != nil {
+			if err := requireFlag("dir", dir); err != nil {
 				return err
 			}
 			if err := keys.Init(dir, time.Now()); err != nil {
@@ -52,7 +52,7 @@
 	issue := &cobra.Command{
 		Use: "issue", Short: "Issue a cluster's certificate", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := errors.Join(need("dir", dir), need("cluster", cluster), need("out", out)); err != nil {
+			if err := errors.Join(requireFlag("dir", dir), requireFlag("cluster", cluster), requireFlag("out", out)); err != nil {
 				return err
 			}
 			if err := keys.Issue(dir, cluster, out, time.Duration(days)*24*time.Hour, time.Now()); err != nil {
@@ -68,21 +68,21 @@
 	show := &cobra.Command{
 		Use: "show", Short: "Show a folder's certificates; status 1 if one is not good", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := need("dir", dir); err != nil {
+			if err := requireFlag("dir", dir); err != nil {
 				return err
 			}
-			is, err := keys.Show(dir, time.Now())
+			infos, err := keys.Show(dir, time.Now())
 			if err != nil {
 				return err
 			}
-			return printKeys(cmd.OutOrStdout(), is, asJSON, time.Now())
+			return printKeys(cmd.OutOrStdout(), infos, asJSON, time.Now())
 		},
 	}
 	show.Flags().BoolVar(&asJSON, "json", false, "as JSON")
 	rotate := &cobra.Command{
 		Use: "rotate", Short: "Make a new CA beside the old one, or end that with --finish", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := need("dir", dir); err != nil {
+			if err := requireFlag("dir", dir); err != nil {
 				return err
 			}
 			if finish {
@@ -107,31 +107,31 @@
 	return root
 }
 
-func printKeys(out io.Writer, is []keys.Info, asJSON bool, now time.Time) error {
-	bad := ""
-	for _, i := range is {
+func printKeys(out io.Writer, infos []keys.Info, asJSON bool, now time.Time) error {
+	problem := ""
+	for _, i := range infos {
 		if i.Problem != "" {
-			bad = i.File + ": " + i.Problem
+			problem = i.File + ": " + i.Problem
 		}
 	}
 	if asJSON {
 		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
-		if err := e.Encode(is); err != nil {
+		if err := e.Encode(infos); err != nil {
 			return fmt.Errorf("keys: %w", err)
 		}
 	} else {
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(w, "FILE\tNAME\tCLUSTER\tGOOD FOR\tFINGERPRINT\tPROBLEM")
-		for _, i := range is {
+		for _, i := range infos {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%d days\t%s\t%s\n", i.File, i.Name, i.Cluster, int(i.NotAfter.Sub(now).Hours()/24), i.Fingerprint, i.Problem)
 		}
 		if err := w.Flush(); err != nil {
 			return fmt.Errorf("keys: %w", err)
 		}
 	}
-	if bad != "" {
-		return fmt.Errorf("keys: show: %s", bad)
+	if problem != "" {
+		return fmt.Errorf("keys: show: %s", problem)
 	}
 	return nil
 }
--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	// memoryPart of the process's memory is left to Go's heap: well below the
+	// heapFraction of the process's memory is left to Go's heap: well below the
 	// limit, above which the process is killed.
-	memoryPart = 0.6
+	heapFraction = 0.6
 	// gcPercent trades memory, of which there is enough, for processor time,
 	// which is short.
 	gcPercent = 300
@@ -41,13 +41,13 @@
 var version = "0.1.0"
 
 func main() {
-	if err := command().Execute(); err != nil {
+	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "micahill:", err)
 		os.Exit(1)
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	var path, script string
 	var enable []string
 	root := &cobra.Command{
@@ -61,7 +61,7 @@
 			if path == "" {
 				return errors.New("--config FILE is missing; see --help")
 			}
-			return serve(cmd.Context(), path, script, enable)
+			return runController(cmd.Context(), path, script, enable)
 		},
 	}
 	root.Flags().StringVar(&path, "config", "", "settings file (TOML)")
@@ -73,24 +73,24 @@
 			if path == "" {
 				return errors.New("--config FILE is missing; see --help")
 			}
-			c, err := config.Load(path)
+			cfg, err := config.Load(path)
 			if err != nil {
 				return err
 			}
 			if _, err := policy.Load(script); err != nil {
 				return err
 			}
-			x, err := config.LoadExtras(enable)
+			extras, err := config.LoadExtras(enable)
 			if err != nil {
 				return err
 			}
-			if err := checkOverflow(x.Overflow, c); err != nil {
+			if err := checkOverflow(extras.Overflow, cfg); err != nil {
 				return err
 			}
-			for _, w := range c.Warnings() {
+			for _, w := range cfg.Warnings() {
 				fmt.Fprintln(cmd.ErrOrStderr(), "micahill: settings: warning:", w)
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: controller %s of %d, %d team(s): ok\n", path, c.HostName, len(c.Peers)+1, len(c.Deployment.Teams))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: controller %s of %d, %d team(s): ok\n", path, cfg.HostName, len(cfg.Peers)+1, len(cfg.Deployment.Teams))
 			return nil
 		},
 	}
@@ -115,16 +115,16 @@
 	return slog.LevelInfo
 }
 
-func serve(ctx context.Context, path, script string, enable []string) error {
+func runController(ctx context.Context, path, script string, enable []string) error {
 	if ctx == nil {
 		ctx = context.Background()
 	}
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()})))
-	c, err := config.Load(path)
+	cfg, err := config.Load(path)
 	if err != nil {
 		return err
 	}
-	pol, err := policy.Load(script)
+	scriptPolicy, err := policy.Load(script)
 	if err != nil {
 		return err
 	}
@@ -132,15 +132,15 @@
 	if err != nil {
 		return err
 	}
-	if err := checkOverflow(extras.Overflow, c); err != nil {
+	if err := checkOverflow(extras.Overflow, cfg); err != nil {
 		return err
 	}
-	for _, w := range c.Warnings() {
+	for _, w := range cfg.Warnings() {
 		slog.Warn("settings", "tight", w)
 	}
 	// One thread at a time runs here anyway; more would only switch.
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(int64(c.Deployment.Quota.MemoryMB * memoryPart * (1 << 20)))
+	debug.SetMemoryLimit(int64(cfg.Deployment.Quota.MemoryMB * heapFraction * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
 
 	var seed [32]byte
@@ -148,82 +148,82 @@
 		return fmt.Errorf("seed: %w", err)
 	}
 	nonce := fmt.Sprintf("%x", binary.LittleEndian.Uint64(seed[:8]))
-	set := c.Settings(pol, nonce)
-	set.Capabilities = extras.Capabilities()
-	node := core.New(set, rand.New(rand.NewChaCha8(seed)))
+	settings := cfg.Settings(scriptPolicy, nonce)
+	settings.Capabilities = extras.Capabilities()
+	ctrl := core.New(settings, rand.New(rand.NewChaCha8(seed)))
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	peers := map[string]string{}
-	for _, p := range c.Peers {
+	for _, p := range cfg.Peers {
 		peers[p.HostName] = p.Address
 	}
-	d := &c.Deployment
-	st := state.New(c.Endpoints.State, d.State.RPS, d.State.Strictest().WriteRPS, len(c.Peers)+1)
-	cl := cloud.New(c.Endpoints.Cloud, d.Cloud.RPS)
-	wk := worker.New(d.Quota.Sockets)
-	pn := peer.StartSender(ctx, peers)
-	met := metrics.New()
-	var dates func(core.PromiseTotals)
-	if set.Capabilities.Promises {
-		dates = metrics.RegisterPromises(met.Registry())
-	}
-	srv := server.New(node, server.EffectHandlers{
+	deployment := &cfg.Deployment
+	stateClient := state.New(cfg.Endpoints.State, deployment.State.RPS, deployment.State.Strictest().WriteRPS, len(cfg.Peers)+1)
+	cloudClient := cloud.New(cfg.Endpoints.Cloud, deployment.Cloud.RPS)
+	workerClient := worker.New(deployment.Quota.Sockets)
+	peerSender := peer.StartSender(ctx, peers)
+	recorder := metrics.New()
+	var reportPromises func(core.PromiseTotals)
+	if settings.Capabilities.Promises {
+		reportPromises = metrics.RegisterPromises(recorder.Registry())
+	}
+	srv := server.New(ctrl, server.EffectHandlers{
 		Store: func(ctx context.Context, op core.StoreRequest) core.StoreResponse {
 			began := time.Now()
-			done := st.Do(ctx, op)
-			met.State(op.Kind, done.Status, time.Since(began))
+			done := stateClient.Do(ctx, op)
+			recorder.State(op.Kind, done.Status, time.Since(began))
 			return done
 		},
 		Cloud: func(ctx context.Context, op core.CloudRequest) core.CloudResponse {
 			began := time.Now()
-			done := cl.Do(ctx, op)
-			met.Cloud(op.Kind, done.Status, time.Since(began))
+			done := cloudClient.Do(ctx, op)
+			recorder.Cloud(op.Kind, done.Status, time.Since(began))
 			return done
 		},
 		Worker: func(ctx context.Context, op core.WorkerRequest) core.WorkerResponse {
 			began := time.Now()
-			done := wk.Do(ctx, op)
-			met.Commands(done, time.Since(began))
+			done := workerClient.Do(ctx, op)
+			recorder.Commands(done, time.Since(began))
 			return done
 		},
-		SendPeerUpdate: pn.Send,
-		RoleChanged:    met.Role,
+		SendPeerUpdate: peerSender.Send,
+		RoleChanged:    recorder.Role,
 		SetRates: func(r core.Rates) {
-			st.SetRates(r)
-			met.Rates(r)
+			stateClient.SetRates(r)
+			recorder.Rates(r)
 		},
-		InternalError: met.InternalError,
-		ObserveStep:   met.Step,
-		PromiseTotals: dates,
-		GPUCapacity:   met.GPUCapacity,
+		InternalError: recorder.InternalError,
+		ObserveStep:   recorder.Step,
+		PromiseTotals: reportPromises,
+		GPUCapacity:   recorder.GPUCapacity,
 	})
-	slog.Info("micahill starts", "version", version, "host", c.HostName, "nonce", nonce)
-	errs := make(chan error, 5)
-	var more []func(*echo.Echo)
+	slog.Info("micahill starts", "version", version, "host", cfg.HostName, "nonce", nonce)
+	failures := make(chan error, 5)
+	var extraRoutes []func(*echo.Echo)
 	if o := extras.Overflow; o != nil {
-		routes, err := startOverflow(ctx, o, c, srv, met.Registry(), rand.New(rand.NewChaCha8(seed)), errs)
+		routes, err := startOverflow(ctx, o, cfg, srv, recorder.Registry(), rand.New(rand.NewChaCha8(seed)), failures)
 		if err != nil {
 			return err
 		}
-		more = append(more, routes)
+		extraRoutes = append(extraRoutes, routes)
 	}
-	if set.Capabilities.Ranking {
-		more = append(more, api.RankingRoutes(srv))
+	if settings.Capabilities.Ranking {
+		extraRoutes = append(extraRoutes, api.RankingRoutes(srv))
 	}
-	if set.Capabilities.Promises {
-		more = append(more, api.PromiseRoutes(srv))
+	if settings.Capabilities.Promises {
+		extraRoutes = append(extraRoutes, api.PromiseRoutes(srv))
 	}
-	go func() { errs <- api.Serve(ctx, c.APIAddr, d.Quota.Sockets, srv, met.Request) }()
+	go func() { failures <- api.Serve(ctx, cfg.APIAddr, deployment.Quota.Sockets, srv, recorder.Request) }()
 	go func() {
 		// Users and workers are served while this address is still in use.
-		back, err := peer.Listen(ctx, c.InternalAddr, func(n core.PeerUpdate) { srv.Post(n) })
+		back, err := peer.Listen(ctx, cfg.InternalAddr, func(n core.PeerUpdate) { srv.Post(n) })
 		if err != nil {
-			errs <- err
+			failures <- err
 			return
 		}
-		errs <- api.ServeOperators(ctx, back, srv, met.Handler(), more...)
+		failures <- api.ServeOperators(ctx, back, srv, recorder.Handler(), extraRoutes...)
 	}()
-	go func() { errs <- srv.Run(ctx) }()
-	return <-errs
+	go func() { failures <- srv.Run(ctx) }()
+	return <-failures
 }
--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -20,7 +20,7 @@
 
 type obj = map[string]any
 
-func freeAddr(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	addr, err := ports.FreeAddr()
 	if err != nil {
@@ -29,7 +29,7 @@
 	return addr
 }
 
-func settings(i int, api, back []string, live *standin.Live) string {
+func settingsFile(i int, api, back []string, live *standin.Live) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "host_name = \"node-%d\"\narea = \"a\"\napi_addr = %q\nback = %q\n", i, api[i], back[i])
 	for k := range api {
@@ -65,17 +65,17 @@
 	return b.String()
 }
 
-func job(id, team string, tasks int) obj {
+func jobFields(id, team string, tasks int) obj {
 	return obj{"id": id, "workload": "batch", "owner": team, "shape": "array", "urgency": "normal", "pieces": tasks,
 		"vcpus": 1.0, "gpus": 0.0, "memory_gb": 1.0, "bundle": "img", "image_gb": 0.1, "flavours": nil, "site": nil,
 		"same_place": false, "apart": false, "loaner": true, "expected_s": 0.5, "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil}
 }
 
-func spec(o obj) core.JobSpec {
+func jobSpec(o obj) core.JobSpec {
 	return core.JobSpec{ID: o["id"].(string), Team: o["owner"].(string), Tasks: o["pieces"].(int), Need: core.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 0.1, AllowSpot: true}
 }
 
-func call(t *testing.T, method, url string, body any) (int, obj, http.Header) {
+func request(t *testing.T, method, url string, body any) (int, obj, http.Header) {
 	t.Helper()
 	var rd io.Reader
 	if body != nil {
@@ -120,11 +120,11 @@
 	t.Setenv("LOG_LEVEL", "error")
 	var api, back []string
 	for range 3 {
-		api, back = append(api, freeAddr(t)), append(back, freeAddr(t))
+		api, back = append(api, freeAddress(t)), append(back, freeAddress(t))
 	}
 	types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
-	set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
-	live := standin.NewLive(set, 100, 50, types, map[string]int{"small/a/true": 3, "small/a/false": 4}, api)
+	settings := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
+	live := standin.NewLive(settings, 100, 50, types, map[string]int{"small/a/true": 3, "small/a/false": 4}, api)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer live.Stop()
 	defer cancel()
@@ -133,25 +133,25 @@
 	ended := make(chan struct{}, 3)
 	for i := range 3 {
 		path := filepath.Join(t.TempDir(), "settings.toml")
-		if err := os.WriteFile(path, []byte(settings(i, api, back, live)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(settingsFile(i, api, back, live)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		var nodeCtx context.Context
 		nodeCtx, stop[i] = context.WithCancel(ctx)
 		go func() {
-			serve(nodeCtx, path, "", nil)
+			runController(nodeCtx, path, "", nil)
 			ended <- struct{}{}
 		}()
 	}
-	url := func(i int, path string) string { return "http://" + api[i] + path }
+	apiURL := func(i int, path string) string { return "http://" + api[i] + path }
 	for i := range 3 {
-		eventually(t, "a controller is healthy", func() bool { s, _, _ := call(t, "GET", url(i, "/healthz"), nil); return s == 200 })
+		eventually(t, "a controller is healthy", func() bool { s, _, _ := request(t, "GET", apiURL(i, "/healthz"), nil); return s == 200 })
 	}
 	submit := func(i int, o obj) int {
-		live.Know(spec(o), 700*time.Millisecond)
+		live.Know(jobSpec(o), 700*time.Millisecond)
 		status := 0
 		eventually(t, "a submission is decided", func() bool {
-			status, _, _ = call(t, "POST", url(i, "/v2/runs"), o)
+			status, _, _ = request(t, "POST", apiURL(i, "/v2/runs"), o)
 			return status != 503 && status != 0
 		})
 		return status
@@ -159,30 +159,30 @@
 	done := func(i int, id string) {
 		t.Helper()
 		eventually(t, id+" is done", func() bool {
-			_, o, _ := call(t, "GET", url(i, "/v2/runs/"+id), nil)
+			_, o, _ := request(t, "GET", apiURL(i, "/v2/runs/"+id), nil)
 			return o["status"] == "done"
 		})
 	}
 
-	if s := submit(0, job("job-000001", "ops", 6)); s != 201 {
+	if s := submit(0, jobFields("job-000001", "ops", 6)); s != 201 {
 		t.Errorf("submission: %d", s)
 	}
-	if s := submit(1, job("job-000001", "ops", 6)); s != 200 {
+	if s := submit(1, jobFields("job-000001", "ops", 6)); s != 200 {
 		t.Errorf("the same again: %d", s)
 	}
-	submit(1, job("job-000002", "lab", 3))
+	submit(1, jobFields("job-000002", "lab", 3))
 	done(2, "job-000001")
 	done(0, "job-000002")
 
-	bad := job("job-000009", "ops", 1)
+	bad := jobFields("job-000009", "ops", 1)
 	bad["vcpus"] = "many"
-	half := job("job-000009", "ops", 1)
+	half := jobFields("job-000009", "ops", 1)
 	half["pieces"] = 2.5
-	missing := job("job-000009", "ops", 1)
+	missing := jobFields("job-000009", "ops", 1)
 	delete(missing, "loaner")
-	knownBad := job("job-000001", "ops", 6)
-	knownBad["urgency"] = "whenever"
-	big := job("job-000009", "ops", 1)
+	knownInvalid := jobFields("job-000001", "ops", 6)
+	knownInvalid["urgency"] = "whenever"
+	big := jobFields("job-000009", "ops", 1)
 	big["vcpus"] = 64.0
 	for _, c := range []struct {
 		what, method, path string
@@ -194,15 +194,15 @@
 		{"text for a number", "POST", "/v2/runs", bad, 400},
 		{"half a task", "POST", "/v2/runs", half, 400},
 		{"a field missing", "POST", "/v2/runs", missing, 400},
-		{"known, whatever the body", "POST", "/v2/runs", knownBad, 200},
+		{"known, whatever the body", "POST", "/v2/runs", knownInvalid, 200},
 		{"too large for any flavour", "POST", "/v2/runs", big, 422},
-		{"unknown team", "POST", "/v2/runs", job("job-000009", "nobody", 1), 422},
+		{"unknown team", "POST", "/v2/runs", jobFields("job-000009", "nobody", 1), 422},
 		{"oversized", "POST", "/v2/runs", make([]byte, 70<<10), 413},
 		{"unknown job", "GET", "/v2/runs/job-000009", nil, 404},
 		{"abort of an unknown job", "POST", "/v2/runs/job-000009/abort", nil, 404},
 		{"abort of what is done", "POST", "/v2/runs/job-000001/abort", nil, 200},
 	} {
-		if s, o, _ := call(t, c.method, url(0, c.path), c.body); s != c.want {
+		if s, o, _ := request(t, c.method, apiURL(0, c.path), c.body); s != c.want {
 			t.Errorf("%s: %d %v, want %d", c.what, s, o, c.want)
 		}
 	}
@@ -210,12 +210,12 @@
 	live.Away(true)
 	eventually(t, "a refusal at once with Retry-After", func() bool {
 		began := time.Now()
-		s, _, h := call(t, "POST", url(0, "/v2/runs"), job("job-000003", "ops", 1))
+		s, _, h := request(t, "POST", apiURL(0, "/v2/runs"), jobFields("job-000003", "ops", 1))
 		return s == 503 && h.Get("Retry-After") != "" && time.Since(began) < time.Second
 	})
 	live.Away(false)
 
-	if s, _, _ := call(t, "GET", "http://"+back[0]+"/metrics", nil); s != 200 {
+	if s, _, _ := request(t, "GET", "http://"+back[0]+"/metrics", nil); s != 200 {
 		t.Errorf("metrics: %d", s)
 	}
 	owner := -1
@@ -228,7 +228,7 @@
 		}
 		return false
 	})
-	submit((owner+1)%3, job("job-000004", "ops", 8))
+	submit((owner+1)%3, jobFields("job-000004", "ops", 8))
 	stop[owner]()
 	<-ended
 	done((owner+1)%3, "job-000004")
--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -26,27 +26,27 @@
 )
 
 // checkOverflow says what of the overflow settings does not fit this controller.
-func checkOverflow(o *config.Overflow, c *config.Config) error {
+func checkOverflow(o *config.Overflow, cfg *config.Config) error {
 	if o == nil {
 		return nil
 	}
-	if o.Borrow && !slices.ContainsFunc(c.Deployment.Teams, func(t config.Team) bool { return t.Name == o.GuestTeam }) {
+	if o.Borrow && !slices.ContainsFunc(cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == o.GuestTeam }) {
 		return fmt.Errorf("overflow: field guest_team: %s is no team of the settings", o.GuestTeam)
 	}
-	st, err := keys.Open(o.CertDir)
+	certStore, err := keys.Open(o.CertDir)
 	if err != nil {
 		return fmt.Errorf("overflow: field keys: %w", err)
 	}
-	if st.Cluster() != o.Cluster {
-		return fmt.Errorf("overflow: field keys: the certificate in %s is for cluster %s, not %s", o.CertDir, st.Cluster(), o.Cluster)
+	if certStore.Cluster() != o.Cluster {
+		return fmt.Errorf("overflow: field keys: the certificate in %s is for cluster %s, not %s", o.CertDir, certStore.Cluster(), o.Cluster)
 	}
 	_, err = o.AllowedPrefixes()
 	return err
 }
 
 // startOverflow runs lending beside the controller. errs is told when it ends.
-func startOverflow(ctx context.Context, o *config.Overflow, c *config.Config, srv *server.Server, reg prometheus.Registerer, rng *rand.Rand, errs chan<- error) (func(*echo.Echo), error) {
-	st, err := keys.Open(o.CertDir)
+func startOverflow(ctx context.Context, o *config.Overflow, c *config.Config, srv *server.Server, reg prometheus.Registerer, rng *rand.Rand, failures chan<- error) (func(*echo.Echo), error) {
+	certStore, err := keys.Open(o.CertDir)
 	if err != nil {
 		return nil, fmt.Errorf("overflow: %w", err)
 	}
@@ -66,26 +66,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("overflow: field listen: %w", err)
 	}
-	lim := overflow.DefaultLimits()
-	lim.LoansOut, lim.LoansIn, lim.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
-	lim.MinGain, lim.MaxCostRatio = core.Seconds(o.MinGainS), o.MaxCostRatio
-	set := broker.Settings{
+	limits := overflow.DefaultLimits()
+	limits.LoansOut, limits.LoansIn, limits.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
+	limits.MinGain, limits.MaxCostRatio = core.Seconds(o.MinGainS), o.MaxCostRatio
+	settings := broker.Settings{
 		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: core.Seconds(o.ReportS), LoanLease: core.Seconds(o.LeaseS),
-		WorkerLease: core.Seconds(c.Deployment.Workers.LeaseS), ClockBound: core.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: lim, Peers: map[string][]string{},
+		WorkerLease: core.Seconds(c.Deployment.Workers.LeaseS), ClockBound: core.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
 	}
-	known := map[string]bool{}
+	knownPeers := map[string]bool{}
 	for _, p := range o.Peers {
-		set.Peers[p.Cluster], known[p.Cluster] = p.Addresses, true
+		settings.Peers[p.Cluster], knownPeers[p.Cluster] = p.Addresses, true
 	}
-	b := broker.New(ctx, set, srv, &link.Client{Store: st, Cluster: o.Cluster}, broker.NewMetrics(reg), rng)
-	s := &link.Server{Store: st, Cluster: o.Cluster, Peers: known, AllowedPrefixes: allow, Handle: b.HandleHeartbeat}
-	go func() { errs <- b.Run() }()
-	go func() { errs <- s.Serve(ctx, ln) }()
+	loanBroker := broker.New(ctx, settings, srv, &link.Client{Store: certStore, Cluster: o.Cluster}, broker.NewMetrics(reg), rng)
+	linkServer := &link.Server{Store: certStore, Cluster: o.Cluster, Peers: knownPeers, AllowedPrefixes: allow, Handle: loanBroker.HandleHeartbeat}
+	go func() { failures <- loanBroker.Run() }()
+	go func() { failures <- linkServer.Serve(ctx, ln) }()
 	return func(e *echo.Echo) {
 		e.GET("/peers", func(c echo.Context) error {
 			ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 			defer cancel()
-			x, err := b.Status(ctx)
+			x, err := loanBroker.Status(ctx)
 			if err != nil {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 			}
@@ -112,23 +112,23 @@
 
 func peersCommand() *cobra.Command {
 	var addr string
-	var plain bool
+	var jsonOutput bool
 	c := &cobra.Command{
 		Use: "peers", Short: "Show the peer clusters and the loans between us", Args: cobra.NoArgs,
 		Long: "Shows how this cluster sees its peers, and which jobs are lent and borrowed. ADDR is\na controller's own address, back in its settings; the leader knows, others name it.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s broker.Status
-			if err := fromBack(cmd.Context(), "peers", http.MethodGet, addr, "/peers", &s); err != nil {
+			if err := requestOverflow(cmd.Context(), "peers", http.MethodGet, addr, "/peers", &s); err != nil {
 				return err
 			}
-			if plain {
-				return asJSON(cmd.OutOrStdout(), s)
+			if jsonOutput {
+				return printJSON(cmd.OutOrStdout(), s)
 			}
 			return printPeers(cmd.OutOrStdout(), &s)
 		},
 	}
 	c.Flags().StringVar(&addr, "addr", "", "the controller's own address (back)")
-	c.Flags().BoolVar(&plain, "json", false, "as JSON")
+	c.Flags().BoolVar(&jsonOutput, "json", false, "as JSON")
 	return c
 }
 
@@ -184,7 +184,7 @@
 				return errors.New("drain: --within is negative: want a duration such as 10m")
 			}
 			var x struct{}
-			if err := fromBack(cmd.Context(), "drain", http.MethodPost, addr, "/drain?on=true&within="+url.QueryEscape(within.String()), &x); err != nil {
+			if err := requestOverflow(cmd.Context(), "drain", http.MethodPost, addr, "/drain?on=true&within="+url.QueryEscape(within.String()), &x); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "draining: borrowed work is gone by %s\n", time.Now().Add(within).Format(time.RFC3339))
@@ -202,7 +202,7 @@
 		Use: "undrain", Short: "Take work of other clusters again", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var x struct{}
-			if err := fromBack(cmd.Context(), "undrain", http.MethodPost, addr, "/drain?on=false", &x); err != nil {
+			if err := requestOverflow(cmd.Context(), "undrain", http.MethodPost, addr, "/drain?on=false", &x); err != nil {
 				return err
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), "serving")
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -18,61 +18,61 @@
 	"github.com/micahill/micahill/internal/standin"
 )
 
-// cluster is a whole cluster on loopback: controllers, and stand-ins for all that
+// testCluster is a whole cluster on loopback: controllers, and stand-ins for all that
 // is outside.
-type cluster struct {
-	name, api, back, link string
-	live                  *standin.Live
-	path, enable          string
-	stop                  context.CancelFunc
-	ended                 chan struct{}
+type testCluster struct {
+	name, apiAddr, internalAddr, overflowAddr string
+	simulated                                 *standin.Live
+	settingsPath, overflowPath                string
+	stop                                      context.CancelFunc
+	ended                                     chan struct{}
 }
 
-func (c *cluster) start(ctx context.Context) {
+func (c *testCluster) start(ctx context.Context) {
 	ctx, c.stop = context.WithCancel(ctx)
 	c.ended = make(chan struct{})
 	go func() {
-		serve(ctx, c.path, "", []string{c.enable})
+		runController(ctx, c.settingsPath, "", []string{c.overflowPath})
 		close(c.ended)
 	}()
 }
 
-// clusters makes peers of the given names, each with so many machines.
-func clusters(t *testing.T, ctx context.Context, room map[string]int, names ...string) map[string]*cluster {
+// startClusters makes peers of the given names, each with so many machines.
+func startClusters(t *testing.T, ctx context.Context, machines map[string]int, names ...string) map[string]*testCluster {
 	t.Helper()
 	dir := t.TempDir()
 	ca := filepath.Join(dir, "ca")
 	if err := keys.Init(ca, time.Now()); err != nil {
 		t.Fatal(err)
 	}
-	out := map[string]*cluster{}
+	out := map[string]*testCluster{}
 	for _, name := range names {
-		c := &cluster{name: name, api: freeAddr(t), back: freeAddr(t), link: freeAddr(t)}
+		c := &testCluster{name: name, apiAddr: freeAddress(t), internalAddr: freeAddress(t), overflowAddr: freeAddress(t)}
 		types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
 		set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond}
-		c.live = standin.NewLive(set, 200, 100, types, map[string]int{"small/a/true": room[name]}, []string{c.api})
-		t.Cleanup(c.live.Stop)
-		go c.live.Run(ctx)
+		c.simulated = standin.NewLive(set, 200, 100, types, map[string]int{"small/a/true": machines[name]}, []string{c.apiAddr})
+		t.Cleanup(c.simulated.Stop)
+		go c.simulated.Run(ctx)
 		if err := keys.Issue(ca, name, filepath.Join(dir, name), time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		c.path, c.enable = filepath.Join(dir, name+".toml"), filepath.Join(dir, name+"-overflow.toml")
-		text := settings(0, []string{c.api}, []string{c.back}, c.live)
+		c.settingsPath, c.overflowPath = filepath.Join(dir, name+".toml"), filepath.Join(dir, name+"-overflow.toml")
+		text := settingsFile(0, []string{c.apiAddr}, []string{c.internalAddr}, c.simulated)
 		text = strings.Replace(text, "[[deployment.teams]]", "[[deployment.teams]]\nname = \"guests\"\n[[deployment.teams]]", 1)
-		if err := os.WriteFile(c.path, []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(c.settingsPath, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		out[name] = c
 	}
 	for _, name := range names {
 		var b strings.Builder
-		fmt.Fprintf(&b, "[overflow]\ncluster = %q\nlisten = %q\nkeys = %q\nallow = [\"127.0.0.0/8\"]\nguest_team = \"guests\"\nreport_s = 0.5\nlease_s = 5\ngain_s = 1\n", name, out[name].link, filepath.Join(dir, name))
+		fmt.Fprintf(&b, "[overflow]\ncluster = %q\nlisten = %q\nkeys = %q\nallow = [\"127.0.0.0/8\"]\nguest_team = \"guests\"\nreport_s = 0.5\nlease_s = 5\ngain_s = 1\n", name, out[name].overflowAddr, filepath.Join(dir, name))
 		for _, other := range names {
 			if other != name {
-				fmt.Fprintf(&b, "[[overflow.peers]]\ncluster = %q\naddresses = [%q]\n", other, out[other].link)
+				fmt.Fprintf(&b, "[[overflow.peers]]\ncluster = %q\naddresses = [%q]\n", other, out[other].overflowAddr)
 			}
 		}
-		if err := os.WriteFile(out[name].enable, []byte(b.String()), 0o600); err != nil {
+		if err := os.WriteFile(out[name].overflowPath, []byte(b.String()), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		out[name].start(ctx)
@@ -80,53 +80,53 @@
 	return out
 }
 
-// know tells every cluster's workers of a job, under its own name and under those
+// announceJob tells every cluster's workers of a job, under its own name and under those
 // by which it may be lent.
-func know(cs map[string]*cluster, home string, o obj, run time.Duration) {
-	s := spec(o)
-	cs[home].live.Know(s, run)
-	for _, c := range cs {
+func announceJob(clusters map[string]*testCluster, home string, o obj, run time.Duration) {
+	s := jobSpec(o)
+	clusters[home].simulated.Know(s, run)
+	for _, c := range clusters {
 		for n := range uint64(3) {
 			lent := s
 			lent.ID, lent.Team = overflow.Loan{Home: home, Job: s.ID, LendCount: n + 1}.OffloadedJobID(), "guests"
 			if c.name != home {
-				c.live.Know(lent, run)
+				c.simulated.Know(lent, run)
 			}
 		}
 	}
 }
 
-func (c *cluster) peers(ctx context.Context) broker.Status {
+func (c *testCluster) peerStatus(ctx context.Context) broker.Status {
 	var s broker.Status
-	_ = fromBack(ctx, "peers", "GET", c.back, "/peers", &s)
+	_ = requestOverflow(ctx, "peers", "GET", c.internalAddr, "/peers", &s)
 	return s
 }
 
-// watchTasks looks at the workers of all clusters again and again, and says in the
+// watchDuplicates looks at the workers of all clusters again and again, and says in the
 // end which tasks were seen in two places at once. A lent job's name at the guest
 // holds the job's own.
-func watchTasks(ctx context.Context, cs map[string]*cluster) func() []string {
+func watchDuplicates(ctx context.Context, clusters map[string]*testCluster) func() []string {
 	ctx, cancel := context.WithCancel(ctx)
 	out := make(chan []string, 1)
 	go func() {
-		var bad []string
+		var duplicates []string
 		for ctx.Err() == nil {
-			at := map[string]string{}
-			for name, c := range cs {
-				tasks, _ := c.live.Running()
+			cluster := map[string]string{}
+			for name, c := range clusters {
+				tasks, _ := c.simulated.Running()
 				for _, x := range tasks {
 					if strings.HasPrefix(x, "job-lent-") {
 						x = "job-" + x[strings.LastIndexByte(x, '-')+1:]
 					}
-					if o := at[x]; o != "" {
-						bad = append(bad, fmt.Sprintf("%s in %s and %s", x, o, name))
+					if o := cluster[x]; o != "" {
+						duplicates = append(duplicates, fmt.Sprintf("%s in %s and %s", x, o, name))
 					}
-					at[x] = name
+					cluster[x] = name
 				}
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		out <- bad
+		out <- duplicates
 	}()
 	return func() []string { cancel(); return <-out }
 }
@@ -138,32 +138,32 @@
 	t.Setenv("LOG_LEVEL", "error")
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	cs := clusters(t, ctx, map[string]int{"east": 1, "west": 4, "north": 4}, "east", "west", "north")
-	east := cs["east"]
-	for _, c := range cs {
-		eventually(t, c.name+" is healthy", func() bool { s, _, _ := call(t, "GET", "http://"+c.api+"/healthz", nil); return s == 200 })
+	clusters := startClusters(t, ctx, map[string]int{"east": 1, "west": 4, "north": 4}, "east", "west", "north")
+	east := clusters["east"]
+	for _, c := range clusters {
+		eventually(t, c.name+" is healthy", func() bool { s, _, _ := request(t, "GET", "http://"+c.apiAddr+"/healthz", nil); return s == 200 })
 	}
 	eventually(t, "east has heard both peers", func() bool {
-		s := east.peers(ctx)
+		s := east.peerStatus(ctx)
 		return len(s.Peers) == 2 && s.Peers[0].State == "serving" && s.Peers[1].State == "serving"
 	})
 	jobs := 0
-	handIn := func() {
+	submitJob := func() {
 		jobs++
-		o := job(fmt.Sprintf("job-%06d", jobs), "ops", 2)
+		o := jobFields(fmt.Sprintf("job-%06d", jobs), "ops", 2)
 		o["vcpus"], o["expected_s"], o["due_s"] = 2.0, 3.0, 20.0
-		know(cs, "east", o, 3*time.Second)
+		announceJob(clusters, "east", o, 3*time.Second)
 		eventually(t, "a submission is accepted", func() bool {
-			s, _, _ := call(t, "POST", "http://"+east.api+"/v2/runs", o)
+			s, _, _ := request(t, "POST", "http://"+east.apiAddr+"/v2/runs", o)
 			return s == 201 || s == 200
 		})
 	}
-	twice := watchTasks(ctx, cs)
-	lent := func() int { return len(east.peers(ctx).Lent) }
+	duplicates := watchDuplicates(ctx, clusters)
+	lent := func() int { return len(east.peerStatus(ctx).Lent) }
 	// Jobs come until some are lent: on a slow machine the first ones may be too late
 	// for any of their aims before they are looked at.
 	for jobs < 16 || lent() == 0 && jobs < 100 {
-		if handIn(); jobs > 16 {
+		if submitJob(); jobs > 16 {
 			time.Sleep(300 * time.Millisecond)
 		}
 	}
@@ -174,49 +174,49 @@
 		t.Error(err)
 	}
 	// A cancellation of a lent job is told only when the peer has stopped it.
-	id := strings.Split(east.peers(ctx).Lent[0].Loan, "/")[1]
+	id := strings.Split(east.peerStatus(ctx).Lent[0].Loan, "/")[1]
 	eventually(t, "a lent job is cancelled", func() bool {
-		s, o, _ := call(t, "POST", "http://"+east.api+"/v2/runs/"+id+"/abort", nil)
+		s, o, _ := request(t, "POST", "http://"+east.apiAddr+"/v2/runs/"+id+"/abort", nil)
 		return s == 200 && (o["status"] == "cancelled" || o["status"] == "done")
 	})
 	// One peer ends in the middle, and comes back; the other drains.
-	cs["west"].stop()
-	<-cs["west"].ended
+	clusters["west"].stop()
+	<-clusters["west"].ended
 	var x struct{}
-	if err := fromBack(ctx, "drain", "POST", cs["north"].back, "/drain?on=true&within=30s", &x); err != nil {
+	if err := requestOverflow(ctx, "drain", "POST", clusters["north"].internalAddr, "/drain?on=true&within=30s", &x); err != nil {
 		t.Error(err)
 	}
 	time.Sleep(time.Second)
-	cs["west"].start(ctx)
+	clusters["west"].start(ctx)
 	for i := range jobs {
 		id := fmt.Sprintf("job-%06d", i+1)
 		eventually(t, id+" ends", func() bool {
-			_, o, _ := call(t, "GET", "http://"+east.api+"/v2/runs/"+id, nil)
+			_, o, _ := request(t, "GET", "http://"+east.apiAddr+"/v2/runs/"+id, nil)
 			return o["status"] == "done" || o["status"] == "cancelled"
 		})
 	}
 	eventually(t, "no loan is left", func() bool { return lent() == 0 })
 	eventually(t, "the peers have forgotten them", func() bool {
-		return len(cs["west"].peers(ctx).Borrowed) == 0 && len(cs["north"].peers(ctx).Borrowed) == 0
+		return len(clusters["west"].peerStatus(ctx).Borrowed) == 0 && len(clusters["north"].peerStatus(ctx).Borrowed) == 0
 	})
-	for _, x := range twice() {
+	for _, x := range duplicates() {
 		t.Error("runs in two clusters: " + x)
 	}
-	if _, n := cs["west"].live.Running(); n == 0 {
-		if _, n = cs["north"].live.Running(); n == 0 {
+	if _, n := clusters["west"].simulated.Running(); n == 0 {
+		if _, n = clusters["north"].simulated.Running(); n == 0 {
 			t.Error("no peer started anything")
 		}
 	}
-	for _, c := range cs {
-		for _, b := range c.live.Broken() {
+	for _, c := range clusters {
+		for _, b := range c.simulated.Broken() {
 			t.Errorf("%s: %s", c.name, b)
 		}
 	}
-	if s := cs["north"].peers(ctx); !s.Draining {
+	if s := clusters["north"].peerStatus(ctx); !s.Draining {
 		t.Error("north does not say that it drains")
 	}
 	// Strangers are not let in.
-	if c, err := net.Dial("tcp", east.link); err == nil {
+	if c, err := net.Dial("tcp", east.overflowAddr); err == nil {
 		c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if b, err := io.ReadAll(c); err == nil && strings.Contains(string(b), "HTTP") {
@@ -225,7 +225,7 @@
 		c.Close()
 	}
 	cancel()
-	for _, c := range cs {
+	for _, c := range clusters {
 		<-c.ended
 	}
 }
--- a/cmd/micahill/promises.go
+++ b/cmd/micahill/promises.go
@@ -14,53 +14,53 @@
 
 func promisesCommand() *cobra.Command {
 	var addr, class, job string
-	var plain, risk bool
+	var jsonOutput, atRisk bool
 	c := &cobra.Command{
 		Use: "promises", Short: "Show promised dates: what was kept, and what is open", Args: cobra.NoArgs,
 		Long: "Shows by team and class how many dates were made, kept, broken and revised, and the\ndates of the jobs that are not over. ADDR is any controller's own address, back in its\nsettings: all tell the same. What is at risk the controller that runs a job knows best.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			q := url.Values{}
+			query := url.Values{}
 			for k, v := range map[string]string{"class": class, "job": job} {
 				if v != "" {
-					q.Set(k, v)
+					query.Set(k, v)
 				}
 			}
-			if risk {
-				q.Set("at_risk", "true")
+			if atRisk {
+				query.Set("at_risk", "true")
 			}
 			var p core.PromiseReply
-			if err := askBack(cmd.Context(), "promises", "promises", http.MethodGet, addr, "/promises?"+q.Encode(), nil, &p); err != nil {
+			if err := requestJSON(cmd.Context(), "promises", "promises", http.MethodGet, addr, "/promises?"+query.Encode(), nil, &p); err != nil {
 				return err
 			}
-			if plain {
-				return asJSON(cmd.OutOrStdout(), p)
+			if jsonOutput {
+				return printJSON(cmd.OutOrStdout(), p)
 			}
-			if len(p.Open) == 0 && job != "" && !risk {
+			if len(p.Open) == 0 && job != "" && !atRisk {
 				return fmt.Errorf("promises: %s: no such job, or it was cancelled just now; it is asked for by its id", job)
 			}
-			return printPromises(cmd.OutOrStdout(), &p, job != "" || risk)
+			return printPromises(cmd.OutOrStdout(), &p, job != "" || atRisk)
 		},
 	}
 	c.Flags().StringVar(&addr, "addr", "", "the controller's own address (back)")
 	c.Flags().StringVar(&class, "class", "", "only this class (workload)")
 	c.Flags().StringVar(&job, "job", "", "only this job, also one that is over")
-	c.Flags().BoolVar(&risk, "at-risk", false, "only dates that have passed or would be missed")
-	c.Flags().BoolVar(&plain, "json", false, "as JSON")
+	c.Flags().BoolVar(&atRisk, "at-risk", false, "only dates that have passed or would be missed")
+	c.Flags().BoolVar(&jsonOutput, "json", false, "as JSON")
 	return c
 }
 
 func printPromises(out io.Writer, p *core.PromiseReply, jobsOnly bool) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	secs := func(s float64) string {
+	formatSeconds := func(s float64) string {
 		return time.Duration(s * float64(time.Second)).Round(100 * time.Millisecond).String()
 	}
 	if !jobsOnly {
 		s := p.Sum
 		fmt.Fprintf(out, "%s: %d ended, %d with a date: %d kept, %d broken, %d revised; worst %s late; half were promised up to %.2f times what they took; %d open\n",
-			p.Host, s.Ended, s.Made, s.Kept, s.Broken, s.Revised, secs(s.WorstSeconds), p.MedianRatio, len(p.Open)+p.Omitted)
+			p.Host, s.Ended, s.Made, s.Kept, s.Broken, s.Revised, formatSeconds(s.WorstSeconds), p.MedianRatio, len(p.Open)+p.Omitted)
 		fmt.Fprintln(w, "\nTEAM\tCLASS\tENDED\tMADE\tKEPT\tBROKEN\tREVISED\tWORST")
 		for _, r := range p.Rows {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Team, r.Class, r.Ended, r.Made, r.Kept, r.Broken, r.Revised, secs(r.WorstSeconds))
+			fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", r.Team, r.Class, r.Ended, r.Made, r.Kept, r.Broken, r.Revised, formatSeconds(r.WorstSeconds))
 		}
 	}
 	if len(p.Open) == 0 && jobsOnly {
@@ -71,9 +71,9 @@
 		for _, o := range p.Open {
 			date := "none yet"
 			if o.Revision > 0 {
-				date = secs(o.PromisedSeconds)
+				date = formatSeconds(o.PromisedSeconds)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%v\n", o.Job, o.Team, o.Class, o.State, date, o.Revision, o.Reason, secs(o.AgeSeconds), o.AtRisk)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%s\t%v\n", o.Job, o.Team, o.Class, o.State, date, o.Revision, o.Reason, formatSeconds(o.AgeSeconds), o.AtRisk)
 		}
 	}
 	if p.Omitted > 0 {
--- a/cmd/micahill/ranking.go
+++ b/cmd/micahill/ranking.go
@@ -28,32 +28,32 @@
 	return root
 }
 
-// askRanking asks a controller on its own address.
-func askRanking(ctx context.Context, verb, method, addr string, q url.Values, text []byte) (*core.RankingReply, error) {
+// requestRanking asks a controller on its own address.
+func requestRanking(ctx context.Context, verb, method, addr string, query url.Values, text []byte) (*core.RankingReply, error) {
 	var r core.RankingReply
-	if err := askBack(ctx, "ranking: "+verb, "ranking", method, addr, "/ranking?"+q.Encode(), text, &r); err != nil {
+	if err := requestJSON(ctx, "ranking: "+verb, "ranking", method, addr, "/ranking?"+query.Encode(), text, &r); err != nil {
 		return nil, err
 	}
 	return &r, nil
 }
 
 func rankingShow() *cobra.Command {
-	var addr, why string
-	var plain bool
+	var addr, whyJob string
+	var jsonOutput bool
 	c := &cobra.Command{
 		Use: "show", Short: "Show the ranking, and what of each class is at a controller", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			q := url.Values{}
-			if why != "" {
-				q.Set("why", why)
+			if whyJob != "" {
+				q.Set("why", whyJob)
 			}
-			r, err := askRanking(cmd.Context(), "show", http.MethodGet, addr, q, nil)
+			r, err := requestRanking(cmd.Context(), "show", http.MethodGet, addr, q, nil)
 			switch {
 			case err != nil:
 				return err
-			case plain:
-				return asJSON(cmd.OutOrStdout(), r)
-			case why != "":
+			case jsonOutput:
+				return printJSON(cmd.OutOrStdout(), r)
+			case whyJob != "":
 				_, err = fmt.Fprintln(cmd.OutOrStdout(), r.Explanation)
 				return err
 			}
@@ -61,8 +61,8 @@
 		},
 	}
 	c.Flags().StringVar(&addr, "addr", "", "a controller's own address (back)")
-	c.Flags().StringVar(&why, "why", "", "say what stands before this job, and what would let it go")
-	c.Flags().BoolVar(&plain, "json", false, "as JSON")
+	c.Flags().StringVar(&whyJob, "why", "", "say what stands before this job, and what would let it go")
+	c.Flags().BoolVar(&jsonOutput, "json", false, "as JSON")
 	return c
 }
 
@@ -113,7 +113,7 @@
 	return b, rec, nil
 }
 
-func warn(out io.Writer, rec ranking.Record) {
+func printWarnings(out io.Writer, rec ranking.Record) {
 	for _, w := range rec.Warnings() {
 		fmt.Fprintln(out, "micahill: ranking: warning:", w)
 	}
@@ -127,7 +127,7 @@
 			if err != nil {
 				return err
 			}
-			warn(cmd.ErrOrStderr(), rec)
+			printWarnings(cmd.ErrOrStderr(), rec)
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "%s: %d classes: ok\n", args[0], len(rec.Classes))
 			return err
 		},
@@ -154,12 +154,12 @@
 					by = u.Username
 				}
 			}
-			warn(cmd.ErrOrStderr(), rec)
+			printWarnings(cmd.ErrOrStderr(), rec)
 			q := url.Values{"by": {by}}
 			if cmd.Flags().Changed("rev") {
 				q.Set("rev", fmt.Sprint(rev))
 			}
-			r, err := askRanking(cmd.Context(), "set", http.MethodPost, addr, q, b)
+			r, err := requestRanking(cmd.Context(), "set", http.MethodPost, addr, q, b)
 			if err != nil {
 				return err
 			}
@@ -175,16 +175,16 @@
 
 func rankingHistory() *cobra.Command {
 	var addr string
-	var plain bool
+	var jsonOutput bool
 	c := &cobra.Command{
 		Use: "history", Short: "Show the last rankings", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := askRanking(cmd.Context(), "history", http.MethodGet, addr, url.Values{"history": {"true"}}, nil)
+			r, err := requestRanking(cmd.Context(), "history", http.MethodGet, addr, url.Values{"history": {"true"}}, nil)
 			if err != nil {
 				return err
 			}
-			if plain {
-				return asJSON(cmd.OutOrStdout(), r.History)
+			if jsonOutput {
+				return printJSON(cmd.OutOrStdout(), r.History)
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "REVISION\tBY\tAT\tDERIVED\tCLASSES")
@@ -199,6 +199,6 @@
 		},
 	}
 	c.Flags().StringVar(&addr, "addr", "", "a controller's own address (back)")
-	c.Flags().BoolVar(&plain, "json", false, "as JSON")
+	c.Flags().BoolVar(&jsonOutput, "json", false, "as JSON")
 	return c
 }
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -14,9 +14,9 @@
 	"github.com/micahill/micahill/internal/standin"
 )
 
-// TestRankingVerbs shows, sets and refuses a ranking at whole controllers, as an operator
+// TestRankingCommands shows, sets and refuses a ranking at whole controllers, as an operator
 // would.
-func TestRankingVerbs(t *testing.T) {
+func TestRankingCommands(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
 	write := func(name, text string) string {
@@ -26,10 +26,10 @@
 		}
 		return path
 	}
-	on := write("ranking.toml", "[ranking]\nenabled = true\n")
+	enableFile := write("ranking.toml", "[ranking]\nenabled = true\n")
 	var api, back []string
 	for range 3 {
-		api, back = append(api, freeAddr(t)), append(back, freeAddr(t))
+		api, back = append(api, freeAddress(t)), append(back, freeAddress(t))
 	}
 	types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
 	set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
@@ -39,11 +39,11 @@
 	defer cancel()
 	go live.Run(ctx)
 	for i := range api {
-		path := write("node.toml"+string(rune('0'+i)), settings(i, api, back, live))
-		go func() { _ = serve(ctx, path, "", []string{on}) }()
+		path := write("node.toml"+string(rune('0'+i)), settingsFile(i, api, back, live))
+		go func() { _ = runController(ctx, path, "", []string{enableFile}) }()
 	}
-	verb := func(args ...string) (string, error) {
-		c := command()
+	runCommand := func(args ...string) (string, error) {
+		c := rootCommand()
 		var out bytes.Buffer
 		c.SetOut(&out)
 		c.SetErr(&out)
@@ -52,12 +52,12 @@
 		return out.String(), err
 	}
 	eventually(t, "the leader derives a ranking", func() bool {
-		out, err := verb("show", "--addr", back[1])
+		out, err := runCommand("show", "--addr", back[1])
 		return err == nil && strings.Contains(out, "revision 1, derived by")
 	})
 	good := write("good.toml", "[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\"]\nbound_s = 30\n")
 	bad := write("bad.toml", "[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\"]\npart = 7\n")
-	out, err := verb("set", good, "--addr", back[0], "--by", "me", "--rev", "1")
+	out, err := runCommand("set", good, "--addr", back[0], "--by", "me", "--rev", "1")
 	if err != nil || !strings.Contains(out, "warning: no class takes all of urgency critical") || !strings.Contains(out, "revision 2 holds") {
 		t.Fatal(out, err)
 	}
@@ -71,27 +71,27 @@
 		{[]string{"show"}, "--addr HOST:PORT is missing"},
 		{[]string{"show", "--addr", back[0], "--why", "x"}, "is no job's id"},
 	} {
-		if out, err := verb(c.args...); err == nil || !strings.HasPrefix(err.Error(), "ranking: ") || !strings.Contains(err.Error(), c.want) {
+		if out, err := runCommand(c.args...); err == nil || !strings.HasPrefix(err.Error(), "ranking: ") || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %s %v, want %s", c.args, out, err, c.want)
 		}
 	}
 	for _, a := range back {
 		eventually(t, "every controller shows it", func() bool {
-			out, err := verb("show", "--addr", a)
+			out, err := runCommand("show", "--addr", a)
 			return err == nil && strings.Contains(out, "revision 2, set by me") && strings.Contains(out, "rush-*")
 		})
 	}
-	if out, err := verb("history", "--addr", back[2], "--json"); err != nil || !strings.Contains(out, `"bound_s": 30`) || strings.Count(out, `"rev"`) != 2 {
+	if out, err := runCommand("history", "--addr", back[2], "--json"); err != nil || !strings.Contains(out, `"bound_s": 30`) || strings.Count(out, `"rev"`) != 2 {
 		t.Error(out, err)
 	}
-	live.Know(spec(job("job-1", "ops", 400)), time.Second)
+	live.Know(jobSpec(jobFields("job-1", "ops", 400)), time.Second)
 	eventually(t, "a job is accepted", func() bool {
-		s, _, _ := call(t, http.MethodPost, "http://"+api[0]+"/v2/runs", job("job-1", "ops", 400))
+		s, _, _ := request(t, http.MethodPost, "http://"+api[0]+"/v2/runs", jobFields("job-1", "ops", 400))
 		return s == 201 || s == 200
 	})
 	eventually(t, "somebody says why it waits", func() bool {
 		for _, a := range back {
-			if out, err := verb("show", "--addr", a, "--why", "job-1"); err == nil && strings.Contains(out, "class (normal), place 4 of 5") && strings.Count(out, "\n") == 1 {
+			if out, err := runCommand("show", "--addr", a, "--why", "job-1"); err == nil && strings.Contains(out, "class (normal), place 4 of 5") && strings.Count(out, "\n") == 1 {
 				return true
 			}
 		}
