--- a/cmd/micahill-lab/conditions.go
+++ b/cmd/micahill-lab/conditions.go
@@ -58,7 +58,7 @@
 				})
 			}
 			wg.Wait()
-			return tellConditions(cmd.OutOrStdout(), results, asJSON, table)
+			return printConditions(cmd.OutOrStdout(), results, asJSON, table)
 		},
 	}
 	c.Flags().StringVar(&root, "root", ".", "the repository's root")
@@ -80,8 +80,8 @@
 	return fmt.Sprintf("ok %s: %s", r.Condition.Name, strings.Join(r.Failed[:min(3, len(r.Failed))], " "))
 }
 
-func tellConditions(out io.Writer, rs []conditions.Result, asJSON, table bool) error {
-	missed, broken := 0, 0
+func printConditions(out io.Writer, results []conditions.Result, asJSON, table bool) error {
+	unnoticed, failed := 0, 0
 	type row struct {
 		Name    string   `json:"name"`
 		Noticed bool     `json:"noticed"`
@@ -92,14 +92,14 @@
 	if table {
 		fmt.Fprintln(out, "| invariant | condition | without it fails |\n| --- | --- | --- |")
 	}
-	for _, r := range rs {
+	for _, r := range results {
 		w := row{Name: r.Condition.Name, Noticed: len(r.Failed) > 0, Tests: r.Failed}
 		switch {
 		case r.Err != nil:
-			broken++
+			failed++
 			w.Error = r.Err.Error()
 		case len(r.Failed) == 0:
-			missed++
+			unnoticed++
 		}
 		rows = append(rows, w)
 		if table {
@@ -117,10 +117,10 @@
 			return fmt.Errorf("conditions: %w", err)
 		}
 	} else if !table {
-		fmt.Fprintf(out, "%d conditions: %d noticed, %d not noticed, %d could not be tried\n", len(rs), len(rs)-missed-broken, missed, broken)
+		fmt.Fprintf(out, "%d conditions: %d noticed, %d not noticed, %d could not be tried\n", len(results), len(results)-unnoticed-failed, unnoticed, failed)
 	}
-	if missed+broken > 0 {
-		return fmt.Errorf("conditions: %d not noticed by any test, %d could not be tried", missed, broken)
+	if unnoticed+failed > 0 {
+		return fmt.Errorf("conditions: %d not noticed by any test, %d could not be tried", unnoticed, failed)
 	}
 	return nil
 }
--- a/cmd/micahill-lab/days.go
+++ b/cmd/micahill-lab/days.go
@@ -15,13 +15,13 @@
 
 // daysCommand plays days of our own stand-ins in simulated time.
 func daysCommand() *cobra.Command {
-	var p standin.DayParams
+	var params standin.DayParams
 	var seeds, from uint64
 	var parallel int
 	var asJSON, shrink, quiet bool
-	var trace, play string
-	var seeking bool
-	var search daySeek
+	var trace, dayFile string
+	var searchMode bool
+	var search daySearch
 	c := &cobra.Command{
 		Use: "days", Short: "Play seeded days in simulated time and check all rules", Args: cobra.NoArgs,
 		Long: `Plays days of controllers, state service, cloud, machines and users in simulated
@@ -54,22 +54,22 @@
 --seed N plays one day and prints its log, --shrink cuts a broken one down to the
 troubles that it takes.`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if p.Machines < 0 || p.Teams < 0 || p.Teams > 26 || p.Controllers < 0 || p.Controllers > 9 || p.Models < 0 || seeds < 1 {
+			if params.Machines < 0 || params.Teams < 0 || params.Teams > 26 || params.Controllers < 0 || params.Controllers > 9 || params.Models < 0 || seeds < 1 {
 				return errors.New("days: --machines, --teams (up to 26), --controllers (up to 9), --models and --seeds are to be positive")
 			}
-			if err := p.Check(); err != nil {
+			if err := params.Check(); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
-			if seeking {
-				search.seed = max(1, p.Seed)
-				return search.run(out, cmd.ErrOrStderr(), p, parallel)
+			if searchMode {
+				search.seed = max(1, params.Seed)
+				return search.run(out, cmd.ErrOrStderr(), params, parallel)
 			}
-			if cmd.Flags().Changed("seed") || play != "" {
-				d := standin.DrawDay(p)
-				if play != "" {
+			if cmd.Flags().Changed("seed") || dayFile != "" {
+				d := standin.DrawDay(params)
+				if dayFile != "" {
 					var err error
-					if d, err = standin.Load(play); err != nil {
+					if d, err = standin.Load(dayFile); err != nil {
 						return fmt.Errorf("days: %w", err)
 					}
 				}
@@ -81,49 +81,49 @@
 				if !quiet {
 					fmt.Fprintln(out, strings.Join(r.Log, "\n"))
 				}
-				return tellDays(out, []standin.DayResult{r}, asJSON, true)
+				return printDays(out, []standin.DayResult{r}, asJSON, true)
 			}
-			all := make([]standin.DayResult, seeds)
+			results := make([]standin.DayResult, seeds)
 			var wg sync.WaitGroup
 			slots := make(chan struct{}, max(1, parallel))
 			for i := range seeds {
 				wg.Go(func() {
 					slots <- struct{}{}
 					defer func() { <-slots }()
-					x := p
-					x.Seed = from + i
-					all[i] = standin.PlayDay(standin.DrawDay(x), "")
+					dayParams := params
+					dayParams.Seed = from + i
+					results[i] = standin.PlayDay(standin.DrawDay(dayParams), "")
 				})
 			}
 			wg.Wait()
-			return tellDays(out, all, asJSON, seeds == 1)
+			return printDays(out, results, asJSON, seeds == 1)
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&p.Machines, "machines", 0, "machines that the cloud has")
-	f.IntVar(&p.Teams, "teams", 0, "teams")
-	f.IntVar(&p.Controllers, "controllers", 0, "controllers")
-	f.IntVar(&p.Jobs, "jobs", 0, "jobs in all")
-	f.IntVar(&p.Faults, "faults", 0, "troubles; -1: none")
-	f.IntVar(&p.Minutes, "minutes", 0, "how long jobs come")
-	f.IntVar(&p.Hot, "hot", 0, "how many times the work of another team the first has")
-	f.BoolVar(&p.Unlisted, "unlisted", false, "with troubles that were on no list: late boots, storms of polls, mistakes, guests, ends in a row, links that are half there")
-	f.BoolVar(&p.Product, "product", false, "as --unlisted, also with machines that nothing reaches, late copies of reports, controllers that have only their workers, and processes and machines back at once")
-	f.BoolVar(&p.Meetings, "meetings", false, "two or three troubles of all lists meet, and users cancel most of a class around them; with --unlisted, --product or --faults also those")
-	f.BoolVar(&p.Pipelines, "pipelines", false, "jobs that need others, in chains, joins and fans, and users who cancel in the middle of them")
-	f.BoolVar(&p.Mixed, "mixed", false, "jobs that save, stand, are bound to a zone or apart, and clocks that are off")
-	f.IntVar(&p.CancelRoom, "cancel-room", 0, "by how many seconds cancel_s is longer than a lease; 0: 30")
-	f.IntVar(&p.Models, "models", 0, "so many hosts with eight GPUs, and models of one GPU to a whole host")
-	f.StringSliceVar(&p.On, "on", nil, "what is switched on: ranking, promises, models, or all")
+	f.IntVar(&params.Machines, "machines", 0, "machines that the cloud has")
+	f.IntVar(&params.Teams, "teams", 0, "teams")
+	f.IntVar(&params.Controllers, "controllers", 0, "controllers")
+	f.IntVar(&params.Jobs, "jobs", 0, "jobs in all")
+	f.IntVar(&params.Faults, "faults", 0, "troubles; -1: none")
+	f.IntVar(&params.Minutes, "minutes", 0, "how long jobs come")
+	f.IntVar(&params.Hot, "hot", 0, "how many times the work of another team the first has")
+	f.BoolVar(&params.Unlisted, "unlisted", false, "with troubles that were on no list: late boots, storms of polls, mistakes, guests, ends in a row, links that are half there")
+	f.BoolVar(&params.Product, "product", false, "as --unlisted, also with machines that nothing reaches, late copies of reports, controllers that have only their workers, and processes and machines back at once")
+	f.BoolVar(&params.Meetings, "meetings", false, "two or three troubles of all lists meet, and users cancel most of a class around them; with --unlisted, --product or --faults also those")
+	f.BoolVar(&params.Pipelines, "pipelines", false, "jobs that need others, in chains, joins and fans, and users who cancel in the middle of them")
+	f.BoolVar(&params.Mixed, "mixed", false, "jobs that save, stand, are bound to a zone or apart, and clocks that are off")
+	f.IntVar(&params.CancelRoom, "cancel-room", 0, "by how many seconds cancel_s is longer than a lease; 0: 30")
+	f.IntVar(&params.Models, "models", 0, "so many hosts with eight GPUs, and models of one GPU to a whole host")
+	f.StringSliceVar(&params.On, "on", nil, "what is switched on: ranking, promises, models, or all")
 	f.Uint64Var(&seeds, "seeds", 10, "how many days")
 	f.Uint64Var(&from, "from", 1, "the first day's seed")
-	f.Uint64Var(&p.Seed, "seed", 0, "play this one day, with its log")
-	f.StringVar(&play, "play", "", "play the day of this file, as with --seed")
-	f.BoolVar(&seeking, "seek", false, "search days of meetings by the slack that they leave")
+	f.Uint64Var(&params.Seed, "seed", 0, "play this one day, with its log")
+	f.StringVar(&dayFile, "play", "", "play the day of this file, as with --seed")
+	f.BoolVar(&searchMode, "seek", false, "search days of meetings by the slack that they leave")
 	f.IntVar(&search.runs, "runs", 500, "with --seek: how many days are played")
-	f.DurationVar(&search.limit, "within", 0, "with --seek: end it after this time; 0: when all are played")
-	f.StringVar(&search.first, "first", standin.RuleCancelled, "with --seek: the rule that half of the changed days go on from")
-	f.StringVar(&search.out, "out", ".", "with --seek: where days are written")
+	f.DurationVar(&search.timeLimit, "within", 0, "with --seek: end it after this time; 0: when all are played")
+	f.StringVar(&search.focusRule, "first", standin.RuleCancelled, "with --seek: the rule that half of the changed days go on from")
+	f.StringVar(&search.outDir, "out", ".", "with --seek: where days are written")
 	f.BoolVar(&shrink, "shrink", false, "with --seed or --play: leave out troubles while the day stays broken")
 	f.StringVar(&trace, "trace", "", "with --seed: debug lines with this word, or one of several with | between")
 	f.BoolVar(&quiet, "quiet", false, "with --seed: no log")
@@ -132,55 +132,55 @@
 	return c
 }
 
-// errDays says that a rule was broken or somebody starved.
-var errDays = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest began too late")
+// errDaysFailed says that a rule was broken or somebody starved.
+var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest began too late")
 
-// begin shows the waits of the largest jobs for their first and for all tasks.
-func begin(l *standin.Largest) string {
+// formatStarts shows the waits of the largest jobs for their first and for all tasks.
+func formatStarts(largest *standin.Largest) string {
 	show := func(s float64) string {
 		if s < 0 {
 			return "never"
 		}
 		return fmt.Sprintf("%.0f", s)
 	}
-	return show(l.First) + "/" + show(l.All)
+	return show(largest.First) + "/" + show(largest.All)
 }
 
-func tellDays(out io.Writer, all []standin.DayResult, asJSON, groups bool) error {
+func printDays(out io.Writer, results []standin.DayResult, asJSON, showGroups bool) error {
 	failed := false
-	for i := range all {
-		failed = failed || len(all[i].Broken) > 0 || len(all[i].Starved()) > 0
+	for i := range results {
+		failed = failed || len(results[i].Broken) > 0 || len(results[i].Starved()) > 0
 	}
 	if asJSON {
-		if err := json.NewEncoder(out).Encode(all); err != nil {
+		if err := json.NewEncoder(out).Encode(results); err != nil {
 			return fmt.Errorf("days: %w", err)
 		}
 		if failed {
-			return errDays
+			return errDaysFailed
 		}
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	models := ""
-	if len(all) > 0 && all[0].Models > 0 {
-		models = "LARGE\tLWAIT P50/MAX\tUP\tUNBEGUN\tPIECES\tSTOPPED\tDOWN P90\t"
+	modelColumns := ""
+	if len(results) > 0 && results[0].Models > 0 {
+		modelColumns = "LARGE\tLWAIT P50/MAX\tUP\tUNBEGUN\tPIECES\tSTOPPED\tDOWN P90\t"
 	}
-	fmt.Fprintln(w, "SEED\tMACHINES\tTEAMS\tNODES\tJOBS\tFAULTS\tSERVED\tLEAST\tLARGEST\tBEGIN\tSTARTS\tLEASE\tREFUSED\tCHANGES/S\t429\tRENTED\tUNUSED\tMONEY\t"+models+"BROKEN")
-	for i := range all {
-		r := &all[i]
-		served, jobs, least := 0.0, 0, 1.0
+	fmt.Fprintln(w, "SEED\tMACHINES\tTEAMS\tNODES\tJOBS\tFAULTS\tSERVED\tLEAST\tLARGEST\tBEGIN\tSTARTS\tLEASE\tREFUSED\tCHANGES/S\t429\tRENTED\tUNUSED\tMONEY\t"+modelColumns+"BROKEN")
+	for i := range results {
+		r := &results[i]
+		served, jobs, leastServed := 0.0, 0, 1.0
 		for _, g := range r.Team {
 			served += g.Served * float64(g.Jobs)
 			jobs += g.Jobs
-			least = min(least, g.Served)
+			leastServed = min(leastServed, g.Served)
 		}
 		for _, g := range r.Classes {
-			least = min(least, g.Served)
+			leastServed = min(leastServed, g.Served)
 		}
 		worst := r.Worst()
-		models := ""
+		modelColumns := ""
 		if m := r.Model; m != nil {
-			models = fmt.Sprintf("%d/%d\t%.0f/%.0f\t%.2f\t%d\t%d\t%d\t%.0f\t", m.Begun, m.Large, m.Wait.P50, m.Wait.Max, m.Up, m.Unbegun, m.Pieces, m.Stopped, m.Down.P90)
+			modelColumns = fmt.Sprintf("%d/%d\t%.0f/%.0f\t%.2f\t%d\t%d\t%d\t%.0f\t", m.Begun, m.Large, m.Wait.P50, m.Wait.Max, m.Up, m.Unbegun, m.Pieces, m.Stopped, m.Down.P90)
 		}
 		broken := "-"
 		if len(r.Broken) > 0 {
@@ -190,36 +190,36 @@
 			broken += " starved: " + strings.Join(s, ", ")
 		}
 		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.2f\t%.2f\t%s\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%.2f\t%s%s\n", r.Seed, r.Machines, r.Teams, r.Controllers, r.Jobs, len(r.Day.Faults),
-			served/float64(max(1, jobs)), least, worst.Served, begin(&worst), r.Starts, r.LostToLease, r.Refused, r.Changes, r.TooMany, r.Rented, r.Unused, r.Money, models, broken)
+			served/float64(max(1, jobs)), leastServed, worst.Served, formatStarts(&worst), r.Starts, r.LostToLease, r.Refused, r.Changes, r.TooMany, r.Rented, r.Unused, r.Money, modelColumns, broken)
 	}
-	for i := range all {
-		if d := all[i].Dates; d != nil {
-			fmt.Fprintf(w, "\ndates of %d: %d of %d ended, kept %.3f, revised %d, first answers %.2f, median %.1f s for %.1f s, worst %.1f s, pages/s %.2f", all[i].Seed, d.Made, d.Ended, d.Kept, d.Revised, d.First, d.DateS, d.FinishS, d.WorstS, d.PagesS)
+	for i := range results {
+		if d := results[i].Dates; d != nil {
+			fmt.Fprintf(w, "\ndates of %d: %d of %d ended, kept %.3f, revised %d, first answers %.2f, median %.1f s for %.1f s, worst %.1f s, pages/s %.2f", results[i].Seed, d.Made, d.Ended, d.Kept, d.Revised, d.First, d.DateS, d.FinishS, d.WorstS, d.PagesS)
 		}
 	}
-	if groups {
-		for i := range all {
+	if showGroups {
+		for i := range results {
 			fmt.Fprintln(w, "\nOF\tJOBS\tSERVED\tLARGEST\tBEGIN\tWAIT P50\tP90\tMAX\tLATE P50\tP90\tMAX")
-			for _, g := range append(append([]standin.Group{}, all[i].Classes...), all[i].Team...) {
+			for _, g := range append(append([]standin.Group{}, results[i].Classes...), results[i].Team...) {
 				largest, began := "", ""
 				if l := g.Largest; l != nil {
-					largest, began = fmt.Sprintf("%.2f", l.Served), begin(l)
+					largest, began = fmt.Sprintf("%.2f", l.Served), formatStarts(l)
 				}
 				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", g.Name, g.Jobs, g.Served, largest, began, g.Wait.P50, g.Wait.P90, g.Wait.Max, g.Late.P50, g.Late.P90, g.Late.Max)
 			}
-			for _, f := range all[i].Day.Faults {
+			for _, f := range results[i].Day.Faults {
 				fmt.Fprintf(w, "%s\n", f)
 			}
-			if c := all[i].Cancels; c != nil {
+			if c := results[i].Cancels; c != nil {
 				fmt.Fprintln(w, c)
 			}
-			fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", all[i].StartedCancelled)
+			fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", results[i].StartedCancelled)
 			for _, rule := range standin.TimedRules {
-				if s, ok := all[i].Slack[rule]; ok {
+				if s, ok := results[i].Slack[rule]; ok {
 					fmt.Fprintf(w, "slack of %s: %.1f s, %s\n", rule, s.Left.Seconds(), s.What)
 				}
 			}
-			for _, b := range all[i].Broken {
+			for _, b := range results[i].Broken {
 				fmt.Fprintf(w, "%s\n", b)
 			}
 		}
@@ -228,7 +228,7 @@
 		return fmt.Errorf("days: %w", err)
 	}
 	if failed {
-		return errDays
+		return errDaysFailed
 	}
 	return nil
 }
--- a/cmd/micahill-lab/scale_test.go
+++ b/cmd/micahill-lab/scale_test.go
@@ -12,9 +12,9 @@
 	"github.com/micahill/micahill/internal/lab/scale"
 )
 
-// TestEarlierRungs: rungs of earlier runs are fitted without a new one, a broken rule in one
+// TestEarlierMeasurements: rungs of earlier runs are fitted without a new one, a broken rule in one
 // of them fails the command, and what can't be run is told before anything starts.
-func TestEarlierRungs(t *testing.T) {
+func TestEarlierMeasurements(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "ladder.json")
 	run := func(l scale.Series, args ...string) (string, error) {
 		b, err := json.Marshal(l)
--- a/cmd/micahill-lab/seek.go
+++ b/cmd/micahill-lab/seek.go
@@ -15,33 +15,33 @@
 	"github.com/micahill/micahill/internal/standin"
 )
 
-// daySeek is a search among days by the slack that they leave to rules.
-type daySeek struct {
-	seed  uint64
-	runs  int
-	limit time.Duration
-	first string
-	out   string
+// daySearch is a search among days by the slack that they leave to rules.
+type daySearch struct {
+	seed      uint64
+	runs      int
+	timeLimit time.Duration
+	focusRule string
+	outDir    string
 
 	mu sync.Mutex
-	// failed are the days that broke a rule, and starved those that served too little.
-	failed, starved int
+	// brokenDays are the days that broke a rule, and starved those that served too little.
+	brokenDays, starvedDays int
 }
 
-// errSeek says that a search found a day that broke a rule.
-var errSeek = errors.New("days: the search found a day that broke a rule")
+// errSearchViolation says that a search found a day that broke a rule.
+var errSearchViolation = errors.New("days: the search found a day that broke a rule")
 
 // run searches and tells the least slack of each rule, with the day as a file.
-func (s *daySeek) run(out, progress io.Writer, p standin.DayParams, parallel int) error {
-	if s.runs < 1 || s.limit < 0 {
+func (s *daySearch) run(out, progress io.Writer, p standin.DayParams, parallel int) error {
+	if s.runs < 1 || s.timeLimit < 0 {
 		return errors.New("days: --runs is to be positive, and --within not less than nothing")
 	}
-	if err := os.MkdirAll(s.out, 0o755); err != nil {
+	if err := os.MkdirAll(s.outDir, 0o755); err != nil {
 		return fmt.Errorf("days: %w", err)
 	}
-	r := seek.Run(standin.Seeking(p, s.note), seek.Options{
-		Seed: s.seed, Runs: s.runs, TimeLimit: s.limit, Parallel: parallel, FocusRule: s.first,
-		OnBatch: func(runs int) { fmt.Fprintf(progress, "%d runs, %d broken\n", runs, s.failed) },
+	r := seek.Run(standin.Seeking(p, s.recordDay), seek.Options{
+		Seed: s.seed, Runs: s.runs, TimeLimit: s.timeLimit, Parallel: parallel, FocusRule: s.focusRule,
+		OnBatch: func(runs int) { fmt.Fprintf(progress, "%d runs, %d broken\n", runs, s.brokenDays) },
 	})
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "RULE\tLEAST S\tNEXT S\tRUN\tDAY\tTROUBLES")
@@ -51,39 +51,39 @@
 			fmt.Fprintf(w, "%s\t-\t\t\t\t\n", rule)
 			continue
 		}
-		file := filepath.Join(s.out, fmt.Sprintf("least-%s-%d.json", rule, s.seed))
+		file := filepath.Join(s.outDir, fmt.Sprintf("least-%s-%d.json", rule, s.seed))
 		if err := found[0].Case.Save(file); err != nil {
 			return err
 		}
 		next := found[min(1, len(found)-1)]
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%d\t%s\t%s\n", rule, found[0].Margin, next.Margin, found[0].Run, file, troubles(&found[0].Case))
+		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%d\t%s\t%s\n", rule, found[0].Margin, next.Margin, found[0].Run, file, describeFaults(&found[0].Case))
 	}
-	fmt.Fprintf(w, "%d runs, %d days broke a rule, %d served too little\n", r.Runs, s.failed, s.starved)
+	fmt.Fprintf(w, "%d runs, %d days broke a rule, %d served too little\n", r.Runs, s.brokenDays, s.starvedDays)
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("days: %w", err)
 	}
-	if s.failed > 0 {
-		return errSeek
+	if s.brokenDays > 0 {
+		return errSearchViolation
 	}
 	return nil
 }
 
-// note counts a day that was played, and keeps the broken ones.
-func (s *daySeek) note(r standin.DayResult) {
+// recordDay counts a day that was played, and keeps the broken ones.
+func (s *daySearch) recordDay(r standin.DayResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(r.Starved()) > 0 {
-		s.starved++
+		s.starvedDays++
 	}
 	if len(r.Broken) > 0 {
-		s.failed++
+		s.brokenDays++
 		rule, _, _ := strings.Cut(r.Broken[0], " ")
 		// A day that cannot be kept is counted all the same.
-		_ = r.Day.Save(filepath.Join(s.out, fmt.Sprintf("broken-%d-%s-%d.json", s.seed, strings.Trim(rule, ":"), s.failed)))
+		_ = r.Day.Save(filepath.Join(s.outDir, fmt.Sprintf("broken-%d-%s-%d.json", s.seed, strings.Trim(rule, ":"), s.brokenDays)))
 	}
 }
 
-func troubles(d *standin.Day) string {
+func describeFaults(d *standin.Day) string {
 	var out []string
 	for _, f := range d.Faults {
 		out = append(out, f.String())
--- a/cmd/micahill-lab/up.go
+++ b/cmd/micahill-lab/up.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 )
 
-// program finds the controllers' program beside this one.
-func program(flag string) string {
+// controllerProgram finds the controllers' program beside this one.
+func controllerProgram(flag string) string {
 	if flag != "" {
 		return flag
 	}
@@ -28,10 +28,10 @@
 
 // upCommand brings clusters up to try things with.
 func upCommand() *cobra.Command {
-	var opt fleet.Options
+	var options fleet.Options
 	var first bool
 	var jobs int
-	var program_, dir string
+	var programFlag, dir string
 	c := &cobra.Command{
 		Use: "up", Short: "Bring clusters up on loopback and keep them until interrupted", Args: cobra.NoArgs,
 		Long: "Brings up whole clusters on this machine: real controllers, and stand-ins for state\nservice, cloud and workers. Prints addresses and processes, runs a first job, hands in\nmore if asked to, and stays until interrupted. At most one hour. Work handed in by\nothers is accepted, but the machines here know only this command's jobs.",
@@ -41,15 +41,15 @@
 				return fmt.Errorf("up: --jobs %d: want 0 to 10000", jobs)
 			}
 			var err error
-			if opt.Dir = dir; dir == "" {
-				if opt.Dir, err = os.MkdirTemp("", "micahill-lab"); err != nil {
+			if options.Dir = dir; dir == "" {
+				if options.Dir, err = os.MkdirTemp("", "micahill-lab"); err != nil {
 					return fmt.Errorf("up: %w", err)
 				}
-				defer os.RemoveAll(opt.Dir)
+				defer os.RemoveAll(options.Dir)
 			}
-			opt.EnableFiles = slices.DeleteFunc(opt.EnableFiles, func(x string) bool { return x == "" })
-			opt.Program, opt.Overflow, opt.LogLevel = program(program_), opt.Clusters > 1, "info"
-			f, err := fleet.Start(cmd.Context(), opt)
+			options.EnableFiles = slices.DeleteFunc(options.EnableFiles, func(x string) bool { return x == "" })
+			options.Program, options.Overflow, options.LogLevel = controllerProgram(programFlag), options.Clusters > 1, "info"
+			f, err := fleet.Start(cmd.Context(), options)
 			if err != nil {
 				return err
 			}
@@ -59,37 +59,37 @@
 					fmt.Fprintf(out, "%s node-%d: users at %s, operators at %s, process %d\n", c.Name, i, c.APIAddrs[i], c.InternalAddrs[i], c.PID(i))
 				}
 			}
-			fmt.Fprintf(out, "logs: %s\nlook: %s status --addr %s\n", opt.Dir, opt.Program, f.Clusters[0].InternalAddrs[0])
+			fmt.Fprintf(out, "logs: %s\nlook: %s status --addr %s\n", options.Dir, options.Program, f.Clusters[0].InternalAddrs[0])
 			if first {
-				if err := firstJob(cmd, f.Clusters[0]); err != nil {
+				if err := runFirstJob(cmd, f.Clusters[0]); err != nil {
 					return err
 				}
 			}
 			fmt.Fprintln(out, "running; interrupt to end")
 			ctx, cancel := context.WithTimeout(cmd.Context(), time.Hour)
 			defer cancel()
-			if err := moreJobs(ctx, f.Clusters[0], jobs); err != nil {
+			if err := submitJobs(ctx, f.Clusters[0], jobs); err != nil {
 				return err
 			}
 			<-ctx.Done()
 			return nil
 		},
 	}
-	c.Flags().IntVar(&opt.Clusters, "clusters", 1, "how many clusters, 1 to 5; more than one lend to each other")
-	c.Flags().IntVar(&opt.Controllers, "controllers", 3, "controllers of each, 1 to 19")
-	c.Flags().IntSliceVar(&opt.Machines, "machines", nil, "machines that each cluster's cloud has, such as 1,20,20")
+	c.Flags().IntVar(&options.Clusters, "clusters", 1, "how many clusters, 1 to 5; more than one lend to each other")
+	c.Flags().IntVar(&options.Controllers, "controllers", 3, "controllers of each, 1 to 19")
+	c.Flags().IntSliceVar(&options.Machines, "machines", nil, "machines that each cluster's cloud has, such as 1,20,20")
 	c.Flags().BoolVar(&first, "job", true, "run a first job of four tasks")
 	c.Flags().IntVar(&jobs, "jobs", 0, "hand so many more jobs in, one a second, of the workloads alert, report and reprint")
-	c.Flags().StringArrayVar(&opt.EnableFiles, "enable", []string{"deploy/ranking.toml", "deploy/promises.toml", "deploy/models.toml"}, "file that switches something on at all controllers; repeatable; --enable= for none")
-	c.Flags().StringVar(&program_, "micahill", "", "the controllers' program (default: beside this one)")
+	c.Flags().StringArrayVar(&options.EnableFiles, "enable", []string{"deploy/ranking.toml", "deploy/promises.toml", "deploy/models.toml"}, "file that switches something on at all controllers; repeatable; --enable= for none")
+	c.Flags().StringVar(&programFlag, "micahill", "", "the controllers' program (default: beside this one)")
 	c.Flags().StringVar(&dir, "dir", "", "folder for settings, keys and logs (default: a temporary one)")
 	return c
 }
 
-func firstJob(cmd *cobra.Command, c *fleet.Cluster) error {
+func runFirstJob(cmd *cobra.Command, c *fleet.Cluster) error {
 	began := time.Now()
 	j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Tasks: 4, CPUs: 1, RunTime: 3 * time.Second, Urgency: "normal"}
-	said := ""
+	lastState := ""
 	for accepted := false; time.Since(began) < time.Minute; time.Sleep(100 * time.Millisecond) {
 		if !accepted {
 			var err error
@@ -99,8 +99,8 @@
 			continue
 		}
 		s, state := c.Query(cmd.Context(), j.ID)
-		if s == http.StatusOK && state != said {
-			said = state
+		if s == http.StatusOK && state != lastState {
+			lastState = state
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %s after %.1f s\n", j.ID, state, time.Since(began).Seconds())
 		}
 		if state == "done" {
@@ -110,9 +110,9 @@
 	return errors.New("up: the first job did not end within a minute; look at the logs")
 }
 
-// moreJobs hands jobs in, one a second: every seventh is urgent and short, every third a
+// submitJobs hands jobs in, one a second: every seventh is urgent and short, every third a
 // large one that nothing hurries.
-func moreJobs(ctx context.Context, c *fleet.Cluster, jobs int) error {
+func submitJobs(ctx context.Context, c *fleet.Cluster, jobs int) error {
 	for i := range jobs {
 		j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Workload: "report", Tasks: 4, CPUs: 1, RunTime: 10 * time.Second, Urgency: "normal"}
 		switch {
