--- a/cmd/micahill-lab/days.go
+++ b/cmd/micahill-lab/days.go
@@ -57,7 +57,7 @@
 			if params.Machines < 0 || params.Teams < 0 || params.Teams > 26 || params.Controllers < 0 || params.Controllers > 9 || params.Models < 0 || seeds < 1 {
 				return errors.New("days: --machines, --teams (up to 26), --controllers (up to 9), --models and --seeds are to be positive")
 			}
-			if err := params.Check(); err != nil {
+			if err := params.Validate(); err != nil {
 				return err
 			}
 			out := cmd.OutOrStdout()
@@ -66,18 +66,18 @@
 				return search.run(out, cmd.ErrOrStderr(), params, parallel)
 			}
 			if cmd.Flags().Changed("seed") || dayFile != "" {
-				d := standin.DrawDay(params)
+				d := standin.GenerateDay(params)
 				if dayFile != "" {
 					var err error
-					if d, err = standin.Load(dayFile); err != nil {
+					if d, err = standin.LoadDay(dayFile); err != nil {
 						return fmt.Errorf("days: %w", err)
 					}
 				}
-				broken := func(r standin.DayResult) bool { return len(r.Broken) > 0 }
+				broken := func(r standin.DayResult) bool { return len(r.Violations) > 0 }
 				if shrink {
 					d = standin.Shrink(d, broken, func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) })
 				}
-				r := standin.PlayDay(d, trace)
+				r := standin.RunDay(d, trace)
 				if !quiet {
 					fmt.Fprintln(out, strings.Join(r.Log, "\n"))
 				}
@@ -92,7 +92,7 @@
 					defer func() { <-slots }()
 					dayParams := params
 					dayParams.Seed = from + i
-					results[i] = standin.PlayDay(standin.DrawDay(dayParams), "")
+					results[i] = standin.RunDay(standin.GenerateDay(dayParams), "")
 				})
 			}
 			wg.Wait()
@@ -104,17 +104,17 @@
 	f.IntVar(&params.Teams, "teams", 0, "teams")
 	f.IntVar(&params.Controllers, "controllers", 0, "controllers")
 	f.IntVar(&params.Jobs, "jobs", 0, "jobs in all")
-	f.IntVar(&params.Faults, "faults", 0, "troubles; -1: none")
+	f.IntVar(&params.FaultCount, "faults", 0, "troubles; -1: none")
 	f.IntVar(&params.Minutes, "minutes", 0, "how long jobs come")
-	f.IntVar(&params.Hot, "hot", 0, "how many times the work of another team the first has")
-	f.BoolVar(&params.Unlisted, "unlisted", false, "with troubles that were on no list: late boots, storms of polls, mistakes, guests, ends in a row, links that are half there")
-	f.BoolVar(&params.Product, "product", false, "as --unlisted, also with machines that nothing reaches, late copies of reports, controllers that have only their workers, and processes and machines back at once")
-	f.BoolVar(&params.Meetings, "meetings", false, "two or three troubles of all lists meet, and users cancel most of a class around them; with --unlisted, --product or --faults also those")
+	f.IntVar(&params.HotFactor, "hot", 0, "how many times the work of another team the first has")
+	f.BoolVar(&params.UnlistedFaults, "unlisted", false, "with troubles that were on no list: late boots, storms of polls, mistakes, guests, ends in a row, links that are half there")
+	f.BoolVar(&params.ProtocolFaults, "product", false, "as --unlisted, also with machines that nothing reaches, late copies of reports, controllers that have only their workers, and processes and machines back at once")
+	f.BoolVar(&params.OverlappingFaults, "meetings", false, "two or three troubles of all lists meet, and users cancel most of a class around them; with --unlisted, --product or --faults also those")
 	f.BoolVar(&params.Pipelines, "pipelines", false, "jobs that need others, in chains, joins and fans, and users who cancel in the middle of them")
-	f.BoolVar(&params.Mixed, "mixed", false, "jobs that save, stand, are bound to a zone or apart, and clocks that are off")
-	f.IntVar(&params.CancelRoom, "cancel-room", 0, "by how many seconds cancel_s is longer than a lease; 0: 30")
+	f.BoolVar(&params.MixedJobs, "mixed", false, "jobs that save, stand, are bound to a zone or apart, and clocks that are off")
+	f.IntVar(&params.CancelMarginS, "cancel-room", 0, "by how many seconds cancel_s is longer than a lease; 0: 30")
 	f.IntVar(&params.Models, "models", 0, "so many hosts with eight GPUs, and models of one GPU to a whole host")
-	f.StringSliceVar(&params.On, "on", nil, "what is switched on: ranking, promises, models, or all")
+	f.StringSliceVar(&params.Enabled, "on", nil, "what is switched on: ranking, promises, models, or all")
 	f.Uint64Var(&seeds, "seeds", 10, "how many days")
 	f.Uint64Var(&from, "from", 1, "the first day's seed")
 	f.Uint64Var(&params.Seed, "seed", 0, "play this one day, with its log")
@@ -136,20 +136,20 @@
 var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest began too late")
 
 // formatStarts shows the waits of the largest jobs for their first and for all tasks.
-func formatStarts(largest *standin.Largest) string {
+func formatStarts(largest *standin.LargestJobs) string {
 	show := func(s float64) string {
 		if s < 0 {
 			return "never"
 		}
 		return fmt.Sprintf("%.0f", s)
 	}
-	return show(largest.First) + "/" + show(largest.All)
+	return show(largest.FirstStartS) + "/" + show(largest.AllStartedS)
 }
 
 func printDays(out io.Writer, results []standin.DayResult, asJSON, showGroups bool) error {
 	failed := false
 	for i := range results {
-		failed = failed || len(results[i].Broken) > 0 || len(results[i].Starved()) > 0
+		failed = failed || len(results[i].Violations) > 0 || len(results[i].Starved()) > 0
 	}
 	if asJSON {
 		if err := json.NewEncoder(out).Encode(results); err != nil {
@@ -169,43 +169,43 @@
 	for i := range results {
 		r := &results[i]
 		served, jobs, leastServed := 0.0, 0, 1.0
-		for _, g := range r.Team {
-			served += g.Served * float64(g.Jobs)
+		for _, g := range r.TeamGroups {
+			served += g.ServedFraction * float64(g.Jobs)
 			jobs += g.Jobs
-			leastServed = min(leastServed, g.Served)
+			leastServed = min(leastServed, g.ServedFraction)
 		}
 		for _, g := range r.Classes {
-			leastServed = min(leastServed, g.Served)
+			leastServed = min(leastServed, g.ServedFraction)
 		}
 		worst := r.Worst()
 		modelColumns := ""
-		if m := r.Model; m != nil {
-			modelColumns = fmt.Sprintf("%d/%d\t%.0f/%.0f\t%.2f\t%d\t%d\t%d\t%.0f\t", m.Begun, m.Large, m.Wait.P50, m.Wait.Max, m.Up, m.Unbegun, m.Pieces, m.Stopped, m.Down.P90)
+		if m := r.ModelStats; m != nil {
+			modelColumns = fmt.Sprintf("%d/%d\t%.0f/%.0f\t%.2f\t%d\t%d\t%d\t%.0f\t", m.LargeStarted, m.LargeModels, m.Wait.P50, m.Wait.Max, m.Up, m.OthersUnstarted, m.FragmentedGPUs, m.Stopped, m.Down.P90)
 		}
 		broken := "-"
-		if len(r.Broken) > 0 {
-			broken = fmt.Sprintf("%d: %s", len(r.Broken), r.Broken[0])
+		if len(r.Violations) > 0 {
+			broken = fmt.Sprintf("%d: %s", len(r.Violations), r.Violations[0])
 		}
 		if s := r.Starved(); len(s) > 0 {
 			broken += " starved: " + strings.Join(s, ", ")
 		}
 		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t%.2f\t%.2f\t%s\t%d\t%d\t%d\t%.1f\t%d\t%d\t%d\t%.2f\t%s%s\n", r.Seed, r.Machines, r.Teams, r.Controllers, r.Jobs, len(r.Day.Faults),
-			served/float64(max(1, jobs)), leastServed, worst.Served, formatStarts(&worst), r.Starts, r.LostToLease, r.Refused, r.Changes, r.TooMany, r.Rented, r.Unused, r.Money, modelColumns, broken)
+			served/float64(max(1, jobs)), leastServed, worst.ServedFraction, formatStarts(&worst), r.Starts, r.LostToLease, r.RefusedRequests, r.WritesPerSecond, r.RateLimited, r.RentedMachines, r.UnusedMachines, r.Cost, modelColumns, broken)
 	}
 	for i := range results {
-		if d := results[i].Dates; d != nil {
-			fmt.Fprintf(w, "\ndates of %d: %d of %d ended, kept %.3f, revised %d, first answers %.2f, median %.1f s for %.1f s, worst %.1f s, pages/s %.2f", results[i].Seed, d.Made, d.Ended, d.Kept, d.Revised, d.First, d.DateS, d.FinishS, d.WorstS, d.PagesS)
+		if d := results[i].Promises; d != nil {
+			fmt.Fprintf(w, "\ndates of %d: %d of %d ended, kept %.3f, revised %d, first answers %.2f, median %.1f s for %.1f s, worst %.1f s, pages/s %.2f", results[i].Seed, d.Made, d.Ended, d.Kept, d.Revised, d.DatedAtFirst, d.MedianDateS, d.MedianFinishS, d.WorstS, d.PageWritesPerS)
 		}
 	}
 	if showGroups {
 		for i := range results {
 			fmt.Fprintln(w, "\nOF\tJOBS\tSERVED\tLARGEST\tBEGIN\tWAIT P50\tP90\tMAX\tLATE P50\tP90\tMAX")
-			for _, g := range append(append([]standin.Group{}, results[i].Classes...), results[i].Team...) {
+			for _, g := range append(append([]standin.Group{}, results[i].Classes...), results[i].TeamGroups...) {
 				largest, began := "", ""
 				if l := g.Largest; l != nil {
-					largest, began = fmt.Sprintf("%.2f", l.Served), formatStarts(l)
+					largest, began = fmt.Sprintf("%.2f", l.ServedFraction), formatStarts(l)
 				}
-				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", g.Name, g.Jobs, g.Served, largest, began, g.Wait.P50, g.Wait.P90, g.Wait.Max, g.Late.P50, g.Late.P90, g.Late.Max)
+				fmt.Fprintf(w, "%s\t%d\t%.3f\t%s\t%s\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\n", g.Name, g.Jobs, g.ServedFraction, largest, began, g.Wait.P50, g.Wait.P90, g.Wait.Max, g.Late.P50, g.Late.P90, g.Late.Max)
 			}
 			for _, f := range results[i].Day.Faults {
 				fmt.Fprintf(w, "%s\n", f)
@@ -213,13 +213,13 @@
 			if c := results[i].Cancels; c != nil {
 				fmt.Fprintln(w, c)
 			}
-			fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", results[i].StartedCancelled)
+			fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", results[i].StartsAfterCancel)
 			for _, rule := range standin.TimedRules {
-				if s, ok := results[i].Slack[rule]; ok {
-					fmt.Fprintf(w, "slack of %s: %.1f s, %s\n", rule, s.Left.Seconds(), s.What)
+				if s, ok := results[i].Margins[rule]; ok {
+					fmt.Fprintf(w, "slack of %s: %.1f s, %s\n", rule, s.Remaining.Seconds(), s.Subject)
 				}
 			}
-			for _, b := range results[i].Broken {
+			for _, b := range results[i].Violations {
 				fmt.Fprintf(w, "%s\n", b)
 			}
 		}
--- a/cmd/micahill-lab/overflow.go
+++ b/cmd/micahill-lab/overflow.go
@@ -137,7 +137,7 @@
 					since = t
 				}
 			}
-			j.forgotten = j.forgotten || !j.acceptedAt.IsZero() && time.Since(since) > standin.SilentMost
+			j.forgotten = j.forgotten || !j.acceptedAt.IsZero() && time.Since(since) > standin.MaxUnanswered
 		}
 		if !injected && len(lent) > 0 {
 			injected = true
@@ -219,7 +219,7 @@
 func recordPlacements(f *fleet.Fleet, duplicated, lent map[string]bool) {
 	placed := map[string]bool{}
 	for _, c := range f.Clusters {
-		tasks, _ := c.Live.Running()
+		tasks, _ := c.Live.RunningTasks()
 		for _, x := range tasks {
 			id, index, _ := strings.Cut(x, "/")
 			if strings.HasPrefix(id, "job-lent-") {
--- a/cmd/micahill-lab/seek.go
+++ b/cmd/micahill-lab/seek.go
@@ -39,13 +39,13 @@
 	if err := os.MkdirAll(s.outDir, 0o755); err != nil {
 		return fmt.Errorf("days: %w", err)
 	}
-	r := seek.Run(standin.Seeking(p, s.recordDay), seek.Options{
+	r := seek.Run(standin.SearchProblem(p, s.recordDay), seek.Options{
 		Seed: s.seed, Runs: s.runs, TimeLimit: s.timeLimit, Parallel: parallel, FocusRule: s.focusRule,
 		OnBatch: func(runs int) { fmt.Fprintf(progress, "%d runs, %d broken\n", runs, s.brokenDays) },
 	})
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "RULE\tLEAST S\tNEXT S\tRUN\tDAY\tTROUBLES")
-	for _, rule := range append(standin.TimedRules[:len(standin.TimedRules):len(standin.TimedRules)], standin.Untimed) {
+	for _, rule := range append(standin.TimedRules[:len(standin.TimedRules):len(standin.TimedRules)], standin.UntimedRules) {
 		found := r.Nearest[rule]
 		if len(found) == 0 {
 			fmt.Fprintf(w, "%s\t-\t\t\t\t\n", rule)
@@ -75,9 +75,9 @@
 	if len(r.Starved()) > 0 {
 		s.starvedDays++
 	}
-	if len(r.Broken) > 0 {
+	if len(r.Violations) > 0 {
 		s.brokenDays++
-		rule, _, _ := strings.Cut(r.Broken[0], " ")
+		rule, _, _ := strings.Cut(r.Violations[0], " ")
 		// A day that cannot be kept is counted all the same.
 		_ = r.Day.Save(filepath.Join(s.outDir, fmt.Sprintf("broken-%d-%s-%d.json", s.seed, strings.Trim(rule, ":"), s.brokenDays)))
 	}
--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -37,7 +37,7 @@
 			fmt.Fprintf(&b, "[[seeds]]\nhost_name = \"node-%d\"\narea = \"a\"\naddress = %q\n", k, back[k])
 		}
 	}
-	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", live.Cloud, live.State)
+	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", live.CloudAddr, live.StateAddr)
 	b.WriteString(`[deployment]
 initial_size = 3
 zones = ["a"]
@@ -148,7 +148,7 @@
 		eventually(t, "a controller is healthy", func() bool { s, _, _ := request(t, "GET", apiURL(i, "/healthz"), nil); return s == 200 })
 	}
 	submit := func(i int, o obj) int {
-		live.Know(jobSpec(o), 700*time.Millisecond)
+		live.AddJob(jobSpec(o), 700*time.Millisecond)
 		status := 0
 		eventually(t, "a submission is decided", func() bool {
 			status, _, _ = request(t, "POST", apiURL(i, "/v2/runs"), o)
@@ -207,13 +207,13 @@
 		}
 	}
 
-	live.Away(true)
+	live.SetStoreUnavailable(true)
 	eventually(t, "a refusal at once with Retry-After", func() bool {
 		began := time.Now()
 		s, _, h := request(t, "POST", apiURL(0, "/v2/runs"), jobFields("job-000003", "ops", 1))
 		return s == 503 && h.Get("Retry-After") != "" && time.Since(began) < time.Second
 	})
-	live.Away(false)
+	live.SetStoreUnavailable(false)
 
 	if s, _, _ := request(t, "GET", "http://"+back[0]+"/metrics", nil); s != 200 {
 		t.Errorf("metrics: %d", s)
@@ -232,7 +232,7 @@
 	stop[owner]()
 	<-ended
 	done((owner+1)%3, "job-000004")
-	for _, b := range live.Broken() {
+	for _, b := range live.Violations() {
 		t.Error(b)
 	}
 	cancel()
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -84,13 +84,13 @@
 // by which it may be lent.
 func announceJob(clusters map[string]*testCluster, home string, o obj, run time.Duration) {
 	s := jobSpec(o)
-	clusters[home].simulated.Know(s, run)
+	clusters[home].simulated.AddJob(s, run)
 	for _, c := range clusters {
 		for n := range uint64(3) {
 			lent := s
 			lent.ID, lent.Team = overflow.Loan{Home: home, Job: s.ID, LendCount: n + 1}.OffloadedJobID(), "guests"
 			if c.name != home {
-				c.simulated.Know(lent, run)
+				c.simulated.AddJob(lent, run)
 			}
 		}
 	}
@@ -113,7 +113,7 @@
 		for ctx.Err() == nil {
 			cluster := map[string]string{}
 			for name, c := range clusters {
-				tasks, _ := c.simulated.Running()
+				tasks, _ := c.simulated.RunningTasks()
 				for _, x := range tasks {
 					if strings.HasPrefix(x, "job-lent-") {
 						x = "job-" + x[strings.LastIndexByte(x, '-')+1:]
@@ -202,13 +202,13 @@
 	for _, x := range duplicates() {
 		t.Error("runs in two clusters: " + x)
 	}
-	if _, n := clusters["west"].simulated.Running(); n == 0 {
-		if _, n = clusters["north"].simulated.Running(); n == 0 {
+	if _, n := clusters["west"].simulated.RunningTasks(); n == 0 {
+		if _, n = clusters["north"].simulated.RunningTasks(); n == 0 {
 			t.Error("no peer started anything")
 		}
 	}
 	for _, c := range clusters {
-		for _, b := range c.simulated.Broken() {
+		for _, b := range c.simulated.Violations() {
 			t.Errorf("%s: %s", c.name, b)
 		}
 	}
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -84,7 +84,7 @@
 	if out, err := runCommand("history", "--addr", back[2], "--json"); err != nil || !strings.Contains(out, `"bound_s": 30`) || strings.Count(out, `"rev"`) != 2 {
 		t.Error(out, err)
 	}
-	live.Know(jobSpec(jobFields("job-1", "ops", 400)), time.Second)
+	live.AddJob(jobSpec(jobFields("job-1", "ops", 400)), time.Second)
 	eventually(t, "a job is accepted", func() bool {
 		s, _, _ := request(t, http.MethodPost, "http://"+api[0]+"/v2/runs", jobFields("job-1", "ops", 400))
 		return s == 201 || s == 200
--- a/internal/core/jobs.go
+++ b/internal/core/jobs.go
@@ -111,7 +111,7 @@
 	preemptionCapacity int
 	// overdue: it has waited behind others for longer than it may, and early: what of
 	// it goes first for that is being placed. placedAt is when a task of it was last
-	// given a place, and waitsFrom since when some wait for one without a break.
+	// given a place, and waitingSince since when some wait for one without a break.
 	overdue, placingOverdue    bool
 	lastPlacedAt, waitingSince time.Time
 	liveByZone                 map[string]int
--- a/internal/core/safety_test.go
+++ b/internal/core/safety_test.go
@@ -134,7 +134,7 @@
 // run lets time pass in steps of 50 ms.
 func (b *harness) run(d time.Duration) {
 	for end := b.now.Add(d); ; b.now = b.now.Add(50 * time.Millisecond) {
-		b.store.Tick(b.now)
+		b.store.Expire(b.now)
 		for _, vm := range b.sortedVMs() {
 			if vm.repeat != nil && b.now.Sub(vm.repeatedAt) >= 3*time.Second {
 				vm.repeatedAt = b.now
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -166,7 +166,7 @@
 			machines = f.options.Machines[min(i, n-1)]
 		}
 		c.Live = standin.NewLive(settings, deployment.StateRPS, deployment.StateWriteRPS, types, map[string]int{"box/a/true": machines}, c.APIAddrs)
-		c.Live.Learn(f.describeJob)
+		c.Live.SetJobSource(f.describeJob)
 		go c.Live.Run(ctx)
 		if f.options.Overflow {
 			if err := keys.Issue(ca, name, filepath.Join(c.dir, "keys"), keys.CertValidity, time.Now()); err != nil {
@@ -220,7 +220,7 @@
 			fmt.Fprintf(&b, "[[seeds]]\nhost_name = \"node-%d\"\narea = \"a\"\naddress = %q\n", k, c.InternalAddrs[k])
 		}
 	}
-	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.Live.Cloud, c.Live.State)
+	fmt.Fprintf(&b, "[outside]\ncloud = %q\nstate = %q\n", c.Live.CloudAddr, c.Live.StateAddr)
 	deployment := c.fleet.options.Deployment
 	fmt.Fprintf(&b, "[deployment]\ninitial_size = %d\nzones = [\"a\"]\ntime_bound_ms = 100.0\n", len(c.APIAddrs))
 	for _, team := range deployment.Teams {
--- a/internal/lab/scale/rung.go
+++ b/internal/lab/scale/rung.go
@@ -147,7 +147,7 @@
 			return nil, err
 		}
 	}
-	result.Violations = load.cluster.Live.Broken()
+	result.Violations = load.cluster.Live.Violations()
 	return result, nil
 }
 
@@ -369,18 +369,18 @@
 		}
 		return sum, out
 	}
-	r.ForS, r.StartsPerSecond, r.RateLimited, r.CloudCalls, r.LostToLease = seconds, float64(delta.Started)/seconds, delta.Refused, float64(delta.CloudCalls)/seconds, delta.LostToLease
-	for status, n := range delta.Reports {
+	r.ForS, r.StartsPerSecond, r.RateLimited, r.CloudCalls, r.LostToLease = seconds, float64(delta.Starts)/seconds, delta.RateLimited, float64(delta.CloudCalls)/seconds, delta.LostToLease
+	for status, n := range delta.Heartbeats {
 		r.HeartbeatsPerSecond += float64(n) / seconds
 		if status != http.StatusOK {
 			r.HeartbeatsRejected += float64(n) / seconds
 		}
 	}
 	kb := 1024 * seconds * float64(r.Workers)
-	r.HeartbeatKB, r.CommandKB = float64(delta.ReportsOut+delta.ReportsIn)/kb, float64(delta.OrdersOut+delta.OrdersIn)/kb
-	r.CommandsPerSecond, _ = perSecond(delta.Orders)
+	r.HeartbeatKB, r.CommandKB = float64(delta.HeartbeatBytesOut+delta.HeartbeatBytesIn)/kb, float64(delta.CommandBytesOut+delta.CommandBytesIn)/kb
+	r.CommandsPerSecond, _ = perSecond(delta.Commands)
 	r.StateRPS, r.RequestsByKind = perSecond(delta.Requests)
-	r.StateWriteRPS, r.WritesByFamily = perSecond(delta.Changes)
+	r.StateWriteRPS, r.WritesByFamily = perSecond(delta.Writes)
 	r.SimulationCores = (after.self.cpuSeconds - before.self.cpuSeconds) / seconds
 	r.OtherCores = (after.machineCPU-before.machineCPU)/seconds - r.SimulationCores
 	for i, x := range after.procs {
@@ -446,7 +446,7 @@
 	end := time.Now().Add(maxUrgentWait)
 	for id, at := range l.urgentJobs {
 		for ctx.Err() == nil {
-			if first, ok := l.cluster.Live.Began(id); ok {
+			if first, ok := l.cluster.Live.FirstStart(id); ok {
 				all = append(all, first.Sub(at).Seconds())
 				break
 			}
@@ -488,7 +488,7 @@
 			takeover.ClaimedS = time.Since(ended).Seconds()
 		}
 		for _, id := range ids {
-			if first, ok := l.cluster.Live.Began(id); ok && takeover.FirstStartS == 0 {
+			if first, ok := l.cluster.Live.FirstStart(id); ok && takeover.FirstStartS == 0 {
 				takeover.FirstStartS = first.Sub(ended).Seconds()
 			}
 		}
@@ -502,7 +502,7 @@
 
 // measureWorkerLoss ends workers all at once, and waits until everything that stands runs again.
 func (l *workload) measureWorkerLoss(ctx context.Context, r *Measurement) error {
-	lost := l.cluster.Live.Lose(l.plan.LostWorkers)
+	lost := l.cluster.Live.KillMachines(l.plan.LostWorkers)
 	l.logf("%d workers are lost", lost)
 	began := time.Now()
 	for ; ctx.Err() == nil && time.Since(began) < maxRecoveryTime; sleep(ctx, pollInterval) {
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -17,7 +17,7 @@
 	stepMark  = "."
 	wholeMark = "~"
 	radix     = 36
-	// maxDigits bounds the digits of a number, which has to fit 64 bits, and stepsMost
+	// maxDigits bounds the digits of a number, which has to fit 64 bits, and maxSteps
 	// the names that a string is read as.
 	maxDigits = 18
 	maxSteps  = 100_000
--- a/internal/standin/cloud.go
+++ b/internal/standin/cloud.go
@@ -8,111 +8,111 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// cloud executes a request to the cloud.
-func (w *World) cloud(op core.CloudRequest) core.CloudResponse {
-	d := core.CloudResponse{ID: op.ID, Status: core.CloudOK}
-	if w.cloudOut || !w.calls.AllowN(w.now, 1) {
-		if !w.cloudOut {
-			w.Calls.Refused++
+// executeCloud executes a request to the cloud.
+func (w *World) executeCloud(op core.CloudRequest) core.CloudResponse {
+	response := core.CloudResponse{ID: op.ID, Status: core.CloudOK}
+	if w.cloudOutage || !w.cloudLimiter.AllowN(w.now, 1) {
+		if !w.cloudOutage {
+			w.CloudCalls.RefusedRequests++
 		}
-		d.Status = core.CloudRefused
-		return d
+		response.Status = core.CloudRefused
+		return response
 	}
-	w.Calls.Done++
+	w.CloudCalls.Done++
 	switch op.Kind {
 	case core.CloudListTypes:
-		for _, k := range sorted(w.types) {
-			d.MachineTypes = append(d.MachineTypes, w.types[k])
+		for _, k := range sortedKeys(w.machineTypes) {
+			response.MachineTypes = append(response.MachineTypes, w.machineTypes[k])
 		}
 	case core.CloudListMachines:
 		// As of some time ago, that differs from list to list.
-		at := w.now.Add(-time.Duration(float64(w.set.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
-		for _, id := range w.order[sort.SearchStrings(w.order, op.StartAfter):] {
-			m := w.machine[id]
-			if id <= op.StartAfter || m.rentedAt.After(at) || !m.goneAt.IsZero() && !m.goneAt.After(at) {
+		asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
+		for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, op.StartAfter):] {
+			m := w.machines[id]
+			if id <= op.StartAfter || m.rentedAt.After(asOf) || !m.goneAt.IsZero() && !m.goneAt.After(asOf) {
 				continue
 			}
-			if len(d.Machines) == cloudPage {
-				d.Truncated = true
+			if len(response.Machines) == cloudListPage {
+				response.Truncated = true
 				break
 			}
-			l := core.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.Flavour, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: at.Sub(m.rentedAt)}
+			listed := core.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
 			switch {
-			case m.dead && !m.taken && at.Sub(m.diedAt) > deathLag:
-				l.Status = "failed"
-			case at.Before(m.upAt):
-				l.Status = "booting"
+			case m.dead && !m.reclaimed && asOf.Sub(m.diedAt) > failedListLag:
+				listed.Status = "failed"
+			case asOf.Before(m.upAt):
+				listed.Status = "booting"
 			}
-			d.Machines = append(d.Machines, l)
+			response.Machines = append(response.Machines, listed)
 		}
 	case core.CloudRent:
 		if op.Count < 1 || op.Count > 50 || op.IdempotencyKey == "" {
-			w.broke("malformed", "a booking of %d machines", op.Count)
-			d.Status = core.CloudMalformed
-			return d
+			w.violate("malformed", "a booking of %d machines", op.Count)
+			response.Status = core.CloudMalformed
+			return response
 		}
-		if names, ok := w.booked[op.IdempotencyKey]; ok {
-			d.Rented = names
-			return d
+		if names, ok := w.rentals[op.IdempotencyKey]; ok {
+			response.Rented = names
+			return response
 		}
 		key := fmt.Sprintf("%s/%s/%v", op.MachineType, op.Zone, op.Spot)
-		for range min(op.Count, w.room[key]) {
-			w.names++
-			f := w.types[op.MachineType]
-			id := fmt.Sprintf("vm-%06d", w.names)
+		for range min(op.Count, w.cloudCapacity[key]) {
+			w.lastID++
+			f := w.machineTypes[op.MachineType]
+			id := fmt.Sprintf("vm-%06d", w.lastID)
 			m := &Worker{
-				ID: id, Addr: id, Flavour: op.MachineType, Zone: op.Zone, Spot: op.Spot, Size: f.Capacity,
-				Pull: f.ImageFetchRate, rentedAt: w.now, upAt: w.now.Add(w.upAfter(f)),
-				images: map[string]time.Time{}, tasks: map[string]*workerTask{}, node: w.rng.IntN(max(1, len(w.nodes))),
+				ID: id, Addr: id, MachineType: op.MachineType, Zone: op.Zone, Spot: op.Spot, Size: f.Capacity,
+				FetchRate: f.ImageFetchRate, rentedAt: w.now, upAt: w.now.Add(w.provisioningTime(f)),
+				images: map[string]time.Time{}, tasks: map[string]*workerTask{}, controller: w.rng.IntN(max(1, len(w.controllers))),
 			}
-			w.machine[m.ID] = m
-			w.order, w.fleet = append(w.order, m.ID), append(w.fleet, m)
-			w.rented(m)
-			d.Rented = append(d.Rented, m.ID)
+			w.machines[m.ID] = m
+			w.machineIDs, w.fleet = append(w.machineIDs, m.ID), append(w.fleet, m)
+			w.onRented(m)
+			response.Rented = append(response.Rented, m.ID)
 		}
-		w.room[key] -= len(d.Rented)
-		if len(d.Rented) == 0 {
-			d.Status = core.CloudNoCapacity
-			return d
+		w.cloudCapacity[key] -= len(response.Rented)
+		if len(response.Rented) == 0 {
+			response.Status = core.CloudNoCapacity
+			return response
 		}
-		w.booked[op.IdempotencyKey] = d.Rented
+		w.rentals[op.IdempotencyKey] = response.Rented
 	case core.CloudRelease:
 		if len(op.Machines) > 100 {
-			w.broke("malformed", "a return of %d machines", len(op.Machines))
-			d.Status = core.CloudMalformed
-			return d
+			w.violate("malformed", "a return of %d machines", len(op.Machines))
+			response.Status = core.CloudMalformed
+			return response
 		}
 		for _, id := range op.Machines {
-			if m := w.machine[id]; m != nil && !m.returned {
-				m.returned = true
+			if m := w.machines[id]; m != nil && !m.released {
+				m.released = true
 				if m.goneAt.IsZero() {
 					m.goneAt = w.now
 				}
-				w.clear(m)
-				w.room[fmt.Sprintf("%s/%s/%v", m.Flavour, m.Zone, m.Spot)]++
+				w.clearTasks(m)
+				w.cloudCapacity[fmt.Sprintf("%s/%s/%v", m.MachineType, m.Zone, m.Spot)]++
 			}
 		}
 	}
-	return d
+	return response
 }
 
-// kill stops a machine with all that is on it.
-func (w *World) kill(m *Worker) {
-	if m.dead || m.returned {
+// killMachine stops a machine with all that is on it.
+func (w *World) killMachine(m *Worker) {
+	if m.dead || m.released {
 		return
 	}
-	if !m.recallAt.IsZero() && !w.now.Before(m.recallAt) {
+	if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
 		// Taken back: it is listed no more.
 		m.goneAt = w.now
 	}
 	m.dead, m.diedAt = true, w.now
-	m.recallAt = time.Time{}
-	w.clear(m)
+	m.reclaimAt = time.Time{}
+	w.clearTasks(m)
 }
 
 const (
-	// cloudPage is the most that the cloud lists at once, and deathLag how long a
+	// cloudListPage is the most that the cloud lists at once, and failedListLag how long a
 	// machine that died goes on being listed as running.
-	cloudPage = 500
-	deathLag  = 30 * time.Second
+	cloudListPage = 500
+	failedListLag = 30 * time.Second
 )
--- a/internal/standin/day_test.go
+++ b/internal/standin/day_test.go
@@ -28,8 +28,8 @@
 // fault. More of them: MICAHILL_DAYS=300 go test ./internal/standin -run TestDays
 func TestDays(t *testing.T) {
 	days := []DayParams{
-		{Seed: 3, Machines: 900, Teams: 2, Controllers: 3, Jobs: 700, Faults: -1, Minutes: 2},
-		{Seed: 207, Machines: 700, Teams: 3, Controllers: 3, Jobs: 500, Faults: 2, Minutes: 2},
+		{Seed: 3, Machines: 900, Teams: 2, Controllers: 3, Jobs: 700, FaultCount: -1, Minutes: 2},
+		{Seed: 207, Machines: 700, Teams: 3, Controllers: 3, Jobs: 500, FaultCount: 2, Minutes: 2},
 	}
 	for seed := range drawnDays(t, 8, 3) {
 		days = append(days, DayParams{Seed: seed + 1})
@@ -37,17 +37,17 @@
 	// With troubles of no list: 20 had a job of thousands of tasks that was never done,
 	// since machines reported and started nothing.
 	for _, seed := range []uint64{20, 22} {
-		days = append(days, DayParams{Seed: seed, Unlisted: true})
+		days = append(days, DayParams{Seed: seed, UnlistedFaults: true})
 	}
 	for _, p := range days {
-		t.Run(fmt.Sprintf("%d-%d-%v", p.Seed, p.Machines, p.Unlisted), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d-%d-%v", p.Seed, p.Machines, p.UnlistedFaults), func(t *testing.T) {
 			t.Parallel()
-			d := DrawDay(p)
-			r := PlayDay(d, "")
-			for _, b := range r.Broken {
+			d := GenerateDay(p)
+			r := RunDay(d, "")
+			for _, b := range r.Violations {
 				t.Error(b)
 			}
-			if p.Unlisted {
+			if p.UnlistedFaults {
 				for _, g := range r.Starved() {
 					t.Error("starved: ", g)
 				}
@@ -63,16 +63,16 @@
 	}
 }
 
-// TestDaysTell: a day's result says what was served, and a broken day can be cut down
+// TestDayResults: a day's result says what was served, and a broken day can be cut down
 // to the trouble that breaks it.
-func TestDaysTell(t *testing.T) {
-	d := DrawDay(DayParams{Seed: 5, Machines: 40, Teams: 2, Controllers: 3, Jobs: 12, Minutes: 1, Faults: 4})
-	r := PlayDay(d, "")
+func TestDayResults(t *testing.T) {
+	d := GenerateDay(DayParams{Seed: 5, Machines: 40, Teams: 2, Controllers: 3, Jobs: 12, Minutes: 1, FaultCount: 4})
+	r := RunDay(d, "")
 	jobs := 0
-	for _, g := range r.Team {
+	for _, g := range r.TeamGroups {
 		jobs += g.Jobs
 	}
-	if len(r.Classes) == 0 || jobs == 0 || r.Starts == 0 || r.Money <= 0 {
+	if len(r.Classes) == 0 || jobs == 0 || r.Starts == 0 || r.Cost <= 0 {
 		t.Errorf("a day tells nothing: %+v", r)
 	}
 	// For the sake of the test a day is broken that has a certain trouble in it.
--- a/internal/standin/elsewhere_test.go
+++ b/internal/standin/elsewhere_test.go
@@ -9,41 +9,41 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// elsewhere is a day on which the state service is away for an owner alone, another
+// cancelOutage is a day on which the state service is away for an owner alone, another
 // controller confirms cancellations, and then it is away for all, for longer than the
 // cancelled tasks may last, while the workers go on reporting to the owner.
-type elsewhere struct {
+type cancelOutage struct {
 	lease, cancel time.Duration
 	nodes, teams  int
-	// how the owner loses the state service: refused, held (what is sent comes later) or
+	// loss the owner loses the state service: refused, held (what is sent comes later) or
 	// lost.
-	how string
+	loss string
 	// links: the controllers reach each other meanwhile.
-	links bool
-	// alone is how long the owner is alone with its loss. The grant it holds lives for 3
+	peersConnected bool
+	// refusedFor is how long the owner is alone with its loss. The grant it holds lives for 3
 	// to 4 s more, so that when the outage begins a successor has taken over, is about to,
 	// or has not.
-	alone time.Duration
+	refusedFor time.Duration
 	// outage is how long it lasts, in times of cancel.
 	outage float64
-	// ends are the controllers that end in between, and back how soon they are back.
-	ends string
-	back time.Duration
+	// crashed are the controllers that end in between, and back how soon they are back.
+	crashed      string
+	restartAfter time.Duration
 }
 
-func (e elsewhere) String() string {
+func (e cancelOutage) String() string {
 	return fmt.Sprintf("lease=%v cancel=%v nodes=%d teams=%d %s links=%v alone=%v outage=%g ends=%s back=%v",
-		e.lease, e.cancel, e.nodes, e.teams, e.how, e.links, e.alone, e.outage, e.ends, e.back)
+		e.lease, e.cancel, e.nodes, e.teams, e.loss, e.peersConnected, e.refusedFor, e.outage, e.crashed, e.restartAfter)
 }
 
-// grantLeast is how long an owner's grant lives at the least after it has lost the state
+// minLeaseLeft is how long an owner's grant lives at the least after it has lost the state
 // service: the last of its renewals was a second ago at most.
-const grantLeast = 3 * time.Second
+const minLeaseLeft = 3 * time.Second
 
-// play plays the day and says what broke, and whether the meeting came about: before the
+// run plays the day and says what broke, and whether the meeting came about: before the
 // outage jobs were confirmed as cancelled without their owner, and where nobody can have
 // told it or succeeded it they still ran.
-func (e elsewhere) play(seed uint64) (broken []string, met bool) {
+func (e cancelOutage) run(seed uint64) (broken []string, met bool) {
 	set := testSettings()
 	set.WorkerLease, set.Teams = e.lease, nil
 	for i := range e.teams {
@@ -63,51 +63,51 @@
 	}
 	w.Run(90 * time.Second)
 	i := w.ownerOf(set.Teams[0].Name)
-	owner := w.nodes[i]
-	switch e.how {
+	owner := w.controllers[i]
+	switch e.loss {
 	case "refused":
-		w.refuse(owner, e.alone+2*time.Second)
+		w.refuseController(owner, e.refusedFor+2*time.Second)
 	default:
-		w.Cut(owner.name, "state", e.alone+2*time.Second, e.how == "held")
+		w.Partition(owner.name, "state", e.refusedFor+2*time.Second, e.loss == "held")
 	}
-	if !e.links {
-		for _, p := range w.nodes {
+	if !e.peersConnected {
+		for _, p := range w.controllers {
 			if p != owner {
-				w.Cut(owner.name, p.name, e.alone+time.Duration(e.outage*float64(e.cancel)), false)
+				w.Partition(owner.name, p.name, e.refusedFor+time.Duration(e.outage*float64(e.cancel)), false)
 			}
 		}
 	}
 	for k, id := range ids {
-		w.after(time.Duration(k)*e.alone/time.Duration(len(ids)), func() { w.Abort(id) })
+		w.schedule(time.Duration(k)*e.refusedFor/time.Duration(len(ids)), func() { w.Cancel(id) })
 	}
-	w.Run(e.alone)
+	w.Run(e.refusedFor)
 	for k, id := range ids {
 		// Told by the others, or by a successor, it may have been halted by now.
-		unheard := !e.links && e.alone < grantLeast
-		met = met || k%e.teams == 0 && w.jobs[id].told == "cancelled" && (!unheard || w.live(id) > 0)
+		unheard := !e.peersConnected && e.refusedFor < minLeaseLeft
+		met = met || k%e.teams == 0 && w.jobs[id].lastState == "cancelled" && (!unheard || w.runningTasks(id) > 0)
 	}
 	w.Outage(time.Duration(e.outage * float64(e.cancel)))
-	w.after(time.Second, func() {
-		for k, p := range w.nodes {
-			if p == owner && (e.ends == "owner" || e.ends == "both") || p != owner && (e.ends == "confirmers" || e.ends == "both") {
-				w.Crash(k, e.back)
+	w.schedule(time.Second, func() {
+		for k, p := range w.controllers {
+			if p == owner && (e.crashed == "owner" || e.crashed == "both") || p != owner && (e.crashed == "confirmers" || e.crashed == "both") {
+				w.CrashController(k, e.restartAfter)
 			}
 		}
 	})
 	w.Run(time.Duration((e.outage + 1) * float64(e.cancel)))
 	w.Run(time.Minute)
 	for _, id := range ids {
-		if w.jobs[id].told != "cancelled" {
-			broken = append(broken, id+" is "+w.jobs[id].told+" in the end")
+		if w.jobs[id].lastState != "cancelled" {
+			broken = append(broken, id+" is "+w.jobs[id].lastState+" in the end")
 		}
 	}
-	return append(broken, w.Broken...), met
+	return append(broken, w.Violations...), met
 }
 
-// elsewheres are all days of that kind: both sites' ratio of lease to cancellation, one
+// cancelOutages are all days of that kind: both sites' ratio of lease to cancellation, one
 // with hardly any room between, and everything that may differ besides.
-func elsewheres() []elsewhere {
-	var all []elsewhere
+func cancelOutages() []cancelOutage {
+	var all []cancelOutage
 	for _, r := range [][2]time.Duration{{24 * time.Second, 54 * time.Second}, {34 * time.Second, 64 * time.Second}, {24 * time.Second, 28 * time.Second}} {
 		for _, how := range []string{"refused", "held", "lost"} {
 			for _, links := range []bool{true, false} {
@@ -115,9 +115,9 @@
 					for _, outage := range []float64{1, 1.2, 3} {
 						for _, ends := range []string{"none", "owner", "confirmers", "both"} {
 							for _, size := range [][2]int{{3, 1}, {5, 4}} {
-								e := elsewhere{lease: r[0], cancel: r[1], how: how, links: links, alone: alone, outage: outage, ends: ends, nodes: size[0], teams: size[1], back: 50 * time.Millisecond}
+								e := cancelOutage{lease: r[0], cancel: r[1], loss: how, peersConnected: links, refusedFor: alone, outage: outage, crashed: ends, nodes: size[0], teams: size[1], restartAfter: 50 * time.Millisecond}
 								if len(all)%3 == 0 {
-									e.back = 5 * time.Second
+									e.restartAfter = 5 * time.Second
 								}
 								all = append(all, e)
 							}
@@ -130,10 +130,10 @@
 	return all
 }
 
-// TestConfirmedElsewhere: tasks whose cancellation their owner can't hear of are gone in
+// TestCancelledDuringOwnerOutage: tasks whose cancellation their owner can't hear of are gone in
 // time all the same.
-func TestConfirmedElsewhere(t *testing.T) {
-	all := elsewheres()
+func TestCancelledDuringOwnerOutage(t *testing.T) {
+	all := cancelOutages()
 	// Every so many: by a step that shares no factor with the number of values, all of
 	// them come up.
 	step := max(1, len(all)/int(drawnDays(t, 36, 12)))
@@ -145,7 +145,7 @@
 		for i := 0; i < len(all); i += step {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				broken, is := all[i].play(uint64(i))
+				broken, is := all[i].run(uint64(i))
 				met.Add(int64(boolInt(is)))
 				if len(broken) > 0 {
 					t.Errorf("%v: %d broken: %v", all[i], len(broken), broken[0])
--- a/internal/standin/half_test.go
+++ b/internal/standin/half_test.go
@@ -10,10 +10,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestBackAtOnce: in the middle of an election the one that claims ends as well, just
+// TestImmediateRestart: in the middle of an election the one that claims ends as well, just
 // before or after one of its steps, and all that ended are back within a fraction of a
 // second. Nothing starts twice, and all work is done.
-func TestBackAtOnce(t *testing.T) {
+func TestImmediateRestart(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		for _, in := range []string{"claim", "share", "register", "read", "epoch", "report"} {
 			for _, back := range []time.Duration{50, 200, 500} {
@@ -26,23 +26,23 @@
 								Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 						}
 						w.Run(35 * time.Second)
-						w.CrashIn(back*time.Millisecond, sent, moments[in])
+						w.CrashBefore(back*time.Millisecond, sent, pausePoints[in])
 						// The one that is claimed from, and once all of them.
-						for i, p := range w.nodes {
-							if p.node.IsShardLeader() || back == 500 {
-								w.Crash(i, back*time.Millisecond)
+						for i, p := range w.controllers {
+							if p.controller.IsShardLeader() || back == 500 {
+								w.CrashController(i, back*time.Millisecond)
 							}
 						}
 						w.Run(4 * time.Minute)
-						if w.ends != nil {
+						if w.crashCondition != nil {
 							t.Errorf("nobody came to %s", in)
 						}
-						for _, b := range w.Broken {
+						for _, b := range w.Violations {
 							t.Error(b)
 						}
-						for _, id := range sorted(w.jobs) {
-							if w.jobs[id].told != "done" {
-								t.Errorf("%s is %q", id, w.jobs[id].told)
+						for _, id := range sortedKeys(w.jobs) {
+							if w.jobs[id].lastState != "done" {
+								t.Errorf("%s is %q", id, w.jobs[id].lastState)
 							}
 						}
 						if t.Failed() {
@@ -55,34 +55,34 @@
 	}
 }
 
-// TestStormsOfQuestions: all controllers end, and jobs that are over, that live and that
+// TestPollStorms: all controllers end, and jobs that are over, that live and that
 // nobody submitted are asked about many times as often as usual. Each has its answer
 // within 20 s, none an old one, and it costs few reads.
-func TestStormsOfQuestions(t *testing.T) {
+func TestPollStorms(t *testing.T) {
 	const within = 20 * time.Second
 	for _, c := range []struct{ jobs, times int }{{1000, 8}, {300, 30}, {100, 100}} {
 		t.Run(fmt.Sprint(c.times), func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorldOf(3, 5)
 			w.Run(10 * time.Second)
-			w.state.rev++
+			w.state.revision++
 			for i := range c.jobs {
 				rec, err := msgpack.Marshal(map[string]any{"s": "done", "n": 3})
 				if err != nil {
 					t.Fatal(err)
 				}
-				w.state.rows[fmt.Sprintf("job/job-%06d", 2*i)] = &stateRow{value: rec, stamp: w.state.rev}
+				w.state.records[fmt.Sprintf("job/job-%06d", 2*i)] = &storedRecord{value: rec, modRevision: w.state.revision}
 			}
 			for i := range 40 {
 				w.Submit(core.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1,
 					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 			}
 			w.Run(10 * time.Second)
-			for i := range w.nodes {
-				w.Crash(i, time.Second)
+			for i := range w.controllers {
+				w.CrashController(i, time.Second)
 			}
 			began, reads := w.now, 0
-			w.sabotage = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if op, ok := e.(core.StoreRequest); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != core.OpTxn {
 					reads++
 				}
@@ -91,7 +91,7 @@
 			answered := map[string]time.Duration{}
 			var ask func(id, want string)
 			ask = func(id, want string) {
-				w.userCall(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+				w.userRequest(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
 					switch {
 					case r == nil || r.Status == 503:
 					case want == "" && r.Status != 404 || want == "done" && r.State != "done" || want == "queued" && r.Status != 200:
@@ -99,7 +99,7 @@
 					case answered[id] == 0:
 						answered[id] = w.now.Sub(began)
 					}
-					w.after(w.jitter(5*time.Second/time.Duration(c.times)), func() { ask(id, want) })
+					w.schedule(w.jitter(5*time.Second/time.Duration(c.times)), func() { ask(id, want) })
 				})
 			}
 			for i := range c.jobs {
@@ -114,15 +114,15 @@
 			for _, d := range answered {
 				last = max(last, d)
 			}
-			t.Logf("%d of %d answered, the last after %v, %d reads, %d refused", len(answered), 2*c.jobs+40, last, reads, w.Refused)
+			t.Logf("%d of %d answered, the last after %v, %d reads, %d refused", len(answered), 2*c.jobs+40, last, reads, w.RefusedRequests)
 			if len(answered) != 2*c.jobs+40 {
 				t.Errorf("%d of %d jobs have an answer", len(answered), 2*c.jobs+40)
 			}
 			// Three reads and a list in each turn of 150 ms, at each of the controllers.
-			if reads > 4*len(w.nodes)*int(within/(150*time.Millisecond)) {
+			if reads > 4*len(w.controllers)*int(within/(150*time.Millisecond)) {
 				t.Errorf("%d reads", reads)
 			}
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 		})
--- a/internal/standin/held_test.go
+++ b/internal/standin/held_test.go
@@ -8,30 +8,30 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// heldOrder is the first order with starts that was held on its way to its machine.
-type heldOrder struct {
+// heldCommand is the first order with starts that was held on its way to its machine.
+type heldCommand struct {
 	machine string
 	starts  []string
-	// late are those that the machine carried out when it came, and again those of
+	// executedLate are those that the machine carried out when it came, and again those of
 	// their tasks that were ordered to start as another attempt before that.
-	late, again int
+	executedLate, restarted int
 }
 
-// holdOrder holds the next order with starts for d, with all that is sent to its machine
+// holdCommand holds the next order with starts for d, with all that is sent to its machine
 // meanwhile; what the machine sends arrives. then happens a second after it has left.
-func (s *scenario) holdOrder(d time.Duration, then func(core.WorkerRequest)) {
-	w := s.w
-	var h *heldOrder
-	w.sabotage = func(e core.Effect) core.Effect {
+func (s *scenario) holdCommand(d time.Duration, then func(core.WorkerRequest)) {
+	w := s.world
+	var h *heldCommand
+	w.corruptEffect = func(e core.Effect) core.Effect {
 		op, ok := e.(core.WorkerRequest)
 		if !ok {
 			return e
 		}
 		if h != nil {
-			h.others(w, op)
+			h.countOthers(w, op)
 			return e
 		}
-		x := &heldOrder{machine: op.Machine}
+		x := &heldCommand{machine: op.Machine}
 		for _, o := range op.Commands {
 			if o.Kind == core.StartTask {
 				x.starts = append(x.starts, startName(o))
@@ -40,13 +40,13 @@
 		if len(x.starts) == 0 {
 			return e
 		}
-		h, s.held = x, x
-		w.DeafMachines([]string{op.Machine}, d, true)
-		w.after(time.Second, func() { then(op) })
-		w.after(d+10*time.Millisecond, func() {
+		h, s.heldCommand = x, x
+		w.MakeUnreachable([]string{op.Machine}, d, true)
+		w.schedule(time.Second, func() { then(op) })
+		w.schedule(d+10*time.Millisecond, func() {
 			for _, k := range x.starts {
-				if w.machine[op.Machine].tasks[k] != nil {
-					x.late++
+				if w.machines[op.Machine].tasks[k] != nil {
+					x.executedLate++
 				}
 			}
 		})
@@ -54,15 +54,15 @@
 	}
 }
 
-// others counts other attempts of what is held that are ordered to start meanwhile.
-func (h *heldOrder) others(w *World, op core.WorkerRequest) {
-	if !w.now.Before(w.machine[h.machine].deafTill) {
+// countOthers counts other attempts of what is held that are ordered to start meanwhile.
+func (h *heldCommand) countOthers(w *World, op core.WorkerRequest) {
+	if !w.now.Before(w.machines[h.machine].unreachableUntil) {
 		return
 	}
 	for _, o := range op.Commands {
 		for _, k := range h.starts {
 			if o.Kind == core.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
-				h.again++
+				h.restarted++
 			}
 		}
 	}
@@ -72,9 +72,9 @@
 	return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 }
 
-func (h *heldOrder) String() string {
+func (h *heldCommand) String() string {
 	if h == nil {
 		return "none\n"
 	}
-	return fmt.Sprintf("held %d, carried out late %d, other attempts ordered meanwhile %d\n", len(h.starts), h.late, h.again)
+	return fmt.Sprintf("held %d, carried out late %d, other attempts ordered meanwhile %d\n", len(h.starts), h.executedLate, h.restarted)
 }
--- a/internal/standin/large_test.go
+++ b/internal/standin/large_test.go
@@ -29,8 +29,8 @@
 	}, map[string]int{"box/a/true": room(800), "box/a/false": room(700), "rack/a/true": room(100), "rack/a/false": room(59)})
 }
 
-// arrive submits what comes at the place in a time, at a scale of the full rate.
-func (w *World) arrive(rng *rand.Rand, scale float64, d time.Duration) {
+// submitAtScale submits what comes at the place in a time, at a scale of the full rate.
+func (w *World) submitAtScale(rng *rand.Rand, scale float64, d time.Duration) {
 	kinds := []struct {
 		name   string
 		rate   float64
@@ -50,15 +50,15 @@
 	for _, k := range kinds {
 		n := int(k.rate * d.Seconds())
 		for range n {
-			w.names++
+			w.lastID++
 			spec := core.JobSpec{
-				ID: fmt.Sprintf("job-%06d", w.names), Workload: k.name, Team: "ops", Urgency: k.urgent,
+				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: k.name, Team: "ops", Urgency: k.urgent,
 				Tasks: max(1, int(float64(k.tasks)*scale*(0.3+1.4*rng.Float64()))), Need: core.Resources{CPU: k.cpu, Memory: k.mem},
 				Image: fmt.Sprintf("%s-%d", k.name, min(rng.IntN(k.images), rng.IntN(k.images))), ImageGB: k.gb, AllowSpot: true, ExpectedRunTime: k.run,
 				Deadline: time.Duration(k.due*float64(k.run)) + core.Seconds(10*min(1, k.due)),
 			}
 			run := time.Duration(float64(k.run) * (0.7 + 0.6*rng.Float64()))
-			w.after(time.Duration(rng.Float64()*float64(d)), func() { w.Submit(spec, run, false) })
+			w.schedule(time.Duration(rng.Float64()*float64(d)), func() { w.Submit(spec, run, false) })
 		}
 	}
 }
@@ -70,19 +70,19 @@
 		b.Run(fmt.Sprint(scale), func(b *testing.B) {
 			w := largeWorld(1, scale)
 			rng := rand.New(rand.NewPCG(1, 2))
-			w.arrive(rng, scale, 100*time.Second)
+			w.submitAtScale(rng, scale, 100*time.Second)
 			w.Run(100 * time.Second)
-			w.stepped = 0
-			from, rev := w.now, w.state.puts
+			w.coreTime = 0
+			from, rev := w.now, w.state.writeCount
 			for b.Loop() {
-				w.arrive(rng, scale, 10*time.Second)
+				w.submitAtScale(rng, scale, 10*time.Second)
 				w.Run(10 * time.Second)
 			}
 			s := w.now.Sub(from).Seconds()
-			b.ReportMetric(float64(w.stepped.Microseconds())/s, "core-µs/s")
-			b.ReportMetric(float64(w.state.puts-rev)/s, "changes/s")
+			b.ReportMetric(float64(w.coreTime.Microseconds())/s, "core-µs/s")
+			b.ReportMetric(float64(w.state.writeCount-rev)/s, "changes/s")
 			up := 0
-			for _, m := range w.machine {
+			for _, m := range w.machines {
 				if m.up(w.now) {
 					up++
 				}
@@ -100,46 +100,46 @@
 	const scale = 0.25
 	w := largeWorld(3, scale)
 	rng := rand.New(rand.NewPCG(3, 4))
-	w.arrive(rng, scale, 200*time.Second)
+	w.submitAtScale(rng, scale, 200*time.Second)
 	some := func(n int, fn func(*Worker)) {
-		for _, id := range sorted(w.machine) {
-			if m := w.machine[id]; m.up(w.now) && n > 0 && rng.IntN(4) == 0 {
+		for _, id := range sortedKeys(w.machines) {
+			if m := w.machines[id]; m.up(w.now) && n > 0 && rng.IntN(4) == 0 {
 				n--
 				fn(m)
 			}
 		}
 	}
-	w.after(80*time.Second, func() { some(20, w.kill) })
-	w.after(100*time.Second, func() {
-		for i := range w.nodes {
-			w.Crash(i, 5*time.Second)
+	w.schedule(80*time.Second, func() { some(20, w.killMachine) })
+	w.schedule(100*time.Second, func() {
+		for i := range w.controllers {
+			w.CrashController(i, 5*time.Second)
 		}
 	})
-	w.after(130*time.Second, func() { some(20, func(m *Worker) { m.hungTill = w.now.Add(25 * time.Second) }) })
-	w.after(150*time.Second, func() {
-		for _, p := range w.nodes {
-			if p.alive && p.node.IsShardLeader() {
-				w.Cut(p.name, "state", 30*time.Second, true)
+	w.schedule(130*time.Second, func() { some(20, func(m *Worker) { m.hungUntil = w.now.Add(25 * time.Second) }) })
+	w.schedule(150*time.Second, func() {
+		for _, p := range w.controllers {
+			if p.alive && p.controller.IsShardLeader() {
+				w.Partition(p.name, "state", 30*time.Second, true)
 			}
 		}
 	})
 	most := 0
 	for range 20 {
-		before := w.state.puts
+		before := w.state.writeCount
 		w.Run(10 * time.Second)
-		most = max(most, w.state.puts-before)
+		most = max(most, w.state.writeCount-before)
 	}
 	w.Run(2 * time.Minute)
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
-	allTold(t, w, false)
+	checkFinalAnswers(t, w, false)
 	// The model of the state service refuses nothing, so its limit is checked
 	// here: what the cores ask for, without the clients that hold them back.
-	if limit := int(10 * w.set.StoreWritesPerSecond); most > limit {
+	if limit := int(10 * w.settings.StoreWritesPerSecond); most > limit {
 		t.Errorf("%d changes in ten seconds, more than the limit of %d", most, limit)
 	}
-	if w.Started < 1000 {
-		t.Errorf("only %d starts", w.Started)
+	if w.Starts < 1000 {
+		t.Errorf("only %d starts", w.Starts)
 	}
 }
--- a/internal/standin/later.go
+++ b/internal/standin/later.go
@@ -15,153 +15,153 @@
 // send odd requests; machines that reach no controller; direct commands that are held up,
 // and reports whose copy is kept for the next leader; and controllers that compute slowly.
 
-// laterKinds are these troubles, the likelier the oftener they stand. Those with a point
+// extraFaultKinds are these troubles, the likelier the oftener they stand. Those with a point
 // are a form of the trouble before it.
-var laterKinds = []string{
+var extraFaultKinds = []string{
 	"cancel_now", "cancel_now", "cancel_at_end", "machine_mute", "machine_mute", "odd_requests", "close_looks",
 	"late_writes.at_once", "copies.for_next", "copies.for_next", "late_commands", "late_commands", "late_commands", "slow_node",
 }
 
 const (
-	// cancelNowWithin is in how long that many jobs are called off, hangMost how many of
-	// their machines hang, and longToGo what the tasks of a job have left that has long to
+	// massCancelWithin is in how long that many jobs are called off, maxHungMachines how many of
+	// their machines hang, and minRemainingRunTime what the tasks of a job have left that has long to
 	// go.
-	cancelNowWithin = 200 * time.Millisecond
-	hangMost        = 8
-	longToGo        = 20 * time.Second
-	// lateCommandLeast and lateCommandMost are how much later than it was sent a direct
+	massCancelWithin    = 200 * time.Millisecond
+	maxHungMachines     = 8
+	minRemainingRunTime = 20 * time.Second
+	// minCommandDelay and maxCommandDelay are how much later than it was sent a direct
 	// command is carried out that is held up.
-	lateCommandLeast = 2 * time.Second
-	lateCommandMost  = 16 * time.Second
-	// oddEvery is how often an odd request is sent.
-	oddEvery = 250 * time.Millisecond
-	// lookWithin is in how long users ask at all controllers, and lookTimes how often at
-	// each; one in looksCancel cancels at once.
-	lookWithin  = 20 * time.Millisecond
-	lookTimes   = 2
-	looksCancel = 10
-	// stepTakes is about what a step of a controller takes, and eachTakes what each command
+	minCommandDelay = 2 * time.Second
+	maxCommandDelay = 16 * time.Second
+	// invalidRequestInterval is how often an odd request is sent.
+	invalidRequestInterval = 250 * time.Millisecond
+	// concurrentReadWindow is in how long users ask at all controllers, and readsPerController how often at
+	// each; one in cancelOneIn cancels at once.
+	concurrentReadWindow = 20 * time.Millisecond
+	readsPerController   = 2
+	cancelOneIn          = 10
+	// stepBaseTime is about what a step of a controller takes, and stepItemTime what each command
 	// and effect of it adds.
-	stepTakes = time.Millisecond
-	eachTakes = 200 * time.Microsecond
-	// keptMost bounds the copies that are kept for the next leader.
-	keptMost = 1000
+	stepBaseTime = time.Millisecond
+	stepItemTime = 200 * time.Microsecond
+	// maxHeldHeartbeats bounds the copies that are kept for the next leader.
+	maxHeldHeartbeats = 1000
 )
 
-// laterTroubles is what holds of them now.
-type laterTroubles struct {
-	// commands is the share of direct commands that is held up until commandTill.
-	commands    float64
-	commandTill time.Time
-	// carriedLate counts those that were carried out, and broughtKept the copies that
+// extraFaultState is what holds of them now.
+type extraFaultState struct {
+	// lateCommandRate is the share of direct commands that is held up until lateCommandsUntil.
+	lateCommandRate   float64
+	lateCommandsUntil time.Time
+	// lateCommandsDone counts those that were carried out, and heartbeatsReplayed the copies that
 	// reached a next leader.
-	carriedLate, broughtKept int
-	// cancelEnds is the share of jobs that is cancelled at its end until cancelEndTill.
-	cancelEnds    float64
-	cancelEndTill time.Time
-	// oddTill and looksTill: users send odd requests, or look closely, until then.
-	oddTill, looksTill time.Time
-	// writesAtOnce: late writes are carried out at once, and only the answer is lost.
-	writesAtOnce bool
-	// copiesForNext: copies of reports are kept, in kept, until another controller leads
-	// than ledBy, or until keptTill.
-	copiesForNext bool
-	kept          []core.Heartbeat
-	keptTill      time.Time
-	ledBy         string
-	// odd counts odd jobs.
-	odd int
+	lateCommandsDone, heartbeatsReplayed int
+	// cancelAtEndRate is the share of jobs that is cancelled at its end until cancelAtEndUntil.
+	cancelAtEndRate  float64
+	cancelAtEndUntil time.Time
+	// invalidRequestsUntil and concurrentReadsUntil: users send odd requests, or look closely, until then.
+	invalidRequestsUntil, concurrentReadsUntil time.Time
+	// loseWriteResponses: late writes are carried out at once, and only the answer is lost.
+	loseWriteResponses bool
+	// replayToNextLeader: copies of reports are kept, in kept, until another controller leads
+	// than leaderAtCapture, or until holdHeartbeatsUntil.
+	replayToNextLeader  bool
+	heldHeartbeats      []core.Heartbeat
+	holdHeartbeatsUntil time.Time
+	leaderAtCapture     string
+	// invalidJobs counts odd jobs.
+	invalidJobs int
 }
 
-// drawLater draws one of this file's troubles, but for when it begins.
-func (d *Day) drawLater(rng *rand.Rand) DayFault {
-	kind := laterKinds[rng.IntN(len(laterKinds))]
+// generateExtraFault draws one of this file's troubles, but for when it begins.
+func (d *Day) generateExtraFault(rng *rand.Rand) Fault {
+	kind := extraFaultKinds[rng.IntN(len(extraFaultKinds))]
 	share := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
-	f := DayFault{Kind: kind, For: between(rng, 8*time.Second, 90*time.Second), Node: rng.IntN(d.Controllers)}
+	f := Fault{Kind: kind, Duration: logUniform(rng, 8*time.Second, 90*time.Second), Controller: rng.IntN(d.Controllers)}
 	switch kind {
 	case "cancel_now":
-		f.Count, f.For = 1+rng.IntN(40), time.Second
+		f.Count, f.Duration = 1+rng.IntN(40), time.Second
 		if rng.IntN(3) > 0 {
-			f.For = between(rng, time.Second, 2*d.cancelWithin())
+			f.Duration = logUniform(rng, time.Second, 2*d.cancelWithin())
 		}
 	case "cancel_at_end":
-		f.Share = share(0.1, 0.5, 1)
+		f.Fraction = share(0.1, 0.5, 1)
 	case "machine_mute":
-		f.Share = share(1e-9, 0.1, 1)
-		if f.Share == 1 {
+		f.Fraction = share(1e-9, 0.1, 1)
+		if f.Fraction == 1 {
 			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
 		}
 	case "late_writes.at_once":
-		f.Kind, f.AtOnce, f.Share = "late_writes", true, share(0.05, 0.2, 0.5)
+		f.Kind, f.Immediate, f.Fraction = "late_writes", true, share(0.05, 0.2, 0.5)
 	case "copies.for_next":
-		f.Kind, f.ForNext = "copies", true
-		f.Late, f.Share = between(rng, 2*time.Second, 5*d.Settings.WorkerLease), share(0.05, 0.3, 1)
+		f.Kind, f.ForNextLeader = "copies", true
+		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), share(0.05, 0.3, 1)
 	case "late_commands":
-		f.Share = share(0.05, 0.3, 1)
+		f.Fraction = share(0.05, 0.3, 1)
 	case "slow_node":
-		f.Times, f.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
+		f.SlowFactor, f.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
 	}
 	return f
 }
 
-// laterTrouble lets one of this file's troubles begin, and says whether it is one.
-func (w *World) laterTrouble(f DayFault, rng *rand.Rand) bool {
-	till := w.now.Add(f.For)
+// startExtraFault lets one of this file's troubles begin, and says whether it is one.
+func (w *World) startExtraFault(f Fault, rng *rand.Rand) bool {
+	until := w.now.Add(f.Duration)
 	switch f.Kind {
 	case "cancel_now":
-		w.CancelNow(f.Count, f.For)
+		w.CancelLongRunning(f.Count, f.Duration)
 	case "cancel_at_end":
-		w.cancelEnds, w.cancelEndTill = f.Share, till
+		w.cancelAtEndRate, w.cancelAtEndUntil = f.Fraction, until
 	case "machine_mute":
-		w.MuteMachines(w.SomeMachines(f.Share, f.Zone, rng), f.For)
+		w.MakeUnheard(w.SampleMachineIDs(f.Fraction, f.Zone, rng), f.Duration)
 	case "odd_requests":
-		w.OddRequests(f.For)
+		w.SendInvalidRequests(f.Duration)
 	case "close_looks":
-		w.looksTill = till
+		w.concurrentReadsUntil = until
 	case "late_commands":
-		w.LateCommands(f.Share, f.For)
+		w.DelayCommands(f.Fraction, f.Duration)
 	case "slow_node":
-		p := w.nodes[f.Node%len(w.nodes)]
-		p.slowTill, p.slowBy = till, f.Times
+		p := w.controllers[f.Controller%len(w.controllers)]
+		p.slowUntil, p.slowFactor = until, f.SlowFactor
 	default:
 		return false
 	}
 	return true
 }
 
-// CancelNow has users call off that many jobs that run and have long to go, within a
+// CancelLongRunning has users call off that many jobs that run and have long to go, within a
 // fifth of a second; up to eight of their machines hang for so long, unless that is 0.
-func (w *World) CancelNow(count int, hang time.Duration) {
-	left := map[string]time.Duration{}
-	for _, id := range sorted(w.jobs) {
+func (w *World) CancelLongRunning(count int, hang time.Duration) {
+	remaining := map[string]time.Duration{}
+	for _, id := range sortedKeys(w.jobs) {
 		j := w.jobs[id]
-		w.onAllMachines(j, func(t *workerTask, _ *Worker) {
-			if !j.aborting && t.status == core.Running {
-				left[id] = max(left[id], t.left)
+		w.eachRunningTask(j, func(t *workerTask, _ *Worker) {
+			if !j.cancelRequested && t.status == core.Running {
+				remaining[id] = max(remaining[id], t.remaining)
 			}
 		})
 	}
-	ids := slices.DeleteFunc(sorted(left), func(id string) bool { return left[id] < longToGo })
-	slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(left[b], left[a]) })
+	ids := slices.DeleteFunc(sortedKeys(remaining), func(id string) bool { return remaining[id] < minRemainingRunTime })
+	slices.SortStableFunc(ids, func(a, b string) int { return cmp.Compare(remaining[b], remaining[a]) })
 	hung := map[*Worker]bool{}
 	for _, id := range ids[:min(count, len(ids))] {
-		w.after(time.Duration(w.rng.Int64N(int64(cancelNowWithin))), func() {
-			w.Abort(id)
-			w.onAllMachines(w.jobs[id], func(_ *workerTask, m *Worker) {
-				if hang > 0 && len(hung) < hangMost && !hung[m] {
+		w.schedule(time.Duration(w.rng.Int64N(int64(massCancelWithin))), func() {
+			w.Cancel(id)
+			w.eachRunningTask(w.jobs[id], func(_ *workerTask, m *Worker) {
+				if hang > 0 && len(hung) < maxHungMachines && !hung[m] {
 					hung[m] = true
-					m.hungTill = w.now.Add(hang)
+					m.hungUntil = w.now.Add(hang)
 				}
 			})
 		})
 	}
 }
 
-// onAllMachines calls fn with all tasks of a job that are on machines.
-func (w *World) onAllMachines(j *userJob, fn func(*workerTask, *Worker)) {
+// eachRunningTask calls fn with all tasks of a job that are on machines.
+func (w *World) eachRunningTask(j *userJob, fn func(*workerTask, *Worker)) {
 	for i := range j.spec.Tasks {
-		for _, m := range j.places[i] {
-			for _, k := range sorted(m.tasks) {
+		for _, m := range j.machines[i] {
+			for _, k := range sortedKeys(m.tasks) {
 				if t := m.tasks[k]; t.job == j && t.index == i && t.onMachine() {
 					fn(t, m)
 				}
@@ -170,183 +170,183 @@
 	}
 }
 
-// endsNear is told of the end of a task: at the moment of the last one some users cancel.
-func (w *World) endsNear(j *userJob) {
-	if len(j.results) < j.spec.Tasks || j.aborting || !w.now.Before(w.cancelEndTill) || w.rng.Float64() >= w.cancelEnds {
+// maybeCancelAtEnd is told of the end of a task: at the moment of the last one some users cancel.
+func (w *World) maybeCancelAtEnd(j *userJob) {
+	if len(j.doneTasks) < j.spec.Tasks || j.cancelRequested || !w.now.Before(w.cancelAtEndUntil) || w.rng.Float64() >= w.cancelAtEndRate {
 		return
 	}
-	w.Abort(j.spec.ID)
+	w.Cancel(j.spec.ID)
 }
 
-// MuteMachines lets these machines reach no controller for d, while direct commands and
+// MakeUnheard lets these machines reach no controller for d, while direct commands and
 // questions reach them, and are answered.
-func (w *World) MuteMachines(ids []string, d time.Duration) {
+func (w *World) MakeUnheard(ids []string, d time.Duration) {
 	for _, id := range ids {
-		if m := w.machine[id]; m != nil {
-			m.muteTill = w.now.Add(d)
+		if m := w.machines[id]; m != nil {
+			m.unheardUntil = w.now.Add(d)
 		}
 	}
 }
 
-// computes lets a process that is slow stand still for what a step took, before it sends
+// delayForCompute lets a process that is slow stand still for what a step took, before it sends
 // what it decided.
-func (p *proc) computes(commands, effects int) {
-	w := p.w
-	if !w.now.Before(p.slowTill) || commands+effects == 0 || w.now.Before(p.stillTill) {
+func (p *controllerProcess) delayForCompute(commands, effects int) {
+	w := p.world
+	if !w.now.Before(p.slowUntil) || commands+effects == 0 || w.now.Before(p.pausedUntil) {
 		return
 	}
-	took := stepTakes + time.Duration(commands+effects)*eachTakes
-	p.stillTill = w.now.Add(time.Duration(p.slowBy * float64(took)))
-	w.thaw(p)
+	took := stepBaseTime + time.Duration(commands+effects)*stepItemTime
+	p.pausedUntil = w.now.Add(time.Duration(p.slowFactor * float64(took)))
+	w.resumeWhenDue(p)
 }
 
-// LateCommands lets a share of the direct commands of the next d be held up on their way:
+// DelayCommands lets a share of the direct commands of the next d be held up on their way:
 // nobody answers them, and they are carried out once, later, if token and session match.
-func (w *World) LateCommands(share float64, d time.Duration) {
-	w.commands, w.commandTill = share, w.now.Add(d)
+func (w *World) DelayCommands(share float64, d time.Duration) {
+	w.lateCommandRate, w.lateCommandsUntil = share, w.now.Add(d)
 }
 
-// commandLate says whether a direct command to m is held up, and brings it then.
-func (p *proc) commandLate(m *Worker, op core.WorkerRequest) bool {
-	w := p.w
-	if op.StatusOnly || !w.now.Before(w.commandTill) || w.rng.Float64() >= w.commands {
+// delayCommand says whether a direct command to m is held up, and brings it then.
+func (p *controllerProcess) delayCommand(m *Worker, op core.WorkerRequest) bool {
+	w := p.world
+	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
 		return false
 	}
-	life := m.life
-	d := lateCommandLeast + time.Duration(w.rng.Int64N(int64(lateCommandMost-lateCommandLeast)))
-	w.after(d, func() {
-		if m.life != life {
+	process := m.process
+	d := minCommandDelay + time.Duration(w.rng.Int64N(int64(maxCommandDelay-minCommandDelay)))
+	w.schedule(d, func() {
+		if m.process != process {
 			return
 		}
-		w.sendMsg(p.name, m.ID, func() {
-			if !w.now.Before(m.upAt) && w.direct(m, op).OK {
-				w.carriedLate++
+		w.sendMessage(p.name, m.ID, func() {
+			if !w.now.Before(m.upAt) && w.executeDirect(m, op).OK {
+				w.lateCommandsDone++
 			}
 		})
 	})
 	return true
 }
 
-// keepCopy keeps the copy of a report for the next leader.
-func (w *World) keepCopy(r core.Heartbeat) {
-	if len(w.kept) == 0 {
-		w.ledBy = w.leads()
+// holdHeartbeat keeps the copy of a report for the next leader.
+func (w *World) holdHeartbeat(r core.Heartbeat) {
+	if len(w.heldHeartbeats) == 0 {
+		w.leaderAtCapture = w.leaderName()
 	}
-	if len(w.kept) < keptMost {
-		w.kept = append(w.kept, r)
+	if len(w.heldHeartbeats) < maxHeldHeartbeats {
+		w.heldHeartbeats = append(w.heldHeartbeats, r)
 	}
 }
 
-// bringKept brings the copies to every controller just as another one leads, in an order
+// replayHeldHeartbeats brings the copies to every controller just as another one leads, in an order
 // of their own.
-func (w *World) bringKept() {
-	if len(w.kept) == 0 {
+func (w *World) replayHeldHeartbeats() {
+	if len(w.heldHeartbeats) == 0 {
 		return
 	}
-	if !w.now.Before(w.keptTill) {
-		w.kept = nil
+	if !w.now.Before(w.holdHeartbeatsUntil) {
+		w.heldHeartbeats = nil
 		return
 	}
-	now := w.leads()
-	if now == "" || now == w.ledBy {
+	leader := w.leaderName()
+	if leader == "" || leader == w.leaderAtCapture {
 		return
 	}
-	kept := w.kept
-	w.kept = nil
-	w.broughtKept += len(kept)
-	for _, p := range w.nodes {
-		for _, r := range kept {
-			w.after(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
+	held := w.heldHeartbeats
+	w.heldHeartbeats = nil
+	w.heartbeatsReplayed += len(held)
+	for _, p := range w.controllers {
+		for _, r := range held {
+			w.schedule(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
+				p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
 			})
 		}
 	}
 }
 
-// lookClosely has users ask at all controllers within milliseconds of what one was told of
+// readConcurrently has users ask at all controllers within milliseconds of what one was told of
 // a job, and repeat its submission. Some cancel at once.
-func (w *World) lookClosely(j *userJob) {
-	if !w.now.Before(w.looksTill) {
+func (w *World) readConcurrently(j *userJob) {
+	if !w.now.Before(w.concurrentReadsUntil) {
 		return
 	}
-	soon := func() time.Duration { return time.Duration(w.rng.Int64N(int64(lookWithin))) }
-	for i := range w.nodes {
-		for range lookTimes {
-			w.after(soon(), func() {
-				w.closeLook(i, j, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} })
+	withinWindow := func() time.Duration { return time.Duration(w.rng.Int64N(int64(concurrentReadWindow))) }
+	for i := range w.controllers {
+		for range readsPerController {
+			w.schedule(withinWindow(), func() {
+				w.checkedRequest(i, j, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} })
 			})
 		}
-		w.after(soon(), func() {
-			w.closeLook(i, j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
+		w.schedule(withinWindow(), func() {
+			w.checkedRequest(i, j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
 		})
 	}
-	if !j.aborting && !over(j.told) && w.rng.IntN(looksCancel) == 0 {
-		j.aborting = true
-		w.after(soon(), func() { w.Abort(j.spec.ID) })
+	if !j.cancelRequested && !isFinal(j.lastState) && w.rng.IntN(cancelOneIn) == 0 {
+		j.cancelRequested = true
+		w.schedule(withinWindow(), func() { w.Cancel(j.spec.ID) })
 	}
 }
 
-func over(state string) bool { return state == "done" || state == "cancelled" }
+func isFinal(state string) bool { return state == "done" || state == "cancelled" }
 
-// closeLook asks one controller about a job: its answer may not be older than what the
+// checkedRequest asks one controller about a job: its answer may not be older than what the
 // user was told before he asked.
-func (w *World) closeLook(node int, j *userJob, mk func(uint64) core.Command) {
-	id, told, asked := j.spec.ID, j.told, w.now
-	w.userCallTo(node, mk, 2*time.Second, func(r *core.UserReply) {
+func (w *World) checkedRequest(node int, j *userJob, newCommand func(uint64) core.Command) {
+	id, lastState, asked := j.spec.ID, j.lastState, w.now
+	w.userRequestTo(node, newCommand, 2*time.Second, func(r *core.UserReply) {
 		switch {
 		case r == nil:
 		case r.Status == 404 || r.Status == 400 || r.Status == 422:
-			w.broke("forgotten", "%s answered %d by %s", id, r.Status, w.nodes[node].name)
+			w.violate("forgotten", "%s answered %d by %s", id, r.Status, w.controllers[node].name)
 		case r.Status != 200 && r.Status != 201:
-		case over(told) && r.State != told:
-			w.broke("went_back", "%s was %s, is called %s by %s", id, told, r.State, w.nodes[node].name)
-		case over(r.State) && !over(j.told):
-			w.hear(j, asked, r)
+		case isFinal(lastState) && r.State != lastState:
+			w.violate("went_back", "%s was %s, is called %s by %s", id, lastState, r.State, w.controllers[node].name)
+		case isFinal(r.State) && !isFinal(j.lastState):
+			w.checkAnswer(j, asked, r)
 		}
 	})
 }
 
-// OddRequests has users repeat submissions of unfinished jobs, cancel done ones, and send
+// SendInvalidRequests has users repeat submissions of unfinished jobs, cancel done ones, and send
 // jobs that fit no machine or lack a field, for d.
-func (w *World) OddRequests(d time.Duration) {
-	running := w.now.Before(w.oddTill)
-	w.oddTill = w.now.Add(d)
+func (w *World) SendInvalidRequests(d time.Duration) {
+	running := w.now.Before(w.invalidRequestsUntil)
+	w.invalidRequestsUntil = w.now.Add(d)
 	if !running {
-		w.oddRequest()
+		w.sendNextInvalidRequest()
 	}
 }
 
-func (w *World) oddRequest() {
-	if !w.now.Before(w.oddTill) {
+func (w *World) sendNextInvalidRequest() {
+	if !w.now.Before(w.invalidRequestsUntil) {
 		return
 	}
-	w.after(w.jitter(oddEvery), w.oddRequest)
+	w.schedule(w.jitter(invalidRequestInterval), w.sendNextInvalidRequest)
 	var unfinished, done []*userJob
-	for _, id := range sorted(w.jobs) {
+	for _, id := range sortedKeys(w.jobs) {
 		switch j := w.jobs[id]; {
-		case j.told == "done" && !j.aborting:
+		case j.lastState == "done" && !j.cancelRequested:
 			done = append(done, j)
-		case j.accepted && !over(j.told):
+		case j.accepted && !isFinal(j.lastState):
 			unfinished = append(unfinished, j)
 		}
 	}
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(unfinished) > 0:
 		j := unfinished[w.rng.IntN(len(unfinished))]
-		w.closeLook(w.rng.IntN(len(w.nodes)), j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
+		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
 	case k == 1 && len(done) > 0:
 		j := done[w.rng.IntN(len(done))]
-		w.closeLook(w.rng.IntN(len(w.nodes)), j, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: j.spec.ID} })
+		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: j.spec.ID} })
 	case k >= 2 && len(unfinished) > 0:
-		w.oddJob(unfinished[w.rng.IntN(len(unfinished))].spec)
+		w.submitInvalidJob(unfinished[w.rng.IntN(len(unfinished))].spec)
 	}
 }
 
-// oddJob sends a job like another one that fits no machine, needs more than there is, or
+// submitInvalidJob sends a job like another one that fits no machine, needs more than there is, or
 // lacks a field. None of them may be accepted.
-func (w *World) oddJob(s core.JobSpec) {
-	w.odd++
-	s.ID = fmt.Sprintf("job-8%05d", w.odd)
+func (w *World) submitInvalidJob(s core.JobSpec) {
+	w.invalidJobs++
+	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
 	c := core.SubmitJob{Spec: s}
 	switch w.rng.IntN(5) {
 	case 0:
@@ -360,9 +360,9 @@
 	case 4:
 		c = core.SubmitJob{Spec: core.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
 	}
-	w.userCall(func(r uint64) core.Command { c.Reply = r; return c }, 5*time.Second, func(r *core.UserReply) {
+	w.userRequest(func(r uint64) core.Command { c.Reply = r; return c }, 5*time.Second, func(r *core.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
-			w.broke("accepted_odd", "%s answered %d", s.ID, r.Status)
+			w.violate("accepted_odd", "%s answered %d", s.ID, r.Status)
 		}
 	})
 }
--- a/internal/standin/later_test.go
+++ b/internal/standin/later_test.go
@@ -24,7 +24,7 @@
 		w.Submit(longJob(id, 4), time.Hour, false)
 	}
 	w.Run(time.Minute)
-	if w.live("job-000001")+w.live("job-000002")+w.live("job-000003") != 12 {
+	if w.runningTasks("job-000001")+w.runningTasks("job-000002")+w.runningTasks("job-000003") != 12 {
 		t.Fatal("not all tasks run after a minute")
 	}
 	return w
@@ -33,7 +33,7 @@
 // busyMachine is one with a task, and that task.
 func busyMachine(w *World) (*Worker, *workerTask) {
 	for _, m := range w.fleet {
-		for _, k := range sorted(m.tasks) {
+		for _, k := range sortedKeys(m.tasks) {
 			if m.tasks[k].onMachine() {
 				return m, m.tasks[k]
 			}
@@ -44,38 +44,38 @@
 
 func noneBroken(t *testing.T, w *World) {
 	t.Helper()
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 }
 
 // Users cancel two of three jobs that run within a fifth of a second, and their machines
 // hang then; the third goes on.
-func TestCancelNow(t *testing.T) {
+func TestCancelLongRunning(t *testing.T) {
 	w := busyWorld(t)
-	w.CancelNow(2, 20*time.Second)
-	w.Run(cancelNowWithin)
+	w.CancelLongRunning(2, 20*time.Second)
+	w.Run(massCancelWithin)
 	aborting, hung := 0, 0
 	for _, j := range w.jobs {
-		if j.aborting {
+		if j.cancelRequested {
 			aborting++
 		}
 	}
 	for _, m := range w.fleet {
-		if w.now.Before(m.hungTill) {
+		if w.now.Before(m.hungUntil) {
 			hung++
 		}
 	}
-	if aborting != 2 || hung == 0 || hung > hangMost {
+	if aborting != 2 || hung == 0 || hung > maxHungMachines {
 		t.Errorf("%d cancelled, %d machines hang", aborting, hung)
 	}
 	w.Run(testCancel)
 	running := 0
 	for id, j := range w.jobs {
-		if w.live(id) > 0 {
+		if w.runningTasks(id) > 0 {
 			running++
 		}
-		if j.aborting && w.live(id) > 0 {
+		if j.cancelRequested && w.runningTasks(id) > 0 {
 			t.Errorf("%s runs", id)
 		}
 	}
@@ -89,36 +89,36 @@
 // stays that.
 func TestCancelAtEnd(t *testing.T) {
 	w := newTestWorld(3)
-	w.cancelEnds, w.cancelEndTill = 1, w.now.Add(time.Hour)
+	w.cancelAtEndRate, w.cancelAtEndUntil = 1, w.now.Add(time.Hour)
 	s := longJob("job-000001", 2)
 	s.ExpectedRunTime = 10 * time.Second
 	w.Submit(s, 10*time.Second, false)
 	w.Run(2 * time.Minute)
-	if j := w.jobs[s.ID]; !j.aborting || len(j.results) != 2 || !over(j.told) {
-		t.Errorf("%d results, cancelled %v, told %q", len(j.results), j.aborting, j.told)
+	if j := w.jobs[s.ID]; !j.cancelRequested || len(j.doneTasks) != 2 || !isFinal(j.lastState) {
+		t.Errorf("%d results, cancelled %v, told %q", len(j.doneTasks), j.cancelRequested, j.lastState)
 	}
 	noneBroken(t, w)
 }
 
 // A machine that reaches no controller is reached by direct commands: a cancelled task
 // ends there at once, and its answers arrive.
-func TestMuteMachines(t *testing.T) {
+func TestUnheardMachines(t *testing.T) {
 	w := busyWorld(t)
 	m, x := busyMachine(w)
-	w.MuteMachines([]string{m.ID}, time.Hour)
+	w.MakeUnheard([]string{m.ID}, time.Hour)
 	// A report that was on its way has been answered.
 	w.Run(5 * time.Second)
-	before := m.leaseFrom
-	w.Abort(x.job.spec.ID)
+	before := m.leaseStart
+	w.Cancel(x.job.spec.ID)
 	w.Run(3 * time.Second)
 	if x.onMachine() {
 		t.Error("no command reaches it")
 	}
-	if m.leaseFrom != before {
+	if m.leaseStart != before {
 		t.Error("its lease was prolonged")
 	}
-	w.Run(w.set.WorkerLease)
-	if m.tenure < 2 {
+	w.Run(w.settings.WorkerLease)
+	if m.incarnation < 2 {
 		t.Error("its lease has not run out")
 	}
 	noneBroken(t, w)
@@ -129,24 +129,24 @@
 func TestLateCommands(t *testing.T) {
 	w := busyWorld(t)
 	m, x := busyMachine(w)
-	w.LateCommands(1, time.Second)
-	p := w.nodes[0]
-	halt := core.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.tenure, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.try}}}
+	w.DelayCommands(1, time.Second)
+	p := w.controllers[0]
+	halt := core.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
 	other := halt
 	other.Incarnation++
-	if !p.commandLate(m, other) || !p.commandLate(m, halt) {
+	if !p.delayCommand(m, other) || !p.delayCommand(m, halt) {
 		t.Fatal("not held up")
 	}
 	question := halt
 	question.StatusOnly = true
-	if p.commandLate(m, question) {
+	if p.delayCommand(m, question) {
 		t.Error("a question is held up")
 	}
-	w.Run(lateCommandLeast - 10*time.Millisecond)
+	w.Run(minCommandDelay - 10*time.Millisecond)
 	if !x.onMachine() {
 		t.Error("carried out at once")
 	}
-	w.Run(lateCommandMost)
+	w.Run(maxCommandDelay)
 	if x.onMachine() {
 		t.Error("never carried out")
 	}
@@ -154,29 +154,29 @@
 }
 
 // A late command of another session does nothing.
-func TestLateCommandOfAnotherSession(t *testing.T) {
+func TestLateCommandOfAnotherIncarnation(t *testing.T) {
 	w := busyWorld(t)
 	m, x := busyMachine(w)
-	w.LateCommands(1, time.Second)
-	w.nodes[0].commandLate(m, core.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.tenure + 1, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.try}}})
-	w.Run(lateCommandLeast + lateCommandMost)
+	w.DelayCommands(1, time.Second)
+	w.controllers[0].delayCommand(m, core.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
+	w.Run(minCommandDelay + maxCommandDelay)
 	if !x.onMachine() {
 		t.Error("carried out")
 	}
 }
 
 // Of a write that is carried out at once only the answer is lost.
-func TestWritesAtOnce(t *testing.T) {
+func TestLostWriteAnswers(t *testing.T) {
 	w := newTestWorld(1)
 	w.Run(20 * time.Second)
-	p := w.nodes[0]
+	p := w.controllers[0]
 	answered := func(id uint64) bool {
 		key := fmt.Sprint("x/", id)
 		// What reaches the process stays in its queue.
-		w.Still(p.index, time.Second)
-		p.stateOp(core.StoreRequest{ID: id, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
+		w.Pause(p.index, time.Second)
+		p.sendStoreRequest(core.StoreRequest{ID: id, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
 		w.Run(900 * time.Millisecond)
-		if w.state.rows[key] == nil {
+		if w.state.records[key] == nil {
 			t.Errorf("%s is not written", key)
 		}
 		return slices.ContainsFunc(p.queue, func(c core.Command) bool {
@@ -187,7 +187,7 @@
 	if !answered(1 << 40) {
 		t.Error("no answer without the trouble")
 	}
-	w.meetingTrouble(DayFault{Kind: "late_writes", Share: 1, For: time.Second, AtOnce: true})
+	w.startOverlapFault(Fault{Kind: "late_writes", Fraction: 1, Duration: time.Second, Immediate: true})
 	if answered(1<<40 + 1) {
 		t.Error("answered")
 	}
@@ -195,28 +195,28 @@
 
 // Copies of reports are kept until another controller leads, and reach every controller
 // then.
-func TestCopiesForNext(t *testing.T) {
+func TestReplayToNextLeader(t *testing.T) {
 	w := busyWorld(t)
-	w.newTrouble(DayFault{Kind: "copies", Share: 1, For: 20 * time.Second, Late: time.Minute, ForNext: true}, w.rng)
+	w.startProtocolFault(Fault{Kind: "copies", Fraction: 1, Duration: 20 * time.Second, Delay: time.Minute, ForNextLeader: true}, w.rng)
 	w.Run(20 * time.Second)
-	kept := len(w.kept)
+	kept := len(w.heldHeartbeats)
 	if kept == 0 {
 		t.Fatal("none is kept")
 	}
-	old := w.leads()
-	w.Crash(w.leader(0), time.Minute)
+	old := w.leaderName()
+	w.CrashController(w.leaderIndex(0), time.Minute)
 	for range 60 {
-		if w.leads() != old && w.leads() != "" {
+		if w.leaderName() != old && w.leaderName() != "" {
 			break
 		}
-		if len(w.kept) != kept {
+		if len(w.heldHeartbeats) != kept {
 			t.Fatal("brought before another one leads")
 		}
 		w.Run(time.Second)
 	}
 	w.Run(2 * time.Second)
-	if len(w.kept) > 0 {
-		t.Errorf("%d still kept under %s", len(w.kept), w.leads())
+	if len(w.heldHeartbeats) > 0 {
+		t.Errorf("%d still kept under %s", len(w.heldHeartbeats), w.leaderName())
 	}
 	w.Run(time.Minute)
 	noneBroken(t, w)
@@ -224,7 +224,7 @@
 
 // What users ask closely and oddly is judged: it breaks nothing with the core as it is,
 // and rules with answers made wrong.
-func TestCloseAndOdd(t *testing.T) {
+func TestConcurrentAndInvalidRequests(t *testing.T) {
 	for _, c := range []struct {
 		want  string
 		wrong func(core.UserReply) core.UserReply
@@ -251,7 +251,7 @@
 			w := newTestWorld(3)
 			asked := 0
 			if c.wrong != nil {
-				w.sabotage = func(e core.Effect) core.Effect {
+				w.corruptEffect = func(e core.Effect) core.Effect {
 					if r, ok := e.(core.UserReply); ok {
 						// One controller in three is wrong.
 						if asked++; asked%3 == 0 {
@@ -261,18 +261,18 @@
 					return e
 				}
 			}
-			w.looksTill = w.now.Add(time.Hour)
+			w.concurrentReadsUntil = w.now.Add(time.Hour)
 			for i, id := range []string{"job-000001", "job-000002", "job-000003", "job-000004"} {
 				s := longJob(id, 2)
 				s.ExpectedRunTime = time.Duration(10+10*i) * time.Second
 				w.Submit(s, s.ExpectedRunTime, false)
 			}
-			w.OddRequests(time.Minute)
+			w.SendInvalidRequests(time.Minute)
 			w.Run(2 * time.Minute)
-			if got := strings.Join(w.Broken, "\n"); c.want == "" && got != "" || !strings.Contains(got, c.want) {
+			if got := strings.Join(w.Violations, "\n"); c.want == "" && got != "" || !strings.Contains(got, c.want) {
 				t.Errorf("broken: %s", got)
 			}
-			if w.odd == 0 {
+			if w.invalidJobs == 0 {
 				t.Error("no odd job was sent")
 			}
 		})
--- a/internal/standin/limits.go
+++ b/internal/standin/limits.go
@@ -11,30 +11,30 @@
 	"golang.org/x/time/rate"
 )
 
-// StateTooMany stands for a 429, of which the cores never hear: their client tries
+// StoreRateLimited stands for a 429, of which the cores never hear: their client tries
 // again.
-const StateTooMany core.StoreStatus = -1
+const StoreRateLimited core.StoreStatus = -1
 
-// limits are those of the protocol and the settings. Sizes are counted by writing the
+// storeLimits are those of the protocol and the settings. Sizes are counted by writing the
 // JSON, on purpose: the controllers reckon them another way, and would agree with
 // their own mistakes.
-type limits struct {
-	valueBytes, ops, page int
-	requests, changes     *rate.Limiter
+type storeLimits struct {
+	valueBytes, writesPerTxn, pageRows int
+	requests, writes                   *rate.Limiter
 }
 
 const (
-	keyMost = 200
-	txnMost = 64 << 10
-	// pageMost is how many rows a list has at most.
-	pageMost = 1000
+	maxKeyBytes = 200
+	maxTxnBytes = 64 << 10
+	// maxPageRows is how many rows a list has at most.
+	maxPageRows = 1000
 )
 
-// Limit makes the service keep the limits of the settings: the size of values and
+// SetLimits makes the service keep the limits of the settings: the size of values and
 // transactions, and requests and changes a second with bursts of one second's worth.
 // Settings that say nothing of sizes leave it without limits.
-func (s *StateService) Limit(set core.Settings) {
-	if set.MaxTxnWrites == 0 || set.MaxValueBytes == 0 {
+func (s *StateService) SetLimits(settings core.Settings) {
+	if settings.MaxTxnWrites == 0 || settings.MaxValueBytes == 0 {
 		return
 	}
 	limit := func(rps float64, burst int) *rate.Limiter {
@@ -43,39 +43,39 @@
 		}
 		return rate.NewLimiter(rate.Limit(rps), max(burst, int(rps)))
 	}
-	s.limits = &limits{
-		valueBytes: set.MaxValueBytes, ops: set.MaxTxnWrites, page: pageMost,
-		requests: limit(set.StoreRequestsPerSecond, 1), changes: limit(set.StoreWritesPerSecond, set.MaxTxnWrites),
+	s.limits = &storeLimits{
+		valueBytes: settings.MaxValueBytes, writesPerTxn: settings.MaxTxnWrites, pageRows: maxPageRows,
+		requests: limit(settings.StoreRequestsPerSecond, 1), writes: limit(settings.StoreWritesPerSecond, settings.MaxTxnWrites),
 	}
 }
 
 // allow takes a request's part of the rates, if there is enough left. A transaction
 // that is refused for its changes counts as a request all the same.
-func (l *limits) allow(now time.Time, op *core.StoreRequest) bool {
-	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.changes.AllowN(now, len(op.Writes)))
+func (l *storeLimits) allow(now time.Time, op *core.StoreRequest) bool {
+	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.writes.AllowN(now, len(op.Writes)))
 }
 
-// malformed says what a 400 is for, or nothing.
-func (l *limits) malformed(op *core.StoreRequest) string {
+// malformedReason says what a 400 is for, or nothing.
+func (l *storeLimits) malformedReason(op *core.StoreRequest) string {
 	if op.Kind != core.OpTxn {
 		return ""
 	}
-	if len(op.Writes) > l.ops {
+	if len(op.Writes) > l.writesPerTxn {
 		return fmt.Sprintf("%d changes", len(op.Writes))
 	}
-	if len(op.Compares) > 4*l.ops {
+	if len(op.Compares) > 4*l.writesPerTxn {
 		return fmt.Sprintf("%d conditions", len(op.Compares))
 	}
 	whole := obj{}
 	var when, apply []any
 	for _, c := range op.Compares {
-		if !goodKey(c.Key) {
+		if !isValidKey(c.Key) {
 			return "key " + c.Key
 		}
 		when = append(when, obj{"key": c.Key, "stamp": c.ModRevision})
 	}
 	for _, a := range op.Writes {
-		if !goodKey(a.Key) {
+		if !isValidKey(a.Key) {
 			return "key " + a.Key
 		}
 		if a.Value == nil {
@@ -96,10 +96,12 @@
 		apply = append(apply, obj{"put": a.Key, "value": json.RawMessage(b), "permit": a.LeaseID})
 	}
 	whole["when"], whole["apply"] = when, apply
-	if b, err := json.Marshal(whole); err != nil || len(b) > txnMost {
+	if b, err := json.Marshal(whole); err != nil || len(b) > maxTxnBytes {
 		return fmt.Sprintf("%d bytes", len(b))
 	}
 	return ""
 }
 
-func goodKey(k string) bool { return k != "" && len(k) <= keyMost && !strings.ContainsAny(k, " \t\n") }
+func isValidKey(k string) bool {
+	return k != "" && len(k) <= maxKeyBytes && !strings.ContainsAny(k, " \t\n")
+}
--- a/internal/standin/links.go
+++ b/internal/standin/links.go
@@ -7,40 +7,40 @@
 
 // links.go has the links between all that there is, and how they break.
 
-// cut is a broken link: what is sent over it is held and delivered when it ends,
+// partition is a broken link: what is sent over it is held and delivered when it ends,
 // or lost.
-type cut struct {
-	hold bool
-	held []func()
+type partition struct {
+	holdMessages bool
+	heldMessages []func()
 }
 
-// Cut breaks the links between a and b for d; b "*" means all others.
-func (w *World) Cut(a, b string, d time.Duration, hold bool) {
+// Partition breaks the links between a and b for d; b "*" means all others.
+func (w *World) Partition(a, b string, d time.Duration, hold bool) {
 	key := a + "|" + b
-	c := &cut{hold: hold}
-	w.cuts[key] = c
-	w.after(d, func() {
-		if w.cuts[key] == c {
-			delete(w.cuts, key)
+	c := &partition{holdMessages: hold}
+	w.partitions[key] = c
+	w.schedule(d, func() {
+		if w.partitions[key] == c {
+			delete(w.partitions, key)
 		}
-		for _, fn := range c.held {
+		for _, fn := range c.heldMessages {
 			fn()
 		}
 	})
 }
 
-// cutOneWay loses what a sends to b for d, and nothing of what b sends to a; "*"
+// partitionOneWay loses what a sends to b for d, and nothing of what b sends to a; "*"
 // means all others.
-func (w *World) cutOneWay(a, b string, d time.Duration) {
+func (w *World) partitionOneWay(a, b string, d time.Duration) {
 	key := a + ">" + b
-	w.oneWay[key]++
-	w.after(d, func() { w.oneWay[key]-- })
+	w.oneWayPartitions[key]++
+	w.schedule(d, func() { w.oneWayPartitions[key]-- })
 }
 
-func (w *World) lostOneWay(a, b string) bool {
-	for _, x := range [...]string{linkKind(a), "*"} {
-		for _, y := range [...]string{linkKind(b), "*"} {
-			if w.oneWay[x+">"+y] > 0 {
+func (w *World) isPartitionedOneWay(a, b string) bool {
+	for _, x := range [...]string{linkEnd(a), "*"} {
+		for _, y := range [...]string{linkEnd(b), "*"} {
+			if w.oneWayPartitions[x+">"+y] > 0 {
 				return true
 			}
 		}
@@ -48,17 +48,17 @@
 	return false
 }
 
-// linkKind names workers all alike.
-func linkKind(s string) string {
+// linkEnd names workers all alike.
+func linkEnd(s string) string {
 	if strings.HasPrefix(s, "vm-") {
 		return "workers"
 	}
 	return s
 }
 
-func (w *World) cutBetween(a, b string) *cut {
-	for _, k := range []string{a + "|" + b, b + "|" + a, a + "|*", b + "|*", a + "|" + linkKind(b), b + "|" + linkKind(a)} {
-		if c := w.cuts[k]; c != nil {
+func (w *World) partitionBetween(a, b string) *partition {
+	for _, k := range []string{a + "|" + b, b + "|" + a, a + "|*", b + "|*", a + "|" + linkEnd(b), b + "|" + linkEnd(a)} {
+		if c := w.partitions[k]; c != nil {
 			return c
 		}
 	}
--- a/internal/standin/livecount.go
+++ b/internal/standin/livecount.go
@@ -14,49 +14,49 @@
 // LiveCounts is what a live world has seen since it began. Bytes are those of the
 // connections, headers included.
 type LiveCounts struct {
-	// Reports counts reports that were sent, by the status of their answer; 0: none came.
-	Reports map[int]int `json:"reports"`
-	// ReportsOut and ReportsIn are the bytes of reports and of their answers.
-	ReportsOut int64 `json:"report_bytes_out"`
-	ReportsIn  int64 `json:"report_bytes_in"`
-	// Orders counts direct requests to workers, by path, and OrdersOut and OrdersIn
+	// Heartbeats counts reports that were sent, by the status of their answer; 0: none came.
+	Heartbeats map[int]int `json:"reports"`
+	// HeartbeatBytesOut and HeartbeatBytesIn are the bytes of reports and of their answers.
+	HeartbeatBytesOut int64 `json:"report_bytes_out"`
+	HeartbeatBytesIn  int64 `json:"report_bytes_in"`
+	// Commands counts direct requests to workers, by path, and CommandBytesOut and CommandBytesIn
 	// their bytes, out of and into the workers.
-	Orders    map[string]int `json:"orders"`
-	OrdersOut int64          `json:"order_bytes_out"`
-	OrdersIn  int64          `json:"order_bytes_in"`
+	Commands        map[string]int `json:"orders"`
+	CommandBytesOut int64          `json:"order_bytes_out"`
+	CommandBytesIn  int64          `json:"order_bytes_in"`
 	// Requests counts requests to the state service by kind, and Changes puts and
 	// removals by the first part of their keys; Refused are the 429.
-	Requests map[string]int `json:"requests"`
-	Changes  map[string]int `json:"changes"`
-	Refused  int            `json:"refused"`
+	Requests    map[string]int `json:"requests"`
+	Writes      map[string]int `json:"changes"`
+	RateLimited int            `json:"refused"`
 	// CloudCalls counts requests to the cloud.
 	CloudCalls int `json:"cloud_calls"`
-	// Started counts starts of tasks, and LostToLease tasks that ended with a lease.
-	Started     int `json:"started"`
+	// Starts counts starts of tasks, and LostToLease tasks that ended with a lease.
+	Starts      int `json:"started"`
 	LostToLease int `json:"lost_to_lease"`
 }
 
 // liveTraffic is the part of the counts that connections write.
-type liveTraffic struct{ reportsOut, reportsIn, ordersOut, ordersIn atomic.Int64 }
+type liveTraffic struct{ heartbeatsOut, heartbeatsIn, commandsOut, commandsIn atomic.Int64 }
 
 func newCounts() LiveCounts {
-	return LiveCounts{Reports: map[int]int{}, Orders: map[string]int{}, Requests: map[string]int{}, Changes: map[string]int{}}
+	return LiveCounts{Heartbeats: map[int]int{}, Commands: map[string]int{}, Requests: map[string]int{}, Writes: map[string]int{}}
 }
 
-// request counts one to the state service.
-func (c *LiveCounts) request(op *core.StoreRequest, refused bool) {
+// countRequest counts one to the state service.
+func (c *LiveCounts) countRequest(op *core.StoreRequest, refused bool) {
 	kind := map[core.StoreRequestKind]string{
 		core.OpGet: "get", core.OpList: "list", core.OpWatch: "follow", core.OpTxn: "multi",
 		core.OpLeaseGrant: "grant", core.OpLeaseRenew: "renew", core.OpLeaseRevoke: "drop",
 	}[op.Kind]
 	c.Requests[kind]++
 	if refused {
-		c.Refused++
+		c.RateLimited++
 		return
 	}
 	for _, a := range op.Writes {
 		family, _, _ := strings.Cut(a.Key, "/")
-		c.Changes[family]++
+		c.Writes[family]++
 	}
 }
 
@@ -72,17 +72,17 @@
 		return out
 	}
 	d := c
-	d.Reports = map[int]int{}
-	for k, v := range c.Reports {
-		if v -= o.Reports[k]; v != 0 {
-			d.Reports[k] = v
+	d.Heartbeats = map[int]int{}
+	for k, v := range c.Heartbeats {
+		if v -= o.Heartbeats[k]; v != 0 {
+			d.Heartbeats[k] = v
 		}
 	}
-	d.Orders, d.Requests, d.Changes = less(c.Orders, o.Orders), less(c.Requests, o.Requests), less(c.Changes, o.Changes)
-	d.ReportsOut, d.ReportsIn = c.ReportsOut-o.ReportsOut, c.ReportsIn-o.ReportsIn
-	d.OrdersOut, d.OrdersIn = c.OrdersOut-o.OrdersOut, c.OrdersIn-o.OrdersIn
-	d.Refused, d.CloudCalls = c.Refused-o.Refused, c.CloudCalls-o.CloudCalls
-	d.Started, d.LostToLease = c.Started-o.Started, c.LostToLease-o.LostToLease
+	d.Commands, d.Requests, d.Writes = less(c.Commands, o.Commands), less(c.Requests, o.Requests), less(c.Writes, o.Writes)
+	d.HeartbeatBytesOut, d.HeartbeatBytesIn = c.HeartbeatBytesOut-o.HeartbeatBytesOut, c.HeartbeatBytesIn-o.HeartbeatBytesIn
+	d.CommandBytesOut, d.CommandBytesIn = c.CommandBytesOut-o.CommandBytesOut, c.CommandBytesIn-o.CommandBytesIn
+	d.RateLimited, d.CloudCalls = c.RateLimited-o.RateLimited, c.CloudCalls-o.CloudCalls
+	d.Starts, d.LostToLease = c.Starts-o.Starts, c.LostToLease-o.LostToLease
 	return d
 }
 
@@ -91,21 +91,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := l.counts.Minus(newCounts())
-	out.ReportsOut, out.ReportsIn = l.traffic.reportsOut.Load(), l.traffic.reportsIn.Load()
-	out.OrdersOut, out.OrdersIn = l.traffic.ordersOut.Load(), l.traffic.ordersIn.Load()
-	out.CloudCalls = l.w.Calls.Done + l.w.Calls.Refused
-	out.Started, out.LostToLease = l.w.Started, l.w.LostToLease
+	out.HeartbeatBytesOut, out.HeartbeatBytesIn = l.traffic.heartbeatsOut.Load(), l.traffic.heartbeatsIn.Load()
+	out.CommandBytesOut, out.CommandBytesIn = l.traffic.commandsOut.Load(), l.traffic.commandsIn.Load()
+	out.CloudCalls = l.world.CloudCalls.Done + l.world.CloudCalls.RefusedRequests
+	out.Starts, out.LostToLease = l.world.Starts, l.world.LostToLease
 	return out
 }
 
-// Lose ends so many machines that are up, without a word, and says how many there were.
-func (l *Live) Lose(machines int) int {
+// KillMachines ends so many machines that are up, without a word, and says how many there were.
+func (l *Live) KillMachines(machines int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	lost := 0
-	for _, m := range l.w.fleet {
-		if lost < machines && m.up(l.w.now) {
-			l.w.kill(m)
+	for _, m := range l.world.fleet {
+		if lost < machines && m.up(l.world.now) {
+			l.world.killMachine(m)
 			lost++
 		}
 	}
@@ -116,8 +116,8 @@
 func (l *Live) Workers() (up, tasks, standing int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, m := range l.w.fleet {
-		if m.up(l.w.now) && m.tenure > 0 {
+	for _, m := range l.world.fleet {
+		if m.up(l.world.now) && m.incarnation > 0 {
 			up++
 		}
 		for _, t := range m.tasks {
@@ -133,16 +133,16 @@
 	return up, tasks, standing
 }
 
-// Began is when a job's first task began, if one did.
-func (l *Live) Began(id string) (time.Time, bool) {
+// FirstStart is when a job's first task began, if one did.
+func (l *Live) FirstStart(id string) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	j := l.w.jobs[id]
+	j := l.world.jobs[id]
 	if j == nil {
 		return time.Time{}, false
 	}
 	var first time.Time
-	for _, at := range j.began {
+	for _, at := range j.firstStarts {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
@@ -181,9 +181,9 @@
 	return meteredConn{c, l.in, l.out}, nil
 }
 
-// reporterClient is one worker's own client: it keeps one connection, as it reports to
+// newHeartbeatClient is one worker's own client: it keeps one connection, as it reports to
 // one node at a time.
-func (l *Live) reporterClient() *http.Client {
+func (l *Live) newHeartbeatClient() *http.Client {
 	var d net.Dialer
 	return &http.Client{Transport: &http.Transport{
 		MaxIdleConns: 1, MaxIdleConnsPerHost: 1, DisableCompression: true,
@@ -192,7 +192,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return meteredConn{c, &l.traffic.reportsIn, &l.traffic.reportsOut}, nil
+			return meteredConn{c, &l.traffic.heartbeatsIn, &l.traffic.heartbeatsOut}, nil
 		},
 	}}
 }
--- a/internal/standin/lost_answers_test.go
+++ b/internal/standin/lost_answers_test.go
@@ -11,9 +11,9 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// lostAnswers lets a share of the transactions be carried out at once, and loses what the
+// lostResponses lets a share of the transactions be carried out at once, and loses what the
 // state service says to their senders in that moment: the answer, and a watch's.
-type lostAnswers struct {
+type lostResponses struct {
 	share float64
 	// chosen are the senders by the first key that they write.
 	chosen map[string]string
@@ -21,21 +21,21 @@
 	lost map[string]int
 }
 
-func loseAnswers(w *World, seed uint64, share float64) *lostAnswers {
-	l := &lostAnswers{share: share, chosen: map[string]string{}, lost: map[string]int{}}
+func loseResponses(w *World, seed uint64, share float64) *lostResponses {
+	l := &lostResponses{share: share, chosen: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
-	w.ends = func(p *proc, e core.Effect) bool {
+	w.crashCondition = func(p *controllerProcess, e core.Effect) bool {
 		if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
 			l.chosen[op.Writes[0].Key] = p.name
 		}
 		return false
 	}
-	noted := w.state.noted
-	w.state.noted = func(it core.KeyValue) {
+	noted := w.state.onChange
+	w.state.onChange = func(it core.KeyValue) {
 		if p, chosen := l.chosen[it.Key]; chosen {
 			delete(l.chosen, it.Key)
 			l.lost[recordKind(it.Key)]++
-			w.cutOneWay("state", p, 0)
+			w.partitionOneWay("state", p, 0)
 		}
 		if noted != nil {
 			noted(it)
@@ -56,11 +56,11 @@
 	return parts[0]
 }
 
-// TestLostAnswers plays random days on which every seventh transaction is carried out at
+// TestLostResponses plays random days on which every seventh transaction is carried out at
 // once and only its answer is lost, while everybody else goes on by what it wrote: with
 // rankings that come and go, promised dates and packed replicas. No rule is broken, each
 // job's date is one register, the totals are exact, and all jobs end.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	met, mu := map[string]int{}, sync.Mutex{}
 	days := drawnDays(t, 8, 3)
 	t.Run("days", func(t *testing.T) {
@@ -72,23 +72,23 @@
 				set.Capabilities = core.Capabilities{Ranking: true, Promises: true, PromiseFraction: 0.95, Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: time.Minute}
 				w := NewWorld(seed, 3+2*int(seed%2), set, testCancel, types, room)
 				w.CheckRanking()
-				w.ranked.only = true
-				d := watchDates(w)
-				l := loseAnswers(w, seed, 0.15)
-				w.after(20*time.Second, func() { d.askAll(w.began.Add(6 * time.Minute)) })
+				w.rankingCheck.startsOnly = true
+				d := recordPromises(w)
+				l := loseResponses(w, seed, 0.15)
+				w.schedule(20*time.Second, func() { d.askAll(w.startedAt.Add(6 * time.Minute)) })
 				for k := range 10 {
 					text := []string{rushFirst, reprintFirst}[k%2]
-					w.after(time.Duration(10+k*30)*time.Second, func() {
-						w.Rank(k%len(w.nodes), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
+					w.schedule(time.Duration(10+k*30)*time.Second, func() {
+						w.SetRanking(k%len(w.controllers), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
 					})
 				}
-				w.after(8*time.Minute, func() { l.share = 0 })
+				w.schedule(8*time.Minute, func() { l.share = 0 })
 				randomDay(w, seed+900)
-				for _, b := range append(w.Broken, d.check()...) {
+				for _, b := range append(w.Violations, d.check()...) {
 					t.Error(b)
 				}
 				d.totals(t)
-				allTold(t, w, true)
+				checkFinalAnswers(t, w, true)
 				if t.Failed() {
 					t.Log(strings.Join(w.logs[max(0, len(w.logs)-40):], "\n"))
 				}
@@ -108,32 +108,32 @@
 	}
 }
 
-// TestMovesWithLostAnswers: replicas move to make room while four of ten transactions get
+// TestMigrationsWithLostResponses: replicas move to make room while four of ten transactions get
 // no answer, also those that write the plan: each move is made once, nothing is ever
 // wholly down for it, and in the end all runs.
-func TestMovesWithLostAnswers(t *testing.T) {
+func TestMigrationsWithLostResponses(t *testing.T) {
 	met := 0
 	for seed := range drawnDays(t, 8, 3) {
-		p := newPieces(t, seed, 3)
-		l := loseAnswers(p.World, seed, 0.4)
+		p := newFragmentedWorld(t, seed, 3)
+		l := loseResponses(p.World, seed, 0.4)
 		p.watch()
 		p.large()
 		p.Run(150 * time.Second)
 		l.share = 0
 		p.Run(60 * time.Second)
-		if p.live("job-large") != 1 {
+		if p.runningTasks("job-large") != 1 {
 			t.Errorf("%d: the large one does not run", seed)
 		}
 		for _, id := range p.small {
-			if p.live(id) != 2 {
-				t.Errorf("%d: %s has %d replicas up", seed, id, p.live(id))
+			if p.runningTasks(id) != 2 {
+				t.Errorf("%d: %s has %d replicas up", seed, id, p.runningTasks(id))
 			}
 		}
-		if p.down != "" || len(p.Broken) > 0 {
-			t.Error(seed, "down:", p.down, p.Broken)
+		if p.down != "" || len(p.Violations) > 0 {
+			t.Error(seed, "down:", p.down, p.Violations)
 		}
 		p.Run(6 * time.Minute)
-		if row := p.state.rows["move/ops"]; row != nil {
+		if row := p.state.records["move/ops"]; row != nil {
 			t.Errorf("%d: the record is still there: %d bytes", seed, len(row.value))
 		}
 		met += l.lost["move"]
--- a/internal/standin/lower_test.go
+++ b/internal/standin/lower_test.go
@@ -26,13 +26,13 @@
 	types := []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	l := &lowerWorld{World: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 40}), next: set, replaced: make([]bool, 3)}
 	l.next.MaxValueBytes, l.next.CurrentMaxValueBytes, l.next.MaxTxnWrites, l.next.StoreWritesPerSecond = 1024, set.MaxValueBytes, 4, 21
-	l.tune = func(i int, set *core.Settings) {
+	l.adjustSettings = func(i int, set *core.Settings) {
 		if l.replaced[i] {
 			set.MaxValueBytes, set.CurrentMaxValueBytes = l.next.MaxValueBytes, l.next.CurrentMaxValueBytes
 			set.MaxTxnWrites, set.StoreWritesPerSecond = l.next.MaxTxnWrites, l.next.StoreWritesPerSecond
 		}
 	}
-	l.state.noted = func(it core.KeyValue) {
+	l.state.onChange = func(it core.KeyValue) {
 		if strings.HasPrefix(it.Key, "task/") && strings.Contains(it.Key, "/s") && !l.all() {
 			l.early++
 		}
@@ -45,11 +45,11 @@
 // replace ends a controller, which comes back with the new version.
 func (l *lowerWorld) replace(i int) {
 	l.replaced[i] = true
-	l.Crash(i, 3*time.Second)
+	l.CrashController(i, 3*time.Second)
 }
 
 // lower has the state service keep the limits to come.
-func (l *lowerWorld) lower() { l.state.Limit(l.next) }
+func (l *lowerWorld) lower() { l.state.SetLimits(l.next) }
 
 // TestLowerLimitsUnseen: the controller that is replaced last has lost the state service
 // until long after the limits are lower, so that nobody is told that it is new: the others
@@ -62,7 +62,7 @@
 	l.Run(15 * time.Second)
 	for i := range 3 {
 		if i == 2 {
-			l.Cut("node-2", "state", 5*time.Minute, false)
+			l.Partition("node-2", "state", 5*time.Minute, false)
 		}
 		l.replace(i)
 		l.Run(8 * time.Second)
@@ -72,12 +72,12 @@
 	l.Run(5 * time.Minute)
 	rulesHold(t, l.World)
 	for _, id := range append(ids, cutOff...) {
-		if j := l.jobs[id]; j.told != string(core.Done) {
-			t.Errorf("%s is %s", id, j.told)
+		if j := l.jobs[id]; j.lastState != string(core.Done) {
+			t.Errorf("%s is %s", id, j.lastState)
 		}
 	}
-	if l.state.Bad == 0 || l.state.Bad > 20 {
-		t.Errorf("%d requests are malformed", l.state.Bad)
+	if l.state.Malformed == 0 || l.state.Malformed > 20 {
+		t.Errorf("%d requests are malformed", l.state.Malformed)
 	}
 }
 
@@ -95,12 +95,12 @@
 			ids = append(ids, l.submitMany("lab", "lab", 6, 100, 1, 35*time.Second)...)
 			l.Run(25 * time.Second)
 			if k%4 == 1 {
-				l.LateWrites(0.3, 2*time.Minute)
+				l.DelayWrites(0.3, 2*time.Minute)
 			}
 			l.replace(0)
 			l.Run(12 * time.Second)
 			if k%3 == 1 {
-				l.Crash(2, 2*time.Second)
+				l.CrashController(2, 2*time.Second)
 				l.Run(8 * time.Second)
 			}
 			l.replace(1)
@@ -108,35 +108,35 @@
 			l.replace(2)
 			l.Run(time.Duration(12+k%5) * time.Second)
 			if k%2 == 1 {
-				l.Crash(l.busiest(), 2*time.Second)
+				l.CrashController(l.busiestController(), 2*time.Second)
 				l.Run(time.Duration(k) * 500 * time.Millisecond)
 			}
 			l.lower()
 			l.Run(time.Duration(k%7) * time.Second)
-			l.Abort(ids[3])
+			l.Cancel(ids[3])
 			if k%4 > 1 {
-				l.Crash(l.busiest(), 2*time.Second)
+				l.CrashController(l.busiestController(), 2*time.Second)
 			}
 			l.Run(6 * time.Minute)
 			// Records of ended jobs that an owner had still to remove when it ended go when
 			// one begins that owns nothing yet.
-			for i := range l.nodes {
-				l.Crash(i, 3*time.Second)
+			for i := range l.controllers {
+				l.CrashController(i, 3*time.Second)
 			}
 			l.Run(2 * time.Minute)
 			rulesHold(t, l.World)
 			if l.early > 0 {
 				t.Errorf("%d records that the version before can't read, while it could come back", l.early)
 			}
-			if l.state.Bad > 0 {
-				t.Errorf("%d requests are malformed, the last for %s", l.state.Bad, l.state.LastBad)
+			if l.state.Malformed > 0 {
+				t.Errorf("%d requests are malformed, the last for %s", l.state.Malformed, l.state.LastMalformed)
 			}
 			for _, id := range ids {
-				if j := l.jobs[id]; j.told != string(core.Done) && j.told != string(core.Cancelled) {
-					t.Errorf("%s is %s", id, j.told)
+				if j := l.jobs[id]; j.lastState != string(core.Done) && j.lastState != string(core.Cancelled) {
+					t.Errorf("%s is %s", id, j.lastState)
 				}
 			}
-			for key := range l.state.rows {
+			for key := range l.state.records {
 				if strings.HasPrefix(key, "task/") {
 					t.Errorf("%s is left", key)
 				}
--- a/internal/standin/meetings.go
+++ b/internal/standin/meetings.go
@@ -16,9 +16,9 @@
 // late, a state service that refuses one controller and then is away for all, and
 // messages that are lost, held or carried out twice here and there.
 
-// meetingKinds are all troubles that there are, the likelier the oftener they stand:
+// overlapFaultKinds are all troubles that there are, the likelier the oftener they stand:
 // those twice that we know as partners of others.
-var meetingKinds = []string{
+var overlapFaultKinds = []string{
 	"crash", "crash", "crash_all", "crash_all", "roll", "cut", "cut", "refused", "outage", "cloud", "still", "still", "die", "hang", "hang",
 	"machine_cut", "machine_cut", "taken", "slow_state", "slow_state",
 	"boots", "polls", "again", "again_all", "one_way", "one_way", "slow_answers", "lazy", "capacity", "price", "faulty",
@@ -27,273 +27,273 @@
 }
 
 const (
-	// lateWriteLeast and lateWriteMost are how much later than it was sent a
+	// minWriteDelay and maxWriteDelay are how much later than it was sent a
 	// transaction without an answer is carried out.
-	lateWriteLeast = 2 * time.Second
-	lateWriteMost  = 12 * time.Second
-	// refusedAlone is how long one controller stays refused when the state service has
+	minWriteDelay = 2 * time.Second
+	maxWriteDelay = 12 * time.Second
+	// refusedAfterOutage is how long one controller stays refused when the state service has
 	// been away for all since: about what a real one has.
-	refusedAlone = 14 * time.Second
-	// apartMost is how much later than a meeting's first trouble another one begins at
+	refusedAfterOutage = 14 * time.Second
+	// maxFaultSpacing is how much later than a meeting's first trouble another one begins at
 	// most, so that they overlap.
-	apartMost = 20 * time.Second
-	// endAfter is how long after a meeting all controllers end on some days.
-	endAfter = 10 * time.Second
-	// keepsOne: one user in so many asks the same controller again and again once all
+	maxFaultSpacing = 20 * time.Second
+	// crashAfterOverlap is how long after a meeting all controllers end on some days.
+	crashAfterOverlap = 10 * time.Second
+	// stickyUserOneIn: one user in so many asks the same controller again and again once all
 	// is over.
-	keepsOne = 3
+	stickyUserOneIn = 3
 )
 
 // MassCancel is that users cancel a share of a class's jobs in a short time.
 type MassCancel struct {
-	Class string        `json:"class"`
-	Share float64       `json:"share"`
-	At    time.Duration `json:"at_ns"`
-	For   time.Duration `json:"for_ns"`
+	Workload string        `json:"class"`
+	Fraction float64       `json:"share"`
+	At       time.Duration `json:"at_ns"`
+	Duration time.Duration `json:"for_ns"`
 }
 
 func (c *MassCancel) String() string {
-	return fmt.Sprintf("%.0fs %.0f%% of %s are cancelled within %.0fs", c.At.Seconds(), 100*c.Share, c.Class, c.For.Seconds())
+	return fmt.Sprintf("%.0fs %.0f%% of %s are cancelled within %.0fs", c.At.Seconds(), 100*c.Fraction, c.Workload, c.Duration.Seconds())
 }
 
-// when says when a job of a class that comes at a moment is cancelled, if it is.
-func (c *MassCancel) when(class string, at time.Duration, rng *rand.Rand) (time.Duration, bool) {
-	if c == nil || class != c.Class || rng.Float64() >= c.Share {
+// cancelTime says when a job of a class that comes at a moment is cancelled, if it is.
+func (c *MassCancel) cancelTime(class string, at time.Duration, rng *rand.Rand) (time.Duration, bool) {
+	if c == nil || class != c.Workload || rng.Float64() >= c.Fraction {
 		return 0, false
 	}
-	t := c.At + time.Duration(rng.Float64()*float64(c.For))
+	t := c.At + time.Duration(rng.Float64()*float64(c.Duration))
 	return t, t > at
 }
 
-// importRun is how long the tasks of those classes take that outlast cancel_s.
-const importRun = 110 * time.Second
+// longTaskRunTime is how long the tasks of those classes take that outlast cancel_s.
+const longTaskRunTime = 110 * time.Second
 
-// longRun is how much later than on other days is counted what was served: the long
+// extraCountTime is how much later than on other days is counted what was served: the long
 // tasks that came last are to have their time.
-func (d *Day) longRun() time.Duration {
+func (d *Day) extraCountTime() time.Duration {
 	long := time.Duration(0)
-	if d.Meetings {
-		long = importRun
+	if d.OverlappingFaults {
+		long = longTaskRunTime
 	}
 	if d.Pipelines {
-		long = max(long, pipelineMore)
+		long = max(long, pipelineExtraTime)
 	}
 	return long
 }
 
-// meetingClasses are those of other days and one whose tasks outlast cancel_s.
-func meetingClasses(classes []dayClass) []dayClass {
+// withLongTasks are those of other days and one whose tasks outlast cancel_s.
+func withLongTasks(classes []workloadClass) []workloadClass {
 	out := slices.Clone(classes)
 	const part = 0.2
 	for i := range out {
-		out[i].part *= 1 - part
+		out[i].jobFraction *= 1 - part
 	}
-	return append(out, dayClass{"import", 2, 4, importRun, 1, core.Normal, 0, part})
+	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, core.Normal, 0, part})
 }
 
-// manyJobs has many small jobs of long tasks come in the time before users cancel, so
+// submitLongJobs has many small jobs of long tasks come in the time before users cancel, so
 // that there is always much to be stopped when troubles meet: one for every two machines.
-func (d *Day) manyJobs(w *World) {
+func (d *Day) submitLongJobs(w *World) {
 	if d.Cancels == nil {
 		return
 	}
 	rng := rand.New(rand.NewPCG(d.Seed, 818))
 	const before = time.Minute
 	for range d.Machines / 2 {
-		w.names++
+		w.lastID++
 		at := max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(before)))
-		run := time.Duration(float64(importRun) * (0.75 + rng.Float64()/2))
+		run := time.Duration(float64(longTaskRunTime) * (0.75 + rng.Float64()/2))
 		spec := core.JobSpec{
-			ID: fmt.Sprintf("job-%06d", w.names), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: core.Normal,
-			Tasks: 1 + rng.IntN(3), Need: core.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: importRun,
+			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: core.Normal,
+			Tasks: 1 + rng.IntN(3), Need: core.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
 		}
-		w.after(at, func() { w.Submit(spec, run, false) })
-		if t, ok := d.Cancels.when(spec.Workload, at, rng); ok {
-			w.after(t, func() { w.Abort(spec.ID) })
+		w.schedule(at, func() { w.Submit(spec, run, false) })
+		if t, ok := d.Cancels.cancelTime(spec.Workload, at, rng); ok {
+			w.schedule(t, func() { w.Cancel(spec.ID) })
 		}
 	}
 }
 
-// drawMeeting draws two or three troubles that overlap, and whose jobs are cancelled
+// generateOverlap draws two or three troubles that overlap, and whose jobs are cancelled
 // around them: from its own numbers, so that the rest of the day is as without it.
-func drawMeeting(d *Day) {
+func generateOverlap(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 3141))
-	d.classes = meetingClasses(d.classes)
+	d.workloads = withLongTasks(d.workloads)
 	at := time.Duration(45+rng.IntN(max(1, d.Minutes*60/2))) * time.Second
 	cancels := MassCancel{
-		Class: []string{"import", "import", "import", "batch", "rush", "wide"}[rng.IntN(6)], Share: []float64{0.8, 0.8, 1}[rng.IntN(3)],
-		At: at - 5*time.Second + time.Duration(rng.IntN(10))*time.Second, For: time.Duration(5+rng.IntN(30)) * time.Second,
+		Workload: []string{"import", "import", "import", "batch", "rush", "wide"}[rng.IntN(6)], Fraction: []float64{0.8, 0.8, 1}[rng.IntN(3)],
+		At: at - 5*time.Second + time.Duration(rng.IntN(10))*time.Second, Duration: time.Duration(5+rng.IntN(30)) * time.Second,
 	}
-	var met []DayFault
+	var overlapping []Fault
 	longest := time.Duration(0)
 	for range 2 + rng.IntN(2) {
-		f := d.drawTrouble(rng)
+		f := d.generateFault(rng)
 		f.At = at
-		if len(met) > 0 {
-			f.At += time.Duration(rng.Float64() * float64(min(apartMost, longest)))
+		if len(overlapping) > 0 {
+			f.At += time.Duration(rng.Float64() * float64(min(maxFaultSpacing, longest)))
 		}
-		longest = max(longest, f.ends(d.Controllers)-f.At)
+		longest = max(longest, f.endsAt(d.Controllers)-f.At)
 		if f.Kind == "refused_outage" {
 			// Most of them while another controller can still confirm it.
-			cancels.At, cancels.For = f.At, f.Late+2*time.Second
+			cancels.At, cancels.Duration = f.At, f.Delay+2*time.Second
 		}
-		met = append(met, f)
+		overlapping = append(overlapping, f)
 	}
 	d.Cancels = &cancels
-	d.Faults = append(d.Faults, met...)
+	d.Faults = append(d.Faults, overlapping...)
 	if rng.IntN(3) == 0 {
-		d.Faults = append(d.Faults, DayFault{Kind: "crash_all", At: d.calm() + endAfter, For: 5 * time.Second})
+		d.Faults = append(d.Faults, Fault{Kind: "crash_all", At: d.lastFaultEnd() + crashAfterOverlap, Duration: 5 * time.Second})
 	}
-	d.meetLater(met)
-	slices.SortStableFunc(d.Faults, func(a, b DayFault) int { return cmp.Compare(a.At, b.At) })
+	d.addExtraFault(overlapping)
+	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
 
-// meetLater has one of the later troubles meet those of a day on one day in three, from
+// addExtraFault has one of the later troubles meet those of a day on one day in three, from
 // its own numbers: the others are as they were.
-func (d *Day) meetLater(met []DayFault) {
+func (d *Day) addExtraFault(met []Fault) {
 	rng := rand.New(rand.NewPCG(d.Seed, 5772))
 	if rng.IntN(3) > 0 {
 		return
 	}
-	f := d.drawLater(rng)
-	f.At = met[0].At + time.Duration(rng.Float64()*float64(apartMost))
+	f := d.generateExtraFault(rng)
+	f.At = met[0].At + time.Duration(rng.Float64()*float64(maxFaultSpacing))
 	d.Faults = append(d.Faults, f)
 }
 
-// drawTrouble draws one of all troubles, but for when it begins.
-func (d *Day) drawTrouble(rng *rand.Rand) DayFault {
-	part := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
+// generateFault draws one of all troubles, but for when it begins.
+func (d *Day) generateFault(rng *rand.Rand) Fault {
+	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
 	cancel := d.cancelWithin()
-	f := DayFault{
-		Kind: meetingKinds[rng.IntN(len(meetingKinds))], For: between(rng, 8*time.Second, 90*time.Second),
-		Node: rng.IntN(d.Controllers), Busiest: rng.IntN(3) > 0, Hold: rng.IntN(2) == 0,
+	f := Fault{
+		Kind: overlapFaultKinds[rng.IntN(len(overlapFaultKinds))], Duration: logUniform(rng, 8*time.Second, 90*time.Second),
+		Controller: rng.IntN(d.Controllers), Busiest: rng.IntN(3) > 0, HoldMessages: rng.IntN(2) == 0,
 	}
-	back := []time.Duration{50, 200, 500, 1000}[rng.IntN(4)] * time.Millisecond
+	restartAfter := []time.Duration{50, 200, 500, 1000}[rng.IntN(4)] * time.Millisecond
 	switch f.Kind {
 	case "crash", "crash_all", "roll":
-		f.For = 5 * time.Second
+		f.Duration = 5 * time.Second
 	case "cut":
 		f.Link = []string{"state", "workers", "*", "peers", "cloud"}[rng.IntN(5)]
 	case "one_way":
 		f.Link = []string{"state", "workers", "*", "user"}[rng.IntN(4)]
 	case "die", "hang", "machine_cut", "taken", "lazy", "capacity", "faulty":
-		f.Share = part(0.02, 0.1, 0.3)
+		f.Fraction = oneOf(0.02, 0.1, 0.3)
 	case "slow_state":
-		f.Times = 15 + 10*rng.Float64()
+		f.SlowFactor = 15 + 10*rng.Float64()
 	case "boots":
-		f.Share = part(0.05, 1, 4, 8)
+		f.Fraction = oneOf(0.05, 1, 4, 8)
 	case "polls":
-		f.Share = part(4, 8, 30)
+		f.Fraction = oneOf(4, 8, 30)
 	case "again", "again_all":
-		f.Back = back
+		f.RestartAfter = restartAfter
 	case "deaf_machine":
 		// One, a tenth, or a whole zone's.
-		f.For, f.Share = between(rng, 8*time.Second, 5*time.Minute), part(1e-9, 0.1, 1)
-		if f.Share == 1 {
+		f.Duration, f.Fraction = logUniform(rng, 8*time.Second, 5*time.Minute), oneOf(1e-9, 0.1, 1)
+		if f.Fraction == 1 {
 			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
 		}
 	case "copies":
-		f.Late, f.Share = between(rng, 2*time.Second, 5*d.Settings.WorkerLease), part(0.05, 0.3, 1)
+		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
 	case "cut_alone":
 		f.Link = []string{"", "", "refused"}[rng.IntN(3)]
 	case "election":
-		f.Late, f.Back = between(rng, 5*time.Millisecond, 5*time.Second), back
+		f.Delay, f.RestartAfter = logUniform(rng, 5*time.Millisecond, 5*time.Second), restartAfter
 	case "back_machine":
-		f.Share, f.Back = part(1e-9, 0.1, 0.3), back
+		f.Fraction, f.RestartAfter = oneOf(1e-9, 0.1, 0.3), restartAfter
 	case "loss", "twice":
-		f.Share = part(0.01, 0.05, 0.2)
+		f.Fraction = oneOf(0.01, 0.05, 0.2)
 	case "late_writes":
-		f.Share = part(0.05, 0.2, 0.5)
+		f.Fraction = oneOf(0.05, 0.2, 0.5)
 	case "refused_outage":
-		f.Late, f.For = between(rng, time.Second, 12*time.Second), between(rng, cancel, 3*cancel)
+		f.Delay, f.Duration = logUniform(rng, time.Second, 12*time.Second), logUniform(rng, cancel, 3*cancel)
 	}
 	return f
 }
 
 // cancelWithin is in how long the tasks of a cancelled job have to be gone.
 func (d *Day) cancelWithin() time.Duration {
-	return d.Settings.WorkerLease + time.Duration(cmp.Or(d.CancelRoom, cancelRoom))*time.Second
+	return d.Settings.WorkerLease + time.Duration(cmp.Or(d.CancelMarginS, defaultCancelMarginS))*time.Second
 }
 
-// cancelRoom is by how many seconds cancel_s is longer than a lease on all known sites.
-const cancelRoom = 30
+// defaultCancelMarginS is by how many seconds cancel_s is longer than a lease on all known sites.
+const defaultCancelMarginS = 30
 
-// meetingTrouble lets one of this file's troubles begin, and says whether it is one.
-func (w *World) meetingTrouble(f DayFault) bool {
+// startOverlapFault lets one of this file's troubles begin, and says whether it is one.
+func (w *World) startOverlapFault(f Fault) bool {
 	switch f.Kind {
 	case "late_writes":
-		w.LateWrites(f.Share, f.For)
-		w.writesAtOnce = f.AtOnce
+		w.DelayWrites(f.Fraction, f.Duration)
+		w.loseWriteResponses = f.Immediate
 	case "refused_outage":
-		w.refuse(w.nodes[f.Node%len(w.nodes)], f.Late+min(refusedAlone, f.For))
-		w.after(f.Late, func() { w.Outage(f.For) })
+		w.refuseController(w.controllers[f.Controller%len(w.controllers)], f.Delay+min(refusedAfterOutage, f.Duration))
+		w.schedule(f.Delay, func() { w.Outage(f.Duration) })
 	case "loss":
-		w.loss = f.Share
-		w.after(f.For, func() { w.loss = 0 })
+		w.lossRate = f.Fraction
+		w.schedule(f.Duration, func() { w.lossRate = 0 })
 	case "twice":
-		w.twice = f.Share
-		w.after(f.For, func() { w.twice = 0 })
+		w.duplicateRate = f.Fraction
+		w.schedule(f.Duration, func() { w.duplicateRate = 0 })
 	default:
 		return false
 	}
 	return true
 }
 
-// LateWrites lets a share of the transactions of the next d get no answer and be carried
-// out some seconds later, after newer ones; or at once, with writesAtOnce.
-func (w *World) LateWrites(share float64, d time.Duration) {
-	w.lateWrites, w.lateWriteTill = share, w.now.Add(d)
+// DelayWrites lets a share of the transactions of the next d get no answer and be carried
+// out some seconds later, after newer ones; or at once, with loseWriteResponses.
+func (w *World) DelayWrites(share float64, d time.Duration) {
+	w.lateWriteRate, w.lateWritesUntil = share, w.now.Add(d)
 }
 
-// writeLate says whether a transaction gets no answer, and how late it is carried out.
-func (w *World) writeLate(e core.StoreRequest) (time.Duration, bool) {
-	if e.Kind != core.OpTxn || !w.now.Before(w.lateWriteTill) || w.rng.Float64() >= w.lateWrites {
+// delayWrite says whether a transaction gets no answer, and how late it is carried out.
+func (w *World) delayWrite(e core.StoreRequest) (time.Duration, bool) {
+	if e.Kind != core.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
 		return 0, false
 	}
-	if w.writesAtOnce {
+	if w.loseWriteResponses {
 		return 0, true
 	}
-	return lateWriteLeast + time.Duration(w.rng.Int64N(int64(lateWriteMost-lateWriteLeast))), true
+	return minWriteDelay + time.Duration(w.rng.Int64N(int64(maxWriteDelay-minWriteDelay))), true
 }
 
-// refuse lets the state service refuse one controller alone for d.
-func (w *World) refuse(p *proc, d time.Duration) {
-	p.stateNo = true
-	if till := w.now.Add(d); till.After(p.refusedTill) {
-		p.refusedTill = till
+// refuseController lets the state service refuse one controller alone for d.
+func (w *World) refuseController(p *controllerProcess, d time.Duration) {
+	p.stateRefused = true
+	if till := w.now.Add(d); till.After(p.refusedUntil) {
+		p.refusedUntil = till
 	}
-	w.after(d, func() { p.stateNo = w.now.Before(p.refusedTill) })
+	w.schedule(d, func() { p.stateRefused = w.now.Before(p.refusedUntil) })
 }
 
-// busiest is the number of the controller that most machines report to.
-func (w *World) busiest() int {
-	heard := make([]int, len(w.nodes))
+// busiestController is the number of the controller that most machines report to.
+func (w *World) busiestController() int {
+	reporting := make([]int, len(w.controllers))
 	for _, m := range w.fleet {
 		if m.up(w.now) {
-			heard[m.node]++
+			reporting[m.controller]++
 		}
 	}
 	best := 0
-	for i, k := range heard {
-		if k > heard[best] {
+	for i, k := range reporting {
+		if k > reporting[best] {
 			best = i
 		}
 	}
 	return best
 }
 
-// keepsTo is the controller that a job's user goes on to ask once all is over, on days
+// stickyController is the controller that a job's user goes on to ask once all is over, on days
 // of meetings; -1: whichever it is.
-func (w *World) keepsTo(j *userJob) int {
-	if !w.keeps || w.now.Before(w.calm) {
+func (w *World) stickyController(j *userJob) int {
+	if !w.stickyUsers || w.now.Before(w.faultsEndAt) {
 		return -1
 	}
 	var n int
-	if _, err := fmt.Sscan(strings.TrimLeft(strings.TrimPrefix(j.spec.ID, "job-"), "0"), &n); err != nil || n%keepsOne != 0 {
+	if _, err := fmt.Sscan(strings.TrimLeft(strings.TrimPrefix(j.spec.ID, "job-"), "0"), &n); err != nil || n%stickyUserOneIn != 0 {
 		return -1
 	}
-	i := n / keepsOne % len(w.nodes)
-	if p := w.nodes[i]; !p.alive || !p.node.Healthy(w.now) {
+	i := n / stickyUserOneIn % len(w.controllers)
+	if p := w.controllers[i]; !p.alive || !p.controller.Healthy(w.now) {
 		return -1
 	}
 	return i
--- a/internal/standin/meetings_test.go
+++ b/internal/standin/meetings_test.go
@@ -10,9 +10,9 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// noHalts takes the stops out of whatever goes to workers.
-func noHalts(e core.Effect) core.Effect {
-	return withoutOrders(e, func(o core.TaskCommand) bool { return o.Kind == core.StopTask })
+// dropStops takes the stops out of whatever goes to workers.
+func dropStops(e core.Effect) core.Effect {
+	return dropCommands(e, func(o core.TaskCommand) bool { return o.Kind == core.StopTask })
 }
 
 // TestCancelledInTime: the checker of cancellations counts from the answer that leaves a
@@ -28,41 +28,41 @@
 		abort func(*World)
 	}{
 		{"stops lost until just before", false, 1, func(w *World) {
-			till := w.now.Add(w.cancel - 12*time.Second)
-			w.sabotage = func(e core.Effect) core.Effect {
+			till := w.now.Add(w.cancelWithin - 12*time.Second)
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if w.now.Before(till) {
-					return noHalts(e)
+					return dropStops(e)
 				}
 				return e
 			}
 		}},
 		{"stops lost until just after", true, 1, func(w *World) {
-			till := w.now.Add(w.cancel + 2*time.Second)
-			w.sabotage = func(e core.Effect) core.Effect {
+			till := w.now.Add(w.cancelWithin + 2*time.Second)
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if w.now.Before(till) {
-					return noHalts(e)
+					return dropStops(e)
 				}
 				return e
 			}
 		}},
 		{"stops lost and the answers too", true, 1, func(w *World) {
-			w.sabotage = noHalts
-			w.cutOneWay("*", "user", time.Hour)
+			w.corruptEffect = dropStops
+			w.partitionOneWay("*", "user", time.Hour)
 		}},
 		{"a machine hangs", true, 1, func(w *World) {
 			for _, m := range w.fleet {
-				m.hungTill = w.now.Add(time.Hour)
+				m.hungUntil = w.now.Add(time.Hour)
 			}
 		}},
 		{"a machine hangs while it fetches", true, 30, func(w *World) {
 			for _, m := range w.fleet {
-				m.hungTill = w.now.Add(time.Hour)
+				m.hungUntil = w.now.Add(time.Hour)
 			}
 		}},
-		{"nothing reaches a machine", true, 1, func(w *World) { w.DeafMachines(sorted(w.machine), time.Hour, false) }},
+		{"nothing reaches a machine", true, 1, func(w *World) { w.MakeUnreachable(sortedKeys(w.machines), time.Hour, false) }},
 		{"a machine is silent", true, 1, func(w *World) {
-			for id := range w.machine {
-				w.Cut(id, "*", time.Hour, false)
+			for id := range w.machines {
+				w.Partition(id, "*", time.Hour, false)
 			}
 		}},
 	} {
@@ -73,36 +73,36 @@
 				Image: "i", ImageGB: c.image, ExpectedRunTime: time.Hour}, time.Hour, false)
 			w.Run(50 * time.Second)
 			// No machine is returned, and no lease ends.
-			w.cloudOut, w.set.WorkerLease = true, time.Hour
+			w.cloudOutage, w.settings.WorkerLease = true, time.Hour
 			c.abort(w)
-			w.Abort(id)
-			w.Run(w.cancel - time.Second)
-			if len(w.Broken) > 0 {
-				t.Errorf("broken before the time is over: %v", w.Broken)
+			w.Cancel(id)
+			w.Run(w.cancelWithin - time.Second)
+			if len(w.Violations) > 0 {
+				t.Errorf("broken before the time is over: %v", w.Violations)
 			}
 			w.Run(20 * time.Second)
-			if got := strings.Contains(strings.Join(w.Broken, "\n"), "ran_cancelled"); got != c.broken {
-				t.Errorf("told %q, confirmed at %v, broken %v", w.jobs[id].told, w.jobs[id].cancelled, w.Broken)
+			if got := strings.Contains(strings.Join(w.Violations, "\n"), "ran_cancelled"); got != c.broken {
+				t.Errorf("told %q, confirmed at %v, broken %v", w.jobs[id].lastState, w.jobs[id].cancelledAt, w.Violations)
 			}
 		})
 	}
 }
 
-// TestMeetingsNoticeWhatIsWrong: each job is asked about for itself once all is over, also
+// TestOverlapChecksNotice: each job is asked about for itself once all is over, also
 // one that was cancelled, and also at one controller alone.
-func TestMeetingsNoticeWhatIsWrong(t *testing.T) {
-	d := DrawDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, Hot: 1, Meetings: true})
-	d.Faults = []DayFault{{Kind: "crash", At: 40 * time.Second, For: 5 * time.Second}}
-	d.Cancels = &MassCancel{Class: "import", Share: 1, At: 35 * time.Second, For: 20 * time.Second}
+func TestOverlapChecksNotice(t *testing.T) {
+	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, OverlappingFaults: true})
+	d.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
+	d.Cancels = &MassCancel{Workload: "import", Fraction: 1, At: 35 * time.Second, Duration: 20 * time.Second}
 	cancelled := 0
-	good := d.play("", func(w *World, e core.Effect) core.Effect {
+	good := d.run("", func(w *World, e core.Effect) core.Effect {
 		if r, ok := e.(core.UserReply); ok && r.State == "cancelled" {
 			cancelled++
 		}
 		return e
 	})
-	if len(good.Broken) > 0 || cancelled == 0 {
-		t.Fatalf("the day itself is bad: %d answers of cancellations, %v", cancelled, good.Broken)
+	if len(good.Violations) > 0 || cancelled == 0 {
+		t.Fatalf("the day itself is bad: %d answers of cancellations, %v", cancelled, good.Violations)
 	}
 	for _, c := range []struct {
 		name string
@@ -116,36 +116,36 @@
 			return e
 		}},
 		{"one controller's answers don't arrive", func(w *World, e core.Effect) core.Effect {
-			if w.oneWay["node-1>user"] == 0 {
-				w.cutOneWay("node-1", "user", time.Hour)
+			if w.oneWayPartitions["node-1>user"] == 0 {
+				w.partitionOneWay("node-1", "user", time.Hour)
 			}
 			return e
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := d.play("", func(w *World, e core.Effect) core.Effect {
-				if w.now.Before(w.calm.Add(20 * time.Second)) {
+			r := d.run("", func(w *World, e core.Effect) core.Effect {
+				if w.now.Before(w.faultsEndAt.Add(20 * time.Second)) {
 					return e
 				}
 				return c.wrong(w, e)
 			})
-			if !strings.Contains(strings.Join(r.Broken, "\n"), "forgotten") {
-				t.Errorf("nothing forgotten: %v", r.Broken)
+			if !strings.Contains(strings.Join(r.Violations, "\n"), "forgotten") {
+				t.Errorf("nothing forgotten: %v", r.Violations)
 			}
 		})
 	}
 }
 
-// TestMeetings plays a few drawn days on which troubles meet; many more are played by
+// TestOverlappingFaults plays a few drawn days on which troubles meet; many more are played by
 // micahill-lab days --meetings.
-func TestMeetings(t *testing.T) {
+func TestOverlappingFaults(t *testing.T) {
 	for seed := range drawnDays(t, 5, 2) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			t.Parallel()
-			d := DrawDay(DayParams{Seed: seed + 1, Machines: 40, Meetings: true})
-			r := PlayDay(d, "")
-			for _, b := range append(r.Broken, r.Starved()...) {
+			d := GenerateDay(DayParams{Seed: seed + 1, Machines: 40, OverlappingFaults: true})
+			r := RunDay(d, "")
+			for _, b := range append(r.Violations, r.Starved()...) {
 				t.Error(b)
 			}
 			if t.Failed() {
@@ -156,12 +156,12 @@
 	}
 }
 
-// TestMeetingsAreDrawnApart: what a meeting adds is drawn from its own numbers, and all
+// TestOverlapsAreSeededApart: what a meeting adds is drawn from its own numbers, and all
 // its troubles overlap but an end of all at the close.
-func TestMeetingsAreDrawnApart(t *testing.T) {
+func TestOverlapsAreSeededApart(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
-		with, without := DrawDay(DayParams{Seed: seed, Meetings: true}), DrawDay(DayParams{Seed: seed})
+		with, without := GenerateDay(DayParams{Seed: seed, OverlappingFaults: true}), GenerateDay(DayParams{Seed: seed})
 		if fmt.Sprint(with.Settings) != fmt.Sprint(without.Settings) || with.Jobs != without.Jobs {
 			t.Fatalf("day %d is another one with a meeting", seed)
 		}
@@ -171,15 +171,15 @@
 		}
 		for _, f := range with.Faults {
 			kinds[f.Kind] = true
-			if f.AtOnce || f.ForNext {
-				kinds[f.Kind+map[bool]string{true: ".at_once", false: ".for_next"}[f.AtOnce]] = true
+			if f.Immediate || f.ForNextLeader {
+				kinds[f.Kind+map[bool]string{true: ".at_once", false: ".for_next"}[f.Immediate]] = true
 			}
-			if f.At-with.Faults[0].At > apartMost && (f.Kind != "crash_all" || f != with.Faults[len(with.Faults)-1]) {
+			if f.At-with.Faults[0].At > maxFaultSpacing && (f.Kind != "crash_all" || f != with.Faults[len(with.Faults)-1]) {
 				t.Errorf("day %d: %v do not meet", seed, with.Faults)
 			}
 		}
 	}
-	for _, k := range append(slices.Clone(meetingKinds), laterKinds...) {
+	for _, k := range append(slices.Clone(overlapFaultKinds), extraFaultKinds...) {
 		if !kinds[k] {
 			t.Errorf("no %s in 200 days", k)
 		}
@@ -192,12 +192,12 @@
 	w := newTestWorld(1)
 	w.Run(20 * time.Second)
 	value := []byte{0x80}
-	w.LateWrites(1, time.Second)
-	p := w.nodes[0]
+	w.DelayWrites(1, time.Second)
+	p := w.controllers[0]
 	write := func(key string) {
-		p.stateOp(core.StoreRequest{ID: 1 << 40, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
+		p.sendStoreRequest(core.StoreRequest{ID: 1 << 40, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
 	}
-	there := func(key string) bool { return w.state.rows[key] != nil }
+	there := func(key string) bool { return w.state.records[key] != nil }
 	write("x/old")
 	w.Run(time.Second)
 	write("x/new")
@@ -205,8 +205,8 @@
 	if there("x/old") || !there("x/new") {
 		t.Errorf("after 1.9 s: old %v, new %v", there("x/old"), there("x/new"))
 	}
-	w.Run(lateWriteMost)
-	if !there("x/old") || w.state.rows["x/old"].stamp < w.state.rows["x/new"].stamp {
+	w.Run(maxWriteDelay)
+	if !there("x/old") || w.state.records["x/old"].modRevision < w.state.records["x/new"].modRevision {
 		t.Errorf("the old one is not there, or not after the new one")
 	}
 }
@@ -216,23 +216,23 @@
 func TestRefusedOutage(t *testing.T) {
 	w := newTestWorld(1)
 	w.Run(20 * time.Second)
-	p := w.nodes[w.leader(0)]
+	p := w.controllers[w.leaderIndex(0)]
 	told := 0
-	p.watch(core.StoreRequest{Kind: core.OpWatch, Key: "x/", Revision: w.state.rev, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(core.StoreResponse) { told++ })
-	w.meetingTrouble(DayFault{Kind: "refused_outage", Node: p.index, Late: 2 * time.Second, For: time.Minute})
+	p.openWatch(core.StoreRequest{Kind: core.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(core.StoreResponse) { told++ })
+	w.startOverlapFault(Fault{Kind: "refused_outage", Controller: p.index, Delay: 2 * time.Second, Duration: time.Minute})
 	w.Run(time.Second)
-	if !p.stateNo || w.outage {
+	if !p.stateRefused || w.stateOutage {
 		t.Error("not the one alone")
 	}
 	w.state.txn(core.StoreRequest{Writes: []core.Write{{Key: "x/1", Value: []byte{0x80}}}}, &core.StoreResponse{})
 	w.Run(time.Second)
-	grants := len(w.state.grants)
+	grants := len(w.state.leases)
 	w.Run(50 * time.Second)
-	if !w.outage || told > 0 || len(w.state.grants) != grants {
-		t.Errorf("outage %v, %d answers of the watch, %d leases of %d", w.outage, told, len(w.state.grants), grants)
+	if !w.stateOutage || told > 0 || len(w.state.leases) != grants {
+		t.Errorf("outage %v, %d answers of the watch, %d leases of %d", w.stateOutage, told, len(w.state.leases), grants)
 	}
 	w.Run(15 * time.Second)
-	if w.outage || p.stateNo || told != 1 {
-		t.Errorf("outage %v, refused %v, %d answers of the watch", w.outage, p.stateNo, told)
+	if w.stateOutage || p.stateRefused || told != 1 {
+		t.Errorf("outage %v, refused %v, %d answers of the watch", w.stateOutage, p.stateRefused, told)
 	}
 }
--- a/internal/standin/met_links_test.go
+++ b/internal/standin/met_links_test.go
@@ -12,8 +12,8 @@
 
 // arriveAtAll brings a report to every controller, and tells of their answers.
 func (w *World) arriveAtAll(r core.Heartbeat, tell func(core.HeartbeatReply)) {
-	for _, p := range w.nodes {
-		p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) { tell(e.(core.HeartbeatReply)) })
+	for _, p := range w.controllers {
+		p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) { tell(e.(core.HeartbeatReply)) })
 	}
 }
 
@@ -35,7 +35,7 @@
 		// Of machines without the task, and later with it.
 		var old []core.Heartbeat
 		for _, m := range w.fleet {
-			old = append(old, m.report(w.now))
+			old = append(old, m.heartbeat(w.now))
 		}
 		id := w.submitMany("x", "ops", 1, 1, 1, 3*time.Minute)[0]
 		w.Run(10 * time.Second)
@@ -50,38 +50,38 @@
 		}
 		r := old[i]
 		if !before {
-			r = m.report(w.now)
+			r = m.heartbeat(w.now)
 		}
 		w.Run(4 * time.Second)
 		// No return is a proof, only the lease is.
-		w.cloudOut = true
-		w.after(80*time.Second, func() { w.cloudOut = false })
+		w.cloudOutage = true
+		w.schedule(80*time.Second, func() { w.cloudOutage = false })
 		switch kind {
 		case "dies":
-			w.kill(m)
+			w.killMachine(m)
 		case "cancelled":
 			w.submitMany("y", "ops", 1, 1, 1, time.Minute)
-			w.Abort(id)
-			w.Cut(m.ID, "*", time.Minute, false)
+			w.Cancel(id)
+			w.Partition(m.ID, "*", time.Minute, false)
 		default:
-			w.Cut(m.ID, "*", time.Minute, false)
+			w.Partition(m.ID, "*", time.Minute, false)
 		}
 		w.Run(time.Second)
-		from, started := w.now, w.Started
-		lead, owner := w.leader(0), w.ownerOf("ops")
-		w.Crash(lead, 5*time.Second)
-		w.Crash(owner, 5*time.Second)
+		from, started := w.now, w.Starts
+		lead, owner := w.leaderIndex(0), w.ownerOf("ops")
+		w.CrashController(lead, 5*time.Second)
+		w.CrashController(owner, 5*time.Second)
 		if at > 0 {
 			// Three times, as a worker repeats its report.
 			for k := range 3 {
-				w.after(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(core.HeartbeatReply) { answered++ }) })
+				w.schedule(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(core.HeartbeatReply) { answered++ }) })
 			}
 		}
-		if next = w.when(3*time.Minute, func() bool { return w.Started > started }); next < 0 {
+		if next = w.when(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
 			t.Error("nothing began any more")
 		}
 		w.Run(w.now.Sub(from) + 4*time.Minute)
-		allTold(t, w, true)
+		checkFinalAnswers(t, w, true)
 		rulesHold(t, w)
 		return next, answered
 	}
@@ -125,25 +125,25 @@
 			w.submitMany("a", "ops", 6, 2, 2, 40*time.Second)
 			w.Run(50 * time.Second)
 			lost := 0
-			for i, id := range sorted(w.machine) {
-				m := w.machine[id]
+			for i, id := range sortedKeys(w.machines) {
+				m := w.machines[id]
 				switch {
 				case m.Zone != "b" || !m.up(w.now):
 				case i%2 == 0:
 					lost += len(m.tasks)
-					w.kill(m)
+					w.killMachine(m)
 				case i%3 == 0:
-					w.Cut(m.ID, "*", 45*time.Second, seed%2 == 0)
+					w.Partition(m.ID, "*", 45*time.Second, seed%2 == 0)
 				}
 			}
 			if lost == 0 {
 				t.Fatal("no machine with tasks was lost")
 			}
 			if seed%2 == 1 {
-				w.Crash(w.ownerOf("ops"), 5*time.Second)
+				w.CrashController(w.ownerOf("ops"), 5*time.Second)
 			}
 			w.Run(7 * time.Minute)
-			allTold(t, w, false)
+			checkFinalAnswers(t, w, false)
 			rulesHold(t, w)
 		})
 	}
@@ -172,24 +172,24 @@
 				w.Run(50 * time.Second)
 				if outage.long > 0 {
 					for k := 0; k == 0 || outage.every > 0 && k < 10; k++ {
-						w.after(outage.from+time.Duration(k)*outage.every, func() { w.Outage(outage.long) })
+						w.schedule(outage.from+time.Duration(k)*outage.every, func() { w.Outage(outage.long) })
 					}
 				}
-				changes, lead, inside := 0, w.leads(), 0
+				changes, lead, inside := 0, w.leaderName(), 0
 				for k := range 10 {
-					w.after(time.Duration(k)*12*time.Second+4*time.Second, func() {
-						inside += boolInt(w.outage)
-						i := w.leader(k)
-						if !w.nodes[i].alive {
-							i = slices.IndexFunc(w.nodes, func(p *proc) bool { return p.alive })
+					w.schedule(time.Duration(k)*12*time.Second+4*time.Second, func() {
+						inside += boolInt(w.stateOutage)
+						i := w.leaderIndex(k)
+						if !w.controllers[i].alive {
+							i = slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.alive })
 						}
-						w.Crash(i, back)
-						w.Abort(cancelled[k])
+						w.CrashController(i, back)
+						w.Cancel(cancelled[k])
 					})
 				}
 				for range 1200 {
-					w.Run(tick)
-					if now := w.leads(); now != "" && now != lead {
+					w.Run(tickInterval)
+					if now := w.leaderName(); now != "" && now != lead {
 						changes, lead = changes+1, now
 					}
 				}
@@ -198,9 +198,9 @@
 				if changes < outage.changes || inside == 0 && outage.long > 0 {
 					t.Errorf("%d changes of the lead, %d ends inside an outage", changes, inside)
 				}
-				for i, id := range sorted(w.jobs) {
-					if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].told != want {
-						t.Errorf("%d: %s is %q", i, id, w.jobs[id].told)
+				for i, id := range sortedKeys(w.jobs) {
+					if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].lastState != want {
+						t.Errorf("%d: %s is %q", i, id, w.jobs[id].lastState)
 					}
 				}
 				rulesHold(t, w)
@@ -226,20 +226,20 @@
 				ids := w.submitMany("x", "ops", 6, 2, 2, 10*time.Minute)
 				w.Run(60 * time.Second)
 				former := w.ownerOf("ops")
-				if w.leader(-1) != former {
+				if w.leaderIndex(-1) != former {
 					t.Fatal("the owner does not lead")
 				}
 				// No return is a proof: the cloud is away.
 				const cut = 90 * time.Second
-				w.cloudOut = true
-				w.after(cut, func() { w.cloudOut = false })
+				w.cloudOutage = true
+				w.schedule(cut, func() { w.cloudOutage = false })
 				last := w.lastSeen(ids...)
-				w.CutAlone(former, cut, wait == 5*time.Second, false)
+				w.IsolateController(former, cut, wait == 5*time.Second, false)
 				for _, id := range ids[:3] {
 					for _, m := range w.machinesOf(id) {
-						for i, p := range w.nodes {
+						for i, p := range w.controllers {
 							if i != former {
-								w.Cut(m.ID, p.name, cut, false)
+								w.Partition(m.ID, p.name, cut, false)
 							}
 						}
 					}
@@ -247,29 +247,29 @@
 				w.Run(wait)
 				other := (former + 1) % 3
 				for _, id := range ids {
-					w.jobs[id].aborting = true
-					w.userCallTo(other, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+					w.jobs[id].cancelRequested = true
+					w.userRequestTo(other, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 						if r == nil || r.State != "cancelled" {
 							t.Errorf("the cancellation of %s: %v", id, r)
 						}
 					})
 				}
 				w.Run(500 * time.Millisecond)
-				if n := w.live(ids[0]); n == 0 || w.jobs[ids[0]].cancelled.IsZero() {
+				if n := w.runningTasks(ids[0]); n == 0 || w.jobs[ids[0]].cancelledAt.IsZero() {
 					t.Errorf("%d tasks when it is confirmed", n)
 				}
 				asked := 0
 				for end := w.now.Add(80 * time.Second); w.now.Before(end); w.Run(time.Second) {
 					for _, id := range ids {
 						asked++
-						w.userCallTo(former, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+						w.userRequestTo(former, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
 							if r != nil && r.Status == 200 && r.State != "cancelled" {
 								t.Errorf("the former leader calls %s %s", id, r.State)
 							}
 						})
 					}
 				}
-				goneWithin(t, w, last, w.cancel)
+				goneWithin(t, w, last, w.cancelWithin)
 				w.Run(time.Minute)
 				rulesHold(t, w)
 			})
@@ -282,9 +282,9 @@
 func (w *World) cutZone(zone string, with int, d time.Duration, hold bool) {
 	till := w.now.Add(d)
 	machine := func(m *Worker) {
-		for i, p := range w.nodes {
+		for i, p := range w.controllers {
 			if (i == with) != (m.Zone == zone) && w.now.Before(till) {
-				w.Cut(m.ID, p.name, till.Sub(w.now), hold)
+				w.Partition(m.ID, p.name, till.Sub(w.now), hold)
 			}
 		}
 	}
@@ -292,14 +292,14 @@
 		machine(m)
 	}
 	for _, x := range []string{"state", "cloud", "user"} {
-		w.Cut(w.nodes[with].name, x, d, hold)
+		w.Partition(w.controllers[with].name, x, d, hold)
 	}
-	for i, p := range w.nodes {
+	for i, p := range w.controllers {
 		if i != with {
-			w.Cut(w.nodes[with].name, p.name, d, hold)
+			w.Partition(w.controllers[with].name, p.name, d, hold)
 		}
 	}
-	w.rented = machine
+	w.onRented = machine
 }
 
 // TestZoneCutOffWithItsController: for longer than a lease, with the controller that owns
@@ -323,29 +323,29 @@
 					if !owns {
 						with = (with + 1) % 3
 					}
-					if w.live("job-z001") != 2 {
+					if w.runningTasks("job-z001") != 2 {
 						t.Fatal("nothing runs in the zone")
 					}
 					w.cutZone("b", with, long, kind == "held")
-					if w.cloudOut = kind == "lost, no cloud"; w.cloudOut {
-						w.after(long, func() { w.cloudOut = false })
+					if w.cloudOutage = kind == "lost, no cloud"; w.cloudOutage {
+						w.schedule(long, func() { w.cloudOutage = false })
 					}
 					last := w.lastSeen("job-z001")
 					w.Run(3 * time.Second)
-					w.Abort("job-z001")
+					w.Cancel("job-z001")
 					w.Run(4 * time.Second)
-					if w.live("job-z001") == 0 {
+					if w.runningTasks("job-z001") == 0 {
 						t.Error("the cancelled job is gone before anybody can have told its machines")
 					}
 					w.submitMany("n", "ops", 3, 1, 2, 20*time.Second)
 					w.Run(long)
 					// An owner in the zone answers for its grace.
-					if w.cloudOut = false; w.LostToLease == 0 && kind == "lost, no cloud" && (!owns || long > time.Minute) {
+					if w.cloudOutage = false; w.LostToLease == 0 && kind == "lost, no cloud" && (!owns || long > time.Minute) {
 						t.Error("no lease ran out")
 					}
-					goneWithin(t, w, last, w.cancel)
+					goneWithin(t, w, last, w.cancelWithin)
 					w.Run(8 * time.Minute)
-					allTold(t, w, true)
+					checkFinalAnswers(t, w, true)
 					rulesHold(t, w)
 				})
 			}
@@ -353,19 +353,19 @@
 	}
 }
 
-// mute lets machines reach no controller for d, while direct commands reach them and are
+// blockHeartbeats lets machines reach no controller for d, while direct commands reach them and are
 // answered.
-func (w *World) mute(ids []string, d time.Duration) {
-	till, send := w.now.Add(d), w.reporter
-	w.reporter = func(m *Worker) {
+func (w *World) blockHeartbeats(ids []string, d time.Duration) {
+	till, send := w.now.Add(d), w.heartbeatSender
+	w.heartbeatSender = func(m *Worker) {
 		if !slices.Contains(ids, m.ID) || !w.now.Before(till) {
 			send(m)
 			return
 		}
-		life := m.life
-		w.after(4*time.Second, func() {
-			if m.life == life {
-				m.reporting, m.node, m.nextAt = false, (m.node+1)%len(w.nodes), w.now.Add(time.Second)
+		life := m.process
+		w.schedule(4*time.Second, func() {
+			if m.process == life {
+				m.heartbeatPending, m.controller, m.nextHeartbeatAt = false, (m.controller+1)%len(w.controllers), w.now.Add(time.Second)
 			}
 		})
 	}
@@ -390,21 +390,21 @@
 							}
 						}
 					}
-					w.mute(quiet, long)
+					w.blockHeartbeats(quiet, long)
 					last := w.lastSeen(ids[0])
 					w.Run(2 * time.Second)
 					if ends {
-						w.Crash(w.ownerOf("ops"), 5*time.Second)
+						w.CrashController(w.ownerOf("ops"), 5*time.Second)
 					}
 					w.Run(3 * time.Second)
-					w.Abort(ids[0])
+					w.Cancel(ids[0])
 					goneWithin(t, w, last, reachedWithin)
 					w.Run(long)
 					if len(quiet) < 2 || long > time.Minute && w.LostToLease == 0 || long < 24*time.Second && w.LostToLease > 0 {
 						t.Errorf("%d tasks were lost to leases on %d machines", w.LostToLease, len(quiet))
 					}
 					w.Run(6 * time.Minute)
-					allTold(t, w, true)
+					checkFinalAnswers(t, w, true)
 					rulesHold(t, w)
 				})
 			}
@@ -430,26 +430,26 @@
 					w.Run(80 * time.Second)
 					owner := w.ownerOf("ops")
 					var op core.WorkerRequest
-					if w.live("job-f000") == 0 {
+					if w.runningTasks("job-f000") == 0 {
 						t.Fatal("nothing runs")
 					}
 					last := w.lastSeen("job-f000", "job-f001")
 					held, done, accepted := false, false, false
-					w.sabotage = func(e core.Effect) core.Effect {
+					w.corruptEffect = func(e core.Effect) core.Effect {
 						x, ok := e.(core.WorkerRequest)
 						if held || !ok || !slices.ContainsFunc(x.Commands, func(o core.TaskCommand) bool { return o.Kind == verb }) {
 							return e
 						}
 						held, op = true, x
-						w.after(time.Millisecond, func() { w.Crash(owner, 5*time.Second) })
-						w.after(core.Seconds(d), func() {
-							m := w.machine[op.Machine]
+						w.schedule(time.Millisecond, func() { w.CrashController(owner, 5*time.Second) })
+						w.schedule(core.Seconds(d), func() {
+							m := w.machines[op.Machine]
 							if seen := m.epoch > op.Epoch; seen {
 								late.Add(1)
 							} else {
 								early.Add(1)
 							}
-							done, accepted = true, w.direct(m, op).OK
+							done, accepted = true, w.executeDirect(m, op).OK
 							if accepted != (m.epoch <= op.Epoch) {
 								t.Errorf("carried out %v at epoch %d of %d", accepted, op.Epoch, m.epoch)
 							}
@@ -457,8 +457,8 @@
 						return nil
 					}
 					if verb == core.StopTask {
-						w.Abort("job-f000")
-						w.Abort("job-f001")
+						w.Cancel("job-f000")
+						w.Cancel("job-f001")
 					} else {
 						w.submitMany("x", "ops", 4, 1, 2, 30*time.Second)
 					}
@@ -471,10 +471,10 @@
 						goneWithin(t, w, last, reachedWithin)
 					}
 					w.Run(4 * time.Minute)
-					if want := map[core.TaskCommandKind]int{core.StartTask: 12, core.StopTask: 8}[verb]; w.Started != want {
-						t.Errorf("%d starts of %d tasks", w.Started, want)
+					if want := map[core.TaskCommandKind]int{core.StartTask: 12, core.StopTask: 8}[verb]; w.Starts != want {
+						t.Errorf("%d starts of %d tasks", w.Starts, want)
 					}
-					allTold(t, w, true)
+					checkFinalAnswers(t, w, true)
 					rulesHold(t, w)
 				})
 			}
--- a/internal/standin/met_test.go
+++ b/internal/standin/met_test.go
@@ -56,7 +56,7 @@
 // rulesHold fails the test with every broken rule.
 func rulesHold(t *testing.T, w *World) {
 	t.Helper()
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 	if t.Failed() {
@@ -67,8 +67,8 @@
 // machinesOf are those with tasks of a job.
 func (w *World) machinesOf(id string) []*Worker {
 	var out []*Worker
-	for _, k := range sorted(w.machine) {
-		m := w.machine[k]
+	for _, k := range sortedKeys(w.machines) {
+		m := w.machines[k]
 		for _, x := range m.tasks {
 			if x.job.spec.ID == id && x.onMachine() && !slices.Contains(out, m) {
 				out = append(out, m)
@@ -86,7 +86,7 @@
 		if w.now.Sub(from) >= most {
 			return -1
 		}
-		w.Run(tick)
+		w.Run(tickInterval)
 	}
 	return w.now.Sub(from)
 }
@@ -97,11 +97,11 @@
 	var look func()
 	look = func() {
 		for _, id := range ids {
-			if w.live(id) > 0 {
+			if w.runningTasks(id) > 0 {
 				last[id] = w.now
 			}
 		}
-		w.after(tick, look)
+		w.schedule(tickInterval, look)
 	}
 	look()
 	return last
@@ -111,11 +111,11 @@
 // machines so soon after the first confirmation.
 func goneWithin(t *testing.T, w *World, last map[string]time.Time, most time.Duration) {
 	t.Helper()
-	for _, id := range sorted(last) {
+	for _, id := range sortedKeys(last) {
 		j := w.jobs[id]
-		if w.when(3*time.Minute, func() bool { return !j.cancelled.IsZero() && w.live(id) == 0 }) < 0 {
-			t.Errorf("%s is %q and has %d tasks", id, j.told, w.live(id))
-		} else if d := last[id].Sub(j.cancelled); d > most {
+		if w.when(3*time.Minute, func() bool { return !j.cancelledAt.IsZero() && w.runningTasks(id) == 0 }) < 0 {
+			t.Errorf("%s is %q and has %d tasks", id, j.lastState, w.runningTasks(id))
+		} else if d := last[id].Sub(j.cancelledAt); d > most {
 			t.Errorf("%s had tasks for %v after its cancellation was confirmed", id, d)
 		}
 	}
@@ -125,15 +125,15 @@
 // can be reached, also while their controller changes.
 const reachedWithin = 15 * time.Second
 
-// handOver is one test of cancellations while work changes hands.
-type handOver struct {
+// takeoverCounts is one test of cancellations while work changes hands.
+type takeoverCounts struct {
 	// before, between and after count the cancellations that were confirmed before the
 	// hand-over began, while nobody ran the work, and within two seconds after.
 	before, between, after atomic.Int64
 }
 
 // count sorts a confirmation; the hand-over was from one moment to another.
-func (h *handOver) count(at, from, to time.Time) {
+func (h *takeoverCounts) count(at, from, to time.Time) {
 	switch {
 	case at.Before(from):
 		h.before.Add(1)
@@ -144,7 +144,7 @@
 	}
 }
 
-func (h *handOver) met(t *testing.T) {
+func (h *takeoverCounts) checkMet(t *testing.T) {
 	t.Helper()
 	t.Logf("confirmed before %d, between %d, right after %d", h.before.Load(), h.between.Load(), h.after.Load())
 	if h.before.Load() == 0 || h.between.Load() == 0 || h.after.Load() == 0 {
@@ -155,7 +155,7 @@
 // TestCancelledDuringTakeover: an owner ends, and its jobs are cancelled at each moment of
 // the takeover, with machines that can be reached and with some that can't until later.
 func TestCancelledDuringTakeover(t *testing.T) {
-	var h handOver
+	var h takeoverCounts
 	t.Run("offsets", func(t *testing.T) {
 		for _, step := range spread(22, 8) {
 			for _, cut := range []bool{false, true} {
@@ -168,15 +168,15 @@
 					owner := w.ownerOf("ops")
 					if cut {
 						for _, m := range w.machinesOf(ids[0]) {
-							w.Cut(m.ID, "*", 20*time.Second, step%2 == 0)
+							w.Partition(m.ID, "*", 20*time.Second, step%2 == 0)
 						}
 					}
 					last := w.lastSeen(ids...)
 					from := w.now.Add(time.Second)
-					w.after(time.Second, func() { w.Crash(owner, 5*time.Second) })
-					w.after(time.Second+offset, func() {
+					w.schedule(time.Second, func() { w.CrashController(owner, 5*time.Second) })
+					w.schedule(time.Second+offset, func() {
 						for _, id := range ids {
-							w.Abort(id)
+							w.Cancel(id)
 						}
 					})
 					if w.when(20*time.Second, func() bool { return w.ownerOf("ops") != owner }) < 0 {
@@ -185,11 +185,11 @@
 					to := w.now
 					most := reachedWithin
 					if cut {
-						most = w.cancel
+						most = w.cancelWithin
 					}
 					goneWithin(t, w, last, most)
 					for _, id := range ids {
-						h.count(w.jobs[id].cancelled, from, to)
+						h.count(w.jobs[id].cancelledAt, from, to)
 					}
 					w.Run(time.Minute)
 					rulesHold(t, w)
@@ -197,13 +197,13 @@
 			}
 		}
 	})
-	h.met(t)
+	h.checkMet(t)
 }
 
 // TestCancelledAtStepsOfTakeover: the cancellations are sent the very moment at which some
 // controller takes a step of the takeover.
 func TestCancelledAtStepsOfTakeover(t *testing.T) {
-	steps := maps.Clone(moments)
+	steps := maps.Clone(pausePoints)
 	steps["ready"] = func(e core.Effect) bool { l, ok := e.(core.Log); return ok && l.Message == "owner ready" }
 	for _, step := range []string{"claim", "share", "read", "epoch", "ready", "report"} {
 		for _, all := range []bool{false, true} {
@@ -214,17 +214,17 @@
 				w.Run(60 * time.Second)
 				last := w.lastSeen(ids...)
 				// Of the owner itself, or of all that there are.
-				for i := range w.nodes {
-					if all || i == w.ownerOf("ops") || i == w.leader(0) {
-						w.Crash(i, 2*time.Second)
+				for i := range w.controllers {
+					if all || i == w.ownerOf("ops") || i == w.leaderIndex(0) {
+						w.CrashController(i, 2*time.Second)
 					}
 				}
 				met := false
-				w.sabotage = func(e core.Effect) core.Effect {
+				w.corruptEffect = func(e core.Effect) core.Effect {
 					if !met && steps[step](e) {
 						met = true
 						for _, id := range ids {
-							w.Abort(id)
+							w.Cancel(id)
 						}
 					}
 					return e
@@ -245,26 +245,26 @@
 func TestCancelledDuringHandBack(t *testing.T) {
 	// play cancels at an offset from the hand-back that a day without cancellations shows.
 	play := func(cancel time.Duration) (w *World, last map[string]time.Time, moved []time.Time) {
-		w = moving(t, 3, 4)
+		w = rebalancingWorld(t, 3, 4)
 		var ids []string
 		for k := range 4 {
 			ids = append(ids, w.submitMany(fmt.Sprintf("%c", 'a'+k), fmt.Sprintf("team-%c", 'a'+k), 3, 2, 2, 10*time.Minute)...)
 		}
 		w.Run(50 * time.Second)
-		w.Crash(2, 30*time.Second)
+		w.CrashController(2, 30*time.Second)
 		w.Run(32 * time.Second)
 		from := w.now
 		last = w.lastSeen(ids...)
 		if cancel > 0 {
-			w.after(cancel, func() {
+			w.schedule(cancel, func() {
 				for _, id := range ids {
-					w.Abort(id)
+					w.Cancel(id)
 				}
 			})
 		}
 		w.Run(max(cancel, 45*time.Second))
 		for k := range 4 {
-			moved = append(moved, w.moves(fmt.Sprintf("team-%c", 'a'+k), from)...)
+			moved = append(moved, w.teamMoves(fmt.Sprintf("team-%c", 'a'+k), from)...)
 		}
 		slices.SortFunc(moved, time.Time.Compare)
 		return w, last, moved
@@ -273,8 +273,8 @@
 	if len(moved) == 0 {
 		t.Fatal("no team is handed back")
 	}
-	planned := moved[0].Sub(plain.began.Add(82 * time.Second))
-	var h handOver
+	planned := moved[0].Sub(plain.startedAt.Add(82 * time.Second))
+	var h takeoverCounts
 	t.Run("offsets", func(t *testing.T) {
 		for _, step := range spread(10, 5) {
 			offset := time.Duration(step-5) * 250 * time.Millisecond
@@ -285,15 +285,15 @@
 					t.Fatal("no team is handed back")
 				}
 				goneWithin(t, w, last, reachedWithin)
-				for _, id := range sorted(last) {
-					h.count(w.jobs[id].cancelled, moved[0].Add(-300*time.Millisecond), moved[0])
+				for _, id := range sortedKeys(last) {
+					h.count(w.jobs[id].cancelledAt, moved[0].Add(-300*time.Millisecond), moved[0])
 				}
 				w.Run(time.Minute)
 				rulesHold(t, w)
 			})
 		}
 	})
-	h.met(t)
+	h.checkMet(t)
 }
 
 // TestLimitsWhileLeadersChange: every team is at its limit, jobs are cancelled whose
@@ -317,40 +317,40 @@
 				w.submitMany(team+"w", team, 4, 1, 4, 5*time.Minute)
 			}
 			w.Run(10 * time.Second)
-			lead := w.leads()
+			lead := w.leaderName()
 			// Without the cloud no return is a proof: only the machine itself is.
-			if w.cloudOut = seed%2 == 1; w.cloudOut {
-				w.after(cut+10*time.Second, func() { w.cloudOut = false })
+			if w.cloudOutage = seed%2 == 1; w.cloudOutage {
+				w.schedule(cut+10*time.Second, func() { w.cloudOutage = false })
 			}
 			for _, team := range []string{"ops", "lab"} {
 				for i, id := range run[team][:4] {
 					m := w.machinesOf(id)[0]
 					if i%2 == 0 {
-						m.hungTill = w.now.Add(hang)
+						m.hungUntil = w.now.Add(hang)
 					} else {
-						w.Cut(m.ID, "*", cut, seed%3 == 0)
+						w.Partition(m.ID, "*", cut, seed%3 == 0)
 					}
-					w.after(100*time.Millisecond, func() { w.Abort(id) })
+					w.schedule(100*time.Millisecond, func() { w.Cancel(id) })
 				}
 			}
 			w.Run(800 * time.Millisecond)
-			for i := range w.nodes {
-				if i == w.ownerOf("ops") || i == w.ownerOf("lab") || i == w.leader(0) {
-					w.Crash(i, 5*time.Second)
+			for i := range w.controllers {
+				if i == w.ownerOf("ops") || i == w.ownerOf("lab") || i == w.leaderIndex(0) {
+					w.CrashController(i, 5*time.Second)
 				}
 			}
 			w.Run(7 * time.Second)
 			for _, team := range []string{"ops", "lab"} {
 				for _, id := range run[team][:4] {
-					if w.live(id) != 1 || w.jobs[id].cancelled.IsZero() {
-						t.Errorf("%s is %q with %d tasks", id, w.jobs[id].told, w.live(id))
+					if w.runningTasks(id) != 1 || w.jobs[id].cancelledAt.IsZero() {
+						t.Errorf("%s is %q with %d tasks", id, w.jobs[id].lastState, w.runningTasks(id))
 					}
 				}
-				if w.used[team].CPU != limit {
-					t.Errorf("%s uses %v", team, w.used[team])
+				if w.teamUsage[team].CPU != limit {
+					t.Errorf("%s uses %v", team, w.teamUsage[team])
 				}
 			}
-			if now := w.leads(); now == lead || now == "" {
+			if now := w.leaderName(); now == lead || now == "" {
 				t.Errorf("%s led, %q does now", lead, now)
 			}
 			served := func(n int) func() bool {
@@ -358,7 +358,7 @@
 					for _, team := range []string{"ops", "lab"} {
 						began := 0
 						for i := range 4 {
-							began += len(w.jobs[fmt.Sprintf("job-%sw%03d", team, i)].began)
+							began += len(w.jobs[fmt.Sprintf("job-%sw%03d", team, i)].firstStarts)
 						}
 						if began < n {
 							return false
@@ -399,26 +399,26 @@
 				}
 				w := NewWorld(uint64(step), 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 15, "small/b/false": 15})
 				w.Run(20 * time.Second)
-				w.LateWrites(0.5, 15*time.Second)
+				w.DelayWrites(0.5, 15*time.Second)
 				w.submitMany("x", "ops", 10, 2, 4, time.Minute)
 				// From the first that is up.
 				up := func() bool {
-					return slices.ContainsFunc(w.fleet, func(m *Worker) bool { return m.tenure > 0 })
+					return slices.ContainsFunc(w.fleet, func(m *Worker) bool { return m.incarnation > 0 })
 				}
 				if w.when(30*time.Second, up) < 0 {
 					t.Fatal("no machine is up")
 				}
 				w.Run(offset)
 				fresh := slices.ContainsFunc(w.fleet, func(m *Worker) bool { return len(m.tasks) > 0 && w.now.Sub(m.upAt) < 3*time.Second })
-				met.Add(int64(boolInt(fresh && w.now.Before(w.lateWriteTill))))
-				lead, owner := w.leader(0), w.ownerOf("ops")
-				w.Crash(lead, 5*time.Second)
-				w.Crash(owner, 5*time.Second)
+				met.Add(int64(boolInt(fresh && w.now.Before(w.lateWritesUntil))))
+				lead, owner := w.leaderIndex(0), w.ownerOf("ops")
+				w.CrashController(lead, 5*time.Second)
+				w.CrashController(owner, 5*time.Second)
 				w.Run(4 * time.Minute)
-				if w.Started != 20 {
-					t.Errorf("%d starts of 20 tasks", w.Started)
+				if w.Starts != 20 {
+					t.Errorf("%d starts of 20 tasks", w.Starts)
 				}
-				allTold(t, w, false)
+				checkFinalAnswers(t, w, false)
 				rulesHold(t, w)
 			})
 		}
--- a/internal/standin/met_users_test.go
+++ b/internal/standin/met_users_test.go
@@ -15,8 +15,8 @@
 // another state than want.
 func askAll(t *testing.T, w *World, id, want string) {
 	t.Helper()
-	for i := range w.nodes {
-		w.userCallTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+	for i := range w.controllers {
+		w.userRequestTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 			if r != nil && r.Status != 503 && r.State != want {
 				t.Errorf("%s is %s, node-%d answers %d %s", id, want, i, r.Status, r.State)
 			}
@@ -36,9 +36,9 @@
 			w := newTestWorldOf(3, 3)
 			ids := w.submitMany("x", "ops", 12, 2, 2, 10*time.Minute)
 			w.Run(60 * time.Second)
-			w.slowState, w.slowBy = w.now.Add(w.cancel+30*time.Second), slow
+			w.stateSlowUntil, w.stateSlowFactor = w.now.Add(w.cancelWithin+30*time.Second), slow
 			took := map[string]time.Duration{}
-			w.answered = func(asked time.Time, r core.UserReply) {
+			w.onAnswer = func(asked time.Time, r core.UserReply) {
 				if r.State == "cancelled" && took[r.ID] == 0 {
 					took[r.ID] = w.now.Sub(asked)
 					askAll(t, w, r.ID, "cancelled")
@@ -46,9 +46,9 @@
 			}
 			last := w.lastSeen(ids...)
 			for i, id := range ids {
-				w.after(time.Duration(i)*6*time.Second, func() { w.Abort(id) })
+				w.schedule(time.Duration(i)*6*time.Second, func() { w.Cancel(id) })
 			}
-			w.Run(w.cancel + 30*time.Second)
+			w.Run(w.cancelWithin + 30*time.Second)
 			longest := time.Duration(0)
 			for _, d := range took {
 				longest = max(longest, d)
@@ -60,9 +60,9 @@
 			if !met {
 				t.Errorf("%d are confirmed meanwhile, the longest took %v", len(took), longest)
 			}
-			goneWithin(t, w, last, w.cancel)
+			goneWithin(t, w, last, w.cancelWithin)
 			w.Run(time.Minute)
-			allTold(t, w, true)
+			checkFinalAnswers(t, w, true)
 			rulesHold(t, w)
 		})
 	}
@@ -80,29 +80,29 @@
 			w.Run(60 * time.Second)
 			running := 0
 			for _, id := range left {
-				running += w.live(id)
+				running += w.runningTasks(id)
 			}
 			last := w.lastSeen(cancelled...)
 			for _, id := range cancelled {
-				w.Abort(id)
+				w.Cancel(id)
 			}
 			if w.when(5*time.Second, func() bool {
-				return !slices.ContainsFunc(cancelled, func(id string) bool { return w.jobs[id].cancelled.IsZero() })
+				return !slices.ContainsFunc(cancelled, func(id string) bool { return w.jobs[id].cancelledAt.IsZero() })
 			}) < 0 {
 				t.Fatal("not confirmed")
 			}
-			for i := range w.nodes {
-				w.Crash(i, away)
+			for i := range w.controllers {
+				w.CrashController(i, away)
 			}
 			w.Run(away)
 			if running == 0 || w.LostToLease < running {
 				t.Errorf("%d of %d tasks were lost to their leases", w.LostToLease, running)
 			}
-			goneWithin(t, w, last, w.cancel)
+			goneWithin(t, w, last, w.cancelWithin)
 			w.Run(8 * time.Minute)
 			for _, id := range append(cancelled, left...) {
-				if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].told != want {
-					t.Errorf("%s is %q", id, w.jobs[id].told)
+				if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].lastState != want {
+					t.Errorf("%s is %q", id, w.jobs[id].lastState)
 				}
 			}
 			rulesHold(t, w)
@@ -118,21 +118,21 @@
 	for i := range jobs {
 		at, run := time.Duration(i)*250*time.Millisecond, time.Duration(4+i%9)*time.Second
 		spec := metJob(fmt.Sprintf("job-%06d", i), []string{"ops", "lab"}[i%2], 1, 1, run)
-		w.after(at, func() { w.Submit(spec, run, false) })
+		w.schedule(at, func() { w.Submit(spec, run, false) })
 		if i%4 == 1 {
-			w.after(at+time.Duration(1+i%17)*time.Second, func() { w.Abort(spec.ID) })
+			w.schedule(at+time.Duration(1+i%17)*time.Second, func() { w.Cancel(spec.ID) })
 		}
 	}
 	w.Run(9 * time.Minute)
 	told := map[string]int{}
 	for _, j := range w.jobs {
-		told[j.told]++
+		told[j.lastState]++
 	}
-	t.Logf("%v, %d changes, %d refused", told, w.state.puts, w.Refused)
+	t.Logf("%v, %d changes, %d refused", told, w.state.writeCount, w.RefusedRequests)
 	if told["done"]+told["cancelled"] != jobs || told["cancelled"] < jobs/16 || told["done"] < jobs*3/4 {
 		t.Errorf("%d jobs: %v", jobs, told)
 	}
-	for k := range w.state.rows {
+	for k := range w.state.records {
 		if strings.HasPrefix(k, "open/") || strings.HasPrefix(k, "task/") {
 			t.Errorf("%s is left", k)
 		}
@@ -152,38 +152,38 @@
 		j := w.jobs[spec.ID]
 		if at == 0 {
 			var sent time.Time
-			w.sabotage = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if sent.IsZero() && changes(e, "job/") {
 					sent = w.now
 				}
 				return e
 			}
 			w.Run(2 * time.Minute)
-			return w, sent.Sub(w.began)
+			return w, sent.Sub(w.startedAt)
 		}
 		w.Run(at)
-		j.aborting = true
+		j.cancelRequested = true
 		asked := w.now
-		w.userCallTo(node, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *core.UserReply) {
+		w.userRequestTo(node, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *core.UserReply) {
 			if r != nil && r.Status == 200 {
-				w.hear(j, asked, r)
+				w.checkAnswer(j, asked, r)
 			} else {
-				w.Abort(spec.ID)
+				w.Cancel(spec.ID)
 			}
 		})
-		for i := range w.nodes {
-			w.userCallTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*core.UserReply) {})
-			w.userCallTo(i, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *core.UserReply) {
+		for i := range w.controllers {
+			w.userRequestTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*core.UserReply) {})
+			w.userRequestTo(i, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *core.UserReply) {
 				if r != nil && r.Status != 200 && r.Status != 503 {
 					t.Errorf("the repeated submission is answered %d", r.Status)
 				}
 			})
 		}
-		if w.when(20*time.Second, func() bool { return j.told == "done" || j.told == "cancelled" }) < 0 {
-			t.Errorf("told %q", j.told)
+		if w.when(20*time.Second, func() bool { return j.lastState == "done" || j.lastState == "cancelled" }) < 0 {
+			t.Errorf("told %q", j.lastState)
 		}
 		for range 10 {
-			askAll(t, w, spec.ID, j.told)
+			askAll(t, w, spec.ID, j.lastState)
 			w.Run(time.Second)
 		}
 		return w, 0
@@ -197,10 +197,10 @@
 				t.Run(fmt.Sprintf("%v node-%d", off, node), func(t *testing.T) {
 					t.Parallel()
 					w, _ := play(t, end+off, node)
-					done.Add(int64(boolInt(w.jobs["job-000001"].told == "done")))
-					cancelled.Add(int64(boolInt(w.jobs["job-000001"].told == "cancelled")))
+					done.Add(int64(boolInt(w.jobs["job-000001"].lastState == "done")))
+					cancelled.Add(int64(boolInt(w.jobs["job-000001"].lastState == "cancelled")))
 					w.Run(time.Minute)
-					if w.state.rows["open/job-000001"] != nil {
+					if w.state.records["open/job-000001"] != nil {
 						t.Error("open/job-000001 is left")
 					}
 					rulesHold(t, w)
@@ -223,28 +223,28 @@
 			t.Parallel()
 			types, _ := testTypes()
 			w := NewWorld(seed, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 6, "small/b/false": 6})
-			w.weather = &weather{slowTill: w.now.Add(4 * time.Minute), slow: time.Second}
-			w.loss = 0.01
+			w.disturbances = &disturbances{slowAnswersUntil: w.now.Add(4 * time.Minute), answerDelay: time.Second}
+			w.lossRate = 0.01
 			for i := range 24 {
 				spec := metJob(fmt.Sprintf("job-%06d", i), "ops", 4, 2, 30*time.Second)
 				spec.Urgency = []core.Urgency{core.Normal, core.Urgent}[i%2]
-				w.after(time.Duration(i)*time.Second, func() { w.Submit(spec, 30*time.Second, false) })
+				w.schedule(time.Duration(i)*time.Second, func() { w.Submit(spec, 30*time.Second, false) })
 			}
 			w.Run(75 * time.Second)
 			var began [2]int
 			for i := range 24 {
-				began[i%2] += len(w.jobs[fmt.Sprintf("job-%06d", i)].began)
+				began[i%2] += len(w.jobs[fmt.Sprintf("job-%06d", i)].firstStarts)
 			}
-			if w.used["ops"].CPU < 40 || began[0]+began[1] == 24*4 {
-				t.Errorf("there is room: %v used, %v began", w.used["ops"], began)
+			if w.teamUsage["ops"].CPU < 40 || began[0]+began[1] == 24*4 {
+				t.Errorf("there is room: %v used, %v began", w.teamUsage["ops"], began)
 			}
 			if began[1] <= began[0] {
 				t.Errorf("%d tasks of urgent jobs began, %d of others", began[1], began[0])
 			}
 			w.Run(165 * time.Second)
-			w.loss = 0
+			w.lossRate = 0
 			w.Run(8 * time.Minute)
-			allTold(t, w, false)
+			checkFinalAnswers(t, w, false)
 			rulesHold(t, w)
 		})
 	}
--- a/internal/standin/mixed.go
+++ b/internal/standin/mixed.go
@@ -11,38 +11,38 @@
 // controllers whose clocks are off.
 
 const (
-	// clockBound is how far their clocks may be off.
-	clockBound = 250 * time.Millisecond
-	// standsLeast and standsMost are how long a standing job lasts before it is cancelled.
-	standsLeast = 40 * time.Second
-	standsMost  = 150 * time.Second
+	// maxClockSkew is how far their clocks may be off.
+	maxClockSkew = 250 * time.Millisecond
+	// minServiceTime and maxServiceTime are how long a standing job lasts before it is cancelled.
+	minServiceTime = 40 * time.Second
+	maxServiceTime = 150 * time.Second
 )
 
-// mix draws what a day's jobs are, from its own numbers; a nil one changes nothing.
-type mix struct {
+// jobMix draws what a day's jobs are, from its own numbers; a nil one changes nothing.
+type jobMix struct {
 	rng   *rand.Rand
 	zones []string
 }
 
-func newMix(d *Day) *mix {
-	if !d.Mixed {
+func newJobMix(d *Day) *jobMix {
+	if !d.MixedJobs {
 		return nil
 	}
-	return &mix{rand.New(rand.NewPCG(d.Seed, 819)), d.Settings.Zones}
+	return &jobMix{rand.New(rand.NewPCG(d.Seed, 819)), d.Settings.Zones}
 }
 
-// clocks sets the controllers' clocks apart, within the bound.
-func (x *mix) clocks(w *World) {
+// skewClocks sets the controllers' clocks apart, within the bound.
+func (x *jobMix) skewClocks(w *World) {
 	if x == nil {
 		return
 	}
-	for _, p := range w.nodes {
-		p.skew = time.Duration((2*x.rng.Float64() - 1) * float64(clockBound))
+	for _, p := range w.controllers {
+		p.clockSkew = time.Duration((2*x.rng.Float64() - 1) * float64(maxClockSkew))
 	}
 }
 
-// change makes a job one of another kind, or leaves it.
-func (x *mix) change(s *core.JobSpec) {
+// varyJob makes a job one of another kind, or leaves it.
+func (x *jobMix) varyJob(s *core.JobSpec) {
 	if x == nil {
 		return
 	}
@@ -60,5 +60,7 @@
 	}
 }
 
-// stands is after which time a standing job is cancelled.
-func (x *mix) stands() time.Duration { return between(x.rng, standsLeast, standsMost) }
+// serviceTime is after which time a standing job is cancelled.
+func (x *jobMix) serviceTime() time.Duration {
+	return logUniform(x.rng, minServiceTime, maxServiceTime)
+}
--- a/internal/standin/models.go
+++ b/internal/standin/models.go
@@ -12,18 +12,18 @@
 // models.go has days with models: hosts of eight GPUs beside the other machines, and
 // standing jobs whose replicas take one of them up to a whole host.
 
-// hostGPUs is what a host has.
-const hostGPUs = 8
+// gpusPerMachine is what a host has.
+const gpusPerMachine = 8
 
-// Check says what is wrong with the names of what is to be switched on.
-func (p *DayParams) Check() error {
-	_, err := p.product()
+// Validate says what is wrong with the names of what is to be switched on.
+func (p *DayParams) Validate() error {
+	_, err := p.capabilities()
 	return err
 }
 
-// product is what is switched on, with what deploy/ has for it.
-func (p *DayParams) product() (out core.Capabilities, err error) {
-	for _, s := range p.On {
+// capabilities is what is switched on, with what deploy/ has for it.
+func (p *DayParams) capabilities() (out core.Capabilities, err error) {
+	for _, s := range p.Enabled {
 		all := s == "all"
 		switch s {
 		case "all", "ranking", "promises", "models":
@@ -43,9 +43,9 @@
 	return out, err
 }
 
-func modelHost(zone string) core.MachineType {
+func modelMachineType(zone string) core.MachineType {
 	return core.MachineType{
-		Name: "host", Capacity: core.Resources{CPU: 64, GPU: hostGPUs, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
+		Name: "host", Capacity: core.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
 		ProvisioningTime: 40 * time.Second, Zones: []string{zone},
 	}
 }
@@ -53,29 +53,29 @@
 // modelJob is a model that comes at a time of the day, and is cancelled at another
 // unless that is 0.
 type modelJob struct {
-	spec   core.JobSpec
-	at     time.Duration
-	cancel time.Duration
+	spec     core.JobSpec
+	submitAt time.Duration
+	cancelAt time.Duration
 }
 
-// drawModels draws models: small and middle ones fill the hosts at first, and most are
+// generateModels draws models: small and middle ones fill the hosts at first, and most are
 // cancelled by and by; from the middle of the day on large ones come, no more than
 // what is left has whole hosts for if the rest is packed.
-func drawModels(d *Day) {
+func generateModels(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 2718))
 	span := float64(d.Minutes) * float64(time.Minute)
 	d.Settings.Teams = slices.Clone(d.Settings.Teams)
 	part := func(from, to float64) time.Duration { return time.Duration(span * (from + (to-from)*rng.Float64())) }
-	left := 0
+	remainingGPUs := 0
 	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u core.Urgency, from, to float64) {
-		m := modelJob{at: part(from, to), spec: core.JobSpec{
+		m := modelJob{submitAt: part(from, to), spec: core.JobSpec{
 			Workload: name, Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, LongRunning: true, Urgency: u, Tasks: replicas,
 			Need: core.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
 		}}
 		if rng.Float64() < cancelled {
-			m.cancel = m.at + part(0.15, 0.75)
+			m.cancelAt = m.submitAt + part(0.15, 0.75)
 		} else {
-			left += replicas * int(gpus)
+			remainingGPUs += replicas * int(gpus)
 		}
 		for i := range d.Settings.Teams {
 			// A limit is enough for the team's models as well.
@@ -92,33 +92,33 @@
 		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, core.Normal, 0, 0.3)
 	}
 	// One whole host more than the rest takes is left out.
-	whole := d.Models - (left+hostGPUs-1)/hostGPUs - 1
+	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
 	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
-		add("model-large", hostGPUs, 1, 3, 60, 0, core.Urgent, 0.5, 1)
+		add("model-large", gpusPerMachine, 1, 3, 60, 0, core.Urgent, 0.5, 1)
 	}
 }
 
-// modelJobs lets the day's models come and go.
-func (d *Day) modelJobs(w *World) {
+// submitModels lets the day's models come and go.
+func (d *Day) submitModels(w *World) {
 	for _, m := range d.models {
-		w.names++
+		w.lastID++
 		s := m.spec
-		s.ID = fmt.Sprintf("job-%06d", w.names)
-		w.after(m.at, func() { w.Submit(s, 0, false) })
-		if m.cancel > 0 {
-			w.after(m.cancel, func() { w.Abort(s.ID) })
+		s.ID = fmt.Sprintf("job-%06d", w.lastID)
+		w.schedule(m.submitAt, func() { w.Submit(s, 0, false) })
+		if m.cancelAt > 0 {
+			w.schedule(m.cancelAt, func() { w.Cancel(s.ID) })
 		}
 	}
 }
 
 // replica is one of a standing job, as it comes and goes.
 type replica struct {
-	up      time.Duration
-	since   time.Time
-	gone    time.Time
-	stopped bool
-	// downs are the times that it was gone after it had been stopped by an order.
-	downs []time.Duration
+	upTime           time.Duration
+	upSince          time.Time
+	downSince        time.Time
+	stoppedByCommand bool
+	// downTimes are the times that it was gone after it had been stopped by an order.
+	downTimes []time.Duration
 }
 
 func (w *World) replicaUp(t *workerTask) {
@@ -130,90 +130,90 @@
 		r = &replica{}
 		t.job.replicas[t.index] = r
 	}
-	if r.stopped {
-		r.downs = append(r.downs, w.now.Sub(r.gone))
+	if r.stoppedByCommand {
+		r.downTimes = append(r.downTimes, w.now.Sub(r.downSince))
 	}
-	r.since, r.gone, r.stopped = w.now, time.Time{}, false
+	r.upSince, r.downSince, r.stoppedByCommand = w.now, time.Time{}, false
 }
 
 func (w *World) replicaDown(t *workerTask) {
-	if r := t.job.replicas[t.index]; r != nil && r.gone.IsZero() {
-		r.up += w.now.Sub(r.since)
-		r.gone, r.stopped = w.now, t.cause == "stopped"
+	if r := t.job.replicas[t.index]; r != nil && r.downSince.IsZero() {
+		r.upTime += w.now.Sub(r.upSince)
+		r.downSince, r.stoppedByCommand = w.now, t.cause == "stopped"
 	}
 }
 
-// ModelResult is what became of a day's models.
-type ModelResult struct {
-	Large int `json:"large"`
-	Begun int `json:"large_begun"`
+// ModelSummary is what became of a day's models.
+type ModelSummary struct {
+	LargeModels  int `json:"large"`
+	LargeStarted int `json:"large_begun"`
 	// Wait is of the large ones for all their replicas, and Up the part of the time
 	// since then that they were up; 0 for one that did not begin.
-	Wait Dist    `json:"large_wait_s"`
-	Up   float64 `json:"large_up"`
-	// Unbegun counts the others that did not begin, and were not cancelled.
-	Unbegun int `json:"others_unbegun"`
-	// Pieces are free GPUs of hosts that are partly taken at the end.
-	Pieces int `json:"gpus_in_pieces"`
+	Wait Distribution `json:"large_wait_s"`
+	Up   float64      `json:"large_up"`
+	// OthersUnstarted counts the others that did not begin, and were not cancelled.
+	OthersUnstarted int `json:"others_unbegun"`
+	// FragmentedGPUs are free GPUs of hosts that are partly taken at the end.
+	FragmentedGPUs int `json:"gpus_in_pieces"`
 	// Stopped counts how often replicas were stopped, but for cancellations, and Down
 	// is how long they were gone then.
-	Stopped int  `json:"stopped"`
-	Down    Dist `json:"down_s"`
+	Stopped int          `json:"stopped"`
+	Down    Distribution `json:"down_s"`
 }
 
-func (w *World) modelResult() *ModelResult {
-	r := &ModelResult{}
+func (w *World) modelSummary() *ModelSummary {
+	r := &ModelSummary{}
 	wait, down := newHistogram(), newHistogram()
 	up, whole := 0.0, 0.0
-	for _, id := range sorted(w.jobs) {
+	for _, id := range sortedKeys(w.jobs) {
 		j := w.jobs[id]
-		if !j.spec.LongRunning || j.aborting {
+		if !j.spec.LongRunning || j.cancelRequested {
 			continue
 		}
 		begun := time.Time{}
-		for _, at := range j.began {
+		for _, at := range j.firstStarts {
 			if at.After(begun) {
 				begun = at
 			}
 		}
-		if !j.served() {
+		if !j.isServed() {
 			begun = w.now
 		}
 		for _, x := range j.replicas {
-			downs := x.downs
-			if x.stopped {
-				downs = append(slices.Clone(downs), w.now.Sub(x.gone))
+			downs := x.downTimes
+			if x.stoppedByCommand {
+				downs = append(slices.Clone(downs), w.now.Sub(x.downSince))
 			}
 			for _, at := range downs {
 				r.Stopped++
 				_ = down.RecordValue(max(1, at.Milliseconds()))
 			}
 		}
-		if j.spec.Need.GPU < hostGPUs {
-			if !j.served() {
-				r.Unbegun++
+		if j.spec.Need.GPU < gpusPerMachine {
+			if !j.isServed() {
+				r.OthersUnstarted++
 			}
 			continue
 		}
-		r.Large++
+		r.LargeModels++
 		_ = wait.RecordValue(max(1, begun.Sub(j.submitted).Milliseconds()))
-		if !j.served() {
+		if !j.isServed() {
 			whole += w.now.Sub(j.submitted).Seconds()
 			continue
 		}
-		r.Begun++
+		r.LargeStarted++
 		whole += w.now.Sub(begun).Seconds() * float64(j.spec.Tasks)
 		for _, x := range j.replicas {
-			up += x.up.Seconds()
-			if x.gone.IsZero() {
-				up += w.now.Sub(x.since).Seconds()
+			up += x.upTime.Seconds()
+			if x.downSince.IsZero() {
+				up += w.now.Sub(x.upSince).Seconds()
 			}
 		}
 	}
 	if whole > 0 {
 		r.Up = up / whole
 	}
-	r.Wait, r.Down = dist(wait), dist(down)
+	r.Wait, r.Down = distributionOf(wait), distributionOf(down)
 	for _, m := range w.fleet {
 		used := 0.0
 		for _, t := range m.tasks {
@@ -222,7 +222,7 @@
 			}
 		}
 		if m.up(w.now) && used > 0 {
-			r.Pieces += int(m.Size.GPU - used)
+			r.FragmentedGPUs += int(m.Size.GPU - used)
 		}
 	}
 	return r
--- a/internal/standin/models_fit_test.go
+++ b/internal/standin/models_fit_test.go
@@ -29,12 +29,12 @@
 			rng := rand.New(rand.NewPCG(seed, 7))
 			teams := []string{"ops", "ops", "ops", "lab", "lab", "web"}
 			come := func(at time.Duration, kind string, gpus, gb float64, tasks int, u core.Urgency, stays float64) {
-				w.after(at, func() {
+				w.schedule(at, func() {
 					id := fmt.Sprintf("job-%s%04d", kind, len(w.jobs))
 					w.Submit(core.JobSpec{ID: id, Workload: "model-" + kind, Team: teams[rng.IntN(len(teams))], LongRunning: true, Urgency: u, Tasks: tasks,
 						Need: core.Resources{CPU: 12 * gpus, GPU: gpus, Memory: 96 * gpus}, Image: fmt.Sprintf("%s-%d", kind, rng.IntN(4)), ImageGB: gb}, 0, false)
 					if rng.Float64() > stays {
-						w.after(time.Duration(60+rng.IntN(180))*time.Second, func() { w.Abort(id) })
+						w.schedule(time.Duration(60+rng.IntN(180))*time.Second, func() { w.Cancel(id) })
 					}
 				})
 			}
@@ -49,7 +49,7 @@
 				come(260*time.Second+soon(), "large", 8, 60, 1, core.Urgent, 1)
 			}
 			changes := 0
-			w.sabotage = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpTxn && strings.HasPrefix(op.Writes[0].Key, "move/") {
 					changes++
 				}
@@ -57,24 +57,24 @@
 			}
 			const day = 10 * time.Minute
 			w.Run(day)
-			for _, id := range sorted(w.jobs) {
+			for _, id := range sortedKeys(w.jobs) {
 				j := w.jobs[id]
 				wait := day
-				if at, ok := j.began[0]; ok {
+				if at, ok := j.firstStarts[0]; ok {
 					wait = at.Sub(j.submitted)
 				}
 				if strings.Contains(id, "large") && wait > 150*time.Second {
 					t.Errorf("%s waits %v", id, wait)
 				}
-				if up := w.live(id); !j.aborting && up < j.spec.Tasks {
+				if up := w.runningTasks(id); !j.cancelRequested && up < j.spec.Tasks {
 					t.Errorf("%s has %d of %d replicas up", id, up, j.spec.Tasks)
 				}
 			}
 			if most := day.Seconds() / 2; float64(changes) > most {
 				t.Errorf("%d changes for moves, want at most %v", changes, most)
 			}
-			if len(w.Broken) > 0 {
-				t.Error(w.Broken)
+			if len(w.Violations) > 0 {
+				t.Error(w.Violations)
 			}
 			if t.Failed() {
 				t.Log(strings.Join(w.logs, "\n"))
--- a/internal/standin/models_test.go
+++ b/internal/standin/models_test.go
@@ -10,9 +10,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// pieces is a world of hosts with eight GPUs whose replicas, two of a job, leave room in
+// fragmentedWorld is a world of hosts with eight GPUs whose replicas, two of a job, leave room in
 // pieces only, and of which no more can be rented.
-type pieces struct {
+type fragmentedWorld struct {
 	*World
 	small []string
 	// from, to and host are of the first move written.
@@ -21,7 +21,7 @@
 	down string
 }
 
-func newPieces(t *testing.T, seed uint64, nodes int) *pieces {
+func newFragmentedWorld(t *testing.T, seed uint64, nodes int) *fragmentedWorld {
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Objectives = []string{"a"}, nil
@@ -29,7 +29,7 @@
 	w := NewWorld(seed, nodes, set, testCancel, []core.MachineType{
 		{Name: "host", Capacity: core.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"host/a/false": 4})
-	p := &pieces{World: w}
+	p := &fragmentedWorld{World: w}
 	for i := range 8 {
 		id := fmt.Sprintf("job-s%05d", i)
 		w.Submit(core.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 2,
@@ -48,16 +48,16 @@
 				keep = append(keep, id)
 			}
 		}
-		if len(go4) != 4 || !p.inPieces(keep) {
+		if len(go4) != 4 || !p.isFragmented(keep) {
 			continue
 		}
 		p.small = keep
 		for _, id := range go4 {
-			w.Abort(id)
+			w.Cancel(id)
 		}
 		w.Run(20 * time.Second)
 		for _, id := range keep {
-			if w.live(id) != 2 {
+			if w.runningTasks(id) != 2 {
 				t.Fatalf("%s does not run at first", id)
 			}
 		}
@@ -67,9 +67,9 @@
 	return nil
 }
 
-func (p *pieces) inPieces(keep []string) bool {
+func (p *fragmentedWorld) isFragmented(keep []string) bool {
 	hosts := 0
-	for _, m := range p.machine {
+	for _, m := range p.machines {
 		k := 0
 		for _, x := range m.tasks {
 			for _, id := range keep {
@@ -86,23 +86,23 @@
 }
 
 // large submits a replica that needs a whole host.
-func (p *pieces) large() {
+func (p *fragmentedWorld) large() {
 	p.Submit(core.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 1,
 		Need: core.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
 // watch notes a job of which nothing is on a machine.
-func (p *pieces) watch() {
+func (p *fragmentedWorld) watch() {
 	for _, id := range p.small {
-		if p.live(id) == 0 && p.down == "" {
-			p.down = fmt.Sprintf("%s at %v", id, p.now.Sub(p.began))
+		if p.runningTasks(id) == 0 && p.down == "" {
+			p.down = fmt.Sprintf("%s at %v", id, p.now.Sub(p.startedAt))
 		}
 	}
-	p.after(tick, p.watch)
+	p.schedule(tickInterval, p.watch)
 }
 
-// written takes in the first move that an effect writes.
-func (p *pieces) written(e core.Effect) bool {
+// onEffect takes in the first move that an effect writes.
+func (p *fragmentedWorld) onEffect(e core.Effect) bool {
 	op, ok := e.(core.StoreRequest)
 	if !ok || op.Kind != core.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
 		return false
@@ -140,27 +140,27 @@
 	return false
 }
 
-// TestMovesMakeRoom: a replica of a whole host starts though no host is free, the others
+// TestMigrationsMakeRoom: a replica of a whole host starts though no host is free, the others
 // run again, and of none was ever everything down.
-func TestMovesMakeRoom(t *testing.T) {
-	p := newPieces(t, 1, 3)
+func TestMigrationsMakeRoom(t *testing.T) {
+	p := newFragmentedWorld(t, 1, 3)
 	p.watch()
 	p.large()
 	p.Run(80 * time.Second)
-	if p.live("job-large") != 1 {
+	if p.runningTasks("job-large") != 1 {
 		t.Error("the large one does not run")
 	}
 	for _, id := range p.small {
-		if p.live(id) != 2 {
-			t.Errorf("%s has %d replicas up", id, p.live(id))
+		if p.runningTasks(id) != 2 {
+			t.Errorf("%s has %d replicas up", id, p.runningTasks(id))
 		}
 	}
-	if p.down != "" || len(p.Broken) > 0 {
-		t.Error("down:", p.down, p.Broken)
+	if p.down != "" || len(p.Violations) > 0 {
+		t.Error("down:", p.down, p.Violations)
 	}
 	// What is settled leaves the record.
 	p.Run(6 * time.Minute)
-	if row := p.state.rows["move/ops"]; row != nil {
+	if row := p.state.records["move/ops"]; row != nil {
 		t.Errorf("the record is still there: %d bytes", len(row.value))
 	}
 	if t.Failed() {
@@ -168,65 +168,65 @@
 	}
 }
 
-// TestMovesSurviveFaults: whatever fails at whichever step of a move, in the end all runs
+// TestMigrationsSurviveFaults: whatever fails at whichever step of a move, in the end all runs
 // that there is room for, and no rule is broken.
-func TestMovesSurviveFaults(t *testing.T) {
-	steps := map[string]func(*pieces, core.Effect) bool{
-		"intent":   func(p *pieces, e core.Effect) bool { return p.written(e) },
-		"stop":     func(p *pieces, e core.Effect) bool { return orders(e, core.StopTask, "job-s") },
-		"start":    func(p *pieces, e core.Effect) bool { return orders(e, core.StartTask, "job-s") },
-		"receiver": func(p *pieces, e core.Effect) bool { return orders(e, core.StartTask, "job-large") },
+func TestMigrationsSurviveFaults(t *testing.T) {
+	steps := map[string]func(*fragmentedWorld, core.Effect) bool{
+		"intent":   func(p *fragmentedWorld, e core.Effect) bool { return p.onEffect(e) },
+		"stop":     func(p *fragmentedWorld, e core.Effect) bool { return orders(e, core.StopTask, "job-s") },
+		"start":    func(p *fragmentedWorld, e core.Effect) bool { return orders(e, core.StartTask, "job-s") },
+		"receiver": func(p *fragmentedWorld, e core.Effect) bool { return orders(e, core.StartTask, "job-large") },
 	}
 	type fault struct {
-		do func(*pieces)
+		do func(*fragmentedWorld)
 		// stops: replicas may go down by it.
 		stops bool
 	}
-	crash := func(is func(*proc) bool) fault {
-		return fault{do: func(p *pieces) {
-			for i, x := range p.nodes {
+	crash := func(is func(*controllerProcess) bool) fault {
+		return fault{do: func(p *fragmentedWorld) {
+			for i, x := range p.controllers {
 				if x.alive && is(x) {
-					p.Crash(i, 5*time.Second)
+					p.CrashController(i, 5*time.Second)
 				}
 			}
 		}}
 	}
-	on := func(name func(*pieces) string, do func(*pieces, *Worker)) fault {
-		return fault{func(p *pieces) { do(p, p.machine[name(p)]) }, true}
+	on := func(name func(*fragmentedWorld) string, do func(*fragmentedWorld, *Worker)) fault {
+		return fault{func(p *fragmentedWorld) { do(p, p.machines[name(p)]) }, true}
 	}
-	target := func(p *pieces) string { return p.to }
-	source := func(p *pieces) string { return p.from }
-	host := func(p *pieces) string { return p.host }
-	kill := func(p *pieces, m *Worker) { p.kill(m) }
-	silent := func(p *pieces, m *Worker) { p.Cut(m.ID, "*", 70*time.Second, false) }
+	target := func(p *fragmentedWorld) string { return p.to }
+	source := func(p *fragmentedWorld) string { return p.from }
+	host := func(p *fragmentedWorld) string { return p.host }
+	kill := func(p *fragmentedWorld, m *Worker) { p.killMachine(m) }
+	silent := func(p *fragmentedWorld, m *Worker) { p.Partition(m.ID, "*", 70*time.Second, false) }
 	faults := map[string]fault{
-		"owner":         crash(func(x *proc) bool { return x.node.IsShardLeader() }),
-		"others":        crash(func(x *proc) bool { return !x.node.IsShardLeader() }),
-		"all":           crash(func(*proc) bool { return true }),
-		"state":         {do: func(p *pieces) { p.Outage(15 * time.Second) }},
-		"owner's state": {do: func(p *pieces) { p.Cut(p.nodes[p.owner()].name, "state", 15*time.Second, true) }},
+		"owner":         crash(func(x *controllerProcess) bool { return x.controller.IsShardLeader() }),
+		"others":        crash(func(x *controllerProcess) bool { return !x.controller.IsShardLeader() }),
+		"all":           crash(func(*controllerProcess) bool { return true }),
+		"state":         {do: func(p *fragmentedWorld) { p.Outage(15 * time.Second) }},
+		"owner's state": {do: func(p *fragmentedWorld) { p.Partition(p.controllers[p.owner()].name, "state", 15*time.Second, true) }},
 		"target dies":   on(target, kill),
 		"source dies":   on(source, kill),
 		"target silent": on(target, silent),
 		"host silent":   on(host, silent),
-		"host recalled": on(host, func(p *pieces, m *Worker) { m.recallAt = p.now.Add(20 * time.Second) }),
+		"host recalled": on(host, func(p *fragmentedWorld, m *Worker) { m.reclaimAt = p.now.Add(20 * time.Second) }),
 	}
 	seed := uint64(0)
-	for _, step := range sorted(steps) {
-		for _, name := range sorted(faults) {
+	for _, step := range sortedKeys(steps) {
+		for _, name := range sortedKeys(faults) {
 			seed++
 			nodes := 3 + 2*int(seed%2)
 			late := time.Duration(seed%3) * 40 * time.Millisecond
 			t.Run(step+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				p := newPieces(t, seed, nodes)
+				p := newFragmentedWorld(t, seed, nodes)
 				p.watch()
 				hit := false
-				p.sabotage = func(e core.Effect) core.Effect {
-					p.written(e)
+				p.corruptEffect = func(e core.Effect) core.Effect {
+					p.onEffect(e)
 					if !hit && p.to != "" && steps[step](p, e) {
 						hit = true
-						p.after(late, func() { faults[name].do(p) })
+						p.schedule(late, func() { faults[name].do(p) })
 					}
 					return e
 				}
@@ -235,19 +235,19 @@
 				if !hit {
 					t.Error("the step never came")
 				}
-				if p.live("job-large") != 1 {
+				if p.runningTasks("job-large") != 1 {
 					t.Error("the large one does not run")
 				}
 				for _, id := range p.small {
-					if p.live(id) != 2 {
-						t.Errorf("%s has %d replicas up", id, p.live(id))
+					if p.runningTasks(id) != 2 {
+						t.Errorf("%s has %d replicas up", id, p.runningTasks(id))
 					}
 				}
 				if p.down != "" && !faults[name].stops {
 					t.Error("all replicas were down of", p.down)
 				}
-				if len(p.Broken) > 0 {
-					t.Error(p.Broken)
+				if len(p.Violations) > 0 {
+					t.Error(p.Violations)
 				}
 				if t.Failed() {
 					t.Log(strings.Join(p.logs, "\n"))
@@ -258,6 +258,6 @@
 }
 
 // owner is a controller that runs the jobs.
-func (p *pieces) owner() int {
-	return (&scenario{w: p.World}).owner()
+func (p *fragmentedWorld) owner() int {
+	return (&scenario{world: p.World}).owner()
 }
