--- a/internal/standin/move_test.go
+++ b/internal/standin/move_test.go
@@ -10,9 +10,9 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// moving is a world under steady load in which teams move: two controllers at first
+// rebalancingWorld is a world under steady load in which teams move: two controllers at first
 // live, with a team each, and the third comes later.
-func moving(t *testing.T, seed uint64, teams int) *World {
+func rebalancingWorld(t *testing.T, seed uint64, teams int) *World {
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Teams, set.StoreWritesPerSecond = []string{"a"}, nil, 60
@@ -33,35 +33,35 @@
 			k++
 			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: core.Normal, Tasks: 3,
 				Need: core.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
-			w.after(2*time.Second, next)
+			w.schedule(2*time.Second, next)
 		}
-		w.after(time.Duration(i)*100*time.Millisecond, next)
+		w.schedule(time.Duration(i)*100*time.Millisecond, next)
 	}
 	return w
 }
 
-// moves are when a team came to a controller after a moment.
-func (w *World) moves(team string, since time.Time) []time.Time {
+// teamMoves are when a team came to a controller after a moment.
+func (w *World) teamMoves(team string, since time.Time) []time.Time {
 	var out []time.Time
 	for _, l := range w.logs {
 		var at float64
 		if _, err := fmt.Sscan(l, &at); err != nil || !strings.Contains(l, "a team comes [team "+team+"]") {
 			continue
 		}
-		if t := w.began.Add(core.Seconds(at)); t.After(since) {
+		if t := w.startedAt.Add(core.Seconds(at)); t.After(since) {
 			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// gap is the longest time without a start of a team that a move of it after a moment is
+// longestStartGap is the longest time without a start of a team that a move of it after a moment is
 // part of, or that begins within ten seconds after one. Others are for want of room.
-func (w *World) gap(team string, since time.Time) time.Duration {
-	moves := w.moves(team, since)
+func (w *World) longestStartGap(team string, since time.Time) time.Duration {
+	moves := w.teamMoves(team, since)
 	at := []time.Time{since, w.now}
 	for _, j := range w.jobs {
-		for _, b := range j.began {
+		for _, b := range j.firstStarts {
 			if j.spec.Team == team && b.After(since) {
 				at = append(at, b)
 			}
@@ -79,15 +79,15 @@
 	return longest
 }
 
-// teamsAt counts the teams that each living controller runs.
-func (w *World) teamsAt() map[string]int {
+// teamsByController counts the teams that each living controller runs.
+func (w *World) teamsByController() map[string]int {
 	out := map[string]int{}
-	for _, p := range w.nodes {
+	for _, p := range w.controllers {
 		if !p.alive {
 			continue
 		}
 		out[p.name] = 0
-		p.ask(func(r uint64) core.Command { return core.QueryStatus{Reply: r} }, func(e core.Effect) {
+		p.request(func(r uint64) core.Command { return core.QueryStatus{Reply: r} }, func(e core.Effect) {
 			for _, x := range e.(core.StatusReply).Teams {
 				if x.IsLocal && x.Ready {
 					out[p.name]++
@@ -108,16 +108,16 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			const teams = 4
-			w := moving(t, seed, teams)
+			w := rebalancingWorld(t, seed, teams)
 			w.Run(60 * time.Second)
-			w.Crash(int(seed%3), 40*time.Second)
+			w.CrashController(int(seed%3), 40*time.Second)
 			w.Run(45 * time.Second)
 			from := w.now
 			tries := func() int {
 				n := 0
-				for _, m := range w.machine {
+				for _, m := range w.machines {
 					for _, x := range m.tasks {
-						if x.try > 1 {
+						if x.attempt > 1 {
 							n++
 						}
 					}
@@ -128,18 +128,18 @@
 			for i := range 60 {
 				w.Run(time.Second)
 				for k := range teams {
-					if n := w.live(fmt.Sprintf("job-steam-%c", 'a'+k)); i > 0 && n != 3 {
+					if n := w.runningTasks(fmt.Sprintf("job-steam-%c", 'a'+k)); i > 0 && n != 3 {
 						t.Fatalf("%d replicas of team-%c after %d s", n, 'a'+k, i)
 					}
 				}
 			}
-			if at := w.teamsAt(); slices.ContainsFunc(w.nodes, func(p *proc) bool { return at[p.name] == 0 }) {
+			if at := w.teamsByController(); slices.ContainsFunc(w.controllers, func(p *controllerProcess) bool { return at[p.name] == 0 }) {
 				t.Errorf("a minute after a controller is back the teams are divided %v", at)
 			}
 			some := 0
 			for k := range teams {
-				some += len(w.moves(fmt.Sprintf("team-%c", 'a'+k), from))
-				if g := w.gap(fmt.Sprintf("team-%c", 'a'+k), from); g > 5*time.Second {
+				some += len(w.teamMoves(fmt.Sprintf("team-%c", 'a'+k), from))
+				if g := w.longestStartGap(fmt.Sprintf("team-%c", 'a'+k), from); g > 5*time.Second {
 					t.Errorf("nothing of team-%c starts for %v", 'a'+k, g)
 				}
 			}
@@ -149,12 +149,12 @@
 			if n := tries(); n > again+1 {
 				t.Errorf("%d tasks were started again while teams moved", n-again)
 			}
-			was := w.teamsAt()
+			was := w.teamsByController()
 			w.Run(4 * time.Minute)
-			if now := w.teamsAt(); fmt.Sprint(now) != fmt.Sprint(was) {
+			if now := w.teamsByController(); fmt.Sprint(now) != fmt.Sprint(was) {
 				t.Errorf("divided %v, and later %v", was, now)
 			}
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 			if t.Failed() {
@@ -172,42 +172,44 @@
 		name string
 		bad  func(w *World)
 	}{
-		{"loss", func(w *World) { w.loss, w.twice = 0.03, 0.03 }},
+		{"loss", func(w *World) { w.lossRate, w.duplicateRate = 0.03, 0.03 }},
 		{"deaf peers", func(w *World) {
-			for i := range w.nodes {
-				w.Cut(w.nodes[i].name, w.nodes[(i+1)%3].name, 40*time.Second, i%2 == 0)
+			for i := range w.controllers {
+				w.Partition(w.controllers[i].name, w.controllers[(i+1)%3].name, 40*time.Second, i%2 == 0)
 			}
 		}},
 		{"owner ends", func(w *World) {
-			w.after(33*time.Second, func() { w.Crash(0, 5*time.Second) })
-			w.after(47*time.Second, func() { w.Crash(1, 5*time.Second) })
+			w.schedule(33*time.Second, func() { w.CrashController(0, 5*time.Second) })
+			w.schedule(47*time.Second, func() { w.CrashController(1, 5*time.Second) })
 		}},
 		{"all end", func(w *World) {
-			w.after(35*time.Second, func() {
-				for i := range w.nodes {
-					w.Crash(i, 5*time.Second)
+			w.schedule(35*time.Second, func() {
+				for i := range w.controllers {
+					w.CrashController(i, 5*time.Second)
 				}
 			})
 		}},
-		{"state service away", func(w *World) { w.after(34*time.Second, func() { w.Outage(20 * time.Second) }) }},
-		{"receiver cut", func(w *World) { w.after(34*time.Second, func() { w.Cut(w.nodes[2].name, "*", 30*time.Second, true) }) }},
+		{"state service away", func(w *World) { w.schedule(34*time.Second, func() { w.Outage(20 * time.Second) }) }},
+		{"receiver cut", func(w *World) {
+			w.schedule(34*time.Second, func() { w.Partition(w.controllers[2].name, "*", 30*time.Second, true) })
+		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := moving(t, 3, 4)
+			w := rebalancingWorld(t, 3, 4)
 			w.Run(50 * time.Second)
-			w.Crash(2, 30*time.Second)
+			w.CrashController(2, 30*time.Second)
 			w.Run(32 * time.Second)
 			c.bad(w)
 			w.Run(90 * time.Second)
-			w.loss, w.twice = 0, 0
+			w.lossRate, w.duplicateRate = 0, 0
 			w.Run(30 * time.Second)
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 			late := 0
 			for _, j := range w.jobs {
-				if !j.spec.LongRunning && j.told != "done" && w.now.Sub(j.submitted) > 100*time.Second {
+				if !j.spec.LongRunning && j.lastState != "done" && w.now.Sub(j.submitted) > 100*time.Second {
 					late++
 				}
 			}
--- a/internal/standin/odd_jobs_test.go
+++ b/internal/standin/odd_jobs_test.go
@@ -37,7 +37,7 @@
 		"above-its-limit":   func(s *core.JobSpec) { s.Team, s.Tasks, s.Need.CPU = "lab", 15, 4 },
 		"best-effort-due":   func(s *core.JobSpec) { s.Urgency, s.Deadline = core.BestEffort, run },
 	}
-	for _, id := range sorted(possible) {
+	for _, id := range sortedKeys(possible) {
 		submit("job-"+id, possible[id])
 	}
 	impossible := map[string]func(*core.JobSpec){
@@ -50,34 +50,34 @@
 		"lab-too-big": func(s *core.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 41 },
 		"gang-on-big": func(s *core.JobSpec) { s.Gang, s.SpreadZones, s.MachineTypes = true, true, []string{"big"} },
 	}
-	for _, id := range sorted(impossible) {
+	for _, id := range sortedKeys(impossible) {
 		submit("job-"+id, impossible[id])
 	}
 	w.Run(8 * time.Minute)
-	for _, b := range w.Broken {
+	for _, b := range w.Violations {
 		t.Error(b)
 	}
 	for id := range possible {
-		if j := w.jobs["job-"+id]; j.told != "done" || j.Refused != 0 {
-			t.Errorf("%s is %q, refused %d, %d of %d done", id, j.told, j.Refused, len(j.results), j.spec.Tasks)
+		if j := w.jobs["job-"+id]; j.lastState != "done" || j.refusedStatus != 0 {
+			t.Errorf("%s is %q, refused %d, %d of %d done", id, j.lastState, j.refusedStatus, len(j.doneTasks), j.spec.Tasks)
 		}
 	}
 	for id := range impossible {
-		if j := w.jobs["job-"+id]; j.accepted || j.Refused != 422 {
-			t.Errorf("%s: accepted %v, refused %d", id, j.accepted, j.Refused)
+		if j := w.jobs["job-"+id]; j.accepted || j.refusedStatus != 422 {
+			t.Errorf("%s: accepted %v, refused %d", id, j.accepted, j.refusedStatus)
 		}
 	}
-	for i, j := range w.jobs["job-over-small-disks"].places {
+	for i, j := range w.jobs["job-over-small-disks"].machines {
 		for _, m := range j {
-			if m.Flavour != "big" {
-				t.Errorf("task %d was on a %s, whose disk is too small", i, m.Flavour)
+			if m.MachineType != "big" {
+				t.Errorf("task %d was on a %s, whose disk is too small", i, m.MachineType)
 			}
 		}
 	}
 	// Odd repeats of what is over, and of what was refused.
 	over := w.jobs["job-apart-on-big"].spec
 	over.Zone, over.Tasks = "c", 100
-	for to := range w.nodes {
+	for to := range w.controllers {
 		for _, c := range []struct {
 			status int
 			state  string
@@ -93,7 +93,7 @@
 				return core.SubmitJob{Reply: r, Spec: core.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
 			}},
 		} {
-			w.userCallTo(to, c.mk, 5*time.Second, func(r *core.UserReply) {
+			w.userRequestTo(to, c.mk, 5*time.Second, func(r *core.UserReply) {
 				if r == nil || r.Status != c.status || r.State != c.state {
 					t.Errorf("%+v; want %d %s", r, c.status, c.state)
 				}
--- a/internal/standin/orphans.go
+++ b/internal/standin/orphans.go
@@ -14,91 +14,91 @@
 // left that says that one before it is cancelled.
 const RuleOrphaned = "orphaned"
 
-// released says that all that a job needs is done, by the workers' own results.
-func (j *userJob) released() bool {
-	for _, n := range j.needs {
-		if n.endedAt.IsZero() {
+// dependenciesDone says that all that a job needs is done, by the workers' own results.
+func (j *userJob) dependenciesDone() bool {
+	for _, n := range j.dependencies {
+		if n.tasksDoneAt.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// from is since when times but the due time count: when the last job that it needs was
+// eligibleSince is since when times but the due time count: when the last job that it needs was
 // done, and not before its submission.
-func (j *userJob) from() time.Time {
+func (j *userJob) eligibleSince() time.Time {
 	at := j.submitted
-	for _, n := range j.needs {
-		if n.endedAt.After(at) {
-			at = n.endedAt
+	for _, n := range j.dependencies {
+		if n.tasksDoneAt.After(at) {
+			at = n.tasksDoneAt
 		}
 	}
 	return at
 }
 
-// resultsComplete notes when all tasks of a job are done.
-func (w *World) resultsComplete(j *userJob) {
-	if !j.endedAt.IsZero() || len(j.results) < j.spec.Tasks {
+// noteTasksDone notes when all tasks of a job are done.
+func (w *World) noteTasksDone(j *userJob) {
+	if !j.tasksDoneAt.IsZero() || len(j.doneTasks) < j.spec.Tasks {
 		return
 	}
-	j.endedAt = w.now
-	j.happens()
+	j.tasksDoneAt = w.now
+	j.runHooks()
 }
 
-// calledOff says that its user, or one of a job before it, cancels, and was not told that
+// isCancelled says that its user, or one of a job before it, cancels, and was not told that
 // it is done.
-func (j *userJob) calledOff() bool { return j.aborting || j.behindCancelled() }
+func (j *userJob) isCancelled() bool { return j.cancelRequested || j.dependsOnCancelled() }
 
-// behindCancelled says that the user of a job before it cancels that and wasn't told that
+// dependsOnCancelled says that the user of a job before it cancels that and wasn't told that
 // it is done: what comes after a done job goes on.
-func (j *userJob) behindCancelled() bool {
-	for _, n := range j.needs {
-		if n.told != "done" && n.calledOff() {
+func (j *userJob) dependsOnCancelled() bool {
+	for _, n := range j.dependencies {
+		if n.lastState != "done" && n.isCancelled() {
 			return true
 		}
 	}
 	return false
 }
 
-// offSince is since when anybody could know that a job is cancelled, through one before
+// cancelledSince is since when anybody could know that a job is cancelled, through one before
 // it too: since the first answer left that says so of one of them.
-func (j *userJob) offSince() time.Time {
-	since := j.cancelled
-	for _, n := range j.needs {
-		if at := n.offSince(); !at.IsZero() && (since.IsZero() || at.Before(since)) {
+func (j *userJob) cancelledSince() time.Time {
+	since := j.cancelledAt
+	for _, n := range j.dependencies {
+		if at := n.cancelledSince(); !at.IsZero() && (since.IsZero() || at.Before(since)) {
 			since = at
 		}
 	}
 	return since
 }
 
-// checkNeeds judges the start of a task by what its job needs: all its tasks are done, and
+// checkDependencies judges the start of a task by what its job needs: all its tasks are done, and
 // the state service holds that it is. One that is called cancelled never is.
-func (w *World) checkNeeds(j *userJob, name string) {
-	for _, n := range j.needs {
-		if n.endedAt.IsZero() {
-			w.broke("too_early", "%s starts before %s is done: %d of %d", name, n.spec.ID, len(n.results), n.spec.Tasks)
-		} else if !w.state.done(n.spec.ID) {
-			w.broke("too_early", "%s starts before the end of %s is stored", name, n.spec.ID)
+func (w *World) checkDependencies(j *userJob, name string) {
+	for _, n := range j.dependencies {
+		if n.tasksDoneAt.IsZero() {
+			w.violate("too_early", "%s starts before %s is done: %d of %d", name, n.spec.ID, len(n.doneTasks), n.spec.Tasks)
+		} else if !w.state.isJobDone(n.spec.ID) {
+			w.violate("too_early", "%s starts before the end of %s is stored", name, n.spec.ID)
 		}
 	}
 }
 
-// done says that a job's record says that it is done.
-func (s *StateService) done(id string) bool {
-	row := s.rows["job/"+id]
+// isJobDone says that a job's record says that it is done.
+func (s *StateService) isJobDone(id string) bool {
+	row := s.records["job/"+id]
 	var r struct {
 		Status core.JobStatus `msgpack:"s"`
 	}
 	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == core.Done
 }
 
-// checkBehind judges the answer that a job is cancelled by what comes after it: nothing of
+// checkDependents judges the answer that a job is cancelled by what comes after it: nothing of
 // that may have begun.
-func (w *World) checkBehind(j *userJob) {
-	for _, f := range j.followers {
-		if len(f.began) > 0 {
-			w.broke("too_early", "%s has begun, and %s is cancelled", f.spec.ID, j.spec.ID)
+func (w *World) checkDependents(j *userJob) {
+	for _, f := range j.dependents {
+		if len(f.firstStarts) > 0 {
+			w.violate("too_early", "%s has begun, and %s is cancelled", f.spec.ID, j.spec.ID)
 		}
 	}
 }
@@ -106,39 +106,39 @@
 // checkOrphan judges an answer that leaves a controller or reaches a user. What was
 // submitted later than a job before it was cancelled has the time from then.
 func (w *World) checkOrphan(j *userJob, r *core.UserReply) {
-	if len(j.needs) == 0 || r.Status != 200 || over(r.State) {
+	if len(j.dependencies) == 0 || r.Status != 200 || isFinal(r.State) {
 		return
 	}
-	since := j.offSince()
+	since := j.cancelledSince()
 	if since.IsZero() {
 		return
 	}
 	if j.submitted.After(since) {
 		since = j.submitted
 	}
-	left := w.cancel - w.now.Sub(since)
-	w.near(RuleOrphaned, left, j.spec.ID)
-	if left < 0 && !j.orphanBlamed {
-		j.orphanBlamed = true
-		w.broke(RuleOrphaned, "%s is called %s %.1f s after one before it was cancelled", j.spec.ID, r.State, w.now.Sub(since).Seconds())
+	left := w.cancelWithin - w.now.Sub(since)
+	w.recordMargin(RuleOrphaned, left, j.spec.ID)
+	if left < 0 && !j.orphanReported {
+		j.orphanReported = true
+		w.violate(RuleOrphaned, "%s is called %s %.1f s after one before it was cancelled", j.spec.ID, r.State, w.now.Sub(since).Seconds())
 	}
 }
 
-// checkClosures judges at a day's end: a job that nobody cancelled is cancelled only behind
+// checkDependencyOutcomes judges at a day's end: a job that nobody cancelled is cancelled only behind
 // one that is, and none is done behind one that is cancelled.
-func (w *World) checkClosures() {
-	for _, id := range sorted(w.jobs) {
+func (w *World) checkDependencyOutcomes() {
+	for _, id := range sortedKeys(w.jobs) {
 		j, behind := w.jobs[id], ""
-		for _, n := range j.needs {
-			if n.told == "cancelled" {
+		for _, n := range j.dependencies {
+			if n.lastState == "cancelled" {
 				behind = n.spec.ID
 			}
 		}
 		switch {
-		case j.told == "cancelled" && !j.aborting && behind == "":
-			w.broke("crossed", "%s is cancelled, and none that it needs", id)
-		case j.told == "done" && behind != "":
-			w.broke("crossed", "%s is done, and %s that it needs is cancelled", id, behind)
+		case j.lastState == "cancelled" && !j.cancelRequested && behind == "":
+			w.violate("crossed", "%s is cancelled, and none that it needs", id)
+		case j.lastState == "done" && behind != "":
+			w.violate("crossed", "%s is done, and %s that it needs is cancelled", id, behind)
 		}
 	}
 }
--- a/internal/standin/pipeline_looks_test.go
+++ b/internal/standin/pipeline_looks_test.go
@@ -10,94 +10,94 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// lookDoom is that one of the jobs that a job needs, directly or through others, is
+// opDependencyCancelled is that one of the jobs that a job needs, directly or through others, is
 // cancelled: it cancels what is accepted, and what is accepted later.
-const lookDoom lookKind = "doom"
+const opDependencyCancelled operationKind = "doom"
 
-// never is news on which nobody cancels, as it doesn't come.
-const never fate = "never"
+// neverFate is news on which nobody cancels, as it doesn't come.
+const neverFate jobFate = "never"
 
-// oneStep is what the register of a job in a pipeline holds.
-type oneStep struct {
-	is     fate
+// dependentFate is what the register of a job in a pipeline holds.
+type dependentFate struct {
+	is     jobFate
 	doomed bool
 }
 
-// oneStepJob is oneJob with the cancellation of a job before it. That one is not done, so
+// dependentJobModel is jobModel with the cancellation of a job before it. That one is not done, so
 // this one isn't either.
-var oneStepJob = porcupine.Model{
-	Init: func() any { return oneStep{} },
+var dependentJobModel = porcupine.Model{
+	Init: func() any { return dependentFate{} },
 	Step: func(state, input, output any) (bool, any) {
-		was, op, said := state.(oneStep), input.(lookOp), output.(lookSaid)
-		if op.kind == lookDoom {
-			next := oneStep{was.is, true}
+		was, op, said := state.(dependentFate), input.(jobOperation), output.(jobAnswer)
+		if op.kind == opDependencyCancelled {
+			next := dependentFate{was.is, true}
 			if was.is == accepted {
 				next.is = cancelled
 			}
 			return was.is != done, next
 		}
-		if op.kind == lookSubmit && was.is == unknown && was.doomed {
+		if op.kind == opSubmit && was.is == unknown && was.doomed {
 			// It is accepted all the same.
 			told := said.status == 201 && (said.fate == accepted || said.fate == cancelled)
-			return said.status == 0 || told || said.status == 200 && said.fate == cancelled, oneStep{cancelled, true}
+			return said.status == 0 || told || said.status == 200 && said.fate == cancelled, dependentFate{cancelled, true}
 		}
-		ok, next := oneJob.Step(was.is, input, output)
-		return ok, oneStep{next.(fate), was.doomed}
+		ok, next := jobModel.Step(was.is, input, output)
+		return ok, dependentFate{next.(jobFate), was.doomed}
 	},
 }
 
-// pipelineLooks are close looks at pipelines whose jobs are cancelled through different
+// pipelineReaders are close looks at pipelines whose jobs are cancelled through different
 // controllers.
-type pipelineLooks struct {
-	*closeLooks
+type pipelineReaders struct {
+	*concurrentReaders
 	jobs []*userJob
 }
 
 // pipeline has a chain of jobs come, with a fan in the middle; its jobs are cancelled on
 // this news of them.
-func (p *pipelineLooks) pipeline(at time.Duration, name string, on [5]fate) {
+func (p *pipelineReaders) pipeline(at time.Duration, name string, on [5]jobFate) {
 	id := func(k int) string { return fmt.Sprintf("job-%s%d", name, k) }
 	needs := [5][]string{nil, {id(0)}, {id(1)}, {id(1)}, {id(2), id(3)}}
 	for k := range 5 {
 		run := time.Duration(1+p.rng.IntN(6)) * time.Second
 		j := newUserJob(stepJob(id(k), 1+k%3, run, needs[k]...), run)
 		p.jobs = append(p.jobs, j)
-		p.w.jobs[id(k)] = j
-		p.w.bindNeeds(j)
+		p.world.jobs[id(k)] = j
+		p.world.linkDependencies(j)
 		submit := func() {
-			j.submitted = p.w.now
+			j.submitted = p.world.now
 			p.cancels[id(k)] = on[k]
 			p.burst(id(k), unknown)
-			p.ask(p.rng.IntN(len(p.w.nodes)), lookSubmit, id(k))
-			p.each(id(k))
+			p.ask(p.rng.IntN(len(p.world.controllers)), opSubmit, id(k))
+			p.readEverywhere(id(k))
 		}
-		p.w.after(at, func() { onceAll(j.needs, whenAccepted, submit) })
+		p.world.schedule(at, func() { onAllReached(j.dependencies, milestoneAccepted, submit) })
 	}
 }
 
 // watch has what waits for a job's moments hear of them.
-func (p *pipelineLooks) watch() {
+func (p *pipelineReaders) watch() {
 	for _, j := range p.jobs {
-		j.happens()
+		j.runHooks()
 	}
-	p.w.after(20*time.Millisecond, p.watch)
+	p.world.schedule(20*time.Millisecond, p.watch)
 }
 
-// doom adds to a job's history the cancellations of those before it: they may take place
+// addDependencyCancels adds to a job's history the cancellations of those before it: they may take place
 // since somebody asked for them, and have within cancel_s after anybody was told.
-func (p *pipelineLooks) doom(j *userJob) []porcupine.Operation {
+func (p *pipelineReaders) addDependencyCancels(j *userJob) []porcupine.Operation {
 	id := j.spec.ID
-	out := apart(p.history[id])
-	for _, n := range before(j) {
-		if p.heard[n.spec.ID] != cancelled {
+	out := splitAcceptAndCancel(p.history[id])
+	for _, n := range allDependencies(j) {
+		if p.newestFate[n.spec.ID] != cancelled {
 			continue
 		}
 		asked, told := int64(math.MaxInt64), int64(math.MaxInt64)
 		for _, o := range p.history[n.spec.ID] {
-			if o.Input.(lookOp).kind == lookAbort {
+			if o.Input.(jobOperation).kind == opCancel {
 				asked = min(asked, o.Call)
 			}
-			if o.Output.(lookSaid).fate == cancelled {
+			if o.Output.(jobAnswer).fate == cancelled {
 				told = min(told, o.Return)
 			}
 		}
@@ -106,22 +106,22 @@
 			continue
 		}
 		if told < math.MaxInt64 {
-			told += p.w.cancel.Nanoseconds()
+			told += p.world.cancelWithin.Nanoseconds()
 		}
-		out = append(out, porcupine.Operation{ClientId: len(out), Input: lookOp{id, lookDoom}, Call: asked, Output: lookSaid{}, Return: told})
+		out = append(out, porcupine.Operation{ClientId: len(out), Input: jobOperation{id, opDependencyCancelled}, Call: asked, Output: jobAnswer{}, Return: told})
 	}
 	return out
 }
 
-// apart divides an answer that a job was accepted and is cancelled by now: that may have
+// splitAcceptAndCancel divides an answer that a job was accepted and is cancelled by now: that may have
 // come about in between.
-func apart(history []porcupine.Operation) []porcupine.Operation {
+func splitAcceptAndCancel(history []porcupine.Operation) []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, o := range history {
-		if in, said := o.Input.(lookOp), o.Output.(lookSaid); said.status == 201 && said.fate == cancelled {
-			o.Output = lookSaid{201, accepted}
+		if in, said := o.Input.(jobOperation), o.Output.(jobAnswer); said.status == 201 && said.fate == cancelled {
+			o.Output = jobAnswer{201, accepted}
 			read := o
-			read.Input, read.Output = lookOp{in.job, lookPoll}, lookSaid{200, cancelled}
+			read.Input, read.Output = jobOperation{in.job, opPoll}, jobAnswer{200, cancelled}
 			out = append(out, read)
 		}
 		out = append(out, o)
@@ -129,13 +129,13 @@
 	return out
 }
 
-// before are all jobs that one needs, directly or through others.
-func before(j *userJob) []*userJob {
+// allDependencies are all jobs that one needs, directly or through others.
+func allDependencies(j *userJob) []*userJob {
 	seen := map[*userJob]bool{}
 	var out []*userJob
 	var walk func(*userJob)
 	walk = func(j *userJob) {
-		for _, n := range j.needs {
+		for _, n := range j.dependencies {
 			if !seen[n] {
 				seen[n] = true
 				out = append(out, n)
@@ -148,19 +148,19 @@
 }
 
 // check judges all registers, and that what comes after a cancelled job ends with it.
-func (p *pipelineLooks) check() []string {
-	out := p.wrong
+func (p *pipelineReaders) check() []string {
+	out := p.problems
 	for _, j := range p.jobs {
 		id := j.spec.ID
 		if len(p.history[id]) == 0 {
 			continue
 		}
-		if r := porcupine.CheckOperationsTimeout(oneStepJob, fewer(withSubmission(p.doom(j))), 5*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s is no register: %s: %s", id, r, tellHistory(p.doom(j))))
+		if r := porcupine.CheckOperationsTimeout(dependentJobModel, dropImpliedReads(withSubmission(p.addDependencyCancels(j))), 5*time.Second); r != porcupine.Ok {
+			out = append(out, fmt.Sprintf("%s is no register: %s: %s", id, r, tellHistory(p.addDependencyCancels(j))))
 		}
-		for _, n := range j.needs {
-			if p.heard[n.spec.ID] == cancelled && p.heard[id] != cancelled {
-				out = append(out, fmt.Sprintf("%s is %q, and %s cancelled", id, p.heard[id], n.spec.ID))
+		for _, n := range j.dependencies {
+			if p.newestFate[n.spec.ID] == cancelled && p.newestFate[id] != cancelled {
+				out = append(out, fmt.Sprintf("%s is %q, and %s cancelled", id, p.newestFate[id], n.spec.ID))
 			}
 		}
 	}
@@ -169,17 +169,17 @@
 
 // pipelineDay has pipelines whose jobs are cancelled at every step, with troubles or
 // without.
-func pipelineDay(w *World, seed uint64, troubles bool) *pipelineLooks {
-	p := &pipelineLooks{closeLooks: newCloseLooks(w, seed)}
+func pipelineDay(w *World, seed uint64, troubles bool) *pipelineReaders {
+	p := &pipelineReaders{concurrentReaders: newConcurrentReaders(w, seed)}
 	const many, apart = 12, 8 * time.Second
 	for i := range many {
-		on := [5]fate{never, never, never, never, never}
+		on := [5]jobFate{neverFate, neverFate, neverFate, neverFate, neverFate}
 		if i%3 > 0 {
-			on[i%5] = []fate{accepted, cancelled, done}[p.rng.IntN(3)]
-			on[p.rng.IntN(5)] = []fate{unknown, accepted, done}[p.rng.IntN(3)]
+			on[i%5] = []jobFate{accepted, cancelled, done}[p.rng.IntN(3)]
+			on[p.rng.IntN(5)] = []jobFate{unknown, accepted, done}[p.rng.IntN(3)]
 			if i%3 == 2 {
 				// Before they are accepted, too.
-				on = [5]fate{unknown, unknown, unknown, unknown, unknown}
+				on = [5]jobFate{unknown, unknown, unknown, unknown, unknown}
 			}
 		}
 		p.pipeline(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("%05d", i), on)
@@ -188,29 +188,29 @@
 	if troubles {
 		p.share = 0.15
 		for i := range 20 {
-			w.after(32*time.Second+time.Duration(i)*5*time.Second, p.fault)
+			w.schedule(32*time.Second+time.Duration(i)*5*time.Second, p.fault)
 		}
-		w.after(32*time.Second+20*5*time.Second, func() { p.share = 0 })
+		w.schedule(32*time.Second+20*5*time.Second, func() { p.share = 0 })
 	}
 	w.Run(6 * time.Minute)
 	return p
 }
 
-// TestPipelineLooks: users ask all controllers within milliseconds after, or just when, a
+// TestPipelineReads: users ask all controllers within milliseconds after, or just when, a
 // job of a pipeline was accepted, ended or cancelled, and cancel through different ones.
 // Each job is one register, which a cancellation before it reaches within cancel_s.
-func TestPipelineLooks(t *testing.T) {
+func TestPipelineReads(t *testing.T) {
 	for seed := range drawnDays(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(seed)
 			p := pipelineDay(w, seed, seed > 0)
-			for _, b := range append(w.Broken, p.check()...) {
+			for _, b := range append(w.Violations, p.check()...) {
 				t.Error(b)
 			}
-			ends := map[fate]int{}
+			ends := map[jobFate]int{}
 			for _, j := range p.jobs {
-				f := p.heard[j.spec.ID]
+				f := p.newestFate[j.spec.ID]
 				if ends[f]++; f != done && f != cancelled {
 					t.Errorf("%s is %q in the end", j.spec.ID, f)
 				}
@@ -218,16 +218,16 @@
 			if ends[done] < 10 || ends[cancelled] < 10 {
 				t.Errorf("too few: %v", ends)
 			}
-			t.Logf("%v, looks %v, no answer %v", ends, p.looks, p.unsaid)
+			t.Logf("%v, looks %v, no answer %v", ends, p.bursts, p.unansweredCount)
 		})
 	}
 }
 
-// TestOldPipelineAnswersAreNoticed: a core made wrong is noticed by the registers.
-func TestOldPipelineAnswersAreNoticed(t *testing.T) {
+// TestStalePipelineAnswersAreNoticed: a core made wrong is noticed by the registers.
+func TestStalePipelineAnswersAreNoticed(t *testing.T) {
 	behind := func(w *World, r *core.UserReply) bool {
 		j := w.jobs[r.ID]
-		return j != nil && len(j.needs) > 0 && !j.aborting
+		return j != nil && len(j.dependencies) > 0 && !j.cancelRequested
 	}
 	for name, wrong := range map[string]func(*World, *core.UserReply){
 		"nothing": nil,
@@ -251,7 +251,7 @@
 			t.Parallel()
 			w := newTestWorld(3)
 			if wrong != nil {
-				w.sabotage = func(e core.Effect) core.Effect {
+				w.corruptEffect = func(e core.Effect) core.Effect {
 					if r, ok := e.(core.UserReply); ok {
 						wrong(w, &r)
 						return r
@@ -269,7 +269,7 @@
 // tellHistory shows what decides about a job's register.
 func tellHistory(history []porcupine.Operation) string {
 	out := ""
-	for _, o := range fewer(withSubmission(history)) {
+	for _, o := range dropImpliedReads(withSubmission(history)) {
 		ms := func(at int64) string {
 			if at == math.MaxInt64 {
 				return "never"
--- a/internal/standin/pipelines_test.go
+++ b/internal/standin/pipelines_test.go
@@ -17,14 +17,14 @@
 	return spec
 }
 
-// chain submits a, b and c one after the other, each needing the one before it.
-func (w *World) chain(run time.Duration) (a, b, c *userJob) {
+// submitChain submits a, b and c one after the other, each needing the one before it.
+func (w *World) submitChain(run time.Duration) (a, b, c *userJob) {
 	a = newUserJob(stepJob("job-00000a", 2, run), run)
 	b = newUserJob(stepJob("job-00000b", 2, run, "job-00000a"), run)
 	c = newUserJob(stepJob("job-00000c", 2, run, "job-00000b"), run)
 	w.submitJob(a)
-	w.submitAfter(b, whenAccepted, a)
-	w.submitAfter(c, whenAccepted, b)
+	w.submitAfter(b, milestoneAccepted, a)
+	w.submitAfter(c, milestoneAccepted, b)
 	return a, b, c
 }
 
@@ -73,11 +73,11 @@
 		// wrong is what the core does, from the moment when a is to be cancelled on if it
 		// is; at is that moment.
 		wrong func(*World) func(core.Effect) core.Effect
-		at    moment
+		at    milestone
 	}{
 		{"nothing", "", nil, ""},
-		{"nothing, cancelled", "", nil, whenAccepted},
-		{"nothing, cancelled at the end", "", nil, whenEnded},
+		{"nothing, cancelled", "", nil, milestoneAccepted},
+		{"nothing, cancelled at the end", "", nil, milestoneTasksDone},
 		{"a task of a later job is started", "too_early", func(*World) func(core.Effect) core.Effect { return startsEarly(c) }, ""},
 		{"a later job is called queued for ever", RuleOrphaned, func(*World) func(core.Effect) core.Effect {
 			return replies(c, func(r *core.UserReply) {
@@ -85,15 +85,15 @@
 					r.State = "queued"
 				}
 			})
-		}, whenAccepted},
+		}, milestoneAccepted},
 		{"a later job is called queued a moment too long", RuleOrphaned, func(w *World) func(core.Effect) core.Effect {
-			till := w.now.Add(w.cancel + 8*time.Second)
+			till := w.now.Add(w.cancelWithin + 8*time.Second)
 			return replies(c, func(r *core.UserReply) {
 				if r.State == "cancelled" && w.now.Before(till) {
 					r.State = "queued"
 				}
 			})
-		}, whenAccepted},
+		}, milestoneAccepted},
 		{"a later job goes back", "went_back", func(w *World) func(core.Effect) core.Effect {
 			from := w.now.Add(40 * time.Second)
 			return replies(c, func(r *core.UserReply) {
@@ -101,48 +101,48 @@
 					r.State = "queued"
 				}
 			})
-		}, whenAccepted},
+		}, milestoneAccepted},
 		{"a later job is cancelled by nobody", "went_back", func(*World) func(core.Effect) core.Effect {
 			return replies(c, func(r *core.UserReply) { r.State = "cancelled" })
 		}, ""},
 		{"what comes after is called done", "not_done", func(*World) func(core.Effect) core.Effect {
 			return replies(c, func(r *core.UserReply) { r.State = "done" })
-		}, whenAccepted},
+		}, milestoneAccepted},
 		{"what comes after a cancelled job is refused", "refused_wrongly", func(*World) func(core.Effect) core.Effect {
 			return replies(c, func(r *core.UserReply) { r.Status = 422 })
 		}, ""},
 		{"a later job is never released", RuleWaiting, func(w *World) func(core.Effect) core.Effect {
 			return func(e core.Effect) core.Effect {
-				return withoutOrders(e, func(o core.TaskCommand) bool { return o.Kind == core.StartTask && o.Job == b })
+				return dropCommands(e, func(o core.TaskCommand) bool { return o.Kind == core.StartTask && o.Job == b })
 			}
 		}, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(3)
-			w.calm = w.began
-			ja, jb, jc := w.chain(15 * time.Second)
+			w.faultsEndAt = w.startedAt
+			ja, jb, jc := w.submitChain(15 * time.Second)
 			// Room for it all is there, and stays.
 			w.Submit(metJob("job-000001", "ops", 4, 2, time.Hour), time.Hour, false)
 			if x.wrong != nil && x.at == "" {
-				w.sabotage = x.wrong(w)
+				w.corruptEffect = x.wrong(w)
 			}
 			if x.at != "" {
-				ja.once(x.at, func() {
+				ja.onMilestone(x.at, func() {
 					if x.wrong != nil {
-						w.sabotage = x.wrong(w)
+						w.corruptEffect = x.wrong(w)
 					}
-					w.AbortAt(a, 0, 2)
+					w.CancelAt(a, 0, 2)
 				})
 			}
 			w.Run(5 * time.Minute)
-			w.checkClosures()
-			found := strings.Join(w.Broken, "\n")
+			w.checkDependencyOutcomes()
+			found := strings.Join(w.Violations, "\n")
 			if x.rule == "" {
 				rulesHold(t, w)
 				for _, j := range []*userJob{ja, jb, jc} {
-					if want := []string{"done", "cancelled"}[boolInt(ja.told == "cancelled")]; j.told != want {
-						t.Errorf("%s is %q", j.spec.ID, j.told)
+					if want := []string{"done", "cancelled"}[boolInt(ja.lastState == "cancelled")]; j.lastState != want {
+						t.Errorf("%s is %q", j.spec.ID, j.lastState)
 					}
 				}
 			} else if !strings.Contains(found, x.rule+" at") {
@@ -157,25 +157,25 @@
 // submission that names a cancelled job is accepted, and cancelled with it.
 func TestPipelineSubmissions(t *testing.T) {
 	w := newTestWorld(5)
-	a, b, c := w.chain(10 * time.Second)
+	a, b, c := w.submitChain(10 * time.Second)
 	refused := []*userJob{}
 	for i, prereqs := range [][]string{{"job-999999"}, {"job-00000a", "job-999998"}, {"job-00000x"}, {"job-00000a", "job-00000a"}} {
 		j := newUserJob(stepJob(fmt.Sprintf("job-00000%c", 'u'+i), 1, 10*time.Second, prereqs...), 10*time.Second)
 		if i == 2 {
 			j.spec.Dependencies = []string{j.spec.ID}
 		}
-		j.impossible = true
+		j.invalid = true
 		refused = append(refused, j)
-		a.once(whenAccepted, func() { w.submitJob(j) })
+		a.onMilestone(milestoneAccepted, func() { w.submitJob(j) })
 	}
 	w.Run(20 * time.Second)
 	for _, j := range refused {
-		if j.Refused != 422 || j.accepted {
-			t.Errorf("%s, which needs %v, is answered %d", j.spec.ID, j.spec.Dependencies, j.Refused)
+		if j.refusedStatus != 422 || j.accepted {
+			t.Errorf("%s, which needs %v, is answered %d", j.spec.ID, j.spec.Dependencies, j.refusedStatus)
 		}
 	}
-	if w.when(5*time.Minute, func() bool { return c.told == "done" }) < 0 || a.told != "done" || b.told != "done" {
-		t.Errorf("%s %s %s", a.told, b.told, c.told)
+	if w.when(5*time.Minute, func() bool { return c.lastState == "done" }) < 0 || a.lastState != "done" || b.lastState != "done" {
+		t.Errorf("%s %s %s", a.lastState, b.lastState, c.lastState)
 	}
 	d := newUserJob(stepJob("job-00000d", 1, 10*time.Second, a.spec.ID, c.spec.ID), 10*time.Second)
 	w.submitJob(d)
@@ -183,21 +183,21 @@
 	e := newUserJob(stepJob("job-00000e", 1, time.Hour, d.spec.ID), time.Hour)
 	w.submitJob(e)
 	w.Run(time.Minute)
-	w.AbortAt(e.spec.ID, 0, 3)
+	w.CancelAt(e.spec.ID, 0, 3)
 	w.Run(time.Minute)
 	f := newUserJob(stepJob("job-00000f", 1, 10*time.Second, a.spec.ID, e.spec.ID), 10*time.Second)
 	w.submitJob(f)
-	w.Run(w.cancel)
-	if d.told != "done" || e.told != "cancelled" || f.told != "cancelled" || len(f.began) > 0 {
-		t.Errorf("%s %s %s", d.told, e.told, f.told)
+	w.Run(w.cancelWithin)
+	if d.lastState != "done" || e.lastState != "cancelled" || f.lastState != "cancelled" || len(f.firstStarts) > 0 {
+		t.Errorf("%s %s %s", d.lastState, e.lastState, f.lastState)
 	}
 	for _, j := range []*userJob{a, b, c, d, e, f} {
 		for range 4 {
-			w.repeat(j)
+			w.resubmit(j)
 		}
 	}
 	w.Run(10 * time.Second)
-	w.checkClosures()
+	w.checkDependencyOutcomes()
 	rulesHold(t, w)
 }
 
@@ -205,25 +205,25 @@
 // last task, at one or several controllers. It ends one way, and all behind it the same.
 func TestPipelineCancelledAtTheEnd(t *testing.T) {
 	w := newTestWorldOf(7, 3)
-	first, _, _ := w.chain(10 * time.Second)
+	first, _, _ := w.submitChain(10 * time.Second)
 	w.Run(2 * time.Minute)
-	end := first.endedAt.Sub(w.began)
+	end := first.tasksDoneAt.Sub(w.startedAt)
 	ends := map[string]int{}
 	for _, step := range spread(32, 8) {
 		for node := range 3 {
 			w := newTestWorldOf(7, 3)
-			a, b, c := w.chain(10 * time.Second)
+			a, b, c := w.submitChain(10 * time.Second)
 			off := time.Duration(step-16) * 4 * time.Millisecond
-			w.after(end+off, func() { w.AbortAt(a.spec.ID, node, 1+step%3) })
-			if w.when(5*time.Minute, func() bool { return over(a.told) && over(b.told) && over(c.told) }) < 0 {
-				t.Errorf("%v node-%d: %q %q %q", off, node, a.told, b.told, c.told)
+			w.schedule(end+off, func() { w.CancelAt(a.spec.ID, node, 1+step%3) })
+			if w.when(5*time.Minute, func() bool { return isFinal(a.lastState) && isFinal(b.lastState) && isFinal(c.lastState) }) < 0 {
+				t.Errorf("%v node-%d: %q %q %q", off, node, a.lastState, b.lastState, c.lastState)
 			}
-			w.Run(w.cancel)
-			w.checkClosures()
-			if a.told != b.told || b.told != c.told || len(w.Broken) > 0 {
-				t.Errorf("%v node-%d: %q %q %q: %v", off, node, a.told, b.told, c.told, w.Broken)
+			w.Run(w.cancelWithin)
+			w.checkDependencyOutcomes()
+			if a.lastState != b.lastState || b.lastState != c.lastState || len(w.Violations) > 0 {
+				t.Errorf("%v node-%d: %q %q %q: %v", off, node, a.lastState, b.lastState, c.lastState, w.Violations)
 			}
-			ends[a.told]++
+			ends[a.lastState]++
 		}
 	}
 	t.Log(ends)
@@ -238,9 +238,9 @@
 	for seed := range drawnDays(t, 5, 2) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			t.Parallel()
-			d := DrawDay(DayParams{Seed: seed + 1, Machines: 40, Meetings: seed%2 == 0, Pipelines: true})
-			r := PlayDay(d, "")
-			for _, b := range append(r.Broken, r.Starved()...) {
+			d := GenerateDay(DayParams{Seed: seed + 1, Machines: 40, OverlappingFaults: seed%2 == 0, Pipelines: true})
+			r := RunDay(d, "")
+			for _, b := range append(r.Violations, r.Starved()...) {
 				t.Error(b)
 			}
 			if t.Failed() {
@@ -254,7 +254,7 @@
 // TestPipelineDaysNotice: a day's checkers see a core that knows of no prerequisites, and
 // one that hides how closures end.
 func TestPipelineDaysNotice(t *testing.T) {
-	d := DrawDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, Hot: 1, Faults: -1, Pipelines: true})
+	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, FaultCount: -1, Pipelines: true})
 	for _, x := range []struct {
 		rule  string
 		wrong func(*World, core.Effect) core.Effect
@@ -264,8 +264,8 @@
 			if !ok || len(op.Commands) == 0 {
 				return e
 			}
-			for _, id := range sorted(w.jobs) {
-				if j := w.jobs[id]; j.accepted && !j.released() && len(j.began) == 0 {
+			for _, id := range sortedKeys(w.jobs) {
+				if j := w.jobs[id]; j.accepted && !j.dependenciesDone() && len(j.firstStarts) == 0 {
 					op.Commands = append(op.Commands[:len(op.Commands):len(op.Commands)], core.TaskCommand{Kind: core.StartTask, Job: id, Attempt: 99})
 					return op
 				}
@@ -273,7 +273,7 @@
 			return e
 		}},
 		{RuleOrphaned, func(w *World, e core.Effect) core.Effect {
-			if r, ok := e.(core.UserReply); ok && r.State == "cancelled" && w.jobs[r.ID] != nil && len(w.jobs[r.ID].needs) > 0 && !w.jobs[r.ID].aborting {
+			if r, ok := e.(core.UserReply); ok && r.State == "cancelled" && w.jobs[r.ID] != nil && len(w.jobs[r.ID].dependencies) > 0 && !w.jobs[r.ID].cancelRequested {
 				r.State = "queued"
 				return r
 			}
@@ -282,8 +282,8 @@
 	} {
 		t.Run(x.rule, func(t *testing.T) {
 			t.Parallel()
-			if r := d.play("", x.wrong); !strings.Contains(strings.Join(r.Broken, "\n"), x.rule+" at") {
-				t.Errorf("not noticed: %v", r.Broken)
+			if r := d.run("", x.wrong); !strings.Contains(strings.Join(r.Violations, "\n"), x.rule+" at") {
+				t.Errorf("not noticed: %v", r.Violations)
 			}
 		})
 	}
@@ -295,43 +295,43 @@
 func TestPipelineBounds(t *testing.T) {
 	const wide, long = 1000, 200
 	w := smallWorld(9, testSettings())
-	w.state.Limit(w.set)
+	w.state.SetLimits(w.settings)
 	run := 2 * time.Second
 	var needs []string
 	var others []*userJob
 	for i := range wide {
 		j := newUserJob(metJob(fmt.Sprintf("job-%06d", 7*i), "ops", 1, 1, run), run)
 		needs, others = append(needs, j.spec.ID), append(others, j)
-		w.after(time.Duration(i)*60*time.Millisecond, func() { w.submitJob(j) })
+		w.schedule(time.Duration(i)*60*time.Millisecond, func() { w.submitJob(j) })
 	}
 	join := newUserJob(stepJob("job-900001", 3, run, needs...), run)
 	behind := newUserJob(stepJob("job-900002", 3, run, needs...), run)
 	behind.spec.Dependencies = append(slices.Clone(needs), "job-900003")
 	last := newUserJob(metJob("job-900003", "ops", 1, 1, time.Hour), time.Hour)
-	w.submitAfter(join, whenAccepted, others...)
-	w.after(time.Minute, func() { w.submitJob(last) })
-	w.submitAfter(behind, whenAccepted, append(slices.Clone(others), last)...)
+	w.submitAfter(join, milestoneAccepted, others...)
+	w.schedule(time.Minute, func() { w.submitJob(last) })
+	w.submitAfter(behind, milestoneAccepted, append(slices.Clone(others), last)...)
 	var before *userJob
 	for i := range long {
 		j := newUserJob(stepJob(fmt.Sprintf("job-8%05d", i), 1, run), run)
 		if before == nil {
-			w.after(6*time.Second, func() { w.submitJob(j) })
+			w.schedule(6*time.Second, func() { w.submitJob(j) })
 		} else {
 			j.spec.Dependencies = []string{before.spec.ID}
-			w.submitAfter(j, whenAccepted, before)
+			w.submitAfter(j, milestoneAccepted, before)
 		}
 		before = j
 	}
 	w.Run(10 * time.Minute)
-	w.AbortAt(last.spec.ID, 0, 2)
+	w.CancelAt(last.spec.ID, 0, 2)
 	w.Run(20 * time.Minute)
-	if join.told != "done" || behind.told != "cancelled" || before.told != "done" {
-		t.Errorf("%q %q %q, the last but one %d", join.told, behind.told, before.told, len(before.needs[0].results))
+	if join.lastState != "done" || behind.lastState != "cancelled" || before.lastState != "done" {
+		t.Errorf("%q %q %q, the last but one %d", join.lastState, behind.lastState, before.lastState, len(before.dependencies[0].doneTasks))
 	}
-	if w.state.Bad > 0 {
-		t.Errorf("%d malformed, %s", w.state.Bad, w.state.LastBad)
+	if w.state.Malformed > 0 {
+		t.Errorf("%d malformed, %s", w.state.Malformed, w.state.LastMalformed)
 	}
-	w.checkClosures()
+	w.checkDependencyOutcomes()
 	rulesHold(t, w)
 }
 
@@ -341,9 +341,9 @@
 func TestReleaseNeedsStoredEnd(t *testing.T) {
 	for _, crash := range []bool{false, true} {
 		w := newTestWorld(11)
-		a, b, c := w.chain(10 * time.Second)
+		a, b, c := w.submitChain(10 * time.Second)
 		refused, over := 0, false
-		w.sabotage = func(e core.Effect) core.Effect {
+		w.corruptEffect = func(e core.Effect) core.Effect {
 			if !over && changes(e, "job/"+a.spec.ID) {
 				refused++
 				op := e.(core.StoreRequest)
@@ -352,23 +352,23 @@
 			}
 			return e
 		}
-		if w.when(2*time.Minute, func() bool { return !a.endedAt.IsZero() }) < 0 {
+		if w.when(2*time.Minute, func() bool { return !a.tasksDoneAt.IsZero() }) < 0 {
 			t.Fatal("not ended")
 		}
 		w.Run(5 * time.Second)
 		if crash {
-			for i := range w.nodes {
-				w.Crash(i, 5*time.Second)
+			for i := range w.controllers {
+				w.CrashController(i, 5*time.Second)
 			}
 		}
 		w.Run(time.Minute)
-		if len(b.began) > 0 || refused < 2 || a.told == "done" {
-			t.Errorf("%d of the next began, %d records refused, %q", len(b.began), refused, a.told)
+		if len(b.firstStarts) > 0 || refused < 2 || a.lastState == "done" {
+			t.Errorf("%d of the next began, %d records refused, %q", len(b.firstStarts), refused, a.lastState)
 		}
 		over = true
 		w.Run(3 * time.Minute)
-		if c.told != "done" {
-			t.Errorf("%q %q %q", a.told, b.told, c.told)
+		if c.lastState != "done" {
+			t.Errorf("%q %q %q", a.lastState, b.lastState, c.lastState)
 		}
 		rulesHold(t, w)
 	}
@@ -378,12 +378,12 @@
 // that job are done.
 func TestStoredEndIsChecked(t *testing.T) {
 	w := newTestWorld(3)
-	a, b, _ := w.chain(10 * time.Second)
-	if w.when(2*time.Minute, func() bool { return !a.endedAt.IsZero() }) < 0 {
+	a, b, _ := w.submitChain(10 * time.Second)
+	if w.when(2*time.Minute, func() bool { return !a.tasksDoneAt.IsZero() }) < 0 {
 		t.Fatal("not ended")
 	}
-	w.checkNeeds(b, b.spec.ID)
-	if found := strings.Join(w.Broken, " "); !strings.Contains(found, "is stored") {
+	w.checkDependencies(b, b.spec.ID)
+	if found := strings.Join(w.Violations, " "); !strings.Contains(found, "is stored") {
 		t.Errorf("not noticed: %v", found)
 	}
 }
--- a/internal/standin/proc.go
+++ b/internal/standin/proc.go
@@ -12,206 +12,206 @@
 // proc.go has a controller's process: how it starts, ends and stands still, and how it
 // carries out what its core decides.
 
-// workerDeadline is how long a controller waits for the answer to a direct command.
-const workerDeadline = 2 * time.Second
+// workerTimeout is how long a controller waits for the answer to a direct command.
+const workerTimeout = 2 * time.Second
 
-// proc is a controller's process.
-type proc struct {
-	w       *World
-	index   int
-	name    string
-	node    *core.Controller
-	life    int
-	alive   bool
-	queue   []core.Command
-	queued  bool
-	wake    time.Time
-	replies map[uint64]func(core.Effect)
-	next    uint64
-	stateNo bool
-	// refusedTill is when the last time is over in which it alone is refused.
-	refusedTill time.Time
-	gate        *state.RateLimiter
-	// stillTill: the process stands still until then; its clock runs on. held is
+// controllerProcess is a controller's process.
+type controllerProcess struct {
+	world         *World
+	index         int
+	name          string
+	controller    *core.Controller
+	incarnation   int
+	alive         bool
+	queue         []core.Command
+	stepScheduled bool
+	wakeAt        time.Time
+	replies       map[uint64]func(core.Effect)
+	next          uint64
+	stateRefused  bool
+	// refusedUntil is when the last time is over in which it alone is refused.
+	refusedUntil time.Time
+	limiter      *state.RateLimiter
+	// pausedUntil: the process stands still until then; its clock runs on. held is
 	// what it had decided and not sent yet.
-	stillTill time.Time
-	held      []core.Effect
+	pausedUntil time.Time
+	heldEffects []core.Effect
 	// slowTill: its steps take slowBy times as long until then as usual ones do.
-	slowTill time.Time
-	slowBy   float64
-	// skew is by how much its clock is ahead of the world's.
-	skew time.Duration
+	slowUntil  time.Time
+	slowFactor float64
+	// clockSkew is by how much its clock is ahead of the world's.
+	clockSkew time.Duration
 }
 
-// clock is the time that the controller reads.
-func (p *proc) clock() time.Time { return p.w.now.Add(p.skew) }
+// localTime is the time that the controller reads.
+func (p *controllerProcess) localTime() time.Time { return p.world.now.Add(p.clockSkew) }
 
-// checkLead: nobody rents or returns but the leader. What a deposed one would send
+// checkLeader: nobody rents or returns but the leader. What a deposed one would send
 // has no conditions that could stop it.
-func (p *proc) checkLead(e core.CloudRequest) {
+func (p *controllerProcess) checkLeader(e core.CloudRequest) {
 	if e.Kind != core.CloudRent && e.Kind != core.CloudRelease {
 		return
 	}
-	if lead := p.w.leads(); lead != "" && lead != p.name {
-		p.w.broke("deposed", "%s asks the cloud for %v while %s leads", p.name, e.Kind, lead)
+	if lead := p.world.leaderName(); lead != "" && lead != p.name {
+		p.world.violate("deposed", "%s asks the cloud for %v while %s leads", p.name, e.Kind, lead)
 	}
 }
 
-// boot starts a controller's process anew.
-func (p *proc) boot() {
-	p.life++
+// start starts a controller's process anew.
+func (p *controllerProcess) start() {
+	p.incarnation++
 	p.alive = true
-	set := p.w.set
-	set.Host, set.Incarnation = p.name, fmt.Sprintf("%s.%d", p.name, p.life)
-	set.Peers = nil
-	set.CancellationBound = p.w.cancel
-	if p.w.coreLease > 0 {
-		set.WorkerLease = p.w.coreLease
+	settings := p.world.settings
+	settings.Host, settings.Incarnation = p.name, fmt.Sprintf("%s.%d", p.name, p.incarnation)
+	settings.Peers = nil
+	settings.CancellationBound = p.world.cancelWithin
+	if p.world.leaseOverride > 0 {
+		settings.WorkerLease = p.world.leaseOverride
 	}
-	for _, o := range p.w.nodes {
+	for _, o := range p.world.controllers {
 		if o != p {
-			set.Peers = append(set.Peers, o.name)
+			settings.Peers = append(settings.Peers, o.name)
 		}
 	}
-	if p.w.tune != nil {
-		p.w.tune(p.index, &set)
+	if p.world.adjustSettings != nil {
+		p.world.adjustSettings(p.index, &settings)
 	}
 	// Until it says what it needs, each has an equal part.
-	many := float64(len(p.w.nodes))
-	p.gate = state.NewRateLimiter(p.w.now, core.Rates{Requests: set.StoreRequestsPerSecond / many, Writes: set.StoreWritesPerSecond / many})
-	p.node = core.New(set, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.life))))
-	p.queue, p.queued, p.wake = nil, false, time.Time{}
-	p.stillTill, p.held = time.Time{}, nil
+	controllerCount := float64(len(p.world.controllers))
+	p.limiter = state.NewRateLimiter(p.world.now, core.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
+	p.controller = core.New(settings, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.incarnation))))
+	p.queue, p.stepScheduled, p.wakeAt = nil, false, time.Time{}
+	p.pausedUntil, p.heldEffects = time.Time{}, nil
 	p.replies = map[uint64]func(core.Effect){}
-	p.poke()
+	p.scheduleStep()
 }
 
-// Crash ends a process; it is started again after d.
-func (w *World) Crash(i int, d time.Duration) {
-	p := w.nodes[i]
+// CrashController ends a process; it is started again after d.
+func (w *World) CrashController(i int, d time.Duration) {
+	p := w.controllers[i]
 	p.alive = false
-	p.life++
-	w.after(d, func() {
+	p.incarnation++
+	w.schedule(d, func() {
 		if !p.alive {
-			p.boot()
+			p.start()
 		}
 	})
 }
 
-func (p *proc) ask(mk func(uint64) core.Command, fn func(core.Effect)) {
+func (p *controllerProcess) request(newCommand func(uint64) core.Command, fn func(core.Effect)) {
 	if !p.alive {
 		return
 	}
 	p.next++
 	p.replies[p.next] = fn
-	p.push(mk(p.next))
+	p.enqueue(newCommand(p.next))
 }
 
-func (p *proc) push(c core.Command) {
+func (p *controllerProcess) enqueue(c core.Command) {
 	p.queue = append(p.queue, c)
-	p.poke()
+	p.scheduleStep()
 }
 
-func (p *proc) poke() {
-	if p.queued {
+func (p *controllerProcess) scheduleStep() {
+	if p.stepScheduled {
 		return
 	}
-	p.queued = true
-	life := p.life
-	p.w.after(max(time.Millisecond, p.stillTill.Sub(p.w.now)), func() {
-		if p.life != life {
+	p.stepScheduled = true
+	incarnation := p.incarnation
+	p.world.schedule(max(time.Millisecond, p.pausedUntil.Sub(p.world.now)), func() {
+		if p.incarnation != incarnation {
 			return
 		}
-		p.queued = false
+		p.stepScheduled = false
 		p.step()
 	})
 }
 
-// Still lets a process stand still for d.
-func (w *World) Still(i int, d time.Duration) {
-	p := w.nodes[i]
-	p.stillTill = w.now.Add(d)
-	w.thaw(p)
+// Pause lets a process stand still for d.
+func (w *World) Pause(i int, d time.Duration) {
+	p := w.controllers[i]
+	p.pausedUntil = w.now.Add(d)
+	w.resumeWhenDue(p)
 }
 
-// StillIn lets the first process that is about to send such an effect stand still
+// PauseBefore lets the first process that is about to send such an effect stand still
 // for d before it does: it has decided, and acts on that only when it goes on.
-func (w *World) StillIn(d time.Duration, is func(core.Effect) bool, who func(*proc) bool) {
-	w.stillFor = d
-	w.stills = func(p *proc, e core.Effect) bool { return who(p) && is(e) }
+func (w *World) PauseBefore(d time.Duration, matches func(core.Effect) bool, selects func(*controllerProcess) bool) {
+	w.pauseDuration = d
+	w.pauseCondition = func(p *controllerProcess, e core.Effect) bool { return selects(p) && matches(e) }
 }
 
-// thaw lets a process go on when its time has come.
-func (w *World) thaw(p *proc) {
-	life := p.life
-	w.after(p.stillTill.Sub(w.now), func() {
-		if p.life != life {
+// resumeWhenDue lets a process go on when its time has come.
+func (w *World) resumeWhenDue(p *controllerProcess) {
+	incarnation := p.incarnation
+	w.schedule(p.pausedUntil.Sub(w.now), func() {
+		if p.incarnation != incarnation {
 			return
 		}
-		held := p.held
-		p.held = nil
+		held := p.heldEffects
+		p.heldEffects = nil
 		for _, e := range held {
 			p.send(e)
 		}
-		p.poke()
+		p.scheduleStep()
 	})
 }
 
 // send carries an effect out, unless it has become late.
-func (p *proc) send(e core.Effect) {
-	if back, instead, late := core.CheckDeadline(e, p.clock()); late {
+func (p *controllerProcess) send(e core.Effect) {
+	if back, instead, late := core.CheckDeadline(e, p.localTime()); late {
 		if back != nil {
-			p.push(back)
+			p.enqueue(back)
 		} else {
-			p.do(instead)
+			p.execute(instead)
 		}
 		return
 	}
-	p.do(e)
+	p.execute(e)
 }
 
-func (p *proc) step() {
-	if p.w.now.Before(p.stillTill) {
-		p.poke()
+func (p *controllerProcess) step() {
+	if p.world.now.Before(p.pausedUntil) {
+		p.scheduleStep()
 		return
 	}
-	q := p.queue
+	commands := p.queue
 	p.queue = nil
 	began := time.Now()
-	effects := p.node.Step(p.clock(), q)
-	p.w.stepped += time.Since(began)
-	p.computes(len(q), len(effects))
+	effects := p.controller.Step(p.localTime(), commands)
+	p.world.coreTime += time.Since(began)
+	p.delayForCompute(len(commands), len(effects))
 	for _, e := range effects {
-		p.w.ranked.decided(p, e)
-		if p.w.sabotage != nil {
-			if e = p.w.sabotage(e); e == nil {
+		p.world.rankingCheck.onDecision(p, e)
+		if p.world.corruptEffect != nil {
+			if e = p.world.corruptEffect(e); e == nil {
 				continue
 			}
 		}
-		if p.w.endsNow(p, e) {
+		if p.world.crashesOn(p, e) {
 			return
 		}
-		if p.w.stills != nil && p.w.stills(p, e) {
-			p.w.stills = nil
-			p.stillTill = p.w.now.Add(p.w.stillFor)
-			p.w.thaw(p)
+		if p.world.pauseCondition != nil && p.world.pauseCondition(p, e) {
+			p.world.pauseCondition = nil
+			p.pausedUntil = p.world.now.Add(p.world.pauseDuration)
+			p.world.resumeWhenDue(p)
 		}
-		if p.w.now.Before(p.stillTill) {
-			p.held = append(p.held, e)
+		if p.world.now.Before(p.pausedUntil) {
+			p.heldEffects = append(p.heldEffects, e)
 			continue
 		}
 		p.send(e)
 	}
-	d := p.node.Deadline()
-	if d.IsZero() || p.queued {
+	d := p.controller.Deadline()
+	if d.IsZero() || p.stepScheduled {
 		return
 	}
-	d = d.Add(-p.skew)
-	if p.wake.IsZero() || d.Before(p.wake) || !p.wake.After(p.w.now) {
-		p.wake = d
-		life := p.life
-		p.w.after(max(d.Sub(p.w.now), time.Millisecond), func() {
-			if p.life == life && !p.queued {
+	d = d.Add(-p.clockSkew)
+	if p.wakeAt.IsZero() || d.Before(p.wakeAt) || !p.wakeAt.After(p.world.now) {
+		p.wakeAt = d
+		incarnation := p.incarnation
+		p.world.schedule(max(d.Sub(p.world.now), time.Millisecond), func() {
+			if p.incarnation == incarnation && !p.stepScheduled {
 				p.step()
 			}
 		})
@@ -220,67 +220,67 @@
 
 // call is a request with a deadline: fail is what the client tells its core
 // when no answer came. again says that it may also be carried out twice.
-func (p *proc) call(to string, again bool, deadline time.Duration, exec func(answer func(core.Command)), fail core.Command) {
-	p.callOr(to, again, deadline, exec, fail, nil)
+func (p *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(core.Command)), fail core.Command) {
+	p.callWithLimit(to, mayRepeat, deadline, exec, fail, nil)
 }
 
-// callUnless is a call to the state service, which may refuse it for the rate.
-func (p *proc) callUnless(again bool, deadline time.Duration, exec func(answer func(core.Command)), fail core.Command, tooMany func()) {
-	p.callOr("state", again, deadline, exec, fail, tooMany)
+// callState is a call to the state service, which may refuse it for the rate.
+func (p *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(core.Command)), fail core.Command, onRateLimited func()) {
+	p.callWithLimit("state", mayRepeat, deadline, exec, fail, onRateLimited)
 }
 
-func (p *proc) callOr(to string, again bool, deadline time.Duration, exec func(answer func(core.Command)), fail core.Command, tooMany func()) {
-	w, life := p.w, p.life
-	over := false
+func (p *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(core.Command)), fail core.Command, onRateLimited func()) {
+	w, incarnation := p.world, p.incarnation
+	finished := false
 	finish := func(c core.Command) {
-		if over || p.life != life {
+		if finished || p.incarnation != incarnation {
 			return
 		}
-		over = true
-		if d, ok := c.(core.StoreResponse); ok && d.Status == StateTooMany {
-			tooMany()
+		finished = true
+		if d, ok := c.(core.StoreResponse); ok && d.Status == StoreRateLimited {
+			onRateLimited()
 			return
 		}
-		p.push(c)
+		p.enqueue(c)
 	}
-	answer := func(c core.Command) { w.sendMsg(to, p.name, func() { finish(c) }) }
-	if again && w.twice > 0 && w.rng.Float64() < w.twice {
-		none := func(core.Command) {}
-		w.after(w.late(), func() { w.sendMsg(p.name, to, func() { exec(none) }) })
+	answer := func(c core.Command) { w.sendMessage(to, p.name, func() { finish(c) }) }
+	if mayRepeat && w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
+		discard := func(core.Command) {}
+		w.schedule(w.randomDelay(), func() { w.sendMessage(p.name, to, func() { exec(discard) }) })
 		if to != "state" {
-			answer = none
+			answer = discard
 		}
 	}
-	w.sendMsg(p.name, to, func() { exec(answer) })
-	w.after(deadline, func() { finish(fail) })
+	w.sendMessage(p.name, to, func() { exec(answer) })
+	w.schedule(deadline, func() { finish(fail) })
 }
 
-// stateOp is one try of a request to the state service.
-func (p *proc) stateOp(e core.StoreRequest, until time.Time) {
-	w, life := p.w, p.life
-	sent := p.clock()
+// sendStoreRequest is one try of a request to the state service.
+func (p *controllerProcess) sendStoreRequest(e core.StoreRequest, until time.Time) {
+	w, incarnation := p.world, p.incarnation
+	sent := p.localTime()
 	done := func(answer func(core.Command)) func(core.StoreResponse) {
 		return func(d core.StoreResponse) {
 			d.SentAt = sent
-			w.ranked.look()
+			w.rankingCheck.noteRanking()
 			answer(d)
 		}
 	}
 	exec := func(answer func(core.Command)) {
 		switch {
 		case e.Kind == core.OpWatch && e.WatchTimeout > 0:
-			p.watch(e, until, done(answer))
-		case w.outage || p.stateNo:
+			p.openWatch(e, until, done(answer))
+		case w.stateOutage || p.stateRefused:
 			answer(core.StoreResponse{ID: e.ID, Status: core.StoreRefused, SentAt: sent})
 		default:
 			w.state.Do(w.now, e, done(answer))
 		}
 	}
-	p.callUnless(e.Kind == core.OpTxn, until.Sub(w.now), func(answer func(core.Command)) {
-		if d, ok := w.writeLate(e); ok {
-			lawful := !w.state.malformed(&e)
-			w.after(d, func() {
-				if lawful && w.state.malformed(&e) {
+	p.callState(e.Kind == core.OpTxn, until.Sub(w.now), func(answer func(core.Command)) {
+		if d, ok := w.delayWrite(e); ok {
+			wasValid := !w.state.malformed(&e)
+			w.schedule(d, func() {
+				if wasValid && w.state.malformed(&e) {
 					// The limits were lowered while it was on its way: it is refused, and
 					// nobody waits for its answer.
 					return
@@ -292,81 +292,81 @@
 		exec(answer)
 	}, core.StoreResponse{ID: e.ID, Status: core.StoreUnknown}, func() {
 		pause := state.RetryPause + time.Duration(w.rng.Int64N(int64(state.RetryJitter)))
-		w.after(pause, func() {
+		w.schedule(pause, func() {
 			switch {
-			case p.life != life:
+			case p.incarnation != incarnation:
 			case w.now.Before(until):
-				p.stateOp(e, until)
+				p.sendStoreRequest(e, until)
 			default:
-				p.push(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
+				p.enqueue(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
 			}
 		})
 	})
 }
 
-// watch opens a watch. While the service is away, or refuses the process alone, it tells
+// openWatch opens a watch. While the service is away, or refuses the process alone, it tells
 // nothing: it waits until that is over, or the process has given it up.
-func (p *proc) watch(e core.StoreRequest, until time.Time, answer func(core.StoreResponse)) {
-	w := p.w
-	silent := func() bool {
-		if !w.outage && !p.stateNo {
+func (p *controllerProcess) openWatch(e core.StoreRequest, until time.Time, answer func(core.StoreResponse)) {
+	w := p.world
+	unavailable := func() bool {
+		if !w.stateOutage && !p.stateRefused {
 			return false
 		}
 		if w.now.Before(until) {
-			w.after(tick, func() { p.watch(e, until, answer) })
+			w.schedule(tickInterval, func() { p.openWatch(e, until, answer) })
 		}
 		return true
 	}
-	if silent() {
+	if unavailable() {
 		return
 	}
 	w.state.Do(w.now, e, func(d core.StoreResponse) {
-		if !silent() {
+		if !unavailable() {
 			answer(d)
 		}
 	})
 }
 
-func (p *proc) do(e core.Effect) {
-	w := p.w
-	w.ranked.leaves(p, e)
+func (p *controllerProcess) execute(e core.Effect) {
+	w := p.world
+	w.rankingCheck.onSend(p, e)
 	switch e := e.(type) {
 	case core.StoreRequest:
 		// As the real client does: it waits for its turn, and tries again what is
 		// refused for the rate.
-		d, ok := p.gate.Reserve(w.now, e)
+		d, ok := p.limiter.Reserve(w.now, e)
 		if !ok {
-			p.push(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
+			p.enqueue(core.StoreResponse{ID: e.ID, Status: core.StoreRefused})
 			return
 		}
-		life := p.life
-		w.after(d, func() {
-			if p.life == life {
-				p.stateOp(e, w.now.Add(state.Timeout(e)))
+		incarnation := p.incarnation
+		w.schedule(d, func() {
+			if p.incarnation == incarnation {
+				p.sendStoreRequest(e, w.now.Add(state.Timeout(e)))
 			}
 		})
 	case core.Rates:
-		p.gate.SetRates(w.now, e)
+		p.limiter.SetRates(w.now, e)
 	case core.CloudRequest:
-		p.checkLead(e)
-		p.call("cloud", false, 5*time.Second, func(answer func(core.Command)) { answer(w.cloud(e)) }, core.CloudResponse{ID: e.ID, Status: core.CloudUnknown})
+		p.checkLeader(e)
+		p.call("cloud", false, 5*time.Second, func(answer func(core.Command)) { answer(w.executeCloud(e)) }, core.CloudResponse{ID: e.ID, Status: core.CloudUnknown})
 	case core.WorkerRequest:
-		m := w.machine[e.Machine]
+		m := w.machines[e.Machine]
 		if m == nil {
-			p.push(core.WorkerResponse{ID: e.ID})
+			p.enqueue(core.WorkerResponse{ID: e.ID})
 			return
 		}
-		if p.commandLate(m, e) {
-			p.call(m.ID, false, workerDeadline, func(func(core.Command)) {}, core.WorkerResponse{ID: e.ID})
+		if p.delayCommand(m, e) {
+			p.call(m.ID, false, workerTimeout, func(func(core.Command)) {}, core.WorkerResponse{ID: e.ID})
 			return
 		}
-		p.call(m.ID, !e.StatusOnly, workerDeadline, func(answer func(core.Command)) {
+		p.call(m.ID, !e.StatusOnly, workerTimeout, func(answer func(core.Command)) {
 			if !w.now.Before(m.upAt) {
-				answer(w.direct(m, e))
+				answer(w.executeDirect(m, e))
 			}
 		}, core.WorkerResponse{ID: e.ID})
 	case core.UserReply:
-		w.confirmed(e)
+		w.noteCancelConfirmed(e)
 		p.reply(e.Reply, e)
 	case core.HeartbeatReply:
 		p.reply(e.Reply, e)
@@ -377,21 +377,21 @@
 	case core.PromiseReply:
 		p.reply(e.Reply, e)
 	case core.SendPeerUpdate:
-		if i := w.nodeIndex(e.To); i >= 0 {
-			w.sendMsg(p.name, e.To, func() {
-				if w.nodes[i].alive {
-					w.nodes[i].push(e.Update)
+		if i := w.controllerIndex(e.To); i >= 0 {
+			w.sendMessage(p.name, e.To, func() {
+				if w.controllers[i].alive {
+					w.controllers[i].enqueue(e.Update)
 				}
 			})
 		}
 	case core.Log:
 		if !e.Debug || w.trace != "" && containsAny(fmt.Sprint(e.Args...), w.trace) {
-			w.logs = append(w.logs, fmt.Sprintf("%.1f %s %s %v", w.now.Sub(w.began).Seconds(), p.name, e.Message, e.Args))
+			w.logs = append(w.logs, fmt.Sprintf("%.1f %s %s %v", w.now.Sub(w.startedAt).Seconds(), p.name, e.Message, e.Args))
 		}
 	}
 }
 
-func (p *proc) reply(id uint64, e core.Effect) {
+func (p *controllerProcess) reply(id uint64, e core.Effect) {
 	if fn := p.replies[id]; fn != nil {
 		delete(p.replies, id)
 		fn(e)
--- a/internal/standin/ranking.go
+++ b/internal/standin/ranking.go
@@ -9,56 +9,56 @@
 )
 
 const (
-	// rankLate is how long after a newer ranking a start that an older one decided may
+	// maxOutdatedStartDelay is how long after a newer ranking a start that an older one decided may
 	// leave.
-	rankLate = 2 * time.Second
-	// rankSettled is how long a ranking must have held, and a job been accepted, for the
+	maxOutdatedStartDelay = 2 * time.Second
+	// rankingSettleTime is how long a ranking must have held, and a job been accepted, for the
 	// owner surely to know of it, but for troubles.
-	rankSettled = 5 * time.Second
-	// rankPatience is the shortest bound on waiting behind others: later the order is
+	rankingSettleTime = 5 * time.Second
+	// maxOrderedWait is the shortest bound on waiting behind others: later the order is
 	// another's matter.
-	rankPatience = 100 * time.Second
+	maxOrderedWait = 100 * time.Second
 )
 
-// ranked checks what a ranking promises, from outside: no start that was decided under
+// rankingChecker checks what a ranking promises, from outside: no start that was decided under
 // an older one leaves late, and of two waiting jobs that a place suits the one behind
 // does not get it. A nil one checks nothing.
-type ranked struct {
-	w *World
-	// stamps are the ranking's, with when each came; the last one holds.
-	stamps []uint64
-	came   []time.Time
-	table  *ranking.Table
-	// under is the ranking that each attempt was decided under, left those whose start
+type rankingChecker struct {
+	world *World
+	// revisions are the ranking's, with when each came; the last one holds.
+	revisions []uint64
+	changedAt []time.Time
+	table     *ranking.Table
+	// decidedUnder is the ranking that each attempt was decided under, left those whose start
 	// has left, and placed which tasks of a job ever got a place.
-	under  map[string]uint64
-	left   map[string]bool
-	placed map[string]map[int]bool
+	decidedUnder map[string]uint64
+	startSent    map[string]bool
+	placedTasks  map[string]map[int]bool
 	// only: starts are checked, and not the order.
-	only bool
-	// Outdated counts starts that left after a newer ranking, in time.
-	Outdated int
+	startsOnly bool
+	// OutdatedStarts counts starts that left after a newer ranking, in time.
+	OutdatedStarts int
 }
 
 // CheckRanking switches the checks on.
 func (w *World) CheckRanking() {
-	w.ranked = &ranked{w: w, stamps: []uint64{0}, came: []time.Time{w.now}, under: map[string]uint64{}, left: map[string]bool{}, placed: map[string]map[int]bool{}}
+	w.rankingCheck = &rankingChecker{world: w, revisions: []uint64{0}, changedAt: []time.Time{w.now}, decidedUnder: map[string]uint64{}, startSent: map[string]bool{}, placedTasks: map[string]map[int]bool{}}
 }
 
-// look notes which ranking stands in the state service.
-func (r *ranked) look() {
+// noteRanking notes which ranking stands in the state service.
+func (r *rankingChecker) noteRanking() {
 	if r == nil {
 		return
 	}
-	row := r.w.state.rows["ctl/ranking"]
+	row := r.world.state.records["ctl/ranking"]
 	stamp := uint64(0)
 	if row != nil {
-		stamp = row.stamp
+		stamp = row.modRevision
 	}
-	if stamp == r.stamps[len(r.stamps)-1] {
+	if stamp == r.revisions[len(r.revisions)-1] {
 		return
 	}
-	r.stamps, r.came = append(r.stamps, stamp), append(r.came, r.w.now)
+	r.revisions, r.changedAt = append(r.revisions, stamp), append(r.changedAt, r.world.now)
 	if row != nil {
 		if rec, err := ranking.Decode(row.value); err == nil {
 			r.table = rec.Table()
@@ -66,8 +66,8 @@
 	}
 }
 
-// decided sees the decisions of a core's step.
-func (r *ranked) decided(p *proc, e core.Effect) {
+// onDecision sees the decisions of a core's step.
+func (r *rankingChecker) onDecision(p *controllerProcess, e core.Effect) {
 	l, ok := e.(core.Log)
 	if r == nil || !ok || l.Message != "placed" {
 		return
@@ -77,42 +77,42 @@
 		args[fmt.Sprint(l.Args[i])] = l.Args[i+1]
 	}
 	id, i := fmt.Sprint(args["job"]), args["task"].(int)
-	r.under[fmt.Sprintf("%s/%d#%v", id, i, args["try"])] = args["ranking"].(uint64)
-	if r.placed[id] == nil {
-		r.placed[id] = map[int]bool{}
+	r.decidedUnder[fmt.Sprintf("%s/%d#%v", id, i, args["try"])] = args["ranking"].(uint64)
+	if r.placedTasks[id] == nil {
+		r.placedTasks[id] = map[int]bool{}
 	}
-	r.placed[id][i] = true
-	r.checkOrder(p, id, r.w.machine[fmt.Sprint(args["machine"])])
+	r.placedTasks[id][i] = true
+	r.checkOrder(p, id, r.world.machines[fmt.Sprint(args["machine"])])
 }
 
 // checkOrder looks for a job that stands before one that just got a place, has waited
 // for a while, and could have had it. One that waits longer than the bound on waiting
 // goes first by right.
-func (r *ranked) checkOrder(p *proc, id string, m *Worker) {
-	w := r.w
+func (r *rankingChecker) checkOrder(p *controllerProcess, id string, m *Worker) {
+	w := r.world
 	j := w.jobs[id]
-	if r.only || j == nil || m == nil || w.now.Sub(r.came[len(r.came)-1]) < rankSettled || w.now.Sub(j.submitted) > rankPatience {
+	if r.startsOnly || j == nil || m == nil || w.now.Sub(r.changedAt[len(r.changedAt)-1]) < rankingSettleTime || w.now.Sub(j.submitted) > maxOrderedWait {
 		return
 	}
 	place := r.table.Rank(j.spec.Workload, int(j.spec.Urgency))
-	for _, x := range sorted(w.jobs) {
+	for _, x := range sortedKeys(w.jobs) {
 		o := w.jobs[x]
 		s := &o.spec
 		switch {
-		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.calledOff() || o.broken:
-		case !o.released() || w.now.Sub(o.from()) < rankSettled || len(j.followers) > 0:
+		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.isCancelled() || o.alwaysFails:
+		case !o.dependenciesDone() || w.now.Sub(o.eligibleSince()) < rankingSettleTime || len(j.dependents) > 0:
 			// What others need may go first for their sake.
 		case r.table.Rank(s.Workload, int(s.Urgency)) >= place:
-		case o.told != "queued" || w.now.Sub(o.toldAt) < rankSettled || len(r.placed[x]) >= s.Tasks:
+		case o.lastState != "queued" || w.now.Sub(o.lastStateAt) < rankingSettleTime || len(r.placedTasks[x]) >= s.Tasks:
 		case !s.Need.Fits(j.spec.Need) || len(s.MachineTypes) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot:
 		default:
-			w.broke("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", p.name, id, m.ID, x, s.Workload)
+			w.violate("ranked_before", "%s places %s on %s, while %s of %s stands before it and waits", p.name, id, m.ID, x, s.Workload)
 		}
 	}
 }
 
-// leaves sees what surely leaves a controller.
-func (r *ranked) leaves(p *proc, e core.Effect) {
+// onSend sees what surely leaves a controller.
+func (r *rankingChecker) onSend(p *controllerProcess, e core.Effect) {
 	if r == nil {
 		return
 	}
@@ -125,26 +125,26 @@
 	}
 	for _, o := range orders {
 		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
-		under, known := r.under[name]
-		if o.Kind != core.StartTask || r.left[name] || !known {
+		under, known := r.decidedUnder[name]
+		if o.Kind != core.StartTask || r.startSent[name] || !known {
 			// What may have left before is repeated as ever.
 			continue
 		}
-		r.left[name] = true
-		for i, s := range r.stamps[:len(r.stamps)-1] {
+		r.startSent[name] = true
+		for i, s := range r.revisions[:len(r.revisions)-1] {
 			if s != under {
 				continue
 			}
-			r.Outdated++
-			if late := r.w.now.Sub(r.came[i+1]); late > rankLate {
-				r.w.broke("outdated", "%s starts %s, decided under a ranking that was replaced %v ago", p.name, name, late)
+			r.OutdatedStarts++
+			if late := r.world.now.Sub(r.changedAt[i+1]); late > maxOutdatedStartDelay {
+				r.world.violate("outdated", "%s starts %s, decided under a ranking that was replaced %v ago", p.name, name, late)
 			}
 		}
 	}
 }
 
-// Rank has a controller set a ranking, and tells its answer, if there is one.
-func (w *World) Rank(i int, c core.SetRanking, tell func(core.RankingReply)) {
+// SetRanking has a controller set a ranking, and tells its answer, if there is one.
+func (w *World) SetRanking(i int, c core.SetRanking, tell func(core.RankingReply)) {
 	c.Deadline = w.now.Add(4 * time.Second)
-	w.nodes[i].ask(func(reply uint64) core.Command { c.Reply = reply; return c }, func(e core.Effect) { tell(e.(core.RankingReply)) })
+	w.controllers[i].request(func(reply uint64) core.Command { c.Reply = reply; return c }, func(e core.Effect) { tell(e.(core.RankingReply)) })
 }
--- a/internal/standin/ranking_test.go
+++ b/internal/standin/ranking_test.go
@@ -73,9 +73,9 @@
 	for k, i := range nodes {
 		c := core.SetRanking{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
 		told[k] = "no answer"
-		s.w.Rank(i, c, func(r core.RankingReply) { told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message) })
+		s.world.SetRanking(i, c, func(r core.RankingReply) { told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message) })
 	}
-	s.w.Run(seconds(t, d, "for", 4.5))
+	s.world.Run(seconds(t, d, "for", 4.5))
 	if d.HasArg("quiet") {
 		// Which change gets through bad links is luck.
 		return ""
@@ -86,7 +86,7 @@
 // ranking shows the record in the state service, and whether all living controllers
 // know it.
 func (s *scenario) ranking(t *testing.T) string {
-	row := s.w.state.rows["ctl/ranking"]
+	row := s.world.state.records["ctl/ranking"]
 	if row == nil {
 		return "none\n"
 	}
@@ -99,48 +99,48 @@
 		names = append(names, c.Name)
 	}
 	behind := 0
-	for i, p := range s.w.nodes {
+	for i, p := range s.world.controllers {
 		if !p.alive {
 			continue
 		}
-		s.w.nodes[i].ask(func(r uint64) core.Command { return core.QueryRanking{Reply: r} }, func(e core.Effect) {
+		s.world.controllers[i].request(func(r uint64) core.Command { return core.QueryRanking{Reply: r} }, func(e core.Effect) {
 			if e.(core.RankingReply).Revision != rec.Revision {
 				behind++
 			}
 		})
 	}
-	s.w.Run(time.Second)
+	s.world.Run(time.Second)
 	return fmt.Sprintf("revision %d by %s: %s; %d behind\n", rec.Revision, rec.SetBy, strings.Join(names, ", "), behind)
 }
 
 // why asks the owner of a job's team why it waits.
 func (s *scenario) why(id string) string {
 	out := "no answer"
-	s.w.nodes[s.w.ownerOf("ops")].ask(func(r uint64) core.Command { return core.QueryRanking{Reply: r, Job: id} }, func(e core.Effect) { out = e.(core.RankingReply).Explanation })
-	s.w.Run(time.Second)
+	s.world.controllers[s.world.ownerOf("ops")].request(func(r uint64) core.Command { return core.QueryRanking{Reply: r, Job: id} }, func(e core.Effect) { out = e.(core.RankingReply).Explanation })
+	s.world.Run(time.Second)
 	// What is free just then is luck.
 	out, _, _ = strings.Cut(out, ";")
 	return out + "\n"
 }
 
-// left counts the jobs that are not done, and tells what was broken.
-func (s *scenario) left() string {
+// unfinished counts the jobs that are not done, and tells what was broken.
+func (s *scenario) unfinished() string {
 	k := 0
-	for _, j := range s.w.jobs {
-		k += boolInt(j.told != "done")
+	for _, j := range s.world.jobs {
+		k += boolInt(j.lastState != "done")
 	}
-	return strings.Join(append([]string{fmt.Sprint(k)}, s.w.Broken...), "\n") + "\n"
+	return strings.Join(append([]string{fmt.Sprint(k)}, s.world.Violations...), "\n") + "\n"
 }
 
 // ownerOf is the controller that has a team, by the records.
 func (w *World) ownerOf(team string) int {
-	for _, k := range sorted(w.state.rows) {
+	for _, k := range sortedKeys(w.state.records) {
 		var share struct {
 			Host  string   `msgpack:"host"`
 			Teams []string `msgpack:"teams"`
 		}
-		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(w.state.rows[k].value, &share) == nil && slices.Contains(share.Teams, team) {
-			return w.nodeIndex(share.Host)
+		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(w.state.records[k].value, &share) == nil && slices.Contains(share.Teams, team) {
+			return w.controllerIndex(share.Host)
 		}
 	}
 	return 0
@@ -149,7 +149,7 @@
 // finish runs until all jobs are done, for some minutes at most.
 func (w *World) finish() {
 	for end := w.now.Add(5 * time.Minute); w.now.Before(end); w.Run(5 * time.Second) {
-		if !slices.ContainsFunc(sorted(w.jobs), func(id string) bool { return w.jobs[id].told != "done" }) {
+		if !slices.ContainsFunc(sortedKeys(w.jobs), func(id string) bool { return w.jobs[id].lastState != "done" }) {
 			return
 		}
 	}
@@ -173,17 +173,17 @@
 					p.WorkloadWeights = map[string]float64{"rush-rx": rush, "reprint": -rush}
 					return p
 				}
-				w.tune = func(i int, s *core.Settings) { s.Policy = favours(1) }
-				for _, p := range w.nodes {
-					p.boot()
+				w.adjustSettings = func(i int, s *core.Settings) { s.Policy = favours(1) }
+				for _, p := range w.controllers {
+					p.start()
 				}
 				// Who ever starts from now on has another script.
 				w.Run(20 * time.Second)
 				owner := w.ownerOf("ops")
-				w.tune = func(i int, s *core.Settings) { s.Policy = favours(-1) }
-				for i := range w.nodes {
+				w.adjustSettings = func(i int, s *core.Settings) { s.Policy = favours(-1) }
+				for i := range w.controllers {
 					if i != owner {
-						w.Crash(i, time.Second)
+						w.CrashController(i, time.Second)
 					}
 				}
 				w.Run(20 * time.Second)
@@ -191,23 +191,23 @@
 				w.Run(15 * time.Second)
 				flood(w, "rush-rx", 5, 10*time.Second)
 				w.Run(5 * time.Second)
-				w.Crash(owner, time.Hour)
+				w.CrashController(owner, time.Hour)
 				w.Run(20 * time.Second)
 				flood(w, "rush-rx", 5, 10*time.Second)
 				w.finish()
 				// How many reprints begin after the last rush task began.
 				var last time.Time
-				for _, id := range sorted(w.jobs) {
+				for _, id := range sortedKeys(w.jobs) {
 					if j := w.jobs[id]; j.spec.Workload == "rush-rx" {
-						for _, at := range j.began {
+						for _, at := range j.firstStarts {
 							last = maxTime(last, at)
 						}
 					}
 				}
 				after := 0
-				for _, id := range sorted(w.jobs) {
+				for _, id := range sortedKeys(w.jobs) {
 					if j := w.jobs[id]; j.spec.Workload == "reprint" {
-						for _, at := range j.began {
+						for _, at := range j.firstStarts {
 							after += boolInt(at.After(last))
 						}
 					}
@@ -216,11 +216,11 @@
 					t.Errorf("ranking %v: %d reprints begin after the last rush task", on, after)
 				}
 				if on {
-					for _, b := range w.Broken {
+					for _, b := range w.Violations {
 						t.Error(b)
 					}
 				}
-				allTold(t, w, false)
+				checkFinalAnswers(t, w, false)
 			})
 		}
 	}
@@ -255,47 +255,47 @@
 				t.Run(fmt.Sprint(nodes, who, step), func(t *testing.T) {
 					t.Parallel()
 					w := rankedWorld(uint64(100*nodes+k), nodes)
-					s := &scenario{w: w}
+					s := &scenario{world: w}
 					flood(w, "reprint-a", 30, 8*time.Second)
 					w.Run(25 * time.Second)
 					flood(w, "rush-rx", 6, 8*time.Second)
 					owner := w.ownerOf("ops")
 					setter := (owner + 1) % nodes
-					w.twice = 0.05
-					w.Rank(setter, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(core.RankingReply) {})
+					w.duplicateRate = 0.05
+					w.SetRanking(setter, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(core.RankingReply) {})
 					w.Run(4 * time.Second)
 					var told core.RankingReply
-					w.Rank(setter, core.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r core.RankingReply) { told = r })
+					w.SetRanking(setter, core.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r core.RankingReply) { told = r })
 					w.Run(step)
 					switch who {
 					case "setter":
-						w.Crash(setter, 3*time.Second)
+						w.CrashController(setter, 3*time.Second)
 					case "owner", "leader":
-						for i, p := range w.nodes {
-							if p.alive && (who == "owner" && i == owner || who == "leader" && w.leads() == w.nodes[i].name) {
-								w.Crash(i, 3*time.Second)
+						for i, p := range w.controllers {
+							if p.alive && (who == "owner" && i == owner || who == "leader" && w.leaderName() == w.controllers[i].name) {
+								w.CrashController(i, 3*time.Second)
 							}
 						}
 					case "all":
-						for i := range w.nodes {
-							w.Crash(i, time.Second)
+						for i := range w.controllers {
+							w.CrashController(i, time.Second)
 						}
 					case "still":
-						w.Still(owner, time.Minute)
+						w.Pause(owner, time.Minute)
 					case "cut":
-						w.Cut(w.nodes[owner].name, "state", 20*time.Second, k%2 == 0)
+						w.Partition(w.controllers[owner].name, "state", 20*time.Second, k%2 == 0)
 					}
 					w.Run(100 * time.Second)
 					flood(w, "rush-rx", 4, 8*time.Second)
 					w.finish()
-					for _, b := range w.Broken {
+					for _, b := range w.Violations {
 						t.Error(b)
 					}
 					out := s.ranking(t)
 					if !strings.HasSuffix(out, "; 0 behind\n") || told.Status == 200 && !strings.Contains(out, "by second") {
 						t.Errorf("told %d %s, in the end %s", told.Status, told.Message, out)
 					}
-					allTold(t, w, false)
+					checkFinalAnswers(t, w, false)
 					if t.Failed() {
 						t.Log(strings.Join(w.logs[max(0, len(w.logs)-40):], "\n"))
 					}
@@ -313,7 +313,7 @@
 		op, ok := e.(core.WorkerRequest)
 		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == core.StartTask
 	}
-	for what, moment := range map[string]func(core.Effect) bool{"record": moments["start"], "order": order, "report": moments["report"]} {
+	for what, moment := range map[string]func(core.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
 		for _, long := range []time.Duration{3400 * time.Millisecond, time.Minute} {
 			t.Run(fmt.Sprint(what, long), func(t *testing.T) {
 				t.Parallel()
@@ -323,21 +323,21 @@
 					flood(w, "reprint-a", 40, 6*time.Second)
 					w.Run(24 * time.Second)
 					owner := w.ownerOf("ops")
-					p := w.nodes[owner]
-					w.StillIn(long, moment, func(x *proc) bool { return x == p })
-					for end := w.now.Add(30 * time.Second); !w.now.Before(p.stillTill) && w.now.Before(end); {
+					p := w.controllers[owner]
+					w.PauseBefore(long, moment, func(x *controllerProcess) bool { return x == p })
+					for end := w.now.Add(30 * time.Second); !w.now.Before(p.pausedUntil) && w.now.Before(end); {
 						w.Run(time.Millisecond)
 					}
-					if w.now.Before(p.stillTill) {
-						w.Rank((owner+1)%3, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r core.RankingReply) {
-							overtaken += boolInt(r.Status == 200 && w.now.Before(p.stillTill.Add(-rankLate)))
+					if w.now.Before(p.pausedUntil) {
+						w.SetRanking((owner+1)%3, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r core.RankingReply) {
+							overtaken += boolInt(r.Status == 200 && w.now.Before(p.pausedUntil.Add(-maxOutdatedStartDelay)))
 						})
 					}
 					w.finish()
-					for _, b := range w.Broken {
+					for _, b := range w.Violations {
 						t.Error(b)
 					}
-					allTold(t, w, false)
+					checkFinalAnswers(t, w, false)
 				}
 				if overtaken < 3 {
 					t.Errorf("a ranking came during %d stalls of 4", overtaken)
@@ -362,8 +362,8 @@
 				held := 0
 				for k := range 60 {
 					text := []string{rushFirst, reprintFirst}[k%2]
-					w.after(time.Duration(k)*time.Second, func() {
-						w.Rank(k%5, core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r core.RankingReply) { held += boolInt(r.Status == 200) })
+					w.schedule(time.Duration(k)*time.Second, func() {
+						w.SetRanking(k%5, core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r core.RankingReply) { held += boolInt(r.Status == 200) })
 					})
 				}
 				flood(w, "reprint-a", 30, 5*time.Second)
@@ -374,7 +374,7 @@
 					done += boolInt(j.finished != time.Time{})
 				}
 				w.finish()
-				for _, b := range w.Broken {
+				for _, b := range w.Violations {
 					t.Error(b)
 				}
 				if held < 50 || done < 15 {
@@ -396,25 +396,25 @@
 			t.Parallel()
 			types, room := testTypes()
 			set := testSettings()
-			set.Capabilities = productOf(seed)
+			set.Capabilities = randomCapabilities(seed)
 			set.Capabilities.Ranking = true
 			w := NewWorld(seed, 3+int(seed%2)*2, set, testCancel, types, room)
 			w.CheckRanking()
 			// Many things bear on the order on such a day: limits, pauses, images.
-			w.ranked.only = true
-			w.loss, w.twice = 0.01, 0.02
+			w.rankingCheck.startsOnly = true
+			w.lossRate, w.duplicateRate = 0.01, 0.02
 			rng := rand.New(rand.NewPCG(seed, 5))
 			for k := range 30 {
 				text := []string{rushFirst, reprintFirst, "[[class]]\nname = \"b\"\nworkloads = [\"batch\"]\nurgency = \"normal\"\n"}[rng.IntN(3)]
-				w.after(time.Duration(10+k*11+rng.IntN(5))*time.Second, func() {
-					w.Rank(rng.IntN(len(w.nodes)), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
+				w.schedule(time.Duration(10+k*11+rng.IntN(5))*time.Second, func() {
+					w.SetRanking(rng.IntN(len(w.controllers)), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
 				})
 			}
 			randomDay(w, seed+500)
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
-			allTold(t, w, true)
+			checkFinalAnswers(t, w, true)
 		})
 	}
 }
@@ -431,9 +431,9 @@
 		set.Objectives = []core.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
 		w := NewWorld(11, 5, set, testCancel, types, room)
 		w.CheckRanking()
-		w.ranked.only = true
+		w.rankingCheck.startsOnly = true
 		w.Run(10 * time.Second)
-		w.Rank(2, core.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(core.RankingReply) {})
+		w.SetRanking(2, core.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(core.RankingReply) {})
 		rush := func(part string) (worst time.Duration) {
 			var ids []string
 			for i := range 10 {
@@ -447,7 +447,7 @@
 			var all []time.Duration
 			for _, id := range ids {
 				for i := range 2 {
-					if at, ok := w.jobs[id].began[i]; ok {
+					if at, ok := w.jobs[id].firstStarts[i]; ok {
 						all = append(all, at.Sub(w.jobs[id].submitted))
 					} else {
 						all = append(all, time.Hour)
@@ -462,11 +462,11 @@
 		w.Run(5 * time.Second)
 		before = rush("before")
 		flood(w, "reprint", reprints, 6*time.Second)
-		w.Crash(w.ownerOf("ops"), 20*time.Second)
+		w.CrashController(w.ownerOf("ops"), 20*time.Second)
 		w.Run(20 * time.Second)
 		after = rush("after")
 		w.finish()
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			t.Error(b)
 		}
 		return before, after
@@ -489,13 +489,13 @@
 func TestRankingIsSwitched(t *testing.T) {
 	for _, nodes := range []int{3, 5} {
 		w := rankedWorld(21, nodes)
-		w.set.Capabilities.Ranking = false
+		w.settings.Capabilities.Ranking = false
 		// Those without one are not held to it.
-		w.ranked = nil
+		w.rankingCheck = nil
 		on := false
-		w.tune = func(_ int, s *core.Settings) { s.Capabilities.Ranking = on }
+		w.adjustSettings = func(_ int, s *core.Settings) { s.Capabilities.Ranking = on }
 		for i := range nodes {
-			w.Crash(i, time.Second)
+			w.CrashController(i, time.Second)
 		}
 		w.Run(10 * time.Second)
 		for round := range 3 {
@@ -503,16 +503,16 @@
 			w.Run(12 * time.Second)
 			on = round%2 == 0
 			for i := range nodes {
-				w.Crash(i, 500*time.Millisecond)
+				w.CrashController(i, 500*time.Millisecond)
 				w.Run(6 * time.Second)
 			}
 		}
 		w.finish()
-		for _, b := range w.Broken {
+		for _, b := range w.Violations {
 			t.Error(b)
 		}
-		allTold(t, w, false)
-		if w.state.rows["ctl/ranking"] == nil || w.state.rows["ranking/1"] == nil {
+		checkFinalAnswers(t, w, false)
+		if w.state.records["ctl/ranking"] == nil || w.state.records["ranking/1"] == nil {
 			t.Error("no ranking was derived")
 		}
 	}
--- a/internal/standin/scenario_test.go
+++ b/internal/standin/scenario_test.go
@@ -44,29 +44,29 @@
 	return NewWorld(seed, nodes, testSettings(), testCancel, types, room)
 }
 
-// scenario is one file's state. deafened are machines that nothing reaches, and onDeaf
+// scenario is one file's state. deafened are machines that nothing reaches, and startedUnreachable
 // the attempts that controllers have ordered to start there since.
 type scenario struct {
-	w        *World
-	deafened map[string]bool
-	onDeaf   map[string]bool
-	// held is the order that was held last; see held_test.go.
-	held *heldOrder
-	// dates are recorded in a world with promises.
-	dates *dates
+	world              *World
+	unreachable        map[string]bool
+	startedUnreachable map[string]bool
+	// heldCommand is the order that was held last; see held_test.go.
+	heldCommand *heldCommand
+	// promises are recorded in a world with promises.
+	promises *promiseRecorder
 }
 
-// watchDeaf counts what is ordered to start on machines that nothing reaches.
-func (s *scenario) watchDeaf(ids []string) {
-	s.deafened, s.onDeaf = map[string]bool{}, map[string]bool{}
+// watchUnreachable counts what is ordered to start on machines that nothing reaches.
+func (s *scenario) watchUnreachable(ids []string) {
+	s.unreachable, s.startedUnreachable = map[string]bool{}, map[string]bool{}
 	for _, id := range ids {
-		s.deafened[id] = true
+		s.unreachable[id] = true
 	}
-	s.w.sabotage = func(e core.Effect) core.Effect {
-		if op, ok := e.(core.WorkerRequest); ok && s.deafened[op.Machine] && s.w.now.Before(s.w.machine[op.Machine].deafTill) {
+	s.world.corruptEffect = func(e core.Effect) core.Effect {
+		if op, ok := e.(core.WorkerRequest); ok && s.unreachable[op.Machine] && s.world.now.Before(s.world.machines[op.Machine].unreachableUntil) {
 			for _, o := range op.Commands {
 				if o.Kind == core.StartTask {
-					s.onDeaf[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)] = true
+					s.startedUnreachable[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)] = true
 				}
 			}
 		}
@@ -103,11 +103,11 @@
 	if needs := arg(t, d, "needs", ""); needs != "" {
 		spec.Dependencies = strings.Split(needs, "+")
 	}
-	s.w.Submit(spec, run, d.HasArg("broken"))
+	s.world.Submit(spec, run, d.HasArg("broken"))
 }
 
-// moments are what a process may be about to send when it stands still.
-var moments = map[string]func(core.Effect) bool{
+// pausePoints are what a process may be about to send when it stands still.
+var pausePoints = map[string]func(core.Effect) bool{
 	"renew":    func(e core.Effect) bool { op, ok := e.(core.StoreRequest); return ok && op.Kind == core.OpLeaseRenew },
 	"claim":    func(e core.Effect) bool { return changes(e, "ctl/lead") },
 	"share":    func(e core.Effect) bool { return changes(e, "ctl/share/") },
@@ -150,8 +150,8 @@
 // busiest is the nth machine with the most tasks on it.
 func (s *scenario) busiest() *Worker {
 	var best *Worker
-	for _, id := range sorted(s.w.machine) {
-		if m := s.w.machine[id]; m.up(s.w.now) && (best == nil || len(m.tasks) > len(best.tasks)) {
+	for _, id := range sortedKeys(s.world.machines) {
+		if m := s.world.machines[id]; m.up(s.world.now) && (best == nil || len(m.tasks) > len(best.tasks)) {
 			best = m
 		}
 	}
@@ -160,8 +160,8 @@
 
 // owner is the controller that runs the jobs.
 func (s *scenario) owner() int {
-	for i, p := range s.w.nodes {
-		if p.alive && p.node.IsShardLeader() {
+	for i, p := range s.world.controllers {
+		if p.alive && p.controller.IsShardLeader() {
 			return i
 		}
 	}
@@ -171,8 +171,8 @@
 // owners names the controllers that run jobs.
 func (s *scenario) owners() string {
 	var b strings.Builder
-	for _, p := range s.w.nodes {
-		if p.alive && p.node.IsShardLeader() {
+	for _, p := range s.world.controllers {
+		if p.alive && p.controller.IsShardLeader() {
 			fmt.Fprintln(&b, p.name)
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 func (s *scenario) fault(t *testing.T, d *datadriven.TestData) string {
-	w := s.w
+	w := s.world
 	dur := seconds(t, d, "for", 20)
 	node := func() int {
 		if d.HasArg("owner") {
@@ -193,91 +193,91 @@
 	}
 	switch what := d.CmdArgs[0].Key; what {
 	case "crash":
-		if is, ok := moments[arg(t, d, "in", "")]; ok {
+		if is, ok := pausePoints[arg(t, d, "in", "")]; ok {
 			// Whoever is the first to come to that.
-			w.CrashIn(seconds(t, d, "back", 0.05), d.HasArg("sent"), is)
+			w.CrashBefore(seconds(t, d, "back", 0.05), d.HasArg("sent"), is)
 			break
 		}
 		if d.HasArg("others") {
-			for i := range w.nodes {
+			for i := range w.controllers {
 				if i != s.owner() {
-					w.Crash(i, seconds(t, d, "back", 5))
+					w.CrashController(i, seconds(t, d, "back", 5))
 				}
 			}
 			break
 		}
 		if d.HasArg("all") {
-			for i := range w.nodes {
-				w.Crash(i, seconds(t, d, "back", 5))
+			for i := range w.controllers {
+				w.CrashController(i, seconds(t, d, "back", 5))
 			}
 			break
 		}
 		if d.HasArg("still") {
 			// In the middle of what it was doing.
-			for i, p := range w.nodes {
-				if w.now.Before(p.stillTill) {
-					w.Crash(i, seconds(t, d, "back", 5))
+			for i, p := range w.controllers {
+				if w.now.Before(p.pausedUntil) {
+					w.CrashController(i, seconds(t, d, "back", 5))
 				}
 			}
 			break
 		}
-		w.Crash(node(), seconds(t, d, "back", 5))
+		w.CrashController(node(), seconds(t, d, "back", 5))
 	case "cut":
-		w.Cut(w.nodes[node()].name, arg(t, d, "from", "*"), dur, d.HasArg("hold"))
+		w.Partition(w.controllers[node()].name, arg(t, d, "from", "*"), dur, d.HasArg("hold"))
 	case "refused":
-		w.refuse(w.nodes[node()], dur)
+		w.refuseController(w.controllers[node()], dur)
 	case "still":
 		// In the middle of something, or at once; the owner, or whoever comes first.
-		who := func(p *proc) bool { return !d.HasArg("owner") || p.node.IsShardLeader() }
-		is, ok := moments[arg(t, d, "in", "")]
+		who := func(p *controllerProcess) bool { return !d.HasArg("owner") || p.controller.IsShardLeader() }
+		is, ok := pausePoints[arg(t, d, "in", "")]
 		if !ok {
-			w.Still(node(), dur)
+			w.Pause(node(), dur)
 			break
 		}
-		w.StillIn(dur, is, who)
+		w.PauseBefore(dur, is, who)
 	case "refused_outage":
 		// It alone at first, then all.
-		w.meetingTrouble(DayFault{Kind: "refused_outage", Node: node(), Late: seconds(t, d, "late", 2), For: dur})
+		w.startOverlapFault(Fault{Kind: "refused_outage", Controller: node(), Delay: seconds(t, d, "late", 2), Duration: dur})
 	case "late_writes":
-		w.LateWrites(arg(t, d, "share", 0.5), dur)
+		w.DelayWrites(arg(t, d, "share", 0.5), dur)
 	case "late_commands":
-		w.LateCommands(arg(t, d, "share", 0.5), dur)
+		w.DelayCommands(arg(t, d, "share", 0.5), dur)
 	case "cancel_now":
-		w.CancelNow(arg(t, d, "count", 8), dur)
+		w.CancelLongRunning(arg(t, d, "count", 8), dur)
 	case "mute_machines":
 		// They reach no controller; orders reach them.
-		w.MuteMachines(w.SomeMachines(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1))), dur)
+		w.MakeUnheard(w.SampleMachineIDs(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1))), dur)
 	case "close_looks":
-		w.looksTill = w.now.Add(dur)
+		w.concurrentReadsUntil = w.now.Add(dur)
 	case "odd_requests":
-		w.OddRequests(dur)
+		w.SendInvalidRequests(dur)
 	case "outage":
 		w.Outage(dur)
 	case "cloud":
-		w.cloudOut = true
-		w.after(dur, func() { w.cloudOut = false })
+		w.cloudOutage = true
+		w.schedule(dur, func() { w.cloudOutage = false })
 	case "half":
-		for i, id := range sorted(w.machine) {
-			if i%2 == 0 && w.machine[id].up(w.now) {
-				w.Cut(id, "*", dur, d.HasArg("hold"))
+		for i, id := range sortedKeys(w.machines) {
+			if i%2 == 0 && w.machines[id].up(w.now) {
+				w.Partition(id, "*", dur, d.HasArg("hold"))
 			}
 		}
 	case "die":
-		w.kill(s.busiest())
+		w.killMachine(s.busiest())
 	case "hang":
-		s.busiest().hungTill = w.now.Add(dur)
+		s.busiest().hungUntil = w.now.Add(dur)
 	case "recall":
-		s.busiest().recallAt = w.now.Add(dur)
+		s.busiest().reclaimAt = w.now.Add(dur)
 	case "slow":
-		s.busiest().slow = arg(t, d, "factor", 5.0)
+		s.busiest().slowFactor = arg(t, d, "factor", 5.0)
 		for _, x := range s.busiest().tasks {
-			x.left = time.Duration(float64(x.left) * s.busiest().slow)
+			x.remaining = time.Duration(float64(x.remaining) * s.busiest().slowFactor)
 		}
 	case "faulty":
 		s.busiest().faulty = true
 	case "capacity":
-		for _, k := range sorted(w.room) {
-			w.room[k] = 0
+		for _, k := range sortedKeys(w.cloudCapacity) {
+			w.cloudCapacity[k] = 0
 		}
 	case "deaf_machines":
 		// Their reports arrive; answers and orders don't reach them.
@@ -286,56 +286,56 @@
 		case d.HasArg("busiest"):
 			ids = []string{s.busiest().ID}
 		default:
-			ids = w.SomeMachines(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1)))
+			ids = w.SampleMachineIDs(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1)))
 		}
-		w.DeafMachines(ids, dur, d.HasArg("hold"))
-		s.watchDeaf(ids)
+		w.MakeUnreachable(ids, dur, d.HasArg("hold"))
+		s.watchUnreachable(ids)
 	case "only_owner":
 		// The machines with work and the controllers but their owner don't reach each other.
-		for _, id := range sorted(w.machine) {
-			for i, p := range w.nodes {
-				if m := w.machine[id]; len(m.tasks) > 0 && i != node() {
-					w.Cut(p.name, id, dur, d.HasArg("hold"))
+		for _, id := range sortedKeys(w.machines) {
+			for i, p := range w.controllers {
+				if m := w.machines[id]; len(m.tasks) > 0 && i != node() {
+					w.Partition(p.name, id, dur, d.HasArg("hold"))
 				}
 			}
 		}
 	case "held_order":
 		// d is another command's by then.
 		abort, crash, recall := d.HasArg("abort"), d.HasArg("crash"), d.HasArg("recall")
-		s.holdOrder(dur, func(op core.WorkerRequest) {
+		s.holdCommand(dur, func(op core.WorkerRequest) {
 			if abort {
-				w.Abort(op.Commands[0].Job)
+				w.Cancel(op.Commands[0].Job)
 			}
 			if crash {
-				w.Crash(s.owner(), 50*time.Millisecond)
+				w.CrashController(s.owner(), 50*time.Millisecond)
 			}
 			if recall {
 				// Too short for the task, so it is to go elsewhere.
-				m := w.machine[op.Machine]
-				m.recallAt, m.changed = w.now.Add(time.Minute), true
+				m := w.machines[op.Machine]
+				m.reclaimAt, m.changed = w.now.Add(time.Minute), true
 			}
 		})
 	case "anew":
 		// Its worker begins anew under the same name, knowing nothing.
-		w.Anew(s.busiest(), 0)
+		w.RestartWorker(s.busiest(), 0)
 	case "cut_alone":
 		// It loses the state service and the other controllers, but not its workers.
-		w.CutAlone(node(), dur, d.HasArg("refused"), d.HasArg("hold"))
+		w.IsolateController(node(), dur, d.HasArg("refused"), d.HasArg("hold"))
 	case "unanswered":
 		// What the state service answers a controller is lost, and nothing else.
-		w.cutOneWay("state", w.nodes[node()].name, dur)
+		w.partitionOneWay("state", w.controllers[node()].name, dur)
 	case "mute":
 		// What a controller sends to workers is lost, and nothing else.
-		w.cutOneWay(w.nodes[node()].name, "workers", dur)
+		w.partitionOneWay(w.controllers[node()].name, "workers", dur)
 	case "copies":
-		w.newTrouble(DayFault{Kind: what, Share: arg(t, d, "share", 0.3), Late: seconds(t, d, "longest", 120), For: dur, ForNext: d.HasArg("for_next")}, w.rng)
+		w.startProtocolFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.3), Delay: seconds(t, d, "longest", 120), Duration: dur, ForNextLeader: d.HasArg("for_next")}, w.rng)
 	case "twice":
-		w.meetingTrouble(DayFault{Kind: what, Share: arg(t, d, "share", 0.2), For: dur})
+		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.2), Duration: dur})
 	case "damage":
 		// Somebody writes what no version understands.
 		w.state.txn(core.StoreRequest{Writes: []core.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &core.StoreResponse{})
 	case "loss":
-		w.meetingTrouble(DayFault{Kind: what, Share: arg(t, d, "share", 0.02), For: dur})
+		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.02), Duration: dur})
 	default:
 		d.Fatalf(t, "unknown fault %s", what)
 	}
@@ -345,16 +345,16 @@
 // show prints what does not depend on how work happens to be spread.
 func (s *scenario) show() string {
 	var b strings.Builder
-	for _, id := range sorted(s.w.jobs) {
-		j := s.w.jobs[id]
-		state := j.told
-		if j.Refused != 0 {
-			state = fmt.Sprint(j.Refused)
+	for _, id := range sortedKeys(s.world.jobs) {
+		j := s.world.jobs[id]
+		state := j.lastState
+		if j.refusedStatus != 0 {
+			state = fmt.Sprint(j.refusedStatus)
 		}
 		fmt.Fprintf(&b, "%s %s\n", id, state)
 	}
-	s.w.checkClosures()
-	for _, x := range s.w.Broken {
+	s.world.checkDependencyOutcomes()
+	for _, x := range s.world.Violations {
 		fmt.Fprintln(&b, "BROKEN", x)
 	}
 	return b.String()
@@ -364,26 +364,26 @@
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		t.Parallel()
-		s := &scenario{w: newTestWorld(1)}
-		s.w.trace = os.Getenv("MICAHILL_TRACE")
+		s := &scenario{world: newTestWorld(1)}
+		s.world.trace = os.Getenv("MICAHILL_TRACE")
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			switch d.Cmd {
 			case "world":
-				s.w = newTestWorldOf(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
-				s.w.trace = os.Getenv("MICAHILL_TRACE")
+				s.world = newTestWorldOf(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
+				s.world.trace = os.Getenv("MICAHILL_TRACE")
 				if d.HasArg("lease") {
 					// cancel_s as far behind it as on all sites, if nothing else is said.
 					set := testSettings()
 					set.WorkerLease, set.HeartbeatInterval = seconds(t, d, "lease", 0), seconds(t, d, "lease", 0)/6
 					types, room := testTypes()
-					s.w = NewWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3), set, seconds(t, d, "cancel", set.WorkerLease.Seconds()+30), types, room)
+					s.world = NewWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3), set, seconds(t, d, "cancel", set.WorkerLease.Seconds()+30), types, room)
 				}
 				if d.HasArg("ranking") {
-					s.w = rankedWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
+					s.world = rankedWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
 				}
 				if d.HasArg("promises") {
-					s.w = datesWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
-					s.dates = watchDates(s.w)
+					s.world = promiseWorld(arg(t, d, "seed", uint64(1)), arg(t, d, "nodes", 3))
+					s.promises = recordPromises(s.world)
 				}
 			case "rank":
 				return s.rank(t, d)
@@ -394,75 +394,75 @@
 				}
 				return out
 			case "left":
-				return s.left()
+				return s.unfinished()
 			case "why":
 				return s.why(arg(t, d, "id", ""))
 			case "flood":
-				flood(s.w, arg(t, d, "workload", "reprint"), arg(t, d, "jobs", 40), seconds(t, d, "run", 10))
+				flood(s.world, arg(t, d, "workload", "reprint"), arg(t, d, "jobs", 40), seconds(t, d, "run", 10))
 			case "skew":
-				s.w.nodes[arg(t, d, "node", 0)].skew = seconds(t, d, "by", 1)
+				s.world.controllers[arg(t, d, "node", 0)].clockSkew = seconds(t, d, "by", 1)
 			case "twice":
-				s.w.twice = arg(t, d, "share", 0.5)
+				s.world.duplicateRate = arg(t, d, "share", 0.5)
 			case "dates":
-				return s.dates.tell(d.HasArg("revised"))
+				return s.promises.describe(d.HasArg("revised"))
 			case "submit":
 				s.submit(t, d)
 			case "many":
 				for i := range arg(t, d, "jobs", 10) {
-					if s.w.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
+					if s.world.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
 						continue
 					}
-					s.w.Submit(core.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1 + i%4,
+					s.world.Submit(core.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1 + i%4,
 						Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
 				}
 			case "abort":
-				id, at := arg(t, d, "id", ""), moment(arg(t, d, "at", ""))
+				id, at := arg(t, d, "id", ""), milestone(arg(t, d, "at", ""))
 				first, many := arg(t, d, "node", 0), arg(t, d, "nodes", 0)
 				switch {
 				case at != "":
-					s.w.jobs[id].once(at, func() { s.w.AbortAt(id, first, max(1, many)) })
+					s.world.jobs[id].onMilestone(at, func() { s.world.CancelAt(id, first, max(1, many)) })
 				case many > 0:
-					s.w.AbortAt(id, first, many)
+					s.world.CancelAt(id, first, many)
 				default:
-					s.w.Abort(id)
+					s.world.Cancel(id)
 				}
 			case "ask":
-				s.w.Stranger(arg(t, d, "id", ""))
+				s.world.QueryUnknownJob(arg(t, d, "id", ""))
 			case "until":
-				j, at := s.w.jobs[arg(t, d, "id", "")], moment(arg(t, d, "is", ""))
-				if s.w.when(seconds(t, d, "within", 300), func() bool { return j.happened(at) }) < 0 {
+				j, at := s.world.jobs[arg(t, d, "id", "")], milestone(arg(t, d, "is", ""))
+				if s.world.when(seconds(t, d, "within", 300), func() bool { return j.hasReached(at) }) < 0 {
 					return "never\n"
 				}
 			case "repeat":
-				s.w.repeat(s.w.jobs[arg(t, d, "id", "")])
+				s.world.resubmit(s.world.jobs[arg(t, d, "id", "")])
 			case "run":
-				s.w.Run(seconds(t, d, "for", 10))
+				s.world.Run(seconds(t, d, "for", 10))
 			case "fault":
 				return s.fault(t, d)
 			case "show":
 				return s.show()
 			case "state":
-				j := s.w.jobs[arg(t, d, "id", "")]
-				return j.told + "\n"
+				j := s.world.jobs[arg(t, d, "id", "")]
+				return j.lastState + "\n"
 			case "live":
-				return fmt.Sprintf("%d\n", s.w.live(arg(t, d, "id", "")))
+				return fmt.Sprintf("%d\n", s.world.runningTasks(arg(t, d, "id", "")))
 			case "owner":
 				return s.owners()
 			case "starts":
-				return fmt.Sprintf("%d\n", s.w.Started)
+				return fmt.Sprintf("%d\n", s.world.Starts)
 			case "held":
-				return s.held.String()
+				return s.heldCommand.String()
 			case "on_deaf":
-				return fmt.Sprintf("%d\n", len(s.onDeaf))
+				return fmt.Sprintf("%d\n", len(s.startedUnreachable))
 			case "met":
 				// That the trouble was there.
-				return fmt.Sprintf("commands carried out late: %v, copies brought to a next leader: %v\n", s.w.carriedLate > 0, s.w.broughtKept > 0)
+				return fmt.Sprintf("commands carried out late: %v, copies brought to a next leader: %v\n", s.world.lateCommandsDone > 0, s.world.heartbeatsReplayed > 0)
 			case "lost":
-				return fmt.Sprintf("%d\n", s.w.LostToLease)
+				return fmt.Sprintf("%d\n", s.world.LostToLease)
 			case "machines":
 				k := 0
-				for _, m := range s.w.machine {
-					if !m.dead && !m.returned {
+				for _, m := range s.world.machines {
+					if !m.dead && !m.released {
 						k++
 					}
 				}
@@ -472,8 +472,8 @@
 			}
 			return ""
 		})
-		if t.Failed() || s.w.trace != "" {
-			t.Log(strings.Join(s.w.logs, "\n"))
+		if t.Failed() || s.world.trace != "" {
+			t.Log(strings.Join(s.world.logs, "\n"))
 		}
 	})
 }
@@ -501,42 +501,42 @@
 			w.Submit(spec, run, false)
 			if rng.IntN(8) == 0 {
 				name := spec.ID
-				w.after(time.Duration(rng.IntN(60))*time.Second, func() { w.Abort(name) })
+				w.schedule(time.Duration(rng.IntN(60))*time.Second, func() { w.Cancel(name) })
 			}
 		}
 		if step > 3 && step < 18 {
 			w.randomFault(rng)
 			if seed%3 == 2 && half.IntN(2) == 0 {
-				w.halfFault(half)
+				w.startPartialFault(half)
 			}
 		}
-		w.Stranger(fmt.Sprintf("job-9%05d", rng.IntN(1000)))
+		w.QueryUnknownJob(fmt.Sprintf("job-9%05d", rng.IntN(1000)))
 		w.Run(15 * time.Second)
 	}
 	w.Run(8 * time.Minute)
 }
 
-// allTold checks that users were told of each job that it is done; or, when some were to be
+// checkFinalAnswers checks that users were told of each job that it is done; or, when some were to be
 // refused or cancelled, that.
-func allTold(t *testing.T, w *World, others bool) {
+func checkFinalAnswers(t *testing.T, w *World, others bool) {
 	t.Helper()
-	for _, id := range sorted(w.jobs) {
-		if j := w.jobs[id]; j.told != "done" && !(others && (j.Refused > 0 || j.told == "cancelled")) {
-			t.Errorf("%s is %q in the end, %d of %d done", id, j.told, len(j.results), j.spec.Tasks)
+	for _, id := range sortedKeys(w.jobs) {
+		if j := w.jobs[id]; j.lastState != "done" && !(others && (j.refusedStatus > 0 || j.lastState == "cancelled")) {
+			t.Errorf("%s is %q in the end, %d of %d done", id, j.lastState, len(j.doneTasks), j.spec.Tasks)
 		}
 	}
 }
 
-// productOf switches on each part of the product on half of the days, by chance.
-func productOf(seed uint64) core.Capabilities {
+// randomCapabilities switches on each part of the product on half of the days, by chance.
+func randomCapabilities(seed uint64) core.Capabilities {
 	rng := rand.New(rand.NewPCG(seed, 64))
 	p := DayParams{}
 	for _, part := range []string{"ranking", "promises", "models"} {
 		if rng.IntN(2) == 0 {
-			p.On = append(p.On, part)
+			p.Enabled = append(p.Enabled, part)
 		}
 	}
-	out, _ := p.product()
+	out, _ := p.capabilities()
 	return out
 }
 
@@ -548,25 +548,25 @@
 			t.Parallel()
 			types, room := testTypes()
 			set := testSettings()
-			set.Capabilities = productOf(seed)
+			set.Capabilities = randomCapabilities(seed)
 			w := NewWorld(seed, 3, set, testCancel, types, room)
 			switch seed % 4 {
 			case 1:
-				w.twice = 0.03
+				w.duplicateRate = 0.03
 			case 2:
-				w.loss = 0.01
+				w.lossRate = 0.01
 			case 3:
-				w.loss, w.twice = 0.02, 0.02
+				w.lossRate, w.duplicateRate = 0.02, 0.02
 			}
 			// One day with the lines on some jobs or machines, such as job-000013|vm-000003:
 			// MICAHILL_TRACE=... go test ./internal/standin -run 'TestSimulation$/^7$'
 			w.trace = os.Getenv("MICAHILL_TRACE")
 			randomDay(w, seed)
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
-			allTold(t, w, true)
-			if w.Started == 0 {
+			checkFinalAnswers(t, w, true)
+			if w.Starts == 0 {
 				t.Error("nothing ran")
 			}
 			if t.Failed() || w.trace != "" {
@@ -589,25 +589,25 @@
 	}{
 		{"ran_twice", func(w *World) {
 			// The cores believe in far too short a lease.
-			w.coreLease = 500 * time.Millisecond
-			for i := range w.nodes {
-				w.Crash(i, 0)
+			w.leaseOverride = 500 * time.Millisecond
+			for i := range w.controllers {
+				w.CrashController(i, 0)
 			}
 		}},
 		{"ran_cancelled", func(w *World) {
 			// Stops get lost, and answers prolong leases all the same: an owner that has
 			// no proof would let the lease run out.
-			w.sabotage = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if x, ok := e.(core.HeartbeatReply); ok && x.Status == 503 {
 					x.Status, x.Epoch = 200, math.MaxUint64
 					e = x
 				}
-				return noHalts(e)
+				return dropStops(e)
 			}
 		}},
 		{"not_done", func(w *World) {
 			// Every job is called done.
-			w.sabotage = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e core.Effect) core.Effect {
 				if x, ok := e.(core.UserReply); ok && x.Status == 200 {
 					x.State = "done"
 					return x
@@ -625,18 +625,18 @@
 			}
 			w.Run(60 * time.Second)
 			for i := range 4 {
-				w.Abort(fmt.Sprintf("job-%06d", i))
+				w.Cancel(fmt.Sprintf("job-%06d", i))
 			}
-			for _, id := range sorted(w.machine) {
-				w.machine[id].hungTill = w.now.Add(8 * time.Second)
+			for _, id := range sortedKeys(w.machines) {
+				w.machines[id].hungUntil = w.now.Add(8 * time.Second)
 			}
 			w.Run(3 * time.Minute)
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				if strings.HasPrefix(b, c.rule) {
 					return
 				}
 			}
-			t.Errorf("no %s noticed: %v, %d starts", c.rule, w.Broken, w.Started)
+			t.Errorf("no %s noticed: %v, %d starts", c.rule, w.Violations, w.Starts)
 			t.Log(strings.Join(w.logs, "\n"))
 		})
 	}
--- a/internal/standin/seek.go
+++ b/internal/standin/seek.go
@@ -16,52 +16,52 @@
 // them as files that can be played again.
 
 const (
-	// seekFaultsMost bounds the troubles of a day of a search.
-	seekFaultsMost = 6
-	// seekShiftMost is how far a change shifts a trouble.
-	seekShiftMost = 20 * time.Second
-	// seekBegin is when the first trouble may begin, and seekEnd how long after the last
+	// maxSearchFaults bounds the troubles of a day of a search.
+	maxSearchFaults = 6
+	// maxSearchShift is how far a change shifts a trouble.
+	maxSearchShift = 20 * time.Second
+	// firstSearchFault is when the first trouble may begin, and lastSearchFaultAfter how long after the last
 	// job has come the last one.
-	seekBegin = 20 * time.Second
-	seekEnd   = time.Minute
-	// seekMachines is how many machines a day of a search has at least, and up to four
-	// times as many, and seekMinutes how long jobs come, if nothing is said: many short
+	firstSearchFault     = 20 * time.Second
+	lastSearchFaultAfter = time.Minute
+	// minSearchMachines is how many machines a day of a search has at least, and up to four
+	// times as many, and searchMinutes how long jobs come, if nothing is said: many short
 	// days show more than a few long ones.
-	seekMachines = 15
-	seekMinutes  = 2
+	minSearchMachines = 15
+	searchMinutes     = 2
 )
 
-// Untimed is the margin's name of all rules without a time: 1, or -1 where one is broken.
-const Untimed = "others"
+// UntimedRules is the margin's name of all rules without a time: 1, or -1 where one is broken.
+const UntimedRules = "others"
 
-// Seeking is what is searched among days of meetings like p; p's zeros are drawn. played is
+// SearchProblem is what is searched among days of meetings like p; p's zeros are drawn. played is
 // told of each day that was played, from several at a time.
-func Seeking(p DayParams, played func(DayResult)) seek.Problem[Day] {
+func SearchProblem(p DayParams, onResult func(DayResult)) seek.Problem[Day] {
 	return seek.Problem[Day]{
 		Generate: func(rng *rand.Rand) Day {
 			x := p
-			x.Seed, x.Meetings = rng.Uint64N(1<<32), true
-			x.Minutes = cmp.Or(x.Minutes, seekMinutes)
-			x.Mixed = x.Mixed || rng.IntN(2) == 0
-			x.CancelRoom = cmp.Or(x.CancelRoom, []int{0, 0, 10, 4}[rng.IntN(4)])
+			x.Seed, x.OverlappingFaults = rng.Uint64N(1<<32), true
+			x.Minutes = cmp.Or(x.Minutes, searchMinutes)
+			x.MixedJobs = x.MixedJobs || rng.IntN(2) == 0
+			x.CancelMarginS = cmp.Or(x.CancelMarginS, []int{0, 0, 10, 4}[rng.IntN(4)])
 			if x.Machines == 0 {
-				x.Machines = seekMachines + rng.IntN(3*seekMachines)
+				x.Machines = minSearchMachines + rng.IntN(3*minSearchMachines)
 			}
-			d := DrawDay(x)
+			d := GenerateDay(x)
 			if rng.IntN(2) == 0 {
-				d.add(rng, d.drawAny(rng))
+				d.addFault(rng, d.generateAnyFault(rng))
 			}
 			return d
 		},
 		Mutate: func(rng *rand.Rand, d Day) Day {
 			for range 1 + rng.IntN(3) {
-				d = d.changed(rng)
+				d = d.mutated(rng)
 			}
 			return d
 		},
 		Evaluate: func(d Day) map[string]float64 {
-			r := PlayDay(d, "")
-			played(r)
+			r := RunDay(d, "")
+			onResult(r)
 			return r.margins()
 		},
 	}
@@ -69,84 +69,86 @@
 
 // margins are the seconds that are left to each rule with a time, and Untimed.
 func (r *DayResult) margins() map[string]float64 {
-	out := map[string]float64{Untimed: 1}
-	if len(r.Broken) > 0 {
-		out[Untimed] = -1
+	out := map[string]float64{UntimedRules: 1}
+	if len(r.Violations) > 0 {
+		out[UntimedRules] = -1
 	}
-	for rule, s := range r.Slack {
-		out[rule] = s.Left.Seconds()
+	for rule, s := range r.Margins {
+		out[rule] = s.Remaining.Seconds()
 	}
 	return out
 }
 
-// drawAny draws any trouble with a time within the day's.
-func (d *Day) drawAny(rng *rand.Rand) DayFault {
-	f := d.drawTrouble(rng)
+// generateAnyFault draws any trouble with a time within the day's.
+func (d *Day) generateAnyFault(rng *rand.Rand) Fault {
+	f := d.generateFault(rng)
 	if rng.IntN(2) == 0 {
-		f = d.drawLater(rng)
+		f = d.generateExtraFault(rng)
 	}
-	f.At = d.within(time.Duration(rng.Float64() * float64(d.lastTrouble())))
+	f.At = d.clampFaultStart(time.Duration(rng.Float64() * float64(d.latestFaultStart())))
 	return f
 }
 
-// lastTrouble is when the last trouble of a day of a search may begin.
-func (d *Day) lastTrouble() time.Duration { return time.Duration(d.Minutes)*time.Minute + seekEnd }
+// latestFaultStart is when the last trouble of a day of a search may begin.
+func (d *Day) latestFaultStart() time.Duration {
+	return time.Duration(d.Minutes)*time.Minute + lastSearchFaultAfter
+}
 
-func (d *Day) within(at time.Duration) time.Duration {
-	return min(max(at, seekBegin), d.lastTrouble())
+func (d *Day) clampFaultStart(at time.Duration) time.Duration {
+	return min(max(at, firstSearchFault), d.latestFaultStart())
 }
 
-// add adds a trouble near another one, so that they meet.
-func (d *Day) add(rng *rand.Rand, f DayFault) {
+// addFault adds a trouble near another one, so that they meet.
+func (d *Day) addFault(rng *rand.Rand, f Fault) {
 	if len(d.Faults) > 0 {
-		f.At = d.within(d.Faults[rng.IntN(len(d.Faults))].At + shift(rng))
+		f.At = d.clampFaultStart(d.Faults[rng.IntN(len(d.Faults))].At + randomShift(rng))
 	}
 	d.Faults = append(slices.Clone(d.Faults), f)
-	d.inOrder()
+	d.sortFaults()
 }
 
-func (d *Day) inOrder() {
-	slices.SortStableFunc(d.Faults, func(a, b DayFault) int { return cmp.Compare(a.At, b.At) })
+func (d *Day) sortFaults() {
+	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
 
-// shift draws by how much something is shifted, small shifts as often as large ones.
-func shift(rng *rand.Rand) time.Duration {
-	by := between(rng, 50*time.Millisecond, seekShiftMost)
+// randomShift draws by how much something is shifted, small shifts as often as large ones.
+func randomShift(rng *rand.Rand) time.Duration {
+	by := logUniform(rng, 50*time.Millisecond, maxSearchShift)
 	if rng.IntN(2) == 0 {
 		return -by
 	}
 	return by
 }
 
-// changed is a day that differs from another one in one respect.
-func (d Day) changed(rng *rand.Rand) Day {
+// mutated is a day that differs from another one in one respect.
+func (d Day) mutated(rng *rand.Rand) Day {
 	d.Faults = slices.Clone(d.Faults)
 	if d.Cancels != nil {
 		c := *d.Cancels
 		d.Cancels = &c
 	}
 	if len(d.Faults) == 0 {
-		d.add(rng, d.drawAny(rng))
+		d.addFault(rng, d.generateAnyFault(rng))
 		return d
 	}
 	i, k := rng.IntN(len(d.Faults)), rng.IntN(len(d.Faults))
 	f := &d.Faults[i]
 	switch rng.IntN(9) {
 	case 0, 1:
-		f.At = d.within(f.At + shift(rng))
+		f.At = d.clampFaultStart(f.At + randomShift(rng))
 	case 2:
 		f.At, d.Faults[k].At = d.Faults[k].At, f.At
 	case 3:
-		f.For = time.Duration(float64(f.For) * (0.5 + 1.5*rng.Float64()))
+		f.Duration = time.Duration(float64(f.Duration) * (0.5 + 1.5*rng.Float64()))
 	case 4:
 		at := f.At
-		*f = d.drawAny(rng)
+		*f = d.generateAnyFault(rng)
 		f.At = at
 	case 5:
-		f.Node, f.Busiest, f.Hold = rng.IntN(d.Controllers), rng.IntN(2) == 0, rng.IntN(2) == 0
+		f.Controller, f.Busiest, f.HoldMessages = rng.IntN(d.Controllers), rng.IntN(2) == 0, rng.IntN(2) == 0
 	case 6:
-		if len(d.Faults) < seekFaultsMost {
-			d.add(rng, d.drawAny(rng))
+		if len(d.Faults) < maxSearchFaults {
+			d.addFault(rng, d.generateAnyFault(rng))
 		}
 	case 7:
 		if len(d.Faults) > 1 {
@@ -154,10 +156,10 @@
 		}
 	case 8:
 		if c := d.Cancels; c != nil {
-			c.At, c.For = d.within(c.At+shift(rng)), max(time.Second, c.For+shift(rng))
+			c.At, c.Duration = d.clampFaultStart(c.At+randomShift(rng)), max(time.Second, c.Duration+randomShift(rng))
 		}
 	}
-	d.inOrder()
+	d.sortFaults()
 	return d
 }
 
@@ -170,9 +172,9 @@
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
 
-// Load reads a day that Save wrote: what its params say is drawn again, but its troubles
+// LoadDay reads a day that Save wrote: what its params say is drawn again, but its troubles
 // are those of the file.
-func Load(file string) (Day, error) {
+func LoadDay(file string) (Day, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
 		return Day{}, err
@@ -181,14 +183,14 @@
 	if err := json.Unmarshal(b, &read); err != nil {
 		return Day{}, fmt.Errorf("%s: %w", file, err)
 	}
-	if err := read.Check(); err != nil {
+	if err := read.Validate(); err != nil {
 		return Day{}, fmt.Errorf("%s: %w", file, err)
 	}
 	if read.Machines < 1 || read.Teams < 1 || read.Controllers < 1 || read.Minutes < 1 || read.Jobs < 1 {
 		return Day{}, fmt.Errorf("%s: machines, teams, controllers, minutes and jobs are to be positive", file)
 	}
-	d := DrawDay(read.DayParams)
+	d := GenerateDay(read.DayParams)
 	d.Faults, d.Cancels = read.Faults, read.Cancels
-	d.inOrder()
+	d.sortFaults()
 	return d, nil
 }
--- a/internal/standin/slack.go
+++ b/internal/standin/slack.go
@@ -15,95 +15,95 @@
 	// RuleCancelled: the tasks of a cancelled job are gone within cancel_s.
 	RuleCancelled = "ran_cancelled"
 	// RuleForgotten: once all troubles are over, no job goes without an answer for
-	// SilentMost.
+	// MaxUnanswered.
 	RuleForgotten = "forgotten"
-	// RuleWaiting: then none is left waiting for waitingMost beside room for it.
+	// RuleWaiting: then none is left waiting for maxWaiting beside room for it.
 	RuleWaiting = "waiting"
-	// RuleBegin: a class's largest jobs begin within beginWithin.
+	// RuleBegin: a class's largest jobs begin within maxStartWait.
 	RuleBegin = "begin"
 )
 
 // TimedRules names them, in the order in which they are told.
 var TimedRules = []string{RuleCancelled, RuleOrphaned, RuleForgotten, RuleWaiting, RuleBegin}
 
-// Slack is the least time that was left to a rule, and what came so near; less than
+// Margin is the least time that was left to a rule, and what came so near; less than
 // nothing is left where it was broken.
-type Slack struct {
-	Left time.Duration `json:"left_ns"`
-	What string        `json:"what"`
+type Margin struct {
+	Remaining time.Duration `json:"left_ns"`
+	Subject   string        `json:"what"`
 }
 
-// near notes how much time is left to a rule.
-func (w *World) near(rule string, left time.Duration, what string) {
-	if old, ok := w.slack[rule]; !ok || left < old.Left {
-		w.slack[rule] = Slack{left, fmt.Sprintf("%s at %.1fs", what, w.now.Sub(w.began).Seconds())}
+// recordMargin notes how much time is left to a rule.
+func (w *World) recordMargin(rule string, left time.Duration, what string) {
+	if old, ok := w.margins[rule]; !ok || left < old.Remaining {
+		w.margins[rule] = Margin{left, fmt.Sprintf("%s at %.1fs", what, w.now.Sub(w.startedAt).Seconds())}
 	}
 }
 
 const (
-	// waitingMost is how long a job may be left waiting beside room once all troubles are
-	// over, and waitingEvery how often that is looked at.
-	waitingMost  = 90 * time.Second
-	waitingEvery = time.Second
-	// roomLooks is at how many looks in a row room has to be free to count: where much
+	// maxWaiting is how long a job may be left waiting beside room once all troubles are
+	// over, and waitCheckInterval how often that is looked at.
+	maxWaiting        = 90 * time.Second
+	waitCheckInterval = time.Second
+	// capacitySamples is at how many looks in a row room has to be free to count: where much
 	// comes and goes there is always some that just got free.
-	roomLooks = 10
+	capacitySamples = 10
 )
 
-// checkWaiting judges, once all troubles are over, that no job waits for waitingMost while
+// checkWaiting judges, once all troubles are over, that no job waits for maxWaiting while
 // at every moment of it a machine that fits has room and its team is under its limit. A
 // job waits while some task of it is neither done nor on a machine, and none was given to
 // one. Jobs whose tasks have to be apart, or start together, are not judged: what they
 // need is no single machine's.
 func (w *World) checkWaiting() {
-	if w.calm.IsZero() || w.now.Before(w.calm) || w.now.Before(w.waitingNext) {
+	if w.faultsEndAt.IsZero() || w.now.Before(w.faultsEndAt) || w.now.Before(w.nextWaitCheck) {
 		return
 	}
-	w.waitingNext = w.now.Add(waitingEvery)
-	free, used := w.taken()
-	for _, id := range sorted(w.jobs) {
+	w.nextWaitCheck = w.now.Add(waitCheckInterval)
+	free, used := w.resourceUse()
+	for _, id := range sortedKeys(w.jobs) {
 		j := w.jobs[id]
-		if !j.waits() {
-			j.waitsFrom = time.Time{}
+		if !j.isWaiting() {
+			j.waitingSince = time.Time{}
 			continue
 		}
-		room := w.roomFor(j, free, used)
+		room := w.machineWithCapacity(j, free, used)
 		if room == nil {
-			j.waitsFrom = time.Time{}
+			j.waitingSince = time.Time{}
 			continue
 		}
-		from := j.waitsFrom
+		from := j.waitingSince
 		if from.IsZero() {
-			from, j.waitsFrom = w.now, w.now
+			from, j.waitingSince = w.now, w.now
 		}
 		if j.placedAt.After(from) {
 			from = j.placedAt
 		}
-		left := waitingMost - w.now.Sub(from)
-		w.near(RuleWaiting, left, id+" beside room on "+room.ID)
-		if left < 0 && !j.waitBlamed {
-			j.waitBlamed = true
-			w.broke(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, j.spec.Team, w.now.Sub(from).Seconds(), room.ID)
+		left := maxWaiting - w.now.Sub(from)
+		w.recordMargin(RuleWaiting, left, id+" beside room on "+room.ID)
+		if left < 0 && !j.waitReported {
+			j.waitReported = true
+			w.violate(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, j.spec.Team, w.now.Sub(from).Seconds(), room.ID)
 		}
 	}
 }
 
-// waits says that a job that is to run has a task that is neither done nor on a machine.
-func (j *userJob) waits() bool {
-	if !j.accepted || j.calledOff() || !j.released() || j.broken || over(j.told) || j.spec.SpreadZones || j.spec.Gang {
+// isWaiting says that a job that is to run has a task that is neither done nor on a machine.
+func (j *userJob) isWaiting() bool {
+	if !j.accepted || j.isCancelled() || !j.dependenciesDone() || j.alwaysFails || isFinal(j.lastState) || j.spec.SpreadZones || j.spec.Gang {
 		return false
 	}
 	for i := range j.spec.Tasks {
-		if !j.results[i] && !j.placed(i) {
+		if !j.doneTasks[i] && !j.isPlaced(i) {
 			return true
 		}
 	}
 	return false
 }
 
-// placed says that a task is on a machine, or waits there for its image.
-func (j *userJob) placed(i int) bool {
-	for _, m := range j.places[i] {
+// isPlaced says that a task is on a machine, or waits there for its image.
+func (j *userJob) isPlaced(i int) bool {
+	for _, m := range j.machines[i] {
 		for _, t := range m.tasks {
 			if t.job == j && t.index == i && t.status != core.Ended {
 				return true
@@ -113,9 +113,9 @@
 	return false
 }
 
-// taken is what has been free for a while on the machines that can take tasks, and what the
+// resourceUse is what has been free for a while on the machines that can take tasks, and what the
 // teams' tasks take, those included that wait for their images.
-func (w *World) taken() (map[*Worker]core.Resources, map[string]core.Resources) {
+func (w *World) resourceUse() (map[*Worker]core.Resources, map[string]core.Resources) {
 	free, used := map[*Worker]core.Resources{}, map[string]core.Resources{}
 	for _, m := range w.fleet {
 		left := m.Size
@@ -125,22 +125,22 @@
 				used[t.job.spec.Team] = used[t.job.spec.Team].AddScaled(t.job.spec.Need, 1)
 			}
 		}
-		if m.up(w.now) && m.tenure > 0 && !m.lazy && !m.faulty && m.slow == 0 && m.recallAt.IsZero() {
-			m.rooms = append(m.rooms, left)
-			m.rooms = m.rooms[max(0, len(m.rooms)-roomLooks):]
+		if m.up(w.now) && m.incarnation > 0 && !m.ignoresStarts && !m.faulty && m.slowFactor == 0 && m.reclaimAt.IsZero() {
+			m.recentFree = append(m.recentFree, left)
+			m.recentFree = m.recentFree[max(0, len(m.recentFree)-capacitySamples):]
 		} else {
-			m.rooms = nil
+			m.recentFree = nil
 		}
-		if len(m.rooms) == roomLooks {
-			free[m] = least(m.rooms)
+		if len(m.recentFree) == capacitySamples {
+			free[m] = minResources(m.recentFree)
 		}
 	}
 	return free, used
 }
 
-// roomFor is a machine that a job may use and that has room for a task of it, if there is
+// machineWithCapacity is a machine that a job may use and that has room for a task of it, if there is
 // one and its team is under its limit.
-func (w *World) roomFor(j *userJob, free map[*Worker]core.Resources, used map[string]core.Resources) *Worker {
+func (w *World) machineWithCapacity(j *userJob, free map[*Worker]core.Resources, used map[string]core.Resources) *Worker {
 	s := &j.spec
 	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].AddScaled(s.Need, 1)
 	if limit.CPU > 0 && takes.CPU > limit.CPU || limit.GPU > 0 && takes.GPU > limit.GPU {
@@ -148,26 +148,26 @@
 	}
 	zone := s.Zone
 	if s.SameZone {
-		w.onAllMachines(j, func(_ *workerTask, m *Worker) { zone = m.Zone })
+		w.eachRunningTask(j, func(_ *workerTask, m *Worker) { zone = m.Zone })
 	}
 	for _, m := range w.fleet {
-		if left, there := free[m]; there && s.Need.Fits(left) && mayUse(s, m, zone) {
+		if left, there := free[m]; there && s.Need.Fits(left) && allowsMachine(s, m, zone) {
 			return m
 		}
 	}
 	return nil
 }
 
-// mayUse says that a job allows a machine, in that zone unless it is empty.
-func mayUse(s *core.JobSpec, m *Worker, zone string) bool {
+// allowsMachine says that a job allows a machine, in that zone unless it is empty.
+func allowsMachine(s *core.JobSpec, m *Worker, zone string) bool {
 	flavour := len(s.MachineTypes) == 0
 	for _, f := range s.MachineTypes {
-		flavour = flavour || f == m.Flavour
+		flavour = flavour || f == m.MachineType
 	}
 	return flavour && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
 }
 
-func least(rs []core.Resources) core.Resources {
+func minResources(rs []core.Resources) core.Resources {
 	out := rs[0]
 	for _, r := range rs[1:] {
 		out = core.Resources{CPU: min(out.CPU, r.CPU), GPU: min(out.GPU, r.GPU), Memory: min(out.Memory, r.Memory)}
--- a/internal/standin/slack_test.go
+++ b/internal/standin/slack_test.go
@@ -17,9 +17,9 @@
 	set := testSettings()
 	set.Teams[0].QuotaLimit.CPU = limit
 	w := NewWorld(3, 3, set, testCancel, types, room)
-	w.calm = w.now
-	w.sabotage = func(e core.Effect) core.Effect {
-		return noStarts(e, func(o core.TaskCommand) bool { return o.Job == "job-000002" })
+	w.faultsEndAt = w.now
+	w.corruptEffect = func(e core.Effect) core.Effect {
+		return dropStarts(e, func(o core.TaskCommand) bool { return o.Job == "job-000002" })
 	}
 	return w
 }
@@ -42,18 +42,18 @@
 			w.Submit(longJob("job-000001", 2), time.Hour, false)
 			w.Run(40 * time.Second)
 			// Machines are there, and stay.
-			w.cloudOut = true
+			w.cloudOutage = true
 			s := longJob("job-000002", 1)
 			s.Need.CPU = c.cpu
 			w.Submit(s, time.Hour, false)
-			w.Run(waitingMost)
+			w.Run(maxWaiting)
 			noneBroken(t, w)
 			w.Run(20 * time.Second)
-			if got := strings.Contains(strings.Join(w.Broken, "\n"), RuleWaiting); got != c.noticed {
-				t.Errorf("noticed %v: %v, slack %v", got, w.Broken, w.slack)
+			if got := strings.Contains(strings.Join(w.Violations, "\n"), RuleWaiting); got != c.noticed {
+				t.Errorf("noticed %v: %v, slack %v", got, w.Violations, w.margins)
 			}
-			if _, near := w.slack[RuleWaiting]; near != c.noticed {
-				t.Errorf("slack %v", w.slack)
+			if _, near := w.margins[RuleWaiting]; near != c.noticed {
+				t.Errorf("slack %v", w.margins)
 			}
 		})
 	}
@@ -61,63 +61,63 @@
 
 // The slack of a cancellation is what its last task leaves of cancel_s, counted from the
 // first answer that left a controller.
-func TestSlackOfCancellations(t *testing.T) {
+func TestCancellationMargins(t *testing.T) {
 	w := busyWorld(t)
 	const left = 12 * time.Second
-	till := w.now.Add(w.cancel - left)
-	w.cloudOut, w.set.WorkerLease = true, time.Hour
-	w.sabotage = func(e core.Effect) core.Effect {
+	till := w.now.Add(w.cancelWithin - left)
+	w.cloudOutage, w.settings.WorkerLease = true, time.Hour
+	w.corruptEffect = func(e core.Effect) core.Effect {
 		if w.now.Before(till) {
-			return noHalts(e)
+			return dropStops(e)
 		}
 		return e
 	}
-	w.Abort("job-000001")
-	w.Run(w.cancel + time.Second)
+	w.Cancel("job-000001")
+	w.Run(w.cancelWithin + time.Second)
 	noneBroken(t, w)
-	if got := w.slack[RuleCancelled].Left; got < left-5*time.Second || got > left+time.Second {
-		t.Errorf("%v left, want about %v: %v", got, left, w.slack)
+	if got := w.margins[RuleCancelled].Remaining; got < left-5*time.Second || got > left+time.Second {
+		t.Errorf("%v left, want about %v: %v", got, left, w.margins)
 	}
 }
 
 // A day that is kept as a file plays as it did, and tells the same slack.
-func TestDayPlaysAgain(t *testing.T) {
-	p := Seeking(DayParams{Machines: 20, Teams: 1, Minutes: 1}, func(DayResult) {})
+func TestSavedDayReplays(t *testing.T) {
+	p := SearchProblem(DayParams{Machines: 20, Teams: 1, Minutes: 1}, func(DayResult) {})
 	rng := rand.New(rand.NewPCG(1, 1))
 	d := p.Mutate(rng, p.Generate(rng))
 	file := filepath.Join(t.TempDir(), "day.json")
 	if err := d.Save(file); err != nil {
 		t.Fatal(err)
 	}
-	again, err := Load(file)
+	again, err := LoadDay(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := PlayDay(d, ""), PlayDay(again, "")
-	if !reflect.DeepEqual(a.Slack, b.Slack) || a.Starts != b.Starts || !reflect.DeepEqual(a.Broken, b.Broken) {
-		t.Errorf("%v %d starts %v, again %v %d starts %v", a.Slack, a.Starts, a.Broken, b.Slack, b.Starts, b.Broken)
+	a, b := RunDay(d, ""), RunDay(again, "")
+	if !reflect.DeepEqual(a.Margins, b.Margins) || a.Starts != b.Starts || !reflect.DeepEqual(a.Violations, b.Violations) {
+		t.Errorf("%v %d starts %v, again %v %d starts %v", a.Margins, a.Starts, a.Violations, b.Margins, b.Starts, b.Violations)
 	}
-	if len(a.Slack) == 0 {
+	if len(a.Margins) == 0 {
 		t.Error("no slack was noted")
 	}
 }
 
 // Changes leave a day one that can be played, and the day that is changed as it was.
-func TestChangedDays(t *testing.T) {
-	p := Seeking(DayParams{Teams: 2}, func(DayResult) {})
+func TestMutatedDays(t *testing.T) {
+	p := SearchProblem(DayParams{Teams: 2}, func(DayResult) {})
 	rng := rand.New(rand.NewPCG(2, 1))
 	d := p.Generate(rng)
 	for range 2000 {
-		faults, cancels := append([]DayFault{}, d.Faults...), *d.Cancels
+		faults, cancels := append([]Fault{}, d.Faults...), *d.Cancels
 		next := p.Mutate(rng, d)
 		if !reflect.DeepEqual(faults, d.Faults) || cancels != *d.Cancels {
 			t.Fatal("the day that was changed is another one")
 		}
-		if len(next.Faults) == 0 || len(next.Faults) > seekFaultsMost {
+		if len(next.Faults) == 0 || len(next.Faults) > maxSearchFaults {
 			t.Fatalf("%d troubles", len(next.Faults))
 		}
 		for i, f := range next.Faults {
-			if f.At < seekBegin || f.At > max(next.lastTrouble(), d.Faults[len(d.Faults)-1].At) || f.For < 0 || i > 0 && f.At < next.Faults[i-1].At {
+			if f.At < firstSearchFault || f.At > max(next.latestFaultStart(), d.Faults[len(d.Faults)-1].At) || f.Duration < 0 || i > 0 && f.At < next.Faults[i-1].At {
 				t.Fatalf("%v of %v", f, next.Faults)
 			}
 		}
@@ -134,7 +134,7 @@
 		types[i].SpotCostPerHour = types[i].CostPerHour
 	}
 	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 4})
-	w.calm = w.now
+	w.faultsEndAt = w.now
 	s := longJob("job-000001", 3)
 	s.Need.CPU, s.ExpectedRunTime = 4, time.Minute
 	w.Submit(s, time.Minute, false)
@@ -145,25 +145,25 @@
 	w.Run(4 * time.Minute)
 	noneBroken(t, w)
 	first, j := w.jobs["job-000001"], w.jobs["job-000002"]
-	idle := first.began[0].Add(first.run)
+	idle := first.firstStarts[0].Add(first.run)
 	for i := range s.Tasks {
-		if at := j.began[i]; at.IsZero() || at.After(idle.Add(30*time.Second)) {
-			t.Errorf("task %d began at %v, the others' machine was idle at %v", i, at.Sub(w.began), idle.Sub(w.began))
+		if at := j.firstStarts[i]; at.IsZero() || at.After(idle.Add(30*time.Second)) {
+			t.Errorf("task %d began at %v, the others' machine was idle at %v", i, at.Sub(w.startedAt), idle.Sub(w.startedAt))
 		}
 	}
 }
 
 // A dear machine that is taken out of use has room beside long work, and a job that may
 // use nothing else for now is not late yet: it is not left waiting beside that room.
-func TestNotLeftWaitingBesideDearRoom(t *testing.T) {
+func TestNotLeftWaitingBesideExpensiveCapacity(t *testing.T) {
 	types, _ := testTypes()
 	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"big/a/false": 1})
-	w.calm = w.now
+	w.faultsEndAt = w.now
 	long := longJob("job-000001", 20)
 	w.Submit(long, time.Hour, false)
 	w.Run(time.Minute)
 	// The one machine that is not dear is taken for a while.
-	w.room["small/a/false"] = 1
+	w.cloudCapacity["small/a/false"] = 1
 	taken := longJob("job-000002", 1)
 	taken.Need.CPU, taken.Need.Memory, taken.ExpectedRunTime = 4, 14, 150*time.Second
 	taken.MachineTypes = []string{"small"}
@@ -174,8 +174,8 @@
 	w.Submit(s, s.ExpectedRunTime, false)
 	w.Run(3 * time.Minute)
 	noneBroken(t, w)
-	if left := w.slack[RuleWaiting].Left; left < waitingMost/3 || left > waitingMost-20*time.Second {
-		t.Errorf("slack %v: it waited for too long, or not at all", w.slack[RuleWaiting])
+	if left := w.margins[RuleWaiting].Remaining; left < maxWaiting/3 || left > maxWaiting-20*time.Second {
+		t.Errorf("slack %v: it waited for too long, or not at all", w.margins[RuleWaiting])
 	}
 }
 
@@ -184,12 +184,12 @@
 func TestRoomOnAnotherOwnersMachine(t *testing.T) {
 	types, _ := testTypes()
 	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"big/a/false": 1})
-	w.calm = w.now
+	w.faultsEndAt = w.now
 	w.Submit(longJob("job-000001", 10), time.Hour, false)
 	w.Run(time.Minute)
 	s := longJob("job-000002", 2)
 	s.Team, s.Need.CPU = "lab", 8
 	w.Submit(s, time.Hour, false)
-	w.Run(waitingMost + 30*time.Second)
+	w.Run(maxWaiting + 30*time.Second)
 	noneBroken(t, w)
 }
--- a/internal/standin/small_test.go
+++ b/internal/standin/small_test.go
@@ -11,39 +11,39 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// smallJobs is a stream of one-task jobs, of which a part is cancelled, with what it
+// smallJobStream is a stream of one-task jobs, of which a part is cancelled, with what it
 // costs of the state service and how long its submissions waited for their answers.
-type smallJobs struct {
-	w         *World
+type smallJobStream struct {
+	world     *World
 	jobs      int
 	cancelled int
 	changes   map[string]int
 	answers   []time.Duration
 }
 
-func newSmallJobs(seed uint64, changesASecond float64) *smallJobs {
+func newSmallJobs(seed uint64, changesASecond float64) *smallJobStream {
 	set := testSettings()
 	set.Zones, set.Teams = []string{"a"}, []core.Team{{Name: "ops"}}
 	set.StoreRequestsPerSecond, set.StoreWritesPerSecond = 80, changesASecond
 	types := []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
-	s := &smallJobs{w: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 150}), changes: map[string]int{}}
-	s.w.state.noted = func(it core.KeyValue) {
+	s := &smallJobStream{world: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 150}), changes: map[string]int{}}
+	s.world.state.onChange = func(it core.KeyValue) {
 		prefix, _, _ := strings.Cut(it.Key, "/")
 		if it.Deleted {
 			prefix += " removed"
 		}
 		s.changes[prefix]++
 	}
-	s.w.answered = func(asked time.Time, r core.UserReply) {
+	s.world.onAnswer = func(asked time.Time, r core.UserReply) {
 		if r.Status == 201 {
-			s.answers = append(s.answers, s.w.now.Sub(asked))
+			s.answers = append(s.answers, s.world.now.Sub(asked))
 		}
 	}
 	return s
 }
 
-// come submits jobs at a rate, one in four of which is cancelled within half a minute.
-func (s *smallJobs) come(rate float64, d time.Duration) {
+// submitAtRate submits jobs at a rate, one in four of which is cancelled within half a minute.
+func (s *smallJobStream) submitAtRate(rate float64, d time.Duration) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range int(rate * d.Seconds()) {
 		s.jobs++
@@ -53,17 +53,17 @@
 		}
 		run := time.Duration(5+rng.IntN(20)) * time.Second
 		at := time.Duration(rng.Float64() * float64(d))
-		s.w.after(at, func() { s.w.Submit(spec, run, false) })
+		s.world.schedule(at, func() { s.world.Submit(spec, run, false) })
 		if rng.IntN(4) == 0 {
 			s.cancelled++
-			s.w.after(at+time.Duration(rng.Float64()*float64(30*time.Second)), func() { s.w.Abort(spec.ID) })
+			s.world.schedule(at+time.Duration(rng.Float64()*float64(30*time.Second)), func() { s.world.Cancel(spec.ID) })
 		}
 	}
 }
 
-// left counts the records that are there of jobs that are not over, and of tasks.
-func (s *smallJobs) left() (open, tasks int) {
-	for k := range s.w.state.rows {
+// remainingRecords counts the records that are there of jobs that are not over, and of tasks.
+func (s *smallJobStream) remainingRecords() (open, tasks int) {
+	for k := range s.world.state.records {
 		switch {
 		case strings.HasPrefix(k, "open/"):
 			open++
@@ -85,22 +85,22 @@
 	for _, limit := range []float64{30, 20} {
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
 			s := newSmallJobs(1, limit)
-			s.w.Run(time.Minute)
+			s.world.Run(time.Minute)
 			clear(s.changes)
-			s.come(4, 3*time.Minute)
-			before := s.w.state.puts
-			s.w.Run(3 * time.Minute)
-			t.Logf("%.1f changes a second, %d requests refused", float64(s.w.state.puts-before)/180, s.w.state.Refused)
-			s.w.Run(2 * time.Minute)
-			for _, id := range sorted(s.w.jobs) {
-				if j := s.w.jobs[id]; j.told != "done" && !(j.aborting && j.told == "cancelled") {
-					t.Errorf("%s is %q in the end", id, j.told)
+			s.submitAtRate(4, 3*time.Minute)
+			before := s.world.state.writeCount
+			s.world.Run(3 * time.Minute)
+			t.Logf("%.1f changes a second, %d requests refused", float64(s.world.state.writeCount-before)/180, s.world.state.RateLimited)
+			s.world.Run(2 * time.Minute)
+			for _, id := range sortedKeys(s.world.jobs) {
+				if j := s.world.jobs[id]; j.lastState != "done" && !(j.cancelRequested && j.lastState == "cancelled") {
+					t.Errorf("%s is %q in the end", id, j.lastState)
 				}
 			}
-			for _, b := range s.w.Broken {
+			for _, b := range s.world.Violations {
 				t.Error(b)
 			}
-			if open, tasks := s.left(); open+tasks > 0 {
+			if open, tasks := s.remainingRecords(); open+tasks > 0 {
 				t.Errorf("%d records of jobs and %d of tasks are left", open, tasks)
 			}
 			late := 0
@@ -110,14 +110,14 @@
 				}
 			}
 			slices.Sort(s.answers)
-			if n := len(s.answers); n < s.jobs*9/10 || float64(late) > (1-inTime)*float64(s.jobs) || s.w.Refused > s.jobs/100 {
-				t.Errorf("%d of %d accepted at once, %d late, the last after %v, and %d questions refused", n, s.jobs, late, s.answers[n-1], s.w.Refused)
+			if n := len(s.answers); n < s.jobs*9/10 || float64(late) > (1-inTime)*float64(s.jobs) || s.world.RefusedRequests > s.jobs/100 {
+				t.Errorf("%d of %d accepted at once, %d late, the last after %v, and %d questions refused", n, s.jobs, late, s.answers[n-1], s.world.RefusedRequests)
 			}
 			c := s.changes
 			t.Logf("%d jobs, %d cancelled: %v", s.jobs, s.cancelled, c)
 			// A start may have to be made again; the cancelled that never began cost less.
-			if most := s.jobs + s.cancelled; c["open"] > most || c["job"] > s.jobs || c["open removed"] > s.jobs || c["task"] > s.w.Started+s.w.Started/50 || c["task removed"] > c["task"] {
-				t.Errorf("%d jobs with %d starts took %v", s.jobs, s.w.Started, c)
+			if most := s.jobs + s.cancelled; c["open"] > most || c["job"] > s.jobs || c["open removed"] > s.jobs || c["task"] > s.world.Starts+s.world.Starts/50 || c["task removed"] > c["task"] {
+				t.Errorf("%d jobs with %d starts took %v", s.jobs, s.world.Starts, c)
 			}
 		})
 	}
--- a/internal/standin/state.go
+++ b/internal/standin/state.go
@@ -12,92 +12,92 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// keptNews is how many changes the state service keeps for watches.
-const keptNews = 10000
+// maxKeptChanges is how many changes the state service keeps for watches.
+const maxKeptChanges = 10000
 
 // StateService is a model of the state service. It knows nothing of networks:
 // the caller brings requests to it and takes answers away.
 type StateService struct {
-	rev    uint64
-	rows   map[string]*stateRow
-	grants map[uint64]*grant
-	nextID uint64
-	// puts counts the changes.
-	puts int
-	news []core.KeyValue
-	// noted is told of every change, and pages counts those of pages of dates.
-	noted func(core.KeyValue)
-	pages int
-	// lost is the newest revision whose change is no longer kept.
-	lost    uint64
-	waiting []*watch
-	limits  *limits
-	// Bad counts requests that were malformed, with the last of them, and Refused
+	revision    uint64
+	records     map[string]*storedRecord
+	leases      map[uint64]*leaseState
+	lastLeaseID uint64
+	// writeCount counts the changes.
+	writeCount int
+	changes    []core.KeyValue
+	// onChange is told of every change, and pages counts those of pages of dates.
+	onChange   func(core.KeyValue)
+	pageWrites int
+	// compactedRevision is the newest revision whose change is no longer kept.
+	compactedRevision uint64
+	watches           []*pendingWatch
+	limits            *storeLimits
+	// Malformed counts requests that were malformed, with the last of them, and Refused
 	// those above the rates.
-	Bad     int
-	LastBad string
-	Refused int
+	Malformed     int
+	LastMalformed string
+	RateLimited   int
 	// Reads counts reads and watches, and most the most rows kept beside job/.
 	Reads int
 }
 
-type stateRow struct {
-	value []byte
-	stamp uint64
-	grant uint64
+type storedRecord struct {
+	value       []byte
+	modRevision uint64
+	leaseID     uint64
 }
 
-type grant struct {
-	ttl  time.Duration
-	ends time.Time
+type leaseState struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-type watch struct {
-	op     core.StoreRequest
-	ends   time.Time
-	answer func(core.StoreResponse)
+type pendingWatch struct {
+	request   core.StoreRequest
+	expiresAt time.Time
+	answer    func(core.StoreResponse)
 }
 
 // NewStateService makes an empty one.
 func NewStateService() *StateService {
-	return &StateService{rows: map[string]*stateRow{}, grants: map[uint64]*grant{}}
+	return &StateService{records: map[string]*storedRecord{}, leases: map[uint64]*leaseState{}}
 }
 
-// Tick ends grants and watches whose time has come.
-func (s *StateService) Tick(now time.Time) {
-	ids := make([]uint64, 0, len(s.grants))
-	for id := range s.grants {
+// Expire ends grants and watches whose time has come.
+func (s *StateService) Expire(now time.Time) {
+	ids := make([]uint64, 0, len(s.leases))
+	for id := range s.leases {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		if now.After(s.grants[id].ends) {
-			s.dropGrant(id)
+		if now.After(s.leases[id].expiresAt) {
+			s.revokeLease(id)
 		}
 	}
-	keep := s.waiting[:0]
-	for _, w := range s.waiting {
-		if now.After(w.ends) {
-			w.answer(core.StoreResponse{ID: w.op.ID, Status: core.StoreOK, Revision: s.rev})
+	keep := s.watches[:0]
+	for _, w := range s.watches {
+		if now.After(w.expiresAt) {
+			w.answer(core.StoreResponse{ID: w.request.ID, Status: core.StoreOK, Revision: s.revision})
 		} else {
 			keep = append(keep, w)
 		}
 	}
-	s.waiting = keep
+	s.watches = keep
 }
 
-// Extend gives every grant its full time again, as after an outage.
-func (s *StateService) Extend(now time.Time) {
-	for _, g := range s.grants {
-		g.ends = now.Add(g.ttl)
+// RenewLeases gives every grant its full time again, as after an outage.
+func (s *StateService) RenewLeases(now time.Time) {
+	for _, g := range s.leases {
+		g.expiresAt = now.Add(g.ttl)
 	}
 }
 
-func (s *StateService) dropGrant(id uint64) {
-	delete(s.grants, id)
+func (s *StateService) revokeLease(id uint64) {
+	delete(s.leases, id)
 	var keys []string
-	for k, r := range s.rows {
-		if r.grant == id {
+	for k, r := range s.records {
+		if r.leaseID == id {
 			keys = append(keys, k)
 		}
 	}
@@ -105,54 +105,54 @@
 		return
 	}
 	sort.Strings(keys)
-	s.rev++
+	s.revision++
 	for _, k := range keys {
 		s.remove(k)
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
 func (s *StateService) remove(key string) {
-	if _, ok := s.rows[key]; ok {
-		delete(s.rows, key)
-		s.note(core.KeyValue{Key: key, ModRevision: s.rev, Deleted: true})
+	if _, ok := s.records[key]; ok {
+		delete(s.records, key)
+		s.recordChange(core.KeyValue{Key: key, ModRevision: s.revision, Deleted: true})
 	}
 }
 
-func (s *StateService) note(it core.KeyValue) {
-	s.news = append(s.news, it)
+func (s *StateService) recordChange(it core.KeyValue) {
+	s.changes = append(s.changes, it)
 	if strings.HasPrefix(it.Key, "open/~") {
-		s.pages++
+		s.pageWrites++
 	}
-	if s.noted != nil {
-		s.noted(it)
+	if s.onChange != nil {
+		s.onChange(it)
 	}
-	if len(s.news) > keptNews {
-		s.lost = s.news[0].ModRevision
-		s.news = s.news[1:]
+	if len(s.changes) > maxKeptChanges {
+		s.compactedRevision = s.changes[0].ModRevision
+		s.changes = s.changes[1:]
 	}
 }
 
-func (s *StateService) wake() {
-	keep := s.waiting[:0]
-	var ready []*watch
-	for _, w := range s.waiting {
-		if len(s.since(w.op.Key, w.op.Revision)) > 0 {
+func (s *StateService) notifyWatches() {
+	keep := s.watches[:0]
+	var ready []*pendingWatch
+	for _, w := range s.watches {
+		if len(s.changesSince(w.request.Key, w.request.Revision)) > 0 {
 			ready = append(ready, w)
 		} else {
 			keep = append(keep, w)
 		}
 	}
-	s.waiting = keep
+	s.watches = keep
 	for _, w := range ready {
-		w.answer(core.StoreResponse{ID: w.op.ID, Status: core.StoreOK, Revision: s.rev, KeyValues: s.since(w.op.Key, w.op.Revision)})
+		w.answer(core.StoreResponse{ID: w.request.ID, Status: core.StoreOK, Revision: s.revision, KeyValues: s.changesSince(w.request.Key, w.request.Revision)})
 	}
 }
 
-func (s *StateService) since(prefix string, rev uint64) []core.KeyValue {
+func (s *StateService) changesSince(prefix string, rev uint64) []core.KeyValue {
 	var out []core.KeyValue
-	i := sort.Search(len(s.news), func(i int) bool { return s.news[i].ModRevision > rev })
-	for _, it := range s.news[i:] {
+	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > rev })
+	for _, it := range s.changes[i:] {
 		if strings.HasPrefix(it.Key, prefix) {
 			out = append(out, it)
 		}
@@ -162,24 +162,24 @@
 
 // malformed says that a request breaks the limits of now.
 func (s *StateService) malformed(op *core.StoreRequest) bool {
-	return s.limits != nil && s.limits.malformed(op) != ""
+	return s.limits != nil && s.limits.malformedReason(op) != ""
 }
 
 // Do executes a request; the answer may come later, for a watch. Without limits, set
 // by Limit, it takes requests of any size, as often as they come.
 func (s *StateService) Do(now time.Time, op core.StoreRequest, answer func(core.StoreResponse)) {
-	s.Tick(now)
-	out := core.StoreResponse{ID: op.ID, Status: core.StoreOK, Revision: s.rev}
+	s.Expire(now)
+	out := core.StoreResponse{ID: op.ID, Status: core.StoreOK, Revision: s.revision}
 	if s.limits != nil {
-		if why := s.limits.malformed(&op); why != "" {
-			s.Bad++
-			s.LastBad = why
+		if why := s.limits.malformedReason(&op); why != "" {
+			s.Malformed++
+			s.LastMalformed = why
 			answer(core.StoreResponse{ID: op.ID, Status: core.StoreMalformed})
 			return
 		}
 		if !s.limits.allow(now, &op) {
-			s.Refused++
-			answer(core.StoreResponse{ID: op.ID, Status: StateTooMany})
+			s.RateLimited++
+			answer(core.StoreResponse{ID: op.ID, Status: StoreRateLimited})
 			return
 		}
 	}
@@ -188,35 +188,35 @@
 	}
 	switch op.Kind {
 	case core.OpGet:
-		if r, ok := s.rows[op.Key]; ok {
-			out.KeyValues = []core.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.stamp}}
+		if r, ok := s.records[op.Key]; ok {
+			out.KeyValues = []core.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.modRevision}}
 		} else {
 			out.Status = core.StoreNotFound
 		}
 	case core.OpList:
 		out.KeyValues, out.Truncated = s.list(op.Key, op.StartAfter)
 	case core.OpWatch:
-		if op.Revision < s.lost {
+		if op.Revision < s.compactedRevision {
 			out.Status = core.StoreCompacted
 			break
 		}
-		if out.KeyValues = s.since(op.Key, op.Revision); len(out.KeyValues) == 0 && op.WatchTimeout > 0 {
-			s.waiting = append(s.waiting, &watch{op, now.Add(op.WatchTimeout), answer})
+		if out.KeyValues = s.changesSince(op.Key, op.Revision); len(out.KeyValues) == 0 && op.WatchTimeout > 0 {
+			s.watches = append(s.watches, &pendingWatch{op, now.Add(op.WatchTimeout), answer})
 			return
 		}
 	case core.OpLeaseGrant:
-		s.nextID++
-		s.grants[s.nextID] = &grant{op.TTL, now.Add(op.TTL)}
-		out.LeaseID = s.nextID
+		s.lastLeaseID++
+		s.leases[s.lastLeaseID] = &leaseState{op.TTL, now.Add(op.TTL)}
+		out.LeaseID = s.lastLeaseID
 	case core.OpLeaseRenew:
-		if g, ok := s.grants[op.LeaseID]; ok {
-			g.ends = now.Add(g.ttl)
+		if g, ok := s.leases[op.LeaseID]; ok {
+			g.expiresAt = now.Add(g.ttl)
 		} else {
 			out.Status = core.StoreNotFound
 		}
 	case core.OpLeaseRevoke:
-		if _, ok := s.grants[op.LeaseID]; ok {
-			s.dropGrant(op.LeaseID)
+		if _, ok := s.leases[op.LeaseID]; ok {
+			s.revokeLease(op.LeaseID)
 		} else {
 			out.Status = core.StoreNotFound
 		}
@@ -234,7 +234,7 @@
 
 func (s *StateService) list(prefix, from string) ([]core.KeyValue, bool) {
 	var keys []string
-	for k := range s.rows {
+	for k := range s.records {
 		if strings.HasPrefix(k, prefix) && k > from {
 			keys = append(keys, k)
 		}
@@ -242,7 +242,7 @@
 	sort.Strings(keys)
 	page := listPage
 	if s.limits != nil {
-		page = s.limits.page
+		page = s.limits.pageRows
 	}
 	more := len(keys) > page
 	if more {
@@ -251,25 +251,25 @@
 	var out []core.KeyValue
 	size := 0
 	for _, k := range keys {
-		if size += 3 * len(s.rows[k].value); size > listBytes && len(out) > 0 {
+		if size += 3 * len(s.records[k].value); size > listBytes && len(out) > 0 {
 			return out, true
 		}
-		out = append(out, core.KeyValue{Key: k, Value: s.rows[k].value, ModRevision: s.rows[k].stamp})
+		out = append(out, core.KeyValue{Key: k, Value: s.records[k].value, ModRevision: s.records[k].modRevision})
 	}
 	return out, more
 }
 
 func (s *StateService) txn(op core.StoreRequest, out *core.StoreResponse) {
 	for _, a := range op.Writes {
-		if _, ok := s.grants[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
+		if _, ok := s.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
 			out.Status = core.StoreNoLease
 			return
 		}
 	}
 	for _, c := range op.Compares {
 		var stamp uint64
-		if r, ok := s.rows[c.Key]; ok {
-			stamp = r.stamp
+		if r, ok := s.records[c.Key]; ok {
+			stamp = r.modRevision
 		}
 		if stamp != c.ModRevision {
 			out.FailedKeys = append(out.FailedKeys, c.Key)
@@ -282,16 +282,16 @@
 	if len(op.Writes) == 0 {
 		return
 	}
-	s.rev++
-	s.puts += len(op.Writes)
+	s.revision++
+	s.writeCount += len(op.Writes)
 	for _, a := range op.Writes {
 		if a.Value == nil {
 			s.remove(a.Key)
 			continue
 		}
-		s.rows[a.Key] = &stateRow{a.Value, s.rev, a.LeaseID}
-		s.note(core.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.rev})
+		s.records[a.Key] = &storedRecord{a.Value, s.revision, a.LeaseID}
+		s.recordChange(core.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.revision})
 	}
-	out.Revision = s.rev
-	s.wake()
+	out.Revision = s.revision
+	s.notifyWatches()
 }
--- a/internal/standin/unlisted.go
+++ b/internal/standin/unlisted.go
@@ -13,31 +13,31 @@
 // never, users who ask again and again, mistakes, guests, ends in a row, and links and
 // services that are half there.
 
-// weather is what lately holds for machines that are rented, users and prices.
-type weather struct {
+// disturbances is what lately holds for machines that are rented, users and prices.
+type disturbances struct {
 	// boots: machines rented until then come up so many times later, or never.
-	bootsTill  time.Time
-	bootFactor float64
-	bootNever  float64
-	// pollTill: users ask so many times as often.
-	pollTill time.Time
-	polls    float64
+	slowProvisioningUntil time.Time
+	provisioningFactor    float64
+	neverReadyFraction    float64
+	// pollStormUntil: users ask so many times as often.
+	pollStormUntil time.Time
+	pollFactor     float64
 	// answers are slow by so much until then, all of the cloud's and the state's.
-	slowTill time.Time
-	slow     time.Duration
+	slowAnswersUntil time.Time
+	answerDelay      time.Duration
 }
 
-// upAfter is how long a machine that is rented now takes to come up: mostly near what
+// provisioningTime is how long a machine that is rented now takes to come up: mostly near what
 // the flavour says, now and then several times as long, and a few never.
-func (w *World) upAfter(f core.MachineType) time.Duration {
+func (w *World) provisioningTime(f core.MachineType) time.Duration {
 	d := w.jitter(f.ProvisioningTime)
-	if w.weather == nil {
+	if w.disturbances == nil {
 		return d
 	}
 	const never = 1000 * time.Hour
 	late, no, factor := 0.05, 0.01, 4.0
-	if w.now.Before(w.weather.bootsTill) {
-		late, no, factor = 1, w.weather.bootNever, w.weather.bootFactor
+	if w.now.Before(w.disturbances.slowProvisioningUntil) {
+		late, no, factor = 1, w.disturbances.neverReadyFraction, w.disturbances.provisioningFactor
 	}
 	switch x := w.rng.Float64(); {
 	case x < no:
@@ -48,10 +48,10 @@
 	return d
 }
 
-// pollPause is how long a user waits before asking again.
-func (w *World) pollPause(d time.Duration) time.Duration {
-	if w.weather != nil && w.now.Before(w.weather.pollTill) {
-		return time.Duration(float64(d) / w.weather.polls)
+// pollInterval is how long a user waits before asking again.
+func (w *World) pollInterval(d time.Duration) time.Duration {
+	if w.disturbances != nil && w.now.Before(w.disturbances.pollStormUntil) {
+		return time.Duration(float64(d) / w.disturbances.pollFactor)
 	}
 	return d
 }
@@ -59,87 +59,87 @@
 // unlistedKinds are the troubles that only such days have.
 var unlistedKinds = []string{"boots", "boots", "boots", "polls", "polls", "again", "again_all", "one_way", "one_way", "slow_answers", "lazy", "capacity", "price", "faulty", "cut", "cut", "refused"}
 
-// drawUnlisted adds what no list named to a day: from its own numbers, so that the rest
+// generateUnlistedFaults adds what no list named to a day: from its own numbers, so that the rest
 // of the day is as without it.
-func drawUnlisted(d *Day) {
+func generateUnlistedFaults(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 1618))
-	d.mistakes = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
+	d.failingFraction = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
 	if rng.IntN(2) == 0 {
-		d.guest = "guest"
-		d.Settings.Teams = append(slices.Clone(d.Settings.Teams), core.Team{Name: d.guest})
+		d.guestTeam = "guest"
+		d.Settings.Teams = append(slices.Clone(d.Settings.Teams), core.Team{Name: d.guestTeam})
 	}
 	for range 1 + rng.IntN(6) {
-		f := DayFault{
+		f := Fault{
 			Kind: unlistedKinds[rng.IntN(len(unlistedKinds))], At: time.Duration(10+rng.IntN(d.Minutes*60-20)) * time.Second,
-			For: time.Duration(10+rng.IntN(110)) * time.Second, Node: rng.IntN(d.Controllers), Hold: rng.IntN(2) == 0,
-			Share: []float64{0.05, 0.3, 1, 4, 8, 30}[rng.IntN(6)], Link: []string{"state", "workers", "*", "cloud"}[rng.IntN(4)],
-			Back: []time.Duration{50, 200, 500, 1000}[rng.IntN(4)] * time.Millisecond,
+			Duration: time.Duration(10+rng.IntN(110)) * time.Second, Controller: rng.IntN(d.Controllers), HoldMessages: rng.IntN(2) == 0,
+			Fraction: []float64{0.05, 0.3, 1, 4, 8, 30}[rng.IntN(6)], Link: []string{"state", "workers", "*", "cloud"}[rng.IntN(4)],
+			RestartAfter: []time.Duration{50, 200, 500, 1000}[rng.IntN(4)] * time.Millisecond,
 		}
 		switch f.Kind {
 		case "boots", "polls":
 			f.Link = ""
 		case "lazy", "capacity", "faulty":
-			f.Link, f.Share = "", []float64{0.02, 0.1, 0.3}[rng.IntN(3)]
+			f.Link, f.Fraction = "", []float64{0.02, 0.1, 0.3}[rng.IntN(3)]
 		case "cut", "one_way":
-			f.Share = 0
+			f.Fraction = 0
 		default:
-			f.Link, f.Share = "", 0
+			f.Link, f.Fraction = "", 0
 		}
 		d.Faults = append(d.Faults, f)
 	}
-	slices.SortStableFunc(d.Faults, func(a, b DayFault) int { return int(a.At - b.At) })
+	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return int(a.At - b.At) })
 }
 
-// unlisted lets a trouble of no list begin, and says whether it is one.
-func (w *World) unlisted(f DayFault, rng *rand.Rand) bool {
+// startUnlistedFault lets a trouble of no list begin, and says whether it is one.
+func (w *World) startUnlistedFault(f Fault, rng *rand.Rand) bool {
 	switch f.Kind {
 	case "boots":
-		w.weather.bootsTill, w.weather.bootFactor, w.weather.bootNever = w.now.Add(f.For), f.Share, 0
-		if f.Share == 1 {
-			w.weather.bootNever = 0.5
+		w.disturbances.slowProvisioningUntil, w.disturbances.provisioningFactor, w.disturbances.neverReadyFraction = w.now.Add(f.Duration), f.Fraction, 0
+		if f.Fraction == 1 {
+			w.disturbances.neverReadyFraction = 0.5
 		}
 	case "polls":
-		w.weather.pollTill, w.weather.polls = w.now.Add(f.For), max(2, f.Share)
+		w.disturbances.pollStormUntil, w.disturbances.pollFactor = w.now.Add(f.Duration), max(2, f.Fraction)
 	case "again":
 		for k := range 10 {
-			w.after(time.Duration(k)*f.For/10, func() { w.Crash(f.Node%len(w.nodes), f.Back) })
+			w.schedule(time.Duration(k)*f.Duration/10, func() { w.CrashController(f.Controller%len(w.controllers), f.RestartAfter) })
 		}
 	case "again_all":
 		for k := range 3 {
-			for i := range w.nodes {
-				w.after(time.Duration(k)*f.For/4, func() { w.Crash(i, f.Back) })
+			for i := range w.controllers {
+				w.schedule(time.Duration(k)*f.Duration/4, func() { w.CrashController(i, f.RestartAfter) })
 			}
 		}
 	case "one_way":
 		// Answers or requests alone are lost.
-		name := w.nodes[f.Node%len(w.nodes)].name
-		if f.Hold {
-			w.cutOneWay(name, f.Link, f.For)
+		name := w.controllers[f.Controller%len(w.controllers)].name
+		if f.HoldMessages {
+			w.partitionOneWay(name, f.Link, f.Duration)
 		} else {
-			w.cutOneWay(f.Link, name, f.For)
+			w.partitionOneWay(f.Link, name, f.Duration)
 		}
 	case "slow_answers":
-		w.weather.slowTill, w.weather.slow = w.now.Add(f.For), 700*time.Millisecond
+		w.disturbances.slowAnswersUntil, w.disturbances.answerDelay = w.now.Add(f.Duration), 700*time.Millisecond
 	case "lazy":
-		w.some(f.Share, rng, func(m *Worker) { m.lazy = true })
+		w.forSample(f.Fraction, rng, func(m *Worker) { m.ignoresStarts = true })
 	case "faulty":
-		w.some(f.Share, rng, func(m *Worker) { m.faulty = true })
+		w.forSample(f.Fraction, rng, func(m *Worker) { m.faulty = true })
 	case "capacity":
-		for _, k := range sorted(w.room) {
-			gone := int(float64(w.room[k]) * (1 - f.Share))
-			w.room[k] -= gone
-			w.after(f.For, func() { w.room[k] += gone })
+		for _, k := range sortedKeys(w.cloudCapacity) {
+			gone := int(float64(w.cloudCapacity[k]) * (1 - f.Fraction))
+			w.cloudCapacity[k] -= gone
+			w.schedule(f.Duration, func() { w.cloudCapacity[k] += gone })
 		}
 	case "price":
-		for _, k := range sorted(w.types) {
-			x := w.types[k]
+		for _, k := range sortedKeys(w.machineTypes) {
+			x := w.machineTypes[k]
 			old := x.SpotCostPerHour
 			x.SpotCostPerHour *= 0.67 + 0.66*rng.Float64()
-			w.types[k] = x
-			w.after(f.For, func() {
-				x := w.types[k]
+			w.machineTypes[k] = x
+			w.schedule(f.Duration, func() {
+				x := w.machineTypes[k]
 				x.SpotCostPerHour = old
-				w.types[k] = x
+				w.machineTypes[k] = x
 			})
 		}
 	default:
@@ -148,19 +148,19 @@
 	return true
 }
 
-// guestJobs has a guest team come in the middle of the day: some long jobs without any
+// submitGuestJobs has a guest team come in the middle of the day: some long jobs without any
 // aim, one of very many short tasks, and many of a single task.
-func (d *Day) guestJobs(w *World, rng *rand.Rand, span time.Duration) {
-	if d.guest == "" {
+func (d *Day) submitGuestJobs(w *World, rng *rand.Rand, span time.Duration) {
+	if d.guestTeam == "" {
 		return
 	}
 	long := core.JobSpec{Workload: "recount", Urgency: core.BestEffort, Tasks: max(2, d.Machines/8), Need: core.Resources{CPU: 4, Memory: 8}, AllowSpot: true, ExpectedRunTime: 50 * time.Second}
 	huge := core.JobSpec{Workload: "rebuild", Urgency: core.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: core.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
 	single := core.JobSpec{Workload: "lookups", Urgency: core.Normal, Tasks: 1, Need: core.Resources{CPU: 1, Memory: 2}, AllowSpot: true, ExpectedRunTime: 5 * time.Second}
 	add := func(s core.JobSpec, at time.Duration) {
-		w.names++
-		s.ID, s.Team, s.Image, s.ImageGB = fmt.Sprintf("job-%06d", w.names), d.guest, s.Workload, 0.5
-		w.after(at, func() { w.Submit(s, s.ExpectedRunTime, false) })
+		w.lastID++
+		s.ID, s.Team, s.Image, s.ImageGB = fmt.Sprintf("job-%06d", w.lastID), d.guestTeam, s.Workload, 0.5
+		w.schedule(at, func() { w.Submit(s, s.ExpectedRunTime, false) })
 	}
 	at := span / 3
 	for range 3 {
--- a/internal/standin/users.go
+++ b/internal/standin/users.go
@@ -9,300 +9,300 @@
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	spec    core.JobSpec
-	run     time.Duration
-	broken  bool
-	results map[int]bool
-	saved   map[int]time.Duration
-	// places are the machines that have, or had, a task, and began when each was
+	spec        core.JobSpec
+	run         time.Duration
+	alwaysFails bool
+	doneTasks   map[int]bool
+	checkpoints map[int]time.Duration
+	// machines are the machines that have, or had, a task, and began when each was
 	// first on one.
-	places map[int][]*Worker
-	began  map[int]time.Time
+	machines    map[int][]*Worker
+	firstStarts map[int]time.Time
 
-	accepted  bool
-	told      string
-	toldAt    time.Time
-	aborting  bool
-	Refused   int
-	submitted time.Time
-	finished  time.Time
+	accepted        bool
+	lastState       string
+	lastStateAt     time.Time
+	cancelRequested bool
+	refusedStatus   int
+	submitted       time.Time
+	finished        time.Time
 	// promised is the newest date that was told, and rev its revision.
-	promised time.Duration
-	rev      int
+	promised        time.Duration
+	promiseRevision int
 	// firstDate: the first answer told a date.
-	firstDate bool
-	// cancelled is when the first answer left a controller that says so: from then on
+	promisedAtFirst bool
+	// cancelledAt is when the first answer left a controller that says so: from then on
 	// its user could have been told, also if it came late or never.
-	cancelled time.Time
-	// heard is when a question was last answered, and silent: that none was for too
+	cancelledAt time.Time
+	// answeredAt is when a question was last answered, and silent: that none was for too
 	// long was told.
-	heard  time.Time
-	silent bool
-	// placedAt is when a task was last given to a machine, and waitsFrom since when one
-	// waits beside room for it; waitBlamed: that this was too long was told.
-	placedAt, waitsFrom time.Time
-	waitBlamed          bool
+	answeredAt      time.Time
+	silenceReported bool
+	// placedAt is when a task was last given to a machine, and waitingSince since when one
+	// waits beside room for it; waitReported: that this was too long was told.
+	placedAt, waitingSince time.Time
+	waitReported           bool
 	// replicas are a standing job's, as they come and go.
 	replicas map[int]*replica
-	// needs are the jobs that it needs, and followers those that need it.
-	needs, followers []*userJob
-	// endedAt is when the last of its tasks was done, and moments what waits for what.
-	endedAt time.Time
-	moments map[moment][]func()
-	// needsAccepted: when it was submitted its user knew that all that it needs was accepted.
-	needsAccepted bool
+	// dependencies are the jobs that it needs, and followers those that need it.
+	dependencies, dependents []*userJob
+	// tasksDoneAt is when the last of its tasks was done, and moments what waits for what.
+	tasksDoneAt time.Time
+	hooks       map[milestone][]func()
+	// dependenciesAccepted: when it was submitted its user knew that all that it needs was accepted.
+	dependenciesAccepted bool
 	// impossible: it names what no job may need, and is to be refused for good.
-	impossible bool
-	// orphanBlamed: that it is not cancelled with one before it was told.
-	orphanBlamed bool
+	invalid bool
+	// orphanReported: that it is not cancelled with one before it was told.
+	orphanReported bool
 }
 
-func (j *userJob) save(i int, left time.Duration) {
-	if old, ok := j.saved[i]; !ok || left < old {
-		j.saved[i] = left
+func (j *userJob) saveCheckpoint(i int, remaining time.Duration) {
+	if old, ok := j.checkpoints[i]; !ok || remaining < old {
+		j.checkpoints[i] = remaining
 	}
 }
 
 func newUserJob(spec core.JobSpec, run time.Duration) *userJob {
-	return &userJob{spec: spec, run: run, results: map[int]bool{}, saved: map[int]time.Duration{}, places: map[int][]*Worker{}, began: map[int]time.Time{}, replicas: map[int]*replica{},
-		moments: map[moment][]func(){}}
+	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
+		hooks: map[milestone][]func(){}}
 }
 
 // Submit sends a job and keeps trying, then polls until it is over.
-func (w *World) Submit(spec core.JobSpec, run time.Duration, broken bool) {
+func (w *World) Submit(spec core.JobSpec, run time.Duration, alwaysFails bool) {
 	j := newUserJob(spec, run)
-	j.broken = broken
+	j.alwaysFails = alwaysFails
 	w.submitJob(j)
 }
 
 func (w *World) submitJob(j *userJob) {
 	j.submitted = w.now
 	w.jobs[j.spec.ID] = j
-	w.bindNeeds(j)
+	w.linkDependencies(j)
 	w.trySubmit(j)
 }
 
-// userCall sends a request to a random living controller, with a deadline.
-func (w *World) userCall(mk func(uint64) core.Command, deadline time.Duration, tell func(*core.UserReply)) {
-	w.userCallTo(-1, mk, deadline, tell)
+// userRequest sends a request to a random living controller, with a deadline.
+func (w *World) userRequest(newCommand func(uint64) core.Command, deadline time.Duration, tell func(*core.UserReply)) {
+	w.userRequestTo(-1, newCommand, deadline, tell)
 }
 
-// userCallTo is userCall to one controller, unless that is -1.
-func (w *World) userCallTo(to int, mk func(uint64) core.Command, deadline time.Duration, tell func(*core.UserReply)) {
+// userRequestTo is userRequest to one controller, unless that is -1.
+func (w *World) userRequestTo(to int, newCommand func(uint64) core.Command, deadline time.Duration, tell func(*core.UserReply)) {
 	asked := w.now
 	fn := func(r *core.UserReply) {
-		if r != nil && w.answered != nil {
-			w.answered(asked, *r)
+		if r != nil && w.onAnswer != nil {
+			w.onAnswer(asked, *r)
 		}
 		if r != nil && r.Status == 503 {
-			w.Refused++
+			w.RefusedRequests++
 		}
 		tell(r)
 	}
-	p := w.nodes[w.rng.IntN(len(w.nodes))]
+	p := w.controllers[w.rng.IntN(len(w.controllers))]
 	if to >= 0 {
-		p = w.nodes[to]
+		p = w.controllers[to]
 	}
-	over := false
+	finished := false
 	finish := func(r *core.UserReply) {
-		if !over {
-			over = true
+		if !finished {
+			finished = true
 			fn(r)
 		}
 	}
-	w.after(deadline, func() { finish(nil) })
-	if !p.node.Healthy(w.now) || !p.alive {
+	w.schedule(deadline, func() { finish(nil) })
+	if !p.controller.Healthy(w.now) || !p.alive {
 		return
 	}
-	w.sendMsg("user", p.name, func() {
-		p.ask(mk, func(e core.Effect) {
+	w.sendMessage("user", p.name, func() {
+		p.request(newCommand, func(e core.Effect) {
 			r := e.(core.UserReply)
-			w.sendMsg(p.name, "user", func() { finish(&r) })
+			w.sendMessage(p.name, "user", func() { finish(&r) })
 		})
 	})
 }
 
 func (w *World) trySubmit(j *userJob) {
 	asked := w.now
-	w.userCall(func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *core.UserReply) {
+	w.userRequest(func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *core.UserReply) {
 		switch {
 		case r != nil && (r.Status == 201 || r.Status == 200):
-			if j.impossible {
-				w.broke("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Dependencies)
+			if j.invalid {
+				w.violate("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Dependencies)
 			}
-			w.hear(j, asked, r)
-			w.after(w.jitter(5*time.Second), func() { w.poll(j) })
+			w.checkAnswer(j, asked, r)
+			w.schedule(w.jitter(5*time.Second), func() { w.poll(j) })
 		case r != nil && (r.Status == 400 || r.Status == 422):
-			j.Refused = r.Status
+			j.refusedStatus = r.Status
 			if j.accepted {
-				w.broke("forgotten", "%s answered %d", j.spec.ID, r.Status)
+				w.violate("forgotten", "%s answered %d", j.spec.ID, r.Status)
 			}
-			if j.needsAccepted && !j.impossible {
-				w.broke("refused_wrongly", "%s, which needs %v, answered %d: %s", j.spec.ID, j.spec.Dependencies, r.Status, r.Message)
+			if j.dependenciesAccepted && !j.invalid {
+				w.violate("refused_wrongly", "%s, which needs %v, answered %d: %s", j.spec.ID, j.spec.Dependencies, r.Status, r.Message)
 			}
 		default:
-			w.after(w.jitter(time.Second), func() { w.trySubmit(j) })
+			w.schedule(w.jitter(time.Second), func() { w.trySubmit(j) })
 		}
 	})
 }
 
 func (w *World) poll(j *userJob) {
 	asked := w.now
-	w.userCallTo(w.keepsTo(j), func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *core.UserReply) {
+	w.userRequestTo(w.stickyController(j), func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *core.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 404) {
-			w.hear(j, asked, r)
+			w.checkAnswer(j, asked, r)
 		}
-		w.silence(j)
+		w.checkPollsAnswered(j)
 		// Ends are asked for again now and then, for a state that went back.
-		pause := w.pollPause(5 * time.Second)
-		if j.told == "done" || j.told == "cancelled" {
+		pause := w.pollInterval(5 * time.Second)
+		if j.lastState == "done" || j.lastState == "cancelled" {
 			pause = 30 * time.Second
-			if !w.calm.IsZero() && w.now.After(w.calm) {
-				pause = askEnded
+			if !w.faultsEndAt.IsZero() && w.now.After(w.faultsEndAt) {
+				pause = endedPollInterval
 			}
 		}
-		w.after(w.jitter(pause), func() { w.poll(j) })
+		w.schedule(w.jitter(pause), func() { w.poll(j) })
 	})
 }
 
-// Abort cancels a job, trying until it is told so.
-func (w *World) Abort(id string) {
+// Cancel cancels a job, trying until it is told so.
+func (w *World) Cancel(id string) {
 	j, asked := w.jobs[id], w.now
-	j.aborting = true
-	w.userCall(func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+	j.cancelRequested = true
+	w.userRequest(func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
 		if r == nil || r.Status != 200 {
-			w.after(w.jitter(time.Second), func() { w.Abort(id) })
+			w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
 			return
 		}
-		w.hear(j, asked, r)
+		w.checkAnswer(j, asked, r)
 	})
 }
 
-// Stranger asks for a job that nobody submitted.
-func (w *World) Stranger(id string) {
-	w.userCall(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+// QueryUnknownJob asks for a job that nobody submitted.
+func (w *World) QueryUnknownJob(id string) {
+	w.userRequest(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
 		if r != nil && r.Status == 200 {
-			w.broke("invented", "%s", id)
+			w.violate("invented", "%s", id)
 		}
 	})
 }
 
-// hear checks an answer to a question that was asked at some moment against what was said
+// checkAnswer checks an answer to a question that was asked at some moment against what was said
 // before.
-func (w *World) hear(j *userJob, asked time.Time, r *core.UserReply) {
+func (w *World) checkAnswer(j *userJob, asked time.Time, r *core.UserReply) {
 	id := j.spec.ID
 	if r.Status == 404 {
 		if j.accepted {
-			w.broke("forgotten", "%s answered 404", id)
+			w.violate("forgotten", "%s answered 404", id)
 		}
 		return
 	}
-	j.firstDate = j.firstDate || !j.accepted && r.PromiseRevision > 0
-	w.silence(j)
+	j.promisedAtFirst = j.promisedAtFirst || !j.accepted && r.PromiseRevision > 0
+	w.checkPollsAnswered(j)
 	w.checkOrphan(j, r)
-	news := !j.accepted || over(r.State) && j.told != r.State
-	j.accepted, j.heard = true, w.now
+	isNew := !j.accepted || isFinal(r.State) && j.lastState != r.State
+	j.accepted, j.answeredAt = true, w.now
 	if r.PromiseRevision > 0 {
 		// An answer to an abort may overtake one to a poll.
-		if r.PromiseRevision < j.rev && !j.aborting || r.PromiseRevision == j.rev && r.PromisedAfter != j.promised {
-			w.broke("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.rev, r.PromisedAfter, r.PromiseRevision)
+		if r.PromiseRevision < j.promiseRevision && !j.cancelRequested || r.PromiseRevision == j.promiseRevision && r.PromisedAfter != j.promised {
+			w.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.promiseRevision, r.PromisedAfter, r.PromiseRevision)
 		}
-		if r.PromiseRevision >= j.rev {
-			j.rev, j.promised = r.PromiseRevision, r.PromisedAfter
+		if r.PromiseRevision >= j.promiseRevision {
+			j.promiseRevision, j.promised = r.PromiseRevision, r.PromisedAfter
 		}
 	}
 	switch {
-	case (j.told == "done" || j.told == "cancelled") && r.State != j.told:
+	case (j.lastState == "done" || j.lastState == "cancelled") && r.State != j.lastState:
 		// A question that was asked before the end was told may be answered after it, by
 		// another controller: users ask several things at a time.
-		if !asked.Before(j.toldAt) {
-			w.broke("went_back", "%s was %s, is called %s", id, j.told, r.State)
+		if !asked.Before(j.lastStateAt) {
+			w.violate("went_back", "%s was %s, is called %s", id, j.lastState, r.State)
 		}
 		return
-	case r.State == "done" && len(j.results) < j.spec.Tasks:
-		w.broke("not_done", "%s with %d of %d", id, len(j.results), j.spec.Tasks)
-	case r.State == "cancelled" && !j.calledOff():
-		w.broke("went_back", "%s cancelled by nobody", id)
+	case r.State == "done" && len(j.doneTasks) < j.spec.Tasks:
+		w.violate("not_done", "%s with %d of %d", id, len(j.doneTasks), j.spec.Tasks)
+	case r.State == "cancelled" && !j.isCancelled():
+		w.violate("went_back", "%s cancelled by nobody", id)
 	}
-	if j.told != r.State {
-		j.told, j.toldAt = r.State, w.now
+	if j.lastState != r.State {
+		j.lastState, j.lastStateAt = r.State, w.now
 		if r.State == "done" || r.State == "cancelled" {
 			j.finished = w.now
 		}
 	}
-	if news {
-		w.lookClosely(j)
+	if isNew {
+		w.readConcurrently(j)
 	}
-	j.happens()
+	j.runHooks()
 }
 
 // checkStart judges the start of a task on m.
 func (w *World) checkStart(m *Worker, t *workerTask) {
-	w.Started++
+	w.Starts++
 	j := t.job
 	s := &j.spec
 	name := taskName(s.ID, t.index)
-	if j.began[t.index].IsZero() {
-		j.began[t.index] = w.now
+	if j.firstStarts[t.index].IsZero() {
+		j.firstStarts[t.index] = w.now
 	}
 	w.replicaUp(t)
-	w.checkNeeds(j, name)
+	w.checkDependencies(j, name)
 	zones := map[string]int{}
-	w.onMachines(j, func(i int, o *Worker, x *workerTask) {
+	w.eachPlacedTask(j, func(i int, o *Worker, x *workerTask) {
 		if x == t {
 			return
 		}
 		if x.index == t.index {
-			w.broke("ran_twice", "%s on %s and %s", name, m.ID, o.ID)
+			w.violate("ran_twice", "%s on %s and %s", name, m.ID, o.ID)
 		}
 		zones[o.Zone]++
 	}, t.index)
 	team := w.team(s.Team)
-	if u := w.used[s.Team]; team.QuotaLimit.CPU > 0 && u.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && u.GPU > team.QuotaLimit.GPU+1e-6 {
-		w.broke("quota", "%s uses %v", s.Team, u)
+	if u := w.teamUsage[s.Team]; team.QuotaLimit.CPU > 0 && u.CPU > team.QuotaLimit.CPU+1e-6 || team.QuotaLimit.GPU > 0 && u.GPU > team.QuotaLimit.GPU+1e-6 {
+		w.violate("quota", "%s uses %v", s.Team, u)
 	}
-	if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.Flavour) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot {
-		w.broke("wrong_place", "%s on %s", name, m.ID)
+	if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, m.MachineType) || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot {
+		w.violate("wrong_place", "%s on %s", name, m.ID)
 	}
 	if s.SameZone && len(zones) > 0 && zones[m.Zone] == 0 {
-		w.broke("wrong_place", "%s not with the others", name)
+		w.violate("wrong_place", "%s not with the others", name)
 	}
 	if s.SpreadZones && zones[m.Zone]+1 > (s.Tasks+1)/2 {
-		w.broke("wrong_place", "%s too many in %s", name, m.Zone)
+		w.violate("wrong_place", "%s too many in %s", name, m.Zone)
 	}
-	if !j.cancelled.IsZero() {
-		w.StartedCancelled++
-		w.near(RuleCancelled, w.cancel-w.now.Sub(j.cancelled), m.ID+" "+name)
+	if !j.cancelledAt.IsZero() {
+		w.StartsAfterCancel++
+		w.recordMargin(RuleCancelled, w.cancelWithin-w.now.Sub(j.cancelledAt), m.ID+" "+name)
 	}
-	if w.overdue(j) {
-		w.broke("ran_cancelled", "%s started", name)
+	if w.isCancelOverdue(j) {
+		w.violate("ran_cancelled", "%s started", name)
 	}
 }
 
-// confirmed notes that an answer leaves that says that a job is cancelled.
-func (w *World) confirmed(r core.UserReply) {
+// noteCancelConfirmed notes that an answer leaves that says that a job is cancelled.
+func (w *World) noteCancelConfirmed(r core.UserReply) {
 	j := w.jobs[r.ID]
 	if j == nil {
 		return
 	}
 	w.checkOrphan(j, &r)
-	if r.Status == 200 && r.State == "cancelled" && j.cancelled.IsZero() {
-		j.cancelled = w.now
-		w.checkBehind(j)
+	if r.Status == 200 && r.State == "cancelled" && j.cancelledAt.IsZero() {
+		j.cancelledAt = w.now
+		w.checkDependents(j)
 	}
 }
 
-// overdue says that a job's tasks have to be gone by now.
-func (w *World) overdue(j *userJob) bool {
-	since := j.offSince()
-	return !since.IsZero() && w.now.Sub(since) > w.cancel
+// isCancelOverdue says that a job's tasks have to be gone by now.
+func (w *World) isCancelOverdue(j *userJob) bool {
+	since := j.cancelledSince()
+	return !since.IsZero() && w.now.Sub(since) > w.cancelWithin
 }
 
-// onMachines calls fn with the tasks of a job that are on machines: those with an
+// eachPlacedTask calls fn with the tasks of a job that are on machines: those with an
 // index, or all where the zones of the others matter.
-func (w *World) onMachines(j *userJob, fn func(int, *Worker, *workerTask), index int) {
-	look := func(i int) {
-		j.places[i] = slices.DeleteFunc(j.places[i], func(m *Worker) bool {
+func (w *World) eachPlacedTask(j *userJob, fn func(int, *Worker, *workerTask), index int) {
+	scanTask := func(i int) {
+		j.machines[i] = slices.DeleteFunc(j.machines[i], func(m *Worker) bool {
 			there := false
 			for _, x := range m.tasks {
 				if x.job == j && x.index == i {
@@ -316,16 +316,16 @@
 		})
 	}
 	if !j.spec.SameZone && !j.spec.SpreadZones {
-		look(index)
+		scanTask(index)
 		return
 	}
-	for i := range j.places {
-		look(i)
+	for i := range j.machines {
+		scanTask(i)
 	}
 }
 
 func (w *World) team(name string) core.Team {
-	for _, t := range w.set.Teams {
+	for _, t := range w.settings.Teams {
 		if t.Name == name {
 			return t
 		}
@@ -333,42 +333,42 @@
 	return core.Team{}
 }
 
-// checkBody judges the size of an answer to a worker.
-func (w *World) checkBody(a core.HeartbeatReply) {
+// checkReplySize judges the size of an answer to a worker.
+func (w *World) checkReplySize(a core.HeartbeatReply) {
 	size := 0
 	for _, o := range a.Commands {
-		size += len(o.Job) + orderBytes
+		size += len(o.Job) + commandBytes
 	}
-	if size > bodyMost {
-		w.broke("malformed", "an answer to a worker of %d bytes", size)
+	if size > maxBodyBytes {
+		w.violate("malformed", "an answer to a worker of %d bytes", size)
 	}
 }
 
 const (
-	// bodyMost bounds bodies to workers, and orderBytes is what an order takes as
+	// maxBodyBytes bounds bodies to workers, and commandBytes is what an order takes as
 	// JSON beside its job's name.
-	bodyMost   = 64 << 10
-	orderBytes = len(`{"verb": "start", "piece": "/100000", "try": 1000, "wind_down_s": 10.0}, `)
+	maxBodyBytes = 64 << 10
+	commandBytes = len(`{"verb": "start", "piece": "/100000", "try": 1000, "wind_down_s": 10.0}, `)
 )
 
-// checkAll judges cancellations, on all machines that are there: also on those that are
+// checkCancellations judges cancellations, on all machines that are there: also on those that are
 // silent, hang or hear nothing, until their leases end. A task whose image came while its
 // machine hung is on it as well.
-func (w *World) checkAll() {
+func (w *World) checkCancellations() {
 	for _, m := range w.fleet {
 		for _, t := range m.tasks {
-			fetched := t.status == core.Fetching && !t.ready.After(w.now)
-			if !t.onMachine() && !fetched || t.blamed {
+			fetched := t.status == core.Fetching && !t.imageReadyAt.After(w.now)
+			if !t.onMachine() && !fetched || t.violationReported {
 				continue
 			}
-			since := t.job.offSince()
+			since := t.job.cancelledSince()
 			if since.IsZero() {
 				continue
 			}
-			w.near(RuleCancelled, w.cancel-w.now.Sub(since), m.ID+" "+t.job.spec.ID)
-			if w.overdue(t.job) {
-				t.blamed = true
-				w.broke("ran_cancelled", "%s on %s", taskName(t.job.spec.ID, t.index), m.ID)
+			w.recordMargin(RuleCancelled, w.cancelWithin-w.now.Sub(since), m.ID+" "+t.job.spec.ID)
+			if w.isCancelOverdue(t.job) {
+				t.violationReported = true
+				w.violate("ran_cancelled", "%s on %s", taskName(t.job.spec.ID, t.index), m.ID)
 			}
 		}
 	}
--- a/internal/standin/waits_test.go
+++ b/internal/standin/waits_test.go
@@ -8,8 +8,8 @@
 	"github.com/micahill/micahill/internal/core"
 )
 
-// waitsAtMost is within which time even the work that suits least has to begin.
-const waitsAtMost = 4 * time.Minute
+// maxStartDelay is within which time even the work that suits least has to begin.
+const maxStartDelay = 4 * time.Minute
 
 // TestNobodyWaitsWithoutBound: more small urgent work comes than there is room for, all
 // the time. A task as large as a machine, which fits one kind only, and work of the
@@ -28,36 +28,36 @@
 					ID: fmt.Sprintf("job-%06d", flood), Workload: "flood", Team: "ops", Urgency: core.Urgent, Tasks: 20,
 					Need: core.Resources{CPU: 4, Memory: 8}, Image: "flood", ImageGB: 0.5, ExpectedRunTime: 20 * time.Second, Deadline: 30 * time.Second,
 				}, 20*time.Second, false)
-				w.after(8*time.Second, more)
+				w.schedule(8*time.Second, more)
 			}
 			more()
 			whole := core.JobSpec{ID: "job-900001", Workload: "whole", Team: "ops", Urgency: core.Normal, Tasks: 2,
 				Need: core.Resources{CPU: 32, Memory: 100}, Image: "whole", ImageGB: 1, ExpectedRunTime: 30 * time.Second}
 			low := core.JobSpec{ID: "job-900002", Workload: "low", Team: "ops", Urgency: core.BestEffort, Tasks: 6,
 				Need: core.Resources{CPU: 2, Memory: 4}, Image: "low", ImageGB: 0.5, ExpectedRunTime: 30 * time.Second}
-			w.after(90*time.Second, func() {
+			w.schedule(90*time.Second, func() {
 				w.Submit(whole, 30*time.Second, false)
 				w.Submit(low, 30*time.Second, false)
 			})
-			w.after(3*time.Minute, func() {
-				for i := range w.nodes {
-					if w.nodes[i].node.IsShardLeader() {
-						w.Crash(i, 5*time.Second)
+			w.schedule(3*time.Minute, func() {
+				for i := range w.controllers {
+					if w.controllers[i].controller.IsShardLeader() {
+						w.CrashController(i, 5*time.Second)
 					}
 				}
 			})
-			w.Run(90*time.Second + waitsAtMost + time.Minute)
+			w.Run(90*time.Second + maxStartDelay + time.Minute)
 			for _, id := range []string{whole.ID, low.ID} {
 				j := w.jobs[id]
 				first := time.Duration(1<<63 - 1)
-				for _, at := range j.began {
+				for _, at := range j.firstStarts {
 					first = min(first, at.Sub(j.submitted))
 				}
-				if first > waitsAtMost {
-					t.Errorf("%s: %d tasks have begun, the first after %v", id, len(j.began), first)
+				if first > maxStartDelay {
+					t.Errorf("%s: %d tasks have begun, the first after %v", id, len(j.firstStarts), first)
 				}
 			}
-			for _, b := range w.Broken {
+			for _, b := range w.Violations {
 				t.Error(b)
 			}
 		})
