--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -10,73 +10,73 @@
 
 // Worker is a model of one machine's worker.
 type Worker struct {
-	ID      string
-	Addr    string
-	Flavour string
-	Zone    string
-	Spot    bool
-	Size    core.Resources
-	Pull    float64
+	ID          string
+	Addr        string
+	MachineType string
+	Zone        string
+	Spot        bool
+	Size        core.Resources
+	FetchRate   float64
 
 	rentedAt time.Time
 	upAt     time.Time
 	dead     bool
 	diedAt   time.Time
-	returned bool
+	released bool
 	// taken: by the cloud; goneAt is when it was that or returned. used: some task
 	// was ever started on it.
-	taken    bool
-	goneAt   time.Time
-	used     bool
-	hungTill time.Time
-	slow     float64
-	faulty   bool
-	// life counts the processes that its worker was.
-	life int
+	reclaimed  bool
+	goneAt     time.Time
+	everUsed   bool
+	hungUntil  time.Time
+	slowFactor float64
+	faulty     bool
+	// process counts the processes that its worker was.
+	process int
 	// lazy: it reports and takes orders, and never starts anything.
-	lazy     bool
-	recallAt time.Time
-	// deafTill: nothing reaches it until then, and deafHold: it does so afterwards.
-	deafTill time.Time
-	deafHold bool
-	// muteTill: it reaches no controller until then.
-	muteTill time.Time
-	// rooms is what was free on it when it was last looked at what waits.
-	rooms []core.Resources
+	ignoresStarts bool
+	reclaimAt     time.Time
+	// unreachableUntil: nothing reaches it until then, and holdWhileUnreachable: it does so afterwards.
+	unreachableUntil     time.Time
+	holdWhileUnreachable bool
+	// unheardUntil: it reaches no controller until then.
+	unheardUntil time.Time
+	// recentFree is what was free on it when it was last looked at what waits.
+	recentFree []core.Resources
 
-	tenure    uint64
-	tick      uint64
-	epoch     uint64
-	leaseFrom time.Time
-	images    map[string]time.Time
-	tasks     map[string]*workerTask
+	incarnation uint64
+	sequence    uint64
+	epoch       uint64
+	leaseStart  time.Time
+	images      map[string]time.Time
+	tasks       map[string]*workerTask
 
-	node      int
-	nextAt    time.Time
-	lastAt    time.Time
-	reporting bool
-	changed   bool
+	controller       int
+	nextHeartbeatAt  time.Time
+	lastHeartbeatAt  time.Time
+	heartbeatPending bool
+	changed          bool
 }
 
 type workerTask struct {
-	job    *userJob
-	index  int
-	try    uint64
-	status core.TaskStatus
-	cause  string
-	stored bool
-	ready  time.Time
-	left   time.Duration
-	flush  time.Time
+	job              *userJob
+	index            int
+	attempt          uint64
+	status           core.TaskStatus
+	cause            string
+	checkpointed     bool
+	imageReadyAt     time.Time
+	remaining        time.Duration
+	checkpointDoneAt time.Time
 	// blamed: that it is still there was told; others are to find room in the list.
-	blamed bool
+	violationReported bool
 }
 
 func taskName(job string, i int) string { return fmt.Sprintf("%s/%d", job, i) }
 
 // up says that the worker runs and is not hanging.
 func (m *Worker) up(now time.Time) bool {
-	return !m.dead && !m.returned && !now.Before(m.upAt) && !now.Before(m.hungTill)
+	return !m.dead && !m.released && !now.Before(m.upAt) && !now.Before(m.hungUntil)
 }
 
 // onMachine says that a task counts as being on its machine.
@@ -84,31 +84,31 @@
 	return t.status == core.Running || t.status == core.Checkpointing
 }
 
-func (m *Worker) report(now time.Time) core.Heartbeat {
-	m.tick++
+func (m *Worker) heartbeat(now time.Time) core.Heartbeat {
+	m.sequence++
 	r := core.Heartbeat{
-		Machine: m.ID, Addr: m.Addr, MachineType: m.Flavour, Zone: m.Zone, Spot: m.Spot,
-		Incarnation: m.tenure, Sequence: m.tick, Epoch: m.epoch, ReclaimIn: -1,
+		Machine: m.ID, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot,
+		Incarnation: m.incarnation, Sequence: m.sequence, Epoch: m.epoch, ReclaimIn: -1,
 	}
-	if !m.recallAt.IsZero() {
-		r.ReclaimIn = max(0, m.recallAt.Sub(now))
+	if !m.reclaimAt.IsZero() {
+		r.ReclaimIn = max(0, m.reclaimAt.Sub(now))
 	}
-	for _, k := range sorted(m.tasks) {
+	for _, k := range sortedKeys(m.tasks) {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, core.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.try, Status: t.status, Cause: t.cause, CheckpointStored: t.stored})
+		r.Tasks = append(r.Tasks, core.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.checkpointed})
 	}
 	return r
 }
 
-// execute carries out orders one after another.
-func (w *World) execute(m *Worker, orders []core.TaskCommand) {
+// executeCommands carries out orders one after another.
+func (w *World) executeCommands(m *Worker, orders []core.TaskCommand) {
 	for _, o := range orders {
-		k := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
-		t := m.tasks[k]
+		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
+		t := m.tasks[key]
 		switch o.Kind {
 		case core.StartTask:
-			if t == nil && !m.lazy {
-				w.startTask(m, o, k)
+			if t == nil && !m.ignoresStarts {
+				w.startTask(m, o, key)
 			}
 		case core.StopTask:
 			if t == nil || t.status == core.Ended {
@@ -117,23 +117,23 @@
 			save := t.job.spec.CheckpointInterval > 0 && t.status == core.Running && o.GracePeriod >= t.job.spec.CheckpointCost
 			switch {
 			case save:
-				t.status, t.flush = core.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
+				t.status, t.checkpointDoneAt = core.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
 			case t.status == core.Checkpointing && o.GracePeriod > 0:
 			default:
-				w.end(m, t, "stopped")
+				w.endTask(m, t, "stopped")
 			}
 		case core.ClearTask:
 			if t != nil && t.status == core.Ended {
-				delete(m.tasks, k)
+				delete(m.tasks, key)
 			}
 		}
 	}
 }
 
-func (w *World) startTask(m *Worker, o core.TaskCommand, k string) {
+func (w *World) startTask(m *Worker, o core.TaskCommand, key string) {
 	j := w.jobs[o.Job]
-	if j == nil && w.learn != nil {
-		if spec, run, ok := w.learn(o.Job); ok {
+	if j == nil && w.jobSource != nil {
+		if spec, run, ok := w.jobSource(o.Job); ok {
 			j = newUserJob(spec, run)
 			w.jobs[o.Job] = j
 		}
@@ -141,10 +141,10 @@
 	if j == nil {
 		return
 	}
-	t := &workerTask{job: j, index: o.Index, try: o.Attempt, status: core.Fetching}
-	m.tasks[k] = t
-	if !slices.Contains(j.places[o.Index], m) {
-		j.places[o.Index] = append(j.places[o.Index], m)
+	t := &workerTask{job: j, index: o.Index, attempt: o.Attempt, status: core.Fetching}
+	m.tasks[key] = t
+	if !slices.Contains(j.machines[o.Index], m) {
+		j.machines[o.Index] = append(j.machines[o.Index], m)
 	}
 	m.changed = true
 	used := core.Resources{}
@@ -163,171 +163,171 @@
 	}
 	j.placedAt = w.now
 	if m.images[j.spec.Image].IsZero() {
-		m.images[j.spec.Image] = w.now.Add(core.Seconds(j.spec.ImageGB / m.Pull))
+		m.images[j.spec.Image] = w.now.Add(core.Seconds(j.spec.ImageGB / m.FetchRate))
 	}
-	t.ready = m.images[j.spec.Image]
-	t.left = j.run
-	if m.slow > 0 {
-		t.left = time.Duration(float64(t.left) * m.slow)
+	t.imageReadyAt = m.images[j.spec.Image]
+	t.remaining = j.run
+	if m.slowFactor > 0 {
+		t.remaining = time.Duration(float64(t.remaining) * m.slowFactor)
 	}
-	if saved, ok := j.saved[o.Index]; ok {
-		t.left = min(t.left, saved)
+	if saved, ok := j.checkpoints[o.Index]; ok {
+		t.remaining = min(t.remaining, saved)
 	}
-	if j.results[o.Index] {
-		t.left = 0
+	if j.doneTasks[o.Index] {
+		t.remaining = 0
 	}
 }
 
-func (w *World) end(m *Worker, t *workerTask, cause string) {
+func (w *World) endTask(m *Worker, t *workerTask, cause string) {
 	t.cause = cause
-	w.leaves(t)
+	w.releaseTask(t)
 	t.status = core.Ended
 	m.changed = true
 }
 
-// advance moves the machine's tasks on by a tick.
-func (w *World) advance(m *Worker, d time.Duration) {
+// advanceMachine moves the machine's tasks on by a tick.
+func (w *World) advanceMachine(m *Worker, d time.Duration) {
 	// A hanging machine goes on within its lease or not at all, so the end of
 	// a lease comes to it as well.
-	if m.tenure > 0 && w.now.Sub(m.leaseFrom) > w.set.WorkerLease {
+	if m.incarnation > 0 && w.now.Sub(m.leaseStart) > w.settings.WorkerLease {
 		for _, t := range m.tasks {
 			if t.onMachine() {
 				w.LostToLease++
 			}
 		}
-		w.clear(m)
+		w.clearTasks(m)
 		clear(m.images)
-		m.tenure++
-		m.leaseFrom, m.changed = w.now, true
+		m.incarnation++
+		m.leaseStart, m.changed = w.now, true
 	}
 	if !m.up(w.now) {
 		return
 	}
-	if m.tenure == 0 {
-		m.tenure, m.leaseFrom, m.nextAt = 1, w.now, w.now
+	if m.incarnation == 0 {
+		m.incarnation, m.leaseStart, m.nextHeartbeatAt = 1, w.now, w.now
 	}
 	for _, t := range m.tasks {
 		switch t.status {
 		case core.Fetching:
-			if !t.ready.After(w.now) {
-				t.status, m.changed, m.used = core.Running, true, true
+			if !t.imageReadyAt.After(w.now) {
+				t.status, m.changed, m.everUsed = core.Running, true, true
 				team := t.job.spec.Team
-				w.used[team] = w.used[team].AddScaled(t.job.spec.Need, 1)
+				w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
 				w.checkStart(m, t)
 			}
 		case core.Running:
-			if m.faulty || t.job.broken {
-				w.end(m, t, "error")
+			if m.faulty || t.job.alwaysFails {
+				w.endTask(m, t, "error")
 				continue
 			}
-			t.left -= d
-			if every := t.job.spec.CheckpointInterval; every > 0 && t.left > 0 {
+			t.remaining -= d
+			if checkpointEvery := t.job.spec.CheckpointInterval; checkpointEvery > 0 && t.remaining > 0 {
 				// Saved progress is what is left rounded up to a checkpoint.
-				steps := (t.job.run - t.left) / every
-				t.job.save(t.index, t.job.run-steps*every)
+				steps := (t.job.run - t.remaining) / checkpointEvery
+				t.job.saveCheckpoint(t.index, t.job.run-steps*checkpointEvery)
 			}
-			if t.left <= 0 && !t.job.spec.LongRunning {
-				t.job.results[t.index] = true
-				w.end(m, t, "done")
-				w.resultsComplete(t.job)
-				w.endsNear(t.job)
+			if t.remaining <= 0 && !t.job.spec.LongRunning {
+				t.job.doneTasks[t.index] = true
+				w.endTask(m, t, "done")
+				w.noteTasksDone(t.job)
+				w.maybeCancelAtEnd(t.job)
 			}
 		case core.Checkpointing:
-			if !t.flush.After(w.now) {
-				t.job.save(t.index, t.left)
-				t.stored = true
-				w.end(m, t, "stopped")
+			if !t.checkpointDoneAt.After(w.now) {
+				t.job.saveCheckpoint(t.index, t.remaining)
+				t.checkpointed = true
+				w.endTask(m, t, "stopped")
 			}
 		}
 	}
 	// No more often than every half second, and every report interval.
-	if !m.reporting && (!w.now.Before(m.nextAt) || m.changed && w.now.Sub(m.lastAt) >= 500*time.Millisecond) {
-		m.reporting, m.changed, m.lastAt = true, false, w.now
-		m.nextAt = w.now.Add(w.jitter(w.set.HeartbeatInterval))
-		w.reporter(m)
+	if !m.heartbeatPending && (!w.now.Before(m.nextHeartbeatAt) || m.changed && w.now.Sub(m.lastHeartbeatAt) >= 500*time.Millisecond) {
+		m.heartbeatPending, m.changed, m.lastHeartbeatAt = true, false, w.now
+		m.nextHeartbeatAt = w.now.Add(w.jitter(w.settings.HeartbeatInterval))
+		w.heartbeatSender(m)
 	}
 }
 
-func (w *World) sendReport(m *Worker) {
-	sent, tenure, to, life := w.now, m.tenure, m.node, m.life
+func (w *World) sendHeartbeat(m *Worker) {
+	sent, incarnation, to, process := w.now, m.incarnation, m.controller, m.process
 	answered := false
-	r := m.report(w.now)
+	r := m.heartbeat(w.now)
 	next := func(again time.Duration) {
-		m.reporting = false
-		m.node = (to + 1) % len(w.nodes)
-		m.nextAt = w.now.Add(again)
+		m.heartbeatPending = false
+		m.controller = (to + 1) % len(w.controllers)
+		m.nextHeartbeatAt = w.now.Add(again)
 	}
-	w.after(4*time.Second, func() {
-		if !answered && m.life == life {
+	w.schedule(4*time.Second, func() {
+		if !answered && m.process == process {
 			answered = true
 			next(time.Second)
 		}
 	})
-	if w.now.Before(m.muteTill) {
+	if w.now.Before(m.unheardUntil) {
 		// It opens no connection, and there is nothing that could arrive.
 		return
 	}
-	p := w.nodes[to]
-	w.copyReport(r)
-	if w.twice > 0 && w.rng.Float64() < w.twice {
-		w.after(w.late(), func() {
-			w.sendMsg(m.ID, p.name, func() {
-				p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
+	p := w.controllers[to]
+	w.copyHeartbeat(r)
+	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
+		w.schedule(w.randomDelay(), func() {
+			w.sendMessage(m.ID, p.name, func() {
+				p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
 			})
 		})
 	}
-	w.sendMsg(m.ID, p.name, func() {
-		p.ask(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) {
+	w.sendMessage(m.ID, p.name, func() {
+		p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) {
 			a := e.(core.HeartbeatReply)
-			w.sendMsg(p.name, m.ID, func() {
+			w.sendMessage(p.name, m.ID, func() {
 				if answered {
 					// Given up: the answer is dropped.
 					return
 				}
 				answered = true
 				switch {
-				case a.Status == 421 && a.MachineOwner != "" && w.nodeIndex(a.MachineOwner) >= 0 && w.nodeIndex(a.MachineOwner) != to:
-					m.reporting = false
-					m.node = w.nodeIndex(a.MachineOwner)
-					m.nextAt = w.now.Add(w.jitter(250 * time.Millisecond))
+				case a.Status == 421 && a.MachineOwner != "" && w.controllerIndex(a.MachineOwner) >= 0 && w.controllerIndex(a.MachineOwner) != to:
+					m.heartbeatPending = false
+					m.controller = w.controllerIndex(a.MachineOwner)
+					m.nextHeartbeatAt = w.now.Add(w.jitter(250 * time.Millisecond))
 				case a.Status != 200:
 					next(time.Second)
 				default:
-					w.checkBody(a)
-					m.reporting = false
-					if a.Epoch < m.epoch || tenure != m.tenure {
+					w.checkReplySize(a)
+					m.heartbeatPending = false
+					if a.Epoch < m.epoch || incarnation != m.incarnation {
 						return
 					}
 					if a.Epoch > m.epoch {
 						m.epoch, m.changed = a.Epoch, true
 					}
-					m.leaseFrom = sent
-					w.execute(m, a.Commands)
+					m.leaseStart = sent
+					w.executeCommands(m, a.Commands)
 				}
 			})
 		})
 	})
 }
 
-// direct is a request to the worker's own address.
-func (w *World) direct(m *Worker, op core.WorkerRequest) core.WorkerResponse {
+// executeDirect is a request to the worker's own address.
+func (w *World) executeDirect(m *Worker, op core.WorkerRequest) core.WorkerResponse {
 	d := core.WorkerResponse{ID: op.ID, OK: true}
 	if !op.StatusOnly {
-		if op.Epoch < m.epoch || op.Incarnation != m.tenure {
+		if op.Epoch < m.epoch || op.Incarnation != m.incarnation {
 			d.OK = false
 		} else {
 			if op.Epoch > m.epoch {
 				m.epoch, m.changed = op.Epoch, true
 			}
-			w.execute(m, op.Commands)
+			w.executeCommands(m, op.Commands)
 		}
 	}
-	r := m.report(w.now)
+	r := m.heartbeat(w.now)
 	d.Heartbeat = &r
 	return d
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -12,119 +12,119 @@
 	"golang.org/x/time/rate"
 )
 
-// tick is the step of workers, grants and checks.
-const tick = 100 * time.Millisecond
+// tickInterval is the step of workers, grants and checks.
+const tickInterval = 100 * time.Millisecond
 
 // World is simulated time with controllers, state service, cloud, workers and
 // users in it, and faults. The same seed gives the same run.
 type World struct {
-	now    time.Time
-	began  time.Time
-	rng    *rand.Rand
-	set    core.Settings
-	cancel time.Duration
-	events events
-	seq    uint64
+	now          time.Time
+	startedAt    time.Time
+	rng          *rand.Rand
+	settings     core.Settings
+	cancelWithin time.Duration
+	events       events
+	seq          uint64
 
-	nodes   []*proc
-	state   *StateService
-	machine map[string]*Worker
+	controllers []*controllerProcess
+	state       *StateService
+	machines    map[string]*Worker
 	// fleet are the machines that are not gone for good, in the order of creation.
 	fleet []*Worker
-	// used is what each team's tasks take.
-	used   map[string]core.Resources
-	calls  *rate.Limiter
-	types  map[string]core.MachineType
-	room   map[string]int
-	booked map[string][]string
-	jobs   map[string]*userJob
+	// teamUsage is what each team's tasks take.
+	teamUsage     map[string]core.Resources
+	cloudLimiter  *rate.Limiter
+	machineTypes  map[string]core.MachineType
+	cloudCapacity map[string]int
+	rentals       map[string][]string
+	jobs          map[string]*userJob
 
-	cuts     map[string]*cut
-	oneWay   map[string]int
-	outage   bool
-	cloudOut bool
+	partitions       map[string]*partition
+	oneWayPartitions map[string]int
+	stateOutage      bool
+	cloudOutage      bool
 	// loss: how often an answer or request is lost, or held for long.
-	loss float64
+	lossRate float64
 	// twice: how often a transaction, a report or an order is carried out once
 	// more, up to minutes later. Of a doubled order neither answer arrives: a
 	// client that got one does not send again.
-	twice float64
-	// Broken collects broken rules.
-	Broken []string
-	// Started counts starts, and StartedCancelled those after an answer has left that says
+	duplicateRate float64
+	// Violations collects broken rules.
+	Violations []string
+	// Starts counts starts, and StartsAfterCancel those after an answer has left that says
 	// that the job is cancelled.
-	Started, StartedCancelled int
-	// copies is the share of reports that come once more, up to copyLongest later,
-	// until copyTill.
-	copies      float64
-	copyLongest time.Duration
-	copyTill    time.Time
-	// slowState: the state service answers slowly until then, slowBy times as slowly.
-	slowState time.Time
-	slowBy    float64
-	// lateWrites is the share of transactions that get no answer and are carried out
-	// later, until lateWriteTill.
-	lateWrites    float64
-	lateWriteTill time.Time
-	// outageTill is when the last outage that has begun is over.
-	outageTill time.Time
+	Starts, StartsAfterCancel int
+	// heartbeatCopyRate is the share of reports that come once more, up to heartbeatCopyMaxDelay later,
+	// until heartbeatCopiesUntil.
+	heartbeatCopyRate     float64
+	heartbeatCopyMaxDelay time.Duration
+	heartbeatCopiesUntil  time.Time
+	// stateSlowUntil: the state service answers slowly until then, slowBy times as slowly.
+	stateSlowUntil  time.Time
+	stateSlowFactor float64
+	// lateWriteRate is the share of transactions that get no answer and are carried out
+	// later, until lateWritesUntil.
+	lateWriteRate   float64
+	lateWritesUntil time.Time
+	// stateOutageUntil is when the last outage that has begun is over.
+	stateOutageUntil time.Time
 	// keeps: some users ask the same controller again and again once all is over.
-	keeps bool
-	// Refused counts users' requests that were refused for now.
-	Refused int
+	stickyUsers bool
+	// RefusedRequests counts users' requests that were refused for now.
+	RefusedRequests int
 	// LostToLease counts tasks that a worker killed when its lease ran out.
 	LostToLease int
-	// Calls counts requests to the cloud.
-	Calls struct{ Done, Refused int }
-	names int
-	// order names all machines that ever were, in the order of creation.
-	order []string
-	// stepped is the real time that the cores took, for benchmarks.
-	stepped time.Duration
-	logs    []string
-	// sabotage breaks an invariant on purpose, to show that it is noticed.
-	sabotage func(core.Effect) core.Effect
-	// coreLease, when set, is the wrong lease that the cores are told.
-	coreLease time.Duration
-	// reporter sends a worker's report; rented is told of new machines, and gone of
+	// CloudCalls counts requests to the cloud.
+	CloudCalls struct{ Done, RefusedRequests int }
+	lastID     int
+	// machineIDs names all machines that ever were, in the order of creation.
+	machineIDs []string
+	// coreTime is the real time that the cores took, for benchmarks.
+	coreTime time.Duration
+	logs     []string
+	// corruptEffect breaks an invariant on purpose, to show that it is noticed.
+	corruptEffect func(core.Effect) core.Effect
+	// leaseOverride, when set, is the wrong lease that the cores are told.
+	leaseOverride time.Duration
+	// heartbeatSender sends a worker's report; rented is told of new machines, and gone of
 	// those that are gone for good.
-	reporter func(*Worker)
-	rented   func(*Worker)
-	gone     func(*Worker)
+	heartbeatSender func(*Worker)
+	onRented        func(*Worker)
+	onGone          func(*Worker)
 	// learn, when set, is where workers fetch the description of a job that nobody
 	// told them of.
-	learn func(id string) (core.JobSpec, time.Duration, bool)
-	// stills picks the effect before which a process stands still, for stillFor.
-	stills   func(*proc, core.Effect) bool
-	stillFor time.Duration
-	// ends picks the effect with which a process ends.
-	ends func(*proc, core.Effect) bool
-	// weather is there on days with troubles of no list.
-	weather *weather
-	laterTroubles
-	// slack is the least that was left to each rule with a time.
-	slack map[string]Slack
-	// waitingNext is when is looked next at what waits.
-	waitingNext time.Time
-	// ranked checks the order of work, where a ranking is on; tune changes what a
+	jobSource func(id string) (core.JobSpec, time.Duration, bool)
+	// pauseCondition picks the effect before which a process stands still, for pauseDuration.
+	pauseCondition func(*controllerProcess, core.Effect) bool
+	pauseDuration  time.Duration
+	// crashCondition picks the effect with which a process ends.
+	crashCondition func(*controllerProcess, core.Effect) bool
+	// disturbances is there on days with troubles of no list.
+	disturbances *disturbances
+	extraFaultState
+	// margins is the least that was left to each rule with a time.
+	margins map[string]Margin
+	// nextWaitCheck is when is looked next at what waits.
+	nextWaitCheck time.Time
+	// rankingCheck checks the order of work, where a ranking is on; tune changes what a
 	// controller is told at start.
-	ranked *ranked
-	tune   func(i int, set *core.Settings)
-	// answered is told of every answer that reaches a user, and when he asked.
-	answered func(asked time.Time, r core.UserReply)
+	rankingCheck   *rankingChecker
+	adjustSettings func(i int, set *core.Settings)
+	// onAnswer is told of every answer that reaches a user, and when he asked.
+	onAnswer func(asked time.Time, r core.UserReply)
 	// calm, if set, is when the last trouble is over.
-	calm time.Time
+	faultsEndAt time.Time
 	// trace names a job whose debug lines are kept as well.
 	trace string
 }
 
-// maxBroken bounds the list of broken rules; the first ones tell enough.
-const maxBroken = 20
+// maxViolations bounds the list of broken rules; the first ones tell enough.
+const maxViolations = 20
 
 type event struct {
 	at  time.Time
 	seq uint64
-	fn  func()
+	run func()
 }
 
 type events []event
@@ -147,36 +147,36 @@
 }
 
 // NewWorld makes a world with n controllers, which start at once.
-func NewWorld(seed uint64, n int, set core.Settings, cancel time.Duration, types []core.MachineType, room map[string]int) *World {
+func NewWorld(seed uint64, controllers int, settings core.Settings, cancel time.Duration, types []core.MachineType, capacity map[string]int) *World {
 	w := &World{
-		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), set: set, cancel: cancel,
-		state: NewStateService(), machine: map[string]*Worker{}, types: map[string]core.MachineType{},
-		room: room, booked: map[string][]string{}, jobs: map[string]*userJob{}, cuts: map[string]*cut{}, oneWay: map[string]int{},
-		used: map[string]core.Resources{}, slack: map[string]Slack{}, calls: rate.NewLimiter(rate.Inf, 1),
+		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
+		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]core.MachineType{},
+		cloudCapacity: capacity, rentals: map[string][]string{}, jobs: map[string]*userJob{}, partitions: map[string]*partition{}, oneWayPartitions: map[string]int{},
+		teamUsage: map[string]core.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
-	if set.CloudRequestsPerSecond > 0 {
+	if settings.CloudRequestsPerSecond > 0 {
 		// Bursts of two seconds' worth.
-		w.calls = rate.NewLimiter(rate.Limit(set.CloudRequestsPerSecond), max(1, int(2*set.CloudRequestsPerSecond)))
+		w.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
 	}
-	w.began = w.now
-	w.state.Limit(set)
-	w.reporter, w.rented, w.gone = w.sendReport, func(*Worker) {}, func(*Worker) {}
+	w.startedAt = w.now
+	w.state.SetLimits(settings)
+	w.heartbeatSender, w.onRented, w.onGone = w.sendHeartbeat, func(*Worker) {}, func(*Worker) {}
 	for _, t := range types {
-		w.types[t.Name] = t
+		w.machineTypes[t.Name] = t
 	}
-	for i := range n {
-		w.nodes = append(w.nodes, &proc{w: w, index: i, name: fmt.Sprintf("node-%d", i)})
+	for i := range controllers {
+		w.controllers = append(w.controllers, &controllerProcess{world: w, index: i, name: fmt.Sprintf("node-%d", i)})
 	}
-	for _, p := range w.nodes {
-		p.boot()
+	for _, p := range w.controllers {
+		p.start()
 	}
-	w.after(tick, w.tick)
+	w.schedule(tickInterval, w.onTick)
 	return w
 }
 
-func (w *World) after(d time.Duration, fn func()) {
+func (w *World) schedule(delay time.Duration, fn func()) {
 	w.seq++
-	heap.Push(&w.events, event{w.now.Add(d), w.seq, fn})
+	heap.Push(&w.events, event{w.now.Add(delay), w.seq, fn})
 }
 
 func (w *World) jitter(d time.Duration) time.Duration {
@@ -189,40 +189,40 @@
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
 		e := heap.Pop(&w.events).(event)
 		w.now = e.at
-		e.fn()
+		e.run()
 	}
 	w.now = end
 }
 
-func (w *World) broke(rule, format string, args ...any) {
-	if len(w.Broken) >= maxBroken {
+func (w *World) violate(rule, format string, args ...any) {
+	if len(w.Violations) >= maxViolations {
 		return
 	}
-	w.Broken = append(w.Broken, fmt.Sprintf("%s at %.1fs: %s", rule, w.now.Sub(w.began).Seconds(), fmt.Sprintf(format, args...)))
+	w.Violations = append(w.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, w.now.Sub(w.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
-func (w *World) tick() {
-	if !w.outage {
-		w.state.Tick(w.now)
+func (w *World) onTick() {
+	if !w.stateOutage {
+		w.state.Expire(w.now)
 	}
-	w.advanceAll(tick)
-	w.checkAll()
-	w.bringKept()
+	w.advanceMachines(tickInterval)
+	w.checkCancellations()
+	w.replayHeldHeartbeats()
 	w.checkWaiting()
-	w.after(tick, w.tick)
+	w.schedule(tickInterval, w.onTick)
 }
 
-// advanceAll moves all machines on. Those that are gone for good are looked at no more.
-func (w *World) advanceAll(step time.Duration) {
+// advanceMachines moves all machines on. Those that are gone for good are looked at no more.
+func (w *World) advanceMachines(step time.Duration) {
 	keep := w.fleet[:0]
 	for _, m := range w.fleet {
-		if !m.recallAt.IsZero() && !w.now.Before(m.recallAt) {
-			w.kill(m)
-			m.taken = true
+		if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
+			w.killMachine(m)
+			m.reclaimed = true
 		}
-		w.advance(m, step)
-		if m.returned || m.taken {
-			w.gone(m)
+		w.advanceMachine(m, step)
+		if m.released || m.reclaimed {
+			w.onGone(m)
 			continue
 		}
 		keep = append(keep, m)
@@ -230,25 +230,25 @@
 	w.fleet = keep
 }
 
-func (w *World) nodeIndex(name string) int {
-	return slices.IndexFunc(w.nodes, func(p *proc) bool { return p.name == name })
+func (w *World) controllerIndex(name string) int {
+	return slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.name == name })
 }
 
-// sendMsg brings a message from a to b: late, lost or held as the links are.
-func (w *World) sendMsg(a, b string, fn func()) {
-	life := 0
-	if m := w.machine[b]; m != nil {
-		life = m.life
+// sendMessage brings a message from a to b: late, lost or held as the links are.
+func (w *World) sendMessage(from, to string, fn func()) {
+	process := 0
+	if m := w.machines[to]; m != nil {
+		process = m.process
 	}
 	deliver := func() {
 		// A hanging machine takes it when it goes on.
-		if m := w.machine[b]; m != nil {
+		if m := w.machines[to]; m != nil {
 			switch {
-			case m.dead || m.returned || m.life != life:
+			case m.dead || m.released || m.process != process:
 				return
-			case w.now.Before(m.hungTill):
-				w.after(m.hungTill.Sub(w.now)+time.Millisecond, func() {
-					if !m.dead && !m.returned && m.life == life {
+			case w.now.Before(m.hungUntil):
+				w.schedule(m.hungUntil.Sub(w.now)+time.Millisecond, func() {
+					if !m.dead && !m.released && m.process == process {
 						fn()
 					}
 				})
@@ -257,53 +257,53 @@
 		}
 		fn()
 	}
-	if w.lostOneWay(a, b) || w.unreached(w.machine[b], deliver) {
+	if w.isPartitionedOneWay(from, to) || w.holdIfUnreachable(w.machines[to], deliver) {
 		return
 	}
-	if c := w.cutBetween(a, b); c != nil {
-		if c.hold {
-			c.held = append(c.held, deliver)
+	if c := w.partitionBetween(from, to); c != nil {
+		if c.holdMessages {
+			c.heldMessages = append(c.heldMessages, deliver)
 		}
 		return
 	}
 	d := time.Duration(1+w.rng.IntN(6)) * time.Millisecond
-	if w.now.Before(w.slowState) && (a == "state" || b == "state") {
-		d = time.Duration(float64(d) * w.slowBy)
+	if w.now.Before(w.stateSlowUntil) && (from == "state" || to == "state") {
+		d = time.Duration(float64(d) * w.stateSlowFactor)
 	}
-	if w.weather != nil && w.now.Before(w.weather.slowTill) && (a == "state" || a == "cloud") {
-		d += time.Duration(w.rng.Int64N(int64(w.weather.slow)))
+	if w.disturbances != nil && w.now.Before(w.disturbances.slowAnswersUntil) && (from == "state" || from == "cloud") {
+		d += time.Duration(w.rng.Int64N(int64(w.disturbances.answerDelay)))
 	}
 	if w.rng.Float64() < 0.01 {
 		d += time.Duration(w.rng.IntN(400)) * time.Millisecond
 	}
-	if w.rng.Float64() < w.loss {
+	if w.rng.Float64() < w.lossRate {
 		if w.rng.IntN(2) == 0 {
 			return
 		}
-		d += w.late()
+		d += w.randomDelay()
 	}
-	w.after(d, deliver)
+	w.schedule(d, deliver)
 }
 
-// late is how much later than usual a message comes that was held somewhere.
-func (w *World) late() time.Duration { return time.Duration(5+w.rng.IntN(100)) * time.Second }
+// randomDelay is how much later than usual a message comes that was held somewhere.
+func (w *World) randomDelay() time.Duration { return time.Duration(5+w.rng.IntN(100)) * time.Second }
 
-// lateMost bounds that.
-const lateMost = 105 * time.Second
+// maxRandomDelay bounds that.
+const maxRandomDelay = 105 * time.Second
 
-// clear takes everything off a machine.
-func (w *World) clear(m *Worker) {
+// clearTasks takes everything off a machine.
+func (w *World) clearTasks(m *Worker) {
 	for _, t := range m.tasks {
-		w.leaves(t)
+		w.releaseTask(t)
 	}
 	clear(m.tasks)
 }
 
-// leaves notes that a task takes no room any more, if it did.
-func (w *World) leaves(t *workerTask) {
+// releaseTask notes that a task takes no room any more, if it did.
+func (w *World) releaseTask(t *workerTask) {
 	if t.onMachine() {
 		team := t.job.spec.Team
-		w.used[team] = w.used[team].AddScaled(t.job.spec.Need, -1)
+		w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, -1)
 		w.replicaDown(t)
 	}
 }
@@ -311,22 +311,22 @@
 // Outage takes the state service away for d; afterwards every grant has its
 // full time again.
 func (w *World) Outage(d time.Duration) {
-	w.outage = true
-	if till := w.now.Add(d); till.After(w.outageTill) {
-		w.outageTill = till
+	w.stateOutage = true
+	if until := w.now.Add(d); until.After(w.stateOutageUntil) {
+		w.stateOutageUntil = until
 	}
-	w.after(d, func() {
-		if w.outage = w.now.Before(w.outageTill); w.outage {
+	w.schedule(d, func() {
+		if w.stateOutage = w.now.Before(w.stateOutageUntil); w.stateOutage {
 			return
 		}
-		w.state.Extend(w.now)
+		w.state.RenewLeases(w.now)
 	})
 }
 
-// live counts a job's tasks on machines.
-func (w *World) live(id string) int {
+// runningTasks counts a job's tasks on machines.
+func (w *World) runningTasks(id string) int {
 	k := 0
-	for _, m := range w.machine {
+	for _, m := range w.machines {
 		for _, t := range m.tasks {
 			if t.job.spec.ID == id && t.onMachine() && !m.dead {
 				k++
@@ -339,54 +339,54 @@
 // randomFault lets one thing go wrong, often while another still does.
 func (w *World) randomFault(rng *rand.Rand) {
 	dur := time.Duration(5+rng.IntN(35)) * time.Second
-	p := w.nodes[rng.IntN(len(w.nodes))]
+	p := w.controllers[rng.IntN(len(w.controllers))]
 	hold := rng.IntN(2) == 0
-	var ms []*Worker
-	for _, id := range sorted(w.machine) {
-		if m := w.machine[id]; m.up(w.now) {
-			ms = append(ms, m)
+	var machines []*Worker
+	for _, id := range sortedKeys(w.machines) {
+		if m := w.machines[id]; m.up(w.now) {
+			machines = append(machines, m)
 		}
 	}
 	switch rng.IntN(12) {
 	case 0:
-		w.Crash(p.index, 5*time.Second)
+		w.CrashController(p.index, 5*time.Second)
 	case 1:
-		for i := range w.nodes {
-			w.Crash(i, 5*time.Second)
+		for i := range w.controllers {
+			w.CrashController(i, 5*time.Second)
 		}
 	case 2:
-		w.Cut(p.name, "*", dur, hold)
+		w.Partition(p.name, "*", dur, hold)
 	case 3:
-		w.Cut(p.name, "state", dur, hold)
+		w.Partition(p.name, "state", dur, hold)
 	case 4:
-		w.Cut(p.name, "workers", dur, hold)
+		w.Partition(p.name, "workers", dur, hold)
 	case 5:
-		w.refuse(p, dur)
+		w.refuseController(p, dur)
 	case 6:
 		w.Outage(dur)
 	case 7:
-		w.cloudOut = true
-		w.after(dur, func() { w.cloudOut = false })
+		w.cloudOutage = true
+		w.schedule(dur, func() { w.cloudOutage = false })
 	case 8:
-		for _, m := range ms {
+		for _, m := range machines {
 			if m.Spot && rng.IntN(2) == 0 {
-				m.recallAt = w.now.Add(time.Duration(rng.IntN(15)) * time.Second)
+				m.reclaimAt = w.now.Add(time.Duration(rng.IntN(15)) * time.Second)
 			}
 		}
 	default:
-		if len(ms) == 0 {
+		if len(machines) == 0 {
 			return
 		}
-		m := ms[rng.IntN(len(ms))]
+		m := machines[rng.IntN(len(machines))]
 		switch rng.IntN(5) {
 		case 0:
-			w.kill(m)
+			w.killMachine(m)
 		case 1, 2:
-			m.hungTill = w.now.Add(dur)
+			m.hungUntil = w.now.Add(dur)
 		case 3:
-			w.Cut(m.ID, "*", dur, hold)
+			w.Partition(m.ID, "*", dur, hold)
 		case 4:
-			m.slow = 3
+			m.slowFactor = 3
 		}
 	}
 }
