--- a/cmd/micahill-lab/conditions.go
+++ b/cmd/micahill-lab/conditions.go
@@ -62,7 +62,7 @@
 		},
 	}
 	c.Flags().StringVar(&root, "root", ".", "the repository's root")
-	c.Flags().StringVar(&list, "list", "internal/core/conditions.toml", "the list of conditions, relative to the root")
+	c.Flags().StringVar(&list, "list", "internal/controller/conditions.toml", "the list of conditions, relative to the root")
 	c.Flags().StringVar(&only, "only", "", "only conditions whose names match this regular expression")
 	c.Flags().IntVar(&parallel, "parallel", 4, "how many are tried at a time")
 	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
--- a/cmd/micahill-lab/days.go
+++ b/cmd/micahill-lab/days.go
@@ -9,13 +9,13 @@
 	"sync"
 	"text/tabwriter"
 
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/simulation"
 	"github.com/spf13/cobra"
 )
 
 // daysCommand plays days of our own stand-ins in simulated time.
 func daysCommand() *cobra.Command {
-	var params standin.DayParams
+	var params simulation.DayParams
 	var seeds, from uint64
 	var parallel int
 	var asJSON, shrink, quiet bool
@@ -66,24 +66,24 @@
 				return search.run(out, cmd.ErrOrStderr(), params, parallel)
 			}
 			if cmd.Flags().Changed("seed") || dayFile != "" {
-				d := standin.GenerateDay(params)
+				d := simulation.GenerateDay(params)
 				if dayFile != "" {
 					var err error
-					if d, err = standin.LoadDay(dayFile); err != nil {
+					if d, err = simulation.LoadDay(dayFile); err != nil {
 						return fmt.Errorf("days: %w", err)
 					}
 				}
-				broken := func(r standin.DayResult) bool { return len(r.Violations) > 0 }
+				broken := func(r simulation.DayResult) bool { return len(r.Violations) > 0 }
 				if shrink {
-					d = standin.Shrink(d, broken, func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) })
+					d = simulation.Shrink(d, broken, func(s string) { fmt.Fprintln(cmd.ErrOrStderr(), s) })
 				}
-				r := standin.RunDay(d, trace)
+				r := simulation.RunDay(d, trace)
 				if !quiet {
 					fmt.Fprintln(out, strings.Join(r.Log, "\n"))
 				}
-				return printDays(out, []standin.DayResult{r}, asJSON, true)
+				return printDays(out, []simulation.DayResult{r}, asJSON, true)
 			}
-			results := make([]standin.DayResult, seeds)
+			results := make([]simulation.DayResult, seeds)
 			var wg sync.WaitGroup
 			slots := make(chan struct{}, max(1, parallel))
 			for i := range seeds {
@@ -92,7 +92,7 @@
 					defer func() { <-slots }()
 					dayParams := params
 					dayParams.Seed = from + i
-					results[i] = standin.RunDay(standin.GenerateDay(dayParams), "")
+					results[i] = simulation.RunDay(simulation.GenerateDay(dayParams), "")
 				})
 			}
 			wg.Wait()
@@ -122,7 +122,7 @@
 	f.BoolVar(&searchMode, "seek", false, "search days of meetings by the slack that they leave")
 	f.IntVar(&search.runs, "runs", 500, "with --seek: how many days are played")
 	f.DurationVar(&search.timeLimit, "within", 0, "with --seek: end it after this time; 0: when all are played")
-	f.StringVar(&search.focusRule, "first", standin.RuleCancelled, "with --seek: the rule that half of the changed days go on from")
+	f.StringVar(&search.focusRule, "first", simulation.RuleCancelled, "with --seek: the rule that half of the changed days go on from")
 	f.StringVar(&search.outDir, "out", ".", "with --seek: where days are written")
 	f.BoolVar(&shrink, "shrink", false, "with --seed or --play: leave out troubles while the day stays broken")
 	f.StringVar(&trace, "trace", "", "with --seed: debug lines with this word, or one of several with | between")
@@ -136,7 +136,7 @@
 var errDaysFailed = errors.New("days: a rule was broken, less than half of a class, its largest jobs or a team was served, or one of the largest began too late")
 
 // formatStarts shows the waits of the largest jobs for their first and for all tasks.
-func formatStarts(largest *standin.LargestJobs) string {
+func formatStarts(largest *simulation.LargestJobs) string {
 	show := func(s float64) string {
 		if s < 0 {
 			return "never"
@@ -146,7 +146,7 @@
 	return show(largest.FirstStartS) + "/" + show(largest.AllStartedS)
 }
 
-func printDays(out io.Writer, results []standin.DayResult, asJSON, showGroups bool) error {
+func printDays(out io.Writer, results []simulation.DayResult, asJSON, showGroups bool) error {
 	failed := false
 	for i := range results {
 		failed = failed || len(results[i].Violations) > 0 || len(results[i].Starved()) > 0
@@ -200,7 +200,7 @@
 	if showGroups {
 		for i := range results {
 			fmt.Fprintln(w, "\nOF\tJOBS\tSERVED\tLARGEST\tBEGIN\tWAIT P50\tP90\tMAX\tLATE P50\tP90\tMAX")
-			for _, g := range append(append([]standin.Group{}, results[i].Classes...), results[i].TeamGroups...) {
+			for _, g := range append(append([]simulation.Group{}, results[i].Classes...), results[i].TeamGroups...) {
 				largest, began := "", ""
 				if l := g.Largest; l != nil {
 					largest, began = fmt.Sprintf("%.2f", l.ServedFraction), formatStarts(l)
@@ -214,7 +214,7 @@
 				fmt.Fprintln(w, c)
 			}
 			fmt.Fprintf(w, "starts after a confirmed cancellation: %d\n", results[i].StartsAfterCancel)
-			for _, rule := range standin.TimedRules {
+			for _, rule := range simulation.TimedRules {
 				if s, ok := results[i].Margins[rule]; ok {
 					fmt.Fprintf(w, "slack of %s: %.1f s, %s\n", rule, s.Remaining.Seconds(), s.Subject)
 				}
--- a/cmd/micahill-lab/overflow.go
+++ b/cmd/micahill-lab/overflow.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/lab/fleet"
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/simulation"
 	"github.com/spf13/cobra"
 )
 
@@ -137,7 +137,7 @@
 					since = t
 				}
 			}
-			j.forgotten = j.forgotten || !j.acceptedAt.IsZero() && time.Since(since) > standin.MaxUnanswered
+			j.forgotten = j.forgotten || !j.acceptedAt.IsZero() && time.Since(since) > simulation.MaxUnanswered
 		}
 		if !injected && len(lent) > 0 {
 			injected = true
--- a/cmd/micahill-lab/seek.go
+++ b/cmd/micahill-lab/search.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/micahill/micahill/internal/seek"
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/search"
+	"github.com/micahill/micahill/internal/simulation"
 )
 
 // daySearch is a search among days by the slack that they leave to rules.
@@ -32,20 +32,20 @@
 var errSearchViolation = errors.New("days: the search found a day that broke a rule")
 
 // run searches and tells the least slack of each rule, with the day as a file.
-func (s *daySearch) run(out, progress io.Writer, p standin.DayParams, parallel int) error {
+func (s *daySearch) run(out, progress io.Writer, p simulation.DayParams, parallel int) error {
 	if s.runs < 1 || s.timeLimit < 0 {
 		return errors.New("days: --runs is to be positive, and --within not less than nothing")
 	}
 	if err := os.MkdirAll(s.outDir, 0o755); err != nil {
 		return fmt.Errorf("days: %w", err)
 	}
-	r := seek.Run(standin.SearchProblem(p, s.recordDay), seek.Options{
+	r := search.Run(simulation.SearchProblem(p, s.recordDay), search.Options{
 		Seed: s.seed, Runs: s.runs, TimeLimit: s.timeLimit, Parallel: parallel, FocusRule: s.focusRule,
 		OnBatch: func(runs int) { fmt.Fprintf(progress, "%d runs, %d broken\n", runs, s.brokenDays) },
 	})
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "RULE\tLEAST S\tNEXT S\tRUN\tDAY\tTROUBLES")
-	for _, rule := range append(standin.TimedRules[:len(standin.TimedRules):len(standin.TimedRules)], standin.UntimedRules) {
+	for _, rule := range append(simulation.TimedRules[:len(simulation.TimedRules):len(simulation.TimedRules)], simulation.UntimedRules) {
 		found := r.Nearest[rule]
 		if len(found) == 0 {
 			fmt.Fprintf(w, "%s\t-\t\t\t\t\n", rule)
@@ -69,7 +69,7 @@
 }
 
 // recordDay counts a day that was played, and keeps the broken ones.
-func (s *daySearch) recordDay(r standin.DayResult) {
+func (s *daySearch) recordDay(r simulation.DayResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(r.Starved()) > 0 {
@@ -83,7 +83,7 @@
 	}
 }
 
-func describeFaults(d *standin.Day) string {
+func describeFaults(d *simulation.Day) string {
 	var out []string
 	for _, f := range d.Faults {
 		out = append(out, f.String())
--- a/cmd/micahill/keys.go
+++ b/cmd/micahill/keys.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/micahill/micahill/internal/keys"
+	"github.com/micahill/micahill/internal/certs"
 	"github.com/spf13/cobra"
 )
 
@@ -42,7 +42,7 @@
 			if err := requireFlag("dir", dir); err != nil {
 				return err
 			}
-			if err := keys.Init(dir, time.Now()); err != nil {
+			if err := certs.Init(dir, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: a new CA. Keep ca.key where only you can read it.\n", dir)
@@ -55,7 +55,7 @@
 			if err := errors.Join(requireFlag("dir", dir), requireFlag("cluster", cluster), requireFlag("out", out)); err != nil {
 				return err
 			}
-			if err := keys.Issue(dir, cluster, out, time.Duration(days)*24*time.Hour, time.Now()); err != nil {
+			if err := certs.Issue(dir, cluster, out, time.Duration(days)*24*time.Hour, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: a certificate for %s, good for %d days. Copy the folder to all its controllers.\n", out, cluster, days)
@@ -64,14 +64,14 @@
 	}
 	issue.Flags().StringVar(&cluster, "cluster", "", "the cluster's name, as in overflow.cluster")
 	issue.Flags().StringVar(&out, "out", "", "the folder to write to")
-	issue.Flags().IntVar(&days, "days", int(keys.CertValidity.Hours()/24), "for how many days it is good")
+	issue.Flags().IntVar(&days, "days", int(certs.CertValidity.Hours()/24), "for how many days it is good")
 	show := &cobra.Command{
 		Use: "show", Short: "Show a folder's certificates; status 1 if one is not good", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
 				return err
 			}
-			infos, err := keys.Show(dir, time.Now())
+			infos, err := certs.Show(dir, time.Now())
 			if err != nil {
 				return err
 			}
@@ -86,13 +86,13 @@
 				return err
 			}
 			if finish {
-				if err := keys.FinishRotation(dir); err != nil {
+				if err := certs.FinishRotation(dir); err != nil {
 					return err
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: the old CA is trusted no more, once ca.pem is copied to every cluster.\n", dir)
 				return nil
 			}
-			if err := keys.Rotate(dir, time.Now()); err != nil {
+			if err := certs.Rotate(dir, time.Now()); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: a new CA beside the old one. Next: copy ca.pem to every cluster, then issue anew.\n", dir)
@@ -107,7 +107,7 @@
 	return root
 }
 
-func printKeys(out io.Writer, infos []keys.Info, asJSON bool, now time.Time) error {
+func printKeys(out io.Writer, infos []certs.Info, asJSON bool, now time.Time) error {
 	problem := ""
 	for _, i := range infos {
 		if i.Problem != "" {
--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -19,7 +19,7 @@
 	"github.com/micahill/micahill/internal/api"
 	"github.com/micahill/micahill/internal/cloud"
 	"github.com/micahill/micahill/internal/config"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/metrics"
 	"github.com/micahill/micahill/internal/peer"
 	"github.com/micahill/micahill/internal/policy"
@@ -150,7 +150,7 @@
 	nonce := fmt.Sprintf("%x", binary.LittleEndian.Uint64(seed[:8]))
 	settings := cfg.Settings(scriptPolicy, nonce)
 	settings.Capabilities = extras.Capabilities()
-	ctrl := core.New(settings, rand.New(rand.NewChaCha8(seed)))
+	ctrl := controller.New(settings, rand.New(rand.NewChaCha8(seed)))
 
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -164,24 +164,24 @@
 	workerClient := worker.New(deployment.Quota.Sockets)
 	peerSender := peer.StartSender(ctx, peers)
 	recorder := metrics.New()
-	var reportPromises func(core.PromiseTotals)
+	var reportPromises func(controller.PromiseTotals)
 	if settings.Capabilities.Promises {
 		reportPromises = metrics.RegisterPromises(recorder.Registry())
 	}
 	srv := server.New(ctrl, server.EffectHandlers{
-		Store: func(ctx context.Context, op core.StoreRequest) core.StoreResponse {
+		Store: func(ctx context.Context, op controller.StoreRequest) controller.StoreResponse {
 			began := time.Now()
 			done := stateClient.Do(ctx, op)
 			recorder.State(op.Kind, done.Status, time.Since(began))
 			return done
 		},
-		Cloud: func(ctx context.Context, op core.CloudRequest) core.CloudResponse {
+		Cloud: func(ctx context.Context, op controller.CloudRequest) controller.CloudResponse {
 			began := time.Now()
 			done := cloudClient.Do(ctx, op)
 			recorder.Cloud(op.Kind, done.Status, time.Since(began))
 			return done
 		},
-		Worker: func(ctx context.Context, op core.WorkerRequest) core.WorkerResponse {
+		Worker: func(ctx context.Context, op controller.WorkerRequest) controller.WorkerResponse {
 			began := time.Now()
 			done := workerClient.Do(ctx, op)
 			recorder.Commands(done, time.Since(began))
@@ -189,7 +189,7 @@
 		},
 		SendPeerUpdate: peerSender.Send,
 		RoleChanged:    recorder.Role,
-		SetRates: func(r core.Rates) {
+		SetRates: func(r controller.Rates) {
 			stateClient.SetRates(r)
 			recorder.Rates(r)
 		},
@@ -217,7 +217,7 @@
 	go func() { failures <- api.Serve(ctx, cfg.APIAddr, deployment.Quota.Sockets, srv, recorder.Request) }()
 	go func() {
 		// Users and workers are served while this address is still in use.
-		back, err := peer.Listen(ctx, cfg.InternalAddr, func(n core.PeerUpdate) { srv.Post(n) })
+		back, err := peer.Listen(ctx, cfg.InternalAddr, func(n controller.PeerUpdate) { srv.Post(n) })
 		if err != nil {
 			failures <- err
 			return
--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"github.com/labstack/echo/v4"
+	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/config"
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/keys"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/broker"
 	"github.com/micahill/micahill/internal/overflow/link"
@@ -33,7 +33,7 @@
 	if o.Borrow && !slices.ContainsFunc(cfg.Deployment.Teams, func(t config.Team) bool { return t.Name == o.GuestTeam }) {
 		return fmt.Errorf("overflow: field guest_team: %s is no team of the settings", o.GuestTeam)
 	}
-	certStore, err := keys.Open(o.CertDir)
+	certStore, err := certs.Open(o.CertDir)
 	if err != nil {
 		return fmt.Errorf("overflow: field keys: %w", err)
 	}
@@ -46,7 +46,7 @@
 
 // startOverflow runs lending beside the controller. errs is told when it ends.
 func startOverflow(ctx context.Context, o *config.Overflow, c *config.Config, srv *server.Server, reg prometheus.Registerer, rng *rand.Rand, failures chan<- error) (func(*echo.Echo), error) {
-	certStore, err := keys.Open(o.CertDir)
+	certStore, err := certs.Open(o.CertDir)
 	if err != nil {
 		return nil, fmt.Errorf("overflow: %w", err)
 	}
@@ -68,10 +68,10 @@
 	}
 	limits := overflow.DefaultLimits()
 	limits.LoansOut, limits.LoansIn, limits.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
-	limits.MinGain, limits.MaxCostRatio = core.Seconds(o.MinGainS), o.MaxCostRatio
+	limits.MinGain, limits.MaxCostRatio = controller.Seconds(o.MinGainS), o.MaxCostRatio
 	settings := broker.Settings{
-		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: core.Seconds(o.ReportS), LoanLease: core.Seconds(o.LeaseS),
-		WorkerLease: core.Seconds(c.Deployment.Workers.LeaseS), ClockBound: core.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
+		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: controller.Seconds(o.ReportS), LoanLease: controller.Seconds(o.LeaseS),
+		WorkerLease: controller.Seconds(c.Deployment.Workers.LeaseS), ClockBound: controller.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
 	}
 	knownPeers := map[string]bool{}
 	for _, p := range o.Peers {
@@ -99,10 +99,10 @@
 			}
 			ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 			defer cancel()
-			x, err := srv.Ask(ctx, func(r uint64) core.Command {
-				return core.DrainCommand{Reply: r, Enabled: on, Deadline: time.Now().Add(by)}
+			x, err := srv.Ask(ctx, func(r uint64) controller.Command {
+				return controller.DrainCommand{Reply: r, Enabled: on, Deadline: time.Now().Add(by)}
 			})
-			if d, ok := x.(core.LoanReply); err != nil || !ok || d.Status != core.LoanDurable {
+			if d, ok := x.(controller.LoanReply); err != nil || !ok || d.Status != controller.LoanDurable {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, "not written: the state service does not answer")
 			}
 			return c.JSON(http.StatusOK, map[string]bool{"draining": on})
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -11,18 +11,18 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/keys"
+	"github.com/micahill/micahill/internal/certs"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/broker"
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/simulation"
 )
 
 // testCluster is a whole cluster on loopback: controllers, and stand-ins for all that
 // is outside.
 type testCluster struct {
 	name, apiAddr, internalAddr, overflowAddr string
-	simulated                                 *standin.Live
+	simulated                                 *simulation.Live
 	settingsPath, overflowPath                string
 	stop                                      context.CancelFunc
 	ended                                     chan struct{}
@@ -42,18 +42,18 @@
 	t.Helper()
 	dir := t.TempDir()
 	ca := filepath.Join(dir, "ca")
-	if err := keys.Init(ca, time.Now()); err != nil {
+	if err := certs.Init(ca, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	out := map[string]*testCluster{}
 	for _, name := range names {
 		c := &testCluster{name: name, apiAddr: freeAddress(t), internalAddr: freeAddress(t), overflowAddr: freeAddress(t)}
-		types := []core.MachineType{{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
-		set := core.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond}
-		c.simulated = standin.NewLive(set, 200, 100, types, map[string]int{"small/a/true": machines[name]}, []string{c.apiAddr})
+		types := []controller.MachineType{{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+		set := controller.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond}
+		c.simulated = simulation.NewLive(set, 200, 100, types, map[string]int{"small/a/true": machines[name]}, []string{c.apiAddr})
 		t.Cleanup(c.simulated.Stop)
 		go c.simulated.Run(ctx)
-		if err := keys.Issue(ca, name, filepath.Join(dir, name), time.Hour, time.Now()); err != nil {
+		if err := certs.Issue(ca, name, filepath.Join(dir, name), time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
 		c.settingsPath, c.overflowPath = filepath.Join(dir, name+".toml"), filepath.Join(dir, name+"-overflow.toml")
--- a/internal/patience/patience.go
+++ b/internal/aging/aging.go
@@ -1,10 +1,10 @@
-// Package patience bounds how long work waits behind other work. Every rule that
+// Package aging bounds how long work waits behind other work. Every rule that
 // orders jobs by their aims puts some off for the sake of many, the largest first, and
 // without a bound they wait for as long as others come. What has waited longer than its
 // bound goes before all work of its own or lower urgency, whatever the aims say; all
 // such work together goes first on a part of the machines only, so that what is due
 // elsewhere is not hurt. The package has no clock and knows no machines.
-package patience
+package aging
 
 import (
 	"cmp"
--- a/internal/patience/patience_test.go
+++ b/internal/aging/aging_test.go
@@ -1,4 +1,4 @@
-package patience
+package aging
 
 import (
 	"slices"
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/labstack/echo/v4"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/testgolden"
 	"github.com/micahill/micahill/internal/worker"
 	"github.com/vmihailenco/msgpack/v5"
@@ -29,8 +29,8 @@
 	}}
 	testgolden.Check(t, testgolden.Msgpack, runs)
 	testgolden.Full(t, runs)
-	want := core.JobSpec{
-		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: core.Urgent, Tasks: 16, Need: core.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
+	want := controller.JobSpec{
+		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: controller.Urgent, Tasks: 16, Need: controller.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a", SameZone: true, SpreadZones: true, AllowSpot: true,
 		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
 		Dependencies: []string{"job-000398", "job-000402"},
@@ -41,38 +41,38 @@
 }
 
 // saying is a core that answers everything with the same effect.
-type saying struct{ e core.Effect }
+type saying struct{ e controller.Effect }
 
 func (c saying) Healthy() bool { return true }
-func (c saying) Ask(context.Context, func(uint64) core.Command) (core.Effect, error) {
+func (c saying) Ask(context.Context, func(uint64) controller.Command) (controller.Effect, error) {
 	return c.e, nil
 }
 
 // TestGoldenAnswers: users and workers are answered as ever.
 func TestGoldenAnswers(t *testing.T) {
-	report := core.HeartbeatReply{Status: 200, Epoch: 411, Commands: []core.TaskCommand{
-		{Kind: core.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
-		{Kind: core.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
-		{Kind: core.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
+	report := controller.HeartbeatReply{Status: 200, Epoch: 411, Commands: []controller.TaskCommand{
+		{Kind: controller.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
+		{Kind: controller.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
+		{Kind: controller.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
 	}}
 	body, err := msgpack.Marshal(worker.Heartbeat{Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Incarnation: 3, Sequence: 88, Epoch: 411})
 	if err != nil {
 		t.Fatal(err)
 	}
 	testgolden.Same(t, "report", body)
-	job := core.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, PromisedAfter: 90_500 * time.Millisecond, PromiseRevision: 2}
+	job := controller.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, PromisedAfter: 90_500 * time.Millisecond, PromiseRevision: 2}
 	for name, x := range map[string]struct {
 		method, body string
 		handle       func(*handlers, echo.Context) error
-		says         core.Effect
+		says         controller.Effect
 	}{
 		"query":   {http.MethodGet, "", (*handlers).queryJob, job},
 		"abort":   {http.MethodPost, "", (*handlers).cancelJob, job},
 		"submit":  {http.MethodPost, "run", (*handlers).submitJob, job},
-		"refused": {http.MethodPost, "run", (*handlers).submitJob, core.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
+		"refused": {http.MethodPost, "run", (*handlers).submitJob, controller.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
 		"report":  {http.MethodPost, "report", (*handlers).heartbeat, report},
-		"steward": {http.MethodPost, "report", (*handlers).heartbeat, core.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
-		"away":    {http.MethodPost, "report", (*handlers).heartbeat, core.HeartbeatReply{Status: 503}},
+		"steward": {http.MethodPost, "report", (*handlers).heartbeat, controller.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
+		"away":    {http.MethodPost, "report", (*handlers).heartbeat, controller.HeartbeatReply{Status: 503}},
 		"health":  {http.MethodGet, "", (*handlers).health, nil},
 	} {
 		var body []byte
--- a/internal/api/run.go
+++ b/internal/api/jobrequest.go
@@ -7,7 +7,7 @@
 	"reflect"
 
 	"github.com/go-playground/validator/v10"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/validate"
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
@@ -56,8 +56,8 @@
 	return v
 }
 
-var urgencies = map[string]core.Urgency{
-	"critical": core.Critical, "urgent": core.Urgent, "normal": core.Normal, "best_effort": core.BestEffort,
+var urgencies = map[string]controller.Urgency{
+	"critical": controller.Critical, "urgent": controller.Urgent, "normal": controller.Normal, "best_effort": controller.BestEffort,
 }
 
 // isMap says that b begins with a map. An array would be taken for a job's fields in the
@@ -103,10 +103,10 @@
 
 // parseJobRequest reads a submission. A reason comes with whatever of the id could be
 // read: a known job is answered with its state, whatever the body.
-func parseJobRequest(b []byte) (core.JobSpec, string) {
+func parseJobRequest(b []byte) (controller.JobSpec, string) {
 	const noMap = "not a MessagePack map with a job's fields"
 	if !isMap(b) {
-		return core.JobSpec{}, noMap
+		return controller.JobSpec{}, noMap
 	}
 	var request jobRequest
 	if msgpack.Unmarshal(b, &request) != nil {
@@ -118,12 +118,12 @@
 			ID string `msgpack:"id"`
 		}
 		if msgpack.Unmarshal(b, &idOnly) == nil && jobIDPattern.MatchString(idOnly.ID) {
-			return core.JobSpec{ID: idOnly.ID}, reason
+			return controller.JobSpec{ID: idOnly.ID}, reason
 		}
-		return core.JobSpec{}, reason
+		return controller.JobSpec{}, reason
 	}
 	if request.ID == nil || !jobIDPattern.MatchString(*request.ID) {
-		return core.JobSpec{}, invalidFieldReason("id")
+		return controller.JobSpec{}, invalidFieldReason("id")
 	}
 	if err := requestValidator.Struct(&request); err != nil {
 		var violations validator.ValidationErrors
@@ -131,21 +131,21 @@
 		if errors.As(err, &violations) {
 			reason = invalidFieldReason(violations[0].Field())
 		}
-		return core.JobSpec{ID: *request.ID}, reason
+		return controller.JobSpec{ID: *request.ID}, reason
 	}
-	spec := core.JobSpec{
+	spec := controller.JobSpec{
 		ID: *request.ID, Workload: *request.Workload, Team: *request.Team, LongRunning: *request.Shape == "standing", Gang: *request.Shape == "group",
 		Urgency: urgencies[*request.Urgency], Tasks: int(*request.Tasks),
-		Need:  core.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
+		Need:  controller.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
 		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
 		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
-		ExpectedRunTime: core.Seconds(*request.ExpectedS), CheckpointInterval: core.Seconds(*request.CheckpointEveryS), CheckpointCost: core.Seconds(*request.CheckpointCostS),
+		ExpectedRunTime: controller.Seconds(*request.ExpectedS), CheckpointInterval: controller.Seconds(*request.CheckpointEveryS), CheckpointCost: controller.Seconds(*request.CheckpointCostS),
 	}
 	if request.Zone != nil {
 		spec.Zone = *request.Zone
 	}
 	if request.DeadlineS != nil {
-		spec.Deadline = core.Seconds(*request.DeadlineS)
+		spec.Deadline = controller.Seconds(*request.DeadlineS)
 	}
 	return spec, ""
 }
--- a/internal/keys/keys.go
+++ b/internal/certs/certs.go
@@ -1,4 +1,4 @@
-// Package keys makes and keeps the operators' own certificates: a CA of theirs, and
+// Package certs makes and keeps the operators' own certificates: a CA of theirs, and
 // for each cluster a certificate by which its peers know it. Nothing else is
 // trusted between clusters.
 //
@@ -7,7 +7,7 @@
 // beside ca.pem. All files are for their owner alone. Rotation goes in steps, none
 // of which breaks a connection: a new CA is trusted beside the old one, then
 // certificates of the new one are issued, then the old one goes.
-package keys
+package certs
 
 import (
 	"crypto"
--- a/internal/keys/tls.go
+++ b/internal/certs/tls.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"crypto/tls"
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
@@ -93,8 +93,8 @@
 }
 
 // Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op core.CloudRequest) core.CloudResponse {
-	out := core.CloudResponse{ID: op.ID, Status: core.CloudRefused}
+func (c *Client) Do(ctx context.Context, op controller.CloudRequest) controller.CloudResponse {
+	out := controller.CloudResponse{ID: op.ID, Status: controller.CloudRefused}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if c.limiter.Wait(ctx) != nil {
@@ -103,17 +103,17 @@
 	var status int
 	var err error
 	switch op.Kind {
-	case core.CloudListTypes:
+	case controller.CloudListTypes:
 		var a machineTypeList
 		status, err = c.send(ctx, http.MethodGet, "/machine_types", nil, &a)
 		for _, f := range a.Types {
-			out.MachineTypes = append(out.MachineTypes, core.MachineType{
-				Name: f.Name, Capacity: core.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
+			out.MachineTypes = append(out.MachineTypes, controller.MachineType{
+				Name: f.Name, Capacity: controller.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
 				DiskGB: f.DiskGB, ImageFetchRate: f.FetchRate, CostPerHour: f.CostPerHour, SpotCostPerHour: f.SpotCostPerHour,
-				ProvisioningTime: core.Seconds(f.ReadyS), Zones: f.Zones,
+				ProvisioningTime: controller.Seconds(f.ReadyS), Zones: f.Zones,
 			})
 		}
-	case core.CloudListMachines:
+	case controller.CloudListMachines:
 		q := url.Values{"limit": {strconv.Itoa(listPage)}}
 		if op.StartAfter != "" {
 			q.Set("from", op.StartAfter)
@@ -121,28 +121,28 @@
 		var a machineList
 		status, err = c.send(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &a)
 		for _, h := range a.Machines {
-			out.Machines = append(out.Machines, core.CloudMachine{
+			out.Machines = append(out.Machines, controller.CloudMachine{
 				ID: h.ID, Addr: h.Address, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
-				Status: h.Status, Age: core.Seconds(h.AgeS),
+				Status: h.Status, Age: controller.Seconds(h.AgeS),
 			})
 		}
 		out.Truncated = a.Truncated
-	case core.CloudRent:
+	case controller.CloudRent:
 		var a machineIDs
 		status, err = c.send(ctx, http.MethodPost, "/rentals", rentalRequest{op.IdempotencyKey, op.MachineType, op.Zone, op.Spot, op.Count}, &a)
 		out.Rented = a.IDs
-	case core.CloudRelease:
+	case controller.CloudRelease:
 		status, err = c.send(ctx, http.MethodPost, "/rentals/return", machineIDs{op.Machines}, nil)
 	}
 	switch {
 	case err == errNoCapacity:
-		out.Status = core.CloudNoCapacity
+		out.Status = controller.CloudNoCapacity
 	case err != nil:
-		out.Status = core.CloudUnknown
+		out.Status = controller.CloudUnknown
 	case status == http.StatusOK:
-		out.Status = core.CloudOK
+		out.Status = controller.CloudOK
 	case status == http.StatusBadRequest:
-		out.Status = core.CloudMalformed
+		out.Status = controller.CloudMalformed
 	}
 	return out
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"github.com/go-playground/validator/v10"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/pelletier/go-toml/v2"
 )
 
@@ -170,30 +170,30 @@
 }
 
 // Settings turns the settings into the core's form.
-func (c *Config) Settings(policy core.Policy, nonce string) core.Settings {
+func (c *Config) Settings(policy controller.Policy, nonce string) controller.Settings {
 	deployment := &c.Deployment
 	limits := deployment.State.Strictest()
-	settings := core.Settings{
+	settings := controller.Settings{
 		Host: c.HostName, Zones: deployment.Zones,
-		HeartbeatInterval: core.Seconds(deployment.Workers.HeartbeatS), WorkerLease: core.Seconds(deployment.Workers.LeaseS),
-		CancellationBound: core.Seconds(deployment.Workers.CancelWithinS), MaxClockError: core.Seconds(deployment.ClockBoundMS / 1000),
+		HeartbeatInterval: controller.Seconds(deployment.Workers.HeartbeatS), WorkerLease: controller.Seconds(deployment.Workers.LeaseS),
+		CancellationBound: controller.Seconds(deployment.Workers.CancelWithinS), MaxClockError: controller.Seconds(deployment.ClockBoundMS / 1000),
 		MaxTxnWrites: limits.TxnOps, MaxValueBytes: int(limits.ValueKB * 1024), CurrentMaxValueBytes: int(deployment.State.ValueKB * 1024),
-		CloudListLag: core.Seconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
+		CloudListLag: controller.Seconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
 		Incarnation: nonce, Policy: policy,
 	}
 	for _, peer := range c.Peers {
 		settings.Peers = append(settings.Peers, peer.HostName)
 	}
 	for _, team := range deployment.Teams {
-		settings.Teams = append(settings.Teams, core.Team{
+		settings.Teams = append(settings.Teams, controller.Team{
 			Name:            team.Name,
-			GuaranteedQuota: core.Resources{CPU: team.GuaranteedCPUs, GPU: team.GuaranteedGPUs},
-			QuotaLimit:      core.Resources{CPU: team.CPULimit, GPU: team.GPULimit},
+			GuaranteedQuota: controller.Resources{CPU: team.GuaranteedCPUs, GPU: team.GuaranteedGPUs},
+			QuotaLimit:      controller.Resources{CPU: team.CPULimit, GPU: team.GPULimit},
 		})
 	}
 	for _, objective := range deployment.Objectives {
-		settings.Objectives = append(settings.Objectives, core.Objective{
-			Kind: objective.Kind, Workload: objective.Workload, Within: core.Seconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
+		settings.Objectives = append(settings.Objectives, controller.Objective{
+			Kind: objective.Kind, Workload: objective.Workload, Within: controller.Seconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
 		})
 	}
 	return settings
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 func TestParse(t *testing.T) {
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatalf("%q: %v", c.next, err)
 		}
-		s := conf.Settings(core.DefaultPolicy(), "n")
+		s := conf.Settings(controller.DefaultPolicy(), "n")
 		if s.MaxValueBytes != c.value || s.CurrentMaxValueBytes != c.present || s.MaxTxnWrites != c.ops || s.StoreWritesPerSecond != c.writes {
 			t.Errorf("%q: %d and %d bytes, %d changes, %g a second", c.next, s.MaxValueBytes, s.CurrentMaxValueBytes, s.MaxTxnWrites, s.StoreWritesPerSecond)
 		}
--- a/internal/config/extras.go
+++ b/internal/config/features.go
@@ -11,8 +11,8 @@
 	"strings"
 
 	"github.com/go-playground/validator/v10"
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/keys"
+	"github.com/micahill/micahill/internal/certs"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/pelletier/go-toml/v2"
 )
 
@@ -50,8 +50,8 @@
 }
 
 // Capabilities is what the core is told of them.
-func (x *Extras) Capabilities() core.Capabilities {
-	var capabilities core.Capabilities
+func (x *Extras) Capabilities() controller.Capabilities {
+	var capabilities controller.Capabilities
 	if r := x.Ranking; r != nil {
 		capabilities.Ranking = r.Enabled
 	}
@@ -59,7 +59,7 @@
 		capabilities.Promises, capabilities.PromiseFraction = r.Enabled, r.TargetFraction
 	}
 	if r := x.Models; r != nil {
-		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, core.Seconds(r.MigrationCooldownS)
+		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, controller.Seconds(r.MigrationCooldownS)
 	}
 	return capabilities
 }
@@ -204,7 +204,7 @@
 func newExtrasValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
-	err := v.RegisterValidation("clustername", func(fl validator.FieldLevel) bool { return keys.IsClusterName(fl.Field().String()) })
+	err := v.RegisterValidation("clustername", func(fl validator.FieldLevel) bool { return certs.IsClusterName(fl.Field().String()) })
 	if err != nil {
 		panic("config: " + err.Error())
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -5,8 +5,8 @@
 	"math"
 	"strings"
 
-	"github.com/micahill/micahill/internal/bounds"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 const (
@@ -72,7 +72,7 @@
 		}
 	}
 	for i, t := range deployment.Teams {
-		if size := bounds.StringSize(t.Name); float64(size) > state.ValueKB*1024*maxTeamNameFraction {
+		if size := sizelimit.StringSize(t.Name); float64(size) > state.ValueKB*1024*maxTeamNameFraction {
 			invalid = append(invalid, finding{fmt.Sprintf("deployment.teams[%d].name", i), fmt.Sprintf("%.20q...", t.Name),
 				fmt.Sprintf("takes %d bytes of a record, of which there are %.0f", size, state.ValueKB*1024),
 				fmt.Sprintf("up to %.0f would do", state.ValueKB*1024*maxTeamNameFraction)})
@@ -86,7 +86,7 @@
 		tight = append(tight, finding{"deployment.workers.lease_s", deployment.Workers.LeaseS,
 			"leaves no time for a lost report", fmt.Sprintf("more than %g would do", minimum)})
 	}
-	settings := core.Settings{CancellationBound: core.Seconds(deployment.Workers.CancelWithinS), WorkerLease: core.Seconds(deployment.Workers.LeaseS)}
+	settings := controller.Settings{CancellationBound: controller.Seconds(deployment.Workers.CancelWithinS), WorkerLease: controller.Seconds(deployment.Workers.LeaseS)}
 	if short := settings.RenewalBound().Shortfall(); short > 0 {
 		tight = append(tight, finding{"deployment.workers.cancel_s", deployment.Workers.CancelWithinS,
 			fmt.Sprintf("leaves no time beside lease_s (%g): on a machine out of reach, and while the state service is away, a cancelled task may last up to %.1f s too long", deployment.Workers.LeaseS, short.Seconds()),
--- a/internal/core/turns.go
+++ b/internal/controller/aging.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/patience"
+	"github.com/micahill/micahill/internal/aging"
 )
 
-// turns.go joins the core to internal/patience: in whose turn what waits is placed, and
+// aging.go joins the core to internal/aging: in whose turn what waits is placed, and
 // which machines are gathered for work that has waited too long and fits nowhere.
 
 // queueEntry is some of a job's waiting tasks; first: because it has waited too long.
@@ -27,11 +27,11 @@
 func (n *Controller) queueOrder() []queueEntry {
 	rs := n.queuedJobs()
 	rooms := map[taskShape]float64{}
-	jobs := make([]patience.Job, len(rs))
+	jobs := make([]aging.Job, len(rs))
 	for i, r := range rs {
 		j := r.job
 		bound, part := waitBound(n, j)
-		p := patience.Job{
+		p := aging.Job{
 			Waited: n.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
 			WaitingTasks: n.placeableTasks(j), Gang: j.Gang,
 		}
@@ -51,7 +51,7 @@
 		}
 		jobs[i] = p
 	}
-	ts := patience.QueueOrder(jobs)
+	ts := aging.QueueOrder(jobs)
 	out := make([]queueEntry, len(ts))
 	for i, t := range ts {
 		out[i] = queueEntry{rs[t.Job].job, t.Tasks, t.Promoted}
@@ -99,7 +99,7 @@
 // machineReservation is a job that machines are gathered for, and those that could be.
 type machineReservation struct {
 	job             *job
-	hosts           []patience.Candidate
+	hosts           []aging.Candidate
 	fittingMachines int
 	// machinesNeeded is how many machines its waiting tasks would fill.
 	machinesNeeded int
@@ -140,17 +140,17 @@
 			usable++
 		}
 	}
-	left := max(1, int(patience.MaxReservedFraction*float64(usable)))
+	left := max(1, int(aging.MaxReservedFraction*float64(usable)))
 	for _, most := range [...]int{1, usable} {
 		for _, g := range reservations {
-			for _, id := range patience.Reserve(g.hosts, min(left, most, g.machinesNeeded), g.fittingMachines) {
+			for _, id := range aging.Reserve(g.hosts, min(left, most, g.machinesNeeded), g.fittingMachines) {
 				if reservedFor[id] == "" {
 					reservedFor[id] = g.job.ID
 					g.machinesNeeded--
 					left--
 				}
 			}
-			g.hosts = slices.DeleteFunc(g.hosts, func(h patience.Candidate) bool { return reservedFor[h.ID] != "" })
+			g.hosts = slices.DeleteFunc(g.hosts, func(h aging.Candidate) bool { return reservedFor[h.ID] != "" })
 		}
 	}
 	for _, m := range o.machinesByID {
@@ -172,7 +172,7 @@
 		g.fittingMachines++
 		each = max(each, m.size.FitCount(j.Need))
 		if at, ok := n.timeUntilFits(m, j.Need); ok && j.zoneAllowed(m.zone) {
-			g.hosts = append(g.hosts, patience.Candidate{ID: m.id, FreeIn: at, Reserved: m.reservedFor == j.ID})
+			g.hosts = append(g.hosts, aging.Candidate{ID: m.id, FreeIn: at, Reserved: m.reservedFor == j.ID})
 		}
 	}
 	g.machinesNeeded = (n.placeableTasks(j) + each - 1) / each
--- a/internal/core/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 // largePool is an owner with some machines, three quarters of them with work,
@@ -62,7 +62,7 @@
 // holdAllShards makes the node the holder of one share with all teams and machines.
 func (n *Controller) holdAllShards() {
 	s := &n.membership
-	s.leaseID, s.loaded, s.shardMap = 1, true, division.NewMap()
+	s.leaseID, s.loaded, s.shardMap = 1, true, sharding.NewMap()
 	s.controllers = map[string]controllerRecord{n.settings.Host: {Incarnation: n.incarnation()}}
 	b := encode(map[string]any{"host": n.settings.Host, "nonce": n.incarnation(), "teams": []string{"ops"}, "rest": true})
 	if err := s.shardMap.ApplyShard(n.settings.Host, b, 1); err != nil {
--- a/internal/core/cancelnews.go
+++ b/internal/controller/cancellation_gossip.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"time"
@@ -6,10 +6,10 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// cancelnews.go has controllers tell each other of cancellations. The record in the state
+// cancellation_gossip.go has controllers tell each other of cancellations. The record in the state
 // service is what counts, and a job's owner hears of it by its watch. One that has lost
 // the state service would not: its machines' leases bound how long the tasks last (see
-// horizon.go), at the price of everything else on them. So whoever has confirmed a
+// renewal_bound.go), at the price of everything else on them. So whoever has confirmed a
 // cancellation tells the others too, once its record is durable, and again until they say
 // that they have heard; who does not own the job passes it on to its owner, whose link to
 // the first may be cut. What is told this way stops tasks and proves nothing: it moves no
--- a/internal/core/lanes.go
+++ b/internal/controller/candidate_queues.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 )
 
-// lanes.go finds, for a task that is played forward, the machine on which it
+// candidate_queues.go finds, for a task that is played forward, the machine on which it
 // could run first. Machines on which a fetch of the task's image takes the same
 // time stand in one lane, a heap by when there is room, so that a task looks at
 // some few lanes and not at the pool; those that hold its image have lanes of
--- a/internal/core/node.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/micahill/micahill/internal/boottime"
-	"github.com/micahill/micahill/internal/bounds"
-	"github.com/micahill/micahill/internal/pace"
 	"github.com/micahill/micahill/internal/selfmonitor"
+	"github.com/micahill/micahill/internal/sizelimit"
+	"github.com/micahill/micahill/internal/throttle"
 	"github.com/micahill/micahill/internal/validate"
 )
 
@@ -51,7 +51,7 @@
 	storeUnavailable            map[string]time.Time
 	storeUnavailablePublishedAt time.Time
 	// selfMonitor and strays are what this node hears of workers, and which it sent on;
-	// see deaf.go.
+	// see partition.go.
 	selfMonitor         selfmonitor.Monitor
 	reroutedMachines    selfmonitor.ReroutedMachines
 	reroutedPublishedAt time.Time
@@ -64,7 +64,7 @@
 	// provisioningTimes is what was learnt of how long machines of each kind take to come up.
 	provisioningTimes map[machineKind]*boottime.Estimator
 	// throttle divides planning into slices, and sliced is the work of the last one.
-	throttle      pace.SliceBudget
+	throttle      throttle.SliceBudget
 	lastSliceWork int
 	// placed: the last step had a round of placing in it.
 	placementRan bool
@@ -78,7 +78,7 @@
 	rejections     validate.LogLimiter
 	// offloadedJobs are the loans this cluster has taken, as far as this node has read.
 	offloadedJobs offloadedJobs
-	// cancellations are the cancellations that peers are told of; see cancelnews.go.
+	// cancellations are the cancellations that peers are told of; see cancellation_gossip.go.
 	cancellations cancellationGossip
 	// promises is what is known of promised dates beside the jobs.
 	promises promiseState
@@ -302,12 +302,12 @@
 func (n *Controller) requestStore(op StoreRequest, fn func(StoreResponse)) {
 	op.ID = n.nextID()
 	if op.Kind == OpTxn {
-		compares, writes := make([]string, len(op.Compares)), make([]bounds.Write, len(op.Writes))
+		compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
 		for i, c := range op.Compares {
 			compares[i] = c.Key
 		}
 		for i, c := range op.Writes {
-			writes[i] = bounds.Write{Key: c.Key, Value: c.Value}
+			writes[i] = sizelimit.Write{Key: c.Key, Value: c.Value}
 		}
 		if err := n.requestLimits(&op).CheckTxn(compares, writes); err != nil {
 			n.internalError("a request passes the state service's limits", "err", err)
--- a/internal/core/lost.go
+++ b/internal/controller/correlated_failure.go
@@ -1,9 +1,9 @@
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/loss"
+	"github.com/micahill/micahill/internal/disruption"
 )
 
 // releaseAheadSeconds is for how many seconds' worth of changes tasks of lost machines are
@@ -15,8 +15,8 @@
 
 // unresponsiveMachines names the silent machines that are to be given back now.
 func unresponsiveMachines(n *Controller) []string {
-	pool := loss.Pool{Lease: n.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * n.settings.StoreWritesPerSecond)}
-	var unresponsive []loss.Machine
+	pool := disruption.Pool{Lease: n.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * n.settings.StoreWritesPerSecond)}
+	var unresponsive []disruption.Machine
 	for _, m := range n.shardLeader.machinesByID {
 		if !m.expectsHeartbeats() || m.releasing {
 			continue
@@ -25,7 +25,7 @@
 		if !n.unresponsive(m) {
 			continue
 		}
-		x := loss.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.LiveCount(m.id), UnresponsiveFor: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
+		x := disruption.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.LiveCount(m.id), UnresponsiveFor: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
 		for k := range m.attempts {
 			j := n.shardLeader.jobs[k.job]
 			if l, u := n.latestStart(j), inverseRank(n, j); u > x.Urgency || x.LatestStart.IsZero() || u == x.Urgency && l.Before(x.LatestStart) {
@@ -39,8 +39,8 @@
 		// When all fall silent together, the fault is likely ours.
 		return nil
 	}
-	toRelease := append(loss.SelectReleases(pool, unresponsive), unreachableMachines(n, pool.Reporting)...)
-	if loss.IsCorrelated(pool, len(unresponsive)) && n.now.Sub(n.shardLeader.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
+	toRelease := append(disruption.SelectReleases(pool, unresponsive), unreachableMachines(n, pool.Reporting)...)
+	if disruption.IsCorrelated(pool, len(unresponsive)) && n.now.Sub(n.shardLeader.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
 		n.shardLeader.correlatedFailureLoggedAt = n.now
 		n.info("machines are silent together", "silent", len(unresponsive), "of", pool.Reporting, "given back", len(toRelease))
 	}
--- a/internal/core/prereqs.go
+++ b/internal/controller/dependencies.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// prereqs.go joins internal/pipeline: jobs that need others. The graph follows the picture
+// dependencies.go joins internal/pipeline: jobs that need others. The graph follows the picture
 // of open/ and the ends that were read or written; that a job waits or is cancelled with
 // one before it is derived from it on every node, and nobody decides it. A task starts only
 // when job/ says of all that its job needs that they are done. That can't become untrue, so
@@ -59,7 +59,7 @@
 	}
 	without := *s
 	without.Dependencies = nil
-	size, err := bounds.JSON(encode(without.openRecord(n.now)))
+	size, err := sizelimit.JSON(encode(without.openRecord(n.now)))
 	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
 	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
--- a/internal/core/effects.go
+++ b/internal/controller/effects.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 // Command is an input to the core. Effect is an output.
@@ -90,7 +90,7 @@
 	CapacityRequests  []CapacityRequest
 	ToRelease         []string
 	TeamLoads         []TeamLoad
-	Offers            []division.Offer
+	Offers            []sharding.Offer
 	// Tells: the leader tells an owner of its machines: of some of them, and of all
 	// that the owner does not know of by Seq; and which team is to move.
 	// Spare counts what others have to spare.
@@ -98,18 +98,18 @@
 	SurplusElsewhere []CapacityRequest
 	RentalUpdates    []RentalUpdate
 	Blocked          []CapacityRequest
-	TeamRelease      []division.MoveRequest
+	TeamRelease      []sharding.MoveRequest
 	// RemoteAttempts are attempts of the sender's jobs on the receiver's machines, and Told
 	// what the sender knows of those of the receiver's jobs on its own.
-	RemoteAttempts []ownership.Request
-	RemoteStatuses []ownership.MachineStatus
+	RemoteAttempts []remote.Request
+	RemoteStatuses []remote.MachineStatus
 	// Rates is what the sender asks of the state service.
 	Rates *Rates
 	// StateAway: the state service does not answer here.
 	StoreUnavailable bool
 	// HostNeeds are hosts that the sender needs whole, and Costs what emptying one would
 	// cost it; Lacks are what the leader says that others need, and Empty what it wants
-	// the receiver to empty. See emptying.go.
+	// the receiver to empty. See evacuation.go.
 	HostNeeds, OthersNeeds, EvacuationRequests []HostNeed
 	EvacuationCosts                            []HostCost
 	// Quotes are what dates for the sender's teams rest on.
--- a/internal/core/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // emittedEffects are the effects of one kind that the node has returned since its effects were
 // last taken away.
--- a/internal/core/raise.go
+++ b/internal/controller/epoch_bump.go
@@ -1,9 +1,9 @@
-package core
+package controller
 
 import (
 	"fmt"
 
-	"github.com/micahill/micahill/internal/division"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 // maybeBumpEpoch names machines once more, for a higher epoch: where a start without an
@@ -62,7 +62,7 @@
 	for _, name := range sortedKeys(byShard) {
 		s := n.membership.shardMap.Shard(name)
 		o.epochBumps++
-		w, bumped := division.BumpEpoch(n.storeLimits(), fmt.Sprintf("%s-%d-%d", n.incarnation(), o.generation, o.epochBumps), s, byShard[name])
+		w, bumped := sharding.BumpEpoch(n.storeLimits(), fmt.Sprintf("%s-%d-%d", n.incarnation(), o.generation, o.epochBumps), s, byShard[name])
 		if len(bumped) == 0 {
 			continue
 		}
--- a/internal/core/emptying.go
+++ b/internal/controller/evacuation.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"maps"
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/moves"
+	"github.com/micahill/micahill/internal/migration"
 )
 
-// emptying.go lets owners help each other to whole hosts. One that has work which fits
+// evacuation.go lets owners help each other to whole hosts. One that has work which fits
 // nowhere, and for which the cloud has no machines, says so; others say what emptying a
 // host would cost them; the leader asks the one for whom it is cheapest, who moves what
 // is there away and has the host to spare. It is handed over like any other, by the
@@ -173,7 +173,7 @@
 			continue
 		}
 		p := evacuationProblem(n, mv, h)
-		if plan, ok := moves.Find(p); ok {
+		if plan, ok := migration.Find(p); ok {
 			beginMigration(n, mv, team, p, plan)
 		}
 		return true
@@ -193,7 +193,7 @@
 		if tries++; tries > maxCostedKinds {
 			break
 		}
-		if plan, ok := moves.Find(evacuationProblem(n, mv, h)); ok {
+		if plan, ok := migration.Find(evacuationProblem(n, mv, h)); ok {
 			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, plan.Cost})
 		}
 	}
@@ -223,12 +223,12 @@
 }
 
 // evacuationProblem is what the planner is asked for a whole host of a kind.
-func evacuationProblem(n *Controller, mv *migrations, h *HostNeed) *moves.Problem {
+func evacuationProblem(n *Controller, mv *migrations, h *HostNeed) *migration.Problem {
 	k := h.machineKind()
 	other := &job{JobSpec: h.jobSpec()}
 	p, hosts := migrationCandidates(n, mv, other)
 	p.MaxCost = maxEvacuationCost
-	p.WaitingTask = moves.WaitingTask{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
+	p.WaitingTask = migration.WaitingTask{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
 		m := hosts[i]
 		return (machineKind{m.machineType, m.zone, m.spot}) == k && !m.isEmpty()
 	}}
@@ -259,14 +259,14 @@
 			needs[host], costs[host] = w.update.HostNeeds, w.update.EvacuationCosts
 		}
 	}
-	var needed []moves.MachineNeed
-	var offered []moves.EvacuationCost
+	var needed []migration.MachineNeed
+	var offered []migration.EvacuationCost
 	for _, host := range sortedKeys(needs) {
 		if len(needs[host]) > 0 {
-			needed = append(needed, moves.MachineNeed{Owner: host, Kinds: kindNames(needs[host])})
+			needed = append(needed, migration.MachineNeed{Owner: host, Kinds: kindNames(needs[host])})
 		}
 		for _, c := range costs[host] {
-			offered = append(offered, moves.EvacuationCost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Downtime: c.Downtime})
+			offered = append(offered, migration.EvacuationCost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Downtime: c.Downtime})
 		}
 	}
 	othersNeeds, assigned = map[string][]HostNeed{}, map[string][]HostNeed{}
--- a/internal/core/emptying_test.go
+++ b/internal/controller/evacuation_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"slices"
--- a/internal/core/trade.go
+++ b/internal/controller/exchange.go
@@ -1,15 +1,15 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/market"
+	"github.com/micahill/micahill/internal/exchange"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
-// trade.go carries out what the owners ask of the cloud, and hands over what one has
-// to spare and another wants; what is decided is in internal/market.
+// exchange.go carries out what the owners ask of the cloud, and hands over what one has
+// to spare and another wants; what is decided is in internal/exchange.
 
 const (
 	// maxHandovers bounds the machines handed over in one look, and handoverCooldown is how long
@@ -24,11 +24,11 @@
 	statusComing = "coming"
 )
 
-func (k machineKind) exchangeKind() market.Kind {
-	return market.Kind{MachineType: k.machineType, Zone: k.zone, Spot: k.spot}
+func (k machineKind) exchangeKind() exchange.Kind {
+	return exchange.Kind{MachineType: k.machineType, Zone: k.zone, Spot: k.spot}
 }
 
-func fromExchangeKind(k market.Kind) machineKind { return machineKind{k.MachineType, k.Zone, k.Spot} }
+func fromExchangeKind(k exchange.Kind) machineKind { return machineKind{k.MachineType, k.Zone, k.Spot} }
 
 // fleetRequest is what an owner asks of the leader.
 type fleetRequest struct {
@@ -69,28 +69,28 @@
 		return
 	}
 	requests := fleetRequests(n)
-	var owners []market.Owner
+	var owners []exchange.Owner
 	for _, w := range requests {
-		o := market.Owner{Host: w.host, CapacityRequests: map[market.Kind]int{}}
+		o := exchange.Owner{Host: w.host, CapacityRequests: map[exchange.Kind]int{}}
 		for k, c := range w.capacity {
 			o.CapacityRequests[k.exchangeKind()] = c
 		}
 		for _, id := range w.surplus {
 			if r := l.rentals[id]; r != nil && r.status == "running" && canHandOver(n, id, w.host) {
-				o.Surplus = append(o.Surplus, market.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
+				o.Surplus = append(o.Surplus, exchange.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
 			}
 		}
 		owners = append(owners, o)
 	}
-	handovers, bookings := market.Match(owners, market.Limits{
+	handovers, bookings := exchange.Match(owners, exchange.Limits{
 		MaxTransfers: maxHandovers, MaxScaleOuts: n.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
 		// One more wish is heard only when all bookings of it are answered.
-		IsBusy: func(host string, k market.Kind) bool {
+		IsBusy: func(host string, k exchange.Kind) bool {
 			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(n.now)
 		},
 	})
 	for _, m := range handovers {
-		l.sharding.unrecordedMachines[m.ID] = division.NewMachine{ID: m.ID, Host: m.To, KnownAt: n.now}
+		l.sharding.unrecordedMachines[m.ID] = sharding.NewMachine{ID: m.ID, Host: m.To, KnownAt: n.now}
 		l.handedOverAt[m.ID] = n.now
 		l.rentals[m.ID].handedOverAt = n.now
 		// Its wishes count again when it knows of these.
@@ -102,7 +102,7 @@
 		if w.host == n.settings.Host {
 			for k := range w.capacity {
 				// What is left of them stays wanted until the next look.
-				j := slices.IndexFunc(owners, func(o market.Owner) bool { return o.Host == w.host })
+				j := slices.IndexFunc(owners, func(o exchange.Owner) bool { return o.Host == w.host })
 				w.capacity[k] = owners[j].CapacityRequests[k.exchangeKind()]
 			}
 		}
--- a/internal/core/fleet.go
+++ b/internal/controller/fleet.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/moves"
+	"github.com/micahill/micahill/internal/migration"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 const (
@@ -139,7 +139,7 @@
 	// handedOverAt is when a machine was last handed over.
 	handedOverAt map[string]time.Time
 	// evacuations are the hosts that owners are asked to empty for others.
-	evacuations moves.Evacuations
+	evacuations migration.Evacuations
 	// unlistedSince are machines that records name and lists do not show, since when.
 	unlistedSince map[string]time.Time
 }
@@ -352,7 +352,7 @@
 		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, surplusFor(n, host)
 		m.OthersNeeds, m.EvacuationRequests = othersNeeds[host], empty[host]
 		if hasRequest && request.From == host {
-			m.TeamRelease = []division.MoveRequest{request}
+			m.TeamRelease = []sharding.MoveRequest{request}
 		}
 		n.emit(SendPeerUpdate{To: host, Update: *m})
 	}
@@ -722,7 +722,7 @@
 				r := &rental{id: id, machineKind: k, rentedAt: n.now, status: "booting"}
 				l.rentals[id] = r
 				if n.ownerOf(id) != host {
-					l.sharding.unrecordedMachines[id] = division.NewMachine{ID: id, Host: host, KnownAt: n.now}
+					l.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: n.now}
 				}
 				n.adopt(r)
 			}
--- a/internal/core/forms.go
+++ b/internal/controller/formats.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -8,10 +8,10 @@
 	"strconv"
 	"strings"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// forms.go has the records of tasks go over to fewer tasks a record before the state
+// formats.go has the records of tasks go over to fewer tasks a record before the state
 // service lowers its limit of values. The version before numbers its records by the
 // limit of now and can't read others, so nothing changes until no controller of that
 // version can come back. Each controller that knows parts says so in a record of its
@@ -156,7 +156,7 @@
 func probeValueLimit(n *Controller) {
 	s := &n.membership
 	text := encode(strings.Repeat("x", n.settings.MaxValueBytes))
-	if size, err := bounds.JSON(text); err != nil || size > n.settings.currentMaxValueBytes() || s.limitsLowered || s.probingLimits || n.segmentFormat().sized {
+	if size, err := sizelimit.JSON(text); err != nil || size > n.settings.currentMaxValueBytes() || s.limitsLowered || s.probingLimits || n.segmentFormat().sized {
 		return
 	}
 	s.probingLimits = true
--- a/internal/core/forms_test.go
+++ b/internal/controller/formats_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 // storedRecord is a record as the version in production wrote it, under values of 4 KiB.
@@ -165,7 +165,7 @@
 	t.Helper()
 	key, value := j.segmentKey(c), encode(j.segmentRecord(c))
 	op := StoreRequest{Kind: OpTxn, Writes: []Write{{Key: key, Value: value}}}
-	if err := n.requestLimits(&op).CheckTxn(nil, []bounds.Write{{Key: key, Value: value}}); err != nil {
+	if err := n.requestLimits(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatal(err)
 	}
 	if rows != nil {
@@ -250,7 +250,7 @@
 					continue
 				}
 				key, value := writeSegment(t, n, j, c, rows)
-				if size, err := bounds.JSON(value); sized && (err != nil || size > 2048) || sized != strings.Contains(key, "/"+sizedSegmentMark) {
+				if size, err := sizelimit.JSON(value); sized && (err != nil || size > 2048) || sized != strings.Contains(key, "/"+sizedSegmentMark) {
 					t.Fatalf("seed %d: %s of %d bytes, parts %v", seed, key, size, sized)
 				}
 				for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, 100); i++ {
@@ -370,7 +370,7 @@
 	small.MachineTypes = s.MachineTypes[:3]
 	r.Cancelled, small.Cancelled = true, true
 	r.shrinkToFit(2048)
-	if size, err := bounds.JSON(encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.validate() != "" {
+	if size, err := sizelimit.JSON(encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.validate() != "" {
 		t.Errorf("%d bytes, %+v", size, r)
 	}
 	if small.shrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
@@ -396,7 +396,7 @@
 				probe = op
 			}
 		}
-		if size, err := bounds.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
+		if size, err := sizelimit.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
 			t.Fatalf("the probe has %d bytes, %v", size, err)
 		}
 		n.storeCallbacks[probe.ID](StoreResponse{ID: probe.ID, Status: status})
--- a/internal/core/users.go
+++ b/internal/controller/frontend.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -6,9 +6,9 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
-	"github.com/micahill/micahill/internal/lookup"
 	"github.com/micahill/micahill/internal/promise"
+	"github.com/micahill/micahill/internal/readbatch"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 const (
@@ -38,7 +38,7 @@
 	// statusWaiters are who waits for a read of a job's record, and lookups which reads that
 	// takes.
 	statusWaiters      map[string][]func(StoreResponse)
-	readBatches        lookup.Batcher
+	readBatches        readbatch.Batcher
 	batchTurnScheduled bool
 	waitingRequests    int
 	requestsByDeadline []*userRequest
@@ -266,7 +266,7 @@
 	if reason := n.validateDependencies(s); reason != "" {
 		return 422, reason
 	}
-	if size, err := bounds.JSON(encode(s.openRecord(n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
+	if size, err := sizelimit.JSON(encode(s.openRecord(n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -362,7 +362,7 @@
 }
 
 // readStatusRecord gets job/<id> with a read begun after this call. Many that wait together share
-// few reads; see internal/lookup.
+// few reads; see internal/readbatch.
 func (n *Controller) readStatusRecord(id string, fn func(StoreResponse)) {
 	u := &n.frontend
 	u.statusWaiters[id] = append(u.statusWaiters[id], fn)
@@ -401,7 +401,7 @@
 }
 
 // handleReadBatch answers what a read was for.
-func (n *Controller) handleReadBatch(r lookup.Read, d StoreResponse, waiters map[string][]func(StoreResponse)) {
+func (n *Controller) handleReadBatch(r readbatch.Read, d StoreResponse, waiters map[string][]func(StoreResponse)) {
 	u := &n.frontend
 	ok, last, found := d.Status == StoreOK, "", map[string]KeyValue{}
 	for _, it := range d.KeyValues {
@@ -463,7 +463,7 @@
 			if seen[s.spec.ID] || len(batch) > 0 && (s.storeAlone || batch[0].storeAlone) {
 				break
 			}
-			one, err := bounds.JSON(encode(s.openRecord()))
+			one, err := sizelimit.JSON(encode(s.openRecord()))
 			if size += one + submitOverheadBytes; (err != nil || size > targetTxnBytes) && len(batch) > 0 {
 				break
 			}
--- a/internal/core/heap.go
+++ b/internal/controller/heap.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // heap is a heap, the first element before all others. It is the innermost part of
 // planning and placing, and so holds values, and not interfaces as container/heap.
--- a/internal/core/hear.go
+++ b/internal/controller/heartbeat_proof.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"time"
@@ -6,7 +6,7 @@
 	"github.com/micahill/micahill/internal/reachability"
 )
 
-// hear.go says what a message of a worker proves. A report may be late, or a copy of one
+// heartbeat_proof.go says what a message of a worker proves. A report may be late, or a copy of one
 // that came before: minutes old, of a machine that is gone or another's by now. Reports
 // are ordered by tenure and tick, but a successor knows no earlier ones. So the first
 // that counts is one that shows this owner's epoch, which nobody could have sent before
--- a/internal/core/reports.go
+++ b/internal/controller/heartbeats.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/loss"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/disruption"
+	"github.com/micahill/micahill/internal/remote"
 )
 
 // handleHeartbeat takes a report that waits for its answer.
@@ -182,7 +182,7 @@
 			}
 		}
 	}
-	if len(nonStarting) == 0 || loss.IsCorrelated(loss.Pool{Reporting: reporting}, len(nonStarting)) {
+	if len(nonStarting) == 0 || disruption.IsCorrelated(disruption.Pool{Reporting: reporting}, len(nonStarting)) {
 		return
 	}
 	for _, m := range nonStarting {
@@ -299,7 +299,7 @@
 	m.speed += 0.3 * (r - m.speed)
 }
 
-// recordTaskFailure takes note that a task failed on a machine: internal/blame says whose fault
+// recordTaskFailure takes note that a task failed on a machine: internal/faultattribution says whose fault
 // it is. The task is tried again elsewhere, and a job that fails everywhere ever more
 // slowly, one task at a time.
 func (n *Controller) recordTaskFailure(m *machine, j *job, index int) {
@@ -329,7 +329,7 @@
 	}
 }
 
-// updateFaultyMachines looks again at machines of which internal/blame thinks otherwise now.
+// updateFaultyMachines looks again at machines of which internal/faultattribution thinks otherwise now.
 func (n *Controller) updateFaultyMachines(hosts []string) {
 	for _, id := range hosts {
 		m := n.shardLeader.machines[id]
@@ -360,7 +360,7 @@
 		}
 		n.endAttempt(n.shardLeader.jobs[k.job], k.index, false)
 	}
-	n.shardLeader.registry.MarkMachineGone(n.now, m.id, func(a ownership.AttemptID) bool {
+	n.shardLeader.registry.MarkMachineGone(n.now, m.id, func(a remote.AttemptID) bool {
 		return r != nil && slices.ContainsFunc(r.Tasks, func(p TaskReport) bool {
 			return p.Job == a.Job && p.Index == a.Index && p.Attempt == a.Attempt
 		})
--- a/internal/core/huge_test.go
+++ b/internal/controller/huge_job_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
 )
 
@@ -79,7 +79,7 @@
 					delete(d.stored, c.Key)
 					continue
 				}
-				size, err := bounds.JSON(c.Value)
+				size, err := sizelimit.JSON(c.Value)
 				if err != nil {
 					panic(err)
 				}
--- a/internal/core/ends.go
+++ b/internal/controller/job_ends.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strings"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 // maxOrphanedRecords bounds the records of tasks of ended jobs that are kept while changes are
@@ -63,10 +63,10 @@
 		writes = append(writes, Write{Key: openJobPrefix + j.ID})
 		compares := append(n.shardCompares(j.Team), Compare{openJobPrefix + j.ID, j.modRevision})
 		for _, a := range writes {
-			size += bounds.WriteBytes(bounds.Write{Key: a.Key, Value: a.Value})
+			size += sizelimit.WriteBytes(sizelimit.Write{Key: a.Key, Value: a.Value})
 		}
 		for _, c := range compares {
-			size += bounds.CompareBytes(c.Key)
+			size += sizelimit.CompareBytes(c.Key)
 		}
 		if j.cancelDerived {
 			op.Priority = PriorityLazy
--- a/internal/core/machines.go
+++ b/internal/controller/machines.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -43,7 +43,7 @@
 
 	attempts map[taskKey]*task
 	used     Resources
-	// reservedForMigration is the room of places that are held for moves; see models.go.
+	// reservedForMigration is the room of places that are held for moves; see migration.go.
 	reservedForMigration Resources
 	// gift: it is held to be emptied for another owner.
 	evacuatingForOther bool
@@ -74,7 +74,7 @@
 	faulty          bool
 	idleSince       time.Time
 	// reservedFor is the job that has waited too long and gets the machine when it is
-	// empty enough; see turns.go.
+	// empty enough; see aging.go.
 	reservedFor string
 
 	// dirty: orders may be due; it is then in the owner's list. forgotten:
@@ -84,7 +84,7 @@
 	dispatchInFlight bool
 	// questioned: it has been asked for its status, which starts nothing.
 	statusRequested bool
-	// fresh: what was ordered last has starts that are nowhere else; see rank.go.
+	// fresh: what was ordered last has starts that are nowhere else; see ranking.go.
 	hasNewStarts bool
 	// unackedStartEpoch is the epoch of an order with a start that got no answer and
 	// may be executed minutes later, until a higher epoch is reported.
@@ -101,7 +101,7 @@
 	ownershipCheckedAt time.Time
 	// reachability is whether it hears this owner, shown that something has just shown it, and
 	// unheard how many reports without a sign of this owner's time were answered; see
-	// hear.go. newest is when the newest of its messages came, sign of life or not.
+	// heartbeat_proof.go. newest is when the newest of its messages came, sign of life or not.
 	reachability      reachability.Detector
 	shownReachable    bool
 	unheardHeartbeats int
--- a/internal/core/session.go
+++ b/internal/controller/membership.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
 	"github.com/micahill/micahill/internal/incarnation"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 const (
@@ -60,12 +60,12 @@
 	leader             leaderRecord
 	leaderModRevision  uint64
 	controllers        map[string]controllerRecord
-	shardMap           *division.Map
+	shardMap           *sharding.Map
 	claimingLeadership bool
 	drain              drainRecord
 	// formatSupport are the controllers that know parts of records, and form the one that all
 	// have come to, of formatKey's stamp; forming: a write for that is under way. See
-	// forms.go.
+	// formats.go.
 	formatSupport     map[string]bool
 	format            segmentFormat
 	formatModRevision uint64
@@ -120,7 +120,7 @@
 func (n *Controller) startMembership() {
 	n.membership.started, n.membership.startedAt = true, n.now
 	n.membership.controllers, n.membership.formatSupport = map[string]controllerRecord{}, map[string]bool{}
-	n.membership.shardMap = division.NewMap()
+	n.membership.shardMap = sharding.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
 	ended, waited := false, false
@@ -351,7 +351,7 @@
 			s.leader, s.leaderModRevision, s.drain = leaderRecord{}, 0, drainRecord{}
 			clear(s.controllers)
 			oldShardMap := s.shardMap
-			s.shardMap = division.NewMap()
+			s.shardMap = sharding.NewMap()
 			for _, it := range items {
 				n.applyControlRecord(it)
 			}
@@ -500,7 +500,7 @@
 		wait := time.Duration(0)
 		switch {
 		case s.receivesNothing(n.now):
-			// The others first; see deaf.go.
+			// The others first; see partition.go.
 			wait = partitionLeadDelay
 		case incarnation.OnProbation(n.now, s.startedAt) && n.hasEstablishedPeer():
 			// Others have been up for longer, and may be for longer yet.
@@ -562,7 +562,7 @@
 
 // ownedMachine says whether a machine is this controller's by the records that it has read,
 // and under which epoch.
-func (n *Controller) ownedMachine(machine string) (division.Owner, bool) {
+func (n *Controller) ownedMachine(machine string) (sharding.Owner, bool) {
 	o, ok := n.membership.shardMap.Owner(machine)
 	return o, ok && o.Host == n.settings.Host && o.Incarnation == n.incarnation() && n.membership.leaseID != 0 && n.membership.loaded
 }
--- a/internal/core/models.go
+++ b/internal/controller/migration.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/moves"
+	"github.com/micahill/micahill/internal/migration"
 )
 
-// models.go carries out moves of replicas: it shows the owner's books to internal/moves,
+// migration.go carries out moves of replicas: it shows the owner's books to internal/migration,
 // holds places, stops replicas, and starts them at their targets. A move decides where,
 // never whether: a replica starts anew only on proof and after its record, like any task.
 
@@ -16,7 +16,7 @@
 
 // migrations is an owner's moves.
 type migrations struct {
-	tracker *moves.Tracker
+	tracker *migration.Tracker
 	records map[string]*migrationRecord
 	// held are the machines with places held, and pinned the tasks that wait for theirs.
 	held        []*machine
@@ -51,7 +51,7 @@
 	}
 	if o.migrations == nil {
 		o.migrations = &migrations{
-			tracker: moves.NewTracker(n.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
+			tracker: migration.NewTracker(n.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
 			pinnedUntil: map[taskKey]time.Time{}, unschedulable: map[string]*unschedulableReplica{}, evacuation: evacuation{refusedAt: map[machineKind]time.Time{}},
 		}
 	}
@@ -272,12 +272,12 @@
 	return j, &j.tasks[index]
 }
 
-func (f migrationFacts) Task(id string, index int) moves.Task {
+func (f migrationFacts) Task(id string, index int) migration.Task {
 	j, t := movableReplica(f.n, id, index)
 	if j == nil {
-		return moves.Task{}
+		return migration.Task{}
 	}
-	out := moves.Task{Known: true, Attempt: t.attempt, Running: t.isRunning(), Stopping: t.stopReason != stopNone}
+	out := migration.Task{Known: true, Attempt: t.attempt, Running: t.isRunning(), Stopping: t.stopReason != stopNone}
 	if t.machine != nil {
 		out.Host = t.machine.id
 	}
--- a/internal/core/moving.go
+++ b/internal/controller/migration_plan.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/moves"
+	"github.com/micahill/micahill/internal/migration"
 )
 
-// moving.go says when moves are worth planning, and writes them down.
+// migration_plan.go says when moves are worth planning, and writes them down.
 
 const (
 	// migrationDelay is how long a task must have waited and fitted nowhere before moves are
@@ -127,7 +127,7 @@
 // planMigrationFor looks for moves that make room for a task of j, and begins them.
 func planMigrationFor(n *Controller, mv *migrations, j *job) {
 	p := migrationProblem(n, mv, j)
-	plan, ok := moves.Find(p)
+	plan, ok := migration.Find(p)
 	if !ok {
 		n.debug("no moves", "job", j.ID, "dearest", p.MaxCost)
 		return
@@ -136,13 +136,13 @@
 }
 
 // beginMigration takes up a plan that the planner has found.
-func beginMigration(n *Controller, mv *migrations, team string, p *moves.Problem, plan moves.Plan) {
+func beginMigration(n *Controller, mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
 	for _, m := range plan.Moves {
 		_, t := movableReplica(n, m.Job, m.Index)
 		attempts = append(attempts, t.attempt)
 	}
-	reason := mv.tracker.Start(n.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, moves.Limits{
+	reason := mv.tracker.Start(n.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, migration.Limits{
 		MaxRecordBytes: n.maxMigrationRecordBytes(), MaxMovingFraction: n.settings.Capabilities.MaxMigratingFraction,
 		KindOf: func(host string) (string, int) {
 			m := n.shardLeader.machines[host]
@@ -175,10 +175,10 @@
 }
 
 // migrationProblem is what the planner is asked for a task of j.
-func migrationProblem(n *Controller, mv *migrations, j *job) *moves.Problem {
+func migrationProblem(n *Controller, mv *migrations, j *job) *migration.Problem {
 	p, hosts := migrationCandidates(n, mv, j)
 	p.MaxCost = maxMigrationCost(n, j)
-	p.WaitingTask = moves.WaitingTask{Job: j.ID, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB, Allowed: func(h int) bool {
+	p.WaitingTask = migration.WaitingTask{Job: j.ID, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB, Allowed: func(h int) bool {
 		m := hosts[h]
 		return j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && m.id != j.avoidedMachine() && !m.reservedForOther(j)
 	}}
@@ -186,9 +186,9 @@
 }
 
 // migrationCandidates is the hosts there are, and the replicas that may be moved for a job.
-func migrationCandidates(n *Controller, mv *migrations, j *job) (*moves.Problem, []*machine) {
+func migrationCandidates(n *Controller, mv *migrations, j *job) (*migration.Problem, []*machine) {
 	o := n.shardLeader
-	p := &moves.Problem{MaxMoves: moves.MaxMoves}
+	p := &migration.Problem{MaxMoves: migration.MaxMoves}
 	var hosts []*machine
 	place := map[*machine]int{}
 	for _, m := range o.machinesByID {
@@ -197,7 +197,7 @@
 		}
 		// One that is being retired is room as well: replicas on it don't end by
 		// themselves, and work that waits in vain is not to wait beside it.
-		h := moves.Host{
+		h := migration.Host{
 			ID: m.id, Kind: kindName(machineKind{m.machineType, m.zone, m.spot}), Size: m.size, Free: m.free(),
 			Schedulable: !m.reservedForOther(j), Images: map[string]bool{}, FetchRate: n.imageFetchRate(m),
 		}
@@ -232,7 +232,7 @@
 			if allowed[key] == nil {
 				allowed[key] = allowedHosts(r, m.zone, hosts)
 			}
-			x := moves.Replica{Job: k.job, Index: k.index, HostIndex: place[m], Need: r.Need, Image: r.Image, ImageGB: r.ImageGB, Movable: true, Allowed: allowed[key]}
+			x := migration.Replica{Job: k.job, Index: k.index, HostIndex: place[m], Need: r.Need, Image: r.Image, ImageGB: r.ImageGB, Movable: true, Allowed: allowed[key]}
 			if r.CheckpointInterval > 0 {
 				x.LostWork = r.CheckpointCost
 			}
--- a/internal/core/names.go
+++ b/internal/controller/names.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 // String names the kinds and outcomes for logs and metrics.
 func (k StoreRequestKind) String() string {
--- a/internal/core/place.go
+++ b/internal/controller/placement.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/patience"
+	"github.com/micahill/micahill/internal/aging"
 )
 
 const (
@@ -399,7 +399,7 @@
 		return false
 	}
 	bound, _ := waitBound(n, j)
-	if p := (patience.Job{Waited: n.waitTime(j), MaxWait: bound, WaitingTasks: 1}); !p.Overdue() {
+	if p := (aging.Job{Waited: n.waitTime(j), MaxWait: bound, WaitingTasks: 1}); !p.Overdue() {
 		return false
 	}
 	stops := 0
--- a/internal/core/round.go
+++ b/internal/controller/placement_round.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"github.com/micahill/micahill/internal/packing"
 )
 
-// round.go places what waits. A round looks at a machine some few times for each
+// placement_round.go places what waits. A round looks at a machine some few times for each
 // kind of task and image, not once for each job: in a large pool that has fallen
 // behind hundreds of jobs wait, and reports and renewals wait for the round.
 
--- a/internal/core/warm.go
+++ b/internal/controller/prewarmed.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 // prewarmedWriteInterval is how often one of the records is written that say which machines
@@ -70,7 +70,7 @@
 			i, ok := at[name]
 			cost := width + 2
 			if !ok {
-				cost += bounds.StringSize(name) + prewarmedImageOverhead
+				cost += sizelimit.StringSize(name) + prewarmedImageOverhead
 			}
 			if cost > bytesLeft {
 				if before == maxBytes {
--- a/internal/core/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"net/url"
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
 	"github.com/micahill/micahill/internal/promise"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 // newPromisingNode is an owner with promises on, and a book for its team.
@@ -232,7 +232,7 @@
 	for _, team := range []string{"ops", "a b", "a/b", "a%20b", "a?b", "a#b", "a.b", "~ops", "é", strings.Repeat("x", 300), ""} {
 		key := teamPagePrefix(team) + "0"
 		u, err := url.Parse("http://state/store/" + key)
-		if err != nil || u.Path != "/store/"+key || len(key) > bounds.MaxKeyBytes {
+		if err != nil || u.Path != "/store/"+key || len(key) > sizelimit.MaxKeyBytes {
 			t.Errorf("%q: key %q is read as %v %v", team, key, u, err)
 		}
 		if other, same := seen[key]; same {
--- a/internal/core/boot.go
+++ b/internal/controller/provisioning.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"iter"
@@ -7,7 +7,7 @@
 	"github.com/micahill/micahill/internal/boottime"
 )
 
-// boot.go joins the core to internal/boottime: how long machines take to come up, learnt
+// provisioning.go joins the core to internal/boottime: how long machines take to come up, learnt
 // for each kind.
 
 func (n *Controller) provisioningOf(k machineKind) *boottime.Estimator {
--- a/internal/core/tell.go
+++ b/internal/controller/publish.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"cmp"
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 const (
@@ -94,7 +94,7 @@
 // move, as many as are its part of what all teams here keep busy: the receiver is not to
 // begin with none. Those go first on which only its tasks are, then idle ones, then those
 // of which it has the most; what others have on them goes on there.
-func (n *Controller) offers() []division.Offer {
+func (n *Controller) offers() []sharding.Offer {
 	o := n.shardLeader
 	r := o.teamRelease
 	held := o.teams[r.Team]
@@ -135,7 +135,7 @@
 	}
 	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(b.of, a.of) })
 	remainingCPU := totalCPU * teamLoad / max(totalLoad, 1)
-	offer := division.Offer{Team: r.Team}
+	offer := sharding.Offer{Team: r.Team}
 	for _, c := range choices {
 		if len(offer.Machines) >= maxOfferedMachines || c.of == 0 {
 			break
@@ -145,7 +145,7 @@
 			offer.Machines = append(offer.Machines, c.m.id)
 		}
 	}
-	return []division.Offer{offer}
+	return []sharding.Offer{offer}
 }
 
 // maxOfferedMachines bounds the machines that go along with a team at once.
--- a/internal/core/rank.go
+++ b/internal/controller/ranking.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -7,11 +7,11 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
 	"github.com/micahill/micahill/internal/ranking"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// rank.go joins internal/ranking: the order of work is a record in the state service
+// ranking.go joins internal/ranking: the order of work is a record in the state service
 // that all controllers read with ctl/. Every record of a start names its stamp, so that
 // no start that was decided under an older ranking becomes durable under a newer one. One
 // that is durable leaves only while the ranking is known as of a moment ago; else it is
@@ -344,7 +344,7 @@
 
 // rankingFits says whether a record can be stored.
 func rankingFits(n *Controller, rec ranking.Record) bool {
-	size, err := bounds.JSON(rec.Encode())
+	size, err := sizelimit.JSON(rec.Encode())
 	return err == nil && float64(size) <= rankingValueFraction*float64(n.settings.MaxValueBytes)
 }
 
--- a/internal/core/budgets.go
+++ b/internal/controller/rate_limits.go
@@ -1,13 +1,13 @@
-package core
+package controller
 
 import (
 	"math"
 	"time"
 
-	"github.com/micahill/micahill/internal/budget"
+	"github.com/micahill/micahill/internal/ratelimit"
 )
 
-// budgets.go divides the limits of the state service among the controllers: each tells
+// rate_limits.go divides the limits of the state service among the controllers: each tells
 // the others once a second what it asks for, and reckons its own part.
 
 const (
@@ -39,7 +39,7 @@
 
 // rateLimits is what this controller asks for, and what the others have said.
 type rateLimits struct {
-	requests, writes budget.Meter
+	requests, writes ratelimit.Meter
 	peers            map[string]peerRates
 	allotted         Rates
 	// short: what is asked for has not the usual headroom in its part.
@@ -84,8 +84,8 @@
 		}
 		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	allotted := Rates{budget.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], budget.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
-	b.writesShort = r.Writes*budget.Headroom > allotted.Writes*(1+minRateChange)
+	allotted := Rates{ratelimit.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], ratelimit.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
+	b.writesShort = r.Writes*ratelimit.Headroom > allotted.Writes*(1+minRateChange)
 	if ratesDiffer(allotted.Requests, b.allotted.Requests) || ratesDiffer(allotted.Writes, b.allotted.Writes) {
 		b.allotted = allotted
 		n.emit(allotted)
--- a/internal/core/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"slices"
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/remote"
 )
 
 // markDispatchPending notes that orders may be due for m. Going through all machines after
@@ -45,7 +45,7 @@
 }
 
 // waitsForStartProof says that a start without an answer keeps m from being settled.
-func (m *machine) waitsForStartProof(registry *ownership.Registry) bool {
+func (m *machine) waitsForStartProof(registry *remote.Registry) bool {
 	if registry.HasUnreported(m.id) {
 		return true
 	}
--- a/internal/core/record.go
+++ b/internal/controller/record.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"strings"
 	"time"
 	"unicode/utf8"
 
-	"github.com/micahill/micahill/internal/bounds"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -20,7 +20,7 @@
 	controlPrefix    = "ctl/"
 	leaderKey        = "ctl/lead"
 	controllerPrefix = "ctl/node/"
-	// The shares and lots of the division; see internal/division.
+	// The shares and lots of the division; see internal/sharding.
 	shardPrefix        = "ctl/share/"
 	shardSegmentPrefix = "ctl/lot/"
 	jobStatusPrefix    = "job/"
@@ -121,7 +121,7 @@
 	for _, leave := range [...]func(){
 		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
 	} {
-		if size, err := bounds.JSON(encode(r)); err == nil && size <= valueBytes {
+		if size, err := sizelimit.JSON(encode(r)); err == nil && size <= valueBytes {
 			return
 		}
 		leave()
@@ -208,7 +208,7 @@
 // decode reads a record. The library takes a list's length at its word and makes room
 // for it, so a damaged record is found before.
 func decode(b []byte, v any) bool {
-	if _, err := bounds.JSON(b); err != nil {
+	if _, err := sizelimit.JSON(b); err != nil {
 		return false
 	}
 	return msgpack.Unmarshal(b, v) == nil
--- a/internal/core/remote.go
+++ b/internal/controller/remote_attempts.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/remote"
 )
 
-// remote.go joins the core to internal/ownership: attempts of this owner's jobs on the
+// remote_attempts.go joins the core to internal/remote: attempts of this owner's jobs on the
 // machines of others, and of others' jobs on the machines here. Both arise only when
 // a team or a machine moves while something runs; nothing is started across owners.
 
@@ -26,8 +26,8 @@
 }
 
 // remoteAttempt names a task's attempt.
-func remoteAttempt(k taskKey, attempt uint64) ownership.AttemptID {
-	return ownership.AttemptID{Job: k.job, Index: k.index, Attempt: attempt}
+func remoteAttempt(k taskKey, attempt uint64) remote.AttemptID {
+	return remote.AttemptID{Job: k.job, Index: k.index, Attempt: attempt}
 }
 
 // requestRemoteAttempts asks the owners of other machines for the attempts of this owner's jobs
@@ -38,7 +38,7 @@
 		return
 	}
 	o.remote.due, o.remote.requested = false, n.now
-	requests := map[string][]ownership.Request{}
+	requests := map[string][]remote.Request{}
 	count := 0
 	ids := sortedKeys(o.remoteMachines)
 	// Of more than fit, those after the last that were asked for come next.
@@ -53,12 +53,12 @@
 		if !ok || x.Host == n.settings.Host {
 			continue
 		}
-		request := ownership.Request{Machine: id}
+		request := remote.Request{Machine: id}
 		for _, key := range sortedAttempts(a) {
 			t := a.attempts[key]
-			w := ownership.AttemptRequest{AttemptID: remoteAttempt(key, t.attempt)}
+			w := remote.AttemptRequest{AttemptID: remoteAttempt(key, t.attempt)}
 			if t.stopReason != stopNone {
-				w.Intent, w.WindDown = ownership.Stop, n.gracePeriod(a, o.jobs[key.job], t)
+				w.Intent, w.WindDown = remote.Stop, n.gracePeriod(a, o.jobs[key.job], t)
 			}
 			request.Attempts = append(request.Attempts, w)
 		}
@@ -74,7 +74,7 @@
 }
 
 // receiveRemoteRequests takes in what a jobs' owner asks about machines of this one.
-func receiveRemoteRequests(n *Controller, from string, requests []ownership.Request) {
+func receiveRemoteRequests(n *Controller, from string, requests []remote.Request) {
 	o := n.shardLeader
 	for _, a := range requests {
 		if _, mine := n.ownedMachine(a.Machine); !mine || !o.ready {
@@ -107,9 +107,9 @@
 // publishRemoteAttempts tells the others what is known of the attempts of their jobs here.
 func publishRemoteAttempts(n *Controller) {
 	o := n.shardLeader
-	updates := o.registry.DueStatuses(n.now, func(id string) (ownership.MachineInfo, bool) {
+	updates := o.registry.DueStatuses(n.now, func(id string) (remote.MachineInfo, bool) {
 		x, mine := n.ownedMachine(id)
-		about := ownership.MachineInfo{Epoch: x.Epoch, JobOwner: func(job string) string {
+		about := remote.MachineInfo{Epoch: x.Epoch, JobOwner: func(job string) string {
 			if l, open := n.frontend.watchCache.openJobs[job]; open {
 				if s := n.membership.shardMap.Team(l.rec.Team); s != nil && s.Host != n.settings.Host {
 					return s.Host
@@ -133,7 +133,7 @@
 // counts only from whom the division names as the machine's owner now, under the
 // epoch of now: since an earlier one the machine may have been this owner's again,
 // and the attempt may have been started.
-func receiveRemoteAttempts(n *Controller, from string, updates []ownership.MachineStatus) {
+func receiveRemoteAttempts(n *Controller, from string, updates []remote.MachineStatus) {
 	o := n.shardLeader
 	for _, update := range updates {
 		x, ok := n.membership.shardMap.Owner(update.Machine)
@@ -141,7 +141,7 @@
 			continue
 		}
 		a := o.remoteMachines[update.Machine]
-		var back ownership.Request
+		var back remote.Request
 		for _, w := range update.Attempts {
 			j := o.jobs[w.Job]
 			if j == nil || w.Index < 0 || w.Index >= len(j.tasks) {
@@ -150,10 +150,10 @@
 			t := &j.tasks[w.Index]
 			if a != nil && t.machine == a && t.attempt == w.Attempt {
 				applyRemoteAttempt(n, j, a, w)
-			} else if w.State == ownership.Ended && j.durable(w.Index) {
-				back.Attempts = append(back.Attempts, ownership.AttemptRequest{AttemptID: w.AttemptID, Intent: ownership.Settled})
-			} else if w.State == ownership.Fetching || w.State == ownership.Running || w.State == ownership.Checkpointing {
-				back.Attempts = append(back.Attempts, ownership.AttemptRequest{AttemptID: w.AttemptID, Intent: ownership.Stop})
+			} else if w.State == remote.Ended && j.durable(w.Index) {
+				back.Attempts = append(back.Attempts, remote.AttemptRequest{AttemptID: w.AttemptID, Intent: remote.Settled})
+			} else if w.State == remote.Fetching || w.State == remote.Running || w.State == remote.Checkpointing {
+				back.Attempts = append(back.Attempts, remote.AttemptRequest{AttemptID: w.AttemptID, Intent: remote.Stop})
 			}
 		}
 		if a != nil && a.zone == "" && update.Zone != "" {
@@ -161,25 +161,25 @@
 		}
 		if len(back.Attempts) > 0 {
 			back.Machine = update.Machine
-			n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, RemoteAttempts: []ownership.Request{back}}})
+			n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, RemoteAttempts: []remote.Request{back}}})
 		}
 	}
 }
 
 // applyRemoteAttempt takes in the state of one live attempt on another's machine.
-func applyRemoteAttempt(n *Controller, j *job, a *machine, w ownership.AttemptStatus) {
+func applyRemoteAttempt(n *Controller, j *job, a *machine, w remote.AttemptStatus) {
 	k := taskKey{j.ID, w.Index}
 	p := TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Attempt, Cause: w.Cause}
 	switch w.State {
-	case ownership.Fetching:
+	case remote.Fetching:
 		p.Status = Fetching
-	case ownership.Running:
+	case remote.Running:
 		p.Status = Running
-	case ownership.Checkpointing:
+	case remote.Checkpointing:
 		p.Status = Checkpointing
-	case ownership.Ended:
+	case remote.Ended:
 		p.Status = Ended
-	case ownership.Gone:
+	case remote.Gone:
 		n.endAttempt(j, w.Index, false)
 		return
 	default:
@@ -189,15 +189,15 @@
 }
 
 // toRemoteTask is a reported state in the ownership package's terms.
-func toRemoteTask(p TaskReport) ownership.ReportedAttempt {
-	s := [...]ownership.State{Fetching: ownership.Fetching, Running: ownership.Running, Checkpointing: ownership.Checkpointing, Ended: ownership.Ended}[p.Status]
-	return ownership.ReportedAttempt{AttemptID: ownership.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: s, Cause: p.Cause}
+func toRemoteTask(p TaskReport) remote.ReportedAttempt {
+	s := [...]remote.State{Fetching: remote.Fetching, Running: remote.Running, Checkpointing: remote.Checkpointing, Ended: remote.Ended}[p.Status]
+	return remote.ReportedAttempt{AttemptID: remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: s, Cause: p.Cause}
 }
 
 // updateRegistry hands the newest report of a machine to the registry.
 func updateRegistry(n *Controller, m *machine) {
 	o := n.shardLeader
-	var tasks []ownership.ReportedAttempt
+	var tasks []remote.ReportedAttempt
 	for _, p := range m.taskReports {
 		tasks = append(tasks, toRemoteTask(p))
 	}
@@ -253,9 +253,9 @@
 // over and it is cleared away.
 func (n *Controller) commandForOthers(m *machine, p TaskReport, quiet bool) (TaskCommand, bool) {
 	o := n.shardLeader
-	a := ownership.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
+	a := remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
 	since, w, requested := o.registry.Find(m.id, a)
-	stop, over := requested && w.Intent == ownership.Stop, requested && w.Intent == ownership.Settled
+	stop, over := requested && w.Intent == remote.Stop, requested && w.Intent == remote.Settled
 	_, final := n.frontend.finalStatuses[p.Job]
 	switch l, open := n.frontend.watchCache.openJobs[p.Job]; {
 	case final:
--- a/internal/core/horizon.go
+++ b/internal/controller/renewal_bound.go
@@ -1,21 +1,21 @@
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/horizon"
+	"github.com/micahill/micahill/internal/renewalbound"
 )
 
-// horizon.go is the one place where answers that prolong a worker's lease are bounded.
+// renewal_bound.go is the one place where answers that prolong a worker's lease are bounded.
 // Two things end them. Whoever owns the machine next counts on nobody's answering longer
 // than a grace after the grant may have ended. And a task whose job another controller has
 // cancelled is to be gone in time although this one can't hear of it; see
-// internal/horizon. What an answer rests on is judged once more when it leaves; see
-// late.go.
+// internal/renewalbound. What an answer rests on is judged once more when it leaves; see
+// deadline.go.
 
 // RenewalBound is how the settings bound answers that prolong leases.
-func (s *Settings) RenewalBound() horizon.Rule {
-	return horizon.Rule{
+func (s *Settings) RenewalBound() renewalbound.Rule {
+	return renewalbound.Rule{
 		CancelTimeout: s.CancellationBound, LeaseDuration: s.WorkerLease,
 		ClockMargin: leaseMargin + time.Duration(float64(s.CancellationBound)*clockDrift),
 	}
--- a/internal/core/safety_test.go
+++ b/internal/controller/safety_test.go
@@ -1,4 +1,4 @@
-package core_test
+package controller_test
 
 import (
 	"fmt"
@@ -9,21 +9,21 @@
 	"time"
 
 	"github.com/cockroachdb/datadriven"
-	"github.com/micahill/micahill/internal/bounds"
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/sharding"
+	"github.com/micahill/micahill/internal/simulation"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
 // harness holds real cores against our state service, with everything else in the
 // hands of a scenario: which requests are lost, held or applied late, what a
 // worker says and when. It is for single conditions of the safety argument;
-// whole days are played in internal/standin.
+// whole days are played in internal/simulation.
 type harness struct {
 	t           *testing.T
 	now         time.Time
-	store       *standin.StateService
+	store       *simulation.StateService
 	controllers map[string]*harnessController
 	vms         map[string]*scriptedWorker
 	// maxMachines bounds the machines that can be rented, and unlisted keeps new ones
@@ -35,7 +35,7 @@
 	// ignoredReplies are reports whose answers nobody wants to read.
 	ignoredReplies map[uint64]*scriptedWorker
 	// heartbeatCopies are reports by the names that a scenario gave them.
-	heartbeatCopies map[string]core.Heartbeat
+	heartbeatCopies map[string]controller.Heartbeat
 	output          []string
 	shown           map[string]bool
 }
@@ -44,8 +44,8 @@
 	harness     *harness
 	name        string
 	incarnation int
-	controller  *core.Controller
-	queue       []core.Command
+	controller  *controller.Controller
+	queue       []controller.Command
 	// rules say what becomes of requests to the state service.
 	rules          []storeRule
 	heldRequests   []heldRequest
@@ -65,12 +65,12 @@
 // then is what say prints.
 type heldRequest struct {
 	text string
-	exec func(done func(core.StoreResponse))
+	exec func(done func(controller.StoreResponse))
 }
 
 // workerCommand is a direct order, and when it was sent.
 type workerCommand struct {
-	core.WorkerRequest
+	controller.WorkerRequest
 	sentAt time.Time
 }
 
@@ -100,8 +100,8 @@
 
 func newHarness(t *testing.T) *harness {
 	return &harness{
-		t: t, now: time.Unix(1_750_000_000, 0), store: standin.NewStateService(),
-		controllers: map[string]*harnessController{}, vms: map[string]*scriptedWorker{}, maxMachines: 2, bookings: map[string]bool{}, ignoredReplies: map[uint64]*scriptedWorker{}, heartbeatCopies: map[string]core.Heartbeat{}, shown: map[string]bool{},
+		t: t, now: time.Unix(1_750_000_000, 0), store: simulation.NewStateService(),
+		controllers: map[string]*harnessController{}, vms: map[string]*scriptedWorker{}, maxMachines: 2, bookings: map[string]bool{}, ignoredReplies: map[uint64]*scriptedWorker{}, heartbeatCopies: map[string]controller.Heartbeat{}, shown: map[string]bool{},
 	}
 }
 
@@ -116,18 +116,18 @@
 	n.incarnation++
 	n.rules, n.peersConnected, n.replyNames = nil, true, map[uint64]string{}
 	n.queue, n.heldRequests, n.workerCommands, n.txns = nil, nil, nil, nil
-	set := core.Settings{
+	set := controller.Settings{
 		Host: name, Incarnation: fmt.Sprintf("%s.%d", name, n.incarnation), Zones: []string{"z1", "z2"},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second, CancellationBound: 54 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30,
-		CloudListLag: 4 * time.Second, CloudRequestsPerSecond: 4, Policy: core.DefaultPolicy(),
-		Teams: []core.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: core.Resources{CPU: 8}}},
+		CloudListLag: 4 * time.Second, CloudRequestsPerSecond: 4, Policy: controller.DefaultPolicy(),
+		Teams: []controller.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: controller.Resources{CPU: 8}}},
 	}
 	for _, h := range harnessHosts {
 		if h != name {
 			set.Peers = append(set.Peers, h)
 		}
 	}
-	n.controller = core.New(set, rand.New(rand.NewPCG(1, uint64(n.incarnation))))
+	n.controller = controller.New(set, rand.New(rand.NewPCG(1, uint64(n.incarnation))))
 	return n
 }
 
@@ -148,7 +148,7 @@
 					n.workerCommands = slices.DeleteFunc(n.workerCommands, func(op workerCommand) bool {
 						late := len(op.Commands) == 0 && b.now.Sub(op.sentAt) > pollTimeout
 						if late {
-							n.push(core.WorkerResponse{ID: op.ID})
+							n.push(controller.WorkerResponse{ID: op.ID})
 						}
 						return late
 					})
@@ -167,20 +167,20 @@
 	}
 }
 
-func (n *harnessController) push(c core.Command) {
+func (n *harnessController) push(c controller.Command) {
 	if n.controller != nil {
 		n.queue = append(n.queue, c)
 	}
 }
 
-func (n *harnessController) execute(e core.Effect) {
+func (n *harnessController) execute(e controller.Effect) {
 	b := n.harness
 	switch e := e.(type) {
-	case core.StoreRequest:
+	case controller.StoreRequest:
 		n.handleStoreRequest(e)
-	case core.CloudRequest:
+	case controller.CloudRequest:
 		n.push(b.handleCloudRequest(e))
-	case core.WorkerRequest:
+	case controller.WorkerRequest:
 		vm := b.vms[e.Machine]
 		said := vm.repeated
 		if vm.reported != nil {
@@ -191,13 +191,13 @@
 			// learnt a higher epoch.
 			vm.epoch = max(vm.epoch, e.Epoch)
 			r := b.heartbeat(said, vm)
-			n.push(core.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &r})
+			n.push(controller.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &r})
 			return
 		}
 		n.workerCommands = append(n.workerCommands, workerCommand{e, b.now})
-	case core.UserReply:
+	case controller.UserReply:
 		b.output = append(b.output, strings.TrimSpace(fmt.Sprintf("%s %d %s", n.replyNames[e.Reply], e.Status, e.State)))
-	case core.HeartbeatReply:
+	case controller.HeartbeatReply:
 		if vm := b.ignoredReplies[e.Reply]; vm != nil {
 			delete(b.ignoredReplies, e.Reply)
 			if vm.unreachable {
@@ -233,9 +233,9 @@
 			text += " to " + e.MachineOwner
 		}
 		b.output = append(b.output, fmt.Sprintf("%s %s", n.replyNames[e.Reply], text))
-	case core.LoanReply:
+	case controller.LoanReply:
 		b.output = append(b.output, n.replyNames[e.Reply]+" "+[...]string{"durable", "not", "unsure"}[e.Status])
-	case core.LoanView:
+	case controller.LoanView:
 		text := fmt.Sprintf("view ok=%v leads=%v guests=%v", e.OK, e.IsLeader, e.RunsGuestTeam)
 		for _, l := range e.Lent {
 			text += fmt.Sprintf(" lent=%s#%d->%s", l.Spec.ID, l.LendCount, l.Peer)
@@ -244,14 +244,14 @@
 			text += fmt.Sprintf(" borrowed=%s:%s:ending=%v", l.Loan, l.Status, l.Ending)
 		}
 		b.output = append(b.output, text)
-	case core.SendPeerUpdate:
+	case controller.SendPeerUpdate:
 		if o := b.controllers[e.To]; o != nil && n.peersConnected && o.peersConnected {
 			o.push(e.Update)
 		}
 	}
 }
 
-func formatCommands(commands []core.TaskCommand) string {
+func formatCommands(commands []controller.TaskCommand) string {
 	var out []string
 	for _, o := range commands {
 		out = append(out, fmt.Sprintf(" %s %s/%d#%d", o.Kind, o.Job, o.Index, o.Attempt))
@@ -262,11 +262,11 @@
 
 // describeRequest is how a request reads in a scenario: a transaction as its
 // conditions, each with whether it stands now, and its changes.
-func (n *harnessController) describeRequest(op core.StoreRequest) string {
+func (n *harnessController) describeRequest(op controller.StoreRequest) string {
 	switch {
-	case op.Kind == core.OpWatch && op.WatchTimeout == 0:
+	case op.Kind == controller.OpWatch && op.WatchTimeout == 0:
 		return "read " + op.Key
-	case op.Kind != core.OpTxn:
+	case op.Kind != controller.OpTxn:
 		return fmt.Sprintf("%s %s", op.Kind, op.Key)
 	}
 	var compares, writes []string
@@ -288,15 +288,15 @@
 	return fmt.Sprintf("when %s: %s", strings.Join(compares, ", "), strings.Join(writes, ", "))
 }
 
-func (n *harnessController) handleStoreRequest(op core.StoreRequest) {
+func (n *harnessController) handleStoreRequest(op controller.StoreRequest) {
 	b := n.harness
 	text := n.describeRequest(op)
-	if op.Kind == core.OpTxn {
+	if op.Kind == controller.OpTxn {
 		n.txns = append(n.txns, text)
 	}
 	sent, life := b.now, n.incarnation
-	exec := func(answer bool, done func(core.StoreResponse)) {
-		b.store.Do(b.now, op, func(d core.StoreResponse) {
+	exec := func(answer bool, done func(controller.StoreResponse)) {
+		b.store.Do(b.now, op, func(d controller.StoreResponse) {
 			if d.SentAt = sent; answer && n.incarnation == life {
 				n.push(d)
 			}
@@ -304,9 +304,9 @@
 		})
 	}
 	hold := func(answer bool) {
-		n.heldRequests = append(n.heldRequests, heldRequest{text, func(done func(core.StoreResponse)) { exec(answer, done) }})
+		n.heldRequests = append(n.heldRequests, heldRequest{text, func(done func(controller.StoreResponse)) { exec(answer, done) }})
 	}
-	nobody := func(core.StoreResponse) {}
+	nobody := func(controller.StoreResponse) {}
 	mode := "ok"
 	if i := slices.IndexFunc(n.rules, func(r storeRule) bool { return strings.Contains(text, r.contains) }); i >= 0 {
 		if mode = n.rules[i].mode; mode == "gone" {
@@ -317,28 +317,28 @@
 	case "ok":
 		exec(true, nobody)
 	case "refuse":
-		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreRefused, SentAt: sent})
+		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreRefused, SentAt: sent})
 	case "lose":
 		exec(false, nobody)
-		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreUnknown, SentAt: sent})
+		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreUnknown, SentAt: sent})
 	case "late":
 		hold(false)
-		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreUnknown, SentAt: sent})
+		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreUnknown, SentAt: sent})
 	case "hold":
 		hold(true)
 	case "gone":
-		n.push(core.StoreResponse{ID: op.ID, Status: core.StoreCompacted, SentAt: sent})
+		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreCompacted, SentAt: sent})
 	default:
 		b.t.Fatalf("unknown mode %s", mode)
 	}
 }
 
-func (b *harness) handleCloudRequest(op core.CloudRequest) core.CloudResponse {
-	d := core.CloudResponse{ID: op.ID}
+func (b *harness) handleCloudRequest(op controller.CloudRequest) controller.CloudResponse {
+	d := controller.CloudResponse{ID: op.ID}
 	switch op.Kind {
-	case core.CloudListTypes:
-		d.MachineTypes = []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
-	case core.CloudRent:
+	case controller.CloudListTypes:
+		d.MachineTypes = []controller.MachineType{{Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
+	case controller.CloudRent:
 		if b.bookings[op.IdempotencyKey] {
 			b.output = append(b.output, "booking used again: "+op.IdempotencyKey)
 		}
@@ -349,22 +349,22 @@
 			d.Rented = append(d.Rented, vm.id)
 		}
 		if len(d.Rented) == 0 {
-			d.Status = core.CloudNoCapacity
+			d.Status = controller.CloudNoCapacity
 		}
-	case core.CloudListMachines:
+	case controller.CloudListMachines:
 		for _, vm := range b.sortedVMs() {
 			status := "running"
 			if vm.failed {
 				status = "failed"
 			}
 			if !vm.released && !vm.unlisted {
-				d.Machines = append(d.Machines, core.CloudMachine{ID: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Status: status, Age: time.Minute})
+				d.Machines = append(d.Machines, controller.CloudMachine{ID: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Status: status, Age: time.Minute})
 			}
 		}
-	case core.CloudRelease:
+	case controller.CloudRelease:
 		b.printOnce("return " + strings.Join(op.Machines, " "))
 		if b.releaseMode == "unknown" {
-			d.Status = core.CloudUnknown
+			d.Status = controller.CloudUnknown
 			return d
 		}
 		for _, id := range op.Machines {
@@ -391,17 +391,17 @@
 	return vms
 }
 
-func (b *harness) pushRequest(n *harnessController, what string, newCommand func(uint64) core.Command) {
+func (b *harness) pushRequest(n *harnessController, what string, newCommand func(uint64) controller.Command) {
 	n.lastReply++
 	n.replyNames[n.lastReply] = what
 	n.push(newCommand(n.lastReply))
 }
 
 // worker makes a report of vm as the scenario says: tasks=(job/0#1=running,...).
-func (b *harness) heartbeat(d *datadriven.TestData, vm *scriptedWorker) core.Heartbeat {
+func (b *harness) heartbeat(d *datadriven.TestData, vm *scriptedWorker) controller.Heartbeat {
 	uintArg(b.t, d, "tenure", &vm.incarnation)
 	vm.sequence++
-	r := core.Heartbeat{Machine: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Incarnation: vm.incarnation, Sequence: vm.sequence, Epoch: vm.epoch, ReclaimIn: -1}
+	r := controller.Heartbeat{Machine: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Incarnation: vm.incarnation, Sequence: vm.sequence, Epoch: vm.epoch, ReclaimIn: -1}
 	uintArg(b.t, d, "tick", &r.Sequence)
 	vm.sequence = max(vm.sequence, r.Sequence)
 	if d.HasArg("newer") {
@@ -414,7 +414,7 @@
 		}
 		for _, v := range a.Vals {
 			name, status, ok := strings.Cut(v, "=")
-			task := core.TaskReport{}
+			task := controller.TaskReport{}
 			last := 0
 			if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "-", " ", "#", " ").Replace(name), "%s %d %d %d", &task.Job, &task.Index, &last, &task.Attempt); err != nil || !ok {
 				if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "#", " ").Replace(name), "%s %d %d", &task.Job, &task.Index, &task.Attempt); err != nil || !ok {
@@ -424,13 +424,13 @@
 			}
 			switch status {
 			case "fetching":
-				task.Status = core.Fetching
+				task.Status = controller.Fetching
 			case "running":
-				task.Status = core.Running
+				task.Status = controller.Running
 			case "flushing":
-				task.Status = core.Checkpointing
+				task.Status = controller.Checkpointing
 			default:
-				task.Status, task.Cause = core.Ended, status
+				task.Status, task.Cause = controller.Ended, status
 			}
 			for ; task.Index <= last; task.Index++ {
 				r.Tasks = append(r.Tasks, task)
@@ -495,7 +495,7 @@
 				booted.rules = append(booted.rules, r)
 			}
 		}
-		b.run(core.Seconds(number("for", 1)))
+		b.run(controller.Seconds(number("for", 1)))
 	case "end":
 		// The process ends; what it sent may still be applied.
 		b.controllers[first()].controller = nil
@@ -503,8 +503,8 @@
 		b.maxMachines = int(number("machines", 2))
 		b.unlisted = d.HasArg("unlisted")
 	case "submit":
-		s := core.JobSpec{ID: first(), Workload: "w", Team: "ops", Urgency: core.Normal, Tasks: int(number("tasks", 1)),
-			Need: core.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: core.Seconds(number("expected", 20)),
+		s := controller.JobSpec{ID: first(), Workload: "w", Team: "ops", Urgency: controller.Normal, Tasks: int(number("tasks", 1)),
+			Need: controller.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: controller.Seconds(number("expected", 20)),
 			SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart")}
 		for _, a := range d.CmdArgs {
 			if a.Key == "prereqs" {
@@ -514,38 +514,38 @@
 		if d.HasArg("team") {
 			d.ScanArgs(t, "team", &s.Team)
 		}
-		b.pushRequest(n, s.ID, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: s} })
-		b.run(core.Seconds(number("for", 2)))
+		b.pushRequest(n, s.ID, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: s} })
+		b.run(controller.Seconds(number("for", 2)))
 	case "loan":
 		// One step of a loan: what, job, n=1.
 		kinds := []string{"lend", "back", "settle", "cancelled", "accept", "give_up", "drop"}
 		id := d.CmdArgs[1].Key
-		op := core.LoanCommand{
-			Kind: core.LoanCommandKind(slices.Index(kinds, first())), Job: id, LendCount: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
-			Spec: core.JobSpec{ID: id, Team: "ops", Urgency: core.Normal, Tasks: 1, Need: core.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
+		op := controller.LoanCommand{
+			Kind: controller.LoanCommandKind(slices.Index(kinds, first())), Job: id, LendCount: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
+			Spec: controller.JobSpec{ID: id, Team: "ops", Urgency: controller.Normal, Tasks: 1, Need: controller.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
 		}
-		b.pushRequest(n, first()+" "+id, func(r uint64) core.Command { op.Reply = r; return op })
-		b.run(core.Seconds(number("for", 0.5)))
+		b.pushRequest(n, first()+" "+id, func(r uint64) controller.Command { op.Reply = r; return op })
+		b.run(controller.Seconds(number("for", 0.5)))
 	case "view":
 		// startable=job: that borrowed job may be started for the next 10 s.
-		q := core.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
+		q := controller.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
 		if d.HasArg("startable") {
 			var id string
 			d.ScanArgs(t, "startable", &id)
 			q.StartableUntil[id] = b.now.Add(10 * time.Second)
 		}
-		b.pushRequest(n, "view", func(r uint64) core.Command { q.Reply = r; return q })
-		b.run(core.Seconds(number("for", 0.5)))
+		b.pushRequest(n, "view", func(r uint64) controller.Command { q.Reply = r; return q })
+		b.run(controller.Seconds(number("for", 0.5)))
 	case "query":
 		id := first()
-		b.pushRequest(n, id, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} })
-		b.run(core.Seconds(number("for", 0.3)))
+		b.pushRequest(n, id, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} })
+		b.run(controller.Seconds(number("for", 0.3)))
 	case "abort":
 		id := first()
-		b.pushRequest(n, id, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} })
-		b.run(core.Seconds(number("for", 0.3)))
+		b.pushRequest(n, id, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} })
+		b.run(controller.Seconds(number("for", 0.3)))
 	case "wait":
-		b.run(core.Seconds(number("for", 1)))
+		b.run(controller.Seconds(number("for", 1)))
 	case "state":
 		// What becomes of the node's requests to the state service; ok: all as usual.
 		r := storeRule{mode: first()}
@@ -560,15 +560,15 @@
 		held := n.heldRequests
 		n.heldRequests = nil
 		for _, h := range held {
-			h.exec(func(r core.StoreResponse) {
+			h.exec(func(r controller.StoreResponse) {
 				kind, text, txn := strings.Cut(h.text, ": ")
 				switch {
 				case !d.HasArg("say"):
 				case !txn:
 					b.output = append(b.output, fmt.Sprintf("%s tells of %d", kind, len(r.KeyValues)))
-				case r.Status == core.StoreOK:
+				case r.Status == controller.StoreOK:
 					b.output = append(b.output, "applied "+text)
-				case r.Status == core.StoreNoLease:
+				case r.Status == controller.StoreNoLease:
 					b.output = append(b.output, "refused "+text+", its grant has ended")
 				default:
 					b.output = append(b.output, fmt.Sprintf("refused %s, as of another stamp: %s", text, strings.Join(r.FailedKeys, ", ")))
@@ -614,7 +614,7 @@
 		vm := vm()
 		r := b.heartbeat(d, vm)
 		send := func() {
-			b.pushRequest(n, vm.id, func(id uint64) core.Command { return core.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+			b.pushRequest(n, vm.id, func(id uint64) controller.Command { return controller.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 		}
 		vm.resend = func() *datadriven.TestData {
 			vm.sequence++
@@ -639,14 +639,14 @@
 		if !ok {
 			d.Fatalf(t, "late: no report was sent as %s", first())
 		}
-		b.pushRequest(n, "late "+first(), func(id uint64) core.Command { return core.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+		b.pushRequest(n, "late "+first(), func(id uint64) controller.Command { return controller.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 		b.run(0)
 	case "keep":
 		// The worker goes on reporting the same, to whoever is asked for.
 		vm, node, said := vm(), n, *d // datadriven uses d again
 		vm.repeat = func() {
 			r := b.heartbeat(&said, vm)
-			b.pushRequest(node, "", func(id uint64) core.Command { return core.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+			b.pushRequest(node, "", func(id uint64) controller.Command { return controller.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 			b.ignoredReplies[node.lastReply] = vm
 		}
 		vm.repeated, vm.unreachable = &said, d.HasArg("deaf")
@@ -681,7 +681,7 @@
 		op := n.workerCommands[i]
 		n.workerCommands = slices.Delete(n.workerCommands, i, i+1)
 		if d.HasArg("lost") {
-			n.push(core.WorkerResponse{ID: op.ID})
+			n.push(controller.WorkerResponse{ID: op.ID})
 		} else {
 			if d.HasArg("from") {
 				// Another machine has its address by now.
@@ -693,7 +693,7 @@
 				vm.epoch = op.Epoch
 			}
 			r := b.heartbeat(d, vm)
-			n.push(core.WorkerResponse{ID: op.ID, OK: !d.HasArg("refused"), Heartbeat: &r})
+			n.push(controller.WorkerResponse{ID: op.ID, OK: !d.HasArg("refused"), Heartbeat: &r})
 		}
 		b.run(0)
 	case "put":
@@ -702,16 +702,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.store.Do(b.now, core.StoreRequest{Kind: core.OpTxn, Writes: []core.Write{{Key: first(), Value: raw}}}, func(core.StoreResponse) {})
+		b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpTxn, Writes: []controller.Write{{Key: first(), Value: raw}}}, func(controller.StoreResponse) {})
 	case "teams":
 		// A leader gives shares these teams, in one change: a=(ops) b=(lab).
-		op := core.StoreRequest{Kind: core.OpTxn}
+		op := controller.StoreRequest{Kind: controller.OpTxn}
 		for _, a := range d.CmdArgs {
 			if a.Key == "for" {
 				continue
 			}
 			key, share := "ctl/share/"+a.Key, map[string]any{}
-			b.store.Do(b.now, core.StoreRequest{Kind: core.OpGet, Key: key}, func(g core.StoreResponse) {
+			b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpGet, Key: key}, func(g controller.StoreResponse) {
 				if err := msgpack.Unmarshal(g.KeyValues[0].Value, &share); err != nil {
 					t.Fatal(err)
 				}
@@ -721,20 +721,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			op.Writes = append(op.Writes, core.Write{Key: key, Value: raw})
+			op.Writes = append(op.Writes, controller.Write{Key: key, Value: raw})
 		}
-		b.store.Do(b.now, op, func(core.StoreResponse) {})
-		b.run(core.Seconds(number("for", 0.5)))
+		b.store.Do(b.now, op, func(controller.StoreResponse) {})
+		b.run(controller.Seconds(number("for", 0.5)))
 	case "lot":
 		// A leader names machines for a share: lot name share=b machines=(vm-1).
 		var share string
 		d.ScanArgs(t, "share", &share)
 		i := slices.IndexFunc(d.CmdArgs, func(a datadriven.CmdArg) bool { return a.Key == "machines" })
-		w, _ := division.BumpEpoch(bounds.Limits{ValueBytes: 4096}, first(), &division.Shard{Name: share}, d.CmdArgs[i].Vals)
-		b.store.Do(b.now, core.StoreRequest{Kind: core.OpTxn, Writes: []core.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(core.StoreResponse) {})
-		b.run(core.Seconds(number("for", 0.5)))
+		w, _ := sharding.BumpEpoch(sizelimit.Limits{ValueBytes: 4096}, first(), &sharding.Shard{Name: share}, d.CmdArgs[i].Vals)
+		b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpTxn, Writes: []controller.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(controller.StoreResponse) {})
+		b.run(controller.Seconds(number("for", 0.5)))
 	case "keys":
-		b.store.Do(b.now, core.StoreRequest{Kind: core.OpList, Key: first()}, func(d core.StoreResponse) {
+		b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpList, Key: first()}, func(d controller.StoreResponse) {
 			for _, it := range d.KeyValues {
 				b.output = append(b.output, it.Key)
 			}
--- a/internal/core/rent.go
+++ b/internal/controller/scaling.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// rent.go says which machines are worth renting, which are spare and which dear
+// scaling.go says which machines are worth renting, which are spare and which dear
 // ones to let go, by playing the fleet forward.
 
 // minIdleTime is how long a machine that nothing needs stays at least: ends and
--- a/internal/core/chunks.go
+++ b/internal/controller/segments.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 const (
@@ -22,7 +22,7 @@
 	maxLazyWrites = 4
 	// targetTxnBytes is how full a transaction is made, in bytes of JSON, with room for what
 	// every one has.
-	targetTxnBytes = bounds.MaxTxnBytes * 3 / 4
+	targetTxnBytes = sizelimit.MaxTxnBytes * 3 / 4
 	// slowTxnThreshold is how long a write takes that the log tells of, at debug.
 	slowTxnThreshold = 500 * time.Millisecond
 	// maxSegmentTxns bounds the owner's transactions in flight.
@@ -121,7 +121,7 @@
 						compareCount += 1 + len(fence)
 					}
 					// What does not fit goes with the next write.
-					if size += bounds.WriteBytes(bounds.Write{Key: j.segmentKey(c), Value: val}) + compareCount*bounds.CompareBytes(openJobPrefix+id); size > targetTxnBytes || len(op.Compares)+compareCount > bounds.ComparesPerOp*n.settings.MaxTxnWrites {
+					if size += sizelimit.WriteBytes(sizelimit.Write{Key: j.segmentKey(c), Value: val}) + compareCount*sizelimit.CompareBytes(openJobPrefix+id); size > targetTxnBytes || len(op.Compares)+compareCount > sizelimit.ComparesPerOp*n.settings.MaxTxnWrites {
 						if len(op.Writes) > 0 {
 							return
 						}
--- a/internal/core/owner.go
+++ b/internal/controller/shard_leader.go
@@ -1,12 +1,12 @@
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/blame"
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/faultattribution"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 const (
@@ -29,7 +29,7 @@
 	ready      bool
 	readyAt    time.Time
 	generation int
-	// teams are those of the shares that are held; see tenure.go.
+	// teams are those of the shares that are held; see shard_sync.go.
 	teams  map[string]*heldTeam
 	shards map[string]bool
 	// catchAllSince is since when one of the shares has the machines that no lot names.
@@ -39,21 +39,21 @@
 	jobs         map[string]*job
 	machines     map[string]*machine
 	// remoteMachines are machines of other owners on which attempts of these jobs are, and
-	// registry the account of others' attempts on the machines here; see remote.go.
+	// registry the account of others' attempts on the machines here; see remote_attempts.go.
 	remoteMachines map[string]*machine
-	registry       ownership.Registry
+	registry       remote.Registry
 	remote         remoteRequestState
 	promiseDates   shardLeaderDates
 	// higherEpochSeen are machines that have seen an epoch above the one they are owned
 	// under, and raises counts the lots written to raise epochs.
 	higherEpochSeen map[string]time.Time
 	epochBumps      int
-	// machinesReservedAt is when machines were last gathered; see turns.go.
+	// machinesReservedAt is when machines were last gathered; see aging.go.
 	machinesReservedAt time.Time
 	// machinesByID are the machines in the order of their names, and dirty those for
 	// which orders may be due.
 	machinesByID []*machine
-	// lastHeartbeats is the newest that was heard of machines that were dropped; see past.go.
+	// lastHeartbeats is the newest that was heard of machines that were dropped; see stale_heartbeat.go.
 	lastHeartbeats map[string]lastHeartbeat
 	dirtyMachines  []*machine
 	// unreachableReleasedAt is when a machine that hears nothing was last given back.
@@ -64,7 +64,7 @@
 	contactsInFlight  int
 	usedByTeam        map[string]Resources
 	// faultAttribution tells faulty machines from jobs that fail everywhere.
-	faultAttribution blame.Tracker
+	faultAttribution faultattribution.Tracker
 	// txnsInFlight counts the writes under way, and ahead their changes.
 	txnsInFlight, writesInFlight int
 	// startsFirst: of what is to be written starts went before ends last time.
@@ -105,7 +105,7 @@
 	// dearest first: others may have them.
 	surplusMachines []string
 	// teamRelease is a team that the leader wants to move, and when it last said so.
-	teamRelease   division.MoveRequest
+	teamRelease   sharding.MoveRequest
 	teamReleaseAt time.Time
 	epochBumpedAt time.Time
 	// correlatedFailureLoggedAt is when the log last told of machines that are silent together.
@@ -136,7 +136,7 @@
 	paths          map[string]pipeline.CriticalPath
 	// publishTurn says which machines the others are told of next.
 	publishTurn int
-	// migrations are replicas on the move; see models.go.
+	// migrations are replicas on the move; see migration.go.
 	migrations *migrations
 }
 
--- a/internal/core/owner_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -1,11 +1,11 @@
-package core
+package controller
 
 import (
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 // putShard writes a share into the node's picture of ctl/.
@@ -24,7 +24,7 @@
 // putSegment names machines for a share.
 func (n *Controller) putSegment(t *testing.T, share string, stamp uint64, ids ...string) {
 	t.Helper()
-	w, some := division.BumpEpoch(n.storeLimits(), "l"+ids[0], n.membership.shardMap.Shard(share), ids)
+	w, some := sharding.BumpEpoch(n.storeLimits(), "l"+ids[0], n.membership.shardMap.Shard(share), ids)
 	if len(some) != len(ids) {
 		t.Fatal("too many")
 	}
@@ -116,7 +116,7 @@
 	if m.epoch != 4 || m.leaseEnd.Before(least) {
 		t.Errorf("under epoch %d its lease counts as over after %v, want %v at least", m.epoch, m.leaseEnd.Sub(n.now), least.Sub(n.now))
 	}
-	receiveRemoteRequests(n, "b", []ownership.Request{{Machine: "vm-000088", Attempts: []ownership.AttemptRequest{{AttemptID: ownership.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
+	receiveRemoteRequests(n, "b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
 	if m = n.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
 		t.Errorf("a machine with others' work: %+v", m)
 	}
@@ -150,7 +150,7 @@
 	}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, spec.openRecord(n.now)}
 	// Asked to stop it, it does.
-	receiveRemoteRequests(n, "b", []ownership.Request{{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: ownership.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: ownership.Stop}}}})
+	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
 	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StopTask {
 		t.Errorf("ordered %v, want a stop", os)
 	}
@@ -167,8 +167,8 @@
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Tasks = 2, []TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: Checkpointing}}
 	n.applyHeartbeat(m, r, true)
-	a := ownership.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
-	receiveRemoteRequests(n, "b", []ownership.Request{{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: a, Intent: ownership.Stop, WindDown: 20 * time.Second}}}})
+	a := remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
+	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
 	if os := n.reconcile(m); len(os) > 0 {
 		t.Errorf("ordered %v while it saves", os)
 	}
@@ -215,8 +215,8 @@
 	if n.shardLeader.jobs[spec.ID] != nil || m.isEmpty() || m.othersUsed.CPU != 3 {
 		t.Fatalf("left behind it takes %v, empty %v", m.othersUsed, m.isEmpty())
 	}
-	requests := []ownership.Request{{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: ownership.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
-	publishedState := func() ownership.State {
+	requests := []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
+	publishedState := func() remote.State {
 		n.now, n.effects = n.now.Add(2*time.Second), nil
 		receiveRemoteRequests(n, "b", requests)
 		publishRemoteAttempts(n)
@@ -231,7 +231,7 @@
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 3, m.epoch
 	n.applyHeartbeat(m, r, true)
-	if s := publishedState(); s != ownership.Unknown {
+	if s := publishedState(); s != remote.Unknown {
 		t.Errorf("told as %v while its start may be on its way", s)
 	}
 	// Under a higher epoch it can't be executed any more.
@@ -240,7 +240,7 @@
 	r = n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 4, m.epoch
 	n.applyHeartbeat(m, r, true)
-	if s := publishedState(); s != ownership.Gone {
+	if s := publishedState(); s != remote.Gone {
 		t.Errorf("told as %v, want that it is gone", s)
 	}
 }
@@ -254,7 +254,7 @@
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.attachAttempt(j, 0, n.ownedOrRemoteMachine("vm-000077"))
 	publish := func(from string, epoch uint64) {
-		receiveRemoteAttempts(n, from, []ownership.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []ownership.AttemptStatus{{AttemptID: ownership.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: ownership.Gone}}}})
+		receiveRemoteAttempts(n, from, []remote.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []remote.AttemptStatus{{AttemptID: remote.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: remote.Gone}}}})
 	}
 	publish("b", 4)
 	publish("c", 5)
--- a/internal/core/divide.go
+++ b/internal/controller/shard_planning.go
@@ -1,15 +1,15 @@
-package core
+package controller
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
-	"github.com/micahill/micahill/internal/division"
+	"github.com/micahill/micahill/internal/sharding"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// divide.go is the leader's part in the division: what internal/division decides is
+// shard_planning.go is the leader's part in the division: what internal/sharding decides is
 // written on condition that this leader still leads, and counts for everybody, the
 // leader too, only when the watch brings it.
 
@@ -24,25 +24,25 @@
 
 // shardPlanning is what the leader knows for the division.
 type shardPlanning struct {
-	planner *division.Planner
+	planner *sharding.Planner
 	writing bool
 	// writtenRevision is when it last wrote: nothing more is planned before that has been read.
 	writtenRevision uint64
 	// unrecordedMachines are machines that were rented for a controller and that no record
 	// names for it yet.
-	unrecordedMachines map[string]division.NewMachine
-	offers             map[string]division.Offer
+	unrecordedMachines map[string]sharding.NewMachine
+	offers             map[string]sharding.Offer
 	loads              map[string]float64
 }
 
 // storeLimits are the state service's limits.
-func (n *Controller) storeLimits() bounds.Limits {
-	return bounds.Limits{ValueBytes: n.settings.MaxValueBytes, Ops: n.settings.MaxTxnWrites}
+func (n *Controller) storeLimits() sizelimit.Limits {
+	return sizelimit.Limits{ValueBytes: n.settings.MaxValueBytes, Ops: n.settings.MaxTxnWrites}
 }
 
 // requestLimits are those that a transaction keeps to. As long as a controller of the version
 // before can come back, records of tasks are as it writes and reads them.
-func (n *Controller) requestLimits(op *StoreRequest) bounds.Limits {
+func (n *Controller) requestLimits(op *StoreRequest) sizelimit.Limits {
 	l := n.storeLimits()
 	if n.segmentFormat().sized {
 		return l
@@ -57,8 +57,8 @@
 
 func newShardPlanning(n *Controller) shardPlanning {
 	return shardPlanning{
-		planner:            division.New(n.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
-		unrecordedMachines: map[string]division.NewMachine{}, offers: map[string]division.Offer{}, loads: map[string]float64{},
+		planner:            sharding.New(n.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
+		unrecordedMachines: map[string]sharding.NewMachine{}, offers: map[string]sharding.Offer{}, loads: map[string]float64{},
 	}
 }
 
@@ -69,11 +69,11 @@
 	if planning.writing || s.revision < planning.writtenRevision || !s.loaded || n.now.After(s.leaseValidUntil) {
 		return
 	}
-	input := division.Input{Map: s.shardMap, Self: n.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: n.confirmedGone}
+	input := sharding.Input{Map: s.shardMap, Self: n.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: n.confirmedGone}
 	for _, h := range sortedKeys(s.controllers) {
 		r := s.controllers[h]
 		receivesNothing := r.ReceivesNothing || h == n.settings.Host && s.receivesNothing(n.now)
-		input.Controllers = append(input.Controllers, division.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: n.recentlyStarted(r)})
+		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: n.recentlyStarted(r)})
 	}
 	for _, t := range n.settings.Teams {
 		input.Teams = append(input.Teams, t.Name)
--- a/internal/core/tenure.go
+++ b/internal/controller/shard_sync.go
@@ -1,14 +1,14 @@
-package core
+package controller
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
-// tenure.go keeps the owner's books in step with the division: which teams and which
+// shard_sync.go keeps the owner's books in step with the division: which teams and which
 // machines are this controller's, by the records that it has read. What comes is taken
 // up where it is, what goes is let go where it is; nothing else is disturbed.
 
@@ -38,7 +38,7 @@
 
 // markReassignedAfterReRead does the same when ctl/ has been read anew and what happened in between
 // is not told: only a share that has not been written since has kept its teams.
-func markReassignedAfterReRead(n *Controller, before *division.Map) {
+func markReassignedAfterReRead(n *Controller, before *sharding.Map) {
 	if n.shardLeader == nil {
 		return
 	}
@@ -54,9 +54,9 @@
 	if !s.loaded {
 		return
 	}
-	var heldShards []*division.Shard
+	var heldShards []*sharding.Shard
 	if s.leaseID != 0 {
-		heldShards = slices.DeleteFunc(s.shardMap.HeldBy(n.settings.Host, n.incarnation()), func(x *division.Shard) bool {
+		heldShards = slices.DeleteFunc(s.shardMap.HeldBy(n.settings.Host, n.incarnation()), func(x *sharding.Shard) bool {
 			return len(x.Teams) == 0 && !x.CatchAll && !s.shardMap.HasMachines(x.Name)
 		})
 	}
@@ -78,7 +78,7 @@
 	syncTeams(n, heldShards)
 }
 
-func shardNames(heldShards []*division.Shard) []string {
+func shardNames(heldShards []*sharding.Shard) []string {
 	var out []string
 	for _, x := range heldShards {
 		out = append(out, x.Name)
@@ -88,7 +88,7 @@
 
 // syncTeams lets go of the teams that are another's now, and reads the records of
 // those that have come.
-func syncTeams(n *Controller, heldShards []*division.Shard) {
+func syncTeams(n *Controller, heldShards []*sharding.Shard) {
 	o := n.shardLeader
 	assigned := map[string]bool{}
 	for _, x := range heldShards {
@@ -140,8 +140,8 @@
 			}
 			// It may run or yet begin, and takes room. Whoever owns the job now reads
 			// of it and asks. What was never told to anybody is nowhere.
-			a := ownership.AttemptID{Job: id, Index: i, Attempt: t.attempt}
-			o.registry.Request(n.now, newOwner, ownership.Request{Machine: m.id, Attempts: []ownership.AttemptRequest{{AttemptID: a}}})
+			a := remote.AttemptID{Job: id, Index: i, Attempt: t.attempt}
+			o.registry.Request(n.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
 			if !t.startSent {
 				o.registry.MarkGone(n.now, m.id, a)
 			}
@@ -167,7 +167,7 @@
 
 // syncMachines lets go of the machines that are another's now, takes up those that
 // have come, and notes whose the others are.
-func syncMachines(n *Controller, heldShards []*division.Shard) {
+func syncMachines(n *Controller, heldShards []*sharding.Shard) {
 	o := n.shardLeader
 	clear(o.shards)
 	catchAll := false
--- a/internal/core/bounded_test.go
+++ b/internal/controller/size_limits_test.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -106,7 +106,7 @@
 			j.recordRunTime(time.Duration(100+i) * time.Second)
 		}
 		r := j.segmentRecord(j.segmentOf(0))
-		size, err := bounds.JSON(encode(r))
+		size, err := sizelimit.JSON(encode(r))
 		if err != nil || size > value {
 			t.Errorf("%d rows take %d bytes of %d, %v", j.tasksPerSegment, size, value, err)
 		}
@@ -152,7 +152,7 @@
 		ws = append(ws, wire{string(o.Kind), fmt.Sprintf("%s/%d", o.Job, o.Index), o.Attempt, 10})
 	}
 	b, err := json.Marshal(map[string]any{"epoch": 1, "orders": ws})
-	if err != nil || len(commands) == 0 || len(b) > bounds.MaxBodyBytes {
+	if err != nil || len(commands) == 0 || len(b) > sizelimit.MaxBodyBytes {
 		t.Errorf("%d orders in %d bytes, %v", len(commands), len(b), err)
 	}
 	// The rest follows with the answer to the next report, which lists what is left.
--- a/internal/core/past.go
+++ b/internal/controller/stale_heartbeat.go
@@ -1,8 +1,8 @@
-package core
+package controller
 
 import "time"
 
-// past.go tells copies of reports from news where the books of their machine can't: the
+// stale_heartbeat.go tells copies of reports from news where the books of their machine can't: the
 // machine has been dropped since and is taken up under the epoch that it had, or its
 // newest messages came to another controller. Such a copy looks like the newest that was
 // ever heard. Taken for that, it would be a sign of life of a machine that is gone, have
--- a/internal/core/types.go
+++ b/internal/controller/types.go
@@ -1,13 +1,13 @@
-// Package core is the deterministic heart of the scheduler: membership,
+// Package controller is the deterministic heart of the scheduler: membership,
 // leadership, shares, jobs, attempts, machines, relaunch, placement and fleet
 // sizing. It has no clocks, sockets or goroutines. Its owner feeds it batches
 // of commands together with the time and carries out the effects it returns.
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 )
 
 // Urgency orders jobs; a higher value goes first.
@@ -49,10 +49,10 @@
 }
 
 // Resources is an amount of what a machine offers or a task takes.
-type Resources = amount.Resources
+type Resources = resource.Resources
 
-// roundingTolerance absorbs rounding of amounts; see internal/amount.
-const roundingTolerance = amount.Tolerance
+// roundingTolerance absorbs rounding of amounts; see internal/resource.
+const roundingTolerance = resource.Tolerance
 
 // MachineType is a machine type as the cloud describes it.
 type MachineType struct {
--- a/internal/core/validate.go
+++ b/internal/controller/validate.go
@@ -1,10 +1,10 @@
-package core
+package controller
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
 )
 
@@ -55,7 +55,7 @@
 	}
 	for _, q := range c.Quotes {
 		check.Name("quotes.team", q.Team, true)
-		check.Count("quotes.value", len(q.Value), 1, bounds.MaxTxnBytes)
+		check.Count("quotes.value", len(q.Value), 1, sizelimit.MaxTxnBytes)
 	}
 	for _, p := range c.Progress {
 		check.Count("progress.done", p.Done, 0, validate.MaxTasks)
--- a/internal/core/mirror.go
+++ b/internal/controller/watch_cache.go
@@ -1,4 +1,4 @@
-package core
+package controller
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 	// that of living jobs, is none for the state service.
 	minRefreshInterval = 150 * time.Millisecond
 	// maxRefreshInterval keeps the picture from falling far behind when nobody asks. An owner
-	// reads more often; see internal/horizon.
+	// reads more often; see internal/renewalbound.
 	maxRefreshInterval = 10 * time.Second
 )
 
@@ -25,11 +25,11 @@
 	loading bool
 	// rev: the picture is exact as of this revision. asOf is this node's horizon: all
 	// that was written before it is in the picture. It is the sending of the newest read
-	// or watch that was answered; see horizon.go.
+	// or watch that was answered; see renewal_bound.go.
 	revision uint64
 	asOf     time.Time
 	openJobs map[string]openJob
-	// dependencyGraph has the jobs that need others, as of the same revision; see prereqs.go.
+	// dependencyGraph has the jobs that need others, as of the same revision; see dependencies.go.
 	dependencyGraph *pipeline.Graph
 	// promisePages are the promised dates that stand beside them.
 	promisePages promise.Pages
--- a/internal/loss/loss.go
+++ b/internal/disruption/disruption.go
@@ -1,10 +1,10 @@
-// Package loss says what becomes of machines that fall silent. One by itself is
+// Package disruption says what becomes of machines that fall silent. One by itself is
 // given back, so that its tasks may start elsewhere. Many that fall silent together
 // are one event: a cut may end, and the machines come back with their tasks. They
 // are neither all given back at once nor all waited for. Urgent work gets its proof
 // first, no more at a time than can be started elsewhere; machines without work are
 // waited for as long as their leases run, since nothing is won by losing them.
-package loss
+package disruption
 
 import (
 	"cmp"
--- a/internal/loss/loss_test.go
+++ b/internal/disruption/disruption_test.go
@@ -1,4 +1,4 @@
-package loss
+package disruption
 
 import (
 	"fmt"
--- a/internal/market/market.go
+++ b/internal/exchange/exchange.go
@@ -1,8 +1,8 @@
-// Package market says which machine wishes of several owners are met, and how: by
+// Package exchange says which machine wishes of several owners are met, and how: by
 // machines that another owner has to spare, at once and for nothing, or by renting.
 // Without it each owner would rent what its neighbour gives back. What is short is
 // handed out in turns, so that nobody's wishes go before all of another's.
-package market
+package exchange
 
 import (
 	"cmp"
--- a/internal/market/market_test.go
+++ b/internal/exchange/exchange_test.go
@@ -1,4 +1,4 @@
-package market
+package exchange
 
 import (
 	"fmt"
--- a/internal/blame/blame.go
+++ b/internal/faultattribution/tracker.go
@@ -1,9 +1,9 @@
-// Package blame tells a machine that fails whatever runs on it from a job that fails
+// Package faultattribution tells a machine that fails whatever runs on it from a job that fails
 // wherever it runs. One failure says neither. What is counted are distinct machines
 // for a job and distinct jobs for a machine, and what was done in spite of it: a task
 // that is done elsewhere shows that the machine was at fault, and a machine that gets
 // other work done is not faulty. The package has no clock and sends nothing.
-package blame
+package faultattribution
 
 import (
 	"slices"
--- a/internal/blame/blame_test.go
+++ b/internal/faultattribution/tracker_test.go
@@ -1,4 +1,4 @@
-package blame
+package faultattribution
 
 import (
 	"fmt"
--- a/internal/lab/conditions/conditions_test.go
+++ b/internal/lab/conditions/conditions_test.go
@@ -11,7 +11,7 @@
 // as it says, so that the list cannot go stale without being noticed. Trying
 // them all takes minutes and is done by hand: micahill-lab conditions.
 func TestListMatchesSources(t *testing.T) {
-	l, err := Load(filepath.Join("..", "..", "core", "conditions.toml"), filepath.Join("..", "..", ".."))
+	l, err := Load(filepath.Join("..", "..", "controller", "conditions.toml"), filepath.Join("..", "..", ".."))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -18,10 +18,10 @@
 	"syscall"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/keys"
-	"github.com/micahill/micahill/internal/ports"
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/certs"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/listen"
+	"github.com/micahill/micahill/internal/simulation"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -85,7 +85,7 @@
 type Cluster struct {
 	Name                                   string
 	APIAddrs, InternalAddrs, OverflowAddrs []string
-	Live                                   *standin.Live
+	Live                                   *simulation.Live
 	fleet                                  *Fleet
 	dir                                    string
 	procs                                  []*exec.Cmd
@@ -137,16 +137,16 @@
 func (f *Fleet) start(ctx context.Context) error {
 	ca := filepath.Join(f.options.Dir, "ca")
 	if f.options.Overflow {
-		if err := keys.Init(ca, time.Now()); err != nil {
+		if err := certs.Init(ca, time.Now()); err != nil {
 			return err
 		}
 	}
-	types := []core.MachineType{{
-		Name: "box", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
+	types := []controller.MachineType{{
+		Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
 		ProvisioningTime: 2 * time.Second, Zones: []string{"a"},
 	}}
 	deployment := f.options.Deployment
-	settings := core.Settings{HeartbeatInterval: deployment.HeartbeatInterval, WorkerLease: deployment.WorkerLease, CloudListLag: time.Second}
+	settings := controller.Settings{HeartbeatInterval: deployment.HeartbeatInterval, WorkerLease: deployment.WorkerLease, CloudListLag: time.Second}
 	for i, name := range clusterNames[:f.options.Clusters] {
 		c := &Cluster{Name: name, fleet: f, dir: filepath.Join(f.options.Dir, name), procs: make([]*exec.Cmd, f.options.Controllers)}
 		if err := os.MkdirAll(c.dir, 0o700); err != nil {
@@ -154,7 +154,7 @@
 		}
 		for range f.options.Controllers {
 			for _, addrs := range []*[]string{&c.APIAddrs, &c.InternalAddrs, &c.OverflowAddrs} {
-				a, err := ports.FreeAddr()
+				a, err := listen.FreeAddr()
 				if err != nil {
 					return err
 				}
@@ -165,11 +165,11 @@
 		if n := len(f.options.Machines); n > 0 {
 			machines = f.options.Machines[min(i, n-1)]
 		}
-		c.Live = standin.NewLive(settings, deployment.StateRPS, deployment.StateWriteRPS, types, map[string]int{"box/a/true": machines}, c.APIAddrs)
+		c.Live = simulation.NewLive(settings, deployment.StateRPS, deployment.StateWriteRPS, types, map[string]int{"box/a/true": machines}, c.APIAddrs)
 		c.Live.SetJobSource(f.describeJob)
 		go c.Live.Run(ctx)
 		if f.options.Overflow {
-			if err := keys.Issue(ca, name, filepath.Join(c.dir, "keys"), keys.CertValidity, time.Now()); err != nil {
+			if err := certs.Issue(ca, name, filepath.Join(c.dir, "keys"), certs.CertValidity, time.Now()); err != nil {
 				return err
 			}
 		}
@@ -194,7 +194,7 @@
 }
 
 // describeJob tells workers of a job, also under a name by which it was lent.
-func (f *Fleet) describeJob(id string) (core.JobSpec, time.Duration, bool) {
+func (f *Fleet) describeJob(id string) (controller.JobSpec, time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	original := id
@@ -202,7 +202,7 @@
 		original = OriginalID(id)
 	}
 	j, ok := f.jobs[original]
-	return core.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: core.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.RunTime, ok
+	return controller.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: controller.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.RunTime, ok
 }
 
 // OriginalID is the name that a lent job has at home.
--- a/internal/lab/scale/rung.go
+++ b/internal/lab/scale/measurement.go
@@ -11,9 +11,9 @@
 	"sync"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/lab/fleet"
-	"github.com/micahill/micahill/internal/standin"
+	"github.com/micahill/micahill/internal/simulation"
 )
 
 // Measurement is what was measured; rates are a second.
@@ -276,7 +276,7 @@
 // snapshot is what is read at the begin and the end of a measurement.
 type snapshot struct {
 	at         time.Time
-	counts     standin.LiveCounts
+	counts     simulation.LiveCounts
 	procs      []processStats
 	self       processStats
 	machineCPU float64
@@ -411,7 +411,7 @@
 }
 
 // teamsOf are the teams that a controller runs.
-func teamsOf(s *core.StatusReply) []string {
+func teamsOf(s *controller.StatusReply) []string {
 	var out []string
 	for _, t := range s.Teams {
 		if t.IsLocal {
@@ -421,7 +421,7 @@
 	return out
 }
 
-func status(ctx context.Context, addr string) (*core.StatusReply, error) {
+func status(ctx context.Context, addr string) (*controller.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/status", nil)
@@ -433,7 +433,7 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer resp.Body.Close()
-	var s core.StatusReply
+	var s controller.StatusReply
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
 		return nil, fmt.Errorf("scale: %s: %w", addr, err)
 	}
--- a/internal/ports/free.go
+++ b/internal/listen/freeaddr.go
@@ -1,4 +1,4 @@
-package ports
+package listen
 
 import (
 	"errors"
--- a/internal/ports/ports.go
+++ b/internal/listen/ports.go
@@ -1,8 +1,8 @@
-// Package ports opens the addresses that a controller listens on. A process that is
+// Package listen opens the addresses that a controller listens on. A process that is
 // started again at once may find its port still held, by what is left of its former
 // life or by want of descriptors; it waits for that rather than end, as nobody may be
 // there to start it once more.
-package ports
+package listen
 
 import (
 	"context"
--- a/internal/moves/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import (
 	"testing"
--- a/internal/moves/plan.go
+++ b/internal/migration/plan.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 )
 
 const (
@@ -65,7 +65,7 @@
 // replicaClass is what is the same for alike replicas: need and image. Size is the number of the
 // need among those there are.
 type replicaClass struct {
-	need    amount.Resources
+	need    resource.Resources
 	size    int
 	image   int
 	imageGB float64
@@ -75,7 +75,7 @@
 // they fit as they are, and on which after at most so many moves away from there, the
 // best first. Some is filled when first asked for.
 type sizeClass struct {
-	need       amount.Resources
+	need       resource.Resources
 	computed   bool
 	room       []int
 	afterMoves [MaxMoves]struct {
@@ -88,7 +88,7 @@
 // much room the largest of them leave at most, by their number.
 type hostReplicas struct {
 	replicas    []int
-	largestSums [MaxMoves + 1]amount.Resources
+	largestSums [MaxMoves + 1]resource.Resources
 }
 
 // step is a replica's move.
@@ -119,7 +119,7 @@
 
 	// netFree is what is free after all steps; those hosts are touched that a step concerns
 	// and the host on which the waiting task is to go.
-	netFree     []amount.Resources
+	netFree     []resource.Resources
 	destination int
 	touched     []int
 	steps       []step
@@ -149,10 +149,10 @@
 	f := &finder{
 		problem: problem, maxMoves: max(0, min(problem.MaxMoves, MaxMoves)), exhaustive: exhaustive,
 		classOf: make([]int, len(problem.Replicas)), replicasOn: make([]hostReplicas, len(problem.Hosts)),
-		netFree: make([]amount.Resources, len(problem.Hosts)), moved: make([]bool, len(problem.Replicas)),
+		netFree: make([]resource.Resources, len(problem.Hosts)), moved: make([]bool, len(problem.Replicas)),
 		bestCost: infeasible,
 	}
-	images, classes, sizes := map[string]int{}, map[replicaClass]int{}, map[amount.Resources]int{}
+	images, classes, sizes := map[string]int{}, map[replicaClass]int{}, map[resource.Resources]int{}
 	var imageNames []string
 	for i := range problem.Replicas {
 		r := &problem.Replicas[i]
@@ -205,7 +205,7 @@
 // sortAndSum puts the replicas in order and sums up the largest.
 func (s *hostReplicas) sortAndSum(p *Problem) {
 	slices.SortStableFunc(s.replicas, func(a, b int) int { return cmp.Compare(p.Replicas[a].LostWork, p.Replicas[b].LostWork) })
-	var top [MaxMoves]amount.Resources
+	var top [MaxMoves]resource.Resources
 	for _, i := range s.replicas {
 		n := p.Replicas[i].Need
 		for k := range top {
@@ -313,14 +313,14 @@
 }
 
 // shortfall is what is missing on a host for a need.
-func (f *finder) shortfall(h int, need amount.Resources) amount.Resources {
-	return amount.Resources{
+func (f *finder) shortfall(h int, need resource.Resources) resource.Resources {
+	return resource.Resources{
 		CPU: max(0, need.CPU-f.netFree[h].CPU), GPU: max(0, need.GPU-f.netFree[h].GPU),
 		Memory: max(0, need.Memory-f.netFree[h].Memory),
 	}
 }
 
-func (f *finder) addFree(h int, r amount.Resources, n float64) {
+func (f *finder) addFree(h int, r resource.Resources, n float64) {
 	f.netFree[h] = f.netFree[h].AddScaled(r, n)
 }
 
@@ -404,7 +404,7 @@
 		if !m.Schedulable || !z.need.Fits(m.Size) || z.need.Fits(m.Free) {
 			continue
 		}
-		lack := amount.Resources{
+		lack := resource.Resources{
 			CPU: max(0, z.need.CPU-m.Free.CPU), GPU: max(0, z.need.GPU-m.Free.GPU),
 			Memory: max(0, z.need.Memory-m.Free.Memory),
 		}
@@ -439,7 +439,7 @@
 
 // clearCost is about what it costs to free so much of a host: by its cheapest replica that
 // leaves enough, and goes where there is room; much, but not never, if none does.
-func (f *finder) clearCost(h int, lack amount.Resources) time.Duration {
+func (f *finder) clearCost(h int, lack resource.Resources) time.Duration {
 	best := infeasible / 8
 	for _, i := range f.replicasOn[h].replicas {
 		r := &f.problem.Replicas[i]
@@ -472,7 +472,7 @@
 func (f *finder) search(left int, cost time.Duration) {
 	lacking, at := 0, -1
 	for _, h := range f.touched {
-		if (amount.Resources{}).Fits(f.netFree[h]) {
+		if (resource.Resources{}).Fits(f.netFree[h]) {
 			continue
 		}
 		if lacking++; at < 0 {
@@ -494,7 +494,7 @@
 
 // tryMovesFrom tries every replica that may leave a host.
 func (f *finder) tryMovesFrom(h, left int, cost time.Duration) {
-	lack := f.shortfall(h, amount.Resources{})
+	lack := f.shortfall(h, resource.Resources{})
 	replicas := f.replicasOn[h].replicas
 	for x, i := range replicas {
 		r := &f.problem.Replicas[i]
@@ -502,7 +502,7 @@
 			continue
 		}
 		// With this one gone, what else may leave must do.
-		if rest := (amount.Resources{CPU: lack.CPU - r.Need.CPU, GPU: lack.GPU - r.Need.GPU, Memory: lack.Memory - r.Need.Memory}); !rest.Fits(f.replicasOn[h].largestSums[left-1]) {
+		if rest := (resource.Resources{CPU: lack.CPU - r.Need.CPU, GPU: lack.GPU - r.Need.GPU, Memory: lack.Memory - r.Need.Memory}); !rest.Fits(f.replicasOn[h].largestSums[left-1]) {
 			continue
 		}
 		f.moved[i] = true
--- a/internal/moves/plan_test.go
+++ b/internal/migration/plan_test.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 	"pgregory.net/rapid"
 )
 
 // cheapestCost tries every sequence of moves: the measure that Find is held to.
 func cheapestCost(p *Problem) (time.Duration, bool) {
 	best, found := time.Duration(0), false
-	free := make([]amount.Resources, len(p.Hosts))
+	free := make([]resource.Resources, len(p.Hosts))
 	for h := range p.Hosts {
 		free[h] = p.Hosts[h].Free
 	}
@@ -64,7 +64,7 @@
 // checkPlan plays a plan and says what is wrong with it.
 func checkPlan(p *Problem, plan Plan) error {
 	at := map[string]int{}
-	free := make([]amount.Resources, len(p.Hosts))
+	free := make([]resource.Resources, len(p.Hosts))
 	for h := range p.Hosts {
 		at[p.Hosts[h].ID], free[h] = h, p.Hosts[h].Free
 	}
@@ -125,7 +125,7 @@
 	gbs := []float64{2, 16, 40}
 	n := rapid.IntRange(2, hostsMost).Draw(t, "hosts")
 	for h := range n {
-		size := amount.Resources{CPU: 32, GPU: float64(rapid.SampledFrom([]int{8, 8, 8, 4}).Draw(t, "gpus")), Memory: 64}
+		size := resource.Resources{CPU: 32, GPU: float64(rapid.SampledFrom([]int{8, 8, 8, 4}).Draw(t, "gpus")), Memory: 64}
 		m := Host{ID: fmt.Sprintf("h%d", h), Kind: fmt.Sprint(size.GPU), Size: size, Free: size, Images: map[string]bool{},
 			Schedulable: rapid.IntRange(0, 5).Draw(t, "no target") > 0, FetchRate: rapid.SampledFrom([]float64{1, 2, 0}).Draw(t, "pull")}
 		for _, im := range images {
@@ -142,9 +142,9 @@
 		mask := rapid.Uint64().Draw(t, name+" where")
 		return func(h int) bool { return mask>>h&1 == 1 }
 	}
-	need := func(name string, sizes ...float64) amount.Resources {
+	need := func(name string, sizes ...float64) resource.Resources {
 		g := rapid.SampledFrom(sizes).Draw(t, name)
-		return amount.Resources{CPU: g * rapid.SampledFrom([]float64{2, 4}).Draw(t, name+" cpu"), GPU: g, Memory: g * rapid.SampledFrom([]float64{1, 8}).Draw(t, name+" memory")}
+		return resource.Resources{CPU: g * rapid.SampledFrom([]float64{2, 4}).Draw(t, name+" cpu"), GPU: g, Memory: g * rapid.SampledFrom([]float64{1, 8}).Draw(t, name+" memory")}
 	}
 	for i := range rapid.IntRange(replicasMost/2, replicasMost).Draw(t, "replicas") {
 		h, im := rapid.IntRange(0, n-1).Draw(t, "host"), rapid.IntRange(0, 2).Draw(t, "image")
@@ -208,7 +208,7 @@
 // TestReplicasChangePlaces: two replicas may only change places, which takes that a third leaves
 // first, though in sum there would be room without.
 func TestReplicasChangePlaces(t *testing.T) {
-	gpu := func(g float64) amount.Resources { return amount.Resources{GPU: g} }
+	gpu := func(g float64) resource.Resources { return resource.Resources{GPU: g} }
 	host := func(id string, size, free float64) Host {
 		return Host{ID: id, Size: gpu(size), Free: gpu(free), Schedulable: true}
 	}
@@ -271,8 +271,8 @@
 // whole.
 func newFleet(hosts int, seed uint64, free float64, want float64) *Problem {
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	size := amount.Resources{CPU: 64, GPU: 8, Memory: 512}
-	per := func(g float64) amount.Resources { return amount.Resources{CPU: 6 * g, GPU: g, Memory: 48 * g} }
+	size := resource.Resources{CPU: 64, GPU: 8, Memory: 512}
+	per := func(g float64) resource.Resources { return resource.Resources{CPU: 6 * g, GPU: g, Memory: 48 * g} }
 	p := &Problem{MaxMoves: MaxMoves, MaxCost: 10 * time.Minute}
 	for h := range hosts {
 		m := Host{ID: fmt.Sprintf("host-%05d", h), Kind: "g8", Size: size, Free: size, Schedulable: true, Images: map[string]bool{}, FetchRate: 2}
--- a/internal/moves/record.go
+++ b/internal/migration/record.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import (
 	"cmp"
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/resource"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -56,10 +56,10 @@
 	Until int64  `msgpack:"u"`
 }
 
-func encodeResources(r amount.Resources) []float64 { return []float64{r.CPU, r.GPU, r.Memory} }
+func encodeResources(r resource.Resources) []float64 { return []float64{r.CPU, r.GPU, r.Memory} }
 
-func decodeResources(f []float64) amount.Resources {
-	return amount.Resources{CPU: f[0], GPU: f[1], Memory: f[2]}
+func decodeResources(f []float64) resource.Resources {
+	return resource.Resources{CPU: f[0], GPU: f[1], Memory: f[2]}
 }
 
 // record is what a team's record should hold now.
@@ -91,7 +91,7 @@
 	if err != nil {
 		return math.MaxInt
 	}
-	size, err := bounds.JSON(v)
+	size, err := sizelimit.JSON(v)
 	if err != nil {
 		return math.MaxInt
 	}
@@ -223,7 +223,7 @@
 // decodeRecord reads a record and judges it.
 func decodeRecord(b []byte) (record, error) {
 	var r record
-	if _, err := bounds.JSON(b); err != nil {
+	if _, err := sizelimit.JSON(b); err != nil {
 		return r, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
 	if err := msgpack.Unmarshal(b, &r); err != nil {
@@ -320,7 +320,7 @@
 	return ""
 }
 
-func isName(s string) bool { return s != "" && len(s) <= bounds.MaxKeyBytes }
+func isName(s string) bool { return s != "" && len(s) <= sizelimit.MaxKeyBytes }
 
 // isAmounts says that these are amounts that a task may take.
 func isAmounts(f []float64) bool {
--- a/internal/moves/book.go
+++ b/internal/migration/tracker.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 )
 
 // book.go keeps the moves under way. It asks what is known of replicas and hosts anew
@@ -77,7 +77,7 @@
 	Team string
 	// HeldFor is the job that waits, and Host the place held for one task of it.
 	HeldFor string
-	Need    amount.Resources
+	Need    resource.Resources
 	Host    string
 	Until   time.Time
 	// MaxCost is what the rest of the moves may cost before the plan is dropped.
@@ -99,7 +99,7 @@
 	Host  string
 	Job   string
 	Index int
-	Need  amount.Resources
+	Need  resource.Resources
 	Until time.Time
 	// Plan is the plan for which a job's place is held.
 	Plan *ActivePlan
@@ -127,7 +127,7 @@
 	WaitingTasks(job string) int
 	// FreeCapacity is what tasks leave of a host, places held not taken off, and whether tasks
 	// may be placed there at all.
-	FreeCapacity(host string) (amount.Resources, bool)
+	FreeCapacity(host string) (resource.Resources, bool)
 	// Unheard says that nothing has been heard of a host since a takeover, though it
 	// most likely will be.
 	Unheard(host string) bool
--- a/internal/moves/book_test.go
+++ b/internal/migration/tracker_test.go
@@ -1,4 +1,4 @@
-package moves
+package migration
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 )
@@ -56,7 +56,7 @@
 	abandoned bool
 }
 
-func uniform(x float64) amount.Resources { return amount.Resources{CPU: x, GPU: x, Memory: x} }
+func uniform(x float64) resource.Resources { return resource.Resources{CPU: x, GPU: x, Memory: x} }
 
 func (m *ownerModel) Task(job string, index int) Task {
 	r := m.replicas[replicaKey{job, index}]
@@ -88,7 +88,7 @@
 	return left
 }
 
-func (m *ownerModel) FreeCapacity(id string) (amount.Resources, bool) {
+func (m *ownerModel) FreeCapacity(id string) (resource.Resources, bool) {
 	return uniform(m.freeCPU(id)), m.hosts[id].usable && m.heard
 }
 
--- a/internal/moves/types.go
+++ b/internal/migration/types.go
@@ -1,13 +1,13 @@
-// Package moves makes room for a replica that fits nowhere by moving others: which few
+// Package migration makes room for a replica that fits nowhere by moving others: which few
 // moves are the cheapest, and what becomes of moves under way. It has no clock and sends
 // nothing. A move is an intent that is written down before its replica is stopped, and
 // has an end; see docs/product.md.
-package moves
+package migration
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 )
 
 // Host is a machine as the planner sees it.
@@ -15,9 +15,9 @@
 	ID string
 	// Kind names machines that are alike: type, zone, and whether cheap.
 	Kind string
-	Size amount.Resources
+	Size resource.Resources
 	// Free is what neither tasks nor places held for moves take.
-	Free amount.Resources
+	Free resource.Resources
 	// Schedulable says that replicas may be placed there now.
 	Schedulable bool
 	// Images are those it holds, and Pull how many GB it fetches in a second.
@@ -31,7 +31,7 @@
 	Index int
 	// HostIndex is its place in Problem.Hosts.
 	HostIndex int
-	Need      amount.Resources
+	Need      resource.Resources
 	Image     string
 	ImageGB   float64
 	// Movable: its job can do without it for the time of a move, it was not moved
@@ -48,7 +48,7 @@
 type WaitingTask struct {
 	Job     string
 	Index   int
-	Need    amount.Resources
+	Need    resource.Resources
 	Image   string
 	ImageGB float64
 	Allowed func(host int) bool
@@ -75,7 +75,7 @@
 	Index    int
 	From     string
 	To       string
-	Need     amount.Resources
+	Need     resource.Resources
 	Downtime time.Duration
 }
 
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/link"
 )
@@ -49,8 +49,8 @@
 
 // Controller is what the broker needs of the server.
 type Controller interface {
-	Ask(ctx context.Context, mk func(reply uint64) core.Command) (core.Effect, error)
-	Post(core.Command)
+	Ask(ctx context.Context, mk func(reply uint64) controller.Command) (controller.Effect, error)
+	Post(controller.Command)
 }
 
 // HeartbeatSender sends a report to a peer; link.Client is one.
@@ -92,7 +92,7 @@
 	lender                  *overflow.Lender
 	borrower                *overflow.Borrower
 	peers                   map[string]*overflow.PeerTracker
-	view                    core.LoanView
+	view                    controller.LoanView
 	viewedAt                time.Time
 	plannedAt               time.Time
 	renewedAt               time.Time
@@ -101,7 +101,7 @@
 	inFlight map[overflow.Loan]bool
 	// returnedAt are jobs that came back lately, and progress what peers say of ours.
 	returnedAt map[string]time.Time
-	progress   map[string]core.Progress
+	progress   map[string]controller.Progress
 	// lateSince is since when own work has been late.
 	lateSince time.Time
 	admission overflow.AdmissionState
@@ -131,7 +131,7 @@
 	for name, addrs := range settings.Peers {
 		b.peers[name] = overflow.NewPeerTracker(name, addrs, settings.HeartbeatInterval, now)
 	}
-	b.inFlight, b.returnedAt, b.progress = map[overflow.Loan]bool{}, map[string]time.Time{}, map[string]core.Progress{}
+	b.inFlight, b.returnedAt, b.progress = map[overflow.Loan]bool{}, map[string]time.Time{}, map[string]controller.Progress{}
 	return b
 }
 
@@ -210,7 +210,7 @@
 func (b *Broker) poll(ctx context.Context) {
 	now := time.Now()
 	withSimulation := now.Sub(b.plannedAt) >= planInterval && len(b.settings.Peers) > 0
-	q := core.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: b.settings.GuestTeam}
+	q := controller.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: b.settings.GuestTeam}
 	for _, x := range b.view.Borrowed {
 		if l, ok := parseLoan(x.Loan); ok {
 			if u := b.borrower.StartableUntil(l); !u.IsZero() {
@@ -224,9 +224,9 @@
 	clear(b.progress)
 	ctx, cancel := context.WithTimeout(ctx, controllerTimeout)
 	defer cancel()
-	e, err := b.controller.Ask(ctx, func(r uint64) core.Command { q.Reply = r; return q })
+	e, err := b.controller.Ask(ctx, func(r uint64) controller.Command { q.Reply = r; return q })
 	b.viewedAt = time.Now()
-	v, ok := e.(core.LoanView)
+	v, ok := e.(controller.LoanView)
 	waiting := b.pendingHeartbeats
 	b.pendingHeartbeats = nil
 	if err != nil || !ok || !v.OK {
@@ -288,7 +288,7 @@
 	if b.runsGuestTeam && now.Sub(b.renewedAt) >= renewEvery {
 		b.renewedAt = now
 		if r := b.borrower.Renewals(b.settings.LoanLease, borrowerView); len(r) > 0 {
-			b.controller.Post(core.RenewCommand{RenewedAt: r})
+			b.controller.Post(controller.RenewCommand{RenewedAt: r})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
@@ -328,7 +328,7 @@
 	m.NoteHeartbeat(now, heartbeat)
 	for _, l := range heartbeat.Loans {
 		if l.Loan.Home == b.settings.Cluster && l.State == overflow.Held {
-			b.progress[l.Loan.Job] = core.Progress{ID: l.Loan.Job, Done: l.DoneTasks, Running: l.RunningTasks}
+			b.progress[l.Loan.Job] = controller.Progress{ID: l.Loan.Job, Done: l.DoneTasks, Running: l.RunningTasks}
 		}
 		if l.State == overflow.Gone && l.Cause == overflow.NoRoom && slices.ContainsFunc(ops, func(op overflow.LenderTransition) bool { return op.Loan == l.Loan }) {
 			m.NoteBroken(now)
@@ -458,8 +458,8 @@
 
 // commitLenderTransition has one step of a loan of ours made durable.
 func (b *Broker) commitLenderTransition(transition overflow.LenderTransition) {
-	kind := map[overflow.LenderTransitionKind]core.LoanCommandKind{
-		overflow.Lend: core.LoanLend, overflow.TakeBack: core.LoanTakeBack, overflow.Settle: core.LoanSettle, overflow.EndCancelled: core.LoanEndCancelled,
+	kind := map[overflow.LenderTransitionKind]controller.LoanCommandKind{
+		overflow.Lend: controller.LoanLend, overflow.TakeBack: controller.LoanTakeBack, overflow.Settle: controller.LoanSettle, overflow.EndCancelled: controller.LoanEndCancelled,
 	}[transition.Kind]
 	if transition.Kind != overflow.Lend {
 		slog.Info("overflow: loan ends", "loan", transition.Loan, "how", transition.Kind, "cause", transition.Cause)
@@ -471,14 +471,14 @@
 		lender.CloseFailed(transition.Loan)
 		return
 	}
-	b.commit(transition.Loan, core.LoanCommand{Kind: kind, Job: transition.Loan.Job, Loan: transition.Loan.String(), LendCount: transition.Loan.LendCount, Peer: transition.Peer, StopBound: transition.StopBound, Cause: string(transition.Cause)}, func(s core.LoanStatus) {
+	b.commit(transition.Loan, controller.LoanCommand{Kind: kind, Job: transition.Loan.Job, Loan: transition.Loan.String(), LendCount: transition.Loan.LendCount, Peer: transition.Peer, StopBound: transition.StopBound, Cause: string(transition.Cause)}, func(s controller.LoanStatus) {
 		if b.lender != lender {
 			return
 		}
-		if s == core.LoanNotApplied {
+		if s == controller.LoanNotApplied {
 			lender.CloseFailed(transition.Loan)
 		}
-		if transition.Kind == overflow.TakeBack && s == core.LoanDurable {
+		if transition.Kind == overflow.TakeBack && s == controller.LoanDurable {
 			b.returnedAt[transition.Loan.Job] = time.Now()
 		}
 	})
@@ -486,15 +486,15 @@
 
 // commitBorrowerTransition has one step of a peer's loan made durable.
 func (b *Broker) commitBorrowerTransition(transition overflow.BorrowerTransition) {
-	kind := map[overflow.BorrowerTransitionKind]core.LoanCommandKind{
-		overflow.Accept: core.LoanAccept, overflow.GiveUp: core.LoanGiveUp, overflow.Drop: core.LoanDrop,
+	kind := map[overflow.BorrowerTransitionKind]controller.LoanCommandKind{
+		overflow.Accept: controller.LoanAccept, overflow.GiveUp: controller.LoanGiveUp, overflow.Drop: controller.LoanDrop,
 	}[transition.Kind]
 	spec := transition.Spec
 	spec.ID, spec.Team = transition.Loan.OffloadedJobID(), b.settings.GuestTeam
 	slog.Info("overflow: borrowed", "loan", transition.Loan, "what", transition.Kind, "cause", transition.Cause)
 	borrower := b.borrower
-	b.commit(transition.Loan, core.LoanCommand{Kind: kind, Job: spec.ID, Loan: transition.Loan.String(), Spec: spec, Age: transition.Age, Cause: string(transition.Cause)}, func(s core.LoanStatus) {
-		if b.borrower == borrower && transition.Kind == overflow.Accept && s == core.LoanNotApplied {
+	b.commit(transition.Loan, controller.LoanCommand{Kind: kind, Job: spec.ID, Loan: transition.Loan.String(), Spec: spec, Age: transition.Age, Cause: string(transition.Cause)}, func(s controller.LoanStatus) {
+		if b.borrower == borrower && transition.Kind == overflow.Accept && s == controller.LoanNotApplied {
 			// Durable ones are told once a view shows them, so that no report
 			// can leave them out.
 			borrower.NoteAccepted(transition.Loan, false)
@@ -503,7 +503,7 @@
 }
 
 // commit runs a transaction until its outcome is known. One at a time for a loan.
-func (b *Broker) commit(l overflow.Loan, op core.LoanCommand, onDone func(core.LoanStatus)) {
+func (b *Broker) commit(l overflow.Loan, op controller.LoanCommand, onDone func(controller.LoanStatus)) {
 	if b.inFlight[l] {
 		return
 	}
@@ -512,9 +512,9 @@
 	go func() {
 		for b.ctx.Err() == nil {
 			ctx, cancel := context.WithTimeout(b.ctx, controllerTimeout)
-			e, err := b.controller.Ask(ctx, func(r uint64) core.Command { op.Reply = r; return op })
+			e, err := b.controller.Ask(ctx, func(r uint64) controller.Command { op.Reply = r; return op })
 			cancel()
-			if d, ok := e.(core.LoanReply); ok && err == nil && d.Status != core.LoanUncertain {
+			if d, ok := e.(controller.LoanReply); ok && err == nil && d.Status != controller.LoanUncertain {
 				b.enqueue(func() {
 					if b.lender == lender && b.borrower == borrower {
 						delete(b.inFlight, l)
@@ -558,9 +558,9 @@
 		}
 		y := overflow.BorrowedLoan{Loan: l, Spec: x.Spec, Ending: x.Ending, Started: x.Started, DoneTasks: x.DoneTasks, RunningTasks: x.RunningTasks, Cause: overflow.Cause(x.Cause)}
 		switch {
-		case x.StatusKnown && x.Status == core.Done:
+		case x.StatusKnown && x.Status == controller.Done:
 			y.State = overflow.Finished
-		case x.StatusKnown && x.Status == core.Cancelled:
+		case x.StatusKnown && x.Status == controller.Cancelled:
 			y.State = overflow.Gone
 		}
 		view.Borrowed = append(view.Borrowed, y)
--- a/internal/overflow/link/link.go
+++ b/internal/overflow/link/link.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"github.com/micahill/micahill/internal/keys"
+	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/overflow"
 	"google.golang.org/protobuf/encoding/protodelim"
 )
@@ -65,7 +65,7 @@
 
 // Server takes reports of peers.
 type Server struct {
-	Store           *keys.Store
+	Store           *certs.Store
 	Cluster         string
 	Peers           map[string]bool
 	AllowedPrefixes []netip.Prefix
@@ -129,7 +129,7 @@
 		slog.Info("overflow: a peer was not let in", "addr", c.RemoteAddr(), "why", err)
 		return err
 	}
-	peer := keys.PeerOf(c.ConnectionState())
+	peer := certs.PeerOf(c.ConnectionState())
 	b, err := newBinder(c.ConnectionState(), peer, s.Cluster)
 	if err != nil {
 		return err
@@ -196,7 +196,7 @@
 
 // Client sends reports to peers, over one connection to each of their controllers.
 type Client struct {
-	Store   *keys.Store
+	Store   *certs.Store
 	Cluster string
 
 	mu    sync.Mutex
--- a/internal/overflow/link/link_test.go
+++ b/internal/overflow/link/link_test.go
@@ -10,26 +10,26 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/keys"
+	"github.com/micahill/micahill/internal/certs"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/overflow"
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 )
 
 // newStores makes certificates of one CA.
-func newStores(t *testing.T, clusters ...string) map[string]*keys.Store {
+func newStores(t *testing.T, clusters ...string) map[string]*certs.Store {
 	t.Helper()
-	ca, out := filepath.Join(t.TempDir(), "ca"), map[string]*keys.Store{}
-	if err := keys.Init(ca, time.Now()); err != nil {
+	ca, out := filepath.Join(t.TempDir(), "ca"), map[string]*certs.Store{}
+	if err := certs.Init(ca, time.Now()); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range clusters {
 		dir := filepath.Join(t.TempDir(), c)
-		if err := keys.Issue(ca, c, dir, time.Hour, time.Now()); err != nil {
+		if err := certs.Issue(ca, c, dir, time.Hour, time.Now()); err != nil {
 			t.Fatal(err)
 		}
-		s, err := keys.Open(dir)
+		s, err := certs.Open(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -38,7 +38,7 @@
 	return out
 }
 
-func serveEast(t *testing.T, st *keys.Store, allow string, h Handler) string {
+func serveEast(t *testing.T, st *certs.Store, allow string, h Handler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,13 +59,13 @@
 
 var sampleHeartbeat = overflow.Heartbeat{
 	From: "west", Epoch: 3, Sequence: 9, HomeEpoch: 7, Draining: true, LendsItself: true, StopBound: 82 * time.Second, CachedImages: []string{"img"},
-	FreeCapacity: []overflow.FreeCapacity{{MachineType: "box", Zone: "a", Spot: true, PerMachine: core.Resources{CPU: 4, GPU: 1, Memory: 16}, Machines: 3, AvailableIn: time.Second, CostPerCPUHour: 0.2, FetchRate: 0.5}},
+	FreeCapacity: []overflow.FreeCapacity{{MachineType: "box", Zone: "a", Spot: true, PerMachine: controller.Resources{CPU: 4, GPU: 1, Memory: 16}, Machines: 3, AvailableIn: time.Second, CostPerCPUHour: 0.2, FetchRate: 0.5}},
 	Loans:        []overflow.LoanReport{{Loan: overflow.Loan{Home: "east", Job: "job-1", LendCount: 2}, State: overflow.Gone, Cause: overflow.GivenBack, DoneTasks: 1, RunningTasks: 2}},
 }
 
 var sampleReply = overflow.HeartbeatReply{Epoch: 7, Lease: 15 * time.Second, Commands: []overflow.Command{
-	{Kind: overflow.Take, Loan: overflow.Loan{Home: "east", Job: "job-2", LendCount: 1}, Age: 3 * time.Second, Spec: core.JobSpec{
-		Workload: "w", Urgency: core.Urgent, Tasks: 3, Need: core.Resources{CPU: 2, Memory: 4}, Image: "img", ImageGB: 1.5, AllowSpot: true,
+	{Kind: overflow.Take, Loan: overflow.Loan{Home: "east", Job: "job-2", LendCount: 1}, Age: 3 * time.Second, Spec: controller.JobSpec{
+		Workload: "w", Urgency: controller.Urgent, Tasks: 3, Need: controller.Resources{CPU: 2, Memory: 4}, Image: "img", ImageGB: 1.5, AllowSpot: true,
 		ExpectedRunTime: 20 * time.Second, CheckpointInterval: 5 * time.Second, CheckpointCost: time.Second, Deadline: time.Minute,
 	}},
 	{Kind: overflow.Forget, Loan: overflow.Loan{Home: "east", Job: "job-1", LendCount: 2}},
@@ -99,7 +99,7 @@
 	if _, err := west.SendHeartbeat(testContext(t), "east", addr, overflow.Heartbeat{From: "north"}); !errors.As(err, &re) || re.Code != Code_NOT_PEER {
 		t.Errorf("one cluster speaking as another: %v", err)
 	}
-	if _, err := west.SendHeartbeat(testContext(t), "north", addr, sampleHeartbeat); !errors.Is(err, keys.ErrNotPeer) {
+	if _, err := west.SendHeartbeat(testContext(t), "north", addr, sampleHeartbeat); !errors.Is(err, certs.ErrNotPeer) {
 		t.Errorf("east taken for north: %v", err)
 	}
 	closed := serveEast(t, st["east"], "10.0.0.0/8", nil)
--- a/internal/overflow/decide.go
+++ b/internal/overflow/offers.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // FreeCapacity is what a guest offers of one kind of machine: room that own work of the
@@ -16,7 +16,7 @@
 	Zone        string
 	Spot        bool
 	// PerMachine is what one machine has free, and Machines how many are like it.
-	PerMachine core.Resources
+	PerMachine controller.Resources
 	Machines   int
 	// AvailableIn is how long until the room is there; 0: now.
 	AvailableIn time.Duration
@@ -29,7 +29,7 @@
 // Candidate is a job of ours that waits and of which no task was ever started.
 type Candidate struct {
 	Job  string
-	Spec core.JobSpec
+	Spec controller.JobSpec
 	// SLODue is when its next aim is, from now; it may be over. HomeFinish is when it
 	// would be done at home, as the plan played forward says.
 	SLODue     time.Duration
@@ -195,7 +195,7 @@
 		parts = append(parts, part{pl, n})
 		fetch := time.Duration(0)
 		if !imageCached && pl.FetchRate > 0 {
-			fetch = core.Seconds(c.Spec.ImageGB / pl.FetchRate)
+			fetch = controller.Seconds(c.Spec.ImageGB / pl.FetchRate)
 		}
 		readyIn = max(readyIn, pl.AvailableIn+fetch)
 		price = max(price, pl.CostPerCPUHour)
@@ -222,7 +222,7 @@
 	// Late: own work waits and will miss its aim, the most urgent of it with the
 	// urgency Waiting.
 	OwnWorkLate bool
-	LateUrgency core.Urgency
+	LateUrgency controller.Urgency
 }
 
 // Admit says why a job is not taken in, or nothing when it is; what it takes is
@@ -260,7 +260,7 @@
 type Pressure struct {
 	// Late: own work of that urgency waits and will miss its aim.
 	OwnWorkLate bool
-	LateUrgency core.Urgency
+	LateUrgency controller.Urgency
 	// LateFor is how long that has been so.
 	LateFor time.Duration
 	// DrainIn is when, from now, everything must be gone; negative: no drain.
--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 )
 
 const (
@@ -26,7 +26,7 @@
 // Demand is tasks of one size that run, wait or came lately. GB is what their image weighs,
 // and Waits says that some of them wait for a place.
 type Demand struct {
-	Need       amount.Resources
+	Need       resource.Resources
 	Tasks      int
 	GB         float64
 	HasWaiting bool
@@ -35,30 +35,30 @@
 // SizeValue is a size for which room is worth something: how much, in seconds, one place of
 // it that is lost costs.
 type SizeValue struct {
-	Need        amount.Resources
+	Need        resource.Resources
 	LossSeconds float64
 }
 
 // Profile is a kind of machine with GPUs and what is usual there.
 type Profile struct {
-	machineSize amount.Resources
+	machineSize resource.Resources
 	sizeValues  []SizeValue
 	// migrationSeconds is what it takes to move a replica that is in the way, in seconds.
 	migrationSeconds float64
 	// perGPU is what one GPU needs beside it, so that every usual size can use it.
-	perGPU amount.Resources
+	perGPU resource.Resources
 }
 
 // NewProfile learns what is usual on machines of a size that fetch so many GB a second; nil, if
 // they have no GPU or nothing is seen that would use one. The whole machine always counts
 // as if somebody waited for it: what needs it can go nowhere else, and comes rarely.
-func NewProfile(size amount.Resources, fetchRate float64, demands []Demand) *Profile {
-	if size.GPU <= amount.Tolerance {
+func NewProfile(size resource.Resources, fetchRate float64, demands []Demand) *Profile {
+	if size.GPU <= resource.Tolerance {
 		return nil
 	}
 	var distinct []Demand
 	for _, s := range demands {
-		if s.Need.GPU <= amount.Tolerance || s.Tasks <= 0 || !s.Need.Fits(size) {
+		if s.Need.GPU <= resource.Tolerance || s.Tasks <= 0 || !s.Need.Fits(size) {
 			continue
 		}
 		i := slices.IndexFunc(distinct, func(o Demand) bool { return o.Need == s.Need })
@@ -81,7 +81,7 @@
 	profile := &Profile{machineSize: size}
 	for _, s := range distinct {
 		// What can't use all GPUs of an empty machine has no say in what the others need.
-		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+amount.Tolerance && size.GPU/g*s.Need.Memory <= size.Memory+amount.Tolerance {
+		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+resource.Tolerance && size.GPU/g*s.Need.Memory <= size.Memory+resource.Tolerance {
 			profile.perGPU.CPU, profile.perGPU.Memory = max(profile.perGPU.CPU, s.Need.CPU/g), max(profile.perGPU.Memory, s.Need.Memory/g)
 		}
 	}
@@ -101,8 +101,8 @@
 		}
 		profile.sizeValues = append(profile.sizeValues, SizeValue{s.Need, fraction * profile.migrationSeconds})
 	}
-	wholeMachine := SizeValue{amount.Resources{CPU: profile.perGPU.CPU * size.GPU, GPU: size.GPU, Memory: profile.perGPU.Memory * size.GPU}, profile.migrationSeconds}
-	if i := slices.IndexFunc(profile.sizeValues, func(u SizeValue) bool { return u.Need.GPU > size.GPU-amount.Tolerance }); i >= 0 {
+	wholeMachine := SizeValue{resource.Resources{CPU: profile.perGPU.CPU * size.GPU, GPU: size.GPU, Memory: profile.perGPU.Memory * size.GPU}, profile.migrationSeconds}
+	if i := slices.IndexFunc(profile.sizeValues, func(u SizeValue) bool { return u.Need.GPU > size.GPU-resource.Tolerance }); i >= 0 {
 		profile.sizeValues[i].LossSeconds = profile.migrationSeconds
 	} else {
 		profile.sizeValues = append(profile.sizeValues, wholeMachine)
@@ -124,7 +124,7 @@
 // a machine: for each usual size the places that are lost beyond the part that the task
 // itself takes of them. A machine that is not whole is the likelier emptied by moves the
 // more of it is free, and then the task is one more to move.
-func (k *Profile) FragmentationCost(free, need amount.Resources) float64 {
+func (k *Profile) FragmentationCost(free, need resource.Resources) float64 {
 	remaining := free.AddScaled(need, -1)
 	cost := 0.0
 	for i := range k.sizeValues {
@@ -137,7 +137,7 @@
 			cost += lostPlaces * u.LossSeconds
 		}
 	}
-	if need.GPU > amount.Tolerance && free.GPU < k.machineSize.GPU-amount.Tolerance {
+	if need.GPU > resource.Tolerance && free.GPU < k.machineSize.GPU-resource.Tolerance {
 		openFraction := max(0, remaining.GPU) / k.machineSize.GPU
 		cost += openFraction * openFraction * k.migrationSeconds
 	}
@@ -145,17 +145,17 @@
 }
 
 // NonGPUSurplus is what of some free room no GPU there needs beside it.
-func (k *Profile) NonGPUSurplus(free amount.Resources) amount.Resources {
+func (k *Profile) NonGPUSurplus(free resource.Resources) resource.Resources {
 	r := free.AddScaled(k.perGPU, -max(0, free.GPU))
-	return amount.Resources{CPU: max(0, r.CPU), Memory: max(0, r.Memory)}
+	return resource.Resources{CPU: max(0, r.CPU), Memory: max(0, r.Memory)}
 }
 
 // NonGPUCapacity is the room for work without GPUs: what no GPU will need, neither those that are
 // free now nor those that are free once all work with GPUs has gone. Plain is what work
 // without GPUs takes there already.
-func (k *Profile) NonGPUCapacity(free, nonGPUUsed amount.Resources) amount.Resources {
+func (k *Profile) NonGPUCapacity(free, nonGPUUsed resource.Resources) resource.Resources {
 	now, empty := k.NonGPUSurplus(free), k.NonGPUSurplus(k.machineSize.AddScaled(nonGPUUsed, -1))
-	return amount.Resources{CPU: min(now.CPU, empty.CPU), Memory: min(now.Memory, empty.Memory)}
+	return resource.Resources{CPU: min(now.CPU, empty.CPU), Memory: min(now.Memory, empty.Memory)}
 }
 
 // FreeCapacity is how the room on some machines of a kind lies.
@@ -173,7 +173,7 @@
 
 // Add counts a machine with so much free, of a size that has GPUs. k is what is usual
 // there, nil if nothing is known of it.
-func (r *FreeCapacity) Add(profile *Profile, size, free amount.Resources) {
+func (r *FreeCapacity) Add(profile *Profile, size, free resource.Resources) {
 	r.Machines++
 	usable := max(0, free.GPU)
 	r.FreeGPUs += usable
@@ -184,9 +184,9 @@
 			}
 		}
 	}
-	usable = math.Floor(usable + amount.Tolerance)
+	usable = math.Floor(usable + resource.Tolerance)
 	r.LargestFit = max(r.LargestFit, usable)
-	if usable >= size.GPU-amount.Tolerance {
+	if usable >= size.GPU-resource.Tolerance {
 		r.WholeMachines++
 	} else {
 		r.FragmentedGPUs += max(0, free.GPU)
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -4,16 +4,16 @@
 	"math"
 	"testing"
 
-	"github.com/micahill/micahill/internal/amount"
+	"github.com/micahill/micahill/internal/resource"
 	_ "github.com/micahill/micahill/internal/testseed"
 	"pgregory.net/rapid"
 )
 
-var host = amount.Resources{CPU: 64, GPU: 8, Memory: 512}
+var host = resource.Resources{CPU: 64, GPU: 8, Memory: 512}
 
 // gpus is a replica of so many GPUs.
-func gpus(g, cpu, memory float64) amount.Resources {
-	return amount.Resources{CPU: g * cpu, GPU: g, Memory: g * memory}
+func gpus(g, cpu, memory float64) resource.Resources {
+	return resource.Resources{CPU: g * cpu, GPU: g, Memory: g * memory}
 }
 
 // drawDemands draws replicas of one to eight GPUs with what they need for each.
@@ -61,14 +61,14 @@
 		if k == nil {
 			return
 		}
-		free, nonGPUUsed := host, amount.Resources{}
+		free, nonGPUUsed := host, resource.Resources{}
 		for _, s := range demands {
 			if s.Need.Fits(free) && rapid.Bool().Draw(t, "runs") {
 				free = free.AddScaled(s.Need, -1)
 			}
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "others") {
-			o := amount.Resources{CPU: float64(rapid.IntRange(1, 16).Draw(t, "its cpu")), Memory: float64(rapid.IntRange(1, 128).Draw(t, "its memory"))}
+			o := resource.Resources{CPU: float64(rapid.IntRange(1, 16).Draw(t, "its cpu")), Memory: float64(rapid.IntRange(1, 128).Draw(t, "its memory"))}
 			if o.Fits(k.NonGPUCapacity(free, nonGPUUsed)) {
 				free, nonGPUUsed = free.AddScaled(o, -1), nonGPUUsed.AddScaled(o, 1)
 			}
@@ -78,7 +78,7 @@
 				continue
 			}
 			empty := host.AddScaled(nonGPUUsed, -1)
-			if got, want := empty.FitCount(s.Need), host.FitCount(s.Need); got != want && nonGPUUsed != (amount.Resources{}) {
+			if got, want := empty.FitCount(s.Need), host.FitCount(s.Need); got != want && nonGPUUsed != (resource.Resources{}) {
 				t.Fatalf("%d of %v fit beside %v, %d without", got, s.Need, nonGPUUsed, want)
 			}
 		}
@@ -100,21 +100,21 @@
 	if k.FragmentationCost(four, small) >= waits.FragmentationCost(four, small) {
 		t.Error("the last place for one that waits is worth no more than if nobody did")
 	}
-	if NewProfile(host, 1, seen[:0]) != nil || NewProfile(amount.Resources{CPU: 8, Memory: 8}, 1, seen) != nil {
+	if NewProfile(host, 1, seen[:0]) != nil || NewProfile(resource.Resources{CPU: 8, Memory: 8}, 1, seen) != nil {
 		t.Error("something is usual where nothing is known")
 	}
 	// Without GPUs: what all eight need beside them is left.
-	if s := k.NonGPUCapacity(host, amount.Resources{}); s.CPU != 16 || s.Memory != 192 || s.GPU != 0 {
+	if s := k.NonGPUCapacity(host, resource.Resources{}); s.CPU != 16 || s.Memory != 192 || s.GPU != 0 {
 		t.Errorf("%v is spare on an empty host", s)
 	}
 	full := host.AddScaled(large, -1)
-	if s := k.NonGPUCapacity(full, amount.Resources{CPU: 10}); s.CPU != 6 {
+	if s := k.NonGPUCapacity(full, resource.Resources{CPU: 10}); s.CPU != 6 {
 		t.Errorf("%v is spare beside others", s)
 	}
 	var r FreeCapacity
 	r.Add(k, host, host)
 	r.Add(k, host, partlyUsed)
-	r.Add(k, host, amount.Resources{CPU: 12, GPU: 5, Memory: 512})
+	r.Add(k, host, resource.Resources{CPU: 12, GPU: 5, Memory: 512})
 	if want := (FreeCapacity{Machines: 3, WholeMachines: 1, FreeGPUs: 18, FragmentedGPUs: 10, LargestFit: 8}); r != want {
 		t.Errorf("room %+v, want %+v", r, want)
 	}
