--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -4,56 +4,56 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/sharding"
 	"github.com/micahill/micahill/internal/testgolden"
 	"google.golang.org/protobuf/proto"
 )
 
-func goldenAttempt(job string, index int, try uint64) ownership.AttemptID {
-	return ownership.AttemptID{Job: job, Index: index, Attempt: try}
+func goldenAttempt(job string, index int, try uint64) remote.AttemptID {
+	return remote.AttemptID{Job: job, Index: index, Attempt: try}
 }
 
 // goldenNews has all that controllers tell each other.
-var goldenNews = core.PeerUpdate{
+var goldenNews = controller.PeerUpdate{
 	From: "ctl-2", Incarnation: "n-18.1", IsCapacityRequest: true, IsLeaderUpdate: true, StoreUnavailable: true, Seq: 4_321,
-	Progress:      []core.Progress{{ID: "job-000411", Done: 7, Running: 9}},
-	WorkloadLoads: []core.WorkloadLoad{{Team: "vision", Workload: "train", TasksPerSecond: 0.5, RunTimeRatio: 1.25, Deviation: 0.75, Samples: 41}},
-	MachineUpdates: []core.MachineUpdate{
+	Progress:      []controller.Progress{{ID: "job-000411", Done: 7, Running: 9}},
+	WorkloadLoads: []controller.WorkloadLoad{{Team: "vision", Workload: "train", TasksPerSecond: 0.5, RunTimeRatio: 1.25, Deviation: 0.75, Samples: 41}},
+	MachineUpdates: []controller.MachineUpdate{
 		{ID: "vm-000007", Addr: "10.1.0.7:9000", MachineType: "g8", Zone: "a", Spot: true, Images: map[string]float64{"img-07": 6.2, "img-08": 0.5}},
 	},
 	Surplus: []string{"vm-000011", "vm-000012"}, ToRelease: []string{"vm-000013"},
-	CapacityRequests: []core.CapacityRequest{{MachineType: "g4", Zone: "b", Spot: true, Count: 3}},
-	SurplusElsewhere: []core.CapacityRequest{{MachineType: "g2", Zone: "c", Count: 4}},
-	Blocked:          []core.CapacityRequest{{MachineType: "g1", Zone: "d", Count: 500}},
-	TeamLoads:        []core.TeamLoad{{Team: "ops", CPU: 96.5}},
-	Offers:           []division.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
-	TeamRelease:      []division.MoveRequest{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
-	RentalUpdates:    []core.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
-	RemoteAttempts: []ownership.Request{{Machine: "vm-000016", Attempts: []ownership.AttemptRequest{
-		{AttemptID: goldenAttempt("job-000412", 5, 2), Intent: ownership.Stop, WindDown: 30_250 * time.Millisecond},
-		{AttemptID: goldenAttempt("job-000413", 6, 300), Intent: ownership.Settled},
-		{AttemptID: goldenAttempt("job-000414", 7, 4), Intent: ownership.Keep},
+	CapacityRequests: []controller.CapacityRequest{{MachineType: "g4", Zone: "b", Spot: true, Count: 3}},
+	SurplusElsewhere: []controller.CapacityRequest{{MachineType: "g2", Zone: "c", Count: 4}},
+	Blocked:          []controller.CapacityRequest{{MachineType: "g1", Zone: "d", Count: 500}},
+	TeamLoads:        []controller.TeamLoad{{Team: "ops", CPU: 96.5}},
+	Offers:           []sharding.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
+	TeamRelease:      []sharding.MoveRequest{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
+	RentalUpdates:    []controller.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
+	RemoteAttempts: []remote.Request{{Machine: "vm-000016", Attempts: []remote.AttemptRequest{
+		{AttemptID: goldenAttempt("job-000412", 5, 2), Intent: remote.Stop, WindDown: 30_250 * time.Millisecond},
+		{AttemptID: goldenAttempt("job-000413", 6, 300), Intent: remote.Settled},
+		{AttemptID: goldenAttempt("job-000414", 7, 4), Intent: remote.Keep},
 	}}},
-	RemoteStatuses: []ownership.MachineStatus{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []ownership.AttemptStatus{
-		{AttemptID: goldenAttempt("job-000415", 8, 9), State: ownership.Ended, Cause: "done"},
-		{AttemptID: goldenAttempt("job-000416", 9, 10), State: ownership.Gone, Cause: "lost"},
-		{AttemptID: goldenAttempt("job-000417", 10, 11), State: ownership.Fetching},
-		{AttemptID: goldenAttempt("job-000417", 11, 12), State: ownership.Running},
-		{AttemptID: goldenAttempt("job-000417", 12, 13), State: ownership.Checkpointing},
-		{AttemptID: goldenAttempt("job-000417", 13, 14), State: ownership.Unknown},
+	RemoteStatuses: []remote.MachineStatus{{Machine: "vm-000017", Epoch: 412, Zone: "b", Attempts: []remote.AttemptStatus{
+		{AttemptID: goldenAttempt("job-000415", 8, 9), State: remote.Ended, Cause: "done"},
+		{AttemptID: goldenAttempt("job-000416", 9, 10), State: remote.Gone, Cause: "lost"},
+		{AttemptID: goldenAttempt("job-000417", 10, 11), State: remote.Fetching},
+		{AttemptID: goldenAttempt("job-000417", 11, 12), State: remote.Running},
+		{AttemptID: goldenAttempt("job-000417", 12, 13), State: remote.Checkpointing},
+		{AttemptID: goldenAttempt("job-000417", 13, 14), State: remote.Unknown},
 	}}},
-	Rates:              &core.Rates{Requests: 40.5, Writes: 20.25},
-	HostNeeds:          []core.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: core.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: core.Urgent}},
-	OthersNeeds:        []core.HostNeed{{MachineType: "g4", Zone: "b", Need: core.Resources{CPU: 48}, Workload: "infer", Urgency: core.Critical}},
-	EvacuationRequests: []core.HostNeed{{MachineType: "g2", Zone: "c", Need: core.Resources{Memory: 350}, Urgency: core.Normal}},
-	EvacuationCosts:    []core.HostCost{{MachineType: "g1", Zone: "d", Spot: true, Downtime: 16_125 * time.Millisecond}},
-	Quotes: []core.TeamQuotes{
+	Rates:              &controller.Rates{Requests: 40.5, Writes: 20.25},
+	HostNeeds:          []controller.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: controller.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: controller.Urgent}},
+	OthersNeeds:        []controller.HostNeed{{MachineType: "g4", Zone: "b", Need: controller.Resources{CPU: 48}, Workload: "infer", Urgency: controller.Critical}},
+	EvacuationRequests: []controller.HostNeed{{MachineType: "g2", Zone: "c", Need: controller.Resources{Memory: 350}, Urgency: controller.Normal}},
+	EvacuationCosts:    []controller.HostCost{{MachineType: "g1", Zone: "d", Spot: true, Downtime: 16_125 * time.Millisecond}},
+	Quotes: []controller.TeamQuotes{
 		{Team: "ops", Value: []byte{0x81, 0xa1, 'v', 0x01}},
 	},
-	Rerouted:         []core.ReroutedHeartbeat{{ID: "vm-000018", Epoch: 413, Incarnation: 3, Sequence: 88}},
-	Cancellations:    []core.Cancellation{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: 5_432}},
+	Rerouted:         []controller.ReroutedHeartbeat{{ID: "vm-000018", Epoch: 413, Incarnation: 3, Sequence: 88}},
+	Cancellations:    []controller.Cancellation{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: 5_432}},
 	CancellationAcks: []string{"job-000419", "job-000420"},
 }
 
@@ -64,12 +64,12 @@
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
 			// Images are a map.
-			return proto.MarshalOptions{Deterministic: true}.Marshal(toProto(v.(core.PeerUpdate)))
+			return proto.MarshalOptions{Deterministic: true}.Marshal(toProto(v.(controller.PeerUpdate)))
 		},
 		Read: func(b []byte, into any) error {
 			var m News
 			err := proto.Unmarshal(b, &m)
-			*into.(*core.PeerUpdate) = m.toUpdate()
+			*into.(*controller.PeerUpdate) = m.toUpdate()
 			return err
 		},
 	}, news)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -10,8 +10,8 @@
 	"net"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/ports"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/listen"
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 )
@@ -34,14 +34,14 @@
 
 // Sender sends to the peers and listens for them.
 type Sender struct {
-	queues map[string]chan core.PeerUpdate
+	queues map[string]chan controller.PeerUpdate
 }
 
 // StartSender begins to send to the peers, by name and address.
 func StartSender(ctx context.Context, peers map[string]string) *Sender {
-	sender := &Sender{queues: map[string]chan core.PeerUpdate{}}
+	sender := &Sender{queues: map[string]chan controller.PeerUpdate{}}
 	for name, addr := range peers {
-		queue := make(chan core.PeerUpdate, sendQueueLen)
+		queue := make(chan controller.PeerUpdate, sendQueueLen)
 		sender.queues[name] = queue
 		go send(ctx, addr, queue)
 	}
@@ -49,7 +49,7 @@
 }
 
 // Send queues news for a peer, dropping the oldest when the queue is full.
-func (n *Sender) Send(to string, update core.PeerUpdate) {
+func (n *Sender) Send(to string, update controller.PeerUpdate) {
 	queue := n.queues[to]
 	for queue != nil {
 		select {
@@ -64,7 +64,7 @@
 	}
 }
 
-func send(ctx context.Context, addr string, queue chan core.PeerUpdate) {
+func send(ctx context.Context, addr string, queue chan controller.PeerUpdate) {
 	var conn net.Conn
 	var lastDial time.Time
 	defer func() {
@@ -73,7 +73,7 @@
 		}
 	}()
 	for {
-		var update core.PeerUpdate
+		var update controller.PeerUpdate
 		select {
 		case <-ctx.Done():
 			return
@@ -118,8 +118,8 @@
 
 // Listen takes news from peers and hands it to post. Connections that are not
 // a peer's come out of the listener it returns.
-func Listen(ctx context.Context, addr string, handle func(core.PeerUpdate)) (net.Listener, error) {
-	ln, err := ports.TCP(ctx, "back", addr)
+func Listen(ctx context.Context, addr string, handle func(controller.PeerUpdate)) (net.Listener, error) {
+	ln, err := listen.TCP(ctx, "back", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
@@ -154,7 +154,7 @@
 }
 
 // handleConn tells a peer from others by the first byte.
-func handleConn(conn net.Conn, handle func(core.PeerUpdate), otherConns *otherConnListener) {
+func handleConn(conn net.Conn, handle func(controller.PeerUpdate), otherConns *otherConnListener) {
 	conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	reader := bufio.NewReader(conn)
 	firstByte, err := reader.Peek(1)
@@ -202,7 +202,7 @@
 func (o *otherConnListener) Close() error   { return nil }
 func (o *otherConnListener) Addr() net.Addr { return o.addr }
 
-func receiveUpdates(conn net.Conn, reader *bufio.Reader, handle func(core.PeerUpdate)) {
+func receiveUpdates(conn net.Conn, reader *bufio.Reader, handle func(controller.PeerUpdate)) {
 	defer conn.Close()
 	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
-	"github.com/micahill/micahill/internal/division"
-	"github.com/micahill/micahill/internal/ownership"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/sharding"
 )
 
 // toProto is news in its protobuf form, and core, below, the way back.
-func toProto(update core.PeerUpdate) *News {
+func toProto(update controller.PeerUpdate) *News {
 	pb := &News{
 		From: update.From, Life: update.Incarnation, Asks: update.IsCapacityRequest, Seq: update.Seq, Wants: requestsToProto(update.CapacityRequests), Idle: update.ToRelease,
 		Tells: update.IsLeaderUpdate, Blocked: requestsToProto(update.Blocked), ToSpare: update.Surplus, Spare: requestsToProto(update.SurplusElsewhere), StateAway: update.StoreUnavailable,
@@ -69,7 +69,7 @@
 	return pb
 }
 
-func needsToProto(needs []core.HostNeed) []*HostNeed {
+func needsToProto(needs []controller.HostNeed) []*HostNeed {
 	var out []*HostNeed
 	for _, h := range needs {
 		out = append(out, &HostNeed{Flavour: h.MachineType, Zone: h.Zone, Spot: h.Spot, Cpu: h.Need.CPU, Gpu: h.Need.GPU, Memory: h.Need.Memory, Workload: h.Workload, Urgency: int64(h.Urgency)})
@@ -77,15 +77,15 @@
 	return out
 }
 
-func needsFromProto(needs []*HostNeed) []core.HostNeed {
-	var out []core.HostNeed
+func needsFromProto(needs []*HostNeed) []controller.HostNeed {
+	var out []controller.HostNeed
 	for _, h := range needs {
-		out = append(out, core.HostNeed{MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Need: core.Resources{CPU: h.Cpu, GPU: h.Gpu, Memory: h.Memory}, Workload: h.Workload, Urgency: core.Urgency(h.Urgency)})
+		out = append(out, controller.HostNeed{MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Need: controller.Resources{CPU: h.Cpu, GPU: h.Gpu, Memory: h.Memory}, Workload: h.Workload, Urgency: controller.Urgency(h.Urgency)})
 	}
 	return out
 }
 
-func requestsToProto(requests []core.CapacityRequest) []*Want {
+func requestsToProto(requests []controller.CapacityRequest) []*Want {
 	var out []*Want
 	for _, w := range requests {
 		out = append(out, &Want{Flavour: w.MachineType, Zone: w.Zone, Spot: w.Spot, Count: int64(w.Count)})
@@ -93,74 +93,74 @@
 	return out
 }
 
-func (m *News) toUpdate() core.PeerUpdate {
-	update := core.PeerUpdate{
+func (m *News) toUpdate() controller.PeerUpdate {
+	update := controller.PeerUpdate{
 		From: m.From, Incarnation: m.Life, IsCapacityRequest: m.Asks, Seq: m.Seq, CapacityRequests: requestsFromProto(m.Wants), ToRelease: m.Idle,
 		IsLeaderUpdate: m.Tells, Blocked: requestsFromProto(m.Blocked), Surplus: m.ToSpare, SurplusElsewhere: requestsFromProto(m.Spare), StoreUnavailable: m.StateAway,
 	}
 	for _, x := range m.Cancelled {
-		update.Cancellations = append(update.Cancellations, core.Cancellation{ID: x.Id, Record: x.Record, ModRevision: x.Stamp})
+		update.Cancellations = append(update.Cancellations, controller.Cancellation{ID: x.Id, Record: x.Record, ModRevision: x.Stamp})
 	}
 	update.CancellationAcks = m.CancelsHeard
 	for _, x := range m.Came {
-		update.Rerouted = append(update.Rerouted, core.ReroutedHeartbeat{ID: x.Id, Epoch: x.Epoch, Incarnation: x.Tenure, Sequence: x.Tick})
+		update.Rerouted = append(update.Rerouted, controller.ReroutedHeartbeat{ID: x.Id, Epoch: x.Epoch, Incarnation: x.Tenure, Sequence: x.Tick})
 	}
 	for _, p := range m.Progress {
-		update.Progress = append(update.Progress, core.Progress{ID: p.Id, Done: int(p.Done), Running: int(p.Running)})
+		update.Progress = append(update.Progress, controller.Progress{ID: p.Id, Done: int(p.Done), Running: int(p.Running)})
 	}
 	for _, l := range m.Loads {
-		update.WorkloadLoads = append(update.WorkloadLoads, core.WorkloadLoad{Team: l.Team, Workload: l.Workload, TasksPerSecond: l.Rate, RunTimeRatio: l.Ratio, Deviation: l.Dev, Samples: int(l.Samples)})
+		update.WorkloadLoads = append(update.WorkloadLoads, controller.WorkloadLoad{Team: l.Team, Workload: l.Workload, TasksPerSecond: l.Rate, RunTimeRatio: l.Ratio, Deviation: l.Dev, Samples: int(l.Samples)})
 	}
 	for _, r := range m.Rentals {
-		update.RentalUpdates = append(update.RentalUpdates, core.RentalUpdate{ID: r.Id, Addr: r.Addr, MachineType: r.Flavour, Zone: r.Zone, Spot: r.Spot, Status: r.Status, Age: time.Duration(r.AgeMs) * time.Millisecond})
+		update.RentalUpdates = append(update.RentalUpdates, controller.RentalUpdate{ID: r.Id, Addr: r.Addr, MachineType: r.Flavour, Zone: r.Zone, Spot: r.Spot, Status: r.Status, Age: time.Duration(r.AgeMs) * time.Millisecond})
 	}
 	for _, h := range m.Hosts {
-		update.MachineUpdates = append(update.MachineUpdates, core.MachineUpdate{ID: h.Id, Addr: h.Addr, MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Images: h.Images})
+		update.MachineUpdates = append(update.MachineUpdates, controller.MachineUpdate{ID: h.Id, Addr: h.Addr, MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Images: h.Images})
 	}
 	for _, q := range m.Quotes {
-		update.Quotes = append(update.Quotes, core.TeamQuotes{Team: q.Team, Value: q.Value})
+		update.Quotes = append(update.Quotes, controller.TeamQuotes{Team: q.Team, Value: q.Value})
 	}
 	for _, t := range m.Teams {
-		update.TeamLoads = append(update.TeamLoads, core.TeamLoad{Team: t.Team, CPU: t.Cpu})
+		update.TeamLoads = append(update.TeamLoads, controller.TeamLoad{Team: t.Team, CPU: t.Cpu})
 	}
 	if m.Rates != nil {
-		update.Rates = &core.Rates{Requests: m.Rates.Requests, Writes: m.Rates.Changes}
+		update.Rates = &controller.Rates{Requests: m.Rates.Requests, Writes: m.Rates.Changes}
 	}
 	for _, o := range m.Offers {
-		update.Offers = append(update.Offers, division.Offer{Team: o.Team, Machines: o.Machines})
+		update.Offers = append(update.Offers, sharding.Offer{Team: o.Team, Machines: o.Machines})
 	}
 	for _, r := range m.Release {
-		update.TeamRelease = append(update.TeamRelease, division.MoveRequest{Team: r.Team, From: r.From, To: r.To})
+		update.TeamRelease = append(update.TeamRelease, sharding.MoveRequest{Team: r.Team, From: r.From, To: r.To})
 	}
 	for _, a := range m.Wards {
-		x := ownership.Request{Machine: a.Machine}
+		x := remote.Request{Machine: a.Machine}
 		for _, t := range a.Attempts {
-			x.Attempts = append(x.Attempts, ownership.AttemptRequest{AttemptID: t.toAttempt(), Intent: ownership.Intent(t.Want), WindDown: time.Duration(t.WindDownMs) * time.Millisecond})
+			x.Attempts = append(x.Attempts, remote.AttemptRequest{AttemptID: t.toAttempt(), Intent: remote.Intent(t.Want), WindDown: time.Duration(t.WindDownMs) * time.Millisecond})
 		}
 		update.RemoteAttempts = append(update.RemoteAttempts, x)
 	}
 	for _, a := range m.Told {
-		x := ownership.MachineStatus{Machine: a.Machine, Epoch: a.Epoch, Zone: a.Zone}
+		x := remote.MachineStatus{Machine: a.Machine, Epoch: a.Epoch, Zone: a.Zone}
 		for _, t := range a.Attempts {
-			x.Attempts = append(x.Attempts, ownership.AttemptStatus{AttemptID: t.toAttempt(), State: ownership.State(t.State), Cause: t.Cause})
+			x.Attempts = append(x.Attempts, remote.AttemptStatus{AttemptID: t.toAttempt(), State: remote.State(t.State), Cause: t.Cause})
 		}
 		update.RemoteStatuses = append(update.RemoteStatuses, x)
 	}
 	update.HostNeeds, update.OthersNeeds, update.EvacuationRequests = needsFromProto(m.Needs), needsFromProto(m.Lacks), needsFromProto(m.Empty)
 	for _, c := range m.Costs {
-		update.EvacuationCosts = append(update.EvacuationCosts, core.HostCost{MachineType: c.Flavour, Zone: c.Zone, Spot: c.Spot, Downtime: time.Duration(c.DownMs) * time.Millisecond})
+		update.EvacuationCosts = append(update.EvacuationCosts, controller.HostCost{MachineType: c.Flavour, Zone: c.Zone, Spot: c.Spot, Downtime: time.Duration(c.DownMs) * time.Millisecond})
 	}
 	return update
 }
 
-func (t *Attempt) toAttempt() ownership.AttemptID {
-	return ownership.AttemptID{Job: t.Job, Index: int(t.Index), Attempt: t.Try}
+func (t *Attempt) toAttempt() remote.AttemptID {
+	return remote.AttemptID{Job: t.Job, Index: int(t.Index), Attempt: t.Try}
 }
 
-func requestsFromProto(requests []*Want) []core.CapacityRequest {
-	var out []core.CapacityRequest
+func requestsFromProto(requests []*Want) []controller.CapacityRequest {
+	var out []controller.CapacityRequest
 	for _, w := range requests {
-		out = append(out, core.CapacityRequest{MachineType: w.Flavour, Zone: w.Zone, Spot: w.Spot, Count: int(w.Count)})
+		out = append(out, controller.CapacityRequest{MachineType: w.Flavour, Zone: w.Zone, Spot: w.Spot, Count: int(w.Count)})
 	}
 	return out
 }
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"google.golang.org/protobuf/proto"
 )
 
 // TestIncarnationRoundTrip: news names the life that sent it.
 func TestIncarnationRoundTrip(t *testing.T) {
-	b, err := proto.Marshal(toProto(core.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []core.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}))
+	b, err := proto.Marshal(toProto(controller.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []controller.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,8 +29,8 @@
 
 // TestMachineNeedsRoundTrip: whole hosts that are needed, and what emptying one would cost.
 func TestMachineNeedsRoundTrip(t *testing.T) {
-	need := core.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: core.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: core.Urgent}
-	want := core.PeerUpdate{From: "a", HostNeeds: []core.HostNeed{need}, OthersNeeds: []core.HostNeed{need, need}, EvacuationRequests: []core.HostNeed{need}, EvacuationCosts: []core.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
+	need := controller.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: controller.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: controller.Urgent}
+	want := controller.PeerUpdate{From: "a", HostNeeds: []controller.HostNeed{need}, OthersNeeds: []controller.HostNeed{need, need}, EvacuationRequests: []controller.HostNeed{need}, EvacuationCosts: []controller.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
 	b, err := proto.Marshal(toProto(want))
 	if err != nil {
 		t.Fatal(err)
@@ -46,8 +46,8 @@
 
 // TestReroutedHeartbeatsRoundTrip: what came of the receiver's machines arrives as it was told.
 func TestReroutedHeartbeatsRoundTrip(t *testing.T) {
-	want := []core.ReroutedHeartbeat{{ID: "vm-1", Epoch: 3, Incarnation: 2, Sequence: 40}}
-	b, err := proto.Marshal(toProto(core.PeerUpdate{From: "a", Rerouted: want}))
+	want := []controller.ReroutedHeartbeat{{ID: "vm-1", Epoch: 3, Incarnation: 2, Sequence: 40}}
+	b, err := proto.Marshal(toProto(controller.PeerUpdate{From: "a", Rerouted: want}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,13 +62,13 @@
 
 // FuzzPeerUpdate: whatever another controller sends, nothing ends for it.
 func FuzzPeerUpdate(f *testing.F) {
-	for _, n := range []core.PeerUpdate{
-		{From: "b", Rates: &core.Rates{Requests: math.NaN(), Writes: -1}},
-		{From: "b", WorkloadLoads: []core.WorkloadLoad{{Workload: "w", TasksPerSecond: math.Inf(1), Samples: -4}}, IsCapacityRequest: true, CapacityRequests: []core.CapacityRequest{{MachineType: "box", Count: -1}}},
-		{From: "b", Quotes: []core.TeamQuotes{{Team: "ops", Value: []byte("x")}, {}}},
-		{From: "b", Rerouted: []core.ReroutedHeartbeat{{ID: "", Epoch: math.MaxUint64}}},
-		{From: "b", Cancellations: []core.Cancellation{{ID: "job-1", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: math.MaxUint64}, {}}, CancellationAcks: []string{"", "job-1"}},
-		{From: "b", IsLeaderUpdate: true, RentalUpdates: []core.RentalUpdate{{ID: "vm", Age: -time.Hour}}, Progress: []core.Progress{{ID: "job-1", Done: -1}}},
+	for _, n := range []controller.PeerUpdate{
+		{From: "b", Rates: &controller.Rates{Requests: math.NaN(), Writes: -1}},
+		{From: "b", WorkloadLoads: []controller.WorkloadLoad{{Workload: "w", TasksPerSecond: math.Inf(1), Samples: -4}}, IsCapacityRequest: true, CapacityRequests: []controller.CapacityRequest{{MachineType: "box", Count: -1}}},
+		{From: "b", Quotes: []controller.TeamQuotes{{Team: "ops", Value: []byte("x")}, {}}},
+		{From: "b", Rerouted: []controller.ReroutedHeartbeat{{ID: "", Epoch: math.MaxUint64}}},
+		{From: "b", Cancellations: []controller.Cancellation{{ID: "job-1", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: math.MaxUint64}, {}}, CancellationAcks: []string{"", "job-1"}},
+		{From: "b", IsLeaderUpdate: true, RentalUpdates: []controller.RentalUpdate{{ID: "vm", Age: -time.Hour}}, Progress: []controller.Progress{{ID: "job-1", Done: -1}}},
 	} {
 		b, err := proto.Marshal(toProto(n))
 		if err != nil {
@@ -81,10 +81,10 @@
 		if proto.Unmarshal(b, &m) != nil {
 			return
 		}
-		n := core.New(core.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: core.DefaultPolicy(),
-			Teams: []core.Team{{Name: "ops"}}, Capabilities: core.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
+		n := controller.New(controller.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: controller.DefaultPolicy(),
+			Teams: []controller.Team{{Name: "ops"}}, Capabilities: controller.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_750_000_000, 0)
-		n.Step(now, []core.Command{m.toUpdate()})
+		n.Step(now, []controller.Command{m.toUpdate()})
 		n.Step(now.Add(2*time.Second), nil)
 	})
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -10,7 +10,7 @@
 	"os"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 )
@@ -32,21 +32,21 @@
 )
 
 // Load reads a script; the empty path gives the built-in defaults.
-func Load(path string) (core.Policy, error) {
+func Load(path string) (controller.Policy, error) {
 	if path == "" {
-		return core.DefaultPolicy(), nil
+		return controller.DefaultPolicy(), nil
 	}
 	src, err := os.ReadFile(path)
 	if err != nil {
-		return core.Policy{}, fmt.Errorf("policy: %w", err)
+		return controller.Policy{}, fmt.Errorf("policy: %w", err)
 	}
 	return Parse(path, src)
 }
 
 // Parse runs a script. Its global names are the settings; an error says file,
 // line and reason.
-func Parse(path string, src []byte) (core.Policy, error) {
-	policy := core.DefaultPolicy()
+func Parse(path string, src []byte) (controller.Policy, error) {
+	policy := controller.DefaultPolicy()
 	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
 	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
@@ -67,7 +67,7 @@
 	return policy, nil
 }
 
-func applySetting(policy *core.Policy, name string, value starlark.Value) error {
+func applySetting(policy *controller.Policy, name string, value starlark.Value) error {
 	switch name {
 	case "relaunch_factor":
 		return parseNumber(name, value, factorRange, &policy.RelaunchFactor)
@@ -103,7 +103,7 @@
 	if err := parseNumber(name, v, allowed, &f); err != nil {
 		return err
 	}
-	*target = core.Seconds(f)
+	*target = controller.Seconds(f)
 	return nil
 }
 
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -9,7 +9,7 @@
 	"fmt"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -128,7 +128,7 @@
 // decode reads a record. A list's length is taken at its word by the library, which
 // makes room for it, so a damaged record is found before.
 func decode(b []byte, v any) error {
-	if _, err := bounds.JSON(b); err != nil {
+	if _, err := sizelimit.JSON(b); err != nil {
 		return fmt.Errorf("%w: %w", errRecord, err)
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
@@ -155,7 +155,7 @@
 
 // jsonSize is an upper bound of a value's length as JSON.
 func jsonSize(b []byte) int {
-	n, err := bounds.JSON(b)
+	n, err := sizelimit.JSON(b)
 	if err != nil {
 		panic("promise: " + err.Error())
 	}
--- a/internal/ranking/ranking.go
+++ b/internal/ranking/ranking.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -107,7 +107,7 @@
 	var w struct {
 		Rev uint64 `msgpack:"rev"`
 	}
-	if _, err := bounds.JSON(b); err != nil || msgpack.Unmarshal(b, &w) != nil {
+	if _, err := sizelimit.JSON(b); err != nil || msgpack.Unmarshal(b, &w) != nil {
 		return 0
 	}
 	return w.Rev
@@ -116,7 +116,7 @@
 // Decode reads a record. An error names the field and what would be right. A length
 // that the bytes do not bear out is found before room is made for it.
 func Decode(b []byte) (Record, error) {
-	if _, err := bounds.JSON(b); err != nil {
+	if _, err := sizelimit.JSON(b); err != nil {
 		return Record{}, fmt.Errorf("ranking: %w", err)
 	}
 	var header struct {
--- a/internal/budget/budget.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,9 +1,9 @@
-// Package budget divides a rate that all controllers share, such as the state
+// Package ratelimit divides a rate that all controllers share, such as the state
 // service's requests a second, by what each of them needs. Each tells the others what
 // it asks for, and each reckons the same division from that; where news is late two
 // views differ for a moment, and the service refuses what is too much. Nobody gets
 // less than a floor, so that one that begins to need more can say so by using more.
-package budget
+package ratelimit
 
 import (
 	"slices"
--- a/internal/budget/budget_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -1,4 +1,4 @@
-package budget
+package ratelimit
 
 import (
 	"math"
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -13,7 +13,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/loss"
+	"github.com/micahill/micahill/internal/disruption"
 )
 
 const (
@@ -155,7 +155,7 @@
 	if len(unreachable) >= reporting && reporting > 1 {
 		return nil
 	}
-	correlated := loss.IsCorrelated(loss.Pool{Reporting: reporting}, len(unreachable))
+	correlated := disruption.IsCorrelated(disruption.Pool{Reporting: reporting}, len(unreachable))
 	sorted := slices.Clone(unreachable)
 	slices.SortStableFunc(sorted, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(min(b.Tasks, 1), min(a.Tasks, 1)), cmp.Compare(b.UnreachableFor, a.UnreachableFor), cmp.Compare(a.ID, b.ID))
--- a/internal/lookup/lookup.go
+++ b/internal/readbatch/readbatch.go
@@ -1,10 +1,10 @@
-// Package lookup decides by which reads many questions for records are answered. A
+// Package readbatch decides by which reads many questions for records are answered. A
 // record by itself costs a request, and the state service takes a fixed number of those
 // a second: after all controllers have ended, a thousand jobs that are over may be asked
 // about at once, and by storms of polls again and again. So a few are read by
 // themselves, and when more wait one list answers all those within a page. Time goes
 // in turns, which the caller counts: the package has no clock and sends nothing.
-package lookup
+package readbatch
 
 import "slices"
 
--- a/internal/lookup/lookup_test.go
+++ b/internal/readbatch/readbatch_test.go
@@ -1,4 +1,4 @@
-package lookup
+package readbatch
 
 import (
 	"fmt"
--- a/internal/ownership/ownership.go
+++ b/internal/remote/registry.go
@@ -1,4 +1,4 @@
-// Package ownership is what two controllers tell each other when a job's owner and
+// Package remote is what two controllers tell each other when a job's owner and
 // the owner of the machine that an attempt of it runs on are not the same: after a
 // team or a machine has moved, what runs goes on where it is.
 //
@@ -10,7 +10,7 @@
 // gone, and words that are lost, late or doubled do no harm. A word is tied to the
 // epoch under which the machine is owned: one from before the machine came back to
 // whoever may start there is not heeded.
-package ownership
+package remote
 
 import (
 	"slices"
--- a/internal/ownership/ownership_test.go
+++ b/internal/remote/registry_test.go
@@ -1,4 +1,4 @@
-package ownership
+package remote
 
 import (
 	"fmt"
--- a/internal/horizon/horizon.go
+++ b/internal/renewalbound/renewalbound.go
@@ -1,4 +1,4 @@
-// Package horizon bounds for how long an owner may go on prolonging its workers' leases
+// Package renewalbound bounds for how long an owner may go on prolonging its workers' leases
 // by what it knows of cancellations.
 //
 // A cancelled job's tasks have to be gone within a set time of the moment when its user
@@ -15,7 +15,7 @@
 // that the job's tasks are gone from a machine: halts can be lost, and a start can be on
 // its way. Until(the earliest moment of its confirmation) bounds the answers to that one
 // machine.
-package horizon
+package renewalbound
 
 import "time"
 
--- a/internal/horizon/horizon_test.go
+++ b/internal/renewalbound/renewalbound_test.go
@@ -1,4 +1,4 @@
-package horizon
+package renewalbound
 
 import (
 	"testing"
--- a/internal/amount/amount.go
+++ b/internal/resource/resource.go
@@ -1,7 +1,7 @@
-// Package amount counts what machines offer and tasks take. It stands below
-// internal/core so that decisions outside the core, such as internal/packing, speak of
+// Package resource counts what machines offer and tasks take. It stands below
+// internal/controller so that decisions outside the core, such as internal/packing, speak of
 // the same thing.
-package amount
+package resource
 
 import "math"
 
--- a/internal/seek/seek.go
+++ b/internal/search/seek.go
@@ -1,7 +1,7 @@
-// Package seek looks for the cases that leave the least margin to rules: it draws cases,
+// Package search looks for the cases that leave the least margin to rules: it draws cases,
 // keeps those nearest to each rule's bound, and goes on from changed copies of them. The
 // same seed gives the same search, however many cases are played at a time.
-package seek
+package search
 
 import (
 	"cmp"
--- a/internal/seek/seek_test.go
+++ b/internal/search/seek_test.go
@@ -1,4 +1,4 @@
-package seek
+package search
 
 import (
 	"math"
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 const (
@@ -28,17 +28,17 @@
 
 // EffectHandlers is what carries out effects.
 type EffectHandlers struct {
-	Store          func(context.Context, core.StoreRequest) core.StoreResponse
-	Cloud          func(context.Context, core.CloudRequest) core.CloudResponse
-	Worker         func(context.Context, core.WorkerRequest) core.WorkerResponse
-	SendPeerUpdate func(to string, news core.PeerUpdate)
-	RoleChanged    func(core.Role)
+	Store          func(context.Context, controller.StoreRequest) controller.StoreResponse
+	Cloud          func(context.Context, controller.CloudRequest) controller.CloudResponse
+	Worker         func(context.Context, controller.WorkerRequest) controller.WorkerResponse
+	SendPeerUpdate func(to string, news controller.PeerUpdate)
+	RoleChanged    func(controller.Role)
 	// SetRates is told the controller's part of the state service's limits.
-	SetRates func(core.Rates)
+	SetRates func(controller.Rates)
 	// PromiseTotals is told what has become of promised dates; nil where there are none.
-	PromiseTotals func(core.PromiseTotals)
+	PromiseTotals func(controller.PromiseTotals)
 	// GPUCapacity is told how the room on machines with GPUs lies, while models are on.
-	GPUCapacity func(core.GPUFreeCapacityReport)
+	GPUCapacity func(controller.GPUFreeCapacityReport)
 	// InternalError is told of every mistake of the program's own that it goes on with.
 	InternalError func()
 	// ObserveStep is told how long a step took and how many commands it had.
@@ -46,28 +46,28 @@
 }
 
 type request struct {
-	newCommand func(reply uint64) core.Command
-	reply      chan core.Effect
+	newCommand func(reply uint64) controller.Command
+	reply      chan controller.Effect
 }
 
 // Server is the loop round one core.
 type Server struct {
-	controller  *core.Controller
+	controller  *controller.Controller
 	handlers    EffectHandlers
 	requests    chan request
-	responses   chan core.Command
+	responses   chan controller.Command
 	healthy     atomic.Bool
-	replies     map[uint64]chan core.Effect
+	replies     map[uint64]chan controller.Effect
 	lastReplyID uint64
 }
 
 // New makes a server. Run starts it.
-func New(ctrl *core.Controller, handlers EffectHandlers) *Server {
+func New(ctrl *controller.Controller, handlers EffectHandlers) *Server {
 	return &Server{
 		controller: ctrl, handlers: handlers,
 		requests:  make(chan request, requestQueueLen),
-		responses: make(chan core.Command, responseQueueLen),
-		replies:   map[uint64]chan core.Effect{},
+		responses: make(chan controller.Command, responseQueueLen),
+		replies:   map[uint64]chan controller.Effect{},
 	}
 }
 
@@ -75,8 +75,8 @@
 func (s *Server) Healthy() bool { return s.healthy.Load() }
 
 // Ask hands a command to the core and waits for its reply.
-func (s *Server) Ask(ctx context.Context, newCommand func(reply uint64) core.Command) (core.Effect, error) {
-	req := request{newCommand, make(chan core.Effect, 1)}
+func (s *Server) Ask(ctx context.Context, newCommand func(reply uint64) controller.Command) (controller.Effect, error) {
+	req := request{newCommand, make(chan controller.Effect, 1)}
 	select {
 	case s.requests <- req:
 	default:
@@ -91,14 +91,14 @@
 }
 
 // Post hands a command to the core that needs no reply.
-func (s *Server) Post(c core.Command) { s.responses <- c }
+func (s *Server) Post(c controller.Command) { s.responses <- c }
 
 // Run feeds the core until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		var batch []core.Command
+		var batch []controller.Command
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -127,13 +127,13 @@
 	}
 }
 
-func (s *Server) register(r request) core.Command {
+func (s *Server) register(r request) controller.Command {
 	s.lastReplyID++
 	s.replies[s.lastReplyID] = r.reply
 	return r.newCommand(s.lastReplyID)
 }
 
-func (s *Server) fillBatch(batch []core.Command) []core.Command {
+func (s *Server) fillBatch(batch []controller.Command) []controller.Command {
 	for len(batch) < maxBatch {
 		// Answers first: they free what the requests wait for.
 		select {
@@ -152,7 +152,7 @@
 	return batch
 }
 
-func (s *Server) reply(id uint64, e core.Effect) {
+func (s *Server) reply(id uint64, e controller.Effect) {
 	if ch := s.replies[id]; ch != nil {
 		delete(s.replies, id)
 		ch <- e
@@ -160,49 +160,49 @@
 }
 
 // sendUnlessLate carries an effect out and brings the answer back, unless it has become late.
-func (s *Server) sendUnlessLate(e core.Effect, call func() core.Command) {
-	response, _, late := core.CheckDeadline(e, time.Now())
+func (s *Server) sendUnlessLate(e controller.Effect, call func() controller.Command) {
+	response, _, late := controller.CheckDeadline(e, time.Now())
 	if !late {
 		response = call()
 	}
 	s.Post(response)
 }
 
-func (s *Server) execute(ctx context.Context, e core.Effect) {
+func (s *Server) execute(ctx context.Context, e controller.Effect) {
 	switch e := e.(type) {
-	case core.UserReply:
+	case controller.UserReply:
 		s.reply(e.Reply, e)
-	case core.HeartbeatReply:
+	case controller.HeartbeatReply:
 		s.reply(e.Reply, e)
-	case core.StatusReply:
+	case controller.StatusReply:
 		s.reply(e.Reply, e)
-	case core.RankingReply:
+	case controller.RankingReply:
 		s.reply(e.Reply, e)
-	case core.PromiseReply:
+	case controller.PromiseReply:
 		s.reply(e.Reply, e)
-	case core.PromiseTotals:
+	case controller.PromiseTotals:
 		if s.handlers.PromiseTotals != nil {
 			s.handlers.PromiseTotals(e)
 		}
-	case core.LoanView:
+	case controller.LoanView:
 		s.reply(e.Reply, e)
-	case core.LoanReply:
+	case controller.LoanReply:
 		s.reply(e.Reply, e)
-	case core.StoreRequest:
-		go s.sendUnlessLate(e, func() core.Command { return s.handlers.Store(ctx, e) })
-	case core.CloudRequest:
-		go s.sendUnlessLate(e, func() core.Command { return s.handlers.Cloud(ctx, e) })
-	case core.WorkerRequest:
-		go s.sendUnlessLate(e, func() core.Command { return s.handlers.Worker(ctx, e) })
-	case core.SendPeerUpdate:
+	case controller.StoreRequest:
+		go s.sendUnlessLate(e, func() controller.Command { return s.handlers.Store(ctx, e) })
+	case controller.CloudRequest:
+		go s.sendUnlessLate(e, func() controller.Command { return s.handlers.Cloud(ctx, e) })
+	case controller.WorkerRequest:
+		go s.sendUnlessLate(e, func() controller.Command { return s.handlers.Worker(ctx, e) })
+	case controller.SendPeerUpdate:
 		s.handlers.SendPeerUpdate(e.To, e.Update)
-	case core.Role:
+	case controller.Role:
 		s.handlers.RoleChanged(e)
-	case core.Rates:
+	case controller.Rates:
 		s.handlers.SetRates(e)
-	case core.GPUFreeCapacityReport:
+	case controller.GPUFreeCapacityReport:
 		s.handlers.GPUCapacity(e)
-	case core.Log:
+	case controller.Log:
 		switch {
 		case e.Debug:
 			slog.Debug(e.Message, e.Args...)
--- a/internal/division/golden_test.go
+++ b/internal/sharding/golden_test.go
@@ -1,4 +1,4 @@
-package division
+package sharding
 
 import (
 	"testing"
--- a/internal/division/limits_test.go
+++ b/internal/sharding/limits_test.go
@@ -1,4 +1,4 @@
-package division
+package sharding
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 // TestShardsAboveTheLimit: shares that were written under a larger limit of values can
@@ -14,7 +14,7 @@
 // transactions that fit, and no team is ever in two. Before, the first transaction that
 // rewrote such a share was refused for ever.
 func TestShardsAboveTheLimit(t *testing.T) {
-	s := newStore(bounds.Limits{ValueBytes: 4096, Ops: 12})
+	s := newStore(sizelimit.Limits{ValueBytes: 4096, Ops: 12})
 	now := time.Unix(1_750_000_000, 0)
 	in := Input{Map: s.shardMap, Self: "z", Controllers: []Controller{{Host: "z", Incarnation: "1", Capable: true}}, IsGone: func(string) bool { return false }}
 	for i := range 700 {
@@ -45,7 +45,7 @@
 			}
 		}
 		// The next round: their holder is gone, and the limits are lower.
-		s.limits = bounds.Limits{ValueBytes: 2048, Ops: 4}
+		s.limits = sizelimit.Limits{ValueBytes: 2048, Ops: 4}
 		in.Controllers = []Controller{{Host: "b", Incarnation: "1", Capable: true}, {Host: "c", Incarnation: "1", Capable: true}}
 		in.Self = "b"
 	}
--- a/internal/division/plan.go
+++ b/internal/sharding/plan.go
@@ -1,4 +1,4 @@
-package division
+package sharding
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 )
 
 const (
@@ -95,7 +95,7 @@
 
 // Planner decides about the division, over time. The zero value is of no use.
 type Planner struct {
-	limits   bounds.Limits
+	limits   sizelimit.Limits
 	interval time.Duration
 	// term makes names of new lots, which are never used again.
 	term         string
@@ -114,7 +114,7 @@
 
 // New makes a divider for one term as the one who divides. interval is the least
 // time between two moves of teams.
-func New(limits bounds.Limits, term string, interval time.Duration, now time.Time) *Planner {
+func New(limits sizelimit.Limits, term string, interval time.Duration, now time.Time) *Planner {
 	return &Planner{
 		limits: limits, term: term, interval: interval, changedAt: now, compactedAt: now,
 		movedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
@@ -269,7 +269,7 @@
 
 // fits says that a share's record stays within its part of a value.
 func (p *draft) fits(r *shardRecord) bool {
-	n, err := bounds.JSON(encode(r))
+	n, err := sizelimit.JSON(encode(r))
 	return err == nil && n <= int(maxShardFill*float64(p.planner.limits.ValueBytes))
 }
 
@@ -306,7 +306,7 @@
 func (p *draft) shrinkOversized() bool {
 	for _, name := range p.shardNames() {
 		r := p.shards[name]
-		if n, err := bounds.JSON(encode(r)); err != nil || n <= p.planner.limits.ValueBytes || p.remainingOps() == 0 {
+		if n, err := sizelimit.JSON(encode(r)); err != nil || n <= p.planner.limits.ValueBytes || p.remainingOps() == 0 {
 			continue
 		}
 		for len(r.Teams) > 1 && !p.fits(r) {
@@ -492,7 +492,7 @@
 		var value []byte
 		for ; ; count = max(1, count/2) {
 			value = encodeSegment(shard, []epochGroup{{0, ids[:count]}})
-			if n, err := bounds.JSON(value); err == nil && n <= p.planner.limits.ValueBytes {
+			if n, err := sizelimit.JSON(value); err == nil && n <= p.planner.limits.ValueBytes {
 				break
 			}
 			if count == 1 {
@@ -612,7 +612,7 @@
 		}
 		merged := append(slices.Clone(groups), f.groups...)
 		v := encodeSegment(shard, mergeGroups(merged))
-		if n, err := bounds.JSON(v); count+f.machineCount > maxSegmentMachines || err != nil || n > p.planner.limits.ValueBytes {
+		if n, err := sizelimit.JSON(v); count+f.machineCount > maxSegmentMachines || err != nil || n > p.planner.limits.ValueBytes {
 			continue
 		}
 		groups, value, count = merged, v, count+f.machineCount
@@ -678,10 +678,10 @@
 // BumpEpoch names machines that an owner has already for its share once more, so that
 // they get a higher epoch: under it orders that got no answer can't be executed any
 // more. name must never have been used.
-func BumpEpoch(limits bounds.Limits, name string, shard *Shard, machines []string) (Write, []string) {
+func BumpEpoch(limits sizelimit.Limits, name string, shard *Shard, machines []string) (Write, []string) {
 	for count := min(len(machines), maxSegmentMachines); count > 0; count /= 2 {
 		v := encodeSegment(shard.Name, []epochGroup{{0, machines[:count]}})
-		if n, err := bounds.JSON(v); err == nil && n <= limits.ValueBytes {
+		if n, err := sizelimit.JSON(v); err == nil && n <= limits.ValueBytes {
 			return Write{Name: name, Value: v}, machines[:count]
 		}
 	}
--- a/internal/division/record.go
+++ b/internal/sharding/record.go
@@ -1,4 +1,4 @@
-// Package division says which controller runs which teams and owns which machines,
+// Package sharding says which controller runs which teams and owns which machines,
 // in records of the state service that are bounded whatever their number.
 //
 // A share is a cell of ownership: it has a holder, the life of one controller, and
@@ -14,7 +14,7 @@
 // The package is pure. Records are applied in the order of their revisions and never
 // ahead of it: then two controllers that have read up to the same revision agree
 // about every owner, and one that has read less has a lower epoch.
-package division
+package sharding
 
 import (
 	"cmp"
@@ -24,7 +24,7 @@
 	"strconv"
 	"strings"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -176,7 +176,7 @@
 // decode reads a record. The library takes a list's length at its word and makes
 // room for it, so a damaged one is found before.
 func decode(b []byte, v any) error {
-	if _, err := bounds.JSON(b); err != nil {
+	if _, err := sizelimit.JSON(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrRecord, err)
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
--- a/internal/division/division_test.go
+++ b/internal/sharding/sharding_test.go
@@ -1,4 +1,4 @@
-package division
+package sharding
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/bounds"
+	"github.com/micahill/micahill/internal/sizelimit"
 	_ "github.com/micahill/micahill/internal/testseed"
 	"pgregory.net/rapid"
 )
 
-var testLimits = bounds.Limits{ValueBytes: 4096, Ops: 12}
+var testLimits = sizelimit.Limits{ValueBytes: 4096, Ops: 12}
 
 // store is a state service with the records of the division alone, and a reader
 // that applies them in order. It keeps what each machine's owners and epochs were.
 type store struct {
-	limits       bounds.Limits
+	limits       sizelimit.Limits
 	revision     uint64
 	modRevisions map[string]uint64
 	shardMap     *Map
@@ -28,7 +28,7 @@
 	gone           map[string]bool
 }
 
-func newStore(l bounds.Limits) *store {
+func newStore(l sizelimit.Limits) *store {
 	return &store{limits: l, modRevisions: map[string]uint64{}, shardMap: NewMap(), lastOwners: map[string]Owner{}, gone: map[string]bool{}}
 }
 
@@ -44,10 +44,10 @@
 // apply carries a transaction out, if its conditions hold, and checks its size.
 func (s *store) apply(t fataler, ws []Write) bool {
 	compares := []string{"ctl/lead"}
-	var writes []bounds.Write
+	var writes []sizelimit.Write
 	for _, w := range ws {
 		compares = append(compares, writeKey(w))
-		writes = append(writes, bounds.Write{Key: writeKey(w), Value: w.Value})
+		writes = append(writes, sizelimit.Write{Key: writeKey(w), Value: w.Value})
 	}
 	if err := s.limits.CheckTxn(compares, writes); err != nil {
 		t.Fatalf("%v", err)
@@ -118,7 +118,7 @@
 	teamMoves    int
 }
 
-func newSimulation(l bounds.Limits, hosts, teams int) *simulation {
+func newSimulation(l sizelimit.Limits, hosts, teams int) *simulation {
 	w := &simulation{
 		store: newStore(l), now: time.Unix(1_750_000_000, 0), incarnations: map[string]int{}, incapable: map[string]bool{}, onProbation: map[string]bool{},
 		teamLoads: map[string]float64{}, offers: map[string]Offer{},
@@ -263,7 +263,7 @@
 // within their bounds, and the division comes to rest whole.
 func TestShardingInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := bounds.Limits{ValueBytes: rapid.SampledFrom([]int{512, 1024, 4096, 16384}).Draw(t, "value"), Ops: rapid.IntRange(4, 24).Draw(t, "ops")}
+		l := sizelimit.Limits{ValueBytes: rapid.SampledFrom([]int{512, 1024, 4096, 16384}).Draw(t, "value"), Ops: rapid.IntRange(4, 24).Draw(t, "ops")}
 		w := newSimulation(l, rapid.IntRange(1, 7).Draw(t, "hosts"), rapid.IntRange(1, 12).Draw(t, "teams"))
 		w.planUntilStable(t)
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/standin/judge_test.go
+++ b/internal/simulation/checks_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // dropCommands takes the orders that a test picks out of whatever goes to workers.
-func dropCommands(e core.Effect, which func(core.TaskCommand) bool) core.Effect {
+func dropCommands(e controller.Effect, which func(controller.TaskCommand) bool) controller.Effect {
 	switch x := e.(type) {
-	case core.WorkerRequest:
+	case controller.WorkerRequest:
 		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
 		return x
-	case core.HeartbeatReply:
+	case controller.HeartbeatReply:
 		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
 		return x
 	}
@@ -24,8 +24,8 @@
 }
 
 // dropStarts does so with starts.
-func dropStarts(e core.Effect, which func(core.TaskCommand) bool) core.Effect {
-	return dropCommands(e, func(o core.TaskCommand) bool { return o.Kind == core.StartTask && which(o) })
+func dropStarts(e controller.Effect, which func(controller.TaskCommand) bool) controller.Effect {
+	return dropCommands(e, func(o controller.TaskCommand) bool { return o.Kind == controller.StartTask && which(o) })
 }
 
 // TestDayChecksNotice: each condition on a day fails on a core made wrong on
@@ -43,7 +43,7 @@
 	// by their names alone before they come.
 	top := func(w *World, name string) *userJob { return w.largestJobs()[name][0][0] }
 	largest := ""
-	good := d.run("", func(w *World, e core.Effect) core.Effect {
+	good := d.run("", func(w *World, e controller.Effect) controller.Effect {
 		if w.now.Sub(w.startedAt) > 100*time.Second && largest == "" {
 			largest = top(w, "rush").spec.ID
 		}
@@ -59,37 +59,37 @@
 	for _, c := range []struct {
 		name, want string
 		broken     bool
-		sabotage   func(*World, core.Effect) core.Effect
+		sabotage   func(*World, controller.Effect) controller.Effect
 	}{
-		{"no answer about one ended job", "forgotten", true, func(w *World, e core.Effect) core.Effect {
-			if r, ok := e.(core.UserReply); ok && ended(w) && r.ID == largest {
+		{"no answer about one ended job", "forgotten", true, func(w *World, e controller.Effect) controller.Effect {
+			if r, ok := e.(controller.UserReply); ok && ended(w) && r.ID == largest {
 				return nil
 			}
 			return e
 		}},
-		{"refusals for all", "forgotten", true, func(w *World, e core.Effect) core.Effect {
-			if r, ok := e.(core.UserReply); ok && ended(w) {
+		{"refusals for all", "forgotten", true, func(w *World, e controller.Effect) controller.Effect {
+			if r, ok := e.(controller.UserReply); ok && ended(w) {
 				r.Status = 503
 				return r
 			}
 			return e
 		}},
-		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e core.Effect) core.Effect {
-			return dropStarts(e, func(o core.TaskCommand) bool { return o.Job == largest })
+		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e controller.Effect) controller.Effect {
+			return dropStarts(e, func(o controller.TaskCommand) bool { return o.Job == largest })
 		}},
-		{"all but its first task put off", "first after", false, func(_ *World, e core.Effect) core.Effect {
-			return dropStarts(e, func(o core.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
+		{"all but its first task put off", "first after", false, func(_ *World, e controller.Effect) controller.Effect {
+			return dropStarts(e, func(o controller.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
 		}},
-		{"begun late", "rush begins late: " + largest, false, func(w *World, e core.Effect) core.Effect {
-			return dropStarts(e, func(o core.TaskCommand) bool {
+		{"begun late", "rush begins late: " + largest, false, func(w *World, e controller.Effect) controller.Effect {
+			return dropStarts(e, func(o controller.TaskCommand) bool {
 				return o.Job == largest && w.now.Before(w.jobs[largest].submitted.Add(maxStartWait+5*time.Second))
 			})
 		}},
-		{"a class never started", "batch 0.00 of", false, func(w *World, e core.Effect) core.Effect {
-			return dropStarts(e, func(o core.TaskCommand) bool { return class(w, o.Job) == "batch" })
+		{"a class never started", "batch 0.00 of", false, func(w *World, e controller.Effect) controller.Effect {
+			return dropStarts(e, func(o controller.TaskCommand) bool { return class(w, o.Job) == "batch" })
 		}},
-		{"a team never started", "team-b 0.00 of", false, func(w *World, e core.Effect) core.Effect {
-			return dropStarts(e, func(o core.TaskCommand) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
+		{"a team never started", "team-b 0.00 of", false, func(w *World, e controller.Effect) controller.Effect {
+			return dropStarts(e, func(o controller.TaskCommand) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standin/cloud.go
+++ b/internal/simulation/cloud.go
@@ -1,30 +1,30 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"sort"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // executeCloud executes a request to the cloud.
-func (w *World) executeCloud(op core.CloudRequest) core.CloudResponse {
-	response := core.CloudResponse{ID: op.ID, Status: core.CloudOK}
+func (w *World) executeCloud(op controller.CloudRequest) controller.CloudResponse {
+	response := controller.CloudResponse{ID: op.ID, Status: controller.CloudOK}
 	if w.cloudOutage || !w.cloudLimiter.AllowN(w.now, 1) {
 		if !w.cloudOutage {
 			w.CloudCalls.RefusedRequests++
 		}
-		response.Status = core.CloudRefused
+		response.Status = controller.CloudRefused
 		return response
 	}
 	w.CloudCalls.Done++
 	switch op.Kind {
-	case core.CloudListTypes:
+	case controller.CloudListTypes:
 		for _, k := range sortedKeys(w.machineTypes) {
 			response.MachineTypes = append(response.MachineTypes, w.machineTypes[k])
 		}
-	case core.CloudListMachines:
+	case controller.CloudListMachines:
 		// As of some time ago, that differs from list to list.
 		asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
 		for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, op.StartAfter):] {
@@ -36,7 +36,7 @@
 				response.Truncated = true
 				break
 			}
-			listed := core.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
+			listed := controller.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
 			switch {
 			case m.dead && !m.reclaimed && asOf.Sub(m.diedAt) > failedListLag:
 				listed.Status = "failed"
@@ -45,10 +45,10 @@
 			}
 			response.Machines = append(response.Machines, listed)
 		}
-	case core.CloudRent:
+	case controller.CloudRent:
 		if op.Count < 1 || op.Count > 50 || op.IdempotencyKey == "" {
 			w.violate("malformed", "a booking of %d machines", op.Count)
-			response.Status = core.CloudMalformed
+			response.Status = controller.CloudMalformed
 			return response
 		}
 		if names, ok := w.rentals[op.IdempotencyKey]; ok {
@@ -72,14 +72,14 @@
 		}
 		w.cloudCapacity[key] -= len(response.Rented)
 		if len(response.Rented) == 0 {
-			response.Status = core.CloudNoCapacity
+			response.Status = controller.CloudNoCapacity
 			return response
 		}
 		w.rentals[op.IdempotencyKey] = response.Rented
-	case core.CloudRelease:
+	case controller.CloudRelease:
 		if len(op.Machines) > 100 {
 			w.violate("malformed", "a return of %d machines", len(op.Machines))
-			response.Status = core.CloudMalformed
+			response.Status = controller.CloudMalformed
 			return response
 		}
 		for _, id := range op.Machines {
--- a/internal/standin/met_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -9,16 +9,16 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // met_test.go and met_links_test.go bring meetings of two troubles about for certain: each
 // test fails too when its meeting did not come about.
 
 // metJob is a job whose tasks take a while.
-func metJob(id, team string, tasks int, cpu float64, run time.Duration) core.JobSpec {
-	return core.JobSpec{
-		ID: id, Workload: "batch", Team: team, Urgency: core.Normal, Tasks: tasks, Need: core.Resources{CPU: cpu, Memory: cpu},
+func metJob(id, team string, tasks int, cpu float64, run time.Duration) controller.JobSpec {
+	return controller.JobSpec{
+		ID: id, Workload: "batch", Team: team, Urgency: controller.Normal, Tasks: tasks, Need: controller.Resources{CPU: cpu, Memory: cpu},
 		Image: "img", ImageGB: 1, ExpectedRunTime: run,
 	}
 }
@@ -35,7 +35,7 @@
 }
 
 // smallWorld is one of three controllers in which only small machines can be rented.
-func smallWorld(seed uint64, set core.Settings) *World {
+func smallWorld(seed uint64, set controller.Settings) *World {
 	types, _ := testTypes()
 	return NewWorld(seed, 3, set, testCancel, types, map[string]int{"small/a/false": 20, "small/b/false": 20})
 }
@@ -204,7 +204,7 @@
 // controller takes a step of the takeover.
 func TestCancelledAtStepsOfTakeover(t *testing.T) {
 	steps := maps.Clone(pausePoints)
-	steps["ready"] = func(e core.Effect) bool { l, ok := e.(core.Log); return ok && l.Message == "owner ready" }
+	steps["ready"] = func(e controller.Effect) bool { l, ok := e.(controller.Log); return ok && l.Message == "owner ready" }
 	for _, step := range []string{"claim", "share", "read", "epoch", "ready", "report"} {
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s all=%v", step, all), func(t *testing.T) {
@@ -220,7 +220,7 @@
 					}
 				}
 				met := false
-				w.corruptEffect = func(e core.Effect) core.Effect {
+				w.corruptEffect = func(e controller.Effect) controller.Effect {
 					if !met && steps[step](e) {
 						met = true
 						for _, id := range ids {
@@ -306,7 +306,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			set := testSettings()
-			set.Teams = []core.Team{{Name: "ops", QuotaLimit: core.Resources{CPU: limit}}, {Name: "lab", QuotaLimit: core.Resources{CPU: limit}}}
+			set.Teams = []controller.Team{{Name: "ops", QuotaLimit: controller.Resources{CPU: limit}}, {Name: "lab", QuotaLimit: controller.Resources{CPU: limit}}}
 			w := smallWorld(seed, set)
 			run := map[string][]string{}
 			for _, team := range []string{"ops", "lab"} {
--- a/internal/standin/met_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,13 +7,13 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // arriveAtAll brings a report to every controller, and tells of their answers.
-func (w *World) arriveAtAll(r core.Heartbeat, tell func(core.HeartbeatReply)) {
+func (w *World) arriveAtAll(r controller.Heartbeat, tell func(controller.HeartbeatReply)) {
 	for _, p := range w.controllers {
-		p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) { tell(e.(core.HeartbeatReply)) })
+		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e controller.Effect) { tell(e.(controller.HeartbeatReply)) })
 	}
 }
 
@@ -27,13 +27,13 @@
 	// many copies were answered.
 	play := func(t *testing.T, before bool, kind string, at time.Duration) (next time.Duration, answered int) {
 		set := testSettings()
-		set.Teams = []core.Team{{Name: "ops", QuotaLimit: core.Resources{CPU: 7}}}
+		set.Teams = []controller.Team{{Name: "ops", QuotaLimit: controller.Resources{CPU: 7}}}
 		w := smallWorld(5, set)
 		// Two machines with room for one of the small jobs each.
 		w.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
 		w.Run(45 * time.Second)
 		// Of machines without the task, and later with it.
-		var old []core.Heartbeat
+		var old []controller.Heartbeat
 		for _, m := range w.fleet {
 			old = append(old, m.heartbeat(w.now))
 		}
@@ -44,7 +44,7 @@
 			t.Fatalf("%d machines have the task", len(ms))
 		}
 		m := ms[0]
-		i := slices.IndexFunc(old, func(r core.Heartbeat) bool { return r.Machine == m.ID })
+		i := slices.IndexFunc(old, func(r controller.Heartbeat) bool { return r.Machine == m.ID })
 		if i < 0 {
 			t.Fatal("the task did not come to a machine that had reported before")
 		}
@@ -74,7 +74,7 @@
 		if at > 0 {
 			// Three times, as a worker repeats its report.
 			for k := range 3 {
-				w.schedule(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(core.HeartbeatReply) { answered++ }) })
+				w.schedule(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(controller.HeartbeatReply) { answered++ }) })
 			}
 		}
 		if next = w.when(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
@@ -248,7 +248,7 @@
 				other := (former + 1) % 3
 				for _, id := range ids {
 					w.jobs[id].cancelRequested = true
-					w.userRequestTo(other, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+					w.userRequestTo(other, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
 						if r == nil || r.State != "cancelled" {
 							t.Errorf("the cancellation of %s: %v", id, r)
 						}
@@ -262,7 +262,7 @@
 				for end := w.now.Add(80 * time.Second); w.now.Before(end); w.Run(time.Second) {
 					for _, id := range ids {
 						asked++
-						w.userRequestTo(former, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+						w.userRequestTo(former, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *controller.UserReply) {
 							if r != nil && r.Status == 200 && r.State != "cancelled" {
 								t.Errorf("the former leader calls %s %s", id, r.State)
 							}
@@ -418,7 +418,7 @@
 func TestCommandOfFormerLeader(t *testing.T) {
 	var early, late atomic.Int64
 	t.Run("offsets", func(t *testing.T) {
-		for _, verb := range []core.TaskCommandKind{core.StartTask, core.StopTask} {
+		for _, verb := range []controller.TaskCommandKind{controller.StartTask, controller.StopTask} {
 			held := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
 			for _, i := range spread(len(held), 7) {
 				d := held[i]
@@ -429,20 +429,20 @@
 					w.submitMany("g", "ops", 2, 2, 2, 20*time.Second)
 					w.Run(80 * time.Second)
 					owner := w.ownerOf("ops")
-					var op core.WorkerRequest
+					var op controller.WorkerRequest
 					if w.runningTasks("job-f000") == 0 {
 						t.Fatal("nothing runs")
 					}
 					last := w.lastSeen("job-f000", "job-f001")
 					held, done, accepted := false, false, false
-					w.corruptEffect = func(e core.Effect) core.Effect {
-						x, ok := e.(core.WorkerRequest)
-						if held || !ok || !slices.ContainsFunc(x.Commands, func(o core.TaskCommand) bool { return o.Kind == verb }) {
+					w.corruptEffect = func(e controller.Effect) controller.Effect {
+						x, ok := e.(controller.WorkerRequest)
+						if held || !ok || !slices.ContainsFunc(x.Commands, func(o controller.TaskCommand) bool { return o.Kind == verb }) {
 							return e
 						}
 						held, op = true, x
 						w.schedule(time.Millisecond, func() { w.CrashController(owner, 5*time.Second) })
-						w.schedule(core.Seconds(d), func() {
+						w.schedule(controller.Seconds(d), func() {
 							m := w.machines[op.Machine]
 							if seen := m.epoch > op.Epoch; seen {
 								late.Add(1)
@@ -456,7 +456,7 @@
 						})
 						return nil
 					}
-					if verb == core.StopTask {
+					if verb == controller.StopTask {
 						w.Cancel("job-f000")
 						w.Cancel("job-f001")
 					} else {
@@ -467,11 +467,11 @@
 					if !held || !done {
 						t.Fatalf("held %v, arrived %v", held, done)
 					}
-					if verb == core.StopTask {
+					if verb == controller.StopTask {
 						goneWithin(t, w, last, reachedWithin)
 					}
 					w.Run(4 * time.Minute)
-					if want := map[core.TaskCommandKind]int{core.StartTask: 12, core.StopTask: 8}[verb]; w.Starts != want {
+					if want := map[controller.TaskCommandKind]int{controller.StartTask: 12, controller.StopTask: 8}[verb]; w.Starts != want {
 						t.Errorf("%d starts of %d tasks", w.Starts, want)
 					}
 					checkFinalAnswers(t, w, true)
--- a/internal/standin/met_users_test.go
+++ b/internal/simulation/combined_users_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // askAll asks every controller about a job and fails the test for each answer that names
@@ -16,7 +16,7 @@
 func askAll(t *testing.T, w *World, id, want string) {
 	t.Helper()
 	for i := range w.controllers {
-		w.userRequestTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+		w.userRequestTo(i, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
 			if r != nil && r.Status != 503 && r.State != want {
 				t.Errorf("%s is %s, node-%d answers %d %s", id, want, i, r.Status, r.State)
 			}
@@ -38,7 +38,7 @@
 			w.Run(60 * time.Second)
 			w.stateSlowUntil, w.stateSlowFactor = w.now.Add(w.cancelWithin+30*time.Second), slow
 			took := map[string]time.Duration{}
-			w.onAnswer = func(asked time.Time, r core.UserReply) {
+			w.onAnswer = func(asked time.Time, r controller.UserReply) {
 				if r.State == "cancelled" && took[r.ID] == 0 {
 					took[r.ID] = w.now.Sub(asked)
 					askAll(t, w, r.ID, "cancelled")
@@ -152,7 +152,7 @@
 		j := w.jobs[spec.ID]
 		if at == 0 {
 			var sent time.Time
-			w.corruptEffect = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e controller.Effect) controller.Effect {
 				if sent.IsZero() && changes(e, "job/") {
 					sent = w.now
 				}
@@ -164,7 +164,7 @@
 		w.Run(at)
 		j.cancelRequested = true
 		asked := w.now
-		w.userRequestTo(node, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *core.UserReply) {
+		w.userRequestTo(node, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *controller.UserReply) {
 			if r != nil && r.Status == 200 {
 				w.checkAnswer(j, asked, r)
 			} else {
@@ -172,8 +172,8 @@
 			}
 		})
 		for i := range w.controllers {
-			w.userRequestTo(i, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*core.UserReply) {})
-			w.userRequestTo(i, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *core.UserReply) {
+			w.userRequestTo(i, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*controller.UserReply) {})
+			w.userRequestTo(i, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *controller.UserReply) {
 				if r != nil && r.Status != 200 && r.Status != 503 {
 					t.Errorf("the repeated submission is answered %d", r.Status)
 				}
@@ -227,7 +227,7 @@
 			w.lossRate = 0.01
 			for i := range 24 {
 				spec := metJob(fmt.Sprintf("job-%06d", i), "ops", 4, 2, 30*time.Second)
-				spec.Urgency = []core.Urgency{core.Normal, core.Urgent}[i%2]
+				spec.Urgency = []controller.Urgency{controller.Normal, controller.Urgent}[i%2]
 				w.schedule(time.Duration(i)*time.Second, func() { w.Submit(spec, 30*time.Second, false) })
 			}
 			w.Run(75 * time.Second)
--- a/internal/standin/close_looks_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -103,7 +103,7 @@
 }
 
 // onChange is told of each change, before anybody hears of it.
-func (c *concurrentReaders) onChange(it core.KeyValue) {
+func (c *concurrentReaders) onChange(it controller.KeyValue) {
 	id, over := strings.CutPrefix(it.Key, "job/")
 	var r struct {
 		Status jobFate `msgpack:"s"`
@@ -130,16 +130,16 @@
 func (c *concurrentReaders) ask(to int, kind operationKind, id string) {
 	w, asked, over := c.world, c.now(), false
 	patience := 5 * time.Second
-	mk := func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
+	mk := func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
 	switch kind {
 	case opPoll:
 		patience = 2 * time.Second
-		mk = func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }
+		mk = func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }
 	case opCancel:
 		w.jobs[id].cancelRequested = true
-		mk = func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }
+		mk = func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }
 	}
-	finish := func(r core.UserReply) {
+	finish := func(r controller.UserReply) {
 		if over {
 			return
 		}
@@ -152,20 +152,22 @@
 		c.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: asked, Output: said, Return: c.now()})
 		c.noteFate(id, said.fate)
 	}
-	w.schedule(patience, func() { finish(core.UserReply{}) })
+	w.schedule(patience, func() { finish(controller.UserReply{}) })
 	p := w.controllers[to]
 	w.sendMessage("user", p.name, func() {
-		p.request(mk, func(e core.Effect) {
-			c.onSend(p, id, e.(core.UserReply))
-			w.sendMessage(p.name, "user", func() { finish(e.(core.UserReply)) })
+		p.request(mk, func(e controller.Effect) {
+			c.onSend(p, id, e.(controller.UserReply))
+			w.sendMessage(p.name, "user", func() { finish(e.(controller.UserReply)) })
 		})
 	})
 }
 
 // isDefinite says whether an answer tells of a job.
-func isDefinite(r core.UserReply) bool { return r.Status == 200 || r.Status == 201 || r.Status == 404 }
+func isDefinite(r controller.UserReply) bool {
+	return r.Status == 200 || r.Status == 201 || r.Status == 404
+}
 
-func fateOf(r core.UserReply) jobFate {
+func fateOf(r controller.UserReply) jobFate {
 	if r.State == "queued" || r.State == "running" {
 		return accepted
 	}
@@ -174,7 +176,7 @@
 
 // onSend notes that an answer leaves a controller. One after the other they never go
 // back, also if they were asked for in another order.
-func (c *concurrentReaders) onSend(p *controllerProcess, id string, r core.UserReply) {
+func (c *concurrentReaders) onSend(p *controllerProcess, id string, r controller.UserReply) {
 	if !isDefinite(r) {
 		return
 	}
@@ -189,7 +191,7 @@
 
 // unanswered notes a request that may be carried out later. One that comes after another
 // such, or after what it asks for was told, adds nothing.
-func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r core.UserReply) {
+func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r controller.UserReply) {
 	c.unansweredCount[op.kind]++
 	if r.Status != 0 && r.Status != 503 {
 		c.problems = append(c.problems, fmt.Sprintf("%s of %s: %d %s", op.kind, op.job, r.Status, r.Message))
@@ -244,8 +246,8 @@
 
 // job is one that comes at a moment. Its user asks each second until he knows how it ended.
 func (c *concurrentReaders) job(at time.Duration, id string, run time.Duration, tasks int, on jobFate) {
-	spec := core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: tasks,
-		Need: core.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
+	spec := controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: tasks,
+		Need: controller.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 	c.world.jobs[id] = newUserJob(spec, run)
 	c.world.schedule(at, func() {
 		c.world.jobs[id].submitted = c.world.now
@@ -397,19 +399,19 @@
 // nothing: in each of these ways it answers something older than was told, or than it has
 // made true.
 func TestStaleAnswersAreNoticed(t *testing.T) {
-	reply := func(e core.Effect, change func(*core.UserReply)) core.Effect {
-		if r, ok := e.(core.UserReply); ok {
+	reply := func(e controller.Effect, change func(*controller.UserReply)) controller.Effect {
+		if r, ok := e.(controller.UserReply); ok {
 			change(&r)
 			return r
 		}
 		return e
 	}
-	unguarded := func(e core.Effect, first, without string) core.Effect {
-		op, ok := e.(core.StoreRequest)
-		if !ok || op.Kind != core.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
+	unguarded := func(e controller.Effect, first, without string) controller.Effect {
+		op, ok := e.(controller.StoreRequest)
+		if !ok || op.Kind != controller.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
 			return e
 		}
-		var when []core.Compare
+		var when []controller.Compare
 		for _, c := range op.Compares {
 			if !strings.HasPrefix(c.Key, without) {
 				when = append(when, c)
@@ -418,38 +420,38 @@
 		op.Compares = when
 		return op
 	}
-	for name, wrong := range map[string]func(core.Effect) core.Effect{
+	for name, wrong := range map[string]func(controller.Effect) controller.Effect{
 		"nothing": nil,
-		"polls are answered from the picture": func(e core.Effect) core.Effect {
-			if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
+		"polls are answered from the picture": func(e controller.Effect) controller.Effect {
+			if op, ok := e.(controller.StoreRequest); ok && op.Kind == controller.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
 				// It goes on and brings no news.
 				op.Key = "none/"
 				return op
 			}
 			return e
 		},
-		"refused submissions are accepted": func(e core.Effect) core.Effect {
-			return reply(e, func(r *core.UserReply) {
+		"refused submissions are accepted": func(e controller.Effect) controller.Effect {
+			return reply(e, func(r *controller.UserReply) {
 				if r.Status == 503 {
 					r.Status, r.State = 201, "queued"
 				}
 			})
 		},
-		"what can't be read is not known": func(e core.Effect) core.Effect {
-			return reply(e, func(r *core.UserReply) {
+		"what can't be read is not known": func(e controller.Effect) controller.Effect {
+			return reply(e, func(r *controller.UserReply) {
 				if r.Status == 503 {
 					r.Status = 404
 				}
 			})
 		},
-		"a cancellation changes what is over": func(e core.Effect) core.Effect {
+		"a cancellation changes what is over": func(e controller.Effect) controller.Effect {
 			return unguarded(e, "job/", "open/")
 		},
-		"a repeat begins anew": func(e core.Effect) core.Effect {
+		"a repeat begins anew": func(e controller.Effect) controller.Effect {
 			return unguarded(e, "open/", "")
 		},
-		"a cancelled job is called queued": func(e core.Effect) core.Effect {
-			return reply(e, func(r *core.UserReply) {
+		"a cancelled job is called queued": func(e controller.Effect) controller.Effect {
+			return reply(e, func(r *controller.UserReply) {
 				if r.State == "cancelled" && r.Reply%7 == 0 {
 					r.State = "queued"
 				}
--- a/internal/standin/day.go
+++ b/internal/simulation/day.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // DayParams say what a day is to be like; what is 0 is drawn from the seed.
@@ -106,8 +106,8 @@
 // Day is a day that can be played: its params are all set.
 type Day struct {
 	DayParams
-	Settings core.Settings `json:"-"`
-	Faults   []Fault       `json:"troubles"`
+	Settings controller.Settings `json:"-"`
+	Faults   []Fault             `json:"troubles"`
 	// Cancels is there on days of meetings.
 	Cancels   *MassCancel `json:"cancels,omitempty"`
 	workloads []workloadClass
@@ -125,7 +125,7 @@
 	tasks       float64
 	run         time.Duration
 	imageGB     float64
-	urgency     core.Urgency
+	urgency     controller.Urgency
 	dueFactor   float64
 	jobFraction float64
 }
@@ -156,18 +156,18 @@
 	d := Day{DayParams: params}
 	valueBytes := []int{1, 2, 4, 16}[rng.IntN(4)] << 10
 	startsPerSecond := float64(params.Jobs) * 8 / float64(params.Minutes*60)
-	settings := core.Settings{
+	settings := controller.Settings{
 		Zones: []string{"a", "b"}[:1+rng.IntN(2)], HeartbeatInterval: time.Duration(3+rng.IntN(6)) * time.Second,
 		MaxTxnWrites: 4 + rng.IntN(20), MaxValueBytes: valueBytes, CloudListLag: time.Duration(2+rng.IntN(9)) * time.Second, CloudRequestsPerSecond: 3 + 7*rng.Float64(),
 		// Small, but enough for what comes.
 		StoreWritesPerSecond:   10 + startsPerSecond + 3*float64(params.Jobs)/float64(params.Minutes*60) + 5*rng.Float64(),
 		StoreRequestsPerSecond: 20*float64(params.Controllers) + 2*startsPerSecond,
-		Policy:                 core.DefaultPolicy(),
-		Objectives:             []core.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.9}, {Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1}},
+		Policy:                 controller.DefaultPolicy(),
+		Objectives:             []controller.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.9}, {Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1}},
 	}
 	settings.WorkerLease = 4*settings.HeartbeatInterval + time.Duration(4+rng.IntN(10))*time.Second
 	for i := range params.Teams {
-		t := core.Team{Name: fmt.Sprintf("team-%c", 'a'+i)}
+		t := controller.Team{Name: fmt.Sprintf("team-%c", 'a'+i)}
 		if rng.IntN(4) == 0 {
 			// Enough for the team's part of the work.
 			t.QuotaLimit.CPU = math.Round(max(32, float64(params.Machines)*4*d.teamWeight(i)/(float64(params.Teams)-1+float64(params.HotFactor))))
@@ -182,9 +182,9 @@
 	}
 	d.Settings = settings
 	d.workloads = []workloadClass{
-		{"rush", 4, 4, 20 * time.Second, 0.8, core.Urgent, 2.5, 0.45},
-		{"batch", 2, 10, 30 * time.Second, 1, core.Normal, 2, 0.45},
-		{"wide", 8, 12, 40 * time.Second, 3, core.Normal, 0, 0.1},
+		{"rush", 4, 4, 20 * time.Second, 0.8, controller.Urgent, 2.5, 0.45},
+		{"batch", 2, 10, 30 * time.Second, 1, controller.Normal, 2, 0.45},
+		{"wide", 8, 12, 40 * time.Second, 3, controller.Normal, 0, 0.1},
 	}
 	for range max(0, params.FaultCount) {
 		f := Fault{
@@ -227,10 +227,10 @@
 }
 
 // cloudInventory is what machines there are, and how many of each.
-func (d *Day) cloudInventory() ([]core.MachineType, map[string]int) {
-	types := []core.MachineType{
-		{Name: "box", Capacity: core.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
-		{Name: "rack", Capacity: core.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: d.Settings.Zones[:1]},
+func (d *Day) cloudInventory() ([]controller.MachineType, map[string]int) {
+	types := []controller.MachineType{
+		{Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
+		{Name: "rack", Capacity: controller.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: d.Settings.Zones[:1]},
 	}
 	capacity := map[string]int{}
 	for _, z := range d.Settings.Zones {
@@ -331,12 +331,12 @@
 func RunDay(d Day, trace string) DayResult { return d.run(trace, nil) }
 
 // run is RunDay with a core made wrong on purpose, if there is a sabotage.
-func (d Day) run(trace string, corrupt func(*World, core.Effect) core.Effect) DayResult {
+func (d Day) run(trace string, corrupt func(*World, controller.Effect) controller.Effect) DayResult {
 	types, capacity := d.cloudInventory()
 	w := NewWorld(d.Seed, d.Controllers, d.Settings, d.cancelWithin(), types, capacity)
 	w.trace = trace
 	if corrupt != nil {
-		w.corruptEffect = func(e core.Effect) core.Effect { return corrupt(w, e) }
+		w.corruptEffect = func(e controller.Effect) controller.Effect { return corrupt(w, e) }
 	}
 	faultsEnd := d.lastFaultEnd()
 	w.faultsEndAt = w.startedAt.Add(faultsEnd)
@@ -368,11 +368,11 @@
 		}
 		w.lastID++
 		run := time.Duration(float64(class.run) * (0.5 + rng.Float64()))
-		spec := core.JobSpec{
+		spec := controller.JobSpec{
 			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: class.name, Team: d.Settings.Teams[team].Name, Urgency: class.urgency,
-			Tasks: max(1, int(class.tasks*(0.2+1.6*rng.Float64()))), Need: core.Resources{CPU: class.cpu, Memory: 3 * class.cpu},
+			Tasks: max(1, int(class.tasks*(0.2+1.6*rng.Float64()))), Need: controller.Resources{CPU: class.cpu, Memory: 3 * class.cpu},
 			Image: fmt.Sprintf("%s-%d", class.name, min(rng.IntN(12), rng.IntN(12))), ImageGB: class.imageGB, AllowSpot: rng.IntN(5) > 0, ExpectedRunTime: class.run,
-			Deadline: time.Duration(class.dueFactor*float64(run)) + core.Seconds(15*min(1, class.dueFactor)),
+			Deadline: time.Duration(class.dueFactor*float64(run)) + controller.Seconds(15*min(1, class.dueFactor)),
 		}
 		jobMixer.varyJob(&spec)
 		alwaysFails := d.failingFraction > 0 && failureRNG.Float64() < d.failingFraction
--- a/internal/standin/day_test.go
+++ b/internal/simulation/day_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 // drawnDays is how many drawn days a test plays: few of them with -short or -race, under
 // which a day takes ten times as long and shows nothing more, as no decision has a
-// goroutine. A long search: MICAHILL_DAYS=2000 go test ./internal/standin -run TestSimulation$
+// goroutine. A long search: MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
 func drawnDays(t *testing.T, days, few uint64) uint64 {
 	if testing.Short() || raced {
 		days = few
@@ -25,7 +25,7 @@
 // TestDays plays days with one to nine teams, three to seven controllers and small
 // limits, and two that an earlier form failed: with two and three teams on so many
 // machines that a share's names passed value_kb, tasks ran twice on a day without a
-// fault. More of them: MICAHILL_DAYS=300 go test ./internal/standin -run TestDays
+// fault. More of them: MICAHILL_DAYS=300 go test ./internal/simulation -run TestDays
 func TestDays(t *testing.T) {
 	days := []DayParams{
 		{Seed: 3, Machines: 900, Teams: 2, Controllers: 3, Jobs: 700, FaultCount: -1, Minutes: 2},
--- a/internal/standin/orphans.go
+++ b/internal/simulation/dependency_checks.go
@@ -1,9 +1,9 @@
-package standin
+package simulation
 
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -88,9 +88,9 @@
 func (s *StateService) isJobDone(id string) bool {
 	row := s.records["job/"+id]
 	var r struct {
-		Status core.JobStatus `msgpack:"s"`
+		Status controller.JobStatus `msgpack:"s"`
 	}
-	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == core.Done
+	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == controller.Done
 }
 
 // checkDependents judges the answer that a job is cancelled by what comes after it: nothing of
@@ -105,7 +105,7 @@
 
 // checkOrphan judges an answer that leaves a controller or reaches a user. What was
 // submitted later than a job before it was cancelled has the time from then.
-func (w *World) checkOrphan(j *userJob, r *core.UserReply) {
+func (w *World) checkOrphan(j *userJob, r *controller.UserReply) {
 	if len(j.dependencies) == 0 || r.Status != 200 || isFinal(r.State) {
 		return
 	}
--- a/internal/standin/later.go
+++ b/internal/simulation/extra_faults.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // later.go has the troubles that came to the operators' list last: users who cancel much
@@ -66,7 +66,7 @@
 	// replayToNextLeader: copies of reports are kept, in kept, until another controller leads
 	// than leaderAtCapture, or until holdHeartbeatsUntil.
 	replayToNextLeader  bool
-	heldHeartbeats      []core.Heartbeat
+	heldHeartbeats      []controller.Heartbeat
 	holdHeartbeatsUntil time.Time
 	leaderAtCapture     string
 	// invalidJobs counts odd jobs.
@@ -136,7 +136,7 @@
 	for _, id := range sortedKeys(w.jobs) {
 		j := w.jobs[id]
 		w.eachRunningTask(j, func(t *workerTask, _ *Worker) {
-			if !j.cancelRequested && t.status == core.Running {
+			if !j.cancelRequested && t.status == controller.Running {
 				remaining[id] = max(remaining[id], t.remaining)
 			}
 		})
@@ -207,7 +207,7 @@
 }
 
 // delayCommand says whether a direct command to m is held up, and brings it then.
-func (p *controllerProcess) delayCommand(m *Worker, op core.WorkerRequest) bool {
+func (p *controllerProcess) delayCommand(m *Worker, op controller.WorkerRequest) bool {
 	w := p.world
 	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
 		return false
@@ -228,7 +228,7 @@
 }
 
 // holdHeartbeat keeps the copy of a report for the next leader.
-func (w *World) holdHeartbeat(r core.Heartbeat) {
+func (w *World) holdHeartbeat(r controller.Heartbeat) {
 	if len(w.heldHeartbeats) == 0 {
 		w.leaderAtCapture = w.leaderName()
 	}
@@ -257,7 +257,7 @@
 	for _, p := range w.controllers {
 		for _, r := range held {
 			w.schedule(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
+				p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(controller.Effect) {})
 			})
 		}
 	}
@@ -273,11 +273,11 @@
 	for i := range w.controllers {
 		for range readsPerController {
 			w.schedule(withinWindow(), func() {
-				w.checkedRequest(i, j, func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} })
+				w.checkedRequest(i, j, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: j.spec.ID} })
 			})
 		}
 		w.schedule(withinWindow(), func() {
-			w.checkedRequest(i, j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
+			w.checkedRequest(i, j, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} })
 		})
 	}
 	if !j.cancelRequested && !isFinal(j.lastState) && w.rng.IntN(cancelOneIn) == 0 {
@@ -290,9 +290,9 @@
 
 // checkedRequest asks one controller about a job: its answer may not be older than what the
 // user was told before he asked.
-func (w *World) checkedRequest(node int, j *userJob, newCommand func(uint64) core.Command) {
+func (w *World) checkedRequest(node int, j *userJob, newCommand func(uint64) controller.Command) {
 	id, lastState, asked := j.spec.ID, j.lastState, w.now
-	w.userRequestTo(node, newCommand, 2*time.Second, func(r *core.UserReply) {
+	w.userRequestTo(node, newCommand, 2*time.Second, func(r *controller.UserReply) {
 		switch {
 		case r == nil:
 		case r.Status == 404 || r.Status == 400 || r.Status == 422:
@@ -333,10 +333,10 @@
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(unfinished) > 0:
 		j := unfinished[w.rng.IntN(len(unfinished))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
+		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} })
 	case k == 1 && len(done) > 0:
 		j := done[w.rng.IntN(len(done))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: j.spec.ID} })
+		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: j.spec.ID} })
 	case k >= 2 && len(unfinished) > 0:
 		w.submitInvalidJob(unfinished[w.rng.IntN(len(unfinished))].spec)
 	}
@@ -344,10 +344,10 @@
 
 // submitInvalidJob sends a job like another one that fits no machine, needs more than there is, or
 // lacks a field. None of them may be accepted.
-func (w *World) submitInvalidJob(s core.JobSpec) {
+func (w *World) submitInvalidJob(s controller.JobSpec) {
 	w.invalidJobs++
 	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
-	c := core.SubmitJob{Spec: s}
+	c := controller.SubmitJob{Spec: s}
 	switch w.rng.IntN(5) {
 	case 0:
 		c.Spec.Need.CPU = 1e6
@@ -358,9 +358,9 @@
 	case 3:
 		c.Spec.Team = "nobody"
 	case 4:
-		c = core.SubmitJob{Spec: core.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
+		c = controller.SubmitJob{Spec: controller.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
 	}
-	w.userRequest(func(r uint64) core.Command { c.Reply = r; return c }, 5*time.Second, func(r *core.UserReply) {
+	w.userRequest(func(r uint64) controller.Command { c.Reply = r; return c }, 5*time.Second, func(r *controller.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
 			w.violate("accepted_odd", "%s answered %d", s.ID, r.Status)
 		}
--- a/internal/standin/later_test.go
+++ b/internal/simulation/extra_faults_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // longJob is an array that outlasts every test.
-func longJob(id string, tasks int) core.JobSpec {
-	return core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: tasks, Need: core.Resources{CPU: 1, Memory: 1},
+func longJob(id string, tasks int) controller.JobSpec {
+	return controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: tasks, Need: controller.Resources{CPU: 1, Memory: 1},
 		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
 }
 
@@ -131,7 +131,7 @@
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
 	p := w.controllers[0]
-	halt := core.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
+	halt := controller.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []controller.TaskCommand{{Kind: controller.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
 	other := halt
 	other.Incarnation++
 	if !p.delayCommand(m, other) || !p.delayCommand(m, halt) {
@@ -158,7 +158,7 @@
 	w := busyWorld(t)
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
-	w.controllers[0].delayCommand(m, core.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []core.TaskCommand{{Kind: core.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
+	w.controllers[0].delayCommand(m, controller.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []controller.TaskCommand{{Kind: controller.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
 	w.Run(minCommandDelay + maxCommandDelay)
 	if !x.onMachine() {
 		t.Error("carried out")
@@ -174,13 +174,13 @@
 		key := fmt.Sprint("x/", id)
 		// What reaches the process stays in its queue.
 		w.Pause(p.index, time.Second)
-		p.sendStoreRequest(core.StoreRequest{ID: id, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
+		p.sendStoreRequest(controller.StoreRequest{ID: id, Kind: controller.OpTxn, Writes: []controller.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
 		w.Run(900 * time.Millisecond)
 		if w.state.records[key] == nil {
 			t.Errorf("%s is not written", key)
 		}
-		return slices.ContainsFunc(p.queue, func(c core.Command) bool {
-			d, ok := c.(core.StoreResponse)
+		return slices.ContainsFunc(p.queue, func(c controller.Command) bool {
+			d, ok := c.(controller.StoreResponse)
 			return ok && d.ID == id
 		})
 	}
@@ -227,20 +227,20 @@
 func TestConcurrentAndInvalidRequests(t *testing.T) {
 	for _, c := range []struct {
 		want  string
-		wrong func(core.UserReply) core.UserReply
+		wrong func(controller.UserReply) controller.UserReply
 	}{
 		{"", nil},
-		{"went_back", func(r core.UserReply) core.UserReply {
+		{"went_back", func(r controller.UserReply) controller.UserReply {
 			if r.State == "done" {
 				r.State = "running"
 			}
 			return r
 		}},
-		{"forgotten", func(r core.UserReply) core.UserReply {
+		{"forgotten", func(r controller.UserReply) controller.UserReply {
 			r.Status = 404
 			return r
 		}},
-		{"accepted_odd", func(r core.UserReply) core.UserReply {
+		{"accepted_odd", func(r controller.UserReply) controller.UserReply {
 			if r.Status == 422 || r.Status == 400 {
 				r.Status = 201
 			}
@@ -251,8 +251,8 @@
 			w := newTestWorld(3)
 			asked := 0
 			if c.wrong != nil {
-				w.corruptEffect = func(e core.Effect) core.Effect {
-					if r, ok := e.(core.UserReply); ok {
+				w.corruptEffect = func(e controller.Effect) controller.Effect {
+					if r, ok := e.(controller.UserReply); ok {
 						// One controller in three is wrong.
 						if asked++; asked%3 == 0 {
 							return c.wrong(r)
--- a/internal/standin/held_test.go
+++ b/internal/simulation/held_command_test.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // heldCommand is the first order with starts that was held on its way to its machine.
@@ -19,11 +19,11 @@
 
 // holdCommand holds the next order with starts for d, with all that is sent to its machine
 // meanwhile; what the machine sends arrives. then happens a second after it has left.
-func (s *scenario) holdCommand(d time.Duration, then func(core.WorkerRequest)) {
+func (s *scenario) holdCommand(d time.Duration, then func(controller.WorkerRequest)) {
 	w := s.world
 	var h *heldCommand
-	w.corruptEffect = func(e core.Effect) core.Effect {
-		op, ok := e.(core.WorkerRequest)
+	w.corruptEffect = func(e controller.Effect) controller.Effect {
+		op, ok := e.(controller.WorkerRequest)
 		if !ok {
 			return e
 		}
@@ -33,7 +33,7 @@
 		}
 		x := &heldCommand{machine: op.Machine}
 		for _, o := range op.Commands {
-			if o.Kind == core.StartTask {
+			if o.Kind == controller.StartTask {
 				x.starts = append(x.starts, startName(o))
 			}
 		}
@@ -55,20 +55,20 @@
 }
 
 // countOthers counts other attempts of what is held that are ordered to start meanwhile.
-func (h *heldCommand) countOthers(w *World, op core.WorkerRequest) {
+func (h *heldCommand) countOthers(w *World, op controller.WorkerRequest) {
 	if !w.now.Before(w.machines[h.machine].unreachableUntil) {
 		return
 	}
 	for _, o := range op.Commands {
 		for _, k := range h.starts {
-			if o.Kind == core.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
+			if o.Kind == controller.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
 				h.restarted++
 			}
 		}
 	}
 }
 
-func startName(o core.TaskCommand) string {
+func startName(o controller.TaskCommand) string {
 	return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 }
 
--- a/internal/standin/links.go
+++ b/internal/simulation/links.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"strings"
--- a/internal/standin/live.go
+++ b/internal/simulation/live.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
@@ -41,7 +41,7 @@
 type obj = map[string]any
 
 // NewLive starts state service and cloud. Stop ends them.
-func NewLive(settings core.Settings, requestsPerSecond, writesPerSecond float64, types []core.MachineType, capacity map[string]int, nodes []string) *Live {
+func NewLive(settings controller.Settings, requestsPerSecond, writesPerSecond float64, types []controller.MachineType, capacity map[string]int, nodes []string) *Live {
 	l := &Live{
 		controllers: nodes, requestLimiter: rate.NewLimiter(rate.Limit(requestsPerSecond), int(requestsPerSecond)), writeLimiter: rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond)),
 		machineServers: map[*Worker]*httptest.Server{}, heartbeatClients: map[*Worker]*http.Client{}, counts: newCounts(),
@@ -130,7 +130,7 @@
 }
 
 // AddJob tells the workers of a job, as its user's upload would.
-func (l *Live) AddJob(spec core.JobSpec, run time.Duration) {
+func (l *Live) AddJob(spec controller.JobSpec, run time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.jobs[spec.ID] = newUserJob(spec, run)
@@ -138,7 +138,7 @@
 
 // SetJobSource lets the workers fetch descriptions of jobs from the function, which is
 // called with a job's id.
-func (l *Live) SetJobSource(fn func(id string) (core.JobSpec, time.Duration, bool)) {
+func (l *Live) SetJobSource(fn func(id string) (controller.JobSpec, time.Duration, bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.jobSource = fn
@@ -214,13 +214,13 @@
 func (l *Live) serveState(rw http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	op, writes, bad := decodeStoreRequest(r)
-	out := make(chan core.StoreResponse, 1)
+	out := make(chan controller.StoreResponse, 1)
 	switch {
 	case bad:
 		l.mu.Unlock()
 		writeReply(rw, 400, obj{"error": "malformed"})
 		return
-	case l.storeUnavailable && op.Kind != core.OpWatch:
+	case l.storeUnavailable && op.Kind != controller.OpWatch:
 		l.mu.Unlock()
 		writeReply(rw, 503, obj{"error": "trouble"})
 		return
@@ -231,9 +231,9 @@
 		return
 	}
 	l.counts.countRequest(&op, false)
-	l.world.state.Do(time.Now(), op, func(d core.StoreResponse) { out <- d })
+	l.world.state.Do(time.Now(), op, func(d controller.StoreResponse) { out <- d })
 	l.mu.Unlock()
-	var d core.StoreResponse
+	var d controller.StoreResponse
 	select {
 	case d = <-out:
 	case <-r.Context().Done():
@@ -242,43 +242,43 @@
 	l.writeStoreResponse(rw, op, d)
 }
 
-func decodeStoreRequest(r *http.Request) (op core.StoreRequest, writes int, malformed bool) {
+func decodeStoreRequest(r *http.Request) (op controller.StoreRequest, writes int, malformed bool) {
 	q := r.URL.Query()
 	path := r.URL.Path
 	switch {
 	case path == "/store":
-		op = core.StoreRequest{Kind: core.OpList, Key: q.Get("under"), StartAfter: q.Get("from")}
+		op = controller.StoreRequest{Kind: controller.OpList, Key: q.Get("under"), StartAfter: q.Get("from")}
 	case strings.HasPrefix(path, "/store/"):
-		op = core.StoreRequest{Kind: core.OpGet, Key: strings.TrimPrefix(path, "/store/")}
+		op = controller.StoreRequest{Kind: controller.OpGet, Key: strings.TrimPrefix(path, "/store/")}
 	case path == "/follow":
 		hold, _ := strconv.Atoi(q.Get("hold_ms"))
 		rev, err := strconv.ParseUint(q.Get("from"), 10, 64)
-		op = core.StoreRequest{Kind: core.OpWatch, Key: q.Get("under"), Revision: rev, WatchTimeout: time.Duration(hold) * time.Millisecond}
+		op = controller.StoreRequest{Kind: controller.OpWatch, Key: q.Get("under"), Revision: rev, WatchTimeout: time.Duration(hold) * time.Millisecond}
 		malformed = err != nil || hold > 60000
 	case path == "/grants":
 		ttl := toUint(readObject(r)["ttl_ms"])
-		op = core.StoreRequest{Kind: core.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
+		op = controller.StoreRequest{Kind: controller.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
 		malformed = ttl < 100 || ttl > 600000
 	case strings.HasSuffix(path, "/renew"):
-		op = core.StoreRequest{Kind: core.OpLeaseRenew, LeaseID: toUint(strings.Split(path, "/")[2])}
+		op = controller.StoreRequest{Kind: controller.OpLeaseRenew, LeaseID: toUint(strings.Split(path, "/")[2])}
 	case strings.HasPrefix(path, "/grants/"):
-		op = core.StoreRequest{Kind: core.OpLeaseRevoke, LeaseID: toUint(strings.Split(path, "/")[2])}
+		op = controller.StoreRequest{Kind: controller.OpLeaseRevoke, LeaseID: toUint(strings.Split(path, "/")[2])}
 	case path == "/multi":
-		op.Kind = core.OpTxn
+		op.Kind = controller.OpTxn
 		o := readObject(r)
 		for _, c := range toList(o["when"]) {
 			m := c.(obj)
-			op.Compares = append(op.Compares, core.Compare{Key: toText(m["key"]), ModRevision: toUint(m["stamp"])})
+			op.Compares = append(op.Compares, controller.Compare{Key: toText(m["key"]), ModRevision: toUint(m["stamp"])})
 		}
 		for _, c := range toList(o["apply"]) {
 			m := c.(obj)
 			writes++
 			if k := toText(m["remove"]); k != "" {
-				op.Writes = append(op.Writes, core.Write{Key: k})
+				op.Writes = append(op.Writes, controller.Write{Key: k})
 				continue
 			}
 			_, isMap := m["value"].(obj)
-			op.Writes = append(op.Writes, core.Write{Key: toText(m["put"]), Value: encodeValue(m["value"]), LeaseID: toUint(m["permit"])})
+			op.Writes = append(op.Writes, controller.Write{Key: toText(m["put"]), Value: encodeValue(m["value"]), LeaseID: toUint(m["permit"])})
 			malformed = malformed || toText(m["put"]) == "" || !isMap
 		}
 	default:
@@ -287,7 +287,7 @@
 	return op, writes, malformed
 }
 
-func (l *Live) writeStoreResponse(rw http.ResponseWriter, op core.StoreRequest, d core.StoreResponse) {
+func (l *Live) writeStoreResponse(rw http.ResponseWriter, op controller.StoreRequest, d controller.StoreResponse) {
 	rows := func() []any {
 		out := []any{}
 		for _, it := range d.KeyValues {
@@ -295,7 +295,7 @@
 			switch {
 			case it.Deleted:
 				o["remove"] = it.Key
-			case op.Kind == core.OpWatch:
+			case op.Kind == controller.OpWatch:
 				o["put"], o["value"] = it.Key, decodeValue(it.Value)
 			default:
 				o["key"], o["value"] = it.Key, decodeValue(it.Value)
@@ -305,28 +305,28 @@
 		return out
 	}
 	switch d.Status {
-	case core.StoreNotFound:
+	case controller.StoreNotFound:
 		writeReply(rw, 404, obj{"ledger_rev": d.Revision})
-	case core.StoreConflict:
+	case controller.StoreConflict:
 		writeReply(rw, 409, obj{"failed": d.FailedKeys, "ledger_rev": d.Revision})
-	case core.StoreCompacted:
+	case controller.StoreCompacted:
 		writeReply(rw, 410, obj{"error": "too old"})
-	case core.StoreNoLease:
+	case controller.StoreNoLease:
 		writeReply(rw, 400, obj{"error": "no such lease"})
-	case core.StoreMalformed:
+	case controller.StoreMalformed:
 		writeReply(rw, 400, obj{"error": "malformed"})
 	case StoreRateLimited:
 		writeReply(rw, 429, obj{"error": "rate"})
 	default:
 		switch op.Kind {
-		case core.OpGet:
+		case controller.OpGet:
 			it := d.KeyValues[0]
 			writeReply(rw, 200, obj{"key": it.Key, "value": decodeValue(it.Value), "stamp": it.ModRevision})
-		case core.OpList:
+		case controller.OpList:
 			writeReply(rw, 200, obj{"rows": rows(), "truncated": d.Truncated, "ledger_rev": d.Revision})
-		case core.OpWatch:
+		case controller.OpWatch:
 			writeReply(rw, 200, obj{"news": rows(), "ledger_rev": d.Revision})
-		case core.OpLeaseGrant:
+		case controller.OpLeaseGrant:
 			writeReply(rw, 200, obj{"permit": d.LeaseID})
 		default:
 			writeReply(rw, 200, obj{"ledger_rev": d.Revision})
@@ -341,22 +341,22 @@
 	switch r.Method + r.URL.Path {
 	case "GET/machine_types":
 		var out []any
-		for _, f := range l.world.executeCloud(core.CloudRequest{Kind: core.CloudListTypes}).MachineTypes {
+		for _, f := range l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudListTypes}).MachineTypes {
 			out = append(out, obj{"name": f.Name, "vcpus": f.Capacity.CPU, "gpus": f.Capacity.GPU, "memory_gb": f.Capacity.Memory, "local_gb": f.DiskGB,
 				"pull_gb_per_s": f.ImageFetchRate, "price": f.CostPerHour, "market_price": f.SpotCostPerHour, "ready_s": f.ProvisioningTime.Seconds(), "sites": f.Zones})
 		}
 		writeReply(rw, 200, obj{"flavours": out})
 	case "GET/rentals":
 		out := []any{}
-		for _, m := range l.world.executeCloud(core.CloudRequest{Kind: core.CloudListMachines}).Machines {
+		for _, m := range l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudListMachines}).Machines {
 			out = append(out, obj{"id": m.ID, "address": m.Addr, "flavour": m.MachineType, "site": m.Zone, "loaner": m.Spot, "status": m.Status, "held_s": m.Age.Seconds()})
 		}
 		writeReply(rw, 200, obj{"hosts": out, "truncated": false})
 	case "POST/rentals":
 		o := readObject(r)
 		spot, _ := o["loaner"].(bool)
-		d := l.world.executeCloud(core.CloudRequest{Kind: core.CloudRent, IdempotencyKey: toText(o["booking"]), MachineType: toText(o["flavour"]), Zone: toText(o["site"]), Spot: spot, Count: int(toUint(o["count"]))})
-		if d.Status == core.CloudNoCapacity {
+		d := l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudRent, IdempotencyKey: toText(o["booking"]), MachineType: toText(o["flavour"]), Zone: toText(o["site"]), Spot: spot, Count: int(toUint(o["count"]))})
+		if d.Status == controller.CloudNoCapacity {
 			writeReply(rw, 503, obj{"error": "no capacity"})
 			return
 		}
@@ -366,14 +366,14 @@
 		for _, h := range toList(readObject(r)["hosts"]) {
 			ids = append(ids, toText(h))
 		}
-		l.world.executeCloud(core.CloudRequest{Kind: core.CloudRelease, Machines: ids})
+		l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudRelease, Machines: ids})
 		writeReply(rw, 200, obj{})
 	default:
 		writeReply(rw, 400, obj{"error": "malformed"})
 	}
 }
 
-func encodeHeartbeat(r *core.Heartbeat) obj {
+func encodeHeartbeat(r *controller.Heartbeat) obj {
 	o := obj{"host": r.Machine, "address": r.Addr, "flavour": r.MachineType, "site": r.Zone, "loaner": r.Spot,
 		"tenure": r.Incarnation, "tick": r.Sequence, "epoch": r.Epoch, "recall_s": nil}
 	if r.ReclaimIn >= 0 {
@@ -382,7 +382,7 @@
 	tasks := []any{}
 	for _, t := range r.Tasks {
 		p := obj{"piece": taskName(t.Job, t.Index), "try": t.Attempt, "status": [...]string{"fetching", "running", "flushing", "ended"}[t.Status]}
-		if t.Status == core.Ended {
+		if t.Status == controller.Ended {
 			p["cause"] = t.Cause
 		}
 		tasks = append(tasks, p)
@@ -391,14 +391,14 @@
 	return o
 }
 
-func decodeCommands(v any) []core.TaskCommand {
-	var out []core.TaskCommand
+func decodeCommands(v any) []controller.TaskCommand {
+	var out []controller.TaskCommand
 	for _, x := range toList(v) {
 		o := x.(obj)
 		piece := toText(o["piece"])
 		i := strings.LastIndexByte(piece, '/')
 		wind, _ := strconv.ParseFloat(fmt.Sprint(o["wind_down_s"]), 64)
-		out = append(out, core.TaskCommand{Kind: core.TaskCommandKind(toText(o["verb"])), Job: piece[:i], Index: int(toUint(piece[i+1:])), Attempt: toUint(o["try"]), GracePeriod: core.Seconds(wind)})
+		out = append(out, controller.TaskCommand{Kind: controller.TaskCommandKind(toText(o["verb"])), Job: piece[:i], Index: int(toUint(piece[i+1:])), Attempt: toUint(o["try"]), GracePeriod: controller.Seconds(wind)})
 	}
 	return out
 }
@@ -413,7 +413,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		l.counts.Commands[r.URL.Path]++
-		op := core.WorkerRequest{StatusOnly: r.URL.Path == "/status"}
+		op := controller.WorkerRequest{StatusOnly: r.URL.Path == "/status"}
 		if !op.StatusOnly {
 			o := readObject(r)
 			if o["epoch"] == nil || o["tenure"] == nil {
--- a/internal/standin/livecount.go
+++ b/internal/simulation/live_counts.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // LiveCounts is what a live world has seen since it began. Bytes are those of the
@@ -44,10 +44,10 @@
 }
 
 // countRequest counts one to the state service.
-func (c *LiveCounts) countRequest(op *core.StoreRequest, refused bool) {
-	kind := map[core.StoreRequestKind]string{
-		core.OpGet: "get", core.OpList: "list", core.OpWatch: "follow", core.OpTxn: "multi",
-		core.OpLeaseGrant: "grant", core.OpLeaseRenew: "renew", core.OpLeaseRevoke: "drop",
+func (c *LiveCounts) countRequest(op *controller.StoreRequest, refused bool) {
+	kind := map[controller.StoreRequestKind]string{
+		controller.OpGet: "get", controller.OpList: "list", controller.OpWatch: "follow", controller.OpTxn: "multi",
+		controller.OpLeaseGrant: "grant", controller.OpLeaseRenew: "renew", controller.OpLeaseRevoke: "drop",
 	}[op.Kind]
 	c.Requests[kind]++
 	if refused {
--- a/internal/standin/lost_answers_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // lostResponses lets a share of the transactions be carried out at once, and loses what the
@@ -24,14 +24,14 @@
 func loseResponses(w *World, seed uint64, share float64) *lostResponses {
 	l := &lostResponses{share: share, chosen: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
-	w.crashCondition = func(p *controllerProcess, e core.Effect) bool {
-		if op, ok := e.(core.StoreRequest); ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
+	w.crashCondition = func(p *controllerProcess, e controller.Effect) bool {
+		if op, ok := e.(controller.StoreRequest); ok && op.Kind == controller.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
 			l.chosen[op.Writes[0].Key] = p.name
 		}
 		return false
 	}
 	noted := w.state.onChange
-	w.state.onChange = func(it core.KeyValue) {
+	w.state.onChange = func(it controller.KeyValue) {
 		if p, chosen := l.chosen[it.Key]; chosen {
 			delete(l.chosen, it.Key)
 			l.lost[recordKind(it.Key)]++
@@ -69,7 +69,7 @@
 				t.Parallel()
 				types, room := testTypes()
 				set := testSettings()
-				set.Capabilities = core.Capabilities{Ranking: true, Promises: true, PromiseFraction: 0.95, Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: time.Minute}
+				set.Capabilities = controller.Capabilities{Ranking: true, Promises: true, PromiseFraction: 0.95, Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: time.Minute}
 				w := NewWorld(seed, 3+2*int(seed%2), set, testCancel, types, room)
 				w.CheckRanking()
 				w.rankingCheck.startsOnly = true
@@ -79,7 +79,7 @@
 				for k := range 10 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.schedule(time.Duration(10+k*30)*time.Second, func() {
-						w.SetRanking(k%len(w.controllers), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
+						w.SetRanking(k%len(w.controllers), controller.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(controller.RankingReply) {})
 					})
 				}
 				w.schedule(8*time.Minute, func() { l.share = 0 })
--- a/internal/standin/lower_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,14 +6,14 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // lowerWorld is one whose state service will have lower limits, of which controllers know
 // only once they have been replaced.
 type lowerWorld struct {
 	*World
-	next core.Settings
+	next controller.Settings
 	// replaced are the controllers that know of the limits, and early counts records that
 	// those of before can't read and that were written while some could come back.
 	replaced []bool
@@ -22,17 +22,17 @@
 
 func newLowerWorld(seed uint64) *lowerWorld {
 	set := testSettings()
-	set.Zones, set.Teams = []string{"a"}, []core.Team{{Name: "ops"}, {Name: "lab"}}
-	types := []core.MachineType{{Name: "box", Capacity: core.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
+	set.Zones, set.Teams = []string{"a"}, []controller.Team{{Name: "ops"}, {Name: "lab"}}
+	types := []controller.MachineType{{Name: "box", Capacity: controller.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	l := &lowerWorld{World: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 40}), next: set, replaced: make([]bool, 3)}
 	l.next.MaxValueBytes, l.next.CurrentMaxValueBytes, l.next.MaxTxnWrites, l.next.StoreWritesPerSecond = 1024, set.MaxValueBytes, 4, 21
-	l.adjustSettings = func(i int, set *core.Settings) {
+	l.adjustSettings = func(i int, set *controller.Settings) {
 		if l.replaced[i] {
 			set.MaxValueBytes, set.CurrentMaxValueBytes = l.next.MaxValueBytes, l.next.CurrentMaxValueBytes
 			set.MaxTxnWrites, set.StoreWritesPerSecond = l.next.MaxTxnWrites, l.next.StoreWritesPerSecond
 		}
 	}
-	l.state.onChange = func(it core.KeyValue) {
+	l.state.onChange = func(it controller.KeyValue) {
 		if strings.HasPrefix(it.Key, "task/") && strings.Contains(it.Key, "/s") && !l.all() {
 			l.early++
 		}
@@ -72,7 +72,7 @@
 	l.Run(5 * time.Minute)
 	rulesHold(t, l.World)
 	for _, id := range append(ids, cutOff...) {
-		if j := l.jobs[id]; j.lastState != string(core.Done) {
+		if j := l.jobs[id]; j.lastState != string(controller.Done) {
 			t.Errorf("%s is %s", id, j.lastState)
 		}
 	}
@@ -132,7 +132,7 @@
 				t.Errorf("%d requests are malformed, the last for %s", l.state.Malformed, l.state.LastMalformed)
 			}
 			for _, id := range ids {
-				if j := l.jobs[id]; j.lastState != string(core.Done) && j.lastState != string(core.Cancelled) {
+				if j := l.jobs[id]; j.lastState != string(controller.Done) && j.lastState != string(controller.Cancelled) {
 					t.Errorf("%s is %s", id, j.lastState)
 				}
 			}
--- a/internal/standin/slack_test.go
+++ b/internal/simulation/margins_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"math/rand/v2"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // waitingWorld has a calm world with room in which nothing of job-000002 is ever started.
@@ -18,8 +18,8 @@
 	set.Teams[0].QuotaLimit.CPU = limit
 	w := NewWorld(3, 3, set, testCancel, types, room)
 	w.faultsEndAt = w.now
-	w.corruptEffect = func(e core.Effect) core.Effect {
-		return dropStarts(e, func(o core.TaskCommand) bool { return o.Job == "job-000002" })
+	w.corruptEffect = func(e controller.Effect) controller.Effect {
+		return dropStarts(e, func(o controller.TaskCommand) bool { return o.Job == "job-000002" })
 	}
 	return w
 }
@@ -66,7 +66,7 @@
 	const left = 12 * time.Second
 	till := w.now.Add(w.cancelWithin - left)
 	w.cloudOutage, w.settings.WorkerLease = true, time.Hour
-	w.corruptEffect = func(e core.Effect) core.Effect {
+	w.corruptEffect = func(e controller.Effect) controller.Effect {
 		if w.now.Before(till) {
 			return dropStops(e)
 		}
--- a/internal/standin/mixed.go
+++ b/internal/simulation/mixed_jobs.go
@@ -1,10 +1,10 @@
-package standin
+package simulation
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // mixed.go has days with jobs of all kinds, not only arrays that may run anywhere, and with
@@ -42,7 +42,7 @@
 }
 
 // varyJob makes a job one of another kind, or leaves it.
-func (x *jobMix) varyJob(s *core.JobSpec) {
+func (x *jobMix) varyJob(s *controller.JobSpec) {
 	if x == nil {
 		return
 	}
--- a/internal/standin/models.go
+++ b/internal/simulation/models.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // models.go has days with models: hosts of eight GPUs beside the other machines, and
@@ -22,7 +22,7 @@
 }
 
 // capabilities is what is switched on, with what deploy/ has for it.
-func (p *DayParams) capabilities() (out core.Capabilities, err error) {
+func (p *DayParams) capabilities() (out controller.Capabilities, err error) {
 	for _, s := range p.Enabled {
 		all := s == "all"
 		switch s {
@@ -43,9 +43,9 @@
 	return out, err
 }
 
-func modelMachineType(zone string) core.MachineType {
-	return core.MachineType{
-		Name: "host", Capacity: core.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
+func modelMachineType(zone string) controller.MachineType {
+	return controller.MachineType{
+		Name: "host", Capacity: controller.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
 		ProvisioningTime: 40 * time.Second, Zones: []string{zone},
 	}
 }
@@ -53,7 +53,7 @@
 // modelJob is a model that comes at a time of the day, and is cancelled at another
 // unless that is 0.
 type modelJob struct {
-	spec     core.JobSpec
+	spec     controller.JobSpec
 	submitAt time.Duration
 	cancelAt time.Duration
 }
@@ -67,10 +67,10 @@
 	d.Settings.Teams = slices.Clone(d.Settings.Teams)
 	part := func(from, to float64) time.Duration { return time.Duration(span * (from + (to-from)*rng.Float64())) }
 	remainingGPUs := 0
-	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u core.Urgency, from, to float64) {
-		m := modelJob{submitAt: part(from, to), spec: core.JobSpec{
+	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u controller.Urgency, from, to float64) {
+		m := modelJob{submitAt: part(from, to), spec: controller.JobSpec{
 			Workload: name, Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, LongRunning: true, Urgency: u, Tasks: replicas,
-			Need: core.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
+			Need: controller.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
 		}}
 		if rng.Float64() < cancelled {
 			m.cancelAt = m.submitAt + part(0.15, 0.75)
@@ -86,15 +86,15 @@
 		d.models = append(d.models, m)
 	}
 	for range int(float64(d.Models) * (2.5 + 1.5*rng.Float64())) {
-		add("model-small", 1, 1+rng.IntN(3), 6, 10, 0.75, core.Normal, 0, 0.1)
+		add("model-small", 1, 1+rng.IntN(3), 6, 10, 0.75, controller.Normal, 0, 0.1)
 	}
 	for range 1 + d.Models/3 {
-		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, core.Normal, 0, 0.3)
+		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, controller.Normal, 0, 0.3)
 	}
 	// One whole host more than the rest takes is left out.
 	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
 	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
-		add("model-large", gpusPerMachine, 1, 3, 60, 0, core.Urgent, 0.5, 1)
+		add("model-large", gpusPerMachine, 1, 3, 60, 0, controller.Urgent, 0.5, 1)
 	}
 }
 
@@ -217,7 +217,7 @@
 	for _, m := range w.fleet {
 		used := 0.0
 		for _, t := range m.tasks {
-			if t.status != core.Ended {
+			if t.status != controller.Ended {
 				used += t.job.spec.Need.GPU
 			}
 		}
--- a/internal/standin/models_test.go
+++ b/internal/simulation/models_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -25,15 +25,15 @@
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Objectives = []string{"a"}, nil
-	set.Capabilities = core.Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
-	w := NewWorld(seed, nodes, set, testCancel, []core.MachineType{
-		{Name: "host", Capacity: core.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+	set.Capabilities = controller.Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
+	w := NewWorld(seed, nodes, set, testCancel, []controller.MachineType{
+		{Name: "host", Capacity: controller.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"host/a/false": 4})
 	p := &fragmentedWorld{World: w}
 	for i := range 8 {
 		id := fmt.Sprintf("job-s%05d", i)
-		w.Submit(core.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 2,
-			Need: core.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
+		w.Submit(controller.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: controller.Normal, Tasks: 2,
+			Need: controller.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
 		p.small = append(p.small, id)
 		w.Run(time.Second)
 	}
@@ -87,8 +87,8 @@
 
 // large submits a replica that needs a whole host.
 func (p *fragmentedWorld) large() {
-	p.Submit(core.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 1,
-		Need: core.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
+	p.Submit(controller.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: controller.Normal, Tasks: 1,
+		Need: controller.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
 // watch notes a job of which nothing is on a machine.
@@ -102,9 +102,9 @@
 }
 
 // onEffect takes in the first move that an effect writes.
-func (p *fragmentedWorld) onEffect(e core.Effect) bool {
-	op, ok := e.(core.StoreRequest)
-	if !ok || op.Kind != core.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
+func (p *fragmentedWorld) onEffect(e controller.Effect) bool {
+	op, ok := e.(controller.StoreRequest)
+	if !ok || op.Kind != controller.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
 		return false
 	}
 	var r struct {
@@ -124,12 +124,12 @@
 }
 
 // orders says that an effect has such an order for a job.
-func orders(e core.Effect, verb core.TaskCommandKind, job string) bool {
-	var all []core.TaskCommand
+func orders(e controller.Effect, verb controller.TaskCommandKind, job string) bool {
+	var all []controller.TaskCommand
 	switch e := e.(type) {
-	case core.WorkerRequest:
+	case controller.WorkerRequest:
 		all = e.Commands
-	case core.HeartbeatReply:
+	case controller.HeartbeatReply:
 		all = e.Commands
 	}
 	for _, o := range all {
@@ -171,11 +171,13 @@
 // TestMigrationsSurviveFaults: whatever fails at whichever step of a move, in the end all runs
 // that there is room for, and no rule is broken.
 func TestMigrationsSurviveFaults(t *testing.T) {
-	steps := map[string]func(*fragmentedWorld, core.Effect) bool{
-		"intent":   func(p *fragmentedWorld, e core.Effect) bool { return p.onEffect(e) },
-		"stop":     func(p *fragmentedWorld, e core.Effect) bool { return orders(e, core.StopTask, "job-s") },
-		"start":    func(p *fragmentedWorld, e core.Effect) bool { return orders(e, core.StartTask, "job-s") },
-		"receiver": func(p *fragmentedWorld, e core.Effect) bool { return orders(e, core.StartTask, "job-large") },
+	steps := map[string]func(*fragmentedWorld, controller.Effect) bool{
+		"intent": func(p *fragmentedWorld, e controller.Effect) bool { return p.onEffect(e) },
+		"stop":   func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, controller.StopTask, "job-s") },
+		"start":  func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, controller.StartTask, "job-s") },
+		"receiver": func(p *fragmentedWorld, e controller.Effect) bool {
+			return orders(e, controller.StartTask, "job-large")
+		},
 	}
 	type fault struct {
 		do func(*fragmentedWorld)
@@ -222,7 +224,7 @@
 				p := newFragmentedWorld(t, seed, nodes)
 				p.watch()
 				hit := false
-				p.corruptEffect = func(e core.Effect) core.Effect {
+				p.corruptEffect = func(e controller.Effect) controller.Effect {
 					p.onEffect(e)
 					if !hit && p.to != "" && steps[step](p, e) {
 						hit = true
--- a/internal/standin/meetings.go
+++ b/internal/simulation/overlaps.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // meetings.go has days on which two or three troubles meet while users cancel most of a
@@ -88,7 +88,7 @@
 	for i := range out {
 		out[i].jobFraction *= 1 - part
 	}
-	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, core.Normal, 0, part})
+	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, controller.Normal, 0, part})
 }
 
 // submitLongJobs has many small jobs of long tasks come in the time before users cancel, so
@@ -103,9 +103,9 @@
 		w.lastID++
 		at := max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(before)))
 		run := time.Duration(float64(longTaskRunTime) * (0.75 + rng.Float64()/2))
-		spec := core.JobSpec{
-			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: core.Normal,
-			Tasks: 1 + rng.IntN(3), Need: core.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
+		spec := controller.JobSpec{
+			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: controller.Normal,
+			Tasks: 1 + rng.IntN(3), Need: controller.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
 		}
 		w.schedule(at, func() { w.Submit(spec, run, false) })
 		if t, ok := d.Cancels.cancelTime(spec.Workload, at, rng); ok {
@@ -246,8 +246,8 @@
 }
 
 // delayWrite says whether a transaction gets no answer, and how late it is carried out.
-func (w *World) delayWrite(e core.StoreRequest) (time.Duration, bool) {
-	if e.Kind != core.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
+func (w *World) delayWrite(e controller.StoreRequest) (time.Duration, bool) {
+	if e.Kind != controller.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
 		return 0, false
 	}
 	if w.loseWriteResponses {
--- a/internal/standin/meetings_test.go
+++ b/internal/simulation/overlaps_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // dropStops takes the stops out of whatever goes to workers.
-func dropStops(e core.Effect) core.Effect {
-	return dropCommands(e, func(o core.TaskCommand) bool { return o.Kind == core.StopTask })
+func dropStops(e controller.Effect) controller.Effect {
+	return dropCommands(e, func(o controller.TaskCommand) bool { return o.Kind == controller.StopTask })
 }
 
 // TestCancelledInTime: the checker of cancellations counts from the answer that leaves a
@@ -29,7 +29,7 @@
 	}{
 		{"stops lost until just before", false, 1, func(w *World) {
 			till := w.now.Add(w.cancelWithin - 12*time.Second)
-			w.corruptEffect = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e controller.Effect) controller.Effect {
 				if w.now.Before(till) {
 					return dropStops(e)
 				}
@@ -38,7 +38,7 @@
 		}},
 		{"stops lost until just after", true, 1, func(w *World) {
 			till := w.now.Add(w.cancelWithin + 2*time.Second)
-			w.corruptEffect = func(e core.Effect) core.Effect {
+			w.corruptEffect = func(e controller.Effect) controller.Effect {
 				if w.now.Before(till) {
 					return dropStops(e)
 				}
@@ -69,7 +69,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(3)
-			w.Submit(core.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2, Need: core.Resources{CPU: 2, Memory: 2},
+			w.Submit(controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2, Need: controller.Resources{CPU: 2, Memory: 2},
 				Image: "i", ImageGB: c.image, ExpectedRunTime: time.Hour}, time.Hour, false)
 			w.Run(50 * time.Second)
 			// No machine is returned, and no lease ends.
@@ -95,8 +95,8 @@
 	d.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
 	d.Cancels = &MassCancel{Workload: "import", Fraction: 1, At: 35 * time.Second, Duration: 20 * time.Second}
 	cancelled := 0
-	good := d.run("", func(w *World, e core.Effect) core.Effect {
-		if r, ok := e.(core.UserReply); ok && r.State == "cancelled" {
+	good := d.run("", func(w *World, e controller.Effect) controller.Effect {
+		if r, ok := e.(controller.UserReply); ok && r.State == "cancelled" {
 			cancelled++
 		}
 		return e
@@ -107,15 +107,15 @@
 	for _, c := range []struct {
 		name string
 		// wrong: what happens to an effect once the day's troubles are over.
-		wrong func(*World, core.Effect) core.Effect
+		wrong func(*World, controller.Effect) controller.Effect
 	}{
-		{"no answer about cancelled jobs", func(_ *World, e core.Effect) core.Effect {
-			if r, ok := e.(core.UserReply); ok && r.State == "cancelled" {
+		{"no answer about cancelled jobs", func(_ *World, e controller.Effect) controller.Effect {
+			if r, ok := e.(controller.UserReply); ok && r.State == "cancelled" {
 				return nil
 			}
 			return e
 		}},
-		{"one controller's answers don't arrive", func(w *World, e core.Effect) core.Effect {
+		{"one controller's answers don't arrive", func(w *World, e controller.Effect) controller.Effect {
 			if w.oneWayPartitions["node-1>user"] == 0 {
 				w.partitionOneWay("node-1", "user", time.Hour)
 			}
@@ -124,7 +124,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := d.run("", func(w *World, e core.Effect) core.Effect {
+			r := d.run("", func(w *World, e controller.Effect) controller.Effect {
 				if w.now.Before(w.faultsEndAt.Add(20 * time.Second)) {
 					return e
 				}
@@ -195,7 +195,7 @@
 	w.DelayWrites(1, time.Second)
 	p := w.controllers[0]
 	write := func(key string) {
-		p.sendStoreRequest(core.StoreRequest{ID: 1 << 40, Kind: core.OpTxn, Writes: []core.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
+		p.sendStoreRequest(controller.StoreRequest{ID: 1 << 40, Kind: controller.OpTxn, Writes: []controller.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
 	}
 	there := func(key string) bool { return w.state.records[key] != nil }
 	write("x/old")
@@ -218,13 +218,13 @@
 	w.Run(20 * time.Second)
 	p := w.controllers[w.leaderIndex(0)]
 	told := 0
-	p.openWatch(core.StoreRequest{Kind: core.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(core.StoreResponse) { told++ })
+	p.openWatch(controller.StoreRequest{Kind: controller.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(controller.StoreResponse) { told++ })
 	w.startOverlapFault(Fault{Kind: "refused_outage", Controller: p.index, Delay: 2 * time.Second, Duration: time.Minute})
 	w.Run(time.Second)
 	if !p.stateRefused || w.stateOutage {
 		t.Error("not the one alone")
 	}
-	w.state.txn(core.StoreRequest{Writes: []core.Write{{Key: "x/1", Value: []byte{0x80}}}}, &core.StoreResponse{})
+	w.state.txn(controller.StoreRequest{Writes: []controller.Write{{Key: "x/1", Value: []byte{0x80}}}}, &controller.StoreResponse{})
 	w.Run(time.Second)
 	grants := len(w.state.leases)
 	w.Run(50 * time.Second)
--- a/internal/standin/half.go
+++ b/internal/simulation/partial_faults.go
@@ -1,10 +1,10 @@
-package standin
+package simulation
 
 import (
 	"math/rand/v2"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // half.go has links that are half there: machines whose reports arrive while nothing
@@ -42,7 +42,7 @@
 }
 
 // copyHeartbeat sends the copy of a report, if it gets one.
-func (w *World) copyHeartbeat(r core.Heartbeat) {
+func (w *World) copyHeartbeat(r controller.Heartbeat) {
 	if !w.now.Before(w.heartbeatCopiesUntil) || w.rng.Float64() >= w.heartbeatCopyRate {
 		return
 	}
@@ -53,7 +53,7 @@
 	d := time.Second + time.Duration(w.rng.Int64N(int64(max(w.heartbeatCopyMaxDelay, 2*time.Second)-time.Second)))
 	p := w.controllers[w.rng.IntN(len(w.controllers))]
 	w.schedule(d, func() {
-		p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
+		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(controller.Effect) {})
 	})
 }
 
@@ -87,8 +87,8 @@
 
 // CrashBefore ends the first process that is about to send such an effect, or with sent
 // has just sent it; it is back after d.
-func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(core.Effect) bool) {
-	w.crashCondition = func(p *controllerProcess, e core.Effect) bool {
+func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(controller.Effect) bool) {
+	w.crashCondition = func(p *controllerProcess, e controller.Effect) bool {
 		if !matches(e) {
 			return false
 		}
@@ -101,7 +101,7 @@
 }
 
 // crashesOn says whether a process ended with this effect.
-func (w *World) crashesOn(p *controllerProcess, e core.Effect) bool {
+func (w *World) crashesOn(p *controllerProcess, e controller.Effect) bool {
 	ends := w.crashCondition
 	if ends == nil {
 		return false
--- a/internal/standin/half_test.go
+++ b/internal/simulation/partial_faults_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -22,8 +22,8 @@
 						t.Parallel()
 						w := newTestWorldOf(uint64(back), nodes)
 						for i := range 8 {
-							w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-								Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
+							w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
+								Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 						}
 						w.Run(35 * time.Second)
 						w.CrashBefore(back*time.Millisecond, sent, pausePoints[in])
@@ -74,16 +74,16 @@
 				w.state.records[fmt.Sprintf("job/job-%06d", 2*i)] = &storedRecord{value: rec, modRevision: w.state.revision}
 			}
 			for i := range 40 {
-				w.Submit(core.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1,
-					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
+				w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 1,
+					Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 			}
 			w.Run(10 * time.Second)
 			for i := range w.controllers {
 				w.CrashController(i, time.Second)
 			}
 			began, reads := w.now, 0
-			w.corruptEffect = func(e core.Effect) core.Effect {
-				if op, ok := e.(core.StoreRequest); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != core.OpTxn {
+			w.corruptEffect = func(e controller.Effect) controller.Effect {
+				if op, ok := e.(controller.StoreRequest); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != controller.OpTxn {
 					reads++
 				}
 				return e
@@ -91,7 +91,7 @@
 			answered := map[string]time.Duration{}
 			var ask func(id, want string)
 			ask = func(id, want string) {
-				w.userRequest(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+				w.userRequest(func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *controller.UserReply) {
 					switch {
 					case r == nil || r.Status == 503:
 					case want == "" && r.Status != 404 || want == "done" && r.State != "done" || want == "queued" && r.Status != 200:
--- a/internal/standin/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // pipelines.go has users who submit jobs that need others: chains, joins and fans, one job
@@ -116,7 +116,7 @@
 		to := (first + i) % len(w.controllers)
 		w.schedule(time.Duration(w.rng.Int64N(int64(concurrentWindow))), func() {
 			asked := w.now
-			w.userRequestTo(to, func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+			w.userRequestTo(to, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
 				if r != nil && r.Status == 200 {
 					w.checkAnswer(j, asked, r)
 				} else if !isFinal(j.lastState) {
@@ -131,7 +131,7 @@
 // known.
 func (w *World) resubmit(j *userJob) {
 	node := w.rng.IntN(len(w.controllers))
-	w.checkedRequest(node, j, func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} })
+	w.checkedRequest(node, j, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} })
 }
 
 // generatePipeline draws one: steps one after the other, of one job or several side by side, each
@@ -150,13 +150,13 @@
 		for range side {
 			w.lastID++
 			run := time.Duration(float64(stepRunTime) * (0.3 + rng.Float64()))
-			spec := core.JobSpec{
-				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: core.BestEffort,
-				Tasks: 1 + rng.IntN(5), Need: core.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, AllowSpot: rng.IntN(4) > 0,
+			spec := controller.JobSpec{
+				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: controller.BestEffort,
+				Tasks: 1 + rng.IntN(5), Need: controller.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, AllowSpot: rng.IntN(4) > 0,
 				ExpectedRunTime: run, Dependencies: before,
 			}
 			if k == last {
-				spec.Workload, spec.Urgency, spec.Deadline = "last", core.Urgent, time.Duration(last+1)*3*stepRunTime
+				spec.Workload, spec.Urgency, spec.Deadline = "last", controller.Urgent, time.Duration(last+1)*3*stepRunTime
 			}
 			names = append(names, spec.ID)
 			step = append(step, newUserJob(spec, run))
--- a/internal/standin/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // stepJob is a job that needs others.
-func stepJob(id string, tasks int, run time.Duration, prereqs ...string) core.JobSpec {
+func stepJob(id string, tasks int, run time.Duration, prereqs ...string) controller.JobSpec {
 	spec := metJob(id, "ops", tasks, 1, run)
 	spec.Dependencies = prereqs
 	return spec
@@ -29,9 +29,9 @@
 }
 
 // replies changes the answers to users about a job.
-func replies(id string, change func(*core.UserReply)) func(core.Effect) core.Effect {
-	return func(e core.Effect) core.Effect {
-		if r, ok := e.(core.UserReply); ok && r.ID == id {
+func replies(id string, change func(*controller.UserReply)) func(controller.Effect) controller.Effect {
+	return func(e controller.Effect) controller.Effect {
+		if r, ok := e.(controller.UserReply); ok && r.ID == id {
 			change(&r)
 			return r
 		}
@@ -41,22 +41,22 @@
 
 // startsEarly puts the start of a job's first task before the first orders for any machine, and
 // lets nothing stop it.
-func startsEarly(id string) func(core.Effect) core.Effect {
-	start, left := core.TaskCommand{Kind: core.StartTask, Job: id, Attempt: 99}, 1
-	add := func(orders []core.TaskCommand) []core.TaskCommand {
-		orders = slices.DeleteFunc(slices.Clone(orders), func(o core.TaskCommand) bool { return o.Kind == core.StopTask && o.Job == id })
+func startsEarly(id string) func(controller.Effect) controller.Effect {
+	start, left := controller.TaskCommand{Kind: controller.StartTask, Job: id, Attempt: 99}, 1
+	add := func(orders []controller.TaskCommand) []controller.TaskCommand {
+		orders = slices.DeleteFunc(slices.Clone(orders), func(o controller.TaskCommand) bool { return o.Kind == controller.StopTask && o.Job == id })
 		if len(orders) == 0 || left == 0 {
 			return orders
 		}
 		left--
-		return append([]core.TaskCommand{start}, orders...)
+		return append([]controller.TaskCommand{start}, orders...)
 	}
-	return func(e core.Effect) core.Effect {
+	return func(e controller.Effect) controller.Effect {
 		switch x := e.(type) {
-		case core.WorkerRequest:
+		case controller.WorkerRequest:
 			x.Commands = add(x.Commands)
 			return x
-		case core.HeartbeatReply:
+		case controller.HeartbeatReply:
 			x.Commands = add(x.Commands)
 			return x
 		}
@@ -72,48 +72,48 @@
 		name, rule string
 		// wrong is what the core does, from the moment when a is to be cancelled on if it
 		// is; at is that moment.
-		wrong func(*World) func(core.Effect) core.Effect
+		wrong func(*World) func(controller.Effect) controller.Effect
 		at    milestone
 	}{
 		{"nothing", "", nil, ""},
 		{"nothing, cancelled", "", nil, milestoneAccepted},
 		{"nothing, cancelled at the end", "", nil, milestoneTasksDone},
-		{"a task of a later job is started", "too_early", func(*World) func(core.Effect) core.Effect { return startsEarly(c) }, ""},
-		{"a later job is called queued for ever", RuleOrphaned, func(*World) func(core.Effect) core.Effect {
-			return replies(c, func(r *core.UserReply) {
+		{"a task of a later job is started", "too_early", func(*World) func(controller.Effect) controller.Effect { return startsEarly(c) }, ""},
+		{"a later job is called queued for ever", RuleOrphaned, func(*World) func(controller.Effect) controller.Effect {
+			return replies(c, func(r *controller.UserReply) {
 				if r.State == "cancelled" {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a later job is called queued a moment too long", RuleOrphaned, func(w *World) func(core.Effect) core.Effect {
+		{"a later job is called queued a moment too long", RuleOrphaned, func(w *World) func(controller.Effect) controller.Effect {
 			till := w.now.Add(w.cancelWithin + 8*time.Second)
-			return replies(c, func(r *core.UserReply) {
+			return replies(c, func(r *controller.UserReply) {
 				if r.State == "cancelled" && w.now.Before(till) {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a later job goes back", "went_back", func(w *World) func(core.Effect) core.Effect {
+		{"a later job goes back", "went_back", func(w *World) func(controller.Effect) controller.Effect {
 			from := w.now.Add(40 * time.Second)
-			return replies(c, func(r *core.UserReply) {
+			return replies(c, func(r *controller.UserReply) {
 				if r.State == "cancelled" && w.now.After(from) {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a later job is cancelled by nobody", "went_back", func(*World) func(core.Effect) core.Effect {
-			return replies(c, func(r *core.UserReply) { r.State = "cancelled" })
+		{"a later job is cancelled by nobody", "went_back", func(*World) func(controller.Effect) controller.Effect {
+			return replies(c, func(r *controller.UserReply) { r.State = "cancelled" })
 		}, ""},
-		{"what comes after is called done", "not_done", func(*World) func(core.Effect) core.Effect {
-			return replies(c, func(r *core.UserReply) { r.State = "done" })
+		{"what comes after is called done", "not_done", func(*World) func(controller.Effect) controller.Effect {
+			return replies(c, func(r *controller.UserReply) { r.State = "done" })
 		}, milestoneAccepted},
-		{"what comes after a cancelled job is refused", "refused_wrongly", func(*World) func(core.Effect) core.Effect {
-			return replies(c, func(r *core.UserReply) { r.Status = 422 })
+		{"what comes after a cancelled job is refused", "refused_wrongly", func(*World) func(controller.Effect) controller.Effect {
+			return replies(c, func(r *controller.UserReply) { r.Status = 422 })
 		}, ""},
-		{"a later job is never released", RuleWaiting, func(w *World) func(core.Effect) core.Effect {
-			return func(e core.Effect) core.Effect {
-				return dropCommands(e, func(o core.TaskCommand) bool { return o.Kind == core.StartTask && o.Job == b })
+		{"a later job is never released", RuleWaiting, func(w *World) func(controller.Effect) controller.Effect {
+			return func(e controller.Effect) controller.Effect {
+				return dropCommands(e, func(o controller.TaskCommand) bool { return o.Kind == controller.StartTask && o.Job == b })
 			}
 		}, ""},
 	} {
@@ -257,23 +257,23 @@
 	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, FaultCount: -1, Pipelines: true})
 	for _, x := range []struct {
 		rule  string
-		wrong func(*World, core.Effect) core.Effect
+		wrong func(*World, controller.Effect) controller.Effect
 	}{
-		{"too_early", func(w *World, e core.Effect) core.Effect {
-			op, ok := e.(core.WorkerRequest)
+		{"too_early", func(w *World, e controller.Effect) controller.Effect {
+			op, ok := e.(controller.WorkerRequest)
 			if !ok || len(op.Commands) == 0 {
 				return e
 			}
 			for _, id := range sortedKeys(w.jobs) {
 				if j := w.jobs[id]; j.accepted && !j.dependenciesDone() && len(j.firstStarts) == 0 {
-					op.Commands = append(op.Commands[:len(op.Commands):len(op.Commands)], core.TaskCommand{Kind: core.StartTask, Job: id, Attempt: 99})
+					op.Commands = append(op.Commands[:len(op.Commands):len(op.Commands)], controller.TaskCommand{Kind: controller.StartTask, Job: id, Attempt: 99})
 					return op
 				}
 			}
 			return e
 		}},
-		{RuleOrphaned, func(w *World, e core.Effect) core.Effect {
-			if r, ok := e.(core.UserReply); ok && r.State == "cancelled" && w.jobs[r.ID] != nil && len(w.jobs[r.ID].dependencies) > 0 && !w.jobs[r.ID].cancelRequested {
+		{RuleOrphaned, func(w *World, e controller.Effect) controller.Effect {
+			if r, ok := e.(controller.UserReply); ok && r.State == "cancelled" && w.jobs[r.ID] != nil && len(w.jobs[r.ID].dependencies) > 0 && !w.jobs[r.ID].cancelRequested {
 				r.State = "queued"
 				return r
 			}
@@ -343,11 +343,11 @@
 		w := newTestWorld(11)
 		a, b, c := w.submitChain(10 * time.Second)
 		refused, over := 0, false
-		w.corruptEffect = func(e core.Effect) core.Effect {
+		w.corruptEffect = func(e controller.Effect) controller.Effect {
 			if !over && changes(e, "job/"+a.spec.ID) {
 				refused++
-				op := e.(core.StoreRequest)
-				op.Compares = append(slices.Clone(op.Compares), core.Compare{Key: "none", ModRevision: 1})
+				op := e.(controller.StoreRequest)
+				op.Compares = append(slices.Clone(op.Compares), controller.Compare{Key: "none", ModRevision: 1})
 				return op
 			}
 			return e
--- a/internal/standin/dates_test.go
+++ b/internal/simulation/promises_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -63,7 +63,7 @@
 func recordPromises(w *World) *promiseRecorder {
 	d := &promiseRecorder{world: w, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, changes: map[string]int{}}
 	w.state.onChange = d.onChange
-	w.onAnswer = func(asked time.Time, r core.UserReply) {
+	w.onAnswer = func(asked time.Time, r controller.UserReply) {
 		if r.PromiseRevision > 0 {
 			d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: promiseOperation{job: r.ID}, Call: d.since(asked), Output: promiseValue{r.PromiseRevision, r.PromisedAfter}, Return: d.since(w.now)})
 		}
@@ -89,7 +89,7 @@
 	d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: promiseOperation{id, x}, Call: at, Output: promiseValue{}, Return: at + 1})
 }
 
-func (d *promiseRecorder) onChange(it core.KeyValue) {
+func (d *promiseRecorder) onChange(it controller.KeyValue) {
 	d.changes[strings.SplitN(it.Key, "/", 2)[0]]++
 	if it.Deleted {
 		return
@@ -148,8 +148,8 @@
 		for _, p := range w.controllers {
 			asked := w.now
 			w.sendMessage("user", p.name, func() {
-				p.request(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, func(e core.Effect) {
-					r := e.(core.UserReply)
+				p.request(func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, func(e controller.Effect) {
+					r := e.(controller.UserReply)
 					w.sendMessage(p.name, "user", func() {
 						// Who asked has gone after the protocol's two seconds.
 						if w.now.Sub(asked) < 2*time.Second {
@@ -167,7 +167,7 @@
 func promiseWorld(seed uint64, n int) *World {
 	types, room := testTypes()
 	set := testSettings()
-	set.Capabilities = core.Capabilities{Promises: true, PromiseFraction: 0.95}
+	set.Capabilities = controller.Capabilities{Promises: true, PromiseFraction: 0.95}
 	return NewWorld(seed, n, set, testCancel, types, room)
 }
 
@@ -199,9 +199,9 @@
 }
 
 // isPage says that an effect writes a page of dates.
-func isPage(e core.Effect) bool {
-	op, ok := e.(core.StoreRequest)
-	return ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
+func isPage(e controller.Effect) bool {
+	op, ok := e.(controller.StoreRequest)
+	return ok && op.Kind == controller.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
 }
 
 // describe asks all controllers about all jobs and says what is to be said of the dates: how
@@ -212,7 +212,7 @@
 	var out strings.Builder
 	answered := w.onAnswer
 	alike := true
-	w.onAnswer = func(asked time.Time, r core.UserReply) {
+	w.onAnswer = func(asked time.Time, r controller.UserReply) {
 		answered(asked, r)
 		x := promiseValue{r.PromiseRevision, r.PromisedAfter}
 		if was, there := last[r.ID]; r.Status == 200 && r.State != "cancelled" {
@@ -278,8 +278,8 @@
 		w := promiseWorld(3, 3)
 		d := recordPromises(w)
 		first := map[string]promiseValue{}
-		w.corruptEffect = func(e core.Effect) core.Effect {
-			r, ok := e.(core.UserReply)
+		w.corruptEffect = func(e controller.Effect) controller.Effect {
+			r, ok := e.(controller.UserReply)
 			if !ok || r.PromiseRevision == 0 {
 				return e
 			}
@@ -294,8 +294,8 @@
 			return r
 		}
 		for i := range 4 {
-			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
+			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
+				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
 		}
 		d.askAll(w.startedAt.Add(5 * time.Minute))
 		w.Run(8 * time.Minute)
@@ -312,9 +312,9 @@
 func TestPromiseWritesAreGuarded(t *testing.T) {
 	w := promiseWorld(6, 3)
 	d := recordPromises(w)
-	var writes []core.StoreRequest
-	w.corruptEffect = func(e core.Effect) core.Effect {
-		op, ok := e.(core.StoreRequest)
+	var writes []controller.StoreRequest
+	w.corruptEffect = func(e controller.Effect) controller.Effect {
+		op, ok := e.(controller.StoreRequest)
 		if !ok || len(op.Writes) == 0 {
 			return e
 		}
@@ -341,8 +341,8 @@
 	}
 	for i := range 60 {
 		w.schedule(time.Duration(i)*4*time.Second, func() {
-			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: core.Normal, Tasks: 1 + i%5,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
+			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: controller.Normal, Tasks: 1 + i%5,
+				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
 			if i%9 == 8 {
 				w.schedule(30*time.Second, func() { w.Cancel(fmt.Sprintf("job-%03d", i)) })
 			}
@@ -360,8 +360,8 @@
 			// A page that has gone may come back so: all jobs in it are over.
 			continue
 		}
-		w.state.Do(w.now, op, func(done core.StoreResponse) {
-			if done.Status != core.StoreConflict {
+		w.state.Do(w.now, op, func(done controller.StoreResponse) {
+			if done.Status != controller.StoreConflict {
 				t.Errorf("a late write of %s is carried out", op.Writes[0].Key)
 			}
 		})
@@ -386,12 +386,12 @@
 	d := recordPromises(w)
 	submit := func(from, to int) {
 		for i := from; i < to; i++ {
-			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
+			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
+				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 		}
 	}
 	roll := func(on bool) {
-		w.settings.Capabilities = core.Capabilities{Promises: on, PromiseFraction: 0.95}
+		w.settings.Capabilities = controller.Capabilities{Promises: on, PromiseFraction: 0.95}
 		for i := range w.controllers {
 			w.CrashController(i, 500*time.Millisecond)
 			w.Run(6 * time.Second)
@@ -439,8 +439,8 @@
 	d := recordPromises(w)
 	for i := range 6 {
 		w.schedule(time.Duration(i)*40*time.Second, func() {
-			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: core.Normal, Tasks: 2,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Hour}, time.Hour, false)
+			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: controller.Normal, Tasks: 2,
+				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Hour}, time.Hour, false)
 		})
 	}
 	w.Run(7 * time.Minute)
--- a/internal/standin/ranking.go
+++ b/internal/simulation/ranking_checks.go
@@ -1,10 +1,10 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/ranking"
 )
 
@@ -67,8 +67,8 @@
 }
 
 // onDecision sees the decisions of a core's step.
-func (r *rankingChecker) onDecision(p *controllerProcess, e core.Effect) {
-	l, ok := e.(core.Log)
+func (r *rankingChecker) onDecision(p *controllerProcess, e controller.Effect) {
+	l, ok := e.(controller.Log)
 	if r == nil || !ok || l.Message != "placed" {
 		return
 	}
@@ -112,21 +112,21 @@
 }
 
 // onSend sees what surely leaves a controller.
-func (r *rankingChecker) onSend(p *controllerProcess, e core.Effect) {
+func (r *rankingChecker) onSend(p *controllerProcess, e controller.Effect) {
 	if r == nil {
 		return
 	}
-	var orders []core.TaskCommand
+	var orders []controller.TaskCommand
 	switch x := e.(type) {
-	case core.WorkerRequest:
+	case controller.WorkerRequest:
 		orders = x.Commands
-	case core.HeartbeatReply:
+	case controller.HeartbeatReply:
 		orders = x.Commands
 	}
 	for _, o := range orders {
 		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
 		under, known := r.decidedUnder[name]
-		if o.Kind != core.StartTask || r.startSent[name] || !known {
+		if o.Kind != controller.StartTask || r.startSent[name] || !known {
 			// What may have left before is repeated as ever.
 			continue
 		}
@@ -144,7 +144,7 @@
 }
 
 // SetRanking has a controller set a ranking, and tells its answer, if there is one.
-func (w *World) SetRanking(i int, c core.SetRanking, tell func(core.RankingReply)) {
+func (w *World) SetRanking(i int, c controller.SetRanking, tell func(controller.RankingReply)) {
 	c.Deadline = w.now.Add(4 * time.Second)
-	w.controllers[i].request(func(reply uint64) core.Command { c.Reply = reply; return c }, func(e core.Effect) { tell(e.(core.RankingReply)) })
+	w.controllers[i].request(func(reply uint64) controller.Command { c.Reply = reply; return c }, func(e controller.Effect) { tell(e.(controller.RankingReply)) })
 }
--- a/internal/standin/ranking_test.go
+++ b/internal/simulation/ranking_checks_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/cockroachdb/datadriven"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/ranking"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -50,8 +50,8 @@
 		for w.jobs[id] != nil {
 			id += "x"
 		}
-		w.Submit(core.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: core.Normal, Tasks: 2, AllowSpot: true,
-			Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: run}, run, false)
+		w.Submit(controller.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: controller.Normal, Tasks: 2, AllowSpot: true,
+			Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: run}, run, false)
 	}
 }
 
@@ -71,9 +71,11 @@
 	}
 	told := make([]string, len(nodes))
 	for k, i := range nodes {
-		c := core.SetRanking{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
+		c := controller.SetRanking{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
 		told[k] = "no answer"
-		s.world.SetRanking(i, c, func(r core.RankingReply) { told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message) })
+		s.world.SetRanking(i, c, func(r controller.RankingReply) {
+			told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message)
+		})
 	}
 	s.world.Run(seconds(t, d, "for", 4.5))
 	if d.HasArg("quiet") {
@@ -103,8 +105,8 @@
 		if !p.alive {
 			continue
 		}
-		s.world.controllers[i].request(func(r uint64) core.Command { return core.QueryRanking{Reply: r} }, func(e core.Effect) {
-			if e.(core.RankingReply).Revision != rec.Revision {
+		s.world.controllers[i].request(func(r uint64) controller.Command { return controller.QueryRanking{Reply: r} }, func(e controller.Effect) {
+			if e.(controller.RankingReply).Revision != rec.Revision {
 				behind++
 			}
 		})
@@ -116,7 +118,7 @@
 // why asks the owner of a job's team why it waits.
 func (s *scenario) why(id string) string {
 	out := "no answer"
-	s.world.controllers[s.world.ownerOf("ops")].request(func(r uint64) core.Command { return core.QueryRanking{Reply: r, Job: id} }, func(e core.Effect) { out = e.(core.RankingReply).Explanation })
+	s.world.controllers[s.world.ownerOf("ops")].request(func(r uint64) controller.Command { return controller.QueryRanking{Reply: r, Job: id} }, func(e controller.Effect) { out = e.(controller.RankingReply).Explanation })
 	s.world.Run(time.Second)
 	// What is free just then is luck.
 	out, _, _ = strings.Cut(out, ";")
@@ -168,19 +170,19 @@
 				set.Objectives = nil
 				w := NewWorld(7, nodes, set, testCancel, types, map[string]int{"small/a/true": 3})
 				w.CheckRanking()
-				favours := func(rush float64) core.Policy {
-					p := core.DefaultPolicy()
+				favours := func(rush float64) controller.Policy {
+					p := controller.DefaultPolicy()
 					p.WorkloadWeights = map[string]float64{"rush-rx": rush, "reprint": -rush}
 					return p
 				}
-				w.adjustSettings = func(i int, s *core.Settings) { s.Policy = favours(1) }
+				w.adjustSettings = func(i int, s *controller.Settings) { s.Policy = favours(1) }
 				for _, p := range w.controllers {
 					p.start()
 				}
 				// Who ever starts from now on has another script.
 				w.Run(20 * time.Second)
 				owner := w.ownerOf("ops")
-				w.adjustSettings = func(i int, s *core.Settings) { s.Policy = favours(-1) }
+				w.adjustSettings = func(i int, s *controller.Settings) { s.Policy = favours(-1) }
 				for i := range w.controllers {
 					if i != owner {
 						w.CrashController(i, time.Second)
@@ -262,10 +264,10 @@
 					owner := w.ownerOf("ops")
 					setter := (owner + 1) % nodes
 					w.duplicateRate = 0.05
-					w.SetRanking(setter, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(core.RankingReply) {})
+					w.SetRanking(setter, controller.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(controller.RankingReply) {})
 					w.Run(4 * time.Second)
-					var told core.RankingReply
-					w.SetRanking(setter, core.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r core.RankingReply) { told = r })
+					var told controller.RankingReply
+					w.SetRanking(setter, controller.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r controller.RankingReply) { told = r })
 					w.Run(step)
 					switch who {
 					case "setter":
@@ -309,11 +311,11 @@
 // its order, for less than its grant lives or for a minute; another ranking is set
 // meanwhile by one that lives.
 func TestStartsOfAStall(t *testing.T) {
-	order := func(e core.Effect) bool {
-		op, ok := e.(core.WorkerRequest)
-		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == core.StartTask
+	order := func(e controller.Effect) bool {
+		op, ok := e.(controller.WorkerRequest)
+		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == controller.StartTask
 	}
-	for what, moment := range map[string]func(core.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
+	for what, moment := range map[string]func(controller.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
 		for _, long := range []time.Duration{3400 * time.Millisecond, time.Minute} {
 			t.Run(fmt.Sprint(what, long), func(t *testing.T) {
 				t.Parallel()
@@ -329,7 +331,7 @@
 						w.Run(time.Millisecond)
 					}
 					if w.now.Before(p.pausedUntil) {
-						w.SetRanking((owner+1)%3, core.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r core.RankingReply) {
+						w.SetRanking((owner+1)%3, controller.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r controller.RankingReply) {
 							overtaken += boolInt(r.Status == 200 && w.now.Before(p.pausedUntil.Add(-maxOutdatedStartDelay)))
 						})
 					}
@@ -363,7 +365,7 @@
 				for k := range 60 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.schedule(time.Duration(k)*time.Second, func() {
-						w.SetRanking(k%5, core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r core.RankingReply) { held += boolInt(r.Status == 200) })
+						w.SetRanking(k%5, controller.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r controller.RankingReply) { held += boolInt(r.Status == 200) })
 					})
 				}
 				flood(w, "reprint-a", 30, 5*time.Second)
@@ -407,7 +409,7 @@
 			for k := range 30 {
 				text := []string{rushFirst, reprintFirst, "[[class]]\nname = \"b\"\nworkloads = [\"batch\"]\nurgency = \"normal\"\n"}[rng.IntN(3)]
 				w.schedule(time.Duration(10+k*11+rng.IntN(5))*time.Second, func() {
-					w.SetRanking(rng.IntN(len(w.controllers)), core.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(core.RankingReply) {})
+					w.SetRanking(rng.IntN(len(w.controllers)), controller.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(controller.RankingReply) {})
 				})
 			}
 			randomDay(w, seed+500)
@@ -428,19 +430,19 @@
 		types, room := testTypes()
 		set := testSettings()
 		set.Capabilities.Ranking = true
-		set.Objectives = []core.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
+		set.Objectives = []controller.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
 		w := NewWorld(11, 5, set, testCancel, types, room)
 		w.CheckRanking()
 		w.rankingCheck.startsOnly = true
 		w.Run(10 * time.Second)
-		w.SetRanking(2, core.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(core.RankingReply) {})
+		w.SetRanking(2, controller.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(controller.RankingReply) {})
 		rush := func(part string) (worst time.Duration) {
 			var ids []string
 			for i := range 10 {
 				id := fmt.Sprintf("job-%s-%02d", part, i)
 				ids = append(ids, id)
-				w.Submit(core.JobSpec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: core.Urgent, Tasks: 2, AllowSpot: true,
-					Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: 6 * time.Second}, 6*time.Second, false)
+				w.Submit(controller.JobSpec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: controller.Urgent, Tasks: 2, AllowSpot: true,
+					Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: 6 * time.Second}, 6*time.Second, false)
 				w.Run(1500 * time.Millisecond)
 			}
 			w.Run(time.Minute)
@@ -493,7 +495,7 @@
 		// Those without one are not held to it.
 		w.rankingCheck = nil
 		on := false
-		w.adjustSettings = func(_ int, s *core.Settings) { s.Capabilities.Ranking = on }
+		w.adjustSettings = func(_ int, s *controller.Settings) { s.Capabilities.Ranking = on }
 		for i := range nodes {
 			w.CrashController(i, time.Second)
 		}
--- a/internal/standin/move_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // rebalancingWorld is a world under steady load in which teams move: two controllers at first
@@ -17,22 +17,22 @@
 	set := testSettings()
 	set.Zones, set.Teams, set.StoreWritesPerSecond = []string{"a"}, nil, 60
 	for i := range teams {
-		set.Teams = append(set.Teams, core.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
+		set.Teams = append(set.Teams, controller.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
 	}
-	w := NewWorld(seed, 3, set, testCancel, []core.MachineType{
-		{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
-		{Name: "big", Capacity: core.Resources{CPU: 16, Memory: 64}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 0.8, SpotCostPerHour: 0.3, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+	w := NewWorld(seed, 3, set, testCancel, []controller.MachineType{
+		{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+		{Name: "big", Capacity: controller.Resources{CPU: 16, Memory: 64}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 0.8, SpotCostPerHour: 0.3, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"small/a/true": 30, "small/a/false": 30, "big/a/true": 12, "big/a/false": 10})
 	for i := range teams {
 		team := set.Teams[i].Name
-		w.Submit(core.JobSpec{ID: "job-s" + team, Workload: "service", Team: team, LongRunning: true, Urgency: core.Urgent, Tasks: 3,
-			Need: core.Resources{CPU: 1, Memory: 1}, Image: "svc", ImageGB: 1}, 0, false)
+		w.Submit(controller.JobSpec{ID: "job-s" + team, Workload: "service", Team: team, LongRunning: true, Urgency: controller.Urgent, Tasks: 3,
+			Need: controller.Resources{CPU: 1, Memory: 1}, Image: "svc", ImageGB: 1}, 0, false)
 		k := 0
 		var next func()
 		next = func() {
 			k++
-			w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: core.Normal, Tasks: 3,
-				Need: core.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
+			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: controller.Normal, Tasks: 3,
+				Need: controller.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 			w.schedule(2*time.Second, next)
 		}
 		w.schedule(time.Duration(i)*100*time.Millisecond, next)
@@ -48,7 +48,7 @@
 		if _, err := fmt.Sscan(l, &at); err != nil || !strings.Contains(l, "a team comes [team "+team+"]") {
 			continue
 		}
-		if t := w.startedAt.Add(core.Seconds(at)); t.After(since) {
+		if t := w.startedAt.Add(controller.Seconds(at)); t.After(since) {
 			out = append(out, t)
 		}
 	}
@@ -87,8 +87,8 @@
 			continue
 		}
 		out[p.name] = 0
-		p.request(func(r uint64) core.Command { return core.QueryStatus{Reply: r} }, func(e core.Effect) {
-			for _, x := range e.(core.StatusReply).Teams {
+		p.request(func(r uint64) controller.Command { return controller.QueryStatus{Reply: r} }, func(e controller.Effect) {
+			for _, x := range e.(controller.StatusReply).Teams {
 				if x.IsLocal && x.Ready {
 					out[p.name]++
 				}
--- a/internal/standin/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"fmt"
@@ -11,23 +11,23 @@
 	"time"
 
 	"github.com/cockroachdb/datadriven"
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
-func testSettings() core.Settings {
-	return core.Settings{
+func testSettings() controller.Settings {
+	return controller.Settings{
 		Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second,
 		MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 150, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 8, CloudListLag: 4 * time.Second,
-		Policy:     core.DefaultPolicy(),
-		Objectives: []core.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Fraction: 0.9}},
-		Teams:      []core.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: core.Resources{CPU: 40}}},
+		Policy:     controller.DefaultPolicy(),
+		Objectives: []controller.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Fraction: 0.9}},
+		Teams:      []controller.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: controller.Resources{CPU: 40}}},
 	}
 }
 
-func testTypes() ([]core.MachineType, map[string]int) {
-	return []core.MachineType{
-			{Name: "small", Capacity: core.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
-			{Name: "big", Capacity: core.Resources{CPU: 32, Memory: 128}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 1.5, SpotCostPerHour: 0.5, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+func testTypes() ([]controller.MachineType, map[string]int) {
+	return []controller.MachineType{
+			{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
+			{Name: "big", Capacity: controller.Resources{CPU: 32, Memory: 128}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 1.5, SpotCostPerHour: 0.5, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 		}, map[string]int{
 			"small/a/true": 4, "small/a/false": 6, "small/b/true": 3, "small/b/false": 6, "big/a/true": 1, "big/a/false": 2,
 		}
@@ -62,10 +62,10 @@
 	for _, id := range ids {
 		s.unreachable[id] = true
 	}
-	s.world.corruptEffect = func(e core.Effect) core.Effect {
-		if op, ok := e.(core.WorkerRequest); ok && s.unreachable[op.Machine] && s.world.now.Before(s.world.machines[op.Machine].unreachableUntil) {
+	s.world.corruptEffect = func(e controller.Effect) controller.Effect {
+		if op, ok := e.(controller.WorkerRequest); ok && s.unreachable[op.Machine] && s.world.now.Before(s.world.machines[op.Machine].unreachableUntil) {
 			for _, o := range op.Commands {
-				if o.Kind == core.StartTask {
+				if o.Kind == controller.StartTask {
 					s.startedUnreachable[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)] = true
 				}
 			}
@@ -82,16 +82,16 @@
 }
 
 func seconds(t *testing.T, d *datadriven.TestData, name string, def float64) time.Duration {
-	return core.Seconds(arg(t, d, name, def))
+	return controller.Seconds(arg(t, d, name, def))
 }
 
 func (s *scenario) submit(t *testing.T, d *datadriven.TestData) {
 	run := seconds(t, d, "run", 20)
 	cpu := arg(t, d, "cpu", 2.0)
-	spec := core.JobSpec{
+	spec := controller.JobSpec{
 		ID: arg(t, d, "id", ""), Workload: arg(t, d, "workload", "batch"), Team: arg(t, d, "team", "ops"),
-		LongRunning: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: core.Urgency(arg(t, d, "urgency", 1)),
-		Tasks: arg(t, d, "tasks", 1), Need: core.Resources{CPU: cpu, Memory: cpu},
+		LongRunning: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: controller.Urgency(arg(t, d, "urgency", 1)),
+		Tasks: arg(t, d, "tasks", 1), Need: controller.Resources{CPU: cpu, Memory: cpu},
 		Image: arg(t, d, "image", "img-1"), ImageGB: 1, Zone: arg(t, d, "zone", ""),
 		SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart"), AllowSpot: d.HasArg("spot"),
 		ExpectedRunTime: seconds(t, d, "expected", run.Seconds()), CheckpointInterval: seconds(t, d, "save", 0), CheckpointCost: seconds(t, d, "cost", 0),
@@ -107,44 +107,56 @@
 }
 
 // pausePoints are what a process may be about to send when it stands still.
-var pausePoints = map[string]func(core.Effect) bool{
-	"renew":    func(e core.Effect) bool { op, ok := e.(core.StoreRequest); return ok && op.Kind == core.OpLeaseRenew },
-	"claim":    func(e core.Effect) bool { return changes(e, "ctl/lead") },
-	"share":    func(e core.Effect) bool { return changes(e, "ctl/share/") },
-	"register": func(e core.Effect) bool { return changes(e, "ctl/node/") },
-	"read": func(e core.Effect) bool {
-		op, ok := e.(core.StoreRequest)
-		return ok && op.Kind == core.OpList && op.Key == "task/"
+var pausePoints = map[string]func(controller.Effect) bool{
+	"renew": func(e controller.Effect) bool {
+		op, ok := e.(controller.StoreRequest)
+		return ok && op.Kind == controller.OpLeaseRenew
 	},
-	"epoch": func(e core.Effect) bool {
-		op, ok := e.(core.WorkerRequest)
+	"claim":    func(e controller.Effect) bool { return changes(e, "ctl/lead") },
+	"share":    func(e controller.Effect) bool { return changes(e, "ctl/share/") },
+	"register": func(e controller.Effect) bool { return changes(e, "ctl/node/") },
+	"read": func(e controller.Effect) bool {
+		op, ok := e.(controller.StoreRequest)
+		return ok && op.Kind == controller.OpList && op.Key == "task/"
+	},
+	"epoch": func(e controller.Effect) bool {
+		op, ok := e.(controller.WorkerRequest)
 		return ok && !op.StatusOnly && len(op.Commands) == 0
 	},
-	"submit": func(e core.Effect) bool {
-		op, ok := e.(core.StoreRequest)
-		return ok && op.Kind == core.OpTxn && op.Priority == core.PriorityUser
+	"submit": func(e controller.Effect) bool {
+		op, ok := e.(controller.StoreRequest)
+		return ok && op.Kind == controller.OpTxn && op.Priority == controller.PriorityUser
+	},
+	"start": func(e controller.Effect) bool {
+		op, ok := e.(controller.StoreRequest)
+		return ok && op.Kind == controller.OpTxn && op.Priority == controller.PriorityStart
+	},
+	"rent": func(e controller.Effect) bool {
+		op, ok := e.(controller.CloudRequest)
+		return ok && op.Kind == controller.CloudRent
+	},
+	"return": func(e controller.Effect) bool {
+		op, ok := e.(controller.CloudRequest)
+		return ok && op.Kind == controller.CloudRelease
 	},
-	"start": func(e core.Effect) bool {
-		op, ok := e.(core.StoreRequest)
-		return ok && op.Kind == core.OpTxn && op.Priority == core.PriorityStart
+	"orders": func(e controller.Effect) bool {
+		op, ok := e.(controller.WorkerRequest)
+		return ok && len(op.Commands) > 0
 	},
-	"rent":   func(e core.Effect) bool { op, ok := e.(core.CloudRequest); return ok && op.Kind == core.CloudRent },
-	"return": func(e core.Effect) bool { op, ok := e.(core.CloudRequest); return ok && op.Kind == core.CloudRelease },
-	"orders": func(e core.Effect) bool { op, ok := e.(core.WorkerRequest); return ok && len(op.Commands) > 0 },
-	"rank": func(e core.Effect) bool {
-		op, ok := e.(core.StoreRequest)
-		return ok && op.Kind == core.OpTxn && len(op.Writes) > 0 && op.Writes[0].Key == "ctl/ranking"
+	"rank": func(e controller.Effect) bool {
+		op, ok := e.(controller.StoreRequest)
+		return ok && op.Kind == controller.OpTxn && len(op.Writes) > 0 && op.Writes[0].Key == "ctl/ranking"
 	},
-	"report": func(e core.Effect) bool { r, ok := e.(core.HeartbeatReply); return ok && r.Status == 200 },
-	"accept": func(e core.Effect) bool { r, ok := e.(core.UserReply); return ok && r.Status == 201 },
+	"report": func(e controller.Effect) bool { r, ok := e.(controller.HeartbeatReply); return ok && r.Status == 200 },
+	"accept": func(e controller.Effect) bool { r, ok := e.(controller.UserReply); return ok && r.Status == 201 },
 	"page":   isPage,
-	"poll":   func(e core.Effect) bool { r, ok := e.(core.UserReply); return ok && r.Status == 200 },
+	"poll":   func(e controller.Effect) bool { r, ok := e.(controller.UserReply); return ok && r.Status == 200 },
 }
 
 // changes says that an effect writes a key with this beginning.
-func changes(e core.Effect, key string) bool {
-	op, ok := e.(core.StoreRequest)
-	return ok && slices.ContainsFunc(op.Writes, func(c core.Write) bool { return strings.HasPrefix(c.Key, key) })
+func changes(e controller.Effect, key string) bool {
+	op, ok := e.(controller.StoreRequest)
+	return ok && slices.ContainsFunc(op.Writes, func(c controller.Write) bool { return strings.HasPrefix(c.Key, key) })
 }
 
 // busiest is the nth machine with the most tasks on it.
@@ -302,7 +314,7 @@
 	case "held_order":
 		// d is another command's by then.
 		abort, crash, recall := d.HasArg("abort"), d.HasArg("crash"), d.HasArg("recall")
-		s.holdCommand(dur, func(op core.WorkerRequest) {
+		s.holdCommand(dur, func(op controller.WorkerRequest) {
 			if abort {
 				w.Cancel(op.Commands[0].Job)
 			}
@@ -333,7 +345,7 @@
 		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.2), Duration: dur})
 	case "damage":
 		// Somebody writes what no version understands.
-		w.state.txn(core.StoreRequest{Writes: []core.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &core.StoreResponse{})
+		w.state.txn(controller.StoreRequest{Writes: []controller.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &controller.StoreResponse{})
 	case "loss":
 		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.02), Duration: dur})
 	default:
@@ -412,8 +424,8 @@
 					if s.world.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
 						continue
 					}
-					s.world.Submit(core.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 1 + i%4,
-						Need: core.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
+					s.world.Submit(controller.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 1 + i%4,
+						Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
 				}
 			case "abort":
 				id, at := arg(t, d, "id", ""), milestone(arg(t, d, "at", ""))
@@ -489,9 +501,9 @@
 			id++
 			run := time.Duration(5+rng.IntN(30)) * time.Second
 			cpu := []float64{1, 2, 4, 8}[rng.IntN(4)]
-			spec := core.JobSpec{
+			spec := controller.JobSpec{
 				ID: fmt.Sprintf("job-%06d", id), Workload: []string{"batch", "rush"}[rng.IntN(2)], Team: []string{"ops", "lab"}[rng.IntN(2)],
-				Urgency: core.Urgency(rng.IntN(4)), Tasks: 1 + rng.IntN(6), Need: core.Resources{CPU: cpu, Memory: cpu},
+				Urgency: controller.Urgency(rng.IntN(4)), Tasks: 1 + rng.IntN(6), Need: controller.Resources{CPU: cpu, Memory: cpu},
 				Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 0.5 + rng.Float64()*3, AllowSpot: rng.IntN(3) > 0,
 				ExpectedRunTime: run, SameZone: rng.IntN(5) == 0, SpreadZones: cpu <= 4 && rng.IntN(6) == 0, Gang: cpu <= 2 && rng.IntN(8) == 0,
 			}
@@ -528,7 +540,7 @@
 }
 
 // randomCapabilities switches on each part of the product on half of the days, by chance.
-func randomCapabilities(seed uint64) core.Capabilities {
+func randomCapabilities(seed uint64) controller.Capabilities {
 	rng := rand.New(rand.NewPCG(seed, 64))
 	p := DayParams{}
 	for _, part := range []string{"ranking", "promises", "models"} {
@@ -559,7 +571,7 @@
 				w.lossRate, w.duplicateRate = 0.02, 0.02
 			}
 			// One day with the lines on some jobs or machines, such as job-000013|vm-000003:
-			// MICAHILL_TRACE=... go test ./internal/standin -run 'TestSimulation$/^7$'
+			// MICAHILL_TRACE=... go test ./internal/simulation -run 'TestSimulation$/^7$'
 			w.trace = os.Getenv("MICAHILL_TRACE")
 			randomDay(w, seed)
 			for _, b := range w.Violations {
@@ -597,8 +609,8 @@
 		{"ran_cancelled", func(w *World) {
 			// Stops get lost, and answers prolong leases all the same: an owner that has
 			// no proof would let the lease run out.
-			w.corruptEffect = func(e core.Effect) core.Effect {
-				if x, ok := e.(core.HeartbeatReply); ok && x.Status == 503 {
+			w.corruptEffect = func(e controller.Effect) controller.Effect {
+				if x, ok := e.(controller.HeartbeatReply); ok && x.Status == 503 {
 					x.Status, x.Epoch = 200, math.MaxUint64
 					e = x
 				}
@@ -607,8 +619,8 @@
 		}},
 		{"not_done", func(w *World) {
 			// Every job is called done.
-			w.corruptEffect = func(e core.Effect) core.Effect {
-				if x, ok := e.(core.UserReply); ok && x.Status == 200 {
+			w.corruptEffect = func(e controller.Effect) controller.Effect {
+				if x, ok := e.(controller.UserReply); ok && x.Status == 200 {
 					x.State = "done"
 					return x
 				}
@@ -620,8 +632,8 @@
 			w := newTestWorld(5)
 			c.break_(w)
 			for i := range 12 {
-				w.Submit(core.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: core.Normal, Tasks: 2,
-					Need: core.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 90 * time.Second}, 90*time.Second, false)
+				w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
+					Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 90 * time.Second}, 90*time.Second, false)
 			}
 			w.Run(60 * time.Second)
 			for i := range 4 {
--- a/internal/standin/seek.go
+++ b/internal/simulation/search.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/seek"
+	"github.com/micahill/micahill/internal/search"
 )
 
 // seek.go draws days for a search by the slack that they leave, changes them, and keeps
@@ -36,8 +36,8 @@
 
 // SearchProblem is what is searched among days of meetings like p; p's zeros are drawn. played is
 // told of each day that was played, from several at a time.
-func SearchProblem(p DayParams, onResult func(DayResult)) seek.Problem[Day] {
-	return seek.Problem[Day]{
+func SearchProblem(p DayParams, onResult func(DayResult)) search.Problem[Day] {
+	return search.Problem[Day]{
 		Generate: func(rng *rand.Rand) Day {
 			x := p
 			x.Seed, x.OverlappingFaults = rng.Uint64N(1<<32), true
--- a/internal/standin/state.go
+++ b/internal/simulation/state_service.go
@@ -1,7 +1,7 @@
-// Package standin holds our own models of the state service, the cloud, the
+// Package simulation holds our own models of the state service, the cloud, the
 // workers and the users, written from the protocol, and a world in simulated
 // time in which real cores meet them, with faults. The tests live on it.
-package standin
+package simulation
 
 import (
 	"slices"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // maxKeptChanges is how many changes the state service keeps for watches.
@@ -24,9 +24,9 @@
 	lastLeaseID uint64
 	// writeCount counts the changes.
 	writeCount int
-	changes    []core.KeyValue
+	changes    []controller.KeyValue
 	// onChange is told of every change, and pages counts those of pages of dates.
-	onChange   func(core.KeyValue)
+	onChange   func(controller.KeyValue)
 	pageWrites int
 	// compactedRevision is the newest revision whose change is no longer kept.
 	compactedRevision uint64
@@ -53,9 +53,9 @@
 }
 
 type pendingWatch struct {
-	request   core.StoreRequest
+	request   controller.StoreRequest
 	expiresAt time.Time
-	answer    func(core.StoreResponse)
+	answer    func(controller.StoreResponse)
 }
 
 // NewStateService makes an empty one.
@@ -78,7 +78,7 @@
 	keep := s.watches[:0]
 	for _, w := range s.watches {
 		if now.After(w.expiresAt) {
-			w.answer(core.StoreResponse{ID: w.request.ID, Status: core.StoreOK, Revision: s.revision})
+			w.answer(controller.StoreResponse{ID: w.request.ID, Status: controller.StoreOK, Revision: s.revision})
 		} else {
 			keep = append(keep, w)
 		}
@@ -115,11 +115,11 @@
 func (s *StateService) remove(key string) {
 	if _, ok := s.records[key]; ok {
 		delete(s.records, key)
-		s.recordChange(core.KeyValue{Key: key, ModRevision: s.revision, Deleted: true})
+		s.recordChange(controller.KeyValue{Key: key, ModRevision: s.revision, Deleted: true})
 	}
 }
 
-func (s *StateService) recordChange(it core.KeyValue) {
+func (s *StateService) recordChange(it controller.KeyValue) {
 	s.changes = append(s.changes, it)
 	if strings.HasPrefix(it.Key, "open/~") {
 		s.pageWrites++
@@ -145,12 +145,12 @@
 	}
 	s.watches = keep
 	for _, w := range ready {
-		w.answer(core.StoreResponse{ID: w.request.ID, Status: core.StoreOK, Revision: s.revision, KeyValues: s.changesSince(w.request.Key, w.request.Revision)})
+		w.answer(controller.StoreResponse{ID: w.request.ID, Status: controller.StoreOK, Revision: s.revision, KeyValues: s.changesSince(w.request.Key, w.request.Revision)})
 	}
 }
 
-func (s *StateService) changesSince(prefix string, rev uint64) []core.KeyValue {
-	var out []core.KeyValue
+func (s *StateService) changesSince(prefix string, rev uint64) []controller.KeyValue {
+	var out []controller.KeyValue
 	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > rev })
 	for _, it := range s.changes[i:] {
 		if strings.HasPrefix(it.Key, prefix) {
@@ -161,66 +161,66 @@
 }
 
 // malformed says that a request breaks the limits of now.
-func (s *StateService) malformed(op *core.StoreRequest) bool {
+func (s *StateService) malformed(op *controller.StoreRequest) bool {
 	return s.limits != nil && s.limits.malformedReason(op) != ""
 }
 
 // Do executes a request; the answer may come later, for a watch. Without limits, set
 // by Limit, it takes requests of any size, as often as they come.
-func (s *StateService) Do(now time.Time, op core.StoreRequest, answer func(core.StoreResponse)) {
+func (s *StateService) Do(now time.Time, op controller.StoreRequest, answer func(controller.StoreResponse)) {
 	s.Expire(now)
-	out := core.StoreResponse{ID: op.ID, Status: core.StoreOK, Revision: s.revision}
+	out := controller.StoreResponse{ID: op.ID, Status: controller.StoreOK, Revision: s.revision}
 	if s.limits != nil {
 		if why := s.limits.malformedReason(&op); why != "" {
 			s.Malformed++
 			s.LastMalformed = why
-			answer(core.StoreResponse{ID: op.ID, Status: core.StoreMalformed})
+			answer(controller.StoreResponse{ID: op.ID, Status: controller.StoreMalformed})
 			return
 		}
 		if !s.limits.allow(now, &op) {
 			s.RateLimited++
-			answer(core.StoreResponse{ID: op.ID, Status: StoreRateLimited})
+			answer(controller.StoreResponse{ID: op.ID, Status: StoreRateLimited})
 			return
 		}
 	}
-	if op.Kind != core.OpTxn {
+	if op.Kind != controller.OpTxn {
 		s.Reads++
 	}
 	switch op.Kind {
-	case core.OpGet:
+	case controller.OpGet:
 		if r, ok := s.records[op.Key]; ok {
-			out.KeyValues = []core.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.modRevision}}
+			out.KeyValues = []controller.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.modRevision}}
 		} else {
-			out.Status = core.StoreNotFound
+			out.Status = controller.StoreNotFound
 		}
-	case core.OpList:
+	case controller.OpList:
 		out.KeyValues, out.Truncated = s.list(op.Key, op.StartAfter)
-	case core.OpWatch:
+	case controller.OpWatch:
 		if op.Revision < s.compactedRevision {
-			out.Status = core.StoreCompacted
+			out.Status = controller.StoreCompacted
 			break
 		}
 		if out.KeyValues = s.changesSince(op.Key, op.Revision); len(out.KeyValues) == 0 && op.WatchTimeout > 0 {
 			s.watches = append(s.watches, &pendingWatch{op, now.Add(op.WatchTimeout), answer})
 			return
 		}
-	case core.OpLeaseGrant:
+	case controller.OpLeaseGrant:
 		s.lastLeaseID++
 		s.leases[s.lastLeaseID] = &leaseState{op.TTL, now.Add(op.TTL)}
 		out.LeaseID = s.lastLeaseID
-	case core.OpLeaseRenew:
+	case controller.OpLeaseRenew:
 		if g, ok := s.leases[op.LeaseID]; ok {
 			g.expiresAt = now.Add(g.ttl)
 		} else {
-			out.Status = core.StoreNotFound
+			out.Status = controller.StoreNotFound
 		}
-	case core.OpLeaseRevoke:
+	case controller.OpLeaseRevoke:
 		if _, ok := s.leases[op.LeaseID]; ok {
 			s.revokeLease(op.LeaseID)
 		} else {
-			out.Status = core.StoreNotFound
+			out.Status = controller.StoreNotFound
 		}
-	case core.OpTxn:
+	case controller.OpTxn:
 		s.txn(op, &out)
 	}
 	answer(out)
@@ -232,7 +232,7 @@
 	listBytes = 512 << 10
 )
 
-func (s *StateService) list(prefix, from string) ([]core.KeyValue, bool) {
+func (s *StateService) list(prefix, from string) ([]controller.KeyValue, bool) {
 	var keys []string
 	for k := range s.records {
 		if strings.HasPrefix(k, prefix) && k > from {
@@ -248,21 +248,21 @@
 	if more {
 		keys = keys[:page]
 	}
-	var out []core.KeyValue
+	var out []controller.KeyValue
 	size := 0
 	for _, k := range keys {
 		if size += 3 * len(s.records[k].value); size > listBytes && len(out) > 0 {
 			return out, true
 		}
-		out = append(out, core.KeyValue{Key: k, Value: s.records[k].value, ModRevision: s.records[k].modRevision})
+		out = append(out, controller.KeyValue{Key: k, Value: s.records[k].value, ModRevision: s.records[k].modRevision})
 	}
 	return out, more
 }
 
-func (s *StateService) txn(op core.StoreRequest, out *core.StoreResponse) {
+func (s *StateService) txn(op controller.StoreRequest, out *controller.StoreResponse) {
 	for _, a := range op.Writes {
 		if _, ok := s.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
-			out.Status = core.StoreNoLease
+			out.Status = controller.StoreNoLease
 			return
 		}
 	}
@@ -276,7 +276,7 @@
 		}
 	}
 	if len(out.FailedKeys) > 0 {
-		out.Status = core.StoreConflict
+		out.Status = controller.StoreConflict
 		return
 	}
 	if len(op.Writes) == 0 {
@@ -290,7 +290,7 @@
 			continue
 		}
 		s.records[a.Key] = &storedRecord{a.Value, s.revision, a.LeaseID}
-		s.recordChange(core.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.revision})
+		s.recordChange(controller.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.revision})
 	}
 	out.Revision = s.revision
 	s.notifyWatches()
--- a/internal/standin/limits.go
+++ b/internal/simulation/store_limits.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"encoding/json"
@@ -6,14 +6,14 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
 
 // StoreRateLimited stands for a 429, of which the cores never hear: their client tries
 // again.
-const StoreRateLimited core.StoreStatus = -1
+const StoreRateLimited controller.StoreStatus = -1
 
 // storeLimits are those of the protocol and the settings. Sizes are counted by writing the
 // JSON, on purpose: the controllers reckon them another way, and would agree with
@@ -33,7 +33,7 @@
 // SetLimits makes the service keep the limits of the settings: the size of values and
 // transactions, and requests and changes a second with bursts of one second's worth.
 // Settings that say nothing of sizes leave it without limits.
-func (s *StateService) SetLimits(settings core.Settings) {
+func (s *StateService) SetLimits(settings controller.Settings) {
 	if settings.MaxTxnWrites == 0 || settings.MaxValueBytes == 0 {
 		return
 	}
@@ -51,13 +51,13 @@
 
 // allow takes a request's part of the rates, if there is enough left. A transaction
 // that is refused for its changes counts as a request all the same.
-func (l *storeLimits) allow(now time.Time, op *core.StoreRequest) bool {
+func (l *storeLimits) allow(now time.Time, op *controller.StoreRequest) bool {
 	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.writes.AllowN(now, len(op.Writes)))
 }
 
 // malformedReason says what a 400 is for, or nothing.
-func (l *storeLimits) malformedReason(op *core.StoreRequest) string {
-	if op.Kind != core.OpTxn {
+func (l *storeLimits) malformedReason(op *controller.StoreRequest) string {
+	if op.Kind != controller.OpTxn {
 		return ""
 	}
 	if len(op.Writes) > l.writesPerTxn {
