--- a/internal/standin/users.go
+++ b/internal/simulation/users.go
@@ -1,15 +1,15 @@
-package standin
+package simulation
 
 import (
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	spec        core.JobSpec
+	spec        controller.JobSpec
 	run         time.Duration
 	alwaysFails bool
 	doneTasks   map[int]bool
@@ -63,13 +63,13 @@
 	}
 }
 
-func newUserJob(spec core.JobSpec, run time.Duration) *userJob {
+func newUserJob(spec controller.JobSpec, run time.Duration) *userJob {
 	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
 		hooks: map[milestone][]func(){}}
 }
 
 // Submit sends a job and keeps trying, then polls until it is over.
-func (w *World) Submit(spec core.JobSpec, run time.Duration, alwaysFails bool) {
+func (w *World) Submit(spec controller.JobSpec, run time.Duration, alwaysFails bool) {
 	j := newUserJob(spec, run)
 	j.alwaysFails = alwaysFails
 	w.submitJob(j)
@@ -83,14 +83,14 @@
 }
 
 // userRequest sends a request to a random living controller, with a deadline.
-func (w *World) userRequest(newCommand func(uint64) core.Command, deadline time.Duration, tell func(*core.UserReply)) {
+func (w *World) userRequest(newCommand func(uint64) controller.Command, deadline time.Duration, tell func(*controller.UserReply)) {
 	w.userRequestTo(-1, newCommand, deadline, tell)
 }
 
 // userRequestTo is userRequest to one controller, unless that is -1.
-func (w *World) userRequestTo(to int, newCommand func(uint64) core.Command, deadline time.Duration, tell func(*core.UserReply)) {
+func (w *World) userRequestTo(to int, newCommand func(uint64) controller.Command, deadline time.Duration, tell func(*controller.UserReply)) {
 	asked := w.now
-	fn := func(r *core.UserReply) {
+	fn := func(r *controller.UserReply) {
 		if r != nil && w.onAnswer != nil {
 			w.onAnswer(asked, *r)
 		}
@@ -104,7 +104,7 @@
 		p = w.controllers[to]
 	}
 	finished := false
-	finish := func(r *core.UserReply) {
+	finish := func(r *controller.UserReply) {
 		if !finished {
 			finished = true
 			fn(r)
@@ -115,8 +115,8 @@
 		return
 	}
 	w.sendMessage("user", p.name, func() {
-		p.request(newCommand, func(e core.Effect) {
-			r := e.(core.UserReply)
+		p.request(newCommand, func(e controller.Effect) {
+			r := e.(controller.UserReply)
 			w.sendMessage(p.name, "user", func() { finish(&r) })
 		})
 	})
@@ -124,7 +124,7 @@
 
 func (w *World) trySubmit(j *userJob) {
 	asked := w.now
-	w.userRequest(func(r uint64) core.Command { return core.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *core.UserReply) {
+	w.userRequest(func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *controller.UserReply) {
 		switch {
 		case r != nil && (r.Status == 201 || r.Status == 200):
 			if j.invalid {
@@ -148,7 +148,7 @@
 
 func (w *World) poll(j *userJob) {
 	asked := w.now
-	w.userRequestTo(w.stickyController(j), func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *core.UserReply) {
+	w.userRequestTo(w.stickyController(j), func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *controller.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 404) {
 			w.checkAnswer(j, asked, r)
 		}
@@ -169,7 +169,7 @@
 func (w *World) Cancel(id string) {
 	j, asked := w.jobs[id], w.now
 	j.cancelRequested = true
-	w.userRequest(func(r uint64) core.Command { return core.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *core.UserReply) {
+	w.userRequest(func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
 		if r == nil || r.Status != 200 {
 			w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
 			return
@@ -180,7 +180,7 @@
 
 // QueryUnknownJob asks for a job that nobody submitted.
 func (w *World) QueryUnknownJob(id string) {
-	w.userRequest(func(r uint64) core.Command { return core.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *core.UserReply) {
+	w.userRequest(func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *controller.UserReply) {
 		if r != nil && r.Status == 200 {
 			w.violate("invented", "%s", id)
 		}
@@ -189,7 +189,7 @@
 
 // checkAnswer checks an answer to a question that was asked at some moment against what was said
 // before.
-func (w *World) checkAnswer(j *userJob, asked time.Time, r *core.UserReply) {
+func (w *World) checkAnswer(j *userJob, asked time.Time, r *controller.UserReply) {
 	id := j.spec.ID
 	if r.Status == 404 {
 		if j.accepted {
@@ -280,7 +280,7 @@
 }
 
 // noteCancelConfirmed notes that an answer leaves that says that a job is cancelled.
-func (w *World) noteCancelConfirmed(r core.UserReply) {
+func (w *World) noteCancelConfirmed(r controller.UserReply) {
 	j := w.jobs[r.ID]
 	if j == nil {
 		return
@@ -324,17 +324,17 @@
 	}
 }
 
-func (w *World) team(name string) core.Team {
+func (w *World) team(name string) controller.Team {
 	for _, t := range w.settings.Teams {
 		if t.Name == name {
 			return t
 		}
 	}
-	return core.Team{}
+	return controller.Team{}
 }
 
 // checkReplySize judges the size of an answer to a worker.
-func (w *World) checkReplySize(a core.HeartbeatReply) {
+func (w *World) checkReplySize(a controller.HeartbeatReply) {
 	size := 0
 	for _, o := range a.Commands {
 		size += len(o.Job) + commandBytes
@@ -357,7 +357,7 @@
 func (w *World) checkCancellations() {
 	for _, m := range w.fleet {
 		for _, t := range m.tasks {
-			fetched := t.status == core.Fetching && !t.imageReadyAt.After(w.now)
+			fetched := t.status == controller.Fetching && !t.imageReadyAt.After(w.now)
 			if !t.onMachine() && !fetched || t.violationReported {
 				continue
 			}
--- a/internal/standin/worker.go
+++ b/internal/simulation/worker.go
@@ -1,11 +1,11 @@
-package standin
+package simulation
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 )
 
 // Worker is a model of one machine's worker.
@@ -15,7 +15,7 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	Size        core.Resources
+	Size        controller.Resources
 	FetchRate   float64
 
 	rentedAt time.Time
@@ -42,7 +42,7 @@
 	// unheardUntil: it reaches no controller until then.
 	unheardUntil time.Time
 	// recentFree is what was free on it when it was last looked at what waits.
-	recentFree []core.Resources
+	recentFree []controller.Resources
 
 	incarnation uint64
 	sequence    uint64
@@ -62,7 +62,7 @@
 	job              *userJob
 	index            int
 	attempt          uint64
-	status           core.TaskStatus
+	status           controller.TaskStatus
 	cause            string
 	checkpointed     bool
 	imageReadyAt     time.Time
@@ -81,12 +81,12 @@
 
 // onMachine says that a task counts as being on its machine.
 func (t *workerTask) onMachine() bool {
-	return t.status == core.Running || t.status == core.Checkpointing
+	return t.status == controller.Running || t.status == controller.Checkpointing
 }
 
-func (m *Worker) heartbeat(now time.Time) core.Heartbeat {
+func (m *Worker) heartbeat(now time.Time) controller.Heartbeat {
 	m.sequence++
-	r := core.Heartbeat{
+	r := controller.Heartbeat{
 		Machine: m.ID, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot,
 		Incarnation: m.incarnation, Sequence: m.sequence, Epoch: m.epoch, ReclaimIn: -1,
 	}
@@ -95,42 +95,42 @@
 	}
 	for _, k := range sortedKeys(m.tasks) {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, core.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.checkpointed})
+		r.Tasks = append(r.Tasks, controller.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.checkpointed})
 	}
 	return r
 }
 
 // executeCommands carries out orders one after another.
-func (w *World) executeCommands(m *Worker, orders []core.TaskCommand) {
+func (w *World) executeCommands(m *Worker, orders []controller.TaskCommand) {
 	for _, o := range orders {
 		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 		t := m.tasks[key]
 		switch o.Kind {
-		case core.StartTask:
+		case controller.StartTask:
 			if t == nil && !m.ignoresStarts {
 				w.startTask(m, o, key)
 			}
-		case core.StopTask:
-			if t == nil || t.status == core.Ended {
+		case controller.StopTask:
+			if t == nil || t.status == controller.Ended {
 				continue
 			}
-			save := t.job.spec.CheckpointInterval > 0 && t.status == core.Running && o.GracePeriod >= t.job.spec.CheckpointCost
+			save := t.job.spec.CheckpointInterval > 0 && t.status == controller.Running && o.GracePeriod >= t.job.spec.CheckpointCost
 			switch {
 			case save:
-				t.status, t.checkpointDoneAt = core.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
-			case t.status == core.Checkpointing && o.GracePeriod > 0:
+				t.status, t.checkpointDoneAt = controller.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
+			case t.status == controller.Checkpointing && o.GracePeriod > 0:
 			default:
 				w.endTask(m, t, "stopped")
 			}
-		case core.ClearTask:
-			if t != nil && t.status == core.Ended {
+		case controller.ClearTask:
+			if t != nil && t.status == controller.Ended {
 				delete(m.tasks, key)
 			}
 		}
 	}
 }
 
-func (w *World) startTask(m *Worker, o core.TaskCommand, key string) {
+func (w *World) startTask(m *Worker, o controller.TaskCommand, key string) {
 	j := w.jobs[o.Job]
 	if j == nil && w.jobSource != nil {
 		if spec, run, ok := w.jobSource(o.Job); ok {
@@ -141,29 +141,29 @@
 	if j == nil {
 		return
 	}
-	t := &workerTask{job: j, index: o.Index, attempt: o.Attempt, status: core.Fetching}
+	t := &workerTask{job: j, index: o.Index, attempt: o.Attempt, status: controller.Fetching}
 	m.tasks[key] = t
 	if !slices.Contains(j.machines[o.Index], m) {
 		j.machines[o.Index] = append(j.machines[o.Index], m)
 	}
 	m.changed = true
-	used := core.Resources{}
+	used := controller.Resources{}
 	for _, x := range m.tasks {
-		if x != t && x.status != core.Ended {
+		if x != t && x.status != controller.Ended {
 			used = used.AddScaled(x.job.spec.Need, 1)
 			if x.job == j && x.index == o.Index {
-				t.status, t.cause = core.Ended, "in_use"
+				t.status, t.cause = controller.Ended, "in_use"
 				return
 			}
 		}
 	}
 	if !j.spec.Need.Fits(m.Size.AddScaled(used, -1)) {
-		t.status, t.cause = core.Ended, "no_room"
+		t.status, t.cause = controller.Ended, "no_room"
 		return
 	}
 	j.placedAt = w.now
 	if m.images[j.spec.Image].IsZero() {
-		m.images[j.spec.Image] = w.now.Add(core.Seconds(j.spec.ImageGB / m.FetchRate))
+		m.images[j.spec.Image] = w.now.Add(controller.Seconds(j.spec.ImageGB / m.FetchRate))
 	}
 	t.imageReadyAt = m.images[j.spec.Image]
 	t.remaining = j.run
@@ -181,7 +181,7 @@
 func (w *World) endTask(m *Worker, t *workerTask, cause string) {
 	t.cause = cause
 	w.releaseTask(t)
-	t.status = core.Ended
+	t.status = controller.Ended
 	m.changed = true
 }
 
@@ -208,14 +208,14 @@
 	}
 	for _, t := range m.tasks {
 		switch t.status {
-		case core.Fetching:
+		case controller.Fetching:
 			if !t.imageReadyAt.After(w.now) {
-				t.status, m.changed, m.everUsed = core.Running, true, true
+				t.status, m.changed, m.everUsed = controller.Running, true, true
 				team := t.job.spec.Team
 				w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
 				w.checkStart(m, t)
 			}
-		case core.Running:
+		case controller.Running:
 			if m.faulty || t.job.alwaysFails {
 				w.endTask(m, t, "error")
 				continue
@@ -232,7 +232,7 @@
 				w.noteTasksDone(t.job)
 				w.maybeCancelAtEnd(t.job)
 			}
-		case core.Checkpointing:
+		case controller.Checkpointing:
 			if !t.checkpointDoneAt.After(w.now) {
 				t.job.saveCheckpoint(t.index, t.remaining)
 				t.checkpointed = true
@@ -272,13 +272,13 @@
 	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
 		w.schedule(w.randomDelay(), func() {
 			w.sendMessage(m.ID, p.name, func() {
-				p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(core.Effect) {})
+				p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(controller.Effect) {})
 			})
 		})
 	}
 	w.sendMessage(m.ID, p.name, func() {
-		p.request(func(reply uint64) core.Command { return core.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e core.Effect) {
-			a := e.(core.HeartbeatReply)
+		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e controller.Effect) {
+			a := e.(controller.HeartbeatReply)
 			w.sendMessage(p.name, m.ID, func() {
 				if answered {
 					// Given up: the answer is dropped.
@@ -310,8 +310,8 @@
 }
 
 // executeDirect is a request to the worker's own address.
-func (w *World) executeDirect(m *Worker, op core.WorkerRequest) core.WorkerResponse {
-	d := core.WorkerResponse{ID: op.ID, OK: true}
+func (w *World) executeDirect(m *Worker, op controller.WorkerRequest) controller.WorkerResponse {
+	d := controller.WorkerResponse{ID: op.ID, OK: true}
 	if !op.StatusOnly {
 		if op.Epoch < m.epoch || op.Incarnation != m.incarnation {
 			d.OK = false
--- a/internal/standin/world.go
+++ b/internal/simulation/world.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"container/heap"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"golang.org/x/time/rate"
 )
 
@@ -21,7 +21,7 @@
 	now          time.Time
 	startedAt    time.Time
 	rng          *rand.Rand
-	settings     core.Settings
+	settings     controller.Settings
 	cancelWithin time.Duration
 	events       events
 	seq          uint64
@@ -32,9 +32,9 @@
 	// fleet are the machines that are not gone for good, in the order of creation.
 	fleet []*Worker
 	// teamUsage is what each team's tasks take.
-	teamUsage     map[string]core.Resources
+	teamUsage     map[string]controller.Resources
 	cloudLimiter  *rate.Limiter
-	machineTypes  map[string]core.MachineType
+	machineTypes  map[string]controller.MachineType
 	cloudCapacity map[string]int
 	rentals       map[string][]string
 	jobs          map[string]*userJob
@@ -83,7 +83,7 @@
 	coreTime time.Duration
 	logs     []string
 	// corruptEffect breaks an invariant on purpose, to show that it is noticed.
-	corruptEffect func(core.Effect) core.Effect
+	corruptEffect func(controller.Effect) controller.Effect
 	// leaseOverride, when set, is the wrong lease that the cores are told.
 	leaseOverride time.Duration
 	// heartbeatSender sends a worker's report; rented is told of new machines, and gone of
@@ -93,12 +93,12 @@
 	onGone          func(*Worker)
 	// learn, when set, is where workers fetch the description of a job that nobody
 	// told them of.
-	jobSource func(id string) (core.JobSpec, time.Duration, bool)
+	jobSource func(id string) (controller.JobSpec, time.Duration, bool)
 	// pauseCondition picks the effect before which a process stands still, for pauseDuration.
-	pauseCondition func(*controllerProcess, core.Effect) bool
+	pauseCondition func(*controllerProcess, controller.Effect) bool
 	pauseDuration  time.Duration
 	// crashCondition picks the effect with which a process ends.
-	crashCondition func(*controllerProcess, core.Effect) bool
+	crashCondition func(*controllerProcess, controller.Effect) bool
 	// disturbances is there on days with troubles of no list.
 	disturbances *disturbances
 	extraFaultState
@@ -109,9 +109,9 @@
 	// rankingCheck checks the order of work, where a ranking is on; tune changes what a
 	// controller is told at start.
 	rankingCheck   *rankingChecker
-	adjustSettings func(i int, set *core.Settings)
+	adjustSettings func(i int, set *controller.Settings)
 	// onAnswer is told of every answer that reaches a user, and when he asked.
-	onAnswer func(asked time.Time, r core.UserReply)
+	onAnswer func(asked time.Time, r controller.UserReply)
 	// calm, if set, is when the last trouble is over.
 	faultsEndAt time.Time
 	// trace names a job whose debug lines are kept as well.
@@ -147,12 +147,12 @@
 }
 
 // NewWorld makes a world with n controllers, which start at once.
-func NewWorld(seed uint64, controllers int, settings core.Settings, cancel time.Duration, types []core.MachineType, capacity map[string]int) *World {
+func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []controller.MachineType, capacity map[string]int) *World {
 	w := &World{
 		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
-		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]core.MachineType{},
+		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]controller.MachineType{},
 		cloudCapacity: capacity, rentals: map[string][]string{}, jobs: map[string]*userJob{}, partitions: map[string]*partition{}, oneWayPartitions: map[string]int{},
-		teamUsage: map[string]core.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
+		teamUsage: map[string]controller.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 	if settings.CloudRequestsPerSecond > 0 {
 		// Bursts of two seconds' worth.
--- a/internal/bounds/bounds.go
+++ b/internal/sizelimit/sizelimit.go
@@ -1,9 +1,9 @@
-// Package bounds says how large things are before they leave: the state service,
+// Package sizelimit says how large things are before they leave: the state service,
 // the workers and the other controllers have limits, and whatever passes one is
 // refused there as malformed, again and again. The protocol counts a body in its
 // JSON form; here that is reckoned from the MessagePack that is sent, as an upper
 // bound, without building the JSON.
-package bounds
+package sizelimit
 
 import (
 	"encoding/binary"
--- a/internal/bounds/bounds_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -1,4 +1,4 @@
-package bounds
+package sizelimit
 
 import (
 	"encoding/json"
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -60,11 +60,11 @@
 					wg.Go(func() {
 						defer func() { <-slots }()
 						key := fmt.Sprintf("task/job-%06d/0", i)
-						for _, op := range []core.StoreRequest{
-							{Kind: core.OpGet, Priority: core.PriorityLazy, Key: key},
-							{Kind: core.OpTxn, Priority: core.PriorityLazy, Writes: []core.Write{{Key: key, Value: []byte{0xc0}}}},
+						for _, op := range []controller.StoreRequest{
+							{Kind: controller.OpGet, Priority: controller.PriorityLazy, Key: key},
+							{Kind: controller.OpTxn, Priority: controller.PriorityLazy, Writes: []controller.Write{{Key: key, Value: []byte{0xc0}}}},
 						} {
-							if c.Do(context.Background(), op).Status != core.StoreOK {
+							if c.Do(context.Background(), op).Status != controller.StoreOK {
 								refused.Add(1)
 							}
 						}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -58,12 +58,12 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	limiter := NewRateLimiter(time.Now(), core.Rates{Requests: requestsPerSecond / float64(controllers), Writes: writesPerSecond / float64(controllers)})
+	limiter := NewRateLimiter(time.Now(), controller.Rates{Requests: requestsPerSecond / float64(controllers), Writes: writesPerSecond / float64(controllers)})
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, limiter: limiter}
 }
 
 // SetRates gives this controller its part of the limits.
-func (c *Client) SetRates(r core.Rates) { c.limiter.SetRates(time.Now(), r) }
+func (c *Client) SetRates(r controller.Rates) { c.limiter.SetRates(time.Now(), r) }
 
 type storedItem struct {
 	Key         string             `msgpack:"key"`
@@ -97,8 +97,8 @@
 }
 
 // Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op core.StoreRequest) core.StoreResponse {
-	out := core.StoreResponse{ID: op.ID, Status: core.StoreRefused}
+func (c *Client) Do(ctx context.Context, op controller.StoreRequest) controller.StoreResponse {
+	out := controller.StoreResponse{ID: op.ID, Status: controller.StoreRefused}
 	wait, ok := c.limiter.Reserve(time.Now(), op)
 	if !ok {
 		return out
@@ -118,9 +118,9 @@
 		status, a, err := c.send(ctx, method, path, body)
 		switch {
 		case err != nil:
-			out.Status = core.StoreUnknown
+			out.Status = controller.StoreUnknown
 			if neverSent(err) {
-				out.Status = core.StoreRefused
+				out.Status = controller.StoreRefused
 			}
 			return out
 		case status == http.StatusTooManyRequests:
@@ -138,24 +138,24 @@
 	}
 }
 
-func encodeRequest(op core.StoreRequest) (method, path string, body any) {
+func encodeRequest(op controller.StoreRequest) (method, path string, body any) {
 	switch op.Kind {
-	case core.OpGet:
+	case controller.OpGet:
 		return http.MethodGet, "/store/" + op.Key, nil
-	case core.OpList:
+	case controller.OpList:
 		query := url.Values{"under": {op.Key}, "limit": {strconv.Itoa(listPage)}}
 		if op.StartAfter != "" {
 			query.Set("from", op.StartAfter)
 		}
 		return http.MethodGet, "/store?" + query.Encode(), nil
-	case core.OpWatch:
+	case controller.OpWatch:
 		query := url.Values{"under": {op.Key}, "from": {strconv.FormatUint(op.Revision, 10)}, "hold_ms": {strconv.FormatInt(op.WatchTimeout.Milliseconds(), 10)}}
 		return http.MethodGet, "/follow?" + query.Encode(), nil
-	case core.OpLeaseGrant:
+	case controller.OpLeaseGrant:
 		return http.MethodPost, "/grants", map[string]any{"ttl_ms": op.TTL.Milliseconds()}
-	case core.OpLeaseRenew:
+	case controller.OpLeaseRenew:
 		return http.MethodPost, fmt.Sprintf("/grants/%d/renew", op.LeaseID), map[string]any{}
-	case core.OpLeaseRevoke:
+	case controller.OpLeaseRevoke:
 		return http.MethodDelete, fmt.Sprintf("/grants/%d", op.LeaseID), nil
 	}
 	txn := transaction{Compares: []compare{}}
@@ -217,40 +217,40 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func statusOf(op core.StoreRequest, status int, a *response) core.StoreStatus {
+func statusOf(op controller.StoreRequest, status int, a *response) controller.StoreStatus {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
-		return core.StoreOK
+		return controller.StoreOK
 	case http.StatusNotFound:
-		return core.StoreNotFound
+		return controller.StoreNotFound
 	case http.StatusConflict:
-		return core.StoreConflict
+		return controller.StoreConflict
 	case http.StatusGone:
-		return core.StoreCompacted
+		return controller.StoreCompacted
 	case http.StatusBadRequest:
 		if strings.Contains(a.Error, "lease") {
-			return core.StoreNoLease
+			return controller.StoreNoLease
 		}
-		return core.StoreMalformed
+		return controller.StoreMalformed
 	case http.StatusServiceUnavailable:
-		return core.StoreRefused
+		return controller.StoreRefused
 	}
-	if op.Kind == core.OpTxn {
-		return core.StoreUnknown
+	if op.Kind == controller.OpTxn {
+		return controller.StoreUnknown
 	}
-	return core.StoreRefused
+	return controller.StoreRefused
 }
 
-func fillResponse(out *core.StoreResponse, op core.StoreRequest, a *response) {
+func fillResponse(out *controller.StoreResponse, op controller.StoreRequest, a *response) {
 	out.Revision, out.FailedKeys, out.LeaseID, out.Truncated = a.Revision, a.Failed, a.Lease, a.Truncated
-	if op.Kind == core.OpGet && out.Status == core.StoreOK {
-		out.KeyValues = []core.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.ModRevision}}
+	if op.Kind == controller.OpGet && out.Status == controller.StoreOK {
+		out.KeyValues = []controller.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.ModRevision}}
 	}
 	for _, r := range a.Items {
-		out.KeyValues = append(out.KeyValues, core.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.ModRevision})
+		out.KeyValues = append(out.KeyValues, controller.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.ModRevision})
 	}
 	for _, r := range a.Changes {
-		item := core.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.ModRevision}
+		item := controller.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.ModRevision}
 		if r.Remove != "" {
 			item.Key, item.Deleted = r.Remove, true
 		}
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -2,7 +2,7 @@
 // can't change them: tests write values and compare with testdata/golden, and read what
 // stands there back. Only tests import it. After a change of an encoding that is meant
 //
-//	go test ./internal/core -run Golden -update
+//	go test ./internal/controller -run Golden -update
 //
 // writes the bytes anew; what earlier versions have stored has to stay readable.
 package testgolden
--- a/internal/testseed/testseed.go
+++ b/internal/testseed/testseed.go
@@ -3,7 +3,7 @@
 // effect alone. RAPID_SEED in the environment or the flag -rapid.seed names other
 // draws (0: new ones in each run), and RAPID_CHECKS how many of them: a long search is
 //
-//	RAPID_SEED=0 RAPID_CHECKS=100000 go test ./internal/moves
+//	RAPID_SEED=0 RAPID_CHECKS=100000 go test ./internal/migration
 package testseed
 
 import (
--- a/internal/pace/pace.go
+++ b/internal/throttle/throttle.go
@@ -1,9 +1,9 @@
-// Package pace divides long planning into slices, so that whoever works through
+// Package throttle divides long planning into slices, so that whoever works through
 // a queue of commands is never kept from them for long. It learns how much work a
 // slice may hold from how long slices take on this machine, at its share of a
 // processor and beside its other work: where planning is short of time it takes
 // more and later slices, and plans grow older instead of answers.
-package pace
+package throttle
 
 import "time"
 
--- a/internal/pace/pace_test.go
+++ b/internal/throttle/throttle_test.go
@@ -1,4 +1,4 @@
-package pace
+package throttle
 
 import (
 	"testing"
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/core"
+	"github.com/micahill/micahill/internal/controller"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -71,33 +71,33 @@
 
 // Decode turns a report from the wire into the core's form. Lines that make no
 // sense are left out.
-func (r *Heartbeat) Decode() core.Heartbeat {
-	out := core.Heartbeat{
+func (r *Heartbeat) Decode() controller.Heartbeat {
+	out := controller.Heartbeat{
 		Machine: r.Machine, Addr: r.Address, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot,
 		Incarnation: r.Incarnation, Sequence: r.Sequence, Epoch: r.Epoch, ReclaimIn: -1,
 	}
 	if r.ReclaimS != nil {
-		out.ReclaimIn = core.Seconds(*r.ReclaimS)
+		out.ReclaimIn = controller.Seconds(*r.ReclaimS)
 	}
 	for _, wireTask := range r.Tasks {
 		job, index, ok := parseTask(wireTask.Task)
 		if !ok {
 			continue
 		}
-		task := core.TaskReport{Job: job, Index: index, Attempt: wireTask.Attempt, Cause: wireTask.Cause, CheckpointStored: wireTask.Checkpointed}
+		task := controller.TaskReport{Job: job, Index: index, Attempt: wireTask.Attempt, Cause: wireTask.Cause, CheckpointStored: wireTask.Checkpointed}
 		switch wireTask.Status {
 		case "fetching", "gathering":
 			// A gang's task that waits for its mates has not begun either.
-			task.Status = core.Fetching
+			task.Status = controller.Fetching
 		case "running":
-			task.Status = core.Running
+			task.Status = controller.Running
 		case "flushing":
-			task.Status = core.Checkpointing
+			task.Status = controller.Checkpointing
 		case "ended":
-			task.Status = core.Ended
+			task.Status = controller.Ended
 		default:
 			// A state added later: on the machine, and not ended.
-			task.Status = core.Running
+			task.Status = controller.Running
 		}
 		out.Tasks = append(out.Tasks, task)
 	}
@@ -114,11 +114,11 @@
 }
 
 // EncodeCommands turns orders into their wire form.
-func EncodeCommands(commands []core.TaskCommand) []TaskCommand {
+func EncodeCommands(commands []controller.TaskCommand) []TaskCommand {
 	out := make([]TaskCommand, 0, len(commands))
 	for _, o := range commands {
 		command := TaskCommand{Kind: string(o.Kind), Task: o.Job + "/" + strconv.Itoa(o.Index), Attempt: o.Attempt}
-		if o.Kind == core.StopTask {
+		if o.Kind == controller.StopTask {
 			seconds := o.GracePeriod.Seconds()
 			command.WindDownS = &seconds
 		}
@@ -146,8 +146,8 @@
 }
 
 // Do carries out op. Without an answer the orders may still be executed later.
-func (c *Client) Do(ctx context.Context, op core.WorkerRequest) core.WorkerResponse {
-	out := core.WorkerResponse{ID: op.ID}
+func (c *Client) Do(ctx context.Context, op controller.WorkerRequest) controller.WorkerResponse {
+	out := controller.WorkerResponse{ID: op.ID}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	select {
@@ -157,7 +157,7 @@
 		out.NotSent = true
 		return out
 	}
-	if _, _, late := core.CheckDeadline(op, time.Now()); late || ctx.Err() != nil {
+	if _, _, late := controller.CheckDeadline(op, time.Now()); late || ctx.Err() != nil {
 		// Its turn came with its deadline. The transport would open a connection for it
 		// all the same, beside those that are allowed.
 		out.NotSent = true
@@ -172,7 +172,7 @@
 	return out
 }
 
-func (c *Client) send(ctx context.Context, op core.WorkerRequest) (*Heartbeat, int, error) {
+func (c *Client) send(ctx context.Context, op controller.WorkerRequest) (*Heartbeat, int, error) {
 	method, path, payload := http.MethodGet, "/status", io.Reader(nil)
 	if !op.StatusOnly {
 		b, err := msgpack.Marshal(TaskCommands{op.Epoch, op.Incarnation, EncodeCommands(op.Commands)})
