--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -103,7 +103,7 @@
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
 		var r openJobRecord
-		if !decode(c.Record, &r) || !r.Cancelled || r.validate() != "" {
+		if !decode(c.Record, &r) || !r.Cancelled || r.Validate() != "" {
 			n.rejectInput("news", from, "a cancellation that can't be read")
 			continue
 		}
@@ -132,13 +132,13 @@
 }
 
 // validateCancellations judges what a peer tells of cancellations.
-func validateCancellations(k *validate.Check, c *PeerUpdate) {
-	k.Count("cancelled", len(c.Cancellations), 0, maxCancellationsPerUpdate)
-	for _, x := range c.Cancellations {
-		k.Name("cancelled.id", x.ID, true)
+func validateCancellations(check *validate.Check, update *PeerUpdate) {
+	check.Count("cancelled", len(update.Cancellations), 0, maxCancellationsPerUpdate)
+	for _, x := range update.Cancellations {
+		check.Name("cancelled.id", x.ID, true)
 	}
-	k.Count("cancels_heard", len(c.CancellationAcks), 0, maxCancellationsPerUpdate)
-	for _, id := range c.CancellationAcks {
-		k.Name("cancels_heard.id", id, true)
+	check.Count("cancels_heard", len(update.CancellationAcks), 0, maxCancellationsPerUpdate)
+	for _, id := range update.CancellationAcks {
+		check.Name("cancels_heard.id", id, true)
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -184,7 +184,7 @@
 	case QueryPromises:
 		queryPromises(n, c)
 	case PeerUpdate:
-		if bad := c.validate(); bad != "" {
+		if bad := c.Validate(); bad != "" {
 			n.rejectInput("news", c.From, bad)
 			break
 		}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -59,7 +59,7 @@
 	}
 	without := *s
 	without.Dependencies = nil
-	size, err := sizelimit.JSON(encode(without.openRecord(n.now)))
+	size, err := sizelimit.JSON(encode(newOpenJobRecord(&without, n.now)))
 	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
 	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
@@ -116,7 +116,7 @@
 			return r
 		}
 	}
-	return r.withDate(s.promisedDate())
+	return r.WithDate(s.promisedDate())
 }
 
 // cachedJobState is what this node knows of a job by itself.
@@ -150,7 +150,7 @@
 	n.frontend.watchCache.dependencyGraph = nil
 	for _, id := range sortedKeys(n.frontend.watchCache.openJobs) {
 		l := n.frontend.watchCache.openJobs[id]
-		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.dependencies()))
+		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.DependencyNames()))
 	}
 	if n.shardLeader == nil {
 		return
@@ -165,7 +165,7 @@
 	id := jobIDFromKey(it.Key, openJobPrefix)
 	l, open := n.frontend.watchCache.openJobs[id]
 	if open {
-		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.dependencies()))
+		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.DependencyNames()))
 	}
 	n.noteDependencyState(id)
 	if !open {
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -26,9 +26,9 @@
 	Urgency  Urgency
 }
 
-// jobSpec is the work that needs the host, as far as it is known.
-func (h *HostNeed) jobSpec() JobSpec {
-	return JobSpec{ID: evacuationPrefix + kindName(h.machineKind()), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
+// neededJobSpec is the work that needs the host, as far as it is known.
+func neededJobSpec(h *HostNeed) JobSpec {
+	return JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
 }
 
 // HostCost is how long replicas would be down for a host of a kind to be emptied.
@@ -70,7 +70,7 @@
 	costedAt              time.Time
 }
 
-func (h *HostNeed) machineKind() machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
+func neededKind(h *HostNeed) machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
 
 // receiveHostNeeds takes in what the leader says of others' needs.
 func receiveHostNeeds(n *Controller, othersNeeds, assigned []HostNeed) {
@@ -85,7 +85,7 @@
 		return nil
 	}
 	for i := range mv.evacuation.assigned {
-		if h := &mv.evacuation.assigned[i]; evacuationPrefix+kindName(h.machineKind()) == name {
+		if h := &mv.evacuation.assigned[i]; evacuationPrefix+kindName(neededKind(h)) == name {
 			return h
 		}
 	}
@@ -169,7 +169,7 @@
 	for i := range b.assigned {
 		h := &b.assigned[i]
 		team := donorTeam(n, mv)
-		if team == "" || mv.tracker.HeldFor(evacuationPrefix+kindName(h.machineKind())) > 0 || nextMigrationWrite(n, mv).After(n.now) || hasEmptyHost(n, h.machineKind()) {
+		if team == "" || mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || nextMigrationWrite(n, mv).After(n.now) || hasEmptyHost(n, neededKind(h)) {
 			continue
 		}
 		p := evacuationProblem(n, mv, h)
@@ -186,7 +186,7 @@
 	tries := 0
 	for i := range b.othersNeeds {
 		h := &b.othersNeeds[i]
-		if mv.tracker.HeldFor(evacuationPrefix+kindName(h.machineKind())) > 0 || hasEmptyHost(n, h.machineKind()) {
+		if mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || hasEmptyHost(n, neededKind(h)) {
 			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, 0})
 			continue
 		}
@@ -224,8 +224,8 @@
 
 // evacuationProblem is what the planner is asked for a whole host of a kind.
 func evacuationProblem(n *Controller, mv *migrations, h *HostNeed) *migration.Problem {
-	k := h.machineKind()
-	other := &job{JobSpec: h.jobSpec()}
+	k := neededKind(h)
+	other := &job{JobSpec: neededJobSpec(h)}
 	p, hosts := migrationCandidates(n, mv, other)
 	p.MaxCost = maxEvacuationCost
 	p.WaitingTask = migration.WaitingTask{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
@@ -239,7 +239,7 @@
 func kindNames(hs []HostNeed) []string {
 	var out []string
 	for i := range hs {
-		out = append(out, kindName(hs[i].machineKind()))
+		out = append(out, kindName(neededKind(&hs[i])))
 	}
 	return out
 }
@@ -277,7 +277,7 @@
 		}
 		for _, d := range needed {
 			for _, h := range needs[d.Owner] {
-				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(x HostNeed) bool { return x.machineKind() == h.machineKind() }) {
+				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(x HostNeed) bool { return neededKind(&x) == neededKind(&h) }) {
 					othersNeeds[host] = append(othersNeeds[host], h)
 				}
 			}
@@ -285,7 +285,7 @@
 	}
 	for _, a := range n.leader.evacuations.Update(n.now, needed, offered) {
 		for _, h := range needs[a.Recipient] {
-			if kindName(h.machineKind()) == a.Kind {
+			if kindName(neededKind(&h)) == a.Kind {
 				assigned[a.Owner] = append(assigned[a.Owner], h)
 				break
 			}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -365,15 +365,15 @@
 	for i := range 80 {
 		s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("a-flavour-with-a-long-name-%03d", i))
 	}
-	r := s.openRecord(time.Unix(1_750_000_000, 0))
+	r := newOpenJobRecord(&s, time.Unix(1_750_000_000, 0))
 	small := r
 	small.MachineTypes = s.MachineTypes[:3]
 	r.Cancelled, small.Cancelled = true, true
-	r.shrinkToFit(2048)
-	if size, err := sizelimit.JSON(encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.validate() != "" {
+	r.ShrinkToFit(2048)
+	if size, err := sizelimit.JSON(encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.Validate() != "" {
 		t.Errorf("%d bytes, %+v", size, r)
 	}
-	if small.shrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
+	if small.ShrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
 		t.Error("one that fits is shortened")
 	}
 }
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -91,11 +91,11 @@
 // promisedDate is what is told of it with its acceptance.
 func (s *submission) promisedDate() promise.Date {
 	r := s.openRecord()
-	return r.firstDate()
+	return r.FirstDate()
 }
 
 func (s *submission) openRecord() openJobRecord {
-	r := s.spec.openRecord(s.submittedAt)
+	r := newOpenJobRecord(&s.spec, s.submittedAt)
 	r.PromisedMillis = int(s.promisedAfter.Milliseconds())
 	return r
 }
@@ -183,7 +183,7 @@
 			r.State = "running"
 		}
 	} else if d, ok := n.frontend.endDates[id]; ok && s == Done {
-		r = r.withDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Revision: int(d & 0xff)})
+		r = r.WithDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Revision: int(d & 0xff)})
 	}
 	return r
 }
@@ -266,7 +266,7 @@
 	if reason := n.validateDependencies(s); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSON(encode(s.openRecord(n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
+	if size, err := sizelimit.JSON(encode(newOpenJobRecord(s, n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -350,7 +350,7 @@
 	if r.Status == Done {
 		reply.Done = r.Tasks
 	} else if !r.Status.IsFinal() {
-		reply = reply.withDate(f.promisedDate)
+		reply = reply.WithDate(f.promisedDate)
 	}
 	return reply
 }
@@ -564,7 +564,7 @@
 		// their team's limit, under whatever owner.
 		rec := f.open
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
-		rec.shrinkToFit(n.settings.MaxValueBytes)
+		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		open := encode(rec)
 		// Both records change together: the stamp of open/ guards starts.
 		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{openJobPrefix + id, f.modRevision}},
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -12,7 +12,7 @@
 func FuzzRecords(f *testing.F) {
 	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: Resources{CPU: 1, Memory: 1}}
 	now := time.Unix(1_750_000_000, 0)
-	f.Add(encode(spec.openRecord(now)), encode(taskSegmentRecord{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []taskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
+	f.Add(encode(newOpenJobRecord(&spec, now)), encode(taskSegmentRecord{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []taskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
 	f.Add(encode(openJobRecord{Tasks: -1}), encode(taskSegmentRecord{DoneRanges: []int{-5, 1 << 40}}))
 	f.Add([]byte{0xdd, 0xff}, []byte{0x81})
 	f.Fuzz(func(t *testing.T, open, chunk []byte) {
@@ -49,7 +49,7 @@
 func FuzzControlRecords(f *testing.F) {
 	f.Add("share/a", []byte{0x80})
 	f.Add("lot/1", []byte{0x81, 0xa1, 'x', 0x01})
-	f.Add("node/b", encode(controllerRecord{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
+	f.Add("node/b", encode(memberRecord{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
 	f.Add("lead", encode(leaderRecord{Host: "b"}))
 	f.Add("ranking", ranking.Record{Revision: 2, Classes: []ranking.Class{{Name: "a", Urgency: "urgent"}}}.Encode())
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -13,7 +13,7 @@
 
 // goldenRecords are the core's records of the state service.
 var goldenRecords = testgolden.Values{
-	"node":  controllerRecord{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
+	"node":  memberRecord{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
 	"life":  incarnationRecord{StartedAt: 1_750_000_001_234, ShortLived: 3},
 	"lead":  leaderRecord{Host: "ctl-2", Incarnation: "n-18.1"},
 	"form":  formatRecord{TasksPerSegment: 21},
@@ -65,11 +65,11 @@
 	if !decode(testgolden.Bytes(t, "open"), &r) {
 		t.Fatal("not a record")
 	}
-	s := r.spec("job-000412")
+	s := r.JobSpec("job-000412")
 	all := maps.Clone(goldenRecords)
 	all["spec"] = s
 	testgolden.Full(t, all)
-	again := s.openRecord(time.UnixMilli(r.SubmittedAtMillis))
+	again := newOpenJobRecord(&s, time.UnixMilli(r.SubmittedAtMillis))
 	again.Cancelled, again.CancelledAtMillis = r.Cancelled, r.CancelledAtMillis
 	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = r.LentTo, r.LendCount, r.StopBoundMillis, r.CancelRequested
 	again.BorrowedLoan, again.PromisedMillis = r.BorrowedLoan, r.PromisedMillis
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -204,7 +204,7 @@
 	n.frontend.watchCache.revision = 20
 	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}
 	n.shardLeader.teams["ops"] = &heldTeam{ready: true}
-	put := KeyValue{Key: openJobPrefix + spec.ID, Value: encode(spec.openRecord(n.now)), ModRevision: 21}
+	put := KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, n.now)), ModRevision: 21}
 	n.observeOwnWrite(put)
 	if n.shardLeader.jobs[spec.ID] == nil {
 		t.Fatal("a job that was just accepted is not taken up")
@@ -275,7 +275,7 @@
 	if !n.unresponsive(m) {
 		t.Error("told again, it is a sign of life again")
 	}
-	if (&PeerUpdate{From: "b", Rerouted: make([]ReroutedHeartbeat, maxReroutedHeartbeats+1)}).validate() == "" || (&PeerUpdate{From: "b", Rerouted: []ReroutedHeartbeat{{}}}).validate() == "" {
+	if (&PeerUpdate{From: "b", Rerouted: make([]ReroutedHeartbeat, maxReroutedHeartbeats+1)}).Validate() == "" || (&PeerUpdate{From: "b", Rerouted: []ReroutedHeartbeat{{}}}).Validate() == "" {
 		t.Error("bad news is taken")
 	}
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -275,7 +275,7 @@
 		}
 	}
 	slices.Sort(r.RelaunchedGroups)
-	r.factorMachinePrefix()
+	r.FactorMachinePrefix()
 	for _, d := range j.recentRunTimes[max(0, len(j.recentRunTimes)-keptRunTimes):] {
 		r.RunTimes = append(r.RunTimes, d.Milliseconds())
 	}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -285,7 +285,7 @@
 			cacheDoneDate(n, cmd.Job, endRec)
 		}
 	case LoanAccept:
-		rec := cmd.Spec.openRecord(n.now.Add(-cmd.Age))
+		rec := newOpenJobRecord(&cmd.Spec, n.now.Add(-cmd.Age))
 		rec.BorrowedLoan = cmd.Loan
 		req.Compares = append(req.Compares, Compare{offloadedJobPrefix + cmd.Loan, 0}, Compare{openKey, 0}, Compare{jobStatusPrefix + cmd.Job, 0})
 		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(offloadedJobRecord{Job: cmd.Job})})
@@ -298,7 +298,7 @@
 		}
 		rec := current.rec
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
-		rec.shrinkToFit(n.settings.MaxValueBytes)
+		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		g := offloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
 		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
 		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, Cancelled, &current))},
@@ -354,7 +354,7 @@
 
 // currentRecord is the job's record in open/ as it stands.
 func (j *job) currentRecord() openJobRecord {
-	r := j.JobSpec.openRecord(j.submittedAt)
+	r := newOpenJobRecord(&j.JobSpec, j.submittedAt)
 	if j.urgencyRaised {
 		r.Urgency = int(j.ownUrgency)
 	}
@@ -512,7 +512,7 @@
 	}
 	for _, id := range sortedKeys(cache.openJobs) {
 		if r := cache.openJobs[id].rec; v.IsLeader && r.LentTo != "" {
-			v.Lent = append(v.Lent, LentJob{Spec: r.spec(id), SubmittedAt: time.UnixMilli(r.SubmittedAtMillis), Peer: r.LentTo, LendCount: r.LendCount, StopBound: time.Duration(r.StopBoundMillis) * time.Millisecond, CancelRequested: r.CancelRequested})
+			v.Lent = append(v.Lent, LentJob{Spec: r.JobSpec(id), SubmittedAt: time.UnixMilli(r.SubmittedAtMillis), Peer: r.LentTo, LendCount: r.LendCount, StopBound: time.Duration(r.StopBoundMillis) * time.Millisecond, CancelRequested: r.CancelRequested})
 		}
 	}
 	if runsGuestTeam {
@@ -531,7 +531,7 @@
 	g := n.offloadedJobs.byLoan[name]
 	b := BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: Queued, Started: true}
 	if l, there := n.frontend.watchCache.openJobs[g.Job]; there {
-		b.StatusKnown, b.Spec, b.Ending = true, l.rec.spec(g.Job), l.rec.Cancelled
+		b.StatusKnown, b.Spec, b.Ending = true, l.rec.JobSpec(g.Job), l.rec.Cancelled
 	} else if s, ok := n.frontend.finalStatuses[g.Job]; ok {
 		b.StatusKnown, b.Status = true, s
 	} else {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -59,7 +59,7 @@
 	loaded             bool
 	leader             leaderRecord
 	leaderModRevision  uint64
-	controllers        map[string]controllerRecord
+	controllers        map[string]memberRecord
 	shardMap           *sharding.Map
 	claimingLeadership bool
 	drain              drainRecord
@@ -119,7 +119,7 @@
 
 func (n *Controller) startMembership() {
 	n.membership.started, n.membership.startedAt = true, n.now
-	n.membership.controllers, n.membership.formatSupport = map[string]controllerRecord{}, map[string]bool{}
+	n.membership.controllers, n.membership.formatSupport = map[string]memberRecord{}, map[string]bool{}
 	n.membership.shardMap = sharding.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
@@ -173,7 +173,7 @@
 	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityMembership, Key: controllerPrefix + n.settings.Host}, func(d StoreResponse) {
 		switch d.Status {
 		case StoreOK:
-			var old controllerRecord
+			var old memberRecord
 			if !decode(d.KeyValues[0].Value, &old) || old.Incarnation == n.incarnation() {
 				s.recordModRevision = d.KeyValues[0].ModRevision
 				fn()
@@ -209,7 +209,7 @@
 func (n *Controller) register() {
 	grant := n.membership.leaseID
 	key := controllerPrefix + n.settings.Host
-	rec := encode(controllerRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
+	rec := encode(memberRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
 	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{key, n.membership.recordModRevision}}, Writes: []Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d StoreResponse) {
 		if n.membership.leaseID != grant {
 			return
@@ -287,7 +287,7 @@
 
 // recentlyStarted says that a controller began so lately that it gets no duty yet that another
 // can have.
-func (n *Controller) recentlyStarted(r controllerRecord) bool {
+func (n *Controller) recentlyStarted(r memberRecord) bool {
 	return r.StartedAt != 0 && incarnation.OnProbation(n.now, time.UnixMilli(r.StartedAt))
 }
 
@@ -477,7 +477,7 @@
 	case strings.HasPrefix(it.Key, controllerPrefix):
 		host := strings.TrimPrefix(it.Key, controllerPrefix)
 		delete(s.controllers, host)
-		var r controllerRecord
+		var r memberRecord
 		if !it.Deleted && decode(it.Value, &r) {
 			s.controllers[host] = r
 		}
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -337,7 +337,7 @@
 func (f migrationFacts) YieldsTo(id, other string) bool {
 	j, o := f.n.shardLeader.jobs[id], f.n.shardLeader.jobs[other]
 	if h := f.n.shardLeader.migrations.evacuationRequest(f.n.now, other); h != nil {
-		o = &job{JobSpec: h.jobSpec()}
+		o = &job{JobSpec: neededJobSpec(h)}
 	}
 	return j != nil && o != nil && yieldsTo(f.n, j, o)
 }
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -248,7 +248,7 @@
 			continue
 		}
 		counted = true
-		t.Add(promise.JobEnd{Team: r.Team, Class: r.Workload, Date: r.date(), Duration: time.Duration(min(max(r.EndedAfterMillis, 0), maxDateMillis)) * time.Millisecond, PromisedAtAccept: r.PromisedAtSubmit})
+		t.Add(promise.JobEnd{Team: r.Team, Class: r.Workload, Date: r.Date(), Duration: time.Duration(min(max(r.EndedAfterMillis, 0), maxDateMillis)) * time.Millisecond, PromisedAtAccept: r.PromisedAtSubmit})
 	}
 	return counted
 }
@@ -393,7 +393,7 @@
 			n.readStatusRecord(query.Job, func(resp StoreResponse) {
 				var j jobStatusRecord
 				if resp.Status == StoreOK && decode(resp.KeyValues[0].Value, &j) {
-					x := j.date()
+					x := j.Date()
 					reply.Open = append(reply.Open, OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
 				}
 				n.emit(reply)
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -142,11 +142,11 @@
 	if e.Revision > 0 {
 		return e.Date
 	}
-	return l.rec.firstDate()
+	return l.rec.FirstDate()
 }
 
-// firstDate is the date in the accepting record; what makes no sense is none.
-func (r *openJobRecord) firstDate() promise.Date {
+// FirstDate is the date in the accepting record; what makes no sense is none.
+func (r *openJobRecord) FirstDate() promise.Date {
 	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: 1}
 	if r.PromisedMillis <= 0 || r.PromisedMillis > maxDateMillis {
 		return promise.Date{}
@@ -156,12 +156,12 @@
 
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
 func cacheDoneDate(n *Controller, id string, r jobStatusRecord) {
-	if d := r.date(); n.promisesEnabled() && d.Revision > 0 {
+	if d := r.Date(); n.promisesEnabled() && d.Revision > 0 {
 		n.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
 }
 
-func (r *jobStatusRecord) date() promise.Date {
+func (r *jobStatusRecord) Date() promise.Date {
 	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
 	if r.Status != Done || r.PromisedMillis > maxDateMillis || d.Validate() != "" {
 		return promise.Date{}
@@ -169,8 +169,8 @@
 	return d
 }
 
-// withDate is the answer with a date.
-func (r UserReply) withDate(d promise.Date) UserReply {
+// WithDate is the answer with a date.
+func (r UserReply) WithDate(d promise.Date) UserReply {
 	r.PromisedAfter, r.PromiseRevision = d.After, d.Revision
 	return r
 }
@@ -227,7 +227,7 @@
 
 // notePromiseRecord takes in a job's record as its owner reads it.
 func notePromiseRecord(n *Controller, j *job, r *openJobRecord) {
-	if d := r.firstDate(); n.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
+	if d := r.FirstDate(); n.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
 }
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -33,7 +33,7 @@
 	jobs := map[string]*job{}
 	for id, stamp := range map[string]uint64{"job-old": 5, "job-new": 12} {
 		spec := JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Hour}
-		rec := spec.openRecord(n.now)
+		rec := newOpenJobRecord(&spec, n.now)
 		rec.PromisedMillis = 60_000
 		m.openJobs[id] = openJob{stamp, rec}
 		j := n.addJob(spec, n.now, stamp)
@@ -122,7 +122,7 @@
 		t.Fatal(err)
 	}
 	rec := j.currentRecord()
-	if r := endRecordFromCache(n, j.ID, Done, &openJob{8, rec}); r.date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
+	if r := endRecordFromCache(n, j.ID, Done, &openJob{8, rec}); r.Date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
 		t.Errorf("it ends with %+v", r)
 	}
 	if r := endRecordFromCache(n, j.ID, Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
@@ -137,7 +137,7 @@
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
 	m := &n.frontend.watchCache
 	spec := JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: 2000 * time.Second}
-	rec := spec.openRecord(n.now)
+	rec := newOpenJobRecord(&spec, n.now)
 	m.openJobs = map[string]openJob{spec.ID: {3, rec}}
 	j := n.addJob(spec, n.now, 3)
 	l := m.openJobs[spec.ID]
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -368,7 +368,7 @@
 	n.addWaitingJob("job-2", "bar", 3, 20)
 	n.addWaitingJob("job-3", "bar", 1, 99)
 	for id, j := range n.shardLeader.jobs {
-		n.frontend.watchCache.openJobs[id] = openJob{rec: j.JobSpec.openRecord(n.now)}
+		n.frontend.watchCache.openJobs[id] = openJob{rec: newOpenJobRecord(&j.JobSpec, n.now)}
 	}
 	n.shardLeader.usedByTeam["ops"] = first.Need
 	n.settings.Teams = []Team{{Name: "ops", QuotaLimit: Resources{CPU: 110}}}
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -35,7 +35,7 @@
 	incarnationPrefix = "life/"
 )
 
-type controllerRecord struct {
+type memberRecord struct {
 	LeaseID     uint64 `msgpack:"grant"`
 	Incarnation string `msgpack:"nonce"`
 	// Deaf: it hears no worker and wants no share.
@@ -115,9 +115,9 @@
 	Dependencies string `msgpack:"pr,omitempty"`
 }
 
-// shrinkToFit has a cancelled job's record fit a value also where the description was written
+// ShrinkToFit has a cancelled job's record fit a value also where the description was written
 // under a larger limit: what it leaves out says only where a task may start.
-func (r *openJobRecord) shrinkToFit(valueBytes int) {
+func (r *openJobRecord) ShrinkToFit(valueBytes int) {
 	for _, leave := range [...]func(){
 		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
 	} {
@@ -158,9 +158,9 @@
 	RankingRevision uint64 `msgpack:"rk,omitempty"`
 }
 
-// factorMachinePrefix puts what all machines' names begin with into one place. The last row's name
+// FactorMachinePrefix puts what all machines' names begin with into one place. The last row's name
 // keeps a character at least, as "" stands for none.
-func (r *taskSegmentRecord) factorMachinePrefix() {
+func (r *taskSegmentRecord) FactorMachinePrefix() {
 	prefix, first := "", true
 	for _, row := range r.Rows {
 		switch {
@@ -214,7 +214,8 @@
 	return msgpack.Unmarshal(b, v) == nil
 }
 
-func (s *JobSpec) openRecord(at time.Time) openJobRecord {
+// newOpenJobRecord describes a job that was submitted at a time as it is stored.
+func newOpenJobRecord(s *JobSpec, at time.Time) openJobRecord {
 	return openJobRecord{
 		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
 		Tasks: s.Tasks, CPU: s.Need.CPU, GPU: s.Need.GPU, Memory: s.Need.Memory,
@@ -225,18 +226,18 @@
 	}
 }
 
-func (r *openJobRecord) spec(id string) JobSpec {
+func (r *openJobRecord) JobSpec(id string) JobSpec {
 	return JobSpec{
 		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: Urgency(r.Urgency),
 		Tasks: r.Tasks, Need: Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
 		MachineTypes: r.MachineTypes, Zone: r.Zone, SameZone: r.SameZone, SpreadZones: r.SpreadZones, AllowSpot: r.AllowSpot,
 		ExpectedRunTime: Seconds(r.ExpectedSeconds), CheckpointInterval: Seconds(r.CheckpointIntervalSeconds), CheckpointCost: Seconds(r.CheckpointCostSeconds),
-		Deadline: Seconds(r.DeadlineSeconds), Dependencies: r.dependencies(),
+		Deadline: Seconds(r.DeadlineSeconds), Dependencies: r.DependencyNames(),
 	}
 }
 
-// dependencies are the jobs that it names; none if they can't be read, which bad tells.
-func (r *openJobRecord) dependencies() []string {
+// DependencyNames are the jobs that it names; none if they can't be read, which bad tells.
+func (r *openJobRecord) DependencyNames() []string {
 	names, _ := pipeline.DecodeNames(r.Dependencies)
 	return names
 }
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -22,7 +22,7 @@
 			spec.Tasks = total
 		}
 		j := n.addJob(spec, n.now, 1)
-		rec := j.JobSpec.openRecord(n.now)
+		rec := newOpenJobRecord(&j.JobSpec, n.now)
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		n.applyJobRecord(j, 2, &rec)
 		for k := range 3 {
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -24,7 +24,7 @@
 
 // setCancelled writes that a job was cancelled by a change that was sent at a moment.
 func (n *Controller) setCancelled(j *job, at time.Time) {
-	rec := j.JobSpec.openRecord(j.submittedAt)
+	rec := newOpenJobRecord(&j.JobSpec, j.submittedAt)
 	rec.Cancelled, rec.CancelledAtMillis = true, at.UnixMilli()
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
 	if n.shardLeader.jobs[j.ID] != nil {
@@ -380,7 +380,7 @@
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
-	open := j.JobSpec.openRecord(j.submittedAt)
+	open := newOpenJobRecord(&j.JobSpec, j.submittedAt)
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision, open}
 	rec := open
 	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -200,7 +200,7 @@
 		n.rejectInput("record", it.Key, "it can't be read")
 		return
 	}
-	if problem := r.validate(); problem != "" {
+	if problem := r.Validate(); problem != "" {
 		// Its job stays queued until somebody mends the record or cancels it.
 		n.rejectInput("record", it.Key, problem)
 		return
@@ -212,7 +212,7 @@
 			// Another's, or it comes when the team's records have been read.
 			return
 		}
-		spec := r.spec(id)
+		spec := r.JobSpec(id)
 		if r.Cancelled {
 			spec.Tasks = r.Tasks
 		}
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -437,11 +437,11 @@
 		if n.frontend.finalStatuses[id] == Done {
 			continue
 		}
-		if bad := l.rec.validate(); bad != "" {
+		if bad := l.rec.Validate(); bad != "" {
 			n.rejectInput("record", openJobPrefix+id, bad)
 			continue
 		}
-		spec := l.rec.spec(id)
+		spec := l.rec.JobSpec(id)
 		if l.rec.Cancelled {
 			spec.Tasks = l.rec.Tasks
 		}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -17,7 +17,7 @@
 			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: Normal, Tasks: size, AllowSpot: true,
 			Need: Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		open = append(open, KeyValue{Key: openJobPrefix + spec.ID, Value: encode(spec.openRecord(time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
+		open = append(open, KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
 		perSegment := maxTasksPerSegment(4096)
 		for c := 0; c*perSegment < size; c++ {
 			var r taskSegmentRecord
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -137,7 +137,7 @@
 // TestUpdateOfFormerIncarnation: what a former life of a controller wished counts no more.
 func TestUpdateOfFormerIncarnation(t *testing.T) {
 	n := twoControllers(t)
-	n.membership.controllers["b"] = controllerRecord{Incarnation: "b#2"}
+	n.membership.controllers["b"] = memberRecord{Incarnation: "b#2"}
 	n.leader = &leader{updates: map[string]receivedUpdate{}, rentals: map[string]*rental{"vm": {id: "vm", publishedTo: "b"}}, ackedSeq: map[string]uint64{"b": 9}}
 	n.handleCommand(PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []Progress{{ID: "job-000900", Done: 3}}})
 	if _, ok := n.freshUpdate("b"); ok || n.progressByJob["job-000900"].Done != 0 {
@@ -148,7 +148,7 @@
 		t.Error("the present life is not told anew")
 	}
 	// And what came in time is not used when another life has taken its place since.
-	n.membership.controllers["b"] = controllerRecord{Incarnation: "b#3"}
+	n.membership.controllers["b"] = memberRecord{Incarnation: "b#3"}
 	if _, ok := n.freshUpdate("b"); ok {
 		t.Error("a former life's wishes are met")
 	}
@@ -177,7 +177,7 @@
 		t.Fatal("it does not look what stands there")
 	}
 	// A former life's, whose write came late: its grant is ended and this one registers.
-	n.handleCommand(StoreResponse{ID: get.ID, Status: StoreOK, KeyValues: []KeyValue{{Key: key, Value: encode(controllerRecord{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
+	n.handleCommand(StoreResponse{ID: get.ID, Status: StoreOK, KeyValues: []KeyValue{{Key: key, Value: encode(memberRecord{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
 	drop := n.effects[len(n.effects)-1].(StoreRequest)
 	if drop.Kind != OpLeaseRevoke || drop.LeaseID != 3 {
 		t.Fatalf("it asks for %+v", drop)
@@ -193,7 +193,7 @@
 // for to the end.
 func TestReleasedIsNotRequestedAgain(t *testing.T) {
 	n := twoControllers(t)
-	n.membership.controllers["b"] = controllerRecord{Incarnation: "b#1"}
+	n.membership.controllers["b"] = memberRecord{Incarnation: "b#1"}
 	n.membership.leader = leaderRecord{Host: "b", Incarnation: "b#1"}
 	n.shardLeader.fleetView.leaderHost = "b"
 	update := PeerUpdate{From: "b", Incarnation: "b#1", IsLeaderUpdate: true, Seq: 1}
--- a/internal/controller/validate.go
+++ b/internal/controller/validate.go
@@ -29,8 +29,8 @@
 	return c.Problem()
 }
 
-// validate is what is wrong with news, "" for nothing.
-func (c *PeerUpdate) validate() string {
+// Validate is what is wrong with news, "" for nothing.
+func (u *PeerUpdate) Validate() string {
 	var check validate.Check
 	checkRequests := func(field string, requests []CapacityRequest) {
 		for _, w := range requests {
@@ -39,47 +39,47 @@
 			check.Count(field+".count", w.Count, 0, validate.MaxTasks)
 		}
 	}
-	checkRequests("wants", c.CapacityRequests)
-	checkRequests("spare", c.SurplusElsewhere)
-	checkRequests("blocked", c.Blocked)
-	if c.Rates != nil {
-		check.Amount("rates.requests", c.Rates.Requests)
-		check.Amount("rates.changes", c.Rates.Writes)
+	checkRequests("wants", u.CapacityRequests)
+	checkRequests("spare", u.SurplusElsewhere)
+	checkRequests("blocked", u.Blocked)
+	if u.Rates != nil {
+		check.Amount("rates.requests", u.Rates.Requests)
+		check.Amount("rates.changes", u.Rates.Writes)
 	}
-	for _, l := range c.WorkloadLoads {
+	for _, l := range u.WorkloadLoads {
 		check.Name("loads.workload", l.Workload, true)
 		check.Amount("loads.rate", l.TasksPerSecond)
 		check.Amount("loads.ratio", l.RunTimeRatio)
 		check.Amount("loads.dev", l.Deviation)
 		check.Count("loads.samples", l.Samples, 0, 1<<40)
 	}
-	for _, q := range c.Quotes {
+	for _, q := range u.Quotes {
 		check.Name("quotes.team", q.Team, true)
 		check.Count("quotes.value", len(q.Value), 1, sizelimit.MaxTxnBytes)
 	}
-	for _, p := range c.Progress {
+	for _, p := range u.Progress {
 		check.Count("progress.done", p.Done, 0, validate.MaxTasks)
 		check.Count("progress.running", p.Running, 0, validate.MaxTasks)
 	}
-	for _, t := range c.TeamLoads {
+	for _, t := range u.TeamLoads {
 		check.Amount("teams.cpu", t.CPU)
 	}
-	for _, h := range c.MachineUpdates {
+	for _, h := range u.MachineUpdates {
 		check.Name("hosts.id", h.ID, true)
 		for _, gb := range h.Images {
 			check.Amount("hosts.images", gb)
 		}
 	}
-	for _, r := range c.RentalUpdates {
+	for _, r := range u.RentalUpdates {
 		check.Name("rentals.id", r.ID, true)
 		check.Amount("rentals.age", r.Age.Seconds())
 	}
-	check.Count("came", len(c.Rerouted), 0, maxReroutedHeartbeats)
-	for _, x := range c.Rerouted {
+	check.Count("came", len(u.Rerouted), 0, maxReroutedHeartbeats)
+	for _, x := range u.Rerouted {
 		check.Name("came.id", x.ID, true)
 	}
-	validateCancellations(&check, c)
-	for _, a := range c.RemoteAttempts {
+	validateCancellations(&check, u)
+	for _, a := range u.RemoteAttempts {
 		check.Name("wards.machine", a.Machine, true)
 		for _, t := range a.Attempts {
 			check.Count("wards.index", t.Index, 0, validate.MaxTasks-1)
@@ -97,14 +97,14 @@
 			check.Count(field+".urgency", int(h.Urgency), int(BestEffort), int(Critical))
 		}
 	}
-	checkNeeds("needs", c.HostNeeds)
-	checkNeeds("lacks", c.OthersNeeds)
-	checkNeeds("empty", c.EvacuationRequests)
-	for _, h := range c.EvacuationCosts {
+	checkNeeds("needs", u.HostNeeds)
+	checkNeeds("lacks", u.OthersNeeds)
+	checkNeeds("empty", u.EvacuationRequests)
+	for _, h := range u.EvacuationCosts {
 		check.Name("costs.flavour", h.MachineType, true)
 		check.Amount("costs.down", h.Downtime.Seconds())
 	}
-	for _, a := range c.RemoteStatuses {
+	for _, a := range u.RemoteStatuses {
 		check.Name("told.machine", a.Machine, true)
 		for _, t := range a.Attempts {
 			check.Count("told.index", t.Index, 0, validate.MaxTasks-1)
@@ -113,9 +113,9 @@
 	return check.Problem()
 }
 
-// validate is what is wrong with a job's record, "" for nothing. One that is over and was
+// Validate is what is wrong with a job's record, "" for nothing. One that is over and was
 // kept by an earlier form says nothing but that.
-func (r *openJobRecord) validate() string {
+func (r *openJobRecord) Validate() string {
 	var c validate.Check
 	if r.Cancelled && r.Team == "" {
 		return ""
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -29,7 +29,7 @@
 	// promised is the newest date that was told, and rev its revision.
 	promised        time.Duration
 	promiseRevision int
-	// firstDate: the first answer told a date.
+	// FirstDate: the first answer told a date.
 	promisedAtFirst bool
 	// cancelledAt is when the first answer left a controller that says so: from then on
 	// its user could have been told, also if it came late or never.
