--- a/internal/controller/epoch_bump.go
+++ b/internal/controller/epoch_bump.go
@@ -68,7 +68,7 @@
 		}
 		n.bumpingEpoch = true
 		n.info("machines get a higher epoch", "machines", len(bumped), "such as", bumped[0], "share", name)
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: []Compare{{shardPrefix + name, s.ModRevision}, {shardSegmentPrefix + w.Name, 0}},
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: []Compare{{Key: shardPrefix + name, ModRevision: s.ModRevision}, {Key: shardSegmentPrefix + w.Name, ModRevision: 0}},
 			Writes: []Write{{Key: shardSegmentPrefix + w.Name, Value: w.Value}}}, func(StoreResponse) {
 			n.bumpingEpoch = false
 			if n.shardLeader == o {
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -136,7 +136,7 @@
 			for _, spot := range [...]bool{true, false} {
 				k := machineKind{name, z, spot}
 				if waiting.allowsMachine(name, z, spot) && waiting.zoneAllowed(z) && n.now.Sub(b.refusedAt[k]) < refusedWindow && len(b.needs) < maxHostNeeds {
-					b.needs = append(b.needs, HostNeed{name, z, spot, waiting.Need, waiting.Workload, waiting.Urgency})
+					b.needs = append(b.needs, HostNeed{MachineType: name, Zone: z, Spot: spot, Need: waiting.Need, Workload: waiting.Workload, Urgency: waiting.Urgency})
 				}
 			}
 		}
@@ -187,14 +187,14 @@
 	for i := range b.othersNeeds {
 		h := &b.othersNeeds[i]
 		if mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || hasEmptyHost(n, neededKind(h)) {
-			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, 0})
+			b.costs = append(b.costs, HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: 0})
 			continue
 		}
 		if tries++; tries > maxCostedKinds {
 			break
 		}
 		if plan, ok := migration.Find(evacuationProblem(n, mv, h)); ok {
-			b.costs = append(b.costs, HostCost{h.MachineType, h.Zone, h.Spot, plan.Cost})
+			b.costs = append(b.costs, HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: plan.Cost})
 		}
 	}
 	return true
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -167,7 +167,7 @@
 	}
 	var out []CapacityRequest
 	for _, k := range sortedKinds(byKind) {
-		out = append(out, CapacityRequest{k.machineType, k.zone, k.spot, byKind[k]})
+		out = append(out, CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: byKind[k]})
 	}
 	return out
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -337,13 +337,13 @@
 			continue
 		}
 		if r.publishedSeq > l.ackedSeq[host] || i%publishTurns == l.publishTurn {
-			m.RentalUpdates = append(m.RentalUpdates, RentalUpdate{r.id, r.addr, r.machineType, r.zone, r.spot, status, n.now.Sub(r.rentedAt)})
+			m.RentalUpdates = append(m.RentalUpdates, RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: n.now.Sub(r.rentedAt)})
 		}
 	}
 	var blocked []CapacityRequest
 	for _, k := range sortedKinds(l.blockedUntil) {
 		if l.blockedUntil[k].After(n.now) {
-			blocked = append(blocked, CapacityRequest{k.machineType, k.zone, k.spot, 1})
+			blocked = append(blocked, CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: 1})
 		}
 	}
 	request, hasRequest := l.sharding.planner.PendingMove()
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -125,13 +125,13 @@
 	switch {
 	case !s.formatSupport[n.settings.Host]:
 		key := formatSupportPrefix + n.settings.Host
-		op.Compares = []Compare{{key, 0}}
+		op.Compares = []Compare{{Key: key, ModRevision: 0}}
 		op.Writes = []Write{{Key: key, Value: rec}}
 	case s.limitsLowered && n.shardLeader != nil:
-		op.Compares = append(n.shardCompares(""), Compare{formatKey, s.formatModRevision})
+		op.Compares = append(n.shardCompares(""), Compare{Key: formatKey, ModRevision: s.formatModRevision})
 		op.Writes = []Write{{Key: formatKey, Value: rec}}
 	case n.leader != nil && allSupportSizedSegments(n):
-		op.Compares = []Compare{{leaderKey, n.leader.modRevision}, {formatKey, s.formatModRevision}}
+		op.Compares = []Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: formatKey, ModRevision: s.formatModRevision}}
 		op.Writes = []Write{{Key: formatKey, Value: rec}}
 	default:
 		return
@@ -223,7 +223,7 @@
 func (n *Controller) neverStartedCompares(id string) []Compare {
 	var out []Compare
 	for _, f := range [...]segmentFormat{n.settings.unsizedFormat(), n.segmentFormat(), {maxTasksPerSegment(n.settings.MaxValueBytes), true}} {
-		c := Compare{f.keyOf(id, 0), 0}
+		c := Compare{Key: f.keyOf(id, 0), ModRevision: 0}
 		if f.sized && !n.segmentFormat().sized && f.tasksPerSegment >= n.segmentFormat().tasksPerSegment {
 			// It never comes to that.
 			continue
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -301,7 +301,7 @@
 func TestFormatNeedsAllControllers(t *testing.T) {
 	n := newFormatTestController()
 	n.settings.Peers = []string{"b", "c"}
-	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != formatSupportPrefix+"a" || ops[0].Compares[0] != (Compare{formatSupportPrefix + "a", 0}) {
+	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != formatSupportPrefix+"a" || ops[0].Compares[0] != (Compare{Key: formatSupportPrefix + "a", ModRevision: 0}) {
 		t.Fatalf("the first write is %+v", ops)
 	}
 	applyFormatRecord(n, KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
@@ -317,7 +317,7 @@
 	}
 	n.leader = &leader{modRevision: 9}
 	ops := formatWrites(n)
-	if len(ops) != 1 || ops[0].Writes[0].Key != formatKey || !slices.Contains(ops[0].Compares, Compare{leaderKey, 9}) || !slices.Contains(ops[0].Compares, Compare{formatKey, 0}) {
+	if len(ops) != 1 || ops[0].Writes[0].Key != formatKey || !slices.Contains(ops[0].Compares, Compare{Key: leaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, Compare{Key: formatKey, ModRevision: 0}) {
 		t.Fatalf("%+v", ops)
 	}
 	if n.segmentFormat().sized {
@@ -347,7 +347,7 @@
 	adoptFormat(n, segmentFormat{maxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
 	for _, key := range []string{before, after} {
-		if !slices.Contains(conds, Compare{key, 0}) {
+		if !slices.Contains(conds, Compare{Key: key, ModRevision: 0}) {
 			t.Errorf("%v do not name %s", conds, key)
 		}
 	}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -490,7 +490,7 @@
 		id := s.spec.ID
 		// Neither over nor open: never accepted before. One change is enough;
 		// job/ is written when the job is over.
-		op.Compares = append(op.Compares, Compare{jobStatusPrefix + id, 0}, Compare{openJobPrefix + id, 0})
+		op.Compares = append(op.Compares, Compare{Key: jobStatusPrefix + id, ModRevision: 0}, Compare{Key: openJobPrefix + id, ModRevision: 0})
 		op.Writes = append(op.Writes, Write{Key: openJobPrefix + id, Value: encode(s.openRecord())})
 	}
 	n.requestStore(op, func(d StoreResponse) {
@@ -567,7 +567,7 @@
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		open := encode(rec)
 		// Both records change together: the stamp of open/ guards starts.
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{openJobPrefix + id, f.modRevision}},
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: openJobPrefix + id, ModRevision: f.modRevision}},
 			Writes: []Write{
 				{Key: jobStatusPrefix + id, Value: encode(endRecordFromCache(n, id, Cancelled, &openJob{f.modRevision, f.open}))},
 				{Key: openJobPrefix + id, Value: open},
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -161,7 +161,7 @@
 		t.Fatal("a copy of its first report is taken for a new beginning")
 	}
 	n.effects, m.statusRequested, m.probed = nil, false, time.Time{}
-	m.rerouted = ReroutedHeartbeat{m.id, m.epoch, m.incarnation, 900}
+	m.rerouted = ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
 	n.contact(m)
 	n.answerPoll(t, m, first)
 	if m.rerouted != (ReroutedHeartbeat{}) {
@@ -253,19 +253,19 @@
 	n := largePool(12)
 	m, _ := machineWithTask(n)
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
-	for _, x := range []ReroutedHeartbeat{{m.id, m.epoch, m.incarnation, m.sequence}, {m.id, m.epoch - 1, m.incarnation, m.sequence + 5}, {m.id, m.epoch, m.incarnation - 1, m.sequence + 5}} {
+	for _, x := range []ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}, {ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}, {ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}} {
 		applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
 		if !n.unresponsive(m) {
 			t.Errorf("%v is a sign of life", x)
 		}
 	}
 	m.epoch++
-	applyReroutedHeartbeats(n, []ReroutedHeartbeat{{m.id, m.epoch - 1, m.incarnation, m.sequence + 5}})
+	applyReroutedHeartbeats(n, []ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
 	if !n.unresponsive(m) {
 		t.Error("a report that shows no epoch of this owner's time is a sign of life")
 	}
 	m.epoch--
-	x := ReroutedHeartbeat{m.id, m.epoch, m.incarnation, m.sequence + 5}
+	x := ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
 	applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
 	if n.unresponsive(m) || n.usable(m) {
 		t.Errorf("silent %v, usable %v", n.unresponsive(m), n.usable(m))
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -61,7 +61,7 @@
 			writes = append(writes, Write{Key: jobStatusPrefix + j.ID, Value: encode(e.rec)})
 		}
 		writes = append(writes, Write{Key: openJobPrefix + j.ID})
-		compares := append(n.shardCompares(j.Team), Compare{openJobPrefix + j.ID, j.modRevision})
+		compares := append(n.shardCompares(j.Team), Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision})
 		for _, a := range writes {
 			size += sizelimit.WriteBytes(sizelimit.Write{Key: a.Key, Value: a.Value})
 		}
@@ -184,7 +184,7 @@
 	o.orphanedRecords = slices.Clone(o.orphanedRecords[k:])
 	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares("")}
 	for _, key := range keys {
-		if open := (Compare{openJobPrefix + jobIDFromKey(key, taskSegmentPrefix), 0}); !slices.Contains(op.Compares, open) {
+		if open := (Compare{Key: openJobPrefix + jobIDFromKey(key, taskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
 			op.Compares = append(op.Compares, open)
 		}
 		op.Writes = append(op.Writes, Write{Key: key})
--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -45,7 +45,7 @@
 		t.Fatalf("three ends were sent as %+v", ops)
 	}
 	for _, j := range jobs {
-		if !slices.Contains(ops[0].Compares, Compare{openJobPrefix + j.ID, j.modRevision}) {
+		if !slices.Contains(ops[0].Compares, Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision}) {
 			t.Errorf("the end of %s does not name its record", j.ID)
 		}
 	}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -225,14 +225,14 @@
 // leader's for what is lent, the share with the guests' team for what is borrowed, so
 // that nothing of a deposed one's is applied, and the record the decision rests on.
 func runLoanCommand(n *Controller, cmd LoanCommand) {
-	done := func(s LoanStatus) { n.emit(LoanReply{cmd.Reply, s}) }
+	done := func(s LoanStatus) { n.emit(LoanReply{Reply: cmd.Reply, Status: s}) }
 	ownerReady := n.shardLeader != nil && n.shardLeader.ready
 	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart}
 	switch borrowing := cmd.Kind >= LoanAccept; {
 	case borrowing && ownerReady && offloadedJobsLoaded(n):
 		req.Compares = append(req.Compares, n.shardCompares(n.offloadedJobs.team)...)
 	case !borrowing && n.leader != nil:
-		req.Compares = append(req.Compares, Compare{leaderKey, n.leader.modRevision})
+		req.Compares = append(req.Compares, Compare{Key: leaderKey, ModRevision: n.leader.modRevision})
 	default:
 		done(LoanNotApplied)
 		return
@@ -255,7 +255,7 @@
 		j.lending = true
 		// Without an answer it may be carried out when the job has been started here,
 		// which leaves open/ as it is: the first task's record must not be there either.
-		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), Compare{openKey, j.modRevision})
+		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), Compare{Key: openKey, ModRevision: j.modRevision})
 		req.Compares = append(req.Compares, n.neverStartedCompares(cmd.Job)...)
 		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
 	case LoanTakeBack:
@@ -265,7 +265,7 @@
 		}
 		rec := current.rec
 		rec.LentTo, rec.StopBoundMillis, rec.CancelRequested = "", 0, false
-		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
+		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
 		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
 	case LoanSettle, LoanEndCancelled:
 		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
@@ -277,7 +277,7 @@
 			status = Cancelled
 		}
 		endRec := endRecordFromCache(n, cmd.Job, status, &current)
-		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
+		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
 		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRec)})
 		openUpdate = KeyValue{Key: openKey, Deleted: true}
 		onApplied = func() {
@@ -287,7 +287,7 @@
 	case LoanAccept:
 		rec := newOpenJobRecord(&cmd.Spec, n.now.Add(-cmd.Age))
 		rec.BorrowedLoan = cmd.Loan
-		req.Compares = append(req.Compares, Compare{offloadedJobPrefix + cmd.Loan, 0}, Compare{openKey, 0}, Compare{jobStatusPrefix + cmd.Job, 0})
+		req.Compares = append(req.Compares, Compare{Key: offloadedJobPrefix + cmd.Loan, ModRevision: 0}, Compare{Key: openKey, ModRevision: 0}, Compare{Key: jobStatusPrefix + cmd.Job, ModRevision: 0})
 		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(offloadedJobRecord{Job: cmd.Job})})
 		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
 		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = offloadedJobRecord{Job: cmd.Job} }
@@ -300,13 +300,13 @@
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		g := offloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
-		req.Compares = append(req.Compares, Compare{openKey, current.modRevision})
+		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
 		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, Cancelled, &current))},
 			Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(g)})
 		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
 		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = g }
 	case LoanDrop:
-		req.Compares = append(req.Compares, Compare{openKey, 0})
+		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: 0})
 		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan}, Write{Key: jobStatusPrefix + cmd.Job})
 		onApplied = func() {
 			delete(n.offloadedJobs.byLoan, cmd.Loan)
@@ -380,7 +380,7 @@
 	rec := f.open
 	rec.CancelRequested = true
 	it := KeyValue{Key: openJobPrefix + w.id, Value: encode(rec)}
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{it.Key, f.modRevision}}, Writes: []Write{{Key: it.Key, Value: it.Value}}}, func(d StoreResponse) {
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []Write{{Key: it.Key, Value: it.Value}}}, func(d StoreResponse) {
 		if d.Status == StoreOK {
 			it.ModRevision = d.Revision
 			n.observeOwnWrite(it)
@@ -656,6 +656,6 @@
 			s = LoanDurable
 			n.applyControlRecord(KeyValue{Key: drainKey, Value: rec, ModRevision: d.Revision})
 		}
-		n.emit(LoanReply{c.Reply, s})
+		n.emit(LoanReply{Reply: c.Reply, Status: s})
 	})
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -210,7 +210,7 @@
 	grant := n.membership.leaseID
 	key := controllerPrefix + n.settings.Host
 	rec := encode(memberRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{key, n.membership.recordModRevision}}, Writes: []Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d StoreResponse) {
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: key, ModRevision: n.membership.recordModRevision}}, Writes: []Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d StoreResponse) {
 		if n.membership.leaseID != grant {
 			return
 		}
@@ -531,7 +531,7 @@
 	}
 	s.claimingLeadership = true
 	rec := encode(leaderRecord{Host: n.settings.Host, Incarnation: n.incarnation()})
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, 0}},
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: leaderKey, ModRevision: 0}},
 		Writes: []Write{{Key: leaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d StoreResponse) {
 		s.claimingLeadership = false
 		switch d.Status {
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -359,13 +359,13 @@
 				return
 			}
 			teams = append(teams, j.Team)
-			if c := (Compare{openJobPrefix + id, j.modRevision}); !slices.Contains(op.Compares, c) {
+			if c := (Compare{Key: openJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
 				op.Compares = append(op.Compares, c)
 			}
 		}
 	}
 	op.Compares = append(op.Compares, n.shardCompares(teams...)...)
-	op.Compares = append(op.Compares, Compare{key, rec.modRevision})
+	op.Compares = append(op.Compares, Compare{Key: key, ModRevision: rec.modRevision})
 	op.Writes = []Write{{Key: key, Value: val}}
 	if val == nil && rec.modRevision == 0 {
 		mv.tracker.MarkPersisted(team, ver)
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -74,13 +74,13 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	share := n.membership.shardMap.Team("ops")
-	for _, c := range []Compare{{shardPrefix + "a", share.ModRevision}, {openJobPrefix + "job-large", 7}, {"move/ops", 0}} {
+	for _, c := range []Compare{{Key: shardPrefix + "a", ModRevision: share.ModRevision}, {Key: openJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
 		if !slices.Contains(op.Compares, c) {
 			t.Errorf("conditions %v, want %v among them", op.Compares, c)
 		}
 	}
 	moved := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
-	if !slices.Contains(op.Compares, Compare{openJobPrefix + moved.Job, 7}) {
+	if !slices.Contains(op.Compares, Compare{Key: openJobPrefix + moved.Job, ModRevision: 7}) {
 		t.Errorf("conditions %v, want the moved job's", op.Compares)
 	}
 	j := n.shardLeader.jobs[moved.Job]
@@ -124,7 +124,7 @@
 		t.Fatalf("without an answer %v, want a reading", n.effects)
 	}
 	n.storeCallbacks[get.ID](StoreResponse{Status: StoreOK, KeyValues: []KeyValue{{Key: "move/ops", ModRevision: 33}}})
-	if op = n.awaitMigrationWrite(t); !slices.Contains(op.Compares, Compare{"move/ops", 33}) {
+	if op = n.awaitMigrationWrite(t); !slices.Contains(op.Compares, Compare{Key: "move/ops", ModRevision: 33}) {
 		t.Errorf("conditions %v, want the record's stamp", op.Compares)
 	}
 }
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -89,7 +89,7 @@
 	var out []TeamQuotes
 	for _, t := range sortedKeys(n.shardLeader.teams) {
 		if q := n.promises.quotes[t]; q != nil {
-			out = append(out, TeamQuotes{t, q.Encode(t, n.maxPageBytes())})
+			out = append(out, TeamQuotes{Team: t, Value: q.Encode(t, n.maxPageBytes())})
 		}
 	}
 	return out
@@ -265,7 +265,7 @@
 		return
 	}
 	value := t.Encode(n.maxPageBytes())
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: []Compare{{leaderKey, by.modRevision}, {totalsKey, tracker.modRevision}}, Writes: []Write{{Key: totalsKey, Value: value}}}, func(d StoreResponse) {
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: []Compare{{Key: leaderKey, ModRevision: by.modRevision}, {Key: totalsKey, ModRevision: tracker.modRevision}}, Writes: []Write{{Key: totalsKey, Value: value}}}, func(d StoreResponse) {
 		tracker.inFlight = false
 		if n.leader != by || d.Status != StoreOK {
 			// What became of it the record tells, before anything more is counted.
@@ -281,7 +281,7 @@
 func reportTotals(n *Controller) {
 	x := &n.promises.totals
 	s := x.current.Sum()
-	n.emit(PromiseTotals{s, x.current.MedianRatio()})
+	n.emit(PromiseTotals{Sum: s, MedianRatio: x.current.MedianRatio()})
 	if n.now.Sub(x.loggedAt) < totalsLogInterval {
 		return
 	}
@@ -354,7 +354,7 @@
 const openMost = 1000
 
 func newPromiseRow(r promise.Row) PromiseRow {
-	return PromiseRow{r.Team, r.Class, r.Jobs, r.Made, r.Kept, r.Broken, r.Revised, r.Worst.Seconds()}
+	return PromiseRow{Team: r.Team, Class: r.Class, Ended: r.Jobs, Made: r.Made, Kept: r.Kept, Broken: r.Broken, Revised: r.Revised, WorstSeconds: r.Worst.Seconds()}
 }
 
 // queryPromises answers from a fresh read, so that any controller tells the same.
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -275,6 +275,6 @@
 func (n *Controller) reportGPUFreeCapacity() {
 	if p := n.currentPackingProfile(); p != nil && n.now.Sub(n.shardLeader.freeCapacityReportedAt) >= gpuCapacityInterval {
 		n.shardLeader.freeCapacityReportedAt = n.now
-		n.emit(GPUFreeCapacityReport{n.gpuFreeCapacity(), migrationsStatus(n)})
+		n.emit(GPUFreeCapacityReport{Kinds: n.gpuFreeCapacity(), Migrations: migrationsStatus(n)})
 	}
 }
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -131,7 +131,7 @@
 		n.reroutedHeartbeats = map[string][]ReroutedHeartbeat{}
 	}
 	if len(n.reroutedHeartbeats[ownerHost]) < maxReroutedHeartbeats {
-		n.reroutedHeartbeats[ownerHost] = append(n.reroutedHeartbeats[ownerHost], ReroutedHeartbeat{r.Machine, r.Epoch, r.Incarnation, r.Sequence})
+		n.reroutedHeartbeats[ownerHost] = append(n.reroutedHeartbeats[ownerHost], ReroutedHeartbeat{ID: r.Machine, Epoch: r.Epoch, Incarnation: r.Incarnation, Sequence: r.Sequence})
 	}
 }
 
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -563,7 +563,7 @@
 		readPage(n, writer, key, w)
 		return
 	}
-	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: append(n.shardCompares(team), Compare{key, w.ModRevision}), Writes: []Write{{Key: key, Value: w.Value}}}
+	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: append(n.shardCompares(team), Compare{Key: key, ModRevision: w.ModRevision}), Writes: []Write{{Key: key, Value: w.Value}}}
 	n.requestStore(req, func(resp StoreResponse) {
 		if n.shardLeader != o {
 			return
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -77,7 +77,7 @@
 		if n.leader == nil && p == n.membership.leader.Host && o.fleetView != nil {
 			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = o.leaderUpdateSeq, o.machinesToRelease, o.surplusMachines, n.offers(), n.teamLoads()
 			for _, k := range sortedKinds(o.capacityRequests) {
-				out.CapacityRequests = append(out.CapacityRequests, CapacityRequest{k.machineType, k.zone, k.spot, o.capacityRequests[k]})
+				out.CapacityRequests = append(out.CapacityRequests, CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: o.capacityRequests[k]})
 			}
 			if o.migrations != nil {
 				out.HostNeeds, out.EvacuationCosts = o.migrations.evacuation.needs, o.migrations.evacuation.costs
@@ -165,7 +165,7 @@
 	var out []TeamLoad
 	for _, t := range sortedKeys(cpuByTeam) {
 		if o.teams[t] != nil {
-			out = append(out, TeamLoad{t, cpuByTeam[t]})
+			out = append(out, TeamLoad{Team: t, CPU: cpuByTeam[t]})
 		}
 	}
 	return out
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -367,7 +367,7 @@
 	}
 	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, n.settings.Host, n.now
 	r.writingDerived = true
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, n.leader.modRevision}, {rankingKey, 0}}, Writes: rankingWrites(rec)}, func(d StoreResponse) {
+	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: rankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d StoreResponse) {
 		pause := n.jitter(storeRetryDelay)
 		if d.Status == StoreMalformed {
 			pause = malformedRetryDelay
@@ -436,7 +436,7 @@
 }
 
 func rankingClassSpec(c ranking.Class) RankingClassSpec {
-	return RankingClassSpec{c.Name, c.Workloads, c.Urgency, c.WaitBound.Seconds(), c.ReservedFraction}
+	return RankingClassSpec{Name: c.Name, Workloads: c.Workloads, Urgency: c.Urgency, WaitBoundSeconds: c.WaitBound.Seconds(), ReservedFraction: c.ReservedFraction}
 }
 
 // RankingClass is a class with what of it is here. Those without Set are the urgencies that
@@ -487,7 +487,7 @@
 		}
 		rec := cmd.Record
 		rec.Revision, rec.SetAt = state.highestRevision+1, n.now
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{rankingKey, state.modRevision}}, Writes: rankingWrites(rec)}, func(resp StoreResponse) {
+		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: rankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp StoreResponse) {
 			switch resp.Status {
 			case StoreOK:
 				n.emit(RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
--- a/internal/controller/rate_limits.go
+++ b/internal/controller/rate_limits.go
@@ -61,7 +61,7 @@
 func publishRates(n *Controller) {
 	n.after(ratesPublishInterval, func() { publishRates(n) })
 	b := &n.rateLimits
-	r := Rates{b.requests.Rate(n.now), b.writes.Rate(n.now)}
+	r := Rates{Requests: b.requests.Rate(n.now), Writes: b.writes.Rate(n.now)}
 	for _, p := range n.settings.Peers {
 		n.emit(SendPeerUpdate{To: p, Update: PeerUpdate{From: n.settings.Host, Rates: &r}})
 	}
@@ -75,16 +75,16 @@
 		}
 		peer := b.peers[h]
 		if n.now.Sub(peer.receivedAt) > ratesTTL {
-			peer.Rates = Rates{followerRequests, followerWrites}
+			peer.Rates = Rates{Requests: followerRequests, Writes: followerWrites}
 			for _, s := range n.membership.shardMap.Shards() {
 				if s.Host == h && len(s.Teams) > 0 {
-					peer.Rates = Rates{shardLeaderRequests, shardLeaderWrites}
+					peer.Rates = Rates{Requests: shardLeaderRequests, Writes: shardLeaderWrites}
 				}
 			}
 		}
 		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	allotted := Rates{ratelimit.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], ratelimit.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
+	allotted := Rates{Requests: ratelimit.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], Writes: ratelimit.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
 	b.writesShort = r.Writes*ratelimit.Headroom > allotted.Writes*(1+minRateChange)
 	if ratesDiffer(allotted.Requests, b.allotted.Requests) || ratesDiffer(allotted.Writes, b.allotted.Writes) {
 		b.allotted = allotted
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -131,13 +131,13 @@
 						for _, f := range fence {
 							comparedShards[f.Key] = true
 						}
-						op.Compares = append(append(op.Compares, fence...), Compare{openJobPrefix + id, j.modRevision})
+						op.Compares = append(append(op.Compares, fence...), Compare{Key: openJobPrefix + id, ModRevision: j.modRevision})
 					}
 					if hasStarts && !comparesRanking {
 						comparesRanking = true
-						op.Compares = append(op.Compares, Compare{rankingKey, rankingRevision})
+						op.Compares = append(op.Compares, Compare{Key: rankingKey, ModRevision: rankingRevision})
 					}
-					op.Compares = append(op.Compares, Compare{j.segmentKey(c), c.modRevision})
+					op.Compares = append(op.Compares, Compare{Key: j.segmentKey(c), ModRevision: c.modRevision})
 					op.Writes = append(op.Writes, Write{Key: j.segmentKey(c), Value: val})
 					if c.urgent {
 						op.Priority = PriorityStart
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -91,14 +91,14 @@
 	if len(writes) == 0 {
 		return
 	}
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{leaderKey, l.modRevision}}}
+	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: leaderKey, ModRevision: l.modRevision}}}
 	for _, w := range writes {
 		key := shardSegmentPrefix + w.Name
 		if w.IsShard {
 			key = shardPrefix + w.Name
 			n.info("division", "share", w.Name, "gone", w.Value == nil)
 		}
-		op.Compares = append(op.Compares, Compare{key, w.ModRevision})
+		op.Compares = append(op.Compares, Compare{Key: key, ModRevision: w.ModRevision})
 		op.Writes = append(op.Writes, Write{Key: key, Value: w.Value})
 	}
 	planning.writing = true
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -305,10 +305,10 @@
 		}
 		if s == nil {
 			// Nothing is held any more; the write is to fail.
-			out = append(out, Compare{shardPrefix + n.settings.Host, ^uint64(0)})
+			out = append(out, Compare{Key: shardPrefix + n.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
-		if c := (Compare{shardPrefix + s.Name, s.ModRevision}); !slices.Contains(out, c) {
+		if c := (Compare{Key: shardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
 			out = append(out, c)
 		}
 	}
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -166,7 +166,7 @@
 	n.membership.leaseID, n.membership.recordModRevision, n.effects = 7, 4, nil
 	n.register()
 	op := n.effects[len(n.effects)-1].(StoreRequest)
-	if len(op.Compares) != 1 || op.Compares[0] != (Compare{key, 4}) {
+	if len(op.Compares) != 1 || op.Compares[0] != (Compare{Key: key, ModRevision: 4}) {
 		t.Fatalf("it names %v", op.Compares)
 	}
 	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreConflict})
@@ -183,7 +183,7 @@
 		t.Fatalf("it asks for %+v", drop)
 	}
 	n.handleCommand(StoreResponse{ID: drop.ID, Status: StoreOK})
-	if op = n.effects[len(n.effects)-1].(StoreRequest); op.Kind != OpTxn || op.Compares[0] != (Compare{key, 0}) {
+	if op = n.effects[len(n.effects)-1].(StoreRequest); op.Kind != OpTxn || op.Compares[0] != (Compare{Key: key, ModRevision: 0}) {
 		t.Errorf("then it asks for %+v", op)
 	}
 }
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -23,7 +23,7 @@
 
 // AddScaled adds n times o.
 func (r Resources) AddScaled(o Resources, n float64) Resources {
-	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Memory + n*o.Memory}
+	return Resources{CPU: r.CPU + n*o.CPU, GPU: r.GPU + n*o.GPU, Memory: r.Memory + n*o.Memory}
 }
 
 // FitCount says how many tasks of size o fit into r.
