--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -14,6 +14,7 @@
 
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/listen"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/simulation"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -71,8 +72,8 @@
 		"same_place": false, "apart": false, "loaner": true, "expected_s": 0.5, "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil}
 }
 
-func jobSpec(o obj) controller.JobSpec {
-	return controller.JobSpec{ID: o["id"].(string), Team: o["owner"].(string), Tasks: o["pieces"].(int), Need: controller.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 0.1, AllowSpot: true}
+func jobSpec(o obj) model.JobSpec {
+	return model.JobSpec{ID: o["id"].(string), Team: o["owner"].(string), Tasks: o["pieces"].(int), Need: model.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 0.1, AllowSpot: true}
 }
 
 func request(t *testing.T, method, url string, body any) (int, obj, http.Header) {
@@ -122,7 +123,7 @@
 	for range 3 {
 		api, back = append(api, freeAddress(t)), append(back, freeAddress(t))
 	}
-	types := []controller.MachineType{{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+	types := []model.MachineType{{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
 	settings := controller.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
 	live := simulation.NewLive(settings, 100, 50, types, map[string]int{"small/a/true": 3, "small/a/false": 4}, api)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/broker"
 	"github.com/micahill/micahill/internal/simulation"
@@ -48,7 +49,7 @@
 	out := map[string]*testCluster{}
 	for _, name := range names {
 		c := &testCluster{name: name, apiAddr: freeAddress(t), internalAddr: freeAddress(t), overflowAddr: freeAddress(t)}
-		types := []controller.MachineType{{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+		types := []model.MachineType{{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
 		set := controller.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond}
 		c.simulated = simulation.NewLive(set, 200, 100, types, map[string]int{"small/a/true": machines[name]}, []string{c.apiAddr})
 		t.Cleanup(c.simulated.Stop)
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/simulation"
 )
 
@@ -31,7 +32,7 @@
 	for range 3 {
 		api, back = append(api, freeAddress(t)), append(back, freeAddress(t))
 	}
-	types := []controller.MachineType{{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
+	types := []model.MachineType{{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 8}, DiskGB: 10, ImageFetchRate: 1, CostPerHour: 1, SpotCostPerHour: 0.3, ProvisioningTime: 300 * time.Millisecond, Zones: []string{"a"}}}
 	set := controller.Settings{HeartbeatInterval: 400 * time.Millisecond, WorkerLease: 4 * time.Second, CloudListLag: 500 * time.Millisecond, MaxValueBytes: 4096, MaxTxnWrites: 12}
 	live := simulation.NewLive(set, 100, 50, types, map[string]int{"small/a/true": 1}, api)
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/validate"
 	"github.com/micahill/micahill/internal/worker"
 	"github.com/vmihailenco/msgpack/v5"
@@ -49,7 +49,7 @@
 			return
 		}
 		for _, p := range c.Tasks {
-			if p.Index < 0 || p.Job == "" || p.Status < controller.Fetching || p.Status > controller.Ended {
+			if p.Index < 0 || p.Job == "" || p.Status < model.Fetching || p.Status > model.Ended {
 				t.Fatalf("taken: %+v", p)
 			}
 		}
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/labstack/echo/v4"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/testgolden"
 	"github.com/micahill/micahill/internal/worker"
 	"github.com/vmihailenco/msgpack/v5"
@@ -29,8 +30,8 @@
 	}}
 	testgolden.Check(t, testgolden.Msgpack, runs)
 	testgolden.Full(t, runs)
-	want := controller.JobSpec{
-		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: controller.Urgent, Tasks: 16, Need: controller.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
+	want := model.JobSpec{
+		ID: "job-000412", Workload: "train", Team: "vision", Gang: true, Urgency: model.Urgent, Tasks: 16, Need: model.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75},
 		Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a", SameZone: true, SpreadZones: true, AllowSpot: true,
 		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
 		Dependencies: []string{"job-000398", "job-000402"},
@@ -50,10 +51,10 @@
 
 // TestGoldenAnswers: users and workers are answered as ever.
 func TestGoldenAnswers(t *testing.T) {
-	report := controller.HeartbeatReply{Status: 200, Epoch: 411, Commands: []controller.TaskCommand{
-		{Kind: controller.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
-		{Kind: controller.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
-		{Kind: controller.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
+	report := controller.HeartbeatReply{Status: 200, Epoch: 411, Commands: []model.TaskCommand{
+		{Kind: model.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
+		{Kind: model.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
+		{Kind: model.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
 	}}
 	body, err := msgpack.Marshal(worker.Heartbeat{Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Incarnation: 3, Sequence: 88, Epoch: 411})
 	if err != nil {
--- a/internal/api/jobrequest.go
+++ b/internal/api/jobrequest.go
@@ -8,6 +8,7 @@
 
 	"github.com/go-playground/validator/v10"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/validate"
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
@@ -56,8 +57,8 @@
 	return v
 }
 
-var urgencies = map[string]controller.Urgency{
-	"critical": controller.Critical, "urgent": controller.Urgent, "normal": controller.Normal, "best_effort": controller.BestEffort,
+var urgencies = map[string]model.Urgency{
+	"critical": model.Critical, "urgent": model.Urgent, "normal": model.Normal, "best_effort": model.BestEffort,
 }
 
 // isMap says that b begins with a map. An array would be taken for a job's fields in the
@@ -103,10 +104,10 @@
 
 // parseJobRequest reads a submission. A reason comes with whatever of the id could be
 // read: a known job is answered with its state, whatever the body.
-func parseJobRequest(b []byte) (controller.JobSpec, string) {
+func parseJobRequest(b []byte) (model.JobSpec, string) {
 	const noMap = "not a MessagePack map with a job's fields"
 	if !isMap(b) {
-		return controller.JobSpec{}, noMap
+		return model.JobSpec{}, noMap
 	}
 	var request jobRequest
 	if msgpack.Unmarshal(b, &request) != nil {
@@ -118,12 +119,12 @@
 			ID string `msgpack:"id"`
 		}
 		if msgpack.Unmarshal(b, &idOnly) == nil && jobIDPattern.MatchString(idOnly.ID) {
-			return controller.JobSpec{ID: idOnly.ID}, reason
+			return model.JobSpec{ID: idOnly.ID}, reason
 		}
-		return controller.JobSpec{}, reason
+		return model.JobSpec{}, reason
 	}
 	if request.ID == nil || !jobIDPattern.MatchString(*request.ID) {
-		return controller.JobSpec{}, invalidFieldReason("id")
+		return model.JobSpec{}, invalidFieldReason("id")
 	}
 	if err := requestValidator.Struct(&request); err != nil {
 		var violations validator.ValidationErrors
@@ -131,12 +132,12 @@
 		if errors.As(err, &violations) {
 			reason = invalidFieldReason(violations[0].Field())
 		}
-		return controller.JobSpec{ID: *request.ID}, reason
+		return model.JobSpec{ID: *request.ID}, reason
 	}
-	spec := controller.JobSpec{
+	spec := model.JobSpec{
 		ID: *request.ID, Workload: *request.Workload, Team: *request.Team, LongRunning: *request.Shape == "standing", Gang: *request.Shape == "group",
 		Urgency: urgencies[*request.Urgency], Tasks: int(*request.Tasks),
-		Need:  controller.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
+		Need:  model.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
 		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
 		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
 		ExpectedRunTime: controller.Seconds(*request.ExpectedS), CheckpointInterval: controller.Seconds(*request.CheckpointEveryS), CheckpointCost: controller.Seconds(*request.CheckpointCostS),
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
@@ -107,8 +108,8 @@
 		var a machineTypeList
 		status, err = c.send(ctx, http.MethodGet, "/machine_types", nil, &a)
 		for _, f := range a.Types {
-			out.MachineTypes = append(out.MachineTypes, controller.MachineType{
-				Name: f.Name, Capacity: controller.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
+			out.MachineTypes = append(out.MachineTypes, model.MachineType{
+				Name: f.Name, Capacity: model.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
 				DiskGB: f.DiskGB, ImageFetchRate: f.FetchRate, CostPerHour: f.CostPerHour, SpotCostPerHour: f.SpotCostPerHour,
 				ProvisioningTime: controller.Seconds(f.ReadyS), Zones: f.Zones,
 			})
@@ -121,7 +122,7 @@
 		var a machineList
 		status, err = c.send(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &a)
 		for _, h := range a.Machines {
-			out.Machines = append(out.Machines, controller.CloudMachine{
+			out.Machines = append(out.Machines, model.CloudMachine{
 				ID: h.ID, Addr: h.Address, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
 				Status: h.Status, Age: controller.Seconds(h.AgeS),
 			})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,6 +10,7 @@
 
 	"github.com/go-playground/validator/v10"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/pelletier/go-toml/v2"
 )
 
@@ -185,14 +186,14 @@
 		settings.Peers = append(settings.Peers, peer.HostName)
 	}
 	for _, team := range deployment.Teams {
-		settings.Teams = append(settings.Teams, controller.Team{
+		settings.Teams = append(settings.Teams, model.Team{
 			Name:            team.Name,
-			GuaranteedQuota: controller.Resources{CPU: team.GuaranteedCPUs, GPU: team.GuaranteedGPUs},
-			QuotaLimit:      controller.Resources{CPU: team.CPULimit, GPU: team.GPULimit},
+			GuaranteedQuota: model.Resources{CPU: team.GuaranteedCPUs, GPU: team.GuaranteedGPUs},
+			QuotaLimit:      model.Resources{CPU: team.CPULimit, GPU: team.GPULimit},
 		})
 	}
 	for _, objective := range deployment.Objectives {
-		settings.Objectives = append(settings.Objectives, controller.Objective{
+		settings.Objectives = append(settings.Objectives, model.Objective{
 			Kind: objective.Kind, Workload: objective.Workload, Within: controller.Seconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
 		})
 	}
--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/aging"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // aging.go joins the core to internal/aging: in whose turn what waits is placed, and
@@ -181,7 +182,7 @@
 
 // timeUntilFits is when a task would fit on m if nothing else came, as far as the expected ends
 // of what runs there tell.
-func (n *Controller) timeUntilFits(m *machine, need Resources) (time.Duration, bool) {
+func (n *Controller) timeUntilFits(m *machine, need model.Resources) (time.Duration, bool) {
 	free := m.free()
 	if need.Fits(free) {
 		return 0, true
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -13,25 +14,25 @@
 // and jobs that wait.
 func largePool(machines int) *Controller {
 	n := New(Settings{
-		Host: "a", Zones: []string{"z"}, Teams: []Team{{Name: "ops"}}, Policy: DefaultPolicy(),
+		Host: "a", Zones: []string{"z"}, Teams: []model.Team{{Name: "ops"}}, Policy: DefaultPolicy(),
 		HeartbeatInterval: 8 * time.Second, WorkerLease: 34 * time.Second, CancellationBound: 64 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 10,
-		Objectives: []Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second}},
+		Objectives: []model.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second}},
 	}, rand.New(rand.NewPCG(1, 2)))
 	n.now = time.Unix(1_750_000_000, 0)
 	n.membership.started, n.membership.ready = true, true
 	n.membership.leaseValidUntil = n.now.Add(24 * time.Hour)
 	n.frontend.watchCache.asOf = n.membership.leaseValidUntil
 	n.holdAllShards()
-	n.machineTypes = map[string]MachineType{
-		"box":  {Name: "box", Capacity: Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
-		"rack": {Name: "rack", Capacity: Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
+	n.machineTypes = map[string]model.MachineType{
+		"box":  {Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
+		"rack": {Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
 	}
 	n.shardLeader = &shardLeader{
 		ready: true, readyAt: n.now.Add(-time.Hour), since: n.now.Add(-time.Hour),
 		teams:  map[string]*heldTeam{"ops": {ready: true, readyAt: n.now.Add(-time.Hour)}},
 		shards: map[string]bool{"a": true}, higherEpochSeen: map[string]time.Time{}, remoteMachines: map[string]*machine{},
 		jobs: map[string]*job{}, machines: map[string]*machine{},
-		usedByTeam: map[string]Resources{}, arrivals: map[workloadKey][]arrival{}, workloads: map[string]*workload{},
+		usedByTeam: map[string]model.Resources{}, arrivals: map[workloadKey][]arrival{}, workloads: map[string]*workload{},
 		fleetView: &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}},
 	}
 	for i := range machines {
@@ -40,9 +41,9 @@
 	}
 	for i := range machines / 8 {
 		name := []string{"rush", "reprint", "wide"}[i%3]
-		spec := JobSpec{
-			ID: fmt.Sprintf("job-%06d", i), Workload: name, Team: "ops", Urgency: Normal, Tasks: 24, AllowSpot: true,
-			Need: Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("%s-%d", name, i%12), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
+		spec := model.JobSpec{
+			ID: fmt.Sprintf("job-%06d", i), Workload: name, Team: "ops", Urgency: model.Normal, Tasks: 24, AllowSpot: true,
+			Need: model.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("%s-%d", name, i%12), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
 		j := newJob(spec, n.now, 1, 4096)
 		n.shardLeader.jobs[j.ID] = j
@@ -70,8 +71,8 @@
 	}
 }
 
-func (n *Controller) poolHeartbeat(i int) *Heartbeat {
-	r := &Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
+func (n *Controller) poolHeartbeat(i int) *model.Heartbeat {
+	r := &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
 	if i%8 == 0 {
 		r.MachineType = "rack"
 	}
@@ -89,7 +90,7 @@
 			m := n.shardLeader.machinesByID[0]
 			r := n.poolHeartbeat(0)
 			for k, t := range m.attempts {
-				r.Tasks = append(r.Tasks, TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: Running})
+				r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
 			}
 			for b.Loop() {
 				r.Sequence++
@@ -153,7 +154,7 @@
 	m := n.shardLeader.machinesByID[0]
 	heartbeat := n.poolHeartbeat(0)
 	for k, a := range m.attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, TaskReport{Job: k.job, Index: k.index, Attempt: a.attempt, Status: Running})
+		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: a.attempt, Status: model.Running})
 	}
 	heartbeat.Sequence = 2
 	n.applyHeartbeat(m, heartbeat, true)
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // candidate_queues.go finds, for a task that is played forward, the machine on which it
@@ -67,7 +69,7 @@
 // placementRequest is a job for which places are looked for in a plan.
 type placementRequest struct {
 	job        *job
-	need       Resources
+	need       model.Resources
 	imageGB    float64
 	imageID    int32
 	run        time.Duration
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -7,6 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/micahill/micahill/internal/boottime"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/selfmonitor"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/throttle"
@@ -31,7 +32,7 @@
 	frontend      frontend
 	shardLeader   *shardLeader
 	leader        *leader
-	machineTypes  map[string]MachineType
+	machineTypes  map[string]model.MachineType
 	progressByJob map[string]Progress
 	// accuracy of the workloads' estimates outlives a loss of the owner role.
 	estimators map[string]*estimator
--- a/internal/controller/deadline.go
+++ b/internal/controller/deadline.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // A controller may stand still between deciding and sending, for longer than its
@@ -25,7 +27,7 @@
 		if !passed(e.SendDeadline) && passed(e.StartsDeadline) {
 			// Its lease is prolonged all the same.
 			e.StartsDeadline = time.Time{}
-			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(o TaskCommand) bool { return o.Kind == StartTask })
+			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
 			return nil, e, true
 		}
 		return nil, HeartbeatReply{Reply: e.Reply, Status: 503}, passed(e.SendDeadline)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -33,7 +34,7 @@
 	// derived: it is cancelled with one that it needs, and job/ may not say so yet.
 	cancelDerived bool
 	// ownUrgency is the urgency that its record names, and path what the jobs behind it ask.
-	ownUrgency   Urgency
+	ownUrgency   model.Urgency
 	criticalPath pipeline.CriticalPath
 	// raised: the urgency that it has now is that of a job behind it.
 	urgencyRaised bool
@@ -43,7 +44,7 @@
 func (j *job) readySince() time.Time { return later(j.submittedAt, j.releasedAt) }
 
 // validateDependencies says why a job can't need what it names.
-func (n *Controller) validateDependencies(s *JobSpec) string {
+func (n *Controller) validateDependencies(s *model.JobSpec) string {
 	if len(s.Dependencies) == 0 {
 		return ""
 	}
@@ -108,11 +109,11 @@
 // acceptedReply is the answer to a submission that was stored. One that names a cancelled job is
 // cancelled from the start.
 func (n *Controller) acceptedReply(s *submission) UserReply {
-	r := UserReply{Status: 201, ID: s.spec.ID, State: string(Queued)}
+	r := UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
 	for _, p := range s.spec.Dependencies {
 		if n.cachedJobState(p) == pipeline.Cancelled {
-			n.cacheFinalStatus(s.spec.ID, Cancelled)
-			r.State = string(Cancelled)
+			n.cacheFinalStatus(s.spec.ID, model.Cancelled)
+			r.State = string(model.Cancelled)
 			return r
 		}
 	}
@@ -122,9 +123,9 @@
 // cachedJobState is what this node knows of a job by itself.
 func (n *Controller) cachedJobState(id string) pipeline.State {
 	switch n.frontend.finalStatuses[id] {
-	case Done:
+	case model.Done:
 		return pipeline.Done
-	case Cancelled:
+	case model.Cancelled:
 		return pipeline.Cancelled
 	}
 	l, open := n.frontend.watchCache.openJobs[id]
@@ -189,7 +190,7 @@
 		switch {
 		case c.Cancelled:
 			if n.frontend.finalStatuses[c.ID] == "" {
-				n.cacheFinalStatus(c.ID, Cancelled)
+				n.cacheFinalStatus(c.ID, model.Cancelled)
 			}
 			n.cancelDependent(j)
 		case j != nil:
@@ -300,7 +301,7 @@
 	}
 	n.lookupOfOpenJob(id, l, func(f jobLookup) {
 		if n.dependencyGraph().IsCancelled(id) {
-			f.rec.Status = Cancelled
+			f.rec.Status = model.Cancelled
 		}
 		fn(f)
 	})
@@ -355,7 +356,7 @@
 	if !j.urgencyRaised {
 		j.ownUrgency = j.Urgency
 	}
-	if u := max(j.ownUrgency, Urgency(p.Urgency)); u != j.Urgency {
+	if u := max(j.ownUrgency, model.Urgency(p.Urgency)); u != j.Urgency {
 		j.Urgency, j.rankingVersion = u, -1
 	}
 	j.urgencyRaised = j.Urgency != j.ownUrgency
@@ -415,7 +416,7 @@
 	for _, p := range sortedKeys(count) {
 		h := BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
 		if _, open := n.frontend.watchCache.openJobs[p]; open {
-			h.State = n.replyWithStatus(p, Queued).State
+			h.State = n.replyWithStatus(p, model.Queued).State
 		}
 		blocking = append(blocking, h)
 	}
--- a/internal/controller/effects.go
+++ b/internal/controller/effects.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -16,7 +17,7 @@
 // Submit, Query and Abort come from users; Reply names the waiting request.
 type SubmitJob struct {
 	Reply uint64
-	Spec  JobSpec
+	Spec  model.JobSpec
 	// MalformedReason is the reason for a 400, when the body was malformed but its id
 	// could be read.
 	MalformedReason string
@@ -37,7 +38,7 @@
 // WorkerHeartbeat is a report that waits for its answer.
 type WorkerHeartbeat struct {
 	Reply     uint64
-	Heartbeat Heartbeat
+	Heartbeat model.Heartbeat
 }
 
 // StoreResponse, CloudResponse and WorkerResponse answer effects by their ID.
@@ -56,8 +57,8 @@
 type CloudResponse struct {
 	ID           uint64
 	Status       CloudStatus
-	MachineTypes []MachineType
-	Machines     []CloudMachine
+	MachineTypes []model.MachineType
+	Machines     []model.CloudMachine
 	Rented       []string
 	Truncated    bool
 }
@@ -68,7 +69,7 @@
 	ID        uint64
 	OK        bool
 	NotSent   bool
-	Heartbeat *Heartbeat
+	Heartbeat *model.Heartbeat
 }
 
 // PeerUpdate is what controllers tell each other. All of it may be lost or late.
@@ -309,7 +310,7 @@
 	StatusOnly   bool
 	Epoch        uint64
 	Incarnation  uint64
-	Commands     []TaskCommand
+	Commands     []model.TaskCommand
 }
 
 // UserReply answers a user.
@@ -341,7 +342,7 @@
 	Status         int
 	MachineOwner   string
 	Epoch          uint64
-	Commands       []TaskCommand
+	Commands       []model.TaskCommand
 }
 
 // SendPeerUpdate tells another controller.
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/migration"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // evacuation.go lets owners help each other to whole hosts. One that has work which fits
@@ -20,15 +21,15 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	Need        Resources
+	Need        model.Resources
 	// Workload and Urgency are what the ranking goes by.
 	Workload string
-	Urgency  Urgency
+	Urgency  model.Urgency
 }
 
 // neededJobSpec is the work that needs the host, as far as it is known.
-func neededJobSpec(h *HostNeed) JobSpec {
-	return JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
+func neededJobSpec(h *HostNeed) model.JobSpec {
+	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
 }
 
 // HostCost is how long replicas would be down for a host of a kind to be emptied.
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -5,6 +5,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // donorController is an owner beside another, with two hosts that have half a host's replica each
@@ -17,7 +19,7 @@
 }
 
 func (n *Controller) setHostNeeds(requested bool) {
-	h := []HostNeed{{MachineType: "host", Zone: "z", Need: Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: Normal}}
+	h := []HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
 	if requested {
 		receiveHostNeeds(n, h, h)
 	} else {
@@ -88,9 +90,9 @@
 	n.settings.Capabilities.MaxMigratingFraction = 0
 	for _, j := range n.shardLeader.jobs {
 		// None of them yields.
-		j.Urgency = Urgent
+		j.Urgency = model.Urgent
 	}
-	n.shardLeader.jobs["job-large"].Urgency = Normal
+	n.shardLeader.jobs["job-large"].Urgency = model.Normal
 	needs := func() int {
 		for range 10 {
 			n.now = n.now.Add(shardLeaderTickInterval)
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/migration"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -147,7 +148,7 @@
 func (n *Controller) loadMachineTypes() {
 	n.requestCloud(CloudRequest{Kind: CloudListTypes}, func(d CloudResponse) {
 		if d.Status == CloudOK {
-			n.machineTypes = map[string]MachineType{}
+			n.machineTypes = map[string]model.MachineType{}
 			for _, f := range d.MachineTypes {
 				n.machineTypes[f.Name] = f
 			}
@@ -460,7 +461,7 @@
 	n.debug("fleet", args...)
 }
 
-func (n *Controller) listMachines(from string, got []CloudMachine) {
+func (n *Controller) listMachines(from string, got []model.CloudMachine) {
 	l := n.leader
 	gen := l.gen
 	l.listInFlight = true
@@ -485,7 +486,7 @@
 }
 
 // receiveMachineList takes in a list, which may be older than the one before.
-func (n *Controller) receiveMachineList(listed []CloudMachine) {
+func (n *Controller) receiveMachineList(listed []model.CloudMachine) {
 	l := n.leader
 	var again []string
 	for _, x := range listed {
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // TestExpectedTasksRentNothingBesideIdleMachines guards against renting a machine
@@ -16,8 +18,8 @@
 		r.Machine = fmt.Sprintf("vm-%06d", i)
 		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
 	}
-	spec := JobSpec{ID: "job-x", Workload: "wide", Team: "ops", Urgency: Normal, Tasks: 20, AllowSpot: true,
-		Need: Resources{CPU: 8, Memory: 22}, Image: "wide-1", ImageGB: 6, ExpectedRunTime: 40 * time.Second, Deadline: 3 * time.Minute}
+	spec := model.JobSpec{ID: "job-x", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 20, AllowSpot: true,
+		Need: model.Resources{CPU: 8, Memory: 22}, Image: "wide-1", ImageGB: 6, ExpectedRunTime: 40 * time.Second, Deadline: 3 * time.Minute}
 	n.shardLeader.workloads["wide"] = &workload{&spec, n.now}
 	for range 10 {
 		n.shardLeader.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.arrivals[workloadKey{"ops", "wide"}], arrival{n.now, spec.Tasks, spec.Need, &spec})
@@ -38,10 +40,10 @@
 		// Every eighth is a rack; the boxes are idle as well.
 		n.applyHeartbeat(n.ensureMachine(n.poolHeartbeat(i).Machine), n.poolHeartbeat(i), true)
 	}
-	small := JobSpec{ID: "job-s", Workload: "small", Team: "ops", Urgency: Normal, Tasks: 1, AllowSpot: true,
-		Need: Resources{CPU: 4, Memory: 4}, Image: "s", ImageGB: 0.5, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute}
+	small := model.JobSpec{ID: "job-s", Workload: "small", Team: "ops", Urgency: model.Normal, Tasks: 1, AllowSpot: true,
+		Need: model.Resources{CPU: 4, Memory: 4}, Image: "s", ImageGB: 0.5, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute}
 	wide := small
-	wide.ID, wide.Workload, wide.Need = "job-w", "wide", Resources{CPU: 8, Memory: 22}
+	wide.ID, wide.Workload, wide.Need = "job-w", "wide", model.Resources{CPU: 8, Memory: 22}
 	n.shardLeader.workloads["small"], n.shardLeader.workloads["wide"] = &workload{&small, n.now}, &workload{&wide, n.now}
 	n.shardLeader.startDeadlines = map[string]time.Time{"wide": n.now}
 	for _, m := range n.shardLeader.machinesByID {
@@ -68,8 +70,8 @@
 	clear(n.shardLeader.jobs)
 	clear(n.shardLeader.workloads)
 	add := func(id string, tasks int) {
-		j := newJob(JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: Normal, Tasks: tasks, AllowSpot: true,
-			Need: Resources{CPU: 4, Memory: 4}, ExpectedRunTime: 30 * time.Second, Deadline: 90 * time.Second}, n.now, 1, 4096)
+		j := newJob(model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true,
+			Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: 30 * time.Second, Deadline: 90 * time.Second}, n.now, 1, 4096)
 		n.shardLeader.jobs[id] = j
 	}
 	deferred := func() string {
@@ -134,8 +136,8 @@
 		r.Machine = fmt.Sprintf("vm-%06d", i)
 		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
 	}
-	j := newJob(JobSpec{ID: "job-g", Workload: "batch", Team: "ops", Gang: true, Urgency: Normal, Tasks: 6, AllowSpot: true,
-		Need: Resources{CPU: 2, Memory: 2}, ExpectedRunTime: 20 * time.Second}, n.now, 1, 4096)
+	j := newJob(model.JobSpec{ID: "job-g", Workload: "batch", Team: "ops", Gang: true, Urgency: model.Normal, Tasks: 6, AllowSpot: true,
+		Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: 20 * time.Second}, n.now, 1, 4096)
 	n.shardLeader.jobs[j.ID] = j
 	n.shardLeader.machinesByID[0].decommissioning = true
 	n.placeAll()
@@ -163,8 +165,8 @@
 		n.shardLeader.fleetView.rentals[r.Machine] = &rental{id: r.Machine, machineKind: machineKind{r.MachineType, r.Zone, r.Spot}, addr: "x", status: "running", rentedAt: n.now.Add(-time.Hour)}
 		n.adopt(n.shardLeader.fleetView.rentals[r.Machine])
 	}
-	spec := JobSpec{ID: "job-w", Workload: "wide", Team: "ops", Urgency: Normal, Tasks: 60, AllowSpot: true,
-		Need: Resources{CPU: 4, Memory: 4}, Image: "w", ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: 3 * time.Minute}
+	spec := model.JobSpec{ID: "job-w", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 60, AllowSpot: true,
+		Need: model.Resources{CPU: 4, Memory: 4}, Image: "w", ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: 3 * time.Minute}
 	n.shardLeader.jobs[spec.ID] = newJob(spec, n.now, 1, 4096)
 	if wants := n.planScaleOut(n.futureFreeCapacity(), nil); len(wants) != 0 {
 		t.Errorf("wants %v beside 200 machines that run", wants)
@@ -182,7 +184,7 @@
 	n := largePool(0)
 	n.shardLeader.readyAt = n.now.Add(-settleTime)
 	for range 20 {
-		n.shardLeader.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.arrivals[workloadKey{"ops", "wide"}], arrival{n.now.Add(-settleTime + time.Second), 30, Resources{}, &JobSpec{}})
+		n.shardLeader.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.arrivals[workloadKey{"ops", "wide"}], arrival{n.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
 	}
 	if r := n.arrivalRate("wide", arrivalWindow); r > 20 {
 		t.Errorf("600 tasks that came at once make %.0f a second, want no more than if they had come in %v", r, recentWindow)
@@ -199,12 +201,12 @@
 	}{{time.Minute, 0, false}, {3 * time.Minute, 0, true}, {3 * time.Minute, 1, false}} {
 		n := largePool(0)
 		n.applyHeartbeat(n.ensureMachine("vm-000000"), n.poolHeartbeat(0), true)
-		n.settings.Objectives = []Objective{{Kind: "finished", Workload: "wide", Within: 30 * time.Second}}
+		n.settings.Objectives = []model.Objective{{Kind: "finished", Workload: "wide", Within: 30 * time.Second}}
 		for k := range n.machineTypes {
 			n.shardLeader.fleetView.blockedUntil[machineKind{k, "z", true}] = n.now.Add(time.Hour)
 		}
 		job := func(id string, run time.Duration) *job {
-			j := newJob(JobSpec{ID: id, Workload: "wide", Team: "ops", Urgency: Normal, Tasks: 2, AllowSpot: true, Need: Resources{CPU: 4}, ExpectedRunTime: run}, n.now, 1, 4096)
+			j := newJob(model.JobSpec{ID: id, Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 2, AllowSpot: true, Need: model.Resources{CPU: 4}, ExpectedRunTime: run}, n.now, 1, 4096)
 			n.shardLeader.jobs[id] = j
 			return j
 		}
@@ -230,13 +232,13 @@
 		n := largePool(0)
 		m := n.ensureMachine("vm-000000")
 		n.applyHeartbeat(m, n.poolHeartbeat(0), true)
-		j := newJob(JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, n.now.Add(-c.waited), 1, 4096)
+		j := newJob(model.JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, n.now.Add(-c.waited), 1, 4096)
 		n.shardLeader.jobs[j.ID] = j
 		n.placeJob(j, n.newPlacementRound(), forever, 1)
 		j.tasks[0].preemptions = c.stops - 1
 		j.nextFresh = 2
 		j.tasks[1].preemptions = 1
-		high := newJob(JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
+		high := newJob(model.JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
 		if _, _, ok := n.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != c.want {
 			t.Errorf("%d stops, waited %v: stopped %v, want %v (%d live)", c.stops, c.waited, ok, c.want, j.liveTasks)
 		}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -101,7 +102,7 @@
 			adoptFormat(n, f)
 		}
 	}
-	j := n.addJob(JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
 	slices.SortStableFunc(its, n.compareFormats)
 	for _, it := range its {
 		var r taskSegmentRecord
@@ -342,7 +343,7 @@
 func TestLoanAcrossFormats(t *testing.T) {
 	n := newFormatTestController()
 	conds := n.neverStartedCompares(formatTestJob)
-	j := n.addJob(JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
 	before := j.segmentKey(j.segmentOf(0))
 	adoptFormat(n, segmentFormat{maxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
@@ -361,7 +362,7 @@
 // TestCancelledRecordShrinksToFit: a job whose description was written under a larger limit can
 // be cancelled under the lower one.
 func TestCancelledRecordShrinksToFit(t *testing.T) {
-	s := JobSpec{ID: formatTestJob, Team: "ops", Workload: "w", Tasks: 7, Need: Resources{CPU: 2}, Image: "img", ExpectedRunTime: time.Second}
+	s := model.JobSpec{ID: formatTestJob, Team: "ops", Workload: "w", Tasks: 7, Need: model.Resources{CPU: 2}, Image: "img", ExpectedRunTime: time.Second}
 	for i := range 80 {
 		s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("a-flavour-with-a-long-name-%03d", i))
 	}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/readbatch"
 	"github.com/micahill/micahill/internal/sizelimit"
@@ -31,7 +32,7 @@
 type frontend struct {
 	// finalStatuses caches terminal states for good, and dates the dates of done jobs:
 	// milliseconds, and in the lowest byte the revision.
-	finalStatuses map[string]JobStatus
+	finalStatuses map[string]model.JobStatus
 	endDates      map[string]uint64
 	submitQueue   []*submission
 	inFlight      int
@@ -80,7 +81,7 @@
 
 type submission struct {
 	request     *userRequest
-	spec        JobSpec
+	spec        model.JobSpec
 	submittedAt time.Time
 	// alone: a transaction with others was malformed; it is stored by itself.
 	storeAlone bool
@@ -101,7 +102,7 @@
 }
 
 func (u *frontend) init() {
-	u.finalStatuses, u.acceptedAt = map[string]JobStatus{}, map[string]time.Time{}
+	u.finalStatuses, u.acceptedAt = map[string]model.JobStatus{}, map[string]time.Time{}
 	u.statusWaiters = map[string][]func(StoreResponse){}
 }
 
@@ -146,7 +147,7 @@
 	if r.ID == "" {
 		r.ID = request.id
 	}
-	if r.Status != 503 && !JobStatus(r.State).IsFinal() {
+	if r.Status != 503 && !model.JobStatus(r.State).IsFinal() {
 		// It rests on a read that began after the question. Whoever asked waits for no
 		// more than this, and may hear something newer from another controller then.
 		r.SendDeadline = request.deadline
@@ -160,7 +161,7 @@
 
 // refuseIfUnavailable refuses at once while nothing can be read or stored.
 // s is what is submitted, if anything is.
-func (n *Controller) refuseIfUnavailable(reply uint64, id string, s *JobSpec) bool {
+func (n *Controller) refuseIfUnavailable(reply uint64, id string, s *model.JobSpec) bool {
 	switch {
 	case !n.membership.ready:
 		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
@@ -174,7 +175,7 @@
 	return true
 }
 
-func (n *Controller) replyWithStatus(id string, s JobStatus) UserReply {
+func (n *Controller) replyWithStatus(id string, s model.JobStatus) UserReply {
 	r := UserReply{Status: 200, ID: id, State: string(s)}
 	if !s.IsFinal() {
 		p := n.progressOf(id)
@@ -182,7 +183,7 @@
 		if p.Running > 0 {
 			r.State = "running"
 		}
-	} else if d, ok := n.frontend.endDates[id]; ok && s == Done {
+	} else if d, ok := n.frontend.endDates[id]; ok && s == model.Done {
 		r = r.WithDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Revision: int(d & 0xff)})
 	}
 	return r
@@ -238,8 +239,8 @@
 }
 
 // validateSpec says why a job can never run here.
-func (n *Controller) validateSpec(s *JobSpec) (int, string) {
-	var team *Team
+func (n *Controller) validateSpec(s *model.JobSpec) (int, string) {
+	var team *model.Team
 	for i := range n.settings.Teams {
 		if n.settings.Teams[i].Name == s.Team {
 			team = &n.settings.Teams[i]
@@ -259,7 +260,7 @@
 	if s.LongRunning || s.Gang {
 		count = float64(s.Tasks)
 	}
-	all := Resources{}.AddScaled(s.Need, count)
+	all := model.Resources{}.AddScaled(s.Need, count)
 	if (team.QuotaLimit.CPU > 0 && all.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && all.GPU > team.QuotaLimit.GPU+roundingTolerance) {
 		return 422, "the job needs more than its owner's limit"
 	}
@@ -292,7 +293,7 @@
 }
 
 // eligibleTypesFor finds what is offered anywhere of what a job allows.
-func (n *Controller) eligibleTypesFor(s *JobSpec) eligibleTypes {
+func (n *Controller) eligibleTypesFor(s *model.JobSpec) eligibleTypes {
 	out := eligibleTypes{zones: map[string]bool{}}
 	for _, name := range sortedKeys(n.machineTypes) {
 		f := n.machineTypes[name]
@@ -314,7 +315,7 @@
 
 // restrictToFittingDisks is a job that allows only flavours whose disks have room for its image: whoever
 // places it or rents for it looks at nothing but what it allows.
-func (n *Controller) restrictToFittingDisks(s JobSpec) JobSpec {
+func (n *Controller) restrictToFittingDisks(s model.JobSpec) model.JobSpec {
 	if eligible := n.eligibleTypesFor(&s); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
 		s.MachineTypes = eligible.machineTypes
 	}
@@ -347,7 +348,7 @@
 		cacheDoneDate(n, id, r)
 	}
 	reply := n.replyWithStatus(id, r.Status)
-	if r.Status == Done {
+	if r.Status == model.Done {
 		reply.Done = r.Tasks
 	} else if !r.Status.IsFinal() {
 		reply = reply.WithDate(f.promisedDate)
@@ -355,7 +356,7 @@
 	return reply
 }
 
-func (n *Controller) cacheFinalStatus(id string, s JobStatus) {
+func (n *Controller) cacheFinalStatus(id string, s model.JobStatus) {
 	n.frontend.finalStatuses[id] = s
 	delete(n.progressByJob, id)
 	n.noteDependencyState(id)
@@ -569,15 +570,15 @@
 		// Both records change together: the stamp of open/ guards starts.
 		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: openJobPrefix + id, ModRevision: f.modRevision}},
 			Writes: []Write{
-				{Key: jobStatusPrefix + id, Value: encode(endRecordFromCache(n, id, Cancelled, &openJob{f.modRevision, f.open}))},
+				{Key: jobStatusPrefix + id, Value: encode(endRecordFromCache(n, id, model.Cancelled, &openJob{f.modRevision, f.open}))},
 				{Key: openJobPrefix + id, Value: open},
 			}}, func(d StoreResponse) {
 			switch d.Status {
 			case StoreOK:
-				n.cacheFinalStatus(id, Cancelled)
+				n.cacheFinalStatus(id, model.Cancelled)
 				n.observeOwnWrite(KeyValue{Key: openJobPrefix + id, Value: open, ModRevision: d.Revision})
 				publishCancellation(n, Cancellation{ID: id, Record: open, ModRevision: d.Revision}, n.settings.Peers)
-				n.answerRequest(request, n.replyWithStatus(id, Cancelled))
+				n.answerRequest(request, n.replyWithStatus(id, model.Cancelled))
 			case StoreConflict:
 				// Done or cancelled in between: look again.
 				n.cancelOpenJob(request)
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -2,15 +2,16 @@
 
 import (
 	"testing"
+	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
-	"time"
 )
 
 // FuzzRecords: whatever stands in a record, nothing ends for it, no task is counted
 // twice, and what is taken in can be written again within its bound.
 func FuzzRecords(f *testing.F) {
-	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: Resources{CPU: 1, Memory: 1}}
+	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: model.Resources{CPU: 1, Memory: 1}}
 	now := time.Unix(1_750_000_000, 0)
 	f.Add(encode(newOpenJobRecord(&spec, now)), encode(taskSegmentRecord{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []taskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
 	f.Add(encode(openJobRecord{Tasks: -1}), encode(taskSegmentRecord{DoneRanges: []int{-5, 1 << 40}}))
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/testgolden"
 )
@@ -21,10 +22,10 @@
 	"drain": drainRecord{Enabled: true, Deadline: 1_750_000_600_000},
 	"guest": offloadedJobRecord{Job: "job-lent-east-2-000412", Cause: "given_back", RenewedAt: 1_750_000_002_345},
 	"job": jobStatusRecord{
-		Status: Done, Tasks: 16, Team: "vision", Workload: "train", Offloaded: true, EndedAfterMillis: 90_500, PromisedMillis: 120_300, PromiseRevision: 2, PromisedAtSubmit: true,
+		Status: model.Done, Tasks: 16, Team: "vision", Workload: "train", Offloaded: true, EndedAfterMillis: 90_500, PromisedMillis: 120_300, PromiseRevision: 2, PromisedAtSubmit: true,
 	},
 	"open": openJobRecord{
-		Workload: "train", Team: "vision", LongRunning: true, Gang: true, Urgency: int(Urgent), Tasks: 16,
+		Workload: "train", Team: "vision", LongRunning: true, Gang: true, Urgency: int(model.Urgent), Tasks: 16,
 		CPU: 8.5, GPU: 1.25, Memory: 64.75, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a",
 		SameZone: true, SpreadZones: true, AllowSpot: true, ExpectedSeconds: 240.5, CheckpointIntervalSeconds: 30.25, CheckpointCostSeconds: 4.5, DeadlineSeconds: 900.75, SubmittedAtMillis: 1_750_000_003_456,
 		Cancelled: true, CancelledAtMillis: 1_750_000_004_567, LentTo: "east", LendCount: 7, StopBoundMillis: 82_000, CancelRequested: true,
@@ -105,10 +106,10 @@
 		"move/ops":                 migrationKey("ops"),
 		"promise/quotes/":          quotesPrefix,
 		"promise/totals":           totalsKey,
-		"queued":                   string(Queued),
-		"cancelled":                string(Cancelled),
-		"done":                     string(Done),
-		"urgencies 0 1 2 3":        fmt.Sprintf("urgencies %d %d %d %d", BestEffort, Normal, Urgent, Critical),
+		"queued":                   string(model.Queued),
+		"cancelled":                string(model.Cancelled),
+		"done":                     string(model.Done),
+		"urgencies 0 1 2 3":        fmt.Sprintf("urgencies %d %d %d %d", model.BestEffort, model.Normal, model.Urgent, model.Critical),
 	} {
 		if got != want {
 			t.Errorf("%q was %q", got, want)
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/reachability"
 )
 
@@ -23,7 +24,7 @@
 // supersedes says that something newer than the report was heard. What a worker has seen of
 // epochs never falls: a copy of before it began anew may have a higher tenure, but not
 // the epoch of a later owner.
-func (m *machine) supersedes(r *Heartbeat) bool {
+func (m *machine) supersedes(r *model.Heartbeat) bool {
 	return r.Epoch < m.seenEpoch || r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence
 }
 
@@ -73,7 +74,7 @@
 	heard                 bool
 	incarnation, sequence uint64
 	epoch                 uint64
-	taskReports           []TaskReport
+	taskReports           []model.TaskReport
 }
 
 func (m *machine) snapshot() machineSnapshot {
@@ -82,7 +83,7 @@
 
 // detectReachability looks at a report that was taken in for what only an answer or order of ours
 // can have brought.
-func detectReachability(n *Controller, m *machine, r *Heartbeat, was machineSnapshot) {
+func detectReachability(n *Controller, m *machine, r *model.Heartbeat, was machineSnapshot) {
 	m.unheardHeartbeats = 0
 	shown := m.shownReachable || was.epoch < m.epoch && r.Epoch >= m.epoch
 	m.shownReachable = false
@@ -99,7 +100,7 @@
 	}
 	for i := range was.taskReports {
 		// Cleared: only an order does that. They are cleared in their order.
-		if p := &was.taskReports[i]; p.Status == Ended {
+		if p := &was.taskReports[i]; p.Status == model.Ended {
 			q, there := m.taskReports[taskKey{p.Job, p.Index}]
 			shown = shown || !there || q.Attempt != p.Attempt
 			break
@@ -123,12 +124,12 @@
 }
 
 // expectAcknowledgment notes what an answer to a report will have to show.
-func expectAcknowledgment(m *machine, commands []TaskCommand) {
+func expectAcknowledgment(m *machine, commands []model.TaskCommand) {
 	if m.seenEpoch < m.epoch {
 		m.reachability.ExpectEffect()
 	}
 	for _, o := range commands {
-		if o.Kind != StopTask {
+		if o.Kind != model.StopTask {
 			m.reachability.ExpectEffect()
 			return
 		}
@@ -142,7 +143,7 @@
 // nothing of its tenure, its epoch and its tasks: what should run there is ordered to
 // start there again, as any start may be repeated, and goes elsewhere only by the usual
 // proof. Late reports and orders of before are told apart by a higher epoch.
-func applyPollReply(n *Controller, m *machine, r *Heartbeat, was machineSnapshot) bool {
+func applyPollReply(n *Controller, m *machine, r *model.Heartbeat, was machineSnapshot) bool {
 	if r == nil || r.Machine != m.id {
 		m.unansweredProbes++
 		if was.heard {
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -3,23 +3,25 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // machineWithTask gives the first machine of a pool one task that runs there.
 func machineWithTask(n *Controller) (*machine, *job) {
 	n.shardLeader.jobs = map[string]*job{}
 	for _, m := range n.shardLeader.machinesByID {
-		m.attempts, m.used = map[taskKey]*task{}, Resources{}
+		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
 	m := n.shardLeader.machinesByID[0]
 	j := n.addJobOn("job-000900", m)
 	j.segmentOf(0).persistedVersion = 1
-	n.nextHeartbeat(0, TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: Running})
+	n.nextHeartbeat(0, model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running})
 	return m, j
 }
 
 // ask takes what the node has just asked a machine, and answers it or not.
-func (n *Controller) answerPoll(t *testing.T, m *machine, r *Heartbeat) {
+func (n *Controller) answerPoll(t *testing.T, m *machine, r *model.Heartbeat) {
 	t.Helper()
 	for _, op := range emittedEffects[WorkerRequest](n) {
 		if op.Machine == m.id {
@@ -66,7 +68,7 @@
 func TestLeaseExpiresDespiteHeartbeats(t *testing.T) {
 	n := largePool(12)
 	m, j := machineWithTask(n)
-	sendHeartbeat := func(tenure, tick uint64, tasks ...TaskReport) {
+	sendHeartbeat := func(tenure, tick uint64, tasks ...model.TaskReport) {
 		r := n.poolHeartbeat(0)
 		r.Incarnation, r.Sequence, r.Epoch, r.Tasks = tenure, tick, m.epoch, tasks
 		n.now = n.now.Add(3 * time.Second)
@@ -79,7 +81,7 @@
 	t1 := &j.tasks[0]
 	t1.attempt, t1.startSent = 2, true
 	n.attachAttempt(j, 0, m)
-	sendHeartbeat(2, m.sequence+1, TaskReport{Job: j.ID, Index: 0, Attempt: 2, Status: Fetching})
+	sendHeartbeat(2, m.sequence+1, model.TaskReport{Job: j.ID, Index: 0, Attempt: 2, Status: model.Fetching})
 	if !n.usable(m) {
 		t.Error("it has started what it was told to, and is not used")
 	}
@@ -94,7 +96,7 @@
 	heard, tick, end := m.lastHeard, m.sequence, m.leaseEnd
 	old := n.poolHeartbeat(0)
 	old.Sequence, old.Epoch, old.ReclaimIn = 1, m.epoch, time.Second
-	old.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: Ended, Cause: "done"}}
+	old.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	n.now = n.now.Add(time.Hour)
 	n.effects = nil
 	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *old})
@@ -120,8 +122,8 @@
 	}
 	// A successor knows no earlier tick.
 	n = largePool(1)
-	earlyHeartbeat := Heartbeat{Machine: "vm-000900", Addr: "x", MachineType: "box", Zone: "z", Incarnation: 1, Sequence: 70, Epoch: 0, ReclaimIn: time.Second}
-	earlyHeartbeat.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: Ended, Cause: "done"}}
+	earlyHeartbeat := model.Heartbeat{Machine: "vm-000900", Addr: "x", MachineType: "box", Zone: "z", Incarnation: 1, Sequence: 70, Epoch: 0, ReclaimIn: time.Second}
+	earlyHeartbeat.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	m = n.shardLeader.machines[earlyHeartbeat.Machine]
 	if m.heard || m.reclaimNoticed || n.usable(m) || len(m.taskReports) > 0 {
@@ -170,7 +172,7 @@
 	if m.restartEpoch != m.epoch || j.liveTasks != 1 {
 		t.Fatalf("begun anew under %d, %d tasks live", m.restartEpoch, j.liveTasks)
 	}
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StartTask {
+	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StartTask {
 		t.Errorf("ordered %v, want its task's start", os)
 	}
 	// A report of before comes late, with a higher tick and without the task.
@@ -184,7 +186,7 @@
 	n.putSegment(t, n.settings.Host, 9, m.id)
 	n.syncShardLeader()
 	late.Sequence, late.Epoch = 5, 9
-	late.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: Running}}
+	late.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}}
 	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.epoch != 9 || m.sequence != 5 {
 		t.Error("a report under the higher epoch does not count")
@@ -202,7 +204,7 @@
 func TestLateSubmitReply(t *testing.T) {
 	n := twoControllers(t)
 	n.frontend.watchCache.revision = 20
-	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}
+	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}
 	n.shardLeader.teams["ops"] = &heldTeam{ready: true}
 	put := KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, n.now)), ModRevision: 21}
 	n.observeOwnWrite(put)
@@ -224,7 +226,7 @@
 	m, j := machineWithTask(n)
 	n.attachAttempt(j, 0, m)
 	j.tasks[0].startSent = false
-	sendHeartbeat := func() (out []TaskCommand) {
+	sendHeartbeat := func() (out []model.TaskCommand) {
 		n.effects = nil
 		r := n.poolHeartbeat(0)
 		r.Sequence, r.Epoch = m.sequence+1, m.epoch
@@ -242,7 +244,7 @@
 		t.Errorf("ordered %v", os)
 	}
 	n.membership.leaseValidUntil = n.now.Add(time.Second)
-	if os := sendHeartbeat(); len(os) != 1 || os[0].Kind != StartTask {
+	if os := sendHeartbeat(); len(os) != 1 || os[0].Kind != model.StartTask {
 		t.Errorf("ordered %v, want its start", os)
 	}
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/disruption"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 )
 
@@ -62,7 +63,7 @@
 	}
 	commands := n.pendingCommands(m, settled)
 	for _, cmd := range commands {
-		if cmd.Kind == StartTask {
+		if cmd.Kind == model.StartTask {
 			m.replySequence = r.Sequence
 		}
 	}
@@ -71,7 +72,7 @@
 }
 
 // applyHeartbeat takes in what a worker says, unless something newer was heard.
-func (n *Controller) applyHeartbeat(m *machine, r *Heartbeat, isHeartbeat bool) {
+func (n *Controller) applyHeartbeat(m *machine, r *model.Heartbeat, isHeartbeat bool) {
 	if m.heard && m.supersedes(r) {
 		return
 	}
@@ -122,11 +123,11 @@
 		return
 	}
 	m.lastTaskReports = r.Tasks
-	m.taskReports = make(map[taskKey]TaskReport, len(r.Tasks))
+	m.taskReports = make(map[taskKey]model.TaskReport, len(r.Tasks))
 	for _, p := range r.Tasks {
 		k := taskKey{p.Job, p.Index}
 		// Of several attempts of a task on one machine the living one counts.
-		if q, ok := m.taskReports[k]; !ok || q.Status == Ended {
+		if q, ok := m.taskReports[k]; !ok || q.Status == model.Ended {
 			m.taskReports[k] = p
 		}
 		n.applyTaskReport(m, k, p)
@@ -214,14 +215,14 @@
 // unchangedBy says that a report tells nothing that is not known: the attempts that
 // should be there run there, as before. Nearly all reports of a large pool are
 // like that, and cost next to nothing here.
-func (m *machine) unchangedBy(r *Heartbeat) bool {
+func (m *machine) unchangedBy(r *model.Heartbeat) bool {
 	if len(r.Tasks) != len(m.attempts) || !slices.Equal(r.Tasks, m.lastTaskReports) || len(m.taskReports) != len(m.lastTaskReports) {
 		return false
 	}
 	for i := range m.lastTaskReports {
 		p := &m.lastTaskReports[i]
 		t := m.attempts[taskKey{p.Job, p.Index}]
-		if t == nil || t.attempt != p.Attempt || t.stopReason != stopNone || !t.reported || t.status != p.Status || p.Status == Ended {
+		if t == nil || t.attempt != p.Attempt || t.stopReason != stopNone || !t.reported || t.status != p.Status || p.Status == model.Ended {
 			return false
 		}
 	}
@@ -229,7 +230,7 @@
 }
 
 // applyTaskReport takes in one line of a report.
-func (n *Controller) applyTaskReport(m *machine, k taskKey, p TaskReport) {
+func (n *Controller) applyTaskReport(m *machine, k taskKey, p model.TaskReport) {
 	j := n.shardLeader.jobs[k.job]
 	if j == nil || k.index < 0 || k.index >= len(j.tasks) {
 		return
@@ -247,15 +248,15 @@
 		j.runningTasks++
 	}
 	switch p.Status {
-	case Fetching:
+	case model.Fetching:
 		m.noteImage(j, n.now, false)
-	case Running, Checkpointing:
+	case model.Running, model.Checkpointing:
 		m.noteImage(j, n.now, true)
 		if t.startedAt.IsZero() {
 			t.startedAt = n.now
 			n.debug("running", "job", j.ID, "task", k.index, "try", t.attempt, "machine", m.id, "age", n.now.Sub(j.submittedAt), "fetched", n.now.Sub(time.UnixMilli(t.groupStart)))
 		}
-	case Ended:
+	case model.Ended:
 		switch p.Cause {
 		case "done":
 			m.noteImage(j, n.now, true)
@@ -347,11 +348,11 @@
 
 // loseAllAttempts notes that everything on m is gone. What the new report lists has
 // been started since, and stays.
-func (n *Controller) loseAllAttempts(m *machine, r *Heartbeat) {
+func (n *Controller) loseAllAttempts(m *machine, r *model.Heartbeat) {
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
 		if r != nil {
-			kept := slices.ContainsFunc(r.Tasks, func(p TaskReport) bool {
+			kept := slices.ContainsFunc(r.Tasks, func(p model.TaskReport) bool {
 				return p.Job == k.job && p.Index == k.index && p.Attempt == t.attempt
 			})
 			if kept {
@@ -361,7 +362,7 @@
 		n.endAttempt(n.shardLeader.jobs[k.job], k.index, false)
 	}
 	n.shardLeader.registry.MarkMachineGone(n.now, m.id, func(a remote.AttemptID) bool {
-		return r != nil && slices.ContainsFunc(r.Tasks, func(p TaskReport) bool {
+		return r != nil && slices.ContainsFunc(r.Tasks, func(p model.TaskReport) bool {
 			return p.Job == a.Job && p.Index == a.Index && p.Attempt == a.Attempt
 		})
 	})
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
 )
@@ -18,7 +19,7 @@
 type hugeJobRun struct {
 	controller *Controller
 	job        *job
-	reports    map[string][]TaskReport
+	reports    map[string][]model.TaskReport
 	endsAt     map[taskKey]time.Time
 	// taskDuration is how long a task takes, and tick that of the newest report.
 	taskDuration time.Duration
@@ -40,15 +41,15 @@
 	n.rng = rand.New(rand.NewPCG(1, 2))
 	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
 	n.frontend.watchCache.openJobs = map[string]openJob{}
-	d := &hugeJobRun{controller: n, reports: map[string][]TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]KeyValue{}}
+	d := &hugeJobRun{controller: n, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]KeyValue{}}
 	for i := range machines {
 		r := n.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
 		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
 	}
 	n.now = n.now.Add(time.Second)
-	n.submitJob(SubmitJob{Reply: 1, Spec: JobSpec{
-		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: Normal, Tasks: tasks, AllowSpot: true, Need: Resources{CPU: 4, Memory: 4},
+	n.submitJob(SubmitJob{Reply: 1, Spec: model.JobSpec{
+		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 4},
 		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
 	}})
 	n.flushSubmissions()
@@ -96,27 +97,27 @@
 	}
 }
 
-func (d *hugeJobRun) runCommands(machine string, commands []TaskCommand) {
+func (d *hugeJobRun) runCommands(machine string, commands []model.TaskCommand) {
 	for _, o := range commands {
 		k := taskKey{o.Job, o.Index}
 		switch o.Kind {
-		case StartTask:
-			d.reports[machine] = append(d.reports[machine], TaskReport{Job: o.Job, Index: o.Index, Attempt: o.Attempt, Status: Running})
+		case model.StartTask:
+			d.reports[machine] = append(d.reports[machine], model.TaskReport{Job: o.Job, Index: o.Index, Attempt: o.Attempt, Status: model.Running})
 			d.endsAt[k] = d.controller.now.Add(d.taskDuration)
-		case ClearTask:
-			d.reports[machine] = slices.DeleteFunc(d.reports[machine], func(p TaskReport) bool { return p.Index == o.Index && p.Attempt == o.Attempt })
+		case model.ClearTask:
+			d.reports[machine] = slices.DeleteFunc(d.reports[machine], func(p model.TaskReport) bool { return p.Index == o.Index && p.Attempt == o.Attempt })
 		}
 	}
 }
 
 // heartbeat is what a machine says now.
-func (d *hugeJobRun) heartbeat(machine string) *Heartbeat {
+func (d *hugeJobRun) heartbeat(machine string) *model.Heartbeat {
 	d.sequence++
 	r := d.controller.poolHeartbeat(0)
 	r.Machine, r.Sequence, r.Tasks = machine, d.sequence, slices.Clone(d.reports[machine])
 	for i := range r.Tasks {
 		if p := &r.Tasks[i]; !d.controller.now.Before(d.endsAt[taskKey{p.Job, p.Index}]) {
-			p.Status, p.Cause = Ended, "done"
+			p.Status, p.Cause = model.Ended, "done"
 		}
 	}
 	return r
@@ -219,7 +220,7 @@
 // is copied for each that is taken out of it: after the loss of many machines that was the
 // square of their tasks in one step.
 func TestLongQueueIsNotMoved(t *testing.T) {
-	j := newJob(JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
+	j := newJob(model.JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
 	for i := range j.tasks {
 		j.requeued = append(j.requeued, i)
 	}
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strings"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -101,8 +102,8 @@
 // handleEndResponse deals with the answer to the write of a job's end, alone or with others'.
 func (n *Controller) handleEndResponse(e jobEnd, d StoreResponse, gen int, alone bool) {
 	j := e.job
-	if d.Status == StoreOK && e.rec.Status == Done {
-		n.cacheFinalStatus(j.ID, Done)
+	if d.Status == StoreOK && e.rec.Status == model.Done {
+		n.cacheFinalStatus(j.ID, model.Done)
 		learnFromEnd(n, j, e.rec)
 		n.debug("job done", "job", j.ID, "workload", j.Workload, "age", n.now.Sub(j.submittedAt))
 	}
@@ -143,8 +144,8 @@
 	retry := func() { j.ending = false }
 	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: jobStatusPrefix + j.ID}, func(d StoreResponse) {
 		var r jobStatusRecord
-		if d.Status == StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status == Done {
-			n.cacheFinalStatus(j.ID, Done)
+		if d.Status == StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
+			n.cacheFinalStatus(j.ID, model.Done)
 			cacheDoneDate(n, j.ID, r)
 			if n.shardLeader != nil && n.shardLeader.generation == gen {
 				n.removeEndedJob(j, e.segmentKeys)
--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -6,13 +6,15 @@
 	"strings"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // newDoneJobs makes jobs whose only task is done, with a record of it.
 func newDoneJobs(n *Controller, count int) []*job {
 	var out []*job
 	for i := range count {
-		j := n.addJob(JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, uint64(100+i))
+		j := n.addJob(model.JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, uint64(100+i))
 		j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
 		j.segments[0] = &taskSegment{modRevision: uint64(200 + i), version: 1, persistedVersion: 1}
 		out = append(out, j)
@@ -59,7 +61,7 @@
 		t.Fatalf("the others were sent as %+v", ops)
 	}
 	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreOK, Revision: 300})
-	if n.frontend.finalStatuses[jobs[0].ID] != Done || n.frontend.finalStatuses[jobs[2].ID] != Done || n.frontend.finalStatuses[jobs[1].ID] == Done || n.shardLeader.jobs[jobs[1].ID] == nil {
+	if n.frontend.finalStatuses[jobs[0].ID] != model.Done || n.frontend.finalStatuses[jobs[2].ID] != model.Done || n.frontend.finalStatuses[jobs[1].ID] == model.Done || n.shardLeader.jobs[jobs[1].ID] == nil {
 		t.Errorf("final: %v", n.frontend.finalStatuses)
 	}
 }
@@ -156,7 +158,7 @@
 	for _, j := range newDoneJobs(n, 100) {
 		j.markChanged(0, n.now, true)
 	}
-	j := n.addJob(JobSpec{ID: "starts", Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 99)
+	j := n.addJob(model.JobSpec{ID: "starts", Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 99)
 	j.nextFresh = 1
 	startAttempt(n, j, 0, n.shardLeader.machinesByID[0])
 	n.effects = nil
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -4,6 +4,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // stopReason is why a live attempt is to be stopped.
@@ -33,7 +35,7 @@
 	stoppedAt       time.Time
 	failures        int
 	preemptions     int
-	status          TaskStatus
+	status          model.TaskStatus
 	// missedStarts counts the reports in a row that did not show it though it was ordered.
 	missedStarts uint8
 	// sent: a start may be on its way. left: one surely left and had no answer. seen: the worker has reported it.
@@ -75,7 +77,7 @@
 }
 
 type job struct {
-	JobSpec
+	model.JobSpec
 	submittedAt time.Time
 	modRevision uint64
 	cancelled   bool
@@ -123,7 +125,7 @@
 	dateState
 }
 
-func newJob(spec JobSpec, at time.Time, stamp uint64, valueBytes int) *job {
+func newJob(spec model.JobSpec, at time.Time, stamp uint64, valueBytes int) *job {
 	return &job{
 		JobSpec: spec, submittedAt: at, modRevision: stamp, segmentFormat: segmentFormat{tasksPerSegment: maxTasksPerSegment(valueBytes)},
 		tasks:    make([]task, spec.Tasks),
@@ -148,7 +150,7 @@
 }
 
 // isRunning says that a worker reports the attempt as running.
-func (t *task) isRunning() bool { return t.machine != nil && t.reported && t.status == Running }
+func (t *task) isRunning() bool { return t.machine != nil && t.reported && t.status == model.Running }
 
 // recordRunTime takes note of a finished run time.
 func (j *job) recordRunTime(d time.Duration) {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -6,6 +6,8 @@
 	"slices"
 	"strings"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // Jobs lent to peers and borrowed from them. What is decided about them is in
@@ -66,7 +68,7 @@
 	// Peer and Stop go with LoanLend; Spec, Age and Team with LoanAccept.
 	Peer      string
 	StopBound time.Duration
-	Spec      JobSpec
+	Spec      model.JobSpec
 	Age       time.Duration
 	Cause     string
 }
@@ -128,13 +130,13 @@
 	FreeCapacity    []FreeCapacity
 	CachedImages    []string
 	OwnWorkLate     bool
-	LateUrgency     Urgency
+	LateUrgency     model.Urgency
 	CheapestCPUHour float64
 }
 
 // LentJob is a job of ours that a peer has.
 type LentJob struct {
-	Spec            JobSpec
+	Spec            model.JobSpec
 	SubmittedAt     time.Time
 	Peer            string
 	LendCount       uint64
@@ -147,8 +149,8 @@
 type BorrowedJob struct {
 	Loan         string
 	Job          string
-	Spec         JobSpec
-	Status       JobStatus
+	Spec         model.JobSpec
+	Status       model.JobStatus
 	StatusKnown  bool
 	Ending       bool
 	Cause        string
@@ -159,7 +161,7 @@
 
 // WaitingJob is a job of ours of which nothing was ever started.
 type WaitingJob struct {
-	Spec       JobSpec
+	Spec       model.JobSpec
 	SLODue     time.Duration
 	HomeFinish time.Duration
 	RunTime    time.Duration
@@ -171,7 +173,7 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	PerMachine  Resources
+	PerMachine  model.Resources
 	Machines    int
 	// AvailableIn is how long until it is there: of machines that are to be rented first.
 	AvailableIn time.Duration
@@ -272,9 +274,9 @@
 			done(LoanNotApplied)
 			return
 		}
-		status := Done
+		status := model.Done
 		if cmd.Kind == LoanEndCancelled {
-			status = Cancelled
+			status = model.Cancelled
 		}
 		endRec := endRecordFromCache(n, cmd.Job, status, &current)
 		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
@@ -301,7 +303,7 @@
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		g := offloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
 		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
-		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, Cancelled, &current))},
+		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
 			Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(g)})
 		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
 		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = g }
@@ -529,7 +531,7 @@
 // buildBorrowedJob is what is durable of a loan that was taken.
 func buildBorrowedJob(n *Controller, name string) BorrowedJob {
 	g := n.offloadedJobs.byLoan[name]
-	b := BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: Queued, Started: true}
+	b := BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
 	if l, there := n.frontend.watchCache.openJobs[g.Job]; there {
 		b.StatusKnown, b.Spec, b.Ending = true, l.rec.JobSpec(g.Job), l.rec.Cancelled
 	} else if s, ok := n.frontend.finalStatuses[g.Job]; ok {
@@ -590,7 +592,7 @@
 	}
 	type like struct {
 		k    machineKind
-		each Resources
+		each model.Resources
 	}
 	count := map[like]int{}
 	for _, x := range sim.machines {
@@ -629,8 +631,8 @@
 const refusalMemory = time.Minute
 
 // rentableKinds are the kinds of machines that the cloud has not lately refused.
-func rentableKinds(n *Controller) map[machineKind]MachineType {
-	out := map[machineKind]MachineType{}
+func rentableKinds(n *Controller) map[machineKind]model.MachineType {
+	out := map[machineKind]model.MachineType{}
 	if n.shardLeader.fleetView == nil {
 		return out
 	}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/reachability"
 )
 
@@ -29,7 +30,7 @@
 	machineType string
 	zone        string
 	spot        bool
-	size        Resources
+	size        model.Resources
 	disk        float64
 
 	// afar: it is another controller's; only what this one's jobs have on it is kept.
@@ -42,20 +43,20 @@
 	ownedSince time.Time
 
 	attempts map[taskKey]*task
-	used     Resources
+	used     model.Resources
 	// reservedForMigration is the room of places that are held for moves; see migration.go.
-	reservedForMigration Resources
+	reservedForMigration model.Resources
 	// gift: it is held to be emptied for another owner.
 	evacuatingForOther bool
 	// othersUsed is the room that attempts of others' jobs take, and hasOthersAttempts says that
 	// there are any.
-	othersUsed        Resources
+	othersUsed        model.Resources
 	hasOthersAttempts bool
 	// asking: open/ is being read to tell what becomes of a piece.
 	readingOpenJobs bool
 	// taskReports is the newest report's list, and last the same as it came.
-	taskReports     map[taskKey]TaskReport
-	lastTaskReports []TaskReport
+	taskReports     map[taskKey]model.TaskReport
+	lastTaskReports []model.TaskReport
 	// strays: something runs there that should not; its size is not known.
 	hasUnknownTasks bool
 	images          map[string]*image
@@ -140,7 +141,7 @@
 }
 
 // free is the room on a machine for one more task.
-func (m *machine) free() Resources {
+func (m *machine) free() model.Resources {
 	return m.size.AddScaled(m.used, -1).AddScaled(m.othersUsed, -1).AddScaled(m.reservedForMigration, -1)
 }
 
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/migration"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // migration.go carries out moves of replicas: it shows the owner's books to internal/migration,
@@ -142,13 +143,13 @@
 func updateReservations(n *Controller, mv *migrations) {
 	o := n.shardLeader
 	for _, m := range mv.held {
-		m.reservedForMigration, m.evacuatingForOther = Resources{}, false
+		m.reservedForMigration, m.evacuatingForOther = model.Resources{}, false
 	}
 	mv.held = mv.held[:0]
 	pinnedUntil := map[taskKey]time.Time{}
 	for _, h := range mv.tracker.Holds() {
 		if m := o.machines[h.Host]; m != nil {
-			if m.reservedForMigration == (Resources{}) {
+			if m.reservedForMigration == (model.Resources{}) {
 				mv.held = append(mv.held, m)
 			}
 			m.reservedForMigration = m.reservedForMigration.AddScaled(h.Need, 1)
@@ -227,8 +228,8 @@
 
 // migratingResources is what replicas of the team that are down for their move will take again:
 // it stays theirs within the team's limit.
-func migratingResources(n *Controller, j *job) Resources {
-	var sum Resources
+func migratingResources(n *Controller, j *job) model.Resources {
+	var sum model.Resources
 	mv := n.shardLeader.migrations
 	if mv == nil {
 		return sum
@@ -309,10 +310,10 @@
 	return j.pendingTasks()
 }
 
-func (f migrationFacts) FreeCapacity(host string) (Resources, bool) {
+func (f migrationFacts) FreeCapacity(host string) (model.Resources, bool) {
 	m := f.n.shardLeader.machines[host]
 	if m == nil {
-		return Resources{}, false
+		return model.Resources{}, false
 	}
 	return m.free().AddScaled(m.reservedForMigration, 1), f.n.usable(m)
 }
--- a/internal/controller/migration_bench_test.go
+++ b/internal/controller/migration_bench_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // BenchmarkMigrations is what moves cost an owner in half a second in which a model of a whole
@@ -14,24 +16,24 @@
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			n := largePool(0)
 			n.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
-			n.machineTypes["host"] = MachineType{Name: "host", Capacity: Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
+			n.machineTypes["host"] = model.MachineType{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
 			recoverMigrations(n, []string{"ops"}, nil)
 			for i := range hosts {
 				m := n.ensureMachine(fmt.Sprintf("vm-%06d", i))
 				n.applyHeartbeat(m, n.hostHeartbeat(i, 1), true)
-				j := n.addJob(JobSpec{ID: fmt.Sprintf("job-s%05d", i), Workload: "small", Team: "ops", LongRunning: true, Urgency: Normal, Tasks: 5,
-					Need: Resources{CPU: 8, GPU: 1, Memory: 64}, Image: fmt.Sprint("img-", i%40), ImageGB: 8}, n.now, 7)
+				j := n.addJob(model.JobSpec{ID: fmt.Sprintf("job-s%05d", i), Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 5,
+					Need: model.Resources{CPU: 8, GPU: 1, Memory: 64}, Image: fmt.Sprint("img-", i%40), ImageGB: 8}, n.now, 7)
 				j.nextFresh = 5
 				r := n.hostHeartbeat(i, 2)
 				for k := range 5 {
 					startAttempt(n, j, k, m)
-					r.Tasks = append(r.Tasks, TaskReport{Job: j.ID, Index: k, Attempt: 1, Status: Running})
+					r.Tasks = append(r.Tasks, model.TaskReport{Job: j.ID, Index: k, Attempt: 1, Status: model.Running})
 				}
 				for _, c := range j.segments {
 					c.persistedVersion = c.version
 				}
 				n.applyHeartbeat(m, r, true)
-				n.addJob(JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, n.now, 7)
+				n.addJob(model.JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, n.now, 7)
 			}
 			n.addReplica("job-large", 8)
 			b.ResetTimer()
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/migration"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // migration_plan.go says when moves are worth planning, and writes them down.
@@ -104,7 +105,7 @@
 // isUnschedulable says that a task of j fits nowhere as it is, and that there is enough room for
 // it in pieces.
 func isUnschedulable(n *Controller, j *job) bool {
-	var sum Resources
+	var sum model.Resources
 	large := false
 	for _, m := range n.shardLeader.machinesByID {
 		if !n.usable(m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !j.Need.Fits(m.size) {
@@ -115,12 +116,12 @@
 			return false
 		}
 		large = large || isLarge(j.Need, m.size)
-		sum = sum.AddScaled(Resources{CPU: max(0, free.CPU), GPU: max(0, free.GPU), Memory: max(0, free.Memory)}, 1)
+		sum = sum.AddScaled(model.Resources{CPU: max(0, free.CPU), GPU: max(0, free.GPU), Memory: max(0, free.Memory)}, 1)
 	}
 	return large && j.Need.Fits(sum)
 }
 
-func isLarge(need, size Resources) bool {
+func isLarge(need, size model.Resources) bool {
 	return need.CPU >= largeFraction*size.CPU || need.Memory >= largeFraction*size.Memory || size.GPU > 0 && need.GPU >= largeFraction*size.GPU
 }
 
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -5,6 +5,8 @@
 	"slices"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // hostPool is an owner with three hosts of eight GPUs, of which no more can be rented. A
@@ -13,7 +15,7 @@
 	t.Helper()
 	n := largePool(0)
 	n.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
-	n.machineTypes = map[string]MachineType{"host": {Name: "host", Capacity: Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}}
+	n.machineTypes = map[string]model.MachineType{"host": {Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}}
 	n.shardLeader.fleetView.blockedUntil[machineKind{"host", "z", false}] = n.now.Add(time.Hour)
 	recoverMigrations(n, []string{"ops"}, nil)
 	for i := range 2 {
@@ -28,13 +30,13 @@
 	return n
 }
 
-func (n *Controller) hostHeartbeat(i int, sequence uint64) *Heartbeat {
-	return &Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "host", Zone: "z", Incarnation: 1, Sequence: sequence, Epoch: 1, ReclaimIn: -1}
+func (n *Controller) hostHeartbeat(i int, sequence uint64) *model.Heartbeat {
+	return &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "host", Zone: "z", Incarnation: 1, Sequence: sequence, Epoch: 1, ReclaimIn: -1}
 }
 
 func (n *Controller) addReplica(id string, gpus float64) *job {
-	return n.addJob(JobSpec{ID: id, Workload: "w", Team: "ops", LongRunning: true, Urgency: Normal, Tasks: 1,
-		Need: Resources{CPU: 8 * gpus, GPU: gpus, Memory: 64 * gpus}, Image: "img", ImageGB: 5}, n.now, 7)
+	return n.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
+		Need: model.Resources{CPU: 8 * gpus, GPU: gpus, Memory: 64 * gpus}, Image: "img", ImageGB: 5}, n.now, 7)
 }
 
 // reportRunning has the record of a replica durable, and its machine report it.
@@ -44,7 +46,7 @@
 	}
 	j.tasks[0].startSent = true
 	r := n.hostHeartbeat(host, n.shardLeader.machinesByID[host].sequence+1)
-	r.Tasks = []TaskReport{{Job: j.ID, Index: 0, Attempt: j.tasks[0].attempt, Status: Running}}
+	r.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: j.tasks[0].attempt, Status: model.Running}}
 	n.applyHeartbeat(n.shardLeader.machinesByID[host], r, true)
 }
 
@@ -113,7 +115,7 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	n.storeCallbacks[op.ID](StoreResponse{Status: StoreConflict, FailedKeys: []string{openJobPrefix + "job-large"}})
-	if len(n.shardLeader.migrations.tracker.Holds()) > 0 || n.shardLeader.machinesByID[0].reservedForMigration != (Resources{}) || n.shardLeader.machinesByID[1].reservedForMigration != (Resources{}) {
+	if len(n.shardLeader.migrations.tracker.Holds()) > 0 || n.shardLeader.machinesByID[0].reservedForMigration != (model.Resources{}) || n.shardLeader.machinesByID[1].reservedForMigration != (model.Resources{}) {
 		t.Error("places stay held")
 	}
 	op = n.awaitMigrationWrite(t)
@@ -154,11 +156,11 @@
 	j := n.shardLeader.jobs[s.Job]
 	from := n.shardLeader.machines[s.From]
 	n.endAttempt(j, 0, false)
-	n.settings.Teams[0].QuotaLimit = Resources{GPU: 13}
+	n.settings.Teams[0].QuotaLimit = model.Resources{GPU: 13}
 	if n.withinQuotaLimit(n.shardLeader.jobs["job-large"]) {
 		t.Error("another may take the room within the limit")
 	}
-	n.settings.Teams[0].QuotaLimit = Resources{}
+	n.settings.Teams[0].QuotaLimit = model.Resources{}
 	n.placeAll()
 	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To {
 		t.Errorf("it is on %v, want %s", j.tasks[0].machine, s.To)
@@ -186,7 +188,7 @@
 	if !isSurplus() {
 		t.Fatal("the test shows nothing")
 	}
-	m.reservedForMigration = Resources{GPU: 1}
+	m.reservedForMigration = model.Resources{GPU: 1}
 	if isSurplus() {
 		t.Error("it counts as idle")
 	}
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 )
 
@@ -411,7 +412,7 @@
 		}
 		age := n.now.Sub(time.UnixMilli(l.rec.SubmittedAtMillis))
 		d := durableDate(n, id, &l)
-		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
+		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, model.Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
 		if e, _ := cache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision); d.Revision > 0 {
 			x.Reason = e.Reason.String()
 		}
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/packing"
 )
 
@@ -45,7 +46,7 @@
 
 // replicaShape is replicas that are alike for what room is worth.
 type replicaShape struct {
-	need         Resources
+	need         model.Resources
 	machineTypes string
 }
 
@@ -65,7 +66,7 @@
 		waits     bool
 	}
 	by := map[replicaShape]tally{}
-	add := func(s *JobSpec, tasks int, waiting bool) {
+	add := func(s *model.JobSpec, tasks int, waiting bool) {
 		if s.Need.GPU <= roundingTolerance || tasks <= 0 {
 			return
 		}
@@ -160,7 +161,7 @@
 
 // nonGPUUse is what work without GPUs takes on a machine, also that of others' jobs when
 // none of it has GPUs.
-func (n *Controller) nonGPUUse(m *machine) Resources {
+func (n *Controller) nonGPUUse(m *machine) model.Resources {
 	// Counted in millionths, so that the order is no matter.
 	var cpu, memory int64
 	for k := range m.attempts {
@@ -169,7 +170,7 @@
 			memory += int64(math.Round(j.Need.Memory / roundingTolerance))
 		}
 	}
-	r := Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
+	r := model.Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
 	if m.othersUsed.GPU <= roundingTolerance {
 		r = r.AddScaled(m.othersUsed, 1)
 	}
@@ -177,7 +178,7 @@
 }
 
 // rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better.
-func (n *Controller) rateGPUMachine(k *packing.Profile, j *job, m *machine, free Resources, avoidGPUs bool) (float64, bool) {
+func (n *Controller) rateGPUMachine(k *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
 	if avoidGPUs {
 		return 0, j.Need.Fits(k.NonGPUCapacity(free, n.nonGPUUse(m)))
 	}
@@ -202,7 +203,7 @@
 }
 
 // freeCapacityOn is the room on a machine for a job's tasks.
-func (n *Controller) freeCapacityOn(l *candidateGroup, s *candidateMachine) Resources {
+func (n *Controller) freeCapacityOn(l *candidateGroup, s *candidateMachine) model.Resources {
 	if l.avoidGPUs && s.packingKind != nil {
 		return s.packingKind.NonGPUCapacity(s.machine.free(), n.nonGPUUse(s.machine))
 	}
@@ -210,12 +211,12 @@
 }
 
 // freeFor is the room of a virtual machine's free room for tasks that stay off GPUs or don't.
-func (v *simulatedMachine) freeFor(free Resources, avoidGPUs bool) Resources {
+func (v *simulatedMachine) freeFor(free model.Resources, avoidGPUs bool) model.Resources {
 	if v.packingKind == nil || !avoidGPUs {
 		return free
 	}
 	r := v.packingKind.NonGPUSurplus(free)
-	return Resources{CPU: min(r.CPU, v.nonGPUFree.CPU), Memory: min(r.Memory, v.nonGPUFree.Memory)}
+	return model.Resources{CPU: min(r.CPU, v.nonGPUFree.CPU), Memory: min(r.Memory, v.nonGPUFree.Memory)}
 }
 
 // preemptsForReplica says that lower work without GPUs is stopped where a task of j waits: it took
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -5,13 +5,15 @@
 	"strconv"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // newGPUHostPool is an owner of some eight-GPU hosts, and of plain machines if any.
 func newGPUHostPool(hosts, plain int) *Controller {
 	n := largePool(0)
 	n.settings.Capabilities.Models = true
-	n.machineTypes["g8"] = MachineType{Name: "g8", Capacity: Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
+	n.machineTypes["g8"] = model.MachineType{Name: "g8", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
 	for i := range hosts + plain {
 		r := n.poolHeartbeat(0)
 		r.Machine, r.Spot = fmt.Sprintf("vm-%06d", i), false
@@ -24,12 +26,12 @@
 }
 
 // submitReplicas hands in a standing job of so many GPUs a replica.
-func (n *Controller) submitReplicas(id, image string, gpus float64, tasks int, u Urgency) *job {
-	return n.submitTestJob(JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: u, Tasks: tasks,
-		Need: Resources{CPU: 6 * gpus, GPU: gpus, Memory: 40 * gpus}, Image: image, ImageGB: 8})
+func (n *Controller) submitReplicas(id, image string, gpus float64, tasks int, u model.Urgency) *job {
+	return n.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: u, Tasks: tasks,
+		Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 40 * gpus}, Image: image, ImageGB: 8})
 }
 
-func (n *Controller) submitTestJob(s JobSpec) *job {
+func (n *Controller) submitTestJob(s model.JobSpec) *job {
 	s.Team = "ops"
 	j := n.addJob(s, n.now, 1)
 	return j
@@ -63,7 +65,7 @@
 	n := newGPUHostPool(6, 0)
 	fill := func(from, count, image int, gpus float64) {
 		for i := range count {
-			n.submitReplicas(fmt.Sprintf("job-%06d", from+i), fmt.Sprintf("img-%d", image), gpus, 1, Normal)
+			n.submitReplicas(fmt.Sprintf("job-%06d", from+i), fmt.Sprintf("img-%d", image), gpus, 1, model.Normal)
 			n.placeAll()
 			n.advance(2 * time.Second)
 		}
@@ -90,7 +92,7 @@
 	if r := n.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 2 {
 		t.Errorf("replicas that fit the pieces leave %+v", r)
 	}
-	large := n.submitReplicas("job-002000", "img-7", 8, 3, Normal)
+	large := n.submitReplicas("job-002000", "img-7", 8, 3, model.Normal)
 	if n.placeAll(); large.liveTasks != 3 {
 		t.Errorf("%d of 3 large replicas are placed", large.liveTasks)
 	}
@@ -103,10 +105,10 @@
 	n.shardLeader.machinesByID[5].images["img-b"] = &image{sizeGB: 8, cached: true}
 	for i := range 11 {
 		if i == 1 {
-			n.submitReplicas("job-000001", "img-b", 1, 1, Normal)
+			n.submitReplicas("job-000001", "img-b", 1, 1, model.Normal)
 			continue
 		}
-		n.submitReplicas(fmt.Sprintf("job-%06d", i), "img-a", 1, 1, Normal).ImageGB = 1
+		n.submitReplicas(fmt.Sprintf("job-%06d", i), "img-a", 1, 1, model.Normal).ImageGB = 1
 	}
 	n.placeAll()
 	if r := n.gpuHostCapacity(t); r.EmptyMachines != 4 || r.FragmentedGPUs != 5 {
@@ -118,12 +120,12 @@
 // elsewhere; nothing else is wanted for it, and it isn't counted upon there.
 func TestWorkWithoutGPUs(t *testing.T) {
 	n := newGPUHostPool(2, 1)
-	a := n.submitReplicas("job-000001", "img", 2, 1, Normal)
+	a := n.submitReplicas("job-000001", "img", 2, 1, model.Normal)
 	n.placeAll()
-	batch := n.submitTestJob(JobSpec{ID: "job-000002", Workload: "batch", Urgency: BestEffort, Tasks: 200, Need: Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
+	batch := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "batch", Urgency: model.BestEffort, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
 	n.advance(2 * time.Second)
 	n.placeAll()
-	here := func(m *machine) Resources { return n.nonGPUUse(m) }
+	here := func(m *machine) model.Resources { return n.nonGPUUse(m) }
 	ms := n.shardLeader.machinesByID
 	if x, y, z := here(ms[0]).CPU, here(ms[1]).CPU, here(ms[2]).CPU; x != 16 || y != 16 || z != 32 {
 		t.Errorf("work without GPUs takes %v, %v and %v processors, want 16, 16 and 32", x, y, z)
@@ -136,7 +138,7 @@
 			t.Error("a machine with GPUs is wanted for work without")
 		}
 	}
-	if l := n.submitReplicas("job-000003", "img", 8, 1, Normal); true {
+	if l := n.submitReplicas("job-000003", "img", 8, 1, model.Normal); true {
 		if n.advance(2 * time.Second); l.liveTasks != 0 {
 			t.Fatal("placed too soon")
 		}
@@ -146,7 +148,7 @@
 		}
 	}
 	// What is brief and urgent takes what there is, while no replica waits.
-	rush := n.submitTestJob(JobSpec{ID: "job-000004", Workload: "rush", Urgency: Urgent, Tasks: 2, Need: Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
+	rush := n.submitTestJob(model.JobSpec{ID: "job-000004", Workload: "rush", Urgency: model.Urgent, Tasks: 2, Need: model.Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
 	n.advance(2 * time.Second)
 	if n.placeAll(); rush.liveTasks != 2 {
 		t.Errorf("%d of 2 brief tasks are placed", rush.liveTasks)
@@ -159,8 +161,8 @@
 	}
 	// What may go nowhere else is no matter of that.
 	n = newGPUHostPool(1, 1)
-	n.submitReplicas("job-000001", "img", 1, 1, Normal)
-	only := n.submitTestJob(JobSpec{ID: "job-000002", Workload: "only", Urgency: Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
+	n.submitReplicas("job-000001", "img", 1, 1, model.Normal)
+	only := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "only", Urgency: model.Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
 	if n.placeAll(); only.liveTasks != 10 {
 		t.Errorf("%d of 10 tasks that fit nothing else are placed", only.liveTasks)
 	}
@@ -170,11 +172,11 @@
 // urgent doesn't.
 func TestReplicaPreemptsNonGPUWork(t *testing.T) {
 	for _, c := range []struct {
-		u    Urgency
+		u    model.Urgency
 		want bool
-	}{{Urgent, true}, {Normal, false}} {
+	}{{model.Urgent, true}, {model.Normal, false}} {
 		n := newGPUHostPool(1, 0)
-		low := n.submitTestJob(JobSpec{ID: "job-000001", Workload: "batch", Urgency: Normal, Tasks: 5, Need: Resources{CPU: 12, Memory: 2}, ExpectedRunTime: time.Hour})
+		low := n.submitTestJob(model.JobSpec{ID: "job-000001", Workload: "batch", Urgency: model.Normal, Tasks: 5, Need: model.Resources{CPU: 12, Memory: 2}, ExpectedRunTime: time.Hour})
 		if n.placeAll(); low.liveTasks != 5 {
 			t.Fatalf("%d live", low.liveTasks)
 		}
@@ -200,11 +202,11 @@
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			n := newGPUHostPool(hosts, hosts)
 			for i := range hosts * 5 {
-				n.submitReplicas(fmt.Sprintf("job-%06d", i), fmt.Sprintf("img-%d", i%30), []float64{1, 2}[i%2], 1, Normal)
+				n.submitReplicas(fmt.Sprintf("job-%06d", i), fmt.Sprintf("img-%d", i%30), []float64{1, 2}[i%2], 1, model.Normal)
 			}
 			for i := range hosts / 5 {
-				n.submitTestJob(JobSpec{ID: fmt.Sprintf("job-%06d", 100000+i), Workload: fmt.Sprint("batch-", i%5), Urgency: Normal, Tasks: 200, Need: Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute})
-				n.submitReplicas(fmt.Sprintf("job-%06d", 200000+i), fmt.Sprintf("img-%d", i%30), 8, 1, Urgent)
+				n.submitTestJob(model.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+i), Workload: fmt.Sprint("batch-", i%5), Urgency: model.Normal, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute})
+				n.submitReplicas(fmt.Sprintf("job-%06d", 200000+i), fmt.Sprintf("img-%d", i%30), 8, 1, model.Urgent)
 			}
 			n.placeAll()
 			for b.Loop() {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // A controller that reaches the state service but no worker is of no use as an
@@ -45,7 +47,7 @@
 func (s *membership) receivesNothing(now time.Time) bool { return now.Before(s.receivesNothingUntil) }
 
 // heartbeatReceived notes that a report has reached this controller at all.
-func heartbeatReceived(n *Controller, r *Heartbeat) {
+func heartbeatReceived(n *Controller, r *model.Heartbeat) {
 	n.selfMonitor.HeartbeatReceived(n.now)
 	switch {
 	case !n.membership.receivesNothing(n.now):
@@ -90,7 +92,7 @@
 // noteRerouted notes that a machine was sent to its steward, and tells that steward
 // when its machines keep coming here. One that does not hear where it is sent says
 // nothing of its steward, so it is asked.
-func noteRerouted(n *Controller, r *Heartbeat, ownerHost string) {
+func noteRerouted(n *Controller, r *model.Heartbeat, ownerHost string) {
 	s := &n.membership
 	ownerRecord, ok := s.controllers[ownerHost]
 	if !ok || ownerHost == n.settings.Host {
@@ -120,7 +122,7 @@
 
 // queueReroutedHeartbeat tells a steward that a report of its machine came here: it may not have heard
 // it for long, and take one that only doesn't hear the answers for one that is gone.
-func queueReroutedHeartbeat(n *Controller, r *Heartbeat, ownerHost string) {
+func queueReroutedHeartbeat(n *Controller, r *model.Heartbeat, ownerHost string) {
 	if len(n.reroutedHeartbeats) == 0 {
 		n.after(reroutedHeartbeatInterval, func() {
 			for _, to := range sortedKeys(n.reroutedHeartbeats) {
@@ -141,7 +143,7 @@
 func applyReroutedHeartbeats(n *Controller, heartbeats []ReroutedHeartbeat) {
 	for _, x := range heartbeats {
 		m := n.shardLeader.machines[x.ID]
-		r := Heartbeat{Epoch: x.Epoch, Incarnation: x.Incarnation, Sequence: x.Sequence}
+		r := model.Heartbeat{Epoch: x.Epoch, Incarnation: x.Incarnation, Sequence: x.Sequence}
 		if m == nil || !m.heard || x.Epoch < m.epoch || m.supersedes(&r) || (&machine{incarnation: m.rerouted.Incarnation, sequence: m.rerouted.Sequence}).supersedes(&r) {
 			continue
 		}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/aging"
+	"github.com/micahill/micahill/internal/model"
 )
 
 const (
@@ -99,7 +100,7 @@
 	return target.Add(-d)
 }
 
-func (n *Controller) team(name string) *Team {
+func (n *Controller) team(name string) *model.Team {
 	for i := range n.settings.Teams {
 		if n.settings.Teams[i].Name == name {
 			return &n.settings.Teams[i]
@@ -349,7 +350,7 @@
 		count -= waiting - j.pendingTasks()
 	}
 	bound := n.waitObjective(j.Workload)
-	if bound == 0 || j.Urgency == BestEffort {
+	if bound == 0 || j.Urgency == model.BestEffort {
 		place(forever, most())
 		if (j.placingOverdue || n.preemptsForReplica(j)) && most() > 0 && !n.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
 			// Work of lower urgency makes room for what has waited too long, and such
@@ -420,10 +421,10 @@
 }
 
 // preemptionVictimsOn picks the tasks on m whose stop makes room for one of j's.
-func (n *Controller) preemptionVictimsOn(j *job, m *machine, free Resources) ([]*task, time.Duration, bool) {
+func (n *Controller) preemptionVictimsOn(j *job, m *machine, free model.Resources) ([]*task, time.Duration, bool) {
 	type victim struct {
 		t    *task
-		need Resources
+		need model.Resources
 		loss time.Duration
 	}
 	var candidates []victim
@@ -561,7 +562,7 @@
 // more than this one does: it fits fewer flavours. Small tasks that fill the
 // only machines on which big ones fit keep those waiting beside idle small
 // machines.
-func (n *Controller) scarcityOf(s *JobSpec) map[string]scarcity {
+func (n *Controller) scarcityOf(s *model.JobSpec) map[string]scarcity {
 	var out map[string]scarcity
 	mine := n.fittingMachineTypes(s)
 	for _, w := range n.shardLeader.workloads {
@@ -587,7 +588,7 @@
 }
 
 // fittingMachineTypes names the flavours a task fits.
-func (n *Controller) fittingMachineTypes(s *JobSpec) []string {
+func (n *Controller) fittingMachineTypes(s *model.JobSpec) []string {
 	var out []string
 	for name, f := range n.machineTypes {
 		if s.Need.Fits(f.Capacity) && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)) {
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/packing"
 )
 
@@ -46,7 +47,7 @@
 // taskShape is what of a task decides where it may go.
 type taskShape struct {
 	workload     string
-	need         Resources
+	need         model.Resources
 	machineTypes string
 	zone         string
 	spot         bool
@@ -370,7 +371,7 @@
 
 type preemptionVictimsKey struct {
 	taskShape
-	urgency Urgency
+	urgency model.Urgency
 }
 
 func (n *Controller) preemptionVictimsFor(j *job) *preemptionVictims {
@@ -414,7 +415,7 @@
 }
 
 // freeAfterPreemption is the room on m with what stopped tasks are about to leave.
-func (n *Controller) freeAfterPreemption(m *machine) Resources {
+func (n *Controller) freeAfterPreemption(m *machine) model.Resources {
 	f := m.free()
 	for k, t := range m.attempts {
 		if t.stopReason == stopPreempt && n.now.Sub(t.stoppedAt) < stopTimeout {
--- a/internal/controller/planning_pass_test.go
+++ b/internal/controller/planning_pass_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // TestPlanningPassIsSliced guards against a look at the fleet that keeps reports and
@@ -43,7 +45,7 @@
 	for _, left := range []bool{true, false} {
 		n := largePool(1)
 		m := n.shardLeader.machinesByID[0]
-		j := newJob(JobSpec{ID: "job-1", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
+		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
 		n.shardLeader.jobs[j.ID] = j
 		j.nextFresh, j.tasks[0].attempt = 1, 1
 		n.attachAttempt(j, 0, m)
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 )
 
@@ -163,7 +164,7 @@
 
 func (r *jobStatusRecord) Date() promise.Date {
 	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
-	if r.Status != Done || r.PromisedMillis > maxDateMillis || d.Validate() != "" {
+	if r.Status != model.Done || r.PromisedMillis > maxDateMillis || d.Validate() != "" {
 		return promise.Date{}
 	}
 	return d
@@ -187,7 +188,7 @@
 
 // promiseJob is what of a job its date rests on. The fetch is that from the usual kind
 // of machine: where the image lies the finishes tell.
-func promiseJob(n *Controller, s *JobSpec) promise.Job {
+func promiseJob(n *Controller, s *model.JobSpec) promise.Job {
 	p := &n.promises
 	if p.fetchTypeCount != len(n.machineTypes) {
 		p.fetchTypeCount, p.perGB = len(n.machineTypes), 0
@@ -205,7 +206,7 @@
 }
 
 // quoteDate is the date for a job that is accepted here, if one is at hand.
-func quoteDate(n *Controller, s *JobSpec) time.Duration {
+func quoteDate(n *Controller, s *model.JobSpec) time.Duration {
 	if !n.promisesEnabled() || len(s.Dependencies) > 0 {
 		// What waits for others gets its date when these are done.
 		return 0
@@ -277,13 +278,13 @@
 // endRecordFromCache is the record of a job that is over, by its record in open/, for whoever
 // does not run it: who cancels, and the leader for one that a peer has done. Its owner
 // has made no date since it was lent, and none was on its way.
-func endRecordFromCache(n *Controller, id string, s JobStatus, l *openJob) jobStatusRecord {
+func endRecordFromCache(n *Controller, id string, s model.JobStatus, l *openJob) jobStatusRecord {
 	r := jobStatusRecord{Status: s, Tasks: l.rec.Tasks}
 	if !n.promisesEnabled() {
 		return r
 	}
 	r.Team, r.Workload, r.Offloaded = l.rec.Team, l.rec.Workload, l.rec.BorrowedLoan != ""
-	if s == Done {
+	if s == model.Done {
 		if d := durableDate(n, id, l); d.Revision > 0 {
 			r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Revision, l.rec.PromisedMillis > 0
 		}
@@ -295,9 +296,9 @@
 // endRecord is the record of a job whose tasks are all done here: with the newest date
 // that was decided, durable or not, so that no late page can be newer than it.
 func endRecord(n *Controller, j *job) jobStatusRecord {
-	r := jobStatusRecord{Status: Done, Tasks: len(j.tasks)}
+	r := jobStatusRecord{Status: model.Done, Tasks: len(j.tasks)}
 	if j.cancelled {
-		r.Status = Cancelled
+		r.Status = model.Cancelled
 	}
 	if !n.promisesEnabled() {
 		return r
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -32,7 +33,7 @@
 	}
 	jobs := map[string]*job{}
 	for id, stamp := range map[string]uint64{"job-old": 5, "job-new": 12} {
-		spec := JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Hour}
+		spec := model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Hour}
 		rec := newOpenJobRecord(&spec, n.now)
 		rec.PromisedMillis = 60_000
 		m.openJobs[id] = openJob{stamp, rec}
@@ -71,7 +72,7 @@
 func TestKeepableDateGoesFirst(t *testing.T) {
 	n, team := newPromisingNode(t)
 	add := func(id string, at time.Duration, date time.Duration) {
-		j := n.addJob(JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: 100 * time.Second}, n.now.Add(at), 1)
+		j := n.addJob(model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 100 * time.Second}, n.now.Add(at), 1)
 		j.promised = promise.Date{After: date, Revision: 1}
 	}
 	for _, c := range []struct {
@@ -95,7 +96,7 @@
 func TestLentDates(t *testing.T) {
 	n, team := newPromisingNode(t)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
-	j := n.addJob(JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
+	j := n.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
 	j.firstPromise, j.promised = time.Minute, promise.Date{After: time.Minute, Revision: 1}
 	if rec := j.currentRecord(); rec.PromisedMillis != 60_000 {
 		t.Errorf("its record has %d", rec.PromisedMillis)
@@ -122,10 +123,10 @@
 		t.Fatal(err)
 	}
 	rec := j.currentRecord()
-	if r := endRecordFromCache(n, j.ID, Done, &openJob{8, rec}); r.Date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
+	if r := endRecordFromCache(n, j.ID, model.Done, &openJob{8, rec}); r.Date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
 		t.Errorf("it ends with %+v", r)
 	}
-	if r := endRecordFromCache(n, j.ID, Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
+	if r := endRecordFromCache(n, j.ID, model.Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
 		t.Errorf("cancelled with %+v", r)
 	}
 }
@@ -136,7 +137,7 @@
 	n, team := newPromisingNode(t)
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
 	m := &n.frontend.watchCache
-	spec := JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: 2000 * time.Second}
+	spec := model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 2000 * time.Second}
 	rec := newOpenJobRecord(&spec, n.now)
 	m.openJobs = map[string]openJob{spec.ID: {3, rec}}
 	j := n.addJob(spec, n.now, 3)
@@ -182,7 +183,7 @@
 func TestDateOfAnEnd(t *testing.T) {
 	n, team := newPromisingNode(t)
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
-	j := n.addJob(JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
+	j := n.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
 	j.promised, j.promisedAt = promise.Date{After: 5 * time.Minute, Revision: 1}, n.now
 	j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
 	n.now = n.now.Add(290 * time.Second)
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -255,9 +256,9 @@
 
 // noteUnansweredStarts notes that orders had no answer though they left: their starts may be
 // carried out at any time.
-func noteUnansweredStarts(n *Controller, m *machine, commands []TaskCommand) {
+func noteUnansweredStarts(n *Controller, m *machine, commands []model.TaskCommand) {
 	for _, x := range commands {
-		if t := m.attempts[taskKey{x.Job, x.Index}]; t != nil && x.Kind == StartTask && t.attempt == x.Attempt {
+		if t := m.attempts[taskKey{x.Job, x.Index}]; t != nil && x.Kind == model.StartTask && t.attempt == x.Attempt {
 			t.startUnanswered = true
 		}
 	}
@@ -291,7 +292,7 @@
 	return j.rankingPlace
 }
 
-func rankOfSpec(n *Controller, s *JobSpec) int {
+func rankOfSpec(n *Controller, s *model.JobSpec) int {
 	return n.membership.ranking.table.Rank(s.Workload, int(s.Urgency))
 }
 
@@ -334,7 +335,7 @@
 
 // overloadRefuses says that a submission is refused under overload: the later a job's place,
 // the smaller the part of what may wait for the state service that is open to it.
-func overloadRefuses(n *Controller, s *JobSpec) bool {
+func overloadRefuses(n *Controller, s *model.JobSpec) bool {
 	if !n.settings.Capabilities.Ranking || s.Workload == "" {
 		return false
 	}
@@ -635,7 +636,7 @@
 		case t.machine == nil || t.stopReason != stopNone:
 		case !t.startSent:
 			unsent++
-		case !t.reported || t.status == Fetching:
+		case !t.reported || t.status == model.Fetching:
 			fetching++
 		}
 	}
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -6,7 +6,9 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
+
 	_ "github.com/micahill/micahill/internal/testseed"
 	"pgregory.net/rapid"
 )
@@ -38,7 +40,7 @@
 
 // addWaitingJob adds a job that waits.
 func (n *Controller) addWaitingJob(id, workload string, tasks int, cpu float64) *job {
-	j := newJob(JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: Normal, Tasks: tasks, AllowSpot: true, Need: Resources{CPU: cpu, Memory: cpu}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
+	j := newJob(model.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: cpu, Memory: cpu}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
 	n.shardLeader.jobs[id] = j
 	return j
 }
@@ -104,10 +106,10 @@
 	return n, m, j
 }
 
-func countStarts(os []TaskCommand) int {
+func countStarts(os []model.TaskCommand) int {
 	k := 0
 	for _, o := range os {
-		k += int(boolToFloat(o.Kind == StartTask))
+		k += int(boolToFloat(o.Kind == model.StartTask))
 	}
 	return k
 }
@@ -292,7 +294,7 @@
 		low := n.addWaitingJob("job-1", "foo", 1, 32)
 		n.placeAll()
 		high := n.addWaitingJob("job-2", "bar", 1, 32)
-		high.Urgency = Urgent
+		high.Urgency = model.Urgent
 		ts, _, ok := n.preemptionVictimsOn(high, m, m.free())
 		if ok != (text == barFirst) || low.liveTasks != 1 {
 			t.Errorf("%d victims, %v", len(ts), ok)
@@ -306,7 +308,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SampledFrom([]string{fooFirst, barFirst, "[[class]]\nname=\"u\"\nurgency=\"urgent\"\n[[class]]\nname=\"b\"\nworkloads=[\"ba*\"]\n"}).Draw(t, "ranking")
 		n := newRankedNode(0, text)
-		n.settings.Teams = []Team{{Name: "ops", QuotaLimit: Resources{CPU: rapid.Float64Range(10, 200).Draw(t, "limit")}}}
+		n.settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: rapid.Float64Range(10, 200).Draw(t, "limit")}}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			r := n.poolHeartbeat(i * rapid.IntRange(1, 8).Draw(t, "kind"))
 			r.Machine = fmt.Sprintf("vm-%02d", i)
@@ -315,7 +317,7 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			j := n.addWaitingJob(fmt.Sprintf("job-%02d", i), rapid.SampledFrom([]string{"foo", "foo2", "bar", "baz", "x"}).Draw(t, "workload"),
 				rapid.IntRange(1, 6).Draw(t, "tasks"), rapid.SampledFrom([]float64{1, 2, 4, 6, 16}).Draw(t, "cpu"))
-			j.Urgency = Urgency(rapid.IntRange(0, 3).Draw(t, "urgency"))
+			j.Urgency = model.Urgency(rapid.IntRange(0, 3).Draw(t, "urgency"))
 			j.AllowSpot = rapid.Bool().Draw(t, "spot")
 			n.shardLeader.workloads[j.Workload] = &workload{&j.JobSpec, n.now}
 		}
@@ -351,7 +353,7 @@
 func TestOverloadRefusesLowestRankFirst(t *testing.T) {
 	n := newRankedNode(1, fooFirst)
 	n.frontend.waitingRequests = maxWaitingRequests * 3 / 4
-	first, last := JobSpec{Workload: "foo", Urgency: Normal}, JobSpec{Workload: "x", Urgency: BestEffort}
+	first, last := model.JobSpec{Workload: "foo", Urgency: model.Normal}, model.JobSpec{Workload: "x", Urgency: model.BestEffort}
 	if overloadRefuses(n, &first) || !overloadRefuses(n, &last) {
 		t.Error("the first is refused, or the last is not")
 	}
@@ -371,8 +373,8 @@
 		n.frontend.watchCache.openJobs[id] = openJob{rec: newOpenJobRecord(&j.JobSpec, n.now)}
 	}
 	n.shardLeader.usedByTeam["ops"] = first.Need
-	n.settings.Teams = []Team{{Name: "ops", QuotaLimit: Resources{CPU: 110}}}
-	n.frontend.finalStatuses["job-9"] = Done
+	n.settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 110}}}
+	n.frontend.finalStatuses["job-9"] = model.Done
 	for id, want := range map[string]string{
 		"job-1": "job-1: class foo, place 1 of 6; 1 of 2 tasks wait; number 1 of its class; 1 tasks have a place and wait for their record; 1 machines suit it and are full: it goes when tasks there end, or one more is rented",
 		"job-2": "job-2: class bar, place 2 of 6; 3 of 3 tasks wait; number 1 of its class; before it foo with 1 jobs, 1 tasks; 1 machines suit it and are full: it goes when tasks there end, or one more is rented",
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 )
 
@@ -55,7 +56,7 @@
 		}
 	}
 	for _, p := range m.taskReports {
-		if p.Status == Ended {
+		if p.Status == model.Ended {
 			return true
 		}
 	}
@@ -69,10 +70,12 @@
 // reconcile is what the worker has to be told, from its newest report and what
 // should be there. Repeating an order does no harm but for a start after its
 // clear, so clear waits until no start can be on its way.
-func (n *Controller) reconcile(m *machine) []TaskCommand { return n.pendingCommands(m, m.settled()) }
+func (n *Controller) reconcile(m *machine) []model.TaskCommand {
+	return n.pendingCommands(m, m.settled())
+}
 
 // pendingCommands is reconcile for who has looked already whether the machine is settled.
-func (n *Controller) pendingCommands(m *machine, settled bool) []TaskCommand {
+func (n *Controller) pendingCommands(m *machine, settled bool) []model.TaskCommand {
 	o := n.shardLeader
 	m.dispatchPending, m.hasNewStarts = false, false
 	if settled {
@@ -81,7 +84,7 @@
 	// Clearing up comes last, with the room that is left: thousands of short tasks may
 	// have ended here, and what is to start or stop is not to wait behind them. What is
 	// left of it goes with the next report's answer.
-	var commands, clears []TaskCommand
+	var commands, clears []model.TaskCommand
 	noStartInFlight := n.noStartInFlight(m)
 	for _, k := range sortedTasks(m.taskReports) {
 		if len(commands) >= maxCommands {
@@ -95,7 +98,7 @@
 			t = &j.tasks[k.index]
 		}
 		if j == nil {
-			if cmd, some := n.commandForOthers(m, p, noStartInFlight); some && cmd.Kind == ClearTask {
+			if cmd, some := n.commandForOthers(m, p, noStartInFlight); some && cmd.Kind == model.ClearTask {
 				clears = append(clears, cmd)
 			} else if some {
 				commands = append(commands, cmd)
@@ -104,15 +107,15 @@
 		}
 		isCurrent := t != nil && t.machine == m && t.attempt == p.Attempt
 		switch {
-		case isCurrent && t.stopReason != stopNone && p.Status == Checkpointing && n.gracePeriod(m, j, t) > 0:
+		case isCurrent && t.stopReason != stopNone && p.Status == model.Checkpointing && n.gracePeriod(m, j, t) > 0:
 			// It saves already.
-		case isCurrent && t.stopReason != stopNone && p.Status != Ended:
-			commands = append(commands, TaskCommand{Kind: StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt, GracePeriod: n.gracePeriod(m, j, t)})
+		case isCurrent && t.stopReason != stopNone && p.Status != model.Ended:
+			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt, GracePeriod: n.gracePeriod(m, j, t)})
 		case isCurrent:
-		case p.Status != Ended:
-			commands = append(commands, TaskCommand{Kind: StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt})
+		case p.Status != model.Ended:
+			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt})
 		case noStartInFlight && (t == nil || j.durable(k.index)):
-			cmd := TaskCommand{Kind: ClearTask, Job: k.job, Index: k.index, Attempt: p.Attempt}
+			cmd := model.TaskCommand{Kind: model.ClearTask, Job: k.job, Index: k.index, Attempt: p.Attempt}
 			if m.attempts[k] != nil {
 				// Another attempt of it is to start here.
 				commands = append(commands, cmd)
@@ -138,14 +141,14 @@
 		}
 		if p, ok := m.taskReports[k]; ok && p.Attempt == t.attempt {
 			continue
-		} else if ok && p.Status != Ended {
+		} else if ok && p.Status != model.Ended {
 			continue
 		}
 		if !mayDispatchStart(n, m, j, k.index, noStartInFlight) {
 			continue
 		}
 		t.startSent = true
-		commands = append(commands, TaskCommand{Kind: StartTask, Job: k.job, Index: k.index, Attempt: t.attempt})
+		commands = append(commands, model.TaskCommand{Kind: model.StartTask, Job: k.job, Index: k.index, Attempt: t.attempt})
 	}
 	return append(commands, clears[:min(len(clears), max(0, maxCommands-len(commands)))]...)
 }
@@ -158,7 +161,7 @@
 	}
 	for k, t := range m.attempts {
 		p, ok := m.taskReports[k]
-		if !ok || p.Attempt != t.attempt || t.stopReason != stopNone || p.Status == Ended {
+		if !ok || p.Attempt != t.attempt || t.stopReason != stopNone || p.Status == model.Ended {
 			return false
 		}
 	}
@@ -197,11 +200,11 @@
 	if len(commands) == 0 {
 		return
 	}
-	if !slices.ContainsFunc(commands, func(o TaskCommand) bool { return o.Kind != ClearTask }) {
+	if !slices.ContainsFunc(commands, func(o model.TaskCommand) bool { return o.Kind != model.ClearTask }) {
 		// Clearing up can wait for the next report's answer.
 		return
 	}
-	starts := slices.ContainsFunc(commands, func(o TaskCommand) bool { return o.Kind == StartTask })
+	starts := slices.ContainsFunc(commands, func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
 	until := n.membership.leaseValidUntil
 	if starts {
 		until = earlier(n.startDeadline(), startDispatchDeadline(n, m))
--- a/internal/controller/record.go
+++ b/internal/controller/record.go
@@ -5,6 +5,7 @@
 	"time"
 	"unicode/utf8"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
@@ -57,8 +58,8 @@
 }
 
 type jobStatusRecord struct {
-	Status JobStatus `msgpack:"s"`
-	Tasks  int       `msgpack:"n"`
+	Status model.JobStatus `msgpack:"s"`
+	Tasks  int             `msgpack:"n"`
 	// With promises: whose it was, of a peer's or not, and when it ended, in
 	// milliseconds after its submission; its newest date, in the same way, with the
 	// revision, and whether its first date was there when it was accepted.
@@ -215,7 +216,7 @@
 }
 
 // newOpenJobRecord describes a job that was submitted at a time as it is stored.
-func newOpenJobRecord(s *JobSpec, at time.Time) openJobRecord {
+func newOpenJobRecord(s *model.JobSpec, at time.Time) openJobRecord {
 	return openJobRecord{
 		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
 		Tasks: s.Tasks, CPU: s.Need.CPU, GPU: s.Need.GPU, Memory: s.Need.Memory,
@@ -226,10 +227,10 @@
 	}
 }
 
-func (r *openJobRecord) JobSpec(id string) JobSpec {
-	return JobSpec{
-		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: Urgency(r.Urgency),
-		Tasks: r.Tasks, Need: Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
+func (r *openJobRecord) JobSpec(id string) model.JobSpec {
+	return model.JobSpec{
+		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: model.Urgency(r.Urgency),
+		Tasks: r.Tasks, Need: model.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
 		MachineTypes: r.MachineTypes, Zone: r.Zone, SameZone: r.SameZone, SpreadZones: r.SpreadZones, AllowSpot: r.AllowSpot,
 		ExpectedRunTime: Seconds(r.ExpectedSeconds), CheckpointInterval: Seconds(r.CheckpointIntervalSeconds), CheckpointCost: Seconds(r.CheckpointCostSeconds),
 		Deadline: Seconds(r.DeadlineSeconds), Dependencies: r.DependencyNames(),
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // TestCancelledInManySegments: a cancelled job whose tasks stand in several records, of
@@ -15,7 +17,7 @@
 		n := largePool(24)
 		machineWithTask(n)
 		n.now = n.now.Add(n.formerOwnerGrace())
-		spec := JobSpec{ID: "job-000905", Workload: "w", Team: "ops", Need: Resources{CPU: 1, Memory: 1}}
+		spec := model.JobSpec{ID: "job-000905", Workload: "w", Team: "ops", Need: model.Resources{CPU: 1, Memory: 1}}
 		per := newJob(spec, n.now, 1, 4096).tasksPerSegment
 		total := 2*per + 7
 		if known {
@@ -43,7 +45,7 @@
 				}
 			}
 			for _, o := range n.reconcile(m) {
-				if o.Kind == StartTask && o.Job == j.ID {
+				if o.Kind == model.StartTask && o.Job == j.ID {
 					t.Fatalf("tasks known %v: %v is ordered", known, o)
 				}
 			}
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 )
 
@@ -169,16 +170,16 @@
 // applyRemoteAttempt takes in the state of one live attempt on another's machine.
 func applyRemoteAttempt(n *Controller, j *job, a *machine, w remote.AttemptStatus) {
 	k := taskKey{j.ID, w.Index}
-	p := TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Attempt, Cause: w.Cause}
+	p := model.TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Attempt, Cause: w.Cause}
 	switch w.State {
 	case remote.Fetching:
-		p.Status = Fetching
+		p.Status = model.Fetching
 	case remote.Running:
-		p.Status = Running
+		p.Status = model.Running
 	case remote.Checkpointing:
-		p.Status = Checkpointing
+		p.Status = model.Checkpointing
 	case remote.Ended:
-		p.Status = Ended
+		p.Status = model.Ended
 	case remote.Gone:
 		n.endAttempt(j, w.Index, false)
 		return
@@ -189,8 +190,8 @@
 }
 
 // toRemoteTask is a reported state in the ownership package's terms.
-func toRemoteTask(p TaskReport) remote.ReportedAttempt {
-	s := [...]remote.State{Fetching: remote.Fetching, Running: remote.Running, Checkpointing: remote.Checkpointing, Ended: remote.Ended}[p.Status]
+func toRemoteTask(p model.TaskReport) remote.ReportedAttempt {
+	s := [...]remote.State{model.Fetching: remote.Fetching, model.Running: remote.Running, model.Checkpointing: remote.Checkpointing, model.Ended: remote.Ended}[p.Status]
 	return remote.ReportedAttempt{AttemptID: remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: s, Cause: p.Cause}
 }
 
@@ -211,21 +212,21 @@
 func (n *Controller) recountOthersUsed(m *machine) {
 	o := n.shardLeader
 	hadOthersAttempts := m.hasOthersAttempts
-	m.othersUsed, m.hasOthersAttempts, m.hasUnknownTasks = Resources{}, false, false
+	m.othersUsed, m.hasOthersAttempts, m.hasUnknownTasks = model.Resources{}, false, false
 	for _, a := range o.registry.LiveAttempts(m.id) {
 		if o.jobs[a.Job] != nil {
 			continue
 		}
 		m.hasOthersAttempts = true
 		if l, open := n.frontend.watchCache.openJobs[a.Job]; open {
-			m.othersUsed = m.othersUsed.AddScaled(Resources{CPU: l.rec.CPU, GPU: l.rec.GPU, Memory: l.rec.Memory}, 1)
+			m.othersUsed = m.othersUsed.AddScaled(model.Resources{CPU: l.rec.CPU, GPU: l.rec.GPU, Memory: l.rec.Memory}, 1)
 		} else {
 			// Its size is not known.
 			m.hasUnknownTasks = true
 		}
 	}
 	for k, p := range m.taskReports {
-		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != Ended && m.attempts[k] == nil && o.jobs[k.job] != nil
+		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != model.Ended && m.attempts[k] == nil && o.jobs[k.job] != nil
 	}
 	if hadOthersAttempts && !m.hasOthersAttempts {
 		o.placementDue = true
@@ -251,7 +252,7 @@
 // commandForOthers says what is to become of a piece that belongs to none of this owner's jobs:
 // nothing, or an order. Another controller owns its job and says so, or the job is
 // over and it is cleared away.
-func (n *Controller) commandForOthers(m *machine, p TaskReport, quiet bool) (TaskCommand, bool) {
+func (n *Controller) commandForOthers(m *machine, p model.TaskReport, quiet bool) (model.TaskCommand, bool) {
 	o := n.shardLeader
 	a := remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
 	since, w, requested := o.registry.Find(m.id, a)
@@ -271,16 +272,16 @@
 		stop, over = true, true
 	default:
 		n.refreshFor(m)
-		return TaskCommand{}, false
+		return model.TaskCommand{}, false
 	}
-	x := TaskCommand{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
+	x := model.TaskCommand{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
 	switch {
-	case p.Status == Ended && over && quiet:
-		x.Kind = ClearTask
-	case p.Status != Ended && stop && !(p.Status == Checkpointing && w.WindDown > 0):
-		x.Kind, x.GracePeriod = StopTask, w.WindDown
+	case p.Status == model.Ended && over && quiet:
+		x.Kind = model.ClearTask
+	case p.Status != model.Ended && stop && !(p.Status == model.Checkpointing && w.WindDown > 0):
+		x.Kind, x.GracePeriod = model.StopTask, w.WindDown
 	default:
-		return TaskCommand{}, false
+		return model.TaskCommand{}, false
 	}
 	return x, true
 }
--- a/internal/controller/renewal_bound.go
+++ b/internal/controller/renewal_bound.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/renewalbound"
 )
 
@@ -41,13 +42,13 @@
 // never arrive, and a start that was sent before may yet. settled: see machine.settled.
 // listed is what a report names that is not taken in: of a machine that has just come it
 // may be all there is to tell of another owner's cancelled tasks.
-func (n *Controller) machineRenewalDeadline(m *machine, settled bool, reported []TaskReport) time.Time {
+func (n *Controller) machineRenewalDeadline(m *machine, settled bool, reported []model.TaskReport) time.Time {
 	until := n.renewalDeadline()
 	if m.seenEpoch < m.epoch {
 		until = earlier(until, n.unreadTeamsDeadline())
 	}
 	for _, p := range reported {
-		if p.Status != Ended {
+		if p.Status != model.Ended {
 			until = earlier(until, n.cancelledJobDeadline(p.Job))
 		}
 	}
@@ -58,7 +59,7 @@
 		until = earlier(until, n.cancelledJobDeadline(k.job))
 	}
 	for k, p := range m.taskReports {
-		if p.Status != Ended {
+		if p.Status != model.Ended {
 			until = earlier(until, n.cancelledJobDeadline(k.job))
 		}
 	}
@@ -116,7 +117,7 @@
 // renewLease is until when a report of m may be answered so that its lease goes on, which is
 // noted. When that is over it is refused, the lease is to run out, and what has to stop is
 // ordered directly; so is the epoch shown that may be the proof that all is gone.
-func renewLease(n *Controller, m *machine, settled bool, reported []TaskReport, reply uint64) (until time.Time, renews bool) {
+func renewLease(n *Controller, m *machine, settled bool, reported []model.TaskReport, reply uint64) (until time.Time, renews bool) {
 	until = n.machineRenewalDeadline(m, settled, reported)
 	if n.now.After(until) {
 		n.markDispatchPending(m)
@@ -145,15 +146,15 @@
 	if c.Heartbeat.Epoch < epoch {
 		until = earlier(until, n.unreadTeamsDeadline())
 	}
-	var stops []TaskCommand
+	var stops []model.TaskCommand
 	for _, p := range c.Heartbeat.Tasks {
 		bound := n.cancelledJobDeadline(p.Job)
-		if p.Status == Ended || bound.IsZero() && n.frontend.finalStatuses[p.Job] != Cancelled {
+		if p.Status == model.Ended || bound.IsZero() && n.frontend.finalStatuses[p.Job] != model.Cancelled {
 			continue
 		}
 		until = earlier(until, bound)
 		if len(stops) < maxCommands {
-			stops = append(stops, TaskCommand{Kind: StopTask, Job: p.Job, Index: p.Index, Attempt: p.Attempt})
+			stops = append(stops, model.TaskCommand{Kind: model.StopTask, Job: p.Job, Index: p.Index, Attempt: p.Attempt})
 		}
 	}
 	if n.now.After(until) {
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -3,17 +3,19 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // heartbeatOf has the worker of m report tasks, and gives the answer.
-func (n *Controller) heartbeatOf(m *machine, tasks ...TaskReport) HeartbeatReply {
+func (n *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) HeartbeatReply {
 	r := n.poolHeartbeat(0)
 	r.Machine, r.Sequence, r.Epoch, r.Tasks = m.id, m.sequence+1, m.epoch, tasks
 	return n.replyToHeartbeat(r)
 }
 
 // replyToHeartbeat is the answer to a report, zero if there is none yet.
-func (n *Controller) replyToHeartbeat(r *Heartbeat) HeartbeatReply {
+func (n *Controller) replyToHeartbeat(r *model.Heartbeat) HeartbeatReply {
 	n.effects = nil
 	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	for _, a := range emittedEffects[HeartbeatReply](n) {
@@ -39,7 +41,7 @@
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
-	running := TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: Running}
+	running := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
 	n.frontend.watchCache.asOf = time.Time{}
 	if a := n.heartbeatOf(m, running); a.Status != 503 {
 		t.Errorf("answered %d by an owner that has read nothing", a.Status)
@@ -96,7 +98,7 @@
 	}
 	n.now = last
 	op := dispatched()
-	if len(op.Commands) != 1 || op.Commands[0].Kind != StartTask || !op.SendDeadline.Equal(last) {
+	if len(op.Commands) != 1 || op.Commands[0].Kind != model.StartTask || !op.SendDeadline.Equal(last) {
 		t.Errorf("ordered %v until %v, want a start until %v", op.Commands, op.SendDeadline, last)
 	}
 	if back, _, late := CheckDeadline(op, last.Add(time.Millisecond)); !late || !back.(WorkerResponse).NotSent {
@@ -107,7 +109,7 @@
 		t.Errorf("ordered %v behind the window", op.Commands)
 	}
 	n.setCancelled(j, n.now)
-	if op := dispatched(); len(op.Commands) != 1 || op.Commands[0].Kind != StopTask || !op.SendDeadline.Equal(n.membership.leaseValidUntil) {
+	if op := dispatched(); len(op.Commands) != 1 || op.Commands[0].Kind != model.StopTask || !op.SendDeadline.Equal(n.membership.leaseValidUntil) {
 		t.Errorf("ordered %v until %v, want a halt as long as the grant surely lives", op.Commands, op.SendDeadline)
 	}
 }
@@ -120,12 +122,12 @@
 	n.settings.MaxClockError = time.Second
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
-	running := TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: Running}
+	running := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
 	at := n.now.Add(-10 * time.Second)
 	last := at.Add(n.settings.RenewalBound().Window() - 2*time.Second)
 	n.setCancelled(j, at)
 	a := n.heartbeatOf(m, running)
-	if a.Status != 200 || !a.SendDeadline.Equal(last) || len(a.Commands) != 1 || a.Commands[0].Kind != StopTask {
+	if a.Status != 200 || !a.SendDeadline.Equal(last) || len(a.Commands) != 1 || a.Commands[0].Kind != model.StopTask {
 		t.Errorf("answered %+v, want a halt until %v", a, last)
 	}
 	// A start that was sent and is not seen counts as one that runs.
@@ -145,9 +147,9 @@
 		t.Errorf("answered %d after the proof that it is gone", a.Status)
 	}
 	// One of another owner's job, and a record that does not say when.
-	k := newJob(JobSpec{ID: "job-000902", Team: "lab", Tasks: 1}, n.now, 1, 4096)
+	k := newJob(model.JobSpec{ID: "job-000902", Team: "lab", Tasks: 1}, n.now, 1, 4096)
 	n.setCancelled(k, time.UnixMilli(0))
-	if a := n.heartbeatOf(m, TaskReport{Job: k.ID, Index: 0, Attempt: 1, Status: Running}); a.Status != 503 {
+	if a := n.heartbeatOf(m, model.TaskReport{Job: k.ID, Index: 0, Attempt: 1, Status: model.Running}); a.Status != 503 {
 		t.Errorf("answered %d with a task that may have been cancelled long ago", a.Status)
 	}
 }
@@ -159,7 +161,7 @@
 func TestUnprovenHeartbeatListsCancelled(t *testing.T) {
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
-	k := newJob(JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, n.now, 1, 4096)
+	k := newJob(model.JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, n.now, 1, 4096)
 	at := n.now.Add(-10 * time.Second)
 	n.setCancelled(k, at)
 	m := n.shardLeader.machines["vm-000003"]
@@ -170,7 +172,7 @@
 	former := func() HeartbeatReply {
 		r := n.poolHeartbeat(0)
 		r.Machine, r.Sequence, r.Epoch = m.id, m.sequence+1, m.epoch-1
-		r.Tasks = []TaskReport{{Job: k.ID, Index: 0, Attempt: 1, Status: Running}}
+		r.Tasks = []model.TaskReport{{Job: k.ID, Index: 0, Attempt: 1, Status: model.Running}}
 		return n.replyToHeartbeat(r)
 	}
 	last := at.Add(n.settings.RenewalBound().Window())
@@ -212,7 +214,9 @@
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
 	n.shardLeader.ready = false
-	task := func(job string) TaskReport { return TaskReport{Job: job, Index: 0, Attempt: 1, Status: Running} }
+	task := func(job string) model.TaskReport {
+		return model.TaskReport{Job: job, Index: 0, Attempt: 1, Status: model.Running}
+	}
 	at := n.now.Add(-10 * time.Second)
 	delete(n.shardLeader.jobs, j.ID)
 	n.setCancelled(j, at)
@@ -220,7 +224,7 @@
 	if last := at.Add(n.settings.RenewalBound().Window()); a.Status != 200 || !a.SendDeadline.Equal(last) {
 		t.Errorf("answered %d until %v, want until %v", a.Status, a.SendDeadline, last)
 	}
-	if len(a.Commands) != 1 || a.Commands[0] != (TaskCommand{Kind: StopTask, Job: j.ID, Attempt: 1}) {
+	if len(a.Commands) != 1 || a.Commands[0] != (model.TaskCommand{Kind: model.StopTask, Job: j.ID, Attempt: 1}) {
 		t.Errorf("ordered %v", a.Commands)
 	}
 	n.now = n.now.Add(n.settings.RenewalBound().Window())
@@ -274,12 +278,12 @@
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
 	j.CheckpointInterval, j.CheckpointCost, j.LongRunning = 30*time.Second, 4*time.Second, true
-	task := TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: Running}
+	task := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
 	j.tasks[0].stopReason = stopDrain
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StopTask || os[0].GracePeriod < j.CheckpointCost {
+	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask || os[0].GracePeriod < j.CheckpointCost {
 		t.Errorf("ordered %+v, want a halt with time to save", os)
 	}
-	task.Status = Checkpointing
+	task.Status = model.Checkpointing
 	n.nextHeartbeat(0, task)
 	if os := n.reconcile(m); len(os) > 0 {
 		t.Errorf("ordered %+v while it saves", os)
@@ -288,7 +292,7 @@
 	m.reclaimNoticed, m.reclaimAt = true, n.now.Add(time.Minute)
 	n.drainReclaimed(m)
 	n.relaunch()
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StopTask || os[0].GracePeriod != 0 {
+	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask || os[0].GracePeriod != 0 {
 		t.Errorf("ordered %+v for a cancelled task that saves", os)
 	}
 }
@@ -302,7 +306,7 @@
 	countStops := func() (k int) {
 		n.dispatchAll()
 		for _, op := range emittedEffects[WorkerRequest](n) {
-			if op.Machine == m.id && len(op.Commands) > 0 && op.Commands[0].Kind == StopTask {
+			if op.Machine == m.id && len(op.Commands) > 0 && op.Commands[0].Kind == model.StopTask {
 				k++
 			}
 		}
@@ -335,17 +339,17 @@
 	n := largePool(machines)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	n.shardLeader.jobs = map[string]*job{}
-	j := n.addJob(JobSpec{ID: "job-000900", Team: "ops", Tasks: machines * each}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: "job-000900", Team: "ops", Tasks: machines * each}, n.now, 1)
 	j.nextFresh = j.Tasks
 	for i := range j.tasks {
 		j.tasks[i].attempt, j.tasks[i].startSent = 1, true
 	}
-	all := map[*machine][]TaskReport{}
+	all := map[*machine][]model.TaskReport{}
 	for k, m := range n.shardLeader.machinesByID {
 		m.attempts = map[taskKey]*task{}
 		for i := range each {
 			n.attachAttempt(j, k*each+i, m)
-			all[m] = append(all[m], TaskReport{Job: j.ID, Index: k*each + i, Attempt: 1, Status: Running})
+			all[m] = append(all[m], model.TaskReport{Job: j.ID, Index: k*each + i, Attempt: 1, Status: model.Running})
 		}
 		n.heartbeatOf(m, all[m]...)
 	}
@@ -410,7 +414,7 @@
 	}
 	n.frontend.watchCache.revision = j.modRevision
 	receive(rec, j.modRevision+1)
-	if a := n.heartbeatOf(m, TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: Running}); len(a.Commands) != 1 || a.Commands[0].Kind != StopTask {
+	if a := n.heartbeatOf(m, model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}); len(a.Commands) != 1 || a.Commands[0].Kind != model.StopTask {
 		t.Errorf("ordered %v, want a halt", a.Commands)
 	}
 	if n.frontend.watchCache.asOf != horizon {
--- a/internal/controller/safety_test.go
+++ b/internal/controller/safety_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sharding"
 	"github.com/micahill/micahill/internal/simulation"
 	"github.com/micahill/micahill/internal/sizelimit"
@@ -35,7 +36,7 @@
 	// ignoredReplies are reports whose answers nobody wants to read.
 	ignoredReplies map[uint64]*scriptedWorker
 	// heartbeatCopies are reports by the names that a scenario gave them.
-	heartbeatCopies map[string]controller.Heartbeat
+	heartbeatCopies map[string]model.Heartbeat
 	output          []string
 	shown           map[string]bool
 }
@@ -101,7 +102,7 @@
 func newHarness(t *testing.T) *harness {
 	return &harness{
 		t: t, now: time.Unix(1_750_000_000, 0), store: simulation.NewStateService(),
-		controllers: map[string]*harnessController{}, vms: map[string]*scriptedWorker{}, maxMachines: 2, bookings: map[string]bool{}, ignoredReplies: map[uint64]*scriptedWorker{}, heartbeatCopies: map[string]controller.Heartbeat{}, shown: map[string]bool{},
+		controllers: map[string]*harnessController{}, vms: map[string]*scriptedWorker{}, maxMachines: 2, bookings: map[string]bool{}, ignoredReplies: map[uint64]*scriptedWorker{}, heartbeatCopies: map[string]model.Heartbeat{}, shown: map[string]bool{},
 	}
 }
 
@@ -120,7 +121,7 @@
 		Host: name, Incarnation: fmt.Sprintf("%s.%d", name, n.incarnation), Zones: []string{"z1", "z2"},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second, CancellationBound: 54 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30,
 		CloudListLag: 4 * time.Second, CloudRequestsPerSecond: 4, Policy: controller.DefaultPolicy(),
-		Teams: []controller.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: controller.Resources{CPU: 8}}},
+		Teams: []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 8}}},
 	}
 	for _, h := range harnessHosts {
 		if h != name {
@@ -251,7 +252,7 @@
 	}
 }
 
-func formatCommands(commands []controller.TaskCommand) string {
+func formatCommands(commands []model.TaskCommand) string {
 	var out []string
 	for _, o := range commands {
 		out = append(out, fmt.Sprintf(" %s %s/%d#%d", o.Kind, o.Job, o.Index, o.Attempt))
@@ -337,7 +338,7 @@
 	d := controller.CloudResponse{ID: op.ID}
 	switch op.Kind {
 	case controller.CloudListTypes:
-		d.MachineTypes = []controller.MachineType{{Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
+		d.MachineTypes = []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
 	case controller.CloudRent:
 		if b.bookings[op.IdempotencyKey] {
 			b.output = append(b.output, "booking used again: "+op.IdempotencyKey)
@@ -358,7 +359,7 @@
 				status = "failed"
 			}
 			if !vm.released && !vm.unlisted {
-				d.Machines = append(d.Machines, controller.CloudMachine{ID: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Status: status, Age: time.Minute})
+				d.Machines = append(d.Machines, model.CloudMachine{ID: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Status: status, Age: time.Minute})
 			}
 		}
 	case controller.CloudRelease:
@@ -398,10 +399,10 @@
 }
 
 // worker makes a report of vm as the scenario says: tasks=(job/0#1=running,...).
-func (b *harness) heartbeat(d *datadriven.TestData, vm *scriptedWorker) controller.Heartbeat {
+func (b *harness) heartbeat(d *datadriven.TestData, vm *scriptedWorker) model.Heartbeat {
 	uintArg(b.t, d, "tenure", &vm.incarnation)
 	vm.sequence++
-	r := controller.Heartbeat{Machine: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Incarnation: vm.incarnation, Sequence: vm.sequence, Epoch: vm.epoch, ReclaimIn: -1}
+	r := model.Heartbeat{Machine: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Incarnation: vm.incarnation, Sequence: vm.sequence, Epoch: vm.epoch, ReclaimIn: -1}
 	uintArg(b.t, d, "tick", &r.Sequence)
 	vm.sequence = max(vm.sequence, r.Sequence)
 	if d.HasArg("newer") {
@@ -414,7 +415,7 @@
 		}
 		for _, v := range a.Vals {
 			name, status, ok := strings.Cut(v, "=")
-			task := controller.TaskReport{}
+			task := model.TaskReport{}
 			last := 0
 			if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "-", " ", "#", " ").Replace(name), "%s %d %d %d", &task.Job, &task.Index, &last, &task.Attempt); err != nil || !ok {
 				if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "#", " ").Replace(name), "%s %d %d", &task.Job, &task.Index, &task.Attempt); err != nil || !ok {
@@ -424,13 +425,13 @@
 			}
 			switch status {
 			case "fetching":
-				task.Status = controller.Fetching
+				task.Status = model.Fetching
 			case "running":
-				task.Status = controller.Running
+				task.Status = model.Running
 			case "flushing":
-				task.Status = controller.Checkpointing
+				task.Status = model.Checkpointing
 			default:
-				task.Status, task.Cause = controller.Ended, status
+				task.Status, task.Cause = model.Ended, status
 			}
 			for ; task.Index <= last; task.Index++ {
 				r.Tasks = append(r.Tasks, task)
@@ -503,8 +504,8 @@
 		b.maxMachines = int(number("machines", 2))
 		b.unlisted = d.HasArg("unlisted")
 	case "submit":
-		s := controller.JobSpec{ID: first(), Workload: "w", Team: "ops", Urgency: controller.Normal, Tasks: int(number("tasks", 1)),
-			Need: controller.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: controller.Seconds(number("expected", 20)),
+		s := model.JobSpec{ID: first(), Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: int(number("tasks", 1)),
+			Need: model.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: controller.Seconds(number("expected", 20)),
 			SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart")}
 		for _, a := range d.CmdArgs {
 			if a.Key == "prereqs" {
@@ -522,7 +523,7 @@
 		id := d.CmdArgs[1].Key
 		op := controller.LoanCommand{
 			Kind: controller.LoanCommandKind(slices.Index(kinds, first())), Job: id, LendCount: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
-			Spec: controller.JobSpec{ID: id, Team: "ops", Urgency: controller.Normal, Tasks: 1, Need: controller.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
+			Spec: model.JobSpec{ID: id, Team: "ops", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
 		}
 		b.pushRequest(n, first()+" "+id, func(r uint64) controller.Command { op.Reply = r; return op })
 		b.run(controller.Seconds(number("for", 0.5)))
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // scaling.go says which machines are worth renting, which are spare and which dear
@@ -22,7 +24,7 @@
 	cheapest := n.cheapestCPUCost()
 	idle := false
 	for _, m := range o.machinesByID {
-		if m.isEmpty() && (m.reservedForMigration == (Resources{}) || m.evacuatingForOther) && m.heard && n.usable(m) && (n.hasOtherShardLeaders() && n.now.Sub(m.idleSince) > surplusAfter || n.isIdleExpired(m, cheapest)) {
+		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && n.usable(m) && (n.hasOtherShardLeaders() && n.now.Sub(m.idleSince) > surplusAfter || n.isIdleExpired(m, cheapest)) {
 			surplus[m.id] = true
 			idle = true
 		}
@@ -75,7 +77,7 @@
 	}
 	var candidates []*machine
 	for _, m := range n.shardLeader.machinesByID {
-		if surplus[m.id] && (m.reservedForMigration == (Resources{}) || m.evacuatingForOther) && !m.releasing && !m.reclaimNoticed && !m.faulty && n.now.Sub(m.idleSince) > surplusAfter {
+		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && !m.releasing && !m.reclaimNoticed && !m.faulty && n.now.Sub(m.idleSince) > surplusAfter {
 			candidates = append(candidates, m)
 		}
 	}
@@ -89,7 +91,7 @@
 
 // isIdleExpired says that a machine has had no task for as long as one of its price is kept.
 func (n *Controller) isIdleExpired(m *machine, cheapest float64) bool {
-	return m.heard && m.isEmpty() && m.reservedForMigration == (Resources{}) && n.now.Sub(m.idleSince) > n.idleRetention(m, cheapest)
+	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && n.now.Sub(m.idleSince) > n.idleRetention(m, cheapest)
 }
 
 // expensiveFactor is how many times the cheapest price a machine must cost to be retired
@@ -299,7 +301,7 @@
 
 // neededElsewhere says that another workload waits which fits the flavour and
 // fewer flavours than this one.
-func (n *Controller) neededElsewhere(s *JobSpec, flavour string) bool {
+func (n *Controller) neededElsewhere(s *model.JobSpec, flavour string) bool {
 	mine := len(n.fittingMachineTypes(s))
 	for name := range n.shardLeader.startDeadlines {
 		w := n.shardLeader.workloads[name]
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/faultattribution"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
@@ -62,7 +63,7 @@
 	// contacts counts the questions under way.
 	inheritedMachines []*machine
 	contactsInFlight  int
-	usedByTeam        map[string]Resources
+	usedByTeam        map[string]model.Resources
 	// faultAttribution tells faulty machines from jobs that fail everywhere.
 	faultAttribution faultattribution.Tracker
 	// txnsInFlight counts the writes under way, and ahead their changes.
@@ -141,15 +142,15 @@
 }
 
 type workload struct {
-	spec     *JobSpec
+	spec     *model.JobSpec
 	lastSeen time.Time
 }
 
 type arrival struct {
 	arrivedAt time.Time
 	tasks     int
-	need      Resources
-	spec      *JobSpec
+	need      model.Resources
+	spec      *model.JobSpec
 }
 
 // grace is H: how long an owner goes on answering its workers after its grant
@@ -192,7 +193,7 @@
 	if j != nil && it.ModRevision <= j.modRevision {
 		return
 	}
-	if _, ended := n.frontend.finalStatuses[id]; ended && j == nil && n.frontend.finalStatuses[id] == Done {
+	if _, ended := n.frontend.finalStatuses[id]; ended && j == nil && n.frontend.finalStatuses[id] == model.Done {
 		return
 	}
 	var r openJobRecord
@@ -231,7 +232,7 @@
 }
 
 // addJob takes a job into the owner's books.
-func (n *Controller) addJob(spec JobSpec, at time.Time, stamp uint64) *job {
+func (n *Controller) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
 	o := n.shardLeader
 	j := newJob(spec, at, stamp, n.settings.currentMaxValueBytes())
 	j.segmentFormat = n.segmentFormat()
@@ -257,7 +258,7 @@
 	}
 	if r.Cancelled && !j.cancelled {
 		j.cancelled = true
-		n.cacheFinalStatus(id, Cancelled)
+		n.cacheFinalStatus(id, model.Cancelled)
 		for i := range j.tasks[:j.nextFresh] {
 			if t := &j.tasks[i]; t.machine != nil {
 				t.stopReason = stopCancel
@@ -294,7 +295,7 @@
 	j.liveByZone[m.zone]--
 	if len(m.attempts) == 0 {
 		m.idleSince = n.now
-		m.used = Resources{}
+		m.used = model.Resources{}
 		if m.remote {
 			o.dropRemoteMachine(m)
 		}
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -36,7 +37,7 @@
 // twoControllers is an owner with one machine of its own, and another controller's share.
 func twoControllers(t *testing.T) *Controller {
 	n := largePool(1)
-	n.settings.Teams = append(n.settings.Teams, Team{Name: "lab"})
+	n.settings.Teams = append(n.settings.Teams, model.Team{Name: "lab"})
 	n.putShard(t, "b", "b", 2, false, "lab")
 	n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
 	return n
@@ -80,7 +81,7 @@
 func TestTakenOverMachineWithTasks(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 3, "vm-000077")
-	j := n.addJob(JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.attachAttempt(j, 0, n.ownedOrRemoteMachine("vm-000077"))
 	if len(n.shardLeader.remoteMachines) != 1 || n.shardLeader.machines["vm-000077"] != nil {
@@ -127,11 +128,11 @@
 func TestRemoteAttemptsAreLeftAlone(t *testing.T) {
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
-	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 2, Need: Resources{CPU: 1, Memory: 2}}
+	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 2, Need: model.Resources{CPU: 1, Memory: 2}}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, newOpenJobRecord(&spec, n.now)}
 	r := n.poolHeartbeat(0)
 	r.Sequence = 2
-	r.Tasks = []TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: Running}}
+	r.Tasks = []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Running}}
 	n.applyHeartbeat(m, r, true)
 	n.frontend.watchCache.asOf = n.now.Add(time.Minute)
 	n.now = n.now.Add(time.Minute)
@@ -145,13 +146,13 @@
 	rec := newOpenJobRecord(&spec, n.now)
 	rec.Cancelled = true
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StopTask {
+	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
 		t.Errorf("ordered %v for a cancelled job, want a stop", os)
 	}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, newOpenJobRecord(&spec, n.now)}
 	// Asked to stop it, it does.
 	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != StopTask {
+	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
 		t.Errorf("ordered %v, want a stop", os)
 	}
 }
@@ -161,11 +162,11 @@
 func TestCancelledWhileCheckpointing(t *testing.T) {
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
-	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: Resources{CPU: 1, Memory: 2}}
+	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 2}}
 	rec := newOpenJobRecord(&spec, n.now)
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, rec}
 	r := n.poolHeartbeat(0)
-	r.Sequence, r.Tasks = 2, []TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: Checkpointing}}
+	r.Sequence, r.Tasks = 2, []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Checkpointing}}
 	n.applyHeartbeat(m, r, true)
 	a := remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
 	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
@@ -174,7 +175,7 @@
 	}
 	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
-	want := TaskCommand{Kind: StopTask, Job: spec.ID, Attempt: 1}
+	want := model.TaskCommand{Kind: model.StopTask, Job: spec.ID, Attempt: 1}
 	if os := n.reconcile(m); len(os) != 1 || os[0] != want {
 		t.Errorf("ordered %+v for a cancelled job that saves, want %+v", os, want)
 	}
@@ -202,7 +203,7 @@
 	n.shardLeader.teams["lab"] = &heldTeam{ready: true}
 	n.syncShardLeader()
 	m := n.shardLeader.machinesByID[0]
-	spec := JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: Resources{CPU: 3, Memory: 2}, ExpectedRunTime: time.Minute}
+	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 3, Memory: 2}, ExpectedRunTime: time.Minute}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, newOpenJobRecord(&spec, n.now)}
 	j := n.addJob(spec, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
@@ -250,7 +251,7 @@
 func TestRemoteStateNeedsCurrentEpoch(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 5, "vm-000077")
-	j := n.addJob(JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.attachAttempt(j, 0, n.ownedOrRemoteMachine("vm-000077"))
 	publish := func(from string, epoch uint64) {
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -68,7 +69,7 @@
 		n.shardLeader = &shardLeader{
 			since: n.now, generation: int(n.nextID()),
 			teams: map[string]*heldTeam{}, shards: map[string]bool{},
-			jobs: map[string]*job{}, machines: map[string]*machine{}, remoteMachines: map[string]*machine{}, usedByTeam: map[string]Resources{},
+			jobs: map[string]*job{}, machines: map[string]*machine{}, remoteMachines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
 			higherEpochSeen: map[string]time.Time{}, arrivals: map[workloadKey][]arrival{}, workloads: map[string]*workload{}, prewarmedImages: map[string]map[string]float64{},
 		}
 		n.info("owner", "shares", shardNames(heldShards))
@@ -434,7 +435,7 @@
 		if !slices.Contains(teams, l.rec.Team) && !(firstLoad && l.rec.Cancelled && l.rec.Team == "") || o.jobs[id] != nil {
 			continue
 		}
-		if n.frontend.finalStatuses[id] == Done {
+		if n.frontend.finalStatuses[id] == model.Done {
 			continue
 		}
 		if bad := l.rec.Validate(); bad != "" {
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/packing"
 )
 
@@ -167,7 +168,7 @@
 }
 
 // newMachineFetchTime is how long a new machine takes to fetch the image.
-func newMachineFetchTime(f *MachineType, j *job) time.Duration {
+func newMachineFetchTime(f *model.MachineType, j *job) time.Duration {
 	if f.ImageFetchRate <= 0 {
 		return 0
 	}
@@ -262,22 +263,22 @@
 	// one that is already on its way.
 	secondsPerGB, fetchingSecondsPerGB float64
 	at                                 time.Duration
-	free                               Resources
+	free                               model.Resources
 	releases                           []release
 	// packingKind is what is usual on machines of its kind, if they have GPUs, and rest the room
 	// for work without.
 	packingKind *packing.Profile
-	nonGPUFree  Resources
+	nonGPUFree  model.Resources
 }
 
 type release struct {
 	at   time.Duration
-	need Resources
+	need model.Resources
 }
 
 // earliestStart is when a task fits. A gang's tasks need their room all at once, so
 // room that is left one after another is none to them.
-func (v *simulatedMachine) earliestStart(need Resources, gang, avoidGPUs bool) (time.Duration, bool) {
+func (v *simulatedMachine) earliestStart(need model.Resources, gang, avoidGPUs bool) (time.Duration, bool) {
 	free := v.free
 	if need.Fits(v.freeFor(free, avoidGPUs)) {
 		return v.at, true
@@ -297,7 +298,7 @@
 
 // placeTasks lets up to count tasks start at the time that earliest gave, or later, and
 // says how many found room.
-func (v *simulatedMachine) placeTasks(need Resources, at, run time.Duration, count int, avoidGPUs bool) int {
+func (v *simulatedMachine) placeTasks(need model.Resources, at, run time.Duration, count int, avoidGPUs bool) int {
 	for len(v.releases) > 0 && !need.Fits(v.freeFor(v.free, avoidGPUs)) {
 		v.free = v.free.AddScaled(v.releases[0].need, 1)
 		v.at = max(v.at, v.releases[0].at)
@@ -309,7 +310,7 @@
 		v.nonGPUFree = v.nonGPUFree.AddScaled(need, -float64(k))
 	}
 	v.free = v.free.AddScaled(need, -float64(k))
-	end := release{at + run, Resources{}.AddScaled(need, float64(k))}
+	end := release{at + run, model.Resources{}.AddScaled(need, float64(k))}
 	i, _ := slices.BinarySearchFunc(v.releases, end, func(a, b release) int { return cmp.Compare(a.at, b.at) })
 	v.releases = slices.Insert(v.releases, i, end)
 	return k
@@ -419,18 +420,18 @@
 // cautious, it follows at once when arrivals end.
 func (n *Controller) demands(horizon time.Duration, bursts, cautious bool) []demand {
 	o := n.shardLeader
-	over := map[string]Resources{}
+	over := map[string]model.Resources{}
 	var out []demand
 	for _, j := range n.jobsInQueueOrder() {
 		count := max(0, n.placeableTasks(j)-reservedTasks(n, j))
 		if t := n.team(j.Team); t != nil {
 			u := o.usedByTeam[j.Team].AddScaled(over[j.Team], 1)
-			left := Resources{CPU: t.QuotaLimit.CPU - u.CPU, GPU: t.QuotaLimit.GPU - u.GPU}
+			left := model.Resources{CPU: t.QuotaLimit.CPU - u.CPU, GPU: t.QuotaLimit.GPU - u.GPU}
 			if t.QuotaLimit.CPU > 0 {
-				count = min(count, Resources{CPU: left.CPU}.FitCount(Resources{CPU: j.Need.CPU}))
+				count = min(count, model.Resources{CPU: left.CPU}.FitCount(model.Resources{CPU: j.Need.CPU}))
 			}
 			if t.QuotaLimit.GPU > 0 {
-				count = min(count, Resources{GPU: left.GPU}.FitCount(Resources{GPU: j.Need.GPU}))
+				count = min(count, model.Resources{GPU: left.GPU}.FitCount(model.Resources{GPU: j.Need.GPU}))
 			}
 			over[j.Team] = over[j.Team].AddScaled(j.Need, float64(count))
 		}
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -53,7 +54,7 @@
 	n.membership.leaseID = 1
 	n.shardLeader.jobs = map[string]*job{}
 	for _, id := range []string{"job-1", "job-2"} {
-		j := n.addJob(JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+		j := n.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 		i := j.takePending(n.now)
 		j.tasks[i].attempt = 1
 		n.attachAttempt(j, i, n.shardLeader.machinesByID[0])
@@ -94,7 +95,7 @@
 	for _, value := range []int{1 << 10, 4 << 10, 16 << 10} {
 		n := largePool(0)
 		n.settings.MaxValueBytes = value
-		j := newJob(JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: Resources{CPU: 1, Memory: 1}}, n.now, 1, value)
+		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: model.Resources{CPU: 1, Memory: 1}}, n.now, 1, value)
 		n.shardLeader.jobs[j.ID] = j
 		for i := range j.tasksPerSegment {
 			m := n.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
@@ -136,9 +137,9 @@
 	r := n.poolHeartbeat(0)
 	r.Sequence = 9
 	for i := range 1200 {
-		r.Tasks = append(r.Tasks, TaskReport{Job: "job-000001", Index: i, Attempt: 1, Status: Ended, Cause: "done"})
+		r.Tasks = append(r.Tasks, model.TaskReport{Job: "job-000001", Index: i, Attempt: 1, Status: model.Ended, Cause: "done"})
 	}
-	n.frontend.finalStatuses["job-000001"] = Done
+	n.frontend.finalStatuses["job-000001"] = model.Done
 	n.applyHeartbeat(m, r, true)
 	commands := n.reconcile(m)
 	type wire struct {
--- a/internal/controller/stale_heartbeat.go
+++ b/internal/controller/stale_heartbeat.go
@@ -1,6 +1,10 @@
 package controller
 
-import "time"
+import (
+	"time"
+
+	"github.com/micahill/micahill/internal/model"
+)
 
 // stale_heartbeat.go tells copies of reports from news where the books of their machine can't: the
 // machine has been dropped since and is taken up under the epoch that it had, or its
@@ -20,7 +24,7 @@
 
 // supersedes says that a report was sent no later than the last word. One that shows a higher
 // epoch was sent later, also by a worker that has begun anew.
-func (w lastHeartbeat) supersedes(r *Heartbeat) bool {
+func (w lastHeartbeat) supersedes(r *model.Heartbeat) bool {
 	return r.Epoch < w.epoch || r.Epoch == w.epoch && (r.Incarnation < w.incarnation || r.Incarnation == w.incarnation && r.Sequence <= w.sequence)
 }
 
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -6,6 +6,8 @@
 	"runtime"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // predecessorRecords is what a successor finds in the state service: some machines, each
@@ -13,9 +15,9 @@
 func predecessorRecords(machines int) (open, tasks []KeyValue) {
 	const each, size = 3, 60
 	for k := 0; k*size < machines*each; k++ {
-		spec := JobSpec{
-			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: Normal, Tasks: size, AllowSpot: true,
-			Need: Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
+		spec := model.JobSpec{
+			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: model.Normal, Tasks: size, AllowSpot: true,
+			Need: model.Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
 		open = append(open, KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
 		perSegment := maxTasksPerSegment(4096)
@@ -88,7 +90,7 @@
 func firstHeartbeat(n *Controller, i int) {
 	r := n.poolHeartbeat(i)
 	for k, t := range n.ensureMachine(r.Machine).attempts {
-		r.Tasks = append(r.Tasks, TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: Running})
+		r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
 	}
 	n.effects = n.effects[:0]
 	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
@@ -112,7 +114,7 @@
 				id := fmt.Sprintf("job-x%06d", k)
 				n.Step(now, []Command{
 					QueryJob{Reply: 1, ID: id},
-					SubmitJob{Reply: 2, Spec: JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}}},
+					SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
 				})
 				clear(n.storeCallbacks)
 				n.frontend.submitQueue, n.frontend.inFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -4,18 +4,20 @@
 	"fmt"
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/model"
 )
 
 // addJobOn gives a new job one task, ordered to start on a machine.
 func (n *Controller) addJobOn(id string, m *machine) *job {
-	j := n.addJob(JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.attachAttempt(j, 0, m)
 	return j
 }
 
 // nextHeartbeat is the next report of machine i, as if it had started nothing.
-func (n *Controller) nextHeartbeat(i int, tasks ...TaskReport) {
+func (n *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
 	m := n.shardLeader.machinesByID[i]
 	r := n.poolHeartbeat(i)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, tasks
@@ -29,7 +31,7 @@
 	n := largePool(12)
 	n.shardLeader.jobs = map[string]*job{}
 	for _, m := range n.shardLeader.machinesByID {
-		m.attempts, m.used = map[taskKey]*task{}, Resources{}
+		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
 	m := n.shardLeader.machinesByID[0]
 	j := n.addJobOn("job-000900", m)
@@ -74,18 +76,18 @@
 	n := largePool(1)
 	n.shardLeader.jobs = map[string]*job{}
 	m := n.shardLeader.machinesByID[0]
-	m.attempts, m.used = map[taskKey]*task{}, Resources{}
+	m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
 	j := n.addJobOn("job-000900", m)
 	j.segmentOf(0).persistedVersion = 1
-	var ended []TaskReport
+	var ended []model.TaskReport
 	for i := range 3 * maxCommands {
-		ended = append(ended, TaskReport{Job: "job-000901", Index: i, Attempt: 1, Status: Ended, Cause: "done"})
+		ended = append(ended, model.TaskReport{Job: "job-000901", Index: i, Attempt: 1, Status: model.Ended, Cause: "done"})
 	}
-	n.cacheFinalStatus("job-000901", Done)
+	n.cacheFinalStatus("job-000901", model.Done)
 	n.nextHeartbeat(0, ended...)
 	commands := n.reconcile(m)
-	if len(commands) != maxCommands || commands[0].Kind != StartTask {
+	if len(commands) != maxCommands || commands[0].Kind != model.StartTask {
 		t.Errorf("%d orders, the first %v", len(commands), commands[0])
 	}
 	if m.dispatchPending {
@@ -99,16 +101,16 @@
 	n := largePool(12)
 	n.shardLeader.jobs = map[string]*job{}
 	for _, m := range n.shardLeader.machinesByID {
-		m.attempts, m.used = map[taskKey]*task{}, Resources{}
+		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
-	j := n.addJob(JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	n.placeAll()
 	if j.liveTasks < 3 {
 		t.Fatal("nothing is placed")
 	}
 	for i, m := range n.shardLeader.machinesByID {
 		for _, k := range sortedAttempts(m) {
-			n.nextHeartbeat(i, TaskReport{Job: k.job, Index: k.index, Attempt: j.tasks[k.index].attempt, Status: Ended, Cause: "error"})
+			n.nextHeartbeat(i, model.TaskReport{Job: k.job, Index: k.index, Attempt: j.tasks[k.index].attempt, Status: model.Ended, Cause: "error"})
 		}
 	}
 	for _, m := range n.shardLeader.machinesByID {
--- a/internal/controller/validate.go
+++ b/internal/controller/validate.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
@@ -12,23 +13,6 @@
 // and records, which may be damaged or written by mistake. What makes no sense is not
 // taken, and told of; nothing ends for it.
 
-// Validate is what is wrong with a report, "" for nothing.
-func (r *Heartbeat) Validate() string {
-	var c validate.Check
-	c.Name("host", r.Machine, true)
-	c.Name("address", r.Addr, false)
-	c.Name("flavour", r.MachineType, false)
-	c.Name("site", r.Zone, false)
-	if r.ReclaimIn >= 0 {
-		c.Amount("recall_s", r.ReclaimIn.Seconds())
-	}
-	for i := range r.Tasks {
-		c.Name("piece", r.Tasks[i].Job, true)
-		c.Count("piece", r.Tasks[i].Index, 0, validate.MaxTasks-1)
-	}
-	return c.Problem()
-}
-
 // Validate is what is wrong with news, "" for nothing.
 func (u *PeerUpdate) Validate() string {
 	var check validate.Check
@@ -94,7 +78,7 @@
 			check.Amount(field+".cpu", h.Need.CPU)
 			check.Amount(field+".gpu", h.Need.GPU)
 			check.Amount(field+".memory", h.Need.Memory)
-			check.Count(field+".urgency", int(h.Urgency), int(BestEffort), int(Critical))
+			check.Count(field+".urgency", int(h.Urgency), int(model.BestEffort), int(model.Critical))
 		}
 	}
 	checkNeeds("needs", u.HostNeeds)
@@ -127,7 +111,7 @@
 	}{{"c", r.CPU}, {"g", r.GPU}, {"m", r.Memory}, {"ig", r.ImageGB}, {"e", r.ExpectedSeconds}, {"se", r.CheckpointIntervalSeconds}, {"sc", r.CheckpointCostSeconds}, {"d", r.DeadlineSeconds}} {
 		c.Amount(f.name, f.is)
 	}
-	c.Count("u", r.Urgency, int(BestEffort), int(Critical))
+	c.Count("u", r.Urgency, int(model.BestEffort), int(model.Critical))
 	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
 		return "pr is no list of names"
 	}
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/promise"
 )
@@ -254,9 +255,9 @@
 
 // lookupOfOpenJob tells of an open job by its own record.
 func (n *Controller) lookupOfOpenJob(id string, l *openJob, fn func(jobLookup)) {
-	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: jobStatusRecord{Status: Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
+	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: jobStatusRecord{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
 	if l.rec.Cancelled {
-		f.rec.Status = Cancelled
+		f.rec.Status = model.Cancelled
 	}
 	fn(f)
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -21,6 +21,7 @@
 	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/listen"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/simulation"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -141,8 +142,8 @@
 			return err
 		}
 	}
-	types := []controller.MachineType{{
-		Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
+	types := []model.MachineType{{
+		Name: "box", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 2, CostPerHour: 0.2, SpotCostPerHour: 0.07,
 		ProvisioningTime: 2 * time.Second, Zones: []string{"a"},
 	}}
 	deployment := f.options.Deployment
@@ -194,7 +195,7 @@
 }
 
 // describeJob tells workers of a job, also under a name by which it was lent.
-func (f *Fleet) describeJob(id string) (controller.JobSpec, time.Duration, bool) {
+func (f *Fleet) describeJob(id string) (model.JobSpec, time.Duration, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	original := id
@@ -202,7 +203,7 @@
 		original = OriginalID(id)
 	}
 	j, ok := f.jobs[original]
-	return controller.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: controller.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.RunTime, ok
+	return model.JobSpec{ID: id, Team: j.Team, Tasks: j.Tasks, Need: model.Resources{CPU: j.CPUs, Memory: j.CPUs}, Image: "img", ImageGB: 0.2, AllowSpot: true, LongRunning: j.Standing}, j.RunTime, ok
 }
 
 // OriginalID is the name that a lent job has at home.
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/link"
 )
@@ -558,9 +559,9 @@
 		}
 		y := overflow.BorrowedLoan{Loan: l, Spec: x.Spec, Ending: x.Ending, Started: x.Started, DoneTasks: x.DoneTasks, RunningTasks: x.RunningTasks, Cause: overflow.Cause(x.Cause)}
 		switch {
-		case x.StatusKnown && x.Status == controller.Done:
+		case x.StatusKnown && x.Status == model.Done:
 			y.State = overflow.Finished
-		case x.StatusKnown && x.Status == controller.Cancelled:
+		case x.StatusKnown && x.Status == model.Cancelled:
 			y.State = overflow.Gone
 		}
 		view.Borrowed = append(view.Borrowed, y)
--- a/internal/overflow/link/golden_test.go
+++ b/internal/overflow/link/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/testgolden"
 	"google.golang.org/protobuf/proto"
@@ -17,7 +17,7 @@
 
 var goldenReport = overflow.Heartbeat{
 	From: "west", Epoch: 411, Sequence: 88, HomeEpoch: 412, Draining: true, LendsItself: true, StopBound: 82_125 * time.Millisecond, CachedImages: []string{"img-07", "img-08"},
-	FreeCapacity: []overflow.FreeCapacity{{MachineType: "g8", Zone: "a", Spot: true, PerMachine: controller.Resources{CPU: 96.5, GPU: 8.25, Memory: 700.75}, Machines: 3, AvailableIn: 9_250 * time.Millisecond, CostPerCPUHour: 0.2, FetchRate: 0.5}},
+	FreeCapacity: []overflow.FreeCapacity{{MachineType: "g8", Zone: "a", Spot: true, PerMachine: model.Resources{CPU: 96.5, GPU: 8.25, Memory: 700.75}, Machines: 3, AvailableIn: 9_250 * time.Millisecond, CostPerCPUHour: 0.2, FetchRate: 0.5}},
 	Loans: []overflow.LoanReport{
 		{Loan: goldenLoan("job-000412", 2), State: overflow.Gone, Cause: overflow.GivenBack, DoneTasks: 5, RunningTasks: 6},
 		{Loan: goldenLoan("job-000413", 300), State: overflow.Finished, Cause: overflow.Stopped, DoneTasks: 7},
@@ -29,8 +29,8 @@
 }
 
 var goldenAnswer = overflow.HeartbeatReply{Epoch: 413, Lease: 15_500 * time.Millisecond, Commands: []overflow.Command{
-	{Kind: overflow.Take, Loan: goldenLoan("job-000418", 8), Age: 3_125 * time.Millisecond, Spec: controller.JobSpec{
-		Workload: "train", Urgency: controller.Urgent, Tasks: 16, Need: controller.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75}, Image: "img-07", ImageGB: 6.2, AllowSpot: true,
+	{Kind: overflow.Take, Loan: goldenLoan("job-000418", 8), Age: 3_125 * time.Millisecond, Spec: model.JobSpec{
+		Workload: "train", Urgency: model.Urgent, Tasks: 16, Need: model.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75}, Image: "img-07", ImageGB: 6.2, AllowSpot: true,
 		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
 	}},
 	{Kind: overflow.Keep, Loan: goldenLoan("job-000419", 9)},
--- a/internal/overflow/link/link_test.go
+++ b/internal/overflow/link/link_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/certs"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/overflow"
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
@@ -59,13 +59,13 @@
 
 var sampleHeartbeat = overflow.Heartbeat{
 	From: "west", Epoch: 3, Sequence: 9, HomeEpoch: 7, Draining: true, LendsItself: true, StopBound: 82 * time.Second, CachedImages: []string{"img"},
-	FreeCapacity: []overflow.FreeCapacity{{MachineType: "box", Zone: "a", Spot: true, PerMachine: controller.Resources{CPU: 4, GPU: 1, Memory: 16}, Machines: 3, AvailableIn: time.Second, CostPerCPUHour: 0.2, FetchRate: 0.5}},
+	FreeCapacity: []overflow.FreeCapacity{{MachineType: "box", Zone: "a", Spot: true, PerMachine: model.Resources{CPU: 4, GPU: 1, Memory: 16}, Machines: 3, AvailableIn: time.Second, CostPerCPUHour: 0.2, FetchRate: 0.5}},
 	Loans:        []overflow.LoanReport{{Loan: overflow.Loan{Home: "east", Job: "job-1", LendCount: 2}, State: overflow.Gone, Cause: overflow.GivenBack, DoneTasks: 1, RunningTasks: 2}},
 }
 
 var sampleReply = overflow.HeartbeatReply{Epoch: 7, Lease: 15 * time.Second, Commands: []overflow.Command{
-	{Kind: overflow.Take, Loan: overflow.Loan{Home: "east", Job: "job-2", LendCount: 1}, Age: 3 * time.Second, Spec: controller.JobSpec{
-		Workload: "w", Urgency: controller.Urgent, Tasks: 3, Need: controller.Resources{CPU: 2, Memory: 4}, Image: "img", ImageGB: 1.5, AllowSpot: true,
+	{Kind: overflow.Take, Loan: overflow.Loan{Home: "east", Job: "job-2", LendCount: 1}, Age: 3 * time.Second, Spec: model.JobSpec{
+		Workload: "w", Urgency: model.Urgent, Tasks: 3, Need: model.Resources{CPU: 2, Memory: 4}, Image: "img", ImageGB: 1.5, AllowSpot: true,
 		ExpectedRunTime: 20 * time.Second, CheckpointInterval: 5 * time.Second, CheckpointCost: time.Second, Deadline: time.Minute,
 	}},
 	{Kind: overflow.Forget, Loan: overflow.Loan{Home: "east", Job: "job-1", LendCount: 2}},
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -10,7 +10,7 @@
 	"fmt"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/zeebo/blake3"
 	"google.golang.org/protobuf/proto"
@@ -178,15 +178,15 @@
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func encodeResources(r controller.Resources) *Amount {
+func encodeResources(r model.Resources) *Amount {
 	return &Amount{Cpu: r.CPU, Gpu: r.GPU, Memory: r.Memory}
 }
 
-func decodeResources(a *Amount) controller.Resources {
-	return controller.Resources{CPU: a.GetCpu(), GPU: a.GetGpu(), Memory: a.GetMemory()}
+func decodeResources(a *Amount) model.Resources {
+	return model.Resources{CPU: a.GetCpu(), GPU: a.GetGpu(), Memory: a.GetMemory()}
 }
 
-func encodeSpec(s *controller.JobSpec) *Spec {
+func encodeSpec(s *model.JobSpec) *Spec {
 	return &Spec{
 		Workload: s.Workload, Urgency: int32(s.Urgency), Tasks: int64(s.Tasks), Need: encodeResources(s.Need),
 		Image: s.Image, ImageGb: s.ImageGB, Spot: s.AllowSpot, ExpectedMs: s.ExpectedRunTime.Milliseconds(),
@@ -194,9 +194,9 @@
 	}
 }
 
-func decodeSpec(s *Spec) controller.JobSpec {
-	return controller.JobSpec{
-		Workload: s.Workload, Urgency: controller.Urgency(min(max(s.Urgency, int32(controller.BestEffort)), int32(controller.Critical))),
+func decodeSpec(s *Spec) model.JobSpec {
+	return model.JobSpec{
+		Workload: s.Workload, Urgency: model.Urgency(min(max(s.Urgency, int32(model.BestEffort)), int32(model.Critical))),
 		Tasks: int(s.Tasks), Need: decodeResources(s.Need), Image: s.Image, ImageGB: s.ImageGb, AllowSpot: s.Spot,
 		ExpectedRunTime: millis(s.ExpectedMs), CheckpointInterval: millis(s.SaveEveryMs), CheckpointCost: millis(s.SaveCostMs), Deadline: millis(s.DueMs),
 	}
--- a/internal/overflow/model_test.go
+++ b/internal/overflow/model_test.go
@@ -7,7 +7,8 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
+
 	_ "github.com/micahill/micahill/internal/testseed"
 	"pgregory.net/rapid"
 )
@@ -51,7 +52,7 @@
 }
 
 type modelLoan struct {
-	spec      controller.JobSpec
+	spec      model.JobSpec
 	state     LoanState
 	cause     Cause
 	ending    bool
@@ -172,7 +173,7 @@
 	for _, id := range sortedJobs(w.jobs) {
 		j := w.jobs[id]
 		if j.peer != "" && j.outcome == "" {
-			v.Lent = append(v.Lent, LentLoan{Loan: Loan{"east", id, j.lendCount}, Peer: j.peer, Spec: controller.JobSpec{ID: id, Tasks: 1}, SubmittedAt: w.startedAt, StopBound: modelStopBound, CancelRequested: j.cancelRequested})
+			v.Lent = append(v.Lent, LentLoan{Loan: Loan{"east", id, j.lendCount}, Peer: j.peer, Spec: model.JobSpec{ID: id, Tasks: 1}, SubmittedAt: w.startedAt, StopBound: modelStopBound, CancelRequested: j.cancelRequested})
 			if w.omitted.noStopBound {
 				v.Lent[len(v.Lent)-1].StopBound = 0
 			}
--- a/internal/overflow/offers.go
+++ b/internal/overflow/offers.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // FreeCapacity is what a guest offers of one kind of machine: room that own work of the
@@ -16,7 +17,7 @@
 	Zone        string
 	Spot        bool
 	// PerMachine is what one machine has free, and Machines how many are like it.
-	PerMachine controller.Resources
+	PerMachine model.Resources
 	Machines   int
 	// AvailableIn is how long until the room is there; 0: now.
 	AvailableIn time.Duration
@@ -29,7 +30,7 @@
 // Candidate is a job of ours that waits and of which no task was ever started.
 type Candidate struct {
 	Job  string
-	Spec controller.JobSpec
+	Spec model.JobSpec
 	// SLODue is when its next aim is, from now; it may be over. HomeFinish is when it
 	// would be done at home, as the plan played forward says.
 	SLODue     time.Duration
@@ -222,7 +223,7 @@
 	// Late: own work waits and will miss its aim, the most urgent of it with the
 	// urgency Waiting.
 	OwnWorkLate bool
-	LateUrgency controller.Urgency
+	LateUrgency model.Urgency
 }
 
 // Admit says why a job is not taken in, or nothing when it is; what it takes is
@@ -260,7 +261,7 @@
 type Pressure struct {
 	// Late: own work of that urgency waits and will miss its aim.
 	OwnWorkLate bool
-	LateUrgency controller.Urgency
+	LateUrgency model.Urgency
 	// LateFor is how long that has been so.
 	LateFor time.Duration
 	// DrainIn is when, from now, everything must be gone; negative: no drain.
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"pgregory.net/rapid"
 )
 
@@ -49,7 +50,7 @@
 
 // TestLenderProof: what the home takes for proof that a guest does not run a job.
 func TestLenderProof(t *testing.T) {
-	lent := LentLoan{Loan: testLoan(1), Peer: "west", SubmittedAt: testStart, StopBound: 10 * time.Second, Spec: controller.JobSpec{ID: "job-1", Tasks: 1}}
+	lent := LentLoan{Loan: testLoan(1), Peer: "west", SubmittedAt: testStart, StopBound: 10 * time.Second, Spec: model.JobSpec{ID: "job-1", Tasks: 1}}
 	view := func(now time.Time, l LentLoan) LenderView {
 		return LenderView{Epoch: 7, LeaseValidUntil: now.Add(time.Second), Lent: []LentLoan{l}}
 	}
@@ -114,15 +115,15 @@
 	}
 }
 
-func candidate(id string, urgency controller.Urgency, aim, home float64) Candidate {
+func candidate(id string, urgency model.Urgency, aim, home float64) Candidate {
 	return Candidate{
 		Job: id, SLODue: controller.Seconds(aim), HomeFinish: controller.Seconds(home), RunTime: 20 * time.Second,
-		Spec: controller.JobSpec{ID: id, Tasks: 4, Urgency: urgency, Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img", ImageGB: 2},
+		Spec: model.JobSpec{ID: id, Tasks: 4, Urgency: urgency, Need: model.Resources{CPU: 2, Memory: 2}, Image: "img", ImageGB: 2},
 	}
 }
 
 func freeMachines(machines int) []FreeCapacity {
-	return []FreeCapacity{{MachineType: "box", PerMachine: controller.Resources{CPU: 4, Memory: 16}, Machines: machines, CostPerCPUHour: 1, FetchRate: 1}}
+	return []FreeCapacity{{MachineType: "box", PerMachine: model.Resources{CPU: 4, Memory: 16}, Machines: machines, CostPerCPUHour: 1, FetchRate: 1}}
 }
 
 // TestChooseOffers: who is lent to whom.
@@ -134,18 +135,18 @@
 		ps   []PeerSnapshot
 		want []string
 	}{
-		{"late at home, in time there", []Candidate{candidate("a", controller.Normal, 60, 90)}, []PeerSnapshot{idle}, []string{"a>west"}},
-		{"in time at home", []Candidate{candidate("a", controller.Normal, 60, 50)}, []PeerSnapshot{idle}, nil},
-		{"late there as well", []Candidate{candidate("a", controller.Normal, 20, 90)}, []PeerSnapshot{idle}, nil},
-		{"the fetch makes it late", []Candidate{candidate("a", controller.Normal, 24, 90)}, []PeerSnapshot{idle}, nil},
-		{"the image is there", []Candidate{candidate("a", controller.Normal, 24, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2), CachedImages: []string{"img"}}}, []string{"a>west"}},
-		{"room for one: the more urgent goes", []Candidate{candidate("a", controller.Normal, 60, 90), candidate("b", controller.Urgent, 60, 90)}, []PeerSnapshot{idle}, []string{"b>west"}},
-		{"a draining peer", []Candidate{candidate("a", controller.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Draining: true, Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
-		{"a silent peer", []Candidate{candidate("a", controller.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
-		{"a peer that lends itself: no ping-pong", []Candidate{candidate("a", controller.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, LendsItself: true, FreeCapacity: freeMachines(2)}}, nil},
-		{"a peer that broke its word is counted on less", []Candidate{candidate("a", controller.Normal, 30, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 0.5, FreeCapacity: freeMachines(2)}}, nil},
-		{"the cheaper of two", []Candidate{candidate("a", controller.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: controller.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 2}}}, idle}, []string{"a>west"}},
-		{"too dear", []Candidate{candidate("a", controller.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: controller.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 20}}}}, nil},
+		{"late at home, in time there", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{idle}, []string{"a>west"}},
+		{"in time at home", []Candidate{candidate("a", model.Normal, 60, 50)}, []PeerSnapshot{idle}, nil},
+		{"late there as well", []Candidate{candidate("a", model.Normal, 20, 90)}, []PeerSnapshot{idle}, nil},
+		{"the fetch makes it late", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{idle}, nil},
+		{"the image is there", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2), CachedImages: []string{"img"}}}, []string{"a>west"}},
+		{"room for one: the more urgent goes", []Candidate{candidate("a", model.Normal, 60, 90), candidate("b", model.Urgent, 60, 90)}, []PeerSnapshot{idle}, []string{"b>west"}},
+		{"a draining peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Draining: true, Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
+		{"a silent peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
+		{"a peer that lends itself: no ping-pong", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, LendsItself: true, FreeCapacity: freeMachines(2)}}, nil},
+		{"a peer that broke its word is counted on less", []Candidate{candidate("a", model.Normal, 30, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 0.5, FreeCapacity: freeMachines(2)}}, nil},
+		{"the cheaper of two", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 2}}}, idle}, []string{"a>west"}},
+		{"too dear", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 20}}}}, nil},
 	} {
 		var got []string
 		for _, o := range ChooseOffers(c.cs, c.ps, DefaultLimits(), 1) {
@@ -155,7 +156,7 @@
 			t.Errorf("%s: %v, want %v", c.what, got, c.want)
 		}
 	}
-	often := candidate("a", controller.Normal, 60, 90)
+	often := candidate("a", model.Normal, 60, 90)
 	often.LendCount = DefaultLimits().MaxLends
 	if len(ChooseOffers([]Candidate{often}, []PeerSnapshot{idle}, DefaultLimits(), 1)) > 0 {
 		t.Error("a job is lent to and fro for ever")
@@ -171,7 +172,7 @@
 		lim.LoansOut, lim.Offers = 1+rng.IntN(4), 1+rng.IntN(10)
 		var cs []Candidate
 		for i := range rng.IntN(12) {
-			c := candidate(string(rune('a'+i)), controller.Urgency(rng.IntN(4)), 100*rng.Float64(), 200*rng.Float64())
+			c := candidate(string(rune('a'+i)), model.Urgency(rng.IntN(4)), 100*rng.Float64(), 200*rng.Float64())
 			c.Spec.Tasks = 1 + rng.IntN(9)
 			cs = append(cs, c)
 		}
@@ -203,8 +204,8 @@
 
 // TestAdmitAndGiveBack: what a guest takes, and what it gives back.
 func TestAdmitAndGiveBack(t *testing.T) {
-	order := func(tasks int, u controller.Urgency) Command {
-		return Command{Kind: Take, Spec: controller.JobSpec{Tasks: tasks, Urgency: u, Need: controller.Resources{CPU: 2, Memory: 2}}}
+	order := func(tasks int, u model.Urgency) Command {
+		return Command{Kind: Take, Spec: model.JobSpec{Tasks: tasks, Urgency: u, Need: model.Resources{CPU: 2, Memory: 2}}}
 	}
 	a := AdmissionState{FreeCapacity: freeMachines(2)}
 	for i, c := range []struct {
@@ -213,18 +214,18 @@
 	}{{3, ""}, {1, NoRoom}} {
 		// The first takes both machines, though the second has room for one more:
 		// what was told is promised by machines.
-		if got := Admit(order(c.tasks, controller.Normal), &a, DefaultLimits()); got != c.want {
+		if got := Admit(order(c.tasks, model.Normal), &a, DefaultLimits()); got != c.want {
 			t.Errorf("%d: %q, want %q", i, got, c.want)
 		}
 	}
-	busy := AdmissionState{FreeCapacity: freeMachines(9), OwnWorkLate: true, LateUrgency: controller.Normal}
-	if Admit(order(1, controller.Normal), &busy, DefaultLimits()) != NoRoom || Admit(order(1, controller.Urgent), &busy, DefaultLimits()) != "" {
+	busy := AdmissionState{FreeCapacity: freeMachines(9), OwnWorkLate: true, LateUrgency: model.Normal}
+	if Admit(order(1, model.Normal), &busy, DefaultLimits()) != NoRoom || Admit(order(1, model.Urgent), &busy, DefaultLimits()) != "" {
 		t.Error("own late work of the same urgency goes before, of a lower one does not")
 	}
 	bs := []BorrowedLoan{
-		{Loan: testLoan(1), Spec: controller.JobSpec{Urgency: controller.Normal}},
-		{Loan: testLoan(2), Spec: controller.JobSpec{Urgency: controller.Normal}, Started: true},
-		{Loan: testLoan(3), Spec: controller.JobSpec{Urgency: controller.Critical}},
+		{Loan: testLoan(1), Spec: model.JobSpec{Urgency: model.Normal}},
+		{Loan: testLoan(2), Spec: model.JobSpec{Urgency: model.Normal}, Started: true},
+		{Loan: testLoan(3), Spec: model.JobSpec{Urgency: model.Critical}},
 		{Loan: testLoan(4), Ending: true}, {Loan: testLoan(5), State: Finished},
 	}
 	run := func(BorrowedLoan) time.Duration { return 30 * time.Second }
@@ -234,8 +235,8 @@
 		want []uint64
 	}{
 		{"no need", Pressure{DrainIn: -1}, nil},
-		{"a short need", Pressure{OwnWorkLate: true, LateUrgency: controller.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
-		{"own urgent work is late", Pressure{OwnWorkLate: true, LateUrgency: controller.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
+		{"a short need", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
+		{"own urgent work is late", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
 		{"a drain with time: what runs may end", Pressure{DrainIn: time.Minute}, []uint64{1, 3}},
 		{"a drain without", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
 	} {
--- a/internal/overflow/types.go
+++ b/internal/overflow/types.go
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // Loan names one hand-over of a job: the cluster that accepted the job, the job,
@@ -114,7 +114,7 @@
 type Command struct {
 	Kind CommandKind
 	Loan Loan
-	Spec controller.JobSpec
+	Spec model.JobSpec
 	Age  time.Duration
 }
 
@@ -132,7 +132,7 @@
 type LentLoan struct {
 	Loan        Loan
 	Peer        string
-	Spec        controller.JobSpec
+	Spec        model.JobSpec
 	SubmittedAt time.Time
 	// StopBound is the guest's bound, as it was told when the job was lent.
 	StopBound time.Duration
@@ -172,7 +172,7 @@
 // service.
 type BorrowedLoan struct {
 	Loan Loan
-	Spec controller.JobSpec
+	Spec model.JobSpec
 	// State and Cause are what can be reported: Gone only when no task is left.
 	State LoanState
 	Cause Cause
@@ -188,7 +188,7 @@
 type BorrowerTransition struct {
 	Kind  BorrowerTransitionKind
 	Loan  Loan
-	Spec  controller.JobSpec
+	Spec  model.JobSpec
 	Age   time.Duration
 	Cause Cause
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 	"github.com/micahill/micahill/internal/testgolden"
@@ -45,9 +46,9 @@
 		{AttemptID: goldenAttempt("job-000417", 13, 14), State: remote.Unknown},
 	}}},
 	Rates:              &controller.Rates{Requests: 40.5, Writes: 20.25},
-	HostNeeds:          []controller.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: controller.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: controller.Urgent}},
-	OthersNeeds:        []controller.HostNeed{{MachineType: "g4", Zone: "b", Need: controller.Resources{CPU: 48}, Workload: "infer", Urgency: controller.Critical}},
-	EvacuationRequests: []controller.HostNeed{{MachineType: "g2", Zone: "c", Need: controller.Resources{Memory: 350}, Urgency: controller.Normal}},
+	HostNeeds:          []controller.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: model.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: model.Urgent}},
+	OthersNeeds:        []controller.HostNeed{{MachineType: "g4", Zone: "b", Need: model.Resources{CPU: 48}, Workload: "infer", Urgency: model.Critical}},
+	EvacuationRequests: []controller.HostNeed{{MachineType: "g2", Zone: "c", Need: model.Resources{Memory: 350}, Urgency: model.Normal}},
 	EvacuationCosts:    []controller.HostCost{{MachineType: "g1", Zone: "d", Spot: true, Downtime: 16_125 * time.Millisecond}},
 	Quotes: []controller.TeamQuotes{
 		{Team: "ops", Value: []byte{0x81, 0xa1, 'v', 0x01}},
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -80,7 +81,7 @@
 func needsFromProto(needs []*HostNeed) []controller.HostNeed {
 	var out []controller.HostNeed
 	for _, h := range needs {
-		out = append(out, controller.HostNeed{MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Need: controller.Resources{CPU: h.Cpu, GPU: h.Gpu, Memory: h.Memory}, Workload: h.Workload, Urgency: controller.Urgency(h.Urgency)})
+		out = append(out, controller.HostNeed{MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Need: model.Resources{CPU: h.Cpu, GPU: h.Gpu, Memory: h.Memory}, Workload: h.Workload, Urgency: model.Urgency(h.Urgency)})
 	}
 	return out
 }
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"google.golang.org/protobuf/proto"
 )
 
@@ -29,7 +30,7 @@
 
 // TestMachineNeedsRoundTrip: whole hosts that are needed, and what emptying one would cost.
 func TestMachineNeedsRoundTrip(t *testing.T) {
-	need := controller.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: controller.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: controller.Urgent}
+	need := controller.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: model.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: model.Urgent}
 	want := controller.PeerUpdate{From: "a", HostNeeds: []controller.HostNeed{need}, OthersNeeds: []controller.HostNeed{need, need}, EvacuationRequests: []controller.HostNeed{need}, EvacuationCosts: []controller.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
 	b, err := proto.Marshal(toProto(want))
 	if err != nil {
@@ -82,7 +83,7 @@
 			return
 		}
 		n := controller.New(controller.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: controller.DefaultPolicy(),
-			Teams: []controller.Team{{Name: "ops"}}, Capabilities: controller.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
+			Teams: []model.Team{{Name: "ops"}}, Capabilities: controller.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_750_000_000, 0)
 		n.Step(now, []controller.Command{m.toUpdate()})
 		n.Step(now.Add(2*time.Second), nil)
