--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // cancelOutage is a day on which the state service is away for an owner alone, another
@@ -47,7 +47,7 @@
 	set := testSettings()
 	set.WorkerLease, set.Teams = e.lease, nil
 	for i := range e.teams {
-		set.Teams = append(set.Teams, controller.Team{Name: fmt.Sprintf("team-%d", i)})
+		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%d", i)})
 	}
 	types, room := testTypes()
 	w := NewWorld(seed, e.nodes, set, e.cancel, types, room)
@@ -56,9 +56,9 @@
 	for i := range 8 * e.teams {
 		id := fmt.Sprintf("job-%03d", i)
 		ids = append(ids, id)
-		w.Submit(controller.JobSpec{
-			ID: id, Workload: "batch", Team: set.Teams[i%e.teams].Name, Urgency: controller.Normal, Tasks: 2,
-			Need: controller.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 1, ExpectedRunTime: 15 * time.Minute,
+		w.Submit(model.JobSpec{
+			ID: id, Workload: "batch", Team: set.Teams[i%e.teams].Name, Urgency: model.Normal, Tasks: 2,
+			Need: model.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 1, ExpectedRunTime: 15 * time.Minute,
 		}, 15*time.Minute, false)
 	}
 	w.Run(90 * time.Second)
--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // judge.go has the conditions on a day beside the rules: every job stays known, and a
@@ -127,7 +127,7 @@
 }
 
 // maxConcurrent is how many tasks of a job its team's limit and the cloud allow at a time.
-func (d *Day) maxConcurrent(s *controller.JobSpec) int {
+func (d *Day) maxConcurrent(s *model.JobSpec) int {
 	types, capacity := d.cloudInventory()
 	fit := 0
 	for _, t := range types {
@@ -144,7 +144,7 @@
 	}
 	for _, t := range d.Settings.Teams {
 		if t.Name == s.Team && t.QuotaLimit.CPU > 0 {
-			fit = min(fit, t.QuotaLimit.FitCount(controller.Resources{CPU: s.Need.CPU}))
+			fit = min(fit, t.QuotaLimit.FitCount(model.Resources{CPU: s.Need.CPU}))
 		}
 	}
 	return min(fit, s.Tasks)
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // dropCommands takes the orders that a test picks out of whatever goes to workers.
-func dropCommands(e controller.Effect, which func(controller.TaskCommand) bool) controller.Effect {
+func dropCommands(e controller.Effect, which func(model.TaskCommand) bool) controller.Effect {
 	switch x := e.(type) {
 	case controller.WorkerRequest:
 		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
@@ -24,8 +25,8 @@
 }
 
 // dropStarts does so with starts.
-func dropStarts(e controller.Effect, which func(controller.TaskCommand) bool) controller.Effect {
-	return dropCommands(e, func(o controller.TaskCommand) bool { return o.Kind == controller.StartTask && which(o) })
+func dropStarts(e controller.Effect, which func(model.TaskCommand) bool) controller.Effect {
+	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StartTask && which(o) })
 }
 
 // TestDayChecksNotice: each condition on a day fails on a core made wrong on
@@ -75,21 +76,21 @@
 			return e
 		}},
 		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e controller.Effect) controller.Effect {
-			return dropStarts(e, func(o controller.TaskCommand) bool { return o.Job == largest })
+			return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == largest })
 		}},
 		{"all but its first task put off", "first after", false, func(_ *World, e controller.Effect) controller.Effect {
-			return dropStarts(e, func(o controller.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
+			return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
 		}},
 		{"begun late", "rush begins late: " + largest, false, func(w *World, e controller.Effect) controller.Effect {
-			return dropStarts(e, func(o controller.TaskCommand) bool {
+			return dropStarts(e, func(o model.TaskCommand) bool {
 				return o.Job == largest && w.now.Before(w.jobs[largest].submitted.Add(maxStartWait+5*time.Second))
 			})
 		}},
 		{"a class never started", "batch 0.00 of", false, func(w *World, e controller.Effect) controller.Effect {
-			return dropStarts(e, func(o controller.TaskCommand) bool { return class(w, o.Job) == "batch" })
+			return dropStarts(e, func(o model.TaskCommand) bool { return class(w, o.Job) == "batch" })
 		}},
 		{"a team never started", "team-b 0.00 of", false, func(w *World, e controller.Effect) controller.Effect {
-			return dropStarts(e, func(o controller.TaskCommand) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
+			return dropStarts(e, func(o model.TaskCommand) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // executeCloud executes a request to the cloud.
@@ -36,7 +37,7 @@
 				response.Truncated = true
 				break
 			}
-			listed := controller.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
+			listed := model.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
 			switch {
 			case m.dead && !m.reclaimed && asOf.Sub(m.diedAt) > failedListLag:
 				listed.Status = "failed"
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -10,15 +10,16 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // met_test.go and met_links_test.go bring meetings of two troubles about for certain: each
 // test fails too when its meeting did not come about.
 
 // metJob is a job whose tasks take a while.
-func metJob(id, team string, tasks int, cpu float64, run time.Duration) controller.JobSpec {
-	return controller.JobSpec{
-		ID: id, Workload: "batch", Team: team, Urgency: controller.Normal, Tasks: tasks, Need: controller.Resources{CPU: cpu, Memory: cpu},
+func metJob(id, team string, tasks int, cpu float64, run time.Duration) model.JobSpec {
+	return model.JobSpec{
+		ID: id, Workload: "batch", Team: team, Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: cpu, Memory: cpu},
 		Image: "img", ImageGB: 1, ExpectedRunTime: run,
 	}
 }
@@ -306,7 +307,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			set := testSettings()
-			set.Teams = []controller.Team{{Name: "ops", QuotaLimit: controller.Resources{CPU: limit}}, {Name: "lab", QuotaLimit: controller.Resources{CPU: limit}}}
+			set.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: limit}}, {Name: "lab", QuotaLimit: model.Resources{CPU: limit}}}
 			w := smallWorld(seed, set)
 			run := map[string][]string{}
 			for _, team := range []string{"ops", "lab"} {
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // arriveAtAll brings a report to every controller, and tells of their answers.
-func (w *World) arriveAtAll(r controller.Heartbeat, tell func(controller.HeartbeatReply)) {
+func (w *World) arriveAtAll(r model.Heartbeat, tell func(controller.HeartbeatReply)) {
 	for _, p := range w.controllers {
 		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e controller.Effect) { tell(e.(controller.HeartbeatReply)) })
 	}
@@ -27,13 +28,13 @@
 	// many copies were answered.
 	play := func(t *testing.T, before bool, kind string, at time.Duration) (next time.Duration, answered int) {
 		set := testSettings()
-		set.Teams = []controller.Team{{Name: "ops", QuotaLimit: controller.Resources{CPU: 7}}}
+		set.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 7}}}
 		w := smallWorld(5, set)
 		// Two machines with room for one of the small jobs each.
 		w.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
 		w.Run(45 * time.Second)
 		// Of machines without the task, and later with it.
-		var old []controller.Heartbeat
+		var old []model.Heartbeat
 		for _, m := range w.fleet {
 			old = append(old, m.heartbeat(w.now))
 		}
@@ -44,7 +45,7 @@
 			t.Fatalf("%d machines have the task", len(ms))
 		}
 		m := ms[0]
-		i := slices.IndexFunc(old, func(r controller.Heartbeat) bool { return r.Machine == m.ID })
+		i := slices.IndexFunc(old, func(r model.Heartbeat) bool { return r.Machine == m.ID })
 		if i < 0 {
 			t.Fatal("the task did not come to a machine that had reported before")
 		}
@@ -418,7 +419,7 @@
 func TestCommandOfFormerLeader(t *testing.T) {
 	var early, late atomic.Int64
 	t.Run("offsets", func(t *testing.T) {
-		for _, verb := range []controller.TaskCommandKind{controller.StartTask, controller.StopTask} {
+		for _, verb := range []model.TaskCommandKind{model.StartTask, model.StopTask} {
 			held := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
 			for _, i := range spread(len(held), 7) {
 				d := held[i]
@@ -437,7 +438,7 @@
 					held, done, accepted := false, false, false
 					w.corruptEffect = func(e controller.Effect) controller.Effect {
 						x, ok := e.(controller.WorkerRequest)
-						if held || !ok || !slices.ContainsFunc(x.Commands, func(o controller.TaskCommand) bool { return o.Kind == verb }) {
+						if held || !ok || !slices.ContainsFunc(x.Commands, func(o model.TaskCommand) bool { return o.Kind == verb }) {
 							return e
 						}
 						held, op = true, x
@@ -456,7 +457,7 @@
 						})
 						return nil
 					}
-					if verb == controller.StopTask {
+					if verb == model.StopTask {
 						w.Cancel("job-f000")
 						w.Cancel("job-f001")
 					} else {
@@ -467,11 +468,11 @@
 					if !held || !done {
 						t.Fatalf("held %v, arrived %v", held, done)
 					}
-					if verb == controller.StopTask {
+					if verb == model.StopTask {
 						goneWithin(t, w, last, reachedWithin)
 					}
 					w.Run(4 * time.Minute)
-					if want := map[controller.TaskCommandKind]int{controller.StartTask: 12, controller.StopTask: 8}[verb]; w.Starts != want {
+					if want := map[model.TaskCommandKind]int{model.StartTask: 12, model.StopTask: 8}[verb]; w.Starts != want {
 						t.Errorf("%d starts of %d tasks", w.Starts, want)
 					}
 					checkFinalAnswers(t, w, true)
--- a/internal/simulation/combined_users_test.go
+++ b/internal/simulation/combined_users_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // askAll asks every controller about a job and fails the test for each answer that names
@@ -227,7 +228,7 @@
 			w.lossRate = 0.01
 			for i := range 24 {
 				spec := metJob(fmt.Sprintf("job-%06d", i), "ops", 4, 2, 30*time.Second)
-				spec.Urgency = []controller.Urgency{controller.Normal, controller.Urgent}[i%2]
+				spec.Urgency = []model.Urgency{model.Normal, model.Urgent}[i%2]
 				w.schedule(time.Duration(i)*time.Second, func() { w.Submit(spec, 30*time.Second, false) })
 			}
 			w.Run(75 * time.Second)
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/anishathalye/porcupine"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -246,8 +247,8 @@
 
 // job is one that comes at a moment. Its user asks each second until he knows how it ended.
 func (c *concurrentReaders) job(at time.Duration, id string, run time.Duration, tasks int, on jobFate) {
-	spec := controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: tasks,
-		Need: controller.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
+	spec := model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks,
+		Need: model.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 	c.world.jobs[id] = newUserJob(spec, run)
 	c.world.schedule(at, func() {
 		c.world.jobs[id].submitted = c.world.now
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -11,6 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // DayParams say what a day is to be like; what is 0 is drawn from the seed.
@@ -125,7 +126,7 @@
 	tasks       float64
 	run         time.Duration
 	imageGB     float64
-	urgency     controller.Urgency
+	urgency     model.Urgency
 	dueFactor   float64
 	jobFraction float64
 }
@@ -163,11 +164,11 @@
 		StoreWritesPerSecond:   10 + startsPerSecond + 3*float64(params.Jobs)/float64(params.Minutes*60) + 5*rng.Float64(),
 		StoreRequestsPerSecond: 20*float64(params.Controllers) + 2*startsPerSecond,
 		Policy:                 controller.DefaultPolicy(),
-		Objectives:             []controller.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.9}, {Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1}},
+		Objectives:             []model.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.9}, {Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1}},
 	}
 	settings.WorkerLease = 4*settings.HeartbeatInterval + time.Duration(4+rng.IntN(10))*time.Second
 	for i := range params.Teams {
-		t := controller.Team{Name: fmt.Sprintf("team-%c", 'a'+i)}
+		t := model.Team{Name: fmt.Sprintf("team-%c", 'a'+i)}
 		if rng.IntN(4) == 0 {
 			// Enough for the team's part of the work.
 			t.QuotaLimit.CPU = math.Round(max(32, float64(params.Machines)*4*d.teamWeight(i)/(float64(params.Teams)-1+float64(params.HotFactor))))
@@ -182,9 +183,9 @@
 	}
 	d.Settings = settings
 	d.workloads = []workloadClass{
-		{"rush", 4, 4, 20 * time.Second, 0.8, controller.Urgent, 2.5, 0.45},
-		{"batch", 2, 10, 30 * time.Second, 1, controller.Normal, 2, 0.45},
-		{"wide", 8, 12, 40 * time.Second, 3, controller.Normal, 0, 0.1},
+		{"rush", 4, 4, 20 * time.Second, 0.8, model.Urgent, 2.5, 0.45},
+		{"batch", 2, 10, 30 * time.Second, 1, model.Normal, 2, 0.45},
+		{"wide", 8, 12, 40 * time.Second, 3, model.Normal, 0, 0.1},
 	}
 	for range max(0, params.FaultCount) {
 		f := Fault{
@@ -227,10 +228,10 @@
 }
 
 // cloudInventory is what machines there are, and how many of each.
-func (d *Day) cloudInventory() ([]controller.MachineType, map[string]int) {
-	types := []controller.MachineType{
-		{Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
-		{Name: "rack", Capacity: controller.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: d.Settings.Zones[:1]},
+func (d *Day) cloudInventory() ([]model.MachineType, map[string]int) {
+	types := []model.MachineType{
+		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
+		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: d.Settings.Zones[:1]},
 	}
 	capacity := map[string]int{}
 	for _, z := range d.Settings.Zones {
@@ -368,9 +369,9 @@
 		}
 		w.lastID++
 		run := time.Duration(float64(class.run) * (0.5 + rng.Float64()))
-		spec := controller.JobSpec{
+		spec := model.JobSpec{
 			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: class.name, Team: d.Settings.Teams[team].Name, Urgency: class.urgency,
-			Tasks: max(1, int(class.tasks*(0.2+1.6*rng.Float64()))), Need: controller.Resources{CPU: class.cpu, Memory: 3 * class.cpu},
+			Tasks: max(1, int(class.tasks*(0.2+1.6*rng.Float64()))), Need: model.Resources{CPU: class.cpu, Memory: 3 * class.cpu},
 			Image: fmt.Sprintf("%s-%d", class.name, min(rng.IntN(12), rng.IntN(12))), ImageGB: class.imageGB, AllowSpot: rng.IntN(5) > 0, ExpectedRunTime: class.run,
 			Deadline: time.Duration(class.dueFactor*float64(run)) + controller.Seconds(15*min(1, class.dueFactor)),
 		}
--- a/internal/simulation/dependency_checks.go
+++ b/internal/simulation/dependency_checks.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -88,9 +89,9 @@
 func (s *StateService) isJobDone(id string) bool {
 	row := s.records["job/"+id]
 	var r struct {
-		Status controller.JobStatus `msgpack:"s"`
+		Status model.JobStatus `msgpack:"s"`
 	}
-	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == controller.Done
+	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == model.Done
 }
 
 // checkDependents judges the answer that a job is cancelled by what comes after it: nothing of
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // later.go has the troubles that came to the operators' list last: users who cancel much
@@ -66,7 +67,7 @@
 	// replayToNextLeader: copies of reports are kept, in kept, until another controller leads
 	// than leaderAtCapture, or until holdHeartbeatsUntil.
 	replayToNextLeader  bool
-	heldHeartbeats      []controller.Heartbeat
+	heldHeartbeats      []model.Heartbeat
 	holdHeartbeatsUntil time.Time
 	leaderAtCapture     string
 	// invalidJobs counts odd jobs.
@@ -136,7 +137,7 @@
 	for _, id := range sortedKeys(w.jobs) {
 		j := w.jobs[id]
 		w.eachRunningTask(j, func(t *workerTask, _ *Worker) {
-			if !j.cancelRequested && t.status == controller.Running {
+			if !j.cancelRequested && t.status == model.Running {
 				remaining[id] = max(remaining[id], t.remaining)
 			}
 		})
@@ -228,7 +229,7 @@
 }
 
 // holdHeartbeat keeps the copy of a report for the next leader.
-func (w *World) holdHeartbeat(r controller.Heartbeat) {
+func (w *World) holdHeartbeat(r model.Heartbeat) {
 	if len(w.heldHeartbeats) == 0 {
 		w.leaderAtCapture = w.leaderName()
 	}
@@ -344,7 +345,7 @@
 
 // submitInvalidJob sends a job like another one that fits no machine, needs more than there is, or
 // lacks a field. None of them may be accepted.
-func (w *World) submitInvalidJob(s controller.JobSpec) {
+func (w *World) submitInvalidJob(s model.JobSpec) {
 	w.invalidJobs++
 	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
 	c := controller.SubmitJob{Spec: s}
@@ -358,7 +359,7 @@
 	case 3:
 		c.Spec.Team = "nobody"
 	case 4:
-		c = controller.SubmitJob{Spec: controller.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
+		c = controller.SubmitJob{Spec: model.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
 	}
 	w.userRequest(func(r uint64) controller.Command { c.Reply = r; return c }, 5*time.Second, func(r *controller.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
--- a/internal/simulation/extra_faults_test.go
+++ b/internal/simulation/extra_faults_test.go
@@ -8,11 +8,12 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // longJob is an array that outlasts every test.
-func longJob(id string, tasks int) controller.JobSpec {
-	return controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: tasks, Need: controller.Resources{CPU: 1, Memory: 1},
+func longJob(id string, tasks int) model.JobSpec {
+	return model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: 1, Memory: 1},
 		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
 }
 
@@ -131,7 +132,7 @@
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
 	p := w.controllers[0]
-	halt := controller.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []controller.TaskCommand{{Kind: controller.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
+	halt := controller.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
 	other := halt
 	other.Incarnation++
 	if !p.delayCommand(m, other) || !p.delayCommand(m, halt) {
@@ -158,7 +159,7 @@
 	w := busyWorld(t)
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
-	w.controllers[0].delayCommand(m, controller.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []controller.TaskCommand{{Kind: controller.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
+	w.controllers[0].delayCommand(m, controller.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
 	w.Run(minCommandDelay + maxCommandDelay)
 	if !x.onMachine() {
 		t.Error("carried out")
--- a/internal/simulation/held_command_test.go
+++ b/internal/simulation/held_command_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // heldCommand is the first order with starts that was held on its way to its machine.
@@ -33,7 +34,7 @@
 		}
 		x := &heldCommand{machine: op.Machine}
 		for _, o := range op.Commands {
-			if o.Kind == controller.StartTask {
+			if o.Kind == model.StartTask {
 				x.starts = append(x.starts, startName(o))
 			}
 		}
@@ -61,14 +62,14 @@
 	}
 	for _, o := range op.Commands {
 		for _, k := range h.starts {
-			if o.Kind == controller.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
+			if o.Kind == model.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
 				h.restarted++
 			}
 		}
 	}
 }
 
-func startName(o controller.TaskCommand) string {
+func startName(o model.TaskCommand) string {
 	return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 }
 
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // largeWorld is a pool of some hundred machines and more, with three workloads:
@@ -15,17 +16,17 @@
 	set := testSettings()
 	set.Zones = []string{"a"}
 	set.HeartbeatInterval, set.WorkerLease = 8*time.Second, 34*time.Second
-	set.Teams = []controller.Team{{Name: "ops"}}
+	set.Teams = []model.Team{{Name: "ops"}}
 	set.CloudRequestsPerSecond = 10
-	set.Objectives = []controller.Objective{
+	set.Objectives = []model.Objective{
 		{Kind: "wait", Workload: "rush", Within: 3 * time.Second, Fraction: 0.88},
 		{Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1},
 		{Kind: "finished", Workload: "wide", Within: 120 * time.Second, Fraction: 0.85},
 	}
 	room := func(n float64) int { return max(1, int(n*scale)) }
-	return NewWorld(seed, 3, set, 64*time.Second, []controller.MachineType{
-		{Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"a"}},
-		{Name: "rack", Capacity: controller.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}},
+	return NewWorld(seed, 3, set, 64*time.Second, []model.MachineType{
+		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"a"}},
+		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"box/a/true": room(800), "box/a/false": room(700), "rack/a/true": room(100), "rack/a/false": room(59)})
 }
 
@@ -41,19 +42,19 @@
 		gb     float64
 		images int
 		due    float64
-		urgent controller.Urgency
+		urgent model.Urgency
 	}{
-		{"wide", 0.073, 45, 8, 22, 40 * time.Second, 3.5, 18, 0, controller.Normal},
-		{"rush", 0.757, 11, 4, 14, 25 * time.Second, 0.9, 12, 2.5, controller.Urgent},
-		{"reprint", 0.767, 30, 4, 15, 25 * time.Second, 1, 14, 2, controller.Normal},
+		{"wide", 0.073, 45, 8, 22, 40 * time.Second, 3.5, 18, 0, model.Normal},
+		{"rush", 0.757, 11, 4, 14, 25 * time.Second, 0.9, 12, 2.5, model.Urgent},
+		{"reprint", 0.767, 30, 4, 15, 25 * time.Second, 1, 14, 2, model.Normal},
 	}
 	for _, k := range kinds {
 		n := int(k.rate * d.Seconds())
 		for range n {
 			w.lastID++
-			spec := controller.JobSpec{
+			spec := model.JobSpec{
 				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: k.name, Team: "ops", Urgency: k.urgent,
-				Tasks: max(1, int(float64(k.tasks)*scale*(0.3+1.4*rng.Float64()))), Need: controller.Resources{CPU: k.cpu, Memory: k.mem},
+				Tasks: max(1, int(float64(k.tasks)*scale*(0.3+1.4*rng.Float64()))), Need: model.Resources{CPU: k.cpu, Memory: k.mem},
 				Image: fmt.Sprintf("%s-%d", k.name, min(rng.IntN(k.images), rng.IntN(k.images))), ImageGB: k.gb, AllowSpot: true, ExpectedRunTime: k.run,
 				Deadline: time.Duration(k.due*float64(k.run)) + controller.Seconds(10*min(1, k.due)),
 			}
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
@@ -41,7 +42,7 @@
 type obj = map[string]any
 
 // NewLive starts state service and cloud. Stop ends them.
-func NewLive(settings controller.Settings, requestsPerSecond, writesPerSecond float64, types []controller.MachineType, capacity map[string]int, nodes []string) *Live {
+func NewLive(settings controller.Settings, requestsPerSecond, writesPerSecond float64, types []model.MachineType, capacity map[string]int, nodes []string) *Live {
 	l := &Live{
 		controllers: nodes, requestLimiter: rate.NewLimiter(rate.Limit(requestsPerSecond), int(requestsPerSecond)), writeLimiter: rate.NewLimiter(rate.Limit(writesPerSecond), int(writesPerSecond)),
 		machineServers: map[*Worker]*httptest.Server{}, heartbeatClients: map[*Worker]*http.Client{}, counts: newCounts(),
@@ -130,7 +131,7 @@
 }
 
 // AddJob tells the workers of a job, as its user's upload would.
-func (l *Live) AddJob(spec controller.JobSpec, run time.Duration) {
+func (l *Live) AddJob(spec model.JobSpec, run time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.jobs[spec.ID] = newUserJob(spec, run)
@@ -138,7 +139,7 @@
 
 // SetJobSource lets the workers fetch descriptions of jobs from the function, which is
 // called with a job's id.
-func (l *Live) SetJobSource(fn func(id string) (controller.JobSpec, time.Duration, bool)) {
+func (l *Live) SetJobSource(fn func(id string) (model.JobSpec, time.Duration, bool)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.world.jobSource = fn
@@ -373,7 +374,7 @@
 	}
 }
 
-func encodeHeartbeat(r *controller.Heartbeat) obj {
+func encodeHeartbeat(r *model.Heartbeat) obj {
 	o := obj{"host": r.Machine, "address": r.Addr, "flavour": r.MachineType, "site": r.Zone, "loaner": r.Spot,
 		"tenure": r.Incarnation, "tick": r.Sequence, "epoch": r.Epoch, "recall_s": nil}
 	if r.ReclaimIn >= 0 {
@@ -382,7 +383,7 @@
 	tasks := []any{}
 	for _, t := range r.Tasks {
 		p := obj{"piece": taskName(t.Job, t.Index), "try": t.Attempt, "status": [...]string{"fetching", "running", "flushing", "ended"}[t.Status]}
-		if t.Status == controller.Ended {
+		if t.Status == model.Ended {
 			p["cause"] = t.Cause
 		}
 		tasks = append(tasks, p)
@@ -391,14 +392,14 @@
 	return o
 }
 
-func decodeCommands(v any) []controller.TaskCommand {
-	var out []controller.TaskCommand
+func decodeCommands(v any) []model.TaskCommand {
+	var out []model.TaskCommand
 	for _, x := range toList(v) {
 		o := x.(obj)
 		piece := toText(o["piece"])
 		i := strings.LastIndexByte(piece, '/')
 		wind, _ := strconv.ParseFloat(fmt.Sprint(o["wind_down_s"]), 64)
-		out = append(out, controller.TaskCommand{Kind: controller.TaskCommandKind(toText(o["verb"])), Job: piece[:i], Index: int(toUint(piece[i+1:])), Attempt: toUint(o["try"]), GracePeriod: controller.Seconds(wind)})
+		out = append(out, model.TaskCommand{Kind: model.TaskCommandKind(toText(o["verb"])), Job: piece[:i], Index: int(toUint(piece[i+1:])), Attempt: toUint(o["try"]), GracePeriod: controller.Seconds(wind)})
 	}
 	return out
 }
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // lowerWorld is one whose state service will have lower limits, of which controllers know
@@ -22,8 +23,8 @@
 
 func newLowerWorld(seed uint64) *lowerWorld {
 	set := testSettings()
-	set.Zones, set.Teams = []string{"a"}, []controller.Team{{Name: "ops"}, {Name: "lab"}}
-	types := []controller.MachineType{{Name: "box", Capacity: controller.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
+	set.Zones, set.Teams = []string{"a"}, []model.Team{{Name: "ops"}, {Name: "lab"}}
+	types := []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	l := &lowerWorld{World: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 40}), next: set, replaced: make([]bool, 3)}
 	l.next.MaxValueBytes, l.next.CurrentMaxValueBytes, l.next.MaxTxnWrites, l.next.StoreWritesPerSecond = 1024, set.MaxValueBytes, 4, 21
 	l.adjustSettings = func(i int, set *controller.Settings) {
@@ -72,7 +73,7 @@
 	l.Run(5 * time.Minute)
 	rulesHold(t, l.World)
 	for _, id := range append(ids, cutOff...) {
-		if j := l.jobs[id]; j.lastState != string(controller.Done) {
+		if j := l.jobs[id]; j.lastState != string(model.Done) {
 			t.Errorf("%s is %s", id, j.lastState)
 		}
 	}
@@ -132,7 +133,7 @@
 				t.Errorf("%d requests are malformed, the last for %s", l.state.Malformed, l.state.LastMalformed)
 			}
 			for _, id := range ids {
-				if j := l.jobs[id]; j.lastState != string(controller.Done) && j.lastState != string(controller.Cancelled) {
+				if j := l.jobs[id]; j.lastState != string(model.Done) && j.lastState != string(model.Cancelled) {
 					t.Errorf("%s is %s", id, j.lastState)
 				}
 			}
--- a/internal/simulation/margins.go
+++ b/internal/simulation/margins.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // slack.go records how near a day came to breaking each rule that has a time, and checks
@@ -105,7 +105,7 @@
 func (j *userJob) isPlaced(i int) bool {
 	for _, m := range j.machines[i] {
 		for _, t := range m.tasks {
-			if t.job == j && t.index == i && t.status != controller.Ended {
+			if t.job == j && t.index == i && t.status != model.Ended {
 				return true
 			}
 		}
@@ -115,12 +115,12 @@
 
 // resourceUse is what has been free for a while on the machines that can take tasks, and what the
 // teams' tasks take, those included that wait for their images.
-func (w *World) resourceUse() (map[*Worker]controller.Resources, map[string]controller.Resources) {
-	free, used := map[*Worker]controller.Resources{}, map[string]controller.Resources{}
+func (w *World) resourceUse() (map[*Worker]model.Resources, map[string]model.Resources) {
+	free, used := map[*Worker]model.Resources{}, map[string]model.Resources{}
 	for _, m := range w.fleet {
 		left := m.Size
 		for _, t := range m.tasks {
-			if t.status != controller.Ended {
+			if t.status != model.Ended {
 				left = left.AddScaled(t.job.spec.Need, -1)
 				used[t.job.spec.Team] = used[t.job.spec.Team].AddScaled(t.job.spec.Need, 1)
 			}
@@ -140,7 +140,7 @@
 
 // machineWithCapacity is a machine that a job may use and that has room for a task of it, if there is
 // one and its team is under its limit.
-func (w *World) machineWithCapacity(j *userJob, free map[*Worker]controller.Resources, used map[string]controller.Resources) *Worker {
+func (w *World) machineWithCapacity(j *userJob, free map[*Worker]model.Resources, used map[string]model.Resources) *Worker {
 	s := &j.spec
 	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].AddScaled(s.Need, 1)
 	if limit.CPU > 0 && takes.CPU > limit.CPU || limit.GPU > 0 && takes.GPU > limit.GPU {
@@ -159,7 +159,7 @@
 }
 
 // allowsMachine says that a job allows a machine, in that zone unless it is empty.
-func allowsMachine(s *controller.JobSpec, m *Worker, zone string) bool {
+func allowsMachine(s *model.JobSpec, m *Worker, zone string) bool {
 	flavour := len(s.MachineTypes) == 0
 	for _, f := range s.MachineTypes {
 		flavour = flavour || f == m.MachineType
@@ -167,10 +167,10 @@
 	return flavour && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
 }
 
-func minResources(rs []controller.Resources) controller.Resources {
+func minResources(rs []model.Resources) model.Resources {
 	out := rs[0]
 	for _, r := range rs[1:] {
-		out = controller.Resources{CPU: min(out.CPU, r.CPU), GPU: min(out.GPU, r.GPU), Memory: min(out.Memory, r.Memory)}
+		out = model.Resources{CPU: min(out.CPU, r.CPU), GPU: min(out.GPU, r.GPU), Memory: min(out.Memory, r.Memory)}
 	}
 	return out
 }
--- a/internal/simulation/margins_test.go
+++ b/internal/simulation/margins_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // waitingWorld has a calm world with room in which nothing of job-000002 is ever started.
@@ -19,7 +20,7 @@
 	w := NewWorld(3, 3, set, testCancel, types, room)
 	w.faultsEndAt = w.now
 	w.corruptEffect = func(e controller.Effect) controller.Effect {
-		return dropStarts(e, func(o controller.TaskCommand) bool { return o.Job == "job-000002" })
+		return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == "job-000002" })
 	}
 	return w
 }
--- a/internal/simulation/mixed_jobs.go
+++ b/internal/simulation/mixed_jobs.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // mixed.go has days with jobs of all kinds, not only arrays that may run anywhere, and with
@@ -42,7 +42,7 @@
 }
 
 // varyJob makes a job one of another kind, or leaves it.
-func (x *jobMix) varyJob(s *controller.JobSpec) {
+func (x *jobMix) varyJob(s *model.JobSpec) {
 	if x == nil {
 		return
 	}
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // models.go has days with models: hosts of eight GPUs beside the other machines, and
@@ -43,9 +44,9 @@
 	return out, err
 }
 
-func modelMachineType(zone string) controller.MachineType {
-	return controller.MachineType{
-		Name: "host", Capacity: controller.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
+func modelMachineType(zone string) model.MachineType {
+	return model.MachineType{
+		Name: "host", Capacity: model.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
 		ProvisioningTime: 40 * time.Second, Zones: []string{zone},
 	}
 }
@@ -53,7 +54,7 @@
 // modelJob is a model that comes at a time of the day, and is cancelled at another
 // unless that is 0.
 type modelJob struct {
-	spec     controller.JobSpec
+	spec     model.JobSpec
 	submitAt time.Duration
 	cancelAt time.Duration
 }
@@ -67,10 +68,10 @@
 	d.Settings.Teams = slices.Clone(d.Settings.Teams)
 	part := func(from, to float64) time.Duration { return time.Duration(span * (from + (to-from)*rng.Float64())) }
 	remainingGPUs := 0
-	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u controller.Urgency, from, to float64) {
-		m := modelJob{submitAt: part(from, to), spec: controller.JobSpec{
+	add := func(name string, gpus float64, replicas, names int, gb, cancelled float64, u model.Urgency, from, to float64) {
+		m := modelJob{submitAt: part(from, to), spec: model.JobSpec{
 			Workload: name, Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, LongRunning: true, Urgency: u, Tasks: replicas,
-			Need: controller.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
+			Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 32 * gpus}, Image: fmt.Sprintf("%s-%d", name, rng.IntN(names)), ImageGB: gb,
 		}}
 		if rng.Float64() < cancelled {
 			m.cancelAt = m.submitAt + part(0.15, 0.75)
@@ -86,15 +87,15 @@
 		d.models = append(d.models, m)
 	}
 	for range int(float64(d.Models) * (2.5 + 1.5*rng.Float64())) {
-		add("model-small", 1, 1+rng.IntN(3), 6, 10, 0.75, controller.Normal, 0, 0.1)
+		add("model-small", 1, 1+rng.IntN(3), 6, 10, 0.75, model.Normal, 0, 0.1)
 	}
 	for range 1 + d.Models/3 {
-		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, controller.Normal, 0, 0.3)
+		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, model.Normal, 0, 0.3)
 	}
 	// One whole host more than the rest takes is left out.
 	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
 	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
-		add("model-large", gpusPerMachine, 1, 3, 60, 0, controller.Urgent, 0.5, 1)
+		add("model-large", gpusPerMachine, 1, 3, 60, 0, model.Urgent, 0.5, 1)
 	}
 }
 
@@ -217,7 +218,7 @@
 	for _, m := range w.fleet {
 		used := 0.0
 		for _, t := range m.tasks {
-			if t.status != controller.Ended {
+			if t.status != model.Ended {
 				used += t.job.spec.Need.GPU
 			}
 		}
--- a/internal/simulation/models_fit_test.go
+++ b/internal/simulation/models_fit_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // TestModelsFit: models of one and two GPUs come and mostly go, and then some that need a
@@ -20,19 +21,19 @@
 			t.Parallel()
 			set := testSettings()
 			set.Objectives = nil
-			set.Teams = []controller.Team{{Name: "ops"}, {Name: "lab"}, {Name: "web"}}
+			set.Teams = []model.Team{{Name: "ops"}, {Name: "lab"}, {Name: "web"}}
 			set.Capabilities = controller.Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
-			w := NewWorld(seed, 3, set, testCancel, []controller.MachineType{
-				{Name: "host", Capacity: controller.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 45 * time.Second, Zones: []string{"a", "b"}},
-				{Name: "box", Capacity: controller.Resources{CPU: 8, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.4, CostPerHour: 0.4, SpotCostPerHour: 0.15, ProvisioningTime: 30 * time.Second, Zones: []string{"a", "b"}},
+			w := NewWorld(seed, 3, set, testCancel, []model.MachineType{
+				{Name: "host", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 45 * time.Second, Zones: []string{"a", "b"}},
+				{Name: "box", Capacity: model.Resources{CPU: 8, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.4, CostPerHour: 0.4, SpotCostPerHour: 0.15, ProvisioningTime: 30 * time.Second, Zones: []string{"a", "b"}},
 			}, map[string]int{"host/a/false": hosts / 2, "host/b/false": hosts / 2})
 			rng := rand.New(rand.NewPCG(seed, 7))
 			teams := []string{"ops", "ops", "ops", "lab", "lab", "web"}
-			come := func(at time.Duration, kind string, gpus, gb float64, tasks int, u controller.Urgency, stays float64) {
+			come := func(at time.Duration, kind string, gpus, gb float64, tasks int, u model.Urgency, stays float64) {
 				w.schedule(at, func() {
 					id := fmt.Sprintf("job-%s%04d", kind, len(w.jobs))
-					w.Submit(controller.JobSpec{ID: id, Workload: "model-" + kind, Team: teams[rng.IntN(len(teams))], LongRunning: true, Urgency: u, Tasks: tasks,
-						Need: controller.Resources{CPU: 12 * gpus, GPU: gpus, Memory: 96 * gpus}, Image: fmt.Sprintf("%s-%d", kind, rng.IntN(4)), ImageGB: gb}, 0, false)
+					w.Submit(model.JobSpec{ID: id, Workload: "model-" + kind, Team: teams[rng.IntN(len(teams))], LongRunning: true, Urgency: u, Tasks: tasks,
+						Need: model.Resources{CPU: 12 * gpus, GPU: gpus, Memory: 96 * gpus}, Image: fmt.Sprintf("%s-%d", kind, rng.IntN(4)), ImageGB: gb}, 0, false)
 					if rng.Float64() > stays {
 						w.schedule(time.Duration(60+rng.IntN(180))*time.Second, func() { w.Cancel(id) })
 					}
@@ -40,13 +41,13 @@
 			}
 			soon := func() time.Duration { return time.Duration(rng.IntN(40000)) * time.Millisecond }
 			for range 43 {
-				come(soon(), "small", 1, 8, 1+rng.IntN(3), controller.Normal, 0.25)
+				come(soon(), "small", 1, 8, 1+rng.IntN(3), model.Normal, 0.25)
 			}
 			for range hosts / 3 {
-				come(soon(), "mid", 2, 16, 1+rng.IntN(2), controller.Normal, 0.5)
+				come(soon(), "mid", 2, 16, 1+rng.IntN(2), model.Normal, 0.5)
 			}
 			for range hosts / 2 {
-				come(260*time.Second+soon(), "large", 8, 60, 1, controller.Urgent, 1)
+				come(260*time.Second+soon(), "large", 8, 60, 1, model.Urgent, 1)
 			}
 			changes := 0
 			w.corruptEffect = func(e controller.Effect) controller.Effect {
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -26,14 +27,14 @@
 	set := testSettings()
 	set.Zones, set.Objectives = []string{"a"}, nil
 	set.Capabilities = controller.Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
-	w := NewWorld(seed, nodes, set, testCancel, []controller.MachineType{
-		{Name: "host", Capacity: controller.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+	w := NewWorld(seed, nodes, set, testCancel, []model.MachineType{
+		{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"host/a/false": 4})
 	p := &fragmentedWorld{World: w}
 	for i := range 8 {
 		id := fmt.Sprintf("job-s%05d", i)
-		w.Submit(controller.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: controller.Normal, Tasks: 2,
-			Need: controller.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
+		w.Submit(model.JobSpec{ID: id, Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
+			Need: model.Resources{CPU: 8, GPU: 2, Memory: 64}, Image: fmt.Sprintf("small-%d", i%2), ImageGB: 5}, 0, false)
 		p.small = append(p.small, id)
 		w.Run(time.Second)
 	}
@@ -87,8 +88,8 @@
 
 // large submits a replica that needs a whole host.
 func (p *fragmentedWorld) large() {
-	p.Submit(controller.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: controller.Normal, Tasks: 1,
-		Need: controller.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
+	p.Submit(model.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
+		Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
 // watch notes a job of which nothing is on a machine.
@@ -124,8 +125,8 @@
 }
 
 // orders says that an effect has such an order for a job.
-func orders(e controller.Effect, verb controller.TaskCommandKind, job string) bool {
-	var all []controller.TaskCommand
+func orders(e controller.Effect, verb model.TaskCommandKind, job string) bool {
+	var all []model.TaskCommand
 	switch e := e.(type) {
 	case controller.WorkerRequest:
 		all = e.Commands
@@ -173,10 +174,10 @@
 func TestMigrationsSurviveFaults(t *testing.T) {
 	steps := map[string]func(*fragmentedWorld, controller.Effect) bool{
 		"intent": func(p *fragmentedWorld, e controller.Effect) bool { return p.onEffect(e) },
-		"stop":   func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, controller.StopTask, "job-s") },
-		"start":  func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, controller.StartTask, "job-s") },
+		"stop":   func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, model.StopTask, "job-s") },
+		"start":  func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, model.StartTask, "job-s") },
 		"receiver": func(p *fragmentedWorld, e controller.Effect) bool {
-			return orders(e, controller.StartTask, "job-large")
+			return orders(e, model.StartTask, "job-large")
 		},
 	}
 	type fault struct {
--- a/internal/simulation/odd_jobs_test.go
+++ b/internal/simulation/odd_jobs_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // TestOddJobs: jobs that are odd but possible are accepted and end, each where it may be;
@@ -13,44 +14,44 @@
 func TestOddJobs(t *testing.T) {
 	w := newTestWorld(11)
 	const run = 8 * time.Second
-	submit := func(id string, change func(*controller.JobSpec)) {
-		s := controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 3, Need: controller.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
+	submit := func(id string, change func(*model.JobSpec)) {
+		s := model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 3, Need: model.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 		change(&s)
 		w.Submit(s, run, false)
 	}
-	possible := map[string]func(*controller.JobSpec){
-		"apart-same-place":  func(s *controller.JobSpec) { s.SpreadZones, s.SameZone = true, true },
-		"apart-in-a-zone":   func(s *controller.JobSpec) { s.SpreadZones, s.Zone = true, "a" },
-		"apart-on-big":      func(s *controller.JobSpec) { s.SpreadZones, s.MachineTypes = true, []string{"big"} },
-		"gang-of-one-apart": func(s *controller.JobSpec) { s.Gang, s.SpreadZones, s.SameZone, s.Tasks = true, true, true, 1 },
-		"gang-apart":        func(s *controller.JobSpec) { s.Gang, s.SpreadZones, s.Tasks = true, true, 2 },
-		"takes-nothing":     func(s *controller.JobSpec) { s.Need = controller.Resources{} },
-		"only-memory":       func(s *controller.JobSpec) { s.Need = controller.Resources{Memory: 16} },
-		"no-image":          func(s *controller.JobSpec) { s.Image, s.ImageGB = "", 0 },
-		"no-estimate":       func(s *controller.JobSpec) { s.ExpectedRunTime = 0 },
-		"due-at-once":       func(s *controller.JobSpec) { s.Deadline = time.Millisecond },
-		"saves-always": func(s *controller.JobSpec) {
+	possible := map[string]func(*model.JobSpec){
+		"apart-same-place":  func(s *model.JobSpec) { s.SpreadZones, s.SameZone = true, true },
+		"apart-in-a-zone":   func(s *model.JobSpec) { s.SpreadZones, s.Zone = true, "a" },
+		"apart-on-big":      func(s *model.JobSpec) { s.SpreadZones, s.MachineTypes = true, []string{"big"} },
+		"gang-of-one-apart": func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.SameZone, s.Tasks = true, true, true, 1 },
+		"gang-apart":        func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.Tasks = true, true, 2 },
+		"takes-nothing":     func(s *model.JobSpec) { s.Need = model.Resources{} },
+		"only-memory":       func(s *model.JobSpec) { s.Need = model.Resources{Memory: 16} },
+		"no-image":          func(s *model.JobSpec) { s.Image, s.ImageGB = "", 0 },
+		"no-estimate":       func(s *model.JobSpec) { s.ExpectedRunTime = 0 },
+		"due-at-once":       func(s *model.JobSpec) { s.Deadline = time.Millisecond },
+		"saves-always": func(s *model.JobSpec) {
 			s.CheckpointInterval, s.CheckpointCost = 10*time.Millisecond, time.Millisecond
 		},
-		"a-whole-machine":  func(s *controller.JobSpec) { s.Need, s.Tasks = controller.Resources{CPU: 32, Memory: 128}, 2 },
-		"full-disk":        func(s *controller.JobSpec) { s.ImageGB, s.MachineTypes, s.Tasks = 20, []string{"small"}, 1 },
-		"over-small-disks": func(s *controller.JobSpec) { s.ImageGB, s.Tasks = 30, 2 },
-		"some-unknown":     func(s *controller.JobSpec) { s.MachineTypes = []string{"none", "small"} },
-		"above-its-limit":  func(s *controller.JobSpec) { s.Team, s.Tasks, s.Need.CPU = "lab", 15, 4 },
-		"best-effort-due":  func(s *controller.JobSpec) { s.Urgency, s.Deadline = controller.BestEffort, run },
+		"a-whole-machine":  func(s *model.JobSpec) { s.Need, s.Tasks = model.Resources{CPU: 32, Memory: 128}, 2 },
+		"full-disk":        func(s *model.JobSpec) { s.ImageGB, s.MachineTypes, s.Tasks = 20, []string{"small"}, 1 },
+		"over-small-disks": func(s *model.JobSpec) { s.ImageGB, s.Tasks = 30, 2 },
+		"some-unknown":     func(s *model.JobSpec) { s.MachineTypes = []string{"none", "small"} },
+		"above-its-limit":  func(s *model.JobSpec) { s.Team, s.Tasks, s.Need.CPU = "lab", 15, 4 },
+		"best-effort-due":  func(s *model.JobSpec) { s.Urgency, s.Deadline = model.BestEffort, run },
 	}
 	for _, id := range sortedKeys(possible) {
 		submit("job-"+id, possible[id])
 	}
-	impossible := map[string]func(*controller.JobSpec){
-		"no-zone":     func(s *controller.JobSpec) { s.Zone = "c" },
-		"no-flavour":  func(s *controller.JobSpec) { s.MachineTypes = []string{"none"} },
-		"not-there":   func(s *controller.JobSpec) { s.MachineTypes, s.Zone = []string{"big"}, "b" },
-		"no-team":     func(s *controller.JobSpec) { s.Team = "nobody" },
-		"too-large":   func(s *controller.JobSpec) { s.Need.CPU = 33 },
-		"no-disk":     func(s *controller.JobSpec) { s.ImageGB = 41 },
-		"lab-too-big": func(s *controller.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 41 },
-		"gang-on-big": func(s *controller.JobSpec) { s.Gang, s.SpreadZones, s.MachineTypes = true, true, []string{"big"} },
+	impossible := map[string]func(*model.JobSpec){
+		"no-zone":     func(s *model.JobSpec) { s.Zone = "c" },
+		"no-flavour":  func(s *model.JobSpec) { s.MachineTypes = []string{"none"} },
+		"not-there":   func(s *model.JobSpec) { s.MachineTypes, s.Zone = []string{"big"}, "b" },
+		"no-team":     func(s *model.JobSpec) { s.Team = "nobody" },
+		"too-large":   func(s *model.JobSpec) { s.Need.CPU = 33 },
+		"no-disk":     func(s *model.JobSpec) { s.ImageGB = 41 },
+		"lab-too-big": func(s *model.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 41 },
+		"gang-on-big": func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.MachineTypes = true, true, []string{"big"} },
 	}
 	for _, id := range sortedKeys(impossible) {
 		submit("job-"+id, impossible[id])
@@ -87,12 +88,12 @@
 		}{
 			{200, "done", func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: over} }},
 			{200, "done", func(r uint64) controller.Command {
-				return controller.SubmitJob{Reply: r, Spec: controller.JobSpec{ID: over.ID}, MalformedReason: "field owner is missing or invalid"}
+				return controller.SubmitJob{Reply: r, Spec: model.JobSpec{ID: over.ID}, MalformedReason: "field owner is missing or invalid"}
 			}},
 			{200, "done", func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: over.ID} }},
 			{404, "", func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: "job-no-zone"} }},
 			{400, "", func(r uint64) controller.Command {
-				return controller.SubmitJob{Reply: r, Spec: controller.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
+				return controller.SubmitJob{Reply: r, Spec: model.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
 			}},
 		} {
 			w.userRequestTo(to, c.mk, 5*time.Second, func(r *controller.UserReply) {
--- a/internal/simulation/overlaps.go
+++ b/internal/simulation/overlaps.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // meetings.go has days on which two or three troubles meet while users cancel most of a
@@ -88,7 +89,7 @@
 	for i := range out {
 		out[i].jobFraction *= 1 - part
 	}
-	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, controller.Normal, 0, part})
+	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, model.Normal, 0, part})
 }
 
 // submitLongJobs has many small jobs of long tasks come in the time before users cancel, so
@@ -103,9 +104,9 @@
 		w.lastID++
 		at := max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(before)))
 		run := time.Duration(float64(longTaskRunTime) * (0.75 + rng.Float64()/2))
-		spec := controller.JobSpec{
-			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: controller.Normal,
-			Tasks: 1 + rng.IntN(3), Need: controller.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
+		spec := model.JobSpec{
+			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: model.Normal,
+			Tasks: 1 + rng.IntN(3), Need: model.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
 		}
 		w.schedule(at, func() { w.Submit(spec, run, false) })
 		if t, ok := d.Cancels.cancelTime(spec.Workload, at, rng); ok {
--- a/internal/simulation/overlaps_test.go
+++ b/internal/simulation/overlaps_test.go
@@ -8,11 +8,12 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // dropStops takes the stops out of whatever goes to workers.
 func dropStops(e controller.Effect) controller.Effect {
-	return dropCommands(e, func(o controller.TaskCommand) bool { return o.Kind == controller.StopTask })
+	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StopTask })
 }
 
 // TestCancelledInTime: the checker of cancellations counts from the answer that leaves a
@@ -69,7 +70,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(3)
-			w.Submit(controller.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2, Need: controller.Resources{CPU: 2, Memory: 2},
+			w.Submit(model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2, Need: model.Resources{CPU: 2, Memory: 2},
 				Image: "i", ImageGB: c.image, ExpectedRunTime: time.Hour}, time.Hour, false)
 			w.Run(50 * time.Second)
 			// No machine is returned, and no lease ends.
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // half.go has links that are half there: machines whose reports arrive while nothing
@@ -42,7 +43,7 @@
 }
 
 // copyHeartbeat sends the copy of a report, if it gets one.
-func (w *World) copyHeartbeat(r controller.Heartbeat) {
+func (w *World) copyHeartbeat(r model.Heartbeat) {
 	if !w.now.Before(w.heartbeatCopiesUntil) || w.rng.Float64() >= w.heartbeatCopyRate {
 		return
 	}
--- a/internal/simulation/partial_faults_test.go
+++ b/internal/simulation/partial_faults_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -22,8 +23,8 @@
 						t.Parallel()
 						w := newTestWorldOf(uint64(back), nodes)
 						for i := range 8 {
-							w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
-								Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
+							w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
+								Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 						}
 						w.Run(35 * time.Second)
 						w.CrashBefore(back*time.Millisecond, sent, pausePoints[in])
@@ -74,8 +75,8 @@
 				w.state.records[fmt.Sprintf("job/job-%06d", 2*i)] = &storedRecord{value: rec, modRevision: w.state.revision}
 			}
 			for i := range 40 {
-				w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 1,
-					Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
+				w.Submit(model.JobSpec{ID: fmt.Sprintf("job-9%05d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 1,
+					Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 			}
 			w.Run(10 * time.Second)
 			for i := range w.controllers {
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // pipelines.go has users who submit jobs that need others: chains, joins and fans, one job
@@ -150,13 +151,13 @@
 		for range side {
 			w.lastID++
 			run := time.Duration(float64(stepRunTime) * (0.3 + rng.Float64()))
-			spec := controller.JobSpec{
-				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: controller.BestEffort,
-				Tasks: 1 + rng.IntN(5), Need: controller.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, AllowSpot: rng.IntN(4) > 0,
+			spec := model.JobSpec{
+				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: model.BestEffort,
+				Tasks: 1 + rng.IntN(5), Need: model.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, AllowSpot: rng.IntN(4) > 0,
 				ExpectedRunTime: run, Dependencies: before,
 			}
 			if k == last {
-				spec.Workload, spec.Urgency, spec.Deadline = "last", controller.Urgent, time.Duration(last+1)*3*stepRunTime
+				spec.Workload, spec.Urgency, spec.Deadline = "last", model.Urgent, time.Duration(last+1)*3*stepRunTime
 			}
 			names = append(names, spec.ID)
 			step = append(step, newUserJob(spec, run))
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -8,10 +8,11 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // stepJob is a job that needs others.
-func stepJob(id string, tasks int, run time.Duration, prereqs ...string) controller.JobSpec {
+func stepJob(id string, tasks int, run time.Duration, prereqs ...string) model.JobSpec {
 	spec := metJob(id, "ops", tasks, 1, run)
 	spec.Dependencies = prereqs
 	return spec
@@ -42,14 +43,14 @@
 // startsEarly puts the start of a job's first task before the first orders for any machine, and
 // lets nothing stop it.
 func startsEarly(id string) func(controller.Effect) controller.Effect {
-	start, left := controller.TaskCommand{Kind: controller.StartTask, Job: id, Attempt: 99}, 1
-	add := func(orders []controller.TaskCommand) []controller.TaskCommand {
-		orders = slices.DeleteFunc(slices.Clone(orders), func(o controller.TaskCommand) bool { return o.Kind == controller.StopTask && o.Job == id })
+	start, left := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
+	add := func(orders []model.TaskCommand) []model.TaskCommand {
+		orders = slices.DeleteFunc(slices.Clone(orders), func(o model.TaskCommand) bool { return o.Kind == model.StopTask && o.Job == id })
 		if len(orders) == 0 || left == 0 {
 			return orders
 		}
 		left--
-		return append([]controller.TaskCommand{start}, orders...)
+		return append([]model.TaskCommand{start}, orders...)
 	}
 	return func(e controller.Effect) controller.Effect {
 		switch x := e.(type) {
@@ -113,7 +114,7 @@
 		}, ""},
 		{"a later job is never released", RuleWaiting, func(w *World) func(controller.Effect) controller.Effect {
 			return func(e controller.Effect) controller.Effect {
-				return dropCommands(e, func(o controller.TaskCommand) bool { return o.Kind == controller.StartTask && o.Job == b })
+				return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StartTask && o.Job == b })
 			}
 		}, ""},
 	} {
@@ -266,7 +267,7 @@
 			}
 			for _, id := range sortedKeys(w.jobs) {
 				if j := w.jobs[id]; j.accepted && !j.dependenciesDone() && len(j.firstStarts) == 0 {
-					op.Commands = append(op.Commands[:len(op.Commands):len(op.Commands)], controller.TaskCommand{Kind: controller.StartTask, Job: id, Attempt: 99})
+					op.Commands = append(op.Commands[:len(op.Commands):len(op.Commands)], model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99})
 					return op
 				}
 			}
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -294,8 +295,8 @@
 			return r
 		}
 		for i := range 4 {
-			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
-				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
+			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
+				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
 		}
 		d.askAll(w.startedAt.Add(5 * time.Minute))
 		w.Run(8 * time.Minute)
@@ -341,8 +342,8 @@
 	}
 	for i := range 60 {
 		w.schedule(time.Duration(i)*4*time.Second, func() {
-			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: controller.Normal, Tasks: 1 + i%5,
-				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
+			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: []string{"batch", "rush"}[i%2], Team: []string{"ops", "lab"}[i/2%2], Urgency: model.Normal, Tasks: 1 + i%5,
+				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, time.Duration(10+i%7*20)*time.Second, false)
 			if i%9 == 8 {
 				w.schedule(30*time.Second, func() { w.Cancel(fmt.Sprintf("job-%03d", i)) })
 			}
@@ -386,8 +387,8 @@
 	d := recordPromises(w)
 	submit := func(from, to int) {
 		for i := from; i < to; i++ {
-			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
-				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
+			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
+				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 		}
 	}
 	roll := func(on bool) {
@@ -439,8 +440,8 @@
 	d := recordPromises(w)
 	for i := range 6 {
 		w.schedule(time.Duration(i)*40*time.Second, func() {
-			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: controller.Normal, Tasks: 2,
-				Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Hour}, time.Hour, false)
+			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "model", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 2,
+				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Hour}, time.Hour, false)
 		})
 	}
 	w.Run(7 * time.Minute)
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 )
 
@@ -116,7 +117,7 @@
 	if r == nil {
 		return
 	}
-	var orders []controller.TaskCommand
+	var orders []model.TaskCommand
 	switch x := e.(type) {
 	case controller.WorkerRequest:
 		orders = x.Commands
@@ -126,7 +127,7 @@
 	for _, o := range orders {
 		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
 		under, known := r.decidedUnder[name]
-		if o.Kind != controller.StartTask || r.startSent[name] || !known {
+		if o.Kind != model.StartTask || r.startSent[name] || !known {
 			// What may have left before is repeated as ever.
 			continue
 		}
--- a/internal/simulation/ranking_checks_test.go
+++ b/internal/simulation/ranking_checks_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -50,8 +51,8 @@
 		for w.jobs[id] != nil {
 			id += "x"
 		}
-		w.Submit(controller.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: controller.Normal, Tasks: 2, AllowSpot: true,
-			Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: run}, run, false)
+		w.Submit(model.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: model.Normal, Tasks: 2, AllowSpot: true,
+			Need: model.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: run}, run, false)
 	}
 }
 
@@ -313,7 +314,7 @@
 func TestStartsOfAStall(t *testing.T) {
 	order := func(e controller.Effect) bool {
 		op, ok := e.(controller.WorkerRequest)
-		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == controller.StartTask
+		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == model.StartTask
 	}
 	for what, moment := range map[string]func(controller.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
 		for _, long := range []time.Duration{3400 * time.Millisecond, time.Minute} {
@@ -430,7 +431,7 @@
 		types, room := testTypes()
 		set := testSettings()
 		set.Capabilities.Ranking = true
-		set.Objectives = []controller.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
+		set.Objectives = []model.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
 		w := NewWorld(11, 5, set, testCancel, types, room)
 		w.CheckRanking()
 		w.rankingCheck.startsOnly = true
@@ -441,8 +442,8 @@
 			for i := range 10 {
 				id := fmt.Sprintf("job-%s-%02d", part, i)
 				ids = append(ids, id)
-				w.Submit(controller.JobSpec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: controller.Urgent, Tasks: 2, AllowSpot: true,
-					Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: 6 * time.Second}, 6*time.Second, false)
+				w.Submit(model.JobSpec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: model.Urgent, Tasks: 2, AllowSpot: true,
+					Need: model.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: 6 * time.Second}, 6*time.Second, false)
 				w.Run(1500 * time.Millisecond)
 			}
 			w.Run(time.Minute)
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // rebalancingWorld is a world under steady load in which teams move: two controllers at first
@@ -17,22 +18,22 @@
 	set := testSettings()
 	set.Zones, set.Teams, set.StoreWritesPerSecond = []string{"a"}, nil, 60
 	for i := range teams {
-		set.Teams = append(set.Teams, controller.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
+		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
 	}
-	w := NewWorld(seed, 3, set, testCancel, []controller.MachineType{
-		{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
-		{Name: "big", Capacity: controller.Resources{CPU: 16, Memory: 64}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 0.8, SpotCostPerHour: 0.3, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+	w := NewWorld(seed, 3, set, testCancel, []model.MachineType{
+		{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+		{Name: "big", Capacity: model.Resources{CPU: 16, Memory: 64}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 0.8, SpotCostPerHour: 0.3, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"small/a/true": 30, "small/a/false": 30, "big/a/true": 12, "big/a/false": 10})
 	for i := range teams {
 		team := set.Teams[i].Name
-		w.Submit(controller.JobSpec{ID: "job-s" + team, Workload: "service", Team: team, LongRunning: true, Urgency: controller.Urgent, Tasks: 3,
-			Need: controller.Resources{CPU: 1, Memory: 1}, Image: "svc", ImageGB: 1}, 0, false)
+		w.Submit(model.JobSpec{ID: "job-s" + team, Workload: "service", Team: team, LongRunning: true, Urgency: model.Urgent, Tasks: 3,
+			Need: model.Resources{CPU: 1, Memory: 1}, Image: "svc", ImageGB: 1}, 0, false)
 		k := 0
 		var next func()
 		next = func() {
 			k++
-			w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: controller.Normal, Tasks: 3,
-				Need: controller.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
+			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%s-%04d", team, k), Workload: "batch", Team: team, Urgency: model.Normal, Tasks: 3,
+				Need: model.Resources{CPU: 2, Memory: 2}, Image: fmt.Sprintf("img-%d", k%3), ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
 			w.schedule(2*time.Second, next)
 		}
 		w.schedule(time.Duration(i)*100*time.Millisecond, next)
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 func testSettings() controller.Settings {
@@ -19,15 +20,15 @@
 		Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second,
 		MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 150, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 8, CloudListLag: 4 * time.Second,
 		Policy:     controller.DefaultPolicy(),
-		Objectives: []controller.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Fraction: 0.9}},
-		Teams:      []controller.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: controller.Resources{CPU: 40}}},
+		Objectives: []model.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Fraction: 0.9}},
+		Teams:      []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40}}},
 	}
 }
 
-func testTypes() ([]controller.MachineType, map[string]int) {
-	return []controller.MachineType{
-			{Name: "small", Capacity: controller.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
-			{Name: "big", Capacity: controller.Resources{CPU: 32, Memory: 128}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 1.5, SpotCostPerHour: 0.5, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+func testTypes() ([]model.MachineType, map[string]int) {
+	return []model.MachineType{
+			{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
+			{Name: "big", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 1.5, SpotCostPerHour: 0.5, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 		}, map[string]int{
 			"small/a/true": 4, "small/a/false": 6, "small/b/true": 3, "small/b/false": 6, "big/a/true": 1, "big/a/false": 2,
 		}
@@ -65,7 +66,7 @@
 	s.world.corruptEffect = func(e controller.Effect) controller.Effect {
 		if op, ok := e.(controller.WorkerRequest); ok && s.unreachable[op.Machine] && s.world.now.Before(s.world.machines[op.Machine].unreachableUntil) {
 			for _, o := range op.Commands {
-				if o.Kind == controller.StartTask {
+				if o.Kind == model.StartTask {
 					s.startedUnreachable[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)] = true
 				}
 			}
@@ -88,10 +89,10 @@
 func (s *scenario) submit(t *testing.T, d *datadriven.TestData) {
 	run := seconds(t, d, "run", 20)
 	cpu := arg(t, d, "cpu", 2.0)
-	spec := controller.JobSpec{
+	spec := model.JobSpec{
 		ID: arg(t, d, "id", ""), Workload: arg(t, d, "workload", "batch"), Team: arg(t, d, "team", "ops"),
-		LongRunning: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: controller.Urgency(arg(t, d, "urgency", 1)),
-		Tasks: arg(t, d, "tasks", 1), Need: controller.Resources{CPU: cpu, Memory: cpu},
+		LongRunning: d.HasArg("standing"), Gang: d.HasArg("gang"), Urgency: model.Urgency(arg(t, d, "urgency", 1)),
+		Tasks: arg(t, d, "tasks", 1), Need: model.Resources{CPU: cpu, Memory: cpu},
 		Image: arg(t, d, "image", "img-1"), ImageGB: 1, Zone: arg(t, d, "zone", ""),
 		SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart"), AllowSpot: d.HasArg("spot"),
 		ExpectedRunTime: seconds(t, d, "expected", run.Seconds()), CheckpointInterval: seconds(t, d, "save", 0), CheckpointCost: seconds(t, d, "cost", 0),
@@ -424,8 +425,8 @@
 					if s.world.jobs[fmt.Sprintf("job-m%03d", i)] != nil {
 						continue
 					}
-					s.world.Submit(controller.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 1 + i%4,
-						Need: controller.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
+					s.world.Submit(model.JobSpec{ID: fmt.Sprintf("job-m%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 1 + i%4,
+						Need: model.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 1, AllowSpot: i%2 == 0, ExpectedRunTime: seconds(t, d, "expected", 15)}, seconds(t, d, "run", 15), false)
 				}
 			case "abort":
 				id, at := arg(t, d, "id", ""), milestone(arg(t, d, "at", ""))
@@ -501,9 +502,9 @@
 			id++
 			run := time.Duration(5+rng.IntN(30)) * time.Second
 			cpu := []float64{1, 2, 4, 8}[rng.IntN(4)]
-			spec := controller.JobSpec{
+			spec := model.JobSpec{
 				ID: fmt.Sprintf("job-%06d", id), Workload: []string{"batch", "rush"}[rng.IntN(2)], Team: []string{"ops", "lab"}[rng.IntN(2)],
-				Urgency: controller.Urgency(rng.IntN(4)), Tasks: 1 + rng.IntN(6), Need: controller.Resources{CPU: cpu, Memory: cpu},
+				Urgency: model.Urgency(rng.IntN(4)), Tasks: 1 + rng.IntN(6), Need: model.Resources{CPU: cpu, Memory: cpu},
 				Image: fmt.Sprintf("img-%d", rng.IntN(3)), ImageGB: 0.5 + rng.Float64()*3, AllowSpot: rng.IntN(3) > 0,
 				ExpectedRunTime: run, SameZone: rng.IntN(5) == 0, SpreadZones: cpu <= 4 && rng.IntN(6) == 0, Gang: cpu <= 2 && rng.IntN(8) == 0,
 			}
@@ -632,8 +633,8 @@
 			w := newTestWorld(5)
 			c.break_(w)
 			for i := range 12 {
-				w.Submit(controller.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: controller.Normal, Tasks: 2,
-					Need: controller.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 90 * time.Second}, 90*time.Second, false)
+				w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
+					Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 90 * time.Second}, 90*time.Second, false)
 			}
 			w.Run(60 * time.Second)
 			for i := range 4 {
--- a/internal/simulation/small_jobs_test.go
+++ b/internal/simulation/small_jobs_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // smallJobStream is a stream of one-task jobs, of which a part is cancelled, with what it
@@ -23,9 +24,9 @@
 
 func newSmallJobs(seed uint64, changesASecond float64) *smallJobStream {
 	set := testSettings()
-	set.Zones, set.Teams = []string{"a"}, []controller.Team{{Name: "ops"}}
+	set.Zones, set.Teams = []string{"a"}, []model.Team{{Name: "ops"}}
 	set.StoreRequestsPerSecond, set.StoreWritesPerSecond = 80, changesASecond
-	types := []controller.MachineType{{Name: "box", Capacity: controller.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
+	types := []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	s := &smallJobStream{world: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 150}), changes: map[string]int{}}
 	s.world.state.onChange = func(it controller.KeyValue) {
 		prefix, _, _ := strings.Cut(it.Key, "/")
@@ -47,9 +48,9 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range int(rate * d.Seconds()) {
 		s.jobs++
-		spec := controller.JobSpec{
-			ID: fmt.Sprintf("small-%04d", s.jobs), Workload: "rush", Team: "ops", Urgency: controller.Urgent, Tasks: 1,
-			Need: controller.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("rush-%d", rng.IntN(6)), ImageGB: 0.9, ExpectedRunTime: 15 * time.Second, Deadline: 45 * time.Second,
+		spec := model.JobSpec{
+			ID: fmt.Sprintf("small-%04d", s.jobs), Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1,
+			Need: model.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("rush-%d", rng.IntN(6)), ImageGB: 0.9, ExpectedRunTime: 15 * time.Second, Deadline: 45 * time.Second,
 		}
 		run := time.Duration(5+rng.IntN(20)) * time.Second
 		at := time.Duration(rng.Float64() * float64(d))
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // unlisted.go has the troubles that no list named: of machines that come up late or
@@ -29,7 +29,7 @@
 
 // provisioningTime is how long a machine that is rented now takes to come up: mostly near what
 // the flavour says, now and then several times as long, and a few never.
-func (w *World) provisioningTime(f controller.MachineType) time.Duration {
+func (w *World) provisioningTime(f model.MachineType) time.Duration {
 	d := w.jitter(f.ProvisioningTime)
 	if w.disturbances == nil {
 		return d
@@ -66,7 +66,7 @@
 	d.failingFraction = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
 	if rng.IntN(2) == 0 {
 		d.guestTeam = "guest"
-		d.Settings.Teams = append(slices.Clone(d.Settings.Teams), controller.Team{Name: d.guestTeam})
+		d.Settings.Teams = append(slices.Clone(d.Settings.Teams), model.Team{Name: d.guestTeam})
 	}
 	for range 1 + rng.IntN(6) {
 		f := Fault{
@@ -154,10 +154,10 @@
 	if d.guestTeam == "" {
 		return
 	}
-	long := controller.JobSpec{Workload: "recount", Urgency: controller.BestEffort, Tasks: max(2, d.Machines/8), Need: controller.Resources{CPU: 4, Memory: 8}, AllowSpot: true, ExpectedRunTime: 50 * time.Second}
-	huge := controller.JobSpec{Workload: "rebuild", Urgency: controller.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: controller.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
-	single := controller.JobSpec{Workload: "lookups", Urgency: controller.Normal, Tasks: 1, Need: controller.Resources{CPU: 1, Memory: 2}, AllowSpot: true, ExpectedRunTime: 5 * time.Second}
-	add := func(s controller.JobSpec, at time.Duration) {
+	long := model.JobSpec{Workload: "recount", Urgency: model.BestEffort, Tasks: max(2, d.Machines/8), Need: model.Resources{CPU: 4, Memory: 8}, AllowSpot: true, ExpectedRunTime: 50 * time.Second}
+	huge := model.JobSpec{Workload: "rebuild", Urgency: model.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: model.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
+	single := model.JobSpec{Workload: "lookups", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 1, Memory: 2}, AllowSpot: true, ExpectedRunTime: 5 * time.Second}
+	add := func(s model.JobSpec, at time.Duration) {
 		w.lastID++
 		s.ID, s.Team, s.Image, s.ImageGB = fmt.Sprintf("job-%06d", w.lastID), d.guestTeam, s.Workload, 0.5
 		w.schedule(at, func() { w.Submit(s, s.ExpectedRunTime, false) })
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -5,11 +5,12 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // userJob is a job as its user knows it.
 type userJob struct {
-	spec        controller.JobSpec
+	spec        model.JobSpec
 	run         time.Duration
 	alwaysFails bool
 	doneTasks   map[int]bool
@@ -63,13 +64,13 @@
 	}
 }
 
-func newUserJob(spec controller.JobSpec, run time.Duration) *userJob {
+func newUserJob(spec model.JobSpec, run time.Duration) *userJob {
 	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
 		hooks: map[milestone][]func(){}}
 }
 
 // Submit sends a job and keeps trying, then polls until it is over.
-func (w *World) Submit(spec controller.JobSpec, run time.Duration, alwaysFails bool) {
+func (w *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
 	j := newUserJob(spec, run)
 	j.alwaysFails = alwaysFails
 	w.submitJob(j)
@@ -324,13 +325,13 @@
 	}
 }
 
-func (w *World) team(name string) controller.Team {
+func (w *World) team(name string) model.Team {
 	for _, t := range w.settings.Teams {
 		if t.Name == name {
 			return t
 		}
 	}
-	return controller.Team{}
+	return model.Team{}
 }
 
 // checkReplySize judges the size of an answer to a worker.
@@ -357,7 +358,7 @@
 func (w *World) checkCancellations() {
 	for _, m := range w.fleet {
 		for _, t := range m.tasks {
-			fetched := t.status == controller.Fetching && !t.imageReadyAt.After(w.now)
+			fetched := t.status == model.Fetching && !t.imageReadyAt.After(w.now)
 			if !t.onMachine() && !fetched || t.violationReported {
 				continue
 			}
--- a/internal/simulation/waits_test.go
+++ b/internal/simulation/waits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // maxStartDelay is within which time even the work that suits least has to begin.
@@ -24,17 +24,17 @@
 			var more func()
 			more = func() {
 				flood++
-				w.Submit(controller.JobSpec{
-					ID: fmt.Sprintf("job-%06d", flood), Workload: "flood", Team: "ops", Urgency: controller.Urgent, Tasks: 20,
-					Need: controller.Resources{CPU: 4, Memory: 8}, Image: "flood", ImageGB: 0.5, ExpectedRunTime: 20 * time.Second, Deadline: 30 * time.Second,
+				w.Submit(model.JobSpec{
+					ID: fmt.Sprintf("job-%06d", flood), Workload: "flood", Team: "ops", Urgency: model.Urgent, Tasks: 20,
+					Need: model.Resources{CPU: 4, Memory: 8}, Image: "flood", ImageGB: 0.5, ExpectedRunTime: 20 * time.Second, Deadline: 30 * time.Second,
 				}, 20*time.Second, false)
 				w.schedule(8*time.Second, more)
 			}
 			more()
-			whole := controller.JobSpec{ID: "job-900001", Workload: "whole", Team: "ops", Urgency: controller.Normal, Tasks: 2,
-				Need: controller.Resources{CPU: 32, Memory: 100}, Image: "whole", ImageGB: 1, ExpectedRunTime: 30 * time.Second}
-			low := controller.JobSpec{ID: "job-900002", Workload: "low", Team: "ops", Urgency: controller.BestEffort, Tasks: 6,
-				Need: controller.Resources{CPU: 2, Memory: 4}, Image: "low", ImageGB: 0.5, ExpectedRunTime: 30 * time.Second}
+			whole := model.JobSpec{ID: "job-900001", Workload: "whole", Team: "ops", Urgency: model.Normal, Tasks: 2,
+				Need: model.Resources{CPU: 32, Memory: 100}, Image: "whole", ImageGB: 1, ExpectedRunTime: 30 * time.Second}
+			low := model.JobSpec{ID: "job-900002", Workload: "low", Team: "ops", Urgency: model.BestEffort, Tasks: 6,
+				Need: model.Resources{CPU: 2, Memory: 4}, Image: "low", ImageGB: 0.5, ExpectedRunTime: 30 * time.Second}
 			w.schedule(90*time.Second, func() {
 				w.Submit(whole, 30*time.Second, false)
 				w.Submit(low, 30*time.Second, false)
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // Worker is a model of one machine's worker.
@@ -15,7 +16,7 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	Size        controller.Resources
+	Size        model.Resources
 	FetchRate   float64
 
 	rentedAt time.Time
@@ -42,7 +43,7 @@
 	// unheardUntil: it reaches no controller until then.
 	unheardUntil time.Time
 	// recentFree is what was free on it when it was last looked at what waits.
-	recentFree []controller.Resources
+	recentFree []model.Resources
 
 	incarnation uint64
 	sequence    uint64
@@ -62,7 +63,7 @@
 	job              *userJob
 	index            int
 	attempt          uint64
-	status           controller.TaskStatus
+	status           model.TaskStatus
 	cause            string
 	checkpointed     bool
 	imageReadyAt     time.Time
@@ -81,12 +82,12 @@
 
 // onMachine says that a task counts as being on its machine.
 func (t *workerTask) onMachine() bool {
-	return t.status == controller.Running || t.status == controller.Checkpointing
+	return t.status == model.Running || t.status == model.Checkpointing
 }
 
-func (m *Worker) heartbeat(now time.Time) controller.Heartbeat {
+func (m *Worker) heartbeat(now time.Time) model.Heartbeat {
 	m.sequence++
-	r := controller.Heartbeat{
+	r := model.Heartbeat{
 		Machine: m.ID, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot,
 		Incarnation: m.incarnation, Sequence: m.sequence, Epoch: m.epoch, ReclaimIn: -1,
 	}
@@ -95,42 +96,42 @@
 	}
 	for _, k := range sortedKeys(m.tasks) {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, controller.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.checkpointed})
+		r.Tasks = append(r.Tasks, model.TaskReport{Job: t.job.spec.ID, Index: t.index, Attempt: t.attempt, Status: t.status, Cause: t.cause, CheckpointStored: t.checkpointed})
 	}
 	return r
 }
 
 // executeCommands carries out orders one after another.
-func (w *World) executeCommands(m *Worker, orders []controller.TaskCommand) {
+func (w *World) executeCommands(m *Worker, orders []model.TaskCommand) {
 	for _, o := range orders {
 		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 		t := m.tasks[key]
 		switch o.Kind {
-		case controller.StartTask:
+		case model.StartTask:
 			if t == nil && !m.ignoresStarts {
 				w.startTask(m, o, key)
 			}
-		case controller.StopTask:
-			if t == nil || t.status == controller.Ended {
+		case model.StopTask:
+			if t == nil || t.status == model.Ended {
 				continue
 			}
-			save := t.job.spec.CheckpointInterval > 0 && t.status == controller.Running && o.GracePeriod >= t.job.spec.CheckpointCost
+			save := t.job.spec.CheckpointInterval > 0 && t.status == model.Running && o.GracePeriod >= t.job.spec.CheckpointCost
 			switch {
 			case save:
-				t.status, t.checkpointDoneAt = controller.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
-			case t.status == controller.Checkpointing && o.GracePeriod > 0:
+				t.status, t.checkpointDoneAt = model.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
+			case t.status == model.Checkpointing && o.GracePeriod > 0:
 			default:
 				w.endTask(m, t, "stopped")
 			}
-		case controller.ClearTask:
-			if t != nil && t.status == controller.Ended {
+		case model.ClearTask:
+			if t != nil && t.status == model.Ended {
 				delete(m.tasks, key)
 			}
 		}
 	}
 }
 
-func (w *World) startTask(m *Worker, o controller.TaskCommand, key string) {
+func (w *World) startTask(m *Worker, o model.TaskCommand, key string) {
 	j := w.jobs[o.Job]
 	if j == nil && w.jobSource != nil {
 		if spec, run, ok := w.jobSource(o.Job); ok {
@@ -141,24 +142,24 @@
 	if j == nil {
 		return
 	}
-	t := &workerTask{job: j, index: o.Index, attempt: o.Attempt, status: controller.Fetching}
+	t := &workerTask{job: j, index: o.Index, attempt: o.Attempt, status: model.Fetching}
 	m.tasks[key] = t
 	if !slices.Contains(j.machines[o.Index], m) {
 		j.machines[o.Index] = append(j.machines[o.Index], m)
 	}
 	m.changed = true
-	used := controller.Resources{}
+	used := model.Resources{}
 	for _, x := range m.tasks {
-		if x != t && x.status != controller.Ended {
+		if x != t && x.status != model.Ended {
 			used = used.AddScaled(x.job.spec.Need, 1)
 			if x.job == j && x.index == o.Index {
-				t.status, t.cause = controller.Ended, "in_use"
+				t.status, t.cause = model.Ended, "in_use"
 				return
 			}
 		}
 	}
 	if !j.spec.Need.Fits(m.Size.AddScaled(used, -1)) {
-		t.status, t.cause = controller.Ended, "no_room"
+		t.status, t.cause = model.Ended, "no_room"
 		return
 	}
 	j.placedAt = w.now
@@ -181,7 +182,7 @@
 func (w *World) endTask(m *Worker, t *workerTask, cause string) {
 	t.cause = cause
 	w.releaseTask(t)
-	t.status = controller.Ended
+	t.status = model.Ended
 	m.changed = true
 }
 
@@ -208,14 +209,14 @@
 	}
 	for _, t := range m.tasks {
 		switch t.status {
-		case controller.Fetching:
+		case model.Fetching:
 			if !t.imageReadyAt.After(w.now) {
-				t.status, m.changed, m.everUsed = controller.Running, true, true
+				t.status, m.changed, m.everUsed = model.Running, true, true
 				team := t.job.spec.Team
 				w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
 				w.checkStart(m, t)
 			}
-		case controller.Running:
+		case model.Running:
 			if m.faulty || t.job.alwaysFails {
 				w.endTask(m, t, "error")
 				continue
@@ -232,7 +233,7 @@
 				w.noteTasksDone(t.job)
 				w.maybeCancelAtEnd(t.job)
 			}
-		case controller.Checkpointing:
+		case model.Checkpointing:
 			if !t.checkpointDoneAt.After(w.now) {
 				t.job.saveCheckpoint(t.index, t.remaining)
 				t.checkpointed = true
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"golang.org/x/time/rate"
 )
 
@@ -32,9 +33,9 @@
 	// fleet are the machines that are not gone for good, in the order of creation.
 	fleet []*Worker
 	// teamUsage is what each team's tasks take.
-	teamUsage     map[string]controller.Resources
+	teamUsage     map[string]model.Resources
 	cloudLimiter  *rate.Limiter
-	machineTypes  map[string]controller.MachineType
+	machineTypes  map[string]model.MachineType
 	cloudCapacity map[string]int
 	rentals       map[string][]string
 	jobs          map[string]*userJob
@@ -93,7 +94,7 @@
 	onGone          func(*Worker)
 	// learn, when set, is where workers fetch the description of a job that nobody
 	// told them of.
-	jobSource func(id string) (controller.JobSpec, time.Duration, bool)
+	jobSource func(id string) (model.JobSpec, time.Duration, bool)
 	// pauseCondition picks the effect before which a process stands still, for pauseDuration.
 	pauseCondition func(*controllerProcess, controller.Effect) bool
 	pauseDuration  time.Duration
@@ -147,12 +148,12 @@
 }
 
 // NewWorld makes a world with n controllers, which start at once.
-func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []controller.MachineType, capacity map[string]int) *World {
+func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []model.MachineType, capacity map[string]int) *World {
 	w := &World{
 		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
-		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]controller.MachineType{},
+		state: NewStateService(), machines: map[string]*Worker{}, machineTypes: map[string]model.MachineType{},
 		cloudCapacity: capacity, rentals: map[string][]string{}, jobs: map[string]*userJob{}, partitions: map[string]*partition{}, oneWayPartitions: map[string]int{},
-		teamUsage: map[string]controller.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
+		teamUsage: map[string]model.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 	if settings.CloudRequestsPerSecond > 0 {
 		// Bursts of two seconds' worth.
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
@@ -23,10 +23,10 @@
 				{Task: "job-000413/9", Attempt: 1, Status: "flushing"},
 			},
 		},
-		"orders": TaskCommands{Epoch: 412, Incarnation: 4, Commands: EncodeCommands([]controller.TaskCommand{
-			{Kind: controller.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
-			{Kind: controller.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
-			{Kind: controller.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
+		"orders": TaskCommands{Epoch: 412, Incarnation: 4, Commands: EncodeCommands([]model.TaskCommand{
+			{Kind: model.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
+			{Kind: model.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
+			{Kind: model.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
 		})},
 	}
 	testgolden.Check(t, testgolden.Msgpack, wire)
@@ -36,14 +36,14 @@
 	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "report"), &r); err != nil {
 		t.Fatal(err)
 	}
-	want := controller.Heartbeat{
+	want := model.Heartbeat{
 		Machine: "vm-000231", Addr: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Incarnation: 3, Sequence: 88, Epoch: 411, ReclaimIn: 28_500 * time.Millisecond,
-		Tasks: []controller.TaskReport{
-			{Job: "job-000412", Index: 5, Attempt: 2, Status: controller.Ended, Cause: "done", CheckpointStored: true},
-			{Job: "job-000413", Index: 6, Attempt: 300, Status: controller.Fetching},
-			{Job: "job-000413", Index: 7, Attempt: 1, Status: controller.Fetching},
-			{Job: "job-000413", Index: 8, Attempt: 1, Status: controller.Running},
-			{Job: "job-000413", Index: 9, Attempt: 1, Status: controller.Checkpointing},
+		Tasks: []model.TaskReport{
+			{Job: "job-000412", Index: 5, Attempt: 2, Status: model.Ended, Cause: "done", CheckpointStored: true},
+			{Job: "job-000413", Index: 6, Attempt: 300, Status: model.Fetching},
+			{Job: "job-000413", Index: 7, Attempt: 1, Status: model.Fetching},
+			{Job: "job-000413", Index: 8, Attempt: 1, Status: model.Running},
+			{Job: "job-000413", Index: 9, Attempt: 1, Status: model.Checkpointing},
 		},
 	}
 	if got := r.Decode(); !reflect.DeepEqual(got, want) {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -71,8 +72,8 @@
 
 // Decode turns a report from the wire into the core's form. Lines that make no
 // sense are left out.
-func (r *Heartbeat) Decode() controller.Heartbeat {
-	out := controller.Heartbeat{
+func (r *Heartbeat) Decode() model.Heartbeat {
+	out := model.Heartbeat{
 		Machine: r.Machine, Addr: r.Address, MachineType: r.MachineType, Zone: r.Zone, Spot: r.Spot,
 		Incarnation: r.Incarnation, Sequence: r.Sequence, Epoch: r.Epoch, ReclaimIn: -1,
 	}
@@ -84,20 +85,20 @@
 		if !ok {
 			continue
 		}
-		task := controller.TaskReport{Job: job, Index: index, Attempt: wireTask.Attempt, Cause: wireTask.Cause, CheckpointStored: wireTask.Checkpointed}
+		task := model.TaskReport{Job: job, Index: index, Attempt: wireTask.Attempt, Cause: wireTask.Cause, CheckpointStored: wireTask.Checkpointed}
 		switch wireTask.Status {
 		case "fetching", "gathering":
 			// A gang's task that waits for its mates has not begun either.
-			task.Status = controller.Fetching
+			task.Status = model.Fetching
 		case "running":
-			task.Status = controller.Running
+			task.Status = model.Running
 		case "flushing":
-			task.Status = controller.Checkpointing
+			task.Status = model.Checkpointing
 		case "ended":
-			task.Status = controller.Ended
+			task.Status = model.Ended
 		default:
 			// A state added later: on the machine, and not ended.
-			task.Status = controller.Running
+			task.Status = model.Running
 		}
 		out.Tasks = append(out.Tasks, task)
 	}
@@ -114,11 +115,11 @@
 }
 
 // EncodeCommands turns orders into their wire form.
-func EncodeCommands(commands []controller.TaskCommand) []TaskCommand {
+func EncodeCommands(commands []model.TaskCommand) []TaskCommand {
 	out := make([]TaskCommand, 0, len(commands))
 	for _, o := range commands {
 		command := TaskCommand{Kind: string(o.Kind), Task: o.Job + "/" + strconv.Itoa(o.Index), Attempt: o.Attempt}
-		if o.Kind == controller.StopTask {
+		if o.Kind == model.StopTask {
 			seconds := o.GracePeriod.Seconds()
 			command.WindDownS = &seconds
 		}
