--- a/cmd/micahill/main.go
+++ b/cmd/micahill/main.go
@@ -4,6 +4,9 @@
 
 import (
 	"context"
+
+	"github.com/micahill/micahill/internal/message"
+
 	crand "crypto/rand"
 	"encoding/binary"
 	"errors"
@@ -164,24 +167,24 @@
 	workerClient := worker.New(deployment.Quota.Sockets)
 	peerSender := peer.StartSender(ctx, peers)
 	recorder := metrics.New()
-	var reportPromises func(controller.PromiseTotals)
+	var reportPromises func(message.PromiseTotals)
 	if settings.Capabilities.Promises {
 		reportPromises = metrics.RegisterPromises(recorder.Registry())
 	}
 	srv := server.New(ctrl, server.EffectHandlers{
-		Store: func(ctx context.Context, op controller.StoreRequest) controller.StoreResponse {
+		Store: func(ctx context.Context, op message.StoreRequest) message.StoreResponse {
 			began := time.Now()
 			done := stateClient.Do(ctx, op)
 			recorder.State(op.Kind, done.Status, time.Since(began))
 			return done
 		},
-		Cloud: func(ctx context.Context, op controller.CloudRequest) controller.CloudResponse {
+		Cloud: func(ctx context.Context, op message.CloudRequest) message.CloudResponse {
 			began := time.Now()
 			done := cloudClient.Do(ctx, op)
 			recorder.Cloud(op.Kind, done.Status, time.Since(began))
 			return done
 		},
-		Worker: func(ctx context.Context, op controller.WorkerRequest) controller.WorkerResponse {
+		Worker: func(ctx context.Context, op message.WorkerRequest) message.WorkerResponse {
 			began := time.Now()
 			done := workerClient.Do(ctx, op)
 			recorder.Commands(done, time.Since(began))
@@ -189,7 +192,7 @@
 		},
 		SendPeerUpdate: peerSender.Send,
 		RoleChanged:    recorder.Role,
-		SetRates: func(r controller.Rates) {
+		SetRates: func(r message.Rates) {
 			stateClient.SetRates(r)
 			recorder.Rates(r)
 		},
@@ -217,7 +220,7 @@
 	go func() { failures <- api.Serve(ctx, cfg.APIAddr, deployment.Quota.Sockets, srv, recorder.Request) }()
 	go func() {
 		// Users and workers are served while this address is still in use.
-		back, err := peer.Listen(ctx, cfg.InternalAddr, func(n controller.PeerUpdate) { srv.Post(n) })
+		back, err := peer.Listen(ctx, cfg.InternalAddr, func(n message.PeerUpdate) { srv.Post(n) })
 		if err != nil {
 			failures <- err
 			return
--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -17,6 +17,7 @@
 	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/config"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/broker"
 	"github.com/micahill/micahill/internal/overflow/link"
@@ -99,10 +100,10 @@
 			}
 			ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 			defer cancel()
-			x, err := srv.Ask(ctx, func(r uint64) controller.Command {
-				return controller.DrainCommand{Reply: r, Enabled: on, Deadline: time.Now().Add(by)}
+			x, err := srv.Ask(ctx, func(r uint64) message.Command {
+				return message.DrainCommand{Reply: r, Enabled: on, Deadline: time.Now().Add(by)}
 			})
-			if d, ok := x.(controller.LoanReply); err != nil || !ok || d.Status != controller.LoanDurable {
+			if d, ok := x.(message.LoanReply); err != nil || !ok || d.Status != message.LoanDurable {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, "not written: the state service does not answer")
 			}
 			return c.JSON(http.StatusOK, map[string]bool{"draining": on})
--- a/cmd/micahill/promises.go
+++ b/cmd/micahill/promises.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/spf13/cobra"
 )
 
@@ -28,7 +28,7 @@
 			if atRisk {
 				query.Set("at_risk", "true")
 			}
-			var p controller.PromiseReply
+			var p message.PromiseReply
 			if err := requestJSON(cmd.Context(), "promises", "promises", http.MethodGet, addr, "/promises?"+query.Encode(), nil, &p); err != nil {
 				return err
 			}
@@ -49,7 +49,7 @@
 	return c
 }
 
-func printPromises(out io.Writer, p *controller.PromiseReply, jobsOnly bool) error {
+func printPromises(out io.Writer, p *message.PromiseReply, jobsOnly bool) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	formatSeconds := func(s float64) string {
 		return time.Duration(s * float64(time.Second)).Round(100 * time.Millisecond).String()
--- a/cmd/micahill/ranking.go
+++ b/cmd/micahill/ranking.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/ranking"
 	"github.com/spf13/cobra"
 )
@@ -29,8 +29,8 @@
 }
 
 // requestRanking asks a controller on its own address.
-func requestRanking(ctx context.Context, verb, method, addr string, query url.Values, text []byte) (*controller.RankingReply, error) {
-	var r controller.RankingReply
+func requestRanking(ctx context.Context, verb, method, addr string, query url.Values, text []byte) (*message.RankingReply, error) {
+	var r message.RankingReply
 	if err := requestJSON(ctx, "ranking: "+verb, "ranking", method, addr, "/ranking?"+query.Encode(), text, &r); err != nil {
 		return nil, err
 	}
@@ -66,7 +66,7 @@
 	return c
 }
 
-func printRanking(out io.Writer, r *controller.RankingReply) error {
+func printRanking(out io.Writer, r *message.RankingReply) error {
 	switch {
 	case r.Revision == 0:
 		fmt.Fprintln(out, "no ranking yet: the leader writes one")
--- a/cmd/micahill/status.go
+++ b/cmd/micahill/status.go
@@ -13,7 +13,7 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/spf13/cobra"
 )
 
@@ -43,7 +43,7 @@
 	return c
 }
 
-func fetchStatus(ctx context.Context, addr string) (*controller.StatusReply, error) {
+func fetchStatus(ctx context.Context, addr string) (*message.StatusReply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/status", nil)
 	if err != nil {
 		return nil, fmt.Errorf("status: %w", err)
@@ -56,14 +56,14 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status: %s answers %s", addr, resp.Status)
 	}
-	var s controller.StatusReply
+	var s message.StatusReply
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
 		return nil, fmt.Errorf("status: %w", err)
 	}
 	return &s, nil
 }
 
-func printStatus(out io.Writer, s *controller.StatusReply) error {
+func printStatus(out io.Writer, s *message.StatusReply) error {
 	roles := []string{}
 	if s.IsLeader {
 		roles = append(roles, "leader")
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -17,6 +17,7 @@
 	"github.com/labstack/echo/v4"
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/listen"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/validate"
 	"github.com/micahill/micahill/internal/worker"
 	"github.com/vmihailenco/msgpack/v5"
@@ -39,7 +40,7 @@
 
 // Backend is what the handlers need of the server.
 type Backend interface {
-	Ask(ctx context.Context, mk func(reply uint64) controller.Command) (controller.Effect, error)
+	Ask(ctx context.Context, mk func(reply uint64) message.Command) (message.Effect, error)
 	Healthy() bool
 }
 
@@ -74,7 +75,7 @@
 func (h *handlers) status(c echo.Context) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
 	defer cancel()
-	e, err := h.backend.Ask(ctx, func(r uint64) controller.Command { return controller.QueryStatus{Reply: r} })
+	e, err := h.backend.Ask(ctx, func(r uint64) message.Command { return message.QueryStatus{Reply: r} })
 	if err != nil {
 		return respondBusy(c)
 	}
@@ -181,20 +182,20 @@
 }
 
 // forward passes a user's request to the core and renders the reply.
-func (h *handlers) forward(c echo.Context, newCommand func(reply uint64) controller.Command) error {
+func (h *handlers) forward(c echo.Context, newCommand func(reply uint64) message.Command) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
 	defer cancel()
 	e, err := h.backend.Ask(ctx, newCommand)
 	if err != nil {
 		return respondBusy(c)
 	}
-	r, ok := e.(controller.UserReply)
+	r, ok := e.(message.UserReply)
 	if !ok || ctx.Err() != nil {
 		return respondBusy(c)
 	}
 	// The core may have answered long before this goes on.
 	if _, instead, late := controller.CheckDeadline(r, time.Now()); late {
-		r = instead.(controller.UserReply)
+		r = instead.(message.UserReply)
 	}
 	if r.RetryAfter > 0 {
 		c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(max(1, int((r.RetryAfter+time.Second-1)/time.Second))))
@@ -229,7 +230,7 @@
 	if !jobIDPattern.MatchString(id) {
 		return respondError(c, http.StatusNotFound, "no such job")
 	}
-	return h.forward(c, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} })
+	return h.forward(c, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} })
 }
 
 func (h *handlers) cancelJob(c echo.Context) error {
@@ -237,7 +238,7 @@
 	if !jobIDPattern.MatchString(id) {
 		return respondError(c, http.StatusNotFound, "no such job")
 	}
-	return h.forward(c, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} })
+	return h.forward(c, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} })
 }
 
 func (h *handlers) submitJob(c echo.Context) error {
@@ -249,8 +250,8 @@
 	if spec.ID == "" {
 		return h.rejectInput(c, reason)
 	}
-	return h.forward(c, func(r uint64) controller.Command {
-		return controller.SubmitJob{Reply: r, Spec: spec, MalformedReason: reason}
+	return h.forward(c, func(r uint64) message.Command {
+		return message.SubmitJob{Reply: r, Spec: spec, MalformedReason: reason}
 	})
 }
 
@@ -272,14 +273,14 @@
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
 	defer cancel()
-	e, err := h.backend.Ask(ctx, func(reply uint64) controller.Command {
-		return controller.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat}
+	e, err := h.backend.Ask(ctx, func(reply uint64) message.Command {
+		return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat}
 	})
-	a, ok := e.(controller.HeartbeatReply)
+	a, ok := e.(message.HeartbeatReply)
 	if ok {
 		// The core may have answered long before this goes on.
 		if _, instead, late := controller.CheckDeadline(a, time.Now()); late {
-			a, ok = instead.(controller.HeartbeatReply)
+			a, ok = instead.(message.HeartbeatReply)
 		}
 	}
 	switch {
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -11,18 +11,18 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
 // heartbeatBackend is a core that answers every report and nothing else.
 type heartbeatBackend struct{}
 
-func (heartbeatBackend) Ask(_ context.Context, mk func(uint64) controller.Command) (controller.Effect, error) {
-	if _, ok := mk(1).(controller.WorkerHeartbeat); ok {
-		return controller.HeartbeatReply{Status: 200, Epoch: 1}, nil
+func (heartbeatBackend) Ask(_ context.Context, mk func(uint64) message.Command) (message.Effect, error) {
+	if _, ok := mk(1).(message.WorkerHeartbeat); ok {
+		return message.HeartbeatReply{Status: 200, Epoch: 1}, nil
 	}
-	return controller.UserReply{Status: 404, Message: "no such job"}, nil
+	return message.UserReply{Status: 404, Message: "no such job"}, nil
 }
 
 func (heartbeatBackend) Healthy() bool { return true }
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/labstack/echo/v4"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/testgolden"
 	"github.com/micahill/micahill/internal/worker"
@@ -42,16 +42,16 @@
 }
 
 // saying is a core that answers everything with the same effect.
-type saying struct{ e controller.Effect }
+type saying struct{ e message.Effect }
 
 func (c saying) Healthy() bool { return true }
-func (c saying) Ask(context.Context, func(uint64) controller.Command) (controller.Effect, error) {
+func (c saying) Ask(context.Context, func(uint64) message.Command) (message.Effect, error) {
 	return c.e, nil
 }
 
 // TestGoldenAnswers: users and workers are answered as ever.
 func TestGoldenAnswers(t *testing.T) {
-	report := controller.HeartbeatReply{Status: 200, Epoch: 411, Commands: []model.TaskCommand{
+	report := message.HeartbeatReply{Status: 200, Epoch: 411, Commands: []model.TaskCommand{
 		{Kind: model.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
 		{Kind: model.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
 		{Kind: model.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
@@ -61,19 +61,19 @@
 		t.Fatal(err)
 	}
 	testgolden.Same(t, "report", body)
-	job := controller.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, PromisedAfter: 90_500 * time.Millisecond, PromiseRevision: 2}
+	job := message.UserReply{Status: 200, ID: "job-000412", State: "queued", Done: 5, Running: 6, PromisedAfter: 90_500 * time.Millisecond, PromiseRevision: 2}
 	for name, x := range map[string]struct {
 		method, body string
 		handle       func(*handlers, echo.Context) error
-		says         controller.Effect
+		says         message.Effect
 	}{
 		"query":   {http.MethodGet, "", (*handlers).queryJob, job},
 		"abort":   {http.MethodPost, "", (*handlers).cancelJob, job},
 		"submit":  {http.MethodPost, "run", (*handlers).submitJob, job},
-		"refused": {http.MethodPost, "run", (*handlers).submitJob, controller.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
+		"refused": {http.MethodPost, "run", (*handlers).submitJob, message.UserReply{Status: 429, ID: "job-000412", Message: "too much waits", RetryAfter: 2 * time.Second}},
 		"report":  {http.MethodPost, "report", (*handlers).heartbeat, report},
-		"steward": {http.MethodPost, "report", (*handlers).heartbeat, controller.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
-		"away":    {http.MethodPost, "report", (*handlers).heartbeat, controller.HeartbeatReply{Status: 503}},
+		"steward": {http.MethodPost, "report", (*handlers).heartbeat, message.HeartbeatReply{Status: 421, MachineOwner: "ctl-3"}},
+		"away":    {http.MethodPost, "report", (*handlers).heartbeat, message.HeartbeatReply{Status: 503}},
 		"health":  {http.MethodGet, "", (*handlers).health, nil},
 	} {
 		var body []byte
--- a/internal/api/promises.go
+++ b/internal/api/promises.go
@@ -5,7 +5,7 @@
 	"net/http"
 
 	"github.com/labstack/echo/v4"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // PromiseRoutes adds the route that shows promised dates to the operators' server.
@@ -18,10 +18,10 @@
 			}
 			ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorTimeout)
 			defer cancel()
-			effect, err := backend.Ask(ctx, func(r uint64) controller.Command {
-				return controller.QueryPromises{Reply: r, Job: ec.QueryParam("job"), Class: ec.QueryParam("class"), OnlyAtRisk: atRisk == "true"}
+			effect, err := backend.Ask(ctx, func(r uint64) message.Command {
+				return message.QueryPromises{Reply: r, Job: ec.QueryParam("job"), Class: ec.QueryParam("class"), OnlyAtRisk: atRisk == "true"}
 			})
-			reply, ok := effect.(controller.PromiseReply)
+			reply, ok := effect.(message.PromiseReply)
 			if err != nil || !ok || !reply.OK {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, "not known now: the state service does not answer")
 			}
--- a/internal/api/promises_test.go
+++ b/internal/api/promises_test.go
@@ -8,22 +8,22 @@
 	"time"
 
 	"github.com/labstack/echo/v4"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
 // fixedBackend is a core that answers everything the same.
-type fixedBackend struct{ reply controller.UserReply }
+type fixedBackend struct{ reply message.UserReply }
 
 func (c fixedBackend) Healthy() bool { return true }
-func (c fixedBackend) Ask(context.Context, func(uint64) controller.Command) (controller.Effect, error) {
+func (c fixedBackend) Ask(context.Context, func(uint64) message.Command) (message.Effect, error) {
 	return c.reply, nil
 }
 
 // TestPromisedFields: an answer has the two fields if there is a date, and neither else.
 func TestPromisedFields(t *testing.T) {
 	for rev, after := range map[int]time.Duration{0: 0, 2: 90500 * time.Millisecond} {
-		h := &handlers{backend: fixedBackend{controller.UserReply{Status: 200, ID: "job-1", State: "queued", PromisedAfter: after, PromiseRevision: rev}}}
+		h := &handlers{backend: fixedBackend{message.UserReply{Status: 200, ID: "job-1", State: "queued", PromisedAfter: after, PromiseRevision: rev}}}
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/v2/runs/job-1", nil), rec)
 		c.SetParamNames("id")
@@ -47,7 +47,7 @@
 // TestLateAnswerToUser: the core has answered, and the process stood still before that left.
 func TestLateAnswerToUser(t *testing.T) {
 	for late, status := range map[time.Duration]int{-time.Minute: http.StatusOK, time.Millisecond: http.StatusServiceUnavailable} {
-		h := &handlers{backend: fixedBackend{controller.UserReply{Status: 200, ID: "job-1", State: "queued", SendDeadline: time.Now().Add(-late)}}}
+		h := &handlers{backend: fixedBackend{message.UserReply{Status: 200, ID: "job-1", State: "queued", SendDeadline: time.Now().Add(-late)}}}
 		rec := httptest.NewRecorder()
 		c := echo.New().NewContext(httptest.NewRequest(http.MethodGet, "/v2/runs/job-1", nil), rec)
 		c.SetParamNames("id")
--- a/internal/api/ranking.go
+++ b/internal/api/ranking.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/labstack/echo/v4"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/ranking"
 )
 
@@ -18,11 +18,11 @@
 // RankingRoutes adds the routes for the order of work to the operators' server. Those for
 // reading answer from what this controller knows, also while the state service is away.
 func RankingRoutes(backend Backend) func(*echo.Echo) {
-	forward := func(ec echo.Context, newCommand func(reply uint64) controller.Command) error {
+	forward := func(ec echo.Context, newCommand func(reply uint64) message.Command) error {
 		ctx, cancel := context.WithTimeout(ec.Request().Context(), operatorTimeout)
 		defer cancel()
 		e, err := backend.Ask(ctx, newCommand)
-		r, ok := e.(controller.RankingReply)
+		r, ok := e.(message.RankingReply)
 		if err != nil || !ok {
 			return echo.NewHTTPError(http.StatusServiceUnavailable, "no answer in time")
 		}
@@ -33,18 +33,18 @@
 	}
 	return func(e *echo.Echo) {
 		e.GET("/ranking", func(ec echo.Context) error {
-			query := controller.QueryRanking{Job: ec.QueryParam("why"), History: ec.QueryParam("history") == "true"}
+			query := message.QueryRanking{Job: ec.QueryParam("why"), History: ec.QueryParam("history") == "true"}
 			if query.Job != "" && !jobIDPattern.MatchString(query.Job) {
 				return echo.NewHTTPError(http.StatusBadRequest, "why: "+strconv.Quote(query.Job)+" is no job's id: want job- and up to 64 letters, digits, hyphens and underscores")
 			}
-			return forward(ec, func(reply uint64) controller.Command { query.Reply = reply; return query })
+			return forward(ec, func(reply uint64) message.Command { query.Reply = reply; return query })
 		})
 		e.POST("/ranking", func(ec echo.Context) error {
 			b, err := readBody(ec)
 			if err != nil {
 				return err
 			}
-			set := controller.SetRanking{AnyRevision: ec.QueryParam("rev") == "", Deadline: time.Now().Add(operatorTimeout * 3 / 4)}
+			set := message.SetRanking{AnyRevision: ec.QueryParam("rev") == "", Deadline: time.Now().Add(operatorTimeout * 3 / 4)}
 			if !set.AnyRevision {
 				if set.Revision, err = strconv.ParseUint(ec.QueryParam("rev"), 10, 64); err != nil {
 					return echo.NewHTTPError(http.StatusBadRequest, "rev: "+strconv.Quote(ec.QueryParam("rev"))+": want a revision, as show gives it")
@@ -56,7 +56,7 @@
 			if set.Record.SetBy = ec.QueryParam("by"); set.Record.SetBy == "" || len(set.Record.SetBy) > ranking.MaxSetByLen {
 				return echo.NewHTTPError(http.StatusBadRequest, "by: want a name of 1 to "+strconv.Itoa(ranking.MaxSetByLen)+" bytes")
 			}
-			return forward(ec, func(reply uint64) controller.Command { set.Reply = reply; return set })
+			return forward(ec, func(reply uint64) message.Command { set.Reply = reply; return set })
 		})
 	}
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
@@ -94,8 +95,8 @@
 }
 
 // Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op controller.CloudRequest) controller.CloudResponse {
-	out := controller.CloudResponse{ID: op.ID, Status: controller.CloudRefused}
+func (c *Client) Do(ctx context.Context, op message.CloudRequest) message.CloudResponse {
+	out := message.CloudResponse{ID: op.ID, Status: message.CloudRefused}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	if c.limiter.Wait(ctx) != nil {
@@ -104,7 +105,7 @@
 	var status int
 	var err error
 	switch op.Kind {
-	case controller.CloudListTypes:
+	case message.CloudListTypes:
 		var a machineTypeList
 		status, err = c.send(ctx, http.MethodGet, "/machine_types", nil, &a)
 		for _, f := range a.Types {
@@ -114,7 +115,7 @@
 				ProvisioningTime: controller.Seconds(f.ReadyS), Zones: f.Zones,
 			})
 		}
-	case controller.CloudListMachines:
+	case message.CloudListMachines:
 		q := url.Values{"limit": {strconv.Itoa(listPage)}}
 		if op.StartAfter != "" {
 			q.Set("from", op.StartAfter)
@@ -128,22 +129,22 @@
 			})
 		}
 		out.Truncated = a.Truncated
-	case controller.CloudRent:
+	case message.CloudRent:
 		var a machineIDs
 		status, err = c.send(ctx, http.MethodPost, "/rentals", rentalRequest{op.IdempotencyKey, op.MachineType, op.Zone, op.Spot, op.Count}, &a)
 		out.Rented = a.IDs
-	case controller.CloudRelease:
+	case message.CloudRelease:
 		status, err = c.send(ctx, http.MethodPost, "/rentals/return", machineIDs{op.Machines}, nil)
 	}
 	switch {
 	case err == errNoCapacity:
-		out.Status = controller.CloudNoCapacity
+		out.Status = message.CloudNoCapacity
 	case err != nil:
-		out.Status = controller.CloudUnknown
+		out.Status = message.CloudUnknown
 	case status == http.StatusOK:
-		out.Status = controller.CloudOK
+		out.Status = message.CloudOK
 	case status == http.StatusBadRequest:
-		out.Status = controller.CloudMalformed
+		out.Status = message.CloudMalformed
 	}
 	return out
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -95,7 +96,7 @@
 			for b.Loop() {
 				r.Sequence++
 				n.effects = n.effects[:0]
-				n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+				n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 			}
 		})
 	}
--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/validate"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // cancellation_gossip.go has controllers tell each other of cancellations. The record in the state
@@ -20,22 +20,12 @@
 	cancellationBatchDelay = 50 * time.Millisecond
 	// cancellationResendInterval separates two messages of the same to a peer that has not answered.
 	cancellationResendInterval = time.Second
-	// maxCancellationsPerUpdate bounds the jobs in a message, of some hundred bytes each, and
-	// maxUnackedCancellations those that wait to be heard; what is more is left to the records.
-	maxCancellationsPerUpdate = 200
-	maxUnackedCancellations   = 2000
+	maxUnackedCancellations    = 2000
 )
 
-// Cancellation is a job's record in open/ as its cancellation has written it.
-type Cancellation struct {
-	ID          string
-	Record      []byte
-	ModRevision uint64
-}
-
 // unackedCancellation is what was told to peers that have not acknowledged it yet.
 type unackedCancellation struct {
-	cancellation Cancellation
+	cancellation message.Cancellation
 	// unackedPeers are those peers, and when it was last sent to them.
 	unackedPeers map[string]time.Time
 	expiresAt    time.Time
@@ -49,7 +39,7 @@
 }
 
 // publishCancellation tells peers of a cancellation whose record is durable.
-func publishCancellation(n *Controller, cancellation Cancellation, peers []string) {
+func publishCancellation(n *Controller, cancellation message.Cancellation, peers []string) {
 	if n.cancellations.unacked[cancellation.ID] != nil || len(n.cancellations.unacked) >= maxUnackedCancellations || len(peers) == 0 {
 		return
 	}
@@ -70,7 +60,7 @@
 
 // publishCancellations sends what is owed, and goes on as long as anything is.
 func (n *Controller) publishCancellations() {
-	byPeer := map[string][]Cancellation{}
+	byPeer := map[string][]message.Cancellation{}
 	for _, id := range sortedKeys(n.cancellations.unacked) {
 		pending := n.cancellations.unacked[id]
 		if n.now.After(pending.expiresAt) || len(pending.unackedPeers) == 0 {
@@ -78,14 +68,14 @@
 			continue
 		}
 		for p, sentAt := range pending.unackedPeers {
-			if n.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[p]) < maxCancellationsPerUpdate {
+			if n.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[p]) < message.MaxCancellationsPerUpdate {
 				pending.unackedPeers[p] = n.now
 				byPeer[p] = append(byPeer[p], pending.cancellation)
 			}
 		}
 	}
 	for _, p := range sortedKeys(byPeer) {
-		n.emit(SendPeerUpdate{To: p, Update: PeerUpdate{From: n.settings.Host, Cancellations: byPeer[p]}})
+		n.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: n.settings.Host, Cancellations: byPeer[p]}})
 	}
 	if len(n.cancellations.unacked) > 0 && !n.cancellations.resending {
 		n.cancellations.resending = true
@@ -98,7 +88,7 @@
 
 // receiveCancellations takes in cancellations that a peer tells of. One that does not fit what is
 // known of the job is passed over: the record will tell.
-func receiveCancellations(n *Controller, from string, cancellations []Cancellation) {
+func receiveCancellations(n *Controller, from string, cancellations []message.Cancellation) {
 	var acks []string
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
@@ -112,14 +102,14 @@
 			continue
 		}
 		if n.shardLeader != nil && n.shardLeader.jobs[c.ID] != nil {
-			n.observeOwnWrite(KeyValue{Key: openJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
+			n.observeOwnWrite(message.KeyValue{Key: openJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
 			continue
 		}
 		if s := n.membership.shardMap.Team(r.Team); s != nil && s.Host != n.settings.Host && s.Host != from {
 			publishCancellation(n, c, []string{s.Host})
 		}
 	}
-	n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, CancellationAcks: acks}})
+	n.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: n.settings.Host, CancellationAcks: acks}})
 }
 
 // acknowledgeCancellations notes that a peer has heard of cancellations.
@@ -130,15 +120,3 @@
 		}
 	}
 }
-
-// validateCancellations judges what a peer tells of cancellations.
-func validateCancellations(check *validate.Check, update *PeerUpdate) {
-	check.Count("cancelled", len(update.Cancellations), 0, maxCancellationsPerUpdate)
-	for _, x := range update.Cancellations {
-		check.Name("cancelled.id", x.ID, true)
-	}
-	check.Count("cancels_heard", len(update.CancellationAcks), 0, maxCancellationsPerUpdate)
-	for _, id := range update.CancellationAcks {
-		check.Name("cancels_heard.id", id, true)
-	}
-}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"time"
+
+	"github.com/micahill/micahill/internal/message"
 )
 
 const (
@@ -32,7 +34,7 @@
 	m.statusRequested, m.probed = true, n.now
 	n.shardLeader.contactsInFlight++
 	gen, was := n.shardLeader.generation, m.snapshot()
-	n.requestWorker(WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(d WorkerResponse) {
+	n.requestWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(d message.WorkerResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen {
 			return
 		}
@@ -76,7 +78,7 @@
 	m.dispatchInFlight = true
 	n.shardLeader.contactsInFlight++
 	was := m.snapshot()
-	n.requestWorker(WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: n.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(d WorkerResponse) {
+	n.requestWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: n.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(d message.WorkerResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen {
 			return
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -7,6 +7,7 @@
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/micahill/micahill/internal/boottime"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/selfmonitor"
 	"github.com/micahill/micahill/internal/sizelimit"
@@ -20,12 +21,12 @@
 	settings Settings
 	rng      *rand.Rand
 	now      time.Time
-	effects  []Effect
+	effects  []message.Effect
 	lastID   uint64
 
-	storeCallbacks  map[uint64]func(StoreResponse)
-	cloudCallbacks  map[uint64]func(CloudResponse)
-	workerCallbacks map[uint64]func(WorkerResponse)
+	storeCallbacks  map[uint64]func(message.StoreResponse)
+	cloudCallbacks  map[uint64]func(message.CloudResponse)
+	workerCallbacks map[uint64]func(message.WorkerResponse)
 	timers          []timer
 
 	membership    membership
@@ -33,19 +34,19 @@
 	shardLeader   *shardLeader
 	leader        *leader
 	machineTypes  map[string]model.MachineType
-	progressByJob map[string]Progress
+	progressByJob map[string]message.Progress
 	// accuracy of the workloads' estimates outlives a loss of the owner role.
 	estimators map[string]*estimator
-	role       Role
+	role       message.Role
 	// raising: machines are being named once more for a higher epoch.
 	bumpingEpoch bool
 	// released remembers machines whose return was asked for: neither an old
 	// list nor a late report may bring them back.
 	released map[string]bool
 	// inheritedLoads is what the owner before told of the workloads.
-	inheritedLoads map[workloadKey]WorkloadLoad
+	inheritedLoads map[workloadKey]message.WorkloadLoad
 	// predecessorMachines is what other owners last told of their machines.
-	predecessorMachines  map[string]MachineUpdate
+	predecessorMachines  map[string]message.MachineUpdate
 	predecessorsPrunedAt time.Time
 	// storeUnavailable is when each of the others last said that the state service does
 	// not answer there.
@@ -59,7 +60,7 @@
 	// reroutedPollsInFlight counts the questions under way to machines that came back.
 	reroutedPollsInFlight int
 	// reroutedHeartbeats are reports of others' machines that these are to be told of.
-	reroutedHeartbeats map[string][]ReroutedHeartbeat
+	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
 	// reachabilityRequestedAt is when a worker was last asked whether it hears this node again.
 	reachabilityRequestedAt time.Time
 	// provisioningTimes is what was learnt of how long machines of each kind take to come up.
@@ -94,12 +95,12 @@
 func New(set Settings, rng *rand.Rand) *Controller {
 	n := &Controller{
 		settings: set, rng: rng,
-		storeCallbacks:  map[uint64]func(StoreResponse){},
-		cloudCallbacks:  map[uint64]func(CloudResponse){},
-		workerCallbacks: map[uint64]func(WorkerResponse){},
-		progressByJob:   map[string]Progress{},
+		storeCallbacks:  map[uint64]func(message.StoreResponse){},
+		cloudCallbacks:  map[uint64]func(message.CloudResponse){},
+		workerCallbacks: map[uint64]func(message.WorkerResponse){},
+		progressByJob:   map[string]message.Progress{},
 		estimators:      map[string]*estimator{},
-		released:        map[string]bool{}, inheritedLoads: map[workloadKey]WorkloadLoad{}, predecessorMachines: map[string]MachineUpdate{}, storeUnavailable: map[string]time.Time{},
+		released:        map[string]bool{}, inheritedLoads: map[workloadKey]message.WorkloadLoad{}, predecessorMachines: map[string]message.MachineUpdate{}, storeUnavailable: map[string]time.Time{},
 	}
 	n.malformedTxns = map[uint64]bool{}
 	n.cancellations.unacked = map[string]*unackedCancellation{}
@@ -110,7 +111,7 @@
 }
 
 // Step takes a batch of commands at one moment and returns what is to be done.
-func (n *Controller) Step(now time.Time, cmds []Command) []Effect {
+func (n *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
 	n.now = now
 	n.effects = nil
 	n.selfMonitor.Ran(now)
@@ -129,27 +130,27 @@
 	if n.leader != nil {
 		n.leaderTick()
 	}
-	if r := (Role{Leader: n.leader != nil, ShardLeader: n.shardLeader != nil}); r != n.role {
+	if r := (message.Role{Leader: n.leader != nil, ShardLeader: n.shardLeader != nil}); r != n.role {
 		n.role = r
 		n.emit(r)
 	}
 	return n.effects
 }
 
-func (n *Controller) handleCommand(c Command) {
+func (n *Controller) handleCommand(c message.Command) {
 	switch c := c.(type) {
-	case SubmitJob:
+	case message.SubmitJob:
 		n.submitJob(c)
-	case QueryJob:
+	case message.QueryJob:
 		n.queryJob(c)
-	case CancelJob:
+	case message.CancelJob:
 		n.cancelJob(c)
-	case WorkerHeartbeat:
+	case message.WorkerHeartbeat:
 		if !handleStaleHeartbeat(n, &c) {
 			n.handleHeartbeat(c)
 		}
-	case StoreResponse:
-		if c.Status != StoreUnknown && c.Status != StoreRefused {
+	case message.StoreResponse:
+		if c.Status != message.StoreUnknown && c.Status != message.StoreRefused {
 			n.membership.storeFailingSince = time.Time{}
 		} else if n.membership.storeFailingSince.IsZero() {
 			n.membership.storeFailingSince = n.now
@@ -158,33 +159,33 @@
 			delete(n.storeCallbacks, c.ID)
 			fn(c)
 		}
-	case CloudResponse:
+	case message.CloudResponse:
 		if fn := n.cloudCallbacks[c.ID]; fn != nil {
 			delete(n.cloudCallbacks, c.ID)
 			fn(c)
 		}
-	case WorkerResponse:
+	case message.WorkerResponse:
 		if fn := n.workerCallbacks[c.ID]; fn != nil {
 			delete(n.workerCallbacks, c.ID)
 			fn(c)
 		}
-	case QueryStatus:
+	case message.QueryStatus:
 		n.replyStatus(c)
-	case LoanCommand:
+	case message.LoanCommand:
 		runLoanCommand(n, c)
-	case QueryLoans:
+	case message.QueryLoans:
 		queryLoans(n, c)
-	case RenewCommand:
+	case message.RenewCommand:
 		runRenewCommand(n, c)
-	case SetRanking:
+	case message.SetRanking:
 		setRanking(n, c)
-	case QueryRanking:
+	case message.QueryRanking:
 		queryRanking(n, c)
-	case DrainCommand:
+	case message.DrainCommand:
 		runDrainCommand(n, c)
-	case QueryPromises:
+	case message.QueryPromises:
 		queryPromises(n, c)
-	case PeerUpdate:
+	case message.PeerUpdate:
 		if bad := c.Validate(); bad != "" {
 			n.rejectInput("news", c.From, bad)
 			break
@@ -217,7 +218,7 @@
 			applyReroutedHeartbeats(n, c.Rerouted)
 		}
 		for _, h := range c.MachineUpdates {
-			h.receivedAt = n.now
+			h.ReceivedAt = n.now
 			n.predecessorMachines[h.ID] = h
 		}
 		if len(c.MachineUpdates) > 0 && n.now.Sub(n.predecessorsPrunedAt) > machineUpdateTTL {
@@ -225,7 +226,7 @@
 			// when it is used, from when the last news came.
 			n.predecessorsPrunedAt = n.now
 			for id, h := range n.predecessorMachines {
-				if n.now.Sub(h.receivedAt) > machineUpdateTTL {
+				if n.now.Sub(h.ReceivedAt) > machineUpdateTTL {
 					delete(n.predecessorMachines, id)
 				}
 			}
@@ -287,8 +288,8 @@
 	}
 }
 
-func (n *Controller) emit(e Effect) {
-	if p, ok := e.(SendPeerUpdate); ok {
+func (n *Controller) emit(e message.Effect) {
+	if p, ok := e.(message.SendPeerUpdate); ok {
 		p.Update.Incarnation = n.incarnation()
 		e = p
 	}
@@ -300,9 +301,9 @@
 // requestStore sends a request to the state service. One that passes its limits does not
 // leave: it would be refused as malformed, as often as it is sent, and count against
 // the limit of requests. It is a defect, told of as an error, and answered as such.
-func (n *Controller) requestStore(op StoreRequest, fn func(StoreResponse)) {
+func (n *Controller) requestStore(op message.StoreRequest, fn func(message.StoreResponse)) {
 	op.ID = n.nextID()
-	if op.Kind == OpTxn {
+	if op.Kind == message.OpTxn {
 		compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
 		for i, c := range op.Compares {
 			compares[i] = c.Key
@@ -312,17 +313,17 @@
 		}
 		if err := n.requestLimits(&op).CheckTxn(compares, writes); err != nil {
 			n.internalError("a request passes the state service's limits", "err", err)
-			n.after(0, func() { fn(StoreResponse{ID: op.ID, Status: StoreMalformed, SentAt: n.now}) })
+			n.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: n.now}) })
 			return
 		}
 		if len(n.malformedTxns) > 0 && n.malformedTxns[txnHash(&op)] {
 			// Called malformed before, as it is.
-			n.after(storeRetryDelay, func() { fn(StoreResponse{ID: op.ID, Status: StoreMalformed, SentAt: n.now}) })
+			n.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: n.now}) })
 			return
 		}
 		callback := fn
-		fn = func(d StoreResponse) {
-			if d.Status == StoreMalformed {
+		fn = func(d message.StoreResponse) {
+			if d.Status == message.StoreMalformed {
 				n.internalError("the state service calls a transaction malformed", "changes", len(op.Writes), "first", firstWriteKey(&op))
 				if len(n.malformedTxns) >= maxMalformedTxns {
 					clear(n.malformedTxns)
@@ -341,7 +342,7 @@
 const maxMalformedTxns = 256
 
 // txnHash tells transactions apart by what they would do.
-func txnHash(op *StoreRequest) uint64 {
+func txnHash(op *message.StoreRequest) uint64 {
 	h := xxhash.New()
 	for _, c := range op.Compares {
 		fmt.Fprint(h, c.Key, c.ModRevision, ";")
@@ -353,7 +354,7 @@
 	return h.Sum64()
 }
 
-func firstWriteKey(op *StoreRequest) string {
+func firstWriteKey(op *message.StoreRequest) string {
 	if len(op.Writes) == 0 {
 		return ""
 	}
@@ -363,24 +364,24 @@
 // internalError tells of a mistake of this program's that it goes on with.
 func (n *Controller) internalError(text string, args ...any) {
 	n.internalErrors++
-	n.emit(Log{Error: true, Message: text, Args: args})
+	n.emit(message.Log{Error: true, Message: text, Args: args})
 }
 
-func (n *Controller) requestCloud(op CloudRequest, fn func(CloudResponse)) {
+func (n *Controller) requestCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
 	op.ID = n.nextID()
 	n.cloudCallbacks[op.ID] = fn
 	n.emit(op)
 }
 
-func (n *Controller) requestWorker(op WorkerRequest, fn func(WorkerResponse)) {
+func (n *Controller) requestWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
 	op.ID = n.nextID()
 	n.workerCallbacks[op.ID] = fn
 	n.emit(op)
 }
 
-func (n *Controller) info(text string, args ...any) { n.emit(Log{Message: text, Args: args}) }
+func (n *Controller) info(text string, args ...any) { n.emit(message.Log{Message: text, Args: args}) }
 func (n *Controller) debug(text string, args ...any) {
-	n.emit(Log{Debug: true, Message: text, Args: args})
+	n.emit(message.Log{Debug: true, Message: text, Args: args})
 }
 
 // jitter spreads d by a quarter either way, so that controllers that fell
--- a/internal/controller/deadline.go
+++ b/internal/controller/deadline.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -16,23 +17,23 @@
 
 // CheckDeadline says whether an effect must not leave any more, and what its sender hears
 // instead: an answer for the core, or another answer for the worker that waits.
-func CheckDeadline(e Effect, now time.Time) (rejection Command, instead Effect, late bool) {
+func CheckDeadline(e message.Effect, now time.Time) (rejection message.Command, instead message.Effect, late bool) {
 	passed := func(t time.Time) bool { return !t.IsZero() && now.After(t) }
 	switch e := e.(type) {
-	case CloudRequest:
-		return CloudResponse{ID: e.ID, Status: CloudRefused}, nil, passed(e.SendDeadline)
-	case WorkerRequest:
-		return WorkerResponse{ID: e.ID, NotSent: true}, nil, passed(e.SendDeadline)
-	case HeartbeatReply:
+	case message.CloudRequest:
+		return message.CloudResponse{ID: e.ID, Status: message.CloudRefused}, nil, passed(e.SendDeadline)
+	case message.WorkerRequest:
+		return message.WorkerResponse{ID: e.ID, NotSent: true}, nil, passed(e.SendDeadline)
+	case message.HeartbeatReply:
 		if !passed(e.SendDeadline) && passed(e.StartsDeadline) {
 			// Its lease is prolonged all the same.
 			e.StartsDeadline = time.Time{}
 			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
 			return nil, e, true
 		}
-		return nil, HeartbeatReply{Reply: e.Reply, Status: 503}, passed(e.SendDeadline)
-	case UserReply:
-		return nil, UserReply{Reply: e.Reply, ID: e.ID, Status: 503, Message: "this took too long", RetryAfter: retryAfter}, passed(e.SendDeadline)
+		return nil, message.HeartbeatReply{Reply: e.Reply, Status: 503}, passed(e.SendDeadline)
+	case message.UserReply:
+		return nil, message.UserReply{Reply: e.Reply, ID: e.ID, Status: 503, Message: "this took too long", RetryAfter: retryAfter}, passed(e.SendDeadline)
 	}
 	return nil, nil, false
 }
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -3,6 +3,8 @@
 import (
 	"testing"
 	"time"
+
+	"github.com/micahill/micahill/internal/message"
 )
 
 // TestUserReplyDeadline: what rests on a read is told as long as it is waited for, also
@@ -10,23 +12,23 @@
 func TestUserReplyDeadline(t *testing.T) {
 	n := largePool(1)
 	for _, x := range []struct {
-		r    UserReply
+		r    message.UserReply
 		good bool
 	}{
-		{UserReply{Status: 200, State: "queued"}, false},
-		{UserReply{Status: 200, State: "running"}, false},
-		{UserReply{Status: 201, State: "queued"}, false},
-		{UserReply{Status: 404, Message: "no such job"}, false},
-		{UserReply{Status: 422, Message: "unknown owner"}, false},
-		{UserReply{Status: 200, State: "done"}, true},
-		{UserReply{Status: 200, State: "cancelled"}, true},
-		{UserReply{Status: 503, Message: "starting"}, true},
+		{message.UserReply{Status: 200, State: "queued"}, false},
+		{message.UserReply{Status: 200, State: "running"}, false},
+		{message.UserReply{Status: 201, State: "queued"}, false},
+		{message.UserReply{Status: 404, Message: "no such job"}, false},
+		{message.UserReply{Status: 422, Message: "unknown owner"}, false},
+		{message.UserReply{Status: 200, State: "done"}, true},
+		{message.UserReply{Status: 200, State: "cancelled"}, true},
+		{message.UserReply{Status: 503, Message: "starting"}, true},
 	} {
 		w := n.newUserRequest(7, "job-1")
 		requestedAt := n.now
 		n.now, n.effects = n.now.Add(time.Second), nil
 		n.answerRequest(w, x.r)
-		reply := n.effects[0].(UserReply)
+		reply := n.effects[0].(message.UserReply)
 		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
 			t.Errorf("%+v is late while it is waited for", x.r)
 		}
@@ -34,7 +36,7 @@
 		if late == x.good {
 			t.Errorf("%+v leaves late: %v", x.r, !late)
 		}
-		if r, _ := instead.(UserReply); late && (r.Status != 503 || r.RetryAfter == 0 || r.State != "" || r.Reply != 7) {
+		if r, _ := instead.(message.UserReply); late && (r.Status != 503 || r.RetryAfter == 0 || r.State != "" || r.Reply != 7) {
 			t.Errorf("%+v is answered late by %+v", x.r, r)
 		}
 	}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/sizelimit"
@@ -108,8 +109,8 @@
 
 // acceptedReply is the answer to a submission that was stored. One that names a cancelled job is
 // cancelled from the start.
-func (n *Controller) acceptedReply(s *submission) UserReply {
-	r := UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
+func (n *Controller) acceptedReply(s *submission) message.UserReply {
+	r := message.UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
 	for _, p := range s.spec.Dependencies {
 		if n.cachedJobState(p) == pipeline.Cancelled {
 			n.cacheFinalStatus(s.spec.ID, model.Cancelled)
@@ -162,7 +163,7 @@
 }
 
 // updateDependencyGraph takes in a change of open/.
-func (n *Controller) updateDependencyGraph(it KeyValue) {
+func (n *Controller) updateDependencyGraph(it message.KeyValue) {
 	id := jobIDFromKey(it.Key, openJobPrefix)
 	l, open := n.frontend.watchCache.openJobs[id]
 	if open {
@@ -257,7 +258,7 @@
 	if n.cachedJobState(id) != pipeline.Unknown || !n.hasWaitingDependents(id) {
 		return
 	}
-	n.readStatusRecord(id, func(d StoreResponse) {
+	n.readStatusRecord(id, func(d message.StoreResponse) {
 		if !n.applyFinalState(id, d) {
 			n.after(n.jitter(storeRetryDelay), func() { n.readFinalState(id) })
 		}
@@ -275,14 +276,14 @@
 // applyFinalState takes in the answer to a read of job/, and says whether there was one. A job
 // that is needed was accepted before: one that is neither open nor over shows that a
 // record is damaged. What needs it waits until somebody cancels it.
-func (n *Controller) applyFinalState(id string, d StoreResponse) bool {
+func (n *Controller) applyFinalState(id string, d message.StoreResponse) bool {
 	var r jobStatusRecord
 	switch {
 	case n.cachedJobState(id) != pipeline.Unknown:
-	case d.Status == StoreNotFound:
+	case d.Status == message.StoreNotFound:
 		n.rejectInput("record", openJobPrefix+id, "it is needed by others and was never accepted")
 		n.applyDependencyChanges(n.dependencyGraph().SetState(id, pipeline.Missing))
-	case d.Status != StoreOK || len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
+	case d.Status != message.StoreOK || len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
 		return false
 	default:
 		n.cacheFinalStatus(id, r.Status)
@@ -311,7 +312,7 @@
 func (n *Controller) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
 	left, failed := len(unread), false
 	for _, p := range unread {
-		n.readStatusRecord(p, func(d StoreResponse) {
+		n.readStatusRecord(p, func(d message.StoreResponse) {
 			failed = !n.applyFinalState(p, d) || failed
 			if left--; left > 0 {
 				return
@@ -388,19 +389,12 @@
 	return text
 }
 
-// BlockingJobStatus is a job for which jobs here wait, how many, and what is known of it.
-type BlockingJobStatus struct {
-	Job        string `json:"job"`
-	Dependents int    `json:"jobs"`
-	State      string `json:"state"`
-}
-
 // maxBlockingJobs bounds the jobs in a status that others wait for.
 const maxBlockingJobs = 10
 
 // blockingJobs counts the jobs here that wait for others, and tells for which most of them
 // do, themselves not waiting.
-func (n *Controller) blockingJobs() (waiting int, blocking []BlockingJobStatus) {
+func (n *Controller) blockingJobs() (waiting int, blocking []message.BlockingJobStatus) {
 	count := map[string]int{}
 	for id, j := range n.shardLeader.jobs {
 		if !j.dependenciesPending || j.cancelled {
@@ -414,12 +408,12 @@
 		}
 	}
 	for _, p := range sortedKeys(count) {
-		h := BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
+		h := message.BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
 		if _, open := n.frontend.watchCache.openJobs[p]; open {
 			h.State = n.replyWithStatus(p, model.Queued).State
 		}
 		blocking = append(blocking, h)
 	}
-	slices.SortStableFunc(blocking, func(a, b BlockingJobStatus) int { return cmp.Compare(b.Dependents, a.Dependents) })
+	slices.SortStableFunc(blocking, func(a, b message.BlockingJobStatus) int { return cmp.Compare(b.Dependents, a.Dependents) })
 	return waiting, blocking[:min(len(blocking), maxBlockingJobs)]
 }
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -1,8 +1,12 @@
 package controller
 
+import (
+	"github.com/micahill/micahill/internal/message"
+)
+
 // emittedEffects are the effects of one kind that the node has returned since its effects were
 // last taken away.
-func emittedEffects[E Effect](n *Controller) []E {
+func emittedEffects[E message.Effect](n *Controller) []E {
 	var out []E
 	for _, e := range n.effects {
 		if x, is := e.(E); is {
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
 )
@@ -16,30 +17,11 @@
 // is there away and has the host to spare. It is handed over like any other, by the
 // record of ownership: news only says where to look.
 
-// HostNeed is a kind of which a whole host is needed, and for what.
-type HostNeed struct {
-	MachineType string
-	Zone        string
-	Spot        bool
-	Need        model.Resources
-	// Workload and Urgency are what the ranking goes by.
-	Workload string
-	Urgency  model.Urgency
-}
-
 // neededJobSpec is the work that needs the host, as far as it is known.
-func neededJobSpec(h *HostNeed) model.JobSpec {
+func neededJobSpec(h *message.HostNeed) model.JobSpec {
 	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
 }
 
-// HostCost is how long replicas would be down for a host of a kind to be emptied.
-type HostCost struct {
-	MachineType string
-	Zone        string
-	Spot        bool
-	Downtime    time.Duration
-}
-
 const (
 	// refusedWindow is how long a kind counts as refused after the cloud last did: it
 	// is asked again now and then.
@@ -63,25 +45,25 @@
 	// refusedAt is when the cloud last refused a kind.
 	refusedAt map[machineKind]time.Time
 	// needs are this owner's.
-	needs []HostNeed
+	needs []message.HostNeed
 	// othersNeeds are others', and empty what this one is asked to empty, as of at.
-	othersNeeds, assigned []HostNeed
+	othersNeeds, assigned []message.HostNeed
 	receivedAt            time.Time
-	costs                 []HostCost
+	costs                 []message.HostCost
 	costedAt              time.Time
 }
 
-func neededKind(h *HostNeed) machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
+func neededKind(h *message.HostNeed) machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
 
 // receiveHostNeeds takes in what the leader says of others' needs.
-func receiveHostNeeds(n *Controller, othersNeeds, assigned []HostNeed) {
+func receiveHostNeeds(n *Controller, othersNeeds, assigned []message.HostNeed) {
 	if mv := migrationsOf(n); mv != nil {
 		mv.evacuation.othersNeeds, mv.evacuation.assigned, mv.evacuation.receivedAt = othersNeeds, assigned, n.now
 	}
 }
 
 // evacuationRequest is what the owner is asked to empty a host of a kind for, nil if it is not.
-func (mv *migrations) evacuationRequest(now time.Time, name string) *HostNeed {
+func (mv *migrations) evacuationRequest(now time.Time, name string) *message.HostNeed {
 	if now.Sub(mv.evacuation.receivedAt) > updateTTL {
 		return nil
 	}
@@ -137,7 +119,7 @@
 			for _, spot := range [...]bool{true, false} {
 				k := machineKind{name, z, spot}
 				if waiting.allowsMachine(name, z, spot) && waiting.zoneAllowed(z) && n.now.Sub(b.refusedAt[k]) < refusedWindow && len(b.needs) < maxHostNeeds {
-					b.needs = append(b.needs, HostNeed{MachineType: name, Zone: z, Spot: spot, Need: waiting.Need, Workload: waiting.Workload, Urgency: waiting.Urgency})
+					b.needs = append(b.needs, message.HostNeed{MachineType: name, Zone: z, Spot: spot, Need: waiting.Need, Workload: waiting.Workload, Urgency: waiting.Urgency})
 				}
 			}
 		}
@@ -188,14 +170,14 @@
 	for i := range b.othersNeeds {
 		h := &b.othersNeeds[i]
 		if mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || hasEmptyHost(n, neededKind(h)) {
-			b.costs = append(b.costs, HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: 0})
+			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: 0})
 			continue
 		}
 		if tries++; tries > maxCostedKinds {
 			break
 		}
 		if plan, ok := migration.Find(evacuationProblem(n, mv, h)); ok {
-			b.costs = append(b.costs, HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: plan.Cost})
+			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: plan.Cost})
 		}
 	}
 	return true
@@ -224,7 +206,7 @@
 }
 
 // evacuationProblem is what the planner is asked for a whole host of a kind.
-func evacuationProblem(n *Controller, mv *migrations, h *HostNeed) *migration.Problem {
+func evacuationProblem(n *Controller, mv *migrations, h *message.HostNeed) *migration.Problem {
 	k := neededKind(h)
 	other := &job{JobSpec: neededJobSpec(h)}
 	p, hosts := migrationCandidates(n, mv, other)
@@ -237,7 +219,7 @@
 }
 
 // kindNames names the kinds of needs.
-func kindNames(hs []HostNeed) []string {
+func kindNames(hs []message.HostNeed) []string {
 	var out []string
 	for i := range hs {
 		out = append(out, kindName(neededKind(&hs[i])))
@@ -247,11 +229,11 @@
 
 // assignEvacuations has the leader decide who empties a host for whom. It says what each owner
 // is told of others' needs and is asked for.
-func assignEvacuations(n *Controller) (othersNeeds, assigned map[string][]HostNeed) {
+func assignEvacuations(n *Controller) (othersNeeds, assigned map[string][]message.HostNeed) {
 	if !n.settings.Capabilities.Models {
 		return nil, nil
 	}
-	needs, costs := map[string][]HostNeed{}, map[string][]HostCost{}
+	needs, costs := map[string][]message.HostNeed{}, map[string][]message.HostCost{}
 	if o := n.shardLeader; o != nil && o.ready && o.migrations != nil {
 		needs[n.settings.Host], costs[n.settings.Host] = o.migrations.evacuation.needs, o.migrations.evacuation.costs
 	}
@@ -270,7 +252,7 @@
 			offered = append(offered, migration.EvacuationCost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Downtime: c.Downtime})
 		}
 	}
-	othersNeeds, assigned = map[string][]HostNeed{}, map[string][]HostNeed{}
+	othersNeeds, assigned = map[string][]message.HostNeed{}, map[string][]message.HostNeed{}
 	for _, host := range slices.Sorted(maps.Keys(needs)) {
 		if len(needs[host]) > 0 {
 			// Who needs a host itself has none to give.
@@ -278,7 +260,7 @@
 		}
 		for _, d := range needed {
 			for _, h := range needs[d.Owner] {
-				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(x HostNeed) bool { return neededKind(&x) == neededKind(&h) }) {
+				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(x message.HostNeed) bool { return neededKind(&x) == neededKind(&h) }) {
 					othersNeeds[host] = append(othersNeeds[host], h)
 				}
 			}
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -19,7 +20,7 @@
 }
 
 func (n *Controller) setHostNeeds(requested bool) {
-	h := []HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
+	h := []message.HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
 	if requested {
 		receiveHostNeeds(n, h, h)
 	} else {
@@ -41,10 +42,10 @@
 	}
 	n.setHostNeeds(true)
 	op := n.awaitMigrationWrite(t)
-	if slices.ContainsFunc(op.Compares, func(c Compare) bool { return strings.HasPrefix(c.Key, openJobPrefix+evacuationPrefix) }) {
+	if slices.ContainsFunc(op.Compares, func(c message.Compare) bool { return strings.HasPrefix(c.Key, openJobPrefix+evacuationPrefix) }) {
 		t.Errorf("conditions %v", op.Compares)
 	}
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	s := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
 	j := n.shardLeader.jobs[s.Job]
 	n.endAttempt(j, 0, false)
@@ -71,7 +72,7 @@
 	for _, m := range n.shardLeader.machinesByID {
 		m.lastHeard = n.now
 	}
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	for _, j := range n.shardLeader.jobs {
 		if j.tasks[0].stopReason != stopNone {
 			t.Errorf("%s is stopped for nobody", j.ID)
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/exchange"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -147,7 +148,7 @@
 }
 
 // surplusFor counts what others than an owner have to spare, by kind.
-func surplusFor(n *Controller, host string) []CapacityRequest {
+func surplusFor(n *Controller, host string) []message.CapacityRequest {
 	l := n.leader
 	byKind := map[machineKind]int{}
 	count := func(of string, ids []string) {
@@ -165,9 +166,9 @@
 			count(h, w.update.Surplus)
 		}
 	}
-	var out []CapacityRequest
+	var out []message.CapacityRequest
 	for _, k := range sortedKinds(byKind) {
-		out = append(out, CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: byKind[k]})
+		out = append(out, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: byKind[k]})
 	}
 	return out
 }
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sharding"
@@ -26,14 +27,6 @@
 	settleTime = 8 * time.Second
 )
 
-// CapacityRequest is a wish for machines of one kind.
-type CapacityRequest struct {
-	MachineType string
-	Zone        string
-	Spot        bool
-	Count       int
-}
-
 type machineKind struct {
 	machineType string
 	zone        string
@@ -42,12 +35,12 @@
 
 type receivedUpdate struct {
 	receivedAt time.Time
-	update     PeerUpdate
+	update     message.PeerUpdate
 }
 
 // receiveUpdate takes in what an owner asks. Another life of it knows nothing of what its
 // former one was told.
-func (l *leader) receiveUpdate(now time.Time, update PeerUpdate) {
+func (l *leader) receiveUpdate(now time.Time, update message.PeerUpdate) {
 	if l.updates[update.From].update.Incarnation != update.Incarnation {
 		delete(l.ackedSeq, update.From)
 		for _, r := range l.rentals {
@@ -146,8 +139,8 @@
 }
 
 func (n *Controller) loadMachineTypes() {
-	n.requestCloud(CloudRequest{Kind: CloudListTypes}, func(d CloudResponse) {
-		if d.Status == CloudOK {
+	n.requestCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
+		if d.Status == message.CloudOK {
 			n.machineTypes = map[string]model.MachineType{}
 			for _, f := range d.MachineTypes {
 				n.machineTypes[f.Name] = f
@@ -304,10 +297,10 @@
 func (n *Controller) publishRentals() {
 	l := n.leader
 	othersNeeds, empty := assignEvacuations(n)
-	updates := map[string]*PeerUpdate{}
+	updates := map[string]*message.PeerUpdate{}
 	for _, x := range n.membership.shardMap.Shards() {
 		if x.Host != n.settings.Host && slices.Contains(n.settings.Peers, x.Host) && updates[x.Host] == nil {
-			updates[x.Host] = &PeerUpdate{From: n.settings.Host, IsLeaderUpdate: true}
+			updates[x.Host] = &message.PeerUpdate{From: n.settings.Host, IsLeaderUpdate: true}
 		}
 	}
 	if len(updates) == 0 {
@@ -338,13 +331,13 @@
 			continue
 		}
 		if r.publishedSeq > l.ackedSeq[host] || i%publishTurns == l.publishTurn {
-			m.RentalUpdates = append(m.RentalUpdates, RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: n.now.Sub(r.rentedAt)})
+			m.RentalUpdates = append(m.RentalUpdates, message.RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: n.now.Sub(r.rentedAt)})
 		}
 	}
-	var blocked []CapacityRequest
+	var blocked []message.CapacityRequest
 	for _, k := range sortedKinds(l.blockedUntil) {
 		if l.blockedUntil[k].After(n.now) {
-			blocked = append(blocked, CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: 1})
+			blocked = append(blocked, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: 1})
 		}
 	}
 	request, hasRequest := l.sharding.planner.PendingMove()
@@ -355,14 +348,14 @@
 		if hasRequest && request.From == host {
 			m.TeamRelease = []sharding.MoveRequest{request}
 		}
-		n.emit(SendPeerUpdate{To: host, Update: *m})
+		n.emit(message.SendPeerUpdate{To: host, Update: *m})
 	}
 }
 
 // receiveLeaderUpdate takes in what the leader tells of this owner's machines. Its word
 // that a return was answered, or that the cloud calls a machine failed, is the
 // proof that the machine is gone.
-func (n *Controller) receiveLeaderUpdate(update PeerUpdate) {
+func (n *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
 	o := n.shardLeader
 	v := &fleetView{rentals: map[string]*rental{}}
 	switch old := o.fleetView; {
@@ -465,12 +458,12 @@
 	l := n.leader
 	gen := l.gen
 	l.listInFlight = true
-	n.requestCloud(CloudRequest{Kind: CloudListMachines, StartAfter: from}, func(d CloudResponse) {
+	n.requestCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(d message.CloudResponse) {
 		l := n.leader
 		if l == nil || l.gen != gen {
 			return
 		}
-		if d.Status != CloudOK {
+		if d.Status != message.CloudOK {
 			l.listInFlight = false
 			l.lastListAt = n.now
 			return
@@ -642,11 +635,11 @@
 		}
 	}
 	gen := l.gen
-	n.requestCloud(CloudRequest{Kind: CloudRelease, SendDeadline: n.membership.leaseValidUntil, Machines: ids}, func(d CloudResponse) {
+	n.requestCloud(message.CloudRequest{Kind: message.CloudRelease, SendDeadline: n.membership.leaseValidUntil, Machines: ids}, func(d message.CloudResponse) {
 		if n.leader == nil || n.leader.gen != gen {
 			return
 		}
-		if d.Status != CloudOK {
+		if d.Status != message.CloudOK {
 			// Executed or not, they get no more work; ask until it is sure.
 			n.after(n.jitter(time.Second), func() {
 				if n.leader != nil && n.leader.gen == gen {
@@ -711,13 +704,13 @@
 		l.pendingRentals[a] += count
 	}
 	gen := l.gen
-	n.requestCloud(CloudRequest{Kind: CloudRent, SendDeadline: n.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(d CloudResponse) {
+	n.requestCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: n.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(d message.CloudResponse) {
 		l := n.leader
 		if l == nil || l.gen != gen {
 			return
 		}
 		switch d.Status {
-		case CloudOK:
+		case message.CloudOK:
 			n.booked(a, booking, count)
 			for _, id := range d.Rented {
 				r := &rental{id: id, machineKind: k, rentedAt: n.now, status: "booting"}
@@ -733,10 +726,10 @@
 				l.blockedUntil[k] = n.now.Add(n.jitter(refusedBackoff))
 			}
 			planShards(n)
-		case CloudNoCapacity:
+		case message.CloudNoCapacity:
 			n.booked(a, booking, count)
 			l.blockedUntil[k] = n.now.Add(n.jitter(refusedBackoff))
-		case CloudMalformed:
+		case message.CloudMalformed:
 			n.booked(a, booking, count)
 			l.blockedUntil[k] = n.now.Add(time.Minute)
 			n.info("the cloud calls a booking malformed", "flavour", k.machineType)
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -113,11 +114,11 @@
 	if n.Healthy(n.now) {
 		t.Error("healthy though it hears of nobody")
 	}
-	n.handleCommand(PeerUpdate{From: "b", StoreUnavailable: true})
+	n.handleCommand(message.PeerUpdate{From: "b", StoreUnavailable: true})
 	if n.Healthy(n.now) {
 		t.Error("healthy though one other may have the state service")
 	}
-	n.handleCommand(PeerUpdate{From: "c", StoreUnavailable: true})
+	n.handleCommand(message.PeerUpdate{From: "c", StoreUnavailable: true})
 	if !n.Healthy(n.now) {
 		t.Error("unhealthy in an outage for all")
 	}
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -8,6 +8,7 @@
 	"strconv"
 	"strings"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -82,7 +83,7 @@
 }
 
 // applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
-func applyFormatRecord(n *Controller, it KeyValue) {
+func applyFormatRecord(n *Controller, it message.KeyValue) {
 	var r formatRecord
 	switch {
 	case it.Deleted:
@@ -120,24 +121,24 @@
 	if s.writingFormat || !s.loaded || s.leaseID == 0 || target >= n.segmentFormat().tasksPerSegment {
 		return
 	}
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
 	rec := encode(formatRecord{TasksPerSegment: target})
 	switch {
 	case !s.formatSupport[n.settings.Host]:
 		key := formatSupportPrefix + n.settings.Host
-		op.Compares = []Compare{{Key: key, ModRevision: 0}}
-		op.Writes = []Write{{Key: key, Value: rec}}
+		op.Compares = []message.Compare{{Key: key, ModRevision: 0}}
+		op.Writes = []message.Write{{Key: key, Value: rec}}
 	case s.limitsLowered && n.shardLeader != nil:
-		op.Compares = append(n.shardCompares(""), Compare{Key: formatKey, ModRevision: s.formatModRevision})
-		op.Writes = []Write{{Key: formatKey, Value: rec}}
+		op.Compares = append(n.shardCompares(""), message.Compare{Key: formatKey, ModRevision: s.formatModRevision})
+		op.Writes = []message.Write{{Key: formatKey, Value: rec}}
 	case n.leader != nil && allSupportSizedSegments(n):
-		op.Compares = []Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: formatKey, ModRevision: s.formatModRevision}}
-		op.Writes = []Write{{Key: formatKey, Value: rec}}
+		op.Compares = []message.Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: formatKey, ModRevision: s.formatModRevision}}
+		op.Writes = []message.Write{{Key: formatKey, Value: rec}}
 	default:
 		return
 	}
 	s.writingFormat = true
-	n.requestStore(op, func(StoreResponse) {
+	n.requestStore(op, func(message.StoreResponse) {
 		// The watch brings it, whoever wrote it.
 		n.after(n.jitter(storeRetryDelay), func() {
 			s.writingFormat = false
@@ -160,8 +161,8 @@
 		return
 	}
 	s.probingLimits = true
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Writes: []Write{{Key: limitProbeKey, Value: text}}}, func(d StoreResponse) {
-		s.limitsLowered = d.Status == StoreMalformed
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: limitProbeKey, Value: text}}}, func(d message.StoreResponse) {
+		s.limitsLowered = d.Status == message.StoreMalformed
 		n.after(malformedRetryDelay, func() { s.probingLimits = false })
 		advanceFormat(n)
 	})
@@ -220,10 +221,10 @@
 
 // neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
 // whatever form it may be by the time that they are judged.
-func (n *Controller) neverStartedCompares(id string) []Compare {
-	var out []Compare
+func (n *Controller) neverStartedCompares(id string) []message.Compare {
+	var out []message.Compare
 	for _, f := range [...]segmentFormat{n.settings.unsizedFormat(), n.segmentFormat(), {maxTasksPerSegment(n.settings.MaxValueBytes), true}} {
-		c := Compare{Key: f.keyOf(id, 0), ModRevision: 0}
+		c := message.Compare{Key: f.keyOf(id, 0), ModRevision: 0}
 		if f.sized && !n.segmentFormat().sized && f.tasksPerSegment >= n.segmentFormat().tasksPerSegment {
 			// It never comes to that.
 			continue
@@ -236,8 +237,8 @@
 }
 
 // compareFormats orders records of tasks: those that count before others come first.
-func (n *Controller) compareFormats(a, b KeyValue) int {
-	rank := func(it KeyValue) int {
+func (n *Controller) compareFormats(a, b message.KeyValue) int {
+	rank := func(it message.KeyValue) int {
 		if f, _, ok := n.parseSegmentKey(it.Key); ok && f.sized {
 			return f.tasksPerSegment
 		}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -91,10 +92,10 @@
 
 // recoverTestJob restores the job as a successor does.
 func recoverTestJob(n *Controller, rows map[string][]byte) *job {
-	var its []KeyValue
+	var its []message.KeyValue
 	for _, key := range sortedKeys(rows) {
 		if strings.HasPrefix(key, taskSegmentPrefix+formatTestJob+"/") {
-			its = append(its, KeyValue{Key: key, Value: rows[key], ModRevision: 7})
+			its = append(its, message.KeyValue{Key: key, Value: rows[key], ModRevision: 7})
 		}
 	}
 	for _, it := range its {
@@ -165,7 +166,7 @@
 func writeSegment(t *testing.T, n *Controller, j *job, c *taskSegment, rows map[string][]byte) (string, []byte) {
 	t.Helper()
 	key, value := j.segmentKey(c), encode(j.segmentRecord(c))
-	op := StoreRequest{Kind: OpTxn, Writes: []Write{{Key: key, Value: value}}}
+	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}
 	if err := n.requestLimits(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatal(err)
 	}
@@ -283,13 +284,13 @@
 }
 
 // formatWrites runs what a controller does about forms and returns its writes.
-func formatWrites(n *Controller) []StoreRequest {
+func formatWrites(n *Controller) []message.StoreRequest {
 	n.effects, n.membership.writingFormat = nil, false
 	n.membership.loaded, n.membership.leaseID = true, 1
 	advanceFormat(n)
-	var out []StoreRequest
+	var out []message.StoreRequest
 	for _, e := range n.effects {
-		if op, ok := e.(StoreRequest); ok {
+		if op, ok := e.(message.StoreRequest); ok {
 			out = append(out, op)
 		}
 	}
@@ -302,29 +303,29 @@
 func TestFormatNeedsAllControllers(t *testing.T) {
 	n := newFormatTestController()
 	n.settings.Peers = []string{"b", "c"}
-	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != formatSupportPrefix+"a" || ops[0].Compares[0] != (Compare{Key: formatSupportPrefix + "a", ModRevision: 0}) {
+	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != formatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: formatSupportPrefix + "a", ModRevision: 0}) {
 		t.Fatalf("the first write is %+v", ops)
 	}
-	applyFormatRecord(n, KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
-	applyFormatRecord(n, KeyValue{Key: formatSupportPrefix + "b", ModRevision: 4})
+	applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
+	applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "b", ModRevision: 4})
 	n.leader = &leader{modRevision: 9}
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written while c may come back: %+v", ops)
 	}
-	applyFormatRecord(n, KeyValue{Key: formatSupportPrefix + "c", ModRevision: 5})
+	applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "c", ModRevision: 5})
 	n.leader = nil
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written by none that leads: %+v", ops)
 	}
 	n.leader = &leader{modRevision: 9}
 	ops := formatWrites(n)
-	if len(ops) != 1 || ops[0].Writes[0].Key != formatKey || !slices.Contains(ops[0].Compares, Compare{Key: leaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, Compare{Key: formatKey, ModRevision: 0}) {
+	if len(ops) != 1 || ops[0].Writes[0].Key != formatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: leaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: formatKey, ModRevision: 0}) {
 		t.Fatalf("%+v", ops)
 	}
 	if n.segmentFormat().sized {
 		t.Fatal("parts count before they were read to")
 	}
-	applyFormatRecord(n, KeyValue{Key: formatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
+	applyFormatRecord(n, message.KeyValue{Key: formatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
 	if f := n.segmentFormat(); f != (segmentFormat{maxTasksPerSegment(2048), true}) {
 		t.Fatalf("the form is %+v", f)
 	}
@@ -348,7 +349,7 @@
 	adoptFormat(n, segmentFormat{maxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
 	for _, key := range []string{before, after} {
-		if !slices.Contains(conds, Compare{Key: key, ModRevision: 0}) {
+		if !slices.Contains(conds, message.Compare{Key: key, ModRevision: 0}) {
 			t.Errorf("%v do not name %s", conds, key)
 		}
 	}
@@ -383,26 +384,26 @@
 // a text between them does: only that has the form change without all having said that
 // they know parts, and by a write that names the owner's share.
 func TestValueLimitIsProbed(t *testing.T) {
-	for _, status := range []StoreStatus{StoreOK, StoreUnknown, StoreMalformed} {
+	for _, status := range []message.StoreStatus{message.StoreOK, message.StoreUnknown, message.StoreMalformed} {
 		n := newFormatTestController()
 		n.settings.Peers = []string{"b"}
-		applyFormatRecord(n, KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
+		applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
 		n.membership.loaded, n.membership.leaseID = true, 1
 		j := recoverTestJob(n, productionRecords(t))
 		n.effects = nil
 		n.deferMalformedSegment(j, j.segments[0], 1)
-		var probe StoreRequest
+		var probe message.StoreRequest
 		for _, e := range n.effects {
-			if op, ok := e.(StoreRequest); ok && op.Writes[0].Key == limitProbeKey {
+			if op, ok := e.(message.StoreRequest); ok && op.Writes[0].Key == limitProbeKey {
 				probe = op
 			}
 		}
 		if size, err := sizelimit.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
 			t.Fatalf("the probe has %d bytes, %v", size, err)
 		}
-		n.storeCallbacks[probe.ID](StoreResponse{ID: probe.ID, Status: status})
+		n.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
 		ops := formatWrites(n)
-		if changed := len(ops) > 0 && ops[0].Writes[0].Key == formatKey; changed != (status == StoreMalformed) {
+		if changed := len(ops) > 0 && ops[0].Writes[0].Key == formatKey; changed != (status == message.StoreMalformed) {
 			t.Errorf("answered %v: %+v", status, ops)
 		} else if changed && ops[0].Compares[0] != n.shardCompares("")[0] {
 			t.Errorf("it does not name the share: %+v", ops[0].Compares)
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/readbatch"
@@ -38,7 +39,7 @@
 	inFlight      int
 	// statusWaiters are who waits for a read of a job's record, and lookups which reads that
 	// takes.
-	statusWaiters      map[string][]func(StoreResponse)
+	statusWaiters      map[string][]func(message.StoreResponse)
 	readBatches        readbatch.Batcher
 	batchTurnScheduled bool
 	waitingRequests    int
@@ -103,7 +104,7 @@
 
 func (u *frontend) init() {
 	u.finalStatuses, u.acceptedAt = map[string]model.JobStatus{}, map[string]time.Time{}
-	u.statusWaiters = map[string][]func(StoreResponse){}
+	u.statusWaiters = map[string][]func(message.StoreResponse){}
 }
 
 func (n *Controller) newUserRequest(reply uint64, id string) *userRequest {
@@ -130,7 +131,7 @@
 	}
 }
 
-func (n *Controller) answerRequest(request *userRequest, r UserReply) {
+func (n *Controller) answerRequest(request *userRequest, r message.UserReply) {
 	if request.answered {
 		return
 	}
@@ -156,7 +157,7 @@
 }
 
 func (n *Controller) refuseRequest(request *userRequest, reason string) {
-	n.answerRequest(request, UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
+	n.answerRequest(request, message.UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
 }
 
 // refuseIfUnavailable refuses at once while nothing can be read or stored.
@@ -164,19 +165,19 @@
 func (n *Controller) refuseIfUnavailable(reply uint64, id string, s *model.JobSpec) bool {
 	switch {
 	case !n.membership.ready:
-		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
+		n.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
 	case n.storeDown(n.now):
-		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: n.spread(retryAfterOutage)})
+		n.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: n.spread(retryAfterOutage)})
 	case n.frontend.waitingRequests >= maxWaitingRequests || s != nil && overloadRefuses(n, s):
-		n.emit(UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: n.spread(retryAfterOutage)})
+		n.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: n.spread(retryAfterOutage)})
 	default:
 		return false
 	}
 	return true
 }
 
-func (n *Controller) replyWithStatus(id string, s model.JobStatus) UserReply {
-	r := UserReply{Status: 200, ID: id, State: string(s)}
+func (n *Controller) replyWithStatus(id string, s model.JobStatus) message.UserReply {
+	r := message.UserReply{Status: 200, ID: id, State: string(s)}
 	if !s.IsFinal() {
 		p := n.progressOf(id)
 		r.Done, r.Running = p.Done, p.Running
@@ -190,7 +191,7 @@
 }
 
 // progressOf is a job's count of tasks as far as this node knows; for display.
-func (n *Controller) progressOf(id string) Progress {
+func (n *Controller) progressOf(id string) message.Progress {
 	if n.shardLeader != nil {
 		if j := n.shardLeader.jobs[id]; j != nil {
 			return j.progress()
@@ -199,7 +200,7 @@
 	return n.progressByJob[id]
 }
 
-func (n *Controller) submitJob(c SubmitJob) {
+func (n *Controller) submitJob(c message.SubmitJob) {
 	id := c.Spec.ID
 	if s, ok := n.frontend.finalStatuses[id]; ok {
 		n.emit(withReply(n.replyWithStatus(id, s), c.Reply))
@@ -233,7 +234,7 @@
 	})
 }
 
-func withReply(r UserReply, reply uint64) UserReply {
+func withReply(r message.UserReply, reply uint64) message.UserReply {
 	r.Reply = reply
 	return r
 }
@@ -331,7 +332,7 @@
 		case f.accepted:
 			n.answerRequest(request, n.replyFor(request.id, f))
 		default:
-			r := UserReply{Status: status, Message: reason}
+			r := message.UserReply{Status: status, Message: reason}
 			if status == 503 {
 				r.RetryAfter = retryAfter
 			}
@@ -341,7 +342,7 @@
 }
 
 // replyFor is the answer for a record just read.
-func (n *Controller) replyFor(id string, f jobLookup) UserReply {
+func (n *Controller) replyFor(id string, f jobLookup) message.UserReply {
 	r := f.rec
 	if r.Status.IsFinal() {
 		n.cacheFinalStatus(id, r.Status)
@@ -364,7 +365,7 @@
 
 // readStatusRecord gets job/<id> with a read begun after this call. Many that wait together share
 // few reads; see internal/readbatch.
-func (n *Controller) readStatusRecord(id string, fn func(StoreResponse)) {
+func (n *Controller) readStatusRecord(id string, fn func(message.StoreResponse)) {
 	u := &n.frontend
 	u.statusWaiters[id] = append(u.statusWaiters[id], fn)
 	u.readBatches.Request(id)
@@ -388,23 +389,23 @@
 			})
 		}
 		// It answers those that asked before it began.
-		waiters := map[string][]func(StoreResponse){}
+		waiters := map[string][]func(message.StoreResponse){}
 		for _, id := range r.Requested() {
 			waiters[id] = u.statusWaiters[id]
 			delete(u.statusWaiters, id)
 		}
-		op := StoreRequest{Kind: OpGet, Priority: PriorityUser, Key: jobStatusPrefix + r.ID}
+		op := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: jobStatusPrefix + r.ID}
 		if r.IsList {
-			op.Kind, op.Key, op.StartAfter = OpList, jobStatusPrefix, jobStatusPrefix+r.After
+			op.Kind, op.Key, op.StartAfter = message.OpList, jobStatusPrefix, jobStatusPrefix+r.After
 		}
-		n.requestStore(op, func(d StoreResponse) { n.handleReadBatch(r, d, waiters) })
+		n.requestStore(op, func(d message.StoreResponse) { n.handleReadBatch(r, d, waiters) })
 	}
 }
 
 // handleReadBatch answers what a read was for.
-func (n *Controller) handleReadBatch(r readbatch.Read, d StoreResponse, waiters map[string][]func(StoreResponse)) {
+func (n *Controller) handleReadBatch(r readbatch.Read, d message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
 	u := &n.frontend
-	ok, last, found := d.Status == StoreOK, "", map[string]KeyValue{}
+	ok, last, found := d.Status == message.StoreOK, "", map[string]message.KeyValue{}
 	for _, it := range d.KeyValues {
 		last = strings.TrimPrefix(it.Key, jobStatusPrefix)
 		found[last] = it
@@ -425,9 +426,9 @@
 	for _, id := range settled {
 		one := d
 		if it, there := found[id]; r.IsList && ok && there {
-			one.KeyValues = []KeyValue{it}
+			one.KeyValues = []message.KeyValue{it}
 		} else if r.IsList && ok {
-			one.Status, one.KeyValues = StoreNotFound, nil
+			one.Status, one.KeyValues = message.StoreNotFound, nil
 		}
 		for _, fn := range waiters[id] {
 			fn(one)
@@ -436,7 +437,7 @@
 	n.sendReadBatches()
 }
 
-func (n *Controller) queryJob(c QueryJob) {
+func (n *Controller) queryJob(c message.QueryJob) {
 	if s, ok := n.frontend.finalStatuses[c.ID]; ok {
 		n.emit(withReply(n.replyWithStatus(c.ID, s), c.Reply))
 		return
@@ -485,24 +486,24 @@
 const submitOverheadBytes = 512
 
 func (n *Controller) storeSubmissions(batch []*submission) {
-	var op StoreRequest
-	op.Kind, op.Priority = OpTxn, PriorityUser
+	var op message.StoreRequest
+	op.Kind, op.Priority = message.OpTxn, message.PriorityUser
 	for _, s := range batch {
 		id := s.spec.ID
 		// Neither over nor open: never accepted before. One change is enough;
 		// job/ is written when the job is over.
-		op.Compares = append(op.Compares, Compare{Key: jobStatusPrefix + id, ModRevision: 0}, Compare{Key: openJobPrefix + id, ModRevision: 0})
-		op.Writes = append(op.Writes, Write{Key: openJobPrefix + id, Value: encode(s.openRecord())})
+		op.Compares = append(op.Compares, message.Compare{Key: jobStatusPrefix + id, ModRevision: 0}, message.Compare{Key: openJobPrefix + id, ModRevision: 0})
+		op.Writes = append(op.Writes, message.Write{Key: openJobPrefix + id, Value: encode(s.openRecord())})
 	}
-	n.requestStore(op, func(d StoreResponse) {
+	n.requestStore(op, func(d message.StoreResponse) {
 		n.frontend.inFlight--
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			for _, s := range batch {
 				n.answerRequest(s.request, n.acceptedReply(s))
-				n.observeOwnWrite(KeyValue{Key: openJobPrefix + s.spec.ID, Value: encode(s.openRecord()), ModRevision: d.Revision})
+				n.observeOwnWrite(message.KeyValue{Key: openJobPrefix + s.spec.ID, Value: encode(s.openRecord()), ModRevision: d.Revision})
 			}
-		case StoreConflict:
+		case message.StoreConflict:
 			var again []*submission
 			for _, s := range batch {
 				if slices.Contains(d.FailedKeys, jobStatusPrefix+s.spec.ID) || slices.Contains(d.FailedKeys, openJobPrefix+s.spec.ID) {
@@ -512,7 +513,7 @@
 				}
 			}
 			n.frontend.submitQueue = append(again, n.frontend.submitQueue...)
-		case StoreMalformed:
+		case message.StoreMalformed:
 			if len(batch) == 1 {
 				s := batch[0]
 				n.answerFromRecord(s.request, 400, fmt.Sprintf("job %s cannot be stored", s.spec.ID))
@@ -531,7 +532,7 @@
 	})
 }
 
-func (n *Controller) cancelJob(c CancelJob) {
+func (n *Controller) cancelJob(c message.CancelJob) {
 	if s, ok := n.frontend.finalStatuses[c.ID]; ok {
 		n.emit(withReply(n.replyWithStatus(c.ID, s), c.Reply))
 		return
@@ -549,7 +550,7 @@
 			n.refuseRequest(request, "the state service does not answer")
 			return
 		case !f.accepted:
-			n.answerRequest(request, UserReply{Status: 404, Message: "no such job"})
+			n.answerRequest(request, message.UserReply{Status: 404, Message: "no such job"})
 			return
 		case f.rec.Status.IsFinal() || f.modRevision == 0:
 			n.answerRequest(request, n.replyFor(request.id, f))
@@ -568,18 +569,18 @@
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		open := encode(rec)
 		// Both records change together: the stamp of open/ guards starts.
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: openJobPrefix + id, ModRevision: f.modRevision}},
-			Writes: []Write{
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: openJobPrefix + id, ModRevision: f.modRevision}},
+			Writes: []message.Write{
 				{Key: jobStatusPrefix + id, Value: encode(endRecordFromCache(n, id, model.Cancelled, &openJob{f.modRevision, f.open}))},
 				{Key: openJobPrefix + id, Value: open},
-			}}, func(d StoreResponse) {
+			}}, func(d message.StoreResponse) {
 			switch d.Status {
-			case StoreOK:
+			case message.StoreOK:
 				n.cacheFinalStatus(id, model.Cancelled)
-				n.observeOwnWrite(KeyValue{Key: openJobPrefix + id, Value: open, ModRevision: d.Revision})
-				publishCancellation(n, Cancellation{ID: id, Record: open, ModRevision: d.Revision}, n.settings.Peers)
+				n.observeOwnWrite(message.KeyValue{Key: openJobPrefix + id, Value: open, ModRevision: d.Revision})
+				publishCancellation(n, message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, n.settings.Peers)
 				n.answerRequest(request, n.replyWithStatus(id, model.Cancelled))
-			case StoreConflict:
+			case message.StoreConflict:
 				// Done or cancelled in between: look again.
 				n.cancelOpenJob(request)
 			default:
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 )
@@ -19,7 +20,7 @@
 	f.Fuzz(func(t *testing.T, open, chunk []byte) {
 		n := largePool(2)
 		n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
-		n.applyOpenJob(KeyValue{Key: openJobPrefix + spec.ID, Value: open, ModRevision: 5})
+		n.applyOpenJob(message.KeyValue{Key: openJobPrefix + spec.ID, Value: open, ModRevision: 5})
 		j := n.shardLeader.jobs[spec.ID]
 		if j == nil {
 			j = n.addJob(spec, n.now, 5)
@@ -28,7 +29,7 @@
 		if !decode(chunk, &r) {
 			return
 		}
-		n.recoverSegment(j, KeyValue{Key: taskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
+		n.recoverSegment(j, message.KeyValue{Key: taskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
 		n.queueRecovered(j)
 		done := 0
 		for i := range j.tasks {
@@ -56,7 +57,7 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		n := twoControllers(t)
 		n.settings.Capabilities.Ranking = true
-		n.applyControlUpdates(StoreResponse{Status: StoreOK, Revision: 99, KeyValues: []KeyValue{{Key: controlPrefix + key, Value: value, ModRevision: 98}}})
+		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: controlPrefix + key, Value: value, ModRevision: 98}}})
 		n.syncShardLeader()
 	})
 }
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/reachability"
 )
@@ -29,7 +30,7 @@
 }
 
 // handleUnprovenHeartbeat deals with reports that prove nothing, and says whether this is one.
-func handleUnprovenHeartbeat(n *Controller, m *machine, c *WorkerHeartbeat) bool {
+func handleUnprovenHeartbeat(n *Controller, m *machine, c *message.WorkerHeartbeat) bool {
 	r := &c.Heartbeat
 	switch {
 	case m.heard && m.supersedes(r):
@@ -38,7 +39,7 @@
 		// ordered nothing. Perhaps the worker has begun anew: its own answer would tell.
 		n.contact(m)
 		if n.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
-			n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
+			n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 			break
 		}
 		renewWithoutCommands(n, m, c)
@@ -53,7 +54,7 @@
 			n.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
 		}
 		if m.unansweredProbes >= unresponsiveProbes && m.unheardHeartbeats >= maxUnprovenReplies {
-			n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
+			n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		} else {
 			m.unheardHeartbeats++
 			renewWithoutCommands(n, m, c)
@@ -159,7 +160,7 @@
 	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
 		n.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
 		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
-		m.restartEpoch, m.rerouted = m.epoch, ReroutedHeartbeat{}
+		m.restartEpoch, m.rerouted = m.epoch, message.ReroutedHeartbeat{}
 		m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(later(n.now, m.formerOwnerUntil)))
 		if m.replySequence != 0 {
 			m.replySequence = r.Sequence
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -23,10 +24,10 @@
 // ask takes what the node has just asked a machine, and answers it or not.
 func (n *Controller) answerPoll(t *testing.T, m *machine, r *model.Heartbeat) {
 	t.Helper()
-	for _, op := range emittedEffects[WorkerRequest](n) {
+	for _, op := range emittedEffects[message.WorkerRequest](n) {
 		if op.Machine == m.id {
 			n.effects = nil
-			n.handleCommand(WorkerResponse{ID: op.ID, OK: true, Heartbeat: r})
+			n.handleCommand(message.WorkerResponse{ID: op.ID, OK: true, Heartbeat: r})
 			return
 		}
 	}
@@ -72,7 +73,7 @@
 		r := n.poolHeartbeat(0)
 		r.Incarnation, r.Sequence, r.Epoch, r.Tasks = tenure, tick, m.epoch, tasks
 		n.now = n.now.Add(3 * time.Second)
-		n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	}
 	sendHeartbeat(2, m.sequence+1)
 	if j.liveTasks != 0 || n.usable(m) {
@@ -99,11 +100,11 @@
 	old.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	n.now = n.now.Add(time.Hour)
 	n.effects = nil
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *old})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *old})
 	if m.lastHeard != heard || m.sequence != tick || m.reclaimNoticed || j.doneTasks != 0 || m.leaseEnd != end {
 		t.Error("a copy counts")
 	}
-	for _, r := range emittedEffects[HeartbeatReply](n) {
+	for _, r := range emittedEffects[message.HeartbeatReply](n) {
 		if r.Status != 503 {
 			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
 		}
@@ -111,8 +112,8 @@
 	// One that was overtaken is waited for, and its answer counts.
 	n.now, n.effects = m.newestMessageAt.Add(time.Second), nil
 	m.leaseEnd = n.now
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *old})
-	for _, r := range emittedEffects[HeartbeatReply](n) {
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *old})
+	for _, r := range emittedEffects[message.HeartbeatReply](n) {
 		if r.Status != 200 || len(r.Commands) > 0 {
 			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
 		}
@@ -124,7 +125,7 @@
 	n = largePool(1)
 	earlyHeartbeat := model.Heartbeat{Machine: "vm-000900", Addr: "x", MachineType: "box", Zone: "z", Incarnation: 1, Sequence: 70, Epoch: 0, ReclaimIn: time.Second}
 	earlyHeartbeat.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	m = n.shardLeader.machines[earlyHeartbeat.Machine]
 	if m.heard || m.reclaimNoticed || n.usable(m) || len(m.taskReports) > 0 {
 		t.Fatal("the first report of all, of an epoch of before, counts")
@@ -134,17 +135,17 @@
 		// Its address does not answer, and more copies come.
 		n.now, n.effects = n.now.Add(4*time.Second), nil
 		earlyHeartbeat.Sequence++
-		n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 		n.answerPoll(t, m, nil)
 	}
 	end = m.leaseEnd
 	n.now = n.now.Add(4 * time.Second)
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	if m.leaseEnd != end {
 		t.Error("copies put the end of its lease off")
 	}
 	earlyHeartbeat.Sequence, earlyHeartbeat.Epoch = earlyHeartbeat.Sequence+1, m.epoch
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	if !m.heard || !m.reclaimNoticed {
 		t.Error("a report with this owner's epoch does not count")
 	}
@@ -158,15 +159,15 @@
 	m, j := machineWithTask(n)
 	first := n.poolHeartbeat(0)
 	first.Sequence, first.Epoch = 1, 0
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *first})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *first})
 	if m.restartEpoch != 0 || m.sequence == 1 {
 		t.Fatal("a copy of its first report is taken for a new beginning")
 	}
 	n.effects, m.statusRequested, m.probed = nil, false, time.Time{}
-	m.rerouted = ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
+	m.rerouted = message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
 	n.contact(m)
 	n.answerPoll(t, m, first)
-	if m.rerouted != (ReroutedHeartbeat{}) {
+	if m.rerouted != (message.ReroutedHeartbeat{}) {
 		t.Error("what it told others before is held against its reports")
 	}
 	if m.restartEpoch != m.epoch || j.liveTasks != 1 {
@@ -178,7 +179,7 @@
 	// A report of before comes late, with a higher tick and without the task.
 	late := n.poolHeartbeat(0)
 	late.Sequence, late.Epoch = 900, m.epoch
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.sequence == 900 || j.liveTasks != 1 {
 		t.Error("a report of before counts")
 	}
@@ -187,13 +188,13 @@
 	n.syncShardLeader()
 	late.Sequence, late.Epoch = 5, 9
 	late.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}}
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.epoch != 9 || m.sequence != 5 {
 		t.Error("a report under the higher epoch does not count")
 	}
 	// A copy of before has a higher tenure, and an epoch that the worker left behind.
 	late.Incarnation, late.Sequence, late.Epoch, late.Tasks = 7, 1, 8, nil
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *late})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.incarnation == 7 || j.liveTasks != 1 {
 		t.Error("a copy of an earlier owner's time is proof of a lease that ran out")
 	}
@@ -206,7 +207,7 @@
 	n.frontend.watchCache.revision = 20
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}
 	n.shardLeader.teams["ops"] = &heldTeam{ready: true}
-	put := KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, n.now)), ModRevision: 21}
+	put := message.KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, n.now)), ModRevision: 21}
 	n.observeOwnWrite(put)
 	if n.shardLeader.jobs[spec.ID] == nil {
 		t.Fatal("a job that was just accepted is not taken up")
@@ -230,8 +231,8 @@
 		n.effects = nil
 		r := n.poolHeartbeat(0)
 		r.Sequence, r.Epoch = m.sequence+1, m.epoch
-		n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-		for _, a := range emittedEffects[HeartbeatReply](n) {
+		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+		for _, a := range emittedEffects[message.HeartbeatReply](n) {
 			if a.Status != 200 {
 				t.Fatalf("a report is answered %d", a.Status)
 			}
@@ -255,29 +256,29 @@
 	n := largePool(12)
 	m, _ := machineWithTask(n)
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
-	for _, x := range []ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}, {ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}, {ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}} {
-		applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
+	for _, x := range []message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}, {ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}, {ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}} {
+		applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{x})
 		if !n.unresponsive(m) {
 			t.Errorf("%v is a sign of life", x)
 		}
 	}
 	m.epoch++
-	applyReroutedHeartbeats(n, []ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
+	applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
 	if !n.unresponsive(m) {
 		t.Error("a report that shows no epoch of this owner's time is a sign of life")
 	}
 	m.epoch--
-	x := ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
-	applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
+	x := message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
+	applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{x})
 	if n.unresponsive(m) || n.usable(m) {
 		t.Errorf("silent %v, usable %v", n.unresponsive(m), n.usable(m))
 	}
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
-	applyReroutedHeartbeats(n, []ReroutedHeartbeat{x})
+	applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{x})
 	if !n.unresponsive(m) {
 		t.Error("told again, it is a sign of life again")
 	}
-	if (&PeerUpdate{From: "b", Rerouted: make([]ReroutedHeartbeat, maxReroutedHeartbeats+1)}).Validate() == "" || (&PeerUpdate{From: "b", Rerouted: []ReroutedHeartbeat{{}}}).Validate() == "" {
+	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == "" || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == "" {
 		t.Error("bad news is taken")
 	}
 }
@@ -294,12 +295,12 @@
 	n.membership.leaseValidUntil = n.now.Add(time.Second)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, was, m.lastTaskReports
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	if m.sequence != r.Sequence || !n.unresponsive(m) {
 		t.Errorf("known up to tick %d, silent %v", m.sequence, n.unresponsive(m))
 	}
 	r.Sequence, r.Epoch = m.sequence+1, m.epoch
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	if n.unresponsive(m) {
 		t.Error("a report under the epoch of now is no sign of life")
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -5,12 +5,13 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/disruption"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 )
 
 // handleHeartbeat takes a report that waits for its answer.
-func (n *Controller) handleHeartbeat(c WorkerHeartbeat) {
+func (n *Controller) handleHeartbeat(c message.WorkerHeartbeat) {
 	o := n.shardLeader
 	r := &c.Heartbeat
 	heartbeatReceived(n, r)
@@ -24,7 +25,7 @@
 		if ownerHost != "" {
 			noteRerouted(n, r, ownerHost)
 		}
-		n.emit(HeartbeatReply{Reply: c.Reply, Status: 421, MachineOwner: ownerHost})
+		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 421, MachineOwner: ownerHost})
 		return
 	case r.Epoch > segment.Epoch:
 		// Somebody has a higher epoch: this node was deposed or its watch is
@@ -34,17 +35,17 @@
 		if o.higherEpochSeen[r.Machine].IsZero() {
 			o.higherEpochSeen[r.Machine] = n.now
 		}
-		n.emit(HeartbeatReply{Reply: c.Reply, Status: 421})
+		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 421})
 		return
 	case n.now.After(n.renewalDeadline()):
-		n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
+		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		return
 	case !o.ready:
 		renewBeforeRecovery(n, &c, segment.Epoch)
 		return
 	case n.released[r.Machine]:
 		// Never given work again, and about to go.
-		n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
+		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		return
 	}
 	m := n.ensureMachine(r.Machine)
@@ -68,7 +69,7 @@
 		}
 	}
 	expectAcknowledgment(m, commands)
-	n.emit(HeartbeatReply{Reply: c.Reply, SendDeadline: until, StartsDeadline: startDispatchDeadline(n, m), Status: 200, Epoch: m.epoch, Commands: commands})
+	n.emit(message.HeartbeatReply{Reply: c.Reply, SendDeadline: until, StartsDeadline: startDispatchDeadline(n, m), Status: 200, Epoch: m.epoch, Commands: commands})
 }
 
 // applyHeartbeat takes in what a worker says, unless something newer was heard.
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
@@ -24,11 +25,11 @@
 	// taskDuration is how long a task takes, and tick that of the newest report.
 	taskDuration time.Duration
 	sequence     uint64
-	pending      []Command
+	pending      []message.Command
 	revision     uint64
 	// stored is what stands in the state service, and the others count the writes: their
 	// changes and bytes, the most changes in one and the longest value.
-	stored                                          map[string]KeyValue
+	stored                                          map[string]message.KeyValue
 	txns, writes, bytes, maxTxnWrites, longestValue int
 }
 
@@ -41,14 +42,14 @@
 	n.rng = rand.New(rand.NewPCG(1, 2))
 	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
 	n.frontend.watchCache.openJobs = map[string]openJob{}
-	d := &hugeJobRun{controller: n, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]KeyValue{}}
+	d := &hugeJobRun{controller: n, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
 	for i := range machines {
 		r := n.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
 		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
 	}
 	n.now = n.now.Add(time.Second)
-	n.submitJob(SubmitJob{Reply: 1, Spec: model.JobSpec{
+	n.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
 		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 4},
 		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
 	}})
@@ -63,11 +64,11 @@
 }
 
 // handleEffects answers what the owner asks for.
-func (d *hugeJobRun) handleEffects(out []Effect) {
+func (d *hugeJobRun) handleEffects(out []message.Effect) {
 	for _, e := range out {
 		switch e := e.(type) {
-		case StoreRequest:
-			if e.Kind != OpTxn {
+		case message.StoreRequest:
+			if e.Kind != message.OpTxn {
 				continue
 			}
 			d.revision++
@@ -85,13 +86,13 @@
 					panic(err)
 				}
 				d.longestValue = max(d.longestValue, size)
-				d.stored[c.Key] = KeyValue{Key: c.Key, Value: c.Value, ModRevision: d.revision}
+				d.stored[c.Key] = message.KeyValue{Key: c.Key, Value: c.Value, ModRevision: d.revision}
 			}
-			d.pending = append(d.pending, StoreResponse{ID: e.ID, Status: StoreOK, Revision: d.revision, SentAt: d.controller.now})
-		case WorkerRequest:
+			d.pending = append(d.pending, message.StoreResponse{ID: e.ID, Status: message.StoreOK, Revision: d.revision, SentAt: d.controller.now})
+		case message.WorkerRequest:
 			d.runCommands(e.Machine, e.Commands)
-			d.pending = append(d.pending, WorkerResponse{ID: e.ID, OK: true, Heartbeat: d.heartbeat(e.Machine)})
-		case HeartbeatReply:
+			d.pending = append(d.pending, message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: d.heartbeat(e.Machine)})
+		case message.HeartbeatReply:
 			d.runCommands(fmt.Sprintf("vm-%06d", e.Reply-1), e.Commands)
 		}
 	}
@@ -132,7 +133,7 @@
 		cmds := d.pending
 		d.pending = nil
 		for i := part; i < len(n.shardLeader.machinesByID); i += 10 {
-			cmds = append(cmds, WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(n.shardLeader.machinesByID[i].id)})
+			cmds = append(cmds, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(n.shardLeader.machinesByID[i].id)})
 		}
 		d.handleEffects(n.Step(n.now, cmds))
 	}
@@ -168,7 +169,7 @@
 }
 
 // storedRecords gives what stands in the state service to a successor.
-func (d *hugeJobRun) storedRecords() (open, tasks []KeyValue) {
+func (d *hugeJobRun) storedRecords() (open, tasks []message.KeyValue) {
 	for _, k := range sortedKeys(d.stored) {
 		switch {
 		case strings.HasPrefix(k, openJobPrefix):
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -36,11 +37,11 @@
 func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []openJobRecord) {
 	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
 	change(&s)
-	n.submitJob(SubmitJob{Reply: 1, Spec: s})
+	n.submitJob(message.SubmitJob{Reply: 1, Spec: s})
 	n.flushSubmissions()
 	var records []openJobRecord
-	for _, op := range emittedEffects[StoreRequest](n) {
-		if op.Kind == OpTxn {
+	for _, op := range emittedEffects[message.StoreRequest](n) {
+		if op.Kind == message.OpTxn {
 			var r openJobRecord
 			decode(op.Writes[0].Value, &r)
 			records = append(records, r)
@@ -50,16 +51,16 @@
 	for _, fn := range n.frontend.watchCache.nextReadWaiters {
 		fn(true)
 	}
-	for _, op := range emittedEffects[StoreRequest](n) {
-		if op.Kind == OpGet {
-			n.handleCommand(StoreResponse{ID: op.ID, Status: StoreNotFound})
+	for _, op := range emittedEffects[message.StoreRequest](n) {
+		if op.Kind == message.OpGet {
+			n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreNotFound})
 		}
 	}
-	i := slices.IndexFunc(n.effects, func(e Effect) bool { _, ok := e.(UserReply); return ok })
+	i := slices.IndexFunc(n.effects, func(e message.Effect) bool { _, ok := e.(message.UserReply); return ok })
 	if i < 0 {
 		return "", records
 	}
-	r := n.effects[i].(UserReply)
+	r := n.effects[i].(message.UserReply)
 	return fmt.Sprintf("%d %s", r.Status, r.Message), records
 }
 
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -4,6 +4,7 @@
 	"slices"
 	"strings"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -50,19 +51,19 @@
 
 // writeEndBatch writes the ends of as many jobs as share a transaction, and returns the others.
 func (n *Controller) writeEndBatch(endedJobs []*job) []*job {
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityStart}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
 	maxWrites := min(n.settings.MaxTxnWrites, n.writesAllowed())
 	var batch []jobEnd
 	size := 0
 	for len(endedJobs) > 0 {
 		j := endedJobs[0]
 		e := jobEnd{job: j, rec: endRecord(n, j)}
-		var writes []Write
+		var writes []message.Write
 		if !j.cancelled || j.cancelDerived {
-			writes = append(writes, Write{Key: jobStatusPrefix + j.ID, Value: encode(e.rec)})
+			writes = append(writes, message.Write{Key: jobStatusPrefix + j.ID, Value: encode(e.rec)})
 		}
-		writes = append(writes, Write{Key: openJobPrefix + j.ID})
-		compares := append(n.shardCompares(j.Team), Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision})
+		writes = append(writes, message.Write{Key: openJobPrefix + j.ID})
+		compares := append(n.shardCompares(j.Team), message.Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision})
 		for _, a := range writes {
 			size += sizelimit.WriteBytes(sizelimit.Write{Key: a.Key, Value: a.Value})
 		}
@@ -70,7 +71,7 @@
 			size += sizelimit.CompareBytes(c.Key)
 		}
 		if j.cancelDerived {
-			op.Priority = PriorityLazy
+			op.Priority = message.PriorityLazy
 		}
 		if len(batch) > 0 && (len(op.Writes)+len(writes) > maxWrites || size > targetTxnBytes || j.endWriteAlone || batch[0].job.endWriteAlone) {
 			break
@@ -91,7 +92,7 @@
 		batch, endedJobs = append(batch, e), endedJobs[1:]
 	}
 	gen := n.shardLeader.generation
-	n.writeTxn(op, func(d StoreResponse) {
+	n.writeTxn(op, func(d message.StoreResponse) {
 		for _, e := range batch {
 			n.handleEndResponse(e, d, gen, len(batch) == 1)
 		}
@@ -100,9 +101,9 @@
 }
 
 // handleEndResponse deals with the answer to the write of a job's end, alone or with others'.
-func (n *Controller) handleEndResponse(e jobEnd, d StoreResponse, gen int, alone bool) {
+func (n *Controller) handleEndResponse(e jobEnd, d message.StoreResponse, gen int, alone bool) {
 	j := e.job
-	if d.Status == StoreOK && e.rec.Status == model.Done {
+	if d.Status == message.StoreOK && e.rec.Status == model.Done {
 		n.cacheFinalStatus(j.ID, model.Done)
 		learnFromEnd(n, j, e.rec)
 		n.debug("job done", "job", j.ID, "workload", j.Workload, "age", n.now.Sub(j.submittedAt))
@@ -112,9 +113,9 @@
 	}
 	retry := func() { j.ending = false }
 	switch d.Status {
-	case StoreOK:
+	case message.StoreOK:
 		n.removeEndedJob(j, e.segmentKeys)
-	case StoreConflict:
+	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
 			return strings.HasPrefix(key, openJobPrefix) && key != openJobPrefix+j.ID
 		}
@@ -124,7 +125,7 @@
 			return
 		}
 		n.resolveEndConflict(e, gen)
-	case StoreMalformed:
+	case message.StoreMalformed:
 		// Of several one is at fault, and the others are not to suffer for it.
 		if !alone {
 			j.endWriteAlone = true
@@ -142,9 +143,9 @@
 func (n *Controller) resolveEndConflict(e jobEnd, gen int) {
 	j := e.job
 	retry := func() { j.ending = false }
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: jobStatusPrefix + j.ID}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: jobStatusPrefix + j.ID}, func(d message.StoreResponse) {
 		var r jobStatusRecord
-		if d.Status == StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
+		if d.Status == message.StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
 			n.cacheFinalStatus(j.ID, model.Done)
 			cacheDoneDate(n, j.ID, r)
 			if n.shardLeader != nil && n.shardLeader.generation == gen {
@@ -152,9 +153,9 @@
 			}
 			return
 		}
-		if j.cancelled && d.Status == StoreOK {
-			n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: openJobPrefix + j.ID}, func(d StoreResponse) {
-				if d.Status == StoreNotFound && n.shardLeader != nil && n.shardLeader.generation == gen {
+		if j.cancelled && d.Status == message.StoreOK {
+			n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: openJobPrefix + j.ID}, func(d message.StoreResponse) {
+				if d.Status == message.StoreNotFound && n.shardLeader != nil && n.shardLeader.generation == gen {
 					n.removeEndedJob(j, e.segmentKeys)
 					return
 				}
@@ -183,19 +184,19 @@
 	k := min(len(o.orphanedRecords), maxLazyWrites, n.settings.MaxTxnWrites)
 	keys := o.orphanedRecords[:k]
 	o.orphanedRecords = slices.Clone(o.orphanedRecords[k:])
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares("")}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares("")}
 	for _, key := range keys {
-		if open := (Compare{Key: openJobPrefix + jobIDFromKey(key, taskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
+		if open := (message.Compare{Key: openJobPrefix + jobIDFromKey(key, taskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
 			op.Compares = append(op.Compares, open)
 		}
-		op.Writes = append(op.Writes, Write{Key: key})
+		op.Writes = append(op.Writes, message.Write{Key: key})
 	}
 	gen := o.generation
-	n.writeTxn(op, func(d StoreResponse) {
+	n.writeTxn(op, func(d message.StoreResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen {
 			return
 		}
-		if d.Status == StoreOK || d.Status == StoreMalformed {
+		if d.Status == message.StoreOK || d.Status == message.StoreMalformed {
 			return
 		}
 		keys = slices.DeleteFunc(keys, func(key string) bool {
--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -23,10 +24,10 @@
 }
 
 // sentTxns are the transactions that were sent since the last look.
-func sentTxns(n *Controller) []StoreRequest {
-	var out []StoreRequest
-	for _, op := range emittedEffects[StoreRequest](n) {
-		if op.Kind == OpTxn {
+func sentTxns(n *Controller) []message.StoreRequest {
+	var out []message.StoreRequest
+	for _, op := range emittedEffects[message.StoreRequest](n) {
+		if op.Kind == message.OpTxn {
 			out = append(out, op)
 		}
 	}
@@ -47,11 +48,11 @@
 		t.Fatalf("three ends were sent as %+v", ops)
 	}
 	for _, j := range jobs {
-		if !slices.Contains(ops[0].Compares, Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision}) {
+		if !slices.Contains(ops[0].Compares, message.Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision}) {
 			t.Errorf("the end of %s does not name its record", j.ID)
 		}
 	}
-	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreConflict, FailedKeys: []string{openJobPrefix + jobs[1].ID}})
+	n.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{openJobPrefix + jobs[1].ID}})
 	if jobs[0].ending || jobs[2].ending || !jobs[1].ending {
 		t.Errorf("after a conflict of the second: ending %v %v %v", jobs[0].ending, jobs[1].ending, jobs[2].ending)
 	}
@@ -60,7 +61,7 @@
 	if ops = sentTxns(n); len(ops) != 1 || len(ops[0].Writes) != 4 {
 		t.Fatalf("the others were sent as %+v", ops)
 	}
-	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreOK, Revision: 300})
+	n.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreOK, Revision: 300})
 	if n.frontend.finalStatuses[jobs[0].ID] != model.Done || n.frontend.finalStatuses[jobs[2].ID] != model.Done || n.frontend.finalStatuses[jobs[1].ID] == model.Done || n.shardLeader.jobs[jobs[1].ID] == nil {
 		t.Errorf("final: %v", n.frontend.finalStatuses)
 	}
@@ -73,15 +74,15 @@
 	jobs := newDoneJobs(n, 3)
 	n.effects = nil
 	n.writeJobEnds()
-	n.storeCallbacks[sentTxns(n)[0].ID](StoreResponse{Status: StoreMalformed})
+	n.storeCallbacks[sentTxns(n)[0].ID](message.StoreResponse{Status: message.StoreMalformed})
 	n.writeJobEnds()
 	ops := sentTxns(n)
 	if len(ops) != 3 {
 		t.Fatalf("%d writes for three ends that are tried alone", len(ops))
 	}
-	n.storeCallbacks[ops[0].ID](StoreResponse{Status: StoreOK})
-	n.storeCallbacks[ops[1].ID](StoreResponse{Status: StoreMalformed})
-	n.storeCallbacks[ops[2].ID](StoreResponse{Status: StoreOK})
+	n.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreOK})
+	n.storeCallbacks[ops[1].ID](message.StoreResponse{Status: message.StoreMalformed})
+	n.storeCallbacks[ops[2].ID](message.StoreResponse{Status: message.StoreOK})
 	n.writeJobEnds()
 	if len(n.frontend.finalStatuses) != 2 || n.shardLeader.jobs[jobs[1].ID] == nil {
 		t.Errorf("over: %v", n.frontend.finalStatuses)
@@ -93,7 +94,7 @@
 // answers come the others follow.
 func TestWritesInFlightAreBounded(t *testing.T) {
 	n := largePool(4)
-	n.rateLimits.allotted = Rates{Requests: 20, Writes: 16}
+	n.rateLimits.allotted = message.Rates{Requests: 20, Writes: 16}
 	newDoneJobs(n, 100)
 	n.effects = nil
 	over := 0
@@ -109,7 +110,7 @@
 			t.Fatalf("%d changes are under way at 16 a second", changes)
 		}
 		for _, op := range ops {
-			n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK})
+			n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK})
 		}
 		n.effects = nil
 		if over = len(n.frontend.finalStatuses); over == 100 {
@@ -130,7 +131,7 @@
 		n.writeJobEnds()
 		ops := sentTxns(n)
 		for _, op := range ops {
-			n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK})
+			n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK})
 		}
 		return len(ops)
 	}
@@ -154,7 +155,7 @@
 // other way round; a job that is done is written by its end alone.
 func TestStartAndEndWritesAlternate(t *testing.T) {
 	n := largePool(4)
-	n.rateLimits.allotted = Rates{Requests: 20, Writes: 8}
+	n.rateLimits.allotted = message.Rates{Requests: 20, Writes: 8}
 	for _, j := range newDoneJobs(n, 100) {
 		j.markChanged(0, n.now, true)
 	}
@@ -173,7 +174,7 @@
 					t.Errorf("%s is written though its job is done", a.Key)
 				}
 			}
-			n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 500})
+			n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 500})
 		}
 	}
 	if over := len(n.frontend.finalStatuses); over == 0 || over == 100 {
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -117,7 +118,7 @@
 	overdue, placingOverdue    bool
 	lastPlacedAt, waitingSince time.Time
 	liveByZone                 map[string]int
-	lastPublished              Progress
+	lastPublished              message.Progress
 	// rankingPlace is its place in the table of rankingVersion.
 	rankingPlace, rankingVersion int
 	dependencyState
@@ -145,8 +146,8 @@
 	}
 }
 
-func (j *job) progress() Progress {
-	return Progress{ID: j.ID, Done: j.doneTasks, Running: j.runningTasks}
+func (j *job) progress() message.Progress {
+	return message.Progress{ID: j.ID, Done: j.doneTasks, Running: j.runningTasks}
 }
 
 // isRunning says that a worker reports the attempt as running.
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -41,161 +42,6 @@
 	l.lentTo, l.lendCount, l.cancelRequested, l.borrowedLoan = r.LentTo, r.LendCount, r.CancelRequested, r.BorrowedLoan
 }
 
-// LoanCommandKind is what is to be made durable.
-type LoanCommandKind int
-
-// The kinds: of our own jobs, that a peer has one, that it is ours again, that
-// the peer has done it, and that it ended as its user wanted; of a peer's, that it
-// is taken in, given up, and forgotten.
-const (
-	LoanLend LoanCommandKind = iota
-	LoanTakeBack
-	LoanSettle
-	LoanEndCancelled
-	LoanAccept
-	LoanGiveUp
-	LoanDrop
-)
-
-// LoanCommand asks for one transaction. Job is our own job, or the guest id of a
-// borrowed one, and Loan the loan's name.
-type LoanCommand struct {
-	Reply     uint64
-	Kind      LoanCommandKind
-	Job       string
-	Loan      string
-	LendCount uint64
-	// Peer and Stop go with LoanLend; Spec, Age and Team with LoanAccept.
-	Peer      string
-	StopBound time.Duration
-	Spec      model.JobSpec
-	Age       time.Duration
-	Cause     string
-}
-
-// LoanStatus is how a LoanCommand ended.
-type LoanStatus int
-
-// Done: durable. Not: its conditions do not hold, and it never will be applied.
-// Unsure: perhaps applied, perhaps later; ask again.
-const (
-	LoanDurable LoanStatus = iota
-	LoanNotApplied
-	LoanUncertain
-)
-
-// LoanReply answers a LoanCommand.
-type LoanReply struct {
-	Reply  uint64
-	Status LoanStatus
-}
-
-// QueryLoans asks for what lending needs to know. Startable says, for borrowed jobs
-// by guest id, until when they may be started; what it does not name may not.
-type QueryLoans struct {
-	Reply          uint64
-	StartableUntil map[string]time.Time
-	// Progress is what peers say of our jobs, for display.
-	Progress []Progress
-	// WithSimulation asks for Waiting and Room as well, which cost a look ahead.
-	WithSimulation bool
-	// GuestTeam is the guests' team.
-	GuestTeam string
-}
-
-// LoanView answers a QueryLoans, as of a moment after it was asked. OK is false while
-// nothing can be read. Leads: this controller leads, and answers peers; Leader says
-// which one does. Guests: it runs the guests' team, and speaks for the cluster as a
-// borrower.
-type LoanView struct {
-	Reply           uint64
-	OK              bool
-	IsLeader        bool
-	Leader          string
-	Epoch           uint64
-	LeaseValidUntil time.Time
-	RunsGuestTeam   bool
-	// GuestTeamEpoch is the stamp of the share with the guests' team, and GuestTeamTerm
-	// changes whenever the team is taken up anew.
-	GuestTeamEpoch uint64
-	GuestTeamTerm  int
-	Draining       bool
-	DrainDeadline  time.Time
-	Lent           []LentJob
-	Borrowed       []BorrowedJob
-	// RenewedAt is, for each home, when a report was sent that is known to have been
-	// answered, in the time of day.
-	RenewedAt       map[string]time.Time
-	Waiting         []WaitingJob
-	FreeCapacity    []FreeCapacity
-	CachedImages    []string
-	OwnWorkLate     bool
-	LateUrgency     model.Urgency
-	CheapestCPUHour float64
-}
-
-// LentJob is a job of ours that a peer has.
-type LentJob struct {
-	Spec            model.JobSpec
-	SubmittedAt     time.Time
-	Peer            string
-	LendCount       uint64
-	StopBound       time.Duration
-	CancelRequested bool
-}
-
-// BorrowedJob is a job of a peer's. Status is queued, done or cancelled; Known is
-// false while that has to be read first.
-type BorrowedJob struct {
-	Loan         string
-	Job          string
-	Spec         model.JobSpec
-	Status       model.JobStatus
-	StatusKnown  bool
-	Ending       bool
-	Cause        string
-	Started      bool
-	DoneTasks    int
-	RunningTasks int
-}
-
-// WaitingJob is a job of ours of which nothing was ever started.
-type WaitingJob struct {
-	Spec       model.JobSpec
-	SLODue     time.Duration
-	HomeFinish time.Duration
-	RunTime    time.Duration
-	LendCount  uint64
-}
-
-// FreeCapacity is room that own work will not want for a while.
-type FreeCapacity struct {
-	MachineType string
-	Zone        string
-	Spot        bool
-	PerMachine  model.Resources
-	Machines    int
-	// AvailableIn is how long until it is there: of machines that are to be rented first.
-	AvailableIn time.Duration
-	// CostPerCPUHour is for one CPU, an hour.
-	CostPerCPUHour float64
-	FetchRate      float64
-}
-
-// DrainCommand begins or ends the emptying of the cluster of borrowed work.
-type DrainCommand struct {
-	Reply   uint64
-	Enabled bool
-	// Deadline is when all borrowed work is to be gone.
-	Deadline time.Time
-}
-
-func (LoanCommand) command()  {}
-func (QueryLoans) command()   {}
-func (DrainCommand) command() {}
-func (LoanReply) effect()     {}
-func (LoanView) effect()      {}
-
 type drainRecord struct {
 	Enabled  bool  `msgpack:"on"`
 	Deadline int64 `msgpack:"by"`
@@ -226,17 +72,17 @@
 // runLoanCommand carries out one transaction. Each names the record of whoever decides, the
 // leader's for what is lent, the share with the guests' team for what is borrowed, so
 // that nothing of a deposed one's is applied, and the record the decision rests on.
-func runLoanCommand(n *Controller, cmd LoanCommand) {
-	done := func(s LoanStatus) { n.emit(LoanReply{Reply: cmd.Reply, Status: s}) }
+func runLoanCommand(n *Controller, cmd message.LoanCommand) {
+	done := func(s message.LoanStatus) { n.emit(message.LoanReply{Reply: cmd.Reply, Status: s}) }
 	ownerReady := n.shardLeader != nil && n.shardLeader.ready
-	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart}
-	switch borrowing := cmd.Kind >= LoanAccept; {
+	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
+	switch borrowing := cmd.Kind >= message.LoanAccept; {
 	case borrowing && ownerReady && offloadedJobsLoaded(n):
 		req.Compares = append(req.Compares, n.shardCompares(n.offloadedJobs.team)...)
 	case !borrowing && n.leader != nil:
-		req.Compares = append(req.Compares, Compare{Key: leaderKey, ModRevision: n.leader.modRevision})
+		req.Compares = append(req.Compares, message.Compare{Key: leaderKey, ModRevision: n.leader.modRevision})
 	default:
-		done(LoanNotApplied)
+		done(message.LoanNotApplied)
 		return
 	}
 	openKey := openJobPrefix + cmd.Job
@@ -245,11 +91,11 @@
 		j = n.shardLeader.jobs[cmd.Job]
 	}
 	onApplied := func() {}
-	var openUpdate KeyValue
+	var openUpdate message.KeyValue
 	switch current, isOpen := n.frontend.watchCache.openJobs[cmd.Job]; cmd.Kind {
-	case LoanLend:
+	case message.LoanLend:
 		if j == nil || !j.isLendable() || !isDateDurable(n, j) {
-			done(LoanNotApplied)
+			done(message.LoanNotApplied)
 			return
 		}
 		rec := j.currentRecord()
@@ -257,87 +103,87 @@
 		j.lending = true
 		// Without an answer it may be carried out when the job has been started here,
 		// which leaves open/ as it is: the first task's record must not be there either.
-		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), Compare{Key: openKey, ModRevision: j.modRevision})
+		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), message.Compare{Key: openKey, ModRevision: j.modRevision})
 		req.Compares = append(req.Compares, n.neverStartedCompares(cmd.Job)...)
-		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
-	case LoanTakeBack:
+		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
+	case message.LoanTakeBack:
 		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
-			done(LoanNotApplied)
+			done(message.LoanNotApplied)
 			return
 		}
 		rec := current.rec
 		rec.LentTo, rec.StopBoundMillis, rec.CancelRequested = "", 0, false
-		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
-		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
-	case LoanSettle, LoanEndCancelled:
+		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
+		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
+	case message.LoanSettle, message.LoanEndCancelled:
 		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
-			done(LoanNotApplied)
+			done(message.LoanNotApplied)
 			return
 		}
 		status := model.Done
-		if cmd.Kind == LoanEndCancelled {
+		if cmd.Kind == message.LoanEndCancelled {
 			status = model.Cancelled
 		}
 		endRec := endRecordFromCache(n, cmd.Job, status, &current)
-		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
-		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRec)})
-		openUpdate = KeyValue{Key: openKey, Deleted: true}
+		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
+		req.Writes = append(req.Writes, message.Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRec)})
+		openUpdate = message.KeyValue{Key: openKey, Deleted: true}
 		onApplied = func() {
 			n.cacheFinalStatus(cmd.Job, status)
 			cacheDoneDate(n, cmd.Job, endRec)
 		}
-	case LoanAccept:
+	case message.LoanAccept:
 		rec := newOpenJobRecord(&cmd.Spec, n.now.Add(-cmd.Age))
 		rec.BorrowedLoan = cmd.Loan
-		req.Compares = append(req.Compares, Compare{Key: offloadedJobPrefix + cmd.Loan, ModRevision: 0}, Compare{Key: openKey, ModRevision: 0}, Compare{Key: jobStatusPrefix + cmd.Job, ModRevision: 0})
-		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(offloadedJobRecord{Job: cmd.Job})})
-		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
+		req.Compares = append(req.Compares, message.Compare{Key: offloadedJobPrefix + cmd.Loan, ModRevision: 0}, message.Compare{Key: openKey, ModRevision: 0}, message.Compare{Key: jobStatusPrefix + cmd.Job, ModRevision: 0})
+		req.Writes = append(req.Writes, message.Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(offloadedJobRecord{Job: cmd.Job})})
+		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
 		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = offloadedJobRecord{Job: cmd.Job} }
-	case LoanGiveUp:
+	case message.LoanGiveUp:
 		if !isOpen || current.rec.Cancelled {
-			done(LoanNotApplied)
+			done(message.LoanNotApplied)
 			return
 		}
 		rec := current.rec
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
 		g := offloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
-		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: current.modRevision})
-		req.Writes = append(req.Writes, Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
-			Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(g)})
-		openUpdate = KeyValue{Key: openKey, Value: encode(rec)}
+		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
+		req.Writes = append(req.Writes, message.Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
+			message.Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(g)})
+		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
 		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = g }
-	case LoanDrop:
-		req.Compares = append(req.Compares, Compare{Key: openKey, ModRevision: 0})
-		req.Writes = append(req.Writes, Write{Key: offloadedJobPrefix + cmd.Loan}, Write{Key: jobStatusPrefix + cmd.Job})
+	case message.LoanDrop:
+		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: 0})
+		req.Writes = append(req.Writes, message.Write{Key: offloadedJobPrefix + cmd.Loan}, message.Write{Key: jobStatusPrefix + cmd.Job})
 		onApplied = func() {
 			delete(n.offloadedJobs.byLoan, cmd.Loan)
 			delete(n.frontend.finalStatuses, cmd.Job)
 		}
 	}
 	if openUpdate.Key != "" {
-		req.Writes = append(req.Writes, Write{Key: openUpdate.Key, Value: openUpdate.Value})
+		req.Writes = append(req.Writes, message.Write{Key: openUpdate.Key, Value: openUpdate.Value})
 	}
-	n.requestStore(req, func(resp StoreResponse) {
+	n.requestStore(req, func(resp message.StoreResponse) {
 		if j != nil {
 			j.lending = false
 		}
 		switch resp.Status {
-		case StoreOK:
+		case message.StoreOK:
 			openUpdate.ModRevision = resp.Revision
 			onApplied()
 			if openUpdate.Key != "" {
 				n.observeOwnWrite(openUpdate)
 			}
-			done(LoanDurable)
-		case StoreConflict, StoreRefused, StoreMalformed, StoreNoLease:
-			done(LoanNotApplied)
+			done(message.LoanDurable)
+		case message.StoreConflict, message.StoreRefused, message.StoreMalformed, message.StoreNoLease:
+			done(message.LoanNotApplied)
 		default:
-			if cmd.Kind >= LoanAccept {
+			if cmd.Kind >= message.LoanAccept {
 				// Carried out or not: what has been taken is read again before the next step.
 				n.offloadedJobs.loaded = false
 			}
-			done(LoanUncertain)
+			done(message.LoanUncertain)
 		}
 	})
 }
@@ -381,9 +227,9 @@
 	}
 	rec := f.open
 	rec.CancelRequested = true
-	it := KeyValue{Key: openJobPrefix + w.id, Value: encode(rec)}
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []Write{{Key: it.Key, Value: it.Value}}}, func(d StoreResponse) {
-		if d.Status == StoreOK {
+	it := message.KeyValue{Key: openJobPrefix + w.id, Value: encode(rec)}
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []message.Write{{Key: it.Key, Value: it.Value}}}, func(d message.StoreResponse) {
+		if d.Status == message.StoreOK {
 			it.ModRevision = d.Revision
 			n.observeOwnWrite(it)
 		}
@@ -412,8 +258,8 @@
 	by, renewed := map[string]offloadedJobRecord{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityMembership, Key: offloadedJobPrefix, StartAfter: from}, func(resp StoreResponse) {
-			if held := n.shardLeader; resp.Status != StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: offloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
+			if held := n.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
 				g.loading = false
 				return
 			}
@@ -438,30 +284,24 @@
 	list("")
 }
 
-// RenewCommand writes down when the homes' answered reports were sent, for a successor:
-// earlier than true is safe, and so is a loss.
-type RenewCommand struct{ RenewedAt map[string]time.Time }
-
-func (RenewCommand) command() {}
-
-func runRenewCommand(n *Controller, c RenewCommand) {
+func runRenewCommand(n *Controller, c message.RenewCommand) {
 	if n.shardLeader == nil || !offloadedJobsLoaded(n) {
 		return
 	}
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares(n.offloadedJobs.team)}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(n.offloadedJobs.team)}
 	for _, home := range sortedKeys(c.RenewedAt) {
 		if len(op.Writes) < n.settings.MaxTxnWrites {
-			op.Writes = append(op.Writes, Write{Key: renewalPrefix + home, Value: encode(offloadedJobRecord{RenewedAt: c.RenewedAt[home].UnixMilli()})})
+			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: encode(offloadedJobRecord{RenewedAt: c.RenewedAt[home].UnixMilli()})})
 		}
 	}
 	if len(op.Writes) > 0 {
-		n.requestStore(op, func(StoreResponse) {})
+		n.requestStore(op, func(message.StoreResponse) {})
 	}
 }
 
 // queryLoans answers when the picture of open/ is as of a moment after the
 // question.
-func queryLoans(n *Controller, c QueryLoans) {
+func queryLoans(n *Controller, c message.QueryLoans) {
 	for _, p := range c.Progress {
 		n.progressByJob[p.ID] = p
 	}
@@ -475,7 +315,7 @@
 			}
 		}
 	}
-	unavailable := func() { n.emit(LoanView{Reply: c.Reply, Leader: n.membership.leader.Host}) }
+	unavailable := func() { n.emit(message.LoanView{Reply: c.Reply, Leader: n.membership.leader.Host}) }
 	runsGuestTeam := func() bool {
 		return n.shardLeader != nil && n.shardLeader.teams[c.GuestTeam] != nil && n.shardLeader.teams[c.GuestTeam].ready
 	}
@@ -485,7 +325,7 @@
 		return
 	}
 	if n.leader == nil && !runsGuestTeam() {
-		n.emit(LoanView{Reply: c.Reply, OK: true, Leader: n.membership.leader.Host})
+		n.emit(message.LoanView{Reply: c.Reply, OK: true, Leader: n.membership.leader.Host})
 		return
 	}
 	n.refresh(func(ok bool) {
@@ -497,9 +337,9 @@
 	})
 }
 
-func buildLoanView(n *Controller, c QueryLoans, runsGuestTeam bool) LoanView {
+func buildLoanView(n *Controller, c message.QueryLoans, runsGuestTeam bool) message.LoanView {
 	cache := &n.frontend.watchCache
-	v := LoanView{
+	v := message.LoanView{
 		Reply: c.Reply, OK: true, Leader: n.membership.leader.Host, LeaseValidUntil: n.membership.leaseValidUntil,
 		Draining: n.membership.drain.Enabled, RenewedAt: maps.Clone(n.offloadedJobs.renewedAt), RunsGuestTeam: runsGuestTeam,
 	}
@@ -514,7 +354,7 @@
 	}
 	for _, id := range sortedKeys(cache.openJobs) {
 		if r := cache.openJobs[id].rec; v.IsLeader && r.LentTo != "" {
-			v.Lent = append(v.Lent, LentJob{Spec: r.JobSpec(id), SubmittedAt: time.UnixMilli(r.SubmittedAtMillis), Peer: r.LentTo, LendCount: r.LendCount, StopBound: time.Duration(r.StopBoundMillis) * time.Millisecond, CancelRequested: r.CancelRequested})
+			v.Lent = append(v.Lent, message.LentJob{Spec: r.JobSpec(id), SubmittedAt: time.UnixMilli(r.SubmittedAtMillis), Peer: r.LentTo, LendCount: r.LendCount, StopBound: time.Duration(r.StopBoundMillis) * time.Millisecond, CancelRequested: r.CancelRequested})
 		}
 	}
 	if runsGuestTeam {
@@ -529,17 +369,17 @@
 }
 
 // buildBorrowedJob is what is durable of a loan that was taken.
-func buildBorrowedJob(n *Controller, name string) BorrowedJob {
+func buildBorrowedJob(n *Controller, name string) message.BorrowedJob {
 	g := n.offloadedJobs.byLoan[name]
-	b := BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
+	b := message.BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
 	if l, there := n.frontend.watchCache.openJobs[g.Job]; there {
 		b.StatusKnown, b.Spec, b.Ending = true, l.rec.JobSpec(g.Job), l.rec.Cancelled
 	} else if s, ok := n.frontend.finalStatuses[g.Job]; ok {
 		b.StatusKnown, b.Status = true, s
 	} else {
-		n.readStatusRecord(g.Job, func(d StoreResponse) {
+		n.readStatusRecord(g.Job, func(d message.StoreResponse) {
 			var r jobStatusRecord
-			if d.Status == StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
+			if d.Status == message.StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
 				n.cacheFinalStatus(g.Job, r.Status)
 			}
 		})
@@ -554,7 +394,7 @@
 
 // simulateLoans plays the queue forward on the machines there are: which jobs of which
 // nothing was started end too late, and which machines nothing of ours will want.
-func simulateLoans(n *Controller, v *LoanView) {
+func simulateLoans(n *Controller, v *message.LoanView) {
 	v.CheapestCPUHour = n.cheapestCPUCost()
 	images := map[string]bool{}
 	capacity := n.futureFreeCapacity()
@@ -585,7 +425,7 @@
 			v.OwnWorkLate, v.LateUrgency = true, max(v.LateUrgency, d.job.Urgency)
 		}
 		if d.job.isLendable() {
-			v.Waiting = append(v.Waiting, WaitingJob{
+			v.Waiting = append(v.Waiting, message.WaitingJob{
 				Spec: d.job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: n.expectedRunTime(d.job), LendCount: d.job.lendCount,
 			})
 		}
@@ -605,13 +445,13 @@
 		}
 	}
 	for k, f := range rentableKinds(n) {
-		v.FreeCapacity = append(v.FreeCapacity, FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: n.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: n.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
 	for l, k := range count {
 		f := n.machineTypes[l.k.machineType]
-		v.FreeCapacity = append(v.FreeCapacity, FreeCapacity{MachineType: l.k.machineType, Zone: l.k.zone, Spot: l.k.spot, PerMachine: l.each, Machines: k, CostPerCPUHour: n.costPerHour(l.k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: l.k.machineType, Zone: l.k.zone, Spot: l.k.spot, PerMachine: l.each, Machines: k, CostPerCPUHour: n.costPerHour(l.k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
-	slices.SortFunc(v.FreeCapacity, func(a, b FreeCapacity) int {
+	slices.SortFunc(v.FreeCapacity, func(a, b message.FreeCapacity) int {
 		return cmp.Or(strings.Compare(a.MachineType, b.MachineType), strings.Compare(a.Zone, b.Zone), cmp.Compare(boolToFloat(a.Spot), boolToFloat(b.Spot)), cmp.Compare(a.AvailableIn, b.AvailableIn), cmp.Compare(a.PerMachine.CPU, b.PerMachine.CPU), cmp.Compare(a.PerMachine.Memory, b.PerMachine.Memory))
 	})
 	for _, name := range sortedKeys(images) {
@@ -650,14 +490,14 @@
 }
 
 // runDrainCommand writes whether the cluster is being emptied of borrowed work.
-func runDrainCommand(n *Controller, c DrainCommand) {
+func runDrainCommand(n *Controller, c message.DrainCommand) {
 	rec := encode(drainRecord{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Writes: []Write{{Key: drainKey, Value: rec}}}, func(d StoreResponse) {
-		s := LoanUncertain
-		if d.Status == StoreOK {
-			s = LoanDurable
-			n.applyControlRecord(KeyValue{Key: drainKey, Value: rec, ModRevision: d.Revision})
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Writes: []message.Write{{Key: drainKey, Value: rec}}}, func(d message.StoreResponse) {
+		s := message.LoanUncertain
+		if d.Status == message.StoreOK {
+			s = message.LoanDurable
+			n.applyControlRecord(message.KeyValue{Key: drainKey, Value: rec, ModRevision: d.Revision})
 		}
-		n.emit(LoanReply{Reply: c.Reply, Status: s})
+		n.emit(message.LoanReply{Reply: c.Reply, Status: s})
 	})
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/reachability"
 )
@@ -109,7 +110,7 @@
 	newestMessageAt   time.Time
 	// reroutedAt is when another controller told of a newer report of it, and came that one.
 	reroutedAt time.Time
-	rerouted   ReroutedHeartbeat
+	rerouted   message.ReroutedHeartbeat
 	// restartEpoch is the epoch under which its worker began anew, if it did.
 	restartEpoch uint64
 	// dispatchUnanswered: the last direct order got no answer; wait for a report.
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/incarnation"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -113,7 +114,7 @@
 	}
 	n.storeUnavailablePublishedAt = n.now
 	for _, p := range n.settings.Peers {
-		n.emit(SendPeerUpdate{To: p, Update: PeerUpdate{From: n.settings.Host, StoreUnavailable: true}})
+		n.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: n.settings.Host, StoreUnavailable: true}})
 	}
 }
 
@@ -147,17 +148,17 @@
 // a row is not at once; see internal/incarnation.
 func beginIncarnation(n *Controller, fn func()) {
 	key := incarnationPrefix + n.settings.Host
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityMembership, Key: key}, func(d StoreResponse) {
-		if d.Status != StoreOK && d.Status != StoreNotFound {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
+		if d.Status != message.StoreOK && d.Status != message.StoreNotFound {
 			n.after(n.jitter(storeRetryDelay), func() { beginIncarnation(n, fn) })
 			return
 		}
 		var r incarnationRecord
-		known := d.Status == StoreOK && len(d.KeyValues) == 1 && decode(d.KeyValues[0].Value, &r)
+		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && decode(d.KeyValues[0].Value, &r)
 		past, wait := incarnation.Start(n.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
 		// It need not be waited for: lost, it only makes the next life wait less.
 		rec := encode(incarnationRecord{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Writes: []Write{{Key: key, Value: rec}}}, func(StoreResponse) {})
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
 			n.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
 		}
@@ -170,22 +171,22 @@
 // known what stands under its name.
 func (n *Controller) endPreviousIncarnation(fn func()) {
 	s := &n.membership
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityMembership, Key: controllerPrefix + n.settings.Host}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: controllerPrefix + n.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			var old memberRecord
 			if !decode(d.KeyValues[0].Value, &old) || old.Incarnation == n.incarnation() {
 				s.recordModRevision = d.KeyValues[0].ModRevision
 				fn()
 				return
 			}
-			n.requestStore(StoreRequest{Kind: OpLeaseRevoke, Priority: PriorityMembership, LeaseID: old.LeaseID}, func(StoreResponse) {
+			n.requestStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
 				// Should the record stand all the same, registering fails and comes
 				// back here.
 				s.recordModRevision = 0
 				fn()
 			})
-		case StoreNotFound:
+		case message.StoreNotFound:
 			s.recordModRevision = 0
 			fn()
 		default:
@@ -195,8 +196,8 @@
 }
 
 func (n *Controller) createLease() {
-	n.requestStore(StoreRequest{Kind: OpLeaseGrant, Priority: PriorityMembership, TTL: membershipLeaseTTL}, func(d StoreResponse) {
-		if d.Status != StoreOK {
+	n.requestStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(d message.StoreResponse) {
+		if d.Status != message.StoreOK {
 			n.after(n.jitter(storeRetryDelay), n.createLease)
 			return
 		}
@@ -210,12 +211,12 @@
 	grant := n.membership.leaseID
 	key := controllerPrefix + n.settings.Host
 	rec := encode(memberRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: key, ModRevision: n.membership.recordModRevision}}, Writes: []Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: n.membership.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d message.StoreResponse) {
 		if n.membership.leaseID != grant {
 			return
 		}
 		switch d.Status {
-		case StoreConflict:
+		case message.StoreConflict:
 			// A write of a former life came late, or this one's own had no answer.
 			n.after(n.jitter(storeRetryDelay), func() {
 				if n.membership.leaseID == grant {
@@ -226,12 +227,12 @@
 					})
 				}
 			})
-		case StoreOK:
+		case message.StoreOK:
 			n.membership.recordModRevision = d.Revision
 			if !n.membership.loaded {
 				n.loadControlRecords()
 			}
-		case StoreNoLease:
+		case message.StoreNoLease:
 			n.leaseLost("grant ended before registration")
 		default:
 			n.after(n.jitter(storeRetryDelay), func() {
@@ -271,15 +272,15 @@
 	}
 	s.renewing = true
 	grant := s.leaseID
-	n.requestStore(StoreRequest{Kind: OpLeaseRenew, Priority: PriorityMembership, LeaseID: grant}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: grant}, func(d message.StoreResponse) {
 		s.renewing = false
 		if s.leaseID != grant {
 			return
 		}
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			s.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
-		case StoreNotFound, StoreNoLease:
+		case message.StoreNotFound, message.StoreNoLease:
 			n.leaseLost("grant ran out")
 		}
 	})
@@ -304,7 +305,7 @@
 // fromCurrentIncarnation says that news comes from a life of its sender that takes part now, as far as
 // this node has read. What a former life sent may come late, and what it asked for may
 // be in use by now.
-func (n *Controller) fromCurrentIncarnation(c *PeerUpdate) bool {
+func (n *Controller) fromCurrentIncarnation(c *message.PeerUpdate) bool {
 	r, lives := n.membership.controllers[c.From]
 	return lives && r.Incarnation == c.Incarnation
 }
@@ -323,16 +324,16 @@
 	s := &n.membership
 	s.generation++
 	gen := s.generation
-	var items []KeyValue
+	var items []message.KeyValue
 	var firstRevision uint64
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityMembership, Key: controlPrefix, StartAfter: from}, func(d StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: controlPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if gen != s.generation {
 				return
 			}
-			if d.Status != StoreOK {
+			if d.Status != message.StoreOK {
 				n.after(n.jitter(storeRetryDelay), func() {
 					if gen == s.generation {
 						list(from)
@@ -380,15 +381,15 @@
 	if s.revision < completeRevision {
 		hold = 0
 	}
-	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityMembership, Key: controlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: controlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
 		if gen != s.generation {
 			return
 		}
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			n.applyControlUpdates(d)
 			n.watchControlRecords(gen, completeRevision)
-		case StoreCompacted:
+		case message.StoreCompacted:
 			s.loaded = false
 			n.loadControlRecords()
 		default:
@@ -399,7 +400,7 @@
 
 // applyControlUpdates takes in what a watch or a read of ctl/ has brought: all changes after a
 // revision that was known. Of two that overlap each change counts once.
-func (n *Controller) applyControlUpdates(d StoreResponse) {
+func (n *Controller) applyControlUpdates(d message.StoreResponse) {
 	s := &n.membership
 	changed := false
 	for i, it := range d.KeyValues {
@@ -431,9 +432,9 @@
 	waiters := s.confirmWaiters
 	s.confirmWaiters = nil
 	gen := s.generation
-	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityMembership, Key: controlPrefix, Revision: s.revision}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: controlPrefix, Revision: s.revision}, func(d message.StoreResponse) {
 		s.confirming = false
-		if gen != s.generation || d.Status != StoreOK {
+		if gen != s.generation || d.Status != message.StoreOK {
 			// Whoever needs it asks again.
 			return
 		}
@@ -450,7 +451,7 @@
 	})
 }
 
-func (n *Controller) applyControlRecord(it KeyValue) {
+func (n *Controller) applyControlRecord(it message.KeyValue) {
 	s := &n.membership
 	value := it.Value
 	if it.Deleted {
@@ -531,14 +532,14 @@
 	}
 	s.claimingLeadership = true
 	rec := encode(leaderRecord{Host: n.settings.Host, Incarnation: n.incarnation()})
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: leaderKey, ModRevision: 0}},
-		Writes: []Write{{Key: leaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: leaderKey, ModRevision: 0}},
+		Writes: []message.Write{{Key: leaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d message.StoreResponse) {
 		s.claimingLeadership = false
 		switch d.Status {
-		case StoreOK, StoreConflict:
+		case message.StoreOK, message.StoreConflict:
 			// The watch will say who has it. If our own unanswered claim did it,
 			// the watch says that as well.
-		case StoreNoLease:
+		case message.StoreNoLease:
 			n.leaseLost("grant ended while claiming the lead")
 		default:
 			n.after(n.jitter(storeRetryDelay), func() {
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
 )
@@ -65,17 +66,17 @@
 
 // readMigrations reads the records of moves under way, together with the teams' others, and
 // gives them to then.
-func readMigrations(n *Controller, then func([]KeyValue)) {
+func readMigrations(n *Controller, then func([]message.KeyValue)) {
 	if !n.settings.Capabilities.Models {
 		then(nil)
 		return
 	}
 	gen := n.shardLeader.generation
-	readAll(n, migrationPrefix, PriorityMembership, func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }, then)
+	readAll(n, migrationPrefix, message.PriorityMembership, func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }, then)
 }
 
 // recoverMigrations takes up what former owners had under way for teams that have come.
-func recoverMigrations(n *Controller, teams []string, items []KeyValue) {
+func recoverMigrations(n *Controller, teams []string, items []message.KeyValue) {
 	mv := migrationsOf(n)
 	if mv == nil {
 		return
@@ -355,39 +356,17 @@
 	return other.Need.CPU > j.Need.CPU
 }
 
-// MigrationStatus is a move under way: why, where to, and how long the replica is expected to
-// be down.
-type MigrationStatus struct {
-	Job                 string  `json:"job"`
-	Task                int     `json:"task"`
-	From                string  `json:"from"`
-	To                  string  `json:"to"`
-	For                 string  `json:"for"`
-	State               string  `json:"state"`
-	ExpectedDownSeconds float64 `json:"expected_down_s"`
-	GivenUpInSeconds    float64 `json:"given_up_in_s"`
-}
-
-// MigrationsStatus sums up what this owner has seen of moves.
-type MigrationsStatus struct {
-	Plans              int               `json:"plans"`
-	Moved              int               `json:"moved"`
-	Dropped            int               `json:"dropped"`
-	LongestDownSeconds float64           `json:"longest_down_s"`
-	InProgress         []MigrationStatus `json:"now,omitempty"`
-}
-
 // migrationsStatus is nil where models are not switched on.
-func migrationsStatus(n *Controller) *MigrationsStatus {
+func migrationsStatus(n *Controller) *message.MigrationsStatus {
 	if n.shardLeader == nil || n.shardLeader.migrations == nil {
 		return nil
 	}
 	b := n.shardLeader.migrations.tracker
-	s := &MigrationsStatus{Plans: b.Stats.Started, Moved: b.Stats.Moved, Dropped: b.Stats.Dropped, LongestDownSeconds: b.Stats.LongestDowntime.Seconds()}
+	s := &message.MigrationsStatus{Plans: b.Stats.Started, Moved: b.Stats.Moved, Dropped: b.Stats.Dropped, LongestDownSeconds: b.Stats.LongestDowntime.Seconds()}
 	for _, e := range b.Plans() {
 		for i := range e.Steps {
 			x := &e.Steps[i]
-			s.InProgress = append(s.InProgress, MigrationStatus{
+			s.InProgress = append(s.InProgress, message.MigrationStatus{
 				Job: x.Job, Task: x.Index, From: x.From, To: x.To, For: e.HeldFor, State: x.State.String(),
 				ExpectedDownSeconds: x.Downtime.Seconds(), GivenUpInSeconds: e.Until.Sub(n.now).Seconds(),
 			})
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
 )
@@ -341,10 +342,10 @@
 	rec := mv.records[team]
 	val, ver := mv.tracker.EncodeRecord(team)
 	key := migrationKey(team)
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
 	teams := []string{team}
 	for _, e := range mv.tracker.UnsavedPlans(team) {
-		op.Priority = PriorityStart
+		op.Priority = message.PriorityStart
 		var jobs []string
 		if !isEvacuationHold(e.HeldFor) {
 			jobs = append(jobs, e.HeldFor)
@@ -360,34 +361,34 @@
 				return
 			}
 			teams = append(teams, j.Team)
-			if c := (Compare{Key: openJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
+			if c := (message.Compare{Key: openJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
 				op.Compares = append(op.Compares, c)
 			}
 		}
 	}
 	op.Compares = append(op.Compares, n.shardCompares(teams...)...)
-	op.Compares = append(op.Compares, Compare{Key: key, ModRevision: rec.modRevision})
-	op.Writes = []Write{{Key: key, Value: val}}
+	op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: rec.modRevision})
+	op.Writes = []message.Write{{Key: key, Value: val}}
 	if val == nil && rec.modRevision == 0 {
 		mv.tracker.MarkPersisted(team, ver)
 		return
 	}
 	rec.writing = true
 	gen := n.shardLeader.generation
-	n.requestStore(op, func(d StoreResponse) {
+	n.requestStore(op, func(d message.StoreResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen || mv.records[team] != rec {
 			return
 		}
 		rec.writing = false
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			rec.modRevision = d.Revision
 			if val == nil {
 				rec.modRevision = 0
 			}
 			mv.tracker.MarkPersisted(team, ver)
 			advanceMigrations(n, mv)
-		case StoreConflict:
+		case message.StoreConflict:
 			if !slices.Contains(d.FailedKeys, key) {
 				// A job or a share is not what it was: plan anew, if it is still needed.
 				mv.tracker.WriteRefused(team, n.now)
@@ -395,9 +396,9 @@
 				return
 			}
 			reReadMigration(n, mv, team, rec)
-		case StoreUnknown:
+		case message.StoreUnknown:
 			reReadMigration(n, mv, team, rec)
-		case StoreMalformed:
+		case message.StoreMalformed:
 			mv.tracker.WriteRefused(team, n.now)
 			_, rec.rejectedVersion = mv.tracker.EncodeRecord(team)
 			updateReservations(n, mv)
@@ -411,14 +412,14 @@
 func reReadMigration(n *Controller, mv *migrations, team string, rec *migrationRecord) {
 	rec.writing = true
 	gen := n.shardLeader.generation
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: migrationKey(team)}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(d message.StoreResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen || mv.records[team] != rec {
 			return
 		}
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			rec.modRevision, rec.writing = d.KeyValues[0].ModRevision, false
-		case StoreNotFound:
+		case message.StoreNotFound:
 			rec.modRevision, rec.writing = 0, false
 		default:
 			n.after(n.jitter(storeRetryDelay), func() {
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -51,7 +52,7 @@
 }
 
 // awaitMigrationWrite lets time pass until a move is to be written.
-func (n *Controller) awaitMigrationWrite(t *testing.T) StoreRequest {
+func (n *Controller) awaitMigrationWrite(t *testing.T) message.StoreRequest {
 	t.Helper()
 	for range 10 {
 		n.now = n.now.Add(shardLeaderTickInterval)
@@ -60,14 +61,14 @@
 		}
 		n.effects = nil
 		migrationTick(n)
-		for _, op := range emittedEffects[StoreRequest](n) {
-			if op.Kind == OpTxn && op.Writes[0].Key == "move/ops" {
+		for _, op := range emittedEffects[message.StoreRequest](n) {
+			if op.Kind == message.OpTxn && op.Writes[0].Key == "move/ops" {
 				return op
 			}
 		}
 	}
 	t.Fatal("no move is written")
-	return StoreRequest{}
+	return message.StoreRequest{}
 }
 
 // TestMigrationIsWrittenBeforeStop: a move's record names all that it rests on, its places are held
@@ -76,13 +77,13 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	share := n.membership.shardMap.Team("ops")
-	for _, c := range []Compare{{Key: shardPrefix + "a", ModRevision: share.ModRevision}, {Key: openJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
+	for _, c := range []message.Compare{{Key: shardPrefix + "a", ModRevision: share.ModRevision}, {Key: openJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
 		if !slices.Contains(op.Compares, c) {
 			t.Errorf("conditions %v, want %v among them", op.Compares, c)
 		}
 	}
 	moved := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
-	if !slices.Contains(op.Compares, Compare{Key: openJobPrefix + moved.Job, ModRevision: 7}) {
+	if !slices.Contains(op.Compares, message.Compare{Key: openJobPrefix + moved.Job, ModRevision: 7}) {
 		t.Errorf("conditions %v, want the moved job's", op.Compares)
 	}
 	j := n.shardLeader.jobs[moved.Job]
@@ -103,7 +104,7 @@
 	if late.liveTasks != 0 {
 		t.Error("another has taken a place that is held")
 	}
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	if j.tasks[0].stopReason != stopDrain {
 		t.Error("not stopped when its move is durable")
 	}
@@ -114,19 +115,19 @@
 func TestMigrationConflict(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreConflict, FailedKeys: []string{openJobPrefix + "job-large"}})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{openJobPrefix + "job-large"}})
 	if len(n.shardLeader.migrations.tracker.Holds()) > 0 || n.shardLeader.machinesByID[0].reservedForMigration != (model.Resources{}) || n.shardLeader.machinesByID[1].reservedForMigration != (model.Resources{}) {
 		t.Error("places stay held")
 	}
 	op = n.awaitMigrationWrite(t)
 	n.effects = nil
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreUnknown})
-	get, ok := n.effects[0].(StoreRequest)
-	if !ok || get.Kind != OpGet {
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreUnknown})
+	get, ok := n.effects[0].(message.StoreRequest)
+	if !ok || get.Kind != message.OpGet {
 		t.Fatalf("without an answer %v, want a reading", n.effects)
 	}
-	n.storeCallbacks[get.ID](StoreResponse{Status: StoreOK, KeyValues: []KeyValue{{Key: "move/ops", ModRevision: 33}}})
-	if op = n.awaitMigrationWrite(t); !slices.Contains(op.Compares, Compare{Key: "move/ops", ModRevision: 33}) {
+	n.storeCallbacks[get.ID](message.StoreResponse{Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "move/ops", ModRevision: 33}}})
+	if op = n.awaitMigrationWrite(t); !slices.Contains(op.Compares, message.Compare{Key: "move/ops", ModRevision: 33}) {
 		t.Errorf("conditions %v, want the record's stamp", op.Compares)
 	}
 }
@@ -137,7 +138,7 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	n.membership.leaseValidUntil = n.now.Add(-time.Second)
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	for _, j := range n.shardLeader.jobs {
 		if j.tasks[0].stopReason != stopNone {
 			t.Errorf("%s is stopped", j.ID)
@@ -151,7 +152,7 @@
 func TestMigrationKeepsQuota(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
-	n.storeCallbacks[op.ID](StoreResponse{Status: StoreOK, Revision: 20})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	s := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
 	j := n.shardLeader.jobs[s.Job]
 	from := n.shardLeader.machines[s.From]
@@ -208,7 +209,7 @@
 	successor.ensureMachine(s.To)
 	successor.shardLeader.readyAt = successor.now
 	successor.frontend.watchCache.openJobs = map[string]openJob{}
-	recoverTeams(successor, map[string]*heldTeam{"ops": successor.shardLeader.teams["ops"]}, nil, []KeyValue{{Key: "move/ops", Value: op.Writes[0].Value, ModRevision: 20}}, successor.now)
+	recoverTeams(successor, map[string]*heldTeam{"ops": successor.shardLeader.teams["ops"]}, nil, []message.KeyValue{{Key: "move/ops", Value: op.Writes[0].Value, ModRevision: 20}}, successor.now)
 	other := successor.addReplica("job-other", 4)
 	other.nextFresh = 1
 	successor.applyHeartbeat(successor.ensureMachine("vm-000002"), successor.hostHeartbeat(2, 1), true)
@@ -227,7 +228,7 @@
 		t.Errorf("on %v and %v, want %s and %s", j.tasks[0].machine, l.tasks[0].machine, s.To, s.From)
 	}
 	// One that can't be read holds nothing, and is told of.
-	recoverMigrations(successor, []string{"ops"}, []KeyValue{{Key: "move/ops", Value: []byte{0x81}, ModRevision: 21}})
+	recoverMigrations(successor, []string{"ops"}, []message.KeyValue{{Key: "move/ops", Value: []byte{0x81}, ModRevision: 21}})
 	if len(successor.shardLeader.migrations.tracker.Holds()) != 0 || successor.rejectedInputs != 1 {
 		t.Errorf("held %v, complaints %d", successor.shardLeader.migrations.tracker.Holds(), successor.rejectedInputs)
 	}
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 )
@@ -38,20 +39,6 @@
 	loggedAt        time.Time
 }
 
-// TeamQuotes is what quotes for a team rest on, as in its record.
-type TeamQuotes struct {
-	Team  string
-	Value []byte
-}
-
-// PromiseTotals tells the shell what has become of the dates, for its metrics.
-type PromiseTotals struct {
-	Sum         promise.Row
-	MedianRatio float64
-}
-
-func (PromiseTotals) effect() {}
-
 // startPromises reads what quotes rest on, which is there after the end of all too, and
 // lets the leader count.
 func startPromises(n *Controller) {
@@ -60,7 +47,7 @@
 	if !n.promisesEnabled() {
 		return
 	}
-	readAll(n, quotesPrefix, PriorityUser, func() bool { return true }, func(its []KeyValue) {
+	readAll(n, quotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
 		for _, it := range its {
 			acceptQuotes(n, it.Key, it.Value, false)
 		}
@@ -83,14 +70,14 @@
 }
 
 // quotesUpdate are the quotes of the teams here, for the others.
-func quotesUpdate(n *Controller) []TeamQuotes {
+func quotesUpdate(n *Controller) []message.TeamQuotes {
 	if !n.promisesEnabled() {
 		return nil
 	}
-	var out []TeamQuotes
+	var out []message.TeamQuotes
 	for _, t := range sortedKeys(n.shardLeader.teams) {
 		if q := n.promises.quotes[t]; q != nil {
-			out = append(out, TeamQuotes{Team: t, Value: q.Encode(t, n.maxPageBytes())})
+			out = append(out, message.TeamQuotes{Team: t, Value: q.Encode(t, n.maxPageBytes())})
 		}
 	}
 	return out
@@ -122,8 +109,8 @@
 			continue
 		}
 		o.promiseDates.quotesStoredAt = n.now
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares(next), Writes: []Write{{Key: quotesPrefix + teamKey(next), Value: value}}}, func(d StoreResponse) {
-			if n.shardLeader == o && d.Status == StoreOK {
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(next), Writes: []message.Write{{Key: quotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
+			if n.shardLeader == o && d.Status == message.StoreOK {
 				if o.promiseDates.quotesStoredHash == nil {
 					o.promiseDates.quotesStoredHash = map[string]uint64{}
 				}
@@ -163,16 +150,16 @@
 func readTotals(n *Controller) {
 	by := n.leader
 	tracker := &n.promises.totals
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityLazy, Key: totalsKey}, func(resp StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityLazy, Key: totalsKey}, func(resp message.StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
 		var t *promise.Totals
 		var stamp uint64
 		switch resp.Status {
-		case StoreNotFound:
+		case message.StoreNotFound:
 			t = &promise.Totals{}
-		case StoreOK:
+		case message.StoreOK:
 			var err error
 			stamp = resp.KeyValues[0].ModRevision
 			if t, err = promise.DecodeTotals(resp.KeyValues[0].Value); err != nil {
@@ -196,17 +183,17 @@
 func followTotals(n *Controller) {
 	by := n.leader
 	x := &n.promises.totals
-	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityLazy, Key: jobStatusPrefix, Revision: x.current.Revision}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityLazy, Key: jobStatusPrefix, Revision: x.current.Revision}, func(d message.StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			t := x.current.Clone()
 			ended := countEnds(t, d.KeyValues, t.Revision, d.Revision)
 			t.Revision = d.Revision
 			writeTotals(n, t, ended)
-		case StoreCompacted:
+		case message.StoreCompacted:
 			listEnds(n, x.current.Clone(), "", 0, x.current.Revision)
 		default:
 			x.inFlight = false
@@ -218,11 +205,11 @@
 // first page: what ends meanwhile the next look brings.
 func listEnds(n *Controller, t *promise.Totals, from string, upTo, since uint64) {
 	by := n.leader
-	n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityLazy, Key: jobStatusPrefix, StartAfter: from}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityLazy, Key: jobStatusPrefix, StartAfter: from}, func(d message.StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
-		if d.Status != StoreOK {
+		if d.Status != message.StoreOK {
 			n.promises.totals.inFlight = false
 			return
 		}
@@ -241,7 +228,7 @@
 
 // countEnds counts the ends after a revision and up to another. Each job's stands there
 // once; of work borrowed from peers its home counts.
-func countEnds(t *promise.Totals, items []KeyValue, since, upTo uint64) bool {
+func countEnds(t *promise.Totals, items []message.KeyValue, since, upTo uint64) bool {
 	counted := false
 	for _, it := range items {
 		var r jobStatusRecord
@@ -266,9 +253,9 @@
 		return
 	}
 	value := t.Encode(n.maxPageBytes())
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: []Compare{{Key: leaderKey, ModRevision: by.modRevision}, {Key: totalsKey, ModRevision: tracker.modRevision}}, Writes: []Write{{Key: totalsKey, Value: value}}}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: []message.Compare{{Key: leaderKey, ModRevision: by.modRevision}, {Key: totalsKey, ModRevision: tracker.modRevision}}, Writes: []message.Write{{Key: totalsKey, Value: value}}}, func(d message.StoreResponse) {
 		tracker.inFlight = false
-		if n.leader != by || d.Status != StoreOK {
+		if n.leader != by || d.Status != message.StoreOK {
 			// What became of it the record tells, before anything more is counted.
 			tracker.leadership = nil
 			return
@@ -282,7 +269,7 @@
 func reportTotals(n *Controller) {
 	x := &n.promises.totals
 	s := x.current.Sum()
-	n.emit(PromiseTotals{Sum: s, MedianRatio: x.current.MedianRatio()})
+	n.emit(message.PromiseTotals{Sum: s, MedianRatio: x.current.MedianRatio()})
 	if n.now.Sub(x.loggedAt) < totalsLogInterval {
 		return
 	}
@@ -297,79 +284,25 @@
 		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.current.MedianRatio()), "first", x.current.PromisedAtAccept, "open", open)
 }
 
-// QueryPromises asks for the dates, for operators: of one class or job, or only those
-// that are about to be missed.
-type QueryPromises struct {
-	Reply      uint64
-	Job, Class string
-	OnlyAtRisk bool
-}
-
-func (QueryPromises) command() {}
-
-// PromiseReply is the answer. Rows are the totals as of revision Rev, of all classes,
-// and Open the dates of jobs that are not over, those due first. Left out counts what is
-// beyond the bound.
-type PromiseReply struct {
-	Reply            uint64        `json:"-"`
-	OK               bool          `json:"-"`
-	Host             string        `json:"host"`
-	Revision         uint64        `json:"revision"`
-	MedianRatio      float64       `json:"median_ratio"`
-	PromisedAtAccept int           `json:"with_first_answer"`
-	Sum              PromiseRow    `json:"sum"`
-	Rows             []PromiseRow  `json:"rows"`
-	Open             []OpenPromise `json:"open"`
-	Omitted          int           `json:"left_out,omitempty"`
-}
-
-func (PromiseReply) effect() {}
-
-// PromiseRow is a row of the totals.
-type PromiseRow struct {
-	Team         string  `json:"team"`
-	Class        string  `json:"class"`
-	Ended        int     `json:"ended"`
-	Made         int     `json:"made"`
-	Kept         int     `json:"kept"`
-	Broken       int     `json:"broken"`
-	Revised      int     `json:"revised"`
-	WorstSeconds float64 `json:"worst_s"`
-}
-
-// OpenPromise is the date of a job that is not over, or of the one asked for. Rev is 0
-// while there is none. At risk: it has passed, or would be missed by what is expected.
-type OpenPromise struct {
-	Job             string  `json:"job"`
-	Team            string  `json:"team"`
-	Class           string  `json:"class"`
-	State           string  `json:"state"`
-	PromisedSeconds float64 `json:"promised_s"`
-	Revision        int     `json:"promise_rev"`
-	Reason          string  `json:"why"`
-	AgeSeconds      float64 `json:"age_s"`
-	AtRisk          bool    `json:"at_risk"`
-}
-
 // openMost bounds the jobs in one answer.
 const openMost = 1000
 
-func newPromiseRow(r promise.Row) PromiseRow {
-	return PromiseRow{Team: r.Team, Class: r.Class, Ended: r.Jobs, Made: r.Made, Kept: r.Kept, Broken: r.Broken, Revised: r.Revised, WorstSeconds: r.Worst.Seconds()}
+func newPromiseRow(r promise.Row) message.PromiseRow {
+	return message.PromiseRow{Team: r.Team, Class: r.Class, Ended: r.Jobs, Made: r.Made, Kept: r.Kept, Broken: r.Broken, Revised: r.Revised, WorstSeconds: r.Worst.Seconds()}
 }
 
 // queryPromises answers from a fresh read, so that any controller tells the same.
-func queryPromises(n *Controller, query QueryPromises) {
-	reply := PromiseReply{Reply: query.Reply, Host: n.settings.Host, Rows: []PromiseRow{}, Open: []OpenPromise{}}
+func queryPromises(n *Controller, query message.QueryPromises) {
+	reply := message.PromiseReply{Reply: query.Reply, Host: n.settings.Host, Rows: []message.PromiseRow{}, Open: []message.OpenPromise{}}
 	n.refresh(func(ok bool) {
 		if !ok {
 			n.emit(reply)
 			return
 		}
 		addOpenPromises(n, query, &reply)
-		n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityUser, Key: totalsKey}, func(resp StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: totalsKey}, func(resp message.StoreResponse) {
 			t := &promise.Totals{}
-			if resp.Status == StoreOK {
+			if resp.Status == message.StoreOK {
 				x, err := promise.DecodeTotals(resp.KeyValues[0].Value)
 				if err != nil {
 					n.rejectInput("record", totalsKey, err.Error())
@@ -377,7 +310,7 @@
 					return
 				}
 				t = x
-			} else if resp.Status != StoreNotFound {
+			} else if resp.Status != message.StoreNotFound {
 				n.emit(reply)
 				return
 			}
@@ -391,11 +324,11 @@
 				n.emit(reply)
 				return
 			}
-			n.readStatusRecord(query.Job, func(resp StoreResponse) {
+			n.readStatusRecord(query.Job, func(resp message.StoreResponse) {
 				var j jobStatusRecord
-				if resp.Status == StoreOK && decode(resp.KeyValues[0].Value, &j) {
+				if resp.Status == message.StoreOK && decode(resp.KeyValues[0].Value, &j) {
 					x := j.Date()
-					reply.Open = append(reply.Open, OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
+					reply.Open = append(reply.Open, message.OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
 				}
 				n.emit(reply)
 			})
@@ -403,7 +336,7 @@
 	})
 }
 
-func addOpenPromises(n *Controller, query QueryPromises, reply *PromiseReply) {
+func addOpenPromises(n *Controller, query message.QueryPromises, reply *message.PromiseReply) {
 	cache := &n.frontend.watchCache
 	for _, id := range sortedKeys(cache.openJobs) {
 		l := cache.openJobs[id]
@@ -412,7 +345,7 @@
 		}
 		age := n.now.Sub(time.UnixMilli(l.rec.SubmittedAtMillis))
 		d := durableDate(n, id, &l)
-		x := OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, model.Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
+		x := message.OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, model.Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
 		if e, _ := cache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision); d.Revision > 0 {
 			x.Reason = e.Reason.String()
 		}
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -8,6 +8,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/packing"
 )
@@ -249,7 +250,7 @@
 }
 
 // gpuFreeCapacity is how the room on the usable machines with GPUs lies, by kind.
-func (n *Controller) gpuFreeCapacity() []GPUFreeCapacity {
+func (n *Controller) gpuFreeCapacity() []message.GPUFreeCapacity {
 	if !n.settings.Capabilities.Models {
 		return nil
 	}
@@ -264,10 +265,10 @@
 		}
 		by[k].Add(n.currentPackingProfile().kind(m.machineType), m.size, m.free())
 	}
-	var out []GPUFreeCapacity
+	var out []message.GPUFreeCapacity
 	for _, k := range sortedKinds(by) {
 		r := by[k]
-		out = append(out, GPUFreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Machines: r.Machines, EmptyMachines: r.WholeMachines, FreeGPUs: r.FreeGPUs, FragmentedGPUs: r.FragmentedGPUs, LargestReplicaGPUs: r.LargestFit})
+		out = append(out, message.GPUFreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Machines: r.Machines, EmptyMachines: r.WholeMachines, FreeGPUs: r.FreeGPUs, FragmentedGPUs: r.FragmentedGPUs, LargestReplicaGPUs: r.LargestFit})
 	}
 	return out
 }
@@ -276,6 +277,6 @@
 func (n *Controller) reportGPUFreeCapacity() {
 	if p := n.currentPackingProfile(); p != nil && n.now.Sub(n.shardLeader.freeCapacityReportedAt) >= gpuCapacityInterval {
 		n.shardLeader.freeCapacityReportedAt = n.now
-		n.emit(GPUFreeCapacityReport{Kinds: n.gpuFreeCapacity(), Migrations: migrationsStatus(n)})
+		n.emit(message.GPUFreeCapacityReport{Kinds: n.gpuFreeCapacity(), Migrations: migrationsStatus(n)})
 	}
 }
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -49,7 +50,7 @@
 }
 
 // gpuHostCapacity is the room on the g8 hosts.
-func (n *Controller) gpuHostCapacity(t *testing.T) GPUFreeCapacity {
+func (n *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
 	t.Helper()
 	rs := n.gpuFreeCapacity()
 	if len(rs) != 1 || rs[0].MachineType != "g8" {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -56,7 +57,7 @@
 	case n.now.Sub(n.reachabilityRequestedAt) > probeInterval:
 		// That it hears the worker is nothing new.
 		n.reachabilityRequestedAt = n.now
-		n.requestWorker(WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d WorkerResponse) {
+		n.requestWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
 			if d.Heartbeat != nil && n.membership.receivesNothing(n.now) {
 				endStandDown(n)
 			}
@@ -101,7 +102,7 @@
 	if n.reroutedMachines.Rerouted(n.now, r.Machine, ownerHost) && n.reroutedPollsInFlight < maxReroutedPolls {
 		n.reroutedPollsInFlight++
 		id := r.Machine
-		n.requestWorker(WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d WorkerResponse) {
+		n.requestWorker(message.WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
 			n.reroutedPollsInFlight--
 			if d.Heartbeat != nil && d.Heartbeat.Machine == id {
 				n.reroutedMachines.ProbeAnswered(n.now, id)
@@ -114,9 +115,6 @@
 }
 
 const (
-	// maxReroutedHeartbeats bounds the reports that one message tells of, and reroutedHeartbeatInterval separates
-	// two messages.
-	maxReroutedHeartbeats     = 1000
 	reroutedHeartbeatInterval = 500 * time.Millisecond
 )
 
@@ -126,21 +124,21 @@
 	if len(n.reroutedHeartbeats) == 0 {
 		n.after(reroutedHeartbeatInterval, func() {
 			for _, to := range sortedKeys(n.reroutedHeartbeats) {
-				n.emit(SendPeerUpdate{To: to, Update: PeerUpdate{From: n.settings.Host, Rerouted: n.reroutedHeartbeats[to]}})
+				n.emit(message.SendPeerUpdate{To: to, Update: message.PeerUpdate{From: n.settings.Host, Rerouted: n.reroutedHeartbeats[to]}})
 			}
 			n.reroutedHeartbeats = nil
 		})
-		n.reroutedHeartbeats = map[string][]ReroutedHeartbeat{}
+		n.reroutedHeartbeats = map[string][]message.ReroutedHeartbeat{}
 	}
-	if len(n.reroutedHeartbeats[ownerHost]) < maxReroutedHeartbeats {
-		n.reroutedHeartbeats[ownerHost] = append(n.reroutedHeartbeats[ownerHost], ReroutedHeartbeat{ID: r.Machine, Epoch: r.Epoch, Incarnation: r.Incarnation, Sequence: r.Sequence})
+	if len(n.reroutedHeartbeats[ownerHost]) < message.MaxReroutedHeartbeats {
+		n.reroutedHeartbeats[ownerHost] = append(n.reroutedHeartbeats[ownerHost], message.ReroutedHeartbeat{ID: r.Machine, Epoch: r.Epoch, Incarnation: r.Incarnation, Sequence: r.Sequence})
 	}
 }
 
 // applyReroutedHeartbeats takes in which machines of this owner reported to another. A report that this
 // owner would have taken for a sign of life is one there, too: such a machine lives, and
 // likely doesn't hear what is sent to it.
-func applyReroutedHeartbeats(n *Controller, heartbeats []ReroutedHeartbeat) {
+func applyReroutedHeartbeats(n *Controller, heartbeats []message.ReroutedHeartbeat) {
 	for _, x := range heartbeats {
 		m := n.shardLeader.machines[x.ID]
 		r := model.Heartbeat{Epoch: x.Epoch, Incarnation: x.Incarnation, Sequence: x.Sequence}
@@ -169,11 +167,11 @@
 	n.reroutedPublishedAt = n.now
 	n.info("machines come back from their steward", "steward", ownerHost, "machines", count)
 	rec := encode(rerouteRecord{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityStart, Writes: []Write{{Key: reroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(StoreResponse) {})
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: reroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
 }
 
 // applyRerouteRecord takes in what another controller says of this one's machines.
-func applyRerouteRecord(n *Controller, it KeyValue) {
+func applyRerouteRecord(n *Controller, it message.KeyValue) {
 	var r rerouteRecord
 	if !it.Deleted && decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
 		if n.now.Sub(n.membership.reroutesReportedAt) > rerouteRecordTTL {
@@ -214,7 +212,7 @@
 	n.relinquishRoles("hears no worker")
 	// Ended, the grant takes the lead and the node's record with it at once. A new
 	// one is asked for only then: this node is not to look alive in between.
-	n.requestStore(StoreRequest{Kind: OpLeaseRevoke, Priority: PriorityMembership, LeaseID: grant}, func(StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: grant}, func(message.StoreResponse) {
 		if s.leaseID == 0 {
 			n.createLease()
 		}
--- a/internal/controller/planning_pass_test.go
+++ b/internal/controller/planning_pass_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -56,7 +57,7 @@
 			t.Fatalf("%d orders are sent, want the start", len(n.workerCallbacks))
 		}
 		for id := range n.workerCallbacks {
-			n.handleCommand(WorkerResponse{ID: id, NotSent: !left})
+			n.handleCommand(message.WorkerResponse{ID: id, NotSent: !left})
 		}
 		if on := m.unackedStartEpoch != 0; on != left {
 			t.Errorf("left %v: a start counts as on its way: %v", left, on)
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -109,8 +110,8 @@
 	key := prewarmedPrefix + n.settings.Host + "/" + strconv.Itoa(o.prewarmedNextKey)
 	o.prewarmedNextMachine, o.prewarmedNextKey, o.writingPrewarmed = next, o.prewarmedNextKey+1, true
 	gen := o.generation
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityLazy, Compares: n.shardCompares(""),
-		Writes: []Write{{Key: key, Value: encode(r)}}}, func(StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(""),
+		Writes: []message.Write{{Key: key, Value: encode(r)}}}, func(message.StoreResponse) {
 		if n.shardLeader != nil && n.shardLeader.generation == gen {
 			n.shardLeader.writingPrewarmed = false
 		}
@@ -118,7 +119,7 @@
 }
 
 // applyPrewarmedRecord takes in a record of a former owner.
-func (n *Controller) applyPrewarmedRecord(it KeyValue) {
+func (n *Controller) applyPrewarmedRecord(it message.KeyValue) {
 	var r prewarmedRecord
 	if !decode(it.Value, &r) {
 		return
--- a/internal/controller/prewarmed_test.go
+++ b/internal/controller/prewarmed_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"github.com/micahill/micahill/internal/message"
 )
 
 // TestSuccessorRecoversCachedImages guards against fetches, after the end of all
@@ -25,7 +27,7 @@
 		if len(val) > n.settings.MaxValueBytes {
 			t.Errorf("a record of %d bytes", len(val))
 		}
-		successor.applyPrewarmedRecord(KeyValue{Value: val})
+		successor.applyPrewarmedRecord(message.KeyValue{Value: val})
 	}
 	if records < 1 || records > 4 {
 		t.Errorf("%d records for 300 machines", records)
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 )
@@ -113,7 +114,7 @@
 func (n *Controller) maxPageBytes() int { return n.settings.MaxValueBytes * 3 / 4 }
 
 // applyPage says whether a key under open/ is that of a page, and takes it in.
-func applyPage(n *Controller, pages *promise.Pages, it KeyValue) bool {
+func applyPage(n *Controller, pages *promise.Pages, it message.KeyValue) bool {
 	if !strings.HasPrefix(it.Key, pagePrefix) {
 		return false
 	}
@@ -170,12 +171,6 @@
 	return d
 }
 
-// WithDate is the answer with a date.
-func (r UserReply) WithDate(d promise.Date) UserReply {
-	r.PromisedAfter, r.PromiseRevision = d.After, d.Revision
-	return r
-}
-
 // quoterFor is what quotes of a team rest on here, if anything.
 func quoterFor(n *Controller, team string, create bool) *promise.Quoter {
 	q := n.promises.quotes[team]
@@ -564,22 +559,22 @@
 		readPage(n, writer, key, w)
 		return
 	}
-	req := StoreRequest{Kind: OpTxn, Priority: PriorityStart, Compares: append(n.shardCompares(team), Compare{Key: key, ModRevision: w.ModRevision}), Writes: []Write{{Key: key, Value: w.Value}}}
-	n.requestStore(req, func(resp StoreResponse) {
+	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: append(n.shardCompares(team), message.Compare{Key: key, ModRevision: w.ModRevision}), Writes: []message.Write{{Key: key, Value: w.Value}}}
+	n.requestStore(req, func(resp message.StoreResponse) {
 		if n.shardLeader != o {
 			return
 		}
 		o.promiseDates.pageInFlight = false
 		switch resp.Status {
-		case StoreOK:
+		case message.StoreOK:
 			stamp := resp.Revision
 			if w.Value == nil {
 				stamp = 0
 			}
 			writer.MarkWritten(w, stamp)
-		case StoreMalformed:
+		case message.StoreMalformed:
 			o.promiseDates.checkedAt = n.now.Add(malformedRetryDelay)
-		case StoreConflict, StoreUnknown:
+		case message.StoreConflict, message.StoreUnknown:
 			// Perhaps an earlier write of this owner's, carried out late; another's
 			// would have needed its own share.
 			writer.MarkUncertain(w.Number)
@@ -590,20 +585,20 @@
 // readPage finds out on what a page is to be written.
 func readPage(n *Controller, writer *promise.PageWriter, key string, w promise.PageWrite) {
 	o := n.shardLeader
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: key}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: key}, func(d message.StoreResponse) {
 		if n.shardLeader != o {
 			return
 		}
 		o.promiseDates.pageInFlight = false
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			if _, err := promise.DecodePage(d.KeyValues[0].Value); err != nil {
 				n.rejectInput("record", key, err.Error())
 				writer.Abandon(w.Number)
 				return
 			}
 			writer.SetRevision(w.Number, d.KeyValues[0].ModRevision)
-		case StoreNotFound:
+		case message.StoreNotFound:
 			writer.SetRevision(w.Number, 0)
 		}
 	})
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/sizelimit"
@@ -28,7 +29,7 @@
 	n, team := newPromisingNode(t)
 	m := &n.frontend.watchCache
 	m.openJobs = map[string]openJob{}
-	if !applyPage(n, &m.promisePages, KeyValue{Key: teamPagePrefix(team) + "0", ModRevision: 9, Value: []byte("x")}) {
+	if !applyPage(n, &m.promisePages, message.KeyValue{Key: teamPagePrefix(team) + "0", ModRevision: 9, Value: []byte("x")}) {
 		t.Fatal("a page is taken for a job")
 	}
 	jobs := map[string]*job{}
@@ -105,12 +106,12 @@
 	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
 	n.effects = nil
 	n.leader = &leader{}
-	if runLoanCommand(n, LoanCommand{Kind: LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
+	if runLoanCommand(n, message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
 		t.Error("lent before its date is durable")
 	}
 	w, _ := b.NextWrite()
 	b.MarkWritten(w, 7)
-	if runLoanCommand(n, LoanCommand{Kind: LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
+	if runLoanCommand(n, message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
 		t.Error("not lent")
 	}
 	j.promisedAt = n.now.Add(-time.Hour)
@@ -151,8 +152,8 @@
 	n.effects = nil
 	tick(dateCheckInterval)
 	j.promised.After = 1000 * time.Second
-	writes := func() []StoreRequest {
-		var out []StoreRequest
+	writes := func() []message.StoreRequest {
+		var out []message.StoreRequest
 		for _, op := range sentStoreRequests(n) {
 			if strings.HasPrefix(op.Writes[0].Key, pagePrefix) {
 				out = append(out, op)
@@ -166,8 +167,8 @@
 	}
 	op := writes()[0]
 	n.effects = nil
-	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreOK, Revision: 7})
-	applyPage(n, &m.promisePages, KeyValue{Key: op.Writes[0].Key, ModRevision: 7, Value: op.Writes[0].Value})
+	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: 7})
+	applyPage(n, &m.promisePages, message.KeyValue{Key: op.Writes[0].Key, ModRevision: 7, Value: op.Writes[0].Value})
 	tick(promise.MinRevisionInterval - 2*dateCheckInterval)
 	if j.promised.Revision != 1 || durableDate(n, spec.ID, &l).Revision != 1 {
 		t.Errorf("revision %d within a minute, told %v", j.promised.Revision, durableDate(n, spec.ID, &l))
@@ -189,7 +190,7 @@
 	n.now = n.now.Add(290 * time.Second)
 	n.effects = nil
 	n.writeEndBatch([]*job{j})
-	n.storeCallbacks[sentStoreRequests(n)[0].ID](StoreResponse{Status: StoreUnknown})
+	n.storeCallbacks[sentStoreRequests(n)[0].ID](message.StoreResponse{Status: message.StoreUnknown})
 	for range 60 {
 		n.now = n.now.Add(dateCheckInterval)
 		n.runTimers()
@@ -205,23 +206,23 @@
 func TestTotalsAreReadAgain(t *testing.T) {
 	n, _ := newPromisingNode(t)
 	n.leader, n.membership.leaseValidUntil = &leader{}, n.now.Add(time.Minute)
-	last := func() StoreRequest {
+	last := func() message.StoreRequest {
 		t.Helper()
-		for _, op := range emittedEffects[StoreRequest](n) {
+		for _, op := range emittedEffects[message.StoreRequest](n) {
 			if n.storeCallbacks[op.ID] != nil && (op.Key == totalsKey || len(op.Writes) > 0 && op.Writes[0].Key == totalsKey) {
 				n.effects = nil
 				return op
 			}
 		}
 		t.Fatal("totals are neither read nor written")
-		return StoreRequest{}
+		return message.StoreRequest{}
 	}
 	x := &n.promises.totals
 	x.leadership, x.modRevision, x.inFlight = n.leader, 7, true
 	writeTotals(n, &promise.Totals{Revision: 5}, true)
-	n.storeCallbacks[last().ID](StoreResponse{Status: StoreUnknown})
+	n.storeCallbacks[last().ID](message.StoreResponse{Status: message.StoreUnknown})
 	totalsLoop(n)
-	if op := last(); op.Kind != OpGet {
+	if op := last(); op.Kind != message.OpGet {
 		t.Errorf("it goes on with %+v", op)
 	}
 }
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -19,8 +20,8 @@
 
 // machineUpdates is what a successor has to know of the machines: of some of them at a
 // time, so that news of a large pool is spread over the seconds.
-func (n *Controller) machineUpdates() []MachineUpdate {
-	var out []MachineUpdate
+func (n *Controller) machineUpdates() []message.MachineUpdate {
+	var out []message.MachineUpdate
 	n.shardLeader.publishTurn = (n.shardLeader.publishTurn + 1) % machineUpdateTurns
 	for i, m := range n.shardLeader.machinesByID {
 		if i%machineUpdateTurns != n.shardLeader.publishTurn {
@@ -30,7 +31,7 @@
 		if !m.heard || m.releasing || n.unresponsive(m) {
 			continue
 		}
-		h := MachineUpdate{ID: id, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, Images: map[string]float64{}}
+		h := message.MachineUpdate{ID: id, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, Images: map[string]float64{}}
 		for name, im := range m.images {
 			if im.cached {
 				h.Images[name] = im.sizeGB
@@ -52,7 +53,7 @@
 		return
 	}
 	o.publishedAt = n.now
-	var update PeerUpdate
+	var update message.PeerUpdate
 	update.From = n.settings.Host
 	for _, id := range sortedKeys(o.jobs) {
 		j := o.jobs[id]
@@ -77,7 +78,7 @@
 		if n.leader == nil && p == n.membership.leader.Host && o.fleetView != nil {
 			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = o.leaderUpdateSeq, o.machinesToRelease, o.surplusMachines, n.offers(), n.teamLoads()
 			for _, k := range sortedKinds(o.capacityRequests) {
-				out.CapacityRequests = append(out.CapacityRequests, CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: o.capacityRequests[k]})
+				out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: o.capacityRequests[k]})
 			}
 			if o.migrations != nil {
 				out.HostNeeds, out.EvacuationCosts = o.migrations.evacuation.needs, o.migrations.evacuation.costs
@@ -85,7 +86,7 @@
 			out.IsCapacityRequest = true
 		}
 		if len(out.Progress) > 0 || len(out.WorkloadLoads) > 0 || len(out.Quotes) > 0 || len(out.MachineUpdates) > 0 || out.IsCapacityRequest {
-			n.emit(SendPeerUpdate{To: p, Update: out})
+			n.emit(message.SendPeerUpdate{To: p, Update: out})
 		}
 	}
 }
@@ -153,7 +154,7 @@
 
 // teamLoads is what each team of this owner keeps busy: what its tasks take, and what
 // those that wait would.
-func (n *Controller) teamLoads() []TeamLoad {
+func (n *Controller) teamLoads() []message.TeamLoad {
 	o := n.shardLeader
 	cpuByTeam := map[string]float64{}
 	for t := range o.teams {
@@ -162,10 +163,10 @@
 	for _, j := range o.jobs {
 		cpuByTeam[j.Team] += float64(j.liveTasks+j.pendingTasks()) * j.Need.CPU
 	}
-	var out []TeamLoad
+	var out []message.TeamLoad
 	for _, t := range sortedKeys(cpuByTeam) {
 		if o.teams[t] != nil {
-			out = append(out, TeamLoad{Team: t, CPU: cpuByTeam[t]})
+			out = append(out, message.TeamLoad{Team: t, CPU: cpuByTeam[t]})
 		}
 	}
 	return out
