--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 	"github.com/micahill/micahill/internal/sizelimit"
@@ -64,7 +65,7 @@
 
 // applyRankingRecord takes in the record as a read or a watch of ctl/ brings it. What can't be
 // read is told, and the last good one goes on to count.
-func applyRankingRecord(n *Controller, it KeyValue) {
+func applyRankingRecord(n *Controller, it message.KeyValue) {
 	if !n.settings.Capabilities.Ranking {
 		return
 	}
@@ -92,9 +93,9 @@
 }
 
 // noteRankingAbsence takes in that a whole read of ctl/ did not show a record.
-func noteRankingAbsence(n *Controller, items []KeyValue) {
-	if !slices.ContainsFunc(items, func(it KeyValue) bool { return it.Key == rankingKey }) {
-		applyRankingRecord(n, KeyValue{Key: rankingKey, Deleted: true})
+func noteRankingAbsence(n *Controller, items []message.KeyValue) {
+	if !slices.ContainsFunc(items, func(it message.KeyValue) bool { return it.Key == rankingKey }) {
+		applyRankingRecord(n, message.KeyValue{Key: rankingKey, Deleted: true})
 	}
 }
 
@@ -117,12 +118,12 @@
 // readRankingHistory reads the rankings that are kept, the newest first. It gives up at until,
 // and has none to tell of then; a zero one is never.
 func readRankingHistory(n *Controller, deadline time.Time, fn func([]ranking.Record)) {
-	n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityUser, Key: rankingHistoryPrefix}, func(d StoreResponse) {
-		if d.Status != StoreOK && !deadline.IsZero() && n.now.After(deadline) {
+	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: rankingHistoryPrefix}, func(d message.StoreResponse) {
+		if d.Status != message.StoreOK && !deadline.IsZero() && n.now.After(deadline) {
 			fn(nil)
 			return
 		}
-		if d.Status != StoreOK {
+		if d.Status != message.StoreOK {
 			n.after(n.jitter(storeRetryDelay), func() { readRankingHistory(n, deadline, fn) })
 			return
 		}
@@ -350,9 +351,9 @@
 }
 
 // rankingWrites are the changes that set a ranking: the record, and the same as history.
-func rankingWrites(rec ranking.Record) []Write {
+func rankingWrites(rec ranking.Record) []message.Write {
 	b := rec.Encode()
-	return []Write{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(rankingHistoryPrefix, rec.Revision%ranking.HistoryLen), Value: b}}
+	return []message.Write{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(rankingHistoryPrefix, rec.Revision%ranking.HistoryLen), Value: b}}
 }
 
 // deriveRanking has a leader write the ranking that its script stands for, where there is
@@ -368,9 +369,9 @@
 	}
 	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, n.settings.Host, n.now
 	r.writingDerived = true
-	n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: rankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: rankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
 		pause := n.jitter(storeRetryDelay)
-		if d.Status == StoreMalformed {
+		if d.Status == message.StoreMalformed {
 			pause = malformedRetryDelay
 		}
 		// The watch brings it, whoever wrote it.
@@ -378,86 +379,15 @@
 	})
 }
 
-// SetRanking sets a ranking. AnyRevision: whichever stands there; else only if Rev does. Until:
-// whoever asked has gone by then, and nothing is written later.
-type SetRanking struct {
-	Reply       uint64
-	Record      ranking.Record
-	AnyRevision bool
-	Revision    uint64
-	Deadline    time.Time
-}
-
-// QueryRanking asks for the ranking, why a job waits, or the last rankings.
-type QueryRanking struct {
-	Reply   uint64
-	Job     string
-	History bool
-}
-
-func (SetRanking) command()   {}
-func (QueryRanking) command() {}
-
-// RankingReply answers both. Status is an HTTP status; with another than 200 Message says
-// what is wrong.
-type RankingReply struct {
-	Reply    uint64    `json:"-"`
-	Status   int       `json:"-"`
-	Message  string    `json:"-"`
-	Host     string    `json:"host"`
-	Revision uint64    `json:"rev"`
-	SetBy    string    `json:"by"`
-	SetAt    time.Time `json:"at"`
-	Derived  bool      `json:"derived"`
-	// InvalidReason says why a newer record does not count, and AsOfSeconds how many seconds ago this
-	// was known to be the newest, -1 for never.
-	InvalidReason string          `json:"bad,omitempty"`
-	AsOfSeconds   float64         `json:"as_of_s"`
-	Classes       []RankingClass  `json:"classes,omitempty"`
-	Explanation   string          `json:"why,omitempty"`
-	History       []RankingRecord `json:"history,omitempty"`
-}
-
-// RankingRecord is one of the last rankings.
-type RankingRecord struct {
-	Revision uint64             `json:"rev"`
-	SetBy    string             `json:"by"`
-	SetAt    time.Time          `json:"at"`
-	Derived  bool               `json:"derived"`
-	Classes  []RankingClassSpec `json:"classes"`
-}
-
-// RankingClassSpec is a class as it was set, in seconds.
-type RankingClassSpec struct {
-	Name             string   `json:"name"`
-	Workloads        []string `json:"workloads,omitempty"`
-	Urgency          string   `json:"urgency,omitempty"`
-	WaitBoundSeconds float64  `json:"bound_s,omitempty"`
-	ReservedFraction float64  `json:"part,omitempty"`
-}
-
-func rankingClassSpec(c ranking.Class) RankingClassSpec {
-	return RankingClassSpec{Name: c.Name, Workloads: c.Workloads, Urgency: c.Urgency, WaitBoundSeconds: c.WaitBound.Seconds(), ReservedFraction: c.ReservedFraction}
-}
-
-// RankingClass is a class with what of it is here. Those without Set are the urgencies that
-// stand behind the named.
-type RankingClass struct {
-	RankingClassSpec
-	Rank         int  `json:"place"`
-	Configured   bool `json:"set"`
-	Jobs         int  `json:"jobs"`
-	WaitingTasks int  `json:"waiting"`
-	LiveTasks    int  `json:"live"`
-}
-
-func (RankingReply) effect() {}
+func rankingClassSpec(c ranking.Class) message.RankingClassSpec {
+	return message.RankingClassSpec{Name: c.Name, Workloads: c.Workloads, Urgency: c.Urgency, WaitBoundSeconds: c.WaitBound.Seconds(), ReservedFraction: c.ReservedFraction}
+}
 
 // setRanking writes a ranking in the place of the one that it was read over.
-func setRanking(n *Controller, cmd SetRanking) {
+func setRanking(n *Controller, cmd message.SetRanking) {
 	state := &n.membership.ranking
 	refuse := func(status int, format string, args ...any) {
-		n.emit(RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
+		n.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
 	}
 	switch {
 	case !n.settings.Capabilities.Ranking:
@@ -488,13 +418,13 @@
 		}
 		rec := cmd.Record
 		rec.Revision, rec.SetAt = state.highestRevision+1, n.now
-		n.requestStore(StoreRequest{Kind: OpTxn, Priority: PriorityUser, Compares: []Compare{{Key: rankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: rankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
 			switch resp.Status {
-			case StoreOK:
-				n.emit(RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
-			case StoreConflict:
+			case message.StoreOK:
+				n.emit(message.RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
+			case message.StoreConflict:
 				refuse(409, "nothing is set: somebody else set a ranking meanwhile; look at it and try again")
-			case StoreUnknown:
+			case message.StoreUnknown:
 				refuse(503, "no answer: revision %d may be set or not, or soon; look before trying again", rec.Revision)
 			default:
 				refuse(503, "nothing is set: the state service refuses it for now")
@@ -504,21 +434,21 @@
 }
 
 // queryRanking shows the ranking as it is known here.
-func queryRanking(n *Controller, c QueryRanking) {
+func queryRanking(n *Controller, c message.QueryRanking) {
 	r := &n.membership.ranking
 	if !n.settings.Capabilities.Ranking {
-		n.emit(RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
+		n.emit(message.RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
 		return
 	}
 	if c.History {
 		readRankingHistory(n, n.now.Add(userRequestTimeout), func(recs []ranking.Record) {
 			if len(recs) == 0 && r.modRevision != 0 {
-				n.emit(RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
+				n.emit(message.RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
 				return
 			}
-			reply := RankingReply{Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision}
+			reply := message.RankingReply{Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision}
 			for _, x := range recs {
-				h := RankingRecord{Revision: x.Revision, SetBy: x.SetBy, SetAt: x.SetAt, Derived: x.Derived}
+				h := message.RankingRecord{Revision: x.Revision, SetBy: x.SetBy, SetAt: x.SetAt, Derived: x.Derived}
 				for _, c := range x.Classes {
 					h.Classes = append(h.Classes, rankingClassSpec(c))
 				}
@@ -528,7 +458,7 @@
 		})
 		return
 	}
-	reply := RankingReply{
+	reply := message.RankingReply{
 		Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision, SetBy: r.lastValid.SetBy, SetAt: r.lastValid.SetAt, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
 		AsOfSeconds: max(0, n.now.Sub(r.asOf).Seconds()), Classes: rankingClasses(n),
 	}
@@ -542,9 +472,9 @@
 }
 
 // rankingClasses are all places with what of them this owner has.
-func rankingClasses(n *Controller) []RankingClass {
+func rankingClasses(n *Controller) []message.RankingClass {
 	r := &n.membership.ranking
-	out := make([]RankingClass, r.table.RankCount())
+	out := make([]message.RankingClass, r.table.RankCount())
 	for i := range out {
 		out[i].Rank = i + 1
 		if i < len(r.lastValid.Classes) && r.table != nil {
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 
@@ -30,7 +31,7 @@
 		panic(err)
 	}
 	rec.Revision = stamp
-	n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []KeyValue{{Key: rankingKey, Value: rec.Encode(), ModRevision: stamp}}})
+	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: rankingKey, Value: rec.Encode(), ModRevision: stamp}}})
 }
 
 const (
@@ -45,8 +46,8 @@
 	return j
 }
 
-func comparedRevision(op *StoreRequest, key string) (uint64, bool) {
-	i := slices.IndexFunc(op.Compares, func(c Compare) bool { return c.Key == key })
+func comparedRevision(op *message.StoreRequest, key string) (uint64, bool) {
+	i := slices.IndexFunc(op.Compares, func(c message.Compare) bool { return c.Key == key })
 	if i < 0 {
 		return 0, false
 	}
@@ -69,11 +70,11 @@
 		t.Fatalf("the start names %v", ops[0].Compares)
 	}
 	n.effects = nil
-	n.handleCommand(StoreResponse{ID: ops[0].ID, Status: StoreConflict, FailedKeys: []string{rankingKey}})
+	n.handleCommand(message.StoreResponse{ID: ops[0].ID, Status: message.StoreConflict, FailedKeys: []string{rankingKey}})
 	n.placeAll()
 	n.writeSegments()
-	for _, op := range emittedEffects[StoreRequest](n) {
-		if op.Kind == OpTxn {
+	for _, op := range emittedEffects[message.StoreRequest](n) {
+		if op.Kind == message.OpTxn {
 			t.Fatal("a start is written though the ranking is not known")
 		}
 	}
@@ -84,8 +85,8 @@
 	n.placeAll()
 	n.writeSegments()
 	some := false
-	for _, op := range emittedEffects[StoreRequest](n) {
-		if op.Kind == OpTxn {
+	for _, op := range emittedEffects[message.StoreRequest](n) {
+		if op.Kind == message.OpTxn {
 			stamp, _ := comparedRevision(&op, rankingKey)
 			some = some || stamp == 9
 		}
@@ -124,16 +125,16 @@
 		t.Fatal("a start leaves three seconds after the ranking was known")
 	}
 	op := sentStoreRequests(n)[0]
-	if op.Kind != OpWatch || op.Key != controlPrefix || op.WatchTimeout != 0 {
+	if op.Kind != message.OpWatch || op.Key != controlPrefix || op.WatchTimeout != 0 {
 		t.Fatalf("it waits for %+v", op)
 	}
-	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreOK, SentAt: n.now, Revision: 8})
+	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
 	n.effects = nil
 	n.dispatchAll()
 	if len(n.workerCallbacks) != 1 {
 		t.Fatal("the start does not leave though the ranking is known")
 	}
-	w := n.effects[0].(WorkerRequest)
+	w := n.effects[0].(message.WorkerRequest)
 	if _, _, late := CheckDeadline(w, n.now.Add(maxRankingStaleness+time.Millisecond)); !late {
 		t.Error("it may leave later than the ranking is known")
 	}
@@ -142,21 +143,21 @@
 	n.now = n.now.Add(time.Second)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 5, m.epoch
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-	a := n.effects[len(n.effects)-1].(HeartbeatReply)
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	a := n.effects[len(n.effects)-1].(message.HeartbeatReply)
 	if countStarts(a.Commands) != 1 {
 		t.Fatalf("answered %+v", a)
 	}
 	_, instead, late := CheckDeadline(a, n.now.Add(maxRankingStaleness))
-	if b, ok := instead.(HeartbeatReply); !late || !ok || b.Status != 200 || countStarts(b.Commands) != 0 {
+	if b, ok := instead.(message.HeartbeatReply); !late || !ok || b.Status != 200 || countStarts(b.Commands) != 0 {
 		t.Errorf("late it becomes %+v", instead)
 	}
 	// It never arrived; when the machine says so, it counts as one that never left.
 	n.setRanking(barFirst, 9)
 	r.Sequence = 6
 	n.effects = nil
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 2, Heartbeat: *r})
-	for _, a := range emittedEffects[HeartbeatReply](n) {
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 2, Heartbeat: *r})
+	for _, a := range emittedEffects[message.HeartbeatReply](n) {
 		if countStarts(a.Commands) != 0 {
 			t.Error("a start that is proven nowhere leaves under the old ranking")
 		}
@@ -174,7 +175,7 @@
 	delete(n.shardLeader.machines, m.id)
 	n.shardLeader.machinesByID = []*machine{again}
 	delete(n.shardLeader.jobs, j.ID)
-	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreOK, SentAt: n.now, Revision: 8})
+	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
 	n.dispatchAll()
 	if len(n.workerCallbacks) != 0 {
 		t.Error("something is ordered for a machine of a former time")
@@ -195,7 +196,7 @@
 		m := n.shardLeader.machinesByID[0]
 		j := n.addWaitingJob("job-1", "foo", 1, 1)
 		rec := taskSegmentRecord{RankingRevision: c.rank, Rows: []taskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
-		n.recoverSegment(j, KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
+		n.recoverSegment(j, message.KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
 		if !c.quiet {
 			m.unackedStartEpoch = m.epoch
 		}
@@ -219,12 +220,12 @@
 // derives one its lead and that there is none.
 func TestWritersOfTheRanking(t *testing.T) {
 	n := newRankedNode(1, fooFirst)
-	set := func(rev uint64) (*StoreRequest, *RankingReply) {
+	set := func(rev uint64) (*message.StoreRequest, *message.RankingReply) {
 		n.effects = nil
 		rec, _ := ranking.Parse([]byte(barFirst))
-		n.handleCommand(SetRanking{Reply: 1, Record: rec, Revision: rev, Deadline: n.now.Add(time.Second)})
-		n.handleCommand(StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: StoreOK, SentAt: n.now, Revision: 8})
-		for _, r := range emittedEffects[RankingReply](n) {
+		n.handleCommand(message.SetRanking{Reply: 1, Record: rec, Revision: rev, Deadline: n.now.Add(time.Second)})
+		n.handleCommand(message.StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
+		for _, r := range emittedEffects[message.RankingReply](n) {
 			return nil, &r
 		}
 		all := sentStoreRequests(n)
@@ -237,11 +238,11 @@
 	if stamp, ok := comparedRevision(op, rankingKey); !ok || stamp != 7 || len(op.Writes) != 2 || op.Writes[1].Key != "ranking/8" {
 		t.Fatalf("set with %+v", op)
 	}
-	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreConflict, FailedKeys: []string{rankingKey}})
-	if r := n.effects[len(n.effects)-1].(RankingReply); r.Status != 409 {
+	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict, FailedKeys: []string{rankingKey}})
+	if r := n.effects[len(n.effects)-1].(message.RankingReply); r.Status != 409 {
 		t.Errorf("the second of two is told %+v", r)
 	}
-	applyRankingRecord(n, KeyValue{Key: rankingKey, Deleted: true})
+	applyRankingRecord(n, message.KeyValue{Key: rankingKey, Deleted: true})
 	n.leader = &leader{modRevision: 5}
 	n.effects = nil
 	deriveRanking(n)
@@ -264,7 +265,7 @@
 	for i, b := range [][]byte{{0x81}, later, encode(map[string]any{"v": 1, "rev": 3, "c": []any{}}), nil} {
 		n.now = n.now.Add(2 * time.Minute)
 		n.effects = nil
-		n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []KeyValue{{Key: rankingKey, Value: b, ModRevision: uint64(20 + i)}}})
+		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: rankingKey, Value: b, ModRevision: uint64(20 + i)}}})
 		if rankOf(n, bar) >= rankOf(n, foo) || n.membership.ranking.modRevision != uint64(20+i) || n.membership.ranking.invalidReason == "" || len(n.effects) == 0 {
 			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.membership.ranking.modRevision, len(n.effects))
 		}
@@ -274,12 +275,12 @@
 	}
 	n.membership.ranking = rankingState{}
 	n.effects = nil
-	n.applyControlUpdates(StoreResponse{Status: StoreOK, SentAt: n.now, Revision: 40, KeyValues: []KeyValue{{Key: rankingKey, Value: later, ModRevision: 40}}})
+	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: rankingKey, Value: later, ModRevision: 40}}})
 	all := sentStoreRequests(n)
-	if len(all) != 1 || all[0].Kind != OpList || all[0].Key != rankingHistoryPrefix {
+	if len(all) != 1 || all[0].Kind != message.OpList || all[0].Key != rankingHistoryPrefix {
 		t.Fatalf("asked %+v", all)
 	}
-	n.handleCommand(StoreResponse{ID: all[0].ID, Status: StoreOK, KeyValues: []KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
+	n.handleCommand(message.StoreResponse{ID: all[0].ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
 	if n.membership.ranking.lastValid.Revision != 7 || rankOf(n, bar) >= rankOf(n, foo) {
 		t.Errorf("revision %d counts", n.membership.ranking.lastValid.Revision)
 	}
--- a/internal/controller/rate_limits.go
+++ b/internal/controller/rate_limits.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/ratelimit"
 )
 
@@ -31,28 +32,22 @@
 	minWritesInFlight = 2
 )
 
-// Rates is what a controller asks of the state service a second.
-type Rates struct {
-	Requests float64
-	Writes   float64
-}
-
 // rateLimits is what this controller asks for, and what the others have said.
 type rateLimits struct {
 	requests, writes ratelimit.Meter
 	peers            map[string]peerRates
-	allotted         Rates
+	allotted         message.Rates
 	// short: what is asked for has not the usual headroom in its part.
 	writesShort bool
 }
 
 type peerRates struct {
 	receivedAt time.Time
-	Rates
+	message.Rates
 }
 
 // countRequest notes a request to the state service.
-func (b *rateLimits) countRequest(op *StoreRequest) {
+func (b *rateLimits) countRequest(op *message.StoreRequest) {
 	b.requests.Add(1)
 	b.writes.Add(float64(len(op.Writes)))
 }
@@ -61,9 +56,9 @@
 func publishRates(n *Controller) {
 	n.after(ratesPublishInterval, func() { publishRates(n) })
 	b := &n.rateLimits
-	r := Rates{Requests: b.requests.Rate(n.now), Writes: b.writes.Rate(n.now)}
+	r := message.Rates{Requests: b.requests.Rate(n.now), Writes: b.writes.Rate(n.now)}
 	for _, p := range n.settings.Peers {
-		n.emit(SendPeerUpdate{To: p, Update: PeerUpdate{From: n.settings.Host, Rates: &r}})
+		n.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: n.settings.Host, Rates: &r}})
 	}
 	if n.settings.StoreRequestsPerSecond <= 0 || n.settings.StoreWritesPerSecond <= 0 {
 		return
@@ -75,16 +70,16 @@
 		}
 		peer := b.peers[h]
 		if n.now.Sub(peer.receivedAt) > ratesTTL {
-			peer.Rates = Rates{Requests: followerRequests, Writes: followerWrites}
+			peer.Rates = message.Rates{Requests: followerRequests, Writes: followerWrites}
 			for _, s := range n.membership.shardMap.Shards() {
 				if s.Host == h && len(s.Teams) > 0 {
-					peer.Rates = Rates{Requests: shardLeaderRequests, Writes: shardLeaderWrites}
+					peer.Rates = message.Rates{Requests: shardLeaderRequests, Writes: shardLeaderWrites}
 				}
 			}
 		}
 		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	allotted := Rates{Requests: ratelimit.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], Writes: ratelimit.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
+	allotted := message.Rates{Requests: ratelimit.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], Writes: ratelimit.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
 	b.writesShort = r.Writes*ratelimit.Headroom > allotted.Writes*(1+minRateChange)
 	if ratesDiffer(allotted.Requests, b.allotted.Requests) || ratesDiffer(allotted.Writes, b.allotted.Writes) {
 		b.allotted = allotted
@@ -108,11 +103,11 @@
 }
 
 // writeTxn sends a write of the owner's and counts it as under way.
-func (n *Controller) writeTxn(op StoreRequest, fn func(StoreResponse)) {
+func (n *Controller) writeTxn(op message.StoreRequest, fn func(message.StoreResponse)) {
 	o, writes := n.shardLeader, len(op.Writes)
 	o.txnsInFlight++
 	o.writesInFlight += writes
-	n.requestStore(op, func(d StoreResponse) {
+	n.requestStore(op, func(d message.StoreResponse) {
 		o.txnsInFlight--
 		o.writesInFlight -= writes
 		fn(d)
@@ -120,5 +115,3 @@
 }
 
 func ratesDiffer(a, b float64) bool { return math.Abs(a-b) > minRateChange*b }
-
-func (Rates) effect() {}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 )
@@ -212,7 +213,7 @@
 	m.dispatchInFlight = true
 	before := m.snapshot()
 	epoch, gen := m.epoch, o.generation
-	n.requestWorker(WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(d WorkerResponse) {
+	n.requestWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(d message.WorkerResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen || m.removed {
 			return
 		}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -3,11 +3,12 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/validate"
 )
 
 // recoverSegment takes in a record of a job's tasks that a former owner wrote.
-func (n *Controller) recoverSegment(j *job, it KeyValue, r *taskSegmentRecord) {
+func (n *Controller) recoverSegment(j *job, it message.KeyValue, r *taskSegmentRecord) {
 	format, segmentIndex, ok := n.parseSegmentKey(it.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
 		n.rejectInput("record", it.Key, "its job has no such part")
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"testing"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -32,7 +33,7 @@
 			for i := k * per; i < min(total, (k+1)*per); i++ {
 				r.Rows = append(r.Rows, taskEntry{Index: i, Try: 1, Machine: n.shardLeader.machinesByID[i%24].id, Group: n.now.UnixMilli()})
 			}
-			n.recoverSegment(j, KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
+			n.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
 		}
 		n.queueRecovered(j)
 		if j.liveTasks != total {
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 )
@@ -70,7 +71,7 @@
 		}
 	}
 	for _, host := range sortedKeys(requests) {
-		n.emit(SendPeerUpdate{To: host, Update: PeerUpdate{From: n.settings.Host, RemoteAttempts: requests[host]}})
+		n.emit(message.SendPeerUpdate{To: host, Update: message.PeerUpdate{From: n.settings.Host, RemoteAttempts: requests[host]}})
 	}
 }
 
@@ -125,7 +126,7 @@
 	})
 	for _, host := range sortedKeys(updates) {
 		if host != n.settings.Host {
-			n.emit(SendPeerUpdate{To: host, Update: PeerUpdate{From: n.settings.Host, RemoteStatuses: updates[host]}})
+			n.emit(message.SendPeerUpdate{To: host, Update: message.PeerUpdate{From: n.settings.Host, RemoteStatuses: updates[host]}})
 		}
 	}
 }
@@ -162,7 +163,7 @@
 		}
 		if len(back.Attempts) > 0 {
 			back.Machine = update.Machine
-			n.emit(SendPeerUpdate{To: from, Update: PeerUpdate{From: n.settings.Host, RemoteAttempts: []remote.Request{back}}})
+			n.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: n.settings.Host, RemoteAttempts: []remote.Request{back}}})
 		}
 	}
 }
--- a/internal/controller/renewal_bound.go
+++ b/internal/controller/renewal_bound.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/renewalbound"
 )
@@ -124,7 +125,7 @@
 		if m.seenEpoch < m.epoch && !m.dispatchInFlight && !n.now.After(n.membership.leaseValidUntil) && n.shardLeader.contactsInFlight < maxContactsInFlight {
 			n.showEpoch(m)
 		}
-		n.emit(HeartbeatReply{Reply: reply, Status: 503})
+		n.emit(message.HeartbeatReply{Reply: reply, Status: 503})
 		return until, false
 	}
 	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(n.now))
@@ -132,16 +133,16 @@
 }
 
 // renewWithoutCommands answers a report that proves nothing: it orders nothing.
-func renewWithoutCommands(n *Controller, m *machine, c *WorkerHeartbeat) {
+func renewWithoutCommands(n *Controller, m *machine, c *message.WorkerHeartbeat) {
 	if until, renews := renewLease(n, m, m.settled(), c.Heartbeat.Tasks, c.Reply); renews {
-		n.emit(HeartbeatReply{Reply: c.Reply, SendDeadline: until, Status: 200, Epoch: m.epoch})
+		n.emit(message.HeartbeatReply{Reply: c.Reply, SendDeadline: until, Status: 200, Epoch: m.epoch})
 	}
 }
 
 // renewBeforeRecovery answers a report before the owner has read which attempts there should be:
 // it starts nothing, and halts what it knows to be cancelled. A start of the owner before
 // that is on its way is of a lower epoch than this answer's, but may come before it.
-func renewBeforeRecovery(n *Controller, c *WorkerHeartbeat, epoch uint64) {
+func renewBeforeRecovery(n *Controller, c *message.WorkerHeartbeat, epoch uint64) {
 	until := n.renewalDeadline()
 	if c.Heartbeat.Epoch < epoch {
 		until = earlier(until, n.unreadTeamsDeadline())
@@ -158,8 +159,8 @@
 		}
 	}
 	if n.now.After(until) {
-		n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
+		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		return
 	}
-	n.emit(HeartbeatReply{Reply: c.Reply, SendDeadline: until, Status: 200, Epoch: epoch, Commands: stops})
+	n.emit(message.HeartbeatReply{Reply: c.Reply, SendDeadline: until, Status: 200, Epoch: epoch, Commands: stops})
 }
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -4,24 +4,25 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
 // heartbeatOf has the worker of m report tasks, and gives the answer.
-func (n *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) HeartbeatReply {
+func (n *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) message.HeartbeatReply {
 	r := n.poolHeartbeat(0)
 	r.Machine, r.Sequence, r.Epoch, r.Tasks = m.id, m.sequence+1, m.epoch, tasks
 	return n.replyToHeartbeat(r)
 }
 
 // replyToHeartbeat is the answer to a report, zero if there is none yet.
-func (n *Controller) replyToHeartbeat(r *model.Heartbeat) HeartbeatReply {
+func (n *Controller) replyToHeartbeat(r *model.Heartbeat) message.HeartbeatReply {
 	n.effects = nil
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-	for _, a := range emittedEffects[HeartbeatReply](n) {
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	for _, a := range emittedEffects[message.HeartbeatReply](n) {
 		return a
 	}
-	return HeartbeatReply{}
+	return message.HeartbeatReply{}
 }
 
 // setCancelled writes that a job was cancelled by a change that was sent at a moment.
@@ -48,8 +49,8 @@
 	}
 	sent := n.now
 	n.now = n.now.Add(5 * time.Second)
-	n.applyOpenJobUpdates(StoreResponse{SentAt: sent})
-	n.applyOpenJobUpdates(StoreResponse{SentAt: sent.Add(-time.Minute)})
+	n.applyOpenJobUpdates(message.StoreResponse{SentAt: sent})
+	n.applyOpenJobUpdates(message.StoreResponse{SentAt: sent.Add(-time.Minute)})
 	last := sent.Add(n.settings.RenewalBound().Window())
 	if least := 25 * time.Second; last.Sub(sent) < least {
 		t.Fatalf("a window of %v, want %v at the least", last.Sub(sent), least)
@@ -58,7 +59,7 @@
 	if a.Status != 200 || !a.SendDeadline.Equal(last) {
 		t.Errorf("answered %d until %v, want 200 until %v after the read was sent", a.Status, a.SendDeadline.Sub(sent), last.Sub(sent))
 	}
-	if _, x, late := CheckDeadline(a, last.Add(time.Millisecond)); !late || x.(HeartbeatReply).Status != 503 {
+	if _, x, late := CheckDeadline(a, last.Add(time.Millisecond)); !late || x.(message.HeartbeatReply).Status != 503 {
 		t.Error("it leaves when its time is over")
 	}
 	n.now = last.Add(time.Millisecond)
@@ -88,10 +89,10 @@
 	k.segmentOf(0).persistedVersion = 1
 	n.frontend.watchCache.asOf = n.now
 	last := n.now.Add(n.settings.RenewalBound().Window())
-	dispatched := func() (op WorkerRequest) {
+	dispatched := func() (op message.WorkerRequest) {
 		m.dispatchInFlight, n.effects = false, nil
 		n.dispatch(m)
-		for _, w := range emittedEffects[WorkerRequest](n) {
+		for _, w := range emittedEffects[message.WorkerRequest](n) {
 			op = w
 		}
 		return op
@@ -101,7 +102,7 @@
 	if len(op.Commands) != 1 || op.Commands[0].Kind != model.StartTask || !op.SendDeadline.Equal(last) {
 		t.Errorf("ordered %v until %v, want a start until %v", op.Commands, op.SendDeadline, last)
 	}
-	if back, _, late := CheckDeadline(op, last.Add(time.Millisecond)); !late || !back.(WorkerResponse).NotSent {
+	if back, _, late := CheckDeadline(op, last.Add(time.Millisecond)); !late || !back.(message.WorkerResponse).NotSent {
 		t.Error("it leaves when its time is over")
 	}
 	n.now = last.Add(time.Millisecond)
@@ -169,7 +170,7 @@
 		n.endAttempt(n.shardLeader.jobs[j.job], j.index, false)
 	}
 	m.heard, m.taskReports, m.lastTaskReports, m.seenEpoch = false, nil, nil, 0
-	former := func() HeartbeatReply {
+	former := func() message.HeartbeatReply {
 		r := n.poolHeartbeat(0)
 		r.Machine, r.Sequence, r.Epoch = m.id, m.sequence+1, m.epoch-1
 		r.Tasks = []model.TaskReport{{Job: k.ID, Index: 0, Attempt: 1, Status: model.Running}}
@@ -199,7 +200,7 @@
 	n.setCancelled(k, n.now.Add(-time.Minute))
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks, n.effects = m.sequence+1, m.unackedStartEpoch, m.lastTaskReports, nil
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	r.Sequence, r.Epoch = r.Sequence+1, m.epoch
 	n.answerPoll(t, m, r)
 	if until := n.machineRenewalDeadline(m, m.settled(), nil); n.now.After(until) || k.liveTasks > 0 {
@@ -245,7 +246,7 @@
 		n.setCancelled(j, n.now.Add(-10*time.Second))
 		last := n.now.Add(n.settings.RenewalBound().Window() - 10*time.Second)
 		n.shardLeader.ready, n.shardLeader.teams["ops"].ready = ready, false
-		report := func(epoch uint64) HeartbeatReply {
+		report := func(epoch uint64) message.HeartbeatReply {
 			n.shardLeader.removeMachine(m)
 			n.shardLeader.lastHeartbeats = nil
 			m = n.ensureMachine(m.id)
@@ -305,7 +306,7 @@
 	m, j := machineWithTask(n)
 	countStops := func() (k int) {
 		n.dispatchAll()
-		for _, op := range emittedEffects[WorkerRequest](n) {
+		for _, op := range emittedEffects[message.WorkerRequest](n) {
 			if op.Machine == m.id && len(op.Commands) > 0 && op.Commands[0].Kind == model.StopTask {
 				k++
 			}
@@ -358,9 +359,9 @@
 	n.setCancelled(j, at)
 	n.dispatchAll()
 	told := map[string]int{}
-	for _, op := range emittedEffects[WorkerRequest](n) {
+	for _, op := range emittedEffects[message.WorkerRequest](n) {
 		told[op.Machine] = len(op.Commands)
-		n.handleCommand(WorkerResponse{ID: op.ID})
+		n.handleCommand(message.WorkerResponse{ID: op.ID})
 	}
 	for _, m := range n.shardLeader.machinesByID {
 		if told[m.id] != maxCommands {
@@ -391,8 +392,8 @@
 	horizon := n.frontend.watchCache.asOf
 	receive := func(r openJobRecord, stamp uint64) (acks, passed int) {
 		n.effects = nil
-		receiveCancellations(n, "b", []Cancellation{{ID: j.ID, Record: encode(r), ModRevision: stamp}})
-		for _, p := range emittedEffects[SendPeerUpdate](n) {
+		receiveCancellations(n, "b", []message.Cancellation{{ID: j.ID, Record: encode(r), ModRevision: stamp}})
+		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if p.To == "b" {
 				acks += len(p.Update.CancellationAcks)
 			}
@@ -429,7 +430,7 @@
 		t.Errorf("passed on %d, want 1", passed)
 	}
 	sends := func() (out []string) {
-		for _, p := range emittedEffects[SendPeerUpdate](n) {
+		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if len(p.Update.Cancellations) > 0 {
 				out = append(out, p.To)
 			}
--- a/internal/controller/safety_test.go
+++ b/internal/controller/safety_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sharding"
 	"github.com/micahill/micahill/internal/simulation"
@@ -46,7 +47,7 @@
 	name        string
 	incarnation int
 	controller  *controller.Controller
-	queue       []controller.Command
+	queue       []message.Command
 	// rules say what becomes of requests to the state service.
 	rules          []storeRule
 	heldRequests   []heldRequest
@@ -66,12 +67,12 @@
 // then is what say prints.
 type heldRequest struct {
 	text string
-	exec func(done func(controller.StoreResponse))
+	exec func(done func(message.StoreResponse))
 }
 
 // workerCommand is a direct order, and when it was sent.
 type workerCommand struct {
-	controller.WorkerRequest
+	message.WorkerRequest
 	sentAt time.Time
 }
 
@@ -149,7 +150,7 @@
 					n.workerCommands = slices.DeleteFunc(n.workerCommands, func(op workerCommand) bool {
 						late := len(op.Commands) == 0 && b.now.Sub(op.sentAt) > pollTimeout
 						if late {
-							n.push(controller.WorkerResponse{ID: op.ID})
+							n.push(message.WorkerResponse{ID: op.ID})
 						}
 						return late
 					})
@@ -168,20 +169,20 @@
 	}
 }
 
-func (n *harnessController) push(c controller.Command) {
+func (n *harnessController) push(c message.Command) {
 	if n.controller != nil {
 		n.queue = append(n.queue, c)
 	}
 }
 
-func (n *harnessController) execute(e controller.Effect) {
+func (n *harnessController) execute(e message.Effect) {
 	b := n.harness
 	switch e := e.(type) {
-	case controller.StoreRequest:
+	case message.StoreRequest:
 		n.handleStoreRequest(e)
-	case controller.CloudRequest:
+	case message.CloudRequest:
 		n.push(b.handleCloudRequest(e))
-	case controller.WorkerRequest:
+	case message.WorkerRequest:
 		vm := b.vms[e.Machine]
 		said := vm.repeated
 		if vm.reported != nil {
@@ -192,13 +193,13 @@
 			// learnt a higher epoch.
 			vm.epoch = max(vm.epoch, e.Epoch)
 			r := b.heartbeat(said, vm)
-			n.push(controller.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &r})
+			n.push(message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &r})
 			return
 		}
 		n.workerCommands = append(n.workerCommands, workerCommand{e, b.now})
-	case controller.UserReply:
+	case message.UserReply:
 		b.output = append(b.output, strings.TrimSpace(fmt.Sprintf("%s %d %s", n.replyNames[e.Reply], e.Status, e.State)))
-	case controller.HeartbeatReply:
+	case message.HeartbeatReply:
 		if vm := b.ignoredReplies[e.Reply]; vm != nil {
 			delete(b.ignoredReplies, e.Reply)
 			if vm.unreachable {
@@ -234,9 +235,9 @@
 			text += " to " + e.MachineOwner
 		}
 		b.output = append(b.output, fmt.Sprintf("%s %s", n.replyNames[e.Reply], text))
-	case controller.LoanReply:
+	case message.LoanReply:
 		b.output = append(b.output, n.replyNames[e.Reply]+" "+[...]string{"durable", "not", "unsure"}[e.Status])
-	case controller.LoanView:
+	case message.LoanView:
 		text := fmt.Sprintf("view ok=%v leads=%v guests=%v", e.OK, e.IsLeader, e.RunsGuestTeam)
 		for _, l := range e.Lent {
 			text += fmt.Sprintf(" lent=%s#%d->%s", l.Spec.ID, l.LendCount, l.Peer)
@@ -245,7 +246,7 @@
 			text += fmt.Sprintf(" borrowed=%s:%s:ending=%v", l.Loan, l.Status, l.Ending)
 		}
 		b.output = append(b.output, text)
-	case controller.SendPeerUpdate:
+	case message.SendPeerUpdate:
 		if o := b.controllers[e.To]; o != nil && n.peersConnected && o.peersConnected {
 			o.push(e.Update)
 		}
@@ -263,11 +264,11 @@
 
 // describeRequest is how a request reads in a scenario: a transaction as its
 // conditions, each with whether it stands now, and its changes.
-func (n *harnessController) describeRequest(op controller.StoreRequest) string {
+func (n *harnessController) describeRequest(op message.StoreRequest) string {
 	switch {
-	case op.Kind == controller.OpWatch && op.WatchTimeout == 0:
+	case op.Kind == message.OpWatch && op.WatchTimeout == 0:
 		return "read " + op.Key
-	case op.Kind != controller.OpTxn:
+	case op.Kind != message.OpTxn:
 		return fmt.Sprintf("%s %s", op.Kind, op.Key)
 	}
 	var compares, writes []string
@@ -289,15 +290,15 @@
 	return fmt.Sprintf("when %s: %s", strings.Join(compares, ", "), strings.Join(writes, ", "))
 }
 
-func (n *harnessController) handleStoreRequest(op controller.StoreRequest) {
+func (n *harnessController) handleStoreRequest(op message.StoreRequest) {
 	b := n.harness
 	text := n.describeRequest(op)
-	if op.Kind == controller.OpTxn {
+	if op.Kind == message.OpTxn {
 		n.txns = append(n.txns, text)
 	}
 	sent, life := b.now, n.incarnation
-	exec := func(answer bool, done func(controller.StoreResponse)) {
-		b.store.Do(b.now, op, func(d controller.StoreResponse) {
+	exec := func(answer bool, done func(message.StoreResponse)) {
+		b.store.Do(b.now, op, func(d message.StoreResponse) {
 			if d.SentAt = sent; answer && n.incarnation == life {
 				n.push(d)
 			}
@@ -305,9 +306,9 @@
 		})
 	}
 	hold := func(answer bool) {
-		n.heldRequests = append(n.heldRequests, heldRequest{text, func(done func(controller.StoreResponse)) { exec(answer, done) }})
+		n.heldRequests = append(n.heldRequests, heldRequest{text, func(done func(message.StoreResponse)) { exec(answer, done) }})
 	}
-	nobody := func(controller.StoreResponse) {}
+	nobody := func(message.StoreResponse) {}
 	mode := "ok"
 	if i := slices.IndexFunc(n.rules, func(r storeRule) bool { return strings.Contains(text, r.contains) }); i >= 0 {
 		if mode = n.rules[i].mode; mode == "gone" {
@@ -318,28 +319,28 @@
 	case "ok":
 		exec(true, nobody)
 	case "refuse":
-		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreRefused, SentAt: sent})
+		n.push(message.StoreResponse{ID: op.ID, Status: message.StoreRefused, SentAt: sent})
 	case "lose":
 		exec(false, nobody)
-		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreUnknown, SentAt: sent})
+		n.push(message.StoreResponse{ID: op.ID, Status: message.StoreUnknown, SentAt: sent})
 	case "late":
 		hold(false)
-		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreUnknown, SentAt: sent})
+		n.push(message.StoreResponse{ID: op.ID, Status: message.StoreUnknown, SentAt: sent})
 	case "hold":
 		hold(true)
 	case "gone":
-		n.push(controller.StoreResponse{ID: op.ID, Status: controller.StoreCompacted, SentAt: sent})
+		n.push(message.StoreResponse{ID: op.ID, Status: message.StoreCompacted, SentAt: sent})
 	default:
 		b.t.Fatalf("unknown mode %s", mode)
 	}
 }
 
-func (b *harness) handleCloudRequest(op controller.CloudRequest) controller.CloudResponse {
-	d := controller.CloudResponse{ID: op.ID}
+func (b *harness) handleCloudRequest(op message.CloudRequest) message.CloudResponse {
+	d := message.CloudResponse{ID: op.ID}
 	switch op.Kind {
-	case controller.CloudListTypes:
+	case message.CloudListTypes:
 		d.MachineTypes = []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
-	case controller.CloudRent:
+	case message.CloudRent:
 		if b.bookings[op.IdempotencyKey] {
 			b.output = append(b.output, "booking used again: "+op.IdempotencyKey)
 		}
@@ -350,9 +351,9 @@
 			d.Rented = append(d.Rented, vm.id)
 		}
 		if len(d.Rented) == 0 {
-			d.Status = controller.CloudNoCapacity
+			d.Status = message.CloudNoCapacity
 		}
-	case controller.CloudListMachines:
+	case message.CloudListMachines:
 		for _, vm := range b.sortedVMs() {
 			status := "running"
 			if vm.failed {
@@ -362,10 +363,10 @@
 				d.Machines = append(d.Machines, model.CloudMachine{ID: vm.id, Addr: vm.id, MachineType: "box", Zone: vm.zone, Status: status, Age: time.Minute})
 			}
 		}
-	case controller.CloudRelease:
+	case message.CloudRelease:
 		b.printOnce("return " + strings.Join(op.Machines, " "))
 		if b.releaseMode == "unknown" {
-			d.Status = controller.CloudUnknown
+			d.Status = message.CloudUnknown
 			return d
 		}
 		for _, id := range op.Machines {
@@ -392,7 +393,7 @@
 	return vms
 }
 
-func (b *harness) pushRequest(n *harnessController, what string, newCommand func(uint64) controller.Command) {
+func (b *harness) pushRequest(n *harnessController, what string, newCommand func(uint64) message.Command) {
 	n.lastReply++
 	n.replyNames[n.lastReply] = what
 	n.push(newCommand(n.lastReply))
@@ -515,35 +516,35 @@
 		if d.HasArg("team") {
 			d.ScanArgs(t, "team", &s.Team)
 		}
-		b.pushRequest(n, s.ID, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: s} })
+		b.pushRequest(n, s.ID, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: s} })
 		b.run(controller.Seconds(number("for", 2)))
 	case "loan":
 		// One step of a loan: what, job, n=1.
 		kinds := []string{"lend", "back", "settle", "cancelled", "accept", "give_up", "drop"}
 		id := d.CmdArgs[1].Key
-		op := controller.LoanCommand{
-			Kind: controller.LoanCommandKind(slices.Index(kinds, first())), Job: id, LendCount: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
+		op := message.LoanCommand{
+			Kind: message.LoanCommandKind(slices.Index(kinds, first())), Job: id, LendCount: uint64(number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
 			Spec: model.JobSpec{ID: id, Team: "ops", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
 		}
-		b.pushRequest(n, first()+" "+id, func(r uint64) controller.Command { op.Reply = r; return op })
+		b.pushRequest(n, first()+" "+id, func(r uint64) message.Command { op.Reply = r; return op })
 		b.run(controller.Seconds(number("for", 0.5)))
 	case "view":
 		// startable=job: that borrowed job may be started for the next 10 s.
-		q := controller.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
+		q := message.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
 		if d.HasArg("startable") {
 			var id string
 			d.ScanArgs(t, "startable", &id)
 			q.StartableUntil[id] = b.now.Add(10 * time.Second)
 		}
-		b.pushRequest(n, "view", func(r uint64) controller.Command { q.Reply = r; return q })
+		b.pushRequest(n, "view", func(r uint64) message.Command { q.Reply = r; return q })
 		b.run(controller.Seconds(number("for", 0.5)))
 	case "query":
 		id := first()
-		b.pushRequest(n, id, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} })
+		b.pushRequest(n, id, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} })
 		b.run(controller.Seconds(number("for", 0.3)))
 	case "abort":
 		id := first()
-		b.pushRequest(n, id, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} })
+		b.pushRequest(n, id, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} })
 		b.run(controller.Seconds(number("for", 0.3)))
 	case "wait":
 		b.run(controller.Seconds(number("for", 1)))
@@ -561,15 +562,15 @@
 		held := n.heldRequests
 		n.heldRequests = nil
 		for _, h := range held {
-			h.exec(func(r controller.StoreResponse) {
+			h.exec(func(r message.StoreResponse) {
 				kind, text, txn := strings.Cut(h.text, ": ")
 				switch {
 				case !d.HasArg("say"):
 				case !txn:
 					b.output = append(b.output, fmt.Sprintf("%s tells of %d", kind, len(r.KeyValues)))
-				case r.Status == controller.StoreOK:
+				case r.Status == message.StoreOK:
 					b.output = append(b.output, "applied "+text)
-				case r.Status == controller.StoreNoLease:
+				case r.Status == message.StoreNoLease:
 					b.output = append(b.output, "refused "+text+", its grant has ended")
 				default:
 					b.output = append(b.output, fmt.Sprintf("refused %s, as of another stamp: %s", text, strings.Join(r.FailedKeys, ", ")))
@@ -615,7 +616,7 @@
 		vm := vm()
 		r := b.heartbeat(d, vm)
 		send := func() {
-			b.pushRequest(n, vm.id, func(id uint64) controller.Command { return controller.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+			b.pushRequest(n, vm.id, func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 		}
 		vm.resend = func() *datadriven.TestData {
 			vm.sequence++
@@ -640,14 +641,14 @@
 		if !ok {
 			d.Fatalf(t, "late: no report was sent as %s", first())
 		}
-		b.pushRequest(n, "late "+first(), func(id uint64) controller.Command { return controller.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+		b.pushRequest(n, "late "+first(), func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 		b.run(0)
 	case "keep":
 		// The worker goes on reporting the same, to whoever is asked for.
 		vm, node, said := vm(), n, *d // datadriven uses d again
 		vm.repeat = func() {
 			r := b.heartbeat(&said, vm)
-			b.pushRequest(node, "", func(id uint64) controller.Command { return controller.WorkerHeartbeat{Reply: id, Heartbeat: r} })
+			b.pushRequest(node, "", func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: r} })
 			b.ignoredReplies[node.lastReply] = vm
 		}
 		vm.repeated, vm.unreachable = &said, d.HasArg("deaf")
@@ -682,7 +683,7 @@
 		op := n.workerCommands[i]
 		n.workerCommands = slices.Delete(n.workerCommands, i, i+1)
 		if d.HasArg("lost") {
-			n.push(controller.WorkerResponse{ID: op.ID})
+			n.push(message.WorkerResponse{ID: op.ID})
 		} else {
 			if d.HasArg("from") {
 				// Another machine has its address by now.
@@ -694,7 +695,7 @@
 				vm.epoch = op.Epoch
 			}
 			r := b.heartbeat(d, vm)
-			n.push(controller.WorkerResponse{ID: op.ID, OK: !d.HasArg("refused"), Heartbeat: &r})
+			n.push(message.WorkerResponse{ID: op.ID, OK: !d.HasArg("refused"), Heartbeat: &r})
 		}
 		b.run(0)
 	case "put":
@@ -703,16 +704,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpTxn, Writes: []controller.Write{{Key: first(), Value: raw}}}, func(controller.StoreResponse) {})
+		b.store.Do(b.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: first(), Value: raw}}}, func(message.StoreResponse) {})
 	case "teams":
 		// A leader gives shares these teams, in one change: a=(ops) b=(lab).
-		op := controller.StoreRequest{Kind: controller.OpTxn}
+		op := message.StoreRequest{Kind: message.OpTxn}
 		for _, a := range d.CmdArgs {
 			if a.Key == "for" {
 				continue
 			}
 			key, share := "ctl/share/"+a.Key, map[string]any{}
-			b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpGet, Key: key}, func(g controller.StoreResponse) {
+			b.store.Do(b.now, message.StoreRequest{Kind: message.OpGet, Key: key}, func(g message.StoreResponse) {
 				if err := msgpack.Unmarshal(g.KeyValues[0].Value, &share); err != nil {
 					t.Fatal(err)
 				}
@@ -722,9 +723,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			op.Writes = append(op.Writes, controller.Write{Key: key, Value: raw})
+			op.Writes = append(op.Writes, message.Write{Key: key, Value: raw})
 		}
-		b.store.Do(b.now, op, func(controller.StoreResponse) {})
+		b.store.Do(b.now, op, func(message.StoreResponse) {})
 		b.run(controller.Seconds(number("for", 0.5)))
 	case "lot":
 		// A leader names machines for a share: lot name share=b machines=(vm-1).
@@ -732,10 +733,10 @@
 		d.ScanArgs(t, "share", &share)
 		i := slices.IndexFunc(d.CmdArgs, func(a datadriven.CmdArg) bool { return a.Key == "machines" })
 		w, _ := sharding.BumpEpoch(sizelimit.Limits{ValueBytes: 4096}, first(), &sharding.Shard{Name: share}, d.CmdArgs[i].Vals)
-		b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpTxn, Writes: []controller.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(controller.StoreResponse) {})
+		b.store.Do(b.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(message.StoreResponse) {})
 		b.run(controller.Seconds(number("for", 0.5)))
 	case "keys":
-		b.store.Do(b.now, controller.StoreRequest{Kind: controller.OpList, Key: first()}, func(d controller.StoreResponse) {
+		b.store.Do(b.now, message.StoreRequest{Kind: message.OpList, Key: first()}, func(d message.StoreResponse) {
 			for _, it := range d.KeyValues {
 				b.output = append(b.output, it.Key)
 			}
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -75,7 +76,7 @@
 	maxDelay = min(max(maxDelay, lazyWriteDelay), maxLazyWriteDelay)
 	crowded := maxDelay > lazyWriteDelay
 	for len(jobs) > 0 && o.txnsInFlight < maxSegmentTxns && n.writesAllowed() > 0 {
-		op := StoreRequest{Kind: OpTxn, Priority: PriorityLazy}
+		op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
 		type part struct {
 			j   *job
 			c   *taskSegment
@@ -110,7 +111,7 @@
 					writeAlone = c.writeAlone
 					val := encode(j.segmentRecord(c))
 					compareCount := 1
-					var fence []Compare
+					var fence []message.Compare
 					if hasStarts && !comparesRanking {
 						compareCount++
 					}
@@ -131,16 +132,16 @@
 						for _, f := range fence {
 							comparedShards[f.Key] = true
 						}
-						op.Compares = append(append(op.Compares, fence...), Compare{Key: openJobPrefix + id, ModRevision: j.modRevision})
+						op.Compares = append(append(op.Compares, fence...), message.Compare{Key: openJobPrefix + id, ModRevision: j.modRevision})
 					}
 					if hasStarts && !comparesRanking {
 						comparesRanking = true
-						op.Compares = append(op.Compares, Compare{Key: rankingKey, ModRevision: rankingRevision})
+						op.Compares = append(op.Compares, message.Compare{Key: rankingKey, ModRevision: rankingRevision})
 					}
-					op.Compares = append(op.Compares, Compare{Key: j.segmentKey(c), ModRevision: c.modRevision})
-					op.Writes = append(op.Writes, Write{Key: j.segmentKey(c), Value: val})
+					op.Compares = append(op.Compares, message.Compare{Key: j.segmentKey(c), ModRevision: c.modRevision})
+					op.Writes = append(op.Writes, message.Write{Key: j.segmentKey(c), Value: val})
 					if c.urgent {
-						op.Priority = PriorityStart
+						op.Priority = message.PriorityStart
 					}
 					c.writeInFlight, c.urgent, c.inFlightVersion = true, false, c.version
 					included = append(included, part{j, c, c.version})
@@ -163,24 +164,24 @@
 			return
 		}
 		lazy := 0
-		if op.Priority == PriorityLazy {
+		if op.Priority == message.PriorityLazy {
 			lazy = 1
 		}
 		o.lazyTxnsInFlight += lazy
 		gen, sentAt := o.generation, n.now
-		n.writeTxn(op, func(d StoreResponse) {
+		n.writeTxn(op, func(d message.StoreResponse) {
 			o := n.shardLeader
 			if o == nil || o.generation != gen {
 				return
 			}
 			o.lazyTxnsInFlight -= lazy
 			switch {
-			case comparesRanking && d.Status == StoreOK:
+			case comparesRanking && d.Status == message.StoreOK:
 				noteRankingKnown(n, d.SentAt)
-			case comparesRanking && d.Status == StoreConflict && slices.Contains(d.FailedKeys, rankingKey):
+			case comparesRanking && d.Status == message.StoreConflict && slices.Contains(d.FailedKeys, rankingKey):
 				noteRankingOutdated(n, rankingRevision)
 			}
-			if took := n.now.Sub(sentAt); took > slowTxnThreshold || d.Status != StoreOK {
+			if took := n.now.Sub(sentAt); took > slowTxnThreshold || d.Status != message.StoreOK {
 				n.debug("slow write", "took", took, "chunks", len(included), "status", d.Status, "lazy", lazy)
 			}
 			for _, p := range included {
@@ -190,15 +191,15 @@
 					continue
 				}
 				switch d.Status {
-				case StoreOK:
+				case message.StoreOK:
 					p.c.writeInFlight = false
 					p.c.modRevision, p.c.persistedVersion = d.Revision, p.ver
 					n.segmentPersisted(p.j, p.c)
-				case StoreConflict:
+				case message.StoreConflict:
 					n.resolveSegmentConflict(p.j, p.c, d.FailedKeys)
-				case StoreRefused:
+				case message.StoreRefused:
 					n.retrySegment(p.j, p.c)
-				case StoreUnknown:
+				case message.StoreUnknown:
 					// Perhaps applied, perhaps later: read what stands there.
 					n.reReadSegment(p.j, p.c)
 				default:
@@ -256,17 +257,17 @@
 
 func (n *Controller) reReadSegment(j *job, c *taskSegment) {
 	gen := n.shardLeader.generation
-	n.requestStore(StoreRequest{Kind: OpGet, Priority: PriorityStart, Key: j.segmentKey(c)}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: j.segmentKey(c)}, func(d message.StoreResponse) {
 		if n.shardLeader == nil || n.shardLeader.generation != gen || n.shardLeader.jobs[j.ID] != j || j.segments[c.index] != c {
 			return
 		}
 		switch d.Status {
-		case StoreOK:
+		case message.StoreOK:
 			// Written by this owner: another's write would have needed its own
 			// share, whose stamp every write names. Whether it is the newest of
 			// our writes is not told, so write again on top of it.
 			c.modRevision, c.writeInFlight, c.urgent = d.KeyValues[0].ModRevision, false, true
-		case StoreNotFound:
+		case message.StoreNotFound:
 			c.modRevision = 0
 			n.retrySegment(j, c)
 		default:
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/faultattribution"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/remote"
@@ -166,20 +167,20 @@
 	n.info("owner no more", "why", reason)
 	n.shardLeader.endPlanningPass()
 	if n.shardLeader.packingProfile != nil {
-		n.emit(GPUFreeCapacityReport{})
+		n.emit(message.GPUFreeCapacityReport{})
 	}
 	n.shardLeader = nil
 }
 
 // observeOwnWrite tells the owner at once of a change this node wrote itself, unless the
 // picture is newer: its answer may come after the job was cancelled and over.
-func (n *Controller) observeOwnWrite(it KeyValue) {
+func (n *Controller) observeOwnWrite(it message.KeyValue) {
 	if n.shardLeader != nil && it.ModRevision > n.frontend.watchCache.revision {
 		n.applyOpenJob(it)
 	}
 }
 
-func (n *Controller) applyOpenJob(it KeyValue) {
+func (n *Controller) applyOpenJob(it message.KeyValue) {
 	o := n.shardLeader
 	id := jobIDFromKey(it.Key, openJobPrefix)
 	j := o.jobs[id]
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
@@ -49,13 +50,13 @@
 	n := twoControllers(t)
 	n.putSegment(t, "b", 3, "vm-000077")
 	for _, status := range []string{"running", statusComing, "booting"} {
-		n.receiveLeaderUpdate(PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 5, RentalUpdates: []RentalUpdate{{ID: "vm-000077", Addr: "x", MachineType: "box", Zone: "z", Status: status}}})
+		n.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 5, RentalUpdates: []message.RentalUpdate{{ID: "vm-000077", Addr: "x", MachineType: "box", Zone: "z", Status: status}}})
 		if n.shardLeader.machines["vm-000077"] != nil {
 			t.Errorf("told of a %s machine of another's it is taken for its own", status)
 		}
 	}
 	n.putSegment(t, "a", 4, "vm-000078")
-	n.receiveLeaderUpdate(PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 6, RentalUpdates: []RentalUpdate{{ID: "vm-000078", Addr: "x", MachineType: "box", Zone: "z", Status: "running"}}})
+	n.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 6, RentalUpdates: []message.RentalUpdate{{ID: "vm-000078", Addr: "x", MachineType: "box", Zone: "z", Status: "running"}}})
 	if n.shardLeader.machines["vm-000078"] == nil {
 		t.Error("a machine of its own is not looked after")
 	}
@@ -66,11 +67,11 @@
 func TestControlUpdatesInOrder(t *testing.T) {
 	n := twoControllers(t)
 	n.membership.revision = 5
-	item := func(host string, stamp uint64) KeyValue {
-		return KeyValue{Key: shardPrefix + "x", Value: encode(map[string]any{"host": host, "nonce": "n", "teams": []string{"lab"}}), ModRevision: stamp}
+	item := func(host string, stamp uint64) message.KeyValue {
+		return message.KeyValue{Key: shardPrefix + "x", Value: encode(map[string]any{"host": host, "nonce": "n", "teams": []string{"lab"}}), ModRevision: stamp}
 	}
-	n.applyControlUpdates(StoreResponse{Status: StoreOK, Revision: 9, KeyValues: []KeyValue{item("c", 7), item("d", 9)}})
-	n.applyControlUpdates(StoreResponse{Status: StoreOK, Revision: 7, KeyValues: []KeyValue{item("c", 7)}})
+	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{item("c", 7), item("d", 9)}})
+	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{item("c", 7)}})
 	if s := n.membership.shardMap.Shard("x"); s.Host != "d" || n.membership.revision != 9 {
 		t.Errorf("the share is %s's as of %d, want the later holder's", s.Host, n.membership.revision)
 	}
@@ -221,7 +222,7 @@
 		n.now, n.effects = n.now.Add(2*time.Second), nil
 		receiveRemoteRequests(n, "b", requests)
 		publishRemoteAttempts(n)
-		for _, p := range emittedEffects[SendPeerUpdate](n) {
+		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if len(p.Update.RemoteStatuses) > 0 {
 				return p.Update.RemoteStatuses[0].Attempts[0].State
 			}
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sharding"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -42,7 +43,7 @@
 
 // requestLimits are those that a transaction keeps to. As long as a controller of the version
 // before can come back, records of tasks are as it writes and reads them.
-func (n *Controller) requestLimits(op *StoreRequest) sizelimit.Limits {
+func (n *Controller) requestLimits(op *message.StoreRequest) sizelimit.Limits {
 	l := n.storeLimits()
 	if n.segmentFormat().sized {
 		return l
@@ -91,30 +92,30 @@
 	if len(writes) == 0 {
 		return
 	}
-	op := StoreRequest{Kind: OpTxn, Priority: PriorityMembership, Compares: []Compare{{Key: leaderKey, ModRevision: l.modRevision}}}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: leaderKey, ModRevision: l.modRevision}}}
 	for _, w := range writes {
 		key := shardSegmentPrefix + w.Name
 		if w.IsShard {
 			key = shardPrefix + w.Name
 			n.info("division", "share", w.Name, "gone", w.Value == nil)
 		}
-		op.Compares = append(op.Compares, Compare{Key: key, ModRevision: w.ModRevision})
-		op.Writes = append(op.Writes, Write{Key: key, Value: w.Value})
+		op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: w.ModRevision})
+		op.Writes = append(op.Writes, message.Write{Key: key, Value: w.Value})
 	}
 	planning.writing = true
 	gen := l.gen
-	n.requestStore(op, func(d StoreResponse) {
+	n.requestStore(op, func(d message.StoreResponse) {
 		if n.leader == nil || n.leader.gen != gen {
 			return
 		}
 		planning.writing = false
-		if d.Status == StoreOK || d.Status == StoreConflict {
+		if d.Status == message.StoreOK || d.Status == message.StoreConflict {
 			// After a conflict the watch is behind.
 			planning.writtenRevision = d.Revision
 			return
 		}
 		pause := n.jitter(storeRetryDelay)
-		if d.Status == StoreMalformed {
+		if d.Status == message.StoreMalformed {
 			// The same would be planned again. Other changes may go meanwhile, when what
 			// they rest on is another.
 			pause = malformedRetryDelay
@@ -160,7 +161,7 @@
 }
 
 // recordTeamLoads takes in what an owner's teams keep busy, as a mean over the last while.
-func recordTeamLoads(n *Controller, teamLoads []TeamLoad) {
+func recordTeamLoads(n *Controller, teamLoads []message.TeamLoad) {
 	loads := n.leader.sharding.loads
 	for _, x := range teamLoads {
 		if _, known := loads[x.Team]; !known {
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
@@ -256,7 +257,7 @@
 	// Whoever had it may go on answering it for a while.
 	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
 	n.rePoll(m)
-	if h := n.predecessorMachines[m.id]; n.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
+	if h := n.predecessorMachines[m.id]; n.now.Sub(h.ReceivedAt) < machineUpdateTTL && m.addr == "" {
 		n.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 	}
 	o.inheritedMachines = append(o.inheritedMachines, m)
@@ -293,8 +294,8 @@
 
 // shardCompares are what a write for these teams has among its conditions: that their
 // shares are as this owner has read them. "" stands for any of its shares.
-func (n *Controller) shardCompares(teams ...string) []Compare {
-	var out []Compare
+func (n *Controller) shardCompares(teams ...string) []message.Compare {
+	var out []message.Compare
 	for _, t := range teams {
 		s := n.membership.shardMap.Team(t)
 		if s == nil || !n.shardLeader.shards[s.Name] {
@@ -306,10 +307,10 @@
 		}
 		if s == nil {
 			// Nothing is held any more; the write is to fail.
-			out = append(out, Compare{Key: shardPrefix + n.settings.Host, ModRevision: ^uint64(0)})
+			out = append(out, message.Compare{Key: shardPrefix + n.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
-		if c := (Compare{Key: shardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
+		if c := (message.Compare{Key: shardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
 			out = append(out, c)
 		}
 	}
@@ -336,7 +337,7 @@
 	o.loadingTeams = true
 	began := n.now
 	gen := o.generation
-	var tasks, migrationItems []KeyValue
+	var tasks, migrationItems []message.KeyValue
 	current := func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }
 	var readOpenJobs, listTasks func()
 	var listPrewarmed func(from string)
@@ -356,9 +357,9 @@
 		})
 	}
 	listTasks = func() {
-		readAll(n, taskSegmentPrefix, PriorityMembership, current, func(its []KeyValue) {
+		readAll(n, taskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
 			tasks = its
-			readMigrations(n, func(its []KeyValue) {
+			readMigrations(n, func(its []message.KeyValue) {
 				migrationItems = its
 				if o.ready {
 					recoverTeams(n, teams, tasks, migrationItems, began)
@@ -370,14 +371,14 @@
 	}
 	// Images are no more than a help: without them it goes on as well.
 	listPrewarmed = func(from string) {
-		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityMembership, Key: prewarmedPrefix, StartAfter: from}, func(d StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: prewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if !current() {
 				return
 			}
 			for _, it := range d.KeyValues {
 				n.applyPrewarmedRecord(it)
 			}
-			if d.Status == StoreOK && d.Truncated && len(d.KeyValues) > 0 {
+			if d.Status == message.StoreOK && d.Truncated && len(d.KeyValues) > 0 {
 				listPrewarmed(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
@@ -389,14 +390,14 @@
 
 // readAll reads all that stands under a prefix, page by page and again until it is
 // answered, as long as it is wanted, and gives it to then.
-func readAll(n *Controller, prefix string, prio Priority, wanted func() bool, then func([]KeyValue)) {
-	var got []KeyValue
+func readAll(n *Controller, prefix string, prio message.Priority, wanted func() bool, then func([]message.KeyValue)) {
+	var got []message.KeyValue
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(StoreRequest{Kind: OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
 			switch {
 			case !wanted():
-			case d.Status != StoreOK:
+			case d.Status != message.StoreOK:
 				n.after(n.jitter(storeRetryDelay), func() {
 					if wanted() {
 						list(from)
@@ -416,7 +417,7 @@
 }
 
 // recoverTeams restores the jobs of teams from what was read.
-func recoverTeams(n *Controller, requested map[string]*heldTeam, tasks, migrationItems []KeyValue, began time.Time) {
+func recoverTeams(n *Controller, requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, began time.Time) {
 	o := n.shardLeader
 	o.loadingTeams = false
 	firstLoad := !o.ready
@@ -502,7 +503,7 @@
 func adoptPredecessorMachines(n *Controller) {
 	for _, id := range sortedKeys(n.predecessorMachines) {
 		h := n.predecessorMachines[id]
-		if _, mine := n.ownedMachine(id); !mine || n.now.Sub(h.receivedAt) >= machineUpdateTTL || n.released[id] {
+		if _, mine := n.ownedMachine(id); !mine || n.now.Sub(h.ReceivedAt) >= machineUpdateTTL || n.released[id] {
 			continue
 		}
 		m := n.ensureMachine(id)
@@ -532,7 +533,7 @@
 	}
 	for _, id := range sortedKeys(open) {
 		if l := open[id]; o.jobs[id] == nil {
-			n.applyOpenJob(KeyValue{Key: openJobPrefix + id, Value: encode(l.rec), ModRevision: l.modRevision})
+			n.applyOpenJob(message.KeyValue{Key: openJobPrefix + id, Value: encode(l.rec), ModRevision: l.modRevision})
 		}
 	}
 }
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/packing"
 )
@@ -539,11 +540,11 @@
 }
 
 // workloadLoads is what a successor has to know of the teams' workloads.
-func (n *Controller) workloadLoads() []WorkloadLoad {
-	var out []WorkloadLoad
+func (n *Controller) workloadLoads() []message.WorkloadLoad {
+	var out []message.WorkloadLoad
 	for _, name := range sortedKeys(n.shardLeader.workloads) {
 		for _, k := range n.workloadKeysOf(name) {
-			l := WorkloadLoad{Team: k.team, Workload: name, TasksPerSecond: n.teamArrivalRate(k, arrivalWindow), RunTimeRatio: 1}
+			l := message.WorkloadLoad{Team: k.team, Workload: name, TasksPerSecond: n.teamArrivalRate(k, arrivalWindow), RunTimeRatio: 1}
 			if e := n.estimators[name]; e != nil {
 				l.RunTimeRatio, l.Deviation, l.Samples = e.ratio, e.deviation, e.samples
 			}
@@ -555,7 +556,7 @@
 
 // inheritLoads keeps what another controller, the owner of teams now, tells of their
 // workloads.
-func (n *Controller) inheritLoads(ls []WorkloadLoad) {
+func (n *Controller) inheritLoads(ls []message.WorkloadLoad) {
 	for _, l := range ls {
 		k := workloadKey{l.Team, l.Workload}
 		if n.shardLeader != nil && n.shardLeader.teams[l.Team] != nil {
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -8,40 +8,43 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func sentStoreRequests(n *Controller) []StoreRequest { return emittedEffects[StoreRequest](n) }
+func sentStoreRequests(n *Controller) []message.StoreRequest {
+	return emittedEffects[message.StoreRequest](n)
+}
 
 // TestMalformedIsNotResent guards against a request that the state service refuses
 // for its size or form, as often as it is sent: it eats the limit of requests, and
 // whatever waits for it waits for ever.
 func TestMalformedIsNotResent(t *testing.T) {
 	n := largePool(0)
-	var got []StoreStatus
-	fn := func(d StoreResponse) { got = append(got, d.Status) }
+	var got []message.StoreStatus
+	fn := func(d message.StoreResponse) { got = append(got, d.Status) }
 	later := func() {
 		n.now = n.now.Add(time.Second)
 		n.runTimers()
 	}
 	// What passes a limit does not leave.
-	n.requestStore(StoreRequest{Kind: OpTxn, Writes: []Write{{Key: "a", Value: encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
-	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []StoreStatus{StoreMalformed}) || n.internalErrors != 1 {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
+	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || n.internalErrors != 1 {
 		t.Errorf("%d requests have left, answered %v, %d defects", len(sentStoreRequests(n)), got, n.internalErrors)
 	}
 	// What is called malformed all the same is not sent again as it is, but what
 	// differs is.
-	op := StoreRequest{Kind: OpTxn, Writes: []Write{{Key: "a", Value: encode(map[string]any{"v": 1})}}}
+	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: encode(map[string]any{"v": 1})}}}
 	n.requestStore(op, fn)
-	n.handleCommand(StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: StoreMalformed})
+	n.handleCommand(message.StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: message.StoreMalformed})
 	n.effects, got = nil, nil
 	n.requestStore(op, fn)
-	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []StoreStatus{StoreMalformed}) {
+	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
 		t.Errorf("sent again: %v, answered %v", sentStoreRequests(n), got)
 	}
-	op.Writes = []Write{{Key: "a", Value: encode(map[string]any{"v": 2})}}
+	op.Writes = []message.Write{{Key: "a", Value: encode(map[string]any{"v": 2})}}
 	if n.requestStore(op, fn); len(sentStoreRequests(n)) != 1 {
 		t.Error("another one does not leave")
 	}
@@ -69,9 +72,9 @@
 			for _, a := range op.Writes {
 				bad = bad || strings.HasPrefix(a.Key, taskSegmentPrefix+"job-1/")
 			}
-			d := StoreResponse{ID: op.ID, Status: StoreOK, Revision: 9}
+			d := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: 9}
 			if bad {
-				d.Status = StoreMalformed
+				d.Status = message.StoreMalformed
 			}
 			for _, a := range op.Writes {
 				written[a.Key] = written[a.Key] || !bad
@@ -120,7 +123,7 @@
 		if !decode(encode(r), &back) {
 			t.Fatal("unreadable")
 		}
-		successor.recoverSegment(h, KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
+		successor.recoverSegment(h, message.KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
 		for i := range j.tasksPerSegment {
 			if h.tasks[i].machine == nil || h.tasks[i].machine.id != j.tasks[i].machine.id {
 				t.Fatalf("task %d is on %v, was on %s", i, h.tasks[i].machine, j.tasks[i].machine.id)
--- a/internal/controller/stale_heartbeat.go
+++ b/internal/controller/stale_heartbeat.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -58,7 +59,7 @@
 
 // handleStaleHeartbeat deals with a report that is such a copy, and says whether it is one. Nobody
 // waits for its answer. Perhaps its worker has begun anew: its own answer would tell.
-func handleStaleHeartbeat(n *Controller, c *WorkerHeartbeat) bool {
+func handleStaleHeartbeat(n *Controller, c *message.WorkerHeartbeat) bool {
 	o, r := n.shardLeader, &c.Heartbeat
 	if o == nil || !o.ready || n.released[r.Machine] {
 		return false
@@ -79,6 +80,6 @@
 		m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(n.now))
 	}
 	n.contact(m)
-	n.emit(HeartbeatReply{Reply: c.Reply, Status: 503})
+	n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 	return true
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -7,19 +7,20 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
 // predecessorRecords is what a successor finds in the state service: some machines, each
 // with three tasks of a job of sixty.
-func predecessorRecords(machines int) (open, tasks []KeyValue) {
+func predecessorRecords(machines int) (open, tasks []message.KeyValue) {
 	const each, size = 3, 60
 	for k := 0; k*size < machines*each; k++ {
 		spec := model.JobSpec{
 			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: model.Normal, Tasks: size, AllowSpot: true,
 			Need: model.Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		open = append(open, KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
+		open = append(open, message.KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
 		perSegment := maxTasksPerSegment(4096)
 		for c := 0; c*perSegment < size; c++ {
 			var r taskSegmentRecord
@@ -27,7 +28,7 @@
 				m := (k*size + i) / each
 				r.Rows = append(r.Rows, taskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
 			}
-			tasks = append(tasks, KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, spec.ID, c), Value: encode(r), ModRevision: uint64(k + 1)})
+			tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, spec.ID, c), Value: encode(r), ModRevision: uint64(k + 1)})
 		}
 	}
 	return open, tasks
@@ -43,7 +44,7 @@
 }
 
 // takeOverRecords lets an owner take over what was read.
-func (n *Controller) takeOverRecords(open, tasks []KeyValue) {
+func (n *Controller) takeOverRecords(open, tasks []message.KeyValue) {
 	m := &n.frontend.watchCache
 	m.openJobs = map[string]openJob{}
 	for _, it := range open {
@@ -93,7 +94,7 @@
 		r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
 	}
 	n.effects = n.effects[:0]
-	n.handleHeartbeat(WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 }
 
 // BenchmarkStep is a step with one poll and one submission in it, in which nothing
@@ -112,9 +113,9 @@
 			for b.Loop() {
 				k++
 				id := fmt.Sprintf("job-x%06d", k)
-				n.Step(now, []Command{
-					QueryJob{Reply: 1, ID: id},
-					SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
+				n.Step(now, []message.Command{
+					message.QueryJob{Reply: 1, ID: id},
+					message.SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
 				})
 				clear(n.storeCallbacks)
 				n.frontend.submitQueue, n.frontend.inFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -141,11 +142,11 @@
 	n := twoControllers(t)
 	n.membership.controllers["b"] = memberRecord{Incarnation: "b#2"}
 	n.leader = &leader{updates: map[string]receivedUpdate{}, rentals: map[string]*rental{"vm": {id: "vm", publishedTo: "b"}}, ackedSeq: map[string]uint64{"b": 9}}
-	n.handleCommand(PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []Progress{{ID: "job-000900", Done: 3}}})
+	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
 	if _, ok := n.freshUpdate("b"); ok || n.progressByJob["job-000900"].Done != 0 {
 		t.Error("news of a former life counts")
 	}
-	n.handleCommand(PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
+	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
 	if _, ok := n.freshUpdate("b"); !ok || n.leader.ackedSeq["b"] != 0 || n.leader.rentals["vm"].publishedTo != "" {
 		t.Error("the present life is not told anew")
 	}
@@ -154,7 +155,7 @@
 	if _, ok := n.freshUpdate("b"); ok {
 		t.Error("a former life's wishes are met")
 	}
-	n.handleCommand(PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
+	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
 	if n.storeUnavailable["b"] != n.now {
 		t.Error("that the state service is away counts from whoever says so")
 	}
@@ -167,25 +168,25 @@
 	key := controllerPrefix + "a"
 	n.membership.leaseID, n.membership.recordModRevision, n.effects = 7, 4, nil
 	n.register()
-	op := n.effects[len(n.effects)-1].(StoreRequest)
-	if len(op.Compares) != 1 || op.Compares[0] != (Compare{Key: key, ModRevision: 4}) {
+	op := n.effects[len(n.effects)-1].(message.StoreRequest)
+	if len(op.Compares) != 1 || op.Compares[0] != (message.Compare{Key: key, ModRevision: 4}) {
 		t.Fatalf("it names %v", op.Compares)
 	}
-	n.handleCommand(StoreResponse{ID: op.ID, Status: StoreConflict})
+	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict})
 	n.now, n.effects = n.now.Add(time.Second), nil
 	n.runTimers()
-	get, ok := n.effects[len(n.effects)-1].(StoreRequest)
-	if !ok || get.Kind != OpGet || get.Key != key {
+	get, ok := n.effects[len(n.effects)-1].(message.StoreRequest)
+	if !ok || get.Kind != message.OpGet || get.Key != key {
 		t.Fatal("it does not look what stands there")
 	}
 	// A former life's, whose write came late: its grant is ended and this one registers.
-	n.handleCommand(StoreResponse{ID: get.ID, Status: StoreOK, KeyValues: []KeyValue{{Key: key, Value: encode(memberRecord{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
-	drop := n.effects[len(n.effects)-1].(StoreRequest)
-	if drop.Kind != OpLeaseRevoke || drop.LeaseID != 3 {
+	n.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: encode(memberRecord{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
+	drop := n.effects[len(n.effects)-1].(message.StoreRequest)
+	if drop.Kind != message.OpLeaseRevoke || drop.LeaseID != 3 {
 		t.Fatalf("it asks for %+v", drop)
 	}
-	n.handleCommand(StoreResponse{ID: drop.ID, Status: StoreOK})
-	if op = n.effects[len(n.effects)-1].(StoreRequest); op.Kind != OpTxn || op.Compares[0] != (Compare{Key: key, ModRevision: 0}) {
+	n.handleCommand(message.StoreResponse{ID: drop.ID, Status: message.StoreOK})
+	if op = n.effects[len(n.effects)-1].(message.StoreRequest); op.Kind != message.OpTxn || op.Compares[0] != (message.Compare{Key: key, ModRevision: 0}) {
 		t.Errorf("then it asks for %+v", op)
 	}
 }
@@ -198,12 +199,12 @@
 	n.membership.controllers["b"] = memberRecord{Incarnation: "b#1"}
 	n.membership.leader = leaderRecord{Host: "b", Incarnation: "b#1"}
 	n.shardLeader.fleetView.leaderHost = "b"
-	update := PeerUpdate{From: "b", Incarnation: "b#1", IsLeaderUpdate: true, Seq: 1}
+	update := message.PeerUpdate{From: "b", Incarnation: "b#1", IsLeaderUpdate: true, Seq: 1}
 	for i := range 2 * maxReleasePerRequest {
 		id := fmt.Sprintf("vm-%06d", 100+i)
 		n.putSegment(t, "a", uint64(100+i), id)
 		n.released[id] = true
-		update.RentalUpdates = append(update.RentalUpdates, RentalUpdate{ID: id, MachineType: "box", Zone: "z", Status: "returned"})
+		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: id, MachineType: "box", Zone: "z", Status: "returned"})
 	}
 	n.handleCommand(update)
 	n.selectReleases(nil)
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/promise"
@@ -78,8 +79,8 @@
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(StoreRequest{Kind: OpList, Priority: PriorityUser, Key: openJobPrefix, StartAfter: from}, func(d StoreResponse) {
-			if d.Status != StoreOK {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: openJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
+			if d.Status != message.StoreOK {
 				n.after(n.jitter(storeRetryDelay), func() { list(from) })
 				return
 			}
@@ -110,7 +111,7 @@
 
 // applyOpenJobUpdates takes in what a read or a watch has brought, all changes after a revision
 // that was known. Two may be under way; of what both bring each change counts once.
-func (n *Controller) applyOpenJobUpdates(d StoreResponse) {
+func (n *Controller) applyOpenJobUpdates(d message.StoreResponse) {
 	m := &n.frontend.watchCache
 	for _, it := range d.KeyValues {
 		if it.ModRevision > m.revision && !applyPage(n, &m.promisePages, it) {
@@ -132,15 +133,15 @@
 		return
 	}
 	m.watching = true
-	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityMembership, Key: openJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: openJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
 		m.watching = false
 		switch {
 		case !m.loaded:
 			// Being read again.
-		case d.Status == StoreOK:
+		case d.Status == message.StoreOK:
 			n.applyOpenJobUpdates(d)
 			n.watchOpenJobs()
-		case d.Status == StoreCompacted:
+		case d.Status == message.StoreCompacted:
 			n.loadWatchCache()
 		default:
 			n.after(n.jitter(storeRetryDelay), n.watchOpenJobs)
@@ -148,7 +149,7 @@
 	})
 }
 
-func applyOpenJobRecord(open map[string]openJob, it KeyValue) {
+func applyOpenJobRecord(open map[string]openJob, it message.KeyValue) {
 	id := jobIDFromKey(it.Key, openJobPrefix)
 	if it.Deleted {
 		delete(open, id)
@@ -182,15 +183,15 @@
 		return
 	}
 	m.readWaiters, m.nextReadWaiters, m.readInFlight, m.lastReadAt = m.nextReadWaiters, nil, true, n.now
-	n.requestStore(StoreRequest{Kind: OpWatch, Priority: PriorityUser, Key: openJobPrefix, Revision: m.revision}, func(d StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: openJobPrefix, Revision: m.revision}, func(d message.StoreResponse) {
 		m.readInFlight = false
 		waiters := m.readWaiters
 		m.readWaiters = nil
-		ok := d.Status == StoreOK
+		ok := d.Status == message.StoreOK
 		if ok && m.loaded {
 			n.applyOpenJobUpdates(d)
 		}
-		if d.Status == StoreCompacted || ok && !m.loaded {
+		if d.Status == message.StoreCompacted || ok && !m.loaded {
 			// Too far behind: read it all again. Who asked waits for that.
 			m.nextReadWaiters = append(waiters, m.nextReadWaiters...)
 			if !m.loading {
@@ -238,13 +239,13 @@
 			return
 		}
 		// Over, or never accepted.
-		n.readStatusRecord(id, func(d StoreResponse) {
-			if d.Status == StoreNotFound && n.now.Sub(n.frontend.acceptedAt[id]) <= userRequestTimeout {
+		n.readStatusRecord(id, func(d message.StoreResponse) {
+			if d.Status == message.StoreNotFound && n.now.Sub(n.frontend.acceptedAt[id]) <= userRequestTimeout {
 				// Somebody was told since it was read.
 				n.readJobUsing(id, onOpen, fn)
 				return
 			}
-			f := jobLookup{ok: d.Status == StoreOK || d.Status == StoreNotFound, accepted: d.Status == StoreOK}
+			f := jobLookup{ok: d.Status == message.StoreOK || d.Status == message.StoreNotFound, accepted: d.Status == message.StoreOK}
 			if f.accepted && (len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &f.rec)) {
 				f.ok = false
 			}
--- a/internal/lab/scale/measurement.go
+++ b/internal/lab/scale/measurement.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/lab/fleet"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/simulation"
 )
 
@@ -411,7 +411,7 @@
 }
 
 // teamsOf are the teams that a controller runs.
-func teamsOf(s *controller.StatusReply) []string {
+func teamsOf(s *message.StatusReply) []string {
 	var out []string
 	for _, t := range s.Teams {
 		if t.IsLocal {
@@ -421,7 +421,7 @@
 	return out
 }
 
-func status(ctx context.Context, addr string) (*controller.StatusReply, error) {
+func status(ctx context.Context, addr string) (*message.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/status", nil)
@@ -433,7 +433,7 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer resp.Body.Close()
-	var s controller.StatusReply
+	var s message.StatusReply
 	if err := json.NewDecoder(resp.Body).Decode(&s); err != nil {
 		return nil, fmt.Errorf("scale: %s: %w", addr, err)
 	}
--- a/internal/lab/scale/rankingchange.go
+++ b/internal/lab/scale/rankingchange.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // The one record of configuration that controllers follow while they run is the ranking;
@@ -64,7 +64,7 @@
 	return time.Since(began), true
 }
 
-func requestRanking(ctx context.Context, method, addr, query, text string) (*controller.RankingReply, error) {
+func requestRanking(ctx context.Context, method, addr, query, text string) (*message.RankingReply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/ranking"+query, strings.NewReader(text))
 	if err != nil {
 		return nil, fmt.Errorf("scale: %w", err)
@@ -74,7 +74,7 @@
 		return nil, fmt.Errorf("scale: %w", err)
 	}
 	defer resp.Body.Close()
-	var r controller.RankingReply
+	var r message.RankingReply
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil || resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("scale: %s: ranking: %s", addr, resp.Status)
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
@@ -77,19 +77,19 @@
 
 // State notes a request to the state service. Watches wait by design and are
 // left out.
-func (s *Recorder) State(kind controller.StoreRequestKind, status controller.StoreStatus, took time.Duration) {
-	if kind != controller.OpWatch {
+func (s *Recorder) State(kind message.StoreRequestKind, status message.StoreStatus, took time.Duration) {
+	if kind != message.OpWatch {
 		s.state.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
 	}
 }
 
 // Cloud notes a request to the cloud.
-func (s *Recorder) Cloud(kind controller.CloudRequestKind, status controller.CloudStatus, took time.Duration) {
+func (s *Recorder) Cloud(kind message.CloudRequestKind, status message.CloudStatus, took time.Duration) {
 	s.cloud.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
 }
 
 // Commands notes a direct order.
-func (s *Recorder) Commands(done controller.WorkerResponse, took time.Duration) {
+func (s *Recorder) Commands(done message.WorkerResponse, took time.Duration) {
 	outcome := "executed"
 	switch {
 	case done.Heartbeat == nil:
@@ -104,13 +104,13 @@
 func (s *Recorder) InternalError() { s.internalErrors.Inc() }
 
 // Rates notes the controller's part of the state service's limits.
-func (s *Recorder) Rates(r controller.Rates) {
+func (s *Recorder) Rates(r message.Rates) {
 	s.stateRates.WithLabelValues("requests").Set(r.Requests)
 	s.stateRates.WithLabelValues("changes").Set(r.Writes)
 }
 
 // GPUCapacity notes how the room on machines with GPUs lies. It is called by one goroutine.
-func (s *Recorder) GPUCapacity(r controller.GPUFreeCapacityReport) {
+func (s *Recorder) GPUCapacity(r message.GPUFreeCapacityReport) {
 	if !s.gpuRegistered {
 		s.gpuRegistered = true
 		s.registry.MustRegister(s.gpuCapacity, s.migrations)
@@ -134,7 +134,7 @@
 }
 
 // Role notes the controller's roles.
-func (s *Recorder) Role(r controller.Role) {
+func (s *Recorder) Role(r message.Role) {
 	for name, on := range map[string]bool{"leader": r.Leader, "owner": r.ShardLeader} {
 		v := 0.0
 		if on {
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/link"
@@ -50,8 +50,8 @@
 
 // Controller is what the broker needs of the server.
 type Controller interface {
-	Ask(ctx context.Context, mk func(reply uint64) controller.Command) (controller.Effect, error)
-	Post(controller.Command)
+	Ask(ctx context.Context, mk func(reply uint64) message.Command) (message.Effect, error)
+	Post(message.Command)
 }
 
 // HeartbeatSender sends a report to a peer; link.Client is one.
@@ -93,7 +93,7 @@
 	lender                  *overflow.Lender
 	borrower                *overflow.Borrower
 	peers                   map[string]*overflow.PeerTracker
-	view                    controller.LoanView
+	view                    message.LoanView
 	viewedAt                time.Time
 	plannedAt               time.Time
 	renewedAt               time.Time
@@ -102,7 +102,7 @@
 	inFlight map[overflow.Loan]bool
 	// returnedAt are jobs that came back lately, and progress what peers say of ours.
 	returnedAt map[string]time.Time
-	progress   map[string]controller.Progress
+	progress   map[string]message.Progress
 	// lateSince is since when own work has been late.
 	lateSince time.Time
 	admission overflow.AdmissionState
@@ -132,7 +132,7 @@
 	for name, addrs := range settings.Peers {
 		b.peers[name] = overflow.NewPeerTracker(name, addrs, settings.HeartbeatInterval, now)
 	}
-	b.inFlight, b.returnedAt, b.progress = map[overflow.Loan]bool{}, map[string]time.Time{}, map[string]controller.Progress{}
+	b.inFlight, b.returnedAt, b.progress = map[overflow.Loan]bool{}, map[string]time.Time{}, map[string]message.Progress{}
 	return b
 }
 
@@ -211,7 +211,7 @@
 func (b *Broker) poll(ctx context.Context) {
 	now := time.Now()
 	withSimulation := now.Sub(b.plannedAt) >= planInterval && len(b.settings.Peers) > 0
-	q := controller.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: b.settings.GuestTeam}
+	q := message.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: b.settings.GuestTeam}
 	for _, x := range b.view.Borrowed {
 		if l, ok := parseLoan(x.Loan); ok {
 			if u := b.borrower.StartableUntil(l); !u.IsZero() {
@@ -225,9 +225,9 @@
 	clear(b.progress)
 	ctx, cancel := context.WithTimeout(ctx, controllerTimeout)
 	defer cancel()
-	e, err := b.controller.Ask(ctx, func(r uint64) controller.Command { q.Reply = r; return q })
+	e, err := b.controller.Ask(ctx, func(r uint64) message.Command { q.Reply = r; return q })
 	b.viewedAt = time.Now()
-	v, ok := e.(controller.LoanView)
+	v, ok := e.(message.LoanView)
 	waiting := b.pendingHeartbeats
 	b.pendingHeartbeats = nil
 	if err != nil || !ok || !v.OK {
@@ -289,7 +289,7 @@
 	if b.runsGuestTeam && now.Sub(b.renewedAt) >= renewEvery {
 		b.renewedAt = now
 		if r := b.borrower.Renewals(b.settings.LoanLease, borrowerView); len(r) > 0 {
-			b.controller.Post(controller.RenewCommand{RenewedAt: r})
+			b.controller.Post(message.RenewCommand{RenewedAt: r})
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
@@ -329,7 +329,7 @@
 	m.NoteHeartbeat(now, heartbeat)
 	for _, l := range heartbeat.Loans {
 		if l.Loan.Home == b.settings.Cluster && l.State == overflow.Held {
-			b.progress[l.Loan.Job] = controller.Progress{ID: l.Loan.Job, Done: l.DoneTasks, Running: l.RunningTasks}
+			b.progress[l.Loan.Job] = message.Progress{ID: l.Loan.Job, Done: l.DoneTasks, Running: l.RunningTasks}
 		}
 		if l.State == overflow.Gone && l.Cause == overflow.NoRoom && slices.ContainsFunc(ops, func(op overflow.LenderTransition) bool { return op.Loan == l.Loan }) {
 			m.NoteBroken(now)
@@ -459,8 +459,8 @@
 
 // commitLenderTransition has one step of a loan of ours made durable.
 func (b *Broker) commitLenderTransition(transition overflow.LenderTransition) {
-	kind := map[overflow.LenderTransitionKind]controller.LoanCommandKind{
-		overflow.Lend: controller.LoanLend, overflow.TakeBack: controller.LoanTakeBack, overflow.Settle: controller.LoanSettle, overflow.EndCancelled: controller.LoanEndCancelled,
+	kind := map[overflow.LenderTransitionKind]message.LoanCommandKind{
+		overflow.Lend: message.LoanLend, overflow.TakeBack: message.LoanTakeBack, overflow.Settle: message.LoanSettle, overflow.EndCancelled: message.LoanEndCancelled,
 	}[transition.Kind]
 	if transition.Kind != overflow.Lend {
 		slog.Info("overflow: loan ends", "loan", transition.Loan, "how", transition.Kind, "cause", transition.Cause)
@@ -472,14 +472,14 @@
 		lender.CloseFailed(transition.Loan)
 		return
 	}
-	b.commit(transition.Loan, controller.LoanCommand{Kind: kind, Job: transition.Loan.Job, Loan: transition.Loan.String(), LendCount: transition.Loan.LendCount, Peer: transition.Peer, StopBound: transition.StopBound, Cause: string(transition.Cause)}, func(s controller.LoanStatus) {
+	b.commit(transition.Loan, message.LoanCommand{Kind: kind, Job: transition.Loan.Job, Loan: transition.Loan.String(), LendCount: transition.Loan.LendCount, Peer: transition.Peer, StopBound: transition.StopBound, Cause: string(transition.Cause)}, func(s message.LoanStatus) {
 		if b.lender != lender {
 			return
 		}
-		if s == controller.LoanNotApplied {
+		if s == message.LoanNotApplied {
 			lender.CloseFailed(transition.Loan)
 		}
-		if transition.Kind == overflow.TakeBack && s == controller.LoanDurable {
+		if transition.Kind == overflow.TakeBack && s == message.LoanDurable {
 			b.returnedAt[transition.Loan.Job] = time.Now()
 		}
 	})
@@ -487,15 +487,15 @@
 
 // commitBorrowerTransition has one step of a peer's loan made durable.
 func (b *Broker) commitBorrowerTransition(transition overflow.BorrowerTransition) {
-	kind := map[overflow.BorrowerTransitionKind]controller.LoanCommandKind{
-		overflow.Accept: controller.LoanAccept, overflow.GiveUp: controller.LoanGiveUp, overflow.Drop: controller.LoanDrop,
+	kind := map[overflow.BorrowerTransitionKind]message.LoanCommandKind{
+		overflow.Accept: message.LoanAccept, overflow.GiveUp: message.LoanGiveUp, overflow.Drop: message.LoanDrop,
 	}[transition.Kind]
 	spec := transition.Spec
 	spec.ID, spec.Team = transition.Loan.OffloadedJobID(), b.settings.GuestTeam
 	slog.Info("overflow: borrowed", "loan", transition.Loan, "what", transition.Kind, "cause", transition.Cause)
 	borrower := b.borrower
-	b.commit(transition.Loan, controller.LoanCommand{Kind: kind, Job: spec.ID, Loan: transition.Loan.String(), Spec: spec, Age: transition.Age, Cause: string(transition.Cause)}, func(s controller.LoanStatus) {
-		if b.borrower == borrower && transition.Kind == overflow.Accept && s == controller.LoanNotApplied {
+	b.commit(transition.Loan, message.LoanCommand{Kind: kind, Job: spec.ID, Loan: transition.Loan.String(), Spec: spec, Age: transition.Age, Cause: string(transition.Cause)}, func(s message.LoanStatus) {
+		if b.borrower == borrower && transition.Kind == overflow.Accept && s == message.LoanNotApplied {
 			// Durable ones are told once a view shows them, so that no report
 			// can leave them out.
 			borrower.NoteAccepted(transition.Loan, false)
@@ -504,7 +504,7 @@
 }
 
 // commit runs a transaction until its outcome is known. One at a time for a loan.
-func (b *Broker) commit(l overflow.Loan, op controller.LoanCommand, onDone func(controller.LoanStatus)) {
+func (b *Broker) commit(l overflow.Loan, op message.LoanCommand, onDone func(message.LoanStatus)) {
 	if b.inFlight[l] {
 		return
 	}
@@ -513,9 +513,9 @@
 	go func() {
 		for b.ctx.Err() == nil {
 			ctx, cancel := context.WithTimeout(b.ctx, controllerTimeout)
-			e, err := b.controller.Ask(ctx, func(r uint64) controller.Command { op.Reply = r; return op })
+			e, err := b.controller.Ask(ctx, func(r uint64) message.Command { op.Reply = r; return op })
 			cancel()
-			if d, ok := e.(controller.LoanReply); ok && err == nil && d.Status != controller.LoanUncertain {
+			if d, ok := e.(message.LoanReply); ok && err == nil && d.Status != message.LoanUncertain {
 				b.enqueue(func() {
 					if b.lender == lender && b.borrower == borrower {
 						delete(b.inFlight, l)
--- a/internal/overflow/broker/status.go
+++ b/internal/overflow/broker/status.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/link"
 	"github.com/prometheus/client_golang/prometheus"
@@ -123,7 +123,7 @@
 	return m
 }
 
-func (m *Metrics) setLoans(v controller.LoanView) {
+func (m *Metrics) setLoans(v message.LoanView) {
 	m.loanGauge.WithLabelValues("lent").Set(float64(len(v.Lent)))
 	m.loanGauge.WithLabelValues("borrowed").Set(float64(len(v.Borrowed)))
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
@@ -17,21 +17,21 @@
 }
 
 // goldenNews has all that controllers tell each other.
-var goldenNews = controller.PeerUpdate{
+var goldenNews = message.PeerUpdate{
 	From: "ctl-2", Incarnation: "n-18.1", IsCapacityRequest: true, IsLeaderUpdate: true, StoreUnavailable: true, Seq: 4_321,
-	Progress:      []controller.Progress{{ID: "job-000411", Done: 7, Running: 9}},
-	WorkloadLoads: []controller.WorkloadLoad{{Team: "vision", Workload: "train", TasksPerSecond: 0.5, RunTimeRatio: 1.25, Deviation: 0.75, Samples: 41}},
-	MachineUpdates: []controller.MachineUpdate{
+	Progress:      []message.Progress{{ID: "job-000411", Done: 7, Running: 9}},
+	WorkloadLoads: []message.WorkloadLoad{{Team: "vision", Workload: "train", TasksPerSecond: 0.5, RunTimeRatio: 1.25, Deviation: 0.75, Samples: 41}},
+	MachineUpdates: []message.MachineUpdate{
 		{ID: "vm-000007", Addr: "10.1.0.7:9000", MachineType: "g8", Zone: "a", Spot: true, Images: map[string]float64{"img-07": 6.2, "img-08": 0.5}},
 	},
 	Surplus: []string{"vm-000011", "vm-000012"}, ToRelease: []string{"vm-000013"},
-	CapacityRequests: []controller.CapacityRequest{{MachineType: "g4", Zone: "b", Spot: true, Count: 3}},
-	SurplusElsewhere: []controller.CapacityRequest{{MachineType: "g2", Zone: "c", Count: 4}},
-	Blocked:          []controller.CapacityRequest{{MachineType: "g1", Zone: "d", Count: 500}},
-	TeamLoads:        []controller.TeamLoad{{Team: "ops", CPU: 96.5}},
+	CapacityRequests: []message.CapacityRequest{{MachineType: "g4", Zone: "b", Spot: true, Count: 3}},
+	SurplusElsewhere: []message.CapacityRequest{{MachineType: "g2", Zone: "c", Count: 4}},
+	Blocked:          []message.CapacityRequest{{MachineType: "g1", Zone: "d", Count: 500}},
+	TeamLoads:        []message.TeamLoad{{Team: "ops", CPU: 96.5}},
 	Offers:           []sharding.Offer{{Team: "batch", Machines: []string{"vm-000014"}}},
 	TeamRelease:      []sharding.MoveRequest{{Team: "infer", From: "ctl-3", To: "ctl-4"}},
-	RentalUpdates:    []controller.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
+	RentalUpdates:    []message.RentalUpdate{{ID: "vm-000015", Addr: "10.1.0.15:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "starting", Age: 12_345 * time.Millisecond}},
 	RemoteAttempts: []remote.Request{{Machine: "vm-000016", Attempts: []remote.AttemptRequest{
 		{AttemptID: goldenAttempt("job-000412", 5, 2), Intent: remote.Stop, WindDown: 30_250 * time.Millisecond},
 		{AttemptID: goldenAttempt("job-000413", 6, 300), Intent: remote.Settled},
@@ -45,16 +45,16 @@
 		{AttemptID: goldenAttempt("job-000417", 12, 13), State: remote.Checkpointing},
 		{AttemptID: goldenAttempt("job-000417", 13, 14), State: remote.Unknown},
 	}}},
-	Rates:              &controller.Rates{Requests: 40.5, Writes: 20.25},
-	HostNeeds:          []controller.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: model.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: model.Urgent}},
-	OthersNeeds:        []controller.HostNeed{{MachineType: "g4", Zone: "b", Need: model.Resources{CPU: 48}, Workload: "infer", Urgency: model.Critical}},
-	EvacuationRequests: []controller.HostNeed{{MachineType: "g2", Zone: "c", Need: model.Resources{Memory: 350}, Urgency: model.Normal}},
-	EvacuationCosts:    []controller.HostCost{{MachineType: "g1", Zone: "d", Spot: true, Downtime: 16_125 * time.Millisecond}},
-	Quotes: []controller.TeamQuotes{
+	Rates:              &message.Rates{Requests: 40.5, Writes: 20.25},
+	HostNeeds:          []message.HostNeed{{MachineType: "g8", Zone: "a", Spot: true, Need: model.Resources{CPU: 96.5, GPU: 8, Memory: 700.25}, Workload: "train", Urgency: model.Urgent}},
+	OthersNeeds:        []message.HostNeed{{MachineType: "g4", Zone: "b", Need: model.Resources{CPU: 48}, Workload: "infer", Urgency: model.Critical}},
+	EvacuationRequests: []message.HostNeed{{MachineType: "g2", Zone: "c", Need: model.Resources{Memory: 350}, Urgency: model.Normal}},
+	EvacuationCosts:    []message.HostCost{{MachineType: "g1", Zone: "d", Spot: true, Downtime: 16_125 * time.Millisecond}},
+	Quotes: []message.TeamQuotes{
 		{Team: "ops", Value: []byte{0x81, 0xa1, 'v', 0x01}},
 	},
-	Rerouted:         []controller.ReroutedHeartbeat{{ID: "vm-000018", Epoch: 413, Incarnation: 3, Sequence: 88}},
-	Cancellations:    []controller.Cancellation{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: 5_432}},
+	Rerouted:         []message.ReroutedHeartbeat{{ID: "vm-000018", Epoch: 413, Incarnation: 3, Sequence: 88}},
+	Cancellations:    []message.Cancellation{{ID: "job-000418", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: 5_432}},
 	CancellationAcks: []string{"job-000419", "job-000420"},
 }
 
@@ -65,12 +65,12 @@
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
 			// Images are a map.
-			return proto.MarshalOptions{Deterministic: true}.Marshal(toProto(v.(controller.PeerUpdate)))
+			return proto.MarshalOptions{Deterministic: true}.Marshal(toProto(v.(message.PeerUpdate)))
 		},
 		Read: func(b []byte, into any) error {
 			var m News
 			err := proto.Unmarshal(b, &m)
-			*into.(*controller.PeerUpdate) = m.toUpdate()
+			*into.(*message.PeerUpdate) = m.toUpdate()
 			return err
 		},
 	}, news)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -10,8 +10,8 @@
 	"net"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/listen"
+	"github.com/micahill/micahill/internal/message"
 	"google.golang.org/protobuf/encoding/protodelim"
 	"google.golang.org/protobuf/proto"
 )
@@ -34,14 +34,14 @@
 
 // Sender sends to the peers and listens for them.
 type Sender struct {
-	queues map[string]chan controller.PeerUpdate
+	queues map[string]chan message.PeerUpdate
 }
 
 // StartSender begins to send to the peers, by name and address.
 func StartSender(ctx context.Context, peers map[string]string) *Sender {
-	sender := &Sender{queues: map[string]chan controller.PeerUpdate{}}
+	sender := &Sender{queues: map[string]chan message.PeerUpdate{}}
 	for name, addr := range peers {
-		queue := make(chan controller.PeerUpdate, sendQueueLen)
+		queue := make(chan message.PeerUpdate, sendQueueLen)
 		sender.queues[name] = queue
 		go send(ctx, addr, queue)
 	}
@@ -49,7 +49,7 @@
 }
 
 // Send queues news for a peer, dropping the oldest when the queue is full.
-func (n *Sender) Send(to string, update controller.PeerUpdate) {
+func (n *Sender) Send(to string, update message.PeerUpdate) {
 	queue := n.queues[to]
 	for queue != nil {
 		select {
@@ -64,7 +64,7 @@
 	}
 }
 
-func send(ctx context.Context, addr string, queue chan controller.PeerUpdate) {
+func send(ctx context.Context, addr string, queue chan message.PeerUpdate) {
 	var conn net.Conn
 	var lastDial time.Time
 	defer func() {
@@ -73,7 +73,7 @@
 		}
 	}()
 	for {
-		var update controller.PeerUpdate
+		var update message.PeerUpdate
 		select {
 		case <-ctx.Done():
 			return
@@ -118,7 +118,7 @@
 
 // Listen takes news from peers and hands it to post. Connections that are not
 // a peer's come out of the listener it returns.
-func Listen(ctx context.Context, addr string, handle func(controller.PeerUpdate)) (net.Listener, error) {
+func Listen(ctx context.Context, addr string, handle func(message.PeerUpdate)) (net.Listener, error) {
 	ln, err := listen.TCP(ctx, "back", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
@@ -154,7 +154,7 @@
 }
 
 // handleConn tells a peer from others by the first byte.
-func handleConn(conn net.Conn, handle func(controller.PeerUpdate), otherConns *otherConnListener) {
+func handleConn(conn net.Conn, handle func(message.PeerUpdate), otherConns *otherConnListener) {
 	conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	reader := bufio.NewReader(conn)
 	firstByte, err := reader.Peek(1)
@@ -202,7 +202,7 @@
 func (o *otherConnListener) Close() error   { return nil }
 func (o *otherConnListener) Addr() net.Addr { return o.addr }
 
-func receiveUpdates(conn net.Conn, reader *bufio.Reader, handle func(controller.PeerUpdate)) {
+func receiveUpdates(conn net.Conn, reader *bufio.Reader, handle func(message.PeerUpdate)) {
 	defer conn.Close()
 	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
 // toProto is news in its protobuf form, and core, below, the way back.
-func toProto(update controller.PeerUpdate) *News {
+func toProto(update message.PeerUpdate) *News {
 	pb := &News{
 		From: update.From, Life: update.Incarnation, Asks: update.IsCapacityRequest, Seq: update.Seq, Wants: requestsToProto(update.CapacityRequests), Idle: update.ToRelease,
 		Tells: update.IsLeaderUpdate, Blocked: requestsToProto(update.Blocked), ToSpare: update.Surplus, Spare: requestsToProto(update.SurplusElsewhere), StateAway: update.StoreUnavailable,
@@ -70,7 +70,7 @@
 	return pb
 }
 
-func needsToProto(needs []controller.HostNeed) []*HostNeed {
+func needsToProto(needs []message.HostNeed) []*HostNeed {
 	var out []*HostNeed
 	for _, h := range needs {
 		out = append(out, &HostNeed{Flavour: h.MachineType, Zone: h.Zone, Spot: h.Spot, Cpu: h.Need.CPU, Gpu: h.Need.GPU, Memory: h.Need.Memory, Workload: h.Workload, Urgency: int64(h.Urgency)})
@@ -78,15 +78,15 @@
 	return out
 }
 
-func needsFromProto(needs []*HostNeed) []controller.HostNeed {
-	var out []controller.HostNeed
+func needsFromProto(needs []*HostNeed) []message.HostNeed {
+	var out []message.HostNeed
 	for _, h := range needs {
-		out = append(out, controller.HostNeed{MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Need: model.Resources{CPU: h.Cpu, GPU: h.Gpu, Memory: h.Memory}, Workload: h.Workload, Urgency: model.Urgency(h.Urgency)})
+		out = append(out, message.HostNeed{MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Need: model.Resources{CPU: h.Cpu, GPU: h.Gpu, Memory: h.Memory}, Workload: h.Workload, Urgency: model.Urgency(h.Urgency)})
 	}
 	return out
 }
 
-func requestsToProto(requests []controller.CapacityRequest) []*Want {
+func requestsToProto(requests []message.CapacityRequest) []*Want {
 	var out []*Want
 	for _, w := range requests {
 		out = append(out, &Want{Flavour: w.MachineType, Zone: w.Zone, Spot: w.Spot, Count: int64(w.Count)})
@@ -94,38 +94,38 @@
 	return out
 }
 
-func (m *News) toUpdate() controller.PeerUpdate {
-	update := controller.PeerUpdate{
+func (m *News) toUpdate() message.PeerUpdate {
+	update := message.PeerUpdate{
 		From: m.From, Incarnation: m.Life, IsCapacityRequest: m.Asks, Seq: m.Seq, CapacityRequests: requestsFromProto(m.Wants), ToRelease: m.Idle,
 		IsLeaderUpdate: m.Tells, Blocked: requestsFromProto(m.Blocked), Surplus: m.ToSpare, SurplusElsewhere: requestsFromProto(m.Spare), StoreUnavailable: m.StateAway,
 	}
 	for _, x := range m.Cancelled {
-		update.Cancellations = append(update.Cancellations, controller.Cancellation{ID: x.Id, Record: x.Record, ModRevision: x.Stamp})
+		update.Cancellations = append(update.Cancellations, message.Cancellation{ID: x.Id, Record: x.Record, ModRevision: x.Stamp})
 	}
 	update.CancellationAcks = m.CancelsHeard
 	for _, x := range m.Came {
-		update.Rerouted = append(update.Rerouted, controller.ReroutedHeartbeat{ID: x.Id, Epoch: x.Epoch, Incarnation: x.Tenure, Sequence: x.Tick})
+		update.Rerouted = append(update.Rerouted, message.ReroutedHeartbeat{ID: x.Id, Epoch: x.Epoch, Incarnation: x.Tenure, Sequence: x.Tick})
 	}
 	for _, p := range m.Progress {
-		update.Progress = append(update.Progress, controller.Progress{ID: p.Id, Done: int(p.Done), Running: int(p.Running)})
+		update.Progress = append(update.Progress, message.Progress{ID: p.Id, Done: int(p.Done), Running: int(p.Running)})
 	}
 	for _, l := range m.Loads {
-		update.WorkloadLoads = append(update.WorkloadLoads, controller.WorkloadLoad{Team: l.Team, Workload: l.Workload, TasksPerSecond: l.Rate, RunTimeRatio: l.Ratio, Deviation: l.Dev, Samples: int(l.Samples)})
+		update.WorkloadLoads = append(update.WorkloadLoads, message.WorkloadLoad{Team: l.Team, Workload: l.Workload, TasksPerSecond: l.Rate, RunTimeRatio: l.Ratio, Deviation: l.Dev, Samples: int(l.Samples)})
 	}
 	for _, r := range m.Rentals {
-		update.RentalUpdates = append(update.RentalUpdates, controller.RentalUpdate{ID: r.Id, Addr: r.Addr, MachineType: r.Flavour, Zone: r.Zone, Spot: r.Spot, Status: r.Status, Age: time.Duration(r.AgeMs) * time.Millisecond})
+		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: r.Id, Addr: r.Addr, MachineType: r.Flavour, Zone: r.Zone, Spot: r.Spot, Status: r.Status, Age: time.Duration(r.AgeMs) * time.Millisecond})
 	}
 	for _, h := range m.Hosts {
-		update.MachineUpdates = append(update.MachineUpdates, controller.MachineUpdate{ID: h.Id, Addr: h.Addr, MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Images: h.Images})
+		update.MachineUpdates = append(update.MachineUpdates, message.MachineUpdate{ID: h.Id, Addr: h.Addr, MachineType: h.Flavour, Zone: h.Zone, Spot: h.Spot, Images: h.Images})
 	}
 	for _, q := range m.Quotes {
-		update.Quotes = append(update.Quotes, controller.TeamQuotes{Team: q.Team, Value: q.Value})
+		update.Quotes = append(update.Quotes, message.TeamQuotes{Team: q.Team, Value: q.Value})
 	}
 	for _, t := range m.Teams {
-		update.TeamLoads = append(update.TeamLoads, controller.TeamLoad{Team: t.Team, CPU: t.Cpu})
+		update.TeamLoads = append(update.TeamLoads, message.TeamLoad{Team: t.Team, CPU: t.Cpu})
 	}
 	if m.Rates != nil {
-		update.Rates = &controller.Rates{Requests: m.Rates.Requests, Writes: m.Rates.Changes}
+		update.Rates = &message.Rates{Requests: m.Rates.Requests, Writes: m.Rates.Changes}
 	}
 	for _, o := range m.Offers {
 		update.Offers = append(update.Offers, sharding.Offer{Team: o.Team, Machines: o.Machines})
@@ -149,7 +149,7 @@
 	}
 	update.HostNeeds, update.OthersNeeds, update.EvacuationRequests = needsFromProto(m.Needs), needsFromProto(m.Lacks), needsFromProto(m.Empty)
 	for _, c := range m.Costs {
-		update.EvacuationCosts = append(update.EvacuationCosts, controller.HostCost{MachineType: c.Flavour, Zone: c.Zone, Spot: c.Spot, Downtime: time.Duration(c.DownMs) * time.Millisecond})
+		update.EvacuationCosts = append(update.EvacuationCosts, message.HostCost{MachineType: c.Flavour, Zone: c.Zone, Spot: c.Spot, Downtime: time.Duration(c.DownMs) * time.Millisecond})
 	}
 	return update
 }
@@ -158,10 +158,10 @@
 	return remote.AttemptID{Job: t.Job, Index: int(t.Index), Attempt: t.Try}
 }
 
-func requestsFromProto(requests []*Want) []controller.CapacityRequest {
-	var out []controller.CapacityRequest
+func requestsFromProto(requests []*Want) []message.CapacityRequest {
+	var out []message.CapacityRequest
 	for _, w := range requests {
-		out = append(out, controller.CapacityRequest{MachineType: w.Flavour, Zone: w.Zone, Spot: w.Spot, Count: int(w.Count)})
+		out = append(out, message.CapacityRequest{MachineType: w.Flavour, Zone: w.Zone, Spot: w.Spot, Count: int(w.Count)})
 	}
 	return out
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 const (
@@ -28,17 +29,17 @@
 
 // EffectHandlers is what carries out effects.
 type EffectHandlers struct {
-	Store          func(context.Context, controller.StoreRequest) controller.StoreResponse
-	Cloud          func(context.Context, controller.CloudRequest) controller.CloudResponse
-	Worker         func(context.Context, controller.WorkerRequest) controller.WorkerResponse
-	SendPeerUpdate func(to string, news controller.PeerUpdate)
-	RoleChanged    func(controller.Role)
+	Store          func(context.Context, message.StoreRequest) message.StoreResponse
+	Cloud          func(context.Context, message.CloudRequest) message.CloudResponse
+	Worker         func(context.Context, message.WorkerRequest) message.WorkerResponse
+	SendPeerUpdate func(to string, news message.PeerUpdate)
+	RoleChanged    func(message.Role)
 	// SetRates is told the controller's part of the state service's limits.
-	SetRates func(controller.Rates)
+	SetRates func(message.Rates)
 	// PromiseTotals is told what has become of promised dates; nil where there are none.
-	PromiseTotals func(controller.PromiseTotals)
+	PromiseTotals func(message.PromiseTotals)
 	// GPUCapacity is told how the room on machines with GPUs lies, while models are on.
-	GPUCapacity func(controller.GPUFreeCapacityReport)
+	GPUCapacity func(message.GPUFreeCapacityReport)
 	// InternalError is told of every mistake of the program's own that it goes on with.
 	InternalError func()
 	// ObserveStep is told how long a step took and how many commands it had.
@@ -46,8 +47,8 @@
 }
 
 type request struct {
-	newCommand func(reply uint64) controller.Command
-	reply      chan controller.Effect
+	newCommand func(reply uint64) message.Command
+	reply      chan message.Effect
 }
 
 // Server is the loop round one core.
@@ -55,9 +56,9 @@
 	controller  *controller.Controller
 	handlers    EffectHandlers
 	requests    chan request
-	responses   chan controller.Command
+	responses   chan message.Command
 	healthy     atomic.Bool
-	replies     map[uint64]chan controller.Effect
+	replies     map[uint64]chan message.Effect
 	lastReplyID uint64
 }
 
@@ -66,8 +67,8 @@
 	return &Server{
 		controller: ctrl, handlers: handlers,
 		requests:  make(chan request, requestQueueLen),
-		responses: make(chan controller.Command, responseQueueLen),
-		replies:   map[uint64]chan controller.Effect{},
+		responses: make(chan message.Command, responseQueueLen),
+		replies:   map[uint64]chan message.Effect{},
 	}
 }
 
@@ -75,8 +76,8 @@
 func (s *Server) Healthy() bool { return s.healthy.Load() }
 
 // Ask hands a command to the core and waits for its reply.
-func (s *Server) Ask(ctx context.Context, newCommand func(reply uint64) controller.Command) (controller.Effect, error) {
-	req := request{newCommand, make(chan controller.Effect, 1)}
+func (s *Server) Ask(ctx context.Context, newCommand func(reply uint64) message.Command) (message.Effect, error) {
+	req := request{newCommand, make(chan message.Effect, 1)}
 	select {
 	case s.requests <- req:
 	default:
@@ -91,14 +92,14 @@
 }
 
 // Post hands a command to the core that needs no reply.
-func (s *Server) Post(c controller.Command) { s.responses <- c }
+func (s *Server) Post(c message.Command) { s.responses <- c }
 
 // Run feeds the core until the context ends.
 func (s *Server) Run(ctx context.Context) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		var batch []controller.Command
+		var batch []message.Command
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -127,13 +128,13 @@
 	}
 }
 
-func (s *Server) register(r request) controller.Command {
+func (s *Server) register(r request) message.Command {
 	s.lastReplyID++
 	s.replies[s.lastReplyID] = r.reply
 	return r.newCommand(s.lastReplyID)
 }
 
-func (s *Server) fillBatch(batch []controller.Command) []controller.Command {
+func (s *Server) fillBatch(batch []message.Command) []message.Command {
 	for len(batch) < maxBatch {
 		// Answers first: they free what the requests wait for.
 		select {
@@ -152,7 +153,7 @@
 	return batch
 }
 
-func (s *Server) reply(id uint64, e controller.Effect) {
+func (s *Server) reply(id uint64, e message.Effect) {
 	if ch := s.replies[id]; ch != nil {
 		delete(s.replies, id)
 		ch <- e
@@ -160,7 +161,7 @@
 }
 
 // sendUnlessLate carries an effect out and brings the answer back, unless it has become late.
-func (s *Server) sendUnlessLate(e controller.Effect, call func() controller.Command) {
+func (s *Server) sendUnlessLate(e message.Effect, call func() message.Command) {
 	response, _, late := controller.CheckDeadline(e, time.Now())
 	if !late {
 		response = call()
@@ -168,41 +169,41 @@
 	s.Post(response)
 }
 
-func (s *Server) execute(ctx context.Context, e controller.Effect) {
+func (s *Server) execute(ctx context.Context, e message.Effect) {
 	switch e := e.(type) {
-	case controller.UserReply:
+	case message.UserReply:
 		s.reply(e.Reply, e)
-	case controller.HeartbeatReply:
+	case message.HeartbeatReply:
 		s.reply(e.Reply, e)
-	case controller.StatusReply:
+	case message.StatusReply:
 		s.reply(e.Reply, e)
-	case controller.RankingReply:
+	case message.RankingReply:
 		s.reply(e.Reply, e)
-	case controller.PromiseReply:
+	case message.PromiseReply:
 		s.reply(e.Reply, e)
-	case controller.PromiseTotals:
+	case message.PromiseTotals:
 		if s.handlers.PromiseTotals != nil {
 			s.handlers.PromiseTotals(e)
 		}
-	case controller.LoanView:
+	case message.LoanView:
 		s.reply(e.Reply, e)
-	case controller.LoanReply:
+	case message.LoanReply:
 		s.reply(e.Reply, e)
-	case controller.StoreRequest:
-		go s.sendUnlessLate(e, func() controller.Command { return s.handlers.Store(ctx, e) })
-	case controller.CloudRequest:
-		go s.sendUnlessLate(e, func() controller.Command { return s.handlers.Cloud(ctx, e) })
-	case controller.WorkerRequest:
-		go s.sendUnlessLate(e, func() controller.Command { return s.handlers.Worker(ctx, e) })
-	case controller.SendPeerUpdate:
+	case message.StoreRequest:
+		go s.sendUnlessLate(e, func() message.Command { return s.handlers.Store(ctx, e) })
+	case message.CloudRequest:
+		go s.sendUnlessLate(e, func() message.Command { return s.handlers.Cloud(ctx, e) })
+	case message.WorkerRequest:
+		go s.sendUnlessLate(e, func() message.Command { return s.handlers.Worker(ctx, e) })
+	case message.SendPeerUpdate:
 		s.handlers.SendPeerUpdate(e.To, e.Update)
-	case controller.Role:
+	case message.Role:
 		s.handlers.RoleChanged(e)
-	case controller.Rates:
+	case message.Rates:
 		s.handlers.SetRates(e)
-	case controller.GPUFreeCapacityReport:
+	case message.GPUFreeCapacityReport:
 		s.handlers.GPUCapacity(e)
-	case controller.Log:
+	case message.Log:
 		switch {
 		case e.Debug:
 			slog.Debug(e.Message, e.Args...)
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -7,17 +7,17 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
 // dropCommands takes the orders that a test picks out of whatever goes to workers.
-func dropCommands(e controller.Effect, which func(model.TaskCommand) bool) controller.Effect {
+func dropCommands(e message.Effect, which func(model.TaskCommand) bool) message.Effect {
 	switch x := e.(type) {
-	case controller.WorkerRequest:
+	case message.WorkerRequest:
 		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
 		return x
-	case controller.HeartbeatReply:
+	case message.HeartbeatReply:
 		x.Commands = slices.DeleteFunc(slices.Clone(x.Commands), which)
 		return x
 	}
@@ -25,7 +25,7 @@
 }
 
 // dropStarts does so with starts.
-func dropStarts(e controller.Effect, which func(model.TaskCommand) bool) controller.Effect {
+func dropStarts(e message.Effect, which func(model.TaskCommand) bool) message.Effect {
 	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StartTask && which(o) })
 }
 
@@ -44,7 +44,7 @@
 	// by their names alone before they come.
 	top := func(w *World, name string) *userJob { return w.largestJobs()[name][0][0] }
 	largest := ""
-	good := d.run("", func(w *World, e controller.Effect) controller.Effect {
+	good := d.run("", func(w *World, e message.Effect) message.Effect {
 		if w.now.Sub(w.startedAt) > 100*time.Second && largest == "" {
 			largest = top(w, "rush").spec.ID
 		}
@@ -60,36 +60,36 @@
 	for _, c := range []struct {
 		name, want string
 		broken     bool
-		sabotage   func(*World, controller.Effect) controller.Effect
+		sabotage   func(*World, message.Effect) message.Effect
 	}{
-		{"no answer about one ended job", "forgotten", true, func(w *World, e controller.Effect) controller.Effect {
-			if r, ok := e.(controller.UserReply); ok && ended(w) && r.ID == largest {
+		{"no answer about one ended job", "forgotten", true, func(w *World, e message.Effect) message.Effect {
+			if r, ok := e.(message.UserReply); ok && ended(w) && r.ID == largest {
 				return nil
 			}
 			return e
 		}},
-		{"refusals for all", "forgotten", true, func(w *World, e controller.Effect) controller.Effect {
-			if r, ok := e.(controller.UserReply); ok && ended(w) {
+		{"refusals for all", "forgotten", true, func(w *World, e message.Effect) message.Effect {
+			if r, ok := e.(message.UserReply); ok && ended(w) {
 				r.Status = 503
 				return r
 			}
 			return e
 		}},
-		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e controller.Effect) controller.Effect {
+		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == largest })
 		}},
-		{"all but its first task put off", "first after", false, func(_ *World, e controller.Effect) controller.Effect {
+		{"all but its first task put off", "first after", false, func(_ *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
 		}},
-		{"begun late", "rush begins late: " + largest, false, func(w *World, e controller.Effect) controller.Effect {
+		{"begun late", "rush begins late: " + largest, false, func(w *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool {
 				return o.Job == largest && w.now.Before(w.jobs[largest].submitted.Add(maxStartWait+5*time.Second))
 			})
 		}},
-		{"a class never started", "batch 0.00 of", false, func(w *World, e controller.Effect) controller.Effect {
+		{"a class never started", "batch 0.00 of", false, func(w *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool { return class(w, o.Job) == "batch" })
 		}},
-		{"a team never started", "team-b 0.00 of", false, func(w *World, e controller.Effect) controller.Effect {
+		{"a team never started", "team-b 0.00 of", false, func(w *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool { j := w.jobs[o.Job]; return j != nil && j.spec.Team == "team-b" })
 		}},
 	} {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -5,27 +5,27 @@
 	"sort"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
 // executeCloud executes a request to the cloud.
-func (w *World) executeCloud(op controller.CloudRequest) controller.CloudResponse {
-	response := controller.CloudResponse{ID: op.ID, Status: controller.CloudOK}
+func (w *World) executeCloud(op message.CloudRequest) message.CloudResponse {
+	response := message.CloudResponse{ID: op.ID, Status: message.CloudOK}
 	if w.cloudOutage || !w.cloudLimiter.AllowN(w.now, 1) {
 		if !w.cloudOutage {
 			w.CloudCalls.RefusedRequests++
 		}
-		response.Status = controller.CloudRefused
+		response.Status = message.CloudRefused
 		return response
 	}
 	w.CloudCalls.Done++
 	switch op.Kind {
-	case controller.CloudListTypes:
+	case message.CloudListTypes:
 		for _, k := range sortedKeys(w.machineTypes) {
 			response.MachineTypes = append(response.MachineTypes, w.machineTypes[k])
 		}
-	case controller.CloudListMachines:
+	case message.CloudListMachines:
 		// As of some time ago, that differs from list to list.
 		asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
 		for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, op.StartAfter):] {
@@ -46,10 +46,10 @@
 			}
 			response.Machines = append(response.Machines, listed)
 		}
-	case controller.CloudRent:
+	case message.CloudRent:
 		if op.Count < 1 || op.Count > 50 || op.IdempotencyKey == "" {
 			w.violate("malformed", "a booking of %d machines", op.Count)
-			response.Status = controller.CloudMalformed
+			response.Status = message.CloudMalformed
 			return response
 		}
 		if names, ok := w.rentals[op.IdempotencyKey]; ok {
@@ -73,14 +73,14 @@
 		}
 		w.cloudCapacity[key] -= len(response.Rented)
 		if len(response.Rented) == 0 {
-			response.Status = controller.CloudNoCapacity
+			response.Status = message.CloudNoCapacity
 			return response
 		}
 		w.rentals[op.IdempotencyKey] = response.Rented
-	case controller.CloudRelease:
+	case message.CloudRelease:
 		if len(op.Machines) > 100 {
 			w.violate("malformed", "a return of %d machines", len(op.Machines))
-			response.Status = controller.CloudMalformed
+			response.Status = message.CloudMalformed
 			return response
 		}
 		for _, id := range op.Machines {
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -205,7 +206,7 @@
 // controller takes a step of the takeover.
 func TestCancelledAtStepsOfTakeover(t *testing.T) {
 	steps := maps.Clone(pausePoints)
-	steps["ready"] = func(e controller.Effect) bool { l, ok := e.(controller.Log); return ok && l.Message == "owner ready" }
+	steps["ready"] = func(e message.Effect) bool { l, ok := e.(message.Log); return ok && l.Message == "owner ready" }
 	for _, step := range []string{"claim", "share", "read", "epoch", "ready", "report"} {
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s all=%v", step, all), func(t *testing.T) {
@@ -221,7 +222,7 @@
 					}
 				}
 				met := false
-				w.corruptEffect = func(e controller.Effect) controller.Effect {
+				w.corruptEffect = func(e message.Effect) message.Effect {
 					if !met && steps[step](e) {
 						met = true
 						for _, id := range ids {
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -8,13 +8,14 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
 // arriveAtAll brings a report to every controller, and tells of their answers.
-func (w *World) arriveAtAll(r model.Heartbeat, tell func(controller.HeartbeatReply)) {
+func (w *World) arriveAtAll(r model.Heartbeat, tell func(message.HeartbeatReply)) {
 	for _, p := range w.controllers {
-		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e controller.Effect) { tell(e.(controller.HeartbeatReply)) })
+		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) { tell(e.(message.HeartbeatReply)) })
 	}
 }
 
@@ -75,7 +76,7 @@
 		if at > 0 {
 			// Three times, as a worker repeats its report.
 			for k := range 3 {
-				w.schedule(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(controller.HeartbeatReply) { answered++ }) })
+				w.schedule(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(message.HeartbeatReply) { answered++ }) })
 			}
 		}
 		if next = w.when(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
@@ -249,7 +250,7 @@
 				other := (former + 1) % 3
 				for _, id := range ids {
 					w.jobs[id].cancelRequested = true
-					w.userRequestTo(other, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
+					w.userRequestTo(other, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
 						if r == nil || r.State != "cancelled" {
 							t.Errorf("the cancellation of %s: %v", id, r)
 						}
@@ -263,7 +264,7 @@
 				for end := w.now.Add(80 * time.Second); w.now.Before(end); w.Run(time.Second) {
 					for _, id := range ids {
 						asked++
-						w.userRequestTo(former, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *controller.UserReply) {
+						w.userRequestTo(former, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
 							if r != nil && r.Status == 200 && r.State != "cancelled" {
 								t.Errorf("the former leader calls %s %s", id, r.State)
 							}
@@ -430,14 +431,14 @@
 					w.submitMany("g", "ops", 2, 2, 2, 20*time.Second)
 					w.Run(80 * time.Second)
 					owner := w.ownerOf("ops")
-					var op controller.WorkerRequest
+					var op message.WorkerRequest
 					if w.runningTasks("job-f000") == 0 {
 						t.Fatal("nothing runs")
 					}
 					last := w.lastSeen("job-f000", "job-f001")
 					held, done, accepted := false, false, false
-					w.corruptEffect = func(e controller.Effect) controller.Effect {
-						x, ok := e.(controller.WorkerRequest)
+					w.corruptEffect = func(e message.Effect) message.Effect {
+						x, ok := e.(message.WorkerRequest)
 						if held || !ok || !slices.ContainsFunc(x.Commands, func(o model.TaskCommand) bool { return o.Kind == verb }) {
 							return e
 						}
--- a/internal/simulation/combined_users_test.go
+++ b/internal/simulation/combined_users_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -17,7 +17,7 @@
 func askAll(t *testing.T, w *World, id, want string) {
 	t.Helper()
 	for i := range w.controllers {
-		w.userRequestTo(i, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
+		w.userRequestTo(i, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
 			if r != nil && r.Status != 503 && r.State != want {
 				t.Errorf("%s is %s, node-%d answers %d %s", id, want, i, r.Status, r.State)
 			}
@@ -39,7 +39,7 @@
 			w.Run(60 * time.Second)
 			w.stateSlowUntil, w.stateSlowFactor = w.now.Add(w.cancelWithin+30*time.Second), slow
 			took := map[string]time.Duration{}
-			w.onAnswer = func(asked time.Time, r controller.UserReply) {
+			w.onAnswer = func(asked time.Time, r message.UserReply) {
 				if r.State == "cancelled" && took[r.ID] == 0 {
 					took[r.ID] = w.now.Sub(asked)
 					askAll(t, w, r.ID, "cancelled")
@@ -153,7 +153,7 @@
 		j := w.jobs[spec.ID]
 		if at == 0 {
 			var sent time.Time
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
+			w.corruptEffect = func(e message.Effect) message.Effect {
 				if sent.IsZero() && changes(e, "job/") {
 					sent = w.now
 				}
@@ -165,7 +165,7 @@
 		w.Run(at)
 		j.cancelRequested = true
 		asked := w.now
-		w.userRequestTo(node, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *controller.UserReply) {
+		w.userRequestTo(node, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: spec.ID} }, 5*time.Second, func(r *message.UserReply) {
 			if r != nil && r.Status == 200 {
 				w.checkAnswer(j, asked, r)
 			} else {
@@ -173,8 +173,8 @@
 			}
 		})
 		for i := range w.controllers {
-			w.userRequestTo(i, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*controller.UserReply) {})
-			w.userRequestTo(i, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *controller.UserReply) {
+			w.userRequestTo(i, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*message.UserReply) {})
+			w.userRequestTo(i, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *message.UserReply) {
 				if r != nil && r.Status != 200 && r.Status != 503 {
 					t.Errorf("the repeated submission is answered %d", r.Status)
 				}
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -104,7 +104,7 @@
 }
 
 // onChange is told of each change, before anybody hears of it.
-func (c *concurrentReaders) onChange(it controller.KeyValue) {
+func (c *concurrentReaders) onChange(it message.KeyValue) {
 	id, over := strings.CutPrefix(it.Key, "job/")
 	var r struct {
 		Status jobFate `msgpack:"s"`
@@ -131,16 +131,16 @@
 func (c *concurrentReaders) ask(to int, kind operationKind, id string) {
 	w, asked, over := c.world, c.now(), false
 	patience := 5 * time.Second
-	mk := func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
+	mk := func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
 	switch kind {
 	case opPoll:
 		patience = 2 * time.Second
-		mk = func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }
+		mk = func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }
 	case opCancel:
 		w.jobs[id].cancelRequested = true
-		mk = func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }
+		mk = func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }
 	}
-	finish := func(r controller.UserReply) {
+	finish := func(r message.UserReply) {
 		if over {
 			return
 		}
@@ -153,22 +153,22 @@
 		c.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: asked, Output: said, Return: c.now()})
 		c.noteFate(id, said.fate)
 	}
-	w.schedule(patience, func() { finish(controller.UserReply{}) })
+	w.schedule(patience, func() { finish(message.UserReply{}) })
 	p := w.controllers[to]
 	w.sendMessage("user", p.name, func() {
-		p.request(mk, func(e controller.Effect) {
-			c.onSend(p, id, e.(controller.UserReply))
-			w.sendMessage(p.name, "user", func() { finish(e.(controller.UserReply)) })
+		p.request(mk, func(e message.Effect) {
+			c.onSend(p, id, e.(message.UserReply))
+			w.sendMessage(p.name, "user", func() { finish(e.(message.UserReply)) })
 		})
 	})
 }
 
 // isDefinite says whether an answer tells of a job.
-func isDefinite(r controller.UserReply) bool {
+func isDefinite(r message.UserReply) bool {
 	return r.Status == 200 || r.Status == 201 || r.Status == 404
 }
 
-func fateOf(r controller.UserReply) jobFate {
+func fateOf(r message.UserReply) jobFate {
 	if r.State == "queued" || r.State == "running" {
 		return accepted
 	}
@@ -177,7 +177,7 @@
 
 // onSend notes that an answer leaves a controller. One after the other they never go
 // back, also if they were asked for in another order.
-func (c *concurrentReaders) onSend(p *controllerProcess, id string, r controller.UserReply) {
+func (c *concurrentReaders) onSend(p *controllerProcess, id string, r message.UserReply) {
 	if !isDefinite(r) {
 		return
 	}
@@ -192,7 +192,7 @@
 
 // unanswered notes a request that may be carried out later. One that comes after another
 // such, or after what it asks for was told, adds nothing.
-func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r controller.UserReply) {
+func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r message.UserReply) {
 	c.unansweredCount[op.kind]++
 	if r.Status != 0 && r.Status != 503 {
 		c.problems = append(c.problems, fmt.Sprintf("%s of %s: %d %s", op.kind, op.job, r.Status, r.Message))
@@ -400,19 +400,19 @@
 // nothing: in each of these ways it answers something older than was told, or than it has
 // made true.
 func TestStaleAnswersAreNoticed(t *testing.T) {
-	reply := func(e controller.Effect, change func(*controller.UserReply)) controller.Effect {
-		if r, ok := e.(controller.UserReply); ok {
+	reply := func(e message.Effect, change func(*message.UserReply)) message.Effect {
+		if r, ok := e.(message.UserReply); ok {
 			change(&r)
 			return r
 		}
 		return e
 	}
-	unguarded := func(e controller.Effect, first, without string) controller.Effect {
-		op, ok := e.(controller.StoreRequest)
-		if !ok || op.Kind != controller.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
+	unguarded := func(e message.Effect, first, without string) message.Effect {
+		op, ok := e.(message.StoreRequest)
+		if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
 			return e
 		}
-		var when []controller.Compare
+		var when []message.Compare
 		for _, c := range op.Compares {
 			if !strings.HasPrefix(c.Key, without) {
 				when = append(when, c)
@@ -421,38 +421,38 @@
 		op.Compares = when
 		return op
 	}
-	for name, wrong := range map[string]func(controller.Effect) controller.Effect{
+	for name, wrong := range map[string]func(message.Effect) message.Effect{
 		"nothing": nil,
-		"polls are answered from the picture": func(e controller.Effect) controller.Effect {
-			if op, ok := e.(controller.StoreRequest); ok && op.Kind == controller.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
+		"polls are answered from the picture": func(e message.Effect) message.Effect {
+			if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
 				// It goes on and brings no news.
 				op.Key = "none/"
 				return op
 			}
 			return e
 		},
-		"refused submissions are accepted": func(e controller.Effect) controller.Effect {
-			return reply(e, func(r *controller.UserReply) {
+		"refused submissions are accepted": func(e message.Effect) message.Effect {
+			return reply(e, func(r *message.UserReply) {
 				if r.Status == 503 {
 					r.Status, r.State = 201, "queued"
 				}
 			})
 		},
-		"what can't be read is not known": func(e controller.Effect) controller.Effect {
-			return reply(e, func(r *controller.UserReply) {
+		"what can't be read is not known": func(e message.Effect) message.Effect {
+			return reply(e, func(r *message.UserReply) {
 				if r.Status == 503 {
 					r.Status = 404
 				}
 			})
 		},
-		"a cancellation changes what is over": func(e controller.Effect) controller.Effect {
+		"a cancellation changes what is over": func(e message.Effect) message.Effect {
 			return unguarded(e, "job/", "open/")
 		},
-		"a repeat begins anew": func(e controller.Effect) controller.Effect {
+		"a repeat begins anew": func(e message.Effect) message.Effect {
 			return unguarded(e, "open/", "")
 		},
-		"a cancelled job is called queued": func(e controller.Effect) controller.Effect {
-			return reply(e, func(r *controller.UserReply) {
+		"a cancelled job is called queued": func(e message.Effect) message.Effect {
+			return reply(e, func(r *message.UserReply) {
 				if r.State == "cancelled" && r.Reply%7 == 0 {
 					r.State = "queued"
 				}
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/state"
 )
 
@@ -23,10 +24,10 @@
 	controller    *controller.Controller
 	incarnation   int
 	alive         bool
-	queue         []controller.Command
+	queue         []message.Command
 	stepScheduled bool
 	wakeAt        time.Time
-	replies       map[uint64]func(controller.Effect)
+	replies       map[uint64]func(message.Effect)
 	next          uint64
 	stateRefused  bool
 	// refusedUntil is when the last time is over in which it alone is refused.
@@ -35,7 +36,7 @@
 	// pausedUntil: the process stands still until then; its clock runs on. held is
 	// what it had decided and not sent yet.
 	pausedUntil time.Time
-	heldEffects []controller.Effect
+	heldEffects []message.Effect
 	// slowTill: its steps take slowBy times as long until then as usual ones do.
 	slowUntil  time.Time
 	slowFactor float64
@@ -48,8 +49,8 @@
 
 // checkLeader: nobody rents or returns but the leader. What a deposed one would send
 // has no conditions that could stop it.
-func (p *controllerProcess) checkLeader(e controller.CloudRequest) {
-	if e.Kind != controller.CloudRent && e.Kind != controller.CloudRelease {
+func (p *controllerProcess) checkLeader(e message.CloudRequest) {
+	if e.Kind != message.CloudRent && e.Kind != message.CloudRelease {
 		return
 	}
 	if lead := p.world.leaderName(); lead != "" && lead != p.name {
@@ -78,11 +79,11 @@
 	}
 	// Until it says what it needs, each has an equal part.
 	controllerCount := float64(len(p.world.controllers))
-	p.limiter = state.NewRateLimiter(p.world.now, controller.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
+	p.limiter = state.NewRateLimiter(p.world.now, message.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
 	p.controller = controller.New(settings, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.incarnation))))
 	p.queue, p.stepScheduled, p.wakeAt = nil, false, time.Time{}
 	p.pausedUntil, p.heldEffects = time.Time{}, nil
-	p.replies = map[uint64]func(controller.Effect){}
+	p.replies = map[uint64]func(message.Effect){}
 	p.scheduleStep()
 }
 
@@ -98,7 +99,7 @@
 	})
 }
 
-func (p *controllerProcess) request(newCommand func(uint64) controller.Command, fn func(controller.Effect)) {
+func (p *controllerProcess) request(newCommand func(uint64) message.Command, fn func(message.Effect)) {
 	if !p.alive {
 		return
 	}
@@ -107,7 +108,7 @@
 	p.enqueue(newCommand(p.next))
 }
 
-func (p *controllerProcess) enqueue(c controller.Command) {
+func (p *controllerProcess) enqueue(c message.Command) {
 	p.queue = append(p.queue, c)
 	p.scheduleStep()
 }
@@ -136,9 +137,9 @@
 
 // PauseBefore lets the first process that is about to send such an effect stand still
 // for d before it does: it has decided, and acts on that only when it goes on.
-func (w *World) PauseBefore(d time.Duration, matches func(controller.Effect) bool, selects func(*controllerProcess) bool) {
+func (w *World) PauseBefore(d time.Duration, matches func(message.Effect) bool, selects func(*controllerProcess) bool) {
 	w.pauseDuration = d
-	w.pauseCondition = func(p *controllerProcess, e controller.Effect) bool { return selects(p) && matches(e) }
+	w.pauseCondition = func(p *controllerProcess, e message.Effect) bool { return selects(p) && matches(e) }
 }
 
 // resumeWhenDue lets a process go on when its time has come.
@@ -158,7 +159,7 @@
 }
 
 // send carries an effect out, unless it has become late.
-func (p *controllerProcess) send(e controller.Effect) {
+func (p *controllerProcess) send(e message.Effect) {
 	if back, instead, late := controller.CheckDeadline(e, p.localTime()); late {
 		if back != nil {
 			p.enqueue(back)
@@ -220,32 +221,32 @@
 
 // call is a request with a deadline: fail is what the client tells its core
 // when no answer came. again says that it may also be carried out twice.
-func (p *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(controller.Command)), fail controller.Command) {
+func (p *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command) {
 	p.callWithLimit(to, mayRepeat, deadline, exec, fail, nil)
 }
 
 // callState is a call to the state service, which may refuse it for the rate.
-func (p *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(controller.Command)), fail controller.Command, onRateLimited func()) {
+func (p *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
 	p.callWithLimit("state", mayRepeat, deadline, exec, fail, onRateLimited)
 }
 
-func (p *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(controller.Command)), fail controller.Command, onRateLimited func()) {
+func (p *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
 	w, incarnation := p.world, p.incarnation
 	finished := false
-	finish := func(c controller.Command) {
+	finish := func(c message.Command) {
 		if finished || p.incarnation != incarnation {
 			return
 		}
 		finished = true
-		if d, ok := c.(controller.StoreResponse); ok && d.Status == StoreRateLimited {
+		if d, ok := c.(message.StoreResponse); ok && d.Status == StoreRateLimited {
 			onRateLimited()
 			return
 		}
 		p.enqueue(c)
 	}
-	answer := func(c controller.Command) { w.sendMessage(to, p.name, func() { finish(c) }) }
+	answer := func(c message.Command) { w.sendMessage(to, p.name, func() { finish(c) }) }
 	if mayRepeat && w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
-		discard := func(controller.Command) {}
+		discard := func(message.Command) {}
 		w.schedule(w.randomDelay(), func() { w.sendMessage(p.name, to, func() { exec(discard) }) })
 		if to != "state" {
 			answer = discard
@@ -256,27 +257,27 @@
 }
 
 // sendStoreRequest is one try of a request to the state service.
-func (p *controllerProcess) sendStoreRequest(e controller.StoreRequest, until time.Time) {
+func (p *controllerProcess) sendStoreRequest(e message.StoreRequest, until time.Time) {
 	w, incarnation := p.world, p.incarnation
 	sent := p.localTime()
-	done := func(answer func(controller.Command)) func(controller.StoreResponse) {
-		return func(d controller.StoreResponse) {
+	done := func(answer func(message.Command)) func(message.StoreResponse) {
+		return func(d message.StoreResponse) {
 			d.SentAt = sent
 			w.rankingCheck.noteRanking()
 			answer(d)
 		}
 	}
-	exec := func(answer func(controller.Command)) {
+	exec := func(answer func(message.Command)) {
 		switch {
-		case e.Kind == controller.OpWatch && e.WatchTimeout > 0:
+		case e.Kind == message.OpWatch && e.WatchTimeout > 0:
 			p.openWatch(e, until, done(answer))
 		case w.stateOutage || p.stateRefused:
-			answer(controller.StoreResponse{ID: e.ID, Status: controller.StoreRefused, SentAt: sent})
+			answer(message.StoreResponse{ID: e.ID, Status: message.StoreRefused, SentAt: sent})
 		default:
 			w.state.Do(w.now, e, done(answer))
 		}
 	}
-	p.callState(e.Kind == controller.OpTxn, until.Sub(w.now), func(answer func(controller.Command)) {
+	p.callState(e.Kind == message.OpTxn, until.Sub(w.now), func(answer func(message.Command)) {
 		if d, ok := w.delayWrite(e); ok {
 			wasValid := !w.state.malformed(&e)
 			w.schedule(d, func() {
@@ -285,12 +286,12 @@
 					// nobody waits for its answer.
 					return
 				}
-				exec(func(controller.Command) {})
+				exec(func(message.Command) {})
 			})
 			return
 		}
 		exec(answer)
-	}, controller.StoreResponse{ID: e.ID, Status: controller.StoreUnknown}, func() {
+	}, message.StoreResponse{ID: e.ID, Status: message.StoreUnknown}, func() {
 		pause := state.RetryPause + time.Duration(w.rng.Int64N(int64(state.RetryJitter)))
 		w.schedule(pause, func() {
 			switch {
@@ -298,7 +299,7 @@
 			case w.now.Before(until):
 				p.sendStoreRequest(e, until)
 			default:
-				p.enqueue(controller.StoreResponse{ID: e.ID, Status: controller.StoreRefused})
+				p.enqueue(message.StoreResponse{ID: e.ID, Status: message.StoreRefused})
 			}
 		})
 	})
@@ -306,7 +307,7 @@
 
 // openWatch opens a watch. While the service is away, or refuses the process alone, it tells
 // nothing: it waits until that is over, or the process has given it up.
-func (p *controllerProcess) openWatch(e controller.StoreRequest, until time.Time, answer func(controller.StoreResponse)) {
+func (p *controllerProcess) openWatch(e message.StoreRequest, until time.Time, answer func(message.StoreResponse)) {
 	w := p.world
 	unavailable := func() bool {
 		if !w.stateOutage && !p.stateRefused {
@@ -320,23 +321,23 @@
 	if unavailable() {
 		return
 	}
-	w.state.Do(w.now, e, func(d controller.StoreResponse) {
+	w.state.Do(w.now, e, func(d message.StoreResponse) {
 		if !unavailable() {
 			answer(d)
 		}
 	})
 }
 
-func (p *controllerProcess) execute(e controller.Effect) {
+func (p *controllerProcess) execute(e message.Effect) {
 	w := p.world
 	w.rankingCheck.onSend(p, e)
 	switch e := e.(type) {
-	case controller.StoreRequest:
+	case message.StoreRequest:
 		// As the real client does: it waits for its turn, and tries again what is
 		// refused for the rate.
 		d, ok := p.limiter.Reserve(w.now, e)
 		if !ok {
-			p.enqueue(controller.StoreResponse{ID: e.ID, Status: controller.StoreRefused})
+			p.enqueue(message.StoreResponse{ID: e.ID, Status: message.StoreRefused})
 			return
 		}
 		incarnation := p.incarnation
@@ -345,38 +346,38 @@
 				p.sendStoreRequest(e, w.now.Add(state.Timeout(e)))
 			}
 		})
-	case controller.Rates:
+	case message.Rates:
 		p.limiter.SetRates(w.now, e)
-	case controller.CloudRequest:
+	case message.CloudRequest:
 		p.checkLeader(e)
-		p.call("cloud", false, 5*time.Second, func(answer func(controller.Command)) { answer(w.executeCloud(e)) }, controller.CloudResponse{ID: e.ID, Status: controller.CloudUnknown})
-	case controller.WorkerRequest:
+		p.call("cloud", false, 5*time.Second, func(answer func(message.Command)) { answer(w.executeCloud(e)) }, message.CloudResponse{ID: e.ID, Status: message.CloudUnknown})
+	case message.WorkerRequest:
 		m := w.machines[e.Machine]
 		if m == nil {
-			p.enqueue(controller.WorkerResponse{ID: e.ID})
+			p.enqueue(message.WorkerResponse{ID: e.ID})
 			return
 		}
 		if p.delayCommand(m, e) {
-			p.call(m.ID, false, workerTimeout, func(func(controller.Command)) {}, controller.WorkerResponse{ID: e.ID})
+			p.call(m.ID, false, workerTimeout, func(func(message.Command)) {}, message.WorkerResponse{ID: e.ID})
 			return
 		}
-		p.call(m.ID, !e.StatusOnly, workerTimeout, func(answer func(controller.Command)) {
+		p.call(m.ID, !e.StatusOnly, workerTimeout, func(answer func(message.Command)) {
 			if !w.now.Before(m.upAt) {
 				answer(w.executeDirect(m, e))
 			}
-		}, controller.WorkerResponse{ID: e.ID})
-	case controller.UserReply:
+		}, message.WorkerResponse{ID: e.ID})
+	case message.UserReply:
 		w.noteCancelConfirmed(e)
 		p.reply(e.Reply, e)
-	case controller.HeartbeatReply:
+	case message.HeartbeatReply:
 		p.reply(e.Reply, e)
-	case controller.RankingReply:
+	case message.RankingReply:
 		p.reply(e.Reply, e)
-	case controller.StatusReply:
+	case message.StatusReply:
 		p.reply(e.Reply, e)
-	case controller.PromiseReply:
+	case message.PromiseReply:
 		p.reply(e.Reply, e)
-	case controller.SendPeerUpdate:
+	case message.SendPeerUpdate:
 		if i := w.controllerIndex(e.To); i >= 0 {
 			w.sendMessage(p.name, e.To, func() {
 				if w.controllers[i].alive {
@@ -384,14 +385,14 @@
 				}
 			})
 		}
-	case controller.Log:
+	case message.Log:
 		if !e.Debug || w.trace != "" && containsAny(fmt.Sprint(e.Args...), w.trace) {
 			w.logs = append(w.logs, fmt.Sprintf("%.1f %s %s %v", w.now.Sub(w.startedAt).Seconds(), p.name, e.Message, e.Args))
 		}
 	}
 }
 
-func (p *controllerProcess) reply(id uint64, e controller.Effect) {
+func (p *controllerProcess) reply(id uint64, e message.Effect) {
 	if fn := p.replies[id]; fn != nil {
 		delete(p.replies, id)
 		fn(e)
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -11,6 +11,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -332,12 +333,12 @@
 func RunDay(d Day, trace string) DayResult { return d.run(trace, nil) }
 
 // run is RunDay with a core made wrong on purpose, if there is a sabotage.
-func (d Day) run(trace string, corrupt func(*World, controller.Effect) controller.Effect) DayResult {
+func (d Day) run(trace string, corrupt func(*World, message.Effect) message.Effect) DayResult {
 	types, capacity := d.cloudInventory()
 	w := NewWorld(d.Seed, d.Controllers, d.Settings, d.cancelWithin(), types, capacity)
 	w.trace = trace
 	if corrupt != nil {
-		w.corruptEffect = func(e controller.Effect) controller.Effect { return corrupt(w, e) }
+		w.corruptEffect = func(e message.Effect) message.Effect { return corrupt(w, e) }
 	}
 	faultsEnd := d.lastFaultEnd()
 	w.faultsEndAt = w.startedAt.Add(faultsEnd)
--- a/internal/simulation/dependency_checks.go
+++ b/internal/simulation/dependency_checks.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -106,7 +106,7 @@
 
 // checkOrphan judges an answer that leaves a controller or reaches a user. What was
 // submitted later than a job before it was cancelled has the time from then.
-func (w *World) checkOrphan(j *userJob, r *controller.UserReply) {
+func (w *World) checkOrphan(j *userJob, r *message.UserReply) {
 	if len(j.dependencies) == 0 || r.Status != 200 || isFinal(r.State) {
 		return
 	}
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -208,7 +208,7 @@
 }
 
 // delayCommand says whether a direct command to m is held up, and brings it then.
-func (p *controllerProcess) delayCommand(m *Worker, op controller.WorkerRequest) bool {
+func (p *controllerProcess) delayCommand(m *Worker, op message.WorkerRequest) bool {
 	w := p.world
 	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
 		return false
@@ -258,7 +258,7 @@
 	for _, p := range w.controllers {
 		for _, r := range held {
 			w.schedule(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(controller.Effect) {})
+				p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
 			})
 		}
 	}
@@ -274,11 +274,11 @@
 	for i := range w.controllers {
 		for range readsPerController {
 			w.schedule(withinWindow(), func() {
-				w.checkedRequest(i, j, func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: j.spec.ID} })
+				w.checkedRequest(i, j, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} })
 			})
 		}
 		w.schedule(withinWindow(), func() {
-			w.checkedRequest(i, j, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} })
+			w.checkedRequest(i, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
 		})
 	}
 	if !j.cancelRequested && !isFinal(j.lastState) && w.rng.IntN(cancelOneIn) == 0 {
@@ -291,9 +291,9 @@
 
 // checkedRequest asks one controller about a job: its answer may not be older than what the
 // user was told before he asked.
-func (w *World) checkedRequest(node int, j *userJob, newCommand func(uint64) controller.Command) {
+func (w *World) checkedRequest(node int, j *userJob, newCommand func(uint64) message.Command) {
 	id, lastState, asked := j.spec.ID, j.lastState, w.now
-	w.userRequestTo(node, newCommand, 2*time.Second, func(r *controller.UserReply) {
+	w.userRequestTo(node, newCommand, 2*time.Second, func(r *message.UserReply) {
 		switch {
 		case r == nil:
 		case r.Status == 404 || r.Status == 400 || r.Status == 422:
@@ -334,10 +334,10 @@
 	switch k := w.rng.IntN(4); {
 	case k == 0 && len(unfinished) > 0:
 		j := unfinished[w.rng.IntN(len(unfinished))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} })
+		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
 	case k == 1 && len(done) > 0:
 		j := done[w.rng.IntN(len(done))]
-		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: j.spec.ID} })
+		w.checkedRequest(w.rng.IntN(len(w.controllers)), j, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: j.spec.ID} })
 	case k >= 2 && len(unfinished) > 0:
 		w.submitInvalidJob(unfinished[w.rng.IntN(len(unfinished))].spec)
 	}
@@ -348,7 +348,7 @@
 func (w *World) submitInvalidJob(s model.JobSpec) {
 	w.invalidJobs++
 	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
-	c := controller.SubmitJob{Spec: s}
+	c := message.SubmitJob{Spec: s}
 	switch w.rng.IntN(5) {
 	case 0:
 		c.Spec.Need.CPU = 1e6
@@ -359,9 +359,9 @@
 	case 3:
 		c.Spec.Team = "nobody"
 	case 4:
-		c = controller.SubmitJob{Spec: model.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
+		c = message.SubmitJob{Spec: model.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
 	}
-	w.userRequest(func(r uint64) controller.Command { c.Reply = r; return c }, 5*time.Second, func(r *controller.UserReply) {
+	w.userRequest(func(r uint64) message.Command { c.Reply = r; return c }, 5*time.Second, func(r *message.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 201) {
 			w.violate("accepted_odd", "%s answered %d", s.ID, r.Status)
 		}
--- a/internal/simulation/extra_faults_test.go
+++ b/internal/simulation/extra_faults_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -132,7 +132,7 @@
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
 	p := w.controllers[0]
-	halt := controller.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
+	halt := message.WorkerRequest{ID: 1 << 40, Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}}
 	other := halt
 	other.Incarnation++
 	if !p.delayCommand(m, other) || !p.delayCommand(m, halt) {
@@ -159,7 +159,7 @@
 	w := busyWorld(t)
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
-	w.controllers[0].delayCommand(m, controller.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
+	w.controllers[0].delayCommand(m, message.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
 	w.Run(minCommandDelay + maxCommandDelay)
 	if !x.onMachine() {
 		t.Error("carried out")
@@ -175,13 +175,13 @@
 		key := fmt.Sprint("x/", id)
 		// What reaches the process stays in its queue.
 		w.Pause(p.index, time.Second)
-		p.sendStoreRequest(controller.StoreRequest{ID: id, Kind: controller.OpTxn, Writes: []controller.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
+		p.sendStoreRequest(message.StoreRequest{ID: id, Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: []byte{0x80}}}}, w.now.Add(time.Minute))
 		w.Run(900 * time.Millisecond)
 		if w.state.records[key] == nil {
 			t.Errorf("%s is not written", key)
 		}
-		return slices.ContainsFunc(p.queue, func(c controller.Command) bool {
-			d, ok := c.(controller.StoreResponse)
+		return slices.ContainsFunc(p.queue, func(c message.Command) bool {
+			d, ok := c.(message.StoreResponse)
 			return ok && d.ID == id
 		})
 	}
@@ -228,20 +228,20 @@
 func TestConcurrentAndInvalidRequests(t *testing.T) {
 	for _, c := range []struct {
 		want  string
-		wrong func(controller.UserReply) controller.UserReply
+		wrong func(message.UserReply) message.UserReply
 	}{
 		{"", nil},
-		{"went_back", func(r controller.UserReply) controller.UserReply {
+		{"went_back", func(r message.UserReply) message.UserReply {
 			if r.State == "done" {
 				r.State = "running"
 			}
 			return r
 		}},
-		{"forgotten", func(r controller.UserReply) controller.UserReply {
+		{"forgotten", func(r message.UserReply) message.UserReply {
 			r.Status = 404
 			return r
 		}},
-		{"accepted_odd", func(r controller.UserReply) controller.UserReply {
+		{"accepted_odd", func(r message.UserReply) message.UserReply {
 			if r.Status == 422 || r.Status == 400 {
 				r.Status = 201
 			}
@@ -252,8 +252,8 @@
 			w := newTestWorld(3)
 			asked := 0
 			if c.wrong != nil {
-				w.corruptEffect = func(e controller.Effect) controller.Effect {
-					if r, ok := e.(controller.UserReply); ok {
+				w.corruptEffect = func(e message.Effect) message.Effect {
+					if r, ok := e.(message.UserReply); ok {
 						// One controller in three is wrong.
 						if asked++; asked%3 == 0 {
 							return c.wrong(r)
--- a/internal/simulation/held_command_test.go
+++ b/internal/simulation/held_command_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -20,11 +20,11 @@
 
 // holdCommand holds the next order with starts for d, with all that is sent to its machine
 // meanwhile; what the machine sends arrives. then happens a second after it has left.
-func (s *scenario) holdCommand(d time.Duration, then func(controller.WorkerRequest)) {
+func (s *scenario) holdCommand(d time.Duration, then func(message.WorkerRequest)) {
 	w := s.world
 	var h *heldCommand
-	w.corruptEffect = func(e controller.Effect) controller.Effect {
-		op, ok := e.(controller.WorkerRequest)
+	w.corruptEffect = func(e message.Effect) message.Effect {
+		op, ok := e.(message.WorkerRequest)
 		if !ok {
 			return e
 		}
@@ -56,7 +56,7 @@
 }
 
 // countOthers counts other attempts of what is held that are ordered to start meanwhile.
-func (h *heldCommand) countOthers(w *World, op controller.WorkerRequest) {
+func (h *heldCommand) countOthers(w *World, op message.WorkerRequest) {
 	if !w.now.Before(w.machines[h.machine].unreachableUntil) {
 		return
 	}
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
@@ -215,13 +216,13 @@
 func (l *Live) serveState(rw http.ResponseWriter, r *http.Request) {
 	l.mu.Lock()
 	op, writes, bad := decodeStoreRequest(r)
-	out := make(chan controller.StoreResponse, 1)
+	out := make(chan message.StoreResponse, 1)
 	switch {
 	case bad:
 		l.mu.Unlock()
 		writeReply(rw, 400, obj{"error": "malformed"})
 		return
-	case l.storeUnavailable && op.Kind != controller.OpWatch:
+	case l.storeUnavailable && op.Kind != message.OpWatch:
 		l.mu.Unlock()
 		writeReply(rw, 503, obj{"error": "trouble"})
 		return
@@ -232,9 +233,9 @@
 		return
 	}
 	l.counts.countRequest(&op, false)
-	l.world.state.Do(time.Now(), op, func(d controller.StoreResponse) { out <- d })
+	l.world.state.Do(time.Now(), op, func(d message.StoreResponse) { out <- d })
 	l.mu.Unlock()
-	var d controller.StoreResponse
+	var d message.StoreResponse
 	select {
 	case d = <-out:
 	case <-r.Context().Done():
@@ -243,43 +244,43 @@
 	l.writeStoreResponse(rw, op, d)
 }
 
-func decodeStoreRequest(r *http.Request) (op controller.StoreRequest, writes int, malformed bool) {
+func decodeStoreRequest(r *http.Request) (op message.StoreRequest, writes int, malformed bool) {
 	q := r.URL.Query()
 	path := r.URL.Path
 	switch {
 	case path == "/store":
-		op = controller.StoreRequest{Kind: controller.OpList, Key: q.Get("under"), StartAfter: q.Get("from")}
+		op = message.StoreRequest{Kind: message.OpList, Key: q.Get("under"), StartAfter: q.Get("from")}
 	case strings.HasPrefix(path, "/store/"):
-		op = controller.StoreRequest{Kind: controller.OpGet, Key: strings.TrimPrefix(path, "/store/")}
+		op = message.StoreRequest{Kind: message.OpGet, Key: strings.TrimPrefix(path, "/store/")}
 	case path == "/follow":
 		hold, _ := strconv.Atoi(q.Get("hold_ms"))
 		rev, err := strconv.ParseUint(q.Get("from"), 10, 64)
-		op = controller.StoreRequest{Kind: controller.OpWatch, Key: q.Get("under"), Revision: rev, WatchTimeout: time.Duration(hold) * time.Millisecond}
+		op = message.StoreRequest{Kind: message.OpWatch, Key: q.Get("under"), Revision: rev, WatchTimeout: time.Duration(hold) * time.Millisecond}
 		malformed = err != nil || hold > 60000
 	case path == "/grants":
 		ttl := toUint(readObject(r)["ttl_ms"])
-		op = controller.StoreRequest{Kind: controller.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
+		op = message.StoreRequest{Kind: message.OpLeaseGrant, TTL: time.Duration(ttl) * time.Millisecond}
 		malformed = ttl < 100 || ttl > 600000
 	case strings.HasSuffix(path, "/renew"):
-		op = controller.StoreRequest{Kind: controller.OpLeaseRenew, LeaseID: toUint(strings.Split(path, "/")[2])}
+		op = message.StoreRequest{Kind: message.OpLeaseRenew, LeaseID: toUint(strings.Split(path, "/")[2])}
 	case strings.HasPrefix(path, "/grants/"):
-		op = controller.StoreRequest{Kind: controller.OpLeaseRevoke, LeaseID: toUint(strings.Split(path, "/")[2])}
+		op = message.StoreRequest{Kind: message.OpLeaseRevoke, LeaseID: toUint(strings.Split(path, "/")[2])}
 	case path == "/multi":
-		op.Kind = controller.OpTxn
+		op.Kind = message.OpTxn
 		o := readObject(r)
 		for _, c := range toList(o["when"]) {
 			m := c.(obj)
-			op.Compares = append(op.Compares, controller.Compare{Key: toText(m["key"]), ModRevision: toUint(m["stamp"])})
+			op.Compares = append(op.Compares, message.Compare{Key: toText(m["key"]), ModRevision: toUint(m["stamp"])})
 		}
 		for _, c := range toList(o["apply"]) {
 			m := c.(obj)
 			writes++
 			if k := toText(m["remove"]); k != "" {
-				op.Writes = append(op.Writes, controller.Write{Key: k})
+				op.Writes = append(op.Writes, message.Write{Key: k})
 				continue
 			}
 			_, isMap := m["value"].(obj)
-			op.Writes = append(op.Writes, controller.Write{Key: toText(m["put"]), Value: encodeValue(m["value"]), LeaseID: toUint(m["permit"])})
+			op.Writes = append(op.Writes, message.Write{Key: toText(m["put"]), Value: encodeValue(m["value"]), LeaseID: toUint(m["permit"])})
 			malformed = malformed || toText(m["put"]) == "" || !isMap
 		}
 	default:
@@ -288,7 +289,7 @@
 	return op, writes, malformed
 }
 
-func (l *Live) writeStoreResponse(rw http.ResponseWriter, op controller.StoreRequest, d controller.StoreResponse) {
+func (l *Live) writeStoreResponse(rw http.ResponseWriter, op message.StoreRequest, d message.StoreResponse) {
 	rows := func() []any {
 		out := []any{}
 		for _, it := range d.KeyValues {
@@ -296,7 +297,7 @@
 			switch {
 			case it.Deleted:
 				o["remove"] = it.Key
-			case op.Kind == controller.OpWatch:
+			case op.Kind == message.OpWatch:
 				o["put"], o["value"] = it.Key, decodeValue(it.Value)
 			default:
 				o["key"], o["value"] = it.Key, decodeValue(it.Value)
@@ -306,28 +307,28 @@
 		return out
 	}
 	switch d.Status {
-	case controller.StoreNotFound:
+	case message.StoreNotFound:
 		writeReply(rw, 404, obj{"ledger_rev": d.Revision})
-	case controller.StoreConflict:
+	case message.StoreConflict:
 		writeReply(rw, 409, obj{"failed": d.FailedKeys, "ledger_rev": d.Revision})
-	case controller.StoreCompacted:
+	case message.StoreCompacted:
 		writeReply(rw, 410, obj{"error": "too old"})
-	case controller.StoreNoLease:
+	case message.StoreNoLease:
 		writeReply(rw, 400, obj{"error": "no such lease"})
-	case controller.StoreMalformed:
+	case message.StoreMalformed:
 		writeReply(rw, 400, obj{"error": "malformed"})
 	case StoreRateLimited:
 		writeReply(rw, 429, obj{"error": "rate"})
 	default:
 		switch op.Kind {
-		case controller.OpGet:
+		case message.OpGet:
 			it := d.KeyValues[0]
 			writeReply(rw, 200, obj{"key": it.Key, "value": decodeValue(it.Value), "stamp": it.ModRevision})
-		case controller.OpList:
+		case message.OpList:
 			writeReply(rw, 200, obj{"rows": rows(), "truncated": d.Truncated, "ledger_rev": d.Revision})
-		case controller.OpWatch:
+		case message.OpWatch:
 			writeReply(rw, 200, obj{"news": rows(), "ledger_rev": d.Revision})
-		case controller.OpLeaseGrant:
+		case message.OpLeaseGrant:
 			writeReply(rw, 200, obj{"permit": d.LeaseID})
 		default:
 			writeReply(rw, 200, obj{"ledger_rev": d.Revision})
@@ -342,22 +343,22 @@
 	switch r.Method + r.URL.Path {
 	case "GET/machine_types":
 		var out []any
-		for _, f := range l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudListTypes}).MachineTypes {
+		for _, f := range l.world.executeCloud(message.CloudRequest{Kind: message.CloudListTypes}).MachineTypes {
 			out = append(out, obj{"name": f.Name, "vcpus": f.Capacity.CPU, "gpus": f.Capacity.GPU, "memory_gb": f.Capacity.Memory, "local_gb": f.DiskGB,
 				"pull_gb_per_s": f.ImageFetchRate, "price": f.CostPerHour, "market_price": f.SpotCostPerHour, "ready_s": f.ProvisioningTime.Seconds(), "sites": f.Zones})
 		}
 		writeReply(rw, 200, obj{"flavours": out})
 	case "GET/rentals":
 		out := []any{}
-		for _, m := range l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudListMachines}).Machines {
+		for _, m := range l.world.executeCloud(message.CloudRequest{Kind: message.CloudListMachines}).Machines {
 			out = append(out, obj{"id": m.ID, "address": m.Addr, "flavour": m.MachineType, "site": m.Zone, "loaner": m.Spot, "status": m.Status, "held_s": m.Age.Seconds()})
 		}
 		writeReply(rw, 200, obj{"hosts": out, "truncated": false})
 	case "POST/rentals":
 		o := readObject(r)
 		spot, _ := o["loaner"].(bool)
-		d := l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudRent, IdempotencyKey: toText(o["booking"]), MachineType: toText(o["flavour"]), Zone: toText(o["site"]), Spot: spot, Count: int(toUint(o["count"]))})
-		if d.Status == controller.CloudNoCapacity {
+		d := l.world.executeCloud(message.CloudRequest{Kind: message.CloudRent, IdempotencyKey: toText(o["booking"]), MachineType: toText(o["flavour"]), Zone: toText(o["site"]), Spot: spot, Count: int(toUint(o["count"]))})
+		if d.Status == message.CloudNoCapacity {
 			writeReply(rw, 503, obj{"error": "no capacity"})
 			return
 		}
@@ -367,7 +368,7 @@
 		for _, h := range toList(readObject(r)["hosts"]) {
 			ids = append(ids, toText(h))
 		}
-		l.world.executeCloud(controller.CloudRequest{Kind: controller.CloudRelease, Machines: ids})
+		l.world.executeCloud(message.CloudRequest{Kind: message.CloudRelease, Machines: ids})
 		writeReply(rw, 200, obj{})
 	default:
 		writeReply(rw, 400, obj{"error": "malformed"})
@@ -414,7 +415,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		l.counts.Commands[r.URL.Path]++
-		op := controller.WorkerRequest{StatusOnly: r.URL.Path == "/status"}
+		op := message.WorkerRequest{StatusOnly: r.URL.Path == "/status"}
 		if !op.StatusOnly {
 			o := readObject(r)
 			if o["epoch"] == nil || o["tenure"] == nil {
--- a/internal/simulation/live_counts.go
+++ b/internal/simulation/live_counts.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // LiveCounts is what a live world has seen since it began. Bytes are those of the
@@ -44,10 +44,10 @@
 }
 
 // countRequest counts one to the state service.
-func (c *LiveCounts) countRequest(op *controller.StoreRequest, refused bool) {
-	kind := map[controller.StoreRequestKind]string{
-		controller.OpGet: "get", controller.OpList: "list", controller.OpWatch: "follow", controller.OpTxn: "multi",
-		controller.OpLeaseGrant: "grant", controller.OpLeaseRenew: "renew", controller.OpLeaseRevoke: "drop",
+func (c *LiveCounts) countRequest(op *message.StoreRequest, refused bool) {
+	kind := map[message.StoreRequestKind]string{
+		message.OpGet: "get", message.OpList: "list", message.OpWatch: "follow", message.OpTxn: "multi",
+		message.OpLeaseGrant: "grant", message.OpLeaseRenew: "renew", message.OpLeaseRevoke: "drop",
 	}[op.Kind]
 	c.Requests[kind]++
 	if refused {
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // lostResponses lets a share of the transactions be carried out at once, and loses what the
@@ -24,14 +25,14 @@
 func loseResponses(w *World, seed uint64, share float64) *lostResponses {
 	l := &lostResponses{share: share, chosen: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
-	w.crashCondition = func(p *controllerProcess, e controller.Effect) bool {
-		if op, ok := e.(controller.StoreRequest); ok && op.Kind == controller.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
+	w.crashCondition = func(p *controllerProcess, e message.Effect) bool {
+		if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
 			l.chosen[op.Writes[0].Key] = p.name
 		}
 		return false
 	}
 	noted := w.state.onChange
-	w.state.onChange = func(it controller.KeyValue) {
+	w.state.onChange = func(it message.KeyValue) {
 		if p, chosen := l.chosen[it.Key]; chosen {
 			delete(l.chosen, it.Key)
 			l.lost[recordKind(it.Key)]++
@@ -79,7 +80,7 @@
 				for k := range 10 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.schedule(time.Duration(10+k*30)*time.Second, func() {
-						w.SetRanking(k%len(w.controllers), controller.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(controller.RankingReply) {})
+						w.SetRanking(k%len(w.controllers), message.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(message.RankingReply) {})
 					})
 				}
 				w.schedule(8*time.Minute, func() { l.share = 0 })
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -33,7 +34,7 @@
 			set.MaxTxnWrites, set.StoreWritesPerSecond = l.next.MaxTxnWrites, l.next.StoreWritesPerSecond
 		}
 	}
-	l.state.onChange = func(it controller.KeyValue) {
+	l.state.onChange = func(it message.KeyValue) {
 		if strings.HasPrefix(it.Key, "task/") && strings.Contains(it.Key, "/s") && !l.all() {
 			l.early++
 		}
--- a/internal/simulation/margins_test.go
+++ b/internal/simulation/margins_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -19,7 +19,7 @@
 	set.Teams[0].QuotaLimit.CPU = limit
 	w := NewWorld(3, 3, set, testCancel, types, room)
 	w.faultsEndAt = w.now
-	w.corruptEffect = func(e controller.Effect) controller.Effect {
+	w.corruptEffect = func(e message.Effect) message.Effect {
 		return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == "job-000002" })
 	}
 	return w
@@ -67,7 +67,7 @@
 	const left = 12 * time.Second
 	till := w.now.Add(w.cancelWithin - left)
 	w.cloudOutage, w.settings.WorkerLease = true, time.Hour
-	w.corruptEffect = func(e controller.Effect) controller.Effect {
+	w.corruptEffect = func(e message.Effect) message.Effect {
 		if w.now.Before(till) {
 			return dropStops(e)
 		}
--- a/internal/simulation/models_fit_test.go
+++ b/internal/simulation/models_fit_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -50,8 +51,8 @@
 				come(260*time.Second+soon(), "large", 8, 60, 1, model.Urgent, 1)
 			}
 			changes := 0
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
-				if op, ok := e.(controller.StoreRequest); ok && op.Kind == controller.OpTxn && strings.HasPrefix(op.Writes[0].Key, "move/") {
+			w.corruptEffect = func(e message.Effect) message.Effect {
+				if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpTxn && strings.HasPrefix(op.Writes[0].Key, "move/") {
 					changes++
 				}
 				return e
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -103,9 +104,9 @@
 }
 
 // onEffect takes in the first move that an effect writes.
-func (p *fragmentedWorld) onEffect(e controller.Effect) bool {
-	op, ok := e.(controller.StoreRequest)
-	if !ok || op.Kind != controller.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
+func (p *fragmentedWorld) onEffect(e message.Effect) bool {
+	op, ok := e.(message.StoreRequest)
+	if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
 		return false
 	}
 	var r struct {
@@ -125,12 +126,12 @@
 }
 
 // orders says that an effect has such an order for a job.
-func orders(e controller.Effect, verb model.TaskCommandKind, job string) bool {
+func orders(e message.Effect, verb model.TaskCommandKind, job string) bool {
 	var all []model.TaskCommand
 	switch e := e.(type) {
-	case controller.WorkerRequest:
+	case message.WorkerRequest:
 		all = e.Commands
-	case controller.HeartbeatReply:
+	case message.HeartbeatReply:
 		all = e.Commands
 	}
 	for _, o := range all {
@@ -172,11 +173,11 @@
 // TestMigrationsSurviveFaults: whatever fails at whichever step of a move, in the end all runs
 // that there is room for, and no rule is broken.
 func TestMigrationsSurviveFaults(t *testing.T) {
-	steps := map[string]func(*fragmentedWorld, controller.Effect) bool{
-		"intent": func(p *fragmentedWorld, e controller.Effect) bool { return p.onEffect(e) },
-		"stop":   func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, model.StopTask, "job-s") },
-		"start":  func(p *fragmentedWorld, e controller.Effect) bool { return orders(e, model.StartTask, "job-s") },
-		"receiver": func(p *fragmentedWorld, e controller.Effect) bool {
+	steps := map[string]func(*fragmentedWorld, message.Effect) bool{
+		"intent": func(p *fragmentedWorld, e message.Effect) bool { return p.onEffect(e) },
+		"stop":   func(p *fragmentedWorld, e message.Effect) bool { return orders(e, model.StopTask, "job-s") },
+		"start":  func(p *fragmentedWorld, e message.Effect) bool { return orders(e, model.StartTask, "job-s") },
+		"receiver": func(p *fragmentedWorld, e message.Effect) bool {
 			return orders(e, model.StartTask, "job-large")
 		},
 	}
@@ -225,7 +226,7 @@
 				p := newFragmentedWorld(t, seed, nodes)
 				p.watch()
 				hit := false
-				p.corruptEffect = func(e controller.Effect) controller.Effect {
+				p.corruptEffect = func(e message.Effect) message.Effect {
 					p.onEffect(e)
 					if !hit && p.to != "" && steps[step](p, e) {
 						hit = true
--- a/internal/simulation/odd_jobs_test.go
+++ b/internal/simulation/odd_jobs_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -84,19 +84,19 @@
 		for _, c := range []struct {
 			status int
 			state  string
-			mk     func(uint64) controller.Command
+			mk     func(uint64) message.Command
 		}{
-			{200, "done", func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: over} }},
-			{200, "done", func(r uint64) controller.Command {
-				return controller.SubmitJob{Reply: r, Spec: model.JobSpec{ID: over.ID}, MalformedReason: "field owner is missing or invalid"}
+			{200, "done", func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: over} }},
+			{200, "done", func(r uint64) message.Command {
+				return message.SubmitJob{Reply: r, Spec: model.JobSpec{ID: over.ID}, MalformedReason: "field owner is missing or invalid"}
 			}},
-			{200, "done", func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: over.ID} }},
-			{404, "", func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: "job-no-zone"} }},
-			{400, "", func(r uint64) controller.Command {
-				return controller.SubmitJob{Reply: r, Spec: model.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
+			{200, "done", func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: over.ID} }},
+			{404, "", func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: "job-no-zone"} }},
+			{400, "", func(r uint64) message.Command {
+				return message.SubmitJob{Reply: r, Spec: model.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
 			}},
 		} {
-			w.userRequestTo(to, c.mk, 5*time.Second, func(r *controller.UserReply) {
+			w.userRequestTo(to, c.mk, 5*time.Second, func(r *message.UserReply) {
 				if r == nil || r.Status != c.status || r.State != c.state {
 					t.Errorf("%+v; want %d %s", r, c.status, c.state)
 				}
--- a/internal/simulation/overlaps.go
+++ b/internal/simulation/overlaps.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -247,8 +247,8 @@
 }
 
 // delayWrite says whether a transaction gets no answer, and how late it is carried out.
-func (w *World) delayWrite(e controller.StoreRequest) (time.Duration, bool) {
-	if e.Kind != controller.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
+func (w *World) delayWrite(e message.StoreRequest) (time.Duration, bool) {
+	if e.Kind != message.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
 		return 0, false
 	}
 	if w.loseWriteResponses {
--- a/internal/simulation/overlaps_test.go
+++ b/internal/simulation/overlaps_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
 // dropStops takes the stops out of whatever goes to workers.
-func dropStops(e controller.Effect) controller.Effect {
+func dropStops(e message.Effect) message.Effect {
 	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StopTask })
 }
 
@@ -30,7 +30,7 @@
 	}{
 		{"stops lost until just before", false, 1, func(w *World) {
 			till := w.now.Add(w.cancelWithin - 12*time.Second)
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
+			w.corruptEffect = func(e message.Effect) message.Effect {
 				if w.now.Before(till) {
 					return dropStops(e)
 				}
@@ -39,7 +39,7 @@
 		}},
 		{"stops lost until just after", true, 1, func(w *World) {
 			till := w.now.Add(w.cancelWithin + 2*time.Second)
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
+			w.corruptEffect = func(e message.Effect) message.Effect {
 				if w.now.Before(till) {
 					return dropStops(e)
 				}
@@ -96,8 +96,8 @@
 	d.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
 	d.Cancels = &MassCancel{Workload: "import", Fraction: 1, At: 35 * time.Second, Duration: 20 * time.Second}
 	cancelled := 0
-	good := d.run("", func(w *World, e controller.Effect) controller.Effect {
-		if r, ok := e.(controller.UserReply); ok && r.State == "cancelled" {
+	good := d.run("", func(w *World, e message.Effect) message.Effect {
+		if r, ok := e.(message.UserReply); ok && r.State == "cancelled" {
 			cancelled++
 		}
 		return e
@@ -108,15 +108,15 @@
 	for _, c := range []struct {
 		name string
 		// wrong: what happens to an effect once the day's troubles are over.
-		wrong func(*World, controller.Effect) controller.Effect
+		wrong func(*World, message.Effect) message.Effect
 	}{
-		{"no answer about cancelled jobs", func(_ *World, e controller.Effect) controller.Effect {
-			if r, ok := e.(controller.UserReply); ok && r.State == "cancelled" {
+		{"no answer about cancelled jobs", func(_ *World, e message.Effect) message.Effect {
+			if r, ok := e.(message.UserReply); ok && r.State == "cancelled" {
 				return nil
 			}
 			return e
 		}},
-		{"one controller's answers don't arrive", func(w *World, e controller.Effect) controller.Effect {
+		{"one controller's answers don't arrive", func(w *World, e message.Effect) message.Effect {
 			if w.oneWayPartitions["node-1>user"] == 0 {
 				w.partitionOneWay("node-1", "user", time.Hour)
 			}
@@ -125,7 +125,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			r := d.run("", func(w *World, e controller.Effect) controller.Effect {
+			r := d.run("", func(w *World, e message.Effect) message.Effect {
 				if w.now.Before(w.faultsEndAt.Add(20 * time.Second)) {
 					return e
 				}
@@ -196,7 +196,7 @@
 	w.DelayWrites(1, time.Second)
 	p := w.controllers[0]
 	write := func(key string) {
-		p.sendStoreRequest(controller.StoreRequest{ID: 1 << 40, Kind: controller.OpTxn, Writes: []controller.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
+		p.sendStoreRequest(message.StoreRequest{ID: 1 << 40, Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
 	}
 	there := func(key string) bool { return w.state.records[key] != nil }
 	write("x/old")
@@ -219,13 +219,13 @@
 	w.Run(20 * time.Second)
 	p := w.controllers[w.leaderIndex(0)]
 	told := 0
-	p.openWatch(controller.StoreRequest{Kind: controller.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(controller.StoreResponse) { told++ })
+	p.openWatch(message.StoreRequest{Kind: message.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(message.StoreResponse) { told++ })
 	w.startOverlapFault(Fault{Kind: "refused_outage", Controller: p.index, Delay: 2 * time.Second, Duration: time.Minute})
 	w.Run(time.Second)
 	if !p.stateRefused || w.stateOutage {
 		t.Error("not the one alone")
 	}
-	w.state.txn(controller.StoreRequest{Writes: []controller.Write{{Key: "x/1", Value: []byte{0x80}}}}, &controller.StoreResponse{})
+	w.state.txn(message.StoreRequest{Writes: []message.Write{{Key: "x/1", Value: []byte{0x80}}}}, &message.StoreResponse{})
 	w.Run(time.Second)
 	grants := len(w.state.leases)
 	w.Run(50 * time.Second)
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -54,7 +54,7 @@
 	d := time.Second + time.Duration(w.rng.Int64N(int64(max(w.heartbeatCopyMaxDelay, 2*time.Second)-time.Second)))
 	p := w.controllers[w.rng.IntN(len(w.controllers))]
 	w.schedule(d, func() {
-		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(controller.Effect) {})
+		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
 	})
 }
 
@@ -88,8 +88,8 @@
 
 // CrashBefore ends the first process that is about to send such an effect, or with sent
 // has just sent it; it is back after d.
-func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(controller.Effect) bool) {
-	w.crashCondition = func(p *controllerProcess, e controller.Effect) bool {
+func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(message.Effect) bool) {
+	w.crashCondition = func(p *controllerProcess, e message.Effect) bool {
 		if !matches(e) {
 			return false
 		}
@@ -102,7 +102,7 @@
 }
 
 // crashesOn says whether a process ended with this effect.
-func (w *World) crashesOn(p *controllerProcess, e controller.Effect) bool {
+func (w *World) crashesOn(p *controllerProcess, e message.Effect) bool {
 	ends := w.crashCondition
 	if ends == nil {
 		return false
--- a/internal/simulation/partial_faults_test.go
+++ b/internal/simulation/partial_faults_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -83,8 +83,8 @@
 				w.CrashController(i, time.Second)
 			}
 			began, reads := w.now, 0
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
-				if op, ok := e.(controller.StoreRequest); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != controller.OpTxn {
+			w.corruptEffect = func(e message.Effect) message.Effect {
+				if op, ok := e.(message.StoreRequest); ok && strings.HasPrefix(op.Key, "job/") && op.Kind != message.OpTxn {
 					reads++
 				}
 				return e
@@ -92,7 +92,7 @@
 			answered := map[string]time.Duration{}
 			var ask func(id, want string)
 			ask = func(id, want string) {
-				w.userRequest(func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *controller.UserReply) {
+				w.userRequest(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
 					switch {
 					case r == nil || r.Status == 503:
 					case want == "" && r.Status != 404 || want == "done" && r.State != "done" || want == "queued" && r.Status != 200:
--- a/internal/simulation/pipeline_reads_test.go
+++ b/internal/simulation/pipeline_reads_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // opDependencyCancelled is that one of the jobs that a job needs, directly or through others, is
@@ -225,23 +225,23 @@
 
 // TestStalePipelineAnswersAreNoticed: a core made wrong is noticed by the registers.
 func TestStalePipelineAnswersAreNoticed(t *testing.T) {
-	behind := func(w *World, r *controller.UserReply) bool {
+	behind := func(w *World, r *message.UserReply) bool {
 		j := w.jobs[r.ID]
 		return j != nil && len(j.dependencies) > 0 && !j.cancelRequested
 	}
-	for name, wrong := range map[string]func(*World, *controller.UserReply){
+	for name, wrong := range map[string]func(*World, *message.UserReply){
 		"nothing": nil,
-		"what comes after is called queued now and then": func(w *World, r *controller.UserReply) {
+		"what comes after is called queued now and then": func(w *World, r *message.UserReply) {
 			if behind(w, r) && r.State == "cancelled" && r.Reply%7 == 0 {
 				r.State = "queued"
 			}
 		},
-		"what comes after is called cancelled too soon": func(w *World, r *controller.UserReply) {
+		"what comes after is called cancelled too soon": func(w *World, r *message.UserReply) {
 			if behind(w, r) && r.State == "queued" && r.Reply%5 == 0 && r.Status == 200 {
 				r.State = "cancelled"
 			}
 		},
-		"what comes after is never called cancelled": func(w *World, r *controller.UserReply) {
+		"what comes after is never called cancelled": func(w *World, r *message.UserReply) {
 			if behind(w, r) && r.State == "cancelled" {
 				r.State = "queued"
 			}
@@ -251,8 +251,8 @@
 			t.Parallel()
 			w := newTestWorld(3)
 			if wrong != nil {
-				w.corruptEffect = func(e controller.Effect) controller.Effect {
-					if r, ok := e.(controller.UserReply); ok {
+				w.corruptEffect = func(e message.Effect) message.Effect {
+					if r, ok := e.(message.UserReply); ok {
 						wrong(w, &r)
 						return r
 					}
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -117,7 +117,7 @@
 		to := (first + i) % len(w.controllers)
 		w.schedule(time.Duration(w.rng.Int64N(int64(concurrentWindow))), func() {
 			asked := w.now
-			w.userRequestTo(to, func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
+			w.userRequestTo(to, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
 				if r != nil && r.Status == 200 {
 					w.checkAnswer(j, asked, r)
 				} else if !isFinal(j.lastState) {
@@ -132,7 +132,7 @@
 // known.
 func (w *World) resubmit(j *userJob) {
 	node := w.rng.IntN(len(w.controllers))
-	w.checkedRequest(node, j, func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} })
+	w.checkedRequest(node, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
 }
 
 // generatePipeline draws one: steps one after the other, of one job or several side by side, each
