--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -30,9 +30,9 @@
 }
 
 // replies changes the answers to users about a job.
-func replies(id string, change func(*controller.UserReply)) func(controller.Effect) controller.Effect {
-	return func(e controller.Effect) controller.Effect {
-		if r, ok := e.(controller.UserReply); ok && r.ID == id {
+func replies(id string, change func(*message.UserReply)) func(message.Effect) message.Effect {
+	return func(e message.Effect) message.Effect {
+		if r, ok := e.(message.UserReply); ok && r.ID == id {
 			change(&r)
 			return r
 		}
@@ -42,7 +42,7 @@
 
 // startsEarly puts the start of a job's first task before the first orders for any machine, and
 // lets nothing stop it.
-func startsEarly(id string) func(controller.Effect) controller.Effect {
+func startsEarly(id string) func(message.Effect) message.Effect {
 	start, left := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
 	add := func(orders []model.TaskCommand) []model.TaskCommand {
 		orders = slices.DeleteFunc(slices.Clone(orders), func(o model.TaskCommand) bool { return o.Kind == model.StopTask && o.Job == id })
@@ -52,12 +52,12 @@
 		left--
 		return append([]model.TaskCommand{start}, orders...)
 	}
-	return func(e controller.Effect) controller.Effect {
+	return func(e message.Effect) message.Effect {
 		switch x := e.(type) {
-		case controller.WorkerRequest:
+		case message.WorkerRequest:
 			x.Commands = add(x.Commands)
 			return x
-		case controller.HeartbeatReply:
+		case message.HeartbeatReply:
 			x.Commands = add(x.Commands)
 			return x
 		}
@@ -73,47 +73,47 @@
 		name, rule string
 		// wrong is what the core does, from the moment when a is to be cancelled on if it
 		// is; at is that moment.
-		wrong func(*World) func(controller.Effect) controller.Effect
+		wrong func(*World) func(message.Effect) message.Effect
 		at    milestone
 	}{
 		{"nothing", "", nil, ""},
 		{"nothing, cancelled", "", nil, milestoneAccepted},
 		{"nothing, cancelled at the end", "", nil, milestoneTasksDone},
-		{"a task of a later job is started", "too_early", func(*World) func(controller.Effect) controller.Effect { return startsEarly(c) }, ""},
-		{"a later job is called queued for ever", RuleOrphaned, func(*World) func(controller.Effect) controller.Effect {
-			return replies(c, func(r *controller.UserReply) {
+		{"a task of a later job is started", "too_early", func(*World) func(message.Effect) message.Effect { return startsEarly(c) }, ""},
+		{"a later job is called queued for ever", RuleOrphaned, func(*World) func(message.Effect) message.Effect {
+			return replies(c, func(r *message.UserReply) {
 				if r.State == "cancelled" {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a later job is called queued a moment too long", RuleOrphaned, func(w *World) func(controller.Effect) controller.Effect {
+		{"a later job is called queued a moment too long", RuleOrphaned, func(w *World) func(message.Effect) message.Effect {
 			till := w.now.Add(w.cancelWithin + 8*time.Second)
-			return replies(c, func(r *controller.UserReply) {
+			return replies(c, func(r *message.UserReply) {
 				if r.State == "cancelled" && w.now.Before(till) {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a later job goes back", "went_back", func(w *World) func(controller.Effect) controller.Effect {
+		{"a later job goes back", "went_back", func(w *World) func(message.Effect) message.Effect {
 			from := w.now.Add(40 * time.Second)
-			return replies(c, func(r *controller.UserReply) {
+			return replies(c, func(r *message.UserReply) {
 				if r.State == "cancelled" && w.now.After(from) {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
-		{"a later job is cancelled by nobody", "went_back", func(*World) func(controller.Effect) controller.Effect {
-			return replies(c, func(r *controller.UserReply) { r.State = "cancelled" })
+		{"a later job is cancelled by nobody", "went_back", func(*World) func(message.Effect) message.Effect {
+			return replies(c, func(r *message.UserReply) { r.State = "cancelled" })
 		}, ""},
-		{"what comes after is called done", "not_done", func(*World) func(controller.Effect) controller.Effect {
-			return replies(c, func(r *controller.UserReply) { r.State = "done" })
+		{"what comes after is called done", "not_done", func(*World) func(message.Effect) message.Effect {
+			return replies(c, func(r *message.UserReply) { r.State = "done" })
 		}, milestoneAccepted},
-		{"what comes after a cancelled job is refused", "refused_wrongly", func(*World) func(controller.Effect) controller.Effect {
-			return replies(c, func(r *controller.UserReply) { r.Status = 422 })
+		{"what comes after a cancelled job is refused", "refused_wrongly", func(*World) func(message.Effect) message.Effect {
+			return replies(c, func(r *message.UserReply) { r.Status = 422 })
 		}, ""},
-		{"a later job is never released", RuleWaiting, func(w *World) func(controller.Effect) controller.Effect {
-			return func(e controller.Effect) controller.Effect {
+		{"a later job is never released", RuleWaiting, func(w *World) func(message.Effect) message.Effect {
+			return func(e message.Effect) message.Effect {
 				return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StartTask && o.Job == b })
 			}
 		}, ""},
@@ -258,10 +258,10 @@
 	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, FaultCount: -1, Pipelines: true})
 	for _, x := range []struct {
 		rule  string
-		wrong func(*World, controller.Effect) controller.Effect
+		wrong func(*World, message.Effect) message.Effect
 	}{
-		{"too_early", func(w *World, e controller.Effect) controller.Effect {
-			op, ok := e.(controller.WorkerRequest)
+		{"too_early", func(w *World, e message.Effect) message.Effect {
+			op, ok := e.(message.WorkerRequest)
 			if !ok || len(op.Commands) == 0 {
 				return e
 			}
@@ -273,8 +273,8 @@
 			}
 			return e
 		}},
-		{RuleOrphaned, func(w *World, e controller.Effect) controller.Effect {
-			if r, ok := e.(controller.UserReply); ok && r.State == "cancelled" && w.jobs[r.ID] != nil && len(w.jobs[r.ID].dependencies) > 0 && !w.jobs[r.ID].cancelRequested {
+		{RuleOrphaned, func(w *World, e message.Effect) message.Effect {
+			if r, ok := e.(message.UserReply); ok && r.State == "cancelled" && w.jobs[r.ID] != nil && len(w.jobs[r.ID].dependencies) > 0 && !w.jobs[r.ID].cancelRequested {
 				r.State = "queued"
 				return r
 			}
@@ -344,11 +344,11 @@
 		w := newTestWorld(11)
 		a, b, c := w.submitChain(10 * time.Second)
 		refused, over := 0, false
-		w.corruptEffect = func(e controller.Effect) controller.Effect {
+		w.corruptEffect = func(e message.Effect) message.Effect {
 			if !over && changes(e, "job/"+a.spec.ID) {
 				refused++
-				op := e.(controller.StoreRequest)
-				op.Compares = append(slices.Clone(op.Compares), controller.Compare{Key: "none", ModRevision: 1})
+				op := e.(message.StoreRequest)
+				op.Compares = append(slices.Clone(op.Compares), message.Compare{Key: "none", ModRevision: 1})
 				return op
 			}
 			return e
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/vmihailenco/msgpack/v5"
@@ -64,7 +65,7 @@
 func recordPromises(w *World) *promiseRecorder {
 	d := &promiseRecorder{world: w, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, changes: map[string]int{}}
 	w.state.onChange = d.onChange
-	w.onAnswer = func(asked time.Time, r controller.UserReply) {
+	w.onAnswer = func(asked time.Time, r message.UserReply) {
 		if r.PromiseRevision > 0 {
 			d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: promiseOperation{job: r.ID}, Call: d.since(asked), Output: promiseValue{r.PromiseRevision, r.PromisedAfter}, Return: d.since(w.now)})
 		}
@@ -90,7 +91,7 @@
 	d.history = append(d.history, porcupine.Operation{ClientId: len(d.history), Input: promiseOperation{id, x}, Call: at, Output: promiseValue{}, Return: at + 1})
 }
 
-func (d *promiseRecorder) onChange(it controller.KeyValue) {
+func (d *promiseRecorder) onChange(it message.KeyValue) {
 	d.changes[strings.SplitN(it.Key, "/", 2)[0]]++
 	if it.Deleted {
 		return
@@ -149,8 +150,8 @@
 		for _, p := range w.controllers {
 			asked := w.now
 			w.sendMessage("user", p.name, func() {
-				p.request(func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, func(e controller.Effect) {
-					r := e.(controller.UserReply)
+				p.request(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, func(e message.Effect) {
+					r := e.(message.UserReply)
 					w.sendMessage(p.name, "user", func() {
 						// Who asked has gone after the protocol's two seconds.
 						if w.now.Sub(asked) < 2*time.Second {
@@ -200,9 +201,9 @@
 }
 
 // isPage says that an effect writes a page of dates.
-func isPage(e controller.Effect) bool {
-	op, ok := e.(controller.StoreRequest)
-	return ok && op.Kind == controller.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
+func isPage(e message.Effect) bool {
+	op, ok := e.(message.StoreRequest)
+	return ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
 }
 
 // describe asks all controllers about all jobs and says what is to be said of the dates: how
@@ -213,7 +214,7 @@
 	var out strings.Builder
 	answered := w.onAnswer
 	alike := true
-	w.onAnswer = func(asked time.Time, r controller.UserReply) {
+	w.onAnswer = func(asked time.Time, r message.UserReply) {
 		answered(asked, r)
 		x := promiseValue{r.PromiseRevision, r.PromisedAfter}
 		if was, there := last[r.ID]; r.Status == 200 && r.State != "cancelled" {
@@ -279,8 +280,8 @@
 		w := promiseWorld(3, 3)
 		d := recordPromises(w)
 		first := map[string]promiseValue{}
-		w.corruptEffect = func(e controller.Effect) controller.Effect {
-			r, ok := e.(controller.UserReply)
+		w.corruptEffect = func(e message.Effect) message.Effect {
+			r, ok := e.(message.UserReply)
 			if !ok || r.PromiseRevision == 0 {
 				return e
 			}
@@ -313,9 +314,9 @@
 func TestPromiseWritesAreGuarded(t *testing.T) {
 	w := promiseWorld(6, 3)
 	d := recordPromises(w)
-	var writes []controller.StoreRequest
-	w.corruptEffect = func(e controller.Effect) controller.Effect {
-		op, ok := e.(controller.StoreRequest)
+	var writes []message.StoreRequest
+	w.corruptEffect = func(e message.Effect) message.Effect {
+		op, ok := e.(message.StoreRequest)
 		if !ok || len(op.Writes) == 0 {
 			return e
 		}
@@ -361,8 +362,8 @@
 			// A page that has gone may come back so: all jobs in it are over.
 			continue
 		}
-		w.state.Do(w.now, op, func(done controller.StoreResponse) {
-			if done.Status != controller.StoreConflict {
+		w.state.Do(w.now, op, func(done message.StoreResponse) {
+			if done.Status != message.StoreConflict {
 				t.Errorf("a late write of %s is carried out", op.Writes[0].Key)
 			}
 		})
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 )
@@ -68,8 +68,8 @@
 }
 
 // onDecision sees the decisions of a core's step.
-func (r *rankingChecker) onDecision(p *controllerProcess, e controller.Effect) {
-	l, ok := e.(controller.Log)
+func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
+	l, ok := e.(message.Log)
 	if r == nil || !ok || l.Message != "placed" {
 		return
 	}
@@ -113,15 +113,15 @@
 }
 
 // onSend sees what surely leaves a controller.
-func (r *rankingChecker) onSend(p *controllerProcess, e controller.Effect) {
+func (r *rankingChecker) onSend(p *controllerProcess, e message.Effect) {
 	if r == nil {
 		return
 	}
 	var orders []model.TaskCommand
 	switch x := e.(type) {
-	case controller.WorkerRequest:
+	case message.WorkerRequest:
 		orders = x.Commands
-	case controller.HeartbeatReply:
+	case message.HeartbeatReply:
 		orders = x.Commands
 	}
 	for _, o := range orders {
@@ -145,7 +145,7 @@
 }
 
 // SetRanking has a controller set a ranking, and tells its answer, if there is one.
-func (w *World) SetRanking(i int, c controller.SetRanking, tell func(controller.RankingReply)) {
+func (w *World) SetRanking(i int, c message.SetRanking, tell func(message.RankingReply)) {
 	c.Deadline = w.now.Add(4 * time.Second)
-	w.controllers[i].request(func(reply uint64) controller.Command { c.Reply = reply; return c }, func(e controller.Effect) { tell(e.(controller.RankingReply)) })
+	w.controllers[i].request(func(reply uint64) message.Command { c.Reply = reply; return c }, func(e message.Effect) { tell(e.(message.RankingReply)) })
 }
--- a/internal/simulation/ranking_checks_test.go
+++ b/internal/simulation/ranking_checks_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
 	"github.com/vmihailenco/msgpack/v5"
@@ -72,9 +73,9 @@
 	}
 	told := make([]string, len(nodes))
 	for k, i := range nodes {
-		c := controller.SetRanking{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
+		c := message.SetRanking{Record: mustRank(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
 		told[k] = "no answer"
-		s.world.SetRanking(i, c, func(r controller.RankingReply) {
+		s.world.SetRanking(i, c, func(r message.RankingReply) {
 			told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message)
 		})
 	}
@@ -106,8 +107,8 @@
 		if !p.alive {
 			continue
 		}
-		s.world.controllers[i].request(func(r uint64) controller.Command { return controller.QueryRanking{Reply: r} }, func(e controller.Effect) {
-			if e.(controller.RankingReply).Revision != rec.Revision {
+		s.world.controllers[i].request(func(r uint64) message.Command { return message.QueryRanking{Reply: r} }, func(e message.Effect) {
+			if e.(message.RankingReply).Revision != rec.Revision {
 				behind++
 			}
 		})
@@ -119,7 +120,7 @@
 // why asks the owner of a job's team why it waits.
 func (s *scenario) why(id string) string {
 	out := "no answer"
-	s.world.controllers[s.world.ownerOf("ops")].request(func(r uint64) controller.Command { return controller.QueryRanking{Reply: r, Job: id} }, func(e controller.Effect) { out = e.(controller.RankingReply).Explanation })
+	s.world.controllers[s.world.ownerOf("ops")].request(func(r uint64) message.Command { return message.QueryRanking{Reply: r, Job: id} }, func(e message.Effect) { out = e.(message.RankingReply).Explanation })
 	s.world.Run(time.Second)
 	// What is free just then is luck.
 	out, _, _ = strings.Cut(out, ";")
@@ -265,10 +266,10 @@
 					owner := w.ownerOf("ops")
 					setter := (owner + 1) % nodes
 					w.duplicateRate = 0.05
-					w.SetRanking(setter, controller.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(controller.RankingReply) {})
+					w.SetRanking(setter, message.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(message.RankingReply) {})
 					w.Run(4 * time.Second)
-					var told controller.RankingReply
-					w.SetRanking(setter, controller.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r controller.RankingReply) { told = r })
+					var told message.RankingReply
+					w.SetRanking(setter, message.SetRanking{Record: mustRank(t, reprintFirst, "second"), AnyRevision: true}, func(r message.RankingReply) { told = r })
 					w.Run(step)
 					switch who {
 					case "setter":
@@ -312,11 +313,11 @@
 // its order, for less than its grant lives or for a minute; another ranking is set
 // meanwhile by one that lives.
 func TestStartsOfAStall(t *testing.T) {
-	order := func(e controller.Effect) bool {
-		op, ok := e.(controller.WorkerRequest)
+	order := func(e message.Effect) bool {
+		op, ok := e.(message.WorkerRequest)
 		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == model.StartTask
 	}
-	for what, moment := range map[string]func(controller.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
+	for what, moment := range map[string]func(message.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
 		for _, long := range []time.Duration{3400 * time.Millisecond, time.Minute} {
 			t.Run(fmt.Sprint(what, long), func(t *testing.T) {
 				t.Parallel()
@@ -332,7 +333,7 @@
 						w.Run(time.Millisecond)
 					}
 					if w.now.Before(p.pausedUntil) {
-						w.SetRanking((owner+1)%3, controller.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r controller.RankingReply) {
+						w.SetRanking((owner+1)%3, message.SetRanking{Record: mustRank(t, rushFirst, "first"), AnyRevision: true}, func(r message.RankingReply) {
 							overtaken += boolInt(r.Status == 200 && w.now.Before(p.pausedUntil.Add(-maxOutdatedStartDelay)))
 						})
 					}
@@ -366,7 +367,7 @@
 				for k := range 60 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.schedule(time.Duration(k)*time.Second, func() {
-						w.SetRanking(k%5, controller.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r controller.RankingReply) { held += boolInt(r.Status == 200) })
+						w.SetRanking(k%5, message.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(r message.RankingReply) { held += boolInt(r.Status == 200) })
 					})
 				}
 				flood(w, "reprint-a", 30, 5*time.Second)
@@ -410,7 +411,7 @@
 			for k := range 30 {
 				text := []string{rushFirst, reprintFirst, "[[class]]\nname = \"b\"\nworkloads = [\"batch\"]\nurgency = \"normal\"\n"}[rng.IntN(3)]
 				w.schedule(time.Duration(10+k*11+rng.IntN(5))*time.Second, func() {
-					w.SetRanking(rng.IntN(len(w.controllers)), controller.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(controller.RankingReply) {})
+					w.SetRanking(rng.IntN(len(w.controllers)), message.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(message.RankingReply) {})
 				})
 			}
 			randomDay(w, seed+500)
@@ -436,7 +437,7 @@
 		w.CheckRanking()
 		w.rankingCheck.startsOnly = true
 		w.Run(10 * time.Second)
-		w.SetRanking(2, controller.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(controller.RankingReply) {})
+		w.SetRanking(2, message.SetRanking{Record: mustRank(t, rushFirst, "me"), AnyRevision: true}, func(message.RankingReply) {})
 		rush := func(part string) (worst time.Duration) {
 			var ids []string
 			for i := range 10 {
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -88,8 +89,8 @@
 			continue
 		}
 		out[p.name] = 0
-		p.request(func(r uint64) controller.Command { return controller.QueryStatus{Reply: r} }, func(e controller.Effect) {
-			for _, x := range e.(controller.StatusReply).Teams {
+		p.request(func(r uint64) message.Command { return message.QueryStatus{Reply: r} }, func(e message.Effect) {
+			for _, x := range e.(message.StatusReply).Teams {
 				if x.IsLocal && x.Ready {
 					out[p.name]++
 				}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -12,6 +12,7 @@
 
 	"github.com/cockroachdb/datadriven"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -63,8 +64,8 @@
 	for _, id := range ids {
 		s.unreachable[id] = true
 	}
-	s.world.corruptEffect = func(e controller.Effect) controller.Effect {
-		if op, ok := e.(controller.WorkerRequest); ok && s.unreachable[op.Machine] && s.world.now.Before(s.world.machines[op.Machine].unreachableUntil) {
+	s.world.corruptEffect = func(e message.Effect) message.Effect {
+		if op, ok := e.(message.WorkerRequest); ok && s.unreachable[op.Machine] && s.world.now.Before(s.world.machines[op.Machine].unreachableUntil) {
 			for _, o := range op.Commands {
 				if o.Kind == model.StartTask {
 					s.startedUnreachable[fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)] = true
@@ -108,56 +109,56 @@
 }
 
 // pausePoints are what a process may be about to send when it stands still.
-var pausePoints = map[string]func(controller.Effect) bool{
-	"renew": func(e controller.Effect) bool {
-		op, ok := e.(controller.StoreRequest)
-		return ok && op.Kind == controller.OpLeaseRenew
+var pausePoints = map[string]func(message.Effect) bool{
+	"renew": func(e message.Effect) bool {
+		op, ok := e.(message.StoreRequest)
+		return ok && op.Kind == message.OpLeaseRenew
 	},
-	"claim":    func(e controller.Effect) bool { return changes(e, "ctl/lead") },
-	"share":    func(e controller.Effect) bool { return changes(e, "ctl/share/") },
-	"register": func(e controller.Effect) bool { return changes(e, "ctl/node/") },
-	"read": func(e controller.Effect) bool {
-		op, ok := e.(controller.StoreRequest)
-		return ok && op.Kind == controller.OpList && op.Key == "task/"
+	"claim":    func(e message.Effect) bool { return changes(e, "ctl/lead") },
+	"share":    func(e message.Effect) bool { return changes(e, "ctl/share/") },
+	"register": func(e message.Effect) bool { return changes(e, "ctl/node/") },
+	"read": func(e message.Effect) bool {
+		op, ok := e.(message.StoreRequest)
+		return ok && op.Kind == message.OpList && op.Key == "task/"
 	},
-	"epoch": func(e controller.Effect) bool {
-		op, ok := e.(controller.WorkerRequest)
+	"epoch": func(e message.Effect) bool {
+		op, ok := e.(message.WorkerRequest)
 		return ok && !op.StatusOnly && len(op.Commands) == 0
 	},
-	"submit": func(e controller.Effect) bool {
-		op, ok := e.(controller.StoreRequest)
-		return ok && op.Kind == controller.OpTxn && op.Priority == controller.PriorityUser
+	"submit": func(e message.Effect) bool {
+		op, ok := e.(message.StoreRequest)
+		return ok && op.Kind == message.OpTxn && op.Priority == message.PriorityUser
 	},
-	"start": func(e controller.Effect) bool {
-		op, ok := e.(controller.StoreRequest)
-		return ok && op.Kind == controller.OpTxn && op.Priority == controller.PriorityStart
+	"start": func(e message.Effect) bool {
+		op, ok := e.(message.StoreRequest)
+		return ok && op.Kind == message.OpTxn && op.Priority == message.PriorityStart
 	},
-	"rent": func(e controller.Effect) bool {
-		op, ok := e.(controller.CloudRequest)
-		return ok && op.Kind == controller.CloudRent
+	"rent": func(e message.Effect) bool {
+		op, ok := e.(message.CloudRequest)
+		return ok && op.Kind == message.CloudRent
 	},
-	"return": func(e controller.Effect) bool {
-		op, ok := e.(controller.CloudRequest)
-		return ok && op.Kind == controller.CloudRelease
+	"return": func(e message.Effect) bool {
+		op, ok := e.(message.CloudRequest)
+		return ok && op.Kind == message.CloudRelease
 	},
-	"orders": func(e controller.Effect) bool {
-		op, ok := e.(controller.WorkerRequest)
+	"orders": func(e message.Effect) bool {
+		op, ok := e.(message.WorkerRequest)
 		return ok && len(op.Commands) > 0
 	},
-	"rank": func(e controller.Effect) bool {
-		op, ok := e.(controller.StoreRequest)
-		return ok && op.Kind == controller.OpTxn && len(op.Writes) > 0 && op.Writes[0].Key == "ctl/ranking"
+	"rank": func(e message.Effect) bool {
+		op, ok := e.(message.StoreRequest)
+		return ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && op.Writes[0].Key == "ctl/ranking"
 	},
-	"report": func(e controller.Effect) bool { r, ok := e.(controller.HeartbeatReply); return ok && r.Status == 200 },
-	"accept": func(e controller.Effect) bool { r, ok := e.(controller.UserReply); return ok && r.Status == 201 },
+	"report": func(e message.Effect) bool { r, ok := e.(message.HeartbeatReply); return ok && r.Status == 200 },
+	"accept": func(e message.Effect) bool { r, ok := e.(message.UserReply); return ok && r.Status == 201 },
 	"page":   isPage,
-	"poll":   func(e controller.Effect) bool { r, ok := e.(controller.UserReply); return ok && r.Status == 200 },
+	"poll":   func(e message.Effect) bool { r, ok := e.(message.UserReply); return ok && r.Status == 200 },
 }
 
 // changes says that an effect writes a key with this beginning.
-func changes(e controller.Effect, key string) bool {
-	op, ok := e.(controller.StoreRequest)
-	return ok && slices.ContainsFunc(op.Writes, func(c controller.Write) bool { return strings.HasPrefix(c.Key, key) })
+func changes(e message.Effect, key string) bool {
+	op, ok := e.(message.StoreRequest)
+	return ok && slices.ContainsFunc(op.Writes, func(c message.Write) bool { return strings.HasPrefix(c.Key, key) })
 }
 
 // busiest is the nth machine with the most tasks on it.
@@ -315,7 +316,7 @@
 	case "held_order":
 		// d is another command's by then.
 		abort, crash, recall := d.HasArg("abort"), d.HasArg("crash"), d.HasArg("recall")
-		s.holdCommand(dur, func(op controller.WorkerRequest) {
+		s.holdCommand(dur, func(op message.WorkerRequest) {
 			if abort {
 				w.Cancel(op.Commands[0].Job)
 			}
@@ -346,7 +347,7 @@
 		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.2), Duration: dur})
 	case "damage":
 		// Somebody writes what no version understands.
-		w.state.txn(controller.StoreRequest{Writes: []controller.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &controller.StoreResponse{})
+		w.state.txn(message.StoreRequest{Writes: []message.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &message.StoreResponse{})
 	case "loss":
 		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.02), Duration: dur})
 	default:
@@ -610,8 +611,8 @@
 		{"ran_cancelled", func(w *World) {
 			// Stops get lost, and answers prolong leases all the same: an owner that has
 			// no proof would let the lease run out.
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
-				if x, ok := e.(controller.HeartbeatReply); ok && x.Status == 503 {
+			w.corruptEffect = func(e message.Effect) message.Effect {
+				if x, ok := e.(message.HeartbeatReply); ok && x.Status == 503 {
 					x.Status, x.Epoch = 200, math.MaxUint64
 					e = x
 				}
@@ -620,8 +621,8 @@
 		}},
 		{"not_done", func(w *World) {
 			// Every job is called done.
-			w.corruptEffect = func(e controller.Effect) controller.Effect {
-				if x, ok := e.(controller.UserReply); ok && x.Status == 200 {
+			w.corruptEffect = func(e message.Effect) message.Effect {
+				if x, ok := e.(message.UserReply); ok && x.Status == 200 {
 					x.State = "done"
 					return x
 				}
--- a/internal/simulation/small_jobs_test.go
+++ b/internal/simulation/small_jobs_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -28,14 +28,14 @@
 	set.StoreRequestsPerSecond, set.StoreWritesPerSecond = 80, changesASecond
 	types := []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
 	s := &smallJobStream{world: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 150}), changes: map[string]int{}}
-	s.world.state.onChange = func(it controller.KeyValue) {
+	s.world.state.onChange = func(it message.KeyValue) {
 		prefix, _, _ := strings.Cut(it.Key, "/")
 		if it.Deleted {
 			prefix += " removed"
 		}
 		s.changes[prefix]++
 	}
-	s.world.onAnswer = func(asked time.Time, r controller.UserReply) {
+	s.world.onAnswer = func(asked time.Time, r message.UserReply) {
 		if r.Status == 201 {
 			s.answers = append(s.answers, s.world.now.Sub(asked))
 		}
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // maxKeptChanges is how many changes the state service keeps for watches.
@@ -24,9 +24,9 @@
 	lastLeaseID uint64
 	// writeCount counts the changes.
 	writeCount int
-	changes    []controller.KeyValue
+	changes    []message.KeyValue
 	// onChange is told of every change, and pages counts those of pages of dates.
-	onChange   func(controller.KeyValue)
+	onChange   func(message.KeyValue)
 	pageWrites int
 	// compactedRevision is the newest revision whose change is no longer kept.
 	compactedRevision uint64
@@ -53,9 +53,9 @@
 }
 
 type pendingWatch struct {
-	request   controller.StoreRequest
+	request   message.StoreRequest
 	expiresAt time.Time
-	answer    func(controller.StoreResponse)
+	answer    func(message.StoreResponse)
 }
 
 // NewStateService makes an empty one.
@@ -78,7 +78,7 @@
 	keep := s.watches[:0]
 	for _, w := range s.watches {
 		if now.After(w.expiresAt) {
-			w.answer(controller.StoreResponse{ID: w.request.ID, Status: controller.StoreOK, Revision: s.revision})
+			w.answer(message.StoreResponse{ID: w.request.ID, Status: message.StoreOK, Revision: s.revision})
 		} else {
 			keep = append(keep, w)
 		}
@@ -115,11 +115,11 @@
 func (s *StateService) remove(key string) {
 	if _, ok := s.records[key]; ok {
 		delete(s.records, key)
-		s.recordChange(controller.KeyValue{Key: key, ModRevision: s.revision, Deleted: true})
+		s.recordChange(message.KeyValue{Key: key, ModRevision: s.revision, Deleted: true})
 	}
 }
 
-func (s *StateService) recordChange(it controller.KeyValue) {
+func (s *StateService) recordChange(it message.KeyValue) {
 	s.changes = append(s.changes, it)
 	if strings.HasPrefix(it.Key, "open/~") {
 		s.pageWrites++
@@ -145,12 +145,12 @@
 	}
 	s.watches = keep
 	for _, w := range ready {
-		w.answer(controller.StoreResponse{ID: w.request.ID, Status: controller.StoreOK, Revision: s.revision, KeyValues: s.changesSince(w.request.Key, w.request.Revision)})
+		w.answer(message.StoreResponse{ID: w.request.ID, Status: message.StoreOK, Revision: s.revision, KeyValues: s.changesSince(w.request.Key, w.request.Revision)})
 	}
 }
 
-func (s *StateService) changesSince(prefix string, rev uint64) []controller.KeyValue {
-	var out []controller.KeyValue
+func (s *StateService) changesSince(prefix string, rev uint64) []message.KeyValue {
+	var out []message.KeyValue
 	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > rev })
 	for _, it := range s.changes[i:] {
 		if strings.HasPrefix(it.Key, prefix) {
@@ -161,66 +161,66 @@
 }
 
 // malformed says that a request breaks the limits of now.
-func (s *StateService) malformed(op *controller.StoreRequest) bool {
+func (s *StateService) malformed(op *message.StoreRequest) bool {
 	return s.limits != nil && s.limits.malformedReason(op) != ""
 }
 
 // Do executes a request; the answer may come later, for a watch. Without limits, set
 // by Limit, it takes requests of any size, as often as they come.
-func (s *StateService) Do(now time.Time, op controller.StoreRequest, answer func(controller.StoreResponse)) {
+func (s *StateService) Do(now time.Time, op message.StoreRequest, answer func(message.StoreResponse)) {
 	s.Expire(now)
-	out := controller.StoreResponse{ID: op.ID, Status: controller.StoreOK, Revision: s.revision}
+	out := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: s.revision}
 	if s.limits != nil {
 		if why := s.limits.malformedReason(&op); why != "" {
 			s.Malformed++
 			s.LastMalformed = why
-			answer(controller.StoreResponse{ID: op.ID, Status: controller.StoreMalformed})
+			answer(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed})
 			return
 		}
 		if !s.limits.allow(now, &op) {
 			s.RateLimited++
-			answer(controller.StoreResponse{ID: op.ID, Status: StoreRateLimited})
+			answer(message.StoreResponse{ID: op.ID, Status: StoreRateLimited})
 			return
 		}
 	}
-	if op.Kind != controller.OpTxn {
+	if op.Kind != message.OpTxn {
 		s.Reads++
 	}
 	switch op.Kind {
-	case controller.OpGet:
+	case message.OpGet:
 		if r, ok := s.records[op.Key]; ok {
-			out.KeyValues = []controller.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.modRevision}}
+			out.KeyValues = []message.KeyValue{{Key: op.Key, Value: r.value, ModRevision: r.modRevision}}
 		} else {
-			out.Status = controller.StoreNotFound
+			out.Status = message.StoreNotFound
 		}
-	case controller.OpList:
+	case message.OpList:
 		out.KeyValues, out.Truncated = s.list(op.Key, op.StartAfter)
-	case controller.OpWatch:
+	case message.OpWatch:
 		if op.Revision < s.compactedRevision {
-			out.Status = controller.StoreCompacted
+			out.Status = message.StoreCompacted
 			break
 		}
 		if out.KeyValues = s.changesSince(op.Key, op.Revision); len(out.KeyValues) == 0 && op.WatchTimeout > 0 {
 			s.watches = append(s.watches, &pendingWatch{op, now.Add(op.WatchTimeout), answer})
 			return
 		}
-	case controller.OpLeaseGrant:
+	case message.OpLeaseGrant:
 		s.lastLeaseID++
 		s.leases[s.lastLeaseID] = &leaseState{op.TTL, now.Add(op.TTL)}
 		out.LeaseID = s.lastLeaseID
-	case controller.OpLeaseRenew:
+	case message.OpLeaseRenew:
 		if g, ok := s.leases[op.LeaseID]; ok {
 			g.expiresAt = now.Add(g.ttl)
 		} else {
-			out.Status = controller.StoreNotFound
+			out.Status = message.StoreNotFound
 		}
-	case controller.OpLeaseRevoke:
+	case message.OpLeaseRevoke:
 		if _, ok := s.leases[op.LeaseID]; ok {
 			s.revokeLease(op.LeaseID)
 		} else {
-			out.Status = controller.StoreNotFound
+			out.Status = message.StoreNotFound
 		}
-	case controller.OpTxn:
+	case message.OpTxn:
 		s.txn(op, &out)
 	}
 	answer(out)
@@ -232,7 +232,7 @@
 	listBytes = 512 << 10
 )
 
-func (s *StateService) list(prefix, from string) ([]controller.KeyValue, bool) {
+func (s *StateService) list(prefix, from string) ([]message.KeyValue, bool) {
 	var keys []string
 	for k := range s.records {
 		if strings.HasPrefix(k, prefix) && k > from {
@@ -248,21 +248,21 @@
 	if more {
 		keys = keys[:page]
 	}
-	var out []controller.KeyValue
+	var out []message.KeyValue
 	size := 0
 	for _, k := range keys {
 		if size += 3 * len(s.records[k].value); size > listBytes && len(out) > 0 {
 			return out, true
 		}
-		out = append(out, controller.KeyValue{Key: k, Value: s.records[k].value, ModRevision: s.records[k].modRevision})
+		out = append(out, message.KeyValue{Key: k, Value: s.records[k].value, ModRevision: s.records[k].modRevision})
 	}
 	return out, more
 }
 
-func (s *StateService) txn(op controller.StoreRequest, out *controller.StoreResponse) {
+func (s *StateService) txn(op message.StoreRequest, out *message.StoreResponse) {
 	for _, a := range op.Writes {
 		if _, ok := s.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
-			out.Status = controller.StoreNoLease
+			out.Status = message.StoreNoLease
 			return
 		}
 	}
@@ -276,7 +276,7 @@
 		}
 	}
 	if len(out.FailedKeys) > 0 {
-		out.Status = controller.StoreConflict
+		out.Status = message.StoreConflict
 		return
 	}
 	if len(op.Writes) == 0 {
@@ -290,7 +290,7 @@
 			continue
 		}
 		s.records[a.Key] = &storedRecord{a.Value, s.revision, a.LeaseID}
-		s.recordChange(controller.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.revision})
+		s.recordChange(message.KeyValue{Key: a.Key, Value: a.Value, ModRevision: s.revision})
 	}
 	out.Revision = s.revision
 	s.notifyWatches()
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -7,13 +7,14 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
 
 // StoreRateLimited stands for a 429, of which the cores never hear: their client tries
 // again.
-const StoreRateLimited controller.StoreStatus = -1
+const StoreRateLimited message.StoreStatus = -1
 
 // storeLimits are those of the protocol and the settings. Sizes are counted by writing the
 // JSON, on purpose: the controllers reckon them another way, and would agree with
@@ -51,13 +52,13 @@
 
 // allow takes a request's part of the rates, if there is enough left. A transaction
 // that is refused for its changes counts as a request all the same.
-func (l *storeLimits) allow(now time.Time, op *controller.StoreRequest) bool {
+func (l *storeLimits) allow(now time.Time, op *message.StoreRequest) bool {
 	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.writes.AllowN(now, len(op.Writes)))
 }
 
 // malformedReason says what a 400 is for, or nothing.
-func (l *storeLimits) malformedReason(op *controller.StoreRequest) string {
-	if op.Kind != controller.OpTxn {
+func (l *storeLimits) malformedReason(op *message.StoreRequest) string {
+	if op.Kind != message.OpTxn {
 		return ""
 	}
 	if len(op.Writes) > l.writesPerTxn {
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -84,14 +84,14 @@
 }
 
 // userRequest sends a request to a random living controller, with a deadline.
-func (w *World) userRequest(newCommand func(uint64) controller.Command, deadline time.Duration, tell func(*controller.UserReply)) {
+func (w *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, tell func(*message.UserReply)) {
 	w.userRequestTo(-1, newCommand, deadline, tell)
 }
 
 // userRequestTo is userRequest to one controller, unless that is -1.
-func (w *World) userRequestTo(to int, newCommand func(uint64) controller.Command, deadline time.Duration, tell func(*controller.UserReply)) {
+func (w *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, tell func(*message.UserReply)) {
 	asked := w.now
-	fn := func(r *controller.UserReply) {
+	fn := func(r *message.UserReply) {
 		if r != nil && w.onAnswer != nil {
 			w.onAnswer(asked, *r)
 		}
@@ -105,7 +105,7 @@
 		p = w.controllers[to]
 	}
 	finished := false
-	finish := func(r *controller.UserReply) {
+	finish := func(r *message.UserReply) {
 		if !finished {
 			finished = true
 			fn(r)
@@ -116,8 +116,8 @@
 		return
 	}
 	w.sendMessage("user", p.name, func() {
-		p.request(newCommand, func(e controller.Effect) {
-			r := e.(controller.UserReply)
+		p.request(newCommand, func(e message.Effect) {
+			r := e.(message.UserReply)
 			w.sendMessage(p.name, "user", func() { finish(&r) })
 		})
 	})
@@ -125,7 +125,7 @@
 
 func (w *World) trySubmit(j *userJob) {
 	asked := w.now
-	w.userRequest(func(r uint64) controller.Command { return controller.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *controller.UserReply) {
+	w.userRequest(func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *message.UserReply) {
 		switch {
 		case r != nil && (r.Status == 201 || r.Status == 200):
 			if j.invalid {
@@ -149,7 +149,7 @@
 
 func (w *World) poll(j *userJob) {
 	asked := w.now
-	w.userRequestTo(w.stickyController(j), func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *controller.UserReply) {
+	w.userRequestTo(w.stickyController(j), func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *message.UserReply) {
 		if r != nil && (r.Status == 200 || r.Status == 404) {
 			w.checkAnswer(j, asked, r)
 		}
@@ -170,7 +170,7 @@
 func (w *World) Cancel(id string) {
 	j, asked := w.jobs[id], w.now
 	j.cancelRequested = true
-	w.userRequest(func(r uint64) controller.Command { return controller.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *controller.UserReply) {
+	w.userRequest(func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
 		if r == nil || r.Status != 200 {
 			w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
 			return
@@ -181,7 +181,7 @@
 
 // QueryUnknownJob asks for a job that nobody submitted.
 func (w *World) QueryUnknownJob(id string) {
-	w.userRequest(func(r uint64) controller.Command { return controller.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *controller.UserReply) {
+	w.userRequest(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
 		if r != nil && r.Status == 200 {
 			w.violate("invented", "%s", id)
 		}
@@ -190,7 +190,7 @@
 
 // checkAnswer checks an answer to a question that was asked at some moment against what was said
 // before.
-func (w *World) checkAnswer(j *userJob, asked time.Time, r *controller.UserReply) {
+func (w *World) checkAnswer(j *userJob, asked time.Time, r *message.UserReply) {
 	id := j.spec.ID
 	if r.Status == 404 {
 		if j.accepted {
@@ -281,7 +281,7 @@
 }
 
 // noteCancelConfirmed notes that an answer leaves that says that a job is cancelled.
-func (w *World) noteCancelConfirmed(r controller.UserReply) {
+func (w *World) noteCancelConfirmed(r message.UserReply) {
 	j := w.jobs[r.ID]
 	if j == nil {
 		return
@@ -335,7 +335,7 @@
 }
 
 // checkReplySize judges the size of an answer to a worker.
-func (w *World) checkReplySize(a controller.HeartbeatReply) {
+func (w *World) checkReplySize(a message.HeartbeatReply) {
 	size := 0
 	for _, o := range a.Commands {
 		size += len(o.Job) + commandBytes
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
 
@@ -273,13 +274,13 @@
 	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
 		w.schedule(w.randomDelay(), func() {
 			w.sendMessage(m.ID, p.name, func() {
-				p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(controller.Effect) {})
+				p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
 			})
 		})
 	}
 	w.sendMessage(m.ID, p.name, func() {
-		p.request(func(reply uint64) controller.Command { return controller.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e controller.Effect) {
-			a := e.(controller.HeartbeatReply)
+		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) {
+			a := e.(message.HeartbeatReply)
 			w.sendMessage(p.name, m.ID, func() {
 				if answered {
 					// Given up: the answer is dropped.
@@ -311,8 +312,8 @@
 }
 
 // executeDirect is a request to the worker's own address.
-func (w *World) executeDirect(m *Worker, op controller.WorkerRequest) controller.WorkerResponse {
-	d := controller.WorkerResponse{ID: op.ID, OK: true}
+func (w *World) executeDirect(m *Worker, op message.WorkerRequest) message.WorkerResponse {
+	d := message.WorkerResponse{ID: op.ID, OK: true}
 	if !op.StatusOnly {
 		if op.Epoch < m.epoch || op.Incarnation != m.incarnation {
 			d.OK = false
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"golang.org/x/time/rate"
 )
@@ -84,7 +85,7 @@
 	coreTime time.Duration
 	logs     []string
 	// corruptEffect breaks an invariant on purpose, to show that it is noticed.
-	corruptEffect func(controller.Effect) controller.Effect
+	corruptEffect func(message.Effect) message.Effect
 	// leaseOverride, when set, is the wrong lease that the cores are told.
 	leaseOverride time.Duration
 	// heartbeatSender sends a worker's report; rented is told of new machines, and gone of
@@ -96,10 +97,10 @@
 	// told them of.
 	jobSource func(id string) (model.JobSpec, time.Duration, bool)
 	// pauseCondition picks the effect before which a process stands still, for pauseDuration.
-	pauseCondition func(*controllerProcess, controller.Effect) bool
+	pauseCondition func(*controllerProcess, message.Effect) bool
 	pauseDuration  time.Duration
 	// crashCondition picks the effect with which a process ends.
-	crashCondition func(*controllerProcess, controller.Effect) bool
+	crashCondition func(*controllerProcess, message.Effect) bool
 	// disturbances is there on days with troubles of no list.
 	disturbances *disturbances
 	extraFaultState
@@ -112,7 +113,7 @@
 	rankingCheck   *rankingChecker
 	adjustSettings func(i int, set *controller.Settings)
 	// onAnswer is told of every answer that reaches a user, and when he asked.
-	onAnswer func(asked time.Time, r controller.UserReply)
+	onAnswer func(asked time.Time, r message.UserReply)
 	// calm, if set, is when the last trouble is over.
 	faultsEndAt time.Time
 	// trace names a job whose debug lines are kept as well.
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/testgolden"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -25,22 +25,22 @@
 
 // TestGoldenRequests: the state service is asked as it ever was.
 func TestGoldenRequests(t *testing.T) {
-	for name, op := range map[string]controller.StoreRequest{
+	for name, op := range map[string]message.StoreRequest{
 		"txn": {
-			Kind: controller.OpTxn, Compares: []controller.Compare{{Key: "ctl/lead", ModRevision: 411}, {Key: "open/job-000412", ModRevision: 412}},
-			Writes: []controller.Write{
+			Kind: message.OpTxn, Compares: []message.Compare{{Key: "ctl/lead", ModRevision: 411}, {Key: "open/job-000412", ModRevision: 412}},
+			Writes: []message.Write{
 				{Key: "job/job-000412", Value: []byte{0x81, 0xa1, 's', 0xa4, 'd', 'o', 'n', 'e'}},
 				{Key: "open/job-000412"}, {Key: "ctl/node/ctl-2", Value: []byte{0x80}, LeaseID: 413},
 			},
 		},
-		"txn-bare":    {Kind: controller.OpTxn},
-		"grant-new":   {Kind: controller.OpLeaseGrant, TTL: 6_500 * time.Millisecond},
-		"grant-renew": {Kind: controller.OpLeaseRenew, LeaseID: 414},
-		"grant-drop":  {Kind: controller.OpLeaseRevoke, LeaseID: 415},
-		"get":         {Kind: controller.OpGet, Key: "job/job-000412"},
-		"list":        {Kind: controller.OpList, Key: "open/", StartAfter: "open/job-000412"},
-		"list-first":  {Kind: controller.OpList, Key: "open/"},
-		"follow":      {Kind: controller.OpWatch, Key: "ctl/", Revision: 416, WatchTimeout: 9_500 * time.Millisecond},
+		"txn-bare":    {Kind: message.OpTxn},
+		"grant-new":   {Kind: message.OpLeaseGrant, TTL: 6_500 * time.Millisecond},
+		"grant-renew": {Kind: message.OpLeaseRenew, LeaseID: 414},
+		"grant-drop":  {Kind: message.OpLeaseRevoke, LeaseID: 415},
+		"get":         {Kind: message.OpGet, Key: "job/job-000412"},
+		"list":        {Kind: message.OpList, Key: "open/", StartAfter: "open/job-000412"},
+		"list-first":  {Kind: message.OpList, Key: "open/"},
+		"follow":      {Kind: message.OpWatch, Key: "ctl/", Revision: 416, WatchTimeout: 9_500 * time.Millisecond},
 	} {
 		method, path, body := encodeRequest(op)
 		sent := []byte(method + " " + path + "\n")
@@ -65,7 +65,7 @@
 	// A value that is not there is no MessagePack.
 	c.Strict = true
 	testgolden.Check(t, c, answers)
-	_, _, body := encodeRequest(controller.StoreRequest{Kind: controller.OpTxn, Compares: []controller.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []controller.Write{{Key: "open/job-000412"}}})
+	_, _, body := encodeRequest(message.StoreRequest{Kind: message.OpTxn, Compares: []message.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []message.Write{{Key: "open/job-000412"}}})
 	answers["asked"] = body
 	testgolden.Full(t, answers)
 
@@ -73,9 +73,9 @@
 	if err := c.Read(testgolden.Bytes(t, "answer"), &a); err != nil {
 		t.Fatal(err)
 	}
-	got := controller.StoreResponse{Status: controller.StoreOK}
-	fillResponse(&got, controller.StoreRequest{Kind: controller.OpGet}, &a)
-	want := controller.StoreResponse{Status: controller.StoreOK, Truncated: true, Revision: 412, FailedKeys: []string{"ctl/lead"}, LeaseID: 413, KeyValues: []controller.KeyValue{
+	got := message.StoreResponse{Status: message.StoreOK}
+	fillResponse(&got, message.StoreRequest{Kind: message.OpGet}, &a)
+	want := message.StoreResponse{Status: message.StoreOK, Truncated: true, Revision: 412, FailedKeys: []string{"ctl/lead"}, LeaseID: 413, KeyValues: []message.KeyValue{
 		{Key: "job/job-000411", Value: raw("one"), ModRevision: 411},
 		{Key: "open/job-000412", Value: raw("two"), ModRevision: 414},
 		{Key: "open/job-000415", Value: raw("three"), ModRevision: 415},
--- a/internal/state/ratelimiter.go
+++ b/internal/state/ratelimiter.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"golang.org/x/time/rate"
 )
 
@@ -16,14 +16,14 @@
 }
 
 // NewRateLimiter makes a gate for so many requests and changes a second.
-func NewRateLimiter(now time.Time, r controller.Rates) *RateLimiter {
+func NewRateLimiter(now time.Time, r message.Rates) *RateLimiter {
 	limiter := &RateLimiter{rate.NewLimiter(1, 1), rate.NewLimiter(1, 1)}
 	limiter.SetRates(now, r)
 	return limiter
 }
 
 // SetRates changes the rates.
-func (g *RateLimiter) SetRates(now time.Time, r controller.Rates) {
+func (g *RateLimiter) SetRates(now time.Time, r message.Rates) {
 	g.requests.SetLimitAt(now, rate.Limit(r.Requests))
 	g.requests.SetBurstAt(now, max(minBurst, int(r.Requests)))
 	g.writes.SetLimitAt(now, rate.Limit(r.Writes))
@@ -34,10 +34,10 @@
 // than it may. The session comes first, and then what users wait for: they take their
 // part without waiting, and the others wait the longer. Users' own requests wait only
 // when they alone are more than the rate allows.
-func (g *RateLimiter) Reserve(now time.Time, op controller.StoreRequest) (wait time.Duration, ok bool) {
+func (g *RateLimiter) Reserve(now time.Time, op message.StoreRequest) (wait time.Duration, ok bool) {
 	writes := min(len(op.Writes), g.writes.Burst())
 	mayAdvance := g.writes.TokensAt(now) > -userAdvance*float64(g.writes.Limit()) && g.requests.TokensAt(now) > -userAdvance*float64(g.requests.Limit())
-	if op.Priority == controller.PriorityMembership || op.Priority == controller.PriorityUser && mayAdvance {
+	if op.Priority == message.PriorityMembership || op.Priority == message.PriorityUser && mayAdvance {
 		g.requests.ReserveN(now, 1)
 		if writes > 0 {
 			g.writes.ReserveN(now, writes)
@@ -45,7 +45,7 @@
 		return 0, true
 	}
 	maxWait := Timeout(op)
-	if op.Priority >= controller.PriorityStart {
+	if op.Priority >= message.PriorityStart {
 		// Nobody waits at the other end of these, and few are under way at a
 		// time. Were a large write refused because its turn comes after the
 		// deadline of a request, small ones would pass it for ever.
@@ -68,11 +68,11 @@
 }
 
 // Timeout is how long an answer is waited for.
-func Timeout(op controller.StoreRequest) time.Duration {
+func Timeout(op message.StoreRequest) time.Duration {
 	switch {
-	case op.Kind == controller.OpWatch:
+	case op.Kind == message.OpWatch:
 		return op.WatchTimeout + longTimeout
-	case op.Kind == controller.OpList || op.Priority == controller.PriorityLazy:
+	case op.Kind == message.OpList || op.Priority == message.PriorityLazy:
 		return longTimeout
 	}
 	return shortTimeout
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -60,11 +60,11 @@
 					wg.Go(func() {
 						defer func() { <-slots }()
 						key := fmt.Sprintf("task/job-%06d/0", i)
-						for _, op := range []controller.StoreRequest{
-							{Kind: controller.OpGet, Priority: controller.PriorityLazy, Key: key},
-							{Kind: controller.OpTxn, Priority: controller.PriorityLazy, Writes: []controller.Write{{Key: key, Value: []byte{0xc0}}}},
+						for _, op := range []message.StoreRequest{
+							{Kind: message.OpGet, Priority: message.PriorityLazy, Key: key},
+							{Kind: message.OpTxn, Priority: message.PriorityLazy, Writes: []message.Write{{Key: key, Value: []byte{0xc0}}}},
 						} {
-							if c.Do(context.Background(), op).Status != controller.StoreOK {
+							if c.Do(context.Background(), op).Status != message.StoreOK {
 								refused.Add(1)
 							}
 						}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -17,7 +17,7 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -58,12 +58,12 @@
 		IdleConnTimeout:     time.Minute,
 		DisableCompression:  true,
 	}
-	limiter := NewRateLimiter(time.Now(), controller.Rates{Requests: requestsPerSecond / float64(controllers), Writes: writesPerSecond / float64(controllers)})
+	limiter := NewRateLimiter(time.Now(), message.Rates{Requests: requestsPerSecond / float64(controllers), Writes: writesPerSecond / float64(controllers)})
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, limiter: limiter}
 }
 
 // SetRates gives this controller its part of the limits.
-func (c *Client) SetRates(r controller.Rates) { c.limiter.SetRates(time.Now(), r) }
+func (c *Client) SetRates(r message.Rates) { c.limiter.SetRates(time.Now(), r) }
 
 type storedItem struct {
 	Key         string             `msgpack:"key"`
@@ -97,8 +97,8 @@
 }
 
 // Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op controller.StoreRequest) controller.StoreResponse {
-	out := controller.StoreResponse{ID: op.ID, Status: controller.StoreRefused}
+func (c *Client) Do(ctx context.Context, op message.StoreRequest) message.StoreResponse {
+	out := message.StoreResponse{ID: op.ID, Status: message.StoreRefused}
 	wait, ok := c.limiter.Reserve(time.Now(), op)
 	if !ok {
 		return out
@@ -118,9 +118,9 @@
 		status, a, err := c.send(ctx, method, path, body)
 		switch {
 		case err != nil:
-			out.Status = controller.StoreUnknown
+			out.Status = message.StoreUnknown
 			if neverSent(err) {
-				out.Status = controller.StoreRefused
+				out.Status = message.StoreRefused
 			}
 			return out
 		case status == http.StatusTooManyRequests:
@@ -138,24 +138,24 @@
 	}
 }
 
-func encodeRequest(op controller.StoreRequest) (method, path string, body any) {
+func encodeRequest(op message.StoreRequest) (method, path string, body any) {
 	switch op.Kind {
-	case controller.OpGet:
+	case message.OpGet:
 		return http.MethodGet, "/store/" + op.Key, nil
-	case controller.OpList:
+	case message.OpList:
 		query := url.Values{"under": {op.Key}, "limit": {strconv.Itoa(listPage)}}
 		if op.StartAfter != "" {
 			query.Set("from", op.StartAfter)
 		}
 		return http.MethodGet, "/store?" + query.Encode(), nil
-	case controller.OpWatch:
+	case message.OpWatch:
 		query := url.Values{"under": {op.Key}, "from": {strconv.FormatUint(op.Revision, 10)}, "hold_ms": {strconv.FormatInt(op.WatchTimeout.Milliseconds(), 10)}}
 		return http.MethodGet, "/follow?" + query.Encode(), nil
-	case controller.OpLeaseGrant:
+	case message.OpLeaseGrant:
 		return http.MethodPost, "/grants", map[string]any{"ttl_ms": op.TTL.Milliseconds()}
-	case controller.OpLeaseRenew:
+	case message.OpLeaseRenew:
 		return http.MethodPost, fmt.Sprintf("/grants/%d/renew", op.LeaseID), map[string]any{}
-	case controller.OpLeaseRevoke:
+	case message.OpLeaseRevoke:
 		return http.MethodDelete, fmt.Sprintf("/grants/%d", op.LeaseID), nil
 	}
 	txn := transaction{Compares: []compare{}}
@@ -217,40 +217,40 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func statusOf(op controller.StoreRequest, status int, a *response) controller.StoreStatus {
+func statusOf(op message.StoreRequest, status int, a *response) message.StoreStatus {
 	switch status {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
-		return controller.StoreOK
+		return message.StoreOK
 	case http.StatusNotFound:
-		return controller.StoreNotFound
+		return message.StoreNotFound
 	case http.StatusConflict:
-		return controller.StoreConflict
+		return message.StoreConflict
 	case http.StatusGone:
-		return controller.StoreCompacted
+		return message.StoreCompacted
 	case http.StatusBadRequest:
 		if strings.Contains(a.Error, "lease") {
-			return controller.StoreNoLease
+			return message.StoreNoLease
 		}
-		return controller.StoreMalformed
+		return message.StoreMalformed
 	case http.StatusServiceUnavailable:
-		return controller.StoreRefused
+		return message.StoreRefused
 	}
-	if op.Kind == controller.OpTxn {
-		return controller.StoreUnknown
+	if op.Kind == message.OpTxn {
+		return message.StoreUnknown
 	}
-	return controller.StoreRefused
+	return message.StoreRefused
 }
 
-func fillResponse(out *controller.StoreResponse, op controller.StoreRequest, a *response) {
+func fillResponse(out *message.StoreResponse, op message.StoreRequest, a *response) {
 	out.Revision, out.FailedKeys, out.LeaseID, out.Truncated = a.Revision, a.Failed, a.Lease, a.Truncated
-	if op.Kind == controller.OpGet && out.Status == controller.StoreOK {
-		out.KeyValues = []controller.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.ModRevision}}
+	if op.Kind == message.OpGet && out.Status == message.StoreOK {
+		out.KeyValues = []message.KeyValue{{Key: a.Key, Value: a.Value, ModRevision: a.ModRevision}}
 	}
 	for _, r := range a.Items {
-		out.KeyValues = append(out.KeyValues, controller.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.ModRevision})
+		out.KeyValues = append(out.KeyValues, message.KeyValue{Key: r.Key, Value: r.Value, ModRevision: r.ModRevision})
 	}
 	for _, r := range a.Changes {
-		item := controller.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.ModRevision}
+		item := message.KeyValue{Key: r.Put, Value: r.Value, ModRevision: r.ModRevision}
 		if r.Remove != "" {
 			item.Key, item.Deleted = r.Remove, true
 		}
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -9,7 +9,7 @@
 	"sync"
 	"testing"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -27,25 +27,25 @@
 	}))
 	defer srv.Close()
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 20, 1)
-	c.SetRates(controller.Rates{Requests: 700, Writes: 14})
-	write := func(changes int, prio controller.Priority) controller.StoreStatus {
+	c.SetRates(message.Rates{Requests: 700, Writes: 14})
+	write := func(changes int, prio message.Priority) message.StoreStatus {
 		t.Helper()
-		op := controller.StoreRequest{Kind: controller.OpTxn, Priority: prio}
+		op := message.StoreRequest{Kind: message.OpTxn, Priority: prio}
 		for i := range changes {
-			op.Writes = append(op.Writes, controller.Write{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
+			op.Writes = append(op.Writes, message.Write{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
 		}
 		return c.Do(context.Background(), op).Status
 	}
 	// Users' changes take a second's worth of the rate before it is there.
 	for i := range 2 {
-		if s := write(12, controller.PriorityUser); s != controller.StoreOK {
+		if s := write(12, message.PriorityUser); s != message.StoreOK {
 			t.Fatal("a user's write:", i, s)
 		}
 	}
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
-			if s := write(12, controller.PriorityStart); s != controller.StoreOK {
+			if s := write(12, message.PriorityStart); s != message.StoreOK {
 				t.Error("a large write for starts:", s)
 			}
 		})
--- a/internal/worker/size_test.go
+++ b/internal/worker/size_test.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 )
 
 // TestCommandsToUnresponsiveMachines: thousands of orders to machines that take connections and
@@ -50,7 +50,7 @@
 			var wg sync.WaitGroup
 			for i := range machines {
 				wg.Go(func() {
-					result := client.Do(ctx, controller.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
+					result := client.Do(ctx, message.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
 					if result.Heartbeat != nil {
 						t.Error("an answer out of nothing")
 					}
@@ -78,7 +78,7 @@
 	// A free place and an ended context are there at once, and either may be seen first.
 	client := New(800)
 	for range 100 {
-		if d := client.Do(ctx, controller.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !d.NotSent {
+		if d := client.Do(ctx, message.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !d.NotSent {
 			t.Fatal("it counts as sent")
 		}
 	}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -147,8 +148,8 @@
 }
 
 // Do carries out op. Without an answer the orders may still be executed later.
-func (c *Client) Do(ctx context.Context, op controller.WorkerRequest) controller.WorkerResponse {
-	out := controller.WorkerResponse{ID: op.ID}
+func (c *Client) Do(ctx context.Context, op message.WorkerRequest) message.WorkerResponse {
+	out := message.WorkerResponse{ID: op.ID}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	select {
@@ -173,7 +174,7 @@
 	return out
 }
 
-func (c *Client) send(ctx context.Context, op controller.WorkerRequest) (*Heartbeat, int, error) {
+func (c *Client) send(ctx context.Context, op message.WorkerRequest) (*Heartbeat, int, error) {
 	method, path, payload := http.MethodGet, "/status", io.Reader(nil)
 	if !op.StatusOnly {
 		b, err := msgpack.Marshal(TaskCommands{op.Epoch, op.Incarnation, EncodeCommands(op.Commands)})
