--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -16,11 +16,11 @@
 	"github.com/labstack/echo/v4"
 	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/config"
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/overflow"
 	"github.com/micahill/micahill/internal/overflow/broker"
 	"github.com/micahill/micahill/internal/overflow/link"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/server"
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/spf13/cobra"
@@ -69,10 +69,10 @@
 	}
 	limits := overflow.DefaultLimits()
 	limits.LoansOut, limits.LoansIn, limits.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
-	limits.MinGain, limits.MaxCostRatio = controller.Seconds(o.MinGainS), o.MaxCostRatio
+	limits.MinGain, limits.MaxCostRatio = record.Seconds(o.MinGainS), o.MaxCostRatio
 	settings := broker.Settings{
-		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: controller.Seconds(o.ReportS), LoanLease: controller.Seconds(o.LeaseS),
-		WorkerLease: controller.Seconds(c.Deployment.Workers.LeaseS), ClockBound: controller.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
+		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: record.Seconds(o.ReportS), LoanLease: record.Seconds(o.LeaseS),
+		WorkerLease: record.Seconds(c.Deployment.Workers.LeaseS), ClockBound: record.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
 	}
 	knownPeers := map[string]bool{}
 	for _, p := range o.Peers {
--- a/internal/api/jobrequest.go
+++ b/internal/api/jobrequest.go
@@ -7,8 +7,8 @@
 	"reflect"
 
 	"github.com/go-playground/validator/v10"
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/validate"
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
@@ -140,13 +140,13 @@
 		Need:  model.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
 		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
 		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
-		ExpectedRunTime: controller.Seconds(*request.ExpectedS), CheckpointInterval: controller.Seconds(*request.CheckpointEveryS), CheckpointCost: controller.Seconds(*request.CheckpointCostS),
+		ExpectedRunTime: record.Seconds(*request.ExpectedS), CheckpointInterval: record.Seconds(*request.CheckpointEveryS), CheckpointCost: record.Seconds(*request.CheckpointCostS),
 	}
 	if request.Zone != nil {
 		spec.Zone = *request.Zone
 	}
 	if request.DeadlineS != nil {
-		spec.Deadline = controller.Seconds(*request.DeadlineS)
+		spec.Deadline = record.Seconds(*request.DeadlineS)
 	}
 	return spec, ""
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,6 +11,7 @@
 	"github.com/go-playground/validator/v10"
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/pelletier/go-toml/v2"
 )
 
@@ -176,10 +177,10 @@
 	limits := deployment.State.Strictest()
 	settings := controller.Settings{
 		Host: c.HostName, Zones: deployment.Zones,
-		HeartbeatInterval: controller.Seconds(deployment.Workers.HeartbeatS), WorkerLease: controller.Seconds(deployment.Workers.LeaseS),
-		CancellationBound: controller.Seconds(deployment.Workers.CancelWithinS), MaxClockError: controller.Seconds(deployment.ClockBoundMS / 1000),
+		HeartbeatInterval: record.Seconds(deployment.Workers.HeartbeatS), WorkerLease: record.Seconds(deployment.Workers.LeaseS),
+		CancellationBound: record.Seconds(deployment.Workers.CancelWithinS), MaxClockError: record.Seconds(deployment.ClockBoundMS / 1000),
 		MaxTxnWrites: limits.TxnOps, MaxValueBytes: int(limits.ValueKB * 1024), CurrentMaxValueBytes: int(deployment.State.ValueKB * 1024),
-		CloudListLag: controller.Seconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
+		CloudListLag: record.Seconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
 		Incarnation: nonce, Policy: policy,
 	}
 	for _, peer := range c.Peers {
@@ -194,7 +195,7 @@
 	}
 	for _, objective := range deployment.Objectives {
 		settings.Objectives = append(settings.Objectives, model.Objective{
-			Kind: objective.Kind, Workload: objective.Workload, Within: controller.Seconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
+			Kind: objective.Kind, Workload: objective.Workload, Within: record.Seconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
 		})
 	}
 	return settings
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -13,6 +13,7 @@
 	"github.com/go-playground/validator/v10"
 	"github.com/micahill/micahill/internal/certs"
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/pelletier/go-toml/v2"
 )
 
@@ -59,7 +60,7 @@
 		capabilities.Promises, capabilities.PromiseFraction = r.Enabled, r.TargetFraction
 	}
 	if r := x.Models; r != nil {
-		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, controller.Seconds(r.MigrationCooldownS)
+		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, record.Seconds(r.MigrationCooldownS)
 	}
 	return capabilities
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -65,8 +66,8 @@
 func (n *Controller) holdAllShards() {
 	s := &n.membership
 	s.leaseID, s.loaded, s.shardMap = 1, true, sharding.NewMap()
-	s.controllers = map[string]memberRecord{n.settings.Host: {Incarnation: n.incarnation()}}
-	b := encode(map[string]any{"host": n.settings.Host, "nonce": n.incarnation(), "teams": []string{"ops"}, "rest": true})
+	s.controllers = map[string]record.MemberRecord{n.settings.Host: {Incarnation: n.incarnation()}}
+	b := record.Encode(map[string]any{"host": n.settings.Host, "nonce": n.incarnation(), "teams": []string{"ops"}, "rest": true})
 	if err := s.shardMap.ApplyShard(n.settings.Host, b, 1); err != nil {
 		panic(err)
 	}
--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // cancellation_gossip.go has controllers tell each other of cancellations. The record in the state
@@ -92,8 +93,8 @@
 	var acks []string
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
-		var r openJobRecord
-		if !decode(c.Record, &r) || !r.Cancelled || r.Validate() != "" {
+		var r record.OpenJobRecord
+		if !record.Decode(c.Record, &r) || !r.Cancelled || r.Validate() != "" {
 			n.rejectInput("news", from, "a cancellation that can't be read")
 			continue
 		}
@@ -102,7 +103,7 @@
 			continue
 		}
 		if n.shardLeader != nil && n.shardLeader.jobs[c.ID] != nil {
-			n.observeOwnWrite(message.KeyValue{Key: openJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
+			n.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
 			continue
 		}
 		if s := n.membership.shardMap.Team(r.Team); s != nil && s.Host != n.settings.Host && s.Host != from {
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // candidate_queues.go finds, for a task that is played forward, the machine on which it
@@ -196,7 +197,7 @@
 				continue
 			}
 			if i, start, ok := p.firstInQueue(l, a, wait); ok {
-				if t := start + Seconds(l.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
+				if t := start + record.Seconds(l.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
 					best, at = i, t
 				}
 			}
@@ -278,9 +279,9 @@
 	case slices.Contains(v.placedImages, a.imageID) || slices.Contains(v.cached, a.imageID):
 		return 0
 	case slices.Contains(v.fetchingImages, a.imageID):
-		return Seconds(v.fetchingSecondsPerGB * a.imageGB)
+		return record.Seconds(v.fetchingSecondsPerGB * a.imageGB)
 	}
-	return Seconds(v.secondsPerGB * a.imageGB)
+	return record.Seconds(v.secondsPerGB * a.imageGB)
 }
 
 // placeTasks lets up to count tasks start on v, as many as fit there at one time, and
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -10,6 +10,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -61,7 +62,7 @@
 	}
 	without := *s
 	without.Dependencies = nil
-	size, err := sizelimit.JSON(encode(newOpenJobRecord(&without, n.now)))
+	size, err := sizelimit.JSON(record.Encode(record.NewOpenJobRecord(&without, n.now)))
 	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
 	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
@@ -164,7 +165,7 @@
 
 // updateDependencyGraph takes in a change of open/.
 func (n *Controller) updateDependencyGraph(it message.KeyValue) {
-	id := jobIDFromKey(it.Key, openJobPrefix)
+	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
 	l, open := n.frontend.watchCache.openJobs[id]
 	if open {
 		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.DependencyNames()))
@@ -277,13 +278,13 @@
 // that is needed was accepted before: one that is neither open nor over shows that a
 // record is damaged. What needs it waits until somebody cancels it.
 func (n *Controller) applyFinalState(id string, d message.StoreResponse) bool {
-	var r jobStatusRecord
+	var r record.JobStatusRecord
 	switch {
 	case n.cachedJobState(id) != pipeline.Unknown:
 	case d.Status == message.StoreNotFound:
-		n.rejectInput("record", openJobPrefix+id, "it is needed by others and was never accepted")
+		n.rejectInput("record", record.OpenJobPrefix+id, "it is needed by others and was never accepted")
 		n.applyDependencyChanges(n.dependencyGraph().SetState(id, pipeline.Missing))
-	case d.Status != message.StoreOK || len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
+	case d.Status != message.StoreOK || len(d.KeyValues) != 1 || !record.Decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
 		return false
 	default:
 		n.cacheFinalStatus(id, r.Status)
@@ -336,7 +337,7 @@
 	o.pathsScannedAt = n.now
 	paths, cycle := n.dependencyGraph().CriticalPaths(n.criticalPathTask)
 	if len(cycle) > 0 {
-		n.rejectInput("record", openJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
+		n.rejectInput("record", record.OpenJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
 	}
 	for id := range o.paths {
 		if j := o.jobs[id]; j != nil && paths[id] == (pipeline.CriticalPath{}) {
@@ -369,9 +370,9 @@
 	if !open || l.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
-	t := pipeline.Task{Urgency: l.rec.Urgency, RunTime: Seconds(l.rec.ExpectedSeconds)}
+	t := pipeline.Task{Urgency: l.rec.Urgency, RunTime: record.Seconds(l.rec.ExpectedSeconds)}
 	if l.rec.DeadlineSeconds > 0 {
-		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(Seconds(l.rec.DeadlineSeconds))
+		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(record.Seconds(l.rec.DeadlineSeconds))
 	}
 	if e := n.estimators[l.rec.Workload]; e != nil {
 		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
--- a/internal/controller/epoch_bump.go
+++ b/internal/controller/epoch_bump.go
@@ -4,6 +4,7 @@
 	"fmt"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -69,8 +70,8 @@
 		}
 		n.bumpingEpoch = true
 		n.info("machines get a higher epoch", "machines", len(bumped), "such as", bumped[0], "share", name)
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: shardPrefix + name, ModRevision: s.ModRevision}, {Key: shardSegmentPrefix + w.Name, ModRevision: 0}},
-			Writes: []message.Write{{Key: shardSegmentPrefix + w.Name, Value: w.Value}}}, func(message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: s.ModRevision}, {Key: record.ShardSegmentPrefix + w.Name, ModRevision: 0}},
+			Writes: []message.Write{{Key: record.ShardSegmentPrefix + w.Name, Value: w.Value}}}, func(message.StoreResponse) {
 			n.bumpingEpoch = false
 			if n.shardLeader == o {
 				for _, id := range bumped {
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // donorController is an owner beside another, with two hosts that have half a host's replica each
@@ -42,7 +43,7 @@
 	}
 	n.setHostNeeds(true)
 	op := n.awaitMigrationWrite(t)
-	if slices.ContainsFunc(op.Compares, func(c message.Compare) bool { return strings.HasPrefix(c.Key, openJobPrefix+evacuationPrefix) }) {
+	if slices.ContainsFunc(op.Compares, func(c message.Compare) bool { return strings.HasPrefix(c.Key, record.OpenJobPrefix+evacuationPrefix) }) {
 		t.Errorf("conditions %v", op.Compares)
 	}
 	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -9,6 +9,7 @@
 	"strings"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -21,18 +22,10 @@
 // written again: see docs/design.md, "Two versions, and lower limits".
 
 const (
-	formatKey           = "ctl/form"
-	formatSupportPrefix = "ctl/form/"
 	// sizedSegmentMark is what the names of parts begin with, after the job's.
 	sizedSegmentMark = "s"
 )
 
-// formatRecord says how many tasks share a part; in a controller's own record it only
-// says that it knows parts.
-type formatRecord struct {
-	TasksPerSegment int `msgpack:"n"`
-}
-
 // segmentFormat is how a job's tasks are divided among records: so many share one, which is
 // numbered alone, or is a part whose name says how many.
 type segmentFormat struct {
@@ -48,7 +41,7 @@
 }
 
 func (f segmentFormat) keyOf(id string, k int) string {
-	return taskSegmentPrefix + id + "/" + f.nameOf(k)
+	return record.TaskSegmentPrefix + id + "/" + f.nameOf(k)
 }
 
 // currentMaxValueBytes is the limit of values by which records without parts are numbered.
@@ -56,7 +49,7 @@
 
 // unsizedFormat is the form without parts.
 func (s *Settings) unsizedFormat() segmentFormat {
-	return segmentFormat{tasksPerSegment: maxTasksPerSegment(s.currentMaxValueBytes())}
+	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(s.currentMaxValueBytes())}
 }
 
 // segmentFormat is the form in which records of tasks are written now.
@@ -84,12 +77,12 @@
 
 // applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
 func applyFormatRecord(n *Controller, it message.KeyValue) {
-	var r formatRecord
+	var r record.FormatRecord
 	switch {
 	case it.Deleted:
-	case it.Key != formatKey:
-		n.membership.formatSupport[strings.TrimPrefix(it.Key, formatSupportPrefix)] = true
-	case !decode(it.Value, &r) || r.TasksPerSegment <= 0:
+	case it.Key != record.FormatKey:
+		n.membership.formatSupport[strings.TrimPrefix(it.Key, record.FormatSupportPrefix)] = true
+	case !record.Decode(it.Value, &r) || r.TasksPerSegment <= 0:
 		n.rejectInput("record", it.Key, "it can't be read")
 	default:
 		n.membership.formatModRevision = it.ModRevision
@@ -117,23 +110,23 @@
 // leader that all do.
 func advanceFormat(n *Controller) {
 	s := &n.membership
-	target := maxTasksPerSegment(n.settings.MaxValueBytes)
+	target := record.MaxTasksPerSegment(n.settings.MaxValueBytes)
 	if s.writingFormat || !s.loaded || s.leaseID == 0 || target >= n.segmentFormat().tasksPerSegment {
 		return
 	}
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
-	rec := encode(formatRecord{TasksPerSegment: target})
+	rec := record.Encode(record.FormatRecord{TasksPerSegment: target})
 	switch {
 	case !s.formatSupport[n.settings.Host]:
-		key := formatSupportPrefix + n.settings.Host
+		key := record.FormatSupportPrefix + n.settings.Host
 		op.Compares = []message.Compare{{Key: key, ModRevision: 0}}
 		op.Writes = []message.Write{{Key: key, Value: rec}}
 	case s.limitsLowered && n.shardLeader != nil:
-		op.Compares = append(n.shardCompares(""), message.Compare{Key: formatKey, ModRevision: s.formatModRevision})
-		op.Writes = []message.Write{{Key: formatKey, Value: rec}}
+		op.Compares = append(n.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: s.formatModRevision})
+		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
 	case n.leader != nil && allSupportSizedSegments(n):
-		op.Compares = []message.Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: formatKey, ModRevision: s.formatModRevision}}
-		op.Writes = []message.Write{{Key: formatKey, Value: rec}}
+		op.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: n.leader.modRevision}, {Key: record.FormatKey, ModRevision: s.formatModRevision}}
+		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
 	default:
 		return
 	}
@@ -147,21 +140,18 @@
 	})
 }
 
-// limitProbeKey holds a value between the limits, where it was ever asked for.
-const limitProbeKey = "form/probe"
-
 // probeValueLimit finds out whether the state service has lowered its limit of values, which
 // it does only when the upgrade is over: a controller may have been cut off since it was
 // replaced, and has not said so. A record that was called malformed may be so for another
 // reason; a plain text that is too large for the limit to come is not.
 func probeValueLimit(n *Controller) {
 	s := &n.membership
-	text := encode(strings.Repeat("x", n.settings.MaxValueBytes))
+	text := record.Encode(strings.Repeat("x", n.settings.MaxValueBytes))
 	if size, err := sizelimit.JSON(text); err != nil || size > n.settings.currentMaxValueBytes() || s.limitsLowered || s.probingLimits || n.segmentFormat().sized {
 		return
 	}
 	s.probingLimits = true
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: limitProbeKey, Value: text}}}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.LimitProbeKey, Value: text}}}, func(d message.StoreResponse) {
 		s.limitsLowered = d.Status == message.StoreMalformed
 		n.after(malformedRetryDelay, func() { s.probingLimits = false })
 		advanceFormat(n)
@@ -223,7 +213,7 @@
 // whatever form it may be by the time that they are judged.
 func (n *Controller) neverStartedCompares(id string) []message.Compare {
 	var out []message.Compare
-	for _, f := range [...]segmentFormat{n.settings.unsizedFormat(), n.segmentFormat(), {maxTasksPerSegment(n.settings.MaxValueBytes), true}} {
+	for _, f := range [...]segmentFormat{n.settings.unsizedFormat(), n.segmentFormat(), {record.MaxTasksPerSegment(n.settings.MaxValueBytes), true}} {
 		c := message.Compare{Key: f.keyOf(id, 0), ModRevision: 0}
 		if f.sized && !n.segmentFormat().sized && f.tasksPerSegment >= n.segmentFormat().tasksPerSegment {
 			// It never comes to that.
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -13,6 +13,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -51,12 +52,12 @@
 	const per = 4096 * 3 / 4 / 72
 	out, dropped := map[int]taskState{}, 0
 	for key, value := range rows {
-		name, is := strings.CutPrefix(key, taskSegmentPrefix+id+"/")
+		name, is := strings.CutPrefix(key, record.TaskSegmentPrefix+id+"/")
 		if !is {
 			continue
 		}
-		var r taskSegmentRecord
-		if k, err := strconv.Atoi(name); err != nil || k*per >= tasks || !decode(value, &r) {
+		var r record.TaskSegmentRecord
+		if k, err := strconv.Atoi(name); err != nil || k*per >= tasks || !record.Decode(value, &r) {
 			dropped++
 			continue
 		}
@@ -94,7 +95,7 @@
 func recoverTestJob(n *Controller, rows map[string][]byte) *job {
 	var its []message.KeyValue
 	for _, key := range sortedKeys(rows) {
-		if strings.HasPrefix(key, taskSegmentPrefix+formatTestJob+"/") {
+		if strings.HasPrefix(key, record.TaskSegmentPrefix+formatTestJob+"/") {
 			its = append(its, message.KeyValue{Key: key, Value: rows[key], ModRevision: 7})
 		}
 	}
@@ -106,8 +107,8 @@
 	j := n.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
 	slices.SortStableFunc(its, n.compareFormats)
 	for _, it := range its {
-		var r taskSegmentRecord
-		if decode(it.Value, &r) {
+		var r record.TaskSegmentRecord
+		if record.Decode(it.Value, &r) {
 			n.recoverSegment(j, it, &r)
 		}
 	}
@@ -165,7 +166,7 @@
 // writeSegment is one write of a chunk.
 func writeSegment(t *testing.T, n *Controller, j *job, c *taskSegment, rows map[string][]byte) (string, []byte) {
 	t.Helper()
-	key, value := j.segmentKey(c), encode(j.segmentRecord(c))
+	key, value := j.segmentKey(c), record.Encode(j.segmentRecord(c))
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}
 	if err := n.requestLimits(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatal(err)
@@ -226,7 +227,7 @@
 						lateStates[i] = taskStateOf(j, i)
 					}
 				}
-				adoptFormat(n, segmentFormat{maxTasksPerSegment(2048), true})
+				adoptFormat(n, segmentFormat{record.MaxTasksPerSegment(2048), true})
 			case x == 1 && lateKey != "":
 				rows[lateKey], lateKey = lateValue, ""
 				for i, s := range lateStates {
@@ -241,7 +242,7 @@
 				}
 				n = newFormatTestController()
 				if sized {
-					adoptFormat(n, segmentFormat{maxTasksPerSegment(2048), true})
+					adoptFormat(n, segmentFormat{record.MaxTasksPerSegment(2048), true})
 				}
 				j = recoverTestJob(n, rows)
 				requireSameStates(t, fmt.Sprint("seed ", seed, " step ", step), taskStatesOf(j), durable)
@@ -276,7 +277,7 @@
 			}
 		}
 		for key := range rows {
-			if strings.HasPrefix(key, taskSegmentPrefix) && !slices.Contains(left, key) {
+			if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(left, key) {
 				t.Fatalf("seed %d: %s stays when the job is over", seed, key)
 			}
 		}
@@ -303,30 +304,30 @@
 func TestFormatNeedsAllControllers(t *testing.T) {
 	n := newFormatTestController()
 	n.settings.Peers = []string{"b", "c"}
-	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != formatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: formatSupportPrefix + "a", ModRevision: 0}) {
+	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != record.FormatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: record.FormatSupportPrefix + "a", ModRevision: 0}) {
 		t.Fatalf("the first write is %+v", ops)
 	}
-	applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
-	applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "b", ModRevision: 4})
+	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
+	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
 	n.leader = &leader{modRevision: 9}
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written while c may come back: %+v", ops)
 	}
-	applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "c", ModRevision: 5})
+	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "c", ModRevision: 5})
 	n.leader = nil
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written by none that leads: %+v", ops)
 	}
 	n.leader = &leader{modRevision: 9}
 	ops := formatWrites(n)
-	if len(ops) != 1 || ops[0].Writes[0].Key != formatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: leaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: formatKey, ModRevision: 0}) {
+	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
 		t.Fatalf("%+v", ops)
 	}
 	if n.segmentFormat().sized {
 		t.Fatal("parts count before they were read to")
 	}
-	applyFormatRecord(n, message.KeyValue{Key: formatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
-	if f := n.segmentFormat(); f != (segmentFormat{maxTasksPerSegment(2048), true}) {
+	applyFormatRecord(n, message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
+	if f := n.segmentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
 		t.Fatalf("the form is %+v", f)
 	}
 	if ops := formatWrites(n); len(ops) > 0 {
@@ -346,7 +347,7 @@
 	conds := n.neverStartedCompares(formatTestJob)
 	j := n.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
 	before := j.segmentKey(j.segmentOf(0))
-	adoptFormat(n, segmentFormat{maxTasksPerSegment(2048), true})
+	adoptFormat(n, segmentFormat{record.MaxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
 	for _, key := range []string{before, after} {
 		if !slices.Contains(conds, message.Compare{Key: key, ModRevision: 0}) {
@@ -367,12 +368,12 @@
 	for i := range 80 {
 		s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("a-flavour-with-a-long-name-%03d", i))
 	}
-	r := newOpenJobRecord(&s, time.Unix(1_750_000_000, 0))
+	r := record.NewOpenJobRecord(&s, time.Unix(1_750_000_000, 0))
 	small := r
 	small.MachineTypes = s.MachineTypes[:3]
 	r.Cancelled, small.Cancelled = true, true
 	r.ShrinkToFit(2048)
-	if size, err := sizelimit.JSON(encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.Validate() != "" {
+	if size, err := sizelimit.JSON(record.Encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.Validate() != "" {
 		t.Errorf("%d bytes, %+v", size, r)
 	}
 	if small.ShrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
@@ -387,14 +388,14 @@
 	for _, status := range []message.StoreStatus{message.StoreOK, message.StoreUnknown, message.StoreMalformed} {
 		n := newFormatTestController()
 		n.settings.Peers = []string{"b"}
-		applyFormatRecord(n, message.KeyValue{Key: formatSupportPrefix + "a", ModRevision: 3})
+		applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
 		n.membership.loaded, n.membership.leaseID = true, 1
 		j := recoverTestJob(n, productionRecords(t))
 		n.effects = nil
 		n.deferMalformedSegment(j, j.segments[0], 1)
 		var probe message.StoreRequest
 		for _, e := range n.effects {
-			if op, ok := e.(message.StoreRequest); ok && op.Writes[0].Key == limitProbeKey {
+			if op, ok := e.(message.StoreRequest); ok && op.Writes[0].Key == record.LimitProbeKey {
 				probe = op
 			}
 		}
@@ -403,7 +404,7 @@
 		}
 		n.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
 		ops := formatWrites(n)
-		if changed := len(ops) > 0 && ops[0].Writes[0].Key == formatKey; changed != (status == message.StoreMalformed) {
+		if changed := len(ops) > 0 && ops[0].Writes[0].Key == record.FormatKey; changed != (status == message.StoreMalformed) {
 			t.Errorf("answered %v: %+v", status, ops)
 		} else if changed && ops[0].Compares[0] != n.shardCompares("")[0] {
 			t.Errorf("it does not name the share: %+v", ops[0].Compares)
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -10,6 +10,7 @@
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/readbatch"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -96,8 +97,8 @@
 	return r.FirstDate()
 }
 
-func (s *submission) openRecord() openJobRecord {
-	r := newOpenJobRecord(&s.spec, s.submittedAt)
+func (s *submission) openRecord() record.OpenJobRecord {
+	r := record.NewOpenJobRecord(&s.spec, s.submittedAt)
 	r.PromisedMillis = int(s.promisedAfter.Milliseconds())
 	return r
 }
@@ -268,7 +269,7 @@
 	if reason := n.validateDependencies(s); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSON(encode(newOpenJobRecord(s, n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
+	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJobRecord(s, n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -394,9 +395,9 @@
 			waiters[id] = u.statusWaiters[id]
 			delete(u.statusWaiters, id)
 		}
-		op := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: jobStatusPrefix + r.ID}
+		op := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.JobStatusPrefix + r.ID}
 		if r.IsList {
-			op.Kind, op.Key, op.StartAfter = message.OpList, jobStatusPrefix, jobStatusPrefix+r.After
+			op.Kind, op.Key, op.StartAfter = message.OpList, record.JobStatusPrefix, record.JobStatusPrefix+r.After
 		}
 		n.requestStore(op, func(d message.StoreResponse) { n.handleReadBatch(r, d, waiters) })
 	}
@@ -407,10 +408,10 @@
 	u := &n.frontend
 	ok, last, found := d.Status == message.StoreOK, "", map[string]message.KeyValue{}
 	for _, it := range d.KeyValues {
-		last = strings.TrimPrefix(it.Key, jobStatusPrefix)
+		last = strings.TrimPrefix(it.Key, record.JobStatusPrefix)
 		found[last] = it
-		var rec jobStatusRecord
-		if r.IsList && decode(it.Value, &rec) && rec.Status.IsFinal() {
+		var rec record.JobStatusRecord
+		if r.IsList && record.Decode(it.Value, &rec) && rec.Status.IsFinal() {
 			// An end is for good, whoever asks for it.
 			n.cacheFinalStatus(last, rec.Status)
 			cacheDoneDate(n, last, rec)
@@ -465,7 +466,7 @@
 			if seen[s.spec.ID] || len(batch) > 0 && (s.storeAlone || batch[0].storeAlone) {
 				break
 			}
-			one, err := sizelimit.JSON(encode(s.openRecord()))
+			one, err := sizelimit.JSON(record.Encode(s.openRecord()))
 			if size += one + submitOverheadBytes; (err != nil || size > targetTxnBytes) && len(batch) > 0 {
 				break
 			}
@@ -492,8 +493,8 @@
 		id := s.spec.ID
 		// Neither over nor open: never accepted before. One change is enough;
 		// job/ is written when the job is over.
-		op.Compares = append(op.Compares, message.Compare{Key: jobStatusPrefix + id, ModRevision: 0}, message.Compare{Key: openJobPrefix + id, ModRevision: 0})
-		op.Writes = append(op.Writes, message.Write{Key: openJobPrefix + id, Value: encode(s.openRecord())})
+		op.Compares = append(op.Compares, message.Compare{Key: record.JobStatusPrefix + id, ModRevision: 0}, message.Compare{Key: record.OpenJobPrefix + id, ModRevision: 0})
+		op.Writes = append(op.Writes, message.Write{Key: record.OpenJobPrefix + id, Value: record.Encode(s.openRecord())})
 	}
 	n.requestStore(op, func(d message.StoreResponse) {
 		n.frontend.inFlight--
@@ -501,12 +502,12 @@
 		case message.StoreOK:
 			for _, s := range batch {
 				n.answerRequest(s.request, n.acceptedReply(s))
-				n.observeOwnWrite(message.KeyValue{Key: openJobPrefix + s.spec.ID, Value: encode(s.openRecord()), ModRevision: d.Revision})
+				n.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + s.spec.ID, Value: record.Encode(s.openRecord()), ModRevision: d.Revision})
 			}
 		case message.StoreConflict:
 			var again []*submission
 			for _, s := range batch {
-				if slices.Contains(d.FailedKeys, jobStatusPrefix+s.spec.ID) || slices.Contains(d.FailedKeys, openJobPrefix+s.spec.ID) {
+				if slices.Contains(d.FailedKeys, record.JobStatusPrefix+s.spec.ID) || slices.Contains(d.FailedKeys, record.OpenJobPrefix+s.spec.ID) {
 					n.answerFromRecord(s.request, 503, "conflict")
 				} else {
 					again = append(again, s)
@@ -567,17 +568,17 @@
 		rec := f.open
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
-		open := encode(rec)
+		open := record.Encode(rec)
 		// Both records change together: the stamp of open/ guards starts.
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: openJobPrefix + id, ModRevision: f.modRevision}},
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.OpenJobPrefix + id, ModRevision: f.modRevision}},
 			Writes: []message.Write{
-				{Key: jobStatusPrefix + id, Value: encode(endRecordFromCache(n, id, model.Cancelled, &openJob{f.modRevision, f.open}))},
-				{Key: openJobPrefix + id, Value: open},
+				{Key: record.JobStatusPrefix + id, Value: record.Encode(endRecordFromCache(n, id, model.Cancelled, &openJob{f.modRevision, f.open}))},
+				{Key: record.OpenJobPrefix + id, Value: open},
 			}}, func(d message.StoreResponse) {
 			switch d.Status {
 			case message.StoreOK:
 				n.cacheFinalStatus(id, model.Cancelled)
-				n.observeOwnWrite(message.KeyValue{Key: openJobPrefix + id, Value: open, ModRevision: d.Revision})
+				n.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
 				publishCancellation(n, message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, n.settings.Peers)
 				n.answerRequest(request, n.replyWithStatus(id, model.Cancelled))
 			case message.StoreConflict:
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -7,6 +7,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // FuzzRecords: whatever stands in a record, nothing ends for it, no task is counted
@@ -14,22 +15,22 @@
 func FuzzRecords(f *testing.F) {
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: model.Resources{CPU: 1, Memory: 1}}
 	now := time.Unix(1_750_000_000, 0)
-	f.Add(encode(newOpenJobRecord(&spec, now)), encode(taskSegmentRecord{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []taskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
-	f.Add(encode(openJobRecord{Tasks: -1}), encode(taskSegmentRecord{DoneRanges: []int{-5, 1 << 40}}))
+	f.Add(record.Encode(record.NewOpenJobRecord(&spec, now)), record.Encode(record.TaskSegmentRecord{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []record.TaskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
+	f.Add(record.Encode(record.OpenJobRecord{Tasks: -1}), record.Encode(record.TaskSegmentRecord{DoneRanges: []int{-5, 1 << 40}}))
 	f.Add([]byte{0xdd, 0xff}, []byte{0x81})
 	f.Fuzz(func(t *testing.T, open, chunk []byte) {
 		n := largePool(2)
 		n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
-		n.applyOpenJob(message.KeyValue{Key: openJobPrefix + spec.ID, Value: open, ModRevision: 5})
+		n.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: open, ModRevision: 5})
 		j := n.shardLeader.jobs[spec.ID]
 		if j == nil {
 			j = n.addJob(spec, n.now, 5)
 		}
-		var r taskSegmentRecord
-		if !decode(chunk, &r) {
+		var r record.TaskSegmentRecord
+		if !record.Decode(chunk, &r) {
 			return
 		}
-		n.recoverSegment(j, message.KeyValue{Key: taskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
+		n.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
 		n.queueRecovered(j)
 		done := 0
 		for i := range j.tasks {
@@ -42,7 +43,7 @@
 		}
 		n.placeAll()
 		for _, k := range sortedKeys(j.segments) {
-			encode(j.segmentRecord(j.segments[k]))
+			record.Encode(j.segmentRecord(j.segments[k]))
 		}
 	})
 }
@@ -51,13 +52,13 @@
 func FuzzControlRecords(f *testing.F) {
 	f.Add("share/a", []byte{0x80})
 	f.Add("lot/1", []byte{0x81, 0xa1, 'x', 0x01})
-	f.Add("node/b", encode(memberRecord{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
-	f.Add("lead", encode(leaderRecord{Host: "b"}))
+	f.Add("node/b", record.Encode(record.MemberRecord{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
+	f.Add("lead", record.Encode(record.LeaderRecord{Host: "b"}))
 	f.Add("ranking", ranking.Record{Revision: 2, Classes: []ranking.Class{{Name: "a", Urgency: "urgent"}}}.Encode())
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		n := twoControllers(t)
 		n.settings.Capabilities.Ranking = true
-		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: controlPrefix + key, Value: value, ModRevision: 98}}})
+		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: record.ControlPrefix + key, Value: value, ModRevision: 98}}})
 		n.syncShardLeader()
 	})
 }
--- a/internal/controller/golden_test.go
+++ b/internal/controller/golden_test.go
@@ -9,37 +9,38 @@
 
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
 // goldenRecords are the core's records of the state service.
 var goldenRecords = testgolden.Values{
-	"node":  memberRecord{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
-	"life":  incarnationRecord{StartedAt: 1_750_000_001_234, ShortLived: 3},
-	"lead":  leaderRecord{Host: "ctl-2", Incarnation: "n-18.1"},
-	"form":  formatRecord{TasksPerSegment: 21},
-	"hears": rerouteRecord{Controller: "ctl-3", Incarnation: "n-19.2", Machines: 5},
-	"drain": drainRecord{Enabled: true, Deadline: 1_750_000_600_000},
-	"guest": offloadedJobRecord{Job: "job-lent-east-2-000412", Cause: "given_back", RenewedAt: 1_750_000_002_345},
-	"job": jobStatusRecord{
+	"node":  record.MemberRecord{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
+	"life":  record.IncarnationRecord{StartedAt: 1_750_000_001_234, ShortLived: 3},
+	"lead":  record.LeaderRecord{Host: "ctl-2", Incarnation: "n-18.1"},
+	"form":  record.FormatRecord{TasksPerSegment: 21},
+	"hears": record.RerouteRecord{Controller: "ctl-3", Incarnation: "n-19.2", Machines: 5},
+	"drain": record.DrainRecord{Enabled: true, Deadline: 1_750_000_600_000},
+	"guest": record.OffloadedJobRecord{Job: "job-lent-east-2-000412", Cause: "given_back", RenewedAt: 1_750_000_002_345},
+	"job": record.JobStatusRecord{
 		Status: model.Done, Tasks: 16, Team: "vision", Workload: "train", Offloaded: true, EndedAfterMillis: 90_500, PromisedMillis: 120_300, PromiseRevision: 2, PromisedAtSubmit: true,
 	},
-	"open": openJobRecord{
+	"open": record.OpenJobRecord{
 		Workload: "train", Team: "vision", LongRunning: true, Gang: true, Urgency: int(model.Urgent), Tasks: 16,
 		CPU: 8.5, GPU: 1.25, Memory: 64.75, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a",
 		SameZone: true, SpreadZones: true, AllowSpot: true, ExpectedSeconds: 240.5, CheckpointIntervalSeconds: 30.25, CheckpointCostSeconds: 4.5, DeadlineSeconds: 900.75, SubmittedAtMillis: 1_750_000_003_456,
 		Cancelled: true, CancelledAtMillis: 1_750_000_004_567, LentTo: "east", LendCount: 7, StopBoundMillis: 82_000, CancelRequested: true,
 		BorrowedLoan: "west/job-000077/4", PromisedMillis: 130_400, Dependencies: pipeline.EncodeNames([]string{"job-000398", "job-000402", "job-x"}),
 	},
-	"task": taskSegmentRecord{
+	"task": record.TaskSegmentRecord{
 		MachinePrefix: "vm-000", DoneRanges: []int{0, 4, 6, 9}, RelaunchedGroups: []int64{1_750_000_005_678}, RunTimes: []int64{2_340, 3_450}, RankingRevision: 93,
-		Rows: []taskEntry{
+		Rows: []record.TaskEntry{
 			{Index: 5, Try: 2, Machine: "231", Group: 1_750_000_005_678, Relaunched: true},
 			{Index: 10, Try: 300, Machine: "232", Group: 1_750_000_006_789, Done: true},
 			{Index: 70_000, Try: 1, Group: 1_750_000_007_890},
 		},
 	},
-	"warm": prewarmedRecord{MachinePrefix: "vm-", NumberWidth: 6, Images: []prewarmedImage{
+	"warm": record.PrewarmedRecord{MachinePrefix: "vm-", NumberWidth: 6, Images: []record.PrewarmedImage{
 		{Name: "img-07", GB: 6.2, Machines: []int{231, 232}}, {Name: "img-08", GB: 0.5, Machines: []int{77_777}},
 	}},
 }
@@ -48,9 +49,9 @@
 // stands there is read.
 func TestGoldenRecords(t *testing.T) {
 	testgolden.Check(t, testgolden.Codec{
-		Write: func(v any) ([]byte, error) { return encode(v), nil },
+		Write: func(v any) ([]byte, error) { return record.Encode(v), nil },
 		Read: func(b []byte, into any) error {
-			if !decode(b, into) {
+			if !record.Decode(b, into) {
 				return errors.New("not a record")
 			}
 			return nil
@@ -62,50 +63,50 @@
 // TestGoldenSpec: what stands in open/ is read as the job that it was, every field of the
 // job is there, and it is written again as it stood.
 func TestGoldenSpec(t *testing.T) {
-	var r openJobRecord
-	if !decode(testgolden.Bytes(t, "open"), &r) {
+	var r record.OpenJobRecord
+	if !record.Decode(testgolden.Bytes(t, "open"), &r) {
 		t.Fatal("not a record")
 	}
 	s := r.JobSpec("job-000412")
 	all := maps.Clone(goldenRecords)
 	all["spec"] = s
 	testgolden.Full(t, all)
-	again := newOpenJobRecord(&s, time.UnixMilli(r.SubmittedAtMillis))
+	again := record.NewOpenJobRecord(&s, time.UnixMilli(r.SubmittedAtMillis))
 	again.Cancelled, again.CancelledAtMillis = r.Cancelled, r.CancelledAtMillis
 	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = r.LentTo, r.LendCount, r.StopBoundMillis, r.CancelRequested
 	again.BorrowedLoan, again.PromisedMillis = r.BorrowedLoan, r.PromisedMillis
-	testgolden.Still(t, "open", encode(again))
+	testgolden.Still(t, "open", record.Encode(again))
 }
 
 // TestGoldenNames: keys of the state service, and words and numbers that stand in records,
 // mean what they ever meant.
 func TestGoldenNames(t *testing.T) {
 	for want, got := range map[string]string{
-		"ctl/":                     controlPrefix,
-		"ctl/lead":                 leaderKey,
-		"ctl/node/":                controllerPrefix,
-		"ctl/share/":               shardPrefix,
-		"ctl/lot/":                 shardSegmentPrefix,
-		"ctl/drain":                drainKey,
-		"ctl/hears/":               reroutePrefix,
-		"ctl/form":                 formatKey,
-		"ctl/form/":                formatSupportPrefix,
-		"ctl/ranking":              rankingKey,
-		"ranking/":                 rankingHistoryPrefix,
-		"life/":                    incarnationPrefix,
-		"job/":                     jobStatusPrefix,
-		"open/":                    openJobPrefix,
+		"ctl/":                     record.ControlPrefix,
+		"ctl/lead":                 record.LeaderKey,
+		"ctl/node/":                record.ControllerPrefix,
+		"ctl/share/":               record.ShardPrefix,
+		"ctl/lot/":                 record.ShardSegmentPrefix,
+		"ctl/drain":                record.DrainKey,
+		"ctl/hears/":               record.ReroutePrefix,
+		"ctl/form":                 record.FormatKey,
+		"ctl/form/":                record.FormatSupportPrefix,
+		"ctl/ranking":              record.RankingKey,
+		"ranking/":                 record.RankingHistoryPrefix,
+		"life/":                    record.IncarnationPrefix,
+		"job/":                     record.JobStatusPrefix,
+		"open/":                    record.OpenJobPrefix,
 		"open/~ops/":               teamPagePrefix("ops"),
 		"open/~~7893bac725199fbd/": teamPagePrefix("o p s"),
 		"task/job-000412/3":        segmentFormat{tasksPerSegment: 42}.keyOf("job-000412", 3),
 		"task/job-000412/s21.3":    segmentFormat{tasksPerSegment: 21, sized: true}.keyOf("job-000412", 3),
-		"form/probe":               limitProbeKey,
-		"warm/":                    prewarmedPrefix,
-		"guest/":                   offloadedJobPrefix,
+		"form/probe":               record.LimitProbeKey,
+		"warm/":                    record.PrewarmedPrefix,
+		"guest/":                   record.OffloadedJobPrefix,
 		"guest/0/":                 renewalPrefix,
 		"move/ops":                 migrationKey("ops"),
-		"promise/quotes/":          quotesPrefix,
-		"promise/totals":           totalsKey,
+		"promise/quotes/":          record.QuotesPrefix,
+		"promise/totals":           record.TotalsKey,
 		"queued":                   string(model.Queued),
 		"cancelled":                string(model.Cancelled),
 		"done":                     string(model.Done),
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
 )
@@ -172,9 +173,9 @@
 func (d *hugeJobRun) storedRecords() (open, tasks []message.KeyValue) {
 	for _, k := range sortedKeys(d.stored) {
 		switch {
-		case strings.HasPrefix(k, openJobPrefix):
+		case strings.HasPrefix(k, record.OpenJobPrefix):
 			open = append(open, d.stored[k])
-		case strings.HasPrefix(k, taskSegmentPrefix):
+		case strings.HasPrefix(k, record.TaskSegmentPrefix):
 			tasks = append(tasks, d.stored[k])
 		}
 	}
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // newOddTypesPool is an owner with machine types that leave little: one kind in two zones, one in
@@ -34,16 +35,16 @@
 
 // submitTestJob is what a submission comes to: the records that it would write, or the answer
 // if nothing is known of the job.
-func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []openJobRecord) {
+func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []record.OpenJobRecord) {
 	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
 	change(&s)
 	n.submitJob(message.SubmitJob{Reply: 1, Spec: s})
 	n.flushSubmissions()
-	var records []openJobRecord
+	var records []record.OpenJobRecord
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
-			var r openJobRecord
-			decode(op.Writes[0].Value, &r)
+			var r record.OpenJobRecord
+			record.Decode(op.Writes[0].Value, &r)
 			records = append(records, r)
 		}
 	}
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -6,6 +6,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -45,7 +46,7 @@
 // many jobs end and others start.
 type jobEnd struct {
 	job         *job
-	rec         jobStatusRecord
+	rec         record.JobStatusRecord
 	segmentKeys []string
 }
 
@@ -60,10 +61,10 @@
 		e := jobEnd{job: j, rec: endRecord(n, j)}
 		var writes []message.Write
 		if !j.cancelled || j.cancelDerived {
-			writes = append(writes, message.Write{Key: jobStatusPrefix + j.ID, Value: encode(e.rec)})
+			writes = append(writes, message.Write{Key: record.JobStatusPrefix + j.ID, Value: record.Encode(e.rec)})
 		}
-		writes = append(writes, message.Write{Key: openJobPrefix + j.ID})
-		compares := append(n.shardCompares(j.Team), message.Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision})
+		writes = append(writes, message.Write{Key: record.OpenJobPrefix + j.ID})
+		compares := append(n.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
 		for _, a := range writes {
 			size += sizelimit.WriteBytes(sizelimit.Write{Key: a.Key, Value: a.Value})
 		}
@@ -117,7 +118,7 @@
 		n.removeEndedJob(j, e.segmentKeys)
 	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
-			return strings.HasPrefix(key, openJobPrefix) && key != openJobPrefix+j.ID
+			return strings.HasPrefix(key, record.OpenJobPrefix) && key != record.OpenJobPrefix+j.ID
 		}
 		if !alone && !slices.ContainsFunc(d.FailedKeys, func(key string) bool { return !isOthersRecord(key) }) {
 			// Only others of the same write have changed.
@@ -143,9 +144,9 @@
 func (n *Controller) resolveEndConflict(e jobEnd, gen int) {
 	j := e.job
 	retry := func() { j.ending = false }
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: jobStatusPrefix + j.ID}, func(d message.StoreResponse) {
-		var r jobStatusRecord
-		if d.Status == message.StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}, func(d message.StoreResponse) {
+		var r record.JobStatusRecord
+		if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
 			n.cacheFinalStatus(j.ID, model.Done)
 			cacheDoneDate(n, j.ID, r)
 			if n.shardLeader != nil && n.shardLeader.generation == gen {
@@ -154,7 +155,7 @@
 			return
 		}
 		if j.cancelled && d.Status == message.StoreOK {
-			n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: openJobPrefix + j.ID}, func(d message.StoreResponse) {
+			n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}, func(d message.StoreResponse) {
 				if d.Status == message.StoreNotFound && n.shardLeader != nil && n.shardLeader.generation == gen {
 					n.removeEndedJob(j, e.segmentKeys)
 					return
@@ -186,7 +187,7 @@
 	o.orphanedRecords = slices.Clone(o.orphanedRecords[k:])
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares("")}
 	for _, key := range keys {
-		if open := (message.Compare{Key: openJobPrefix + jobIDFromKey(key, taskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
+		if open := (message.Compare{Key: record.OpenJobPrefix + record.JobIDFromKey(key, record.TaskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
 			op.Compares = append(op.Compares, open)
 		}
 		op.Writes = append(op.Writes, message.Write{Key: key})
@@ -200,7 +201,7 @@
 			return
 		}
 		keys = slices.DeleteFunc(keys, func(key string) bool {
-			return slices.Contains(d.FailedKeys, openJobPrefix+jobIDFromKey(key, taskSegmentPrefix))
+			return slices.Contains(d.FailedKeys, record.OpenJobPrefix+record.JobIDFromKey(key, record.TaskSegmentPrefix))
 		})
 		n.after(n.jitter(storeRetryDelay), func() {
 			if n.shardLeader != nil && n.shardLeader.generation == gen {
--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // newDoneJobs makes jobs whose only task is done, with a record of it.
@@ -48,11 +49,11 @@
 		t.Fatalf("three ends were sent as %+v", ops)
 	}
 	for _, j := range jobs {
-		if !slices.Contains(ops[0].Compares, message.Compare{Key: openJobPrefix + j.ID, ModRevision: j.modRevision}) {
+		if !slices.Contains(ops[0].Compares, message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision}) {
 			t.Errorf("the end of %s does not name its record", j.ID)
 		}
 	}
-	n.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{openJobPrefix + jobs[1].ID}})
+	n.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + jobs[1].ID}})
 	if jobs[0].ending || jobs[2].ending || !jobs[1].ending {
 		t.Errorf("after a conflict of the second: ending %v %v %v", jobs[0].ending, jobs[1].ending, jobs[2].ending)
 	}
@@ -170,7 +171,7 @@
 		n.writeShardLeaderRecords()
 		for _, op := range sentTxns(n) {
 			for _, a := range op.Writes {
-				if a.Key != "task/starts/0" && strings.HasPrefix(a.Key, taskSegmentPrefix) && a.Value != nil {
+				if a.Key != "task/starts/0" && strings.HasPrefix(a.Key, record.TaskSegmentPrefix) && a.Value != nil {
 					t.Errorf("%s is written though its job is done", a.Key)
 				}
 			}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -7,6 +7,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // stopReason is why a live attempt is to be stopped.
@@ -128,7 +129,7 @@
 
 func newJob(spec model.JobSpec, at time.Time, stamp uint64, valueBytes int) *job {
 	return &job{
-		JobSpec: spec, submittedAt: at, modRevision: stamp, segmentFormat: segmentFormat{tasksPerSegment: maxTasksPerSegment(valueBytes)},
+		JobSpec: spec, submittedAt: at, modRevision: stamp, segmentFormat: segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(valueBytes)},
 		tasks:    make([]task, spec.Tasks),
 		segments: map[int]*taskSegment{}, groups: map[int64]*group{}, liveByZone: map[string]int{},
 	}
@@ -250,8 +251,8 @@
 const jobFaultFailures = 4
 
 // segmentRecord is the chunk in durable form.
-func (j *job) segmentRecord(c *taskSegment) taskSegmentRecord {
-	r := taskSegmentRecord{RankingRevision: c.rankingRevision}
+func (j *job) segmentRecord(c *taskSegment) record.TaskSegmentRecord {
+	r := record.TaskSegmentRecord{RankingRevision: c.rankingRevision}
 	lo, hi := c.index*j.tasksPerSegment, min((c.index+1)*j.tasksPerSegment, len(j.tasks))
 	groups := map[int64]bool{}
 	for i := lo; i < hi; i++ {
@@ -264,7 +265,7 @@
 				r.DoneRanges = append(r.DoneRanges, i, i)
 			}
 		case t.attempt > 0:
-			row := taskEntry{Index: i, Try: t.attempt, Group: t.groupStart, Relaunched: t.relaunched}
+			row := record.TaskEntry{Index: i, Try: t.attempt, Group: t.groupStart, Relaunched: t.relaunched}
 			if t.machine != nil {
 				row.Machine = t.machine.id
 			}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -9,6 +9,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // Jobs lent to peers and borrowed from them. What is decided about them is in
@@ -38,25 +39,13 @@
 	return l.borrowedLoan == "" || now.Before(l.startableUntil)
 }
 
-func (l *loanState) setLoanFrom(r *openJobRecord) {
+func (l *loanState) setLoanFrom(r *record.OpenJobRecord) {
 	l.lentTo, l.lendCount, l.cancelRequested, l.borrowedLoan = r.LentTo, r.LendCount, r.CancelRequested, r.BorrowedLoan
 }
 
-type drainRecord struct {
-	Enabled  bool  `msgpack:"on"`
-	Deadline int64 `msgpack:"by"`
-}
-
-// offloadedJobRecord is a loan that was taken, or the time when a home last answered.
-type offloadedJobRecord struct {
-	Job       string `msgpack:"j,omitempty"`
-	Cause     string `msgpack:"c,omitempty"`
-	RenewedAt int64  `msgpack:"r,omitempty"`
-}
-
 // renewalPrefix holds the times of answered reports, one record for each home. No
 // loan's name begins like that, as no cluster's does.
-const renewalPrefix = offloadedJobPrefix + "0/"
+const renewalPrefix = record.OffloadedJobPrefix + "0/"
 
 // offloadedJobs is the picture that the owner of the guests' team has of guest/, in the
 // given term as its owner.
@@ -65,7 +54,7 @@
 	term      int
 	loaded    bool
 	loading   bool
-	byLoan    map[string]offloadedJobRecord
+	byLoan    map[string]record.OffloadedJobRecord
 	renewedAt map[string]time.Time
 }
 
@@ -80,12 +69,12 @@
 	case borrowing && ownerReady && offloadedJobsLoaded(n):
 		req.Compares = append(req.Compares, n.shardCompares(n.offloadedJobs.team)...)
 	case !borrowing && n.leader != nil:
-		req.Compares = append(req.Compares, message.Compare{Key: leaderKey, ModRevision: n.leader.modRevision})
+		req.Compares = append(req.Compares, message.Compare{Key: record.LeaderKey, ModRevision: n.leader.modRevision})
 	default:
 		done(message.LoanNotApplied)
 		return
 	}
-	openKey := openJobPrefix + cmd.Job
+	openKey := record.OpenJobPrefix + cmd.Job
 	var j *job
 	if ownerReady {
 		j = n.shardLeader.jobs[cmd.Job]
@@ -105,7 +94,7 @@
 		// which leaves open/ as it is: the first task's record must not be there either.
 		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), message.Compare{Key: openKey, ModRevision: j.modRevision})
 		req.Compares = append(req.Compares, n.neverStartedCompares(cmd.Job)...)
-		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
+		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
 	case message.LoanTakeBack:
 		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
 			done(message.LoanNotApplied)
@@ -114,7 +103,7 @@
 		rec := current.rec
 		rec.LentTo, rec.StopBoundMillis, rec.CancelRequested = "", 0, false
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
-		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
+		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
 	case message.LoanSettle, message.LoanEndCancelled:
 		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
 			done(message.LoanNotApplied)
@@ -126,19 +115,19 @@
 		}
 		endRec := endRecordFromCache(n, cmd.Job, status, &current)
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
-		req.Writes = append(req.Writes, message.Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRec)})
+		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(endRec)})
 		openUpdate = message.KeyValue{Key: openKey, Deleted: true}
 		onApplied = func() {
 			n.cacheFinalStatus(cmd.Job, status)
 			cacheDoneDate(n, cmd.Job, endRec)
 		}
 	case message.LoanAccept:
-		rec := newOpenJobRecord(&cmd.Spec, n.now.Add(-cmd.Age))
+		rec := record.NewOpenJobRecord(&cmd.Spec, n.now.Add(-cmd.Age))
 		rec.BorrowedLoan = cmd.Loan
-		req.Compares = append(req.Compares, message.Compare{Key: offloadedJobPrefix + cmd.Loan, ModRevision: 0}, message.Compare{Key: openKey, ModRevision: 0}, message.Compare{Key: jobStatusPrefix + cmd.Job, ModRevision: 0})
-		req.Writes = append(req.Writes, message.Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(offloadedJobRecord{Job: cmd.Job})})
-		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
-		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = offloadedJobRecord{Job: cmd.Job} }
+		req.Compares = append(req.Compares, message.Compare{Key: record.OffloadedJobPrefix + cmd.Loan, ModRevision: 0}, message.Compare{Key: openKey, ModRevision: 0}, message.Compare{Key: record.JobStatusPrefix + cmd.Job, ModRevision: 0})
+		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(record.OffloadedJobRecord{Job: cmd.Job})})
+		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
+		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = record.OffloadedJobRecord{Job: cmd.Job} }
 	case message.LoanGiveUp:
 		if !isOpen || current.rec.Cancelled {
 			done(message.LoanNotApplied)
@@ -147,15 +136,15 @@
 		rec := current.rec
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
-		g := offloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
+		g := record.OffloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
-		req.Writes = append(req.Writes, message.Write{Key: jobStatusPrefix + cmd.Job, Value: encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
-			message.Write{Key: offloadedJobPrefix + cmd.Loan, Value: encode(g)})
-		openUpdate = message.KeyValue{Key: openKey, Value: encode(rec)}
+		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
+			message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(g)})
+		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
 		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = g }
 	case message.LoanDrop:
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: 0})
-		req.Writes = append(req.Writes, message.Write{Key: offloadedJobPrefix + cmd.Loan}, message.Write{Key: jobStatusPrefix + cmd.Job})
+		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan}, message.Write{Key: record.JobStatusPrefix + cmd.Job})
 		onApplied = func() {
 			delete(n.offloadedJobs.byLoan, cmd.Loan)
 			delete(n.frontend.finalStatuses, cmd.Job)
@@ -201,8 +190,8 @@
 }
 
 // currentRecord is the job's record in open/ as it stands.
-func (j *job) currentRecord() openJobRecord {
-	r := newOpenJobRecord(&j.JobSpec, j.submittedAt)
+func (j *job) currentRecord() record.OpenJobRecord {
+	r := record.NewOpenJobRecord(&j.JobSpec, j.submittedAt)
 	if j.urgencyRaised {
 		r.Urgency = int(j.ownUrgency)
 	}
@@ -227,7 +216,7 @@
 	}
 	rec := f.open
 	rec.CancelRequested = true
-	it := message.KeyValue{Key: openJobPrefix + w.id, Value: encode(rec)}
+	it := message.KeyValue{Key: record.OpenJobPrefix + w.id, Value: record.Encode(rec)}
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []message.Write{{Key: it.Key, Value: it.Value}}}, func(d message.StoreResponse) {
 		if d.Status == message.StoreOK {
 			it.ModRevision = d.Revision
@@ -255,23 +244,23 @@
 	}
 	g.loading = true
 	term := n.shardLeader.teams[team].holdID
-	by, renewed := map[string]offloadedJobRecord{}, map[string]time.Time{}
+	by, renewed := map[string]record.OffloadedJobRecord{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: offloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
 			if held := n.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
 				g.loading = false
 				return
 			}
 			for _, it := range resp.KeyValues {
-				var r offloadedJobRecord
+				var r record.OffloadedJobRecord
 				switch {
-				case !decode(it.Value, &r):
+				case !record.Decode(it.Value, &r):
 					n.info("unreadable record", "key", it.Key)
 				case strings.HasPrefix(it.Key, renewalPrefix):
 					renewed[strings.TrimPrefix(it.Key, renewalPrefix)] = time.UnixMilli(r.RenewedAt)
 				default:
-					by[strings.TrimPrefix(it.Key, offloadedJobPrefix)] = r
+					by[strings.TrimPrefix(it.Key, record.OffloadedJobPrefix)] = r
 				}
 			}
 			if resp.Truncated && len(resp.KeyValues) > 0 {
@@ -291,7 +280,7 @@
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(n.offloadedJobs.team)}
 	for _, home := range sortedKeys(c.RenewedAt) {
 		if len(op.Writes) < n.settings.MaxTxnWrites {
-			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: encode(offloadedJobRecord{RenewedAt: c.RenewedAt[home].UnixMilli()})})
+			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJobRecord{RenewedAt: c.RenewedAt[home].UnixMilli()})})
 		}
 	}
 	if len(op.Writes) > 0 {
@@ -378,8 +367,8 @@
 		b.StatusKnown, b.Status = true, s
 	} else {
 		n.readStatusRecord(g.Job, func(d message.StoreResponse) {
-			var r jobStatusRecord
-			if d.Status == message.StoreOK && decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
+			var r record.JobStatusRecord
+			if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
 				n.cacheFinalStatus(g.Job, r.Status)
 			}
 		})
@@ -491,12 +480,12 @@
 
 // runDrainCommand writes whether the cluster is being emptied of borrowed work.
 func runDrainCommand(n *Controller, c message.DrainCommand) {
-	rec := encode(drainRecord{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Writes: []message.Write{{Key: drainKey, Value: rec}}}, func(d message.StoreResponse) {
+	rec := record.Encode(record.DrainRecord{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Writes: []message.Write{{Key: record.DrainKey, Value: rec}}}, func(d message.StoreResponse) {
 		s := message.LoanUncertain
 		if d.Status == message.StoreOK {
 			s = message.LoanDurable
-			n.applyControlRecord(message.KeyValue{Key: drainKey, Value: rec, ModRevision: d.Revision})
+			n.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: rec, ModRevision: d.Revision})
 		}
 		n.emit(message.LoanReply{Reply: c.Reply, Status: s})
 	})
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -9,6 +9,7 @@
 
 	"github.com/micahill/micahill/internal/incarnation"
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -58,12 +59,12 @@
 	// then all that is read of the division belongs together.
 	revision           uint64
 	loaded             bool
-	leader             leaderRecord
+	leader             record.LeaderRecord
 	leaderModRevision  uint64
-	controllers        map[string]memberRecord
+	controllers        map[string]record.MemberRecord
 	shardMap           *sharding.Map
 	claimingLeadership bool
-	drain              drainRecord
+	drain              record.DrainRecord
 	// formatSupport are the controllers that know parts of records, and form the one that all
 	// have come to, of formatKey's stamp; forming: a write for that is under way. See
 	// formats.go.
@@ -120,7 +121,7 @@
 
 func (n *Controller) startMembership() {
 	n.membership.started, n.membership.startedAt = true, n.now
-	n.membership.controllers, n.membership.formatSupport = map[string]memberRecord{}, map[string]bool{}
+	n.membership.controllers, n.membership.formatSupport = map[string]record.MemberRecord{}, map[string]bool{}
 	n.membership.shardMap = sharding.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
@@ -147,17 +148,17 @@
 // beginIncarnation calls fn when this life may take part, which after several short ones in
 // a row is not at once; see internal/incarnation.
 func beginIncarnation(n *Controller, fn func()) {
-	key := incarnationPrefix + n.settings.Host
+	key := record.IncarnationPrefix + n.settings.Host
 	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK && d.Status != message.StoreNotFound {
 			n.after(n.jitter(storeRetryDelay), func() { beginIncarnation(n, fn) })
 			return
 		}
-		var r incarnationRecord
-		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && decode(d.KeyValues[0].Value, &r)
+		var r record.IncarnationRecord
+		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && record.Decode(d.KeyValues[0].Value, &r)
 		past, wait := incarnation.Start(n.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
 		// It need not be waited for: lost, it only makes the next life wait less.
-		rec := encode(incarnationRecord{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
+		rec := record.Encode(record.IncarnationRecord{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
 		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
 			n.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
@@ -171,11 +172,11 @@
 // known what stands under its name.
 func (n *Controller) endPreviousIncarnation(fn func()) {
 	s := &n.membership
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: controllerPrefix + n.settings.Host}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.ControllerPrefix + n.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
 		case message.StoreOK:
-			var old memberRecord
-			if !decode(d.KeyValues[0].Value, &old) || old.Incarnation == n.incarnation() {
+			var old record.MemberRecord
+			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == n.incarnation() {
 				s.recordModRevision = d.KeyValues[0].ModRevision
 				fn()
 				return
@@ -209,8 +210,8 @@
 
 func (n *Controller) register() {
 	grant := n.membership.leaseID
-	key := controllerPrefix + n.settings.Host
-	rec := encode(memberRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
+	key := record.ControllerPrefix + n.settings.Host
+	rec := record.Encode(record.MemberRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: n.membership.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d message.StoreResponse) {
 		if n.membership.leaseID != grant {
 			return
@@ -288,7 +289,7 @@
 
 // recentlyStarted says that a controller began so lately that it gets no duty yet that another
 // can have.
-func (n *Controller) recentlyStarted(r memberRecord) bool {
+func (n *Controller) recentlyStarted(r record.MemberRecord) bool {
 	return r.StartedAt != 0 && incarnation.OnProbation(n.now, time.UnixMilli(r.StartedAt))
 }
 
@@ -329,7 +330,7 @@
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: controlPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if gen != s.generation {
 				return
 			}
@@ -349,7 +350,7 @@
 				list(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			s.leader, s.leaderModRevision, s.drain = leaderRecord{}, 0, drainRecord{}
+			s.leader, s.leaderModRevision, s.drain = record.LeaderRecord{}, 0, record.DrainRecord{}
 			clear(s.controllers)
 			oldShardMap := s.shardMap
 			s.shardMap = sharding.NewMap()
@@ -381,7 +382,7 @@
 	if s.revision < completeRevision {
 		hold = 0
 	}
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: controlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
 		if gen != s.generation {
 			return
 		}
@@ -432,7 +433,7 @@
 	waiters := s.confirmWaiters
 	s.confirmWaiters = nil
 	gen := s.generation
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: controlPrefix, Revision: s.revision}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision}, func(d message.StoreResponse) {
 		s.confirming = false
 		if gen != s.generation || d.Status != message.StoreOK {
 			// Whoever needs it asks again.
@@ -459,33 +460,33 @@
 	}
 	var err error
 	switch {
-	case it.Key == drainKey:
-		s.drain = drainRecord{}
+	case it.Key == record.DrainKey:
+		s.drain = record.DrainRecord{}
 		if !it.Deleted {
-			decode(it.Value, &s.drain)
+			record.Decode(it.Value, &s.drain)
 		}
-	case it.Key == leaderKey:
-		s.leader, s.leaderModRevision = leaderRecord{}, 0
-		if !it.Deleted && decode(it.Value, &s.leader) {
+	case it.Key == record.LeaderKey:
+		s.leader, s.leaderModRevision = record.LeaderRecord{}, 0
+		if !it.Deleted && record.Decode(it.Value, &s.leader) {
 			s.leaderModRevision = it.ModRevision
 		}
-	case it.Key == formatKey, strings.HasPrefix(it.Key, formatSupportPrefix):
+	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
 		applyFormatRecord(n, it)
-	case it.Key == rankingKey:
+	case it.Key == record.RankingKey:
 		applyRankingRecord(n, it)
-	case strings.HasPrefix(it.Key, reroutePrefix):
+	case strings.HasPrefix(it.Key, record.ReroutePrefix):
 		applyRerouteRecord(n, it)
-	case strings.HasPrefix(it.Key, controllerPrefix):
-		host := strings.TrimPrefix(it.Key, controllerPrefix)
+	case strings.HasPrefix(it.Key, record.ControllerPrefix):
+		host := strings.TrimPrefix(it.Key, record.ControllerPrefix)
 		delete(s.controllers, host)
-		var r memberRecord
-		if !it.Deleted && decode(it.Value, &r) {
+		var r record.MemberRecord
+		if !it.Deleted && record.Decode(it.Value, &r) {
 			s.controllers[host] = r
 		}
-	case strings.HasPrefix(it.Key, shardPrefix):
-		err = s.shardMap.ApplyShard(strings.TrimPrefix(it.Key, shardPrefix), value, it.ModRevision)
-	case strings.HasPrefix(it.Key, shardSegmentPrefix):
-		err = s.shardMap.ApplySegment(strings.TrimPrefix(it.Key, shardSegmentPrefix), value, it.ModRevision)
+	case strings.HasPrefix(it.Key, record.ShardPrefix):
+		err = s.shardMap.ApplyShard(strings.TrimPrefix(it.Key, record.ShardPrefix), value, it.ModRevision)
+	case strings.HasPrefix(it.Key, record.ShardSegmentPrefix):
+		err = s.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
 	}
 	if err != nil {
 		n.rejectInput("record", it.Key, err.Error())
@@ -531,9 +532,9 @@
 		return
 	}
 	s.claimingLeadership = true
-	rec := encode(leaderRecord{Host: n.settings.Host, Incarnation: n.incarnation()})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: leaderKey, ModRevision: 0}},
-		Writes: []message.Write{{Key: leaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d message.StoreResponse) {
+	rec := record.Encode(record.LeaderRecord{Host: n.settings.Host, Incarnation: n.incarnation()})
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
+		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d message.StoreResponse) {
 		s.claimingLeadership = false
 		switch d.Status {
 		case message.StoreOK, message.StoreConflict:
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -7,15 +7,13 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // migration.go carries out moves of replicas: it shows the owner's books to internal/migration,
 // holds places, stops replicas, and starts them at their targets. A move decides where,
 // never whether: a replica starts anew only on proof and after its record, like any task.
 
-// migrationPrefix has a record for each team with moves under way.
-const migrationPrefix = "move/"
-
 // migrations is an owner's moves.
 type migrations struct {
 	tracker *migration.Tracker
@@ -43,7 +41,7 @@
 }
 
 // migrationKey is the key of a team's record.
-func migrationKey(team string) string { return migrationPrefix + teamKey(team) }
+func migrationKey(team string) string { return record.MigrationPrefix + teamKey(team) }
 
 // migrationsOf is an owner's moves, nil where models are not switched on.
 func migrationsOf(n *Controller) *migrations {
@@ -72,7 +70,7 @@
 		return
 	}
 	gen := n.shardLeader.generation
-	readAll(n, migrationPrefix, message.PriorityMembership, func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }, then)
+	readAll(n, record.MigrationPrefix, message.PriorityMembership, func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }, then)
 }
 
 // recoverMigrations takes up what former owners had under way for teams that have come.
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -7,6 +7,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // migration_plan.go says when moves are worth planning, and writes them down.
@@ -361,7 +362,7 @@
 				return
 			}
 			teams = append(teams, j.Team)
-			if c := (message.Compare{Key: openJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
+			if c := (message.Compare{Key: record.OpenJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
 				op.Compares = append(op.Compares, c)
 			}
 		}
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // hostPool is an owner with three hosts of eight GPUs, of which no more can be rented. A
@@ -77,13 +78,13 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	share := n.membership.shardMap.Team("ops")
-	for _, c := range []message.Compare{{Key: shardPrefix + "a", ModRevision: share.ModRevision}, {Key: openJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
+	for _, c := range []message.Compare{{Key: record.ShardPrefix + "a", ModRevision: share.ModRevision}, {Key: record.OpenJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
 		if !slices.Contains(op.Compares, c) {
 			t.Errorf("conditions %v, want %v among them", op.Compares, c)
 		}
 	}
 	moved := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
-	if !slices.Contains(op.Compares, message.Compare{Key: openJobPrefix + moved.Job, ModRevision: 7}) {
+	if !slices.Contains(op.Compares, message.Compare{Key: record.OpenJobPrefix + moved.Job, ModRevision: 7}) {
 		t.Errorf("conditions %v, want the moved job's", op.Compares)
 	}
 	j := n.shardLeader.jobs[moved.Job]
@@ -115,7 +116,7 @@
 func TestMigrationConflict(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
-	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{openJobPrefix + "job-large"}})
+	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + "job-large"}})
 	if len(n.shardLeader.migrations.tracker.Holds()) > 0 || n.shardLeader.machinesByID[0].reservedForMigration != (model.Resources{}) || n.shardLeader.machinesByID[1].reservedForMigration != (model.Resources{}) {
 		t.Error("places stay held")
 	}
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -9,6 +9,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // outcomes.go shares what quotes rest on, and counts what became of the dates. The
@@ -47,7 +48,7 @@
 	if !n.promisesEnabled() {
 		return
 	}
-	readAll(n, quotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
+	readAll(n, record.QuotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
 		for _, it := range its {
 			acceptQuotes(n, it.Key, it.Value, false)
 		}
@@ -109,7 +110,7 @@
 			continue
 		}
 		o.promiseDates.quotesStoredAt = n.now
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(next), Writes: []message.Write{{Key: quotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(next), Writes: []message.Write{{Key: record.QuotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
 			if n.shardLeader == o && d.Status == message.StoreOK {
 				if o.promiseDates.quotesStoredHash == nil {
 					o.promiseDates.quotesStoredHash = map[string]uint64{}
@@ -150,7 +151,7 @@
 func readTotals(n *Controller) {
 	by := n.leader
 	tracker := &n.promises.totals
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityLazy, Key: totalsKey}, func(resp message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityLazy, Key: record.TotalsKey}, func(resp message.StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
@@ -163,7 +164,7 @@
 			var err error
 			stamp = resp.KeyValues[0].ModRevision
 			if t, err = promise.DecodeTotals(resp.KeyValues[0].Value); err != nil {
-				n.rejectInput("record", totalsKey, err.Error())
+				n.rejectInput("record", record.TotalsKey, err.Error())
 				if errors.Is(err, promise.ErrFormat) {
 					tracker.inFlight = false
 					return
@@ -183,7 +184,7 @@
 func followTotals(n *Controller) {
 	by := n.leader
 	x := &n.promises.totals
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityLazy, Key: jobStatusPrefix, Revision: x.current.Revision}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, Revision: x.current.Revision}, func(d message.StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
@@ -205,7 +206,7 @@
 // first page: what ends meanwhile the next look brings.
 func listEnds(n *Controller, t *promise.Totals, from string, upTo, since uint64) {
 	by := n.leader
-	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityLazy, Key: jobStatusPrefix, StartAfter: from}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, StartAfter: from}, func(d message.StoreResponse) {
 		if !isStillLeader(n, by) {
 			return
 		}
@@ -231,12 +232,12 @@
 func countEnds(t *promise.Totals, items []message.KeyValue, since, upTo uint64) bool {
 	counted := false
 	for _, it := range items {
-		var r jobStatusRecord
-		if it.Deleted || it.ModRevision <= since || it.ModRevision > upTo || !decode(it.Value, &r) || !r.Status.IsFinal() || r.Offloaded {
+		var r record.JobStatusRecord
+		if it.Deleted || it.ModRevision <= since || it.ModRevision > upTo || !record.Decode(it.Value, &r) || !r.Status.IsFinal() || r.Offloaded {
 			continue
 		}
 		counted = true
-		t.Add(promise.JobEnd{Team: r.Team, Class: r.Workload, Date: r.Date(), Duration: time.Duration(min(max(r.EndedAfterMillis, 0), maxDateMillis)) * time.Millisecond, PromisedAtAccept: r.PromisedAtSubmit})
+		t.Add(promise.JobEnd{Team: r.Team, Class: r.Workload, Date: r.Date(), Duration: time.Duration(min(max(r.EndedAfterMillis, 0), record.MaxDateMillis)) * time.Millisecond, PromisedAtAccept: r.PromisedAtSubmit})
 	}
 	return counted
 }
@@ -253,7 +254,7 @@
 		return
 	}
 	value := t.Encode(n.maxPageBytes())
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: []message.Compare{{Key: leaderKey, ModRevision: by.modRevision}, {Key: totalsKey, ModRevision: tracker.modRevision}}, Writes: []message.Write{{Key: totalsKey, Value: value}}}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: by.modRevision}, {Key: record.TotalsKey, ModRevision: tracker.modRevision}}, Writes: []message.Write{{Key: record.TotalsKey, Value: value}}}, func(d message.StoreResponse) {
 		tracker.inFlight = false
 		if n.leader != by || d.Status != message.StoreOK {
 			// What became of it the record tells, before anything more is counted.
@@ -300,12 +301,12 @@
 			return
 		}
 		addOpenPromises(n, query, &reply)
-		n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: totalsKey}, func(resp message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.TotalsKey}, func(resp message.StoreResponse) {
 			t := &promise.Totals{}
 			if resp.Status == message.StoreOK {
 				x, err := promise.DecodeTotals(resp.KeyValues[0].Value)
 				if err != nil {
-					n.rejectInput("record", totalsKey, err.Error())
+					n.rejectInput("record", record.TotalsKey, err.Error())
 					n.emit(reply)
 					return
 				}
@@ -325,8 +326,8 @@
 				return
 			}
 			n.readStatusRecord(query.Job, func(resp message.StoreResponse) {
-				var j jobStatusRecord
-				if resp.Status == message.StoreOK && decode(resp.KeyValues[0].Value, &j) {
+				var j record.JobStatusRecord
+				if resp.Status == message.StoreOK && record.Decode(resp.KeyValues[0].Value, &j) {
 					x := j.Date()
 					reply.Open = append(reply.Open, message.OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
 				}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -6,6 +6,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // A controller that reaches the state service but no worker is of no use as an
@@ -20,8 +21,6 @@
 // come back, it asks those that it has just heard; if none answers, it is mute.
 
 const (
-	// reroutePrefix keeps what a controller says of machines that come back to it.
-	reroutePrefix = controlPrefix + "hears/"
 	// minReroutedMachines is how many machines must come back before anybody says so. One
 	// may have lost its way by itself.
 	minReroutedMachines = 2
@@ -36,14 +35,6 @@
 	partitionLeadDelay = 3 * time.Second
 )
 
-// rerouteRecord says that machines of the controller Of, in its life Nonce, keep
-// coming to whoever writes it.
-type rerouteRecord struct {
-	Controller  string `msgpack:"of"`
-	Incarnation string `msgpack:"nonce"`
-	Machines    int    `msgpack:"n"`
-}
-
 // receivesNothing says that this controller has lately given up for hearing no worker.
 func (s *membership) receivesNothing(now time.Time) bool { return now.Before(s.receivesNothingUntil) }
 
@@ -166,14 +157,14 @@
 	}
 	n.reroutedPublishedAt = n.now
 	n.info("machines come back from their steward", "steward", ownerHost, "machines", count)
-	rec := encode(rerouteRecord{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: reroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
+	rec := record.Encode(record.RerouteRecord{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
 }
 
 // applyRerouteRecord takes in what another controller says of this one's machines.
 func applyRerouteRecord(n *Controller, it message.KeyValue) {
-	var r rerouteRecord
-	if !it.Deleted && decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
+	var r record.RerouteRecord
+	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
 		if n.now.Sub(n.membership.reroutesReportedAt) > rerouteRecordTTL {
 			// What was asked before says nothing of now.
 			n.selfMonitor.RequestDelivered()
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -14,22 +15,6 @@
 // waits for its images after the end of all controllers, when nobody else knows.
 const prewarmedWriteInterval = 4 * time.Second
 
-// prewarmedRecord is what some of the machines hold. Machines are kept by the number
-// at the end of their names, which is short.
-type prewarmedRecord struct {
-	MachinePrefix string           `msgpack:"p"`
-	NumberWidth   int              `msgpack:"w"`
-	Images        []prewarmedImage `msgpack:"i"`
-}
-
-type prewarmedImage struct {
-	//lint:ignore U1000 its tag has rows stored as lists
-	_msgpack struct{} `msgpack:",as_array"`
-	Name     string
-	GB       float64
-	Machines []int
-}
-
 // splitMachineNumber splits a machine's name into what stands before its number, and that.
 func splitMachineNumber(id string) (prefix string, value, width int, ok bool) {
 	prefix = strings.TrimRight(id, "0123456789")
@@ -44,8 +29,8 @@
 
 // nextPrewarmedRecord puts together the next record, from the machine at the place on, and
 // says where the one after it begins.
-func (n *Controller) nextPrewarmedRecord(from int) (prewarmedRecord, int) {
-	var r prewarmedRecord
+func (n *Controller) nextPrewarmedRecord(from int) (record.PrewarmedRecord, int) {
+	var r record.PrewarmedRecord
 	at := map[string]int{}
 	maxBytes := n.settings.MaxValueBytes * 3 / 4
 	bytesLeft := maxBytes
@@ -84,7 +69,7 @@
 			if !ok {
 				i = len(r.Images)
 				at[name] = i
-				r.Images = append(r.Images, prewarmedImage{Name: name, GB: im.sizeGB})
+				r.Images = append(r.Images, record.PrewarmedImage{Name: name, GB: im.sizeGB})
 			}
 			r.Images[i].Machines = append(r.Images[i].Machines, value)
 		}
@@ -107,11 +92,11 @@
 		o.prewarmedNextMachine = next
 		return
 	}
-	key := prewarmedPrefix + n.settings.Host + "/" + strconv.Itoa(o.prewarmedNextKey)
+	key := record.PrewarmedPrefix + n.settings.Host + "/" + strconv.Itoa(o.prewarmedNextKey)
 	o.prewarmedNextMachine, o.prewarmedNextKey, o.writingPrewarmed = next, o.prewarmedNextKey+1, true
 	gen := o.generation
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(""),
-		Writes: []message.Write{{Key: key, Value: encode(r)}}}, func(message.StoreResponse) {
+		Writes: []message.Write{{Key: key, Value: record.Encode(r)}}}, func(message.StoreResponse) {
 		if n.shardLeader != nil && n.shardLeader.generation == gen {
 			n.shardLeader.writingPrewarmed = false
 		}
@@ -120,8 +105,8 @@
 
 // applyPrewarmedRecord takes in a record of a former owner.
 func (n *Controller) applyPrewarmedRecord(it message.KeyValue) {
-	var r prewarmedRecord
-	if !decode(it.Value, &r) {
+	var r record.PrewarmedRecord
+	if !record.Decode(it.Value, &r) {
 		return
 	}
 	for _, im := range r.Images {
--- a/internal/controller/prewarmed_test.go
+++ b/internal/controller/prewarmed_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // TestSuccessorRecoversCachedImages guards against fetches, after the end of all
@@ -21,9 +22,9 @@
 	successor.shardLeader.prewarmedImages = map[string]map[string]float64{}
 	records := 0
 	for from := 0; from < len(n.shardLeader.machinesByID); records++ {
-		var r prewarmedRecord
+		var r record.PrewarmedRecord
 		r, from = n.nextPrewarmedRecord(from)
-		val := encode(r)
+		val := record.Encode(r)
 		if len(val) > n.settings.MaxValueBytes {
 			t.Errorf("a record of %d bytes", len(val))
 		}
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -10,6 +10,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // promises.go joins the promised dates in the core: who writes a date, under which
@@ -23,10 +24,7 @@
 const (
 	// pageMarker is what the keys of pages begin with after open/. No job is named so.
 	pageMarker = "~"
-	pagePrefix = openJobPrefix + pageMarker
-	// quotesPrefix holds what quotes rest on, by team, and totalsKey the outcomes.
-	quotesPrefix = "promise/quotes/"
-	totalsKey    = "promise/totals"
+	pagePrefix = record.OpenJobPrefix + pageMarker
 	// maxTeamKeyLen is how long a team's name may be in a key; longer ones stand as their
 	// hash.
 	maxTeamKeyLen = 100
@@ -40,8 +38,6 @@
 	// overrunFraction is the part of its run time that a task is taken to need still when it has
 	// run for longer than expected.
 	overrunFraction = 0.25
-	// maxDateMillis is the longest date in milliseconds.
-	maxDateMillis = int(promise.MaxDate / time.Millisecond)
 )
 
 // promiseState is what a controller has of dates beside its jobs.
@@ -147,30 +143,13 @@
 	return l.rec.FirstDate()
 }
 
-// FirstDate is the date in the accepting record; what makes no sense is none.
-func (r *openJobRecord) FirstDate() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: 1}
-	if r.PromisedMillis <= 0 || r.PromisedMillis > maxDateMillis {
-		return promise.Date{}
-	}
-	return d
-}
-
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
-func cacheDoneDate(n *Controller, id string, r jobStatusRecord) {
+func cacheDoneDate(n *Controller, id string, r record.JobStatusRecord) {
 	if d := r.Date(); n.promisesEnabled() && d.Revision > 0 {
 		n.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
 }
 
-func (r *jobStatusRecord) Date() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
-	if r.Status != model.Done || r.PromisedMillis > maxDateMillis || d.Validate() != "" {
-		return promise.Date{}
-	}
-	return d
-}
-
 // quoterFor is what quotes of a team rest on here, if anything.
 func quoterFor(n *Controller, team string, create bool) *promise.Quoter {
 	q := n.promises.quotes[team]
@@ -197,7 +176,7 @@
 			p.perGB = kinds / rate
 		}
 	}
-	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, FetchTime: Seconds(s.ImageGB * p.perGB)}
+	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, FetchTime: record.Seconds(s.ImageGB * p.perGB)}
 }
 
 // quoteDate is the date for a job that is accepted here, if one is at hand.
@@ -222,7 +201,7 @@
 }
 
 // notePromiseRecord takes in a job's record as its owner reads it.
-func notePromiseRecord(n *Controller, j *job, r *openJobRecord) {
+func notePromiseRecord(n *Controller, j *job, r *record.OpenJobRecord) {
 	if d := r.FirstDate(); n.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
@@ -273,8 +252,8 @@
 // endRecordFromCache is the record of a job that is over, by its record in open/, for whoever
 // does not run it: who cancels, and the leader for one that a peer has done. Its owner
 // has made no date since it was lent, and none was on its way.
-func endRecordFromCache(n *Controller, id string, s model.JobStatus, l *openJob) jobStatusRecord {
-	r := jobStatusRecord{Status: s, Tasks: l.rec.Tasks}
+func endRecordFromCache(n *Controller, id string, s model.JobStatus, l *openJob) record.JobStatusRecord {
+	r := record.JobStatusRecord{Status: s, Tasks: l.rec.Tasks}
 	if !n.promisesEnabled() {
 		return r
 	}
@@ -290,8 +269,8 @@
 
 // endRecord is the record of a job whose tasks are all done here: with the newest date
 // that was decided, durable or not, so that no late page can be newer than it.
-func endRecord(n *Controller, j *job) jobStatusRecord {
-	r := jobStatusRecord{Status: model.Done, Tasks: len(j.tasks)}
+func endRecord(n *Controller, j *job) record.JobStatusRecord {
+	r := record.JobStatusRecord{Status: model.Done, Tasks: len(j.tasks)}
 	if j.cancelled {
 		r.Status = model.Cancelled
 	}
@@ -310,7 +289,7 @@
 }
 
 // learnFromEnd learns from a job's end.
-func learnFromEnd(n *Controller, j *job, r jobStatusRecord) {
+func learnFromEnd(n *Controller, j *job, r record.JobStatusRecord) {
 	if !n.promisesEnabled() || j.borrowedLoan != "" {
 		return
 	}
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -10,6 +10,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -21,9 +22,6 @@
 // Nothing here runs without Product.Ranking.
 
 const (
-	rankingKey = controlPrefix + "ranking"
-	// rankingHistoryPrefix has the last rankings, by their revision modulo ranking.History.
-	rankingHistoryPrefix = "ranking/"
 	// maxRankingStaleness is how long after a moment as of which the ranking is known a start may
 	// leave: the operators' bound for one that an older ranking decided.
 	maxRankingStaleness = 2 * time.Second
@@ -94,8 +92,8 @@
 
 // noteRankingAbsence takes in that a whole read of ctl/ did not show a record.
 func noteRankingAbsence(n *Controller, items []message.KeyValue) {
-	if !slices.ContainsFunc(items, func(it message.KeyValue) bool { return it.Key == rankingKey }) {
-		applyRankingRecord(n, message.KeyValue{Key: rankingKey, Deleted: true})
+	if !slices.ContainsFunc(items, func(it message.KeyValue) bool { return it.Key == record.RankingKey }) {
+		applyRankingRecord(n, message.KeyValue{Key: record.RankingKey, Deleted: true})
 	}
 }
 
@@ -118,7 +116,7 @@
 // readRankingHistory reads the rankings that are kept, the newest first. It gives up at until,
 // and has none to tell of then; a zero one is never.
 func readRankingHistory(n *Controller, deadline time.Time, fn func([]ranking.Record)) {
-	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: rankingHistoryPrefix}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.RankingHistoryPrefix}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK && !deadline.IsZero() && n.now.After(deadline) {
 			fn(nil)
 			return
@@ -353,7 +351,7 @@
 // rankingWrites are the changes that set a ranking: the record, and the same as history.
 func rankingWrites(rec ranking.Record) []message.Write {
 	b := rec.Encode()
-	return []message.Write{{Key: rankingKey, Value: b}, {Key: fmt.Sprint(rankingHistoryPrefix, rec.Revision%ranking.HistoryLen), Value: b}}
+	return []message.Write{{Key: record.RankingKey, Value: b}, {Key: fmt.Sprint(record.RankingHistoryPrefix, rec.Revision%ranking.HistoryLen), Value: b}}
 }
 
 // deriveRanking has a leader write the ranking that its script stands for, where there is
@@ -369,7 +367,7 @@
 	}
 	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, n.settings.Host, n.now
 	r.writingDerived = true
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: leaderKey, ModRevision: n.leader.modRevision}, {Key: rankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: n.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
 		pause := n.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
 			pause = malformedRetryDelay
@@ -418,7 +416,7 @@
 		}
 		rec := cmd.Record
 		rec.Revision, rec.SetAt = state.highestRevision+1, n.now
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: rankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.RankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
 			switch resp.Status {
 			case message.StoreOK:
 				n.emit(message.RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -9,6 +9,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/ranking"
+	"github.com/micahill/micahill/internal/record"
 
 	_ "github.com/micahill/micahill/internal/testseed"
 	"pgregory.net/rapid"
@@ -31,7 +32,7 @@
 		panic(err)
 	}
 	rec.Revision = stamp
-	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: rankingKey, Value: rec.Encode(), ModRevision: stamp}}})
+	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: stamp}}})
 }
 
 const (
@@ -66,11 +67,11 @@
 	if foo.liveTasks != 0 || bar.liveTasks != 1 || len(ops) != 1 {
 		t.Fatalf("foo has %d, bar %d places, %d writes", foo.liveTasks, bar.liveTasks, len(ops))
 	}
-	if stamp, ok := comparedRevision(&ops[0], rankingKey); !ok || stamp != 7 {
+	if stamp, ok := comparedRevision(&ops[0], record.RankingKey); !ok || stamp != 7 {
 		t.Fatalf("the start names %v", ops[0].Compares)
 	}
 	n.effects = nil
-	n.handleCommand(message.StoreResponse{ID: ops[0].ID, Status: message.StoreConflict, FailedKeys: []string{rankingKey}})
+	n.handleCommand(message.StoreResponse{ID: ops[0].ID, Status: message.StoreConflict, FailedKeys: []string{record.RankingKey}})
 	n.placeAll()
 	n.writeSegments()
 	for _, op := range emittedEffects[message.StoreRequest](n) {
@@ -87,7 +88,7 @@
 	some := false
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
-			stamp, _ := comparedRevision(&op, rankingKey)
+			stamp, _ := comparedRevision(&op, record.RankingKey)
 			some = some || stamp == 9
 		}
 	}
@@ -125,7 +126,7 @@
 		t.Fatal("a start leaves three seconds after the ranking was known")
 	}
 	op := sentStoreRequests(n)[0]
-	if op.Kind != message.OpWatch || op.Key != controlPrefix || op.WatchTimeout != 0 {
+	if op.Kind != message.OpWatch || op.Key != record.ControlPrefix || op.WatchTimeout != 0 {
 		t.Fatalf("it waits for %+v", op)
 	}
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
@@ -195,8 +196,8 @@
 		n := newRankedNode(1, fooFirst)
 		m := n.shardLeader.machinesByID[0]
 		j := n.addWaitingJob("job-1", "foo", 1, 1)
-		rec := taskSegmentRecord{RankingRevision: c.rank, Rows: []taskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
-		n.recoverSegment(j, message.KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
+		rec := record.TaskSegmentRecord{RankingRevision: c.rank, Rows: []record.TaskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
+		n.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
 		if !c.quiet {
 			m.unackedStartEpoch = m.epoch
 		}
@@ -235,21 +236,21 @@
 		t.Fatalf("over another revision: %+v", r)
 	}
 	op, _ := set(7)
-	if stamp, ok := comparedRevision(op, rankingKey); !ok || stamp != 7 || len(op.Writes) != 2 || op.Writes[1].Key != "ranking/8" {
+	if stamp, ok := comparedRevision(op, record.RankingKey); !ok || stamp != 7 || len(op.Writes) != 2 || op.Writes[1].Key != "ranking/8" {
 		t.Fatalf("set with %+v", op)
 	}
-	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict, FailedKeys: []string{rankingKey}})
+	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict, FailedKeys: []string{record.RankingKey}})
 	if r := n.effects[len(n.effects)-1].(message.RankingReply); r.Status != 409 {
 		t.Errorf("the second of two is told %+v", r)
 	}
-	applyRankingRecord(n, message.KeyValue{Key: rankingKey, Deleted: true})
+	applyRankingRecord(n, message.KeyValue{Key: record.RankingKey, Deleted: true})
 	n.leader = &leader{modRevision: 5}
 	n.effects = nil
 	deriveRanking(n)
 	deriveRanking(n)
 	all := sentStoreRequests(n)
-	lead, a := comparedRevision(&all[0], leaderKey)
-	none, b := comparedRevision(&all[0], rankingKey)
+	lead, a := comparedRevision(&all[0], record.LeaderKey)
+	none, b := comparedRevision(&all[0], record.RankingKey)
 	if !a || !b || lead != 5 || none != 0 || len(all) != 1 {
 		t.Errorf("%d derived with %+v", len(all), all[0].Compares)
 	}
@@ -261,11 +262,11 @@
 	n := newRankedNode(1, barFirst)
 	foo, bar := n.addWaitingJob("job-1", "foo", 1, 1), n.addWaitingJob("job-2", "bar", 1, 1)
 	good := n.membership.ranking.lastValid.Encode()
-	later := encode(map[string]any{"v": 9, "rev": 30})
-	for i, b := range [][]byte{{0x81}, later, encode(map[string]any{"v": 1, "rev": 3, "c": []any{}}), nil} {
+	later := record.Encode(map[string]any{"v": 9, "rev": 30})
+	for i, b := range [][]byte{{0x81}, later, record.Encode(map[string]any{"v": 1, "rev": 3, "c": []any{}}), nil} {
 		n.now = n.now.Add(2 * time.Minute)
 		n.effects = nil
-		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: rankingKey, Value: b, ModRevision: uint64(20 + i)}}})
+		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: b, ModRevision: uint64(20 + i)}}})
 		if rankOf(n, bar) >= rankOf(n, foo) || n.membership.ranking.modRevision != uint64(20+i) || n.membership.ranking.invalidReason == "" || len(n.effects) == 0 {
 			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.membership.ranking.modRevision, len(n.effects))
 		}
@@ -275,9 +276,9 @@
 	}
 	n.membership.ranking = rankingState{}
 	n.effects = nil
-	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: rankingKey, Value: later, ModRevision: 40}}})
+	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: later, ModRevision: 40}}})
 	all := sentStoreRequests(n)
-	if len(all) != 1 || all[0].Kind != message.OpList || all[0].Key != rankingHistoryPrefix {
+	if len(all) != 1 || all[0].Kind != message.OpList || all[0].Key != record.RankingHistoryPrefix {
 		t.Fatalf("asked %+v", all)
 	}
 	n.handleCommand(message.StoreResponse{ID: all[0].ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
@@ -371,7 +372,7 @@
 	n.addWaitingJob("job-2", "bar", 3, 20)
 	n.addWaitingJob("job-3", "bar", 1, 99)
 	for id, j := range n.shardLeader.jobs {
-		n.frontend.watchCache.openJobs[id] = openJob{rec: newOpenJobRecord(&j.JobSpec, n.now)}
+		n.frontend.watchCache.openJobs[id] = openJob{rec: record.NewOpenJobRecord(&j.JobSpec, n.now)}
 	}
 	n.shardLeader.usedByTeam["ops"] = first.Need
 	n.settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 110}}}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -4,11 +4,12 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/validate"
 )
 
 // recoverSegment takes in a record of a job's tasks that a former owner wrote.
-func (n *Controller) recoverSegment(j *job, it message.KeyValue, r *taskSegmentRecord) {
+func (n *Controller) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegmentRecord) {
 	format, segmentIndex, ok := n.parseSegmentKey(it.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
 		n.rejectInput("record", it.Key, "its job has no such part")
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // TestCancelledInManySegments: a cancelled job whose tasks stand in several records, of
@@ -25,15 +26,15 @@
 			spec.Tasks = total
 		}
 		j := n.addJob(spec, n.now, 1)
-		rec := newOpenJobRecord(&j.JobSpec, n.now)
+		rec := record.NewOpenJobRecord(&j.JobSpec, n.now)
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		n.applyJobRecord(j, 2, &rec)
 		for k := range 3 {
-			var r taskSegmentRecord
+			var r record.TaskSegmentRecord
 			for i := k * per; i < min(total, (k+1)*per); i++ {
-				r.Rows = append(r.Rows, taskEntry{Index: i, Try: 1, Machine: n.shardLeader.machinesByID[i%24].id, Group: n.now.UnixMilli()})
+				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: n.shardLeader.machinesByID[i%24].id, Group: n.now.UnixMilli()})
 			}
-			n.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
+			n.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
 		}
 		n.queueRecovered(j)
 		if j.liveTasks != total {
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // heartbeatOf has the worker of m report tasks, and gives the answer.
@@ -27,7 +28,7 @@
 
 // setCancelled writes that a job was cancelled by a change that was sent at a moment.
 func (n *Controller) setCancelled(j *job, at time.Time) {
-	rec := newOpenJobRecord(&j.JobSpec, j.submittedAt)
+	rec := record.NewOpenJobRecord(&j.JobSpec, j.submittedAt)
 	rec.Cancelled, rec.CancelledAtMillis = true, at.UnixMilli()
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
 	if n.shardLeader.jobs[j.ID] != nil {
@@ -385,14 +386,14 @@
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
-	open := newOpenJobRecord(&j.JobSpec, j.submittedAt)
+	open := record.NewOpenJobRecord(&j.JobSpec, j.submittedAt)
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision, open}
 	rec := open
 	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 	horizon := n.frontend.watchCache.asOf
-	receive := func(r openJobRecord, stamp uint64) (acks, passed int) {
+	receive := func(r record.OpenJobRecord, stamp uint64) (acks, passed int) {
 		n.effects = nil
-		receiveCancellations(n, "b", []message.Cancellation{{ID: j.ID, Record: encode(r), ModRevision: stamp}})
+		receiveCancellations(n, "b", []message.Cancellation{{ID: j.ID, Record: record.Encode(r), ModRevision: stamp}})
 		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if p.To == "b" {
 				acks += len(p.Update.CancellationAcks)
@@ -400,12 +401,12 @@
 		}
 		return acks, len(n.cancellations.unacked)
 	}
-	for name, bad := range map[string]func(*openJobRecord) uint64{
-		"another time":  func(r *openJobRecord) uint64 { r.SubmittedAtMillis++; return j.modRevision + 1 },
-		"another team":  func(r *openJobRecord) uint64 { r.Team = "lab"; return j.modRevision + 1 },
-		"other tasks":   func(r *openJobRecord) uint64 { r.Tasks++; return j.modRevision + 1 },
-		"an old stamp":  func(*openJobRecord) uint64 { return j.modRevision },
-		"not cancelled": func(r *openJobRecord) uint64 { r.Cancelled = false; return j.modRevision + 1 },
+	for name, bad := range map[string]func(*record.OpenJobRecord) uint64{
+		"another time":  func(r *record.OpenJobRecord) uint64 { r.SubmittedAtMillis++; return j.modRevision + 1 },
+		"another team":  func(r *record.OpenJobRecord) uint64 { r.Team = "lab"; return j.modRevision + 1 },
+		"other tasks":   func(r *record.OpenJobRecord) uint64 { r.Tasks++; return j.modRevision + 1 },
+		"an old stamp":  func(*record.OpenJobRecord) uint64 { return j.modRevision },
+		"not cancelled": func(r *record.OpenJobRecord) uint64 { r.Cancelled = false; return j.modRevision + 1 },
 	} {
 		r := rec
 		stamp := bad(&r)
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
@@ -72,7 +73,7 @@
 	jobs := n.unpersistedJobs()
 	// What waits grows with the number of living jobs; the limit of changes
 	// does not.
-	maxDelay := Seconds(float64(len(jobs)) / max(1, lazyWriteFraction*n.settings.StoreWritesPerSecond))
+	maxDelay := record.Seconds(float64(len(jobs)) / max(1, lazyWriteFraction*n.settings.StoreWritesPerSecond))
 	maxDelay = min(max(maxDelay, lazyWriteDelay), maxLazyWriteDelay)
 	crowded := maxDelay > lazyWriteDelay
 	for len(jobs) > 0 && o.txnsInFlight < maxSegmentTxns && n.writesAllowed() > 0 {
@@ -109,7 +110,7 @@
 						c.rankingRevision = rankingRevision
 					}
 					writeAlone = c.writeAlone
-					val := encode(j.segmentRecord(c))
+					val := record.Encode(j.segmentRecord(c))
 					compareCount := 1
 					var fence []message.Compare
 					if hasStarts && !comparesRanking {
@@ -122,7 +123,7 @@
 						compareCount += 1 + len(fence)
 					}
 					// What does not fit goes with the next write.
-					if size += sizelimit.WriteBytes(sizelimit.Write{Key: j.segmentKey(c), Value: val}) + compareCount*sizelimit.CompareBytes(openJobPrefix+id); size > targetTxnBytes || len(op.Compares)+compareCount > sizelimit.ComparesPerOp*n.settings.MaxTxnWrites {
+					if size += sizelimit.WriteBytes(sizelimit.Write{Key: j.segmentKey(c), Value: val}) + compareCount*sizelimit.CompareBytes(record.OpenJobPrefix+id); size > targetTxnBytes || len(op.Compares)+compareCount > sizelimit.ComparesPerOp*n.settings.MaxTxnWrites {
 						if len(op.Writes) > 0 {
 							return
 						}
@@ -132,11 +133,11 @@
 						for _, f := range fence {
 							comparedShards[f.Key] = true
 						}
-						op.Compares = append(append(op.Compares, fence...), message.Compare{Key: openJobPrefix + id, ModRevision: j.modRevision})
+						op.Compares = append(append(op.Compares, fence...), message.Compare{Key: record.OpenJobPrefix + id, ModRevision: j.modRevision})
 					}
 					if hasStarts && !comparesRanking {
 						comparesRanking = true
-						op.Compares = append(op.Compares, message.Compare{Key: rankingKey, ModRevision: rankingRevision})
+						op.Compares = append(op.Compares, message.Compare{Key: record.RankingKey, ModRevision: rankingRevision})
 					}
 					op.Compares = append(op.Compares, message.Compare{Key: j.segmentKey(c), ModRevision: c.modRevision})
 					op.Writes = append(op.Writes, message.Write{Key: j.segmentKey(c), Value: val})
@@ -178,7 +179,7 @@
 			switch {
 			case comparesRanking && d.Status == message.StoreOK:
 				noteRankingKnown(n, d.SentAt)
-			case comparesRanking && d.Status == message.StoreConflict && slices.Contains(d.FailedKeys, rankingKey):
+			case comparesRanking && d.Status == message.StoreConflict && slices.Contains(d.FailedKeys, record.RankingKey):
 				noteRankingOutdated(n, rankingRevision)
 			}
 			if took := n.now.Sub(sentAt); took > slowTxnThreshold || d.Status != message.StoreOK {
@@ -245,7 +246,7 @@
 // write of our own, applied late, and all it holds is still meant.
 func (n *Controller) resolveSegmentConflict(j *job, c *taskSegment, failed []string) {
 	switch {
-	case slices.ContainsFunc(failed, func(k string) bool { return strings.HasPrefix(k, shardPrefix) }), slices.Contains(failed, openJobPrefix+j.ID):
+	case slices.ContainsFunc(failed, func(k string) bool { return strings.HasPrefix(k, record.ShardPrefix) }), slices.Contains(failed, record.OpenJobPrefix+j.ID):
 		n.retrySegment(j, c)
 	case slices.Contains(failed, j.segmentKey(c)):
 		n.reReadSegment(j, c)
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -7,6 +7,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -182,7 +183,7 @@
 
 func (n *Controller) applyOpenJob(it message.KeyValue) {
 	o := n.shardLeader
-	id := jobIDFromKey(it.Key, openJobPrefix)
+	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
 	j := o.jobs[id]
 	if it.Deleted {
 		if j != nil && j.elsewhere() {
@@ -197,8 +198,8 @@
 	if _, ended := n.frontend.finalStatuses[id]; ended && j == nil && n.frontend.finalStatuses[id] == model.Done {
 		return
 	}
-	var r openJobRecord
-	if !decode(it.Value, &r) {
+	var r record.OpenJobRecord
+	if !record.Decode(it.Value, &r) {
 		n.rejectInput("record", it.Key, "it can't be read")
 		return
 	}
@@ -248,7 +249,7 @@
 }
 
 // applyJobRecord takes in a job's record in open/ as it stands now.
-func (n *Controller) applyJobRecord(j *job, stamp uint64, r *openJobRecord) {
+func (n *Controller) applyJobRecord(j *job, stamp uint64, r *record.OpenJobRecord) {
 	id := j.ID
 	j.modRevision = stamp
 	j.setLoanFrom(r)
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sharding"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -49,7 +50,7 @@
 		return l
 	}
 	for _, a := range op.Writes {
-		if strings.HasPrefix(a.Key, taskSegmentPrefix) || a.Key == limitProbeKey {
+		if strings.HasPrefix(a.Key, record.TaskSegmentPrefix) || a.Key == record.LimitProbeKey {
 			l.ValueBytes = n.settings.currentMaxValueBytes()
 		}
 	}
@@ -92,11 +93,11 @@
 	if len(writes) == 0 {
 		return
 	}
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: leaderKey, ModRevision: l.modRevision}}}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: l.modRevision}}}
 	for _, w := range writes {
-		key := shardSegmentPrefix + w.Name
+		key := record.ShardSegmentPrefix + w.Name
 		if w.IsShard {
-			key = shardPrefix + w.Name
+			key = record.ShardPrefix + w.Name
 			n.info("division", "share", w.Name, "gone", w.Value == nil)
 		}
 		op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: w.ModRevision})
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -6,6 +6,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
@@ -307,10 +308,10 @@
 		}
 		if s == nil {
 			// Nothing is held any more; the write is to fail.
-			out = append(out, message.Compare{Key: shardPrefix + n.settings.Host, ModRevision: ^uint64(0)})
+			out = append(out, message.Compare{Key: record.ShardPrefix + n.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
-		if c := (message.Compare{Key: shardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
+		if c := (message.Compare{Key: record.ShardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
 			out = append(out, c)
 		}
 	}
@@ -357,7 +358,7 @@
 		})
 	}
 	listTasks = func() {
-		readAll(n, taskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
+		readAll(n, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
 			tasks = its
 			readMigrations(n, func(its []message.KeyValue) {
 				migrationItems = its
@@ -371,7 +372,7 @@
 	}
 	// Images are no more than a help: without them it goes on as well.
 	listPrewarmed = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: prewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if !current() {
 				return
 			}
@@ -440,7 +441,7 @@
 			continue
 		}
 		if bad := l.rec.Validate(); bad != "" {
-			n.rejectInput("record", openJobPrefix+id, bad)
+			n.rejectInput("record", record.OpenJobPrefix+id, bad)
 			continue
 		}
 		spec := l.rec.JobSpec(id)
@@ -454,7 +455,7 @@
 	attempts := 0
 	slices.SortStableFunc(tasks, n.compareFormats)
 	for _, it := range tasks {
-		id := jobIDFromKey(it.Key, taskSegmentPrefix)
+		id := record.JobIDFromKey(it.Key, record.TaskSegmentPrefix)
 		j := recovered[id]
 		if j == nil {
 			if _, open := n.frontend.watchCache.openJobs[id]; firstLoad && !open {
@@ -462,8 +463,8 @@
 			}
 			continue
 		}
-		var r taskSegmentRecord
-		if !decode(it.Value, &r) {
+		var r record.TaskSegmentRecord
+		if !record.Decode(it.Value, &r) {
 			n.rejectInput("record", it.Key, "it can't be read")
 			continue
 		}
@@ -533,7 +534,7 @@
 	}
 	for _, id := range sortedKeys(open) {
 		if l := open[id]; o.jobs[id] == nil {
-			n.applyOpenJob(message.KeyValue{Key: openJobPrefix + id, Value: encode(l.rec), ModRevision: l.modRevision})
+			n.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + id, Value: record.Encode(l.rec), ModRevision: l.modRevision})
 		}
 	}
 }
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -11,6 +11,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/packing"
+	"github.com/micahill/micahill/internal/record"
 )
 
 const (
@@ -173,7 +174,7 @@
 	if f.ImageFetchRate <= 0 {
 		return 0
 	}
-	return Seconds(j.ImageGB / f.ImageFetchRate)
+	return record.Seconds(j.ImageGB / f.ImageFetchRate)
 }
 
 // expectedOccupancy is how long a task of the job is expected to hold its room.
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/vmihailenco/msgpack/v5"
 )
@@ -30,13 +31,13 @@
 		n.runTimers()
 	}
 	// What passes a limit does not leave.
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
+	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
 	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || n.internalErrors != 1 {
 		t.Errorf("%d requests have left, answered %v, %d defects", len(sentStoreRequests(n)), got, n.internalErrors)
 	}
 	// What is called malformed all the same is not sent again as it is, but what
 	// differs is.
-	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: encode(map[string]any{"v": 1})}}}
+	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 1})}}}
 	n.requestStore(op, fn)
 	n.handleCommand(message.StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: message.StoreMalformed})
 	n.effects, got = nil, nil
@@ -44,7 +45,7 @@
 	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
 		t.Errorf("sent again: %v, answered %v", sentStoreRequests(n), got)
 	}
-	op.Writes = []message.Write{{Key: "a", Value: encode(map[string]any{"v": 2})}}
+	op.Writes = []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 2})}}
 	if n.requestStore(op, fn); len(sentStoreRequests(n)) != 1 {
 		t.Error("another one does not leave")
 	}
@@ -70,7 +71,7 @@
 		for _, op := range sentStoreRequests(n) {
 			bad := false
 			for _, a := range op.Writes {
-				bad = bad || strings.HasPrefix(a.Key, taskSegmentPrefix+"job-1/")
+				bad = bad || strings.HasPrefix(a.Key, record.TaskSegmentPrefix+"job-1/")
 			}
 			d := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: 9}
 			if bad {
@@ -110,7 +111,7 @@
 			j.recordRunTime(time.Duration(100+i) * time.Second)
 		}
 		r := j.segmentRecord(j.segmentOf(0))
-		size, err := sizelimit.JSON(encode(r))
+		size, err := sizelimit.JSON(record.Encode(r))
 		if err != nil || size > value {
 			t.Errorf("%d rows take %d bytes of %d, %v", j.tasksPerSegment, size, value, err)
 		}
@@ -119,11 +120,11 @@
 		successor.settings.MaxValueBytes = value
 		h := newJob(j.JobSpec, n.now, 1, value)
 		successor.shardLeader.jobs[h.ID] = h
-		var back taskSegmentRecord
-		if !decode(encode(r), &back) {
+		var back record.TaskSegmentRecord
+		if !record.Decode(record.Encode(r), &back) {
 			t.Fatal("unreadable")
 		}
-		successor.recoverSegment(h, message.KeyValue{Key: taskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
+		successor.recoverSegment(h, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
 		for i := range j.tasksPerSegment {
 			if h.tasks[i].machine == nil || h.tasks[i].machine.id != j.tasks[i].machine.id {
 				t.Fatalf("task %d is on %v, was on %s", i, h.tasks[i].machine, j.tasks[i].machine.id)
@@ -176,8 +177,8 @@
 	}
 	// The list says that it has four thousand million elements.
 	bad := append(slices.Clone(long[:3]), 0xdd, 0xff, 0xff, 0xff, 0xff)
-	var r taskSegmentRecord
-	if decode(bad, &r) {
+	var r record.TaskSegmentRecord
+	if record.Decode(bad, &r) {
 		t.Error("a damaged record is read")
 	}
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // predecessorRecords is what a successor finds in the state service: some machines, each
@@ -20,15 +21,15 @@
 			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: model.Normal, Tasks: size, AllowSpot: true,
 			Need: model.Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		open = append(open, message.KeyValue{Key: openJobPrefix + spec.ID, Value: encode(newOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
-		perSegment := maxTasksPerSegment(4096)
+		open = append(open, message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
+		perSegment := record.MaxTasksPerSegment(4096)
 		for c := 0; c*perSegment < size; c++ {
-			var r taskSegmentRecord
+			var r record.TaskSegmentRecord
 			for i := c * perSegment; i < min((c+1)*perSegment, size); i++ {
 				m := (k*size + i) / each
-				r.Rows = append(r.Rows, taskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
+				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
 			}
-			tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", taskSegmentPrefix, spec.ID, c), Value: encode(r), ModRevision: uint64(k + 1)})
+			tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, spec.ID, c), Value: record.Encode(r), ModRevision: uint64(k + 1)})
 		}
 	}
 	return open, tasks
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -7,6 +7,7 @@
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/promise"
+	"github.com/micahill/micahill/internal/record"
 )
 
 const (
@@ -47,7 +48,7 @@
 // openJob is a job in open/.
 type openJob struct {
 	modRevision uint64
-	rec         openJobRecord
+	rec         record.OpenJobRecord
 }
 
 // startWatchCache reads open/ and keeps the picture from ageing.
@@ -79,7 +80,7 @@
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: openJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if d.Status != message.StoreOK {
 				n.after(n.jitter(storeRetryDelay), func() { list(from) })
 				return
@@ -133,7 +134,7 @@
 		return
 	}
 	m.watching = true
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: openJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.OpenJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
 		m.watching = false
 		switch {
 		case !m.loaded:
@@ -150,13 +151,13 @@
 }
 
 func applyOpenJobRecord(open map[string]openJob, it message.KeyValue) {
-	id := jobIDFromKey(it.Key, openJobPrefix)
+	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
 	if it.Deleted {
 		delete(open, id)
 		return
 	}
-	var r openJobRecord
-	if decode(it.Value, &r) {
+	var r record.OpenJobRecord
+	if record.Decode(it.Value, &r) {
 		open[id] = openJob{it.ModRevision, r}
 	}
 }
@@ -183,7 +184,7 @@
 		return
 	}
 	m.readWaiters, m.nextReadWaiters, m.readInFlight, m.lastReadAt = m.nextReadWaiters, nil, true, n.now
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: openJobPrefix, Revision: m.revision}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: m.revision}, func(d message.StoreResponse) {
 		m.readInFlight = false
 		waiters := m.readWaiters
 		m.readWaiters = nil
@@ -210,10 +211,10 @@
 type jobLookup struct {
 	// ok: it could be asked. known: the job was accepted at some time.
 	ok, accepted bool
-	rec          jobStatusRecord
+	rec          record.JobStatusRecord
 	// modRevision is that of open/, while the job is not over, and open what it says.
 	modRevision uint64
-	open        openJobRecord
+	open        record.OpenJobRecord
 	// promisedDate is its newest date, as of the same moment, while it is not over.
 	promisedDate promise.Date
 }
@@ -246,7 +247,7 @@
 				return
 			}
 			f := jobLookup{ok: d.Status == message.StoreOK || d.Status == message.StoreNotFound, accepted: d.Status == message.StoreOK}
-			if f.accepted && (len(d.KeyValues) != 1 || !decode(d.KeyValues[0].Value, &f.rec)) {
+			if f.accepted && (len(d.KeyValues) != 1 || !record.Decode(d.KeyValues[0].Value, &f.rec)) {
 				f.ok = false
 			}
 			fn(f)
@@ -256,7 +257,7 @@
 
 // lookupOfOpenJob tells of an open job by its own record.
 func (n *Controller) lookupOfOpenJob(id string, l *openJob, fn func(jobLookup)) {
-	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: jobStatusRecord{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
+	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: record.JobStatusRecord{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
 	if l.rec.Cancelled {
 		f.rec.Status = model.Cancelled
 	}
--- a/internal/overflow/offers.go
+++ b/internal/overflow/offers.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // FreeCapacity is what a guest offers of one kind of machine: room that own work of the
@@ -196,7 +196,7 @@
 		parts = append(parts, part{pl, n})
 		fetch := time.Duration(0)
 		if !imageCached && pl.FetchRate > 0 {
-			fetch = controller.Seconds(c.Spec.ImageGB / pl.FetchRate)
+			fetch = record.Seconds(c.Spec.ImageGB / pl.FetchRate)
 		}
 		readyIn = max(readyIn, pl.AvailableIn+fetch)
 		price = max(price, pl.CostPerCPUHour)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/record"
 	"go.starlark.net/starlark"
 	"go.starlark.net/syntax"
 )
@@ -103,7 +104,7 @@
 	if err := parseNumber(name, v, allowed, &f); err != nil {
 		return err
 	}
-	*target = controller.Seconds(f)
+	*target = record.Seconds(f)
 	return nil
 }
 
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // arriveAtAll brings a report to every controller, and tells of their answers.
@@ -444,7 +444,7 @@
 						}
 						held, op = true, x
 						w.schedule(time.Millisecond, func() { w.CrashController(owner, 5*time.Second) })
-						w.schedule(controller.Seconds(d), func() {
+						w.schedule(record.Seconds(d), func() {
 							m := w.machines[op.Machine]
 							if seen := m.epoch > op.Epoch; seen {
 								late.Add(1)
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // rebalancingWorld is a world under steady load in which teams move: two controllers at first
@@ -50,7 +50,7 @@
 		if _, err := fmt.Sscan(l, &at); err != nil || !strings.Contains(l, "a team comes [team "+team+"]") {
 			continue
 		}
-		if t := w.startedAt.Add(controller.Seconds(at)); t.After(since) {
+		if t := w.startedAt.Add(record.Seconds(at)); t.After(since) {
 			out = append(out, t)
 		}
 	}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -14,6 +14,7 @@
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 func testSettings() controller.Settings {
@@ -84,7 +85,7 @@
 }
 
 func seconds(t *testing.T, d *datadriven.TestData, name string, def float64) time.Duration {
-	return controller.Seconds(arg(t, d, name, def))
+	return record.Seconds(arg(t, d, name, def))
 }
 
 func (s *scenario) submit(t *testing.T, d *datadriven.TestData) {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 )
 
 // Worker is a model of one machine's worker.
@@ -165,7 +165,7 @@
 	}
 	j.placedAt = w.now
 	if m.images[j.spec.Image].IsZero() {
-		m.images[j.spec.Image] = w.now.Add(controller.Seconds(j.spec.ImageGB / m.FetchRate))
+		m.images[j.spec.Image] = w.now.Add(record.Seconds(j.spec.ImageGB / m.FetchRate))
 	}
 	t.imageReadyAt = m.images[j.spec.Image]
 	t.remaining = j.run
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -16,6 +16,7 @@
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/record"
 	"github.com/vmihailenco/msgpack/v5"
 )
 
@@ -79,7 +80,7 @@
 		Incarnation: r.Incarnation, Sequence: r.Sequence, Epoch: r.Epoch, ReclaimIn: -1,
 	}
 	if r.ReclaimS != nil {
-		out.ReclaimIn = controller.Seconds(*r.ReclaimS)
+		out.ReclaimIn = record.Seconds(*r.ReclaimS)
 	}
 	for _, wireTask := range r.Tasks {
 		job, index, ok := parseTask(wireTask.Task)
