--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -69,10 +69,10 @@
 	}
 	limits := overflow.DefaultLimits()
 	limits.LoansOut, limits.LoansIn, limits.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
-	limits.MinGain, limits.MaxCostRatio = record.Seconds(o.MinGainS), o.MaxCostRatio
+	limits.MinGain, limits.MaxCostRatio = record.DurationOfSeconds(o.MinGainS), o.MaxCostRatio
 	settings := broker.Settings{
-		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: record.Seconds(o.ReportS), LoanLease: record.Seconds(o.LeaseS),
-		WorkerLease: record.Seconds(c.Deployment.Workers.LeaseS), ClockBound: record.Seconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
+		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: record.DurationOfSeconds(o.ReportS), LoanLease: record.DurationOfSeconds(o.LeaseS),
+		WorkerLease: record.DurationOfSeconds(c.Deployment.Workers.LeaseS), ClockBound: record.DurationOfSeconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
 	}
 	knownPeers := map[string]bool{}
 	for _, p := range o.Peers {
--- a/internal/api/jobrequest.go
+++ b/internal/api/jobrequest.go
@@ -140,13 +140,13 @@
 		Need:  model.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
 		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
 		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
-		ExpectedRunTime: record.Seconds(*request.ExpectedS), CheckpointInterval: record.Seconds(*request.CheckpointEveryS), CheckpointCost: record.Seconds(*request.CheckpointCostS),
+		ExpectedRunTime: record.DurationOfSeconds(*request.ExpectedS), CheckpointInterval: record.DurationOfSeconds(*request.CheckpointEveryS), CheckpointCost: record.DurationOfSeconds(*request.CheckpointCostS),
 	}
 	if request.Zone != nil {
 		spec.Zone = *request.Zone
 	}
 	if request.DeadlineS != nil {
-		spec.Deadline = record.Seconds(*request.DeadlineS)
+		spec.Deadline = record.DurationOfSeconds(*request.DeadlineS)
 	}
 	return spec, ""
 }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -112,7 +112,7 @@
 			out.MachineTypes = append(out.MachineTypes, model.MachineType{
 				Name: f.Name, Capacity: model.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
 				DiskGB: f.DiskGB, ImageFetchRate: f.FetchRate, CostPerHour: f.CostPerHour, SpotCostPerHour: f.SpotCostPerHour,
-				ProvisioningTime: record.Seconds(f.ReadyS), Zones: f.Zones,
+				ProvisioningTime: record.DurationOfSeconds(f.ReadyS), Zones: f.Zones,
 			})
 		}
 	case message.CloudListMachines:
@@ -125,7 +125,7 @@
 		for _, h := range a.Machines {
 			out.Machines = append(out.Machines, model.CloudMachine{
 				ID: h.ID, Addr: h.Address, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
-				Status: h.Status, Age: record.Seconds(h.AgeS),
+				Status: h.Status, Age: record.DurationOfSeconds(h.AgeS),
 			})
 		}
 		out.Truncated = a.Truncated
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -177,10 +177,10 @@
 	limits := deployment.State.Strictest()
 	settings := controller.Settings{
 		Host: c.HostName, Zones: deployment.Zones,
-		HeartbeatInterval: record.Seconds(deployment.Workers.HeartbeatS), WorkerLease: record.Seconds(deployment.Workers.LeaseS),
-		CancellationBound: record.Seconds(deployment.Workers.CancelWithinS), MaxClockError: record.Seconds(deployment.ClockBoundMS / 1000),
+		HeartbeatInterval: record.DurationOfSeconds(deployment.Workers.HeartbeatS), WorkerLease: record.DurationOfSeconds(deployment.Workers.LeaseS),
+		CancellationBound: record.DurationOfSeconds(deployment.Workers.CancelWithinS), MaxClockError: record.DurationOfSeconds(deployment.ClockBoundMS / 1000),
 		MaxTxnWrites: limits.TxnOps, MaxValueBytes: int(limits.ValueKB * 1024), CurrentMaxValueBytes: int(deployment.State.ValueKB * 1024),
-		CloudListLag: record.Seconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
+		CloudListLag: record.DurationOfSeconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
 		Incarnation: nonce, Policy: policy,
 	}
 	for _, peer := range c.Peers {
@@ -195,7 +195,7 @@
 	}
 	for _, objective := range deployment.Objectives {
 		settings.Objectives = append(settings.Objectives, model.Objective{
-			Kind: objective.Kind, Workload: objective.Workload, Within: record.Seconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
+			Kind: objective.Kind, Workload: objective.Workload, Within: record.DurationOfSeconds(objective.WithinS), Fraction: objective.Share, DeadlineFactor: objective.Factor,
 		})
 	}
 	return settings
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -60,7 +60,7 @@
 		capabilities.Promises, capabilities.PromiseFraction = r.Enabled, r.TargetFraction
 	}
 	if r := x.Models; r != nil {
-		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, record.Seconds(r.MigrationCooldownS)
+		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, record.DurationOfSeconds(r.MigrationCooldownS)
 	}
 	return capabilities
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -87,7 +87,7 @@
 		tight = append(tight, finding{"deployment.workers.lease_s", deployment.Workers.LeaseS,
 			"leaves no time for a lost report", fmt.Sprintf("more than %g would do", minimum)})
 	}
-	settings := controller.Settings{CancellationBound: record.Seconds(deployment.Workers.CancelWithinS), WorkerLease: record.Seconds(deployment.Workers.LeaseS)}
+	settings := controller.Settings{CancellationBound: record.DurationOfSeconds(deployment.Workers.CancelWithinS), WorkerLease: record.DurationOfSeconds(deployment.Workers.LeaseS)}
 	if short := settings.RenewalBound().Shortfall(); short > 0 {
 		tight = append(tight, finding{"deployment.workers.cancel_s", deployment.Workers.CancelWithinS,
 			fmt.Sprintf("leaves no time beside lease_s (%g): on a machine out of reach, and while the state service is away, a cancelled task may last up to %.1f s too long", deployment.Workers.LeaseS, short.Seconds()),
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -66,7 +66,7 @@
 func (n *Controller) holdAllShards() {
 	s := &n.membership
 	s.leaseID, s.loaded, s.shardMap = 1, true, sharding.NewMap()
-	s.controllers = map[string]record.MemberRecord{n.settings.Host: {Incarnation: n.incarnation()}}
+	s.controllers = map[string]record.Member{n.settings.Host: {Incarnation: n.incarnation()}}
 	b := record.Encode(map[string]any{"host": n.settings.Host, "nonce": n.incarnation(), "teams": []string{"ops"}, "rest": true})
 	if err := s.shardMap.ApplyShard(n.settings.Host, b, 1); err != nil {
 		panic(err)
--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -93,7 +93,7 @@
 	var acks []string
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
-		var r record.OpenJobRecord
+		var r record.OpenJob
 		if !record.Decode(c.Record, &r) || !r.Cancelled || r.Validate() != "" {
 			n.rejectInput("news", from, "a cancellation that can't be read")
 			continue
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -197,7 +197,7 @@
 				continue
 			}
 			if i, start, ok := p.firstInQueue(l, a, wait); ok {
-				if t := start + record.Seconds(l.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
+				if t := start + record.DurationOfSeconds(l.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
 					best, at = i, t
 				}
 			}
@@ -279,9 +279,9 @@
 	case slices.Contains(v.placedImages, a.imageID) || slices.Contains(v.cached, a.imageID):
 		return 0
 	case slices.Contains(v.fetchingImages, a.imageID):
-		return record.Seconds(v.fetchingSecondsPerGB * a.imageGB)
+		return record.DurationOfSeconds(v.fetchingSecondsPerGB * a.imageGB)
 	}
-	return record.Seconds(v.secondsPerGB * a.imageGB)
+	return record.DurationOfSeconds(v.secondsPerGB * a.imageGB)
 }
 
 // placeTasks lets up to count tasks start on v, as many as fit there at one time, and
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -46,7 +46,7 @@
 	// inheritedLoads is what the owner before told of the workloads.
 	inheritedLoads map[workloadKey]message.WorkloadLoad
 	// predecessorMachines is what other owners last told of their machines.
-	predecessorMachines  map[string]message.MachineUpdate
+	predecessorMachines  map[string]predecessorMachine
 	predecessorsPrunedAt time.Time
 	// storeUnavailable is when each of the others last said that the state service does
 	// not answer there.
@@ -86,6 +86,13 @@
 	promises promiseState
 }
 
+// predecessorMachine is what another shard leader last published of one of its machines, and
+// when it was received.
+type predecessorMachine struct {
+	message.MachineUpdate
+	receivedAt time.Time
+}
+
 type timer struct {
 	at time.Time
 	fn func()
@@ -100,7 +107,7 @@
 		workerCallbacks: map[uint64]func(message.WorkerResponse){},
 		progressByJob:   map[string]message.Progress{},
 		estimators:      map[string]*estimator{},
-		released:        map[string]bool{}, inheritedLoads: map[workloadKey]message.WorkloadLoad{}, predecessorMachines: map[string]message.MachineUpdate{}, storeUnavailable: map[string]time.Time{},
+		released:        map[string]bool{}, inheritedLoads: map[workloadKey]message.WorkloadLoad{}, predecessorMachines: map[string]predecessorMachine{}, storeUnavailable: map[string]time.Time{},
 	}
 	n.malformedTxns = map[uint64]bool{}
 	n.cancellations.unacked = map[string]*unackedCancellation{}
@@ -218,15 +225,14 @@
 			applyReroutedHeartbeats(n, c.Rerouted)
 		}
 		for _, h := range c.MachineUpdates {
-			h.ReceivedAt = n.now
-			n.predecessorMachines[h.ID] = h
+			n.predecessorMachines[h.ID] = predecessorMachine{MachineUpdate: h, receivedAt: n.now}
 		}
 		if len(c.MachineUpdates) > 0 && n.now.Sub(n.predecessorsPrunedAt) > machineUpdateTTL {
 			// What nobody names any more is gone. The memory is judged again
 			// when it is used, from when the last news came.
 			n.predecessorsPrunedAt = n.now
 			for id, h := range n.predecessorMachines {
-				if n.now.Sub(h.ReceivedAt) > machineUpdateTTL {
+				if n.now.Sub(h.receivedAt) > machineUpdateTTL {
 					delete(n.predecessorMachines, id)
 				}
 			}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -62,7 +62,7 @@
 	}
 	without := *s
 	without.Dependencies = nil
-	size, err := sizelimit.JSON(record.Encode(record.NewOpenJobRecord(&without, n.now)))
+	size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(&without, n.now)))
 	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
 	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
@@ -278,7 +278,7 @@
 // that is needed was accepted before: one that is neither open nor over shows that a
 // record is damaged. What needs it waits until somebody cancels it.
 func (n *Controller) applyFinalState(id string, d message.StoreResponse) bool {
-	var r record.JobStatusRecord
+	var r record.JobStatus
 	switch {
 	case n.cachedJobState(id) != pipeline.Unknown:
 	case d.Status == message.StoreNotFound:
@@ -370,9 +370,9 @@
 	if !open || l.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
-	t := pipeline.Task{Urgency: l.rec.Urgency, RunTime: record.Seconds(l.rec.ExpectedSeconds)}
+	t := pipeline.Task{Urgency: l.rec.Urgency, RunTime: record.DurationOfSeconds(l.rec.ExpectedSeconds)}
 	if l.rec.DeadlineSeconds > 0 {
-		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(record.Seconds(l.rec.DeadlineSeconds))
+		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(l.rec.DeadlineSeconds))
 	}
 	if e := n.estimators[l.rec.Workload]; e != nil {
 		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -77,7 +77,7 @@
 
 // applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
 func applyFormatRecord(n *Controller, it message.KeyValue) {
-	var r record.FormatRecord
+	var r record.Format
 	switch {
 	case it.Deleted:
 	case it.Key != record.FormatKey:
@@ -115,7 +115,7 @@
 		return
 	}
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
-	rec := record.Encode(record.FormatRecord{TasksPerSegment: target})
+	rec := record.Encode(record.Format{TasksPerSegment: target})
 	switch {
 	case !s.formatSupport[n.settings.Host]:
 		key := record.FormatSupportPrefix + n.settings.Host
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -56,7 +56,7 @@
 		if !is {
 			continue
 		}
-		var r record.TaskSegmentRecord
+		var r record.TaskSegment
 		if k, err := strconv.Atoi(name); err != nil || k*per >= tasks || !record.Decode(value, &r) {
 			dropped++
 			continue
@@ -107,7 +107,7 @@
 	j := n.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
 	slices.SortStableFunc(its, n.compareFormats)
 	for _, it := range its {
-		var r record.TaskSegmentRecord
+		var r record.TaskSegment
 		if record.Decode(it.Value, &r) {
 			n.recoverSegment(j, it, &r)
 		}
@@ -368,7 +368,7 @@
 	for i := range 80 {
 		s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("a-flavour-with-a-long-name-%03d", i))
 	}
-	r := record.NewOpenJobRecord(&s, time.Unix(1_750_000_000, 0))
+	r := record.NewOpenJob(&s, time.Unix(1_750_000_000, 0))
 	small := r
 	small.MachineTypes = s.MachineTypes[:3]
 	r.Cancelled, small.Cancelled = true, true
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -97,8 +97,8 @@
 	return r.FirstDate()
 }
 
-func (s *submission) openRecord() record.OpenJobRecord {
-	r := record.NewOpenJobRecord(&s.spec, s.submittedAt)
+func (s *submission) openRecord() record.OpenJob {
+	r := record.NewOpenJob(&s.spec, s.submittedAt)
 	r.PromisedMillis = int(s.promisedAfter.Milliseconds())
 	return r
 }
@@ -269,7 +269,7 @@
 	if reason := n.validateDependencies(s); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJobRecord(s, n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
+	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(s, n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -410,7 +410,7 @@
 	for _, it := range d.KeyValues {
 		last = strings.TrimPrefix(it.Key, record.JobStatusPrefix)
 		found[last] = it
-		var rec record.JobStatusRecord
+		var rec record.JobStatus
 		if r.IsList && record.Decode(it.Value, &rec) && rec.Status.IsFinal() {
 			// An end is for good, whoever asks for it.
 			n.cacheFinalStatus(last, rec.Status)
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -15,8 +15,8 @@
 func FuzzRecords(f *testing.F) {
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: model.Resources{CPU: 1, Memory: 1}}
 	now := time.Unix(1_750_000_000, 0)
-	f.Add(record.Encode(record.NewOpenJobRecord(&spec, now)), record.Encode(record.TaskSegmentRecord{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []record.TaskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
-	f.Add(record.Encode(record.OpenJobRecord{Tasks: -1}), record.Encode(record.TaskSegmentRecord{DoneRanges: []int{-5, 1 << 40}}))
+	f.Add(record.Encode(record.NewOpenJob(&spec, now)), record.Encode(record.TaskSegment{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []record.TaskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
+	f.Add(record.Encode(record.OpenJob{Tasks: -1}), record.Encode(record.TaskSegment{DoneRanges: []int{-5, 1 << 40}}))
 	f.Add([]byte{0xdd, 0xff}, []byte{0x81})
 	f.Fuzz(func(t *testing.T, open, chunk []byte) {
 		n := largePool(2)
@@ -26,7 +26,7 @@
 		if j == nil {
 			j = n.addJob(spec, n.now, 5)
 		}
-		var r record.TaskSegmentRecord
+		var r record.TaskSegment
 		if !record.Decode(chunk, &r) {
 			return
 		}
@@ -52,8 +52,8 @@
 func FuzzControlRecords(f *testing.F) {
 	f.Add("share/a", []byte{0x80})
 	f.Add("lot/1", []byte{0x81, 0xa1, 'x', 0x01})
-	f.Add("node/b", record.Encode(record.MemberRecord{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
-	f.Add("lead", record.Encode(record.LeaderRecord{Host: "b"}))
+	f.Add("node/b", record.Encode(record.Member{LeaseID: 1, Incarnation: "n", StartedAt: -1}))
+	f.Add("lead", record.Encode(record.Leader{Host: "b"}))
 	f.Add("ranking", ranking.Record{Revision: 2, Classes: []ranking.Class{{Name: "a", Urgency: "urgent"}}}.Encode())
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		n := twoControllers(t)
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -208,7 +208,7 @@
 	n.frontend.watchCache.revision = 20
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}
 	n.shardLeader.teams["ops"] = &heldTeam{ready: true}
-	put := message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJobRecord(&spec, n.now)), ModRevision: 21}
+	put := message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJob(&spec, n.now)), ModRevision: 21}
 	n.observeOwnWrite(put)
 	if n.shardLeader.jobs[spec.ID] == nil {
 		t.Fatal("a job that was just accepted is not taken up")
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -35,15 +35,15 @@
 
 // submitTestJob is what a submission comes to: the records that it would write, or the answer
 // if nothing is known of the job.
-func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []record.OpenJobRecord) {
+func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
 	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
 	change(&s)
 	n.submitJob(message.SubmitJob{Reply: 1, Spec: s})
 	n.flushSubmissions()
-	var records []record.OpenJobRecord
+	var records []record.OpenJob
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
-			var r record.OpenJobRecord
+			var r record.OpenJob
 			record.Decode(op.Writes[0].Value, &r)
 			records = append(records, r)
 		}
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -46,7 +46,7 @@
 // many jobs end and others start.
 type jobEnd struct {
 	job         *job
-	rec         record.JobStatusRecord
+	rec         record.JobStatus
 	segmentKeys []string
 }
 
@@ -145,7 +145,7 @@
 	j := e.job
 	retry := func() { j.ending = false }
 	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}, func(d message.StoreResponse) {
-		var r record.JobStatusRecord
+		var r record.JobStatus
 		if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
 			n.cacheFinalStatus(j.ID, model.Done)
 			cacheDoneDate(n, j.ID, r)
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -251,8 +251,8 @@
 const jobFaultFailures = 4
 
 // segmentRecord is the chunk in durable form.
-func (j *job) segmentRecord(c *taskSegment) record.TaskSegmentRecord {
-	r := record.TaskSegmentRecord{RankingRevision: c.rankingRevision}
+func (j *job) segmentRecord(c *taskSegment) record.TaskSegment {
+	r := record.TaskSegment{RankingRevision: c.rankingRevision}
 	lo, hi := c.index*j.tasksPerSegment, min((c.index+1)*j.tasksPerSegment, len(j.tasks))
 	groups := map[int64]bool{}
 	for i := lo; i < hi; i++ {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -39,7 +39,7 @@
 	return l.borrowedLoan == "" || now.Before(l.startableUntil)
 }
 
-func (l *loanState) setLoanFrom(r *record.OpenJobRecord) {
+func (l *loanState) setLoanFrom(r *record.OpenJob) {
 	l.lentTo, l.lendCount, l.cancelRequested, l.borrowedLoan = r.LentTo, r.LendCount, r.CancelRequested, r.BorrowedLoan
 }
 
@@ -54,7 +54,7 @@
 	term      int
 	loaded    bool
 	loading   bool
-	byLoan    map[string]record.OffloadedJobRecord
+	byLoan    map[string]record.OffloadedJob
 	renewedAt map[string]time.Time
 }
 
@@ -122,12 +122,12 @@
 			cacheDoneDate(n, cmd.Job, endRec)
 		}
 	case message.LoanAccept:
-		rec := record.NewOpenJobRecord(&cmd.Spec, n.now.Add(-cmd.Age))
+		rec := record.NewOpenJob(&cmd.Spec, n.now.Add(-cmd.Age))
 		rec.BorrowedLoan = cmd.Loan
 		req.Compares = append(req.Compares, message.Compare{Key: record.OffloadedJobPrefix + cmd.Loan, ModRevision: 0}, message.Compare{Key: openKey, ModRevision: 0}, message.Compare{Key: record.JobStatusPrefix + cmd.Job, ModRevision: 0})
-		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(record.OffloadedJobRecord{Job: cmd.Job})})
+		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(record.OffloadedJob{Job: cmd.Job})})
 		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
-		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = record.OffloadedJobRecord{Job: cmd.Job} }
+		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = record.OffloadedJob{Job: cmd.Job} }
 	case message.LoanGiveUp:
 		if !isOpen || current.rec.Cancelled {
 			done(message.LoanNotApplied)
@@ -136,7 +136,7 @@
 		rec := current.rec
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		rec.ShrinkToFit(n.settings.MaxValueBytes)
-		g := record.OffloadedJobRecord{Job: cmd.Job, Cause: cmd.Cause}
+		g := record.OffloadedJob{Job: cmd.Job, Cause: cmd.Cause}
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
 		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
 			message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(g)})
@@ -190,8 +190,8 @@
 }
 
 // currentRecord is the job's record in open/ as it stands.
-func (j *job) currentRecord() record.OpenJobRecord {
-	r := record.NewOpenJobRecord(&j.JobSpec, j.submittedAt)
+func (j *job) currentRecord() record.OpenJob {
+	r := record.NewOpenJob(&j.JobSpec, j.submittedAt)
 	if j.urgencyRaised {
 		r.Urgency = int(j.ownUrgency)
 	}
@@ -244,7 +244,7 @@
 	}
 	g.loading = true
 	term := n.shardLeader.teams[team].holdID
-	by, renewed := map[string]record.OffloadedJobRecord{}, map[string]time.Time{}
+	by, renewed := map[string]record.OffloadedJob{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
 		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
@@ -253,7 +253,7 @@
 				return
 			}
 			for _, it := range resp.KeyValues {
-				var r record.OffloadedJobRecord
+				var r record.OffloadedJob
 				switch {
 				case !record.Decode(it.Value, &r):
 					n.info("unreadable record", "key", it.Key)
@@ -280,7 +280,7 @@
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(n.offloadedJobs.team)}
 	for _, home := range sortedKeys(c.RenewedAt) {
 		if len(op.Writes) < n.settings.MaxTxnWrites {
-			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJobRecord{RenewedAt: c.RenewedAt[home].UnixMilli()})})
+			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJob{RenewedAt: c.RenewedAt[home].UnixMilli()})})
 		}
 	}
 	if len(op.Writes) > 0 {
@@ -367,7 +367,7 @@
 		b.StatusKnown, b.Status = true, s
 	} else {
 		n.readStatusRecord(g.Job, func(d message.StoreResponse) {
-			var r record.JobStatusRecord
+			var r record.JobStatus
 			if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
 				n.cacheFinalStatus(g.Job, r.Status)
 			}
@@ -480,7 +480,7 @@
 
 // runDrainCommand writes whether the cluster is being emptied of borrowed work.
 func runDrainCommand(n *Controller, c message.DrainCommand) {
-	rec := record.Encode(record.DrainRecord{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
+	rec := record.Encode(record.Drain{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Writes: []message.Write{{Key: record.DrainKey, Value: rec}}}, func(d message.StoreResponse) {
 		s := message.LoanUncertain
 		if d.Status == message.StoreOK {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -59,12 +59,12 @@
 	// then all that is read of the division belongs together.
 	revision           uint64
 	loaded             bool
-	leader             record.LeaderRecord
+	leader             record.Leader
 	leaderModRevision  uint64
-	controllers        map[string]record.MemberRecord
+	controllers        map[string]record.Member
 	shardMap           *sharding.Map
 	claimingLeadership bool
-	drain              record.DrainRecord
+	drain              record.Drain
 	// formatSupport are the controllers that know parts of records, and form the one that all
 	// have come to, of formatKey's stamp; forming: a write for that is under way. See
 	// formats.go.
@@ -121,7 +121,7 @@
 
 func (n *Controller) startMembership() {
 	n.membership.started, n.membership.startedAt = true, n.now
-	n.membership.controllers, n.membership.formatSupport = map[string]record.MemberRecord{}, map[string]bool{}
+	n.membership.controllers, n.membership.formatSupport = map[string]record.Member{}, map[string]bool{}
 	n.membership.shardMap = sharding.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
@@ -154,11 +154,11 @@
 			n.after(n.jitter(storeRetryDelay), func() { beginIncarnation(n, fn) })
 			return
 		}
-		var r record.IncarnationRecord
+		var r record.Incarnation
 		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && record.Decode(d.KeyValues[0].Value, &r)
 		past, wait := incarnation.Start(n.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
 		// It need not be waited for: lost, it only makes the next life wait less.
-		rec := record.Encode(record.IncarnationRecord{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
+		rec := record.Encode(record.Incarnation{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
 		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
 			n.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
@@ -172,10 +172,10 @@
 // known what stands under its name.
 func (n *Controller) endPreviousIncarnation(fn func()) {
 	s := &n.membership
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.ControllerPrefix + n.settings.Host}, func(d message.StoreResponse) {
+	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + n.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
 		case message.StoreOK:
-			var old record.MemberRecord
+			var old record.Member
 			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == n.incarnation() {
 				s.recordModRevision = d.KeyValues[0].ModRevision
 				fn()
@@ -210,8 +210,8 @@
 
 func (n *Controller) register() {
 	grant := n.membership.leaseID
-	key := record.ControllerPrefix + n.settings.Host
-	rec := record.Encode(record.MemberRecord{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
+	key := record.MemberPrefix + n.settings.Host
+	rec := record.Encode(record.Member{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: n.membership.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d message.StoreResponse) {
 		if n.membership.leaseID != grant {
 			return
@@ -289,7 +289,7 @@
 
 // recentlyStarted says that a controller began so lately that it gets no duty yet that another
 // can have.
-func (n *Controller) recentlyStarted(r record.MemberRecord) bool {
+func (n *Controller) recentlyStarted(r record.Member) bool {
 	return r.StartedAt != 0 && incarnation.OnProbation(n.now, time.UnixMilli(r.StartedAt))
 }
 
@@ -350,7 +350,7 @@
 				list(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			s.leader, s.leaderModRevision, s.drain = record.LeaderRecord{}, 0, record.DrainRecord{}
+			s.leader, s.leaderModRevision, s.drain = record.Leader{}, 0, record.Drain{}
 			clear(s.controllers)
 			oldShardMap := s.shardMap
 			s.shardMap = sharding.NewMap()
@@ -461,12 +461,12 @@
 	var err error
 	switch {
 	case it.Key == record.DrainKey:
-		s.drain = record.DrainRecord{}
+		s.drain = record.Drain{}
 		if !it.Deleted {
 			record.Decode(it.Value, &s.drain)
 		}
 	case it.Key == record.LeaderKey:
-		s.leader, s.leaderModRevision = record.LeaderRecord{}, 0
+		s.leader, s.leaderModRevision = record.Leader{}, 0
 		if !it.Deleted && record.Decode(it.Value, &s.leader) {
 			s.leaderModRevision = it.ModRevision
 		}
@@ -476,10 +476,10 @@
 		applyRankingRecord(n, it)
 	case strings.HasPrefix(it.Key, record.ReroutePrefix):
 		applyRerouteRecord(n, it)
-	case strings.HasPrefix(it.Key, record.ControllerPrefix):
-		host := strings.TrimPrefix(it.Key, record.ControllerPrefix)
+	case strings.HasPrefix(it.Key, record.MemberPrefix):
+		host := strings.TrimPrefix(it.Key, record.MemberPrefix)
 		delete(s.controllers, host)
-		var r record.MemberRecord
+		var r record.Member
 		if !it.Deleted && record.Decode(it.Value, &r) {
 			s.controllers[host] = r
 		}
@@ -532,7 +532,7 @@
 		return
 	}
 	s.claimingLeadership = true
-	rec := record.Encode(record.LeaderRecord{Host: n.settings.Host, Incarnation: n.incarnation()})
+	rec := record.Encode(record.Leader{Host: n.settings.Host, Incarnation: n.incarnation()})
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
 		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d message.StoreResponse) {
 		s.claimingLeadership = false
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -232,7 +232,7 @@
 func countEnds(t *promise.Totals, items []message.KeyValue, since, upTo uint64) bool {
 	counted := false
 	for _, it := range items {
-		var r record.JobStatusRecord
+		var r record.JobStatus
 		if it.Deleted || it.ModRevision <= since || it.ModRevision > upTo || !record.Decode(it.Value, &r) || !r.Status.IsFinal() || r.Offloaded {
 			continue
 		}
@@ -326,7 +326,7 @@
 				return
 			}
 			n.readStatusRecord(query.Job, func(resp message.StoreResponse) {
-				var j record.JobStatusRecord
+				var j record.JobStatus
 				if resp.Status == message.StoreOK && record.Decode(resp.KeyValues[0].Value, &j) {
 					x := j.Date()
 					reply.Open = append(reply.Open, message.OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -157,13 +157,13 @@
 	}
 	n.reroutedPublishedAt = n.now
 	n.info("machines come back from their steward", "steward", ownerHost, "machines", count)
-	rec := record.Encode(record.RerouteRecord{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
+	rec := record.Encode(record.ReroutedMachines{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
 	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
 }
 
 // applyRerouteRecord takes in what another controller says of this one's machines.
 func applyRerouteRecord(n *Controller, it message.KeyValue) {
-	var r record.RerouteRecord
+	var r record.ReroutedMachines
 	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
 		if n.now.Sub(n.membership.reroutesReportedAt) > rerouteRecordTTL {
 			// What was asked before says nothing of now.
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -184,7 +184,7 @@
 		// Aims count jobs, so of two that are as pressing the one with less
 		// left to do goes first: together they are done the sooner.
 		left := float64(len(j.tasks)-j.doneTasks) * j.Need.CPU * n.expectedRunTime(j).Seconds()
-		key := n.latestStart(j).Add(record.Seconds(jobSizeWeight * left / max(cpus, 1)))
+		key := n.latestStart(j).Add(record.DurationOfSeconds(jobSizeWeight * left / max(cpus, 1)))
 		rs = append(rs, queuedJob{job: j, guaranteed: n.withinGuaranteedQuota(j), latestStart: key, rankingPlace: rankOf(n, j), weight: policyWeight(n, j), missesPromise: cannotKeepDate(n, j)})
 	}
 	slices.SortStableFunc(rs, compareQueueOrder)
@@ -607,7 +607,7 @@
 			fetching++
 		}
 	}
-	return record.Seconds(m.fetchSeconds(j, fetching, n.imageFetchRate(m)))
+	return record.DurationOfSeconds(m.fetchSeconds(j, fetching, n.imageFetchRate(m)))
 }
 
 // fetchSeconds is how long the machine needs to have the image of j, in seconds, when it
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -29,8 +29,8 @@
 
 // nextPrewarmedRecord puts together the next record, from the machine at the place on, and
 // says where the one after it begins.
-func (n *Controller) nextPrewarmedRecord(from int) (record.PrewarmedRecord, int) {
-	var r record.PrewarmedRecord
+func (n *Controller) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
+	var r record.Prewarmed
 	at := map[string]int{}
 	maxBytes := n.settings.MaxValueBytes * 3 / 4
 	bytesLeft := maxBytes
@@ -105,7 +105,7 @@
 
 // applyPrewarmedRecord takes in a record of a former owner.
 func (n *Controller) applyPrewarmedRecord(it message.KeyValue) {
-	var r record.PrewarmedRecord
+	var r record.Prewarmed
 	if !record.Decode(it.Value, &r) {
 		return
 	}
--- a/internal/controller/prewarmed_test.go
+++ b/internal/controller/prewarmed_test.go
@@ -22,7 +22,7 @@
 	successor.shardLeader.prewarmedImages = map[string]map[string]float64{}
 	records := 0
 	for from := 0; from < len(n.shardLeader.machinesByID); records++ {
-		var r record.PrewarmedRecord
+		var r record.Prewarmed
 		r, from = n.nextPrewarmedRecord(from)
 		val := record.Encode(r)
 		if len(val) > n.settings.MaxValueBytes {
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -144,7 +144,7 @@
 }
 
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
-func cacheDoneDate(n *Controller, id string, r record.JobStatusRecord) {
+func cacheDoneDate(n *Controller, id string, r record.JobStatus) {
 	if d := r.Date(); n.promisesEnabled() && d.Revision > 0 {
 		n.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
@@ -176,7 +176,7 @@
 			p.perGB = kinds / rate
 		}
 	}
-	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, FetchTime: record.Seconds(s.ImageGB * p.perGB)}
+	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, FetchTime: record.DurationOfSeconds(s.ImageGB * p.perGB)}
 }
 
 // quoteDate is the date for a job that is accepted here, if one is at hand.
@@ -201,7 +201,7 @@
 }
 
 // notePromiseRecord takes in a job's record as its owner reads it.
-func notePromiseRecord(n *Controller, j *job, r *record.OpenJobRecord) {
+func notePromiseRecord(n *Controller, j *job, r *record.OpenJob) {
 	if d := r.FirstDate(); n.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
@@ -252,8 +252,8 @@
 // endRecordFromCache is the record of a job that is over, by its record in open/, for whoever
 // does not run it: who cancels, and the leader for one that a peer has done. Its owner
 // has made no date since it was lent, and none was on its way.
-func endRecordFromCache(n *Controller, id string, s model.JobStatus, l *openJob) record.JobStatusRecord {
-	r := record.JobStatusRecord{Status: s, Tasks: l.rec.Tasks}
+func endRecordFromCache(n *Controller, id string, s model.JobStatus, l *openJob) record.JobStatus {
+	r := record.JobStatus{Status: s, Tasks: l.rec.Tasks}
 	if !n.promisesEnabled() {
 		return r
 	}
@@ -269,8 +269,8 @@
 
 // endRecord is the record of a job whose tasks are all done here: with the newest date
 // that was decided, durable or not, so that no late page can be newer than it.
-func endRecord(n *Controller, j *job) record.JobStatusRecord {
-	r := record.JobStatusRecord{Status: model.Done, Tasks: len(j.tasks)}
+func endRecord(n *Controller, j *job) record.JobStatus {
+	r := record.JobStatus{Status: model.Done, Tasks: len(j.tasks)}
 	if j.cancelled {
 		r.Status = model.Cancelled
 	}
@@ -289,7 +289,7 @@
 }
 
 // learnFromEnd learns from a job's end.
-func learnFromEnd(n *Controller, j *job, r record.JobStatusRecord) {
+func learnFromEnd(n *Controller, j *job, r record.JobStatus) {
 	if !n.promisesEnabled() || j.borrowedLoan != "" {
 		return
 	}
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -36,7 +36,7 @@
 	jobs := map[string]*job{}
 	for id, stamp := range map[string]uint64{"job-old": 5, "job-new": 12} {
 		spec := model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Hour}
-		rec := record.NewOpenJobRecord(&spec, n.now)
+		rec := record.NewOpenJob(&spec, n.now)
 		rec.PromisedMillis = 60_000
 		m.openJobs[id] = openJob{stamp, rec}
 		j := n.addJob(spec, n.now, stamp)
@@ -140,7 +140,7 @@
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
 	m := &n.frontend.watchCache
 	spec := model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 2000 * time.Second}
-	rec := record.NewOpenJobRecord(&spec, n.now)
+	rec := record.NewOpenJob(&spec, n.now)
 	m.openJobs = map[string]openJob{spec.ID: {3, rec}}
 	j := n.addJob(spec, n.now, 3)
 	l := m.openJobs[spec.ID]
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -196,7 +196,7 @@
 		n := newRankedNode(1, fooFirst)
 		m := n.shardLeader.machinesByID[0]
 		j := n.addWaitingJob("job-1", "foo", 1, 1)
-		rec := record.TaskSegmentRecord{RankingRevision: c.rank, Rows: []record.TaskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
+		rec := record.TaskSegment{RankingRevision: c.rank, Rows: []record.TaskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
 		n.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
 		if !c.quiet {
 			m.unackedStartEpoch = m.epoch
@@ -372,7 +372,7 @@
 	n.addWaitingJob("job-2", "bar", 3, 20)
 	n.addWaitingJob("job-3", "bar", 1, 99)
 	for id, j := range n.shardLeader.jobs {
-		n.frontend.watchCache.openJobs[id] = openJob{rec: record.NewOpenJobRecord(&j.JobSpec, n.now)}
+		n.frontend.watchCache.openJobs[id] = openJob{rec: record.NewOpenJob(&j.JobSpec, n.now)}
 	}
 	n.shardLeader.usedByTeam["ops"] = first.Need
 	n.settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 110}}}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -9,7 +9,7 @@
 )
 
 // recoverSegment takes in a record of a job's tasks that a former owner wrote.
-func (n *Controller) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegmentRecord) {
+func (n *Controller) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegment) {
 	format, segmentIndex, ok := n.parseSegmentKey(it.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
 		n.rejectInput("record", it.Key, "its job has no such part")
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -26,11 +26,11 @@
 			spec.Tasks = total
 		}
 		j := n.addJob(spec, n.now, 1)
-		rec := record.NewOpenJobRecord(&j.JobSpec, n.now)
+		rec := record.NewOpenJob(&j.JobSpec, n.now)
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 		n.applyJobRecord(j, 2, &rec)
 		for k := range 3 {
-			var r record.TaskSegmentRecord
+			var r record.TaskSegment
 			for i := k * per; i < min(total, (k+1)*per); i++ {
 				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: n.shardLeader.machinesByID[i%24].id, Group: n.now.UnixMilli()})
 			}
--- a/internal/controller/renewal_bound.go
+++ b/internal/controller/renewal_bound.go
@@ -107,7 +107,7 @@
 // earliestCancellation is the earliest moment, by this node's clock, at which anybody can have been
 // told that a job is cancelled. A record without it is of an earlier version: it may be
 // long ago.
-func (n *Controller) earliestCancellation(r *record.OpenJobRecord) time.Time {
+func (n *Controller) earliestCancellation(r *record.OpenJob) time.Time {
 	if r.CancelledAtMillis <= 0 {
 		return time.Time{}
 	}
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -28,7 +28,7 @@
 
 // setCancelled writes that a job was cancelled by a change that was sent at a moment.
 func (n *Controller) setCancelled(j *job, at time.Time) {
-	rec := record.NewOpenJobRecord(&j.JobSpec, j.submittedAt)
+	rec := record.NewOpenJob(&j.JobSpec, j.submittedAt)
 	rec.Cancelled, rec.CancelledAtMillis = true, at.UnixMilli()
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
 	if n.shardLeader.jobs[j.ID] != nil {
@@ -386,12 +386,12 @@
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
-	open := record.NewOpenJobRecord(&j.JobSpec, j.submittedAt)
+	open := record.NewOpenJob(&j.JobSpec, j.submittedAt)
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision, open}
 	rec := open
 	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 	horizon := n.frontend.watchCache.asOf
-	receive := func(r record.OpenJobRecord, stamp uint64) (acks, passed int) {
+	receive := func(r record.OpenJob, stamp uint64) (acks, passed int) {
 		n.effects = nil
 		receiveCancellations(n, "b", []message.Cancellation{{ID: j.ID, Record: record.Encode(r), ModRevision: stamp}})
 		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
@@ -401,12 +401,12 @@
 		}
 		return acks, len(n.cancellations.unacked)
 	}
-	for name, bad := range map[string]func(*record.OpenJobRecord) uint64{
-		"another time":  func(r *record.OpenJobRecord) uint64 { r.SubmittedAtMillis++; return j.modRevision + 1 },
-		"another team":  func(r *record.OpenJobRecord) uint64 { r.Team = "lab"; return j.modRevision + 1 },
-		"other tasks":   func(r *record.OpenJobRecord) uint64 { r.Tasks++; return j.modRevision + 1 },
-		"an old stamp":  func(*record.OpenJobRecord) uint64 { return j.modRevision },
-		"not cancelled": func(r *record.OpenJobRecord) uint64 { r.Cancelled = false; return j.modRevision + 1 },
+	for name, bad := range map[string]func(*record.OpenJob) uint64{
+		"another time":  func(r *record.OpenJob) uint64 { r.SubmittedAtMillis++; return j.modRevision + 1 },
+		"another team":  func(r *record.OpenJob) uint64 { r.Team = "lab"; return j.modRevision + 1 },
+		"other tasks":   func(r *record.OpenJob) uint64 { r.Tasks++; return j.modRevision + 1 },
+		"an old stamp":  func(*record.OpenJob) uint64 { return j.modRevision },
+		"not cancelled": func(r *record.OpenJob) uint64 { r.Cancelled = false; return j.modRevision + 1 },
 	} {
 		r := rec
 		stamp := bad(&r)
--- a/internal/controller/safety_test.go
+++ b/internal/controller/safety_test.go
@@ -498,7 +498,7 @@
 				booted.rules = append(booted.rules, r)
 			}
 		}
-		b.run(record.Seconds(number("for", 1)))
+		b.run(record.DurationOfSeconds(number("for", 1)))
 	case "end":
 		// The process ends; what it sent may still be applied.
 		b.controllers[first()].controller = nil
@@ -507,7 +507,7 @@
 		b.unlisted = d.HasArg("unlisted")
 	case "submit":
 		s := model.JobSpec{ID: first(), Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: int(number("tasks", 1)),
-			Need: model.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: record.Seconds(number("expected", 20)),
+			Need: model.Resources{CPU: number("cpu", 4), Memory: number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: record.DurationOfSeconds(number("expected", 20)),
 			SameZone: d.HasArg("same"), SpreadZones: d.HasArg("apart")}
 		for _, a := range d.CmdArgs {
 			if a.Key == "prereqs" {
@@ -518,7 +518,7 @@
 			d.ScanArgs(t, "team", &s.Team)
 		}
 		b.pushRequest(n, s.ID, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: s} })
-		b.run(record.Seconds(number("for", 2)))
+		b.run(record.DurationOfSeconds(number("for", 2)))
 	case "loan":
 		// One step of a loan: what, job, n=1.
 		kinds := []string{"lend", "back", "settle", "cancelled", "accept", "give_up", "drop"}
@@ -528,7 +528,7 @@
 			Spec: model.JobSpec{ID: id, Team: "ops", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
 		}
 		b.pushRequest(n, first()+" "+id, func(r uint64) message.Command { op.Reply = r; return op })
-		b.run(record.Seconds(number("for", 0.5)))
+		b.run(record.DurationOfSeconds(number("for", 0.5)))
 	case "view":
 		// startable=job: that borrowed job may be started for the next 10 s.
 		q := message.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
@@ -538,17 +538,17 @@
 			q.StartableUntil[id] = b.now.Add(10 * time.Second)
 		}
 		b.pushRequest(n, "view", func(r uint64) message.Command { q.Reply = r; return q })
-		b.run(record.Seconds(number("for", 0.5)))
+		b.run(record.DurationOfSeconds(number("for", 0.5)))
 	case "query":
 		id := first()
 		b.pushRequest(n, id, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} })
-		b.run(record.Seconds(number("for", 0.3)))
+		b.run(record.DurationOfSeconds(number("for", 0.3)))
 	case "abort":
 		id := first()
 		b.pushRequest(n, id, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} })
-		b.run(record.Seconds(number("for", 0.3)))
+		b.run(record.DurationOfSeconds(number("for", 0.3)))
 	case "wait":
-		b.run(record.Seconds(number("for", 1)))
+		b.run(record.DurationOfSeconds(number("for", 1)))
 	case "state":
 		// What becomes of the node's requests to the state service; ok: all as usual.
 		r := storeRule{mode: first()}
@@ -727,7 +727,7 @@
 			op.Writes = append(op.Writes, message.Write{Key: key, Value: raw})
 		}
 		b.store.Do(b.now, op, func(message.StoreResponse) {})
-		b.run(record.Seconds(number("for", 0.5)))
+		b.run(record.DurationOfSeconds(number("for", 0.5)))
 	case "lot":
 		// A leader names machines for a share: lot name share=b machines=(vm-1).
 		var share string
@@ -735,7 +735,7 @@
 		i := slices.IndexFunc(d.CmdArgs, func(a datadriven.CmdArg) bool { return a.Key == "machines" })
 		w, _ := sharding.BumpEpoch(sizelimit.Limits{ValueBytes: 4096}, first(), &sharding.Shard{Name: share}, d.CmdArgs[i].Vals)
 		b.store.Do(b.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(message.StoreResponse) {})
-		b.run(record.Seconds(number("for", 0.5)))
+		b.run(record.DurationOfSeconds(number("for", 0.5)))
 	case "keys":
 		b.store.Do(b.now, message.StoreRequest{Kind: message.OpList, Key: first()}, func(d message.StoreResponse) {
 			for _, it := range d.KeyValues {
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -73,7 +73,7 @@
 	jobs := n.unpersistedJobs()
 	// What waits grows with the number of living jobs; the limit of changes
 	// does not.
-	maxDelay := record.Seconds(float64(len(jobs)) / max(1, lazyWriteFraction*n.settings.StoreWritesPerSecond))
+	maxDelay := record.DurationOfSeconds(float64(len(jobs)) / max(1, lazyWriteFraction*n.settings.StoreWritesPerSecond))
 	maxDelay = min(max(maxDelay, lazyWriteDelay), maxLazyWriteDelay)
 	crowded := maxDelay > lazyWriteDelay
 	for len(jobs) > 0 && o.txnsInFlight < maxSegmentTxns && n.writesAllowed() > 0 {
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -198,7 +198,7 @@
 	if _, ended := n.frontend.finalStatuses[id]; ended && j == nil && n.frontend.finalStatuses[id] == model.Done {
 		return
 	}
-	var r record.OpenJobRecord
+	var r record.OpenJob
 	if !record.Decode(it.Value, &r) {
 		n.rejectInput("record", it.Key, "it can't be read")
 		return
@@ -249,7 +249,7 @@
 }
 
 // applyJobRecord takes in a job's record in open/ as it stands now.
-func (n *Controller) applyJobRecord(j *job, stamp uint64, r *record.OpenJobRecord) {
+func (n *Controller) applyJobRecord(j *job, stamp uint64, r *record.OpenJob) {
 	id := j.ID
 	j.modRevision = stamp
 	j.setLoanFrom(r)
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -21,7 +21,7 @@
 	if err := n.membership.shardMap.ApplyShard(name, b, stamp); err != nil {
 		t.Fatal(err)
 	}
-	n.membership.controllers["b"] = record.MemberRecord{Incarnation: "b#1"}
+	n.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
 }
 
 // putSegment names machines for a share.
@@ -131,7 +131,7 @@
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 2, Need: model.Resources{CPU: 1, Memory: 2}}
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJobRecord(&spec, n.now)}
+	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
 	r := n.poolHeartbeat(0)
 	r.Sequence = 2
 	r.Tasks = []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Running}}
@@ -145,13 +145,13 @@
 		t.Errorf("it takes %v, empty %v, strays %v: want its room to be known", m.othersUsed, m.isEmpty(), m.hasUnknownTasks)
 	}
 	// Cancelled, it is stopped unasked: its job's owner may not be heard.
-	rec := record.NewOpenJobRecord(&spec, n.now)
+	rec := record.NewOpenJob(&spec, n.now)
 	rec.Cancelled = true
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
 	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
 		t.Errorf("ordered %v for a cancelled job, want a stop", os)
 	}
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJobRecord(&spec, n.now)}
+	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
 	// Asked to stop it, it does.
 	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
 	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
@@ -165,7 +165,7 @@
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 2}}
-	rec := record.NewOpenJobRecord(&spec, n.now)
+	rec := record.NewOpenJob(&spec, n.now)
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, rec}
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Tasks = 2, []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Checkpointing}}
@@ -206,7 +206,7 @@
 	n.syncShardLeader()
 	m := n.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 3, Memory: 2}, ExpectedRunTime: time.Minute}
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJobRecord(&spec, n.now)}
+	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
 	j := n.addJob(spec, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.attachAttempt(j, 0, m)
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -258,7 +258,7 @@
 	// Whoever had it may go on answering it for a while.
 	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
 	n.rePoll(m)
-	if h := n.predecessorMachines[m.id]; n.now.Sub(h.ReceivedAt) < machineUpdateTTL && m.addr == "" {
+	if h := n.predecessorMachines[m.id]; n.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
 		n.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 	}
 	o.inheritedMachines = append(o.inheritedMachines, m)
@@ -463,7 +463,7 @@
 			}
 			continue
 		}
-		var r record.TaskSegmentRecord
+		var r record.TaskSegment
 		if !record.Decode(it.Value, &r) {
 			n.rejectInput("record", it.Key, "it can't be read")
 			continue
@@ -504,7 +504,7 @@
 func adoptPredecessorMachines(n *Controller) {
 	for _, id := range sortedKeys(n.predecessorMachines) {
 		h := n.predecessorMachines[id]
-		if _, mine := n.ownedMachine(id); !mine || n.now.Sub(h.ReceivedAt) >= machineUpdateTTL || n.released[id] {
+		if _, mine := n.ownedMachine(id); !mine || n.now.Sub(h.receivedAt) >= machineUpdateTTL || n.released[id] {
 			continue
 		}
 		m := n.ensureMachine(id)
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -174,7 +174,7 @@
 	if f.ImageFetchRate <= 0 {
 		return 0
 	}
-	return record.Seconds(j.ImageGB / f.ImageFetchRate)
+	return record.DurationOfSeconds(j.ImageGB / f.ImageFetchRate)
 }
 
 // expectedOccupancy is how long a task of the job is expected to hold its room.
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -120,7 +120,7 @@
 		successor.settings.MaxValueBytes = value
 		h := newJob(j.JobSpec, n.now, 1, value)
 		successor.shardLeader.jobs[h.ID] = h
-		var back record.TaskSegmentRecord
+		var back record.TaskSegment
 		if !record.Decode(record.Encode(r), &back) {
 			t.Fatal("unreadable")
 		}
@@ -177,7 +177,7 @@
 	}
 	// The list says that it has four thousand million elements.
 	bad := append(slices.Clone(long[:3]), 0xdd, 0xff, 0xff, 0xff, 0xff)
-	var r record.TaskSegmentRecord
+	var r record.TaskSegment
 	if record.Decode(bad, &r) {
 		t.Error("a damaged record is read")
 	}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -21,10 +21,10 @@
 			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: model.Normal, Tasks: size, AllowSpot: true,
 			Need: model.Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		open = append(open, message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJobRecord(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
+		open = append(open, message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJob(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
 		perSegment := record.MaxTasksPerSegment(4096)
 		for c := 0; c*perSegment < size; c++ {
-			var r record.TaskSegmentRecord
+			var r record.TaskSegment
 			for i := c * perSegment; i < min((c+1)*perSegment, size); i++ {
 				m := (k*size + i) / each
 				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -141,7 +141,7 @@
 // TestUpdateOfFormerIncarnation: what a former life of a controller wished counts no more.
 func TestUpdateOfFormerIncarnation(t *testing.T) {
 	n := twoControllers(t)
-	n.membership.controllers["b"] = record.MemberRecord{Incarnation: "b#2"}
+	n.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
 	n.leader = &leader{updates: map[string]receivedUpdate{}, rentals: map[string]*rental{"vm": {id: "vm", publishedTo: "b"}}, ackedSeq: map[string]uint64{"b": 9}}
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
 	if _, ok := n.freshUpdate("b"); ok || n.progressByJob["job-000900"].Done != 0 {
@@ -152,7 +152,7 @@
 		t.Error("the present life is not told anew")
 	}
 	// And what came in time is not used when another life has taken its place since.
-	n.membership.controllers["b"] = record.MemberRecord{Incarnation: "b#3"}
+	n.membership.controllers["b"] = record.Member{Incarnation: "b#3"}
 	if _, ok := n.freshUpdate("b"); ok {
 		t.Error("a former life's wishes are met")
 	}
@@ -166,7 +166,7 @@
 // is refused looks what stands there.
 func TestRegistrationComparesRevision(t *testing.T) {
 	n := largePool(1)
-	key := record.ControllerPrefix + "a"
+	key := record.MemberPrefix + "a"
 	n.membership.leaseID, n.membership.recordModRevision, n.effects = 7, 4, nil
 	n.register()
 	op := n.effects[len(n.effects)-1].(message.StoreRequest)
@@ -181,7 +181,7 @@
 		t.Fatal("it does not look what stands there")
 	}
 	// A former life's, whose write came late: its grant is ended and this one registers.
-	n.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.MemberRecord{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
+	n.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.Member{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
 	drop := n.effects[len(n.effects)-1].(message.StoreRequest)
 	if drop.Kind != message.OpLeaseRevoke || drop.LeaseID != 3 {
 		t.Fatalf("it asks for %+v", drop)
@@ -197,8 +197,8 @@
 // for to the end.
 func TestReleasedIsNotRequestedAgain(t *testing.T) {
 	n := twoControllers(t)
-	n.membership.controllers["b"] = record.MemberRecord{Incarnation: "b#1"}
-	n.membership.leader = record.LeaderRecord{Host: "b", Incarnation: "b#1"}
+	n.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
+	n.membership.leader = record.Leader{Host: "b", Incarnation: "b#1"}
 	n.shardLeader.fleetView.leaderHost = "b"
 	update := message.PeerUpdate{From: "b", Incarnation: "b#1", IsLeaderUpdate: true, Seq: 1}
 	for i := range 2 * maxReleasePerRequest {
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -48,7 +48,7 @@
 // openJob is a job in open/.
 type openJob struct {
 	modRevision uint64
-	rec         record.OpenJobRecord
+	rec         record.OpenJob
 }
 
 // startWatchCache reads open/ and keeps the picture from ageing.
@@ -156,7 +156,7 @@
 		delete(open, id)
 		return
 	}
-	var r record.OpenJobRecord
+	var r record.OpenJob
 	if record.Decode(it.Value, &r) {
 		open[id] = openJob{it.ModRevision, r}
 	}
@@ -211,10 +211,10 @@
 type jobLookup struct {
 	// ok: it could be asked. known: the job was accepted at some time.
 	ok, accepted bool
-	rec          record.JobStatusRecord
+	rec          record.JobStatus
 	// modRevision is that of open/, while the job is not over, and open what it says.
 	modRevision uint64
-	open        record.OpenJobRecord
+	open        record.OpenJob
 	// promisedDate is its newest date, as of the same moment, while it is not over.
 	promisedDate promise.Date
 }
@@ -257,7 +257,7 @@
 
 // lookupOfOpenJob tells of an open job by its own record.
 func (n *Controller) lookupOfOpenJob(id string, l *openJob, fn func(jobLookup)) {
-	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: record.JobStatusRecord{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
+	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: record.JobStatus{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
 	if l.rec.Cancelled {
 		f.rec.Status = model.Cancelled
 	}
--- a/internal/message/peer.go
+++ b/internal/message/peer.go
@@ -117,7 +117,6 @@
 	Zone        string
 	Spot        bool
 	Images      map[string]float64
-	ReceivedAt  time.Time
 }
 
 // WorkloadLoad is what an owner has seen of a team's jobs of a workload: tasks a second, and
--- a/internal/overflow/offers.go
+++ b/internal/overflow/offers.go
@@ -196,7 +196,7 @@
 		parts = append(parts, part{pl, n})
 		fetch := time.Duration(0)
 		if !imageCached && pl.FetchRate > 0 {
-			fetch = record.Seconds(c.Spec.ImageGB / pl.FetchRate)
+			fetch = record.DurationOfSeconds(c.Spec.ImageGB / pl.FetchRate)
 		}
 		readyIn = max(readyIn, pl.AvailableIn+fetch)
 		price = max(price, pl.CostPerCPUHour)
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -13,7 +13,7 @@
 
 var testStart = time.Unix(1_750_000_000, 0)
 
-func at(s float64) time.Time { return testStart.Add(record.Seconds(s)) }
+func at(s float64) time.Time { return testStart.Add(record.DurationOfSeconds(s)) }
 
 func testLoan(n uint64) Loan { return Loan{"east", "job-1", n} }
 
@@ -117,7 +117,7 @@
 
 func candidate(id string, urgency model.Urgency, aim, home float64) Candidate {
 	return Candidate{
-		Job: id, SLODue: record.Seconds(aim), HomeFinish: record.Seconds(home), RunTime: 20 * time.Second,
+		Job: id, SLODue: record.DurationOfSeconds(aim), HomeFinish: record.DurationOfSeconds(home), RunTime: 20 * time.Second,
 		Spec: model.JobSpec{ID: id, Tasks: 4, Urgency: urgency, Need: model.Resources{CPU: 2, Memory: 2}, Image: "img", ImageGB: 2},
 	}
 }
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -104,7 +104,7 @@
 	if err := parseNumber(name, v, allowed, &f); err != nil {
 		return err
 	}
-	*target = record.Seconds(f)
+	*target = record.DurationOfSeconds(f)
 	return nil
 }
 
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// quotesPrefix holds what quotes rest on, by team, and totalsKey the outcomes.
+	// QuotesPrefix holds what quotes rest on, by team, and totalsKey the outcomes.
 	QuotesPrefix = "promise/quotes/"
 )
 
@@ -18,7 +18,7 @@
 )
 
 const (
-	// maxDateMillis is the longest date in milliseconds.
+	// MaxDateMillis is the longest date in milliseconds.
 	MaxDateMillis = int(promise.MaxDate / time.Millisecond)
 )
 
@@ -31,7 +31,7 @@
 	return b
 }
 
-// decode reads a record. The library takes a list's length at its word and makes room
+// Decode reads a record. The library takes a list's length at its word and makes room
 // for it, so a damaged record is found before.
 func Decode(b []byte, v any) bool {
 	if _, err := sizelimit.JSON(b); err != nil {
@@ -40,5 +40,5 @@
 	return msgpack.Unmarshal(b, v) == nil
 }
 
-// Seconds converts a decimal number of seconds at the edge.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// DurationOfSeconds converts a decimal number of seconds at the edge.
+func DurationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- /dev/null
+++ b/internal/record/golden_test.go
@@ -0,0 +1,112 @@
+package record
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/pipeline"
+	"github.com/micahill/micahill/internal/testgolden"
+)
+
+// goldenRecords are the controllers' records of the state service.
+var goldenRecords = testgolden.Values{
+	"node":  Member{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
+	"life":  Incarnation{StartedAt: 1_750_000_001_234, ShortLived: 3},
+	"lead":  Leader{Host: "ctl-2", Incarnation: "n-18.1"},
+	"form":  Format{TasksPerSegment: 21},
+	"hears": ReroutedMachines{Controller: "ctl-3", Incarnation: "n-19.2", Machines: 5},
+	"drain": Drain{Enabled: true, Deadline: 1_750_000_600_000},
+	"guest": OffloadedJob{Job: "job-lent-east-2-000412", Cause: "given_back", RenewedAt: 1_750_000_002_345},
+	"job": JobStatus{
+		Status: model.Done, Tasks: 16, Team: "vision", Workload: "train", Offloaded: true, EndedAfterMillis: 90_500, PromisedMillis: 120_300, PromiseRevision: 2, PromisedAtSubmit: true,
+	},
+	"open": OpenJob{
+		Workload: "train", Team: "vision", LongRunning: true, Gang: true, Urgency: int(model.Urgent), Tasks: 16,
+		CPU: 8.5, GPU: 1.25, Memory: 64.75, Image: "img-07", ImageGB: 6.2, MachineTypes: []string{"g8", "g4"}, Zone: "a",
+		SameZone: true, SpreadZones: true, AllowSpot: true, ExpectedSeconds: 240.5, CheckpointIntervalSeconds: 30.25, CheckpointCostSeconds: 4.5, DeadlineSeconds: 900.75, SubmittedAtMillis: 1_750_000_003_456,
+		Cancelled: true, CancelledAtMillis: 1_750_000_004_567, LentTo: "east", LendCount: 7, StopBoundMillis: 82_000, CancelRequested: true,
+		BorrowedLoan: "west/job-000077/4", PromisedMillis: 130_400, Dependencies: pipeline.EncodeNames([]string{"job-000398", "job-000402", "job-x"}),
+	},
+	"task": TaskSegment{
+		MachinePrefix: "vm-000", DoneRanges: []int{0, 4, 6, 9}, RelaunchedGroups: []int64{1_750_000_005_678}, RunTimes: []int64{2_340, 3_450}, RankingRevision: 93,
+		Rows: []TaskEntry{
+			{Index: 5, Try: 2, Machine: "231", Group: 1_750_000_005_678, Relaunched: true},
+			{Index: 10, Try: 300, Machine: "232", Group: 1_750_000_006_789, Done: true},
+			{Index: 70_000, Try: 1, Group: 1_750_000_007_890},
+		},
+	},
+	"warm": Prewarmed{MachinePrefix: "vm-", NumberWidth: 6, Images: []PrewarmedImage{
+		{Name: "img-07", GB: 6.2, Machines: []int{231, 232}}, {Name: "img-08", GB: 0.5, Machines: []int{77_777}},
+	}},
+}
+
+// TestGoldenRecords: records of the state service are written as they ever were, and what
+// stands there is read.
+func TestGoldenRecords(t *testing.T) {
+	testgolden.Check(t, testgolden.Codec{
+		Write: func(v any) ([]byte, error) { return Encode(v), nil },
+		Read: func(b []byte, into any) error {
+			if !Decode(b, into) {
+				return errors.New("not a record")
+			}
+			return nil
+		},
+	}, goldenRecords)
+	testgolden.Full(t, goldenRecords)
+}
+
+// TestGoldenSpec: what stands in open/ is read as the job that it was, every field of the
+// job is there, and it is written again as it stood.
+func TestGoldenSpec(t *testing.T) {
+	var r OpenJob
+	if !Decode(testgolden.Bytes(t, "open"), &r) {
+		t.Fatal("not a record")
+	}
+	s := r.JobSpec("job-000412")
+	all := maps.Clone(goldenRecords)
+	all["spec"] = s
+	testgolden.Full(t, all)
+	again := NewOpenJob(&s, time.UnixMilli(r.SubmittedAtMillis))
+	again.Cancelled, again.CancelledAtMillis = r.Cancelled, r.CancelledAtMillis
+	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = r.LentTo, r.LendCount, r.StopBoundMillis, r.CancelRequested
+	again.BorrowedLoan, again.PromisedMillis = r.BorrowedLoan, r.PromisedMillis
+	testgolden.Still(t, "open", Encode(again))
+}
+
+// TestGoldenNames: keys of the state service, and words and numbers that stand in records,
+// mean what they ever meant.
+func TestGoldenNames(t *testing.T) {
+	for want, got := range map[string]string{
+		"ctl/":              ControlPrefix,
+		"ctl/lead":          LeaderKey,
+		"ctl/node/":         MemberPrefix,
+		"ctl/share/":        ShardPrefix,
+		"ctl/lot/":          ShardSegmentPrefix,
+		"ctl/drain":         DrainKey,
+		"ctl/hears/":        ReroutePrefix,
+		"ctl/form":          FormatKey,
+		"ctl/form/":         FormatSupportPrefix,
+		"ctl/ranking":       RankingKey,
+		"ranking/":          RankingHistoryPrefix,
+		"life/":             IncarnationPrefix,
+		"job/":              JobStatusPrefix,
+		"open/":             OpenJobPrefix,
+		"form/probe":        LimitProbeKey,
+		"warm/":             PrewarmedPrefix,
+		"guest/":            OffloadedJobPrefix,
+		"promise/quotes/":   QuotesPrefix,
+		"promise/totals":    TotalsKey,
+		"queued":            string(model.Queued),
+		"cancelled":         string(model.Cancelled),
+		"done":              string(model.Done),
+		"urgencies 0 1 2 3": fmt.Sprintf("urgencies %d %d %d %d", model.BestEffort, model.Normal, model.Urgent, model.Critical),
+	} {
+		if got != want {
+			t.Errorf("%q was %q", got, want)
+		}
+	}
+}
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -10,15 +10,15 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// offloadedJobRecord is a loan that was taken, or the time when a home last answered.
-type OffloadedJobRecord struct {
+// OffloadedJob is a loan that was taken, or the time when a home last answered.
+type OffloadedJob struct {
 	Job       string `msgpack:"j,omitempty"`
 	Cause     string `msgpack:"c,omitempty"`
 	RenewedAt int64  `msgpack:"r,omitempty"`
 }
 
 // FirstDate is the date in the accepting record; what makes no sense is none.
-func (r *OpenJobRecord) FirstDate() promise.Date {
+func (r *OpenJob) FirstDate() promise.Date {
 	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: 1}
 	if r.PromisedMillis <= 0 || r.PromisedMillis > MaxDateMillis {
 		return promise.Date{}
@@ -26,7 +26,7 @@
 	return d
 }
 
-func (r *JobStatusRecord) Date() promise.Date {
+func (r *JobStatus) Date() promise.Date {
 	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
 	if r.Status != model.Done || r.PromisedMillis > MaxDateMillis || d.Validate() != "" {
 		return promise.Date{}
@@ -34,7 +34,7 @@
 	return d
 }
 
-type JobStatusRecord struct {
+type JobStatus struct {
 	Status model.JobStatus `msgpack:"s"`
 	Tasks  int             `msgpack:"n"`
 	// With promises: whose it was, of a peer's or not, and when it ended, in
@@ -49,10 +49,10 @@
 	PromisedAtSubmit bool   `msgpack:"q,omitempty"`
 }
 
-// openJobRecord is the description of a living job. Whatever ends the job changes
+// OpenJob is the description of a living job. Whatever ends the job changes
 // or removes it together with writing job/<id>: a start that names its stamp in
 // its conditions cannot follow a cancellation.
-type OpenJobRecord struct {
+type OpenJob struct {
 	Workload                  string   `msgpack:"w"`
 	Team                      string   `msgpack:"o"`
 	LongRunning               bool     `msgpack:"st,omitempty"`
@@ -95,7 +95,7 @@
 
 // ShrinkToFit has a cancelled job's record fit a value also where the description was written
 // under a larger limit: what it leaves out says only where a task may start.
-func (r *OpenJobRecord) ShrinkToFit(valueBytes int) {
+func (r *OpenJob) ShrinkToFit(valueBytes int) {
 	for _, leave := range [...]func(){
 		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
 	} {
@@ -106,9 +106,9 @@
 	}
 }
 
-// newOpenJobRecord describes a job that was submitted at a time as it is stored.
-func NewOpenJobRecord(s *model.JobSpec, at time.Time) OpenJobRecord {
-	return OpenJobRecord{
+// NewOpenJob describes a job that was submitted at a time as it is stored.
+func NewOpenJob(s *model.JobSpec, at time.Time) OpenJob {
+	return OpenJob{
 		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
 		Tasks: s.Tasks, CPU: s.Need.CPU, GPU: s.Need.GPU, Memory: s.Need.Memory,
 		Image: s.Image, ImageGB: s.ImageGB, MachineTypes: s.MachineTypes, Zone: s.Zone,
@@ -118,25 +118,25 @@
 	}
 }
 
-func (r *OpenJobRecord) JobSpec(id string) model.JobSpec {
+func (r *OpenJob) JobSpec(id string) model.JobSpec {
 	return model.JobSpec{
 		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: model.Urgency(r.Urgency),
 		Tasks: r.Tasks, Need: model.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
 		MachineTypes: r.MachineTypes, Zone: r.Zone, SameZone: r.SameZone, SpreadZones: r.SpreadZones, AllowSpot: r.AllowSpot,
-		ExpectedRunTime: Seconds(r.ExpectedSeconds), CheckpointInterval: Seconds(r.CheckpointIntervalSeconds), CheckpointCost: Seconds(r.CheckpointCostSeconds),
-		Deadline: Seconds(r.DeadlineSeconds), Dependencies: r.DependencyNames(),
+		ExpectedRunTime: DurationOfSeconds(r.ExpectedSeconds), CheckpointInterval: DurationOfSeconds(r.CheckpointIntervalSeconds), CheckpointCost: DurationOfSeconds(r.CheckpointCostSeconds),
+		Deadline: DurationOfSeconds(r.DeadlineSeconds), Dependencies: r.DependencyNames(),
 	}
 }
 
 // DependencyNames are the jobs that it names; none if they can't be read, which bad tells.
-func (r *OpenJobRecord) DependencyNames() []string {
+func (r *OpenJob) DependencyNames() []string {
 	names, _ := pipeline.DecodeNames(r.Dependencies)
 	return names
 }
 
 // Validate is what is wrong with a job's record, "" for nothing. One that is over and was
 // kept by an earlier form says nothing but that.
-func (r *OpenJobRecord) Validate() string {
+func (r *OpenJob) Validate() string {
 	var c validate.Check
 	if r.Cancelled && r.Team == "" {
 		return ""
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -10,14 +10,14 @@
 	FormatSupportPrefix = "ctl/form/"
 )
 
-// limitProbeKey holds a value between the limits, where it was ever asked for.
+// LimitProbeKey holds a value between the limits, where it was ever asked for.
 const LimitProbeKey = "form/probe"
 
-// migrationPrefix has a record for each team with moves under way.
+// MigrationPrefix has a record for each team with moves under way.
 const MigrationPrefix = "move/"
 
 const (
-	// reroutePrefix keeps what a controller says of machines that come back to it.
+	// ReroutePrefix keeps what a controller says of machines that come back to it.
 	ReroutePrefix = ControlPrefix + "hears/"
 )
 
@@ -26,7 +26,7 @@
 )
 
 const (
-	// rankingHistoryPrefix has the last rankings, by their revision modulo ranking.History.
+	// RankingHistoryPrefix has the last rankings, by their revision modulo ranking.History.
 	RankingHistoryPrefix = "ranking/"
 )
 
@@ -37,9 +37,9 @@
 // is read as well. task/ holds its tasks in chunks, apart from open/ so that
 // the owner's watch for new jobs is not woken by its own progress.
 const (
-	ControlPrefix    = "ctl/"
-	LeaderKey        = "ctl/lead"
-	ControllerPrefix = "ctl/node/"
+	ControlPrefix = "ctl/"
+	LeaderKey     = "ctl/lead"
+	MemberPrefix  = "ctl/node/"
 	// The shares and lots of the division; see internal/sharding.
 	ShardPrefix        = "ctl/share/"
 	ShardSegmentPrefix = "ctl/lot/"
--- a/internal/record/prewarmed.go
+++ b/internal/record/prewarmed.go
@@ -1,8 +1,8 @@
 package record
 
-// prewarmedRecord is what some of the machines hold. Machines are kept by the number
+// Prewarmed is what some of the machines hold. Machines are kept by the number
 // at the end of their names, which is short.
-type PrewarmedRecord struct {
+type Prewarmed struct {
 	MachinePrefix string           `msgpack:"p"`
 	NumberWidth   int              `msgpack:"w"`
 	Images        []PrewarmedImage `msgpack:"i"`
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -5,7 +5,7 @@
 	"unicode/utf8"
 )
 
-// taskEntry is one task that was ever started: index, attempt, machine ("" when
+// TaskEntry is one task that was ever started: index, attempt, machine ("" when
 // it is on none), its group's start in Unix milliseconds, whether it was
 // relaunched, and whether it is done.
 type TaskEntry struct {
@@ -19,11 +19,11 @@
 	Done       bool
 }
 
-// taskSegmentRecord holds some consecutive tasks of a job. Runs lists finished tasks
+// TaskSegment holds some consecutive tasks of a job. Runs lists finished tasks
 // as pairs of first and last index, rows the others; marks are the groups
 // whose relaunch has been decided. Times are run times in milliseconds, the
 // last few, from which a successor rebuilds the median.
-type TaskSegmentRecord struct {
+type TaskSegment struct {
 	// MachinePrefix is what the names of all machines in the rows begin with; the rows
 	// have the rest, so that long names take no more room than short ones.
 	MachinePrefix    string      `msgpack:"p,omitempty"`
@@ -37,7 +37,7 @@
 
 // FactorMachinePrefix puts what all machines' names begin with into one place. The last row's name
 // keeps a character at least, as "" stands for none.
-func (r *TaskSegmentRecord) FactorMachinePrefix() {
+func (r *TaskSegment) FactorMachinePrefix() {
 	prefix, first := "", true
 	for _, row := range r.Rows {
 		switch {
@@ -68,7 +68,7 @@
 // attempt, a machine name, a group's time and two flags.
 const maxTaskEntryBytes = 72
 
-// maxTasksPerSegment says how many tasks share a value, leaving a quarter for the rest.
+// MaxTasksPerSegment says how many tasks share a value, leaving a quarter for the rest.
 func MaxTasksPerSegment(valueBytes int) int {
 	return max(8, valueBytes*3/4/maxTaskEntryBytes)
 }
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -444,7 +444,7 @@
 						}
 						held, op = true, x
 						w.schedule(time.Millisecond, func() { w.CrashController(owner, 5*time.Second) })
-						w.schedule(record.Seconds(d), func() {
+						w.schedule(record.DurationOfSeconds(d), func() {
 							m := w.machines[op.Machine]
 							if seen := m.epoch > op.Epoch; seen {
 								late.Add(1)
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -375,7 +375,7 @@
 			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: class.name, Team: d.Settings.Teams[team].Name, Urgency: class.urgency,
 			Tasks: max(1, int(class.tasks*(0.2+1.6*rng.Float64()))), Need: model.Resources{CPU: class.cpu, Memory: 3 * class.cpu},
 			Image: fmt.Sprintf("%s-%d", class.name, min(rng.IntN(12), rng.IntN(12))), ImageGB: class.imageGB, AllowSpot: rng.IntN(5) > 0, ExpectedRunTime: class.run,
-			Deadline: time.Duration(class.dueFactor*float64(run)) + record.Seconds(15*min(1, class.dueFactor)),
+			Deadline: time.Duration(class.dueFactor*float64(run)) + record.DurationOfSeconds(15*min(1, class.dueFactor)),
 		}
 		jobMixer.varyJob(&spec)
 		alwaysFails := d.failingFraction > 0 && failureRNG.Float64() < d.failingFraction
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -56,7 +56,7 @@
 				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: k.name, Team: "ops", Urgency: k.urgent,
 				Tasks: max(1, int(float64(k.tasks)*scale*(0.3+1.4*rng.Float64()))), Need: model.Resources{CPU: k.cpu, Memory: k.mem},
 				Image: fmt.Sprintf("%s-%d", k.name, min(rng.IntN(k.images), rng.IntN(k.images))), ImageGB: k.gb, AllowSpot: true, ExpectedRunTime: k.run,
-				Deadline: time.Duration(k.due*float64(k.run)) + record.Seconds(10*min(1, k.due)),
+				Deadline: time.Duration(k.due*float64(k.run)) + record.DurationOfSeconds(10*min(1, k.due)),
 			}
 			run := time.Duration(float64(k.run) * (0.7 + 0.6*rng.Float64()))
 			w.schedule(time.Duration(rng.Float64()*float64(d)), func() { w.Submit(spec, run, false) })
--- a/internal/simulation/live.go
+++ b/internal/simulation/live.go
@@ -401,7 +401,7 @@
 		piece := toText(o["piece"])
 		i := strings.LastIndexByte(piece, '/')
 		wind, _ := strconv.ParseFloat(fmt.Sprint(o["wind_down_s"]), 64)
-		out = append(out, model.TaskCommand{Kind: model.TaskCommandKind(toText(o["verb"])), Job: piece[:i], Index: int(toUint(piece[i+1:])), Attempt: toUint(o["try"]), GracePeriod: record.Seconds(wind)})
+		out = append(out, model.TaskCommand{Kind: model.TaskCommandKind(toText(o["verb"])), Job: piece[:i], Index: int(toUint(piece[i+1:])), Attempt: toUint(o["try"]), GracePeriod: record.DurationOfSeconds(wind)})
 	}
 	return out
 }
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -50,7 +50,7 @@
 		if _, err := fmt.Sscan(l, &at); err != nil || !strings.Contains(l, "a team comes [team "+team+"]") {
 			continue
 		}
-		if t := w.startedAt.Add(record.Seconds(at)); t.After(since) {
+		if t := w.startedAt.Add(record.DurationOfSeconds(at)); t.After(since) {
 			out = append(out, t)
 		}
 	}
--- a/internal/simulation/scenario_test.go
+++ b/internal/simulation/scenario_test.go
@@ -85,7 +85,7 @@
 }
 
 func seconds(t *testing.T, d *datadriven.TestData, name string, def float64) time.Duration {
-	return record.Seconds(arg(t, d, name, def))
+	return record.DurationOfSeconds(arg(t, d, name, def))
 }
 
 func (s *scenario) submit(t *testing.T, d *datadriven.TestData) {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -165,7 +165,7 @@
 	}
 	j.placedAt = w.now
 	if m.images[j.spec.Image].IsZero() {
-		m.images[j.spec.Image] = w.now.Add(record.Seconds(j.spec.ImageGB / m.FetchRate))
+		m.images[j.spec.Image] = w.now.Add(record.DurationOfSeconds(j.spec.ImageGB / m.FetchRate))
 	}
 	t.imageReadyAt = m.images[j.spec.Image]
 	t.remaining = j.run
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -80,7 +80,7 @@
 		Incarnation: r.Incarnation, Sequence: r.Sequence, Epoch: r.Epoch, ReclaimIn: -1,
 	}
 	if r.ReclaimS != nil {
-		out.ReclaimIn = record.Seconds(*r.ReclaimS)
+		out.ReclaimIn = record.DurationOfSeconds(*r.ReclaimS)
 	}
 	for _, wireTask := range r.Tasks {
 		job, index, ok := parseTask(wireTask.Task)
