--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -29,14 +29,13 @@
 		"box":  {Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
 		"rack": {Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
 	}
-	n.shardLeader = &shardLeader{
-		ready: true, readyAt: n.now.Add(-time.Hour), since: n.now.Add(-time.Hour),
-		teams:  map[string]*heldTeam{"ops": {ready: true, readyAt: n.now.Add(-time.Hour)}},
-		shards: map[string]bool{"a": true}, higherEpochSeen: map[string]time.Time{}, remoteMachines: map[string]*machine{},
-		jobs: map[string]*job{}, machines: map[string]*machine{},
-		usedByTeam: map[string]model.Resources{}, arrivals: map[workloadKey][]arrival{}, workloads: map[string]*workload{},
-		fleetView: &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}},
-	}
+	o := newShardLeader(n)
+	o.ready, o.readyAt, o.since = true, n.now.Add(-time.Hour), n.now.Add(-time.Hour)
+	o.generation, n.lastID = 0, 0
+	o.teams["ops"] = &heldTeam{ready: true, readyAt: n.now.Add(-time.Hour)}
+	o.shards["a"] = true
+	o.fleetView = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
+	n.shardLeader = o
 	for i := range machines {
 		m := n.ensureMachine(fmt.Sprintf("vm-%06d", i))
 		n.applyHeartbeat(m, n.poolHeartbeat(i), true)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -31,6 +31,7 @@
 
 	membership    membership
 	frontend      frontend
+	ranking       rankingState
 	shardLeader   *shardLeader
 	leader        *leader
 	machineTypes  map[string]model.MachineType
@@ -78,8 +79,8 @@
 	// rejectedInputs counts what made no sense, and complaints are what was told of it.
 	rejectedInputs int
 	rejections     validate.LogLimiter
-	// offloadedJobs are the loans this cluster has taken, as far as this node has read.
-	offloadedJobs offloadedJobs
+	// lending are the loans this cluster has taken, as far as this node has read.
+	lending lending
 	// cancellations are the cancellations that peers are told of; see cancellation_gossip.go.
 	cancellations cancellationGossip
 	// promises is what is known of promised dates beside the jobs.
@@ -100,15 +101,17 @@
 
 // New makes a controller that knows nothing yet. Step starts it.
 func New(set Settings, rng *rand.Rand) *Controller {
-	n := &Controller{
-		settings: set, rng: rng,
-		storeCallbacks:  map[uint64]func(message.StoreResponse){},
-		cloudCallbacks:  map[uint64]func(message.CloudResponse){},
-		workerCallbacks: map[uint64]func(message.WorkerResponse){},
-		progressByJob:   map[string]message.Progress{},
-		estimators:      map[string]*estimator{},
-		released:        map[string]bool{}, inheritedLoads: map[workloadKey]message.WorkloadLoad{}, predecessorMachines: map[string]predecessorMachine{}, storeUnavailable: map[string]time.Time{},
-	}
+	n := &Controller{}
+	n.settings, n.rng = set, rng
+	n.storeCallbacks = map[uint64]func(message.StoreResponse){}
+	n.cloudCallbacks = map[uint64]func(message.CloudResponse){}
+	n.workerCallbacks = map[uint64]func(message.WorkerResponse){}
+	n.progressByJob = map[string]message.Progress{}
+	n.estimators = map[string]*estimator{}
+	n.released = map[string]bool{}
+	n.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
+	n.predecessorMachines = map[string]predecessorMachine{}
+	n.storeUnavailable = map[string]time.Time{}
 	n.malformedTxns = map[uint64]bool{}
 	n.cancellations.unacked = map[string]*unackedCancellation{}
 	n.provisioningTimes = map[machineKind]*boottime.Estimator{}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -159,16 +159,21 @@
 	})
 }
 
+// newLeader makes a leader that knows no machine yet.
+func newLeader(n *Controller) *leader {
+	return &leader{
+		modRevision: n.membership.leaderModRevision, gen: int(n.nextID()),
+		rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[bookingKey]int{}, booking: map[string]bool{}, requiredSeq: map[string]uint64{},
+		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(n),
+	}
+}
+
 func (n *Controller) becomeLeader() {
 	if n.leader != nil && n.leader.modRevision == n.membership.leaderModRevision {
 		planShards(n)
 		return
 	}
-	n.leader = &leader{
-		modRevision: n.membership.leaderModRevision, gen: int(n.nextID()),
-		rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[bookingKey]int{}, booking: map[string]bool{}, requiredSeq: map[string]uint64{},
-		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(n),
-	}
+	n.leader = newLeader(n)
 	n.info("leader", "stamp", n.membership.leaderModRevision)
 	planShards(n)
 }
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -309,7 +309,8 @@
 	}
 	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
 	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
-	n.leader = &leader{modRevision: 9}
+	n.leader = newLeader(n)
+	n.leader.modRevision = 9
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written while c may come back: %+v", ops)
 	}
@@ -318,7 +319,8 @@
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written by none that leads: %+v", ops)
 	}
-	n.leader = &leader{modRevision: 9}
+	n.leader = newLeader(n)
+	n.leader.modRevision = 9
 	ops := formatWrites(n)
 	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
 		t.Fatalf("%+v", ops)
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -47,9 +47,9 @@
 // loan's name begins like that, as no cluster's does.
 const renewalPrefix = record.OffloadedJobPrefix + "0/"
 
-// offloadedJobs is the picture that the owner of the guests' team has of guest/, in the
+// lending is the picture that the owner of the guests' team has of guest/, in the
 // given term as its owner.
-type offloadedJobs struct {
+type lending struct {
 	team      string
 	term      int
 	loaded    bool
@@ -67,7 +67,7 @@
 	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
 	switch borrowing := cmd.Kind >= message.LoanAccept; {
 	case borrowing && ownerReady && offloadedJobsLoaded(n):
-		req.Compares = append(req.Compares, n.shardCompares(n.offloadedJobs.team)...)
+		req.Compares = append(req.Compares, n.shardCompares(n.lending.team)...)
 	case !borrowing && n.leader != nil:
 		req.Compares = append(req.Compares, message.Compare{Key: record.LeaderKey, ModRevision: n.leader.modRevision})
 	default:
@@ -127,7 +127,7 @@
 		req.Compares = append(req.Compares, message.Compare{Key: record.OffloadedJobPrefix + cmd.Loan, ModRevision: 0}, message.Compare{Key: openKey, ModRevision: 0}, message.Compare{Key: record.JobStatusPrefix + cmd.Job, ModRevision: 0})
 		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(record.OffloadedJob{Job: cmd.Job})})
 		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
-		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = record.OffloadedJob{Job: cmd.Job} }
+		onApplied = func() { n.lending.byLoan[cmd.Loan] = record.OffloadedJob{Job: cmd.Job} }
 	case message.LoanGiveUp:
 		if !isOpen || current.rec.Cancelled {
 			done(message.LoanNotApplied)
@@ -141,12 +141,12 @@
 		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
 			message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(g)})
 		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
-		onApplied = func() { n.offloadedJobs.byLoan[cmd.Loan] = g }
+		onApplied = func() { n.lending.byLoan[cmd.Loan] = g }
 	case message.LoanDrop:
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: 0})
 		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan}, message.Write{Key: record.JobStatusPrefix + cmd.Job})
 		onApplied = func() {
-			delete(n.offloadedJobs.byLoan, cmd.Loan)
+			delete(n.lending.byLoan, cmd.Loan)
 			delete(n.frontend.finalStatuses, cmd.Job)
 		}
 	}
@@ -170,7 +170,7 @@
 		default:
 			if cmd.Kind >= message.LoanAccept {
 				// Carried out or not: what has been taken is read again before the next step.
-				n.offloadedJobs.loaded = false
+				n.lending.loaded = false
 			}
 			done(message.LoanUncertain)
 		}
@@ -232,13 +232,13 @@
 
 // offloadedJobsLoaded says that guest/ has been read in this term as owner.
 func offloadedJobsLoaded(n *Controller) bool {
-	held := n.shardLeader.teams[n.offloadedJobs.team]
-	return n.offloadedJobs.loaded && held != nil && held.holdID == n.offloadedJobs.term
+	held := n.shardLeader.teams[n.lending.team]
+	return n.lending.loaded && held != nil && held.holdID == n.lending.term
 }
 
 // loadOffloadedJobs reads guest/ for a new owner of the guests' team.
 func loadOffloadedJobs(n *Controller, team string) {
-	g := &n.offloadedJobs
+	g := &n.lending
 	if g.loading {
 		return
 	}
@@ -267,7 +267,7 @@
 				list(resp.KeyValues[len(resp.KeyValues)-1].Key)
 				return
 			}
-			*g = offloadedJobs{team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
+			*g = lending{team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
 		})
 	}
 	list("")
@@ -277,7 +277,7 @@
 	if n.shardLeader == nil || !offloadedJobsLoaded(n) {
 		return
 	}
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(n.offloadedJobs.team)}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(n.lending.team)}
 	for _, home := range sortedKeys(c.RenewedAt) {
 		if len(op.Writes) < n.settings.MaxTxnWrites {
 			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJob{RenewedAt: c.RenewedAt[home].UnixMilli()})})
@@ -330,13 +330,13 @@
 	cache := &n.frontend.watchCache
 	v := message.LoanView{
 		Reply: c.Reply, OK: true, Leader: n.membership.leader.Host, LeaseValidUntil: n.membership.leaseValidUntil,
-		Draining: n.membership.drain.Enabled, RenewedAt: maps.Clone(n.offloadedJobs.renewedAt), RunsGuestTeam: runsGuestTeam,
+		Draining: n.membership.drain.Enabled, RenewedAt: maps.Clone(n.lending.renewedAt), RunsGuestTeam: runsGuestTeam,
 	}
 	if n.leader != nil {
 		v.IsLeader, v.Epoch = true, n.leader.modRevision
 	}
 	if runsGuestTeam {
-		v.GuestTeamEpoch, v.GuestTeamTerm = n.membership.shardMap.Team(c.GuestTeam).HeldSince(), n.offloadedJobs.term
+		v.GuestTeamEpoch, v.GuestTeamTerm = n.membership.shardMap.Team(c.GuestTeam).HeldSince(), n.lending.term
 	}
 	if n.membership.drain.Deadline > 0 {
 		v.DrainDeadline = time.UnixMilli(n.membership.drain.Deadline)
@@ -347,7 +347,7 @@
 		}
 	}
 	if runsGuestTeam {
-		for _, name := range sortedKeys(n.offloadedJobs.byLoan) {
+		for _, name := range sortedKeys(n.lending.byLoan) {
 			v.Borrowed = append(v.Borrowed, buildBorrowedJob(n, name))
 		}
 	}
@@ -359,7 +359,7 @@
 
 // buildBorrowedJob is what is durable of a loan that was taken.
 func buildBorrowedJob(n *Controller, name string) message.BorrowedJob {
-	g := n.offloadedJobs.byLoan[name]
+	g := n.lending.byLoan[name]
 	b := message.BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
 	if l, there := n.frontend.watchCache.openJobs[g.Job]; there {
 		b.StatusKnown, b.Spec, b.Ending = true, l.rec.JobSpec(g.Job), l.rec.Cancelled
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -82,7 +82,6 @@
 	// that a read for them is under way.
 	confirmWaiters []func()
 	confirming     bool
-	ranking        rankingState
 	// receivesNothingUntil: this node has given up for hearing no worker and stands back
 	// until then; mute: it heard them, and they didn't hear it. reroutesReportedAt is when another last said that it hears this node's.
 	receivesNothingUntil time.Time
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -319,7 +319,7 @@
 	if len(turns) == 0 {
 		return
 	}
-	if n.now.After(n.membership.leaseValidUntil) || n.membership.ranking.stale {
+	if n.now.After(n.membership.leaseValidUntil) || n.ranking.stale {
 		return
 	}
 	placeReserved(n)
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -351,7 +351,7 @@
 	t.attempt++
 	j.lastPlacedAt = n.now
 	t.groupStart = id
-	t.rankingRevision = n.membership.ranking.modRevision
+	t.rankingRevision = n.ranking.modRevision
 	t.startSent, t.reported, t.inherited, t.missedStarts, t.startUnanswered = false, false, false, 0, false
 	n.attachAttempt(j, i, m)
 	m.noteImage(j, n.now, false)
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -106,7 +106,7 @@
 	b := n.shardLeader.promiseDates.pageWriters[team]
 	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
 	n.effects = nil
-	n.leader = &leader{}
+	n.leader = newLeader(n)
 	if runLoanCommand(n, message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
 		t.Error("lent before its date is durable")
 	}
@@ -206,7 +206,7 @@
 // record before it counts on: it may have been written or not.
 func TestTotalsAreReadAgain(t *testing.T) {
 	n, _ := newPromisingNode(t)
-	n.leader, n.membership.leaseValidUntil = &leader{}, n.now.Add(time.Minute)
+	n.leader, n.membership.leaseValidUntil = newLeader(n), n.now.Add(time.Minute)
 	last := func() message.StoreRequest {
 		t.Helper()
 		for _, op := range emittedEffects[message.StoreRequest](n) {
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -67,7 +67,7 @@
 	if !n.settings.Capabilities.Ranking {
 		return
 	}
-	r := &n.membership.ranking
+	r := &n.ranking
 	if it.Deleted {
 		// Whoever leads writes one anew.
 		r.modRevision, r.lastValid, r.table, r.invalidReason = 0, ranking.Record{}, nil, ""
@@ -101,7 +101,7 @@
 // controllers are to rank alike, also those that begin beside a damaged one.
 func recoverRankingFromHistory(n *Controller) {
 	readRankingHistory(n, time.Time{}, func(recs []ranking.Record) {
-		r := &n.membership.ranking
+		r := &n.ranking
 		if r.table != nil || r.modRevision == 0 || len(recs) == 0 {
 			return
 		}
@@ -143,13 +143,13 @@
 // that at which a read of ctl/ began, or a write which named the ranking and went through.
 // Also if another one has come since: it came after that write.
 func noteRankingKnown(n *Controller, at time.Time) {
-	n.membership.ranking.asOf = later(n.membership.ranking.asOf, at)
+	n.ranking.asOf = later(n.ranking.asOf, at)
 }
 
 // noteRankingOutdated notes that a write failed on the ranking that it named: somebody has set another ranking. Until that
 // has been read nothing is placed and no start written: all of it would fail.
 func noteRankingOutdated(n *Controller, stamp uint64) {
-	if r := &n.membership.ranking; stamp == r.modRevision {
+	if r := &n.ranking; stamp == r.modRevision {
 		r.stale = true
 		refreshRanking(n)
 	}
@@ -157,7 +157,7 @@
 
 // applyRankingChange decides anew when another ranking has come.
 func applyRankingChange(n *Controller) {
-	r := &n.membership.ranking
+	r := &n.ranking
 	if r.modRevision == r.appliedModRevision {
 		return
 	}
@@ -189,7 +189,7 @@
 
 // refreshRanking reads the ranking anew for what waits for it.
 func refreshRanking(n *Controller) {
-	r := &n.membership.ranking
+	r := &n.ranking
 	if r.refreshing || !n.membership.loaded {
 		return
 	}
@@ -215,7 +215,7 @@
 
 // retryRankingRefresh asks again for what still waits.
 func retryRankingRefresh(n *Controller) {
-	if r := &n.membership.ranking; r.stale || len(r.heldMachines) > 0 {
+	if r := &n.ranking; r.stale || len(r.heldMachines) > 0 {
 		refreshRanking(n)
 	}
 }
@@ -230,7 +230,7 @@
 	if !n.settings.Capabilities.Ranking || t.startUnanswered && !provenAbsent {
 		return true
 	}
-	r := &n.membership.ranking
+	r := &n.ranking
 	if t.rankingRevision != r.modRevision {
 		switch {
 		case !t.startSent || provenAbsent:
@@ -269,7 +269,7 @@
 	if !m.hasNewStarts {
 		return time.Time{}
 	}
-	return n.membership.ranking.asOf.Add(maxRankingStaleness)
+	return n.ranking.asOf.Add(maxRankingStaleness)
 }
 
 // segmentHasStarts says whether a chunk's record makes a start durable.
@@ -285,25 +285,25 @@
 // rankOf is a job's place in the ranking, lower first; without one, by its urgency. It is
 // asked for by every comparison of two jobs.
 func rankOf(n *Controller, j *job) int {
-	if r := &n.membership.ranking; r.tableVersion == 0 || j.rankingVersion != r.tableVersion {
+	if r := &n.ranking; r.tableVersion == 0 || j.rankingVersion != r.tableVersion {
 		j.rankingPlace, j.rankingVersion = rankOfSpec(n, &j.JobSpec), r.tableVersion
 	}
 	return j.rankingPlace
 }
 
 func rankOfSpec(n *Controller, s *model.JobSpec) int {
-	return n.membership.ranking.table.Rank(s.Workload, int(s.Urgency))
+	return n.ranking.table.Rank(s.Workload, int(s.Urgency))
 }
 
 // inverseRank is the same the other way round: higher goes first, 0 is the last.
 func inverseRank(n *Controller, j *job) int {
-	return n.membership.ranking.table.RankCount() - 1 - rankOf(n, j)
+	return n.ranking.table.RankCount() - 1 - rankOf(n, j)
 }
 
 // policyWeight is the policy script's weight of a job: it counts only without a ranking, into
 // which the leader's has gone.
 func policyWeight(n *Controller, j *job) float64 {
-	if n.membership.ranking.table != nil {
+	if n.ranking.table != nil {
 		return 0
 	}
 	return n.settings.Policy.WorkloadWeights[j.Workload]
@@ -312,7 +312,7 @@
 // waitBound is how long a job may wait behind others, and the part of the room that it
 // then takes before all others; 0 is the built-in default.
 func waitBound(n *Controller, j *job) (time.Duration, float64) {
-	return n.membership.ranking.table.WaitBound(j.Workload, int(j.Urgency))
+	return n.ranking.table.WaitBound(j.Workload, int(j.Urgency))
 }
 
 // sortInheritedByRank puts the machines that a successor reaches first into order: those with work
@@ -320,7 +320,7 @@
 func sortInheritedByRank(n *Controller, machines []*machine) {
 	bestRank := map[*machine]int{}
 	for _, m := range machines {
-		bestRank[m] = n.membership.ranking.table.RankCount()
+		bestRank[m] = n.ranking.table.RankCount()
 		for k := range m.attempts {
 			if n.settings.Capabilities.Ranking {
 				bestRank[m] = min(bestRank[m], rankOf(n, n.shardLeader.jobs[k.job]))
@@ -338,7 +338,7 @@
 	if !n.settings.Capabilities.Ranking || s.Workload == "" {
 		return false
 	}
-	relativeRank := float64(rankOfSpec(n, s)) / float64(max(1, n.membership.ranking.table.RankCount()-1))
+	relativeRank := float64(rankOfSpec(n, s)) / float64(max(1, n.ranking.table.RankCount()-1))
 	return float64(n.frontend.waitingRequests) >= maxWaitingRequests*(1-(1-lowestRankQueueFraction)*relativeRank)
 }
 
@@ -357,7 +357,7 @@
 // deriveRanking has a leader write the ranking that its script stands for, where there is
 // none. From then on the record counts, not a controller's own script.
 func deriveRanking(n *Controller) {
-	r := &n.membership.ranking
+	r := &n.ranking
 	if !n.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !n.membership.loaded || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
@@ -383,7 +383,7 @@
 
 // setRanking writes a ranking in the place of the one that it was read over.
 func setRanking(n *Controller, cmd message.SetRanking) {
-	state := &n.membership.ranking
+	state := &n.ranking
 	refuse := func(status int, format string, args ...any) {
 		n.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
 	}
@@ -433,7 +433,7 @@
 
 // queryRanking shows the ranking as it is known here.
 func queryRanking(n *Controller, c message.QueryRanking) {
-	r := &n.membership.ranking
+	r := &n.ranking
 	if !n.settings.Capabilities.Ranking {
 		n.emit(message.RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
 		return
@@ -471,7 +471,7 @@
 
 // rankingClasses are all places with what of them this owner has.
 func rankingClasses(n *Controller) []message.RankingClass {
-	r := &n.membership.ranking
+	r := &n.ranking
 	out := make([]message.RankingClass, r.table.RankCount())
 	for i := range out {
 		out[i].Rank = i + 1
@@ -516,7 +516,7 @@
 	}
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
-	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.membership.ranking.table.ClassName(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.membership.ranking.table.RankCount(), j.pendingTasks(), len(j.tasks))
+	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.ranking.table.ClassName(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.ranking.table.RankCount(), j.pendingTasks(), len(j.tasks))
 	if j.pendingTasks() > 0 {
 		explainJobsAhead(n, j, add)
 	}
@@ -542,7 +542,7 @@
 		}
 		f := ahead[p]
 		ahead[p] = front{f.jobs + 1, f.tasks + x.pendingTasks()}
-		names[p] = n.membership.ranking.table.ClassName(x.Workload, int(x.Urgency))
+		names[p] = n.ranking.table.ClassName(x.Workload, int(x.Urgency))
 	}
 	if !found {
 		return
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -244,7 +244,8 @@
 		t.Errorf("the second of two is told %+v", r)
 	}
 	applyRankingRecord(n, message.KeyValue{Key: record.RankingKey, Deleted: true})
-	n.leader = &leader{modRevision: 5}
+	n.leader = newLeader(n)
+	n.leader.modRevision = 5
 	n.effects = nil
 	deriveRanking(n)
 	deriveRanking(n)
@@ -261,20 +262,20 @@
 func TestDamagedRanking(t *testing.T) {
 	n := newRankedNode(1, barFirst)
 	foo, bar := n.addWaitingJob("job-1", "foo", 1, 1), n.addWaitingJob("job-2", "bar", 1, 1)
-	good := n.membership.ranking.lastValid.Encode()
+	good := n.ranking.lastValid.Encode()
 	later := record.Encode(map[string]any{"v": 9, "rev": 30})
 	for i, b := range [][]byte{{0x81}, later, record.Encode(map[string]any{"v": 1, "rev": 3, "c": []any{}}), nil} {
 		n.now = n.now.Add(2 * time.Minute)
 		n.effects = nil
 		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: b, ModRevision: uint64(20 + i)}}})
-		if rankOf(n, bar) >= rankOf(n, foo) || n.membership.ranking.modRevision != uint64(20+i) || n.membership.ranking.invalidReason == "" || len(n.effects) == 0 {
-			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.membership.ranking.modRevision, len(n.effects))
+		if rankOf(n, bar) >= rankOf(n, foo) || n.ranking.modRevision != uint64(20+i) || n.ranking.invalidReason == "" || len(n.effects) == 0 {
+			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.ranking.modRevision, len(n.effects))
 		}
 	}
-	if n.membership.ranking.highestRevision != 30 {
+	if n.ranking.highestRevision != 30 {
 		t.Error("the next revision would not be above that of a later form")
 	}
-	n.membership.ranking = rankingState{}
+	n.ranking = rankingState{}
 	n.effects = nil
 	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: later, ModRevision: 40}}})
 	all := sentStoreRequests(n)
@@ -282,8 +283,8 @@
 		t.Fatalf("asked %+v", all)
 	}
 	n.handleCommand(message.StoreResponse{ID: all[0].ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
-	if n.membership.ranking.lastValid.Revision != 7 || rankOf(n, bar) >= rankOf(n, foo) {
-		t.Errorf("revision %d counts", n.membership.ranking.lastValid.Revision)
+	if n.ranking.lastValid.Revision != 7 || rankOf(n, bar) >= rankOf(n, foo) {
+		t.Errorf("revision %d counts", n.ranking.lastValid.Revision)
 	}
 }
 
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -187,7 +187,7 @@
 	if m.remote {
 		// Its owner is asked.
 		m.dispatchPending = false
-		o.remote.due = true
+		o.remoteAttempts.due = true
 		return
 	}
 	if m.dispatchInFlight || m.statusRequested || m.dispatchUnanswered || m.releasing || m.addr == "" || !m.heard {
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -19,8 +19,8 @@
 	maxRemoteAttempts = 2000
 )
 
-// remoteRequestState is when others were last asked, and whether to ask before it is time.
-type remoteRequestState struct {
+// remoteAttempts is when others were last asked, and whether to ask before it is time.
+type remoteAttempts struct {
 	requested time.Time
 	due       bool
 	// from is the machine with which the next question begins, if not all fit.
@@ -36,19 +36,19 @@
 // there, and says what is wanted of them.
 func requestRemoteAttempts(n *Controller) {
 	o := n.shardLeader
-	if len(o.remoteMachines) == 0 || !o.remote.due && n.now.Sub(o.remote.requested) < remoteRequestInterval {
+	if len(o.remoteMachines) == 0 || !o.remoteAttempts.due && n.now.Sub(o.remoteAttempts.requested) < remoteRequestInterval {
 		return
 	}
-	o.remote.due, o.remote.requested = false, n.now
+	o.remoteAttempts.due, o.remoteAttempts.requested = false, n.now
 	requests := map[string][]remote.Request{}
 	count := 0
 	ids := sortedKeys(o.remoteMachines)
 	// Of more than fit, those after the last that were asked for come next.
 	start := 0
-	for start < len(ids) && ids[start] <= o.remote.from {
+	for start < len(ids) && ids[start] <= o.remoteAttempts.from {
 		start++
 	}
-	o.remote.from = ""
+	o.remoteAttempts.from = ""
 	for _, id := range append(ids[start:], ids[:start]...) {
 		a := o.remoteMachines[id]
 		x, ok := n.membership.shardMap.Owner(id)
@@ -66,7 +66,7 @@
 		}
 		requests[x.Host] = append(requests[x.Host], request)
 		if count += len(request.Attempts); count >= maxRemoteAttempts {
-			o.remote.from = id
+			o.remoteAttempts.from = id
 			break
 		}
 	}
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -88,7 +88,7 @@
 		comparedShards := map[string]bool{}
 		writeAlone := false
 		// ranked: the write names the ranking, as it makes starts durable.
-		comparesRanking, rankingRevision := false, n.membership.ranking.modRevision
+		comparesRanking, rankingRevision := false, n.ranking.modRevision
 		comparedJobs := map[string]bool{}
 		add := func(maxWrites int, due func(*taskSegment) bool) {
 			for _, j := range jobs {
@@ -103,7 +103,7 @@
 						continue
 					}
 					hasStarts := n.settings.Capabilities.Ranking && j.segmentHasStarts(c)
-					if hasStarts && n.membership.ranking.stale {
+					if hasStarts && n.ranking.stale {
 						continue
 					}
 					if hasStarts {
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -45,7 +45,7 @@
 	// registry the account of others' attempts on the machines here; see remote_attempts.go.
 	remoteMachines map[string]*machine
 	registry       remote.Registry
-	remote         remoteRequestState
+	remoteAttempts remoteAttempts
 	promiseDates   shardLeaderDates
 	// higherEpochSeen are machines that have seen an epoch above the one they are owned
 	// under, and raises counts the lots written to raise epochs.
@@ -143,6 +143,21 @@
 	migrations *migrations
 }
 
+// newShardLeader makes a shard leader that leads nothing yet.
+func newShardLeader(n *Controller) *shardLeader {
+	o := &shardLeader{
+		since: n.now, generation: int(n.nextID()),
+		teams: map[string]*heldTeam{}, shards: map[string]bool{},
+		jobs: map[string]*job{}, machines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
+		workloads: map[string]*workload{},
+	}
+	o.remoteMachines = map[string]*machine{}
+	o.higherEpochSeen = map[string]time.Time{}
+	o.arrivals = map[workloadKey][]arrival{}
+	o.prewarmedImages = map[string]map[string]float64{}
+	return o
+}
+
 type workload struct {
 	spec     *model.JobSpec
 	lastSeen time.Time
@@ -363,7 +378,7 @@
 	}
 	n.dispatchAll()
 	publishRemoteAttempts(n)
-	if o.remote.due {
+	if o.remoteAttempts.due {
 		requestRemoteAttempts(n)
 	}
 	o.wakeAt = o.sweptAt.Add(shardLeaderTickInterval)
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -68,12 +68,7 @@
 		return
 	}
 	if n.shardLeader == nil {
-		n.shardLeader = &shardLeader{
-			since: n.now, generation: int(n.nextID()),
-			teams: map[string]*heldTeam{}, shards: map[string]bool{},
-			jobs: map[string]*job{}, machines: map[string]*machine{}, remoteMachines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
-			higherEpochSeen: map[string]time.Time{}, arrivals: map[workloadKey][]arrival{}, workloads: map[string]*workload{}, prewarmedImages: map[string]map[string]float64{},
-		}
+		n.shardLeader = newShardLeader(n)
 		n.info("owner", "shares", shardNames(heldShards))
 		n.watchOpenJobs()
 	}
@@ -231,7 +226,7 @@
 		asRemote.used = asRemote.used.AddScaled(o.jobs[k.job].Need, 1)
 	}
 	o.dropRemoteMachine(asRemote)
-	o.remote.due = true
+	o.remoteAttempts.due = true
 }
 
 // takeOverMachine takes up a machine on which this owner's jobs have run under another.
@@ -480,7 +475,7 @@
 	}
 	recoverMigrations(n, teams, migrationItems)
 	o.placementDue = true
-	o.remote.due = true
+	o.remoteAttempts.due = true
 	for _, m := range o.machinesByID {
 		// What runs there may have been another's until now.
 		n.rePoll(m)
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -142,7 +142,9 @@
 func TestUpdateOfFormerIncarnation(t *testing.T) {
 	n := twoControllers(t)
 	n.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
-	n.leader = &leader{updates: map[string]receivedUpdate{}, rentals: map[string]*rental{"vm": {id: "vm", publishedTo: "b"}}, ackedSeq: map[string]uint64{"b": 9}}
+	n.leader = newLeader(n)
+	n.leader.rentals["vm"] = &rental{id: "vm", publishedTo: "b"}
+	n.leader.ackedSeq["b"] = 9
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
 	if _, ok := n.freshUpdate("b"); ok || n.progressByJob["job-000900"].Done != 0 {
 		t.Error("news of a former life counts")
