--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -22,21 +22,21 @@
 // or all that it needs was done.
 // A task that was stopped or lost waits again, and has waited from the start as its
 // user sees it.
-func (n *Controller) waitTime(j *job) time.Duration { return n.now.Sub(j.readySince()) }
+func (s *scheduler) waitTime(j *job) time.Duration { return s.now.Sub(j.readySince()) }
 
 // queueOrder is what waits, in the order in which it is placed.
-func (n *Controller) queueOrder() []queueEntry {
-	rs := n.queuedJobs()
+func (s *scheduler) queueOrder() []queueEntry {
+	rs := s.queuedJobs()
 	rooms := map[taskShape]float64{}
 	jobs := make([]aging.Job, len(rs))
 	for i, r := range rs {
 		j := r.job
-		bound, part := waitBound(n, j)
+		bound, part := s.controller.ranking.waitBound(j)
 		p := aging.Job{
-			Waited: n.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
-			WaitingTasks: n.placeableTasks(j), Gang: j.Gang,
+			Waited: s.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
+			WaitingTasks: s.placeableTasks(j), Gang: j.Gang,
 		}
-		if n.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
+		if s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
 			// What it waits for is its own cure.
 			p.Waited = 0
 		}
@@ -44,7 +44,7 @@
 			shape := j.taskShape()
 			room, ok := rooms[shape]
 			if !ok {
-				room = n.totalCapacityFor(j)
+				room = s.totalCapacityFor(j)
 				rooms[shape] = room
 			}
 			p.TaskFraction = 1 / max(room, 1)
@@ -61,10 +61,10 @@
 }
 
 // jobsInQueueOrder is the jobs that wait for places, by their first turn.
-func (n *Controller) jobsInQueueOrder() []*job {
+func (s *scheduler) jobsInQueueOrder() []*job {
 	var out []*job
 	seen := map[*job]bool{}
-	for _, t := range n.queueOrder() {
+	for _, t := range s.queueOrder() {
 		if !seen[t.job] {
 			seen[t.job] = true
 			out = append(out, t.job)
@@ -74,10 +74,10 @@
 }
 
 // totalCapacityFor is how many tasks like the job's all machines there are would hold, empty.
-func (n *Controller) totalCapacityFor(j *job) float64 {
-	all, avoidGPUs := 0, n.avoidsGPUsNow(j)
-	for _, m := range n.shardLeader.machinesByID {
-		if j.allowsMachine(m.machineType, m.zone, m.spot) && n.usable(m) && n.gpuPolicyAllows(avoidGPUs, m) {
+func (s *scheduler) totalCapacityFor(j *job) float64 {
+	all, avoidGPUs := 0, s.avoidsGPUsNow(j)
+	for _, m := range s.controller.shardLeader.machinesByID {
+		if j.allowsMachine(m.machineType, m.zone, m.spot) && s.usable(m) && s.gpuPolicyAllows(avoidGPUs, m) {
 			all += m.size.FitCount(j.Need)
 		}
 	}
@@ -110,11 +110,11 @@
 // that has waited too long and of which nothing has begun is late whatever its aims say:
 // with none that it can still meet it is due so late that no ordinary machine would be
 // rented for it, and where there is no spot room it would wait beside a free cloud.
-func dueStart(n *Controller, j *job) time.Time {
-	if l := n.latestStart(j); !j.overdue || j.liveTasks > 0 || j.doneTasks > 0 || l.Before(n.now) {
+func (s *scheduler) dueStart(j *job) time.Time {
+	if l := s.latestStart(j); !j.overdue || j.liveTasks > 0 || j.doneTasks > 0 || l.Before(s.now) {
 		return l
 	}
-	return n.now
+	return s.now
 }
 
 // reserveMachines holds machines for work that has waited too long and of which nothing runs: a
@@ -122,22 +122,22 @@
 // higher work takes whatever comes free. What runs there ends in peace, and nothing else
 // comes. All that is held together is a part of the machines: one for each job first,
 // so that all begin, and then more for those that have waited for the longest.
-func (n *Controller) reserveMachines(jobs []*job) {
-	o := n.shardLeader
-	if n.now.Sub(o.machinesReservedAt) < reservationInterval {
+func (s *scheduler) reserveMachines(jobs []*job) {
+	o := s.controller.shardLeader
+	if s.now.Sub(o.scheduler.machinesReservedAt) < reservationInterval {
 		return
 	}
-	o.machinesReservedAt = n.now
+	o.scheduler.machinesReservedAt = s.now
 	reservedFor := map[string]string{}
 	var reservations []*machineReservation
 	for _, j := range jobs {
 		if j.needsReservation() && len(reservations) < maxReservations {
-			reservations = append(reservations, n.machineReservationFor(j))
+			reservations = append(reservations, s.machineReservationFor(j))
 		}
 	}
 	usable := 0
 	for _, m := range o.machinesByID {
-		if len(reservations) > 0 && n.usable(m) {
+		if len(reservations) > 0 && s.usable(m) {
 			usable++
 		}
 	}
@@ -157,45 +157,45 @@
 	for _, m := range o.machinesByID {
 		if m.reservedFor != reservedFor[m.id] {
 			m.reservedFor = reservedFor[m.id]
-			n.debug("held", "machine", m.id, "for", m.reservedFor)
+			s.debug("held", "machine", m.id, "for", m.reservedFor)
 		}
 	}
 }
 
 // machineReservationFor is what could be gathered for a job.
-func (n *Controller) machineReservationFor(j *job) *machineReservation {
+func (s *scheduler) machineReservationFor(j *job) *machineReservation {
 	g := &machineReservation{job: j}
-	each, avoidGPUs := 1, n.avoidsGPUsNow(j)
-	for _, m := range n.shardLeader.machinesByID {
-		if !n.gpuPolicyAllows(avoidGPUs, m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) || !n.usable(m) {
+	each, avoidGPUs := 1, s.avoidsGPUsNow(j)
+	for _, m := range s.controller.shardLeader.machinesByID {
+		if !s.gpuPolicyAllows(avoidGPUs, m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) || !s.usable(m) {
 			continue
 		}
 		g.fittingMachines++
 		each = max(each, m.size.FitCount(j.Need))
-		if at, ok := n.timeUntilFits(m, j.Need); ok && j.zoneAllowed(m.zone) {
+		if at, ok := s.timeUntilFits(m, j.Need); ok && j.zoneAllowed(m.zone) {
 			g.hosts = append(g.hosts, aging.Candidate{ID: m.id, FreeIn: at, Reserved: m.reservedFor == j.ID})
 		}
 	}
-	g.machinesNeeded = (n.placeableTasks(j) + each - 1) / each
+	g.machinesNeeded = (s.placeableTasks(j) + each - 1) / each
 	return g
 }
 
 // timeUntilFits is when a task would fit on m if nothing else came, as far as the expected ends
 // of what runs there tell.
-func (n *Controller) timeUntilFits(m *machine, need model.Resources) (time.Duration, bool) {
+func (s *scheduler) timeUntilFits(m *machine, need model.Resources) (time.Duration, bool) {
 	free := m.free()
 	if need.Fits(free) {
 		return 0, true
 	}
 	var last time.Duration
 	for _, k := range sortedAttempts(m) {
-		j := n.shardLeader.jobs[k.job]
+		j := s.controller.shardLeader.jobs[k.job]
 		if j.LongRunning {
 			continue
 		}
-		left := n.expectedRunTime(j)
+		left := s.controller.knowledge.expectedRunTime(j)
 		if t := m.attempts[k]; !t.startedAt.IsZero() {
-			left = max(left-n.now.Sub(t.startedAt), left/5)
+			left = max(left-s.now.Sub(t.startedAt), left/5)
 		}
 		last = max(last, left)
 		free = free.AddScaled(j.Need, 1)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -25,7 +25,7 @@
 	n.membership.leaseValidUntil = n.now.Add(24 * time.Hour)
 	n.frontend.watchCache.asOf = n.membership.leaseValidUntil
 	n.holdAllShards()
-	n.machineTypes = map[string]model.MachineType{
+	n.knowledge.machineTypes = map[string]model.MachineType{
 		"box":  {Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
 		"rack": {Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
 	}
@@ -34,11 +34,11 @@
 	o.generation, n.lastID = 0, 0
 	o.teams["ops"] = &heldTeam{ready: true, readyAt: n.now.Add(-time.Hour)}
 	o.shards["a"] = true
-	o.fleetView = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
+	o.fleet.view = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
 	n.shardLeader = o
 	for i := range machines {
-		m := n.ensureMachine(fmt.Sprintf("vm-%06d", i))
-		n.applyHeartbeat(m, n.poolHeartbeat(i), true)
+		m := n.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
+		n.shardLeader.heartbeats.applyHeartbeat(m, n.poolHeartbeat(i), true)
 	}
 	for i := range machines / 8 {
 		name := []string{"rush", "reprint", "wide"}[i%3]
@@ -51,12 +51,12 @@
 		n.shardLeader.workloads[name] = &workload{&j.JobSpec, n.now}
 		for range 3 {
 			k := workloadKey{"ops", name}
-			n.shardLeader.arrivals[k] = append(n.shardLeader.arrivals[k], arrival{n.now, j.Tasks, j.Need, &j.JobSpec})
+			n.shardLeader.fleet.arrivals[k] = append(n.shardLeader.fleet.arrivals[k], arrival{n.now, j.Tasks, j.Need, &j.JobSpec})
 		}
 	}
-	full := n.newPlacementRound()
-	for _, j := range n.jobsInQueueOrder() {
-		n.placeJob(j, full, forever, 6)
+	full := n.shardLeader.scheduler.newPlacementRound()
+	for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
+		n.shardLeader.scheduler.placeJob(j, full, forever, 6)
 	}
 	return n
 }
@@ -110,7 +110,7 @@
 			n := largePool(size)
 			for b.Loop() {
 				n.effects = n.effects[:0]
-				n.placeAll()
+				n.shardLeader.scheduler.placeAll()
 			}
 		})
 	}
@@ -123,8 +123,8 @@
 			n := largePool(size)
 			for b.Loop() {
 				n.effects = n.effects[:0]
-				n.shardLeader.decommissionedAt = time.Time{}
-				n.scanFleet(func(int) bool { return true })
+				n.shardLeader.fleet.decommissionedAt = time.Time{}
+				n.shardLeader.fleet.scanFleet(func(int) bool { return true })
 			}
 		})
 	}
@@ -135,13 +135,13 @@
 // machines once for each kind of task, not once for each job.
 func TestPlacementDoesNotMultiply(t *testing.T) {
 	n := largePool(400)
-	r := n.newPlacementRound()
-	for _, j := range n.jobsInQueueOrder() {
-		n.placeJob(j, r, forever, j.pendingTasks())
+	r := n.shardLeader.scheduler.newPlacementRound()
+	for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
+		n.shardLeader.scheduler.placeJob(j, r, forever, j.pendingTasks())
 	}
 	kinds := map[taskShape]bool{}
 	waiting := 0
-	for _, j := range n.jobsInQueueOrder() {
+	for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
 		kinds[j.taskShape()] = true
 		waiting++
 	}
@@ -158,9 +158,9 @@
 		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: a.attempt, Status: model.Running})
 	}
 	heartbeat.Sequence = 2
-	n.applyHeartbeat(m, heartbeat, true)
+	n.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
 	heartbeat.Sequence = 3
-	if !m.unchangedBy(heartbeat) || n.reconcile(m) != nil {
+	if !m.unchangedBy(heartbeat) || n.shardLeader.dispatcher.reconcile(m) != nil {
 		t.Error("an ordinary report is not recognised as such")
 	}
 }
--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -35,88 +35,90 @@
 // cancellationGossip is what this node has told peers: by job, whether some wait for more to go
 // with them, and whether some will be sent again.
 type cancellationGossip struct {
+	component
+
 	unacked             map[string]*unackedCancellation
 	batching, resending bool
 }
 
 // publishCancellation tells peers of a cancellation whose record is durable.
-func publishCancellation(n *Controller, cancellation message.Cancellation, peers []string) {
-	if n.cancellations.unacked[cancellation.ID] != nil || len(n.cancellations.unacked) >= maxUnackedCancellations || len(peers) == 0 {
+func (g *cancellationGossip) publishCancellation(cancellation message.Cancellation, peers []string) {
+	if g.unacked[cancellation.ID] != nil || len(g.unacked) >= maxUnackedCancellations || len(peers) == 0 {
 		return
 	}
 	// Later the lease has done what this is for.
-	pending := &unackedCancellation{cancellation: cancellation, unackedPeers: map[string]time.Time{}, expiresAt: n.now.Add(n.settings.CancellationBound)}
+	pending := &unackedCancellation{cancellation: cancellation, unackedPeers: map[string]time.Time{}, expiresAt: g.now.Add(g.settings.CancellationBound)}
 	for _, p := range peers {
 		pending.unackedPeers[p] = time.Time{}
 	}
-	n.cancellations.unacked[cancellation.ID] = pending
-	if !n.cancellations.batching {
-		n.cancellations.batching = true
-		n.after(cancellationBatchDelay, func() {
-			n.cancellations.batching = false
-			n.publishCancellations()
+	g.unacked[cancellation.ID] = pending
+	if !g.batching {
+		g.batching = true
+		g.after(cancellationBatchDelay, func() {
+			g.batching = false
+			g.publishCancellations()
 		})
 	}
 }
 
 // publishCancellations sends what is owed, and goes on as long as anything is.
-func (n *Controller) publishCancellations() {
+func (g *cancellationGossip) publishCancellations() {
 	byPeer := map[string][]message.Cancellation{}
-	for _, id := range sortedKeys(n.cancellations.unacked) {
-		pending := n.cancellations.unacked[id]
-		if n.now.After(pending.expiresAt) || len(pending.unackedPeers) == 0 {
-			delete(n.cancellations.unacked, id)
+	for _, id := range sortedKeys(g.unacked) {
+		pending := g.unacked[id]
+		if g.now.After(pending.expiresAt) || len(pending.unackedPeers) == 0 {
+			delete(g.unacked, id)
 			continue
 		}
 		for p, sentAt := range pending.unackedPeers {
-			if n.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[p]) < message.MaxCancellationsPerUpdate {
-				pending.unackedPeers[p] = n.now
+			if g.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[p]) < message.MaxCancellationsPerUpdate {
+				pending.unackedPeers[p] = g.now
 				byPeer[p] = append(byPeer[p], pending.cancellation)
 			}
 		}
 	}
 	for _, p := range sortedKeys(byPeer) {
-		n.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: n.settings.Host, Cancellations: byPeer[p]}})
+		g.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: g.settings.Host, Cancellations: byPeer[p]}})
 	}
-	if len(n.cancellations.unacked) > 0 && !n.cancellations.resending {
-		n.cancellations.resending = true
-		n.after(cancellationResendInterval, func() {
-			n.cancellations.resending = false
-			n.publishCancellations()
+	if len(g.unacked) > 0 && !g.resending {
+		g.resending = true
+		g.after(cancellationResendInterval, func() {
+			g.resending = false
+			g.publishCancellations()
 		})
 	}
 }
 
 // receiveCancellations takes in cancellations that a peer tells of. One that does not fit what is
 // known of the job is passed over: the record will tell.
-func receiveCancellations(n *Controller, from string, cancellations []message.Cancellation) {
+func (g *cancellationGossip) receiveCancellations(from string, cancellations []message.Cancellation) {
 	var acks []string
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
 		var r record.OpenJob
 		if !record.Decode(c.Record, &r) || !r.Cancelled || r.Validate() != "" {
-			n.rejectInput("news", from, "a cancellation that can't be read")
+			g.rejectInput("news", from, "a cancellation that can't be read")
 			continue
 		}
-		l, open := n.frontend.watchCache.openJobs[c.ID]
+		l, open := g.controller.frontend.watchCache.openJobs[c.ID]
 		if !open || l.rec.Cancelled || c.ModRevision <= l.modRevision || r.SubmittedAtMillis != l.rec.SubmittedAtMillis || r.Team != l.rec.Team || r.Tasks != l.rec.Tasks {
 			continue
 		}
-		if n.shardLeader != nil && n.shardLeader.jobs[c.ID] != nil {
-			n.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
+		if g.controller.shardLeader != nil && g.controller.shardLeader.jobs[c.ID] != nil {
+			g.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
 			continue
 		}
-		if s := n.membership.shardMap.Team(r.Team); s != nil && s.Host != n.settings.Host && s.Host != from {
-			publishCancellation(n, c, []string{s.Host})
+		if s := g.controller.membership.shardMap.Team(r.Team); s != nil && s.Host != g.settings.Host && s.Host != from {
+			g.publishCancellation(c, []string{s.Host})
 		}
 	}
-	n.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: n.settings.Host, CancellationAcks: acks}})
+	g.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: g.settings.Host, CancellationAcks: acks}})
 }
 
 // acknowledgeCancellations notes that a peer has heard of cancellations.
-func acknowledgeCancellations(n *Controller, from string, jobs []string) {
+func (g *cancellationGossip) acknowledgeCancellations(from string, jobs []string) {
 	for _, id := range jobs {
-		if x := n.cancellations.unacked[id]; x != nil {
+		if x := g.unacked[id]; x != nil {
 			delete(x.unackedPeers, from)
 		}
 	}
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -96,7 +96,7 @@
 // newRequest prepares to look for places for a job's tasks.
 func (p *simulation) newRequest(j *job) *placementRequest {
 	a := &placementRequest{
-		job: j, need: j.Need, imageGB: j.ImageGB, imageID: p.imageID(j.Image), run: p.controller.expectedOccupancy(j), avoidedMachine: -1,
+		job: j, need: j.Need, imageGB: j.ImageGB, imageID: p.imageID(j.Image), run: p.controller.shardLeader.fleet.expectedOccupancy(j), avoidedMachine: -1,
 		fullScan: j.Gang || j.SameZone || j.SpreadZones, zoneLimits: newZoneLimits(j),
 	}
 	if j.Image == "" {
@@ -108,7 +108,7 @@
 	shape := j.taskShape()
 	a.candidates = p.queues[shape]
 	if a.candidates == nil {
-		a.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.avoidsGPUs(j)}
+		a.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.shardLeader.scheduler.avoidsGPUs(j)}
 		if p.queues == nil {
 			p.queues = map[taskShape]*shapeCandidates{}
 		}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -24,92 +24,92 @@
 
 // contact asks a machine of a former owner for its status and so learns its
 // tenure, which orders need; the orders carry the higher epoch.
-func (n *Controller) contact(m *machine) {
-	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || n.now.Sub(m.probed) < probeInterval {
+func (f *failover) contact(m *machine) {
+	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || f.now.Sub(m.probed) < probeInterval {
 		return
 	}
-	if n.shardLeader.contactsInFlight >= maxContactsInFlight {
+	if f.contactsInFlight >= maxContactsInFlight {
 		return
 	}
-	m.statusRequested, m.probed = true, n.now
-	n.shardLeader.contactsInFlight++
-	gen, was := n.shardLeader.generation, m.snapshot()
-	n.requestWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(d message.WorkerResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen {
+	m.statusRequested, m.probed = true, f.now
+	f.contactsInFlight++
+	gen, was := f.controller.shardLeader.generation, m.snapshot()
+	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(d message.WorkerResponse) {
+		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen {
 			return
 		}
 		m.statusRequested = false
-		n.shardLeader.contactsInFlight--
-		n.contactInheritedMachines()
+		f.controller.shardLeader.failover.contactsInFlight--
+		f.controller.shardLeader.failover.contactInheritedMachines()
 		if d.NotSent || m.removed {
 			return
 		}
-		if !applyPollReply(n, m, d.Heartbeat, was) {
+		if !f.controller.shardLeader.heartbeats.applyPollReply(m, d.Heartbeat, was) {
 			return
 		}
 		if m.seenEpoch < m.epoch && !m.dispatchInFlight {
-			n.showEpoch(m)
+			f.controller.shardLeader.failover.showEpoch(m)
 			return
 		}
 		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOthersAttempts {
 			// The order may be lost, and perhaps no report comes: of a machine that reaches
 			// no controller, answers are all that is heard.
-			n.markDispatchPending(m)
+			f.controller.markDispatchPending(m)
 		}
 	})
 }
 
 // contactInheritedMachines goes on reaching the machines of a former owner, some at a time,
 // those with work first. One that has reported meanwhile has heard of the epoch.
-func (n *Controller) contactInheritedMachines() {
-	o := n.shardLeader
-	for len(o.inheritedMachines) > 0 && o.contactsInFlight < maxContactsInFlight {
-		m := o.inheritedMachines[0]
-		o.inheritedMachines = o.inheritedMachines[1:]
+func (f *failover) contactInheritedMachines() {
+	o := f.controller.shardLeader
+	for len(o.failover.inheritedMachines) > 0 && o.failover.contactsInFlight < maxContactsInFlight {
+		m := o.failover.inheritedMachines[0]
+		o.failover.inheritedMachines = o.failover.inheritedMachines[1:]
 		if !m.removed && m.seenEpoch < m.epoch {
-			n.contact(m)
+			f.contact(m)
 		}
 	}
 }
 
 // showEpoch shows the worker the current epoch with an empty order.
-func (n *Controller) showEpoch(m *machine) {
-	gen, epoch := n.shardLeader.generation, m.epoch
+func (f *failover) showEpoch(m *machine) {
+	gen, epoch := f.controller.shardLeader.generation, m.epoch
 	m.dispatchInFlight = true
-	n.shardLeader.contactsInFlight++
+	f.contactsInFlight++
 	was := m.snapshot()
-	n.requestWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: n.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(d message.WorkerResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen {
+	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: f.controller.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(d message.WorkerResponse) {
+		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen {
 			return
 		}
 		m.dispatchInFlight = false
-		n.shardLeader.contactsInFlight--
-		n.contactInheritedMachines()
+		f.controller.shardLeader.failover.contactsInFlight--
+		f.controller.shardLeader.failover.contactInheritedMachines()
 		if m.removed {
 			return
 		}
-		if !d.NotSent && applyPollReply(n, m, d.Heartbeat, was) {
-			n.markDispatchPending(m)
+		if !d.NotSent && f.controller.shardLeader.heartbeats.applyPollReply(m, d.Heartbeat, was) {
+			f.controller.markDispatchPending(m)
 		}
 	})
 }
 
 // sweep looks for leases that ran out and for attempts that were never sent.
-func (n *Controller) sweep() {
-	o := n.shardLeader
-	n.contactInheritedMachines()
-	for _, id := range sortedKeys(o.remoteMachines) {
-		if m := o.remoteMachines[id]; m.reclaimNoticed {
-			n.drainReclaimed(m)
+func (f *failover) sweep() {
+	o := f.controller.shardLeader
+	f.contactInheritedMachines()
+	for _, id := range sortedKeys(o.remoteAttempts.machines) {
+		if m := o.remoteAttempts.machines[id]; m.reclaimNoticed {
+			f.drainReclaimed(m)
 		}
 	}
 	for _, m := range slices.Clone(o.machinesByID) {
-		if m.expectsHeartbeats() && (n.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(n.maxHeartbeatInterval())) || !m.reachability.Reachable()) {
-			n.contact(m)
+		if m.expectsHeartbeats() && (f.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(f.maxHeartbeatInterval())) || !m.reachability.Reachable()) {
+			f.contact(m)
 		}
-		if !m.leaseEnd.IsZero() && n.now.After(m.leaseEnd) {
+		if !m.leaseEnd.IsZero() && f.now.After(m.leaseEnd) {
 			if !m.isEmpty() {
-				n.leaseExpired(m)
+				f.leaseExpired(m)
 				continue
 			}
 			// If it is ever heard of again, it is in a later tenure and empty.
@@ -117,11 +117,11 @@
 			continue
 		}
 		if m.reclaimNoticed {
-			n.drainReclaimed(m)
+			f.drainReclaimed(m)
 		}
 		for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone && !t.startSent }) {
 			// Never told to anybody, so it is nowhere.
-			n.endAttempt(o.jobs[k.job], k.index, false)
+			f.controller.shardLeader.endAttempt(o.jobs[k.job], k.index, false)
 		}
 	}
 }
@@ -129,18 +129,18 @@
 // leaseExpired counts a lease that has run out, with all that the machine had on it, once
 // it is sure that the machine was this owner's until then: another one would have
 // prolonged it.
-func (n *Controller) leaseExpired(m *machine) {
-	if n.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
+func (f *failover) leaseExpired(m *machine) {
+	if f.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
 		return
 	}
-	m.ownershipCheckedAt = n.now
-	gen := n.shardLeader.generation
-	n.confirmControlRecords(func() {
-		if n.shardLeader == nil || n.shardLeader.generation != gen || m.removed || !n.now.After(m.leaseEnd) {
+	m.ownershipCheckedAt = f.now
+	gen := f.controller.shardLeader.generation
+	f.controller.membership.confirmControlRecords(func() {
+		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen || m.removed || !f.now.After(m.leaseEnd) {
 			return
 		}
-		n.info("lease surely over", "machine", m.id, "attempts", len(m.attempts))
-		n.loseAllAttempts(m, nil)
+		f.info("lease surely over", "machine", m.id, "attempts", len(m.attempts))
+		f.controller.shardLeader.heartbeats.loseAllAttempts(m, nil)
 	})
 }
 
@@ -154,29 +154,29 @@
 // drainReclaimed stops what cannot end before the cloud takes the machine: what saves,
 // just in time to save; other work at once, as it is lost in any case and can
 // begin elsewhere the sooner.
-func (n *Controller) drainReclaimed(m *machine) {
-	untilReclaim := m.reclaimAt.Sub(n.now)
+func (f *failover) drainReclaimed(m *machine) {
+	untilReclaim := m.reclaimAt.Sub(f.now)
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
-		j := n.shardLeader.jobs[k.job]
+		j := f.controller.shardLeader.jobs[k.job]
 		if t.stopReason != stopNone {
 			continue
 		}
-		remaining := n.expectedRunTime(j)
+		remaining := f.controller.knowledge.expectedRunTime(j)
 		if !t.startedAt.IsZero() {
-			remaining -= n.now.Sub(t.startedAt)
+			remaining -= f.now.Sub(t.startedAt)
 		}
 		checkpoints := j.CheckpointInterval > 0 && !t.startedAt.IsZero()
-		if checkpoints && untilReclaim < j.CheckpointCost+n.maxHeartbeatInterval() || !checkpoints && (j.LongRunning || remaining.Seconds() > reclaimNoticeFactor*untilReclaim.Seconds()) {
+		if checkpoints && untilReclaim < j.CheckpointCost+f.maxHeartbeatInterval() || !checkpoints && (j.LongRunning || remaining.Seconds() > reclaimNoticeFactor*untilReclaim.Seconds()) {
 			t.stopReason = stopDrain
-			n.markDispatchPending(m)
+			f.controller.markDispatchPending(m)
 		}
 	}
 }
 
 // maxHeartbeatInterval is the longest pause between two reports of a living worker.
-func (n *Controller) maxHeartbeatInterval() time.Duration {
-	return n.settings.HeartbeatInterval * 5 / 4
+func (e *environment) maxHeartbeatInterval() time.Duration {
+	return e.settings.HeartbeatInterval * 5 / 4
 }
 
 // expectsHeartbeats says that a machine should be heard of: it has been, or a former owner
@@ -186,22 +186,22 @@
 // sinceLastHeartbeat is how long nothing has been heard of a machine; after a takeover
 // the count begins when this owner was ready to hear, and of a machine that comes
 // later, perhaps with work, when it came.
-func (n *Controller) sinceLastHeartbeat(m *machine) time.Duration {
-	return n.now.Sub(later(later(m.lastHeard, m.ownedSince), n.shardLeader.readyAt))
+func (f *failover) sinceLastHeartbeat(m *machine) time.Duration {
+	return f.now.Sub(later(later(m.lastHeard, m.ownedSince), f.controller.shardLeader.readyAt))
 }
 
 // unresponsive says that a machine has missed reports and does not answer. One that
 // a former owner had work on counts as well, though it was never heard of here:
 // it may have been lost before the takeover.
-func (n *Controller) unresponsive(m *machine) bool {
+func (h *heartbeatTracker) unresponsive(m *machine) bool {
 	if !m.expectsHeartbeats() {
 		return false
 	}
-	if m.reclaimNoticed && n.now.After(m.reclaimAt) {
+	if m.reclaimNoticed && h.now.After(m.reclaimAt) {
 		// Taken, as it was announced.
-		return n.sinceLastHeartbeat(m) > n.maxHeartbeatInterval()
+		return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.maxHeartbeatInterval()
 	}
-	return n.sinceLastHeartbeat(m) > n.unresponsiveAfter(m) && n.now.Sub(m.reroutedAt) > n.unresponsiveAfter(m)
+	return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.controller.unresponsiveAfter(m) && h.now.Sub(m.reroutedAt) > h.controller.unresponsiveAfter(m)
 }
 
 // unresponsiveAfter is how long nothing must have been heard of a machine.
@@ -213,3 +213,18 @@
 	}
 	return limit
 }
+
+// failover TODO.
+type failover struct {
+	component
+
+	// inheritedMachines are machines of a former owner that are still to be contacted, and
+	// contacts counts the questions under way.
+	inheritedMachines []*machine
+	contactsInFlight  int
+	// higherEpochSeen are machines that have seen an epoch above the one they are owned
+	// under, and raises counts the lots written to raise epochs.
+	higherEpochSeen map[string]time.Time
+	epochBumps      int
+	epochBumpedAt   time.Time
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,83 +8,32 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/micahill/micahill/internal/boottime"
 	"github.com/micahill/micahill/internal/message"
-	"github.com/micahill/micahill/internal/model"
-	"github.com/micahill/micahill/internal/selfmonitor"
 	"github.com/micahill/micahill/internal/sizelimit"
-	"github.com/micahill/micahill/internal/throttle"
-	"github.com/micahill/micahill/internal/validate"
 )
 
 // Controller is one controller. All of its state belongs to the goroutine that
 // calls Step.
 type Controller struct {
-	settings Settings
-	rng      *rand.Rand
-	now      time.Time
-	effects  []message.Effect
-	lastID   uint64
+	*environment
 
-	storeCallbacks  map[uint64]func(message.StoreResponse)
-	cloudCallbacks  map[uint64]func(message.CloudResponse)
-	workerCallbacks map[uint64]func(message.WorkerResponse)
-	timers          []timer
-
-	membership    membership
-	frontend      frontend
-	ranking       rankingState
-	shardLeader   *shardLeader
-	leader        *leader
-	machineTypes  map[string]model.MachineType
-	progressByJob map[string]message.Progress
-	// accuracy of the workloads' estimates outlives a loss of the owner role.
-	estimators map[string]*estimator
-	role       message.Role
-	// raising: machines are being named once more for a higher epoch.
-	bumpingEpoch bool
-	// released remembers machines whose return was asked for: neither an old
-	// list nor a late report may bring them back.
-	released map[string]bool
-	// inheritedLoads is what the owner before told of the workloads.
-	inheritedLoads map[workloadKey]message.WorkloadLoad
-	// predecessorMachines is what other owners last told of their machines.
-	predecessorMachines  map[string]predecessorMachine
-	predecessorsPrunedAt time.Time
-	// storeUnavailable is when each of the others last said that the state service does
-	// not answer there.
-	storeUnavailable            map[string]time.Time
-	storeUnavailablePublishedAt time.Time
-	// selfMonitor and strays are what this node hears of workers, and which it sent on;
-	// see partition.go.
-	selfMonitor         selfmonitor.Monitor
-	reroutedMachines    selfmonitor.ReroutedMachines
-	reroutedPublishedAt time.Time
-	// reroutedPollsInFlight counts the questions under way to machines that came back.
-	reroutedPollsInFlight int
-	// reroutedHeartbeats are reports of others' machines that these are to be told of.
-	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
-	// reachabilityRequestedAt is when a worker was last asked whether it hears this node again.
-	reachabilityRequestedAt time.Time
-	// provisioningTimes is what was learnt of how long machines of each kind take to come up.
-	provisioningTimes map[machineKind]*boottime.Estimator
-	// throttle divides planning into slices, and sliced is the work of the last one.
-	throttle      throttle.SliceBudget
-	lastSliceWork int
-	// placed: the last step had a round of placing in it.
-	placementRan bool
-	rateLimits   rateLimits
-	// internalErrors counts requests that were malformed, and malformed has those that the
-	// state service said so of: none is sent again as it is.
-	internalErrors int
-	malformedTxns  map[uint64]bool
-	// rejectedInputs counts what made no sense, and complaints are what was told of it.
-	rejectedInputs int
-	rejections     validate.LogLimiter
+	membership  membership
+	frontend    frontend
+	ranking     rankingState
+	shardLeader *shardLeader
+	leader      *leader
+	role        message.Role
+	rateLimits  rateLimits
 	// lending are the loans this cluster has taken, as far as this node has read.
 	lending lending
 	// cancellations are the cancellations that peers are told of; see cancellation_gossip.go.
 	cancellations cancellationGossip
 	// promises is what is known of promised dates beside the jobs.
-	promises promiseState
+	promises  promiseState
+	knowledge fleetKnowledge
+	renewal   leaseRenewer
+	partition partitionDetector
+	planning  planningThrottle
+	requests  requestTracker
 }
 
 // predecessorMachine is what another shard leader last published of one of its machines, and
@@ -101,44 +50,63 @@
 
 // New makes a controller that knows nothing yet. Step starts it.
 func New(set Settings, rng *rand.Rand) *Controller {
-	n := &Controller{}
-	n.settings, n.rng = set, rng
-	n.storeCallbacks = map[uint64]func(message.StoreResponse){}
-	n.cloudCallbacks = map[uint64]func(message.CloudResponse){}
-	n.workerCallbacks = map[uint64]func(message.WorkerResponse){}
-	n.progressByJob = map[string]message.Progress{}
-	n.estimators = map[string]*estimator{}
-	n.released = map[string]bool{}
-	n.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
-	n.predecessorMachines = map[string]predecessorMachine{}
-	n.storeUnavailable = map[string]time.Time{}
-	n.malformedTxns = map[uint64]bool{}
+	n := &Controller{environment: &environment{settings: set, rng: rng}}
+	n.connectComponents()
+	n.requests.storeCallbacks = map[uint64]func(message.StoreResponse){}
+	n.requests.cloudCallbacks = map[uint64]func(message.CloudResponse){}
+	n.requests.workerCallbacks = map[uint64]func(message.WorkerResponse){}
+	n.frontend.progressByJob = map[string]message.Progress{}
+	n.knowledge.estimators = map[string]*estimator{}
+	n.knowledge.released = map[string]bool{}
+	n.knowledge.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
+	n.knowledge.predecessorMachines = map[string]predecessorMachine{}
+	n.membership.peersWithoutStore = map[string]time.Time{}
+	n.requests.malformedTxns = map[uint64]bool{}
 	n.cancellations.unacked = map[string]*unackedCancellation{}
-	n.provisioningTimes = map[machineKind]*boottime.Estimator{}
+	n.knowledge.provisioningTimes = map[machineKind]*boottime.Estimator{}
 	n.rateLimits.peers = map[string]peerRates{}
 	n.frontend.init()
 	return n
 }
 
+// connectComponents gives each component the environment and the way to the others.
+func (n *Controller) connectComponents() {
+	shared := component{environment: n.environment, controller: n}
+	n.requests.component = shared
+	n.membership.component = shared
+	n.membership.formats.component = shared
+	n.frontend.component = shared
+	n.frontend.watchCache.component = shared
+	n.ranking.component = shared
+	n.rateLimits.component = shared
+	n.lending.component = shared
+	n.cancellations.component = shared
+	n.promises.component = shared
+	n.knowledge.component = shared
+	n.renewal.component = shared
+	n.partition.component = shared
+	n.planning.component = shared
+}
+
 // Step takes a batch of commands at one moment and returns what is to be done.
 func (n *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
 	n.now = now
 	n.effects = nil
-	n.selfMonitor.Ran(now)
+	n.partition.monitor.Ran(now)
 	if !n.membership.started {
-		n.startMembership()
+		n.membership.startMembership()
 	}
 	for _, c := range cmds {
 		n.handleCommand(c)
 	}
 	n.runTimers()
-	n.publishStoreUnavailable()
-	n.flushSubmissions()
+	n.membership.publishStoreUnavailable()
+	n.frontend.flushSubmissions()
 	if n.shardLeader != nil {
-		n.shardLeaderTick()
+		n.shardLeader.shardLeaderTick()
 	}
 	if n.leader != nil {
-		n.leaderTick()
+		n.leader.leaderTick()
 	}
 	if r := (message.Role{Leader: n.leader != nil, ShardLeader: n.shardLeader != nil}); r != n.role {
 		n.role = r
@@ -150,11 +118,11 @@
 func (n *Controller) handleCommand(c message.Command) {
 	switch c := c.(type) {
 	case message.SubmitJob:
-		n.submitJob(c)
+		n.frontend.submitJob(c)
 	case message.QueryJob:
-		n.queryJob(c)
+		n.frontend.queryJob(c)
 	case message.CancelJob:
-		n.cancelJob(c)
+		n.frontend.cancelJob(c)
 	case message.WorkerHeartbeat:
 		if !handleStaleHeartbeat(n, &c) {
 			n.handleHeartbeat(c)
@@ -165,78 +133,78 @@
 		} else if n.membership.storeFailingSince.IsZero() {
 			n.membership.storeFailingSince = n.now
 		}
-		if fn := n.storeCallbacks[c.ID]; fn != nil {
-			delete(n.storeCallbacks, c.ID)
+		if fn := n.requests.storeCallbacks[c.ID]; fn != nil {
+			delete(n.requests.storeCallbacks, c.ID)
 			fn(c)
 		}
 	case message.CloudResponse:
-		if fn := n.cloudCallbacks[c.ID]; fn != nil {
-			delete(n.cloudCallbacks, c.ID)
+		if fn := n.requests.cloudCallbacks[c.ID]; fn != nil {
+			delete(n.requests.cloudCallbacks, c.ID)
 			fn(c)
 		}
 	case message.WorkerResponse:
-		if fn := n.workerCallbacks[c.ID]; fn != nil {
-			delete(n.workerCallbacks, c.ID)
+		if fn := n.requests.workerCallbacks[c.ID]; fn != nil {
+			delete(n.requests.workerCallbacks, c.ID)
 			fn(c)
 		}
 	case message.QueryStatus:
 		n.replyStatus(c)
 	case message.LoanCommand:
-		runLoanCommand(n, c)
+		n.lending.runLoanCommand(c)
 	case message.QueryLoans:
-		queryLoans(n, c)
+		n.lending.queryLoans(c)
 	case message.RenewCommand:
-		runRenewCommand(n, c)
+		n.lending.runRenewCommand(c)
 	case message.SetRanking:
-		setRanking(n, c)
+		n.ranking.setRanking(c)
 	case message.QueryRanking:
-		queryRanking(n, c)
+		n.ranking.queryRanking(c)
 	case message.DrainCommand:
-		runDrainCommand(n, c)
+		n.lending.runDrainCommand(c)
 	case message.QueryPromises:
-		queryPromises(n, c)
+		n.promises.queryPromises(c)
 	case message.PeerUpdate:
 		if bad := c.Validate(); bad != "" {
 			n.rejectInput("news", c.From, bad)
 			break
 		}
 		if c.StoreUnavailable {
-			n.storeUnavailable[c.From] = n.now
+			n.membership.peersWithoutStore[c.From] = n.now
 		}
 		if c.Rates != nil {
 			n.rateLimits.peers[c.From] = peerRates{n.now, *c.Rates}
 		}
-		if !n.fromCurrentIncarnation(&c) {
+		if !n.membership.fromCurrentIncarnation(&c) {
 			break
 		}
 		if len(c.Cancellations) > 0 {
-			receiveCancellations(n, c.From, c.Cancellations)
+			n.cancellations.receiveCancellations(c.From, c.Cancellations)
 		}
-		acknowledgeCancellations(n, c.From, c.CancellationAcks)
+		n.cancellations.acknowledgeCancellations(c.From, c.CancellationAcks)
 		for _, p := range c.Progress {
-			n.progressByJob[p.ID] = p
+			n.frontend.progressByJob[p.ID] = p
 		}
 		n.inheritLoads(c.WorkloadLoads)
 		for _, q := range c.Quotes {
-			if n.promisesEnabled() {
-				acceptQuotes(n, c.From, q.Value, true)
+			if n.promises.promisesEnabled() {
+				n.promises.acceptQuotes(c.From, q.Value, true)
 			}
 		}
 		if n.shardLeader != nil {
-			receiveRemoteRequests(n, c.From, c.RemoteAttempts)
-			receiveRemoteAttempts(n, c.From, c.RemoteStatuses)
-			applyReroutedHeartbeats(n, c.Rerouted)
+			n.shardLeader.remoteAttempts.receiveRemoteRequests(c.From, c.RemoteAttempts)
+			n.shardLeader.remoteAttempts.receiveRemoteAttempts(c.From, c.RemoteStatuses)
+			n.partition.applyReroutedHeartbeats(c.Rerouted)
 		}
 		for _, h := range c.MachineUpdates {
-			n.predecessorMachines[h.ID] = predecessorMachine{MachineUpdate: h, receivedAt: n.now}
+			n.knowledge.predecessorMachines[h.ID] = predecessorMachine{MachineUpdate: h, receivedAt: n.now}
 		}
-		if len(c.MachineUpdates) > 0 && n.now.Sub(n.predecessorsPrunedAt) > machineUpdateTTL {
+		if len(c.MachineUpdates) > 0 && n.now.Sub(n.knowledge.predecessorsPrunedAt) > machineUpdateTTL {
 			// What nobody names any more is gone. The memory is judged again
 			// when it is used, from when the last news came.
-			n.predecessorsPrunedAt = n.now
-			for id, h := range n.predecessorMachines {
+			n.knowledge.predecessorsPrunedAt = n.now
+			for id, h := range n.knowledge.predecessorMachines {
 				if n.now.Sub(h.receivedAt) > machineUpdateTTL {
-					delete(n.predecessorMachines, id)
+					delete(n.knowledge.predecessorMachines, id)
 				}
 			}
 		}
@@ -262,8 +230,8 @@
 	}
 	if n.shardLeader != nil {
 		earliest(n.shardLeader.wakeAt)
-		if n.shardLeader.planningPass != nil {
-			earliest(n.shardLeader.planningPassAt)
+		if n.shardLeader.fleet.planningPass != nil {
+			earliest(n.shardLeader.fleet.planningPassAt)
 		}
 	}
 	if n.leader != nil {
@@ -272,46 +240,50 @@
 	return t
 }
 
+// StepTook tells how long the last step took here, with all that it sent off: planning
+// is divided so that steps stay short, and placing leaves time to the rest.
+func (n *Controller) StepTook(d time.Duration) { n.planning.recordStep(d) }
+
 // Healthy says whether this node can take requests now.
 func (n *Controller) Healthy(now time.Time) bool {
-	return n.membership.ready && (!n.storeDown(now) || n.storeDownEverywhere(now))
+	return n.membership.ready && (!n.membership.storeDown(now) || n.membership.storeDownEverywhere(now))
 }
 
-func (n *Controller) after(d time.Duration, fn func()) {
-	n.timers = append(n.timers, timer{n.now.Add(d), fn})
+func (e *environment) after(d time.Duration, fn func()) {
+	e.timers = append(e.timers, timer{e.now.Add(d), fn})
 }
 
-func (n *Controller) runTimers() {
+func (e *environment) runTimers() {
 	var due []timer
-	keep := n.timers[:0]
-	for _, t := range n.timers {
-		if t.at.After(n.now) {
+	keep := e.timers[:0]
+	for _, t := range e.timers {
+		if t.at.After(e.now) {
 			keep = append(keep, t)
 		} else {
 			due = append(due, t)
 		}
 	}
-	n.timers = keep
+	e.timers = keep
 	for _, t := range due {
 		t.fn()
 	}
 }
 
-func (n *Controller) emit(e message.Effect) {
+func (ee *environment) emit(e message.Effect) {
 	if p, ok := e.(message.SendPeerUpdate); ok {
-		p.Update.Incarnation = n.incarnation()
+		p.Update.Incarnation = ee.incarnation()
 		e = p
 	}
-	n.effects = append(n.effects, e)
+	ee.effects = append(ee.effects, e)
 }
 
-func (n *Controller) nextID() uint64 { n.lastID++; return n.lastID }
+func (e *environment) nextID() uint64 { e.lastID++; return e.lastID }
 
-// requestStore sends a request to the state service. One that passes its limits does not
+// toStore sends a request to the state service. One that passes its limits does not
 // leave: it would be refused as malformed, as often as it is sent, and count against
 // the limit of requests. It is a defect, told of as an error, and answered as such.
-func (n *Controller) requestStore(op message.StoreRequest, fn func(message.StoreResponse)) {
-	op.ID = n.nextID()
+func (r *requestTracker) toStore(op message.StoreRequest, fn func(message.StoreResponse)) {
+	op.ID = r.nextID()
 	if op.Kind == message.OpTxn {
 		compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
 		for i, c := range op.Compares {
@@ -320,31 +292,31 @@
 		for i, c := range op.Writes {
 			writes[i] = sizelimit.Write{Key: c.Key, Value: c.Value}
 		}
-		if err := n.requestLimits(&op).CheckTxn(compares, writes); err != nil {
-			n.internalError("a request passes the state service's limits", "err", err)
-			n.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: n.now}) })
+		if err := r.requestLimits(&op).CheckTxn(compares, writes); err != nil {
+			r.internalError("a request passes the state service's limits", "err", err)
+			r.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
 			return
 		}
-		if len(n.malformedTxns) > 0 && n.malformedTxns[txnHash(&op)] {
+		if len(r.malformedTxns) > 0 && r.malformedTxns[txnHash(&op)] {
 			// Called malformed before, as it is.
-			n.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: n.now}) })
+			r.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
 			return
 		}
 		callback := fn
 		fn = func(d message.StoreResponse) {
 			if d.Status == message.StoreMalformed {
-				n.internalError("the state service calls a transaction malformed", "changes", len(op.Writes), "first", firstWriteKey(&op))
-				if len(n.malformedTxns) >= maxMalformedTxns {
-					clear(n.malformedTxns)
+				r.internalError("the state service calls a transaction malformed", "changes", len(op.Writes), "first", firstWriteKey(&op))
+				if len(r.malformedTxns) >= maxMalformedTxns {
+					clear(r.malformedTxns)
 				}
-				n.malformedTxns[txnHash(&op)] = true
+				r.malformedTxns[txnHash(&op)] = true
 			}
 			callback(d)
 		}
 	}
-	n.rateLimits.countRequest(&op)
-	n.storeCallbacks[op.ID] = fn
-	n.emit(op)
+	r.controller.rateLimits.countRequest(&op)
+	r.storeCallbacks[op.ID] = fn
+	r.emit(op)
 }
 
 // maxMalformedTxns bounds how many malformed transactions are remembered.
@@ -371,35 +343,35 @@
 }
 
 // internalError tells of a mistake of this program's that it goes on with.
-func (n *Controller) internalError(text string, args ...any) {
-	n.internalErrors++
-	n.emit(message.Log{Error: true, Message: text, Args: args})
+func (e *environment) internalError(text string, args ...any) {
+	e.internalErrors++
+	e.emit(message.Log{Error: true, Message: text, Args: args})
 }
 
-func (n *Controller) requestCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
-	op.ID = n.nextID()
-	n.cloudCallbacks[op.ID] = fn
-	n.emit(op)
+func (r *requestTracker) toCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
+	op.ID = r.nextID()
+	r.cloudCallbacks[op.ID] = fn
+	r.emit(op)
 }
 
-func (n *Controller) requestWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
-	op.ID = n.nextID()
-	n.workerCallbacks[op.ID] = fn
-	n.emit(op)
+func (r *requestTracker) toWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
+	op.ID = r.nextID()
+	r.workerCallbacks[op.ID] = fn
+	r.emit(op)
 }
 
-func (n *Controller) info(text string, args ...any) { n.emit(message.Log{Message: text, Args: args}) }
-func (n *Controller) debug(text string, args ...any) {
-	n.emit(message.Log{Debug: true, Message: text, Args: args})
+func (e *environment) info(text string, args ...any) { e.emit(message.Log{Message: text, Args: args}) }
+func (e *environment) debug(text string, args ...any) {
+	e.emit(message.Log{Debug: true, Message: text, Args: args})
 }
 
 // jitter spreads d by a quarter either way, so that controllers that fell
 // over together do not come back in step.
-func (n *Controller) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + n.rng.Float64()/2))
+func (e *environment) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.75 + e.rng.Float64()/2))
 }
 
 // spread is d, give or take a half.
-func (n *Controller) spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + n.rng.Float64()))
+func (e *environment) spread(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.5 + e.rng.Float64()))
 }
--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -14,35 +14,35 @@
 const correlatedFailureLogInterval = 5 * time.Second
 
 // unresponsiveMachines names the silent machines that are to be given back now.
-func unresponsiveMachines(n *Controller) []string {
-	pool := disruption.Pool{Lease: n.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * n.settings.StoreWritesPerSecond)}
+func (h *heartbeatTracker) unresponsiveMachines() []string {
+	pool := disruption.Pool{Lease: h.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * h.settings.StoreWritesPerSecond)}
 	var unresponsive []disruption.Machine
-	for _, m := range n.shardLeader.machinesByID {
+	for _, m := range h.controller.shardLeader.machinesByID {
 		if !m.expectsHeartbeats() || m.releasing {
 			continue
 		}
 		pool.Reporting++
-		if !n.unresponsive(m) {
+		if !h.unresponsive(m) {
 			continue
 		}
-		x := disruption.Machine{ID: m.id, Tasks: len(m.attempts) + n.shardLeader.registry.LiveCount(m.id), UnresponsiveFor: n.sinceLastHeartbeat(m) - n.unresponsiveAfter(m)}
+		x := disruption.Machine{ID: m.id, Tasks: len(m.attempts) + h.controller.shardLeader.remoteAttempts.registry.LiveCount(m.id), UnresponsiveFor: h.controller.shardLeader.failover.sinceLastHeartbeat(m) - h.controller.unresponsiveAfter(m)}
 		for k := range m.attempts {
-			j := n.shardLeader.jobs[k.job]
-			if l, u := n.latestStart(j), inverseRank(n, j); u > x.Urgency || x.LatestStart.IsZero() || u == x.Urgency && l.Before(x.LatestStart) {
+			j := h.controller.shardLeader.jobs[k.job]
+			if l, u := h.controller.shardLeader.scheduler.latestStart(j), h.controller.ranking.inverseRank(j); u > x.Urgency || x.LatestStart.IsZero() || u == x.Urgency && l.Before(x.LatestStart) {
 				x.Urgency, x.LatestStart = u, l
 			}
 		}
 		unresponsive = append(unresponsive, x)
 	}
-	pool.ReceivesNothing = n.selfMonitor.ReceivesNothing(n.now, n.shardLeader.readyAt, pool.Reporting, n.maxHeartbeatInterval())
+	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, h.controller.shardLeader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// When all fall silent together, the fault is likely ours.
 		return nil
 	}
-	toRelease := append(disruption.SelectReleases(pool, unresponsive), unreachableMachines(n, pool.Reporting)...)
-	if disruption.IsCorrelated(pool, len(unresponsive)) && n.now.Sub(n.shardLeader.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
-		n.shardLeader.correlatedFailureLoggedAt = n.now
-		n.info("machines are silent together", "silent", len(unresponsive), "of", pool.Reporting, "given back", len(toRelease))
+	toRelease := append(disruption.SelectReleases(pool, unresponsive), h.unreachableMachines(pool.Reporting)...)
+	if disruption.IsCorrelated(pool, len(unresponsive)) && h.now.Sub(h.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
+		h.correlatedFailureLoggedAt = h.now
+		h.info("machines are silent together", "silent", len(unresponsive), "of", pool.Reporting, "given back", len(toRelease))
 	}
 	return toRelease
 }
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -24,10 +24,10 @@
 		{message.UserReply{Status: 200, State: "cancelled"}, true},
 		{message.UserReply{Status: 503, Message: "starting"}, true},
 	} {
-		w := n.newUserRequest(7, "job-1")
+		w := n.frontend.newUserRequest(7, "job-1")
 		requestedAt := n.now
 		n.now, n.effects = n.now.Add(time.Second), nil
-		n.answerRequest(w, x.r)
+		n.frontend.answerRequest(w, x.r)
 		reply := n.effects[0].(message.UserReply)
 		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
 			t.Errorf("%+v is late while it is waited for", x.r)
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -46,7 +46,7 @@
 func (j *job) readySince() time.Time { return later(j.submittedAt, j.releasedAt) }
 
 // validateDependencies says why a job can't need what it names.
-func (n *Controller) validateDependencies(s *model.JobSpec) string {
+func (f *frontend) validateDependencies(s *model.JobSpec) string {
 	if len(s.Dependencies) == 0 {
 		return ""
 	}
@@ -62,8 +62,8 @@
 	}
 	without := *s
 	without.Dependencies = nil
-	size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(&without, n.now)))
-	freeBytes := n.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
+	size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(&without, f.now)))
+	freeBytes := f.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
 	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
 	}
@@ -75,7 +75,7 @@
 
 // checkDependenciesAccepted goes on once all names are known to be those of accepted jobs. One that is
 // not is refused only after a read that began after the request.
-func (n *Controller) checkDependenciesAccepted(w *userRequest, names []string, proceed func()) {
+func (ff *frontend) checkDependenciesAccepted(w *userRequest, names []string, proceed func()) {
 	pending, unread, missing := 1, false, []string{}
 	finish := func() {
 		if pending--; pending > 0 {
@@ -83,19 +83,19 @@
 		}
 		switch {
 		case len(missing) > 0:
-			n.answerFromRecord(w, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
+			ff.answerFromRecord(w, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
 		case unread:
-			n.refuseRequest(w, "the state service does not answer")
+			ff.refuseRequest(w, "the state service does not answer")
 		default:
 			proceed()
 		}
 	}
 	for _, p := range names {
-		if n.cachedJobState(p) != pipeline.Unknown {
+		if ff.controller.frontend.watchCache.cachedJobState(p) != pipeline.Unknown {
 			continue
 		}
 		pending++
-		n.readJobRecord(p, func(f jobLookup) {
+		ff.controller.frontend.watchCache.readJobRecord(p, func(f jobLookup) {
 			switch {
 			case !f.ok:
 				unread = true
@@ -110,11 +110,11 @@
 
 // acceptedReply is the answer to a submission that was stored. One that names a cancelled job is
 // cancelled from the start.
-func (n *Controller) acceptedReply(s *submission) message.UserReply {
+func (f *frontend) acceptedReply(s *submission) message.UserReply {
 	r := message.UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
 	for _, p := range s.spec.Dependencies {
-		if n.cachedJobState(p) == pipeline.Cancelled {
-			n.cacheFinalStatus(s.spec.ID, model.Cancelled)
+		if f.controller.frontend.watchCache.cachedJobState(p) == pipeline.Cancelled {
+			f.cacheFinalStatus(s.spec.ID, model.Cancelled)
 			r.State = string(model.Cancelled)
 			return r
 		}
@@ -123,14 +123,14 @@
 }
 
 // cachedJobState is what this node knows of a job by itself.
-func (n *Controller) cachedJobState(id string) pipeline.State {
-	switch n.frontend.finalStatuses[id] {
+func (w *watchCache) cachedJobState(id string) pipeline.State {
+	switch w.controller.frontend.finalStatuses[id] {
 	case model.Done:
 		return pipeline.Done
 	case model.Cancelled:
 		return pipeline.Cancelled
 	}
-	l, open := n.frontend.watchCache.openJobs[id]
+	l, open := w.openJobs[id]
 	switch {
 	case open && l.rec.Cancelled:
 		return pipeline.Cancelled
@@ -140,46 +140,46 @@
 	return pipeline.Unknown
 }
 
-// dependencyGraph is the one of the picture.
-func (n *Controller) dependencyGraph() *pipeline.Graph {
-	if n.frontend.watchCache.dependencyGraph == nil {
-		n.frontend.watchCache.dependencyGraph = pipeline.New(n.cachedJobState)
+// graph is the one of the picture.
+func (w *watchCache) graph() *pipeline.Graph {
+	if w.dependencyGraph == nil {
+		w.dependencyGraph = pipeline.New(w.cachedJobState)
 	}
-	return n.frontend.watchCache.dependencyGraph
+	return w.dependencyGraph
 }
 
 // rebuildDependencyGraph makes the graph anew after the picture has been read anew.
-func (n *Controller) rebuildDependencyGraph() {
-	n.frontend.watchCache.dependencyGraph = nil
-	for _, id := range sortedKeys(n.frontend.watchCache.openJobs) {
-		l := n.frontend.watchCache.openJobs[id]
-		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.DependencyNames()))
+func (w *watchCache) rebuildDependencyGraph() {
+	w.dependencyGraph = nil
+	for _, id := range sortedKeys(w.openJobs) {
+		l := w.openJobs[id]
+		w.controller.applyDependencyChanges(w.graph().Put(id, l.rec.DependencyNames()))
 	}
-	if n.shardLeader == nil {
+	if w.controller.shardLeader == nil {
 		return
 	}
-	for _, id := range sortedKeys(n.shardLeader.jobs) {
-		n.awaitDependencies(n.shardLeader.jobs[id])
+	for _, id := range sortedKeys(w.controller.shardLeader.jobs) {
+		w.controller.awaitDependencies(w.controller.shardLeader.jobs[id])
 	}
 }
 
 // updateDependencyGraph takes in a change of open/.
-func (n *Controller) updateDependencyGraph(it message.KeyValue) {
+func (w *watchCache) updateDependencyGraph(it message.KeyValue) {
 	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
-	l, open := n.frontend.watchCache.openJobs[id]
+	l, open := w.openJobs[id]
 	if open {
-		n.applyDependencyChanges(n.dependencyGraph().Put(id, l.rec.DependencyNames()))
+		w.controller.applyDependencyChanges(w.graph().Put(id, l.rec.DependencyNames()))
 	}
-	n.noteDependencyState(id)
+	w.controller.noteDependencyState(id)
 	if !open {
-		n.readFinalState(id)
-		n.dependencyGraph().Remove(id)
+		w.controller.readFinalState(id)
+		w.graph().Remove(id)
 	}
 }
 
 // noteDependencyState takes in what is now known of a job.
 func (n *Controller) noteDependencyState(id string) {
-	n.applyDependencyChanges(n.dependencyGraph().SetState(id, n.cachedJobState(id)))
+	n.applyDependencyChanges(n.frontend.watchCache.graph().SetState(id, n.frontend.watchCache.cachedJobState(id)))
 }
 
 // applyDependencyChanges carries out what has changed for jobs behind others.
@@ -192,11 +192,11 @@
 		switch {
 		case c.Cancelled:
 			if n.frontend.finalStatuses[c.ID] == "" {
-				n.cacheFinalStatus(c.ID, model.Cancelled)
+				n.frontend.cacheFinalStatus(c.ID, model.Cancelled)
 			}
 			n.cancelDependent(j)
 		case j != nil:
-			n.releaseJob(j)
+			n.shardLeader.dependencies.releaseJob(j)
 		}
 	}
 }
@@ -211,13 +211,13 @@
 }
 
 // releaseJob lets a job go when all that it needs is done.
-func (n *Controller) releaseJob(j *job) {
+func (d *dependencyTracker) releaseJob(j *job) {
 	if !j.dependenciesPending {
 		return
 	}
-	j.dependenciesPending, j.releasedAt = false, n.now
-	n.shardLeader.placementDue = true
-	n.shardLeader.placementUrgent = n.shardLeader.placementUrgent || n.waitObjective(j.Workload) > 0
+	j.dependenciesPending, j.releasedAt = false, d.now
+	d.controller.shardLeader.scheduler.placementDue = true
+	d.controller.shardLeader.scheduler.placementUrgent = d.controller.shardLeader.scheduler.placementUrgent || d.waitObjective(j.Workload) > 0
 }
 
 // awaitDependencies has a job here wait for what it needs.
@@ -225,7 +225,7 @@
 	if len(j.Dependencies) == 0 {
 		return
 	}
-	g := n.dependencyGraph()
+	g := n.frontend.watchCache.graph()
 	n.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
 	switch {
 	case g.IsCancelled(j.ID):
@@ -256,10 +256,10 @@
 
 // readFinalState reads what became of a job that is open no more, if one here waits for it.
 func (n *Controller) readFinalState(id string) {
-	if n.cachedJobState(id) != pipeline.Unknown || !n.hasWaitingDependents(id) {
+	if n.frontend.watchCache.cachedJobState(id) != pipeline.Unknown || !n.hasWaitingDependents(id) {
 		return
 	}
-	n.readStatusRecord(id, func(d message.StoreResponse) {
+	n.frontend.readStatusRecord(id, func(d message.StoreResponse) {
 		if !n.applyFinalState(id, d) {
 			n.after(n.jitter(storeRetryDelay), func() { n.readFinalState(id) })
 		}
@@ -268,7 +268,7 @@
 
 // hasWaitingDependents says whether a job here waits for a job.
 func (n *Controller) hasWaitingDependents(id string) bool {
-	return n.shardLeader != nil && slices.ContainsFunc(n.dependencyGraph().Dependents(id), func(after string) bool {
+	return n.shardLeader != nil && slices.ContainsFunc(n.frontend.watchCache.graph().Dependents(id), func(after string) bool {
 		j := n.shardLeader.jobs[after]
 		return j != nil && j.dependenciesPending && !j.cancelled
 	})
@@ -280,29 +280,29 @@
 func (n *Controller) applyFinalState(id string, d message.StoreResponse) bool {
 	var r record.JobStatus
 	switch {
-	case n.cachedJobState(id) != pipeline.Unknown:
+	case n.frontend.watchCache.cachedJobState(id) != pipeline.Unknown:
 	case d.Status == message.StoreNotFound:
 		n.rejectInput("record", record.OpenJobPrefix+id, "it is needed by others and was never accepted")
-		n.applyDependencyChanges(n.dependencyGraph().SetState(id, pipeline.Missing))
+		n.applyDependencyChanges(n.frontend.watchCache.graph().SetState(id, pipeline.Missing))
 	case d.Status != message.StoreOK || len(d.KeyValues) != 1 || !record.Decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
 		return false
 	default:
-		n.cacheFinalStatus(id, r.Status)
-		cacheDoneDate(n, id, r)
+		n.frontend.cacheFinalStatus(id, r.Status)
+		n.promises.cacheDoneDate(id, r)
 	}
 	return true
 }
 
 // lookupWithDependencies tells of an open job, which is cancelled if one that it needs is: what is not
 // known of these is read first.
-func (n *Controller) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
-	unread := n.dependencyGraph().Unresolved(id, false)
+func (ff *frontend) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
+	unread := ff.controller.frontend.watchCache.graph().Unresolved(id, false)
 	if len(unread) > 0 && !l.rec.Cancelled {
-		n.readDependencyStates(id, unread, fn)
+		ff.readDependencyStates(id, unread, fn)
 		return
 	}
-	n.lookupOfOpenJob(id, l, func(f jobLookup) {
-		if n.dependencyGraph().IsCancelled(id) {
+	ff.controller.frontend.watchCache.lookupOfOpenJob(id, l, func(f jobLookup) {
+		if ff.controller.frontend.watchCache.graph().IsCancelled(id) {
 			f.rec.Status = model.Cancelled
 		}
 		fn(f)
@@ -310,11 +310,11 @@
 }
 
 // readDependencyStates reads the ends that a job's state rests on, and looks again.
-func (n *Controller) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
+func (f *frontend) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
 	left, failed := len(unread), false
 	for _, p := range unread {
-		n.readStatusRecord(p, func(d message.StoreResponse) {
-			failed = !n.applyFinalState(p, d) || failed
+		f.readStatusRecord(p, func(d message.StoreResponse) {
+			failed = !f.controller.applyFinalState(p, d) || failed
 			if left--; left > 0 {
 				return
 			}
@@ -322,34 +322,34 @@
 				fn(jobLookup{})
 				return
 			}
-			n.readJob(id, fn)
+			f.controller.frontend.watchCache.readJob(id, fn)
 		})
 	}
 }
 
 // updateCriticalPaths brings up to date what the jobs behind others ask of those here: the highest
 // urgency of all that need a job, and when it has to be over for them to be in time.
-func (n *Controller) updateCriticalPaths() {
-	o := n.shardLeader
-	if n.now.Sub(o.pathsScannedAt) < criticalPathInterval || !n.dependencyGraph().HasDependencies() {
+func (d *dependencyTracker) updateCriticalPaths() {
+	o := d.controller.shardLeader
+	if d.now.Sub(o.dependencies.pathsScannedAt) < criticalPathInterval || !d.controller.frontend.watchCache.graph().HasDependencies() {
 		return
 	}
-	o.pathsScannedAt = n.now
-	paths, cycle := n.dependencyGraph().CriticalPaths(n.criticalPathTask)
+	o.dependencies.pathsScannedAt = d.now
+	paths, cycle := d.controller.frontend.watchCache.graph().CriticalPaths(d.controller.criticalPathTask)
 	if len(cycle) > 0 {
-		n.rejectInput("record", record.OpenJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
+		d.rejectInput("record", record.OpenJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
 	}
-	for id := range o.paths {
+	for id := range o.dependencies.paths {
 		if j := o.jobs[id]; j != nil && paths[id] == (pipeline.CriticalPath{}) {
-			n.applyCriticalPath(j, pipeline.CriticalPath{})
+			d.controller.applyCriticalPath(j, pipeline.CriticalPath{})
 		}
 	}
 	for id, p := range paths {
 		if j := o.jobs[id]; j != nil {
-			n.applyCriticalPath(j, p)
+			d.controller.applyCriticalPath(j, p)
 		}
 	}
-	o.paths = paths
+	o.dependencies.paths = paths
 }
 
 // applyCriticalPath gives a job what those behind it ask.
@@ -374,7 +374,7 @@
 	if l.rec.DeadlineSeconds > 0 {
 		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(l.rec.DeadlineSeconds))
 	}
-	if e := n.estimators[l.rec.Workload]; e != nil {
+	if e := n.knowledge.estimators[l.rec.Workload]; e != nil {
 		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
 	}
 	return t, true
@@ -382,7 +382,7 @@
 
 // describeDependencies names some of what a job waits for, with how many it is.
 func (n *Controller) describeDependencies(id string) string {
-	names := n.dependencyGraph().PendingDependencies(id)
+	names := n.frontend.watchCache.graph().PendingDependencies(id)
 	text := strings.Join(names[:min(len(names), maxNamedDependencies)], ", ")
 	if len(names) > maxNamedDependencies {
 		text += fmt.Sprintf(" and %d others", len(names)-maxNamedDependencies)
@@ -395,26 +395,35 @@
 
 // blockingJobs counts the jobs here that wait for others, and tells for which most of them
 // do, themselves not waiting.
-func (n *Controller) blockingJobs() (waiting int, blocking []message.BlockingJobStatus) {
+func (d *dependencyTracker) blockingJobs() (waiting int, blocking []message.BlockingJobStatus) {
 	count := map[string]int{}
-	for id, j := range n.shardLeader.jobs {
+	for id, j := range d.controller.shardLeader.jobs {
 		if !j.dependenciesPending || j.cancelled {
 			continue
 		}
 		waiting++
-		for _, p := range n.dependencyGraph().PendingDependencies(id) {
-			if n.dependencyGraph().IsReleased(p) {
+		for _, p := range d.controller.frontend.watchCache.graph().PendingDependencies(id) {
+			if d.controller.frontend.watchCache.graph().IsReleased(p) {
 				count[p]++
 			}
 		}
 	}
 	for _, p := range sortedKeys(count) {
 		h := message.BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
-		if _, open := n.frontend.watchCache.openJobs[p]; open {
-			h.State = n.replyWithStatus(p, model.Queued).State
+		if _, open := d.controller.frontend.watchCache.openJobs[p]; open {
+			h.State = d.controller.frontend.replyWithStatus(p, model.Queued).State
 		}
 		blocking = append(blocking, h)
 	}
 	slices.SortStableFunc(blocking, func(a, b message.BlockingJobStatus) int { return cmp.Compare(b.Dependents, a.Dependents) })
 	return waiting, blocking[:min(len(blocking), maxBlockingJobs)]
 }
+
+// dependencyTracker TODO.
+type dependencyTracker struct {
+	component
+
+	// pathsScannedAt is when the paths of pipelines were last looked at.
+	pathsScannedAt time.Time
+	paths          map[string]pipeline.CriticalPath
+}
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -56,9 +56,9 @@
 func neededKind(h *message.HostNeed) machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
 
 // receiveHostNeeds takes in what the leader says of others' needs.
-func receiveHostNeeds(n *Controller, othersNeeds, assigned []message.HostNeed) {
-	if mv := migrationsOf(n); mv != nil {
-		mv.evacuation.othersNeeds, mv.evacuation.assigned, mv.evacuation.receivedAt = othersNeeds, assigned, n.now
+func (g *migrationManager) receiveHostNeeds(othersNeeds, assigned []message.HostNeed) {
+	if mv := migrationsOf(g.controller); mv != nil {
+		mv.evacuation.othersNeeds, mv.evacuation.assigned, mv.evacuation.receivedAt = othersNeeds, assigned, g.now
 	}
 }
 
@@ -76,32 +76,32 @@
 }
 
 // updateHostNeeds says on which kinds a whole host would help work that waits in vain.
-func updateHostNeeds(n *Controller, mv *migrations) {
+func (g *migrationManager) updateHostNeeds(mv *migrations) {
 	b := &mv.evacuation
-	v := n.shardLeader.fleetView
+	v := g.controller.shardLeader.fleet.view
 	b.needs = nil
-	if v == nil || !n.hasOtherShardLeaders() {
+	if v == nil || !g.controller.membership.hasOtherShardLeaders() {
 		return
 	}
 	for k, until := range v.blockedUntil {
-		if until.After(n.now) {
-			b.refusedAt[k] = n.now
+		if until.After(g.now) {
+			b.refusedAt[k] = g.now
 		}
 	}
 	var waiting *job
 	lately := false
 	for _, at := range b.refusedAt {
-		lately = lately || n.now.Sub(at) < refusedWindow
+		lately = lately || g.now.Sub(at) < refusedWindow
 	}
 	if !lately {
 		return
 	}
-	for _, j := range n.jobsInQueueOrder() {
+	for _, j := range g.controller.shardLeader.scheduler.jobsInQueueOrder() {
 		// Its own moves go first.
-		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.HeldFor(j.ID) || !n.withinQuotaLimit(j) {
+		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.HeldFor(j.ID) || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
 			continue
 		}
-		if n.now.Sub(later(j.readySince(), n.shardLeader.readyAt)) < 2*migrationDelay || hasCapacityFor(n, j) {
+		if g.now.Sub(later(j.readySince(), g.controller.shardLeader.readyAt)) < 2*migrationDelay || g.hasCapacityFor(j) {
 			continue
 		}
 		waiting = j
@@ -110,15 +110,15 @@
 	if waiting == nil {
 		return
 	}
-	for _, name := range sortedKeys(n.machineTypes) {
-		f := n.machineTypes[name]
-		if !waiting.Need.Fits(f.Capacity) || !isLarge(waiting.Need, f.Capacity) && n.now.Sub(later(waiting.submittedAt, n.shardLeader.readyAt)) < hostNeedDelay {
+	for _, name := range sortedKeys(g.controller.knowledge.machineTypes) {
+		f := g.controller.knowledge.machineTypes[name]
+		if !waiting.Need.Fits(f.Capacity) || !isLarge(waiting.Need, f.Capacity) && g.now.Sub(later(waiting.submittedAt, g.controller.shardLeader.readyAt)) < hostNeedDelay {
 			continue
 		}
 		for _, z := range f.Zones {
 			for _, spot := range [...]bool{true, false} {
 				k := machineKind{name, z, spot}
-				if waiting.allowsMachine(name, z, spot) && waiting.zoneAllowed(z) && n.now.Sub(b.refusedAt[k]) < refusedWindow && len(b.needs) < maxHostNeeds {
+				if waiting.allowsMachine(name, z, spot) && waiting.zoneAllowed(z) && g.now.Sub(b.refusedAt[k]) < refusedWindow && len(b.needs) < maxHostNeeds {
 					b.needs = append(b.needs, message.HostNeed{MachineType: name, Zone: z, Spot: spot, Need: waiting.Need, Workload: waiting.Workload, Urgency: waiting.Urgency})
 				}
 			}
@@ -127,14 +127,14 @@
 }
 
 // hasCapacityFor says that there is room for a task of j, or a machine for it is coming.
-func hasCapacityFor(n *Controller, j *job) bool {
-	for _, m := range n.shardLeader.machinesByID {
-		if n.usable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && j.Need.Fits(m.free()) {
+func (g *migrationManager) hasCapacityFor(j *job) bool {
+	for _, m := range g.controller.shardLeader.machinesByID {
+		if g.controller.shardLeader.scheduler.usable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && j.Need.Fits(m.free()) {
 			return true
 		}
 	}
-	for r := range n.expectedFor(j) {
-		if j.Need.Fits(n.machineTypes[r.machineType].Capacity) {
+	for r := range g.controller.expectedFor(j) {
+		if j.Need.Fits(g.controller.knowledge.machineTypes[r.machineType].Capacity) {
 			return true
 		}
 	}
@@ -143,40 +143,40 @@
 
 // planEvacuation reckons what emptying a host would cost, and begins to empty the one that
 // this owner is asked for. It says whether it has asked the planner.
-func planEvacuation(n *Controller, mv *migrations) bool {
+func (g *migrationManager) planEvacuation(mv *migrations) bool {
 	b := &mv.evacuation
-	if n.now.Sub(b.receivedAt) > updateTTL {
+	if g.now.Sub(b.receivedAt) > updateTTL {
 		b.costs = nil
 		return false
 	}
 	for i := range b.assigned {
 		h := &b.assigned[i]
-		team := donorTeam(n, mv)
-		if team == "" || mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || nextMigrationWrite(n, mv).After(n.now) || hasEmptyHost(n, neededKind(h)) {
+		team := g.donorTeam(mv)
+		if team == "" || mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || g.nextMigrationWrite(mv).After(g.now) || g.hasEmptyHost(neededKind(h)) {
 			continue
 		}
-		p := evacuationProblem(n, mv, h)
+		p := g.evacuationProblem(mv, h)
 		if plan, ok := migration.Find(p); ok {
-			beginMigration(n, mv, team, p, plan)
+			g.beginMigration(mv, team, p, plan)
 		}
 		return true
 	}
-	if len(b.othersNeeds) == 0 || n.now.Sub(b.costedAt) < evacuationCostInterval {
+	if len(b.othersNeeds) == 0 || g.now.Sub(b.costedAt) < evacuationCostInterval {
 		return false
 	}
-	b.costedAt, b.costs = n.now, nil
+	b.costedAt, b.costs = g.now, nil
 	// One kind after another would be asked for by each: the first that waits is first.
 	tries := 0
 	for i := range b.othersNeeds {
 		h := &b.othersNeeds[i]
-		if mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || hasEmptyHost(n, neededKind(h)) {
+		if mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || g.hasEmptyHost(neededKind(h)) {
 			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: 0})
 			continue
 		}
 		if tries++; tries > maxCostedKinds {
 			break
 		}
-		if plan, ok := migration.Find(evacuationProblem(n, mv, h)); ok {
+		if plan, ok := migration.Find(g.evacuationProblem(mv, h)); ok {
 			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: plan.Cost})
 		}
 	}
@@ -188,9 +188,9 @@
 
 // donorTeam is the team under which an owner writes moves for others: the first that has
 // no write under way.
-func donorTeam(n *Controller, mv *migrations) string {
-	for _, t := range sortedKeys(n.shardLeader.teams) {
-		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.UnsavedPlans(t)) == 0 && n.shardLeader.teams[t].ready {
+func (g *migrationManager) donorTeam(mv *migrations) string {
+	for _, t := range sortedKeys(g.controller.shardLeader.teams) {
+		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.UnsavedPlans(t)) == 0 && g.controller.shardLeader.teams[t].ready {
 			return t
 		}
 	}
@@ -199,19 +199,19 @@
 
 // hasEmptyHost says that an empty host of a kind is there already: it is to spare when it is
 // not needed here.
-func hasEmptyHost(n *Controller, k machineKind) bool {
-	return slices.ContainsFunc(n.shardLeader.machinesByID, func(m *machine) bool {
-		return (machineKind{m.machineType, m.zone, m.spot}) == k && m.isEmpty() && n.usable(m)
+func (g *migrationManager) hasEmptyHost(k machineKind) bool {
+	return slices.ContainsFunc(g.controller.shardLeader.machinesByID, func(m *machine) bool {
+		return (machineKind{m.machineType, m.zone, m.spot}) == k && m.isEmpty() && g.controller.shardLeader.scheduler.usable(m)
 	})
 }
 
 // evacuationProblem is what the planner is asked for a whole host of a kind.
-func evacuationProblem(n *Controller, mv *migrations, h *message.HostNeed) *migration.Problem {
+func (g *migrationManager) evacuationProblem(mv *migrations, h *message.HostNeed) *migration.Problem {
 	k := neededKind(h)
 	other := &job{JobSpec: neededJobSpec(h)}
-	p, hosts := migrationCandidates(n, mv, other)
+	p, hosts := g.migrationCandidates(mv, other)
 	p.MaxCost = maxEvacuationCost
-	p.WaitingTask = migration.WaitingTask{Job: other.ID, Need: n.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
+	p.WaitingTask = migration.WaitingTask{Job: other.ID, Need: g.controller.knowledge.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
 		m := hosts[i]
 		return (machineKind{m.machineType, m.zone, m.spot}) == k && !m.isEmpty()
 	}}
@@ -229,16 +229,16 @@
 
 // assignEvacuations has the leader decide who empties a host for whom. It says what each owner
 // is told of others' needs and is asked for.
-func assignEvacuations(n *Controller) (othersNeeds, assigned map[string][]message.HostNeed) {
-	if !n.settings.Capabilities.Models {
+func (l *leader) assignEvacuations() (othersNeeds, assigned map[string][]message.HostNeed) {
+	if !l.settings.Capabilities.Models {
 		return nil, nil
 	}
 	needs, costs := map[string][]message.HostNeed{}, map[string][]message.HostCost{}
-	if o := n.shardLeader; o != nil && o.ready && o.migrations != nil {
-		needs[n.settings.Host], costs[n.settings.Host] = o.migrations.evacuation.needs, o.migrations.evacuation.costs
+	if o := l.controller.shardLeader; o != nil && o.ready && o.migration.state != nil {
+		needs[l.settings.Host], costs[l.settings.Host] = o.migration.state.evacuation.needs, o.migration.state.evacuation.costs
 	}
-	for _, host := range sortedKeys(n.leader.updates) {
-		if w, ok := n.freshUpdate(host); ok {
+	for _, host := range sortedKeys(l.updates) {
+		if w, ok := l.freshUpdate(host); ok {
 			needs[host], costs[host] = w.update.HostNeeds, w.update.EvacuationCosts
 		}
 	}
@@ -266,7 +266,7 @@
 			}
 		}
 	}
-	for _, a := range n.leader.evacuations.Update(n.now, needed, offered) {
+	for _, a := range l.evacuations.Update(l.now, needed, offered) {
 		for _, h := range needs[a.Recipient] {
 			if kindName(neededKind(&h)) == a.Kind {
 				assigned[a.Owner] = append(assigned[a.Owner], h)
@@ -274,8 +274,8 @@
 			}
 		}
 	}
-	if o := n.shardLeader; o != nil && o.ready {
-		receiveHostNeeds(n, othersNeeds[n.settings.Host], assigned[n.settings.Host])
+	if o := l.controller.shardLeader; o != nil && o.ready {
+		l.controller.shardLeader.migration.receiveHostNeeds(othersNeeds[l.settings.Host], assigned[l.settings.Host])
 	}
 	return othersNeeds, assigned
 }
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -23,9 +23,9 @@
 func (n *Controller) setHostNeeds(requested bool) {
 	h := []message.HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
 	if requested {
-		receiveHostNeeds(n, h, h)
+		n.shardLeader.migration.receiveHostNeeds(h, h)
 	} else {
-		receiveHostNeeds(n, h, nil)
+		n.shardLeader.migration.receiveHostNeeds(h, nil)
 	}
 }
 
@@ -34,11 +34,11 @@
 func TestHostIsEvacuated(t *testing.T) {
 	n := donorController(t)
 	n.setHostNeeds(false)
-	migrationTick(n)
-	if cs := n.shardLeader.migrations.evacuation.costs; len(cs) != 1 || cs[0].MachineType != "host" || cs[0].Downtime > 10*time.Second {
+	n.shardLeader.migration.migrationTick()
+	if cs := n.shardLeader.migration.state.evacuation.costs; len(cs) != 1 || cs[0].MachineType != "host" || cs[0].Downtime > 10*time.Second {
 		t.Fatalf("costs %+v", cs)
 	}
-	if len(n.shardLeader.migrations.tracker.Plans()) > 0 {
+	if len(n.shardLeader.migration.state.tracker.Plans()) > 0 {
 		t.Fatal("emptied unasked")
 	}
 	n.setHostNeeds(true)
@@ -46,11 +46,11 @@
 	if slices.ContainsFunc(op.Compares, func(c message.Compare) bool { return strings.HasPrefix(c.Key, record.OpenJobPrefix+evacuationPrefix) }) {
 		t.Errorf("conditions %v", op.Compares)
 	}
-	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
-	s := n.shardLeader.migrations.tracker.Plans()[0].Steps[0]
+	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	s := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
 	j := n.shardLeader.jobs[s.Job]
-	n.endAttempt(j, 0, false)
-	n.placeAll()
+	n.shardLeader.endAttempt(j, 0, false)
+	n.shardLeader.scheduler.placeAll()
 	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To {
 		t.Fatalf("it is on %v, want %s", j.tasks[0].machine, s.To)
 	}
@@ -59,7 +59,7 @@
 		m.lastHeard = n.now
 	}
 	n.setHostNeeds(true)
-	if out := n.surplusForOthers(n.surplusMachines(n.futureFreeCapacity(), func(int) bool { return true })); !slices.Equal(out, []string{s.From}) {
+	if out := n.shardLeader.fleet.surplusForOthers(n.shardLeader.fleet.surplusMachines(n.shardLeader.fleet.futureFreeCapacity(), func(int) bool { return true })); !slices.Equal(out, []string{s.From}) {
 		t.Errorf("to spare: %v, want %s", out, s.From)
 	}
 }
@@ -73,13 +73,13 @@
 	for _, m := range n.shardLeader.machinesByID {
 		m.lastHeard = n.now
 	}
-	n.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	for _, j := range n.shardLeader.jobs {
 		if j.tasks[0].stopReason != stopNone {
 			t.Errorf("%s is stopped for nobody", j.ID)
 		}
 	}
-	if len(n.shardLeader.migrations.tracker.Holds()) > 0 {
+	if len(n.shardLeader.migration.state.tracker.Holds()) > 0 {
 		t.Error("places stay held for nobody")
 	}
 }
@@ -101,19 +101,19 @@
 			for _, m := range n.shardLeader.machinesByID {
 				m.lastHeard = n.now
 			}
-			migrationTick(n)
+			n.shardLeader.migration.migrationTick()
 		}
-		return len(n.shardLeader.migrations.evacuation.needs)
+		return len(n.shardLeader.migration.state.evacuation.needs)
 	}
 	if k := needs(); k != 1 {
 		t.Errorf("%d kinds are needed, want one", k)
 	}
-	n.shardLeader.fleetView.rentals["vm-000009"] = &rental{id: "vm-000009", machineKind: machineKind{"host", "z", false}, rentedAt: n.now, status: "booting"}
+	n.shardLeader.fleet.view.rentals["vm-000009"] = &rental{id: "vm-000009", machineKind: machineKind{"host", "z", false}, rentedAt: n.now, status: "booting"}
 	if k := needs(); k != 0 {
 		t.Errorf("%d kinds are needed while one is coming", k)
 	}
-	delete(n.shardLeader.fleetView.rentals, "vm-000009")
-	clear(n.shardLeader.fleetView.blockedUntil)
+	delete(n.shardLeader.fleet.view.rentals, "vm-000009")
+	clear(n.shardLeader.fleet.view.blockedUntil)
 	n.now = n.now.Add(refusedWindow)
 	if k := needs(); k != 0 {
 		t.Errorf("%d kinds are needed that the cloud still gives", k)
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -40,16 +40,15 @@
 }
 
 // fleetRequests are those of all owners whose word is fresh.
-func fleetRequests(n *Controller) []fleetRequest {
-	l := n.leader
+func (l *leader) fleetRequests() []fleetRequest {
 	var out []fleetRequest
-	if o := n.shardLeader; o != nil && o.ready {
+	if o := l.controller.shardLeader; o != nil && o.ready {
 		// What could not be booked at once stays wanted until the next look.
-		out = append(out, fleetRequest{n.settings.Host, o.capacityRequests, o.machinesToRelease, o.surplusMachines})
-		o.machinesToRelease = nil
+		out = append(out, fleetRequest{l.settings.Host, o.fleet.capacityRequests, o.fleet.machinesToRelease, o.fleet.surplus})
+		o.fleet.machinesToRelease = nil
 	}
 	for _, host := range sortedKeys(l.updates) {
-		w, ok := n.freshUpdate(host)
+		w, ok := l.freshUpdate(host)
 		if !ok || w.update.Seq < l.requiredSeq[host] {
 			continue
 		}
@@ -63,13 +62,12 @@
 }
 
 // exchangeMachines meets the wishes.
-func exchangeMachines(n *Controller) {
-	l := n.leader
-	if n.membership.revision < l.sharding.writtenRevision {
+func (l *leader) exchangeMachines() {
+	if l.controller.membership.revision < l.sharding.writtenRevision {
 		// Whose the machines are is not known before what was written has been read.
 		return
 	}
-	requests := fleetRequests(n)
+	requests := l.fleetRequests()
 	var owners []exchange.Owner
 	for _, w := range requests {
 		o := exchange.Owner{Host: w.host, CapacityRequests: map[exchange.Kind]int{}}
@@ -77,73 +75,71 @@
 			o.CapacityRequests[k.exchangeKind()] = c
 		}
 		for _, id := range w.surplus {
-			if r := l.rentals[id]; r != nil && r.status == "running" && canHandOver(n, id, w.host) {
+			if r := l.rentals[id]; r != nil && r.status == "running" && l.canHandOver(id, w.host) {
 				o.Surplus = append(o.Surplus, exchange.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
 			}
 		}
 		owners = append(owners, o)
 	}
 	handovers, bookings := exchange.Match(owners, exchange.Limits{
-		MaxTransfers: maxHandovers, MaxScaleOuts: n.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
+		MaxTransfers: maxHandovers, MaxScaleOuts: l.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
 		// One more wish is heard only when all bookings of it are answered.
 		IsBusy: func(host string, k exchange.Kind) bool {
-			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(n.now)
+			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(l.now)
 		},
 	})
 	for _, m := range handovers {
-		l.sharding.unrecordedMachines[m.ID] = sharding.NewMachine{ID: m.ID, Host: m.To, KnownAt: n.now}
-		l.handedOverAt[m.ID] = n.now
-		l.rentals[m.ID].handedOverAt = n.now
+		l.sharding.unrecordedMachines[m.ID] = sharding.NewMachine{ID: m.ID, Host: m.To, KnownAt: l.now}
+		l.handedOverAt[m.ID] = l.now
+		l.rentals[m.ID].handedOverAt = l.now
 		// Its wishes count again when it knows of these.
 		l.requiredSeq[m.To] = l.seq + 1
-		n.debug("handed over", "machine", m.ID, "from", m.From, "to", m.To)
+		l.debug("handed over", "machine", m.ID, "from", m.From, "to", m.To)
 	}
 	for i := range requests {
 		w := &requests[i]
-		if w.host == n.settings.Host {
+		if w.host == l.settings.Host {
 			for k := range w.capacity {
 				// What is left of them stays wanted until the next look.
 				j := slices.IndexFunc(owners, func(o exchange.Owner) bool { return o.Host == w.host })
 				w.capacity[k] = owners[j].CapacityRequests[k.exchangeKind()]
 			}
 		}
-		releaseFor(n, w.host, w.releases)
+		l.releaseFor(w.host, w.releases)
 	}
 	for _, b := range bookings {
-		n.sendBooking(b.Host, fromExchangeKind(b.Kind), b.Count, "")
+		l.sendBooking(b.Host, fromExchangeKind(b.Kind), b.Count, "")
 	}
 	for id, at := range l.handedOverAt {
-		if n.now.Sub(at) > handoverCooldown {
+		if l.now.Sub(at) > handoverCooldown {
 			delete(l.handedOverAt, id)
 		}
 	}
 }
 
 // canHandOver says that a machine may be handed over by an owner now.
-func canHandOver(n *Controller, id, host string) bool {
-	l := n.leader
+func (l *leader) canHandOver(id, host string) bool {
 	_, assigned := l.sharding.unrecordedMachines[id]
 	_, recentlyHandedOver := l.handedOverAt[id]
-	return n.ownerOf(id) == host && !assigned && !recentlyHandedOver && !n.released[id]
+	return l.ownerOf(id) == host && !assigned && !recentlyHandedOver && !l.controller.knowledge.released[id]
 }
 
 // releaseFor returns machines that their owner no longer wants.
-func releaseFor(n *Controller, host string, ids []string) {
-	l := n.leader
+func (l *leader) releaseFor(host string, ids []string) {
 	var releasable []string
 	for _, id := range ids {
 		_, assigned := l.sharding.unrecordedMachines[id]
 		r := l.rentals[id]
 		switch {
-		case n.ownerOf(id) != host || assigned:
+		case l.ownerOf(id) != host || assigned:
 		case l.confirmedReleases[id]:
-			n.confirmReleased(id, host)
+			l.confirmReleased(id, host)
 		case len(releasable) < maxReleasePerRequest && (r == nil || !r.releasing):
 			releasable = append(releasable, id)
 		}
 	}
 	if len(releasable) > 0 {
-		n.releaseMachines(releasable)
+		l.releaseMachines(releasable)
 	}
 }
 
@@ -153,16 +149,16 @@
 	byKind := map[machineKind]int{}
 	count := func(of string, ids []string) {
 		for _, id := range ids {
-			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && canHandOver(n, id, of) {
+			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && n.leader.canHandOver(id, of) {
 				byKind[r.machineKind]++
 			}
 		}
 	}
 	if o := n.shardLeader; o != nil && o.ready {
-		count(n.settings.Host, o.surplusMachines)
+		count(n.settings.Host, o.fleet.surplus)
 	}
 	for _, h := range sortedKeys(l.updates) {
-		if w, ok := n.freshUpdate(h); ok {
+		if w, ok := n.leader.freshUpdate(h); ok {
 			count(h, w.update.Surplus)
 		}
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -54,9 +54,9 @@
 
 // freshUpdate is an owner's word, if it is fresh and of the life that takes part now: what a
 // former one did not need, the present one may.
-func (n *Controller) freshUpdate(host string) (receivedUpdate, bool) {
-	w, ok := n.leader.updates[host]
-	return w, ok && n.now.Sub(w.receivedAt) <= updateTTL && n.fromCurrentIncarnation(&w.update)
+func (l *leader) freshUpdate(host string) (receivedUpdate, bool) {
+	w, ok := l.updates[host]
+	return w, ok && l.now.Sub(w.receivedAt) <= updateTTL && l.controller.membership.fromCurrentIncarnation(&w.update)
 }
 
 // updateTTL is how long an owner's wishes and a leader's view hold.
@@ -103,6 +103,8 @@
 
 // leader owns the dealings with the cloud and writes the shares.
 type leader struct {
+	component
+
 	modRevision    uint64
 	gen            int
 	wakeAt         time.Time
@@ -139,15 +141,15 @@
 }
 
 func (n *Controller) loadMachineTypes() {
-	n.requestCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
+	n.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
 		if d.Status == message.CloudOK {
-			n.machineTypes = map[string]model.MachineType{}
+			n.knowledge.machineTypes = map[string]model.MachineType{}
 			for _, f := range d.MachineTypes {
-				n.machineTypes[f.Name] = f
+				n.knowledge.machineTypes[f.Name] = f
 			}
 			if n.shardLeader != nil {
 				for _, m := range n.shardLeader.machines {
-					if f, ok := n.machineTypes[m.machineType]; ok {
+					if f, ok := n.knowledge.machineTypes[m.machineType]; ok {
 						m.size, m.disk = f.Capacity, f.DiskGB
 					}
 				}
@@ -162,6 +164,7 @@
 // newLeader makes a leader that knows no machine yet.
 func newLeader(n *Controller) *leader {
 	return &leader{
+		component:   component{environment: n.environment, controller: n},
 		modRevision: n.membership.leaderModRevision, gen: int(n.nextID()),
 		rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[bookingKey]int{}, booking: map[string]bool{}, requiredSeq: map[string]uint64{},
 		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(n),
@@ -170,12 +173,12 @@
 
 func (n *Controller) becomeLeader() {
 	if n.leader != nil && n.leader.modRevision == n.membership.leaderModRevision {
-		planShards(n)
+		n.leader.planShards()
 		return
 	}
 	n.leader = newLeader(n)
 	n.info("leader", "stamp", n.membership.leaderModRevision)
-	planShards(n)
+	n.leader.planShards()
 }
 
 func (n *Controller) stepDown() {
@@ -185,20 +188,19 @@
 	}
 }
 
-func (n *Controller) leaderTick() {
-	l := n.leader
-	if n.now.Sub(l.lastScan) < leaderPeriod {
+func (l *leader) leaderTick() {
+	if l.now.Sub(l.lastScan) < leaderPeriod {
 		l.wakeAt = l.lastScan.Add(leaderPeriod)
 		return
 	}
-	l.lastScan = n.now
-	l.wakeAt = n.now.Add(leaderPeriod)
-	deriveRanking(n)
-	if !l.listInFlight && n.now.Sub(l.lastListAt) >= n.listInterval() {
-		n.listMachines("", nil)
+	l.lastScan = l.now
+	l.wakeAt = l.now.Add(leaderPeriod)
+	deriveRanking(l.controller)
+	if !l.listInFlight && l.now.Sub(l.lastListAt) >= l.listInterval() {
+		l.listMachines("", nil)
 	}
 	for id, r := range l.rentals {
-		if !r.releasedAt.IsZero() && n.now.Sub(r.releasedAt) > 2*updateTTL {
+		if !r.releasedAt.IsZero() && l.now.Sub(r.releasedAt) > 2*updateTTL {
 			delete(l.rentals, id)
 		}
 	}
@@ -206,29 +208,29 @@
 	// asks for are held on the way and executed when the cut ends, under a
 	// successor that uses the machines. So nothing is decided unless the
 	// grant surely lives.
-	if !l.hasListed || n.now.After(n.membership.leaseValidUntil) {
+	if !l.hasListed || l.now.After(l.controller.membership.leaseValidUntil) {
 		return
 	}
 	for _, host := range sortedKeys(l.updates) {
-		if w, ok := n.freshUpdate(host); ok {
+		if w, ok := l.freshUpdate(host); ok {
 			l.ackedSeq[host] = max(l.ackedSeq[host], w.update.Seq)
 			for _, x := range w.update.Offers {
 				l.sharding.offers[x.Team] = x
 			}
 			if w.receivedAt.After(l.lastScan.Add(-leaderPeriod)) {
-				recordTeamLoads(n, w.update.TeamLoads)
+				l.recordTeamLoads(w.update.TeamLoads)
 			}
 		}
 	}
-	if o := n.shardLeader; o != nil && o.ready {
-		applyOwnUpdate(n)
+	if o := l.controller.shardLeader; o != nil && o.ready {
+		l.applyOwnUpdate()
 	}
-	planShards(n)
-	exchangeMachines(n)
-	n.publishRentals()
-	if n.shardLeader != nil && n.now.Sub(l.lastLogged) >= fleetLogInterval {
-		l.lastLogged = n.now
-		n.logFleet()
+	l.planShards()
+	l.exchangeMachines()
+	l.publishRentals()
+	if l.controller.shardLeader != nil && l.now.Sub(l.lastLogged) >= fleetLogInterval {
+		l.lastLogged = l.now
+		l.logFleet()
 	}
 }
 
@@ -237,19 +239,19 @@
 
 // listInterval is how often the machines are listed: the longer the list the more
 // seldom, since it is late in any case, and costs a request for each page.
-func (n *Controller) listInterval() time.Duration {
-	return max(n.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(n.leader.rentals)/listPageSize)
+func (l *leader) listInterval() time.Duration {
+	return max(l.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(l.rentals)/listPageSize)
 }
 
 // bookingBudget is how many requests to rent may be sent in one look: half of the
 // cloud's limit, since lists, returns and prices need some as well.
-func (n *Controller) bookingBudget() int {
-	return max(1, int(n.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
+func (l *leader) bookingBudget() int {
+	return max(1, int(l.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
 }
 
 // ownerOf is whose machine it is, by the records.
-func (n *Controller) ownerOf(id string) string {
-	if o, ok := n.membership.shardMap.Owner(id); ok {
+func (l *leader) ownerOf(id string) string {
+	if o, ok := l.controller.membership.shardMap.Owner(id); ok {
 		return o.Host
 	}
 	return ""
@@ -257,11 +259,10 @@
 
 // confirmReleased tells the owner of a machine that its return was answered before it
 // came to this owner.
-func (n *Controller) confirmReleased(id, host string) {
-	l := n.leader
-	if host == n.settings.Host {
-		if m := n.shardLeader.machines[id]; m != nil {
-			n.dropMachine(m, "returned")
+func (l *leader) confirmReleased(id, host string) {
+	if host == l.settings.Host {
+		if m := l.controller.shardLeader.machines[id]; m != nil {
+			l.controller.dropMachine(m, "returned")
 		}
 		return
 	}
@@ -270,7 +271,7 @@
 		r = &rental{id: id}
 		l.rentals[id] = r
 	}
-	r.releasedAt = n.now
+	r.releasedAt = l.now
 }
 
 // isRentedForOther says that a machine was rented for another controller, whose record is
@@ -284,11 +285,11 @@
 }
 
 // assignedHost is whose machine it is or is about to be.
-func (n *Controller) assignedHost(id string) string {
-	if r, ok := n.leader.sharding.unrecordedMachines[id]; ok {
+func (l *leader) assignedHost(id string) string {
+	if r, ok := l.sharding.unrecordedMachines[id]; ok {
 		return r.Host
 	}
-	return n.ownerOf(id)
+	return l.ownerOf(id)
 }
 
 // maxRentalsPerUpdate bounds the machines in one news.
@@ -299,13 +300,12 @@
 const publishTurns = 5
 
 // publishRentals tells the other owners of their machines.
-func (n *Controller) publishRentals() {
-	l := n.leader
-	othersNeeds, empty := assignEvacuations(n)
+func (l *leader) publishRentals() {
+	othersNeeds, empty := l.assignEvacuations()
 	updates := map[string]*message.PeerUpdate{}
-	for _, x := range n.membership.shardMap.Shards() {
-		if x.Host != n.settings.Host && slices.Contains(n.settings.Peers, x.Host) && updates[x.Host] == nil {
-			updates[x.Host] = &message.PeerUpdate{From: n.settings.Host, IsLeaderUpdate: true}
+	for _, x := range l.controller.membership.shardMap.Shards() {
+		if x.Host != l.settings.Host && slices.Contains(l.settings.Peers, x.Host) && updates[x.Host] == nil {
+			updates[x.Host] = &message.PeerUpdate{From: l.settings.Host, IsLeaderUpdate: true}
 		}
 	}
 	if len(updates) == 0 {
@@ -315,7 +315,7 @@
 	l.publishTurn = (l.publishTurn + 1) % publishTurns
 	for i, id := range sortedKeys(l.rentals) {
 		r := l.rentals[id]
-		host := n.assignedHost(id)
+		host := l.assignedHost(id)
 		m := updates[host]
 		if m == nil {
 			continue
@@ -324,7 +324,7 @@
 		switch {
 		case !r.releasedAt.IsZero():
 			status = "returned"
-		case status == "running" && n.ownerOf(id) != host:
+		case status == "running" && l.ownerOf(id) != host:
 			status = statusComing
 		}
 		if r.publishedTo != host || r.publishedStatus != status {
@@ -336,24 +336,24 @@
 			continue
 		}
 		if r.publishedSeq > l.ackedSeq[host] || i%publishTurns == l.publishTurn {
-			m.RentalUpdates = append(m.RentalUpdates, message.RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: n.now.Sub(r.rentedAt)})
+			m.RentalUpdates = append(m.RentalUpdates, message.RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: l.now.Sub(r.rentedAt)})
 		}
 	}
 	var blocked []message.CapacityRequest
 	for _, k := range sortedKinds(l.blockedUntil) {
-		if l.blockedUntil[k].After(n.now) {
+		if l.blockedUntil[k].After(l.now) {
 			blocked = append(blocked, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: 1})
 		}
 	}
 	request, hasRequest := l.sharding.planner.PendingMove()
 	for _, host := range sortedKeys(updates) {
 		m := updates[host]
-		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, surplusFor(n, host)
+		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, surplusFor(l.controller, host)
 		m.OthersNeeds, m.EvacuationRequests = othersNeeds[host], empty[host]
 		if hasRequest && request.From == host {
 			m.TeamRelease = []sharding.MoveRequest{request}
 		}
-		n.emit(message.SendPeerUpdate{To: host, Update: *m})
+		l.emit(message.SendPeerUpdate{To: host, Update: *m})
 	}
 }
 
@@ -363,7 +363,7 @@
 func (n *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
 	o := n.shardLeader
 	v := &fleetView{rentals: map[string]*rental{}}
-	switch old := o.fleetView; {
+	switch old := o.fleet.view; {
 	case old == nil || old.leaderHost != update.From || old.incarnation != update.Incarnation:
 	case old.seq > update.Seq && n.now.Sub(old.receivedAt) < updateTTL:
 		return
@@ -371,7 +371,7 @@
 		// It tells of some at a time. What it names no more is gone.
 		v.rentals = old.rentals
 		for id, r := range v.rentals {
-			if _, mine := n.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || n.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
+			if _, mine := n.membership.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || n.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
 				delete(v.rentals, id)
 			}
 		}
@@ -381,10 +381,10 @@
 	for _, x := range update.RentalUpdates {
 		// News says where to look, never what is owned: one that boots is counted on
 		// before any record names it, and used only then.
-		if _, mine := n.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
+		if _, mine := n.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
 			continue
 		}
-		r := &rental{publishedAt: n.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: n.now.Add(-x.Age), status: x.Status, releasing: n.released[x.ID]}
+		r := &rental{publishedAt: n.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: n.now.Add(-x.Age), status: x.Status, releasing: n.knowledge.released[x.ID]}
 		v.rentals[x.ID] = r
 		if !o.ready {
 			continue
@@ -398,7 +398,7 @@
 			delete(v.rentals, x.ID)
 			continue
 		}
-		if !n.released[x.ID] {
+		if !n.knowledge.released[x.ID] {
 			n.adopt(r)
 		}
 	}
@@ -409,8 +409,8 @@
 	for _, w := range update.Blocked {
 		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = n.now.Add(updateTTL)
 	}
-	o.fleetView = v
-	receiveHostNeeds(n, update.OthersNeeds, update.EvacuationRequests)
+	o.fleet.view = v
+	n.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
 	for _, a := range update.TeamRelease {
 		o.teamRelease, o.teamReleaseAt = a, n.now
 	}
@@ -419,17 +419,17 @@
 // fleetLogInterval is how often the fleet is described in the log, at debug.
 const fleetLogInterval = 10 * time.Second
 
-func (n *Controller) logFleet() {
+func (l *leader) logFleet() {
 	type sums struct{ up, idle, booting int }
 	byKind := map[machineKind]*sums{}
 	var used, size float64
-	for _, r := range n.leader.rentals {
+	for _, r := range l.rentals {
 		s := byKind[r.machineKind]
 		if s == nil {
 			s = &sums{}
 			byKind[r.machineKind] = s
 		}
-		m := n.shardLeader.machines[r.id]
+		m := l.controller.shardLeader.machines[r.id]
 		switch {
 		case m == nil || !m.heard:
 			s.booting++
@@ -453,66 +453,64 @@
 		}
 		args = append(args, name, fmt.Sprintf("%d up, %d idle, %d booting", s.up, s.idle, s.booting))
 	}
-	for _, j := range n.jobsInQueueOrder() {
+	for _, j := range l.controller.shardLeader.scheduler.jobsInQueueOrder() {
 		args = append(args, j.Workload, j.pendingTasks())
 	}
-	n.debug("fleet", args...)
+	l.debug("fleet", args...)
 }
 
-func (n *Controller) listMachines(from string, got []model.CloudMachine) {
-	l := n.leader
+func (l *leader) listMachines(from string, got []model.CloudMachine) {
 	gen := l.gen
 	l.listInFlight = true
-	n.requestCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(d message.CloudResponse) {
-		l := n.leader
+	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(d message.CloudResponse) {
+		l := l.controller.leader
 		if l == nil || l.gen != gen {
 			return
 		}
 		if d.Status != message.CloudOK {
 			l.listInFlight = false
-			l.lastListAt = n.now
+			l.lastListAt = l.now
 			return
 		}
 		got = append(got, d.Machines...)
 		if d.Truncated && len(d.Machines) > 0 {
-			n.listMachines(got[len(got)-1].ID, got)
+			l.controller.leader.listMachines(got[len(got)-1].ID, got)
 			return
 		}
-		l.listInFlight, l.lastListAt, l.hasListed = false, n.now, true
-		n.receiveMachineList(got)
+		l.listInFlight, l.lastListAt, l.hasListed = false, l.now, true
+		l.controller.leader.receiveMachineList(got)
 	})
 }
 
 // receiveMachineList takes in a list, which may be older than the one before.
-func (n *Controller) receiveMachineList(listed []model.CloudMachine) {
-	l := n.leader
+func (l *leader) receiveMachineList(listed []model.CloudMachine) {
 	var again []string
 	for _, x := range listed {
-		if n.released[x.ID] && (l.confirmedReleases[x.ID] || n.ownerOf(x.ID) == n.settings.Host) {
+		if l.controller.knowledge.released[x.ID] && (l.confirmedReleases[x.ID] || l.ownerOf(x.ID) == l.settings.Host) {
 			if l.rentals[x.ID] == nil && !l.confirmedReleases[x.ID] {
 				// Its return was asked for under an earlier leader, with whom the
 				// wish was lost. Nobody else would ever ask again.
-				l.rentals[x.ID] = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, addr: x.Addr, rentedAt: n.now.Add(-x.Age), status: x.Status, lastListed: n.now}
+				l.rentals[x.ID] = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, addr: x.Addr, rentedAt: l.now.Add(-x.Age), status: x.Status, lastListed: l.now}
 				again = append(again, x.ID)
 			}
 			continue
 		}
 		r := l.rentals[x.ID]
 		if r == nil {
-			r = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: n.now.Add(-x.Age)}
+			r = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: l.now.Add(-x.Age)}
 			l.rentals[x.ID] = r
 		}
-		r.addr, r.lastListed = x.Addr, n.now
-		if x.Status == "failed" && r.status != "failed" && n.shardLeader != nil {
-			if m := n.shardLeader.machines[x.ID]; m != nil {
-				n.dropMachine(m, "failed")
+		r.addr, r.lastListed = x.Addr, l.now
+		if x.Status == "failed" && r.status != "failed" && l.controller.shardLeader != nil {
+			if m := l.controller.shardLeader.machines[x.ID]; m != nil {
+				l.controller.dropMachine(m, "failed")
 			}
 		}
 		r.status = x.Status
-		n.adopt(r)
+		l.controller.adopt(r)
 	}
 	for ; len(again) > 0; again = again[min(len(again), maxReleasePerRequest):] {
-		n.releaseMachines(again[:min(len(again), maxReleasePerRequest)])
+		l.releaseMachines(again[:min(len(again), maxReleasePerRequest)])
 	}
 	for _, id := range sortedKeys(l.rentals) {
 		r := l.rentals[id]
@@ -520,24 +518,24 @@
 		// older than the one before, so wait some lists before forgetting;
 		// absence is no proof for its tasks, which go on by reports, lease or
 		// the answer to a return.
-		forgetAfter := 4*n.settings.CloudListLag + 5*time.Second + 2*n.listInterval()
-		if n.ownerOf(id) != n.settings.Host {
+		forgetAfter := 4*l.settings.CloudListLag + 5*time.Second + 2*l.listInterval()
+		if l.ownerOf(id) != l.settings.Host {
 			// Its owner has to learn of it and may still need it returned.
-			forgetAfter += 2 * n.settings.WorkerLease
+			forgetAfter += 2 * l.settings.WorkerLease
 		}
-		if !r.lastListed.IsZero() && n.now.Sub(r.lastListed) > forgetAfter {
-			if n.shardLeader != nil {
-				if m := n.shardLeader.machines[id]; m != nil && (!m.isEmpty() || !n.unresponsive(m)) {
+		if !r.lastListed.IsZero() && l.now.Sub(r.lastListed) > forgetAfter {
+			if l.controller.shardLeader != nil {
+				if m := l.controller.shardLeader.machines[id]; m != nil && (!m.isEmpty() || !l.controller.shardLeader.heartbeats.unresponsive(m)) {
 					continue
 				}
-				if m := n.shardLeader.machines[id]; m != nil {
-					n.shardLeader.removeMachine(m)
+				if m := l.controller.shardLeader.machines[id]; m != nil {
+					l.controller.shardLeader.removeMachine(m)
 				}
 			}
 			delete(l.rentals, id)
 		}
 	}
-	markUnlisted(n)
+	l.markUnlisted()
 }
 
 // adopt makes a rental known to the owner of the pool.
@@ -546,20 +544,20 @@
 	if o == nil || r.status == "failed" || r.releasing || !o.ready {
 		return
 	}
-	if _, mine := n.ownedMachine(r.id); !mine || n.leader != nil && n.leader.sharding.unrecordedMachines[r.id].Host != "" {
+	if _, mine := n.membership.ownedMachine(r.id); !mine || n.leader != nil && n.leader.sharding.unrecordedMachines[r.id].Host != "" {
 		// Another's, or about to be.
 		return
 	}
-	m := n.ensureMachine(r.id)
+	m := n.shardLeader.ensureMachine(r.id)
 	if !n.membership.shardMap.IsAssigned(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
 		// Rented since, and named by nobody: it never was another's.
 		m.formerOwnerUntil = time.Time{}
 	}
 	if m.machineType == "" || m.addr == "" {
-		n.describe(m, r.addr, r.machineType, r.zone, r.spot)
+		n.shardLeader.describe(m, r.addr, r.machineType, r.zone, r.spot)
 	}
 	if !m.heard && (r.status == "running" || r.status == statusComing) && r.addr != "" {
-		n.contact(m)
+		n.shardLeader.failover.contact(m)
 	}
 }
 
@@ -570,26 +568,26 @@
 	o := n.shardLeader
 	settled := n.now.Sub(o.since) > settleTime
 	unresponsive := map[string]bool{}
-	for _, id := range unresponsiveMachines(n) {
+	for _, id := range n.shardLeader.heartbeats.unresponsiveMachines() {
 		unresponsive[id] = true
 	}
-	cheapest := n.cheapestCPUCost()
+	cheapest := n.knowledge.cheapestCPUCost()
 	for _, m := range o.machinesByID {
 		// One that the leader no longer lists may be gone, or a list was late;
 		// only the answer to a return is proof. If one was asked for already, the
 		// wish may have been lost, or answered to another owner.
-		if id := m.id; o.fleetView.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || n.released[id]) && settled && len(o.machinesToRelease) < maxReleasePerRequest {
-			n.released[id] = true
+		if id := m.id; o.fleet.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || n.knowledge.released[id]) && settled && len(o.fleet.machinesToRelease) < maxReleasePerRequest {
+			n.knowledge.released[id] = true
 			m.releasing = true
-			o.machinesToRelease = append(o.machinesToRelease, id)
+			o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
 		}
 	}
-	for _, id := range sortedKeys(o.fleetView.rentals) {
-		r := o.fleetView.rentals[id]
+	for _, id := range sortedKeys(o.fleet.view.rentals) {
+		r := o.fleet.view.rentals[id]
 		m := o.machines[id]
 		if r.releasing && n.leader == nil {
 			// Asked for already; the wish may have been lost.
-			o.machinesToRelease = append(o.machinesToRelease, id)
+			o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
 		}
 		if r.releasing {
 			continue
@@ -599,7 +597,7 @@
 		case r.status == "failed":
 			reason = "failed"
 		case m == nil:
-		case !m.heard && settled && n.isGivenUp(r) && m.isEmpty() && n.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(o.since)):
+		case !m.heard && settled && n.knowledge.isGivenUp(r) && m.isEmpty() && n.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(o.since)):
 			// Not one that has just come from another owner, however long ago it was
 			// rented. What came with the takeover is settled with it.
 			reason = "never came up"
@@ -607,23 +605,23 @@
 			reason = "silent"
 		case m.faulty && m.isEmpty():
 			reason = "faulty"
-		case settled && surplus[id] && n.isIdleExpired(m, cheapest):
+		case settled && surplus[id] && n.shardLeader.fleet.isIdleExpired(m, cheapest):
 			reason = "idle"
 		}
-		if reason == "" || len(o.machinesToRelease) >= maxReleasePerRequest {
+		if reason == "" || len(o.fleet.machinesToRelease) >= maxReleasePerRequest {
 			continue
 		}
 		n.info("return", "machine", id, "why", reason)
-		if reason == "never came up" && !n.released[id] {
+		if reason == "never came up" && !n.knowledge.released[id] {
 			// Once, however often the leader is asked.
-			n.provisioningOf(r.machineKind).RecordGivenUp(n.now)
-			o.neverReadyCount++
-			o.neverReadyCost += n.costPerHour(r.machineKind) * n.now.Sub(r.rentedAt).Hours()
-			n.info("machines that never served", "count", o.neverReadyCount, "cost", o.neverReadyCost)
+			n.knowledge.provisioningOf(r.machineKind).RecordGivenUp(n.now)
+			o.fleet.neverReadyCount++
+			o.fleet.neverReadyCost += n.knowledge.costPerHour(r.machineKind) * n.now.Sub(r.rentedAt).Hours()
+			n.info("machines that never served", "count", o.fleet.neverReadyCount, "cost", o.fleet.neverReadyCost)
 		}
-		o.machinesToRelease = append(o.machinesToRelease, id)
+		o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
 		// Never given work again, whatever becomes of the return.
-		n.released[id] = true
+		n.knowledge.released[id] = true
 		if m != nil {
 			m.releasing = true
 		}
@@ -631,37 +629,36 @@
 }
 
 // releaseMachines asks the cloud to take machines back until it says that it has.
-func (n *Controller) releaseMachines(ids []string) {
-	l := n.leader
+func (l *leader) releaseMachines(ids []string) {
 	for _, id := range ids {
-		n.released[id] = true
+		l.controller.knowledge.released[id] = true
 		if r := l.rentals[id]; r != nil {
 			r.releasing = true
 		}
 	}
 	gen := l.gen
-	n.requestCloud(message.CloudRequest{Kind: message.CloudRelease, SendDeadline: n.membership.leaseValidUntil, Machines: ids}, func(d message.CloudResponse) {
-		if n.leader == nil || n.leader.gen != gen {
+	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRelease, SendDeadline: l.controller.membership.leaseValidUntil, Machines: ids}, func(d message.CloudResponse) {
+		if l.controller.leader == nil || l.controller.leader.gen != gen {
 			return
 		}
 		if d.Status != message.CloudOK {
 			// Executed or not, they get no more work; ask until it is sure.
-			n.after(n.jitter(time.Second), func() {
-				if n.leader != nil && n.leader.gen == gen {
-					n.releaseMachines(ids)
+			l.after(l.jitter(time.Second), func() {
+				if l.controller.leader != nil && l.controller.leader.gen == gen {
+					l.controller.leader.releaseMachines(ids)
 				}
 			})
 			return
 		}
 		for _, id := range ids {
-			n.leader.confirmedReleases[id] = true
-			if n.shardLeader != nil {
-				if m := n.shardLeader.machines[id]; m != nil {
-					n.dropMachine(m, "returned")
+			l.controller.leader.confirmedReleases[id] = true
+			if l.controller.shardLeader != nil {
+				if m := l.controller.shardLeader.machines[id]; m != nil {
+					l.controller.dropMachine(m, "returned")
 				}
 			}
-			if r := n.leader.rentals[id]; r != nil {
-				r.releasedAt = n.now
+			if r := l.controller.leader.rentals[id]; r != nil {
+				r.releasedAt = l.now
 			}
 		}
 	})
@@ -686,8 +683,7 @@
 }
 
 // booked notes that a booking is answered.
-func (n *Controller) booked(a bookingKey, booking string, count int) {
-	l := n.leader
+func (l *leader) booked(a bookingKey, booking string, count int) {
 	delete(l.booking, booking)
 	if l.pendingRentals[a] -= count; l.pendingRentals[a] <= 0 {
 		delete(l.pendingRentals, a)
@@ -696,12 +692,11 @@
 
 // sendBooking sends one booking for an owner. A booking without an answer is
 // repeated under the same name, which rents nothing twice.
-func (n *Controller) sendBooking(host string, k machineKind, count int, booking string) {
-	l := n.leader
+func (l *leader) sendBooking(host string, k machineKind, count int, booking string) {
 	if booking == "" {
 		l.bookingSeq++
-		booking = fmt.Sprintf("%d-%s-%s-%d", l.modRevision, n.settings.Host, n.settings.Incarnation, l.bookingSeq)
-		n.debug("rent", "flavour", k.machineType, "spot", k.spot, "count", count, "for", host)
+		booking = fmt.Sprintf("%d-%s-%s-%d", l.modRevision, l.settings.Host, l.settings.Incarnation, l.bookingSeq)
+		l.debug("rent", "flavour", k.machineType, "spot", k.spot, "count", count, "for", host)
 	}
 	a := bookingKey{host, k}
 	if again := booking != "" && l.booking[booking]; !again {
@@ -709,39 +704,39 @@
 		l.pendingRentals[a] += count
 	}
 	gen := l.gen
-	n.requestCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: n.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(d message.CloudResponse) {
-		l := n.leader
+	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: l.controller.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(d message.CloudResponse) {
+		l := l.controller.leader
 		if l == nil || l.gen != gen {
 			return
 		}
 		switch d.Status {
 		case message.CloudOK:
-			n.booked(a, booking, count)
+			l.controller.leader.booked(a, booking, count)
 			for _, id := range d.Rented {
-				r := &rental{id: id, machineKind: k, rentedAt: n.now, status: "booting"}
+				r := &rental{id: id, machineKind: k, rentedAt: l.now, status: "booting"}
 				l.rentals[id] = r
-				if n.ownerOf(id) != host {
-					l.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: n.now}
+				if l.controller.leader.ownerOf(id) != host {
+					l.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: l.now}
 				}
-				n.adopt(r)
+				l.controller.adopt(r)
 			}
 			// Its wishes count again when it knows of these.
 			l.requiredSeq[host] = l.seq + 1
 			if len(d.Rented) < count {
-				l.blockedUntil[k] = n.now.Add(n.jitter(refusedBackoff))
+				l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
 			}
-			planShards(n)
+			l.controller.leader.planShards()
 		case message.CloudNoCapacity:
-			n.booked(a, booking, count)
-			l.blockedUntil[k] = n.now.Add(n.jitter(refusedBackoff))
+			l.controller.leader.booked(a, booking, count)
+			l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
 		case message.CloudMalformed:
-			n.booked(a, booking, count)
-			l.blockedUntil[k] = n.now.Add(time.Minute)
-			n.info("the cloud calls a booking malformed", "flavour", k.machineType)
+			l.controller.leader.booked(a, booking, count)
+			l.blockedUntil[k] = l.now.Add(time.Minute)
+			l.info("the cloud calls a booking malformed", "flavour", k.machineType)
 		default:
-			n.after(n.jitter(time.Second), func() {
-				if n.leader != nil && n.leader.gen == gen {
-					n.sendBooking(host, k, count, booking)
+			l.after(l.jitter(time.Second), func() {
+				if l.controller.leader != nil && l.controller.leader.gen == gen {
+					l.controller.leader.sendBooking(host, k, count, booking)
 				}
 			})
 		}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -17,18 +17,18 @@
 	for i := range 40 {
 		r := n.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
+		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
 	}
 	spec := model.JobSpec{ID: "job-x", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 20, AllowSpot: true,
 		Need: model.Resources{CPU: 8, Memory: 22}, Image: "wide-1", ImageGB: 6, ExpectedRunTime: 40 * time.Second, Deadline: 3 * time.Minute}
 	n.shardLeader.workloads["wide"] = &workload{&spec, n.now}
 	for range 10 {
-		n.shardLeader.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.arrivals[workloadKey{"ops", "wide"}], arrival{n.now, spec.Tasks, spec.Need, &spec})
+		n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{n.now, spec.Tasks, spec.Need, &spec})
 	}
-	if d := n.demands(n.planningHorizon(), false, false); len(d) != 1 || d[0].count < 50 {
+	if d := n.shardLeader.fleet.demands(n.knowledge.planningHorizon(), false, false); len(d) != 1 || d[0].count < 50 {
 		t.Fatalf("%d demands; more tasks were to be expected", len(d))
 	}
-	if wants := n.planScaleOut(n.futureFreeCapacity(), nil); len(wants) != 0 {
+	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) != 0 {
 		t.Errorf("wants %v beside 40 idle machines", wants)
 	}
 }
@@ -39,14 +39,14 @@
 	n := largePool(0)
 	for i := range 80 {
 		// Every eighth is a rack; the boxes are idle as well.
-		n.applyHeartbeat(n.ensureMachine(n.poolHeartbeat(i).Machine), n.poolHeartbeat(i), true)
+		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(n.poolHeartbeat(i).Machine), n.poolHeartbeat(i), true)
 	}
 	small := model.JobSpec{ID: "job-s", Workload: "small", Team: "ops", Urgency: model.Normal, Tasks: 1, AllowSpot: true,
 		Need: model.Resources{CPU: 4, Memory: 4}, Image: "s", ImageGB: 0.5, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute}
 	wide := small
 	wide.ID, wide.Workload, wide.Need = "job-w", "wide", model.Resources{CPU: 8, Memory: 22}
 	n.shardLeader.workloads["small"], n.shardLeader.workloads["wide"] = &workload{&small, n.now}, &workload{&wide, n.now}
-	n.shardLeader.startDeadlines = map[string]time.Time{"wide": n.now}
+	n.shardLeader.scheduler.startDeadlines = map[string]time.Time{"wide": n.now}
 	for _, m := range n.shardLeader.machinesByID {
 		if m.machineType == "rack" {
 			// The racks hold the image, and so come first in the plan.
@@ -54,12 +54,12 @@
 		}
 	}
 	for range 10 {
-		n.shardLeader.arrivals[workloadKey{"ops", "small"}] = append(n.shardLeader.arrivals[workloadKey{"ops", "small"}], arrival{n.now, 12, small.Need, &small})
+		n.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}], arrival{n.now, 12, small.Need, &small})
 	}
-	if !n.neededElsewhere(&small, "rack") {
+	if !n.shardLeader.fleet.neededElsewhere(&small, "rack") {
 		t.Fatal("nobody waits for racks")
 	}
-	if wants := n.planScaleOut(n.futureFreeCapacity(), nil); len(wants) != 0 {
+	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) != 0 {
 		t.Errorf("wants %v beside 70 idle boxes", wants)
 	}
 }
@@ -77,10 +77,10 @@
 	}
 	deferred := func() string {
 		rs := []queuedJob{}
-		for _, j := range n.jobsInQueueOrder() {
+		for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
 			rs = append(rs, queuedJob{job: j})
 		}
-		n.deferLateJobs(rs)
+		n.shardLeader.scheduler.deferLateJobs(rs)
 		out := ""
 		for _, r := range rs {
 			if r.deferred {
@@ -100,7 +100,7 @@
 	if got := deferred(); got != "job-1 " {
 		t.Errorf("%sput off, want the largest", got)
 	}
-	if o := n.jobsInQueueOrder(); o[len(o)-1].ID != "job-1" {
+	if o := n.shardLeader.scheduler.jobsInQueueOrder(); o[len(o)-1].ID != "job-1" {
 		t.Errorf("%s is the last, want the one put off", o[len(o)-1].ID)
 	}
 }
@@ -135,18 +135,18 @@
 	for i := range 3 {
 		r := n.poolHeartbeat(1)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
+		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
 	}
 	j := newJob(model.JobSpec{ID: "job-g", Workload: "batch", Team: "ops", Gang: true, Urgency: model.Normal, Tasks: 6, AllowSpot: true,
 		Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: 20 * time.Second}, n.now, 1, 4096)
 	n.shardLeader.jobs[j.ID] = j
 	n.shardLeader.machinesByID[0].decommissioning = true
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 0 {
 		t.Fatalf("%d of 6 tasks are placed while a machine is being let go", j.liveTasks)
 	}
 	n.shardLeader.machinesByID[0].decommissioning = false
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 6 {
 		t.Errorf("%d of 6 tasks are placed on room for all", j.liveTasks)
 	}
@@ -159,22 +159,22 @@
 	open, tasks := predecessorRecords(200)
 	n := successor()
 	n.takeOverRecords(open, tasks)
-	n.shardLeader.fleetView = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
+	n.shardLeader.fleet.view = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
 	for i := range 200 {
 		r := n.poolHeartbeat(i)
-		n.ensureMachine(r.Machine)
-		n.shardLeader.fleetView.rentals[r.Machine] = &rental{id: r.Machine, machineKind: machineKind{r.MachineType, r.Zone, r.Spot}, addr: "x", status: "running", rentedAt: n.now.Add(-time.Hour)}
-		n.adopt(n.shardLeader.fleetView.rentals[r.Machine])
+		n.shardLeader.ensureMachine(r.Machine)
+		n.shardLeader.fleet.view.rentals[r.Machine] = &rental{id: r.Machine, machineKind: machineKind{r.MachineType, r.Zone, r.Spot}, addr: "x", status: "running", rentedAt: n.now.Add(-time.Hour)}
+		n.adopt(n.shardLeader.fleet.view.rentals[r.Machine])
 	}
 	spec := model.JobSpec{ID: "job-w", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 60, AllowSpot: true,
 		Need: model.Resources{CPU: 4, Memory: 4}, Image: "w", ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: 3 * time.Minute}
 	n.shardLeader.jobs[spec.ID] = newJob(spec, n.now, 1, 4096)
-	if wants := n.planScaleOut(n.futureFreeCapacity(), nil); len(wants) != 0 {
+	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) != 0 {
 		t.Errorf("wants %v beside 200 machines that run", wants)
 	}
 	n.now = n.now.Add(time.Minute)
-	n.shardLeader.fleetView.receivedAt = n.now
-	if wants := n.planScaleOut(n.futureFreeCapacity(), nil); len(wants) == 0 {
+	n.shardLeader.fleet.view.receivedAt = n.now
+	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) == 0 {
 		t.Error("wants nothing though no machine was ever heard of")
 	}
 }
@@ -185,9 +185,9 @@
 	n := largePool(0)
 	n.shardLeader.readyAt = n.now.Add(-settleTime)
 	for range 20 {
-		n.shardLeader.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.arrivals[workloadKey{"ops", "wide"}], arrival{n.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
+		n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{n.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
 	}
-	if r := n.arrivalRate("wide", arrivalWindow); r > 20 {
+	if r := n.shardLeader.fleet.arrivalRate("wide", arrivalWindow); r > 20 {
 		t.Errorf("600 tasks that came at once make %.0f a second, want no more than if they had come in %v", r, recentWindow)
 	}
 }
@@ -201,10 +201,10 @@
 		want   bool
 	}{{time.Minute, 0, false}, {3 * time.Minute, 0, true}, {3 * time.Minute, 1, false}} {
 		n := largePool(0)
-		n.applyHeartbeat(n.ensureMachine("vm-000000"), n.poolHeartbeat(0), true)
+		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine("vm-000000"), n.poolHeartbeat(0), true)
 		n.settings.Objectives = []model.Objective{{Kind: "finished", Workload: "wide", Within: 30 * time.Second}}
-		for k := range n.machineTypes {
-			n.shardLeader.fleetView.blockedUntil[machineKind{k, "z", true}] = n.now.Add(time.Hour)
+		for k := range n.knowledge.machineTypes {
+			n.shardLeader.fleet.view.blockedUntil[machineKind{k, "z", true}] = n.now.Add(time.Hour)
 		}
 		job := func(id string, run time.Duration) *job {
 			j := newJob(model.JobSpec{ID: id, Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 2, AllowSpot: true, Need: model.Resources{CPU: 4}, ExpectedRunTime: run}, n.now, 1, 4096)
@@ -212,11 +212,11 @@
 			return j
 		}
 		for i := range 8 {
-			n.placeJob(job(fmt.Sprint("job-", i), 200*time.Second), n.newPlacementRound(), forever, 2)
+			n.shardLeader.scheduler.placeJob(job(fmt.Sprint("job-", i), 200*time.Second), n.shardLeader.scheduler.newPlacementRound(), forever, 2)
 		}
 		j := job("job-late", 25*time.Second)
 		j.submittedAt, j.doneTasks = n.now.Add(-c.waited), c.done
-		if got := n.planScaleOut(n.futureFreeCapacity(), nil); (len(got) > 0) != c.want {
+		if got := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); (len(got) > 0) != c.want {
 			t.Errorf("waited %v, %d done: rents %v, want some: %v", c.waited, c.done, got, c.want)
 		}
 	}
@@ -231,16 +231,16 @@
 		want   bool
 	}{{maxPreemptions - 1, 3 * time.Minute, true}, {maxPreemptions, 3 * time.Minute, false}, {maxPreemptions, time.Minute, true}} {
 		n := largePool(0)
-		m := n.ensureMachine("vm-000000")
-		n.applyHeartbeat(m, n.poolHeartbeat(0), true)
+		m := n.shardLeader.ensureMachine("vm-000000")
+		n.shardLeader.heartbeats.applyHeartbeat(m, n.poolHeartbeat(0), true)
 		j := newJob(model.JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, n.now.Add(-c.waited), 1, 4096)
 		n.shardLeader.jobs[j.ID] = j
-		n.placeJob(j, n.newPlacementRound(), forever, 1)
+		n.shardLeader.scheduler.placeJob(j, n.shardLeader.scheduler.newPlacementRound(), forever, 1)
 		j.tasks[0].preemptions = c.stops - 1
 		j.nextFresh = 2
 		j.tasks[1].preemptions = 1
 		high := newJob(model.JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
-		if _, _, ok := n.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != c.want {
+		if _, _, ok := n.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != c.want {
 			t.Errorf("%d stops, waited %v: stopped %v, want %v (%d live)", c.stops, c.waited, ok, c.want, j.liveTasks)
 		}
 	}
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -53,17 +53,17 @@
 }
 
 // segmentFormat is the form in which records of tasks are written now.
-func (n *Controller) segmentFormat() segmentFormat {
-	if n.membership.format.tasksPerSegment > 0 {
-		return n.membership.format
+func (f *formatMigration) segmentFormat() segmentFormat {
+	if f.current.tasksPerSegment > 0 {
+		return f.current
 	}
-	return n.settings.unsizedFormat()
+	return f.settings.unsizedFormat()
 }
 
 // parseSegmentKey reads the form of a record of tasks and its number from its key.
-func (n *Controller) parseSegmentKey(key string) (f segmentFormat, k int, ok bool) {
+func (ff *formatMigration) parseSegmentKey(key string) (f segmentFormat, k int, ok bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
-	f = n.settings.unsizedFormat()
+	f = ff.settings.unsizedFormat()
 	if part, sized := strings.CutPrefix(name, sizedSegmentMark); sized {
 		per, rest, _ := strings.Cut(part, ".")
 		f.sized = true
@@ -76,66 +76,66 @@
 }
 
 // applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
-func applyFormatRecord(n *Controller, it message.KeyValue) {
+func (f *formatMigration) applyFormatRecord(it message.KeyValue) {
 	var r record.Format
 	switch {
 	case it.Deleted:
 	case it.Key != record.FormatKey:
-		n.membership.formatSupport[strings.TrimPrefix(it.Key, record.FormatSupportPrefix)] = true
+		f.support[strings.TrimPrefix(it.Key, record.FormatSupportPrefix)] = true
 	case !record.Decode(it.Value, &r) || r.TasksPerSegment <= 0:
-		n.rejectInput("record", it.Key, "it can't be read")
+		f.rejectInput("record", it.Key, "it can't be read")
 	default:
-		n.membership.formatModRevision = it.ModRevision
-		adoptFormat(n, segmentFormat{r.TasksPerSegment, true})
+		f.modRevision = it.ModRevision
+		f.adoptFormat(segmentFormat{r.TasksPerSegment, true})
 	}
 }
 
 // adoptFormat goes over to a form if it is finer than the one that counts: one that has
 // come to count once counts for all, and stays.
-func adoptFormat(n *Controller, f segmentFormat) {
-	if !f.sized || f.tasksPerSegment >= n.segmentFormat().tasksPerSegment && n.segmentFormat().sized {
+func (ff *formatMigration) adoptFormat(f segmentFormat) {
+	if !f.sized || f.tasksPerSegment >= ff.segmentFormat().tasksPerSegment && ff.segmentFormat().sized {
 		return
 	}
-	n.membership.format = f
-	n.info("records of tasks are parts", "tasks", f.tasksPerSegment)
-	if n.shardLeader == nil {
+	ff.current = f
+	ff.info("records of tasks are parts", "tasks", f.tasksPerSegment)
+	if ff.controller.shardLeader == nil {
 		return
 	}
-	for _, j := range n.shardLeader.jobs {
+	for _, j := range ff.controller.shardLeader.jobs {
 		j.changeFormat(f)
 	}
 }
 
 // advanceFormat says that this controller knows parts, where they will be needed, and as the
 // leader that all do.
-func advanceFormat(n *Controller) {
-	s := &n.membership
-	target := record.MaxTasksPerSegment(n.settings.MaxValueBytes)
-	if s.writingFormat || !s.loaded || s.leaseID == 0 || target >= n.segmentFormat().tasksPerSegment {
+func (f *formatMigration) advanceFormat() {
+	s := &f.controller.membership
+	target := record.MaxTasksPerSegment(f.settings.MaxValueBytes)
+	if s.formats.writing || !s.loaded || s.leaseID == 0 || target >= f.segmentFormat().tasksPerSegment {
 		return
 	}
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
 	rec := record.Encode(record.Format{TasksPerSegment: target})
 	switch {
-	case !s.formatSupport[n.settings.Host]:
-		key := record.FormatSupportPrefix + n.settings.Host
+	case !s.formats.support[f.settings.Host]:
+		key := record.FormatSupportPrefix + f.settings.Host
 		op.Compares = []message.Compare{{Key: key, ModRevision: 0}}
 		op.Writes = []message.Write{{Key: key, Value: rec}}
-	case s.limitsLowered && n.shardLeader != nil:
-		op.Compares = append(n.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: s.formatModRevision})
+	case s.formats.limitsLowered && f.controller.shardLeader != nil:
+		op.Compares = append(f.controller.shardLeader.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: s.formats.modRevision})
 		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
-	case n.leader != nil && allSupportSizedSegments(n):
-		op.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: n.leader.modRevision}, {Key: record.FormatKey, ModRevision: s.formatModRevision}}
+	case f.controller.leader != nil && f.allSupportSizedSegments():
+		op.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: f.controller.leader.modRevision}, {Key: record.FormatKey, ModRevision: s.formats.modRevision}}
 		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
 	default:
 		return
 	}
-	s.writingFormat = true
-	n.requestStore(op, func(message.StoreResponse) {
+	s.formats.writing = true
+	f.controller.requests.toStore(op, func(message.StoreResponse) {
 		// The watch brings it, whoever wrote it.
-		n.after(n.jitter(storeRetryDelay), func() {
-			s.writingFormat = false
-			advanceFormat(n)
+		f.after(f.jitter(storeRetryDelay), func() {
+			s.formats.writing = false
+			f.advanceFormat()
 		})
 	})
 }
@@ -144,29 +144,29 @@
 // it does only when the upgrade is over: a controller may have been cut off since it was
 // replaced, and has not said so. A record that was called malformed may be so for another
 // reason; a plain text that is too large for the limit to come is not.
-func probeValueLimit(n *Controller) {
-	s := &n.membership
-	text := record.Encode(strings.Repeat("x", n.settings.MaxValueBytes))
-	if size, err := sizelimit.JSON(text); err != nil || size > n.settings.currentMaxValueBytes() || s.limitsLowered || s.probingLimits || n.segmentFormat().sized {
+func (f *formatMigration) probeValueLimit() {
+	s := &f.controller.membership
+	text := record.Encode(strings.Repeat("x", f.settings.MaxValueBytes))
+	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || s.formats.limitsLowered || s.formats.probingLimits || f.segmentFormat().sized {
 		return
 	}
-	s.probingLimits = true
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.LimitProbeKey, Value: text}}}, func(d message.StoreResponse) {
-		s.limitsLowered = d.Status == message.StoreMalformed
-		n.after(malformedRetryDelay, func() { s.probingLimits = false })
-		advanceFormat(n)
+	s.formats.probingLimits = true
+	f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.LimitProbeKey, Value: text}}}, func(d message.StoreResponse) {
+		s.formats.limitsLowered = d.Status == message.StoreMalformed
+		f.after(malformedRetryDelay, func() { s.formats.probingLimits = false })
+		f.advanceFormat()
 	})
 }
 
 // allSupportSizedSegments says that every controller of the deployment has said that it knows parts.
 // Its process of the version before is over by then and never comes back.
-func allSupportSizedSegments(n *Controller) bool {
-	for _, h := range n.settings.Peers {
-		if !n.membership.formatSupport[h] {
+func (f *formatMigration) allSupportSizedSegments() bool {
+	for _, h := range f.settings.Peers {
+		if !f.support[h] {
 			return false
 		}
 	}
-	return n.membership.formatSupport[n.settings.Host]
+	return f.support[f.settings.Host]
 }
 
 // changeFormat divides the job's tasks anew. What is durable stays so where it stands; what
@@ -211,11 +211,11 @@
 
 // neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
 // whatever form it may be by the time that they are judged.
-func (n *Controller) neverStartedCompares(id string) []message.Compare {
+func (ff *formatMigration) neverStartedCompares(id string) []message.Compare {
 	var out []message.Compare
-	for _, f := range [...]segmentFormat{n.settings.unsizedFormat(), n.segmentFormat(), {record.MaxTasksPerSegment(n.settings.MaxValueBytes), true}} {
+	for _, f := range [...]segmentFormat{ff.settings.unsizedFormat(), ff.segmentFormat(), {record.MaxTasksPerSegment(ff.settings.MaxValueBytes), true}} {
 		c := message.Compare{Key: f.keyOf(id, 0), ModRevision: 0}
-		if f.sized && !n.segmentFormat().sized && f.tasksPerSegment >= n.segmentFormat().tasksPerSegment {
+		if f.sized && !ff.segmentFormat().sized && f.tasksPerSegment >= ff.segmentFormat().tasksPerSegment {
 			// It never comes to that.
 			continue
 		}
@@ -227,12 +227,29 @@
 }
 
 // compareFormats orders records of tasks: those that count before others come first.
-func (n *Controller) compareFormats(a, b message.KeyValue) int {
+func (ff *formatMigration) compareFormats(a, b message.KeyValue) int {
 	rank := func(it message.KeyValue) int {
-		if f, _, ok := n.parseSegmentKey(it.Key); ok && f.sized {
+		if f, _, ok := ff.parseSegmentKey(it.Key); ok && f.sized {
 			return f.tasksPerSegment
 		}
 		return math.MaxInt
 	}
 	return cmp.Compare(rank(a), rank(b))
 }
+
+// formatMigration TODO.
+type formatMigration struct {
+	component
+
+	// formatSupport are the controllers that know parts of records, and form the one that all
+	// have come to, of formatKey's stamp; forming: a write for that is under way. See
+	// formats.go.
+	support     map[string]bool
+	current     segmentFormat
+	modRevision uint64
+	writing     bool
+	// lowered: the state service has its new limits, and probing: that has lately been
+	// asked for.
+	limitsLowered bool
+	probingLimits bool
+}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -83,7 +83,7 @@
 func newFormatTestController() *Controller {
 	n := largePool(60)
 	n.settings.MaxValueBytes, n.settings.CurrentMaxValueBytes = 2048, 4096
-	n.membership.formatSupport = map[string]bool{}
+	n.membership.formats.support = map[string]bool{}
 	n.shardLeader.jobs = map[string]*job{}
 	for _, m := range n.shardLeader.machinesByID {
 		m.attempts = map[taskKey]*task{}
@@ -100,19 +100,19 @@
 		}
 	}
 	for _, it := range its {
-		if f, _, ok := n.parseSegmentKey(it.Key); ok {
-			adoptFormat(n, f)
+		if f, _, ok := n.membership.formats.parseSegmentKey(it.Key); ok {
+			n.membership.formats.adoptFormat(f)
 		}
 	}
-	j := n.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
-	slices.SortStableFunc(its, n.compareFormats)
+	j := n.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
+	slices.SortStableFunc(its, n.membership.formats.compareFormats)
 	for _, it := range its {
 		var r record.TaskSegment
 		if record.Decode(it.Value, &r) {
-			n.recoverSegment(j, it, &r)
+			n.shardLeader.failover.recoverSegment(j, it, &r)
 		}
 	}
-	n.queueRecovered(j)
+	n.shardLeader.failover.queueRecovered(j)
 	return j
 }
 
@@ -156,10 +156,10 @@
 	case t.machine == nil:
 		t.attempt++
 		j.nextFresh = max(j.nextFresh, i+1)
-		n.attachAttempt(j, i, n.shardLeader.machinesByID[rng.IntN(len(n.shardLeader.machinesByID))])
+		n.shardLeader.attachAttempt(j, i, n.shardLeader.machinesByID[rng.IntN(len(n.shardLeader.machinesByID))])
 		j.markChanged(i, n.now, true)
 	default:
-		n.endAttempt(j, i, rng.IntN(2) == 0)
+		n.shardLeader.endAttempt(j, i, rng.IntN(2) == 0)
 	}
 }
 
@@ -168,7 +168,7 @@
 	t.Helper()
 	key, value := j.segmentKey(c), record.Encode(j.segmentRecord(c))
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}
-	if err := n.requestLimits(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
+	if err := n.requests.requestLimits(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatal(err)
 	}
 	if rows != nil {
@@ -227,7 +227,7 @@
 						lateStates[i] = taskStateOf(j, i)
 					}
 				}
-				adoptFormat(n, segmentFormat{record.MaxTasksPerSegment(2048), true})
+				n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
 			case x == 1 && lateKey != "":
 				rows[lateKey], lateKey = lateValue, ""
 				for i, s := range lateStates {
@@ -242,7 +242,7 @@
 				}
 				n = newFormatTestController()
 				if sized {
-					adoptFormat(n, segmentFormat{record.MaxTasksPerSegment(2048), true})
+					n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
 				}
 				j = recoverTestJob(n, rows)
 				requireSameStates(t, fmt.Sprint("seed ", seed, " step ", step), taskStatesOf(j), durable)
@@ -286,9 +286,9 @@
 
 // formatWrites runs what a controller does about forms and returns its writes.
 func formatWrites(n *Controller) []message.StoreRequest {
-	n.effects, n.membership.writingFormat = nil, false
+	n.effects, n.membership.formats.writing = nil, false
 	n.membership.loaded, n.membership.leaseID = true, 1
-	advanceFormat(n)
+	n.membership.formats.advanceFormat()
 	var out []message.StoreRequest
 	for _, e := range n.effects {
 		if op, ok := e.(message.StoreRequest); ok {
@@ -307,14 +307,14 @@
 	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != record.FormatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: record.FormatSupportPrefix + "a", ModRevision: 0}) {
 		t.Fatalf("the first write is %+v", ops)
 	}
-	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
-	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
+	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
+	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
 	n.leader = newLeader(n)
 	n.leader.modRevision = 9
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written while c may come back: %+v", ops)
 	}
-	applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "c", ModRevision: 5})
+	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "c", ModRevision: 5})
 	n.leader = nil
 	if ops := formatWrites(n); len(ops) > 0 {
 		t.Fatalf("written by none that leads: %+v", ops)
@@ -325,11 +325,11 @@
 	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
 		t.Fatalf("%+v", ops)
 	}
-	if n.segmentFormat().sized {
+	if n.membership.formats.segmentFormat().sized {
 		t.Fatal("parts count before they were read to")
 	}
-	applyFormatRecord(n, message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
-	if f := n.segmentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
+	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
+	if f := n.membership.formats.segmentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
 		t.Fatalf("the form is %+v", f)
 	}
 	if ops := formatWrites(n); len(ops) > 0 {
@@ -346,10 +346,10 @@
 // another form of records than the one that counted when it was sent.
 func TestLoanAcrossFormats(t *testing.T) {
 	n := newFormatTestController()
-	conds := n.neverStartedCompares(formatTestJob)
-	j := n.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
+	conds := n.membership.formats.neverStartedCompares(formatTestJob)
+	j := n.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
 	before := j.segmentKey(j.segmentOf(0))
-	adoptFormat(n, segmentFormat{record.MaxTasksPerSegment(2048), true})
+	n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
 	for _, key := range []string{before, after} {
 		if !slices.Contains(conds, message.Compare{Key: key, ModRevision: 0}) {
@@ -358,7 +358,7 @@
 	}
 	same := newFormatTestController()
 	same.settings.CurrentMaxValueBytes = 0
-	if conds := same.neverStartedCompares(formatTestJob); len(conds) != 1 {
+	if conds := same.membership.formats.neverStartedCompares(formatTestJob); len(conds) != 1 {
 		t.Errorf("without a limit to come: %v", conds)
 	}
 }
@@ -390,11 +390,11 @@
 	for _, status := range []message.StoreStatus{message.StoreOK, message.StoreUnknown, message.StoreMalformed} {
 		n := newFormatTestController()
 		n.settings.Peers = []string{"b"}
-		applyFormatRecord(n, message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
+		n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
 		n.membership.loaded, n.membership.leaseID = true, 1
 		j := recoverTestJob(n, productionRecords(t))
 		n.effects = nil
-		n.deferMalformedSegment(j, j.segments[0], 1)
+		n.shardLeader.persistence.deferMalformedSegment(j, j.segments[0], 1)
 		var probe message.StoreRequest
 		for _, e := range n.effects {
 			if op, ok := e.(message.StoreRequest); ok && op.Writes[0].Key == record.LimitProbeKey {
@@ -404,11 +404,11 @@
 		if size, err := sizelimit.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
 			t.Fatalf("the probe has %d bytes, %v", size, err)
 		}
-		n.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
+		n.requests.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
 		ops := formatWrites(n)
 		if changed := len(ops) > 0 && ops[0].Writes[0].Key == record.FormatKey; changed != (status == message.StoreMalformed) {
 			t.Errorf("answered %v: %+v", status, ops)
-		} else if changed && ops[0].Compares[0] != n.shardCompares("")[0] {
+		} else if changed && ops[0].Compares[0] != n.shardLeader.shardCompares("")[0] {
 			t.Errorf("it does not name the share: %+v", ops[0].Compares)
 		}
 	}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -32,6 +32,8 @@
 )
 
 type frontend struct {
+	component
+
 	// finalStatuses caches terminal states for good, and dates the dates of done jobs:
 	// milliseconds, and in the lowest byte the revision.
 	finalStatuses map[string]model.JobStatus
@@ -50,6 +52,7 @@
 	acceptedAt      map[string]time.Time
 	acceptedAnswers []acceptedAnswer
 	watchCache      watchCache
+	progressByJob   map[string]message.Progress
 }
 
 type acceptedAnswer struct {
@@ -108,42 +111,41 @@
 	u.statusWaiters = map[string][]func(message.StoreResponse){}
 }
 
-func (n *Controller) newUserRequest(reply uint64, id string) *userRequest {
-	request := &userRequest{reply: reply, id: id, deadline: n.now.Add(userRequestTimeout)}
-	n.frontend.waitingRequests++
-	if len(n.frontend.requestsByDeadline) == 0 {
-		n.after(userRequestTimeout, n.expireUserRequests)
+func (f *frontend) newUserRequest(reply uint64, id string) *userRequest {
+	request := &userRequest{reply: reply, id: id, deadline: f.now.Add(userRequestTimeout)}
+	f.waitingRequests++
+	if len(f.requestsByDeadline) == 0 {
+		f.after(userRequestTimeout, f.expireUserRequests)
 	}
-	n.frontend.requestsByDeadline = append(n.frontend.requestsByDeadline, request)
+	f.requestsByDeadline = append(f.requestsByDeadline, request)
 	return request
 }
 
-func (n *Controller) expireUserRequests() {
-	u := &n.frontend
+func (u *frontend) expireUserRequests() {
 	i := 0
-	for ; i < len(u.requestsByDeadline) && !u.requestsByDeadline[i].deadline.After(n.now); i++ {
+	for ; i < len(u.requestsByDeadline) && !u.requestsByDeadline[i].deadline.After(u.now); i++ {
 		if request := u.requestsByDeadline[i]; !request.answered {
-			n.refuseRequest(request, "the state service does not answer")
+			u.refuseRequest(request, "the state service does not answer")
 		}
 	}
 	u.requestsByDeadline = slices.Delete(u.requestsByDeadline, 0, i)
 	if len(u.requestsByDeadline) > 0 {
-		n.after(u.requestsByDeadline[0].deadline.Sub(n.now), n.expireUserRequests)
+		u.after(u.requestsByDeadline[0].deadline.Sub(u.now), u.expireUserRequests)
 	}
 }
 
-func (n *Controller) answerRequest(request *userRequest, r message.UserReply) {
+func (f *frontend) answerRequest(request *userRequest, r message.UserReply) {
 	if request.answered {
 		return
 	}
 	request.answered = true
-	n.frontend.waitingRequests--
-	if s, isFinal := n.frontend.finalStatuses[request.id]; isFinal && r.Status < 500 && r.State != string(s) {
+	f.waitingRequests--
+	if s, isFinal := f.finalStatuses[request.id]; isFinal && r.Status < 500 && r.State != string(s) {
 		// It was read before the end, which others may have been told since.
-		r = n.replyWithStatus(request.id, s)
+		r = f.replyWithStatus(request.id, s)
 	}
-	if r.Status < 300 && n.frontend.waitingRequests > 0 {
-		n.frontend.noteAccepted(request.id, n.now)
+	if r.Status < 300 && f.waitingRequests > 0 {
+		f.noteAccepted(request.id, f.now)
 	}
 	r.Reply = request.reply
 	if r.ID == "" {
@@ -154,84 +156,84 @@
 		// more than this, and may hear something newer from another controller then.
 		r.SendDeadline = request.deadline
 	}
-	n.emit(r)
+	f.emit(r)
 }
 
-func (n *Controller) refuseRequest(request *userRequest, reason string) {
-	n.answerRequest(request, message.UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
+func (f *frontend) refuseRequest(request *userRequest, reason string) {
+	f.answerRequest(request, message.UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
 }
 
 // refuseIfUnavailable refuses at once while nothing can be read or stored.
 // s is what is submitted, if anything is.
-func (n *Controller) refuseIfUnavailable(reply uint64, id string, s *model.JobSpec) bool {
+func (f *frontend) refuseIfUnavailable(reply uint64, id string, s *model.JobSpec) bool {
 	switch {
-	case !n.membership.ready:
-		n.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
-	case n.storeDown(n.now):
-		n.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: n.spread(retryAfterOutage)})
-	case n.frontend.waitingRequests >= maxWaitingRequests || s != nil && overloadRefuses(n, s):
-		n.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: n.spread(retryAfterOutage)})
+	case !f.controller.membership.ready:
+		f.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
+	case f.controller.membership.storeDown(f.now):
+		f.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: f.spread(retryAfterOutage)})
+	case f.waitingRequests >= maxWaitingRequests || s != nil && f.controller.ranking.overloadRefuses(s):
+		f.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: f.spread(retryAfterOutage)})
 	default:
 		return false
 	}
 	return true
 }
 
-func (n *Controller) replyWithStatus(id string, s model.JobStatus) message.UserReply {
+func (f *frontend) replyWithStatus(id string, s model.JobStatus) message.UserReply {
 	r := message.UserReply{Status: 200, ID: id, State: string(s)}
 	if !s.IsFinal() {
-		p := n.progressOf(id)
+		p := f.progressOf(id)
 		r.Done, r.Running = p.Done, p.Running
 		if p.Running > 0 {
 			r.State = "running"
 		}
-	} else if d, ok := n.frontend.endDates[id]; ok && s == model.Done {
+	} else if d, ok := f.endDates[id]; ok && s == model.Done {
 		r = r.WithDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Revision: int(d & 0xff)})
 	}
 	return r
 }
 
 // progressOf is a job's count of tasks as far as this node knows; for display.
-func (n *Controller) progressOf(id string) message.Progress {
-	if n.shardLeader != nil {
-		if j := n.shardLeader.jobs[id]; j != nil {
+func (f *frontend) progressOf(id string) message.Progress {
+	if f.controller.shardLeader != nil {
+		if j := f.controller.shardLeader.jobs[id]; j != nil {
 			return j.progress()
 		}
 	}
-	return n.progressByJob[id]
+	return f.progressByJob[id]
 }
 
-func (n *Controller) submitJob(c message.SubmitJob) {
+func (f *frontend) submitJob(c message.SubmitJob) {
 	id := c.Spec.ID
-	if s, ok := n.frontend.finalStatuses[id]; ok {
-		n.emit(withReply(n.replyWithStatus(id, s), c.Reply))
+	if s, ok := f.finalStatuses[id]; ok {
+		f.emit(withReply(f.replyWithStatus(id, s), c.Reply))
 		return
 	}
-	if n.refuseIfUnavailable(c.Reply, id, &c.Spec) {
+	if f.refuseIfUnavailable(c.Reply, id, &c.Spec) {
 		return
 	}
-	request := n.newUserRequest(c.Reply, id)
+	request := f.newUserRequest(c.Reply, id)
 	status, reason := 0, ""
 	switch {
 	case c.MalformedReason != "":
 		status, reason = 400, c.MalformedReason
-	case n.machineTypes == nil:
-		n.answerFromRecord(request, 503, "machine types are not known yet")
+	case f.controller.knowledge.machineTypes == nil:
+		f.answerFromRecord(request, 503, "machine types are not known yet")
 		return
 	default:
-		c.Spec = n.restrictToFittingDisks(c.Spec)
-		status, reason = n.validateSpec(&c.Spec)
+		c.Spec = f.restrictToFittingDisks(c.Spec)
+		status, reason = f.validateSpec(&c.Spec)
 	}
 	if status != 0 {
 		// A known job is never called malformed or impossible, so look
 		// before refusing.
-		n.answerFromRecord(request, status, reason)
+		f.answerFromRecord(request, status, reason)
 		return
 	}
-	s := &submission{request: request, spec: c.Spec, submittedAt: n.now}
-	n.checkDependenciesAccepted(request, c.Spec.Dependencies, func() {
-		s.promisedAfter = quoteDate(n, &s.spec)
-		n.frontend.submitQueue = append(n.frontend.submitQueue, s)
+	s := &submission{request: request, spec: c.Spec, submittedAt: f.now}
+	f.checkDependenciesAccepted(request, c.Spec.Dependencies, func() {
+		s.promisedAfter = f.controller.promises.quoteDate(&s.spec)
+		f.submitQueue = append(f.submitQueue, s)
 	})
 }
 
@@ -241,17 +243,17 @@
 }
 
 // validateSpec says why a job can never run here.
-func (n *Controller) validateSpec(s *model.JobSpec) (int, string) {
+func (f *frontend) validateSpec(s *model.JobSpec) (int, string) {
 	var team *model.Team
-	for i := range n.settings.Teams {
-		if n.settings.Teams[i].Name == s.Team {
-			team = &n.settings.Teams[i]
+	for i := range f.settings.Teams {
+		if f.settings.Teams[i].Name == s.Team {
+			team = &f.settings.Teams[i]
 		}
 	}
 	if team == nil {
 		return 422, "unknown owner " + s.Team
 	}
-	eligible := n.eligibleTypesFor(s)
+	eligible := f.eligibleTypesFor(s)
 	if len(eligible.machineTypes) == 0 {
 		return 422, "a task fits no allowed flavour"
 	}
@@ -266,10 +268,10 @@
 	if (team.QuotaLimit.CPU > 0 && all.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && all.GPU > team.QuotaLimit.GPU+roundingTolerance) {
 		return 422, "the job needs more than its owner's limit"
 	}
-	if reason := n.validateDependencies(s); reason != "" {
+	if reason := f.validateDependencies(s); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(s, n.now))); err != nil || size+openRecordReserve > n.settings.MaxValueBytes {
+	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(s, f.now))); err != nil || size+openRecordReserve > f.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -295,10 +297,10 @@
 }
 
 // eligibleTypesFor finds what is offered anywhere of what a job allows.
-func (n *Controller) eligibleTypesFor(s *model.JobSpec) eligibleTypes {
+func (ff *frontend) eligibleTypesFor(s *model.JobSpec) eligibleTypes {
 	out := eligibleTypes{zones: map[string]bool{}}
-	for _, name := range sortedKeys(n.machineTypes) {
-		f := n.machineTypes[name]
+	for _, name := range sortedKeys(ff.controller.knowledge.machineTypes) {
+		f := ff.controller.knowledge.machineTypes[name]
 		zones := slices.DeleteFunc(slices.Clone(f.Zones), func(z string) bool { return s.Zone != "" && s.Zone != z })
 		allowed := len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)
 		switch {
@@ -317,39 +319,39 @@
 
 // restrictToFittingDisks is a job that allows only flavours whose disks have room for its image: whoever
 // places it or rents for it looks at nothing but what it allows.
-func (n *Controller) restrictToFittingDisks(s model.JobSpec) model.JobSpec {
-	if eligible := n.eligibleTypesFor(&s); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
+func (f *frontend) restrictToFittingDisks(s model.JobSpec) model.JobSpec {
+	if eligible := f.eligibleTypesFor(&s); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
 		s.MachineTypes = eligible.machineTypes
 	}
 	return s
 }
 
 // answerFromRecord answers with the job's state if it is known, else as told.
-func (n *Controller) answerFromRecord(request *userRequest, status int, reason string) {
-	n.readJob(request.id, func(f jobLookup) {
+func (ff *frontend) answerFromRecord(request *userRequest, status int, reason string) {
+	ff.controller.frontend.watchCache.readJob(request.id, func(f jobLookup) {
 		switch {
 		case !f.ok:
-			n.refuseRequest(request, "the state service does not answer")
+			ff.refuseRequest(request, "the state service does not answer")
 		case f.accepted:
-			n.answerRequest(request, n.replyFor(request.id, f))
+			ff.answerRequest(request, ff.replyFor(request.id, f))
 		default:
 			r := message.UserReply{Status: status, Message: reason}
 			if status == 503 {
 				r.RetryAfter = retryAfter
 			}
-			n.answerRequest(request, r)
+			ff.answerRequest(request, r)
 		}
 	})
 }
 
 // replyFor is the answer for a record just read.
-func (n *Controller) replyFor(id string, f jobLookup) message.UserReply {
+func (ff *frontend) replyFor(id string, f jobLookup) message.UserReply {
 	r := f.rec
 	if r.Status.IsFinal() {
-		n.cacheFinalStatus(id, r.Status)
-		cacheDoneDate(n, id, r)
+		ff.cacheFinalStatus(id, r.Status)
+		ff.controller.promises.cacheDoneDate(id, r)
 	}
-	reply := n.replyWithStatus(id, r.Status)
+	reply := ff.replyWithStatus(id, r.Status)
 	if r.Status == model.Done {
 		reply.Done = r.Tasks
 	} else if !r.Status.IsFinal() {
@@ -358,24 +360,22 @@
 	return reply
 }
 
-func (n *Controller) cacheFinalStatus(id string, s model.JobStatus) {
-	n.frontend.finalStatuses[id] = s
-	delete(n.progressByJob, id)
-	n.noteDependencyState(id)
+func (f *frontend) cacheFinalStatus(id string, s model.JobStatus) {
+	f.finalStatuses[id] = s
+	delete(f.progressByJob, id)
+	f.controller.noteDependencyState(id)
 }
 
 // readStatusRecord gets job/<id> with a read begun after this call. Many that wait together share
 // few reads; see internal/readbatch.
-func (n *Controller) readStatusRecord(id string, fn func(message.StoreResponse)) {
-	u := &n.frontend
+func (u *frontend) readStatusRecord(id string, fn func(message.StoreResponse)) {
 	u.statusWaiters[id] = append(u.statusWaiters[id], fn)
 	u.readBatches.Request(id)
-	n.sendReadBatches()
+	u.sendReadBatches()
 }
 
 // sendReadBatches sends the reads that are due.
-func (n *Controller) sendReadBatches() {
-	u := &n.frontend
+func (u *frontend) sendReadBatches() {
 	for {
 		r, ok := u.readBatches.Next()
 		if !ok {
@@ -383,10 +383,10 @@
 		}
 		if !u.batchTurnScheduled {
 			u.batchTurnScheduled = true
-			n.after(minRefreshInterval, func() {
+			u.after(minRefreshInterval, func() {
 				u.batchTurnScheduled = false
 				u.readBatches.BeginRound()
-				n.sendReadBatches()
+				u.sendReadBatches()
 			})
 		}
 		// It answers those that asked before it began.
@@ -399,13 +399,12 @@
 		if r.IsList {
 			op.Kind, op.Key, op.StartAfter = message.OpList, record.JobStatusPrefix, record.JobStatusPrefix+r.After
 		}
-		n.requestStore(op, func(d message.StoreResponse) { n.handleReadBatch(r, d, waiters) })
+		u.controller.requests.toStore(op, func(d message.StoreResponse) { u.handleReadBatch(r, d, waiters) })
 	}
 }
 
 // handleReadBatch answers what a read was for.
-func (n *Controller) handleReadBatch(r readbatch.Read, d message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
-	u := &n.frontend
+func (u *frontend) handleReadBatch(r readbatch.Read, d message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
 	ok, last, found := d.Status == message.StoreOK, "", map[string]message.KeyValue{}
 	for _, it := range d.KeyValues {
 		last = strings.TrimPrefix(it.Key, record.JobStatusPrefix)
@@ -413,8 +412,8 @@
 		var rec record.JobStatus
 		if r.IsList && record.Decode(it.Value, &rec) && rec.Status.IsFinal() {
 			// An end is for good, whoever asks for it.
-			n.cacheFinalStatus(last, rec.Status)
-			cacheDoneDate(n, last, rec)
+			u.cacheFinalStatus(last, rec.Status)
+			u.controller.promises.cacheDoneDate(last, rec)
 		}
 	}
 	settled := u.readBatches.Complete(r, ok, last, d.Truncated && last != "")
@@ -435,28 +434,27 @@
 			fn(one)
 		}
 	}
-	n.sendReadBatches()
+	u.sendReadBatches()
 }
 
-func (n *Controller) queryJob(c message.QueryJob) {
-	if s, ok := n.frontend.finalStatuses[c.ID]; ok {
-		n.emit(withReply(n.replyWithStatus(c.ID, s), c.Reply))
+func (f *frontend) queryJob(c message.QueryJob) {
+	if s, ok := f.finalStatuses[c.ID]; ok {
+		f.emit(withReply(f.replyWithStatus(c.ID, s), c.Reply))
 		return
 	}
-	if n.refuseIfUnavailable(c.Reply, c.ID, nil) {
+	if f.refuseIfUnavailable(c.Reply, c.ID, nil) {
 		return
 	}
-	n.answerFromRecord(n.newUserRequest(c.Reply, c.ID), 404, "no such job")
+	f.answerFromRecord(f.newUserRequest(c.Reply, c.ID), 404, "no such job")
 }
 
 // flushSubmissions puts waiting submissions into transactions, many in one.
-func (n *Controller) flushSubmissions() {
-	u := &n.frontend
+func (u *frontend) flushSubmissions() {
 	for len(u.submitQueue) > 0 && u.inFlight < maxSubmitTxns {
 		var batch []*submission
 		seen := map[string]bool{}
 		size := 0
-		for len(u.submitQueue) > 0 && len(batch) < n.settings.MaxTxnWrites {
+		for len(u.submitQueue) > 0 && len(batch) < u.settings.MaxTxnWrites {
 			s := u.submitQueue[0]
 			if s.request.answered {
 				u.submitQueue = u.submitQueue[1:]
@@ -478,7 +476,7 @@
 			break
 		}
 		u.inFlight++
-		n.storeSubmissions(batch)
+		u.storeSubmissions(batch)
 	}
 }
 
@@ -486,7 +484,7 @@
 // keys with what goes round them.
 const submitOverheadBytes = 512
 
-func (n *Controller) storeSubmissions(batch []*submission) {
+func (f *frontend) storeSubmissions(batch []*submission) {
 	var op message.StoreRequest
 	op.Kind, op.Priority = message.OpTxn, message.PriorityUser
 	for _, s := range batch {
@@ -496,96 +494,96 @@
 		op.Compares = append(op.Compares, message.Compare{Key: record.JobStatusPrefix + id, ModRevision: 0}, message.Compare{Key: record.OpenJobPrefix + id, ModRevision: 0})
 		op.Writes = append(op.Writes, message.Write{Key: record.OpenJobPrefix + id, Value: record.Encode(s.openRecord())})
 	}
-	n.requestStore(op, func(d message.StoreResponse) {
-		n.frontend.inFlight--
+	f.controller.requests.toStore(op, func(d message.StoreResponse) {
+		f.inFlight--
 		switch d.Status {
 		case message.StoreOK:
 			for _, s := range batch {
-				n.answerRequest(s.request, n.acceptedReply(s))
-				n.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + s.spec.ID, Value: record.Encode(s.openRecord()), ModRevision: d.Revision})
+				f.answerRequest(s.request, f.acceptedReply(s))
+				f.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + s.spec.ID, Value: record.Encode(s.openRecord()), ModRevision: d.Revision})
 			}
 		case message.StoreConflict:
 			var again []*submission
 			for _, s := range batch {
 				if slices.Contains(d.FailedKeys, record.JobStatusPrefix+s.spec.ID) || slices.Contains(d.FailedKeys, record.OpenJobPrefix+s.spec.ID) {
-					n.answerFromRecord(s.request, 503, "conflict")
+					f.answerFromRecord(s.request, 503, "conflict")
 				} else {
 					again = append(again, s)
 				}
 			}
-			n.frontend.submitQueue = append(again, n.frontend.submitQueue...)
+			f.submitQueue = append(again, f.submitQueue...)
 		case message.StoreMalformed:
 			if len(batch) == 1 {
 				s := batch[0]
-				n.answerFromRecord(s.request, 400, fmt.Sprintf("job %s cannot be stored", s.spec.ID))
+				f.answerFromRecord(s.request, 400, fmt.Sprintf("job %s cannot be stored", s.spec.ID))
 				break
 			}
 			// One of them is at fault, and the others are not to suffer for it.
 			for _, s := range batch {
 				s.storeAlone = true
 			}
-			n.frontend.submitQueue = append(batch, n.frontend.submitQueue...)
+			f.submitQueue = append(batch, f.submitQueue...)
 		default:
 			for _, s := range batch {
-				n.refuseRequest(s.request, "the state service does not answer")
+				f.refuseRequest(s.request, "the state service does not answer")
 			}
 		}
 	})
 }
 
-func (n *Controller) cancelJob(c message.CancelJob) {
-	if s, ok := n.frontend.finalStatuses[c.ID]; ok {
-		n.emit(withReply(n.replyWithStatus(c.ID, s), c.Reply))
+func (f *frontend) cancelJob(c message.CancelJob) {
+	if s, ok := f.finalStatuses[c.ID]; ok {
+		f.emit(withReply(f.replyWithStatus(c.ID, s), c.Reply))
 		return
 	}
-	if n.refuseIfUnavailable(c.Reply, c.ID, nil) {
+	if f.refuseIfUnavailable(c.Reply, c.ID, nil) {
 		return
 	}
-	n.cancelOpenJob(n.newUserRequest(c.Reply, c.ID))
+	f.cancelOpenJob(f.newUserRequest(c.Reply, c.ID))
 }
 
-func (n *Controller) cancelOpenJob(request *userRequest) {
-	n.readJob(request.id, func(f jobLookup) {
+func (ff *frontend) cancelOpenJob(request *userRequest) {
+	ff.controller.frontend.watchCache.readJob(request.id, func(f jobLookup) {
 		switch {
 		case !f.ok:
-			n.refuseRequest(request, "the state service does not answer")
+			ff.refuseRequest(request, "the state service does not answer")
 			return
 		case !f.accepted:
-			n.answerRequest(request, message.UserReply{Status: 404, Message: "no such job"})
+			ff.answerRequest(request, message.UserReply{Status: 404, Message: "no such job"})
 			return
 		case f.rec.Status.IsFinal() || f.modRevision == 0:
-			n.answerRequest(request, n.replyFor(request.id, f))
+			ff.answerRequest(request, ff.replyFor(request.id, f))
 			return
 		case request.answered:
 			return
 		case f.open.LentTo != "":
-			cancelLentJob(n, request, f)
+			ff.controller.lending.cancelLentJob(request, f)
 			return
 		}
 		id := request.id
 		// What its tasks take stays known: until they are gone they count for
 		// their team's limit, under whatever owner.
 		rec := f.open
-		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
-		rec.ShrinkToFit(n.settings.MaxValueBytes)
+		rec.Cancelled, rec.CancelledAtMillis = true, ff.now.UnixMilli()
+		rec.ShrinkToFit(ff.settings.MaxValueBytes)
 		open := record.Encode(rec)
 		// Both records change together: the stamp of open/ guards starts.
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.OpenJobPrefix + id, ModRevision: f.modRevision}},
+		ff.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.OpenJobPrefix + id, ModRevision: f.modRevision}},
 			Writes: []message.Write{
-				{Key: record.JobStatusPrefix + id, Value: record.Encode(endRecordFromCache(n, id, model.Cancelled, &openJob{f.modRevision, f.open}))},
+				{Key: record.JobStatusPrefix + id, Value: record.Encode(ff.controller.promises.endRecordFromCache(id, model.Cancelled, &openJob{f.modRevision, f.open}))},
 				{Key: record.OpenJobPrefix + id, Value: open},
 			}}, func(d message.StoreResponse) {
 			switch d.Status {
 			case message.StoreOK:
-				n.cacheFinalStatus(id, model.Cancelled)
-				n.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
-				publishCancellation(n, message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, n.settings.Peers)
-				n.answerRequest(request, n.replyWithStatus(id, model.Cancelled))
+				ff.cacheFinalStatus(id, model.Cancelled)
+				ff.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
+				ff.controller.cancellations.publishCancellation(message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, ff.settings.Peers)
+				ff.answerRequest(request, ff.replyWithStatus(id, model.Cancelled))
 			case message.StoreConflict:
 				// Done or cancelled in between: look again.
-				n.cancelOpenJob(request)
+				ff.cancelOpenJob(request)
 			default:
-				n.refuseRequest(request, "the state service does not answer")
+				ff.refuseRequest(request, "the state service does not answer")
 			}
 		})
 	})
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -21,17 +21,17 @@
 	f.Fuzz(func(t *testing.T, open, chunk []byte) {
 		n := largePool(2)
 		n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
-		n.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: open, ModRevision: 5})
+		n.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: open, ModRevision: 5})
 		j := n.shardLeader.jobs[spec.ID]
 		if j == nil {
-			j = n.addJob(spec, n.now, 5)
+			j = n.shardLeader.addJob(spec, n.now, 5)
 		}
 		var r record.TaskSegment
 		if !record.Decode(chunk, &r) {
 			return
 		}
-		n.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
-		n.queueRecovered(j)
+		n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
+		n.shardLeader.failover.queueRecovered(j)
 		done := 0
 		for i := range j.tasks {
 			if j.tasks[i].done {
@@ -41,7 +41,7 @@
 		if done != j.doneTasks {
 			t.Fatalf("%d of its tasks are done and %d are counted", done, j.doneTasks)
 		}
-		n.placeAll()
+		n.shardLeader.scheduler.placeAll()
 		for _, k := range sortedKeys(j.segments) {
 			record.Encode(j.segmentRecord(j.segments[k]))
 		}
@@ -58,7 +58,7 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		n := twoControllers(t)
 		n.settings.Capabilities.Ranking = true
-		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: record.ControlPrefix + key, Value: value, ModRevision: 98}}})
+		n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: record.ControlPrefix + key, Value: value, ModRevision: 98}}})
 		n.syncShardLeader()
 	})
 }
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -30,39 +30,39 @@
 }
 
 // handleUnprovenHeartbeat deals with reports that prove nothing, and says whether this is one.
-func handleUnprovenHeartbeat(n *Controller, m *machine, c *message.WorkerHeartbeat) bool {
+func (h *heartbeatTracker) handleUnprovenHeartbeat(m *machine, c *message.WorkerHeartbeat) bool {
 	r := &c.Heartbeat
 	switch {
 	case m.heard && m.supersedes(r):
 		// A copy, or overtaken: it was sent before what is known came, so that nobody
 		// waits for its answer any more when that is long ago. Else it is answered and
 		// ordered nothing. Perhaps the worker has begun anew: its own answer would tell.
-		n.contact(m)
-		if n.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
-			n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
+		h.controller.shardLeader.failover.contact(m)
+		if h.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
+			h.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 			break
 		}
-		renewWithoutCommands(n, m, c)
+		h.controller.renewal.renewWithoutCommands(m, c)
 	case m.restartEpoch != 0 && r.Epoch <= m.restartEpoch:
 		// Perhaps of the time before its worker began anew. Its own answers tell, until
 		// its reports show an epoch that it can only have seen since.
 		m.probed = time.Time{}
-		n.contact(m)
-		renewWithoutCommands(n, m, c)
+		h.controller.shardLeader.failover.contact(m)
+		h.controller.renewal.renewWithoutCommands(m, c)
 	case !m.heard && r.Epoch < m.epoch:
 		if m.addr == "" {
-			n.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
+			h.controller.shardLeader.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
 		}
 		if m.unansweredProbes >= unresponsiveProbes && m.unheardHeartbeats >= maxUnprovenReplies {
-			n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
+			h.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		} else {
 			m.unheardHeartbeats++
-			renewWithoutCommands(n, m, c)
+			h.controller.renewal.renewWithoutCommands(m, c)
 		}
 		// If the answer arrives, the worker shows that with its next report, half a second
 		// later. Shown the epoch directly, it answers sooner.
-		if m.incarnation = r.Incarnation; !m.dispatchInFlight && n.shardLeader.contactsInFlight < maxContactsInFlight {
-			n.showEpoch(m)
+		if m.incarnation = r.Incarnation; !m.dispatchInFlight && h.controller.shardLeader.failover.contactsInFlight < maxContactsInFlight {
+			h.controller.shardLeader.failover.showEpoch(m)
 		}
 	default:
 		return false
@@ -84,7 +84,7 @@
 
 // detectReachability looks at a report that was taken in for what only an answer or order of ours
 // can have brought.
-func detectReachability(n *Controller, m *machine, r *model.Heartbeat, was machineSnapshot) {
+func (h *heartbeatTracker) detectReachability(m *machine, r *model.Heartbeat, was machineSnapshot) {
 	m.unheardHeartbeats = 0
 	shown := m.shownReachable || was.epoch < m.epoch && r.Epoch >= m.epoch
 	m.shownReachable = false
@@ -95,8 +95,8 @@
 		return
 	}
 	if r.Incarnation > was.incarnation {
-		m.reachability.Incarnation(n.now)
-		probeIfUnreachable(n, m)
+		m.reachability.Incarnation(h.now)
+		h.probeIfUnreachable(m)
 		return
 	}
 	for i := range was.taskReports {
@@ -109,18 +109,18 @@
 	}
 	if shown {
 		m.reachability.EffectSeen()
-		n.selfMonitor.RequestDelivered()
+		h.controller.partition.monitor.RequestDelivered()
 		return
 	}
-	m.reachability.HeartbeatWithoutEffect(n.now, r.Sequence > was.sequence+1, n.leaseEndAfter(n.now).Sub(n.now))
-	probeIfUnreachable(n, m)
+	m.reachability.HeartbeatWithoutEffect(h.now, r.Sequence > was.sequence+1, h.controller.renewal.leaseEndAfter(h.now).Sub(h.now))
+	h.probeIfUnreachable(m)
 }
 
 // probeIfUnreachable asks a machine at once of which it is not sure that it hears.
-func probeIfUnreachable(n *Controller, m *machine) {
+func (h *heartbeatTracker) probeIfUnreachable(m *machine) {
 	if !m.reachability.Reachable() {
 		m.probed = time.Time{}
-		n.contact(m)
+		h.controller.shardLeader.failover.contact(m)
 	}
 }
 
@@ -144,61 +144,61 @@
 // nothing of its tenure, its epoch and its tasks: what should run there is ordered to
 // start there again, as any start may be repeated, and goes elsewhere only by the usual
 // proof. Late reports and orders of before are told apart by a higher epoch.
-func applyPollReply(n *Controller, m *machine, r *model.Heartbeat, was machineSnapshot) bool {
+func (h *heartbeatTracker) applyPollReply(m *machine, r *model.Heartbeat, was machineSnapshot) bool {
 	if r == nil || r.Machine != m.id {
 		m.unansweredProbes++
 		if was.heard {
 			// Before that it may not have been up.
-			m.reachability.ProbeUnanswered(n.now)
+			m.reachability.ProbeUnanswered(h.now)
 		}
-		n.selfMonitor.RequestUnanswered(n.now)
+		h.controller.partition.monitor.RequestUnanswered(h.now)
 		return false
 	}
 	m.reachability.ProbeAnswered()
 	m.statusRequested = false
-	n.selfMonitor.RequestDelivered()
+	h.controller.partition.monitor.RequestDelivered()
 	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
-		n.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
+		h.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
 		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
 		m.restartEpoch, m.rerouted = m.epoch, message.ReroutedHeartbeat{}
-		m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(later(n.now, m.formerOwnerUntil)))
+		m.leaseEnd = later(m.leaseEnd, h.controller.renewal.leaseEndAfter(later(h.now, m.formerOwnerUntil)))
 		if m.replySequence != 0 {
 			m.replySequence = r.Sequence
 		}
 		m.taskReports, m.lastTaskReports, m.images = nil, nil, map[string]*image{}
 		for _, k := range sortedAttempts(m) {
 			if t := m.attempts[k]; t.isRunning() {
-				n.shardLeader.jobs[k.job].runningTasks--
+				h.controller.shardLeader.jobs[k.job].runningTasks--
 			}
 			m.attempts[k].reported, m.attempts[k].startedAt = false, time.Time{}
 		}
-		n.recountOthersUsed(m)
+		h.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
 	}
-	n.applyHeartbeat(m, r, false)
+	h.applyHeartbeat(m, r, false)
 	m.shownReachable = false
 	return true
 }
 
 // unreachableMachines names the machines that report and hear nothing, and are to be given back.
-func unreachableMachines(n *Controller, reporting int) []string {
-	o := n.shardLeader
+func (h *heartbeatTracker) unreachableMachines(reporting int) []string {
+	o := h.controller.shardLeader
 	var unreachable []reachability.Machine
 	for _, m := range o.machinesByID {
-		if !m.heard || m.releasing || n.unresponsive(m) {
+		if !m.heard || m.releasing || h.unresponsive(m) {
 			continue
 		}
-		if d, is := m.reachability.Unreachable(n.now); is {
-			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.registry.LiveCount(m.id), UnreachableFor: d})
+		if d, is := m.reachability.Unreachable(h.now); is {
+			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.remoteAttempts.registry.LiveCount(m.id), UnreachableFor: d})
 		}
 	}
 	if len(unreachable) == 0 {
 		return nil
 	}
-	p := reachability.ReleasePolicy{SingleTimeout: unresponsiveProbes*probeInterval + n.maxHeartbeatInterval(), LeaseRemaining: n.leaseEndAfter(n.now).Sub(n.now), LastReleased: o.unreachableReleasedAt}
-	toRelease := reachability.SelectReleases(n.now, p, reporting, unreachable)
+	p := reachability.ReleasePolicy{SingleTimeout: unresponsiveProbes*probeInterval + h.maxHeartbeatInterval(), LeaseRemaining: h.controller.renewal.leaseEndAfter(h.now).Sub(h.now), LastReleased: o.heartbeats.unreachableReleasedAt}
+	toRelease := reachability.SelectReleases(h.now, p, reporting, unreachable)
 	if len(toRelease) > 0 {
-		o.unreachableReleasedAt = n.now
-		n.info("machines report and hear nothing", "machines", len(unreachable), "of", reporting, "given back", len(toRelease))
+		o.heartbeats.unreachableReleasedAt = h.now
+		h.info("machines report and hear nothing", "machines", len(unreachable), "of", reporting, "given back", len(toRelease))
 	}
 	return toRelease
 }
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -41,26 +41,26 @@
 	n := largePool(12)
 	m, _ := machineWithTask(n)
 	n.effects = nil
-	n.contact(m)
+	n.shardLeader.failover.contact(m)
 	n.answerPoll(t, m, nil)
 	n.nextHeartbeat(0, m.lastTaskReports...)
-	if n.usable(m) {
+	if n.shardLeader.scheduler.usable(m) {
 		t.Fatal("it gets more work")
 	}
-	n.contact(m)
+	n.shardLeader.failover.contact(m)
 	n.answerPoll(t, m, nil)
 	n.now = n.now.Add(20 * time.Second)
 	for _, x := range n.shardLeader.machinesByID {
 		x.lastHeard = n.now
 	}
-	if back := unreachableMachines(n, 12); len(back) != 1 || back[0] != m.id {
+	if back := n.shardLeader.heartbeats.unreachableMachines(12); len(back) != 1 || back[0] != m.id {
 		t.Errorf("%v are given back, want %s", back, m.id)
 	}
-	n.contact(m)
+	n.shardLeader.failover.contact(m)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
 	n.answerPoll(t, m, r)
-	if !n.usable(m) || len(unreachableMachines(n, 12)) != 0 {
+	if !n.shardLeader.scheduler.usable(m) || len(n.shardLeader.heartbeats.unreachableMachines(12)) != 0 {
 		t.Error("it answers, and is not used again")
 	}
 }
@@ -77,14 +77,14 @@
 		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	}
 	sendHeartbeat(2, m.sequence+1)
-	if j.liveTasks != 0 || n.usable(m) {
-		t.Fatalf("%d tasks are live, usable %v", j.liveTasks, n.usable(m))
+	if j.liveTasks != 0 || n.shardLeader.scheduler.usable(m) {
+		t.Fatalf("%d tasks are live, usable %v", j.liveTasks, n.shardLeader.scheduler.usable(m))
 	}
 	t1 := &j.tasks[0]
 	t1.attempt, t1.startSent = 2, true
-	n.attachAttempt(j, 0, m)
+	n.shardLeader.attachAttempt(j, 0, m)
 	sendHeartbeat(2, m.sequence+1, model.TaskReport{Job: j.ID, Index: 0, Attempt: 2, Status: model.Fetching})
-	if !n.usable(m) {
+	if !n.shardLeader.scheduler.usable(m) {
 		t.Error("it has started what it was told to, and is not used")
 	}
 }
@@ -119,7 +119,7 @@
 			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
 		}
 	}
-	if m.leaseEnd.Before(n.leaseEndAfter(n.now)) || m.sequence != tick {
+	if m.leaseEnd.Before(n.renewal.leaseEndAfter(n.now)) || m.sequence != tick {
 		t.Error("its lease is prolonged, and not counted")
 	}
 	// A successor knows no earlier tick.
@@ -128,7 +128,7 @@
 	earlyHeartbeat.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	m = n.shardLeader.machines[earlyHeartbeat.Machine]
-	if m.heard || m.reclaimNoticed || n.usable(m) || len(m.taskReports) > 0 {
+	if m.heard || m.reclaimNoticed || n.shardLeader.scheduler.usable(m) || len(m.taskReports) > 0 {
 		t.Fatal("the first report of all, of an epoch of before, counts")
 	}
 	n.answerPoll(t, m, nil)
@@ -166,7 +166,7 @@
 	}
 	n.effects, m.statusRequested, m.probed = nil, false, time.Time{}
 	m.rerouted = message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
-	n.contact(m)
+	n.shardLeader.failover.contact(m)
 	n.answerPoll(t, m, first)
 	if m.rerouted != (message.ReroutedHeartbeat{}) {
 		t.Error("what it told others before is held against its reports")
@@ -174,7 +174,7 @@
 	if m.restartEpoch != m.epoch || j.liveTasks != 1 {
 		t.Fatalf("begun anew under %d, %d tasks live", m.restartEpoch, j.liveTasks)
 	}
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StartTask {
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StartTask {
 		t.Errorf("ordered %v, want its task's start", os)
 	}
 	// A report of before comes late, with a higher tick and without the task.
@@ -226,7 +226,7 @@
 func TestExpiredLeaseStartsNothing(t *testing.T) {
 	n := largePool(12)
 	m, j := machineWithTask(n)
-	n.attachAttempt(j, 0, m)
+	n.shardLeader.attachAttempt(j, 0, m)
 	j.tasks[0].startSent = false
 	sendHeartbeat := func() (out []model.TaskCommand) {
 		n.effects = nil
@@ -258,25 +258,25 @@
 	m, _ := machineWithTask(n)
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
 	for _, x := range []message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}, {ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}, {ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}} {
-		applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{x})
-		if !n.unresponsive(m) {
+		n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
+		if !n.shardLeader.heartbeats.unresponsive(m) {
 			t.Errorf("%v is a sign of life", x)
 		}
 	}
 	m.epoch++
-	applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
-	if !n.unresponsive(m) {
+	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
+	if !n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("a report that shows no epoch of this owner's time is a sign of life")
 	}
 	m.epoch--
 	x := message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
-	applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{x})
-	if n.unresponsive(m) || n.usable(m) {
-		t.Errorf("silent %v, usable %v", n.unresponsive(m), n.usable(m))
+	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
+	if n.shardLeader.heartbeats.unresponsive(m) || n.shardLeader.scheduler.usable(m) {
+		t.Errorf("silent %v, usable %v", n.shardLeader.heartbeats.unresponsive(m), n.shardLeader.scheduler.usable(m))
 	}
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
-	applyReroutedHeartbeats(n, []message.ReroutedHeartbeat{x})
-	if !n.unresponsive(m) {
+	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
+	if !n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("told again, it is a sign of life again")
 	}
 	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == "" || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == "" {
@@ -297,12 +297,12 @@
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, was, m.lastTaskReports
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-	if m.sequence != r.Sequence || !n.unresponsive(m) {
-		t.Errorf("known up to tick %d, silent %v", m.sequence, n.unresponsive(m))
+	if m.sequence != r.Sequence || !n.shardLeader.heartbeats.unresponsive(m) {
+		t.Errorf("known up to tick %d, silent %v", m.sequence, n.shardLeader.heartbeats.unresponsive(m))
 	}
 	r.Sequence, r.Epoch = m.sequence+1, m.epoch
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-	if n.unresponsive(m) {
+	if n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("a report under the epoch of now is no sign of life")
 	}
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -14,16 +14,16 @@
 func (n *Controller) handleHeartbeat(c message.WorkerHeartbeat) {
 	o := n.shardLeader
 	r := &c.Heartbeat
-	heartbeatReceived(n, r)
-	segment, mine := n.ownedMachine(r.Machine)
+	n.partition.heartbeatReceived(r)
+	segment, mine := n.membership.ownedMachine(r.Machine)
 	switch {
 	case o == nil || !mine:
-		ownerHost := n.liveMachineOwner(r.Machine)
+		ownerHost := n.membership.liveMachineOwner(r.Machine)
 		if ownerHost == n.settings.Host {
 			ownerHost = ""
 		}
 		if ownerHost != "" {
-			noteRerouted(n, r, ownerHost)
+			n.partition.noteRerouted(r, ownerHost)
 		}
 		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 421, MachineOwner: ownerHost})
 		return
@@ -32,65 +32,65 @@
 		// late. A worker drops a lower epoch and would sit here while its
 		// lease runs out, so send it on. If it is ours all the same, it needs a
 		// higher epoch; see maybeBumpEpoch.
-		if o.higherEpochSeen[r.Machine].IsZero() {
-			o.higherEpochSeen[r.Machine] = n.now
+		if o.failover.higherEpochSeen[r.Machine].IsZero() {
+			o.failover.higherEpochSeen[r.Machine] = n.now
 		}
 		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 421})
 		return
-	case n.now.After(n.renewalDeadline()):
+	case n.now.After(n.renewal.renewalDeadline()):
 		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		return
 	case !o.ready:
-		renewBeforeRecovery(n, &c, segment.Epoch)
+		n.renewal.renewBeforeRecovery(&c, segment.Epoch)
 		return
-	case n.released[r.Machine]:
+	case n.knowledge.released[r.Machine]:
 		// Never given work again, and about to go.
 		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 		return
 	}
-	m := n.ensureMachine(r.Machine)
-	if handleUnprovenHeartbeat(n, m, &c) {
+	m := n.shardLeader.ensureMachine(r.Machine)
+	if n.shardLeader.heartbeats.handleUnprovenHeartbeat(m, &c) {
 		return
 	}
-	delete(o.higherEpochSeen, r.Machine)
+	delete(o.failover.higherEpochSeen, r.Machine)
 	before := m.snapshot()
-	n.applyHeartbeat(m, r, true)
-	detectReachability(n, m, r, before)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	n.shardLeader.heartbeats.detectReachability(m, r, before)
 	// Looked at once for both: nearly all reports are of machines that are settled.
 	settled := m.settled()
-	until, renews := renewLease(n, m, settled, nil, c.Reply)
+	until, renews := n.renewal.renewLease(m, settled, nil, c.Reply)
 	if !renews {
 		return
 	}
-	commands := n.pendingCommands(m, settled)
+	commands := n.shardLeader.dispatcher.pendingCommands(m, settled)
 	for _, cmd := range commands {
 		if cmd.Kind == model.StartTask {
 			m.replySequence = r.Sequence
 		}
 	}
 	expectAcknowledgment(m, commands)
-	n.emit(message.HeartbeatReply{Reply: c.Reply, SendDeadline: until, StartsDeadline: startDispatchDeadline(n, m), Status: 200, Epoch: m.epoch, Commands: commands})
+	n.emit(message.HeartbeatReply{Reply: c.Reply, SendDeadline: until, StartsDeadline: n.ranking.startDispatchDeadline(m), Status: 200, Epoch: m.epoch, Commands: commands})
 }
 
 // applyHeartbeat takes in what a worker says, unless something newer was heard.
-func (n *Controller) applyHeartbeat(m *machine, r *model.Heartbeat, isHeartbeat bool) {
+func (h *heartbeatTracker) applyHeartbeat(m *machine, r *model.Heartbeat, isHeartbeat bool) {
 	if m.heard && m.supersedes(r) {
 		return
 	}
-	n.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
+	h.controller.shardLeader.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
 	// After the worker has begun anew, an order from before that got no answer may be
 	// carried out in a later tenure of the same number, until the worker has seen a
 	// higher epoch. That one was given since says nothing.
 	leaseExpired := m.heard && r.Incarnation > m.incarnation && !(m.unackedStartEpoch != 0 && m.restartEpoch >= m.unackedStartEpoch && r.Epoch <= m.unackedStartEpoch)
 	if leaseExpired {
 		// A later tenure: the worker has killed and forgotten everything.
-		n.debug("lease ran out", "machine", m.id, "tenure", r.Incarnation)
-		n.loseAllAttempts(m, r)
+		h.debug("lease ran out", "machine", m.id, "tenure", r.Incarnation)
+		h.loseAllAttempts(m, r)
 	}
 	if !m.heard {
-		m.idleSince = n.now
-		n.recoverCachedImages(m)
-		n.becameReady(m)
+		m.idleSince = h.now
+		h.controller.shardLeader.persistence.recoverCachedImages(m)
+		h.controller.shardLeader.fleet.becameReady(m)
 	}
 	if !m.heard || leaseExpired {
 		m.replySequence, m.unackedStartEpoch = 0, 0
@@ -99,20 +99,20 @@
 		// A lease that has begun by now; what was known of an earlier one says
 		// nothing of it. Heard by an answer, it may get work before we answer any
 		// of its reports, and a former owner may go on prolonging it for a while.
-		m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(later(n.now, m.formerOwnerUntil)))
+		m.leaseEnd = later(m.leaseEnd, h.controller.renewal.leaseEndAfter(later(h.now, m.formerOwnerUntil)))
 	}
 	m.heard, m.incarnation, m.sequence = true, r.Incarnation, r.Sequence
 	m.seenEpoch = max(m.seenEpoch, r.Epoch)
-	if m.newestMessageAt = n.now; !isHeartbeat || r.Epoch >= m.epoch {
+	if m.newestMessageAt = h.now; !isHeartbeat || r.Epoch >= m.epoch {
 		// Sent in this owner's time, and no older than what was known.
-		m.lastHeard, m.unansweredProbes = n.now, 0
+		m.lastHeard, m.unansweredProbes = h.now, 0
 	}
 	m.dispatchUnanswered = false
 	if r.ReclaimIn >= 0 {
 		if !m.reclaimNoticed {
-			n.debug("notice", "machine", m.id, "in", r.ReclaimIn)
+			h.debug("notice", "machine", m.id, "in", r.ReclaimIn)
 		}
-		m.reclaimNoticed, m.reclaimAt = true, n.now.Add(r.ReclaimIn)
+		m.reclaimNoticed, m.reclaimAt = true, h.now.Add(r.ReclaimIn)
 	}
 	if isHeartbeat && m.replySequence != 0 && r.Sequence > m.replySequence {
 		m.replySequence = 0
@@ -131,16 +131,16 @@
 		if q, ok := m.taskReports[k]; !ok || q.Status == model.Ended {
 			m.taskReports[k] = p
 		}
-		n.applyTaskReport(m, k, p)
+		h.applyTaskReport(m, k, p)
 	}
-	updateRegistry(n, m)
+	h.controller.shardLeader.remoteAttempts.updateRegistry(m)
 	if isHeartbeat {
 		countMissedStarts(m)
 	}
 	for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }) {
-		if _, ok := m.taskReports[k]; !ok && n.noStartInFlight(m) {
+		if _, ok := m.taskReports[k]; !ok && h.controller.shardLeader.dispatcher.noStartInFlight(m) {
 			// To be stopped, and not there: the proof that it is gone.
-			n.endAttempt(n.shardLeader.jobs[k.job], k.index, false)
+			h.controller.shardLeader.endAttempt(h.controller.shardLeader.jobs[k.job], k.index, false)
 		}
 	}
 }
@@ -164,16 +164,16 @@
 // what was to start there goes elsewhere, with the usual proof, and they are returned.
 // When many seem to be like that, the fault is more likely in the links, and answers
 // that do not arrive are none of the machines' doing.
-func quarantineNonStarting(n *Controller) {
+func (h *heartbeatTracker) quarantineNonStarting() {
 	missed := func(t *task) bool { return t.missedStarts >= maxMissedStarts && t.stopReason == stopNone }
 	var nonStarting []*machine
 	reporting := 0
-	for _, m := range n.shardLeader.machinesByID {
-		if !m.heard || m.releasing || n.unresponsive(m) {
+	for _, m := range h.controller.shardLeader.machinesByID {
+		if !m.heard || m.releasing || h.unresponsive(m) {
 			continue
 		}
 		reporting++
-		if _, unreachable := m.reachability.Unreachable(n.now); unreachable {
+		if _, unreachable := m.reachability.Unreachable(h.now); unreachable {
 			// It hears nothing of what it is told; see unhearing.
 			continue
 		}
@@ -189,13 +189,13 @@
 	}
 	for _, m := range nonStarting {
 		if !m.faulty {
-			n.info("machine starts nothing that it is told to", "machine", m.id)
+			h.info("machine starts nothing that it is told to", "machine", m.id)
 		}
 		m.faulty = true
 		for _, k := range m.attemptsWhere(missed) {
 			t := m.attempts[k]
 			t.stopReason, t.avoidMachine = stopDrain, m.id
-			n.markDispatchPending(m)
+			h.controller.markDispatchPending(m)
 		}
 	}
 }
@@ -231,8 +231,8 @@
 }
 
 // applyTaskReport takes in one line of a report.
-func (n *Controller) applyTaskReport(m *machine, k taskKey, p model.TaskReport) {
-	j := n.shardLeader.jobs[k.job]
+func (h *heartbeatTracker) applyTaskReport(m *machine, k taskKey, p model.TaskReport) {
+	j := h.controller.shardLeader.jobs[k.job]
 	if j == nil || k.index < 0 || k.index >= len(j.tasks) {
 		return
 	}
@@ -250,44 +250,44 @@
 	}
 	switch p.Status {
 	case model.Fetching:
-		m.noteImage(j, n.now, false)
+		m.noteImage(j, h.now, false)
 	case model.Running, model.Checkpointing:
-		m.noteImage(j, n.now, true)
+		m.noteImage(j, h.now, true)
 		if t.startedAt.IsZero() {
-			t.startedAt = n.now
-			n.debug("running", "job", j.ID, "task", k.index, "try", t.attempt, "machine", m.id, "age", n.now.Sub(j.submittedAt), "fetched", n.now.Sub(time.UnixMilli(t.groupStart)))
+			t.startedAt = h.now
+			h.debug("running", "job", j.ID, "task", k.index, "try", t.attempt, "machine", m.id, "age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
 		}
 	case model.Ended:
 		switch p.Cause {
 		case "done":
-			m.noteImage(j, n.now, true)
+			m.noteImage(j, h.now, true)
 			// What a former owner started has run for longer than was seen
 			// here; a median of such times is near nothing, and would have all
 			// its tasks relaunched.
 			if !t.startedAt.IsZero() && !t.inherited {
-				ran := n.now.Sub(t.startedAt)
-				n.updateMachineSpeed(m, j, ran)
+				ran := h.now.Sub(t.startedAt)
+				h.updateMachineSpeed(m, j, ran)
 				j.recordRunTime(ran)
-				n.updateEstimator(j, ran)
+				h.controller.knowledge.updateEstimator(j, ran)
 			}
 			// What failed elsewhere is done here.
-			n.updateFaultyMachines(n.shardLeader.faultAttribution.TaskDone(j.ID, k.index, m.id))
-			n.endAttempt(j, k.index, true)
+			h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, k.index, m.id))
+			h.controller.shardLeader.endAttempt(j, k.index, true)
 		case "error":
-			n.recordTaskFailure(m, j, k.index)
-			n.endAttempt(j, k.index, false)
+			h.recordTaskFailure(m, j, k.index)
+			h.controller.shardLeader.endAttempt(j, k.index, false)
 		case "unknown":
 			// The worker says no such job: try again, not at once.
-			t.notBefore = n.now.Add(n.jitter(2 * time.Second))
-			n.endAttempt(j, k.index, false)
+			t.notBefore = h.now.Add(h.jitter(2 * time.Second))
+			h.controller.shardLeader.endAttempt(j, k.index, false)
 		default:
-			n.endAttempt(j, k.index, false)
+			h.controller.shardLeader.endAttempt(j, k.index, false)
 		}
 	}
 }
 
 // updateMachineSpeed keeps a running ratio of run time against what was expected.
-func (n *Controller) updateMachineSpeed(m *machine, j *job, ran time.Duration) {
+func (h *heartbeatTracker) updateMachineSpeed(m *machine, j *job, ran time.Duration) {
 	ref, ok := j.medianRunTime()
 	if !ok || len(j.sortedRunTimes) < 2 {
 		return
@@ -304,7 +304,7 @@
 // recordTaskFailure takes note that a task failed on a machine: internal/faultattribution says whose fault
 // it is. The task is tried again elsewhere, and a job that fails everywhere ever more
 // slowly, one task at a time.
-func (n *Controller) recordTaskFailure(m *machine, j *job, index int) {
+func (h *heartbeatTracker) recordTaskFailure(m *machine, j *job, index int) {
 	t := &j.tasks[index]
 	t.failures++
 	t.avoidMachine = m.id
@@ -313,43 +313,43 @@
 		pause *= 2
 	}
 	if t.failures > 1 {
-		t.notBefore = n.now.Add(n.jitter(pause))
+		t.notBefore = h.now.Add(h.jitter(pause))
 	}
-	n.debug("task failed", "job", j.ID, "task", index, "machine", m.id, "fails", t.failures)
-	b := &n.shardLeader.faultAttribution
+	h.debug("task failed", "job", j.ID, "task", index, "machine", m.id, "fails", t.failures)
+	b := &h.controller.shardLeader.faultAttribution
 	if j.doneTasks > 0 {
 		// What was done before its first failure, or under a former owner, counts.
 		b.MarkJobWorks(j.ID)
 	}
 	was := b.FailsEverywhere(j.ID)
-	n.updateFaultyMachines(b.TaskFailed(j.ID, index, m.id))
+	h.updateFaultyMachines(b.TaskFailed(j.ID, index, m.id))
 	if pause := b.RetryBackoff(j.ID); pause > 0 {
-		j.notBefore = n.now.Add(n.jitter(pause))
+		j.notBefore = h.now.Add(h.jitter(pause))
 	}
 	if b.FailsEverywhere(j.ID) && !was {
-		n.info("a job fails on every machine: it is tried ever more slowly", "job", j.ID, "workload", j.Workload, "owner", j.Team)
+		h.info("a job fails on every machine: it is tried ever more slowly", "job", j.ID, "workload", j.Workload, "owner", j.Team)
 	}
 }
 
 // updateFaultyMachines looks again at machines of which internal/faultattribution thinks otherwise now.
-func (n *Controller) updateFaultyMachines(hosts []string) {
+func (h *heartbeatTracker) updateFaultyMachines(hosts []string) {
 	for _, id := range hosts {
-		m := n.shardLeader.machines[id]
+		m := h.controller.shardLeader.machines[id]
 		if m == nil {
 			continue
 		}
-		m.faulty = n.shardLeader.faultAttribution.IsFaulty(id)
+		m.faulty = h.controller.shardLeader.faultAttribution.IsFaulty(id)
 		if m.faulty {
-			n.info("machine is faulty", "machine", id)
+			h.info("machine is faulty", "machine", id)
 		} else {
-			n.info("machine is not faulty: what failed there fails everywhere", "machine", id)
+			h.info("machine is not faulty: what failed there fails everywhere", "machine", id)
 		}
 	}
 }
 
 // loseAllAttempts notes that everything on m is gone. What the new report lists has
 // been started since, and stays.
-func (n *Controller) loseAllAttempts(m *machine, r *model.Heartbeat) {
+func (h *heartbeatTracker) loseAllAttempts(m *machine, r *model.Heartbeat) {
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
 		if r != nil {
@@ -360,14 +360,26 @@
 				continue
 			}
 		}
-		n.endAttempt(n.shardLeader.jobs[k.job], k.index, false)
+		h.controller.shardLeader.endAttempt(h.controller.shardLeader.jobs[k.job], k.index, false)
 	}
-	n.shardLeader.registry.MarkMachineGone(n.now, m.id, func(a remote.AttemptID) bool {
+	h.controller.shardLeader.remoteAttempts.registry.MarkMachineGone(h.now, m.id, func(a remote.AttemptID) bool {
 		return r != nil && slices.ContainsFunc(r.Tasks, func(p model.TaskReport) bool {
 			return p.Job == a.Job && p.Index == a.Index && p.Attempt == a.Attempt
 		})
 	})
 	m.taskReports, m.lastTaskReports = nil, nil
-	n.recountOthersUsed(m)
+	h.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
 	m.images = map[string]*image{}
 }
+
+// heartbeatTracker TODO.
+type heartbeatTracker struct {
+	component
+
+	// lastHeartbeats is the newest that was heard of machines that were dropped; see stale_heartbeat.go.
+	lastHeartbeats map[string]lastHeartbeat
+	// unreachableReleasedAt is when a machine that hears nothing was last given back.
+	unreachableReleasedAt time.Time
+	// correlatedFailureLoggedAt is when the log last told of machines that are silent together.
+	correlatedFailureLoggedAt time.Time
+}
