--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -47,14 +47,14 @@
 	for i := range machines {
 		r := n.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
+		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
 	}
 	n.now = n.now.Add(time.Second)
-	n.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
+	n.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
 		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 4},
 		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
 	}})
-	n.flushSubmissions()
+	n.frontend.flushSubmissions()
 	d.handleEffects(n.effects)
 	for _, c := range d.pending {
 		n.handleCommand(c)
@@ -250,7 +250,7 @@
 			d := newHugeJob(maxHugeTasks, machines)
 			d.controller.now = d.controller.now.Add(time.Second)
 			b.StartTimer()
-			d.controller.placeAll()
+			d.controller.shardLeader.scheduler.placeAll()
 			if d.job.liveTasks != 8*machines {
 				b.Fatalf("%d are placed", d.job.liveTasks)
 			}
@@ -260,16 +260,16 @@
 		for b.Loop() {
 			b.StopTimer()
 			d := newHugeJob(maxHugeTasks, machines)
-			d.controller.placeAll()
+			d.controller.shardLeader.scheduler.placeAll()
 			d.job.nextFresh = len(d.job.tasks)
 			for i := range d.job.tasks {
-				if d.controller.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
+				if d.controller.shardLeader.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
 					d.job.requeued = append(d.job.requeued, i)
 				}
 			}
 			d.controller.now = d.controller.now.Add(time.Second)
 			b.StartTimer()
-			d.controller.placeAll()
+			d.controller.shardLeader.scheduler.placeAll()
 			if d.job.liveTasks != 8*machines {
 				b.Fatalf("%d are placed", d.job.liveTasks)
 			}
@@ -289,7 +289,7 @@
 				b.Fatal("it is not done")
 			}
 			done, txns := d.writes, d.txns
-			for len(d.controller.shardLeader.orphanedRecords) > 0 || d.controller.shardLeader.txnsInFlight > 0 {
+			for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
 				d.runSecond()
 			}
 			b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -18,7 +18,7 @@
 	n := largePool(0)
 	n.settings.Zones = []string{"a", "b"}
 	n.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
-	n.machineTypes = map[string]model.MachineType{}
+	n.knowledge.machineTypes = map[string]model.MachineType{}
 	for _, f := range []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, Zones: []string{"a", "b"}},
 		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, Zones: []string{"a"}},
@@ -26,7 +26,7 @@
 		{Name: "gone", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400},
 	} {
 		f.ImageFetchRate, f.CostPerHour, f.SpotCostPerHour, f.ProvisioningTime = 0.4, f.Capacity.CPU/20, f.Capacity.CPU/60, 30*time.Second
-		n.machineTypes[f.Name] = f
+		n.knowledge.machineTypes[f.Name] = f
 	}
 	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
 	n.frontend.watchCache.openJobs = map[string]openJob{}
@@ -38,8 +38,8 @@
 func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
 	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
 	change(&s)
-	n.submitJob(message.SubmitJob{Reply: 1, Spec: s})
-	n.flushSubmissions()
+	n.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: s})
+	n.frontend.flushSubmissions()
 	var records []record.OpenJob
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -16,8 +16,8 @@
 
 // writeJobEnds writes the end of jobs whose tasks are all done, and clears away
 // cancelled ones whose tasks are all gone.
-func (n *Controller) writeJobEnds() {
-	o := n.shardLeader
+func (p *persistence) writeJobEnds() {
+	o := p.controller.shardLeader
 	var endedJobs, cancelledDependents []*job
 	for _, j := range o.jobs {
 		if !j.ending && j.cancelDerived {
@@ -28,16 +28,16 @@
 	}
 	byName := func(a, b *job) int { return strings.Compare(a.ID, b.ID) }
 	slices.SortFunc(endedJobs, byName)
-	for len(endedJobs) > 0 && o.txnsInFlight < maxSegmentTxns+2 && n.writesAllowed() > 0 {
-		endedJobs = n.writeEndBatch(endedJobs)
+	for len(endedJobs) > 0 && o.persistence.txnsInFlight < maxSegmentTxns+2 && p.controller.rateLimits.writesAllowed() > 0 {
+		endedJobs = p.writeEndBatch(endedJobs)
 	}
-	if len(cancelledDependents) > 0 && o.txnsInFlight == 0 && !n.writesShort() {
+	if len(cancelledDependents) > 0 && o.persistence.txnsInFlight == 0 && !p.controller.rateLimits.shortOfWrites() {
 		// That they are cancelled is known without; it is only that they leave the books.
 		slices.SortFunc(cancelledDependents, byName)
-		n.writeEndBatch(cancelledDependents)
+		p.writeEndBatch(cancelledDependents)
 	}
-	if len(o.orphanedRecords) > 0 && o.txnsInFlight == 0 && (!n.writesShort() || len(o.orphanedRecords) > maxOrphanedRecords) {
-		n.deleteOrphanedRecords()
+	if len(o.persistence.orphanedRecords) > 0 && o.persistence.txnsInFlight == 0 && (!p.controller.rateLimits.shortOfWrites() || len(o.persistence.orphanedRecords) > maxOrphanedRecords) {
+		p.deleteOrphanedRecords()
 	}
 }
 
@@ -51,20 +51,20 @@
 }
 
 // writeEndBatch writes the ends of as many jobs as share a transaction, and returns the others.
-func (n *Controller) writeEndBatch(endedJobs []*job) []*job {
+func (p *persistence) writeEndBatch(endedJobs []*job) []*job {
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
-	maxWrites := min(n.settings.MaxTxnWrites, n.writesAllowed())
+	maxWrites := min(p.settings.MaxTxnWrites, p.controller.rateLimits.writesAllowed())
 	var batch []jobEnd
 	size := 0
 	for len(endedJobs) > 0 {
 		j := endedJobs[0]
-		e := jobEnd{job: j, rec: endRecord(n, j)}
+		e := jobEnd{job: j, rec: p.controller.promises.endRecord(j)}
 		var writes []message.Write
 		if !j.cancelled || j.cancelDerived {
 			writes = append(writes, message.Write{Key: record.JobStatusPrefix + j.ID, Value: record.Encode(e.rec)})
 		}
 		writes = append(writes, message.Write{Key: record.OpenJobPrefix + j.ID})
-		compares := append(n.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
+		compares := append(p.controller.shardLeader.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
 		for _, a := range writes {
 			size += sizelimit.WriteBytes(sizelimit.Write{Key: a.Key, Value: a.Value})
 		}
@@ -92,10 +92,10 @@
 		j.ending = true
 		batch, endedJobs = append(batch, e), endedJobs[1:]
 	}
-	gen := n.shardLeader.generation
-	n.writeTxn(op, func(d message.StoreResponse) {
+	gen := p.controller.shardLeader.generation
+	p.controller.rateLimits.writeTxn(op, func(d message.StoreResponse) {
 		for _, e := range batch {
-			n.handleEndResponse(e, d, gen, len(batch) == 1)
+			p.controller.handleEndResponse(e, d, gen, len(batch) == 1)
 		}
 	})
 	return endedJobs
@@ -105,8 +105,8 @@
 func (n *Controller) handleEndResponse(e jobEnd, d message.StoreResponse, gen int, alone bool) {
 	j := e.job
 	if d.Status == message.StoreOK && e.rec.Status == model.Done {
-		n.cacheFinalStatus(j.ID, model.Done)
-		learnFromEnd(n, j, e.rec)
+		n.frontend.cacheFinalStatus(j.ID, model.Done)
+		n.promises.learnFromEnd(j, e.rec)
 		n.debug("job done", "job", j.ID, "workload", j.Workload, "age", n.now.Sub(j.submittedAt))
 	}
 	if n.shardLeader == nil || n.shardLeader.generation != gen {
@@ -115,7 +115,7 @@
 	retry := func() { j.ending = false }
 	switch d.Status {
 	case message.StoreOK:
-		n.removeEndedJob(j, e.segmentKeys)
+		n.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
 	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
 			return strings.HasPrefix(key, record.OpenJobPrefix) && key != record.OpenJobPrefix+j.ID
@@ -125,7 +125,7 @@
 			retry()
 			return
 		}
-		n.resolveEndConflict(e, gen)
+		n.shardLeader.persistence.resolveEndConflict(e, gen)
 	case message.StoreMalformed:
 		// Of several one is at fault, and the others are not to suffer for it.
 		if !alone {
@@ -141,51 +141,51 @@
 
 // resolveEndConflict finds out why an end could not be written: an earlier try that got no
 // answer may have been carried out.
-func (n *Controller) resolveEndConflict(e jobEnd, gen int) {
+func (p *persistence) resolveEndConflict(e jobEnd, gen int) {
 	j := e.job
 	retry := func() { j.ending = false }
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}, func(d message.StoreResponse) {
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}, func(d message.StoreResponse) {
 		var r record.JobStatus
 		if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
-			n.cacheFinalStatus(j.ID, model.Done)
-			cacheDoneDate(n, j.ID, r)
-			if n.shardLeader != nil && n.shardLeader.generation == gen {
-				n.removeEndedJob(j, e.segmentKeys)
+			p.controller.frontend.cacheFinalStatus(j.ID, model.Done)
+			p.controller.promises.cacheDoneDate(j.ID, r)
+			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+				p.controller.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
 			}
 			return
 		}
 		if j.cancelled && d.Status == message.StoreOK {
-			n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}, func(d message.StoreResponse) {
-				if d.Status == message.StoreNotFound && n.shardLeader != nil && n.shardLeader.generation == gen {
-					n.removeEndedJob(j, e.segmentKeys)
+			p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}, func(d message.StoreResponse) {
+				if d.Status == message.StoreNotFound && p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+					p.controller.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
 					return
 				}
-				n.after(n.jitter(storeRetryDelay), retry)
+				p.after(p.jitter(storeRetryDelay), retry)
 			})
 			return
 		}
-		n.after(n.jitter(storeRetryDelay), retry)
+		p.after(p.jitter(storeRetryDelay), retry)
 	})
 }
 
-func (n *Controller) removeEndedJob(j *job, segmentKeys []string) {
-	o := n.shardLeader
+func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
+	o := p.controller.shardLeader
 	if o.jobs[j.ID] == j {
 		delete(o.jobs, j.ID)
 	}
 	o.faultAttribution.ForgetJob(j.ID)
-	o.orphanedRecords = append(o.orphanedRecords, segmentKeys...)
+	o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, segmentKeys...)
 }
 
 // deleteOrphanedRecords removes records of tasks whose job is over. Each removal needs
 // that the job's open record is gone: a record that a list showed may belong to
 // a job that came after open/ was listed, and that another controller runs.
-func (n *Controller) deleteOrphanedRecords() {
-	o := n.shardLeader
-	k := min(len(o.orphanedRecords), maxLazyWrites, n.settings.MaxTxnWrites)
-	keys := o.orphanedRecords[:k]
-	o.orphanedRecords = slices.Clone(o.orphanedRecords[k:])
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares("")}
+func (p *persistence) deleteOrphanedRecords() {
+	o := p.controller.shardLeader
+	k := min(len(o.persistence.orphanedRecords), maxLazyWrites, p.settings.MaxTxnWrites)
+	keys := o.persistence.orphanedRecords[:k]
+	o.persistence.orphanedRecords = slices.Clone(o.persistence.orphanedRecords[k:])
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares("")}
 	for _, key := range keys {
 		if open := (message.Compare{Key: record.OpenJobPrefix + record.JobIDFromKey(key, record.TaskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
 			op.Compares = append(op.Compares, open)
@@ -193,8 +193,8 @@
 		op.Writes = append(op.Writes, message.Write{Key: key})
 	}
 	gen := o.generation
-	n.writeTxn(op, func(d message.StoreResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen {
+	p.controller.rateLimits.writeTxn(op, func(d message.StoreResponse) {
+		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != gen {
 			return
 		}
 		if d.Status == message.StoreOK || d.Status == message.StoreMalformed {
@@ -203,9 +203,9 @@
 		keys = slices.DeleteFunc(keys, func(key string) bool {
 			return slices.Contains(d.FailedKeys, record.OpenJobPrefix+record.JobIDFromKey(key, record.TaskSegmentPrefix))
 		})
-		n.after(n.jitter(storeRetryDelay), func() {
-			if n.shardLeader != nil && n.shardLeader.generation == gen {
-				n.shardLeader.orphanedRecords = append(n.shardLeader.orphanedRecords, keys...)
+		p.after(p.jitter(storeRetryDelay), func() {
+			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+				p.controller.shardLeader.persistence.orphanedRecords = append(p.controller.shardLeader.persistence.orphanedRecords, keys...)
 			}
 		})
 	})
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -335,14 +335,14 @@
 // minEstimatorWeight is the weight of the newest finished task in the average.
 const minEstimatorWeight = 0.08
 
-func (n *Controller) updateEstimator(j *job, ran time.Duration) {
+func (k *fleetKnowledge) updateEstimator(j *job, ran time.Duration) {
 	if j.ExpectedRunTime <= 0 {
 		return
 	}
-	e := n.estimators[j.Workload]
+	e := k.estimators[j.Workload]
 	if e == nil {
 		e = &estimator{ratio: 1, deviation: minSafetyFraction}
-		n.estimators[j.Workload] = e
+		k.estimators[j.Workload] = e
 	}
 	e.samples++
 	r := ran.Seconds() / j.ExpectedRunTime.Seconds()
@@ -353,12 +353,12 @@
 }
 
 // expectedRunTime is the corrected estimate of a task's run time.
-func (n *Controller) expectedRunTime(j *job) time.Duration {
+func (k *fleetKnowledge) expectedRunTime(j *job) time.Duration {
 	if m, ok := j.medianRunTime(); ok {
 		return m
 	}
 	d := j.ExpectedRunTime
-	if e := n.estimators[j.Workload]; e != nil {
+	if e := k.estimators[j.Workload]; e != nil {
 		d = time.Duration(float64(d) * e.ratio)
 	}
 	return d
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -50,6 +50,8 @@
 // lending is the picture that the owner of the guests' team has of guest/, in the
 // given term as its owner.
 type lending struct {
+	component
+
 	team      string
 	term      int
 	loaded    bool
@@ -61,15 +63,15 @@
 // runLoanCommand carries out one transaction. Each names the record of whoever decides, the
 // leader's for what is lent, the share with the guests' team for what is borrowed, so
 // that nothing of a deposed one's is applied, and the record the decision rests on.
-func runLoanCommand(n *Controller, cmd message.LoanCommand) {
-	done := func(s message.LoanStatus) { n.emit(message.LoanReply{Reply: cmd.Reply, Status: s}) }
-	ownerReady := n.shardLeader != nil && n.shardLeader.ready
+func (l *lending) runLoanCommand(cmd message.LoanCommand) {
+	done := func(s message.LoanStatus) { l.emit(message.LoanReply{Reply: cmd.Reply, Status: s}) }
+	ownerReady := l.controller.shardLeader != nil && l.controller.shardLeader.ready
 	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
 	switch borrowing := cmd.Kind >= message.LoanAccept; {
-	case borrowing && ownerReady && offloadedJobsLoaded(n):
-		req.Compares = append(req.Compares, n.shardCompares(n.lending.team)...)
-	case !borrowing && n.leader != nil:
-		req.Compares = append(req.Compares, message.Compare{Key: record.LeaderKey, ModRevision: n.leader.modRevision})
+	case borrowing && ownerReady && l.offloadedJobsLoaded():
+		req.Compares = append(req.Compares, l.controller.shardLeader.shardCompares(l.team)...)
+	case !borrowing && l.controller.leader != nil:
+		req.Compares = append(req.Compares, message.Compare{Key: record.LeaderKey, ModRevision: l.controller.leader.modRevision})
 	default:
 		done(message.LoanNotApplied)
 		return
@@ -77,13 +79,13 @@
 	openKey := record.OpenJobPrefix + cmd.Job
 	var j *job
 	if ownerReady {
-		j = n.shardLeader.jobs[cmd.Job]
+		j = l.controller.shardLeader.jobs[cmd.Job]
 	}
 	onApplied := func() {}
 	var openUpdate message.KeyValue
-	switch current, isOpen := n.frontend.watchCache.openJobs[cmd.Job]; cmd.Kind {
+	switch current, isOpen := l.controller.frontend.watchCache.openJobs[cmd.Job]; cmd.Kind {
 	case message.LoanLend:
-		if j == nil || !j.isLendable() || !isDateDurable(n, j) {
+		if j == nil || !j.isLendable() || !l.controller.promises.isDateDurable(j) {
 			done(message.LoanNotApplied)
 			return
 		}
@@ -92,8 +94,8 @@
 		j.lending = true
 		// Without an answer it may be carried out when the job has been started here,
 		// which leaves open/ as it is: the first task's record must not be there either.
-		req.Compares = append(append(req.Compares, n.shardCompares(j.Team)...), message.Compare{Key: openKey, ModRevision: j.modRevision})
-		req.Compares = append(req.Compares, n.neverStartedCompares(cmd.Job)...)
+		req.Compares = append(append(req.Compares, l.controller.shardLeader.shardCompares(j.Team)...), message.Compare{Key: openKey, ModRevision: j.modRevision})
+		req.Compares = append(req.Compares, l.controller.membership.formats.neverStartedCompares(cmd.Job)...)
 		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
 	case message.LoanTakeBack:
 		if !isOpen || current.rec.LentTo == "" || current.rec.LendCount != cmd.LendCount {
@@ -113,47 +115,47 @@
 		if cmd.Kind == message.LoanEndCancelled {
 			status = model.Cancelled
 		}
-		endRec := endRecordFromCache(n, cmd.Job, status, &current)
+		endRec := l.controller.promises.endRecordFromCache(cmd.Job, status, &current)
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
 		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(endRec)})
 		openUpdate = message.KeyValue{Key: openKey, Deleted: true}
 		onApplied = func() {
-			n.cacheFinalStatus(cmd.Job, status)
-			cacheDoneDate(n, cmd.Job, endRec)
+			l.controller.frontend.cacheFinalStatus(cmd.Job, status)
+			l.controller.promises.cacheDoneDate(cmd.Job, endRec)
 		}
 	case message.LoanAccept:
-		rec := record.NewOpenJob(&cmd.Spec, n.now.Add(-cmd.Age))
+		rec := record.NewOpenJob(&cmd.Spec, l.now.Add(-cmd.Age))
 		rec.BorrowedLoan = cmd.Loan
 		req.Compares = append(req.Compares, message.Compare{Key: record.OffloadedJobPrefix + cmd.Loan, ModRevision: 0}, message.Compare{Key: openKey, ModRevision: 0}, message.Compare{Key: record.JobStatusPrefix + cmd.Job, ModRevision: 0})
 		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(record.OffloadedJob{Job: cmd.Job})})
 		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
-		onApplied = func() { n.lending.byLoan[cmd.Loan] = record.OffloadedJob{Job: cmd.Job} }
+		onApplied = func() { l.byLoan[cmd.Loan] = record.OffloadedJob{Job: cmd.Job} }
 	case message.LoanGiveUp:
 		if !isOpen || current.rec.Cancelled {
 			done(message.LoanNotApplied)
 			return
 		}
 		rec := current.rec
-		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
-		rec.ShrinkToFit(n.settings.MaxValueBytes)
+		rec.Cancelled, rec.CancelledAtMillis = true, l.now.UnixMilli()
+		rec.ShrinkToFit(l.settings.MaxValueBytes)
 		g := record.OffloadedJob{Job: cmd.Job, Cause: cmd.Cause}
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: current.modRevision})
-		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(endRecordFromCache(n, cmd.Job, model.Cancelled, &current))},
+		req.Writes = append(req.Writes, message.Write{Key: record.JobStatusPrefix + cmd.Job, Value: record.Encode(l.controller.promises.endRecordFromCache(cmd.Job, model.Cancelled, &current))},
 			message.Write{Key: record.OffloadedJobPrefix + cmd.Loan, Value: record.Encode(g)})
 		openUpdate = message.KeyValue{Key: openKey, Value: record.Encode(rec)}
-		onApplied = func() { n.lending.byLoan[cmd.Loan] = g }
+		onApplied = func() { l.byLoan[cmd.Loan] = g }
 	case message.LoanDrop:
 		req.Compares = append(req.Compares, message.Compare{Key: openKey, ModRevision: 0})
 		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan}, message.Write{Key: record.JobStatusPrefix + cmd.Job})
 		onApplied = func() {
-			delete(n.lending.byLoan, cmd.Loan)
-			delete(n.frontend.finalStatuses, cmd.Job)
+			delete(l.byLoan, cmd.Loan)
+			delete(l.controller.frontend.finalStatuses, cmd.Job)
 		}
 	}
 	if openUpdate.Key != "" {
 		req.Writes = append(req.Writes, message.Write{Key: openUpdate.Key, Value: openUpdate.Value})
 	}
-	n.requestStore(req, func(resp message.StoreResponse) {
+	l.controller.requests.toStore(req, func(resp message.StoreResponse) {
 		if j != nil {
 			j.lending = false
 		}
@@ -162,7 +164,7 @@
 			openUpdate.ModRevision = resp.Revision
 			onApplied()
 			if openUpdate.Key != "" {
-				n.observeOwnWrite(openUpdate)
+				l.controller.observeOwnWrite(openUpdate)
 			}
 			done(message.LoanDurable)
 		case message.StoreConflict, message.StoreRefused, message.StoreMalformed, message.StoreNoLease:
@@ -170,7 +172,7 @@
 		default:
 			if cmd.Kind >= message.LoanAccept {
 				// Carried out or not: what has been taken is read again before the next step.
-				n.lending.loaded = false
+				l.loaded = false
 			}
 			done(message.LoanUncertain)
 		}
@@ -202,11 +204,11 @@
 // cancelLentJob notes that a lent job's user wants it cancelled. That is told only
 // when the peer has stopped it or surely runs it no more; until then the user is
 // asked to come back, and gets no answer that could turn out to be wrong.
-func cancelLentJob(n *Controller, w *userRequest, f jobLookup) {
+func (l *lending) cancelLentJob(w *userRequest, f jobLookup) {
 	retry := func() {
-		n.after(lentCancelPoll, func() {
+		l.after(lentCancelPoll, func() {
 			if !w.answered {
-				n.cancelOpenJob(w)
+				l.controller.frontend.cancelOpenJob(w)
 			}
 		})
 	}
@@ -217,10 +219,10 @@
 	rec := f.open
 	rec.CancelRequested = true
 	it := message.KeyValue{Key: record.OpenJobPrefix + w.id, Value: record.Encode(rec)}
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []message.Write{{Key: it.Key, Value: it.Value}}}, func(d message.StoreResponse) {
+	l.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []message.Write{{Key: it.Key, Value: it.Value}}}, func(d message.StoreResponse) {
 		if d.Status == message.StoreOK {
 			it.ModRevision = d.Revision
-			n.observeOwnWrite(it)
+			l.controller.observeOwnWrite(it)
 		}
 		retry()
 	})
@@ -231,24 +233,23 @@
 const lentCancelPoll = 250 * time.Millisecond
 
 // offloadedJobsLoaded says that guest/ has been read in this term as owner.
-func offloadedJobsLoaded(n *Controller) bool {
-	held := n.shardLeader.teams[n.lending.team]
-	return n.lending.loaded && held != nil && held.holdID == n.lending.term
+func (l *lending) offloadedJobsLoaded() bool {
+	held := l.controller.shardLeader.teams[l.team]
+	return l.loaded && held != nil && held.holdID == l.term
 }
 
 // loadOffloadedJobs reads guest/ for a new owner of the guests' team.
-func loadOffloadedJobs(n *Controller, team string) {
-	g := &n.lending
+func (g *lending) loadOffloadedJobs(team string) {
 	if g.loading {
 		return
 	}
 	g.loading = true
-	term := n.shardLeader.teams[team].holdID
+	term := g.controller.shardLeader.teams[team].holdID
 	by, renewed := map[string]record.OffloadedJob{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
-			if held := n.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
+		g.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
+			if held := g.controller.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
 				g.loading = false
 				return
 			}
@@ -256,7 +257,7 @@
 				var r record.OffloadedJob
 				switch {
 				case !record.Decode(it.Value, &r):
-					n.info("unreadable record", "key", it.Key)
+					g.info("unreadable record", "key", it.Key)
 				case strings.HasPrefix(it.Key, renewalPrefix):
 					renewed[strings.TrimPrefix(it.Key, renewalPrefix)] = time.UnixMilli(r.RenewedAt)
 				default:
@@ -267,79 +268,79 @@
 				list(resp.KeyValues[len(resp.KeyValues)-1].Key)
 				return
 			}
-			*g = lending{team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
+			*g = lending{component: g.component, team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
 		})
 	}
 	list("")
 }
 
-func runRenewCommand(n *Controller, c message.RenewCommand) {
-	if n.shardLeader == nil || !offloadedJobsLoaded(n) {
+func (l *lending) runRenewCommand(c message.RenewCommand) {
+	if l.controller.shardLeader == nil || !l.offloadedJobsLoaded() {
 		return
 	}
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(n.lending.team)}
+	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: l.controller.shardLeader.shardCompares(l.team)}
 	for _, home := range sortedKeys(c.RenewedAt) {
-		if len(op.Writes) < n.settings.MaxTxnWrites {
+		if len(op.Writes) < l.settings.MaxTxnWrites {
 			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJob{RenewedAt: c.RenewedAt[home].UnixMilli()})})
 		}
 	}
 	if len(op.Writes) > 0 {
-		n.requestStore(op, func(message.StoreResponse) {})
+		l.controller.requests.toStore(op, func(message.StoreResponse) {})
 	}
 }
 
 // queryLoans answers when the picture of open/ is as of a moment after the
 // question.
-func queryLoans(n *Controller, c message.QueryLoans) {
+func (l *lending) queryLoans(c message.QueryLoans) {
 	for _, p := range c.Progress {
-		n.progressByJob[p.ID] = p
+		l.controller.frontend.progressByJob[p.ID] = p
 	}
-	if o := n.shardLeader; o != nil {
+	if o := l.controller.shardLeader; o != nil {
 		for id, j := range o.jobs {
 			if j.borrowedLoan != "" {
 				if was := j.startableUntil; c.StartableUntil[id].After(was) || c.StartableUntil[id].IsZero() {
 					j.startableUntil = c.StartableUntil[id]
-					o.placementDue = o.placementDue || was.Before(n.now)
+					o.scheduler.placementDue = o.scheduler.placementDue || was.Before(l.now)
 				}
 			}
 		}
 	}
-	unavailable := func() { n.emit(message.LoanView{Reply: c.Reply, Leader: n.membership.leader.Host}) }
+	unavailable := func() { l.emit(message.LoanView{Reply: c.Reply, Leader: l.controller.membership.leader.Host}) }
 	runsGuestTeam := func() bool {
-		return n.shardLeader != nil && n.shardLeader.teams[c.GuestTeam] != nil && n.shardLeader.teams[c.GuestTeam].ready
+		return l.controller.shardLeader != nil && l.controller.shardLeader.teams[c.GuestTeam] != nil && l.controller.shardLeader.teams[c.GuestTeam].ready
 	}
-	if runsGuestTeam() && !offloadedJobsLoaded(n) {
-		loadOffloadedJobs(n, c.GuestTeam)
+	if runsGuestTeam() && !l.offloadedJobsLoaded() {
+		l.loadOffloadedJobs(c.GuestTeam)
 		unavailable()
 		return
 	}
-	if n.leader == nil && !runsGuestTeam() {
-		n.emit(message.LoanView{Reply: c.Reply, OK: true, Leader: n.membership.leader.Host})
+	if l.controller.leader == nil && !runsGuestTeam() {
+		l.emit(message.LoanView{Reply: c.Reply, OK: true, Leader: l.controller.membership.leader.Host})
 		return
 	}
-	n.refresh(func(ok bool) {
-		if !ok || runsGuestTeam() && !offloadedJobsLoaded(n) {
+	l.controller.frontend.watchCache.refresh(func(ok bool) {
+		if !ok || runsGuestTeam() && !l.offloadedJobsLoaded() {
 			unavailable()
 			return
 		}
-		n.emit(buildLoanView(n, c, runsGuestTeam()))
+		l.emit(l.buildLoanView(c, runsGuestTeam()))
 	})
 }
 
-func buildLoanView(n *Controller, c message.QueryLoans, runsGuestTeam bool) message.LoanView {
-	cache := &n.frontend.watchCache
+func (l *lending) buildLoanView(c message.QueryLoans, runsGuestTeam bool) message.LoanView {
+	cache := &l.controller.frontend.watchCache
 	v := message.LoanView{
-		Reply: c.Reply, OK: true, Leader: n.membership.leader.Host, LeaseValidUntil: n.membership.leaseValidUntil,
-		Draining: n.membership.drain.Enabled, RenewedAt: maps.Clone(n.lending.renewedAt), RunsGuestTeam: runsGuestTeam,
+		Reply: c.Reply, OK: true, Leader: l.controller.membership.leader.Host, LeaseValidUntil: l.controller.membership.leaseValidUntil,
+		Draining: l.controller.membership.drain.Enabled, RenewedAt: maps.Clone(l.renewedAt), RunsGuestTeam: runsGuestTeam,
 	}
-	if n.leader != nil {
-		v.IsLeader, v.Epoch = true, n.leader.modRevision
+	if l.controller.leader != nil {
+		v.IsLeader, v.Epoch = true, l.controller.leader.modRevision
 	}
 	if runsGuestTeam {
-		v.GuestTeamEpoch, v.GuestTeamTerm = n.membership.shardMap.Team(c.GuestTeam).HeldSince(), n.lending.term
+		v.GuestTeamEpoch, v.GuestTeamTerm = l.controller.membership.shardMap.Team(c.GuestTeam).HeldSince(), l.term
 	}
-	if n.membership.drain.Deadline > 0 {
-		v.DrainDeadline = time.UnixMilli(n.membership.drain.Deadline)
+	if l.controller.membership.drain.Deadline > 0 {
+		v.DrainDeadline = time.UnixMilli(l.controller.membership.drain.Deadline)
 	}
 	for _, id := range sortedKeys(cache.openJobs) {
 		if r := cache.openJobs[id].rec; v.IsLeader && r.LentTo != "" {
@@ -347,35 +348,35 @@
 		}
 	}
 	if runsGuestTeam {
-		for _, name := range sortedKeys(n.lending.byLoan) {
-			v.Borrowed = append(v.Borrowed, buildBorrowedJob(n, name))
+		for _, name := range sortedKeys(l.byLoan) {
+			v.Borrowed = append(v.Borrowed, l.buildBorrowedJob(name))
 		}
 	}
-	if o := n.shardLeader; o != nil && o.ready && c.WithSimulation {
-		simulateLoans(n, &v)
+	if o := l.controller.shardLeader; o != nil && o.ready && c.WithSimulation {
+		l.simulateLoans(&v)
 	}
 	return v
 }
 
 // buildBorrowedJob is what is durable of a loan that was taken.
-func buildBorrowedJob(n *Controller, name string) message.BorrowedJob {
-	g := n.lending.byLoan[name]
+func (ll *lending) buildBorrowedJob(name string) message.BorrowedJob {
+	g := ll.byLoan[name]
 	b := message.BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
-	if l, there := n.frontend.watchCache.openJobs[g.Job]; there {
+	if l, there := ll.controller.frontend.watchCache.openJobs[g.Job]; there {
 		b.StatusKnown, b.Spec, b.Ending = true, l.rec.JobSpec(g.Job), l.rec.Cancelled
-	} else if s, ok := n.frontend.finalStatuses[g.Job]; ok {
+	} else if s, ok := ll.controller.frontend.finalStatuses[g.Job]; ok {
 		b.StatusKnown, b.Status = true, s
 	} else {
-		n.readStatusRecord(g.Job, func(d message.StoreResponse) {
+		ll.controller.frontend.readStatusRecord(g.Job, func(d message.StoreResponse) {
 			var r record.JobStatus
 			if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
-				n.cacheFinalStatus(g.Job, r.Status)
+				ll.controller.frontend.cacheFinalStatus(g.Job, r.Status)
 			}
 		})
 	}
-	p := n.progressOf(g.Job)
+	p := ll.controller.frontend.progressOf(g.Job)
 	b.DoneTasks, b.RunningTasks = p.Done, p.Running
-	if j := n.shardLeader.jobs[g.Job]; j != nil {
+	if j := ll.controller.shardLeader.jobs[g.Job]; j != nil {
 		b.Started = j.hasStarted()
 	}
 	return b
@@ -383,12 +384,12 @@
 
 // simulateLoans plays the queue forward on the machines there are: which jobs of which
 // nothing was started end too late, and which machines nothing of ours will want.
-func simulateLoans(n *Controller, v *message.LoanView) {
-	v.CheapestCPUHour = n.cheapestCPUCost()
+func (ll *lending) simulateLoans(v *message.LoanView) {
+	v.CheapestCPUHour = ll.controller.knowledge.cheapestCPUCost()
 	images := map[string]bool{}
-	capacity := n.futureFreeCapacity()
-	sim := n.newSimulation(copyFreeCapacity(capacity, nil), capacity.imageIDs, nil)
-	for _, d := range n.demands(n.planningHorizon(), true, false) {
+	capacity := ll.controller.shardLeader.fleet.futureFreeCapacity()
+	sim := ll.controller.shardLeader.fleet.newSimulation(copyFreeCapacity(capacity, nil), capacity.imageIDs, nil)
+	for _, d := range ll.controller.shardLeader.fleet.demands(ll.controller.knowledge.planningHorizon(), true, false) {
 		last, unplaceable := time.Time{}, d.count == 0
 		sim.simulate(d, func(_ int, x *simulatedMachine, _, at time.Time) {
 			if unplaceable = unplaceable || x == nil; x != nil {
@@ -398,24 +399,24 @@
 		if d.arrivalSpread > 0 || d.job.borrowedLoan != "" {
 			continue
 		}
-		finish := last.Add(n.expectedOccupancy(d.job)).Sub(n.now)
+		finish := last.Add(ll.controller.shardLeader.fleet.expectedOccupancy(d.job)).Sub(ll.now)
 		if unplaceable {
 			finish = maxLateness
 		}
 		// What waits may also run on machines that are rented for it, unless the
 		// cloud has lately had none of the kind.
-		for k, f := range rentableKinds(n) {
+		for k, f := range ll.rentableKinds() {
 			if d.job.allowsMachine(k.machineType, k.zone, k.spot) && d.job.Need.Fits(f.Capacity) {
-				finish = min(finish, f.ProvisioningTime+newMachineFetchTime(&f, d.job)+n.expectedOccupancy(d.job))
+				finish = min(finish, f.ProvisioningTime+newMachineFetchTime(&f, d.job)+ll.controller.shardLeader.fleet.expectedOccupancy(d.job))
 			}
 		}
-		sloDue := n.latestStart(d.job).Add(n.expectedRunTime(d.job)).Sub(n.now)
+		sloDue := ll.controller.shardLeader.scheduler.latestStart(d.job).Add(ll.controller.knowledge.expectedRunTime(d.job)).Sub(ll.now)
 		if finish > sloDue {
 			v.OwnWorkLate, v.LateUrgency = true, max(v.LateUrgency, d.job.Urgency)
 		}
 		if d.job.isLendable() {
 			v.Waiting = append(v.Waiting, message.WaitingJob{
-				Spec: d.job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: n.expectedRunTime(d.job), LendCount: d.job.lendCount,
+				Spec: d.job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: ll.controller.knowledge.expectedRunTime(d.job), LendCount: d.job.lendCount,
 			})
 		}
 	}
@@ -425,7 +426,7 @@
 	}
 	count := map[like]int{}
 	for _, x := range sim.machines {
-		if x.machine == nil || x.placements > 0 || !n.usable(x.machine) || x.machine.decommissioning {
+		if x.machine == nil || x.placements > 0 || !ll.controller.shardLeader.scheduler.usable(x.machine) || x.machine.decommissioning {
 			continue
 		}
 		count[like{x.machineKind, x.machine.free()}]++
@@ -433,12 +434,12 @@
 			images[name] = images[name] || im.cached
 		}
 	}
-	for k, f := range rentableKinds(n) {
-		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: n.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+	for k, f := range ll.rentableKinds() {
+		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: ll.controller.knowledge.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
 	for l, k := range count {
-		f := n.machineTypes[l.k.machineType]
-		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: l.k.machineType, Zone: l.k.zone, Spot: l.k.spot, PerMachine: l.each, Machines: k, CostPerCPUHour: n.costPerHour(l.k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+		f := ll.controller.knowledge.machineTypes[l.k.machineType]
+		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: l.k.machineType, Zone: l.k.zone, Spot: l.k.spot, PerMachine: l.each, Machines: k, CostPerCPUHour: ll.controller.knowledge.costPerHour(l.k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
 	slices.SortFunc(v.FreeCapacity, func(a, b message.FreeCapacity) int {
 		return cmp.Or(strings.Compare(a.MachineType, b.MachineType), strings.Compare(a.Zone, b.Zone), cmp.Compare(boolToFloat(a.Spot), boolToFloat(b.Spot)), cmp.Compare(a.AvailableIn, b.AvailableIn), cmp.Compare(a.PerMachine.CPU, b.PerMachine.CPU), cmp.Compare(a.PerMachine.Memory, b.PerMachine.Memory))
@@ -460,16 +461,16 @@
 const refusalMemory = time.Minute
 
 // rentableKinds are the kinds of machines that the cloud has not lately refused.
-func rentableKinds(n *Controller) map[machineKind]model.MachineType {
+func (l *lending) rentableKinds() map[machineKind]model.MachineType {
 	out := map[machineKind]model.MachineType{}
-	if n.shardLeader.fleetView == nil {
+	if l.controller.shardLeader.fleet.view == nil {
 		return out
 	}
-	for _, f := range n.machineTypes {
+	for _, f := range l.controller.knowledge.machineTypes {
 		for _, z := range f.Zones {
 			for _, spot := range [...]bool{true, false} {
 				k := machineKind{f.Name, z, spot}
-				if n.now.Sub(n.shardLeader.fleetView.blockedUntil[k]) > refusalMemory {
+				if l.now.Sub(l.controller.shardLeader.fleet.view.blockedUntil[k]) > refusalMemory {
 					out[k] = f
 				}
 			}
@@ -479,14 +480,14 @@
 }
 
 // runDrainCommand writes whether the cluster is being emptied of borrowed work.
-func runDrainCommand(n *Controller, c message.DrainCommand) {
+func (l *lending) runDrainCommand(c message.DrainCommand) {
 	rec := record.Encode(record.Drain{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Writes: []message.Write{{Key: record.DrainKey, Value: rec}}}, func(d message.StoreResponse) {
+	l.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Writes: []message.Write{{Key: record.DrainKey, Value: rec}}}, func(d message.StoreResponse) {
 		s := message.LoanUncertain
 		if d.Status == message.StoreOK {
 			s = message.LoanDurable
-			n.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: rec, ModRevision: d.Revision})
+			l.controller.membership.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: rec, ModRevision: d.Revision})
 		}
-		n.emit(message.LoanReply{Reply: c.Reply, Status: s})
+		l.emit(message.LoanReply{Reply: c.Reply, Status: s})
 	})
 }
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -126,12 +126,11 @@
 	cached bool
 }
 
-func (n *Controller) ensureMachine(id string) *machine {
-	o := n.shardLeader
+func (o *shardLeader) ensureMachine(id string) *machine {
 	m := o.machines[id]
 	if m == nil {
-		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: n.now, ownedSince: n.now, formerOwnerUntil: n.now.Add(n.formerOwnerGrace())}
-		if x, ok := n.ownedMachine(id); ok {
+		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: o.now, ownedSince: o.now, formerOwnerUntil: o.now.Add(o.controller.renewal.formerOwnerGrace())}
+		if x, ok := o.controller.membership.ownedMachine(id); ok {
 			m.epoch = x.Epoch
 		}
 		o.machines[id] = m
@@ -162,20 +161,20 @@
 	o.faultAttribution.ForgetMachine(m.id)
 }
 
-func (n *Controller) describe(m *machine, addr, machineType, zone string, spot bool) {
+func (o *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
 	if m.machineType == "" {
-		n.setMachineZone(m, zone)
+		o.setMachineZone(m, zone)
 	}
 	m.addr, m.machineType, m.spot = addr, machineType, spot
-	if f, ok := n.machineTypes[machineType]; ok {
+	if f, ok := o.controller.knowledge.machineTypes[machineType]; ok {
 		m.size, m.disk = f.Capacity, f.DiskGB
 	}
 }
 
 // setMachineZone notes in which zone a machine with tasks on it is.
-func (n *Controller) setMachineZone(m *machine, zone string) {
+func (o *shardLeader) setMachineZone(m *machine, zone string) {
 	for k := range m.attempts {
-		j := n.shardLeader.jobs[k.job]
+		j := o.jobs[k.job]
 		j.liveByZone[m.zone]--
 		j.liveByZone[zone]++
 	}
@@ -185,10 +184,10 @@
 // formerOwnerGrace is for how long a former owner may go on answering a machine after it has
 // become another's. One that lives knows of that with its watch, or loses its grant,
 // and then answers for its grace.
-func (n *Controller) formerOwnerGrace() time.Duration { return membershipLeaseTTL + n.grace() }
+func (r *leaseRenewer) formerOwnerGrace() time.Duration { return membershipLeaseTTL + r.grace() }
 
-func (n *Controller) leaseEndAfter(t time.Time) time.Time {
-	return t.Add(time.Duration(float64(n.settings.WorkerLease)*(1+clockDrift)) + leaseMargin)
+func (r *leaseRenewer) leaseEndAfter(t time.Time) time.Time {
+	return t.Add(time.Duration(float64(r.settings.WorkerLease)*(1+clockDrift)) + leaseMargin)
 }
 
 func sortedAttempts(m *machine) []taskKey { return sortedTasks(m.attempts) }
@@ -259,6 +258,6 @@
 		return
 	}
 	n.debug("machine gone", "machine", m.id, "why", why, "attempts", len(m.attempts))
-	n.loseAllAttempts(m, nil)
+	n.shardLeader.heartbeats.loseAllAttempts(m, nil)
 	n.shardLeader.removeMachine(m)
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -37,6 +37,8 @@
 
 // membership is this node's grant and its picture of ctl/.
 type membership struct {
+	component
+
 	started bool
 	ready   bool
 	leaseID uint64
@@ -65,19 +67,6 @@
 	shardMap           *sharding.Map
 	claimingLeadership bool
 	drain              record.Drain
-	// formatSupport are the controllers that know parts of records, and form the one that all
-	// have come to, of formatKey's stamp; forming: a write for that is under way. See
-	// formats.go.
-	formatSupport     map[string]bool
-	format            segmentFormat
-	formatModRevision uint64
-	writingFormat     bool
-	// lowered: the state service has its new limits, and probing: that has lately been
-	// asked for.
-	limitsLowered, probingLimits bool
-	// lostLeases counts the grants that this process has lost: each makes another life of
-	// it, since which of its orders are on their way is forgotten with its roles.
-	lostLeases int
 	// confirmWaiters wait until ctl/ is known as of a moment after they were asked; sure is
 	// that a read for them is under way.
 	confirmWaiters []func()
@@ -87,10 +76,16 @@
 	receivesNothingUntil time.Time
 	unheard              bool
 	reroutesReportedAt   time.Time
+	formats              formatMigration
+	// raising: machines are being named once more for a higher epoch.
+	bumpingEpoch bool
+	// storeUnavailable is when each of the others last said that the state service does
+	// not answer there.
+	peersWithoutStore           map[string]time.Time
+	storeUnavailablePublishedAt time.Time
 }
 
-func (n *Controller) storeDown(now time.Time) bool {
-	s := &n.membership
+func (s *membership) storeDown(now time.Time) bool {
 	return !s.storeFailingSince.IsZero() && now.Sub(s.storeFailingSince) > storeDownAfter
 }
 
@@ -98,89 +93,88 @@
 // as well, so that a user who is sent elsewhere finds it no better. A node that
 // is alone with its loss turns unhealthy, and so does one that hears nothing;
 // in an outage for all, to be taken out and let in again only costs time.
-func (n *Controller) storeDownEverywhere(now time.Time) bool {
-	for _, p := range n.settings.Peers {
-		if at, ok := n.storeUnavailable[p]; !ok || now.Sub(at) > storeUnavailableTTL {
+func (m *membership) storeDownEverywhere(now time.Time) bool {
+	for _, p := range m.settings.Peers {
+		if at, ok := m.peersWithoutStore[p]; !ok || now.Sub(at) > storeUnavailableTTL {
 			return false
 		}
 	}
-	return len(n.settings.Peers) > 0
+	return len(m.settings.Peers) > 0
 }
 
 // publishStoreUnavailable tells the others that the state service does not answer here.
-func (n *Controller) publishStoreUnavailable() {
-	if !n.storeDown(n.now) || n.now.Sub(n.storeUnavailablePublishedAt) < storeUnavailableInterval {
+func (m *membership) publishStoreUnavailable() {
+	if !m.storeDown(m.now) || m.now.Sub(m.storeUnavailablePublishedAt) < storeUnavailableInterval {
 		return
 	}
-	n.storeUnavailablePublishedAt = n.now
-	for _, p := range n.settings.Peers {
-		n.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: n.settings.Host, StoreUnavailable: true}})
+	m.storeUnavailablePublishedAt = m.now
+	for _, p := range m.settings.Peers {
+		m.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: m.settings.Host, StoreUnavailable: true}})
 	}
 }
 
-func (n *Controller) startMembership() {
-	n.membership.started, n.membership.startedAt = true, n.now
-	n.membership.controllers, n.membership.formatSupport = map[string]record.Member{}, map[string]bool{}
-	n.membership.shardMap = sharding.NewMap()
+func (m *membership) startMembership() {
+	m.started, m.startedAt = true, m.now
+	m.controllers, m.formats.support = map[string]record.Member{}, map[string]bool{}
+	m.shardMap = sharding.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
 	ended, waited := false, false
 	begin := func() {
 		if ended && waited {
-			n.createLease()
+			m.createLease()
 		}
 	}
-	n.endPreviousIncarnation(func() {
+	m.endPreviousIncarnation(func() {
 		ended = true
 		begin()
 	})
-	beginIncarnation(n, func() {
+	m.beginIncarnation(func() {
 		waited = true
 		begin()
 	})
-	n.leaseRenewLoop()
-	n.loadMachineTypes()
-	startPromises(n)
-	publishRates(n)
+	m.leaseRenewLoop()
+	m.controller.loadMachineTypes()
+	m.controller.promises.startPromises()
+	m.controller.rateLimits.publishRates()
 }
 
 // beginIncarnation calls fn when this life may take part, which after several short ones in
 // a row is not at once; see internal/incarnation.
-func beginIncarnation(n *Controller, fn func()) {
-	key := record.IncarnationPrefix + n.settings.Host
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
+func (m *membership) beginIncarnation(fn func()) {
+	key := record.IncarnationPrefix + m.settings.Host
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK && d.Status != message.StoreNotFound {
-			n.after(n.jitter(storeRetryDelay), func() { beginIncarnation(n, fn) })
+			m.after(m.jitter(storeRetryDelay), func() { m.beginIncarnation(fn) })
 			return
 		}
 		var r record.Incarnation
 		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && record.Decode(d.KeyValues[0].Value, &r)
-		past, wait := incarnation.Start(n.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
+		past, wait := incarnation.Start(m.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
 		// It need not be waited for: lost, it only makes the next life wait less.
 		rec := record.Encode(record.Incarnation{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
+		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
-			n.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
+			m.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
 		}
-		n.after(wait, fn)
+		m.after(wait, fn)
 	})
 }
 
 // endPreviousIncarnation ends the grant of this controller's earlier life, which is surely
 // over, so that the others need not wait for it to run out, and calls fn when it is
 // known what stands under its name.
-func (n *Controller) endPreviousIncarnation(fn func()) {
-	s := &n.membership
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + n.settings.Host}, func(d message.StoreResponse) {
+func (s *membership) endPreviousIncarnation(fn func()) {
+	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + s.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
 		case message.StoreOK:
 			var old record.Member
-			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == n.incarnation() {
+			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == s.incarnation() {
 				s.recordModRevision = d.KeyValues[0].ModRevision
 				fn()
 				return
 			}
-			n.requestStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
+			s.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
 				// Should the record stand all the same, registering fails and comes
 				// back here.
 				s.recordModRevision = 0
@@ -190,54 +184,54 @@
 			s.recordModRevision = 0
 			fn()
 		default:
-			n.after(n.jitter(storeRetryDelay), func() { n.endPreviousIncarnation(fn) })
+			s.after(s.jitter(storeRetryDelay), func() { s.endPreviousIncarnation(fn) })
 		}
 	})
 }
 
-func (n *Controller) createLease() {
-	n.requestStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(d message.StoreResponse) {
+func (m *membership) createLease() {
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK {
-			n.after(n.jitter(storeRetryDelay), n.createLease)
+			m.after(m.jitter(storeRetryDelay), m.createLease)
 			return
 		}
-		n.membership.leaseID = d.LeaseID
-		n.membership.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
-		n.register()
+		m.leaseID = d.LeaseID
+		m.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
+		m.register()
 	})
 }
 
-func (n *Controller) register() {
-	grant := n.membership.leaseID
-	key := record.MemberPrefix + n.settings.Host
-	rec := record.Encode(record.Member{LeaseID: grant, Incarnation: n.incarnation(), ReceivesNothing: n.membership.receivesNothing(n.now), StartedAt: n.membership.startedAt.UnixMilli()})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: n.membership.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d message.StoreResponse) {
-		if n.membership.leaseID != grant {
+func (m *membership) register() {
+	grant := m.leaseID
+	key := record.MemberPrefix + m.settings.Host
+	rec := record.Encode(record.Member{LeaseID: grant, Incarnation: m.incarnation(), ReceivesNothing: m.receivesNothing(m.now), StartedAt: m.startedAt.UnixMilli()})
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: m.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d message.StoreResponse) {
+		if m.leaseID != grant {
 			return
 		}
 		switch d.Status {
 		case message.StoreConflict:
 			// A write of a former life came late, or this one's own had no answer.
-			n.after(n.jitter(storeRetryDelay), func() {
-				if n.membership.leaseID == grant {
-					n.endPreviousIncarnation(func() {
-						if n.membership.leaseID == grant {
-							n.register()
+			m.after(m.jitter(storeRetryDelay), func() {
+				if m.leaseID == grant {
+					m.endPreviousIncarnation(func() {
+						if m.leaseID == grant {
+							m.register()
 						}
 					})
 				}
 			})
 		case message.StoreOK:
-			n.membership.recordModRevision = d.Revision
-			if !n.membership.loaded {
-				n.loadControlRecords()
+			m.recordModRevision = d.Revision
+			if !m.loaded {
+				m.loadControlRecords()
 			}
 		case message.StoreNoLease:
-			n.leaseLost("grant ended before registration")
+			m.leaseLost("grant ended before registration")
 		default:
-			n.after(n.jitter(storeRetryDelay), func() {
-				if n.membership.leaseID == grant {
-					n.register()
+			m.after(m.jitter(storeRetryDelay), func() {
+				if m.leaseID == grant {
+					m.register()
 				}
 			})
 		}
@@ -246,33 +240,32 @@
 
 // leaseLost steps down at once: the state service says the grant is over,
 // so others may hold the roles already.
-func (n *Controller) leaseLost(reason string) {
-	if n.membership.leaseID == 0 {
+func (m *membership) leaseLost(reason string) {
+	if m.leaseID == 0 {
 		return
 	}
-	n.info("session lost", "why", reason)
-	n.relinquishRoles("session lost")
-	n.createLease()
+	m.info("session lost", "why", reason)
+	m.relinquishRoles("session lost")
+	m.createLease()
 }
 
 // relinquishRoles gives up all roles with the grant that they rest on. What this process
 // takes up under its next grant it takes up as another life.
-func (n *Controller) relinquishRoles(reason string) {
-	n.membership.leaseID, n.membership.recordModRevision = 0, 0
-	n.membership.lostLeases++
-	n.stepDown()
-	n.dropShardLeader(reason)
+func (m *membership) relinquishRoles(reason string) {
+	m.leaseID, m.recordModRevision = 0, 0
+	m.lostLeases++
+	m.controller.stepDown()
+	m.controller.dropShardLeader(reason)
 }
 
-func (n *Controller) leaseRenewLoop() {
-	n.after(leaseRenewInterval, n.leaseRenewLoop)
-	s := &n.membership
+func (s *membership) leaseRenewLoop() {
+	s.after(leaseRenewInterval, s.leaseRenewLoop)
 	if s.leaseID == 0 || s.renewing {
 		return
 	}
 	s.renewing = true
 	grant := s.leaseID
-	n.requestStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: grant}, func(d message.StoreResponse) {
+	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: grant}, func(d message.StoreResponse) {
 		s.renewing = false
 		if s.leaseID != grant {
 			return
@@ -281,21 +274,21 @@
 		case message.StoreOK:
 			s.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
 		case message.StoreNotFound, message.StoreNoLease:
-			n.leaseLost("grant ran out")
+			s.leaseLost("grant ran out")
 		}
 	})
 }
 
 // recentlyStarted says that a controller began so lately that it gets no duty yet that another
 // can have.
-func (n *Controller) recentlyStarted(r record.Member) bool {
-	return r.StartedAt != 0 && incarnation.OnProbation(n.now, time.UnixMilli(r.StartedAt))
+func (m *membership) recentlyStarted(r record.Member) bool {
+	return r.StartedAt != 0 && incarnation.OnProbation(m.now, time.UnixMilli(r.StartedAt))
 }
 
 // hasEstablishedPeer says that some other controller has been up for a while.
-func (n *Controller) hasEstablishedPeer() bool {
-	for h, r := range n.membership.controllers {
-		if h != n.settings.Host && !n.recentlyStarted(r) && !r.ReceivesNothing {
+func (m *membership) hasEstablishedPeer() bool {
+	for h, r := range m.controllers {
+		if h != m.settings.Host && !m.recentlyStarted(r) && !r.ReceivesNothing {
 			return true
 		}
 	}
@@ -305,23 +298,22 @@
 // fromCurrentIncarnation says that news comes from a life of its sender that takes part now, as far as
 // this node has read. What a former life sent may come late, and what it asked for may
 // be in use by now.
-func (n *Controller) fromCurrentIncarnation(c *message.PeerUpdate) bool {
-	r, lives := n.membership.controllers[c.From]
+func (m *membership) fromCurrentIncarnation(c *message.PeerUpdate) bool {
+	r, lives := m.controllers[c.From]
 	return lives && r.Incarnation == c.Incarnation
 }
 
 // incarnation names this process, and which grant it has in turn.
-func (n *Controller) incarnation() string {
-	if n.membership.lostLeases == 0 {
-		return n.settings.Incarnation
+func (e *environment) incarnation() string {
+	if e.lostLeases == 0 {
+		return e.settings.Incarnation
 	}
-	return n.settings.Incarnation + "." + strconv.Itoa(n.membership.lostLeases)
+	return e.settings.Incarnation + "." + strconv.Itoa(e.lostLeases)
 }
 
 // loadControlRecords reads ctl/ anew. Pages read later may tell of later changes, so that it is
 // whole only when the changes up to the last page have come in order as well.
-func (n *Controller) loadControlRecords() {
-	s := &n.membership
+func (s *membership) loadControlRecords() {
 	s.generation++
 	gen := s.generation
 	var items []message.KeyValue
@@ -329,12 +321,12 @@
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		s.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if gen != s.generation {
 				return
 			}
 			if d.Status != message.StoreOK {
-				n.after(n.jitter(storeRetryDelay), func() {
+				s.after(s.jitter(storeRetryDelay), func() {
 					if gen == s.generation {
 						list(from)
 					}
@@ -354,76 +346,73 @@
 			oldShardMap := s.shardMap
 			s.shardMap = sharding.NewMap()
 			for _, it := range items {
-				n.applyControlRecord(it)
+				s.applyControlRecord(it)
 			}
-			markReassignedAfterReRead(n, oldShardMap)
-			noteRankingAbsence(n, items)
-			noteRankingKnown(n, began)
+			markReassignedAfterReRead(s.controller, oldShardMap)
+			s.controller.ranking.noteRankingAbsence(items)
+			s.controller.ranking.noteRankingKnown(began)
 			s.revision = firstRevision
-			n.watchControlRecords(gen, d.Revision)
+			s.watchControlRecords(gen, d.Revision)
 		})
 	}
 	list("")
 }
 
 // watchControlRecords watches ctl/. What is known of it counts from the revision whole on.
-func (n *Controller) watchControlRecords(gen int, completeRevision uint64) {
-	s := &n.membership
+func (s *membership) watchControlRecords(gen int, completeRevision uint64) {
 	if gen != s.generation {
 		return
 	}
 	if !s.loaded && s.revision >= completeRevision {
 		s.loaded, s.ready = true, true
-		n.startWatchCache()
-		n.controlRecordsChanged()
+		s.controller.frontend.watchCache.startWatchCache()
+		s.controlRecordsChanged()
 	}
 	hold := watchTimeout
 	if s.revision < completeRevision {
 		hold = 0
 	}
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
+	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
 		if gen != s.generation {
 			return
 		}
 		switch d.Status {
 		case message.StoreOK:
-			n.applyControlUpdates(d)
-			n.watchControlRecords(gen, completeRevision)
+			s.applyControlUpdates(d)
+			s.watchControlRecords(gen, completeRevision)
 		case message.StoreCompacted:
 			s.loaded = false
-			n.loadControlRecords()
+			s.loadControlRecords()
 		default:
-			n.after(n.jitter(storeRetryDelay), func() { n.watchControlRecords(gen, completeRevision) })
+			s.after(s.jitter(storeRetryDelay), func() { s.watchControlRecords(gen, completeRevision) })
 		}
 	})
 }
 
 // applyControlUpdates takes in what a watch or a read of ctl/ has brought: all changes after a
 // revision that was known. Of two that overlap each change counts once.
-func (n *Controller) applyControlUpdates(d message.StoreResponse) {
-	s := &n.membership
+func (s *membership) applyControlUpdates(d message.StoreResponse) {
 	changed := false
 	for i, it := range d.KeyValues {
 		if it.ModRevision > s.revision {
-			n.applyControlRecord(it)
+			s.applyControlRecord(it)
 			changed = true
 			if i+1 == len(d.KeyValues) || d.KeyValues[i+1].ModRevision != it.ModRevision {
-				markReassignedTeams(n)
+				markReassignedTeams(s.controller)
 			}
 		}
 	}
 	s.revision = max(s.revision, d.Revision)
-	noteRankingKnown(n, d.SentAt)
+	s.controller.ranking.noteRankingKnown(d.SentAt)
 	if changed && s.loaded {
-		n.controlRecordsChanged()
+		s.controlRecordsChanged()
 	}
 }
 
 // confirmControlRecords calls fn when ctl/ is known as of a moment after this call. What is counted
 // against a machine by time alone, as the end of its lease, may count only if the
 // machine still was this controller's by then.
-func (n *Controller) confirmControlRecords(fn func()) {
-	s := &n.membership
+func (s *membership) confirmControlRecords(fn func()) {
 	s.confirmWaiters = append(s.confirmWaiters, fn)
 	if s.confirming || !s.loaded {
 		return
@@ -432,27 +421,26 @@
 	waiters := s.confirmWaiters
 	s.confirmWaiters = nil
 	gen := s.generation
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision}, func(d message.StoreResponse) {
+	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision}, func(d message.StoreResponse) {
 		s.confirming = false
 		if gen != s.generation || d.Status != message.StoreOK {
 			// Whoever needs it asks again.
 			return
 		}
-		n.applyControlUpdates(d)
+		s.applyControlUpdates(d)
 		for _, fn := range waiters {
 			fn()
 		}
 		if next := s.confirmWaiters; len(next) > 0 {
 			s.confirmWaiters = nil
 			for _, fn := range next {
-				n.confirmControlRecords(fn)
+				s.confirmControlRecords(fn)
 			}
 		}
 	})
 }
 
-func (n *Controller) applyControlRecord(it message.KeyValue) {
-	s := &n.membership
+func (s *membership) applyControlRecord(it message.KeyValue) {
 	value := it.Value
 	if it.Deleted {
 		value = nil
@@ -470,11 +458,11 @@
 			s.leaderModRevision = it.ModRevision
 		}
 	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
-		applyFormatRecord(n, it)
+		s.controller.membership.formats.applyFormatRecord(it)
 	case it.Key == record.RankingKey:
-		applyRankingRecord(n, it)
+		s.controller.ranking.applyRankingRecord(it)
 	case strings.HasPrefix(it.Key, record.ReroutePrefix):
-		applyRerouteRecord(n, it)
+		s.controller.partition.applyRerouteRecord(it)
 	case strings.HasPrefix(it.Key, record.MemberPrefix):
 		host := strings.TrimPrefix(it.Key, record.MemberPrefix)
 		delete(s.controllers, host)
@@ -488,51 +476,49 @@
 		err = s.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
 	}
 	if err != nil {
-		n.rejectInput("record", it.Key, err.Error())
+		s.rejectInput("record", it.Key, err.Error())
 	}
 }
 
-func (n *Controller) controlRecordsChanged() {
-	s := &n.membership
-	applyRankingChange(n)
+func (s *membership) controlRecordsChanged() {
+	s.controller.ranking.applyRankingChange()
 	switch {
 	case s.leaderModRevision == 0:
-		n.stepDown()
+		s.controller.stepDown()
 		wait := time.Duration(0)
 		switch {
-		case s.receivesNothing(n.now):
+		case s.receivesNothing(s.now):
 			// The others first; see partition.go.
 			wait = partitionLeadDelay
-		case incarnation.OnProbation(n.now, s.startedAt) && n.hasEstablishedPeer():
+		case incarnation.OnProbation(s.now, s.startedAt) && s.hasEstablishedPeer():
 			// Others have been up for longer, and may be for longer yet.
 			wait = recentStartLeadDelay
 		}
 		if wait == 0 {
-			n.claimLeadership()
+			s.claimLeadership()
 			break
 		}
-		n.after(wait, func() {
+		s.after(wait, func() {
 			if s.leaderModRevision == 0 {
-				n.claimLeadership()
+				s.claimLeadership()
 			}
 		})
-	case s.leader.Incarnation == n.incarnation() && s.leaseID != 0:
-		n.becomeLeader()
+	case s.leader.Incarnation == s.incarnation() && s.leaseID != 0:
+		s.controller.becomeLeader()
 	default:
-		n.stepDown()
+		s.controller.stepDown()
 	}
-	n.syncShardLeader()
-	advanceFormat(n)
+	s.controller.syncShardLeader()
+	s.controller.membership.formats.advanceFormat()
 }
 
-func (n *Controller) claimLeadership() {
-	s := &n.membership
+func (s *membership) claimLeadership() {
 	if s.claimingLeadership || s.leaseID == 0 || !s.loaded {
 		return
 	}
 	s.claimingLeadership = true
-	rec := record.Encode(record.Leader{Host: n.settings.Host, Incarnation: n.incarnation()})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
+	rec := record.Encode(record.Leader{Host: s.settings.Host, Incarnation: s.incarnation()})
+	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
 		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d message.StoreResponse) {
 		s.claimingLeadership = false
 		switch d.Status {
@@ -540,11 +526,11 @@
 			// The watch will say who has it. If our own unanswered claim did it,
 			// the watch says that as well.
 		case message.StoreNoLease:
-			n.leaseLost("grant ended while claiming the lead")
+			s.leaseLost("grant ended while claiming the lead")
 		default:
-			n.after(n.jitter(storeRetryDelay), func() {
+			s.after(s.jitter(storeRetryDelay), func() {
 				if s.leaderModRevision == 0 {
-					n.claimLeadership()
+					s.claimLeadership()
 				}
 			})
 		}
@@ -553,9 +539,9 @@
 
 // liveMachineOwner is the controller that takes the reports of a machine: its owner, if it
 // lives.
-func (n *Controller) liveMachineOwner(machine string) string {
-	o, ok := n.membership.shardMap.Owner(machine)
-	if !ok || !n.membership.loaded || n.membership.controllers[o.Host].Incarnation != o.Incarnation {
+func (m *membership) liveMachineOwner(machine string) string {
+	o, ok := m.shardMap.Owner(machine)
+	if !ok || !m.loaded || m.controllers[o.Host].Incarnation != o.Incarnation {
 		return ""
 	}
 	return o.Host
@@ -563,9 +549,9 @@
 
 // ownedMachine says whether a machine is this controller's by the records that it has read,
 // and under which epoch.
-func (n *Controller) ownedMachine(machine string) (sharding.Owner, bool) {
-	o, ok := n.membership.shardMap.Owner(machine)
-	return o, ok && o.Host == n.settings.Host && o.Incarnation == n.incarnation() && n.membership.leaseID != 0 && n.membership.loaded
+func (m *membership) ownedMachine(machine string) (sharding.Owner, bool) {
+	o, ok := m.shardMap.Owner(machine)
+	return o, ok && o.Host == m.settings.Host && o.Incarnation == m.incarnation() && m.leaseID != 0 && m.loaded
 }
 
 // sortedKeys gives an order to a map, so that the same inputs give the same
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -23,10 +23,10 @@
 			for i := range machines {
 				r := n.poolHeartbeat(i)
 				r.Sequence = 7
-				n.applyHeartbeat(n.shardLeader.machinesByID[i], r, true)
+				n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.machinesByID[i], r, true)
 			}
 			n.now = n.now.Add(time.Second)
-			n.scanFleet(func(int) bool { return true })
+			n.shardLeader.fleet.scanFleet(func(int) bool { return true })
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			if kept := int64(after.HeapAlloc) - int64(before.HeapAlloc); kept > int64(machines)*maxBytesPerMachine {
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -49,14 +49,14 @@
 	if !n.settings.Capabilities.Models || o == nil {
 		return nil
 	}
-	if o.migrations == nil {
-		o.migrations = &migrations{
+	if o.migration.state == nil {
+		o.migration.state = &migrations{
 			tracker: migration.NewTracker(n.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
 			pinnedUntil: map[taskKey]time.Time{}, unschedulable: map[string]*unschedulableReplica{}, evacuation: evacuation{refusedAt: map[machineKind]time.Time{}},
 		}
 	}
-	o.migrations.tracker.MaxRecordBytes = n.maxMigrationRecordBytes()
-	return o.migrations
+	o.migration.state.tracker.MaxRecordBytes = n.maxMigrationRecordBytes()
+	return o.migration.state
 }
 
 // maxMigrationRecordBytes bounds the record of a team's moves, as JSON.
@@ -64,18 +64,18 @@
 
 // readMigrations reads the records of moves under way, together with the teams' others, and
 // gives them to then.
-func readMigrations(n *Controller, then func([]message.KeyValue)) {
-	if !n.settings.Capabilities.Models {
+func (g *migrationManager) readMigrations(then func([]message.KeyValue)) {
+	if !g.settings.Capabilities.Models {
 		then(nil)
 		return
 	}
-	gen := n.shardLeader.generation
-	readAll(n, record.MigrationPrefix, message.PriorityMembership, func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }, then)
+	gen := g.controller.shardLeader.generation
+	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
 }
 
 // recoverMigrations takes up what former owners had under way for teams that have come.
-func recoverMigrations(n *Controller, teams []string, items []message.KeyValue) {
-	mv := migrationsOf(n)
+func (g *migrationManager) recoverMigrations(teams []string, items []message.KeyValue) {
+	mv := migrationsOf(g.controller)
 	if mv == nil {
 		return
 	}
@@ -88,59 +88,59 @@
 				continue
 			}
 			rec.modRevision = it.ModRevision
-			if err := mv.tracker.Recover(n.now, team, it.Value); err != nil {
+			if err := mv.tracker.Recover(g.now, team, it.Value); err != nil {
 				// Its replicas run, or start on the ordinary path.
-				n.rejectInput("record", it.Key, err.Error())
+				g.rejectInput("record", it.Key, err.Error())
 			}
 		}
 	}
-	mv.recoveredAt = n.now
-	updateReservations(n, mv)
+	mv.recoveredAt = g.now
+	g.updateReservations(mv)
 }
 
 // forgetMigrations lets go of what is under way for a team that is another owner's now.
-func forgetMigrations(n *Controller, team string) {
-	if mv := n.shardLeader.migrations; mv != nil {
+func (g *migrationManager) forgetMigrations(team string) {
+	if mv := g.state; mv != nil {
 		mv.tracker.ForgetTeam(team)
 		delete(mv.records, team)
-		updateReservations(n, mv)
+		g.updateReservations(mv)
 	}
 }
 
 // migrationTick looks after moves under way, writes them, and plans others.
-func migrationTick(n *Controller) {
-	mv := migrationsOf(n)
+func (g *migrationManager) migrationTick() {
+	mv := migrationsOf(g.controller)
 	if mv == nil {
 		return
 	}
-	advanceMigrations(n, mv)
-	if n.now.After(n.membership.leaseValidUntil) {
+	g.advanceMigrations(mv)
+	if g.now.After(g.controller.membership.leaseValidUntil) {
 		return
 	}
-	planMigrations(n, mv)
-	writeMigrations(n, mv)
+	g.planMigrations(mv)
+	g.writeMigrations(mv)
 }
 
 // advanceMigrations stops the replicas whose time has come. Nothing is stopped by an owner who
 // can't be sure that it is one.
-func advanceMigrations(n *Controller, mv *migrations) {
-	if n.now.After(n.membership.leaseValidUntil) {
+func (g *migrationManager) advanceMigrations(mv *migrations) {
+	if g.now.After(g.controller.membership.leaseValidUntil) {
 		return
 	}
-	for _, s := range mv.tracker.Update(n.now, migrationFacts{n}) {
-		j := n.shardLeader.jobs[s.Job]
+	for _, s := range mv.tracker.Update(g.now, migrationFacts{g.controller}) {
+		j := g.controller.shardLeader.jobs[s.Job]
 		t := &j.tasks[s.Index]
-		n.info("replica moves", "job", s.Job, "task", s.Index, "from", t.machine.id)
+		g.info("replica moves", "job", s.Job, "task", s.Index, "from", t.machine.id)
 		t.stopReason = stopDrain
-		n.markDispatchPending(t.machine)
+		g.controller.markDispatchPending(t.machine)
 	}
-	updateReservations(n, mv)
+	g.updateReservations(mv)
 }
 
 // updateReservations keeps others off the places that are held, and the tasks that these are
 // held for off others.
-func updateReservations(n *Controller, mv *migrations) {
-	o := n.shardLeader
+func (g *migrationManager) updateReservations(mv *migrations) {
+	o := g.controller.shardLeader
 	for _, m := range mv.held {
 		m.reservedForMigration, m.evacuatingForOther = model.Resources{}, false
 	}
@@ -164,7 +164,7 @@
 		}
 		if j := o.jobs[k.job]; j != nil && k.index < len(j.tasks) && j.tasks[k.index].notBefore.Equal(until) {
 			j.tasks[k.index].notBefore = time.Time{}
-			o.placementDue = true
+			o.scheduler.placementDue = true
 		}
 	}
 	for k, until := range pinnedUntil {
@@ -176,44 +176,44 @@
 }
 
 // placeReserved starts what has its place held, there.
-func placeReserved(n *Controller) {
-	mv := n.shardLeader.migrations
+func (s *scheduler) placeReserved() {
+	mv := s.controller.shardLeader.migration.state
 	if mv == nil || len(mv.tracker.Plans()) == 0 {
 		return
 	}
-	advanceMigrations(n, mv)
+	s.controller.shardLeader.migration.advanceMigrations(mv)
 	placed := false
 	for _, h := range mv.tracker.Holds() {
-		j, m := n.shardLeader.jobs[h.Job], n.shardLeader.machines[h.Host]
-		if j == nil || m == nil || j.pendingTasks() == 0 || !j.mayStart(n.now) || j.notBefore.After(n.now) || !n.usable(m) {
+		j, m := s.controller.shardLeader.jobs[h.Job], s.controller.shardLeader.machines[h.Host]
+		if j == nil || m == nil || j.pendingTasks() == 0 || !j.mayStart(s.now) || j.notBefore.After(s.now) || !s.usable(m) {
 			continue
 		}
 		// What is held for others is taken off, what is held for it is not.
-		if !j.Need.Fits(m.free().AddScaled(h.Need, 1)) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !n.withinQuotaLimit(j) {
+		if !j.Need.Fits(m.free().AddScaled(h.Need, 1)) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !s.withinQuotaLimit(j) {
 			continue
 		}
-		i := takeReservedTask(n, mv, j, h.Index, m)
+		i := s.takeReservedTask(mv, j, h.Index, m)
 		if i < 0 {
 			continue
 		}
 		if h.Plan != nil {
 			mv.tracker.MarkServed(h.Plan)
 		}
-		startAttempt(n, j, i, m)
+		s.startAttempt(j, i, m)
 		placed = true
 	}
 	if placed {
-		advanceMigrations(n, mv)
+		s.controller.shardLeader.migration.advanceMigrations(mv)
 	}
 }
 
 // takeReservedTask takes a task out of those that wait: the one that a place on m is held for,
 // or any one of its job's; -1 when it does not wait.
-func takeReservedTask(n *Controller, mv *migrations, j *job, index int, m *machine) int {
+func (s *scheduler) takeReservedTask(mv *migrations, j *job, index int, m *machine) int {
 	for k, i := range j.requeued {
 		t := &j.tasks[i]
 		_, pinned := mv.pinnedUntil[taskKey{j.ID, i}]
-		if index >= 0 && i == index || index < 0 && !pinned && !t.notBefore.After(n.now) && !t.avoids(m.id) {
+		if index >= 0 && i == index || index < 0 && !pinned && !t.notBefore.After(s.now) && !t.avoids(m.id) {
 			j.requeued = slices.Delete(j.requeued, k, k+1)
 			return i
 		}
@@ -227,14 +227,14 @@
 
 // migratingResources is what replicas of the team that are down for their move will take again:
 // it stays theirs within the team's limit.
-func migratingResources(n *Controller, j *job) model.Resources {
+func (g *migrationManager) migratingResources(j *job) model.Resources {
 	var sum model.Resources
-	mv := n.shardLeader.migrations
+	mv := g.state
 	if mv == nil {
 		return sum
 	}
 	for k := range mv.pinnedUntil {
-		if o := n.shardLeader.jobs[k.job]; o != nil && o != j && o.Team == j.Team && k.index < len(o.tasks) && o.tasks[k.index].machine == nil {
+		if o := g.controller.shardLeader.jobs[k.job]; o != nil && o != j && o.Team == j.Team && k.index < len(o.tasks) && o.tasks[k.index].machine == nil {
 			sum = sum.AddScaled(o.Need, 1)
 		}
 	}
@@ -243,8 +243,8 @@
 
 // reservedTasks counts the waiting tasks of a job that have a place held, or for which moves
 // are being thought about: no machine is rented for them meanwhile.
-func reservedTasks(n *Controller, j *job) int {
-	mv := n.shardLeader.migrations
+func (g *migrationManager) reservedTasks(j *job) int {
+	mv := g.state
 	if mv == nil {
 		return 0
 	}
@@ -254,7 +254,7 @@
 			k++
 		}
 	}
-	if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() && n.now.Sub(x.since) < 2*migrationDelay {
+	if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() && g.now.Sub(x.since) < 2*migrationDelay {
 		return j.pendingTasks()
 	}
 	return k
@@ -264,8 +264,8 @@
 type migrationFacts struct{ n *Controller }
 
 // movableReplica is a replica that may be moved at all, nil for other tasks.
-func movableReplica(n *Controller, id string, index int) (*job, *task) {
-	j := n.shardLeader.jobs[id]
+func (g *migrationManager) movableReplica(id string, index int) (*job, *task) {
+	j := g.controller.shardLeader.jobs[id]
 	if j == nil || !j.LongRunning || j.Gang || j.cancelled || j.ending || j.elsewhere() || j.borrowedLoan != "" || index >= len(j.tasks) {
 		return nil, nil
 	}
@@ -273,7 +273,7 @@
 }
 
 func (f migrationFacts) Task(id string, index int) migration.Task {
-	j, t := movableReplica(f.n, id, index)
+	j, t := f.n.shardLeader.migration.movableReplica(id, index)
 	if j == nil {
 		return migration.Task{}
 	}
@@ -291,7 +291,7 @@
 	}
 	up := 0
 	for i := range j.tasks[:j.nextFresh] {
-		if t := &j.tasks[i]; t.isRunning() && t.stopReason == stopNone && !f.n.unresponsive(t.machine) {
+		if t := &j.tasks[i]; t.isRunning() && t.stopReason == stopNone && !f.n.shardLeader.heartbeats.unresponsive(t.machine) {
 			up++
 		}
 	}
@@ -300,7 +300,7 @@
 
 func (f migrationFacts) WaitingTasks(id string) int {
 	if isEvacuationHold(id) {
-		return int(boolToFloat(f.n.shardLeader.migrations.evacuationRequest(f.n.now, id) != nil))
+		return int(boolToFloat(f.n.shardLeader.migration.state.evacuationRequest(f.n.now, id) != nil))
 	}
 	j := f.n.shardLeader.jobs[id]
 	if j == nil {
@@ -314,16 +314,16 @@
 	if m == nil {
 		return model.Resources{}, false
 	}
-	return m.free().AddScaled(m.reservedForMigration, 1), f.n.usable(m)
+	return m.free().AddScaled(m.reservedForMigration, 1), f.n.shardLeader.scheduler.usable(m)
 }
 
 func (f migrationFacts) Unheard(host string) bool {
 	n := f.n
-	if _, mine := n.ownedMachine(host); !mine || n.released[host] {
+	if _, mine := n.membership.ownedMachine(host); !mine || n.knowledge.released[host] {
 		return false
 	}
 	m := n.shardLeader.machines[host]
-	return (m == nil || !m.heard) && n.now.Sub(later(n.shardLeader.readyAt, n.shardLeader.migrations.recoveredAt)) < 3*n.maxHeartbeatInterval()
+	return (m == nil || !m.heard) && n.now.Sub(later(n.shardLeader.readyAt, n.shardLeader.migration.state.recoveredAt)) < 3*n.maxHeartbeatInterval()
 }
 
 func (f migrationFacts) Downtime(id, host string) time.Duration {
@@ -331,21 +331,21 @@
 	if j == nil || m == nil {
 		return 0
 	}
-	return f.n.fetchTime(m, j)
+	return f.n.knowledge.fetchTime(m, j)
 }
 
 func (f migrationFacts) YieldsTo(id, other string) bool {
 	j, o := f.n.shardLeader.jobs[id], f.n.shardLeader.jobs[other]
-	if h := f.n.shardLeader.migrations.evacuationRequest(f.n.now, other); h != nil {
+	if h := f.n.shardLeader.migration.state.evacuationRequest(f.n.now, other); h != nil {
 		o = &job{JobSpec: neededJobSpec(h)}
 	}
-	return j != nil && o != nil && yieldsTo(f.n, j, o)
+	return j != nil && o != nil && f.n.shardLeader.migration.yieldsTo(j, o)
 }
 
 // yieldsTo says that a job's only replica may be stopped to make room for another job:
 // one that goes before it by the ranking, or stands beside it and is larger.
-func yieldsTo(n *Controller, j, other *job) bool {
-	switch a, b := rankOf(n, j), rankOf(n, other); {
+func (g *migrationManager) yieldsTo(j, other *job) bool {
+	switch a, b := g.controller.ranking.rankOf(j), g.controller.ranking.rankOf(other); {
 	case a != b:
 		return b < a
 	case other.Need.GPU != j.Need.GPU:
@@ -356,10 +356,10 @@
 
 // migrationsStatus is nil where models are not switched on.
 func migrationsStatus(n *Controller) *message.MigrationsStatus {
-	if n.shardLeader == nil || n.shardLeader.migrations == nil {
+	if n.shardLeader == nil || n.shardLeader.migration.state == nil {
 		return nil
 	}
-	b := n.shardLeader.migrations.tracker
+	b := n.shardLeader.migration.state.tracker
 	s := &message.MigrationsStatus{Plans: b.Stats.Started, Moved: b.Stats.Moved, Dropped: b.Stats.Dropped, LongestDownSeconds: b.Stats.LongestDowntime.Seconds()}
 	for _, e := range b.Plans() {
 		for i := range e.Steps {
@@ -372,3 +372,11 @@
 	}
 	return s
 }
+
+// migrationManager TODO.
+type migrationManager struct {
+	component
+
+	// migrations are replicas on the move; see migration.go.
+	state *migrations
+}
--- a/internal/controller/migration_bench_test.go
+++ b/internal/controller/migration_bench_test.go
@@ -16,24 +16,24 @@
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
 			n := largePool(0)
 			n.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
-			n.machineTypes["host"] = model.MachineType{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
-			recoverMigrations(n, []string{"ops"}, nil)
+			n.knowledge.machineTypes["host"] = model.MachineType{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
+			n.shardLeader.migration.recoverMigrations([]string{"ops"}, nil)
 			for i := range hosts {
-				m := n.ensureMachine(fmt.Sprintf("vm-%06d", i))
-				n.applyHeartbeat(m, n.hostHeartbeat(i, 1), true)
-				j := n.addJob(model.JobSpec{ID: fmt.Sprintf("job-s%05d", i), Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 5,
+				m := n.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
+				n.shardLeader.heartbeats.applyHeartbeat(m, n.hostHeartbeat(i, 1), true)
+				j := n.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-s%05d", i), Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 5,
 					Need: model.Resources{CPU: 8, GPU: 1, Memory: 64}, Image: fmt.Sprint("img-", i%40), ImageGB: 8}, n.now, 7)
 				j.nextFresh = 5
 				r := n.hostHeartbeat(i, 2)
 				for k := range 5 {
-					startAttempt(n, j, k, m)
+					n.shardLeader.scheduler.startAttempt(j, k, m)
 					r.Tasks = append(r.Tasks, model.TaskReport{Job: j.ID, Index: k, Attempt: 1, Status: model.Running})
 				}
 				for _, c := range j.segments {
 					c.persistedVersion = c.version
 				}
-				n.applyHeartbeat(m, r, true)
-				n.addJob(model.JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, n.now, 7)
+				n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+				n.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, n.now, 7)
 			}
 			n.addReplica("job-large", 8)
 			b.ResetTimer()
@@ -43,9 +43,9 @@
 					m.lastHeard = n.now
 				}
 				n.effects = nil
-				migrationTick(n)
+				n.shardLeader.migration.migrationTick()
 			}
-			if x := n.shardLeader.migrations.unschedulable["job-large"]; x == nil || !x.lastTried.Equal(n.now) {
+			if x := n.shardLeader.migration.state.unschedulable["job-large"]; x == nil || !x.lastTried.Equal(n.now) {
 				b.Fatal("the planner was not asked")
 			}
 		})
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -38,23 +38,23 @@
 }
 
 // planMigrations looks for moves for the first job in turn that needs them.
-func planMigrations(n *Controller, mv *migrations) {
-	o := n.shardLeader
-	if n.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
-		mv.lastLogged = n.now
+func (g *migrationManager) planMigrations(mv *migrations) {
+	o := g.controller.shardLeader
+	if g.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
+		mv.lastLogged = g.now
 		t := mv.tracker.Stats
-		n.info("moves", "under way", len(mv.tracker.Plans()), "planned", t.Started, "moved", t.Moved, "dropped", t.Dropped, "longest down", t.LongestDowntime.Round(time.Millisecond))
+		g.info("moves", "under way", len(mv.tracker.Plans()), "planned", t.Started, "moved", t.Moved, "dropped", t.Dropped, "longest down", t.LongestDowntime.Round(time.Millisecond))
 	}
 	unschedulable := map[string]*unschedulableReplica{}
 	// Of a long queue of alike jobs only the first looks at every machine.
 	alike := map[taskShape]bool{}
 	for id, j := range o.jobs {
-		if !waitsForCapacity(n, mv, j) {
+		if !g.waitsForCapacity(mv, j) {
 			continue
 		}
 		in, known := alike[j.taskShape()]
 		if own := j.SameZone || j.SpreadZones; own || !known {
-			in = isUnschedulable(n, j)
+			in = g.isUnschedulable(j)
 			if !own {
 				alike[j.taskShape()] = in
 			}
@@ -63,40 +63,40 @@
 			continue
 		}
 		if unschedulable[id] = mv.unschedulable[id]; unschedulable[id] == nil {
-			unschedulable[id] = &unschedulableReplica{since: n.now}
+			unschedulable[id] = &unschedulableReplica{since: g.now}
 		}
 	}
 	mv.unschedulable = unschedulable
-	updateHostNeeds(n, mv)
+	g.updateHostNeeds(mv)
 	if len(unschedulable) == 0 {
-		planEvacuation(n, mv)
+		g.planEvacuation(mv)
 		return
 	}
-	for _, j := range n.jobsInQueueOrder() {
+	for _, j := range g.controller.shardLeader.scheduler.jobsInQueueOrder() {
 		x := unschedulable[j.ID]
-		if x == nil || mv.tracker.HeldFor(j.ID) >= j.pendingTasks() || n.now.Sub(x.since) < migrationDelay || !x.lastTried.IsZero() && n.now.Sub(x.lastTried) < migrationRetryInterval {
+		if x == nil || mv.tracker.HeldFor(j.ID) >= j.pendingTasks() || g.now.Sub(x.since) < migrationDelay || !x.lastTried.IsZero() && g.now.Sub(x.lastTried) < migrationRetryInterval {
 			continue
 		}
-		if rec := mv.records[j.Team]; rec == nil || rec.writing || len(mv.tracker.UnsavedPlans(j.Team)) > 0 || nextMigrationWrite(n, mv).After(n.now) {
+		if rec := mv.records[j.Team]; rec == nil || rec.writing || len(mv.tracker.UnsavedPlans(j.Team)) > 0 || g.nextMigrationWrite(mv).After(g.now) {
 			// The next plan would wait for its write, holding places.
 			continue
 		}
-		x.lastTried = n.now
-		planMigrationFor(n, mv, j)
+		x.lastTried = g.now
+		g.planMigrationFor(mv, j)
 		return
 	}
 }
 
 // waitsForCapacity says that a task of j waits which moves could help: it is large for some
 // machine, and has no place held.
-func waitsForCapacity(n *Controller, mv *migrations, j *job) bool {
-	if j.Gang || j.borrowedLoan != "" || n.placeableTasks(j) == 0 || !n.withinQuotaLimit(j) {
+func (g *migrationManager) waitsForCapacity(mv *migrations, j *job) bool {
+	if j.Gang || j.borrowedLoan != "" || g.controller.shardLeader.scheduler.placeableTasks(j) == 0 || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
 		return false
 	}
 	if j.pendingTasks() <= mv.tracker.HeldFor(j.ID) && mv.unschedulable[j.ID] == nil {
 		return false
 	}
-	for _, f := range n.machineTypes {
+	for _, f := range g.controller.knowledge.machineTypes {
 		if j.Need.Fits(f.Capacity) && isLarge(j.Need, f.Capacity) {
 			return true
 		}
@@ -106,11 +106,11 @@
 
 // isUnschedulable says that a task of j fits nowhere as it is, and that there is enough room for
 // it in pieces.
-func isUnschedulable(n *Controller, j *job) bool {
+func (g *migrationManager) isUnschedulable(j *job) bool {
 	var sum model.Resources
 	large := false
-	for _, m := range n.shardLeader.machinesByID {
-		if !n.usable(m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !j.Need.Fits(m.size) {
+	for _, m := range g.controller.shardLeader.machinesByID {
+		if !g.controller.shardLeader.scheduler.usable(m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !j.Need.Fits(m.size) {
 			continue
 		}
 		free := m.free()
@@ -128,32 +128,32 @@
 }
 
 // planMigrationFor looks for moves that make room for a task of j, and begins them.
-func planMigrationFor(n *Controller, mv *migrations, j *job) {
-	p := migrationProblem(n, mv, j)
+func (g *migrationManager) planMigrationFor(mv *migrations, j *job) {
+	p := g.migrationProblem(mv, j)
 	plan, ok := migration.Find(p)
 	if !ok {
-		n.debug("no moves", "job", j.ID, "dearest", p.MaxCost)
+		g.debug("no moves", "job", j.ID, "dearest", p.MaxCost)
 		return
 	}
-	beginMigration(n, mv, j.Team, p, plan)
+	g.beginMigration(mv, j.Team, p, plan)
 }
 
 // beginMigration takes up a plan that the planner has found.
-func beginMigration(n *Controller, mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
+func (g *migrationManager) beginMigration(mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
 	for _, m := range plan.Moves {
-		_, t := movableReplica(n, m.Job, m.Index)
+		_, t := g.movableReplica(m.Job, m.Index)
 		attempts = append(attempts, t.attempt)
 	}
-	reason := mv.tracker.Start(n.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, migration.Limits{
-		MaxRecordBytes: n.maxMigrationRecordBytes(), MaxMovingFraction: n.settings.Capabilities.MaxMigratingFraction,
+	reason := mv.tracker.Start(g.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, migration.Limits{
+		MaxRecordBytes: g.controller.maxMigrationRecordBytes(), MaxMovingFraction: g.settings.Capabilities.MaxMigratingFraction,
 		KindOf: func(host string) (string, int) {
-			m := n.shardLeader.machines[host]
+			m := g.controller.shardLeader.machines[host]
 			if m == nil {
 				return "", 0
 			}
 			k, count := machineKind{m.machineType, m.zone, m.spot}, 0
-			for _, o := range n.shardLeader.machinesByID {
+			for _, o := range g.controller.shardLeader.machinesByID {
 				if (machineKind{o.machineType, o.zone, o.spot}) == k {
 					count++
 				}
@@ -162,11 +162,11 @@
 		},
 	})
 	if reason != "" {
-		n.debug("moves are not begun", "for", p.WaitingTask.Job, "why", reason)
+		g.debug("moves are not begun", "for", p.WaitingTask.Job, "why", reason)
 		return
 	}
-	n.info("moves planned", "for", p.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "instead of", p.MaxCost)
-	updateReservations(n, mv)
+	g.info("moves planned", "for", p.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "instead of", p.MaxCost)
+	g.updateReservations(mv)
 }
 
 func kindName(k machineKind) string {
@@ -178,9 +178,9 @@
 }
 
 // migrationProblem is what the planner is asked for a task of j.
-func migrationProblem(n *Controller, mv *migrations, j *job) *migration.Problem {
-	p, hosts := migrationCandidates(n, mv, j)
-	p.MaxCost = maxMigrationCost(n, j)
+func (g *migrationManager) migrationProblem(mv *migrations, j *job) *migration.Problem {
+	p, hosts := g.migrationCandidates(mv, j)
+	p.MaxCost = g.maxMigrationCost(j)
 	p.WaitingTask = migration.WaitingTask{Job: j.ID, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB, Allowed: func(h int) bool {
 		m := hosts[h]
 		return j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && m.id != j.avoidedMachine() && !m.reservedForOther(j)
@@ -189,20 +189,20 @@
 }
 
 // migrationCandidates is the hosts there are, and the replicas that may be moved for a job.
-func migrationCandidates(n *Controller, mv *migrations, j *job) (*migration.Problem, []*machine) {
-	o := n.shardLeader
+func (g *migrationManager) migrationCandidates(mv *migrations, j *job) (*migration.Problem, []*machine) {
+	o := g.controller.shardLeader
 	p := &migration.Problem{MaxMoves: migration.MaxMoves}
 	var hosts []*machine
 	place := map[*machine]int{}
 	for _, m := range o.machinesByID {
-		if !n.usable(m) {
+		if !g.controller.shardLeader.scheduler.usable(m) {
 			continue
 		}
 		// One that is being retired is room as well: replicas on it don't end by
 		// themselves, and work that waits in vain is not to wait beside it.
 		h := migration.Host{
 			ID: m.id, Kind: kindName(machineKind{m.machineType, m.zone, m.spot}), Size: m.size, Free: m.free(),
-			Schedulable: !m.reservedForOther(j), Images: map[string]bool{}, FetchRate: n.imageFetchRate(m),
+			Schedulable: !m.reservedForOther(j), Images: map[string]bool{}, FetchRate: g.controller.knowledge.imageFetchRate(m),
 		}
 		for name, im := range m.images {
 			if im.cached {
@@ -218,14 +218,14 @@
 	canSpare := map[string]bool{}
 	for _, m := range hosts {
 		for _, k := range sortedAttempts(m) {
-			r, t := movableReplica(n, k.job, k.index)
-			if r == nil || !t.isRunning() || t.stopReason != stopNone || !r.durable(k.index) || !mv.tracker.MayMove(n.now, k.job, k.index) {
+			r, t := g.movableReplica(k.job, k.index)
+			if r == nil || !t.isRunning() || t.stopReason != stopNone || !r.durable(k.index) || !mv.tracker.MayMove(g.now, k.job, k.index) {
 				continue
 			}
 			can, known := canSpare[k.job]
 			if !known {
-				up, of := migrationFacts{n}.RunningReplicas(k.job)
-				can = r != j && (of > 1 || yieldsTo(n, r, j)) && (of == 1 || 2*(up-1) >= of)
+				up, of := migrationFacts{g.controller}.RunningReplicas(k.job)
+				can = r != j && (of > 1 || g.yieldsTo(r, j)) && (of == 1 || 2*(up-1) >= of)
 				canSpare[k.job] = can
 			}
 			if !can {
@@ -264,34 +264,34 @@
 
 // maxMigrationCost is what moves for a task of j may cost: the time that renting would take, with
 // the fetch, or until something ends, whichever is shorter.
-func maxMigrationCost(n *Controller, j *job) time.Duration {
+func (g *migrationManager) maxMigrationCost(j *job) time.Duration {
 	cost := maxMigrationWait
-	v := n.shardLeader.fleetView
-	for _, name := range sortedKeys(n.machineTypes) {
-		f := n.machineTypes[name]
+	v := g.controller.shardLeader.fleet.view
+	for _, name := range sortedKeys(g.controller.knowledge.machineTypes) {
+		f := g.controller.knowledge.machineTypes[name]
 		if !j.Need.Fits(f.Capacity) {
 			continue
 		}
 		for _, z := range f.Zones {
 			for _, spot := range [...]bool{true, false} {
 				k := machineKind{name, z, spot}
-				if !j.allowsMachine(name, z, spot) || !j.zoneAllowed(z) || n.shardLeader.neverReadyKinds[k] || v == nil || v.blockedUntil[k].After(n.now) {
+				if !j.allowsMachine(name, z, spot) || !j.zoneAllowed(z) || g.controller.shardLeader.fleet.neverReadyKinds[k] || v == nil || v.blockedUntil[k].After(g.now) {
 					continue
 				}
-				cost = min(cost, n.timeToReady(k, 0)+newMachineFetchTime(&f, j))
+				cost = min(cost, g.controller.knowledge.timeToReady(k, 0)+newMachineFetchTime(&f, j))
 			}
 		}
 	}
-	for r := range n.expectedFor(j) {
-		if f := n.machineTypes[r.machineType]; j.zoneAllowed(r.zone) && j.Need.Fits(f.Capacity) {
-			cost = min(cost, n.timeToReady(r.machineKind, n.now.Sub(r.rentedAt))+newMachineFetchTime(&f, j))
+	for r := range g.controller.expectedFor(j) {
+		if f := g.controller.knowledge.machineTypes[r.machineType]; j.zoneAllowed(r.zone) && j.Need.Fits(f.Capacity) {
+			cost = min(cost, g.controller.knowledge.timeToReady(r.machineKind, g.now.Sub(r.rentedAt))+newMachineFetchTime(&f, j))
 		}
 	}
-	for _, x := range n.futureFreeCapacity().machines {
+	for _, x := range g.controller.shardLeader.fleet.futureFreeCapacity().machines {
 		if !j.allowsMachine(x.machineKind.machineType, x.machineKind.zone, x.machineKind.spot) || !j.zoneAllowed(x.machineKind.zone) {
 			continue
 		}
-		if at, ok := x.earliestStart(j.Need, false, n.avoidsGPUs(j)); ok {
+		if at, ok := x.earliestStart(j.Need, false, g.controller.shardLeader.scheduler.avoidsGPUs(j)); ok {
 			cost = min(cost, at)
 		}
 	}
@@ -299,9 +299,9 @@
 }
 
 // nextMigrationWrite is when moves may be written next.
-func nextMigrationWrite(n *Controller, mv *migrations) time.Time {
+func (g *migrationManager) nextMigrationWrite(mv *migrations) time.Time {
 	owners := 0
-	for _, s := range n.membership.shardMap.Shards() {
+	for _, s := range g.controller.membership.shardMap.Shards() {
 		if len(s.Teams) > 0 {
 			owners++
 		}
@@ -312,8 +312,8 @@
 // writeMigrations writes what is due: new plans at once, ends of moves when there is time. A
 // plan's record names the stamps of the open records of all its jobs, so that none is
 // moved that was cancelled meanwhile, the shares of their teams, and its own.
-func writeMigrations(n *Controller, mv *migrations) {
-	if nextMigrationWrite(n, mv).After(n.now) {
+func (g *migrationManager) writeMigrations(mv *migrations) {
+	if g.nextMigrationWrite(mv).After(g.now) {
 		return
 	}
 	var best string
@@ -322,7 +322,7 @@
 	for _, team := range mv.tracker.Teams() {
 		since, fresh, due := mv.tracker.WriteDue(team)
 		rec := mv.records[team]
-		if rec == nil || rec.writing || !due || !fresh && n.now.Sub(since) < migrationLazyDelay {
+		if rec == nil || rec.writing || !due || !fresh && g.now.Sub(since) < migrationLazyDelay {
 			continue
 		}
 		if _, ver := mv.tracker.EncodeRecord(team); ver == rec.rejectedVersion {
@@ -335,11 +335,11 @@
 	if best == "" {
 		return
 	}
-	mv.lastWrite = n.now
-	writeMigration(n, mv, best)
+	mv.lastWrite = g.now
+	g.writeMigration(mv, best)
 }
 
-func writeMigration(n *Controller, mv *migrations, team string) {
+func (g *migrationManager) writeMigration(mv *migrations, team string) {
 	rec := mv.records[team]
 	val, ver := mv.tracker.EncodeRecord(team)
 	key := migrationKey(team)
@@ -355,10 +355,10 @@
 			jobs = append(jobs, e.Steps[i].Job)
 		}
 		for _, id := range jobs {
-			j := n.shardLeader.jobs[id]
+			j := g.controller.shardLeader.jobs[id]
 			if j == nil {
 				// Over or gone: nothing of this plan is to be done.
-				mv.tracker.WriteRefused(team, n.now)
+				mv.tracker.WriteRefused(team, g.now)
 				return
 			}
 			teams = append(teams, j.Team)
@@ -367,7 +367,7 @@
 			}
 		}
 	}
-	op.Compares = append(op.Compares, n.shardCompares(teams...)...)
+	op.Compares = append(op.Compares, g.controller.shardLeader.shardCompares(teams...)...)
 	op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: rec.modRevision})
 	op.Writes = []message.Write{{Key: key, Value: val}}
 	if val == nil && rec.modRevision == 0 {
@@ -375,9 +375,9 @@
 		return
 	}
 	rec.writing = true
-	gen := n.shardLeader.generation
-	n.requestStore(op, func(d message.StoreResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen || mv.records[team] != rec {
+	gen := g.controller.shardLeader.generation
+	g.controller.requests.toStore(op, func(d message.StoreResponse) {
+		if g.controller.shardLeader == nil || g.controller.shardLeader.generation != gen || mv.records[team] != rec {
 			return
 		}
 		rec.writing = false
@@ -388,21 +388,21 @@
 				rec.modRevision = 0
 			}
 			mv.tracker.MarkPersisted(team, ver)
-			advanceMigrations(n, mv)
+			g.controller.shardLeader.migration.advanceMigrations(mv)
 		case message.StoreConflict:
 			if !slices.Contains(d.FailedKeys, key) {
 				// A job or a share is not what it was: plan anew, if it is still needed.
-				mv.tracker.WriteRefused(team, n.now)
-				updateReservations(n, mv)
+				mv.tracker.WriteRefused(team, g.now)
+				g.controller.shardLeader.migration.updateReservations(mv)
 				return
 			}
-			reReadMigration(n, mv, team, rec)
+			g.controller.shardLeader.migration.reReadMigration(mv, team, rec)
 		case message.StoreUnknown:
-			reReadMigration(n, mv, team, rec)
+			g.controller.shardLeader.migration.reReadMigration(mv, team, rec)
 		case message.StoreMalformed:
-			mv.tracker.WriteRefused(team, n.now)
+			mv.tracker.WriteRefused(team, g.now)
 			_, rec.rejectedVersion = mv.tracker.EncodeRecord(team)
-			updateReservations(n, mv)
+			g.controller.shardLeader.migration.updateReservations(mv)
 		}
 	})
 }
@@ -410,11 +410,11 @@
 // reReadMigration reads a team's record after a write of ours that may have been applied, or
 // may be later: what stands there was written under this owner's share. It is written
 // anew on top of it.
-func reReadMigration(n *Controller, mv *migrations, team string, rec *migrationRecord) {
+func (g *migrationManager) reReadMigration(mv *migrations, team string, rec *migrationRecord) {
 	rec.writing = true
-	gen := n.shardLeader.generation
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(d message.StoreResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen || mv.records[team] != rec {
+	gen := g.controller.shardLeader.generation
+	g.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(d message.StoreResponse) {
+		if g.controller.shardLeader == nil || g.controller.shardLeader.generation != gen || mv.records[team] != rec {
 			return
 		}
 		switch d.Status {
@@ -423,13 +423,13 @@
 		case message.StoreNotFound:
 			rec.modRevision, rec.writing = 0, false
 		default:
-			n.after(n.jitter(storeRetryDelay), func() {
-				if n.shardLeader != nil && n.shardLeader.generation == gen && mv.records[team] == rec {
-					reReadMigration(n, mv, team, rec)
+			g.after(g.jitter(storeRetryDelay), func() {
+				if g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen && mv.records[team] == rec {
+					g.controller.shardLeader.migration.reReadMigration(mv, team, rec)
 				}
 			})
 			return
 		}
-		mv.tracker.WriteUncertain(team, n.now)
+		mv.tracker.WriteUncertain(team, g.now)
 	})
 }
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -42,43 +42,43 @@
 
 // startPromises reads what quotes rest on, which is there after the end of all too, and
 // lets the leader count.
-func startPromises(n *Controller) {
-	n.promises.quotes = map[string]*promise.Quoter{}
-	n.frontend.endDates = map[string]uint64{}
-	if !n.promisesEnabled() {
+func (p *promiseState) startPromises() {
+	p.quotes = map[string]*promise.Quoter{}
+	p.controller.frontend.endDates = map[string]uint64{}
+	if !p.promisesEnabled() {
 		return
 	}
-	readAll(n, record.QuotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
+	readAll(p.controller, record.QuotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
 		for _, it := range its {
-			acceptQuotes(n, it.Key, it.Value, false)
+			p.acceptQuotes(it.Key, it.Value, false)
 		}
 	})
-	totalsLoop(n)
+	p.totalsLoop()
 }
 
 // acceptQuotes takes in quotes of another's team, from news or, where none has come yet,
 // from the record.
-func acceptQuotes(n *Controller, from string, value []byte, fromPeer bool) {
-	team, q, err := promise.DecodeQuoter(value, n.settings.Capabilities.PromiseFraction)
+func (p *promiseState) acceptQuotes(from string, value []byte, fromPeer bool) {
+	team, q, err := promise.DecodeQuoter(value, p.settings.Capabilities.PromiseFraction)
 	if err != nil {
-		n.rejectInput("quotes", from, err.Error())
+		p.rejectInput("quotes", from, err.Error())
 		return
 	}
-	if n.team(team) == nil || !fromPeer && n.promises.quotes[team] != nil || n.shardLeader != nil && n.shardLeader.teams[team] != nil {
+	if p.team(team) == nil || !fromPeer && p.quotes[team] != nil || p.controller.shardLeader != nil && p.controller.shardLeader.teams[team] != nil {
 		return
 	}
-	n.promises.quotes[team] = q
+	p.quotes[team] = q
 }
 
 // quotesUpdate are the quotes of the teams here, for the others.
-func quotesUpdate(n *Controller) []message.TeamQuotes {
-	if !n.promisesEnabled() {
+func (p *promiseState) quotesUpdate() []message.TeamQuotes {
+	if !p.promisesEnabled() {
 		return nil
 	}
 	var out []message.TeamQuotes
-	for _, t := range sortedKeys(n.shardLeader.teams) {
-		if q := n.promises.quotes[t]; q != nil {
-			out = append(out, message.TeamQuotes{Team: t, Value: q.Encode(t, n.maxPageBytes())})
+	for _, t := range sortedKeys(p.controller.shardLeader.teams) {
+		if q := p.quotes[t]; q != nil {
+			out = append(out, message.TeamQuotes{Team: t, Value: q.Encode(t, p.maxPageBytes())})
 		}
 	}
 	return out
@@ -86,10 +86,10 @@
 
 // storeQuotes writes the quotes of one team, if they have changed: they are read only
 // after an end of all, and what they then say of the load is old anyway.
-func storeQuotes(n *Controller) {
-	o := n.shardLeader
+func (p *promiseState) storeQuotes() {
+	o := p.controller.shardLeader
 	// The controllers share the pace.
-	if n.now.Sub(o.promiseDates.quotesStoredAt) < quoteStoreInterval*time.Duration(1+len(n.settings.Peers)) && !o.promiseDates.quotesStoredAt.IsZero() || n.now.After(n.membership.leaseValidUntil) {
+	if p.now.Sub(o.promiseDates.quotesStoredAt) < quoteStoreInterval*time.Duration(1+len(p.settings.Peers)) && !o.promiseDates.quotesStoredAt.IsZero() || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
 	teams := sortedKeys(o.promiseDates.pageWriters)
@@ -104,14 +104,14 @@
 		if o.promiseDates.quotesStoredTeam = next; next == "" {
 			continue
 		}
-		value := quoterFor(n, next, true).Encode(next, n.maxPageBytes())
+		value := p.quoterFor(next, true).Encode(next, p.maxPageBytes())
 		hash := xxhash.Sum64(value)
 		if o.promiseDates.quotesStoredHash[next] == hash {
 			continue
 		}
-		o.promiseDates.quotesStoredAt = n.now
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(next), Writes: []message.Write{{Key: record.QuotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
-			if n.shardLeader == o && d.Status == message.StoreOK {
+		o.promiseDates.quotesStoredAt = p.now
+		p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(next), Writes: []message.Write{{Key: record.QuotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
+			if p.controller.shardLeader == o && d.Status == message.StoreOK {
 				if o.promiseDates.quotesStoredHash == nil {
 					o.promiseDates.quotesStoredHash = map[string]uint64{}
 				}
@@ -123,24 +123,24 @@
 }
 
 // totalsLoop lets the leader count what has ended.
-func totalsLoop(n *Controller) {
-	n.after(totalsInterval, func() { totalsLoop(n) })
-	x := &n.promises.totals
-	if n.leader == nil || x.inFlight || n.now.After(n.membership.leaseValidUntil) {
+func (p *promiseState) totalsLoop() {
+	p.after(totalsInterval, func() { p.totalsLoop() })
+	x := &p.totals
+	if p.controller.leader == nil || x.inFlight || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
 	x.inFlight = true
-	if x.leadership != n.leader {
-		readTotals(n)
+	if x.leadership != p.controller.leader {
+		p.readTotals()
 		return
 	}
-	followTotals(n)
+	p.followTotals()
 }
 
 // isStillLeader says whether a step of the leader's may go on, which began under by.
-func isStillLeader(n *Controller, by *leader) bool {
-	if n.leader != by || by == nil {
-		n.promises.totals.inFlight = false
+func (p *promiseState) isStillLeader(by *leader) bool {
+	if p.controller.leader != by || by == nil {
+		p.totals.inFlight = false
 		return false
 	}
 	return true
@@ -148,11 +148,11 @@
 
 // readTotals begins from the record. One that is damaged is counted anew, from all of
 // job/; one of another version is left to it.
-func readTotals(n *Controller) {
-	by := n.leader
-	tracker := &n.promises.totals
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityLazy, Key: record.TotalsKey}, func(resp message.StoreResponse) {
-		if !isStillLeader(n, by) {
+func (p *promiseState) readTotals() {
+	by := p.controller.leader
+	tracker := &p.totals
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityLazy, Key: record.TotalsKey}, func(resp message.StoreResponse) {
+		if !p.isStillLeader(by) {
 			return
 		}
 		var t *promise.Totals
@@ -164,7 +164,7 @@
 			var err error
 			stamp = resp.KeyValues[0].ModRevision
 			if t, err = promise.DecodeTotals(resp.KeyValues[0].Value); err != nil {
-				n.rejectInput("record", record.TotalsKey, err.Error())
+				p.rejectInput("record", record.TotalsKey, err.Error())
 				if errors.Is(err, promise.ErrFormat) {
 					tracker.inFlight = false
 					return
@@ -176,16 +176,16 @@
 			return
 		}
 		tracker.leadership, tracker.modRevision, tracker.writtenRevision, tracker.current = by, stamp, t.Revision, t
-		followTotals(n)
+		p.followTotals()
 	})
 }
 
 // followTotals takes in what has ended since.
-func followTotals(n *Controller) {
-	by := n.leader
-	x := &n.promises.totals
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, Revision: x.current.Revision}, func(d message.StoreResponse) {
-		if !isStillLeader(n, by) {
+func (p *promiseState) followTotals() {
+	by := p.controller.leader
+	x := &p.totals
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, Revision: x.current.Revision}, func(d message.StoreResponse) {
+		if !p.isStillLeader(by) {
 			return
 		}
 		switch d.Status {
@@ -193,9 +193,9 @@
 			t := x.current.Clone()
 			ended := countEnds(t, d.KeyValues, t.Revision, d.Revision)
 			t.Revision = d.Revision
-			writeTotals(n, t, ended)
+			p.writeTotals(t, ended)
 		case message.StoreCompacted:
-			listEnds(n, x.current.Clone(), "", 0, x.current.Revision)
+			p.listEnds(x.current.Clone(), "", 0, x.current.Revision)
 		default:
 			x.inFlight = false
 		}
@@ -204,14 +204,14 @@
 
 // listEnds counts from all of job/ what has ended since a revision, up to that of the
 // first page: what ends meanwhile the next look brings.
-func listEnds(n *Controller, t *promise.Totals, from string, upTo, since uint64) {
-	by := n.leader
-	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, StartAfter: from}, func(d message.StoreResponse) {
-		if !isStillLeader(n, by) {
+func (p *promiseState) listEnds(t *promise.Totals, from string, upTo, since uint64) {
+	by := p.controller.leader
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		if !p.isStillLeader(by) {
 			return
 		}
 		if d.Status != message.StoreOK {
-			n.promises.totals.inFlight = false
+			p.totals.inFlight = false
 			return
 		}
 		if from == "" {
@@ -219,11 +219,11 @@
 		}
 		countEnds(t, d.KeyValues, since, upTo)
 		if d.Truncated && len(d.KeyValues) > 0 {
-			listEnds(n, t, d.KeyValues[len(d.KeyValues)-1].Key, upTo, since)
+			p.listEnds(t, d.KeyValues[len(d.KeyValues)-1].Key, upTo, since)
 			return
 		}
 		t.Revision = upTo
-		writeTotals(n, t, true)
+		p.writeTotals(t, true)
 	})
 }
 
@@ -244,44 +244,44 @@
 
 // writeTotals writes the record if it says something new. It names the leader's record
 // and its own stamp, so that nothing is counted twice, whoever else believes to lead.
-func writeTotals(n *Controller, t *promise.Totals, ended bool) {
-	tracker := &n.promises.totals
-	by := n.leader
+func (p *promiseState) writeTotals(t *promise.Totals, ended bool) {
+	tracker := &p.totals
+	by := p.controller.leader
 	tracker.current = t
 	if !ended && t.Revision-tracker.writtenRevision < maxTotalsLag {
 		tracker.inFlight = false
-		reportTotals(n)
+		p.reportTotals()
 		return
 	}
-	value := t.Encode(n.maxPageBytes())
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: by.modRevision}, {Key: record.TotalsKey, ModRevision: tracker.modRevision}}, Writes: []message.Write{{Key: record.TotalsKey, Value: value}}}, func(d message.StoreResponse) {
+	value := t.Encode(p.maxPageBytes())
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: by.modRevision}, {Key: record.TotalsKey, ModRevision: tracker.modRevision}}, Writes: []message.Write{{Key: record.TotalsKey, Value: value}}}, func(d message.StoreResponse) {
 		tracker.inFlight = false
-		if n.leader != by || d.Status != message.StoreOK {
+		if p.controller.leader != by || d.Status != message.StoreOK {
 			// What became of it the record tells, before anything more is counted.
 			tracker.leadership = nil
 			return
 		}
 		tracker.modRevision, tracker.writtenRevision = d.Revision, t.Revision
-		reportTotals(n)
+		p.reportTotals()
 	})
 }
 
 // reportTotals tells the shell, and now and then the log.
-func reportTotals(n *Controller) {
-	x := &n.promises.totals
+func (p *promiseState) reportTotals() {
+	x := &p.totals
 	s := x.current.Sum()
-	n.emit(message.PromiseTotals{Sum: s, MedianRatio: x.current.MedianRatio()})
-	if n.now.Sub(x.loggedAt) < totalsLogInterval {
+	p.emit(message.PromiseTotals{Sum: s, MedianRatio: x.current.MedianRatio()})
+	if p.now.Sub(x.loggedAt) < totalsLogInterval {
 		return
 	}
-	x.loggedAt = n.now
+	x.loggedAt = p.now
 	open := 0
-	for id, l := range n.frontend.watchCache.openJobs {
-		if durableDate(n, id, &l).Revision > 0 {
+	for id, l := range p.controller.frontend.watchCache.openJobs {
+		if p.durableDate(id, &l).Revision > 0 {
 			open++
 		}
 	}
-	n.info("promises", "ended", s.Jobs, "made", s.Made, "kept", s.Kept, "broken", s.Broken, "revised", s.Revised,
+	p.info("promises", "ended", s.Jobs, "made", s.Made, "kept", s.Kept, "broken", s.Broken, "revised", s.Revised,
 		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.current.MedianRatio()), "first", x.current.PromisedAtAccept, "open", open)
 }
 
@@ -293,26 +293,26 @@
 }
 
 // queryPromises answers from a fresh read, so that any controller tells the same.
-func queryPromises(n *Controller, query message.QueryPromises) {
-	reply := message.PromiseReply{Reply: query.Reply, Host: n.settings.Host, Rows: []message.PromiseRow{}, Open: []message.OpenPromise{}}
-	n.refresh(func(ok bool) {
+func (p *promiseState) queryPromises(query message.QueryPromises) {
+	reply := message.PromiseReply{Reply: query.Reply, Host: p.settings.Host, Rows: []message.PromiseRow{}, Open: []message.OpenPromise{}}
+	p.controller.frontend.watchCache.refresh(func(ok bool) {
 		if !ok {
-			n.emit(reply)
+			p.emit(reply)
 			return
 		}
-		addOpenPromises(n, query, &reply)
-		n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.TotalsKey}, func(resp message.StoreResponse) {
+		p.addOpenPromises(query, &reply)
+		p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.TotalsKey}, func(resp message.StoreResponse) {
 			t := &promise.Totals{}
 			if resp.Status == message.StoreOK {
 				x, err := promise.DecodeTotals(resp.KeyValues[0].Value)
 				if err != nil {
-					n.rejectInput("record", record.TotalsKey, err.Error())
-					n.emit(reply)
+					p.rejectInput("record", record.TotalsKey, err.Error())
+					p.emit(reply)
 					return
 				}
 				t = x
 			} else if resp.Status != message.StoreNotFound {
-				n.emit(reply)
+				p.emit(reply)
 				return
 			}
 			reply.OK, reply.Revision, reply.MedianRatio, reply.PromisedAtAccept, reply.Sum = true, t.Revision, t.MedianRatio(), t.PromisedAtAccept, newPromiseRow(t.Sum())
@@ -322,39 +322,39 @@
 				}
 			}
 			if query.Job == "" || len(reply.Open) > 0 {
-				n.emit(reply)
+				p.emit(reply)
 				return
 			}
-			n.readStatusRecord(query.Job, func(resp message.StoreResponse) {
+			p.controller.frontend.readStatusRecord(query.Job, func(resp message.StoreResponse) {
 				var j record.JobStatus
 				if resp.Status == message.StoreOK && record.Decode(resp.KeyValues[0].Value, &j) {
 					x := j.Date()
 					reply.Open = append(reply.Open, message.OpenPromise{Job: query.Job, Team: j.Team, Class: j.Workload, State: string(j.Status), PromisedSeconds: x.After.Seconds(), Revision: x.Revision, AgeSeconds: float64(j.EndedAfterMillis) / 1000})
 				}
-				n.emit(reply)
+				p.emit(reply)
 			})
 		})
 	})
 }
 
-func addOpenPromises(n *Controller, query message.QueryPromises, reply *message.PromiseReply) {
-	cache := &n.frontend.watchCache
+func (p *promiseState) addOpenPromises(query message.QueryPromises, reply *message.PromiseReply) {
+	cache := &p.controller.frontend.watchCache
 	for _, id := range sortedKeys(cache.openJobs) {
 		l := cache.openJobs[id]
 		if l.rec.Cancelled || query.Job != "" && query.Job != id || query.Class != "" && query.Class != l.rec.Workload {
 			continue
 		}
-		age := n.now.Sub(time.UnixMilli(l.rec.SubmittedAtMillis))
-		d := durableDate(n, id, &l)
-		x := message.OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: n.replyWithStatus(id, model.Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
+		age := p.now.Sub(time.UnixMilli(l.rec.SubmittedAtMillis))
+		d := p.durableDate(id, &l)
+		x := message.OpenPromise{Job: id, Team: l.rec.Team, Class: l.rec.Workload, State: p.controller.frontend.replyWithStatus(id, model.Queued).State, PromisedSeconds: d.After.Seconds(), Revision: d.Revision, AgeSeconds: age.Seconds()}
 		if e, _ := cache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision); d.Revision > 0 {
 			x.Reason = e.Reason.String()
 		}
 		left, allUp := time.Duration(0), false
-		if n.shardLeader != nil && n.shardLeader.jobs[id] != nil {
-			j := n.shardLeader.jobs[id]
+		if p.controller.shardLeader != nil && p.controller.shardLeader.jobs[id] != nil {
+			j := p.controller.shardLeader.jobs[id]
 			allUp = !j.allUpAt.IsZero()
-			left, _ = forecastRemaining(n, j, quoterFor(n, j.Team, true))
+			left, _ = p.forecastRemaining(j, p.quoterFor(j.Team, true))
 		}
 		x.AtRisk = d.Revision > 0 && !allUp && age+left > d.After
 		switch {
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -54,13 +54,13 @@
 // currentPackingProfile is what is usual now, or nil when the capability is off. It is learnt from the
 // jobs there are and from the newest of each workload that came lately, so that it takes
 // no records, and a successor has it with the jobs.
-func (n *Controller) currentPackingProfile() *packingProfile {
-	o := n.shardLeader
-	if !n.settings.Capabilities.Models || o.packingProfile != nil && n.now.Sub(o.packingProfile.at) < packingProfileInterval && !n.now.Before(o.packingProfile.at) {
-		return o.packingProfile
+func (ss *scheduler) currentPackingProfile() *packingProfile {
+	o := ss.controller.shardLeader
+	if !ss.settings.Capabilities.Models || o.scheduler.packingProfile != nil && ss.now.Sub(o.scheduler.packingProfile.at) < packingProfileInterval && !ss.now.Before(o.scheduler.packingProfile.at) {
+		return o.scheduler.packingProfile
 	}
-	p := &packingProfile{at: n.now, kinds: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
-	o.packingProfile = p
+	p := &packingProfile{at: ss.now, kinds: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
+	o.scheduler.packingProfile = p
 	type tally struct {
 		// In whole megabytes, so that the order in which jobs are looked at is no matter.
 		tasks, mb int64
@@ -78,10 +78,10 @@
 		p.replicasWaiting = p.replicasWaiting || waiting
 	}
 	for _, j := range o.jobs {
-		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), n.placeableTasks(j) > 0 && n.withinQuotaLimit(j) && !o.faultAttribution.FailsEverywhere(j.ID))
+		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), ss.placeableTasks(j) > 0 && ss.withinQuotaLimit(j) && !o.faultAttribution.FailsEverywhere(j.ID))
 	}
 	for _, w := range o.workloads {
-		if n.now.Sub(w.lastSeen) < workloadRetention {
+		if ss.now.Sub(w.lastSeen) < workloadRetention {
 			add(w.spec, 1, false)
 		}
 	}
@@ -91,8 +91,8 @@
 	keys := slices.SortedFunc(maps.Keys(by), func(a, b replicaShape) int {
 		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.machineTypes, b.machineTypes))
 	})
-	for _, name := range sortedKeys(n.machineTypes) {
-		f := n.machineTypes[name]
+	for _, name := range sortedKeys(ss.controller.knowledge.machineTypes) {
+		f := ss.controller.knowledge.machineTypes[name]
 		if f.Capacity.GPU <= roundingTolerance {
 			continue
 		}
@@ -111,7 +111,7 @@
 		fallbackAfter = 2 * gpuFallbackAfter
 	}
 	for _, j := range o.jobs {
-		if since := later(later(j.readySince(), j.lastPlacedAt), o.readyAt); j.Need.GPU <= roundingTolerance && n.now.Sub(since) > fallbackAfter && n.placeableTasks(j) > 0 {
+		if since := later(later(j.readySince(), j.lastPlacedAt), o.readyAt); j.Need.GPU <= roundingTolerance && ss.now.Sub(since) > fallbackAfter && ss.placeableTasks(j) > 0 {
 			p.gpuFallback[j.Workload] = true
 		}
 	}
@@ -128,20 +128,20 @@
 
 // avoidsGPUsNow says that a job's tasks stay off machines with GPUs now, but for what no replica
 // could use there.
-func (n *Controller) avoidsGPUsNow(j *job) bool {
-	p := n.currentPackingProfile()
-	return n.avoidsGPUs(j) && !p.gpuFallback[j.Workload] &&
-		(p.replicasWaiting || j.LongRunning || n.waitObjective(j.Workload) == 0 || n.expectedRunTime(j) > maxBriefRunTime)
+func (s *scheduler) avoidsGPUsNow(j *job) bool {
+	p := s.currentPackingProfile()
+	return s.avoidsGPUs(j) && !p.gpuFallback[j.Workload] &&
+		(p.replicasWaiting || j.LongRunning || s.waitObjective(j.Workload) == 0 || s.controller.knowledge.expectedRunTime(j) > maxBriefRunTime)
 }
 
 // avoidsGPUs says that no machine with GPUs is wanted for a job's tasks: they need none, and
 // fit other kinds.
-func (n *Controller) avoidsGPUs(j *job) bool {
-	p := n.currentPackingProfile()
+func (s *scheduler) avoidsGPUs(j *job) bool {
+	p := s.currentPackingProfile()
 	if p == nil || j.Need.GPU > roundingTolerance || len(p.kinds) == 0 {
 		return false
 	}
-	for name, f := range n.machineTypes {
+	for name, f := range s.controller.knowledge.machineTypes {
 		if p.kinds[name] != nil || !j.Need.Fits(f.Capacity) {
 			continue
 		}
@@ -156,17 +156,17 @@
 
 // gpuPolicyAllows says that a job's tasks may go to a machine as to any other. off is what
 // avoidsGPUsNow says of the job.
-func (n *Controller) gpuPolicyAllows(avoidGPUs bool, m *machine) bool {
-	return !avoidGPUs || n.currentPackingProfile().kind(m.machineType) == nil
+func (s *scheduler) gpuPolicyAllows(avoidGPUs bool, m *machine) bool {
+	return !avoidGPUs || s.currentPackingProfile().kind(m.machineType) == nil
 }
 
 // nonGPUUse is what work without GPUs takes on a machine, also that of others' jobs when
 // none of it has GPUs.
-func (n *Controller) nonGPUUse(m *machine) model.Resources {
+func (s *scheduler) nonGPUUse(m *machine) model.Resources {
 	// Counted in millionths, so that the order is no matter.
 	var cpu, memory int64
 	for k := range m.attempts {
-		if j := n.shardLeader.jobs[k.job]; j != nil && j.Need.GPU <= roundingTolerance {
+		if j := s.controller.shardLeader.jobs[k.job]; j != nil && j.Need.GPU <= roundingTolerance {
 			cpu += int64(math.Round(j.Need.CPU / roundingTolerance))
 			memory += int64(math.Round(j.Need.Memory / roundingTolerance))
 		}
@@ -179,9 +179,9 @@
 }
 
 // rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better.
-func (n *Controller) rateGPUMachine(k *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
+func (s *scheduler) rateGPUMachine(k *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
 	if avoidGPUs {
-		return 0, j.Need.Fits(k.NonGPUCapacity(free, n.nonGPUUse(m)))
+		return 0, j.Need.Fits(k.NonGPUCapacity(free, s.nonGPUUse(m)))
 	}
 	score := k.FragmentationCost(free, j.Need)
 	if j.Need.GPU > roundingTolerance {
@@ -194,19 +194,19 @@
 // reratePacked enters the machines anew on which others were placed since a lot was last
 // used: one that is no longer whole suits better than before, and would be found behind
 // the whole ones.
-func (n *Controller) reratePacked(r *placementRound, l *candidateGroup, j *job) {
+func (ss *scheduler) reratePacked(r *placementRound, l *candidateGroup, j *job) {
 	for ; l.packedSeen < len(r.packedCandidates); l.packedSeen++ {
 		s := r.packedCandidates[l.packedSeen]
-		if score, ok := l.rate(n, j, s); ok {
+		if score, ok := l.rate(ss.controller, j, s); ok {
 			l.push(s.fetchSeconds(j), ratedCandidate{s, score})
 		}
 	}
 }
 
 // freeCapacityOn is the room on a machine for a job's tasks.
-func (n *Controller) freeCapacityOn(l *candidateGroup, s *candidateMachine) model.Resources {
+func (ss *scheduler) freeCapacityOn(l *candidateGroup, s *candidateMachine) model.Resources {
 	if l.avoidGPUs && s.packingKind != nil {
-		return s.packingKind.NonGPUCapacity(s.machine.free(), n.nonGPUUse(s.machine))
+		return s.packingKind.NonGPUCapacity(s.machine.free(), ss.nonGPUUse(s.machine))
 	}
 	return s.machine.free()
 }
@@ -222,48 +222,48 @@
 
 // preemptsForReplica says that lower work without GPUs is stopped where a task of j waits: it took
 // room that no model could use when it came, or was there before.
-func (n *Controller) preemptsForReplica(j *job) bool {
-	return n.settings.Capabilities.Models && j.Need.GPU > roundingTolerance
+func (s *scheduler) preemptsForReplica(j *job) bool {
+	return s.settings.Capabilities.Models && j.Need.GPU > roundingTolerance
 }
 
 // preemptsOnlyNonGPU says that a job may have nothing else stopped: nothing bounds its wait, and
 // it has not waited too long.
-func (n *Controller) preemptsOnlyNonGPU(j *job) bool {
-	return n.preemptsForReplica(j) && !j.placingOverdue && n.waitObjective(j.Workload) == 0
+func (s *scheduler) preemptsOnlyNonGPU(j *job) bool {
+	return s.preemptsForReplica(j) && !j.placingOverdue && s.waitObjective(j.Workload) == 0
 }
 
 // maxPreemptionLoss is the most work that may be lost where tasks are stopped for one of j's. A
 // replica has no run time of its own to measure it by.
-func (n *Controller) maxPreemptionLoss(j *job) time.Duration {
-	if n.preemptsForReplica(j) && j.LongRunning {
-		return max(n.expectedRunTime(j), maxReplicaPreemptionLoss)
+func (s *scheduler) maxPreemptionLoss(j *job) time.Duration {
+	if s.preemptsForReplica(j) && j.LongRunning {
+		return max(s.controller.knowledge.expectedRunTime(j), maxReplicaPreemptionLoss)
 	}
-	return n.expectedRunTime(j)
+	return s.controller.knowledge.expectedRunTime(j)
 }
 
 // utilization is what part of a machine is in use: of its GPUs, where models count.
-func (n *Controller) utilization(m *machine) float64 {
-	if n.settings.Capabilities.Models && m.size.GPU > roundingTolerance {
+func (f *fleetPlanner) utilization(m *machine) float64 {
+	if f.settings.Capabilities.Models && m.size.GPU > roundingTolerance {
 		return m.used.GPU / m.size.GPU
 	}
 	return m.used.CPU / max(m.size.CPU, 1)
 }
 
 // gpuFreeCapacity is how the room on the usable machines with GPUs lies, by kind.
-func (n *Controller) gpuFreeCapacity() []message.GPUFreeCapacity {
-	if !n.settings.Capabilities.Models {
+func (s *scheduler) gpuFreeCapacity() []message.GPUFreeCapacity {
+	if !s.settings.Capabilities.Models {
 		return nil
 	}
 	by := map[machineKind]*packing.FreeCapacity{}
-	for _, m := range n.shardLeader.machinesByID {
-		if m.size.GPU <= roundingTolerance || !n.usable(m) {
+	for _, m := range s.controller.shardLeader.machinesByID {
+		if m.size.GPU <= roundingTolerance || !s.usable(m) {
 			continue
 		}
 		k := machineKind{m.machineType, m.zone, m.spot}
 		if by[k] == nil {
 			by[k] = &packing.FreeCapacity{}
 		}
-		by[k].Add(n.currentPackingProfile().kind(m.machineType), m.size, m.free())
+		by[k].Add(s.currentPackingProfile().kind(m.machineType), m.size, m.free())
 	}
 	var out []message.GPUFreeCapacity
 	for _, k := range sortedKinds(by) {
@@ -274,9 +274,9 @@
 }
 
 // reportGPUFreeCapacity tells the metrics of it every now and then.
-func (n *Controller) reportGPUFreeCapacity() {
-	if p := n.currentPackingProfile(); p != nil && n.now.Sub(n.shardLeader.freeCapacityReportedAt) >= gpuCapacityInterval {
-		n.shardLeader.freeCapacityReportedAt = n.now
-		n.emit(message.GPUFreeCapacityReport{Kinds: n.gpuFreeCapacity(), Migrations: migrationsStatus(n)})
+func (s *scheduler) reportGPUFreeCapacity() {
+	if p := s.currentPackingProfile(); p != nil && s.now.Sub(s.freeCapacityReportedAt) >= gpuCapacityInterval {
+		s.freeCapacityReportedAt = s.now
+		s.emit(message.GPUFreeCapacityReport{Kinds: s.gpuFreeCapacity(), Migrations: migrationsStatus(s.controller)})
 	}
 }
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -14,14 +14,14 @@
 func newGPUHostPool(hosts, plain int) *Controller {
 	n := largePool(0)
 	n.settings.Capabilities.Models = true
-	n.machineTypes["g8"] = model.MachineType{Name: "g8", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
+	n.knowledge.machineTypes["g8"] = model.MachineType{Name: "g8", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
 	for i := range hosts + plain {
 		r := n.poolHeartbeat(0)
 		r.Machine, r.Spot = fmt.Sprintf("vm-%06d", i), false
 		if i < hosts {
 			r.MachineType = "g8"
 		}
-		n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
+		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
 	}
 	return n
 }
@@ -34,7 +34,7 @@
 
 func (n *Controller) submitTestJob(s model.JobSpec) *job {
 	s.Team = "ops"
-	j := n.addJob(s, n.now, 1)
+	j := n.shardLeader.addJob(s, n.now, 1)
 	return j
 }
 
@@ -52,7 +52,7 @@
 // gpuHostCapacity is the room on the g8 hosts.
 func (n *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
 	t.Helper()
-	rs := n.gpuFreeCapacity()
+	rs := n.shardLeader.scheduler.gpuFreeCapacity()
 	if len(rs) != 1 || rs[0].MachineType != "g8" {
 		t.Fatalf("%+v", rs)
 	}
@@ -67,7 +67,7 @@
 	fill := func(from, count, image int, gpus float64) {
 		for i := range count {
 			n.submitReplicas(fmt.Sprintf("job-%06d", from+i), fmt.Sprintf("img-%d", image), gpus, 1, model.Normal)
-			n.placeAll()
+			n.shardLeader.scheduler.placeAll()
 			n.advance(2 * time.Second)
 		}
 	}
@@ -80,7 +80,7 @@
 	for id, j := range n.shardLeader.jobs {
 		// The first three hosts go empty, and three replicas of each of the others go.
 		if i, _ := strconv.Atoi(id[4:]); i < 300 || i%100 < 3 {
-			n.endAttempt(j, 0, true)
+			n.shardLeader.endAttempt(j, 0, true)
 			delete(n.shardLeader.jobs, id)
 		}
 	}
@@ -94,7 +94,7 @@
 		t.Errorf("replicas that fit the pieces leave %+v", r)
 	}
 	large := n.submitReplicas("job-002000", "img-7", 8, 3, model.Normal)
-	if n.placeAll(); large.liveTasks != 3 {
+	if n.shardLeader.scheduler.placeAll(); large.liveTasks != 3 {
 		t.Errorf("%d of 3 large replicas are placed", large.liveTasks)
 	}
 }
@@ -111,7 +111,7 @@
 		}
 		n.submitReplicas(fmt.Sprintf("job-%06d", i), "img-a", 1, 1, model.Normal).ImageGB = 1
 	}
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	if r := n.gpuHostCapacity(t); r.EmptyMachines != 4 || r.FragmentedGPUs != 5 {
 		t.Errorf("11 replicas on hosts of 8 GPUs leave %+v", r)
 	}
@@ -122,11 +122,11 @@
 func TestWorkWithoutGPUs(t *testing.T) {
 	n := newGPUHostPool(2, 1)
 	a := n.submitReplicas("job-000001", "img", 2, 1, model.Normal)
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	batch := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "batch", Urgency: model.BestEffort, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
 	n.advance(2 * time.Second)
-	n.placeAll()
-	here := func(m *machine) model.Resources { return n.nonGPUUse(m) }
+	n.shardLeader.scheduler.placeAll()
+	here := func(m *machine) model.Resources { return n.shardLeader.scheduler.nonGPUUse(m) }
 	ms := n.shardLeader.machinesByID
 	if x, y, z := here(ms[0]).CPU, here(ms[1]).CPU, here(ms[2]).CPU; x != 16 || y != 16 || z != 32 {
 		t.Errorf("work without GPUs takes %v, %v and %v processors, want 16, 16 and 32", x, y, z)
@@ -134,7 +134,7 @@
 	if a.liveTasks != 1 || n.gpuHostCapacity(t).EmptyMachines != 1 {
 		t.Errorf("%d live, %+v", a.liveTasks, n.gpuHostCapacity(t))
 	}
-	for k := range n.planScaleOut(n.futureFreeCapacity(), nil) {
+	for k := range n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil) {
 		if k.machineType == "g8" {
 			t.Error("a machine with GPUs is wanted for work without")
 		}
@@ -143,7 +143,7 @@
 		if n.advance(2 * time.Second); l.liveTasks != 0 {
 			t.Fatal("placed too soon")
 		}
-		n.placeAll()
+		n.shardLeader.scheduler.placeAll()
 		if l.liveTasks != 1 {
 			t.Error("a whole host has no room for a model beside other work")
 		}
@@ -151,12 +151,12 @@
 	// What is brief and urgent takes what there is, while no replica waits.
 	rush := n.submitTestJob(model.JobSpec{ID: "job-000004", Workload: "rush", Urgency: model.Urgent, Tasks: 2, Need: model.Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
 	n.advance(2 * time.Second)
-	if n.placeAll(); rush.liveTasks != 2 {
+	if n.shardLeader.scheduler.placeAll(); rush.liveTasks != 2 {
 		t.Errorf("%d of 2 brief tasks are placed", rush.liveTasks)
 	}
 	// The other kinds are refused: after a while it goes wherever there is room.
 	n.advance(gpuFallbackAfter + time.Second)
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	if here(ms[0]).CPU+here(ms[1]).CPU <= 32 {
 		t.Errorf("%d tasks wait beside free processors for good", batch.pendingTasks())
 	}
@@ -164,7 +164,7 @@
 	n = newGPUHostPool(1, 1)
 	n.submitReplicas("job-000001", "img", 1, 1, model.Normal)
 	only := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "only", Urgency: model.Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
-	if n.placeAll(); only.liveTasks != 10 {
+	if n.shardLeader.scheduler.placeAll(); only.liveTasks != 10 {
 		t.Errorf("%d of 10 tasks that fit nothing else are placed", only.liveTasks)
 	}
 }
@@ -178,12 +178,12 @@
 	}{{model.Urgent, true}, {model.Normal, false}} {
 		n := newGPUHostPool(1, 0)
 		low := n.submitTestJob(model.JobSpec{ID: "job-000001", Workload: "batch", Urgency: model.Normal, Tasks: 5, Need: model.Resources{CPU: 12, Memory: 2}, ExpectedRunTime: time.Hour})
-		if n.placeAll(); low.liveTasks != 5 {
+		if n.shardLeader.scheduler.placeAll(); low.liveTasks != 5 {
 			t.Fatalf("%d live", low.liveTasks)
 		}
 		n.advance(2 * time.Second)
 		n.submitReplicas("job-000002", "img", 8, 1, c.u)
-		n.placeAll()
+		n.shardLeader.scheduler.placeAll()
 		stopped := 0
 		for i := range low.tasks {
 			if low.tasks[i].stopReason == stopPreempt {
@@ -209,11 +209,11 @@
 				n.submitTestJob(model.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+i), Workload: fmt.Sprint("batch-", i%5), Urgency: model.Normal, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute})
 				n.submitReplicas(fmt.Sprintf("job-%06d", 200000+i), fmt.Sprintf("img-%d", i%30), 8, 1, model.Urgent)
 			}
-			n.placeAll()
+			n.shardLeader.scheduler.placeAll()
 			for b.Loop() {
 				n.advance(placementInterval)
 				n.effects = n.effects[:0]
-				n.placeAll()
+				n.shardLeader.scheduler.placeAll()
 			}
 		})
 	}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -7,6 +7,7 @@
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/record"
+	"github.com/micahill/micahill/internal/selfmonitor"
 )
 
 // A controller that reaches the state service but no worker is of no use as an
@@ -39,34 +40,34 @@
 func (s *membership) receivesNothing(now time.Time) bool { return now.Before(s.receivesNothingUntil) }
 
 // heartbeatReceived notes that a report has reached this controller at all.
-func heartbeatReceived(n *Controller, r *model.Heartbeat) {
-	n.selfMonitor.HeartbeatReceived(n.now)
+func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
+	p.monitor.HeartbeatReceived(p.now)
 	switch {
-	case !n.membership.receivesNothing(n.now):
-	case !n.membership.unheard:
-		endStandDown(n)
-	case n.now.Sub(n.reachabilityRequestedAt) > probeInterval:
+	case !p.controller.membership.receivesNothing(p.now):
+	case !p.controller.membership.unheard:
+		p.endStandDown()
+	case p.now.Sub(p.reachabilityRequestedAt) > probeInterval:
 		// That it hears the worker is nothing new.
-		n.reachabilityRequestedAt = n.now
-		n.requestWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
-			if d.Heartbeat != nil && n.membership.receivesNothing(n.now) {
-				endStandDown(n)
+		p.reachabilityRequestedAt = p.now
+		p.controller.requests.toWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
+			if d.Heartbeat != nil && p.controller.membership.receivesNothing(p.now) {
+				p.endStandDown()
 			}
 		})
 	}
 }
 
 // pollRecentMachines asks the machines that were last heard whether they hear this owner.
-func pollRecentMachines(n *Controller) {
+func (p *partitionDetector) pollRecentMachines() {
 	var machines []*machine
-	for _, m := range n.shardLeader.machinesByID {
+	for _, m := range p.controller.shardLeader.machinesByID {
 		if m.heard && !m.releasing {
 			machines = append(machines, m)
 		}
 	}
 	slices.SortStableFunc(machines, func(a, b *machine) int { return b.lastHeard.Compare(a.lastHeard) })
 	for _, m := range machines[:min(len(machines), maxRecentPolls)] {
-		n.contact(m)
+		p.controller.shardLeader.failover.contact(m)
 	}
 }
 
@@ -74,35 +75,35 @@
 const maxRecentPolls = 4
 
 // endStandDown lets the controller be chosen again.
-func endStandDown(n *Controller) {
-	n.membership.receivesNothingUntil, n.membership.unheard = time.Time{}, false
-	if n.membership.leaseID != 0 && n.membership.loaded {
-		n.register()
+func (p *partitionDetector) endStandDown() {
+	p.controller.membership.receivesNothingUntil, p.controller.membership.unheard = time.Time{}, false
+	if p.controller.membership.leaseID != 0 && p.controller.membership.loaded {
+		p.controller.membership.register()
 	}
 }
 
 // noteRerouted notes that a machine was sent to its steward, and tells that steward
 // when its machines keep coming here. One that does not hear where it is sent says
 // nothing of its steward, so it is asked.
-func noteRerouted(n *Controller, r *model.Heartbeat, ownerHost string) {
-	s := &n.membership
+func (p *partitionDetector) noteRerouted(r *model.Heartbeat, ownerHost string) {
+	s := &p.controller.membership
 	ownerRecord, ok := s.controllers[ownerHost]
-	if !ok || ownerHost == n.settings.Host {
+	if !ok || ownerHost == p.settings.Host {
 		return
 	}
-	if n.reroutedMachines.Rerouted(n.now, r.Machine, ownerHost) && n.reroutedPollsInFlight < maxReroutedPolls {
-		n.reroutedPollsInFlight++
+	if p.reroutedMachines.Rerouted(p.now, r.Machine, ownerHost) && p.reroutedPollsInFlight < maxReroutedPolls {
+		p.reroutedPollsInFlight++
 		id := r.Machine
-		n.requestWorker(message.WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
-			n.reroutedPollsInFlight--
+		p.controller.requests.toWorker(message.WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
+			p.reroutedPollsInFlight--
 			if d.Heartbeat != nil && d.Heartbeat.Machine == id {
-				n.reroutedMachines.ProbeAnswered(n.now, id)
-				publishRerouted(n, ownerHost, ownerRecord.Incarnation)
+				p.reroutedMachines.ProbeAnswered(p.now, id)
+				p.publishRerouted(ownerHost, ownerRecord.Incarnation)
 			}
 		})
 	}
-	publishRerouted(n, ownerHost, ownerRecord.Incarnation)
-	queueReroutedHeartbeat(n, r, ownerHost)
+	p.publishRerouted(ownerHost, ownerRecord.Incarnation)
+	p.queueReroutedHeartbeat(r, ownerHost)
 }
 
 const (
@@ -111,34 +112,34 @@
 
 // queueReroutedHeartbeat tells a steward that a report of its machine came here: it may not have heard
 // it for long, and take one that only doesn't hear the answers for one that is gone.
-func queueReroutedHeartbeat(n *Controller, r *model.Heartbeat, ownerHost string) {
-	if len(n.reroutedHeartbeats) == 0 {
-		n.after(reroutedHeartbeatInterval, func() {
-			for _, to := range sortedKeys(n.reroutedHeartbeats) {
-				n.emit(message.SendPeerUpdate{To: to, Update: message.PeerUpdate{From: n.settings.Host, Rerouted: n.reroutedHeartbeats[to]}})
+func (p *partitionDetector) queueReroutedHeartbeat(r *model.Heartbeat, ownerHost string) {
+	if len(p.reroutedHeartbeats) == 0 {
+		p.after(reroutedHeartbeatInterval, func() {
+			for _, to := range sortedKeys(p.reroutedHeartbeats) {
+				p.emit(message.SendPeerUpdate{To: to, Update: message.PeerUpdate{From: p.settings.Host, Rerouted: p.reroutedHeartbeats[to]}})
 			}
-			n.reroutedHeartbeats = nil
+			p.reroutedHeartbeats = nil
 		})
-		n.reroutedHeartbeats = map[string][]message.ReroutedHeartbeat{}
+		p.reroutedHeartbeats = map[string][]message.ReroutedHeartbeat{}
 	}
-	if len(n.reroutedHeartbeats[ownerHost]) < message.MaxReroutedHeartbeats {
-		n.reroutedHeartbeats[ownerHost] = append(n.reroutedHeartbeats[ownerHost], message.ReroutedHeartbeat{ID: r.Machine, Epoch: r.Epoch, Incarnation: r.Incarnation, Sequence: r.Sequence})
+	if len(p.reroutedHeartbeats[ownerHost]) < message.MaxReroutedHeartbeats {
+		p.reroutedHeartbeats[ownerHost] = append(p.reroutedHeartbeats[ownerHost], message.ReroutedHeartbeat{ID: r.Machine, Epoch: r.Epoch, Incarnation: r.Incarnation, Sequence: r.Sequence})
 	}
 }
 
 // applyReroutedHeartbeats takes in which machines of this owner reported to another. A report that this
 // owner would have taken for a sign of life is one there, too: such a machine lives, and
 // likely doesn't hear what is sent to it.
-func applyReroutedHeartbeats(n *Controller, heartbeats []message.ReroutedHeartbeat) {
+func (p *partitionDetector) applyReroutedHeartbeats(heartbeats []message.ReroutedHeartbeat) {
 	for _, x := range heartbeats {
-		m := n.shardLeader.machines[x.ID]
+		m := p.controller.shardLeader.machines[x.ID]
 		r := model.Heartbeat{Epoch: x.Epoch, Incarnation: x.Incarnation, Sequence: x.Sequence}
 		if m == nil || !m.heard || x.Epoch < m.epoch || m.supersedes(&r) || (&machine{incarnation: m.rerouted.Incarnation, sequence: m.rerouted.Sequence}).supersedes(&r) {
 			continue
 		}
-		m.reroutedAt, m.rerouted = n.now, x
-		m.reachability.ReportedElsewhere(n.now)
-		probeIfUnreachable(n, m)
+		m.reroutedAt, m.rerouted = p.now, x
+		m.reachability.ReportedElsewhere(p.now)
+		p.controller.shardLeader.heartbeats.probeIfUnreachable(m)
 	}
 }
 
@@ -146,37 +147,37 @@
 const maxReroutedPolls = 8
 
 // publishRerouted tells a steward, in its present life, that its machines come here.
-func publishRerouted(n *Controller, ownerHost, ownerIncarnation string) {
-	s := &n.membership
-	if n.now.Sub(n.reroutedPublishedAt) < rerouteRecordInterval || s.leaseID == 0 || n.now.After(s.leaseValidUntil) {
+func (p *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
+	s := &p.controller.membership
+	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || s.leaseID == 0 || p.now.After(s.leaseValidUntil) {
 		return
 	}
-	count := n.reroutedMachines.CountReappeared(n.now, ownerHost)
+	count := p.reroutedMachines.CountReappeared(p.now, ownerHost)
 	if count < minReroutedMachines {
 		return
 	}
-	n.reroutedPublishedAt = n.now
-	n.info("machines come back from their steward", "steward", ownerHost, "machines", count)
+	p.reroutedPublishedAt = p.now
+	p.info("machines come back from their steward", "steward", ownerHost, "machines", count)
 	rec := record.Encode(record.ReroutedMachines{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + n.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
 }
 
 // applyRerouteRecord takes in what another controller says of this one's machines.
-func applyRerouteRecord(n *Controller, it message.KeyValue) {
+func (p *partitionDetector) applyRerouteRecord(it message.KeyValue) {
 	var r record.ReroutedMachines
-	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == n.settings.Host && r.Incarnation == n.incarnation() {
-		if n.now.Sub(n.membership.reroutesReportedAt) > rerouteRecordTTL {
+	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == p.settings.Host && r.Incarnation == p.incarnation() {
+		if p.now.Sub(p.controller.membership.reroutesReportedAt) > rerouteRecordTTL {
 			// What was asked before says nothing of now.
-			n.selfMonitor.RequestDelivered()
+			p.monitor.RequestDelivered()
 		}
-		n.membership.reroutesReportedAt = n.now
+		p.controller.membership.reroutesReportedAt = p.now
 	}
 }
 
 // checkPartition gives the share up when this owner hears nothing and others do.
-func checkPartition(n *Controller) {
-	o, s := n.shardLeader, &n.membership
-	if s.leaseID == 0 || n.now.Sub(s.reroutesReportedAt) > rerouteRecordTTL {
+func (p *partitionDetector) checkPartition() {
+	o, s := p.controller.shardLeader, &p.controller.membership
+	if s.leaseID == 0 || p.now.Sub(s.reroutesReportedAt) > rerouteRecordTTL {
 		return
 	}
 	reporting := 0
@@ -185,27 +186,44 @@
 			reporting++
 		}
 	}
-	receivesNothing := n.selfMonitor.ReceivesNothing(n.now, o.readyAt, reporting, n.maxHeartbeatInterval())
+	receivesNothing := p.monitor.ReceivesNothing(p.now, o.readyAt, reporting, p.maxHeartbeatInterval())
 	if !receivesNothing {
-		pollRecentMachines(n)
+		p.pollRecentMachines()
 	}
-	if !receivesNothing && (reporting < 2 || !n.selfMonitor.Unheard(n.now)) {
+	if !receivesNothing && (reporting < 2 || !p.monitor.Unheard(p.now)) {
 		return
 	}
-	n.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !receivesNothing)
+	p.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !receivesNothing)
 	grant := s.leaseID
-	s.reroutesReportedAt, s.receivesNothingUntil, s.unheard = time.Time{}, n.now.Add(partitionStandDown), !receivesNothing
-	n.after(partitionStandDown, func() {
-		if !s.receivesNothing(n.now) {
-			endStandDown(n)
+	s.reroutesReportedAt, s.receivesNothingUntil, s.unheard = time.Time{}, p.now.Add(partitionStandDown), !receivesNothing
+	p.after(partitionStandDown, func() {
+		if !s.receivesNothing(p.now) {
+			p.endStandDown()
 		}
 	})
-	n.relinquishRoles("hears no worker")
+	p.controller.membership.relinquishRoles("hears no worker")
 	// Ended, the grant takes the lead and the node's record with it at once. A new
 	// one is asked for only then: this node is not to look alive in between.
-	n.requestStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: grant}, func(message.StoreResponse) {
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: grant}, func(message.StoreResponse) {
 		if s.leaseID == 0 {
-			n.createLease()
+			p.controller.membership.createLease()
 		}
 	})
 }
+
+// partitionDetector TODO.
+type partitionDetector struct {
+	component
+
+	// selfMonitor and strays are what this node hears of workers, and which it sent on;
+	// see partition.go.
+	monitor             selfmonitor.Monitor
+	reroutedMachines    selfmonitor.ReroutedMachines
+	reroutedPublishedAt time.Time
+	// reroutedPollsInFlight counts the questions under way to machines that came back.
+	reroutedPollsInFlight int
+	// reroutedHeartbeats are reports of others' machines that these are to be told of.
+	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
+	// reachabilityRequestedAt is when a worker was last asked whether it hears this node again.
+	reachabilityRequestedAt time.Time
+}
--- a/internal/controller/placement.go
+++ b/internal/controller/placement.go
@@ -62,13 +62,13 @@
 // of its aims that it can still meet. Jobs are placed in this order. What can
 // meet no aim any more goes last: in its place before the others it would only
 // make those late as well.
-func (n *Controller) latestStart(j *job) time.Time {
+func (s *scheduler) latestStart(j *job) time.Time {
 	if j.LongRunning {
 		// Replicas are to run at all times.
 		return j.readySince()
 	}
-	d := n.expectedRunTime(j)
-	soonest := n.now.Add(time.Duration(minRunTimeLeft * float64(d)))
+	d := s.controller.knowledge.expectedRunTime(j)
+	soonest := s.now.Add(time.Duration(minRunTimeLeft * float64(d)))
 	target := j.readySince().Add(lastDue)
 	if soonest.After(target) {
 		target = soonest
@@ -86,7 +86,7 @@
 	if !j.criticalPath.Due.IsZero() {
 		consider(j.criticalPath.Due)
 	}
-	for _, o := range n.settings.Objectives {
+	for _, o := range s.settings.Objectives {
 		switch {
 		case o.Workload != j.Workload:
 		case o.Kind == "deadline" && j.Deadline > 0 && o.DeadlineFactor > 0:
@@ -101,32 +101,32 @@
 	return target.Add(-d)
 }
 
-func (n *Controller) team(name string) *model.Team {
-	for i := range n.settings.Teams {
-		if n.settings.Teams[i].Name == name {
-			return &n.settings.Teams[i]
+func (e *environment) team(name string) *model.Team {
+	for i := range e.settings.Teams {
+		if e.settings.Teams[i].Name == name {
+			return &e.settings.Teams[i]
 		}
 	}
 	return nil
 }
 
 // withinQuotaLimit says whether one more task keeps its team within the limit.
-func (n *Controller) withinQuotaLimit(j *job) bool {
-	t := n.team(j.Team)
+func (s *scheduler) withinQuotaLimit(j *job) bool {
+	t := s.team(j.Team)
 	if t == nil {
 		return false
 	}
-	u := n.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1).AddScaled(migratingResources(n, j), 1)
+	u := s.controller.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1).AddScaled(s.controller.shardLeader.migration.migratingResources(j), 1)
 	return (t.QuotaLimit.CPU <= 0 || u.CPU <= t.QuotaLimit.CPU+roundingTolerance) && (t.QuotaLimit.GPU <= 0 || u.GPU <= t.QuotaLimit.GPU+roundingTolerance)
 }
 
 // withinGuaranteedQuota says whether the job's next task lies within its team's guarantee.
-func (n *Controller) withinGuaranteedQuota(j *job) bool {
-	t := n.team(j.Team)
+func (s *scheduler) withinGuaranteedQuota(j *job) bool {
+	t := s.team(j.Team)
 	if t == nil || t.GuaranteedQuota.CPU <= 0 && t.GuaranteedQuota.GPU <= 0 {
 		return false
 	}
-	u := n.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1)
+	u := s.controller.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1)
 	return u.CPU <= t.GuaranteedQuota.CPU+roundingTolerance && u.GPU <= t.GuaranteedQuota.GPU+roundingTolerance
 }
 
@@ -149,11 +149,11 @@
 
 // placeableTasks is how many of a job's waiting tasks may be placed now: of a job that fails
 // everywhere one at a time, to see whether it still does.
-func (n *Controller) placeableTasks(j *job) int {
+func (s *scheduler) placeableTasks(j *job) int {
 	switch {
-	case j.pendingTasks() == 0 || !j.mayStart(n.now) || j.notBefore.After(n.now):
+	case j.pendingTasks() == 0 || !j.mayStart(s.now) || j.notBefore.After(s.now):
 		return 0
-	case !n.shardLeader.faultAttribution.FailsEverywhere(j.ID):
+	case !s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID):
 		return j.pendingTasks()
 	case j.liveTasks > 0:
 		return 0
@@ -162,20 +162,20 @@
 }
 
 // queuedJobs sorts the jobs that wait for places by their urgency and aims.
-func (n *Controller) queuedJobs() []queuedJob {
+func (s *scheduler) queuedJobs() []queuedJob {
 	var rs []queuedJob
 	cpus := 0.0
-	for _, m := range n.shardLeader.machinesByID {
+	for _, m := range s.controller.shardLeader.machinesByID {
 		cpus += m.size.CPU
 	}
 	var waiting []*job
-	for _, j := range n.shardLeader.jobs {
-		if n.placeableTasks(j) == 0 {
+	for _, j := range s.controller.shardLeader.jobs {
+		if s.placeableTasks(j) == 0 {
 			j.waitingSince = time.Time{}
 			continue
 		}
 		if j.waitingSince.IsZero() {
-			j.waitingSince = n.now
+			j.waitingSince = s.now
 		}
 		waiting = append(waiting, j)
 	}
@@ -183,12 +183,12 @@
 	for _, j := range waiting {
 		// Aims count jobs, so of two that are as pressing the one with less
 		// left to do goes first: together they are done the sooner.
-		left := float64(len(j.tasks)-j.doneTasks) * j.Need.CPU * n.expectedRunTime(j).Seconds()
-		key := n.latestStart(j).Add(record.DurationOfSeconds(jobSizeWeight * left / max(cpus, 1)))
-		rs = append(rs, queuedJob{job: j, guaranteed: n.withinGuaranteedQuota(j), latestStart: key, rankingPlace: rankOf(n, j), weight: policyWeight(n, j), missesPromise: cannotKeepDate(n, j)})
+		left := float64(len(j.tasks)-j.doneTasks) * j.Need.CPU * s.controller.knowledge.expectedRunTime(j).Seconds()
+		key := s.latestStart(j).Add(record.DurationOfSeconds(jobSizeWeight * left / max(cpus, 1)))
+		rs = append(rs, queuedJob{job: j, guaranteed: s.withinGuaranteedQuota(j), latestStart: key, rankingPlace: s.controller.ranking.rankOf(j), weight: s.controller.ranking.policyWeight(j), missesPromise: s.controller.promises.cannotKeepDate(j)})
 	}
 	slices.SortStableFunc(rs, compareQueueOrder)
-	if n.deferLateJobs(rs) {
+	if s.deferLateJobs(rs) {
 		slices.SortStableFunc(rs, compareQueueOrder)
 	}
 	return rs
@@ -226,7 +226,7 @@
 // before it and itself is put off (Moore's rule for the number of late jobs):
 // aims count jobs, and one large job that is late either way would take several
 // others with it. Nothing is put off while all can be in time.
-func (n *Controller) deferLateJobs(rs []queuedJob) bool {
+func (s *scheduler) deferLateJobs(rs []queuedJob) bool {
 	rooms := map[string]float64{}
 	accumulated := map[string]time.Duration{}
 	onTime := map[string][]*queuedJob{}
@@ -239,18 +239,18 @@
 		}
 		room, ok := rooms[j.Workload]
 		if !ok {
-			room = n.capacityFor(j)
+			room = s.capacityFor(j)
 			rooms[j.Workload] = room
 		}
-		run := n.expectedRunTime(j)
+		run := s.controller.knowledge.expectedRunTime(j)
 		r.workDuration = time.Duration(float64(j.pendingTasks()) * float64(run) / max(room, 1))
 		key := fmt.Sprint(j.Workload, j.Urgency, r.guaranteed)
 		onTime[key] = append(onTime[key], r)
 		accumulated[key] += r.workDuration
 		// Its last task starts when the work before it is nearly done, the first
 		// ones at once.
-		aim := n.latestStart(j)
-		if !n.now.Add(accumulated[key] - run).After(aim) {
+		aim := s.latestStart(j)
+		if !s.now.Add(accumulated[key] - run).After(aim) {
 			continue
 		}
 		big := 0
@@ -269,28 +269,28 @@
 
 // capacityFor is how many tasks like the job's its workload may count on running at
 // a time: those that run and what is free, and at least a part of all.
-func (n *Controller) capacityFor(j *job) float64 {
+func (s *scheduler) capacityFor(j *job) float64 {
 	live := 0
-	for _, o := range n.shardLeader.jobs {
+	for _, o := range s.controller.shardLeader.jobs {
 		if o.Workload == j.Workload {
 			live += o.liveTasks
 		}
 	}
-	all, free, avoidGPUs := 0, 0, n.avoidsGPUs(j)
-	for _, m := range n.shardLeader.machinesByID {
-		if j.allowsMachine(m.machineType, m.zone, m.spot) && n.usable(m) && n.gpuPolicyAllows(avoidGPUs, m) {
+	all, free, avoidGPUs := 0, 0, s.avoidsGPUs(j)
+	for _, m := range s.controller.shardLeader.machinesByID {
+		if j.allowsMachine(m.machineType, m.zone, m.spot) && s.usable(m) && s.gpuPolicyAllows(avoidGPUs, m) {
 			all += m.size.FitCount(j.Need)
 			free += m.free().FitCount(j.Need)
 		}
 	}
-	if v := n.shardLeader.fleetView; v != nil {
+	if v := s.controller.shardLeader.fleet.view; v != nil {
 		// What boots is there before the aims of what waits are over.
-		for r := range n.expectedFor(j) {
-			free += n.machineTypes[r.machineType].Capacity.FitCount(j.Need)
+		for r := range s.controller.expectedFor(j) {
+			free += s.controller.knowledge.machineTypes[r.machineType].Capacity.FitCount(j.Need)
 		}
 		for k, c := range v.pendingRentals {
 			if j.allowsMachine(k.machineType, k.zone, k.spot) {
-				free += c * n.machineTypes[k.machineType].Capacity.FitCount(j.Need)
+				free += c * s.controller.knowledge.machineTypes[k.machineType].Capacity.FitCount(j.Need)
 			}
 		}
 	}
@@ -301,77 +301,77 @@
 const roomLeast = 0.25
 
 // usable says whether tasks may be placed on m now.
-func (n *Controller) usable(m *machine) bool {
-	return !n.isRentedForOther(m.id) && m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks && m.size.CPU > 0 && m.reachability.Reachable() && !n.unresponsive(m)
+func (s *scheduler) usable(m *machine) bool {
+	return !s.controller.isRentedForOther(m.id) && m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks && m.size.CPU > 0 && m.reachability.Reachable() && !s.controller.shardLeader.heartbeats.unresponsive(m)
 }
 
 // placeAll places what waits, in order.
-func (n *Controller) placeAll() {
-	o := n.shardLeader
-	turns := n.queueOrder()
+func (s *scheduler) placeAll() {
+	o := s.controller.shardLeader
+	turns := s.queueOrder()
 	var jobs []*job
 	for _, t := range turns {
 		if t.goesFirst || !t.job.overdue {
 			jobs = append(jobs, t.job)
 		}
 	}
-	n.reserveMachines(jobs)
+	s.reserveMachines(jobs)
 	if len(turns) == 0 {
 		return
 	}
-	if n.now.After(n.membership.leaseValidUntil) || n.ranking.stale {
+	if s.now.After(s.controller.membership.leaseValidUntil) || s.controller.ranking.stale {
 		return
 	}
-	placeReserved(n)
-	r := n.newPlacementRound()
-	o.startDeadlines = map[string]time.Time{}
+	s.placeReserved()
+	r := s.newPlacementRound()
+	o.scheduler.startDeadlines = map[string]time.Time{}
 	for _, t := range turns {
-		j, l := t.job, n.latestStart(t.job)
-		if t, ok := o.startDeadlines[j.Workload]; !ok || l.Before(t) {
-			o.startDeadlines[j.Workload] = l
+		j, l := t.job, s.latestStart(t.job)
+		if t, ok := o.scheduler.startDeadlines[j.Workload]; !ok || l.Before(t) {
+			o.scheduler.startDeadlines[j.Workload] = l
 		}
 	}
 	for _, t := range turns {
 		t.job.placingOverdue = t.goesFirst
-		n.placeQueueEntry(t.job, r, t.tasks)
+		s.placeQueueEntry(t.job, r, t.tasks)
 		t.job.placingOverdue = false
 	}
 }
 
 // placeQueueEntry places up to count waiting tasks of a job whose turn it is.
-func (n *Controller) placeQueueEntry(j *job, r *placementRound, count int) {
+func (s *scheduler) placeQueueEntry(j *job, r *placementRound, count int) {
 	if j.Gang {
-		n.placeGang(j, r)
+		s.placeGang(j, r)
 		return
 	}
-	most := func() int { return min(count, n.placeableTasks(j)) }
+	most := func() int { return min(count, s.controller.shardLeader.scheduler.placeableTasks(j)) }
 	place := func(fetch time.Duration, most int) {
 		waiting := j.pendingTasks()
-		n.placeJob(j, r, fetch, most)
+		s.controller.shardLeader.scheduler.placeJob(j, r, fetch, most)
 		count -= waiting - j.pendingTasks()
 	}
-	bound := n.waitObjective(j.Workload)
+	bound := s.waitObjective(j.Workload)
 	if bound == 0 || j.Urgency == model.BestEffort {
 		place(forever, most())
-		if (j.placingOverdue || n.preemptsForReplica(j)) && most() > 0 && !n.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
+		if (j.placingOverdue || s.preemptsForReplica(j)) && most() > 0 && !s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
 			// Work of lower urgency makes room for what has waited too long, and such
 			// without GPUs for replicas.
-			n.preemptIfDue(j, forever)
+			s.preemptIfDue(j, forever)
 		}
 		return
 	}
 	// Where an objective bounds the wait: first where the image is, then
 	// in the place of lower work there, and only then where it must be
 	// fetched first, which alone can take longer than the bound.
-	left := bound - n.now.Sub(j.readySince()) - fetchMargin
+	left := bound - s.now.Sub(j.readySince()) - fetchMargin
 	place(max(left, 0), most())
 	freeing := 0
 	switch {
-	case n.placeableTasks(j) == 0 || n.shardLeader.faultAttribution.FailsEverywhere(j.ID):
+	case s.placeableTasks(j) == 0 || s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID):
 	case left > 0:
-		freeing = n.preemptIfDue(j, left)
-	case n.latestStart(j).Sub(n.now) < bound:
-		freeing = n.preemptIfDue(j, forever)
+		freeing = s.preemptIfDue(j, left)
+	case s.latestStart(j).Sub(s.now) < bound:
+		freeing = s.preemptIfDue(j, forever)
 	}
 	place(forever, most()-freeing)
 }
@@ -380,10 +380,10 @@
 // through the attempts of many machines.
 const preemptionInterval = 500 * time.Millisecond
 
-func (n *Controller) preemptIfDue(j *job, fetch time.Duration) int {
-	if n.now.Sub(j.lastPreemptionScan) >= preemptionInterval {
-		j.lastPreemptionScan = n.now
-		j.preemptionCapacity = n.preempt(j, fetch)
+func (s *scheduler) preemptIfDue(j *job, fetch time.Duration) int {
+	if s.now.Sub(j.lastPreemptionScan) >= preemptionInterval {
+		j.lastPreemptionScan = s.now
+		j.preemptionCapacity = s.preempt(j, fetch)
 	}
 	return min(j.preemptionCapacity, j.pendingTasks())
 }
@@ -396,12 +396,12 @@
 // alone: the job was stopped for others as often as a task may be. Without it each of its
 // tasks takes a turn: a machine is gathered for the job as soon as nothing of it runs,
 // that of the stop, so that nobody gains by it, and the next is stopped there.
-func (n *Controller) hasMaxPreemptions(j *job) bool {
+func (s *scheduler) hasMaxPreemptions(j *job) bool {
 	if j.liveTasks != 1 {
 		return false
 	}
-	bound, _ := waitBound(n, j)
-	if p := (aging.Job{Waited: n.waitTime(j), MaxWait: bound, WaitingTasks: 1}); !p.Overdue() {
+	bound, _ := s.controller.ranking.waitBound(j)
+	if p := (aging.Job{Waited: s.waitTime(j), MaxWait: bound, WaitingTasks: 1}); !p.Overdue() {
 		return false
 	}
 	stops := 0
@@ -412,8 +412,8 @@
 }
 
 // waitObjective is how soon the workload's tasks are to start, or 0.
-func (n *Controller) waitObjective(workload string) time.Duration {
-	for _, o := range n.settings.Objectives {
+func (e *environment) waitObjective(workload string) time.Duration {
+	for _, o := range e.settings.Objectives {
 		if o.Kind == "wait" && o.Workload == workload {
 			return o.Within
 		}
@@ -422,24 +422,24 @@
 }
 
 // preemptionVictimsOn picks the tasks on m whose stop makes room for one of j's.
-func (n *Controller) preemptionVictimsOn(j *job, m *machine, free model.Resources) ([]*task, time.Duration, bool) {
+func (s *scheduler) preemptionVictimsOn(j *job, m *machine, free model.Resources) ([]*task, time.Duration, bool) {
 	type victim struct {
 		t    *task
 		need model.Resources
 		loss time.Duration
 	}
 	var candidates []victim
-	nonGPUOnly := n.preemptsOnlyNonGPU(j)
+	nonGPUOnly := s.preemptsOnlyNonGPU(j)
 	able := m.attemptsWhere(func(t *task) bool { return t.stopReason == stopNone && t.preemptions < maxPreemptions })
 	for _, k := range able {
 		t := m.attempts[k]
-		o := n.shardLeader.jobs[k.job]
-		if o.Urgency >= j.Urgency || o.Gang || o.LongRunning || n.hasMaxPreemptions(o) || rankOf(n, o) < rankOf(n, j) || nonGPUOnly && o.Need.GPU > roundingTolerance {
+		o := s.controller.shardLeader.jobs[k.job]
+		if o.Urgency >= j.Urgency || o.Gang || o.LongRunning || s.hasMaxPreemptions(o) || s.controller.ranking.rankOf(o) < s.controller.ranking.rankOf(j) || nonGPUOnly && o.Need.GPU > roundingTolerance {
 			continue
 		}
 		var loss time.Duration
 		if !t.startedAt.IsZero() {
-			loss = n.now.Sub(t.startedAt)
+			loss = s.now.Sub(t.startedAt)
 			if o.CheckpointInterval > 0 {
 				loss = min(loss%o.CheckpointInterval, o.CheckpointCost)
 			}
@@ -468,22 +468,22 @@
 
 // placeGang places all tasks of a gang or none, in one zone after another when
 // they must be in the same place.
-func (n *Controller) placeGang(j *job, r *placementRound) {
+func (ss *scheduler) placeGang(j *job, r *placementRound) {
 	if j.liveTasks > 0 {
 		// Some were lost. The workers end the others by themselves; those
 		// that do not are stopped.
 		for i := range j.tasks[:j.nextFresh] {
 			t := &j.tasks[i]
-			if t.machine != nil && t.stopReason == stopNone && n.now.Sub(time.UnixMilli(t.groupStart)) > gangStartTimeout {
+			if t.machine != nil && t.stopReason == stopNone && ss.now.Sub(time.UnixMilli(t.groupStart)) > gangStartTimeout {
 				t.stopReason = stopDrain
-				n.markDispatchPending(t.machine)
+				ss.controller.markDispatchPending(t.machine)
 			}
 		}
 		return
 	}
 	zones := []string{""}
 	if j.SameZone {
-		zones = n.settings.Zones
+		zones = ss.settings.Zones
 	}
 	for _, z := range zones {
 		in := *r
@@ -491,8 +491,8 @@
 			in.candidates = slices.DeleteFunc(slices.Clone(r.candidates), func(s *candidateMachine) bool { return s.machine.zone != z })
 			in.full, in.candidateGroups = map[taskShape]bool{}, map[candidateGroupKey]*candidateGroup{}
 		}
-		if n.gangFits(j, &in) {
-			n.placeJob(j, &in, forever, j.pendingTasks())
+		if ss.gangFits(j, &in) {
+			ss.placeJob(j, &in, forever, j.pendingTasks())
 			return
 		}
 	}
@@ -502,27 +502,27 @@
 // be placed: room that placing then refuses, such as on a machine being let go,
 // would have some of them start and wait in vain for the others, in turns and
 // without end.
-func (n *Controller) gangFits(j *job, r *placementRound) bool {
-	if t := n.team(j.Team); t != nil {
-		u := n.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, float64(j.pendingTasks()))
+func (ss *scheduler) gangFits(j *job, r *placementRound) bool {
+	if t := ss.team(j.Team); t != nil {
+		u := ss.controller.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, float64(j.pendingTasks()))
 		if t.QuotaLimit.CPU > 0 && u.CPU > t.QuotaLimit.CPU+roundingTolerance || t.QuotaLimit.GPU > 0 && u.GPU > t.QuotaLimit.GPU+roundingTolerance {
 			return false
 		}
 	}
 	for _, i := range j.requeued {
-		if j.tasks[i].notBefore.After(n.now) {
+		if j.tasks[i].notBefore.After(ss.now) {
 			return false
 		}
 	}
 	room := 0
 	zones := map[string]int{}
-	l := n.candidateGroupFor(r, j)
+	l := ss.candidateGroupFor(r, j)
 	for _, s := range r.candidates {
 		m := s.machine
-		if _, ok := l.rate(n, j, s); !ok {
+		if _, ok := l.rate(ss.controller, j, s); !ok {
 			continue
 		}
-		k := n.freeCapacityOn(l, s).FitCount(j.Need)
+		k := ss.freeCapacityOn(l, s).FitCount(j.Need)
 		if j.SpreadZones {
 			k = min(k, (len(j.tasks)+1)/2-zones[m.zone])
 			zones[m.zone] += k
@@ -533,9 +533,9 @@
 }
 
 // cheapestCPUCost is the lowest price of a processor among all kinds.
-func (n *Controller) cheapestCPUCost() float64 {
+func (k *fleetKnowledge) cheapestCPUCost() float64 {
 	low := 0.0
-	for _, f := range n.machineTypes {
+	for _, f := range k.machineTypes {
 		for _, p := range [...]float64{f.CostPerHour, f.SpotCostPerHour} {
 			if u := p / max(f.Capacity.CPU, 1); u > 0 && (low == 0 || u < low) {
 				low = u
@@ -563,19 +563,19 @@
 // more than this one does: it fits fewer flavours. Small tasks that fill the
 // only machines on which big ones fit keep those waiting beside idle small
 // machines.
-func (n *Controller) scarcityOf(s *model.JobSpec) map[string]scarcity {
+func (ss *scheduler) scarcityOf(s *model.JobSpec) map[string]scarcity {
 	var out map[string]scarcity
-	mine := n.fittingMachineTypes(s)
-	for _, w := range n.shardLeader.workloads {
-		if w.spec.Workload == s.Workload || n.now.Sub(w.lastSeen) > workloadRetention {
+	mine := ss.controller.knowledge.fittingMachineTypes(s)
+	for _, w := range ss.controller.shardLeader.workloads {
+		if w.spec.Workload == s.Workload || ss.now.Sub(w.lastSeen) > workloadRetention {
 			continue
 		}
-		theirs := n.fittingMachineTypes(w.spec)
+		theirs := ss.controller.knowledge.fittingMachineTypes(w.spec)
 		if len(theirs) >= len(mine) {
 			continue
 		}
 		rate := scarceSoon
-		if t, ok := n.shardLeader.startDeadlines[w.spec.Workload]; ok && rankOfSpec(n, w.spec) <= rankOfSpec(n, s) && t.Sub(n.now) < scarcityWindow {
+		if t, ok := ss.startDeadlines[w.spec.Workload]; ok && ss.controller.ranking.rankOfSpec(w.spec) <= ss.controller.ranking.rankOfSpec(s) && t.Sub(ss.now) < scarcityWindow {
 			rate = scarceNow
 		}
 		if out == nil {
@@ -589,9 +589,9 @@
 }
 
 // fittingMachineTypes names the flavours a task fits.
-func (n *Controller) fittingMachineTypes(s *model.JobSpec) []string {
+func (k *fleetKnowledge) fittingMachineTypes(s *model.JobSpec) []string {
 	var out []string
-	for name, f := range n.machineTypes {
+	for name, f := range k.machineTypes {
 		if s.Need.Fits(f.Capacity) && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)) {
 			out = append(out, name)
 		}
@@ -600,14 +600,14 @@
 }
 
 // fetchTime is how long m needs to have the image of j.
-func (n *Controller) fetchTime(m *machine, j *job) time.Duration {
+func (k *fleetKnowledge) fetchTime(m *machine, j *job) time.Duration {
 	fetching := 0
 	for _, im := range m.images {
 		if !im.cached {
 			fetching++
 		}
 	}
-	return record.DurationOfSeconds(m.fetchSeconds(j, fetching, n.imageFetchRate(m)))
+	return record.DurationOfSeconds(m.fetchSeconds(j, fetching, k.imageFetchRate(m)))
 }
 
 // fetchSeconds is how long the machine needs to have the image of j, in seconds, when it
@@ -627,8 +627,8 @@
 }
 
 // imageFetchRate is how many GB a machine fetches in a second, as far as is known.
-func (n *Controller) imageFetchRate(m *machine) float64 {
-	if rate := n.machineTypes[m.machineType].ImageFetchRate; rate > 0 {
+func (k *fleetKnowledge) imageFetchRate(m *machine) float64 {
+	if rate := k.machineTypes[m.machineType].ImageFetchRate; rate > 0 {
 		return rate
 	}
 	return 1
@@ -637,8 +637,8 @@
 // relaunch is the paper's: when a group's timer of w times the median of the
 // job's finished run times has expired with at most a tenth unfinished, those
 // tasks are stopped and started once more elsewhere.
-func (n *Controller) relaunch() {
-	o := n.shardLeader
+func (s *scheduler) relaunch() {
+	o := s.controller.shardLeader
 	released := 0
 	for _, id := range sortedKeys(o.jobs) {
 		j := o.jobs[id]
@@ -646,22 +646,22 @@
 			continue
 		}
 		med, hasMedian := j.medianRunTime()
-		factor := n.settings.Policy.RelaunchFactor
+		factor := s.settings.Policy.RelaunchFactor
 		if !hasMedian || j.doneTasks*2 < len(j.tasks) {
 			// No timer runs before half of the tasks have finished. An
 			// extension: a job of one task never has such a half, so its
 			// reference is the corrected estimate, with more patience.
-			e := n.estimators[j.Workload]
+			e := s.controller.knowledge.estimators[j.Workload]
 			if len(j.tasks) > 1 || e == nil || e.samples < 5 {
 				continue
 			}
-			med = n.expectedRunTime(j)
+			med = s.controller.knowledge.expectedRunTime(j)
 			factor *= noMedianFactor
 		}
 		limit := time.Duration(factor * float64(med))
 		for _, gid := range sortedKeys(j.groups) {
 			g := j.groups[gid]
-			if g.relaunchDecided || n.now.Sub(g.startedAt) < limit {
+			if g.relaunchDecided || s.now.Sub(g.startedAt) < limit {
 				continue
 			}
 			var stragglers []int
@@ -682,7 +682,7 @@
 			if released+len(stragglers) > maxRelaunchesPerScan && released > 0 {
 				continue
 			}
-			if !n.worthRelaunch(j, stragglers, limit) {
+			if !s.worthRelaunch(j, stragglers, limit) {
 				continue
 			}
 			released += len(stragglers)
@@ -690,9 +690,9 @@
 			for _, i := range stragglers {
 				t := &j.tasks[i]
 				t.relaunched, t.stopReason = true, stopRelaunch
-				n.markDispatchPending(t.machine)
-				j.markChanged(i, n.now, true)
-				n.debug("relaunch", "job", j.ID, "task", i, "machine", t.machine.id, "limit", limit)
+				s.controller.markDispatchPending(t.machine)
+				j.markChanged(i, s.now, true)
+				s.debug("relaunch", "job", j.ID, "task", i, "machine", t.machine.id, "limit", limit)
 			}
 		}
 	}
@@ -700,15 +700,15 @@
 
 // worthRelaunch: each late task runs, has run for the limit itself (a fetch
 // does not count), was not restarted before, and there is room elsewhere.
-func (n *Controller) worthRelaunch(j *job, stragglers []int, limit time.Duration) bool {
+func (s *scheduler) worthRelaunch(j *job, stragglers []int, limit time.Duration) bool {
 	for _, i := range stragglers {
 		t := &j.tasks[i]
-		if t.machine == nil || t.stopReason != stopNone || t.relaunched || t.startedAt.IsZero() || n.now.Sub(t.startedAt) < limit {
+		if t.machine == nil || t.stopReason != stopNone || t.relaunched || t.startedAt.IsZero() || s.now.Sub(t.startedAt) < limit {
 			return false
 		}
-		room, avoidGPUs := false, n.avoidsGPUsNow(j)
-		for _, m := range n.shardLeader.machinesByID {
-			if m != t.machine && n.gpuPolicyAllows(avoidGPUs, m) && j.Need.Fits(m.free()) && j.allowsMachine(m.machineType, m.zone, m.spot) && n.usable(m) {
+		room, avoidGPUs := false, s.avoidsGPUsNow(j)
+		for _, m := range s.controller.shardLeader.machinesByID {
+			if m != t.machine && s.gpuPolicyAllows(avoidGPUs, m) && j.Need.Fits(m.free()) && j.allowsMachine(m.machineType, m.zone, m.spot) && s.usable(m) {
 				room = true
 				break
 			}
@@ -719,3 +719,26 @@
 	}
 	return true
 }
+
+// scheduler TODO.
+type scheduler struct {
+	component
+
+	// place: something has changed that may let tasks be placed, and hurry:
+	// for one whose wait is bounded. placed is when that was last done.
+	placementDue    bool
+	placementUrgent bool
+	placedAt        time.Time
+	// roundDuration is how long the step with the last round of placing took.
+	roundDuration time.Duration
+	// preemptionVictims is where urgent work may take the place of other work.
+	preemptionVictims map[preemptionVictimsKey]*preemptionVictims
+	// machinesReservedAt is when machines were last gathered; see aging.go.
+	machinesReservedAt time.Time
+	// packingProfile is what is usual on machines with GPUs, while models are on.
+	packingProfile         *packingProfile
+	freeCapacityReportedAt time.Time
+	// startDeadlines is, for each workload with tasks that wait for a place, when the
+	// first of them should start at the latest.
+	startDeadlines map[string]time.Time
+}
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -61,28 +61,28 @@
 	return s
 }
 
-func (n *Controller) newPlacementRound() *placementRound {
+func (ss *scheduler) newPlacementRound() *placementRound {
 	r := &placementRound{prewarmedImages: map[string]bool{}, scarcityByWorkload: map[string]map[string]scarcity{}, full: map[taskShape]bool{}, candidateGroups: map[candidateGroupKey]*candidateGroup{}}
-	for _, w := range n.shardLeader.workloads {
-		if n.waitObjective(w.spec.Workload) > 0 && n.now.Sub(w.lastSeen) < workloadRetention {
-			for _, k := range n.workloadKeysOf(w.spec.Workload) {
-				for _, a := range n.shardLeader.arrivals[k] {
+	for _, w := range ss.controller.shardLeader.workloads {
+		if ss.waitObjective(w.spec.Workload) > 0 && ss.now.Sub(w.lastSeen) < workloadRetention {
+			for _, k := range ss.controller.shardLeader.fleet.workloadKeysOf(w.spec.Workload) {
+				for _, a := range ss.controller.shardLeader.fleet.arrivals[k] {
 					r.prewarmedImages[a.spec.Image] = true
 				}
 			}
 		}
 	}
-	cheapest, costPenalties, usual := n.cheapestCPUCost(), map[machineKind]float64{}, n.currentPackingProfile()
-	for _, m := range n.shardLeader.machinesByID {
+	cheapest, costPenalties, usual := ss.controller.knowledge.cheapestCPUCost(), map[machineKind]float64{}, ss.currentPackingProfile()
+	for _, m := range ss.controller.shardLeader.machinesByID {
 		free := m.free()
-		if free.CPU <= roundingTolerance || free.Memory <= roundingTolerance || !n.usable(m) {
+		if free.CPU <= roundingTolerance || free.Memory <= roundingTolerance || !ss.usable(m) {
 			continue
 		}
-		s := &candidateMachine{machine: m, index: len(r.candidates), fetchRate: n.imageFetchRate(m), packingKind: usual.kind(m.machineType)}
+		s := &candidateMachine{machine: m, index: len(r.candidates), fetchRate: ss.controller.knowledge.imageFetchRate(m), packingKind: usual.kind(m.machineType)}
 		k := machineKind{m.machineType, m.zone, m.spot}
 		d, ok := costPenalties[k]
 		if !ok {
-			d = expensivePenalty.Seconds() * (n.costPerCPU(m)/cheapest - 1)
+			d = expensivePenalty.Seconds() * (ss.controller.knowledge.costPerCPU(m)/cheapest - 1)
 			costPenalties[k] = d
 		}
 		s.costPenalty = d
@@ -110,10 +110,10 @@
 	return s.machine.fetchSeconds(j, s.fetchCount, s.fetchRate)
 }
 
-func (n *Controller) scarcityFor(r *placementRound, j *job) map[string]scarcity {
+func (ss *scheduler) scarcityFor(r *placementRound, j *job) map[string]scarcity {
 	s, ok := r.scarcityByWorkload[j.Workload]
 	if !ok || len(j.MachineTypes) > 0 {
-		s = n.scarcityOf(&j.JobSpec)
+		s = ss.scarcityOf(&j.JobSpec)
 		if len(j.MachineTypes) == 0 {
 			r.scarcityByWorkload[j.Workload] = s
 		}
@@ -135,8 +135,8 @@
 // rule allows twice as long beside a machine with room.
 const leftWaitingAfter = 45 * time.Second
 
-func (n *Controller) leftWaiting(j *job) bool {
-	return !j.waitingSince.IsZero() && n.now.Sub(later(j.waitingSince, j.lastPlacedAt)) > leftWaitingAfter
+func (s *scheduler) leftWaiting(j *job) bool {
+	return !j.waitingSince.IsZero() && s.now.Sub(later(j.waitingSince, j.lastPlacedAt)) > leftWaitingAfter
 }
 
 // candidateGroup is the machines with room for alike tasks, those with the same time to fetch
@@ -186,20 +186,20 @@
 
 // candidateGroupFor is the machines for a job's tasks. Where it matters in which zone its
 // other tasks are, it is the job's own.
-func (n *Controller) candidateGroupFor(r *placementRound, j *job) *candidateGroup {
-	key := candidateGroupKey{j.taskShape(), j.Image, j.ImageGB, n.leftWaiting(j)}
+func (ss *scheduler) candidateGroupFor(r *placementRound, j *job) *candidateGroup {
+	key := candidateGroupKey{j.taskShape(), j.Image, j.ImageGB, ss.leftWaiting(j)}
 	own := j.SameZone || j.SpreadZones || j.placingOverdue
 	if l := r.candidateGroups[key]; l != nil && !own {
-		n.reratePacked(r, l, j)
+		ss.reratePacked(r, l, j)
 		return l
 	}
-	l := &candidateGroup{run: n.expectedRunTime(j).Seconds(), boundedWait: n.waitObjective(j.Workload) > 0, leftWaiting: key.leftWaiting, avoidGPUs: n.avoidsGPUsNow(j), packedSeen: len(r.packedCandidates)}
+	l := &candidateGroup{run: ss.controller.knowledge.expectedRunTime(j).Seconds(), boundedWait: ss.waitObjective(j.Workload) > 0, leftWaiting: key.leftWaiting, avoidGPUs: ss.avoidsGPUsNow(j), packedSeen: len(r.packedCandidates)}
 	if !j.placingOverdue {
 		// What has waited too long leaves nothing to others that fit less.
-		l.scarcity = n.scarcityFor(r, j)
+		l.scarcity = ss.scarcityFor(r, j)
 	}
 	for _, s := range r.candidates {
-		if score, ok := l.rate(n, j, s); ok {
+		if score, ok := l.rate(ss.controller, j, s); ok {
 			l.push(s.fetchSeconds(j), ratedCandidate{s, score})
 		}
 	}
@@ -235,7 +235,7 @@
 		score += scarcePenalty.Seconds()
 	}
 	if s.packingKind != nil {
-		more, ok := n.rateGPUMachine(s.packingKind, j, m, free, l.avoidGPUs)
+		more, ok := n.shardLeader.scheduler.rateGPUMachine(s.packingKind, j, m, free, l.avoidGPUs)
 		return score + more, ok
 	}
 	return score + (free.CPU-j.Need.CPU)/max(m.size.CPU, 1), true
@@ -280,16 +280,16 @@
 
 // placeJob places up to count waiting tasks on machines that need no longer than
 // fetch to have the image.
-func (n *Controller) placeJob(j *job, r *placementRound, fetch time.Duration, count int) {
-	if count <= 0 || j.pendingTasks() == 0 || !n.withinQuotaLimit(j) {
+func (ss *scheduler) placeJob(j *job, r *placementRound, fetch time.Duration, count int) {
+	if count <= 0 || j.pendingTasks() == 0 || !ss.withinQuotaLimit(j) {
 		return
 	}
 	shape := j.taskShape()
-	leftWaiting := n.leftWaiting(j)
+	leftWaiting := ss.leftWaiting(j)
 	if r.full[shape] && !j.placingOverdue && !leftWaiting {
 		return
 	}
-	candidates := n.candidateGroupFor(r, j)
+	candidates := ss.candidateGroupFor(r, j)
 	most := fetch.Seconds()
 	// Tasks that shun the only places there are do not keep the others from them.
 	var skipped []int
@@ -298,21 +298,21 @@
 			j.requeued = append(skipped, j.requeued...)
 		}
 	}()
-	for ; count > 0 && j.pendingTasks() > 0 && n.withinQuotaLimit(j); count-- {
-		if leftWaiting && !n.leftWaiting(j) {
+	for ; count > 0 && j.pendingTasks() > 0 && ss.withinQuotaLimit(j); count-- {
+		if leftWaiting && !ss.leftWaiting(j) {
 			// One task was given a place: the others are not left waiting any more.
-			leftWaiting, candidates = false, n.candidateGroupFor(r, j)
+			leftWaiting, candidates = false, ss.candidateGroupFor(r, j)
 		}
-		i := j.takePending(n.now)
+		i := j.takePending(ss.now)
 		if i < 0 {
 			return
 		}
 		t := &j.tasks[i]
 		var shunned []ratedCandidate
-		f, ok := candidates.best(n, j, most)
+		f, ok := candidates.best(ss.controller, j, most)
 		for ok && t.avoids(f.elems[0].candidate.machine.id) {
 			shunned = append(shunned, f.pop())
-			f, ok = candidates.best(n, j, most)
+			f, ok = candidates.best(ss.controller, j, most)
 		}
 		if !ok {
 			for _, p := range shunned {
@@ -328,7 +328,7 @@
 			return
 		}
 		s := f.elems[0].candidate
-		startAttempt(n, j, i, s.machine)
+		ss.startAttempt(j, i, s.machine)
 		s.scanImages(r)
 		if s.packingKind != nil {
 			r.packedCandidates = append(r.packedCandidates, s)
@@ -340,23 +340,23 @@
 }
 
 // startAttempt makes a new attempt of task i live on m. It starts when its record is durable.
-func startAttempt(n *Controller, j *job, i int, m *machine) {
-	t, id := &j.tasks[i], n.now.UnixMilli()
+func (s *scheduler) startAttempt(j *job, i int, m *machine) {
+	t, id := &j.tasks[i], s.now.UnixMilli()
 	g := j.groups[id]
 	if g == nil {
-		g = &group{startedAt: n.now}
+		g = &group{startedAt: s.now}
 		j.groups[id] = g
 	}
 	g.tasks = append(g.tasks, i)
 	t.attempt++
-	j.lastPlacedAt = n.now
+	j.lastPlacedAt = s.now
 	t.groupStart = id
-	t.rankingRevision = n.ranking.modRevision
+	t.rankingRevision = s.controller.ranking.modRevision
 	t.startSent, t.reported, t.inherited, t.missedStarts, t.startUnanswered = false, false, false, 0, false
-	n.attachAttempt(j, i, m)
-	m.noteImage(j, n.now, false)
-	j.markChanged(i, n.now, true)
-	n.debug("placed", "job", j.ID, "task", i, "try", t.attempt, "machine", m.id, "ranking", t.rankingRevision)
+	s.controller.shardLeader.attachAttempt(j, i, m)
+	m.noteImage(j, s.now, false)
+	j.markChanged(i, s.now, true)
+	s.debug("placed", "job", j.ID, "task", i, "try", t.attempt, "machine", m.id, "ranking", t.rankingRevision)
 }
 
 // preemptionVictims is where work of some kind may take the place of lower work: machines with
@@ -374,36 +374,36 @@
 	urgency model.Urgency
 }
 
-func (n *Controller) preemptionVictimsFor(j *job) *preemptionVictims {
-	o := n.shardLeader
+func (s *scheduler) preemptionVictimsFor(j *job) *preemptionVictims {
+	o := s.controller.shardLeader
 	key := preemptionVictimsKey{j.taskShape(), j.Urgency}
-	p := o.preemptionVictims[key]
-	if p != nil && n.now.Sub(p.at) < preemptionInterval {
+	p := o.scheduler.preemptionVictims[key]
+	if p != nil && s.now.Sub(p.at) < preemptionInterval {
 		return p
 	}
-	p = &preemptionVictims{at: n.now}
-	if o.preemptionVictims == nil {
-		o.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
+	p = &preemptionVictims{at: s.now}
+	if o.scheduler.preemptionVictims == nil {
+		o.scheduler.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
 	}
-	for k, old := range o.preemptionVictims {
-		if n.now.Sub(old.at) > workloadRetention {
-			delete(o.preemptionVictims, k)
+	for k, old := range o.scheduler.preemptionVictims {
+		if s.now.Sub(old.at) > workloadRetention {
+			delete(o.scheduler.preemptionVictims, k)
 		}
 	}
-	o.preemptionVictims[key] = p
+	o.scheduler.preemptionVictims[key] = p
 	type choice struct {
 		m    *machine
 		loss time.Duration
 	}
 	var cs []choice
-	avoidGPUs := n.avoidsGPUsNow(j)
+	avoidGPUs := s.avoidsGPUsNow(j)
 	for _, m := range o.machinesByID {
-		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !n.usable(m) || !n.gpuPolicyAllows(avoidGPUs, m) {
+		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !s.usable(m) || !s.gpuPolicyAllows(avoidGPUs, m) {
 			continue
 		}
-		if free := n.freeAfterPreemption(m); j.Need.Fits(free) {
+		if free := s.freeAfterPreemption(m); j.Need.Fits(free) {
 			p.withCapacity = append(p.withCapacity, m)
-		} else if _, loss, ok := n.preemptionVictimsOn(j, m, free); ok {
+		} else if _, loss, ok := s.preemptionVictimsOn(j, m, free); ok {
 			cs = append(cs, choice{m, loss})
 		}
 	}
@@ -415,11 +415,11 @@
 }
 
 // freeAfterPreemption is the room on m with what stopped tasks are about to leave.
-func (n *Controller) freeAfterPreemption(m *machine) model.Resources {
+func (s *scheduler) freeAfterPreemption(m *machine) model.Resources {
 	f := m.free()
 	for k, t := range m.attempts {
-		if t.stopReason == stopPreempt && n.now.Sub(t.stoppedAt) < stopTimeout {
-			f = f.AddScaled(n.shardLeader.jobs[k.job].Need, 1)
+		if t.stopReason == stopPreempt && s.now.Sub(t.stoppedAt) < stopTimeout {
+			f = f.AddScaled(s.controller.shardLeader.jobs[k.job].Need, 1)
 		}
 	}
 	return f
@@ -428,21 +428,21 @@
 // preempt stops tasks of lower urgency so that the waiting tasks of j find room
 // where the image takes no longer than fetch, the least work lost first. It says
 // for how many tasks room is coming, by these stops and by earlier ones.
-func (n *Controller) preempt(j *job, fetch time.Duration) int {
+func (s *scheduler) preempt(j *job, fetch time.Duration) int {
 	need := j.pendingTasks()
-	if !n.withinQuotaLimit(j) {
+	if !s.withinQuotaLimit(j) {
 		return 0
 	}
-	p := n.preemptionVictimsFor(j)
+	p := s.preemptionVictimsFor(j)
 	suits := func(m *machine) bool {
-		return !m.removed && n.usable(m) && !m.reservedForOther(j) && j.zoneAllowed(m.zone) && n.fetchTime(m, j) <= fetch
+		return !m.removed && s.controller.shardLeader.scheduler.usable(m) && !m.reservedForOther(j) && j.zoneAllowed(m.zone) && s.controller.knowledge.fetchTime(m, j) <= fetch
 	}
 	for _, m := range p.withCapacity {
 		if need > 0 && suits(m) {
-			need -= n.freeAfterPreemption(m).FitCount(j.Need)
+			need -= s.freeAfterPreemption(m).FitCount(j.Need)
 		}
 	}
-	most := n.maxPreemptionLoss(j)
+	most := s.maxPreemptionLoss(j)
 	for _, m := range p.withVictims {
 		if need <= 0 {
 			break
@@ -450,23 +450,23 @@
 		if !suits(m) {
 			continue
 		}
-		free := n.freeAfterPreemption(m)
+		free := s.freeAfterPreemption(m)
 		if k := free.FitCount(j.Need); k > 0 {
 			// Stopped for another job a moment ago, or something has ended.
 			need -= k
 			continue
 		}
-		ts, loss, ok := n.preemptionVictimsOn(j, m, free)
+		ts, loss, ok := s.preemptionVictimsOn(j, m, free)
 		if !ok || loss > most {
 			continue
 		}
 		for _, t := range ts {
-			t.stopReason, t.stoppedAt = stopPreempt, n.now
+			t.stopReason, t.stoppedAt = stopPreempt, s.now
 			t.preemptions++
 		}
-		n.markDispatchPending(m)
+		s.controller.markDispatchPending(m)
 		need--
-		n.debug("preempt", "for", j.ID, "machine", m.id, "stopped", len(ts), "loss", loss)
+		s.debug("preempt", "for", j.ID, "machine", m.id, "stopped", len(ts), "loss", loss)
 	}
 	return j.pendingTasks() - max(need, 0)
 }
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -3,6 +3,8 @@
 import (
 	"iter"
 	"time"
+
+	"github.com/micahill/micahill/internal/throttle"
 )
 
 // planningPass is a look at the fleet, carried on bit by bit: playing a large pool forward
@@ -44,113 +46,152 @@
 
 // planFleet decides which machines this owner wants and which may go. begin allows
 // a new look; one that is under way goes on in any case.
-func (n *Controller) planFleet(startNew bool) {
-	o := n.shardLeader
-	if o.planningPass == nil {
-		if !startNew || n.now.Sub(o.fleetPlannedAt) < leaderPeriod {
+func (f *fleetPlanner) planFleet(startNew bool) {
+	o := f.controller.shardLeader
+	if o.fleet.planningPass == nil {
+		if !startNew || f.now.Sub(o.fleet.plannedAt) < leaderPeriod {
 			return
 		}
-		o.fleetPlannedAt = n.now
-		if !n.refreshFleetView() {
+		o.fleet.plannedAt = f.now
+		if !f.refreshFleetView() {
 			return
 		}
-		o.capacityRequests, o.machinesToRelease, o.surplusMachines = nil, nil, nil
-		if o.fleetView == nil || n.now.Sub(o.fleetView.receivedAt) > updateTTL || n.now.After(n.membership.leaseValidUntil) {
+		o.fleet.capacityRequests, o.fleet.machinesToRelease, o.fleet.surplus = nil, nil, nil
+		if o.fleet.view == nil || f.now.Sub(o.fleet.view.receivedAt) > updateTTL || f.now.After(f.controller.membership.leaseValidUntil) {
 			return
 		}
-		o.leaderUpdateSeq = o.fleetView.seq
-		o.planningPass = newPlanningPass(n.scanFleet)
-		o.planningPassAt = n.now
+		o.fleet.leaderUpdateSeq = o.fleet.view.seq
+		o.fleet.planningPass = newPlanningPass(f.scanFleet)
+		o.fleet.planningPassAt = f.now
 	}
-	if n.now.Before(o.planningPassAt) {
+	if f.now.Before(o.fleet.planningPassAt) {
 		return
 	}
-	if n.now.After(n.membership.leaseValidUntil) {
+	if f.now.After(f.controller.membership.leaseValidUntil) {
 		// Perhaps deposed: what it would ask for is no longer its to ask.
 		o.endPlanningPass()
 		return
 	}
-	ps := o.planningPass
-	if ps.run(n.throttle.Slice()) {
-		o.planningPass, o.fleetPlannedAt = nil, n.now
+	ps := o.fleet.planningPass
+	if ps.run(f.controller.planning.slices.Slice()) {
+		o.fleet.planningPass, o.fleet.plannedAt = nil, f.now
 	}
-	n.lastSliceWork = ps.used
+	f.controller.planning.lastSliceWork = ps.used
 }
 
 func (o *shardLeader) endPlanningPass() {
-	if o.planningPass != nil {
-		o.planningPass.stop()
-		o.planningPass = nil
+	if o.fleet.planningPass != nil {
+		o.fleet.planningPass.stop()
+		o.fleet.planningPass = nil
 	}
 }
 
 // refreshFleetView brings the owner's view up to date where it leads itself, and says
 // whether there is one.
-func (n *Controller) refreshFleetView() bool {
-	l, o := n.leader, n.shardLeader
+func (f *fleetPlanner) refreshFleetView() bool {
+	l, o := f.controller.leader, f.controller.shardLeader
 	if l == nil {
 		return true
 	}
 	if !l.hasListed {
 		return false
 	}
-	v := &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: l.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
-	for _, w := range surplusFor(n, n.settings.Host) {
+	v := &fleetView{receivedAt: f.now, rentals: map[string]*rental{}, blockedUntil: l.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
+	for _, w := range surplusFor(f.controller, f.settings.Host) {
 		v.surplus[machineKind{w.MachineType, w.Zone, w.Spot}] = w.Count
 	}
 	for id, r := range l.rentals {
-		if r.releasedAt.IsZero() && n.assignedHost(id) == n.settings.Host {
+		if r.releasedAt.IsZero() && f.controller.leader.assignedHost(id) == f.settings.Host {
 			v.rentals[id] = r
 		}
 	}
 	for a, c := range l.pendingRentals {
-		if a.owner == n.settings.Host {
+		if a.owner == f.settings.Host {
 			v.pendingRentals[a.machineKind] = c
 		}
 	}
-	o.fleetView = v
+	o.fleet.view = v
 	return true
 }
 
 // scanFleet is what a pass does.
-func (n *Controller) scanFleet(charge chargeFunc) {
-	o := n.shardLeader
+func (f *fleetPlanner) scanFleet(charge chargeFunc) {
+	o := f.controller.shardLeader
 	// What runs and when it ends is the same for all that is planned now.
-	r := n.futureFreeCapacity()
+	r := f.futureFreeCapacity()
 	if !charge(len(r.machines)) {
 		return
 	}
-	logNeverReady(n, n.neverReadyKinds())
-	if n.now.Sub(o.decommissionedAt) >= leaderPeriod*time.Duration(1+len(o.machinesByID)/slowDecommissionSize) {
-		n.decommissionExpensive(r, charge)
-		o.decommissionedAt = n.now
+	f.logNeverReady(f.kindsNeverReady())
+	if f.now.Sub(o.fleet.decommissionedAt) >= leaderPeriod*time.Duration(1+len(o.machinesByID)/slowDecommissionSize) {
+		f.decommissionExpensive(r, charge)
+		o.fleet.decommissionedAt = f.now
 	}
-	spare := n.surplusMachines(r, charge)
+	spare := f.surplusMachines(r, charge)
 	if !charge(0) {
 		return
 	}
-	o.surplusMachines = n.surplusForOthers(spare)
-	n.selectReleases(spare)
-	wants := n.planScaleOut(r, charge)
+	o.fleet.surplus = f.surplusForOthers(spare)
+	f.controller.selectReleases(spare)
+	wants := f.planScaleOut(r, charge)
 	if !charge(0) {
 		return
 	}
-	o.capacityRequests = wants
+	o.fleet.capacityRequests = wants
 }
 
-// StepTook tells how long the last step took here, with all that it sent off: planning
-// is divided so that steps stay short, and placing leaves time to the rest.
-func (n *Controller) StepTook(d time.Duration) {
-	if n.placementRan && n.shardLeader != nil {
-		n.shardLeader.roundDuration = d
-	}
-	n.placementRan = false
-	if n.lastSliceWork == 0 {
+// recordStep notes how long the last step took, with all that it sent off.
+func (t *planningThrottle) recordStep(d time.Duration) {
+	if t.placementRan && t.controller.shardLeader != nil {
+		t.controller.shardLeader.scheduler.roundDuration = d
+	}
+	t.placementRan = false
+	if t.lastSliceWork == 0 {
 		return
 	}
-	rest := n.throttle.Record(n.lastSliceWork, d)
-	n.lastSliceWork = 0
-	if n.shardLeader != nil {
-		n.shardLeader.planningPassAt = n.now.Add(d + rest)
+	rest := t.slices.Record(t.lastSliceWork, d)
+	t.lastSliceWork = 0
+	if t.controller.shardLeader != nil {
+		t.controller.shardLeader.fleet.planningPassAt = t.now.Add(d + rest)
 	}
 }
+
+// fleetPlanner TODO.
+type fleetPlanner struct {
+	component
+
+	// fleetView is the leader's knowledge of this owner's machines; wants and gone
+	// are what is asked of it.
+	view      *fleetView
+	plannedAt time.Time
+	// planningPass is a look at the fleet that is under way, to be carried on at planningPassAt,
+	// and leaderUpdateSeq the leader's news that it rests on.
+	planningPass    *planningPass
+	planningPassAt  time.Time
+	leaderUpdateSeq uint64
+	// decommissionedAt is when dear machines were last chosen to be retired.
+	decommissionedAt time.Time
+	// neverReadyKinds are the kinds of which machines have stopped coming up, and neverReadyCount
+	// counts the machines that were given up for it, and what they cost.
+	neverReadyKinds   map[machineKind]bool
+	neverReadyCount   int
+	neverReadyCost    float64
+	capacityRequests  map[machineKind]int
+	machinesToRelease []string
+	// surplusMachines are idle machines that neither what waits nor what is expected needs, the
+	// dearest first: others may have them.
+	surplus []string
+	// arrivals remember when work of each team and workload came, for warm room.
+	arrivals map[workloadKey][]arrival
+}
+
+// planningThrottle TODO.
+type planningThrottle struct {
+	component
+
+	// throttle divides planning into slices, and sliced is the work of the last one.
+	slices        throttle.SliceBudget
+	lastSliceWork int
+	// placed: the last step had a round of placing in it.
+	placementRan bool
+}
