--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -29,12 +29,12 @@
 
 // nextPrewarmedRecord puts together the next record, from the machine at the place on, and
 // says where the one after it begins.
-func (n *Controller) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
+func (p *persistence) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
 	var r record.Prewarmed
 	at := map[string]int{}
-	maxBytes := n.settings.MaxValueBytes * 3 / 4
+	maxBytes := p.settings.MaxValueBytes * 3 / 4
 	bytesLeft := maxBytes
-	ms := n.shardLeader.machinesByID
+	ms := p.controller.shardLeader.machinesByID
 	for ; from < len(ms); from++ {
 		m := ms[from]
 		prefix, value, width, ok := splitMachineNumber(m.id)
@@ -78,33 +78,33 @@
 }
 
 // writePrewarmed writes the records one after another, again and again.
-func (n *Controller) writePrewarmed() {
-	o := n.shardLeader
-	if o.writingPrewarmed || n.now.Sub(o.prewarmedWrittenAt) < prewarmedWriteInterval || o.txnsInFlight > 0 || n.now.After(n.membership.leaseValidUntil) {
+func (p *persistence) writePrewarmed() {
+	o := p.controller.shardLeader
+	if o.persistence.writingPrewarmed || p.now.Sub(o.persistence.prewarmedWrittenAt) < prewarmedWriteInterval || o.persistence.txnsInFlight > 0 || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
-	o.prewarmedWrittenAt = n.now
-	if o.prewarmedNextMachine >= len(o.machinesByID) {
-		o.prewarmedNextMachine, o.prewarmedNextKey = 0, 0
+	o.persistence.prewarmedWrittenAt = p.now
+	if o.persistence.prewarmedNextMachine >= len(o.machinesByID) {
+		o.persistence.prewarmedNextMachine, o.persistence.prewarmedNextKey = 0, 0
 	}
-	r, next := n.nextPrewarmedRecord(o.prewarmedNextMachine)
+	r, next := p.nextPrewarmedRecord(o.persistence.prewarmedNextMachine)
 	if len(r.Images) == 0 {
-		o.prewarmedNextMachine = next
+		o.persistence.prewarmedNextMachine = next
 		return
 	}
-	key := record.PrewarmedPrefix + n.settings.Host + "/" + strconv.Itoa(o.prewarmedNextKey)
-	o.prewarmedNextMachine, o.prewarmedNextKey, o.writingPrewarmed = next, o.prewarmedNextKey+1, true
+	key := record.PrewarmedPrefix + p.settings.Host + "/" + strconv.Itoa(o.persistence.prewarmedNextKey)
+	o.persistence.prewarmedNextMachine, o.persistence.prewarmedNextKey, o.persistence.writingPrewarmed = next, o.persistence.prewarmedNextKey+1, true
 	gen := o.generation
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: n.shardCompares(""),
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(""),
 		Writes: []message.Write{{Key: key, Value: record.Encode(r)}}}, func(message.StoreResponse) {
-		if n.shardLeader != nil && n.shardLeader.generation == gen {
-			n.shardLeader.writingPrewarmed = false
+		if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+			p.controller.shardLeader.persistence.writingPrewarmed = false
 		}
 	})
 }
 
 // applyPrewarmedRecord takes in a record of a former owner.
-func (n *Controller) applyPrewarmedRecord(it message.KeyValue) {
+func (p *persistence) applyPrewarmedRecord(it message.KeyValue) {
 	var r record.Prewarmed
 	if !record.Decode(it.Value, &r) {
 		return
@@ -113,20 +113,20 @@
 		for _, value := range im.Machines {
 			digits := strconv.Itoa(value)
 			id := r.MachinePrefix + strings.Repeat("0", max(0, r.NumberWidth-len(digits))) + digits
-			if n.shardLeader.prewarmedImages[id] == nil {
-				n.shardLeader.prewarmedImages[id] = map[string]float64{}
+			if p.prewarmedImages[id] == nil {
+				p.prewarmedImages[id] = map[string]float64{}
 			}
-			n.shardLeader.prewarmedImages[id][im.Name] = im.GB
+			p.prewarmedImages[id][im.Name] = im.GB
 		}
 	}
 }
 
 // recoverCachedImages remembers what a machine held, when it is heard of for the first time.
-func (n *Controller) recoverCachedImages(m *machine) {
+func (p *persistence) recoverCachedImages(m *machine) {
 	if len(m.images) > 0 {
 		return
 	}
-	for name, gb := range n.shardLeader.prewarmedImages[m.id] {
-		m.images[name] = &image{sizeGB: gb, last: n.shardLeader.readyAt, cached: true}
+	for name, gb := range p.prewarmedImages[m.id] {
+		m.images[name] = &image{sizeGB: gb, last: p.controller.shardLeader.readyAt, cached: true}
 	}
 }
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -42,6 +42,8 @@
 
 // promiseState is what a controller has of dates beside its jobs.
 type promiseState struct {
+	component
+
 	// quotes are what quotes rest on, by team: what their owner told or wrote last,
 	// or, of a team here, what it learns.
 	quotes map[string]*promise.Quoter
@@ -89,7 +91,7 @@
 	quotesStoredHash map[string]uint64
 }
 
-func (n *Controller) promisesEnabled() bool { return n.settings.Capabilities.Promises }
+func (p *promiseState) promisesEnabled() bool { return p.settings.Capabilities.Promises }
 
 // teamKey is a team in a key: as it is where all its characters may stand in the path of
 // a request, and else, or if it is long, its hash.
@@ -107,14 +109,14 @@
 func teamPagePrefix(team string) string { return pagePrefix + teamKey(team) + "/" }
 
 // maxPageBytes bounds the records of dates, quotes and totals, as JSON.
-func (n *Controller) maxPageBytes() int { return n.settings.MaxValueBytes * 3 / 4 }
+func (p *promiseState) maxPageBytes() int { return p.settings.MaxValueBytes * 3 / 4 }
 
 // applyPage says whether a key under open/ is that of a page, and takes it in.
-func applyPage(n *Controller, pages *promise.Pages, it message.KeyValue) bool {
+func (p *promiseState) applyPage(pages *promise.Pages, it message.KeyValue) bool {
 	if !strings.HasPrefix(it.Key, pagePrefix) {
 		return false
 	}
-	if !n.promisesEnabled() {
+	if !p.promisesEnabled() {
 		return true
 	}
 	value := it.Value
@@ -122,18 +124,18 @@
 		value = nil
 	}
 	if err := pages.Apply(it.Key, it.ModRevision, value); err != nil {
-		n.rejectInput("record", it.Key, err.Error())
+		p.rejectInput("record", it.Key, err.Error())
 	}
 	return true
 }
 
 // durableDate is the newest durable date of an open job, as of the picture: none where it
 // can't be told which is the newest.
-func durableDate(n *Controller, id string, l *openJob) promise.Date {
-	if !n.promisesEnabled() || l.rec.Cancelled {
+func (p *promiseState) durableDate(id string, l *openJob) promise.Date {
+	if !p.promisesEnabled() || l.rec.Cancelled {
 		return promise.Date{}
 	}
-	e, known := n.frontend.watchCache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision)
+	e, known := p.controller.frontend.watchCache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision)
 	if !known {
 		return promise.Date{}
 	}
@@ -144,31 +146,30 @@
 }
 
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
-func cacheDoneDate(n *Controller, id string, r record.JobStatus) {
-	if d := r.Date(); n.promisesEnabled() && d.Revision > 0 {
-		n.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
+func (p *promiseState) cacheDoneDate(id string, r record.JobStatus) {
+	if d := r.Date(); p.promisesEnabled() && d.Revision > 0 {
+		p.controller.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
 }
 
 // quoterFor is what quotes of a team rest on here, if anything.
-func quoterFor(n *Controller, team string, create bool) *promise.Quoter {
-	q := n.promises.quotes[team]
+func (p *promiseState) quoterFor(team string, create bool) *promise.Quoter {
+	q := p.quotes[team]
 	if q == nil && create {
-		q = promise.NewQuoter(n.settings.Capabilities.PromiseFraction)
-		n.promises.quotes[team] = q
+		q = promise.NewQuoter(p.settings.Capabilities.PromiseFraction)
+		p.quotes[team] = q
 	}
 	return q
 }
 
 // promiseJob is what of a job its date rests on. The fetch is that from the usual kind
 // of machine: where the image lies the finishes tell.
-func promiseJob(n *Controller, s *model.JobSpec) promise.Job {
-	p := &n.promises
-	if p.fetchTypeCount != len(n.machineTypes) {
-		p.fetchTypeCount, p.perGB = len(n.machineTypes), 0
+func (p *promiseState) promiseJob(s *model.JobSpec) promise.Job {
+	if p.fetchTypeCount != len(p.controller.knowledge.machineTypes) {
+		p.fetchTypeCount, p.perGB = len(p.controller.knowledge.machineTypes), 0
 		rate, kinds := 0.0, 0.0
-		for _, name := range sortedKeys(n.machineTypes) {
-			if f := n.machineTypes[name]; f.ImageFetchRate > 0 {
+		for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
+			if f := p.controller.knowledge.machineTypes[name]; f.ImageFetchRate > 0 {
 				rate, kinds = rate+f.ImageFetchRate, kinds+1
 			}
 		}
@@ -180,20 +181,20 @@
 }
 
 // quoteDate is the date for a job that is accepted here, if one is at hand.
-func quoteDate(n *Controller, s *model.JobSpec) time.Duration {
-	if !n.promisesEnabled() || len(s.Dependencies) > 0 {
+func (p *promiseState) quoteDate(s *model.JobSpec) time.Duration {
+	if !p.promisesEnabled() || len(s.Dependencies) > 0 {
 		// What waits for others gets its date when these are done.
 		return 0
 	}
-	j := promiseJob(n, s)
-	if q := quoterFor(n, s.Team, false); q != nil {
+	j := p.promiseJob(s)
+	if q := p.quoterFor(s.Team, false); q != nil {
 		if d, known := q.Quote(j); known {
 			return d
 		}
 	}
 	// A class that is new to the team may be known of others.
-	for _, t := range sortedKeys(n.promises.quotes) {
-		if d, known := n.promises.quotes[t].Quote(j); known {
+	for _, t := range sortedKeys(p.quotes) {
+		if d, known := p.quotes[t].Quote(j); known {
 			return d
 		}
 	}
@@ -201,33 +202,33 @@
 }
 
 // notePromiseRecord takes in a job's record as its owner reads it.
-func notePromiseRecord(n *Controller, j *job, r *record.OpenJob) {
-	if d := r.FirstDate(); n.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
+func (p *promiseState) notePromiseRecord(j *job, r *record.OpenJob) {
+	if d := r.FirstDate(); p.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
 }
 
 // noteBaseQuote notes what was to be expected of a job when it came.
-func noteBaseQuote(n *Controller, j *job) {
-	if n.promisesEnabled() && j.borrowedLoan == "" {
-		j.baseQuote = quoterFor(n, j.Team, true).Base(promiseJob(n, &j.JobSpec))
+func (p *promiseState) noteBaseQuote(j *job) {
+	if p.promisesEnabled() && j.borrowedLoan == "" {
+		j.baseQuote = p.quoterFor(j.Team, true).Base(p.promiseJob(&j.JobSpec))
 	}
 }
 
 // recoverPromises takes up the pages of a team that has come, as its former owner left
 // them. When a date in them was made is not told: they count as made now.
-func recoverPromises(n *Controller, team string, restored map[string]*job) {
-	o := n.shardLeader
-	if !n.promisesEnabled() {
+func (p *promiseState) recoverPromises(team string, restored map[string]*job) {
+	o := p.controller.shardLeader
+	if !p.promisesEnabled() {
 		return
 	}
-	cache := &n.frontend.watchCache
+	cache := &p.controller.frontend.watchCache
 	prefix := teamPagePrefix(team)
 	if o.promiseDates.pageWriters == nil {
 		o.promiseDates.pageWriters = map[string]*promise.PageWriter{}
 	}
-	o.promiseDates.pageWriters[team] = cache.promisePages.NewWriter(prefix, n.maxPageBytes())
-	quoterFor(n, team, true)
+	o.promiseDates.pageWriters[team] = cache.promisePages.NewWriter(prefix, p.maxPageBytes())
+	p.quoterFor(team, true)
 	for id, j := range restored {
 		if j.Team != team {
 			continue
@@ -238,50 +239,50 @@
 		case !known:
 			j.dateUnreadable, j.promised = true, promise.Date{}
 		case e.Revision > 0:
-			j.promised, j.promisedAt = e.Date, n.now
+			j.promised, j.promisedAt = e.Date, p.now
 		}
 	}
 }
 
 // isDateDurable says that nothing of the job's date waits to be written.
-func isDateDurable(n *Controller, j *job) bool {
-	b := n.shardLeader.promiseDates.pageWriters[j.Team]
+func (p *promiseState) isDateDurable(j *job) bool {
+	b := p.controller.shardLeader.promiseDates.pageWriters[j.Team]
 	return b == nil || b.IsDurable(j.ID)
 }
 
 // endRecordFromCache is the record of a job that is over, by its record in open/, for whoever
 // does not run it: who cancels, and the leader for one that a peer has done. Its owner
 // has made no date since it was lent, and none was on its way.
-func endRecordFromCache(n *Controller, id string, s model.JobStatus, l *openJob) record.JobStatus {
+func (p *promiseState) endRecordFromCache(id string, s model.JobStatus, l *openJob) record.JobStatus {
 	r := record.JobStatus{Status: s, Tasks: l.rec.Tasks}
-	if !n.promisesEnabled() {
+	if !p.promisesEnabled() {
 		return r
 	}
 	r.Team, r.Workload, r.Offloaded = l.rec.Team, l.rec.Workload, l.rec.BorrowedLoan != ""
 	if s == model.Done {
-		if d := durableDate(n, id, l); d.Revision > 0 {
+		if d := p.durableDate(id, l); d.Revision > 0 {
 			r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Revision, l.rec.PromisedMillis > 0
 		}
-		r.EndedAfterMillis = int(max(0, n.now.UnixMilli()-l.rec.SubmittedAtMillis))
+		r.EndedAfterMillis = int(max(0, p.now.UnixMilli()-l.rec.SubmittedAtMillis))
 	}
 	return r
 }
 
 // endRecord is the record of a job whose tasks are all done here: with the newest date
 // that was decided, durable or not, so that no late page can be newer than it.
-func endRecord(n *Controller, j *job) record.JobStatus {
+func (p *promiseState) endRecord(j *job) record.JobStatus {
 	r := record.JobStatus{Status: model.Done, Tasks: len(j.tasks)}
 	if j.cancelled {
 		r.Status = model.Cancelled
 	}
-	if !n.promisesEnabled() {
+	if !p.promisesEnabled() {
 		return r
 	}
 	r.Team, r.Workload, r.Offloaded = j.Team, j.Workload, j.borrowedLoan != ""
 	if j.cancelled {
 		return r
 	}
-	r.EndedAfterMillis = int(max(0, n.now.Sub(j.submittedAt).Milliseconds()))
+	r.EndedAfterMillis = int(max(0, p.now.Sub(j.submittedAt).Milliseconds()))
 	if d := j.promised; d.Revision > 0 {
 		r.PromisedMillis, r.PromiseRevision, r.PromisedAtSubmit = int(d.After.Milliseconds()), d.Revision, j.firstPromise > 0
 	}
@@ -289,19 +290,19 @@
 }
 
 // learnFromEnd learns from a job's end.
-func learnFromEnd(n *Controller, j *job, r record.JobStatus) {
-	if !n.promisesEnabled() || j.borrowedLoan != "" {
+func (p *promiseState) learnFromEnd(j *job, r record.JobStatus) {
+	if !p.promisesEnabled() || j.borrowedLoan != "" {
 		return
 	}
-	cacheDoneDate(n, j.ID, r)
+	p.cacheDoneDate(j.ID, r)
 	if !j.LongRunning {
-		learnFromDuration(n, j, time.Duration(r.EndedAfterMillis)*time.Millisecond)
+		p.learnFromDuration(j, time.Duration(r.EndedAfterMillis)*time.Millisecond)
 	}
 }
 
 // learnFromDuration learns from a job that is done, or all up, after a time.
-func learnFromDuration(n *Controller, j *job, took time.Duration) {
-	q, pj := quoterFor(n, j.Team, true), promiseJob(n, &j.JobSpec)
+func (p *promiseState) learnFromDuration(j *job, took time.Duration) {
+	q, pj := p.quoterFor(j.Team, true), p.promiseJob(&j.JobSpec)
 	if !j.takenOver {
 		q.LearnFinish(pj, j.baseQuote, took)
 	}
@@ -316,24 +317,24 @@
 }
 
 // promisesTick does what is due for the dates of this owner's jobs.
-func promisesTick(n *Controller) {
-	o := n.shardLeader
-	if !n.promisesEnabled() {
+func (p *promiseState) promisesTick() {
+	o := p.controller.shardLeader
+	if !p.promisesEnabled() {
 		return
 	}
-	if n.storeDown(n.now) {
-		n.promises.lastOutage = n.now
+	if p.controller.membership.storeDown(p.now) {
+		p.lastOutage = p.now
 	}
-	if n.now.Sub(o.promiseDates.checkedAt) < dateCheckInterval {
+	if p.now.Sub(o.promiseDates.checkedAt) < dateCheckInterval {
 		return
 	}
-	o.promiseDates.checkedAt = n.now
-	updateLoads(n)
+	o.promiseDates.checkedAt = p.now
+	p.updateLoads()
 	for _, id := range sortedKeys(o.jobs) {
-		updateDate(n, o.jobs[id])
+		p.updateDate(o.jobs[id])
 	}
-	writePage(n)
-	storeQuotes(n)
+	p.writePage()
+	p.storeQuotes()
 }
 
 // classLoad gathers what waits of one class.
@@ -345,8 +346,8 @@
 
 // updateLoads brings up to date how busy it is for each class, so that bursts, takeovers
 // and outages show in quotes within seconds; what grows fast the others hear at once.
-func updateLoads(n *Controller) {
-	o := n.shardLeader
+func (pp *promiseState) updateLoads() {
+	o := pp.controller.shardLeader
 	byClass := map[workloadKey]*classLoad{}
 	var keys []workloadKey
 	for _, id := range sortedKeys(o.jobs) {
@@ -363,7 +364,7 @@
 		if p := j.pendingTasks(); p > 0 {
 			class.pending += p
 			if j.liveTasks == 0 && j.doneTasks == 0 {
-				class.oldestWait = max(class.oldestWait, n.now.Sub(j.readySince()))
+				class.oldestWait = max(class.oldestWait, pp.now.Sub(j.readySince()))
 			}
 		}
 	}
@@ -374,42 +375,42 @@
 			seen[k.team] = map[string]bool{}
 		}
 		seen[k.team][k.workload] = true
-		freeCapacity := n.capacityFor(class.sample)
+		freeCapacity := pp.controller.shardLeader.scheduler.capacityFor(class.sample)
 		load := promise.Load{FreeCapacity: freeCapacity, RunRatio: 1, RunSpread: minSafetyFraction}
-		if e := n.estimators[k.workload]; e != nil {
+		if e := pp.controller.knowledge.estimators[k.workload]; e != nil {
 			load.RunRatio, load.RunSpread = e.ratio, e.deviation
 		}
-		clearTime := n.planningHorizon()
+		clearTime := pp.controller.knowledge.planningHorizon()
 		if freeCapacity >= 1 {
-			clearTime = time.Duration(float64(class.pending) / freeCapacity * float64(n.expectedRunTime(class.sample)))
+			clearTime = time.Duration(float64(class.pending) / freeCapacity * float64(pp.controller.knowledge.expectedRunTime(class.sample)))
 		}
 		// What is rented meanwhile is not counted, so that work before it holds one up
 		// no longer than the oldest has waited and machines take to come.
-		load.Wait = max(class.oldestWait, min(clearTime, class.oldestWait+2*n.planningHorizon()))
-		if quoterFor(n, k.team, true).UpdateLoad(k.workload, load) {
+		load.Wait = max(class.oldestWait, min(clearTime, class.oldestWait+2*pp.controller.knowledge.planningHorizon()))
+		if pp.quoterFor(k.team, true).UpdateLoad(k.workload, load) {
 			o.loadsPublishedAt = time.Time{}
 		}
 	}
 	for team := range o.teams {
-		quoterFor(n, team, true).ClearWaitExcept(seen[team])
+		pp.quoterFor(team, true).ClearWaitExcept(seen[team])
 	}
 }
 
 // updateDate gives a job its first date, or a new one where it would be missed. Once its
 // tasks are all done it has the date that it ends with: an end without an answer may be
 // carried out later, and must not take back a date that was told since.
-func updateDate(n *Controller, j *job) {
-	o := n.shardLeader
+func (p *promiseState) updateDate(j *job) {
+	o := p.controller.shardLeader
 	writer := o.promiseDates.pageWriters[j.Team]
 	if writer == nil || j.cancelled || j.doneTasks == len(j.tasks) || j.elsewhere() || j.dependenciesPending || j.borrowedLoan != "" || j.dateUnreadable || j.Workload == "" {
 		return
 	}
-	q, pj := quoterFor(n, j.Team, true), promiseJob(n, &j.JobSpec)
-	age := n.now.Sub(j.submittedAt)
+	q, pj := p.quoterFor(j.Team, true), p.promiseJob(&j.JobSpec)
+	age := p.now.Sub(j.submittedAt)
 	if j.LongRunning {
 		if j.allUpAt.IsZero() && j.runningTasks == len(j.tasks) {
-			j.allUpAt = n.now
-			learnFromDuration(n, j, age)
+			j.allUpAt = p.now
+			p.learnFromDuration(j, age)
 		}
 		if !j.allUpAt.IsZero() && j.promised.Revision > 0 {
 			return
@@ -417,36 +418,36 @@
 	}
 	if j.promised.Revision == 0 {
 		after, _ := q.Quote(pj)
-		if remaining, remainingHigh := forecastRemaining(n, j, q); j.takenOver || age > 2*dateCheckInterval {
+		if remaining, remainingHigh := p.forecastRemaining(j, q); j.takenOver || age > 2*dateCheckInterval {
 			after = max(after, age+max(remaining, remainingHigh))
 		}
-		j.promised, j.promisedAt = promise.Date{After: promise.Round(after), Revision: 1}, n.now
+		j.promised, j.promisedAt = promise.Date{After: promise.Round(after), Revision: 1}, p.now
 		writer.Put(promise.Entry{Job: j.ID, Date: j.promised})
 		return
 	}
 	if !writer.IsDurable(j.ID) {
 		// A date is made when others can read it, which is not known yet.
-		j.promisedAt = n.now
+		j.promisedAt = p.now
 	}
 	if age >= j.promised.After {
 		learnOutcome(j, q, pj, false)
 		return
 	}
-	remaining, remainingHigh := forecastRemaining(n, j, q)
-	d, ok := promise.Revise(j.promised, n.now.Sub(j.promisedAt), promise.Forecast{Age: age, Remaining: remaining, RemainingHigh: remainingHigh})
+	remaining, remainingHigh := p.forecastRemaining(j, q)
+	d, ok := promise.Revise(j.promised, p.now.Sub(j.promisedAt), promise.Forecast{Age: age, Remaining: remaining, RemainingHigh: remainingHigh})
 	if !ok {
 		return
 	}
-	j.promised, j.promisedAt = d, n.now
-	e := promise.Entry{Job: j.ID, Date: d, Reason: revisionReason(n, j)}
+	j.promised, j.promisedAt = d, p.now
+	e := promise.Entry{Job: j.ID, Date: d, Reason: p.revisionReason(j)}
 	writer.Put(e)
-	n.debug("date revised", "job", j.ID, "to", d.After, "rev", d.Revision, "why", e.Reason)
+	p.debug("date revised", "job", j.ID, "to", d.After, "rev", d.Revision, "why", e.Reason)
 }
 
 // forecastRemaining is how long the job is expected to take still, and how long with the spread
 // of its run times.
-func forecastRemaining(n *Controller, j *job, q *promise.Quoter) (remaining, remainingHigh time.Duration) {
-	run := n.expectedRunTime(j)
+func (pp *promiseState) forecastRemaining(j *job, q *promise.Quoter) (remaining, remainingHigh time.Duration) {
+	run := pp.controller.knowledge.expectedRunTime(j)
 	if j.LongRunning {
 		run = 0
 	}
@@ -460,7 +461,7 @@
 		if freeCapacity := max(load.FreeCapacity, float64(j.liveTasks)); freeCapacity >= 1 {
 			rounds = max(1, float64(p)/freeCapacity)
 		}
-		remaining = load.Wait + promiseJob(n, &j.JobSpec).FetchTime + time.Duration(rounds*float64(run))
+		remaining = load.Wait + pp.promiseJob(&j.JobSpec).FetchTime + time.Duration(rounds*float64(run))
 	}
 	for i := range j.tasks[:j.nextFresh] {
 		t := &j.tasks[i]
@@ -471,27 +472,27 @@
 		if began.IsZero() {
 			began = time.UnixMilli(t.groupStart)
 		}
-		remaining = max(remaining, run-n.now.Sub(began), time.Duration(overrunFraction*float64(run)))
+		remaining = max(remaining, run-pp.now.Sub(began), time.Duration(overrunFraction*float64(run)))
 	}
 	spread := minSafetyFraction
-	if e := n.estimators[j.Workload]; e != nil {
+	if e := pp.controller.knowledge.estimators[j.Workload]; e != nil {
 		spread = max(spread, min(e.deviation, 1))
 	}
 	return remaining, remaining + time.Duration(spread*float64(max(remaining, run))) + minSafetyMargin
 }
 
 // revisionReason is the reason of a revision.
-func revisionReason(n *Controller, j *job) promise.Reason {
-	o := n.shardLeader
+func (p *promiseState) revisionReason(j *job) promise.Reason {
+	o := p.controller.shardLeader
 	held := o.teams[j.Team]
 	switch lost := hasLostAttempt(j); {
 	case o.faultAttribution.FailsEverywhere(j.ID):
 		return promise.JobMistake
 	case lost:
 		return promise.MachinesLost
-	case n.now.Sub(n.promises.lastOutage) < recentCauseWindow || j.takenOver && held != nil && n.now.Sub(held.readyAt) < recentCauseWindow:
+	case p.now.Sub(p.lastOutage) < recentCauseWindow || j.takenOver && held != nil && p.now.Sub(held.readyAt) < recentCauseWindow:
 		return promise.Outage
-	case n.now.Sub(n.promises.rankingChangedAt) < recentCauseWindow:
+	case p.now.Sub(p.rankingChangedAt) < recentCauseWindow:
 		return promise.RankingChanged
 	}
 	return promise.EstimateWrong
@@ -509,12 +510,12 @@
 }
 
 // writePage writes the page that most wait for, at most one at a time.
-func writePage(n *Controller) {
-	o := n.shardLeader
+func (p *promiseState) writePage() {
+	o := p.controller.shardLeader
 	if o.promiseDates.pageInFlight {
 		return
 	}
-	open := n.frontend.watchCache.openJobs
+	open := p.controller.frontend.watchCache.openJobs
 	var team string
 	var writer *promise.PageWriter
 	var w promise.PageWrite
@@ -529,18 +530,18 @@
 			team, writer, w = t, candidate, next
 		}
 	}
-	if writer == nil || n.now.After(n.membership.leaseValidUntil) {
+	if writer == nil || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
 	o.promiseDates.pageInFlight, o.promiseDates.lastTeam = true, team
 	key := teamPagePrefix(team) + strconv.Itoa(w.Number)
 	if !w.RevisionKnown {
-		readPage(n, writer, key, w)
+		p.readPage(writer, key, w)
 		return
 	}
-	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: append(n.shardCompares(team), message.Compare{Key: key, ModRevision: w.ModRevision}), Writes: []message.Write{{Key: key, Value: w.Value}}}
-	n.requestStore(req, func(resp message.StoreResponse) {
-		if n.shardLeader != o {
+	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: append(p.controller.shardLeader.shardCompares(team), message.Compare{Key: key, ModRevision: w.ModRevision}), Writes: []message.Write{{Key: key, Value: w.Value}}}
+	p.controller.requests.toStore(req, func(resp message.StoreResponse) {
+		if p.controller.shardLeader != o {
 			return
 		}
 		o.promiseDates.pageInFlight = false
@@ -552,7 +553,7 @@
 			}
 			writer.MarkWritten(w, stamp)
 		case message.StoreMalformed:
-			o.promiseDates.checkedAt = n.now.Add(malformedRetryDelay)
+			o.promiseDates.checkedAt = p.now.Add(malformedRetryDelay)
 		case message.StoreConflict, message.StoreUnknown:
 			// Perhaps an earlier write of this owner's, carried out late; another's
 			// would have needed its own share.
@@ -562,17 +563,17 @@
 }
 
 // readPage finds out on what a page is to be written.
-func readPage(n *Controller, writer *promise.PageWriter, key string, w promise.PageWrite) {
-	o := n.shardLeader
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: key}, func(d message.StoreResponse) {
-		if n.shardLeader != o {
+func (p *promiseState) readPage(writer *promise.PageWriter, key string, w promise.PageWrite) {
+	o := p.controller.shardLeader
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: key}, func(d message.StoreResponse) {
+		if p.controller.shardLeader != o {
 			return
 		}
 		o.promiseDates.pageInFlight = false
 		switch d.Status {
 		case message.StoreOK:
 			if _, err := promise.DecodePage(d.KeyValues[0].Value); err != nil {
-				n.rejectInput("record", key, err.Error())
+				p.rejectInput("record", key, err.Error())
 				writer.Abandon(w.Number)
 				return
 			}
@@ -585,8 +586,8 @@
 
 // cannotKeepDate says that a job's date can't be kept any more, whenever its tasks start. Once
 // it has passed that counts no longer: nobody is to wait behind others for good for it.
-func cannotKeepDate(n *Controller, j *job) bool {
+func (p *promiseState) cannotKeepDate(j *job) bool {
 	d := j.promised
 	end := j.submittedAt.Add(d.After)
-	return d.Revision > 0 && !j.LongRunning && n.now.Before(end) && n.now.Add(n.expectedRunTime(j)).After(end)
+	return d.Revision > 0 && !j.LongRunning && p.now.Before(end) && p.now.Add(p.controller.knowledge.expectedRunTime(j)).After(end)
 }
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -20,7 +20,7 @@
 	n.settings.Capabilities = Capabilities{Promises: true, PromiseFraction: 0.95}
 	n.promises.quotes, n.frontend.endDates = map[string]*promise.Quoter{}, map[string]uint64{}
 	team := n.settings.Teams[0].Name
-	recoverPromises(n, team, nil)
+	n.promises.recoverPromises(team, nil)
 	return n, team
 }
 
@@ -30,7 +30,7 @@
 	n, team := newPromisingNode(t)
 	m := &n.frontend.watchCache
 	m.openJobs = map[string]openJob{}
-	if !applyPage(n, &m.promisePages, message.KeyValue{Key: teamPagePrefix(team) + "0", ModRevision: 9, Value: []byte("x")}) {
+	if !n.promises.applyPage(&m.promisePages, message.KeyValue{Key: teamPagePrefix(team) + "0", ModRevision: 9, Value: []byte("x")}) {
 		t.Fatal("a page is taken for a job")
 	}
 	jobs := map[string]*job{}
@@ -39,16 +39,16 @@
 		rec := record.NewOpenJob(&spec, n.now)
 		rec.PromisedMillis = 60_000
 		m.openJobs[id] = openJob{stamp, rec}
-		j := n.addJob(spec, n.now, stamp)
-		n.applyJobRecord(j, stamp, &rec)
+		j := n.shardLeader.addJob(spec, n.now, stamp)
+		n.shardLeader.applyJobRecord(j, stamp, &rec)
 		jobs[id] = j
 	}
-	recoverPromises(n, team, jobs)
+	n.promises.recoverPromises(team, jobs)
 	n.now = n.now.Add(2 * time.Minute)
-	promisesTick(n)
+	n.promises.promisesTick()
 	for id, want := range map[string]bool{"job-old": false, "job-new": true} {
 		l := m.openJobs[id]
-		told, end := durableDate(n, id, &l).Revision > 0, endRecord(n, jobs[id])
+		told, end := n.promises.durableDate(id, &l).Revision > 0, n.promises.endRecord(jobs[id])
 		if _, entered := n.shardLeader.promiseDates.pageWriters[team].Lookup(id); told != want || entered || (end.PromiseRevision > 0) != want {
 			t.Errorf("%s: told %v, entered %v, ends with %d", id, told, entered, end.PromiseRevision)
 		}
@@ -74,7 +74,7 @@
 func TestKeepableDateGoesFirst(t *testing.T) {
 	n, team := newPromisingNode(t)
 	add := func(id string, at time.Duration, date time.Duration) {
-		j := n.addJob(model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 100 * time.Second}, n.now.Add(at), 1)
+		j := n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 100 * time.Second}, n.now.Add(at), 1)
 		j.promised = promise.Date{After: date, Revision: 1}
 	}
 	for _, c := range []struct {
@@ -87,7 +87,7 @@
 		clear(n.shardLeader.jobs)
 		add("a", -c.apart, c.late)
 		add("b", 0, 300*time.Second)
-		if got := n.jobsInQueueOrder()[0].ID; got != c.want {
+		if got := n.shardLeader.scheduler.jobsInQueueOrder()[0].ID; got != c.want {
 			t.Errorf("%v: %s goes first", c, got)
 		}
 	}
@@ -98,7 +98,7 @@
 func TestLentDates(t *testing.T) {
 	n, team := newPromisingNode(t)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
-	j := n.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
+	j := n.shardLeader.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
 	j.firstPromise, j.promised = time.Minute, promise.Date{After: time.Minute, Revision: 1}
 	if rec := j.currentRecord(); rec.PromisedMillis != 60_000 {
 		t.Errorf("its record has %d", rec.PromisedMillis)
@@ -107,17 +107,17 @@
 	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
 	n.effects = nil
 	n.leader = newLeader(n)
-	if runLoanCommand(n, message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
+	if n.lending.runLoanCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
 		t.Error("lent before its date is durable")
 	}
 	w, _ := b.NextWrite()
 	b.MarkWritten(w, 7)
-	if runLoanCommand(n, message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
+	if n.lending.runLoanCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
 		t.Error("not lent")
 	}
 	j.promisedAt = n.now.Add(-time.Hour)
 	j.promised.After = time.Hour
-	updateDate(n, j)
+	n.promises.updateDate(j)
 	if !b.IsDurable(j.ID) {
 		t.Error("a new date while it is away")
 	}
@@ -125,10 +125,10 @@
 		t.Fatal(err)
 	}
 	rec := j.currentRecord()
-	if r := endRecordFromCache(n, j.ID, model.Done, &openJob{8, rec}); r.Date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
+	if r := n.promises.endRecordFromCache(j.ID, model.Done, &openJob{8, rec}); r.Date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
 		t.Errorf("it ends with %+v", r)
 	}
-	if r := endRecordFromCache(n, j.ID, model.Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
+	if r := n.promises.endRecordFromCache(j.ID, model.Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
 		t.Errorf("cancelled with %+v", r)
 	}
 }
@@ -142,12 +142,12 @@
 	spec := model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 2000 * time.Second}
 	rec := record.NewOpenJob(&spec, n.now)
 	m.openJobs = map[string]openJob{spec.ID: {3, rec}}
-	j := n.addJob(spec, n.now, 3)
+	j := n.shardLeader.addJob(spec, n.now, 3)
 	l := m.openJobs[spec.ID]
 	tick := func(d time.Duration) {
 		for end := n.now.Add(d); n.now.Before(end); {
 			n.now = n.now.Add(dateCheckInterval)
-			promisesTick(n)
+			n.promises.promisesTick()
 		}
 	}
 	n.effects = nil
@@ -163,20 +163,20 @@
 		return out
 	}
 	tick(100 * time.Second)
-	if w := writes(); len(w) != 1 || j.promised.Revision != 1 || durableDate(n, spec.ID, &l).Revision != 0 {
-		t.Fatalf("%d writes, revision %d, told %v", len(w), j.promised.Revision, durableDate(n, spec.ID, &l))
+	if w := writes(); len(w) != 1 || j.promised.Revision != 1 || n.promises.durableDate(spec.ID, &l).Revision != 0 {
+		t.Fatalf("%d writes, revision %d, told %v", len(w), j.promised.Revision, n.promises.durableDate(spec.ID, &l))
 	}
 	op := writes()[0]
 	n.effects = nil
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: 7})
-	applyPage(n, &m.promisePages, message.KeyValue{Key: op.Writes[0].Key, ModRevision: 7, Value: op.Writes[0].Value})
+	n.promises.applyPage(&m.promisePages, message.KeyValue{Key: op.Writes[0].Key, ModRevision: 7, Value: op.Writes[0].Value})
 	tick(promise.MinRevisionInterval - 2*dateCheckInterval)
-	if j.promised.Revision != 1 || durableDate(n, spec.ID, &l).Revision != 1 {
-		t.Errorf("revision %d within a minute, told %v", j.promised.Revision, durableDate(n, spec.ID, &l))
+	if j.promised.Revision != 1 || n.promises.durableDate(spec.ID, &l).Revision != 1 {
+		t.Errorf("revision %d within a minute, told %v", j.promised.Revision, n.promises.durableDate(spec.ID, &l))
 	}
 	tick(4 * dateCheckInterval)
-	if w := writes(); j.promised.Revision != 2 || len(w) != 1 || durableDate(n, spec.ID, &l).Revision != 1 {
-		t.Errorf("revision %d, %d writes, told %v", j.promised.Revision, len(w), durableDate(n, spec.ID, &l))
+	if w := writes(); j.promised.Revision != 2 || len(w) != 1 || n.promises.durableDate(spec.ID, &l).Revision != 1 {
+		t.Errorf("revision %d, %d writes, told %v", j.promised.Revision, len(w), n.promises.durableDate(spec.ID, &l))
 	}
 }
 
@@ -185,17 +185,17 @@
 func TestDateOfAnEnd(t *testing.T) {
 	n, team := newPromisingNode(t)
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
-	j := n.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
+	j := n.shardLeader.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
 	j.promised, j.promisedAt = promise.Date{After: 5 * time.Minute, Revision: 1}, n.now
 	j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
 	n.now = n.now.Add(290 * time.Second)
 	n.effects = nil
-	n.writeEndBatch([]*job{j})
-	n.storeCallbacks[sentStoreRequests(n)[0].ID](message.StoreResponse{Status: message.StoreUnknown})
+	n.shardLeader.persistence.writeEndBatch([]*job{j})
+	n.requests.storeCallbacks[sentStoreRequests(n)[0].ID](message.StoreResponse{Status: message.StoreUnknown})
 	for range 60 {
 		n.now = n.now.Add(dateCheckInterval)
 		n.runTimers()
-		promisesTick(n)
+		n.promises.promisesTick()
 	}
 	if j.ending || j.promised.Revision != 1 {
 		t.Errorf("ending %v, its date is revision %d, its late end carries 1", j.ending, j.promised.Revision)
@@ -210,7 +210,7 @@
 	last := func() message.StoreRequest {
 		t.Helper()
 		for _, op := range emittedEffects[message.StoreRequest](n) {
-			if n.storeCallbacks[op.ID] != nil && (op.Key == record.TotalsKey || len(op.Writes) > 0 && op.Writes[0].Key == record.TotalsKey) {
+			if n.requests.storeCallbacks[op.ID] != nil && (op.Key == record.TotalsKey || len(op.Writes) > 0 && op.Writes[0].Key == record.TotalsKey) {
 				n.effects = nil
 				return op
 			}
@@ -220,9 +220,9 @@
 	}
 	x := &n.promises.totals
 	x.leadership, x.modRevision, x.inFlight = n.leader, 7, true
-	writeTotals(n, &promise.Totals{Revision: 5}, true)
-	n.storeCallbacks[last().ID](message.StoreResponse{Status: message.StoreUnknown})
-	totalsLoop(n)
+	n.promises.writeTotals(&promise.Totals{Revision: 5}, true)
+	n.requests.storeCallbacks[last().ID](message.StoreResponse{Status: message.StoreUnknown})
+	n.promises.totalsLoop()
 	if op := last(); op.Kind != message.OpGet {
 		t.Errorf("it goes on with %+v", op)
 	}
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -20,15 +20,15 @@
 
 // machineUpdates is what a successor has to know of the machines: of some of them at a
 // time, so that news of a large pool is spread over the seconds.
-func (n *Controller) machineUpdates() []message.MachineUpdate {
+func (o *shardLeader) machineUpdates() []message.MachineUpdate {
 	var out []message.MachineUpdate
-	n.shardLeader.publishTurn = (n.shardLeader.publishTurn + 1) % machineUpdateTurns
-	for i, m := range n.shardLeader.machinesByID {
-		if i%machineUpdateTurns != n.shardLeader.publishTurn {
+	o.publishTurn = (o.publishTurn + 1) % machineUpdateTurns
+	for i, m := range o.machinesByID {
+		if i%machineUpdateTurns != o.publishTurn {
 			continue
 		}
 		id := m.id
-		if !m.heard || m.releasing || n.unresponsive(m) {
+		if !m.heard || m.releasing || o.controller.shardLeader.heartbeats.unresponsive(m) {
 			continue
 		}
 		h := message.MachineUpdate{ID: id, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, Images: map[string]float64{}}
@@ -47,14 +47,13 @@
 
 // publishToPeers shows the progress of open jobs to the other controllers, and asks
 // the leader for machines.
-func (n *Controller) publishToPeers() {
-	o := n.shardLeader
-	if n.now.Sub(o.publishedAt) < time.Second {
+func (o *shardLeader) publishToPeers() {
+	if o.now.Sub(o.publishedAt) < time.Second {
 		return
 	}
-	o.publishedAt = n.now
+	o.publishedAt = o.now
 	var update message.PeerUpdate
-	update.From = n.settings.Host
+	update.From = o.settings.Host
 	for _, id := range sortedKeys(o.jobs) {
 		j := o.jobs[id]
 		if len(update.Progress) >= maxProgressPerUpdate {
@@ -67,26 +66,26 @@
 			update.Progress = append(update.Progress, p)
 		}
 	}
-	if n.now.Sub(o.loadsPublishedAt) >= loadsPublishInterval {
-		o.loadsPublishedAt = n.now
-		update.WorkloadLoads = n.workloadLoads()
-		update.Quotes = quotesUpdate(n)
+	if o.now.Sub(o.loadsPublishedAt) >= loadsPublishInterval {
+		o.loadsPublishedAt = o.now
+		update.WorkloadLoads = o.controller.shardLeader.fleet.workloadLoads()
+		update.Quotes = o.controller.promises.quotesUpdate()
 	}
-	update.MachineUpdates = n.machineUpdates()
-	for _, p := range n.settings.Peers {
+	update.MachineUpdates = o.machineUpdates()
+	for _, p := range o.settings.Peers {
 		out := update
-		if n.leader == nil && p == n.membership.leader.Host && o.fleetView != nil {
-			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = o.leaderUpdateSeq, o.machinesToRelease, o.surplusMachines, n.offers(), n.teamLoads()
-			for _, k := range sortedKinds(o.capacityRequests) {
-				out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: o.capacityRequests[k]})
+		if o.controller.leader == nil && p == o.controller.membership.leader.Host && o.fleet.view != nil {
+			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = o.fleet.leaderUpdateSeq, o.fleet.machinesToRelease, o.fleet.surplus, o.offers(), o.teamLoads()
+			for _, k := range sortedKinds(o.fleet.capacityRequests) {
+				out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: o.fleet.capacityRequests[k]})
 			}
-			if o.migrations != nil {
-				out.HostNeeds, out.EvacuationCosts = o.migrations.evacuation.needs, o.migrations.evacuation.costs
+			if o.migration.state != nil {
+				out.HostNeeds, out.EvacuationCosts = o.migration.state.evacuation.needs, o.migration.state.evacuation.costs
 			}
 			out.IsCapacityRequest = true
 		}
 		if len(out.Progress) > 0 || len(out.WorkloadLoads) > 0 || len(out.Quotes) > 0 || len(out.MachineUpdates) > 0 || out.IsCapacityRequest {
-			n.emit(message.SendPeerUpdate{To: p, Update: out})
+			o.emit(message.SendPeerUpdate{To: p, Update: out})
 		}
 	}
 }
@@ -95,15 +94,14 @@
 // move, as many as are its part of what all teams here keep busy: the receiver is not to
 // begin with none. Those go first on which only its tasks are, then idle ones, then those
 // of which it has the most; what others have on them goes on there.
-func (n *Controller) offers() []sharding.Offer {
-	o := n.shardLeader
+func (o *shardLeader) offers() []sharding.Offer {
 	r := o.teamRelease
 	held := o.teams[r.Team]
-	if r.From != n.settings.Host || n.now.Sub(o.teamReleaseAt) > updateTTL || held == nil || !held.ready {
+	if r.From != o.settings.Host || o.now.Sub(o.teamReleaseAt) > updateTTL || held == nil || !held.ready {
 		return nil
 	}
 	totalLoad, teamLoad := 0.0, 0.0
-	for _, l := range n.teamLoads() {
+	for _, l := range o.teamLoads() {
 		totalLoad += l.CPU + 1
 		if l.Team == r.Team {
 			teamLoad = l.CPU + 1
@@ -154,8 +152,7 @@
 
 // teamLoads is what each team of this owner keeps busy: what its tasks take, and what
 // those that wait would.
-func (n *Controller) teamLoads() []message.TeamLoad {
-	o := n.shardLeader
+func (o *shardLeader) teamLoads() []message.TeamLoad {
 	cpuByTeam := map[string]float64{}
 	for t := range o.teams {
 		cpuByTeam[t] = 0
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -37,6 +37,8 @@
 
 // rankingState is what this controller knows of the ranking.
 type rankingState struct {
+	component
+
 	// modRevision is that of the record as it stands, 0 for none, also if it can't be read;
 	// taken is the one under which the order was decided last, and rev the highest
 	// revision seen.
@@ -63,11 +65,10 @@
 
 // applyRankingRecord takes in the record as a read or a watch of ctl/ brings it. What can't be
 // read is told, and the last good one goes on to count.
-func applyRankingRecord(n *Controller, it message.KeyValue) {
-	if !n.settings.Capabilities.Ranking {
+func (r *rankingState) applyRankingRecord(it message.KeyValue) {
+	if !r.settings.Capabilities.Ranking {
 		return
 	}
-	r := &n.ranking
 	if it.Deleted {
 		// Whoever leads writes one anew.
 		r.modRevision, r.lastValid, r.table, r.invalidReason = 0, ranking.Record{}, nil, ""
@@ -79,10 +80,10 @@
 	rec, err := ranking.Decode(it.Value)
 	if err != nil {
 		r.invalidReason = err.Error()
-		n.rejectInput("record", it.Key, r.invalidReason)
+		r.rejectInput("record", it.Key, r.invalidReason)
 		if r.table == nil && !r.historyRead {
 			r.historyRead = true
-			recoverRankingFromHistory(n)
+			r.recoverRankingFromHistory()
 		}
 		return
 	}
@@ -91,45 +92,45 @@
 }
 
 // noteRankingAbsence takes in that a whole read of ctl/ did not show a record.
-func noteRankingAbsence(n *Controller, items []message.KeyValue) {
+func (r *rankingState) noteRankingAbsence(items []message.KeyValue) {
 	if !slices.ContainsFunc(items, func(it message.KeyValue) bool { return it.Key == record.RankingKey }) {
-		applyRankingRecord(n, message.KeyValue{Key: record.RankingKey, Deleted: true})
+		r.applyRankingRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
 	}
 }
 
 // recoverRankingFromHistory looks for the last good record where this life has seen none: all
 // controllers are to rank alike, also those that begin beside a damaged one.
-func recoverRankingFromHistory(n *Controller) {
-	readRankingHistory(n, time.Time{}, func(recs []ranking.Record) {
-		r := &n.ranking
+func (rr *rankingState) recoverRankingFromHistory() {
+	rr.readRankingHistory(time.Time{}, func(recs []ranking.Record) {
+		r := rr
 		if r.table != nil || r.modRevision == 0 || len(recs) == 0 {
 			return
 		}
 		r.lastValid, r.table = recs[0], recs[0].Table()
 		r.tableVersion++
 		r.highestRevision = max(r.highestRevision, r.lastValid.Revision)
-		n.info("an earlier ranking counts, as the newest can't be read", "revision", r.lastValid.Revision)
-		replanUnsentStarts(n)
+		rr.info("an earlier ranking counts, as the newest can't be read", "revision", r.lastValid.Revision)
+		rr.replanUnsentStarts()
 	})
 }
 
 // readRankingHistory reads the rankings that are kept, the newest first. It gives up at until,
 // and has none to tell of then; a zero one is never.
-func readRankingHistory(n *Controller, deadline time.Time, fn func([]ranking.Record)) {
-	n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.RankingHistoryPrefix}, func(d message.StoreResponse) {
-		if d.Status != message.StoreOK && !deadline.IsZero() && n.now.After(deadline) {
+func (r *rankingState) readRankingHistory(deadline time.Time, fn func([]ranking.Record)) {
+	r.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.RankingHistoryPrefix}, func(d message.StoreResponse) {
+		if d.Status != message.StoreOK && !deadline.IsZero() && r.now.After(deadline) {
 			fn(nil)
 			return
 		}
 		if d.Status != message.StoreOK {
-			n.after(n.jitter(storeRetryDelay), func() { readRankingHistory(n, deadline, fn) })
+			r.after(r.jitter(storeRetryDelay), func() { r.readRankingHistory(deadline, fn) })
 			return
 		}
 		var out []ranking.Record
 		for _, it := range d.KeyValues {
 			rec, err := ranking.Decode(it.Value)
 			if err != nil {
-				n.rejectInput("record", it.Key, err.Error())
+				r.rejectInput("record", it.Key, err.Error())
 				continue
 			}
 			out = append(out, rec)
@@ -142,81 +143,79 @@
 // noteRankingKnown notes a moment before which nobody has set a ranking that is not known here:
 // that at which a read of ctl/ began, or a write which named the ranking and went through.
 // Also if another one has come since: it came after that write.
-func noteRankingKnown(n *Controller, at time.Time) {
-	n.ranking.asOf = later(n.ranking.asOf, at)
+func (r *rankingState) noteRankingKnown(at time.Time) {
+	r.asOf = later(r.asOf, at)
 }
 
 // noteRankingOutdated notes that a write failed on the ranking that it named: somebody has set another ranking. Until that
 // has been read nothing is placed and no start written: all of it would fail.
-func noteRankingOutdated(n *Controller, stamp uint64) {
-	if r := &n.ranking; stamp == r.modRevision {
+func (rr *rankingState) noteRankingOutdated(stamp uint64) {
+	if r := rr; stamp == r.modRevision {
 		r.stale = true
-		refreshRanking(n)
+		rr.refreshRanking()
 	}
 }
 
 // applyRankingChange decides anew when another ranking has come.
-func applyRankingChange(n *Controller) {
-	r := &n.ranking
+func (r *rankingState) applyRankingChange() {
 	if r.modRevision == r.appliedModRevision {
 		return
 	}
 	if r.appliedModRevision != 0 {
-		n.promises.rankingChangedAt = n.now
+		r.controller.promises.rankingChangedAt = r.now
 	}
 	r.appliedModRevision, r.stale = r.modRevision, false
 	if r.modRevision != 0 && r.invalidReason == "" {
-		n.info("ranking", "revision", r.lastValid.Revision, "by", r.lastValid.SetBy, "classes", len(r.lastValid.Classes))
+		r.info("ranking", "revision", r.lastValid.Revision, "by", r.lastValid.SetBy, "classes", len(r.lastValid.Classes))
 	}
-	replanUnsentStarts(n)
+	r.replanUnsentStarts()
 }
 
 // replanUnsentStarts takes back what was decided and told to nobody, and has all that waits placed
 // in the new order.
-func replanUnsentStarts(n *Controller) {
-	o := n.shardLeader
+func (r *rankingState) replanUnsentStarts() {
+	o := r.controller.shardLeader
 	if o == nil {
 		return
 	}
 	for _, m := range o.machinesByID {
 		for _, k := range m.attemptsWhere(func(t *task) bool { return !t.startSent }) {
-			n.endAttempt(o.jobs[k.job], k.index, false)
+			r.controller.shardLeader.endAttempt(o.jobs[k.job], k.index, false)
 		}
 	}
-	o.placementDue, o.placementUrgent = true, true
-	o.preemptionVictims = nil
+	o.scheduler.placementDue, o.scheduler.placementUrgent = true, true
+	o.scheduler.preemptionVictims = nil
 }
 
 // refreshRanking reads the ranking anew for what waits for it.
-func refreshRanking(n *Controller) {
-	r := &n.ranking
-	if r.refreshing || !n.membership.loaded {
+func (r *rankingState) refreshRanking() {
+	if r.refreshing || !r.controller.membership.loaded {
 		return
 	}
 	r.refreshing = true
 	// Without an answer nobody is called: the next look round asks again.
-	n.after(storeRetryDelay, func() { r.refreshing = false })
-	n.confirmControlRecords(func() {
+	r.after(storeRetryDelay, func() { r.refreshing = false })
+	r.controller.membership.confirmControlRecords(func() {
 		r.stale, r.refreshing = false, false
 		held := r.heldMachines
 		r.heldMachines = nil
-		if n.shardLeader == nil {
+		if r.controller.shardLeader == nil {
 			return
 		}
 		for m := range held {
 			// It may be of a time as owner that is over.
-			if n.shardLeader.machines[m.id] == m {
-				n.markDispatchPending(m)
+			if r.controller.shardLeader.machines[m.id] == m {
+				r.controller.markDispatchPending(m)
 			}
 		}
-		n.shardLeader.placementDue = true
+		r.controller.shardLeader.scheduler.placementDue = true
 	})
 }
 
 // retryRankingRefresh asks again for what still waits.
-func retryRankingRefresh(n *Controller) {
-	if r := &n.ranking; r.stale || len(r.heldMachines) > 0 {
-		refreshRanking(n)
+func (rr *rankingState) retryRankingRefresh() {
+	if r := rr; r.stale || len(r.heldMachines) > 0 {
+		rr.refreshRanking()
 	}
 }
 
@@ -225,28 +224,27 @@
 // under the ranking of now or not at all: one that is nowhere, never sent or proven
 // absent, is placed anew when another ranking decided it; of one that was in an answer or
 // an order of which it is not known whether it was in time, the next report tells.
-func mayDispatchStart(n *Controller, m *machine, j *job, i int, provenAbsent bool) bool {
+func (r *rankingState) mayDispatchStart(m *machine, j *job, i int, provenAbsent bool) bool {
 	t := &j.tasks[i]
-	if !n.settings.Capabilities.Ranking || t.startUnanswered && !provenAbsent {
+	if !r.settings.Capabilities.Ranking || t.startUnanswered && !provenAbsent {
 		return true
 	}
-	r := &n.ranking
 	if t.rankingRevision != r.modRevision {
 		switch {
 		case !t.startSent || provenAbsent:
-			n.endAttempt(j, i, false)
+			r.controller.shardLeader.endAttempt(j, i, false)
 		case m.unackedStartEpoch != 0:
 			// Another start stands in the way of the proof: only a higher epoch gives it.
 			t.stopReason = stopDrain
 		}
 		return false
 	}
-	if r.stale || n.now.After(r.asOf.Add(maxRankingStaleness-rankingStalenessMargin)) {
+	if r.stale || r.now.After(r.asOf.Add(maxRankingStaleness-rankingStalenessMargin)) {
 		if r.heldMachines == nil {
 			r.heldMachines = map[*machine]bool{}
 		}
 		r.heldMachines[m] = true
-		refreshRanking(n)
+		r.refreshRanking()
 		return false
 	}
 	m.hasNewStarts = true
@@ -255,7 +253,7 @@
 
 // noteUnansweredStarts notes that orders had no answer though they left: their starts may be
 // carried out at any time.
-func noteUnansweredStarts(n *Controller, m *machine, commands []model.TaskCommand) {
+func (r *rankingState) noteUnansweredStarts(m *machine, commands []model.TaskCommand) {
 	for _, x := range commands {
 		if t := m.attempts[taskKey{x.Job, x.Index}]; t != nil && x.Kind == model.StartTask && t.attempt == x.Attempt {
 			t.startUnanswered = true
@@ -265,11 +263,11 @@
 
 // startDispatchDeadline is until when what has just been ordered for m may leave: starts that are
 // nowhere else no longer than the ranking is surely known. Zero for any time.
-func startDispatchDeadline(n *Controller, m *machine) time.Time {
+func (r *rankingState) startDispatchDeadline(m *machine) time.Time {
 	if !m.hasNewStarts {
 		return time.Time{}
 	}
-	return n.ranking.asOf.Add(maxRankingStaleness)
+	return r.asOf.Add(maxRankingStaleness)
 }
 
 // segmentHasStarts says whether a chunk's record makes a start durable.
@@ -284,46 +282,46 @@
 
 // rankOf is a job's place in the ranking, lower first; without one, by its urgency. It is
 // asked for by every comparison of two jobs.
-func rankOf(n *Controller, j *job) int {
-	if r := &n.ranking; r.tableVersion == 0 || j.rankingVersion != r.tableVersion {
-		j.rankingPlace, j.rankingVersion = rankOfSpec(n, &j.JobSpec), r.tableVersion
+func (rr *rankingState) rankOf(j *job) int {
+	if r := rr; r.tableVersion == 0 || j.rankingVersion != r.tableVersion {
+		j.rankingPlace, j.rankingVersion = rr.rankOfSpec(&j.JobSpec), r.tableVersion
 	}
 	return j.rankingPlace
 }
 
-func rankOfSpec(n *Controller, s *model.JobSpec) int {
-	return n.ranking.table.Rank(s.Workload, int(s.Urgency))
+func (r *rankingState) rankOfSpec(s *model.JobSpec) int {
+	return r.table.Rank(s.Workload, int(s.Urgency))
 }
 
 // inverseRank is the same the other way round: higher goes first, 0 is the last.
-func inverseRank(n *Controller, j *job) int {
-	return n.ranking.table.RankCount() - 1 - rankOf(n, j)
+func (r *rankingState) inverseRank(j *job) int {
+	return r.table.RankCount() - 1 - r.rankOf(j)
 }
 
 // policyWeight is the policy script's weight of a job: it counts only without a ranking, into
 // which the leader's has gone.
-func policyWeight(n *Controller, j *job) float64 {
-	if n.ranking.table != nil {
+func (r *rankingState) policyWeight(j *job) float64 {
+	if r.table != nil {
 		return 0
 	}
-	return n.settings.Policy.WorkloadWeights[j.Workload]
+	return r.settings.Policy.WorkloadWeights[j.Workload]
 }
 
 // waitBound is how long a job may wait behind others, and the part of the room that it
 // then takes before all others; 0 is the built-in default.
-func waitBound(n *Controller, j *job) (time.Duration, float64) {
-	return n.ranking.table.WaitBound(j.Workload, int(j.Urgency))
+func (r *rankingState) waitBound(j *job) (time.Duration, float64) {
+	return r.table.WaitBound(j.Workload, int(j.Urgency))
 }
 
 // sortInheritedByRank puts the machines that a successor reaches first into order: those with work
 // before idle ones, and of these the ones with the highest-ranked.
-func sortInheritedByRank(n *Controller, machines []*machine) {
+func (r *rankingState) sortInheritedByRank(machines []*machine) {
 	bestRank := map[*machine]int{}
 	for _, m := range machines {
-		bestRank[m] = n.ranking.table.RankCount()
+		bestRank[m] = r.table.RankCount()
 		for k := range m.attempts {
-			if n.settings.Capabilities.Ranking {
-				bestRank[m] = min(bestRank[m], rankOf(n, n.shardLeader.jobs[k.job]))
+			if r.settings.Capabilities.Ranking {
+				bestRank[m] = min(bestRank[m], r.rankOf(r.controller.shardLeader.jobs[k.job]))
 			}
 		}
 	}
@@ -334,18 +332,18 @@
 
 // overloadRefuses says that a submission is refused under overload: the later a job's place,
 // the smaller the part of what may wait for the state service that is open to it.
-func overloadRefuses(n *Controller, s *model.JobSpec) bool {
-	if !n.settings.Capabilities.Ranking || s.Workload == "" {
+func (r *rankingState) overloadRefuses(s *model.JobSpec) bool {
+	if !r.settings.Capabilities.Ranking || s.Workload == "" {
 		return false
 	}
-	relativeRank := float64(rankOfSpec(n, s)) / float64(max(1, n.ranking.table.RankCount()-1))
-	return float64(n.frontend.waitingRequests) >= maxWaitingRequests*(1-(1-lowestRankQueueFraction)*relativeRank)
+	relativeRank := float64(r.rankOfSpec(s)) / float64(max(1, r.table.RankCount()-1))
+	return float64(r.controller.frontend.waitingRequests) >= maxWaitingRequests*(1-(1-lowestRankQueueFraction)*relativeRank)
 }
 
 // rankingFits says whether a record can be stored.
-func rankingFits(n *Controller, rec ranking.Record) bool {
+func (r *rankingState) rankingFits(rec ranking.Record) bool {
 	size, err := sizelimit.JSON(rec.Encode())
-	return err == nil && float64(size) <= rankingValueFraction*float64(n.settings.MaxValueBytes)
+	return err == nil && float64(size) <= rankingValueFraction*float64(r.settings.MaxValueBytes)
 }
 
 // rankingWrites are the changes that set a ranking: the record, and the same as history.
@@ -361,13 +359,13 @@
 	if !n.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !n.membership.loaded || n.now.After(n.membership.leaseValidUntil) {
 		return
 	}
-	rec, lossless := ranking.Derive(n.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return rankingFits(n, rec) })
+	rec, lossless := ranking.Derive(n.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return n.ranking.rankingFits(rec) })
 	if !lossless {
 		n.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
 	}
 	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, n.settings.Host, n.now
 	r.writingDerived = true
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: n.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
+	n.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: n.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
 		pause := n.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
 			pause = malformedRetryDelay
@@ -382,29 +380,28 @@
 }
 
 // setRanking writes a ranking in the place of the one that it was read over.
-func setRanking(n *Controller, cmd message.SetRanking) {
-	state := &n.ranking
+func (state *rankingState) setRanking(cmd message.SetRanking) {
 	refuse := func(status int, format string, args ...any) {
-		n.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
+		state.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
 	}
 	switch {
-	case !n.settings.Capabilities.Ranking:
+	case !state.settings.Capabilities.Ranking:
 		refuse(404, "it is not switched on")
 		return
-	case !rankingFits(n, cmd.Record):
-		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankingValueFraction*float64(n.settings.MaxValueBytes))
+	case !state.rankingFits(cmd.Record):
+		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankingValueFraction*float64(state.settings.MaxValueBytes))
 		return
-	case n.storeDown(n.now) || !n.membership.loaded:
+	case state.controller.membership.storeDown(state.now) || !state.controller.membership.loaded:
 		refuse(503, "nothing is set: the state service does not answer")
 		return
 	}
 	readDone, timedOut := false, false
-	n.after(cmd.Deadline.Sub(n.now), func() {
+	state.after(cmd.Deadline.Sub(state.now), func() {
 		if timedOut = true; !readDone {
 			refuse(503, "nothing is set: the state service does not answer")
 		}
 	})
-	n.confirmControlRecords(func() {
+	state.controller.membership.confirmControlRecords(func() {
 		if timedOut {
 			return
 		}
@@ -415,11 +412,11 @@
 			return
 		}
 		rec := cmd.Record
-		rec.Revision, rec.SetAt = state.highestRevision+1, n.now
-		n.requestStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.RankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
+		rec.Revision, rec.SetAt = state.highestRevision+1, state.now
+		state.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.RankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
 			switch resp.Status {
 			case message.StoreOK:
-				n.emit(message.RankingReply{Reply: cmd.Reply, Status: 200, Host: n.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
+				state.emit(message.RankingReply{Reply: cmd.Reply, Status: 200, Host: state.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
 			case message.StoreConflict:
 				refuse(409, "nothing is set: somebody else set a ranking meanwhile; look at it and try again")
 			case message.StoreUnknown:
@@ -432,19 +429,18 @@
 }
 
 // queryRanking shows the ranking as it is known here.
-func queryRanking(n *Controller, c message.QueryRanking) {
-	r := &n.ranking
-	if !n.settings.Capabilities.Ranking {
-		n.emit(message.RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
+func (r *rankingState) queryRanking(c message.QueryRanking) {
+	if !r.settings.Capabilities.Ranking {
+		r.emit(message.RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
 		return
 	}
 	if c.History {
-		readRankingHistory(n, n.now.Add(userRequestTimeout), func(recs []ranking.Record) {
+		r.readRankingHistory(r.now.Add(userRequestTimeout), func(recs []ranking.Record) {
 			if len(recs) == 0 && r.modRevision != 0 {
-				n.emit(message.RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
+				r.emit(message.RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
 				return
 			}
-			reply := message.RankingReply{Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision}
+			reply := message.RankingReply{Reply: c.Reply, Status: 200, Host: r.settings.Host, Revision: r.lastValid.Revision}
 			for _, x := range recs {
 				h := message.RankingRecord{Revision: x.Revision, SetBy: x.SetBy, SetAt: x.SetAt, Derived: x.Derived}
 				for _, c := range x.Classes {
@@ -452,26 +448,25 @@
 				}
 				reply.History = append(reply.History, h)
 			}
-			n.emit(reply)
+			r.emit(reply)
 		})
 		return
 	}
 	reply := message.RankingReply{
-		Reply: c.Reply, Status: 200, Host: n.settings.Host, Revision: r.lastValid.Revision, SetBy: r.lastValid.SetBy, SetAt: r.lastValid.SetAt, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
-		AsOfSeconds: max(0, n.now.Sub(r.asOf).Seconds()), Classes: rankingClasses(n),
+		Reply: c.Reply, Status: 200, Host: r.settings.Host, Revision: r.lastValid.Revision, SetBy: r.lastValid.SetBy, SetAt: r.lastValid.SetAt, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
+		AsOfSeconds: max(0, r.now.Sub(r.asOf).Seconds()), Classes: r.rankingClasses(),
 	}
 	if r.asOf.IsZero() {
 		reply.AsOfSeconds = -1
 	}
 	if c.Job != "" {
-		reply.Explanation = explainRank(n, c.Job)
+		reply.Explanation = r.explainRank(c.Job)
 	}
-	n.emit(reply)
+	r.emit(reply)
 }
 
 // rankingClasses are all places with what of them this owner has.
-func rankingClasses(n *Controller) []message.RankingClass {
-	r := &n.ranking
+func (r *rankingState) rankingClasses() []message.RankingClass {
 	out := make([]message.RankingClass, r.table.RankCount())
 	for i := range out {
 		out[i].Rank = i + 1
@@ -482,11 +477,11 @@
 			out[i].Name = "(" + out[i].Urgency + ")"
 		}
 	}
-	if n.shardLeader == nil {
+	if r.controller.shardLeader == nil {
 		return out
 	}
-	for _, j := range n.shardLeader.jobs {
-		x := &out[rankOf(n, j)]
+	for _, j := range r.controller.shardLeader.jobs {
+		x := &out[r.rankOf(j)]
 		x.Jobs++
 		x.WaitingTasks += j.pendingTasks()
 		x.LiveTasks += j.liveTasks
@@ -495,54 +490,54 @@
 }
 
 // explainRank says in a line what stands before a job and what would let it go.
-func explainRank(n *Controller, id string) string {
-	s, ok := n.frontend.finalStatuses[id]
+func (r *rankingState) explainRank(id string) string {
+	s, ok := r.controller.frontend.finalStatuses[id]
 	if ok {
 		return fmt.Sprintf("%s is %s", id, s)
 	}
-	l, open := n.frontend.watchCache.openJobs[id]
+	l, open := r.controller.frontend.watchCache.openJobs[id]
 	if !open {
-		return fmt.Sprintf("%s is not open, as far as %s has read", id, n.settings.Host)
+		return fmt.Sprintf("%s is not open, as far as %s has read", id, r.settings.Host)
 	}
 	var j *job
-	if n.shardLeader != nil {
-		j = n.shardLeader.jobs[id]
+	if r.controller.shardLeader != nil {
+		j = r.controller.shardLeader.jobs[id]
 	}
 	if j == nil {
-		if x := n.membership.shardMap.Team(l.rec.Team); x != nil && x.Host != n.settings.Host {
+		if x := r.controller.membership.shardMap.Team(l.rec.Team); x != nil && x.Host != r.settings.Host {
 			return fmt.Sprintf("%s is run by %s, which has its team %s: ask there", id, x.Host, l.rec.Team)
 		}
 		return fmt.Sprintf("%s waits until its team %s has an owner that has read it", id, l.rec.Team)
 	}
 	var parts []string
 	add := func(format string, args ...any) { parts = append(parts, fmt.Sprintf(format, args...)) }
-	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, n.ranking.table.ClassName(j.Workload, int(j.Urgency)), rankOf(n, j)+1, n.ranking.table.RankCount(), j.pendingTasks(), len(j.tasks))
+	add("%s: class %s, place %d of %d; %d of %d tasks wait", id, r.table.ClassName(j.Workload, int(j.Urgency)), r.rankOf(j)+1, r.table.RankCount(), j.pendingTasks(), len(j.tasks))
 	if j.pendingTasks() > 0 {
-		explainJobsAhead(n, j, add)
+		r.explainJobsAhead(j, add)
 	}
-	for _, why := range explainBlockers(n, j) {
+	for _, why := range r.explainBlockers(j) {
 		add("%s", why)
 	}
 	return strings.Join(parts, "; ")
 }
 
 // explainJobsAhead tells of the jobs that wait in front of j.
-func explainJobsAhead(n *Controller, j *job, add func(string, ...any)) {
+func (r *rankingState) explainJobsAhead(j *job, add func(string, ...any)) {
 	type front struct{ jobs, tasks int }
 	ahead := map[int]front{}
 	names := map[int]string{}
 	aheadInClass, found := 0, false
-	for _, x := range n.jobsInQueueOrder() {
+	for _, x := range r.controller.shardLeader.scheduler.jobsInQueueOrder() {
 		if found = x == j; found {
 			break
 		}
-		p := rankOf(n, x)
-		if p == rankOf(n, j) {
+		p := r.rankOf(x)
+		if p == r.rankOf(j) {
 			aheadInClass++
 		}
 		f := ahead[p]
 		ahead[p] = front{f.jobs + 1, f.tasks + x.pendingTasks()}
-		names[p] = n.ranking.table.ClassName(x.Workload, int(x.Urgency))
+		names[p] = r.table.ClassName(x.Workload, int(x.Urgency))
 	}
 	if !found {
 		return
@@ -554,8 +549,8 @@
 }
 
 // explainBlockers names what keeps a job's tasks from starting, other than their turn.
-func explainBlockers(n *Controller, j *job) []string {
-	o := n.shardLeader
+func (r *rankingState) explainBlockers(j *job) []string {
+	o := r.controller.shardLeader
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	fetching, unsent := 0, 0
@@ -580,26 +575,26 @@
 	case j.elsewhere():
 		add("it is lent to %s", j.lentTo)
 	case j.dependenciesPending:
-		add("it waits for %s", n.describeDependencies(j.ID))
+		add("it waits for %s", r.controller.describeDependencies(j.ID))
 	case j.pendingTasks() == 0:
-	case !j.mayStart(n.now):
+	case !j.mayStart(r.now):
 		add("its home has not lately said that it may start here")
 	case o.faultAttribution.FailsEverywhere(j.ID):
 		add("it fails on every machine and is tried one task at a time")
-	case !n.withinQuotaLimit(j):
+	case !r.controller.shardLeader.scheduler.withinQuotaLimit(j):
 		add("its team %s is at its limit: it goes on when tasks of the team end", j.Team)
 	default:
-		out = append(out, explainCapacity(n, j)...)
+		out = append(out, r.explainCapacity(j)...)
 	}
 	return out
 }
 
 // explainCapacity says on how many machines the next task of j would fit, and else what is
 // missing.
-func explainCapacity(n *Controller, j *job) []string {
+func (r *rankingState) explainCapacity(j *job) []string {
 	suitable, fitting, wrongZone := 0, 0, 0
-	for _, m := range n.shardLeader.machinesByID {
-		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) || !n.usable(m) {
+	for _, m := range r.controller.shardLeader.machinesByID {
+		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) || !r.controller.shardLeader.scheduler.usable(m) {
 			continue
 		}
 		suitable++
@@ -612,9 +607,9 @@
 		}
 	}
 	refusedKinds := 0
-	if v := n.shardLeader.fleetView; v != nil {
+	if v := r.controller.shardLeader.fleet.view; v != nil {
 		for k, until := range v.blockedUntil {
-			if f, ok := n.machineTypes[k.machineType]; ok && until.After(n.now) && j.allowsMachine(k.machineType, k.zone, k.spot) && j.Need.Fits(f.Capacity) {
+			if f, ok := r.controller.knowledge.machineTypes[k.machineType]; ok && until.After(r.now) && j.allowsMachine(k.machineType, k.zone, k.spot) && j.Need.Fits(f.Capacity) {
 				refusedKinds++
 			}
 		}
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -32,7 +32,7 @@
 		panic(err)
 	}
 	rec.Revision = stamp
-	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: stamp}}})
+	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: stamp}}})
 }
 
 const (
@@ -61,8 +61,8 @@
 	n := newRankedNode(1, barFirst)
 	foo, bar := n.addWaitingJob("job-1", "foo", 1, 20), n.addWaitingJob("job-2", "bar", 1, 20)
 	n.effects = nil
-	n.placeAll()
-	n.writeSegments()
+	n.shardLeader.scheduler.placeAll()
+	n.shardLeader.persistence.writeSegments()
 	ops := sentStoreRequests(n)
 	if foo.liveTasks != 0 || bar.liveTasks != 1 || len(ops) != 1 {
 		t.Fatalf("foo has %d, bar %d places, %d writes", foo.liveTasks, bar.liveTasks, len(ops))
@@ -72,8 +72,8 @@
 	}
 	n.effects = nil
 	n.handleCommand(message.StoreResponse{ID: ops[0].ID, Status: message.StoreConflict, FailedKeys: []string{record.RankingKey}})
-	n.placeAll()
-	n.writeSegments()
+	n.shardLeader.scheduler.placeAll()
+	n.shardLeader.persistence.writeSegments()
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
 			t.Fatal("a start is written though the ranking is not known")
@@ -83,8 +83,8 @@
 	n.now = n.now.Add(100 * time.Millisecond)
 	n.setRanking(fooFirst, 9)
 	n.effects = nil
-	n.placeAll()
-	n.writeSegments()
+	n.shardLeader.scheduler.placeAll()
+	n.shardLeader.persistence.writeSegments()
 	some := false
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
@@ -102,7 +102,7 @@
 	n := newRankedNode(1, fooFirst)
 	m := n.shardLeader.machinesByID[0]
 	j := n.addWaitingJob("job-1", "foo", 1, 1)
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	j.segmentOf(0).persistedVersion = j.segmentOf(0).version
 	n.effects = nil
 	return n, m, j
@@ -121,8 +121,8 @@
 func TestUnsentStartsAreJudgedAtDeparture(t *testing.T) {
 	n, m, j := nodeWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
-	n.dispatch(m)
-	if len(n.workerCallbacks) != 0 || j.tasks[0].startSent {
+	n.shardLeader.dispatcher.dispatch(m)
+	if len(n.requests.workerCallbacks) != 0 || j.tasks[0].startSent {
 		t.Fatal("a start leaves three seconds after the ranking was known")
 	}
 	op := sentStoreRequests(n)[0]
@@ -131,8 +131,8 @@
 	}
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
 	n.effects = nil
-	n.dispatchAll()
-	if len(n.workerCallbacks) != 1 {
+	n.shardLeader.dispatcher.dispatchAll()
+	if len(n.requests.workerCallbacks) != 1 {
 		t.Fatal("the start does not leave though the ranking is known")
 	}
 	w := n.effects[0].(message.WorkerRequest)
@@ -170,15 +170,15 @@
 func TestHeldOfAFormerTime(t *testing.T) {
 	n, m, j := nodeWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
-	n.dispatch(m)
+	n.shardLeader.dispatcher.dispatch(m)
 	op := sentStoreRequests(n)[0]
-	again := n.ensureMachine("vm-again")
+	again := n.shardLeader.ensureMachine("vm-again")
 	delete(n.shardLeader.machines, m.id)
 	n.shardLeader.machinesByID = []*machine{again}
 	delete(n.shardLeader.jobs, j.ID)
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
-	n.dispatchAll()
-	if len(n.workerCallbacks) != 0 {
+	n.shardLeader.dispatcher.dispatchAll()
+	if len(n.requests.workerCallbacks) != 0 {
 		t.Error("something is ordered for a machine of a former time")
 	}
 }
@@ -197,18 +197,18 @@
 		m := n.shardLeader.machinesByID[0]
 		j := n.addWaitingJob("job-1", "foo", 1, 1)
 		rec := record.TaskSegment{RankingRevision: c.rank, Rows: []record.TaskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
-		n.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
+		n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
 		if !c.quiet {
 			m.unackedStartEpoch = m.epoch
 		}
 		j.tasks[0].startUnanswered = c.left
-		if got := countStarts(n.reconcile(m)); got != c.want {
+		if got := countStarts(n.shardLeader.dispatcher.reconcile(m)); got != c.want {
 			t.Errorf("%+v: %d starts", c, got)
 		}
 		if anew := len(j.requeued) == 1; anew != c.anew {
 			t.Errorf("%+v: placed anew %v", c, anew)
 		}
-		if proof := m.waitsForStartProof(&n.shardLeader.registry); proof != (c.want == 0 && !c.anew) {
+		if proof := m.waitsForStartProof(&n.shardLeader.remoteAttempts.registry); proof != (c.want == 0 && !c.anew) {
 			t.Errorf("%+v: a higher epoch is asked for: %v", c, proof)
 		}
 		if got := j.segmentRecord(j.segmentOf(0)).RankingRevision; got != c.rank {
@@ -243,7 +243,7 @@
 	if r := n.effects[len(n.effects)-1].(message.RankingReply); r.Status != 409 {
 		t.Errorf("the second of two is told %+v", r)
 	}
-	applyRankingRecord(n, message.KeyValue{Key: record.RankingKey, Deleted: true})
+	n.ranking.applyRankingRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
 	n.leader = newLeader(n)
 	n.leader.modRevision = 5
 	n.effects = nil
@@ -267,23 +267,23 @@
 	for i, b := range [][]byte{{0x81}, later, record.Encode(map[string]any{"v": 1, "rev": 3, "c": []any{}}), nil} {
 		n.now = n.now.Add(2 * time.Minute)
 		n.effects = nil
-		n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: b, ModRevision: uint64(20 + i)}}})
-		if rankOf(n, bar) >= rankOf(n, foo) || n.ranking.modRevision != uint64(20+i) || n.ranking.invalidReason == "" || len(n.effects) == 0 {
-			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, rankOf(n, bar), rankOf(n, foo), n.ranking.modRevision, len(n.effects))
+		n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: b, ModRevision: uint64(20 + i)}}})
+		if n.ranking.rankOf(bar) >= n.ranking.rankOf(foo) || n.ranking.modRevision != uint64(20+i) || n.ranking.invalidReason == "" || len(n.effects) == 0 {
+			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, n.ranking.rankOf(bar), n.ranking.rankOf(foo), n.ranking.modRevision, len(n.effects))
 		}
 	}
 	if n.ranking.highestRevision != 30 {
 		t.Error("the next revision would not be above that of a later form")
 	}
-	n.ranking = rankingState{}
+	n.ranking = rankingState{component: n.ranking.component}
 	n.effects = nil
-	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: later, ModRevision: 40}}})
+	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: later, ModRevision: 40}}})
 	all := sentStoreRequests(n)
 	if len(all) != 1 || all[0].Kind != message.OpList || all[0].Key != record.RankingHistoryPrefix {
 		t.Fatalf("asked %+v", all)
 	}
 	n.handleCommand(message.StoreResponse{ID: all[0].ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
-	if n.ranking.lastValid.Revision != 7 || rankOf(n, bar) >= rankOf(n, foo) {
+	if n.ranking.lastValid.Revision != 7 || n.ranking.rankOf(bar) >= n.ranking.rankOf(foo) {
 		t.Errorf("revision %d counts", n.ranking.lastValid.Revision)
 	}
 }
@@ -295,10 +295,10 @@
 		n := newRankedNode(1, text)
 		m := n.shardLeader.machinesByID[0]
 		low := n.addWaitingJob("job-1", "foo", 1, 32)
-		n.placeAll()
+		n.shardLeader.scheduler.placeAll()
 		high := n.addWaitingJob("job-2", "bar", 1, 32)
 		high.Urgency = model.Urgent
-		ts, _, ok := n.preemptionVictimsOn(high, m, m.free())
+		ts, _, ok := n.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free())
 		if ok != (text == barFirst) || low.liveTasks != 1 {
 			t.Errorf("%d victims, %v", len(ts), ok)
 		}
@@ -315,7 +315,7 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			r := n.poolHeartbeat(i * rapid.IntRange(1, 8).Draw(t, "kind"))
 			r.Machine = fmt.Sprintf("vm-%02d", i)
-			n.applyHeartbeat(n.ensureMachine(r.Machine), r, true)
+			n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
 		}
 		for i := range rapid.IntRange(1, 12).Draw(t, "jobs") {
 			j := n.addWaitingJob(fmt.Sprintf("job-%02d", i), rapid.SampledFrom([]string{"foo", "foo2", "bar", "baz", "x"}).Draw(t, "workload"),
@@ -324,23 +324,23 @@
 			j.AllowSpot = rapid.Bool().Draw(t, "spot")
 			n.shardLeader.workloads[j.Workload] = &workload{&j.JobSpec, n.now}
 		}
-		n.placeAll()
+		n.shardLeader.scheduler.placeAll()
 		for _, m := range n.shardLeader.machinesByID {
 			for k := range m.attempts {
 				l := n.shardLeader.jobs[k.job]
 				m.used = m.used.AddScaled(l.Need, -1)
 				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(l.Need, -1)
-				r := n.newPlacementRound()
+				r := n.shardLeader.scheduler.newPlacementRound()
 				for _, h := range n.shardLeader.jobs {
-					if rankOf(n, h) >= rankOf(n, l) || n.placeableTasks(h) == 0 || !n.withinQuotaLimit(h) {
+					if n.ranking.rankOf(h) >= n.ranking.rankOf(l) || n.shardLeader.scheduler.placeableTasks(h) == 0 || !n.shardLeader.scheduler.withinQuotaLimit(h) {
 						continue
 					}
 					for _, s := range r.candidates {
 						if s.machine != m {
 							continue
 						}
-						if _, suits := n.candidateGroupFor(r, h).rate(n, h, s); suits {
-							t.Fatalf("%s of %s, place %d, is on %s; %s of %s, place %d, waits", l.ID, l.Workload, rankOf(n, l), m.id, h.ID, h.Workload, rankOf(n, h))
+						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, h).rate(n, h, s); suits {
+							t.Fatalf("%s of %s, place %d, is on %s; %s of %s, place %d, waits", l.ID, l.Workload, n.ranking.rankOf(l), m.id, h.ID, h.Workload, n.ranking.rankOf(h))
 						}
 					}
 				}
@@ -357,10 +357,10 @@
 	n := newRankedNode(1, fooFirst)
 	n.frontend.waitingRequests = maxWaitingRequests * 3 / 4
 	first, last := model.JobSpec{Workload: "foo", Urgency: model.Normal}, model.JobSpec{Workload: "x", Urgency: model.BestEffort}
-	if overloadRefuses(n, &first) || !overloadRefuses(n, &last) {
+	if n.ranking.overloadRefuses(&first) || !n.ranking.overloadRefuses(&last) {
 		t.Error("the first is refused, or the last is not")
 	}
-	if n.settings.Capabilities.Ranking = false; overloadRefuses(n, &last) {
+	if n.settings.Capabilities.Ranking = false; n.ranking.overloadRefuses(&last) {
 		t.Error("refused without a ranking")
 	}
 }
@@ -369,7 +369,7 @@
 func TestExplainRank(t *testing.T) {
 	n := newRankedNode(1, fooFirst)
 	first := n.addWaitingJob("job-1", "foo", 2, 20)
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	n.addWaitingJob("job-2", "bar", 3, 20)
 	n.addWaitingJob("job-3", "bar", 1, 99)
 	for id, j := range n.shardLeader.jobs {
@@ -385,7 +385,7 @@
 		"job-8": "job-8 is not open, as far as a has read",
 		"job-9": "job-9 is done",
 	} {
-		if got := explainRank(n, id); got != want {
+		if got := n.ranking.explainRank(id); got != want {
 			t.Errorf("%s:\n got %s\nwant %s", id, got, want)
 		}
 	}
--- a/internal/controller/rate_limits.go
+++ b/internal/controller/rate_limits.go
@@ -34,6 +34,8 @@
 
 // rateLimits is what this controller asks for, and what the others have said.
 type rateLimits struct {
+	component
+
 	requests, writes ratelimit.Meter
 	peers            map[string]peerRates
 	allotted         message.Rates
@@ -53,25 +55,24 @@
 }
 
 // publishRates tells the others what this controller asks for, and passes its part on.
-func publishRates(n *Controller) {
-	n.after(ratesPublishInterval, func() { publishRates(n) })
-	b := &n.rateLimits
-	r := message.Rates{Requests: b.requests.Rate(n.now), Writes: b.writes.Rate(n.now)}
-	for _, p := range n.settings.Peers {
-		n.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: n.settings.Host, Rates: &r}})
+func (b *rateLimits) publishRates() {
+	b.after(ratesPublishInterval, func() { b.publishRates() })
+	r := message.Rates{Requests: b.requests.Rate(b.now), Writes: b.writes.Rate(b.now)}
+	for _, p := range b.settings.Peers {
+		b.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: b.settings.Host, Rates: &r}})
 	}
-	if n.settings.StoreRequestsPerSecond <= 0 || n.settings.StoreWritesPerSecond <= 0 {
+	if b.settings.StoreRequestsPerSecond <= 0 || b.settings.StoreWritesPerSecond <= 0 {
 		return
 	}
 	requests, writes := []float64{r.Requests}, []float64{r.Writes}
-	for _, h := range n.settings.Peers {
-		if _, lives := n.membership.controllers[h]; !lives && n.membership.loaded {
+	for _, h := range b.settings.Peers {
+		if _, lives := b.controller.membership.controllers[h]; !lives && b.controller.membership.loaded {
 			continue
 		}
 		peer := b.peers[h]
-		if n.now.Sub(peer.receivedAt) > ratesTTL {
+		if b.now.Sub(peer.receivedAt) > ratesTTL {
 			peer.Rates = message.Rates{Requests: followerRequests, Writes: followerWrites}
-			for _, s := range n.membership.shardMap.Shards() {
+			for _, s := range b.controller.membership.shardMap.Shards() {
 				if s.Host == h && len(s.Teams) > 0 {
 					peer.Rates = message.Rates{Requests: shardLeaderRequests, Writes: shardLeaderWrites}
 				}
@@ -79,37 +80,37 @@
 		}
 		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	allotted := message.Rates{Requests: ratelimit.Allocate(n.settings.StoreRequestsPerSecond, requests)[0], Writes: ratelimit.Allocate(n.settings.StoreWritesPerSecond, writes)[0]}
+	allotted := message.Rates{Requests: ratelimit.Allocate(b.settings.StoreRequestsPerSecond, requests)[0], Writes: ratelimit.Allocate(b.settings.StoreWritesPerSecond, writes)[0]}
 	b.writesShort = r.Writes*ratelimit.Headroom > allotted.Writes*(1+minRateChange)
 	if ratesDiffer(allotted.Requests, b.allotted.Requests) || ratesDiffer(allotted.Writes, b.allotted.Writes) {
 		b.allotted = allotted
-		n.emit(allotted)
+		b.emit(allotted)
 	}
 }
 
-// writesShort says that there are hardly enough changes for what can't wait.
-func (n *Controller) writesShort() bool { return n.rateLimits.writesShort }
+// shortOfWrites says that there are hardly enough changes for what can't wait.
+func (r *rateLimits) shortOfWrites() bool { return r.writesShort }
 
 // writesAllowed is how many changes more the owner may have under way.
-func (n *Controller) writesAllowed() int {
-	allotted := n.rateLimits.allotted.Writes
+func (r *rateLimits) writesAllowed() int {
+	allotted := r.allotted.Writes
 	if allotted <= 0 {
-		allotted = n.settings.StoreWritesPerSecond / float64(1+len(n.settings.Peers))
+		allotted = r.settings.StoreWritesPerSecond / float64(1+len(r.settings.Peers))
 	}
 	if allotted <= 0 {
-		return n.settings.MaxTxnWrites
+		return r.settings.MaxTxnWrites
 	}
-	return max(minWritesInFlight, int(allotted*writeAheadWindow.Seconds())) - n.shardLeader.writesInFlight
+	return max(minWritesInFlight, int(allotted*writeAheadWindow.Seconds())) - r.controller.shardLeader.persistence.writesInFlight
 }
 
 // writeTxn sends a write of the owner's and counts it as under way.
-func (n *Controller) writeTxn(op message.StoreRequest, fn func(message.StoreResponse)) {
-	o, writes := n.shardLeader, len(op.Writes)
-	o.txnsInFlight++
-	o.writesInFlight += writes
-	n.requestStore(op, func(d message.StoreResponse) {
-		o.txnsInFlight--
-		o.writesInFlight -= writes
+func (r *rateLimits) writeTxn(op message.StoreRequest, fn func(message.StoreResponse)) {
+	o, writes := r.controller.shardLeader, len(op.Writes)
+	o.persistence.txnsInFlight++
+	o.persistence.writesInFlight += writes
+	r.controller.requests.toStore(op, func(d message.StoreResponse) {
+		o.persistence.txnsInFlight--
+		o.persistence.writesInFlight -= writes
 		fn(d)
 	})
 }
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -15,34 +15,34 @@
 func (n *Controller) markDispatchPending(m *machine) {
 	if o := n.shardLeader; o != nil && !m.dispatchPending {
 		m.dispatchPending = true
-		o.dirtyMachines = append(o.dirtyMachines, m)
+		o.dispatcher.dirtyMachines = append(o.dispatcher.dirtyMachines, m)
 	}
 }
 
 // dispatchAll sends the orders that are due.
-func (n *Controller) dispatchAll() {
-	o := n.shardLeader
-	if len(o.dirtyMachines) == 0 {
+func (d *dispatcher) dispatchAll() {
+	o := d.controller.shardLeader
+	if len(o.dispatcher.dirtyMachines) == 0 {
 		return
 	}
-	slices.SortFunc(o.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
-	now := o.dirtyMachines
-	o.dirtyMachines = nil
+	slices.SortFunc(o.dispatcher.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
+	now := o.dispatcher.dirtyMachines
+	o.dispatcher.dirtyMachines = nil
 	for _, m := range now {
 		if m.removed {
 			continue
 		}
 		if m.dispatchPending {
-			n.dispatch(m)
+			d.dispatch(m)
 		}
 		if m.dispatchPending {
-			o.dirtyMachines = append(o.dirtyMachines, m)
+			o.dispatcher.dirtyMachines = append(o.dispatcher.dirtyMachines, m)
 		}
 	}
 }
 
 // noStartInFlight says that no start for m is on its way anywhere.
-func (n *Controller) noStartInFlight(m *machine) bool {
+func (d *dispatcher) noStartInFlight(m *machine) bool {
 	return m.seenEpoch >= m.epoch && m.unackedStartEpoch == 0 && m.replySequence == 0 && !m.dispatchInFlight
 }
 
@@ -71,13 +71,13 @@
 // reconcile is what the worker has to be told, from its newest report and what
 // should be there. Repeating an order does no harm but for a start after its
 // clear, so clear waits until no start can be on its way.
-func (n *Controller) reconcile(m *machine) []model.TaskCommand {
-	return n.pendingCommands(m, m.settled())
+func (d *dispatcher) reconcile(m *machine) []model.TaskCommand {
+	return d.pendingCommands(m, m.settled())
 }
 
 // pendingCommands is reconcile for who has looked already whether the machine is settled.
-func (n *Controller) pendingCommands(m *machine, settled bool) []model.TaskCommand {
-	o := n.shardLeader
+func (d *dispatcher) pendingCommands(m *machine, settled bool) []model.TaskCommand {
+	o := d.controller.shardLeader
 	m.dispatchPending, m.hasNewStarts = false, false
 	if settled {
 		return nil
@@ -86,10 +86,10 @@
 	// have ended here, and what is to start or stop is not to wait behind them. What is
 	// left of it goes with the next report's answer.
 	var commands, clears []model.TaskCommand
-	noStartInFlight := n.noStartInFlight(m)
+	noStartInFlight := d.noStartInFlight(m)
 	for _, k := range sortedTasks(m.taskReports) {
 		if len(commands) >= maxCommands {
-			n.markDispatchPending(m)
+			d.controller.markDispatchPending(m)
 			break
 		}
 		p := m.taskReports[k]
@@ -99,7 +99,7 @@
 			t = &j.tasks[k.index]
 		}
 		if j == nil {
-			if cmd, some := n.commandForOthers(m, p, noStartInFlight); some && cmd.Kind == model.ClearTask {
+			if cmd, some := d.controller.shardLeader.remoteAttempts.commandForOthers(m, p, noStartInFlight); some && cmd.Kind == model.ClearTask {
 				clears = append(clears, cmd)
 			} else if some {
 				commands = append(commands, cmd)
@@ -108,10 +108,10 @@
 		}
 		isCurrent := t != nil && t.machine == m && t.attempt == p.Attempt
 		switch {
-		case isCurrent && t.stopReason != stopNone && p.Status == model.Checkpointing && n.gracePeriod(m, j, t) > 0:
+		case isCurrent && t.stopReason != stopNone && p.Status == model.Checkpointing && d.gracePeriod(m, j, t) > 0:
 			// It saves already.
 		case isCurrent && t.stopReason != stopNone && p.Status != model.Ended:
-			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt, GracePeriod: n.gracePeriod(m, j, t)})
+			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt, GracePeriod: d.gracePeriod(m, j, t)})
 		case isCurrent:
 		case p.Status != model.Ended:
 			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt})
@@ -126,18 +126,18 @@
 		}
 	}
 	for _, k := range sortedAttempts(m) {
-		if n.now.After(n.startDeadline()) {
+		if d.now.After(d.controller.renewal.startDeadline()) {
 			// A job may have been cancelled that this node can't hear of.
 			break
 		}
 		if len(commands) >= maxCommands {
 			// The rest goes with the next.
-			n.markDispatchPending(m)
+			d.controller.markDispatchPending(m)
 			break
 		}
 		t := m.attempts[k]
 		j := o.jobs[k.job]
-		if t.stopReason != stopNone || !j.durable(k.index) || j.dependenciesPending || !j.mayStart(n.now) {
+		if t.stopReason != stopNone || !j.durable(k.index) || j.dependenciesPending || !j.mayStart(d.now) {
 			continue
 		}
 		if p, ok := m.taskReports[k]; ok && p.Attempt == t.attempt {
@@ -145,7 +145,7 @@
 		} else if ok && p.Status != model.Ended {
 			continue
 		}
-		if !mayDispatchStart(n, m, j, k.index, noStartInFlight) {
+		if !d.controller.ranking.mayDispatchStart(m, j, k.index, noStartInFlight) {
 			continue
 		}
 		t.startSent = true
@@ -170,11 +170,11 @@
 }
 
 // gracePeriod is the time a stopped task gets to save.
-func (n *Controller) gracePeriod(m *machine, j *job, t *task) time.Duration {
+func (d *dispatcher) gracePeriod(m *machine, j *job, t *task) time.Duration {
 	if j.CheckpointInterval <= 0 || t.stopReason == stopCancel {
 		return 0
 	}
-	if m.reclaimNoticed && n.now.Add(j.CheckpointCost).After(m.reclaimAt) {
+	if m.reclaimNoticed && d.now.Add(j.CheckpointCost).After(m.reclaimAt) {
 		return 0
 	}
 	// A little over the cost, so that rounding does not lose the work.
@@ -182,8 +182,8 @@
 }
 
 // dispatch sends orders to the worker at once, without waiting for its report.
-func (n *Controller) dispatch(m *machine) {
-	o := n.shardLeader
+func (dd *dispatcher) dispatch(m *machine) {
+	o := dd.controller.shardLeader
 	if m.remote {
 		// Its owner is asked.
 		m.dispatchPending = false
@@ -193,11 +193,11 @@
 	if m.dispatchInFlight || m.statusRequested || m.dispatchUnanswered || m.releasing || m.addr == "" || !m.heard {
 		return
 	}
-	if n.now.After(n.membership.leaseValidUntil) {
+	if dd.now.After(dd.controller.membership.leaseValidUntil) {
 		// Perhaps deposed already; reports go on being answered for a while.
 		return
 	}
-	commands := n.reconcile(m)
+	commands := dd.reconcile(m)
 	if len(commands) == 0 {
 		return
 	}
@@ -206,28 +206,35 @@
 		return
 	}
 	starts := slices.ContainsFunc(commands, func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
-	until := n.membership.leaseValidUntil
+	until := dd.controller.membership.leaseValidUntil
 	if starts {
-		until = earlier(n.startDeadline(), startDispatchDeadline(n, m))
+		until = earlier(dd.controller.renewal.startDeadline(), dd.controller.ranking.startDispatchDeadline(m))
 	}
 	m.dispatchInFlight = true
 	before := m.snapshot()
 	epoch, gen := m.epoch, o.generation
-	n.requestWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(d message.WorkerResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen || m.removed {
+	dd.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(d message.WorkerResponse) {
+		if dd.controller.shardLeader == nil || dd.controller.shardLeader.generation != gen || m.removed {
 			return
 		}
 		m.dispatchInFlight = false
 		if d.NotSent {
-			n.markDispatchPending(m)
+			dd.controller.markDispatchPending(m)
 			return
 		}
-		if !applyPollReply(n, m, d.Heartbeat, before) {
+		if !dd.controller.shardLeader.heartbeats.applyPollReply(m, d.Heartbeat, before) {
 			m.dispatchUnanswered = true
 			if starts {
 				m.unackedStartEpoch = max(m.unackedStartEpoch, epoch)
-				noteUnansweredStarts(n, m, commands)
+				dd.controller.ranking.noteUnansweredStarts(m, commands)
 			}
 		}
 	})
 }
+
+// dispatcher TODO.
+type dispatcher struct {
+	component
+
+	dirtyMachines []*machine
+}
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -9,10 +9,10 @@
 )
 
 // recoverSegment takes in a record of a job's tasks that a former owner wrote.
-func (n *Controller) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegment) {
-	format, segmentIndex, ok := n.parseSegmentKey(it.Key)
+func (f *failover) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegment) {
+	format, segmentIndex, ok := f.controller.membership.formats.parseSegmentKey(it.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
-		n.rejectInput("record", it.Key, "its job has no such part")
+		f.rejectInput("record", it.Key, "its job has no such part")
 		return
 	}
 	if segmentIndex*format.tasksPerSegment >= len(j.tasks) {
@@ -47,19 +47,19 @@
 		}
 		t := &j.tasks[row.Index]
 		if t.done || t.machine != nil {
-			n.rejectInput("record", it.Key, "a task is named twice")
+			f.rejectInput("record", it.Key, "a task is named twice")
 			continue
 		}
 		j.trackFormat(format, row.Index, r.RankingRevision)
 		t.attempt, t.groupStart, t.relaunched, t.version = row.Try, row.Group, row.Relaunched, 1
 		j.nextFresh = max(j.nextFresh, row.Index+1)
 		if row.Machine != "" {
-			m := n.ownedOrRemoteMachine(r.MachinePrefix + row.Machine)
+			m := f.controller.shardLeader.ownedOrRemoteMachine(r.MachinePrefix + row.Machine)
 			if !m.remote && !m.heard {
 				// A former owner may have gone on answering it for a while.
-				m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(later(n.now, m.formerOwnerUntil)))
+				m.leaseEnd = later(m.leaseEnd, f.controller.renewal.leaseEndAfter(later(f.now, m.formerOwnerUntil)))
 			}
-			n.attachAttempt(j, row.Index, m)
+			f.controller.shardLeader.attachAttempt(j, row.Index, m)
 			t.startSent, t.inherited = true, true
 			t.rankingRevision = r.RankingRevision
 			g := j.groups[row.Group]
@@ -102,7 +102,7 @@
 }
 
 // queueRecovered queues what is neither done nor live.
-func (n *Controller) queueRecovered(j *job) {
+func (f *failover) queueRecovered(j *job) {
 	j.releaseIfStarted()
 	j.covered = nil
 	for i := range j.tasks[:j.nextFresh] {
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -18,25 +18,25 @@
 	for _, known := range []bool{true, false} {
 		n := largePool(24)
 		machineWithTask(n)
-		n.now = n.now.Add(n.formerOwnerGrace())
+		n.now = n.now.Add(n.renewal.formerOwnerGrace())
 		spec := model.JobSpec{ID: "job-000905", Workload: "w", Team: "ops", Need: model.Resources{CPU: 1, Memory: 1}}
 		per := newJob(spec, n.now, 1, 4096).tasksPerSegment
 		total := 2*per + 7
 		if known {
 			spec.Tasks = total
 		}
-		j := n.addJob(spec, n.now, 1)
+		j := n.shardLeader.addJob(spec, n.now, 1)
 		rec := record.NewOpenJob(&j.JobSpec, n.now)
 		rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
-		n.applyJobRecord(j, 2, &rec)
+		n.shardLeader.applyJobRecord(j, 2, &rec)
 		for k := range 3 {
 			var r record.TaskSegment
 			for i := k * per; i < min(total, (k+1)*per); i++ {
 				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: n.shardLeader.machinesByID[i%24].id, Group: n.now.UnixMilli()})
 			}
-			n.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
+			n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
 		}
-		n.queueRecovered(j)
+		n.shardLeader.failover.queueRecovered(j)
 		if j.liveTasks != total {
 			t.Fatalf("%d attempts restored, want %d", j.liveTasks, total)
 		}
@@ -46,7 +46,7 @@
 					t.Fatalf("tasks known %v: attempt %d on %s is not stopped", known, k.index, m.id)
 				}
 			}
-			for _, o := range n.reconcile(m) {
+			for _, o := range n.shardLeader.dispatcher.reconcile(m) {
 				if o.Kind == model.StartTask && o.Job == j.ID {
 					t.Fatalf("tasks known %v: %v is ordered", known, o)
 				}
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -21,10 +21,16 @@
 
 // remoteAttempts is when others were last asked, and whether to ask before it is time.
 type remoteAttempts struct {
+	component
+
 	requested time.Time
 	due       bool
 	// from is the machine with which the next question begins, if not all fit.
-	from string
+	from     string
+	registry remote.Registry
+	// remoteMachines are machines of other owners on which attempts of these jobs are, and
+	// registry the account of others' attempts on the machines here; see remote_attempts.go.
+	machines map[string]*machine
 }
 
 // remoteAttempt names a task's attempt.
@@ -34,15 +40,15 @@
 
 // requestRemoteAttempts asks the owners of other machines for the attempts of this owner's jobs
 // there, and says what is wanted of them.
-func requestRemoteAttempts(n *Controller) {
-	o := n.shardLeader
-	if len(o.remoteMachines) == 0 || !o.remoteAttempts.due && n.now.Sub(o.remoteAttempts.requested) < remoteRequestInterval {
+func (r *remoteAttempts) requestRemoteAttempts() {
+	o := r.controller.shardLeader
+	if len(o.remoteAttempts.machines) == 0 || !o.remoteAttempts.due && r.now.Sub(o.remoteAttempts.requested) < remoteRequestInterval {
 		return
 	}
-	o.remoteAttempts.due, o.remoteAttempts.requested = false, n.now
+	o.remoteAttempts.due, o.remoteAttempts.requested = false, r.now
 	requests := map[string][]remote.Request{}
 	count := 0
-	ids := sortedKeys(o.remoteMachines)
+	ids := sortedKeys(o.remoteAttempts.machines)
 	// Of more than fit, those after the last that were asked for come next.
 	start := 0
 	for start < len(ids) && ids[start] <= o.remoteAttempts.from {
@@ -50,9 +56,9 @@
 	}
 	o.remoteAttempts.from = ""
 	for _, id := range append(ids[start:], ids[:start]...) {
-		a := o.remoteMachines[id]
-		x, ok := n.membership.shardMap.Owner(id)
-		if !ok || x.Host == n.settings.Host {
+		a := o.remoteAttempts.machines[id]
+		x, ok := r.controller.membership.shardMap.Owner(id)
+		if !ok || x.Host == r.settings.Host {
 			continue
 		}
 		request := remote.Request{Machine: id}
@@ -60,7 +66,7 @@
 			t := a.attempts[key]
 			w := remote.AttemptRequest{AttemptID: remoteAttempt(key, t.attempt)}
 			if t.stopReason != stopNone {
-				w.Intent, w.WindDown = remote.Stop, n.gracePeriod(a, o.jobs[key.job], t)
+				w.Intent, w.WindDown = remote.Stop, r.controller.shardLeader.dispatcher.gracePeriod(a, o.jobs[key.job], t)
 			}
 			request.Attempts = append(request.Attempts, w)
 		}
@@ -71,49 +77,49 @@
 		}
 	}
 	for _, host := range sortedKeys(requests) {
-		n.emit(message.SendPeerUpdate{To: host, Update: message.PeerUpdate{From: n.settings.Host, RemoteAttempts: requests[host]}})
+		r.emit(message.SendPeerUpdate{To: host, Update: message.PeerUpdate{From: r.settings.Host, RemoteAttempts: requests[host]}})
 	}
 }
 
 // receiveRemoteRequests takes in what a jobs' owner asks about machines of this one.
-func receiveRemoteRequests(n *Controller, from string, requests []remote.Request) {
-	o := n.shardLeader
+func (r *remoteAttempts) receiveRemoteRequests(from string, requests []remote.Request) {
+	o := r.controller.shardLeader
 	for _, a := range requests {
-		if _, mine := n.ownedMachine(a.Machine); !mine || !o.ready {
+		if _, mine := r.controller.membership.ownedMachine(a.Machine); !mine || !o.ready {
 			continue
 		}
-		changed := o.registry.Request(n.now, from, a)
+		changed := o.remoteAttempts.registry.Request(r.now, from, a)
 		m := o.machines[a.Machine]
 		if m == nil {
-			if o.registry.LiveCount(a.Machine) == 0 {
+			if o.remoteAttempts.registry.LiveCount(a.Machine) == 0 {
 				// All that was asked for is known to be gone.
 				continue
 			}
 			// It is looked after like one with work of this owner's own: it may never
 			// have been heard of here, and only its lease's end may tell.
-			m = n.ensureMachine(a.Machine)
+			m = r.controller.shardLeader.ensureMachine(a.Machine)
 		}
 		if !m.heard {
-			m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
+			m.leaseEnd = later(m.leaseEnd, r.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
 		}
 		if changed {
-			n.markDispatchPending(m)
+			r.controller.markDispatchPending(m)
 		}
 		if m.heard {
-			updateRegistry(n, m)
+			r.updateRegistry(m)
 		}
-		n.recountOthersUsed(m)
+		r.recountOthersUsed(m)
 	}
 }
 
 // publishRemoteAttempts tells the others what is known of the attempts of their jobs here.
-func publishRemoteAttempts(n *Controller) {
-	o := n.shardLeader
-	updates := o.registry.DueStatuses(n.now, func(id string) (remote.MachineInfo, bool) {
-		x, mine := n.ownedMachine(id)
+func (r *remoteAttempts) publishRemoteAttempts() {
+	o := r.controller.shardLeader
+	updates := o.remoteAttempts.registry.DueStatuses(r.now, func(id string) (remote.MachineInfo, bool) {
+		x, mine := r.controller.membership.ownedMachine(id)
 		about := remote.MachineInfo{Epoch: x.Epoch, JobOwner: func(job string) string {
-			if l, open := n.frontend.watchCache.openJobs[job]; open {
-				if s := n.membership.shardMap.Team(l.rec.Team); s != nil && s.Host != n.settings.Host {
+			if l, open := r.controller.frontend.watchCache.openJobs[job]; open {
+				if s := r.controller.membership.shardMap.Team(l.rec.Team); s != nil && s.Host != r.settings.Host {
 					return s.Host
 				}
 			}
@@ -125,8 +131,8 @@
 		return about, mine
 	})
 	for _, host := range sortedKeys(updates) {
-		if host != n.settings.Host {
-			n.emit(message.SendPeerUpdate{To: host, Update: message.PeerUpdate{From: n.settings.Host, RemoteStatuses: updates[host]}})
+		if host != r.settings.Host {
+			r.emit(message.SendPeerUpdate{To: host, Update: message.PeerUpdate{From: r.settings.Host, RemoteStatuses: updates[host]}})
 		}
 	}
 }
@@ -135,14 +141,14 @@
 // counts only from whom the division names as the machine's owner now, under the
 // epoch of now: since an earlier one the machine may have been this owner's again,
 // and the attempt may have been started.
-func receiveRemoteAttempts(n *Controller, from string, updates []remote.MachineStatus) {
-	o := n.shardLeader
+func (r *remoteAttempts) receiveRemoteAttempts(from string, updates []remote.MachineStatus) {
+	o := r.controller.shardLeader
 	for _, update := range updates {
-		x, ok := n.membership.shardMap.Owner(update.Machine)
+		x, ok := r.controller.membership.shardMap.Owner(update.Machine)
 		if !ok || x.Host != from || x.Epoch != update.Epoch || !o.ready {
 			continue
 		}
-		a := o.remoteMachines[update.Machine]
+		a := o.remoteAttempts.machines[update.Machine]
 		var back remote.Request
 		for _, w := range update.Attempts {
 			j := o.jobs[w.Job]
@@ -151,7 +157,7 @@
 			}
 			t := &j.tasks[w.Index]
 			if a != nil && t.machine == a && t.attempt == w.Attempt {
-				applyRemoteAttempt(n, j, a, w)
+				r.applyRemoteAttempt(j, a, w)
 			} else if w.State == remote.Ended && j.durable(w.Index) {
 				back.Attempts = append(back.Attempts, remote.AttemptRequest{AttemptID: w.AttemptID, Intent: remote.Settled})
 			} else if w.State == remote.Fetching || w.State == remote.Running || w.State == remote.Checkpointing {
@@ -159,17 +165,17 @@
 			}
 		}
 		if a != nil && a.zone == "" && update.Zone != "" {
-			n.setMachineZone(a, update.Zone)
+			r.controller.shardLeader.setMachineZone(a, update.Zone)
 		}
 		if len(back.Attempts) > 0 {
 			back.Machine = update.Machine
-			n.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: n.settings.Host, RemoteAttempts: []remote.Request{back}}})
+			r.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: r.settings.Host, RemoteAttempts: []remote.Request{back}}})
 		}
 	}
 }
 
 // applyRemoteAttempt takes in the state of one live attempt on another's machine.
-func applyRemoteAttempt(n *Controller, j *job, a *machine, w remote.AttemptStatus) {
+func (r *remoteAttempts) applyRemoteAttempt(j *job, a *machine, w remote.AttemptStatus) {
 	k := taskKey{j.ID, w.Index}
 	p := model.TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Attempt, Cause: w.Cause}
 	switch w.State {
@@ -182,12 +188,12 @@
 	case remote.Ended:
 		p.Status = model.Ended
 	case remote.Gone:
-		n.endAttempt(j, w.Index, false)
+		r.controller.shardLeader.endAttempt(j, w.Index, false)
 		return
 	default:
 		return
 	}
-	n.applyTaskReport(a, k, p)
+	r.controller.shardLeader.heartbeats.applyTaskReport(a, k, p)
 }
 
 // toRemoteTask is a reported state in the ownership package's terms.
@@ -197,29 +203,29 @@
 }
 
 // updateRegistry hands the newest report of a machine to the registry.
-func updateRegistry(n *Controller, m *machine) {
-	o := n.shardLeader
+func (r *remoteAttempts) updateRegistry(m *machine) {
+	o := r.controller.shardLeader
 	var tasks []remote.ReportedAttempt
 	for _, p := range m.taskReports {
 		tasks = append(tasks, toRemoteTask(p))
 	}
 	// Under the epoch that it has shown nothing older can be executed any more; and a
 	// start of this owner's own may be on its way, from before the job went to another.
-	o.registry.ObserveHeartbeat(n.now, m.id, tasks, func(job string) bool { return o.jobs[job] != nil }, n.noStartInFlight(m))
-	n.recountOthersUsed(m)
+	o.remoteAttempts.registry.ObserveHeartbeat(r.now, m.id, tasks, func(job string) bool { return o.jobs[job] != nil }, r.controller.shardLeader.dispatcher.noStartInFlight(m))
+	r.recountOthersUsed(m)
 }
 
 // recountOthersUsed reckons the room that others' attempts take on a machine.
-func (n *Controller) recountOthersUsed(m *machine) {
-	o := n.shardLeader
+func (r *remoteAttempts) recountOthersUsed(m *machine) {
+	o := r.controller.shardLeader
 	hadOthersAttempts := m.hasOthersAttempts
 	m.othersUsed, m.hasOthersAttempts, m.hasUnknownTasks = model.Resources{}, false, false
-	for _, a := range o.registry.LiveAttempts(m.id) {
+	for _, a := range o.remoteAttempts.registry.LiveAttempts(m.id) {
 		if o.jobs[a.Job] != nil {
 			continue
 		}
 		m.hasOthersAttempts = true
-		if l, open := n.frontend.watchCache.openJobs[a.Job]; open {
+		if l, open := r.controller.frontend.watchCache.openJobs[a.Job]; open {
 			m.othersUsed = m.othersUsed.AddScaled(model.Resources{CPU: l.rec.CPU, GPU: l.rec.GPU, Memory: l.rec.Memory}, 1)
 		} else {
 			// Its size is not known.
@@ -230,36 +236,36 @@
 		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != model.Ended && m.attempts[k] == nil && o.jobs[k.job] != nil
 	}
 	if hadOthersAttempts && !m.hasOthersAttempts {
-		o.placementDue = true
+		o.scheduler.placementDue = true
 		if len(m.attempts) == 0 {
-			m.idleSince = n.now
+			m.idleSince = r.now
 		}
 	}
 }
 
 // rePoll looks once more at what a machine last reported, after attempts on it have
 // become this owner's.
-func (n *Controller) rePoll(m *machine) {
+func (r *remoteAttempts) rePoll(m *machine) {
 	for _, k := range sortedTasks(m.taskReports) {
-		n.applyTaskReport(m, k, m.taskReports[k])
+		r.controller.shardLeader.heartbeats.applyTaskReport(m, k, m.taskReports[k])
 	}
 	if m.heard {
 		m.lastTaskReports = nil
-		updateRegistry(n, m)
+		r.updateRegistry(m)
 	}
-	n.markDispatchPending(m)
+	r.controller.markDispatchPending(m)
 }
 
 // commandForOthers says what is to become of a piece that belongs to none of this owner's jobs:
 // nothing, or an order. Another controller owns its job and says so, or the job is
 // over and it is cleared away.
-func (n *Controller) commandForOthers(m *machine, p model.TaskReport, quiet bool) (model.TaskCommand, bool) {
-	o := n.shardLeader
+func (r *remoteAttempts) commandForOthers(m *machine, p model.TaskReport, quiet bool) (model.TaskCommand, bool) {
+	o := r.controller.shardLeader
 	a := remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
-	since, w, requested := o.registry.Find(m.id, a)
+	since, w, requested := o.remoteAttempts.registry.Find(m.id, a)
 	stop, over := requested && w.Intent == remote.Stop, requested && w.Intent == remote.Settled
-	_, final := n.frontend.finalStatuses[p.Job]
-	switch l, open := n.frontend.watchCache.openJobs[p.Job]; {
+	_, final := r.controller.frontend.finalStatuses[p.Job]
+	switch l, open := r.controller.frontend.watchCache.openJobs[p.Job]; {
 	case final:
 		stop, over, w.WindDown = true, true, 0
 	case open:
@@ -268,11 +274,11 @@
 		if l.rec.Cancelled {
 			stop, w.WindDown = true, 0
 		}
-	case n.frontend.watchCache.asOf.After(since) && !since.IsZero():
+	case r.controller.frontend.watchCache.asOf.After(since) && !since.IsZero():
 		// Not open, as of a moment after it was first seen: the job is over.
 		stop, over = true, true
 	default:
-		n.refreshFor(m)
+		r.refreshFor(m)
 		return model.TaskCommand{}, false
 	}
 	x := model.TaskCommand{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
@@ -288,15 +294,15 @@
 }
 
 // refreshFor reads open/ anew and looks at a machine again then.
-func (n *Controller) refreshFor(m *machine) {
+func (r *remoteAttempts) refreshFor(m *machine) {
 	if m.readingOpenJobs {
 		return
 	}
 	m.readingOpenJobs = true
-	n.refresh(func(bool) {
+	r.controller.frontend.watchCache.refresh(func(bool) {
 		m.readingOpenJobs = false
-		if n.shardLeader != nil && !m.removed {
-			n.markDispatchPending(m)
+		if r.controller.shardLeader != nil && !m.removed {
+			r.controller.markDispatchPending(m)
 		}
 	})
 }
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -32,7 +32,7 @@
 	rec.Cancelled, rec.CancelledAtMillis = true, at.UnixMilli()
 	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
 	if n.shardLeader.jobs[j.ID] != nil {
-		n.applyJobRecord(j, j.modRevision+1, &rec)
+		n.shardLeader.applyJobRecord(j, j.modRevision+1, &rec)
 	}
 }
 
@@ -50,8 +50,8 @@
 	}
 	sent := n.now
 	n.now = n.now.Add(5 * time.Second)
-	n.applyOpenJobUpdates(message.StoreResponse{SentAt: sent})
-	n.applyOpenJobUpdates(message.StoreResponse{SentAt: sent.Add(-time.Minute)})
+	n.frontend.watchCache.applyOpenJobUpdates(message.StoreResponse{SentAt: sent})
+	n.frontend.watchCache.applyOpenJobUpdates(message.StoreResponse{SentAt: sent.Add(-time.Minute)})
 	last := sent.Add(n.settings.RenewalBound().Window())
 	if least := 25 * time.Second; last.Sub(sent) < least {
 		t.Fatalf("a window of %v, want %v at the least", last.Sub(sent), least)
@@ -70,7 +70,7 @@
 	}
 	// The grace holds beside it: successors count on no more.
 	n.frontend.watchCache.asOf = n.now.Add(time.Hour)
-	n.membership.leaseValidUntil = n.now.Add(-n.grace())
+	n.membership.leaseValidUntil = n.now.Add(-n.renewal.grace())
 	if a := n.heartbeatOf(m, running); a.Status != 200 || !a.SendDeadline.Equal(n.now) {
 		t.Errorf("answered %d until %v at the end of the grace", a.Status, a.SendDeadline)
 	}
@@ -92,7 +92,7 @@
 	last := n.now.Add(n.settings.RenewalBound().Window())
 	dispatched := func() (op message.WorkerRequest) {
 		m.dispatchInFlight, n.effects = false, nil
-		n.dispatch(m)
+		n.shardLeader.dispatcher.dispatch(m)
 		for _, w := range emittedEffects[message.WorkerRequest](n) {
 			op = w
 		}
@@ -168,7 +168,7 @@
 	n.setCancelled(k, at)
 	m := n.shardLeader.machines["vm-000003"]
 	for j := range m.attempts {
-		n.endAttempt(n.shardLeader.jobs[j.job], j.index, false)
+		n.shardLeader.endAttempt(n.shardLeader.jobs[j.job], j.index, false)
 	}
 	m.heard, m.taskReports, m.lastTaskReports, m.seenEpoch = false, nil, nil, 0
 	former := func() message.HeartbeatReply {
@@ -204,7 +204,7 @@
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	r.Sequence, r.Epoch = r.Sequence+1, m.epoch
 	n.answerPoll(t, m, r)
-	if until := n.machineRenewalDeadline(m, m.settled(), nil); n.now.After(until) || k.liveTasks > 0 {
+	if until := n.renewal.machineRenewalDeadline(m, m.settled(), nil); n.now.After(until) || k.liveTasks > 0 {
 		t.Errorf("answered until %v after the epoch was shown, %d attempts live", until, k.liveTasks)
 	}
 }
@@ -249,13 +249,13 @@
 		n.shardLeader.ready, n.shardLeader.teams["ops"].ready = ready, false
 		report := func(epoch uint64) message.HeartbeatReply {
 			n.shardLeader.removeMachine(m)
-			n.shardLeader.lastHeartbeats = nil
-			m = n.ensureMachine(m.id)
+			n.shardLeader.heartbeats.lastHeartbeats = nil
+			m = n.shardLeader.ensureMachine(m.id)
 			r := n.poolHeartbeat(0)
 			r.Epoch, r.Sequence = epoch, r.Sequence+1
 			return n.replyToHeartbeat(r)
 		}
-		epoch := n.ensureMachine(m.id).epoch
+		epoch := n.shardLeader.ensureMachine(m.id).epoch
 		if epoch == 0 {
 			t.Fatal("no epoch")
 		}
@@ -282,19 +282,19 @@
 	j.CheckpointInterval, j.CheckpointCost, j.LongRunning = 30*time.Second, 4*time.Second, true
 	task := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
 	j.tasks[0].stopReason = stopDrain
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask || os[0].GracePeriod < j.CheckpointCost {
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask || os[0].GracePeriod < j.CheckpointCost {
 		t.Errorf("ordered %+v, want a halt with time to save", os)
 	}
 	task.Status = model.Checkpointing
 	n.nextHeartbeat(0, task)
-	if os := n.reconcile(m); len(os) > 0 {
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) > 0 {
 		t.Errorf("ordered %+v while it saves", os)
 	}
 	n.setCancelled(j, n.now)
 	m.reclaimNoticed, m.reclaimAt = true, n.now.Add(time.Minute)
-	n.drainReclaimed(m)
-	n.relaunch()
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask || os[0].GracePeriod != 0 {
+	n.shardLeader.failover.drainReclaimed(m)
+	n.shardLeader.scheduler.relaunch()
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask || os[0].GracePeriod != 0 {
 		t.Errorf("ordered %+v for a cancelled task that saves", os)
 	}
 }
@@ -306,7 +306,7 @@
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, j := machineWithTask(n)
 	countStops := func() (k int) {
-		n.dispatchAll()
+		n.shardLeader.dispatcher.dispatchAll()
 		for _, op := range emittedEffects[message.WorkerRequest](n) {
 			if op.Machine == m.id && len(op.Commands) > 0 && op.Commands[0].Kind == model.StopTask {
 				k++
@@ -324,7 +324,7 @@
 	if k := countStops(); k != 0 {
 		t.Errorf("%d halts to a machine that does not answer", k)
 	}
-	n.contact(m)
+	n.shardLeader.failover.contact(m)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
 	n.answerPoll(t, m, r)
@@ -341,7 +341,7 @@
 	n := largePool(machines)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	n.shardLeader.jobs = map[string]*job{}
-	j := n.addJob(model.JobSpec{ID: "job-000900", Team: "ops", Tasks: machines * each}, n.now, 1)
+	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Team: "ops", Tasks: machines * each}, n.now, 1)
 	j.nextFresh = j.Tasks
 	for i := range j.tasks {
 		j.tasks[i].attempt, j.tasks[i].startSent = 1, true
@@ -350,7 +350,7 @@
 	for k, m := range n.shardLeader.machinesByID {
 		m.attempts = map[taskKey]*task{}
 		for i := range each {
-			n.attachAttempt(j, k*each+i, m)
+			n.shardLeader.attachAttempt(j, k*each+i, m)
 			all[m] = append(all[m], model.TaskReport{Job: j.ID, Index: k*each + i, Attempt: 1, Status: model.Running})
 		}
 		n.heartbeatOf(m, all[m]...)
@@ -358,7 +358,7 @@
 	at := n.now
 	n.effects = nil
 	n.setCancelled(j, at)
-	n.dispatchAll()
+	n.shardLeader.dispatcher.dispatchAll()
 	told := map[string]int{}
 	for _, op := range emittedEffects[message.WorkerRequest](n) {
 		told[op.Machine] = len(op.Commands)
@@ -393,7 +393,7 @@
 	horizon := n.frontend.watchCache.asOf
 	receive := func(r record.OpenJob, stamp uint64) (acks, passed int) {
 		n.effects = nil
-		receiveCancellations(n, "b", []message.Cancellation{{ID: j.ID, Record: record.Encode(r), ModRevision: stamp}})
+		n.cancellations.receiveCancellations("b", []message.Cancellation{{ID: j.ID, Record: record.Encode(r), ModRevision: stamp}})
 		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if p.To == "b" {
 				acks += len(p.Update.CancellationAcks)
@@ -447,7 +447,7 @@
 			t.Errorf("round %d: sent to %v, want %d", i, got, want)
 		}
 	}
-	acknowledgeCancellations(n, "c", []string{j.ID, "job-000999"})
+	n.cancellations.acknowledgeCancellations("c", []string{j.ID, "job-000999"})
 	n.now = n.now.Add(time.Minute)
 	n.runTimers()
 	if got := sends(); len(got) > 0 || len(n.cancellations.unacked) > 0 {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -18,13 +18,13 @@
 // surplusMachines picks the idle machines that are not needed: for what waits or for
 // what the last while makes likely, played forward on the cheapest machines
 // first. A machine that is cheap is kept the longer.
-func (n *Controller) surplusMachines(r *freeCapacity, charge chargeFunc) map[string]bool {
-	o := n.shardLeader
+func (f *fleetPlanner) surplusMachines(r *freeCapacity, charge chargeFunc) map[string]bool {
+	o := f.controller.shardLeader
 	surplus := map[string]bool{}
-	cheapest := n.cheapestCPUCost()
+	cheapest := f.controller.knowledge.cheapestCPUCost()
 	idle := false
 	for _, m := range o.machinesByID {
-		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && n.usable(m) && (n.hasOtherShardLeaders() && n.now.Sub(m.idleSince) > surplusAfter || n.isIdleExpired(m, cheapest)) {
+		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && f.controller.shardLeader.scheduler.usable(m) && (f.controller.membership.hasOtherShardLeaders() && f.now.Sub(m.idleSince) > surplusAfter || f.isIdleExpired(m, cheapest)) {
 			surplus[m.id] = true
 			idle = true
 		}
@@ -42,10 +42,10 @@
 	}
 	simulated := copyFreeCapacity(r, decommissioning)
 	slices.SortStableFunc(simulated, func(a, b *simulatedMachine) int {
-		return cmp.Or(cmp.Compare(boolToFloat(a.idle), boolToFloat(b.idle)), cmp.Compare(n.costPerCPU(a.machine), n.costPerCPU(b.machine)))
+		return cmp.Or(cmp.Compare(boolToFloat(a.idle), boolToFloat(b.idle)), cmp.Compare(f.controller.knowledge.costPerCPU(a.machine), f.controller.knowledge.costPerCPU(b.machine)))
 	})
-	sim := n.newSimulation(simulated, r.imageIDs, charge)
-	for _, d := range n.demands(n.planningHorizon(), true, true) {
+	sim := f.newSimulation(simulated, r.imageIDs, charge)
+	for _, d := range f.demands(f.controller.knowledge.planningHorizon(), true, true) {
 		sim.simulate(d, func(_ int, v *simulatedMachine, _, _ time.Time) {
 			if v != nil {
 				delete(surplus, v.machine.id)
@@ -60,9 +60,9 @@
 const surplusAfter = 2 * time.Second
 
 // hasOtherShardLeaders says that there are other owners.
-func (n *Controller) hasOtherShardLeaders() bool {
-	for _, s := range n.membership.shardMap.Shards() {
-		if s.Host != n.settings.Host && len(s.Teams) > 0 {
+func (m *membership) hasOtherShardLeaders() bool {
+	for _, s := range m.shardMap.Shards() {
+		if s.Host != m.settings.Host && len(s.Teams) > 0 {
 			return true
 		}
 	}
@@ -71,17 +71,19 @@
 
 // surplusForOthers are the machines of those that nothing here needs that others may have, the
 // dearest first.
-func (n *Controller) surplusForOthers(surplus map[string]bool) []string {
-	if !n.hasOtherShardLeaders() {
+func (f *fleetPlanner) surplusForOthers(surplus map[string]bool) []string {
+	if !f.controller.membership.hasOtherShardLeaders() {
 		return nil
 	}
 	var candidates []*machine
-	for _, m := range n.shardLeader.machinesByID {
-		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && !m.releasing && !m.reclaimNoticed && !m.faulty && n.now.Sub(m.idleSince) > surplusAfter {
+	for _, m := range f.controller.shardLeader.machinesByID {
+		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && !m.releasing && !m.reclaimNoticed && !m.faulty && f.now.Sub(m.idleSince) > surplusAfter {
 			candidates = append(candidates, m)
 		}
 	}
-	slices.SortStableFunc(candidates, func(a, b *machine) int { return cmp.Compare(n.costPerCPU(b), n.costPerCPU(a)) })
+	slices.SortStableFunc(candidates, func(a, b *machine) int {
+		return cmp.Compare(f.controller.knowledge.costPerCPU(b), f.controller.knowledge.costPerCPU(a))
+	})
 	var out []string
 	for _, m := range candidates[:min(len(candidates), maxSurplus)] {
 		out = append(out, m.id)
@@ -90,8 +92,8 @@
 }
 
 // isIdleExpired says that a machine has had no task for as long as one of its price is kept.
-func (n *Controller) isIdleExpired(m *machine, cheapest float64) bool {
-	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && n.now.Sub(m.idleSince) > n.idleRetention(m, cheapest)
+func (f *fleetPlanner) isIdleExpired(m *machine, cheapest float64) bool {
+	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && f.now.Sub(m.idleSince) > f.idleRetention(m, cheapest)
 }
 
 // expensiveFactor is how many times the cheapest price a machine must cost to be retired
@@ -102,33 +104,33 @@
 // others would start everything in time without them; what runs there ends in
 // peace. Without this, work spreads over all machines there are, none goes idle,
 // and the ordinary ones of one rush are paid for ever after.
-func (n *Controller) decommissionExpensive(r *freeCapacity, charge chargeFunc) {
+func (f *fleetPlanner) decommissionExpensive(r *freeCapacity, charge chargeFunc) {
 	var expensive []*machine
-	cheapest := n.cheapestCPUCost()
-	for _, m := range n.shardLeader.machinesByID {
+	cheapest := f.controller.knowledge.cheapestCPUCost()
+	for _, m := range f.controller.shardLeader.machinesByID {
 		// One that is held for a job is out of the plan, so that nothing would miss it.
-		if n.usable(m) && m.reservedFor == "" && n.costPerCPU(m) > expensiveFactor*cheapest {
+		if f.controller.shardLeader.scheduler.usable(m) && m.reservedFor == "" && f.controller.knowledge.costPerCPU(m) > expensiveFactor*cheapest {
 			expensive = append(expensive, m)
 		}
 	}
 	// After a takeover the forecast comes from the former owner's news, or is
 	// not there yet.
-	o, chosen := n.shardLeader, map[*machine]bool{}
+	o, chosen := f.controller.shardLeader, map[*machine]bool{}
 	// Decided as one: while the others are played forward nothing changes.
 	defer func() {
 		for _, m := range o.machinesByID {
 			m.decommissioning = chosen[m]
 		}
 	}()
-	if len(expensive) == 0 || n.now.Sub(o.since) < recentWindow && len(n.inheritedLoads) == 0 {
+	if len(expensive) == 0 || f.now.Sub(o.since) < recentWindow && len(f.controller.knowledge.inheritedLoads) == 0 {
 		return
 	}
 	// The emptiest go first.
 	slices.SortStableFunc(expensive, func(a, b *machine) int {
-		return cmp.Compare(n.utilization(a), n.utilization(b))
+		return cmp.Compare(f.controller.shardLeader.fleet.utilization(a), f.controller.shardLeader.fleet.utilization(b))
 	})
-	demands := n.demands(n.planningHorizon(), true, false)
-	base := n.simulatedLateness(r, demands, nil, charge)
+	demands := f.demands(f.controller.knowledge.planningHorizon(), true, false)
+	base := f.simulatedLateness(r, demands, nil, charge)
 	before, candidateCount := base, len(expensive)
 	for _, d := range demands {
 		base += time.Duration(d.count) * tolerableDelay
@@ -142,7 +144,7 @@
 		for _, m := range batch {
 			chosen[m] = true
 		}
-		if n.simulatedLateness(r, demands, chosen, charge) <= base {
+		if f.simulatedLateness(r, demands, chosen, charge) <= base {
 			expensive = expensive[len(batch):]
 			continue
 		}
@@ -157,7 +159,7 @@
 		}
 		batchSize = max(1, batchSize/2)
 	}
-	n.debug("retire", "dear", candidateCount, "retiring", len(chosen), "late", before, "tries in vain", failures)
+	f.debug("retire", "dear", candidateCount, "retiring", len(chosen), "late", before, "tries in vain", failures)
 }
 
 // tolerableDelay is how much later a task may start on the average for the sake of a
@@ -175,24 +177,24 @@
 
 // idleRetention is how long a machine stays idle before it may go back: the longer
 // the cheaper it is.
-func (n *Controller) idleRetention(m *machine, cheapest float64) time.Duration {
-	return max(minIdleTime, time.Duration(float64(n.settings.Policy.IdleTimeout)*cheapest/n.costPerCPU(m)))
+func (f *fleetPlanner) idleRetention(m *machine, cheapest float64) time.Duration {
+	return max(minIdleTime, time.Duration(float64(f.settings.Policy.IdleTimeout)*cheapest/f.controller.knowledge.costPerCPU(m)))
 }
 
-func (n *Controller) costPerHour(k machineKind) float64 {
-	f := n.machineTypes[k.machineType]
+func (kk *fleetKnowledge) costPerHour(k machineKind) float64 {
+	f := kk.machineTypes[k.machineType]
 	p := f.CostPerHour
 	if k.spot {
 		p = f.SpotCostPerHour
 	}
-	if w, ok := n.settings.Policy.CostFactors[k.machineType]; ok && w > 0 {
+	if w, ok := kk.settings.Policy.CostFactors[k.machineType]; ok && w > 0 {
 		p *= w
 	}
 	return p
 }
 
-func (n *Controller) costPerCPU(m *machine) float64 {
-	return n.costPerHour(machineKind{m.machineType, m.zone, m.spot}) / max(m.size.CPU, 1)
+func (k *fleetKnowledge) costPerCPU(m *machine) float64 {
+	return k.costPerHour(machineKind{m.machineType, m.zone, m.spot}) / max(m.size.CPU, 1)
 }
 
 // planScaleOut asks the cloud for machines. It plays forward, in the order of placement,
@@ -200,30 +202,30 @@
 // the expected ends of what runs. Where a machine rented now would let it start
 // sooner, a spot one is rented; an ordinary one, several times as dear, only if
 // the task would otherwise start later than it must.
-func (n *Controller) planScaleOut(r *freeCapacity, charge chargeFunc) map[machineKind]int {
-	o := n.shardLeader
-	sim := n.newSimulation(r.machines, r.imageIDs, charge)
-	for _, id := range sortedKeys(o.fleetView.rentals) {
-		r := o.fleetView.rentals[id]
+func (f *fleetPlanner) planScaleOut(r *freeCapacity, charge chargeFunc) map[machineKind]int {
+	o := f.controller.shardLeader
+	sim := f.newSimulation(r.machines, r.imageIDs, charge)
+	for _, id := range sortedKeys(o.fleet.view.rentals) {
+		r := o.fleet.view.rentals[id]
 		m := o.machines[id]
-		if r.releasing || r.status == "returned" || r.status == "failed" || m != nil && (m.heard || n.expectedToReport(m)) {
+		if r.releasing || r.status == "returned" || r.status == "failed" || m != nil && (m.heard || f.expectedToReport(m)) {
 			continue
 		}
-		if r.status == statusComing || n.now.Sub(r.handedOverAt) < handoverCooldown {
-			sim.addProvisioning(r.machineKind, n.now.Add(handoverTime))
+		if r.status == statusComing || f.now.Sub(r.handedOverAt) < handoverCooldown {
+			sim.addProvisioning(r.machineKind, f.now.Add(handoverTime))
 			continue
 		}
-		if n.isExpected(r) {
-			sim.addProvisioning(r.machineKind, n.now.Add(n.timeToReady(r.machineKind, n.now.Sub(r.rentedAt))))
+		if f.controller.knowledge.isExpected(r) {
+			sim.addProvisioning(r.machineKind, f.now.Add(f.controller.knowledge.timeToReady(r.machineKind, f.now.Sub(r.rentedAt))))
 		}
 	}
-	for _, k := range sortedKinds(o.fleetView.pendingRentals) {
-		for range o.fleetView.pendingRentals[k] {
-			sim.addProvisioning(k, sim.now.Add(n.timeToReady(k, 0)))
+	for _, k := range sortedKinds(o.fleet.view.pendingRentals) {
+		for range o.fleet.view.pendingRentals[k] {
+			sim.addProvisioning(k, sim.now.Add(f.controller.knowledge.timeToReady(k, 0)))
 		}
 	}
 	requests := map[machineKind]int{}
-	demands := n.demands(n.planningHorizon(), false, false)
+	demands := f.demands(f.controller.knowledge.planningHorizon(), false, false)
 	unmet := 0.0
 	for _, d := range demands {
 		unmet += float64(d.count) * d.job.Need.CPU
@@ -257,7 +259,7 @@
 			}
 		}
 		if rented+reliefs > 0 {
-			n.debug("wants", "workload", d.job.Workload, "tasks", d.count, "expected", d.arrivalSpread > 0, "machines", rented, "instead of waiting", first, "to leave room", reliefs)
+			f.debug("wants", "workload", d.job.Workload, "tasks", d.count, "expected", d.arrivalSpread > 0, "machines", rented, "instead of waiting", first, "to leave room", reliefs)
 		}
 	}
 	return requests
@@ -278,7 +280,7 @@
 		p.surplus[k]--
 		return p.addProvisioning(k, p.now.Add(handoverTime))
 	}
-	return p.addProvisioning(k, p.now.Add(p.controller.timeToReady(k, 0)))
+	return p.addProvisioning(k, p.now.Add(p.controller.knowledge.timeToReady(k, 0)))
 }
 
 // scarcityRelief is what keeps a task off room on which work that waits, and fits little
@@ -301,14 +303,14 @@
 
 // neededElsewhere says that another workload waits which fits the flavour and
 // fewer flavours than this one.
-func (n *Controller) neededElsewhere(s *model.JobSpec, flavour string) bool {
-	mine := len(n.fittingMachineTypes(s))
-	for name := range n.shardLeader.startDeadlines {
-		w := n.shardLeader.workloads[name]
+func (f *fleetPlanner) neededElsewhere(s *model.JobSpec, flavour string) bool {
+	mine := len(f.controller.knowledge.fittingMachineTypes(s))
+	for name := range f.controller.shardLeader.scheduler.startDeadlines {
+		w := f.controller.shardLeader.workloads[name]
 		if name == s.Workload || w == nil {
 			continue
 		}
-		if theirs := n.fittingMachineTypes(w.spec); len(theirs) < mine && slices.Contains(theirs, flavour) {
+		if theirs := f.controller.knowledge.fittingMachineTypes(w.spec); len(theirs) < mine && slices.Contains(theirs, flavour) {
 			return true
 		}
 	}
@@ -333,7 +335,7 @@
 		if !at.After(ready.Add(minSafetyMargin)) {
 			continue
 		}
-		late := at.Add(p.controller.safetyMargin(d.job)).After(d.startDeadline(p.now, from))
+		late := at.Add(p.controller.knowledge.safetyMargin(d.job)).After(d.startDeadline(p.now, from))
 		if !late && !at.After(ready.Add(p.minPayback(k, a))) {
 			continue
 		}
@@ -360,17 +362,17 @@
 // offers are the kinds of machines on which tasks of a job fit, in order.
 func (p *simulation) offers(j *job, off bool) []offer {
 	var out []offer
-	for _, name := range sortedKeys(p.controller.machineTypes) {
-		f := p.controller.machineTypes[name]
+	for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
+		f := p.controller.knowledge.machineTypes[name]
 		fit := f.Capacity.FitCount(j.Need)
-		if fit == 0 || off && p.controller.currentPackingProfile().kind(name) != nil {
+		if fit == 0 || off && p.controller.shardLeader.scheduler.currentPackingProfile().kind(name) != nil {
 			continue
 		}
 		for _, z := range f.Zones {
 			for _, spot := range [...]bool{true, false} {
 				if j.allowsMachine(name, z, spot) {
 					k := machineKind{name, z, spot}
-					out = append(out, offer{k, fit, p.controller.costPerHour(k), p.controller.timeToReady(k, 0), newMachineFetchTime(&f, j)})
+					out = append(out, offer{k, fit, p.controller.knowledge.costPerHour(k), p.controller.knowledge.timeToReady(k, 0), newMachineFetchTime(&f, j)})
 				}
 			}
 		}
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -32,8 +32,8 @@
 )
 
 // unpersistedJobs are the jobs with chunks to write, in order.
-func (n *Controller) unpersistedJobs() []*job {
-	o := n.shardLeader
+func (p *persistence) unpersistedJobs() []*job {
+	o := p.controller.shardLeader
 	var out []*job
 	for _, j := range o.jobs {
 		if !j.unpersisted {
@@ -49,34 +49,34 @@
 	}
 	// Starts of urgent work are not to wait behind those of other work.
 	slices.SortFunc(out, func(a, b *job) int {
-		return cmp.Or(cmp.Compare(rankOf(n, a), rankOf(n, b)), a.submittedAt.Compare(b.submittedAt), strings.Compare(a.ID, b.ID))
+		return cmp.Or(cmp.Compare(p.controller.ranking.rankOf(a), p.controller.ranking.rankOf(b)), a.submittedAt.Compare(b.submittedAt), strings.Compare(a.ID, b.ID))
 	})
 	return out
 }
 
 // writeShardLeaderRecords writes ends and records of tasks. Either goes first in its turn: after an
 // outage hundreds of one wait, and none of the other are to wait for all of them.
-func (n *Controller) writeShardLeaderRecords() {
-	o := n.shardLeader
-	o.startsFirst = !o.startsFirst
-	if o.startsFirst {
-		n.writeSegments()
+func (p *persistence) writeShardLeaderRecords() {
+	o := p.controller.shardLeader
+	o.persistence.startsFirst = !o.persistence.startsFirst
+	if o.persistence.startsFirst {
+		p.writeSegments()
 	}
-	n.writeJobEnds()
-	n.writeSegments()
+	p.writeJobEnds()
+	p.writeSegments()
 }
 
 // writeSegments writes changed chunks, the urgent ones now and the others with
 // them or when they have waited long enough.
-func (n *Controller) writeSegments() {
-	o := n.shardLeader
-	jobs := n.unpersistedJobs()
+func (pp *persistence) writeSegments() {
+	o := pp.controller.shardLeader
+	jobs := pp.unpersistedJobs()
 	// What waits grows with the number of living jobs; the limit of changes
 	// does not.
-	maxDelay := record.DurationOfSeconds(float64(len(jobs)) / max(1, lazyWriteFraction*n.settings.StoreWritesPerSecond))
+	maxDelay := record.DurationOfSeconds(float64(len(jobs)) / max(1, lazyWriteFraction*pp.settings.StoreWritesPerSecond))
 	maxDelay = min(max(maxDelay, lazyWriteDelay), maxLazyWriteDelay)
 	crowded := maxDelay > lazyWriteDelay
-	for len(jobs) > 0 && o.txnsInFlight < maxSegmentTxns && n.writesAllowed() > 0 {
+	for len(jobs) > 0 && o.persistence.txnsInFlight < maxSegmentTxns && pp.controller.rateLimits.writesAllowed() > 0 {
 		op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
 		type part struct {
 			j   *job
@@ -88,7 +88,7 @@
 		comparedShards := map[string]bool{}
 		writeAlone := false
 		// ranked: the write names the ranking, as it makes starts durable.
-		comparesRanking, rankingRevision := false, n.ranking.modRevision
+		comparesRanking, rankingRevision := false, pp.controller.ranking.modRevision
 		comparedJobs := map[string]bool{}
 		add := func(maxWrites int, due func(*taskSegment) bool) {
 			for _, j := range jobs {
@@ -102,8 +102,8 @@
 					if c.writeInFlight || c.version == c.persistedVersion || c.version == c.rejectedVersion || len(op.Writes) >= maxWrites || !due(c) || writeAlone || c.writeAlone && len(op.Writes) > 0 {
 						continue
 					}
-					hasStarts := n.settings.Capabilities.Ranking && j.segmentHasStarts(c)
-					if hasStarts && n.ranking.stale {
+					hasStarts := pp.settings.Capabilities.Ranking && j.segmentHasStarts(c)
+					if hasStarts && pp.controller.ranking.stale {
 						continue
 					}
 					if hasStarts {
@@ -117,13 +117,13 @@
 						compareCount++
 					}
 					if !comparedJobs[id] {
-						if fence = n.shardCompares(j.Team); comparedShards[fence[0].Key] {
+						if fence = pp.controller.shardLeader.shardCompares(j.Team); comparedShards[fence[0].Key] {
 							fence = nil
 						}
 						compareCount += 1 + len(fence)
 					}
 					// What does not fit goes with the next write.
-					if size += sizelimit.WriteBytes(sizelimit.Write{Key: j.segmentKey(c), Value: val}) + compareCount*sizelimit.CompareBytes(record.OpenJobPrefix+id); size > targetTxnBytes || len(op.Compares)+compareCount > sizelimit.ComparesPerOp*n.settings.MaxTxnWrites {
+					if size += sizelimit.WriteBytes(sizelimit.Write{Key: j.segmentKey(c), Value: val}) + compareCount*sizelimit.CompareBytes(record.OpenJobPrefix+id); size > targetTxnBytes || len(op.Compares)+compareCount > sizelimit.ComparesPerOp*pp.settings.MaxTxnWrites {
 						if len(op.Writes) > 0 {
 							return
 						}
@@ -149,8 +149,8 @@
 				}
 			}
 		}
-		isOverdue := func(c *taskSegment) bool { return n.now.Sub(c.changedSince) >= maxDelay }
-		maxWrites := min(n.settings.MaxTxnWrites, n.writesAllowed())
+		isOverdue := func(c *taskSegment) bool { return pp.now.Sub(c.changedSince) >= maxDelay }
+		maxWrites := min(pp.settings.MaxTxnWrites, pp.controller.rateLimits.writesAllowed())
 		switch add(maxWrites, func(c *taskSegment) bool { return c.urgent }); {
 		case !crowded:
 			add(maxWrites, isOverdue)
@@ -158,7 +158,7 @@
 				// Progress that is not due yet shares the write.
 				add(maxWrites, func(*taskSegment) bool { return true })
 			}
-		case len(included) == 0 && o.lazyTxnsInFlight == 0:
+		case len(included) == 0 && o.persistence.lazyTxnsInFlight == 0:
 			add(min(maxLazyWrites, maxWrites), isOverdue)
 		}
 		if len(included) == 0 {
@@ -168,22 +168,22 @@
 		if op.Priority == message.PriorityLazy {
 			lazy = 1
 		}
-		o.lazyTxnsInFlight += lazy
-		gen, sentAt := o.generation, n.now
-		n.writeTxn(op, func(d message.StoreResponse) {
-			o := n.shardLeader
+		o.persistence.lazyTxnsInFlight += lazy
+		gen, sentAt := o.generation, pp.now
+		pp.controller.rateLimits.writeTxn(op, func(d message.StoreResponse) {
+			o := pp.controller.shardLeader
 			if o == nil || o.generation != gen {
 				return
 			}
-			o.lazyTxnsInFlight -= lazy
+			o.persistence.lazyTxnsInFlight -= lazy
 			switch {
 			case comparesRanking && d.Status == message.StoreOK:
-				noteRankingKnown(n, d.SentAt)
+				pp.controller.ranking.noteRankingKnown(d.SentAt)
 			case comparesRanking && d.Status == message.StoreConflict && slices.Contains(d.FailedKeys, record.RankingKey):
-				noteRankingOutdated(n, rankingRevision)
+				pp.controller.ranking.noteRankingOutdated(rankingRevision)
 			}
-			if took := n.now.Sub(sentAt); took > slowTxnThreshold || d.Status != message.StoreOK {
-				n.debug("slow write", "took", took, "chunks", len(included), "status", d.Status, "lazy", lazy)
+			if took := pp.now.Sub(sentAt); took > slowTxnThreshold || d.Status != message.StoreOK {
+				pp.debug("slow write", "took", took, "chunks", len(included), "status", d.Status, "lazy", lazy)
 			}
 			for _, p := range included {
 				if o.jobs[p.j.ID] != p.j || p.j.segments[p.c.index] != p.c {
@@ -195,14 +195,14 @@
 				case message.StoreOK:
 					p.c.writeInFlight = false
 					p.c.modRevision, p.c.persistedVersion = d.Revision, p.ver
-					n.segmentPersisted(p.j, p.c)
+					pp.controller.shardLeader.persistence.segmentPersisted(p.j, p.c)
 				case message.StoreConflict:
-					n.resolveSegmentConflict(p.j, p.c, d.FailedKeys)
+					pp.controller.shardLeader.persistence.resolveSegmentConflict(p.j, p.c, d.FailedKeys)
 				case message.StoreRefused:
-					n.retrySegment(p.j, p.c)
+					pp.controller.shardLeader.persistence.retrySegment(p.j, p.c)
 				case message.StoreUnknown:
 					// Perhaps applied, perhaps later: read what stands there.
-					n.reReadSegment(p.j, p.c)
+					pp.controller.shardLeader.persistence.reReadSegment(p.j, p.c)
 				default:
 					// As it is it would be refused again: each by itself, to find out
 					// which it is. What was to start with that does not, and the rest
@@ -210,7 +210,7 @@
 					if len(included) > 1 {
 						p.c.writeInFlight, p.c.urgent, p.c.writeAlone = false, true, true
 					} else {
-						n.deferMalformedSegment(p.j, p.c, p.ver)
+						pp.controller.shardLeader.persistence.deferMalformedSegment(p.j, p.c, p.ver)
 					}
 				}
 			}
@@ -220,15 +220,15 @@
 
 // deferMalformedSegment deals with a record that the state service calls malformed: tasks in it that were not begun are taken off their machines, and
 // only when something of it changes is it written once more.
-func (n *Controller) deferMalformedSegment(j *job, c *taskSegment, ver uint64) {
-	n.info("a record is malformed", "job", j.ID, "chunk", c.index)
+func (p *persistence) deferMalformedSegment(j *job, c *taskSegment, ver uint64) {
+	p.info("a record is malformed", "job", j.ID, "chunk", c.index)
 	c.writeInFlight, c.urgent, c.writeAlone = false, false, false
 	c.rejectedVersion = c.version
-	probeValueLimit(n)
+	p.controller.membership.formats.probeValueLimit()
 	for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, j.nextFresh); i++ {
 		if t := &j.tasks[i]; t.machine != nil && !t.startSent && t.version <= ver {
-			t.notBefore = n.now.Add(malformedRetryDelay)
-			n.endAttempt(j, i, false)
+			t.notBefore = p.now.Add(malformedRetryDelay)
+			p.controller.shardLeader.endAttempt(j, i, false)
 		}
 	}
 }
@@ -236,30 +236,30 @@
 // malformedRetryDelay is how long tasks wait whose record was malformed.
 const malformedRetryDelay = 30 * time.Second
 
-func (n *Controller) retrySegment(j *job, c *taskSegment) {
+func (p *persistence) retrySegment(j *job, c *taskSegment) {
 	c.urgent = true
-	n.after(n.jitter(storeRetryDelay), func() { c.writeInFlight = false })
+	p.after(p.jitter(storeRetryDelay), func() { c.writeInFlight = false })
 }
 
 // resolveSegmentConflict deals with a write whose conditions failed. If the share or the job
 // changed, the watches tell the rest; if the chunk did, it was an earlier
 // write of our own, applied late, and all it holds is still meant.
-func (n *Controller) resolveSegmentConflict(j *job, c *taskSegment, failed []string) {
+func (p *persistence) resolveSegmentConflict(j *job, c *taskSegment, failed []string) {
 	switch {
 	case slices.ContainsFunc(failed, func(k string) bool { return strings.HasPrefix(k, record.ShardPrefix) }), slices.Contains(failed, record.OpenJobPrefix+j.ID):
-		n.retrySegment(j, c)
+		p.retrySegment(j, c)
 	case slices.Contains(failed, j.segmentKey(c)):
-		n.reReadSegment(j, c)
+		p.reReadSegment(j, c)
 	default:
 		// Another job of the same write was cancelled or is over.
 		c.urgent, c.writeInFlight = true, false
 	}
 }
 
-func (n *Controller) reReadSegment(j *job, c *taskSegment) {
-	gen := n.shardLeader.generation
-	n.requestStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: j.segmentKey(c)}, func(d message.StoreResponse) {
-		if n.shardLeader == nil || n.shardLeader.generation != gen || n.shardLeader.jobs[j.ID] != j || j.segments[c.index] != c {
+func (p *persistence) reReadSegment(j *job, c *taskSegment) {
+	gen := p.controller.shardLeader.generation
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: j.segmentKey(c)}, func(d message.StoreResponse) {
+		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != gen || p.controller.shardLeader.jobs[j.ID] != j || j.segments[c.index] != c {
 			return
 		}
 		switch d.Status {
@@ -270,11 +270,11 @@
 			c.modRevision, c.writeInFlight, c.urgent = d.KeyValues[0].ModRevision, false, true
 		case message.StoreNotFound:
 			c.modRevision = 0
-			n.retrySegment(j, c)
+			p.controller.shardLeader.persistence.retrySegment(j, c)
 		default:
-			n.after(n.jitter(storeRetryDelay), func() {
-				if n.shardLeader != nil && n.shardLeader.generation == gen && j.segments[c.index] == c {
-					n.reReadSegment(j, c)
+			p.after(p.jitter(storeRetryDelay), func() {
+				if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen && j.segments[c.index] == c {
+					p.controller.shardLeader.persistence.reReadSegment(j, c)
 				}
 			})
 		}
@@ -282,10 +282,35 @@
 }
 
 // segmentPersisted sends what waited for the write: starts.
-func (n *Controller) segmentPersisted(j *job, c *taskSegment) {
+func (p *persistence) segmentPersisted(j *job, c *taskSegment) {
 	for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, j.nextFresh); i++ {
 		if t := &j.tasks[i]; t.machine != nil && (!t.startSent || t.stopReason != stopNone) {
-			n.markDispatchPending(t.machine)
+			p.controller.markDispatchPending(t.machine)
 		}
 	}
 }
+
+// persistence TODO.
+type persistence struct {
+	component
+
+	// txnsInFlight counts the writes under way, and ahead their changes.
+	txnsInFlight   int
+	writesInFlight int
+	// startsFirst: of what is to be written starts went before ends last time.
+	startsFirst bool
+	// lazyTxnsInFlight counts the writes under way for which no start waits.
+	lazyTxnsInFlight int
+	// persistedAt is when what is to be written was last looked at.
+	persistedAt time.Time
+	// orphanedRecords are task/ records whose job is over.
+	orphanedRecords []string
+	// prewarmedImages is what machines held under a former owner; warmed is when a record
+	// of that was last written, warming that one is under way, and prewarmedNextMachine
+	// and prewarmedNextKey where the next begins.
+	prewarmedImages      map[string]map[string]float64
+	prewarmedWrittenAt   time.Time
+	writingPrewarmed     bool
+	prewarmedNextMachine int
+	prewarmedNextKey     int
+}
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -6,9 +6,7 @@
 	"github.com/micahill/micahill/internal/faultattribution"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
-	"github.com/micahill/micahill/internal/pipeline"
 	"github.com/micahill/micahill/internal/record"
-	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
@@ -28,6 +26,8 @@
 
 // shardLeader runs the teams and machines of the shares that this controller holds.
 type shardLeader struct {
+	component
+
 	since      time.Time
 	ready      bool
 	readyAt    time.Time
@@ -38,109 +38,36 @@
 	// catchAllSince is since when one of the shares has the machines that no lot names.
 	catchAllSince time.Time
 	// loading: records of teams are being read.
-	loadingTeams bool
-	jobs         map[string]*job
-	machines     map[string]*machine
-	// remoteMachines are machines of other owners on which attempts of these jobs are, and
-	// registry the account of others' attempts on the machines here; see remote_attempts.go.
-	remoteMachines map[string]*machine
-	registry       remote.Registry
+	loadingTeams   bool
+	jobs           map[string]*job
+	machines       map[string]*machine
 	remoteAttempts remoteAttempts
 	promiseDates   shardLeaderDates
-	// higherEpochSeen are machines that have seen an epoch above the one they are owned
-	// under, and raises counts the lots written to raise epochs.
-	higherEpochSeen map[string]time.Time
-	epochBumps      int
-	// machinesReservedAt is when machines were last gathered; see aging.go.
-	machinesReservedAt time.Time
 	// machinesByID are the machines in the order of their names, and dirty those for
 	// which orders may be due.
 	machinesByID []*machine
-	// lastHeartbeats is the newest that was heard of machines that were dropped; see stale_heartbeat.go.
-	lastHeartbeats map[string]lastHeartbeat
-	dirtyMachines  []*machine
-	// unreachableReleasedAt is when a machine that hears nothing was last given back.
-	unreachableReleasedAt time.Time
-	// inheritedMachines are machines of a former owner that are still to be contacted, and
-	// contacts counts the questions under way.
-	inheritedMachines []*machine
-	contactsInFlight  int
-	usedByTeam        map[string]model.Resources
+	usedByTeam   map[string]model.Resources
 	// faultAttribution tells faulty machines from jobs that fail everywhere.
 	faultAttribution faultattribution.Tracker
-	// txnsInFlight counts the writes under way, and ahead their changes.
-	txnsInFlight, writesInFlight int
-	// startsFirst: of what is to be written starts went before ends last time.
-	startsFirst bool
-	// lazyTxnsInFlight counts the writes under way for which no start waits.
-	lazyTxnsInFlight int
 	wakeAt           time.Time
 	sweptAt          time.Time
-	// place: something has changed that may let tasks be placed, and hurry:
-	// for one whose wait is bounded. placed is when that was last done.
-	placementDue, placementUrgent bool
-	placedAt                      time.Time
-	// roundDuration is how long the step with the last round of placing took.
-	roundDuration time.Duration
-	// persistedAt is when what is to be written was last looked at.
-	persistedAt time.Time
-	// preemptionVictims is where urgent work may take the place of other work.
-	preemptionVictims map[preemptionVictimsKey]*preemptionVictims
-	// fleetView is the leader's knowledge of this owner's machines; wants and gone
-	// are what is asked of it.
-	fleetView      *fleetView
-	fleetPlannedAt time.Time
-	// planningPass is a look at the fleet that is under way, to be carried on at planningPassAt,
-	// and leaderUpdateSeq the leader's news that it rests on.
-	planningPass    *planningPass
-	planningPassAt  time.Time
-	leaderUpdateSeq uint64
-	// decommissionedAt is when dear machines were last chosen to be retired.
-	decommissionedAt time.Time
-	// neverReadyKinds are the kinds of which machines have stopped coming up, and neverReadyCount
-	// counts the machines that were given up for it, and what they cost.
-	neverReadyKinds   map[machineKind]bool
-	neverReadyCount   int
-	neverReadyCost    float64
-	capacityRequests  map[machineKind]int
-	machinesToRelease []string
-	// surplusMachines are idle machines that neither what waits nor what is expected needs, the
-	// dearest first: others may have them.
-	surplusMachines []string
 	// teamRelease is a team that the leader wants to move, and when it last said so.
 	teamRelease   sharding.MoveRequest
 	teamReleaseAt time.Time
-	epochBumpedAt time.Time
-	// correlatedFailureLoggedAt is when the log last told of machines that are silent together.
-	correlatedFailureLoggedAt time.Time
-	// orphanedRecords are task/ records whose job is over.
-	orphanedRecords []string
-	// arrivals remember when work of each team and workload came, for warm room.
-	arrivals map[workloadKey][]arrival
-	// packingProfile is what is usual on machines with GPUs, while models are on.
-	packingProfile         *packingProfile
-	freeCapacityReportedAt time.Time
 	// workloads holds the newest job of each workload.
-	workloads map[string]*workload
-	// startDeadlines is, for each workload with tasks that wait for a place, when the
-	// first of them should start at the latest.
-	startDeadlines   map[string]time.Time
+	workloads        map[string]*workload
 	publishedAt      time.Time
 	loadsPublishedAt time.Time
-	// prewarmedImages is what machines held under a former owner; warmed is when a record
-	// of that was last written, warming that one is under way, and prewarmedNextMachine
-	// and prewarmedNextKey where the next begins.
-	prewarmedImages                        map[string]map[string]float64
-	prewarmedWrittenAt                     time.Time
-	writingPrewarmed                       bool
-	prewarmedNextMachine, prewarmedNextKey int
-	// pathsScannedAt is when the paths of pipelines were last looked at.
-	pathsScannedAt time.Time
-	paths          map[string]pipeline.CriticalPath
 	// publishTurn says which machines the others are told of next.
-	publishTurn int
-	// migrations are replicas on the move; see migration.go.
-	migrations *migrations
+	publishTurn  int
+	dependencies dependencyTracker
+	dispatcher   dispatcher
+	failover     failover
+	fleet        fleetPlanner
+	heartbeats   heartbeatTracker
+	migration    migrationManager
+	persistence  persistence
+	scheduler    scheduler
 }
 
 // newShardLeader makes a shard leader that leads nothing yet.
@@ -151,13 +78,28 @@
 		jobs: map[string]*job{}, machines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
 		workloads: map[string]*workload{},
 	}
-	o.remoteMachines = map[string]*machine{}
-	o.higherEpochSeen = map[string]time.Time{}
-	o.arrivals = map[workloadKey][]arrival{}
-	o.prewarmedImages = map[string]map[string]float64{}
+	o.remoteAttempts.machines = map[string]*machine{}
+	o.failover.higherEpochSeen = map[string]time.Time{}
+	o.fleet.arrivals = map[workloadKey][]arrival{}
+	o.persistence.prewarmedImages = map[string]map[string]float64{}
+	o.connectComponents(component{environment: n.environment, controller: n})
 	return o
 }
 
+// connectComponents gives each part of a shard leader the environment and the way to the others.
+func (o *shardLeader) connectComponents(shared component) {
+	o.component = shared
+	o.scheduler.component = shared
+	o.fleet.component = shared
+	o.persistence.component = shared
+	o.failover.component = shared
+	o.dispatcher.component = shared
+	o.dependencies.component = shared
+	o.remoteAttempts.component = shared
+	o.heartbeats.component = shared
+	o.migration.component = shared
+}
+
 type workload struct {
 	spec     *model.JobSpec
 	lastSeen time.Time
@@ -174,7 +116,7 @@
 // may have ended. A full lease, so that a long outage of the state service
 // costs no work; a successor that reaches the workers needs not wait for it,
 // because the higher epoch reaches them at once.
-func (n *Controller) grace() time.Duration { return n.settings.WorkerLease }
+func (r *leaseRenewer) grace() time.Duration { return r.settings.WorkerLease }
 
 func (n *Controller) dropShardLeader(reason string) {
 	if n.shardLeader == nil {
@@ -182,7 +124,7 @@
 	}
 	n.info("owner no more", "why", reason)
 	n.shardLeader.endPlanningPass()
-	if n.shardLeader.packingProfile != nil {
+	if n.shardLeader.scheduler.packingProfile != nil {
 		n.emit(message.GPUFreeCapacityReport{})
 	}
 	n.shardLeader = nil
@@ -192,12 +134,11 @@
 // picture is newer: its answer may come after the job was cancelled and over.
 func (n *Controller) observeOwnWrite(it message.KeyValue) {
 	if n.shardLeader != nil && it.ModRevision > n.frontend.watchCache.revision {
-		n.applyOpenJob(it)
+		n.shardLeader.applyOpenJob(it)
 	}
 }
 
-func (n *Controller) applyOpenJob(it message.KeyValue) {
-	o := n.shardLeader
+func (o *shardLeader) applyOpenJob(it message.KeyValue) {
 	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
 	j := o.jobs[id]
 	if it.Deleted {
@@ -210,17 +151,17 @@
 	if j != nil && it.ModRevision <= j.modRevision {
 		return
 	}
-	if _, ended := n.frontend.finalStatuses[id]; ended && j == nil && n.frontend.finalStatuses[id] == model.Done {
+	if _, ended := o.controller.frontend.finalStatuses[id]; ended && j == nil && o.controller.frontend.finalStatuses[id] == model.Done {
 		return
 	}
 	var r record.OpenJob
 	if !record.Decode(it.Value, &r) {
-		n.rejectInput("record", it.Key, "it can't be read")
+		o.rejectInput("record", it.Key, "it can't be read")
 		return
 	}
 	if problem := r.Validate(); problem != "" {
 		// Its job stays queued until somebody mends the record or cancels it.
-		n.rejectInput("record", it.Key, problem)
+		o.rejectInput("record", it.Key, problem)
 		return
 	}
 	if j == nil {
@@ -236,82 +177,80 @@
 		}
 		// It has just come, and this clock is the one that its waits are judged by
 		// here; another controller's may be a second off.
-		j = n.addJob(spec, n.now, it.ModRevision)
+		j = o.addJob(spec, o.now, it.ModRevision)
 		if !r.Cancelled {
 			k := workloadKey{j.Team, j.Workload}
-			o.arrivals[k] = append(o.arrivals[k], arrival{n.now, j.Tasks, j.Need, &j.JobSpec})
+			o.fleet.arrivals[k] = append(o.fleet.arrivals[k], arrival{o.now, j.Tasks, j.Need, &j.JobSpec})
 		}
 		j.setLoanFrom(&r)
-		noteBaseQuote(n, j)
+		o.controller.promises.noteBaseQuote(j)
 	}
-	n.applyJobRecord(j, it.ModRevision, &r)
-	o.placementDue = true
+	o.applyJobRecord(j, it.ModRevision, &r)
+	o.scheduler.placementDue = true
 }
 
 // addJob takes a job into the owner's books.
-func (n *Controller) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
-	o := n.shardLeader
-	j := newJob(spec, at, stamp, n.settings.currentMaxValueBytes())
-	j.segmentFormat = n.segmentFormat()
+func (o *shardLeader) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
+	j := newJob(spec, at, stamp, o.settings.currentMaxValueBytes())
+	j.segmentFormat = o.controller.membership.formats.segmentFormat()
 	o.jobs[j.ID] = j
 	if j.Workload != "" {
-		n.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", n.now.Sub(j.submittedAt))
-		o.workloads[j.Workload] = &workload{&j.JobSpec, n.now}
-		o.placementUrgent = o.placementUrgent || n.waitObjective(j.Workload) > 0
+		o.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", o.now.Sub(j.submittedAt))
+		o.workloads[j.Workload] = &workload{&j.JobSpec, o.now}
+		o.scheduler.placementUrgent = o.scheduler.placementUrgent || o.waitObjective(j.Workload) > 0
 	}
-	n.awaitDependencies(j)
+	o.controller.awaitDependencies(j)
 	return j
 }
 
 // applyJobRecord takes in a job's record in open/ as it stands now.
-func (n *Controller) applyJobRecord(j *job, stamp uint64, r *record.OpenJob) {
+func (o *shardLeader) applyJobRecord(j *job, stamp uint64, r *record.OpenJob) {
 	id := j.ID
 	j.modRevision = stamp
 	j.setLoanFrom(r)
-	notePromiseRecord(n, j, r)
+	o.controller.promises.notePromiseRecord(j, r)
 	if r.Cancelled {
 		// Whoever wrote that has written job/ with it.
 		j.cancelDerived = false
 	}
 	if r.Cancelled && !j.cancelled {
 		j.cancelled = true
-		n.cacheFinalStatus(id, model.Cancelled)
+		o.controller.frontend.cacheFinalStatus(id, model.Cancelled)
 		for i := range j.tasks[:j.nextFresh] {
 			if t := &j.tasks[i]; t.machine != nil {
 				t.stopReason = stopCancel
-				n.markDispatchPending(t.machine)
+				o.controller.markDispatchPending(t.machine)
 			}
 		}
 	}
 }
 
 // attachAttempt makes the attempt of task i live on m.
-func (n *Controller) attachAttempt(j *job, i int, m *machine) {
+func (o *shardLeader) attachAttempt(j *job, i int, m *machine) {
 	t := &j.tasks[i]
 	t.machine = m
 	j.liveTasks++
 	j.liveByZone[m.zone]++
 	m.attempts[taskKey{j.ID, i}] = t
 	m.used = m.used.AddScaled(j.Need, 1)
-	u := n.shardLeader.usedByTeam[j.Team]
-	n.shardLeader.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
+	u := o.usedByTeam[j.Team]
+	o.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
 }
 
 // endAttempt takes note of the proof that a live attempt is over.
-func (n *Controller) endAttempt(j *job, i int, done bool) {
+func (o *shardLeader) endAttempt(j *job, i int, done bool) {
 	t := &j.tasks[i]
 	m := t.machine
 	if m == nil {
 		return
 	}
-	o := n.shardLeader
 	delete(m.attempts, taskKey{j.ID, i})
 	m.used = m.used.AddScaled(j.Need, -1)
 	o.usedByTeam[j.Team] = o.usedByTeam[j.Team].AddScaled(j.Need, -1)
 	j.liveTasks--
 	j.liveByZone[m.zone]--
 	if len(m.attempts) == 0 {
-		m.idleSince = n.now
+		m.idleSince = o.now
 		m.used = model.Resources{}
 		if m.remote {
 			o.dropRemoteMachine(m)
@@ -331,61 +270,60 @@
 	} else if !j.cancelled {
 		j.requeued = append(j.requeued, i)
 	}
-	j.markChanged(i, n.now, done && j.doneTasks == len(j.tasks))
-	o.placementDue = true
+	j.markChanged(i, o.now, done && j.doneTasks == len(j.tasks))
+	o.scheduler.placementDue = true
 }
 
 // shardLeaderTick does what is due: sweep the machines, relaunch, place, write, and
 // send orders.
-func (n *Controller) shardLeaderTick() {
-	o := n.shardLeader
+func (o *shardLeader) shardLeaderTick() {
 	if !o.ready {
-		o.wakeAt = n.now.Add(shardLeaderTickInterval)
+		o.wakeAt = o.now.Add(shardLeaderTickInterval)
 		return
 	}
-	if n.now.Sub(o.sweptAt) >= shardLeaderTickInterval {
-		o.sweptAt = n.now
-		n.sweep()
-		retryRankingRefresh(n)
-		quarantineNonStarting(n)
-		if checkPartition(n); n.shardLeader != o {
+	if o.now.Sub(o.sweptAt) >= shardLeaderTickInterval {
+		o.sweptAt = o.now
+		o.controller.shardLeader.failover.sweep()
+		o.controller.ranking.retryRankingRefresh()
+		o.controller.shardLeader.heartbeats.quarantineNonStarting()
+		if o.controller.partition.checkPartition(); o.controller.shardLeader != o {
 			return
 		}
-		n.relaunch()
-		n.maybeBumpEpoch()
-		migrationTick(n)
-		n.planFleet(true)
-		n.publishToPeers()
-		requestRemoteAttempts(n)
-		n.updateCriticalPaths()
-		promisesTick(n)
-		n.writePrewarmed()
-		n.reportGPUFreeCapacity()
-		o.placementDue = true
+		o.controller.shardLeader.scheduler.relaunch()
+		o.controller.shardLeader.failover.maybeBumpEpoch()
+		o.controller.shardLeader.migration.migrationTick()
+		o.controller.shardLeader.fleet.planFleet(true)
+		o.publishToPeers()
+		o.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
+		o.controller.shardLeader.dependencies.updateCriticalPaths()
+		o.controller.promises.promisesTick()
+		o.controller.shardLeader.persistence.writePrewarmed()
+		o.controller.shardLeader.scheduler.reportGPUFreeCapacity()
+		o.scheduler.placementDue = true
 	}
-	if o.planningPass != nil {
-		n.planFleet(false)
+	if o.fleet.planningPass != nil {
+		o.controller.shardLeader.fleet.planFleet(false)
 	}
-	if o.placementDue && !n.now.Before(o.nextPlacementRound()) {
-		o.placementDue, o.placementUrgent, o.placedAt = false, false, n.now
-		n.placementRan = true
-		n.placeAll()
-		o.persistedAt = time.Time{}
+	if o.scheduler.placementDue && !o.now.Before(o.nextPlacementRound()) {
+		o.scheduler.placementDue, o.scheduler.placementUrgent, o.scheduler.placedAt = false, false, o.now
+		o.controller.planning.placementRan = true
+		o.controller.shardLeader.scheduler.placeAll()
+		o.persistence.persistedAt = time.Time{}
 	}
-	if n.now.Sub(o.persistedAt) >= persistInterval {
-		o.persistedAt = n.now
-		n.writeShardLeaderRecords()
+	if o.now.Sub(o.persistence.persistedAt) >= persistInterval {
+		o.persistence.persistedAt = o.now
+		o.controller.shardLeader.persistence.writeShardLeaderRecords()
 	}
-	n.dispatchAll()
-	publishRemoteAttempts(n)
+	o.controller.shardLeader.dispatcher.dispatchAll()
+	o.controller.shardLeader.remoteAttempts.publishRemoteAttempts()
 	if o.remoteAttempts.due {
-		requestRemoteAttempts(n)
+		o.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
 	}
 	o.wakeAt = o.sweptAt.Add(shardLeaderTickInterval)
-	if next := o.persistedAt.Add(persistInterval); o.persistedAt != n.now && next.Before(o.wakeAt) {
+	if next := o.persistence.persistedAt.Add(persistInterval); o.persistence.persistedAt != o.now && next.Before(o.wakeAt) {
 		o.wakeAt = next
 	}
-	if next := o.nextPlacementRound(); o.placementDue && next.Before(o.wakeAt) {
+	if next := o.nextPlacementRound(); o.scheduler.placementDue && next.Before(o.wakeAt) {
 		o.wakeAt = next
 	}
 }
@@ -394,10 +332,10 @@
 // much time and half of it again to others, however much work waits.
 func (o *shardLeader) nextPlacementRound() time.Time {
 	gap := placementInterval
-	if o.placementUrgent {
+	if o.scheduler.placementUrgent {
 		gap = 0
 	}
-	return o.placedAt.Add(max(gap, o.roundDuration*5/2))
+	return o.scheduler.placedAt.Add(max(gap, o.scheduler.roundDuration*5/2))
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -27,7 +27,7 @@
 // putSegment names machines for a share.
 func (n *Controller) putSegment(t *testing.T, share string, stamp uint64, ids ...string) {
 	t.Helper()
-	w, some := sharding.BumpEpoch(n.storeLimits(), "l"+ids[0], n.membership.shardMap.Shard(share), ids)
+	w, some := sharding.BumpEpoch(n.requests.storeLimits(), "l"+ids[0], n.membership.shardMap.Shard(share), ids)
 	if len(some) != len(ids) {
 		t.Fatal("too many")
 	}
@@ -71,8 +71,8 @@
 	item := func(host string, stamp uint64) message.KeyValue {
 		return message.KeyValue{Key: record.ShardPrefix + "x", Value: record.Encode(map[string]any{"host": host, "nonce": "n", "teams": []string{"lab"}}), ModRevision: stamp}
 	}
-	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{item("c", 7), item("d", 9)}})
-	n.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{item("c", 7)}})
+	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{item("c", 7), item("d", 9)}})
+	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{item("c", 7)}})
 	if s := n.membership.shardMap.Shard("x"); s.Host != "d" || n.membership.revision != 9 {
 		t.Errorf("the share is %s's as of %d, want the later holder's", s.Host, n.membership.revision)
 	}
@@ -83,25 +83,25 @@
 func TestTakenOverMachineWithTasks(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 3, "vm-000077")
-	j := n.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.attachAttempt(j, 0, n.ownedOrRemoteMachine("vm-000077"))
-	if len(n.shardLeader.remoteMachines) != 1 || n.shardLeader.machines["vm-000077"] != nil {
+	n.shardLeader.attachAttempt(j, 0, n.shardLeader.ownedOrRemoteMachine("vm-000077"))
+	if len(n.shardLeader.remoteAttempts.machines) != 1 || n.shardLeader.machines["vm-000077"] != nil {
 		t.Fatal("a machine of another's is not kept apart")
 	}
 	n.putSegment(t, "a", 4, "vm-000077")
 	n.syncShardLeader()
 	m := n.shardLeader.machines["vm-000077"]
-	if m == nil || len(m.attempts) != 1 || j.tasks[0].machine != m || len(n.shardLeader.remoteMachines) != 0 {
+	if m == nil || len(m.attempts) != 1 || j.tasks[0].machine != m || len(n.shardLeader.remoteAttempts.machines) != 0 {
 		t.Fatal("it is not taken up with its work")
 	}
-	if least := n.now.Add(membershipLeaseTTL + n.grace() + n.settings.WorkerLease); m.leaseEnd.Before(least) {
+	if least := n.now.Add(membershipLeaseTTL + n.renewal.grace() + n.settings.WorkerLease); m.leaseEnd.Before(least) {
 		t.Errorf("its lease counts as over after %v, want %v at least", m.leaseEnd.Sub(n.now), least.Sub(n.now))
 	}
 	// And it goes again, with the work on it.
 	n.putSegment(t, "b", 5, "vm-000077", "vm-000079")
 	n.syncShardLeader()
-	if a := n.shardLeader.remoteMachines["vm-000077"]; a == nil || j.tasks[0].machine != a || j.liveTasks != 1 {
+	if a := n.shardLeader.remoteAttempts.machines["vm-000077"]; a == nil || j.tasks[0].machine != a || j.liveTasks != 1 {
 		t.Error("what runs on a machine that goes is lost from the books")
 	}
 }
@@ -112,14 +112,14 @@
 func TestLeaseRestartsUnderNewEpoch(t *testing.T) {
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
-	m.formerOwnerUntil, m.leaseEnd = time.Time{}, n.leaseEndAfter(n.now)
+	m.formerOwnerUntil, m.leaseEnd = time.Time{}, n.renewal.leaseEndAfter(n.now)
 	n.putSegment(t, "a", 4, m.id, "vm-000088")
 	n.syncShardLeader()
-	least := n.now.Add(membershipLeaseTTL + n.grace() + n.settings.WorkerLease)
+	least := n.now.Add(membershipLeaseTTL + n.renewal.grace() + n.settings.WorkerLease)
 	if m.epoch != 4 || m.leaseEnd.Before(least) {
 		t.Errorf("under epoch %d its lease counts as over after %v, want %v at least", m.epoch, m.leaseEnd.Sub(n.now), least.Sub(n.now))
 	}
-	receiveRemoteRequests(n, "b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
+	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
 	if m = n.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
 		t.Errorf("a machine with others' work: %+v", m)
 	}
@@ -135,10 +135,10 @@
 	r := n.poolHeartbeat(0)
 	r.Sequence = 2
 	r.Tasks = []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Running}}
-	n.applyHeartbeat(m, r, true)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	n.frontend.watchCache.asOf = n.now.Add(time.Minute)
 	n.now = n.now.Add(time.Minute)
-	if os := n.reconcile(m); len(os) != 0 {
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 0 {
 		t.Errorf("ordered %v", os)
 	}
 	if m.isEmpty() || m.othersUsed.CPU != 1 || m.hasUnknownTasks {
@@ -148,13 +148,13 @@
 	rec := record.NewOpenJob(&spec, n.now)
 	rec.Cancelled = true
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
 		t.Errorf("ordered %v for a cancelled job, want a stop", os)
 	}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
 	// Asked to stop it, it does.
-	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
-	if os := n.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
+	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
 		t.Errorf("ordered %v, want a stop", os)
 	}
 }
@@ -169,16 +169,16 @@
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, rec}
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Tasks = 2, []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Checkpointing}}
-	n.applyHeartbeat(m, r, true)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	a := remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
-	receiveRemoteRequests(n, "b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
-	if os := n.reconcile(m); len(os) > 0 {
+	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) > 0 {
 		t.Errorf("ordered %v while it saves", os)
 	}
 	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
 	want := model.TaskCommand{Kind: model.StopTask, Job: spec.ID, Attempt: 1}
-	if os := n.reconcile(m); len(os) != 1 || os[0] != want {
+	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0] != want {
 		t.Errorf("ordered %+v for a cancelled job that saves, want %+v", os, want)
 	}
 }
@@ -189,7 +189,7 @@
 	n := twoControllers(t)
 	staleTeam := &heldTeam{holdID: 1}
 	n.shardLeader.teams["ops"] = &heldTeam{holdID: 2}
-	recoverTeams(n, map[string]*heldTeam{"ops": staleTeam}, nil, nil, n.now)
+	n.shardLeader.recoverTeams(map[string]*heldTeam{"ops": staleTeam}, nil, nil, n.now)
 	if n.shardLeader.teams["ops"].ready {
 		t.Error("an older reading makes the team ready")
 	}
@@ -207,9 +207,9 @@
 	m := n.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 3, Memory: 2}, ExpectedRunTime: time.Minute}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
-	j := n.addJob(spec, n.now, 1)
+	j := n.shardLeader.addJob(spec, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.attachAttempt(j, 0, m)
+	n.shardLeader.attachAttempt(j, 0, m)
 	n.putShard(t, "a", "a", 8, true, "ops")
 	n.putShard(t, "b", "b", 8, false, "lab")
 	n.syncShardLeader()
@@ -221,8 +221,8 @@
 	requests := []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
 	publishedState := func() remote.State {
 		n.now, n.effects = n.now.Add(2*time.Second), nil
-		receiveRemoteRequests(n, "b", requests)
-		publishRemoteAttempts(n)
+		n.shardLeader.remoteAttempts.receiveRemoteRequests("b", requests)
+		n.shardLeader.remoteAttempts.publishRemoteAttempts()
 		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if len(p.Update.RemoteStatuses) > 0 {
 				return p.Update.RemoteStatuses[0].Attempts[0].State
@@ -233,7 +233,7 @@
 	}
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 3, m.epoch
-	n.applyHeartbeat(m, r, true)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Unknown {
 		t.Errorf("told as %v while its start may be on its way", s)
 	}
@@ -242,7 +242,7 @@
 	n.syncShardLeader()
 	r = n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 4, m.epoch
-	n.applyHeartbeat(m, r, true)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Gone {
 		t.Errorf("told as %v, want that it is gone", s)
 	}
@@ -253,11 +253,11 @@
 func TestRemoteStateNeedsCurrentEpoch(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 5, "vm-000077")
-	j := n.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.attachAttempt(j, 0, n.ownedOrRemoteMachine("vm-000077"))
+	n.shardLeader.attachAttempt(j, 0, n.shardLeader.ownedOrRemoteMachine("vm-000077"))
 	publish := func(from string, epoch uint64) {
-		receiveRemoteAttempts(n, from, []remote.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []remote.AttemptStatus{{AttemptID: remote.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: remote.Gone}}}})
+		n.shardLeader.remoteAttempts.receiveRemoteAttempts(from, []remote.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []remote.AttemptStatus{{AttemptID: remote.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: remote.Gone}}}})
 	}
 	publish("b", 4)
 	publish("c", 5)
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -38,20 +38,20 @@
 }
 
 // storeLimits are the state service's limits.
-func (n *Controller) storeLimits() sizelimit.Limits {
-	return sizelimit.Limits{ValueBytes: n.settings.MaxValueBytes, Ops: n.settings.MaxTxnWrites}
+func (r *requestTracker) storeLimits() sizelimit.Limits {
+	return sizelimit.Limits{ValueBytes: r.settings.MaxValueBytes, Ops: r.settings.MaxTxnWrites}
 }
 
 // requestLimits are those that a transaction keeps to. As long as a controller of the version
 // before can come back, records of tasks are as it writes and reads them.
-func (n *Controller) requestLimits(op *message.StoreRequest) sizelimit.Limits {
-	l := n.storeLimits()
-	if n.segmentFormat().sized {
+func (r *requestTracker) requestLimits(op *message.StoreRequest) sizelimit.Limits {
+	l := r.storeLimits()
+	if r.controller.membership.formats.segmentFormat().sized {
 		return l
 	}
 	for _, a := range op.Writes {
 		if strings.HasPrefix(a.Key, record.TaskSegmentPrefix) || a.Key == record.LimitProbeKey {
-			l.ValueBytes = n.settings.currentMaxValueBytes()
+			l.ValueBytes = r.settings.currentMaxValueBytes()
 		}
 	}
 	return l
@@ -59,36 +59,36 @@
 
 func newShardPlanning(n *Controller) shardPlanning {
 	return shardPlanning{
-		planner:            sharding.New(n.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
+		planner:            sharding.New(n.requests.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
 		unrecordedMachines: map[string]sharding.NewMachine{}, offers: map[string]sharding.Offer{}, loads: map[string]float64{},
 	}
 }
 
 // planShards writes the next change of the division, if there is one.
-func planShards(n *Controller) {
-	l, s := n.leader, &n.membership
+func (ll *leader) planShards() {
+	l, s := ll, &ll.controller.membership
 	planning := &l.sharding
-	if planning.writing || s.revision < planning.writtenRevision || !s.loaded || n.now.After(s.leaseValidUntil) {
+	if planning.writing || s.revision < planning.writtenRevision || !s.loaded || ll.now.After(s.leaseValidUntil) {
 		return
 	}
-	input := sharding.Input{Map: s.shardMap, Self: n.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: n.confirmedGone}
+	input := sharding.Input{Map: s.shardMap, Self: ll.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: ll.controller.confirmedGone}
 	for _, h := range sortedKeys(s.controllers) {
 		r := s.controllers[h]
-		receivesNothing := r.ReceivesNothing || h == n.settings.Host && s.receivesNothing(n.now)
-		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: n.recentlyStarted(r)})
+		receivesNothing := r.ReceivesNothing || h == ll.settings.Host && s.receivesNothing(ll.now)
+		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: ll.controller.membership.recentlyStarted(r)})
 	}
-	for _, t := range n.settings.Teams {
+	for _, t := range ll.settings.Teams {
 		input.Teams = append(input.Teams, t.Name)
 	}
 	for _, id := range sortedKeys(planning.unrecordedMachines) {
 		r := planning.unrecordedMachines[id]
-		if o, ok := s.shardMap.Owner(id); ok && o.Host == r.Host || n.confirmedGone(id) {
+		if o, ok := s.shardMap.Owner(id); ok && o.Host == r.Host || ll.controller.confirmedGone(id) {
 			delete(planning.unrecordedMachines, id)
 			continue
 		}
 		input.NewMachines = append(input.NewMachines, r)
 	}
-	writes := planning.planner.Plan(n.now, input)
+	writes := planning.planner.Plan(ll.now, input)
 	clear(planning.offers)
 	if len(writes) == 0 {
 		return
@@ -98,15 +98,15 @@
 		key := record.ShardSegmentPrefix + w.Name
 		if w.IsShard {
 			key = record.ShardPrefix + w.Name
-			n.info("division", "share", w.Name, "gone", w.Value == nil)
+			ll.info("division", "share", w.Name, "gone", w.Value == nil)
 		}
 		op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: w.ModRevision})
 		op.Writes = append(op.Writes, message.Write{Key: key, Value: w.Value})
 	}
 	planning.writing = true
 	gen := l.gen
-	n.requestStore(op, func(d message.StoreResponse) {
-		if n.leader == nil || n.leader.gen != gen {
+	ll.controller.requests.toStore(op, func(d message.StoreResponse) {
+		if ll.controller.leader == nil || ll.controller.leader.gen != gen {
 			return
 		}
 		planning.writing = false
@@ -115,15 +115,15 @@
 			planning.writtenRevision = d.Revision
 			return
 		}
-		pause := n.jitter(storeRetryDelay)
+		pause := ll.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
 			// The same would be planned again. Other changes may go meanwhile, when what
 			// they rest on is another.
 			pause = malformedRetryDelay
 		}
-		n.after(pause, func() {
-			if n.leader != nil && n.leader.gen == gen {
-				planShards(n)
+		ll.after(pause, func() {
+			if ll.controller.leader != nil && ll.controller.leader.gen == gen {
+				ll.controller.leader.planShards()
 			}
 		})
 	})
@@ -145,25 +145,24 @@
 
 // markUnlisted notes which machines that records name a list does not show. A new one is
 // missing for a while, and so is all that a former leader rented just before.
-func markUnlisted(n *Controller) {
-	l := n.leader
-	n.membership.shardMap.EachMachine(func(id string) {
+func (l *leader) markUnlisted() {
+	l.controller.membership.shardMap.EachMachine(func(id string) {
 		if l.rentals[id] != nil {
 			delete(l.unlistedSince, id)
 		} else if _, known := l.unlistedSince[id]; !known {
-			l.unlistedSince[id] = n.now
+			l.unlistedSince[id] = l.now
 		}
 	})
 	for id := range l.unlistedSince {
-		if !n.membership.shardMap.IsAssigned(id) {
+		if !l.controller.membership.shardMap.IsAssigned(id) {
 			delete(l.unlistedSince, id)
 		}
 	}
 }
 
 // recordTeamLoads takes in what an owner's teams keep busy, as a mean over the last while.
-func recordTeamLoads(n *Controller, teamLoads []message.TeamLoad) {
-	loads := n.leader.sharding.loads
+func (l *leader) recordTeamLoads(teamLoads []message.TeamLoad) {
+	loads := l.sharding.loads
 	for _, x := range teamLoads {
 		if _, known := loads[x.Team]; !known {
 			loads[x.Team] = x.CPU
@@ -173,12 +172,12 @@
 }
 
 // applyOwnUpdate is what this leader, as an owner, would tell the leader.
-func applyOwnUpdate(n *Controller) {
-	l, o := n.leader, n.shardLeader
-	recordTeamLoads(n, n.teamLoads())
-	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == n.settings.Host {
-		o.teamRelease, o.teamReleaseAt = a, n.now
-		for _, x := range n.offers() {
+func (ll *leader) applyOwnUpdate() {
+	l, o := ll, ll.controller.shardLeader
+	ll.recordTeamLoads(ll.controller.shardLeader.teamLoads())
+	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == ll.settings.Host {
+		o.teamRelease, o.teamReleaseAt = a, ll.now
+		for _, x := range ll.controller.shardLeader.offers() {
 			l.sharding.offers[x.Team] = x
 		}
 	}
