--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -70,10 +70,10 @@
 	if n.shardLeader == nil {
 		n.shardLeader = newShardLeader(n)
 		n.info("owner", "shares", shardNames(heldShards))
-		n.watchOpenJobs()
+		n.frontend.watchCache.watchOpenJobs()
 	}
-	syncMachines(n, heldShards)
-	syncTeams(n, heldShards)
+	n.shardLeader.syncMachines(heldShards)
+	n.shardLeader.syncTeams(heldShards)
 }
 
 func shardNames(heldShards []*sharding.Shard) []string {
@@ -86,36 +86,34 @@
 
 // syncTeams lets go of the teams that are another's now, and reads the records of
 // those that have come.
-func syncTeams(n *Controller, heldShards []*sharding.Shard) {
-	o := n.shardLeader
+func (o *shardLeader) syncTeams(heldShards []*sharding.Shard) {
 	assigned := map[string]bool{}
 	for _, x := range heldShards {
 		for _, t := range x.Teams {
-			assigned[t] = n.membership.shardMap.Team(t) == x
+			assigned[t] = o.controller.membership.shardMap.Team(t) == x
 		}
 	}
 	for _, t := range sortedKeys(o.teams) {
 		if !assigned[t] || o.teams[t].reassigned {
-			n.info("a team goes", "team", t)
-			handOverTeam(n, t)
+			o.info("a team goes", "team", t)
+			o.handOverTeam(t)
 		}
 	}
 	for _, t := range sortedKeys(assigned) {
 		if assigned[t] && o.teams[t] == nil {
-			n.info("a team comes", "team", t)
-			o.teams[t] = &heldTeam{holdID: int(n.nextID())}
+			o.info("a team comes", "team", t)
+			o.teams[t] = &heldTeam{holdID: int(o.nextID())}
 		}
 	}
-	loadTeams(n)
+	o.loadTeams()
 }
 
 // handOverTeam takes a team's jobs out of the books. What of them runs here goes on, in
 // the care of this controller, until their new owner asks for it or it ends.
-func handOverTeam(n *Controller, team string) {
-	o := n.shardLeader
+func (o *shardLeader) handOverTeam(team string) {
 	delete(o.teams, team)
 	newOwner := ""
-	if s := n.membership.shardMap.Team(team); s != nil {
+	if s := o.controller.membership.shardMap.Team(team); s != nil {
 		newOwner = s.Host
 	}
 	affected := map[string]*machine{}
@@ -139,9 +137,9 @@
 			// It may run or yet begin, and takes room. Whoever owns the job now reads
 			// of it and asks. What was never told to anybody is nowhere.
 			a := remote.AttemptID{Job: id, Index: i, Attempt: t.attempt}
-			o.registry.Request(n.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
+			o.remoteAttempts.registry.Request(o.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
 			if !t.startSent {
-				o.registry.MarkGone(n.now, m.id, a)
+				o.remoteAttempts.registry.MarkGone(o.now, m.id, a)
 			}
 			affected[m.id] = m
 		}
@@ -150,23 +148,22 @@
 	}
 	// Only now: what belongs to a job in the books is not counted as another's.
 	for _, id := range sortedKeys(affected) {
-		n.recountOthersUsed(affected[id])
-		n.markDispatchPending(affected[id])
+		o.controller.shardLeader.remoteAttempts.recountOthersUsed(affected[id])
+		o.controller.markDispatchPending(affected[id])
 	}
 	delete(o.usedByTeam, team)
-	forgetMigrations(n, team)
+	o.controller.shardLeader.migration.forgetMigrations(team)
 	delete(o.promiseDates.pageWriters, team)
-	for k := range o.arrivals {
+	for k := range o.fleet.arrivals {
 		if k.team == team {
-			delete(o.arrivals, k)
+			delete(o.fleet.arrivals, k)
 		}
 	}
 }
 
 // syncMachines lets go of the machines that are another's now, takes up those that
 // have come, and notes whose the others are.
-func syncMachines(n *Controller, heldShards []*sharding.Shard) {
-	o := n.shardLeader
+func (o *shardLeader) syncMachines(heldShards []*sharding.Shard) {
 	clear(o.shards)
 	catchAll := false
 	for _, x := range heldShards {
@@ -177,48 +174,47 @@
 	case !catchAll:
 		o.catchAllSince = time.Time{}
 	case o.catchAllSince.IsZero():
-		o.catchAllSince = n.now
+		o.catchAllSince = o.now
 	}
 	for _, m := range slices.Clone(o.machinesByID) {
-		x, mine := n.ownedMachine(m.id)
+		x, mine := o.controller.membership.ownedMachine(m.id)
 		switch {
 		case !mine:
-			handOverMachine(n, m)
+			o.handOverMachine(m)
 		case x.Epoch != m.epoch:
 			// It may have been another's in between, of which this one has read only
 			// now: what was seen of it, and when its lease ends, count anew.
-			m.epoch, m.formerOwnerUntil = x.Epoch, n.now.Add(n.formerOwnerGrace())
+			m.epoch, m.formerOwnerUntil = x.Epoch, o.now.Add(o.controller.renewal.formerOwnerGrace())
 			if !m.leaseEnd.IsZero() {
-				m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
+				m.leaseEnd = later(m.leaseEnd, o.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
 			}
-			o.registry.ForgetObservations(m.id)
-			n.markDispatchPending(m)
+			o.remoteAttempts.registry.ForgetObservations(m.id)
+			o.controller.markDispatchPending(m)
 		}
 	}
-	for _, id := range sortedKeys(o.remoteMachines) {
-		if _, mine := n.ownedMachine(id); mine {
-			takeOverMachine(n, o.remoteMachines[id])
+	for _, id := range sortedKeys(o.remoteAttempts.machines) {
+		if _, mine := o.controller.membership.ownedMachine(id); mine {
+			o.takeOverMachine(o.remoteAttempts.machines[id])
 		}
 	}
 }
 
 // handOverMachine forgets a machine that is another's now. The attempts of this owner's
 // jobs on it stay there: its new owner is asked about them.
-func handOverMachine(n *Controller, m *machine) {
-	o := n.shardLeader
+func (o *shardLeader) handOverMachine(m *machine) {
 	o.removeMachine(m)
-	o.registry.ForgetMachine(m.id)
-	delete(o.higherEpochSeen, m.id)
+	o.remoteAttempts.registry.ForgetMachine(m.id)
+	delete(o.failover.higherEpochSeen, m.id)
 	if len(m.attempts) == 0 {
 		return
 	}
-	asRemote := n.remoteMachine(m.id)
+	asRemote := o.remoteMachine(m.id)
 	asRemote.zone, asRemote.machineType, asRemote.spot = m.zone, m.machineType, m.spot
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
 		if !t.startSent {
 			// Never told to anybody, so it is nowhere.
-			n.endAttempt(o.jobs[k.job], k.index, false)
+			o.endAttempt(o.jobs[k.job], k.index, false)
 			continue
 		}
 		t.machine = asRemote
@@ -230,14 +226,13 @@
 }
 
 // takeOverMachine takes up a machine on which this owner's jobs have run under another.
-func takeOverMachine(n *Controller, asRemote *machine) {
-	o := n.shardLeader
-	delete(o.remoteMachines, asRemote.id)
+func (o *shardLeader) takeOverMachine(asRemote *machine) {
+	delete(o.remoteAttempts.machines, asRemote.id)
 	asRemote.removed = true
-	m := n.ensureMachine(asRemote.id)
+	m := o.ensureMachine(asRemote.id)
 	if m.machineType == "" && asRemote.machineType != "" {
 		m.zone, m.machineType, m.spot = asRemote.zone, asRemote.machineType, asRemote.spot
-		if f, ok := n.machineTypes[asRemote.machineType]; ok {
+		if f, ok := o.controller.knowledge.machineTypes[asRemote.machineType]; ok {
 			m.size, m.disk = f.Capacity, f.DiskGB
 		}
 	}
@@ -251,23 +246,23 @@
 		m.used = m.used.AddScaled(j.Need, 1)
 	}
 	// Whoever had it may go on answering it for a while.
-	m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(m.formerOwnerUntil))
-	n.rePoll(m)
-	if h := n.predecessorMachines[m.id]; n.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
-		n.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
+	m.leaseEnd = later(m.leaseEnd, o.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
+	o.controller.shardLeader.remoteAttempts.rePoll(m)
+	if h := o.controller.knowledge.predecessorMachines[m.id]; o.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
+		o.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 	}
-	o.inheritedMachines = append(o.inheritedMachines, m)
+	o.failover.inheritedMachines = append(o.failover.inheritedMachines, m)
 }
 
 // remoteMachine is a machine of another owner, as far as this one's jobs have attempts there.
-func (n *Controller) remoteMachine(id string) *machine {
-	a := n.shardLeader.remoteMachines[id]
+func (o *shardLeader) remoteMachine(id string) *machine {
+	a := o.remoteAttempts.machines[id]
 	if a == nil {
 		a = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
-		if h, ok := n.predecessorMachines[id]; ok {
+		if h, ok := o.controller.knowledge.predecessorMachines[id]; ok {
 			a.zone, a.machineType, a.spot = h.Zone, h.MachineType, h.Spot
 		}
-		n.shardLeader.remoteMachines[id] = a
+		o.remoteAttempts.machines[id] = a
 	}
 	return a
 }
@@ -275,35 +270,35 @@
 // dropRemoteMachine forgets a machine of another owner when nothing of ours is on it.
 func (o *shardLeader) dropRemoteMachine(a *machine) {
 	if len(a.attempts) == 0 {
-		delete(o.remoteMachines, a.id)
+		delete(o.remoteAttempts.machines, a.id)
 		a.removed = true
 	}
 }
 
 // ownedOrRemoteMachine is the machine that a record names, whoever owns it.
-func (n *Controller) ownedOrRemoteMachine(id string) *machine {
-	if _, mine := n.ownedMachine(id); mine {
-		return n.ensureMachine(id)
+func (o *shardLeader) ownedOrRemoteMachine(id string) *machine {
+	if _, mine := o.controller.membership.ownedMachine(id); mine {
+		return o.ensureMachine(id)
 	}
-	return n.remoteMachine(id)
+	return o.remoteMachine(id)
 }
 
 // shardCompares are what a write for these teams has among its conditions: that their
 // shares are as this owner has read them. "" stands for any of its shares.
-func (n *Controller) shardCompares(teams ...string) []message.Compare {
+func (o *shardLeader) shardCompares(teams ...string) []message.Compare {
 	var out []message.Compare
 	for _, t := range teams {
-		s := n.membership.shardMap.Team(t)
-		if s == nil || !n.shardLeader.shards[s.Name] {
-			for _, name := range sortedKeys(n.shardLeader.shards) {
-				if s = n.membership.shardMap.Shard(name); s != nil {
+		s := o.controller.membership.shardMap.Team(t)
+		if s == nil || !o.shards[s.Name] {
+			for _, name := range sortedKeys(o.shards) {
+				if s = o.controller.membership.shardMap.Shard(name); s != nil {
 					break
 				}
 			}
 		}
 		if s == nil {
 			// Nothing is held any more; the write is to fail.
-			out = append(out, message.Compare{Key: record.ShardPrefix + n.settings.Host, ModRevision: ^uint64(0)})
+			out = append(out, message.Compare{Key: record.ShardPrefix + o.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
 		if c := (message.Compare{Key: record.ShardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
@@ -316,8 +311,7 @@
 // loadTeams reads the records of teams that are not ready: first what is open, as of
 // a moment after they came, then the tasks. Whoever had them before can write nothing
 // in between: what it writes names its own share.
-func loadTeams(n *Controller) {
-	o := n.shardLeader
+func (o *shardLeader) loadTeams() {
 	if o.loadingTeams {
 		return
 	}
@@ -331,18 +325,18 @@
 		return
 	}
 	o.loadingTeams = true
-	began := n.now
+	began := o.now
 	gen := o.generation
 	var tasks, migrationItems []message.KeyValue
-	current := func() bool { return n.shardLeader != nil && n.shardLeader.generation == gen }
+	current := func() bool { return o.controller.shardLeader != nil && o.controller.shardLeader.generation == gen }
 	var readOpenJobs, listTasks func()
 	var listPrewarmed func(from string)
 	readOpenJobs = func() {
-		n.refresh(func(ok bool) {
+		o.controller.frontend.watchCache.refresh(func(ok bool) {
 			switch {
 			case !current():
 			case !ok:
-				n.after(n.jitter(storeRetryDelay), func() {
+				o.after(o.jitter(storeRetryDelay), func() {
 					if current() {
 						readOpenJobs()
 					}
@@ -353,12 +347,12 @@
 		})
 	}
 	listTasks = func() {
-		readAll(n, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
+		readAll(o.controller, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
 			tasks = its
-			readMigrations(n, func(its []message.KeyValue) {
+			o.controller.shardLeader.migration.readMigrations(func(its []message.KeyValue) {
 				migrationItems = its
 				if o.ready {
-					recoverTeams(n, teams, tasks, migrationItems, began)
+					o.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
 				} else {
 					listPrewarmed("")
 				}
@@ -367,18 +361,18 @@
 	}
 	// Images are no more than a help: without them it goes on as well.
 	listPrewarmed = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		o.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if !current() {
 				return
 			}
 			for _, it := range d.KeyValues {
-				n.applyPrewarmedRecord(it)
+				o.controller.shardLeader.persistence.applyPrewarmedRecord(it)
 			}
 			if d.Status == message.StoreOK && d.Truncated && len(d.KeyValues) > 0 {
 				listPrewarmed(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			recoverTeams(n, teams, tasks, migrationItems, began)
+			o.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
 		})
 	}
 	readOpenJobs()
@@ -390,7 +384,7 @@
 	var got []message.KeyValue
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
+		n.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
 			switch {
 			case !wanted():
 			case d.Status != message.StoreOK:
@@ -413,8 +407,7 @@
 }
 
 // recoverTeams restores the jobs of teams from what was read.
-func recoverTeams(n *Controller, requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, began time.Time) {
-	o := n.shardLeader
+func (o *shardLeader) recoverTeams(requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, began time.Time) {
 	o.loadingTeams = false
 	firstLoad := !o.ready
 	// Some may have gone while their records were read, and others may have written
@@ -423,89 +416,89 @@
 	recovered := map[string]*job{}
 	for _, it := range tasks {
 		// Whoever wrote a part knew that all know parts.
-		if f, _, ok := n.parseSegmentKey(it.Key); ok {
-			adoptFormat(n, f)
+		if f, _, ok := o.controller.membership.formats.parseSegmentKey(it.Key); ok {
+			o.controller.membership.formats.adoptFormat(f)
 		}
 	}
-	for _, id := range sortedKeys(n.frontend.watchCache.openJobs) {
-		l := n.frontend.watchCache.openJobs[id]
+	for _, id := range sortedKeys(o.controller.frontend.watchCache.openJobs) {
+		l := o.controller.frontend.watchCache.openJobs[id]
 		if !slices.Contains(teams, l.rec.Team) && !(firstLoad && l.rec.Cancelled && l.rec.Team == "") || o.jobs[id] != nil {
 			continue
 		}
-		if n.frontend.finalStatuses[id] == model.Done {
+		if o.controller.frontend.finalStatuses[id] == model.Done {
 			continue
 		}
 		if bad := l.rec.Validate(); bad != "" {
-			n.rejectInput("record", record.OpenJobPrefix+id, bad)
+			o.rejectInput("record", record.OpenJobPrefix+id, bad)
 			continue
 		}
 		spec := l.rec.JobSpec(id)
 		if l.rec.Cancelled {
 			spec.Tasks = l.rec.Tasks
 		}
-		j := n.addJob(spec, time.UnixMilli(l.rec.SubmittedAtMillis), l.modRevision)
+		j := o.addJob(spec, time.UnixMilli(l.rec.SubmittedAtMillis), l.modRevision)
 		recovered[id] = j
-		n.applyJobRecord(j, l.modRevision, &l.rec)
+		o.applyJobRecord(j, l.modRevision, &l.rec)
 	}
 	attempts := 0
-	slices.SortStableFunc(tasks, n.compareFormats)
+	slices.SortStableFunc(tasks, o.controller.membership.formats.compareFormats)
 	for _, it := range tasks {
 		id := record.JobIDFromKey(it.Key, record.TaskSegmentPrefix)
 		j := recovered[id]
 		if j == nil {
-			if _, open := n.frontend.watchCache.openJobs[id]; firstLoad && !open {
-				o.orphanedRecords = append(o.orphanedRecords, it.Key)
+			if _, open := o.controller.frontend.watchCache.openJobs[id]; firstLoad && !open {
+				o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, it.Key)
 			}
 			continue
 		}
 		var r record.TaskSegment
 		if !record.Decode(it.Value, &r) {
-			n.rejectInput("record", it.Key, "it can't be read")
+			o.rejectInput("record", it.Key, "it can't be read")
 			continue
 		}
-		n.recoverSegment(j, it, &r)
+		o.controller.shardLeader.failover.recoverSegment(j, it, &r)
 	}
 	for _, id := range sortedKeys(recovered) {
-		n.queueRecovered(recovered[id])
+		o.controller.shardLeader.failover.queueRecovered(recovered[id])
 		attempts += recovered[id].liveTasks
 	}
 	for _, t := range teams {
-		o.teams[t].ready, o.teams[t].readyAt = true, n.now
-		recoverPromises(n, t, recovered)
+		o.teams[t].ready, o.teams[t].readyAt = true, o.now
+		o.controller.promises.recoverPromises(t, recovered)
 	}
-	recoverMigrations(n, teams, migrationItems)
-	o.placementDue = true
+	o.controller.shardLeader.migration.recoverMigrations(teams, migrationItems)
+	o.scheduler.placementDue = true
 	o.remoteAttempts.due = true
 	for _, m := range o.machinesByID {
 		// What runs there may have been another's until now.
-		n.rePoll(m)
+		o.controller.shardLeader.remoteAttempts.rePoll(m)
 	}
 	if firstLoad {
-		o.ready, o.readyAt = true, n.now
-		adoptPredecessorMachines(n)
+		o.ready, o.readyAt = true, o.now
+		o.controller.shardLeader.failover.adoptPredecessorMachines()
 	}
-	n.info("owner ready", "teams", teams, "jobs", len(recovered), "attempts", attempts, "machines", len(o.machines), "after", n.now.Sub(began))
+	o.info("owner ready", "teams", teams, "jobs", len(recovered), "attempts", attempts, "machines", len(o.machines), "after", o.now.Sub(began))
 	// Reach the machines at once, those with living attempts first: the epoch ends
 	// what a former owner may still order, and their reports are the proof. Those
 	// without are contacted as well, or they would stay with a former owner that has
 	// lost the state service alone, for the whole of its grace.
-	o.inheritedMachines = slices.Clone(o.machinesByID)
-	sortInheritedByRank(n, o.inheritedMachines)
-	n.contactInheritedMachines()
-	loadTeams(n)
+	o.failover.inheritedMachines = slices.Clone(o.machinesByID)
+	o.controller.ranking.sortInheritedByRank(o.failover.inheritedMachines)
+	o.controller.shardLeader.failover.contactInheritedMachines()
+	o.loadTeams()
 }
 
 // adoptPredecessorMachines takes up what other owners last told of machines that are this one's.
-func adoptPredecessorMachines(n *Controller) {
-	for _, id := range sortedKeys(n.predecessorMachines) {
-		h := n.predecessorMachines[id]
-		if _, mine := n.ownedMachine(id); !mine || n.now.Sub(h.receivedAt) >= machineUpdateTTL || n.released[id] {
+func (f *failover) adoptPredecessorMachines() {
+	for _, id := range sortedKeys(f.controller.knowledge.predecessorMachines) {
+		h := f.controller.knowledge.predecessorMachines[id]
+		if _, mine := f.controller.membership.ownedMachine(id); !mine || f.now.Sub(h.receivedAt) >= machineUpdateTTL || f.controller.knowledge.released[id] {
 			continue
 		}
-		m := n.ensureMachine(id)
-		n.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
+		m := f.controller.shardLeader.ensureMachine(id)
+		f.controller.shardLeader.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 		for name, gb := range h.Images {
-			m.images[name] = &image{sizeGB: gb, last: n.now, cached: true}
+			m.images[name] = &image{sizeGB: gb, last: f.now, cached: true}
 		}
 	}
 }
@@ -521,7 +514,7 @@
 	for _, id := range sortedKeys(o.jobs) {
 		if l, there := open[id]; there {
 			if l.modRevision > o.jobs[id].modRevision {
-				n.applyJobRecord(o.jobs[id], l.modRevision, &l.rec)
+				n.shardLeader.applyJobRecord(o.jobs[id], l.modRevision, &l.rec)
 			}
 		} else if o.jobs[id].elsewhere() {
 			delete(o.jobs, id)
@@ -529,7 +522,7 @@
 	}
 	for _, id := range sortedKeys(open) {
 		if l := open[id]; o.jobs[id] == nil {
-			n.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + id, Value: record.Encode(l.rec), ModRevision: l.modRevision})
+			n.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + id, Value: record.Encode(l.rec), ModRevision: l.modRevision})
 		}
 	}
 }
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -55,13 +55,13 @@
 // visitUnits is what the placing of some alike tasks on one machine costs.
 const visitUnits = 8
 
-func (n *Controller) newSimulation(vs []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
-	p := &simulation{controller: n, now: n.now, machines: vs, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
-	if v := n.shardLeader.fleetView; v != nil {
+func (f *fleetPlanner) newSimulation(vs []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
+	p := &simulation{controller: f.controller, now: f.now, machines: vs, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
+	if v := f.view; v != nil {
 		for k, until := range v.blockedUntil {
-			p.refusedKinds[k] = until.After(n.now)
+			p.refusedKinds[k] = until.After(f.now)
 		}
-		for k := range n.shardLeader.neverReadyKinds {
+		for k := range f.neverReadyKinds {
 			p.refusedKinds[k] = true
 		}
 		p.surplus = maps.Clone(v.surplus)
@@ -84,8 +84,8 @@
 
 // addProvisioning adds a machine that is not up yet.
 func (p *simulation) addProvisioning(k machineKind, ready time.Time) *simulatedMachine {
-	f := p.controller.machineTypes[k.machineType]
-	v := &simulatedMachine{machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: f.Capacity, packingKind: p.controller.currentPackingProfile().kind(k.machineType)}
+	f := p.controller.knowledge.machineTypes[k.machineType]
+	v := &simulatedMachine{machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: f.Capacity, packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType)}
 	if f.ImageFetchRate > 0 {
 		v.secondsPerGB = 1 / f.ImageFetchRate
 	}
@@ -101,7 +101,7 @@
 		if p.neededCache == nil {
 			p.neededCache = map[[2]string]bool{}
 		}
-		is = p.controller.neededElsewhere(&j.JobSpec, machineType)
+		is = p.controller.shardLeader.fleet.neededElsewhere(&j.JobSpec, machineType)
 		p.neededCache[key] = is
 	}
 	return is
@@ -134,12 +134,12 @@
 
 // simulatedLateness sums up how much later than they must tasks would start in the room,
 // were some machines not there.
-func (n *Controller) simulatedLateness(r *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
-	p := n.newSimulation(copyFreeCapacity(r, without), r.imageIDs, charge)
+func (f *fleetPlanner) simulatedLateness(r *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
+	p := f.newSimulation(copyFreeCapacity(r, without), r.imageIDs, charge)
 	var late time.Duration
 	for _, d := range demands {
-		bound := n.waitObjective(d.job.Workload)
-		margin := n.safetyMargin(d.job)
+		bound := f.waitObjective(d.job.Workload)
+		margin := f.controller.knowledge.safetyMargin(d.job)
 		p.simulate(d, func(count int, v *simulatedMachine, from, at time.Time) {
 			// Worse than any place, however late: else a machine that is the only place
 			// for what runs for hours would be let go.
@@ -157,16 +157,16 @@
 }
 
 // safetyMargin is the time in hand that the uncertainty of a job's run time asks for.
-func (n *Controller) safetyMargin(j *job) time.Duration {
+func (k *fleetKnowledge) safetyMargin(j *job) time.Duration {
 	if j.LongRunning {
 		// It has no end to be in time.
 		return minSafetyMargin
 	}
 	share := minSafetyFraction
-	if e := n.estimators[j.Workload]; e != nil && len(j.sortedRunTimes) == 0 {
+	if e := k.estimators[j.Workload]; e != nil && len(j.sortedRunTimes) == 0 {
 		share = max(share, min(e.deviation, 1))
 	}
-	return minSafetyMargin + time.Duration(share*float64(n.expectedRunTime(j)))
+	return minSafetyMargin + time.Duration(share*float64(k.expectedRunTime(j)))
 }
 
 // newMachineFetchTime is how long a new machine takes to fetch the image.
@@ -178,11 +178,11 @@
 }
 
 // expectedOccupancy is how long a task of the job is expected to hold its room.
-func (n *Controller) expectedOccupancy(j *job) time.Duration {
+func (f *fleetPlanner) expectedOccupancy(j *job) time.Duration {
 	if j.LongRunning {
 		return forever
 	}
-	return max(n.expectedRunTime(j), time.Second)
+	return max(f.controller.knowledge.expectedRunTime(j), time.Second)
 }
 
 // startDeadline is when a task of the demand that comes at the time from should start at
@@ -319,63 +319,63 @@
 }
 
 // planningHorizon is the time until a machine rented now is of use.
-func (n *Controller) planningHorizon() time.Duration {
+func (k *fleetKnowledge) planningHorizon() time.Duration {
 	var sum time.Duration
-	for _, f := range n.machineTypes {
+	for _, f := range k.machineTypes {
 		sum += f.ProvisioningTime
 	}
-	return sum / time.Duration(max(1, len(n.machineTypes)))
+	return sum / time.Duration(max(1, len(k.machineTypes)))
 }
 
 // expectedToReport says that a machine has not been heard of since a takeover, but most
 // likely will be: the cloud lists it as running, and it reports in its turn. For
 // planning it counts as there. A successor that counted only those it had heard
 // would rent hundreds beside it, which then stand idle.
-func (n *Controller) expectedToReport(m *machine) bool {
-	o := n.shardLeader
-	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || n.now.Sub(o.readyAt) > 2*n.maxHeartbeatInterval() || o.fleetView == nil {
+func (f *fleetPlanner) expectedToReport(m *machine) bool {
+	o := f.controller.shardLeader
+	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || f.now.Sub(o.readyAt) > 2*f.maxHeartbeatInterval() || o.fleet.view == nil {
 		return false
 	}
-	r := o.fleetView.rentals[m.id]
+	r := o.fleet.view.rentals[m.id]
 	return r != nil && r.status == "running" && !r.releasing
 }
 
 // futureFreeCapacity is each usable machine with what its running tasks will leave, as
 // far as their expected ends tell. What runs longer than expected is taken to
 // go on for a while.
-func (n *Controller) futureFreeCapacity() *freeCapacity {
-	r := &freeCapacity{machines: make([]*simulatedMachine, 0, len(n.shardLeader.machinesByID)), imageIDs: map[string]int32{}}
-	all := make([]simulatedMachine, len(n.shardLeader.machinesByID))
+func (f *fleetPlanner) futureFreeCapacity() *freeCapacity {
+	r := &freeCapacity{machines: make([]*simulatedMachine, 0, len(f.controller.shardLeader.machinesByID)), imageIDs: map[string]int32{}}
+	all := make([]simulatedMachine, len(f.controller.shardLeader.machinesByID))
 	attempts, images := 0, 0
-	for _, m := range n.shardLeader.machinesByID {
+	for _, m := range f.controller.shardLeader.machinesByID {
 		attempts += len(m.attempts) + 1
 		images += len(m.images)
 	}
 	ends, ids := make([]release, 0, attempts), make([]int32, 0, images)
-	usual := n.currentPackingProfile()
-	for i, m := range n.shardLeader.machinesByID {
-		if !n.usable(m) && !n.expectedToReport(m) || m.reservedFor != "" {
+	usual := f.controller.shardLeader.scheduler.currentPackingProfile()
+	for i, m := range f.controller.shardLeader.machinesByID {
+		if !f.controller.shardLeader.scheduler.usable(m) && !f.expectedToReport(m) || m.reservedFor != "" {
 			continue
 		}
 		v := &all[i]
 		*v = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingKind: usual.kind(m.machineType)}
 		if v.packingKind != nil && !v.idle {
-			v.nonGPUFree = v.packingKind.NonGPUCapacity(v.free, n.nonGPUUse(m))
+			v.nonGPUFree = v.packingKind.NonGPUCapacity(v.free, f.controller.shardLeader.scheduler.nonGPUUse(m))
 		}
 		lo := len(ends)
 		for k, t := range m.attempts {
-			j := n.shardLeader.jobs[k.job]
+			j := f.controller.shardLeader.jobs[k.job]
 			if j.LongRunning {
 				continue
 			}
-			e := n.expectedRunTime(j)
+			e := f.controller.knowledge.expectedRunTime(j)
 			left := e
 			switch {
 			case t.inherited:
 				// When it began is not known here, but when it was placed.
-				left = max(e-n.now.Sub(time.UnixMilli(t.groupStart)), e/5)
+				left = max(e-f.now.Sub(time.UnixMilli(t.groupStart)), e/5)
 			case !t.startedAt.IsZero():
-				left = max(e-n.now.Sub(t.startedAt), e/5)
+				left = max(e-f.now.Sub(t.startedAt), e/5)
 			}
 			ends = append(ends, release{left, j.Need})
 		}
@@ -383,7 +383,7 @@
 		slices.SortFunc(v.releases, func(a, b release) int {
 			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory))
 		})
-		rate := n.imageFetchRate(m)
+		rate := f.controller.knowledge.imageFetchRate(m)
 		// Those it has come first, then those that are on their way.
 		lo = len(ids)
 		some := 0
@@ -420,13 +420,13 @@
 //
 // The forecast is the average, for bursts with more as chance may bring;
 // cautious, it follows at once when arrivals end.
-func (n *Controller) demands(horizon time.Duration, bursts, cautious bool) []demand {
-	o := n.shardLeader
+func (f *fleetPlanner) demands(horizon time.Duration, bursts, cautious bool) []demand {
+	o := f.controller.shardLeader
 	over := map[string]model.Resources{}
 	var out []demand
-	for _, j := range n.jobsInQueueOrder() {
-		count := max(0, n.placeableTasks(j)-reservedTasks(n, j))
-		if t := n.team(j.Team); t != nil {
+	for _, j := range f.controller.shardLeader.scheduler.jobsInQueueOrder() {
+		count := max(0, f.controller.shardLeader.scheduler.placeableTasks(j)-f.controller.shardLeader.migration.reservedTasks(j))
+		if t := f.team(j.Team); t != nil {
 			u := o.usedByTeam[j.Team].AddScaled(over[j.Team], 1)
 			left := model.Resources{CPU: t.QuotaLimit.CPU - u.CPU, GPU: t.QuotaLimit.GPU - u.GPU}
 			if t.QuotaLimit.CPU > 0 {
@@ -437,7 +437,7 @@
 			}
 			over[j.Team] = over[j.Team].AddScaled(j.Need, float64(count))
 		}
-		out = append(out, demand{job: j, count: count, latestStart: dueStart(n, j)})
+		out = append(out, demand{job: j, count: count, latestStart: f.controller.shardLeader.scheduler.dueStart(j)})
 	}
 	for _, name := range sortedKeys(o.workloads) {
 		w := o.workloads[name]
@@ -445,22 +445,24 @@
 			continue
 		}
 		spread := horizon
-		count := n.arrivalRate(name, arrivalWindow) * spread.Seconds()
+		count := f.arrivalRate(name, arrivalWindow) * spread.Seconds()
 		if cautious {
-			count = min(count, 2*n.arrivalRate(name, recentWindow)*spread.Seconds())
+			count = min(count, 2*f.arrivalRate(name, recentWindow)*spread.Seconds())
 		}
 		if bursts {
-			count *= n.burstFactor(name, spread)
+			count *= f.burstFactor(name, spread)
 		}
-		if n.waitObjective(name) > 0 {
-			count *= n.settings.Policy.HeadroomFactor
+		if f.waitObjective(name) > 0 {
+			count *= f.settings.Policy.HeadroomFactor
 		}
 		if k := int(count + 0.5); k > 0 {
-			j := &job{JobSpec: *w.spec, tasks: make([]task, k), submittedAt: n.now.Add(spread / 2)}
-			out = append(out, demand{job: j, count: k, latestStart: n.latestStart(j), arrivalSpread: spread})
+			j := &job{JobSpec: *w.spec, tasks: make([]task, k), submittedAt: f.now.Add(spread / 2)}
+			out = append(out, demand{job: j, count: k, latestStart: f.controller.shardLeader.scheduler.latestStart(j), arrivalSpread: spread})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b demand) int { return cmp.Compare(rankOf(n, a.job), rankOf(n, b.job)) })
+	slices.SortStableFunc(out, func(a, b demand) int {
+		return cmp.Compare(f.controller.ranking.rankOf(a.job), f.controller.ranking.rankOf(b.job))
+	})
 	return out
 }
 
@@ -469,11 +471,11 @@
 
 // workloadKeysOf are the teams whose jobs of a workload have lately come here, or came to
 // whoever had them before.
-func (n *Controller) workloadKeysOf(workload string) []workloadKey {
+func (f *fleetPlanner) workloadKeysOf(workload string) []workloadKey {
 	var out []workloadKey
-	for _, t := range sortedKeys(n.shardLeader.teams) {
+	for _, t := range sortedKeys(f.controller.shardLeader.teams) {
 		k := workloadKey{t, workload}
-		if _, told := n.inheritedLoads[k]; told || len(n.shardLeader.arrivals[k]) > 0 {
+		if _, told := f.controller.knowledge.inheritedLoads[k]; told || len(f.arrivals[k]) > 0 {
 			out = append(out, k)
 		}
 	}
@@ -484,10 +486,10 @@
 // time. Jobs come by chance and differ in size about as much as their mean, so
 // what comes varies by one part in the root of their number: by half where few
 // come, by little where hundreds do.
-func (n *Controller) burstFactor(name string, within time.Duration) float64 {
+func (f *fleetPlanner) burstFactor(name string, within time.Duration) float64 {
 	jobs := 0.0
-	for _, k := range n.workloadKeysOf(name) {
-		jobs += float64(len(n.shardLeader.arrivals[k])) * within.Seconds() / arrivalWindow.Seconds()
+	for _, k := range f.workloadKeysOf(name) {
+		jobs += float64(len(f.arrivals[k])) * within.Seconds() / arrivalWindow.Seconds()
 	}
 	return 1 + min(maxBurst, 1/math.Sqrt(max(jobs, 1)))
 }
@@ -496,32 +498,32 @@
 const maxBurst = 0.5
 
 // arrivalRate is the workload's tasks a second over the last while.
-func (n *Controller) arrivalRate(name string, window time.Duration) float64 {
+func (f *fleetPlanner) arrivalRate(name string, window time.Duration) float64 {
 	sum := 0.0
-	for _, k := range n.workloadKeysOf(name) {
-		sum += n.teamArrivalRate(k, window)
+	for _, k := range f.workloadKeysOf(name) {
+		sum += f.teamArrivalRate(k, window)
 	}
 	return sum
 }
 
 // teamArrivalRate is that of one team. After a takeover, what a former owner told of it fills
 // in for what was not seen.
-func (n *Controller) teamArrivalRate(k workloadKey, window time.Duration) float64 {
-	o := n.shardLeader
-	as := o.arrivals[k]
-	for len(as) > 0 && n.now.Sub(as[0].arrivedAt) > arrivalWindow {
+func (f *fleetPlanner) teamArrivalRate(k workloadKey, window time.Duration) float64 {
+	o := f.controller.shardLeader
+	as := o.fleet.arrivals[k]
+	for len(as) > 0 && f.now.Sub(as[0].arrivedAt) > arrivalWindow {
 		as = as[1:]
 	}
-	o.arrivals[k] = as
+	o.fleet.arrivals[k] = as
 	held := o.teams[k.team]
 	if held == nil || !held.ready {
 		return 0
 	}
-	old, told := n.inheritedLoads[k]
-	span := n.now.Sub(held.readyAt)
+	old, told := f.controller.knowledge.inheritedLoads[k]
+	span := f.now.Sub(held.readyAt)
 	sum := 0
 	for _, a := range as {
-		if n.now.Sub(a.arrivedAt) <= window {
+		if f.now.Sub(a.arrivedAt) <= window {
 			sum += a.tasks
 		}
 	}
@@ -541,12 +543,12 @@
 }
 
 // workloadLoads is what a successor has to know of the teams' workloads.
-func (n *Controller) workloadLoads() []message.WorkloadLoad {
+func (f *fleetPlanner) workloadLoads() []message.WorkloadLoad {
 	var out []message.WorkloadLoad
-	for _, name := range sortedKeys(n.shardLeader.workloads) {
-		for _, k := range n.workloadKeysOf(name) {
-			l := message.WorkloadLoad{Team: k.team, Workload: name, TasksPerSecond: n.teamArrivalRate(k, arrivalWindow), RunTimeRatio: 1}
-			if e := n.estimators[name]; e != nil {
+	for _, name := range sortedKeys(f.controller.shardLeader.workloads) {
+		for _, k := range f.workloadKeysOf(name) {
+			l := message.WorkloadLoad{Team: k.team, Workload: name, TasksPerSecond: f.teamArrivalRate(k, arrivalWindow), RunTimeRatio: 1}
+			if e := f.controller.knowledge.estimators[name]; e != nil {
 				l.RunTimeRatio, l.Deviation, l.Samples = e.ratio, e.deviation, e.samples
 			}
 			out = append(out, l)
@@ -563,9 +565,9 @@
 		if n.shardLeader != nil && n.shardLeader.teams[l.Team] != nil {
 			continue
 		}
-		n.inheritedLoads[k] = l
-		if e := n.estimators[l.Workload]; l.Samples > 0 && (n.shardLeader == nil || e == nil || e.samples < l.Samples) {
-			n.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
+		n.knowledge.inheritedLoads[k] = l
+		if e := n.knowledge.estimators[l.Workload]; l.Samples > 0 && (n.shardLeader == nil || e == nil || e.samples < l.Samples) {
+			n.knowledge.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
 		}
 	}
 }
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -31,22 +31,22 @@
 		n.runTimers()
 	}
 	// What passes a limit does not leave.
-	n.requestStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
+	n.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
 	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || n.internalErrors != 1 {
 		t.Errorf("%d requests have left, answered %v, %d defects", len(sentStoreRequests(n)), got, n.internalErrors)
 	}
 	// What is called malformed all the same is not sent again as it is, but what
 	// differs is.
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 1})}}}
-	n.requestStore(op, fn)
+	n.requests.toStore(op, fn)
 	n.handleCommand(message.StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: message.StoreMalformed})
 	n.effects, got = nil, nil
-	n.requestStore(op, fn)
+	n.requests.toStore(op, fn)
 	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
 		t.Errorf("sent again: %v, answered %v", sentStoreRequests(n), got)
 	}
 	op.Writes = []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 2})}}
-	if n.requestStore(op, fn); len(sentStoreRequests(n)) != 1 {
+	if n.requests.toStore(op, fn); len(sentStoreRequests(n)) != 1 {
 		t.Error("another one does not leave")
 	}
 }
@@ -58,16 +58,16 @@
 	n.membership.leaseID = 1
 	n.shardLeader.jobs = map[string]*job{}
 	for _, id := range []string{"job-1", "job-2"} {
-		j := n.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+		j := n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 		i := j.takePending(n.now)
 		j.tasks[i].attempt = 1
-		n.attachAttempt(j, i, n.shardLeader.machinesByID[0])
+		n.shardLeader.attachAttempt(j, i, n.shardLeader.machinesByID[0])
 		j.markChanged(i, n.now, true)
 	}
 	written := map[string]bool{}
 	for range 8 {
 		n.effects = nil
-		n.writeSegments()
+		n.shardLeader.persistence.writeSegments()
 		for _, op := range sentStoreRequests(n) {
 			bad := false
 			for _, a := range op.Writes {
@@ -102,11 +102,11 @@
 		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: model.Resources{CPU: 1, Memory: 1}}, n.now, 1, value)
 		n.shardLeader.jobs[j.ID] = j
 		for i := range j.tasksPerSegment {
-			m := n.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
+			m := n.shardLeader.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
 			j.nextFresh++
 			t := &j.tasks[i]
 			t.attempt, t.groupStart, t.relaunched = 12, n.now.UnixMilli()+int64(i), true
-			n.attachAttempt(j, i, m)
+			n.shardLeader.attachAttempt(j, i, m)
 			j.groups[t.groupStart] = &group{startedAt: n.now, relaunchDecided: i%2 == 0}
 			j.recordRunTime(time.Duration(100+i) * time.Second)
 		}
@@ -124,7 +124,7 @@
 		if !record.Decode(record.Encode(r), &back) {
 			t.Fatal("unreadable")
 		}
-		successor.recoverSegment(h, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
+		successor.shardLeader.failover.recoverSegment(h, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
 		for i := range j.tasksPerSegment {
 			if h.tasks[i].machine == nil || h.tasks[i].machine.id != j.tasks[i].machine.id {
 				t.Fatalf("task %d is on %v, was on %s", i, h.tasks[i].machine, j.tasks[i].machine.id)
@@ -144,8 +144,8 @@
 		r.Tasks = append(r.Tasks, model.TaskReport{Job: "job-000001", Index: i, Attempt: 1, Status: model.Ended, Cause: "done"})
 	}
 	n.frontend.finalStatuses["job-000001"] = model.Done
-	n.applyHeartbeat(m, r, true)
-	commands := n.reconcile(m)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	commands := n.shardLeader.dispatcher.reconcile(m)
 	type wire struct {
 		Verb  string  `json:"verb"`
 		Piece string  `json:"piece"`
@@ -162,8 +162,8 @@
 	}
 	// The rest follows with the answer to the next report, which lists what is left.
 	r.Sequence, r.Tasks = 10, r.Tasks[len(commands):]
-	n.applyHeartbeat(m, r, true)
-	if more := n.reconcile(m); len(more) == 0 {
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	if more := n.shardLeader.dispatcher.reconcile(m); len(more) == 0 {
 		t.Error("nothing is due any more, though only a part was sent")
 	}
 }
--- a/internal/controller/stale_heartbeat.go
+++ b/internal/controller/stale_heartbeat.go
@@ -35,22 +35,22 @@
 		// Of before, if there is one.
 		return
 	}
-	if o.lastHeartbeats == nil {
-		o.lastHeartbeats = map[string]lastHeartbeat{}
+	if o.heartbeats.lastHeartbeats == nil {
+		o.heartbeats.lastHeartbeats = map[string]lastHeartbeat{}
 	}
-	for id, w := range o.lastHeartbeats {
+	for id, w := range o.heartbeats.lastHeartbeats {
 		if m.newestMessageAt.Sub(w.receivedAt) > lastHeartbeatTTL {
-			delete(o.lastHeartbeats, id)
+			delete(o.heartbeats.lastHeartbeats, id)
 		}
 	}
-	o.lastHeartbeats[m.id] = lastHeartbeat{m.seenEpoch, m.incarnation, m.sequence, m.newestMessageAt}
+	o.heartbeats.lastHeartbeats[m.id] = lastHeartbeat{m.seenEpoch, m.incarnation, m.sequence, m.newestMessageAt}
 }
 
 // lastHeartbeat is what a report of a machine must be newer than, beside what its books say.
 func (o *shardLeader) lastHeartbeat(n *Controller, id string) (lastHeartbeat, bool) {
 	m := o.machines[id]
 	if m == nil || !m.heard {
-		w, ok := o.lastHeartbeats[id]
+		w, ok := o.heartbeats.lastHeartbeats[id]
 		return w, ok
 	}
 	// A worker that another controller sends here comes at once.
@@ -61,25 +61,25 @@
 // waits for its answer. Perhaps its worker has begun anew: its own answer would tell.
 func handleStaleHeartbeat(n *Controller, c *message.WorkerHeartbeat) bool {
 	o, r := n.shardLeader, &c.Heartbeat
-	if o == nil || !o.ready || n.released[r.Machine] {
+	if o == nil || !o.ready || n.knowledge.released[r.Machine] {
 		return false
 	}
 	last, ok := o.lastHeartbeat(n, r.Machine)
 	if !ok || !last.supersedes(r) {
 		return false
 	}
-	if x, mine := n.ownedMachine(r.Machine); !mine || r.Epoch > x.Epoch {
+	if x, mine := n.membership.ownedMachine(r.Machine); !mine || r.Epoch > x.Epoch {
 		return false
 	}
-	m := n.ensureMachine(r.Machine)
+	m := n.shardLeader.ensureMachine(r.Machine)
 	if m.addr == "" {
-		n.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
+		n.shardLeader.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
 	}
 	if !m.heard {
 		// Never heard of again, it is dropped again.
-		m.leaseEnd = later(m.leaseEnd, n.leaseEndAfter(n.now))
+		m.leaseEnd = later(m.leaseEnd, n.renewal.leaseEndAfter(n.now))
 	}
-	n.contact(m)
+	n.shardLeader.failover.contact(m)
 	n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
 	return true
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -16,7 +16,7 @@
 	}
 	cpus := map[string]float64{}
 	if n.shardLeader != nil {
-		for _, l := range n.teamLoads() {
+		for _, l := range n.shardLeader.teamLoads() {
 			cpus[l.Team] = l.CPU
 		}
 	}
@@ -37,19 +37,19 @@
 		})
 	}
 	if o := n.shardLeader; o != nil {
-		s.GPUFreeCapacity = n.gpuFreeCapacity()
-		for _, a := range o.remoteMachines {
+		s.GPUFreeCapacity = n.shardLeader.scheduler.gpuFreeCapacity()
+		for _, a := range o.remoteAttempts.machines {
 			s.RemoteAttempts.OnOthersMachines += len(a.attempts)
 		}
-		for _, id := range o.registry.Machines() {
-			s.RemoteAttempts.OthersHere += o.registry.LiveCount(id)
+		for _, id := range o.remoteAttempts.registry.Machines() {
+			s.RemoteAttempts.OthersHere += o.remoteAttempts.registry.LiveCount(id)
 		}
 		by := map[string]*message.WorkloadStatus{}
 		for _, j := range o.jobs {
 			w := by[j.Workload]
 			if w == nil {
-				w = &message.WorkloadStatus{Name: j.Workload, TasksPerSecond: n.arrivalRate(j.Workload, arrivalWindow), RunToEstimate: 1}
-				if e := n.estimators[j.Workload]; e != nil {
+				w = &message.WorkloadStatus{Name: j.Workload, TasksPerSecond: n.shardLeader.fleet.arrivalRate(j.Workload, arrivalWindow), RunToEstimate: 1}
+				if e := n.knowledge.estimators[j.Workload]; e != nil {
 					w.RunToEstimate = e.ratio
 				}
 				by[j.Workload] = w
@@ -59,7 +59,7 @@
 			w.Live += j.liveTasks
 			w.Done += j.doneTasks
 		}
-		s.Pipelines, s.BlockingJobs = n.blockingJobs()
+		s.Pipelines, s.BlockingJobs = n.shardLeader.dependencies.blockingJobs()
 		for _, name := range sortedKeys(by) {
 			s.Workloads = append(s.Workloads, *by[name])
 		}
@@ -81,7 +81,7 @@
 		return "returning"
 	case !m.heard:
 		return "booting"
-	case n.unresponsive(m):
+	case n.shardLeader.heartbeats.unresponsive(m):
 		return "silent"
 	case !m.reachability.Reachable():
 		return "deaf"
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -40,7 +40,7 @@
 	n := largePool(0)
 	n.shardLeader.ready, n.shardLeader.readyAt = false, time.Time{}
 	n.shardLeader.teams["ops"] = &heldTeam{}
-	n.shardLeader.prewarmedImages = map[string]map[string]float64{}
+	n.shardLeader.persistence.prewarmedImages = map[string]map[string]float64{}
 	return n
 }
 
@@ -51,7 +51,7 @@
 	for _, it := range open {
 		applyOpenJobRecord(m.openJobs, it)
 	}
-	recoverTeams(n, map[string]*heldTeam{"ops": n.shardLeader.teams["ops"]}, tasks, nil, n.now)
+	n.shardLeader.recoverTeams(map[string]*heldTeam{"ops": n.shardLeader.teams["ops"]}, tasks, nil, n.now)
 }
 
 // BenchmarkTakeover is what a successor does between its last read and its first
@@ -91,7 +91,7 @@
 
 func firstHeartbeat(n *Controller, i int) {
 	r := n.poolHeartbeat(i)
-	for k, t := range n.ensureMachine(r.Machine).attempts {
+	for k, t := range n.shardLeader.ensureMachine(r.Machine).attempts {
 		r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
 	}
 	n.effects = n.effects[:0]
@@ -118,7 +118,7 @@
 					message.QueryJob{Reply: 1, ID: id},
 					message.SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
 				})
-				clear(n.storeCallbacks)
+				clear(n.requests.storeCallbacks)
 				n.frontend.submitQueue, n.frontend.inFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
 				n.frontend.watchCache.nextReadWaiters = nil
 				n.timers = nil
@@ -142,7 +142,7 @@
 		firstHeartbeat(n, i)
 	}
 	n.effects = nil
-	n.planFleet(true)
+	n.shardLeader.fleet.planFleet(true)
 	runtime.ReadMemStats(&after)
 	churned := (after.TotalAlloc - before.TotalAlloc) >> 20
 	runtime.GC()
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -12,9 +12,9 @@
 
 // addJobOn gives a new job one task, ordered to start on a machine.
 func (n *Controller) addJobOn(id string, m *machine) *job {
-	j := n.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	j := n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.attachAttempt(j, 0, m)
+	n.shardLeader.attachAttempt(j, 0, m)
 	return j
 }
 
@@ -24,7 +24,7 @@
 	r := n.poolHeartbeat(i)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, tasks
 	n.now = n.now.Add(n.settings.HeartbeatInterval)
-	n.applyHeartbeat(m, r, true)
+	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 }
 
 // TestStartsNothing: a machine that reports and never starts what it is told to loses
@@ -40,12 +40,12 @@
 	for range maxMissedStarts - 1 {
 		n.nextHeartbeat(0)
 	}
-	quarantineNonStarting(n)
+	n.shardLeader.heartbeats.quarantineNonStarting()
 	if m.faulty || j.liveTasks != 1 {
 		t.Fatal("given up too soon")
 	}
 	n.nextHeartbeat(0)
-	quarantineNonStarting(n)
+	n.shardLeader.heartbeats.quarantineNonStarting()
 	if !m.faulty || j.tasks[0].stopReason == stopNone {
 		t.Fatal("a machine that starts nothing keeps its work")
 	}
@@ -64,7 +64,7 @@
 	for _, m := range n.shardLeader.machinesByID {
 		m.lastHeard = n.now
 	}
-	quarantineNonStarting(n)
+	n.shardLeader.heartbeats.quarantineNonStarting()
 	for i := 1; i < 9; i++ {
 		if n.shardLeader.machinesByID[i].faulty || jobs[i-1].liveTasks != 1 {
 			t.Fatal("machines are blamed for a fault of the links")
@@ -86,9 +86,9 @@
 	for i := range 3 * maxCommands {
 		ended = append(ended, model.TaskReport{Job: "job-000901", Index: i, Attempt: 1, Status: model.Ended, Cause: "done"})
 	}
-	n.cacheFinalStatus("job-000901", model.Done)
+	n.frontend.cacheFinalStatus("job-000901", model.Done)
 	n.nextHeartbeat(0, ended...)
-	commands := n.reconcile(m)
+	commands := n.shardLeader.dispatcher.reconcile(m)
 	if len(commands) != maxCommands || commands[0].Kind != model.StartTask {
 		t.Errorf("%d orders, the first %v", len(commands), commands[0])
 	}
@@ -105,8 +105,8 @@
 	for _, m := range n.shardLeader.machinesByID {
 		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
-	j := n.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
-	n.placeAll()
+	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks < 3 {
 		t.Fatal("nothing is placed")
 	}
@@ -120,18 +120,18 @@
 			t.Error("a machine is blamed")
 		}
 	}
-	if n.placeableTasks(j) != 0 {
+	if n.shardLeader.scheduler.placeableTasks(j) != 0 {
 		t.Error("it is tried again at once")
 	}
 	n.now = n.now.Add(5 * time.Minute)
 	for _, m := range n.shardLeader.machinesByID {
 		m.lastHeard = n.now
 	}
-	n.placeAll()
+	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 1 {
 		t.Errorf("%d of its tasks are tried at a time", j.liveTasks)
 	}
-	for _, d := range n.demands(time.Minute, false, false) {
+	for _, d := range n.shardLeader.fleet.demands(time.Minute, false, false) {
 		if d.job == j && d.count > 1 {
 			t.Errorf("it asks for room for %d tasks", d.count)
 		}
@@ -146,20 +146,20 @@
 	n.leader.rentals["vm"] = &rental{id: "vm", publishedTo: "b"}
 	n.leader.ackedSeq["b"] = 9
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
-	if _, ok := n.freshUpdate("b"); ok || n.progressByJob["job-000900"].Done != 0 {
+	if _, ok := n.leader.freshUpdate("b"); ok || n.frontend.progressByJob["job-000900"].Done != 0 {
 		t.Error("news of a former life counts")
 	}
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
-	if _, ok := n.freshUpdate("b"); !ok || n.leader.ackedSeq["b"] != 0 || n.leader.rentals["vm"].publishedTo != "" {
+	if _, ok := n.leader.freshUpdate("b"); !ok || n.leader.ackedSeq["b"] != 0 || n.leader.rentals["vm"].publishedTo != "" {
 		t.Error("the present life is not told anew")
 	}
 	// And what came in time is not used when another life has taken its place since.
 	n.membership.controllers["b"] = record.Member{Incarnation: "b#3"}
-	if _, ok := n.freshUpdate("b"); ok {
+	if _, ok := n.leader.freshUpdate("b"); ok {
 		t.Error("a former life's wishes are met")
 	}
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
-	if n.storeUnavailable["b"] != n.now {
+	if n.membership.peersWithoutStore["b"] != n.now {
 		t.Error("that the state service is away counts from whoever says so")
 	}
 }
@@ -170,7 +170,7 @@
 	n := largePool(1)
 	key := record.MemberPrefix + "a"
 	n.membership.leaseID, n.membership.recordModRevision, n.effects = 7, 4, nil
-	n.register()
+	n.membership.register()
 	op := n.effects[len(n.effects)-1].(message.StoreRequest)
 	if len(op.Compares) != 1 || op.Compares[0] != (message.Compare{Key: key, ModRevision: 4}) {
 		t.Fatalf("it names %v", op.Compares)
@@ -201,17 +201,17 @@
 	n := twoControllers(t)
 	n.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
 	n.membership.leader = record.Leader{Host: "b", Incarnation: "b#1"}
-	n.shardLeader.fleetView.leaderHost = "b"
+	n.shardLeader.fleet.view.leaderHost = "b"
 	update := message.PeerUpdate{From: "b", Incarnation: "b#1", IsLeaderUpdate: true, Seq: 1}
 	for i := range 2 * maxReleasePerRequest {
 		id := fmt.Sprintf("vm-%06d", 100+i)
 		n.putSegment(t, "a", uint64(100+i), id)
-		n.released[id] = true
+		n.knowledge.released[id] = true
 		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: id, MachineType: "box", Zone: "z", Status: "returned"})
 	}
 	n.handleCommand(update)
 	n.selectReleases(nil)
-	if len(n.shardLeader.machinesToRelease) != 0 {
-		t.Errorf("%d that are returned are asked for again", len(n.shardLeader.machinesToRelease))
+	if len(n.shardLeader.fleet.machinesToRelease) != 0 {
+		t.Errorf("%d that are returned are asked for again", len(n.shardLeader.fleet.machinesToRelease))
 	}
 }
--- a/internal/controller/validate.go
+++ b/internal/controller/validate.go
@@ -12,9 +12,9 @@
 const maxRunTime = 366 * 24 * time.Hour
 
 // rejectInput tells of bad input, once a minute for each cause; all of it is counted.
-func (n *Controller) rejectInput(what, from, why string) {
-	n.rejectedInputs++
-	if n.rejections.Allow(n.now, what+" "+from+" "+why) {
-		n.info("bad input is not taken", "what", what, "from", from, "why", why, "in all", n.rejectedInputs)
+func (e *environment) rejectInput(what, from, why string) {
+	e.rejectedInputs++
+	if e.rejections.Allow(e.now, what+" "+from+" "+why) {
+		e.info("bad input is not taken", "what", what, "from", from, "why", why, "in all", e.rejectedInputs)
 	}
 }
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -24,6 +24,8 @@
 // rests on it only after it was brought up to date by a read that began after
 // the question came.
 type watchCache struct {
+	component
+
 	loaded  bool
 	loading bool
 	// rev: the picture is exact as of this revision. asOf is this node's horizon: all
@@ -52,44 +54,42 @@
 }
 
 // startWatchCache reads open/ and keeps the picture from ageing.
-func (n *Controller) startWatchCache() {
-	m := &n.frontend.watchCache
+func (m *watchCache) startWatchCache() {
 	if m.loaded || m.loading {
 		return
 	}
-	n.loadWatchCache()
-	n.keepWatchCacheFresh()
+	m.loadWatchCache()
+	m.keepWatchCacheFresh()
 }
 
-func (n *Controller) keepWatchCacheFresh() {
+func (w *watchCache) keepWatchCacheFresh() {
 	every := maxRefreshInterval
-	if n.shardLeader != nil {
-		every = min(every, n.settings.RenewalBound().ReadInterval())
+	if w.controller.shardLeader != nil {
+		every = min(every, w.settings.RenewalBound().ReadInterval())
 	}
-	n.after(every, n.keepWatchCacheFresh)
-	if m := &n.frontend.watchCache; m.loaded && n.now.Sub(m.lastReadAt) >= every {
-		n.refresh(func(bool) {})
+	w.after(every, w.keepWatchCacheFresh)
+	if m := w; m.loaded && w.now.Sub(m.lastReadAt) >= every {
+		w.refresh(func(bool) {})
 	}
 }
 
-func (n *Controller) loadWatchCache() {
-	m := &n.frontend.watchCache
+func (m *watchCache) loadWatchCache() {
 	m.loading, m.loaded = true, false
 	open, pages := map[string]openJob{}, m.promisePages.ForReRead()
 	var revision uint64
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		n.requestStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if d.Status != message.StoreOK {
-				n.after(n.jitter(storeRetryDelay), func() { list(from) })
+				m.after(m.jitter(storeRetryDelay), func() { list(from) })
 				return
 			}
 			if from == "" {
 				revision, began = d.Revision, d.SentAt
 			}
 			for _, it := range d.KeyValues {
-				if !applyPage(n, &pages, it) {
+				if !m.controller.promises.applyPage(&pages, it) {
 					applyOpenJobRecord(open, it)
 				}
 			}
@@ -101,10 +101,10 @@
 			// revision of the first, brings again in order.
 			m.openJobs, m.promisePages, m.revision, m.loaded, m.loading = open, pages, revision, true, false
 			m.asOf = later(m.asOf, began)
-			n.rebuildDependencyGraph()
-			syncOpenJobs(n)
-			n.startNextRefresh()
-			n.watchOpenJobs()
+			m.rebuildDependencyGraph()
+			syncOpenJobs(m.controller)
+			m.startNextRefresh()
+			m.watchOpenJobs()
 		})
 	}
 	list("")
@@ -112,14 +112,13 @@
 
 // applyOpenJobUpdates takes in what a read or a watch has brought, all changes after a revision
 // that was known. Two may be under way; of what both bring each change counts once.
-func (n *Controller) applyOpenJobUpdates(d message.StoreResponse) {
-	m := &n.frontend.watchCache
+func (m *watchCache) applyOpenJobUpdates(d message.StoreResponse) {
 	for _, it := range d.KeyValues {
-		if it.ModRevision > m.revision && !applyPage(n, &m.promisePages, it) {
+		if it.ModRevision > m.revision && !m.controller.promises.applyPage(&m.promisePages, it) {
 			applyOpenJobRecord(m.openJobs, it)
-			n.updateDependencyGraph(it)
-			if n.shardLeader != nil {
-				n.applyOpenJob(it)
+			m.updateDependencyGraph(it)
+			if m.controller.shardLeader != nil {
+				m.controller.shardLeader.applyOpenJob(it)
 			}
 		}
 	}
@@ -128,24 +127,23 @@
 }
 
 // watchOpenJobs lets an owner hear of new jobs at once.
-func (n *Controller) watchOpenJobs() {
-	m := &n.frontend.watchCache
-	if m.watching || !m.loaded || n.shardLeader == nil {
+func (m *watchCache) watchOpenJobs() {
+	if m.watching || !m.loaded || m.controller.shardLeader == nil {
 		return
 	}
 	m.watching = true
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.OpenJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.OpenJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
 		m.watching = false
 		switch {
 		case !m.loaded:
 			// Being read again.
 		case d.Status == message.StoreOK:
-			n.applyOpenJobUpdates(d)
-			n.watchOpenJobs()
+			m.applyOpenJobUpdates(d)
+			m.watchOpenJobs()
 		case d.Status == message.StoreCompacted:
-			n.loadWatchCache()
+			m.loadWatchCache()
 		default:
-			n.after(n.jitter(storeRetryDelay), n.watchOpenJobs)
+			m.after(m.jitter(storeRetryDelay), m.watchOpenJobs)
 		}
 	})
 }
@@ -164,46 +162,44 @@
 
 // refresh calls fn once the picture is as of a moment after this call, or with
 // false when it can't be had.
-func (n *Controller) refresh(fn func(ok bool)) {
-	m := &n.frontend.watchCache
+func (m *watchCache) refresh(fn func(ok bool)) {
 	m.nextReadWaiters = append(m.nextReadWaiters, fn)
-	n.startNextRefresh()
+	m.startNextRefresh()
 }
 
-func (n *Controller) startNextRefresh() {
-	m := &n.frontend.watchCache
+func (m *watchCache) startNextRefresh() {
 	if m.readInFlight || !m.loaded || len(m.nextReadWaiters) == 0 || m.refreshScheduled {
 		return
 	}
-	if wait := m.lastReadAt.Add(minRefreshInterval).Sub(n.now); wait > 0 {
+	if wait := m.lastReadAt.Add(minRefreshInterval).Sub(m.now); wait > 0 {
 		m.refreshScheduled = true
-		n.after(wait, func() {
+		m.after(wait, func() {
 			m.refreshScheduled = false
-			n.startNextRefresh()
+			m.startNextRefresh()
 		})
 		return
 	}
-	m.readWaiters, m.nextReadWaiters, m.readInFlight, m.lastReadAt = m.nextReadWaiters, nil, true, n.now
-	n.requestStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: m.revision}, func(d message.StoreResponse) {
+	m.readWaiters, m.nextReadWaiters, m.readInFlight, m.lastReadAt = m.nextReadWaiters, nil, true, m.now
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: m.revision}, func(d message.StoreResponse) {
 		m.readInFlight = false
 		waiters := m.readWaiters
 		m.readWaiters = nil
 		ok := d.Status == message.StoreOK
 		if ok && m.loaded {
-			n.applyOpenJobUpdates(d)
+			m.applyOpenJobUpdates(d)
 		}
 		if d.Status == message.StoreCompacted || ok && !m.loaded {
 			// Too far behind: read it all again. Who asked waits for that.
 			m.nextReadWaiters = append(waiters, m.nextReadWaiters...)
 			if !m.loading {
-				n.loadWatchCache()
+				m.loadWatchCache()
 			}
 			return
 		}
 		for _, fn := range waiters {
 			fn(ok)
 		}
-		n.startNextRefresh()
+		m.startNextRefresh()
 	})
 }
 
@@ -220,30 +216,30 @@
 }
 
 // readJob tells what is durable of a job, as of a moment after this call.
-func (n *Controller) readJob(id string, fn func(jobLookup)) {
-	n.readJobUsing(id, n.lookupWithDependencies, fn)
+func (w *watchCache) readJob(id string, fn func(jobLookup)) {
+	w.readJobUsing(id, w.controller.frontend.lookupWithDependencies, fn)
 }
 
 // readJobRecord tells the same but for what follows from the jobs that it needs.
-func (n *Controller) readJobRecord(id string, fn func(jobLookup)) {
-	n.readJobUsing(id, n.lookupOfOpenJob, fn)
+func (w *watchCache) readJobRecord(id string, fn func(jobLookup)) {
+	w.readJobUsing(id, w.lookupOfOpenJob, fn)
 }
 
-func (n *Controller) readJobUsing(id string, onOpen func(string, *openJob, func(jobLookup)), fn func(jobLookup)) {
-	n.refresh(func(ok bool) {
+func (w *watchCache) readJobUsing(id string, onOpen func(string, *openJob, func(jobLookup)), fn func(jobLookup)) {
+	w.refresh(func(ok bool) {
 		if !ok {
 			fn(jobLookup{})
 			return
 		}
-		if l, there := n.frontend.watchCache.openJobs[id]; there {
+		if l, there := w.openJobs[id]; there {
 			onOpen(id, &l, fn)
 			return
 		}
 		// Over, or never accepted.
-		n.readStatusRecord(id, func(d message.StoreResponse) {
-			if d.Status == message.StoreNotFound && n.now.Sub(n.frontend.acceptedAt[id]) <= userRequestTimeout {
+		w.controller.frontend.readStatusRecord(id, func(d message.StoreResponse) {
+			if d.Status == message.StoreNotFound && w.now.Sub(w.controller.frontend.acceptedAt[id]) <= userRequestTimeout {
 				// Somebody was told since it was read.
-				n.readJobUsing(id, onOpen, fn)
+				w.readJobUsing(id, onOpen, fn)
 				return
 			}
 			f := jobLookup{ok: d.Status == message.StoreOK || d.Status == message.StoreNotFound, accepted: d.Status == message.StoreOK}
@@ -256,8 +252,8 @@
 }
 
 // lookupOfOpenJob tells of an open job by its own record.
-func (n *Controller) lookupOfOpenJob(id string, l *openJob, fn func(jobLookup)) {
-	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: record.JobStatus{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: durableDate(n, id, l)}
+func (w *watchCache) lookupOfOpenJob(id string, l *openJob, fn func(jobLookup)) {
+	f := jobLookup{ok: true, accepted: true, modRevision: l.modRevision, open: l.rec, rec: record.JobStatus{Status: model.Queued, Tasks: l.rec.Tasks}, promisedDate: w.controller.promises.durableDate(id, l)}
 	if l.rec.Cancelled {
 		f.rec.Status = model.Cancelled
 	}
