--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -62,17 +62,17 @@
 }
 
 // holdAllShards makes the node the holder of one share with all teams and machines.
-func (n *Controller) holdAllShards() {
-	s := &n.membership
+func (c *Controller) holdAllShards() {
+	s := &c.membership
 	s.leaseID, s.loaded, s.shardMap = 1, true, sharding.NewMap()
-	s.controllers = map[string]record.Member{n.settings.Host: {Incarnation: n.incarnation()}}
-	b := record.Encode(map[string]any{"host": n.settings.Host, "nonce": n.incarnation(), "teams": []string{"ops"}, "rest": true})
-	if err := s.shardMap.ApplyShard(n.settings.Host, b, 1); err != nil {
+	s.controllers = map[string]record.Member{c.settings.Host: {Incarnation: c.incarnation()}}
+	b := record.Encode(map[string]any{"host": c.settings.Host, "nonce": c.incarnation(), "teams": []string{"ops"}, "rest": true})
+	if err := s.shardMap.ApplyShard(c.settings.Host, b, 1); err != nil {
 		panic(err)
 	}
 }
 
-func (n *Controller) poolHeartbeat(i int) *model.Heartbeat {
+func (c *Controller) poolHeartbeat(i int) *model.Heartbeat {
 	r := &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
 	if i%8 == 0 {
 		r.MachineType = "rack"
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -205,8 +205,8 @@
 }
 
 // unresponsiveAfter is how long nothing must have been heard of a machine.
-func (n *Controller) unresponsiveAfter(m *machine) time.Duration {
-	limit := time.Duration(probeAfterIntervals*float64(n.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
+func (c *Controller) unresponsiveAfter(m *machine) time.Duration {
+	limit := time.Duration(probeAfterIntervals*float64(c.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
 	if m.heard && m.unansweredProbes < unresponsiveProbes {
 		// Not asked often enough, for want of connections.
 		limit *= 2
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -70,22 +70,22 @@
 }
 
 // connectComponents gives each component the environment and the way to the others.
-func (n *Controller) connectComponents() {
-	shared := component{environment: n.environment, controller: n}
-	n.requests.component = shared
-	n.membership.component = shared
-	n.membership.formats.component = shared
-	n.frontend.component = shared
-	n.frontend.watchCache.component = shared
-	n.ranking.component = shared
-	n.rateLimits.component = shared
-	n.lending.component = shared
-	n.cancellations.component = shared
-	n.promises.component = shared
-	n.knowledge.component = shared
-	n.renewal.component = shared
-	n.partition.component = shared
-	n.planning.component = shared
+func (c *Controller) connectComponents() {
+	shared := component{environment: c.environment, controller: c}
+	c.requests.component = shared
+	c.membership.component = shared
+	c.membership.formats.component = shared
+	c.frontend.component = shared
+	c.frontend.watchCache.component = shared
+	c.ranking.component = shared
+	c.rateLimits.component = shared
+	c.lending.component = shared
+	c.cancellations.component = shared
+	c.promises.component = shared
+	c.knowledge.component = shared
+	c.renewal.component = shared
+	c.partition.component = shared
+	c.planning.component = shared
 }
 
 // Step takes a batch of commands at one moment and returns what is to be done.
@@ -218,35 +218,35 @@
 }
 
 // Deadline is when Step wants to be called at the latest, if nothing comes.
-func (n *Controller) Deadline() time.Time {
+func (c *Controller) Deadline() time.Time {
 	var t time.Time
 	earliest := func(o time.Time) {
 		if !o.IsZero() && (t.IsZero() || o.Before(t)) {
 			t = o
 		}
 	}
-	for _, tm := range n.timers {
+	for _, tm := range c.timers {
 		earliest(tm.at)
 	}
-	if n.shardLeader != nil {
-		earliest(n.shardLeader.wakeAt)
-		if n.shardLeader.fleet.planningPass != nil {
-			earliest(n.shardLeader.fleet.planningPassAt)
+	if c.shardLeader != nil {
+		earliest(c.shardLeader.wakeAt)
+		if c.shardLeader.fleet.planningPass != nil {
+			earliest(c.shardLeader.fleet.planningPassAt)
 		}
 	}
-	if n.leader != nil {
-		earliest(n.leader.wakeAt)
+	if c.leader != nil {
+		earliest(c.leader.wakeAt)
 	}
 	return t
 }
 
 // StepTook tells how long the last step took here, with all that it sent off: planning
 // is divided so that steps stay short, and placing leaves time to the rest.
-func (n *Controller) StepTook(d time.Duration) { n.planning.recordStep(d) }
+func (c *Controller) StepTook(d time.Duration) { c.planning.recordStep(d) }
 
 // Healthy says whether this node can take requests now.
-func (n *Controller) Healthy(now time.Time) bool {
-	return n.membership.ready && (!n.membership.storeDown(now) || n.membership.storeDownEverywhere(now))
+func (c *Controller) Healthy(now time.Time) bool {
+	return c.membership.ready && (!c.membership.storeDown(now) || c.membership.storeDownEverywhere(now))
 }
 
 func (e *environment) after(d time.Duration, fn func()) {
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -178,8 +178,8 @@
 }
 
 // noteDependencyState takes in what is now known of a job.
-func (n *Controller) noteDependencyState(id string) {
-	n.applyDependencyChanges(n.frontend.watchCache.graph().SetState(id, n.frontend.watchCache.cachedJobState(id)))
+func (c *Controller) noteDependencyState(id string) {
+	c.applyDependencyChanges(c.frontend.watchCache.graph().SetState(id, c.frontend.watchCache.cachedJobState(id)))
 }
 
 // applyDependencyChanges carries out what has changed for jobs behind others.
@@ -203,7 +203,7 @@
 
 // cancelDependent cancels a job here with one that it needs: nothing of it has ever started,
 // since that one is not done. Its end is written as any other; see writeJobEnds.
-func (n *Controller) cancelDependent(j *job) {
+func (c *Controller) cancelDependent(j *job) {
 	if j == nil || j.cancelled || j.hasStarted() {
 		return
 	}
@@ -221,22 +221,22 @@
 }
 
 // awaitDependencies has a job here wait for what it needs.
-func (n *Controller) awaitDependencies(j *job) {
+func (c *Controller) awaitDependencies(j *job) {
 	if len(j.Dependencies) == 0 {
 		return
 	}
-	g := n.frontend.watchCache.graph()
-	n.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
+	g := c.frontend.watchCache.graph()
+	c.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
 	switch {
 	case g.IsCancelled(j.ID):
-		n.cancelDependent(j)
+		c.cancelDependent(j)
 	case j.hasStarted() || !j.releasedAt.IsZero():
 	case g.IsReleased(j.ID):
-		j.releasedAt = n.now
+		j.releasedAt = c.now
 	default:
 		j.dependenciesPending = true
 		for _, p := range g.Unresolved(j.ID, true) {
-			n.readFinalState(p)
+			c.readFinalState(p)
 		}
 	}
 }
@@ -255,21 +255,21 @@
 }
 
 // readFinalState reads what became of a job that is open no more, if one here waits for it.
-func (n *Controller) readFinalState(id string) {
-	if n.frontend.watchCache.cachedJobState(id) != pipeline.Unknown || !n.hasWaitingDependents(id) {
+func (c *Controller) readFinalState(id string) {
+	if c.frontend.watchCache.cachedJobState(id) != pipeline.Unknown || !c.hasWaitingDependents(id) {
 		return
 	}
-	n.frontend.readStatusRecord(id, func(d message.StoreResponse) {
-		if !n.applyFinalState(id, d) {
-			n.after(n.jitter(storeRetryDelay), func() { n.readFinalState(id) })
+	c.frontend.readStatusRecord(id, func(d message.StoreResponse) {
+		if !c.applyFinalState(id, d) {
+			c.after(c.jitter(storeRetryDelay), func() { c.readFinalState(id) })
 		}
 	})
 }
 
 // hasWaitingDependents says whether a job here waits for a job.
-func (n *Controller) hasWaitingDependents(id string) bool {
-	return n.shardLeader != nil && slices.ContainsFunc(n.frontend.watchCache.graph().Dependents(id), func(after string) bool {
-		j := n.shardLeader.jobs[after]
+func (c *Controller) hasWaitingDependents(id string) bool {
+	return c.shardLeader != nil && slices.ContainsFunc(c.frontend.watchCache.graph().Dependents(id), func(after string) bool {
+		j := c.shardLeader.jobs[after]
 		return j != nil && j.dependenciesPending && !j.cancelled
 	})
 }
@@ -277,18 +277,18 @@
 // applyFinalState takes in the answer to a read of job/, and says whether there was one. A job
 // that is needed was accepted before: one that is neither open nor over shows that a
 // record is damaged. What needs it waits until somebody cancels it.
-func (n *Controller) applyFinalState(id string, d message.StoreResponse) bool {
+func (c *Controller) applyFinalState(id string, d message.StoreResponse) bool {
 	var r record.JobStatus
 	switch {
-	case n.frontend.watchCache.cachedJobState(id) != pipeline.Unknown:
+	case c.frontend.watchCache.cachedJobState(id) != pipeline.Unknown:
 	case d.Status == message.StoreNotFound:
-		n.rejectInput("record", record.OpenJobPrefix+id, "it is needed by others and was never accepted")
-		n.applyDependencyChanges(n.frontend.watchCache.graph().SetState(id, pipeline.Missing))
+		c.rejectInput("record", record.OpenJobPrefix+id, "it is needed by others and was never accepted")
+		c.applyDependencyChanges(c.frontend.watchCache.graph().SetState(id, pipeline.Missing))
 	case d.Status != message.StoreOK || len(d.KeyValues) != 1 || !record.Decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
 		return false
 	default:
-		n.frontend.cacheFinalStatus(id, r.Status)
-		n.promises.cacheDoneDate(id, r)
+		c.frontend.cacheFinalStatus(id, r.Status)
+		c.promises.cacheDoneDate(id, r)
 	}
 	return true
 }
@@ -353,7 +353,7 @@
 }
 
 // applyCriticalPath gives a job what those behind it ask.
-func (n *Controller) applyCriticalPath(j *job, p pipeline.CriticalPath) {
+func (c *Controller) applyCriticalPath(j *job, p pipeline.CriticalPath) {
 	j.criticalPath = p
 	if !j.urgencyRaised {
 		j.ownUrgency = j.Urgency
@@ -365,8 +365,8 @@
 }
 
 // criticalPathTask is an open job as the paths see it.
-func (n *Controller) criticalPathTask(id string) (pipeline.Task, bool) {
-	l, open := n.frontend.watchCache.openJobs[id]
+func (c *Controller) criticalPathTask(id string) (pipeline.Task, bool) {
+	l, open := c.frontend.watchCache.openJobs[id]
 	if !open || l.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
@@ -374,15 +374,15 @@
 	if l.rec.DeadlineSeconds > 0 {
 		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(l.rec.DeadlineSeconds))
 	}
-	if e := n.knowledge.estimators[l.rec.Workload]; e != nil {
+	if e := c.knowledge.estimators[l.rec.Workload]; e != nil {
 		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
 	}
 	return t, true
 }
 
 // describeDependencies names some of what a job waits for, with how many it is.
-func (n *Controller) describeDependencies(id string) string {
-	names := n.frontend.watchCache.graph().PendingDependencies(id)
+func (c *Controller) describeDependencies(id string) string {
+	names := c.frontend.watchCache.graph().PendingDependencies(id)
 	text := strings.Join(names[:min(len(names), maxNamedDependencies)], ", ")
 	if len(names) > maxNamedDependencies {
 		text += fmt.Sprintf(" and %d others", len(names)-maxNamedDependencies)
--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -6,9 +6,9 @@
 
 // emittedEffects are the effects of one kind that the node has returned since its effects were
 // last taken away.
-func emittedEffects[E message.Effect](n *Controller) []E {
+func emittedEffects[E message.Effect](c *Controller) []E {
 	var out []E
-	for _, e := range n.effects {
+	for _, e := range c.effects {
 		if x, is := e.(E); is {
 			out = append(out, x)
 		}
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -20,12 +20,12 @@
 	return n
 }
 
-func (n *Controller) setHostNeeds(requested bool) {
+func (c *Controller) setHostNeeds(requested bool) {
 	h := []message.HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
 	if requested {
-		n.shardLeader.migration.receiveHostNeeds(h, h)
+		c.shardLeader.migration.receiveHostNeeds(h, h)
 	} else {
-		n.shardLeader.migration.receiveHostNeeds(h, nil)
+		c.shardLeader.migration.receiveHostNeeds(h, nil)
 	}
 }
 
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -144,21 +144,21 @@
 }
 
 // surplusFor counts what others than an owner have to spare, by kind.
-func surplusFor(n *Controller, host string) []message.CapacityRequest {
-	l := n.leader
+func surplusFor(c *Controller, host string) []message.CapacityRequest {
+	l := c.leader
 	byKind := map[machineKind]int{}
 	count := func(of string, ids []string) {
 		for _, id := range ids {
-			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && n.leader.canHandOver(id, of) {
+			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && c.leader.canHandOver(id, of) {
 				byKind[r.machineKind]++
 			}
 		}
 	}
-	if o := n.shardLeader; o != nil && o.ready {
-		count(n.settings.Host, o.fleet.surplus)
+	if o := c.shardLeader; o != nil && o.ready {
+		count(c.settings.Host, o.fleet.surplus)
 	}
 	for _, h := range sortedKeys(l.updates) {
-		if w, ok := n.leader.freshUpdate(h); ok {
+		if w, ok := c.leader.freshUpdate(h); ok {
 			count(h, w.update.Surplus)
 		}
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -140,51 +140,51 @@
 	unlistedSince map[string]time.Time
 }
 
-func (n *Controller) loadMachineTypes() {
-	n.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
+func (c *Controller) loadMachineTypes() {
+	c.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
 		if d.Status == message.CloudOK {
-			n.knowledge.machineTypes = map[string]model.MachineType{}
+			c.knowledge.machineTypes = map[string]model.MachineType{}
 			for _, f := range d.MachineTypes {
-				n.knowledge.machineTypes[f.Name] = f
+				c.knowledge.machineTypes[f.Name] = f
 			}
-			if n.shardLeader != nil {
-				for _, m := range n.shardLeader.machines {
-					if f, ok := n.knowledge.machineTypes[m.machineType]; ok {
+			if c.shardLeader != nil {
+				for _, m := range c.shardLeader.machines {
+					if f, ok := c.knowledge.machineTypes[m.machineType]; ok {
 						m.size, m.disk = f.Capacity, f.DiskGB
 					}
 				}
 			}
-			n.after(n.jitter(machineTypesInterval), n.loadMachineTypes)
+			c.after(c.jitter(machineTypesInterval), c.loadMachineTypes)
 			return
 		}
-		n.after(n.jitter(time.Second), n.loadMachineTypes)
+		c.after(c.jitter(time.Second), c.loadMachineTypes)
 	})
 }
 
 // newLeader makes a leader that knows no machine yet.
-func newLeader(n *Controller) *leader {
+func newLeader(c *Controller) *leader {
 	return &leader{
-		component:   component{environment: n.environment, controller: n},
-		modRevision: n.membership.leaderModRevision, gen: int(n.nextID()),
+		component:   component{environment: c.environment, controller: c},
+		modRevision: c.membership.leaderModRevision, gen: int(c.nextID()),
 		rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[bookingKey]int{}, booking: map[string]bool{}, requiredSeq: map[string]uint64{},
-		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(n),
+		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(c),
 	}
 }
 
-func (n *Controller) becomeLeader() {
-	if n.leader != nil && n.leader.modRevision == n.membership.leaderModRevision {
-		n.leader.planShards()
+func (c *Controller) becomeLeader() {
+	if c.leader != nil && c.leader.modRevision == c.membership.leaderModRevision {
+		c.leader.planShards()
 		return
 	}
-	n.leader = newLeader(n)
-	n.info("leader", "stamp", n.membership.leaderModRevision)
-	n.leader.planShards()
+	c.leader = newLeader(c)
+	c.info("leader", "stamp", c.membership.leaderModRevision)
+	c.leader.planShards()
 }
 
-func (n *Controller) stepDown() {
-	if n.leader != nil {
-		n.info("leader no more")
-		n.leader = nil
+func (c *Controller) stepDown() {
+	if c.leader != nil {
+		c.info("leader no more")
+		c.leader = nil
 	}
 }
 
@@ -276,12 +276,12 @@
 
 // isRentedForOther says that a machine was rented for another controller, whose record is
 // being written: it is not to be given work before.
-func (n *Controller) isRentedForOther(id string) bool {
-	if n.leader == nil {
+func (c *Controller) isRentedForOther(id string) bool {
+	if c.leader == nil {
 		return false
 	}
-	r, ok := n.leader.sharding.unrecordedMachines[id]
-	return ok && r.Host != n.settings.Host
+	r, ok := c.leader.sharding.unrecordedMachines[id]
+	return ok && r.Host != c.settings.Host
 }
 
 // assignedHost is whose machine it is or is about to be.
@@ -360,37 +360,37 @@
 // receiveLeaderUpdate takes in what the leader tells of this owner's machines. Its word
 // that a return was answered, or that the cloud calls a machine failed, is the
 // proof that the machine is gone.
-func (n *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
-	o := n.shardLeader
+func (c *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
+	o := c.shardLeader
 	v := &fleetView{rentals: map[string]*rental{}}
 	switch old := o.fleet.view; {
 	case old == nil || old.leaderHost != update.From || old.incarnation != update.Incarnation:
-	case old.seq > update.Seq && n.now.Sub(old.receivedAt) < updateTTL:
+	case old.seq > update.Seq && c.now.Sub(old.receivedAt) < updateTTL:
 		return
 	default:
 		// It tells of some at a time. What it names no more is gone.
 		v.rentals = old.rentals
 		for id, r := range v.rentals {
-			if _, mine := n.membership.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || n.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
+			if _, mine := c.membership.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || c.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
 				delete(v.rentals, id)
 			}
 		}
 	}
 	v.leaderHost, v.incarnation = update.From, update.Incarnation
-	v.seq, v.receivedAt, v.blockedUntil, v.pendingRentals = update.Seq, n.now, map[machineKind]time.Time{}, map[machineKind]int{}
+	v.seq, v.receivedAt, v.blockedUntil, v.pendingRentals = update.Seq, c.now, map[machineKind]time.Time{}, map[machineKind]int{}
 	for _, x := range update.RentalUpdates {
 		// News says where to look, never what is owned: one that boots is counted on
 		// before any record names it, and used only then.
-		if _, mine := n.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
+		if _, mine := c.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
 			continue
 		}
-		r := &rental{publishedAt: n.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: n.now.Add(-x.Age), status: x.Status, releasing: n.knowledge.released[x.ID]}
+		r := &rental{publishedAt: c.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: c.now.Add(-x.Age), status: x.Status, releasing: c.knowledge.released[x.ID]}
 		v.rentals[x.ID] = r
 		if !o.ready {
 			continue
 		}
 		if m := o.machines[x.ID]; m != nil && (x.Status == "returned" || x.Status == "failed") {
-			n.dropMachine(m, x.Status)
+			c.dropMachine(m, x.Status)
 		}
 		if x.Status == "returned" {
 			// Over: kept, it would be asked for again as long as it is told of, and told
@@ -398,8 +398,8 @@
 			delete(v.rentals, x.ID)
 			continue
 		}
-		if !n.knowledge.released[x.ID] {
-			n.adopt(r)
+		if !c.knowledge.released[x.ID] {
+			c.adopt(r)
 		}
 	}
 	v.surplus = map[machineKind]int{}
@@ -407,12 +407,12 @@
 		v.surplus[machineKind{w.MachineType, w.Zone, w.Spot}] += w.Count
 	}
 	for _, w := range update.Blocked {
-		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = n.now.Add(updateTTL)
+		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = c.now.Add(updateTTL)
 	}
 	o.fleet.view = v
-	n.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
+	c.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
 	for _, a := range update.TeamRelease {
-		o.teamRelease, o.teamReleaseAt = a, n.now
+		o.teamRelease, o.teamReleaseAt = a, c.now
 	}
 }
 
@@ -539,45 +539,45 @@
 }
 
 // adopt makes a rental known to the owner of the pool.
-func (n *Controller) adopt(r *rental) {
-	o := n.shardLeader
+func (c *Controller) adopt(r *rental) {
+	o := c.shardLeader
 	if o == nil || r.status == "failed" || r.releasing || !o.ready {
 		return
 	}
-	if _, mine := n.membership.ownedMachine(r.id); !mine || n.leader != nil && n.leader.sharding.unrecordedMachines[r.id].Host != "" {
+	if _, mine := c.membership.ownedMachine(r.id); !mine || c.leader != nil && c.leader.sharding.unrecordedMachines[r.id].Host != "" {
 		// Another's, or about to be.
 		return
 	}
-	m := n.shardLeader.ensureMachine(r.id)
-	if !n.membership.shardMap.IsAssigned(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
+	m := c.shardLeader.ensureMachine(r.id)
+	if !c.membership.shardMap.IsAssigned(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
 		// Rented since, and named by nobody: it never was another's.
 		m.formerOwnerUntil = time.Time{}
 	}
 	if m.machineType == "" || m.addr == "" {
-		n.shardLeader.describe(m, r.addr, r.machineType, r.zone, r.spot)
+		c.shardLeader.describe(m, r.addr, r.machineType, r.zone, r.spot)
 	}
 	if !m.heard && (r.status == "running" || r.status == statusComing) && r.addr != "" {
-		n.shardLeader.failover.contact(m)
+		c.shardLeader.failover.contact(m)
 	}
 }
 
 // selectReleases picks the machines to give back: failed ones, such as never came up, silent
 // ones, faulty ones and idle ones that are spare. A look at the fleet may have
 // taken a while, so each is judged by what it is now.
-func (n *Controller) selectReleases(surplus map[string]bool) {
-	o := n.shardLeader
-	settled := n.now.Sub(o.since) > settleTime
+func (c *Controller) selectReleases(surplus map[string]bool) {
+	o := c.shardLeader
+	settled := c.now.Sub(o.since) > settleTime
 	unresponsive := map[string]bool{}
-	for _, id := range n.shardLeader.heartbeats.unresponsiveMachines() {
+	for _, id := range c.shardLeader.heartbeats.unresponsiveMachines() {
 		unresponsive[id] = true
 	}
-	cheapest := n.knowledge.cheapestCPUCost()
+	cheapest := c.knowledge.cheapestCPUCost()
 	for _, m := range o.machinesByID {
 		// One that the leader no longer lists may be gone, or a list was late;
 		// only the answer to a return is proof. If one was asked for already, the
 		// wish may have been lost, or answered to another owner.
-		if id := m.id; o.fleet.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || n.knowledge.released[id]) && settled && len(o.fleet.machinesToRelease) < maxReleasePerRequest {
-			n.knowledge.released[id] = true
+		if id := m.id; o.fleet.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || c.knowledge.released[id]) && settled && len(o.fleet.machinesToRelease) < maxReleasePerRequest {
+			c.knowledge.released[id] = true
 			m.releasing = true
 			o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
 		}
@@ -585,7 +585,7 @@
 	for _, id := range sortedKeys(o.fleet.view.rentals) {
 		r := o.fleet.view.rentals[id]
 		m := o.machines[id]
-		if r.releasing && n.leader == nil {
+		if r.releasing && c.leader == nil {
 			// Asked for already; the wish may have been lost.
 			o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
 		}
@@ -597,7 +597,7 @@
 		case r.status == "failed":
 			reason = "failed"
 		case m == nil:
-		case !m.heard && settled && n.knowledge.isGivenUp(r) && m.isEmpty() && n.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(o.since)):
+		case !m.heard && settled && c.knowledge.isGivenUp(r) && m.isEmpty() && c.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(o.since)):
 			// Not one that has just come from another owner, however long ago it was
 			// rented. What came with the takeover is settled with it.
 			reason = "never came up"
@@ -605,23 +605,23 @@
 			reason = "silent"
 		case m.faulty && m.isEmpty():
 			reason = "faulty"
-		case settled && surplus[id] && n.shardLeader.fleet.isIdleExpired(m, cheapest):
+		case settled && surplus[id] && c.shardLeader.fleet.isIdleExpired(m, cheapest):
 			reason = "idle"
 		}
 		if reason == "" || len(o.fleet.machinesToRelease) >= maxReleasePerRequest {
 			continue
 		}
-		n.info("return", "machine", id, "why", reason)
-		if reason == "never came up" && !n.knowledge.released[id] {
+		c.info("return", "machine", id, "why", reason)
+		if reason == "never came up" && !c.knowledge.released[id] {
 			// Once, however often the leader is asked.
-			n.knowledge.provisioningOf(r.machineKind).RecordGivenUp(n.now)
+			c.knowledge.provisioningOf(r.machineKind).RecordGivenUp(c.now)
 			o.fleet.neverReadyCount++
-			o.fleet.neverReadyCost += n.knowledge.costPerHour(r.machineKind) * n.now.Sub(r.rentedAt).Hours()
-			n.info("machines that never served", "count", o.fleet.neverReadyCount, "cost", o.fleet.neverReadyCost)
+			o.fleet.neverReadyCost += c.knowledge.costPerHour(r.machineKind) * c.now.Sub(r.rentedAt).Hours()
+			c.info("machines that never served", "count", o.fleet.neverReadyCount, "cost", o.fleet.neverReadyCost)
 		}
 		o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
 		// Never given work again, whatever becomes of the return.
-		n.knowledge.released[id] = true
+		c.knowledge.released[id] = true
 		if m != nil {
 			m.releasing = true
 		}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -92,7 +92,7 @@
 }
 
 // recoverTestJob restores the job as a successor does.
-func recoverTestJob(n *Controller, rows map[string][]byte) *job {
+func recoverTestJob(c *Controller, rows map[string][]byte) *job {
 	var its []message.KeyValue
 	for _, key := range sortedKeys(rows) {
 		if strings.HasPrefix(key, record.TaskSegmentPrefix+formatTestJob+"/") {
@@ -100,19 +100,19 @@
 		}
 	}
 	for _, it := range its {
-		if f, _, ok := n.membership.formats.parseSegmentKey(it.Key); ok {
-			n.membership.formats.adoptFormat(f)
+		if f, _, ok := c.membership.formats.parseSegmentKey(it.Key); ok {
+			c.membership.formats.adoptFormat(f)
 		}
 	}
-	j := n.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, n.now, 1)
-	slices.SortStableFunc(its, n.membership.formats.compareFormats)
+	j := c.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, c.now, 1)
+	slices.SortStableFunc(its, c.membership.formats.compareFormats)
 	for _, it := range its {
 		var r record.TaskSegment
 		if record.Decode(it.Value, &r) {
-			n.shardLeader.failover.recoverSegment(j, it, &r)
+			c.shardLeader.failover.recoverSegment(j, it, &r)
 		}
 	}
-	n.shardLeader.failover.queueRecovered(j)
+	c.shardLeader.failover.queueRecovered(j)
 	return j
 }
 
@@ -148,7 +148,7 @@
 }
 
 // changeTask has something become of a task, as a start, an end or a loss does.
-func changeTask(n *Controller, j *job, i int, rng *rand.Rand) {
+func changeTask(c *Controller, j *job, i int, rng *rand.Rand) {
 	t := &j.tasks[i]
 	switch {
 	case t.done:
@@ -156,10 +156,10 @@
 	case t.machine == nil:
 		t.attempt++
 		j.nextFresh = max(j.nextFresh, i+1)
-		n.shardLeader.attachAttempt(j, i, n.shardLeader.machinesByID[rng.IntN(len(n.shardLeader.machinesByID))])
-		j.markChanged(i, n.now, true)
+		c.shardLeader.attachAttempt(j, i, c.shardLeader.machinesByID[rng.IntN(len(c.shardLeader.machinesByID))])
+		j.markChanged(i, c.now, true)
 	default:
-		n.shardLeader.endAttempt(j, i, rng.IntN(2) == 0)
+		c.shardLeader.endAttempt(j, i, rng.IntN(2) == 0)
 	}
 }
 
@@ -285,12 +285,12 @@
 }
 
 // formatWrites runs what a controller does about forms and returns its writes.
-func formatWrites(n *Controller) []message.StoreRequest {
-	n.effects, n.membership.formats.writing = nil, false
-	n.membership.loaded, n.membership.leaseID = true, 1
-	n.membership.formats.advanceFormat()
+func formatWrites(c *Controller) []message.StoreRequest {
+	c.effects, c.membership.formats.writing = nil, false
+	c.membership.loaded, c.membership.leaseID = true, 1
+	c.membership.formats.advanceFormat()
 	var out []message.StoreRequest
-	for _, e := range n.effects {
+	for _, e := range c.effects {
 		if op, ok := e.(message.StoreRequest); ok {
 			out = append(out, op)
 		}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -62,16 +62,16 @@
 
 // noteAccepted notes that an answer leaves that says that a job is accepted. It is kept for as
 // long as a request may wait that was read before.
-func (u *frontend) noteAccepted(id string, now time.Time) {
-	for len(u.acceptedAnswers) > 0 && now.Sub(u.acceptedAnswers[0].answeredAt) > userRequestTimeout {
-		if first := u.acceptedAnswers[0]; u.acceptedAt[first.id].Equal(first.answeredAt) {
-			delete(u.acceptedAt, first.id)
+func (f *frontend) noteAccepted(id string, now time.Time) {
+	for len(f.acceptedAnswers) > 0 && now.Sub(f.acceptedAnswers[0].answeredAt) > userRequestTimeout {
+		if first := f.acceptedAnswers[0]; f.acceptedAt[first.id].Equal(first.answeredAt) {
+			delete(f.acceptedAt, first.id)
 		}
-		u.acceptedAnswers = u.acceptedAnswers[1:]
+		f.acceptedAnswers = f.acceptedAnswers[1:]
 	}
-	if !u.acceptedAt[id].Equal(now) {
-		u.acceptedAt[id] = now
-		u.acceptedAnswers = append(u.acceptedAnswers, acceptedAnswer{now, id})
+	if !f.acceptedAt[id].Equal(now) {
+		f.acceptedAt[id] = now
+		f.acceptedAnswers = append(f.acceptedAnswers, acceptedAnswer{now, id})
 	}
 }
 
@@ -106,9 +106,9 @@
 	return r
 }
 
-func (u *frontend) init() {
-	u.finalStatuses, u.acceptedAt = map[string]model.JobStatus{}, map[string]time.Time{}
-	u.statusWaiters = map[string][]func(message.StoreResponse){}
+func (f *frontend) init() {
+	f.finalStatuses, f.acceptedAt = map[string]model.JobStatus{}, map[string]time.Time{}
+	f.statusWaiters = map[string][]func(message.StoreResponse){}
 }
 
 func (f *frontend) newUserRequest(reply uint64, id string) *userRequest {
@@ -121,16 +121,16 @@
 	return request
 }
 
-func (u *frontend) expireUserRequests() {
+func (f *frontend) expireUserRequests() {
 	i := 0
-	for ; i < len(u.requestsByDeadline) && !u.requestsByDeadline[i].deadline.After(u.now); i++ {
-		if request := u.requestsByDeadline[i]; !request.answered {
-			u.refuseRequest(request, "the state service does not answer")
+	for ; i < len(f.requestsByDeadline) && !f.requestsByDeadline[i].deadline.After(f.now); i++ {
+		if request := f.requestsByDeadline[i]; !request.answered {
+			f.refuseRequest(request, "the state service does not answer")
 		}
 	}
-	u.requestsByDeadline = slices.Delete(u.requestsByDeadline, 0, i)
-	if len(u.requestsByDeadline) > 0 {
-		u.after(u.requestsByDeadline[0].deadline.Sub(u.now), u.expireUserRequests)
+	f.requestsByDeadline = slices.Delete(f.requestsByDeadline, 0, i)
+	if len(f.requestsByDeadline) > 0 {
+		f.after(f.requestsByDeadline[0].deadline.Sub(f.now), f.expireUserRequests)
 	}
 }
 
@@ -368,43 +368,43 @@
 
 // readStatusRecord gets job/<id> with a read begun after this call. Many that wait together share
 // few reads; see internal/readbatch.
-func (u *frontend) readStatusRecord(id string, fn func(message.StoreResponse)) {
-	u.statusWaiters[id] = append(u.statusWaiters[id], fn)
-	u.readBatches.Request(id)
-	u.sendReadBatches()
+func (f *frontend) readStatusRecord(id string, fn func(message.StoreResponse)) {
+	f.statusWaiters[id] = append(f.statusWaiters[id], fn)
+	f.readBatches.Request(id)
+	f.sendReadBatches()
 }
 
 // sendReadBatches sends the reads that are due.
-func (u *frontend) sendReadBatches() {
+func (f *frontend) sendReadBatches() {
 	for {
-		r, ok := u.readBatches.Next()
+		r, ok := f.readBatches.Next()
 		if !ok {
 			return
 		}
-		if !u.batchTurnScheduled {
-			u.batchTurnScheduled = true
-			u.after(minRefreshInterval, func() {
-				u.batchTurnScheduled = false
-				u.readBatches.BeginRound()
-				u.sendReadBatches()
+		if !f.batchTurnScheduled {
+			f.batchTurnScheduled = true
+			f.after(minRefreshInterval, func() {
+				f.batchTurnScheduled = false
+				f.readBatches.BeginRound()
+				f.sendReadBatches()
 			})
 		}
 		// It answers those that asked before it began.
 		waiters := map[string][]func(message.StoreResponse){}
 		for _, id := range r.Requested() {
-			waiters[id] = u.statusWaiters[id]
-			delete(u.statusWaiters, id)
+			waiters[id] = f.statusWaiters[id]
+			delete(f.statusWaiters, id)
 		}
 		op := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.JobStatusPrefix + r.ID}
 		if r.IsList {
 			op.Kind, op.Key, op.StartAfter = message.OpList, record.JobStatusPrefix, record.JobStatusPrefix+r.After
 		}
-		u.controller.requests.toStore(op, func(d message.StoreResponse) { u.handleReadBatch(r, d, waiters) })
+		f.controller.requests.toStore(op, func(d message.StoreResponse) { f.handleReadBatch(r, d, waiters) })
 	}
 }
 
 // handleReadBatch answers what a read was for.
-func (u *frontend) handleReadBatch(r readbatch.Read, d message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
+func (f *frontend) handleReadBatch(r readbatch.Read, d message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
 	ok, last, found := d.Status == message.StoreOK, "", map[string]message.KeyValue{}
 	for _, it := range d.KeyValues {
 		last = strings.TrimPrefix(it.Key, record.JobStatusPrefix)
@@ -412,15 +412,15 @@
 		var rec record.JobStatus
 		if r.IsList && record.Decode(it.Value, &rec) && rec.Status.IsFinal() {
 			// An end is for good, whoever asks for it.
-			u.cacheFinalStatus(last, rec.Status)
-			u.controller.promises.cacheDoneDate(last, rec)
+			f.cacheFinalStatus(last, rec.Status)
+			f.controller.promises.cacheDoneDate(last, rec)
 		}
 	}
-	settled := u.readBatches.Complete(r, ok, last, d.Truncated && last != "")
+	settled := f.readBatches.Complete(r, ok, last, d.Truncated && last != "")
 	// What the list did not come to waits for the next.
 	for id, rest := range waiters {
 		if !slices.Contains(settled, id) {
-			u.statusWaiters[id] = append(rest, u.statusWaiters[id]...)
+			f.statusWaiters[id] = append(rest, f.statusWaiters[id]...)
 		}
 	}
 	for _, id := range settled {
@@ -434,7 +434,7 @@
 			fn(one)
 		}
 	}
-	u.sendReadBatches()
+	f.sendReadBatches()
 }
 
 func (f *frontend) queryJob(c message.QueryJob) {
@@ -449,15 +449,15 @@
 }
 
 // flushSubmissions puts waiting submissions into transactions, many in one.
-func (u *frontend) flushSubmissions() {
-	for len(u.submitQueue) > 0 && u.inFlight < maxSubmitTxns {
+func (f *frontend) flushSubmissions() {
+	for len(f.submitQueue) > 0 && f.inFlight < maxSubmitTxns {
 		var batch []*submission
 		seen := map[string]bool{}
 		size := 0
-		for len(u.submitQueue) > 0 && len(batch) < u.settings.MaxTxnWrites {
-			s := u.submitQueue[0]
+		for len(f.submitQueue) > 0 && len(batch) < f.settings.MaxTxnWrites {
+			s := f.submitQueue[0]
 			if s.request.answered {
-				u.submitQueue = u.submitQueue[1:]
+				f.submitQueue = f.submitQueue[1:]
 				continue
 			}
 			// The same id twice in a transaction would conflict with itself.
@@ -470,13 +470,13 @@
 			}
 			seen[s.spec.ID] = true
 			batch = append(batch, s)
-			u.submitQueue = u.submitQueue[1:]
+			f.submitQueue = f.submitQueue[1:]
 		}
 		if len(batch) == 0 {
 			break
 		}
-		u.inFlight++
-		u.storeSubmissions(batch)
+		f.inFlight++
+		f.storeSubmissions(batch)
 	}
 }
 
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -10,25 +10,25 @@
 )
 
 // machineWithTask gives the first machine of a pool one task that runs there.
-func machineWithTask(n *Controller) (*machine, *job) {
-	n.shardLeader.jobs = map[string]*job{}
-	for _, m := range n.shardLeader.machinesByID {
+func machineWithTask(c *Controller) (*machine, *job) {
+	c.shardLeader.jobs = map[string]*job{}
+	for _, m := range c.shardLeader.machinesByID {
 		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
-	m := n.shardLeader.machinesByID[0]
-	j := n.addJobOn("job-000900", m)
+	m := c.shardLeader.machinesByID[0]
+	j := c.addJobOn("job-000900", m)
 	j.segmentOf(0).persistedVersion = 1
-	n.nextHeartbeat(0, model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running})
+	c.nextHeartbeat(0, model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running})
 	return m, j
 }
 
 // ask takes what the node has just asked a machine, and answers it or not.
-func (n *Controller) answerPoll(t *testing.T, m *machine, r *model.Heartbeat) {
+func (c *Controller) answerPoll(t *testing.T, m *machine, r *model.Heartbeat) {
 	t.Helper()
-	for _, op := range emittedEffects[message.WorkerRequest](n) {
+	for _, op := range emittedEffects[message.WorkerRequest](c) {
 		if op.Machine == m.id {
-			n.effects = nil
-			n.handleCommand(message.WorkerResponse{ID: op.ID, OK: true, Heartbeat: r})
+			c.effects = nil
+			c.handleCommand(message.WorkerResponse{ID: op.ID, OK: true, Heartbeat: r})
 			return
 		}
 	}
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -35,33 +35,33 @@
 
 // submitTestJob is what a submission comes to: the records that it would write, or the answer
 // if nothing is known of the job.
-func submitTestJob(n *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
+func submitTestJob(c *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
 	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
 	change(&s)
-	n.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: s})
-	n.frontend.flushSubmissions()
+	c.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: s})
+	c.frontend.flushSubmissions()
 	var records []record.OpenJob
-	for _, op := range emittedEffects[message.StoreRequest](n) {
+	for _, op := range emittedEffects[message.StoreRequest](c) {
 		if op.Kind == message.OpTxn {
 			var r record.OpenJob
 			record.Decode(op.Writes[0].Value, &r)
 			records = append(records, r)
 		}
 	}
-	n.effects = nil
-	for _, fn := range n.frontend.watchCache.nextReadWaiters {
+	c.effects = nil
+	for _, fn := range c.frontend.watchCache.nextReadWaiters {
 		fn(true)
 	}
-	for _, op := range emittedEffects[message.StoreRequest](n) {
+	for _, op := range emittedEffects[message.StoreRequest](c) {
 		if op.Kind == message.OpGet {
-			n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreNotFound})
+			c.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreNotFound})
 		}
 	}
-	i := slices.IndexFunc(n.effects, func(e message.Effect) bool { _, ok := e.(message.UserReply); return ok })
+	i := slices.IndexFunc(c.effects, func(e message.Effect) bool { _, ok := e.(message.UserReply); return ok })
 	if i < 0 {
 		return "", records
 	}
-	r := n.effects[i].(message.UserReply)
+	r := c.effects[i].(message.UserReply)
 	return fmt.Sprintf("%d %s", r.Status, r.Message), records
 }
 
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -102,20 +102,20 @@
 }
 
 // handleEndResponse deals with the answer to the write of a job's end, alone or with others'.
-func (n *Controller) handleEndResponse(e jobEnd, d message.StoreResponse, gen int, alone bool) {
+func (c *Controller) handleEndResponse(e jobEnd, d message.StoreResponse, gen int, alone bool) {
 	j := e.job
 	if d.Status == message.StoreOK && e.rec.Status == model.Done {
-		n.frontend.cacheFinalStatus(j.ID, model.Done)
-		n.promises.learnFromEnd(j, e.rec)
-		n.debug("job done", "job", j.ID, "workload", j.Workload, "age", n.now.Sub(j.submittedAt))
+		c.frontend.cacheFinalStatus(j.ID, model.Done)
+		c.promises.learnFromEnd(j, e.rec)
+		c.debug("job done", "job", j.ID, "workload", j.Workload, "age", c.now.Sub(j.submittedAt))
 	}
-	if n.shardLeader == nil || n.shardLeader.generation != gen {
+	if c.shardLeader == nil || c.shardLeader.generation != gen {
 		return
 	}
 	retry := func() { j.ending = false }
 	switch d.Status {
 	case message.StoreOK:
-		n.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
+		c.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
 	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
 			return strings.HasPrefix(key, record.OpenJobPrefix) && key != record.OpenJobPrefix+j.ID
@@ -125,7 +125,7 @@
 			retry()
 			return
 		}
-		n.shardLeader.persistence.resolveEndConflict(e, gen)
+		c.shardLeader.persistence.resolveEndConflict(e, gen)
 	case message.StoreMalformed:
 		// Of several one is at fault, and the others are not to suffer for it.
 		if !alone {
@@ -133,9 +133,9 @@
 			retry()
 			return
 		}
-		n.after(malformedRetryDelay, retry)
+		c.after(malformedRetryDelay, retry)
 	default:
-		n.after(n.jitter(storeRetryDelay), retry)
+		c.after(c.jitter(storeRetryDelay), retry)
 	}
 }
 
--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -13,10 +13,10 @@
 )
 
 // newDoneJobs makes jobs whose only task is done, with a record of it.
-func newDoneJobs(n *Controller, count int) []*job {
+func newDoneJobs(c *Controller, count int) []*job {
 	var out []*job
 	for i := range count {
-		j := n.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: n.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, uint64(100+i))
+		j := c.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: c.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, c.now, uint64(100+i))
 		j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
 		j.segments[0] = &taskSegment{modRevision: uint64(200 + i), version: 1, persistedVersion: 1}
 		out = append(out, j)
@@ -25,14 +25,14 @@
 }
 
 // sentTxns are the transactions that were sent since the last look.
-func sentTxns(n *Controller) []message.StoreRequest {
+func sentTxns(c *Controller) []message.StoreRequest {
 	var out []message.StoreRequest
-	for _, op := range emittedEffects[message.StoreRequest](n) {
+	for _, op := range emittedEffects[message.StoreRequest](c) {
 		if op.Kind == message.OpTxn {
 			out = append(out, op)
 		}
 	}
-	n.effects = nil
+	c.effects = nil
 	return out
 }
 
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -239,25 +239,25 @@
 }
 
 // loadOffloadedJobs reads guest/ for a new owner of the guests' team.
-func (g *lending) loadOffloadedJobs(team string) {
-	if g.loading {
+func (l *lending) loadOffloadedJobs(team string) {
+	if l.loading {
 		return
 	}
-	g.loading = true
-	term := g.controller.shardLeader.teams[team].holdID
+	l.loading = true
+	term := l.controller.shardLeader.teams[team].holdID
 	by, renewed := map[string]record.OffloadedJob{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
-		g.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
-			if held := g.controller.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
-				g.loading = false
+		l.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
+			if held := l.controller.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
+				l.loading = false
 				return
 			}
 			for _, it := range resp.KeyValues {
 				var r record.OffloadedJob
 				switch {
 				case !record.Decode(it.Value, &r):
-					g.info("unreadable record", "key", it.Key)
+					l.info("unreadable record", "key", it.Key)
 				case strings.HasPrefix(it.Key, renewalPrefix):
 					renewed[strings.TrimPrefix(it.Key, renewalPrefix)] = time.UnixMilli(r.RenewedAt)
 				default:
@@ -268,7 +268,7 @@
 				list(resp.KeyValues[len(resp.KeyValues)-1].Key)
 				return
 			}
-			*g = lending{component: g.component, team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
+			*l = lending{component: l.component, team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
 		})
 	}
 	list("")
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -126,16 +126,16 @@
 	cached bool
 }
 
-func (o *shardLeader) ensureMachine(id string) *machine {
-	m := o.machines[id]
+func (s *shardLeader) ensureMachine(id string) *machine {
+	m := s.machines[id]
 	if m == nil {
-		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: o.now, ownedSince: o.now, formerOwnerUntil: o.now.Add(o.controller.renewal.formerOwnerGrace())}
-		if x, ok := o.controller.membership.ownedMachine(id); ok {
+		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: s.now, ownedSince: s.now, formerOwnerUntil: s.now.Add(s.controller.renewal.formerOwnerGrace())}
+		if x, ok := s.controller.membership.ownedMachine(id); ok {
 			m.epoch = x.Epoch
 		}
-		o.machines[id] = m
-		i, _ := slices.BinarySearchFunc(o.machinesByID, id, machineID)
-		o.machinesByID = slices.Insert(o.machinesByID, i, m)
+		s.machines[id] = m
+		i, _ := slices.BinarySearchFunc(s.machinesByID, id, machineID)
+		s.machinesByID = slices.Insert(s.machinesByID, i, m)
 	}
 	return m
 }
@@ -151,30 +151,30 @@
 func machineID(m *machine, id string) int { return strings.Compare(m.id, id) }
 
 // removeMachine drops a machine on which nothing is left.
-func (o *shardLeader) removeMachine(m *machine) {
-	delete(o.machines, m.id)
-	if i, ok := slices.BinarySearchFunc(o.machinesByID, m.id, machineID); ok && o.machinesByID[i] == m {
-		o.machinesByID = slices.Delete(o.machinesByID, i, i+1)
+func (s *shardLeader) removeMachine(m *machine) {
+	delete(s.machines, m.id)
+	if i, ok := slices.BinarySearchFunc(s.machinesByID, m.id, machineID); ok && s.machinesByID[i] == m {
+		s.machinesByID = slices.Delete(s.machinesByID, i, i+1)
 	}
 	m.removed = true
-	o.keepLastHeartbeat(m)
-	o.faultAttribution.ForgetMachine(m.id)
+	s.keepLastHeartbeat(m)
+	s.faultAttribution.ForgetMachine(m.id)
 }
 
-func (o *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
+func (s *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
 	if m.machineType == "" {
-		o.setMachineZone(m, zone)
+		s.setMachineZone(m, zone)
 	}
 	m.addr, m.machineType, m.spot = addr, machineType, spot
-	if f, ok := o.controller.knowledge.machineTypes[machineType]; ok {
+	if f, ok := s.controller.knowledge.machineTypes[machineType]; ok {
 		m.size, m.disk = f.Capacity, f.DiskGB
 	}
 }
 
 // setMachineZone notes in which zone a machine with tasks on it is.
-func (o *shardLeader) setMachineZone(m *machine, zone string) {
+func (s *shardLeader) setMachineZone(m *machine, zone string) {
 	for k := range m.attempts {
-		j := o.jobs[k.job]
+		j := s.jobs[k.job]
 		j.liveByZone[m.zone]--
 		j.liveByZone[zone]++
 	}
@@ -253,11 +253,11 @@
 }
 
 // dropMachine forgets a machine that is proven gone.
-func (n *Controller) dropMachine(m *machine, why string) {
-	if n.shardLeader == nil || n.shardLeader.machines[m.id] != m {
+func (c *Controller) dropMachine(m *machine, why string) {
+	if c.shardLeader == nil || c.shardLeader.machines[m.id] != m {
 		return
 	}
-	n.debug("machine gone", "machine", m.id, "why", why, "attempts", len(m.attempts))
-	n.shardLeader.heartbeats.loseAllAttempts(m, nil)
-	n.shardLeader.removeMachine(m)
+	c.debug("machine gone", "machine", m.id, "why", why, "attempts", len(m.attempts))
+	c.shardLeader.heartbeats.loseAllAttempts(m, nil)
+	c.shardLeader.removeMachine(m)
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -85,8 +85,8 @@
 	storeUnavailablePublishedAt time.Time
 }
 
-func (s *membership) storeDown(now time.Time) bool {
-	return !s.storeFailingSince.IsZero() && now.Sub(s.storeFailingSince) > storeDownAfter
+func (m *membership) storeDown(now time.Time) bool {
+	return !m.storeFailingSince.IsZero() && now.Sub(m.storeFailingSince) > storeDownAfter
 }
 
 // storeDownEverywhere says that all the other controllers have lost the state service
@@ -164,27 +164,27 @@
 // endPreviousIncarnation ends the grant of this controller's earlier life, which is surely
 // over, so that the others need not wait for it to run out, and calls fn when it is
 // known what stands under its name.
-func (s *membership) endPreviousIncarnation(fn func()) {
-	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + s.settings.Host}, func(d message.StoreResponse) {
+func (m *membership) endPreviousIncarnation(fn func()) {
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + m.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
 		case message.StoreOK:
 			var old record.Member
-			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == s.incarnation() {
-				s.recordModRevision = d.KeyValues[0].ModRevision
+			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == m.incarnation() {
+				m.recordModRevision = d.KeyValues[0].ModRevision
 				fn()
 				return
 			}
-			s.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
+			m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
 				// Should the record stand all the same, registering fails and comes
 				// back here.
-				s.recordModRevision = 0
+				m.recordModRevision = 0
 				fn()
 			})
 		case message.StoreNotFound:
-			s.recordModRevision = 0
+			m.recordModRevision = 0
 			fn()
 		default:
-			s.after(s.jitter(storeRetryDelay), func() { s.endPreviousIncarnation(fn) })
+			m.after(m.jitter(storeRetryDelay), func() { m.endPreviousIncarnation(fn) })
 		}
 	})
 }
@@ -258,23 +258,23 @@
 	m.controller.dropShardLeader(reason)
 }
 
-func (s *membership) leaseRenewLoop() {
-	s.after(leaseRenewInterval, s.leaseRenewLoop)
-	if s.leaseID == 0 || s.renewing {
+func (m *membership) leaseRenewLoop() {
+	m.after(leaseRenewInterval, m.leaseRenewLoop)
+	if m.leaseID == 0 || m.renewing {
 		return
 	}
-	s.renewing = true
-	grant := s.leaseID
-	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: grant}, func(d message.StoreResponse) {
-		s.renewing = false
-		if s.leaseID != grant {
+	m.renewing = true
+	grant := m.leaseID
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: grant}, func(d message.StoreResponse) {
+		m.renewing = false
+		if m.leaseID != grant {
 			return
 		}
 		switch d.Status {
 		case message.StoreOK:
-			s.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
+			m.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
 		case message.StoreNotFound, message.StoreNoLease:
-			s.leaseLost("grant ran out")
+			m.leaseLost("grant ran out")
 		}
 	})
 }
@@ -313,21 +313,21 @@
 
 // loadControlRecords reads ctl/ anew. Pages read later may tell of later changes, so that it is
 // whole only when the changes up to the last page have come in order as well.
-func (s *membership) loadControlRecords() {
-	s.generation++
-	gen := s.generation
+func (m *membership) loadControlRecords() {
+	m.generation++
+	gen := m.generation
 	var items []message.KeyValue
 	var firstRevision uint64
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		s.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
-			if gen != s.generation {
+		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
+			if gen != m.generation {
 				return
 			}
 			if d.Status != message.StoreOK {
-				s.after(s.jitter(storeRetryDelay), func() {
-					if gen == s.generation {
+				m.after(m.jitter(storeRetryDelay), func() {
+					if gen == m.generation {
 						list(from)
 					}
 				})
@@ -341,106 +341,106 @@
 				list(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			s.leader, s.leaderModRevision, s.drain = record.Leader{}, 0, record.Drain{}
-			clear(s.controllers)
-			oldShardMap := s.shardMap
-			s.shardMap = sharding.NewMap()
+			m.leader, m.leaderModRevision, m.drain = record.Leader{}, 0, record.Drain{}
+			clear(m.controllers)
+			oldShardMap := m.shardMap
+			m.shardMap = sharding.NewMap()
 			for _, it := range items {
-				s.applyControlRecord(it)
+				m.applyControlRecord(it)
 			}
-			markReassignedAfterReRead(s.controller, oldShardMap)
-			s.controller.ranking.noteRankingAbsence(items)
-			s.controller.ranking.noteRankingKnown(began)
-			s.revision = firstRevision
-			s.watchControlRecords(gen, d.Revision)
+			markReassignedAfterReRead(m.controller, oldShardMap)
+			m.controller.ranking.noteRankingAbsence(items)
+			m.controller.ranking.noteRankingKnown(began)
+			m.revision = firstRevision
+			m.watchControlRecords(gen, d.Revision)
 		})
 	}
 	list("")
 }
 
 // watchControlRecords watches ctl/. What is known of it counts from the revision whole on.
-func (s *membership) watchControlRecords(gen int, completeRevision uint64) {
-	if gen != s.generation {
+func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
+	if gen != m.generation {
 		return
 	}
-	if !s.loaded && s.revision >= completeRevision {
-		s.loaded, s.ready = true, true
-		s.controller.frontend.watchCache.startWatchCache()
-		s.controlRecordsChanged()
+	if !m.loaded && m.revision >= completeRevision {
+		m.loaded, m.ready = true, true
+		m.controller.frontend.watchCache.startWatchCache()
+		m.controlRecordsChanged()
 	}
 	hold := watchTimeout
-	if s.revision < completeRevision {
+	if m.revision < completeRevision {
 		hold = 0
 	}
-	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
-		if gen != s.generation {
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
+		if gen != m.generation {
 			return
 		}
 		switch d.Status {
 		case message.StoreOK:
-			s.applyControlUpdates(d)
-			s.watchControlRecords(gen, completeRevision)
+			m.applyControlUpdates(d)
+			m.watchControlRecords(gen, completeRevision)
 		case message.StoreCompacted:
-			s.loaded = false
-			s.loadControlRecords()
+			m.loaded = false
+			m.loadControlRecords()
 		default:
-			s.after(s.jitter(storeRetryDelay), func() { s.watchControlRecords(gen, completeRevision) })
+			m.after(m.jitter(storeRetryDelay), func() { m.watchControlRecords(gen, completeRevision) })
 		}
 	})
 }
 
 // applyControlUpdates takes in what a watch or a read of ctl/ has brought: all changes after a
 // revision that was known. Of two that overlap each change counts once.
-func (s *membership) applyControlUpdates(d message.StoreResponse) {
+func (m *membership) applyControlUpdates(d message.StoreResponse) {
 	changed := false
 	for i, it := range d.KeyValues {
-		if it.ModRevision > s.revision {
-			s.applyControlRecord(it)
+		if it.ModRevision > m.revision {
+			m.applyControlRecord(it)
 			changed = true
 			if i+1 == len(d.KeyValues) || d.KeyValues[i+1].ModRevision != it.ModRevision {
-				markReassignedTeams(s.controller)
+				markReassignedTeams(m.controller)
 			}
 		}
 	}
-	s.revision = max(s.revision, d.Revision)
-	s.controller.ranking.noteRankingKnown(d.SentAt)
-	if changed && s.loaded {
-		s.controlRecordsChanged()
+	m.revision = max(m.revision, d.Revision)
+	m.controller.ranking.noteRankingKnown(d.SentAt)
+	if changed && m.loaded {
+		m.controlRecordsChanged()
 	}
 }
 
 // confirmControlRecords calls fn when ctl/ is known as of a moment after this call. What is counted
 // against a machine by time alone, as the end of its lease, may count only if the
 // machine still was this controller's by then.
-func (s *membership) confirmControlRecords(fn func()) {
-	s.confirmWaiters = append(s.confirmWaiters, fn)
-	if s.confirming || !s.loaded {
+func (m *membership) confirmControlRecords(fn func()) {
+	m.confirmWaiters = append(m.confirmWaiters, fn)
+	if m.confirming || !m.loaded {
 		return
 	}
-	s.confirming = true
-	waiters := s.confirmWaiters
-	s.confirmWaiters = nil
-	gen := s.generation
-	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: s.revision}, func(d message.StoreResponse) {
-		s.confirming = false
-		if gen != s.generation || d.Status != message.StoreOK {
+	m.confirming = true
+	waiters := m.confirmWaiters
+	m.confirmWaiters = nil
+	gen := m.generation
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision}, func(d message.StoreResponse) {
+		m.confirming = false
+		if gen != m.generation || d.Status != message.StoreOK {
 			// Whoever needs it asks again.
 			return
 		}
-		s.applyControlUpdates(d)
+		m.applyControlUpdates(d)
 		for _, fn := range waiters {
 			fn()
 		}
-		if next := s.confirmWaiters; len(next) > 0 {
-			s.confirmWaiters = nil
+		if next := m.confirmWaiters; len(next) > 0 {
+			m.confirmWaiters = nil
 			for _, fn := range next {
-				s.confirmControlRecords(fn)
+				m.confirmControlRecords(fn)
 			}
 		}
 	})
 }
 
-func (s *membership) applyControlRecord(it message.KeyValue) {
+func (m *membership) applyControlRecord(it message.KeyValue) {
 	value := it.Value
 	if it.Deleted {
 		value = nil
@@ -448,89 +448,89 @@
 	var err error
 	switch {
 	case it.Key == record.DrainKey:
-		s.drain = record.Drain{}
+		m.drain = record.Drain{}
 		if !it.Deleted {
-			record.Decode(it.Value, &s.drain)
+			record.Decode(it.Value, &m.drain)
 		}
 	case it.Key == record.LeaderKey:
-		s.leader, s.leaderModRevision = record.Leader{}, 0
-		if !it.Deleted && record.Decode(it.Value, &s.leader) {
-			s.leaderModRevision = it.ModRevision
+		m.leader, m.leaderModRevision = record.Leader{}, 0
+		if !it.Deleted && record.Decode(it.Value, &m.leader) {
+			m.leaderModRevision = it.ModRevision
 		}
 	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
-		s.controller.membership.formats.applyFormatRecord(it)
+		m.controller.membership.formats.applyFormatRecord(it)
 	case it.Key == record.RankingKey:
-		s.controller.ranking.applyRankingRecord(it)
+		m.controller.ranking.applyRankingRecord(it)
 	case strings.HasPrefix(it.Key, record.ReroutePrefix):
-		s.controller.partition.applyRerouteRecord(it)
+		m.controller.partition.applyRerouteRecord(it)
 	case strings.HasPrefix(it.Key, record.MemberPrefix):
 		host := strings.TrimPrefix(it.Key, record.MemberPrefix)
-		delete(s.controllers, host)
+		delete(m.controllers, host)
 		var r record.Member
 		if !it.Deleted && record.Decode(it.Value, &r) {
-			s.controllers[host] = r
+			m.controllers[host] = r
 		}
 	case strings.HasPrefix(it.Key, record.ShardPrefix):
-		err = s.shardMap.ApplyShard(strings.TrimPrefix(it.Key, record.ShardPrefix), value, it.ModRevision)
+		err = m.shardMap.ApplyShard(strings.TrimPrefix(it.Key, record.ShardPrefix), value, it.ModRevision)
 	case strings.HasPrefix(it.Key, record.ShardSegmentPrefix):
-		err = s.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
+		err = m.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
 	}
 	if err != nil {
-		s.rejectInput("record", it.Key, err.Error())
+		m.rejectInput("record", it.Key, err.Error())
 	}
 }
 
-func (s *membership) controlRecordsChanged() {
-	s.controller.ranking.applyRankingChange()
+func (m *membership) controlRecordsChanged() {
+	m.controller.ranking.applyRankingChange()
 	switch {
-	case s.leaderModRevision == 0:
-		s.controller.stepDown()
+	case m.leaderModRevision == 0:
+		m.controller.stepDown()
 		wait := time.Duration(0)
 		switch {
-		case s.receivesNothing(s.now):
+		case m.receivesNothing(m.now):
 			// The others first; see partition.go.
 			wait = partitionLeadDelay
-		case incarnation.OnProbation(s.now, s.startedAt) && s.hasEstablishedPeer():
+		case incarnation.OnProbation(m.now, m.startedAt) && m.hasEstablishedPeer():
 			// Others have been up for longer, and may be for longer yet.
 			wait = recentStartLeadDelay
 		}
 		if wait == 0 {
-			s.claimLeadership()
+			m.claimLeadership()
 			break
 		}
-		s.after(wait, func() {
-			if s.leaderModRevision == 0 {
-				s.claimLeadership()
+		m.after(wait, func() {
+			if m.leaderModRevision == 0 {
+				m.claimLeadership()
 			}
 		})
-	case s.leader.Incarnation == s.incarnation() && s.leaseID != 0:
-		s.controller.becomeLeader()
+	case m.leader.Incarnation == m.incarnation() && m.leaseID != 0:
+		m.controller.becomeLeader()
 	default:
-		s.controller.stepDown()
+		m.controller.stepDown()
 	}
-	s.controller.syncShardLeader()
-	s.controller.membership.formats.advanceFormat()
+	m.controller.syncShardLeader()
+	m.controller.membership.formats.advanceFormat()
 }
 
-func (s *membership) claimLeadership() {
-	if s.claimingLeadership || s.leaseID == 0 || !s.loaded {
+func (m *membership) claimLeadership() {
+	if m.claimingLeadership || m.leaseID == 0 || !m.loaded {
 		return
 	}
-	s.claimingLeadership = true
-	rec := record.Encode(record.Leader{Host: s.settings.Host, Incarnation: s.incarnation()})
-	s.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
-		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: s.leaseID}}}, func(d message.StoreResponse) {
-		s.claimingLeadership = false
+	m.claimingLeadership = true
+	rec := record.Encode(record.Leader{Host: m.settings.Host, Incarnation: m.incarnation()})
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
+		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: m.leaseID}}}, func(d message.StoreResponse) {
+		m.claimingLeadership = false
 		switch d.Status {
 		case message.StoreOK, message.StoreConflict:
 			// The watch will say who has it. If our own unanswered claim did it,
 			// the watch says that as well.
 		case message.StoreNoLease:
-			s.leaseLost("grant ended while claiming the lead")
+			m.leaseLost("grant ended while claiming the lead")
 		default:
-			s.after(s.jitter(storeRetryDelay), func() {
-				if s.leaderModRevision == 0 {
-					s.claimLeadership()
+			m.after(m.jitter(storeRetryDelay), func() {
+				if m.leaderModRevision == 0 {
+					m.claimLeadership()
 				}
 			})
 		}
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -44,23 +44,23 @@
 func migrationKey(team string) string { return record.MigrationPrefix + teamKey(team) }
 
 // migrationsOf is an owner's moves, nil where models are not switched on.
-func migrationsOf(n *Controller) *migrations {
-	o := n.shardLeader
-	if !n.settings.Capabilities.Models || o == nil {
+func migrationsOf(c *Controller) *migrations {
+	o := c.shardLeader
+	if !c.settings.Capabilities.Models || o == nil {
 		return nil
 	}
 	if o.migration.state == nil {
 		o.migration.state = &migrations{
-			tracker: migration.NewTracker(n.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
+			tracker: migration.NewTracker(c.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
 			pinnedUntil: map[taskKey]time.Time{}, unschedulable: map[string]*unschedulableReplica{}, evacuation: evacuation{refusedAt: map[machineKind]time.Time{}},
 		}
 	}
-	o.migration.state.tracker.MaxRecordBytes = n.maxMigrationRecordBytes()
+	o.migration.state.tracker.MaxRecordBytes = c.maxMigrationRecordBytes()
 	return o.migration.state
 }
 
 // maxMigrationRecordBytes bounds the record of a team's moves, as JSON.
-func (n *Controller) maxMigrationRecordBytes() int { return n.settings.MaxValueBytes * 3 / 4 }
+func (c *Controller) maxMigrationRecordBytes() int { return c.settings.MaxValueBytes * 3 / 4 }
 
 // readMigrations reads the records of moves under way, together with the teams' others, and
 // gives them to then.
@@ -355,18 +355,18 @@
 }
 
 // migrationsStatus is nil where models are not switched on.
-func migrationsStatus(n *Controller) *message.MigrationsStatus {
-	if n.shardLeader == nil || n.shardLeader.migration.state == nil {
+func migrationsStatus(c *Controller) *message.MigrationsStatus {
+	if c.shardLeader == nil || c.shardLeader.migration.state == nil {
 		return nil
 	}
-	b := n.shardLeader.migration.state.tracker
+	b := c.shardLeader.migration.state.tracker
 	s := &message.MigrationsStatus{Plans: b.Stats.Started, Moved: b.Stats.Moved, Dropped: b.Stats.Dropped, LongestDownSeconds: b.Stats.LongestDowntime.Seconds()}
 	for _, e := range b.Plans() {
 		for i := range e.Steps {
 			x := &e.Steps[i]
 			s.InProgress = append(s.InProgress, message.MigrationStatus{
 				Job: x.Job, Task: x.Index, From: x.From, To: x.To, For: e.HeldFor, State: x.State.String(),
-				ExpectedDownSeconds: x.Downtime.Seconds(), GivenUpInSeconds: e.Until.Sub(n.now).Seconds(),
+				ExpectedDownSeconds: x.Downtime.Seconds(), GivenUpInSeconds: e.Until.Sub(c.now).Seconds(),
 			})
 		}
 	}
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -32,13 +32,13 @@
 	return n
 }
 
-func (n *Controller) hostHeartbeat(i int, sequence uint64) *model.Heartbeat {
+func (c *Controller) hostHeartbeat(i int, sequence uint64) *model.Heartbeat {
 	return &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "host", Zone: "z", Incarnation: 1, Sequence: sequence, Epoch: 1, ReclaimIn: -1}
 }
 
-func (n *Controller) addReplica(id string, gpus float64) *job {
-	return n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
-		Need: model.Resources{CPU: 8 * gpus, GPU: gpus, Memory: 64 * gpus}, Image: "img", ImageGB: 5}, n.now, 7)
+func (c *Controller) addReplica(id string, gpus float64) *job {
+	return c.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
+		Need: model.Resources{CPU: 8 * gpus, GPU: gpus, Memory: 64 * gpus}, Image: "img", ImageGB: 5}, c.now, 7)
 }
 
 // reportRunning has the record of a replica durable, and its machine report it.
@@ -53,16 +53,16 @@
 }
 
 // awaitMigrationWrite lets time pass until a move is to be written.
-func (n *Controller) awaitMigrationWrite(t *testing.T) message.StoreRequest {
+func (c *Controller) awaitMigrationWrite(t *testing.T) message.StoreRequest {
 	t.Helper()
 	for range 10 {
-		n.now = n.now.Add(shardLeaderTickInterval)
-		for _, m := range n.shardLeader.machinesByID {
-			m.lastHeard = n.now
+		c.now = c.now.Add(shardLeaderTickInterval)
+		for _, m := range c.shardLeader.machinesByID {
+			m.lastHeard = c.now
 		}
-		n.effects = nil
-		n.shardLeader.migration.migrationTick()
-		for _, op := range emittedEffects[message.StoreRequest](n) {
+		c.effects = nil
+		c.shardLeader.migration.migrationTick()
+		for _, op := range emittedEffects[message.StoreRequest](c) {
 			if op.Kind == message.OpTxn && op.Writes[0].Key == "move/ops" {
 				return op
 			}
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -27,22 +27,22 @@
 }
 
 // submitReplicas hands in a standing job of so many GPUs a replica.
-func (n *Controller) submitReplicas(id, image string, gpus float64, tasks int, u model.Urgency) *job {
-	return n.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: u, Tasks: tasks,
+func (c *Controller) submitReplicas(id, image string, gpus float64, tasks int, u model.Urgency) *job {
+	return c.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: u, Tasks: tasks,
 		Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 40 * gpus}, Image: image, ImageGB: 8})
 }
 
-func (n *Controller) submitTestJob(s model.JobSpec) *job {
+func (c *Controller) submitTestJob(s model.JobSpec) *job {
 	s.Team = "ops"
-	j := n.shardLeader.addJob(s, n.now, 1)
+	j := c.shardLeader.addJob(s, c.now, 1)
 	return j
 }
 
 // advance lets time pass, in which all machines are heard and have fetched their images.
-func (n *Controller) advance(d time.Duration) {
-	n.now = n.now.Add(d)
-	for _, m := range n.shardLeader.machinesByID {
-		m.lastHeard = n.now
+func (c *Controller) advance(d time.Duration) {
+	c.now = c.now.Add(d)
+	for _, m := range c.shardLeader.machinesByID {
+		m.lastHeard = c.now
 		for _, im := range m.images {
 			im.cached = true
 		}
@@ -50,9 +50,9 @@
 }
 
 // gpuHostCapacity is the room on the g8 hosts.
-func (n *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
+func (c *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
 	t.Helper()
-	rs := n.shardLeader.scheduler.gpuFreeCapacity()
+	rs := c.shardLeader.scheduler.gpuFreeCapacity()
 	if len(rs) != 1 || rs[0].MachineType != "g8" {
 		t.Fatalf("%+v", rs)
 	}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -37,7 +37,7 @@
 )
 
 // receivesNothing says that this controller has lately given up for hearing no worker.
-func (s *membership) receivesNothing(now time.Time) bool { return now.Before(s.receivesNothingUntil) }
+func (m *membership) receivesNothing(now time.Time) bool { return now.Before(m.receivesNothingUntil) }
 
 // heartbeatReceived notes that a report has reached this controller at all.
 func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -79,10 +79,10 @@
 	f.controller.planning.lastSliceWork = ps.used
 }
 
-func (o *shardLeader) endPlanningPass() {
-	if o.fleet.planningPass != nil {
-		o.fleet.planningPass.stop()
-		o.fleet.planningPass = nil
+func (s *shardLeader) endPlanningPass() {
+	if s.fleet.planningPass != nil {
+		s.fleet.planningPass.stop()
+		s.fleet.planningPass = nil
 	}
 }
 
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -52,13 +52,13 @@
 }
 
 // expectedFor are the machines on their way that are counted on and that a job allows.
-func (n *Controller) expectedFor(j *job) iter.Seq[*rental] {
+func (c *Controller) expectedFor(j *job) iter.Seq[*rental] {
 	return func(yield func(*rental) bool) {
-		if n.shardLeader.fleet.view == nil {
+		if c.shardLeader.fleet.view == nil {
 			return
 		}
-		for id, r := range n.shardLeader.fleet.view.rentals {
-			if m := n.shardLeader.machines[id]; (m == nil || !m.heard) && n.knowledge.isExpected(r) && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
+		for id, r := range c.shardLeader.fleet.view.rentals {
+			if m := c.shardLeader.machines[id]; (m == nil || !m.heard) && c.knowledge.isExpected(r) && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
 				return
 			}
 		}
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -20,15 +20,15 @@
 
 // machineUpdates is what a successor has to know of the machines: of some of them at a
 // time, so that news of a large pool is spread over the seconds.
-func (o *shardLeader) machineUpdates() []message.MachineUpdate {
+func (s *shardLeader) machineUpdates() []message.MachineUpdate {
 	var out []message.MachineUpdate
-	o.publishTurn = (o.publishTurn + 1) % machineUpdateTurns
-	for i, m := range o.machinesByID {
-		if i%machineUpdateTurns != o.publishTurn {
+	s.publishTurn = (s.publishTurn + 1) % machineUpdateTurns
+	for i, m := range s.machinesByID {
+		if i%machineUpdateTurns != s.publishTurn {
 			continue
 		}
 		id := m.id
-		if !m.heard || m.releasing || o.controller.shardLeader.heartbeats.unresponsive(m) {
+		if !m.heard || m.releasing || s.controller.shardLeader.heartbeats.unresponsive(m) {
 			continue
 		}
 		h := message.MachineUpdate{ID: id, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, Images: map[string]float64{}}
@@ -47,15 +47,15 @@
 
 // publishToPeers shows the progress of open jobs to the other controllers, and asks
 // the leader for machines.
-func (o *shardLeader) publishToPeers() {
-	if o.now.Sub(o.publishedAt) < time.Second {
+func (s *shardLeader) publishToPeers() {
+	if s.now.Sub(s.publishedAt) < time.Second {
 		return
 	}
-	o.publishedAt = o.now
+	s.publishedAt = s.now
 	var update message.PeerUpdate
-	update.From = o.settings.Host
-	for _, id := range sortedKeys(o.jobs) {
-		j := o.jobs[id]
+	update.From = s.settings.Host
+	for _, id := range sortedKeys(s.jobs) {
+		j := s.jobs[id]
 		if len(update.Progress) >= maxProgressPerUpdate {
 			// The rest with the next news.
 			break
@@ -66,26 +66,26 @@
 			update.Progress = append(update.Progress, p)
 		}
 	}
-	if o.now.Sub(o.loadsPublishedAt) >= loadsPublishInterval {
-		o.loadsPublishedAt = o.now
-		update.WorkloadLoads = o.controller.shardLeader.fleet.workloadLoads()
-		update.Quotes = o.controller.promises.quotesUpdate()
+	if s.now.Sub(s.loadsPublishedAt) >= loadsPublishInterval {
+		s.loadsPublishedAt = s.now
+		update.WorkloadLoads = s.controller.shardLeader.fleet.workloadLoads()
+		update.Quotes = s.controller.promises.quotesUpdate()
 	}
-	update.MachineUpdates = o.machineUpdates()
-	for _, p := range o.settings.Peers {
+	update.MachineUpdates = s.machineUpdates()
+	for _, p := range s.settings.Peers {
 		out := update
-		if o.controller.leader == nil && p == o.controller.membership.leader.Host && o.fleet.view != nil {
-			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = o.fleet.leaderUpdateSeq, o.fleet.machinesToRelease, o.fleet.surplus, o.offers(), o.teamLoads()
-			for _, k := range sortedKinds(o.fleet.capacityRequests) {
-				out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: o.fleet.capacityRequests[k]})
+		if s.controller.leader == nil && p == s.controller.membership.leader.Host && s.fleet.view != nil {
+			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = s.fleet.leaderUpdateSeq, s.fleet.machinesToRelease, s.fleet.surplus, s.offers(), s.teamLoads()
+			for _, k := range sortedKinds(s.fleet.capacityRequests) {
+				out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: s.fleet.capacityRequests[k]})
 			}
-			if o.migration.state != nil {
-				out.HostNeeds, out.EvacuationCosts = o.migration.state.evacuation.needs, o.migration.state.evacuation.costs
+			if s.migration.state != nil {
+				out.HostNeeds, out.EvacuationCosts = s.migration.state.evacuation.needs, s.migration.state.evacuation.costs
 			}
 			out.IsCapacityRequest = true
 		}
 		if len(out.Progress) > 0 || len(out.WorkloadLoads) > 0 || len(out.Quotes) > 0 || len(out.MachineUpdates) > 0 || out.IsCapacityRequest {
-			o.emit(message.SendPeerUpdate{To: p, Update: out})
+			s.emit(message.SendPeerUpdate{To: p, Update: out})
 		}
 	}
 }
@@ -94,14 +94,14 @@
 // move, as many as are its part of what all teams here keep busy: the receiver is not to
 // begin with none. Those go first on which only its tasks are, then idle ones, then those
 // of which it has the most; what others have on them goes on there.
-func (o *shardLeader) offers() []sharding.Offer {
-	r := o.teamRelease
-	held := o.teams[r.Team]
-	if r.From != o.settings.Host || o.now.Sub(o.teamReleaseAt) > updateTTL || held == nil || !held.ready {
+func (s *shardLeader) offers() []sharding.Offer {
+	r := s.teamRelease
+	held := s.teams[r.Team]
+	if r.From != s.settings.Host || s.now.Sub(s.teamReleaseAt) > updateTTL || held == nil || !held.ready {
 		return nil
 	}
 	totalLoad, teamLoad := 0.0, 0.0
-	for _, l := range o.teamLoads() {
+	for _, l := range s.teamLoads() {
 		totalLoad += l.CPU + 1
 		if l.Team == r.Team {
 			teamLoad = l.CPU + 1
@@ -115,7 +115,7 @@
 	}
 	totalCPU := 0.0
 	var choices []choice
-	for _, m := range o.machinesByID {
+	for _, m := range s.machinesByID {
 		totalCPU += m.size.CPU
 		if !m.heard || m.releasing || m.reclaimNoticed {
 			continue
@@ -124,7 +124,7 @@
 		if !m.isEmpty() {
 			teamCPU := 0.0
 			for k := range m.attempts {
-				if j := o.jobs[k.job]; j.Team == r.Team {
+				if j := s.jobs[k.job]; j.Team == r.Team {
 					teamCPU += j.Need.CPU
 				}
 			}
@@ -152,17 +152,17 @@
 
 // teamLoads is what each team of this owner keeps busy: what its tasks take, and what
 // those that wait would.
-func (o *shardLeader) teamLoads() []message.TeamLoad {
+func (s *shardLeader) teamLoads() []message.TeamLoad {
 	cpuByTeam := map[string]float64{}
-	for t := range o.teams {
+	for t := range s.teams {
 		cpuByTeam[t] = 0
 	}
-	for _, j := range o.jobs {
+	for _, j := range s.jobs {
 		cpuByTeam[j.Team] += float64(j.liveTasks+j.pendingTasks()) * j.Need.CPU
 	}
 	var out []message.TeamLoad
 	for _, t := range sortedKeys(cpuByTeam) {
-		if o.teams[t] != nil {
+		if s.teams[t] != nil {
 			out = append(out, message.TeamLoad{Team: t, CPU: cpuByTeam[t]})
 		}
 	}
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -354,24 +354,24 @@
 
 // deriveRanking has a leader write the ranking that its script stands for, where there is
 // none. From then on the record counts, not a controller's own script.
-func deriveRanking(n *Controller) {
-	r := &n.ranking
-	if !n.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !n.membership.loaded || n.now.After(n.membership.leaseValidUntil) {
+func deriveRanking(c *Controller) {
+	r := &c.ranking
+	if !c.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !c.membership.loaded || c.now.After(c.membership.leaseValidUntil) {
 		return
 	}
-	rec, lossless := ranking.Derive(n.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return n.ranking.rankingFits(rec) })
+	rec, lossless := ranking.Derive(c.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return c.ranking.rankingFits(rec) })
 	if !lossless {
-		n.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
+		c.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
 	}
-	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, n.settings.Host, n.now
+	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, c.settings.Host, c.now
 	r.writingDerived = true
-	n.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: n.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
-		pause := n.jitter(storeRetryDelay)
+	c.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: c.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
+		pause := c.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
 			pause = malformedRetryDelay
 		}
 		// The watch brings it, whoever wrote it.
-		n.after(pause, func() { r.writingDerived = false })
+		c.after(pause, func() { r.writingDerived = false })
 	})
 }
 
@@ -380,43 +380,43 @@
 }
 
 // setRanking writes a ranking in the place of the one that it was read over.
-func (state *rankingState) setRanking(cmd message.SetRanking) {
+func (r *rankingState) setRanking(cmd message.SetRanking) {
 	refuse := func(status int, format string, args ...any) {
-		state.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
+		r.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
 	}
 	switch {
-	case !state.settings.Capabilities.Ranking:
+	case !r.settings.Capabilities.Ranking:
 		refuse(404, "it is not switched on")
 		return
-	case !state.rankingFits(cmd.Record):
-		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankingValueFraction*float64(state.settings.MaxValueBytes))
+	case !r.rankingFits(cmd.Record):
+		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankingValueFraction*float64(r.settings.MaxValueBytes))
 		return
-	case state.controller.membership.storeDown(state.now) || !state.controller.membership.loaded:
+	case r.controller.membership.storeDown(r.now) || !r.controller.membership.loaded:
 		refuse(503, "nothing is set: the state service does not answer")
 		return
 	}
 	readDone, timedOut := false, false
-	state.after(cmd.Deadline.Sub(state.now), func() {
+	r.after(cmd.Deadline.Sub(r.now), func() {
 		if timedOut = true; !readDone {
 			refuse(503, "nothing is set: the state service does not answer")
 		}
 	})
-	state.controller.membership.confirmControlRecords(func() {
+	r.controller.membership.confirmControlRecords(func() {
 		if timedOut {
 			return
 		}
 		readDone = true
 		switch {
-		case !cmd.AnyRevision && cmd.Revision != state.highestRevision:
-			refuse(409, "nothing is set: revision %d stands there, not %d; look at it and give --rev %d", state.highestRevision, cmd.Revision, state.highestRevision)
+		case !cmd.AnyRevision && cmd.Revision != r.highestRevision:
+			refuse(409, "nothing is set: revision %d stands there, not %d; look at it and give --rev %d", r.highestRevision, cmd.Revision, r.highestRevision)
 			return
 		}
 		rec := cmd.Record
-		rec.Revision, rec.SetAt = state.highestRevision+1, state.now
-		state.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.RankingKey, ModRevision: state.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
+		rec.Revision, rec.SetAt = r.highestRevision+1, r.now
+		r.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.RankingKey, ModRevision: r.modRevision}}, Writes: rankingWrites(rec)}, func(resp message.StoreResponse) {
 			switch resp.Status {
 			case message.StoreOK:
-				state.emit(message.RankingReply{Reply: cmd.Reply, Status: 200, Host: state.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
+				r.emit(message.RankingReply{Reply: cmd.Reply, Status: 200, Host: r.settings.Host, Revision: rec.Revision, SetBy: rec.SetBy, SetAt: rec.SetAt})
 			case message.StoreConflict:
 				refuse(409, "nothing is set: somebody else set a ranking meanwhile; look at it and try again")
 			case message.StoreUnknown:
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -26,13 +26,13 @@
 }
 
 // setRanking has a ranking come with a read that began now.
-func (n *Controller) setRanking(text string, stamp uint64) {
+func (c *Controller) setRanking(text string, stamp uint64) {
 	rec, err := ranking.Parse([]byte(text))
 	if err != nil {
 		panic(err)
 	}
 	rec.Revision = stamp
-	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: stamp}}})
+	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: c.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: stamp}}})
 }
 
 const (
@@ -41,9 +41,9 @@
 )
 
 // addWaitingJob adds a job that waits.
-func (n *Controller) addWaitingJob(id, workload string, tasks int, cpu float64) *job {
-	j := newJob(model.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: cpu, Memory: cpu}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
-	n.shardLeader.jobs[id] = j
+func (c *Controller) addWaitingJob(id, workload string, tasks int, cpu float64) *job {
+	j := newJob(model.JobSpec{ID: id, Workload: workload, Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: cpu, Memory: cpu}, ExpectedRunTime: time.Minute}, c.now, 1, 4096)
+	c.shardLeader.jobs[id] = j
 	return j
 }
 
--- a/internal/controller/rate_limits.go
+++ b/internal/controller/rate_limits.go
@@ -49,9 +49,9 @@
 }
 
 // countRequest notes a request to the state service.
-func (b *rateLimits) countRequest(op *message.StoreRequest) {
-	b.requests.Add(1)
-	b.writes.Add(float64(len(op.Writes)))
+func (r *rateLimits) countRequest(op *message.StoreRequest) {
+	r.requests.Add(1)
+	r.writes.Add(float64(len(op.Writes)))
 }
 
 // publishRates tells the others what this controller asks for, and passes its part on.
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -12,8 +12,8 @@
 
 // markDispatchPending notes that orders may be due for m. Going through all machines after
 // every batch of commands would cost a large pool more than its reports do.
-func (n *Controller) markDispatchPending(m *machine) {
-	if o := n.shardLeader; o != nil && !m.dispatchPending {
+func (c *Controller) markDispatchPending(m *machine) {
+	if o := c.shardLeader; o != nil && !m.dispatchPending {
 		m.dispatchPending = true
 		o.dispatcher.dirtyMachines = append(o.dispatcher.dirtyMachines, m)
 	}
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -10,29 +10,29 @@
 )
 
 // heartbeatOf has the worker of m report tasks, and gives the answer.
-func (n *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) message.HeartbeatReply {
-	r := n.poolHeartbeat(0)
+func (c *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) message.HeartbeatReply {
+	r := c.poolHeartbeat(0)
 	r.Machine, r.Sequence, r.Epoch, r.Tasks = m.id, m.sequence+1, m.epoch, tasks
-	return n.replyToHeartbeat(r)
+	return c.replyToHeartbeat(r)
 }
 
 // replyToHeartbeat is the answer to a report, zero if there is none yet.
-func (n *Controller) replyToHeartbeat(r *model.Heartbeat) message.HeartbeatReply {
-	n.effects = nil
-	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-	for _, a := range emittedEffects[message.HeartbeatReply](n) {
+func (c *Controller) replyToHeartbeat(r *model.Heartbeat) message.HeartbeatReply {
+	c.effects = nil
+	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	for _, a := range emittedEffects[message.HeartbeatReply](c) {
 		return a
 	}
 	return message.HeartbeatReply{}
 }
 
 // setCancelled writes that a job was cancelled by a change that was sent at a moment.
-func (n *Controller) setCancelled(j *job, at time.Time) {
+func (c *Controller) setCancelled(j *job, at time.Time) {
 	rec := record.NewOpenJob(&j.JobSpec, j.submittedAt)
 	rec.Cancelled, rec.CancelledAtMillis = true, at.UnixMilli()
-	n.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
-	if n.shardLeader.jobs[j.ID] != nil {
-		n.shardLeader.applyJobRecord(j, j.modRevision+1, &rec)
+	c.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
+	if c.shardLeader.jobs[j.ID] != nil {
+		c.shardLeader.applyJobRecord(j, j.modRevision+1, &rec)
 	}
 }
 
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -71,9 +71,9 @@
 }
 
 // newShardLeader makes a shard leader that leads nothing yet.
-func newShardLeader(n *Controller) *shardLeader {
+func newShardLeader(c *Controller) *shardLeader {
 	o := &shardLeader{
-		since: n.now, generation: int(n.nextID()),
+		since: c.now, generation: int(c.nextID()),
 		teams: map[string]*heldTeam{}, shards: map[string]bool{},
 		jobs: map[string]*job{}, machines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
 		workloads: map[string]*workload{},
@@ -82,22 +82,22 @@
 	o.failover.higherEpochSeen = map[string]time.Time{}
 	o.fleet.arrivals = map[workloadKey][]arrival{}
 	o.persistence.prewarmedImages = map[string]map[string]float64{}
-	o.connectComponents(component{environment: n.environment, controller: n})
+	o.connectComponents(component{environment: c.environment, controller: c})
 	return o
 }
 
 // connectComponents gives each part of a shard leader the environment and the way to the others.
-func (o *shardLeader) connectComponents(shared component) {
-	o.component = shared
-	o.scheduler.component = shared
-	o.fleet.component = shared
-	o.persistence.component = shared
-	o.failover.component = shared
-	o.dispatcher.component = shared
-	o.dependencies.component = shared
-	o.remoteAttempts.component = shared
-	o.heartbeats.component = shared
-	o.migration.component = shared
+func (s *shardLeader) connectComponents(shared component) {
+	s.component = shared
+	s.scheduler.component = shared
+	s.fleet.component = shared
+	s.persistence.component = shared
+	s.failover.component = shared
+	s.dispatcher.component = shared
+	s.dependencies.component = shared
+	s.remoteAttempts.component = shared
+	s.heartbeats.component = shared
+	s.migration.component = shared
 }
 
 type workload struct {
@@ -118,56 +118,56 @@
 // because the higher epoch reaches them at once.
 func (r *leaseRenewer) grace() time.Duration { return r.settings.WorkerLease }
 
-func (n *Controller) dropShardLeader(reason string) {
-	if n.shardLeader == nil {
+func (c *Controller) dropShardLeader(reason string) {
+	if c.shardLeader == nil {
 		return
 	}
-	n.info("owner no more", "why", reason)
-	n.shardLeader.endPlanningPass()
-	if n.shardLeader.scheduler.packingProfile != nil {
-		n.emit(message.GPUFreeCapacityReport{})
+	c.info("owner no more", "why", reason)
+	c.shardLeader.endPlanningPass()
+	if c.shardLeader.scheduler.packingProfile != nil {
+		c.emit(message.GPUFreeCapacityReport{})
 	}
-	n.shardLeader = nil
+	c.shardLeader = nil
 }
 
 // observeOwnWrite tells the owner at once of a change this node wrote itself, unless the
 // picture is newer: its answer may come after the job was cancelled and over.
-func (n *Controller) observeOwnWrite(it message.KeyValue) {
-	if n.shardLeader != nil && it.ModRevision > n.frontend.watchCache.revision {
-		n.shardLeader.applyOpenJob(it)
+func (c *Controller) observeOwnWrite(it message.KeyValue) {
+	if c.shardLeader != nil && it.ModRevision > c.frontend.watchCache.revision {
+		c.shardLeader.applyOpenJob(it)
 	}
 }
 
-func (o *shardLeader) applyOpenJob(it message.KeyValue) {
+func (s *shardLeader) applyOpenJob(it message.KeyValue) {
 	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
-	j := o.jobs[id]
+	j := s.jobs[id]
 	if it.Deleted {
 		if j != nil && j.elsewhere() {
 			// Settled by the leader, who has heard from the peer.
-			delete(o.jobs, id)
+			delete(s.jobs, id)
 		}
 		return
 	}
 	if j != nil && it.ModRevision <= j.modRevision {
 		return
 	}
-	if _, ended := o.controller.frontend.finalStatuses[id]; ended && j == nil && o.controller.frontend.finalStatuses[id] == model.Done {
+	if _, ended := s.controller.frontend.finalStatuses[id]; ended && j == nil && s.controller.frontend.finalStatuses[id] == model.Done {
 		return
 	}
 	var r record.OpenJob
 	if !record.Decode(it.Value, &r) {
-		o.rejectInput("record", it.Key, "it can't be read")
+		s.rejectInput("record", it.Key, "it can't be read")
 		return
 	}
 	if problem := r.Validate(); problem != "" {
 		// Its job stays queued until somebody mends the record or cancels it.
-		o.rejectInput("record", it.Key, problem)
+		s.rejectInput("record", it.Key, problem)
 		return
 	}
 	if j == nil {
 		// An earlier form kept nothing of a cancelled job but that it is one.
-		held := o.teams[r.Team]
-		if (!r.Cancelled || r.Team != "") && (held == nil || !held.ready) || !o.ready {
+		held := s.teams[r.Team]
+		if (!r.Cancelled || r.Team != "") && (held == nil || !held.ready) || !s.ready {
 			// Another's, or it comes when the team's records have been read.
 			return
 		}
@@ -177,68 +177,68 @@
 		}
 		// It has just come, and this clock is the one that its waits are judged by
 		// here; another controller's may be a second off.
-		j = o.addJob(spec, o.now, it.ModRevision)
+		j = s.addJob(spec, s.now, it.ModRevision)
 		if !r.Cancelled {
 			k := workloadKey{j.Team, j.Workload}
-			o.fleet.arrivals[k] = append(o.fleet.arrivals[k], arrival{o.now, j.Tasks, j.Need, &j.JobSpec})
+			s.fleet.arrivals[k] = append(s.fleet.arrivals[k], arrival{s.now, j.Tasks, j.Need, &j.JobSpec})
 		}
 		j.setLoanFrom(&r)
-		o.controller.promises.noteBaseQuote(j)
+		s.controller.promises.noteBaseQuote(j)
 	}
-	o.applyJobRecord(j, it.ModRevision, &r)
-	o.scheduler.placementDue = true
+	s.applyJobRecord(j, it.ModRevision, &r)
+	s.scheduler.placementDue = true
 }
 
 // addJob takes a job into the owner's books.
-func (o *shardLeader) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
-	j := newJob(spec, at, stamp, o.settings.currentMaxValueBytes())
-	j.segmentFormat = o.controller.membership.formats.segmentFormat()
-	o.jobs[j.ID] = j
+func (s *shardLeader) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
+	j := newJob(spec, at, stamp, s.settings.currentMaxValueBytes())
+	j.segmentFormat = s.controller.membership.formats.segmentFormat()
+	s.jobs[j.ID] = j
 	if j.Workload != "" {
-		o.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", o.now.Sub(j.submittedAt))
-		o.workloads[j.Workload] = &workload{&j.JobSpec, o.now}
-		o.scheduler.placementUrgent = o.scheduler.placementUrgent || o.waitObjective(j.Workload) > 0
+		s.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", s.now.Sub(j.submittedAt))
+		s.workloads[j.Workload] = &workload{&j.JobSpec, s.now}
+		s.scheduler.placementUrgent = s.scheduler.placementUrgent || s.waitObjective(j.Workload) > 0
 	}
-	o.controller.awaitDependencies(j)
+	s.controller.awaitDependencies(j)
 	return j
 }
 
 // applyJobRecord takes in a job's record in open/ as it stands now.
-func (o *shardLeader) applyJobRecord(j *job, stamp uint64, r *record.OpenJob) {
+func (s *shardLeader) applyJobRecord(j *job, stamp uint64, r *record.OpenJob) {
 	id := j.ID
 	j.modRevision = stamp
 	j.setLoanFrom(r)
-	o.controller.promises.notePromiseRecord(j, r)
+	s.controller.promises.notePromiseRecord(j, r)
 	if r.Cancelled {
 		// Whoever wrote that has written job/ with it.
 		j.cancelDerived = false
 	}
 	if r.Cancelled && !j.cancelled {
 		j.cancelled = true
-		o.controller.frontend.cacheFinalStatus(id, model.Cancelled)
+		s.controller.frontend.cacheFinalStatus(id, model.Cancelled)
 		for i := range j.tasks[:j.nextFresh] {
 			if t := &j.tasks[i]; t.machine != nil {
 				t.stopReason = stopCancel
-				o.controller.markDispatchPending(t.machine)
+				s.controller.markDispatchPending(t.machine)
 			}
 		}
 	}
 }
 
 // attachAttempt makes the attempt of task i live on m.
-func (o *shardLeader) attachAttempt(j *job, i int, m *machine) {
+func (s *shardLeader) attachAttempt(j *job, i int, m *machine) {
 	t := &j.tasks[i]
 	t.machine = m
 	j.liveTasks++
 	j.liveByZone[m.zone]++
 	m.attempts[taskKey{j.ID, i}] = t
 	m.used = m.used.AddScaled(j.Need, 1)
-	u := o.usedByTeam[j.Team]
-	o.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
+	u := s.usedByTeam[j.Team]
+	s.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
 }
 
 // endAttempt takes note of the proof that a live attempt is over.
-func (o *shardLeader) endAttempt(j *job, i int, done bool) {
+func (s *shardLeader) endAttempt(j *job, i int, done bool) {
 	t := &j.tasks[i]
 	m := t.machine
 	if m == nil {
@@ -246,14 +246,14 @@
 	}
 	delete(m.attempts, taskKey{j.ID, i})
 	m.used = m.used.AddScaled(j.Need, -1)
-	o.usedByTeam[j.Team] = o.usedByTeam[j.Team].AddScaled(j.Need, -1)
+	s.usedByTeam[j.Team] = s.usedByTeam[j.Team].AddScaled(j.Need, -1)
 	j.liveTasks--
 	j.liveByZone[m.zone]--
 	if len(m.attempts) == 0 {
-		m.idleSince = o.now
+		m.idleSince = s.now
 		m.used = model.Resources{}
 		if m.remote {
-			o.dropRemoteMachine(m)
+			s.dropRemoteMachine(m)
 		}
 	}
 	if t.isRunning() {
@@ -270,72 +270,72 @@
 	} else if !j.cancelled {
 		j.requeued = append(j.requeued, i)
 	}
-	j.markChanged(i, o.now, done && j.doneTasks == len(j.tasks))
-	o.scheduler.placementDue = true
+	j.markChanged(i, s.now, done && j.doneTasks == len(j.tasks))
+	s.scheduler.placementDue = true
 }
 
 // shardLeaderTick does what is due: sweep the machines, relaunch, place, write, and
 // send orders.
-func (o *shardLeader) shardLeaderTick() {
-	if !o.ready {
-		o.wakeAt = o.now.Add(shardLeaderTickInterval)
+func (s *shardLeader) shardLeaderTick() {
+	if !s.ready {
+		s.wakeAt = s.now.Add(shardLeaderTickInterval)
 		return
 	}
-	if o.now.Sub(o.sweptAt) >= shardLeaderTickInterval {
-		o.sweptAt = o.now
-		o.controller.shardLeader.failover.sweep()
-		o.controller.ranking.retryRankingRefresh()
-		o.controller.shardLeader.heartbeats.quarantineNonStarting()
-		if o.controller.partition.checkPartition(); o.controller.shardLeader != o {
+	if s.now.Sub(s.sweptAt) >= shardLeaderTickInterval {
+		s.sweptAt = s.now
+		s.controller.shardLeader.failover.sweep()
+		s.controller.ranking.retryRankingRefresh()
+		s.controller.shardLeader.heartbeats.quarantineNonStarting()
+		if s.controller.partition.checkPartition(); s.controller.shardLeader != s {
 			return
 		}
-		o.controller.shardLeader.scheduler.relaunch()
-		o.controller.shardLeader.failover.maybeBumpEpoch()
-		o.controller.shardLeader.migration.migrationTick()
-		o.controller.shardLeader.fleet.planFleet(true)
-		o.publishToPeers()
-		o.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
-		o.controller.shardLeader.dependencies.updateCriticalPaths()
-		o.controller.promises.promisesTick()
-		o.controller.shardLeader.persistence.writePrewarmed()
-		o.controller.shardLeader.scheduler.reportGPUFreeCapacity()
-		o.scheduler.placementDue = true
+		s.controller.shardLeader.scheduler.relaunch()
+		s.controller.shardLeader.failover.maybeBumpEpoch()
+		s.controller.shardLeader.migration.migrationTick()
+		s.controller.shardLeader.fleet.planFleet(true)
+		s.publishToPeers()
+		s.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
+		s.controller.shardLeader.dependencies.updateCriticalPaths()
+		s.controller.promises.promisesTick()
+		s.controller.shardLeader.persistence.writePrewarmed()
+		s.controller.shardLeader.scheduler.reportGPUFreeCapacity()
+		s.scheduler.placementDue = true
 	}
-	if o.fleet.planningPass != nil {
-		o.controller.shardLeader.fleet.planFleet(false)
+	if s.fleet.planningPass != nil {
+		s.controller.shardLeader.fleet.planFleet(false)
 	}
-	if o.scheduler.placementDue && !o.now.Before(o.nextPlacementRound()) {
-		o.scheduler.placementDue, o.scheduler.placementUrgent, o.scheduler.placedAt = false, false, o.now
-		o.controller.planning.placementRan = true
-		o.controller.shardLeader.scheduler.placeAll()
-		o.persistence.persistedAt = time.Time{}
+	if s.scheduler.placementDue && !s.now.Before(s.nextPlacementRound()) {
+		s.scheduler.placementDue, s.scheduler.placementUrgent, s.scheduler.placedAt = false, false, s.now
+		s.controller.planning.placementRan = true
+		s.controller.shardLeader.scheduler.placeAll()
+		s.persistence.persistedAt = time.Time{}
 	}
-	if o.now.Sub(o.persistence.persistedAt) >= persistInterval {
-		o.persistence.persistedAt = o.now
-		o.controller.shardLeader.persistence.writeShardLeaderRecords()
+	if s.now.Sub(s.persistence.persistedAt) >= persistInterval {
+		s.persistence.persistedAt = s.now
+		s.controller.shardLeader.persistence.writeShardLeaderRecords()
 	}
-	o.controller.shardLeader.dispatcher.dispatchAll()
-	o.controller.shardLeader.remoteAttempts.publishRemoteAttempts()
-	if o.remoteAttempts.due {
-		o.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
+	s.controller.shardLeader.dispatcher.dispatchAll()
+	s.controller.shardLeader.remoteAttempts.publishRemoteAttempts()
+	if s.remoteAttempts.due {
+		s.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
 	}
-	o.wakeAt = o.sweptAt.Add(shardLeaderTickInterval)
-	if next := o.persistence.persistedAt.Add(persistInterval); o.persistence.persistedAt != o.now && next.Before(o.wakeAt) {
-		o.wakeAt = next
+	s.wakeAt = s.sweptAt.Add(shardLeaderTickInterval)
+	if next := s.persistence.persistedAt.Add(persistInterval); s.persistence.persistedAt != s.now && next.Before(s.wakeAt) {
+		s.wakeAt = next
 	}
-	if next := o.nextPlacementRound(); o.scheduler.placementDue && next.Before(o.wakeAt) {
-		o.wakeAt = next
+	if next := s.nextPlacementRound(); s.scheduler.placementDue && next.Before(s.wakeAt) {
+		s.wakeAt = next
 	}
 }
 
 // nextPlacementRound is when tasks may be placed again. A round that took long leaves as
 // much time and half of it again to others, however much work waits.
-func (o *shardLeader) nextPlacementRound() time.Time {
+func (s *shardLeader) nextPlacementRound() time.Time {
 	gap := placementInterval
-	if o.scheduler.placementUrgent {
+	if s.scheduler.placementUrgent {
 		gap = 0
 	}
-	return o.scheduler.placedAt.Add(max(gap, o.scheduler.roundDuration*5/2))
+	return s.scheduler.placedAt.Add(max(gap, s.scheduler.roundDuration*5/2))
 }
 
 func later(a, b time.Time) time.Time {
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -12,26 +12,26 @@
 )
 
 // putShard writes a share into the node's picture of ctl/.
-func (n *Controller) putShard(t *testing.T, name, host string, stamp uint64, rest bool, teams ...string) {
+func (c *Controller) putShard(t *testing.T, name, host string, stamp uint64, rest bool, teams ...string) {
 	t.Helper()
 	b := record.Encode(map[string]any{"host": host, "nonce": host + "#1", "teams": teams, "rest": rest})
-	if host == n.settings.Host {
-		b = record.Encode(map[string]any{"host": host, "nonce": n.incarnation(), "teams": teams, "rest": rest})
+	if host == c.settings.Host {
+		b = record.Encode(map[string]any{"host": host, "nonce": c.incarnation(), "teams": teams, "rest": rest})
 	}
-	if err := n.membership.shardMap.ApplyShard(name, b, stamp); err != nil {
+	if err := c.membership.shardMap.ApplyShard(name, b, stamp); err != nil {
 		t.Fatal(err)
 	}
-	n.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
+	c.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
 }
 
 // putSegment names machines for a share.
-func (n *Controller) putSegment(t *testing.T, share string, stamp uint64, ids ...string) {
+func (c *Controller) putSegment(t *testing.T, share string, stamp uint64, ids ...string) {
 	t.Helper()
-	w, some := sharding.BumpEpoch(n.requests.storeLimits(), "l"+ids[0], n.membership.shardMap.Shard(share), ids)
+	w, some := sharding.BumpEpoch(c.requests.storeLimits(), "l"+ids[0], c.membership.shardMap.Shard(share), ids)
 	if len(some) != len(ids) {
 		t.Fatal("too many")
 	}
-	if err := n.membership.shardMap.ApplySegment(w.Name, w.Value, stamp); err != nil {
+	if err := c.membership.shardMap.ApplySegment(w.Name, w.Value, stamp); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -57,9 +57,9 @@
 	return l
 }
 
-func newShardPlanning(n *Controller) shardPlanning {
+func newShardPlanning(c *Controller) shardPlanning {
 	return shardPlanning{
-		planner:            sharding.New(n.requests.storeLimits(), fmt.Sprint(n.membership.leaderModRevision), n.settings.Policy.RebalanceInterval, n.now),
+		planner:            sharding.New(c.requests.storeLimits(), fmt.Sprint(c.membership.leaderModRevision), c.settings.Policy.RebalanceInterval, c.now),
 		unrecordedMachines: map[string]sharding.NewMachine{}, offers: map[string]sharding.Offer{}, loads: map[string]float64{},
 	}
 }
@@ -131,8 +131,8 @@
 
 // confirmedGone says that a machine is gone: its return was answered, or the cloud has
 // not listed it for long. That is no proof for what ran there, only for the records.
-func (n *Controller) confirmedGone(id string) bool {
-	l := n.leader
+func (c *Controller) confirmedGone(id string) bool {
+	l := c.leader
 	if l.confirmedReleases[id] {
 		return true
 	}
@@ -140,7 +140,7 @@
 		return !r.releasedAt.IsZero()
 	}
 	unlistedSince, unlisted := l.unlistedSince[id]
-	return unlisted && n.now.Sub(unlistedSince) > unlistedGracePeriod
+	return unlisted && c.now.Sub(unlistedSince) > unlistedGracePeriod
 }
 
 // markUnlisted notes which machines that records name a list does not show. A new one is
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -29,51 +29,51 @@
 
 // markReassignedTeams notes which teams are another's as of the revision that ctl/ has just been
 // brought to. One answer may tell of many: that a team went and that it came back.
-func markReassignedTeams(n *Controller) {
-	if n.shardLeader == nil {
+func markReassignedTeams(c *Controller) {
+	if c.shardLeader == nil {
 		return
 	}
-	for t, h := range n.shardLeader.teams {
-		s := n.membership.shardMap.Team(t)
-		h.reassigned = h.reassigned || s == nil || s.Host != n.settings.Host || s.Incarnation != n.incarnation()
+	for t, h := range c.shardLeader.teams {
+		s := c.membership.shardMap.Team(t)
+		h.reassigned = h.reassigned || s == nil || s.Host != c.settings.Host || s.Incarnation != c.incarnation()
 	}
 }
 
 // markReassignedAfterReRead does the same when ctl/ has been read anew and what happened in between
 // is not told: only a share that has not been written since has kept its teams.
-func markReassignedAfterReRead(n *Controller, before *sharding.Map) {
-	if n.shardLeader == nil {
+func markReassignedAfterReRead(c *Controller, before *sharding.Map) {
+	if c.shardLeader == nil {
 		return
 	}
-	for t, h := range n.shardLeader.teams {
-		was, is := before.Team(t), n.membership.shardMap.Team(t)
+	for t, h := range c.shardLeader.teams {
+		was, is := before.Team(t), c.membership.shardMap.Team(t)
 		h.reassigned = h.reassigned || was == nil || is == nil || was.ModRevision != is.ModRevision
 	}
 }
 
 // syncShardLeader brings the owner's books in step with ctl/.
-func (n *Controller) syncShardLeader() {
-	s := &n.membership
+func (c *Controller) syncShardLeader() {
+	s := &c.membership
 	if !s.loaded {
 		return
 	}
 	var heldShards []*sharding.Shard
 	if s.leaseID != 0 {
-		heldShards = slices.DeleteFunc(s.shardMap.HeldBy(n.settings.Host, n.incarnation()), func(x *sharding.Shard) bool {
+		heldShards = slices.DeleteFunc(s.shardMap.HeldBy(c.settings.Host, c.incarnation()), func(x *sharding.Shard) bool {
 			return len(x.Teams) == 0 && !x.CatchAll && !s.shardMap.HasMachines(x.Name)
 		})
 	}
 	if len(heldShards) == 0 {
-		n.dropShardLeader("no share")
+		c.dropShardLeader("no share")
 		return
 	}
-	if n.shardLeader == nil {
-		n.shardLeader = newShardLeader(n)
-		n.info("owner", "shares", shardNames(heldShards))
-		n.frontend.watchCache.watchOpenJobs()
+	if c.shardLeader == nil {
+		c.shardLeader = newShardLeader(c)
+		c.info("owner", "shares", shardNames(heldShards))
+		c.frontend.watchCache.watchOpenJobs()
 	}
-	n.shardLeader.syncMachines(heldShards)
-	n.shardLeader.syncTeams(heldShards)
+	c.shardLeader.syncMachines(heldShards)
+	c.shardLeader.syncTeams(heldShards)
 }
 
 func shardNames(heldShards []*sharding.Shard) []string {
@@ -86,26 +86,26 @@
 
 // syncTeams lets go of the teams that are another's now, and reads the records of
 // those that have come.
-func (o *shardLeader) syncTeams(heldShards []*sharding.Shard) {
+func (s *shardLeader) syncTeams(heldShards []*sharding.Shard) {
 	assigned := map[string]bool{}
 	for _, x := range heldShards {
 		for _, t := range x.Teams {
-			assigned[t] = o.controller.membership.shardMap.Team(t) == x
+			assigned[t] = s.controller.membership.shardMap.Team(t) == x
 		}
 	}
-	for _, t := range sortedKeys(o.teams) {
-		if !assigned[t] || o.teams[t].reassigned {
-			o.info("a team goes", "team", t)
-			o.handOverTeam(t)
+	for _, t := range sortedKeys(s.teams) {
+		if !assigned[t] || s.teams[t].reassigned {
+			s.info("a team goes", "team", t)
+			s.handOverTeam(t)
 		}
 	}
 	for _, t := range sortedKeys(assigned) {
-		if assigned[t] && o.teams[t] == nil {
-			o.info("a team comes", "team", t)
-			o.teams[t] = &heldTeam{holdID: int(o.nextID())}
+		if assigned[t] && s.teams[t] == nil {
+			s.info("a team comes", "team", t)
+			s.teams[t] = &heldTeam{holdID: int(s.nextID())}
 		}
 	}
-	o.loadTeams()
+	s.loadTeams()
 }
 
 // handOverTeam takes a team's jobs out of the books. What of them runs here goes on, in
@@ -163,82 +163,82 @@
 
 // syncMachines lets go of the machines that are another's now, takes up those that
 // have come, and notes whose the others are.
-func (o *shardLeader) syncMachines(heldShards []*sharding.Shard) {
-	clear(o.shards)
+func (s *shardLeader) syncMachines(heldShards []*sharding.Shard) {
+	clear(s.shards)
 	catchAll := false
 	for _, x := range heldShards {
-		o.shards[x.Name] = true
+		s.shards[x.Name] = true
 		catchAll = catchAll || x.CatchAll
 	}
 	switch {
 	case !catchAll:
-		o.catchAllSince = time.Time{}
-	case o.catchAllSince.IsZero():
-		o.catchAllSince = o.now
+		s.catchAllSince = time.Time{}
+	case s.catchAllSince.IsZero():
+		s.catchAllSince = s.now
 	}
-	for _, m := range slices.Clone(o.machinesByID) {
-		x, mine := o.controller.membership.ownedMachine(m.id)
+	for _, m := range slices.Clone(s.machinesByID) {
+		x, mine := s.controller.membership.ownedMachine(m.id)
 		switch {
 		case !mine:
-			o.handOverMachine(m)
+			s.handOverMachine(m)
 		case x.Epoch != m.epoch:
 			// It may have been another's in between, of which this one has read only
 			// now: what was seen of it, and when its lease ends, count anew.
-			m.epoch, m.formerOwnerUntil = x.Epoch, o.now.Add(o.controller.renewal.formerOwnerGrace())
+			m.epoch, m.formerOwnerUntil = x.Epoch, s.now.Add(s.controller.renewal.formerOwnerGrace())
 			if !m.leaseEnd.IsZero() {
-				m.leaseEnd = later(m.leaseEnd, o.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
+				m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
 			}
-			o.remoteAttempts.registry.ForgetObservations(m.id)
-			o.controller.markDispatchPending(m)
+			s.remoteAttempts.registry.ForgetObservations(m.id)
+			s.controller.markDispatchPending(m)
 		}
 	}
-	for _, id := range sortedKeys(o.remoteAttempts.machines) {
-		if _, mine := o.controller.membership.ownedMachine(id); mine {
-			o.takeOverMachine(o.remoteAttempts.machines[id])
+	for _, id := range sortedKeys(s.remoteAttempts.machines) {
+		if _, mine := s.controller.membership.ownedMachine(id); mine {
+			s.takeOverMachine(s.remoteAttempts.machines[id])
 		}
 	}
 }
 
 // handOverMachine forgets a machine that is another's now. The attempts of this owner's
 // jobs on it stay there: its new owner is asked about them.
-func (o *shardLeader) handOverMachine(m *machine) {
-	o.removeMachine(m)
-	o.remoteAttempts.registry.ForgetMachine(m.id)
-	delete(o.failover.higherEpochSeen, m.id)
+func (s *shardLeader) handOverMachine(m *machine) {
+	s.removeMachine(m)
+	s.remoteAttempts.registry.ForgetMachine(m.id)
+	delete(s.failover.higherEpochSeen, m.id)
 	if len(m.attempts) == 0 {
 		return
 	}
-	asRemote := o.remoteMachine(m.id)
+	asRemote := s.remoteMachine(m.id)
 	asRemote.zone, asRemote.machineType, asRemote.spot = m.zone, m.machineType, m.spot
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
 		if !t.startSent {
 			// Never told to anybody, so it is nowhere.
-			o.endAttempt(o.jobs[k.job], k.index, false)
+			s.endAttempt(s.jobs[k.job], k.index, false)
 			continue
 		}
 		t.machine = asRemote
 		asRemote.attempts[k] = t
-		asRemote.used = asRemote.used.AddScaled(o.jobs[k.job].Need, 1)
+		asRemote.used = asRemote.used.AddScaled(s.jobs[k.job].Need, 1)
 	}
-	o.dropRemoteMachine(asRemote)
-	o.remoteAttempts.due = true
+	s.dropRemoteMachine(asRemote)
+	s.remoteAttempts.due = true
 }
 
 // takeOverMachine takes up a machine on which this owner's jobs have run under another.
-func (o *shardLeader) takeOverMachine(asRemote *machine) {
-	delete(o.remoteAttempts.machines, asRemote.id)
+func (s *shardLeader) takeOverMachine(asRemote *machine) {
+	delete(s.remoteAttempts.machines, asRemote.id)
 	asRemote.removed = true
-	m := o.ensureMachine(asRemote.id)
+	m := s.ensureMachine(asRemote.id)
 	if m.machineType == "" && asRemote.machineType != "" {
 		m.zone, m.machineType, m.spot = asRemote.zone, asRemote.machineType, asRemote.spot
-		if f, ok := o.controller.knowledge.machineTypes[asRemote.machineType]; ok {
+		if f, ok := s.controller.knowledge.machineTypes[asRemote.machineType]; ok {
 			m.size, m.disk = f.Capacity, f.DiskGB
 		}
 	}
 	for _, k := range sortedAttempts(asRemote) {
 		t := asRemote.attempts[k]
-		j := o.jobs[k.job]
+		j := s.jobs[k.job]
 		j.liveByZone[asRemote.zone]--
 		j.liveByZone[m.zone]++
 		t.machine, t.startSent = m, true
@@ -246,41 +246,41 @@
 		m.used = m.used.AddScaled(j.Need, 1)
 	}
 	// Whoever had it may go on answering it for a while.
-	m.leaseEnd = later(m.leaseEnd, o.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
-	o.controller.shardLeader.remoteAttempts.rePoll(m)
-	if h := o.controller.knowledge.predecessorMachines[m.id]; o.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
-		o.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
+	m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
+	s.controller.shardLeader.remoteAttempts.rePoll(m)
+	if h := s.controller.knowledge.predecessorMachines[m.id]; s.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
+		s.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 	}
-	o.failover.inheritedMachines = append(o.failover.inheritedMachines, m)
+	s.failover.inheritedMachines = append(s.failover.inheritedMachines, m)
 }
 
 // remoteMachine is a machine of another owner, as far as this one's jobs have attempts there.
-func (o *shardLeader) remoteMachine(id string) *machine {
-	a := o.remoteAttempts.machines[id]
+func (s *shardLeader) remoteMachine(id string) *machine {
+	a := s.remoteAttempts.machines[id]
 	if a == nil {
 		a = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
-		if h, ok := o.controller.knowledge.predecessorMachines[id]; ok {
+		if h, ok := s.controller.knowledge.predecessorMachines[id]; ok {
 			a.zone, a.machineType, a.spot = h.Zone, h.MachineType, h.Spot
 		}
-		o.remoteAttempts.machines[id] = a
+		s.remoteAttempts.machines[id] = a
 	}
 	return a
 }
 
 // dropRemoteMachine forgets a machine of another owner when nothing of ours is on it.
-func (o *shardLeader) dropRemoteMachine(a *machine) {
+func (s *shardLeader) dropRemoteMachine(a *machine) {
 	if len(a.attempts) == 0 {
-		delete(o.remoteAttempts.machines, a.id)
+		delete(s.remoteAttempts.machines, a.id)
 		a.removed = true
 	}
 }
 
 // ownedOrRemoteMachine is the machine that a record names, whoever owns it.
-func (o *shardLeader) ownedOrRemoteMachine(id string) *machine {
-	if _, mine := o.controller.membership.ownedMachine(id); mine {
-		return o.ensureMachine(id)
+func (s *shardLeader) ownedOrRemoteMachine(id string) *machine {
+	if _, mine := s.controller.membership.ownedMachine(id); mine {
+		return s.ensureMachine(id)
 	}
-	return o.remoteMachine(id)
+	return s.remoteMachine(id)
 }
 
 // shardCompares are what a write for these teams has among its conditions: that their
@@ -311,32 +311,32 @@
 // loadTeams reads the records of teams that are not ready: first what is open, as of
 // a moment after they came, then the tasks. Whoever had them before can write nothing
 // in between: what it writes names its own share.
-func (o *shardLeader) loadTeams() {
-	if o.loadingTeams {
+func (s *shardLeader) loadTeams() {
+	if s.loadingTeams {
 		return
 	}
 	teams := map[string]*heldTeam{}
-	for t, h := range o.teams {
+	for t, h := range s.teams {
 		if !h.ready {
 			teams[t] = h
 		}
 	}
-	if len(teams) == 0 && o.ready {
+	if len(teams) == 0 && s.ready {
 		return
 	}
-	o.loadingTeams = true
-	began := o.now
-	gen := o.generation
+	s.loadingTeams = true
+	began := s.now
+	gen := s.generation
 	var tasks, migrationItems []message.KeyValue
-	current := func() bool { return o.controller.shardLeader != nil && o.controller.shardLeader.generation == gen }
+	current := func() bool { return s.controller.shardLeader != nil && s.controller.shardLeader.generation == gen }
 	var readOpenJobs, listTasks func()
 	var listPrewarmed func(from string)
 	readOpenJobs = func() {
-		o.controller.frontend.watchCache.refresh(func(ok bool) {
+		s.controller.frontend.watchCache.refresh(func(ok bool) {
 			switch {
 			case !current():
 			case !ok:
-				o.after(o.jitter(storeRetryDelay), func() {
+				s.after(s.jitter(storeRetryDelay), func() {
 					if current() {
 						readOpenJobs()
 					}
@@ -347,12 +347,12 @@
 		})
 	}
 	listTasks = func() {
-		readAll(o.controller, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
+		readAll(s.controller, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
 			tasks = its
-			o.controller.shardLeader.migration.readMigrations(func(its []message.KeyValue) {
+			s.controller.shardLeader.migration.readMigrations(func(its []message.KeyValue) {
 				migrationItems = its
-				if o.ready {
-					o.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
+				if s.ready {
+					s.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
 				} else {
 					listPrewarmed("")
 				}
@@ -361,18 +361,18 @@
 	}
 	// Images are no more than a help: without them it goes on as well.
 	listPrewarmed = func(from string) {
-		o.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		s.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if !current() {
 				return
 			}
 			for _, it := range d.KeyValues {
-				o.controller.shardLeader.persistence.applyPrewarmedRecord(it)
+				s.controller.shardLeader.persistence.applyPrewarmedRecord(it)
 			}
 			if d.Status == message.StoreOK && d.Truncated && len(d.KeyValues) > 0 {
 				listPrewarmed(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			o.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
+			s.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
 		})
 	}
 	readOpenJobs()
@@ -380,15 +380,15 @@
 
 // readAll reads all that stands under a prefix, page by page and again until it is
 // answered, as long as it is wanted, and gives it to then.
-func readAll(n *Controller, prefix string, prio message.Priority, wanted func() bool, then func([]message.KeyValue)) {
+func readAll(c *Controller, prefix string, prio message.Priority, wanted func() bool, then func([]message.KeyValue)) {
 	var got []message.KeyValue
 	var list func(from string)
 	list = func(from string) {
-		n.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
+		c.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
 			switch {
 			case !wanted():
 			case d.Status != message.StoreOK:
-				n.after(n.jitter(storeRetryDelay), func() {
+				c.after(c.jitter(storeRetryDelay), func() {
 					if wanted() {
 						list(from)
 					}
@@ -407,85 +407,85 @@
 }
 
 // recoverTeams restores the jobs of teams from what was read.
-func (o *shardLeader) recoverTeams(requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, began time.Time) {
-	o.loadingTeams = false
-	firstLoad := !o.ready
+func (s *shardLeader) recoverTeams(requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, began time.Time) {
+	s.loadingTeams = false
+	firstLoad := !s.ready
 	// Some may have gone while their records were read, and others may have written
 	// more of them, even if they are back by now.
-	teams := slices.DeleteFunc(sortedKeys(requested), func(t string) bool { return o.teams[t] != requested[t] })
+	teams := slices.DeleteFunc(sortedKeys(requested), func(t string) bool { return s.teams[t] != requested[t] })
 	recovered := map[string]*job{}
 	for _, it := range tasks {
 		// Whoever wrote a part knew that all know parts.
-		if f, _, ok := o.controller.membership.formats.parseSegmentKey(it.Key); ok {
-			o.controller.membership.formats.adoptFormat(f)
+		if f, _, ok := s.controller.membership.formats.parseSegmentKey(it.Key); ok {
+			s.controller.membership.formats.adoptFormat(f)
 		}
 	}
-	for _, id := range sortedKeys(o.controller.frontend.watchCache.openJobs) {
-		l := o.controller.frontend.watchCache.openJobs[id]
-		if !slices.Contains(teams, l.rec.Team) && !(firstLoad && l.rec.Cancelled && l.rec.Team == "") || o.jobs[id] != nil {
+	for _, id := range sortedKeys(s.controller.frontend.watchCache.openJobs) {
+		l := s.controller.frontend.watchCache.openJobs[id]
+		if !slices.Contains(teams, l.rec.Team) && !(firstLoad && l.rec.Cancelled && l.rec.Team == "") || s.jobs[id] != nil {
 			continue
 		}
-		if o.controller.frontend.finalStatuses[id] == model.Done {
+		if s.controller.frontend.finalStatuses[id] == model.Done {
 			continue
 		}
 		if bad := l.rec.Validate(); bad != "" {
-			o.rejectInput("record", record.OpenJobPrefix+id, bad)
+			s.rejectInput("record", record.OpenJobPrefix+id, bad)
 			continue
 		}
 		spec := l.rec.JobSpec(id)
 		if l.rec.Cancelled {
 			spec.Tasks = l.rec.Tasks
 		}
-		j := o.addJob(spec, time.UnixMilli(l.rec.SubmittedAtMillis), l.modRevision)
+		j := s.addJob(spec, time.UnixMilli(l.rec.SubmittedAtMillis), l.modRevision)
 		recovered[id] = j
-		o.applyJobRecord(j, l.modRevision, &l.rec)
+		s.applyJobRecord(j, l.modRevision, &l.rec)
 	}
 	attempts := 0
-	slices.SortStableFunc(tasks, o.controller.membership.formats.compareFormats)
+	slices.SortStableFunc(tasks, s.controller.membership.formats.compareFormats)
 	for _, it := range tasks {
 		id := record.JobIDFromKey(it.Key, record.TaskSegmentPrefix)
 		j := recovered[id]
 		if j == nil {
-			if _, open := o.controller.frontend.watchCache.openJobs[id]; firstLoad && !open {
-				o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, it.Key)
+			if _, open := s.controller.frontend.watchCache.openJobs[id]; firstLoad && !open {
+				s.persistence.orphanedRecords = append(s.persistence.orphanedRecords, it.Key)
 			}
 			continue
 		}
 		var r record.TaskSegment
 		if !record.Decode(it.Value, &r) {
-			o.rejectInput("record", it.Key, "it can't be read")
+			s.rejectInput("record", it.Key, "it can't be read")
 			continue
 		}
-		o.controller.shardLeader.failover.recoverSegment(j, it, &r)
+		s.controller.shardLeader.failover.recoverSegment(j, it, &r)
 	}
 	for _, id := range sortedKeys(recovered) {
-		o.controller.shardLeader.failover.queueRecovered(recovered[id])
+		s.controller.shardLeader.failover.queueRecovered(recovered[id])
 		attempts += recovered[id].liveTasks
 	}
 	for _, t := range teams {
-		o.teams[t].ready, o.teams[t].readyAt = true, o.now
-		o.controller.promises.recoverPromises(t, recovered)
+		s.teams[t].ready, s.teams[t].readyAt = true, s.now
+		s.controller.promises.recoverPromises(t, recovered)
 	}
-	o.controller.shardLeader.migration.recoverMigrations(teams, migrationItems)
-	o.scheduler.placementDue = true
-	o.remoteAttempts.due = true
-	for _, m := range o.machinesByID {
+	s.controller.shardLeader.migration.recoverMigrations(teams, migrationItems)
+	s.scheduler.placementDue = true
+	s.remoteAttempts.due = true
+	for _, m := range s.machinesByID {
 		// What runs there may have been another's until now.
-		o.controller.shardLeader.remoteAttempts.rePoll(m)
+		s.controller.shardLeader.remoteAttempts.rePoll(m)
 	}
 	if firstLoad {
-		o.ready, o.readyAt = true, o.now
-		o.controller.shardLeader.failover.adoptPredecessorMachines()
+		s.ready, s.readyAt = true, s.now
+		s.controller.shardLeader.failover.adoptPredecessorMachines()
 	}
-	o.info("owner ready", "teams", teams, "jobs", len(recovered), "attempts", attempts, "machines", len(o.machines), "after", o.now.Sub(began))
+	s.info("owner ready", "teams", teams, "jobs", len(recovered), "attempts", attempts, "machines", len(s.machines), "after", s.now.Sub(began))
 	// Reach the machines at once, those with living attempts first: the epoch ends
 	// what a former owner may still order, and their reports are the proof. Those
 	// without are contacted as well, or they would stay with a former owner that has
 	// lost the state service alone, for the whole of its grace.
-	o.failover.inheritedMachines = slices.Clone(o.machinesByID)
-	o.controller.ranking.sortInheritedByRank(o.failover.inheritedMachines)
-	o.controller.shardLeader.failover.contactInheritedMachines()
-	o.loadTeams()
+	s.failover.inheritedMachines = slices.Clone(s.machinesByID)
+	s.controller.ranking.sortInheritedByRank(s.failover.inheritedMachines)
+	s.controller.shardLeader.failover.contactInheritedMachines()
+	s.loadTeams()
 }
 
 // adoptPredecessorMachines takes up what other owners last told of machines that are this one's.
@@ -505,16 +505,16 @@
 
 // syncOpenJobs brings the jobs in step with open/ after it has been read anew, since
 // the watch was too far behind.
-func syncOpenJobs(n *Controller) {
-	o := n.shardLeader
+func syncOpenJobs(c *Controller) {
+	o := c.shardLeader
 	if o == nil || !o.ready {
 		return
 	}
-	open := n.frontend.watchCache.openJobs
+	open := c.frontend.watchCache.openJobs
 	for _, id := range sortedKeys(o.jobs) {
 		if l, there := open[id]; there {
 			if l.modRevision > o.jobs[id].modRevision {
-				n.shardLeader.applyJobRecord(o.jobs[id], l.modRevision, &l.rec)
+				c.shardLeader.applyJobRecord(o.jobs[id], l.modRevision, &l.rec)
 			}
 		} else if o.jobs[id].elsewhere() {
 			delete(o.jobs, id)
@@ -522,12 +522,12 @@
 	}
 	for _, id := range sortedKeys(open) {
 		if l := open[id]; o.jobs[id] == nil {
-			n.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + id, Value: record.Encode(l.rec), ModRevision: l.modRevision})
+			c.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + id, Value: record.Encode(l.rec), ModRevision: l.modRevision})
 		}
 	}
 }
 
 // IsShardLeader says whether this node runs jobs now.
-func (n *Controller) IsShardLeader() bool {
-	return n.shardLeader != nil && n.shardLeader.ready && len(n.shardLeader.teams) > 0
+func (c *Controller) IsShardLeader() bool {
+	return c.shardLeader != nil && c.shardLeader.ready && len(c.shardLeader.teams) > 0
 }
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -559,15 +559,15 @@
 
 // inheritLoads keeps what another controller, the owner of teams now, tells of their
 // workloads.
-func (n *Controller) inheritLoads(ls []message.WorkloadLoad) {
+func (c *Controller) inheritLoads(ls []message.WorkloadLoad) {
 	for _, l := range ls {
 		k := workloadKey{l.Team, l.Workload}
-		if n.shardLeader != nil && n.shardLeader.teams[l.Team] != nil {
+		if c.shardLeader != nil && c.shardLeader.teams[l.Team] != nil {
 			continue
 		}
-		n.knowledge.inheritedLoads[k] = l
-		if e := n.knowledge.estimators[l.Workload]; l.Samples > 0 && (n.shardLeader == nil || e == nil || e.samples < l.Samples) {
-			n.knowledge.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
+		c.knowledge.inheritedLoads[k] = l
+		if e := c.knowledge.estimators[l.Workload]; l.Samples > 0 && (c.shardLeader == nil || e == nil || e.samples < l.Samples) {
+			c.knowledge.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
 		}
 	}
 }
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -15,8 +15,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-func sentStoreRequests(n *Controller) []message.StoreRequest {
-	return emittedEffects[message.StoreRequest](n)
+func sentStoreRequests(c *Controller) []message.StoreRequest {
+	return emittedEffects[message.StoreRequest](c)
 }
 
 // TestMalformedIsNotResent guards against a request that the state service refuses
--- a/internal/controller/stale_heartbeat.go
+++ b/internal/controller/stale_heartbeat.go
@@ -30,27 +30,27 @@
 }
 
 // keepLastHeartbeat keeps the last word of a machine that is dropped.
-func (o *shardLeader) keepLastHeartbeat(m *machine) {
+func (s *shardLeader) keepLastHeartbeat(m *machine) {
 	if !m.heard {
 		// Of before, if there is one.
 		return
 	}
-	if o.heartbeats.lastHeartbeats == nil {
-		o.heartbeats.lastHeartbeats = map[string]lastHeartbeat{}
+	if s.heartbeats.lastHeartbeats == nil {
+		s.heartbeats.lastHeartbeats = map[string]lastHeartbeat{}
 	}
-	for id, w := range o.heartbeats.lastHeartbeats {
+	for id, w := range s.heartbeats.lastHeartbeats {
 		if m.newestMessageAt.Sub(w.receivedAt) > lastHeartbeatTTL {
-			delete(o.heartbeats.lastHeartbeats, id)
+			delete(s.heartbeats.lastHeartbeats, id)
 		}
 	}
-	o.heartbeats.lastHeartbeats[m.id] = lastHeartbeat{m.seenEpoch, m.incarnation, m.sequence, m.newestMessageAt}
+	s.heartbeats.lastHeartbeats[m.id] = lastHeartbeat{m.seenEpoch, m.incarnation, m.sequence, m.newestMessageAt}
 }
 
 // lastHeartbeat is what a report of a machine must be newer than, beside what its books say.
-func (o *shardLeader) lastHeartbeat(n *Controller, id string) (lastHeartbeat, bool) {
-	m := o.machines[id]
+func (s *shardLeader) lastHeartbeat(n *Controller, id string) (lastHeartbeat, bool) {
+	m := s.machines[id]
 	if m == nil || !m.heard {
-		w, ok := o.heartbeats.lastHeartbeats[id]
+		w, ok := s.heartbeats.lastHeartbeats[id]
 		return w, ok
 	}
 	// A worker that another controller sends here comes at once.
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -75,13 +75,13 @@
 	n.emit(s)
 }
 
-func (n *Controller) machineState(m *machine) string {
+func (c *Controller) machineState(m *machine) string {
 	switch {
 	case m.releasing:
 		return "returning"
 	case !m.heard:
 		return "booting"
-	case n.shardLeader.heartbeats.unresponsive(m):
+	case c.shardLeader.heartbeats.unresponsive(m):
 		return "silent"
 	case !m.reachability.Reachable():
 		return "deaf"
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -45,13 +45,13 @@
 }
 
 // takeOverRecords lets an owner take over what was read.
-func (n *Controller) takeOverRecords(open, tasks []message.KeyValue) {
-	m := &n.frontend.watchCache
+func (c *Controller) takeOverRecords(open, tasks []message.KeyValue) {
+	m := &c.frontend.watchCache
 	m.openJobs = map[string]openJob{}
 	for _, it := range open {
 		applyOpenJobRecord(m.openJobs, it)
 	}
-	n.shardLeader.recoverTeams(map[string]*heldTeam{"ops": n.shardLeader.teams["ops"]}, tasks, nil, n.now)
+	c.shardLeader.recoverTeams(map[string]*heldTeam{"ops": c.shardLeader.teams["ops"]}, tasks, nil, c.now)
 }
 
 // BenchmarkTakeover is what a successor does between its last read and its first
@@ -89,13 +89,13 @@
 	}
 }
 
-func firstHeartbeat(n *Controller, i int) {
-	r := n.poolHeartbeat(i)
-	for k, t := range n.shardLeader.ensureMachine(r.Machine).attempts {
+func firstHeartbeat(c *Controller, i int) {
+	r := c.poolHeartbeat(i)
+	for k, t := range c.shardLeader.ensureMachine(r.Machine).attempts {
 		r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
 	}
-	n.effects = n.effects[:0]
-	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	c.effects = c.effects[:0]
+	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 }
 
 // BenchmarkStep is a step with one poll and one submission in it, in which nothing
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -11,20 +11,20 @@
 )
 
 // addJobOn gives a new job one task, ordered to start on a machine.
-func (n *Controller) addJobOn(id string, m *machine) *job {
-	j := n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+func (c *Controller) addJobOn(id string, m *machine) *job {
+	j := c.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.shardLeader.attachAttempt(j, 0, m)
+	c.shardLeader.attachAttempt(j, 0, m)
 	return j
 }
 
 // nextHeartbeat is the next report of machine i, as if it had started nothing.
-func (n *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
-	m := n.shardLeader.machinesByID[i]
-	r := n.poolHeartbeat(i)
+func (c *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
+	m := c.shardLeader.machinesByID[i]
+	r := c.poolHeartbeat(i)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, tasks
-	n.now = n.now.Add(n.settings.HeartbeatInterval)
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	c.now = c.now.Add(c.settings.HeartbeatInterval)
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 }
 
 // TestStartsNothing: a machine that reports and never starts what it is told to loses
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -54,12 +54,12 @@
 }
 
 // startWatchCache reads open/ and keeps the picture from ageing.
-func (m *watchCache) startWatchCache() {
-	if m.loaded || m.loading {
+func (w *watchCache) startWatchCache() {
+	if w.loaded || w.loading {
 		return
 	}
-	m.loadWatchCache()
-	m.keepWatchCacheFresh()
+	w.loadWatchCache()
+	w.keepWatchCacheFresh()
 }
 
 func (w *watchCache) keepWatchCacheFresh() {
@@ -73,23 +73,23 @@
 	}
 }
 
-func (m *watchCache) loadWatchCache() {
-	m.loading, m.loaded = true, false
-	open, pages := map[string]openJob{}, m.promisePages.ForReRead()
+func (w *watchCache) loadWatchCache() {
+	w.loading, w.loaded = true, false
+	open, pages := map[string]openJob{}, w.promisePages.ForReRead()
 	var revision uint64
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		w.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
 			if d.Status != message.StoreOK {
-				m.after(m.jitter(storeRetryDelay), func() { list(from) })
+				w.after(w.jitter(storeRetryDelay), func() { list(from) })
 				return
 			}
 			if from == "" {
 				revision, began = d.Revision, d.SentAt
 			}
 			for _, it := range d.KeyValues {
-				if !m.controller.promises.applyPage(&pages, it) {
+				if !w.controller.promises.applyPage(&pages, it) {
 					applyOpenJobRecord(open, it)
 				}
 			}
@@ -99,12 +99,12 @@
 			}
 			// Later pages tell of later changes, which the next read, from the
 			// revision of the first, brings again in order.
-			m.openJobs, m.promisePages, m.revision, m.loaded, m.loading = open, pages, revision, true, false
-			m.asOf = later(m.asOf, began)
-			m.rebuildDependencyGraph()
-			syncOpenJobs(m.controller)
-			m.startNextRefresh()
-			m.watchOpenJobs()
+			w.openJobs, w.promisePages, w.revision, w.loaded, w.loading = open, pages, revision, true, false
+			w.asOf = later(w.asOf, began)
+			w.rebuildDependencyGraph()
+			syncOpenJobs(w.controller)
+			w.startNextRefresh()
+			w.watchOpenJobs()
 		})
 	}
 	list("")
@@ -112,38 +112,38 @@
 
 // applyOpenJobUpdates takes in what a read or a watch has brought, all changes after a revision
 // that was known. Two may be under way; of what both bring each change counts once.
-func (m *watchCache) applyOpenJobUpdates(d message.StoreResponse) {
+func (w *watchCache) applyOpenJobUpdates(d message.StoreResponse) {
 	for _, it := range d.KeyValues {
-		if it.ModRevision > m.revision && !m.controller.promises.applyPage(&m.promisePages, it) {
-			applyOpenJobRecord(m.openJobs, it)
-			m.updateDependencyGraph(it)
-			if m.controller.shardLeader != nil {
-				m.controller.shardLeader.applyOpenJob(it)
+		if it.ModRevision > w.revision && !w.controller.promises.applyPage(&w.promisePages, it) {
+			applyOpenJobRecord(w.openJobs, it)
+			w.updateDependencyGraph(it)
+			if w.controller.shardLeader != nil {
+				w.controller.shardLeader.applyOpenJob(it)
 			}
 		}
 	}
-	m.revision = max(m.revision, d.Revision)
-	m.asOf = later(m.asOf, d.SentAt)
+	w.revision = max(w.revision, d.Revision)
+	w.asOf = later(w.asOf, d.SentAt)
 }
 
 // watchOpenJobs lets an owner hear of new jobs at once.
-func (m *watchCache) watchOpenJobs() {
-	if m.watching || !m.loaded || m.controller.shardLeader == nil {
+func (w *watchCache) watchOpenJobs() {
+	if w.watching || !w.loaded || w.controller.shardLeader == nil {
 		return
 	}
-	m.watching = true
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.OpenJobPrefix, Revision: m.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
-		m.watching = false
+	w.watching = true
+	w.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.OpenJobPrefix, Revision: w.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
+		w.watching = false
 		switch {
-		case !m.loaded:
+		case !w.loaded:
 			// Being read again.
 		case d.Status == message.StoreOK:
-			m.applyOpenJobUpdates(d)
-			m.watchOpenJobs()
+			w.applyOpenJobUpdates(d)
+			w.watchOpenJobs()
 		case d.Status == message.StoreCompacted:
-			m.loadWatchCache()
+			w.loadWatchCache()
 		default:
-			m.after(m.jitter(storeRetryDelay), m.watchOpenJobs)
+			w.after(w.jitter(storeRetryDelay), w.watchOpenJobs)
 		}
 	})
 }
@@ -162,44 +162,44 @@
 
 // refresh calls fn once the picture is as of a moment after this call, or with
 // false when it can't be had.
-func (m *watchCache) refresh(fn func(ok bool)) {
-	m.nextReadWaiters = append(m.nextReadWaiters, fn)
-	m.startNextRefresh()
+func (w *watchCache) refresh(fn func(ok bool)) {
+	w.nextReadWaiters = append(w.nextReadWaiters, fn)
+	w.startNextRefresh()
 }
 
-func (m *watchCache) startNextRefresh() {
-	if m.readInFlight || !m.loaded || len(m.nextReadWaiters) == 0 || m.refreshScheduled {
+func (w *watchCache) startNextRefresh() {
+	if w.readInFlight || !w.loaded || len(w.nextReadWaiters) == 0 || w.refreshScheduled {
 		return
 	}
-	if wait := m.lastReadAt.Add(minRefreshInterval).Sub(m.now); wait > 0 {
-		m.refreshScheduled = true
-		m.after(wait, func() {
-			m.refreshScheduled = false
-			m.startNextRefresh()
+	if wait := w.lastReadAt.Add(minRefreshInterval).Sub(w.now); wait > 0 {
+		w.refreshScheduled = true
+		w.after(wait, func() {
+			w.refreshScheduled = false
+			w.startNextRefresh()
 		})
 		return
 	}
-	m.readWaiters, m.nextReadWaiters, m.readInFlight, m.lastReadAt = m.nextReadWaiters, nil, true, m.now
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: m.revision}, func(d message.StoreResponse) {
-		m.readInFlight = false
-		waiters := m.readWaiters
-		m.readWaiters = nil
+	w.readWaiters, w.nextReadWaiters, w.readInFlight, w.lastReadAt = w.nextReadWaiters, nil, true, w.now
+	w.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: w.revision}, func(d message.StoreResponse) {
+		w.readInFlight = false
+		waiters := w.readWaiters
+		w.readWaiters = nil
 		ok := d.Status == message.StoreOK
-		if ok && m.loaded {
-			m.applyOpenJobUpdates(d)
+		if ok && w.loaded {
+			w.applyOpenJobUpdates(d)
 		}
-		if d.Status == message.StoreCompacted || ok && !m.loaded {
+		if d.Status == message.StoreCompacted || ok && !w.loaded {
 			// Too far behind: read it all again. Who asked waits for that.
-			m.nextReadWaiters = append(waiters, m.nextReadWaiters...)
-			if !m.loading {
-				m.loadWatchCache()
+			w.nextReadWaiters = append(waiters, w.nextReadWaiters...)
+			if !w.loading {
+				w.loadWatchCache()
 			}
 			return
 		}
 		for _, fn := range waiters {
 			fn(ok)
 		}
-		m.startNextRefresh()
+		w.startNextRefresh()
 	})
 }
 
