--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -41,8 +41,8 @@
 	batching, resending bool
 }
 
-// publishCancellation tells peers of a cancellation whose record is durable.
-func (g *cancellationGossip) publishCancellation(cancellation message.Cancellation, peers []string) {
+// publish tells peers of a cancellation whose record is durable.
+func (g *cancellationGossip) publish(cancellation message.Cancellation, peers []string) {
 	if g.unacked[cancellation.ID] != nil || len(g.unacked) >= maxUnackedCancellations || len(peers) == 0 {
 		return
 	}
@@ -56,13 +56,13 @@
 		g.batching = true
 		g.after(cancellationBatchDelay, func() {
 			g.batching = false
-			g.publishCancellations()
+			g.publishPending()
 		})
 	}
 }
 
-// publishCancellations sends what is owed, and goes on as long as anything is.
-func (g *cancellationGossip) publishCancellations() {
+// publishPending sends what is owed, and goes on as long as anything is.
+func (g *cancellationGossip) publishPending() {
 	byPeer := map[string][]message.Cancellation{}
 	for _, id := range sortedKeys(g.unacked) {
 		pending := g.unacked[id]
@@ -84,14 +84,14 @@
 		g.resending = true
 		g.after(cancellationResendInterval, func() {
 			g.resending = false
-			g.publishCancellations()
+			g.publishPending()
 		})
 	}
 }
 
-// receiveCancellations takes in cancellations that a peer tells of. One that does not fit what is
+// receive takes in cancellations that a peer tells of. One that does not fit what is
 // known of the job is passed over: the record will tell.
-func (g *cancellationGossip) receiveCancellations(from string, cancellations []message.Cancellation) {
+func (g *cancellationGossip) receive(from string, cancellations []message.Cancellation) {
 	var acks []string
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
@@ -109,14 +109,14 @@
 			continue
 		}
 		if s := g.controller.membership.shardMap.Team(r.Team); s != nil && s.Host != g.settings.Host && s.Host != from {
-			g.publishCancellation(c, []string{s.Host})
+			g.publish(c, []string{s.Host})
 		}
 	}
 	g.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: g.settings.Host, CancellationAcks: acks}})
 }
 
-// acknowledgeCancellations notes that a peer has heard of cancellations.
-func (g *cancellationGossip) acknowledgeCancellations(from string, jobs []string) {
+// acknowledge notes that a peer has heard of cancellations.
+func (g *cancellationGossip) acknowledge(from string, jobs []string) {
 	for _, id := range jobs {
 		if x := g.unacked[id]; x != nil {
 			delete(x.unackedPeers, from)
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -94,7 +94,7 @@
 	n.effects = nil
 	n.partition.monitor.Ran(now)
 	if !n.membership.started {
-		n.membership.startMembership()
+		n.membership.start()
 	}
 	for _, c := range cmds {
 		n.handleCommand(c)
@@ -103,10 +103,10 @@
 	n.membership.publishStoreUnavailable()
 	n.frontend.flushSubmissions()
 	if n.shardLeader != nil {
-		n.shardLeader.shardLeaderTick()
+		n.shardLeader.tick()
 	}
 	if n.leader != nil {
-		n.leader.leaderTick()
+		n.leader.tick()
 	}
 	if r := (message.Role{Leader: n.leader != nil, ShardLeader: n.shardLeader != nil}); r != n.role {
 		n.role = r
@@ -150,19 +150,19 @@
 	case message.QueryStatus:
 		n.replyStatus(c)
 	case message.LoanCommand:
-		n.lending.runLoanCommand(c)
+		n.lending.runCommand(c)
 	case message.QueryLoans:
 		n.lending.queryLoans(c)
 	case message.RenewCommand:
 		n.lending.runRenewCommand(c)
 	case message.SetRanking:
-		n.ranking.setRanking(c)
+		n.ranking.set(c)
 	case message.QueryRanking:
-		n.ranking.queryRanking(c)
+		n.ranking.query(c)
 	case message.DrainCommand:
 		n.lending.runDrainCommand(c)
 	case message.QueryPromises:
-		n.promises.queryPromises(c)
+		n.promises.query(c)
 	case message.PeerUpdate:
 		if bad := c.Validate(); bad != "" {
 			n.rejectInput("news", c.From, bad)
@@ -178,15 +178,15 @@
 			break
 		}
 		if len(c.Cancellations) > 0 {
-			n.cancellations.receiveCancellations(c.From, c.Cancellations)
+			n.cancellations.receive(c.From, c.Cancellations)
 		}
-		n.cancellations.acknowledgeCancellations(c.From, c.CancellationAcks)
+		n.cancellations.acknowledge(c.From, c.CancellationAcks)
 		for _, p := range c.Progress {
 			n.frontend.progressByJob[p.ID] = p
 		}
 		n.inheritLoads(c.WorkloadLoads)
 		for _, q := range c.Quotes {
-			if n.promises.promisesEnabled() {
+			if n.promises.enabled() {
 				n.promises.acceptQuotes(c.From, q.Value, true)
 			}
 		}
@@ -292,7 +292,7 @@
 		for i, c := range op.Writes {
 			writes[i] = sizelimit.Write{Key: c.Key, Value: c.Value}
 		}
-		if err := r.requestLimits(&op).CheckTxn(compares, writes); err != nil {
+		if err := r.limitsOf(&op).CheckTxn(compares, writes); err != nil {
 			r.internalError("a request passes the state service's limits", "err", err)
 			r.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
 			return
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -157,7 +157,7 @@
 		}
 		p := g.evacuationProblem(mv, h)
 		if plan, ok := migration.Find(p); ok {
-			g.beginMigration(mv, team, p, plan)
+			g.begin(mv, team, p, plan)
 		}
 		return true
 	}
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -34,7 +34,7 @@
 func TestHostIsEvacuated(t *testing.T) {
 	n := donorController(t)
 	n.setHostNeeds(false)
-	n.shardLeader.migration.migrationTick()
+	n.shardLeader.migration.tick()
 	if cs := n.shardLeader.migration.state.evacuation.costs; len(cs) != 1 || cs[0].MachineType != "host" || cs[0].Downtime > 10*time.Second {
 		t.Fatalf("costs %+v", cs)
 	}
@@ -101,7 +101,7 @@
 			for _, m := range n.shardLeader.machinesByID {
 				m.lastHeard = n.now
 			}
-			n.shardLeader.migration.migrationTick()
+			n.shardLeader.migration.tick()
 		}
 		return len(n.shardLeader.migration.state.evacuation.needs)
 	}
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -188,7 +188,7 @@
 	}
 }
 
-func (l *leader) leaderTick() {
+func (l *leader) tick() {
 	if l.now.Sub(l.lastScan) < leaderPeriod {
 		l.wakeAt = l.lastScan.Add(leaderPeriod)
 		return
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -52,8 +52,8 @@
 	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(s.currentMaxValueBytes())}
 }
 
-// segmentFormat is the form in which records of tasks are written now.
-func (f *formatMigration) segmentFormat() segmentFormat {
+// currentFormat is the form in which records of tasks are written now.
+func (f *formatMigration) currentFormat() segmentFormat {
 	if f.current.tasksPerSegment > 0 {
 		return f.current
 	}
@@ -93,7 +93,7 @@
 // adoptFormat goes over to a form if it is finer than the one that counts: one that has
 // come to count once counts for all, and stays.
 func (ff *formatMigration) adoptFormat(f segmentFormat) {
-	if !f.sized || f.tasksPerSegment >= ff.segmentFormat().tasksPerSegment && ff.segmentFormat().sized {
+	if !f.sized || f.tasksPerSegment >= ff.currentFormat().tasksPerSegment && ff.currentFormat().sized {
 		return
 	}
 	ff.current = f
@@ -111,7 +111,7 @@
 func (f *formatMigration) advanceFormat() {
 	s := &f.controller.membership
 	target := record.MaxTasksPerSegment(f.settings.MaxValueBytes)
-	if s.formats.writing || !s.loaded || s.leaseID == 0 || target >= f.segmentFormat().tasksPerSegment {
+	if s.formats.writing || !s.loaded || s.leaseID == 0 || target >= f.currentFormat().tasksPerSegment {
 		return
 	}
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
@@ -147,7 +147,7 @@
 func (f *formatMigration) probeValueLimit() {
 	s := &f.controller.membership
 	text := record.Encode(strings.Repeat("x", f.settings.MaxValueBytes))
-	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || s.formats.limitsLowered || s.formats.probingLimits || f.segmentFormat().sized {
+	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || s.formats.limitsLowered || s.formats.probingLimits || f.currentFormat().sized {
 		return
 	}
 	s.formats.probingLimits = true
@@ -213,9 +213,9 @@
 // whatever form it may be by the time that they are judged.
 func (ff *formatMigration) neverStartedCompares(id string) []message.Compare {
 	var out []message.Compare
-	for _, f := range [...]segmentFormat{ff.settings.unsizedFormat(), ff.segmentFormat(), {record.MaxTasksPerSegment(ff.settings.MaxValueBytes), true}} {
+	for _, f := range [...]segmentFormat{ff.settings.unsizedFormat(), ff.currentFormat(), {record.MaxTasksPerSegment(ff.settings.MaxValueBytes), true}} {
 		c := message.Compare{Key: f.keyOf(id, 0), ModRevision: 0}
-		if f.sized && !ff.segmentFormat().sized && f.tasksPerSegment >= ff.segmentFormat().tasksPerSegment {
+		if f.sized && !ff.currentFormat().sized && f.tasksPerSegment >= ff.currentFormat().tasksPerSegment {
 			// It never comes to that.
 			continue
 		}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -168,7 +168,7 @@
 	t.Helper()
 	key, value := j.segmentKey(c), record.Encode(j.segmentRecord(c))
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}
-	if err := n.requests.requestLimits(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
+	if err := n.requests.limitsOf(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatal(err)
 	}
 	if rows != nil {
@@ -325,11 +325,11 @@
 	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
 		t.Fatalf("%+v", ops)
 	}
-	if n.membership.formats.segmentFormat().sized {
+	if n.membership.formats.currentFormat().sized {
 		t.Fatal("parts count before they were read to")
 	}
 	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
-	if f := n.membership.formats.segmentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
+	if f := n.membership.formats.currentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
 		t.Fatalf("the form is %+v", f)
 	}
 	if ops := formatWrites(n); len(ops) > 0 {
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -577,7 +577,7 @@
 			case message.StoreOK:
 				ff.cacheFinalStatus(id, model.Cancelled)
 				ff.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
-				ff.controller.cancellations.publishCancellation(message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, ff.settings.Peers)
+				ff.controller.cancellations.publish(message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, ff.settings.Peers)
 				ff.answerRequest(request, ff.replyWithStatus(id, model.Cancelled))
 			case message.StoreConflict:
 				// Done or cancelled in between: look again.
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -60,10 +60,10 @@
 	renewedAt map[string]time.Time
 }
 
-// runLoanCommand carries out one transaction. Each names the record of whoever decides, the
+// runCommand carries out one transaction. Each names the record of whoever decides, the
 // leader's for what is lent, the share with the guests' team for what is borrowed, so
 // that nothing of a deposed one's is applied, and the record the decision rests on.
-func (l *lending) runLoanCommand(cmd message.LoanCommand) {
+func (l *lending) runCommand(cmd message.LoanCommand) {
 	done := func(s message.LoanStatus) { l.emit(message.LoanReply{Reply: cmd.Reply, Status: s}) }
 	ownerReady := l.controller.shardLeader != nil && l.controller.shardLeader.ready
 	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
@@ -238,8 +238,8 @@
 	return l.loaded && held != nil && held.holdID == l.term
 }
 
-// loadOffloadedJobs reads guest/ for a new owner of the guests' team.
-func (l *lending) loadOffloadedJobs(team string) {
+// load reads guest/ for a new owner of the guests' team.
+func (l *lending) load(team string) {
 	if l.loading {
 		return
 	}
@@ -310,7 +310,7 @@
 		return l.controller.shardLeader != nil && l.controller.shardLeader.teams[c.GuestTeam] != nil && l.controller.shardLeader.teams[c.GuestTeam].ready
 	}
 	if runsGuestTeam() && !l.offloadedJobsLoaded() {
-		l.loadOffloadedJobs(c.GuestTeam)
+		l.load(c.GuestTeam)
 		unavailable()
 		return
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -113,7 +113,7 @@
 	}
 }
 
-func (m *membership) startMembership() {
+func (m *membership) start() {
 	m.started, m.startedAt = true, m.now
 	m.controllers, m.formats.support = map[string]record.Member{}, map[string]bool{}
 	m.shardMap = sharding.NewMap()
@@ -135,7 +135,7 @@
 	})
 	m.leaseRenewLoop()
 	m.controller.loadMachineTypes()
-	m.controller.promises.startPromises()
+	m.controller.promises.start()
 	m.controller.rateLimits.publishRates()
 }
 
@@ -349,8 +349,8 @@
 				m.applyControlRecord(it)
 			}
 			markReassignedAfterReRead(m.controller, oldShardMap)
-			m.controller.ranking.noteRankingAbsence(items)
-			m.controller.ranking.noteRankingKnown(began)
+			m.controller.ranking.noteAbsence(items)
+			m.controller.ranking.noteKnown(began)
 			m.revision = firstRevision
 			m.watchControlRecords(gen, d.Revision)
 		})
@@ -365,7 +365,7 @@
 	}
 	if !m.loaded && m.revision >= completeRevision {
 		m.loaded, m.ready = true, true
-		m.controller.frontend.watchCache.startWatchCache()
+		m.controller.frontend.watchCache.start()
 		m.controlRecordsChanged()
 	}
 	hold := watchTimeout
@@ -403,7 +403,7 @@
 		}
 	}
 	m.revision = max(m.revision, d.Revision)
-	m.controller.ranking.noteRankingKnown(d.SentAt)
+	m.controller.ranking.noteKnown(d.SentAt)
 	if changed && m.loaded {
 		m.controlRecordsChanged()
 	}
@@ -460,7 +460,7 @@
 	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
 		m.controller.membership.formats.applyFormatRecord(it)
 	case it.Key == record.RankingKey:
-		m.controller.ranking.applyRankingRecord(it)
+		m.controller.ranking.applyRecord(it)
 	case strings.HasPrefix(it.Key, record.ReroutePrefix):
 		m.controller.partition.applyRerouteRecord(it)
 	case strings.HasPrefix(it.Key, record.MemberPrefix):
@@ -481,7 +481,7 @@
 }
 
 func (m *membership) controlRecordsChanged() {
-	m.controller.ranking.applyRankingChange()
+	m.controller.ranking.applyChange()
 	switch {
 	case m.leaderModRevision == 0:
 		m.controller.stepDown()
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -62,9 +62,9 @@
 // maxMigrationRecordBytes bounds the record of a team's moves, as JSON.
 func (c *Controller) maxMigrationRecordBytes() int { return c.settings.MaxValueBytes * 3 / 4 }
 
-// readMigrations reads the records of moves under way, together with the teams' others, and
+// read reads the records of moves under way, together with the teams' others, and
 // gives them to then.
-func (g *migrationManager) readMigrations(then func([]message.KeyValue)) {
+func (g *migrationManager) read(then func([]message.KeyValue)) {
 	if !g.settings.Capabilities.Models {
 		then(nil)
 		return
@@ -73,8 +73,8 @@
 	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
 }
 
-// recoverMigrations takes up what former owners had under way for teams that have come.
-func (g *migrationManager) recoverMigrations(teams []string, items []message.KeyValue) {
+// recoverRecords takes up what former owners had under way for teams that have come.
+func (g *migrationManager) recoverRecords(teams []string, items []message.KeyValue) {
 	mv := migrationsOf(g.controller)
 	if mv == nil {
 		return
@@ -98,8 +98,8 @@
 	g.updateReservations(mv)
 }
 
-// forgetMigrations lets go of what is under way for a team that is another owner's now.
-func (g *migrationManager) forgetMigrations(team string) {
+// forget lets go of what is under way for a team that is another owner's now.
+func (g *migrationManager) forget(team string) {
 	if mv := g.state; mv != nil {
 		mv.tracker.ForgetTeam(team)
 		delete(mv.records, team)
@@ -107,23 +107,23 @@
 	}
 }
 
-// migrationTick looks after moves under way, writes them, and plans others.
-func (g *migrationManager) migrationTick() {
+// tick looks after moves under way, writes them, and plans others.
+func (g *migrationManager) tick() {
 	mv := migrationsOf(g.controller)
 	if mv == nil {
 		return
 	}
-	g.advanceMigrations(mv)
+	g.advance(mv)
 	if g.now.After(g.controller.membership.leaseValidUntil) {
 		return
 	}
-	g.planMigrations(mv)
-	g.writeMigrations(mv)
+	g.plan(mv)
+	g.write(mv)
 }
 
-// advanceMigrations stops the replicas whose time has come. Nothing is stopped by an owner who
+// advance stops the replicas whose time has come. Nothing is stopped by an owner who
 // can't be sure that it is one.
-func (g *migrationManager) advanceMigrations(mv *migrations) {
+func (g *migrationManager) advance(mv *migrations) {
 	if g.now.After(g.controller.membership.leaseValidUntil) {
 		return
 	}
@@ -181,7 +181,7 @@
 	if mv == nil || len(mv.tracker.Plans()) == 0 {
 		return
 	}
-	s.controller.shardLeader.migration.advanceMigrations(mv)
+	s.controller.shardLeader.migration.advance(mv)
 	placed := false
 	for _, h := range mv.tracker.Holds() {
 		j, m := s.controller.shardLeader.jobs[h.Job], s.controller.shardLeader.machines[h.Host]
@@ -203,7 +203,7 @@
 		placed = true
 	}
 	if placed {
-		s.controller.shardLeader.migration.advanceMigrations(mv)
+		s.controller.shardLeader.migration.advance(mv)
 	}
 }
 
--- a/internal/controller/migration_bench_test.go
+++ b/internal/controller/migration_bench_test.go
@@ -17,7 +17,7 @@
 			n := largePool(0)
 			n.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
 			n.knowledge.machineTypes["host"] = model.MachineType{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
-			n.shardLeader.migration.recoverMigrations([]string{"ops"}, nil)
+			n.shardLeader.migration.recoverRecords([]string{"ops"}, nil)
 			for i := range hosts {
 				m := n.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
 				n.shardLeader.heartbeats.applyHeartbeat(m, n.hostHeartbeat(i, 1), true)
@@ -43,7 +43,7 @@
 					m.lastHeard = n.now
 				}
 				n.effects = nil
-				n.shardLeader.migration.migrationTick()
+				n.shardLeader.migration.tick()
 			}
 			if x := n.shardLeader.migration.state.unschedulable["job-large"]; x == nil || !x.lastTried.Equal(n.now) {
 				b.Fatal("the planner was not asked")
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -37,8 +37,8 @@
 	since, lastTried time.Time
 }
 
-// planMigrations looks for moves for the first job in turn that needs them.
-func (g *migrationManager) planMigrations(mv *migrations) {
+// plan looks for moves for the first job in turn that needs them.
+func (g *migrationManager) plan(mv *migrations) {
 	o := g.controller.shardLeader
 	if g.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
 		mv.lastLogged = g.now
@@ -135,11 +135,11 @@
 		g.debug("no moves", "job", j.ID, "dearest", p.MaxCost)
 		return
 	}
-	g.beginMigration(mv, j.Team, p, plan)
+	g.begin(mv, j.Team, p, plan)
 }
 
-// beginMigration takes up a plan that the planner has found.
-func (g *migrationManager) beginMigration(mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
+// begin takes up a plan that the planner has found.
+func (g *migrationManager) begin(mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
 	for _, m := range plan.Moves {
 		_, t := g.movableReplica(m.Job, m.Index)
@@ -309,10 +309,10 @@
 	return mv.lastWrite.Add(migrationWriteInterval * time.Duration(max(1, owners)))
 }
 
-// writeMigrations writes what is due: new plans at once, ends of moves when there is time. A
+// write writes what is due: new plans at once, ends of moves when there is time. A
 // plan's record names the stamps of the open records of all its jobs, so that none is
 // moved that was cancelled meanwhile, the shares of their teams, and its own.
-func (g *migrationManager) writeMigrations(mv *migrations) {
+func (g *migrationManager) write(mv *migrations) {
 	if g.nextMigrationWrite(mv).After(g.now) {
 		return
 	}
@@ -336,10 +336,10 @@
 		return
 	}
 	mv.lastWrite = g.now
-	g.writeMigration(mv, best)
+	g.writeTeam(mv, best)
 }
 
-func (g *migrationManager) writeMigration(mv *migrations, team string) {
+func (g *migrationManager) writeTeam(mv *migrations, team string) {
 	rec := mv.records[team]
 	val, ver := mv.tracker.EncodeRecord(team)
 	key := migrationKey(team)
@@ -388,7 +388,7 @@
 				rec.modRevision = 0
 			}
 			mv.tracker.MarkPersisted(team, ver)
-			g.controller.shardLeader.migration.advanceMigrations(mv)
+			g.controller.shardLeader.migration.advance(mv)
 		case message.StoreConflict:
 			if !slices.Contains(d.FailedKeys, key) {
 				// A job or a share is not what it was: plan anew, if it is still needed.
@@ -396,9 +396,9 @@
 				g.controller.shardLeader.migration.updateReservations(mv)
 				return
 			}
-			g.controller.shardLeader.migration.reReadMigration(mv, team, rec)
+			g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
 		case message.StoreUnknown:
-			g.controller.shardLeader.migration.reReadMigration(mv, team, rec)
+			g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
 		case message.StoreMalformed:
 			mv.tracker.WriteRefused(team, g.now)
 			_, rec.rejectedVersion = mv.tracker.EncodeRecord(team)
@@ -407,10 +407,10 @@
 	})
 }
 
-// reReadMigration reads a team's record after a write of ours that may have been applied, or
+// reReadTeam reads a team's record after a write of ours that may have been applied, or
 // may be later: what stands there was written under this owner's share. It is written
 // anew on top of it.
-func (g *migrationManager) reReadMigration(mv *migrations, team string, rec *migrationRecord) {
+func (g *migrationManager) reReadTeam(mv *migrations, team string, rec *migrationRecord) {
 	rec.writing = true
 	gen := g.controller.shardLeader.generation
 	g.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(d message.StoreResponse) {
@@ -425,7 +425,7 @@
 		default:
 			g.after(g.jitter(storeRetryDelay), func() {
 				if g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen && mv.records[team] == rec {
-					g.controller.shardLeader.migration.reReadMigration(mv, team, rec)
+					g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
 				}
 			})
 			return
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -19,7 +19,7 @@
 	n.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
 	n.knowledge.machineTypes = map[string]model.MachineType{"host": {Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}}
 	n.shardLeader.fleet.view.blockedUntil[machineKind{"host", "z", false}] = n.now.Add(time.Hour)
-	n.shardLeader.migration.recoverMigrations([]string{"ops"}, nil)
+	n.shardLeader.migration.recoverRecords([]string{"ops"}, nil)
 	for i := range 2 {
 		id := fmt.Sprintf("vm-%06d", i)
 		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(id), n.hostHeartbeat(i, 1), true)
@@ -61,7 +61,7 @@
 			m.lastHeard = c.now
 		}
 		c.effects = nil
-		c.shardLeader.migration.migrationTick()
+		c.shardLeader.migration.tick()
 		for _, op := range emittedEffects[message.StoreRequest](c) {
 			if op.Kind == message.OpTxn && op.Writes[0].Key == "move/ops" {
 				return op
@@ -229,7 +229,7 @@
 		t.Errorf("on %v and %v, want %s and %s", j.tasks[0].machine, l.tasks[0].machine, s.To, s.From)
 	}
 	// One that can't be read holds nothing, and is told of.
-	successor.shardLeader.migration.recoverMigrations([]string{"ops"}, []message.KeyValue{{Key: "move/ops", Value: []byte{0x81}, ModRevision: 21}})
+	successor.shardLeader.migration.recoverRecords([]string{"ops"}, []message.KeyValue{{Key: "move/ops", Value: []byte{0x81}, ModRevision: 21}})
 	if len(successor.shardLeader.migration.state.tracker.Holds()) != 0 || successor.rejectedInputs != 1 {
 		t.Errorf("held %v, complaints %d", successor.shardLeader.migration.state.tracker.Holds(), successor.rejectedInputs)
 	}
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -40,12 +40,12 @@
 	loggedAt        time.Time
 }
 
-// startPromises reads what quotes rest on, which is there after the end of all too, and
+// start reads what quotes rest on, which is there after the end of all too, and
 // lets the leader count.
-func (p *promiseState) startPromises() {
+func (p *promiseState) start() {
 	p.quotes = map[string]*promise.Quoter{}
 	p.controller.frontend.endDates = map[string]uint64{}
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return
 	}
 	readAll(p.controller, record.QuotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
@@ -72,7 +72,7 @@
 
 // quotesUpdate are the quotes of the teams here, for the others.
 func (p *promiseState) quotesUpdate() []message.TeamQuotes {
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return nil
 	}
 	var out []message.TeamQuotes
@@ -292,8 +292,8 @@
 	return message.PromiseRow{Team: r.Team, Class: r.Class, Ended: r.Jobs, Made: r.Made, Kept: r.Kept, Broken: r.Broken, Revised: r.Revised, WorstSeconds: r.Worst.Seconds()}
 }
 
-// queryPromises answers from a fresh read, so that any controller tells the same.
-func (p *promiseState) queryPromises(query message.QueryPromises) {
+// query answers from a fresh read, so that any controller tells the same.
+func (p *promiseState) query(query message.QueryPromises) {
 	reply := message.PromiseReply{Reply: query.Reply, Host: p.settings.Host, Rows: []message.PromiseRow{}, Open: []message.OpenPromise{}}
 	p.controller.frontend.watchCache.refresh(func(ok bool) {
 		if !ok {
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -91,7 +91,7 @@
 	quotesStoredHash map[string]uint64
 }
 
-func (p *promiseState) promisesEnabled() bool { return p.settings.Capabilities.Promises }
+func (p *promiseState) enabled() bool { return p.settings.Capabilities.Promises }
 
 // teamKey is a team in a key: as it is where all its characters may stand in the path of
 // a request, and else, or if it is long, its hash.
@@ -116,7 +116,7 @@
 	if !strings.HasPrefix(it.Key, pagePrefix) {
 		return false
 	}
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return true
 	}
 	value := it.Value
@@ -132,7 +132,7 @@
 // durableDate is the newest durable date of an open job, as of the picture: none where it
 // can't be told which is the newest.
 func (p *promiseState) durableDate(id string, l *openJob) promise.Date {
-	if !p.promisesEnabled() || l.rec.Cancelled {
+	if !p.enabled() || l.rec.Cancelled {
 		return promise.Date{}
 	}
 	e, known := p.controller.frontend.watchCache.promisePages.Newest(id, teamPagePrefix(l.rec.Team), l.modRevision)
@@ -147,7 +147,7 @@
 
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
 func (p *promiseState) cacheDoneDate(id string, r record.JobStatus) {
-	if d := r.Date(); p.promisesEnabled() && d.Revision > 0 {
+	if d := r.Date(); p.enabled() && d.Revision > 0 {
 		p.controller.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
 }
@@ -182,7 +182,7 @@
 
 // quoteDate is the date for a job that is accepted here, if one is at hand.
 func (p *promiseState) quoteDate(s *model.JobSpec) time.Duration {
-	if !p.promisesEnabled() || len(s.Dependencies) > 0 {
+	if !p.enabled() || len(s.Dependencies) > 0 {
 		// What waits for others gets its date when these are done.
 		return 0
 	}
@@ -203,23 +203,23 @@
 
 // notePromiseRecord takes in a job's record as its owner reads it.
 func (p *promiseState) notePromiseRecord(j *job, r *record.OpenJob) {
-	if d := r.FirstDate(); p.promisesEnabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
+	if d := r.FirstDate(); p.enabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
 }
 
 // noteBaseQuote notes what was to be expected of a job when it came.
 func (p *promiseState) noteBaseQuote(j *job) {
-	if p.promisesEnabled() && j.borrowedLoan == "" {
+	if p.enabled() && j.borrowedLoan == "" {
 		j.baseQuote = p.quoterFor(j.Team, true).Base(p.promiseJob(&j.JobSpec))
 	}
 }
 
-// recoverPromises takes up the pages of a team that has come, as its former owner left
+// recoverPages takes up the pages of a team that has come, as its former owner left
 // them. When a date in them was made is not told: they count as made now.
-func (p *promiseState) recoverPromises(team string, restored map[string]*job) {
+func (p *promiseState) recoverPages(team string, restored map[string]*job) {
 	o := p.controller.shardLeader
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return
 	}
 	cache := &p.controller.frontend.watchCache
@@ -255,7 +255,7 @@
 // has made no date since it was lent, and none was on its way.
 func (p *promiseState) endRecordFromCache(id string, s model.JobStatus, l *openJob) record.JobStatus {
 	r := record.JobStatus{Status: s, Tasks: l.rec.Tasks}
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return r
 	}
 	r.Team, r.Workload, r.Offloaded = l.rec.Team, l.rec.Workload, l.rec.BorrowedLoan != ""
@@ -275,7 +275,7 @@
 	if j.cancelled {
 		r.Status = model.Cancelled
 	}
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return r
 	}
 	r.Team, r.Workload, r.Offloaded = j.Team, j.Workload, j.borrowedLoan != ""
@@ -291,7 +291,7 @@
 
 // learnFromEnd learns from a job's end.
 func (p *promiseState) learnFromEnd(j *job, r record.JobStatus) {
-	if !p.promisesEnabled() || j.borrowedLoan != "" {
+	if !p.enabled() || j.borrowedLoan != "" {
 		return
 	}
 	p.cacheDoneDate(j.ID, r)
@@ -316,10 +316,10 @@
 	}
 }
 
-// promisesTick does what is due for the dates of this owner's jobs.
-func (p *promiseState) promisesTick() {
+// tick does what is due for the dates of this owner's jobs.
+func (p *promiseState) tick() {
 	o := p.controller.shardLeader
-	if !p.promisesEnabled() {
+	if !p.enabled() {
 		return
 	}
 	if p.controller.membership.storeDown(p.now) {
--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -20,7 +20,7 @@
 	n.settings.Capabilities = Capabilities{Promises: true, PromiseFraction: 0.95}
 	n.promises.quotes, n.frontend.endDates = map[string]*promise.Quoter{}, map[string]uint64{}
 	team := n.settings.Teams[0].Name
-	n.promises.recoverPromises(team, nil)
+	n.promises.recoverPages(team, nil)
 	return n, team
 }
 
@@ -43,9 +43,9 @@
 		n.shardLeader.applyJobRecord(j, stamp, &rec)
 		jobs[id] = j
 	}
-	n.promises.recoverPromises(team, jobs)
+	n.promises.recoverPages(team, jobs)
 	n.now = n.now.Add(2 * time.Minute)
-	n.promises.promisesTick()
+	n.promises.tick()
 	for id, want := range map[string]bool{"job-old": false, "job-new": true} {
 		l := m.openJobs[id]
 		told, end := n.promises.durableDate(id, &l).Revision > 0, n.promises.endRecord(jobs[id])
@@ -107,12 +107,12 @@
 	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
 	n.effects = nil
 	n.leader = newLeader(n)
-	if n.lending.runLoanCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
+	if n.lending.runCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
 		t.Error("lent before its date is durable")
 	}
 	w, _ := b.NextWrite()
 	b.MarkWritten(w, 7)
-	if n.lending.runLoanCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
+	if n.lending.runCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
 		t.Error("not lent")
 	}
 	j.promisedAt = n.now.Add(-time.Hour)
@@ -147,7 +147,7 @@
 	tick := func(d time.Duration) {
 		for end := n.now.Add(d); n.now.Before(end); {
 			n.now = n.now.Add(dateCheckInterval)
-			n.promises.promisesTick()
+			n.promises.tick()
 		}
 	}
 	n.effects = nil
@@ -195,7 +195,7 @@
 	for range 60 {
 		n.now = n.now.Add(dateCheckInterval)
 		n.runTimers()
-		n.promises.promisesTick()
+		n.promises.tick()
 	}
 	if j.ending || j.promised.Revision != 1 {
 		t.Errorf("ending %v, its date is revision %d, its late end carries 1", j.ending, j.promised.Revision)
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -63,9 +63,9 @@
 	tableVersion int
 }
 
-// applyRankingRecord takes in the record as a read or a watch of ctl/ brings it. What can't be
+// applyRecord takes in the record as a read or a watch of ctl/ brings it. What can't be
 // read is told, and the last good one goes on to count.
-func (r *rankingState) applyRankingRecord(it message.KeyValue) {
+func (r *rankingState) applyRecord(it message.KeyValue) {
 	if !r.settings.Capabilities.Ranking {
 		return
 	}
@@ -83,7 +83,7 @@
 		r.rejectInput("record", it.Key, r.invalidReason)
 		if r.table == nil && !r.historyRead {
 			r.historyRead = true
-			r.recoverRankingFromHistory()
+			r.recoverFromHistory()
 		}
 		return
 	}
@@ -91,17 +91,17 @@
 	r.tableVersion++
 }
 
-// noteRankingAbsence takes in that a whole read of ctl/ did not show a record.
-func (r *rankingState) noteRankingAbsence(items []message.KeyValue) {
+// noteAbsence takes in that a whole read of ctl/ did not show a record.
+func (r *rankingState) noteAbsence(items []message.KeyValue) {
 	if !slices.ContainsFunc(items, func(it message.KeyValue) bool { return it.Key == record.RankingKey }) {
-		r.applyRankingRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
+		r.applyRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
 	}
 }
 
-// recoverRankingFromHistory looks for the last good record where this life has seen none: all
+// recoverFromHistory looks for the last good record where this life has seen none: all
 // controllers are to rank alike, also those that begin beside a damaged one.
-func (rr *rankingState) recoverRankingFromHistory() {
-	rr.readRankingHistory(time.Time{}, func(recs []ranking.Record) {
+func (rr *rankingState) recoverFromHistory() {
+	rr.readHistory(time.Time{}, func(recs []ranking.Record) {
 		r := rr
 		if r.table != nil || r.modRevision == 0 || len(recs) == 0 {
 			return
@@ -114,16 +114,16 @@
 	})
 }
 
-// readRankingHistory reads the rankings that are kept, the newest first. It gives up at until,
+// readHistory reads the rankings that are kept, the newest first. It gives up at until,
 // and has none to tell of then; a zero one is never.
-func (r *rankingState) readRankingHistory(deadline time.Time, fn func([]ranking.Record)) {
+func (r *rankingState) readHistory(deadline time.Time, fn func([]ranking.Record)) {
 	r.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.RankingHistoryPrefix}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK && !deadline.IsZero() && r.now.After(deadline) {
 			fn(nil)
 			return
 		}
 		if d.Status != message.StoreOK {
-			r.after(r.jitter(storeRetryDelay), func() { r.readRankingHistory(deadline, fn) })
+			r.after(r.jitter(storeRetryDelay), func() { r.readHistory(deadline, fn) })
 			return
 		}
 		var out []ranking.Record
@@ -140,24 +140,24 @@
 	})
 }
 
-// noteRankingKnown notes a moment before which nobody has set a ranking that is not known here:
+// noteKnown notes a moment before which nobody has set a ranking that is not known here:
 // that at which a read of ctl/ began, or a write which named the ranking and went through.
 // Also if another one has come since: it came after that write.
-func (r *rankingState) noteRankingKnown(at time.Time) {
+func (r *rankingState) noteKnown(at time.Time) {
 	r.asOf = later(r.asOf, at)
 }
 
-// noteRankingOutdated notes that a write failed on the ranking that it named: somebody has set another ranking. Until that
+// noteOutdated notes that a write failed on the ranking that it named: somebody has set another ranking. Until that
 // has been read nothing is placed and no start written: all of it would fail.
-func (rr *rankingState) noteRankingOutdated(stamp uint64) {
+func (rr *rankingState) noteOutdated(stamp uint64) {
 	if r := rr; stamp == r.modRevision {
 		r.stale = true
-		rr.refreshRanking()
+		rr.refresh()
 	}
 }
 
-// applyRankingChange decides anew when another ranking has come.
-func (r *rankingState) applyRankingChange() {
+// applyChange decides anew when another ranking has come.
+func (r *rankingState) applyChange() {
 	if r.modRevision == r.appliedModRevision {
 		return
 	}
@@ -187,8 +187,8 @@
 	o.scheduler.preemptionVictims = nil
 }
 
-// refreshRanking reads the ranking anew for what waits for it.
-func (r *rankingState) refreshRanking() {
+// refresh reads the ranking anew for what waits for it.
+func (r *rankingState) refresh() {
 	if r.refreshing || !r.controller.membership.loaded {
 		return
 	}
@@ -212,10 +212,10 @@
 	})
 }
 
-// retryRankingRefresh asks again for what still waits.
-func (rr *rankingState) retryRankingRefresh() {
+// retryRefresh asks again for what still waits.
+func (rr *rankingState) retryRefresh() {
 	if r := rr; r.stale || len(r.heldMachines) > 0 {
-		rr.refreshRanking()
+		rr.refresh()
 	}
 }
 
@@ -244,7 +244,7 @@
 			r.heldMachines = map[*machine]bool{}
 		}
 		r.heldMachines[m] = true
-		r.refreshRanking()
+		r.refresh()
 		return false
 	}
 	m.hasNewStarts = true
@@ -340,8 +340,8 @@
 	return float64(r.controller.frontend.waitingRequests) >= maxWaitingRequests*(1-(1-lowestRankQueueFraction)*relativeRank)
 }
 
-// rankingFits says whether a record can be stored.
-func (r *rankingState) rankingFits(rec ranking.Record) bool {
+// fits says whether a record can be stored.
+func (r *rankingState) fits(rec ranking.Record) bool {
 	size, err := sizelimit.JSON(rec.Encode())
 	return err == nil && float64(size) <= rankingValueFraction*float64(r.settings.MaxValueBytes)
 }
@@ -359,7 +359,7 @@
 	if !c.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !c.membership.loaded || c.now.After(c.membership.leaseValidUntil) {
 		return
 	}
-	rec, lossless := ranking.Derive(c.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return c.ranking.rankingFits(rec) })
+	rec, lossless := ranking.Derive(c.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return c.ranking.fits(rec) })
 	if !lossless {
 		c.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
 	}
@@ -379,8 +379,8 @@
 	return message.RankingClassSpec{Name: c.Name, Workloads: c.Workloads, Urgency: c.Urgency, WaitBoundSeconds: c.WaitBound.Seconds(), ReservedFraction: c.ReservedFraction}
 }
 
-// setRanking writes a ranking in the place of the one that it was read over.
-func (r *rankingState) setRanking(cmd message.SetRanking) {
+// set writes a ranking in the place of the one that it was read over.
+func (r *rankingState) set(cmd message.SetRanking) {
 	refuse := func(status int, format string, args ...any) {
 		r.emit(message.RankingReply{Reply: cmd.Reply, Status: status, Message: fmt.Sprintf(format, args...)})
 	}
@@ -388,7 +388,7 @@
 	case !r.settings.Capabilities.Ranking:
 		refuse(404, "it is not switched on")
 		return
-	case !r.rankingFits(cmd.Record):
+	case !r.fits(cmd.Record):
 		refuse(400, "the ranking is too long for the state service: want at most %.0f bytes", rankingValueFraction*float64(r.settings.MaxValueBytes))
 		return
 	case r.controller.membership.storeDown(r.now) || !r.controller.membership.loaded:
@@ -428,14 +428,14 @@
 	})
 }
 
-// queryRanking shows the ranking as it is known here.
-func (r *rankingState) queryRanking(c message.QueryRanking) {
+// query shows the ranking as it is known here.
+func (r *rankingState) query(c message.QueryRanking) {
 	if !r.settings.Capabilities.Ranking {
 		r.emit(message.RankingReply{Reply: c.Reply, Status: 404, Message: "it is not switched on"})
 		return
 	}
 	if c.History {
-		r.readRankingHistory(r.now.Add(userRequestTimeout), func(recs []ranking.Record) {
+		r.readHistory(r.now.Add(userRequestTimeout), func(recs []ranking.Record) {
 			if len(recs) == 0 && r.modRevision != 0 {
 				r.emit(message.RankingReply{Reply: c.Reply, Status: 503, Message: "the state service does not answer"})
 				return
@@ -454,7 +454,7 @@
 	}
 	reply := message.RankingReply{
 		Reply: c.Reply, Status: 200, Host: r.settings.Host, Revision: r.lastValid.Revision, SetBy: r.lastValid.SetBy, SetAt: r.lastValid.SetAt, Derived: r.lastValid.Derived, InvalidReason: r.invalidReason,
-		AsOfSeconds: max(0, r.now.Sub(r.asOf).Seconds()), Classes: r.rankingClasses(),
+		AsOfSeconds: max(0, r.now.Sub(r.asOf).Seconds()), Classes: r.classes(),
 	}
 	if r.asOf.IsZero() {
 		reply.AsOfSeconds = -1
@@ -465,8 +465,8 @@
 	r.emit(reply)
 }
 
-// rankingClasses are all places with what of them this owner has.
-func (r *rankingState) rankingClasses() []message.RankingClass {
+// classes are all places with what of them this owner has.
+func (r *rankingState) classes() []message.RankingClass {
 	out := make([]message.RankingClass, r.table.RankCount())
 	for i := range out {
 		out[i].Rank = i + 1
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -243,7 +243,7 @@
 	if r := n.effects[len(n.effects)-1].(message.RankingReply); r.Status != 409 {
 		t.Errorf("the second of two is told %+v", r)
 	}
-	n.ranking.applyRankingRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
+	n.ranking.applyRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
 	n.leader = newLeader(n)
 	n.leader.modRevision = 5
 	n.effects = nil
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -393,7 +393,7 @@
 	horizon := n.frontend.watchCache.asOf
 	receive := func(r record.OpenJob, stamp uint64) (acks, passed int) {
 		n.effects = nil
-		n.cancellations.receiveCancellations("b", []message.Cancellation{{ID: j.ID, Record: record.Encode(r), ModRevision: stamp}})
+		n.cancellations.receive("b", []message.Cancellation{{ID: j.ID, Record: record.Encode(r), ModRevision: stamp}})
 		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
 			if p.To == "b" {
 				acks += len(p.Update.CancellationAcks)
@@ -447,7 +447,7 @@
 			t.Errorf("round %d: sent to %v, want %d", i, got, want)
 		}
 	}
-	n.cancellations.acknowledgeCancellations("c", []string{j.ID, "job-000999"})
+	n.cancellations.acknowledge("c", []string{j.ID, "job-000999"})
 	n.now = n.now.Add(time.Minute)
 	n.runTimers()
 	if got := sends(); len(got) > 0 || len(n.cancellations.unacked) > 0 {
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -178,9 +178,9 @@
 			o.persistence.lazyTxnsInFlight -= lazy
 			switch {
 			case comparesRanking && d.Status == message.StoreOK:
-				pp.controller.ranking.noteRankingKnown(d.SentAt)
+				pp.controller.ranking.noteKnown(d.SentAt)
 			case comparesRanking && d.Status == message.StoreConflict && slices.Contains(d.FailedKeys, record.RankingKey):
-				pp.controller.ranking.noteRankingOutdated(rankingRevision)
+				pp.controller.ranking.noteOutdated(rankingRevision)
 			}
 			if took := pp.now.Sub(sentAt); took > slowTxnThreshold || d.Status != message.StoreOK {
 				pp.debug("slow write", "took", took, "chunks", len(included), "status", d.Status, "lazy", lazy)
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -192,7 +192,7 @@
 // addJob takes a job into the owner's books.
 func (s *shardLeader) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
 	j := newJob(spec, at, stamp, s.settings.currentMaxValueBytes())
-	j.segmentFormat = s.controller.membership.formats.segmentFormat()
+	j.segmentFormat = s.controller.membership.formats.currentFormat()
 	s.jobs[j.ID] = j
 	if j.Workload != "" {
 		s.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", s.now.Sub(j.submittedAt))
@@ -274,9 +274,9 @@
 	s.scheduler.placementDue = true
 }
 
-// shardLeaderTick does what is due: sweep the machines, relaunch, place, write, and
+// tick does what is due: sweep the machines, relaunch, place, write, and
 // send orders.
-func (s *shardLeader) shardLeaderTick() {
+func (s *shardLeader) tick() {
 	if !s.ready {
 		s.wakeAt = s.now.Add(shardLeaderTickInterval)
 		return
@@ -284,19 +284,19 @@
 	if s.now.Sub(s.sweptAt) >= shardLeaderTickInterval {
 		s.sweptAt = s.now
 		s.controller.shardLeader.failover.sweep()
-		s.controller.ranking.retryRankingRefresh()
+		s.controller.ranking.retryRefresh()
 		s.controller.shardLeader.heartbeats.quarantineNonStarting()
 		if s.controller.partition.checkPartition(); s.controller.shardLeader != s {
 			return
 		}
 		s.controller.shardLeader.scheduler.relaunch()
 		s.controller.shardLeader.failover.maybeBumpEpoch()
-		s.controller.shardLeader.migration.migrationTick()
+		s.controller.shardLeader.migration.tick()
 		s.controller.shardLeader.fleet.planFleet(true)
 		s.publishToPeers()
 		s.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
 		s.controller.shardLeader.dependencies.updateCriticalPaths()
-		s.controller.promises.promisesTick()
+		s.controller.promises.tick()
 		s.controller.shardLeader.persistence.writePrewarmed()
 		s.controller.shardLeader.scheduler.reportGPUFreeCapacity()
 		s.scheduler.placementDue = true
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -42,11 +42,11 @@
 	return sizelimit.Limits{ValueBytes: r.settings.MaxValueBytes, Ops: r.settings.MaxTxnWrites}
 }
 
-// requestLimits are those that a transaction keeps to. As long as a controller of the version
+// limitsOf are those that a transaction keeps to. As long as a controller of the version
 // before can come back, records of tasks are as it writes and reads them.
-func (r *requestTracker) requestLimits(op *message.StoreRequest) sizelimit.Limits {
+func (r *requestTracker) limitsOf(op *message.StoreRequest) sizelimit.Limits {
 	l := r.storeLimits()
-	if r.controller.membership.formats.segmentFormat().sized {
+	if r.controller.membership.formats.currentFormat().sized {
 		return l
 	}
 	for _, a := range op.Writes {
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -152,7 +152,7 @@
 		o.controller.markDispatchPending(affected[id])
 	}
 	delete(o.usedByTeam, team)
-	o.controller.shardLeader.migration.forgetMigrations(team)
+	o.controller.shardLeader.migration.forget(team)
 	delete(o.promiseDates.pageWriters, team)
 	for k := range o.fleet.arrivals {
 		if k.team == team {
@@ -349,7 +349,7 @@
 	listTasks = func() {
 		readAll(s.controller, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
 			tasks = its
-			s.controller.shardLeader.migration.readMigrations(func(its []message.KeyValue) {
+			s.controller.shardLeader.migration.read(func(its []message.KeyValue) {
 				migrationItems = its
 				if s.ready {
 					s.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
@@ -464,9 +464,9 @@
 	}
 	for _, t := range teams {
 		s.teams[t].ready, s.teams[t].readyAt = true, s.now
-		s.controller.promises.recoverPromises(t, recovered)
+		s.controller.promises.recoverPages(t, recovered)
 	}
-	s.controller.shardLeader.migration.recoverMigrations(teams, migrationItems)
+	s.controller.shardLeader.migration.recoverRecords(teams, migrationItems)
 	s.scheduler.placementDue = true
 	s.remoteAttempts.due = true
 	for _, m := range s.machinesByID {
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -53,27 +53,27 @@
 	rec         record.OpenJob
 }
 
-// startWatchCache reads open/ and keeps the picture from ageing.
-func (w *watchCache) startWatchCache() {
+// start reads open/ and keeps the picture from ageing.
+func (w *watchCache) start() {
 	if w.loaded || w.loading {
 		return
 	}
-	w.loadWatchCache()
-	w.keepWatchCacheFresh()
+	w.load()
+	w.keepFresh()
 }
 
-func (w *watchCache) keepWatchCacheFresh() {
+func (w *watchCache) keepFresh() {
 	every := maxRefreshInterval
 	if w.controller.shardLeader != nil {
 		every = min(every, w.settings.RenewalBound().ReadInterval())
 	}
-	w.after(every, w.keepWatchCacheFresh)
+	w.after(every, w.keepFresh)
 	if m := w; m.loaded && w.now.Sub(m.lastReadAt) >= every {
 		w.refresh(func(bool) {})
 	}
 }
 
-func (w *watchCache) loadWatchCache() {
+func (w *watchCache) load() {
 	w.loading, w.loaded = true, false
 	open, pages := map[string]openJob{}, w.promisePages.ForReRead()
 	var revision uint64
@@ -141,7 +141,7 @@
 			w.applyOpenJobUpdates(d)
 			w.watchOpenJobs()
 		case d.Status == message.StoreCompacted:
-			w.loadWatchCache()
+			w.load()
 		default:
 			w.after(w.jitter(storeRetryDelay), w.watchOpenJobs)
 		}
@@ -192,7 +192,7 @@
 			// Too far behind: read it all again. Who asked waits for that.
 			w.nextReadWaiters = append(waiters, w.nextReadWaiters...)
 			if !w.loading {
-				w.loadWatchCache()
+				w.load()
 			}
 			return
 		}
