--- a/cmd/micahill/client.go
+++ b/cmd/micahill/client.go
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// requestOverflow asks a controller on its own address for something of overflow, and decodes
-// the JSON answer.
+// requestOverflow asks a controller for something of overflow; see requestJSON.
 func requestOverflow(ctx context.Context, area, method, addr, path string, target any) error {
 	return requestJSON(ctx, area, "overflow", method, addr, path, nil, target)
 }
 
-// requestJSON asks a controller on its own address and decodes the JSON answer. Errors begin
-// with the area, and part names the file under deploy/ that switches on what is asked.
+// requestJSON sends a request to a controller's own address and decodes the JSON answer into
+// target. Errors begin with area; feature is the file under deploy/ that switches on what is
+// asked, without its ending.
 func requestJSON(ctx context.Context, area, feature, method, addr, path string, payload []byte, target any) error {
 	if addr == "" {
 		return fmt.Errorf("%s: --addr HOST:PORT is missing; it is the controller's own address, back in its settings", area)
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// printJSON prints for programs.
+// printJSON prints v for programs, indented.
 func printJSON(out io.Writer, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
--- a/cmd/micahill/keys.go
+++ b/cmd/micahill/keys.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
@@ -27,16 +26,27 @@
 			"  micahill keys issue ...                  # for every cluster, and copy\n" +
 			"  micahill keys rotate --dir ca --finish   # the old one goes; copy ca.pem",
 	}
-	var dir, cluster, out string
-	var days int
-	var finish, asJSON bool
-	requireFlag := func(flag, v string) error {
-		if v == "" {
-			return fmt.Errorf("keys: --%s is missing; see micahill keys --help", flag)
-		}
-		return nil
+	root.AddCommand(keysInit(), keysIssue(), keysShow(), keysRotate())
+	return root
+}
+
+// addDirFlag gives a verb the folder that it works on.
+func addDirFlag(c *cobra.Command, dir *string) *cobra.Command {
+	c.Flags().StringVar(dir, "dir", "", "the folder of the CA, or for show of a cluster")
+	return c
+}
+
+// requireFlag refuses a flag that was not given.
+func requireFlag(flag, value string) error {
+	if value == "" {
+		return fmt.Errorf("keys: --%s is missing; see micahill keys --help", flag)
 	}
-	initCA := &cobra.Command{
+	return nil
+}
+
+func keysInit() *cobra.Command {
+	var dir string
+	return addDirFlag(&cobra.Command{
 		Use: "init", Short: "Make a CA in a new folder", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
@@ -48,8 +58,13 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: a new CA. Keep ca.key where only you can read it.\n", dir)
 			return nil
 		},
-	}
-	issue := &cobra.Command{
+	}, &dir)
+}
+
+func keysIssue() *cobra.Command {
+	var dir, cluster, out string
+	var days int
+	c := &cobra.Command{
 		Use: "issue", Short: "Issue a cluster's certificate", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := errors.Join(requireFlag("dir", dir), requireFlag("cluster", cluster), requireFlag("out", out)); err != nil {
@@ -62,10 +77,16 @@
 			return nil
 		},
 	}
-	issue.Flags().StringVar(&cluster, "cluster", "", "the cluster's name, as in overflow.cluster")
-	issue.Flags().StringVar(&out, "out", "", "the folder to write to")
-	issue.Flags().IntVar(&days, "days", int(certs.CertValidity.Hours()/24), "for how many days it is good")
-	show := &cobra.Command{
+	c.Flags().StringVar(&cluster, "cluster", "", "the cluster's name, as in overflow.cluster")
+	c.Flags().StringVar(&out, "out", "", "the folder to write to")
+	c.Flags().IntVar(&days, "days", int(certs.CertValidity.Hours()/24), "for how many days it is good")
+	return addDirFlag(c, &dir)
+}
+
+func keysShow() *cobra.Command {
+	var dir string
+	var asJSON bool
+	c := &cobra.Command{
 		Use: "show", Short: "Show a folder's certificates; status 1 if one is not good", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
@@ -78,8 +99,14 @@
 			return printKeys(cmd.OutOrStdout(), infos, asJSON, time.Now())
 		},
 	}
-	show.Flags().BoolVar(&asJSON, "json", false, "as JSON")
-	rotate := &cobra.Command{
+	c.Flags().BoolVar(&asJSON, "json", false, "as JSON")
+	return addDirFlag(c, &dir)
+}
+
+func keysRotate() *cobra.Command {
+	var dir string
+	var finish bool
+	c := &cobra.Command{
 		Use: "rotate", Short: "Make a new CA beside the old one, or end that with --finish", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := requireFlag("dir", dir); err != nil {
@@ -99,14 +126,11 @@
 			return nil
 		},
 	}
-	rotate.Flags().BoolVar(&finish, "finish", false, "the old CA is no longer to be trusted")
-	for _, c := range []*cobra.Command{initCA, issue, show, rotate} {
-		c.Flags().StringVar(&dir, "dir", "", "the folder of the CA, or for show of a cluster")
-		root.AddCommand(c)
-	}
-	return root
+	c.Flags().BoolVar(&finish, "finish", false, "the old CA is no longer to be trusted")
+	return addDirFlag(c, &dir)
 }
 
+// printKeys prints the certificates as a table or as JSON, and fails when one is not good.
 func printKeys(out io.Writer, infos []certs.Info, asJSON bool, now time.Time) error {
 	problem := ""
 	for _, i := range infos {
@@ -115,9 +139,7 @@
 		}
 	}
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		if err := e.Encode(infos); err != nil {
+		if err := printJSON(out, infos); err != nil {
 			return fmt.Errorf("keys: %w", err)
 		}
 	} else {
--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -21,6 +21,7 @@
 
 type obj = map[string]any
 
+// freeAddress is a loopback address that nobody listens on.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	addr, err := listen.FreeAddr()
@@ -30,6 +31,7 @@
 	return addr
 }
 
+// settingsFile is the settings of the i-th controller, in TOML.
 func settingsFile(i int, api, back []string, live *simulation.Live) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "host_name = \"node-%d\"\narea = \"a\"\napi_addr = %q\nback = %q\n", i, api[i], back[i])
@@ -66,16 +68,19 @@
 	return b.String()
 }
 
+// jobFields is a submission as users write it.
 func jobFields(id, team string, tasks int) obj {
 	return obj{"id": id, "workload": "batch", "owner": team, "shape": "array", "urgency": "normal", "pieces": tasks,
 		"vcpus": 1.0, "gpus": 0.0, "memory_gb": 1.0, "bundle": "img", "image_gb": 0.1, "flavours": nil, "site": nil,
 		"same_place": false, "apart": false, "loaner": true, "expected_s": 0.5, "snapshot_every_s": 0.0, "snapshot_cost_s": 0.0, "due_s": nil}
 }
 
+// jobSpec is what the simulated workers need to know of a submission.
 func jobSpec(o obj) model.JobSpec {
 	return model.JobSpec{ID: o["id"].(string), Team: o["owner"].(string), Tasks: o["pieces"].(int), Need: model.Resources{CPU: 1, Memory: 1}, Image: "img", ImageGB: 0.1, AllowSpot: true}
 }
 
+// request sends MessagePack, or bytes as they are; the status is 0 if there is no answer.
 func request(t *testing.T, method, url string, body any) (int, obj, http.Header) {
 	t.Helper()
 	var rd io.Reader
@@ -104,19 +109,19 @@
 	return resp.StatusCode, o, resp.Header
 }
 
-func eventually(t *testing.T, what string, fn func() bool) {
+// eventually waits until fn holds, for at most a minute.
+func eventually(t *testing.T, condition string, fn func() bool) {
 	t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if fn() {
 			return
 		}
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("not within a minute: %s", condition)
 }
 
-// TestControllers runs three whole controllers over HTTP against the stand-ins:
-// the wire forms both ways, what users are told, and the loss of a controller
-// and of the state service.
+// TestControllers runs three whole controllers over HTTP against simulated services: encodings
+// in both directions, answers to users, and the loss of a controller and of the state service.
 func TestControllers(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	var api, back []string
@@ -137,10 +142,10 @@
 		if err := os.WriteFile(path, []byte(settingsFile(i, api, back, live)), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		var nodeCtx context.Context
-		nodeCtx, stop[i] = context.WithCancel(ctx)
+		var controllerCtx context.Context
+		controllerCtx, stop[i] = context.WithCancel(ctx)
 		go func() {
-			runController(nodeCtx, path, "", nil)
+			runController(controllerCtx, path, "", nil)
 			ended <- struct{}{}
 		}()
 	}
@@ -166,10 +171,10 @@
 	}
 
 	if s := submit(0, jobFields("job-000001", "ops", 6)); s != 201 {
-		t.Errorf("submission: %d", s)
+		t.Errorf("first submission: got status %d, want 201", s)
 	}
 	if s := submit(1, jobFields("job-000001", "ops", 6)); s != 200 {
-		t.Errorf("the same again: %d", s)
+		t.Errorf("repeated submission: got status %d, want 200", s)
 	}
 	submit(1, jobFields("job-000002", "lab", 3))
 	done(2, "job-000001")
@@ -186,7 +191,7 @@
 	big := jobFields("job-000009", "ops", 1)
 	big["vcpus"] = 64.0
 	for _, c := range []struct {
-		what, method, path string
+		name, method, path string
 		body               any
 		want               int
 	}{
@@ -204,7 +209,7 @@
 		{"abort of what is done", "POST", "/v2/runs/job-000001/abort", nil, 200},
 	} {
 		if s, o, _ := request(t, c.method, apiURL(0, c.path), c.body); s != c.want {
-			t.Errorf("%s: %d %v, want %d", c.what, s, o, c.want)
+			t.Errorf("%s: got status %d with %v, want %d", c.name, s, o, c.want)
 		}
 	}
 
@@ -217,22 +222,22 @@
 	live.SetStoreUnavailable(false)
 
 	if s, _, _ := request(t, "GET", "http://"+back[0]+"/metrics", nil); s != 200 {
-		t.Errorf("metrics: %d", s)
+		t.Errorf("metrics: got status %d, want 200", s)
 	}
-	owner := -1
-	eventually(t, "an owner shows its status", func() bool {
+	leader := -1
+	eventually(t, "a shard leader shows its status", func() bool {
 		for i := range 3 {
 			if s, err := fetchStatus(ctx, back[i]); err == nil && s.IsShardLeader {
-				owner = i
+				leader = i
 				return printStatus(io.Discard, s) == nil
 			}
 		}
 		return false
 	})
-	submit((owner+1)%3, jobFields("job-000004", "ops", 8))
-	stop[owner]()
+	submit((leader+1)%3, jobFields("job-000004", "ops", 8))
+	stop[leader]()
 	<-ended
-	done((owner+1)%3, "job-000004")
+	done((leader+1)%3, "job-000004")
 	for _, b := range live.Violations() {
 		t.Error(b)
 	}
--- a/cmd/micahill/overflow.go
+++ b/cmd/micahill/overflow.go
@@ -26,7 +26,7 @@
 	"github.com/spf13/cobra"
 )
 
-// checkOverflow says what of the overflow settings does not fit this controller.
+// checkOverflow refuses overflow settings that do not fit this controller's own.
 func checkOverflow(o *config.Overflow, cfg *config.Config) error {
 	if o == nil {
 		return nil
@@ -45,7 +45,8 @@
 	return err
 }
 
-// startOverflow runs lending beside the controller. errs is told when it ends.
+// startOverflow runs lending beside the controller and returns the routes of its operators. The
+// broker and its listener run until the context ends or they fail; each reports to failures.
 func startOverflow(ctx context.Context, o *config.Overflow, c *config.Config, srv *server.Server, reg prometheus.Registerer, rng *rand.Rand, failures chan<- error) (func(*echo.Echo), error) {
 	certStore, err := certs.Open(o.CertDir)
 	if err != nil {
@@ -55,6 +56,25 @@
 	if err != nil {
 		return nil, err
 	}
+	ln, err := listenForPeers(ctx, o, c)
+	if err != nil {
+		return nil, err
+	}
+	settings := brokerSettings(o, c)
+	knownPeers := map[string]bool{}
+	for cluster := range settings.Peers {
+		knownPeers[cluster] = true
+	}
+	loanBroker := broker.New(ctx, settings, srv, &link.Client{Store: certStore, Cluster: o.Cluster}, broker.NewMetrics(reg), rng)
+	linkServer := &link.Server{Store: certStore, Cluster: o.Cluster, Peers: knownPeers, AllowedPrefixes: allow, Handle: loanBroker.HandleHeartbeat}
+	go func() { failures <- loanBroker.Run() }()
+	go func() { failures <- linkServer.Serve(ctx, ln) }()
+	return overflowRoutes(srv, loanBroker), nil
+}
+
+// listenForPeers opens the address for peer clusters: by default a port beside the controller's
+// own address.
+func listenForPeers(ctx context.Context, o *config.Overflow, c *config.Config) (net.Listener, error) {
 	addr := o.Listen
 	if addr == "" {
 		host, _, err := net.SplitHostPort(c.InternalAddr)
@@ -67,48 +87,61 @@
 	if err != nil {
 		return nil, fmt.Errorf("overflow: field listen: %w", err)
 	}
+	return ln, nil
+}
+
+// brokerSettings are the settings of lending in the broker's terms.
+func brokerSettings(o *config.Overflow, c *config.Config) broker.Settings {
 	limits := overflow.DefaultLimits()
 	limits.LoansOut, limits.LoansIn, limits.Tasks = o.MaxLoansOut, o.MaxLoansIn, o.MaxLoanTasks
 	limits.MinGain, limits.MaxCostRatio = record.DurationOfSeconds(o.MinGainS), o.MaxCostRatio
 	settings := broker.Settings{
-		Cluster: o.Cluster, GuestTeam: o.GuestTeam, LendEnabled: o.Lend, BorrowEnabled: o.Borrow, HeartbeatInterval: record.DurationOfSeconds(o.ReportS), LoanLease: record.DurationOfSeconds(o.LeaseS),
-		WorkerLease: record.DurationOfSeconds(c.Deployment.Workers.LeaseS), ClockBound: record.DurationOfSeconds(c.Deployment.ClockBoundMS / 1000), Limits: limits, Peers: map[string][]string{},
+		Cluster:           o.Cluster,
+		GuestTeam:         o.GuestTeam,
+		LendEnabled:       o.Lend,
+		BorrowEnabled:     o.Borrow,
+		HeartbeatInterval: record.DurationOfSeconds(o.ReportS),
+		LoanLease:         record.DurationOfSeconds(o.LeaseS),
+		WorkerLease:       record.DurationOfSeconds(c.Deployment.Workers.LeaseS),
+		ClockBound:        record.DurationOfSeconds(c.Deployment.ClockBoundMS / 1000),
+		Limits:            limits,
+		Peers:             map[string][]string{},
 	}
-	knownPeers := map[string]bool{}
 	for _, p := range o.Peers {
-		settings.Peers[p.Cluster], knownPeers[p.Cluster] = p.Addresses, true
+		settings.Peers[p.Cluster] = p.Addresses
 	}
-	loanBroker := broker.New(ctx, settings, srv, &link.Client{Store: certStore, Cluster: o.Cluster}, broker.NewMetrics(reg), rng)
-	linkServer := &link.Server{Store: certStore, Cluster: o.Cluster, Peers: knownPeers, AllowedPrefixes: allow, Handle: loanBroker.HandleHeartbeat}
-	go func() { failures <- loanBroker.Run() }()
-	go func() { failures <- linkServer.Serve(ctx, ln) }()
+	return settings
+}
+
+// overflowRoutes are the operators' routes of lending: the peers' state, and drain.
+func overflowRoutes(srv *server.Server, loanBroker *broker.Broker) func(*echo.Echo) {
 	return func(e *echo.Echo) {
 		e.GET("/peers", func(c echo.Context) error {
 			ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 			defer cancel()
-			x, err := loanBroker.Status(ctx)
+			status, err := loanBroker.Status(ctx)
 			if err != nil {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, err.Error())
 			}
-			return c.JSON(http.StatusOK, x)
+			return c.JSON(http.StatusOK, status)
 		})
 		e.POST("/drain", func(c echo.Context) error {
-			on := c.QueryParam("on") == "true"
-			by, err := time.ParseDuration(c.QueryParam("within"))
-			if on && (err != nil || by < 0) {
+			enabled := c.QueryParam("on") == "true"
+			within, err := time.ParseDuration(c.QueryParam("within"))
+			if enabled && (err != nil || within < 0) {
 				return echo.NewHTTPError(http.StatusBadRequest, "within: want a duration such as 10m")
 			}
 			ctx, cancel := context.WithTimeout(c.Request().Context(), statusTimeout)
 			defer cancel()
-			x, err := srv.Ask(ctx, func(r uint64) message.Command {
-				return message.DrainCommand{Reply: r, Enabled: on, Deadline: time.Now().Add(by)}
+			effect, err := srv.Ask(ctx, func(r uint64) message.Command {
+				return message.DrainCommand{Reply: r, Enabled: enabled, Deadline: time.Now().Add(within)}
 			})
-			if d, ok := x.(message.LoanReply); err != nil || !ok || d.Status != message.LoanDurable {
+			if reply, ok := effect.(message.LoanReply); err != nil || !ok || reply.Status != message.LoanDurable {
 				return echo.NewHTTPError(http.StatusServiceUnavailable, "not written: the state service does not answer")
 			}
-			return c.JSON(http.StatusOK, map[string]bool{"draining": on})
+			return c.JSON(http.StatusOK, map[string]bool{"draining": enabled})
 		})
-	}, nil
+	}
 }
 
 func peersCommand() *cobra.Command {
--- a/cmd/micahill/overflow_test.go
+++ b/cmd/micahill/overflow_test.go
@@ -19,8 +19,7 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// testCluster is a whole cluster on loopback: controllers, and stand-ins for all that
-// is outside.
+// testCluster is a whole cluster on loopback: a controller, and simulated services around it.
 type testCluster struct {
 	name, apiAddr, internalAddr, overflowAddr string
 	simulated                                 *simulation.Live
@@ -38,7 +37,7 @@
 	}()
 }
 
-// startClusters makes peers of the given names, each with so many machines.
+// startClusters starts peer clusters of the given names, each with as many machines as given.
 func startClusters(t *testing.T, ctx context.Context, machines map[string]int, names ...string) map[string]*testCluster {
 	t.Helper()
 	dir := t.TempDir()
@@ -81,8 +80,8 @@
 	return out
 }
 
-// announceJob tells every cluster's workers of a job, under its own name and under those
-// by which it may be lent.
+// announceJob makes a job known to every cluster's workers, under its own id and under the ids
+// that it gets when it is lent.
 func announceJob(clusters map[string]*testCluster, home string, o obj, run time.Duration) {
 	s := jobSpec(o)
 	clusters[home].simulated.AddJob(s, run)
@@ -103,9 +102,8 @@
 	return s
 }
 
-// watchDuplicates looks at the workers of all clusters again and again, and says in the
-// end which tasks were seen in two places at once. A lent job's name at the guest
-// holds the job's own.
+// watchDuplicates polls the workers of all clusters until the function it returns is called, which
+// lists the tasks that ran in two clusters at once. An offloaded job's id contains the original.
 func watchDuplicates(ctx context.Context, clusters map[string]*testCluster) func() []string {
 	ctx, cancel := context.WithCancel(ctx)
 	out := make(chan []string, 1)
@@ -132,9 +130,9 @@
 	return func() []string { cancel(); return <-out }
 }
 
-// TestOverflow runs three whole clusters on loopback. A busy one lends to two idle
-// ones; one of these ends in the middle and another drains. Each job ends once, at
-// home, and no task runs in two places, by the word of the workers.
+// TestOverflow runs three whole clusters on loopback. A busy one lends to two idle ones, of which
+// one stops meanwhile and the other drains. Each job ends once, at home, and by the workers' state
+// no task runs in two clusters.
 func TestOverflow(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -161,26 +159,26 @@
 	}
 	duplicates := watchDuplicates(ctx, clusters)
 	lent := func() int { return len(east.peerStatus(ctx).Lent) }
-	// Jobs come until some are lent: on a slow machine the first ones may be too late
-	// for any of their aims before they are looked at.
+	// Jobs come until some are lent: on a slow machine the first ones may miss every objective
+	// before they are considered.
 	for jobs < 16 || lent() == 0 && jobs < 100 {
 		if submitJob(); jobs > 16 {
 			time.Sleep(300 * time.Millisecond)
 		}
 	}
 	if lent() == 0 {
-		t.Fatal("nothing is lent")
+		t.Fatalf("got no loan after %d jobs, want at least one", jobs)
 	}
 	if err := printPeers(io.Discard, &broker.Status{IsLeader: true}); err != nil {
 		t.Error(err)
 	}
-	// A cancellation of a lent job is told only when the peer has stopped it.
+	// A cancellation of a lent job is confirmed only when the peer has stopped the job.
 	id := strings.Split(east.peerStatus(ctx).Lent[0].Loan, "/")[1]
 	eventually(t, "a lent job is cancelled", func() bool {
 		s, o, _ := request(t, "POST", "http://"+east.apiAddr+"/v2/runs/"+id+"/abort", nil)
 		return s == 200 && (o["status"] == "cancelled" || o["status"] == "done")
 	})
-	// One peer ends in the middle, and comes back; the other drains.
+	// One peer stops and starts again; the other drains.
 	clusters["west"].stop()
 	<-clusters["west"].ended
 	var x struct{}
@@ -201,11 +199,11 @@
 		return len(clusters["west"].peerStatus(ctx).Borrowed) == 0 && len(clusters["north"].peerStatus(ctx).Borrowed) == 0
 	})
 	for _, x := range duplicates() {
-		t.Error("runs in two clusters: " + x)
+		t.Errorf("task runs in two clusters: %s", x)
 	}
 	if _, n := clusters["west"].simulated.RunningTasks(); n == 0 {
 		if _, n = clusters["north"].simulated.RunningTasks(); n == 0 {
-			t.Error("no peer started anything")
+			t.Error("got no task started by a peer, want at least one")
 		}
 	}
 	for _, c := range clusters {
@@ -214,14 +212,14 @@
 		}
 	}
 	if s := clusters["north"].peerStatus(ctx); !s.Draining {
-		t.Error("north does not say that it drains")
+		t.Error("status of north: got serving, want draining")
 	}
-	// Strangers are not let in.
+	// Clients without a certificate are refused.
 	if c, err := net.Dial("tcp", east.overflowAddr); err == nil {
 		c.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if b, err := io.ReadAll(c); err == nil && strings.Contains(string(b), "HTTP") {
-			t.Errorf("a stranger got %q", b)
+			t.Errorf("client without a certificate: got %q, want no HTTP answer", b)
 		}
 		c.Close()
 	}
--- a/cmd/micahill/ranking.go
+++ b/cmd/micahill/ranking.go
@@ -28,7 +28,7 @@
 	return root
 }
 
-// requestRanking asks a controller on its own address.
+// requestRanking asks a controller for something of the ranking; see requestJSON.
 func requestRanking(ctx context.Context, verb, method, addr string, query url.Values, text []byte) (*message.RankingReply, error) {
 	var r message.RankingReply
 	if err := requestJSON(ctx, "ranking: "+verb, "ranking", method, addr, "/ranking?"+query.Encode(), text, &r); err != nil {
@@ -100,7 +100,8 @@
 	return w.Flush()
 }
 
-// readRanking reads a ranking's file; an error begins with its name.
+// readRanking reads and parses a ranking's file. Errors begin with "ranking", the verb and the
+// file's name; the bytes are what is sent.
 func readRanking(verb, path string) ([]byte, ranking.Record, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -15,8 +15,7 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// TestRankingCommands shows, sets and refuses a ranking at whole controllers, as an operator
-// would.
+// TestRankingCommands shows, sets and refuses a ranking at whole controllers, as an operator does.
 func TestRankingCommands(t *testing.T) {
 	t.Setenv("LOG_LEVEL", "error")
 	dir := t.TempDir()
@@ -40,7 +39,7 @@
 	defer cancel()
 	go live.Run(ctx)
 	for i := range api {
-		path := write("node.toml"+string(rune('0'+i)), settingsFile(i, api, back, live))
+		path := write("controller.toml"+string(rune('0'+i)), settingsFile(i, api, back, live))
 		go func() { _ = runController(ctx, path, "", []string{enableFile}) }()
 	}
 	runCommand := func(args ...string) (string, error) {
@@ -60,7 +59,7 @@
 	bad := write("bad.toml", "[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\"]\npart = 7\n")
 	out, err := runCommand("set", good, "--addr", back[0], "--by", "me", "--rev", "1")
 	if err != nil || !strings.Contains(out, "warning: no class takes all of urgency critical") || !strings.Contains(out, "revision 2 holds") {
-		t.Fatal(out, err)
+		t.Fatalf("set: got %q, %v, want a warning and revision 2", out, err)
 	}
 	for _, c := range []struct {
 		args []string
@@ -73,7 +72,7 @@
 		{[]string{"show", "--addr", back[0], "--why", "x"}, "is no job's id"},
 	} {
 		if out, err := runCommand(c.args...); err == nil || !strings.HasPrefix(err.Error(), "ranking: ") || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%v: %s %v, want %s", c.args, out, err, c.want)
+			t.Errorf("ranking %v: got %q, %v, want an error with %q", c.args, out, err, c.want)
 		}
 	}
 	for _, a := range back {
@@ -83,14 +82,14 @@
 		})
 	}
 	if out, err := runCommand("history", "--addr", back[2], "--json"); err != nil || !strings.Contains(out, `"bound_s": 30`) || strings.Count(out, `"rev"`) != 2 {
-		t.Error(out, err)
+		t.Errorf("history: got %q, %v, want two revisions, one with bound_s 30", out, err)
 	}
 	live.AddJob(jobSpec(jobFields("job-1", "ops", 400)), time.Second)
 	eventually(t, "a job is accepted", func() bool {
 		s, _, _ := request(t, http.MethodPost, "http://"+api[0]+"/v2/runs", jobFields("job-1", "ops", 400))
 		return s == 201 || s == 200
 	})
-	eventually(t, "somebody says why it waits", func() bool {
+	eventually(t, "a controller says why it waits", func() bool {
 		for _, a := range back {
 			if out, err := runCommand("show", "--addr", a, "--why", "job-1"); err == nil && strings.Contains(out, "class (normal), place 4 of 5") && strings.Count(out, "\n") == 1 {
 				return true
