--- a/cmd/micahill-lab/conditions.go
+++ b/cmd/micahill-lab/conditions.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"path/filepath"
@@ -13,8 +12,8 @@
 	"github.com/spf13/cobra"
 )
 
-// conditionsCommand takes the conditions of the safety argument out, one at a
-// time, and tells which tests notice.
+// conditionsCommand removes the conditions of the safety argument one at a time and prints which
+// tests notice.
 func conditionsCommand() *cobra.Command {
 	var root, list, only string
 	var parallel int
@@ -111,9 +110,7 @@
 		}
 	}
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		if err := e.Encode(rows); err != nil {
+		if err := printJSON(out, rows); err != nil {
 			return fmt.Errorf("conditions: %w", err)
 		}
 	} else if !table {
--- a/cmd/micahill-lab/main.go
+++ b/cmd/micahill-lab/main.go
@@ -1,4 +1,5 @@
-// Command micahill-lab is the project's own experiment tool over the stand-ins.
+// Command micahill-lab runs experiments with micahill on simulated services: clusters on loopback,
+// faults, growing sizes, days in simulated time, and conditions taken out of the sources.
 package main
 
 import (
--- a/cmd/micahill-lab/overflow.go
+++ b/cmd/micahill-lab/overflow.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"math/rand/v2"
@@ -18,8 +17,8 @@
 	"github.com/spf13/cobra"
 )
 
-// overflowResult is what an overflow experiment found, by the word of the workers
-// and of the users, not of the scheduler.
+// overflowResult is what an overflow experiment found, as workers and users saw it: the
+// controllers' own account is not used.
 type overflowResult struct {
 	Clusters   int    `json:"clusters"`
 	Fault      string `json:"fault"`
@@ -30,7 +29,7 @@
 	Duplicated int    `json:"twice"`
 	Lost       int    `json:"lost"`
 	WentBack   int    `json:"went_back"`
-	// Forgotten counts jobs about which no question was answered for too long after
+	// Forgotten counts jobs for which no poll was answered for simulation.MaxUnanswered after
 	// the fault.
 	Forgotten int `json:"forgotten"`
 	// Lent counts jobs that some peer started.
@@ -41,8 +40,7 @@
 
 var overflowFaults = []string{"none", "kill-peer", "silent-peer", "drain-peer", "cut", "restart-all"}
 
-// overflowCommand runs a load against several clusters, with a fault in the middle
-// of a transfer, and checks the rules.
+// overflowCommand loads several clusters, injects a fault during a transfer and checks the rules.
 func overflowCommand() *cobra.Command {
 	var options fleet.Options
 	var jobs int
@@ -86,69 +84,75 @@
 	return c
 }
 
-// submitInterval is between two jobs, and maxOverflowTime bounds an experiment.
 const (
-	submitInterval  = 300 * time.Millisecond
+	// submitInterval is between two submissions.
+	submitInterval = 300 * time.Millisecond
+	// overflowPollInterval is between two looks at workers and jobs.
+	overflowPollInterval = 20 * time.Millisecond
+	// maxOverflowTime bounds an experiment.
 	maxOverflowTime = 4 * time.Minute
-	// recheckFinalFor is for how long ends are asked for again, for one that goes back.
+	// recheckFinalFor is how long final jobs are still polled, to see one that goes back.
 	recheckFinalFor = 5 * time.Second
 	// faultDuration is how long a fault lasts.
 	faultDuration = 8 * time.Second
 )
 
+// labJob is a submitted job and what its user has seen of it.
 type labJob struct {
 	fleet.Job
 	acceptedAt, finishedAt time.Time
 	state                  string
 	wentBack               bool
-	// answeredAt is when a question was last answered.
+	// answeredAt is when a poll was last answered.
 	answeredAt time.Time
 	forgotten  bool
 }
 
+// overflowRun is an experiment while it runs.
+type overflowRun struct {
+	fleet   *fleet.Fleet
+	options fleet.Options
+	// jobCount jobs are submitted to the first cluster, drawn from rng.
+	jobCount int
+	rng      *rand.Rand
+	fault    string
+	logf     func(format string, args ...any)
+
+	began     time.Time
+	submitted []*labJob
+	// duplicated are the tasks seen in two clusters at once, and lent the jobs that a peer started.
+	duplicated, lent map[string]bool
+	faultInjected    bool
+	// healedAt is when the fault is over; without one, when the experiment began.
+	healedAt time.Time
+}
+
+// runOverflow submits the jobs, lets the fault happen once work is lent, and watches until all
+// jobs have been final for recheckFinalFor, or for maxOverflowTime.
 func runOverflow(cmd *cobra.Command, f *fleet.Fleet, options fleet.Options, jobs int, seed uint64, fault string) overflowResult {
 	ctx, cancel := context.WithTimeout(cmd.Context(), maxOverflowTime)
 	defer cancel()
-	rng := rand.New(rand.NewPCG(seed, 1))
-	home := f.Clusters[0]
-	logf := func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-	var submitted []*labJob
-	duplicated, lent := map[string]bool{}, map[string]bool{}
-	injected := fault == "none"
-	heal, healed := func() {}, time.Now()
-	began, allFinal, lastLogged := time.Now(), time.Time{}, time.Now()
-	for next := began; ctx.Err() == nil; time.Sleep(20 * time.Millisecond) {
-		if now := time.Now(); len(submitted) < jobs && !now.Before(next) {
-			next = next.Add(submitInterval)
-			submitted = append(submitted, &labJob{Job: fleet.Job{
-				ID: fmt.Sprintf("job-%06d", len(submitted)+1), Team: "ops", Tasks: 1 + rng.IntN(4), CPUs: 2, Urgency: "normal",
-				RunTime: time.Duration(2+rng.IntN(4)) * time.Second, Deadline: 20 * time.Second,
-			}})
-		}
-		recordPlacements(f, duplicated, lent)
-		final := 0
-		for i, j := range submitted {
-			if j.submitOrPoll(ctx, home, i); !j.finishedAt.IsZero() {
-				final++
-			}
-			since := j.acceptedAt
-			for _, t := range []time.Time{j.answeredAt, healed} {
-				if t.After(since) {
-					since = t
-				}
-			}
-			j.forgotten = j.forgotten || !j.acceptedAt.IsZero() && time.Since(since) > simulation.MaxUnanswered
+	now := time.Now()
+	x := &overflowRun{
+		fleet: f, options: options, jobCount: jobs, rng: rand.New(rand.NewPCG(seed, 1)), fault: fault,
+		logf:  func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) },
+		began: now, duplicated: map[string]bool{}, lent: map[string]bool{},
+		faultInjected: fault == "none", healedAt: now,
+	}
+	nextSubmit, lastLogged, allFinal := now, now, time.Time{}
+	for ; ctx.Err() == nil; time.Sleep(overflowPollInterval) {
+		if now := time.Now(); len(x.submitted) < jobs && !now.Before(nextSubmit) {
+			nextSubmit = nextSubmit.Add(submitInterval)
+			x.addJob()
 		}
-		if !injected && len(lent) > 0 {
-			injected = true
-			logf("%5.1f s: %s", time.Since(began).Seconds(), fault)
-			heal = injectFault(f, options, fault)
-			healed = time.Now().Add(faultDuration)
-			time.AfterFunc(faultDuration, func() { heal() })
+		recordPlacements(f, x.duplicated, x.lent)
+		final := x.pollJobs(ctx)
+		if !x.faultInjected && len(x.lent) > 0 {
+			x.startFault()
 		}
 		if time.Since(lastLogged) > 5*time.Second {
 			lastLogged = time.Now()
-			logf("%5.1f s: %d handed in, %d final, %d lent", time.Since(began).Seconds(), len(submitted), final, len(lent))
+			x.logf("%5.1f s: %d handed in, %d final, %d lent", time.Since(x.began).Seconds(), len(x.submitted), final, len(x.lent))
 		}
 		if final == jobs && allFinal.IsZero() {
 			allFinal = time.Now()
@@ -157,10 +161,52 @@
 			break
 		}
 	}
-	r := overflowResult{Clusters: options.Clusters, Fault: fault, Seed: seed, Lending: options.Overflow, Duplicated: len(duplicated), Lent: len(lent)}
+	r := overflowResult{Clusters: options.Clusters, Fault: fault, Seed: seed, Lending: options.Overflow, Duplicated: len(x.duplicated), Lent: len(x.lent)}
+	r.countJobs(x.submitted)
+	return r
+}
+
+// addJob draws the next job; pollJobs submits it.
+func (x *overflowRun) addJob() {
+	x.submitted = append(x.submitted, &labJob{Job: fleet.Job{
+		ID: fmt.Sprintf("job-%06d", len(x.submitted)+1), Team: "ops", Tasks: 1 + x.rng.IntN(4), CPUs: 2, Urgency: "normal",
+		RunTime: time.Duration(2+x.rng.IntN(4)) * time.Second, Deadline: 20 * time.Second,
+	}})
+}
+
+// pollJobs submits or polls every job, marks those that went unanswered for too long, and returns
+// how many are final.
+func (x *overflowRun) pollJobs(ctx context.Context) int {
+	home, final := x.fleet.Clusters[0], 0
+	for i, j := range x.submitted {
+		if j.submitOrPoll(ctx, home, i); !j.finishedAt.IsZero() {
+			final++
+		}
+		since := j.acceptedAt
+		for _, t := range []time.Time{j.answeredAt, x.healedAt} {
+			if t.After(since) {
+				since = t
+			}
+		}
+		j.forgotten = j.forgotten || !j.acceptedAt.IsZero() && time.Since(since) > simulation.MaxUnanswered
+	}
+	return final
+}
+
+// startFault lets the fault happen, and heals it after faultDuration.
+func (x *overflowRun) startFault() {
+	x.faultInjected = true
+	x.logf("%5.1f s: %s", time.Since(x.began).Seconds(), x.fault)
+	heal := injectFault(x.fleet, x.options, x.fault)
+	x.healedAt = time.Now().Add(faultDuration)
+	time.AfterFunc(faultDuration, heal)
+}
+
+// countJobs adds what became of the jobs.
+func (r *overflowResult) countJobs(jobs []*labJob) {
 	var waits []float64
 	inTime := 0
-	for _, j := range submitted {
+	for _, j := range jobs {
 		if j.acceptedAt.IsZero() {
 			continue
 		}
@@ -186,10 +232,10 @@
 		r.P95 = waits[min(len(waits)-1, len(waits)*95/100)]
 		r.InTime = float64(inTime) / float64(r.Accepted)
 	}
-	return r
 }
 
-// submitOrPoll hands the job in, or asks for it; the polls of many jobs are spread.
+// submitOrPoll submits the job until it is accepted, and polls it from then on. Each job is polled
+// in its own slot of 20 ms, so that the polls of many jobs are spread.
 func (j *labJob) submitOrPoll(ctx context.Context, home *fleet.Cluster, i int) {
 	if j.acceptedAt.IsZero() {
 		if ok, err := home.Submit(ctx, j.Job); ok && err == nil {
@@ -215,7 +261,7 @@
 	}
 }
 
-// recordPlacements notes which tasks the workers of more than one cluster have at the moment.
+// recordPlacements records which jobs run at a peer, and which tasks run in two clusters now.
 func recordPlacements(f *fleet.Fleet, duplicated, lent map[string]bool) {
 	placed := map[string]bool{}
 	for _, c := range f.Clusters {
@@ -234,7 +280,7 @@
 	}
 }
 
-// injectFault lets the fault happen and says how it is healed.
+// injectFault lets the fault happen and returns what heals it.
 func injectFault(f *fleet.Fleet, options fleet.Options, fault string) func() {
 	peer := f.Clusters[1]
 	forEachController := func(c *fleet.Cluster, fn func(int)) {
@@ -252,7 +298,7 @@
 	case "drain-peer":
 		_ = exec.Command(options.Program, "drain", "--addr", peer.InternalAddrs[0], "--within", "20s").Run()
 	case "cut":
-		// The home's controllers stand still, so that neither hears the other.
+		// The home's controllers are paused: neither side hears the other.
 		home := f.Clusters[0]
 		forEachController(home, home.Pause)
 		return func() { forEachController(home, home.Resume) }
@@ -267,11 +313,10 @@
 	return func() {}
 }
 
+// printOverflow prints the result, and fails if a rule is broken.
 func printOverflow(out io.Writer, r overflowResult, asJSON bool) error {
 	if asJSON {
-		e := json.NewEncoder(out)
-		e.SetIndent("", "  ")
-		if err := e.Encode(r); err != nil {
+		if err := printJSON(out, r); err != nil {
 			return fmt.Errorf("overflow: %w", err)
 		}
 	} else {
--- a/cmd/micahill-lab/scale_test.go
+++ b/cmd/micahill-lab/scale_test.go
@@ -12,8 +12,9 @@
 	"github.com/micahill/micahill/internal/lab/scale"
 )
 
-// TestEarlierMeasurements: rungs of earlier runs are fitted without a new one, a broken rule in one
-// of them fails the command, and what can't be run is told before anything starts.
+// TestEarlierMeasurements checks that earlier measurements are fitted without a new one, that a
+// broken rule in one of them fails the command, and that a plan that can't be run is refused before
+// anything starts.
 func TestEarlierMeasurements(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "ladder.json")
 	run := func(l scale.Series, args ...string) (string, error) {
@@ -39,13 +40,13 @@
 	}
 	out, err := run(l)
 	if err != nil || !regexp.MustCompile(`\nreports/s +-?0\.000 +200\.000 `).MatchString(out) {
-		t.Errorf("%v\n%s", err, out)
+		t.Errorf("earlier measurements: got error %v and output\n%s\nwant a fit of reports/s with slope 200", err, out)
 	}
 	l.Measurements[2].Violations = []string{"ran_twice"}
 	if _, err := run(l); err == nil || !strings.Contains(err.Error(), "ran_twice") {
-		t.Errorf("a broken rule: %v", err)
+		t.Errorf("broken rule: got error %v, want one with ran_twice", err)
 	}
 	if _, err := run(l, "--workers", "100,12001"); err == nil || !strings.Contains(err.Error(), "--workers 12001") {
-		t.Errorf("too many workers: %v", err)
+		t.Errorf("too many workers: got error %v, want one with --workers 12001", err)
 	}
 }
--- a/cmd/micahill-lab/search.go
+++ b/cmd/micahill-lab/search.go
@@ -15,7 +15,7 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// daySearch is a search among days by the slack that they leave to rules.
+// daySearch is a search for days that come near to breaking a rule, by the margin they leave.
 type daySearch struct {
 	seed      uint64
 	runs      int
@@ -24,14 +24,14 @@
 	outDir    string
 
 	mu sync.Mutex
-	// brokenDays are the days that broke a rule, and starved those that served too little.
+	// brokenDays counts the days that broke a rule, and starvedDays those that served too little.
 	brokenDays, starvedDays int
 }
 
-// errSearchViolation says that a search found a day that broke a rule.
+// errSearchViolation reports that a search found a day that broke a rule.
 var errSearchViolation = errors.New("days: the search found a day that broke a rule")
 
-// run searches and tells the least slack of each rule, with the day as a file.
+// run searches, prints the least margin found for each rule and saves its day as a file.
 func (s *daySearch) run(out, progress io.Writer, p simulation.DayParams, parallel int) error {
 	if s.runs < 1 || s.timeLimit < 0 {
 		return errors.New("days: --runs is to be positive, and --within not less than nothing")
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// recordDay counts a day that was played, and keeps the broken ones.
+// recordDay counts a day that was played, and saves it if it broke a rule.
 func (s *daySearch) recordDay(r simulation.DayResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	if len(r.Violations) > 0 {
 		s.brokenDays++
 		rule, _, _ := strings.Cut(r.Violations[0], " ")
-		// A day that cannot be kept is counted all the same.
+		// A day that cannot be saved is still counted.
 		_ = r.Day.Save(filepath.Join(s.outDir, fmt.Sprintf("broken-%d-%s-%d.json", s.seed, strings.Trim(rule, ":"), s.brokenDays)))
 	}
 }
--- a/cmd/micahill-lab/up.go
+++ b/cmd/micahill-lab/up.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 )
 
-// controllerProgram finds the controllers' program beside this one.
+// controllerProgram is the path of the controllers' program: the flag's, or beside this one.
 func controllerProgram(flag string) string {
 	if flag != "" {
 		return flag
@@ -26,7 +26,7 @@
 	return filepath.Join("target", "micahill")
 }
 
-// upCommand brings clusters up to try things with.
+// upCommand brings clusters up and keeps them until interrupted.
 func upCommand() *cobra.Command {
 	var options fleet.Options
 	var first bool
@@ -86,6 +86,7 @@
 	return c
 }
 
+// runFirstJob submits a job of four tasks and prints its states until it is done.
 func runFirstJob(cmd *cobra.Command, c *fleet.Cluster) error {
 	began := time.Now()
 	j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Tasks: 4, CPUs: 1, RunTime: 3 * time.Second, Urgency: "normal"}
@@ -110,8 +111,8 @@
 	return errors.New("up: the first job did not end within a minute; look at the logs")
 }
 
-// submitJobs hands jobs in, one a second: every seventh is urgent and short, every third a
-// large one that nothing hurries.
+// submitJobs submits jobs, one a second: of each seven one is urgent and short, and every third is
+// large and of normal urgency.
 func submitJobs(ctx context.Context, c *fleet.Cluster, jobs int) error {
 	for i := range jobs {
 		j := fleet.Job{ID: fmt.Sprintf("job-%08x", rand.Uint32()), Team: "ops", Workload: "report", Tasks: 4, CPUs: 1, RunTime: 10 * time.Second, Urgency: "normal"}
