--- a/cmd/micahill/main_test.go
+++ b/cmd/micahill/main_test.go
@@ -201,16 +201,18 @@
 		{"half a task", "POST", "/v2/runs", half, 400},
 		{"a field missing", "POST", "/v2/runs", missing, 400},
 		{"known, whatever the body", "POST", "/v2/runs", knownInvalid, 200},
-		{"too large for any flavour", "POST", "/v2/runs", big, 422},
+		{"too large for any machine type", "POST", "/v2/runs", big, 422},
 		{"unknown team", "POST", "/v2/runs", jobFields("job-000009", "nobody", 1), 422},
 		{"oversized", "POST", "/v2/runs", make([]byte, 70<<10), 413},
 		{"unknown job", "GET", "/v2/runs/job-000009", nil, 404},
 		{"abort of an unknown job", "POST", "/v2/runs/job-000009/abort", nil, 404},
 		{"abort of what is done", "POST", "/v2/runs/job-000001/abort", nil, 200},
 	} {
-		if s, o, _ := request(t, c.method, apiURL(0, c.path), c.body); s != c.want {
-			t.Errorf("%s: got status %d with %v, want %d", c.name, s, o, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if s, o, _ := request(t, c.method, apiURL(0, c.path), c.body); s != c.want {
+				t.Errorf("got status %d with %v, want %d", s, o, c.want)
+			}
+		})
 	}
 
 	live.SetStoreUnavailable(true)
--- a/cmd/micahill/ranking_test.go
+++ b/cmd/micahill/ranking_test.go
@@ -62,18 +62,21 @@
 		t.Fatalf("set: got %q, %v, want a warning and revision 2", out, err)
 	}
 	for _, c := range []struct {
+		name string
 		args []string
 		want string
 	}{
-		{[]string{"set", good, "--addr", back[2], "--rev", "1"}, "revision 2 stands there, not 1"},
-		{[]string{"set", bad, "--addr", back[2]}, "bad.toml:4:1: field class[0].part"},
-		{[]string{"check", bad}, "bad.toml:4:1: field class[0].part"},
-		{[]string{"show"}, "--addr HOST:PORT is missing"},
-		{[]string{"show", "--addr", back[0], "--why", "x"}, "is no job's id"},
+		{"set on an older revision", []string{"set", good, "--addr", back[2], "--rev", "1"}, "revision 2 stands there, not 1"},
+		{"set an invalid file", []string{"set", bad, "--addr", back[2]}, "bad.toml:4:1: field class[0].part"},
+		{"check an invalid file", []string{"check", bad}, "bad.toml:4:1: field class[0].part"},
+		{"show without an address", []string{"show"}, "--addr HOST:PORT is missing"},
+		{"show why of no job", []string{"show", "--addr", back[0], "--why", "x"}, "is no job's id"},
 	} {
-		if out, err := runCommand(c.args...); err == nil || !strings.HasPrefix(err.Error(), "ranking: ") || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("ranking %v: got %q, %v, want an error with %q", c.args, out, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if out, err := runCommand(c.args...); err == nil || !strings.HasPrefix(err.Error(), "ranking: ") || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("got %q, %v, want an error of ranking with %q", out, err, c.want)
+			}
+		})
 	}
 	for _, a := range back {
 		eventually(t, "every controller shows it", func() bool {
