--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/validate"
 )
 
@@ -33,3 +34,22 @@
 	*environment
 	controller *Controller
 }
+
+func (e *environment) team(name string) *model.Team {
+	for i := range e.settings.Teams {
+		if e.settings.Teams[i].Name == name {
+			return &e.settings.Teams[i]
+		}
+	}
+	return nil
+}
+
+// waitObjective is how soon the workload's tasks are to start, or 0.
+func (e *environment) waitObjective(workload string) time.Duration {
+	for _, o := range e.settings.Objectives {
+		if o.Kind == "wait" && o.Workload == workload {
+			return o.Within
+		}
+	}
+	return 0
+}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,6 +11,13 @@
 	"github.com/micahill/micahill/internal/reachability"
 )
 
+const (
+	// slowMachine is how much slower than expected a machine's tasks must run,
+	// over slowSeen tasks at least, before it is avoided.
+	slowMachine = 1.7
+	slowSeen    = 2
+)
+
 const (
 	// clockDrift bounds how far steady clocks of two machines run apart, with
 	// room to spare over the 0.05 % of the protocol.
@@ -261,3 +268,19 @@
 	c.shardLeader.heartbeats.loseAllAttempts(m, nil)
 	c.shardLeader.removeMachine(m)
 }
+
+// fetchSeconds is how long the machine needs to have the image of j, in seconds, when it
+// is fetching so many and pulls so much a second.
+func (m *machine) fetchSeconds(j *job, fetching int, fetchRate float64) float64 {
+	if j.Image == "" || j.ImageGB <= 0 {
+		return 0
+	}
+	switch im := m.images[j.Image]; {
+	case im == nil:
+		return float64(1+fetching) * j.ImageGB / fetchRate
+	case im.cached:
+		return 0
+	}
+	// Already coming.
+	return j.ImageGB / fetchRate / 2
+}
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -1,8 +1,6 @@
 package controller
 
 import (
-	"cmp"
-	"slices"
 	"strings"
 	"time"
 
@@ -10,6 +8,15 @@
 	"github.com/micahill/micahill/internal/packing"
 )
 
+const (
+	// expensivePenalty, for each time a machine's processors cost the cheapest
+	// kind's price, lets dear machines go idle first, to be returned.
+	expensivePenalty = time.Second
+	// prewarmedPenalty keeps other work off machines that hold the images of work
+	// whose wait is bounded, as long as a fetch elsewhere is quicker.
+	prewarmedPenalty = 3 * time.Second
+)
+
 // placement_round.go places what waits. A round looks at a machine some few times for each
 // kind of task and image, not once for each job: in a large pool that has fallen
 // behind hundreds of jobs wait, and reports and renewals wait for the round.
@@ -358,115 +365,3 @@
 	j.markChanged(i, s.now, true)
 	s.debug("placed", "job", j.ID, "task", i, "try", t.attempt, "machine", m.id, "ranking", t.rankingRevision)
 }
-
-// preemptionVictims is where work of some kind may take the place of lower work: machines with
-// room at once, and those where something may be stopped, the least work lost
-// first. It is looked for now and then and judged again when it is used: going
-// through all that runs for each job that waits would take longer than the wait.
-type preemptionVictims struct {
-	at           time.Time
-	withCapacity []*machine
-	withVictims  []*machine
-}
-
-type preemptionVictimsKey struct {
-	taskShape
-	urgency model.Urgency
-}
-
-func (s *scheduler) preemptionVictimsFor(j *job) *preemptionVictims {
-	o := s.controller.shardLeader
-	key := preemptionVictimsKey{j.taskShape(), j.Urgency}
-	p := o.scheduler.preemptionVictims[key]
-	if p != nil && s.now.Sub(p.at) < preemptionInterval {
-		return p
-	}
-	p = &preemptionVictims{at: s.now}
-	if o.scheduler.preemptionVictims == nil {
-		o.scheduler.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
-	}
-	for k, old := range o.scheduler.preemptionVictims {
-		if s.now.Sub(old.at) > workloadRetention {
-			delete(o.scheduler.preemptionVictims, k)
-		}
-	}
-	o.scheduler.preemptionVictims[key] = p
-	type choice struct {
-		m    *machine
-		loss time.Duration
-	}
-	var cs []choice
-	avoidGPUs := s.avoidsGPUsNow(j)
-	for _, m := range o.machinesByID {
-		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !s.usable(m) || !s.gpuPolicyAllows(avoidGPUs, m) {
-			continue
-		}
-		if free := s.freeAfterPreemption(m); j.Need.Fits(free) {
-			p.withCapacity = append(p.withCapacity, m)
-		} else if _, loss, ok := s.preemptionVictimsOn(j, m, free); ok {
-			cs = append(cs, choice{m, loss})
-		}
-	}
-	slices.SortStableFunc(cs, func(a, b choice) int { return cmp.Compare(a.loss, b.loss) })
-	for _, c := range cs {
-		p.withVictims = append(p.withVictims, c.m)
-	}
-	return p
-}
-
-// freeAfterPreemption is the room on m with what stopped tasks are about to leave.
-func (s *scheduler) freeAfterPreemption(m *machine) model.Resources {
-	f := m.free()
-	for k, t := range m.attempts {
-		if t.stopReason == stopPreempt && s.now.Sub(t.stoppedAt) < stopTimeout {
-			f = f.AddScaled(s.controller.shardLeader.jobs[k.job].Need, 1)
-		}
-	}
-	return f
-}
-
-// preempt stops tasks of lower urgency so that the waiting tasks of j find room
-// where the image takes no longer than fetch, the least work lost first. It says
-// for how many tasks room is coming, by these stops and by earlier ones.
-func (s *scheduler) preempt(j *job, fetch time.Duration) int {
-	need := j.pendingTasks()
-	if !s.withinQuotaLimit(j) {
-		return 0
-	}
-	p := s.preemptionVictimsFor(j)
-	suits := func(m *machine) bool {
-		return !m.removed && s.controller.shardLeader.scheduler.usable(m) && !m.reservedForOther(j) && j.zoneAllowed(m.zone) && s.controller.knowledge.fetchTime(m, j) <= fetch
-	}
-	for _, m := range p.withCapacity {
-		if need > 0 && suits(m) {
-			need -= s.freeAfterPreemption(m).FitCount(j.Need)
-		}
-	}
-	most := s.maxPreemptionLoss(j)
-	for _, m := range p.withVictims {
-		if need <= 0 {
-			break
-		}
-		if !suits(m) {
-			continue
-		}
-		free := s.freeAfterPreemption(m)
-		if k := free.FitCount(j.Need); k > 0 {
-			// Stopped for another job a moment ago, or something has ended.
-			need -= k
-			continue
-		}
-		ts, loss, ok := s.preemptionVictimsOn(j, m, free)
-		if !ok || loss > most {
-			continue
-		}
-		for _, t := range ts {
-			t.stopReason, t.stoppedAt = stopPreempt, s.now
-			t.preemptions++
-		}
-		s.controller.markDispatchPending(m)
-		need--
-		s.debug("preempt", "for", j.ID, "machine", m.id, "stopped", len(ts), "loss", loss)
-	}
-	return j.pendingTasks() - max(need, 0)
-}
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -1,13 +1,8 @@
 package controller
 
 import (
-	"fmt"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/record"
@@ -76,59 +71,8 @@
 	allUpAt time.Time
 }
 
-// shardLeaderDates is what an owner has of dates beside the jobs.
-type shardLeaderDates struct {
-	pageWriters map[string]*promise.PageWriter
-	checkedAt   time.Time
-	// busy: a page is being written, or read after a write without an answer. turn is
-	// the team whose page was the last.
-	pageInFlight bool
-	lastTeam     string
-	// quotesStoredAt is when quotes were last written, of the team that is named, and quotesStoredHash
-	// their hashes.
-	quotesStoredAt   time.Time
-	quotesStoredTeam string
-	quotesStoredHash map[string]uint64
-}
-
 func (p *promiseState) enabled() bool { return p.settings.Capabilities.Promises }
 
-// teamKey is a team in a key: as it is where all its characters may stand in the path of
-// a request, and else, or if it is long, its hash.
-func teamKey(team string) string {
-	plain := len(team) > 0 && len(team) <= maxTeamKeyLen
-	for _, c := range team {
-		plain = plain && (c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_')
-	}
-	if plain {
-		return team
-	}
-	return fmt.Sprintf("~%016x", xxhash.Sum64String(team))
-}
-
-func teamPagePrefix(team string) string { return pagePrefix + teamKey(team) + "/" }
-
-// maxPageBytes bounds the records of dates, quotes and totals, as JSON.
-func (p *promiseState) maxPageBytes() int { return p.settings.MaxValueBytes * 3 / 4 }
-
-// applyPage says whether a key under open/ is that of a page, and takes it in.
-func (p *promiseState) applyPage(pages *promise.Pages, it message.KeyValue) bool {
-	if !strings.HasPrefix(it.Key, pagePrefix) {
-		return false
-	}
-	if !p.enabled() {
-		return true
-	}
-	value := it.Value
-	if it.Deleted {
-		value = nil
-	}
-	if err := pages.Apply(it.Key, it.ModRevision, value); err != nil {
-		p.rejectInput("record", it.Key, err.Error())
-	}
-	return true
-}
-
 // durableDate is the newest durable date of an open job, as of the picture: none where it
 // can't be told which is the newest.
 func (p *promiseState) durableDate(id string, l *openJob) promise.Date {
@@ -152,55 +96,6 @@
 	}
 }
 
-// quoterFor is what quotes of a team rest on here, if anything.
-func (p *promiseState) quoterFor(team string, create bool) *promise.Quoter {
-	q := p.quotes[team]
-	if q == nil && create {
-		q = promise.NewQuoter(p.settings.Capabilities.PromiseFraction)
-		p.quotes[team] = q
-	}
-	return q
-}
-
-// promiseJob is what of a job its date rests on. The fetch is that from the usual kind
-// of machine: where the image lies the finishes tell.
-func (p *promiseState) promiseJob(s *model.JobSpec) promise.Job {
-	if p.fetchTypeCount != len(p.controller.knowledge.machineTypes) {
-		p.fetchTypeCount, p.perGB = len(p.controller.knowledge.machineTypes), 0
-		rate, kinds := 0.0, 0.0
-		for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
-			if f := p.controller.knowledge.machineTypes[name]; f.ImageFetchRate > 0 {
-				rate, kinds = rate+f.ImageFetchRate, kinds+1
-			}
-		}
-		if rate > 0 {
-			p.perGB = kinds / rate
-		}
-	}
-	return promise.Job{Team: s.Team, Class: s.Workload, Tasks: s.Tasks, Expected: s.ExpectedRunTime, Standing: s.LongRunning, FetchTime: record.DurationOfSeconds(s.ImageGB * p.perGB)}
-}
-
-// quoteDate is the date for a job that is accepted here, if one is at hand.
-func (p *promiseState) quoteDate(s *model.JobSpec) time.Duration {
-	if !p.enabled() || len(s.Dependencies) > 0 {
-		// What waits for others gets its date when these are done.
-		return 0
-	}
-	j := p.promiseJob(s)
-	if q := p.quoterFor(s.Team, false); q != nil {
-		if d, known := q.Quote(j); known {
-			return d
-		}
-	}
-	// A class that is new to the team may be known of others.
-	for _, t := range sortedKeys(p.quotes) {
-		if d, known := p.quotes[t].Quote(j); known {
-			return d
-		}
-	}
-	return 0
-}
-
 // notePromiseRecord takes in a job's record as its owner reads it.
 func (p *promiseState) notePromiseRecord(j *job, r *record.OpenJob) {
 	if d := r.FirstDate(); p.enabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
@@ -215,35 +110,6 @@
 	}
 }
 
-// recoverPages takes up the pages of a team that has come, as its former owner left
-// them. When a date in them was made is not told: they count as made now.
-func (p *promiseState) recoverPages(team string, restored map[string]*job) {
-	o := p.controller.shardLeader
-	if !p.enabled() {
-		return
-	}
-	cache := &p.controller.frontend.watchCache
-	prefix := teamPagePrefix(team)
-	if o.promiseDates.pageWriters == nil {
-		o.promiseDates.pageWriters = map[string]*promise.PageWriter{}
-	}
-	o.promiseDates.pageWriters[team] = cache.promisePages.NewWriter(prefix, p.maxPageBytes())
-	p.quoterFor(team, true)
-	for id, j := range restored {
-		if j.Team != team {
-			continue
-		}
-		j.takenOver = true
-		e, known := cache.promisePages.Newest(id, prefix, j.modRevision)
-		switch {
-		case !known:
-			j.dateUnreadable, j.promised = true, promise.Date{}
-		case e.Revision > 0:
-			j.promised, j.promisedAt = e.Date, p.now
-		}
-	}
-}
-
 // isDateDurable says that nothing of the job's date waits to be written.
 func (p *promiseState) isDateDurable(j *job) bool {
 	b := p.controller.shardLeader.promiseDates.pageWriters[j.Team]
@@ -289,33 +155,6 @@
 	return r
 }
 
-// learnFromEnd learns from a job's end.
-func (p *promiseState) learnFromEnd(j *job, r record.JobStatus) {
-	if !p.enabled() || j.borrowedLoan != "" {
-		return
-	}
-	p.cacheDoneDate(j.ID, r)
-	if !j.LongRunning {
-		p.learnFromDuration(j, time.Duration(r.EndedAfterMillis)*time.Millisecond)
-	}
-}
-
-// learnFromDuration learns from a job that is done, or all up, after a time.
-func (p *promiseState) learnFromDuration(j *job, took time.Duration) {
-	q, pj := p.quoterFor(j.Team, true), p.promiseJob(&j.JobSpec)
-	if !j.takenOver {
-		q.LearnFinish(pj, j.baseQuote, took)
-	}
-	learnOutcome(j, q, pj, took <= j.promised.After)
-}
-
-func learnOutcome(j *job, q *promise.Quoter, pj promise.Job, kept bool) {
-	if j.promised.Revision > 0 && !j.outcomeLearned {
-		j.outcomeLearned = true
-		q.LearnOutcome(pj, kept)
-	}
-}
-
 // tick does what is due for the dates of this owner's jobs.
 func (p *promiseState) tick() {
 	o := p.controller.shardLeader
@@ -509,81 +348,6 @@
 	return false
 }
 
-// writePage writes the page that most wait for, at most one at a time.
-func (p *promiseState) writePage() {
-	o := p.controller.shardLeader
-	if o.promiseDates.pageInFlight {
-		return
-	}
-	open := p.controller.frontend.watchCache.openJobs
-	var team string
-	var writer *promise.PageWriter
-	var w promise.PageWrite
-	for _, t := range sortedKeys(o.promiseDates.pageWriters) {
-		candidate := o.promiseDates.pageWriters[t]
-		candidate.RemoveEnded(func(id string) bool {
-			_, there := open[id]
-			return !there && o.jobs[id] == nil
-		})
-		// In turns, so that a team with many does not keep the others' from being told.
-		if next, ok := candidate.NextWrite(); ok && (writer == nil || team <= o.promiseDates.lastTeam && t > o.promiseDates.lastTeam) {
-			team, writer, w = t, candidate, next
-		}
-	}
-	if writer == nil || p.now.After(p.controller.membership.leaseValidUntil) {
-		return
-	}
-	o.promiseDates.pageInFlight, o.promiseDates.lastTeam = true, team
-	key := teamPagePrefix(team) + strconv.Itoa(w.Number)
-	if !w.RevisionKnown {
-		p.readPage(writer, key, w)
-		return
-	}
-	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: append(p.controller.shardLeader.shardCompares(team), message.Compare{Key: key, ModRevision: w.ModRevision}), Writes: []message.Write{{Key: key, Value: w.Value}}}
-	p.controller.requests.toStore(req, func(resp message.StoreResponse) {
-		if p.controller.shardLeader != o {
-			return
-		}
-		o.promiseDates.pageInFlight = false
-		switch resp.Status {
-		case message.StoreOK:
-			stamp := resp.Revision
-			if w.Value == nil {
-				stamp = 0
-			}
-			writer.MarkWritten(w, stamp)
-		case message.StoreMalformed:
-			o.promiseDates.checkedAt = p.now.Add(malformedRetryDelay)
-		case message.StoreConflict, message.StoreUnknown:
-			// Perhaps an earlier write of this owner's, carried out late; another's
-			// would have needed its own share.
-			writer.MarkUncertain(w.Number)
-		}
-	})
-}
-
-// readPage finds out on what a page is to be written.
-func (p *promiseState) readPage(writer *promise.PageWriter, key string, w promise.PageWrite) {
-	o := p.controller.shardLeader
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: key}, func(d message.StoreResponse) {
-		if p.controller.shardLeader != o {
-			return
-		}
-		o.promiseDates.pageInFlight = false
-		switch d.Status {
-		case message.StoreOK:
-			if _, err := promise.DecodePage(d.KeyValues[0].Value); err != nil {
-				p.rejectInput("record", key, err.Error())
-				writer.Abandon(w.Number)
-				return
-			}
-			writer.SetRevision(w.Number, d.KeyValues[0].ModRevision)
-		case message.StoreNotFound:
-			writer.SetRevision(w.Number, 0)
-		}
-	})
-}
-
 // cannotKeepDate says that a job's date can't be kept any more, whenever its tasks start. Once
 // it has passed that counts no longer: nobody is to wait behind others for good for it.
 func (p *promiseState) cannotKeepDate(j *job) bool {
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -181,22 +181,6 @@
 	return max(minIdleTime, time.Duration(float64(f.settings.Policy.IdleTimeout)*cheapest/f.controller.knowledge.costPerCPU(m)))
 }
 
-func (kk *fleetKnowledge) costPerHour(k machineKind) float64 {
-	f := kk.machineTypes[k.machineType]
-	p := f.CostPerHour
-	if k.spot {
-		p = f.SpotCostPerHour
-	}
-	if w, ok := kk.settings.Policy.CostFactors[k.machineType]; ok && w > 0 {
-		p *= w
-	}
-	return p
-}
-
-func (k *fleetKnowledge) costPerCPU(m *machine) float64 {
-	return k.costPerHour(machineKind{m.machineType, m.zone, m.spot}) / max(m.size.CPU, 1)
-}
-
 // planScaleOut asks the cloud for machines. It plays forward, in the order of placement,
 // when each waiting or expected task would start on the machines there are, by
 // the expected ends of what runs. Where a machine rented now would let it start
