--- /dev/null
+++ b/internal/sharding/assign.go
@@ -0,0 +1,172 @@
+package sharding
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"github.com/micahill/micahill/internal/sizelimit"
+)
+
+// holderAlive reports whether the incarnation that holds a shard is live and capable.
+func (d *draft) holderAlive(r *shardRecord) bool {
+	return slices.ContainsFunc(d.capable, func(n Controller) bool { return n.Host == r.Host && n.Incarnation == r.Incarnation })
+}
+
+// teamWeight is a team's part of a controller's load, in CPUs. An idle team counts as one CPU,
+// so that teams are spread before they have work.
+func (d *draft) teamWeight(team string) float64 { return 1 + d.input.TeamLoads[team] }
+
+func (d *draft) shardWeight(r *shardRecord) float64 {
+	total := 0.0
+	for _, t := range r.Teams {
+		total += d.teamWeight(t)
+	}
+	return total
+}
+
+// leastLoaded returns the least loaded recipient; on a tie, the planning controller itself.
+func (d *draft) leastLoaded() Controller {
+	best := d.recipients[0]
+	for _, n := range d.recipients {
+		if l, b := d.loads[n.Host], d.loads[best.Host]; l < b || l == b && n.Host == d.input.Self {
+			best = n
+		}
+	}
+	return best
+}
+
+func (d *draft) isEmpty(name string) bool {
+	r := d.shards[name]
+	return len(r.Teams) == 0 && !r.CatchAll && len(r.Machines) == 0 && !slices.ContainsFunc(d.input.Map.sortedSegments(), func(l *Segment) bool { return l.Shard == name })
+}
+
+// reassignOrphaned gives each shard of a dead controller as a whole to one new holder, because
+// the tasks of its teams run on its machines. The heaviest shard goes first. An empty shard is
+// removed.
+func (d *draft) reassignOrphaned() {
+	var orphaned []string
+	for _, n := range d.shardNames() {
+		if r := d.shards[n]; !d.holderAlive(r) {
+			orphaned = append(orphaned, n)
+		}
+	}
+	slices.SortStableFunc(orphaned, func(a, b string) int { return cmp.Compare(d.shardWeight(d.shards[b]), d.shardWeight(d.shards[a])) })
+	for _, n := range orphaned {
+		r := d.shards[n]
+		if d.isEmpty(n) {
+			delete(d.shards, n)
+			d.changedShards[n] = true
+			continue
+		}
+		to := d.leastLoaded()
+		r.Host, r.Incarnation, r.Epoch = to.Host, to.Incarnation, 0
+		d.changedShards[n] = true
+		d.loads[to.Host] += d.shardWeight(r)
+	}
+}
+
+func (d *draft) shardNames() []string {
+	out := make([]string, 0, len(d.shards))
+	for n := range d.shards {
+		out = append(out, n)
+	}
+	slices.Sort(out)
+	return out
+}
+
+// fits reports whether a shard's record stays within its part of the value limit.
+func (d *draft) fits(r *shardRecord) bool {
+	return fitsInto(encode(r), int(maxShardFill*float64(d.planner.limits.ValueBytes)))
+}
+
+// shardFor returns the first shard of the controller that can take one more team, or a new
+// one.
+func (d *draft) shardFor(n Controller, team string) string {
+	for _, name := range d.shardNames() {
+		r := d.shards[name]
+		if r.Host != n.Host || r.Incarnation != n.Incarnation {
+			continue
+		}
+		with := *r
+		with.Teams = append(slices.Clone(r.Teams), team)
+		if d.fits(&with) {
+			return name
+		}
+	}
+	for k := 0; ; k++ {
+		name := n.Host
+		if k > 0 {
+			name = fmt.Sprintf("%s.%d", n.Host, k)
+		}
+		if d.shards[name] == nil && !d.changedShards[name] {
+			d.shards[name] = &shardRecord{Host: n.Host, Incarnation: n.Incarnation}
+			d.changedShards[name] = true
+			return name
+		}
+	}
+}
+
+// shrinkOversized takes teams out of shards that were written under a larger value limit: such
+// a record could not be written again by any holder. The teams stay unassigned until the next
+// plan, so that no team is in two shards however many writes it takes.
+func (d *draft) shrinkOversized() bool {
+	for _, name := range d.shardNames() {
+		r := d.shards[name]
+		if n, err := sizelimit.JSON(encode(r)); err != nil || n <= d.planner.limits.ValueBytes || d.remainingOps() == 0 {
+			continue
+		}
+		for len(r.Teams) > 1 && !d.fits(r) {
+			r.Teams = r.Teams[:len(r.Teams)-1]
+			d.changedShards[name] = true
+		}
+	}
+	return len(d.changedShards) > 0
+}
+
+func (d *draft) assignTeam(team string, to Controller) {
+	name := d.shardFor(to, team)
+	r := d.shards[name]
+	r.Teams = append(r.Teams, team)
+	slices.Sort(r.Teams)
+	d.changedShards[name] = true
+	d.loads[to.Host] += d.teamWeight(team)
+}
+
+// assignTeams gives unassigned teams to the least loaded controllers.
+func (d *draft) assignTeams() {
+	assigned := map[string]bool{}
+	for _, r := range d.shards {
+		for _, t := range r.Teams {
+			assigned[t] = true
+		}
+	}
+	for _, t := range d.input.Teams {
+		if !assigned[t] {
+			assigned[t] = true
+			d.assignTeam(t, d.leastLoaded())
+		}
+	}
+}
+
+// assignCatchAll ensures that one shard has the machines that no segment names. It prefers a
+// shard of the planning controller that has teams, since that controller learns of machines
+// first.
+func (d *draft) assignCatchAll() {
+	best := ""
+	for _, n := range d.shardNames() {
+		r := d.shards[n]
+		if r.CatchAll {
+			return
+		}
+		switch {
+		case len(r.Teams) == 0:
+		case best == "", r.Host == d.input.Self && d.shards[best].Host != d.input.Self:
+			best = n
+		}
+	}
+	if best != "" {
+		d.shards[best].CatchAll, d.shards[best].CatchAllEpoch = true, 0
+		d.changedShards[best] = true
+	}
+}
--- a/internal/sharding/golden_test.go
+++ b/internal/sharding/golden_test.go
@@ -6,8 +6,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecords: shares and lots are written as they ever were, and what stands there
-// is read.
+// TestGoldenRecords: the encoding of shards and segments is stable, and stored records are
+// read.
 func TestGoldenRecords(t *testing.T) {
 	records := testgolden.Values{
 		"share": shardRecord{Host: "ctl-2", Incarnation: "n-18.1", Epoch: 411, Teams: []string{"ops", "vision"}, CatchAll: true, CatchAllEpoch: 409, Machines: []string{"vm-000007"}},
@@ -23,12 +23,11 @@
 	testgolden.Full(t, records)
 }
 
-// TestGoldenLot: the machines of a lot that stands there are read, and written as they
-// stood.
-func TestGoldenLot(t *testing.T) {
-	share, groups, err := decodeSegment(testgolden.Bytes(t, "lot"))
-	if err != nil || share != "ctl-2.1" || len(groups) != 2 || len(groups[0].names) != 10 || groups[0].names[3] != "vm-070008" {
-		t.Fatalf("read as %q, %v, %v", share, groups, err)
+// TestGoldenSegment: a stored segment's machines are read, and encode to the same bytes.
+func TestGoldenSegment(t *testing.T) {
+	shard, groups, err := decodeSegment(testgolden.Bytes(t, "lot"))
+	if err != nil || shard != "ctl-2.1" || len(groups) != 2 || len(groups[0].names) != 10 || groups[0].names[3] != "vm-070008" {
+		t.Fatalf("decodeSegment: got shard %q, groups %v, error %v; want shard ctl-2.1 with groups of 10 and 2 machines", shard, groups, err)
 	}
-	testgolden.Still(t, "lot", encodeSegment(share, groups))
+	testgolden.Still(t, "lot", encodeSegment(shard, groups))
 }
--- a/internal/sharding/limits_test.go
+++ b/internal/sharding/limits_test.go
@@ -9,10 +9,10 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// TestShardsAboveTheLimit: shares that were written under a larger limit of values can
-// be taken over under a lower one: their teams are divided among more records, in
-// transactions that fit, and no team is ever in two. Before, the first transaction that
-// rewrote such a share was refused for ever.
+// TestShardsAboveTheLimit: shards that were written under a larger value limit can be taken
+// over under a lower one: their teams are divided among more records, in transactions that
+// fit, and no team is ever in two. The first transaction that rewrote such a shard used to be
+// refused for ever.
 func TestShardsAboveTheLimit(t *testing.T) {
 	s := newStore(sizelimit.Limits{ValueBytes: 4096, Ops: 12})
 	now := time.Unix(1_750_000_000, 0)
@@ -26,13 +26,13 @@
 			now = now.Add(time.Second)
 			ws := d.Plan(now, in)
 			if len(ws) > 0 && !s.apply(t, ws) {
-				t.Fatal("refused")
+				t.Fatal("store refused a planned transaction")
 			}
 			seen := map[string]string{}
 			for _, shard := range s.shardMap.Shards() {
 				for _, team := range shard.Teams {
 					if seen[team] != "" {
-						t.Fatalf("%s is in %s and %s", team, seen[team], shard.Name)
+						t.Fatalf("team %s is in shards %s and %s, want one", team, seen[team], shard.Name)
 					}
 					seen[team] = shard.Name
 				}
@@ -41,10 +41,10 @@
 		for _, team := range in.Teams {
 			shard := s.shardMap.Team(team)
 			if shard == nil || !slices.ContainsFunc(in.Controllers, func(n Controller) bool { return n.Host == shard.Host && n.Incarnation == shard.Incarnation }) {
-				t.Fatalf("%d changes: %s is nobody's", ops, team)
+				t.Fatalf("limit of %d changes: team %s has no live holder", ops, team)
 			}
 		}
-		// The next round: their holder is gone, and the limits are lower.
+		// The next round: their holder is dead, and the limits are lower.
 		s.limits = sizelimit.Limits{ValueBytes: 2048, Ops: 4}
 		in.Controllers = []Controller{{Host: "b", Incarnation: "1", Capable: true}, {Host: "c", Incarnation: "1", Capable: true}}
 		in.Self = "b"
--- a/internal/sharding/record.go
+++ b/internal/sharding/record.go
@@ -1,19 +1,19 @@
-// Package sharding says which controller runs which teams and owns which machines,
-// in records of the state service that are bounded whatever their number.
+// Package sharding decides which controller runs which teams and owns which machines. It keeps
+// this in records of the state service, the size of each bounded.
 //
-// A share is a cell of ownership: it has a holder, the life of one controller, and
-// teams. A lot names machines and the share that they belong to; one share has the
-// rest, every machine that no lot names. When a controller dies its shares get
-// another holder, one change each, however many teams and machines they have.
+// A shard is the unit of ownership: it has a holder (one incarnation of a controller) and
+// teams. A shard segment names machines and the shard that they belong to; the one catch-all
+// shard has every machine that no segment names. When a controller dies its shards get new
+// holders, at one change each, however many teams and machines they have.
 //
-// Each machine has an epoch, the token under which its owner gives it orders. It is
-// the revision at which the machine came to its owner, and so above whatever any
-// owner before has used. What else is written about shares and lots leaves epochs as
-// they are: a higher one makes every worker concerned report at once.
+// Each machine has an epoch: the fencing token under which its owner sends it commands. It is
+// the revision at which the machine came to its owner, and so above all that any earlier owner
+// used. Other changes of shards and segments keep epochs, since a higher one makes every
+// worker concerned send a heartbeat at once.
 //
-// The package is pure. Records are applied in the order of their revisions and never
-// ahead of it: then two controllers that have read up to the same revision agree
-// about every owner, and one that has read less has a lower epoch.
+// The package is pure. Records are applied in the order of their revisions, and none is
+// applied ahead of it. Then two controllers that have read up to the same revision agree about
+// every owner, and one that has read less has a lower epoch.
 package sharding
 
 import (
@@ -28,35 +28,36 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrRecord says that a value is no record of this package.
-var ErrRecord = errors.New("division: unreadable record")
+// ErrRecord means that a value is not a record of this package.
+var ErrRecord = errors.New("sharding: unreadable record")
 
-// shardRecord is a share as it is stored.
+// shardRecord is the stored form of a shard.
 type shardRecord struct {
-	// Host holds the share, in the life called Nonce: a restarted controller does
-	// not go on with its former life's epochs, under which orders may still be on
-	// their way. Without Host, an earlier form, the share's name is the host's.
+	// Host and Incarnation name the holder. A restarted controller does not go on with the
+	// epochs of its previous incarnation, under which commands may still be in flight. Records
+	// of the legacy format have no Host: there the shard's name is the host.
 	Host        string `msgpack:"host,omitempty"`
 	Incarnation string `msgpack:"nonce"`
-	// Epoch is the revision since which the holder has it; 0: the record's own.
+	// Epoch is the revision since which the holder has the shard; 0: the record's own.
 	Epoch uint64   `msgpack:"e,omitempty"`
 	Teams []string `msgpack:"teams"`
-	// Rest: it has all machines that no lot names, since CatchAllEpoch, as Epoch.
+	// CatchAll: the shard has all machines that no segment names, since CatchAllEpoch (0: the
+	// record's own revision).
 	CatchAll      bool   `msgpack:"rest,omitempty"`
 	CatchAllEpoch uint64 `msgpack:"re,omitempty"`
-	// Machines are those of an earlier form, which named them one by one.
+	// Machines are those of the legacy format, which named them one by one.
 	Machines []string `msgpack:"machines,omitempty"`
 }
 
-// segmentRecord is a lot as it is stored.
+// segmentRecord is the stored form of a shard segment.
 type segmentRecord struct {
 	Shard  string        `msgpack:"s"`
 	Groups []groupRecord `msgpack:"g"`
 }
 
-// groupRecord is some machines of a lot that came to its share together. Their names
-// are a prefix and a number of so many digits; Runs are pairs of a gap after the
-// last run and a length, and Names those that have no number.
+// groupRecord is machines of a segment that came to its shard at the same revision. Their
+// names are Prefix and a number of Width digits. Runs holds pairs: the gap after the previous
+// run, and the run's length. Names are those without a number.
 type groupRecord struct {
 	//lint:ignore U1000 its tag has rows stored as lists
 	_msgpack struct{} `msgpack:",as_array"`
@@ -67,16 +68,16 @@
 	Names    []string
 }
 
-// epochGroup is machines with one epoch; 0 stands for the record's own revision.
+// epochGroup is machines with the same epoch; 0 stands for the record's own revision.
 type epochGroup struct {
 	epoch uint64
 	names []string
 }
 
-// maxNumberDigits bounds the digits that count as a machine's number.
+// maxNumberDigits bounds the digits that count as the number in a machine's name.
 const maxNumberDigits = 18
 
-// splitNumber splits a name into what stands before its number, and that.
+// splitNumber splits a name into its prefix and the number that it ends with.
 func splitNumber(name string) (prefix string, value uint64, width int, ok bool) {
 	prefix = strings.TrimRight(name, "0123456789")
 	digits := name[len(prefix):]
@@ -132,7 +133,7 @@
 }
 
 // maxRecordMachines bounds the machines that a record may name: one that claims more is
-// damaged, and would take all memory.
+// damaged, and would exhaust memory.
 const maxRecordMachines = 1 << 16
 
 func (r *groupRecord) toGroup() (epochGroup, error) {
@@ -158,13 +159,13 @@
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
-		// Only plain structs of this package come here; they always encode.
-		panic("division: " + err.Error())
+		// Unreachable: only plain structs of this package are encoded.
+		panic("sharding: encode record: " + err.Error())
 	}
 	return b
 }
 
-// encodeSegment is the record of a lot.
+// encodeSegment encodes a segment record.
 func encodeSegment(shard string, groups []epochGroup) []byte {
 	r := segmentRecord{Shard: shard}
 	for _, g := range groups {
@@ -173,8 +174,8 @@
 	return encode(&r)
 }
 
-// decode reads a record. The library takes a list's length at its word and makes
-// room for it, so a damaged one is found before.
+// decode decodes a record. The size check comes first because the msgpack library allocates
+// whatever length a damaged list claims.
 func decode(b []byte, v any) error {
 	if _, err := sizelimit.JSON(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrRecord, err)
--- a/internal/sharding/shard_map.go
+++ b/internal/sharding/shard_map.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// Shard is a share as of the revision that a book has been brought to.
+// Shard is a shard as of the revision that its Map has reached.
 type Shard struct {
 	Name        string
 	Host        string
 	Incarnation string
-	// ModRevision is the record's last change: what a write that rests on the share has
-	// among its conditions.
+	// ModRevision is the record's last change, for the compares of transactions that rely on
+	// the shard.
 	ModRevision uint64
 	Teams       []string
 	CatchAll    bool
 
 	epoch         uint64
 	catchAllEpoch uint64
-	// legacySegment are the machines that a record of the earlier form names.
+	// legacySegment has the machines that a record of the legacy format names.
 	legacySegment *Segment
 }
 
-// Segment is some machines that belong to a share.
+// Segment is machines that belong to a shard.
 type Segment struct {
 	Name        string
 	Shard       string
@@ -32,36 +32,36 @@
 	groups      []epochGroup
 }
 
-// Owner is whose a machine is, and the epoch under which.
+// Owner is the shard that owns a machine, and the epoch under which.
 type Owner struct {
 	*Shard
 	Epoch uint64
 }
 
-// assignment is a lot that names a machine, and since when.
+// assignment is a segment that names a machine, and since which revision.
 type assignment struct {
 	segment *Segment
 	epoch   uint64
 }
 
-// HeldSince is the revision at which the share came to its holder.
+// HeldSince is the revision at which the shard came to its holder.
 func (s *Shard) HeldSince() uint64 { return s.epoch }
 
-// Map is all shares and lots as of one revision. It is not safe for concurrent use.
+// Map is all shards and segments as of one revision. It is not safe for concurrent use.
 type Map struct {
 	shards   map[string]*Shard
 	segments map[string]*Segment
 	teams    map[string]*Shard
 	catchAll *Shard
-	// current holds for each named machine the lot that named it last, and more
-	// the others, of which there are few and not for long.
+	// current holds, for each named machine, the newest assignment; superseded holds the older
+	// ones, which are few and short-lived.
 	current    map[string]assignment
 	superseded map[string][]assignment
-	// names and order are the shares by name, as kept up to date.
+	// shardNames is sorted, and kept up to date by reindex.
 	shardNames []string
 }
 
-// NewMap makes an empty one.
+// NewMap returns an empty map.
 func NewMap() *Map {
 	return &Map{
 		shards: map[string]*Shard{}, segments: map[string]*Segment{}, teams: map[string]*Shard{},
@@ -69,18 +69,18 @@
 	}
 }
 
-// ApplyShard applies a share's record; value nil: it has been removed. An error says that
-// the record can't be read, and leaves the share out.
-func (b *Map) ApplyShard(name string, value []byte, modRevision uint64) error {
-	if old := b.shards[name]; old != nil {
-		b.unassign(old.legacySegment)
-		delete(b.shards, name)
+// ApplyShard applies a shard's record; a nil value means that it was deleted. An error wraps
+// ErrRecord: the record can't be read, and the shard is left out.
+func (m *Map) ApplyShard(name string, value []byte, modRevision uint64) error {
+	if old := m.shards[name]; old != nil {
+		m.unassign(old.legacySegment)
+		delete(m.shards, name)
 	}
 	var err error
 	if value != nil {
 		var r shardRecord
 		if err = decode(value, &r); err != nil {
-			err = fmt.Errorf("share %s: %w", name, err)
+			err = fmt.Errorf("shard %s: %w", name, err)
 		} else {
 			s := &Shard{
 				Name: name, Host: cmp.Or(r.Host, name), Incarnation: r.Incarnation, ModRevision: modRevision, Teams: r.Teams, CatchAll: r.CatchAll,
@@ -88,94 +88,94 @@
 			}
 			if len(r.Machines) > 0 {
 				s.legacySegment = &Segment{Shard: name, ModRevision: modRevision, groups: []epochGroup{{s.epoch, r.Machines}}}
-				b.assign(s.legacySegment)
+				m.assign(s.legacySegment)
 			}
-			b.shards[name] = s
+			m.shards[name] = s
 		}
 	}
-	b.reindex()
+	m.reindex()
 	return err
 }
 
-// reindex finds out who has which team and who has the rest. Shares are few. Of two
-// that say they have the same the later one counts; the divider never writes that.
-func (b *Map) reindex() {
-	b.shardNames = b.shardNames[:0]
-	for n := range b.shards {
-		b.shardNames = append(b.shardNames, n)
+// reindex recomputes the holders of the teams and the catch-all shard. Shards are few. If two
+// claim the same, the later one counts; the planner never writes that.
+func (m *Map) reindex() {
+	m.shardNames = m.shardNames[:0]
+	for n := range m.shards {
+		m.shardNames = append(m.shardNames, n)
 	}
-	slices.Sort(b.shardNames)
-	clear(b.teams)
-	b.catchAll = nil
-	for _, n := range b.shardNames {
-		s := b.shards[n]
+	slices.Sort(m.shardNames)
+	clear(m.teams)
+	m.catchAll = nil
+	for _, n := range m.shardNames {
+		s := m.shards[n]
 		for _, t := range s.Teams {
-			if o := b.teams[t]; o == nil || s.ModRevision > o.ModRevision {
-				b.teams[t] = s
+			if o := m.teams[t]; o == nil || s.ModRevision > o.ModRevision {
+				m.teams[t] = s
 			}
 		}
-		if s.CatchAll && (b.catchAll == nil || s.catchAllEpoch > b.catchAll.catchAllEpoch) {
-			b.catchAll = s
+		if s.CatchAll && (m.catchAll == nil || s.catchAllEpoch > m.catchAll.catchAllEpoch) {
+			m.catchAll = s
 		}
 	}
 }
 
-// ApplySegment applies a lot's record, as Share does.
-func (b *Map) ApplySegment(name string, value []byte, modRevision uint64) error {
-	if old := b.segments[name]; old != nil {
-		b.unassign(old)
-		delete(b.segments, name)
+// ApplySegment applies a segment's record, as ApplyShard does a shard's.
+func (m *Map) ApplySegment(name string, value []byte, modRevision uint64) error {
+	if old := m.segments[name]; old != nil {
+		m.unassign(old)
+		delete(m.segments, name)
 	}
 	if value == nil {
 		return nil
 	}
 	shard, groups, err := decodeSegment(value)
 	if err != nil {
-		return fmt.Errorf("lot %s: %w", name, err)
+		return fmt.Errorf("segment %s: %w", name, err)
 	}
 	for i := range groups {
 		groups[i].epoch = cmp.Or(groups[i].epoch, modRevision)
 	}
 	segment := &Segment{Name: name, Shard: shard, ModRevision: modRevision, groups: groups}
-	b.segments[name] = segment
-	b.assign(segment)
+	m.segments[name] = segment
+	m.assign(segment)
 	return nil
 }
 
-// supersedes says which of two namings of a machine counts.
+// supersedes reports which of two assignments of a machine counts.
 func (x assignment) supersedes(y assignment) bool {
 	return x.epoch > y.epoch || x.epoch == y.epoch && x.segment.Name > y.segment.Name
 }
 
-func (b *Map) assign(segment *Segment) {
+func (m *Map) assign(segment *Segment) {
 	for _, g := range segment.groups {
 		for _, id := range g.names {
 			x := assignment{segment, g.epoch}
-			y, ok := b.current[id]
+			y, ok := m.current[id]
 			switch {
 			case !ok:
-				b.current[id] = x
+				m.current[id] = x
 			case x.supersedes(y):
-				b.current[id] = x
-				b.superseded[id] = append(b.superseded[id], y)
+				m.current[id] = x
+				m.superseded[id] = append(m.superseded[id], y)
 			default:
-				b.superseded[id] = append(b.superseded[id], x)
+				m.superseded[id] = append(m.superseded[id], x)
 			}
 		}
 	}
 }
 
-func (b *Map) unassign(segment *Segment) {
+func (m *Map) unassign(segment *Segment) {
 	if segment == nil {
 		return
 	}
 	for _, g := range segment.groups {
 		for _, id := range g.names {
-			others := b.superseded[id]
-			if b.current[id].segment != segment {
+			others := m.superseded[id]
+			if m.current[id].segment != segment {
 				others = slices.DeleteFunc(others, func(x assignment) bool { return x.segment == segment })
 			} else if len(others) == 0 {
-				delete(b.current, id)
+				delete(m.current, id)
 				continue
 			} else {
 				newest := 0
@@ -184,82 +184,81 @@
 						newest = i
 					}
 				}
-				b.current[id] = others[newest]
+				m.current[id] = others[newest]
 				others = slices.Delete(others, newest, newest+1)
 			}
 			if len(others) == 0 {
-				delete(b.superseded, id)
+				delete(m.superseded, id)
 			} else {
-				b.superseded[id] = others
+				m.superseded[id] = others
 			}
 		}
 	}
 }
 
-// Owner tells whose a machine is. It takes the same time however many there are. ok
-// is false while no record says: nobody has the rest, or the share of its lot is
-// gone.
-func (b *Map) Owner(machine string) (o Owner, ok bool) {
-	if x, named := b.current[machine]; named {
-		if s := b.shards[x.segment.Shard]; s != nil {
+// Owner returns a machine's owner, in constant time. ok is false while no record names one:
+// there is no catch-all shard, or the shard of its segment is gone.
+func (m *Map) Owner(machine string) (o Owner, ok bool) {
+	if x, named := m.current[machine]; named {
+		if s := m.shards[x.segment.Shard]; s != nil {
 			return Owner{s, max(x.epoch, s.epoch)}, true
 		}
 	}
-	if b.catchAll == nil {
+	if m.catchAll == nil {
 		return Owner{}, false
 	}
-	return Owner{b.catchAll, max(b.catchAll.catchAllEpoch, b.catchAll.epoch)}, true
+	return Owner{m.catchAll, max(m.catchAll.catchAllEpoch, m.catchAll.epoch)}, true
 }
 
-// IsAssigned says whether a lot names a machine.
-func (b *Map) IsAssigned(machine string) bool { _, ok := b.current[machine]; return ok }
+// IsAssigned reports whether a segment names the machine.
+func (m *Map) IsAssigned(machine string) bool { _, ok := m.current[machine]; return ok }
 
-// EachMachine calls fn with every machine that a lot names, in no order.
-func (b *Map) EachMachine(fn func(machine string)) {
-	for id := range b.current {
+// EachMachine calls fn with every machine that a segment names, in no order.
+func (m *Map) EachMachine(fn func(machine string)) {
+	for id := range m.current {
 		fn(id)
 	}
 }
 
-// Team tells whose share a team is in, or nil.
-func (b *Map) Team(team string) *Shard { return b.teams[team] }
+// Team returns the shard that has a team, or nil.
+func (m *Map) Team(team string) *Shard { return m.teams[team] }
 
-// Shard is the share of that name, or nil.
-func (b *Map) Shard(name string) *Shard { return b.shards[name] }
+// Shard returns the shard of that name, or nil.
+func (m *Map) Shard(name string) *Shard { return m.shards[name] }
 
-// Shards are all shares, in the order of their names.
-func (b *Map) Shards() []*Shard {
-	out := make([]*Shard, 0, len(b.shardNames))
-	for _, n := range b.shardNames {
-		out = append(out, b.shards[n])
+// Shards returns all shards, sorted by name.
+func (m *Map) Shards() []*Shard {
+	out := make([]*Shard, 0, len(m.shardNames))
+	for _, n := range m.shardNames {
+		out = append(out, m.shards[n])
 	}
 	return out
 }
 
-// HeldBy are the shares that the life of a controller holds, in order.
-func (b *Map) HeldBy(host, incarnation string) []*Shard {
+// HeldBy returns the shards that an incarnation of a controller holds, sorted by name.
+func (m *Map) HeldBy(host, incarnation string) []*Shard {
 	var out []*Shard
-	for _, n := range b.shardNames {
-		if s := b.shards[n]; s.Host == host && s.Incarnation == incarnation {
+	for _, n := range m.shardNames {
+		if s := m.shards[n]; s.Host == host && s.Incarnation == incarnation {
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// Counts counts the lots, and the machines that they name.
-func (b *Map) Counts() (segments, machines int) { return len(b.segments), len(b.current) }
+// Counts returns the number of segments, and of the machines that they name.
+func (m *Map) Counts() (segments, machines int) { return len(m.segments), len(m.current) }
 
-// Machines are the machines named for a share, in order.
-func (b *Map) Machines(shard string) []string {
+// Machines returns the machines named for a shard, sorted.
+func (m *Map) Machines(shard string) []string {
 	var out []string
-	for _, l := range b.sortedSegments() {
+	for _, l := range m.sortedSegments() {
 		if l.Shard != shard {
 			continue
 		}
-		out = append(out, b.currentMachines(l)...)
+		out = append(out, m.currentMachines(l)...)
 	}
-	for id, x := range b.current {
+	for id, x := range m.current {
 		if x.segment.Name == "" && x.segment.Shard == shard {
 			out = append(out, id)
 		}
@@ -268,10 +267,10 @@
 	return out
 }
 
-// SegmentsOf names the lots of a share, in no order.
-func (b *Map) SegmentsOf(shard string) []string {
+// SegmentsOf returns the names of a shard's segments, in no order.
+func (m *Map) SegmentsOf(shard string) []string {
 	var out []string
-	for name, l := range b.segments {
+	for name, l := range m.segments {
 		if l.Shard == shard {
 			out = append(out, name)
 		}
@@ -279,23 +278,23 @@
 	return out
 }
 
-// HasMachines says whether any record names machines for a share.
-func (b *Map) HasMachines(shard string) bool {
-	for _, l := range b.segments {
+// HasMachines reports whether any record names machines for a shard.
+func (m *Map) HasMachines(shard string) bool {
+	for _, l := range m.segments {
 		if l.Shard == shard {
 			return true
 		}
 	}
-	s := b.shards[shard]
+	s := m.shards[shard]
 	return s != nil && s.legacySegment != nil
 }
 
-// currentMachines are the machines of a lot that no later one names.
-func (b *Map) currentMachines(segment *Segment) []string {
+// currentMachines returns the machines of a segment that no later one names.
+func (m *Map) currentMachines(segment *Segment) []string {
 	var out []string
 	for _, g := range segment.groups {
 		for _, id := range g.names {
-			if b.current[id].segment == segment {
+			if m.current[id].segment == segment {
 				out = append(out, id)
 			}
 		}
@@ -303,16 +302,16 @@
 	return out
 }
 
-func (b *Map) sortedSegments() []*Segment {
-	out := make([]*Segment, 0, len(b.segments))
-	for _, l := range b.segments {
+func (m *Map) sortedSegments() []*Segment {
+	out := make([]*Segment, 0, len(m.segments))
+	for _, l := range m.segments {
 		out = append(out, l)
 	}
 	slices.SortFunc(out, func(a, b *Segment) int { return strings.Compare(a.Name, b.Name) })
 	return out
 }
 
-// record is the share's stored form, with the epochs that it has now.
+// record returns the shard's stored form, with its present epochs.
 func (s *Shard) record() shardRecord {
 	r := shardRecord{Host: s.Host, Incarnation: s.Incarnation, Epoch: s.epoch, Teams: slices.Clone(s.Teams), CatchAll: s.CatchAll}
 	if s.CatchAll {
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -14,14 +14,14 @@
 
 var testLimits = sizelimit.Limits{ValueBytes: 4096, Ops: 12}
 
-// store is a state service with the records of the division alone, and a reader
-// that applies them in order. It keeps what each machine's owners and epochs were.
+// store is a state service with the records of this package alone, and a reader that applies
+// them in order. It remembers each machine's owners and epochs.
 type store struct {
 	limits       sizelimit.Limits
 	revision     uint64
 	modRevisions map[string]uint64
 	shardMap     *Map
-	// lastOwners is each machine's owner and highest epoch so far.
+	// lastOwners is each machine's last owner, and its highest epoch so far.
 	lastOwners     map[string]Owner
 	changes        int
 	leaderRevision uint64
@@ -41,7 +41,7 @@
 
 type fataler interface{ Fatalf(string, ...any) }
 
-// apply carries a transaction out, if its conditions hold, and checks its size.
+// apply executes a transaction if its compares hold, and checks its size.
 func (s *store) apply(t fataler, ws []Write) bool {
 	compares := []string{"ctl/lead"}
 	var writes []sizelimit.Write
@@ -78,9 +78,8 @@
 	return true
 }
 
-// check: whoever comes to own a machine has an epoch above all that any other has
-// used for it, and the epoch of one that keeps it does not fall. Of many machines
-// some are looked at each time.
+// check: a machine's new owner has an epoch above all that any other has used for it, and the
+// epoch of an owner that keeps it does not fall. Of many machines it samples some each time.
 func (s *store) check(t fataler, machines []string) {
 	for i, id := range machines {
 		if len(machines) > 1000 && i%17 != int(s.revision%17) {
@@ -92,16 +91,16 @@
 		}
 		was, known := s.lastOwners[id]
 		if known && o.Epoch < was.Epoch {
-			t.Fatalf("%s: epoch %d after %d", id, o.Epoch, was.Epoch)
+			t.Fatalf("machine %s: got epoch %d after %d, want no decrease", id, o.Epoch, was.Epoch)
 		}
 		if known && (o.Host != was.Host || o.Incarnation != was.Incarnation) && o.Epoch <= was.Epoch {
-			t.Fatalf("%s goes from %s to %s with epoch %d after %d", id, was.Host, o.Host, o.Epoch, was.Epoch)
+			t.Fatalf("machine %s went from %s to %s: got epoch %d after %d, want a higher one", id, was.Host, o.Host, o.Epoch, was.Epoch)
 		}
 		s.lastOwners[id] = Owner{&Shard{Host: o.Host, Incarnation: o.Incarnation}, o.Epoch}
 	}
 }
 
-// simulation is a fleet whose division is planned.
+// simulation is a fleet whose shards are planned.
 type simulation struct {
 	*store
 	now          time.Time
@@ -133,7 +132,7 @@
 	return w
 }
 
-// elect: another divides, and knows nothing of what the one before meant to do.
+// electLeader: another controller plans, and knows nothing of its predecessor's intentions.
 func (w *simulation) electLeader() {
 	w.revision++
 	w.leaderRevision = w.revision
@@ -158,11 +157,11 @@
 	return in
 }
 
-// planUntilStable divides as long as there is something to write now, and answers asks.
+// planUntilStable plans as long as there is something to write now, and answers pending moves.
 func (w *simulation) planUntilStable(t fataler) {
 	for k := 0; ; k++ {
 		if k > 200 {
-			t.Fatalf("the division never comes to rest")
+			t.Fatalf("shard map is not stable after 200 plans")
 		}
 		if a, ok := w.planner.PendingMove(); ok {
 			w.offers[a.Team] = Offer{a.Team, w.ownedBy(a.From)[:len(w.ownedBy(a.From))/2]}
@@ -215,13 +214,13 @@
 	}
 }
 
-// checkComplete checks a division at rest: each team is run once, by a living controller,
-// and every machine has an owner, which a scan over all records finds as well.
+// checkComplete checks a stable shard map: each team has one shard with a live holder, and
+// every machine has an owner, the one that a scan over all records finds as well.
 func (w *simulation) checkComplete(t fataler) {
 	shardsPerTeam := map[string]int{}
 	for _, s := range w.shardMap.Shards() {
 		if len(s.Teams) > 0 && !w.holderAlive(s) {
-			t.Fatalf("share %s is held by %s, which is dead", s.Name, s.Host)
+			t.Fatalf("shard %s is held by %s, which is dead", s.Name, s.Host)
 		}
 		for _, team := range s.Teams {
 			shardsPerTeam[team]++
@@ -229,7 +228,7 @@
 	}
 	for _, team := range w.teams {
 		if shardsPerTeam[team] != 1 {
-			t.Fatalf("%s is in %d shares", team, shardsPerTeam[team])
+			t.Fatalf("team %s: got %d shards, want 1", team, shardsPerTeam[team])
 		}
 	}
 	for _, id := range w.machines {
@@ -238,7 +237,7 @@
 		}
 		o, ok := w.shardMap.Owner(id)
 		if !ok {
-			t.Fatalf("%s has no owner", id)
+			t.Fatalf("machine %s has no owner", id)
 		}
 		var newest assignment
 		for _, l := range w.shardMap.sortedSegments() {
@@ -253,14 +252,14 @@
 			want = w.shardMap.Shard(newest.segment.Shard)
 		}
 		if want == nil || o.Name != want.Name {
-			t.Fatalf("%s is %s's, a scan finds %v", id, o.Name, want)
+			t.Fatalf("machine %s: got owner %s, want %v as a scan finds", id, o.Name, want)
 		}
 	}
 }
 
-// TestShardingInvariants plays random lives, rentals, losses, moves and changes of whoever
-// divides: nobody ever gets a machine but under a higher epoch, all records stay
-// within their bounds, and the division comes to rest whole.
+// TestShardingInvariants simulates random restarts, rentals, losses, moves and leader changes:
+// a machine gets a new owner only under a higher epoch, all records stay within their limits,
+// and the shard map becomes stable and complete.
 func TestShardingInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := sizelimit.Limits{ValueBytes: rapid.SampledFrom([]int{512, 1024, 4096, 16384}).Draw(t, "value"), Ops: rapid.IntRange(4, 24).Draw(t, "ops")}
@@ -280,28 +279,28 @@
 					w.incarnations[h] = -w.incarnations[h] + 1
 				}
 			},
-			"deaf": func(t *rapid.T) {
+			"degrade": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
 				w.incapable[h] = !w.incapable[h]
 			},
-			"lead": func(t *rapid.T) { w.electLeader() },
+			"lead change": func(t *rapid.T) { w.electLeader() },
 			"rent": func(t *rapid.T) {
 				w.addMachines(rapid.SampledFrom(w.hosts()).Draw(t, "host"), rapid.IntRange(1, 60).Draw(t, "count"))
 			},
-			"lose": func(t *rapid.T) {
+			"lose machines": func(t *rapid.T) {
 				for range rapid.IntRange(0, 40).Draw(t, "count") {
 					if len(w.machines) > 0 {
 						w.gone[rapid.SampledFrom(w.machines).Draw(t, "machine")] = true
 					}
 				}
 			},
-			"raise": func(t *rapid.T) {
+			"raise epoch": func(t *rapid.T) {
 				s := w.shardMap.Team(w.teams[0])
 				if s == nil || !w.holderAlive(s) {
 					return
 				}
 				if mine := w.ownedBy(s.Host); len(mine) > 0 {
-					// Of the machines of one share: whose they are is asked for each.
+					// Machines of one shard only: each owner is looked up.
 					mine = slices.DeleteFunc(mine, func(id string) bool { o, _ := w.shardMap.Owner(id); return o.Name != s.Name })
 					w.epochBumps++
 					if x, some := BumpEpoch(w.limits, fmt.Sprintf("%s-r%d", s.Incarnation, w.epochBumps), s, mine); len(some) > 0 {
@@ -328,8 +327,8 @@
 	})
 }
 
-// TestLateRecords: a reader that has fallen behind sees, for every machine, a lower
-// epoch than the owner of now, or the same owner.
+// TestLateRecords: a reader that lags behind sees, for every machine, a lower epoch than that
+// of the present owner, or the same owner.
 func TestLateRecords(t *testing.T) {
 	w := newSimulation(testLimits, 3, 4)
 	w.planUntilStable(t)
@@ -347,13 +346,13 @@
 			o, ok := stale.Owner(id)
 			now, _ := w.shardMap.Owner(id)
 			if ok && o.Epoch >= now.Epoch && (o.Host != now.Host || o.Incarnation != now.Incarnation) {
-				t.Fatalf("%s: %s believes in epoch %d, %s has %d", id, o.Host, o.Epoch, now.Host, now.Epoch)
+				t.Fatalf("machine %s: reader behind sees owner %s with epoch %d, present owner %s has %d; want a lower epoch or the same owner", id, o.Host, o.Epoch, now.Host, now.Epoch)
 			}
 		}
 		if len(unread) > 6 {
 			x := unread[0]
 			unread = unread[1:]
-			// Its revision does not matter here but for the order.
+			// Only the order of revisions matters here.
 			if x.IsShard {
 				stale.ApplyShard(x.Name, x.Value, x.ModRevision+1)
 			} else {
@@ -369,9 +368,9 @@
 	}
 }
 
-// TestTenThousand: 10,000 machines, 50 teams and 7 controllers stay within values of
-// 4 KiB and 12 changes a transaction, and a thousand machines rented and a thousand
-// lost in a minute cost some few changes a second.
+// TestTenThousand: 10,000 machines, 50 teams and 7 controllers stay within values of 4 KiB and
+// 12 changes a transaction, and a thousand machines rented and a thousand lost in a minute
+// cost a few changes a second.
 func TestTenThousand(t *testing.T) {
 	w := newSimulation(testLimits, 7, 50)
 	w.planUntilStable(t)
@@ -383,7 +382,7 @@
 				w.addMachines(hosts[(s+k)%len(hosts)], min(50, rented*(s+1)/60-k))
 			}
 			for k := range lost / 60 {
-				// Some of all ages.
+				// Machines of all ages.
 				w.gone[w.machines[(s*7919+k*104729)%len(w.machines)]] = true
 			}
 			w.now = w.now.Add(time.Second)
@@ -393,35 +392,35 @@
 	}
 	for range 10 {
 		if rate := minute(1000, 0); rate > 4 {
-			t.Errorf("%.1f changes a second while a thousand machines are rented in a minute", rate)
+			t.Errorf("renting 1000 machines a minute: got %.1f changes a second, want 4 at most", rate)
 		}
 	}
 	w.checkComplete(t)
 	segments, named := w.shardMap.Counts()
-	t.Logf("%d machines, %d of them in %d lots", len(w.machines), named, segments)
+	t.Logf("%d machines, %d of them in %d segments", len(w.machines), named, segments)
 	if segments > 2*len(w.machines)/maxSegmentMachines+60 {
-		t.Errorf("%d lots for %d machines", segments, named)
+		t.Errorf("got %d segments for %d machines, want fewer", segments, named)
 	}
 	rate := minute(1000, 1000)
-	t.Logf("%.1f changes a second with a thousand rented and a thousand lost in a minute", rate)
+	t.Logf("renting and losing 1000 machines a minute: %.1f changes a second", rate)
 	if rate > 5 {
-		t.Errorf("%.1f changes a second", rate)
+		t.Errorf("renting and losing 1000 machines a minute: got %.1f changes a second, want 5 at most", rate)
 	}
-	// A controller's death costs one change for each of its shares.
+	// A controller's death costs one change for each of its shards.
 	before := w.changes
 	w.incarnations[hosts[3]] = -1
 	w.planUntilStable(t)
 	if k := w.changes - before; k > 8 {
-		t.Errorf("%d changes for the death of a controller", k)
+		t.Errorf("death of a controller: got %d changes, want 8 at most", k)
 	}
 	if rate := minute(0, 0); rate > 1 {
-		t.Errorf("%.1f changes a second while nothing happens", rate)
+		t.Errorf("idle fleet: got %.1f changes a second, want 1 at most", rate)
 	}
 	w.checkComplete(t)
 }
 
-// TestSpread: a controller that comes back gets work within a minute, and then
-// nothing moves any more.
+// TestSpread: a controller that comes back gets work within a minute, and then nothing moves
+// any more.
 func TestSpread(t *testing.T) {
 	for _, teams := range []int{1, 2, 3, 4, 9, 50} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
@@ -450,22 +449,22 @@
 			}
 			for _, h := range w.hosts() {
 				if least := teams / 3; per[h] < min(least, max(1, least-1)) && teams > 1 {
-					t.Errorf("%s runs %d of %d teams a minute after worker-1 is back: %v", h, per[h], teams, per)
+					t.Errorf("%s: got %d of %d teams a minute after worker-1 is back, want an even spread: %v", h, per[h], teams, per)
 				}
 			}
 			step(300)
 			before := w.teamMoves
 			step(900)
 			if w.teamMoves != before {
-				t.Errorf("%d moves with nothing changing", w.teamMoves-before)
+				t.Errorf("stable fleet: got %d team moves, want 0", w.teamMoves-before)
 			}
 			w.checkComplete(t)
 		})
 	}
 }
 
-// TestCompactionKeepsEpochs: records that are joined, and joined again, leave each machine
-// with the owner and the epoch that it had.
+// TestCompactionKeepsEpochs: records that are merged, and merged again, leave each machine
+// with its owner and epoch.
 func TestCompactionKeepsEpochs(t *testing.T) {
 	w := newSimulation(testLimits, 2, 2)
 	w.planUntilStable(t)
@@ -480,9 +479,9 @@
 	}
 	for range 6 {
 		segments, _ := w.shardMap.Counts()
-		was := map[string]Owner{}
+		before := map[string]Owner{}
 		for _, id := range w.machines {
-			was[id], _ = w.shardMap.Owner(id)
+			before[id], _ = w.shardMap.Owner(id)
 		}
 		for i := range w.machines {
 			w.gone[w.machines[i]] = w.gone[w.machines[i]] || i%7 == segments%7
@@ -490,18 +489,18 @@
 		w.now = w.now.Add(2 * compactEvery)
 		w.planUntilStable(t)
 		for _, id := range w.machines {
-			if o, _ := w.shardMap.Owner(id); !w.gone[id] && (o.Epoch != was[id].Epoch || o.Host != was[id].Host) {
-				t.Fatalf("%s was %s's under %d and is %s's under %d", id, was[id].Host, was[id].Epoch, o.Host, o.Epoch)
+			if o, _ := w.shardMap.Owner(id); !w.gone[id] && (o.Epoch != before[id].Epoch || o.Host != before[id].Host) {
+				t.Fatalf("machine %s: owner %s with epoch %d became %s with epoch %d, want no change", id, before[id].Host, before[id].Epoch, o.Host, o.Epoch)
 			}
 		}
 	}
 	if segments, _ := w.shardMap.Counts(); segments > 3 {
-		t.Errorf("%d lots are left", segments)
+		t.Errorf("got %d segments after compaction, want 3 at most", segments)
 	}
 }
 
-// TestOnProbation: one that has just begun keeps what it holds and gets nothing while another
-// can have it; where all have just begun they get it all the same.
+// TestOnProbation: a controller that has just started keeps what it holds, and gets nothing
+// while another can have it; if all have just started they get it all the same.
 func TestOnProbation(t *testing.T) {
 	w := newSimulation(testLimits, 3, 3)
 	for _, h := range w.hosts() {
@@ -510,7 +509,7 @@
 	w.planUntilStable(t)
 	for _, team := range w.teams {
 		if w.shardMap.Team(team) == nil {
-			t.Fatalf("all are young, and %s is nobody's", team)
+			t.Fatalf("all controllers on probation: team %s has no shard", team)
 		}
 	}
 	holder := w.shardMap.Team(w.teams[0]).Host
@@ -520,19 +519,18 @@
 	}
 	w.planUntilStable(t)
 	if w.changes != changes {
-		t.Error("what a young one holds is taken from it")
+		t.Error("controller on probation lost what it holds")
 	}
-	// It ends and is back at once: its share is another's, and stays there.
+	// A restart loses the shard to another holder, for good.
 	w.incarnations[holder]++
 	w.planUntilStable(t)
 	if s := w.shardMap.Team(w.teams[0]); s.Host == holder {
-		t.Error("one that is back at once gets its share again while others can have it")
+		t.Error("restarted controller got its shard back while others can have it")
 	}
 }
 
-// TestIncapable: a controller that can run nothing, since it hears no worker, loses its
-// shares though it lives, and gets none while another can; where none can everything
-// stays.
+// TestIncapable: a live controller that can't run shards, since it receives nothing from
+// workers, loses its shards, and gets none while another can; if none can, nothing changes.
 func TestIncapable(t *testing.T) {
 	w := newSimulation(testLimits, 2, 1)
 	w.planUntilStable(t)
@@ -541,34 +539,34 @@
 	w.incapable[first] = true
 	w.planUntilStable(t)
 	if s := w.shardMap.Team("team-00"); s.Host != other {
-		t.Errorf("the share is %s's, want that of the one who can", s.Host)
+		t.Errorf("got holder %s, want the capable controller", s.Host)
 	}
 	changes := w.changes
 	w.incapable[other] = true
 	w.planUntilStable(t)
 	if s := w.shardMap.Team("team-00"); s.Host != other || w.changes != changes {
-		t.Errorf("nobody can, and the share goes to %s", s.Host)
+		t.Errorf("no controller capable: got holder %s, want no change", s.Host)
 	}
 }
 
-// TestLegacyFormat: shares that name their machines one by one, as an earlier form
-// did, are read, and written anew within their bounds.
+// TestLegacyFormat: shards of the legacy format, which name their machines one by one, are
+// read, and rewritten within their limits.
 func TestLegacyFormat(t *testing.T) {
 	w := newSimulation(testLimits, 2, 2)
 	var ids []string
 	for i := range 150 {
 		ids = append(ids, fmt.Sprintf("vm-%06d", i))
 	}
-	old := func(name string, r shardRecord) {
+	storeLegacy := func(name string, r shardRecord) {
 		if !w.apply(t, []Write{{IsShard: true, Name: name, Value: encode(&r)}}) {
-			t.Fatal("not stored")
+			t.Fatal("store refused a legacy record")
 		}
 	}
-	old("worker-0", shardRecord{Incarnation: "before", Teams: []string{"team-00"}, CatchAll: true})
-	old("worker-1", shardRecord{Incarnation: "before", Teams: []string{"team-01"}, Machines: ids})
+	storeLegacy("worker-0", shardRecord{Incarnation: "before", Teams: []string{"team-00"}, CatchAll: true})
+	storeLegacy("worker-1", shardRecord{Incarnation: "before", Teams: []string{"team-01"}, Machines: ids})
 	w.machines = append(ids, "vm-000900")
 	if o, ok := w.shardMap.Owner("vm-000007"); !ok || o.Host != "worker-1" {
-		t.Errorf("a machine of the earlier form is %v's", o)
+		t.Errorf("legacy record: got owner %v, want worker-1", o)
 	}
 	w.check(t, w.machines)
 	for range 30 {
@@ -577,11 +575,11 @@
 	}
 	w.checkComplete(t)
 	if o, _ := w.shardMap.Owner("vm-000007"); o.Shard == nil || o.Name != "worker-1" || !w.shardMap.IsAssigned("vm-000007") || len(w.shardMap.Machines("worker-1")) != len(ids) {
-		t.Errorf("after the way over: %v, %d machines", o, len(w.shardMap.Machines("worker-1")))
+		t.Errorf("after the format migration: got owner %v and %d machines", o, len(w.shardMap.Machines("worker-1")))
 	}
 }
 
-// TestNames: names of any kind come back as they were.
+// TestNames: names of any kind survive encoding.
 func TestNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.OneOf(
@@ -598,35 +596,35 @@
 		var got []string
 		for _, g := range groups {
 			if g.epoch != 7 {
-				t.Fatalf("epoch %d", g.epoch)
+				t.Fatalf("got epoch %d, want 7", g.epoch)
 			}
 			got = append(got, g.names...)
 		}
 		slices.Sort(got)
 		if !slices.Equal(got, ids) {
-			t.Fatalf("%v became %v", ids, got)
+			t.Fatalf("got names %v, want %v", got, ids)
 		}
 	})
 }
 
-// FuzzRecords: no record, however damaged, makes a reader panic or take all memory.
+// FuzzRecords: no record, however damaged, makes a reader panic or exhaust memory.
 func FuzzRecords(f *testing.F) {
 	f.Add(encodeSegment("s", []epochGroup{{0, []string{"vm-000001", "vm-000002", "odd"}}}))
 	f.Add(encode(&shardRecord{Host: "a", Incarnation: "b", Teams: []string{"t"}, Machines: []string{"vm-1"}}))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		book := NewMap()
-		_ = book.ApplyShard("s", b, 1)
-		_ = book.ApplySegment("l", b, 2)
-		book.Owner("vm-000001")
-		_ = book.ApplySegment("l", nil, 3)
-		_ = book.ApplyShard("s", nil, 4)
-		if len(book.current)+len(book.superseded) > 0 {
-			t.Fatal("machines are left")
+		shardMap := NewMap()
+		_ = shardMap.ApplyShard("s", b, 1)
+		_ = shardMap.ApplySegment("l", b, 2)
+		shardMap.Owner("vm-000001")
+		_ = shardMap.ApplySegment("l", nil, 3)
+		_ = shardMap.ApplyShard("s", nil, 4)
+		if len(shardMap.current)+len(shardMap.superseded) > 0 {
+			t.Fatal("machines remain after all records are deleted")
 		}
 	})
 }
 
-// BenchmarkOwner is the look-up that every report costs.
+// BenchmarkOwner measures the lookup that every heartbeat costs.
 func BenchmarkOwner(b *testing.B) {
 	for _, size := range []int{300, 1300, 5000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
