--- a/internal/remote/registry.go
+++ b/internal/remote/registry.go
@@ -1,15 +1,15 @@
-// Package remote is what two controllers tell each other when a job's owner and
-// the owner of the machine that an attempt of it runs on are not the same: after a
-// team or a machine has moved, what runs goes on where it is.
+// Package remote tracks attempts whose job and whose machine have different owners, and
+// defines what the two controllers exchange about them. This happens after a team or a machine
+// has moved: what runs goes on where it is.
 //
-// Only the machine's owner speaks with the machine; only the job's owner decides
-// about the attempt. The job's owner asks, again and again, for each of its attempts
-// elsewhere, and says whether it wants it kept or stopped, or has settled it. The
-// machine's owner tells what it knows. Nothing begins by this: an attempt is started
-// by whoever owns both, so what is told of it only ever goes one way, from running to
-// gone, and words that are lost, late or doubled do no harm. A word is tied to the
-// epoch under which the machine is owned: one from before the machine came back to
-// whoever may start there is not heeded.
+// Only the machine's owner sends commands to the machine; only the job's owner decides about
+// the attempt. The job's owner repeats a Request for each of its remote attempts: keep it,
+// stop it, or its end is durable. The machine's owner answers with what it knows. Nothing is
+// started this way, since an attempt is only started by a controller that owns both job and
+// machine. So the state of an attempt changes in one direction, from running to gone, and
+// messages may be lost, late or duplicated without harm. A MachineStatus carries the epoch
+// under which its sender owns the machine: one from before the machine came back to a
+// controller that may start the attempt there is ignored.
 package remote
 
 import (
@@ -19,16 +19,16 @@
 )
 
 const (
-	// requestTTL is how long an attempt is kept in mind that nobody asks for any more:
-	// its owner may have ended, and a successor asks only when it has read all.
+	// requestTTL is how long a request is kept that is not repeated: its sender may have died,
+	// and a successor repeats it only when it has recovered all records.
 	requestTTL = time.Minute
-	// resendEvery is how often the same is told once more.
+	// resendEvery is how often an unchanged status is sent again.
 	resendEvery = time.Second
 	// maxAttemptsPerMessage bounds the attempts in one message to a controller.
 	maxAttemptsPerMessage = 2000
 )
 
-// AttemptID names one attempt of a task. An attempt goes to one machine, once.
+// AttemptID identifies one attempt of a task. An attempt is sent to one machine only.
 type AttemptID struct {
 	Job     string
 	Index   int
@@ -48,18 +48,18 @@
 // Intent is what a job's owner wants of an attempt.
 type Intent uint8
 
-// Keep it as it is; stop it; its end is durable, so that it may be cleared away.
+// Keep: let it run. Stop: stop it. Settled: its end is durable, so the machine may clear it.
 const (
 	Keep Intent = iota
 	Stop
 	Settled
 )
 
-// State is what is known of an attempt.
+// State is what the machine's owner knows of an attempt.
 type State uint8
 
-// Unknown: the machine has not been heard of, or what it said is no proof. Gone:
-// proven to be nowhere.
+// Unknown: the machine has sent no heartbeat, or its heartbeat proves nothing. Gone: the
+// attempt is proven to be neither on the machine nor on its way there.
 const (
 	Unknown State = iota
 	Fetching
@@ -69,15 +69,15 @@
 	Gone
 )
 
-// AttemptRequest is an attempt and what its owner wants.
+// AttemptRequest is an attempt and what its job's owner wants of it.
 type AttemptRequest struct {
 	AttemptID
 	Intent Intent
-	// WindDown goes with Stop: how long it may take to save.
+	// WindDown, for Stop, is how long the attempt may take to write a checkpoint.
 	WindDown time.Duration
 }
 
-// Request is what a job's owner says of its attempts on a machine of another's.
+// Request is what a job's owner wants of its attempts on another owner's machine.
 type Request struct {
 	Machine  string
 	Attempts []AttemptRequest
@@ -90,7 +90,8 @@
 	Cause string
 }
 
-// MachineStatus is what a machine's owner says, under the epoch by which it owns it.
+// MachineStatus is what a machine's owner publishes about attempts there, under the epoch by
+// which it owns the machine.
 type MachineStatus struct {
 	Machine  string
 	Epoch    uint64
@@ -98,26 +99,26 @@
 	Attempts []AttemptStatus
 }
 
-// ReportedAttempt is one attempt in the machine's newest report.
+// ReportedAttempt is one attempt in a machine's newest heartbeat.
 type ReportedAttempt struct {
 	AttemptID
 	State State
 	Cause string
 }
 
-// Registry is a machine owner's account of the attempts on its machines whose jobs
-// belong to others. The zero value is empty and ready.
+// Registry holds, for a machine owner, the attempts on its machines whose jobs belong to other
+// controllers. The zero value is empty and ready. It is not safe for concurrent use.
 type Registry struct {
 	machines map[string]*machineState
 }
 
 type machineState struct {
 	requested map[AttemptID]*requested
-	// reported are those of the newest report, and since when each is known.
+	// reported are the attempts of the newest heartbeat.
 	reported map[AttemptID]*sighting
-	// gone are attempts that are proven to be nowhere.
+	// gone has when each attempt was proven gone.
 	gone map[AttemptID]time.Time
-	// publishedAt is when this was last told, and news that something has changed since.
+	// publishedAt is when a status was last sent; changed means that it has changed since.
 	publishedAt time.Time
 	changed     bool
 }
@@ -133,22 +134,22 @@
 	since time.Time
 }
 
-func (d *Registry) machineStateOf(machine string) *machineState {
-	if d.machines == nil {
-		d.machines = map[string]*machineState{}
+func (r *Registry) machineStateOf(machine string) *machineState {
+	if r.machines == nil {
+		r.machines = map[string]*machineState{}
 	}
-	h := d.machines[machine]
+	h := r.machines[machine]
 	if h == nil {
 		h = &machineState{requested: map[AttemptID]*requested{}, reported: map[AttemptID]*sighting{}, gone: map[AttemptID]time.Time{}}
-		d.machines[machine] = h
+		r.machines[machine] = h
 	}
 	return h
 }
 
-// Request takes in what a job's owner asks. It says whether anything is to be stopped
-// or cleared that was not before.
-func (d *Registry) Request(now time.Time, from string, a Request) bool {
-	h := d.machineStateOf(a.Machine)
+// Request records what a job's owner wants. It reports whether an attempt is newly to be
+// stopped or cleared.
+func (r *Registry) Request(now time.Time, from string, a Request) bool {
+	h := r.machineStateOf(a.Machine)
 	changed := false
 	for _, x := range a.Attempts {
 		old := h.requested[x.AttemptID]
@@ -158,8 +159,8 @@
 			h.changed = true
 		}
 		if old.Intent != Keep && x.Intent == Keep {
-			// A stop stands: what comes later was sent earlier, or its sender has
-			// forgotten. A settled attempt never lives again.
+			// A stop is final: a later Keep was sent earlier, or its sender has forgotten the
+			// stop. A settled attempt never runs again.
 			x.Intent, x.WindDown = old.Intent, old.WindDown
 		}
 		changed = changed || x.Intent != old.Intent
@@ -168,19 +169,18 @@
 	return changed
 }
 
-// ObserveHeartbeat takes in the newest report of a machine, all of it; own says which jobs the
-// machine's owner takes for its own. What is asked for counts as there though the
-// owner believes that it is its own: it may not have read yet that the job has gone to
-// another. proof: nothing that was sent under an earlier epoch can be executed there
-// any more, and no start under the current one is on its way, so that what is not
-// listed is nowhere.
-func (d *Registry) ObserveHeartbeat(now time.Time, machine string, reported []ReportedAttempt, isOwn func(job string) bool, conclusive bool) {
-	h := d.machines[machine]
+// ObserveHeartbeat records the attempts of a machine's newest heartbeat, all of them. isOwn
+// says which jobs the machine's owner takes for its own; requested attempts are tracked all
+// the same, since it may not have read yet that their job now belongs to another controller.
+// conclusive means that no command of an earlier epoch can be executed there any more and no
+// start under the current one is in flight: attempts that are not listed are gone.
+func (r *Registry) ObserveHeartbeat(now time.Time, machine string, reported []ReportedAttempt, isOwn func(job string) bool, conclusive bool) {
+	h := r.machines[machine]
 	if h == nil {
 		if !slices.ContainsFunc(reported, func(p ReportedAttempt) bool { return !isOwn(p.Job) }) {
 			return
 		}
-		h = d.machineStateOf(machine)
+		h = r.machineStateOf(machine)
 	}
 	seen := make(map[AttemptID]*sighting, len(reported))
 	for _, p := range reported {
@@ -207,17 +207,17 @@
 	}
 }
 
-// MarkGone notes that one attempt is proven to be nowhere.
-func (d *Registry) MarkGone(now time.Time, machine string, a AttemptID) {
-	if h := d.machines[machine]; h != nil && h.requested[a] != nil && h.gone[a].IsZero() {
+// MarkGone records that one attempt is proven gone.
+func (r *Registry) MarkGone(now time.Time, machine string, a AttemptID) {
+	if h := r.machines[machine]; h != nil && h.requested[a] != nil && h.gone[a].IsZero() {
 		h.gone[a], h.changed = now, true
 	}
 }
 
-// MarkMachineGone notes that everything on the machine is proven gone, but for what it has begun
-// since.
-func (d *Registry) MarkMachineGone(now time.Time, machine string, since func(AttemptID) bool) {
-	h := d.machines[machine]
+// MarkMachineGone records that all attempts on the machine are proven gone, except those
+// started since.
+func (r *Registry) MarkMachineGone(now time.Time, machine string, since func(AttemptID) bool) {
+	h := r.machines[machine]
 	if h == nil {
 		return
 	}
@@ -229,36 +229,35 @@
 	clear(h.reported)
 }
 
-// LiveCount is how many attempts of others are, or may yet begin, on a machine.
-func (d *Registry) LiveCount(machine string) int { return len(d.LiveAttempts(machine)) }
+// LiveCount is the number of LiveAttempts of a machine.
+func (r *Registry) LiveCount(machine string) int { return len(r.LiveAttempts(machine)) }
 
-// ForgetObservations forgets what was seen of a machine under an epoch that has passed: it may have
-// been another's in between, who has started there what was not there before. What is
-// asked for stands.
-func (d *Registry) ForgetObservations(machine string) {
-	if h := d.machines[machine]; h != nil {
+// ForgetObservations drops what was observed of a machine under an earlier epoch: in between,
+// another owner may have started there what was absent before. Requests stay.
+func (r *Registry) ForgetObservations(machine string) {
+	if h := r.machines[machine]; h != nil {
 		clear(h.gone)
 		clear(h.reported)
 	}
 }
 
-// ForgetMachine forgets a machine that now belongs to another.
-func (d *Registry) ForgetMachine(machine string) { delete(d.machines, machine) }
+// ForgetMachine drops a machine that now belongs to another owner.
+func (r *Registry) ForgetMachine(machine string) { delete(r.machines, machine) }
 
-// Machines names the machines with anything of others on them or asked for there.
-func (d *Registry) Machines() []string {
-	out := make([]string, 0, len(d.machines))
-	for id := range d.machines {
+// Machines returns the machines with reported or requested attempts of other owners, sorted.
+func (r *Registry) Machines() []string {
+	out := make([]string, 0, len(r.machines))
+	for id := range r.machines {
 		out = append(out, id)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// HasUnreported says that something is asked for on a machine that has not been reported and
-// is not known to be gone.
-func (d *Registry) HasUnreported(machine string) bool {
-	h := d.machines[machine]
+// HasUnreported reports whether an attempt is requested on the machine that is neither
+// reported nor known to be gone.
+func (r *Registry) HasUnreported(machine string) bool {
+	h := r.machines[machine]
 	if h == nil {
 		return false
 	}
@@ -270,10 +269,10 @@
 	return false
 }
 
-// LiveAttempts are the attempts that take room on a machine, in order: those reported and
-// not ended, and those asked for that may yet begin there.
-func (d *Registry) LiveAttempts(machine string) []AttemptID {
-	h := d.machines[machine]
+// LiveAttempts returns the attempts that take capacity on a machine, in order: those reported
+// and not ended, and those requested that may yet start there.
+func (r *Registry) LiveAttempts(machine string) []AttemptID {
+	h := r.machines[machine]
 	if h == nil {
 		return nil
 	}
@@ -292,10 +291,10 @@
 	return out
 }
 
-// Find is when a piece was first reported, and what its job's owner wants of it; ok
-// is false when nobody has asked for it.
-func (d *Registry) Find(machine string, a AttemptID) (since time.Time, request AttemptRequest, ok bool) {
-	h := d.machines[machine]
+// Find returns when an attempt was first reported, and what its job's owner wants of it; ok is
+// false if nothing was requested.
+func (r *Registry) Find(machine string, a AttemptID) (since time.Time, request AttemptRequest, ok bool) {
+	h := r.machines[machine]
 	if h == nil {
 		return time.Time{}, AttemptRequest{}, false
 	}
@@ -308,29 +307,24 @@
 	return since, AttemptRequest{}, false
 }
 
-// MachineInfo tells of a machine whatever its owner adds to it: epoch and zone, and who
-// owns the job of an attempt that nobody asks for; "" for nobody else.
+// MachineInfo is what a machine's owner adds to a status. JobOwner returns the host that owns
+// the job of an attempt that nobody has requested; "" if no other controller does.
 type MachineInfo struct {
 	Epoch    uint64
 	Zone     string
 	JobOwner func(job string) string
 }
 
-// DueStatuses are the messages due, by controller. What has changed is told at once, the
-// rest again every second, so that a lost word is said once more.
-func (d *Registry) DueStatuses(now time.Time, infoOf func(machine string) (MachineInfo, bool)) map[string][]MachineStatus {
+// DueStatuses returns the messages that are due, by host. A change is sent at once, and an
+// unchanged status every resendEvery, which makes up for lost messages.
+func (r *Registry) DueStatuses(now time.Time, infoOf func(machine string) (MachineInfo, bool)) map[string][]MachineStatus {
 	var out map[string][]MachineStatus
 	counts := map[string]int{}
-	for _, id := range d.Machines() {
-		h := d.machines[id]
-		for a, x := range h.requested {
-			if now.Sub(x.requestedAt) > requestTTL {
-				delete(h.requested, a)
-				delete(h.gone, a)
-			}
-		}
+	for _, id := range r.Machines() {
+		h := r.machines[id]
+		h.expireRequests(now)
 		if len(h.requested) == 0 && len(h.reported) == 0 {
-			delete(d.machines, id)
+			delete(r.machines, id)
 			continue
 		}
 		if !h.changed && now.Sub(h.publishedAt) < resendEvery {
@@ -341,26 +335,9 @@
 			continue
 		}
 		h.changed, h.publishedAt = false, now
-		byController := map[string][]AttemptStatus{}
-		for a, x := range h.requested {
-			t := AttemptStatus{AttemptID: a}
-			if p := h.reported[a]; p != nil {
-				t.State, t.Cause = p.State, p.Cause
-			} else if !h.gone[a].IsZero() {
-				t.State = Gone
-			}
-			byController[x.requester] = append(byController[x.requester], t)
-		}
-		for a, p := range h.reported {
-			if h.requested[a] == nil {
-				if controller := info.JobOwner(a.Job); controller != "" {
-					byController[controller] = append(byController[controller], AttemptStatus{a, p.State, p.Cause})
-				}
-			}
-		}
-		for controller, statuses := range byController {
+		for controller, statuses := range h.statusesByController(info) {
 			if counts[controller] += len(statuses); counts[controller] > maxAttemptsPerMessage && counts[controller] > len(statuses) {
-				// The rest of it in the next round.
+				// The rest goes with the next round.
 				h.changed = true
 				continue
 			}
@@ -373,3 +350,37 @@
 	}
 	return out
 }
+
+// expireRequests drops requests that are no longer repeated.
+func (h *machineState) expireRequests(now time.Time) {
+	for a, x := range h.requested {
+		if now.Sub(x.requestedAt) > requestTTL {
+			delete(h.requested, a)
+			delete(h.gone, a)
+		}
+	}
+}
+
+// statusesByController returns the status of each requested attempt for its requester, and
+// of each other reported attempt for the controller that owns its job.
+func (h *machineState) statusesByController(info MachineInfo) map[string][]AttemptStatus {
+	out := map[string][]AttemptStatus{}
+	for a, x := range h.requested {
+		status := AttemptStatus{AttemptID: a}
+		if p := h.reported[a]; p != nil {
+			status.State, status.Cause = p.State, p.Cause
+		} else if !h.gone[a].IsZero() {
+			status.State = Gone
+		}
+		out[x.requester] = append(out[x.requester], status)
+	}
+	for a, p := range h.reported {
+		if h.requested[a] != nil {
+			continue
+		}
+		if controller := info.JobOwner(a.Job); controller != "" {
+			out[controller] = append(out[controller], AttemptStatus{a, p.State, p.Cause})
+		}
+	}
+	return out
+}
--- a/internal/remote/registry_test.go
+++ b/internal/remote/registry_test.go
@@ -10,27 +10,27 @@
 	"pgregory.net/rapid"
 )
 
-// ownerModel is one machine, whose owner changes between the owner of a job (a) and
-// another (b), and the attempts of that job on it. Orders and messages are lost, late
-// and doubled. Whatever a believes to be gone must be nowhere, for ever.
+// ownerModel is one machine, whose owner alternates between a job's owner (a) and another
+// controller (b), and the attempts of that job on it. Commands and messages are lost, late and
+// duplicated. Whatever a believes to be gone must be absent for ever.
 type ownerModel struct {
 	now   time.Time
 	epoch uint64
-	// mine: the machine is a's. The worker has seen an epoch and has attempts.
+	// machineIsOwn: a owns the machine. seenEpoch and present are the worker's.
 	machineIsOwn bool
 	seenEpoch    uint64
 	present      map[AttemptID]State
 	alive        bool
-	// commands are starts on their way, with the epoch they were sent under.
+	// commands are starts in flight, with the epoch they were sent under.
 	commands []startCommand
-	// live are a's attempts that it takes for living, gone those it has proof of.
+	// live are the attempts that a believes to be live; gone those it has proof of.
 	live       map[AttemptID]bool
 	gone       map[AttemptID]bool
 	lastNumber uint64
 	registry   *Registry
 	requests   []Request
 	statuses   []MachineStatus
-	// disabled takes one condition out, to show that the model notices.
+	// disabled removes one condition, to show that the model detects that.
 	disabled string
 }
 
@@ -57,7 +57,7 @@
 
 func (m *ownerModel) isPresent(a AttemptID) bool { s, ok := m.present[a]; return ok && s != Ended }
 
-// believeGone takes it that an attempt is gone.
+// believeGone makes a believe that an attempt is gone.
 func (m *ownerModel) believeGone(t *rapid.T, a AttemptID) {
 	delete(m.live, a)
 	m.gone[a] = true
@@ -67,12 +67,12 @@
 func (m *ownerModel) check(t *rapid.T) {
 	for a := range m.gone {
 		if m.isPresent(a) {
-			t.Fatalf("%v is gone for its owner, and on the machine", a)
+			t.Fatalf("attempt %v: its owner believes it gone, and it is on the machine", a)
 		}
 	}
 }
 
-// report is what the machine would say now, to whoever owns it.
+// report sends a heartbeat to whoever owns the machine.
 func (m *ownerModel) report(t *rapid.T) {
 	if !m.alive {
 		return
@@ -120,7 +120,7 @@
 			}
 		},
 		"again": func(t *rapid.T) {
-			// What is live and not there is ordered again, under the epoch of now.
+			// A live but absent attempt is started again, under the present epoch.
 			for _, a := range m.liveAttempts() {
 				if _, ok := m.present[a]; m.machineIsOwn && !ok {
 					m.commands = append(m.commands, startCommand{a, m.epoch})
@@ -157,7 +157,7 @@
 		},
 		"die": func(t *rapid.T) {
 			if rapid.IntRange(0, 9).Draw(t, "seldom") == 0 && !m.machineIsOwn {
-				// Its return is answered: nothing there comes back.
+				// The cloud has confirmed its release: nothing there comes back.
 				m.alive = false
 				clear(m.present)
 				m.registry.MarkMachineGone(m.now, "vm", func(AttemptID) bool { return false })
@@ -186,7 +186,7 @@
 			m.statuses = append(m.statuses, out["a"]...)
 		},
 		"told": func(t *rapid.T) {
-			// One of all that were ever sent: late, doubled, out of turn.
+			// Any message that was ever sent: late, duplicated, out of order.
 			if len(m.statuses) > 0 {
 				m.receiveStatus(t, m.statuses[rapid.IntRange(0, len(m.statuses)-1).Draw(t, "tell")])
 			}
@@ -194,18 +194,18 @@
 	}
 }
 
-// TestNoLiveAttemptIsBelievedGone: no word, however late, makes a job's owner believe an attempt gone
-// that is on the machine or may yet begin there.
+// TestNoLiveAttemptIsBelievedGone: no message, however late, makes a job's owner believe an
+// attempt gone that is on the machine or may yet start there.
 func TestNoLiveAttemptIsBelievedGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(newOwnerModel().actions()) })
 }
 
-// TestModelNotices: without a condition the model finds a task that is gone for its
-// owner and on its machine; otherwise the model is worth nothing.
+// TestModelNotices: without a condition the model finds a task that its owner believes gone
+// and that is on its machine; otherwise the model would be worthless.
 func TestModelNotices(t *testing.T) {
 	attempt := func(n uint64) AttemptID { return AttemptID{"job", 0, n} }
 	detects := func(disabled string, steps func(m *ownerModel, rt *rapid.T)) (noticed bool) {
-		// The steps are known; rapid only lends its T.
+		// The steps are fixed; only rapid's T is needed.
 		rapid.Check(t, func(rt *rapid.T) {
 			m := newOwnerModel()
 			m.disabled = disabled
@@ -221,8 +221,8 @@
 		})
 		return noticed
 	}
-	// A word from before the machine came back to the job's owner, who has started
-	// the attempt meanwhile.
+	// A status from before the machine came back to the job's owner, which has started the
+	// attempt meanwhile.
 	lateStatus := func(m *ownerModel, rt *rapid.T) {
 		m.live[attempt(1)] = true
 		m.epoch, m.machineIsOwn = 2, false
@@ -244,7 +244,7 @@
 		}
 	}
 	if !detects("epoch", lateStatus) || detects("", lateStatus) {
-		t.Error("a late word under an older epoch goes unnoticed")
+		t.Error("late status of an older epoch: got undetected without the condition, or detected with it")
 	}
 	// The machine's owner still takes the job for its own and hides the attempt.
 	hiddenAttempt := func(m *ownerModel, rt *rapid.T) {
@@ -261,59 +261,59 @@
 		}
 	}
 	if detects("", hiddenAttempt) {
-		t.Error("an attempt that is on the machine is told to be gone, since its job was thought to be the owner's own")
+		t.Error("attempt on the machine is published as gone while its job is taken for the owner's own")
 	}
 }
 
-// TestRegistry: what is asked for is stopped once and for all, counts as room, and is
-// told again until its owner has heard.
+// TestRegistry: a requested stop is final, a requested attempt takes capacity, and a status is
+// sent again until its owner has received it.
 func TestRegistry(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	a, b := AttemptID{"j", 0, 1}, AttemptID{"j", 1, 1}
 	d := &Registry{}
-	about := func(string) (MachineInfo, bool) {
+	infoOf := func(string) (MachineInfo, bool) {
 		return MachineInfo{Epoch: 7, Zone: "z", JobOwner: func(string) string { return "c" }}, true
 	}
 	own := func(string) bool { return false }
 	if !d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a, Intent: Stop}}}) {
-		t.Error("a stop is no news")
+		t.Error("Request: got no change for a stop, want one")
 	}
 	if d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a}}}); len(d.LiveAttempts("vm")) != 1 {
-		t.Errorf("%v take room, want what may yet begin", d.LiveAttempts("vm"))
+		t.Errorf("LiveAttempts: got %v, want the attempt that may yet start", d.LiveAttempts("vm"))
 	}
 	d.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: a, State: Running}, {AttemptID: b, State: Running}}, own, true)
 	if _, w, ok := d.Find("vm", a); !ok || w.Intent != Stop {
-		t.Errorf("a later word that keeps it has undone a stop: %v", w)
+		t.Errorf("Find after a late Keep: got %v, want Stop", w)
 	}
-	statuses := d.DueStatuses(now, about)
+	statuses := d.DueStatuses(now, infoOf)
 	if len(statuses["a"]) != 1 || len(statuses["c"]) != 1 || statuses["a"][0].Epoch != 7 || statuses["c"][0].Attempts[0].AttemptID != b {
-		t.Errorf("told %v, want one to who asked and one to the owner of what nobody asked for", statuses)
+		t.Errorf("DueStatuses: got %v, want one for the requester and one for the job's owner", statuses)
 	}
-	if again := d.DueStatuses(now.Add(time.Millisecond), about); len(again) != 0 {
-		t.Errorf("told at once again: %v", again)
+	if again := d.DueStatuses(now.Add(time.Millisecond), infoOf); len(again) != 0 {
+		t.Errorf("DueStatuses without a change: got %v, want none", again)
 	}
 	d.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, false)
-	if got := d.DueStatuses(now.Add(resendEvery), about)["a"][0].Attempts[0].State; got != Unknown {
-		t.Errorf("absent without proof is told as %v", got)
+	if got := d.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Unknown {
+		t.Errorf("absent without proof: got state %v, want Unknown", got)
 	}
 	d.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, true)
-	if got := d.DueStatuses(now.Add(resendEvery), about)["a"][0].Attempts[0].State; got != Gone {
-		t.Errorf("absent with proof is told as %v", got)
+	if got := d.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Gone {
+		t.Errorf("absent with proof: got state %v, want Gone", got)
 	}
 	if len(d.LiveAttempts("vm")) != 1 || d.HasUnreported("vm") {
-		t.Errorf("%v take room", d.LiveAttempts("vm"))
+		t.Errorf("LiveAttempts: got %v, want one, and none unreported", d.LiveAttempts("vm"))
 	}
-	// Nobody asks any more, and nothing is there: it is forgotten.
+	// No more requests, and nothing there: it is forgotten.
 	d.ObserveHeartbeat(now, "vm", nil, own, true)
-	d.DueStatuses(now.Add(2*requestTTL), about)
+	d.DueStatuses(now.Add(2*requestTTL), infoOf)
 	if len(d.Machines()) != 0 {
-		t.Errorf("%v is kept in mind", d.Machines())
+		t.Errorf("Machines: got %v, want none", d.Machines())
 	}
 }
 
-// TestForgetObservations: what a machine's owner saw under an epoch that has passed is not told
-// under the next. Behind with its reading it may have taken the machine for its own
-// while another started there what it then did not see.
+// TestForgetObservations: what a machine's owner observed under an earlier epoch is not
+// published under the next. While its reads lagged behind it may have taken the machine for
+// its own, and another owner may have started there what it then did not see.
 func TestForgetObservations(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	d := &Registry{}
@@ -322,19 +322,19 @@
 	d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a, Intent: Stop}}})
 	d.ObserveHeartbeat(now, "vm", nil, own, true)
 	d.ForgetObservations("vm")
-	told := d.DueStatuses(now, func(string) (MachineInfo, bool) {
+	status := d.DueStatuses(now, func(string) (MachineInfo, bool) {
 		return MachineInfo{Epoch: 9, JobOwner: func(string) string { return "" }}, true
 	})["a"][0]
-	if got := told.Attempts[0].State; got != Unknown {
-		t.Errorf("told as %v under epoch %d, though it was seen under an earlier one", got, told.Epoch)
+	if got := status.Attempts[0].State; got != Unknown {
+		t.Errorf("got state %v under epoch %d, want Unknown: it was observed under an earlier epoch", got, status.Epoch)
 	}
 	if _, w, ok := d.Find("vm", a); !ok || w.Intent != Stop {
-		t.Error("what was asked for is forgotten as well")
+		t.Error("request is forgotten as well")
 	}
 }
 
-// TestMessagesAreBounded: of more attempts than a message may hold the rest is told in
-// the next round, and none is left out for ever.
+// TestMessagesAreBounded: of more attempts than a message may hold the rest is sent in the
+// next round, and none is left out for ever.
 func TestMessagesAreBounded(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	d := &Registry{}
@@ -356,15 +356,15 @@
 			reportedMachines[x.Machine] = true
 		}
 		if n > maxAttemptsPerMessage {
-			t.Fatalf("%d attempts in a message", n)
+			t.Fatalf("got %d attempts in a message, want fewer", n)
 		}
 	}
 	if len(reportedMachines) != machines {
-		t.Errorf("%d of %d machines are told of", len(reportedMachines), machines)
+		t.Errorf("got statuses of %d of %d machines, want all", len(reportedMachines), machines)
 	}
 }
 
-// TestLost: what is asked for is gone with its machine, but for what began since.
+// TestLost: requested attempts are gone with their machine, except those started since.
 func TestLost(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	a, b := AttemptID{"j", 0, 1}, AttemptID{"j", 1, 1}
@@ -372,6 +372,6 @@
 	d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a}, {AttemptID: b}}})
 	d.MarkMachineGone(now, "vm", func(x AttemptID) bool { return x == b })
 	if got := d.LiveAttempts("vm"); len(got) != 1 || got[0] != b {
-		t.Errorf("%v may still live, want %v alone", got, b)
+		t.Errorf("LiveAttempts: got %v, want %v alone", got, b)
 	}
 }
