--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -1,11 +1,11 @@
-// Package reachability tells whether a machine hears its controller. A report is a sign of
-// life of the time when it was sent; that answers and orders arrive, it does not show
-// by coming. What shows it is a report that could not look so without an answer (an
-// epoch that the machine had not seen, a start, a clear, a lease that did not run out),
-// or the answer to a direct request. What raises a doubt is an answer that should have
-// shown itself and has not, a direct request without an answer, and a tenure that ended
-// while the machine reported. A doubt costs little: nothing is placed there until one
-// question is answered. The package has no clock and sends nothing.
+// Package reachability decides whether a machine receives what its controller sends. A
+// heartbeat shows that the machine was alive when it sent it, not that replies and commands
+// arrive there. Proof of that is a heartbeat that could not look so without a reply (an epoch
+// that the machine had not seen, a start, a clear, a lease that did not expire), or the answer
+// to a probe. Doubt is raised by an expected effect that does not show, a probe without an
+// answer, and an incarnation that ended while the machine sent heartbeats. A doubt costs
+// little: nothing is placed on the machine until one probe is answered. The package has no
+// clock and sends nothing.
 package reachability
 
 import (
@@ -17,43 +17,45 @@
 )
 
 const (
-	// maxMisses is how many reports in a row may fail to show what the answers before
-	// them must have brought. One answer may be late and dropped, or lost.
+	// maxMisses is how many heartbeats in a row may fail to show the effect of the replies
+	// before them. One reply may be lost, or late and dropped.
 	maxMisses = 2
-	// maxUnansweredProbes is after how many direct requests without an answer, and no other sign,
-	// a machine that reports counts as one that hears nothing.
+	// maxUnansweredProbes is how many unanswered probes, without other proof, make a machine
+	// that sends heartbeats count as unreachable.
 	maxUnansweredProbes = 2
-	// gapDoubtEvery separates two doubts that rest on skipped ticks alone: where reports
-	// are lost now and then, or others ask the machine, they prove little.
+	// gapDoubtEvery is the least time between two doubts raised by skipped sequence numbers
+	// alone: where heartbeats are lost now and then, or others probe the machine, these prove
+	// little.
 	gapDoubtEvery = 30 * time.Second
 )
 
-// Detector is what shows whether one machine hears its owner. The zero value is one of
-// which nothing raises a doubt.
+// Detector holds the evidence on whether one machine receives what its owner sends. The zero
+// value has no doubt.
 type Detector struct {
 	expectsEffect bool
 	misses        int
-	// doubtedSince is since when there is a doubt, and asks how many direct requests have
-	// had no answer since the last sign.
+	// doubtedSince is when the doubt was raised (zero: none); unansweredProbes counts the
+	// probes without an answer since the last proof.
 	doubtedSince     time.Time
 	unansweredProbes int
 	lastGapDoubt     time.Time
-	// steady: the last report followed on the one before. After a takeover machines come
-	// by way of others.
+	// consecutive: the last heartbeat followed directly on the one before. After a failover
+	// machines arrive rerouted by other controllers, and the first gap means nothing.
 	consecutive bool
-	// incarnationAt is when the newest tenure was first reported.
+	// incarnationAt is when the newest incarnation was first reported.
 	incarnationAt time.Time
-	// reachedByReplies: its address gave no answer, and answers to its reports arrived.
+	// reachedByReplies: probes to its address had no answer, and replies to its heartbeats
+	// arrived.
 	reachedByReplies bool
 }
 
-// ProbeAnswered notes the answer to a direct request.
+// ProbeAnswered records the answer to a probe.
 func (e *Detector) ProbeAnswered() {
 	e.reachedByReplies = false
 	e.reset()
 }
 
-// EffectSeen notes a report that could not look so without an answer or order.
+// EffectSeen records a heartbeat that could not look so without a reply or command.
 func (e *Detector) EffectSeen() {
 	e.reachedByReplies = e.reachedByReplies || e.unansweredProbes > 0
 	e.reset()
@@ -63,10 +65,10 @@
 	e.expectsEffect, e.misses, e.unansweredProbes, e.doubtedSince = false, 0, 0, time.Time{}
 }
 
-// ExpectEffect notes that an answer has left which a later report has to show.
+// ExpectEffect records that a reply was sent whose effect a later heartbeat has to show.
 func (e *Detector) ExpectEffect() { e.expectsEffect = true }
 
-// ProbeUnanswered notes that a direct request had no answer.
+// ProbeUnanswered records that a probe had no answer.
 func (e *Detector) ProbeUnanswered(now time.Time) {
 	e.unansweredProbes++
 	if !e.reachedByReplies {
@@ -74,16 +76,16 @@
 	}
 }
 
-// Incarnation notes a report of a later tenure: the lease ran out. If nothing prolonged it
-// though its reports were answered, they were not heard.
+// Incarnation records a heartbeat of a later incarnation: the lease expired. If its heartbeats
+// were answered and nothing renewed the lease, the replies did not arrive.
 func (e *Detector) Incarnation(now time.Time) {
 	e.incarnationAt = now
 	e.doubt(now)
 }
 
-// HeartbeatWithoutEffect notes a report that shows nothing of our answers. skipped: the machine has
-// sent others in between that came to nobody here. lease is for how long a lease
-// surely runs.
+// HeartbeatWithoutEffect records a heartbeat that shows nothing of our replies. skipped: the
+// machine has sent others in between that did not come here. lease is how long a lease lasts
+// at least.
 func (e *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
 	if e.expectsEffect {
 		if e.misses++; e.misses >= maxMisses {
@@ -100,12 +102,12 @@
 		since = e.incarnationAt
 	}
 	if !e.doubtedSince.IsZero() && now.Sub(since) > lease {
-		// Since then its lease would have run out, had no answer prolonged it.
+		// Since then its lease would have expired, had no reply renewed it.
 		e.EffectSeen()
 	}
 }
 
-// ReportedElsewhere notes that it has reported to another controller since it was last heard.
+// ReportedElsewhere records that the machine has sent heartbeats to another controller since.
 func (e *Detector) ReportedElsewhere(now time.Time) { e.doubt(now) }
 
 func (e *Detector) doubt(now time.Time) {
@@ -114,10 +116,10 @@
 	}
 }
 
-// Reachable says that nothing speaks against it that answers and orders arrive.
+// Reachable reports whether there is no doubt that replies and commands arrive.
 func (e *Detector) Reachable() bool { return e.doubtedSince.IsZero() }
 
-// Unreachable says that the doubt has been asked about, and for how long it stands.
+// Unreachable reports whether the doubt was confirmed by unanswered probes, and how old it is.
 func (e *Detector) Unreachable(now time.Time) (time.Duration, bool) {
 	if e.Reachable() || e.unansweredProbes < maxUnansweredProbes {
 		return 0, false
@@ -125,32 +127,33 @@
 	return now.Sub(e.doubtedSince), true
 }
 
-// Machine is one that reports and hears nothing, and for how long that is known.
+// Machine is an unreachable machine that sends heartbeats. Tasks counts what runs there.
 type Machine struct {
 	ID             string
 	Tasks          int
 	UnreachableFor time.Duration
 }
 
-// ReleasePolicy says how long deaf machines are kept.
+// ReleasePolicy says how long unreachable machines are kept.
 type ReleasePolicy struct {
-	// SingleTimeout is how long one by itself is waited for: as long as for a silent one.
+	// SingleTimeout is how long a single one is waited for: as long as for an unresponsive
+	// one.
 	SingleTimeout time.Duration
-	// LeaseRemaining is how long the lease of one that hears nothing may still run.
+	// LeaseRemaining is how long the lease of an unreachable machine may still run.
 	LeaseRemaining time.Duration
-	// LastReleased is when one of many was last given back.
+	// LastReleased is when a machine of a correlated failure was last released.
 	LastReleased time.Time
 }
 
-// releaseEvery separates the returns of single machines while many hear nothing: the
-// fault is then likely in a link, and each that is kept is of use again at its end.
+// releaseEvery is the least time between two releases during a correlated failure: the fault
+// is then likely in a link, and each machine that is kept is of use again at its end.
 const releaseEvery = 10 * time.Second
 
-// SelectReleases picks the machines to give back now. One by itself goes as a silent one
-// does: the answer is the proof that its tasks wait for. Of many none goes before its
-// lease has surely run out, which proves the same for nothing, and then one at a time,
-// those without tasks last. If all that report hear nothing, none goes: the fault is
-// in what leaves here.
+// SelectReleases returns the machines to release now. A single one is released like an
+// unresponsive one: the cloud's answer is the proof that its tasks wait for. In a correlated
+// failure none is released before its lease has certainly expired, which proves the same at no
+// cost, and then one at a time, those with tasks first. If every machine that sends heartbeats
+// is unreachable none is released: the fault is in what this controller sends.
 func SelectReleases(now time.Time, policy ReleasePolicy, reporting int, unreachable []Machine) []string {
 	if len(unreachable) >= reporting && reporting > 1 {
 		return nil
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -24,40 +24,40 @@
 		want bool
 	}{
 		{"nothing is known", func(*Detector) {}, true},
-		{"an answer was late once", func(e *Detector) { e.ExpectEffect(); e.HeartbeatWithoutEffect(at(1), false, lease) }, true},
-		{"two reports show nothing of it", func(e *Detector) {
+		{"a reply was late once", func(e *Detector) { e.ExpectEffect(); e.HeartbeatWithoutEffect(at(1), false, lease) }, true},
+		{"two heartbeats show no effect", func(e *Detector) {
 			e.ExpectEffect()
 			e.HeartbeatWithoutEffect(at(1), false, lease)
 			e.HeartbeatWithoutEffect(at(2), false, lease)
 		}, false},
-		{"nothing was to be shown", func(e *Detector) {
+		{"no effect was expected", func(e *Detector) {
 			e.HeartbeatWithoutEffect(at(1), false, lease)
 			e.HeartbeatWithoutEffect(at(2), false, lease)
 		}, true},
-		{"the lease ran out", func(e *Detector) { e.Incarnation(at(1)) }, false},
-		{"an order had no answer", func(e *Detector) { e.ProbeUnanswered(at(1)) }, false},
-		{"it answers", func(e *Detector) { e.ProbeUnanswered(at(1)); e.ProbeUnanswered(at(4)); e.ProbeAnswered() }, true},
-		{"it went elsewhere", func(e *Detector) {
+		{"the lease expired", func(e *Detector) { e.Incarnation(at(1)) }, false},
+		{"a probe had no answer", func(e *Detector) { e.ProbeUnanswered(at(1)) }, false},
+		{"a later probe is answered", func(e *Detector) { e.ProbeUnanswered(at(1)); e.ProbeUnanswered(at(4)); e.ProbeAnswered() }, true},
+		{"it sent heartbeats elsewhere", func(e *Detector) {
 			e.HeartbeatWithoutEffect(at(97), false, lease)
 			e.HeartbeatWithoutEffect(at(100), true, lease)
 		}, false},
-		{"it has come by way of others", func(e *Detector) { e.HeartbeatWithoutEffect(at(100), true, lease) }, true},
-		{"reports are lost now and then", func(e *Detector) {
+		{"it was rerouted by others", func(e *Detector) { e.HeartbeatWithoutEffect(at(100), true, lease) }, true},
+		{"heartbeats are lost now and then", func(e *Detector) {
 			e.HeartbeatWithoutEffect(at(97), false, lease)
 			e.HeartbeatWithoutEffect(at(100), true, lease)
 			e.ProbeAnswered()
 			e.HeartbeatWithoutEffect(at(107), false, lease)
 			e.HeartbeatWithoutEffect(at(110), true, lease)
 		}, true},
-		{"its address never answers, its reports show a start", func(e *Detector) { e.ProbeUnanswered(at(1)); e.EffectSeen(); e.ProbeUnanswered(at(5)) }, true},
-		{"its address never answers, and its lease goes on", func(e *Detector) {
+		{"its address never answers, its heartbeats show a start", func(e *Detector) { e.ProbeUnanswered(at(1)); e.EffectSeen(); e.ProbeUnanswered(at(5)) }, true},
+		{"its address never answers, and its lease is renewed", func(e *Detector) {
 			e.ProbeUnanswered(at(1))
 			e.HeartbeatWithoutEffect(at(20), false, lease)
 			e.HeartbeatWithoutEffect(at(27), false, lease)
 			e.ProbeUnanswered(at(30))
 		}, true},
-		{"its lease is not yet over", func(e *Detector) { e.ProbeUnanswered(at(1)); e.HeartbeatWithoutEffect(at(20), false, lease) }, false},
-		{"its leases run out one after another", func(e *Detector) {
+		{"its lease has not yet expired", func(e *Detector) { e.ProbeUnanswered(at(1)); e.HeartbeatWithoutEffect(at(20), false, lease) }, false},
+		{"its leases expire one after another", func(e *Detector) {
 			e.ProbeUnanswered(at(1))
 			e.Incarnation(at(20))
 			e.HeartbeatWithoutEffect(at(40), false, lease)
@@ -67,22 +67,22 @@
 	} {
 		var e Detector
 		if c.do(&e); e.Reachable() != c.want {
-			t.Errorf("%s: hears %v, want %v", c.name, e.Reachable(), c.want)
+			t.Errorf("%s: Reachable: got %v, want %v", c.name, e.Reachable(), c.want)
 		}
 	}
 	var e Detector
 	e.ProbeUnanswered(at(1))
 	if _, unreachable := e.Unreachable(at(9)); unreachable {
-		t.Error("asked once, it counts as deaf")
+		t.Error("Unreachable after one probe: got true, want false")
 	}
 	e.ProbeUnanswered(at(4))
 	if d, unreachable := e.Unreachable(at(9)); !unreachable || d != 8*time.Second {
-		t.Errorf("deaf %v for %v, want for 8s", unreachable, d)
+		t.Errorf("Unreachable: got %v for %v, want true for 8s", unreachable, d)
 	}
 }
 
-// TestSelectReleases: machines that hear nothing go in time, not before that, never all of
-// them, and of many no more than one at a time and only after their leases.
+// TestSelectReleases: unreachable machines are released in time, not earlier, never all of
+// them, and in a correlated failure one at a time and only after their leases.
 func TestSelectReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reporting := rapid.IntRange(1, 60).Draw(t, "reporting")
@@ -99,7 +99,7 @@
 				due++
 			}
 			if slices.Contains(got, m.ID) && m.UnreachableFor <= policy.SingleTimeout {
-				t.Fatalf("%v goes too soon", m)
+				t.Fatalf("machine %v is released too early", m)
 			}
 		}
 		want := due
@@ -112,34 +112,34 @@
 			want = min(due, 1)
 		}
 		if len(got) != want {
-			t.Fatalf("%d of %d go, want %d", len(got), len(unreachable), want)
+			t.Fatalf("SelectReleases: got %d of %d machines, want %d", len(got), len(unreachable), want)
 		}
 	})
 }
 
-// TestAllUnreachable: where all that report hear nothing the fault is in what leaves
-// here, and none goes; a single machine is no such case.
+// TestAllUnreachable: if all machines that send heartbeats are unreachable the fault is in
+// what this controller sends, and none is released; a single machine is no such case.
 func TestAllUnreachable(t *testing.T) {
 	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
 	unreachable := []Machine{{"vm-1", 1, time.Minute}, {"vm-2", 0, time.Minute}}
 	if got := SelectReleases(t0, policy, 2, unreachable); len(got) != 0 {
-		t.Errorf("%v of two go", got)
+		t.Errorf("all of two unreachable: got %v, want none", got)
 	}
 	if got := SelectReleases(t0, policy, 3, unreachable); !slices.Equal(got, []string{"vm-1", "vm-2"}) {
-		t.Errorf("%v of three go, want both", got)
+		t.Errorf("two of three unreachable: got %v, want both", got)
 	}
 }
 
-// TestManyBeforeTheirLease: of many that hear nothing one goes when its lease has surely
-// run out, and none before, though each by itself would.
+// TestManyBeforeTheirLease: in a correlated failure one machine is released when its lease has
+// certainly expired, and none before, though each by itself would be.
 func TestManyBeforeTheirLease(t *testing.T) {
 	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
 	unreachable := []Machine{{"vm-1", 1, lease}, {"vm-2", 0, lease}, {"vm-3", 0, lease}, {"vm-4", 0, lease}}
 	if got := SelectReleases(t0, policy, 30, unreachable); len(got) != 0 {
-		t.Errorf("%v go before their lease has run out", got)
+		t.Errorf("before the leases expire: got %v, want none", got)
 	}
 	unreachable[2].UnreachableFor += time.Second
 	if got := SelectReleases(t0, policy, 30, unreachable); len(got) != 1 || got[0] != "vm-3" {
-		t.Errorf("%v go, want vm-3 alone", got)
+		t.Errorf("one lease expired: got %v, want vm-3 alone", got)
 	}
 }
--- a/internal/selfmonitor/selfmonitor.go
+++ b/internal/selfmonitor/selfmonitor.go
@@ -1,65 +1,64 @@
-// Package selfmonitor tells a controller that is cut off from the workers, or to which alone
-// they are deaf, from one whose workers are gone. Alone neither can be known: both hear nothing. So two
-// accounts are put together: the owner's own, that no report has come for longer
-// than chance explains, and the others', that machines which they sent to the
-// owner keep coming back. The package has no clock and sends nothing.
+// Package selfmonitor tells a controller that is itself partitioned from the workers from one
+// whose workers are gone. Neither controller can know alone, since both receive nothing. So
+// two observations are combined: the shard leader's own, that no heartbeat has come for longer
+// than chance explains, and the others', that machines which they rerouted to the leader keep
+// reappearing. The package has no clock and sends nothing.
 package selfmonitor
 
 import "time"
 
 const (
-	// minMissedHeartbeats is how many reports must be missing before their absence is no
-	// chance: where so many are expected, all are missing once in e^8 times.
+	// minMissedHeartbeats is how many heartbeats must be missing before their absence is no
+	// chance: with that many expected, all are missing once in e^8 times.
 	minMissedHeartbeats = 8
-	// minSilence is the shortest silence that counts, however many machines report:
-	// a lost packet on the way is repeated within it.
+	// minSilence is the shortest silence that counts, however many machines send heartbeats: a
+	// lost packet is sent again within it.
 	minSilence = 3 * time.Second
-	// pauseThreshold is how long the controller must not have run for the silence to
-	// be its own doing. It is then counted anew.
+	// pauseThreshold is how long the controller must not have run for the silence to be its
+	// own doing. The silence is then measured anew.
 	pauseThreshold = 1500 * time.Millisecond
-	// minReappearance and maxReappearance say when a machine that was sent on and comes
-	// again has not been heard there: sooner it is a doubled report, and later
+	// minReappearance and maxReappearance bound the gap after which a rerouted machine that is
+	// seen again has not been received there: sooner it is a duplicated heartbeat, later
 	// something else may have happened to it.
 	minReappearance = 2 * time.Second
 	maxReappearance = 20 * time.Second
-	// maxTracked bounds how many machines are kept in mind; those of long ago go.
+	// maxTracked bounds the machines that are tracked; the oldest are dropped.
 	maxTracked = 1 << 14
 )
 
-// Monitor is what a controller hears itself.
+// Monitor is what a controller observes of its own connection to the workers. The zero value
+// is ready.
 type Monitor struct {
 	lastHeartbeat, lastRun, resumedAt time.Time
-	// unanswered counts direct requests to workers without an answer since anything
-	// showed that one of ours arrived, the first of them at first.
+	// unanswered counts requests to workers without an answer since there was last a sign that
+	// one arrived; firstUnanswered is when the first of them was sent.
 	unanswered      int
 	firstUnanswered time.Time
 }
 
-// minUnanswered is how many direct requests in a row must have had no answer for a
-// controller to take itself for one whom no worker hears: the workers asked are such as
-// have just reported.
+// minUnanswered is how many requests in a row must be unanswered before a controller takes
+// itself for unheard. They go to workers that have just sent heartbeats.
 const minUnanswered = 4
 
-// RequestDelivered notes a sign that something sent to a worker arrived.
+// RequestDelivered records a sign that something sent to a worker arrived.
 func (o *Monitor) RequestDelivered() { o.unanswered = 0 }
 
-// RequestUnanswered notes that a direct request to a worker had no answer.
+// RequestUnanswered records that a request to a worker had no answer.
 func (o *Monitor) RequestUnanswered(now time.Time) {
 	if o.unanswered++; o.unanswered == 1 {
 		o.firstUnanswered = now
 	}
 }
 
-// Unheard says that workers report and nothing sent to them arrives.
+// Unheard reports a send partition: workers send heartbeats, and nothing sent to them arrives.
 func (o *Monitor) Unheard(now time.Time) bool {
 	return o.unanswered >= minUnanswered && now.Sub(o.firstUnanswered) > minSilence && now.Sub(o.resumedAt) > minSilence
 }
 
-// HeartbeatReceived notes a report of any worker, whatever its answer.
+// HeartbeatReceived records a heartbeat of any worker, whatever the answer to it.
 func (o *Monitor) HeartbeatReceived(now time.Time) { o.lastHeartbeat = now }
 
-// Ran notes that the controller runs. After it has stood still it has heard
-// nothing for that reason alone.
+// Ran records that the controller runs. A pause explains the silence during it.
 func (o *Monitor) Ran(now time.Time) {
 	if now.Sub(o.lastRun) > pauseThreshold {
 		o.resumedAt = now
@@ -67,9 +66,9 @@
 	o.lastRun = now
 }
 
-// ReceivesNothing says that so many machines, each of which reports at least once in the
-// time every, can't all have been silent since the last report by chance. What
-// was before since does not count.
+// ReceivesNothing reports a receive partition: machines that each send a heartbeat at least
+// once per interval can't all have been silent since the last heartbeat by chance. Nothing
+// from before since counts.
 func (o *Monitor) ReceivesNothing(now, since time.Time, machines int, interval time.Duration) bool {
 	if machines < 2 {
 		return false
@@ -82,13 +81,15 @@
 	return now.Sub(since) > max(minSilence, minMissedHeartbeats*interval/time.Duration(machines))
 }
 
-// ReroutedMachines are the machines that were sent to another controller.
+// ReroutedMachines tracks the machines that were rerouted to other controllers. The zero value
+// is ready.
 type ReroutedMachines struct {
 	reroutes map[string]reroute
 }
 
-// A machine that comes again may not have heard where it was sent, or a copy of an old
-// report of it has come. So it counts only once it has itself answered a question since.
+// reroute is the last reroute of one machine. A machine that reappears may not have received
+// where it was sent, or an old copy of its heartbeat may have come. So it counts only once it
+// has answered a probe since.
 type reroute struct {
 	to           string
 	lastSent     time.Time
@@ -98,8 +99,8 @@
 	answeredAt   time.Time
 }
 
-// Rerouted notes that a machine was sent to a controller, and says whether to ask it if it
-// hears. One that was sent there before, not long ago, has come back.
+// Rerouted records that a machine was rerouted to a controller, and reports whether to probe
+// the machine. One that was sent there before, not long ago, has reappeared.
 func (s *ReroutedMachines) Rerouted(now time.Time, machine, to string) (probe bool) {
 	if s.reroutes == nil {
 		s.reroutes = map[string]reroute{}
@@ -130,10 +131,10 @@
 	return probe
 }
 
-// probeEvery separates two questions to a machine that came back.
+// probeEvery is the least time between two probes of a machine that reappeared.
 const probeEvery = 3 * time.Second
 
-// ProbeAnswered notes that a machine which came back answered a question.
+// ProbeAnswered records that a machine which reappeared answered a probe.
 func (s *ReroutedMachines) ProbeAnswered(now time.Time, machine string) {
 	if x, ok := s.reroutes[machine]; ok {
 		x.answeredAt = now
@@ -141,8 +142,8 @@
 	}
 }
 
-// CountReappeared counts the machines that lately came back from a controller, though they hear
-// what is sent to them.
+// CountReappeared counts the machines that recently reappeared from a controller though they
+// receive what is sent to them.
 func (s *ReroutedMachines) CountReappeared(now time.Time, from string) int {
 	count := 0
 	for _, x := range s.reroutes {
--- a/internal/selfmonitor/selfmonitor_test.go
+++ b/internal/selfmonitor/selfmonitor_test.go
@@ -10,71 +10,71 @@
 
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
-// TestReceivesNothing guards against giving up a share for a silence that chance, a pause of
-// the process itself or the takeover explain.
+// TestReceivesNothing guards against giving up a shard for a silence that chance, a pause of
+// the process itself or a failover explains.
 func TestReceivesNothing(t *testing.T) {
 	const every = 10 * time.Second
 	for _, c := range []struct {
-		name     string
-		machines int
-		heard    float64
-		still    bool
-		since    float64
-		now      float64
-		want     bool
+		name      string
+		machines  int
+		lastHeard float64
+		paused    bool
+		since     float64
+		now       float64
+		want      bool
 	}{
 		{"many machines, a short silence", 1000, 100, false, 0, 102.9, false},
 		{"many machines, silent for seconds", 1000, 100, false, 0, 103.1, true},
-		{"few machines report seldom", 4, 100, false, 0, 119, false},
+		{"few machines, a silence within chance", 4, 100, false, 0, 119, false},
 		{"few machines, silent for long", 4, 100, false, 0, 121, true},
 		{"one machine proves nothing", 1, 100, false, 0, 500, false},
-		{"the process stood still", 1000, 100, true, 0, 110, false},
-		{"it has only just taken over", 1000, 100, false, 109, 110, false},
+		{"the process was paused", 1000, 100, true, 0, 110, false},
+		{"failover has only just ended", 1000, 100, false, 109, 110, false},
 	} {
 		var o Monitor
 		for s := 0.0; s <= c.now; s += 0.5 {
-			if c.still && s > c.heard && s < c.now-1 {
+			if c.paused && s > c.lastHeard && s < c.now-1 {
 				continue
 			}
 			o.Ran(at(s))
-			if s == c.heard {
+			if s == c.lastHeard {
 				o.HeartbeatReceived(at(s))
 			}
 		}
 		if got := o.ReceivesNothing(at(c.now), at(c.since), c.machines, every); got != c.want {
-			t.Errorf("%s: deaf %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: ReceivesNothing: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestReroutedMachines: only machines that come back after a while count, each once.
+// TestReroutedMachines: only machines that reappear after a while count, each once.
 func TestReroutedMachines(t *testing.T) {
 	var s ReroutedMachines
 	s.Rerouted(at(0), "vm-1", "a")
-	s.Rerouted(at(0.3), "vm-1", "a") // a doubled report
+	s.Rerouted(at(0.3), "vm-1", "a") // a duplicated heartbeat
 	if count := s.CountReappeared(at(1), "a"); count != 0 {
-		t.Errorf("a doubled report counts as %d back", count)
+		t.Errorf("duplicated heartbeat: got %d reappeared, want 0", count)
 	}
 	for i := range 5 {
 		s.Rerouted(at(5*float64(i)), "vm-1", "a")
 	}
 	if count := s.CountReappeared(at(20), "a"); count != 0 {
-		t.Errorf("one that may not hear where it is sent counts as %d back", count)
+		t.Errorf("machine that answered no probe: got %d reappeared, want 0", count)
 	}
 	s.ProbeAnswered(at(20), "vm-1")
 	s.Rerouted(at(20), "vm-2", "a")
 	s.Rerouted(at(20), "vm-3", "b")
 	s.Rerouted(at(25), "vm-3", "a") // there is another owner now
 	if count := s.CountReappeared(at(25), "a"); count != 1 {
-		t.Errorf("%d back, want 1", count)
+		t.Errorf("got %d reappeared, want 1", count)
 	}
 	if count := s.CountReappeared(at(60), "a"); count != 0 {
-		t.Errorf("%d back after a long time, want none", count)
+		t.Errorf("after a long time: got %d reappeared, want 0", count)
 	}
 	for i := range 3 * maxTracked {
 		s.Rerouted(at(100+float64(i)/1000), fmt.Sprint("vm-", i), "a")
 	}
 	if len(s.reroutes) > maxTracked {
-		t.Errorf("%d machines are kept in mind", len(s.reroutes))
+		t.Errorf("got %d machines tracked, want maxTracked at most", len(s.reroutes))
 	}
 }
