--- a/internal/sizelimit/sizelimit.go
+++ b/internal/sizelimit/sizelimit.go
@@ -1,8 +1,8 @@
-// Package sizelimit says how large things are before they leave: the state service,
-// the workers and the other controllers have limits, and whatever passes one is
-// refused there as malformed, again and again. The protocol counts a body in its
-// JSON form; here that is reckoned from the MessagePack that is sent, as an upper
-// bound, without building the JSON.
+// Package sizelimit measures messages and transactions before they are sent: the state
+// service, the workers and the other controllers have limits, and refuse whatever exceeds one
+// as malformed, again and again. The protocol counts a body in its JSON form; the package
+// computes an upper bound of that from the MessagePack that is sent, without building the
+// JSON.
 package sizelimit
 
 import (
@@ -16,26 +16,26 @@
 )
 
 const (
-	// MaxKeyBytes is the longest key of the state service, in bytes.
+	// MaxKeyBytes is the longest key that the state service takes, in bytes.
 	MaxKeyBytes = 200
-	// MaxTxnBytes is the most that one transaction may take, in bytes of JSON.
+	// MaxTxnBytes is the largest transaction, in bytes of JSON.
 	MaxTxnBytes = 64 << 10
-	// MaxBodyBytes is the most that a body to or from workers and users may take.
+	// MaxBodyBytes is the largest body to or from workers and users, in bytes of JSON.
 	MaxBodyBytes = 64 << 10
-	// ComparesPerOp is how many conditions a transaction may have for each change.
+	// ComparesPerOp is how many compares a transaction may have for each operation.
 	ComparesPerOp = 4
-	// separatorBytes is what JSON puts between two values, or after a key, with the space
-	// that some writers add.
+	// separatorBytes is what JSON has between two values, or after a key, with the space that
+	// some encoders add.
 	separatorBytes = 2
-	// maxDepth bounds how deep values may be nested.
+	// maxDepth bounds the nesting of values.
 	maxDepth = 64
 )
 
-// ErrValue says that bytes are not one MessagePack value without binary parts.
-var ErrValue = errors.New("bounds: not a value")
+// ErrValue means that bytes are not one MessagePack value without binary parts.
+var ErrValue = errors.New("sizelimit: not a value")
 
-// JSON is an upper bound for the length, in bytes, that a MessagePack value has as
-// JSON: with spaces after commas and colons, and with all but ASCII escaped.
+// JSON returns an upper bound of the length, in bytes, of a MessagePack value as JSON: with
+// spaces after commas and colons, and all but ASCII escaped. The error is ErrValue.
 func JSON(b []byte) (int, error) {
 	n, rest, err := valueSize(b, 0)
 	if err == nil && len(rest) > 0 {
@@ -61,6 +61,11 @@
 	case c&0xe0 == 0xa0:
 		return textSize(b, int(c&0x1f))
 	}
+	return typedSize(c, b, depth)
+}
+
+// typedSize measures a value whose first byte c names its type, and b follows it.
+func typedSize(c byte, b []byte, depth int) (int, []byte, error) {
 	switch c {
 	case 0xc0:
 		return len("null"), b, nil
@@ -74,7 +79,7 @@
 		if c == 0xca {
 			f = float64(math.Float32frombits(uint32(u)))
 		}
-		// One writer has an exponent where another has digits, or adds ".0".
+		// Some encoders write an exponent where others write digits, or append ".0".
 		return max(len(strconv.FormatFloat(f, 'g', -1, 64)), len(strconv.FormatFloat(f, 'f', -1, 64))) + 2, b, err
 	case 0xcc, 0xcd, 0xce, 0xcf:
 		u, b, err := readUint(b, 1<<(c-0xcc))
@@ -83,29 +88,27 @@
 		_, b, err := readUint(b, 1<<(c-0xd0))
 		return [...]int{4, 6, 11, 20}[c-0xd0], b, err
 	case 0xd9, 0xda, 0xdb:
-		u, b, err := readUint(b, 1<<(c-0xd9))
+		n, b, err := readUint(b, 1<<(c-0xd9))
 		if err != nil {
 			return 0, nil, err
 		}
-		return textSize(b, int(u))
-	case 0xdc, 0xdd:
-		u, b, err := readUint(b, 2<<(c-0xdc))
+		return textSize(b, int(n))
+	case 0xdc, 0xdd, 0xde, 0xdf:
+		// Arrays, then maps, each with a length of two or four bytes.
+		n, b, err := readUint(b, 2<<((c-0xdc)%2))
 		if err != nil {
 			return 0, nil, err
 		}
-		return sequenceSize(b, int(u), depth)
-	case 0xde, 0xdf:
-		u, b, err := readUint(b, 2<<(c-0xde))
-		if err != nil {
-			return 0, nil, err
+		if c >= 0xde {
+			n *= 2
 		}
-		return sequenceSize(b, 2*int(u), depth)
+		return sequenceSize(b, int(n), depth)
 	}
 	return 0, nil, ErrValue
 }
 
-// sequenceSize is so many values with brackets round them. A map's keys and values
-// count alike: a colon with a space takes no more than a comma with one.
+// sequenceSize measures count values in brackets. A map's keys and values count alike: a colon
+// with a space takes no more than a comma with one.
 func sequenceSize(b []byte, count, depth int) (int, []byte, error) {
 	if count > len(b) {
 		return 0, nil, ErrValue
@@ -128,7 +131,7 @@
 	return StringSize(string(b[:n])), b[n:], nil
 }
 
-// StringSize is an upper bound for a string's length as JSON.
+// StringSize returns an upper bound of a string's length as JSON, in bytes.
 func StringSize(s string) int {
 	n := 2
 	for _, r := range s {
@@ -163,52 +166,59 @@
 	return n
 }
 
-// Limits are those of the state service.
+// Limits are the configurable limits of the state service.
 type Limits struct {
-	// ValueBytes is the most for one value, in bytes of JSON, and Ops the most puts
-	// and removals in a transaction.
+	// ValueBytes bounds one value, in bytes of JSON; Ops bounds the puts and deletes of a
+	// transaction.
 	ValueBytes int
 	Ops        int
 }
 
-// Write is a put of a value, or a removal when Value is nil.
+// Write puts a value, or deletes the key if Value is nil.
 type Write struct {
 	Key   string
 	Value []byte
 }
 
-// writeOverhead and compareOverhead are what the JSON form of a change and of a condition
-// take beside key and value, at most: names, braces, a grant or a stamp.
+// writeOverhead and compareOverhead bound what the JSON form of a write and of a compare takes
+// beside key and value: field names, braces, a lease or a mod revision.
 const (
 	writeOverhead   = len(`{"put": , "value": , "permit": 18446744073709551615}, `)
 	compareOverhead = len(`{"key": , "stamp": 18446744073709551615}, `)
 	txnOverhead     = len(`{"when": [], "apply": []}`)
 )
 
-// WriteBytes and CompareBytes are what a change and a condition take of a
-// transaction. A value that is none counts as passing every limit.
-func WriteBytes(c Write) int {
-	n := 0
-	if c.Value != nil {
-		var err error
-		if n, err = JSON(c.Value); err != nil {
-			return math.MaxInt32
-		}
+// WriteBytes returns what a write takes of a transaction, in bytes. A malformed value counts
+// as exceeding every limit.
+func WriteBytes(w Write) int {
+	n, err := w.valueBytes()
+	if err != nil {
+		return math.MaxInt32
 	}
-	return writeOverhead + StringSize(c.Key) + n
+	return w.overheadBytes() + n
 }
 
-// CompareBytes is what a condition on a key takes of a transaction.
+// valueBytes bounds the value's length as JSON; a delete has none.
+func (w Write) valueBytes() (int, error) {
+	if w.Value == nil {
+		return 0, nil
+	}
+	return JSON(w.Value)
+}
+
+func (w Write) overheadBytes() int { return writeOverhead + StringSize(w.Key) }
+
+// CompareBytes returns what a compare of a key takes of a transaction, in bytes.
 func CompareBytes(key string) int { return compareOverhead + StringSize(key) }
 
-// CheckTxn says what is wrong with a transaction, or nothing: an error names the limit,
-// the key and the size.
+// CheckTxn returns an error if a transaction exceeds a limit. It names the limit, the key and
+// the size.
 func (l Limits) CheckTxn(compares []string, writes []Write) error {
 	if len(writes) > l.Ops {
-		return fmt.Errorf("bounds: %d changes in a transaction, at most %d are allowed", len(writes), l.Ops)
+		return fmt.Errorf("sizelimit: %d changes in a transaction: limit %d", len(writes), l.Ops)
 	}
 	if maxCompares := ComparesPerOp * l.Ops; len(compares) > maxCompares {
-		return fmt.Errorf("bounds: %d conditions in a transaction, at most %d are allowed", len(compares), maxCompares)
+		return fmt.Errorf("sizelimit: %d conditions in a transaction: limit %d", len(compares), maxCompares)
 	}
 	total := txnOverhead
 	for _, k := range compares {
@@ -221,29 +231,27 @@
 		if err := checkKey(write.Key); err != nil {
 			return err
 		}
-		if write.Value != nil {
-			n, err := JSON(write.Value)
-			if err != nil {
-				return fmt.Errorf("bounds: key %s: %w", write.Key, err)
-			}
-			if n > l.ValueBytes {
-				return fmt.Errorf("bounds: key %s: a value of %d bytes, at most %d are allowed", write.Key, n, l.ValueBytes)
-			}
+		n, err := write.valueBytes()
+		if err != nil {
+			return fmt.Errorf("sizelimit: key %s: %w", write.Key, err)
+		}
+		if n > l.ValueBytes {
+			return fmt.Errorf("sizelimit: key %s: a value of %d bytes: limit %d", write.Key, n, l.ValueBytes)
 		}
-		total += WriteBytes(write)
+		total += write.overheadBytes() + n
 	}
 	if total > MaxTxnBytes {
-		return fmt.Errorf("bounds: a transaction of %d bytes, at most %d are allowed", total, MaxTxnBytes)
+		return fmt.Errorf("sizelimit: a transaction of %d bytes: limit %d", total, MaxTxnBytes)
 	}
 	return nil
 }
 
 func checkKey(k string) error {
 	if k == "" || len(k) > MaxKeyBytes {
-		return fmt.Errorf("bounds: a key of %d bytes, 1 to %d are allowed", len(k), MaxKeyBytes)
+		return fmt.Errorf("sizelimit: a key of %d bytes: want 1 to %d", len(k), MaxKeyBytes)
 	}
 	if strings.ContainsAny(k, " \t\r\n") {
-		return fmt.Errorf("bounds: key %q has a space in it", k)
+		return fmt.Errorf("sizelimit: key %q has a space in it", k)
 	}
 	return nil
 }
--- a/internal/sizelimit/sizelimit_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyValue draws what a record may hold.
+// anyValue draws what a record may contain.
 func anyValue(depth int) *rapid.Generator[any] {
 	leaf := rapid.OneOf(
 		rapid.Just[any](nil), rapid.Bool().AsAny(), rapid.Int64().AsAny(), rapid.Uint64().AsAny(), rapid.Int8().AsAny(),
@@ -27,8 +27,7 @@
 		rapid.MapOfN(rapid.StringN(0, 12, 24), anyValue(depth-1), 0, 20).AsAny())
 }
 
-// TestJSONIsAnUpperBound: nothing that passes here is longer on the other side,
-// whichever way that side writes JSON.
+// TestJSONIsAnUpperBound: no receiver counts more bytes, however it encodes JSON.
 func TestJSONIsAnUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := anyValue(3).Draw(t, "value")
@@ -45,8 +44,8 @@
 			t.Fatal(err)
 		}
 		spaced, _ := json.MarshalIndent(v, "", "")
-		// Indented, each comma and bracket has a line's end with it; an ASCII form
-		// writes every other character as an escape.
+		// Indented JSON has a line end after each comma and bracket; an ASCII encoder escapes
+		// every other character.
 		escaped := len(compact)
 		for _, r := range string(compact) {
 			if r > 0x7f {
@@ -54,25 +53,25 @@
 			}
 		}
 		want := max(len(compact), escaped, len(strings.ReplaceAll(string(spaced), "\n", " "))-strings.Count(string(spaced), "[")-strings.Count(string(spaced), "{"))
-		// Go escapes <, > and & as no other does.
+		// Only Go escapes <, > and &.
 		want -= 5 * (strings.Count(string(compact), `\u003c`) + strings.Count(string(compact), `\u003e`) + strings.Count(string(compact), `\u0026`))
 		if n < want {
-			t.Fatalf("%d bytes are reckoned, JSON takes %d: %s", n, want, compact)
+			t.Fatalf("JSON: got a bound of %d bytes, want at least %d: %s", n, want, compact)
 		}
 	})
 }
 
-// TestJSONOfAnything: what is not a value is an error, never a panic.
+// TestJSONOfAnything: what is not a value gives an error, never a panic.
 func TestJSONOfAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, err := JSON(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
 		if err == nil && n <= 0 {
-			t.Fatal("a value without length")
+			t.Fatal("JSON: got no length and no error")
 		}
 	})
 }
 
-// TestCheckTxn: each limit is named when it is passed.
+// TestCheckTxn: the error names the limit that is exceeded.
 func TestCheckTxn(t *testing.T) {
 	l := Limits{ValueBytes: 100, Ops: 2}
 	valueOf := func(n int) []byte {
@@ -84,10 +83,10 @@
 	}
 	put := func(k string, n int) []Write { return []Write{{k, valueOf(n)}} }
 	for _, c := range []struct {
-		what  string
-		when  []string
-		apply []Write
-		says  string
+		name     string
+		compares []string
+		writes   []Write
+		want     string
 	}{
 		{"fits", []string{"a/b"}, put("a/b", 80), ""},
 		{"value", nil, put("a/b", 100), "key a/b: a value of"},
@@ -97,13 +96,13 @@
 		{"space", nil, put("a b", 1), "has a space"},
 		{"binary", nil, []Write{{"a", []byte{0xc4, 1, 0}}}, "not a value"},
 	} {
-		err := l.CheckTxn(c.when, c.apply)
-		if c.says == "" != (err == nil) || err != nil && !strings.Contains(err.Error(), c.says) {
-			t.Errorf("%s: %v, want %q", c.what, err, c.says)
+		err := l.CheckTxn(c.compares, c.writes)
+		if c.want == "" != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: got error %v, want %q", c.name, err, c.want)
 		}
 	}
 	unlimited := Limits{ValueBytes: math.MaxInt32, Ops: 100}
 	if err := unlimited.CheckTxn(nil, put("a", MaxTxnBytes)); err == nil || !strings.Contains(err.Error(), "a transaction of") {
-		t.Errorf("a large transaction: %v", err)
+		t.Errorf("large transaction: got error %v, want its size", err)
 	}
 }
