--- a/internal/faultattribution/tracker.go
+++ b/internal/faultattribution/tracker.go
@@ -1,8 +1,8 @@
-// Package faultattribution tells a machine that fails whatever runs on it from a job that fails
-// wherever it runs. One failure says neither. What is counted are distinct machines
-// for a job and distinct jobs for a machine, and what was done in spite of it: a task
-// that is done elsewhere shows that the machine was at fault, and a machine that gets
-// other work done is not faulty. The package has no clock and sends nothing.
+// Package faultattribution tells a machine that fails whatever runs on it from a job that
+// fails wherever it runs. One failure proves neither. The package counts distinct machines for
+// a job and distinct jobs for a machine, and successes in spite of a failure: a task that
+// succeeds elsewhere shows that the machine was at fault, and a machine on which other work
+// succeeds is not faulty. The package has no clock and sends nothing.
 package faultattribution
 
 import (
@@ -11,40 +11,42 @@
 )
 
 const (
-	// jobFaultMachines is on how many machines a job or a task must have failed, with
-	// nothing of it done, before the fault counts as its own. Faulty machines are
-	// rare; that one job meets three of them in a row and no sound one is rarer.
+	// jobFaultMachines is on how many machines a job or a task must have failed, without any
+	// success, before the fault counts as its own. Faulty machines are rare; that one job
+	// meets three of them in a row and no healthy one is rarer.
 	jobFaultMachines = 3
-	// machineFaultJobs is how many jobs, none of them at fault by itself, must have failed
-	// on a machine that got nothing else done meanwhile, before it counts as faulty
-	// though none of them was done elsewhere yet.
+	// machineFaultJobs is how many jobs, none of them at fault by itself, must have failed on
+	// a machine without any success there meanwhile, before it counts as faulty though none of
+	// them has succeeded elsewhere yet.
 	machineFaultJobs = 2
-	// minPause is how long a job that fails everywhere waits before one of its
-	// tasks is tried again; it doubles up to maxPause. It is never given up: its
-	// user may mend what it needs, and only its user may end it.
-	minPause = 2 * time.Second
-	maxPause = 2 * time.Minute
+	// minBackoff is the backoff of a job that fails everywhere before one of its tasks is
+	// retried; it doubles up to maxBackoff. The job is never given up: its user may repair what
+	// it needs, and only its user may end it.
+	minBackoff = 2 * time.Second
+	maxBackoff = 2 * time.Minute
 )
 
-// Tracker is the account of failures. The zero value is empty and ready.
+// Tracker attributes failures to jobs or machines. The zero value is empty and ready. It is
+// not safe for concurrent use.
 type Tracker struct {
 	jobs     map[string]*jobRecord
 	machines map[string]*machineRecord
 }
 
 type jobRecord struct {
-	// failedMachines are the machines on which tasks of it failed, up to jobFaultMachines, and
-	// tasks those of each task that is not done.
+	// failedMachines are the machines on which tasks of the job failed, up to
+	// jobFaultMachines; taskFailedMachines are the same for each task that has not succeeded.
 	failedMachines     []string
 	taskFailedMachines map[int][]string
-	// done: some task of it was done. tries counts failures since it is broken.
+	// hasSucceeded: some task has succeeded. failures counts the failures since the job fails
+	// everywhere.
 	hasSucceeded bool
 	failures     int
 }
 
 type machineRecord struct {
-	// failedJobs are those that failed here and have no fault of their own, since it last
-	// got anything done; proven: something that failed here was done elsewhere.
+	// failedJobs are the jobs not at fault that failed here since anything last succeeded
+	// here; provenFaulty: something that failed here succeeded elsewhere.
 	failedJobs   map[string]bool
 	provenFaulty bool
 }
@@ -53,59 +55,66 @@
 	return !j.hasSucceeded && len(j.failedMachines) >= jobFaultMachines
 }
 
-// exoneratesMachine says that a failure of the task says nothing of the machine.
+// exoneratesMachine reports whether a failure of the task says nothing of the machine.
 func (j *jobRecord) exoneratesMachine(index int) bool {
 	return j.failsEverywhere() || len(j.taskFailedMachines[index]) >= jobFaultMachines
 }
 
-// TaskFailed takes in that a task of a job failed on a machine. It names the machines of
-// which is thought otherwise now.
-func (b *Tracker) TaskFailed(id string, index int, host string) (changed []string) {
-	j := b.jobRecord(id)
+// TaskFailed records that a task of a job failed on a machine. It returns the machines whose
+// IsFaulty has changed.
+func (t *Tracker) TaskFailed(id string, index int, host string) (changed []string) {
+	j := t.jobRecord(id)
 	if len(j.failedMachines) < jobFaultMachines && !slices.Contains(j.failedMachines, host) {
 		j.failedMachines = append(j.failedMachines, host)
 	}
-	if t := j.taskFailedMachines[index]; len(t) < jobFaultMachines && !slices.Contains(t, host) {
-		j.taskFailedMachines[index] = append(t, host)
+	if failed := j.taskFailedMachines[index]; len(failed) < jobFaultMachines && !slices.Contains(failed, host) {
+		j.taskFailedMachines[index] = append(failed, host)
 	}
 	if j.failsEverywhere() {
 		j.failures++
 	}
 	if !j.exoneratesMachine(index) {
-		m := b.machines[host]
-		if m == nil {
-			m = &machineRecord{failedJobs: map[string]bool{}}
-			b.machines[host] = m
-		}
-		return b.updateFault(host, func() { m.failedJobs[id] = true })
+		m := t.machineRecord(host)
+		return t.updateFault(host, func() { m.failedJobs[id] = true })
 	}
-	// What was held against the machines for its sake counts no more.
+	// Failures of this job no longer count against the machines.
 	for _, machine := range append(slices.Clone(j.failedMachines), j.taskFailedMachines[index]...) {
-		if m := b.machines[machine]; m != nil && m.failedJobs[id] && !j.otherTaskFailedOn(index, machine) {
-			changed = append(changed, b.updateFault(machine, func() { delete(m.failedJobs, id) })...)
+		if m := t.machines[machine]; m != nil && m.failedJobs[id] && !j.otherTaskFailedOn(index, machine) {
+			changed = append(changed, t.updateFault(machine, func() { delete(m.failedJobs, id) })...)
 		}
 	}
 	return changed
 }
 
-// jobRecord is the account of a job, opened with its first failure.
-func (b *Tracker) jobRecord(id string) *jobRecord {
-	if b.jobs == nil {
-		b.jobs, b.machines = map[string]*jobRecord{}, map[string]*machineRecord{}
+// jobRecord returns the record of a job, created at its first failure.
+func (t *Tracker) jobRecord(id string) *jobRecord {
+	if t.jobs == nil {
+		t.jobs, t.machines = map[string]*jobRecord{}, map[string]*machineRecord{}
 	}
-	j := b.jobs[id]
+	j := t.jobs[id]
 	if j == nil {
 		j = &jobRecord{taskFailedMachines: map[int][]string{}}
-		b.jobs[id] = j
+		t.jobs[id] = j
 	}
 	return j
 }
 
-// MarkJobWorks takes in, before a failure, that some task of the job is done, whenever and
-// under whichever owner: such a job does not fail everywhere.
-func (b *Tracker) MarkJobWorks(id string) { b.jobRecord(id).hasSucceeded = true }
+// machineRecord returns the record of a machine, created at the first failure there.
+func (t *Tracker) machineRecord(host string) *machineRecord {
+	m := t.machines[host]
+	if m == nil {
+		m = &machineRecord{failedJobs: map[string]bool{}}
+		t.machines[host] = m
+	}
+	return m
+}
 
-// otherTaskFailedOn says that another task of the job, not excused, failed on the machine.
+// MarkJobWorks records, before a failure, that some task of the job has succeeded at any time
+// and under any shard leader: such a job does not fail everywhere.
+func (t *Tracker) MarkJobWorks(id string) { t.jobRecord(id).hasSucceeded = true }
+
+// otherTaskFailedOn reports whether another task of the job failed on the machine without
+// exonerating it.
 func (j *jobRecord) otherTaskFailedOn(index int, host string) bool {
 	for i, machines := range j.taskFailedMachines {
 		if i != index && !j.exoneratesMachine(i) && slices.Contains(machines, host) {
@@ -115,74 +124,71 @@
 	return false
 }
 
-// updateFault makes a change and names the machine if it is thought of otherwise then.
-func (b *Tracker) updateFault(host string, change func()) []string {
-	was := b.IsFaulty(host)
+// updateFault makes a change, and returns the machine if its IsFaulty has changed.
+func (t *Tracker) updateFault(host string, change func()) []string {
+	was := t.IsFaulty(host)
 	change()
-	if b.IsFaulty(host) == was {
+	if t.IsFaulty(host) == was {
 		return nil
 	}
 	return []string{host}
 }
 
-// TaskDone takes in that a task of a job was done on a machine. It names the machines of
-// which is thought otherwise now: those on which it had failed were at fault, unless
-// it failed in so many places that the task itself is the likelier cause.
-func (b *Tracker) TaskDone(id string, index int, host string) (changed []string) {
-	if m := b.machines[host]; m != nil && len(m.failedJobs) > 0 {
-		changed = b.updateFault(host, func() { clear(m.failedJobs) })
+// TaskDone records that a task of a job succeeded on a machine. It returns the machines whose
+// IsFaulty has changed: those on which the task had failed were at fault, unless it failed on
+// so many that the task itself is the likelier cause.
+func (t *Tracker) TaskDone(id string, index int, host string) (changed []string) {
+	if m := t.machines[host]; m != nil && len(m.failedJobs) > 0 {
+		changed = t.updateFault(host, func() { clear(m.failedJobs) })
 	}
-	j := b.jobs[id]
+	j := t.jobs[id]
 	if j == nil {
 		return changed
 	}
 	j.hasSucceeded, j.failures = true, 0
 	if failedMachines := j.taskFailedMachines[index]; len(failedMachines) < jobFaultMachines {
 		for _, machine := range failedMachines {
-			m := b.machines[machine]
 			if machine == host {
 				continue
 			}
-			if m == nil {
-				m = &machineRecord{failedJobs: map[string]bool{}}
-				b.machines[machine] = m
-			}
-			changed = append(changed, b.updateFault(machine, func() { m.provenFaulty = true })...)
+			m := t.machineRecord(machine)
+			changed = append(changed, t.updateFault(machine, func() { m.provenFaulty = true })...)
 		}
 	}
 	delete(j.taskFailedMachines, index)
 	return changed
 }
 
-// FailsEverywhere says that a job fails wherever it runs.
-func (b *Tracker) FailsEverywhere(id string) bool {
-	j := b.jobs[id]
+// FailsEverywhere reports whether a job fails wherever it runs.
+func (t *Tracker) FailsEverywhere(id string) bool {
+	j := t.jobs[id]
 	return j != nil && j.failsEverywhere()
 }
 
-// RetryBackoff is how long a job that fails everywhere waits for its next try.
-func (b *Tracker) RetryBackoff(id string) time.Duration {
-	if !b.FailsEverywhere(id) {
+// RetryBackoff returns how long a job that fails everywhere waits for its next attempt; 0 for
+// other jobs.
+func (t *Tracker) RetryBackoff(id string) time.Duration {
+	if !t.FailsEverywhere(id) {
 		return 0
 	}
-	backoff := minPause
-	for range b.jobs[id].failures - 1 {
-		if backoff *= 2; backoff >= maxPause {
-			return maxPause
+	backoff := minBackoff
+	for range t.jobs[id].failures - 1 {
+		if backoff *= 2; backoff >= maxBackoff {
+			return maxBackoff
 		}
 	}
 	return backoff
 }
 
-// IsFaulty says that a machine fails what runs on it.
-func (b *Tracker) IsFaulty(host string) bool {
-	m := b.machines[host]
+// IsFaulty reports whether a machine fails what runs on it.
+func (t *Tracker) IsFaulty(host string) bool {
+	m := t.machines[host]
 	return m != nil && (m.provenFaulty || len(m.failedJobs) >= machineFaultJobs)
 }
 
-// ForgetJob forgets a job. What was held against machines for its sake stands, unless
-// it failed everywhere.
-func (b *Tracker) ForgetJob(id string) { delete(b.jobs, id) }
+// ForgetJob drops a job. Its failures still count against machines, unless it failed
+// everywhere.
+func (t *Tracker) ForgetJob(id string) { delete(t.jobs, id) }
 
-// ForgetMachine forgets a machine.
-func (b *Tracker) ForgetMachine(host string) { delete(b.machines, host) }
+// ForgetMachine drops a machine.
+func (t *Tracker) ForgetMachine(host string) { delete(t.machines, host) }
--- a/internal/faultattribution/tracker_test.go
+++ b/internal/faultattribution/tracker_test.go
@@ -10,127 +10,130 @@
 	"pgregory.net/rapid"
 )
 
-// TestJobsFailingEverywhere: jobs that fail everywhere are told as such on three machines, and
-// no machine is held to be faulty for their sake, however many there are.
+// TestJobsFailingEverywhere: jobs that fail everywhere are recognized after three machines,
+// and count against no machine, however many there are.
 func TestJobsFailingEverywhere(t *testing.T) {
-	var b Tracker
+	var tracker Tracker
 	for k := range 20 {
 		id := fmt.Sprint("job", k)
 		for i := range 5 {
-			b.TaskFailed(id, i, fmt.Sprint("vm", i))
+			tracker.TaskFailed(id, i, fmt.Sprint("vm", i))
 		}
-		if !b.FailsEverywhere(id) {
-			t.Errorf("%s is not told", id)
+		if !tracker.FailsEverywhere(id) {
+			t.Errorf("FailsEverywhere(%s): got false, want true", id)
 		}
 	}
 	for i := range 5 {
-		if b.IsFaulty(fmt.Sprint("vm", i)) {
-			t.Errorf("vm%d is held to be faulty", i)
+		if tracker.IsFaulty(fmt.Sprint("vm", i)) {
+			t.Errorf("IsFaulty(vm%d): got true, want false", i)
 		}
 	}
 }
 
-// TestFaultyMachineAmongFailingJobs: a machine that fails all is found among jobs that do.
+// TestFaultyMachineAmongFailingJobs: a machine that fails everything is recognized among jobs
+// that do.
 func TestFaultyMachineAmongFailingJobs(t *testing.T) {
-	var b Tracker
+	var tracker Tracker
 	for i, at := range []string{"bad", "vm1", "vm2"} {
-		b.TaskFailed("broken", i, at)
+		tracker.TaskFailed("broken", i, at)
 	}
-	b.TaskFailed("sound", 0, "bad")
-	if b.IsFaulty("bad") {
-		t.Error("one failure of a sound job is no proof")
+	tracker.TaskFailed("sound", 0, "bad")
+	if tracker.IsFaulty("bad") {
+		t.Error("IsFaulty after one failure of a healthy job: got true, want false")
 	}
-	if got := b.TaskDone("sound", 0, "vm1"); !slices.Equal(got, []string{"bad"}) || !b.IsFaulty("bad") {
-		t.Errorf("done elsewhere, changed %v", got)
+	if got := tracker.TaskDone("sound", 0, "vm1"); !slices.Equal(got, []string{"bad"}) || !tracker.IsFaulty("bad") {
+		t.Errorf("after a success elsewhere: got changed %v, want bad as faulty", got)
 	}
-	// And without waiting for that, when two jobs fail there and nothing is done.
-	b.TaskFailed("one", 0, "worse")
-	if got := b.TaskFailed("two", 0, "worse"); !slices.Equal(got, []string{"worse"}) {
-		t.Errorf("changed %v", got)
+	// And without waiting for that, when two jobs fail there and nothing succeeds.
+	tracker.TaskFailed("one", 0, "worse")
+	if got := tracker.TaskFailed("two", 0, "worse"); !slices.Equal(got, []string{"worse"}) {
+		t.Errorf("got changed %v, want worse", got)
 	}
 	// One of them turns out to fail everywhere.
-	b.TaskFailed("two", 1, "vm1")
-	if got := b.TaskFailed("two", 2, "vm2"); !slices.Equal(got, []string{"worse"}) || b.IsFaulty("worse") {
-		t.Errorf("changed %v", got)
+	tracker.TaskFailed("two", 1, "vm1")
+	if got := tracker.TaskFailed("two", 2, "vm2"); !slices.Equal(got, []string{"worse"}) || tracker.IsFaulty("worse") {
+		t.Errorf("got changed %v, want worse", got)
 	}
 }
 
-// TestSucceededBeforeFirstFailure: a job of which tasks were done before its first failure does not
-// fail everywhere, however many faulty machines it meets then: a job of 9,720 tasks,
-// most of them done, waited two minutes for its next try on a day with many of them.
+// TestSucceededBeforeFirstFailure: a job of which tasks succeeded before its first failure
+// does not fail everywhere, however many faulty machines it meets then. A job of 9,720 tasks,
+// most of them done, used to wait two minutes for its next attempt on a day with many such
+// machines.
 func TestSucceededBeforeFirstFailure(t *testing.T) {
-	var b Tracker
+	var tracker Tracker
 	for i := range 40 {
-		b.MarkJobWorks("job")
-		b.TaskFailed("job", i, fmt.Sprint("vm", i%5))
+		tracker.MarkJobWorks("job")
+		tracker.TaskFailed("job", i, fmt.Sprint("vm", i%5))
 	}
-	if b.FailsEverywhere("job") || b.RetryBackoff("job") > 0 {
-		t.Errorf("held to fail everywhere, waits %v", b.RetryBackoff("job"))
+	if tracker.FailsEverywhere("job") || tracker.RetryBackoff("job") > 0 {
+		t.Errorf("job with earlier successes: fails everywhere or backs off by %v, want neither", tracker.RetryBackoff("job"))
 	}
-	b.TaskDone("job", 3, "vm9")
-	if !b.IsFaulty("vm3") {
-		t.Error("the machine where it failed is not held to be faulty")
+	tracker.TaskDone("job", 3, "vm9")
+	if !tracker.IsFaulty("vm3") {
+		t.Error("IsFaulty(vm3) after a success elsewhere: got false, want true")
 	}
 }
 
-// TestSuccessBetweenFailures: a machine that gets work done between two failures is not faulty.
+// TestSuccessBetweenFailures: a machine on which work succeeds between two failures is not
+// faulty.
 func TestSuccessBetweenFailures(t *testing.T) {
-	var b Tracker
-	b.TaskFailed("one", 0, "vm")
-	b.TaskDone("other", 0, "vm")
-	b.TaskFailed("two", 0, "vm")
-	if b.IsFaulty("vm") {
-		t.Error("held to be faulty")
+	var tracker Tracker
+	tracker.TaskFailed("one", 0, "vm")
+	tracker.TaskDone("other", 0, "vm")
+	tracker.TaskFailed("two", 0, "vm")
+	if tracker.IsFaulty("vm") {
+		t.Error("IsFaulty: got true, want false")
 	}
 }
 
-// TestTaskFailingEverywhere: a task that fails in many places says nothing of them, though the
-// others of its job are done, and though it is done at last.
+// TestTaskFailingEverywhere: a task that fails on many machines says nothing of them, though
+// the others of its job succeed, and though it succeeds at last.
 func TestTaskFailingEverywhere(t *testing.T) {
-	var b Tracker
-	b.TaskDone("job", 0, "vm0")
+	var tracker Tracker
+	tracker.TaskDone("job", 0, "vm0")
 	for i := range 6 {
-		b.TaskFailed("job", 1, fmt.Sprint("vm", i))
+		tracker.TaskFailed("job", 1, fmt.Sprint("vm", i))
 	}
-	b.TaskFailed("job", 2, "vm5")
-	b.TaskDone("job", 1, "vm9")
+	tracker.TaskFailed("job", 2, "vm5")
+	tracker.TaskDone("job", 1, "vm9")
 	for i := range 6 {
-		if b.IsFaulty(fmt.Sprint("vm", i)) {
-			t.Errorf("vm%d is held to be faulty", i)
+		if tracker.IsFaulty(fmt.Sprint("vm", i)) {
+			t.Errorf("IsFaulty(vm%d): got true, want false", i)
 		}
 	}
-	if b.FailsEverywhere("job") {
-		t.Error("a job of which something is done is held to fail everywhere")
+	if tracker.FailsEverywhere("job") {
+		t.Error("FailsEverywhere for a job with a success: got true, want false")
 	}
 }
 
-// TestRetryBackoff grows up to its bound, and is none once something is done.
+// TestRetryBackoff: the backoff grows up to its limit, and is zero once something has
+// succeeded.
 func TestRetryBackoff(t *testing.T) {
-	var b Tracker
+	var tracker Tracker
 	last := time.Duration(0)
 	for i := range 40 {
-		b.TaskFailed("job", 0, fmt.Sprint("vm", i))
-		backoff := b.RetryBackoff("job")
-		if i < jobFaultMachines-1 && backoff != 0 || backoff < last || backoff > maxPause {
-			t.Fatalf("after %d failures it waits %v", i+1, backoff)
+		tracker.TaskFailed("job", 0, fmt.Sprint("vm", i))
+		backoff := tracker.RetryBackoff("job")
+		if i < jobFaultMachines-1 && backoff != 0 || backoff < last || backoff > maxBackoff {
+			t.Fatalf("after %d failures: got backoff %v, want a rising one up to maxBackoff", i+1, backoff)
 		}
 		last = backoff
 	}
-	if last != maxPause {
-		t.Errorf("it waits %v at last", last)
+	if last != maxBackoff {
+		t.Errorf("last backoff: got %v, want maxBackoff", last)
 	}
-	b.TaskDone("job", 0, "vm99")
-	if b.FailsEverywhere("job") || b.RetryBackoff("job") != 0 {
-		t.Error("done, it still waits")
+	tracker.TaskDone("job", 0, "vm99")
+	if tracker.FailsEverywhere("job") || tracker.RetryBackoff("job") != 0 {
+		t.Error("after a success: job still backs off")
 	}
 }
 
-// TestSoundMachinesAreNotFaulty: whatever comes in whatever order, machines that never fail a sound task
-// are not held to be faulty once every job is decided, and those that fail all are
-// found.
+// TestSoundMachinesAreNotFaulty: in whatever order results come in, machines that never fail a
+// healthy job's task are not faulty once every job is decided.
 func TestSoundMachinesAreNotFaulty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var b Tracker
+		var tracker Tracker
 		hosts := rapid.IntRange(jobFaultMachines+2, 12).Draw(t, "hosts")
 		faulty := rapid.IntRange(0, hosts-1).Draw(t, "bad")
 		jobs := rapid.IntRange(1, 12).Draw(t, "jobs")
@@ -140,19 +143,19 @@
 			for attempt := 0; attempt < 8; attempt++ {
 				at := (k + attempt) % hosts
 				if failsEverywhere || at == faulty {
-					b.TaskFailed(id, 0, fmt.Sprint("vm", at))
+					tracker.TaskFailed(id, 0, fmt.Sprint("vm", at))
 					continue
 				}
-				b.TaskDone(id, 0, fmt.Sprint("vm", at))
+				tracker.TaskDone(id, 0, fmt.Sprint("vm", at))
 				break
 			}
-			if b.FailsEverywhere(id) != failsEverywhere {
-				t.Fatalf("job %d: broken %v", k, !failsEverywhere)
+			if tracker.FailsEverywhere(id) != failsEverywhere {
+				t.Fatalf("job %d: got FailsEverywhere %v", k, !failsEverywhere)
 			}
 		}
 		for h := range hosts {
-			if h != faulty && b.IsFaulty(fmt.Sprint("vm", h)) {
-				t.Fatalf("vm%d is held to be faulty", h)
+			if h != faulty && tracker.IsFaulty(fmt.Sprint("vm", h)) {
+				t.Fatalf("IsFaulty(vm%d): got true, want false", h)
 			}
 		}
 	})
