--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,8 +1,8 @@
-// Package ratelimit divides a rate that all controllers share, such as the state
-// service's requests a second, by what each of them needs. Each tells the others what
-// it asks for, and each reckons the same division from that; where news is late two
-// views differ for a moment, and the service refuses what is too much. Nobody gets
-// less than a floor, so that one that begins to need more can say so by using more.
+// Package ratelimit divides a rate that all controllers share, such as the state service's
+// requests a second, by their demands. Each controller publishes its demand, and each computes
+// the same division. While an update is late two views differ for a moment, and the service
+// refuses the excess. Nobody gets less than a floor, so that a controller whose demand grows
+// can show it by using more.
 package ratelimit
 
 import (
@@ -11,22 +11,21 @@
 )
 
 const (
-	// Headroom is how much more than it asks for a controller is given while there is
-	// enough: what is asked for is a mean, and what comes varies.
+	// Headroom is the factor by which an allocation exceeds the demand while there is enough:
+	// the demand is a mean, and requests come unevenly.
 	Headroom = 1.6
-	// minHeadroom is what is left of it when all together ask for nearly everything:
-	// what one has beyond its need the others lack.
+	// minHeadroom is what is left of Headroom when the demands nearly use up the capacity: one
+	// controller's surplus is what the others lack.
 	minHeadroom = 1.2
 	// floorFraction is the part of an equal division that everybody has in any case.
 	floorFraction = 0.3
-	// averagingWindow is the time over which what is asked for is averaged.
+	// averagingWindow is the time over which a demand is averaged.
 	averagingWindow = 4 * time.Second
 )
 
-// Allocate divides a capacity among demands, all in units a second: to each what it
-// asks for with headroom, as far as there is enough; else the small ones in full and
-// the large ones alike. What is left over goes to all alike. The parts add up to the
-// capacity.
+// Allocate divides a capacity among demands, all in units a second. Each gets its demand with
+// headroom if there is enough; else small demands are met in full and large ones get equal
+// allocations. What is left over is divided equally. The allocations add up to the capacity.
 func Allocate(capacity float64, demands []float64) []float64 {
 	n := len(demands)
 	if n == 0 {
@@ -67,17 +66,17 @@
 	return allocations
 }
 
-// Meter averages what is asked for. The zero value is ready.
+// Meter averages a demand. The zero value is ready. It is not safe for concurrent use.
 type Meter struct {
 	updatedAt time.Time
 	rate      float64
 	count     float64
 }
 
-// Add notes that n more were asked for.
+// Add records n more units of demand.
 func (m *Meter) Add(n float64) { m.count += n }
 
-// Rate is what was asked for a second, as a mean over the last while.
+// Rate returns the average demand, in units a second.
 func (m *Meter) Rate(now time.Time) float64 {
 	if m.updatedAt.IsZero() {
 		m.updatedAt = now
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAllocate: the parts add up to the capacity and never to more, nobody is left
-// without, nobody gets less than it asks for while there is enough for all, and one
-// that asks for more never gets less than one that asks for less.
+// TestAllocate: the allocations add up to the capacity, nobody is left without, nobody gets
+// less than its demand while there is enough for all, and a larger demand never gets less than
+// a smaller one.
 func TestAllocate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.Float64Range(1, 1000).Draw(t, "capacity")
@@ -22,26 +22,26 @@
 			total += p
 			wanted += max(demands[i]*Headroom, floorFraction*capacity/float64(len(demands)))
 			if p < floorFraction*capacity/float64(len(demands))*0.999 {
-				t.Fatalf("%v of %v for %v is less than the floor", p, capacity, demands[i])
+				t.Fatalf("got %v of %v for demand %v, want the floor at least", p, capacity, demands[i])
 			}
 		}
 		if math.Abs(total-capacity) > 1e-6*capacity {
-			t.Fatalf("the parts add up to %v of %v", total, capacity)
+			t.Fatalf("allocations add up to %v, want %v", total, capacity)
 		}
 		for i := range allocations {
 			if wanted <= capacity && allocations[i] < demands[i] {
-				t.Fatalf("%v of %v for %v, with enough for all", allocations[i], capacity, demands)
+				t.Fatalf("got %v of %v for demands %v, want the demand met: there is enough for all", allocations[i], capacity, demands)
 			}
 			for k := range allocations {
 				if demands[i] > demands[k] && allocations[i] < allocations[k]-1e-9*capacity {
-					t.Fatalf("%v gets %v, %v gets %v", demands[i], allocations[i], demands[k], allocations[k])
+					t.Fatalf("demand %v got %v, smaller demand %v got %v", demands[i], allocations[i], demands[k], allocations[k])
 				}
 			}
 		}
 	})
 }
 
-// TestMeter: a steady rate is found within some seconds, and its end as well.
+// TestMeter: a steady rate is measured within some seconds, and its end as well.
 func TestMeter(t *testing.T) {
 	var m Meter
 	now := time.Unix(1_750_000_000, 0)
@@ -51,22 +51,22 @@
 		m.Rate(now)
 	}
 	if r := m.Rate(now); math.Abs(r-20) > 1 {
-		t.Errorf("%v a second, want 20", r)
+		t.Errorf("got %v a second, want 20", r)
 	}
 	if r := m.Rate(now.Add(12 * time.Second)); r > 2 {
-		t.Errorf("%v a second long after the last", r)
+		t.Errorf("long after the last request: got %v a second, want 2 at most", r)
 	}
 }
 
-// TestAllocateUnderScarcity: while all together ask for nearly everything, those that ask for
-// little keep some headroom, and the rest of it goes to who lacks it.
+// TestAllocateUnderScarcity: when the demands nearly use up the capacity, small ones keep some
+// headroom, and the rest of it goes to those that lack it.
 func TestAllocateUnderScarcity(t *testing.T) {
 	for _, p := range Allocate(25, []float64{18, 3, 3})[1:] {
 		if p < 3*1.1 || p > 3*1.3 {
-			t.Errorf("%v for 3 while changes are short", p)
+			t.Errorf("scarce capacity: got %v for demand 3, want some headroom", p)
 		}
 	}
 	if p := Allocate(25, []float64{4, 3, 3}); p[1] < 3*Headroom {
-		t.Errorf("%v of 25 for 3 while there is enough", p[1])
+		t.Errorf("ample capacity: got %v of 25 for demand 3, want full headroom", p[1])
 	}
 }
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -50,81 +50,81 @@
 }
 
 // ProbeAnswered records the answer to a probe.
-func (e *Detector) ProbeAnswered() {
-	e.reachedByReplies = false
-	e.reset()
+func (d *Detector) ProbeAnswered() {
+	d.reachedByReplies = false
+	d.reset()
 }
 
 // EffectSeen records a heartbeat that could not look so without a reply or command.
-func (e *Detector) EffectSeen() {
-	e.reachedByReplies = e.reachedByReplies || e.unansweredProbes > 0
-	e.reset()
+func (d *Detector) EffectSeen() {
+	d.reachedByReplies = d.reachedByReplies || d.unansweredProbes > 0
+	d.reset()
 }
 
-func (e *Detector) reset() {
-	e.expectsEffect, e.misses, e.unansweredProbes, e.doubtedSince = false, 0, 0, time.Time{}
+func (d *Detector) reset() {
+	d.expectsEffect, d.misses, d.unansweredProbes, d.doubtedSince = false, 0, 0, time.Time{}
 }
 
 // ExpectEffect records that a reply was sent whose effect a later heartbeat has to show.
-func (e *Detector) ExpectEffect() { e.expectsEffect = true }
+func (d *Detector) ExpectEffect() { d.expectsEffect = true }
 
 // ProbeUnanswered records that a probe had no answer.
-func (e *Detector) ProbeUnanswered(now time.Time) {
-	e.unansweredProbes++
-	if !e.reachedByReplies {
-		e.doubt(now)
+func (d *Detector) ProbeUnanswered(now time.Time) {
+	d.unansweredProbes++
+	if !d.reachedByReplies {
+		d.doubt(now)
 	}
 }
 
 // Incarnation records a heartbeat of a later incarnation: the lease expired. If its heartbeats
 // were answered and nothing renewed the lease, the replies did not arrive.
-func (e *Detector) Incarnation(now time.Time) {
-	e.incarnationAt = now
-	e.doubt(now)
+func (d *Detector) Incarnation(now time.Time) {
+	d.incarnationAt = now
+	d.doubt(now)
 }
 
 // HeartbeatWithoutEffect records a heartbeat that shows nothing of our replies. skipped: the
 // machine has sent others in between that did not come here. lease is how long a lease lasts
 // at least.
-func (e *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
-	if e.expectsEffect {
-		if e.misses++; e.misses >= maxMisses {
-			e.doubt(now)
+func (d *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
+	if d.expectsEffect {
+		if d.misses++; d.misses >= maxMisses {
+			d.doubt(now)
 		}
 	}
-	if skipped && e.consecutive && now.Sub(e.lastGapDoubt) > gapDoubtEvery {
-		e.lastGapDoubt = now
-		e.doubt(now)
+	if skipped && d.consecutive && now.Sub(d.lastGapDoubt) > gapDoubtEvery {
+		d.lastGapDoubt = now
+		d.doubt(now)
 	}
-	e.consecutive = !skipped
-	since := e.doubtedSince
-	if e.incarnationAt.After(since) {
-		since = e.incarnationAt
+	d.consecutive = !skipped
+	since := d.doubtedSince
+	if d.incarnationAt.After(since) {
+		since = d.incarnationAt
 	}
-	if !e.doubtedSince.IsZero() && now.Sub(since) > lease {
+	if !d.doubtedSince.IsZero() && now.Sub(since) > lease {
 		// Since then its lease would have expired, had no reply renewed it.
-		e.EffectSeen()
+		d.EffectSeen()
 	}
 }
 
 // ReportedElsewhere records that the machine has sent heartbeats to another controller since.
-func (e *Detector) ReportedElsewhere(now time.Time) { e.doubt(now) }
+func (d *Detector) ReportedElsewhere(now time.Time) { d.doubt(now) }
 
-func (e *Detector) doubt(now time.Time) {
-	if e.doubtedSince.IsZero() {
-		e.doubtedSince = now
+func (d *Detector) doubt(now time.Time) {
+	if d.doubtedSince.IsZero() {
+		d.doubtedSince = now
 	}
 }
 
 // Reachable reports whether there is no doubt that replies and commands arrive.
-func (e *Detector) Reachable() bool { return e.doubtedSince.IsZero() }
+func (d *Detector) Reachable() bool { return d.doubtedSince.IsZero() }
 
 // Unreachable reports whether the doubt was confirmed by unanswered probes, and how old it is.
-func (e *Detector) Unreachable(now time.Time) (time.Duration, bool) {
-	if e.Reachable() || e.unansweredProbes < maxUnansweredProbes {
+func (d *Detector) Unreachable(now time.Time) (time.Duration, bool) {
+	if d.Reachable() || d.unansweredProbes < maxUnansweredProbes {
 		return 0, false
 	}
-	return now.Sub(e.doubtedSince), true
+	return now.Sub(d.doubtedSince), true
 }
 
 // Machine is an unreachable machine that sends heartbeats. Tasks counts what runs there.
--- a/internal/renewalbound/renewalbound_test.go
+++ b/internal/renewalbound/renewalbound_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever an owner has not heard of was confirmed after its horizon, and the last lease
-// that it prolongs ends in time, also by a worker's clock that is slow. Where the settings
-// leave no window, Short says by how much it may not.
+// TestLastLeaseEndsInTime: whatever a leader has not read was confirmed after its known time,
+// and the last lease that it renews ends in time, also by a worker's slow clock. If the
+// settings leave no window, Shortfall says how late it may end.
 func TestLastLeaseEndsInTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		duration := func(name string, least, most int) time.Duration {
@@ -24,10 +24,10 @@
 		answered := r.Deadline(knownUntil).Add(-time.Duration(rapid.Int64Range(0, int64(r.Window())).Draw(t, "before")))
 		ends := answered.Add(r.LeaseDuration + r.LeaseDuration/1000)
 		if excess := ends.Sub(confirmed.Add(r.CancelTimeout)); excess > r.Shortfall() {
-			t.Fatalf("%+v: the lease outlasts the cancellation by %v, Short says %v", r, excess, r.Shortfall())
+			t.Fatalf("%+v: lease ends %v after the cancel timeout, want at most Shortfall %v", r, excess, r.Shortfall())
 		}
 		if r.ReadInterval() <= 0 || r.ReadInterval()*2 > r.Window() {
-			t.Fatalf("%+v: a read every %v in a window of %v", r, r.ReadInterval(), r.Window())
+			t.Fatalf("%+v: got ReadInterval %v for a window of %v, want two reads in it at least", r, r.ReadInterval(), r.Window())
 		}
 	})
 }
--- a/internal/selfmonitor/selfmonitor.go
+++ b/internal/selfmonitor/selfmonitor.go
@@ -41,39 +41,39 @@
 const minUnanswered = 4
 
 // RequestDelivered records a sign that something sent to a worker arrived.
-func (o *Monitor) RequestDelivered() { o.unanswered = 0 }
+func (m *Monitor) RequestDelivered() { m.unanswered = 0 }
 
 // RequestUnanswered records that a request to a worker had no answer.
-func (o *Monitor) RequestUnanswered(now time.Time) {
-	if o.unanswered++; o.unanswered == 1 {
-		o.firstUnanswered = now
+func (m *Monitor) RequestUnanswered(now time.Time) {
+	if m.unanswered++; m.unanswered == 1 {
+		m.firstUnanswered = now
 	}
 }
 
 // Unheard reports a send partition: workers send heartbeats, and nothing sent to them arrives.
-func (o *Monitor) Unheard(now time.Time) bool {
-	return o.unanswered >= minUnanswered && now.Sub(o.firstUnanswered) > minSilence && now.Sub(o.resumedAt) > minSilence
+func (m *Monitor) Unheard(now time.Time) bool {
+	return m.unanswered >= minUnanswered && now.Sub(m.firstUnanswered) > minSilence && now.Sub(m.resumedAt) > minSilence
 }
 
 // HeartbeatReceived records a heartbeat of any worker, whatever the answer to it.
-func (o *Monitor) HeartbeatReceived(now time.Time) { o.lastHeartbeat = now }
+func (m *Monitor) HeartbeatReceived(now time.Time) { m.lastHeartbeat = now }
 
 // Ran records that the controller runs. A pause explains the silence during it.
-func (o *Monitor) Ran(now time.Time) {
-	if now.Sub(o.lastRun) > pauseThreshold {
-		o.resumedAt = now
+func (m *Monitor) Ran(now time.Time) {
+	if now.Sub(m.lastRun) > pauseThreshold {
+		m.resumedAt = now
 	}
-	o.lastRun = now
+	m.lastRun = now
 }
 
 // ReceivesNothing reports a receive partition: machines that each send a heartbeat at least
 // once per interval can't all have been silent since the last heartbeat by chance. Nothing
 // from before since counts.
-func (o *Monitor) ReceivesNothing(now, since time.Time, machines int, interval time.Duration) bool {
+func (m *Monitor) ReceivesNothing(now, since time.Time, machines int, interval time.Duration) bool {
 	if machines < 2 {
 		return false
 	}
-	for _, t := range [...]time.Time{o.lastHeartbeat, o.resumedAt} {
+	for _, t := range [...]time.Time{m.lastHeartbeat, m.resumedAt} {
 		if t.After(since) {
 			since = t
 		}
@@ -101,11 +101,11 @@
 
 // Rerouted records that a machine was rerouted to a controller, and reports whether to probe
 // the machine. One that was sent there before, not long ago, has reappeared.
-func (s *ReroutedMachines) Rerouted(now time.Time, machine, to string) (probe bool) {
-	if s.reroutes == nil {
-		s.reroutes = map[string]reroute{}
+func (r *ReroutedMachines) Rerouted(now time.Time, machine, to string) (probe bool) {
+	if r.reroutes == nil {
+		r.reroutes = map[string]reroute{}
 	}
-	x := s.reroutes[machine]
+	x := r.reroutes[machine]
 	gap := now.Sub(x.lastSent)
 	switch {
 	case x.to != to || gap > maxReappearance:
@@ -117,15 +117,15 @@
 	if probe = x.reappeared && now.Sub(x.probedAt) > probeEvery && now.Sub(x.answeredAt) > maxReappearance/2; probe {
 		x.probedAt = now
 	}
-	s.reroutes[machine] = x
-	if len(s.reroutes) > maxTracked {
-		for id, y := range s.reroutes {
+	r.reroutes[machine] = x
+	if len(r.reroutes) > maxTracked {
+		for id, y := range r.reroutes {
 			if now.Sub(y.lastSent) > maxReappearance {
-				delete(s.reroutes, id)
+				delete(r.reroutes, id)
 			}
 		}
-		if len(s.reroutes) > maxTracked {
-			clear(s.reroutes)
+		if len(r.reroutes) > maxTracked {
+			clear(r.reroutes)
 		}
 	}
 	return probe
@@ -135,18 +135,18 @@
 const probeEvery = 3 * time.Second
 
 // ProbeAnswered records that a machine which reappeared answered a probe.
-func (s *ReroutedMachines) ProbeAnswered(now time.Time, machine string) {
-	if x, ok := s.reroutes[machine]; ok {
+func (r *ReroutedMachines) ProbeAnswered(now time.Time, machine string) {
+	if x, ok := r.reroutes[machine]; ok {
 		x.answeredAt = now
-		s.reroutes[machine] = x
+		r.reroutes[machine] = x
 	}
 }
 
 // CountReappeared counts the machines that recently reappeared from a controller though they
 // receive what is sent to them.
-func (s *ReroutedMachines) CountReappeared(now time.Time, from string) int {
+func (r *ReroutedMachines) CountReappeared(now time.Time, from string) int {
 	count := 0
-	for _, x := range s.reroutes {
+	for _, x := range r.reroutes {
 		if x.to == from && x.reappeared && now.Sub(x.reappearedAt) <= maxReappearance && now.Sub(x.answeredAt) <= maxReappearance {
 			count++
 		}
