--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -1,9 +1,9 @@
-// Package aging bounds how long work waits behind other work. Every rule that
-// orders jobs by their aims puts some off for the sake of many, the largest first, and
-// without a bound they wait for as long as others come. What has waited longer than its
-// bound goes before all work of its own or lower urgency, whatever the aims say; all
-// such work together goes first on a part of the machines only, so that what is due
-// elsewhere is not hurt. The package has no clock and knows no machines.
+// Package aging prevents starvation in the job queue. Any rule that orders jobs by their
+// objectives delays some for the sake of many, the largest first, and without a limit these
+// wait for as long as others come. A job that has waited longer than its limit goes before all
+// work of its own or lower urgency, whatever the objectives. All such jobs together go first
+// on a part of the capacity only, so that other work can still meet its deadlines. The package
+// has no clock and knows no machines.
 package aging
 
 import (
@@ -13,40 +13,40 @@
 )
 
 const (
-	// DefaultMaxWait is how long a job may wait behind others if nothing else is said. The
-	// operators' rule has the largest jobs begin within four minutes; half of that is
-	// left for room to be gathered or rented, and for images.
+	// DefaultMaxWait is how long a job may wait behind others by default. The operators' rule
+	// has the largest jobs start within four minutes; half of that is left for reserving or
+	// renting machines, and for image fetches.
 	DefaultMaxWait = 2 * time.Minute
-	// DefaultPriorityFraction is how much of the room for its kind of task work that has waited too long
-	// may take before all others, if nothing else is said. The rest stays with what can
-	// still meet its aims: were it all, a long queue would be worked off in the order in
-	// which it came, and all of it late.
+	// DefaultPriorityFraction is the default part of the capacity for its kind of task that
+	// overdue work may take first. The rest stays with work that can still meet its
+	// objectives: if overdue work could take all, a long queue would be worked off in order of
+	// arrival, and all of it late.
 	DefaultPriorityFraction = 0.75
-	// MaxReservedFraction is the part of the machines that may be held at a time for one job that
-	// fits nowhere, closed to all else.
+	// MaxReservedFraction is the part of the machines that may be reserved at a time for one
+	// job that fits nowhere, and is closed to all other work.
 	MaxReservedFraction = 0.25
 )
 
-// Job is a job that waits, in its turn among the others.
+// Job is a job in the queue.
 type Job struct {
-	// Waited is for how long it has waited behind others, Bound how long it may; 0:
-	// the package's.
+	// Waited is how long the job has waited behind others; MaxWait is how long it may (0:
+	// DefaultMaxWait).
 	Waited, MaxWait time.Duration
-	// PriorityFraction is what of the room it may take first; 0: the package's.
+	// PriorityFraction is the part of the capacity that the job may take first (0:
+	// DefaultPriorityFraction).
 	PriorityFraction float64
-	// Urgency is the protocol's, higher first. Guaranteed: its next task lies within
-	// its team's guarantee.
+	// Urgency is the protocol's, higher first. Guaranteed: the next task is within the team's
+	// guaranteed quota.
 	Urgency    int
 	Guaranteed bool
-	// WaitingTasks are the tasks that want a place, Each the part of all room for such tasks
-	// that one takes, and Holds the part that its running tasks take.
+	// WaitingTasks are those to place. TaskFraction is the part of all capacity for such tasks
+	// that one takes; RunningFraction is the part that the job's running tasks take.
 	WaitingTasks                  int
 	TaskFraction, RunningFraction float64
-	// Together: its tasks start all at once or not at all.
+	// Gang: the tasks start all at once or not at all.
 	Gang bool
 }
 
-// maxWait is how long the job may wait.
 func (j *Job) maxWait() time.Duration {
 	if j.MaxWait > 0 {
 		return j.MaxWait
@@ -61,19 +61,19 @@
 	return DefaultPriorityFraction
 }
 
-// Overdue says that the job has waited longer than it may.
+// Overdue reports whether the job has waited longer than it may.
 func (j *Job) Overdue() bool { return j.WaitingTasks > 0 && j.Waited > j.maxWait() }
 
-// Entry is some tasks of a job, by its place in the list, whose turn it is. First: they
-// go before others because the job has waited too long.
+// Entry is some tasks of a job to place. Job is its index in the list of jobs. Promoted: they
+// go before others because the job is overdue.
 type Entry struct {
 	Job, Tasks int
 	Promoted   bool
 }
 
-// QueueOrder puts jobs, given in their order without regard to patience, into the order in
-// which they are placed. A job whose tasks may not all go first stands twice: what is
-// left of it has its ordinary turn.
+// QueueOrder returns the order of placement of jobs that are given in their order without
+// aging. A job of which only some tasks are promoted has two entries: the rest keeps its
+// ordinary position.
 func QueueOrder(jobs []Job) []Entry {
 	var overdue []int
 	for i := range jobs {
@@ -88,7 +88,7 @@
 		}
 		return out
 	}
-	// Who is furthest over its bound goes first.
+	// The job that is furthest over its limit goes first.
 	slices.SortStableFunc(overdue, func(a, b int) int {
 		return cmp.Compare(jobs[b].Waited-jobs[b].maxWait(), jobs[a].Waited-jobs[a].maxWait())
 	})
@@ -100,7 +100,7 @@
 		}
 	}
 	for i := range jobs {
-		// Whatever of them goes before this job comes now.
+		// Place the promoted tasks that go before this job.
 		promoted = slices.DeleteFunc(promoted, func(t Entry) bool {
 			if !outranks(&jobs[t.Job], &jobs[i]) && t.Job != i {
 				return false
@@ -115,17 +115,17 @@
 	return out
 }
 
-// outranks says that work which has waited too long goes before a job: of its own or
-// lower urgency, and not of a team whose guarantee it would break.
+// outranks reports whether an overdue job goes before job j: one of its own or lower urgency,
+// but not one whose guaranteed quota it would violate.
 func outranks(overdue, j *Job) bool {
 	return overdue.Urgency >= j.Urgency && (overdue.Guaranteed || !j.Guaranteed)
 }
 
-// promotedTasks is how many tasks of each late job go first. What runs of them counts: a job
-// of thousands is not to take one part of the fleet after another. But one of which
-// nothing runs has a task at least, as far as that takes no more than the part once
-// more: a job that has begun is served, and a large task would never start where few
-// are.
+// promotedTasks returns how many tasks of each overdue job are promoted. Its running tasks
+// count, so that a job of thousands of tasks does not take one part of the fleet after
+// another. But a job without running tasks gets one task at least, as long as all such extra
+// tasks take no more than the priority fraction once more: otherwise a large task would never
+// start where few fit.
 func promotedTasks(jobs []Job, overdue []int) map[int]int {
 	counts := map[int]int{}
 	taken, bonus := 0.0, 0.0
@@ -157,17 +157,18 @@
 	return counts
 }
 
-// Candidate is a machine that could be gathered for a task: when the task would fit if
-// nothing else came, and whether it is gathered already.
+// Candidate is a machine that could be reserved for a task. FreeIn is when the task would fit
+// if nothing else were placed there; Reserved: the machine is reserved already.
 type Candidate struct {
 	ID       string
 	FreeIn   time.Duration
 	Reserved bool
 }
 
-// Reserve picks machines to hold for tasks that fit nowhere: those held already, as
-// changing one's mind would empty none, then those that are soonest empty enough. Of
-// so many machines that the tasks could go to at most a part, and one in any case.
+// Reserve selects machines to reserve for tasks that fit nowhere: first those reserved
+// already, since switching would never empty any, then those that are empty enough soonest. Of
+// the machineCount machines that the tasks could use it takes MaxReservedFraction at most, but
+// always one.
 func Reserve(candidates []Candidate, taskCount, machineCount int) []string {
 	limit := min(taskCount, max(1, int(MaxReservedFraction*float64(machineCount))))
 	sorted := slices.Clone(candidates)
--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFairOrder: whatever the jobs are, each has all its tasks in turns; what has waited too
-// long goes before all of its own or lower urgency, but not before what a guarantee
-// covers; and what goes first stays within its part, one task apart.
+// TestFairOrder: every task of every job has an entry; an overdue job goes before all of its
+// own or lower urgency, but not before guaranteed quota; and promoted tasks stay within the
+// priority fraction, give or take one task.
 func TestFairOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := make([]Job, rapid.IntRange(0, 12).Draw(t, "jobs"))
@@ -32,54 +32,55 @@
 		for k, entry := range entries {
 			j := &jobs[entry.Job]
 			if tasks[entry.Job] += entry.Tasks; entry.Tasks <= 0 {
-				t.Fatalf("an empty turn %v", entry)
+				t.Fatalf("entry %v has no tasks", entry)
 			}
 			if !entry.Promoted {
 				continue
 			}
 			promoted++
 			if !j.Overdue() {
-				t.Fatalf("%v goes first and has not waited too long", entry)
+				t.Fatalf("entry %v is promoted and its job is not overdue", entry)
 			}
-			// The part, as much once more for those of which nothing runs, and one task
-			// in any case.
+			// The fraction, as much once more for jobs without running tasks, and one task in
+			// any case.
 			if j.Gang {
 				gangs += float64(entry.Tasks) * j.TaskFraction
 			}
 			if taken += float64(entry.Tasks) * j.TaskFraction; taken > 2*DefaultPriorityFraction+largest+gangs+1e-9 {
-				t.Fatalf("%v: %.2f of the room goes first", entry, taken)
+				t.Fatalf("entry %v: got %.2f of the capacity promoted, want less", entry, taken)
 			}
 			for _, earlier := range entries[:k] {
 				b := &jobs[earlier.Job]
 				if !earlier.Promoted && b.Urgency <= j.Urgency && (j.Guaranteed || !b.Guaranteed) {
-					t.Fatalf("%v comes after %v", entry, earlier)
+					t.Fatalf("entry %v comes after %v, want it before", entry, earlier)
 				}
 			}
 		}
 		anyOverdue := false
 		for i := range jobs {
 			if tasks[i] != jobs[i].WaitingTasks {
-				t.Fatalf("job %d has %d of %d tasks in turns", i, tasks[i], jobs[i].WaitingTasks)
+				t.Fatalf("job %d: got %d of %d tasks in entries, want all", i, tasks[i], jobs[i].WaitingTasks)
 			}
 			anyOverdue = anyOverdue || jobs[i].Overdue()
 		}
 		noneRunning := !slices.ContainsFunc(jobs, func(j Job) bool { return j.RunningFraction > 0 })
 		if anyOverdue && noneRunning && promoted == 0 {
-			t.Fatal("nothing goes first though some have waited too long")
+			t.Fatal("no entry is promoted though jobs are overdue")
 		}
 	})
 }
 
-// TestReserve: what is held stays held, and never more than the part, but one.
+// TestReserve: reserved machines stay reserved, and there are never more than the fraction
+// allows, but one.
 func TestReserve(t *testing.T) {
 	candidates := []Candidate{{"a", 5 * time.Second, false}, {"b", time.Second, false}, {"c", 9 * time.Second, true}, {"d", 2 * time.Second, false}}
 	if got := Reserve(candidates, 9, 8); !slices.Equal(got, []string{"c", "b"}) {
-		t.Errorf("a quarter of eight: %v", got)
+		t.Errorf("9 tasks, 8 machines: got %v, want [c b]", got)
 	}
 	if got := Reserve(candidates, 1, 100); !slices.Equal(got, []string{"c"}) {
-		t.Errorf("one task: %v", got)
+		t.Errorf("1 task: got %v, want [c]", got)
 	}
 	if got := Reserve(candidates, 3, 2); len(got) != 1 {
-		t.Errorf("one in any case: %v", got)
+		t.Errorf("2 machines: got %v, want one machine", got)
 	}
 }
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,8 +1,8 @@
-// Package boottime learns how long machines of a kind take to come up, in both
-// directions: up within a second, many times as late as told, or never. It says how
-// much longer one that is not up yet most likely takes, so that another is rented when
-// waiting is the worse bet, when it is to be given up, and whether its kind has stopped
-// coming up at all. The package has no clock and sends nothing.
+// Package boottime estimates how long machines of a kind take to become ready. The times vary
+// widely: within a second, many times as long as the cloud says, or never. It estimates how
+// much longer a machine that is not ready yet will take, so that another is rented when
+// waiting is the worse bet; when a machine is to be given up; and whether its kind has stopped
+// becoming ready at all. The package has no clock and sends nothing.
 package boottime
 
 import (
@@ -11,64 +11,66 @@
 )
 
 const (
-	// maxSamples is how many of the last boots of a kind count: enough for its spread, few
-	// enough to follow within a burst of rentals when it changes.
+	// maxSamples is how many of a kind's last boots count: enough for the spread, few enough
+	// to follow a change within a burst of scale-outs.
 	maxSamples = 32
-	// priorSamples is how many boots what the cloud says of a kind stands for: it outweighs
-	// the first few and is outweighed by a burst of others.
+	// priorSamples is how many samples the cloud's nominal time stands for: it outweighs the
+	// first few boots and is outweighed by a burst of them.
 	priorSamples = 8
-	// minUsualFactor and maxUsualFactor bound what is usual, in times of what the cloud says,
-	// and tail is the longest that some few take before anything else is known.
+	// minUsualFactor and maxUsualFactor bound the usual boot time, and tailFactor the longest
+	// that some few boots take before anything else is known, as multiples of the nominal
+	// time.
 	minUsualFactor, maxUsualFactor, tailFactor = 0.6, 1.5, 4.0
-	// minOverdue is how many machines must be overdue at a time, with none come up
-	// since the first of them was rented, for the kind to count as not coming up.
+	// minOverdue is how many machines must be overdue at a time, with none ready since the
+	// first of them was rented, before their kind counts as never ready.
 	minOverdue = 3
-	// forgetFactor is after how long without a boot that came up or was given up, in times of
-	// what the cloud says, nothing that was seen counts any more: a kind that was not
-	// rented for so long, for the sake of what was seen, would never be again.
+	// forgetFactor is how long samples count after the newest one, as a multiple of the
+	// nominal time. Otherwise a kind that is not rented because of its samples would never be
+	// rented again.
 	forgetFactor = tailFactor
-	// giveUpFactor multiplies the longest boot that was seen, or is to be expected, before
-	// a machine is given up.
+	// giveUpFactor multiplies the longest boot that was observed, or is expected, before a
+	// machine is given up.
 	giveUpFactor = 1.0
 )
 
-// Never is how long a machine takes that will not come up.
+// Never is the boot time of a machine that does not become ready.
 const Never = time.Duration(1<<63 - 1)
 
-// Estimator is the account of one kind of machines. The zero value knows nothing.
+// Estimator estimates the boot times of one kind of machine. The zero value has no samples. It
+// is not safe for concurrent use.
 type Estimator struct {
-	// samples are the last boots, Never for those given up, and last when one came up;
-	// heard is when the newest was taken in.
+	// samples are the last boot times, Never for those given up; lastReady is when a machine
+	// last became ready, and lastSample when the newest sample was taken.
 	samples    []time.Duration
 	lastReady  time.Time
 	lastSample time.Time
 }
 
-// RecordReady takes in that a machine came up so long after it was rented.
-func (k *Estimator) RecordReady(now time.Time, took time.Duration) {
-	k.lastReady = now
-	k.record(now, took)
+// RecordReady records that a machine became ready, and how long after it was rented.
+func (e *Estimator) RecordReady(now time.Time, took time.Duration) {
+	e.lastReady = now
+	e.record(now, took)
 }
 
-// RecordGivenUp takes in that a machine was given up.
-func (k *Estimator) RecordGivenUp(now time.Time) { k.record(now, Never) }
+// RecordGivenUp records that a machine was given up.
+func (e *Estimator) RecordGivenUp(now time.Time) { e.record(now, Never) }
 
-// Expire forgets what was seen too long ago.
-func (k *Estimator) Expire(now time.Time, nominal time.Duration) {
-	if len(k.samples) > 0 && now.Sub(k.lastSample) > time.Duration(forgetFactor*float64(nominal)) {
-		k.samples = nil
+// Expire drops all samples if the newest is too old.
+func (e *Estimator) Expire(now time.Time, nominal time.Duration) {
+	if len(e.samples) > 0 && now.Sub(e.lastSample) > time.Duration(forgetFactor*float64(nominal)) {
+		e.samples = nil
 	}
 }
 
-func (k *Estimator) record(now time.Time, d time.Duration) {
-	k.lastSample = now
-	if len(k.samples) >= maxSamples {
-		k.samples = slices.Delete(k.samples, 0, 1)
+func (e *Estimator) record(now time.Time, d time.Duration) {
+	e.lastSample = now
+	if len(e.samples) >= maxSamples {
+		e.samples = slices.Delete(e.samples, 0, 1)
 	}
-	k.samples = append(k.samples, d)
+	e.samples = append(e.samples, d)
 }
 
-// priorSample is the i-th of the boots that the cloud's word stands for.
+// priorSample is the i-th of the samples that the nominal time stands for.
 func priorSample(nominal time.Duration, i int) time.Duration {
 	if i == priorSamples-1 {
 		return time.Duration(tailFactor * float64(nominal))
@@ -76,9 +78,9 @@
 	return time.Duration((minUsualFactor + (maxUsualFactor-minUsualFactor)*float64(i)/float64(priorSamples-2)) * float64(nominal))
 }
 
-// Remaining is how much longer a machine most likely takes that is not up at this age,
-// where the cloud says that its kind takes ready. A new one has the age 0.
-func (k *Estimator) Remaining(age, nominal time.Duration) time.Duration {
+// Remaining estimates how much longer a machine takes that is not ready at this age; nominal
+// is the time that the cloud states for its kind. A new machine has the age 0.
+func (e *Estimator) Remaining(age, nominal time.Duration) time.Duration {
 	var candidates []time.Duration
 	add := func(d time.Duration) {
 		if d == Never {
@@ -90,25 +92,26 @@
 	for i := range priorSamples - 1 {
 		add(priorSample(nominal, i))
 	}
-	// Of those few that take very long nothing tells how much longer.
+	// How much longer the few very slow boots take is unknown.
 	candidates = append(candidates, max(priorSample(nominal, priorSamples-1)-age, time.Duration(maxUsualFactor*float64(nominal))))
-	for _, d := range k.samples {
+	for _, d := range e.samples {
 		add(d)
 	}
 	slices.Sort(candidates)
 	return candidates[(len(candidates)-1)/2]
 }
 
-// IsWorthWaiting says that waiting for a machine of this age is a better bet than another.
-func (k *Estimator) IsWorthWaiting(age, nominal time.Duration) bool {
-	remaining := k.Remaining(age, nominal)
-	return remaining != Never && remaining <= k.Remaining(0, nominal) && !k.GiveUp(age, nominal)
+// IsWorthWaiting reports whether waiting for a machine of this age is a better bet than
+// renting another.
+func (e *Estimator) IsWorthWaiting(age, nominal time.Duration) bool {
+	remaining := e.Remaining(age, nominal)
+	return remaining != Never && remaining <= e.Remaining(0, nominal) && !e.GiveUp(age, nominal)
 }
 
-// GiveUp says that a machine of this age is not worth its rent any more.
-func (k *Estimator) GiveUp(age, nominal time.Duration) bool {
+// GiveUp reports whether a machine of this age is not worth its rent any more.
+func (e *Estimator) GiveUp(age, nominal time.Duration) bool {
 	longest := time.Duration(tailFactor * float64(nominal))
-	for _, d := range k.samples {
+	for _, d := range e.samples {
 		if d != Never {
 			longest = max(longest, d)
 		}
@@ -116,23 +119,23 @@
 	return float64(age) > giveUpFactor*float64(longest)
 }
 
-// Provisioning is a machine that is not up yet: when it was rented.
+// Provisioning is when a machine was rented that is not ready yet.
 type Provisioning time.Time
 
-// NeverReady says that a kind has stopped coming up: several machines are overdue, and none
-// has come up since the first of these was rented. Machines of other kinds are then the
+// NeverReady reports whether a kind has stopped becoming ready: several machines are overdue,
+// and none has become ready since the first of these was rented. Other kinds are then the
 // better choice.
-func (k *Estimator) NeverReady(now time.Time, nominal time.Duration, provisioning []Provisioning) bool {
+func (e *Estimator) NeverReady(now time.Time, nominal time.Duration, provisioning []Provisioning) bool {
 	overdue := 0
 	var first time.Time
 	for _, b := range provisioning {
 		at := time.Time(b)
-		if k.IsWorthWaiting(now.Sub(at), nominal) {
+		if e.IsWorthWaiting(now.Sub(at), nominal) {
 			continue
 		}
 		if overdue++; first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
-	return overdue >= minOverdue && !k.lastReady.After(first)
+	return overdue >= minOverdue && !e.lastReady.After(first)
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -10,113 +10,114 @@
 
 const nominal = 40 * time.Second
 
-// TestPriorEstimate: before anything is known a machine is waited for until it is later than
-// usual, another is counted on then, and it is given up only when it is very late.
+// TestPriorEstimate: without samples a machine is waited for until it is later than usual,
+// another is rented then, and it is given up only when it is very late.
 func TestPriorEstimate(t *testing.T) {
-	var k Estimator
+	var estimator Estimator
 	for _, c := range []struct {
-		age            time.Duration
-		coming, giveUp bool
+		age                  time.Duration
+		worthWaiting, giveUp bool
 	}{{0, true, false}, {nominal, true, false}, {70 * time.Second, false, false}, {150 * time.Second, false, false}, {170 * time.Second, false, true}} {
-		if k.IsWorthWaiting(c.age, nominal) != c.coming || k.GiveUp(c.age, nominal) != c.giveUp {
-			t.Errorf("at %v: coming %v, given up %v", c.age, k.IsWorthWaiting(c.age, nominal), k.GiveUp(c.age, nominal))
+		if estimator.IsWorthWaiting(c.age, nominal) != c.worthWaiting || estimator.GiveUp(c.age, nominal) != c.giveUp {
+			t.Errorf("age %v: got worth waiting %v, give up %v; want %v, %v", c.age, estimator.IsWorthWaiting(c.age, nominal), estimator.GiveUp(c.age, nominal), c.worthWaiting, c.giveUp)
 		}
 	}
-	if r := k.Remaining(0, nominal); r < nominal/2 || r > 3*nominal/2 {
-		t.Errorf("a new one takes %v", r)
+	if r := estimator.Remaining(0, nominal); r < nominal/2 || r > 3*nominal/2 {
+		t.Errorf("Remaining(0): got %v, want about the nominal time", r)
 	}
 }
 
-// TestLearns: in both directions, and back.
+// TestLearns: the estimate follows boot times in both directions.
 func TestLearns(t *testing.T) {
-	var k Estimator
+	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
 	for range 20 {
-		k.RecordReady(now, time.Second)
+		estimator.RecordReady(now, time.Second)
 	}
-	if r := k.Remaining(0, nominal); r > 2*time.Second {
-		t.Errorf("all were up within a second, and a new one takes %v", r)
+	if r := estimator.Remaining(0, nominal); r > 2*time.Second {
+		t.Errorf("after fast boots: Remaining(0): got %v, want 2s at most", r)
 	}
 	for range 30 {
-		k.RecordReady(now, 3*nominal)
+		estimator.RecordReady(now, 3*nominal)
 	}
-	if r := k.Remaining(0, nominal); r < 2*nominal {
-		t.Errorf("all are late now, and a new one takes %v", r)
+	if r := estimator.Remaining(0, nominal); r < 2*nominal {
+		t.Errorf("after late boots: Remaining(0): got %v, want twice the nominal time at least", r)
 	}
-	if !k.IsWorthWaiting(2*nominal, nominal) {
-		t.Error("late as all of them, it is not waited for")
+	if !estimator.IsWorthWaiting(2*nominal, nominal) {
+		t.Error("machine as late as the others: got not worth waiting, want worth it")
 	}
-	if k.GiveUp(4*nominal, nominal) {
-		t.Error("late as all of them, it is given up")
+	if estimator.GiveUp(4*nominal, nominal) {
+		t.Error("machine as late as the others: got given up, want kept")
 	}
 }
 
-// TestExpire: a kind of which all were given up is tried again after a while: a cloud's
-// ordinary machines were rented no more all day after a minute of late boots.
+// TestExpire: a kind of which all machines were given up is tried again after a while. A
+// cloud's on-demand machines used not to be rented for a whole day after a minute of late
+// boots.
 func TestExpire(t *testing.T) {
-	var k Estimator
+	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
 	for range 40 {
-		k.RecordGivenUp(now)
+		estimator.RecordGivenUp(now)
 	}
-	k.Expire(now.Add(4*nominal), nominal)
-	if k.Remaining(0, nominal) != Never {
-		t.Error("forgotten at once")
+	estimator.Expire(now.Add(4*nominal), nominal)
+	if estimator.Remaining(0, nominal) != Never {
+		t.Error("samples expired too early")
 	}
-	k.Expire(now.Add(4*nominal+time.Second), nominal)
-	if r := k.Remaining(0, nominal); r > 2*nominal {
-		t.Errorf("a new one still takes %v", r)
+	estimator.Expire(now.Add(4*nominal+time.Second), nominal)
+	if r := estimator.Remaining(0, nominal); r > 2*nominal {
+		t.Errorf("after expiry: Remaining(0): got %v, want about the nominal time", r)
 	}
 }
 
-// TestNeverReady: a kind that stops coming up is told, and one that comes up ends that.
+// TestNeverReady: a kind that stops becoming ready is recognized, until a machine becomes
+// ready.
 func TestNeverReady(t *testing.T) {
-	var k Estimator
+	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
-	k.RecordReady(now, nominal)
+	estimator.RecordReady(now, nominal)
 	var provisioning []Provisioning
 	for i := range 3 {
 		provisioning = append(provisioning, Provisioning(now.Add(time.Duration(i+1)*time.Second)))
 	}
-	if k.NeverReady(now.Add(nominal), nominal, provisioning) {
-		t.Error("told before any is overdue")
+	if estimator.NeverReady(now.Add(nominal), nominal, provisioning) {
+		t.Error("NeverReady before any machine is overdue: got true, want false")
 	}
 	late := now.Add(3 * nominal)
-	if !k.NeverReady(late, nominal, provisioning) {
-		t.Error("not told")
+	if !estimator.NeverReady(late, nominal, provisioning) {
+		t.Error("NeverReady with three overdue: got false, want true")
 	}
-	if k.NeverReady(late, nominal, provisioning[:2]) {
-		t.Error("two may be chance")
+	if estimator.NeverReady(late, nominal, provisioning[:2]) {
+		t.Error("NeverReady with two overdue: got true, want false")
 	}
-	k.RecordReady(late, nominal)
-	if k.NeverReady(late, nominal, provisioning) {
-		t.Error("one came up since")
+	estimator.RecordReady(late, nominal)
+	if estimator.NeverReady(late, nominal, provisioning) {
+		t.Error("NeverReady after one became ready: got true, want false")
 	}
 }
 
-// TestBounds: whatever was seen, a new machine is always worth waiting for or never
-// comes, one that is waited for is not given up, and the older the less it is waited for
-// without end.
+// TestBounds: whatever the samples, a new machine is always worth waiting for or takes Never,
+// one that is worth waiting for is not given up, and none is waited for without limit.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var k Estimator
+		var estimator Estimator
 		now := time.Unix(1_750_000_000, 0)
 		for range rapid.IntRange(0, 60).Draw(t, "boots") {
 			if rapid.IntRange(0, 4).Draw(t, "lost") == 0 {
-				k.RecordGivenUp(now)
+				estimator.RecordGivenUp(now)
 			} else {
-				k.RecordReady(now, time.Duration(rapid.IntRange(0, 600).Draw(t, "took"))*time.Second)
+				estimator.RecordReady(now, time.Duration(rapid.IntRange(0, 600).Draw(t, "took"))*time.Second)
 			}
 		}
-		if !k.IsWorthWaiting(0, nominal) && k.Remaining(0, nominal) != Never {
-			t.Fatal("a new one is no better than a new one")
+		if !estimator.IsWorthWaiting(0, nominal) && estimator.Remaining(0, nominal) != Never {
+			t.Fatal("new machine: got not worth waiting, want worth it or Never")
 		}
-		if !k.GiveUp(time.Hour, nominal) || k.IsWorthWaiting(time.Hour, nominal) {
-			t.Fatal("waited for without end")
+		if !estimator.GiveUp(time.Hour, nominal) || estimator.IsWorthWaiting(time.Hour, nominal) {
+			t.Fatal("machine of an hour: got worth waiting or not given up, want given up")
 		}
 		age := time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Second
-		if k.IsWorthWaiting(age, nominal) && k.GiveUp(age, nominal) {
-			t.Fatal("given up while it is waited for")
+		if estimator.IsWorthWaiting(age, nominal) && estimator.GiveUp(age, nominal) {
+			t.Fatal("machine is both worth waiting for and given up")
 		}
 	})
 }
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -1,9 +1,9 @@
-// Package disruption says what becomes of machines that fall silent. One by itself is
-// given back, so that its tasks may start elsewhere. Many that fall silent together
-// are one event: a cut may end, and the machines come back with their tasks. They
-// are neither all given back at once nor all waited for. Urgent work gets its proof
-// first, no more at a time than can be started elsewhere; machines without work are
-// waited for as long as their leases run, since nothing is won by losing them.
+// Package disruption decides which unresponsive machines to release. A single one is released,
+// so that its tasks may start elsewhere. Many at once are a correlated failure: a partition
+// may end, and the machines return with their tasks. They are neither all released at once nor
+// all waited for. Urgent work gets its proof first, no more at a time than can be started
+// elsewhere. Machines without work are waited for as long as their leases run, since releasing
+// them gains nothing.
 package disruption
 
 import (
@@ -13,46 +13,46 @@
 )
 
 const (
-	// minCorrelated and correlatedFraction say when silence is one event: so many machines, and
-	// so large a part of the pool.
+	// minCorrelated machines, which are also correlatedFraction of the pool, make a correlated
+	// failure.
 	minCorrelated      = 4
 	correlatedFraction = 0.1
-	// majorityGrace is how much longer machines are waited for when more than half
-	// of the pool is silent, or nothing is heard of any. The fault is then likely
-	// the controller's, and the others, to whom the machines turn, say so within
+	// majorityGrace is how much longer machines are waited for if more than half of the pool
+	// is unresponsive, or no heartbeat of any machine is received. The fault is then likely
+	// the controller's, and the other controllers, to which the machines turn, say so within
 	// this time.
 	majorityGrace = 10 * time.Second
 )
 
-// Machine is a silent machine.
+// Machine is an unresponsive machine.
 type Machine struct {
 	ID string
-	// Tasks counts what runs there. Of these, Urgency is the highest, and Latest
-	// when the most pressing should start at the latest.
+	// Tasks counts what runs there. Urgency is the highest of these tasks, and LatestStart is
+	// when the most pressing of them should start elsewhere at the latest.
 	Tasks       int
 	Urgency     int
 	LatestStart time.Time
-	// UnresponsiveFor is for how long the machine has counted as silent.
+	// UnresponsiveFor is how long the machine has counted as unresponsive.
 	UnresponsiveFor time.Duration
 }
 
-// Pool is what is known of all machines.
+// Pool describes the whole fleet.
 type Pool struct {
-	// Reporting counts the machines that should report, the silent included.
+	// Reporting counts the machines that should send heartbeats, including the unresponsive.
 	Reporting int
 	Lease     time.Duration
-	// MaxStarts is how many tasks may be set free at a time.
+	// MaxStarts is how many tasks may be freed to start elsewhere at a time.
 	MaxStarts int
-	// Deaf: no report of any machine has come for longer than chance explains.
+	// ReceivesNothing: no heartbeat of any machine has come for longer than chance explains.
 	ReceivesNothing bool
 }
 
-// IsCorrelated says that so many silent machines are one event.
+// IsCorrelated reports whether so many unresponsive machines are a correlated failure.
 func IsCorrelated(p Pool, unresponsive int) bool {
 	return unresponsive >= minCorrelated && float64(unresponsive) >= correlatedFraction*float64(p.Reporting)
 }
 
-// SelectReleases picks the machines to give back now, the most pressing first.
+// SelectReleases returns the machines to release now, the most pressing first.
 func SelectReleases(p Pool, unresponsive []Machine) []string {
 	sorted := slices.Clone(unresponsive)
 	slices.SortStableFunc(sorted, func(a, b Machine) int {
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -12,12 +12,13 @@
 
 var t0 = time.Unix(1_750_000_000, 0)
 
-// TestSelectReleases: who is given back when, by how much of the pool is silent.
+// TestSelectReleases: which machines are released when, by how much of the pool is
+// unresponsive.
 func TestSelectReleases(t *testing.T) {
 	p := Pool{Reporting: 100, Lease: 30 * time.Second, MaxStarts: 6}
 	few := []Machine{{ID: "a"}, {ID: "b", Tasks: 2}}
 	if got := SelectReleases(p, few); !slices.Equal(got, []string{"b", "a"}) {
-		t.Errorf("of a few silent ones %v are given back, want all, those with work first", got)
+		t.Errorf("few unresponsive: got releases %v, want all, those with work first", got)
 	}
 	var many []Machine
 	for i := range 20 {
@@ -25,19 +26,20 @@
 	}
 	many = append(many, Machine{ID: "idle"}, Machine{ID: "idle-long", UnresponsiveFor: time.Minute}, Machine{ID: "urgent", Tasks: 2, Urgency: 2, LatestStart: t0.Add(time.Hour)})
 	if got := SelectReleases(p, many); !slices.Equal(got, []string{"urgent", "n19", "n18", "idle-long"}) {
-		t.Errorf("of many %v are given back, want the urgent, then the most pressing, as many as can start elsewhere", got)
+		t.Errorf("correlated failure: got releases %v, want the urgent, then the most pressing, as many as can start elsewhere", got)
 	}
 	p.ReceivesNothing = true
 	if got := SelectReleases(p, few); len(got) != 0 {
-		t.Errorf("%v are given back by a controller that hears nobody", got)
+		t.Errorf("controller that receives nothing: got releases %v, want none", got)
 	}
 	p.ReceivesNothing, p.Reporting = false, 24
 	if got := SelectReleases(p, many); !slices.Equal(got, []string{"idle-long"}) {
-		t.Errorf("of more than half of the pool %v are given back before others could say that they hear them", got)
+		t.Errorf("more than half of the pool: got releases %v, want those past the grace only", got)
 	}
 }
 
-// TestEveryUnresponsiveMachineIsReleased: whatever is silent, patience ends.
+// TestEveryUnresponsiveMachineIsReleased: any machine that stays unresponsive is released in
+// the end.
 func TestEveryUnresponsiveMachineIsReleased(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Pool{Reporting: rapid.IntRange(1, 50).Draw(t, "reporting"), Lease: 30 * time.Second, MaxStarts: rapid.IntRange(0, 8).Draw(t, "starts")}
@@ -52,7 +54,7 @@
 			released := SelectReleases(p, unresponsive)
 			for k := 1; k < len(released); k++ {
 				if slices.Index(released, released[k-1]) != k-1 {
-					t.Fatalf("%s is given back twice", released[k-1])
+					t.Fatalf("machine %s is released twice", released[k-1])
 				}
 			}
 			unresponsive = slices.DeleteFunc(unresponsive, func(m Machine) bool { return slices.Contains(released, m.ID) })
@@ -63,6 +65,6 @@
 				unresponsive[i].UnresponsiveFor += time.Second
 			}
 		}
-		t.Fatalf("%d are never given back", len(unresponsive))
+		t.Fatalf("%d machines are never released", len(unresponsive))
 	})
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange says which machine wishes of several owners are met, and how: by
-// machines that another owner has to spare, at once and for nothing, or by renting.
-// Without it each owner would rent what its neighbour gives back. What is short is
-// handed out in turns, so that nobody's wishes go before all of another's.
+// Package exchange matches the capacity requests of machine owners: with surplus machines of
+// other owners, at once and at no cost, or by scaling out. Without it an owner would rent what
+// its neighbour releases. What is scarce is handed out round-robin, so that no owner's
+// requests all go before another's.
 package exchange
 
 import (
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Kind is a kind of machine.
+// Kind is a machine type in a zone, spot or not.
 type Kind struct {
 	MachineType string
 	Zone        string
 	Spot        bool
 }
 
-// Compare orders kinds.
+// Compare orders kinds by machine type, zone and spot.
 func (k Kind) Compare(other Kind) int {
 	toInt := func(b bool) int {
 		if b {
@@ -28,35 +28,35 @@
 	return cmp.Or(strings.Compare(k.MachineType, other.MachineType), strings.Compare(k.Zone, other.Zone), toInt(k.Spot)-toInt(other.Spot))
 }
 
-// Machine is one that an owner has to spare.
+// Machine is a surplus machine of an owner.
 type Machine struct {
 	ID   string
 	Kind Kind
 }
 
-// Owner is what one owner wishes for and has to spare. Wishes count the machines of
-// each kind; Spare come the best to give first.
+// Owner is one owner's capacity requests and surplus. CapacityRequests counts the machines
+// wanted of each kind; Surplus has the best to transfer first.
 type Owner struct {
 	Host             string
 	CapacityRequests map[Kind]int
 	Surplus          []Machine
 }
 
-// Transfer hands a machine over.
+// Transfer hands a machine over from one owner's host to another's.
 type Transfer struct {
 	ID       string
 	From, To string
 }
 
-// ScaleOut is a request to rent.
+// ScaleOut is a request to rent Count machines of a kind for a host.
 type ScaleOut struct {
 	Host  string
 	Kind  Kind
 	Count int
 }
 
-// Limits bound what is done at once: machines handed over, bookings, and machines in
-// a booking. Busy says that a kind can't be booked for an owner now.
+// Limits bound what is done at once: transfers, scale-outs, and machines in a scale-out.
+// IsBusy reports whether a kind can't be rented for a host now; nil means never.
 type Limits struct {
 	MaxTransfers   int
 	MaxScaleOuts   int
@@ -64,8 +64,8 @@
 	IsBusy         func(host string, k Kind) bool
 }
 
-// Match meets wishes. Wants are reduced by what is met. An owner is given nothing of
-// a kind of which it has some to spare itself.
+// Match meets capacity requests, and reduces the CapacityRequests of the owners by what is
+// met. An owner receives no machine of a kind of which it has surplus itself.
 func Match(owners []Owner, limits Limits) ([]Transfer, []ScaleOut) {
 	owners = slices.Clone(owners)
 	slices.SortFunc(owners, func(a, b Owner) int { return strings.Compare(a.Host, b.Host) })
@@ -73,18 +73,18 @@
 	return transfers, scaleOutRest(owners, limits)
 }
 
-// transferSurplus gives spare machines to those who want such, one after another in turns.
+// transferSurplus transfers surplus machines to owners that request such, round-robin.
 func transferSurplus(owners []Owner, limit int) []Transfer {
-	type spare struct {
+	type surplusMachine struct {
 		from int
 		id   string
 	}
-	surplus := map[Kind][]spare{}
+	surplus := map[Kind][]surplusMachine{}
 	hasSurplus := make([]map[Kind]bool, len(owners))
 	for i, o := range owners {
 		hasSurplus[i] = map[Kind]bool{}
 		for _, m := range o.Surplus {
-			surplus[m.Kind] = append(surplus[m.Kind], spare{i, m.ID})
+			surplus[m.Kind] = append(surplus[m.Kind], surplusMachine{i, m.ID})
 			hasSurplus[i][m.Kind] = true
 		}
 	}
@@ -112,8 +112,7 @@
 	return out
 }
 
-// scaleOutRest asks the cloud for the rest, in turns of the owners and, for each, of the
-// kinds.
+// scaleOutRest rents the rest, round-robin over the owners and over the kinds of each.
 func scaleOutRest(owners []Owner, limits Limits) []ScaleOut {
 	var out []ScaleOut
 	pending := make([][]Kind, len(owners))
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -11,8 +11,8 @@
 
 var kinds = []Kind{{"box", "a", true}, {"box", "a", false}, {"rack", "a", true}}
 
-// TestMatch: no machine is handed over twice or to its own owner, nobody gets more
-// than it wants, what can be handed over is not rented, and what is short is shared.
+// TestMatch: no machine is transferred twice or to its own owner, nobody gets more than it
+// requests, what can be transferred is not rented, and limits hold.
 func TestMatch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var owners []Owner
@@ -44,7 +44,7 @@
 		transferred := map[Kind]int{}
 		for _, m := range transfers {
 			if ownerOf[m.ID] != m.From || m.To == m.From || seen[m.ID] {
-				t.Fatalf("%v: its owner is %s", m, ownerOf[m.ID])
+				t.Fatalf("transfer %v: machine is owned by %s, or transferred before", m, ownerOf[m.ID])
 			}
 			seen[m.ID] = true
 			transferred[kindOf[m.ID]]++
@@ -53,11 +53,11 @@
 			}
 			received[m.To][kindOf[m.ID]]++
 			if surplus[m.To][kindOf[m.ID]] > 0 {
-				t.Fatalf("%s is given a %v and has some to spare", m.To, kindOf[m.ID])
+				t.Fatalf("host %s received a %v and has surplus of it", m.To, kindOf[m.ID])
 			}
 		}
 		if len(transfers) > limits.MaxTransfers || len(scaleOuts) > limits.MaxScaleOuts {
-			t.Fatalf("%d moves and %d bookings", len(transfers), len(scaleOuts))
+			t.Fatalf("got %d transfers and %d scale-outs, want them within the limits", len(transfers), len(scaleOuts))
 		}
 		for _, b := range scaleOuts {
 			if received[b.Host] == nil {
@@ -71,20 +71,20 @@
 				}
 			}
 			if surplus[b.Host][b.Kind] == 0 && transferred[b.Kind] < left && len(transfers) < limits.MaxTransfers {
-				t.Fatalf("%v is rented for %s beside spare ones", b.Kind, b.Host)
+				t.Fatalf("kind %v is rented for %s though others have surplus", b.Kind, b.Host)
 			}
 		}
 		for h, by := range received {
 			for k, n := range by {
 				if n > requests[h][k] {
-					t.Fatalf("%s gets %d of %v and wants %d", h, n, k, requests[h][k])
+					t.Fatalf("host %s: got %d of %v, want %d at most", h, n, k, requests[h][k])
 				}
 			}
 		}
 	})
 }
 
-// TestFairOrder: of a short kind nobody gets all before another has any.
+// TestFairOrder: of a scarce kind nobody gets all before another has any.
 func TestFairOrder(t *testing.T) {
 	k := kinds[0]
 	requests := func(n int) map[Kind]int { return map[Kind]int{k: n} }
@@ -98,13 +98,13 @@
 		transferred[m.To]++
 	}
 	if transferred["a"] != 7 || transferred["b"] != 3 {
-		t.Errorf("handed over %v", transferred)
+		t.Errorf("got transfers %v, want 7 for a and 3 for b", transferred)
 	}
 	if len(scaleOuts) != 4 || scaleOuts[0].Host != "a" {
-		t.Errorf("booked %v", scaleOuts)
+		t.Errorf("got scale-outs %v, want 4, the first for a", scaleOuts)
 	}
 	_, scaleOuts = Match([]Owner{{Host: "a", CapacityRequests: requests(500)}, {Host: "b", CapacityRequests: requests(500)}}, Limits{MaxScaleOuts: 4, MaxPerScaleOut: 50})
 	if len(scaleOuts) != 4 || scaleOuts[0].Host != "a" || scaleOuts[1].Host != "b" || scaleOuts[2].Host != "a" {
-		t.Errorf("booked %v, want turns", scaleOuts)
+		t.Errorf("got scale-outs %v, want hosts in turn", scaleOuts)
 	}
 }
--- a/internal/readbatch/readbatch.go
+++ b/internal/readbatch/readbatch.go
@@ -1,59 +1,57 @@
-// Package readbatch decides by which reads many questions for records are answered. A
-// record by itself costs a request, and the state service takes a fixed number of those
-// a second: after all controllers have ended, a thousand jobs that are over may be asked
-// about at once, and by storms of polls again and again. So a few are read by
-// themselves, and when more wait one list answers all those within a page. Time goes
-// in turns, which the caller counts: the package has no clock and sends nothing.
+// Package readbatch batches reads of single records. Each read costs a request, and the state
+// service takes a fixed number of those a second: after all controllers have restarted, users
+// may poll for a thousand finished jobs at once, again and again. So a few records are read
+// one by one, and if more are pending one list answers all those within a page. The caller
+// counts rounds: the package has no clock and sends nothing.
 package readbatch
 
 import "slices"
 
 const (
-	// maxSingleReads bounds the reads of single records in a turn.
+	// maxSingleReads bounds the reads of single records in a round.
 	maxSingleReads = 3
-	// minListSize is how many must wait for a list to be worth its time: it brings a
-	// thousand records or some hundred kilobytes.
+	// minListSize is how many records must be pending for a list to be worth its cost: it
+	// returns a thousand records or some hundred kilobytes.
 	minListSize = 8
 )
 
-// Read is one request: a single record, or all those that follow From in the order of
-// their names. From itself is not among them.
+// Read is one request: the record ID, or a list of the records whose names follow After.
 type Read struct {
 	ID     string
 	IsList bool
 	After  string
-	// requested are the names that were asked for before it began.
+	// requested are the names that were requested before the read was sent.
 	requested []string
 }
 
-// Requested are the names that were asked for before the read begins.
+// Requested returns the names that were requested before the read was sent.
 func (r Read) Requested() []string { return r.requested }
 
-// Batcher has the names that are asked for. Its zero value is empty.
+// Batcher collects requested names. The zero value is empty and ready. It is not safe for
+// concurrent use.
 type Batcher struct {
-	// pending are sorted; no name is twice in it.
+	// pending is sorted, without duplicates.
 	pending []string
-	// singleReads counts the single reads of this turn, and listed says that it had its list,
-	// listing that one is under way.
+	// singleReads counts the single reads of this round; hasListed: the round had its list;
+	// isListing: a list is in flight.
 	singleReads          int
 	hasListed, isListing bool
-	// resumeAfter is where the last list ended: those behind it come first, or the names at
-	// the end would wait for as long as others come.
+	// resumeAfter is where the last list ended. The next starts behind it, or the last names
+	// would wait for as long as others are requested.
 	resumeAfter string
 }
 
-// Request notes that a record is asked for, and is to be read by a request that has not
-// begun.
+// Request adds a record, to be read by a request that has not been sent yet.
 func (b *Batcher) Request(id string) {
 	if i, there := slices.BinarySearch(b.pending, id); !there {
 		b.pending = slices.Insert(b.pending, i, id)
 	}
 }
 
-// BeginRound begins the next turn.
+// BeginRound begins the next round.
 func (b *Batcher) BeginRound() { b.singleReads, b.hasListed = 0, false }
 
-// Next is a read that is to be sent now; ok is false if there is none in this turn.
+// Next returns a read to send now; ok is false if there is none in this round.
 func (b *Batcher) Next() (r Read, ok bool) {
 	switch {
 	case len(b.pending) == 0:
@@ -77,9 +75,9 @@
 	return r, true
 }
 
-// Complete takes in the answer to a read, and says for which names it is one. last is the
-// last name that a list brought, and more that others follow. If it failed, it is an
-// answer to all that were asked for: that it failed.
+// Complete takes the result of a read, and returns the names that it answers. lastName is the
+// last name in a list, and hasMore says that others follow. A failed read (ok false) answers
+// all its names: with the failure.
 func (b *Batcher) Complete(r Read, ok bool, lastName string, hasMore bool) []string {
 	if !r.IsList {
 		return r.requested
--- a/internal/readbatch/readbatch_test.go
+++ b/internal/readbatch/readbatch_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// pageSize is how many records a list of the model brings.
+// pageSize is how many records a list of the model returns.
 const pageSize = 40
 
-// listAnswer is what the model's store says to a read.
+// listAnswer is the model store's result of a list.
 func listAnswer(r Read, stored []string) (last string, more bool) {
 	i, there := slices.BinarySearch(stored, r.After)
 	if there {
@@ -24,8 +24,8 @@
 	return "", false
 }
 
-// TestLookup: whatever is asked and however reads fail, each question is answered by a
-// read that began after it and covers it, and in the end none waits.
+// TestLookup: whatever is requested and however reads fail, each request is answered by a read
+// that was sent after it and covers it, and in the end none is pending.
 func TestLookup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stored []string
@@ -33,7 +33,7 @@
 			stored = append(stored, fmt.Sprintf("job-%06d", 3*i))
 		}
 		var b Batcher
-		open := map[string]int{} // open questions, and the step of the newest
+		open := map[string]int{} // open requests, and the step of the newest
 		readsOf := map[string][]int{}
 		type flight struct {
 			r    Read
@@ -60,7 +60,7 @@
 			}
 			for _, id := range b.Complete(f.r, ok, last, more) {
 				if f.r.IsList && ok && (id <= f.r.After || more && id > last) || !f.r.IsList && id != f.r.ID {
-					t.Fatalf("%s is answered by a read that does not cover it", id)
+					t.Fatalf("request for %s is answered by a read that does not cover it", id)
 				}
 				readsOf[id] = append(readsOf[id], f.step)
 				if open[id] < f.step {
@@ -93,11 +93,11 @@
 			b.BeginRound()
 			send()
 			if reads++; reads > 200 {
-				t.Fatal("the reads have no end")
+				t.Fatal("requests are still pending after 200 rounds")
 			}
 		}
 		if len(open) > 0 {
-			t.Fatalf("%d questions have no answer", len(open))
+			t.Fatalf("%d requests have no answer", len(open))
 		}
 	})
 }
@@ -122,18 +122,19 @@
 		b.Complete(r, true, last, more)
 	}
 	if reads > 1000/pageSize+minListSize {
-		t.Errorf("%d reads", reads)
+		t.Errorf("got %d reads of 1000 records, want about one a page", reads)
 	}
-	// A few do not wait for a list, and more of them than a turn has share the next.
+	// A few records do not wait for a list; more than a round's single reads wait for the
+	// next.
 	b.BeginRound()
 	for i := range maxSingleReads {
 		b.Request(stored[i])
 		if r, ok := b.Next(); !ok || r.IsList {
-			t.Errorf("the read of %s waits", stored[i])
+			t.Errorf("read of %s: got no single read, want one", stored[i])
 		}
 	}
 	b.Request(stored[9])
 	if _, ok := b.Next(); ok {
-		t.Error("a turn has no end of reads")
+		t.Error("Next after maxSingleReads: got a read, want none in this round")
 	}
 }
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,32 +1,31 @@
-// Package resource counts what machines offer and tasks take. It stands below
-// internal/controller so that decisions outside the core, such as internal/packing, speak of
-// the same thing.
+// Package resource computes with what machines offer and tasks take. It imports nothing of the
+// project, so that packages below the controller, such as packing, can use it.
 package resource
 
 import "math"
 
-// Resources is an amount of what a machine offers or a task takes.
+// Resources is what a machine offers or a task takes: CPUs, GPUs, and memory in the protocol's
+// unit.
 type Resources struct {
 	CPU    float64
 	GPU    float64
 	Memory float64
 }
 
-// Tolerance absorbs rounding when amounts in decimal form are added up and taken away
-// again over a long life.
+// Tolerance absorbs rounding when decimal amounts are added and subtracted many times.
 const Tolerance = 1e-6
 
-// Fits says whether r fits into free.
+// Fits reports whether r fits into free.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU+Tolerance && r.GPU <= free.GPU+Tolerance && r.Memory <= free.Memory+Tolerance
 }
 
-// AddScaled adds n times o.
+// AddScaled returns r plus n times o.
 func (r Resources) AddScaled(o Resources, n float64) Resources {
 	return Resources{CPU: r.CPU + n*o.CPU, GPU: r.GPU + n*o.GPU, Memory: r.Memory + n*o.Memory}
 }
 
-// FitCount says how many tasks of size o fit into r.
+// FitCount returns how many tasks of size o fit into r; math.MaxInt32 if o is empty.
 func (r Resources) FitCount(o Resources) int {
 	n := math.Inf(1)
 	for _, dimension := range [...][2]float64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -1,6 +1,5 @@
-// Package validate judges what comes from outside before anything is reckoned with it, and
-// keeps the log from filling when the same mistake comes again and again. The package
-// has no clock and prints nothing.
+// Package validate checks input before anything is computed from it, and limits the log lines
+// about repeated errors. The package has no clock and writes nothing.
 package validate
 
 import (
@@ -9,22 +8,23 @@
 )
 
 const (
-	// MaxAmount bounds amounts and seconds, so that adding up and multiplying them
-	// can't overflow; far beyond any machine or job there is.
+	// MaxAmount bounds amounts and seconds, so that sums and products can't overflow; it is
+	// far beyond any machine or job.
 	MaxAmount = 1e8
-	// MaxNameBytes is how long a name of a machine, a flavour, a zone or a team may be: it
-	// goes into records that are bounded.
+	// MaxNameBytes bounds the name of a machine, a machine type, a zone or a team: names go
+	// into records of limited size.
 	MaxNameBytes = 200
-	// MaxTasks is how many tasks a job may have, by the protocol.
+	// MaxTasks bounds the tasks of a job, by the protocol.
 	MaxTasks = 100_000
-	// maxCauses bounds the causes that are remembered.
+	// maxCauses bounds the causes that a LogLimiter remembers.
 	maxCauses = 256
 )
 
-// Check collects what is wrong with a value; the first finding stands.
+// Check collects what is wrong with a value; the first problem stands.
 type Check struct{ problem string }
 
-// Problem is what is wrong, "" for nothing: the field, and what would be right.
+// Problem returns what is wrong, "" for nothing: the field, and what would be valid. The text
+// reaches users.
 func (c *Check) Problem() string { return c.problem }
 
 func (c *Check) reject(format string, args ...any) {
@@ -33,25 +33,24 @@
 	}
 }
 
-// IsAmount says that f is a finite number from 0 to MaxAmount; nothing else can be
-// reckoned with.
+// IsAmount reports whether f is a finite number from 0 to MaxAmount.
 func IsAmount(f float64) bool { return f >= 0 && f <= MaxAmount }
 
-// Amount wants a finite number from 0 to MaxAmount.
+// Amount requires a finite number from 0 to MaxAmount.
 func (c *Check) Amount(field string, f float64) {
 	if !IsAmount(f) {
 		c.reject("%s is %v: want a number from 0 to %g", field, f, float64(MaxAmount))
 	}
 }
 
-// Count wants a whole number from least to most.
+// Count requires a whole number from minimum to maximum.
 func (c *Check) Count(field string, n, minimum, maximum int) {
 	if n < minimum || n > maximum {
 		c.reject("%s is %d: want %d to %d", field, n, minimum, maximum)
 	}
 }
 
-// Name wants a text of up to MaxNameBytes bytes, and of one at least if it must be there.
+// Name requires a text of up to MaxNameBytes bytes, which may be empty unless required.
 func (c *Check) Name(field, s string, required bool) {
 	switch {
 	case required && s == "":
@@ -61,18 +60,18 @@
 	}
 }
 
-// LogLimiter lets each cause be told once a minute. The zero value is ready; it is not for
-// several goroutines.
+// LogLimiter allows each cause to be logged once a minute. The zero value is ready. It is not
+// safe for concurrent use.
 type LogLimiter struct{ loggedAt map[string]time.Time }
 
-// Allow says whether to tell of a cause now.
-func (m *LogLimiter) Allow(now time.Time, cause string) bool {
-	if at, ok := m.loggedAt[cause]; ok && now.Sub(at) < time.Minute {
+// Allow reports whether to log a cause now.
+func (l *LogLimiter) Allow(now time.Time, cause string) bool {
+	if at, ok := l.loggedAt[cause]; ok && now.Sub(at) < time.Minute {
 		return false
 	}
-	if m.loggedAt == nil || len(m.loggedAt) >= maxCauses {
-		m.loggedAt = map[string]time.Time{}
+	if l.loggedAt == nil || len(l.loggedAt) >= maxCauses {
+		l.loggedAt = map[string]time.Time{}
 	}
-	m.loggedAt[cause] = now
+	l.loggedAt[cause] = now
 	return true
 }
