--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -19,8 +19,8 @@
 			jobs[i] = Job{
 				Waited:  time.Duration(rapid.IntRange(0, 400).Draw(t, "waited")) * time.Second,
 				Urgency: rapid.IntRange(0, 3).Draw(t, "urgency"), Guaranteed: rapid.Bool().Draw(t, "guaranteed"),
-				WaitingTasks: rapid.IntRange(1, 50).Draw(t, "waiting"), TaskFraction: rapid.SampledFrom([]float64{0.001, 0.02, 0.4, 1}).Draw(t, "each"),
-				RunningFraction: rapid.SampledFrom([]float64{0, 0, 0.1, 0.5}).Draw(t, "holds"), Gang: rapid.Bool().Draw(t, "together"),
+				WaitingTasks: rapid.IntRange(1, 50).Draw(t, "waiting"), TaskFraction: rapid.SampledFrom([]float64{0.001, 0.02, 0.4, 1}).Draw(t, "task fraction"),
+				RunningFraction: rapid.SampledFrom([]float64{0, 0, 0.1, 0.5}).Draw(t, "running fraction"), Gang: rapid.Bool().Draw(t, "gang"),
 			}
 		}
 		entries := QueueOrder(jobs)
--- a/internal/disruption/disruption_test.go
+++ b/internal/disruption/disruption_test.go
@@ -44,10 +44,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := Pool{Reporting: rapid.IntRange(1, 50).Draw(t, "reporting"), Lease: 30 * time.Second, MaxStarts: rapid.IntRange(0, 8).Draw(t, "starts")}
 		var unresponsive []Machine
-		for i := range rapid.IntRange(1, p.Reporting).Draw(t, "silent") {
+		for i := range rapid.IntRange(1, p.Reporting).Draw(t, "unresponsive") {
 			unresponsive = append(unresponsive, Machine{
 				ID: fmt.Sprint(i), Tasks: rapid.IntRange(0, 12).Draw(t, "tasks"), Urgency: rapid.IntRange(0, 3).Draw(t, "urgency"),
-				LatestStart: t0.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "latest")) * time.Second),
+				LatestStart: t0.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "latest start")) * time.Second),
 			})
 		}
 		for range 200 {
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -24,10 +24,10 @@
 			o := Owner{Host: fmt.Sprintf("worker-%d", i), CapacityRequests: map[Kind]int{}}
 			surplus[o.Host] = map[Kind]int{}
 			for _, k := range kinds {
-				if n := rapid.IntRange(0, 60).Draw(t, "want"); n > 0 {
+				if n := rapid.IntRange(0, 60).Draw(t, "requested"); n > 0 {
 					o.CapacityRequests[k] = n
 				}
-				for range rapid.IntRange(0, 20).Draw(t, "spare") {
+				for range rapid.IntRange(0, 20).Draw(t, "surplus") {
 					id := fmt.Sprintf("vm-%d", len(ownerOf))
 					ownerOf[id], kindOf[id] = o.Host, k
 					surplus[o.Host][k]++
@@ -37,7 +37,7 @@
 			requests[o.Host] = maps.Clone(o.CapacityRequests)
 			owners = append(owners, o)
 		}
-		limits := Limits{MaxTransfers: rapid.IntRange(0, 200).Draw(t, "moves"), MaxScaleOuts: rapid.IntRange(1, 8).Draw(t, "bookings"), MaxPerScaleOut: 50}
+		limits := Limits{MaxTransfers: rapid.IntRange(0, 200).Draw(t, "transfers"), MaxScaleOuts: rapid.IntRange(1, 8).Draw(t, "scale-outs"), MaxPerScaleOut: 50}
 		transfers, scaleOuts := Match(owners, limits)
 		received := map[string]map[Kind]int{}
 		seen := map[string]bool{}
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -20,64 +20,66 @@
 func TestDoubts(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(e *Detector)
+		do   func(d *Detector)
 		want bool
 	}{
 		{"nothing is known", func(*Detector) {}, true},
-		{"a reply was late once", func(e *Detector) { e.ExpectEffect(); e.HeartbeatWithoutEffect(at(1), false, lease) }, true},
-		{"two heartbeats show no effect", func(e *Detector) {
-			e.ExpectEffect()
-			e.HeartbeatWithoutEffect(at(1), false, lease)
-			e.HeartbeatWithoutEffect(at(2), false, lease)
+		{"a reply was late once", func(d *Detector) { d.ExpectEffect(); d.HeartbeatWithoutEffect(at(1), false, lease) }, true},
+		{"two heartbeats show no effect", func(d *Detector) {
+			d.ExpectEffect()
+			d.HeartbeatWithoutEffect(at(1), false, lease)
+			d.HeartbeatWithoutEffect(at(2), false, lease)
 		}, false},
-		{"no effect was expected", func(e *Detector) {
-			e.HeartbeatWithoutEffect(at(1), false, lease)
-			e.HeartbeatWithoutEffect(at(2), false, lease)
+		{"no effect was expected", func(d *Detector) {
+			d.HeartbeatWithoutEffect(at(1), false, lease)
+			d.HeartbeatWithoutEffect(at(2), false, lease)
 		}, true},
-		{"the lease expired", func(e *Detector) { e.Incarnation(at(1)) }, false},
-		{"a probe had no answer", func(e *Detector) { e.ProbeUnanswered(at(1)) }, false},
-		{"a later probe is answered", func(e *Detector) { e.ProbeUnanswered(at(1)); e.ProbeUnanswered(at(4)); e.ProbeAnswered() }, true},
-		{"it sent heartbeats elsewhere", func(e *Detector) {
-			e.HeartbeatWithoutEffect(at(97), false, lease)
-			e.HeartbeatWithoutEffect(at(100), true, lease)
+		{"the lease expired", func(d *Detector) { d.Incarnation(at(1)) }, false},
+		{"a probe had no answer", func(d *Detector) { d.ProbeUnanswered(at(1)) }, false},
+		{"a later probe is answered", func(d *Detector) { d.ProbeUnanswered(at(1)); d.ProbeUnanswered(at(4)); d.ProbeAnswered() }, true},
+		{"it sent heartbeats elsewhere", func(d *Detector) {
+			d.HeartbeatWithoutEffect(at(97), false, lease)
+			d.HeartbeatWithoutEffect(at(100), true, lease)
 		}, false},
-		{"it was rerouted by others", func(e *Detector) { e.HeartbeatWithoutEffect(at(100), true, lease) }, true},
-		{"heartbeats are lost now and then", func(e *Detector) {
-			e.HeartbeatWithoutEffect(at(97), false, lease)
-			e.HeartbeatWithoutEffect(at(100), true, lease)
-			e.ProbeAnswered()
-			e.HeartbeatWithoutEffect(at(107), false, lease)
-			e.HeartbeatWithoutEffect(at(110), true, lease)
+		{"it was rerouted by others", func(d *Detector) { d.HeartbeatWithoutEffect(at(100), true, lease) }, true},
+		{"heartbeats are lost now and then", func(d *Detector) {
+			d.HeartbeatWithoutEffect(at(97), false, lease)
+			d.HeartbeatWithoutEffect(at(100), true, lease)
+			d.ProbeAnswered()
+			d.HeartbeatWithoutEffect(at(107), false, lease)
+			d.HeartbeatWithoutEffect(at(110), true, lease)
 		}, true},
-		{"its address never answers, its heartbeats show a start", func(e *Detector) { e.ProbeUnanswered(at(1)); e.EffectSeen(); e.ProbeUnanswered(at(5)) }, true},
-		{"its address never answers, and its lease is renewed", func(e *Detector) {
-			e.ProbeUnanswered(at(1))
-			e.HeartbeatWithoutEffect(at(20), false, lease)
-			e.HeartbeatWithoutEffect(at(27), false, lease)
-			e.ProbeUnanswered(at(30))
+		{"its address never answers, its heartbeats show a start", func(d *Detector) { d.ProbeUnanswered(at(1)); d.EffectSeen(); d.ProbeUnanswered(at(5)) }, true},
+		{"its address never answers, and its lease is renewed", func(d *Detector) {
+			d.ProbeUnanswered(at(1))
+			d.HeartbeatWithoutEffect(at(20), false, lease)
+			d.HeartbeatWithoutEffect(at(27), false, lease)
+			d.ProbeUnanswered(at(30))
 		}, true},
-		{"its lease has not yet expired", func(e *Detector) { e.ProbeUnanswered(at(1)); e.HeartbeatWithoutEffect(at(20), false, lease) }, false},
-		{"its leases expire one after another", func(e *Detector) {
-			e.ProbeUnanswered(at(1))
-			e.Incarnation(at(20))
-			e.HeartbeatWithoutEffect(at(40), false, lease)
-			e.Incarnation(at(44))
-			e.HeartbeatWithoutEffect(at(60), false, lease)
+		{"its lease has not yet expired", func(d *Detector) { d.ProbeUnanswered(at(1)); d.HeartbeatWithoutEffect(at(20), false, lease) }, false},
+		{"its leases expire one after another", func(d *Detector) {
+			d.ProbeUnanswered(at(1))
+			d.Incarnation(at(20))
+			d.HeartbeatWithoutEffect(at(40), false, lease)
+			d.Incarnation(at(44))
+			d.HeartbeatWithoutEffect(at(60), false, lease)
 		}, false},
 	} {
-		var e Detector
-		if c.do(&e); e.Reachable() != c.want {
-			t.Errorf("%s: Reachable: got %v, want %v", c.name, e.Reachable(), c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			var d Detector
+			if c.do(&d); d.Reachable() != c.want {
+				t.Errorf("Reachable: got %v, want %v", d.Reachable(), c.want)
+			}
+		})
 	}
-	var e Detector
-	e.ProbeUnanswered(at(1))
-	if _, unreachable := e.Unreachable(at(9)); unreachable {
+	var d Detector
+	d.ProbeUnanswered(at(1))
+	if _, unreachable := d.Unreachable(at(9)); unreachable {
 		t.Error("Unreachable after one probe: got true, want false")
 	}
-	e.ProbeUnanswered(at(4))
-	if d, unreachable := e.Unreachable(at(9)); !unreachable || d != 8*time.Second {
-		t.Errorf("Unreachable: got %v for %v, want true for 8s", unreachable, d)
+	d.ProbeUnanswered(at(4))
+	if age, unreachable := d.Unreachable(at(9)); !unreachable || age != 8*time.Second {
+		t.Errorf("Unreachable: got %v for %v, want true for 8s", unreachable, age)
 	}
 }
 
@@ -86,10 +88,10 @@
 func TestSelectReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reporting := rapid.IntRange(1, 60).Draw(t, "reporting")
-		policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(rapid.Float64Range(-20, 0).Draw(t, "returned"))}
+		policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(rapid.Float64Range(-20, 0).Draw(t, "last released"))}
 		var unreachable []Machine
-		for i := range rapid.IntRange(0, reporting).Draw(t, "deaf") {
-			unreachable = append(unreachable, Machine{ID: fmt.Sprint("vm-", i), Tasks: rapid.IntRange(0, 2).Draw(t, "tasks"), UnreachableFor: time.Duration(rapid.Float64Range(0, 60).Draw(t, "for") * float64(time.Second))})
+		for i := range rapid.IntRange(0, reporting).Draw(t, "unreachable") {
+			unreachable = append(unreachable, Machine{ID: fmt.Sprint("vm-", i), Tasks: rapid.IntRange(0, 2).Draw(t, "tasks"), UnreachableFor: time.Duration(rapid.Float64Range(0, 60).Draw(t, "unreachable for") * float64(time.Second))})
 		}
 		got := SelectReleases(t0, policy, reporting, unreachable)
 		correlated := len(unreachable) >= 4 && 10*len(unreachable) >= reporting
--- a/internal/readbatch/readbatch_test.go
+++ b/internal/readbatch/readbatch_test.go
@@ -70,8 +70,8 @@
 			send()
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"ask": func(t *rapid.T) {
-				for range rapid.IntRange(1, 60).Draw(t, "many") {
+			"request records": func(t *rapid.T) {
+				for range rapid.IntRange(1, 60).Draw(t, "count") {
 					step++
 					id := fmt.Sprintf("job-%06d", rapid.IntRange(0, 1300).Draw(t, "id"))
 					open[id] = step
--- a/internal/remote/registry_test.go
+++ b/internal/remote/registry_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// report sends a heartbeat to whoever owns the machine.
-func (m *ownerModel) report(t *rapid.T) {
+// sendHeartbeat sends a heartbeat to whoever owns the machine.
+func (m *ownerModel) sendHeartbeat(t *rapid.T) {
 	if !m.alive {
 		return
 	}
@@ -119,7 +119,7 @@
 				m.commands = append(m.commands, startCommand{a, m.epoch})
 			}
 		},
-		"again": func(t *rapid.T) {
+		"add duplicate start": func(t *rapid.T) {
 			// A live but absent attempt is started again, under the present epoch.
 			for _, a := range m.liveAttempts() {
 				if _, ok := m.present[a]; m.machineIsOwn && !ok {
@@ -127,13 +127,13 @@
 				}
 			}
 		},
-		"deliver": func(t *rapid.T) {
+		"deliver command": func(t *rapid.T) {
 			if len(m.commands) == 0 {
 				return
 			}
-			i := rapid.IntRange(0, len(m.commands)-1).Draw(t, "order")
+			i := rapid.IntRange(0, len(m.commands)-1).Draw(t, "command")
 			o := m.commands[i]
-			if !rapid.Bool().Draw(t, "doubled") || o.epoch < m.seenEpoch {
+			if !rapid.Bool().Draw(t, "duplicated") || o.epoch < m.seenEpoch {
 				m.commands = slices.Delete(m.commands, i, i+1)
 			}
 			if _, there := m.present[o.attempt]; m.alive && o.epoch >= m.seenEpoch && !there {
@@ -149,33 +149,33 @@
 				}
 			}
 		},
-		"report": m.report,
-		"move": func(t *rapid.T) {
+		"receive heartbeat": m.sendHeartbeat,
+		"move machine": func(t *rapid.T) {
 			m.epoch++
 			m.machineIsOwn = !m.machineIsOwn
 			m.registry.ForgetMachine("vm")
 		},
 		"die": func(t *rapid.T) {
-			if rapid.IntRange(0, 9).Draw(t, "seldom") == 0 && !m.machineIsOwn {
+			if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 && !m.machineIsOwn {
 				// The cloud has confirmed its release: nothing there comes back.
 				m.alive = false
 				clear(m.present)
 				m.registry.MarkMachineGone(m.now, "vm", func(AttemptID) bool { return false })
 			}
 		},
-		"ask": func(t *rapid.T) {
+		"add request": func(t *rapid.T) {
 			x := Request{Machine: "vm"}
 			for _, a := range m.liveAttempts() {
-				x.Attempts = append(x.Attempts, AttemptRequest{AttemptID: a, Intent: Intent(rapid.IntRange(0, 1).Draw(t, "want"))})
+				x.Attempts = append(x.Attempts, AttemptRequest{AttemptID: a, Intent: Intent(rapid.IntRange(0, 1).Draw(t, "intent"))})
 			}
 			m.requests = append(m.requests, x)
 		},
-		"asked": func(t *rapid.T) {
+		"apply request": func(t *rapid.T) {
 			if len(m.requests) > 0 && !m.machineIsOwn {
-				m.registry.Request(m.now, "a", m.requests[rapid.IntRange(0, len(m.requests)-1).Draw(t, "ask")])
+				m.registry.Request(m.now, "a", m.requests[rapid.IntRange(0, len(m.requests)-1).Draw(t, "request")])
 			}
 		},
-		"tell": func(t *rapid.T) {
+		"transmit statuses": func(t *rapid.T) {
 			m.now = m.now.Add(2 * time.Second)
 			if m.machineIsOwn {
 				return
@@ -185,10 +185,10 @@
 			})
 			m.statuses = append(m.statuses, out["a"]...)
 		},
-		"told": func(t *rapid.T) {
+		"transmitted status arrives": func(t *rapid.T) {
 			// Any message that was ever sent: late, duplicated, out of order.
 			if len(m.statuses) > 0 {
-				m.receiveStatus(t, m.statuses[rapid.IntRange(0, len(m.statuses)-1).Draw(t, "tell")])
+				m.receiveStatus(t, m.statuses[rapid.IntRange(0, len(m.statuses)-1).Draw(t, "status")])
 			}
 		},
 	}
@@ -227,7 +227,7 @@
 		m.live[attempt(1)] = true
 		m.epoch, m.machineIsOwn = 2, false
 		m.registry.Request(m.now, "a", Request{Machine: "vm", Attempts: []AttemptRequest{{AttemptID: attempt(1)}}})
-		m.report(rt)
+		m.sendHeartbeat(rt)
 		old := m.registry.DueStatuses(m.now, func(string) (MachineInfo, bool) {
 			return MachineInfo{Epoch: 2, JobOwner: func(string) string { return "" }}, true
 		})["a"]
--- /dev/null
+++ b/internal/resource/resource_test.go
@@ -0,0 +1,41 @@
+package resource
+
+import (
+	"math"
+	"testing"
+)
+
+// TestFits: a task that fits exactly fits in spite of rounding, and FitCount agrees.
+func TestFits(t *testing.T) {
+	free := Resources{CPU: 4, GPU: 1, Memory: 16}
+	for _, c := range []struct {
+		name  string
+		task  Resources
+		count int
+	}{
+		{"exactly", Resources{CPU: 4, GPU: 1, Memory: 16}, 1},
+		{"rounded up", Resources{CPU: 0.1 + 0.2, Memory: 1}, 13},
+		{"too many CPUs", Resources{CPU: 4.1}, 0},
+		{"too many GPUs", Resources{GPU: 2}, 0},
+		{"too much memory", Resources{CPU: 1, Memory: 16.5}, 0},
+		{"one dimension is scarce", Resources{CPU: 1, Memory: 8}, 2},
+		{"nothing", Resources{}, math.MaxInt32},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got, want := c.task.Fits(free), c.count > 0; got != want {
+				t.Errorf("Fits: got %v, want %v", got, want)
+			}
+			if got := free.FitCount(c.task); got != c.count {
+				t.Errorf("FitCount: got %d, want %d", got, c.count)
+			}
+		})
+	}
+}
+
+// TestAddScaled: subtracting is adding a negative multiple.
+func TestAddScaled(t *testing.T) {
+	got := Resources{CPU: 8, GPU: 2, Memory: 32}.AddScaled(Resources{CPU: 2, GPU: 1, Memory: 4}, -2)
+	if want := (Resources{CPU: 4, Memory: 24}); got != want {
+		t.Errorf("AddScaled: got %v, want %v", got, want)
+	}
+}
--- a/internal/selfmonitor/selfmonitor_test.go
+++ b/internal/selfmonitor/selfmonitor_test.go
@@ -31,19 +31,21 @@
 		{"the process was paused", 1000, 100, true, 0, 110, false},
 		{"failover has only just ended", 1000, 100, false, 109, 110, false},
 	} {
-		var o Monitor
-		for s := 0.0; s <= c.now; s += 0.5 {
-			if c.paused && s > c.lastHeard && s < c.now-1 {
-				continue
+		t.Run(c.name, func(t *testing.T) {
+			var m Monitor
+			for s := 0.0; s <= c.now; s += 0.5 {
+				if c.paused && s > c.lastHeard && s < c.now-1 {
+					continue
+				}
+				m.Ran(at(s))
+				if s == c.lastHeard {
+					m.HeartbeatReceived(at(s))
+				}
 			}
-			o.Ran(at(s))
-			if s == c.lastHeard {
-				o.HeartbeatReceived(at(s))
+			if got := m.ReceivesNothing(at(c.now), at(c.since), c.machines, every); got != c.want {
+				t.Errorf("ReceivesNothing: got %v, want %v", got, c.want)
 			}
-		}
-		if got := o.ReceivesNothing(at(c.now), at(c.since), c.machines, every); got != c.want {
-			t.Errorf("%s: ReceivesNothing: got %v, want %v", c.name, got, c.want)
-		}
+		})
 	}
 }
 
--- a/internal/sizelimit/sizelimit_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -96,10 +96,12 @@
 		{"space", nil, put("a b", 1), "has a space"},
 		{"binary", nil, []Write{{"a", []byte{0xc4, 1, 0}}}, "not a value"},
 	} {
-		err := l.CheckTxn(c.compares, c.writes)
-		if c.want == "" != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got error %v, want %q", c.name, err, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			err := l.CheckTxn(c.compares, c.writes)
+			if c.want == "" != (err == nil) || err != nil && !strings.Contains(err.Error(), c.want) {
+				t.Errorf("CheckTxn: got error %v, want %q", err, c.want)
+			}
+		})
 	}
 	unlimited := Limits{ValueBytes: math.MaxInt32, Ops: 100}
 	if err := unlimited.CheckTxn(nil, put("a", MaxTxnBytes)); err == nil || !strings.Contains(err.Error(), "a transaction of") {
