--- /dev/null
+++ b/internal/record/codec_test.go
@@ -0,0 +1,47 @@
+package record
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/micahill/micahill/internal/sizelimit"
+)
+
+// TestDecodeRecord: what is no record fails with its key and the reason, and Decode and
+// DecodeRecord agree.
+func TestDecodeRecord(t *testing.T) {
+	valid := Encode(Leader{Host: "ctl-2", Incarnation: "n-18.1"})
+	for _, c := range []struct {
+		name      string
+		value     []byte
+		want      error
+		wantValid bool
+	}{
+		{name: "a record", value: valid, wantValid: true},
+		{name: "nothing", value: nil, want: sizelimit.ErrValue},
+		{name: "cut off", value: valid[:len(valid)-1], want: sizelimit.ErrValue},
+		{name: "a list longer than its bytes", value: []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, want: sizelimit.ErrValue},
+		{name: "a value of another kind", value: Encode("ctl-2")},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var r Leader
+			err := DecodeRecord(LeaderKey, c.value, &r)
+			if (err == nil) != c.wantValid {
+				t.Fatalf("got error %v, want a record: %v", err, c.wantValid)
+			}
+			if got := Decode(c.value, new(Leader)); got != c.wantValid {
+				t.Errorf("Decode: got %v, want %v", got, c.wantValid)
+			}
+			if c.wantValid {
+				return
+			}
+			var de *DecodeError
+			if !errors.As(err, &de) || de.Key != LeaderKey || de.Reason == "" {
+				t.Errorf("got error %#v, want a DecodeError of %s with a reason", err, LeaderKey)
+			}
+			if c.want != nil && !errors.Is(err, c.want) {
+				t.Errorf("got error %v, want %v", err, c.want)
+			}
+		})
+	}
+}
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -1,7 +1,6 @@
 package record
 
 import (
-	"errors"
 	"fmt"
 	"maps"
 	"testing"
@@ -12,7 +11,7 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// goldenRecords are the controllers' records of the state service.
+// goldenRecords has a full value of every record, by the name of its golden file.
 var goldenRecords = testgolden.Values{
 	"node":  Member{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
 	"life":  Incarnation{StartedAt: 1_750_000_001_234, ShortLived: 3},
@@ -44,27 +43,24 @@
 	}},
 }
 
-// TestGoldenRecords: records of the state service are written as they ever were, and what
-// stands there is read.
+// TestGoldenRecords checks that records are encoded as they have always been, and that stored
+// ones are still read.
 func TestGoldenRecords(t *testing.T) {
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) { return Encode(v), nil },
 		Read: func(b []byte, into any) error {
-			if !Decode(b, into) {
-				return errors.New("not a record")
-			}
-			return nil
+			return DecodeRecord("golden", b, into)
 		},
 	}, goldenRecords)
 	testgolden.Full(t, goldenRecords)
 }
 
-// TestGoldenSpec: what stands in open/ is read as the job that it was, every field of the
-// job is there, and it is written again as it stood.
-func TestGoldenSpec(t *testing.T) {
+// TestGoldenJobSpec checks that an open/ record is read as the specification that it was written
+// from, with every field of it, and is encoded again as it stood.
+func TestGoldenJobSpec(t *testing.T) {
 	var r OpenJob
-	if !Decode(testgolden.Bytes(t, "open"), &r) {
-		t.Fatal("not a record")
+	if err := DecodeRecord("open/job-000412", testgolden.Bytes(t, "open"), &r); err != nil {
+		t.Fatal(err)
 	}
 	s := r.JobSpec("job-000412")
 	all := maps.Clone(goldenRecords)
@@ -77,8 +73,8 @@
 	testgolden.Still(t, "open", Encode(again))
 }
 
-// TestGoldenNames: keys of the state service, and words and numbers that stand in records,
-// mean what they ever meant.
+// TestGoldenNames checks that keys of the state service, and the words and numbers in records,
+// are what they have always been.
 func TestGoldenNames(t *testing.T) {
 	for want, got := range map[string]string{
 		"ctl/":              ControlPrefix,
@@ -106,7 +102,7 @@
 		"urgencies 0 1 2 3": fmt.Sprintf("urgencies %d %d %d %d", model.BestEffort, model.Normal, model.Urgent, model.Critical),
 	} {
 		if got != want {
-			t.Errorf("%q was %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -5,108 +5,68 @@
 
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/pipeline"
-	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/sizelimit"
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// OffloadedJob is a loan that was taken, or the time when a home last answered.
-type OffloadedJob struct {
-	Job       string `msgpack:"j,omitempty"`
-	Cause     string `msgpack:"c,omitempty"`
-	RenewedAt int64  `msgpack:"r,omitempty"`
-}
-
-// FirstDate is the date in the accepting record; what makes no sense is none.
-func (r *OpenJob) FirstDate() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: 1}
-	if r.PromisedMillis <= 0 || r.PromisedMillis > MaxDateMillis {
-		return promise.Date{}
-	}
-	return d
-}
-
-func (r *JobStatus) Date() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
-	if r.Status != model.Done || r.PromisedMillis > MaxDateMillis || d.Validate() != "" {
-		return promise.Date{}
-	}
-	return d
-}
-
-type JobStatus struct {
-	Status model.JobStatus `msgpack:"s"`
-	Tasks  int             `msgpack:"n"`
-	// With promises: whose it was, of a peer's or not, and when it ended, in
-	// milliseconds after its submission; its newest date, in the same way, with the
-	// revision, and whether its first date was there when it was accepted.
-	Team             string `msgpack:"o,omitempty"`
-	Workload         string `msgpack:"c,omitempty"`
-	Offloaded        bool   `msgpack:"gu,omitempty"`
-	EndedAfterMillis int    `msgpack:"a,omitempty"`
-	PromisedMillis   int    `msgpack:"p,omitempty"`
-	PromiseRevision  int    `msgpack:"r,omitempty"`
-	PromisedAtSubmit bool   `msgpack:"q,omitempty"`
-}
-
-// OpenJob is the description of a living job. Whatever ends the job changes
-// or removes it together with writing job/<id>: a start that names its stamp in
-// its conditions cannot follow a cancellation.
+// OpenJob is the record of a job that is not over: its specification, and what became of it
+// that a successor must know. Whatever ends the job changes or removes this record in the
+// transaction that writes its JobStatus, so that a start, which compares this record's mod
+// revision, can't follow a cancellation.
 type OpenJob struct {
-	Workload                  string   `msgpack:"w"`
-	Team                      string   `msgpack:"o"`
-	LongRunning               bool     `msgpack:"st,omitempty"`
-	Gang                      bool     `msgpack:"gg,omitempty"`
-	Urgency                   int      `msgpack:"u"`
-	Tasks                     int      `msgpack:"n"`
-	CPU                       float64  `msgpack:"c"`
-	GPU                       float64  `msgpack:"g,omitempty"`
-	Memory                    float64  `msgpack:"m"`
-	Image                     string   `msgpack:"i"`
-	ImageGB                   float64  `msgpack:"ig"`
-	MachineTypes              []string `msgpack:"f,omitempty"`
-	Zone                      string   `msgpack:"z,omitempty"`
-	SameZone                  bool     `msgpack:"sp,omitempty"`
-	SpreadZones               bool     `msgpack:"ap,omitempty"`
-	AllowSpot                 bool     `msgpack:"l,omitempty"`
-	ExpectedSeconds           float64  `msgpack:"e"`
-	CheckpointIntervalSeconds float64  `msgpack:"se,omitempty"`
-	CheckpointCostSeconds     float64  `msgpack:"sc,omitempty"`
-	DeadlineSeconds           float64  `msgpack:"d,omitempty"`
-	SubmittedAtMillis         int64    `msgpack:"at"`
-	Cancelled                 bool     `msgpack:"x,omitempty"`
-	// CancelledAtMillis is when the change that cancelled it was sent, in Unix milliseconds by
-	// the sender's clock: nobody can have been told before.
+	Workload    string `msgpack:"w"`
+	Team        string `msgpack:"o"`
+	LongRunning bool   `msgpack:"st,omitempty"`
+	Gang        bool   `msgpack:"gg,omitempty"`
+	// Urgency is a model.Urgency.
+	Urgency int `msgpack:"u"`
+	Tasks   int `msgpack:"n"`
+	// CPU, GPU and Memory (GB) are what each task takes.
+	CPU    float64 `msgpack:"c"`
+	GPU    float64 `msgpack:"g,omitempty"`
+	Memory float64 `msgpack:"m"`
+	Image  string  `msgpack:"i"`
+	// ImageGB is the image's size.
+	ImageGB float64 `msgpack:"ig"`
+	// MachineTypes are those allowed; none means any. An empty Zone means any, too.
+	MachineTypes []string `msgpack:"f,omitempty"`
+	Zone         string   `msgpack:"z,omitempty"`
+	SameZone     bool     `msgpack:"sp,omitempty"`
+	SpreadZones  bool     `msgpack:"ap,omitempty"`
+	AllowSpot    bool     `msgpack:"l,omitempty"`
+	// ExpectedSeconds is a task's run time as its user estimates it.
+	ExpectedSeconds           float64 `msgpack:"e"`
+	CheckpointIntervalSeconds float64 `msgpack:"se,omitempty"`
+	CheckpointCostSeconds     float64 `msgpack:"sc,omitempty"`
+	// DeadlineSeconds counts from the submission; 0 means no deadline.
+	DeadlineSeconds float64 `msgpack:"d,omitempty"`
+	// SubmittedAtMillis is in Unix milliseconds.
+	SubmittedAtMillis int64 `msgpack:"at"`
+	// Cancelled jobs stay until their tasks have stopped.
+	Cancelled bool `msgpack:"x,omitempty"`
+	// CancelledAtMillis is when the transaction that cancelled the job was sent, in Unix
+	// milliseconds by the sender's clock: no user can have had the answer before.
 	CancelledAtMillis int64 `msgpack:"xa,omitempty"`
-	// LentTo names the peer that has the job, LendCount how often it was lent, and StopBoundMillis
-	// the peer's bound in milliseconds.
-	// Wanted: its user wants it cancelled, which the peer has to hear first.
-	LentTo          string `msgpack:"ln,omitempty"`
-	LendCount       uint64 `msgpack:"lc,omitempty"`
-	StopBoundMillis int64  `msgpack:"ls,omitempty"`
-	CancelRequested bool   `msgpack:"cw,omitempty"`
-	// BorrowedLoan is the loan by which a job of another cluster is here.
+	// LentTo is the peer cluster that runs the job, "" for none.
+	LentTo string `msgpack:"ln,omitempty"`
+	// LendCount is how often the job was lent, which tells its loans apart.
+	LendCount uint64 `msgpack:"lc,omitempty"`
+	// StopBoundMillis is within how many milliseconds the peer stops the job's tasks when
+	// the loan ends.
+	StopBoundMillis int64 `msgpack:"ls,omitempty"`
+	// CancelRequested says that the job's user wants a lent job cancelled, which has to wait
+	// for the peer.
+	CancelRequested bool `msgpack:"cw,omitempty"`
+	// BorrowedLoan is the loan by which another cluster's job runs here, "" for an own job.
 	BorrowedLoan string `msgpack:"gu,omitempty"`
-	// PromisedMillis is the promised date, in milliseconds after the submission: its first revision.
+	// PromisedMillis is the first promised completion date, in milliseconds after the
+	// submission; 0 for none.
 	PromisedMillis int `msgpack:"p,omitempty"`
-	// Dependencies names the jobs that it needs; see internal/pipeline.
+	// Dependencies are the jobs that must be done first, as pipeline.EncodeNames writes them.
 	Dependencies string `msgpack:"pr,omitempty"`
 }
 
-// ShrinkToFit has a cancelled job's record fit a value also where the description was written
-// under a larger limit: what it leaves out says only where a task may start.
-func (r *OpenJob) ShrinkToFit(valueBytes int) {
-	for _, leave := range [...]func(){
-		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
-	} {
-		if size, err := sizelimit.JSON(Encode(r)); err == nil && size <= valueBytes {
-			return
-		}
-		leave()
-	}
-}
-
-// NewOpenJob describes a job that was submitted at a time as it is stored.
+// NewOpenJob is the record of a job that was submitted at a time.
 func NewOpenJob(s *model.JobSpec, at time.Time) OpenJob {
 	return OpenJob{
 		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
@@ -118,6 +78,7 @@
 	}
 }
 
+// JobSpec is the specification that the record holds. The record must be valid.
 func (r *OpenJob) JobSpec(id string) model.JobSpec {
 	return model.JobSpec{
 		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: model.Urgency(r.Urgency),
@@ -128,14 +89,28 @@
 	}
 }
 
-// DependencyNames are the jobs that it names; none if they can't be read, which bad tells.
+// DependencyNames are the jobs that must be done first; none if the field can't be read, which
+// Validate reports.
 func (r *OpenJob) DependencyNames() []string {
 	names, _ := pipeline.DecodeNames(r.Dependencies)
 	return names
 }
 
-// Validate is what is wrong with a job's record, "" for nothing. One that is over and was
-// kept by an earlier form says nothing but that.
+// ShrinkToFit makes a cancelled job's record fit a value of valueBytes, also where it was written
+// under a larger limit. What it drops, field by field, matters only for where a task may start.
+func (r *OpenJob) ShrinkToFit(valueBytes int) {
+	for _, drop := range [...]func(){
+		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
+	} {
+		if size, err := sizelimit.JSON(Encode(r)); err == nil && size <= valueBytes {
+			return
+		}
+		drop()
+	}
+}
+
+// Validate returns the first thing that is wrong with the record, as field and reason, "" if it is
+// valid. A cancelled job's record that an earlier version shortened has no team, and is valid.
 func (r *OpenJob) Validate() string {
 	var c validate.Check
 	if r.Cancelled && r.Team == "" {
@@ -143,10 +118,10 @@
 	}
 	c.Count("n", r.Tasks, 1, validate.MaxTasks)
 	for _, f := range [...]struct {
-		name string
-		is   float64
+		name  string
+		value float64
 	}{{"c", r.CPU}, {"g", r.GPU}, {"m", r.Memory}, {"ig", r.ImageGB}, {"e", r.ExpectedSeconds}, {"se", r.CheckpointIntervalSeconds}, {"sc", r.CheckpointCostSeconds}, {"d", r.DeadlineSeconds}} {
-		c.Amount(f.name, f.is)
+		c.Amount(f.name, f.value)
 	}
 	c.Count("u", r.Urgency, int(model.BestEffort), int(model.Critical))
 	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
--- a/internal/record/prewarmed.go
+++ b/internal/record/prewarmed.go
@@ -1,17 +1,22 @@
 package record
 
-// Prewarmed is what some of the machines hold. Machines are kept by the number
-// at the end of their names, which is short.
+// Prewarmed is which images some of a shard's machines hold. A machine is stored by the number
+// at the end of its name, which is shorter than the name.
 type Prewarmed struct {
-	MachinePrefix string           `msgpack:"p"`
-	NumberWidth   int              `msgpack:"w"`
-	Images        []PrewarmedImage `msgpack:"i"`
+	// MachinePrefix is the part of the names before the number.
+	MachinePrefix string `msgpack:"p"`
+	// NumberWidth is how many digits the number has in the names, with leading zeros.
+	NumberWidth int              `msgpack:"w"`
+	Images      []PrewarmedImage `msgpack:"i"`
 }
 
+// PrewarmedImage is an image and the machines that hold it.
 type PrewarmedImage struct {
-	//lint:ignore U1000 its tag has rows stored as lists
+	//lint:ignore U1000 its tag stores the fields as a list, without names
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
-	GB       float64
+	// GB is the image's size.
+	GB float64
+	// Machines are the numbers in the machines' names.
 	Machines []int
 }
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -5,38 +5,46 @@
 	"unicode/utf8"
 )
 
-// TaskEntry is one task that was ever started: index, attempt, machine ("" when
-// it is on none), its group's start in Unix milliseconds, whether it was
-// relaunched, and whether it is done.
+// TaskEntry is a task that was started at least once.
 type TaskEntry struct {
-	//lint:ignore U1000 its tag has rows stored as lists
-	_msgpack   struct{} `msgpack:",as_array"`
-	Index      int
-	Try        uint64
-	Machine    string
-	Group      int64
+	//lint:ignore U1000 its tag stores the fields as a list, without names
+	_msgpack struct{} `msgpack:",as_array"`
+	Index    int
+	// Try is the newest attempt.
+	Try uint64
+	// Machine is where that attempt is, "" if on none; without its segment's MachinePrefix.
+	Machine string
+	// Group is when the task's group was started, in Unix milliseconds.
+	Group int64
+	// Relaunched says that the task was relaunched as a straggler, which is done once.
 	Relaunched bool
 	Done       bool
 }
 
-// TaskSegment holds some consecutive tasks of a job. Runs lists finished tasks
-// as pairs of first and last index, rows the others; marks are the groups
-// whose relaunch has been decided. Times are run times in milliseconds, the
-// last few, from which a successor rebuilds the median.
+// TaskSegment is the state of some consecutive tasks of a job; its key says which. A task that
+// is in neither DoneRanges nor Rows was never started.
 type TaskSegment struct {
-	// MachinePrefix is what the names of all machines in the rows begin with; the rows
-	// have the rest, so that long names take no more room than short ones.
-	MachinePrefix    string      `msgpack:"p,omitempty"`
-	DoneRanges       []int       `msgpack:"d,omitempty"`
-	Rows             []TaskEntry `msgpack:"t,omitempty"`
-	RelaunchedGroups []int64     `msgpack:"m,omitempty"`
-	RunTimes         []int64     `msgpack:"rt,omitempty"`
-	// RankingRevision is the stamp of the ranking under which the newest starts were decided.
+	// MachinePrefix is what the machines' names in all rows begin with; the rows have the
+	// rest, so that long names take no more space than short ones.
+	MachinePrefix string `msgpack:"p,omitempty"`
+	// DoneRanges are the tasks that are done, as pairs of a first and a last index.
+	DoneRanges []int `msgpack:"d,omitempty"`
+	// Rows are the other tasks that were started.
+	Rows []TaskEntry `msgpack:"t,omitempty"`
+	// RelaunchedGroups are the groups whose relaunch has been decided, by their start in Unix
+	// milliseconds.
+	RelaunchedGroups []int64 `msgpack:"m,omitempty"`
+	// RunTimes are the last few run times in milliseconds, from which a successor rebuilds
+	// the median.
+	RunTimes []int64 `msgpack:"rt,omitempty"`
+	// RankingRevision is the mod revision of the ranking under which the newest starts were
+	// decided.
 	RankingRevision uint64 `msgpack:"rk,omitempty"`
 }
 
-// FactorMachinePrefix puts what all machines' names begin with into one place. The last row's name
-// keeps a character at least, as "" stands for none.
+// FactorMachinePrefix moves what all machines' names in the rows begin with to MachinePrefix.
+// Each name keeps a byte at least, as "" stands for no machine, and MachinePrefix stays valid
+// UTF-8.
 func (r *TaskSegment) FactorMachinePrefix() {
 	prefix, first := "", true
 	for _, row := range r.Rows {
@@ -64,11 +72,12 @@
 	}
 }
 
-// maxTaskEntryBytes is an upper bound for a row in JSON form: an index of six digits, an
-// attempt, a machine name, a group's time and two flags.
+// maxTaskEntryBytes is an upper bound for a TaskEntry's length as JSON, by which the state service
+// measures a value: an index of six digits, an attempt, a machine's name, a time and two flags.
 const maxTaskEntryBytes = 72
 
-// MaxTasksPerSegment says how many tasks share a value, leaving a quarter for the rest.
+// MaxTasksPerSegment is how many tasks a segment may have so that it fits into a value of
+// valueBytes, with a quarter left for what is not rows.
 func MaxTasksPerSegment(valueBytes int) int {
 	return max(8, valueBytes*3/4/maxTaskEntryBytes)
 }
