--- a/internal/message/peer.go
+++ b/internal/message/peer.go
@@ -6,90 +6,113 @@
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
-	"github.com/micahill/micahill/internal/sizelimit"
-	"github.com/micahill/micahill/internal/validate"
 )
 
 const (
-	// maxCancellationsPerUpdate bounds the jobs in a message, of some hundred bytes each, and
-	// maxUnackedCancellations those that wait to be heard; what is more is left to the records.
+	// MaxCancellationsPerUpdate bounds the Cancellations of an update, of some hundred bytes
+	// each, and the CancellationAcks. More are left to the jobs' records.
 	MaxCancellationsPerUpdate = 200
+	// MaxReroutedHeartbeats bounds the Rerouted of an update.
+	MaxReroutedHeartbeats = 1000
 )
 
-// Cancellation is a job's record in open/ as its cancellation has written it.
-type Cancellation struct {
-	ID          string
-	Record      []byte
-	ModRevision uint64
-}
-
-// validateCancellations judges what a peer tells of cancellations.
-func validateCancellations(check *validate.Check, update *PeerUpdate) {
-	check.Count("cancelled", len(update.Cancellations), 0, MaxCancellationsPerUpdate)
-	for _, x := range update.Cancellations {
-		check.Name("cancelled.id", x.ID, true)
-	}
-	check.Count("cancels_heard", len(update.CancellationAcks), 0, MaxCancellationsPerUpdate)
-	for _, id := range update.CancellationAcks {
-		check.Name("cancels_heard.id", id, true)
-	}
-}
-
-// PeerUpdate is what controllers tell each other. All of it may be lost or late.
+// PeerUpdate is what a controller publishes to another. An update may be lost, late or out of
+// order, so nothing that must hold may rest on it. A part that is empty says nothing.
 type PeerUpdate struct {
+	// From is the sender's host.
 	From string
-	// Incarnation is that of the sender when it said so.
-	Incarnation   string
-	Progress      []Progress
-	WorkloadLoads []WorkloadLoad
-	// MachineUpdates are the owner's machines, for a successor.
+	// Incarnation is the sender's when it made the update.
+	Incarnation string
+
+	// Progress is that of the sender's jobs, for users to see.
+	Progress []Progress
+	// WorkloadLoads and MachineUpdates are for a successor of the sender.
+	WorkloadLoads  []WorkloadLoad
 	MachineUpdates []MachineUpdate
-	// Asks: an owner asks the leader for machines it wants, and to return
-	// those that are idle; Seq is the newest news it has of the leader. Teams are
-	// what its teams keep busy, Offers which machines it would give along with a
-	// team that is to move, and ToSpare those that it has no use for now.
+
+	// IsCapacityRequest says that the sender, as a shard leader, makes its requests of the
+	// leader: the fields to Offers are meant, also where they are empty.
 	IsCapacityRequest bool
-	Surplus           []string
-	Seq               uint64
-	CapacityRequests  []CapacityRequest
-	ToRelease         []string
-	TeamLoads         []TeamLoad
-	Offers            []sharding.Offer
-	// Tells: the leader tells an owner of its machines: of some of them, and of all
-	// that the owner does not know of by Seq; and which team is to move.
-	// Spare counts what others have to spare.
-	IsLeaderUpdate   bool
+	// Surplus are machines that the sender has no use for now, by ID.
+	Surplus []string
+	// Seq is, in a capacity request, that of the newest leader update which the sender has
+	// applied; in a leader update, its own.
+	Seq uint64
+	// CapacityRequests are the machines that the sender wants.
+	CapacityRequests []CapacityRequest
+	// ToRelease are idle machines to give back to the cloud, by ID.
+	ToRelease []string
+	TeamLoads []TeamLoad
+	// Offers are the machines that would go along with a team that is to move.
+	Offers []sharding.Offer
+
+	// IsLeaderUpdate says that the sender, as the leader, informs a shard leader: the fields
+	// to TeamRelease are meant, also where they are empty.
+	IsLeaderUpdate bool
+	// SurplusElsewhere counts the machines that other shards could give away.
 	SurplusElsewhere []CapacityRequest
-	RentalUpdates    []RentalUpdate
-	Blocked          []CapacityRequest
-	TeamRelease      []sharding.MoveRequest
-	// RemoteAttempts are attempts of the sender's jobs on the receiver's machines, and Told
-	// what the sender knows of those of the receiver's jobs on its own.
+	// RentalUpdates are machines of the receiver's, among them all that changed after the Seq
+	// of its newest capacity request.
+	RentalUpdates []RentalUpdate
+	// Blocked are the kinds of machines that the cloud has none of now.
+	Blocked []CapacityRequest
+	// TeamRelease are teams that are to move to another shard.
+	TeamRelease []sharding.MoveRequest
+
+	// RemoteAttempts are attempts of the sender's jobs on the receiver's machines, and
+	// RemoteStatuses what is known of the receiver's on the sender's machines.
 	RemoteAttempts []remote.Request
 	RemoteStatuses []remote.MachineStatus
-	// Rates is what the sender asks of the state service.
+	// Rates are the requests that the sender needs to make of the state service.
 	Rates *Rates
-	// StateAway: the state service does not answer here.
+	// StoreUnavailable says that the state service does not answer the sender.
 	StoreUnavailable bool
-	// HostNeeds are hosts that the sender needs whole, and Costs what emptying one would
-	// cost it; Lacks are what the leader says that others need, and Empty what it wants
-	// the receiver to empty. See evacuation.go.
+
+	// HostNeeds are machines that the sender needs empty, and EvacuationCosts what it would
+	// cost the sender to evacuate one. The leader answers with OthersNeeds, what other shards
+	// need, and EvacuationRequests, what the receiver is to evacuate.
 	HostNeeds, OthersNeeds, EvacuationRequests []HostNeed
 	EvacuationCosts                            []HostCost
-	// Quotes are what dates for the sender's teams rest on.
+	// Quotes are what completion dates for the sender's teams rest on.
 	Quotes []TeamQuotes
-	// Rerouted are reports of the receiver's machines that came to the sender.
+	// Rerouted are heartbeats of the receiver's machines that reached the sender.
 	Rerouted []ReroutedHeartbeat
-	// Cancellations are jobs that the sender, or another before it, has told their users are
-	// cancelled, and CancelsHeard those of which it has heard from the receiver.
+	// Cancellations are jobs whose users have been answered, by the sender or by another
+	// controller before it, that they are cancelled. CancellationAcks are those that the
+	// sender has learnt of from the receiver, by job.
 	Cancellations    []Cancellation
 	CancellationAcks []string
 }
 
-// ReroutedHeartbeat is a report that came to a controller which does not own its machine.
-type ReroutedHeartbeat struct {
-	ID                           string
-	Epoch, Incarnation, Sequence uint64
+// SendPeerUpdate sends an update to another controller.
+type SendPeerUpdate struct {
+	// To is the receiver's host.
+	To     string
+	Update PeerUpdate
+}
+
+func (PeerUpdate) command() {}
+
+func (SendPeerUpdate) effect() {}
+
+// Progress is how many of a job's tasks are done and running.
+type Progress struct {
+	ID      string
+	Done    int
+	Running int
+}
+
+// WorkloadLoad is what a shard leader has measured of a team's jobs of a workload.
+type WorkloadLoad struct {
+	Team     string
+	Workload string
+	// TasksPerSecond is how many tasks are submitted.
+	TasksPerSecond float64
+	// RunTimeRatio is how run times compare with their users' estimates, and Deviation how
+	// much that varies, over Samples tasks.
+	RunTimeRatio float64
+	Deviation    float64
+	Samples      int
 }
 
 // TeamLoad is the CPUs that a team's tasks take and wait for.
@@ -98,68 +121,53 @@
 	CPU  float64
 }
 
-// RentalUpdate is a machine as the leader knows it.
+// RentalUpdate is a machine as the leader knows it from the cloud.
 type RentalUpdate struct {
-	ID          string
+	ID string
+	// Addr is the worker's host and port.
 	Addr        string
 	MachineType string
 	Zone        string
 	Spot        bool
-	Status      string
-	Age         time.Duration
+	// Status is the leader's account of the rental.
+	Status string
+	// Age is the time since the machine was rented.
+	Age time.Duration
 }
 
-// MachineUpdate is a machine as its owner knows it: where it is, and its images.
+// MachineUpdate is a machine as its owner knows it.
 type MachineUpdate struct {
-	ID          string
+	ID string
+	// Addr is the worker's host and port.
 	Addr        string
 	MachineType string
 	Zone        string
 	Spot        bool
-	Images      map[string]float64
+	// Images are the sizes in GB of those that the machine has, by name.
+	Images map[string]float64
 }
 
-// WorkloadLoad is what an owner has seen of a team's jobs of a workload: tasks a second, and
-// how their run times compare with their estimates, over so many samples. A successor
-// goes on with it.
-type WorkloadLoad struct {
-	Team           string
-	Workload       string
-	TasksPerSecond float64
-	RunTimeRatio   float64
-	Deviation      float64
-	Samples        int
-}
-
-// Progress is a job's count of tasks, for display.
-type Progress struct {
-	ID      string
-	Done    int
-	Running int
-}
-
-func (PeerUpdate) command() {}
-
-// SendPeerUpdate tells another controller.
-type SendPeerUpdate struct {
-	To     string
-	Update PeerUpdate
+// CapacityRequest is a number of machines of a kind.
+type CapacityRequest struct {
+	MachineType string
+	Zone        string
+	Spot        bool
+	Count       int
 }
 
-func (SendPeerUpdate) effect() {}
-
-// HostNeed is a kind of which a whole host is needed, and for what.
+// HostNeed is a kind of which an empty machine is needed, and for what.
 type HostNeed struct {
 	MachineType string
 	Zone        string
 	Spot        bool
-	Need        model.Resources
-	// Workload and Urgency are what the ranking goes by.
+	// Need is what the waiting task takes.
+	Need model.Resources
+	// Workload and Urgency are what the ranking orders needs by.
 	Workload string
 	Urgency  model.Urgency
 }
 
-// HostCost is how long replicas would be down for a host of a kind to be emptied.
+// HostCost is how long replicas would be down for a machine of a kind to be evacuated.
 type HostCost struct {
 	MachineType string
 	Zone        string
@@ -167,106 +175,23 @@
 	Downtime    time.Duration
 }
 
-// CapacityRequest is a wish for machines of one kind.
-type CapacityRequest struct {
-	MachineType string
-	Zone        string
-	Spot        bool
-	Count       int
-}
-
-// TeamQuotes is what quotes for a team rest on, as in its record.
+// TeamQuotes is what quotes for a team rest on, encoded as in its record.
 type TeamQuotes struct {
 	Team  string
 	Value []byte
 }
 
-const (
-	// maxReroutedHeartbeats bounds the reports that one message tells of, and reroutedHeartbeatInterval separates
-	// two messages.
-	MaxReroutedHeartbeats = 1000
-)
+// ReroutedHeartbeat is a heartbeat that reached a controller which does not own its machine.
+type ReroutedHeartbeat struct {
+	// ID is the machine's.
+	ID                           string
+	Epoch, Incarnation, Sequence uint64
+}
 
-// Validate is what is wrong with news, "" for nothing.
-func (u *PeerUpdate) Validate() string {
-	var check validate.Check
-	checkRequests := func(field string, requests []CapacityRequest) {
-		for _, w := range requests {
-			check.Name(field+".flavour", w.MachineType, false)
-			check.Name(field+".zone", w.Zone, false)
-			check.Count(field+".count", w.Count, 0, validate.MaxTasks)
-		}
-	}
-	checkRequests("wants", u.CapacityRequests)
-	checkRequests("spare", u.SurplusElsewhere)
-	checkRequests("blocked", u.Blocked)
-	if u.Rates != nil {
-		check.Amount("rates.requests", u.Rates.Requests)
-		check.Amount("rates.changes", u.Rates.Writes)
-	}
-	for _, l := range u.WorkloadLoads {
-		check.Name("loads.workload", l.Workload, true)
-		check.Amount("loads.rate", l.TasksPerSecond)
-		check.Amount("loads.ratio", l.RunTimeRatio)
-		check.Amount("loads.dev", l.Deviation)
-		check.Count("loads.samples", l.Samples, 0, 1<<40)
-	}
-	for _, q := range u.Quotes {
-		check.Name("quotes.team", q.Team, true)
-		check.Count("quotes.value", len(q.Value), 1, sizelimit.MaxTxnBytes)
-	}
-	for _, p := range u.Progress {
-		check.Count("progress.done", p.Done, 0, validate.MaxTasks)
-		check.Count("progress.running", p.Running, 0, validate.MaxTasks)
-	}
-	for _, t := range u.TeamLoads {
-		check.Amount("teams.cpu", t.CPU)
-	}
-	for _, h := range u.MachineUpdates {
-		check.Name("hosts.id", h.ID, true)
-		for _, gb := range h.Images {
-			check.Amount("hosts.images", gb)
-		}
-	}
-	for _, r := range u.RentalUpdates {
-		check.Name("rentals.id", r.ID, true)
-		check.Amount("rentals.age", r.Age.Seconds())
-	}
-	check.Count("came", len(u.Rerouted), 0, MaxReroutedHeartbeats)
-	for _, x := range u.Rerouted {
-		check.Name("came.id", x.ID, true)
-	}
-	validateCancellations(&check, u)
-	for _, a := range u.RemoteAttempts {
-		check.Name("wards.machine", a.Machine, true)
-		for _, t := range a.Attempts {
-			check.Count("wards.index", t.Index, 0, validate.MaxTasks-1)
-			check.Amount("wards.wind_down", t.WindDown.Seconds())
-		}
-	}
-	checkNeeds := func(field string, needs []HostNeed) {
-		for _, h := range needs {
-			check.Name(field+".flavour", h.MachineType, true)
-			check.Name(field+".zone", h.Zone, false)
-			check.Name(field+".workload", h.Workload, false)
-			check.Amount(field+".cpu", h.Need.CPU)
-			check.Amount(field+".gpu", h.Need.GPU)
-			check.Amount(field+".memory", h.Need.Memory)
-			check.Count(field+".urgency", int(h.Urgency), int(model.BestEffort), int(model.Critical))
-		}
-	}
-	checkNeeds("needs", u.HostNeeds)
-	checkNeeds("lacks", u.OthersNeeds)
-	checkNeeds("empty", u.EvacuationRequests)
-	for _, h := range u.EvacuationCosts {
-		check.Name("costs.flavour", h.MachineType, true)
-		check.Amount("costs.down", h.Downtime.Seconds())
-	}
-	for _, a := range u.RemoteStatuses {
-		check.Name("told.machine", a.Machine, true)
-		for _, t := range a.Attempts {
-			check.Count("told.index", t.Index, 0, validate.MaxTasks-1)
-		}
-	}
-	return check.Problem()
+// Cancellation is a job's open/ record as its cancellation has written it.
+type Cancellation struct {
+	// ID is the job's.
+	ID          string
+	Record      []byte
+	ModRevision uint64
 }
--- /dev/null
+++ b/internal/message/peer_validate.go
@@ -0,0 +1,129 @@
+package message
+
+import (
+	"github.com/micahill/micahill/internal/model"
+	"github.com/micahill/micahill/internal/sizelimit"
+	"github.com/micahill/micahill/internal/validate"
+)
+
+// Validate returns the first thing that is wrong with an update, as field and reason, "" if it is
+// valid. Fields have the names of the protocol between controllers; see package peer.
+func (u *PeerUpdate) Validate() string {
+	var check validate.Check
+	u.validateCapacity(&check)
+	u.validateLoads(&check)
+	u.validateMachines(&check)
+	u.validateCancellations(&check)
+	u.validateRemoteAttempts(&check)
+	u.validateEvacuations(&check)
+	u.validateRemoteStatuses(&check)
+	return check.Problem()
+}
+
+func (u *PeerUpdate) validateCapacity(check *validate.Check) {
+	checkRequests(check, "wants", u.CapacityRequests)
+	checkRequests(check, "spare", u.SurplusElsewhere)
+	checkRequests(check, "blocked", u.Blocked)
+	if u.Rates != nil {
+		check.Amount("rates.requests", u.Rates.Requests)
+		check.Amount("rates.changes", u.Rates.Writes)
+	}
+}
+
+func checkRequests(check *validate.Check, field string, requests []CapacityRequest) {
+	for _, r := range requests {
+		check.Name(field+".flavour", r.MachineType, false)
+		check.Name(field+".zone", r.Zone, false)
+		check.Count(field+".count", r.Count, 0, validate.MaxTasks)
+	}
+}
+
+func (u *PeerUpdate) validateLoads(check *validate.Check) {
+	for _, l := range u.WorkloadLoads {
+		check.Name("loads.workload", l.Workload, true)
+		check.Amount("loads.rate", l.TasksPerSecond)
+		check.Amount("loads.ratio", l.RunTimeRatio)
+		check.Amount("loads.dev", l.Deviation)
+		check.Count("loads.samples", l.Samples, 0, 1<<40)
+	}
+	for _, q := range u.Quotes {
+		check.Name("quotes.team", q.Team, true)
+		check.Count("quotes.value", len(q.Value), 1, sizelimit.MaxTxnBytes)
+	}
+	for _, p := range u.Progress {
+		check.Count("progress.done", p.Done, 0, validate.MaxTasks)
+		check.Count("progress.running", p.Running, 0, validate.MaxTasks)
+	}
+	for _, t := range u.TeamLoads {
+		check.Amount("teams.cpu", t.CPU)
+	}
+}
+
+func (u *PeerUpdate) validateMachines(check *validate.Check) {
+	for _, m := range u.MachineUpdates {
+		check.Name("hosts.id", m.ID, true)
+		for _, gb := range m.Images {
+			check.Amount("hosts.images", gb)
+		}
+	}
+	for _, r := range u.RentalUpdates {
+		check.Name("rentals.id", r.ID, true)
+		check.Amount("rentals.age", r.Age.Seconds())
+	}
+	check.Count("came", len(u.Rerouted), 0, MaxReroutedHeartbeats)
+	for _, r := range u.Rerouted {
+		check.Name("came.id", r.ID, true)
+	}
+}
+
+func (u *PeerUpdate) validateCancellations(check *validate.Check) {
+	check.Count("cancelled", len(u.Cancellations), 0, MaxCancellationsPerUpdate)
+	for _, c := range u.Cancellations {
+		check.Name("cancelled.id", c.ID, true)
+	}
+	check.Count("cancels_heard", len(u.CancellationAcks), 0, MaxCancellationsPerUpdate)
+	for _, id := range u.CancellationAcks {
+		check.Name("cancels_heard.id", id, true)
+	}
+}
+
+func (u *PeerUpdate) validateRemoteAttempts(check *validate.Check) {
+	for _, r := range u.RemoteAttempts {
+		check.Name("wards.machine", r.Machine, true)
+		for _, a := range r.Attempts {
+			check.Count("wards.index", a.Index, 0, validate.MaxTasks-1)
+			check.Amount("wards.wind_down", a.WindDown.Seconds())
+		}
+	}
+}
+
+func (u *PeerUpdate) validateEvacuations(check *validate.Check) {
+	checkNeeds(check, "needs", u.HostNeeds)
+	checkNeeds(check, "lacks", u.OthersNeeds)
+	checkNeeds(check, "empty", u.EvacuationRequests)
+	for _, c := range u.EvacuationCosts {
+		check.Name("costs.flavour", c.MachineType, true)
+		check.Amount("costs.down", c.Downtime.Seconds())
+	}
+}
+
+func checkNeeds(check *validate.Check, field string, needs []HostNeed) {
+	for _, n := range needs {
+		check.Name(field+".flavour", n.MachineType, true)
+		check.Name(field+".zone", n.Zone, false)
+		check.Name(field+".workload", n.Workload, false)
+		check.Amount(field+".cpu", n.Need.CPU)
+		check.Amount(field+".gpu", n.Need.GPU)
+		check.Amount(field+".memory", n.Need.Memory)
+		check.Count(field+".urgency", int(n.Urgency), int(model.BestEffort), int(model.Critical))
+	}
+}
+
+func (u *PeerUpdate) validateRemoteStatuses(check *validate.Check) {
+	for _, s := range u.RemoteStatuses {
+		check.Name("told.machine", s.Machine, true)
+		for _, a := range s.Attempts {
+			check.Count("told.index", a.Index, 0, validate.MaxTasks-1)
+		}
+	}
+}
--- /dev/null
+++ b/internal/message/peer_validate_test.go
@@ -0,0 +1,49 @@
+package message
+
+import (
+	"math"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/remote"
+)
+
+// TestPeerUpdateValidate has an update with one fault in each part: the fault's field is named.
+func TestPeerUpdateValidate(t *testing.T) {
+	attempt := remote.AttemptID{Job: "job-000412", Index: -1, Attempt: 2}
+	for _, c := range []struct {
+		name   string
+		update PeerUpdate
+		want   string
+	}{
+		{"valid", PeerUpdate{From: "ctl-2"}, ""},
+		{"capacity request", PeerUpdate{CapacityRequests: []CapacityRequest{{Count: -1}}}, "wants.count"},
+		{"surplus", PeerUpdate{SurplusElsewhere: []CapacityRequest{{Count: -1}}}, "spare.count"},
+		{"blocked kind", PeerUpdate{Blocked: []CapacityRequest{{Zone: strings.Repeat("z", 1000)}}}, "blocked.zone"},
+		{"rates", PeerUpdate{Rates: &Rates{Writes: math.NaN()}}, "rates.changes"},
+		{"workload load", PeerUpdate{WorkloadLoads: []WorkloadLoad{{Workload: "train", Samples: -1}}}, "loads.samples"},
+		{"quotes", PeerUpdate{Quotes: []TeamQuotes{{Team: "ops"}}}, "quotes.value"},
+		{"progress", PeerUpdate{Progress: []Progress{{Running: -1}}}, "progress.running"},
+		{"team load", PeerUpdate{TeamLoads: []TeamLoad{{CPU: math.Inf(1)}}}, "teams.cpu"},
+		{"machine update", PeerUpdate{MachineUpdates: []MachineUpdate{{ID: "vm-1", Images: map[string]float64{"img": -1}}}}, "hosts.images"},
+		{"rental update", PeerUpdate{RentalUpdates: []RentalUpdate{{ID: "vm-1", Age: -time.Second}}}, "rentals.age"},
+		{"rerouted heartbeats", PeerUpdate{Rerouted: make([]ReroutedHeartbeat, MaxReroutedHeartbeats+1)}, "came"},
+		{"cancellation", PeerUpdate{Cancellations: []Cancellation{{}}}, "cancelled.id"},
+		{"cancellation ack", PeerUpdate{CancellationAcks: []string{""}}, "cancels_heard.id"},
+		{"remote attempt", PeerUpdate{RemoteAttempts: []remote.Request{{Machine: "vm-1", Attempts: []remote.AttemptRequest{{AttemptID: attempt}}}}}, "wards.index"},
+		{"host need", PeerUpdate{HostNeeds: []HostNeed{{MachineType: "g8", Urgency: 9}}}, "needs.urgency"},
+		{"others' need", PeerUpdate{OthersNeeds: []HostNeed{{}}}, "lacks.flavour"},
+		{"evacuation request", PeerUpdate{EvacuationRequests: []HostNeed{{}}}, "empty.flavour"},
+		{"evacuation cost", PeerUpdate{EvacuationCosts: []HostCost{{MachineType: "g8", Downtime: -time.Second}}}, "costs.down"},
+		{"remote status", PeerUpdate{RemoteStatuses: []remote.MachineStatus{{Machine: "vm-1", Attempts: []remote.AttemptStatus{{AttemptID: attempt}}}}}, "told.index"},
+		{"the first fault stands", PeerUpdate{CapacityRequests: []CapacityRequest{{Count: -1}}, RemoteStatuses: []remote.MachineStatus{{}}}, "wants.count"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			got, _, _ := strings.Cut(c.update.Validate(), " ")
+			if got != c.want {
+				t.Errorf("got a fault of %q, want %q", got, c.want)
+			}
+		})
+	}
+}
--- a/internal/message/ranking.go
+++ b/internal/message/ranking.go
@@ -6,20 +6,24 @@
 	"github.com/micahill/micahill/internal/ranking"
 )
 
-// SetRanking sets a ranking. AnyRevision: whichever stands there; else only if Rev does. Until:
-// whoever asked has gone by then, and nothing is written later.
+// SetRanking replaces the ranking. A RankingReply answers it.
 type SetRanking struct {
-	Reply       uint64
-	Record      ranking.Record
+	Reply  uint64
+	Record ranking.Record
+	// Revision is that of the ranking to be replaced; another is not, unless AnyRevision is
+	// set.
 	AnyRevision bool
 	Revision    uint64
-	Deadline    time.Time
+	// Deadline is when the operator stops waiting for the answer; nothing is written later.
+	Deadline time.Time
 }
 
-// QueryRanking asks for the ranking, why a job waits, or the last rankings.
+// QueryRanking asks for the ranking in force. A RankingReply answers it.
 type QueryRanking struct {
-	Reply   uint64
-	Job     string
+	Reply uint64
+	// Job asks also why that job waits, "" for none.
+	Job string
+	// History asks for the recent rankings instead.
 	History bool
 }
 
@@ -27,27 +31,33 @@
 
 func (QueryRanking) command() {}
 
-// RankingReply answers both. Status is an HTTP status; with another than 200 Message says
-// what is wrong.
+// RankingReply answers a SetRanking or a QueryRanking.
 type RankingReply struct {
-	Reply    uint64    `json:"-"`
-	Status   int       `json:"-"`
-	Message  string    `json:"-"`
-	Host     string    `json:"host"`
-	Revision uint64    `json:"rev"`
-	SetBy    string    `json:"by"`
-	SetAt    time.Time `json:"at"`
-	Derived  bool      `json:"derived"`
-	// InvalidReason says why a newer record does not count, and AsOfSeconds how many seconds ago this
-	// was known to be the newest, -1 for never.
-	InvalidReason string          `json:"bad,omitempty"`
-	AsOfSeconds   float64         `json:"as_of_s"`
-	Classes       []RankingClass  `json:"classes,omitempty"`
-	Explanation   string          `json:"why,omitempty"`
-	History       []RankingRecord `json:"history,omitempty"`
+	Reply uint64 `json:"-"`
+	// Status is an HTTP status. Unless it is 200, Message says what is wrong, and the rest is
+	// empty.
+	Status  int    `json:"-"`
+	Message string `json:"-"`
+	// Host is the controller that answers.
+	Host     string `json:"host"`
+	Revision uint64 `json:"rev"`
+	// SetBy names the operator, and SetAt is by the writing controller's clock.
+	SetBy string    `json:"by"`
+	SetAt time.Time `json:"at"`
+	// Derived says that the ranking follows from the policy, and nobody has set one.
+	Derived bool `json:"derived"`
+	// InvalidReason is why a newer record is not in force, "" if there is none.
+	InvalidReason string `json:"bad,omitempty"`
+	// AsOfSeconds is how many seconds ago this was known to be the newest ranking, -1 for
+	// never.
+	AsOfSeconds float64        `json:"as_of_s"`
+	Classes     []RankingClass `json:"classes,omitempty"`
+	// Explanation is why the job that was asked for waits.
+	Explanation string          `json:"why,omitempty"`
+	History     []RankingRecord `json:"history,omitempty"`
 }
 
-// RankingRecord is one of the last rankings.
+// RankingRecord is a recent ranking.
 type RankingRecord struct {
 	Revision uint64             `json:"rev"`
 	SetBy    string             `json:"by"`
@@ -56,20 +66,27 @@
 	Classes  []RankingClassSpec `json:"classes"`
 }
 
-// RankingClassSpec is a class as it was set, in seconds.
+// RankingClassSpec is a class of a ranking as it was set.
 type RankingClassSpec struct {
-	Name             string   `json:"name"`
-	Workloads        []string `json:"workloads,omitempty"`
-	Urgency          string   `json:"urgency,omitempty"`
-	WaitBoundSeconds float64  `json:"bound_s,omitempty"`
-	ReservedFraction float64  `json:"part,omitempty"`
+	Name string `json:"name"`
+	// Workloads and Urgency are what a job must have to belong to the class; an empty one
+	// admits any.
+	Workloads []string `json:"workloads,omitempty"`
+	Urgency   string   `json:"urgency,omitempty"`
+	// WaitBoundSeconds is how long a job of the class may wait behind higher ones, 0 for the
+	// default.
+	WaitBoundSeconds float64 `json:"bound_s,omitempty"`
+	// ReservedFraction is the part of the capacity that is reserved for the class.
+	ReservedFraction float64 `json:"part,omitempty"`
 }
 
-// RankingClass is a class with what of it is here. Those without Set are the urgencies that
-// stand behind the named.
+// RankingClass is a class of the ranking in force, with what the answering controller has of it.
 type RankingClass struct {
 	RankingClassSpec
-	Rank         int  `json:"place"`
+	// Rank is the class's place, the first one being served first.
+	Rank int `json:"place"`
+	// Configured says that the ranking names the class. The others are the urgencies, which
+	// come after those named.
 	Configured   bool `json:"set"`
 	Jobs         int  `json:"jobs"`
 	WaitingTasks int  `json:"waiting"`
