--- a/internal/migration/types.go
+++ b/internal/migration/types.go
@@ -1,7 +1,10 @@
-// Package migration makes room for a replica that fits nowhere by moving others: which few
-// moves are the cheapest, and what becomes of moves under way. It has no clock and sends
-// nothing. A move is an intent that is written down before its replica is stopped, and
-// has an end; see docs/product.md.
+// Package migration makes room for a replica that fits nowhere, by moving other replicas to
+// other hosts. Find searches for the cheapest few moves; a Tracker carries out the moves of
+// a shard leader's teams; Evacuations coordinates moves that empty a host for another shard.
+//
+// A move is written down before its replica is stopped, and has a deadline, so that a
+// successor goes on with it and no capacity stays reserved for long. The package has no clock
+// and sends nothing; what it decides is for the controller to do. See docs/product.md.
 package migration
 
 import (
@@ -10,17 +13,18 @@
 	"github.com/micahill/micahill/internal/resource"
 )
 
-// Host is a machine as the planner sees it.
+// Host is a machine as Find sees it.
 type Host struct {
 	ID string
-	// Kind names machines that are alike: type, zone, and whether cheap.
+	// Kind names machines that are alike: type, zone, and whether spot.
 	Kind string
 	Size resource.Resources
-	// Free is what neither tasks nor places held for moves take.
+	// Free is what neither tasks nor holds take.
 	Free resource.Resources
 	// Schedulable says that replicas may be placed there now.
 	Schedulable bool
-	// Images are those it holds, and Pull how many GB it fetches in a second.
+	// Images are those that the host has, and FetchRate how fast it fetches others, in GB
+	// per second.
 	Images    map[string]bool
 	FetchRate float64
 }
@@ -29,18 +33,18 @@
 type Replica struct {
 	Job   string
 	Index int
-	// HostIndex is its place in Problem.Hosts.
+	// HostIndex is the host's index in Problem.Hosts.
 	HostIndex int
 	Need      resource.Resources
 	Image     string
 	ImageGB   float64
-	// Movable: its job can do without it for the time of a move, it was not moved
-	// lately, and it is not on the move.
+	// Movable says that the job can do without the replica during a move, and that the
+	// replica neither moves nor was moved lately.
 	Movable bool
-	// Allowed says on which hosts its job lets it be, given the job's other tasks; nil:
-	// on any.
+	// Allowed says on which hosts, by index, the job allows the replica, given the job's other
+	// tasks; nil allows any.
 	Allowed func(host int) bool
-	// LostWork is the work that a stop loses.
+	// LostWork is the time of work that a stop loses.
 	LostWork time.Duration
 }
 
@@ -51,38 +55,42 @@
 	Need    resource.Resources
 	Image   string
 	ImageGB float64
+	// Allowed is as in Replica.
 	Allowed func(host int) bool
 }
 
-// Problem is what the planner is asked.
+// Problem is what Find is to solve.
 type Problem struct {
 	Hosts       []Host
 	Replicas    []Replica
 	WaitingTask WaitingTask
-	// MaxMoves bounds the moves, MaxMoves at most, and Dearest what they may cost: what
-	// renting or waiting would.
+	// MaxMoves bounds the number of moves; so does the constant MaxMoves.
 	MaxMoves int
-	MaxCost  time.Duration
+	// MaxCost bounds what the moves may cost: what scaling out or waiting would.
+	MaxCost time.Duration
 }
 
-// MaxMoves is the longest chain of moves.
+// MaxMoves is the most moves that a plan has.
 const MaxMoves = 3
 
-// Move takes a replica from one host to another. Down is how long it is expected to be
-// down: the fetch of its image, and no other replica of it before.
+// Move is a replica's move from one host to another.
 type Move struct {
-	Job      string
-	Index    int
-	From     string
-	To       string
-	Need     resource.Resources
+	Job   string
+	Index int
+	// From and To are hosts by ID.
+	From string
+	To   string
+	Need resource.Resources
+	// Downtime is how long the replica is expected to be down: as long as the host takes to
+	// fetch its image.
 	Downtime time.Duration
 }
 
-// Plan is the moves, in their order, after which the task that waits fits on Host. Cost
-// is what they take together: time down and work lost.
+// Plan is a sequence of moves, in this order, after which the waiting task fits on Host.
 type Plan struct {
+	// Host is by ID.
 	Host  string
 	Moves []Move
-	Cost  time.Duration
+	// Cost is the downtime and the lost work of all moves together.
+	Cost time.Duration
 }
