--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -13,23 +13,28 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// formatVersion is the number of the record's form, and maxTaskIndex the highest number of a task.
 const (
+	// formatVersion is the version of the record format.
 	formatVersion = 1
-	maxTaskIndex  = 100_000
+	// maxTaskIndex is the highest index of a task in a record.
+	maxTaskIndex = 100_000
+	// maxDowntime is the longest downtime of a move in a record.
+	maxDowntime = 24 * time.Hour
 )
 
-// ErrRecord says that a record can't be used.
-var ErrRecord = errors.New("moves: not a record")
+// ErrRecord says that a value is not a record of migrations, or not a valid one. It is wrapped
+// with the reason.
+var ErrRecord = errors.New("migration: not a record")
 
-// record is a team's moves in the state service. Times are Unix milliseconds, durations
-// milliseconds.
+// record is a team's migrations in the state service. Times are in Unix milliseconds,
+// durations in milliseconds.
 type record struct {
 	Version int         `msgpack:"v"`
 	Plans   []planRow   `msgpack:"p,omitempty"`
 	Recent  []recentRow `msgpack:"r,omitempty"`
 }
 
+// planRow is an ActivePlan, and stepRow a Step.
 type planRow struct {
 	ID      uint64    `msgpack:"i"`
 	HeldFor string    `msgpack:"j"`
@@ -50,6 +55,7 @@
 	Downtime int64     `msgpack:"d"`
 }
 
+// recentRow is a replica that is left alone until a time.
 type recentRow struct {
 	Job   string `msgpack:"j"`
 	Index int    `msgpack:"i"`
@@ -62,21 +68,21 @@
 	return resource.Resources{CPU: f[0], GPU: f[1], Memory: f[2]}
 }
 
-// record is what a team's record should hold now.
-func (b *Tracker) record(team string) record {
+// record is what a team's record should be now.
+func (t *Tracker) record(team string) record {
 	r := record{Version: formatVersion}
-	for _, e := range b.plans {
-		if e.Team != team {
+	for _, p := range t.plans {
+		if p.Team != team {
 			continue
 		}
-		p := planRow{ID: e.ID, HeldFor: e.HeldFor, Need: encodeResources(e.Need), Host: e.Host, Until: e.Until.UnixMilli(), MaxCost: e.MaxCost.Milliseconds()}
-		for i := range e.Steps {
-			s := &e.Steps[i]
-			p.Steps = append(p.Steps, stepRow{s.Job, s.Index, s.Attempt, s.From, s.To, encodeResources(s.Need), s.Downtime.Milliseconds()})
+		row := planRow{ID: p.ID, HeldFor: p.HeldFor, Need: encodeResources(p.Need), Host: p.Host, Until: p.Until.UnixMilli(), MaxCost: p.MaxCost.Milliseconds()}
+		for i := range p.Steps {
+			s := &p.Steps[i]
+			row.Steps = append(row.Steps, stepRow{s.Job, s.Index, s.Attempt, s.From, s.To, encodeResources(s.Need), s.Downtime.Milliseconds()})
 		}
-		r.Plans = append(r.Plans, p)
+		r.Plans = append(r.Plans, row)
 	}
-	s := b.teamState(team)
+	s := t.teamState(team)
 	for k, until := range s.recent {
 		r.Recent = append(r.Recent, recentRow{k.job, k.index, until.UnixMilli()})
 	}
@@ -86,8 +92,10 @@
 	return r
 }
 
-func (b *Tracker) recordBytes(team string) int {
-	v, err := msgpack.Marshal(b.record(team))
+// recordBytes is how long a team's record would be as JSON, by which the state service measures
+// it.
+func (t *Tracker) recordBytes(team string) int {
+	v, err := msgpack.Marshal(t.record(team))
 	if err != nil {
 		return math.MaxInt
 	}
@@ -98,129 +106,130 @@
 	return size
 }
 
-// WriteDue says since when a team's record differs from what is written, and whether a new
-// plan waits for it.
-func (b *Tracker) WriteDue(team string) (since time.Time, hasNewPlans, due bool) {
-	s := b.teams[team]
+// WriteDue says whether a team's record differs from the one written, since when, and whether a
+// new plan waits for it to be written.
+func (t *Tracker) WriteDue(team string) (since time.Time, hasNewPlans, due bool) {
+	s := t.teams[team]
 	if s == nil || s.version == s.persistedVersion {
 		return time.Time{}, false, false
 	}
-	return s.changedSince, len(b.UnsavedPlans(team)) > 0, true
+	return s.changedSince, len(t.UnsavedPlans(team)) > 0, true
 }
 
 // UnsavedPlans are a team's plans that are not known to be durable.
-func (b *Tracker) UnsavedPlans(team string) []*ActivePlan {
+func (t *Tracker) UnsavedPlans(team string) []*ActivePlan {
 	var out []*ActivePlan
-	for _, e := range b.plans {
-		if e.Team == team && !e.durable {
-			out = append(out, e)
+	for _, p := range t.plans {
+		if p.Team == team && !p.durable {
+			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// Teams are those with a record, in order.
-func (b *Tracker) Teams() []string {
+// Teams are the teams that have, or had, something to record, in order.
+func (t *Tracker) Teams() []string {
 	var out []string
-	for t := range b.teams {
-		out = append(out, t)
+	for team := range t.teams {
+		out = append(out, team)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// EncodeRecord is a team's record to be written, nil when it is to be removed, and its version.
-func (b *Tracker) EncodeRecord(team string) ([]byte, uint64) {
-	r := b.record(team)
+// EncodeRecord is a team's record, nil if it is to be deleted, and the version to give to
+// MarkPersisted when that is written.
+func (t *Tracker) EncodeRecord(team string) ([]byte, uint64) {
+	r := t.record(team)
 	if len(r.Plans)+len(r.Recent) == 0 {
-		return nil, b.teamState(team).version
+		return nil, t.teamState(team).version
 	}
 	v, err := msgpack.Marshal(r)
 	if err != nil {
-		// Only plain structs of ours come here; they always encode.
-		panic("moves: " + err.Error())
+		panic("migration: encode record: " + err.Error())
 	}
-	return v, b.teamState(team).version
+	return v, t.teamState(team).version
 }
 
 // MarkPersisted notes that a version of a team's record is durable.
-func (b *Tracker) MarkPersisted(team string, version uint64) {
-	b.teamState(team).persistedVersion = version
-	for _, e := range b.plans {
-		if e.Team == team && e.version <= version {
-			e.durable = true
+func (t *Tracker) MarkPersisted(team string, version uint64) {
+	t.teamState(team).persistedVersion = version
+	for _, p := range t.plans {
+		if p.Team == team && p.version <= version {
+			p.durable = true
 		}
 	}
 }
 
 // WriteRefused drops a team's plans that are not durable: something that they rest on has
-// changed.
-func (b *Tracker) WriteRefused(team string, now time.Time) {
-	count := len(b.plans)
-	b.plans = slices.DeleteFunc(b.plans, func(e *ActivePlan) bool { return e.Team == team && !e.durable })
-	if len(b.plans) != count {
-		b.markChanged(team, now)
+// changed, so that the write was not applied.
+func (t *Tracker) WriteRefused(team string, now time.Time) {
+	count := len(t.plans)
+	t.plans = slices.DeleteFunc(t.plans, func(p *ActivePlan) bool { return p.Team == team && !p.durable })
+	if len(t.plans) != count {
+		t.markChanged(team, now)
 	}
 }
 
-// WriteUncertain notes that a write may have been applied, or may be later: what stands there
-// is to be written anew.
-func (b *Tracker) WriteUncertain(team string, now time.Time) { b.markChanged(team, now) }
+// WriteUncertain notes that a write may have been applied, or may still be, so that the record
+// has to be written anew.
+func (t *Tracker) WriteUncertain(team string, now time.Time) { t.markChanged(team, now) }
 
-// Recover takes up a record that a former owner wrote. What of it can't be is refused as
-// a whole, and told.
-func (b *Tracker) Recover(now time.Time, team string, value []byte) error {
+// Recover adds what a team's record has, which a predecessor wrote. An invalid record is refused
+// as a whole, with an error that is ErrRecord.
+func (t *Tracker) Recover(now time.Time, team string, value []byte) error {
 	r, err := decodeRecord(value)
 	if err != nil {
 		return err
 	}
-	s := b.teamState(team)
+	s := t.teamState(team)
 	for _, x := range r.Recent {
-		s.recent[replicaKey{x.Job, x.Index}] = time.UnixMilli(min(x.Until, now.Add(b.Cooldown).UnixMilli()))
+		s.recent[replicaKey{x.Job, x.Index}] = time.UnixMilli(min(x.Until, now.Add(t.Cooldown).UnixMilli()))
 	}
-	for _, p := range r.Plans {
-		e := &ActivePlan{ID: p.ID, Team: team, HeldFor: p.HeldFor, Need: decodeResources(p.Need), Host: p.Host, Until: time.UnixMilli(p.Until), MaxCost: time.Duration(p.MaxCost) * time.Millisecond, durable: true}
-		// Clocks differ, and a record may be damaged: nothing is held for longer than
-		// a new plan's places would be.
-		if last := now.Add(maxHold); e.Until.After(last) {
-			e.Until = last
+	for _, row := range r.Plans {
+		p := &ActivePlan{ID: row.ID, Team: team, HeldFor: row.HeldFor, Need: decodeResources(row.Need), Host: row.Host, Until: time.UnixMilli(row.Until), MaxCost: time.Duration(row.MaxCost) * time.Millisecond, durable: true}
+		// Clocks differ, and a record may be damaged: nothing is held for longer than a new
+		// plan could hold it.
+		if last := now.Add(maxHold); p.Until.After(last) {
+			p.Until = last
 		}
-		for _, x := range p.Steps {
-			planStep := Step{Move: Move{Job: x.Job, Index: x.Index, From: x.From, To: x.To, Need: decodeResources(x.Need), Downtime: time.Duration(x.Downtime) * time.Millisecond}, Attempt: x.Attempt}
-			if b.isMoving(x.Job, x.Index) {
-				// Another team's record has it as well; it is to have one place.
-				planStep.State = Dropped
+		for _, x := range row.Steps {
+			step := Step{Move: Move{Job: x.Job, Index: x.Index, From: x.From, To: x.To, Need: decodeResources(x.Need), Downtime: time.Duration(x.Downtime) * time.Millisecond}, Attempt: x.Attempt}
+			if t.isMoving(x.Job, x.Index) {
+				// Another team's record has the replica as well; it must be held for once only.
+				step.State = Dropped
 			}
-			e.Steps = append(e.Steps, planStep)
+			p.Steps = append(p.Steps, step)
 		}
-		b.addPlan(e)
+		t.addPlan(p)
 	}
-	b.trimToLimit(now, team)
+	t.trimToLimit(now, team)
 	return nil
 }
 
-// trimToLimit lets go of what was written under a larger limit of values than there is now. It
-// only costs: places that were held, and rest between two moves of a replica.
-func (b *Tracker) trimToLimit(now time.Time, team string) {
-	if b.MaxRecordBytes <= 0 || b.recordBytes(team) <= b.MaxRecordBytes {
+// trimToLimit drops what exceeds MaxRecordBytes in a record that was written under a larger
+// limit: first cooldowns, those that end first, then plans, the newest first. Only a few moves
+// are lost by that, or repeated.
+func (t *Tracker) trimToLimit(now time.Time, team string) {
+	if t.MaxRecordBytes <= 0 || t.recordBytes(team) <= t.MaxRecordBytes {
 		return
 	}
-	b.markChanged(team, now)
-	s := b.teamState(team)
-	rows := b.record(team).Recent
+	t.markChanged(team, now)
+	s := t.teamState(team)
+	rows := t.record(team).Recent
 	slices.SortStableFunc(rows, func(a, b recentRow) int { return cmp.Compare(a.Until, b.Until) })
-	for len(rows) > 0 && b.recordBytes(team) > b.MaxRecordBytes {
+	for len(rows) > 0 && t.recordBytes(team) > t.MaxRecordBytes {
 		delete(s.recent, replicaKey{rows[0].Job, rows[0].Index})
 		rows = rows[1:]
 	}
-	for i := len(b.plans) - 1; i >= 0 && b.recordBytes(team) > b.MaxRecordBytes; i-- {
-		if b.plans[i].Team == team {
-			b.plans = slices.Delete(b.plans, i, i+1)
+	for i := len(t.plans) - 1; i >= 0 && t.recordBytes(team) > t.MaxRecordBytes; i-- {
+		if t.plans[i].Team == team {
+			t.plans = slices.Delete(t.plans, i, i+1)
 		}
 	}
 }
 
-// decodeRecord reads a record and judges it.
+// decodeRecord decodes a record and validates it. Its error is ErrRecord.
 func decodeRecord(b []byte) (record, error) {
 	var r record
 	if _, err := sizelimit.JSON(b); err != nil {
@@ -235,7 +244,8 @@
 	return r, nil
 }
 
-// validate names the first thing in a record that makes no sense, and what would.
+// validate returns the first thing that is wrong with a record, as field and what is wanted, ""
+// if it is valid.
 func (r *record) validate() string {
 	if r.Version != formatVersion {
 		return fmt.Sprintf("v is %d, want %d", r.Version, formatVersion)
@@ -307,7 +317,7 @@
 		return "f: want two machines' names"
 	case !isAmounts(s.Need):
 		return "n: want three amounts"
-	case s.Downtime < 0 || s.Downtime > int64(24*time.Hour/time.Millisecond):
+	case s.Downtime < 0 || s.Downtime > maxDowntime.Milliseconds():
 		return "d: want milliseconds"
 	}
 	return ""
@@ -322,7 +332,7 @@
 
 func isName(s string) bool { return s != "" && len(s) <= sizelimit.MaxKeyBytes }
 
-// isAmounts says that these are amounts that a task may take.
+// isAmounts says that f is CPU, GPU and memory as a task may take them.
 func isAmounts(f []float64) bool {
 	return len(f) == 3 && !slices.ContainsFunc(f, func(x float64) bool { return !(x >= 0 && x <= 1e9) }) && f[0]+f[1]+f[2] > 0
 }
