--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -1,9 +1,9 @@
-// Package packing says what room on machines with GPUs is worth. A small replica fits in
-// many places, a large one only where enough is left in one piece; so a place is rated by
-// what could no longer go there: a host that is whole is kept whole while there is room
-// beside it. The unit is seconds, those of the fetch that it takes to move somebody away
-// again, so that where an image lies and what is left over are one rating. What is usual
-// is learnt from the tasks there are; no workload is known by its name.
+// Package packing rates where on machines with GPUs a task should be placed. A small replica
+// fits on many machines, a large one only where enough is free on one machine; so a place is
+// rated by what could no longer be placed there, and an empty machine is kept empty while
+// others have free capacity. The unit is seconds, those of the image fetch that it takes to
+// move a replica away again, so that cached images and fragmentation add up to one rating.
+// Which sizes are usual is learnt from the tasks there are; no workload is known by its name.
 package packing
 
 import (
@@ -16,75 +16,51 @@
 )
 
 const (
-	// maxSizes bounds the sizes that a place is rated by: those that take most.
+	// maxSizes bounds the sizes that a place is rated by: those that take most GPUs.
 	maxSizes = 8
-	// migrationOverhead is what a move takes beside its fetch: the intent, the stop, its proof and
-	// the start. For so long whoever needs the place waits.
+	// migrationOverhead is how long a migration takes besides the image fetch: the write of its
+	// record, the stop until it is confirmed, and the start.
 	migrationOverhead = 5 * time.Second
 )
 
-// Demand is tasks of one size that run, wait or came lately. GB is what their image weighs,
-// and Waits says that some of them wait for a place.
+// Demand is the tasks of one size that run, wait or were submitted lately.
 type Demand struct {
-	Need       resource.Resources
-	Tasks      int
-	GB         float64
+	Need  resource.Resources
+	Tasks int
+	// GB is the size of their image.
+	GB float64
+	// HasWaiting says that some of them wait to be placed.
 	HasWaiting bool
 }
 
-// SizeValue is a size for which room is worth something: how much, in seconds, one place of
-// it that is lost costs.
+// SizeValue is a size of tasks and what it costs to lose a place for one, in seconds.
 type SizeValue struct {
 	Need        resource.Resources
 	LossSeconds float64
 }
 
-// Profile is a kind of machine with GPUs and what is usual there.
+// Profile is what is usual on the machines of a kind with GPUs.
 type Profile struct {
 	machineSize resource.Resources
 	sizeValues  []SizeValue
-	// migrationSeconds is what it takes to move a replica that is in the way, in seconds.
+	// migrationSeconds is how long it takes to move a replica that is in the way.
 	migrationSeconds float64
-	// perGPU is what one GPU needs beside it, so that every usual size can use it.
+	// perGPU is the CPU and memory that each GPU needs, so that every usual size can use it.
 	perGPU resource.Resources
 }
 
-// NewProfile learns what is usual on machines of a size that fetch so many GB a second; nil, if
-// they have no GPU or nothing is seen that would use one. The whole machine always counts
-// as if somebody waited for it: what needs it can go nowhere else, and comes rarely.
+// NewProfile learns what is usual on machines of a size, which fetch images at fetchRate GB per
+// second. It returns nil if they have no GPU, or no demand could use one. The whole machine
+// always counts as if a task waited for it: what needs it fits nowhere else, and is rare.
 func NewProfile(size resource.Resources, fetchRate float64, demands []Demand) *Profile {
 	if size.GPU <= resource.Tolerance {
 		return nil
 	}
-	var distinct []Demand
-	for _, s := range demands {
-		if s.Need.GPU <= resource.Tolerance || s.Tasks <= 0 || !s.Need.Fits(size) {
-			continue
-		}
-		i := slices.IndexFunc(distinct, func(o Demand) bool { return o.Need == s.Need })
-		if i < 0 {
-			distinct = append(distinct, s)
-			continue
-		}
-		o := &distinct[i]
-		o.GB = (o.GB*float64(o.Tasks) + s.GB*float64(s.Tasks)) / float64(o.Tasks+s.Tasks)
-		o.Tasks += s.Tasks
-		o.HasWaiting = o.HasWaiting || s.HasWaiting
-	}
+	distinct := mergeBySize(size, demands)
 	if len(distinct) == 0 {
 		return nil
 	}
-	slices.SortFunc(distinct, func(a, b Demand) int {
-		return cmp.Or(cmp.Compare(waitingFirst(b), waitingFirst(a)), cmp.Compare(b.totalGPUs(), a.totalGPUs()), cmp.Compare(b.Need.GPU, a.Need.GPU),
-			cmp.Compare(b.Need.CPU, a.Need.CPU), cmp.Compare(b.Need.Memory, a.Need.Memory))
-	})
-	profile := &Profile{machineSize: size}
-	for _, s := range distinct {
-		// What can't use all GPUs of an empty machine has no say in what the others need.
-		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+resource.Tolerance && size.GPU/g*s.Need.Memory <= size.Memory+resource.Tolerance {
-			profile.perGPU.CPU, profile.perGPU.Memory = max(profile.perGPU.CPU, s.Need.CPU/g), max(profile.perGPU.Memory, s.Need.Memory/g)
-		}
-	}
+	profile := &Profile{machineSize: size, perGPU: needPerGPU(size, distinct)}
 	distinct = distinct[:min(len(distinct), maxSizes)]
 	gpuSum, tasks, gb := 0.0, 0, 0.0
 	for _, s := range distinct {
@@ -110,6 +86,43 @@
 	return profile
 }
 
+// mergeBySize is the demand for GPUs that fits on a machine, one of each size: those with waiting
+// tasks first, then those that take most GPUs.
+func mergeBySize(size resource.Resources, demands []Demand) []Demand {
+	var distinct []Demand
+	for _, s := range demands {
+		if s.Need.GPU <= resource.Tolerance || s.Tasks <= 0 || !s.Need.Fits(size) {
+			continue
+		}
+		i := slices.IndexFunc(distinct, func(o Demand) bool { return o.Need == s.Need })
+		if i < 0 {
+			distinct = append(distinct, s)
+			continue
+		}
+		o := &distinct[i]
+		o.GB = (o.GB*float64(o.Tasks) + s.GB*float64(s.Tasks)) / float64(o.Tasks+s.Tasks)
+		o.Tasks += s.Tasks
+		o.HasWaiting = o.HasWaiting || s.HasWaiting
+	}
+	slices.SortFunc(distinct, func(a, b Demand) int {
+		return cmp.Or(cmp.Compare(waitingFirst(b), waitingFirst(a)), cmp.Compare(b.totalGPUs(), a.totalGPUs()), cmp.Compare(b.Need.GPU, a.Need.GPU),
+			cmp.Compare(b.Need.CPU, a.Need.CPU), cmp.Compare(b.Need.Memory, a.Need.Memory))
+	})
+	return distinct
+}
+
+// needPerGPU is the most CPU and memory that a size needs for each GPU. Sizes that can't use all
+// GPUs of an empty machine don't count.
+func needPerGPU(size resource.Resources, demands []Demand) resource.Resources {
+	var perGPU resource.Resources
+	for _, s := range demands {
+		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+resource.Tolerance && size.GPU/g*s.Need.Memory <= size.Memory+resource.Tolerance {
+			perGPU.CPU, perGPU.Memory = max(perGPU.CPU, s.Need.CPU/g), max(perGPU.Memory, s.Need.Memory/g)
+		}
+	}
+	return perGPU
+}
+
 // totalGPUs is how many GPUs all tasks of a size take.
 func (s Demand) totalGPUs() float64 { return float64(s.Tasks) * s.Need.GPU }
 
@@ -120,10 +133,10 @@
 	return 0
 }
 
-// FragmentationCost is what it costs, in seconds, to place a task of some need into what is free on
-// a machine: for each usual size the places that are lost beyond the part that the task
-// itself takes of them. A machine that is not whole is the likelier emptied by moves the
-// more of it is free, and then the task is one more to move.
+// FragmentationCost is what it costs, in seconds, to place a task on a machine with so much free:
+// for each usual size, the places lost beyond those that the task itself stands for. The
+// more of a partly used machine is free, the likelier it is evacuated, with one more replica
+// to move.
 func (k *Profile) FragmentationCost(free, need resource.Resources) float64 {
 	remaining := free.AddScaled(need, -1)
 	cost := 0.0
@@ -144,35 +157,35 @@
 	return cost
 }
 
-// NonGPUSurplus is what of some free room no GPU there needs beside it.
+// NonGPUSurplus is the part of the free capacity that none of its GPUs needs.
 func (k *Profile) NonGPUSurplus(free resource.Resources) resource.Resources {
 	r := free.AddScaled(k.perGPU, -max(0, free.GPU))
 	return resource.Resources{CPU: max(0, r.CPU), Memory: max(0, r.Memory)}
 }
 
-// NonGPUCapacity is the room for work without GPUs: what no GPU will need, neither those that are
-// free now nor those that are free once all work with GPUs has gone. Plain is what work
-// without GPUs takes there already.
+// NonGPUCapacity is the free capacity for tasks without GPUs: what no GPU needs, neither those
+// that are free now nor those that will be when all tasks with GPUs have gone. nonGPUUsed is
+// what tasks without GPUs take already.
 func (k *Profile) NonGPUCapacity(free, nonGPUUsed resource.Resources) resource.Resources {
 	now, empty := k.NonGPUSurplus(free), k.NonGPUSurplus(k.machineSize.AddScaled(nonGPUUsed, -1))
 	return resource.Resources{CPU: min(now.CPU, empty.CPU), Memory: min(now.Memory, empty.Memory)}
 }
 
-// FreeCapacity is how the room on some machines of a kind lies.
+// FreeCapacity sums up the free capacity on machines of a kind.
 type FreeCapacity struct {
 	Machines int
 	// WholeMachines counts the machines of which all GPUs are free and can be used.
 	WholeMachines int
-	// FreeGPUs is how many GPUs are free, and Pieces how many of these on machines that are
-	// not whole.
+	// FreeGPUs is how many GPUs are free, and FragmentedGPUs how many of them are on other
+	// machines than the whole ones.
 	FreeGPUs       float64
 	FragmentedGPUs float64
 	// LargestFit is the most GPUs that one replica could have now.
 	LargestFit float64
 }
 
-// Add counts a machine with so much free, of a size that has GPUs. k is what is usual
-// there, nil if nothing is known of it.
+// Add counts a machine of a size with GPUs, with so much free. profile may be nil if it is
+// unknown.
 func (r *FreeCapacity) Add(profile *Profile, size, free resource.Resources) {
 	r.Machines++
 	usable := max(0, free.GPU)
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -27,8 +27,8 @@
 	}), 1, 12).Draw(t, "seen")
 }
 
-// TestWholeHostsAreKeptWhole: whatever is usual, no broken host costs more than a whole
-// one, and one that is filled up costs nothing.
+// TestWholeHostsAreKeptWhole: whatever is usual, no place on a partly used host costs more than
+// one on a whole host, and a place that is filled up costs nothing.
 func TestWholeHostsAreKeptWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t, 8)
@@ -52,8 +52,8 @@
 	})
 }
 
-// TestUnusedIsUsable: when work without GPUs takes what is spare, each usual size that
-// could use all GPUs of an empty host still can, those free now and those free later.
+// TestUnusedIsUsable: when tasks without GPUs take NonGPUCapacity, each usual size that could use
+// all GPUs of an empty host still can, those free now and those free later.
 func TestUnusedIsUsable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		demands := drawDemands(t, 12)
@@ -85,6 +85,8 @@
 	})
 }
 
+// TestImageOrPacking compares the cost of fragmentation with that of image fetches, and pins a few
+// capacities.
 func TestImageOrPacking(t *testing.T) {
 	small, large := gpus(1, 6, 40), gpus(8, 6, 40)
 	seen := []Demand{{Need: small, Tasks: 90, GB: 8}, {Need: gpus(2, 6, 40), Tasks: 10, GB: 16}}
@@ -92,7 +94,7 @@
 	partlyUsed := host.AddScaled(small, -3)
 	saved := k.FragmentationCost(host, small) - k.FragmentationCost(partlyUsed, small)
 	if saved < 4 || saved > 16 {
-		t.Errorf("a whole host is worth %v s, of images that take 8 to 16 s", saved)
+		t.Errorf("got %v s saved by keeping a host whole, want 4 to 16", saved)
 	}
 	// What waits counts in full.
 	waits := NewProfile(host, 1, append(seen, Demand{Need: gpus(4, 6, 40), Tasks: 1, GB: 30, HasWaiting: true}))
@@ -101,21 +103,21 @@
 		t.Error("the last place for one that waits is worth no more than if nobody did")
 	}
 	if NewProfile(host, 1, seen[:0]) != nil || NewProfile(resource.Resources{CPU: 8, Memory: 8}, 1, seen) != nil {
-		t.Error("something is usual where nothing is known")
+		t.Error("got a profile without demand or GPUs, want none")
 	}
-	// Without GPUs: what all eight need beside them is left.
+	// What all eight GPUs need is left to them.
 	if s := k.NonGPUCapacity(host, resource.Resources{}); s.CPU != 16 || s.Memory != 192 || s.GPU != 0 {
-		t.Errorf("%v is spare on an empty host", s)
+		t.Errorf("got a capacity of %v without GPUs on an empty host, want 16 CPUs and 192 GB", s)
 	}
 	full := host.AddScaled(large, -1)
 	if s := k.NonGPUCapacity(full, resource.Resources{CPU: 10}); s.CPU != 6 {
-		t.Errorf("%v is spare beside others", s)
+		t.Errorf("got a capacity of %v beside others, want 6 CPUs", s)
 	}
 	var r FreeCapacity
 	r.Add(k, host, host)
 	r.Add(k, host, partlyUsed)
 	r.Add(k, host, resource.Resources{CPU: 12, GPU: 5, Memory: 512})
 	if want := (FreeCapacity{Machines: 3, WholeMachines: 1, FreeGPUs: 18, FragmentedGPUs: 10, LargestFit: 8}); r != want {
-		t.Errorf("room %+v, want %+v", r, want)
+		t.Errorf("got %+v, want %+v", r, want)
 	}
 }
