--- a/internal/migration/evacuations.go
+++ b/internal/migration/evacuations.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// EvacuationCost is what emptying a host of a kind would cost an owner: the time that replicas
+// EvacuationCost is what it would cost an owner to evacuate a host of a kind: how long replicas
 // would be down.
 type EvacuationCost struct {
 	Owner, Kind string
 	Downtime    time.Duration
 }
 
-// MachineNeed is an owner that needs a whole host of one of some kinds.
+// MachineNeed is an owner that needs an empty host of one of some kinds.
 type MachineNeed struct {
 	Owner string
 	Kinds []string
 }
 
-// EvacuationRequest has an owner empty a host of a kind for another.
+// EvacuationRequest asks Owner to evacuate a host of a kind for Recipient.
 type EvacuationRequest struct {
 	Recipient, Owner, Kind string
-	// Until is when it is given up, and somebody may be asked anew.
+	// Until is when the request is given up, and another owner may be asked.
 	Until time.Time
 }
 
-// Evacuations is the hosts that owners are asked to empty for others. Each owner that needs
-// some gets one at a time, and each empties one at a time: what is asked for may take as
-// long as the longest hold, and may come to nothing.
+// Evacuations has the leader's requests to evacuate hosts for other owners, the shard leaders. A
+// recipient gets one host at a time, and an owner evacuates one at a time: an evacuation may
+// take as long as the longest hold, and may fail. The zero value is ready for use.
 type Evacuations struct {
 	requests []EvacuationRequest
-	// backoffUntil says until when an owner that let an ask pass is not asked anew.
+	// backoffUntil is until when an owner that let a request expire is not asked again.
 	backoffUntil map[string]time.Time
 }
 
 const (
-	// evacuationTimeout is how long an owner has to empty a host; one that let that pass is not
-	// asked again for evacuationBackoff, so that others are.
+	// evacuationTimeout is how long an owner has to evacuate a host. One that lets that pass is
+	// not asked again for evacuationBackoff, so that others are.
 	evacuationTimeout = time.Minute
 	evacuationBackoff = 15 * time.Second
-	// costGrace is how long an owner that is asked may go without saying what it
-	// would cost: it reckons that every few seconds.
+	// costGrace is how long an owner that was asked may leave out its cost, which it computes
+	// every few seconds.
 	costGrace = 15 * time.Second
 )
 
-// Update brings the asks in step with what is needed and offered, the cheapest first.
+// Update brings the requests in line with needs and costs, the cheapest first, and returns them.
+// The caller must not change them.
 func (x *Evacuations) Update(now time.Time, needs []MachineNeed, costs []EvacuationCost) []EvacuationRequest {
 	needsByOwner := map[string]MachineNeed{}
 	for _, need := range needs {
@@ -64,7 +65,7 @@
 			return true
 		}
 		if a.Until.Sub(now) < evacuationTimeout-costGrace && !slices.ContainsFunc(costs, func(cost EvacuationCost) bool { return cost.Owner == a.Owner && cost.Kind == a.Kind }) {
-			// It has given what it had, or can't any more.
+			// The owner has evacuated the host, or can't any more.
 			return true
 		}
 		donating[a.Owner], served[a.Recipient] = true, true
@@ -76,7 +77,7 @@
 	})
 	for _, cost := range costs {
 		for _, need := range needs {
-			// Who needs a host itself keeps what it has.
+			// An owner that needs a host itself keeps those it has.
 			if _, needsOne := needsByOwner[cost.Owner]; needsOne || donating[cost.Owner] || served[need.Owner] || now.Before(x.backoffUntil[cost.Owner]) || !slices.Contains(need.Kinds, cost.Kind) {
 				continue
 			}
--- a/internal/testgolden/testgolden.go
+++ b/internal/testgolden/testgolden.go
@@ -1,10 +1,10 @@
-// Package testgolden keeps the bytes of what is stored and sent, so that a change of names
-// can't change them: tests write values and compare with testdata/golden, and read what
-// stands there back. Only tests import it. After a change of an encoding that is meant
+// Package testgolden pins the bytes of what is stored and sent, so that renaming a type or a field
+// can't change them: a test encodes values, compares them with the files in testdata/golden, and
+// decodes those files. Only tests import it. After an intended change of an encoding
 //
-//	go test ./internal/controller -run Golden -update
+//	go test ./internal/record -run Golden -update
 //
-// writes the bytes anew; what earlier versions have stored has to stay readable.
+// rewrites the files of a package; what earlier versions have stored must stay readable.
 package testgolden
 
 import (
@@ -29,26 +29,28 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-var update = flag.Bool("update", false, "write the golden bytes anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// lineBytes is how many bytes stand in a line of a golden file.
+// lineBytes is how many bytes a line of a golden file has.
 const lineBytes = 32
 
-// Values are what is written, by the names of their files.
+// Values are the values to encode, by the names of their golden files.
 type Values map[string]any
 
-// Codec writes a value, and reads one into a pointer. Strict: it refuses a value without
-// contents, which is kept and compared else, too.
+// Codec is an encoding.
 type Codec struct {
-	Write  func(v any) ([]byte, error)
-	Read   func(b []byte, into any) error
+	// Write encodes a value, and Read decodes one into a pointer.
+	Write func(v any) ([]byte, error)
+	Read  func(b []byte, into any) error
+	// Strict says that Read rejects zero values, so that Check leaves them out.
 	Strict bool
 }
 
-// Msgpack is what the edges use.
+// Msgpack is the encoding of the protocols with workers and the state service.
 var Msgpack = Codec{Write: msgpack.Marshal, Read: msgpack.Unmarshal}
 
-// Check has each value written as the golden bytes, read from them, and written again.
+// Check tests that each value, and the zero value of its type, is encoded as its golden bytes,
+// decoded from them, and encoded again as they are.
 func Check(t *testing.T, c Codec, vs Values) {
 	t.Helper()
 	for _, name := range slices.Sorted(maps.Keys(vs)) {
@@ -70,16 +72,16 @@
 	golden := Bytes(t, name)
 	into := reflect.New(reflect.TypeOf(v))
 	if err := c.Read(golden, into.Interface()); err != nil {
-		t.Errorf("%s: what is stored can't be read: %v", name, err)
+		t.Errorf("%s: decode golden bytes: got error %v, want none", name, err)
 		return
 	}
 	read := into.Elem().Interface()
 	if !reflect.DeepEqual(read, v) {
-		t.Errorf("%s: read as\n%+v\nwant\n%+v", name, read, v)
+		t.Errorf("%s: decoded: got\n%+v\nwant\n%+v", name, read, v)
 	}
 	again, err := c.Write(read)
 	if err != nil {
-		t.Errorf("%s: what is stored can't be written again: %v", name, err)
+		t.Errorf("%s: encode decoded value: got error %v, want none", name, err)
 		return
 	}
 	Still(t, name, again)
@@ -87,7 +89,7 @@
 
 func file(name string) string { return filepath.Join("testdata", "golden", name+".hex") }
 
-// Same compares bytes with the golden ones, or writes these.
+// Same compares bytes with the golden ones, which it rewrites before with -update.
 func Same(t *testing.T, name string, b []byte) {
 	t.Helper()
 	if *update {
@@ -105,15 +107,16 @@
 	Still(t, name, b)
 }
 
-// Still compares only: for what was read from the golden bytes and is written again.
+// Still compares bytes with the golden ones and never rewrites those: for what was decoded from
+// them and encoded again.
 func Still(t *testing.T, name string, b []byte) {
 	t.Helper()
 	if golden := Bytes(t, name); !bytes.Equal(b, golden) {
-		t.Errorf("%s: written as\n%x\nwant\n%x", name, b, golden)
+		t.Errorf("%s: encoded: got\n%x\nwant\n%x", name, b, golden)
 	}
 }
 
-// Bytes are the golden ones.
+// Bytes are the golden bytes of a name.
 func Bytes(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(file(name))
@@ -127,9 +130,9 @@
 	return b
 }
 
-// Full says where the values leave something out: a field that none of them sets, two
-// fields of one type in which a value holds the same, so that one could be taken for the
-// other, and a type of the package with MessagePack tags of which there is no value.
+// Full tests that the values leave nothing unpinned. It fails for a field that none of them sets,
+// for two fields of one type that are equal in a value, as one could be taken for the other,
+// and for a type of the package with MessagePack tags of which there is no value.
 func Full(t *testing.T, vs Values) {
 	t.Helper()
 	w := walker{t, map[reflect.Type][]bool{}}
@@ -141,17 +144,18 @@
 		known[path.Base(typ.PkgPath())+"."+typ.Name()] = true
 		for i, is := range set {
 			if !is && typ.Field(i).IsExported() {
-				t.Errorf("%s: no value sets %s", typ, typ.Field(i).Name)
+				t.Errorf("%s: got no value that sets %s, want one", typ, typ.Field(i).Name)
 			}
 		}
 	}
 	for _, name := range tagged(t) {
 		if !known[name] {
-			t.Errorf("there is no value of %s", name)
+			t.Errorf("got no value of %s, want one", name)
 		}
 	}
 }
 
+// walker notes which fields the values set, by type and index.
 type walker struct {
 	t   *testing.T
 	set map[reflect.Type][]bool
@@ -193,7 +197,7 @@
 		here := at + "." + typ.Field(i).Name
 		for k := range i {
 			if a, b := v.Field(k), v.Field(i); a.Type() == b.Type() && !yesNo(a.Type()) && typ.Field(k).IsExported() && reflect.DeepEqual(a.Interface(), b.Interface()) {
-				w.t.Errorf("%s is the same as %s", here, typ.Field(k).Name)
+				w.t.Errorf("%s: got the value of %s, want a distinct one", here, typ.Field(k).Name)
 			}
 		}
 		w.walk(here, v.Field(i))
@@ -242,7 +246,7 @@
 	return out
 }
 
-// FullProto says which fields of a protobuf file's messages none of the messages sets.
+// FullProto tests that every field of a protobuf file's messages is set in one of the messages.
 func FullProto(t *testing.T, file protoreflect.FileDescriptor, ms ...proto.Message) {
 	t.Helper()
 	set := map[protoreflect.FullName]bool{}
@@ -253,7 +257,7 @@
 		fields := file.Messages().Get(i).Fields()
 		for k := range fields.Len() {
 			if name := fields.Get(k).FullName(); !set[name] {
-				t.Errorf("no message sets %s", name)
+				t.Errorf("got no message that sets %s, want one", name)
 			}
 		}
 	}
--- a/internal/testseed/testseed_test.go
+++ b/internal/testseed/testseed_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestPropertyTestsAreSeeded: no package with property tests draws anew in each run.
+// TestPropertyTestsAreSeeded checks that every package whose tests use rapid imports testseed.
 func TestPropertyTestsAreSeeded(t *testing.T) {
 	uses, seeded := map[string]bool{}, map[string]bool{}
 	err := filepath.WalkDir("../..", func(path string, d fs.DirEntry, err error) error {
@@ -27,7 +27,7 @@
 	}
 	for dir, usesRapid := range uses {
 		if usesRapid && !seeded[dir] {
-			t.Errorf("%s: no test file imports internal/testseed", dir)
+			t.Errorf("%s: got no test file that imports internal/testseed, want one", dir)
 		}
 	}
 }
