--- a/internal/migration/evacuations_test.go
+++ b/internal/migration/evacuations_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestEvacuations: each owner that needs a host gets one at a time, of a kind that it can
-// use, from one that needs none, the cheapest first; and no ask outlives its need.
+// use, from one that needs none, the cheapest first; and no request outlives its need.
 func TestEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Evacuations
@@ -37,23 +37,23 @@
 			for _, a := range asks {
 				i := slices.IndexFunc(needs, func(d MachineNeed) bool { return d.Owner == a.Recipient })
 				if i < 0 || !slices.Contains(needs[i].Kinds, a.Kind) || needy[a.Recipient] || giving[a.Owner] || !now.Before(a.Until) {
-					t.Fatalf("%+v of %+v", a, needs)
+					t.Fatalf("got request %+v, want one for each of %+v at most", a, needs)
 				}
 				needy[a.Recipient], giving[a.Owner] = true, true
 				if slices.Contains(before, a) {
 					continue
 				}
 				if slices.ContainsFunc(needs, func(d MachineNeed) bool { return d.Owner == a.Owner }) {
-					t.Fatalf("%s needs a host itself and is to give one", a.Owner)
+					t.Fatalf("got a request to %s, which needs a host itself, want none", a.Owner)
 				}
 				at := slices.IndexFunc(costs, func(c EvacuationCost) bool { return c.Owner == a.Owner && c.Kind == a.Kind })
 				if at < 0 {
-					t.Fatalf("%s is asked for what it can't", a.Owner)
+					t.Fatalf("got a request to %s, which offers no such host, want none", a.Owner)
 				}
 				for _, c := range costs {
 					free := !slices.ContainsFunc(asks, func(b EvacuationRequest) bool { return b.Owner == c.Owner }) && !slices.ContainsFunc(needs, func(d MachineNeed) bool { return d.Owner == c.Owner })
 					if free && slices.Contains(needs[i].Kinds, c.Kind) && c.Downtime < costs[at].Downtime && !now.Before(x.backoffUntil[c.Owner]) {
-						t.Fatalf("%+v, though %+v is cheaper", a, c)
+						t.Fatalf("got request %+v, want the cheaper %+v", a, c)
 					}
 				}
 			}
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -7,8 +7,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecord: a team's moves are written as they ever were, and what stands there is
-// read, taken up by an owner, and written as it stood.
+// TestGoldenRecord: a team's record is encoded as it has always been; a stored one is decoded,
+// recovered by a tracker, and encoded again as it stood.
 func TestGoldenRecord(t *testing.T) {
 	records := testgolden.Values{"moves": record{Version: formatVersion, Plans: []planRow{{
 		ID: 7, HeldFor: "job-000001", Need: []float64{8.5, 1.25, 64.75}, Host: "vm-000003", Until: 1_750_000_060_123, MaxCost: 61_000,
--- a/internal/migration/limits_test.go
+++ b/internal/migration/limits_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestRecordAboveTheLimit: a record that was written under a larger limit of values is
-// brought below the lower one when it is taken over: what is let go first is the rest of
-// replicas, then plans, which only hold places.
+// trimmed to the lower one by a successor: it drops the cooldowns of replicas first, then
+// plans, which only hold capacity.
 func TestRecordAboveTheLimit(t *testing.T) {
 	now := time.UnixMilli(1_750_000_000_000)
 	r := validRecord()
@@ -29,13 +29,13 @@
 		}
 		_, _, due := b.WriteDue("team")
 		if limit == 0 && (due || len(b.record("team").Recent) != maxRecent) {
-			t.Error("trimmed without a limit")
+			t.Error("got a trimmed record without a limit, want all of it")
 		}
 		if size := b.recordBytes("team"); limit > 0 && (size > limit || !due) {
-			t.Errorf("%d bytes of %d, to be written %v", size, limit, due)
+			t.Errorf("got %d bytes, write due %v, want at most %d bytes and a write", size, due, limit)
 		}
 		if limit == 1536 && len(b.Plans()) != len(r.Plans) {
-			t.Error("plans are dropped though the rest would have done")
+			t.Error("got plans dropped, want cooldowns dropped only")
 		}
 	}
 }
