--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -31,32 +31,6 @@
 	slowProvisioningGrace = 2 * time.Minute
 )
 
-// endsAt is when a trouble is over, reckoned from the day's begin.
-func (f Fault) endsAt(controllers int) time.Duration {
-	end := f.At + f.Duration + f.RestartAfter
-	switch f.Kind {
-	case "crash", "crash_all":
-		end = f.At + 5*time.Second
-	case "again_all":
-		end = f.At + f.Duration/2 + f.RestartAfter
-	case "roll":
-		end = f.At + time.Duration(controllers)*15*time.Second + 5*time.Second
-	case "copies":
-		end += f.Delay
-	case "refused_outage":
-		end += f.Delay
-	case "late_writes":
-		end += maxWriteDelay
-	case "late_commands":
-		end += maxCommandDelay
-	case "loss", "twice":
-		end += maxRandomDelay
-	case "election":
-		end = f.At + 2*f.Delay + f.RestartAfter
-	}
-	return end
-}
-
 // lastFaultEnd is when the last trouble of the day is over.
 func (d *Day) lastFaultEnd() time.Duration {
 	end := time.Duration(0)
@@ -83,29 +57,6 @@
 	}
 }
 
-// noCapacityUntil is until when a trouble is one during which no day is blamed for what doesn't
-// begin, or 0: the cloud gives hardly anything, or none of what is rented comes up in
-// time; no start can be recorded; nobody is there.
-func (f Fault) noCapacityUntil(controllers int) time.Duration {
-	switch f.Kind {
-	case "cloud", "capacity", "outage", "refused_outage", "crash_all", "again_all":
-		return f.endsAt(controllers)
-	case "boots":
-		if f.Fraction >= 1 {
-			return f.endsAt(controllers) + slowProvisioningGrace
-		}
-	}
-	return 0
-}
-
-// noCapacityFrom is since when it is one.
-func (f Fault) noCapacityFrom() time.Duration {
-	if f.Kind == "refused_outage" {
-		return f.At + f.Delay
-	}
-	return f.At
-}
-
 // extendedDeadline is the end of a time that begins at from and takes so long, where what troubles
 // without any room take of it is given back.
 func (d *Day) extendedDeadline(from, duration time.Duration) time.Duration {
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -102,9 +102,8 @@
 // submitModels lets the day's models come and go.
 func (d *Day) submitModels(w *World) {
 	for _, m := range d.models {
-		w.lastID++
 		s := m.spec
-		s.ID = fmt.Sprintf("job-%06d", w.lastID)
+		s.ID = w.nextJobID()
 		w.schedule(m.submitAt, func() { w.Submit(s, 0, false) })
 		if m.cancelAt > 0 {
 			w.schedule(m.cancelAt, func() { w.Cancel(s.ID) })
@@ -187,7 +186,7 @@
 			}
 			for _, at := range downs {
 				r.Stopped++
-				_ = down.RecordValue(max(1, at.Milliseconds()))
+				recordMillis(down, at)
 			}
 		}
 		if j.spec.Need.GPU < gpusPerMachine {
@@ -197,7 +196,7 @@
 			continue
 		}
 		r.LargeModels++
-		_ = wait.RecordValue(max(1, begun.Sub(j.submitted).Milliseconds()))
+		recordMillis(wait, begun.Sub(j.submitted))
 		if !j.isServed() {
 			whole += w.now.Sub(j.submitted).Seconds()
 			continue
--- a/internal/simulation/overlaps.go
+++ b/internal/simulation/overlaps.go
@@ -101,11 +101,11 @@
 	rng := rand.New(rand.NewPCG(d.Seed, 818))
 	const before = time.Minute
 	for range d.Machines / 2 {
-		w.lastID++
+		id := w.nextJobID()
 		at := max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(before)))
 		run := time.Duration(float64(longTaskRunTime) * (0.75 + rng.Float64()/2))
 		spec := model.JobSpec{
-			ID: fmt.Sprintf("job-%06d", w.lastID), Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: model.Normal,
+			ID: id, Workload: "import", Team: d.Settings.Teams[rng.IntN(d.Teams)].Name, Urgency: model.Normal,
 			Tasks: 1 + rng.IntN(3), Need: model.Resources{CPU: 1, Memory: 2}, Image: "import", ImageGB: 0.5, AllowSpot: true, ExpectedRunTime: longTaskRunTime,
 		}
 		w.schedule(at, func() { w.Submit(spec, run, false) })
@@ -146,7 +146,7 @@
 		d.Faults = append(d.Faults, Fault{Kind: "crash_all", At: d.lastFaultEnd() + crashAfterOverlap, Duration: 5 * time.Second})
 	}
 	d.addExtraFault(overlapping)
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	d.sortFaults()
 }
 
 // addExtraFault has one of the later troubles meet those of a day on one day in three, from
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -149,10 +149,10 @@
 		var step []*userJob
 		var names []string
 		for range side {
-			w.lastID++
+			id := w.nextJobID()
 			run := time.Duration(float64(stepRunTime) * (0.3 + rng.Float64()))
 			spec := model.JobSpec{
-				ID: fmt.Sprintf("job-%06d", w.lastID), Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: model.BestEffort,
+				ID: id, Workload: fmt.Sprintf("step-%d", k), Team: team, Urgency: model.BestEffort,
 				Tasks: 1 + rng.IntN(5), Need: model.Resources{CPU: 1, Memory: 3}, Image: fmt.Sprintf("step-%d", k), ImageGB: 0.5, AllowSpot: rng.IntN(4) > 0,
 				ExpectedRunTime: run, Dependencies: before,
 			}
@@ -240,9 +240,8 @@
 		onAllReached(steps[k], milestoneAccepted, cancelJob)
 	}
 	if rng.IntN(2) == 0 {
-		w.lastID++
 		spec := steps[len(steps)-1][0].spec
-		spec.ID, spec.Dependencies = fmt.Sprintf("job-%06d", w.lastID), []string{j.spec.ID}
+		spec.ID, spec.Dependencies = w.nextJobID(), []string{j.spec.ID}
 		more := newUserJob(spec, stepRunTime)
 		wait := time.Duration(rng.Float64() * float64(2*d.cancelWithin()))
 		j.onMilestone(milestoneFinal, func() { w.schedule(wait, func() { w.submitJob(more) }) })
@@ -253,9 +252,8 @@
 // itself, or one twice.
 func (d *Day) submitInvalidDependencies(w *World, rng *rand.Rand, steps [][]*userJob) {
 	first := steps[0][0]
-	w.lastID++
 	spec := first.spec
-	spec.ID = fmt.Sprintf("job-%06d", w.lastID)
+	spec.ID = w.nextJobID()
 	spec.Dependencies = [][]string{{fmt.Sprintf("job-8%05d", rng.IntN(100000))}, {spec.ID}, {first.spec.ID, first.spec.ID}}[rng.IntN(3)]
 	odd := newUserJob(spec, stepRunTime)
 	odd.invalid = true
--- a/internal/simulation/protocol_faults.go
+++ b/internal/simulation/protocol_faults.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"math/rand/v2"
-	"slices"
 	"time"
 
 	"github.com/vmihailenco/msgpack/v5"
@@ -42,7 +41,7 @@
 		}
 		d.Faults = append(d.Faults, f)
 	}
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	d.sortFaults()
 }
 
 // logUniform draws a time between two, as often in each tenfold of it.
--- a/internal/simulation/search.go
+++ b/internal/simulation/search.go
@@ -107,10 +107,6 @@
 	d.sortFaults()
 }
 
-func (d *Day) sortFaults() {
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-}
-
 // randomShift draws by how much something is shifted, small shifts as often as large ones.
 func randomShift(rng *rand.Rand) time.Duration {
 	by := logUniform(rng, 50*time.Millisecond, maxSearchShift)
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -1,7 +1,6 @@
 package simulation
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -87,7 +86,7 @@
 		}
 		d.Faults = append(d.Faults, f)
 	}
-	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return int(a.At - b.At) })
+	d.sortFaults()
 }
 
 // startUnlistedFault lets a trouble of no list begin, and says whether it is one.
@@ -158,8 +157,7 @@
 	huge := model.JobSpec{Workload: "rebuild", Urgency: model.BestEffort, Tasks: 40 * max(5, min(d.Machines, 250)), Need: model.Resources{CPU: 0.25, Memory: 0.5}, AllowSpot: true, ExpectedRunTime: 4 * time.Second}
 	single := model.JobSpec{Workload: "lookups", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 1, Memory: 2}, AllowSpot: true, ExpectedRunTime: 5 * time.Second}
 	add := func(s model.JobSpec, at time.Duration) {
-		w.lastID++
-		s.ID, s.Team, s.Image, s.ImageGB = fmt.Sprintf("job-%06d", w.lastID), d.guestTeam, s.Workload, 0.5
+		s.ID, s.Team, s.Image, s.ImageGB = w.nextJobID(), d.guestTeam, s.Workload, 0.5
 		w.schedule(at, func() { w.Submit(s, s.ExpectedRunTime, false) })
 	}
 	at := span / 3
