--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -9,9 +9,25 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// executeCloud executes a request to the cloud.
-func (w *World) executeCloud(op message.CloudRequest) message.CloudResponse {
-	response := message.CloudResponse{ID: op.ID, Status: message.CloudOK}
+const (
+	// cloudListPage is how many machines the cloud lists in one answer.
+	cloudListPage = 500
+	// failedListLag is how long a machine that died is still listed as running.
+	failedListLag = 30 * time.Second
+	// maxRentCount and maxReleaseCount bound the machines of one request, as in the protocol.
+	maxRentCount    = 50
+	maxReleaseCount = 100
+)
+
+// capacityKey names a kind of machines in World.cloudCapacity.
+func capacityKey(machineType, zone string, spot bool) string {
+	return fmt.Sprintf("%s/%s/%v", machineType, zone, spot)
+}
+
+// executeCloud executes a request to the cloud, unless the cloud is out of service or the request
+// is above its rate.
+func (w *World) executeCloud(req message.CloudRequest) message.CloudResponse {
+	response := message.CloudResponse{ID: req.ID, Status: message.CloudOK}
 	if w.cloudOutage || !w.cloudLimiter.AllowN(w.now, 1) {
 		if !w.cloudOutage {
 			w.CloudCalls.RefusedRequests++
@@ -20,81 +36,101 @@
 		return response
 	}
 	w.CloudCalls.Done++
-	switch op.Kind {
+	switch req.Kind {
 	case message.CloudListTypes:
 		for _, k := range sortedKeys(w.machineTypes) {
 			response.MachineTypes = append(response.MachineTypes, w.machineTypes[k])
 		}
 	case message.CloudListMachines:
-		// As of some time ago, that differs from list to list.
-		asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
-		for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, op.StartAfter):] {
-			m := w.machines[id]
-			if id <= op.StartAfter || m.rentedAt.After(asOf) || !m.goneAt.IsZero() && !m.goneAt.After(asOf) {
-				continue
-			}
-			if len(response.Machines) == cloudListPage {
-				response.Truncated = true
-				break
-			}
-			listed := model.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
-			switch {
-			case m.dead && !m.reclaimed && asOf.Sub(m.diedAt) > failedListLag:
-				listed.Status = "failed"
-			case asOf.Before(m.upAt):
-				listed.Status = "booting"
-			}
-			response.Machines = append(response.Machines, listed)
-		}
+		response.Machines, response.Truncated = w.listCloudMachines(req.StartAfter)
 	case message.CloudRent:
-		if op.Count < 1 || op.Count > 50 || op.IdempotencyKey == "" {
-			w.violate("malformed", "a booking of %d machines", op.Count)
-			response.Status = message.CloudMalformed
-			return response
-		}
-		if names, ok := w.rentals[op.IdempotencyKey]; ok {
-			response.Rented = names
-			return response
-		}
-		key := fmt.Sprintf("%s/%s/%v", op.MachineType, op.Zone, op.Spot)
-		for range min(op.Count, w.cloudCapacity[key]) {
-			w.lastID++
-			f := w.machineTypes[op.MachineType]
-			id := fmt.Sprintf("vm-%06d", w.lastID)
-			m := &Worker{
-				ID: id, Addr: id, MachineType: op.MachineType, Zone: op.Zone, Spot: op.Spot, Size: f.Capacity,
-				FetchRate: f.ImageFetchRate, rentedAt: w.now, upAt: w.now.Add(w.provisioningTime(f)),
-				images: map[string]time.Time{}, tasks: map[string]*workerTask{}, controller: w.rng.IntN(max(1, len(w.controllers))),
-			}
-			w.machines[m.ID] = m
-			w.machineIDs, w.fleet = append(w.machineIDs, m.ID), append(w.fleet, m)
-			w.onRented(m)
-			response.Rented = append(response.Rented, m.ID)
+		response.Rented, response.Status = w.rentMachines(req)
+	case message.CloudRelease:
+		response.Status = w.releaseMachines(req.Machines)
+	}
+	return response
+}
+
+// listCloudMachines lists a page of the rented machines whose ids come after startAfter, and
+// reports whether there are more. The list is out of date by a time that differs from call to call.
+func (w *World) listCloudMachines(startAfter string) (machines []model.CloudMachine, truncated bool) {
+	asOf := w.now.Add(-time.Duration(float64(w.settings.CloudListLag) * (0.5 + 1.5*w.rng.Float64())))
+	for _, id := range w.machineIDs[sort.SearchStrings(w.machineIDs, startAfter):] {
+		m := w.machines[id]
+		if id <= startAfter || m.rentedAt.After(asOf) || !m.goneAt.IsZero() && !m.goneAt.After(asOf) {
+			continue
 		}
-		w.cloudCapacity[key] -= len(response.Rented)
-		if len(response.Rented) == 0 {
-			response.Status = message.CloudNoCapacity
-			return response
+		if len(machines) == cloudListPage {
+			return machines, true
 		}
-		w.rentals[op.IdempotencyKey] = response.Rented
-	case message.CloudRelease:
-		if len(op.Machines) > 100 {
-			w.violate("malformed", "a return of %d machines", len(op.Machines))
-			response.Status = message.CloudMalformed
-			return response
+		listed := model.CloudMachine{ID: id, Addr: m.Addr, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot, Status: "running", Age: asOf.Sub(m.rentedAt)}
+		switch {
+		case m.dead && !m.reclaimed && asOf.Sub(m.diedAt) > failedListLag:
+			listed.Status = "failed"
+		case asOf.Before(m.upAt):
+			listed.Status = "booting"
 		}
-		for _, id := range op.Machines {
-			if m := w.machines[id]; m != nil && !m.released {
-				m.released = true
-				if m.goneAt.IsZero() {
-					m.goneAt = w.now
-				}
-				w.clearTasks(m)
-				w.cloudCapacity[fmt.Sprintf("%s/%s/%v", m.MachineType, m.Zone, m.Spot)]++
+		machines = append(machines, listed)
+	}
+	return machines, false
+}
+
+// rentMachines rents as many machines as there are, up to the count of the request, and returns
+// their ids. A request that is repeated with the same key gets the machines of the first one.
+func (w *World) rentMachines(req message.CloudRequest) ([]string, message.CloudStatus) {
+	if req.Count < 1 || req.Count > maxRentCount || req.IdempotencyKey == "" {
+		w.violate("malformed", "a booking of %d machines", req.Count)
+		return nil, message.CloudMalformed
+	}
+	if rented, ok := w.rentals[req.IdempotencyKey]; ok {
+		return rented, message.CloudOK
+	}
+	key := capacityKey(req.MachineType, req.Zone, req.Spot)
+	var rented []string
+	for range min(req.Count, w.cloudCapacity[key]) {
+		rented = append(rented, w.rentMachine(req).ID)
+	}
+	w.cloudCapacity[key] -= len(rented)
+	if len(rented) == 0 {
+		return nil, message.CloudNoCapacity
+	}
+	w.rentals[req.IdempotencyKey] = rented
+	return rented, message.CloudOK
+}
+
+// rentMachine makes one machine of a rental.
+func (w *World) rentMachine(req message.CloudRequest) *Worker {
+	w.lastID++
+	t := w.machineTypes[req.MachineType]
+	id := fmt.Sprintf("vm-%06d", w.lastID)
+	m := &Worker{
+		ID: id, Addr: id, MachineType: req.MachineType, Zone: req.Zone, Spot: req.Spot, Size: t.Capacity,
+		FetchRate: t.ImageFetchRate, rentedAt: w.now, upAt: w.now.Add(w.provisioningTime(t)),
+		images: map[string]time.Time{}, tasks: map[string]*workerTask{}, controller: w.rng.IntN(max(1, len(w.controllers))),
+	}
+	w.machines[m.ID] = m
+	w.machineIDs, w.fleet = append(w.machineIDs, m.ID), append(w.fleet, m)
+	w.onRented(m)
+	return m
+}
+
+// releaseMachines gives machines back to the cloud, with all that runs on them.
+func (w *World) releaseMachines(ids []string) message.CloudStatus {
+	if len(ids) > maxReleaseCount {
+		w.violate("malformed", "a return of %d machines", len(ids))
+		return message.CloudMalformed
+	}
+	for _, id := range ids {
+		if m := w.machines[id]; m != nil && !m.released {
+			m.released = true
+			if m.goneAt.IsZero() {
+				m.goneAt = w.now
 			}
+			w.clearTasks(m)
+			w.cloudCapacity[capacityKey(m.MachineType, m.Zone, m.Spot)]++
 		}
 	}
-	return response
+	return message.CloudOK
 }
 
 // killMachine stops a machine with all that is on it.
@@ -110,10 +146,3 @@
 	m.reclaimAt = time.Time{}
 	w.clearTasks(m)
 }
-
-const (
-	// cloudListPage is the most that the cloud lists at once, and failedListLag how long a
-	// machine that died goes on being listed as running.
-	cloudListPage = 500
-	failedListLag = 30 * time.Second
-)
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -13,8 +13,12 @@
 // proc.go has a controller's process: how it starts, ends and stands still, and how it
 // carries out what its core decides.
 
-// workerTimeout is how long a controller waits for the answer to a direct command.
-const workerTimeout = 2 * time.Second
+const (
+	// workerTimeout is how long a controller waits for a worker's answer to a direct request.
+	workerTimeout = 2 * time.Second
+	// cloudTimeout is how long a controller waits for an answer of the cloud.
+	cloudTimeout = 5 * time.Second
+)
 
 // controllerProcess is a controller's process.
 type controllerProcess struct {
@@ -328,44 +332,20 @@
 	})
 }
 
+// execute carries out an effect.
 func (p *controllerProcess) execute(e message.Effect) {
 	w := p.world
 	w.rankingCheck.onSend(p, e)
 	switch e := e.(type) {
 	case message.StoreRequest:
-		// As the real client does: it waits for its turn, and tries again what is
-		// refused for the rate.
-		d, ok := p.limiter.Reserve(w.now, e)
-		if !ok {
-			p.enqueue(message.StoreResponse{ID: e.ID, Status: message.StoreRefused})
-			return
-		}
-		incarnation := p.incarnation
-		w.schedule(d, func() {
-			if p.incarnation == incarnation {
-				p.sendStoreRequest(e, w.now.Add(state.Timeout(e)))
-			}
-		})
+		p.executeStoreRequest(e)
 	case message.Rates:
 		p.limiter.SetRates(w.now, e)
 	case message.CloudRequest:
 		p.checkLeader(e)
-		p.call("cloud", false, 5*time.Second, func(answer func(message.Command)) { answer(w.executeCloud(e)) }, message.CloudResponse{ID: e.ID, Status: message.CloudUnknown})
+		p.call("cloud", false, cloudTimeout, func(answer func(message.Command)) { answer(w.executeCloud(e)) }, message.CloudResponse{ID: e.ID, Status: message.CloudUnknown})
 	case message.WorkerRequest:
-		m := w.machines[e.Machine]
-		if m == nil {
-			p.enqueue(message.WorkerResponse{ID: e.ID})
-			return
-		}
-		if p.delayCommand(m, e) {
-			p.call(m.ID, false, workerTimeout, func(func(message.Command)) {}, message.WorkerResponse{ID: e.ID})
-			return
-		}
-		p.call(m.ID, !e.StatusOnly, workerTimeout, func(answer func(message.Command)) {
-			if !w.now.Before(m.upAt) {
-				answer(w.executeDirect(m, e))
-			}
-		}, message.WorkerResponse{ID: e.ID})
+		p.executeWorkerRequest(e)
 	case message.UserReply:
 		w.noteCancelConfirmed(e)
 		p.reply(e.Reply, e)
@@ -392,6 +372,43 @@
 	}
 }
 
+// executeStoreRequest sends a request to the state service once the rate limiter lets it through,
+// as the real client does.
+func (p *controllerProcess) executeStoreRequest(e message.StoreRequest) {
+	w, incarnation := p.world, p.incarnation
+	d, ok := p.limiter.Reserve(w.now, e)
+	if !ok {
+		p.enqueue(message.StoreResponse{ID: e.ID, Status: message.StoreRefused})
+		return
+	}
+	w.schedule(d, func() {
+		if p.incarnation == incarnation {
+			p.sendStoreRequest(e, w.now.Add(state.Timeout(e)))
+		}
+	})
+}
+
+// executeWorkerRequest sends a request to the address of a machine's worker.
+func (p *controllerProcess) executeWorkerRequest(e message.WorkerRequest) {
+	w := p.world
+	failed := message.WorkerResponse{ID: e.ID}
+	m := w.machines[e.Machine]
+	if m == nil {
+		p.enqueue(failed)
+		return
+	}
+	if p.delayCommand(m, e) {
+		p.call(m.ID, false, workerTimeout, func(func(message.Command)) {}, failed)
+		return
+	}
+	p.call(m.ID, !e.StatusOnly, workerTimeout, func(answer func(message.Command)) {
+		if !w.now.Before(m.upAt) {
+			answer(w.executeDirect(m, e))
+		}
+	}, failed)
+}
+
+// reply hands the answer to a request to whoever sent it.
 func (p *controllerProcess) reply(id uint64, e message.Effect) {
 	if fn := p.replies[id]; fn != nil {
 		delete(p.replies, id)
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -258,7 +258,7 @@
 	for _, p := range w.controllers {
 		for _, r := range held {
 			w.schedule(time.Duration(w.rng.Int64N(int64(time.Second))), func() {
-				p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
+				p.deliverHeartbeat(r, func(message.Effect) {})
 			})
 		}
 	}
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/model"
 )
@@ -161,59 +162,76 @@
 	Down    Distribution `json:"down_s"`
 }
 
+// modelSums adds up a day's models.
+type modelSums struct {
+	ModelSummary
+	wait, down *hdrhistogram.Histogram
+	// upSeconds and wantedSeconds are replica seconds of the large models: those in which replicas
+	// were up, and those in which they should have been.
+	upSeconds, wantedSeconds float64
+}
+
+// modelSummary sums up the models that were not cancelled, and the GPUs.
 func (w *World) modelSummary() *ModelSummary {
-	r := &ModelSummary{}
-	wait, down := newHistogram(), newHistogram()
-	up, whole := 0.0, 0.0
+	sums := modelSums{wait: newHistogram(), down: newHistogram()}
 	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		if !j.spec.LongRunning || j.cancelRequested {
-			continue
-		}
-		begun := time.Time{}
-		for _, at := range j.firstStarts {
-			if at.After(begun) {
-				begun = at
-			}
-		}
-		if !j.isServed() {
-			begun = w.now
+		if j := w.jobs[id]; j.spec.LongRunning && !j.cancelRequested {
+			sums.add(j, w.now)
 		}
-		for _, x := range j.replicas {
-			downs := x.downTimes
-			if x.stoppedByCommand {
-				downs = append(slices.Clone(downs), w.now.Sub(x.downSince))
-			}
-			for _, at := range downs {
-				r.Stopped++
-				recordMillis(down, at)
-			}
+	}
+	r := &sums.ModelSummary
+	if sums.wantedSeconds > 0 {
+		r.Up = sums.upSeconds / sums.wantedSeconds
+	}
+	r.Wait, r.Down = distributionOf(sums.wait), distributionOf(sums.down)
+	r.FragmentedGPUs = w.fragmentedGPUs()
+	return r
+}
+
+// add counts a model, as it is at now.
+func (s *modelSums) add(j *userJob, now time.Time) {
+	for _, x := range j.replicas {
+		downs := x.downTimes
+		if x.stoppedByCommand {
+			downs = append(slices.Clone(downs), now.Sub(x.downSince))
 		}
-		if j.spec.Need.GPU < gpusPerMachine {
-			if !j.isServed() {
-				r.OthersUnstarted++
-			}
-			continue
+		for _, d := range downs {
+			s.Stopped++
+			recordMillis(s.down, d)
 		}
-		r.LargeModels++
-		recordMillis(wait, begun.Sub(j.submitted))
+	}
+	if j.spec.Need.GPU < gpusPerMachine {
 		if !j.isServed() {
-			whole += w.now.Sub(j.submitted).Seconds()
-			continue
+			s.OthersUnstarted++
 		}
-		r.LargeStarted++
-		whole += w.now.Sub(begun).Seconds() * float64(j.spec.Tasks)
-		for _, x := range j.replicas {
-			up += x.upTime.Seconds()
-			if x.downSince.IsZero() {
-				up += w.now.Sub(x.upSince).Seconds()
-			}
+		return
+	}
+	s.LargeModels++
+	if !j.isServed() {
+		recordMillis(s.wait, now.Sub(j.submitted))
+		s.wantedSeconds += now.Sub(j.submitted).Seconds()
+		return
+	}
+	started := time.Time{}
+	for _, at := range j.firstStarts {
+		if at.After(started) {
+			started = at
 		}
 	}
-	if whole > 0 {
-		r.Up = up / whole
+	s.LargeStarted++
+	recordMillis(s.wait, started.Sub(j.submitted))
+	s.wantedSeconds += now.Sub(started).Seconds() * float64(j.spec.Tasks)
+	for _, x := range j.replicas {
+		s.upSeconds += x.upTime.Seconds()
+		if x.downSince.IsZero() {
+			s.upSeconds += now.Sub(x.upSince).Seconds()
+		}
 	}
-	r.Wait, r.Down = distributionOf(wait), distributionOf(down)
+}
+
+// fragmentedGPUs counts the free GPUs of machines on which others are taken.
+func (w *World) fragmentedGPUs() int {
+	free := 0
 	for _, m := range w.fleet {
 		used := 0.0
 		for _, t := range m.tasks {
@@ -222,8 +240,8 @@
 			}
 		}
 		if m.up(w.now) && used > 0 {
-			r.FragmentedGPUs += int(m.Size.GPU - used)
+			free += int(m.Size.GPU - used)
 		}
 	}
-	return r
+	return free
 }
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -54,7 +54,7 @@
 	d := time.Second + time.Duration(w.rng.Int64N(int64(max(w.heartbeatCopyMaxDelay, 2*time.Second)-time.Second)))
 	p := w.controllers[w.rng.IntN(len(w.controllers))]
 	w.schedule(d, func() {
-		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
+		p.deliverHeartbeat(r, func(message.Effect) {})
 	})
 }
 
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,6 +11,15 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
+const (
+	// minHeartbeatInterval is the shortest time between two heartbeats of a machine.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryPause is how long a worker waits before it turns to another controller.
+	heartbeatRetryPause = time.Second
+)
+
 // Worker is a model of one machine's worker.
 type Worker struct {
 	ID          string
@@ -187,20 +197,11 @@
 	m.changed = true
 }
 
-// advanceMachine moves the machine's tasks on by a tick.
+// advanceMachine moves a machine's tasks on by d, and sends its heartbeat when that is due.
 func (w *World) advanceMachine(m *Worker, d time.Duration) {
-	// A hanging machine goes on within its lease or not at all, so the end of
-	// a lease comes to it as well.
+	// A hanging machine goes on within its lease or not at all, so its lease ends as well.
 	if m.incarnation > 0 && w.now.Sub(m.leaseStart) > w.settings.WorkerLease {
-		for _, t := range m.tasks {
-			if t.onMachine() {
-				w.LostToLease++
-			}
-		}
-		w.clearTasks(m)
-		clear(m.images)
-		m.incarnation++
-		m.leaseStart, m.changed = w.now, true
+		w.expireWorkerLease(m)
 	}
 	if !m.up(w.now) {
 		return
@@ -209,108 +210,142 @@
 		m.incarnation, m.leaseStart, m.nextHeartbeatAt = 1, w.now, w.now
 	}
 	for _, t := range m.tasks {
-		switch t.status {
-		case model.Fetching:
-			if !t.imageReadyAt.After(w.now) {
-				t.status, m.changed, m.everUsed = model.Running, true, true
-				team := t.job.spec.Team
-				w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
-				w.checkStart(m, t)
-			}
-		case model.Running:
-			if m.faulty || t.job.alwaysFails {
-				w.endTask(m, t, "error")
-				continue
-			}
-			t.remaining -= d
-			if checkpointEvery := t.job.spec.CheckpointInterval; checkpointEvery > 0 && t.remaining > 0 {
-				// Saved progress is what is left rounded up to a checkpoint.
-				steps := (t.job.run - t.remaining) / checkpointEvery
-				t.job.saveCheckpoint(t.index, t.job.run-steps*checkpointEvery)
-			}
-			if t.remaining <= 0 && !t.job.spec.LongRunning {
-				t.job.doneTasks[t.index] = true
-				w.endTask(m, t, "done")
-				w.noteTasksDone(t.job)
-				w.maybeCancelAtEnd(t.job)
-			}
-		case model.Checkpointing:
-			if !t.checkpointDoneAt.After(w.now) {
-				t.job.saveCheckpoint(t.index, t.remaining)
-				t.checkpointed = true
-				w.endTask(m, t, "stopped")
-			}
-		}
+		w.advanceTask(m, t, d)
 	}
-	// No more often than every half second, and every report interval.
-	if !m.heartbeatPending && (!w.now.Before(m.nextHeartbeatAt) || m.changed && w.now.Sub(m.lastHeartbeatAt) >= 500*time.Millisecond) {
+	if !m.heartbeatPending && (!w.now.Before(m.nextHeartbeatAt) || m.changed && w.now.Sub(m.lastHeartbeatAt) >= minHeartbeatInterval) {
 		m.heartbeatPending, m.changed, m.lastHeartbeatAt = true, false, w.now
 		m.nextHeartbeatAt = w.now.Add(w.jitter(w.settings.HeartbeatInterval))
 		w.heartbeatSender(m)
 	}
 }
 
+// expireWorkerLease kills a worker's tasks at the end of its lease and begins a new incarnation.
+func (w *World) expireWorkerLease(m *Worker) {
+	for _, t := range m.tasks {
+		if t.onMachine() {
+			w.LostToLease++
+		}
+	}
+	w.clearTasks(m)
+	clear(m.images)
+	m.incarnation++
+	m.leaseStart, m.changed = w.now, true
+}
+
+// advanceTask moves a task on by d.
+func (w *World) advanceTask(m *Worker, t *workerTask, d time.Duration) {
+	switch t.status {
+	case model.Fetching:
+		if !t.imageReadyAt.After(w.now) {
+			t.status, m.changed, m.everUsed = model.Running, true, true
+			team := t.job.spec.Team
+			w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
+			w.checkStart(m, t)
+		}
+	case model.Running:
+		if m.faulty || t.job.alwaysFails {
+			w.endTask(m, t, "error")
+			return
+		}
+		t.remaining -= d
+		if interval := t.job.spec.CheckpointInterval; interval > 0 && t.remaining > 0 {
+			// What is left counts from the last whole checkpoint.
+			steps := (t.job.run - t.remaining) / interval
+			t.job.saveCheckpoint(t.index, t.job.run-steps*interval)
+		}
+		if t.remaining <= 0 && !t.job.spec.LongRunning {
+			t.job.doneTasks[t.index] = true
+			w.endTask(m, t, "done")
+			w.noteTasksDone(t.job)
+			w.maybeCancelAtEnd(t.job)
+		}
+	case model.Checkpointing:
+		if !t.checkpointDoneAt.After(w.now) {
+			t.job.saveCheckpoint(t.index, t.remaining)
+			t.checkpointed = true
+			w.endTask(m, t, "stopped")
+		}
+	}
+}
+
+// sendHeartbeat sends a worker's heartbeat to the controller that it knows, and takes the answer.
+// Without an answer in time the worker turns to the next controller.
 func (w *World) sendHeartbeat(m *Worker) {
 	sent, incarnation, to, process := w.now, m.incarnation, m.controller, m.process
 	answered := false
 	r := m.heartbeat(w.now)
-	next := func(again time.Duration) {
-		m.heartbeatPending = false
-		m.controller = (to + 1) % len(w.controllers)
-		m.nextHeartbeatAt = w.now.Add(again)
-	}
-	w.schedule(4*time.Second, func() {
+	w.schedule(heartbeatTimeout, func() {
 		if !answered && m.process == process {
 			answered = true
-			next(time.Second)
+			w.tryNextController(m, to)
 		}
 	})
 	if w.now.Before(m.unheardUntil) {
-		// It opens no connection, and there is nothing that could arrive.
+		// It opens no connection, so nothing can arrive.
 		return
 	}
 	p := w.controllers[to]
 	w.copyHeartbeat(r)
 	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
 		w.schedule(w.randomDelay(), func() {
-			w.sendMessage(m.ID, p.name, func() {
-				p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
-			})
+			w.sendMessage(m.ID, p.name, func() { p.deliverHeartbeat(r, func(message.Effect) {}) })
 		})
 	}
 	w.sendMessage(m.ID, p.name, func() {
-		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) {
+		p.deliverHeartbeat(r, func(e message.Effect) {
 			a := e.(message.HeartbeatReply)
 			w.sendMessage(p.name, m.ID, func() {
-				if answered {
-					// Given up: the answer is dropped.
-					return
-				}
-				answered = true
-				switch {
-				case a.Status == 421 && a.MachineOwner != "" && w.controllerIndex(a.MachineOwner) >= 0 && w.controllerIndex(a.MachineOwner) != to:
-					m.heartbeatPending = false
-					m.controller = w.controllerIndex(a.MachineOwner)
-					m.nextHeartbeatAt = w.now.Add(w.jitter(250 * time.Millisecond))
-				case a.Status != 200:
-					next(time.Second)
-				default:
-					w.checkReplySize(a)
-					m.heartbeatPending = false
-					if a.Epoch < m.epoch || incarnation != m.incarnation {
-						return
-					}
-					if a.Epoch > m.epoch {
-						m.epoch, m.changed = a.Epoch, true
-					}
-					m.leaseStart = sent
-					w.executeCommands(m, a.Commands)
+				// An answer that comes after the timeout is dropped.
+				if !answered {
+					answered = true
+					w.takeHeartbeatReply(m, a, to, incarnation, sent)
 				}
 			})
 		})
 	})
 }
 
+// deliverHeartbeat hands a heartbeat to a controller; fn takes the answer.
+func (p *controllerProcess) deliverHeartbeat(r model.Heartbeat, fn func(message.Effect)) {
+	p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, fn)
+}
+
+// tryNextController makes a worker send its next heartbeat to the controller after one that did
+// not take it.
+func (w *World) tryNextController(m *Worker, failed int) {
+	m.heartbeatPending = false
+	m.controller = (failed + 1) % len(w.controllers)
+	m.nextHeartbeatAt = w.now.Add(heartbeatRetryPause)
+}
+
+// takeHeartbeatReply acts on the answer of controller to. incarnation is the worker's when it sent
+// the heartbeat, at sent.
+func (w *World) takeHeartbeatReply(m *Worker, a message.HeartbeatReply, to int, incarnation uint64, sent time.Time) {
+	owner := -1
+	if a.MachineOwner != "" {
+		owner = w.controllerIndex(a.MachineOwner)
+	}
+	switch {
+	case a.Status == http.StatusMisdirectedRequest && owner >= 0 && owner != to:
+		m.heartbeatPending = false
+		m.controller = owner
+		m.nextHeartbeatAt = w.now.Add(w.jitter(250 * time.Millisecond))
+	case a.Status != http.StatusOK:
+		w.tryNextController(m, to)
+	default:
+		w.checkReplySize(a)
+		m.heartbeatPending = false
+		if a.Epoch < m.epoch || incarnation != m.incarnation {
+			return
+		}
+		if a.Epoch > m.epoch {
+			m.epoch, m.changed = a.Epoch, true
+		}
+		m.leaseStart = sent
+		w.executeCommands(m, a.Commands)
+	}
+}
+
 // executeDirect is a request to the worker's own address.
 func (w *World) executeDirect(m *Worker, op message.WorkerRequest) message.WorkerResponse {
 	d := message.WorkerResponse{ID: op.ID, OK: true}
