--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -10,28 +10,28 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// judge.go has the conditions on a day beside the rules: every job stays known, and a
-// class's largest jobs are served, and begin in time.
+// This file has the checks of a whole day beside the rules of single events: every accepted job
+// stays known, and the largest jobs of each class are served and start in time.
 
 const (
-	// MaxUnanswered is how long all questions about an accepted job may go without an
-	// answer once all troubles are over; users on real controllers judge by it, too.
+	// MaxUnanswered is how long an accepted job may go without an answered query once all faults
+	// are over. The load tests against real controllers use it, too.
 	MaxUnanswered = 75 * time.Second
-	// endedPollInterval is how often users ask about ended jobs then: several times within
-	// MaxUnanswered.
+	// endedPollInterval is how often users query ended jobs once all faults are over: several times
+	// within MaxUnanswered.
 	endedPollInterval = 15 * time.Second
-	// maxStartWait is in how long a class's largest jobs have to begin.
+	// maxStartWait is how soon the largest jobs of a class must start.
 	maxStartWait = 240 * time.Second
-	// countServedAfter and servedAfterFaults say when is counted what was served: so long after
-	// the last job came, but for times without any room, and after the last trouble.
+	// countServedAfter and servedAfterFaults say when served jobs are counted: that long after the
+	// last submission, not counting times without capacity, and that long after the last fault.
 	countServedAfter  = 3 * time.Minute
 	servedAfterFaults = time.Minute
-	// slowProvisioningGrace is how much longer than their trouble late boots leave no room: until
-	// it is known that what was rented does not come, and something else does.
+	// slowProvisioningGrace is how long after a provisioning fault there may still be no capacity:
+	// until the controllers give up the machines that are not ready, and others are.
 	slowProvisioningGrace = 2 * time.Minute
 )
 
-// lastFaultEnd is when the last trouble of the day is over.
+// lastFaultEnd returns when the day's last fault is over.
 func (d *Day) lastFaultEnd() time.Duration {
 	end := time.Duration(0)
 	for _, f := range d.Faults {
@@ -40,7 +40,8 @@
 	return end
 }
 
-// checkPollsAnswered breaks a rule if no question about a job was answered for too long.
+// checkPollsAnswered checks that a job's queries do not go unanswered for longer than
+// MaxUnanswered.
 func (w *World) checkPollsAnswered(j *userJob) {
 	if w.faultsEndAt.IsZero() || !j.accepted || j.silenceReported {
 		return
@@ -57,8 +58,8 @@
 	}
 }
 
-// extendedDeadline is the end of a time that begins at from and takes so long, where what troubles
-// without any room take of it is given back.
+// extendedDeadline returns the end of a period that begins at from and lasts duration, extended by
+// the parts of it without capacity.
 func (d *Day) extendedDeadline(from, duration time.Duration) time.Duration {
 	end := from + duration
 	for range d.Faults {
@@ -77,7 +78,8 @@
 	return end
 }
 
-// maxConcurrent is how many tasks of a job its team's limit and the cloud allow at a time.
+// maxConcurrent returns how many tasks of a job the team's quota limit and the cloud allow at a
+// time.
 func (d *Day) maxConcurrent(s *model.JobSpec) int {
 	types, capacity := d.cloudInventory()
 	fit := 0
@@ -101,22 +103,23 @@
 	return min(fit, s.Tasks)
 }
 
-// LargestJobs is what became of a class's largest jobs: the largest tenth of them, at least
-// one, by tasks, and by tasks, what each takes and its run time; the worse counts.
+// LargestJobs is the outcome of a class's largest jobs: the largest tenth, at least one, by number
+// of tasks and by total work. Of the two, the worse counts.
 type LargestJobs struct {
 	ServedFraction float64 `json:"served"`
-	// FirstStartS is the longest wait for a first task, and All for as many tasks as limit
-	// and room allow at once; -1 means never.
+	// FirstStartS is the longest wait for a first task, in seconds, and AllStartedS the longest
+	// wait for as many tasks as can run at a time; -1 means never.
 	FirstStartS float64 `json:"first_s"`
 	AllStartedS float64 `json:"all_s"`
-	// Late tells of the jobs that did not begin in time.
+	// Late describes the jobs that did not start in time.
 	Late []string `json:"late,omitempty"`
 }
 
-// isCounted says that a job is one that a day is judged by.
+// isCounted reports whether a job counts in the outcome of a day.
 func (j *userJob) isCounted() bool { return !j.isCancelled() && !j.alwaysFails && j.refusedStatus == 0 }
 
-// isServed says that a job was served: done, or all of a standing job's replicas began.
+// isServed reports whether a job was served: it is done, or all replicas of a long-running job
+// started.
 func (j *userJob) isServed() bool {
 	if j.spec.LongRunning {
 		return j.completedCount() == j.spec.Tasks
@@ -124,7 +127,7 @@
 	return j.lastState == "done"
 }
 
-// hasUnfinishedJobs says that a job is under way of which more is to be judged.
+// hasUnfinishedJobs reports whether there is a job about which more can be known later.
 func (w *World) hasUnfinishedJobs() bool {
 	for _, j := range w.jobs {
 		if j.isCounted() && (j.spec.LongRunning || !j.isServed()) {
@@ -134,7 +137,7 @@
 	return false
 }
 
-// completedCount is how many tasks are done, or replicas ever began.
+// completedCount returns how many tasks are done, or how many replicas ever started.
 func (j *userJob) completedCount() int {
 	if j.spec.LongRunning {
 		return len(j.firstStarts)
@@ -142,7 +145,7 @@
 	return len(j.doneTasks)
 }
 
-// largestJobs are the largest tenths of each class, by both measures.
+// largestJobs returns the largest tenth of each class by number of tasks, and by work.
 func (w *World) largestJobs() map[string][2][]*userJob {
 	by := map[string][]*userJob{}
 	for _, id := range sortedKeys(w.jobs) {
@@ -159,7 +162,7 @@
 		}
 		tasks := func(j *userJob) float64 { return float64(j.spec.Tasks) }
 		work := func(j *userJob) float64 {
-			// A GPU stands for the processors that usually come with it.
+			// A GPU counts as the CPUs that usually come with it.
 			return tasks(j) * (j.spec.Need.CPU + 8*j.spec.Need.GPU) * max(1, j.run.Seconds())
 		}
 		out[class] = [2][]*userJob{top(tasks), top(work)}
@@ -167,15 +170,15 @@
 	return out
 }
 
-// couldBeServed says that a job could have been served by now if it had had the whole cloud
-// to itself since it came, without a boot, a fetch or a trouble.
+// couldBeServed reports whether a job could be served by now if it had had the whole cloud to
+// itself since its submission, with no provisioning, image fetch or fault.
 func (d *Day) couldBeServed(w *World, j *userJob) bool {
 	all := d.maxConcurrent(&j.spec)
 	return all > 0 && j.dependenciesDone() && j.run*time.Duration((j.spec.Tasks+all-1)/all) <= w.now.Sub(j.eligibleSince())
 }
 
-// largestServedFraction is the part of a class's largest jobs that was served, of those of
-// which that was possible.
+// largestServedFraction returns the part of a class's largest jobs that was served, of those that
+// could be served.
 func (d *Day) largestServedFraction(w *World, tops [2][]*userJob) float64 {
 	least := 1.0
 	for _, js := range tops {
@@ -195,7 +198,8 @@
 	return least
 }
 
-// recordLargestStarts adds to a class's largest jobs when they began, as is known at the day's end.
+// recordLargestStarts records when a class's largest jobs started. It is called at the end of a
+// day.
 func (d *Day) recordLargestStarts(w *World, l *LargestJobs, largest [2][]*userJob) {
 	seen := map[*userJob]bool{}
 	for _, j := range append(slices.Clone(largest[0]), largest[1]...) {
@@ -250,7 +254,7 @@
 	r.Log, r.Margins = w.logs, w.margins
 }
 
-// Worst sums up the largest jobs of all classes; see Largest.
+// Worst combines the largest jobs of all classes into the worst of each figure.
 func (r *DayResult) Worst() LargestJobs {
 	out := LargestJobs{ServedFraction: 1}
 	longer := func(a, b float64) float64 {
--- a/internal/simulation/cloud.go
+++ b/internal/simulation/cloud.go
@@ -133,13 +133,13 @@
 	return message.CloudOK
 }
 
-// killMachine stops a machine with all that is on it.
+// killMachine ends a machine with all that is on it.
 func (w *World) killMachine(m *Worker) {
 	if m.dead || m.released {
 		return
 	}
 	if !m.reclaimAt.IsZero() && !w.now.Before(m.reclaimAt) {
-		// Taken back: it is listed no more.
+		// Reclaimed by the cloud: it is not listed any more.
 		m.goneAt = w.now
 	}
 	m.dead, m.diedAt = true, w.now
--- a/internal/simulation/controller_process.go
+++ b/internal/simulation/controller_process.go
@@ -10,8 +10,8 @@
 	"github.com/micahill/micahill/internal/state"
 )
 
-// proc.go has a controller's process: how it starts, ends and stands still, and how it
-// carries out what its core decides.
+// This file has a controller's process: how it starts, ends and is paused, and how it carries out
+// the effects that its controller emits.
 
 const (
 	// workerTimeout is how long a controller waits for a worker's answer to a direct request.
@@ -20,39 +20,46 @@
 	cloudTimeout = 5 * time.Second
 )
 
-// controllerProcess is a controller's process.
+// controllerProcess is the process of one controller. All its fields are used on the world's
+// goroutine only.
 type controllerProcess struct {
-	world         *World
-	index         int
-	name          string
-	controller    *controller.Controller
-	incarnation   int
-	alive         bool
+	world      *World
+	index      int
+	name       string
+	controller *controller.Controller
+	// incarnation counts starts and ends of the process. Callbacks compare it, so that they do
+	// nothing for a later process.
+	incarnation int
+	alive       bool
+	// queue holds the commands of the next step.
 	queue         []message.Command
 	stepScheduled bool
-	wakeAt        time.Time
-	replies       map[uint64]func(message.Effect)
-	next          uint64
-	stateRefused  bool
-	// refusedUntil is when the last time is over in which it alone is refused.
+	// wakeAt is when the next step is due without any command.
+	wakeAt time.Time
+	// replies holds, by request number, who waits for an answer; next is the last number.
+	replies map[uint64]func(message.Effect)
+	next    uint64
+	// stateRefused: the state service refuses this controller alone.
+	stateRefused bool
+	// refusedUntil is when the last such refusal that has begun is over.
 	refusedUntil time.Time
 	limiter      *state.RateLimiter
-	// pausedUntil: the process stands still until then; its clock runs on. held is
-	// what it had decided and not sent yet.
+	// pausedUntil: the process stands still until then, while its clock runs on. heldEffects are
+	// the effects that it had decided and not sent yet.
 	pausedUntil time.Time
 	heldEffects []message.Effect
-	// slowTill: its steps take slowBy times as long until then as usual ones do.
+	// slowUntil: until then a step takes slowFactor times as long as usual.
 	slowUntil  time.Time
 	slowFactor float64
-	// clockSkew is by how much its clock is ahead of the world's.
+	// clockSkew is by how much the controller's clock is ahead of the world's.
 	clockSkew time.Duration
 }
 
-// localTime is the time that the controller reads.
+// localTime returns the time that the controller reads.
 func (p *controllerProcess) localTime() time.Time { return p.world.now.Add(p.clockSkew) }
 
-// checkLeader: nobody rents or returns but the leader. What a deposed one would send
-// has no conditions that could stop it.
+// checkLeader checks that only the leader rents and releases machines: requests to the cloud have
+// no compares that could stop those of a deposed leader.
 func (p *controllerProcess) checkLeader(e message.CloudRequest) {
 	if e.Kind != message.CloudRent && e.Kind != message.CloudRelease {
 		return
@@ -62,7 +69,7 @@
 	}
 }
 
-// start starts a controller's process anew.
+// start starts the process, with a new controller.
 func (p *controllerProcess) start() {
 	p.incarnation++
 	p.alive = true
@@ -81,7 +88,7 @@
 	if p.world.adjustSettings != nil {
 		p.world.adjustSettings(p.index, &settings)
 	}
-	// Until it says what it needs, each has an equal part.
+	// Until the controller sets its rates, each has an equal part.
 	controllerCount := float64(len(p.world.controllers))
 	p.limiter = state.NewRateLimiter(p.world.now, message.Rates{Requests: settings.StoreRequestsPerSecond / controllerCount, Writes: settings.StoreWritesPerSecond / controllerCount})
 	p.controller = controller.New(settings, rand.New(rand.NewPCG(uint64(p.index)+7, uint64(p.incarnation))))
@@ -91,7 +98,7 @@
 	p.scheduleStep()
 }
 
-// CrashController ends a process; it is started again after d.
+// CrashController ends the process of controller i and starts it again after d.
 func (w *World) CrashController(i int, d time.Duration) {
 	p := w.controllers[i]
 	p.alive = false
@@ -103,6 +110,7 @@
 	})
 }
 
+// request queues a command that is answered; fn takes the answer. A process that is down drops it.
 func (p *controllerProcess) request(newCommand func(uint64) message.Command, fn func(message.Effect)) {
 	if !p.alive {
 		return
@@ -112,11 +120,14 @@
 	p.enqueue(newCommand(p.next))
 }
 
+// enqueue queues a command for the next step.
 func (p *controllerProcess) enqueue(c message.Command) {
 	p.queue = append(p.queue, c)
 	p.scheduleStep()
 }
 
+// scheduleStep schedules a step unless there is one already. A paused process takes it when it
+// resumes.
 func (p *controllerProcess) scheduleStep() {
 	if p.stepScheduled {
 		return
@@ -132,21 +143,21 @@
 	})
 }
 
-// Pause lets a process stand still for d.
+// Pause makes the process of controller i stand still for d.
 func (w *World) Pause(i int, d time.Duration) {
 	p := w.controllers[i]
 	p.pausedUntil = w.now.Add(d)
 	w.resumeWhenDue(p)
 }
 
-// PauseBefore lets the first process that is about to send such an effect stand still
-// for d before it does: it has decided, and acts on that only when it goes on.
+// PauseBefore pauses the first selected process that is about to send a matching effect for d: it
+// has decided, and acts on that only when it resumes.
 func (w *World) PauseBefore(d time.Duration, matches func(message.Effect) bool, selects func(*controllerProcess) bool) {
 	w.pauseDuration = d
 	w.pauseCondition = func(p *controllerProcess, e message.Effect) bool { return selects(p) && matches(e) }
 }
 
-// resumeWhenDue lets a process go on when its time has come.
+// resumeWhenDue sends the held effects of a paused process when its pause is over.
 func (w *World) resumeWhenDue(p *controllerProcess) {
 	incarnation := p.incarnation
 	w.schedule(p.pausedUntil.Sub(w.now), func() {
@@ -162,7 +173,7 @@
 	})
 }
 
-// send carries an effect out, unless it has become late.
+// send carries an effect out unless its deadline has passed.
 func (p *controllerProcess) send(e message.Effect) {
 	if back, instead, late := controller.CheckDeadline(e, p.localTime()); late {
 		if back != nil {
@@ -175,6 +186,7 @@
 	p.execute(e)
 }
 
+// step runs the controller on the queued commands and sends its effects.
 func (p *controllerProcess) step() {
 	if p.world.now.Before(p.pausedUntil) {
 		p.scheduleStep()
@@ -184,7 +196,7 @@
 	p.queue = nil
 	began := time.Now()
 	effects := p.controller.Step(p.localTime(), commands)
-	p.world.coreTime += time.Since(began)
+	p.world.stepTime += time.Since(began)
 	p.delayForCompute(len(commands), len(effects))
 	for _, e := range effects {
 		p.world.rankingCheck.onDecision(p, e)
@@ -223,17 +235,20 @@
 	}
 }
 
-// call is a request with a deadline: fail is what the client tells its core
-// when no answer came. again says that it may also be carried out twice.
+// call sends a request with a deadline. fail is what the controller gets if no answer came by then.
+// mayRepeat says that the request may also be carried out twice.
 func (p *controllerProcess) call(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command) {
 	p.callWithLimit(to, mayRepeat, deadline, exec, fail, nil)
 }
 
-// callState is a call to the state service, which may refuse it for the rate.
+// callState is a call to the state service. onRateLimited is called in place of an answer that
+// refuses the request for its rate.
 func (p *controllerProcess) callState(mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
 	p.callWithLimit("state", mayRepeat, deadline, exec, fail, onRateLimited)
 }
 
+// callWithLimit is call with onRateLimited, which may be nil for other targets than the state
+// service.
 func (p *controllerProcess) callWithLimit(to string, mayRepeat bool, deadline time.Duration, exec func(answer func(message.Command)), fail message.Command, onRateLimited func()) {
 	w, incarnation := p.world, p.incarnation
 	finished := false
@@ -260,7 +275,8 @@
 	w.schedule(deadline, func() { finish(fail) })
 }
 
-// sendStoreRequest is one try of a request to the state service.
+// sendStoreRequest is one attempt of a request to the state service. It is repeated until the time
+// given when it is refused for the rate.
 func (p *controllerProcess) sendStoreRequest(e message.StoreRequest, until time.Time) {
 	w, incarnation := p.world, p.incarnation
 	sent := p.localTime()
@@ -286,8 +302,8 @@
 			wasValid := !w.state.malformed(&e)
 			w.schedule(d, func() {
 				if wasValid && w.state.malformed(&e) {
-					// The limits were lowered while it was on its way: it is refused, and
-					// nobody waits for its answer.
+					// The limits were lowered while it was on its way: it is refused, and nobody
+					// waits for its answer.
 					return
 				}
 				exec(func(message.Command) {})
@@ -309,8 +325,8 @@
 	})
 }
 
-// openWatch opens a watch. While the service is away, or refuses the process alone, it tells
-// nothing: it waits until that is over, or the process has given it up.
+// openWatch opens a watch. While the service is unavailable, or refuses this process, the watch
+// returns nothing: it is opened when that is over, unless the process has given it up by then.
 func (p *controllerProcess) openWatch(e message.StoreRequest, until time.Time, answer func(message.StoreResponse)) {
 	w := p.world
 	unavailable := func() bool {
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -9,69 +9,79 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// DayParams say what a day is to be like; what is 0 is drawn from the seed.
+// DayParams are the parameters of a day. GenerateDay draws those that are 0 from the seed.
 type DayParams struct {
-	Seed        uint64 `json:"seed"`
-	Machines    int    `json:"machines"`
-	Teams       int    `json:"teams"`
-	Controllers int    `json:"controllers"`
-	// Jobs is how many come in all, and Faults how many troubles; -1: none.
-	Jobs       int `json:"jobs"`
+	// Seed seeds all random numbers of the day.
+	Seed uint64 `json:"seed"`
+	// Machines is about how many machines the cloud has.
+	Machines    int `json:"machines"`
+	Teams       int `json:"teams"`
+	Controllers int `json:"controllers"`
+	// Jobs is how many ordinary jobs are submitted.
+	Jobs int `json:"jobs"`
+	// FaultCount is how many listed faults there are; -1 means none.
 	FaultCount int `json:"faults"`
-	// Minutes is how long jobs come.
+	// Minutes is how long jobs are submitted.
 	Minutes int `json:"minutes"`
-	// HotFactor makes one team have so many times the work of the others.
+	// HotFactor is how many times the work of another team the first team has.
 	HotFactor int `json:"hot"`
-	// UnlistedFaults adds troubles that were on no list; see unlisted.go.
+	// UnlistedFaults adds the faults of unlisted_faults.go.
 	UnlistedFaults bool `json:"unlisted"`
-	// ProtocolFaults adds those of the protocol's addition, and implies Unlisted; see
-	// product.go.
+	// ProtocolFaults adds the faults of protocol_faults.go. It implies UnlistedFaults.
 	ProtocolFaults bool `json:"product,omitempty"`
-	// OverlappingFaults has two or three troubles of all lists meet, and users cancel many jobs
-	// around them; see meetings.go. They stand in the place of drawn listed ones.
+	// OverlappingFaults makes two or three faults of any kind overlap while users cancel many jobs;
+	// see overlaps.go. They replace drawn listed faults.
 	OverlappingFaults bool `json:"meetings,omitempty"`
-	// Pipelines has jobs that need others, and users who cancel in the middle of them; see
-	// pipelines.go.
+	// Pipelines adds jobs with dependencies, and users who cancel some of them; see pipelines.go.
 	Pipelines bool `json:"pipelines,omitempty"`
-	// Models is how many hosts with eight GPUs there are, for models; see models.go.
+	// Models is how many machines with eight GPUs there are for models; see models.go.
 	Models int `json:"models,omitempty"`
-	// MixedJobs has jobs of all kinds, and controllers whose clocks are off; see mixed.go.
+	// MixedJobs varies the kinds of jobs and skews the controllers' clocks; see mixed_jobs.go.
 	MixedJobs bool `json:"mixed,omitempty"`
-	// CancelMarginS is how many seconds longer than a lease a cancelled job's tasks may last;
-	// 0: as many as on all known sites.
+	// CancelMarginS is by how many seconds the time in which a cancelled job's tasks must be gone
+	// exceeds the worker lease; 0 means defaultCancelMarginS.
 	CancelMarginS int `json:"cancel_room_s,omitempty"`
-	// Enabled names what is switched on: ranking, promises, models, or all.
+	// Enabled names the capabilities that are switched on: ranking, promises, models, or all.
 	Enabled []string `json:"on,omitempty"`
 }
 
-// Day is a day that can be played: its params are all set.
+// Day is a day that can be played: all its parameters are set.
 type Day struct {
 	DayParams
 	Settings controller.Settings `json:"-"`
 	Faults   []Fault             `json:"troubles"`
-	// Cancels is there on days of meetings.
+	// Cancels is set on days with overlapping faults.
 	Cancels   *MassCancel `json:"cancels,omitempty"`
 	workloads []workloadClass
-	// failingFraction is the part of the jobs that fail on every machine, until their users
-	// cancel them, and guest a team that comes in the middle of the day.
+	// failingFraction is the part of the jobs that fail on every machine until their users cancel
+	// them.
 	failingFraction float64
-	guestTeam       string
-	models          []modelJob
+	// guestTeam is a team that first submits jobs in the middle of the day, if not empty.
+	guestTeam string
+	// models are the day's models, in the order in which they were drawn.
+	models []modelJob
 }
 
-// workloadClass is a workload.
+// workloadClass describes the jobs of one workload; the numbers are means.
 type workloadClass struct {
-	name        string
-	cpu         float64
-	tasks       float64
-	run         time.Duration
-	imageGB     float64
-	urgency     model.Urgency
-	dueFactor   float64
+	// name is the workload's name.
+	name string
+	// cpu is how many CPUs a task needs.
+	cpu float64
+	// tasks is how many tasks a job has.
+	tasks float64
+	// run is how long a task runs.
+	run time.Duration
+	// imageGB is the size of the image, in GB.
+	imageGB float64
+	urgency model.Urgency
+	// dueFactor is the deadline as a multiple of the run time; 0 means no deadline.
+	dueFactor float64
+	// jobFraction is the part of the day's jobs that have this workload.
 	jobFraction float64
 }
 
-// teamWeight is a team's part in the jobs.
+// teamWeight is the weight of a team in the draw of a job's team.
 func (d *Day) teamWeight(team int) float64 {
 	if team == 0 {
 		return float64(d.HotFactor)
@@ -79,7 +89,7 @@
 	return 1
 }
 
-// cloudInventory is what machines there are, and how many of each.
+// cloudInventory returns the machine types and how many machines there are of each, by capacityKey.
 func (d *Day) cloudInventory() ([]model.MachineType, map[string]int) {
 	types := []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 40 * time.Second, Zones: d.Settings.Zones},
@@ -98,7 +108,7 @@
 	return types, capacity
 }
 
-// Shrink leaves out troubles of a day as long as the day stays broken.
+// Shrink drops faults from a day as long as broken still holds of its result.
 func Shrink(d Day, broken func(DayResult) bool, progress func(string)) Day {
 	for again := true; again; {
 		again = false
--- a/internal/simulation/day_result.go
+++ b/internal/simulation/day_result.go
@@ -9,14 +9,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Distribution sums up a distribution of times, in seconds.
+// Distribution summarizes a distribution of times, in seconds.
 type Distribution struct {
 	P50 float64 `json:"p50"`
 	P90 float64 `json:"p90"`
 	Max float64 `json:"max"`
 }
 
-// histogram of milliseconds, up to an hour.
+// newHistogram makes a histogram of milliseconds, up to an hour.
 func newHistogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 3_600_000, 3) }
 
 // recordMillis records a duration in milliseconds; less than one counts as one.
@@ -24,60 +24,68 @@
 	_ = h.RecordValue(max(1, d.Milliseconds()))
 }
 
+// distributionOf returns the quantiles of a histogram of milliseconds.
 func distributionOf(h *hdrhistogram.Histogram) Distribution {
 	s := func(v int64) float64 { return float64(v) / 1000 }
 	return Distribution{s(h.ValueAtQuantile(50)), s(h.ValueAtQuantile(90)), s(h.Max())}
 }
 
-// Group is what became of a class or a team.
+// Group is the outcome of a class of jobs, which is a workload, or of a team.
 type Group struct {
-	Name           string  `json:"name"`
-	Jobs           int     `json:"jobs"`
+	Name string `json:"name"`
+	Jobs int    `json:"jobs"`
+	// ServedFraction is the part of the jobs that were served; see userJob.isServed.
 	ServedFraction float64 `json:"served"`
-	// Tasks are those of its jobs, and Ran the part of them that was done.
+	// Tasks counts the tasks of the jobs, and CompletedFraction is the part of them that completed.
 	Tasks             int     `json:"tasks"`
 	CompletedFraction float64 `json:"ran"`
-	// Wait is from the submission to the first start of each job, and Late how much
-	// later than due jobs ended.
+	// Wait is the time from a job's submission to its first start, and Late by how much jobs ended
+	// after their deadline.
 	Wait Distribution `json:"wait_s"`
 	Late Distribution `json:"late_s"`
-	// Largest is there for classes.
+	// Largest is set for classes.
 	Largest *LargestJobs `json:"largest,omitempty"`
 }
 
-// DayResult is what became of a day.
+// DayResult is the outcome of a day.
 type DayResult struct {
 	Day
+	// Violations are the broken rules, as "rule at time: what".
 	Violations []string `json:"broken"`
-	// Margins is the least that was left to each rule with a time.
+	// Margins is the least time that was left to each timed rule.
 	Margins    map[string]Margin `json:"slack"`
 	Classes    []Group           `json:"classes"`
 	TeamGroups []Group           `json:"team"`
-	// Starts counts starts, and LostToLease tasks killed since a lease ran out.
+	// Starts counts starts of tasks.
 	Starts int `json:"starts"`
-	// StartsAfterCancel counts those after a confirmed cancellation.
+	// StartsAfterCancel counts starts after an answer said that the job is cancelled.
 	StartsAfterCancel int `json:"started_cancelled"`
-	LostToLease       int `json:"lost_to_lease"`
-	// RefusedRequests counts users' requests that were refused.
-	RefusedRequests   int     `json:"refused"`
-	WritesPerSecond   float64 `json:"changes_per_s"`
-	RateLimited       int     `json:"state_429"`
-	MalformedRequests int     `json:"state_400"`
-	LastMalformed     string  `json:"last_400,omitempty"`
-	RentedMachines    int     `json:"rented"`
-	// UnusedMachines counts machines on which nothing ever ran, and Money is in units of the
-	// prices, an hour.
-	UnusedMachines int      `json:"unused"`
-	Cost           float64  `json:"money"`
-	Log            []string `json:"-"`
-	// Promises is there with promises.
+	// LostToLease counts tasks that workers killed at the end of their lease.
+	LostToLease int `json:"lost_to_lease"`
+	// RefusedRequests counts users' requests that were answered 503.
+	RefusedRequests int `json:"refused"`
+	// WritesPerSecond is the rate of writes to the state service.
+	WritesPerSecond float64 `json:"changes_per_s"`
+	// RateLimited and MalformedRequests count requests to the state service that were answered 429
+	// and 400.
+	RateLimited       int    `json:"state_429"`
+	MalformedRequests int    `json:"state_400"`
+	LastMalformed     string `json:"last_400,omitempty"`
+	RentedMachines    int    `json:"rented"`
+	// UnusedMachines counts machines that never ran a task.
+	UnusedMachines int `json:"unused"`
+	// Cost is what the machines cost, in the unit of the cloud's hourly prices.
+	Cost float64 `json:"money"`
+	// Log is the controllers' log.
+	Log []string `json:"-"`
+	// Promises is set on days with promises.
 	Promises *PromiseSummary `json:"dates,omitempty"`
-	// ModelStats is there on days with models.
+	// ModelStats is set on days with models.
 	ModelStats *ModelSummary `json:"model,omitempty"`
 }
 
-// Starved names the classes and teams of which less than half was served, also of a
-// class's largest jobs, and the largest that did not begin in time.
+// Starved describes the classes and teams of which less than half was served, the classes of which
+// less than half of the largest jobs was served, and largest jobs that started late.
 func (r *DayResult) Starved() []string {
 	var out []string
 	for _, g := range append(slices.Clone(r.Classes), r.TeamGroups...) {
--- a/internal/simulation/dependency_checks.go
+++ b/internal/simulation/dependency_checks.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
@@ -8,14 +9,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// orphans.go checks pipelines: nothing starts before all that it needs is done, and what
-// needs a cancelled job is cancelled in time and stays so.
+// This file checks pipelines: no job starts before all its dependencies are done, and the
+// dependents of a cancelled job are cancelled in time and stay so.
 
-// RuleOrphaned: a job is called queued or running no longer than cancel_s after an answer
-// left that says that one before it is cancelled.
+// RuleOrphaned is the rule that a job is not answered as queued or running later than cancel_s after an answer left
+// that says that a job before it is cancelled.
 const RuleOrphaned = "orphaned"
 
-// dependenciesDone says that all that a job needs is done, by the workers' own results.
+// dependenciesDone reports whether all dependencies are done, by the workers' own results.
 func (j *userJob) dependenciesDone() bool {
 	for _, n := range j.dependencies {
 		if n.tasksDoneAt.IsZero() {
@@ -25,8 +26,8 @@
 	return true
 }
 
-// eligibleSince is since when times but the due time count: when the last job that it needs was
-// done, and not before its submission.
+// eligibleSince returns since when a job could start: when the last of its dependencies was done,
+// and not before its submission. Deadlines count from the submission all the same.
 func (j *userJob) eligibleSince() time.Time {
 	at := j.submitted
 	for _, n := range j.dependencies {
@@ -46,12 +47,12 @@
 	j.runHooks()
 }
 
-// isCancelled says that its user, or one of a job before it, cancels, and was not told that
+// isCancelled reports whether the user of a job, or of one before it, cancels without knowing that
 // it is done.
 func (j *userJob) isCancelled() bool { return j.cancelRequested || j.dependsOnCancelled() }
 
-// dependsOnCancelled says that the user of a job before it cancels that and wasn't told that
-// it is done: what comes after a done job goes on.
+// dependsOnCancelled reports whether a job before it is cancelled by a user who does not know that
+// it is done. The dependents of a done job go on.
 func (j *userJob) dependsOnCancelled() bool {
 	for _, n := range j.dependencies {
 		if n.lastState != "done" && n.isCancelled() {
@@ -61,8 +62,8 @@
 	return false
 }
 
-// cancelledSince is since when anybody could know that a job is cancelled, through one before
-// it too: since the first answer left that says so of one of them.
+// cancelledSince returns since when a user may know that a job is cancelled, itself or through one
+// before it: since the first answer left that says so of one of them.
 func (j *userJob) cancelledSince() time.Time {
 	since := j.cancelledAt
 	for _, n := range j.dependencies {
@@ -73,8 +74,8 @@
 	return since
 }
 
-// checkDependencies judges the start of a task by what its job needs: all its tasks are done, and
-// the state service holds that it is. One that is called cancelled never is.
+// checkDependencies checks at the start of a task that all tasks of the dependencies are done and
+// that the state service has them as done, which a cancelled job never is.
 func (w *World) checkDependencies(j *userJob, name string) {
 	for _, n := range j.dependencies {
 		if n.tasksDoneAt.IsZero() {
@@ -85,7 +86,7 @@
 	}
 }
 
-// isJobDone says that a job's record says that it is done.
+// isJobDone reports whether a job's record says that it is done.
 func (s *StateService) isJobDone(id string) bool {
 	row := s.records["job/"+id]
 	var r struct {
@@ -94,8 +95,8 @@
 	return row != nil && msgpack.Unmarshal(row.value, &r) == nil && r.Status == model.Done
 }
 
-// checkDependents judges the answer that a job is cancelled by what comes after it: nothing of
-// that may have begun.
+// checkDependents checks, when an answer says that a job is cancelled, that no dependent has
+// started.
 func (w *World) checkDependents(j *userJob) {
 	for _, f := range j.dependents {
 		if len(f.firstStarts) > 0 {
@@ -104,10 +105,10 @@
 	}
 }
 
-// checkOrphan judges an answer that leaves a controller or reaches a user. What was
-// submitted later than a job before it was cancelled has the time from then.
+// checkOrphan checks an answer that leaves a controller or reaches a user. For a job that was
+// submitted after a job before it was cancelled, the time counts from its submission.
 func (w *World) checkOrphan(j *userJob, r *message.UserReply) {
-	if len(j.dependencies) == 0 || r.Status != 200 || isFinal(r.State) {
+	if len(j.dependencies) == 0 || r.Status != http.StatusOK || isFinal(r.State) {
 		return
 	}
 	since := j.cancelledSince()
@@ -125,21 +126,21 @@
 	}
 }
 
-// checkDependencyOutcomes judges at a day's end: a job that nobody cancelled is cancelled only behind
-// one that is, and none is done behind one that is cancelled.
+// checkDependencyOutcomes checks at the end of a day that a job is cancelled only if its user or a
+// dependency was, and that none is done with a dependency that is cancelled.
 func (w *World) checkDependencyOutcomes() {
 	for _, id := range sortedKeys(w.jobs) {
-		j, behind := w.jobs[id], ""
+		j, cancelledDependency := w.jobs[id], ""
 		for _, n := range j.dependencies {
 			if n.lastState == "cancelled" {
-				behind = n.spec.ID
+				cancelledDependency = n.spec.ID
 			}
 		}
 		switch {
-		case j.lastState == "cancelled" && !j.cancelRequested && behind == "":
+		case j.lastState == "cancelled" && !j.cancelRequested && cancelledDependency == "":
 			w.violate("crossed", "%s is cancelled, and none that it needs", id)
-		case j.lastState == "done" && behind != "":
-			w.violate("crossed", "%s is done, and %s that it needs is cancelled", id, behind)
+		case j.lastState == "done" && cancelledDependency != "":
+			w.violate("crossed", "%s is done, and %s that it needs is cancelled", id, cancelledDependency)
 		}
 	}
 }
--- a/internal/simulation/extra_faults.go
+++ b/internal/simulation/extra_faults.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
@@ -11,73 +12,74 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// later.go has the troubles that came to the operators' list last: users who cancel much
-// at once, or at the moment of an end, who ask at all controllers within milliseconds or
-// send odd requests; machines that reach no controller; direct commands that are held up,
-// and reports whose copy is kept for the next leader; and controllers that compute slowly.
+// This file has the faults that were added last: users who cancel much at once or at the moment of
+// an end, who ask all controllers within milliseconds or send invalid requests; machines that reach
+// no controller; delayed direct commands; copies of heartbeats that are kept for the next leader;
+// and slow controllers.
 
-// extraFaultKinds are these troubles, the likelier the oftener they stand. Those with a point
-// are a form of the trouble before it.
+// extraFaultKinds are these faults. A kind that stands more often is drawn more often. A name with
+// a point is a variant of the kind before the point.
 var extraFaultKinds = []string{
 	"cancel_now", "cancel_now", "cancel_at_end", "machine_mute", "machine_mute", "odd_requests", "close_looks",
 	"late_writes.at_once", "copies.for_next", "copies.for_next", "late_commands", "late_commands", "late_commands", "slow_node",
 }
 
 const (
-	// massCancelWithin is in how long that many jobs are called off, maxHungMachines how many of
-	// their machines hang, and minRemainingRunTime what the tasks of a job have left that has long to
-	// go.
+	// massCancelWithin is how soon cancel_now cancels its jobs, maxHungMachines how many of their
+	// machines hang at most, and minRemainingRunTime the run time that tasks must have left for
+	// their job to be chosen.
 	massCancelWithin    = 200 * time.Millisecond
 	maxHungMachines     = 8
 	minRemainingRunTime = 20 * time.Second
-	// minCommandDelay and maxCommandDelay are how much later than it was sent a direct
-	// command is carried out that is held up.
+	// minCommandDelay and maxCommandDelay bound how late a delayed direct command is carried out.
 	minCommandDelay = 2 * time.Second
 	maxCommandDelay = 16 * time.Second
-	// invalidRequestInterval is how often an odd request is sent.
+	// invalidRequestInterval is how often an invalid request is sent.
 	invalidRequestInterval = 250 * time.Millisecond
-	// concurrentReadWindow is in how long users ask at all controllers, and readsPerController how often at
+	// concurrentReadWindow is how soon users ask all controllers, readsPerController how often
 	// each; one in cancelOneIn cancels at once.
 	concurrentReadWindow = 20 * time.Millisecond
 	readsPerController   = 2
 	cancelOneIn          = 10
-	// stepBaseTime is about what a step of a controller takes, and stepItemTime what each command
-	// and effect of it adds.
+	// stepBaseTime is about what a controller's step takes, and stepItemTime what each command and
+	// effect adds.
 	stepBaseTime = time.Millisecond
 	stepItemTime = 200 * time.Microsecond
 	// maxHeldHeartbeats bounds the copies that are kept for the next leader.
 	maxHeldHeartbeats = 1000
 )
 
-// extraFaultState is what holds of them now.
+// extraFaultState is the state of these faults in a world.
 type extraFaultState struct {
-	// lateCommandRate is the share of direct commands that is held up until lateCommandsUntil.
+	// lateCommandRate is the part of the direct commands that are delayed, until lateCommandsUntil.
 	lateCommandRate   float64
 	lateCommandsUntil time.Time
-	// lateCommandsDone counts those that were carried out, and heartbeatsReplayed the copies that
-	// reached a next leader.
+	// lateCommandsDone counts delayed commands that were carried out, and heartbeatsReplayed copies
+	// that reached a next leader.
 	lateCommandsDone, heartbeatsReplayed int
-	// cancelAtEndRate is the share of jobs that is cancelled at its end until cancelAtEndUntil.
+	// cancelAtEndRate is the part of the jobs that are cancelled at their end, until
+	// cancelAtEndUntil.
 	cancelAtEndRate  float64
 	cancelAtEndUntil time.Time
-	// invalidRequestsUntil and concurrentReadsUntil: users send odd requests, or look closely, until then.
+	// invalidRequestsUntil and concurrentReadsUntil: until then users send invalid requests, or
+	// read concurrently.
 	invalidRequestsUntil, concurrentReadsUntil time.Time
 	// loseWriteResponses: late writes are carried out at once, and only the answer is lost.
 	loseWriteResponses bool
-	// replayToNextLeader: copies of reports are kept, in kept, until another controller leads
-	// than leaderAtCapture, or until holdHeartbeatsUntil.
+	// replayToNextLeader: copies of heartbeats are kept in heldHeartbeats until another controller
+	// leads than leaderAtCapture, or until holdHeartbeatsUntil.
 	replayToNextLeader  bool
 	heldHeartbeats      []model.Heartbeat
 	holdHeartbeatsUntil time.Time
 	leaderAtCapture     string
-	// invalidJobs counts odd jobs.
+	// invalidJobs counts submissions of invalid jobs.
 	invalidJobs int
 }
 
-// generateExtraFault draws one of this file's troubles, but for when it begins.
+// generateExtraFault draws one of this file's faults, without its begin.
 func (d *Day) generateExtraFault(rng *rand.Rand) Fault {
 	kind := extraFaultKinds[rng.IntN(len(extraFaultKinds))]
-	share := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
+	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
 	f := Fault{Kind: kind, Duration: logUniform(rng, 8*time.Second, 90*time.Second), Controller: rng.IntN(d.Controllers)}
 	switch kind {
 	case "cancel_now":
@@ -86,26 +88,26 @@
 			f.Duration = logUniform(rng, time.Second, 2*d.cancelWithin())
 		}
 	case "cancel_at_end":
-		f.Fraction = share(0.1, 0.5, 1)
+		f.Fraction = oneOf(0.1, 0.5, 1)
 	case "machine_mute":
-		f.Fraction = share(1e-9, 0.1, 1)
+		f.Fraction = oneOf(1e-9, 0.1, 1)
 		if f.Fraction == 1 {
 			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
 		}
 	case "late_writes.at_once":
-		f.Kind, f.Immediate, f.Fraction = "late_writes", true, share(0.05, 0.2, 0.5)
+		f.Kind, f.Immediate, f.Fraction = "late_writes", true, oneOf(0.05, 0.2, 0.5)
 	case "copies.for_next":
 		f.Kind, f.ForNextLeader = "copies", true
-		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), share(0.05, 0.3, 1)
+		f.Delay, f.Fraction = logUniform(rng, 2*time.Second, 5*d.Settings.WorkerLease), oneOf(0.05, 0.3, 1)
 	case "late_commands":
-		f.Fraction = share(0.05, 0.3, 1)
+		f.Fraction = oneOf(0.05, 0.3, 1)
 	case "slow_node":
 		f.SlowFactor, f.Busiest = 4+16*rng.Float64(), rng.IntN(3) > 0
 	}
 	return f
 }
 
-// startExtraFault lets one of this file's troubles begin, and says whether it is one.
+// startExtraFault begins a fault of this file, and reports whether it is one.
 func (w *World) startExtraFault(f Fault, rng *rand.Rand) bool {
 	until := w.now.Add(f.Duration)
 	switch f.Kind {
@@ -130,8 +132,8 @@
 	return true
 }
 
-// CancelLongRunning has users call off that many jobs that run and have long to go, within a
-// fifth of a second; up to eight of their machines hang for so long, unless that is 0.
+// CancelLongRunning cancels up to count jobs that run and have long to go, within massCancelWithin.
+// Up to maxHungMachines of their machines hang for that long, unless hang is 0.
 func (w *World) CancelLongRunning(count int, hang time.Duration) {
 	remaining := map[string]time.Duration{}
 	for _, id := range sortedKeys(w.jobs) {
@@ -158,7 +160,7 @@
 	}
 }
 
-// eachRunningTask calls fn with all tasks of a job that are on machines.
+// eachRunningTask calls fn with all attempts of a job that are on machines.
 func (w *World) eachRunningTask(j *userJob, fn func(*workerTask, *Worker)) {
 	for i := range j.spec.Tasks {
 		for _, m := range j.machines[i] {
@@ -171,7 +173,7 @@
 	}
 }
 
-// maybeCancelAtEnd is told of the end of a task: at the moment of the last one some users cancel.
+// maybeCancelAtEnd cancels some jobs at the moment when their last task is done.
 func (w *World) maybeCancelAtEnd(j *userJob) {
 	if len(j.doneTasks) < j.spec.Tasks || j.cancelRequested || !w.now.Before(w.cancelAtEndUntil) || w.rng.Float64() >= w.cancelAtEndRate {
 		return
@@ -179,8 +181,8 @@
 	w.Cancel(j.spec.ID)
 }
 
-// MakeUnheard lets these machines reach no controller for d, while direct commands and
-// questions reach them, and are answered.
+// MakeUnheard keeps machines from reaching any controller for d, while direct requests reach them
+// and are answered.
 func (w *World) MakeUnheard(ids []string, d time.Duration) {
 	for _, id := range ids {
 		if m := w.machines[id]; m != nil {
@@ -189,8 +191,7 @@
 	}
 }
 
-// delayForCompute lets a process that is slow stand still for what a step took, before it sends
-// what it decided.
+// delayForCompute pauses a slow process for what a step took, before it sends the effects.
 func (p *controllerProcess) delayForCompute(commands, effects int) {
 	w := p.world
 	if !w.now.Before(p.slowUntil) || commands+effects == 0 || w.now.Before(p.pausedUntil) {
@@ -201,13 +202,13 @@
 	w.resumeWhenDue(p)
 }
 
-// DelayCommands lets a share of the direct commands of the next d be held up on their way:
-// nobody answers them, and they are carried out once, later, if token and session match.
-func (w *World) DelayCommands(share float64, d time.Duration) {
-	w.lateCommandRate, w.lateCommandsUntil = share, w.now.Add(d)
+// DelayCommands delays a part of the direct commands of the next d. They get no answer, and are
+// carried out once, late, if epoch and incarnation still match.
+func (w *World) DelayCommands(fraction float64, d time.Duration) {
+	w.lateCommandRate, w.lateCommandsUntil = fraction, w.now.Add(d)
 }
 
-// delayCommand says whether a direct command to m is held up, and brings it then.
+// delayCommand reports whether a direct request to m is delayed, and delivers it later.
 func (p *controllerProcess) delayCommand(m *Worker, op message.WorkerRequest) bool {
 	w := p.world
 	if op.StatusOnly || !w.now.Before(w.lateCommandsUntil) || w.rng.Float64() >= w.lateCommandRate {
@@ -228,7 +229,7 @@
 	return true
 }
 
-// holdHeartbeat keeps the copy of a report for the next leader.
+// holdHeartbeat keeps a copy of a heartbeat for the next leader.
 func (w *World) holdHeartbeat(r model.Heartbeat) {
 	if len(w.heldHeartbeats) == 0 {
 		w.leaderAtCapture = w.leaderName()
@@ -238,8 +239,8 @@
 	}
 }
 
-// replayHeldHeartbeats brings the copies to every controller just as another one leads, in an order
-// of their own.
+// replayHeldHeartbeats delivers the kept copies to every controller, in random order, as soon as
+// another one leads.
 func (w *World) replayHeldHeartbeats() {
 	if len(w.heldHeartbeats) == 0 {
 		return
@@ -264,8 +265,8 @@
 	}
 }
 
-// readConcurrently has users ask at all controllers within milliseconds of what one was told of
-// a job, and repeat its submission. Some cancel at once.
+// readConcurrently queries a job at all controllers within milliseconds of an answer about it, and
+// repeats its submission. Some users cancel at once.
 func (w *World) readConcurrently(j *userJob) {
 	if !w.now.Before(w.concurrentReadsUntil) {
 		return
@@ -287,28 +288,29 @@
 	}
 }
 
+// isFinal reports whether a job's state is final.
 func isFinal(state string) bool { return state == "done" || state == "cancelled" }
 
-// checkedRequest asks one controller about a job: its answer may not be older than what the
-// user was told before he asked.
-func (w *World) checkedRequest(node int, j *userJob, newCommand func(uint64) message.Command) {
-	id, lastState, asked := j.spec.ID, j.lastState, w.now
-	w.userRequestTo(node, newCommand, 2*time.Second, func(r *message.UserReply) {
+// checkedRequest sends a request about a job to one controller. The answer must not be older than
+// what the user knew when it was sent.
+func (w *World) checkedRequest(to int, j *userJob, newCommand func(uint64) message.Command) {
+	id, lastState, requestedAt := j.spec.ID, j.lastState, w.now
+	w.userRequestTo(to, newCommand, 2*time.Second, func(r *message.UserReply) {
 		switch {
 		case r == nil:
-		case r.Status == 404 || r.Status == 400 || r.Status == 422:
-			w.violate("forgotten", "%s answered %d by %s", id, r.Status, w.controllers[node].name)
-		case r.Status != 200 && r.Status != 201:
+		case r.Status == http.StatusNotFound || r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity:
+			w.violate("forgotten", "%s answered %d by %s", id, r.Status, w.controllers[to].name)
+		case r.Status != http.StatusOK && r.Status != http.StatusCreated:
 		case isFinal(lastState) && r.State != lastState:
-			w.violate("went_back", "%s was %s, is called %s by %s", id, lastState, r.State, w.controllers[node].name)
+			w.violate("went_back", "%s was %s, is called %s by %s", id, lastState, r.State, w.controllers[to].name)
 		case isFinal(r.State) && !isFinal(j.lastState):
-			w.checkAnswer(j, asked, r)
+			w.checkAnswer(j, requestedAt, r)
 		}
 	})
 }
 
-// SendInvalidRequests has users repeat submissions of unfinished jobs, cancel done ones, and send
-// jobs that fit no machine or lack a field, for d.
+// SendInvalidRequests repeats submissions of unfinished jobs, cancels done ones, and submits jobs
+// that fit no machine or lack a field, for d.
 func (w *World) SendInvalidRequests(d time.Duration) {
 	running := w.now.Before(w.invalidRequestsUntil)
 	w.invalidRequestsUntil = w.now.Add(d)
@@ -317,6 +319,7 @@
 	}
 }
 
+// sendNextInvalidRequest sends one such request and schedules the next.
 func (w *World) sendNextInvalidRequest() {
 	if !w.now.Before(w.invalidRequestsUntil) {
 		return
@@ -343,8 +346,8 @@
 	}
 }
 
-// submitInvalidJob sends a job like another one that fits no machine, needs more than there is, or
-// lacks a field. None of them may be accepted.
+// submitInvalidJob submits a job like s that fits no machine, names something unknown, or lacks a
+// field. It must not be accepted.
 func (w *World) submitInvalidJob(s model.JobSpec) {
 	w.invalidJobs++
 	s.ID = fmt.Sprintf("job-8%05d", w.invalidJobs)
@@ -362,7 +365,7 @@
 		c = message.SubmitJob{Spec: model.JobSpec{ID: s.ID}, MalformedReason: "pieces is missing"}
 	}
 	w.userRequest(func(r uint64) message.Command { c.Reply = r; return c }, 5*time.Second, func(r *message.UserReply) {
-		if r != nil && (r.Status == 200 || r.Status == 201) {
+		if r != nil && (r.Status == http.StatusOK || r.Status == http.StatusCreated) {
 			w.violate("accepted_odd", "%s answered %d", s.ID, r.Status)
 		}
 	})
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -8,31 +8,40 @@
 	"time"
 )
 
-// Fault is a trouble of a day.
+// Fault is a fault of a day. Which fields count depends on the kind.
 type Fault struct {
+	// At is when the fault begins, counted from the day's begin.
 	At       time.Duration `json:"at_ns"`
 	Duration time.Duration `json:"for_ns"`
-	Kind     string        `json:"kind"`
-	// Controller is a controller's number, and Link what it is cut from. Share is the part
-	// of the machines that a trouble meets.
-	Controller   int     `json:"node"`
-	Link         string  `json:"link,omitempty"`
-	HoldMessages bool    `json:"hold,omitempty"`
-	Fraction     float64 `json:"share,omitempty"`
-	// RestartAfter is how soon a process that ends is started again, and Late how much later
-	// than the first something comes.
+	// Kind is one of the kinds in faultKinds, unlistedKinds, protocolFaultKinds, overlapFaultKinds
+	// and extraFaultKinds.
+	Kind string `json:"kind"`
+	// Controller is the index of a controller.
+	Controller int `json:"node"`
+	// Link is what the controller is cut off from: state, workers, peers, cloud, user, or * for
+	// all. For cut_alone it is refused or empty.
+	Link string `json:"link,omitempty"`
+	// HoldMessages delivers messages after the fault instead of losing them. Some kinds use it as
+	// their one random choice.
+	HoldMessages bool `json:"hold,omitempty"`
+	// Fraction is the part of the machines, messages or jobs that are affected. boots and polls use
+	// it as a factor.
+	Fraction float64 `json:"share,omitempty"`
+	// RestartAfter is how soon a process that ends is started again.
 	RestartAfter time.Duration `json:"back_ns,omitempty"`
-	Delay        time.Duration `json:"late_ns,omitempty"`
-	// Zone is the only one that a trouble of machines meets.
+	// Delay is how much later than the first a second event of the fault comes.
+	Delay time.Duration `json:"late_ns,omitempty"`
+	// Zone limits a fault of machines to one zone, if not empty.
 	Zone string `json:"zone,omitempty"`
-	// SlowFactor is how many times as slow something is.
+	// SlowFactor is how many times slower something gets.
 	SlowFactor float64 `json:"times,omitempty"`
-	// Busiest: instead of Node it meets the controller that most machines report to.
+	// Busiest replaces Controller with the controller that most machines send heartbeats to.
 	Busiest bool `json:"busiest,omitempty"`
-	// Count is how many jobs a trouble meets. Immediate: late writes are carried out at
-	// once, and ForNextLeader: copies are kept for the next leader.
-	Count         int  `json:"count,omitempty"`
-	Immediate     bool `json:"at_once,omitempty"`
+	// Count is how many jobs are affected.
+	Count int `json:"count,omitempty"`
+	// Immediate carries late writes out at once and loses only their answers.
+	Immediate bool `json:"at_once,omitempty"`
+	// ForNextLeader keeps copies of heartbeats for the next leader.
 	ForNextLeader bool `json:"for_next,omitempty"`
 }
 
@@ -63,13 +72,14 @@
 	return fmt.Sprintf("%s for %.0fs hold=%v", s, f.Duration.Seconds(), f.HoldMessages)
 }
 
-// faultKinds are the troubles a day may have, the likelier the oftener they stand.
+// faultKinds are the listed faults. A kind that stands more often is drawn more often.
 var faultKinds = []string{"crash", "crash", "crash_all", "cut", "cut", "cut", "refused", "outage", "cloud", "still", "die", "hang", "hang", "machine_cut", "machine_cut", "taken", "slow_state", "roll"}
 
-// defaultSlowFactor is how many times as slow a slow state service is, if nothing else is said.
+// defaultSlowFactor is how many times slower a slow state service is if a fault has no SlowFactor.
 const defaultSlowFactor = 20.0
 
-// endsAt is when a trouble is over, reckoned from the day's begin.
+// endsAt returns when a fault is over, counted from the day's begin. controllers is the number of
+// controllers.
 func (f Fault) endsAt(controllers int) time.Duration {
 	end := f.At + f.Duration + f.RestartAfter
 	switch f.Kind {
@@ -95,9 +105,9 @@
 	return end
 }
 
-// noCapacityUntil is until when a trouble is one during which no day is blamed for what doesn't
-// begin, or 0: the cloud gives hardly anything, or none of what is rented comes up in
-// time; no start can be recorded; nobody is there.
+// noCapacityUntil returns the end of a fault during which jobs are not expected to start, or 0 for
+// any other fault: the cloud has hardly any machines or rented ones do not become ready in time, no
+// start can be recorded, or no controller runs.
 func (f Fault) noCapacityUntil(controllers int) time.Duration {
 	switch f.Kind {
 	case "cloud", "capacity", "outage", "refused_outage", "crash_all", "again_all":
@@ -110,7 +120,7 @@
 	return 0
 }
 
-// noCapacityFrom is since when it is one.
+// noCapacityFrom returns when jobs cease to be expected to start.
 func (f Fault) noCapacityFrom() time.Duration {
 	if f.Kind == "refused_outage" {
 		return f.At + f.Delay
@@ -118,16 +128,16 @@
 	return f.At
 }
 
-// forSample calls fn with a part of the machines that are up, by chance.
-func (w *World) forSample(part float64, rng *rand.Rand, fn func(*Worker)) {
+// forSample calls fn with a random part of the machines that are up.
+func (w *World) forSample(fraction float64, rng *rand.Rand, fn func(*Worker)) {
 	for _, m := range slices.Clone(w.fleet) {
-		if m.up(w.now) && rng.Float64() < part {
+		if m.up(w.now) && rng.Float64() < fraction {
 			fn(m)
 		}
 	}
 }
 
-// startFault lets a fault begin.
+// startFault begins a fault.
 func (w *World) startFault(f Fault, rng *rand.Rand) {
 	if f.Busiest {
 		f.Controller = w.busiestController()
@@ -184,6 +194,7 @@
 	}
 }
 
+// sortFaults sorts the faults by their begin.
 func (d *Day) sortFaults() {
 	slices.SortStableFunc(d.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
 }
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -73,14 +73,14 @@
 			rng := rand.New(rand.NewPCG(1, 2))
 			w.submitAtScale(rng, scale, 100*time.Second)
 			w.Run(100 * time.Second)
-			w.coreTime = 0
+			w.stepTime = 0
 			from, rev := w.now, w.state.writeCount
 			for b.Loop() {
 				w.submitAtScale(rng, scale, 10*time.Second)
 				w.Run(10 * time.Second)
 			}
 			s := w.now.Sub(from).Seconds()
-			b.ReportMetric(float64(w.coreTime.Microseconds())/s, "core-µs/s")
+			b.ReportMetric(float64(w.stepTime.Microseconds())/s, "core-µs/s")
 			b.ReportMetric(float64(w.state.writeCount-rev)/s, "changes/s")
 			up := 0
 			for _, m := range w.machines {
--- a/internal/simulation/links.go
+++ b/internal/simulation/links.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// links.go has the links between all that there is, and how they break.
+// This file has the links between all parts of a world, and how they break.
 
-// partition is a broken link: what is sent over it is held and delivered when it ends,
-// or lost.
+// partition is a broken link. What is sent over it is lost, or held and delivered when the
+// partition ends.
 type partition struct {
 	holdMessages bool
 	heldMessages []func()
 }
 
-// Partition breaks the links between a and b for d; b "*" means all others.
+// Partition breaks the links between a and b for d; "*" as b means all others.
 func (w *World) Partition(a, b string, d time.Duration, hold bool) {
 	key := a + "|" + b
 	c := &partition{holdMessages: hold}
@@ -29,14 +29,14 @@
 	})
 }
 
-// partitionOneWay loses what a sends to b for d, and nothing of what b sends to a; "*"
-// means all others.
+// partitionOneWay loses what a sends to b for d, but not what b sends to a; "*" means all others.
 func (w *World) partitionOneWay(a, b string, d time.Duration) {
 	key := a + ">" + b
 	w.oneWayPartitions[key]++
 	w.schedule(d, func() { w.oneWayPartitions[key]-- })
 }
 
+// isPartitionedOneWay reports whether what a sends to b is lost.
 func (w *World) isPartitionedOneWay(a, b string) bool {
 	for _, x := range [...]string{linkEnd(a), "*"} {
 		for _, y := range [...]string{linkEnd(b), "*"} {
@@ -48,7 +48,7 @@
 	return false
 }
 
-// linkEnd names workers all alike.
+// linkEnd gives all workers the same name.
 func linkEnd(s string) string {
 	if strings.HasPrefix(s, "vm-") {
 		return "workers"
@@ -56,6 +56,7 @@
 	return s
 }
 
+// partitionBetween returns the partition that breaks the link between a and b, or nil.
 func (w *World) partitionBetween(a, b string) *partition {
 	for _, k := range []string{a + "|" + b, b + "|" + a, a + "|*", b + "|*", a + "|" + linkEnd(b), b + "|" + linkEnd(a)} {
 		if c := w.partitions[k]; c != nil {
--- a/internal/simulation/live_counts.go
+++ b/internal/simulation/live_counts.go
@@ -11,39 +11,39 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// LiveCounts is what a live world has seen since it began. Bytes are those of the
-// connections, headers included.
+// LiveCounts is what a live world has counted since it began. Bytes are those of the connections,
+// headers included.
 type LiveCounts struct {
-	// Heartbeats counts reports that were sent, by the status of their answer; 0: none came.
+	// Heartbeats counts heartbeats by the HTTP status of their answer; 0 means that there was none.
 	Heartbeats map[int]int `json:"reports"`
-	// HeartbeatBytesOut and HeartbeatBytesIn are the bytes of reports and of their answers.
+	// HeartbeatBytesOut and HeartbeatBytesIn are the bytes of heartbeats and of their answers.
 	HeartbeatBytesOut int64 `json:"report_bytes_out"`
 	HeartbeatBytesIn  int64 `json:"report_bytes_in"`
-	// Commands counts direct requests to workers, by path, and CommandBytesOut and CommandBytesIn
-	// their bytes, out of and into the workers.
+	// Commands counts direct requests to workers by path. CommandBytesOut and CommandBytesIn are
+	// the bytes out of and into the workers.
 	Commands        map[string]int `json:"orders"`
 	CommandBytesOut int64          `json:"order_bytes_out"`
 	CommandBytesIn  int64          `json:"order_bytes_in"`
-	// Requests counts requests to the state service by kind, and Changes puts and
-	// removals by the first part of their keys; Refused are the 429.
+	// Requests counts requests to the state service by kind, Writes its writes by the first part of
+	// their keys, and RateLimited the requests that were answered 429.
 	Requests    map[string]int `json:"requests"`
 	Writes      map[string]int `json:"changes"`
 	RateLimited int            `json:"refused"`
 	// CloudCalls counts requests to the cloud.
 	CloudCalls int `json:"cloud_calls"`
-	// Starts counts starts of tasks, and LostToLease tasks that ended with a lease.
+	// Starts counts starts of tasks, and LostToLease tasks that ended with a worker lease.
 	Starts      int `json:"started"`
 	LostToLease int `json:"lost_to_lease"`
 }
 
-// liveTraffic is the part of the counts that connections write.
+// liveTraffic has the counts that connections update, without Live.mu.
 type liveTraffic struct{ heartbeatsOut, heartbeatsIn, commandsOut, commandsIn atomic.Int64 }
 
 func newCounts() LiveCounts {
 	return LiveCounts{Heartbeats: map[int]int{}, Commands: map[string]int{}, Requests: map[string]int{}, Writes: map[string]int{}}
 }
 
-// countRequest counts one to the state service.
+// countRequest counts a request to the state service.
 func (c *LiveCounts) countRequest(op *message.StoreRequest, refused bool) {
 	kind := map[message.StoreRequestKind]string{
 		message.OpGet: "get", message.OpList: "list", message.OpWatch: "follow", message.OpTxn: "multi",
@@ -60,7 +60,7 @@
 	}
 }
 
-// Minus is what came since an earlier count.
+// Minus returns what was counted since an earlier count.
 func (c LiveCounts) Minus(o LiveCounts) LiveCounts {
 	less := func(a, b map[string]int) map[string]int {
 		out := map[string]int{}
@@ -86,7 +86,7 @@
 	return d
 }
 
-// Counts tells what was seen so far.
+// Counts returns what was counted so far.
 func (l *Live) Counts() LiveCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 	return out
 }
 
-// KillMachines ends so many machines that are up, without a word, and says how many there were.
+// KillMachines ends as many machines that are up, without notice, and returns how many there were.
 func (l *Live) KillMachines(machines int) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,7 +112,8 @@
 	return lost
 }
 
-// Workers counts machines that report, tasks on them, and those of them that stand.
+// Workers counts the machines that send heartbeats, the tasks on them, and those of long-running
+// jobs.
 func (l *Live) Workers() (up, tasks, standing int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -133,7 +134,7 @@
 	return up, tasks, standing
 }
 
-// FirstStart is when a job's first task began, if one did.
+// FirstStart returns when a job's first task started, if one did.
 func (l *Live) FirstStart(id string) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,7 +151,7 @@
 	return first, !first.IsZero()
 }
 
-// meteredConn adds up the bytes of a connection.
+// meteredConn counts the bytes of a connection.
 type meteredConn struct {
 	net.Conn
 	in, out *atomic.Int64
@@ -168,6 +169,7 @@
 	return n, err
 }
 
+// meteredListener counts the bytes of all connections that it accepts.
 type meteredListener struct {
 	net.Listener
 	in, out *atomic.Int64
@@ -181,8 +183,8 @@
 	return meteredConn{c, l.in, l.out}, nil
 }
 
-// newHeartbeatClient is one worker's own client: it keeps one connection, as it reports to
-// one node at a time.
+// newHeartbeatClient returns the HTTP client of one worker. It keeps one connection, as a worker
+// sends heartbeats to one controller at a time.
 func (l *Live) newHeartbeatClient() *http.Client {
 	var d net.Dialer
 	return &http.Client{Transport: &http.Transport{
--- a/internal/simulation/margins.go
+++ b/internal/simulation/margins.go
@@ -7,33 +7,34 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// slack.go records how near a day came to breaking each rule that has a time, and checks
-// that no job is left waiting beside room for it.
+// This file records how close a day came to breaking each timed rule, and checks that no job waits
+// while there is free capacity for it.
 
-// The rules that have a time.
+// The timed rules, beside RuleOrphaned.
 const (
 	// RuleCancelled: the tasks of a cancelled job are gone within cancel_s.
 	RuleCancelled = "ran_cancelled"
-	// RuleForgotten: once all troubles are over, no job goes without an answer for
+	// RuleForgotten: once all faults are over, no job goes without an answer for longer than
 	// MaxUnanswered.
 	RuleForgotten = "forgotten"
-	// RuleWaiting: then none is left waiting for maxWaiting beside room for it.
+	// RuleWaiting: once all faults are over, no job waits for longer than maxWaiting while there is
+	// free capacity for it.
 	RuleWaiting = "waiting"
-	// RuleBegin: a class's largest jobs begin within maxStartWait.
+	// RuleBegin: the largest jobs of a class start within maxStartWait.
 	RuleBegin = "begin"
 )
 
-// TimedRules names them, in the order in which they are told.
+// TimedRules has the timed rules in the order in which they are printed.
 var TimedRules = []string{RuleCancelled, RuleOrphaned, RuleForgotten, RuleWaiting, RuleBegin}
 
-// Margin is the least time that was left to a rule, and what came so near; less than
-// nothing is left where it was broken.
+// Margin is the least time that was left to a rule, and where; it is negative if the rule was
+// broken.
 type Margin struct {
 	Remaining time.Duration `json:"left_ns"`
 	Subject   string        `json:"what"`
 }
 
-// recordMargin notes how much time is left to a rule.
+// recordMargin notes how much time was left to a rule.
 func (w *World) recordMargin(rule string, left time.Duration, what string) {
 	if old, ok := w.margins[rule]; !ok || left < old.Remaining {
 		w.margins[rule] = Margin{left, fmt.Sprintf("%s at %.1fs", what, w.now.Sub(w.startedAt).Seconds())}
@@ -41,20 +42,19 @@
 }
 
 const (
-	// maxWaiting is how long a job may be left waiting beside room once all troubles are
-	// over, and waitCheckInterval how often that is looked at.
+	// maxWaiting is how long a job may wait beside free capacity once all faults are over, and
+	// waitCheckInterval how often that is checked.
 	maxWaiting        = 90 * time.Second
 	waitCheckInterval = time.Second
-	// capacitySamples is at how many looks in a row room has to be free to count: where much
-	// comes and goes there is always some that just got free.
+	// capacitySamples is at how many checks in a row capacity must be free to count: where tasks
+	// come and go, some is always free for a moment.
 	capacitySamples = 10
 )
 
-// checkWaiting judges, once all troubles are over, that no job waits for maxWaiting while
-// at every moment of it a machine that fits has room and its team is under its limit. A
-// job waits while some task of it is neither done nor on a machine, and none was given to
-// one. Jobs whose tasks have to be apart, or start together, are not judged: what they
-// need is no single machine's.
+// checkWaiting checks, once all faults are over, that no job waits for maxWaiting while all that
+// time some machine that fits has free capacity and its team is under its quota limit. A job waits
+// while one of its tasks is neither done nor on a machine, and none was placed. Jobs with
+// anti-affinity and gangs are not checked: what they need is not on a single machine.
 func (w *World) checkWaiting() {
 	if w.faultsEndAt.IsZero() || w.now.Before(w.faultsEndAt) || w.now.Before(w.nextWaitCheck) {
 		return
@@ -67,8 +67,8 @@
 			j.waitingSince = time.Time{}
 			continue
 		}
-		room := w.machineWithCapacity(j, free, used)
-		if room == nil {
+		machine := w.machineWithCapacity(j, free, used)
+		if machine == nil {
 			j.waitingSince = time.Time{}
 			continue
 		}
@@ -80,15 +80,15 @@
 			from = j.placedAt
 		}
 		left := maxWaiting - w.now.Sub(from)
-		w.recordMargin(RuleWaiting, left, id+" beside room on "+room.ID)
+		w.recordMargin(RuleWaiting, left, id+" beside room on "+machine.ID)
 		if left < 0 && !j.waitReported {
 			j.waitReported = true
-			w.violate(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, j.spec.Team, w.now.Sub(from).Seconds(), room.ID)
+			w.violate(RuleWaiting, "%s of %s has waited for %.0f s, now beside room on %s", id, j.spec.Team, w.now.Sub(from).Seconds(), machine.ID)
 		}
 	}
 }
 
-// isWaiting says that a job that is to run has a task that is neither done nor on a machine.
+// isWaiting reports whether a job that should run has a task that is neither done nor on a machine.
 func (j *userJob) isWaiting() bool {
 	if !j.accepted || j.isCancelled() || !j.dependenciesDone() || j.alwaysFails || isFinal(j.lastState) || j.spec.SpreadZones || j.spec.Gang {
 		return false
@@ -101,7 +101,7 @@
 	return false
 }
 
-// isPlaced says that a task is on a machine, or waits there for its image.
+// isPlaced reports whether a task is on a machine, or waits there for its image.
 func (j *userJob) isPlaced(i int) bool {
 	for _, m := range j.machines[i] {
 		for _, t := range m.tasks {
@@ -113,8 +113,8 @@
 	return false
 }
 
-// resourceUse is what has been free for a while on the machines that can take tasks, and what the
-// teams' tasks take, those included that wait for their images.
+// resourceUse returns what has been free for a while on the machines that can take tasks, and what
+// each team's tasks take, including those that wait for their images.
 func (w *World) resourceUse() (map[*Worker]model.Resources, map[string]model.Resources) {
 	free, used := map[*Worker]model.Resources{}, map[string]model.Resources{}
 	for _, m := range w.fleet {
@@ -138,8 +138,8 @@
 	return free, used
 }
 
-// machineWithCapacity is a machine that a job may use and that has room for a task of it, if there is
-// one and its team is under its limit.
+// machineWithCapacity returns a machine that a job may use and that has free capacity for one of
+// its tasks, or nil if there is none or the team is at its quota limit.
 func (w *World) machineWithCapacity(j *userJob, free map[*Worker]model.Resources, used map[string]model.Resources) *Worker {
 	s := &j.spec
 	limit, takes := w.team(s.Team).QuotaLimit, used[s.Team].AddScaled(s.Need, 1)
@@ -158,15 +158,16 @@
 	return nil
 }
 
-// allowsMachine says that a job allows a machine, in that zone unless it is empty.
+// allowsMachine reports whether a job allows a machine, in a zone unless that is empty.
 func allowsMachine(s *model.JobSpec, m *Worker, zone string) bool {
-	flavour := len(s.MachineTypes) == 0
+	allowed := len(s.MachineTypes) == 0
 	for _, f := range s.MachineTypes {
-		flavour = flavour || f == m.MachineType
+		allowed = allowed || f == m.MachineType
 	}
-	return flavour && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
+	return allowed && (zone == "" || zone == m.Zone) && (s.AllowSpot || !m.Spot)
 }
 
+// minResources returns the least of each resource.
 func minResources(rs []model.Resources) model.Resources {
 	out := rs[0]
 	for _, r := range rs[1:] {
--- a/internal/simulation/mixed_jobs.go
+++ b/internal/simulation/mixed_jobs.go
@@ -7,23 +7,26 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// mixed.go has days with jobs of all kinds, not only arrays that may run anywhere, and with
+// This file has days with jobs of many kinds, not only arrays that may run anywhere, and with
 // controllers whose clocks are off.
 
 const (
-	// maxClockSkew is how far their clocks may be off.
+	// maxClockSkew is how far a controller's clock may be off.
 	maxClockSkew = 250 * time.Millisecond
-	// minServiceTime and maxServiceTime are how long a standing job lasts before it is cancelled.
+	// minServiceTime and maxServiceTime bound how long a long-running job lasts before it is
+	// cancelled.
 	minServiceTime = 40 * time.Second
 	maxServiceTime = 150 * time.Second
 )
 
-// jobMix draws what a day's jobs are, from its own numbers; a nil one changes nothing.
+// jobMix varies the kinds of a day's jobs, with random numbers of its own. A nil jobMix changes
+// nothing.
 type jobMix struct {
 	rng   *rand.Rand
 	zones []string
 }
 
+// newJobMix returns the job mix of a day, nil unless MixedJobs is set.
 func newJobMix(d *Day) *jobMix {
 	if !d.MixedJobs {
 		return nil
@@ -31,7 +34,7 @@
 	return &jobMix{rand.New(rand.NewPCG(d.Seed, 819)), d.Settings.Zones}
 }
 
-// skewClocks sets the controllers' clocks apart, within the bound.
+// skewClocks sets each controller's clock off by up to maxClockSkew.
 func (x *jobMix) skewClocks(w *World) {
 	if x == nil {
 		return
@@ -41,7 +44,7 @@
 	}
 }
 
-// varyJob makes a job one of another kind, or leaves it.
+// varyJob turns a job into one of another kind, or leaves it.
 func (x *jobMix) varyJob(s *model.JobSpec) {
 	if x == nil {
 		return
@@ -60,7 +63,7 @@
 	}
 }
 
-// serviceTime is after which time a standing job is cancelled.
+// serviceTime draws how long a long-running job lasts before it is cancelled.
 func (x *jobMix) serviceTime() time.Duration {
 	return logUniform(x.rng, minServiceTime, maxServiceTime)
 }
--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -11,19 +11,19 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// models.go has days with models: hosts of eight GPUs beside the other machines, and
-// standing jobs whose replicas take one of them up to a whole host.
+// This file has days with models: machines with eight GPUs beside the others, and long-running jobs
+// whose replicas take from one GPU to all eight of a machine.
 
-// gpusPerMachine is what a host has.
+// gpusPerMachine is how many GPUs a machine for models has.
 const gpusPerMachine = 8
 
-// Validate says what is wrong with the names of what is to be switched on.
+// Validate reports an error if Enabled names an unknown capability.
 func (p *DayParams) Validate() error {
 	_, err := p.capabilities()
 	return err
 }
 
-// capabilities is what is switched on, with what deploy/ has for it.
+// capabilities returns the enabled capabilities, with the settings that deploy/ has for them.
 func (p *DayParams) capabilities() (out controller.Capabilities, err error) {
 	for _, s := range p.Enabled {
 		all := s == "all"
@@ -45,6 +45,7 @@
 	return out, err
 }
 
+// modelMachineType returns the machine type for models.
 func modelMachineType(zone string) model.MachineType {
 	return model.MachineType{
 		Name: "host", Capacity: model.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
@@ -52,17 +53,17 @@
 	}
 }
 
-// modelJob is a model that comes at a time of the day, and is cancelled at another
-// unless that is 0.
+// modelJob is a model with the times of its submission and cancellation, counted from the day's
+// begin. cancelAt 0 means that it is not cancelled.
 type modelJob struct {
 	spec     model.JobSpec
 	submitAt time.Duration
 	cancelAt time.Duration
 }
 
-// generateModels draws models: small and middle ones fill the hosts at first, and most are
-// cancelled by and by; from the middle of the day on large ones come, no more than
-// what is left has whole hosts for if the rest is packed.
+// generateModels draws a day's models. Small and medium ones fill the machines at first and most
+// are cancelled over time. From the middle of the day on large ones come: no more than there are
+// whole machines left if the rest is packed tightly.
 func generateModels(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 2718))
 	span := float64(d.Minutes) * float64(time.Minute)
@@ -80,7 +81,7 @@
 			remainingGPUs += replicas * int(gpus)
 		}
 		for i := range d.Settings.Teams {
-			// A limit is enough for the team's models as well.
+			// Raise the quota limit, so that it allows the team's models as well.
 			if t := &d.Settings.Teams[i]; t.Name == m.spec.Team && t.QuotaLimit.CPU > 0 {
 				t.QuotaLimit.CPU += m.spec.Need.CPU * float64(replicas)
 			}
@@ -93,14 +94,14 @@
 	for range 1 + d.Models/3 {
 		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, model.Normal, 0, 0.3)
 	}
-	// One whole host more than the rest takes is left out.
+	// Leave one whole machine free beside what the rest needs.
 	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
 	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
 		add("model-large", gpusPerMachine, 1, 3, 60, 0, model.Urgent, 0.5, 1)
 	}
 }
 
-// submitModels lets the day's models come and go.
+// submitModels schedules the submissions and cancellations of the day's models.
 func (d *Day) submitModels(w *World) {
 	for _, m := range d.models {
 		s := m.spec
@@ -112,16 +113,18 @@
 	}
 }
 
-// replica is one of a standing job, as it comes and goes.
+// replica is a replica of a long-running job. Its attempts come and go.
 type replica struct {
+	// upTime is how long it was up, not counting the current time since upSince.
 	upTime           time.Duration
 	upSince          time.Time
 	downSince        time.Time
 	stoppedByCommand bool
-	// downTimes are the times that it was gone after it had been stopped by an order.
+	// downTimes are the times that it was down after a command had stopped it.
 	downTimes []time.Duration
 }
 
+// replicaUp notes that a task of a long-running job runs.
 func (w *World) replicaUp(t *workerTask) {
 	if !t.job.spec.LongRunning {
 		return
@@ -137,6 +140,7 @@
 	r.upSince, r.downSince, r.stoppedByCommand = w.now, time.Time{}, false
 }
 
+// replicaDown notes that a task of a long-running job runs no more.
 func (w *World) replicaDown(t *workerTask) {
 	if r := t.job.replicas[t.index]; r != nil && r.downSince.IsZero() {
 		r.upTime += w.now.Sub(r.upSince)
@@ -144,20 +148,22 @@
 	}
 }
 
-// ModelSummary is what became of a day's models.
+// ModelSummary is the outcome of a day's models.
 type ModelSummary struct {
+	// LargeModels counts models that take whole machines, and LargeStarted those of them of which
+	// all replicas started.
 	LargeModels  int `json:"large"`
 	LargeStarted int `json:"large_begun"`
-	// Wait is of the large ones for all their replicas, and Up the part of the time
-	// since then that they were up; 0 for one that did not begin.
+	// Wait is the time until all replicas of a large model started, and Up the part of the time
+	// since then that the replicas were up; a model that did not start counts as down.
 	Wait Distribution `json:"large_wait_s"`
 	Up   float64      `json:"large_up"`
-	// OthersUnstarted counts the others that did not begin, and were not cancelled.
+	// OthersUnstarted counts the other models that did not start and were not cancelled.
 	OthersUnstarted int `json:"others_unbegun"`
-	// FragmentedGPUs are free GPUs of hosts that are partly taken at the end.
+	// FragmentedGPUs counts free GPUs of partly used machines at the end.
 	FragmentedGPUs int `json:"gpus_in_pieces"`
-	// Stopped counts how often replicas were stopped, but for cancellations, and Down
-	// is how long they were gone then.
+	// Stopped counts how often replicas were stopped other than by a cancellation, and Down is how
+	// long they were down then.
 	Stopped int          `json:"stopped"`
 	Down    Distribution `json:"down_s"`
 }
--- a/internal/simulation/overlaps.go
+++ b/internal/simulation/overlaps.go
@@ -12,13 +12,13 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// meetings.go has days on which two or three troubles meet while users cancel most of a
-// class, and the troubles that only such days have: transactions that are carried out
-// late, a state service that refuses one controller and then is away for all, and
-// messages that are lost, held or carried out twice here and there.
+// This file has days on which two or three faults overlap while users cancel most jobs of a class,
+// and the faults that only such days have: transactions that are carried out late, a state service
+// that refuses one controller and is then unavailable to all, and messages that are lost, delayed
+// or carried out twice.
 
-// overlapFaultKinds are all troubles that there are, the likelier the oftener they stand:
-// those twice that we know as partners of others.
+// overlapFaultKinds are the kinds of faults that may overlap. Those that are known to matter in
+// combination stand twice, so that they are drawn more often.
 var overlapFaultKinds = []string{
 	"crash", "crash", "crash_all", "crash_all", "roll", "cut", "cut", "refused", "outage", "cloud", "still", "still", "die", "hang", "hang",
 	"machine_cut", "machine_cut", "taken", "slow_state", "slow_state",
@@ -28,24 +28,24 @@
 }
 
 const (
-	// minWriteDelay and maxWriteDelay are how much later than it was sent a
-	// transaction without an answer is carried out.
+	// minWriteDelay and maxWriteDelay bound how late a transaction without an answer is carried
+	// out.
 	minWriteDelay = 2 * time.Second
 	maxWriteDelay = 12 * time.Second
-	// refusedAfterOutage is how long one controller stays refused when the state service has
-	// been away for all since: about what a real one has.
+	// refusedAfterOutage is how long one controller stays refused after the state service became
+	// unavailable to all: about what was seen with a real one.
 	refusedAfterOutage = 14 * time.Second
-	// maxFaultSpacing is how much later than a meeting's first trouble another one begins at
-	// most, so that they overlap.
+	// maxFaultSpacing is how much later than the first of the overlapping faults another one begins
+	// at most.
 	maxFaultSpacing = 20 * time.Second
-	// crashAfterOverlap is how long after a meeting all controllers end on some days.
+	// crashAfterOverlap is how long after the overlapping faults all controllers crash on some
+	// days.
 	crashAfterOverlap = 10 * time.Second
-	// stickyUserOneIn: one user in so many asks the same controller again and again once all
-	// is over.
+	// stickyUserOneIn: one user in so many keeps to one controller once all faults are over.
 	stickyUserOneIn = 3
 )
 
-// MassCancel is that users cancel a share of a class's jobs in a short time.
+// MassCancel is that users cancel a part of a class's jobs within a short time.
 type MassCancel struct {
 	Workload string        `json:"class"`
 	Fraction float64       `json:"share"`
@@ -57,7 +57,7 @@
 	return fmt.Sprintf("%.0fs %.0f%% of %s are cancelled within %.0fs", c.At.Seconds(), 100*c.Fraction, c.Workload, c.Duration.Seconds())
 }
 
-// cancelTime says when a job of a class that comes at a moment is cancelled, if it is.
+// cancelTime draws when a job of a class that is submitted at a time is cancelled, if it is.
 func (c *MassCancel) cancelTime(class string, at time.Duration, rng *rand.Rand) (time.Duration, bool) {
 	if c == nil || class != c.Workload || rng.Float64() >= c.Fraction {
 		return 0, false
@@ -66,11 +66,11 @@
 	return t, t > at
 }
 
-// longTaskRunTime is how long the tasks of those classes take that outlast cancel_s.
+// longTaskRunTime is how long the tasks of a class run that outlast cancel_s.
 const longTaskRunTime = 110 * time.Second
 
-// extraCountTime is how much later than on other days is counted what was served: the long
-// tasks that came last are to have their time.
+// extraCountTime returns how much later than on other days served jobs are counted: the long tasks
+// that came last must have their time.
 func (d *Day) extraCountTime() time.Duration {
 	long := time.Duration(0)
 	if d.OverlappingFaults {
@@ -82,7 +82,7 @@
 	return long
 }
 
-// withLongTasks are those of other days and one whose tasks outlast cancel_s.
+// withLongTasks adds to the classes of other days one whose tasks outlast cancel_s.
 func withLongTasks(classes []workloadClass) []workloadClass {
 	out := slices.Clone(classes)
 	const part = 0.2
@@ -92,8 +92,8 @@
 	return append(out, workloadClass{"import", 2, 4, longTaskRunTime, 1, model.Normal, 0, part})
 }
 
-// submitLongJobs has many small jobs of long tasks come in the time before users cancel, so
-// that there is always much to be stopped when troubles meet: one for every two machines.
+// submitLongJobs schedules many small jobs of long tasks in the time before users cancel, so that
+// there is always much to be stopped when the faults overlap: one for every two machines.
 func (d *Day) submitLongJobs(w *World) {
 	if d.Cancels == nil {
 		return
@@ -115,8 +115,8 @@
 	}
 }
 
-// generateOverlap draws two or three troubles that overlap, and whose jobs are cancelled
-// around them: from its own numbers, so that the rest of the day is as without it.
+// generateOverlap draws two or three faults that overlap, and the mass cancellation around them,
+// with random numbers of its own: the rest of the day is as without it.
 func generateOverlap(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 3141))
 	d.workloads = withLongTasks(d.workloads)
@@ -135,7 +135,7 @@
 		}
 		longest = max(longest, f.endsAt(d.Controllers)-f.At)
 		if f.Kind == "refused_outage" {
-			// Most of them while another controller can still confirm it.
+			// Most of them are cancelled while another controller can still confirm it.
 			cancels.At, cancels.Duration = f.At, f.Delay+2*time.Second
 		}
 		overlapping = append(overlapping, f)
@@ -149,19 +149,19 @@
 	d.sortFaults()
 }
 
-// addExtraFault has one of the later troubles meet those of a day on one day in three, from
-// its own numbers: the others are as they were.
-func (d *Day) addExtraFault(met []Fault) {
+// addExtraFault adds one of the faults of extra_faults.go on one day in three, with random numbers
+// of its own: the other days are as without it.
+func (d *Day) addExtraFault(overlapping []Fault) {
 	rng := rand.New(rand.NewPCG(d.Seed, 5772))
 	if rng.IntN(3) > 0 {
 		return
 	}
 	f := d.generateExtraFault(rng)
-	f.At = met[0].At + time.Duration(rng.Float64()*float64(maxFaultSpacing))
+	f.At = overlapping[0].At + time.Duration(rng.Float64()*float64(maxFaultSpacing))
 	d.Faults = append(d.Faults, f)
 }
 
-// generateFault draws one of all troubles, but for when it begins.
+// generateFault draws a fault of any kind, without its begin.
 func (d *Day) generateFault(rng *rand.Rand) Fault {
 	oneOf := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
 	cancel := d.cancelWithin()
@@ -188,7 +188,7 @@
 	case "again", "again_all":
 		f.RestartAfter = restartAfter
 	case "deaf_machine":
-		// One, a tenth, or a whole zone's.
+		// One machine, a tenth of them, or a whole zone.
 		f.Duration, f.Fraction = logUniform(rng, 8*time.Second, 5*time.Minute), oneOf(1e-9, 0.1, 1)
 		if f.Fraction == 1 {
 			f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
@@ -211,15 +211,15 @@
 	return f
 }
 
-// cancelWithin is in how long the tasks of a cancelled job have to be gone.
+// cancelWithin returns how soon the tasks of a cancelled job must be gone.
 func (d *Day) cancelWithin() time.Duration {
 	return d.Settings.WorkerLease + time.Duration(cmp.Or(d.CancelMarginS, defaultCancelMarginS))*time.Second
 }
 
-// defaultCancelMarginS is by how many seconds cancel_s is longer than a lease on all known sites.
+// defaultCancelMarginS is by how many seconds cancel_s exceeds the worker lease on all known sites.
 const defaultCancelMarginS = 30
 
-// startOverlapFault lets one of this file's troubles begin, and says whether it is one.
+// startOverlapFault begins a fault of this file, and reports whether it is one.
 func (w *World) startOverlapFault(f Fault) bool {
 	switch f.Kind {
 	case "late_writes":
@@ -240,13 +240,13 @@
 	return true
 }
 
-// DelayWrites lets a share of the transactions of the next d get no answer and be carried
-// out some seconds later, after newer ones; or at once, with loseWriteResponses.
-func (w *World) DelayWrites(share float64, d time.Duration) {
-	w.lateWriteRate, w.lateWritesUntil = share, w.now.Add(d)
+// DelayWrites makes a part of the transactions of the next d get no answer and be carried out some
+// seconds later, after newer ones, or at once with loseWriteResponses.
+func (w *World) DelayWrites(fraction float64, d time.Duration) {
+	w.lateWriteRate, w.lateWritesUntil = fraction, w.now.Add(d)
 }
 
-// delayWrite says whether a transaction gets no answer, and how late it is carried out.
+// delayWrite reports whether a transaction gets no answer, and how late it is carried out.
 func (w *World) delayWrite(e message.StoreRequest) (time.Duration, bool) {
 	if e.Kind != message.OpTxn || !w.now.Before(w.lateWritesUntil) || w.rng.Float64() >= w.lateWriteRate {
 		return 0, false
@@ -257,16 +257,16 @@
 	return minWriteDelay + time.Duration(w.rng.Int64N(int64(maxWriteDelay-minWriteDelay))), true
 }
 
-// refuseController lets the state service refuse one controller alone for d.
+// refuseController makes the state service refuse one controller for d.
 func (w *World) refuseController(p *controllerProcess, d time.Duration) {
 	p.stateRefused = true
-	if till := w.now.Add(d); till.After(p.refusedUntil) {
-		p.refusedUntil = till
+	if until := w.now.Add(d); until.After(p.refusedUntil) {
+		p.refusedUntil = until
 	}
 	w.schedule(d, func() { p.stateRefused = w.now.Before(p.refusedUntil) })
 }
 
-// busiestController is the number of the controller that most machines report to.
+// busiestController returns the index of the controller that most machines send heartbeats to.
 func (w *World) busiestController() int {
 	reporting := make([]int, len(w.controllers))
 	for _, m := range w.fleet {
@@ -283,8 +283,8 @@
 	return best
 }
 
-// stickyController is the controller that a job's user goes on to ask once all is over, on days
-// of meetings; -1: whichever it is.
+// stickyController returns the index of the controller that a job's user keeps to once all faults
+// are over, on days with overlapping faults; -1 means any.
 func (w *World) stickyController(j *userJob) int {
 	if !w.stickyUsers || w.now.Before(w.faultsEndAt) {
 		return -1
--- a/internal/simulation/partial_faults.go
+++ b/internal/simulation/partial_faults.go
@@ -8,12 +8,12 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// half.go has links that are half there: machines whose reports arrive while nothing
-// reaches them, and reports that arrive once more, long after.
+// This file has partial failures: machines whose heartbeats arrive while nothing reaches them,
+// heartbeats that arrive again long after, and processes that are back within a fraction of a
+// second.
 
-// MakeUnreachable lets nothing reach these machines for d: no answer and no order, while
-// what they send goes on to arrive. With hold it is delivered when the time is over,
-// as far as it still counts then.
+// MakeUnreachable keeps all messages from machines for d, answers and commands alike, while what
+// they send arrives. With holdMessages the messages are delivered afterwards.
 func (w *World) MakeUnreachable(ids []string, d time.Duration, holdMessages bool) {
 	for _, id := range ids {
 		if m := w.machines[id]; m != nil {
@@ -22,9 +22,9 @@
 	}
 }
 
-// SampleMachineIDs draws a share of the machines that are up, at least one if there is any,
-// only of a zone unless that is empty.
-func (w *World) SampleMachineIDs(share float64, zone string, rng *rand.Rand) []string {
+// SampleMachineIDs draws a part of the machines that are up, at least one if there is any, of one
+// zone unless that is empty.
+func (w *World) SampleMachineIDs(fraction float64, zone string, rng *rand.Rand) []string {
 	var ids []string
 	for _, id := range sortedKeys(w.machines) {
 		if m := w.machines[id]; m.up(w.now) && (zone == "" || m.Zone == zone) {
@@ -32,17 +32,17 @@
 		}
 	}
 	rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-	return ids[:min(len(ids), max(1, int(share*float64(len(ids)))))]
+	return ids[:min(len(ids), max(1, int(fraction*float64(len(ids)))))]
 }
 
-// CopyHeartbeats lets a share of the reports of the next d arrive once more, at a controller
-// drawn anew, from a second to longest later. Nobody hears their answers.
-func (w *World) CopyHeartbeats(share float64, longest, d time.Duration) {
-	w.heartbeatCopyRate, w.heartbeatCopyMaxDelay, w.heartbeatCopiesUntil = share, longest, w.now.Add(d)
+// CopyHeartbeats makes a part of the heartbeats of the next d arrive once more, at a random
+// controller, from a second to longest later. Their answers are dropped.
+func (w *World) CopyHeartbeats(fraction float64, longest, d time.Duration) {
+	w.heartbeatCopyRate, w.heartbeatCopyMaxDelay, w.heartbeatCopiesUntil = fraction, longest, w.now.Add(d)
 	w.replayToNextLeader = false
 }
 
-// copyHeartbeat sends the copy of a report, if it gets one.
+// copyHeartbeat sends or keeps a copy of a heartbeat, if the fault affects it.
 func (w *World) copyHeartbeat(r model.Heartbeat) {
 	if !w.now.Before(w.heartbeatCopiesUntil) || w.rng.Float64() >= w.heartbeatCopyRate {
 		return
@@ -58,8 +58,8 @@
 	})
 }
 
-// holdIfUnreachable says that what is sent to a machine now doesn't arrive, and brings it later
-// if it is held.
+// holdIfUnreachable reports whether a message to a machine does not arrive now, and delivers it
+// later if it is held.
 func (w *World) holdIfUnreachable(m *Worker, deliver func()) bool {
 	if m == nil || !w.now.Before(m.unreachableUntil) {
 		return false
@@ -70,8 +70,8 @@
 	return true
 }
 
-// IsolateController cuts a controller off from the state service and the other controllers for
-// d, but not from its workers.
+// IsolateController cuts a controller off from the state service and the other controllers for d,
+// but not from its workers.
 func (w *World) IsolateController(i int, d time.Duration, refused, hold bool) {
 	p := w.controllers[i]
 	if refused {
@@ -86,8 +86,8 @@
 	}
 }
 
-// CrashBefore ends the first process that is about to send such an effect, or with sent
-// has just sent it; it is back after d.
+// CrashBefore crashes the first process that is about to send a matching effect or, with afterSend,
+// that has just sent it. The process is back after d.
 func (w *World) CrashBefore(d time.Duration, afterSend bool, matches func(message.Effect) bool) {
 	w.crashCondition = func(p *controllerProcess, e message.Effect) bool {
 		if !matches(e) {
@@ -101,7 +101,7 @@
 	}
 }
 
-// crashesOn says whether a process ended with this effect.
+// crashesOn reports whether a process crashed at this effect.
 func (w *World) crashesOn(p *controllerProcess, e message.Effect) bool {
 	ends := w.crashCondition
 	if ends == nil {
@@ -115,11 +115,11 @@
 	return false
 }
 
-// startPartialFault lets one of the troubles of this file begin, or lets a process or a worker
-// be back within a fraction of a second.
+// startPartialFault begins a random fault of this file, or restarts a process or worker within a
+// fraction of a second.
 func (w *World) startPartialFault(rng *rand.Rand) {
 	d := time.Duration(5+rng.IntN(60)) * time.Second
-	back := []time.Duration{50, 200, 500}[rng.IntN(3)] * time.Millisecond
+	restartAfter := []time.Duration{50, 200, 500}[rng.IntN(3)] * time.Millisecond
 	i, hold := rng.IntN(len(w.controllers)), rng.IntN(2) == 0
 	switch rng.IntN(6) {
 	case 0:
@@ -128,22 +128,22 @@
 		w.CopyHeartbeats(0.3, 5*w.settings.WorkerLease, d)
 	case 2:
 		for _, id := range w.SampleMachineIDs([]float64{0.05, 0.3}[rng.IntN(2)], "", rng) {
-			w.RestartWorker(w.machines[id], back)
+			w.RestartWorker(w.machines[id], restartAfter)
 		}
 	case 3:
 		w.IsolateController(i, d, rng.IntN(3) == 0, hold)
 	case 4:
-		w.CrashController(i, back)
+		w.CrashController(i, restartAfter)
 	case 5:
 		for k := range w.controllers {
-			w.CrashController(k, back)
+			w.CrashController(k, restartAfter)
 		}
 	}
 }
 
-// RestartWorker lets a machine's worker end and, after d, begin anew under the same name: without
-// tasks, images and tokens, in its first tenure. What was on its way to the process that
-// ended is lost with its connections.
+// RestartWorker ends a machine's worker and starts it after d under the same name: without tasks,
+// images and epoch, in its first incarnation. What was on its way to the old process is lost with
+// its connections.
 func (w *World) RestartWorker(m *Worker, d time.Duration) {
 	w.clearTasks(m)
 	clear(m.images)
--- a/internal/simulation/pipelines.go
+++ b/internal/simulation/pipelines.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,39 +11,39 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// pipelines.go has users who submit jobs that need others: chains, joins and fans, one job
-// after another, each as soon as those that it needs are accepted, and who cancel in the
-// middle of them.
+// This file has users who submit jobs with dependencies: chains, joins and fans, each job as soon
+// as its dependencies are accepted, and who cancel some of them meanwhile.
 
 const (
-	// minPipelines and maxPipelines bound how many pipelines come in a day, and
-	// jobsPerPipeline is how many other jobs there are for each.
+	// minPipelines and maxPipelines bound how many pipelines a day has, and jobsPerPipeline is how
+	// many other jobs there are for each.
 	minPipelines, maxPipelines, jobsPerPipeline = 10, 60, 3
-	// stepRunTime is how long the tasks of a step take, and pipelineExtraTime how much later
-	// than on other days is counted what was served: the last steps come last.
+	// stepRunTime is about how long the tasks of a step run, and pipelineExtraTime how much later
+	// than on other days served jobs are counted, as the last steps come last.
 	stepRunTime       = 20 * time.Second
 	pipelineExtraTime = 3 * time.Minute
-	// maxSteps is how many jobs stand one after the other, and maxParallelJobs how many side
-	// by side.
+	// maxSteps bounds the steps of a pipeline, and maxParallelJobs the jobs of a step.
 	maxSteps, maxParallelJobs = 4, 4
-	// cancelFraction of the pipelines have a job cancelled, and invalidFraction an impossible one.
+	// cancelFraction is the part of the pipelines that have a job cancelled, and invalidFraction
+	// the part that have a job with invalid dependencies.
 	cancelFraction, invalidFraction = 0.5, 0.2
-	// concurrentWindow is in how long several controllers are asked for one cancellation,
-	// or one for that and another for what needs the job.
+	// concurrentWindow is how soon after another several controllers are asked to cancel a job, or
+	// one is asked for that and another to accept a dependent of it.
 	concurrentWindow = 20 * time.Millisecond
 )
 
-// milestone is something that happens once to a job.
+// milestone is an event that happens once to a job.
 type milestone string
 
 const (
-	// milestoneAccepted is when its user was told so, milestoneTasksDone when the last of its tasks was
-	// done, and milestoneFinal when its user was told how it ended.
+	// milestoneAccepted is when the user knows that the job is accepted, milestoneTasksDone when
+	// its last task is done, and milestoneFinal when the user knows its final state.
 	milestoneAccepted  milestone = "accepted"
 	milestoneTasksDone milestone = "ended"
 	milestoneFinal     milestone = "over"
 )
 
+// hasReached reports whether a milestone has been reached.
 func (j *userJob) hasReached(m milestone) bool {
 	switch m {
 	case milestoneAccepted:
@@ -54,7 +55,7 @@
 	}
 }
 
-// onMilestone calls fn at a moment, or now when it is past.
+// onMilestone calls fn at a milestone, or now if it has been reached.
 func (j *userJob) onMilestone(m milestone, fn func()) {
 	if j.hasReached(m) {
 		fn()
@@ -63,7 +64,7 @@
 	j.hooks[m] = append(j.hooks[m], fn)
 }
 
-// runHooks calls what waits for moments that are there now.
+// runHooks calls what waits for milestones that have been reached.
 func (j *userJob) runHooks() {
 	for _, m := range []milestone{milestoneAccepted, milestoneTasksDone, milestoneFinal} {
 		if fns := j.hooks[m]; len(fns) > 0 && j.hasReached(m) {
@@ -75,7 +76,7 @@
 	}
 }
 
-// onAllReached calls fn when a moment has come for all of them.
+// onAllReached calls fn when all jobs have reached a milestone.
 func onAllReached(jobs []*userJob, m milestone, fn func()) {
 	left := len(jobs)
 	if left == 0 {
@@ -90,7 +91,7 @@
 	}
 }
 
-// linkDependencies links a job with those that it needs, as far as anybody submitted them.
+// linkDependencies links a job with its dependencies, as far as they were submitted.
 func (w *World) linkDependencies(j *userJob) {
 	j.dependenciesAccepted = len(j.spec.Dependencies) > 0
 	for _, id := range j.spec.Dependencies {
@@ -103,23 +104,23 @@
 	}
 }
 
-// submitAfter submits a job as soon as all that it needs, and others, came to a moment.
+// submitAfter submits a job as soon as all others have reached a milestone.
 func (w *World) submitAfter(j *userJob, m milestone, others ...*userJob) {
 	onAllReached(others, m, func() { w.submitJob(j) })
 }
 
-// CancelAt cancels a job at several controllers within a moment, from the first on, and
-// goes on until one confirms it.
+// CancelAt cancels a job at count controllers, from first on, within concurrentWindow, trying until
+// one confirms it.
 func (w *World) CancelAt(id string, first, count int) {
 	j := w.jobs[id]
 	j.cancelRequested = true
 	for i := range min(count, len(w.controllers)) {
 		to := (first + i) % len(w.controllers)
 		w.schedule(time.Duration(w.rng.Int64N(int64(concurrentWindow))), func() {
-			asked := w.now
+			requestedAt := w.now
 			w.userRequestTo(to, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
-				if r != nil && r.Status == 200 {
-					w.checkAnswer(j, asked, r)
+				if r != nil && r.Status == http.StatusOK {
+					w.checkAnswer(j, requestedAt, r)
 				} else if !isFinal(j.lastState) {
 					w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
 				}
@@ -128,15 +129,15 @@
 	}
 }
 
-// resubmit submits an accepted job once more: whatever became of those that it needs, it is
-// known.
+// resubmit submits an accepted job once more: it must be known, whatever became of its
+// dependencies.
 func (w *World) resubmit(j *userJob) {
-	node := w.rng.IntN(len(w.controllers))
-	w.checkedRequest(node, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
+	to := w.rng.IntN(len(w.controllers))
+	w.checkedRequest(to, j, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} })
 }
 
-// generatePipeline draws one: steps one after the other, of one job or several side by side, each
-// needing all of the step before, and a last job with the due time and a high urgency.
+// generatePipeline draws a pipeline: steps of one or several jobs, each depending on all jobs of
+// the step before, and an urgent last job with a deadline.
 func (d *Day) generatePipeline(w *World, rng *rand.Rand) (steps [][]*userJob) {
 	team := d.Settings.Teams[rng.IntN(d.Teams)].Name
 	var before []string
@@ -168,7 +169,7 @@
 	return steps
 }
 
-// submitPipelines has them come, and their users cancel.
+// submitPipelines schedules the day's pipelines, and cancellations of some of their jobs.
 func (d *Day) submitPipelines(w *World) {
 	if !d.Pipelines {
 		return
@@ -179,7 +180,7 @@
 		steps := d.generatePipeline(w, rng)
 		at := time.Duration(rng.Float64() * float64(span))
 		if d.Cancels != nil && rng.IntN(3) > 0 {
-			// So that much of it is under way when troubles meet.
+			// So that much of it is in progress when the faults overlap.
 			at = max(0, d.Cancels.At-time.Duration(rng.Float64()*float64(time.Minute)))
 		}
 		late := rng.IntN(4) == 0
@@ -211,9 +212,9 @@
 	}
 }
 
-// cancelPipelineJob has one job of a pipeline cancelled: at any time, at once, just as its last task
-// is done, or just as what needs it is submitted to another controller; at one controller
-// or several. Some submit one more job that names it later.
+// cancelPipelineJob schedules the cancellation of one job of a pipeline: at any time, at once, just
+// when its last task is done, or just when its dependents are submitted to another controller; at
+// one controller or several. Some users submit one more dependent of it later.
 func (d *Day) cancelPipelineJob(w *World, rng *rand.Rand, steps [][]*userJob, at time.Duration) {
 	k := rng.IntN(len(steps))
 	j := steps[k][rng.IntN(len(steps[k]))]
@@ -236,7 +237,7 @@
 	case 2:
 		j.onMilestone(milestoneTasksDone, func() { w.schedule(soon/2, cancelJob) })
 	case 3:
-		// What needs it is submitted when all of its step are accepted.
+		// Its dependents are submitted when all jobs of its step are accepted.
 		onAllReached(steps[k], milestoneAccepted, cancelJob)
 	}
 	if rng.IntN(2) == 0 {
@@ -248,8 +249,8 @@
 	}
 }
 
-// submitInvalidDependencies has a job submitted that can't be: it names one that was never accepted,
-// itself, or one twice.
+// submitInvalidDependencies submits a job that must be refused: it depends on a job that was never
+// accepted, on itself, or on one job twice.
 func (d *Day) submitInvalidDependencies(w *World, rng *rand.Rand, steps [][]*userJob) {
 	first := steps[0][0]
 	spec := first.spec
--- a/internal/simulation/promises.go
+++ b/internal/simulation/promises.go
@@ -7,22 +7,25 @@
 	"github.com/micahill/micahill/internal/promise"
 )
 
-// PromiseSummary is what became of a day's promised dates: by the totals in the state
-// service, and as users saw it: which part of the accepted jobs had a date with the
-// first answer, and the median date and finish of the done ones, in seconds.
+// PromiseSummary is the outcome of a day's promised completion dates. Ended to WorstS are the
+// totals in the state service; the rest is what users saw.
 type PromiseSummary struct {
-	Ended          int     `json:"ended"`
-	Made           int     `json:"made"`
-	Kept           float64 `json:"kept"`
-	Revised        int     `json:"revised"`
-	WorstS         float64 `json:"worst_s"`
-	DatedAtFirst   float64 `json:"first"`
-	MedianDateS    float64 `json:"median_date_s"`
-	MedianFinishS  float64 `json:"median_finish_s"`
+	Ended   int     `json:"ended"`
+	Made    int     `json:"made"`
+	Kept    float64 `json:"kept"`
+	Revised int     `json:"revised"`
+	WorstS  float64 `json:"worst_s"`
+	// DatedAtFirst is the part of the accepted jobs that had a promised date in the first answer.
+	// MedianDateS and MedianFinishS are the median promised and actual times from submission to
+	// completion of done jobs, in seconds.
+	DatedAtFirst  float64 `json:"first"`
+	MedianDateS   float64 `json:"median_date_s"`
+	MedianFinishS float64 `json:"median_finish_s"`
+	// PageWritesPerS is the rate of writes of pages of promised dates.
 	PageWritesPerS float64 `json:"pages_per_s"`
 }
 
-// promiseSummary sums up the dates of a day, nil without promises.
+// promiseSummary returns the outcome of the promises, nil if they are switched off.
 func (w *World) promiseSummary() *PromiseSummary {
 	if !w.settings.Capabilities.Promises {
 		return nil
--- a/internal/simulation/protocol_faults.go
+++ b/internal/simulation/protocol_faults.go
@@ -8,13 +8,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// product.go has the troubles of the protocol's addition: machines that nothing reaches,
-// late copies of reports, controllers that have nobody but their workers, and processes
-// and machines that are back within a fraction of a second.
+// This file has the faults that the protocol's addition names: unreachable machines, late copies of
+// heartbeats, controllers that reach only their workers, and processes and machines that are back
+// within a fraction of a second.
 
+// protocolFaultKinds are these faults. A kind that stands more often is drawn more often.
 var protocolFaultKinds = []string{"deaf_machine", "deaf_machine", "copies", "copies", "cut_alone", "cut_alone", "election", "election", "back_machine"}
 
-// generateProtocolFaults adds them to a day, from its own numbers.
+// generateProtocolFaults adds faults of this file to a day, with random numbers of its own.
 func generateProtocolFaults(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 2236))
 	for range 1 + rng.IntN(4) {
@@ -24,7 +25,7 @@
 		}
 		switch f.Kind {
 		case "deaf_machine":
-			// One, a tenth, or a whole zone's.
+			// One machine, a tenth of them, or a whole zone.
 			f.Duration, f.Fraction, f.RestartAfter = logUniform(rng, 5*time.Second, 10*time.Minute), []float64{1e-9, 0.1, 1}[rng.IntN(3)], 0
 			if f.Fraction == 1 {
 				f.Zone = d.Settings.Zones[len(d.Settings.Zones)-1]
@@ -44,12 +45,12 @@
 	d.sortFaults()
 }
 
-// logUniform draws a time between two, as often in each tenfold of it.
+// logUniform draws a duration from a to b, whose logarithm is uniform.
 func logUniform(rng *rand.Rand, a, b time.Duration) time.Duration {
 	return time.Duration(float64(a) * math.Pow(float64(b)/float64(a), rng.Float64()))
 }
 
-// startProtocolFault lets one of them begin, and says whether it is one.
+// startProtocolFault begins a fault of this file, and reports whether it is one.
 func (w *World) startProtocolFault(f Fault, rng *rand.Rand) bool {
 	p := w.controllers[f.Controller%len(w.controllers)]
 	switch f.Kind {
@@ -61,7 +62,7 @@
 	case "cut_alone":
 		w.IsolateController(p.index, f.Duration, f.Link == "refused", f.HoldMessages)
 	case "election":
-		// The one that leads, then the one that leads by then, then that again or all.
+		// The leader, then whoever leads by then, then again that one or all.
 		w.CrashController(w.leaderIndex(f.Controller), f.RestartAfter)
 		w.schedule(f.Delay, func() { w.CrashController(w.leaderIndex(f.Controller), f.RestartAfter) })
 		w.schedule(2*f.Delay, func() {
@@ -81,7 +82,7 @@
 	return true
 }
 
-// leaderName names who leads by the state service's record, if anyone.
+// leaderName returns who leads by the record in the state service, or "".
 func (w *World) leaderName() string {
 	var lead struct {
 		Host string `msgpack:"host"`
@@ -92,7 +93,7 @@
 	return lead.Host
 }
 
-// leaderIndex is the number of the controller that leads, or another one if none does.
+// leaderIndex returns the index of the controller that leads, or other if none does.
 func (w *World) leaderIndex(other int) int {
 	if i := w.controllerIndex(w.leaderName()); i >= 0 {
 		return i
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// maxOutdatedStartDelay is how long after a newer ranking a start that an older one decided may
-	// leave.
+	// maxOutdatedStartDelay is how long after a change of the ranking a start may leave that was
+	// decided under the older one.
 	maxOutdatedStartDelay = 2 * time.Second
-	// rankingSettleTime is how long a ranking must have held, and a job been accepted, for the
-	// owner surely to know of it, but for troubles.
+	// rankingSettleTime is how long a ranking must have held, and a job been accepted, for its
+	// shard leader to know of it, unless there are faults.
 	rankingSettleTime = 5 * time.Second
-	// maxOrderedWait is the shortest bound on waiting behind others: later the order is
-	// another's matter.
+	// maxOrderedWait is the shortest time after which aging may change the order of waiting jobs.
 	maxOrderedWait = 100 * time.Second
 )
 
-// rankingChecker checks what a ranking promises, from outside: no start that was decided under
-// an older one leaves late, and of two waiting jobs that a place suits the one behind
-// does not get it. A nil one checks nothing.
+// rankingChecker checks the ranking from outside: no start that was decided under an older ranking
+// leaves late, and of two waiting jobs that fit a machine the one that ranks lower does not get it.
+// A nil rankingChecker checks nothing.
 type rankingChecker struct {
 	world *World
-	// revisions are the ranking's, with when each came; the last one holds.
+	// revisions are the mod revisions of the ranking's record, and changedAt when each came; the
+	// last one holds.
 	revisions []uint64
 	changedAt []time.Time
-	table     *ranking.Table
-	// decidedUnder is the ranking that each attempt was decided under, left those whose start
-	// has left, and placed which tasks of a job ever got a place.
+	// table is the ranking that holds.
+	table *ranking.Table
+	// decidedUnder is the ranking that each attempt was decided under, startSent has the attempts
+	// whose start has left, and placedTasks the tasks of each job that were ever placed.
 	decidedUnder map[string]uint64
 	startSent    map[string]bool
 	placedTasks  map[string]map[int]bool
-	// only: starts are checked, and not the order.
+	// startsOnly: starts are checked, but not the order.
 	startsOnly bool
-	// OutdatedStarts counts starts that left after a newer ranking, in time.
+	// OutdatedStarts counts starts that left after a change of the ranking, in time.
 	OutdatedStarts int
 }
 
@@ -46,20 +47,20 @@
 	w.rankingCheck = &rankingChecker{world: w, revisions: []uint64{0}, changedAt: []time.Time{w.now}, decidedUnder: map[string]uint64{}, startSent: map[string]bool{}, placedTasks: map[string]map[int]bool{}}
 }
 
-// noteRanking notes which ranking stands in the state service.
+// noteRanking notes the ranking that the state service holds.
 func (r *rankingChecker) noteRanking() {
 	if r == nil {
 		return
 	}
 	row := r.world.state.records["ctl/ranking"]
-	stamp := uint64(0)
+	modRevision := uint64(0)
 	if row != nil {
-		stamp = row.modRevision
+		modRevision = row.modRevision
 	}
-	if stamp == r.revisions[len(r.revisions)-1] {
+	if modRevision == r.revisions[len(r.revisions)-1] {
 		return
 	}
-	r.revisions, r.changedAt = append(r.revisions, stamp), append(r.changedAt, r.world.now)
+	r.revisions, r.changedAt = append(r.revisions, modRevision), append(r.changedAt, r.world.now)
 	if row != nil {
 		if rec, err := ranking.Decode(row.value); err == nil {
 			r.table = rec.Table()
@@ -67,7 +68,8 @@
 	}
 }
 
-// onDecision sees the decisions of a core's step.
+// onDecision reads the decisions of a controller's step from its debug log: the event "placed" with
+// its keys job, task, try, machine and ranking.
 func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
 	l, ok := e.(message.Log)
 	if r == nil || !ok || l.Message != "placed" {
@@ -86,9 +88,8 @@
 	r.checkOrder(p, id, r.world.machines[fmt.Sprint(args["machine"])])
 }
 
-// checkOrder looks for a job that stands before one that just got a place, has waited
-// for a while, and could have had it. One that waits longer than the bound on waiting
-// goes first by right.
+// checkOrder looks for a job that ranks before one that was just placed, has waited for a while,
+// and fits the machine. A job that waits for longer than maxOrderedWait may go first by aging.
 func (r *rankingChecker) checkOrder(p *controllerProcess, id string, m *Worker) {
 	w := r.world
 	j := w.jobs[id]
@@ -102,7 +103,7 @@
 		switch {
 		case o == j || s.Team != j.spec.Team || s.Gang || s.SameZone || s.SpreadZones || o.isCancelled() || o.alwaysFails:
 		case !o.dependenciesDone() || w.now.Sub(o.eligibleSince()) < rankingSettleTime || len(j.dependents) > 0:
-			// What others need may go first for their sake.
+			// Jobs that others depend on may go first for their sake.
 		case r.table.Rank(s.Workload, int(s.Urgency)) >= place:
 		case o.lastState != "queued" || w.now.Sub(o.lastStateAt) < rankingSettleTime || len(r.placedTasks[x]) >= s.Tasks:
 		case !s.Need.Fits(j.spec.Need) || len(s.MachineTypes) > 0 || s.Zone != "" && s.Zone != m.Zone || m.Spot && !s.AllowSpot:
@@ -112,23 +113,23 @@
 	}
 }
 
-// onSend sees what surely leaves a controller.
+// onSend notes what leaves a controller for certain.
 func (r *rankingChecker) onSend(p *controllerProcess, e message.Effect) {
 	if r == nil {
 		return
 	}
-	var orders []model.TaskCommand
+	var commands []model.TaskCommand
 	switch x := e.(type) {
 	case message.WorkerRequest:
-		orders = x.Commands
+		commands = x.Commands
 	case message.HeartbeatReply:
-		orders = x.Commands
+		commands = x.Commands
 	}
-	for _, o := range orders {
+	for _, o := range commands {
 		name := fmt.Sprintf("%s/%d#%d", o.Job, o.Index, o.Attempt)
 		under, known := r.decidedUnder[name]
 		if o.Kind != model.StartTask || r.startSent[name] || !known {
-			// What may have left before is repeated as ever.
+			// Commands that may have left before are repeated as ever.
 			continue
 		}
 		r.startSent[name] = true
@@ -144,8 +145,8 @@
 	}
 }
 
-// SetRanking has a controller set a ranking, and tells its answer, if there is one.
-func (w *World) SetRanking(i int, c message.SetRanking, tell func(message.RankingReply)) {
+// SetRanking sets a ranking at controller i. onReply is called with the answer, if there is one.
+func (w *World) SetRanking(i int, c message.SetRanking, onReply func(message.RankingReply)) {
 	c.Deadline = w.now.Add(4 * time.Second)
-	w.controllers[i].request(func(reply uint64) message.Command { c.Reply = reply; return c }, func(e message.Effect) { tell(e.(message.RankingReply)) })
+	w.controllers[i].request(func(reply uint64) message.Command { c.Reply = reply; return c }, func(e message.Effect) { onReply(e.(message.RankingReply)) })
 }
--- a/internal/simulation/search.go
+++ b/internal/simulation/search.go
@@ -12,30 +12,30 @@
 	"github.com/micahill/micahill/internal/search"
 )
 
-// seek.go draws days for a search by the slack that they leave, changes them, and keeps
-// them as files that can be played again.
+// This file draws days for a search by the margins that they leave, mutates them, and keeps them as
+// files that can be played again.
 
 const (
-	// maxSearchFaults bounds the troubles of a day of a search.
+	// maxSearchFaults bounds the faults of a day of a search.
 	maxSearchFaults = 6
-	// maxSearchShift is how far a change shifts a trouble.
+	// maxSearchShift is how far a mutation shifts a fault.
 	maxSearchShift = 20 * time.Second
-	// firstSearchFault is when the first trouble may begin, and lastSearchFaultAfter how long after the last
-	// job has come the last one.
+	// firstSearchFault is when the first fault may begin, and lastSearchFaultAfter how long after
+	// the last submission the last one may.
 	firstSearchFault     = 20 * time.Second
 	lastSearchFaultAfter = time.Minute
-	// minSearchMachines is how many machines a day of a search has at least, and up to four
-	// times as many, and searchMinutes how long jobs come, if nothing is said: many short
-	// days show more than a few long ones.
+	// minSearchMachines is the least number of machines of a drawn day, which has up to four times
+	// as many, and searchMinutes how long jobs are submitted: many short days find more than a few
+	// long ones.
 	minSearchMachines = 15
 	searchMinutes     = 2
 )
 
-// UntimedRules is the margin's name of all rules without a time: 1, or -1 where one is broken.
+// UntimedRules names the margin of all rules without a time: 1, or -1 if a rule is broken.
 const UntimedRules = "others"
 
-// SearchProblem is what is searched among days of meetings like p; p's zeros are drawn. played is
-// told of each day that was played, from several at a time.
+// SearchProblem is the search among days with overlapping faults like p, whose zeros are drawn.
+// onResult is called with each day that was played, from several goroutines at a time.
 func SearchProblem(p DayParams, onResult func(DayResult)) search.Problem[Day] {
 	return search.Problem[Day]{
 		Generate: func(rng *rand.Rand) Day {
@@ -67,7 +67,7 @@
 	}
 }
 
-// margins are the seconds that are left to each rule with a time, and Untimed.
+// margins returns the seconds that are left to each timed rule, and UntimedRules.
 func (r *DayResult) margins() map[string]float64 {
 	out := map[string]float64{UntimedRules: 1}
 	if len(r.Violations) > 0 {
@@ -79,7 +79,7 @@
 	return out
 }
 
-// generateAnyFault draws any trouble with a time within the day's.
+// generateAnyFault draws a fault of any kind that begins within the day.
 func (d *Day) generateAnyFault(rng *rand.Rand) Fault {
 	f := d.generateFault(rng)
 	if rng.IntN(2) == 0 {
@@ -89,16 +89,17 @@
 	return f
 }
 
-// latestFaultStart is when the last trouble of a day of a search may begin.
+// latestFaultStart returns when the last fault of a day of a search may begin.
 func (d *Day) latestFaultStart() time.Duration {
 	return time.Duration(d.Minutes)*time.Minute + lastSearchFaultAfter
 }
 
+// clampFaultStart returns the time closest to at when a fault may begin.
 func (d *Day) clampFaultStart(at time.Duration) time.Duration {
 	return min(max(at, firstSearchFault), d.latestFaultStart())
 }
 
-// addFault adds a trouble near another one, so that they meet.
+// addFault adds a fault close to another one, so that they overlap.
 func (d *Day) addFault(rng *rand.Rand, f Fault) {
 	if len(d.Faults) > 0 {
 		f.At = d.clampFaultStart(d.Faults[rng.IntN(len(d.Faults))].At + randomShift(rng))
@@ -107,7 +108,8 @@
 	d.sortFaults()
 }
 
-// randomShift draws by how much something is shifted, small shifts as often as large ones.
+// randomShift draws by how much something is shifted; its logarithm is uniform, and its sign
+// random.
 func randomShift(rng *rand.Rand) time.Duration {
 	by := logUniform(rng, 50*time.Millisecond, maxSearchShift)
 	if rng.IntN(2) == 0 {
@@ -116,7 +118,7 @@
 	return by
 }
 
-// mutated is a day that differs from another one in one respect.
+// mutated returns a day that differs from d in one respect.
 func (d Day) mutated(rng *rand.Rand) Day {
 	d.Faults = slices.Clone(d.Faults)
 	if d.Cancels != nil {
@@ -159,7 +161,7 @@
 	return d
 }
 
-// Save writes a day as a file that Load reads again.
+// Save writes a day to a file that LoadDay reads.
 func (d Day) Save(file string) error {
 	b, err := json.MarshalIndent(d, "", "  ")
 	if err != nil {
@@ -168,8 +170,8 @@
 	return os.WriteFile(file, append(b, '\n'), 0o644)
 }
 
-// LoadDay reads a day that Save wrote: what its params say is drawn again, but its troubles
-// are those of the file.
+// LoadDay reads a day that Save wrote. The day is drawn again from its parameters, with the faults
+// and cancellations of the file.
 func LoadDay(file string) (Day, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -1,6 +1,6 @@
-// Package simulation holds our own models of the state service, the cloud, the
-// workers and the users, written from the protocol, and a world in simulated
-// time in which real cores meet them, with faults. The tests live on it.
+// Package simulation has models of the state service, the cloud, the workers and the users, written
+// from the protocol, and a world in virtual time in which real controllers meet them, with faults.
+// Most tests of the controllers' behaviour are built on it.
 package simulation
 
 import (
@@ -15,55 +15,59 @@
 // maxKeptChanges is how many changes the state service keeps for watches.
 const maxKeptChanges = 10000
 
-// StateService is a model of the state service. It knows nothing of networks:
-// the caller brings requests to it and takes answers away.
+// StateService is a model of the state service. It knows nothing of networks: the caller brings
+// requests to it and takes answers away. It is not safe for concurrent use.
 type StateService struct {
 	revision    uint64
 	records     map[string]*storedRecord
 	leases      map[uint64]*leaseState
 	lastLeaseID uint64
-	// writeCount counts the changes.
+	// writeCount counts the writes of transactions.
 	writeCount int
-	changes    []message.KeyValue
-	// onChange is told of every change, and pages counts those of pages of dates.
+	// changes are the kept changes, in the order of their revisions.
+	changes []message.KeyValue
+	// onChange, if not nil, is called with every change. pageWrites counts writes of pages of
+	// promised dates.
 	onChange   func(message.KeyValue)
 	pageWrites int
 	// compactedRevision is the newest revision whose change is no longer kept.
 	compactedRevision uint64
 	watches           []*pendingWatch
-	limits            *storeLimits
-	// Malformed counts requests that were malformed, with the last of them, and Refused
-	// those above the rates.
+	// limits is nil if the service has none; see SetLimits.
+	limits *storeLimits
+	// Malformed counts malformed requests, LastMalformed says what was wrong with the last of them,
+	// and RateLimited counts the requests above the rates.
 	Malformed     int
 	LastMalformed string
 	RateLimited   int
-	// Reads counts reads and watches, and most the most rows kept beside job/.
-	Reads int
 }
 
+// storedRecord is a record of the key-value store. leaseID is 0 if it has no lease.
 type storedRecord struct {
 	value       []byte
 	modRevision uint64
 	leaseID     uint64
 }
 
+// leaseState is a lease that has not expired.
 type leaseState struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
+// pendingWatch is a watch that waits for a change.
 type pendingWatch struct {
 	request   message.StoreRequest
 	expiresAt time.Time
 	answer    func(message.StoreResponse)
 }
 
-// NewStateService makes an empty one.
+// NewStateService makes an empty state service without limits.
 func NewStateService() *StateService {
 	return &StateService{records: map[string]*storedRecord{}, leases: map[uint64]*leaseState{}}
 }
 
-// Expire ends grants and watches whose time has come.
+// Expire ends the leases and watches whose time has come.
 func (s *StateService) Expire(now time.Time) {
 	ids := make([]uint64, 0, len(s.leases))
 	for id := range s.leases {
@@ -86,13 +90,14 @@
 	s.watches = keep
 }
 
-// RenewLeases gives every grant its full time again, as after an outage.
+// RenewLeases gives every lease its full time again, as after an outage.
 func (s *StateService) RenewLeases(now time.Time) {
-	for _, g := range s.leases {
-		g.expiresAt = now.Add(g.ttl)
+	for _, l := range s.leases {
+		l.expiresAt = now.Add(l.ttl)
 	}
 }
 
+// revokeLease ends a lease and deletes its records, in one revision.
 func (s *StateService) revokeLease(id uint64) {
 	delete(s.leases, id)
 	var keys []string
@@ -112,6 +117,7 @@
 	s.notifyWatches()
 }
 
+// remove deletes a record, if there is one.
 func (s *StateService) remove(key string) {
 	if _, ok := s.records[key]; ok {
 		delete(s.records, key)
@@ -119,13 +125,14 @@
 	}
 }
 
-func (s *StateService) recordChange(it message.KeyValue) {
-	s.changes = append(s.changes, it)
-	if strings.HasPrefix(it.Key, "open/~") {
+// recordChange keeps a change for watches.
+func (s *StateService) recordChange(kv message.KeyValue) {
+	s.changes = append(s.changes, kv)
+	if strings.HasPrefix(kv.Key, "open/~") {
 		s.pageWrites++
 	}
 	if s.onChange != nil {
-		s.onChange(it)
+		s.onChange(kv)
 	}
 	if len(s.changes) > maxKeptChanges {
 		s.compactedRevision = s.changes[0].ModRevision
@@ -133,6 +140,7 @@
 	}
 }
 
+// notifyWatches answers the watches for which there are changes.
 func (s *StateService) notifyWatches() {
 	keep := s.watches[:0]
 	var ready []*pendingWatch
@@ -149,31 +157,32 @@
 	}
 }
 
-func (s *StateService) changesSince(prefix string, rev uint64) []message.KeyValue {
+// changesSince returns the kept changes after a revision to keys with a prefix.
+func (s *StateService) changesSince(prefix string, revision uint64) []message.KeyValue {
 	var out []message.KeyValue
-	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > rev })
-	for _, it := range s.changes[i:] {
-		if strings.HasPrefix(it.Key, prefix) {
-			out = append(out, it)
+	i := sort.Search(len(s.changes), func(i int) bool { return s.changes[i].ModRevision > revision })
+	for _, kv := range s.changes[i:] {
+		if strings.HasPrefix(kv.Key, prefix) {
+			out = append(out, kv)
 		}
 	}
 	return out
 }
 
-// malformed says that a request breaks the limits of now.
+// malformed reports whether a request exceeds the present limits.
 func (s *StateService) malformed(op *message.StoreRequest) bool {
-	return s.limits != nil && s.limits.malformedReason(op) != ""
+	return s.limits != nil && s.limits.validate(op) != nil
 }
 
-// Do executes a request; the answer may come later, for a watch. Without limits, set
-// by Limit, it takes requests of any size, as often as they come.
+// Do executes a request. The answer to a watch may come later, from another call. Without limits it
+// takes requests of any size, as often as they come.
 func (s *StateService) Do(now time.Time, op message.StoreRequest, answer func(message.StoreResponse)) {
 	s.Expire(now)
 	out := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: s.revision}
 	if s.limits != nil {
-		if why := s.limits.malformedReason(&op); why != "" {
+		if err := s.limits.validate(&op); err != nil {
 			s.Malformed++
-			s.LastMalformed = why
+			s.LastMalformed = err.Error()
 			answer(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed})
 			return
 		}
@@ -183,9 +192,6 @@
 			return
 		}
 	}
-	if op.Kind != message.OpTxn {
-		s.Reads++
-	}
 	switch op.Kind {
 	case message.OpGet:
 		if r, ok := s.records[op.Key]; ok {
@@ -209,8 +215,8 @@
 		s.leases[s.lastLeaseID] = &leaseState{op.TTL, now.Add(op.TTL)}
 		out.LeaseID = s.lastLeaseID
 	case message.OpLeaseRenew:
-		if g, ok := s.leases[op.LeaseID]; ok {
-			g.expiresAt = now.Add(g.ttl)
+		if l, ok := s.leases[op.LeaseID]; ok {
+			l.expiresAt = now.Add(l.ttl)
 		} else {
 			out.Status = message.StoreNotFound
 		}
@@ -226,16 +232,19 @@
 	answer(out)
 }
 
-// listPage is small, so that tests turn pages. An answer has at most listBytes.
+// listPage is how many rows a list has without limits; it is small, so that tests read several
+// pages. An answer has at most listBytes.
 const (
 	listPage  = 100
 	listBytes = 512 << 10
 )
 
-func (s *StateService) list(prefix, from string) ([]message.KeyValue, bool) {
+// list returns a page of the records with a prefix whose keys come after startAfter, and whether there
+// are more.
+func (s *StateService) list(prefix, startAfter string) ([]message.KeyValue, bool) {
 	var keys []string
 	for k := range s.records {
-		if strings.HasPrefix(k, prefix) && k > from {
+		if strings.HasPrefix(k, prefix) && k > startAfter {
 			keys = append(keys, k)
 		}
 	}
@@ -259,6 +268,7 @@
 	return out, more
 }
 
+// txn applies the writes of a transaction if all compares hold.
 func (s *StateService) txn(op message.StoreRequest, out *message.StoreResponse) {
 	for _, a := range op.Writes {
 		if _, ok := s.leases[a.LeaseID]; a.Value != nil && a.LeaseID != 0 && !ok {
@@ -267,11 +277,11 @@
 		}
 	}
 	for _, c := range op.Compares {
-		var stamp uint64
+		var modRevision uint64
 		if r, ok := s.records[c.Key]; ok {
-			stamp = r.modRevision
+			modRevision = r.modRevision
 		}
-		if stamp != c.ModRevision {
+		if modRevision != c.ModRevision {
 			out.FailedKeys = append(out.FailedKeys, c.Key)
 		}
 	}
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -12,28 +12,29 @@
 	"golang.org/x/time/rate"
 )
 
-// StoreRateLimited stands for a 429, of which the cores never hear: their client tries
+// StoreRateLimited stands for the status 429, which controllers never see: their client tries
 // again.
 const StoreRateLimited message.StoreStatus = -1
 
-// storeLimits are those of the protocol and the settings. Sizes are counted by writing the
-// JSON, on purpose: the controllers reckon them another way, and would agree with
-// their own mistakes.
+// storeLimits are the limits of the protocol and the settings. Sizes are counted by encoding the
+// JSON, on purpose: the controllers compute them in another way, and would agree with their own
+// mistakes.
 type storeLimits struct {
 	valueBytes, writesPerTxn, pageRows int
 	requests, writes                   *rate.Limiter
 }
 
 const (
+	// maxKeyBytes bounds a key, and maxTxnBytes a transaction, as in the protocol.
 	maxKeyBytes = 200
 	maxTxnBytes = 64 << 10
 	// maxPageRows is how many rows a list has at most.
 	maxPageRows = 1000
 )
 
-// SetLimits makes the service keep the limits of the settings: the size of values and
-// transactions, and requests and changes a second with bursts of one second's worth.
-// Settings that say nothing of sizes leave it without limits.
+// SetLimits sets the limits on the size of values and transactions, and on requests and writes a
+// second, with bursts of one second's worth. Settings without sizes leave the service without
+// limits.
 func (s *StateService) SetLimits(settings controller.Settings) {
 	if settings.MaxTxnWrites == 0 || settings.MaxValueBytes == 0 {
 		return
@@ -50,59 +51,60 @@
 	}
 }
 
-// allow takes a request's part of the rates, if there is enough left. A transaction
-// that is refused for its changes counts as a request all the same.
+// allow takes a request's part of the rates, if there is enough left. A transaction that is refused
+// for its writes counts as a request all the same.
 func (l *storeLimits) allow(now time.Time, op *message.StoreRequest) bool {
 	return l.requests.AllowN(now, 1) && (len(op.Writes) == 0 || l.writes.AllowN(now, len(op.Writes)))
 }
 
-// malformedReason says what a 400 is for, or nothing.
-func (l *storeLimits) malformedReason(op *message.StoreRequest) string {
+// validate returns an error that says why the protocol has a request answered 400, or nil.
+func (l *storeLimits) validate(op *message.StoreRequest) error {
 	if op.Kind != message.OpTxn {
-		return ""
+		return nil
 	}
 	if len(op.Writes) > l.writesPerTxn {
-		return fmt.Sprintf("%d changes", len(op.Writes))
+		return fmt.Errorf("%d changes", len(op.Writes))
 	}
 	if len(op.Compares) > 4*l.writesPerTxn {
-		return fmt.Sprintf("%d conditions", len(op.Compares))
+		return fmt.Errorf("%d conditions", len(op.Compares))
 	}
 	whole := obj{}
-	var when, apply []any
+	var compares, writes []any
 	for _, c := range op.Compares {
 		if !isValidKey(c.Key) {
-			return "key " + c.Key
+			return fmt.Errorf("key %s", c.Key)
 		}
-		when = append(when, obj{"key": c.Key, "stamp": c.ModRevision})
+		compares = append(compares, obj{"key": c.Key, "stamp": c.ModRevision})
 	}
 	for _, a := range op.Writes {
 		if !isValidKey(a.Key) {
-			return "key " + a.Key
+			return fmt.Errorf("key %s", a.Key)
 		}
 		if a.Value == nil {
-			apply = append(apply, obj{"remove": a.Key})
+			writes = append(writes, obj{"remove": a.Key})
 			continue
 		}
 		var v any
 		if err := msgpack.Unmarshal(a.Value, &v); err != nil {
-			return "no value for " + a.Key
+			return fmt.Errorf("no value for %s", a.Key)
 		}
 		b, err := json.Marshal(v)
 		if err != nil {
-			return "no value for " + a.Key
+			return fmt.Errorf("no value for %s", a.Key)
 		}
 		if len(b) > l.valueBytes {
-			return fmt.Sprintf("%d bytes for %s", len(b), a.Key)
+			return fmt.Errorf("%d bytes for %s", len(b), a.Key)
 		}
-		apply = append(apply, obj{"put": a.Key, "value": json.RawMessage(b), "permit": a.LeaseID})
+		writes = append(writes, obj{"put": a.Key, "value": json.RawMessage(b), "permit": a.LeaseID})
 	}
-	whole["when"], whole["apply"] = when, apply
+	whole["when"], whole["apply"] = compares, writes
 	if b, err := json.Marshal(whole); err != nil || len(b) > maxTxnBytes {
-		return fmt.Sprintf("%d bytes", len(b))
+		return fmt.Errorf("%d bytes", len(b))
 	}
-	return ""
+	return nil
 }
 
+// isValidKey reports whether the protocol allows a key.
 func isValidKey(k string) bool {
 	return k != "" && len(k) <= maxKeyBytes && !strings.ContainsAny(k, " \t\n")
 }
--- a/internal/simulation/unlisted_faults.go
+++ b/internal/simulation/unlisted_faults.go
@@ -8,46 +8,48 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// unlisted.go has the troubles that no list named: of machines that come up late or
-// never, users who ask again and again, mistakes, guests, ends in a row, and links and
-// services that are half there.
+// This file has the faults that the operators did not list: machines that become ready late or
+// never, users who query again and again, jobs that always fail, a team that joins, repeated
+// crashes, and links and services that work in part.
 
-// disturbances is what lately holds for machines that are rented, users and prices.
+// disturbances are the temporary conditions for rented machines, users and answers.
 type disturbances struct {
-	// boots: machines rented until then come up so many times later, or never.
+	// slowProvisioningUntil: machines that are rented until then take provisioningFactor times as
+	// long to become ready, or, in a part neverReadyFraction, never do.
 	slowProvisioningUntil time.Time
 	provisioningFactor    float64
 	neverReadyFraction    float64
-	// pollStormUntil: users ask so many times as often.
+	// pollStormUntil: until then users query pollFactor times as often.
 	pollStormUntil time.Time
 	pollFactor     float64
-	// answers are slow by so much until then, all of the cloud's and the state's.
+	// slowAnswersUntil: until then answers of the cloud and the state service are up to answerDelay
+	// late.
 	slowAnswersUntil time.Time
 	answerDelay      time.Duration
 }
 
-// provisioningTime is how long a machine that is rented now takes to come up: mostly near what
-// the flavour says, now and then several times as long, and a few never.
+// provisioningTime draws how long a machine that is rented now takes to become ready: mostly about
+// what its type says, sometimes several times as long, and rarely for ever.
 func (w *World) provisioningTime(f model.MachineType) time.Duration {
 	d := w.jitter(f.ProvisioningTime)
 	if w.disturbances == nil {
 		return d
 	}
 	const never = 1000 * time.Hour
-	late, no, factor := 0.05, 0.01, 4.0
+	lateFraction, neverFraction, factor := 0.05, 0.01, 4.0
 	if w.now.Before(w.disturbances.slowProvisioningUntil) {
-		late, no, factor = 1, w.disturbances.neverReadyFraction, w.disturbances.provisioningFactor
+		lateFraction, neverFraction, factor = 1, w.disturbances.neverReadyFraction, w.disturbances.provisioningFactor
 	}
 	switch x := w.rng.Float64(); {
-	case x < no:
+	case x < neverFraction:
 		return never
-	case x < no+late:
+	case x < neverFraction+lateFraction:
 		return time.Duration(float64(d) * factor)
 	}
 	return d
 }
 
-// pollInterval is how long a user waits before asking again.
+// pollInterval returns how long a user waits before the next query.
 func (w *World) pollInterval(d time.Duration) time.Duration {
 	if w.disturbances != nil && w.now.Before(w.disturbances.pollStormUntil) {
 		return time.Duration(float64(d) / w.disturbances.pollFactor)
@@ -55,11 +57,12 @@
 	return d
 }
 
-// unlistedKinds are the troubles that only such days have.
+// unlistedKinds are the kinds of this file, and those that such days have more of. A kind that
+// stands more often is drawn more often.
 var unlistedKinds = []string{"boots", "boots", "boots", "polls", "polls", "again", "again_all", "one_way", "one_way", "slow_answers", "lazy", "capacity", "price", "faulty", "cut", "cut", "refused"}
 
-// generateUnlistedFaults adds what no list named to a day: from its own numbers, so that the rest
-// of the day is as without it.
+// generateUnlistedFaults adds faults of this file to a day, with random numbers of its own: the
+// rest of the day is as without it.
 func generateUnlistedFaults(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 1618))
 	d.failingFraction = []float64{0, 0.04, 0.04, 0.1}[rng.IntN(4)]
@@ -89,7 +92,7 @@
 	d.sortFaults()
 }
 
-// startUnlistedFault lets a trouble of no list begin, and says whether it is one.
+// startUnlistedFault begins a fault of this file, and reports whether it is one.
 func (w *World) startUnlistedFault(f Fault, rng *rand.Rand) bool {
 	switch f.Kind {
 	case "boots":
@@ -110,7 +113,7 @@
 			}
 		}
 	case "one_way":
-		// Answers or requests alone are lost.
+		// Either answers or requests are lost.
 		name := w.controllers[f.Controller%len(w.controllers)].name
 		if f.HoldMessages {
 			w.partitionOneWay(name, f.Link, f.Duration)
@@ -147,8 +150,8 @@
 	return true
 }
 
-// submitGuestJobs has a guest team come in the middle of the day: some long jobs without any
-// aim, one of very many short tasks, and many of a single task.
+// submitGuestJobs schedules the jobs of the guest team in the middle of the day: some long jobs
+// without an SLO, one of very many short tasks, and many of a single task.
 func (d *Day) submitGuestJobs(w *World, rng *rand.Rand, span time.Duration) {
 	if d.guestTeam == "" {
 		return
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -1,6 +1,7 @@
 package simulation
 
 import (
+	"net/http"
 	"slices"
 	"time"
 
@@ -8,74 +9,86 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// userJob is a job as its user knows it.
+// userJob is a job as its user knows it, with what the workers did of it.
 type userJob struct {
-	spec        model.JobSpec
-	run         time.Duration
+	spec model.JobSpec
+	// run is how long a task runs.
+	run time.Duration
+	// alwaysFails: its tasks fail on every machine.
 	alwaysFails bool
 	doneTasks   map[int]bool
+	// checkpoints is the run time that each task has left after its last checkpoint.
 	checkpoints map[int]time.Duration
-	// machines are the machines that have, or had, a task, and began when each was
-	// first on one.
+	// machines are the machines that have, or had, an attempt of each task, and firstStarts when
+	// each task first ran.
 	machines    map[int][]*Worker
 	firstStarts map[int]time.Time
 
-	accepted        bool
+	// accepted: the user was answered that the job is accepted.
+	accepted bool
+	// lastState is the newest state that the user was answered, since lastStateAt.
 	lastState       string
 	lastStateAt     time.Time
 	cancelRequested bool
-	refusedStatus   int
-	submitted       time.Time
-	finished        time.Time
-	// promised is the newest date that was told, and rev its revision.
+	// refusedStatus is the HTTP status with which the job was refused for good, or 0.
+	refusedStatus int
+	submitted     time.Time
+	finished      time.Time
+	// promised is the newest promised time from submission to completion, and promiseRevision its
+	// revision.
 	promised        time.Duration
 	promiseRevision int
-	// FirstDate: the first answer told a date.
+	// promisedAtFirst: the first answer had a promised date.
 	promisedAtFirst bool
-	// cancelledAt is when the first answer left a controller that says so: from then on
-	// its user could have been told, also if it came late or never.
+	// cancelledAt is when the first answer that says that the job is cancelled left a controller:
+	// the user may know since then, even if that answer came late or never.
 	cancelledAt time.Time
-	// answeredAt is when a question was last answered, and silent: that none was for too
-	// long was told.
+	// answeredAt is when a query was last answered. silenceReported: that queries went unanswered
+	// for too long was reported.
 	answeredAt      time.Time
 	silenceReported bool
-	// placedAt is when a task was last given to a machine, and waitingSince since when one
-	// waits beside room for it; waitReported: that this was too long was told.
+	// placedAt is when a task was last started on a machine, and waitingSince since when one waits
+	// while there is free capacity for it. waitReported: that this was too long was reported.
 	placedAt, waitingSince time.Time
 	waitReported           bool
-	// replicas are a standing job's, as they come and go.
+	// replicas are the replicas of a long-running job by index.
 	replicas map[int]*replica
-	// dependencies are the jobs that it needs, and followers those that need it.
+	// dependencies are the jobs that it depends on, and dependents those that depend on it.
 	dependencies, dependents []*userJob
-	// tasksDoneAt is when the last of its tasks was done, and moments what waits for what.
+	// tasksDoneAt is when the last of its tasks was done, and hooks are what waits for milestones.
 	tasksDoneAt time.Time
 	hooks       map[milestone][]func()
-	// dependenciesAccepted: when it was submitted its user knew that all that it needs was accepted.
+	// dependenciesAccepted: its user knew at the submission that all its dependencies were
+	// accepted.
 	dependenciesAccepted bool
-	// impossible: it names what no job may need, and is to be refused for good.
+	// invalid: its dependencies are invalid, and it must be refused for good.
 	invalid bool
-	// orphanReported: that it is not cancelled with one before it was told.
+	// orphanReported: that it was not cancelled with a dependency was reported.
 	orphanReported bool
 }
 
+// saveCheckpoint notes the run time that a task has left, unless an earlier checkpoint left less.
 func (j *userJob) saveCheckpoint(i int, remaining time.Duration) {
 	if old, ok := j.checkpoints[i]; !ok || remaining < old {
 		j.checkpoints[i] = remaining
 	}
 }
 
+// newUserJob makes a job that nobody has submitted yet.
 func newUserJob(spec model.JobSpec, run time.Duration) *userJob {
 	return &userJob{spec: spec, run: run, doneTasks: map[int]bool{}, checkpoints: map[int]time.Duration{}, machines: map[int][]*Worker{}, firstStarts: map[int]time.Time{}, replicas: map[int]*replica{},
 		hooks: map[milestone][]func(){}}
 }
 
-// Submit sends a job and keeps trying, then polls until it is over.
+// Submit submits a job, trying until it is accepted or refused for good, and then queries it from
+// time to time.
 func (w *World) Submit(spec model.JobSpec, run time.Duration, alwaysFails bool) {
 	j := newUserJob(spec, run)
 	j.alwaysFails = alwaysFails
 	w.submitJob(j)
 }
 
+// submitJob is Submit of a job that exists already.
 func (w *World) submitJob(j *userJob) {
 	j.submitted = w.now
 	w.jobs[j.spec.ID] = j
@@ -83,22 +96,23 @@
 	w.trySubmit(j)
 }
 
-// userRequest sends a request to a random living controller, with a deadline.
-func (w *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, tell func(*message.UserReply)) {
-	w.userRequestTo(-1, newCommand, deadline, tell)
+// userRequest sends a request to a random controller. onReply gets the answer, or nil at the
+// deadline.
+func (w *World) userRequest(newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
+	w.userRequestTo(-1, newCommand, deadline, onReply)
 }
 
-// userRequestTo is userRequest to one controller, unless that is -1.
-func (w *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, tell func(*message.UserReply)) {
-	asked := w.now
+// userRequestTo is userRequest to the controller with index to, unless that is -1.
+func (w *World) userRequestTo(to int, newCommand func(uint64) message.Command, deadline time.Duration, onReply func(*message.UserReply)) {
+	requestedAt := w.now
 	fn := func(r *message.UserReply) {
 		if r != nil && w.onAnswer != nil {
-			w.onAnswer(asked, *r)
+			w.onAnswer(requestedAt, *r)
 		}
-		if r != nil && r.Status == 503 {
+		if r != nil && r.Status == http.StatusServiceUnavailable {
 			w.RefusedRequests++
 		}
-		tell(r)
+		onReply(r)
 	}
 	p := w.controllers[w.rng.IntN(len(w.controllers))]
 	if to >= 0 {
@@ -123,17 +137,18 @@
 	})
 }
 
+// trySubmit is one attempt to submit a job.
 func (w *World) trySubmit(j *userJob) {
-	asked := w.now
+	requestedAt := w.now
 	w.userRequest(func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: j.spec} }, 5*time.Second, func(r *message.UserReply) {
 		switch {
-		case r != nil && (r.Status == 201 || r.Status == 200):
+		case r != nil && (r.Status == http.StatusCreated || r.Status == http.StatusOK):
 			if j.invalid {
 				w.violate("accepted_wrongly", "%s needs %v", j.spec.ID, j.spec.Dependencies)
 			}
-			w.checkAnswer(j, asked, r)
+			w.checkAnswer(j, requestedAt, r)
 			w.schedule(w.jitter(5*time.Second), func() { w.poll(j) })
-		case r != nil && (r.Status == 400 || r.Status == 422):
+		case r != nil && (r.Status == http.StatusBadRequest || r.Status == http.StatusUnprocessableEntity):
 			j.refusedStatus = r.Status
 			if j.accepted {
 				w.violate("forgotten", "%s answered %d", j.spec.ID, r.Status)
@@ -147,14 +162,15 @@
 	})
 }
 
+// poll queries a job, and again some time later.
 func (w *World) poll(j *userJob) {
-	asked := w.now
+	requestedAt := w.now
 	w.userRequestTo(w.stickyController(j), func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: j.spec.ID} }, 2*time.Second, func(r *message.UserReply) {
-		if r != nil && (r.Status == 200 || r.Status == 404) {
-			w.checkAnswer(j, asked, r)
+		if r != nil && (r.Status == http.StatusOK || r.Status == http.StatusNotFound) {
+			w.checkAnswer(j, requestedAt, r)
 		}
 		w.checkPollsAnswered(j)
-		// Ends are asked for again now and then, for a state that went back.
+		// Ended jobs are queried as well, as their state must not change any more.
 		pause := w.pollInterval(5 * time.Second)
 		if j.lastState == "done" || j.lastState == "cancelled" {
 			pause = 30 * time.Second
@@ -166,33 +182,33 @@
 	})
 }
 
-// Cancel cancels a job, trying until it is told so.
+// Cancel cancels a job, trying until a controller confirms it.
 func (w *World) Cancel(id string) {
-	j, asked := w.jobs[id], w.now
+	j, requestedAt := w.jobs[id], w.now
 	j.cancelRequested = true
 	w.userRequest(func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
-		if r == nil || r.Status != 200 {
+		if r == nil || r.Status != http.StatusOK {
 			w.schedule(w.jitter(time.Second), func() { w.Cancel(id) })
 			return
 		}
-		w.checkAnswer(j, asked, r)
+		w.checkAnswer(j, requestedAt, r)
 	})
 }
 
-// QueryUnknownJob asks for a job that nobody submitted.
+// QueryUnknownJob queries a job that nobody submitted.
 func (w *World) QueryUnknownJob(id string) {
 	w.userRequest(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
-		if r != nil && r.Status == 200 {
+		if r != nil && r.Status == http.StatusOK {
 			w.violate("invented", "%s", id)
 		}
 	})
 }
 
-// checkAnswer checks an answer to a question that was asked at some moment against what was said
-// before.
-func (w *World) checkAnswer(j *userJob, asked time.Time, r *message.UserReply) {
+// checkAnswer checks an answer to a request that was sent at requestedAt against what the user
+// knows.
+func (w *World) checkAnswer(j *userJob, requestedAt time.Time, r *message.UserReply) {
 	id := j.spec.ID
-	if r.Status == 404 {
+	if r.Status == http.StatusNotFound {
 		if j.accepted {
 			w.violate("forgotten", "%s answered 404", id)
 		}
@@ -204,7 +220,7 @@
 	isNew := !j.accepted || isFinal(r.State) && j.lastState != r.State
 	j.accepted, j.answeredAt = true, w.now
 	if r.PromiseRevision > 0 {
-		// An answer to an abort may overtake one to a poll.
+		// The answer to a cancellation may overtake one to a query.
 		if r.PromiseRevision < j.promiseRevision && !j.cancelRequested || r.PromiseRevision == j.promiseRevision && r.PromisedAfter != j.promised {
 			w.violate("older_date", "%s was promised %v as revision %d, then %v as %d", id, j.promised, j.promiseRevision, r.PromisedAfter, r.PromiseRevision)
 		}
@@ -214,9 +230,9 @@
 	}
 	switch {
 	case (j.lastState == "done" || j.lastState == "cancelled") && r.State != j.lastState:
-		// A question that was asked before the end was told may be answered after it, by
-		// another controller: users ask several things at a time.
-		if !asked.Before(j.lastStateAt) {
+		// A request that was sent before the user knew of the end may be answered after it by
+		// another controller: users send several requests at a time.
+		if !requestedAt.Before(j.lastStateAt) {
 			w.violate("went_back", "%s was %s, is called %s", id, j.lastState, r.State)
 		}
 		return
@@ -237,7 +253,7 @@
 	j.runHooks()
 }
 
-// checkStart judges the start of a task on m.
+// checkStart checks the rules for the start of a task on m.
 func (w *World) checkStart(m *Worker, t *workerTask) {
 	w.Starts++
 	j := t.job
@@ -280,27 +296,28 @@
 	}
 }
 
-// noteCancelConfirmed notes that an answer leaves that says that a job is cancelled.
+// noteCancelConfirmed notes that an answer leaves a controller, and since when one says that the
+// job is cancelled.
 func (w *World) noteCancelConfirmed(r message.UserReply) {
 	j := w.jobs[r.ID]
 	if j == nil {
 		return
 	}
 	w.checkOrphan(j, &r)
-	if r.Status == 200 && r.State == "cancelled" && j.cancelledAt.IsZero() {
+	if r.Status == http.StatusOK && r.State == "cancelled" && j.cancelledAt.IsZero() {
 		j.cancelledAt = w.now
 		w.checkDependents(j)
 	}
 }
 
-// isCancelOverdue says that a job's tasks have to be gone by now.
+// isCancelOverdue reports whether a job's tasks must be gone by now.
 func (w *World) isCancelOverdue(j *userJob) bool {
 	since := j.cancelledSince()
 	return !since.IsZero() && w.now.Sub(since) > w.cancelWithin
 }
 
-// eachPlacedTask calls fn with the tasks of a job that are on machines: those with an
-// index, or all where the zones of the others matter.
+// eachPlacedTask calls fn with the attempts on machines of the task with an index, or of all tasks
+// if the job limits the zones that they may share.
 func (w *World) eachPlacedTask(j *userJob, fn func(int, *Worker, *workerTask), index int) {
 	scanTask := func(i int) {
 		j.machines[i] = slices.DeleteFunc(j.machines[i], func(m *Worker) bool {
@@ -325,6 +342,7 @@
 	}
 }
 
+// team returns a team by name, or the zero Team.
 func (w *World) team(name string) model.Team {
 	for _, t := range w.settings.Teams {
 		if t.Name == name {
@@ -334,7 +352,7 @@
 	return model.Team{}
 }
 
-// checkReplySize judges the size of an answer to a worker.
+// checkReplySize checks that the answer to a heartbeat is not too large.
 func (w *World) checkReplySize(a message.HeartbeatReply) {
 	size := 0
 	for _, o := range a.Commands {
@@ -346,15 +364,15 @@
 }
 
 const (
-	// maxBodyBytes bounds bodies to workers, and commandBytes is what an order takes as
-	// JSON beside its job's name.
+	// maxBodyBytes bounds bodies to workers, and commandBytes is what a command takes as JSON
+	// beside its job's name.
 	maxBodyBytes = 64 << 10
 	commandBytes = len(`{"verb": "start", "piece": "/100000", "try": 1000, "wind_down_s": 10.0}, `)
 )
 
-// checkCancellations judges cancellations, on all machines that are there: also on those that are
-// silent, hang or hear nothing, until their leases end. A task whose image came while its
-// machine hung is on it as well.
+// checkCancellations checks that the tasks of cancelled jobs are gone in time on all machines, also
+// on those that are unheard, hang or are unreachable until their leases end. A task whose image was
+// fetched while its machine hung counts as running.
 func (w *World) checkCancellations() {
 	for _, m := range w.fleet {
 		for _, t := range m.tasks {
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -20,82 +20,103 @@
 	heartbeatRetryPause = time.Second
 )
 
-// Worker is a model of one machine's worker.
+// Worker is a model of one machine with its worker.
 type Worker struct {
+	// ID names the machine, and Addr is where its worker is reached.
 	ID          string
 	Addr        string
 	MachineType string
 	Zone        string
 	Spot        bool
 	Size        model.Resources
-	FetchRate   float64
+	// FetchRate is how fast it fetches images, in GB/s.
+	FetchRate float64
 
+	// rentedAt is when it was rented, and upAt when its worker starts.
 	rentedAt time.Time
 	upAt     time.Time
 	dead     bool
 	diedAt   time.Time
 	released bool
-	// taken: by the cloud; goneAt is when it was that or returned. used: some task
-	// was ever started on it.
-	reclaimed  bool
-	goneAt     time.Time
-	everUsed   bool
-	hungUntil  time.Time
+	// reclaimed: the cloud took the machine back. goneAt is when that happened or it was released.
+	reclaimed bool
+	goneAt    time.Time
+	// everUsed: some task ran on it.
+	everUsed bool
+	// hungUntil: the worker hangs until then.
+	hungUntil time.Time
+	// slowFactor is how many times longer tasks run on it; 0 means as long as usual.
 	slowFactor float64
-	faulty     bool
-	// process counts the processes that its worker was.
+	// faulty: every task fails on it.
+	faulty bool
+	// process counts the restarts of the worker.
 	process int
-	// lazy: it reports and takes orders, and never starts anything.
+	// ignoresStarts: it sends heartbeats and takes commands, and never starts a task.
 	ignoresStarts bool
-	reclaimAt     time.Time
-	// unreachableUntil: nothing reaches it until then, and holdWhileUnreachable: it does so afterwards.
+	// reclaimAt is when the cloud takes it back, if it has announced that.
+	reclaimAt time.Time
+	// unreachableUntil: nothing reaches it until then. With holdWhileUnreachable messages are
+	// delivered afterwards, else lost.
 	unreachableUntil     time.Time
 	holdWhileUnreachable bool
 	// unheardUntil: it reaches no controller until then.
 	unheardUntil time.Time
-	// recentFree is what was free on it when it was last looked at what waits.
+	// recentFree is the free capacity at the last checks for waiting jobs; see resourceUse.
 	recentFree []model.Resources
 
+	// incarnation, sequence and epoch are those of its heartbeats.
 	incarnation uint64
 	sequence    uint64
 	epoch       uint64
-	leaseStart  time.Time
-	images      map[string]time.Time
-	tasks       map[string]*workerTask
+	// leaseStart is when the last heartbeat was sent whose answer renewed the lease.
+	leaseStart time.Time
+	// images says when each image is, or will be, fetched.
+	images map[string]time.Time
+	// tasks has the attempts on it by "job/index#attempt".
+	tasks map[string]*workerTask
 
+	// controller is the index of the controller that it sends heartbeats to.
 	controller       int
 	nextHeartbeatAt  time.Time
 	lastHeartbeatAt  time.Time
 	heartbeatPending bool
-	changed          bool
+	// changed: there is something new for a heartbeat, so it need not wait for the interval.
+	changed bool
 }
 
+// workerTask is an attempt of a task on a machine.
 type workerTask struct {
-	job              *userJob
-	index            int
-	attempt          uint64
-	status           model.TaskStatus
-	cause            string
-	checkpointed     bool
-	imageReadyAt     time.Time
+	job     *userJob
+	index   int
+	attempt uint64
+	status  model.TaskStatus
+	// cause is why it ended.
+	cause string
+	// checkpointed: it stored a checkpoint when it was stopped.
+	checkpointed bool
+	imageReadyAt time.Time
+	// remaining is the run time that is left.
 	remaining        time.Duration
 	checkpointDoneAt time.Time
-	// blamed: that it is still there was told; others are to find room in the list.
+	// violationReported: that it outlived its job's cancellation was reported. Reporting it once
+	// leaves room for others in the list of violations.
 	violationReported bool
 }
 
+// taskName names a task as the protocol does.
 func taskName(job string, i int) string { return fmt.Sprintf("%s/%d", job, i) }
 
-// up says that the worker runs and is not hanging.
+// up reports whether the worker runs and does not hang.
 func (m *Worker) up(now time.Time) bool {
 	return !m.dead && !m.released && !now.Before(m.upAt) && !now.Before(m.hungUntil)
 }
 
-// onMachine says that a task counts as being on its machine.
+// onMachine reports whether the task takes resources of its machine.
 func (t *workerTask) onMachine() bool {
 	return t.status == model.Running || t.status == model.Checkpointing
 }
 
+// heartbeat makes the worker's next heartbeat.
 func (m *Worker) heartbeat(now time.Time) model.Heartbeat {
 	m.sequence++
 	r := model.Heartbeat{
@@ -112,9 +133,9 @@
 	return r
 }
 
-// executeCommands carries out orders one after another.
-func (w *World) executeCommands(m *Worker, orders []model.TaskCommand) {
-	for _, o := range orders {
+// executeCommands carries out commands one after another.
+func (w *World) executeCommands(m *Worker, commands []model.TaskCommand) {
+	for _, o := range commands {
 		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 		t := m.tasks[key]
 		switch o.Kind {
@@ -126,9 +147,9 @@
 			if t == nil || t.status == model.Ended {
 				continue
 			}
-			save := t.job.spec.CheckpointInterval > 0 && t.status == model.Running && o.GracePeriod >= t.job.spec.CheckpointCost
+			savesCheckpoint := t.job.spec.CheckpointInterval > 0 && t.status == model.Running && o.GracePeriod >= t.job.spec.CheckpointCost
 			switch {
-			case save:
+			case savesCheckpoint:
 				t.status, t.checkpointDoneAt = model.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
 			case t.status == model.Checkpointing && o.GracePeriod > 0:
 			default:
@@ -142,6 +163,8 @@
 	}
 }
 
+// startTask starts an attempt, or ends it at once if the task runs here already or the machine has
+// no free capacity for it.
 func (w *World) startTask(m *Worker, o model.TaskCommand, key string) {
 	j := w.jobs[o.Job]
 	if j == nil && w.jobSource != nil {
@@ -182,14 +205,15 @@
 	if m.slowFactor > 0 {
 		t.remaining = time.Duration(float64(t.remaining) * m.slowFactor)
 	}
-	if saved, ok := j.checkpoints[o.Index]; ok {
-		t.remaining = min(t.remaining, saved)
+	if remaining, ok := j.checkpoints[o.Index]; ok {
+		t.remaining = min(t.remaining, remaining)
 	}
 	if j.doneTasks[o.Index] {
 		t.remaining = 0
 	}
 }
 
+// endTask ends an attempt.
 func (w *World) endTask(m *Worker, t *workerTask, cause string) {
 	t.cause = cause
 	w.releaseTask(t)
@@ -346,7 +370,7 @@
 	}
 }
 
-// executeDirect is a request to the worker's own address.
+// executeDirect carries out a request to the worker's own address.
 func (w *World) executeDirect(m *Worker, op message.WorkerRequest) message.WorkerResponse {
 	d := message.WorkerResponse{ID: op.ID, OK: true}
 	if !op.StatusOnly {
@@ -364,6 +388,8 @@
 	return d
 }
 
+// sortedKeys returns the keys of a map in order, for loops whose order must not change from run to
+// run.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -14,121 +14,135 @@
 	"golang.org/x/time/rate"
 )
 
-// tickInterval is the step of workers, grants and checks.
+// tickInterval is the step in which workers, leases and checks advance.
 const tickInterval = 100 * time.Millisecond
 
-// World is simulated time with controllers, state service, cloud, workers and
-// users in it, and faults. The same seed gives the same run.
+// World is a simulation in virtual time of controllers, the state service, the cloud, workers and
+// users, with faults. Everything in it runs on the goroutine that calls Run. The same seed gives
+// the same run.
 type World struct {
-	now          time.Time
-	startedAt    time.Time
-	rng          *rand.Rand
-	settings     controller.Settings
+	// now is the virtual time.
+	now       time.Time
+	startedAt time.Time
+	rng       *rand.Rand
+	// settings are the controllers' settings, before each gets its own name and peers.
+	settings controller.Settings
+	// cancelWithin is how soon the tasks of a cancelled job must be gone.
 	cancelWithin time.Duration
-	events       events
-	seq          uint64
+	// events are the scheduled functions. Those of the same time run in the order of seq.
+	events events
+	seq    uint64
 
 	controllers []*controllerProcess
 	state       *StateService
-	machines    map[string]*Worker
-	// fleet are the machines that are not gone for good, in the order of creation.
+	// machines are all machines that ever were, by id.
+	machines map[string]*Worker
+	// fleet has the machines that are not gone for good, in the order of creation.
 	fleet []*Worker
-	// teamUsage is what each team's tasks take.
-	teamUsage     map[string]model.Resources
-	cloudLimiter  *rate.Limiter
-	machineTypes  map[string]model.MachineType
+	// teamUsage is what each team's running tasks take.
+	teamUsage    map[string]model.Resources
+	cloudLimiter *rate.Limiter
+	machineTypes map[string]model.MachineType
+	// cloudCapacity is how many machines are left to rent, by capacityKey.
 	cloudCapacity map[string]int
-	rentals       map[string][]string
-	jobs          map[string]*userJob
+	// rentals has the machines of each rental by its idempotency key.
+	rentals map[string][]string
+	jobs    map[string]*userJob
 
+	// partitions has the broken links by "a|b", and oneWayPartitions counts those that are broken
+	// in one direction by "a>b"; see links.go.
 	partitions       map[string]*partition
 	oneWayPartitions map[string]int
 	stateOutage      bool
 	cloudOutage      bool
-	// loss: how often an answer or request is lost, or held for long.
+	// lossRate is how often a message is lost or delayed for long.
 	lossRate float64
-	// twice: how often a transaction, a report or an order is carried out once
-	// more, up to minutes later. Of a doubled order neither answer arrives: a
-	// client that got one does not send again.
+	// duplicateRate is how often a transaction, a heartbeat or a command is carried out once more,
+	// up to minutes later. Neither answer to a duplicated command arrives: a client that got one
+	// would not send again.
 	duplicateRate float64
-	// Violations collects broken rules.
+	// Violations lists broken rules, at most maxViolations.
 	Violations []string
-	// Starts counts starts, and StartsAfterCancel those after an answer has left that says
-	// that the job is cancelled.
+	// Starts counts starts of tasks, and StartsAfterCancel those after an answer left a controller
+	// that says that the job is cancelled.
 	Starts, StartsAfterCancel int
-	// heartbeatCopyRate is the share of reports that come once more, up to heartbeatCopyMaxDelay later,
-	// until heartbeatCopiesUntil.
+	// heartbeatCopyRate is the part of the heartbeats that arrive once more, up to
+	// heartbeatCopyMaxDelay later, until heartbeatCopiesUntil.
 	heartbeatCopyRate     float64
 	heartbeatCopyMaxDelay time.Duration
 	heartbeatCopiesUntil  time.Time
-	// stateSlowUntil: the state service answers slowly until then, slowBy times as slowly.
+	// stateSlowUntil: until then the state service is stateSlowFactor times slower.
 	stateSlowUntil  time.Time
 	stateSlowFactor float64
-	// lateWriteRate is the share of transactions that get no answer and are carried out
-	// later, until lateWritesUntil.
+	// lateWriteRate is the part of the transactions that get no answer and are carried out late,
+	// until lateWritesUntil.
 	lateWriteRate   float64
 	lateWritesUntil time.Time
-	// stateOutageUntil is when the last outage that has begun is over.
+	// stateOutageUntil is when the last outage of the state service that has begun is over.
 	stateOutageUntil time.Time
-	// keeps: some users ask the same controller again and again once all is over.
+	// stickyUsers: some users keep to one controller once all faults are over.
 	stickyUsers bool
-	// RefusedRequests counts users' requests that were refused for now.
+	// RefusedRequests counts users' requests that were answered 503.
 	RefusedRequests int
-	// LostToLease counts tasks that a worker killed when its lease ran out.
+	// LostToLease counts tasks that workers killed at the end of their lease.
 	LostToLease int
-	// CloudCalls counts requests to the cloud.
+	// CloudCalls counts requests to the cloud: those that were done, and those refused for the
+	// rate.
 	CloudCalls struct{ Done, RefusedRequests int }
-	lastID     int
-	// machineIDs names all machines that ever were, in the order of creation.
+	// lastID is the last number in the id of a job or machine.
+	lastID int
+	// machineIDs has the ids of all machines that ever were, in the order of creation.
 	machineIDs []string
-	// coreTime is the real time that the cores took, for benchmarks.
-	coreTime time.Duration
-	logs     []string
-	// corruptEffect breaks an invariant on purpose, to show that it is noticed.
+	// stepTime is the real time that the controllers' steps took, for benchmarks.
+	stepTime time.Duration
+	// logs are the controllers' log lines.
+	logs []string
+	// corruptEffect breaks an invariant on purpose, to show that a check notices.
 	corruptEffect func(message.Effect) message.Effect
-	// leaseOverride, when set, is the wrong lease that the cores are told.
+	// leaseOverride, if not 0, is a wrong worker lease that the controllers are configured with.
 	leaseOverride time.Duration
-	// heartbeatSender sends a worker's report; rented is told of new machines, and gone of
-	// those that are gone for good.
+	// heartbeatSender sends a worker's heartbeat. onRented is called with each new machine, and
+	// onGone with each that is gone for good.
 	heartbeatSender func(*Worker)
 	onRented        func(*Worker)
 	onGone          func(*Worker)
-	// learn, when set, is where workers fetch the description of a job that nobody
-	// told them of.
+	// jobSource, if not nil, is where workers fetch the specification of a job that is not in jobs.
 	jobSource func(id string) (model.JobSpec, time.Duration, bool)
-	// pauseCondition picks the effect before which a process stands still, for pauseDuration.
+	// pauseCondition picks the effect before which a process is paused for pauseDuration.
 	pauseCondition func(*controllerProcess, message.Effect) bool
 	pauseDuration  time.Duration
-	// crashCondition picks the effect with which a process ends.
+	// crashCondition picks the effect at which a process crashes.
 	crashCondition func(*controllerProcess, message.Effect) bool
-	// disturbances is there on days with troubles of no list.
+	// disturbances is set on days with unlisted or overlapping faults.
 	disturbances *disturbances
 	extraFaultState
-	// margins is the least that was left to each rule with a time.
+	// margins is the least time that was left to each timed rule.
 	margins map[string]Margin
-	// nextWaitCheck is when is looked next at what waits.
+	// nextWaitCheck is when waiting jobs are checked next.
 	nextWaitCheck time.Time
-	// rankingCheck checks the order of work, where a ranking is on; tune changes what a
-	// controller is told at start.
+	// rankingCheck checks the order of work if it is not nil. adjustSettings changes the settings
+	// of a controller at its start.
 	rankingCheck   *rankingChecker
 	adjustSettings func(i int, set *controller.Settings)
-	// onAnswer is told of every answer that reaches a user, and when he asked.
-	onAnswer func(asked time.Time, r message.UserReply)
-	// calm, if set, is when the last trouble is over.
+	// onAnswer is called with every answer that reaches a user, and when he sent the request.
+	onAnswer func(requestedAt time.Time, r message.UserReply)
+	// faultsEndAt, if set, is when the last fault is over.
 	faultsEndAt time.Time
-	// trace names a job whose debug lines are kept as well.
+	// trace has words, separated by "|"; debug lines that contain one are logged as well.
 	trace string
 }
 
-// maxViolations bounds the list of broken rules; the first ones tell enough.
+// maxViolations bounds the list of violations; the first ones tell enough.
 const maxViolations = 20
 
+// event is a scheduled function.
 type event struct {
 	at  time.Time
 	seq uint64
 	run func()
 }
 
+// events is a heap of events.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -148,7 +162,9 @@
 	return x
 }
 
-// NewWorld makes a world with n controllers, which start at once.
+// NewWorld makes a world in which controllers many controllers start at once. cancel is how soon
+// the tasks of a cancelled job must be gone, and capacity how many machines there are by
+// capacityKey, such as box/a/true.
 func NewWorld(seed uint64, controllers int, settings controller.Settings, cancel time.Duration, types []model.MachineType, capacity map[string]int) *World {
 	w := &World{
 		now: time.Unix(1_750_000_000, 0), rng: rand.New(rand.NewPCG(seed, 1)), settings: settings, cancelWithin: cancel,
@@ -157,7 +173,7 @@
 		teamUsage: map[string]model.Resources{}, margins: map[string]Margin{}, cloudLimiter: rate.NewLimiter(rate.Inf, 1),
 	}
 	if settings.CloudRequestsPerSecond > 0 {
-		// Bursts of two seconds' worth.
+		// The cloud takes bursts of two seconds' worth.
 		w.cloudLimiter = rate.NewLimiter(rate.Limit(settings.CloudRequestsPerSecond), max(1, int(2*settings.CloudRequestsPerSecond)))
 	}
 	w.startedAt = w.now
@@ -176,16 +192,18 @@
 	return w
 }
 
+// schedule calls fn after delay.
 func (w *World) schedule(delay time.Duration, fn func()) {
 	w.seq++
 	heap.Push(&w.events, event{w.now.Add(delay), w.seq, fn})
 }
 
+// jitter draws a duration from 75% to 125% of d.
 func (w *World) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + w.rng.Float64()/2))
 }
 
-// Run lets time pass.
+// Run advances the virtual time by d.
 func (w *World) Run(d time.Duration) {
 	end := w.now.Add(d)
 	for len(w.events) > 0 && !w.events[0].at.After(end) {
@@ -196,6 +214,7 @@
 	w.now = end
 }
 
+// violate records a broken rule.
 func (w *World) violate(rule, format string, args ...any) {
 	if len(w.Violations) >= maxViolations {
 		return
@@ -203,6 +222,7 @@
 	w.Violations = append(w.Violations, fmt.Sprintf("%s at %.1fs: %s", rule, w.now.Sub(w.startedAt).Seconds(), fmt.Sprintf(format, args...)))
 }
 
+// onTick advances what goes on without events, and checks the rules.
 func (w *World) onTick() {
 	if !w.stateOutage {
 		w.state.Expire(w.now)
@@ -214,7 +234,7 @@
 	w.schedule(tickInterval, w.onTick)
 }
 
-// advanceMachines moves all machines on. Those that are gone for good are looked at no more.
+// advanceMachines moves all machines on by step, and drops those that are gone for good.
 func (w *World) advanceMachines(step time.Duration) {
 	keep := w.fleet[:0]
 	for _, m := range w.fleet {
@@ -232,11 +252,13 @@
 	w.fleet = keep
 }
 
+// controllerIndex returns the index of a controller by name, or -1.
 func (w *World) controllerIndex(name string) int {
 	return slices.IndexFunc(w.controllers, func(p *controllerProcess) bool { return p.name == name })
 }
 
-// sendMessage brings a message from a to b: late, lost or held as the links are.
+// sendMessage delivers a message from one end to another, subject to the links: late, lost or held.
+// fn runs at the receiver.
 func (w *World) sendMessage(from, to string, fn func()) {
 	process := 0
 	if m := w.machines[to]; m != nil {
@@ -287,13 +309,13 @@
 	w.schedule(d, deliver)
 }
 
-// randomDelay is how much later than usual a message comes that was held somewhere.
+// randomDelay draws how late a message is that was held up somewhere.
 func (w *World) randomDelay() time.Duration { return time.Duration(5+w.rng.IntN(100)) * time.Second }
 
-// maxRandomDelay bounds that.
+// maxRandomDelay bounds randomDelay.
 const maxRandomDelay = 105 * time.Second
 
-// clearTasks takes everything off a machine.
+// clearTasks removes all tasks from a machine.
 func (w *World) clearTasks(m *Worker) {
 	for _, t := range m.tasks {
 		w.releaseTask(t)
@@ -301,7 +323,7 @@
 	clear(m.tasks)
 }
 
-// releaseTask notes that a task takes no room any more, if it did.
+// releaseTask gives back what a task takes, if anything.
 func (w *World) releaseTask(t *workerTask) {
 	if t.onMachine() {
 		team := t.job.spec.Team
@@ -310,8 +332,7 @@
 	}
 }
 
-// Outage takes the state service away for d; afterwards every grant has its
-// full time again.
+// Outage makes the state service unavailable for d. Afterwards every lease has its full time again.
 func (w *World) Outage(d time.Duration) {
 	w.stateOutage = true
 	if until := w.now.Add(d); until.After(w.stateOutageUntil) {
@@ -338,7 +359,7 @@
 	return k
 }
 
-// randomFault lets one thing go wrong, often while another still does.
+// randomFault begins a random fault, often while another lasts.
 func (w *World) randomFault(rng *rand.Rand) {
 	dur := time.Duration(5+rng.IntN(35)) * time.Second
 	p := w.controllers[rng.IntN(len(w.controllers))]
@@ -393,6 +414,7 @@
 	}
 }
 
+// containsAny reports whether s contains one of the words, which are separated by "|".
 func containsAny(s, words string) bool {
 	for _, w := range strings.Split(words, "|") {
 		if strings.Contains(s, w) {
