--- a/internal/simulation/checks.go
+++ b/internal/simulation/checks.go
@@ -88,9 +88,9 @@
 			if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, t.Name) || s.Zone != "" && s.Zone != z {
 				continue
 			}
-			machines := capacity[capacityKey(t.Name, z, false)]
+			machines := capacity[t.Name+"/"+z+"/false"]
 			if s.AllowSpot {
-				machines += capacity[capacityKey(t.Name, z, true)]
+				machines += capacity[t.Name+"/"+z+"/true"]
 			}
 			fit += machines * t.Capacity.FitCount(s.Need)
 		}
--- a/internal/simulation/day.go
+++ b/internal/simulation/day.go
@@ -98,12 +98,12 @@
 	capacity := map[string]int{}
 	for _, z := range d.Settings.Zones {
 		each := max(1, d.Machines/len(d.Settings.Zones))
-		capacity[capacityKey("box", z, true)], capacity[capacityKey("box", z, false)] = max(1, each*45/100), max(1, each*45/100)
+		capacity["box/"+z+"/true"], capacity["box/"+z+"/false"] = max(1, each*45/100), max(1, each*45/100)
 	}
-	capacity[capacityKey("rack", d.Settings.Zones[0], true)], capacity[capacityKey("rack", d.Settings.Zones[0], false)] = max(1, d.Machines*6/100), max(1, d.Machines*4/100)
+	capacity["rack/"+d.Settings.Zones[0]+"/true"], capacity["rack/"+d.Settings.Zones[0]+"/false"] = max(1, d.Machines*6/100), max(1, d.Machines*4/100)
 	if d.Models > 0 {
 		types = append(types, modelMachineType(d.Settings.Zones[0]))
-		capacity[capacityKey("host", d.Settings.Zones[0], false)] = d.Models
+		capacity["host/"+d.Settings.Zones[0]+"/false"] = d.Models
 	}
 	return types, capacity
 }
