--- a/internal/simulation/models.go
+++ b/internal/simulation/models.go
@@ -6,23 +6,24 @@
 	"slices"
 	"time"
 
+	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/model"
 )
 
-// models.go has days with models: hosts of eight GPUs beside the other machines, and
-// standing jobs whose replicas take one of them up to a whole host.
+// This file has days with models: machines with eight GPUs beside the others, and long-running jobs
+// whose replicas take from one GPU to all eight of a machine.
 
-// gpusPerMachine is what a host has.
+// gpusPerMachine is how many GPUs a machine for models has.
 const gpusPerMachine = 8
 
-// Validate says what is wrong with the names of what is to be switched on.
+// Validate reports an error if Enabled names an unknown capability.
 func (p *DayParams) Validate() error {
 	_, err := p.capabilities()
 	return err
 }
 
-// capabilities is what is switched on, with what deploy/ has for it.
+// capabilities returns the enabled capabilities, with the settings that deploy/ has for them.
 func (p *DayParams) capabilities() (out controller.Capabilities, err error) {
 	for _, s := range p.Enabled {
 		all := s == "all"
@@ -44,6 +45,7 @@
 	return out, err
 }
 
+// modelMachineType returns the machine type for models.
 func modelMachineType(zone string) model.MachineType {
 	return model.MachineType{
 		Name: "host", Capacity: model.Resources{CPU: 64, GPU: gpusPerMachine, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5,
@@ -51,17 +53,17 @@
 	}
 }
 
-// modelJob is a model that comes at a time of the day, and is cancelled at another
-// unless that is 0.
+// modelJob is a model with the times of its submission and cancellation, counted from the day's
+// begin. cancelAt 0 means that it is not cancelled.
 type modelJob struct {
 	spec     model.JobSpec
 	submitAt time.Duration
 	cancelAt time.Duration
 }
 
-// generateModels draws models: small and middle ones fill the hosts at first, and most are
-// cancelled by and by; from the middle of the day on large ones come, no more than
-// what is left has whole hosts for if the rest is packed.
+// generateModels draws a day's models. Small and medium ones fill the machines at first and most
+// are cancelled over time. From the middle of the day on large ones come: no more than there are
+// whole machines left if the rest is packed tightly.
 func generateModels(d *Day) {
 	rng := rand.New(rand.NewPCG(d.Seed, 2718))
 	span := float64(d.Minutes) * float64(time.Minute)
@@ -79,7 +81,7 @@
 			remainingGPUs += replicas * int(gpus)
 		}
 		for i := range d.Settings.Teams {
-			// A limit is enough for the team's models as well.
+			// Raise the quota limit, so that it allows the team's models as well.
 			if t := &d.Settings.Teams[i]; t.Name == m.spec.Team && t.QuotaLimit.CPU > 0 {
 				t.QuotaLimit.CPU += m.spec.Need.CPU * float64(replicas)
 			}
@@ -92,19 +94,18 @@
 	for range 1 + d.Models/3 {
 		add("model-mid", 2, 1+rng.IntN(2), 4, 20, 0.5, model.Normal, 0, 0.3)
 	}
-	// One whole host more than the rest takes is left out.
+	// Leave one whole machine free beside what the rest needs.
 	whole := d.Models - (remainingGPUs+gpusPerMachine-1)/gpusPerMachine - 1
 	for range max(0, min(whole, 1+d.Models*(3+rng.IntN(3))/10)) {
 		add("model-large", gpusPerMachine, 1, 3, 60, 0, model.Urgent, 0.5, 1)
 	}
 }
 
-// submitModels lets the day's models come and go.
+// submitModels schedules the submissions and cancellations of the day's models.
 func (d *Day) submitModels(w *World) {
 	for _, m := range d.models {
-		w.lastID++
 		s := m.spec
-		s.ID = fmt.Sprintf("job-%06d", w.lastID)
+		s.ID = w.nextJobID()
 		w.schedule(m.submitAt, func() { w.Submit(s, 0, false) })
 		if m.cancelAt > 0 {
 			w.schedule(m.cancelAt, func() { w.Cancel(s.ID) })
@@ -112,16 +113,18 @@
 	}
 }
 
-// replica is one of a standing job, as it comes and goes.
+// replica is a replica of a long-running job. Its attempts come and go.
 type replica struct {
+	// upTime is how long it was up, not counting the current time since upSince.
 	upTime           time.Duration
 	upSince          time.Time
 	downSince        time.Time
 	stoppedByCommand bool
-	// downTimes are the times that it was gone after it had been stopped by an order.
+	// downTimes are the times that it was down after a command had stopped it.
 	downTimes []time.Duration
 }
 
+// replicaUp notes that a task of a long-running job runs.
 func (w *World) replicaUp(t *workerTask) {
 	if !t.job.spec.LongRunning {
 		return
@@ -137,6 +140,7 @@
 	r.upSince, r.downSince, r.stoppedByCommand = w.now, time.Time{}, false
 }
 
+// replicaDown notes that a task of a long-running job runs no more.
 func (w *World) replicaDown(t *workerTask) {
 	if r := t.job.replicas[t.index]; r != nil && r.downSince.IsZero() {
 		r.upTime += w.now.Sub(r.upSince)
@@ -144,77 +148,96 @@
 	}
 }
 
-// ModelSummary is what became of a day's models.
+// ModelSummary is the outcome of a day's models.
 type ModelSummary struct {
+	// LargeModels counts models that take whole machines, and LargeStarted those of them of which
+	// all replicas started.
 	LargeModels  int `json:"large"`
 	LargeStarted int `json:"large_begun"`
-	// Wait is of the large ones for all their replicas, and Up the part of the time
-	// since then that they were up; 0 for one that did not begin.
+	// Wait is the time until all replicas of a large model started, and Up the part of the time
+	// since then that the replicas were up; a model that did not start counts as down.
 	Wait Distribution `json:"large_wait_s"`
 	Up   float64      `json:"large_up"`
-	// OthersUnstarted counts the others that did not begin, and were not cancelled.
+	// OthersUnstarted counts the other models that did not start and were not cancelled.
 	OthersUnstarted int `json:"others_unbegun"`
-	// FragmentedGPUs are free GPUs of hosts that are partly taken at the end.
+	// FragmentedGPUs counts free GPUs of partly used machines at the end.
 	FragmentedGPUs int `json:"gpus_in_pieces"`
-	// Stopped counts how often replicas were stopped, but for cancellations, and Down
-	// is how long they were gone then.
+	// Stopped counts how often replicas were stopped other than by a cancellation, and Down is how
+	// long they were down then.
 	Stopped int          `json:"stopped"`
 	Down    Distribution `json:"down_s"`
 }
 
+// modelSums adds up a day's models.
+type modelSums struct {
+	ModelSummary
+	wait, down *hdrhistogram.Histogram
+	// upSeconds and wantedSeconds are replica seconds of the large models: those in which replicas
+	// were up, and those in which they should have been.
+	upSeconds, wantedSeconds float64
+}
+
+// modelSummary sums up the models that were not cancelled, and the GPUs.
 func (w *World) modelSummary() *ModelSummary {
-	r := &ModelSummary{}
-	wait, down := newHistogram(), newHistogram()
-	up, whole := 0.0, 0.0
+	sums := modelSums{wait: newHistogram(), down: newHistogram()}
 	for _, id := range sortedKeys(w.jobs) {
-		j := w.jobs[id]
-		if !j.spec.LongRunning || j.cancelRequested {
-			continue
-		}
-		begun := time.Time{}
-		for _, at := range j.firstStarts {
-			if at.After(begun) {
-				begun = at
-			}
-		}
-		if !j.isServed() {
-			begun = w.now
+		if j := w.jobs[id]; j.spec.LongRunning && !j.cancelRequested {
+			sums.add(j, w.now)
 		}
-		for _, x := range j.replicas {
-			downs := x.downTimes
-			if x.stoppedByCommand {
-				downs = append(slices.Clone(downs), w.now.Sub(x.downSince))
-			}
-			for _, at := range downs {
-				r.Stopped++
-				_ = down.RecordValue(max(1, at.Milliseconds()))
-			}
+	}
+	r := &sums.ModelSummary
+	if sums.wantedSeconds > 0 {
+		r.Up = sums.upSeconds / sums.wantedSeconds
+	}
+	r.Wait, r.Down = distributionOf(sums.wait), distributionOf(sums.down)
+	r.FragmentedGPUs = w.fragmentedGPUs()
+	return r
+}
+
+// add counts a model, as it is at now.
+func (s *modelSums) add(j *userJob, now time.Time) {
+	for _, x := range j.replicas {
+		downs := x.downTimes
+		if x.stoppedByCommand {
+			downs = append(slices.Clone(downs), now.Sub(x.downSince))
 		}
-		if j.spec.Need.GPU < gpusPerMachine {
-			if !j.isServed() {
-				r.OthersUnstarted++
-			}
-			continue
+		for _, d := range downs {
+			s.Stopped++
+			recordMillis(s.down, d)
 		}
-		r.LargeModels++
-		_ = wait.RecordValue(max(1, begun.Sub(j.submitted).Milliseconds()))
+	}
+	if j.spec.Need.GPU < gpusPerMachine {
 		if !j.isServed() {
-			whole += w.now.Sub(j.submitted).Seconds()
-			continue
+			s.OthersUnstarted++
 		}
-		r.LargeStarted++
-		whole += w.now.Sub(begun).Seconds() * float64(j.spec.Tasks)
-		for _, x := range j.replicas {
-			up += x.upTime.Seconds()
-			if x.downSince.IsZero() {
-				up += w.now.Sub(x.upSince).Seconds()
-			}
+		return
+	}
+	s.LargeModels++
+	if !j.isServed() {
+		recordMillis(s.wait, now.Sub(j.submitted))
+		s.wantedSeconds += now.Sub(j.submitted).Seconds()
+		return
+	}
+	started := time.Time{}
+	for _, at := range j.firstStarts {
+		if at.After(started) {
+			started = at
 		}
 	}
-	if whole > 0 {
-		r.Up = up / whole
+	s.LargeStarted++
+	recordMillis(s.wait, started.Sub(j.submitted))
+	s.wantedSeconds += now.Sub(started).Seconds() * float64(j.spec.Tasks)
+	for _, x := range j.replicas {
+		s.upSeconds += x.upTime.Seconds()
+		if x.downSince.IsZero() {
+			s.upSeconds += now.Sub(x.upSince).Seconds()
+		}
 	}
-	r.Wait, r.Down = distributionOf(wait), distributionOf(down)
+}
+
+// fragmentedGPUs counts the free GPUs of machines on which others are taken.
+func (w *World) fragmentedGPUs() int {
+	free := 0
 	for _, m := range w.fleet {
 		used := 0.0
 		for _, t := range m.tasks {
@@ -223,8 +246,8 @@
 			}
 		}
 		if m.up(w.now) && used > 0 {
-			r.FragmentedGPUs += int(m.Size.GPU - used)
+			free += int(m.Size.GPU - used)
 		}
 	}
-	return r
+	return free
 }
