--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -11,8 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// sorted writes a request's body with its maps in order.
-func sorted(t *testing.T, v any) []byte {
+// encodeSorted encodes a request's body with the keys of its maps in order.
+func encodeSorted(t *testing.T, v any) []byte {
 	t.Helper()
 	var b bytes.Buffer
 	e := msgpack.NewEncoder(&b)
@@ -23,9 +23,9 @@
 	return b.Bytes()
 }
 
-// TestGoldenRequests: the state service is asked as it ever was.
+// TestGoldenRequests compares the requests to the state service with the golden bytes.
 func TestGoldenRequests(t *testing.T) {
-	for name, op := range map[string]message.StoreRequest{
+	for name, req := range map[string]message.StoreRequest{
 		"txn": {
 			Kind: message.OpTxn, Compares: []message.Compare{{Key: "ctl/lead", ModRevision: 411}, {Key: "open/job-000412", ModRevision: 412}},
 			Writes: []message.Write{
@@ -33,28 +33,28 @@
 				{Key: "open/job-000412"}, {Key: "ctl/node/ctl-2", Value: []byte{0x80}, LeaseID: 413},
 			},
 		},
-		"txn-bare":    {Kind: message.OpTxn},
-		"grant-new":   {Kind: message.OpLeaseGrant, TTL: 6_500 * time.Millisecond},
-		"grant-renew": {Kind: message.OpLeaseRenew, LeaseID: 414},
-		"grant-drop":  {Kind: message.OpLeaseRevoke, LeaseID: 415},
-		"get":         {Kind: message.OpGet, Key: "job/job-000412"},
-		"list":        {Kind: message.OpList, Key: "open/", StartAfter: "open/job-000412"},
-		"list-first":  {Kind: message.OpList, Key: "open/"},
-		"follow":      {Kind: message.OpWatch, Key: "ctl/", Revision: 416, WatchTimeout: 9_500 * time.Millisecond},
+		"txn-bare":     {Kind: message.OpTxn},
+		"lease-grant":  {Kind: message.OpLeaseGrant, TTL: 6_500 * time.Millisecond},
+		"lease-renew":  {Kind: message.OpLeaseRenew, LeaseID: 414},
+		"lease-revoke": {Kind: message.OpLeaseRevoke, LeaseID: 415},
+		"get":          {Kind: message.OpGet, Key: "job/job-000412"},
+		"list":         {Kind: message.OpList, Key: "open/", StartAfter: "open/job-000412"},
+		"list-first":   {Kind: message.OpList, Key: "open/"},
+		"watch":        {Kind: message.OpWatch, Key: "ctl/", Revision: 416, WatchTimeout: 9_500 * time.Millisecond},
 	} {
-		method, path, body := encodeRequest(op)
+		method, path, body := encodeRequest(req)
 		sent := []byte(method + " " + path + "\n")
 		if body != nil {
-			sent = append(sent, sorted(t, body)...)
+			sent = append(sent, encodeSorted(t, body)...)
 		}
 		testgolden.Same(t, "request-"+name, sent)
 	}
 }
 
-// TestGoldenAnswers: what the state service answers is read as it ever was.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses reads the golden bytes of a response of the state service.
+func TestGoldenResponses(t *testing.T) {
 	raw := func(s string) msgpack.RawMessage { return append(msgpack.RawMessage{0xa0 | byte(len(s))}, s...) }
-	answers := testgolden.Values{"answer": response{
+	values := testgolden.Values{"response": response{
 		Key: "job/job-000411", Value: raw("one"), ModRevision: 411, Revision: 412, Truncated: true, Failed: []string{"ctl/lead"}, Lease: 413, Error: "lease over",
 		Items: []storedItem{{Key: "open/job-000412", Put: "open/job-000413", Remove: "open/job-000414", Value: raw("two"), ModRevision: 414}},
 		Changes: []storedItem{
@@ -62,19 +62,19 @@
 		},
 	}}
 	c := testgolden.Msgpack
-	// A value that is not there is no MessagePack.
+	// A missing value is no bytes, which is not MessagePack.
 	c.Strict = true
-	testgolden.Check(t, c, answers)
+	testgolden.Check(t, c, values)
 	_, _, body := encodeRequest(message.StoreRequest{Kind: message.OpTxn, Compares: []message.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []message.Write{{Key: "open/job-000412"}}})
-	answers["asked"] = body
-	testgolden.Full(t, answers)
+	values["request"] = body
+	testgolden.Full(t, values)
 
-	var a response
-	if err := c.Read(testgolden.Bytes(t, "answer"), &a); err != nil {
+	var r response
+	if err := c.Read(testgolden.Bytes(t, "response"), &r); err != nil {
 		t.Fatal(err)
 	}
 	got := message.StoreResponse{Status: message.StoreOK}
-	fillResponse(&got, message.StoreRequest{Kind: message.OpGet}, &a)
+	decodeResponse(&got, true, &r)
 	want := message.StoreResponse{Status: message.StoreOK, Truncated: true, Revision: 412, FailedKeys: []string{"ctl/lead"}, LeaseID: 413, KeyValues: []message.KeyValue{
 		{Key: "job/job-000411", Value: raw("one"), ModRevision: 411},
 		{Key: "open/job-000412", Value: raw("two"), ModRevision: 414},
@@ -82,6 +82,6 @@
 		{Key: "open/job-000416", Value: raw("four"), ModRevision: 416, Deleted: true},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+		t.Errorf("response: got\n%+v\nwant\n%+v", got, want)
 	}
 }
--- a/internal/state/ratelimiter.go
+++ b/internal/state/ratelimiter.go
@@ -7,53 +7,73 @@
 	"golang.org/x/time/rate"
 )
 
-// RateLimiter paces a controller's requests to the state service: it says how long each has
-// to wait for its part of the limits. It has no clock of its own, so that days in
-// simulated time are paced as real ones are.
+const (
+	// shortTimeout is for requests that somebody waits for.
+	shortTimeout = 1300 * time.Millisecond
+	// longTimeout is for lists and lazy writes.
+	longTimeout = 3 * time.Second
+	// maxQueueWait bounds the wait of a start or a lazy request for its turn.
+	maxQueueWait = 8 * time.Second
+	// userAdvance is how many seconds' worth of the rates users' requests may take in advance.
+	userAdvance = 1.0
+	// minBurst is what may be sent at once however low the rate.
+	minBurst = 4
+)
+
+// RetryPause is the shortest wait before a retry after a 429, and RetryJitter the upper bound
+// of a random addition to it: the controllers that shared the exceeded rate should not all
+// retry at the same moment.
+const (
+	RetryPause  = 60 * time.Millisecond
+	RetryJitter = 120 * time.Millisecond
+)
+
+// RateLimiter keeps a controller's requests to the state service within its part of the
+// limits. It takes the time from its caller, so that the simulation uses it in simulated time.
 type RateLimiter struct {
 	requests *rate.Limiter
 	writes   *rate.Limiter
 }
 
-// NewRateLimiter makes a gate for so many requests and changes a second.
+// NewRateLimiter returns a limiter for rates per second.
 func NewRateLimiter(now time.Time, r message.Rates) *RateLimiter {
 	limiter := &RateLimiter{rate.NewLimiter(1, 1), rate.NewLimiter(1, 1)}
 	limiter.SetRates(now, r)
 	return limiter
 }
 
-// SetRates changes the rates.
-func (g *RateLimiter) SetRates(now time.Time, r message.Rates) {
-	g.requests.SetLimitAt(now, rate.Limit(r.Requests))
-	g.requests.SetBurstAt(now, max(minBurst, int(r.Requests)))
-	g.writes.SetLimitAt(now, rate.Limit(r.Writes))
-	g.writes.SetBurstAt(now, max(minBurst, int(r.Writes)))
+// SetRates changes the rates, which are per second.
+func (l *RateLimiter) SetRates(now time.Time, r message.Rates) {
+	l.requests.SetLimitAt(now, rate.Limit(r.Requests))
+	l.requests.SetBurstAt(now, max(minBurst, int(r.Requests)))
+	l.writes.SetLimitAt(now, rate.Limit(r.Writes))
+	l.writes.SetBurstAt(now, max(minBurst, int(r.Writes)))
 }
 
-// Reserve says how long a request must wait for its turn; ok is false if that is longer
-// than it may. The session comes first, and then what users wait for: they take their
-// part without waiting, and the others wait the longer. Users' own requests wait only
-// when they alone are more than the rate allows.
-func (g *RateLimiter) Reserve(now time.Time, op message.StoreRequest) (wait time.Duration, ok bool) {
-	writes := min(len(op.Writes), g.writes.Burst())
-	mayAdvance := g.writes.TokensAt(now) > -userAdvance*float64(g.writes.Limit()) && g.requests.TokensAt(now) > -userAdvance*float64(g.requests.Limit())
-	if op.Priority == message.PriorityMembership || op.Priority == message.PriorityUser && mayAdvance {
-		g.requests.ReserveN(now, 1)
+// Reserve returns how long a request must wait for its turn; ok is false, and nothing is
+// reserved, if that is longer than it may wait. Membership requests never wait, and users'
+// requests only when they alone exceed the rates by userAdvance; both take their part at the
+// cost of the other priorities.
+func (l *RateLimiter) Reserve(now time.Time, req message.StoreRequest) (wait time.Duration, ok bool) {
+	writes := min(len(req.Writes), l.writes.Burst())
+	mayAdvance := l.writes.TokensAt(now) > -userAdvance*float64(l.writes.Limit()) && l.requests.TokensAt(now) > -userAdvance*float64(l.requests.Limit())
+	if req.Priority == message.PriorityMembership || req.Priority == message.PriorityUser && mayAdvance {
+		l.requests.ReserveN(now, 1)
 		if writes > 0 {
-			g.writes.ReserveN(now, writes)
+			l.writes.ReserveN(now, writes)
 		}
 		return 0, true
 	}
-	maxWait := Timeout(op)
-	if op.Priority >= message.PriorityStart {
-		// Nobody waits at the other end of these, and few are under way at a
-		// time. Were a large write refused because its turn comes after the
-		// deadline of a request, small ones would pass it for ever.
+	maxWait := Timeout(req)
+	if req.Priority >= message.PriorityStart {
+		// Nobody waits for these, and few are under way at a time. If a large write were
+		// refused because its turn comes after the timeout, small ones would overtake it
+		// for ever.
 		maxWait = maxQueueWait
 	}
-	reservations := []*rate.Reservation{g.requests.ReserveN(now, 1)}
+	reservations := []*rate.Reservation{l.requests.ReserveN(now, 1)}
 	if writes > 0 {
-		reservations = append(reservations, g.writes.ReserveN(now, writes))
+		reservations = append(reservations, l.writes.ReserveN(now, writes))
 	}
 	for _, r := range reservations {
 		wait = max(wait, r.DelayFrom(now))
@@ -67,20 +87,13 @@
 	return 0, false
 }
 
-// Timeout is how long an answer is waited for.
-func Timeout(op message.StoreRequest) time.Duration {
+// Timeout is how long the response to a request is waited for.
+func Timeout(req message.StoreRequest) time.Duration {
 	switch {
-	case op.Kind == message.OpWatch:
-		return op.WatchTimeout + longTimeout
-	case op.Kind == message.OpList || op.Priority == message.PriorityLazy:
+	case req.Kind == message.OpWatch:
+		return req.WatchTimeout + longTimeout
+	case req.Kind == message.OpList || req.Priority == message.PriorityLazy:
 		return longTimeout
 	}
 	return shortTimeout
 }
-
-// RetryPause is how long to wait after a 429, the shortest time and by how much it may
-// be longer: others used up the rate, and all come back at different moments.
-const (
-	RetryPause  = 60 * time.Millisecond
-	RetryJitter = 120 * time.Millisecond
-)
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -16,16 +16,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// requestMemory is what an ended request may leave behind, and connMemory a connection
-// that is kept for the next ones.
+// requestMemory is how many bytes a completed request may leave allocated, and connMemory an
+// idle connection.
 const (
 	requestMemory = 256
 	connMemory    = 64 << 10
 )
 
-// TestRequestsBySize: what a successor of thousands of machines asks for at once, a read
-// and a write for each, takes no more connections than are meant for it, all of it is
-// answered, and nothing of it is left: neither goroutines nor memory.
+// TestRequestsBySize makes a read and a write for each of thousands of machines, as a failover
+// does. All must be answered within the bound of connections, and neither goroutines nor
+// memory may remain.
 func TestRequestsBySize(t *testing.T) {
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -47,55 +47,54 @@
 			}
 			srv.Start()
 			defer srv.Close()
-			// The rate is not what is looked at.
+			// The rate limits are out of the way.
 			c := New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
 			defer c.http.CloseIdleConnections()
-			var refused atomic.Int64
+			var failed atomic.Int64
 			sendRequests := func(requests int) {
 				var wg sync.WaitGroup
-				// The core has some under way at a time, not all.
+				// The controller has some in flight at a time, not all.
 				slots := make(chan struct{}, 2*maxConns)
 				for i := range requests {
 					slots <- struct{}{}
 					wg.Go(func() {
 						defer func() { <-slots }()
 						key := fmt.Sprintf("task/job-%06d/0", i)
-						for _, op := range []message.StoreRequest{
+						for _, req := range []message.StoreRequest{
 							{Kind: message.OpGet, Priority: message.PriorityLazy, Key: key},
 							{Kind: message.OpTxn, Priority: message.PriorityLazy, Writes: []message.Write{{Key: key, Value: []byte{0xc0}}}},
 						} {
-							if c.Do(context.Background(), op).Status != message.StoreOK {
-								refused.Add(1)
+							if c.Do(context.Background(), req).Status != message.StoreOK {
+								failed.Add(1)
 							}
 						}
 					})
 				}
 				wg.Wait()
 			}
-			// What is made once, whatever the size, does not count.
+			// Warm up: what is allocated once does not count.
 			sendRequests(10 * maxConns)
 			before, routines := heap(), runtime.NumGoroutine()
 			sendRequests(machines)
-			if k := refused.Load(); k > 0 {
-				t.Errorf("%d requests are not answered", k)
+			if k := failed.Load(); k > 0 {
+				t.Errorf("got %d failed requests, want 0", k)
 			}
-			// The other end sees some of them go a little later than the client.
+			// The server sees some of them close a little later than the client.
 			if m := mostOpen.Load(); m > maxConns*3/2 {
-				t.Errorf("%d connections, of %d at most", m, maxConns)
+				t.Errorf("got %d connections at a time, want at most %d", m, maxConns*3/2)
 			}
-			// Two goroutines at each end of a connection that is kept, and what ends
-			// just now.
+			// Two goroutines at each end of an idle connection, and some that are ending.
 			if k := runtime.NumGoroutine(); k > routines+5*maxConns {
-				t.Errorf("%d goroutines are left of %d before", k, routines)
+				t.Errorf("got %d goroutines, want at most %d", k, routines+5*maxConns)
 			}
 			if kept := heap() - before; kept > int64(maxConns*connMemory+machines*requestMemory) {
-				t.Errorf("%d KB are kept after %d requests", kept>>10, 2*machines)
+				t.Errorf("got %d KB kept after %d requests, want at most %d", kept>>10, 2*machines, (maxConns*connMemory+machines*requestMemory)>>10)
 			}
 		})
 	}
 }
 
-// heap is what is in use after a collection, in bytes.
+// heap is the memory in use after a collection, in bytes.
 func heap() int64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
+	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
@@ -13,10 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestLargeWriteIsNotStarved guards against large writes that are refused
-// because their turn in the rate comes after a request's deadline, while small
-// ones go on taking all of the rate: after a restart of all controllers no task
-// was started for ten seconds.
+// TestLargeWriteIsNotStarved guards against a fault in which large writes were refused because
+// their turn came after the request's timeout, while small ones took all of the rate: after a
+// restart of all controllers no task was started for ten seconds.
 func TestLargeWriteIsNotStarved(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b, err := msgpack.Marshal(map[string]any{"ledger_rev": 1})
@@ -28,27 +29,112 @@
 	defer srv.Close()
 	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 20, 1)
 	c.SetRates(message.Rates{Requests: 700, Writes: 14})
-	write := func(changes int, prio message.Priority) message.StoreStatus {
+	write := func(writes int, priority message.Priority) message.StoreStatus {
 		t.Helper()
-		op := message.StoreRequest{Kind: message.OpTxn, Priority: prio}
-		for i := range changes {
-			op.Writes = append(op.Writes, message.Write{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
+		req := message.StoreRequest{Kind: message.OpTxn, Priority: priority}
+		for i := range writes {
+			req.Writes = append(req.Writes, message.Write{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
 		}
-		return c.Do(context.Background(), op).Status
+		return c.Do(context.Background(), req).Status
 	}
-	// Users' changes take a second's worth of the rate before it is there.
+	// Users' writes take a second's worth of the rate in advance.
 	for i := range 2 {
 		if s := write(12, message.PriorityUser); s != message.StoreOK {
-			t.Fatal("a user's write:", i, s)
+			t.Fatalf("user's write %d: got %v, want %v", i, s, message.StoreOK)
 		}
 	}
 	var wg sync.WaitGroup
 	for range 2 {
 		wg.Go(func() {
 			if s := write(12, message.PriorityStart); s != message.StoreOK {
-				t.Error("a large write for starts:", s)
+				t.Errorf("large write of starts: got %v, want %v", s, message.StoreOK)
 			}
 		})
 	}
 	wg.Wait()
 }
+
+// TestExecuteErrors: each status of the service is an error that callers can tell apart, and
+// the outcome that the controller's state machine acts on.
+func TestExecuteErrors(t *testing.T) {
+	for _, test := range []struct {
+		name   string
+		kind   message.StoreRequestKind
+		code   int
+		text   string
+		err    error
+		status message.StoreStatus
+	}{
+		{"ok", message.OpTxn, http.StatusOK, "", nil, message.StoreOK},
+		{"created", message.OpLeaseGrant, http.StatusCreated, "", nil, message.StoreOK},
+		{"missing key", message.OpGet, http.StatusNotFound, "", ErrNotFound, message.StoreNotFound},
+		{"failed compares", message.OpTxn, http.StatusConflict, "", ErrConflict, message.StoreConflict},
+		{"old revision", message.OpWatch, http.StatusGone, "", ErrCompacted, message.StoreCompacted},
+		{"expired lease", message.OpTxn, http.StatusBadRequest, "no such lease", ErrNoLease, message.StoreNoLease},
+		{"malformed", message.OpTxn, http.StatusBadRequest, "too many changes", ErrMalformed, message.StoreMalformed},
+		{"outage", message.OpTxn, http.StatusServiceUnavailable, "", ErrNotExecuted, message.StoreRefused},
+		{"unexpected for a transaction", message.OpTxn, http.StatusInternalServerError, "", &unexpectedStatusError{http.StatusInternalServerError}, message.StoreUnknown},
+		{"unexpected for a read", message.OpGet, http.StatusInternalServerError, "", &unexpectedStatusError{http.StatusInternalServerError}, message.StoreRefused},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				b, err := msgpack.Marshal(map[string]any{"ledger_rev": 7, "error": test.text})
+				if err != nil {
+					t.Error(err)
+				}
+				w.WriteHeader(test.code)
+				w.Write(b)
+			}))
+			t.Cleanup(srv.Close)
+			c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 1)
+			got, err := c.Execute(t.Context(), message.StoreRequest{Kind: test.kind, Key: "k"})
+			var want, unexpected *unexpectedStatusError
+			if errors.As(test.err, &want) {
+				if !errors.As(err, &unexpected) || *unexpected != *want {
+					t.Errorf("error: got %v, want %v", err, test.err)
+				}
+			} else if !errors.Is(err, test.err) {
+				t.Errorf("error: got %v, want %v", err, test.err)
+			}
+			if got.Revision != 7 {
+				t.Errorf("revision: got %d, want 7", got.Revision)
+			}
+			if s := c.Do(t.Context(), message.StoreRequest{Kind: test.kind, Key: "k"}).Status; s != test.status {
+				t.Errorf("status: got %v, want %v", s, test.status)
+			}
+		})
+	}
+}
+
+// TestExecuteWithoutAnswer: a request that was not sent was not executed; one without an
+// answer may have been.
+func TestExecuteWithoutAnswer(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			conn.Close()
+		}
+	}()
+	c := New(ln.Addr().String(), 1000, 1000, 1)
+	req := message.StoreRequest{Kind: message.OpTxn}
+	if _, err := c.Execute(t.Context(), req); err == nil || errors.Is(err, ErrNotExecuted) {
+		t.Errorf("closed connection: got %v, want an error other than %v", err, ErrNotExecuted)
+	}
+	if s := c.Do(t.Context(), req).Status; s != message.StoreUnknown {
+		t.Errorf("closed connection: got %v, want %v", s, message.StoreUnknown)
+	}
+	ln.Close()
+	if _, err := c.Execute(t.Context(), req); !errors.Is(err, ErrNotExecuted) {
+		t.Errorf("refused connection: got %v, want %v", err, ErrNotExecuted)
+	}
+	if s := c.Do(t.Context(), req).Status; s != message.StoreRefused {
+		t.Errorf("refused connection: got %v, want %v", s, message.StoreRefused)
+	}
+}
