--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -12,12 +12,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-func goldenAttempt(job string, index int, try uint64) remote.AttemptID {
-	return remote.AttemptID{Job: job, Index: index, Attempt: try}
+func goldenAttempt(job string, index int, attempt uint64) remote.AttemptID {
+	return remote.AttemptID{Job: job, Index: index, Attempt: attempt}
 }
 
-// goldenNews has all that controllers tell each other.
-var goldenNews = message.PeerUpdate{
+// goldenUpdate sets every field of an update.
+var goldenUpdate = message.PeerUpdate{
 	From: "ctl-2", Incarnation: "n-18.1", IsCapacityRequest: true, IsLeaderUpdate: true, StoreUnavailable: true, Seq: 4_321,
 	Progress:      []message.Progress{{ID: "job-000411", Done: 7, Running: 9}},
 	WorkloadLoads: []message.WorkloadLoad{{Team: "vision", Workload: "train", TasksPerSecond: 0.5, RunTimeRatio: 1.25, Deviation: 0.75, Samples: 41}},
@@ -58,25 +58,24 @@
 	CancellationAcks: []string{"job-000419", "job-000420"},
 }
 
-// TestGoldenNews: what controllers tell each other is written as it ever was, and what
-// others write is read.
-func TestGoldenNews(t *testing.T) {
-	news := testgolden.Values{"news": goldenNews}
+// TestGoldenUpdate encodes an update as the golden bytes, and decodes these.
+func TestGoldenUpdate(t *testing.T) {
+	updates := testgolden.Values{"update": goldenUpdate}
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
-			// Images are a map.
-			return proto.MarshalOptions{Deterministic: true}.Marshal(toProto(v.(message.PeerUpdate)))
+			// Images are a map, whose order would be random.
+			return proto.MarshalOptions{Deterministic: true}.Marshal(encodeUpdate(v.(message.PeerUpdate)))
 		},
 		Read: func(b []byte, into any) error {
-			var m News
-			err := proto.Unmarshal(b, &m)
-			*into.(*message.PeerUpdate) = m.toUpdate()
+			var pb Update
+			err := proto.Unmarshal(b, &pb)
+			*into.(*message.PeerUpdate) = decodeUpdate(&pb)
 			return err
 		},
-	}, news)
-	testgolden.Full(t, news)
-	testgolden.FullProto(t, File_internal_peer_peer_proto, toProto(goldenNews))
+	}, updates)
+	testgolden.Full(t, updates)
+	testgolden.FullProto(t, File_internal_peer_peer_proto, encodeUpdate(goldenUpdate))
 	if peerHandshakeByte != 0 {
-		t.Errorf("a connection begins with %d, want 0", peerHandshakeByte)
+		t.Errorf("first byte of a connection: got %d, want 0", peerHandshakeByte)
 	}
 }
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -4,7 +4,6 @@
 	"math"
 	"math/rand/v2"
 	"reflect"
-	"slices"
 	"testing"
 	"time"
 
@@ -14,57 +13,48 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// TestIncarnationRoundTrip: news names the life that sent it.
-func TestIncarnationRoundTrip(t *testing.T) {
-	b, err := proto.Marshal(toProto(message.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []message.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}))
+// roundTrip encodes an update and decodes it again.
+func roundTrip(t *testing.T, update message.PeerUpdate) message.PeerUpdate {
+	t.Helper()
+	b, err := proto.Marshal(encodeUpdate(update))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m News
-	if err := proto.Unmarshal(b, &m); err != nil {
+	var pb Update
+	if err := proto.Unmarshal(b, &pb); err != nil {
 		t.Fatal(err)
 	}
-	if n := m.toUpdate(); n.From != "a" || n.Incarnation != "n.2" || !n.StoreUnavailable || len(n.Quotes) != 1 || n.Quotes[0].Team != "ops" || string(n.Quotes[0].Value) != "\x01\x02" {
-		t.Errorf("came as %+v", n)
+	return decodeUpdate(&pb)
+}
+
+// TestIncarnationRoundTrip: an update names the incarnation that sent it.
+func TestIncarnationRoundTrip(t *testing.T) {
+	want := message.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []message.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}
+	if got := roundTrip(t, want); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// TestMachineNeedsRoundTrip: whole hosts that are needed, and what emptying one would cost.
+// TestMachineNeedsRoundTrip: whole machines that are needed, and the cost of evacuating one.
 func TestMachineNeedsRoundTrip(t *testing.T) {
 	need := message.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: model.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: model.Urgent}
 	want := message.PeerUpdate{From: "a", HostNeeds: []message.HostNeed{need}, OthersNeeds: []message.HostNeed{need, need}, EvacuationRequests: []message.HostNeed{need}, EvacuationCosts: []message.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
-	b, err := proto.Marshal(toProto(want))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var m News
-	if err := proto.Unmarshal(b, &m); err != nil {
-		t.Fatal(err)
-	}
-	if n := m.toUpdate(); !reflect.DeepEqual(n, want) {
-		t.Errorf("came as %+v", n)
+	if got := roundTrip(t, want); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// TestReroutedHeartbeatsRoundTrip: what came of the receiver's machines arrives as it was told.
+// TestReroutedHeartbeatsRoundTrip: heartbeats of the receiver's machines that reached the sender.
 func TestReroutedHeartbeatsRoundTrip(t *testing.T) {
-	want := []message.ReroutedHeartbeat{{ID: "vm-1", Epoch: 3, Incarnation: 2, Sequence: 40}}
-	b, err := proto.Marshal(toProto(message.PeerUpdate{From: "a", Rerouted: want}))
-	if err != nil {
-		t.Fatal(err)
-	}
-	var m News
-	if err := proto.Unmarshal(b, &m); err != nil {
-		t.Fatal(err)
-	}
-	if n := m.toUpdate(); !slices.Equal(n.Rerouted, want) {
-		t.Errorf("came as %+v", n.Rerouted)
+	want := message.PeerUpdate{From: "a", Rerouted: []message.ReroutedHeartbeat{{ID: "vm-1", Epoch: 3, Incarnation: 2, Sequence: 40}}}
+	if got := roundTrip(t, want); !reflect.DeepEqual(got, want) {
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// FuzzPeerUpdate: whatever another controller sends, nothing ends for it.
+// FuzzPeerUpdate: whatever another controller sends, this one survives it.
 func FuzzPeerUpdate(f *testing.F) {
-	for _, n := range []message.PeerUpdate{
+	for _, update := range []message.PeerUpdate{
 		{From: "b", Rates: &message.Rates{Requests: math.NaN(), Writes: -1}},
 		{From: "b", WorkloadLoads: []message.WorkloadLoad{{Workload: "w", TasksPerSecond: math.Inf(1), Samples: -4}}, IsCapacityRequest: true, CapacityRequests: []message.CapacityRequest{{MachineType: "box", Count: -1}}},
 		{From: "b", Quotes: []message.TeamQuotes{{Team: "ops", Value: []byte("x")}, {}}},
@@ -72,21 +62,21 @@
 		{From: "b", Cancellations: []message.Cancellation{{ID: "job-1", Record: []byte{0x81, 0xa1, 'x', 0xc3}, ModRevision: math.MaxUint64}, {}}, CancellationAcks: []string{"", "job-1"}},
 		{From: "b", IsLeaderUpdate: true, RentalUpdates: []message.RentalUpdate{{ID: "vm", Age: -time.Hour}}, Progress: []message.Progress{{ID: "job-1", Done: -1}}},
 	} {
-		b, err := proto.Marshal(toProto(n))
+		b, err := proto.Marshal(encodeUpdate(update))
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var m News
-		if proto.Unmarshal(b, &m) != nil {
+		var pb Update
+		if proto.Unmarshal(b, &pb) != nil {
 			return
 		}
-		n := controller.New(controller.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: controller.DefaultPolicy(),
+		c := controller.New(controller.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: controller.DefaultPolicy(),
 			Teams: []model.Team{{Name: "ops"}}, Capabilities: controller.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_750_000_000, 0)
-		n.Step(now, []message.Command{m.toUpdate()})
-		n.Step(now.Add(2*time.Second), nil)
+		c.Step(now, []message.Command{decodeUpdate(&pb)})
+		c.Step(now.Add(2*time.Second), nil)
 	})
 }
