--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,143 +1,74 @@
-// Package api serves users, workers and health checks over HTTP.
+// Package api serves users, workers and the load balancer's health checks over HTTP, and
+// operators on an address of their own. It owns the wire form of jobs; package worker owns that
+// of heartbeats. The routes and bodies are those of the protocol.
 package api
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net"
 	"net/http"
-	"regexp"
 	"strconv"
 	"sync"
 	"time"
 
 	"github.com/labstack/echo/v4"
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/listen"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/validate"
-	"github.com/micahill/micahill/internal/worker"
-	"github.com/vmihailenco/msgpack/v5"
 )
 
 const (
-	// maxBody is the protocol's limit for request bodies.
-	maxBody = 64 << 10
-	// coreTimeout bounds the wait for the core, which answers earlier by itself.
-	coreTimeout = 1900 * time.Millisecond
-	// headerTimeout, idleTimeout and writeTimeout keep slow or silent peers
-	// from holding sockets for ever.
+	// maxBodyBytes is the protocol's limit for request bodies.
+	maxBodyBytes = 64 << 10
+	// controllerTimeout bounds the wait for the controller's reply; the controller itself
+	// gives up earlier.
+	controllerTimeout = 1900 * time.Millisecond
+	// headerTimeout, idleTimeout and writeTimeout keep slow or unresponsive clients from
+	// holding sockets for ever.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 90 * time.Second
 	writeTimeout  = 10 * time.Second
+	// maxHeaderBytes bounds a request's header.
+	maxHeaderBytes = 16 << 10
 )
 
-// jobIDPattern is what job ids look like.
-var jobIDPattern = regexp.MustCompile(`^job-[0-9A-Za-z_-]{1,64}$`)
-
-// Backend is what the handlers need of the server.
+// Backend is what the handlers need of the server. Its methods are safe for concurrent use.
 type Backend interface {
-	Ask(ctx context.Context, mk func(reply uint64) message.Command) (message.Effect, error)
+	// Ask passes a command to the controller and waits for its reply.
+	Ask(ctx context.Context, newCommand func(reply uint64) message.Command) (message.Effect, error)
+	// Healthy reports whether the controller can serve requests.
 	Healthy() bool
 }
 
-type handlers struct {
-	backend   Backend
-	conns     *connTracker
-	mu        sync.Mutex
-	rejectLog validate.LogLimiter
-}
-
-// connContextKey finds a request's connection in its context.
-type connContextKey struct{}
-
-// Observer is told of every answer.
+// Observer gets the route, the HTTP status and the duration of every request.
 type Observer func(route, status string, took time.Duration)
 
-// ServeOperators serves the operators' view on the controllers' own address: the
-// status as JSON and the metrics. Users do not reach it.
-// more adds the routes of what is switched on.
-func ServeOperators(ctx context.Context, ln net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
-	h := &handlers{backend: backend}
-	e := echo.New()
-	e.HideBanner, e.HidePort = true, true
-	e.GET("/metrics", echo.WrapHandler(metrics))
-	e.GET("/status", h.status)
-	for _, add := range extraRoutes {
-		add(e)
-	}
-	return serve(ctx, ln, e, nil)
-}
+type handlers struct {
+	backend Backend
+	conns   *connTracker
 
-func (h *handlers) status(c echo.Context) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
-	defer cancel()
-	e, err := h.backend.Ask(ctx, func(r uint64) message.Command { return message.QueryStatus{Reply: r} })
-	if err != nil {
-		return respondBusy(c)
-	}
-	return c.JSON(http.StatusOK, e)
+	mu        sync.Mutex
+	rejectLog validate.LogLimiter // guarded by mu
 }
 
-func serve(ctx context.Context, ln net.Listener, handler http.Handler, tracker *connTracker) error {
-	srv := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
-		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: 16 << 10,
-		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
-	}
-	if tracker != nil {
-		srv.ConnState = tracker.trackState
-		srv.ConnContext = func(ctx context.Context, nc net.Conn) context.Context {
-			return context.WithValue(ctx, connContextKey{}, nc)
-		}
-	}
-	go func() {
-		<-ctx.Done()
-		srv.Close()
-	}()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		return fmt.Errorf("api: %w", err)
-	}
-	return nil
-}
+// connContextKey is the key of a request's net.Conn in its context.
+type connContextKey struct{}
 
-// Serve listens on addr until the context ends.
+// Serve listens on addr, for users, workers and health checks, until the context ends. It
+// keeps within its part of so many sockets, and passes every response to observe.
 func Serve(ctx context.Context, addr string, sockets int, backend Backend, observe Observer) error {
 	h := &handlers{backend: backend, conns: newConnTracker(sockets)}
-	e := echo.New()
-	e.HideBanner, e.HidePort = true, true
-	e.Use(func(next echo.HandlerFunc) echo.HandlerFunc {
-		return func(backend echo.Context) error {
-			began := time.Now()
-			err := next(backend)
-			if err != nil {
-				backend.Error(err)
-			}
-			observe(backend.Path(), strconv.Itoa(backend.Response().Status), time.Since(began))
-			return nil
-		}
-	})
+	e := newEcho()
+	e.Use(observed(observe))
 	e.POST("/v2/runs", h.submitJob)
 	e.GET("/v2/runs/:id", h.queryJob)
 	e.POST("/v2/runs/:id/abort", h.cancelJob)
 	e.GET("/healthz", h.health)
 	e.POST("/v1/report", h.heartbeat)
-	e.HTTPErrorHandler = func(err error, backend echo.Context) {
-		if backend.Response().Committed {
-			return
-		}
-		status := http.StatusInternalServerError
-		var he *echo.HTTPError
-		if errors.As(err, &he) {
-			status = he.Code
-		}
-		if err := respondError(backend, status, http.StatusText(status)); err != nil {
-			slog.Debug("answer not sent", "err", err)
-		}
-	}
+	e.HTTPErrorHandler = handleError
 	ln, err := listen.TCP(ctx, "api_addr", addr)
 	if err != nil {
 		return fmt.Errorf("api: %w", err)
@@ -145,151 +76,74 @@
 	return serve(ctx, &limitedListener{ln, h.conns}, e, h.conns)
 }
 
-func respond(c echo.Context, status int, body any) error {
-	b, err := msgpack.Marshal(body)
-	if err != nil {
-		return fmt.Errorf("api: encode: %w", err)
-	}
-	return c.Blob(status, "application/msgpack", b)
-}
-
-func respondError(c echo.Context, status int, reason string) error {
-	return respond(c, status, map[string]any{"error": reason})
-}
-
-func respondBusy(c echo.Context) error {
-	c.Response().Header().Set(echo.HeaderRetryAfter, "1")
-	return respondError(c, http.StatusServiceUnavailable, "busy")
-}
-
-// readBody reads a request's body, or answers itself.
-func readBody(c echo.Context) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(c.Request().Body, maxBody+1))
-	if err != nil {
-		return nil, echo.NewHTTPError(http.StatusBadRequest)
-	}
-	if len(b) > maxBody {
-		return nil, echo.NewHTTPError(http.StatusRequestEntityTooLarge)
-	}
-	return b, nil
-}
-
-func (h *handlers) health(c echo.Context) error {
-	if !h.backend.Healthy() {
-		return respondBusy(c)
-	}
-	return respond(c, http.StatusOK, map[string]any{"status": "ok"})
-}
-
-// forward passes a user's request to the core and renders the reply.
-func (h *handlers) forward(c echo.Context, newCommand func(reply uint64) message.Command) error {
-	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
-	defer cancel()
-	e, err := h.backend.Ask(ctx, newCommand)
-	if err != nil {
-		return respondBusy(c)
-	}
-	r, ok := e.(message.UserReply)
-	if !ok || ctx.Err() != nil {
-		return respondBusy(c)
-	}
-	// The core may have answered long before this goes on.
-	if _, instead, late := controller.CheckDeadline(r, time.Now()); late {
-		r = instead.(message.UserReply)
-	}
-	if r.RetryAfter > 0 {
-		c.Response().Header().Set(echo.HeaderRetryAfter, strconv.Itoa(max(1, int((r.RetryAfter+time.Second-1)/time.Second))))
-	}
-	if r.State == "" {
-		return respondError(c, r.Status, r.Message)
-	}
-	m := map[string]any{"id": r.ID, "status": r.State}
-	if c.Request().Method == http.MethodGet {
-		m["done"], m["running"] = r.Done, r.Running
-	}
-	if r.PromiseRevision > 0 {
-		m["promised_s"], m["promise_rev"] = r.PromisedAfter.Seconds(), r.PromiseRevision
+// ServeOperators serves the status as JSON and the metrics on ln, the controllers' own address,
+// which users can't reach. extraRoutes add the routes of optional features.
+func ServeOperators(ctx context.Context, ln net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
+	h := &handlers{backend: backend}
+	e := newEcho()
+	e.GET("/metrics", echo.WrapHandler(metrics))
+	e.GET("/status", h.status)
+	for _, add := range extraRoutes {
+		add(e)
 	}
-	return respond(c, r.Status, m)
+	return serve(ctx, ln, e, nil)
 }
 
-// rejectInput refuses a body that makes no sense, and tells of it once a minute for each cause;
-// all are counted by the answers' histogram.
-func (h *handlers) rejectInput(c echo.Context, reason string) error {
-	h.mu.Lock()
-	shouldLog := h.rejectLog.Allow(time.Now(), c.Path()+reason)
-	h.mu.Unlock()
-	if shouldLog {
-		slog.Info("bad input is not taken", "what", c.Path(), "from", c.RealIP(), "why", reason)
-	}
-	return respondError(c, http.StatusBadRequest, reason)
+func newEcho() *echo.Echo {
+	e := echo.New()
+	e.HideBanner, e.HidePort = true, true
+	return e
 }
 
-func (h *handlers) queryJob(c echo.Context) error {
-	id := c.Param("id")
-	if !jobIDPattern.MatchString(id) {
-		return respondError(c, http.StatusNotFound, "no such job")
+// observed passes each response to observe. Errors become responses here, so that their status
+// is known.
+func observed(observe Observer) echo.MiddlewareFunc {
+	return func(next echo.HandlerFunc) echo.HandlerFunc {
+		return func(c echo.Context) error {
+			began := time.Now()
+			if err := next(c); err != nil {
+				c.Error(err)
+			}
+			observe(c.Path(), strconv.Itoa(c.Response().Status), time.Since(began))
+			return nil
+		}
 	}
-	return h.forward(c, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} })
 }
 
-func (h *handlers) cancelJob(c echo.Context) error {
-	id := c.Param("id")
-	if !jobIDPattern.MatchString(id) {
-		return respondError(c, http.StatusNotFound, "no such job")
+// handleError responds with an error's status in the protocol's form.
+func handleError(err error, c echo.Context) {
+	if c.Response().Committed {
+		return
 	}
-	return h.forward(c, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} })
-}
-
-func (h *handlers) submitJob(c echo.Context) error {
-	b, err := readBody(c)
-	if err != nil {
-		return err
+	status := http.StatusInternalServerError
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		status = httpError.Code
 	}
-	spec, reason := parseJobRequest(b)
-	if spec.ID == "" {
-		return h.rejectInput(c, reason)
+	if err := respondError(c, status, http.StatusText(status)); err != nil {
+		slog.Debug("response write failed", "err", err)
 	}
-	return h.forward(c, func(r uint64) message.Command {
-		return message.SubmitJob{Reply: r, Spec: spec, MalformedReason: reason}
-	})
 }
 
-func (h *handlers) heartbeat(c echo.Context) error {
-	b, err := readBody(c)
-	if err != nil {
-		return err
-	}
-	if nc, ok := c.Request().Context().Value(connContextKey{}).(net.Conn); ok && h.conns.markWorker(nc) {
-		c.Response().Header().Set(echo.HeaderConnection, "close")
-	}
-	var wireHeartbeat worker.Heartbeat
-	if err := msgpack.Unmarshal(b, &wireHeartbeat); err != nil {
-		return h.rejectInput(c, "not a MessagePack map with a report's fields: "+err.Error())
-	}
-	heartbeat := wireHeartbeat.Decode()
-	if reason := heartbeat.Validate(); reason != "" {
-		return h.rejectInput(c, "field "+reason)
+// serve serves ln until the context ends. tracker, if not nil, follows the connections.
+func serve(ctx context.Context, ln net.Listener, handler http.Handler, tracker *connTracker) error {
+	srv := &http.Server{
+		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
+		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
-	ctx, cancel := context.WithTimeout(c.Request().Context(), coreTimeout)
-	defer cancel()
-	e, err := h.backend.Ask(ctx, func(reply uint64) message.Command {
-		return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat}
-	})
-	a, ok := e.(message.HeartbeatReply)
-	if ok {
-		// The core may have answered long before this goes on.
-		if _, instead, late := controller.CheckDeadline(a, time.Now()); late {
-			a, ok = instead.(message.HeartbeatReply)
+	if tracker != nil {
+		srv.ConnState = tracker.trackState
+		srv.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
+			return context.WithValue(ctx, connContextKey{}, conn)
 		}
 	}
-	switch {
-	case err != nil || !ok:
-		return respondBusy(c)
-	case a.Status == http.StatusOK:
-		return respond(c, http.StatusOK, map[string]any{"epoch": a.Epoch, "orders": worker.EncodeCommands(a.Commands)})
-	case a.MachineOwner != "":
-		return respond(c, a.Status, map[string]any{"steward": a.MachineOwner})
+	go func() {
+		<-ctx.Done()
+		srv.Close()
+	}()
+	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("api: %w", err)
 	}
-	return respondError(c, a.Status, "not the steward")
+	return nil
 }
--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -9,36 +9,39 @@
 )
 
 const (
-	// hardLimitFraction of the sockets may be incoming connections; the rest is for orders
-	// to workers, the state service, the cloud and the other controllers.
+	// hardLimitFraction of the sockets may be incoming connections; the rest is for commands to
+	// workers, the state service, the cloud and the other controllers.
 	hardLimitFraction = 0.7
-	// softLimitFraction is from where on a report's connection is closed with its answer.
-	// A pool larger than the sockets is served all the same, since a report takes
-	// a moment and the next one is seconds away; and what lies between the two is
+	// softLimitFraction of the sockets in use, the response to a heartbeat closes its
+	// connection. More workers than sockets can be served this way, since a heartbeat takes
+	// a moment and the next one is seconds away. The connections between the two limits are
 	// kept for users and health checks.
 	softLimitFraction = 0.55
-	// minConns is what is let in however few sockets there are.
+	// minConns is the least hard limit, however few sockets there are.
 	minConns = 8
-	// admitRetryInterval is how long a new connection waits for one in use to end.
+	// admitRetryInterval is how often a full tracker is tried again.
 	admitRetryInterval = 200 * time.Millisecond
 )
 
-// connTracker counts the incoming connections and keeps them within the sockets. When
-// none is left for a new one, the connection that has been idle the longest is
-// closed, those of workers first: they come again with their next report, while a
-// connection that is not accepted is a controller that does not answer.
+// connTracker keeps the incoming connections within hardLimit. If there is none left for a new
+// connection, it closes the one that has been idle the longest, workers' first: a worker
+// reconnects with its next heartbeat, while a controller that does not accept connections seems
+// to be down.
 type connTracker struct {
-	mu                   sync.Mutex
 	softLimit, hardLimit int
-	open                 map[net.Conn]*trackedConn
-	// idle are the connections without a request, the oldest first: workers' and
-	// others'.
+	// freed has an element after a connection has ended or become idle.
+	freed chan struct{}
+
+	mu   sync.Mutex
+	open map[net.Conn]*trackedConn
+	// idleWorkers and idleOthers are the connections without a request in progress, the
+	// longest idle first.
 	idleWorkers, idleOthers *list.List
-	freed                   chan struct{}
 }
 
 type trackedConn struct {
-	isWorker    bool
+	isWorker bool
+	// idleElement is the connection's place in idleList, nil while it is in use.
 	idleList    *list.List
 	idleElement *list.Element
 }
@@ -50,14 +53,14 @@
 	}
 }
 
-// trackState follows a connection's life, as net/http tells it.
-func (c *connTracker) trackState(nc net.Conn, s http.ConnState) {
+// trackState is the http.Server's ConnState hook.
+func (c *connTracker) trackState(conn net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	tracked := c.open[nc]
+	tracked := c.open[conn]
 	switch s {
 	case http.StateNew:
-		c.open[nc] = &trackedConn{}
+		c.open[conn] = &trackedConn{}
 		return
 	case http.StateActive:
 		c.removeIdle(tracked)
@@ -67,11 +70,11 @@
 			if tracked.idleList = c.idleOthers; tracked.isWorker {
 				tracked.idleList = c.idleWorkers
 			}
-			tracked.idleElement = tracked.idleList.PushBack(nc)
+			tracked.idleElement = tracked.idleList.PushBack(conn)
 		}
 	case http.StateClosed, http.StateHijacked:
 		c.removeIdle(tracked)
-		delete(c.open, nc)
+		delete(c.open, conn)
 	}
 	select {
 	case c.freed <- struct{}{}:
@@ -86,19 +89,19 @@
 	}
 }
 
-// markWorker notes that a connection carries a worker's reports, and says whether
-// connections run short, so that it is to be closed.
-func (c *connTracker) markWorker(nc net.Conn) bool {
+// markWorker notes that a connection carries heartbeats, and reports whether it should be closed
+// after the response because connections run short.
+func (c *connTracker) markWorker(conn net.Conn) (shouldClose bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if tracked := c.open[nc]; tracked != nil {
+	if tracked := c.open[conn]; tracked != nil {
 		tracked.isWorker = true
 	}
 	return len(c.open) > c.softLimit
 }
 
-// admit says whether there is room for one more connection, and closes an idle one
-// if there is none.
+// admit reports whether one more connection may be accepted; it closes an idle one if that is
+// needed.
 func (c *connTracker) admit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,17 +110,17 @@
 	}
 	for _, l := range [...]*list.List{c.idleWorkers, c.idleOthers} {
 		if e := l.Front(); e != nil {
-			nc := e.Value.(net.Conn)
-			c.removeIdle(c.open[nc])
-			delete(c.open, nc)
-			nc.Close()
+			conn := e.Value.(net.Conn)
+			c.removeIdle(c.open[conn])
+			delete(c.open, conn)
+			conn.Close()
 			return true
 		}
 	}
 	return false
 }
 
-// limitedListener accepts only while there is room.
+// limitedListener accepts a connection only when the tracker admits it.
 type limitedListener struct {
 	net.Listener
 	tracker *connTracker
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -4,107 +4,45 @@
 	"bufio"
 	"bytes"
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"sync"
 	"testing"
 	"time"
-
-	"github.com/micahill/micahill/internal/message"
-	"github.com/vmihailenco/msgpack/v5"
 )
 
-// heartbeatBackend is a core that answers every report and nothing else.
-type heartbeatBackend struct{}
-
-func (heartbeatBackend) Ask(_ context.Context, mk func(uint64) message.Command) (message.Effect, error) {
-	if _, ok := mk(1).(message.WorkerHeartbeat); ok {
-		return message.HeartbeatReply{Status: 200, Epoch: 1}, nil
-	}
-	return message.UserReply{Status: 404, Message: "no such job"}, nil
-}
-
-func (heartbeatBackend) Healthy() bool { return true }
-
-// TestMoreWorkersThanSockets guards against workers whose lease ends because all
-// connections are held by others, which are idle: a pool several times larger than
-// the sockets reports again and again, every report is answered at once, and so
-// are users and health checks meanwhile.
+// TestMoreWorkersThanSockets guards against workers whose lease expires because idle connections
+// of others take up all sockets: several times as many workers as sockets send heartbeats again
+// and again, and each of these, as well as users and health checks, must get a response at once.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	const sockets, workers, rounds = 40, 160, 3
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := ln.Addr().String()
-	ln.Close()
-	go Serve(ctx, addr, sockets, heartbeatBackend{}, func(string, string, time.Duration) {})
-	body, _ := msgpack.Marshal(map[string]any{"host": "vm-1", "tenure": 1, "tick": 1, "epoch": 1, "pieces": []any{}})
-	for i := 0; ; i++ {
-		if c, err := net.Dial("tcp", addr); err == nil {
-			c.Close()
-			break
-		}
-		if i > 200 {
-			t.Fatal("does not listen")
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
+	addr := unusedAddr(t)
+	go Serve(ctx, addr, sockets, heartbeatBackend{}, ignoreResponses)
+	waitForListener(t, addr)
+	body := encodeHeartbeat(t)
 	var wg sync.WaitGroup
 	for range workers {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			var c net.Conn
-			var br *bufio.Reader
+		wg.Go(func() {
+			w := testWorker{addr: addr, body: body}
 			for range rounds {
-				// A connection that was closed meanwhile is opened anew, as a
-				// worker does with its next try.
-				ok := false
-				for range 3 {
-					if c == nil {
-						var err error
-						if c, err = net.DialTimeout("tcp", addr, 4*time.Second); err != nil {
-							t.Error(err)
-							return
-						}
-						br = bufio.NewReader(c)
-					}
-					req, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/v1/report", bytes.NewReader(body))
-					c.SetDeadline(time.Now().Add(4 * time.Second))
-					req.Write(c)
-					resp, err := http.ReadResponse(br, req)
-					if err != nil {
-						c.Close()
-						c = nil
-						continue
-					}
-					io.Copy(io.Discard, resp.Body)
-					resp.Body.Close()
-					if resp.Close {
-						c.Close()
-						c = nil
-					}
-					ok = resp.StatusCode == 200
-					break
-				}
-				if !ok {
-					t.Error("a report got no answer")
+				if err := w.sendWithRetries(); err != nil {
+					t.Errorf("heartbeat: got %v, want a response", err)
 					return
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
-		}()
+		})
 	}
-	// No connection is kept here: each has to be let in.
+	// No connection is kept here, so each request has to be admitted.
 	user := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 20 {
 		resp, err := user.Get("http://" + addr + "/healthz")
 		if err != nil {
-			t.Error("health check: ", err)
+			t.Errorf("health check: got %v, want a response", err)
 			break
 		}
 		resp.Body.Close()
@@ -113,8 +51,77 @@
 	wg.Wait()
 }
 
-// TestConns: connections stay within the limit, a worker's idle one goes before a
-// user's, and one with a request under way never.
+// waitForListener waits until addr accepts connections.
+func waitForListener(t *testing.T, addr string) {
+	t.Helper()
+	for range 200 {
+		if c, err := net.Dial("tcp", addr); err == nil {
+			c.Close()
+			return
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	t.Fatalf("no listener on %s, want one", addr)
+}
+
+// testWorker sends heartbeats on a connection that it keeps while the server does.
+type testWorker struct {
+	addr   string
+	body   []byte
+	conn   net.Conn
+	reader *bufio.Reader
+}
+
+// sendWithRetries sends a heartbeat, on up to three connections: the server may have closed the
+// kept one meanwhile. Any response but a 200 is an error.
+func (w *testWorker) sendWithRetries() error {
+	var failure error
+	for range 3 {
+		if w.conn == nil {
+			conn, err := net.DialTimeout("tcp", w.addr, 4*time.Second)
+			if err != nil {
+				return err
+			}
+			w.conn, w.reader = conn, bufio.NewReader(conn)
+		}
+		status, err := w.send()
+		if err == nil && status != http.StatusOK {
+			return fmt.Errorf("status %d", status)
+		}
+		if err == nil {
+			return nil
+		}
+		failure = err
+		w.conn.Close()
+		w.conn = nil
+	}
+	return failure
+}
+
+// send makes one request on the connection and returns the status of the response.
+func (w *testWorker) send() (int, error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/v1/report", bytes.NewReader(w.body))
+	if err != nil {
+		return 0, err
+	}
+	w.conn.SetDeadline(time.Now().Add(4 * time.Second))
+	// A failed write shows in the read.
+	req.Write(w.conn)
+	resp, err := http.ReadResponse(w.reader, req)
+	if err != nil {
+		return 0, err
+	}
+	io.Copy(io.Discard, resp.Body)
+	resp.Body.Close()
+	if resp.Close {
+		w.conn.Close()
+		w.conn = nil
+	}
+	return resp.StatusCode, nil
+}
+
+// TestConns: connections stay within the limit; a worker's idle one is closed before a user's,
+// and one with a request in progress never.
 func TestConns(t *testing.T) {
 	c := newConnTracker(0)
 	var all []net.Conn
@@ -138,24 +145,24 @@
 		open(true, false)
 	}
 	if !c.markWorker(worker) {
-		t.Error("connections are not short though all are taken")
+		t.Error("markWorker at the hard limit: got false, want true")
 	}
 	if !c.admit() {
-		t.Fatal("no room though one is idle")
+		t.Fatal("admit with two idle connections: got false, want true")
 	}
 	if c.open[worker] != nil || c.open[user] == nil {
-		t.Error("not the worker's idle connection was closed")
+		t.Errorf("open: got worker %t, user %t, want the user's only", c.open[worker] != nil, c.open[user] != nil)
 	}
 	open(true, false)
-	if !c.admit() || c.open[user] != nil {
-		t.Error("the last idle connection was not closed")
+	if admitted := c.admit(); !admitted || c.open[user] != nil {
+		t.Errorf("last idle connection: got admitted %t, still open %t, want it closed for another", admitted, c.open[user] != nil)
 	}
 	open(true, false)
 	if c.admit() {
-		t.Error("room though every connection is in use")
+		t.Error("admit with every connection in use: got true, want false")
 	}
 	c.trackState(all[len(all)-1], http.StateClosed)
 	if !c.admit() {
-		t.Error("no room after one has ended")
+		t.Error("admit after a connection has ended: got false, want true")
 	}
 }
--- /dev/null
+++ b/internal/api/heartbeat.go
@@ -0,0 +1,53 @@
+package api
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/labstack/echo/v4"
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/worker"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+// heartbeat passes a worker's heartbeat to the controller and responds with its commands, or with
+// the machine owner that the worker should turn to.
+func (h *handlers) heartbeat(c echo.Context) error {
+	b, err := readBody(c)
+	if err != nil {
+		return err
+	}
+	if conn, ok := c.Request().Context().Value(connContextKey{}).(net.Conn); ok && h.conns.markWorker(conn) {
+		c.Response().Header().Set(echo.HeaderConnection, "close")
+	}
+	var wire worker.Heartbeat
+	if err := msgpack.Unmarshal(b, &wire); err != nil {
+		return h.rejectInput(c, "not a MessagePack map with a report's fields: "+err.Error())
+	}
+	heartbeat := wire.Decode()
+	if problem := heartbeat.Validate(); problem != "" {
+		return h.rejectInput(c, "field "+problem)
+	}
+	ctx, cancel := context.WithTimeout(c.Request().Context(), controllerTimeout)
+	defer cancel()
+	reply, err := ask[message.HeartbeatReply](ctx, h.backend, func(reply uint64) message.Command {
+		return message.WorkerHeartbeat{Reply: reply, Heartbeat: heartbeat}
+	})
+	if err != nil {
+		return respondBusy(c)
+	}
+	// The process may have been paused since the controller replied.
+	if _, instead, late := controller.CheckDeadline(reply, time.Now()); late {
+		reply = instead.(message.HeartbeatReply)
+	}
+	switch {
+	case reply.Status == http.StatusOK:
+		return respond(c, http.StatusOK, map[string]any{"epoch": reply.Epoch, "orders": worker.EncodeCommands(reply.Commands)})
+	case reply.MachineOwner != "":
+		return respond(c, reply.Status, map[string]any{"steward": reply.MachineOwner})
+	}
+	return respondError(c, reply.Status, "not the steward")
+}
--- a/internal/api/jobrequest.go
+++ b/internal/api/jobrequest.go
@@ -14,8 +14,9 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// jobRequest is a submission on the wire. Pointers tell a missing field from a zero.
-// Counts come as decimal numbers too, so that 2.5 tasks can be told from 2.
+// jobRequest is a submission on the wire, as the protocol's "POST /v2/runs" has it. Pointers
+// distinguish a missing field from a zero. Tasks is a decimal number, so that 2.5 is invalid and
+// not 2.
 type jobRequest struct {
 	ID               *string  `msgpack:"id" validate:"required,runid"`
 	Workload         *string  `msgpack:"workload" validate:"required,min=1,max=100"`
@@ -40,6 +41,7 @@
 	Dependencies     []string `msgpack:"prereqs" validate:"omitempty,dive,runid"`
 }
 
+// requestValidator checks the validate tags of a jobRequest.
 var requestValidator = newRequestValidator()
 
 func newRequestValidator() *validator.Validate {
@@ -61,13 +63,14 @@
 	"critical": model.Critical, "urgent": model.Urgent, "normal": model.Normal, "best_effort": model.BestEffort,
 }
 
-// isMap says that b begins with a map. An array would be taken for a job's fields in the
-// order in which they stand here.
+// isMap reports whether b begins with a MessagePack map. The decoder would accept a list as
+// well, and take it for the fields in the order of their declaration.
 func isMap(b []byte) bool {
 	return len(b) > 0 && (msgpcode.IsFixedMap(b[0]) || b[0] == msgpcode.Map16 || b[0] == msgpcode.Map32)
 }
 
-// mistypedField names the first field whose value can't be read; none if the map itself can't.
+// mistypedField returns the name of the first field whose value can't be decoded, or "" if the
+// map itself can't be.
 func mistypedField(b []byte) string {
 	var values map[string]msgpack.RawMessage
 	if msgpack.Unmarshal(b, &values) != nil {
@@ -77,7 +80,7 @@
 	for i := range fields.NumField() {
 		f := fields.Field(i)
 		name := f.Tag.Get("msgpack")
-		// null comes as no bytes.
+		// A null is decoded as no bytes.
 		if v := values[name]; len(v) > 0 && msgpack.Unmarshal(v, reflect.New(f.Type).Interface()) != nil {
 			return name + mistypedIndex(v, f.Type)
 		}
@@ -85,7 +88,8 @@
 	return ""
 }
 
-// mistypedIndex is the place of a list's first element that can't be read, if it is one.
+// mistypedIndex returns the index, in brackets, of a list's first element that can't be decoded,
+// or "" if there is none.
 func mistypedIndex(b []byte, list reflect.Type) string {
 	var values []msgpack.RawMessage
 	if list.Kind() != reflect.Slice || msgpack.Unmarshal(b, &values) != nil {
@@ -99,54 +103,72 @@
 	return ""
 }
 
-// invalidFieldReason is the reason that names a field.
-func invalidFieldReason(field string) string { return "field " + field + " is missing or invalid" }
+// errNotJobMap is the error of a body that is no map, or no map of a job's fields.
+var errNotJobMap = errors.New("not a MessagePack map with a job's fields")
 
-// parseJobRequest reads a submission. A reason comes with whatever of the id could be
-// read: a known job is answered with its state, whatever the body.
-func parseJobRequest(b []byte) (model.JobSpec, string) {
-	const noMap = "not a MessagePack map with a job's fields"
+// invalidFieldError names a field that is missing or has an invalid value.
+type invalidFieldError struct{ field string }
+
+func (e *invalidFieldError) Error() string { return "field " + e.field + " is missing or invalid" }
+
+// parseJobRequest decodes and checks a submission. Its errors are reasons for the user. Together
+// with an error the spec has the ID if that could be decoded: if the job is known, the response
+// is its state, whatever else the body says.
+func parseJobRequest(b []byte) (model.JobSpec, error) {
 	if !isMap(b) {
-		return model.JobSpec{}, noMap
+		return model.JobSpec{}, errNotJobMap
 	}
 	var request jobRequest
 	if msgpack.Unmarshal(b, &request) != nil {
-		reason := noMap
-		if field := mistypedField(b); field != "" {
-			reason = invalidFieldReason(field)
-		}
-		var idOnly struct {
-			ID string `msgpack:"id"`
-		}
-		if msgpack.Unmarshal(b, &idOnly) == nil && jobIDPattern.MatchString(idOnly.ID) {
-			return model.JobSpec{ID: idOnly.ID}, reason
-		}
-		return model.JobSpec{}, reason
+		return model.JobSpec{ID: decodeJobID(b)}, explainUndecodable(b)
 	}
 	if request.ID == nil || !jobIDPattern.MatchString(*request.ID) {
-		return model.JobSpec{}, invalidFieldReason("id")
+		return model.JobSpec{}, &invalidFieldError{"id"}
 	}
 	if err := requestValidator.Struct(&request); err != nil {
 		var violations validator.ValidationErrors
-		reason := err.Error()
 		if errors.As(err, &violations) {
-			reason = invalidFieldReason(violations[0].Field())
+			err = &invalidFieldError{violations[0].Field()}
 		}
-		return model.JobSpec{ID: *request.ID}, reason
+		return model.JobSpec{ID: *request.ID}, err
+	}
+	return request.spec(), nil
+}
+
+// explainUndecodable is the error of a map that can't be decoded as a whole.
+func explainUndecodable(b []byte) error {
+	if field := mistypedField(b); field != "" {
+		return &invalidFieldError{field}
 	}
+	return errNotJobMap
+}
+
+// decodeJobID returns the ID of a request of which other fields can't be decoded, or "".
+func decodeJobID(b []byte) string {
+	var idOnly struct {
+		ID string `msgpack:"id"`
+	}
+	if msgpack.Unmarshal(b, &idOnly) != nil || !jobIDPattern.MatchString(idOnly.ID) {
+		return ""
+	}
+	return idOnly.ID
+}
+
+// spec converts a valid request.
+func (r *jobRequest) spec() model.JobSpec {
 	spec := model.JobSpec{
-		ID: *request.ID, Workload: *request.Workload, Team: *request.Team, LongRunning: *request.Shape == "standing", Gang: *request.Shape == "group",
-		Urgency: urgencies[*request.Urgency], Tasks: int(*request.Tasks),
-		Need:  model.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
-		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
-		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
-		ExpectedRunTime: record.DurationOfSeconds(*request.ExpectedS), CheckpointInterval: record.DurationOfSeconds(*request.CheckpointEveryS), CheckpointCost: record.DurationOfSeconds(*request.CheckpointCostS),
+		ID: *r.ID, Workload: *r.Workload, Team: *r.Team, LongRunning: *r.Shape == "standing", Gang: *r.Shape == "group",
+		Urgency: urgencies[*r.Urgency], Tasks: int(*r.Tasks),
+		Need:  model.Resources{CPU: *r.VCPUs, GPU: *r.GPUs, Memory: *r.MemoryGB},
+		Image: *r.Image, ImageGB: *r.ImageGB, MachineTypes: r.MachineTypes,
+		Dependencies: r.Dependencies, SameZone: *r.ZoneAffinity, SpreadZones: *r.ZoneAntiAffinity, AllowSpot: *r.SpotAllowed,
+		ExpectedRunTime: record.DurationOfSeconds(*r.ExpectedS), CheckpointInterval: record.DurationOfSeconds(*r.CheckpointEveryS), CheckpointCost: record.DurationOfSeconds(*r.CheckpointCostS),
 	}
-	if request.Zone != nil {
-		spec.Zone = *request.Zone
+	if r.Zone != nil {
+		spec.Zone = *r.Zone
 	}
-	if request.DeadlineS != nil {
-		spec.Deadline = record.DurationOfSeconds(*request.DeadlineS)
+	if r.DeadlineS != nil {
+		spec.Deadline = record.DurationOfSeconds(*r.DeadlineS)
 	}
-	return spec, ""
+	return spec
 }
--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -13,48 +13,38 @@
 	"sync/atomic"
 	"testing"
 	"time"
-
-	"github.com/vmihailenco/msgpack/v5"
 )
 
 const (
-	// connMemory is what a connection of a worker may take at this end, with its
-	// goroutine and buffers, and workerMemory what one that is gone may leave behind.
+	// connMemory is how many bytes a worker's connection may take in the server, with its
+	// goroutine and buffers, and workerMemory what one may leave allocated.
 	connMemory   = 48 << 10
 	workerMemory = 256
-	// connRoutines is how many goroutines one connection takes, and serverRoutines what
-	// there is besides.
+	// connRoutines is how many goroutines a connection takes, and serverRoutines how many
+	// there are besides.
 	connRoutines   = 2
 	serverRoutines = 50
 )
 
-// TestPoolBySize: thousands of machines that all report at once, over and over, stay
-// within the connections that follow from the sockets; goroutines and memory follow from
-// the connections and not from the machines; and all get answers.
+// TestPoolBySize: the heartbeats of thousands of machines, all at once, stay within the
+// connections that follow from the sockets; goroutines and memory follow from the connections
+// and not from the machines; and every heartbeat gets a response.
 func TestPoolBySize(t *testing.T) {
 	const sockets = 200
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			ln, err := net.Listen("tcp", "127.0.0.1:0")
-			if err != nil {
-				t.Fatal(err)
-			}
-			addr := ln.Addr().String()
-			ln.Close()
+			addr := unusedAddr(t)
+			body := encodeHeartbeat(t)
 			before, routines := heap(), runtime.NumGoroutine()
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				Serve(ctx, addr, sockets, heartbeatBackend{}, func(string, string, time.Duration) {})
+				Serve(ctx, addr, sockets, heartbeatBackend{}, ignoreResponses)
 			}()
-			body, err := msgpack.Marshal(map[string]any{"host": "vm-1", "tenure": 1, "tick": 1, "epoch": 1, "pieces": []any{}})
-			if err != nil {
-				t.Fatal(err)
-			}
-			// So many machines report at a time, each once, and then hold their
-			// connections, four times as many as may be open, while they are let.
+			// So many machines send heartbeats at a time. They leave their connections open, up
+			// to four times as many as the server admits.
 			const crowd = 100
 			hardLimit := int(hardLimitFraction * sockets)
 			var answered, next atomic.Int64
@@ -65,7 +55,7 @@
 			for range crowd {
 				wg.Go(func() {
 					for next.Add(1) <= int64(machines) {
-						// A connection may be closed for another's sake just as it is used.
+						// The server may close a connection, to admit another, just as it is used.
 						for range 100 {
 							c, ok := sendHeartbeat(addr, body)
 							if c != nil {
@@ -90,17 +80,17 @@
 			}
 			wg.Wait()
 			if k := answered.Load(); k != int64(machines) {
-				t.Errorf("%d of %d machines got an answer", k, machines)
+				t.Errorf("got %d responses, want %d", k, machines)
 			}
 			if maxGoroutines := routines + crowd + connRoutines*hardLimit + serverRoutines; mostGoroutines > maxGoroutines {
-				t.Errorf("%d goroutines, of %d at most", mostGoroutines, maxGoroutines)
+				t.Errorf("got %d goroutines, want at most %d", mostGoroutines, maxGoroutines)
 			}
 			for _, c := range openConns {
 				c.Close()
 			}
 			openConns = nil
 			if kept := heap() - before; kept > int64(hardLimit*connMemory+machines*workerMemory) {
-				t.Errorf("%d KB are kept after %d machines", kept>>10, machines)
+				t.Errorf("got %d KB kept after %d machines, want at most %d", kept>>10, machines, (hardLimit*connMemory+machines*workerMemory)>>10)
 			}
 			cancel()
 			<-ended
@@ -108,7 +98,8 @@
 	}
 }
 
-// sendHeartbeat hands in one report on a connection of its own, which it leaves open.
+// sendHeartbeat sends a heartbeat on a connection of its own, which it leaves open, and reports
+// whether it was accepted.
 func sendHeartbeat(addr string, body []byte) (net.Conn, bool) {
 	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
@@ -128,7 +119,7 @@
 	return c, resp.StatusCode == http.StatusOK
 }
 
-// heap is what is in use after a collection, in bytes.
+// heap is the memory in use after a collection, in bytes.
 func heap() int64 {
 	var m runtime.MemStats
 	runtime.GC()
