--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -9,12 +9,12 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenWire: reports and orders are on the wire as they ever were.
+// TestGoldenWire compares heartbeats and commands on the wire with the golden bytes.
 func TestGoldenWire(t *testing.T) {
-	recall := 28.5
+	reclaimS := 28.5
 	wire := testgolden.Values{
-		"report": Heartbeat{
-			Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Incarnation: 3, Sequence: 88, Epoch: 411, ReclaimS: &recall,
+		"heartbeat": Heartbeat{
+			Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Incarnation: 3, Sequence: 88, Epoch: 411, ReclaimS: &reclaimS,
 			Tasks: []TaskReport{
 				{Task: "job-000412/5", Attempt: 2, Status: "ended", Cause: "done", Checkpointed: true},
 				{Task: "job-000413/6", Attempt: 300, Status: "fetching"},
@@ -23,7 +23,7 @@
 				{Task: "job-000413/9", Attempt: 1, Status: "flushing"},
 			},
 		},
-		"orders": TaskCommands{Epoch: 412, Incarnation: 4, Commands: EncodeCommands([]model.TaskCommand{
+		"commands": TaskCommands{Epoch: 412, Incarnation: 4, Commands: EncodeCommands([]model.TaskCommand{
 			{Kind: model.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
 			{Kind: model.StopTask, Job: "job-000413", Index: 6, Attempt: 300, GracePeriod: 30_250 * time.Millisecond},
 			{Kind: model.ClearTask, Job: "job-000414", Index: 7, Attempt: 4},
@@ -32,8 +32,8 @@
 	testgolden.Check(t, testgolden.Msgpack, wire)
 	testgolden.Full(t, wire)
 
-	var r Heartbeat
-	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "report"), &r); err != nil {
+	var decoded Heartbeat
+	if err := testgolden.Msgpack.Read(testgolden.Bytes(t, "heartbeat"), &decoded); err != nil {
 		t.Fatal(err)
 	}
 	want := model.Heartbeat{
@@ -46,7 +46,7 @@
 			{Job: "job-000413", Index: 9, Attempt: 1, Status: model.Checkpointing},
 		},
 	}
-	if got := r.Decode(); !reflect.DeepEqual(got, want) {
-		t.Errorf("read as\n%+v\nwant\n%+v", got, want)
+	if got := decoded.Decode(); !reflect.DeepEqual(got, want) {
+		t.Errorf("got\n%+v\nwant\n%+v", got, want)
 	}
 }
--- a/internal/worker/size_test.go
+++ b/internal/worker/size_test.go
@@ -12,9 +12,9 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// TestCommandsToUnresponsiveMachines: thousands of orders to machines that take connections and
-// never answer, as after the end of all controllers, stay within the sockets that orders
-// may have, and take no threads of their own.
+// TestCommandsToUnresponsiveMachines: thousands of requests to machines that accept connections
+// and never respond, as after a restart of all controllers, stay within the sockets for requests,
+// and take no threads of their own.
 func TestCommandsToUnresponsiveMachines(t *testing.T) {
 	const sockets = 800
 	for _, machines := range []int{2000, 5000} {
@@ -33,7 +33,7 @@
 					}
 					mostOpen.Store(max(mostOpen.Load(), open.Add(1)))
 					go func() {
-						// Held until the client gives it up.
+						// Held until the client gives up.
 						var b [1 << 10]byte
 						for {
 							if _, err := c.Read(b[:]); err != nil {
@@ -50,36 +50,36 @@
 			var wg sync.WaitGroup
 			for i := range machines {
 				wg.Go(func() {
-					result := client.Do(ctx, message.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
-					if result.Heartbeat != nil {
-						t.Error("an answer out of nothing")
+					resp := client.Do(ctx, message.WorkerRequest{ID: uint64(i), Machine: fmt.Sprintf("vm-%06d", i), Addr: ln.Addr().String(), StatusOnly: true})
+					if resp.Heartbeat != nil {
+						t.Errorf("got %+v, want no heartbeat", *resp.Heartbeat)
 					}
 				})
 			}
 			wg.Wait()
 			cancel()
-			// Each is given up at its own deadline, and the next have their turn; the
-			// other end sees some of them go a little later.
+			// Each ends with its own timeout, and the next gets its turn; the server sees some
+			// of the connections close a little later.
 			if m := mostOpen.Load(); m > sockets/2 {
-				t.Errorf("%d connections at a time, of %d sockets", m, sockets)
+				t.Errorf("got %d connections at a time, want at most %d", m, sockets/2)
 			}
 			if k := pprof.Lookup("threadcreate").Count(); k > 200 {
-				t.Errorf("%d threads", k)
+				t.Errorf("got %d threads, want at most 200", k)
 			}
 		})
 	}
 }
 
-// TestSlotAtDeadlineIsNotSent: an order whose turn comes with its deadline is not sent, and its
-// core knows that.
+// TestSlotAtDeadlineIsNotSent: a request whose turn comes with its deadline is not sent, and the
+// response says so.
 func TestSlotAtDeadlineIsNotSent(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	// A free place and an ended context are there at once, and either may be seen first.
+	// A free slot and an ended context are there at once, and either may be seen first.
 	client := New(800)
 	for range 100 {
-		if d := client.Do(ctx, message.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !d.NotSent {
-			t.Fatal("it counts as sent")
+		if resp := client.Do(ctx, message.WorkerRequest{Machine: "vm-1", Addr: "127.0.0.1:1", StatusOnly: true}); !resp.NotSent {
+			t.Fatalf("got %+v, want it not sent", resp)
 		}
 	}
 }
