--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,5 +1,6 @@
-// Package cloud speaks to the cloud's interface: machine types, rentals and
-// returns. It owns their wire form, the rate limit and the deadlines.
+// Package cloud is the client of the cloud: it lists machine types, and lists, rents and releases
+// machines. It owns the cloud's wire form ("Controller nodes -> cloud" in the protocol), the rate
+// limit and the request timeout.
 package cloud
 
 import (
@@ -14,180 +15,129 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
-	"github.com/micahill/micahill/internal/model"
-	"github.com/micahill/micahill/internal/record"
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/time/rate"
 )
 
 const (
-	// requestTimeout of one request; the cloud takes some tenths of a second.
+	// requestTimeout bounds a request with its wait for the rate limit; the cloud takes some
+	// tenths of a second.
 	requestTimeout = 5 * time.Second
-	// listPage is the most the cloud lists at once.
+	// dialTimeout bounds the connecting, as part of requestTimeout.
+	dialTimeout = 2 * time.Second
+	// listPage is the most machines that the cloud lists at once.
 	listPage = 500
-	// maxResponseBytes bounds an answer.
+	// maxResponseBytes bounds a response.
 	maxResponseBytes = 4 << 20
-	// rateFraction of the limit: one leader does nearly all; the rest is left for
-	// controllers that only ask for the types.
+	// rateFraction of the cloud's limit is for this controller. The leader makes nearly all
+	// requests; the rest is for the others, which only list the machine types.
 	rateFraction = 0.8
+	// maxConns bounds the connections to the cloud, and maxIdleConns the idle ones.
+	maxConns     = 8
+	maxIdleConns = 4
 )
 
-// Client is one controller's access to the cloud.
+// Client sends one controller's requests to the cloud. It is safe for concurrent use.
 type Client struct {
-	base    string
+	baseURL string
 	http    *http.Client
 	limiter *rate.Limiter
 }
 
-// New makes a client for the cloud at addr with its limit of requests a second.
+// New returns a client of the cloud at addr, whose limit in requests per second is for all
+// controllers together.
 func New(addr string, requestsPerSecond float64) *Client {
 	transport := &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: 2 * time.Second}).DialContext,
-		MaxIdleConnsPerHost: 4,
-		MaxConnsPerHost:     8,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdleConns,
+		MaxConnsPerHost:     maxConns,
 		DisableCompression:  true,
 	}
-	return &Client{base: "http://" + addr, http: &http.Client{Transport: transport}, limiter: rate.NewLimiter(rate.Limit(requestsPerSecond*rateFraction), max(1, int(requestsPerSecond*rateFraction)))}
+	limit := requestsPerSecond * rateFraction
+	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport}, limiter: rate.NewLimiter(rate.Limit(limit), max(1, int(limit)))}
 }
 
-type machineType struct {
-	Name            string   `msgpack:"name"`
-	VCPUs           float64  `msgpack:"vcpus"`
-	GPUs            float64  `msgpack:"gpus"`
-	MemoryGB        float64  `msgpack:"memory_gb"`
-	DiskGB          float64  `msgpack:"local_gb"`
-	FetchRate       float64  `msgpack:"pull_gb_per_s"`
-	CostPerHour     float64  `msgpack:"price"`
-	SpotCostPerHour float64  `msgpack:"market_price"`
-	ReadyS          float64  `msgpack:"ready_s"`
-	Zones           []string `msgpack:"sites"`
-}
-
-type machine struct {
-	ID          string  `msgpack:"id"`
-	Address     string  `msgpack:"address"`
-	MachineType string  `msgpack:"flavour"`
-	Zone        string  `msgpack:"site"`
-	Spot        bool    `msgpack:"loaner"`
-	Status      string  `msgpack:"status"`
-	AgeS        float64 `msgpack:"held_s"`
-}
-
-type rentalRequest struct {
-	RequestID   string `msgpack:"booking"`
-	MachineType string `msgpack:"flavour"`
-	Zone        string `msgpack:"site"`
-	Spot        bool   `msgpack:"loaner"`
-	Count       int    `msgpack:"count"`
-}
-
-type machineIDs struct {
-	IDs []string `msgpack:"hosts"`
-}
-
-type machineTypeList struct {
-	Types []machineType `msgpack:"flavours"`
-}
-
-type machineList struct {
-	Machines  []machine `msgpack:"hosts"`
-	Truncated bool      `msgpack:"truncated"`
+// Do executes a request for the controller's state machine, which takes the outcome as a status
+// and not as an error.
+func (c *Client) Do(ctx context.Context, req message.CloudRequest) message.CloudResponse {
+	out, err := c.Execute(ctx, req)
+	out.Status = statusOf(err)
+	return out
 }
 
-// Do carries out op and tells how it ended.
-func (c *Client) Do(ctx context.Context, op message.CloudRequest) message.CloudResponse {
-	out := message.CloudResponse{ID: op.ID, Status: message.CloudRefused}
+// Execute waits for the rate limit and sends the request. It sets all fields of the response but
+// Status.
+func (c *Client) Execute(ctx context.Context, req message.CloudRequest) (message.CloudResponse, error) {
+	out := message.CloudResponse{ID: req.ID}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if c.limiter.Wait(ctx) != nil {
-		return out
+	if err := c.limiter.Wait(ctx); err != nil {
+		return out, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
-	var status int
-	var err error
-	switch op.Kind {
+	switch req.Kind {
 	case message.CloudListTypes:
-		var a machineTypeList
-		status, err = c.send(ctx, http.MethodGet, "/machine_types", nil, &a)
-		for _, f := range a.Types {
-			out.MachineTypes = append(out.MachineTypes, model.MachineType{
-				Name: f.Name, Capacity: model.Resources{CPU: f.VCPUs, GPU: f.GPUs, Memory: f.MemoryGB},
-				DiskGB: f.DiskGB, ImageFetchRate: f.FetchRate, CostPerHour: f.CostPerHour, SpotCostPerHour: f.SpotCostPerHour,
-				ProvisioningTime: record.DurationOfSeconds(f.ReadyS), Zones: f.Zones,
-			})
+		var list machineTypeList
+		err := c.send(ctx, http.MethodGet, "/machine_types", nil, &list)
+		for _, t := range list.Types {
+			out.MachineTypes = append(out.MachineTypes, t.decode())
 		}
+		return out, err
 	case message.CloudListMachines:
-		q := url.Values{"limit": {strconv.Itoa(listPage)}}
-		if op.StartAfter != "" {
-			q.Set("from", op.StartAfter)
+		query := url.Values{"limit": {strconv.Itoa(listPage)}}
+		if req.StartAfter != "" {
+			query.Set("from", req.StartAfter)
 		}
-		var a machineList
-		status, err = c.send(ctx, http.MethodGet, "/rentals?"+q.Encode(), nil, &a)
-		for _, h := range a.Machines {
-			out.Machines = append(out.Machines, model.CloudMachine{
-				ID: h.ID, Addr: h.Address, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
-				Status: h.Status, Age: record.DurationOfSeconds(h.AgeS),
-			})
+		var list machineList
+		err := c.send(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &list)
+		for _, m := range list.Machines {
+			out.Machines = append(out.Machines, m.decode())
 		}
-		out.Truncated = a.Truncated
+		out.Truncated = list.Truncated
+		return out, err
 	case message.CloudRent:
-		var a machineIDs
-		status, err = c.send(ctx, http.MethodPost, "/rentals", rentalRequest{op.IdempotencyKey, op.MachineType, op.Zone, op.Spot, op.Count}, &a)
-		out.Rented = a.IDs
+		var rented machineIDs
+		err := c.send(ctx, http.MethodPost, "/rentals", rentalRequest{req.IdempotencyKey, req.MachineType, req.Zone, req.Spot, req.Count}, &rented)
+		out.Rented = rented.IDs
+		return out, err
 	case message.CloudRelease:
-		status, err = c.send(ctx, http.MethodPost, "/rentals/return", machineIDs{op.Machines}, nil)
-	}
-	switch {
-	case err == errNoCapacity:
-		out.Status = message.CloudNoCapacity
-	case err != nil:
-		out.Status = message.CloudUnknown
-	case status == http.StatusOK:
-		out.Status = message.CloudOK
-	case status == http.StatusBadRequest:
-		out.Status = message.CloudMalformed
+		return out, c.send(ctx, http.MethodPost, "/rentals/return", machineIDs{req.Machines}, nil)
 	}
-	return out
+	return out, fmt.Errorf("%w: unknown kind of request %d", ErrNotExecuted, req.Kind)
 }
 
-var errNoCapacity = fmt.Errorf("cloud: no capacity")
-
-func (c *Client) send(ctx context.Context, method, path string, body, into any) (int, error) {
+// send makes one HTTP request, and decodes the body of a 200 into a given value.
+func (c *Client) send(ctx context.Context, method, path string, body, into any) error {
 	var payload io.Reader
 	if body != nil {
 		b, err := msgpack.Marshal(body)
 		if err != nil {
-			return 0, fmt.Errorf("cloud: encode: %w", err)
+			return fmt.Errorf("cloud: encode: %w", err)
 		}
 		payload = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, payload)
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, payload)
 	if err != nil {
-		return 0, fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("cloud: %w", err)
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/msgpack")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("cloud: %w", err)
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return 0, fmt.Errorf("cloud: read: %w", err)
+		return fmt.Errorf("cloud: read: %w", err)
 	}
-	if resp.StatusCode == http.StatusServiceUnavailable {
-		var e struct {
-			Error string `msgpack:"error"`
-		}
-		if msgpack.Unmarshal(b, &e) == nil && e.Error == "no capacity" {
-			return resp.StatusCode, errNoCapacity
-		}
+	if err := errorOf(resp.StatusCode, b); err != nil {
+		return err
 	}
-	if resp.StatusCode == http.StatusOK && into != nil {
+	if into != nil {
 		if err := msgpack.Unmarshal(b, into); err != nil {
-			return 0, fmt.Errorf("cloud: decode: %w", err)
+			return fmt.Errorf("cloud: decode: %w", err)
 		}
 	}
-	return resp.StatusCode, nil
+	return nil
 }
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -6,18 +6,17 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenWire: the cloud's answers and what it is asked are on the wire as they ever
-// were.
+// TestGoldenWire compares requests to and responses of the cloud with the golden bytes.
 func TestGoldenWire(t *testing.T) {
 	wire := testgolden.Values{
-		"types": machineTypeList{Types: []machineType{{
+		"machine-types": machineTypeList{Types: []machineType{{
 			Name: "g8", VCPUs: 96.5, GPUs: 8.25, MemoryGB: 700.75, DiskGB: 1_900.5, FetchRate: 0.25, CostPerHour: 12.5, SpotCostPerHour: 4.75, ReadyS: 41.5, Zones: []string{"a", "b"},
 		}}},
-		"hosts": machineList{Truncated: true, Machines: []machine{{
+		"machines": machineList{Truncated: true, Machines: []machine{{
 			ID: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Spot: true, Status: "up", AgeS: 61.5,
 		}}},
-		"booking": rentalRequest{RequestID: "411.ctl-2.7", MachineType: "g8", Zone: "a", Spot: true, Count: 3},
-		"names":   machineIDs{IDs: []string{"vm-000231", "vm-000232"}},
+		"rental-request": rentalRequest{RequestID: "411.ctl-2.7", MachineType: "g8", Zone: "a", Spot: true, Count: 3},
+		"machine-ids":    machineIDs{IDs: []string{"vm-000231", "vm-000232"}},
 	}
 	testgolden.Check(t, testgolden.Msgpack, wire)
 	testgolden.Full(t, wire)
