--- a/internal/listen/freeaddr.go
+++ b/internal/listen/freeaddr.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// freePortBase and freePortCount are the range that Free chooses from. It lies below the
-	// ports that outgoing connections get by themselves.
+	// freePortBase and freePortCount are the range that FreeAddr chooses from. It lies below
+	// the range of ephemeral ports.
 	freePortBase  = 20000
 	freePortCount = 10000
-	// freeAttempts is how many ports are tried.
+	// freeAttempts bounds the ports that are tried.
 	freeAttempts = 100
 )
 
-// ErrNoFreePort says that all ports that were tried are in use.
-var ErrNoFreePort = errors.New("ports: no free port found")
+// ErrNoFreePort is the error of FreeAddr when no port that it tried can be listened on.
+var ErrNoFreePort = errors.New("listen: no free port found")
 
 // FreeAddr returns a loopback address on which nothing listens, for a server that is started
-// later. A port that the system chooses would do only for a server that listens at once:
-// until then any outgoing connection may get it.
+// later. It does not take an ephemeral port, which an outgoing connection could get before the
+// server does.
 func FreeAddr() (string, error) {
 	for range freeAttempts {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", freePortBase+rand.IntN(freePortCount)))
@@ -30,7 +30,7 @@
 		}
 		addr := ln.Addr().String()
 		if err := ln.Close(); err != nil {
-			return "", fmt.Errorf("ports: %w", err)
+			return "", fmt.Errorf("listen: %w", err)
 		}
 		return addr, nil
 	}
--- a/internal/listen/ports_test.go
+++ b/internal/listen/ports_test.go
@@ -8,44 +8,46 @@
 	"time"
 )
 
-// TestWaitsForAddressInUse: a port that is held is waited for, and had when it is free.
+// TestWaitsForAddressInUse: TCP waits for a port in use, and gets it when it becomes free.
 func TestWaitsForAddressInUse(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		ln, err := TCP(t.Context(), "api_addr", held.Addr().String())
 		if err == nil {
 			ln.Close()
 		}
-		got <- err
+		result <- err
 	}()
 	select {
-	case err := <-got:
-		t.Fatalf("it does not wait: %v", err)
+	case err := <-result:
+		t.Fatalf("port in use: got %v at once, want a wait", err)
 	case <-time.After(3 * minPause):
 	}
 	held.Close()
-	if err := <-got; err != nil {
-		t.Error(err)
+	if err := <-result; err != nil {
+		t.Errorf("free port: got %v, want no error", err)
 	}
 }
 
-// TestInvalidAddressFails: what waiting does not mend is told at once, with the field.
+// TestInvalidAddressFails: an address that waiting does not help is an error at once, with the field.
 func TestInvalidAddressFails(t *testing.T) {
 	for _, addr := range []string{"nowhere", "192.0.2.1:80", "127.0.0.1:99999"} {
-		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-		_, err := TCP(ctx, "back", addr)
-		if err == nil || ctx.Err() != nil || !strings.Contains(err.Error(), "back") {
-			t.Errorf("%s: %v", addr, err)
-		}
-		cancel()
+		t.Run(addr, func(t *testing.T) {
+			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+			defer cancel()
+			_, err := TCP(ctx, "back", addr)
+			if err == nil || ctx.Err() != nil || !strings.Contains(err.Error(), "back") {
+				t.Errorf("got %v, want an error at once that names the field", err)
+			}
+		})
 	}
 }
 
-// TestWaitEndsWithContext: waiting ends with the context.
+// TestWaitEndsWithContext: the wait ends with the context.
 func TestWaitEndsWithContext(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -55,6 +57,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*minPause)
 	defer cancel()
 	if _, err := TCP(ctx, "api_addr", held.Addr().String()); err == nil {
-		t.Error("two listen on one port")
+		t.Error("port in use: got no error, want the context's")
 	}
 }
