--- a/internal/metrics/promises.go
+++ b/internal/metrics/promises.go
@@ -5,18 +5,19 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// RegisterPromises registers what has become of promised dates, and returns who tells it. Only
-// the leader counts: elsewhere there is nothing until the controller leads.
+// RegisterPromises registers the outcome totals of promised dates, and returns the function that
+// sets them. Only the leader counts outcomes; elsewhere the gauges have no values until the
+// controller becomes the leader.
 func RegisterPromises(reg prometheus.Registerer) func(message.PromiseTotals) {
-	jobs := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: "micahill", Name: "promises", Help: "Jobs that are over, as the leader has counted them: all, those with a date, and of these the kept, the broken and the revised."}, []string{"outcome"})
-	worst := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "micahill", Name: "promise_worst_seconds", Help: "By how much a date was missed at worst."})
-	ratio := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: "micahill", Name: "promise_ratio", Help: "The median of the promised to the real time."})
+	jobs := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "promises", Help: "Jobs that are over, as the leader has counted them: all, those with a date, and of these the kept, the broken and the revised."}, []string{"outcome"})
+	worst := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "promise_worst_seconds", Help: "By how much a date was missed at worst."})
+	ratio := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "promise_ratio", Help: "The median of the promised to the real time."})
 	reg.MustRegister(jobs, worst, ratio)
-	return func(t message.PromiseTotals) {
-		for name, count := range map[string]int{"ended": t.Sum.Jobs, "made": t.Sum.Made, "kept": t.Sum.Kept, "broken": t.Sum.Broken, "revised": t.Sum.Revised} {
+	return func(totals message.PromiseTotals) {
+		for name, count := range map[string]int{"ended": totals.Sum.Jobs, "made": totals.Sum.Made, "kept": totals.Sum.Kept, "broken": totals.Sum.Broken, "revised": totals.Sum.Revised} {
 			jobs.WithLabelValues(name).Set(float64(count))
 		}
-		worst.Set(t.Sum.Worst.Seconds())
-		ratio.Set(t.MedianRatio)
+		worst.Set(totals.Sum.Worst.Seconds())
+		ratio.Set(totals.MedianRatio)
 	}
 }
