--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy reads the operators' Starlark script. The script is run once
-// at start, within a step limit, and yields plain settings: it can prefer and
-// weigh, but never reaches the decisions that the rules depend on.
+// Package policy runs the operators' Starlark script, once at start and within a step limit. Its
+// result is plain settings, with which operators can prefer and weigh; no decision that a rule of
+// the protocol depends on is up to the script.
 package policy
 
 import (
@@ -16,23 +16,26 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds the script: a loop without end must not keep a controller
-// from starting.
+// maxSteps bounds the script's execution: an endless loop must not keep a controller from
+// starting.
 const maxSteps = 1_000_000
 
-// valueRange keep settings within what makes sense.
+// valueRange bounds a setting, both ends included.
 type valueRange struct{ low, high float64 }
 
 var (
-	factorRange   = valueRange{1, 100}
-	intervalRange = valueRange{1, 86400}
-	prewarmRange  = valueRange{0, 10}
-	idleRange     = valueRange{0, 86400}
-	preferRange   = valueRange{0.01, 100}
-	weightRange   = valueRange{-1000, 1000}
+	relaunchFactorRange = valueRange{1, 100}
+	rebalanceRange      = valueRange{1, 86400} // seconds
+	headroomRange       = valueRange{0, 10}
+	idleTimeoutRange    = valueRange{0, 86400} // seconds
+	costFactorRange     = valueRange{0.01, 100}
+	workloadWeightRange = valueRange{-1000, 1000}
 )
 
-// Load reads a script; the empty path gives the built-in defaults.
+// fileOptions allow loops, conditions and reassignment at the top level.
+var fileOptions = &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
+
+// Load runs the script at path; an empty path is the default policy.
 func Load(path string) (controller.Policy, error) {
 	if path == "" {
 		return controller.DefaultPolicy(), nil
@@ -44,52 +47,52 @@
 	return Parse(path, src)
 }
 
-// Parse runs a script. Its global names are the settings; an error says file,
-// line and reason.
+// Parse runs a script, of which path is the name in errors. Its global variables are the settings;
+// those that it does not set have their defaults. Errors name file, line and reason.
 func Parse(path string, src []byte) (controller.Policy, error) {
 	policy := controller.DefaultPolicy()
 	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
-	opts := &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
-	globals, err := starlark.ExecFileOptions(opts, thread, path, src, nil)
+	globals, err := starlark.ExecFileOptions(fileOptions, thread, path, src, nil)
 	if err != nil {
-		var ee *starlark.EvalError
-		if errors.As(err, &ee) && len(ee.CallStack) > 0 {
-			return policy, fmt.Errorf("policy: %s: %s", ee.CallStack.At(0).Pos, ee.Msg)
+		var evalErr *starlark.EvalError
+		if errors.As(err, &evalErr) && len(evalErr.CallStack) > 0 {
+			return policy, fmt.Errorf("policy: %s: %w", evalErr.CallStack.At(0).Pos, evalErr)
 		}
 		return policy, fmt.Errorf("policy: %w", err)
 	}
 	for _, name := range globals.Keys() {
-		v := globals[name]
-		if err := applySetting(&policy, name, v); err != nil {
+		if err := applySetting(&policy, name, globals[name]); err != nil {
 			return policy, fmt.Errorf("policy: %s:%d: %w", path, lineOf(path, src, name), err)
 		}
 	}
 	return policy, nil
 }
 
+// applySetting sets the field of the policy that a global variable stands for. Functions, and
+// names that begin with an underscore, are the script's own.
 func applySetting(policy *controller.Policy, name string, value starlark.Value) error {
 	switch name {
 	case "relaunch_factor":
-		return parseNumber(name, value, factorRange, &policy.RelaunchFactor)
+		return parseNumber(name, value, relaunchFactorRange, &policy.RelaunchFactor)
 	case "share_interval_s":
-		return parseSeconds(name, value, intervalRange, &policy.RebalanceInterval)
+		return parseSeconds(name, value, rebalanceRange, &policy.RebalanceInterval)
 	case "warm_room":
-		return parseNumber(name, value, prewarmRange, &policy.HeadroomFactor)
+		return parseNumber(name, value, headroomRange, &policy.HeadroomFactor)
 	case "idle_keep_s":
-		return parseSeconds(name, value, idleRange, &policy.IdleTimeout)
+		return parseSeconds(name, value, idleTimeoutRange, &policy.IdleTimeout)
 	case "prefer":
-		return parseTable(name, value, preferRange, &policy.CostFactors)
+		return parseTable(name, value, costFactorRange, &policy.CostFactors)
 	case "weights":
-		return parseTable(name, value, weightRange, &policy.WorkloadWeights)
+		return parseTable(name, value, workloadWeightRange, &policy.WorkloadWeights)
 	}
 	if _, ok := value.(starlark.Callable); ok || name[0] == '_' {
-		// Helpers of the script's own.
 		return nil
 	}
 	return fmt.Errorf("unknown setting %s (a name of your own begins with _)", name)
 }
 
+// parseNumber sets target to a number in the allowed range.
 func parseNumber(name string, v starlark.Value, allowed valueRange, target *float64) error {
 	f, ok := starlark.AsFloat(v)
 	if !ok || math.IsNaN(f) || f < allowed.low || f > allowed.high {
@@ -99,6 +102,7 @@
 	return nil
 }
 
+// parseSeconds sets target to a number of seconds in the allowed range.
 func parseSeconds(name string, v starlark.Value, allowed valueRange, target *time.Duration) error {
 	var f float64
 	if err := parseNumber(name, v, allowed, &f); err != nil {
@@ -108,6 +112,7 @@
 	return nil
 }
 
+// parseTable sets target to a dict from text to numbers in the allowed range.
 func parseTable(name string, v starlark.Value, allowed valueRange, target *map[string]float64) error {
 	dict, ok := v.(*starlark.Dict)
 	if !ok {
@@ -129,20 +134,20 @@
 	return nil
 }
 
-// lineOf finds where a global name is bound last.
+// lineOf returns the line of the last assignment to a global variable, or 0 if there is none.
 func lineOf(path string, src []byte, name string) int {
-	f, err := (&syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}).Parse(path, src, 0)
+	f, err := fileOptions.Parse(path, src, 0)
 	if err != nil {
 		return 0
 	}
-	found := 0
+	line := 0
 	syntax.Walk(f, func(n syntax.Node) bool {
-		if a, ok := n.(*syntax.AssignStmt); ok {
-			if id, ok := a.LHS.(*syntax.Ident); ok && id.Name == name {
-				found = int(id.NamePos.Line)
+		if assign, ok := n.(*syntax.AssignStmt); ok {
+			if id, ok := assign.LHS.(*syntax.Ident); ok && id.Name == name {
+				line = int(id.NamePos.Line)
 			}
 		}
 		return true
 	})
-	return found
+	return line
 }
