--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,6 @@
-// Package config reads and checks the settings that the platform hands over.
+// Package config reads and checks a controller's files: the settings, which the platform writes,
+// and those under deploy/ that enable optional features. The TOML keys are fixed; the fields have
+// the names that the code uses.
 package config
 
 import (
@@ -15,7 +17,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Config is the settings file. Unknown fields are ignored.
+// Config is the settings file. Unknown fields are ignored. Field names that end in S are seconds.
 type Config struct {
 	HostName     string           `toml:"host_name" validate:"required"`
 	Zone         string           `toml:"area" validate:"required"`
@@ -26,20 +28,20 @@
 	Deployment   Deployment       `toml:"deployment"`
 }
 
-// PeerController is another controller.
+// PeerController is another controller of this cluster.
 type PeerController struct {
 	HostName string `toml:"host_name" validate:"required"`
 	Zone     string `toml:"area"`
 	Address  string `toml:"address" validate:"required,hostname_port"`
 }
 
-// Endpoints is where the cloud and the state service are.
+// Endpoints are the addresses of the cloud and the state service.
 type Endpoints struct {
 	Cloud string `toml:"cloud" validate:"required,hostname_port"`
 	State string `toml:"state" validate:"required,hostname_port"`
 }
 
-// Deployment describes the whole deployment.
+// Deployment is what all controllers share.
 type Deployment struct {
 	InitialSize  int         `toml:"initial_size" validate:"gte=0"`
 	Zones        []string    `toml:"zones" validate:"required,min=1,dive,required"`
@@ -52,7 +54,7 @@
 	Quota        Quota       `toml:"quota"`
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Team has a guaranteed quota and a quota limit; 0 means none.
 type Team struct {
 	Name           string  `toml:"name" validate:"required"`
 	GuaranteedCPUs float64 `toml:"cpus" validate:"gte=0"`
@@ -61,7 +63,7 @@
 	GPULimit       float64 `toml:"gpus_max" validate:"gte=0"`
 }
 
-// Objective is one of the operators' aims.
+// Objective is a service-level objective (SLO).
 type Objective struct {
 	Kind     string  `toml:"kind" validate:"required"`
 	Workload string  `toml:"class"`
@@ -70,32 +72,33 @@
 	Factor   float64 `toml:"times" validate:"gte=0"`
 }
 
-// Workers says how workers report.
+// Workers has the timing of heartbeats, worker leases and cancellations.
 type Workers struct {
 	HeartbeatS    float64 `toml:"report_s" validate:"required,gt=0"`
 	LeaseS        float64 `toml:"lease_s" validate:"required,gt=0"`
 	CancelWithinS float64 `toml:"cancel_s" validate:"required,gt=0"`
 }
 
-// State gives the limits of the state service.
+// State has the limits of the state service: requests and writes per second, the size of a value
+// and the writes of a transaction.
 type State struct {
 	RPS      float64 `toml:"rps" validate:"required,gt=0"`
 	WriteRPS float64 `toml:"write_rps" validate:"required,gt=0"`
 	ValueKB  float64 `toml:"value_kb" validate:"required,gt=0"`
 	TxnOps   int     `toml:"txn_ops" validate:"required,gte=4"`
-	// Upcoming are the limits that the service will have from some moment on, without
-	// notice; a field that is missing stays as it is.
+	// Upcoming are the limits that the service will have from some moment on, without further
+	// notice.
 	Upcoming UpcomingLimits `toml:"next"`
 }
 
-// UpcomingLimits are the limits to come of the state service.
+// UpcomingLimits replace the limits of the same names; nil means that a limit does not change.
 type UpcomingLimits struct {
 	WriteRPS *float64 `toml:"write_rps" validate:"omitnil,gt=0"`
 	ValueKB  *float64 `toml:"value_kb" validate:"omitnil,gt=0"`
 	TxnOps   *int     `toml:"txn_ops" validate:"omitnil,gte=4"`
 }
 
-// Strictest is what holds whichever of the two limits counts.
+// Strictest has the stricter of the present and the upcoming limits.
 func (s *State) Strictest() State {
 	strictest := *s
 	if s.Upcoming.WriteRPS != nil {
@@ -110,7 +113,7 @@
 	return strictest
 }
 
-// fieldPath is the name of one of the limits, where the tighter of it stands.
+// fieldPath is the path of a limit in the settings, or that of the upcoming one.
 func (s *State) fieldPath(name string, upcoming bool) string {
 	if upcoming {
 		return "deployment.state.next." + name
@@ -118,13 +121,13 @@
 	return "deployment.state." + name
 }
 
-// Cloud gives the limits of the cloud.
+// Cloud has the request rate limit of the cloud and the delay of its machine list.
 type Cloud struct {
 	RPS      float64 `toml:"rps" validate:"required,gt=0"`
 	ListLagS float64 `toml:"list_lag_s" validate:"gte=0"`
 }
 
-// Quota is what this process may use.
+// Quota is what this process may use: CPUs, memory and sockets.
 type Quota struct {
 	CPU      float64 `toml:"cpu" validate:"required,gt=0"`
 	MemoryMB float64 `toml:"ram_mb" validate:"required,gte=32"`
@@ -140,39 +143,45 @@
 	return Parse(b)
 }
 
-// Parse checks settings; an error names the field that is missing or wrong.
+// Parse decodes and checks settings. Its errors are one line and name the field.
 func Parse(b []byte) (*Config, error) {
 	var c Config
 	if err := toml.Unmarshal(b, &c); err != nil {
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, col := de.Position()
-			return nil, fmt.Errorf("settings: line %d, column %d, field %s: %s", row, col, strings.Join(de.Key(), "."), de.Error())
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			row, col := decodeErr.Position()
+			return nil, fmt.Errorf("settings: line %d, column %d, field %s: %w", row, col, strings.Join(decodeErr.Key(), "."), decodeErr)
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
-	if err := v.Struct(&c); err != nil {
-		var ve validator.ValidationErrors
-		if errors.As(err, &ve) {
-			e := ve[0]
-			field := strings.TrimPrefix(e.Namespace(), "Config.")
-			if e.Tag() == "required" {
-				return nil, fmt.Errorf("settings: field %s is missing or empty", field)
-			}
-			return nil, fmt.Errorf("settings: field %s: %v does not satisfy %s", field, e.Value(), strings.TrimSpace(e.Tag()+" "+e.Param()))
+	if err := newValidator().Struct(&c); err != nil {
+		var violations validator.ValidationErrors
+		if !errors.As(err, &violations) {
+			return nil, fmt.Errorf("settings: %w", err)
 		}
-		return nil, fmt.Errorf("settings: %w", err)
+		first := violations[0]
+		field := strings.TrimPrefix(first.Namespace(), "Config.")
+		if first.Tag() == "required" {
+			return nil, fmt.Errorf("settings: field %s is missing or empty", field)
+		}
+		return nil, fmt.Errorf("settings: field %s: %v does not satisfy %s", field, first.Value(), strings.TrimSpace(first.Tag()+" "+first.Param()))
 	}
-	if invalid, _ := c.checkLimits(); len(invalid) > 0 {
+	if invalid := c.checkLimits().invalid; len(invalid) > 0 {
 		return nil, fmt.Errorf("settings: %v", invalid[0])
 	}
 	return &c, nil
 }
 
-// Settings turns the settings into the core's form.
-func (c *Config) Settings(policy controller.Policy, nonce string) controller.Settings {
+// newValidator returns a validator that names fields as the files do.
+func newValidator() *validator.Validate {
+	v := validator.New(validator.WithRequiredStructEnabled())
+	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
+	return v
+}
+
+// Settings converts the file to the controller's settings. incarnation identifies this process
+// among those of the same host.
+func (c *Config) Settings(policy controller.Policy, incarnation string) controller.Settings {
 	deployment := &c.Deployment
 	limits := deployment.State.Strictest()
 	settings := controller.Settings{
@@ -181,7 +190,7 @@
 		CancellationBound: record.DurationOfSeconds(deployment.Workers.CancelWithinS), MaxClockError: record.DurationOfSeconds(deployment.ClockBoundMS / 1000),
 		MaxTxnWrites: limits.TxnOps, MaxValueBytes: int(limits.ValueKB * 1024), CurrentMaxValueBytes: int(deployment.State.ValueKB * 1024),
 		CloudListLag: record.DurationOfSeconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
-		Incarnation: nonce, Policy: policy,
+		Incarnation: incarnation, Policy: policy,
 	}
 	for _, peer := range c.Peers {
 		settings.Peers = append(settings.Peers, peer.HostName)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,15 +8,23 @@
 	"github.com/micahill/micahill/internal/controller"
 )
 
-func TestParse(t *testing.T) {
-	good, err := os.ReadFile("testdata/settings.toml")
+// readSettings returns an example of valid settings.
+func readSettings(t *testing.T) string {
+	t.Helper()
+	b, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Parse(good); err != nil {
-		t.Fatalf("the example: %v", err)
+	return string(b)
+}
+
+// TestParse: settings with an invalid field are an error of one line that names the field.
+func TestParse(t *testing.T) {
+	valid := readSettings(t)
+	if _, err := Parse([]byte(valid)); err != nil {
+		t.Fatalf("testdata/settings.toml: got %v, want no error", err)
 	}
-	for _, c := range []struct{ old, new, field string }{
+	for _, test := range []struct{ old, new, field string }{
 		{`host_name = "ctl-0"`, ``, "host_name"},
 		{`lease_s = 24.0`, ``, "deployment.workers.lease_s"},
 		{`lease_s = 24.0`, `lease_s = -1.0`, "deployment.workers.lease_s"},
@@ -37,54 +45,52 @@
 		{`txn_ops = 12`, "txn_ops = 12\n[deployment.state.next]\nwrite_rps = \"few\"", "deployment.state.next.write_rps"},
 		{`name = "lab"`, `name = "` + strings.Repeat("l", 2000) + `"`, "deployment.teams[0].name"},
 	} {
-		bad := strings.Replace(string(good), c.old, c.new, 1)
-		_, err := Parse([]byte(bad))
-		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: got %v, want one line naming %s", c.new, c.old, err, c.field)
-		}
+		t.Run(test.field, func(t *testing.T) {
+			_, err := Parse([]byte(strings.Replace(valid, test.old, test.new, 1)))
+			if err == nil || !strings.Contains(err.Error(), test.field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q for %q: got %v, want one line naming %s", test.new, test.old, err, test.field)
+			}
+		})
 	}
 }
 
-// TestUpcomingLimits: the tighter of the limits of now and to come counts for all that is
-// written, and the present size of values stays known, as records were numbered by it.
+// TestUpcomingLimits: the stricter of the present and the upcoming limits holds for all writes; the
+// present size of values is kept too, as the segments of stored records depend on it.
 func TestUpcomingLimits(t *testing.T) {
-	good, err := os.ReadFile("testdata/settings.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, c := range []struct {
-		next           string
-		value, present int
-		ops            int
-		writes         float64
+	valid := readSettings(t)
+	for _, test := range []struct {
+		name                string
+		upcoming            string
+		valueBytes, present int
+		txnWrites           int
+		writesPerSecond     float64
 	}{
-		{"", 4096, 4096, 12, 30},
-		{"[deployment.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 4", 2048, 4096, 4, 21},
-		{"[deployment.state.next]\nvalue_kb = 2.0", 2048, 4096, 12, 30},
-		{"[deployment.state.next]\nwrite_rps = 90.0\nvalue_kb = 16.0\ntxn_ops = 24", 4096, 4096, 12, 30},
+		{"none", "", 4096, 4096, 12, 30},
+		{"all stricter", "[deployment.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 4", 2048, 4096, 4, 21},
+		{"one stricter", "[deployment.state.next]\nvalue_kb = 2.0", 2048, 4096, 12, 30},
+		{"all looser", "[deployment.state.next]\nwrite_rps = 90.0\nvalue_kb = 16.0\ntxn_ops = 24", 4096, 4096, 12, 30},
 	} {
-		conf, err := Parse([]byte(strings.Replace(string(good), "txn_ops = 12", "txn_ops = 12\n"+c.next, 1)))
-		if err != nil {
-			t.Fatalf("%q: %v", c.next, err)
-		}
-		s := conf.Settings(controller.DefaultPolicy(), "n")
-		if s.MaxValueBytes != c.value || s.CurrentMaxValueBytes != c.present || s.MaxTxnWrites != c.ops || s.StoreWritesPerSecond != c.writes {
-			t.Errorf("%q: %d and %d bytes, %d changes, %g a second", c.next, s.MaxValueBytes, s.CurrentMaxValueBytes, s.MaxTxnWrites, s.StoreWritesPerSecond)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			c, err := Parse([]byte(strings.Replace(valid, "txn_ops = 12", "txn_ops = 12\n"+test.upcoming, 1)))
+			if err != nil {
+				t.Fatal(err)
+			}
+			got := c.Settings(controller.DefaultPolicy(), "n")
+			if got.MaxValueBytes != test.valueBytes || got.CurrentMaxValueBytes != test.present || got.MaxTxnWrites != test.txnWrites || got.StoreWritesPerSecond != test.writesPerSecond {
+				t.Errorf("got %d and %d bytes, %d writes, %g a second, want %+v", got.MaxValueBytes, got.CurrentMaxValueBytes, got.MaxTxnWrites, got.StoreWritesPerSecond, test)
+			}
+		})
 	}
 }
 
-// TestTightSettingsStart: what is merely tight starts, with a warning that names the
+// TestTightSettingsStart: settings that are merely tight are accepted, with a warning that names the
 // field, its value and what would do.
 func TestTightSettingsStart(t *testing.T) {
-	good, err := os.ReadFile("testdata/settings.toml")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if c, err := Parse(good); err != nil || len(c.Warnings()) != 0 {
-		t.Errorf("the example: %v, warnings %v", err, c.Warnings())
+	valid := readSettings(t)
+	if c, err := Parse([]byte(valid)); err != nil || len(c.Warnings()) != 0 {
+		t.Errorf("testdata/settings.toml: got %v, warnings %q, want none", err, c.Warnings())
 	}
-	for _, c := range []struct{ old, new, says string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`lease_s = 24.0`, `lease_s = 5.0`, "deployment.workers.lease_s: 5 leaves no time for a lost report; more than 7.75 would do"},
 		{`cancel_s = 54.0`, `cancel_s = 10.0`, "deployment.workers.cancel_s: 10"},
 		{`rps = 100.0`, `rps = 8.0`, "deployment.state.rps: 8"},
@@ -93,13 +99,14 @@
 		{`ram_mb = 256.0`, `ram_mb = 40.0`, "deployment.quota.ram_mb: 40"},
 		{`sockets = 2000`, `sockets = 20`, "deployment.quota.sockets: 20"},
 	} {
-		tight, err := Parse([]byte(strings.Replace(string(good), c.old, c.new, 1)))
-		if err != nil {
-			t.Errorf("%s: %v, want it to start", c.new, err)
-			continue
-		}
-		if w := tight.Warnings(); len(w) != 1 || !strings.Contains(w[0], c.says) || !strings.Contains(w[0], "would do") {
-			t.Errorf("%s: warnings %q, want one with %q", c.new, w, c.says)
-		}
+		t.Run(test.new, func(t *testing.T) {
+			c, err := Parse([]byte(strings.Replace(valid, test.old, test.new, 1)))
+			if err != nil {
+				t.Fatalf("got %v, want no error", err)
+			}
+			if got := c.Warnings(); len(got) != 1 || !strings.Contains(got[0], test.want) || !strings.Contains(got[0], "would do") {
+				t.Errorf("warnings: got %q, want one with %q", got, test.want)
+			}
+		})
 	}
 }
--- a/internal/config/features.go
+++ b/internal/config/features.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"net/netip"
 	"os"
-	"reflect"
 	"regexp"
 	"strings"
 
@@ -17,8 +16,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Extras is what the files under deploy/ switch on, each its section. What no file
-// names does not run: no goroutine, no key in the state service, no port.
+// Extras are the optional features, each a section in the files under deploy/. A feature that no
+// file names does not run: it has no goroutine, no key in the state service and no port.
 type Extras struct {
 	Overflow *Overflow `toml:"overflow"`
 	Ranking  *Ranking  `toml:"ranking"`
@@ -26,89 +25,88 @@
 	Models   *Models   `toml:"models"`
 }
 
-// Ranking lets the order of work follow the classes in the state service; see
-// docs/operations/ranking.md. The classes themselves are set with micahill ranking.
+// Ranking orders the queue by the classes in the state service, which operators set with
+// "micahill ranking"; see docs/operations/ranking.md.
 type Ranking struct {
-	// Enabled is true unless a later file switches it off again.
+	// Enabled is true unless a later file disables the feature.
 	Enabled bool `toml:"enabled"`
 }
 
-// Promises gives each accepted job a committed finish; see docs/operations/promises.md.
+// Promises gives each accepted job a promised completion date; see docs/operations/promises.md.
 type Promises struct {
 	Enabled bool `toml:"enabled"`
-	// TargetFraction is the part of the promises that are to be kept.
+	// TargetFraction of the promises should be kept.
 	TargetFraction float64 `toml:"share" validate:"gte=0.5,lte=0.999"`
 }
 
-// Models packs replicas and moves them so that larger ones fit; see
+// Models packs replicas and migrates them so that larger ones fit; see
 // docs/operations/models.md.
 type Models struct {
 	Enabled bool `toml:"enabled"`
-	// MaxMigratingFraction is the part of the machines of a kind on which replicas may be moving at a
-	// time, and MigrationCooldownS how long a replica that was moved is left alone.
+	// MaxMigratingFraction of the machines of a kind may have migrations at a time.
+	// MigrationCooldownS is how long after a migration a replica is not migrated again.
 	MaxMigratingFraction float64 `toml:"part" validate:"gte=0,lte=1"`
 	MigrationCooldownS   float64 `toml:"again_s" validate:"gte=60,lte=86400"`
 }
 
-// Capabilities is what the core is told of them.
+// Capabilities converts the features that are the controller's own.
 func (x *Extras) Capabilities() controller.Capabilities {
 	var capabilities controller.Capabilities
 	if r := x.Ranking; r != nil {
 		capabilities.Ranking = r.Enabled
 	}
-	if r := x.Promises; r != nil {
-		capabilities.Promises, capabilities.PromiseFraction = r.Enabled, r.TargetFraction
+	if p := x.Promises; p != nil {
+		capabilities.Promises, capabilities.PromiseFraction = p.Enabled, p.TargetFraction
 	}
-	if r := x.Models; r != nil {
-		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = r.Enabled, r.MaxMigratingFraction, record.DurationOfSeconds(r.MigrationCooldownS)
+	if m := x.Models; m != nil {
+		capabilities.Models, capabilities.MaxMigratingFraction, capabilities.MigrationCooldown = m.Enabled, m.MaxMigratingFraction, record.DurationOfSeconds(m.MigrationCooldownS)
 	}
 	return capabilities
 }
 
-// Overflow lets this cluster lend work to its peers and borrow theirs.
+// Overflow lets this cluster offload jobs to its peers and run theirs.
 type Overflow struct {
 	// Cluster is this cluster's name, the same on all of its controllers and in
 	// its certificate.
 	Cluster string `toml:"cluster" validate:"required,clustername"`
-	// Listen is where peers reach this controller; absent: the host of back, port
-	// DefaultOverflowPort.
+	// Listen is the address at which peers reach this controller. The default is the host of
+	// the settings' back, with DefaultOverflowPort.
 	Listen string `toml:"listen" validate:"omitempty,hostname_port"`
-	// CertDir is the folder with ca.pem, cert.pem and key.pem, as micahill keys
-	// issue writes them. They are read again when they change.
+	// CertDir has ca.pem, cert.pem and key.pem, as written by "micahill keys issue". They are
+	// read again when they change.
 	CertDir string `toml:"keys" validate:"required"`
-	// AllowedNetworks are the networks from which peers may connect, such as 10.3.0.0/16.
+	// AllowedNetworks are the prefixes from which peers may connect, such as 10.3.0.0/16.
 	AllowedNetworks []string `toml:"allow" validate:"required,min=1,dive,cidr"`
-	// GuestTeam is the team in whose name borrowed work runs; its limit bounds it.
+	// GuestTeam is the team for which borrowed jobs run, within its quota limit.
 	GuestTeam string `toml:"guest_team" validate:"required_if=Borrow true"`
 	Lend      bool   `toml:"lend"`
 	Borrow    bool   `toml:"borrow"`
-	// ReportS is how often a peer is told of this cluster, LeaseS how long a peer
-	// may keep our work without an answer of ours.
+	// ReportS is the interval of heartbeats to peers. LeaseS is how long a peer may run our
+	// jobs without a response of ours. Both are in seconds.
 	ReportS float64 `toml:"report_s" validate:"gte=0.5,lte=60"`
 	LeaseS  float64 `toml:"lease_s" validate:"gte=5,lte=600,gtfield=ReportS"`
-	// MaxLoansOut bounds the loans to one peer, LoansIn those taken from all, and
-	// MaxLoanTasks the tasks of one.
+	// MaxLoansOut bounds the loans to one peer, MaxLoansIn those of all peers together, and
+	// MaxLoanTasks the tasks of one loan.
 	MaxLoansOut  int `toml:"loans_out" validate:"gte=0,lte=10000"`
 	MaxLoansIn   int `toml:"loans_in" validate:"gte=0,lte=10000"`
 	MaxLoanTasks int `toml:"tasks_most" validate:"gte=1,lte=100000"`
-	// MinGainS is by how much sooner a job must be done at a peer, and Dearest how
-	// many times our own price a peer's may be.
+	// MinGainS is by how many seconds sooner a peer must complete a job, and MaxCostRatio how
+	// many times our cost the peer's may be.
 	MinGainS     float64 `toml:"gain_s" validate:"gte=0,lte=3600"`
 	MaxCostRatio float64 `toml:"dearest" validate:"gte=0.1,lte=100"`
 	Peers        []Peer  `toml:"peers" validate:"unique=Cluster,dive"`
 }
 
-// Peer is another cluster: its name, as in its certificate, and the addresses of
-// its controllers.
+// Peer is another cluster: its name, as in its certificate, and the addresses of its controllers.
 type Peer struct {
 	Cluster   string   `toml:"cluster" validate:"required,clustername"`
 	Addresses []string `toml:"addresses" validate:"required,min=1,dive,hostname_port"`
 }
 
-// DefaultOverflowPort is where peers are listened for if nothing else is said.
+// DefaultOverflowPort is the port for peers unless Overflow.Listen has another.
 const DefaultOverflowPort = "7443"
 
-// defaultOverflow holds where a file says nothing.
+// defaultOverflow is the section before any file is decoded.
 func defaultOverflow() *Overflow {
 	return &Overflow{
 		Lend: true, Borrow: true, ReportS: 2, LeaseS: 15,
@@ -116,23 +114,22 @@
 	}
 }
 
-// AllowedPrefixes are the allowed networks.
+// AllowedPrefixes parses AllowedNetworks.
 func (o *Overflow) AllowedPrefixes() ([]netip.Prefix, error) {
-	var out []netip.Prefix
-	for _, a := range o.AllowedNetworks {
-		p, err := netip.ParsePrefix(a)
+	var prefixes []netip.Prefix
+	for _, network := range o.AllowedNetworks {
+		p, err := netip.ParsePrefix(network)
 		if err != nil {
 			return nil, fmt.Errorf("overflow.allow: %w", err)
 		}
-		out = append(out, p.Masked())
+		prefixes = append(prefixes, p.Masked())
 	}
-	return out, nil
+	return prefixes, nil
 }
 
-// LoadExtras reads the files given with --enable, one after another: their
-// sections merge, and where two files name the same field the later one holds.
-// Unlike in the settings, an unknown field is an error; each error says file,
-// line, field and what would be right.
+// LoadExtras reads the files given with --enable in order. Their sections are merged; of a field
+// in two files the later value holds. Unlike in the settings, an unknown field is an error. Errors
+// name file, line, field and what is wanted.
 func LoadExtras(paths []string) (*Extras, error) {
 	extras := &Extras{}
 	texts := map[string][]byte{}
@@ -142,60 +139,77 @@
 			return nil, fmt.Errorf("enable: %w", err)
 		}
 		texts[path] = b
-		var present struct {
-			Overflow any `toml:"overflow"`
-			Ranking  any `toml:"ranking"`
-			Promises any `toml:"promises"`
-			Models   any `toml:"models"`
-		}
-		if toml.Unmarshal(b, &present) == nil {
-			if present.Overflow != nil && extras.Overflow == nil {
-				extras.Overflow = defaultOverflow()
-			}
-			if present.Ranking != nil && extras.Ranking == nil {
-				extras.Ranking = &Ranking{Enabled: true}
-			}
-			if present.Promises != nil && extras.Promises == nil {
-				extras.Promises = &Promises{Enabled: true, TargetFraction: 0.95}
-			}
-			if present.Models != nil && extras.Models == nil {
-				extras.Models = &Models{Enabled: true, MaxMigratingFraction: 0.1, MigrationCooldownS: 300}
-			}
-		}
+		extras.addDefaults(b)
 		if err := toml.NewDecoder(bytes.NewReader(b)).DisallowUnknownFields().Decode(extras); err != nil {
 			return nil, locateError(path, err)
 		}
 	}
-	if err := extrasValidator.Struct(extras); err != nil {
+	if err := extras.check(paths, texts); err != nil {
+		return nil, err
+	}
+	return extras, nil
+}
+
+// addDefaults sets the sections that a file is the first to have to their defaults, so that
+// decoding the file changes only what it names.
+func (x *Extras) addDefaults(file []byte) {
+	var present struct {
+		Overflow any `toml:"overflow"`
+		Ranking  any `toml:"ranking"`
+		Promises any `toml:"promises"`
+		Models   any `toml:"models"`
+	}
+	if toml.Unmarshal(file, &present) != nil {
+		// Decoding into x fails likewise, with an error that names the field.
+		return
+	}
+	if present.Overflow != nil && x.Overflow == nil {
+		x.Overflow = defaultOverflow()
+	}
+	if present.Ranking != nil && x.Ranking == nil {
+		x.Ranking = &Ranking{Enabled: true}
+	}
+	if present.Promises != nil && x.Promises == nil {
+		x.Promises = &Promises{Enabled: true, TargetFraction: 0.95}
+	}
+	if present.Models != nil && x.Models == nil {
+		x.Models = &Models{Enabled: true, MaxMigratingFraction: 0.1, MigrationCooldownS: 300}
+	}
+}
+
+// check validates the merged sections. paths and texts are the files, for its errors.
+func (x *Extras) check(paths []string, texts map[string][]byte) error {
+	if err := extrasValidator.Struct(x); err != nil {
 		var violations validator.ValidationErrors
 		if !errors.As(err, &violations) {
-			return nil, fmt.Errorf("enable: %w", err)
+			return fmt.Errorf("enable: %w", err)
 		}
 		field := strings.TrimPrefix(violations[0].Namespace(), "Extras.")
-		return nil, fmt.Errorf("enable: %s: field %s: %s", locateField(paths, texts, field), field, describeViolation(violations[0]))
+		return fmt.Errorf("enable: %s: field %s: %s", locateField(paths, texts, field), field, describeViolation(violations[0]))
 	}
-	if o := extras.Overflow; o != nil {
+	if o := x.Overflow; o != nil {
 		for i, p := range o.Peers {
 			if p.Cluster == o.Cluster {
 				field := fmt.Sprintf("overflow.peers[%d].cluster", i)
-				return nil, fmt.Errorf("enable: %s: field %s: %s is this cluster itself", locateField(paths, texts, field), field, p.Cluster)
+				return fmt.Errorf("enable: %s: field %s: %s is this cluster itself", locateField(paths, texts, field), field, p.Cluster)
 			}
 		}
 	}
-	return extras, nil
+	return nil
 }
 
-// locateError says where in a file a reading error lies.
+// locateError adds file, line and column to a decoding error.
 func locateError(path string, err error) error {
-	var se *toml.StrictMissingError
-	if errors.As(err, &se) && len(se.Errors) > 0 {
-		row, col := se.Errors[0].Position()
-		return fmt.Errorf("enable: %s:%d:%d: unknown field %s", path, row, col, strings.Join(se.Errors[0].Key(), "."))
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
+		first := unknown.Errors[0]
+		row, col := first.Position()
+		return fmt.Errorf("enable: %s:%d:%d: unknown field %s", path, row, col, strings.Join(first.Key(), "."))
 	}
-	var de *toml.DecodeError
-	if errors.As(err, &de) {
-		row, col := de.Position()
-		return fmt.Errorf("enable: %s:%d:%d: field %s: %s", path, row, col, strings.Join(de.Key(), "."), de.Error())
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		row, col := decodeErr.Position()
+		return fmt.Errorf("enable: %s:%d:%d: field %s: %w", path, row, col, strings.Join(decodeErr.Key(), "."), decodeErr)
 	}
 	return fmt.Errorf("enable: %s: %w", path, err)
 }
@@ -203,8 +217,7 @@
 var extrasValidator = newExtrasValidator()
 
 func newExtrasValidator() *validator.Validate {
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
+	v := newValidator()
 	err := v.RegisterValidation("clustername", func(fl validator.FieldLevel) bool { return certs.IsClusterName(fl.Field().String()) })
 	if err != nil {
 		panic("config: " + err.Error())
@@ -212,7 +225,7 @@
 	return v
 }
 
-// describeViolation says of a field what would be right.
+// describeViolation says what is wrong with a field and what is wanted.
 func describeViolation(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required", "required_if":
@@ -237,10 +250,13 @@
 	return fmt.Sprintf("%v does not satisfy %s", e.Value(), e.Tag())
 }
 
-// locateField finds the line of a field, in the last file that names it; of a field
-// that none names, the section.
+// indexPattern matches the index of a list in a field's path.
+var indexPattern = regexp.MustCompile(`\[\d+\]`)
+
+// locateField returns file and line of a field, in the last file that names it; of a field that
+// none names, those of its section.
 func locateField(paths []string, texts map[string][]byte, field string) string {
-	parts := strings.Split(regexp.MustCompile(`\[\d+\]`).ReplaceAllString(field, ""), ".")
+	parts := strings.Split(indexPattern.ReplaceAllString(field, ""), ".")
 	key := parts[len(parts)-1]
 	for _, pattern := range []string{`^\s*` + regexp.QuoteMeta(key) + `\s*=`, `^\s*\[+` + regexp.QuoteMeta(parts[0])} {
 		re := regexp.MustCompile(pattern)
--- a/internal/config/extras_test.go
+++ b/internal/config/features_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// overflowFile enables overflow with its required fields.
 const overflowFile = `[overflow]
 cluster = "east"
 keys = "/etc/micahill/keys"
@@ -18,6 +19,7 @@
 addresses = ["10.4.0.1:7443"]
 `
 
+// writeFile returns the path of a new file, x.toml, with the given text.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	p := filepath.Join(t.TempDir(), "x.toml")
@@ -27,21 +29,24 @@
 	return p
 }
 
-// TestExtras: files merge, what they leave out has a default, and an error says
-// where and what would be right.
+// TestExtras: files are merged, and missing fields have their defaults.
 func TestExtras(t *testing.T) {
 	x, err := LoadExtras(nil)
 	if err != nil || x.Overflow != nil {
-		t.Fatalf("without files something is switched on: %+v, %v", x, err)
+		t.Fatalf("without files: got %+v, %v, want no feature", x, err)
 	}
 	x, err = LoadExtras([]string{writeFile(t, overflowFile), writeFile(t, "[overflow]\nlease_s = 30\n")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if o := x.Overflow; o.Cluster != "east" || o.LeaseS != 30 || o.ReportS != 2 || !o.Lend || len(o.Peers) != 1 {
-		t.Errorf("%+v", o)
+		t.Errorf("got %+v, want cluster east with its peer, a lease of 30 s, and the other defaults", o)
 	}
-	for _, c := range []struct{ what, text, want string }{
+}
+
+// TestInvalidExtras: errors name the place, and what is wanted.
+func TestInvalidExtras(t *testing.T) {
+	for _, test := range []struct{ name, text, want string }{
 		{"unknown field", overflowFile + "price = 3\n", "x.toml:10:1: unknown field overflow.peers.price"},
 		{"unknown section", overflowFile + "[overflw]\n", "unknown field overflw"},
 		{"wrong type", strings.Replace(overflowFile, `"east"`, "7", 1), "x.toml:2:"},
@@ -53,9 +58,11 @@
 		{"lease too short", strings.Replace(overflowFile, "guest_team", "lease_s = 5\nreport_s = 9\nguest_team", 1), "x.toml:5: field overflow.lease_s: 5 is too small: want more than report_s"},
 		{"not TOML", "[overflow\n", "x.toml:1:"},
 	} {
-		_, err := LoadExtras([]string{writeFile(t, c.text)})
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %q", c.what, err, c.want)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			_, err := LoadExtras([]string{writeFile(t, test.text)})
+			if err == nil || !strings.Contains(err.Error(), test.want) {
+				t.Errorf("got %v, want %q", err, test.want)
+			}
+		})
 	}
 }
