--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -43,6 +43,7 @@
 				defer close(ended)
 				Serve(ctx, addr, sockets, heartbeatBackend{}, ignoreResponses)
 			}()
+			waitForListener(t, addr)
 			// So many machines send heartbeats at a time. They leave their connections open, up
 			// to four times as many as the server admits.
 			const crowd = 100
