--- a/internal/overflow/borrower.go
+++ b/internal/overflow/borrower.go
@@ -1,16 +1,17 @@
 package overflow
 
 import (
+	"maps"
 	"slices"
 	"time"
 )
 
-// startMargin before a lease's end nothing more is started for it.
+// startMargin is how long before a lease's end nothing more is started under it.
 const startMargin = 500 * time.Millisecond
 
-// BorrowerView is what the guest's leader knows to be durable.
+// BorrowerView is what the leader of the offloaded jobs' team knows to be durable.
 type BorrowerView struct {
-	// Epoch is the stamp of the leader that asks.
+	// Epoch is the epoch of the leader that decides.
 	Epoch        uint64
 	Draining     bool
 	LendsItself  bool
@@ -18,201 +19,206 @@
 	FreeCapacity []FreeCapacity
 	CachedImages []string
 	Borrowed     []BorrowedLoan
-	// RenewedAt is, for each home, when a report was sent that is known to have
-	// been answered, as the leader before wrote it down; earlier is safe.
+	// RenewedAt is, by home cluster, the sending time of a heartbeat that is known
+	// to have been answered, as the previous leader stored it. An earlier time is
+	// safe, a later one isn't.
 	RenewedAt map[string]time.Time
 }
 
-// Borrower is the borrower's side: until when its leases surely run, and which
-// homes have confirmed what it holds.
+// Borrower is the borrowing side's state: until when its leases certainly run, and
+// which loans their lenders have confirmed.
 type Borrower struct {
 	sequence uint64
 	lenders  map[string]*lenderState
-	// accepting are loans whose acceptance is being written; whether it was or
-	// will be is not known, so they are reported as held.
+	// accepting holds loans whose acceptance is being written. The outcome isn't
+	// known yet, so they are reported as held.
 	accepting map[Loan]bool
-	// refused are loans that were not taken; forgotten with this leader, which
-	// only makes the home ask again.
+	// refused holds loans that were not taken. It is lost with this leader, after
+	// which the lender merely offers them again.
 	refused map[Loan]Cause
 }
 
 type lenderState struct {
 	epoch uint64
-	// until: this guest's leases from that home run until then, on this clock.
+	// leaseUntil is the end of the leases from this lender, on the local clock.
 	leaseUntil time.Time
-	// sentAt is when the report under way was sent, and its tick.
+	// sentAt and sequence are those of the heartbeat in flight; sentAt is zero when
+	// there is none.
 	sentAt   time.Time
 	sequence uint64
-	// confirmed are loans that the home has called this guest's under the present
-	// leader. Only these may be started.
+	// confirmed holds loans that the lender's present leader has confirmed. Only
+	// their tasks may be started.
 	confirmed map[Loan]bool
 }
 
-// NewBorrower makes the borrower's side.
+// NewBorrower returns a borrowing side that has no lease yet.
 func NewBorrower() *Borrower {
 	return &Borrower{lenders: map[string]*lenderState{}, accepting: map[Loan]bool{}, refused: map[Loan]Cause{}}
 }
 
-func (g *Borrower) lender(name string) *lenderState {
-	h := g.lenders[name]
-	if h == nil {
-		h = &lenderState{confirmed: map[Loan]bool{}}
-		g.lenders[name] = h
+func (b *Borrower) lender(name string) *lenderState {
+	lender := b.lenders[name]
+	if lender == nil {
+		lender = &lenderState{confirmed: map[Loan]bool{}}
+		b.lenders[name] = lender
 	}
-	return h
+	return lender
 }
 
-// NewHeartbeat is what the home is told now. One report is under way at a time.
-func (g *Borrower) NewHeartbeat(now time.Time, from, home string, v BorrowerView) Heartbeat {
-	g.sequence++
-	h := g.lender(home)
-	h.sentAt, h.sequence = now, g.sequence
+// NewHeartbeat returns the next heartbeat to the lender called home. One heartbeat
+// to a lender is in flight at a time; a new one replaces it.
+func (b *Borrower) NewHeartbeat(now time.Time, from, home string, view BorrowerView) Heartbeat {
+	b.sequence++
+	lender := b.lender(home)
+	lender.sentAt, lender.sequence = now, b.sequence
 	heartbeat := Heartbeat{
-		From: from, Epoch: v.Epoch, Sequence: g.sequence, HomeEpoch: h.epoch,
-		Draining: v.Draining, LendsItself: v.LendsItself, StopBound: v.StopBound, FreeCapacity: v.FreeCapacity, CachedImages: v.CachedImages,
+		From: from, Epoch: view.Epoch, Sequence: b.sequence, HomeEpoch: lender.epoch,
+		Draining: view.Draining, LendsItself: view.LendsItself, StopBound: view.StopBound, FreeCapacity: view.FreeCapacity, CachedImages: view.CachedImages,
 	}
-	for _, b := range v.Borrowed {
-		if b.Loan.Home == home {
-			heartbeat.Loans = append(heartbeat.Loans, LoanReport{Loan: b.Loan, State: b.State, Cause: b.Cause, DoneTasks: b.DoneTasks, RunningTasks: b.RunningTasks})
+	for _, borrowed := range view.Borrowed {
+		if borrowed.Loan.Home == home {
+			heartbeat.Loans = append(heartbeat.Loans, LoanReport{Loan: borrowed.Loan, State: borrowed.State, Cause: borrowed.Cause, DoneTasks: borrowed.DoneTasks, RunningTasks: borrowed.RunningTasks})
 		}
 	}
-	for _, l := range sortedLoans(g.accepting) {
-		if l.Home == home && !isBorrowed(v, l) {
-			heartbeat.Loans = append(heartbeat.Loans, LoanReport{Loan: l, State: Held})
+	for _, loan := range sortedLoans(b.accepting) {
+		if loan.Home == home && !isBorrowed(view, loan) {
+			heartbeat.Loans = append(heartbeat.Loans, LoanReport{Loan: loan, State: Held})
 		}
 	}
-	for _, l := range sortedLoans(g.refused) {
-		if l.Home == home && !isBorrowed(v, l) && !g.accepting[l] {
-			heartbeat.Loans = append(heartbeat.Loans, LoanReport{Loan: l, State: Gone, Cause: g.refused[l]})
+	for _, loan := range sortedLoans(b.refused) {
+		if loan.Home == home && !isBorrowed(view, loan) && !b.accepting[loan] {
+			heartbeat.Loans = append(heartbeat.Loans, LoanReport{Loan: loan, State: Gone, Cause: b.refused[loan]})
 		}
 	}
 	return heartbeat
 }
 
-func isBorrowed(v BorrowerView, l Loan) bool {
-	return slices.ContainsFunc(v.Borrowed, func(b BorrowedLoan) bool { return b.Loan == l })
+func isBorrowed(view BorrowerView, loan Loan) bool {
+	return slices.ContainsFunc(view.Borrowed, func(b BorrowedLoan) bool { return b.Loan == loan })
 }
 
-// HandleReply takes in the answer to the report of the given tick. accept says
-// whether a job may be taken in, and why not. An answer that comes too late, to
-// another report, or from a leader that has been replaced is dropped whole.
-func (g *Borrower) HandleReply(home string, tick uint64, reply HeartbeatReply, v BorrowerView, accept func(Command) Cause) []BorrowerTransition {
-	h := g.lender(home)
-	if tick != h.sequence || h.sentAt.IsZero() || reply.Epoch < h.epoch {
+// HandleReply takes in the reply to the heartbeat with that sequence number. accept
+// decides whether a job is taken, and returns the cause of a refusal. A reply that
+// comes too late, to another heartbeat or from a replaced leader is dropped whole.
+func (b *Borrower) HandleReply(home string, sequence uint64, reply HeartbeatReply, view BorrowerView, accept func(Command) Cause) []BorrowerTransition {
+	lender := b.lender(home)
+	if sequence != lender.sequence || lender.sentAt.IsZero() || reply.Epoch < lender.epoch {
 		return nil
 	}
-	if reply.Epoch > h.epoch {
-		// What an earlier leader of the home confirmed may have been taken back.
-		h.confirmed = map[Loan]bool{}
+	lender.epoch = reply.Epoch
+	if until := lender.sentAt.Add(reply.Lease); until.After(lender.leaseUntil) {
+		lender.leaseUntil = until
 	}
-	h.epoch = reply.Epoch
-	if u := h.sentAt.Add(reply.Lease); u.After(h.leaseUntil) {
-		h.leaseUntil = u
-	}
-	h.sentAt = time.Time{}
+	lender.sentAt = time.Time{}
 	var transitions []BorrowerTransition
-	kept := map[Loan]bool{}
+	confirmed := map[Loan]bool{}
 	for _, command := range reply.Commands {
 		if command.Loan.Home != home {
-			// A home speaks for its own loans alone.
+			// A lender may command its own loans only.
 			continue
 		}
 		switch command.Kind {
 		case Take:
-			if isBorrowed(v, command.Loan) || g.accepting[command.Loan] {
-				continue
-			}
-			cause := Cause("")
-			switch {
-			case v.Draining:
-				cause = Draining
-			case g.refused[command.Loan] != "":
-				cause = g.refused[command.Loan]
-			default:
-				cause = accept(command)
-			}
-			if cause != "" {
-				g.refused[command.Loan] = cause
-				continue
+			if b.take(command, view, accept) {
+				transitions = append(transitions, BorrowerTransition{Kind: Accept, Loan: command.Loan, Spec: command.Spec, Age: command.Age})
 			}
-			g.accepting[command.Loan] = true
-			transitions = append(transitions, BorrowerTransition{Kind: Accept, Loan: command.Loan, Spec: command.Spec, Age: command.Age})
 		case Keep:
-			kept[command.Loan] = true
+			confirmed[command.Loan] = true
 		case Stop:
-			if i := slices.IndexFunc(v.Borrowed, func(b BorrowedLoan) bool { return b.Loan == command.Loan }); i >= 0 && v.Borrowed[i].State == Held && !v.Borrowed[i].Ending {
+			if slices.ContainsFunc(view.Borrowed, func(b BorrowedLoan) bool { return b.Loan == command.Loan && b.isActive() }) {
 				transitions = append(transitions, BorrowerTransition{Kind: GiveUp, Loan: command.Loan, Cause: Stopped})
 			}
 		case Forget:
-			delete(g.refused, command.Loan)
-			if isBorrowed(v, command.Loan) {
+			delete(b.refused, command.Loan)
+			if isBorrowed(view, command.Loan) {
 				transitions = append(transitions, BorrowerTransition{Kind: Drop, Loan: command.Loan})
 			}
 		}
 	}
-	h.confirmed = kept
+	// Loans that an earlier leader confirmed may have been taken back since: what
+	// this reply doesn't confirm isn't confirmed any more.
+	lender.confirmed = confirmed
 	return transitions
 }
 
-// NoteAccepted tells how the writing of an acceptance ended: written, or surely not.
-func (g *Borrower) NoteAccepted(l Loan, written bool) {
-	delete(g.accepting, l)
+// take decides about an offered job and reports whether its acceptance is to be
+// written. An offer that is already being handled is ignored.
+func (b *Borrower) take(command Command, view BorrowerView, accept func(Command) Cause) bool {
+	if isBorrowed(view, command.Loan) || b.accepting[command.Loan] {
+		return false
+	}
+	var cause Cause
+	switch {
+	case view.Draining:
+		cause = Draining
+	case b.refused[command.Loan] != "":
+		cause = b.refused[command.Loan]
+	default:
+		cause = accept(command)
+	}
+	if cause != "" {
+		b.refused[command.Loan] = cause
+		return false
+	}
+	b.accepting[command.Loan] = true
+	return true
+}
+
+// NoteAccepted records the outcome of writing an acceptance: it was written, or it
+// certainly never will be.
+func (b *Borrower) NoteAccepted(loan Loan, written bool) {
+	delete(b.accepting, loan)
 	if !written {
-		g.refused[l] = Refused
+		b.refused[loan] = Refused
 	}
 }
 
-// leaseUntil is when this guest's leases from the home end.
-func (g *Borrower) leaseUntil(home string, lease time.Duration, v BorrowerView) time.Time {
-	u := g.lender(home).leaseUntil
-	if w := v.RenewedAt[home]; !w.IsZero() {
-		// The leader before had an answer to a report of that time.
-		if o := w.Add(lease); o.After(u) {
-			u = o
+// leaseUntil is when the leases from home end.
+func (b *Borrower) leaseUntil(home string, lease time.Duration, view BorrowerView) time.Time {
+	until := b.lender(home).leaseUntil
+	if renewedAt := view.RenewedAt[home]; !renewedAt.IsZero() {
+		// The previous leader's lease goes on under this one.
+		if inherited := renewedAt.Add(lease); inherited.After(until) {
+			until = inherited
 		}
 	}
-	return u
+	return until
 }
 
-// StartableUntil says until when tasks of a loan may be started: zero, not at all.
-// The home must have called it this guest's under the present leader.
-func (g *Borrower) StartableUntil(l Loan) time.Time {
-	h := g.lender(l.Home)
-	if !h.confirmed[l] {
+// StartableUntil is until when tasks of a loan may be started. It is zero, for not
+// at all, unless the lender's present leader has confirmed the loan.
+func (b *Borrower) StartableUntil(loan Loan) time.Time {
+	lender := b.lender(loan.Home)
+	if !lender.confirmed[loan] {
 		return time.Time{}
 	}
-	return h.leaseUntil.Add(-startMargin)
+	return lender.leaseUntil.Add(-startMargin)
 }
 
-// ExpiredLoans are the loans whose lease has run out: they are given up at once.
-// lease is how long a lease from before this leader runs.
-func (g *Borrower) ExpiredLoans(now time.Time, lease time.Duration, v BorrowerView) []BorrowerTransition {
-	var ops []BorrowerTransition
-	for _, b := range v.Borrowed {
-		if b.State == Held && !b.Ending && now.After(g.leaseUntil(b.Loan.Home, lease, v)) {
-			ops = append(ops, BorrowerTransition{Kind: GiveUp, Loan: b.Loan, Cause: LeaseExpired})
+// ExpiredLoans gives up the loans whose lease has run out. lease is how long a lease
+// inherited from the previous leader runs.
+func (b *Borrower) ExpiredLoans(now time.Time, lease time.Duration, view BorrowerView) []BorrowerTransition {
+	var transitions []BorrowerTransition
+	for _, borrowed := range view.Borrowed {
+		if borrowed.isActive() && now.After(b.leaseUntil(borrowed.Loan.Home, lease, view)) {
+			transitions = append(transitions, BorrowerTransition{Kind: GiveUp, Loan: borrowed.Loan, Cause: LeaseExpired})
 		}
 	}
-	return ops
+	return transitions
 }
 
-// Renewals are the times to write down for a successor: when the answered report
-// of each home was sent that has loans here.
-func (g *Borrower) Renewals(lease time.Duration, v BorrowerView) map[string]time.Time {
-	out := map[string]time.Time{}
-	for _, b := range v.Borrowed {
-		if u := g.lender(b.Loan.Home).leaseUntil; b.State == Held && !u.IsZero() {
-			out[b.Loan.Home] = u.Add(-lease)
+// Renewals returns what to store for a successor: by home cluster with loans held
+// here, the sending time of its last answered heartbeat.
+func (b *Borrower) Renewals(lease time.Duration, view BorrowerView) map[string]time.Time {
+	renewals := map[string]time.Time{}
+	for _, borrowed := range view.Borrowed {
+		if until := b.lender(borrowed.Loan.Home).leaseUntil; borrowed.State == Held && !until.IsZero() {
+			renewals[borrowed.Loan.Home] = until.Add(-lease)
 		}
 	}
-	return out
+	return renewals
 }
 
 func sortedLoans[V any](m map[Loan]V) []Loan {
-	out := make([]Loan, 0, len(m))
-	for l := range m {
-		out = append(out, l)
-	}
-	slices.SortFunc(out, compareLoans)
-	return out
+	return slices.SortedFunc(maps.Keys(m), compareLoans)
 }
--- a/internal/overflow/offers.go
+++ b/internal/overflow/offers.go
@@ -10,36 +10,38 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// FreeCapacity is what a guest offers of one kind of machine: room that own work of the
-// same urgency will not want for a while.
+// FreeCapacity is what a borrower offers on one kind of machine: capacity that own
+// jobs of the same urgency are not expected to need for a while.
 type FreeCapacity struct {
 	MachineType string
 	Zone        string
 	Spot        bool
-	// PerMachine is what one machine has free, and Machines how many are like it.
+	// PerMachine is what is free on one machine, and Machines the number of
+	// machines alike.
 	PerMachine model.Resources
 	Machines   int
-	// AvailableIn is how long until the room is there; 0: now.
+	// AvailableIn is how long until the capacity is there; 0 means now.
 	AvailableIn time.Duration
-	// CostPerCPUHour is for one CPU of such a machine, an hour.
+	// CostPerCPUHour is the cost of one CPU of such a machine for an hour.
 	CostPerCPUHour float64
-	// FetchRate is how many GB of image a machine fetches in a second.
+	// FetchRate is the rate of an image fetch in GB per second; 0 if unknown.
 	FetchRate float64
 }
 
-// Candidate is a job of ours that waits and of which no task was ever started.
+// Candidate is a waiting job of this cluster of which no task was ever started.
 type Candidate struct {
 	Job  string
 	Spec model.JobSpec
-	// SLODue is when its next aim is, from now; it may be over. HomeFinish is when it
-	// would be done at home, as the plan played forward says.
-	SLODue     time.Duration
+	// SLODue is the time left until the job's next SLO; negative if it has passed.
+	SLODue time.Duration
+	// HomeFinish is the time until the job would be done at home, by the placement
+	// simulation.
 	HomeFinish time.Duration
-	// RunTime is how long one of its tasks takes, by the corrected estimate.
+	// RunTime is the run time of one task, by the corrected estimate.
 	RunTime time.Duration
-	// LendCount is how often it has been lent before.
+	// LendCount is how often the job has been lent before.
 	LendCount uint64
-	// Rest: given back not long ago, it stays at home for a while.
+	// CoolingDown jobs were given back lately and stay at home for a while.
 	CoolingDown bool
 }
 
@@ -48,248 +50,194 @@
 	Name      string
 	Available bool
 	Draining  bool
-	// Latency is how long its answers to us take, and Trust, from 0 to 1, how well
-	// it has kept its word lately.
-	Latency      time.Duration
+	// Latency is how long its replies take.
+	Latency time.Duration
+	// Trust, from 0 to 1, is how well it has fulfilled its loans lately.
 	Trust        float64
 	FreeCapacity []FreeCapacity
 	CachedImages []string
-	// LoansOut is how many loans it holds of ours, and Wants whether it lends itself.
-	LoansOut    int
+	// LoansOut is how many of our loans it holds.
+	LoansOut int
+	// LendsItself is set by a peer that lends jobs itself, or would like to.
 	LendsItself bool
 }
 
-// Limits bound what is lent and taken.
+// Limits bound what is lent and borrowed.
 type Limits struct {
-	// LoansOut bounds the loans in flight to one peer, LoansIn those taken from
-	// all, and Tasks the tasks of one loan.
+	// LoansOut bounds the loans to one peer, LoansIn the loans borrowed from all
+	// peers, and Tasks the tasks of one loan.
 	LoansOut, LoansIn, Tasks int
-	// Offers bounds how many jobs are lent in one look.
+	// Offers bounds how many jobs are lent by one call of ChooseOffers.
 	Offers int
-	// MinGain is by how much sooner a job must be done at the peer: lending costs
-	// messages, writes and a fetch, and a plan is no more than a plan.
+	// MinGain is by how much sooner a job must be done at the peer. Lending costs
+	// messages, writes and an image fetch, and both finish times are estimates.
 	MinGain time.Duration
-	// MaxLends is how often one job may be lent in its life.
+	// MaxLends is how often one job may be lent.
 	MaxLends uint64
-	// MaxCostRatio is how many times the home's price a peer's may be.
+	// MaxCostRatio is how many times the home cluster's cost a peer's may be.
 	MaxCostRatio float64
 }
 
-// DefaultLimits are what holds where deploy/overflow.toml names nothing else.
+// DefaultLimits are the limits where deploy/overflow.toml sets none.
 func DefaultLimits() Limits {
 	return Limits{LoansOut: 32, LoansIn: 64, Tasks: 2000, Offers: 8, MinGain: 5 * time.Second, MaxLends: 2, MaxCostRatio: 3}
 }
 
-// handOver is what a hand-over costs beside the messages' delay: two writes here
-// and two there, and the report that confirms it.
+// handOver is the time that a hand-over takes beside the network's latency: two
+// writes at either cluster, and the heartbeat that confirms it.
 const handOver = 3 * time.Second
 
-// Offer is a job that is to be lent, and how it is expected to go there.
+// Offer is a job to be lent.
 type Offer struct {
-	Job        string
-	Peer       string
+	Job  string
+	Peer string
+	// PeerFinish is the expected time until the job is done at the peer.
 	PeerFinish time.Duration
 	Reason     string
 }
 
-// capacitySlot is room of a peer while offers are chosen from it.
+// capacitySlot is a peer's FreeCapacity with the machines that are still left while
+// offers are chosen.
 type capacitySlot struct {
 	FreeCapacity
 	remaining int
 }
 
+// placement is a way to run a job at a peer.
+type placement struct {
+	peer   string
+	finish time.Duration
+	cost   float64 // of one CPU for an hour, on the most expensive machine used
+	parts  []placementPart
+}
+
+type placementPart struct {
+	slot     *capacitySlot
+	machines int
+}
+
+// reserve takes the placement's machines out of the peer's capacity.
+func (p *placement) reserve() {
+	for _, part := range p.parts {
+		part.slot.remaining -= part.machines
+	}
+}
+
 // ChooseOffers picks the jobs to lend and their peers: those that would miss their
-// next aim at home and would reach it at a peer, hand-over and fetch counted.
-// Whole jobs are lent, and only such as nothing was started of: see
-// docs/overflow.md for the other way, groups of tasks. cheapest is the price of
-// room at home.
+// next SLO at home and would meet it at a peer, with hand-over and image fetch
+// included. Only whole jobs are lent, and only before any of their tasks has been
+// started; docs/overflow.md compares this with lending groups of tasks. homeCost is
+// the cost of a CPU for an hour at home; 0 if unknown.
 func ChooseOffers(candidates []Candidate, peers []PeerSnapshot, limits Limits, homeCost float64) []Offer {
 	candidates = slices.Clone(candidates)
-	// The most urgent first, and of these the one whose aim is next.
 	slices.SortStableFunc(candidates, func(a, b Candidate) int {
 		return cmp.Or(cmp.Compare(b.Spec.Urgency, a.Spec.Urgency), cmp.Compare(a.SLODue, b.SLODue), strings.Compare(a.Job, b.Job))
 	})
 	slots := map[string][]*capacitySlot{}
 	loansOut := map[string]int{}
-	for _, p := range peers {
-		for _, r := range p.FreeCapacity {
-			slots[p.Name] = append(slots[p.Name], &capacitySlot{r, r.Machines})
+	for _, peer := range peers {
+		for _, capacity := range peer.FreeCapacity {
+			slots[peer.Name] = append(slots[peer.Name], &capacitySlot{capacity, capacity.Machines})
 		}
-		loansOut[p.Name] = p.LoansOut
+		loansOut[peer.Name] = peer.LoansOut
 	}
 	var offers []Offer
-	for _, c := range candidates {
+	for _, candidate := range candidates {
 		if len(offers) >= limits.Offers {
 			break
 		}
-		if !isLendable(c, limits) || c.HomeFinish <= c.SLODue {
+		if !isLendable(candidate, limits) || candidate.HomeFinish <= candidate.SLODue {
 			continue
 		}
-		best, bestEnd, bestPrice := -1, time.Duration(0), 0.0
-		var bestReserve func()
-		for i, p := range peers {
-			// A peer that lends itself is as busy as we are: work would go to and
-			// fro between the two.
-			if !p.Available || p.Draining || p.LendsItself || loansOut[p.Name] >= maxLoans(limits.LoansOut, p.Trust) {
+		var best *placement
+		for _, peer := range peers {
+			// A peer that lends itself is as busy as this cluster: jobs would go to
+			// and fro between the two.
+			if !peer.Available || peer.Draining || peer.LendsItself || loansOut[peer.Name] >= maxLoans(limits.LoansOut, peer.Trust) {
 				continue
 			}
-			end, price, reserve := fitAtPeer(c, p, slots[p.Name])
-			switch {
-			case reserve == nil, end > c.SLODue, end+limits.MinGain > c.HomeFinish:
-				// Not possible, of no use, or not worth it.
-				continue
-			case homeCost > 0 && price > limits.MaxCostRatio*homeCost:
+			placed := placeAtPeer(candidate, peer, slots[peer.Name])
+			if placed == nil || !isWorthwhile(candidate, placed, limits, homeCost) {
 				continue
 			}
-			if best < 0 || price < bestPrice || price == bestPrice && end < bestEnd {
-				best, bestEnd, bestPrice, bestReserve = i, end, price, reserve
+			if best == nil || placed.cost < best.cost || placed.cost == best.cost && placed.finish < best.finish {
+				best = placed
 			}
 		}
-		if best < 0 {
+		if best == nil {
 			continue
 		}
-		bestReserve()
-		loansOut[peers[best].Name]++
-		offers = append(offers, Offer{Job: c.Job, Peer: peers[best].Name, PeerFinish: bestEnd, Reason: "late at home"})
+		best.reserve()
+		loansOut[best.peer]++
+		offers = append(offers, Offer{Job: candidate.Job, Peer: best.peer, PeerFinish: best.finish, Reason: "late at home"})
 	}
 	return offers
 }
 
-// maxLoans is how many loans a peer may hold: fewer while it is trusted less, but
-// one, or it could never earn trust again.
+// maxLoans is how many loans a peer may hold. Less trust means fewer, but at least
+// one: otherwise the peer could never earn trust again.
 func maxLoans(limit int, trust float64) int { return max(1, int(float64(limit)*trust)) }
 
-// isLendable says whether a job may be lent at all. Standing work never ends, and a
-// lease on it would only cost; a job that names zones means ours.
-func isLendable(c Candidate, lim Limits) bool {
-	s := &c.Spec
-	return !s.LongRunning && !s.Gang && s.Zone == "" && !s.SameZone && !s.SpreadZones && len(s.MachineTypes) == 0 &&
-		s.Tasks <= lim.Tasks && c.LendCount < lim.MaxLends && !c.CoolingDown
+// isLendable says whether a job may be lent at all. A long-running job never ends,
+// so that a lease on it would only cost, and zones and machine types mean those of
+// the home cluster.
+func isLendable(candidate Candidate, limits Limits) bool {
+	spec := &candidate.Spec
+	return !spec.LongRunning && !spec.Gang && spec.Zone == "" && !spec.SameZone && !spec.SpreadZones && len(spec.MachineTypes) == 0 &&
+		spec.Tasks <= limits.Tasks && candidate.LendCount < limits.MaxLends && !candidate.CoolingDown
 }
 
-// fitAtPeer says when the job would be done at the peer, at what price, and takes its
-// room when it is chosen. All tasks are to find room at once: a loan that queues
-// at the peer is no better there.
-func fitAtPeer(c Candidate, p PeerSnapshot, slots []*capacitySlot) (end time.Duration, price float64, reserve func()) {
-	type part struct {
-		pl *capacitySlot
-		n  int
+// isWorthwhile says whether the job would be in time at the peer, sufficiently
+// sooner than at home, and not too expensive.
+func isWorthwhile(candidate Candidate, placed *placement, limits Limits, homeCost float64) bool {
+	if placed.finish > candidate.SLODue || placed.finish+limits.MinGain > candidate.HomeFinish {
+		return false
 	}
-	var parts []part
-	remaining := c.Spec.Tasks
-	imageCached := slices.Contains(p.CachedImages, c.Spec.Image)
+	return !(homeCost > 0 && placed.cost > limits.MaxCostRatio*homeCost)
+}
+
+// placeAtPeer places a job on a peer's free capacity, the soonest and then the
+// cheapest first. It returns nil unless all tasks fit at once: a loan that queues at
+// the peer is no better there.
+func placeAtPeer(candidate Candidate, peer PeerSnapshot, slots []*capacitySlot) *placement {
+	spec := &candidate.Spec
+	placed := &placement{peer: peer.Name}
+	unplaced := spec.Tasks
+	imageCached := slices.Contains(peer.CachedImages, spec.Image)
 	readyIn := time.Duration(0)
 	ordered := slices.Clone(slots)
 	slices.SortStableFunc(ordered, func(a, b *capacitySlot) int {
 		return cmp.Or(cmp.Compare(a.AvailableIn, b.AvailableIn), cmp.Compare(a.CostPerCPUHour, b.CostPerCPUHour))
 	})
-	for _, pl := range ordered {
-		if remaining == 0 {
+	for _, slot := range ordered {
+		if unplaced == 0 {
 			break
 		}
-		each := pl.PerMachine.FitCount(c.Spec.Need)
-		if each == 0 || pl.remaining == 0 || pl.Spot && !c.Spec.AllowSpot {
+		perMachine := slot.PerMachine.FitCount(spec.Need)
+		if perMachine == 0 || slot.remaining == 0 || slot.Spot && !spec.AllowSpot {
 			continue
 		}
-		n := min(pl.remaining, (remaining+each-1)/each)
-		remaining -= min(remaining, n*each)
-		parts = append(parts, part{pl, n})
+		machines := min(slot.remaining, machinesFor(unplaced, perMachine))
+		unplaced -= min(unplaced, machines*perMachine)
+		placed.parts = append(placed.parts, placementPart{slot, machines})
 		fetch := time.Duration(0)
-		if !imageCached && pl.FetchRate > 0 {
-			fetch = record.DurationOfSeconds(c.Spec.ImageGB / pl.FetchRate)
+		if !imageCached && slot.FetchRate > 0 {
+			fetch = record.DurationOfSeconds(spec.ImageGB / slot.FetchRate)
 		}
-		readyIn = max(readyIn, pl.AvailableIn+fetch)
-		price = max(price, pl.CostPerCPUHour)
+		readyIn = max(readyIn, slot.AvailableIn+fetch)
+		placed.cost = max(placed.cost, slot.CostPerCPUHour)
 	}
-	if remaining > 0 {
-		return 0, 0, nil
-	}
-	// What its word was worth lately is added to the estimate: a peer that keeps
-	// half of its promises is counted on half as much.
-	run := time.Duration(float64(c.RunTime) * (2 - p.Trust))
-	return handOver + 2*p.Latency + readyIn + run, price, func() {
-		for _, x := range parts {
-			x.pl.remaining -= x.n
-		}
+	if unplaced > 0 {
+		return nil
 	}
+	// Lost trust lengthens the estimate: by half of the run time at a trust of 0.5.
+	run := time.Duration(float64(candidate.RunTime) * (2 - peer.Trust))
+	placed.finish = handOver + 2*peer.Latency + readyIn + run
+	return placed
 }
 
-// AdmissionState is what decides whether a job of another cluster is taken in.
-type AdmissionState struct {
-	// LoansIn is how many loans are held, and Room what was last told of ours, less
-	// what has been taken in since.
-	LoansIn      int
-	FreeCapacity []FreeCapacity
-	// Late: own work waits and will miss its aim, the most urgent of it with the
-	// urgency Waiting.
-	OwnWorkLate bool
-	LateUrgency model.Urgency
-}
-
-// Admit says why a job is not taken in, or nothing when it is; what it takes is
-// then taken off what may be promised to the next.
-func Admit(command Command, state *AdmissionState, lim Limits) Cause {
-	switch {
-	case state.LoansIn >= lim.LoansIn, command.Spec.Tasks > lim.Tasks:
-		return NoRoom
-	case state.OwnWorkLate && state.LateUrgency >= command.Spec.Urgency:
-		return NoRoom
-	}
-	left := command.Spec.Tasks
-	rest := slices.Clone(state.FreeCapacity)
-	for i := range rest {
-		each := rest[i].PerMachine.FitCount(command.Spec.Need)
-		if each == 0 || rest[i].Spot && !command.Spec.AllowSpot {
-			continue
-		}
-		n := min(rest[i].Machines, (left+each-1)/each)
-		rest[i].Machines -= n
-		left -= min(left, n*each)
-		if left == 0 {
-			break
-		}
-	}
-	if left > 0 {
-		return NoRoom
-	}
-	state.FreeCapacity = rest
-	state.LoansIn++
-	return ""
-}
-
-// Pressure is the guest's own need, by which borrowed work is given back.
-type Pressure struct {
-	// Late: own work of that urgency waits and will miss its aim.
-	OwnWorkLate bool
-	LateUrgency model.Urgency
-	// LateFor is how long that has been so.
-	LateFor time.Duration
-	// DrainIn is when, from now, everything must be gone; negative: no drain.
-	DrainIn time.Duration
-}
-
-// giveBackDelay is how long own work must have been late before borrowed work goes
-// back: a burst that passes by itself is no reason to hand work to and fro.
-const giveBackDelay = 5 * time.Second
-
-// ChooseGiveBacks picks the loans to give back: what has not begun goes first, and what
-// runs only when a drain would not see its end.
-func ChooseGiveBacks(bs []BorrowedLoan, pressure Pressure, runTime func(BorrowedLoan) time.Duration) []Loan {
-	var out []Loan
-	for _, b := range bs {
-		if b.State != Held || b.Ending {
-			continue
-		}
-		switch {
-		case pressure.DrainIn >= 0 && (!b.Started || runTime(b) > pressure.DrainIn):
-			out = append(out, b.Loan)
-		case pressure.OwnWorkLate && pressure.LateFor >= giveBackDelay && !b.Started && b.Spec.Urgency <= pressure.LateUrgency:
-			out = append(out, b.Loan)
-		}
-	}
-	slices.SortFunc(out, compareLoans)
-	return out
-}
+// machinesFor is how many machines that hold perMachine tasks each are needed.
+func machinesFor(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
 
 func compareLoans(a, b Loan) int {
 	return cmp.Or(strings.Compare(a.Home, b.Home), strings.Compare(a.Job, b.Job), cmp.Compare(a.LendCount, b.LendCount))
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -17,107 +18,112 @@
 
 func testLoan(n uint64) Loan { return Loan{"east", "job-1", n} }
 
-// TestReplyToEarlierHeartbeat: a lease runs from the sending of the report that was
-// answered. An answer to an earlier one than the last must not be counted from the
-// last, which the home may never have got.
+// TestReplyToEarlierHeartbeat: a lease runs from the sending of the heartbeat that
+// was answered. A reply to an earlier one than the last must not be counted from the
+// last, which the lender may never have received.
 func TestReplyToEarlierHeartbeat(t *testing.T) {
-	g := NewBorrower()
-	v := BorrowerView{Epoch: 1, Borrowed: []BorrowedLoan{{Loan: testLoan(1)}}}
-	first := g.NewHeartbeat(at(0), "west", "east", v)
-	second := g.NewHeartbeat(at(10), "west", "east", v)
+	borrower := NewBorrower()
+	view := BorrowerView{Epoch: 1, Borrowed: []BorrowedLoan{{Loan: testLoan(1)}}}
+	first := borrower.NewHeartbeat(at(0), "west", "east", view)
+	second := borrower.NewHeartbeat(at(10), "west", "east", view)
 	keep := HeartbeatReply{Epoch: 5, Lease: 8 * time.Second, Commands: []Command{{Kind: Keep, Loan: testLoan(1)}}}
-	g.HandleReply("east", first.Sequence, keep, v, nil)
-	if u := g.StartableUntil(testLoan(1)); !u.IsZero() {
-		t.Fatalf("an earlier answer lets tasks start until %v", u.Sub(testStart))
+	borrower.HandleReply("east", first.Sequence, keep, view, nil)
+	if until := borrower.StartableUntil(testLoan(1)); !until.IsZero() {
+		t.Fatalf("after a reply to the earlier heartbeat: startable until %v, want not at all", until.Sub(testStart))
 	}
-	g.HandleReply("east", second.Sequence, keep, v, nil)
-	if u := g.StartableUntil(testLoan(1)); !u.Equal(at(18 - startMargin.Seconds())) {
-		t.Fatalf("startable until %v", u.Sub(testStart))
+	borrower.HandleReply("east", second.Sequence, keep, view, nil)
+	if until, want := borrower.StartableUntil(testLoan(1)), at(18-startMargin.Seconds()); !until.Equal(want) {
+		t.Fatalf("startable until %v, want %v", until.Sub(testStart), want.Sub(testStart))
 	}
-	// Confirmed by a leader that has been replaced: not any more.
-	third := g.NewHeartbeat(at(11), "west", "east", v)
-	g.HandleReply("east", third.Sequence, HeartbeatReply{Epoch: 6, Lease: 8 * time.Second}, v, nil)
-	if u := g.StartableUntil(testLoan(1)); !u.IsZero() {
-		t.Fatalf("startable without a word of the home's new leader")
+	// A new leader's reply ends what its predecessor confirmed.
+	third := borrower.NewHeartbeat(at(11), "west", "east", view)
+	borrower.HandleReply("east", third.Sequence, HeartbeatReply{Epoch: 6, Lease: 8 * time.Second}, view, nil)
+	if until := borrower.StartableUntil(testLoan(1)); !until.IsZero() {
+		t.Fatalf("without the new leader's confirmation: startable until %v, want not at all", until.Sub(testStart))
 	}
-	if ops := g.ExpiredLoans(at(18.5), 8*time.Second, v); len(ops) != 0 {
-		t.Fatalf("given up at 18.5 s: %v", ops)
+	if got := borrower.ExpiredLoans(at(18.5), 8*time.Second, view); len(got) != 0 {
+		t.Fatalf("at 18.5 s: got %v, want no expired loan", got)
 	}
-	if ops := g.ExpiredLoans(at(19.5), 8*time.Second, v); len(ops) != 1 || ops[0].Cause != LeaseExpired {
-		t.Fatalf("not given up at 19.5 s: %v", ops)
+	if got := borrower.ExpiredLoans(at(19.5), 8*time.Second, view); len(got) != 1 || got[0].Cause != LeaseExpired {
+		t.Fatalf("at 19.5 s: got %v, want the loan given up with cause %s", got, LeaseExpired)
 	}
 }
 
-// TestLenderProof: what the home takes for proof that a guest does not run a job.
+var testLentLoan = LentLoan{Loan: testLoan(1), Peer: "west", SubmittedAt: testStart, StopBound: 10 * time.Second, Spec: model.JobSpec{ID: "job-1", Tasks: 1}}
+
+func testLenderView(now time.Time, loan LentLoan) LenderView {
+	return LenderView{Epoch: 7, LeaseValidUntil: now.Add(time.Second), Lent: []LentLoan{loan}}
+}
+
+// TestLenderProof: what the lender takes for proof that a borrower does not run a
+// job.
 func TestLenderProof(t *testing.T) {
-	lent := LentLoan{Loan: testLoan(1), Peer: "west", SubmittedAt: testStart, StopBound: 10 * time.Second, Spec: model.JobSpec{ID: "job-1", Tasks: 1}}
-	view := func(now time.Time, l LentLoan) LenderView {
-		return LenderView{Epoch: 7, LeaseValidUntil: now.Add(time.Second), Lent: []LentLoan{l}}
-	}
-	cancelled := lent
+	lent, cancelled := testLentLoan, testLentLoan
 	cancelled.CancelRequested = true
+	reports := func(loan Loan, state LoanState, cause Cause) Heartbeat {
+		return Heartbeat{Loans: []LoanReport{{Loan: loan, State: state, Cause: cause}}}
+	}
 	for _, c := range []struct {
-		what string
-		lent LentLoan
-		rep  Heartbeat
-		op   string
-		verb string
+		name       string
+		lent       LentLoan
+		heartbeat  Heartbeat
+		transition string
+		commands   string
 	}{
 		{"absent under this leader: offered", lent, Heartbeat{HomeEpoch: 7}, "", "take"},
-		{"absent before it heard of this leader, and cancelled: no proof", cancelled, Heartbeat{HomeEpoch: 6}, "", ""},
+		{"absent under an earlier leader, and cancelled: no proof", cancelled, Heartbeat{HomeEpoch: 6}, "", ""},
 		{"absent under this leader, and cancelled", cancelled, Heartbeat{HomeEpoch: 7}, "end_cancelled", ""},
 		{"absent and draining, under another leader", lent, Heartbeat{HomeEpoch: 6, Draining: true}, "", "take"},
 		{"absent and draining", lent, Heartbeat{HomeEpoch: 7, Draining: true}, "take_back", ""},
-		{"held", lent, Heartbeat{Loans: []LoanReport{{Loan: testLoan(1), State: Held}}}, "", "keep"},
-		{"held and cancelled", cancelled, Heartbeat{Loans: []LoanReport{{Loan: testLoan(1), State: Held}}}, "", "stop"},
-		{"gone, whatever the leader", lent, Heartbeat{Loans: []LoanReport{{Loan: testLoan(1), State: Gone, Cause: GivenBack}}}, "take_back", ""},
-		{"finished, though cancelled", cancelled, Heartbeat{Loans: []LoanReport{{Loan: testLoan(1), State: Finished}}}, "settle", ""},
-		{"another loan of the job, held", lent, Heartbeat{Loans: []LoanReport{{Loan: testLoan(0), State: Held}}}, "", "stop take"},
-		{"another loan of the job, over", lent, Heartbeat{Loans: []LoanReport{{Loan: testLoan(0), State: Gone}}}, "", "forget take"},
+		{"held", lent, reports(testLoan(1), Held, ""), "", "keep"},
+		{"held and cancelled", cancelled, reports(testLoan(1), Held, ""), "", "stop"},
+		{"gone, whatever the leader", lent, reports(testLoan(1), Gone, GivenBack), "take_back", ""},
+		{"finished, though cancelled", cancelled, reports(testLoan(1), Finished, ""), "settle", ""},
+		{"another loan of the job, held", lent, reports(testLoan(0), Held, ""), "", "stop take"},
+		{"another loan of the job, gone", lent, reports(testLoan(0), Gone, ""), "", "forget take"},
 	} {
-		h := NewLender("east", at(0), 8*time.Second)
-		c.rep.From, c.rep.Epoch, c.rep.Sequence = "west", 3, 1
-		a, ops, ok := h.HandleHeartbeat(at(1), view(at(1), c.lent), c.rep)
-		var verbs []string
-		for _, o := range a.Commands {
-			verbs = append(verbs, o.Kind.String())
+		lender := NewLender("east", at(0), 8*time.Second)
+		c.heartbeat.From, c.heartbeat.Epoch, c.heartbeat.Sequence = "west", 3, 1
+		reply, transitions, ok := lender.HandleHeartbeat(at(1), testLenderView(at(1), c.lent), c.heartbeat)
+		var kinds []string
+		for _, command := range reply.Commands {
+			kinds = append(kinds, command.Kind.String())
 		}
-		slices.Sort(verbs)
-		op, verb := "", ""
-		for _, o := range ops {
-			op = o.Kind.String()
+		slices.Sort(kinds)
+		transition, commands := "", strings.Join(kinds, " ")
+		for _, t := range transitions {
+			transition = t.Kind.String()
 		}
-		for i, v := range verbs {
-			if i > 0 {
-				verb += " "
-			}
-			verb += v
+		if !ok || transition != c.transition || commands != c.commands {
+			t.Errorf("%s: got transition %q, commands %q, ok %v; want %q, %q, true", c.name, transition, commands, ok, c.transition, c.commands)
 		}
-		if !ok || op != c.op || verb != c.verb {
-			t.Errorf("%s: %q %q, want %q %q", c.what, op, verb, c.op, c.verb)
-		}
-		if _, _, again := h.HandleHeartbeat(at(2), view(at(2), c.lent), c.rep); again {
-			t.Errorf("%s: the same report is answered twice", c.what)
+		if _, _, again := lender.HandleHeartbeat(at(2), testLenderView(at(2), c.lent), c.heartbeat); again {
+			t.Errorf("%s: the same heartbeat is answered twice", c.name)
 		}
 	}
-	h := NewLender("east", at(0), 8*time.Second)
-	if _, _, ok := h.HandleHeartbeat(at(5), LenderView{Epoch: 7, LeaseValidUntil: at(4)}, Heartbeat{From: "west", Epoch: 1, Sequence: 1}); ok {
-		t.Error("answered when a successor may count the leases already")
+}
+
+// TestLenderLeases: no heartbeat is answered once a successor may count the leases,
+// and a lease expires after its length, the borrower's stop bound, the clock drift
+// and the margin.
+func TestLenderLeases(t *testing.T) {
+	lender := NewLender("east", at(0), 8*time.Second)
+	if _, _, ok := lender.HandleHeartbeat(at(5), LenderView{Epoch: 7, LeaseValidUntil: at(4)}, Heartbeat{From: "west", Epoch: 1, Sequence: 1}); ok {
+		t.Error("a heartbeat is answered when a successor may count the leases already")
 	}
-	// 8 s of lease and 10 s of the guest's bound, the drift and the margin.
 	for _, c := range []struct {
 		at   float64
 		want int
 	}{{18.9, 0}, {19.1, 1}} {
-		if ops := h.ExpiredLoans(at(c.at), view(at(c.at), lent)); len(ops) != c.want {
-			t.Errorf("at %v s: %v", c.at, ops)
+		if got := lender.ExpiredLoans(at(c.at), testLenderView(at(c.at), testLentLoan)); len(got) != c.want {
+			t.Errorf("at %v s: got %v, want %d expired loans", c.at, got, c.want)
 		}
 	}
 }
 
-func candidate(id string, urgency model.Urgency, aim, home float64) Candidate {
+func candidate(id string, urgency model.Urgency, sloDue, homeFinish float64) Candidate {
 	return Candidate{
-		Job: id, SLODue: record.DurationOfSeconds(aim), HomeFinish: record.DurationOfSeconds(home), RunTime: 20 * time.Second,
+		Job: id, SLODue: record.DurationOfSeconds(sloDue), HomeFinish: record.DurationOfSeconds(homeFinish), RunTime: 20 * time.Second,
 		Spec: model.JobSpec{ID: id, Tasks: 4, Urgency: urgency, Need: model.Resources{CPU: 2, Memory: 2}, Image: "img", ImageGB: 2},
 	}
 }
@@ -126,185 +132,197 @@
 	return []FreeCapacity{{MachineType: "box", PerMachine: model.Resources{CPU: 4, Memory: 16}, Machines: machines, CostPerCPUHour: 1, FetchRate: 1}}
 }
 
-// TestChooseOffers: who is lent to whom.
+// TestChooseOffers: which jobs are lent to which peers.
 func TestChooseOffers(t *testing.T) {
 	idle := PeerSnapshot{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2)}
 	for _, c := range []struct {
-		what string
-		cs   []Candidate
-		ps   []PeerSnapshot
-		want []string
+		name       string
+		candidates []Candidate
+		peers      []PeerSnapshot
+		want       []string
 	}{
 		{"late at home, in time there", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{idle}, []string{"a>west"}},
 		{"in time at home", []Candidate{candidate("a", model.Normal, 60, 50)}, []PeerSnapshot{idle}, nil},
 		{"late there as well", []Candidate{candidate("a", model.Normal, 20, 90)}, []PeerSnapshot{idle}, nil},
-		{"the fetch makes it late", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{idle}, nil},
-		{"the image is there", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2), CachedImages: []string{"img"}}}, []string{"a>west"}},
-		{"room for one: the more urgent goes", []Candidate{candidate("a", model.Normal, 60, 90), candidate("b", model.Urgent, 60, 90)}, []PeerSnapshot{idle}, []string{"b>west"}},
+		{"the image fetch makes it late", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{idle}, nil},
+		{"the image is cached there", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2), CachedImages: []string{"img"}}}, []string{"a>west"}},
+		{"capacity for one: the more urgent goes", []Candidate{candidate("a", model.Normal, 60, 90), candidate("b", model.Urgent, 60, 90)}, []PeerSnapshot{idle}, []string{"b>west"}},
 		{"a draining peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Draining: true, Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
-		{"a silent peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
+		{"an unresponsive peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
 		{"a peer that lends itself: no ping-pong", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, LendsItself: true, FreeCapacity: freeMachines(2)}}, nil},
-		{"a peer that broke its word is counted on less", []Candidate{candidate("a", model.Normal, 30, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 0.5, FreeCapacity: freeMachines(2)}}, nil},
+		{"lost trust lengthens the estimate", []Candidate{candidate("a", model.Normal, 30, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 0.5, FreeCapacity: freeMachines(2)}}, nil},
 		{"the cheaper of two", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 2}}}, idle}, []string{"a>west"}},
-		{"too dear", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 20}}}}, nil},
+		{"too expensive", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 20}}}}, nil},
 	} {
 		var got []string
-		for _, o := range ChooseOffers(c.cs, c.ps, DefaultLimits(), 1) {
-			got = append(got, o.Job+">"+o.Peer)
+		for _, offer := range ChooseOffers(c.candidates, c.peers, DefaultLimits(), 1) {
+			got = append(got, offer.Job+">"+offer.Peer)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
 		}
 	}
-	often := candidate("a", model.Normal, 60, 90)
-	often.LendCount = DefaultLimits().MaxLends
-	if len(ChooseOffers([]Candidate{often}, []PeerSnapshot{idle}, DefaultLimits(), 1)) > 0 {
-		t.Error("a job is lent to and fro for ever")
+	lentBefore := candidate("a", model.Normal, 60, 90)
+	lentBefore.LendCount = DefaultLimits().MaxLends
+	if got := ChooseOffers([]Candidate{lentBefore}, []PeerSnapshot{idle}, DefaultLimits(), 1); len(got) > 0 {
+		t.Errorf("a job that was lent %d times: got %v, want no offer", lentBefore.LendCount, got)
 	}
 }
 
-// TestChooseKeepsLimits: whatever there is to choose from, a peer gets no more than
-// its loans and its room, no job goes twice, and nothing goes that gains nothing.
-func TestChooseKeepsLimits(t *testing.T) {
+// TestOffersWithinLimits: whatever there is to choose from, no peer gets more than its
+// loans and its free capacity, no job is offered twice, and none that gains nothing.
+func TestOffersWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed")), 1))
-		lim := DefaultLimits()
-		lim.LoansOut, lim.Offers = 1+rng.IntN(4), 1+rng.IntN(10)
-		var cs []Candidate
+		limits := DefaultLimits()
+		limits.LoansOut, limits.Offers = 1+rng.IntN(4), 1+rng.IntN(10)
+		var candidates []Candidate
 		for i := range rng.IntN(12) {
 			c := candidate(string(rune('a'+i)), model.Urgency(rng.IntN(4)), 100*rng.Float64(), 200*rng.Float64())
 			c.Spec.Tasks = 1 + rng.IntN(9)
-			cs = append(cs, c)
+			candidates = append(candidates, c)
 		}
-		var ps []PeerSnapshot
+		var peers []PeerSnapshot
 		for _, name := range []string{"west", "north", "south"} {
-			ps = append(ps, PeerSnapshot{Name: name, Available: rng.IntN(4) > 0, Draining: rng.IntN(4) == 0, Trust: rng.Float64(), FreeCapacity: freeMachines(rng.IntN(5)), LoansOut: rng.IntN(3)})
+			peers = append(peers, PeerSnapshot{Name: name, Available: rng.IntN(4) > 0, Draining: rng.IntN(4) == 0, Trust: rng.Float64(), FreeCapacity: freeMachines(rng.IntN(5)), LoansOut: rng.IntN(3)})
 		}
-		seen := map[string]bool{}
+		offered := map[string]bool{}
 		tasks, loans := map[string]int{}, map[string]int{}
-		for _, o := range ChooseOffers(cs, ps, lim, 1) {
-			c := cs[slices.IndexFunc(cs, func(c Candidate) bool { return c.Job == o.Job })]
-			if seen[o.Job] || c.HomeFinish <= c.SLODue || o.PeerFinish > c.SLODue || o.PeerFinish+lim.MinGain > c.HomeFinish {
-				t.Fatalf("%+v for %+v", o, c)
+		for _, offer := range ChooseOffers(candidates, peers, limits, 1) {
+			c := candidates[slices.IndexFunc(candidates, func(c Candidate) bool { return c.Job == offer.Job })]
+			if offered[offer.Job] || c.HomeFinish <= c.SLODue || offer.PeerFinish > c.SLODue || offer.PeerFinish+limits.MinGain > c.HomeFinish {
+				t.Fatalf("got %+v for %+v, want one offer a job, in time and of use", offer, c)
 			}
-			seen[o.Job] = true
-			tasks[o.Peer] += c.Spec.Tasks
-			loans[o.Peer]++
+			offered[offer.Job] = true
+			tasks[offer.Peer] += c.Spec.Tasks
+			loans[offer.Peer]++
 		}
-		if len(seen) > lim.Offers {
-			t.Fatalf("%d offers of %d", len(seen), lim.Offers)
+		if len(offered) > limits.Offers {
+			t.Fatalf("got %d offers, want %d at most", len(offered), limits.Offers)
 		}
-		for _, p := range ps {
-			if p.LoansOut+loans[p.Name] > max(p.LoansOut, lim.LoansOut) || tasks[p.Name] > 2*p.FreeCapacity[0].Machines || loans[p.Name] > 0 && (!p.Available || p.Draining) {
-				t.Fatalf("%s: %d loans, %d tasks, %+v", p.Name, loans[p.Name], tasks[p.Name], p)
+		for _, p := range peers {
+			if p.LoansOut+loans[p.Name] > max(p.LoansOut, limits.LoansOut) || tasks[p.Name] > 2*p.FreeCapacity[0].Machines || loans[p.Name] > 0 && (!p.Available || p.Draining) {
+				t.Fatalf("%s: got %d loans with %d tasks, more than fit %+v", p.Name, loans[p.Name], tasks[p.Name], p)
 			}
 		}
 	})
 }
 
-// TestAdmitAndGiveBack: what a guest takes, and what it gives back.
-func TestAdmitAndGiveBack(t *testing.T) {
-	order := func(tasks int, u model.Urgency) Command {
-		return Command{Kind: Take, Spec: model.JobSpec{Tasks: tasks, Urgency: u, Need: model.Resources{CPU: 2, Memory: 2}}}
-	}
-	a := AdmissionState{FreeCapacity: freeMachines(2)}
-	for i, c := range []struct {
-		tasks int
-		want  Cause
-	}{{3, ""}, {1, NoRoom}} {
-		// The first takes both machines, though the second has room for one more:
-		// what was told is promised by machines.
-		if got := Admit(order(c.tasks, model.Normal), &a, DefaultLimits()); got != c.want {
-			t.Errorf("%d: %q, want %q", i, got, c.want)
-		}
+// TestAdmit: which jobs a borrower accepts.
+func TestAdmit(t *testing.T) {
+	take := func(tasks int, urgency model.Urgency) Command {
+		return Command{Kind: Take, Spec: model.JobSpec{Tasks: tasks, Urgency: urgency, Need: model.Resources{CPU: 2, Memory: 2}}}
 	}
+	idle := AdmissionState{FreeCapacity: freeMachines(2)}
 	busy := AdmissionState{FreeCapacity: freeMachines(9), OwnWorkLate: true, LateUrgency: model.Normal}
-	if Admit(order(1, model.Normal), &busy, DefaultLimits()) != NoRoom || Admit(order(1, model.Urgent), &busy, DefaultLimits()) != "" {
-		t.Error("own late work of the same urgency goes before, of a lower one does not")
+	for _, c := range []struct {
+		name    string
+		state   *AdmissionState
+		tasks   int
+		urgency model.Urgency
+		want    Cause
+	}{
+		{"fits on both machines", &idle, 3, model.Normal, ""},
+		// The second machine has capacity for one more task, but whole machines are
+		// taken out of what was offered.
+		{"both machines are taken", &idle, 1, model.Normal, NoRoom},
+		{"own late jobs of the same urgency", &busy, 1, model.Normal, NoRoom},
+		{"own late jobs of a lower urgency", &busy, 1, model.Urgent, ""},
+	} {
+		if got := Admit(take(c.tasks, c.urgency), c.state, DefaultLimits()); got != c.want {
+			t.Errorf("%s: got cause %q, want %q", c.name, got, c.want)
+		}
 	}
-	bs := []BorrowedLoan{
+}
+
+// TestGiveBack: which loans a borrower gives back.
+func TestGiveBack(t *testing.T) {
+	loans := []BorrowedLoan{
 		{Loan: testLoan(1), Spec: model.JobSpec{Urgency: model.Normal}},
 		{Loan: testLoan(2), Spec: model.JobSpec{Urgency: model.Normal}, Started: true},
 		{Loan: testLoan(3), Spec: model.JobSpec{Urgency: model.Critical}},
 		{Loan: testLoan(4), Ending: true}, {Loan: testLoan(5), State: Finished},
 	}
-	run := func(BorrowedLoan) time.Duration { return 30 * time.Second }
+	runTime := func(BorrowedLoan) time.Duration { return 30 * time.Second }
 	for _, c := range []struct {
-		what string
-		p    Pressure
-		want []uint64
+		name     string
+		pressure Pressure
+		want     []uint64
 	}{
 		{"no need", Pressure{DrainIn: -1}, nil},
 		{"a short need", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
-		{"own urgent work is late", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
-		{"a drain with time: what runs may end", Pressure{DrainIn: time.Minute}, []uint64{1, 3}},
-		{"a drain without", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
+		{"own urgent jobs are late", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
+		{"a drain with time: started jobs may end", Pressure{DrainIn: time.Minute}, []uint64{1, 3}},
+		{"a drain without time", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
 	} {
 		var got []uint64
-		for _, l := range ChooseGiveBacks(bs, c.p, run) {
-			got = append(got, l.LendCount)
+		for _, loan := range ChooseGiveBacks(loans, c.pressure, runTime) {
+			got = append(got, loan.LendCount)
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.what, got, c.want)
+			t.Errorf("%s: got loans %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// TestPeerTracker: a dead controller is passed over, a peer none of whose controllers
-// answers is left alone ever longer, and one that flaps is trusted again slowly.
+// TestPeerTracker: the tracker passes over a controller that doesn't reply, pauses
+// ever longer if none of a peer's controllers does, and trusts a peer that flaps
+// again slowly.
 func TestPeerTracker(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	m := NewPeerTracker("west", []string{"w1", "w2", "w3"}, 2*time.Second, testStart)
+	peer := NewPeerTracker("west", []string{"w1", "w2", "w3"}, 2*time.Second, testStart)
 	now := testStart
-	ask := func() string {
+	nextAddr := func() string {
 		for range 1000 {
-			if a, due := m.NextRequest(now); due {
-				return a
+			if addr, due := peer.NextRequest(now); due {
+				return addr
 			}
 			now = now.Add(100 * time.Millisecond)
 		}
 		return "never"
 	}
-	if a := ask(); a != "w1" {
-		t.Fatal(a)
-	}
-	if _, due := m.NextRequest(now); due {
-		t.Fatal("two reports under way")
-	}
-	m.NoteFailure(now, rng)
-	if a := ask(); a != "w2" {
-		t.Fatalf("%s after w1 failed", a)
+	expectAddr := func(when, want string) {
+		t.Helper()
+		if got := nextAddr(); got != want {
+			t.Fatalf("%s: got a heartbeat to %s, want %s", when, got, want)
+		}
 	}
-	m.NoteRedirect(now, "w3")
-	if a := ask(); a != "w3" {
-		t.Fatalf("%s after being sent to w3", a)
+	expectChange := func(want PeerState) {
+		t.Helper()
+		if got, changed := peer.StateChanged(now); got != want || !changed {
+			t.Fatalf("got state %v, changed %v; want %v, true", got, changed, want)
+		}
 	}
-	m.NoteReply(now, 80*time.Millisecond, rng)
-	m.NoteHeartbeat(now, Heartbeat{})
-	if s, changed := m.StateChanged(now); s != Serving || !changed {
-		t.Fatal(s)
+	expectAddr("at the start", "w1")
+	if _, due := peer.NextRequest(now); due {
+		t.Fatal("got two heartbeats in flight, want one")
 	}
+	peer.NoteFailure(now, rng)
+	expectAddr("after w1 failed", "w2")
+	peer.NoteRedirect(now, "w3")
+	expectAddr("after a redirect to w3", "w3")
+	peer.NoteReply(now, 80*time.Millisecond, rng)
+	peer.NoteHeartbeat(now, Heartbeat{})
+	expectChange(Serving)
 	var pauses []time.Duration
 	for range 9 {
-		began := now
-		ask()
-		pauses = append(pauses, now.Sub(began))
-		m.NoteFailure(now, rng)
+		failedAt := now
+		nextAddr()
+		pauses = append(pauses, now.Sub(failedAt))
+		peer.NoteFailure(now, rng)
 	}
 	if slices.Max(pauses[:2]) > 3*time.Second || pauses[8] < 8*time.Second || slices.Max(pauses) > 80*time.Second {
-		t.Errorf("pauses %v", pauses)
-	}
-	if s, changed := m.StateChanged(now); s != Unresponsive || !changed {
-		t.Fatal(s)
+		t.Errorf("got pauses %v, want the first two up to 3 s, the last one of 8 s or more, none above 80 s", pauses)
 	}
-	if tr := m.Trust(now); tr != flapPenalty {
-		t.Errorf("trust %v after a fall", tr)
+	expectChange(Unresponsive)
+	if got := peer.Trust(now); got != flapPenalty {
+		t.Errorf("got trust %v after becoming unresponsive, want %v", got, flapPenalty)
 	}
-	if tr := m.Trust(now.Add(trustHalfLife)); tr != 0.75 {
-		t.Errorf("trust %v after a while", tr)
+	if got := peer.Trust(now.Add(trustHalfLife)); got != 0.75 {
+		t.Errorf("got trust %v a half-life later, want 0.75", got)
 	}
-	m.NoteHeartbeat(now, Heartbeat{Draining: true})
-	if s, _ := m.StateChanged(now); s != DrainingState {
-		t.Fatal(s)
+	peer.NoteHeartbeat(now, Heartbeat{Draining: true})
+	if got, _ := peer.StateChanged(now); got != DrainingState {
+		t.Fatalf("got state %v, want %v", got, DrainingState)
 	}
 }
--- a/internal/overflow/types.go
+++ b/internal/overflow/types.go
@@ -1,14 +1,15 @@
-// Package overflow decides how clusters lend each other spare room: which jobs
-// go to which peer, when a peer's work is taken in, and who may run a job's
-// tasks at any moment, whatever is lost, late or restarted.
+// Package overflow decides how clusters lend each other free capacity: which jobs
+// are offloaded to which peer, when a peer's job is accepted, and who may run a
+// job's tasks at any moment, whatever is lost, delayed or restarted.
 //
-// It is pure: every function takes the time and what is durable, and says what
-// is to be done. What must survive is kept by the caller in the state service;
-// what is kept here may be lost at any moment and costs no more than time.
+// It is pure: every function takes the time and the durable state, and returns what
+// is to be done. The caller keeps what must survive in the state service; what is
+// kept here may be lost at any moment, which costs no more than time.
 //
-// A guest is to its home what a worker is to its owner: it reports, the home
-// answers with orders, and a lease runs from the sending of the last answered
-// report. docs/overflow.md has the argument.
+// A borrower is to the lender, the job's home cluster, what a worker is to its
+// machine's owner: it sends heartbeats, the lender replies with commands, and a
+// lease runs from the sending of the last heartbeat that was answered.
+// docs/overflow.md has the argument.
 package overflow
 
 import (
@@ -19,8 +20,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// Loan names one hand-over of a job: the cluster that accepted the job, the job,
-// and how many times it has been lent before. A loan is never used again.
+// Loan identifies one hand-over of a job: its home cluster, which accepted the job
+// from a user, the job, and how many times the job has been lent. No loan is ever
+// used twice.
 type Loan struct {
 	Home      string
 	Job       string
@@ -30,40 +32,46 @@
 // String is the loan as operators see it and as keys hold it.
 func (l Loan) String() string { return fmt.Sprintf("%s/%s/%d", l.Home, l.Job, l.LendCount) }
 
-// OffloadedJobID is the job's name in the guest's own books. It differs for every loan
-// of a job: what one loan left behind can't be taken for the next one's.
+// OffloadedJobID is the job's ID at the borrower. It differs for every loan of a
+// job, so that what one loan left behind can't be taken for the next one's.
 func (l Loan) OffloadedJobID() string {
 	return fmt.Sprintf("job-lent-%s-%d-%s", l.Home, l.LendCount, strings.TrimPrefix(l.Job, "job-"))
 }
 
-// LoanState is what a guest says of a loan.
+// LoanState is the state of a loan as its borrower reports it.
 type LoanState int
 
-// The states. Held: taken, being taken, or being stopped; its tasks may run.
-// Finished: all tasks are done. Gone: nothing of it runs or ever will. The last
-// two never change again.
 const (
+	// Held loans are taken, being taken or being stopped: their tasks may run.
 	Held LoanState = iota
+	// Finished loans have all tasks done. This state is final.
 	Finished
+	// Gone loans run nothing and never will. This state is final.
 	Gone
 )
 
 func (s LoanState) String() string { return [...]string{"held", "finished", "gone"}[s] }
 
-// Cause is why a loan is gone.
+// Cause is why a loan is gone, as metrics and logs name it. The empty cause means
+// that there is none.
 type Cause string
 
-// The causes, as metrics and logs name them.
 const (
-	Refused      Cause = "refused"
-	Draining     Cause = "draining"
-	NoRoom       Cause = "no_room"
-	GivenBack    Cause = "given_back"
+	// Refused loans were not taken by the borrower, for no cause named below.
+	Refused Cause = "refused"
+	// Draining borrowers take no loans and give up those they hold.
+	Draining Cause = "draining"
+	// NoRoom means that the borrower had no free capacity for the job.
+	NoRoom Cause = "no_room"
+	// GivenBack loans made way for the borrower's own jobs.
+	GivenBack Cause = "given_back"
+	// LeaseExpired loans were not renewed in time.
 	LeaseExpired Cause = "lease_over"
-	Stopped      Cause = "stopped"
+	// Stopped loans were ended by the lender.
+	Stopped Cause = "stopped"
 )
 
-// LoanReport is a loan in a guest's report.
+// LoanReport is the state of one loan in a borrower's heartbeat.
 type LoanReport struct {
 	Loan         Loan
 	State        LoanState
@@ -72,45 +80,47 @@
 	RunningTasks int
 }
 
-// Heartbeat is a guest's account of itself to one home. Reports are ordered by
-// (Epoch, Tick).
+// Heartbeat is a borrower's state as sent to one lender. Heartbeats are ordered by
+// Epoch, then Sequence.
 type Heartbeat struct {
 	From string
-	// Epoch is the stamp of the guest's leader: a later leader's is higher.
+	// Epoch is that of the borrower's leader; a later leader's is higher.
 	Epoch    uint64
 	Sequence uint64
-	// HomeEpoch is the highest epoch of the home that the guest has seen. That a
-	// loan is not listed proves something only under the home's present epoch: a
-	// report may arrive minutes late.
+	// HomeEpoch is the lender's highest epoch that the borrower has seen. A loan's
+	// absence proves something only under the lender's present epoch, since a
+	// heartbeat may arrive minutes late.
 	HomeEpoch uint64
 	Draining  bool
-	// Lender: it lends work itself, or would like to.
+	// LendsItself is set by a cluster that lends jobs itself, or would like to.
 	LendsItself bool
-	// StopBound bounds how long tasks may go on after a loan's lease has ended here:
-	// until owner and workers, cut off from everything, give up by themselves.
+	// StopBound is how long tasks may go on after a loan's lease has ended, until
+	// shard leader and workers, cut off from everything, stop them by themselves.
 	StopBound    time.Duration
 	FreeCapacity []FreeCapacity
-	// CachedImages are those that some machine here holds.
+	// CachedImages are the images that some machine of the borrower holds.
 	CachedImages []string
 	Loans        []LoanReport
 }
 
-// CommandKind is what a home tells its guest of a loan.
+// CommandKind is the kind of a Command.
 type CommandKind int
 
-// The verbs. Take: run this job. Keep: it is still yours. Stop: give it up.
-// Forget: what you report of it has been taken in.
 const (
+	// Take offers the job to the borrower.
 	Take CommandKind = iota
+	// Keep confirms that the borrower still holds the loan.
 	Keep
+	// Stop makes the borrower give the loan up.
 	Stop
+	// Forget acknowledges a final state: the borrower may drop its record.
 	Forget
 )
 
-func (v CommandKind) String() string { return [...]string{"take", "keep", "stop", "forget"}[v] }
+func (k CommandKind) String() string { return [...]string{"take", "keep", "stop", "forget"}[k] }
 
-// Command is one verb for one loan. Spec and Age (since the job's submission) go
-// with Take.
+// Command is the lender's command about one loan. Spec and Age, the time since the
+// job's submission, are set for Take only.
 type Command struct {
 	Kind CommandKind
 	Loan Loan
@@ -118,34 +128,35 @@
 	Age  time.Duration
 }
 
-// HeartbeatReply is a home's answer to a report.
+// HeartbeatReply is a lender's reply to a heartbeat.
 type HeartbeatReply struct {
-	// Epoch is the stamp of the home's leader.
+	// Epoch is that of the lender's leader.
 	Epoch uint64
-	// Lease is how long the guest may go on without another answer, counted
-	// from when it sent the report.
+	// Lease is how long the borrower may go on without another reply, counted
+	// from when it sent the heartbeat.
 	Lease    time.Duration
 	Commands []Command
 }
 
-// LentLoan is a job that the home has lent, as it stands in the state service.
+// LentLoan is a job that this cluster has lent, as stored in the state service.
 type LentLoan struct {
 	Loan        Loan
 	Peer        string
 	Spec        model.JobSpec
 	SubmittedAt time.Time
-	// StopBound is the guest's bound, as it was told when the job was lent.
+	// StopBound is the borrower's, as reported when the job was lent.
 	StopBound time.Duration
-	// Cancel: its user wants it cancelled.
+	// CancelRequested says that the user has asked to cancel the job.
 	CancelRequested bool
 }
 
-// LenderTransition is what the home has to make durable of a loan. Each is a transaction
-// that needs the job's record to be as it was when the decision was taken.
+// LenderTransition is a change of a loan that the lender has to make durable. Each
+// is a transaction that requires the job's record to be as it was when the decision
+// was taken.
 type LenderTransition struct {
 	Kind LenderTransitionKind
 	Loan Loan
-	// Peer, Stop and At go with Lend.
+	// Peer and StopBound are set for Lend only.
 	Peer      string
 	StopBound time.Duration
 	Cause     Cause
@@ -154,13 +165,15 @@
 // LenderTransitionKind is the kind of a LenderTransition.
 type LenderTransitionKind int
 
-// Lend: the job is the peer's from now on. TakeBack: on proof that the guest
-// does not run it and never will, the job is the home's own again. Settle: the
-// guest has done it. EndCancelled: nothing of it runs, and its user wanted that.
 const (
+	// Lend hands the job over to the peer.
 	Lend LenderTransitionKind = iota
+	// TakeBack returns the job to its home cluster, on proof that the borrower
+	// doesn't run it and never will.
 	TakeBack
+	// Settle ends a job that the borrower has finished.
 	Settle
+	// EndCancelled ends a job of which nothing runs and that its user cancelled.
 	EndCancelled
 )
 
@@ -168,23 +181,26 @@
 	return [...]string{"lend", "take_back", "settle", "end_cancelled"}[k]
 }
 
-// BorrowedLoan is a loan that this cluster has taken, as it stands in the state
+// BorrowedLoan is a loan that this cluster has taken, as stored in the state
 // service.
 type BorrowedLoan struct {
 	Loan Loan
 	Spec model.JobSpec
-	// State and Cause are what can be reported: Gone only when no task is left.
+	// State and Cause are what may be reported: Gone only when no task is left.
 	State LoanState
 	Cause Cause
-	// Ending: it has been given up, and is Held until its tasks are gone.
+	// Ending loans have been given up, and are Held until their tasks have stopped.
 	Ending       bool
 	DoneTasks    int
 	RunningTasks int
-	// Began: some task was ever started.
+	// Started says that some task was started at some time.
 	Started bool
 }
 
-// BorrowerTransition is what the guest has to make durable of a loan.
+// isActive says whether the loan is held and not being given up.
+func (b BorrowedLoan) isActive() bool { return b.State == Held && !b.Ending }
+
+// BorrowerTransition is a change of a loan that the borrower has to make durable.
 type BorrowerTransition struct {
 	Kind  BorrowerTransitionKind
 	Loan  Loan
@@ -196,11 +212,12 @@
 // BorrowerTransitionKind is the kind of a BorrowerTransition.
 type BorrowerTransitionKind int
 
-// Accept: the job is taken into the books, and not begun yet. GiveUp: its tasks
-// are stopped for good. Drop: the books forget it.
 const (
+	// Accept records the job, of which nothing is started yet.
 	Accept BorrowerTransitionKind = iota
+	// GiveUp stops the job's tasks for good.
 	GiveUp
+	// Drop deletes the job's record.
 	Drop
 )
 
