--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -1,6 +1,7 @@
 package overflow
 
 import (
+	"errors"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -18,6 +19,19 @@
 
 func testLoan(n uint64) Loan { return Loan{"east", "job-1", n} }
 
+// TestParseLoan: a loan's name is read as it is written, and nothing else is.
+func TestParseLoan(t *testing.T) {
+	want := testLoan(12)
+	if got, err := ParseLoan(want.String()); err != nil || got != want {
+		t.Errorf("got %v, %v; want %v", got, err, want)
+	}
+	for _, name := range []string{"", "east", "east/job-1", "east/job-1/x", "east/job-1/-1", "east/job-1/1/2"} {
+		if got, err := ParseLoan(name); !errors.Is(err, errLoanName) {
+			t.Errorf("%q: got %v, %v; want %v", name, got, err, errLoanName)
+		}
+	}
+}
+
 // TestReplyToEarlierHeartbeat: a lease runs from the sending of the heartbeat that
 // was answered. A reply to an earlier one than the last must not be counted from the
 // last, which the lender may never have received.
--- a/internal/overflow/types.go
+++ b/internal/overflow/types.go
@@ -13,7 +13,9 @@
 package overflow
 
 import (
+	"errors"
 	"fmt"
+	"strconv"
 	"strings"
 	"time"
 
@@ -32,6 +34,22 @@
 // String is the loan as operators see it and as keys hold it.
 func (l Loan) String() string { return fmt.Sprintf("%s/%s/%d", l.Home, l.Job, l.LendCount) }
 
+// errLoanName says that a text isn't the name of a loan.
+var errLoanName = errors.New("overflow: invalid loan name")
+
+// ParseLoan reads a loan as String writes it.
+func ParseLoan(name string) (Loan, error) {
+	parts := strings.Split(name, "/")
+	if len(parts) != 3 {
+		return Loan{}, fmt.Errorf("%w: %q: got %d parts, want 3", errLoanName, name, len(parts))
+	}
+	lendCount, err := strconv.ParseUint(parts[2], 10, 64)
+	if err != nil {
+		return Loan{}, fmt.Errorf("%w: %q: %w", errLoanName, name, err)
+	}
+	return Loan{Home: parts[0], Job: parts[1], LendCount: lendCount}, nil
+}
+
 // OffloadedJobID is the job's ID at the borrower. It differs for every loan of a
 // job, so that what one loan left behind can't be taken for the next one's.
 func (l Loan) OffloadedJobID() string {
