--- a/internal/overflow/link/golden_test.go
+++ b/internal/overflow/link/golden_test.go
@@ -15,7 +15,7 @@
 	return overflow.Loan{Home: "east", Job: job, LendCount: n}
 }
 
-var goldenReport = overflow.Heartbeat{
+var goldenHeartbeat = overflow.Heartbeat{
 	From: "west", Epoch: 411, Sequence: 88, HomeEpoch: 412, Draining: true, LendsItself: true, StopBound: 82_125 * time.Millisecond, CachedImages: []string{"img-07", "img-08"},
 	FreeCapacity: []overflow.FreeCapacity{{MachineType: "g8", Zone: "a", Spot: true, PerMachine: model.Resources{CPU: 96.5, GPU: 8.25, Memory: 700.75}, Machines: 3, AvailableIn: 9_250 * time.Millisecond, CostPerCPUHour: 0.2, FetchRate: 0.5}},
 	Loans: []overflow.LoanReport{
@@ -28,7 +28,7 @@
 	},
 }
 
-var goldenAnswer = overflow.HeartbeatReply{Epoch: 413, Lease: 15_500 * time.Millisecond, Commands: []overflow.Command{
+var goldenReply = overflow.HeartbeatReply{Epoch: 413, Lease: 15_500 * time.Millisecond, Commands: []overflow.Command{
 	{Kind: overflow.Take, Loan: goldenLoan("job-000418", 8), Age: 3_125 * time.Millisecond, Spec: model.JobSpec{
 		Workload: "train", Urgency: model.Urgent, Tasks: 16, Need: model.Resources{CPU: 8.5, GPU: 1.25, Memory: 64.75}, Image: "img-07", ImageGB: 6.2, AllowSpot: true,
 		ExpectedRunTime: 240_500 * time.Millisecond, CheckpointInterval: 30_250 * time.Millisecond, CheckpointCost: 4_500 * time.Millisecond, Deadline: 900_750 * time.Millisecond,
@@ -40,8 +40,8 @@
 
 const goldenSeq = 77
 
-// TestGoldenFrames: what clusters tell each other is written as it ever was, bound to the
-// connection, and what others write is read.
+// TestGoldenFrames: frames are encoded as in earlier versions, bound to the
+// connection, and frames of earlier versions are decoded.
 func TestGoldenFrames(t *testing.T) {
 	b := &binder{key: bytes.Repeat([]byte{7}, keyBytes), lender: "east", borrower: "west"}
 	write := func(f *Frame) ([]byte, error) {
@@ -64,7 +64,7 @@
 			}
 			return err
 		},
-	}, testgolden.Values{"report": goldenReport})
+	}, testgolden.Values{"report": goldenHeartbeat})
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
 			w, err := b.encodeReply(goldenSeq, v.(overflow.HeartbeatReply))
@@ -81,7 +81,7 @@
 			}
 			return err
 		},
-	}, testgolden.Values{"answer": goldenAnswer})
+	}, testgolden.Values{"answer": goldenReply})
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
 			r := v.(RefusedError)
@@ -95,7 +95,7 @@
 		},
 	}, testgolden.Values{"refusal": RefusedError{Code: Code_NOT_PEER, Reason: "no peer"}})
 
-	// All fields of all messages, also of those that are bound.
+	// The samples have all fields of all messages, also of those inside of Bound.
 	var sent []proto.Message
 	for name, bound := range map[string]func(*Frame) ([]*Bound, proto.Message){
 		"report":  func(f *Frame) ([]*Bound, proto.Message) { return f.GetReport().GetLoans(), &LoanReport{} },
@@ -117,22 +117,22 @@
 		}
 	}
 	testgolden.FullProto(t, File_internal_overflow_link_link_proto, sent...)
-	// The key of a connection's MACs comes from its handshake under this name.
+	// Both ends derive the key of the MACs from the handshake under this label.
 	if exporterLabel != "EXPORTER-micahill-overflow-1" || Version != 1 {
-		t.Errorf("version %d with keys from %q", Version, exporterLabel)
+		t.Errorf("got version %d with keys from %q, want 1, %q", Version, exporterLabel, "EXPORTER-micahill-overflow-1")
 	}
 }
 
-// TestGoldenCodes: refusals and verbs mean what they ever meant, and loans have the names
-// under which they are stored.
+// TestGoldenCodes: codes of refusals keep their numbers, and loans the names under
+// which they are stored.
 func TestGoldenCodes(t *testing.T) {
 	for want, code := range []Code{Code_UNKNOWN, Code_NOT_LEADER, Code_VERSION, Code_NOT_PEER, Code_FORGED, Code_STALE} {
 		if int(code) != want {
-			t.Errorf("%s is %d, want %d", code, code, want)
+			t.Errorf("%s: got %d, want %d", code, code, want)
 		}
 	}
 	l := goldenLoan("job-000412", 2)
 	if l.String() != "east/job-000412/2" || l.OffloadedJobID() != "job-lent-east-2-000412" {
-		t.Errorf("a loan is named %s, its job %s", l, l.OffloadedJobID())
+		t.Errorf("got loan %s, offloaded job %s; want east/job-000412/2, job-lent-east-2-000412", l, l.OffloadedJobID())
 	}
 }
--- a/internal/overflow/link/link_test.go
+++ b/internal/overflow/link/link_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// newStores makes certificates of one CA.
+// newStores returns the stores of clusters whose certificates are of one CA.
 func newStores(t *testing.T, clusters ...string) map[string]*certs.Store {
 	t.Helper()
 	ca, out := filepath.Join(t.TempDir(), "ca"), map[string]*certs.Store{}
@@ -38,7 +38,9 @@
 	return out
 }
 
-func serveEast(t *testing.T, st *certs.Store, allow string, h Handler) string {
+// serveEast serves cluster east, with west as its only peer, until the test ends. It
+// returns the address.
+func serveEast(t *testing.T, store *certs.Store, allow string, handle Handler) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,12 +48,13 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	s := &Server{Store: st, Cluster: "east", Peers: map[string]bool{"west": true}, AllowedPrefixes: []netip.Prefix{netip.MustParsePrefix(allow)}, Handle: h}
+	s := &Server{Store: store, Cluster: "east", Peers: map[string]bool{"west": true}, AllowedPrefixes: []netip.Prefix{netip.MustParsePrefix(allow)}, Handle: handle}
 	go s.Serve(ctx, ln)
 	return ln.Addr().String()
 }
 
 func testContext(t *testing.T) context.Context {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	t.Cleanup(cancel)
 	return ctx
@@ -71,54 +74,59 @@
 	{Kind: overflow.Forget, Loan: overflow.Loan{Home: "east", Job: "job-1", LendCount: 2}},
 }}
 
-// TestRoundTrip: what is sent arrives as it was, and refusals with their reason.
+// TestRoundTrip: heartbeats and replies arrive as they were sent, and refusals with
+// their code.
 func TestRoundTrip(t *testing.T) {
-	st := newStores(t, "east", "west", "north")
-	var heard overflow.Heartbeat
-	var fail error
-	addr := serveEast(t, st["east"], "127.0.0.0/8", func(_ context.Context, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
-		heard = r
-		return sampleReply, fail
+	stores := newStores(t, "east", "west", "north")
+	var received overflow.Heartbeat
+	var handleErr error
+	addr := serveEast(t, stores["east"], "127.0.0.0/8", func(_ context.Context, r overflow.Heartbeat) (overflow.HeartbeatReply, error) {
+		received = r
+		return sampleReply, handleErr
 	})
-	west := &Client{Store: st["west"], Cluster: "west"}
+	west := &Client{Store: stores["west"], Cluster: "west"}
 	for range 2 {
-		a, err := west.SendHeartbeat(testContext(t), "east", addr, sampleHeartbeat)
-		if err != nil || !reflect.DeepEqual(a, sampleReply) || !reflect.DeepEqual(heard, sampleHeartbeat) {
-			t.Fatalf("%v\n%+v\n%+v", err, a, heard)
+		reply, err := west.SendHeartbeat(testContext(t), "east", addr, sampleHeartbeat)
+		if err != nil || !reflect.DeepEqual(reply, sampleReply) {
+			t.Fatalf("got reply %+v, error %v; want %+v", reply, err, sampleReply)
+		}
+		if !reflect.DeepEqual(received, sampleHeartbeat) {
+			t.Fatalf("got heartbeat %+v, want %+v", received, sampleHeartbeat)
 		}
 	}
-	for _, fail = range []error{ErrNotLeader, ErrStale} {
-		if _, err := west.SendHeartbeat(testContext(t), "east", addr, sampleHeartbeat); !errors.Is(err, fail) {
-			t.Errorf("%v instead of %v", err, fail)
+	for _, handleErr = range []error{ErrNotLeader, ErrStale} {
+		if _, err := west.SendHeartbeat(testContext(t), "east", addr, sampleHeartbeat); !errors.Is(err, handleErr) {
+			t.Errorf("got error %v, want %v", err, handleErr)
 		}
 	}
-	var re *RefusedError
-	if _, err := (&Client{Store: st["north"], Cluster: "north"}).SendHeartbeat(testContext(t), "east", addr, overflow.Heartbeat{From: "north"}); !errors.As(err, &re) || re.Code != Code_NOT_PEER {
-		t.Errorf("a cluster that is no peer: %v", err)
+	var refused *RefusedError
+	if _, err := (&Client{Store: stores["north"], Cluster: "north"}).SendHeartbeat(testContext(t), "east", addr, overflow.Heartbeat{From: "north"}); !errors.As(err, &refused) || refused.Code != Code_NOT_PEER {
+		t.Errorf("a cluster that is no peer: got error %v, want %v", err, Code_NOT_PEER)
 	}
-	if _, err := west.SendHeartbeat(testContext(t), "east", addr, overflow.Heartbeat{From: "north"}); !errors.As(err, &re) || re.Code != Code_NOT_PEER {
-		t.Errorf("one cluster speaking as another: %v", err)
+	if _, err := west.SendHeartbeat(testContext(t), "east", addr, overflow.Heartbeat{From: "north"}); !errors.As(err, &refused) || refused.Code != Code_NOT_PEER {
+		t.Errorf("one cluster speaking as another: got error %v, want %v", err, Code_NOT_PEER)
 	}
 	if _, err := west.SendHeartbeat(testContext(t), "north", addr, sampleHeartbeat); !errors.Is(err, certs.ErrNotPeer) {
-		t.Errorf("east taken for north: %v", err)
+		t.Errorf("east under north's name: got error %v, want %v", err, certs.ErrNotPeer)
 	}
-	closed := serveEast(t, st["east"], "10.0.0.0/8", nil)
+	closed := serveEast(t, stores["east"], "10.0.0.0/8", nil)
 	if _, err := west.SendHeartbeat(testContext(t), "east", closed, sampleHeartbeat); err == nil {
-		t.Error("an address that is not allowed is let in")
+		t.Error("a client from an address that is not allowed: got a reply, want an error")
 	}
 }
 
-// TestForgeries: frames that a man with a valid connection could send, with records
-// of other loans, other frames and other directions.
+// TestForgeries: frames that an attacker with a valid connection could send, with
+// records of other loans, other frames and other directions, are refused and never
+// handled.
 func TestForgeries(t *testing.T) {
-	st := newStores(t, "east", "west")
-	heard := 0
-	addr := serveEast(t, st["east"], "127.0.0.0/8", func(context.Context, overflow.Heartbeat) (overflow.HeartbeatReply, error) {
-		heard++
+	stores := newStores(t, "east", "west")
+	handled := 0
+	addr := serveEast(t, stores["east"], "127.0.0.0/8", func(context.Context, overflow.Heartbeat) (overflow.HeartbeatReply, error) {
+		handled++
 		return overflow.HeartbeatReply{}, nil
 	})
 	for _, c := range []struct {
-		what  string
+		name  string
 		frame func(b *binder, good *Frame) *Frame
 		code  Code
 	}{
@@ -134,7 +142,7 @@
 			f.GetReport().Loans = old.Loans
 			return f
 		}, Code_FORGED},
-		{"an order's record", func(b *binder, f *Frame) *Frame {
+		{"a record with a reply's MAC", func(b *binder, f *Frame) *Frame {
 			x := f.GetReport().Loans[0]
 			x.Mac, _ = b.mac(directionReply, f.Seq, x)
 			return f
@@ -145,13 +153,13 @@
 		}, Code_FORGED},
 		{"a later version", func(_ *binder, f *Frame) *Frame { f.Version = 2; return f }, Code_VERSION},
 	} {
-		x, err := (&Client{Store: st["west"], Cluster: "west"}).dial(testContext(t), "east", addr)
+		x, err := (&Client{Store: stores["west"], Cluster: "west"}).dial(testContext(t), "east", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		heard = 0
-		if _, err := x.roundTrip(testContext(t), sampleHeartbeat); err != nil || heard != 1 {
-			t.Fatalf("%s: the true one: %v", c.what, err)
+		handled = 0
+		if _, err := x.roundTrip(testContext(t), sampleHeartbeat); err != nil || handled != 1 {
+			t.Fatalf("%s: the genuine frame: got error %v, handled %d times; want none, once", c.name, err, handled)
 		}
 		r, err := x.binder.encodeHeartbeat(2, sampleHeartbeat)
 		if err != nil {
@@ -162,8 +170,8 @@
 			t.Fatal(err)
 		}
 		var got Frame
-		if err := protodelim.UnmarshalFrom(x.reader, &got); err != nil || got.GetRefusal().GetCode() != c.code || got.GetRefusal().GetReason() == "" || heard != 1 {
-			t.Errorf("%s: %v, %v, heard %d", c.what, err, &got, heard)
+		if err := protodelim.UnmarshalFrom(x.reader, &got); err != nil || got.GetRefusal().GetCode() != c.code || got.GetRefusal().GetReason() == "" || handled != 1 {
+			t.Errorf("%s: got frame %v, error %v, handled %d times; want refusal %v with a reason, and once", c.name, &got, err, handled, c.code)
 		}
 		x.tlsConn.Close()
 	}
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -1,5 +1,6 @@
-// Package link carries reports and answers between clusters: protobuf frames over
-// TLS 1.3 with certificates on both sides. Wire names stay here.
+// Package link carries heartbeats and replies between clusters: protobuf frames over
+// TLS 1.3 with certificates on both sides. The names of the wire (report, answer,
+// order, room, flavour) stay within this package.
 package link
 
 import (
@@ -16,18 +17,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Version is the version of the protocol that this program speaks.
+// Version is the version of the protocol between clusters that this program speaks.
 const Version = 1
 
-// ErrForged says that a record's MAC, number or loan is wrong.
+// ErrForged says that a frame's number is wrong, or a record's MAC: the record was
+// changed, or belongs to another loan, frame, direction or connection.
 var ErrForged = errors.New("link: a record is not bound to its loan")
 
-// binder makes and checks the MACs of one connection. Its key comes out of the TLS
-// handshake, so that both ends of this connection have it and nobody else.
+// binder makes and checks the MACs that bind records to their loans on one
+// connection. The key comes out of the TLS handshake, so that only the two ends of
+// the connection have it.
 type binder struct {
 	key      []byte
-	lender   string // the cluster that answers
-	borrower string // the cluster that reports
+	lender   string
+	borrower string
 }
 
 const (
@@ -36,52 +39,57 @@
 	macBytes      = 32
 )
 
-func newBinder(st tls.ConnectionState, from, home string) (*binder, error) {
-	key, err := st.ExportKeyingMaterial(exporterLabel, nil, keyBytes)
+func newBinder(state tls.ConnectionState, borrower, lender string) (*binder, error) {
+	key, err := state.ExportKeyingMaterial(exporterLabel, nil, keyBytes)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	return &binder{key: key, borrower: from, lender: home}, nil
+	return &binder{key: key, borrower: borrower, lender: lender}, nil
 }
 
-// directions keep a report from serving as an order.
+// The direction is part of the MAC, so that no heartbeat record can serve as a reply.
 const (
 	directionHeartbeat = byte(1)
 	directionReply     = byte(2)
 )
 
-func (b *binder) mac(dir byte, seq uint64, x *Bound) ([]byte, error) {
+// mac is the MAC of a record. Texts are preceded by their length, so that no two
+// records have the same input.
+func (b *binder) mac(direction byte, seq uint64, x *Bound) ([]byte, error) {
 	h, err := blake3.NewKeyed(b.key)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	text := func(p []byte) {
-		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(p))))
-		h.Write(p)
+	write := func(text []byte) {
+		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(text))))
+		h.Write(text)
 	}
-	h.Write([]byte{dir})
+	h.Write([]byte{direction})
 	h.Write(binary.BigEndian.AppendUint64(nil, seq))
 	for _, s := range []string{b.borrower, b.lender, x.Home, x.Job} {
-		text([]byte(s))
+		write([]byte(s))
 	}
 	h.Write(binary.BigEndian.AppendUint64(nil, x.N))
-	text(x.Record)
+	write(x.Record)
 	return h.Sum(nil)[:macBytes], nil
 }
 
-func (b *binder) bind(dir byte, seq uint64, l overflow.Loan, m proto.Message) (*Bound, error) {
-	rec, err := proto.Marshal(m)
+// bind encodes a message and binds it to the loan.
+func (b *binder) bind(direction byte, seq uint64, l overflow.Loan, m proto.Message) (*Bound, error) {
+	encoded, err := proto.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	x := &Bound{Home: l.Home, Job: l.Job, N: l.LendCount, Record: rec}
-	x.Mac, err = b.mac(dir, seq, x)
+	x := &Bound{Home: l.Home, Job: l.Job, N: l.LendCount, Record: encoded}
+	x.Mac, err = b.mac(direction, seq, x)
 	return x, err
 }
 
-func (b *binder) verify(dir byte, seq uint64, x *Bound, m proto.Message) (overflow.Loan, error) {
+// verify checks a record's MAC and decodes it into m. It fails with ErrForged if the
+// MAC is wrong.
+func (b *binder) verify(direction byte, seq uint64, x *Bound, m proto.Message) (overflow.Loan, error) {
 	l := overflow.Loan{Home: x.Home, Job: x.Job, LendCount: x.N}
-	want, err := b.mac(dir, seq, x)
+	want, err := b.mac(direction, seq, x)
 	if err != nil {
 		return l, err
 	}
@@ -94,86 +102,86 @@
 	return l, nil
 }
 
-func (b *binder) encodeHeartbeat(seq uint64, r overflow.Heartbeat) (*Report, error) {
-	m := &Report{
-		From: r.From, Epoch: r.Epoch, Tick: r.Sequence, HomeEpoch: r.HomeEpoch, Draining: r.Draining, Lender: r.LendsItself,
-		StopMs: r.StopBound.Milliseconds(), Images: r.CachedImages,
+func (b *binder) encodeHeartbeat(seq uint64, heartbeat overflow.Heartbeat) (*Report, error) {
+	report := &Report{
+		From: heartbeat.From, Epoch: heartbeat.Epoch, Tick: heartbeat.Sequence, HomeEpoch: heartbeat.HomeEpoch, Draining: heartbeat.Draining, Lender: heartbeat.LendsItself,
+		StopMs: heartbeat.StopBound.Milliseconds(), Images: heartbeat.CachedImages,
 	}
-	for _, x := range r.FreeCapacity {
-		m.Room = append(m.Room, &Room{
-			Flavour: x.MachineType, Zone: x.Zone, Spot: x.Spot, Each: encodeResources(x.PerMachine), Machines: int64(x.Machines),
-			InMs: x.AvailableIn.Milliseconds(), Price: x.CostPerCPUHour, Rate: x.FetchRate,
+	for _, capacity := range heartbeat.FreeCapacity {
+		report.Room = append(report.Room, &Room{
+			Flavour: capacity.MachineType, Zone: capacity.Zone, Spot: capacity.Spot, Each: encodeResources(capacity.PerMachine), Machines: int64(capacity.Machines),
+			InMs: capacity.AvailableIn.Milliseconds(), Price: capacity.CostPerCPUHour, Rate: capacity.FetchRate,
 		})
 	}
-	for _, l := range r.Loans {
-		x, err := b.bind(directionHeartbeat, seq, l.Loan, &LoanReport{State: int32(l.State), Cause: string(l.Cause), Done: int64(l.DoneTasks), Running: int64(l.RunningTasks)})
+	for _, l := range heartbeat.Loans {
+		bound, err := b.bind(directionHeartbeat, seq, l.Loan, &LoanReport{State: int32(l.State), Cause: string(l.Cause), Done: int64(l.DoneTasks), Running: int64(l.RunningTasks)})
 		if err != nil {
 			return nil, err
 		}
-		m.Loans = append(m.Loans, x)
+		report.Loans = append(report.Loans, bound)
 	}
-	return m, nil
+	return report, nil
 }
 
-func (b *binder) decodeHeartbeat(seq uint64, m *Report) (overflow.Heartbeat, error) {
-	r := overflow.Heartbeat{
-		From: m.From, Epoch: m.Epoch, Sequence: m.Tick, HomeEpoch: m.HomeEpoch, Draining: m.Draining, LendsItself: m.Lender,
-		StopBound: millis(m.StopMs), CachedImages: m.Images,
+func (b *binder) decodeHeartbeat(seq uint64, report *Report) (overflow.Heartbeat, error) {
+	heartbeat := overflow.Heartbeat{
+		From: report.From, Epoch: report.Epoch, Sequence: report.Tick, HomeEpoch: report.HomeEpoch, Draining: report.Draining, LendsItself: report.Lender,
+		StopBound: millis(report.StopMs), CachedImages: report.Images,
 	}
-	for _, x := range m.Room {
-		r.FreeCapacity = append(r.FreeCapacity, overflow.FreeCapacity{
-			MachineType: x.Flavour, Zone: x.Zone, Spot: x.Spot, PerMachine: decodeResources(x.Each), Machines: int(x.Machines),
-			AvailableIn: millis(x.InMs), CostPerCPUHour: x.Price, FetchRate: x.Rate,
+	for _, room := range report.Room {
+		heartbeat.FreeCapacity = append(heartbeat.FreeCapacity, overflow.FreeCapacity{
+			MachineType: room.Flavour, Zone: room.Zone, Spot: room.Spot, PerMachine: decodeResources(room.Each), Machines: int(room.Machines),
+			AvailableIn: millis(room.InMs), CostPerCPUHour: room.Price, FetchRate: room.Rate,
 		})
 	}
-	for _, x := range m.Loans {
-		var lr LoanReport
-		l, err := b.verify(directionHeartbeat, seq, x, &lr)
+	for _, bound := range report.Loans {
+		var l LoanReport
+		loan, err := b.verify(directionHeartbeat, seq, bound, &l)
 		if err != nil {
-			return r, err
+			return heartbeat, err
 		}
-		if lr.State < int32(overflow.Held) || lr.State > int32(overflow.Gone) {
-			return r, fmt.Errorf("link: loan %s: state %d is not known", l, lr.State)
+		if l.State < int32(overflow.Held) || l.State > int32(overflow.Gone) {
+			return heartbeat, fmt.Errorf("link: loan %s: state %d is not known", loan, l.State)
 		}
-		r.Loans = append(r.Loans, overflow.LoanReport{Loan: l, State: overflow.LoanState(lr.State), Cause: overflow.Cause(lr.Cause), DoneTasks: int(lr.Done), RunningTasks: int(lr.Running)})
+		heartbeat.Loans = append(heartbeat.Loans, overflow.LoanReport{Loan: loan, State: overflow.LoanState(l.State), Cause: overflow.Cause(l.Cause), DoneTasks: int(l.Done), RunningTasks: int(l.Running)})
 	}
-	return r, nil
+	return heartbeat, nil
 }
 
-func (b *binder) encodeReply(seq uint64, a overflow.HeartbeatReply) (*Answer, error) {
-	m := &Answer{Epoch: a.Epoch, LeaseMs: a.Lease.Milliseconds()}
-	for _, o := range a.Commands {
-		w := &Order{Verb: int32(o.Kind), AgeMs: o.Age.Milliseconds()}
-		if o.Kind == overflow.Take {
-			w.Spec = encodeSpec(&o.Spec)
+func (b *binder) encodeReply(seq uint64, reply overflow.HeartbeatReply) (*Answer, error) {
+	answer := &Answer{Epoch: reply.Epoch, LeaseMs: reply.Lease.Milliseconds()}
+	for _, command := range reply.Commands {
+		order := &Order{Verb: int32(command.Kind), AgeMs: command.Age.Milliseconds()}
+		if command.Kind == overflow.Take {
+			order.Spec = encodeSpec(&command.Spec)
 		}
-		x, err := b.bind(directionReply, seq, o.Loan, w)
+		bound, err := b.bind(directionReply, seq, command.Loan, order)
 		if err != nil {
 			return nil, err
 		}
-		m.Orders = append(m.Orders, x)
+		answer.Orders = append(answer.Orders, bound)
 	}
-	return m, nil
+	return answer, nil
 }
 
-func (b *binder) decodeReply(seq uint64, m *Answer) (overflow.HeartbeatReply, error) {
-	a := overflow.HeartbeatReply{Epoch: m.Epoch, Lease: millis(m.LeaseMs)}
-	for _, x := range m.Orders {
-		var w Order
-		l, err := b.verify(directionReply, seq, x, &w)
+func (b *binder) decodeReply(seq uint64, answer *Answer) (overflow.HeartbeatReply, error) {
+	reply := overflow.HeartbeatReply{Epoch: answer.Epoch, Lease: millis(answer.LeaseMs)}
+	for _, bound := range answer.Orders {
+		var order Order
+		loan, err := b.verify(directionReply, seq, bound, &order)
 		if err != nil {
-			return a, err
+			return reply, err
 		}
-		o := overflow.Command{Kind: overflow.CommandKind(w.Verb), Loan: l, Age: millis(w.AgeMs)}
-		if w.Verb < int32(overflow.Take) || w.Verb > int32(overflow.Forget) || o.Kind == overflow.Take && w.Spec == nil {
-			return a, fmt.Errorf("link: loan %s: order %d is not known", l, w.Verb)
+		command := overflow.Command{Kind: overflow.CommandKind(order.Verb), Loan: loan, Age: millis(order.AgeMs)}
+		if order.Verb < int32(overflow.Take) || order.Verb > int32(overflow.Forget) || command.Kind == overflow.Take && order.Spec == nil {
+			return reply, fmt.Errorf("link: loan %s: order %d is not known", loan, order.Verb)
 		}
-		if o.Kind == overflow.Take {
-			o.Spec = decodeSpec(w.Spec)
+		if command.Kind == overflow.Take {
+			command.Spec = decodeSpec(order.Spec)
 		}
-		a.Commands = append(a.Commands, o)
+		reply.Commands = append(reply.Commands, command)
 	}
-	return a, nil
+	return reply, nil
 }
 
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
