--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,12 +1,12 @@
-// Package certs makes and keeps the operators' own certificates: a CA of theirs, and
-// for each cluster a certificate by which its peers know it. Nothing else is
-// trusted between clusters.
+// Package certs issues and rotates the certificates by which clusters authenticate
+// each other: the operators' own CA, and a certificate for each cluster. Nothing else
+// is trusted between clusters.
 //
-// A folder holds ca.pem (the CAs that are trusted, the newest first), and, where
-// the CA itself is kept, ca.key; a cluster's folder holds cert.pem and key.pem
-// beside ca.pem. All files are for their owner alone. Rotation goes in steps, none
-// of which breaks a connection: a new CA is trusted beside the old one, then
-// certificates of the new one are issued, then the old one goes.
+// The CA's directory holds ca.pem (the trusted CAs, the newest first) and ca.key; a
+// cluster's directory holds ca.pem, cert.pem and key.pem. Only their owner may read
+// the files. Rotation takes steps none of which breaks a connection: a new CA is
+// trusted beside the old one, then certificates of the new one are issued, then the
+// old one is dropped.
 package certs
 
 import (
@@ -31,45 +31,56 @@
 )
 
 const (
-	// CAFile, CAKeyFile, CertFile and KeyFile are the names in a folder.
+	// CAFile, CAKeyFile, CertFile and KeyFile are the names of the files.
 	CAFile    = "ca.pem"
 	CAKeyFile = "ca.key"
 	CertFile  = "cert.pem"
 	KeyFile   = "key.pem"
-	// caValidity is how long a CA is good for, and CertValidity how long a cluster's
-	// certificate is if nothing else is said.
-	caValidity   = 10 * 365 * 24 * time.Hour
+	// CertValidity is the default validity of a cluster's certificate, and caValidity
+	// that of a CA.
 	CertValidity = 90 * 24 * time.Hour
+	caValidity   = 10 * 365 * 24 * time.Hour
 	// backdate allows for clocks that differ.
 	backdate = 10 * time.Minute
-	// ownerOnly is the mode of all files: keys are nobody else's business.
-	ownerOnly fs.FileMode = 0o600
-	uriScheme             = "micahill"
+	// ownerOnly and ownerOnlyDir are the modes of files and directories.
+	ownerOnly    fs.FileMode = 0o600
+	ownerOnlyDir fs.FileMode = 0o700
+	// A certificate names its cluster by a URI: micahill://cluster/NAME.
+	uriScheme = "micahill"
+	uriHost   = "cluster"
 )
 
 var clusterName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`)
 
-// IsClusterName says whether a name is fit for a cluster: for its certificate and for
-// keys in the state service.
+// IsClusterName says whether a name is valid for a cluster. Valid ones can stand in
+// certificates and in keys of the state service.
 func IsClusterName(name string) bool { return clusterName.MatchString(name) }
 
-// ErrExists says that a folder already holds a CA, which is never overwritten.
-var ErrExists = errors.New("already holds a CA; rotate makes a new one beside it")
+var (
+	// ErrExists says that a directory already holds a CA, which is never overwritten.
+	ErrExists = errors.New("already holds a CA; rotate makes a new one beside it")
+	// ErrRotating says that a rotation has to be finished first.
+	ErrRotating = errors.New("a rotation is under way already")
+	// ErrNotRotating says that there is no rotation to finish.
+	ErrNotRotating = errors.New("no rotation is under way")
+	// ErrInterrupted says that the CA's certificate and key do not fit each other.
+	ErrInterrupted = errors.New("a rotation was interrupted; run rotate again")
+)
 
-// Init makes a CA in a folder that has none.
+// Init makes a CA in a directory that has none.
 func Init(dir string, now time.Time) error {
-	// A key without a certificate is what an interrupted init leaves: begun again.
+	// An interrupted Init leaves a key without a certificate: that is no CA yet.
 	if _, err := os.Stat(filepath.Join(dir, CAFile)); err == nil {
 		return fmt.Errorf("keys: %s %w", dir, ErrExists)
 	}
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	if err := os.MkdirAll(dir, ownerOnlyDir); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	return newCA(dir, nil, now)
 }
 
-// newCA writes a CA whose trusted certificates are its own and then old.
-func newCA(dir string, old []byte, now time.Time) error {
+// newCA writes a new CA, with the certificates of oldCAs (in PEM) trusted beside it.
+func newCA(dir string, oldCAs []byte, now time.Time) error {
 	key, serial, err := newKey()
 	if err != nil {
 		return err
@@ -83,42 +94,43 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	// The key goes first: interrupted here, Issue sees that the two do not fit, and
-	// rotate or init can simply be run again.
+	// The key goes first: after an interruption here Issue detects the mismatch, and
+	// Rotate or Init can be run again.
 	if err := writeKey(filepath.Join(dir, CAKeyFile), key); err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(dir, CAFile), append(encodePEM("CERTIFICATE", der), old...))
+	return writeFile(filepath.Join(dir, CAFile), append(encodePEM("CERTIFICATE", der), oldCAs...))
 }
 
-// Rotate makes a new CA beside the old one, which stays trusted until Finish.
-// Hand the new ca.pem to every cluster before certificates of the new CA are used.
+// Rotate makes a new CA beside the old one, which stays trusted until FinishRotation.
+// Every cluster must have the new ca.pem before certificates of the new CA are used.
 func Rotate(dir string, now time.Time) error {
 	certs, text, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return err
 	}
 	if len(certs) > 1 {
-		return fmt.Errorf("keys: %s: a rotation is under way already: %d CAs are trusted; finish it first", dir, len(certs))
+		return fmt.Errorf("keys: %s: %w: %d CAs are trusted; finish it first", dir, ErrRotating, len(certs))
 	}
 	return newCA(dir, text, now)
 }
 
-// FinishRotation ends a rotation: the old CA is trusted no more. Every cluster must have a
-// certificate of the new one by then.
+// FinishRotation ends a rotation: the old CA is no longer trusted. Every cluster must
+// have a certificate of the new one by then.
 func FinishRotation(dir string) error {
 	certs, _, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return err
 	}
 	if len(certs) < 2 {
-		return fmt.Errorf("keys: %s: no rotation is under way", dir)
+		return fmt.Errorf("keys: %s: %w", dir, ErrNotRotating)
 	}
 	return writeFile(filepath.Join(dir, CAFile), encodePEM("CERTIFICATE", certs[0].Raw))
 }
 
-// Issue writes a certificate of the CA in dir for a cluster, with the CAs to trust,
-// into out. An earlier certificate there is replaced in one step.
+// Issue writes a cluster's certificate, signed by the CA in dir, into the directory
+// out, together with the trusted CAs. An earlier certificate there is replaced
+// atomically.
 func Issue(dir, cluster, out string, validity time.Duration, now time.Time) error {
 	if !IsClusterName(cluster) {
 		return fmt.Errorf("keys: %q is no cluster's name: want a small letter, then at most 30 small letters, digits and hyphens", cluster)
@@ -135,7 +147,7 @@
 		return err
 	}
 	if pub, ok := cas[0].PublicKey.(*ecdsa.PublicKey); !ok || !pub.Equal(signer.Public()) {
-		return fmt.Errorf("keys: %s does not belong to the newest CA in %s: a rotation was interrupted; run rotate again", CAKeyFile, CAFile)
+		return fmt.Errorf("keys: %s does not belong to the newest CA in %s: %w", CAKeyFile, CAFile, ErrInterrupted)
 	}
 	key, serial, err := newKey()
 	if err != nil {
@@ -143,7 +155,7 @@
 	}
 	template := &x509.Certificate{
 		SerialNumber: serial, Subject: pkix.Name{CommonName: cluster},
-		URIs:      []*url.URL{{Scheme: uriScheme, Host: "cluster", Path: "/" + cluster}},
+		URIs:      []*url.URL{{Scheme: uriScheme, Host: uriHost, Path: "/" + cluster}},
 		NotBefore: now.Add(-backdate), NotAfter: now.Add(validity),
 		KeyUsage: x509.KeyUsageDigitalSignature, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
@@ -151,12 +163,10 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	if err := os.MkdirAll(out, 0o700); err != nil {
+	if err := os.MkdirAll(out, ownerOnlyDir); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	// Key and certificate go into one file as well: a reader never sees the key of
-	// one with the certificate of the other.
-	k, err := encodeKey(key)
+	keyPEM, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
@@ -165,27 +175,30 @@
 			return err
 		}
 	}
-	if err := writeFile(filepath.Join(out, KeyFile), k); err != nil {
+	if err := writeFile(filepath.Join(out, KeyFile), keyPEM); err != nil {
 		return err
 	}
-	return writeFile(filepath.Join(out, CertFile), append(encodePEM("CERTIFICATE", der), k...))
+	// The certificate's file holds the key as well, so that no reader ever sees a key
+	// and a certificate that do not fit each other.
+	return writeFile(filepath.Join(out, CertFile), append(encodePEM("CERTIFICATE", der), keyPEM...))
 }
 
-// Info describes one certificate of a folder.
+// Info describes one certificate, for operators.
 type Info struct {
-	File        string    `json:"file"`
-	Name        string    `json:"name"`
-	Cluster     string    `json:"cluster,omitempty"`
-	CA          bool      `json:"ca"`
-	NotAfter    time.Time `json:"not_after"`
-	Fingerprint string    `json:"fingerprint"`
-	// Problem says what is wrong with it, if anything.
+	File     string    `json:"file"`
+	Name     string    `json:"name"`
+	Cluster  string    `json:"cluster,omitempty"`
+	CA       bool      `json:"ca"`
+	NotAfter time.Time `json:"not_after"`
+	// Fingerprint is the first 8 bytes of the SHA-256 sum, in hex.
+	Fingerprint string `json:"fingerprint"`
+	// Problem is why the certificate can't be used, or "".
 	Problem string `json:"problem,omitempty"`
 }
 
-// Show describes the certificates of a folder and what is wrong with them.
+// Show describes the certificates in a directory and their problems.
 func Show(dir string, now time.Time) ([]Info, error) {
-	var out []Info
+	var infos []Info
 	cas, _, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return nil, err
@@ -193,50 +206,50 @@
 	pool := x509.NewCertPool()
 	for _, c := range cas {
 		pool.AddCert(c)
-		out = append(out, describe(CAFile, c, now))
+		infos = append(infos, describe(CAFile, c, now))
 	}
 	certs, _, err := readCerts(filepath.Join(dir, CertFile))
 	if errors.Is(err, fs.ErrNotExist) {
-		return out, nil
+		return infos, nil
 	} else if err != nil {
 		return nil, err
 	}
-	i := describe(CertFile, certs[0], now)
+	info := describe(CertFile, certs[0], now)
 	opts := x509.VerifyOptions{Roots: pool, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
-	if _, err := certs[0].Verify(opts); err != nil && i.Problem == "" {
-		i.Problem = "not of a CA in " + CAFile
+	if _, err := certs[0].Verify(opts); err != nil && info.Problem == "" {
+		info.Problem = "not of a CA in " + CAFile
 	}
 	for _, f := range []string{CertFile, KeyFile, CAKeyFile} {
-		if st, err := os.Stat(filepath.Join(dir, f)); err == nil && st.Mode().Perm()&0o077 != 0 && i.Problem == "" {
-			i.Problem = f + " can be read by others"
+		if st, err := os.Stat(filepath.Join(dir, f)); err == nil && st.Mode().Perm()&0o077 != 0 && info.Problem == "" {
+			info.Problem = f + " can be read by others"
 		}
 	}
-	return append(out, i), nil
+	return append(infos, info), nil
 }
 
 func describe(file string, c *x509.Certificate, now time.Time) Info {
 	sum := sha256.Sum256(c.Raw)
-	i := Info{File: file, Name: c.Subject.CommonName, Cluster: ClusterOf(c), CA: c.IsCA, NotAfter: c.NotAfter, Fingerprint: hex.EncodeToString(sum[:8])}
+	info := Info{File: file, Name: c.Subject.CommonName, Cluster: ClusterOf(c), CA: c.IsCA, NotAfter: c.NotAfter, Fingerprint: hex.EncodeToString(sum[:8])}
 	switch {
 	case now.After(c.NotAfter):
-		i.Problem = "expired"
+		info.Problem = "expired"
 	case now.Before(c.NotBefore):
-		i.Problem = "not valid yet"
+		info.Problem = "not valid yet"
 	}
-	return i
+	return info
 }
 
-// ClusterOf is the cluster that a certificate names, or nothing.
+// ClusterOf is the cluster that a certificate names, or "".
 func ClusterOf(c *x509.Certificate) string {
 	for _, u := range c.URIs {
-		if u.Scheme == uriScheme && u.Host == "cluster" && len(u.Path) > 1 && IsClusterName(u.Path[1:]) {
+		if u.Scheme == uriScheme && u.Host == uriHost && len(u.Path) > 1 && IsClusterName(u.Path[1:]) {
 			return u.Path[1:]
 		}
 	}
 	return ""
 }
 
-// newKey is a key, and a serial number for its certificate.
+// newKey returns a key, and a random serial number for its certificate.
 func newKey() (*ecdsa.PrivateKey, *big.Int, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -269,8 +282,7 @@
 	return writeFile(path, b)
 }
 
-// writeFile replaces a file in one step, so that who reads it at that moment gets
-// the old one or the new one.
+// writeFile replaces a file atomically: a reader sees the old content or the new one.
 func writeFile(path string, b []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".keys-*")
 	if err != nil {
@@ -288,6 +300,8 @@
 	return nil
 }
 
+// readCerts reads the certificates of a PEM file, at least one. It returns the file's
+// content as well.
 func readCerts(path string) ([]*x509.Certificate, []byte, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -314,6 +328,7 @@
 	return out, b, nil
 }
 
+// readSigner reads a private key from a PEM file.
 func readSigner(path string) (crypto.Signer, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -4,6 +4,7 @@
 	"context"
 	"crypto/tls"
 	"errors"
+	"io/fs"
 	"net"
 	"os"
 	"path/filepath"
@@ -12,7 +13,8 @@
 	"time"
 )
 
-// newClusterDirs makes a CA and a certificate for each cluster.
+// newClusterDirs makes a CA and a certificate for each cluster, and returns their
+// directories.
 func newClusterDirs(t *testing.T, clusters ...string) (ca string, dirs map[string]string) {
 	t.Helper()
 	ca, dirs = filepath.Join(t.TempDir(), "ca"), map[string]string{}
@@ -42,8 +44,9 @@
 	return s
 }
 
-// handshake connects a client to a server over loopback and says what the server saw.
-func handshake(t *testing.T, server, client *Store, want string) (string, error) {
+// handshake connects a client that wants a cluster to a server over loopback. It
+// returns the cluster that the server saw, or "refused", and the client's error.
+func handshake(t *testing.T, server, client *Store, wantCluster string) (string, error) {
 	t.Helper()
 	ln, err := tls.Listen("tcp", "127.0.0.1:0", server.ServerConfig())
 	if err != nil {
@@ -73,66 +76,66 @@
 		t.Fatal(err)
 	}
 	defer raw.Close()
-	c := tls.Client(raw, client.ClientConfig(want))
+	c := tls.Client(raw, client.ClientConfig(wantCluster))
 	err = c.HandshakeContext(ctx)
 	if err == nil {
-		// Only the first byte shows whether the server took our certificate.
+		// Only the first byte shows whether the server accepted the certificate.
 		_, err = c.Read(make([]byte, 1))
 	}
 	return <-saw, err
 }
 
-// TestMutualAuthentication: by certificates of the operators' CA that name the
-// cluster, and by nothing else.
+// TestMutualAuthentication: clusters authenticate each other by certificates of the
+// operators' CA that name the cluster, and by nothing else.
 func TestMutualAuthentication(t *testing.T) {
-	ca, of := newClusterDirs(t, "east", "west")
-	_, others := newClusterDirs(t, "west")
+	ca, dirs := newClusterDirs(t, "east", "west")
+	_, otherDirs := newClusterDirs(t, "west")
 	expired := filepath.Join(t.TempDir(), "old")
 	if err := Issue(ca, "west", expired, time.Hour, time.Now().Add(-2*time.Hour)); err != nil {
 		t.Fatal(err)
 	}
-	east := openStore(t, of["east"])
-	if saw, err := handshake(t, east, openStore(t, of["west"]), "east"); err != nil || saw != "west" {
-		t.Errorf("east saw %q, %v", saw, err)
+	east := openStore(t, dirs["east"])
+	if saw, err := handshake(t, east, openStore(t, dirs["west"]), "east"); err != nil || saw != "west" {
+		t.Errorf("got %q, %v at the server; want west", saw, err)
 	}
-	if _, err := handshake(t, east, openStore(t, of["west"]), "north"); !errors.Is(err, ErrNotPeer) {
-		t.Errorf("east was taken for north: %v", err)
+	if _, err := handshake(t, east, openStore(t, dirs["west"]), "north"); !errors.Is(err, ErrNotPeer) {
+		t.Errorf("east under north's name: got %v, want %v", err, ErrNotPeer)
 	}
-	for what, dir := range map[string]string{"of another CA": others["west"], "expired": expired} {
+	for name, dir := range map[string]string{"of another CA": otherDirs["west"], "expired": expired} {
 		if saw, err := handshake(t, east, openStore(t, dir), "east"); err == nil || saw != "refused" {
-			t.Errorf("a certificate %s: east saw %q, %v", what, saw, err)
+			t.Errorf("a client's certificate %s: got %q, %v; want it refused", name, saw, err)
 		}
 		if _, err := handshake(t, openStore(t, dir), east, "west"); err == nil {
-			t.Errorf("a server with a certificate %s is believed", what)
+			t.Errorf("a server's certificate %s: got no error, want one", name)
 		}
 	}
 }
 
-// TestRotation: at every step the clusters still reach each other, without being
-// started anew; in the end the old CA is worth nothing.
+// TestRotation: at every step the clusters still reach each other, without a restart;
+// in the end certificates of the old CA are refused.
 func TestRotation(t *testing.T) {
-	ca, of := newClusterDirs(t, "east", "west")
-	east, west := openStore(t, of["east"]), openStore(t, of["west"])
+	ca, dirs := newClusterDirs(t, "east", "west")
+	east, west := openStore(t, dirs["east"]), openStore(t, dirs["west"])
 	old := filepath.Join(t.TempDir(), "old")
-	if err := os.CopyFS(old, os.DirFS(of["west"])); err != nil {
+	if err := os.CopyFS(old, os.DirFS(dirs["west"])); err != nil {
 		t.Fatal(err)
 	}
 	check := func(step string) {
 		t.Helper()
-		// Files are looked at once a second at most.
+		// The files are to be checked now, not only after recheckInterval.
 		for _, s := range []*Store{east, west} {
 			s.mu.Lock()
 			s.checkedAt = time.Time{}
 			s.mu.Unlock()
 		}
 		if saw, err := handshake(t, east, west, "east"); err != nil || saw != "west" {
-			t.Fatalf("%s: east saw %q, %v", step, saw, err)
+			t.Fatalf("%s: got %q, %v at east; want west", step, saw, err)
 		}
 		if saw, err := handshake(t, west, east, "west"); err != nil || saw != "east" {
-			t.Fatalf("%s: west saw %q, %v", step, saw, err)
+			t.Fatalf("%s: got %q, %v at west; want east", step, saw, err)
 		}
 	}
-	hand := func(to string) {
+	distributeCA := func(to string) {
 		t.Helper()
 		b, err := os.ReadFile(filepath.Join(ca, CAFile))
 		if err != nil {
@@ -146,70 +149,79 @@
 	if err := Rotate(ca, time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	if err := Rotate(ca, time.Now()); err == nil {
-		t.Error("a second rotation before the first one's end")
+	if err := Rotate(ca, time.Now()); !errors.Is(err, ErrRotating) {
+		t.Errorf("a second rotation before the first one's end: got %v, want %v", err, ErrRotating)
 	}
-	hand(of["east"])
-	check("the new CA is known to one")
-	hand(of["west"])
-	check("the new CA is known to both")
-	issueCert(t, ca, "west", of["west"])
+	distributeCA(dirs["east"])
+	check("one trusts the new CA")
+	distributeCA(dirs["west"])
+	check("both trust the new CA")
+	issueCert(t, ca, "west", dirs["west"])
 	check("one has a new certificate")
-	issueCert(t, ca, "east", of["east"])
-	check("both have")
+	issueCert(t, ca, "east", dirs["east"])
+	check("both have new certificates")
 	if err := FinishRotation(ca); err != nil {
 		t.Fatal(err)
 	}
-	hand(of["east"])
+	distributeCA(dirs["east"])
 	check("one has finished")
-	hand(of["west"])
+	distributeCA(dirs["west"])
 	check("both have finished")
 	if saw, err := handshake(t, east, openStore(t, old), "east"); err == nil || saw != "refused" {
-		t.Errorf("the old certificate is still taken: %q, %v", saw, err)
+		t.Errorf("the old certificate: got %q, %v; want it refused", saw, err)
 	}
 }
 
-// TestShow: what is wrong is said.
+// TestShow: the problems of certificates are named.
 func TestShow(t *testing.T) {
-	ca, of := newClusterDirs(t, "east")
+	_, dirs := newClusterDirs(t, "east")
 	for _, c := range []struct {
-		what, dir string
-		at        time.Time
-		want      string
+		name string
+		at   time.Time
+		want string
 	}{
-		{"as issued", of["east"], time.Now(), ""},
-		{"after its end", of["east"], time.Now().Add(CertValidity + time.Hour), "expired"},
+		{"as issued", time.Now(), ""},
+		{"after its end", time.Now().Add(CertValidity + time.Hour), "expired"},
 	} {
-		is, err := Show(c.dir, c.at)
-		if err != nil || len(is) != 2 || is[1].Cluster != "east" || is[1].Problem != c.want {
-			t.Errorf("%s: %+v, %v", c.what, is, err)
+		infos, err := Show(dirs["east"], c.at)
+		if err != nil || len(infos) != 2 || infos[1].Cluster != "east" || infos[1].Problem != c.want {
+			t.Errorf("%s: got %+v, %v; want a CA, and a certificate of east with problem %q", c.name, infos, err, c.want)
 		}
 	}
-	if err := os.Chmod(filepath.Join(of["east"], KeyFile), 0o644); err != nil {
+	if err := os.Chmod(filepath.Join(dirs["east"], KeyFile), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if is, _ := Show(of["east"], time.Now()); !strings.Contains(is[1].Problem, "can be read by others") {
-		t.Errorf("%+v", is)
+	if infos, _ := Show(dirs["east"], time.Now()); !strings.Contains(infos[1].Problem, "can be read by others") {
+		t.Errorf("a key that others can read: got %+v, want that as the problem", infos)
 	}
-	torn := filepath.Join(t.TempDir(), "torn")
-	if err := errors.Join(Init(torn, time.Now()), os.Remove(filepath.Join(torn, CAKeyFile)), os.Link(filepath.Join(ca, CAKeyFile), filepath.Join(torn, CAKeyFile))); err != nil {
+}
+
+// TestRefusals: what can't be done fails, and leaves the CA's files as they are.
+func TestRefusals(t *testing.T) {
+	ca, _ := newClusterDirs(t, "east")
+	interrupted := filepath.Join(t.TempDir(), "interrupted")
+	if err := errors.Join(Init(interrupted, time.Now()), os.Remove(filepath.Join(interrupted, CAKeyFile)), os.Link(filepath.Join(ca, CAKeyFile), filepath.Join(interrupted, CAKeyFile))); err != nil {
 		t.Fatal(err)
 	}
-	for what, err := range map[string]error{
-		"a rotation cut short":  Issue(torn, "west", t.TempDir(), time.Hour, time.Now()),
-		"a CA over a CA":        Init(ca, time.Now()),
-		"a name that is none":   Issue(ca, "East 1", t.TempDir(), time.Hour, time.Now()),
-		"no life":               Issue(ca, "west", t.TempDir(), 0, time.Now()),
-		"finish with no rotate": FinishRotation(ca),
-		"no CA there":           Issue(t.TempDir(), "west", t.TempDir(), time.Hour, time.Now()),
+	for _, c := range []struct {
+		name string
+		err  error
+		want error // nil: any
+	}{
+		{"an interrupted rotation", Issue(interrupted, "west", t.TempDir(), time.Hour, time.Now()), ErrInterrupted},
+		{"a CA over a CA", Init(ca, time.Now()), ErrExists},
+		{"an invalid name", Issue(ca, "East 1", t.TempDir(), time.Hour, time.Now()), nil},
+		{"no validity", Issue(ca, "west", t.TempDir(), 0, time.Now()), nil},
+		{"finish without rotate", FinishRotation(ca), ErrNotRotating},
+		{"no CA there", Issue(t.TempDir(), "west", t.TempDir(), time.Hour, time.Now()), fs.ErrNotExist},
 	} {
-		if err == nil {
-			t.Errorf("%s: no error", what)
+		if c.err == nil || c.want != nil && !errors.Is(c.err, c.want) {
+			t.Errorf("%s: got error %v, want %v", c.name, c.err, c.want)
 		}
 	}
 	for _, f := range []string{CAFile, CAKeyFile} {
-		if st, err := os.Stat(filepath.Join(ca, f)); err != nil || st.Mode().Perm() != ownerOnly {
-			t.Errorf("%s: %v, %v", f, st.Mode(), err)
+		if info, err := os.Stat(filepath.Join(ca, f)); err != nil || info.Mode().Perm() != ownerOnly {
+			t.Errorf("%s: got mode %v, %v; want %v", f, info.Mode(), err, ownerOnly)
 		}
 	}
 }
