--- a/internal/promise/golden_test.go
+++ b/internal/promise/golden_test.go
@@ -6,8 +6,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecords: records of dates, quotes and totals are written as they ever were,
-// and what stands there is read.
+// TestGoldenRecords: records of dates, quotes and totals are encoded as in earlier
+// versions, and those of earlier versions are decoded.
 func TestGoldenRecords(t *testing.T) {
 	ratios := make([]int, ratioBuckets)
 	for i := range ratios {
@@ -33,18 +33,18 @@
 	testgolden.Full(t, records)
 }
 
-// TestGoldenUse: what stands there is taken up, and written as it stood.
+// TestGoldenUse: a decoded record is encoded as it was.
 func TestGoldenUse(t *testing.T) {
-	es, err := DecodePage(testgolden.Bytes(t, "page"))
+	entries, err := DecodePage(testgolden.Bytes(t, "page"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	testgolden.Still(t, "page", encodePage(es))
-	team, q, err := DecodeQuoter(testgolden.Bytes(t, "quotes"), 0.95)
+	testgolden.Still(t, "page", encodePage(entries))
+	team, quoter, err := DecodeQuoter(testgolden.Bytes(t, "quotes"), 0.95)
 	if err != nil {
 		t.Fatal(err)
 	}
-	testgolden.Still(t, "quotes", q.Encode(team, 4096))
+	testgolden.Still(t, "quotes", quoter.Encode(team, 4096))
 	totals, err := DecodeTotals(testgolden.Bytes(t, "totals"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/promise/limits_test.go
+++ b/internal/promise/limits_test.go
@@ -6,96 +6,103 @@
 	"time"
 )
 
-// TestPagesAboveTheLimit: pages that were written under a larger limit are taken over
-// under a lower one: whatever is written fits, and at every moment each job's newest date
-// can be read, also by a successor that begins in the middle.
-func TestPagesAboveTheLimit(t *testing.T) {
-	const before, after = 3072, 1536
-	rows, stamp := map[string][]byte{}, uint64(0)
-	key := func(n int) string { return fmt.Sprint("open/~ops/", n) }
-	pages := func() *Pages {
-		p := &Pages{}
-		for k, v := range rows {
-			if err := p.Apply(k, stamp, v); err != nil {
-				t.Fatal(err)
-			}
+const testPrefix = "open/~ops/"
+
+// pageStore is a state service that holds pages, and the dates that its readers must
+// find.
+type pageStore struct {
+	t           *testing.T
+	values      map[string][]byte
+	modRevision uint64
+	want        map[string]Date
+}
+
+// pages reads all pages, as a controller does that takes over.
+func (s *pageStore) pages() *Pages {
+	s.t.Helper()
+	pages := &Pages{}
+	for key, value := range s.values {
+		if err := pages.Apply(key, s.modRevision, value); err != nil {
+			s.t.Fatal(err)
 		}
-		return p
 	}
-	want := map[string]Date{}
-	check := func() {
-		p := pages()
-		for id, d := range want {
-			if e, known := p.Newest(id, "open/~ops/", 0); !known || e.Date != d {
-				t.Fatalf("%s is %+v, told was %+v", id, e.Date, d)
-			}
-		}
+	return pages
+}
+
+// writeNext applies the writer's next write, if any. The page must fit the writer's
+// limit, and afterwards every job's newest date must be found.
+func (s *pageStore) writeNext(w *PageWriter) bool {
+	s.t.Helper()
+	write, ok := w.NextWrite()
+	if !ok {
+		return false
 	}
-	write := func(b *PageWriter) bool {
-		w, some := b.NextWrite()
-		if !some {
-			return false
+	s.modRevision++
+	key := fmt.Sprint(testPrefix, write.Number)
+	if write.Value == nil {
+		delete(s.values, key)
+		w.MarkWritten(write, 0)
+	} else {
+		if size := jsonSize(write.Value); size > w.maxBytes {
+			s.t.Fatalf("got a page of %d bytes, want %d at most", size, w.maxBytes)
 		}
-		stamp++
-		if w.Value == nil {
-			delete(rows, key(w.Number))
-			b.MarkWritten(w, 0)
-		} else {
-			if k := jsonSize(w.Value); k > b.maxBytes {
-				t.Fatalf("a page of %d bytes, at most %d fit", k, b.maxBytes)
-			}
-			rows[key(w.Number)] = w.Value
-			b.MarkWritten(w, stamp)
+		s.values[key] = write.Value
+		w.MarkWritten(write, s.modRevision)
+	}
+	pages := s.pages()
+	for job, date := range s.want {
+		if e, known := pages.Newest(job, testPrefix, 0); !known || e.Date != date {
+			s.t.Fatalf("%s: got %+v, known %v; want %+v", job, e.Date, known, date)
 		}
-		check()
-		return true
 	}
-	b := NewPageWriter(before)
+	return true
+}
+
+// TestPagesAboveTheLimit: pages that were written under a larger limit are taken over
+// under a lower one. Whatever is written fits, and at every moment each job's newest date
+// can be read, also by a successor that starts in the middle.
+func TestPagesAboveTheLimit(t *testing.T) {
+	const oldLimit, newLimit = 3072, 1536
+	store := &pageStore{t: t, values: map[string][]byte{}, want: map[string]Date{}}
+	writer := NewPageWriter(oldLimit)
+	dates := map[string]Date{}
 	for i := range 200 {
 		e := Entry{Job: fmt.Sprintf("job-%06d", i), Date: Date{After: time.Duration(100+i) * time.Second, Revision: 1}}
-		b.Put(e)
+		writer.Put(e)
+		dates[e.Job] = e.Date
 	}
-	for {
-		w, some := b.NextWrite()
-		if !some {
-			break
-		}
-		stamp++
-		rows[key(w.Number)] = w.Value
-		b.MarkWritten(w, stamp)
-		for id, e := range w.entries {
-			want[id] = e.Date
-		}
+	for store.writeNext(writer) {
 	}
-	// Each successor gets a little further, and dates change meanwhile.
-	for k := range 12 {
-		b = pages().NewWriter("open/~ops/", after)
-		for range k {
-			write(b)
+	store.want = dates
+	// Each successor gets a little further.
+	for writes := range 12 {
+		writer = store.pages().NewWriter(testPrefix, newLimit)
+		for range writes {
+			store.writeNext(writer)
 		}
 	}
-	b = pages().NewWriter("open/~ops/", after)
+	// Dates change meanwhile. A date has to be found once it is durable.
+	writer = store.pages().NewWriter(testPrefix, newLimit)
 	for i := range 40 {
-		id := fmt.Sprintf("job-%06d", 5*i)
-		e := Entry{Job: id, Date: Date{After: want[id].After + time.Minute, Revision: 2}}
-		b.Put(e)
-		// It is told when it is durable.
-		for !b.IsDurable(id) {
-			w, some := b.NextWrite()
-			if !some {
-				t.Fatal("a date waits for ever")
+		job := fmt.Sprintf("job-%06d", 5*i)
+		e := Entry{Job: job, Date: Date{After: store.want[job].After + time.Minute, Revision: 2}}
+		writer.Put(e)
+		for !writer.IsDurable(job) {
+			write, ok := writer.NextWrite()
+			if !ok {
+				t.Fatalf("%s: got no write, want one that makes its date durable", job)
 			}
-			if _, in := w.entries[id]; in {
-				want[id] = e.Date
+			if _, included := write.entries[job]; included {
+				store.want[job] = e.Date
 			}
-			write(b)
+			store.writeNext(writer)
 		}
 	}
-	for write(b) {
+	for store.writeNext(writer) {
 	}
-	for k, v := range rows {
-		if n := jsonSize(v); n > after {
-			t.Errorf("%s still has %d bytes", k, n)
+	for key, value := range store.values {
+		if size := jsonSize(value); size > newLimit {
+			t.Errorf("%s: got %d bytes in the end, want %d at most", key, size, newLimit)
 		}
 	}
 }
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -1,7 +1,8 @@
-// Package promise decides about promised dates: what date a job gets when it is
-// accepted, when a date may be revised, how dates are kept in shared pages, and how
-// many were kept. A date is a time after the job's submission, so that the clocks of
-// controllers do not show through. The package has no clock and sends nothing.
+// Package promise decides about promised completion dates: the date that a job gets
+// when it is accepted, when a date may be revised, how dates are stored in pages, and
+// how many were kept. A date is a time after the job's submission, so that differences
+// between the clocks of controllers don't change it. The package has no clock and sends
+// nothing.
 package promise
 
 import (
@@ -14,40 +15,48 @@
 )
 
 const (
-	// MinRevisionInterval is the least time between two dates of a job: a minute, and what the clocks
-	// of two controllers and an answer on its way may add to it, 5 s.
+	// MinRevisionInterval is the shortest time between two dates of a job: a minute,
+	// and 5 s for the clocks of two controllers and the latency of a reply.
 	MinRevisionInterval = time.Minute + 5*time.Second
-	// MaxRevisions is how often a date is revised; then it stands.
+	// MaxRevisions is how often a date may be revised.
 	MaxRevisions = 4
 	// MaxDate bounds a date: nothing runs for more than a year.
 	MaxDate = 366 * 24 * time.Hour
-	// roundingStep is what dates are rounded up to: people read them, and shares of a second
-	// promise what nobody can know.
+	// roundingStep is what dates are rounded up to: a finer one would pretend a
+	// precision that no estimate has.
 	roundingStep = 100 * time.Millisecond
-	// maxNameLen bounds names in records.
+	// maxNameLen bounds the names in records, in bytes.
 	maxNameLen = 200
 )
 
-// Reason is the reason of a date.
+// Reason is why a job got a date.
 type Reason uint8
 
-// The reasons: the job's first date, and those of revisions.
+// The reasons. All but FirstDate are those of revisions. The numbers are stored.
 const (
+	// FirstDate is the date at the job's acceptance.
 	FirstDate Reason = iota
+	// MachinesLost means that machines of the job failed.
 	MachinesLost
+	// Outage means that the controllers or the cloud did not work for a while.
 	Outage
+	// RankingChanged means that an operator changed the order of jobs.
 	RankingChanged
+	// JobMistake means that the job's own tasks fail.
 	JobMistake
+	// EstimateWrong means that tasks run longer or shorter than estimated.
 	EstimateWrong
 	reasonCount
 )
 
-func (w Reason) String() string {
-	return [...]string{"first date", "machines lost", "outage", "ranking changed", "mistake in the job", "estimate wrong", "unknown"}[min(w, reasonCount)]
+// String is the reason as users read it.
+func (r Reason) String() string {
+	return [...]string{"first date", "machines lost", "outage", "ranking changed", "mistake in the job", "estimate wrong", "unknown"}[min(r, reasonCount)]
 }
 
-// Job is what of a job its date rests on. Expected is a task's run time and Fetch that
-// of its image, both as they are estimated; of a standing job all are to be up.
+// Job is what of a job determines its date. Expected is the estimated run time of a
+// task, and FetchTime that of its image's fetch. The date of a Standing (long-running)
+// job is when all of its tasks run.
 type Job struct {
 	Team, Class         string
 	Tasks               int
@@ -55,10 +64,11 @@
 	Standing            bool
 }
 
-// Date is a promise: how long after the submission, and which revision, from 1 on. The
-// zero Date is none.
+// Date is a promised completion date. The zero Date means that there is none.
 type Date struct {
-	After    time.Duration
+	// After is the time from the job's submission.
+	After time.Duration
+	// Revision counts the job's dates from 1.
 	Revision int
 }
 
@@ -69,7 +79,7 @@
 	Reason Reason
 }
 
-// Validate is what is wrong with a date that was read, "" for nothing.
+// Validate returns why a decoded date is invalid, or "".
 func (d Date) Validate() string {
 	switch {
 	case d.After <= 0 || d.After > MaxDate:
@@ -80,28 +90,32 @@
 	return ""
 }
 
-// Round is d as it is promised.
+// Round is d as it is promised: rounded up, and at most MaxDate.
 func Round(d time.Duration) time.Duration {
 	return min(max(roundingStep, (d+roundingStep-1)/roundingStep*roundingStep), MaxDate)
 }
 
-// Forecast is how its team's owner sees a job: its age since the submission, how long it
-// is expected to take still, and how long with its spread, of which a new date is made.
+// Forecast is a job's progress as its shard leader sees it.
 type Forecast struct {
-	Age, Remaining, RemainingHigh time.Duration
+	// Age is the time since the submission.
+	Age time.Duration
+	// Remaining is the expected time until the job's end, and RemainingHigh that time
+	// with its spread, from which a new date is made.
+	Remaining, RemainingHigh time.Duration
 }
 
 const (
-	// earlyFactor is how many times as long as it takes a job may be promised before an
-	// earlier date is told, if that is worth minEarlyGain at least: such a date is a
-	// revision too, of which there are few, and half of them are kept for delays.
+	// An earlier date is published only if the time left is more than earlyFactor times
+	// what the job needs, and the date is earlier by more than minEarlyGain. It uses up
+	// one of few revisions, half of which are reserved for delays.
 	earlyFactor  = 3
 	minEarlyGain = 2 * time.Minute
 )
 
-// Revise says whether a date is to be revised, and to what: only when it would be
-// missed or is grossly too late, not within Apart of the date before, which was made
-// since ago, at most Most times, and never after it has passed: then it is broken.
+// Revise returns the next date and true if d is to be revised, else d. That is only if d
+// would be missed or is far too late, at most MaxRevisions times, and not before
+// MinRevisionInterval since d was published; since is that time. A date that has passed
+// is broken and never revised.
 func Revise(d Date, since time.Duration, forecast Forecast) (Date, bool) {
 	if d.Revision == 0 || d.Revision > MaxRevisions || since < MinRevisionInterval || forecast.Age >= d.After {
 		return d, false
@@ -116,17 +130,18 @@
 	return d, false
 }
 
-// errRecord is a record that can't be used, and ErrFormat one of another version's form.
 var (
+	// errRecord says that a record is damaged.
 	errRecord = errors.New("promise: record")
+	// ErrFormat says that another version's format of records was read.
 	ErrFormat = errors.New("promise: another form")
 )
 
-// formatVersion is the number of the records' form.
+// formatVersion is the version of the records' format.
 const formatVersion = 1
 
-// decode reads a record. A list's length is taken at its word by the library, which
-// makes room for it, so a damaged record is found before.
+// decode reads a record. The library allocates a list by the length that it claims, so
+// the lengths are checked first.
 func decode(b []byte, v any) error {
 	if _, err := sizelimit.JSON(b); err != nil {
 		return fmt.Errorf("%w: %w", errRecord, err)
@@ -137,9 +152,9 @@
 	return nil
 }
 
-func checkFormat(v int) error {
-	if v != formatVersion {
-		return fmt.Errorf("%w: field v is %d: want %d", ErrFormat, v, formatVersion)
+func checkFormat(version int) error {
+	if version != formatVersion {
+		return fmt.Errorf("%w: field v is %d: want %d", ErrFormat, version, formatVersion)
 	}
 	return nil
 }
@@ -147,13 +162,13 @@
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
-		// Only plain structs of ours come here; they always encode.
+		// Only this package's plain structs come here, which always encode.
 		panic("promise: " + err.Error())
 	}
 	return b
 }
 
-// jsonSize is an upper bound of a value's length as JSON.
+// jsonSize is an upper bound of an encoded record's bytes as JSON.
 func jsonSize(b []byte) int {
 	n, err := sizelimit.JSON(b)
 	if err != nil {
--- a/internal/promise/quotes.go
+++ b/internal/promise/quotes.go
@@ -9,54 +9,58 @@
 )
 
 const (
-	// maxClasses bounds the classes of a team that quotes are kept of.
+	// maxClasses bounds the classes of one team that are learnt.
 	maxClasses = 32
-	// sizeCount is in how many sizes the jobs of a class are told apart: one task, up to
-	// 8, up to 64, and more.
+	// sizeCount is the number of size buckets of a class's jobs: one task, up to 8, up
+	// to 64, and more.
 	sizeCount = 4
-	// maxWindow is how many of the last finishes of a size count.
+	// maxWindow is how many of a bucket's last finishes count.
 	maxWindow = 40
-	// What was thought before counts as priorWeight finishes, with priorSpread of their
-	// logarithm: times that vary by a third.
+	// The prior factor counts as priorWeight finishes with a standard deviation of
+	// priorSpread in their logarithm, as of times that vary by a third.
 	priorWeight = 4
 	priorSpread = 0.35
-	// unknownFactor is the factor for a class and size of which nothing has been seen:
+	// unknownFactor is the factor of a class and size of which nothing is known:
 	// estimates are often wrong by half.
 	unknownFactor = 1.7
-	// The factor of the finishes is corrected by what became of the dates, by learnStep
-	// for one that was broken; the correction, a logarithm, is bounded.
+	// learnStep is by how much a broken date raises the correction of a bucket's factor.
+	// The correction is a logarithm, from minCorrection to maxCorrection.
 	learnStep     = 0.3
 	minCorrection = -0.5
 	maxCorrection = 1.2
-	// maxRatio bounds how wrong one finish can show the base to be.
+	// maxRatio bounds the ratio of one finish to its base.
 	maxRatio = 20
-	// A date from revisable on can still be revised before it passes, when it shows that
-	// the job takes longer; it needs to be kept as it is in revisableKeepShare of the cases
-	// only, and half of the jobs are not promised what the slowest ones need.
+	// A date from revisableAfter on can still be revised before it passes, when the job
+	// turns out to take longer. It needs to be kept unrevised in revisableKeepShare of
+	// the cases only, so that half of the jobs don't get the date of the slowest ones.
 	revisableAfter     = MinRevisionInterval + 10*time.Second
 	revisableKeepShare = 0.8
-	// minBase is the shortest base: what short work and replicas take beside, such as
-	// a machine that has to come first, would make many times of a shorter one, and
-	// waits are multiplied by that too.
+	// minBase is the shortest base. What short jobs need besides their run time, such as
+	// a new machine, is many times a shorter base, and would give a factor by which
+	// waiting times are multiplied too.
 	minBase = 20 * time.Second
-	// maxFactor bounds factors, and maxCapacity rooms.
+	// maxFactor bounds factors, and maxCapacity free capacity in tasks.
 	maxFactor   = 100.0
 	maxCapacity = 1e6
 )
 
-// Load is how busy it is for a class now: how long a task that comes now waits, for how
-// many tasks there is room at a time, and how run times compare with their estimates,
-// with their spread as a share.
+// Load is the present load for a class.
 type Load struct {
-	Wait                time.Duration
-	FreeCapacity        float64
+	// Wait is how long a task that comes now waits.
+	Wait time.Duration
+	// FreeCapacity is how many tasks can run at a time; 0 if unknown.
+	FreeCapacity float64
+	// RunRatio is the mean ratio of run times to their estimates, and RunSpread its
+	// standard deviation.
 	RunRatio, RunSpread float64
 }
 
-// Quoter learns from the finishes of one team's jobs and quotes dates. The base of a
-// quote is reckoned from the load; how finishes compare with their bases, by class and
-// size, gives the factor, such that the wanted share of the dates is kept.
+// Quoter learns from the finishes of one team's jobs and quotes dates. A quote's base is
+// computed from the load. The ratios of finishes to their bases, by class and size, give
+// the factor by which the wanted share of dates is kept. It isn't safe for concurrent
+// use.
 type Quoter struct {
+	// keepShare is the share of dates to be kept.
 	keepShare float64
 	classes   map[string]*classState
 	seenCount int
@@ -65,21 +69,24 @@
 type classState struct {
 	load    Load
 	buckets [sizeCount]sizeBucket
-	// lastSeen is when it was last seen, in no unit.
+	// lastSeen is the Quoter's seenCount when the class was last seen.
 	lastSeen int
 }
 
-// sizeBucket is what is known of one size: the factor as it was read, the last finishes as
-// shares of their bases, and the correction.
+// sizeBucket is what is known of jobs of one size.
 type sizeBucket struct {
-	prior      float64
-	ratios     []float64
+	// prior is the factor as another Quoter published it; 0 if none did.
+	prior float64
+	// ratios are those of the last finishes to their bases, the oldest first.
+	ratios []float64
+	// correction is added to the factor's logarithm.
 	correction float64
 }
 
-// NewQuoter learns for dates of which the given share is to be kept.
-func NewQuoter(share float64) *Quoter {
-	return &Quoter{keepShare: min(max(share, 0.5), 0.99), classes: map[string]*classState{}}
+// NewQuoter returns a Quoter of dates of which keepShare, between 0.5 and 0.99, is to be
+// kept.
+func NewQuoter(keepShare float64) *Quoter {
+	return &Quoter{keepShare: min(max(keepShare, 0.5), 0.99), classes: map[string]*classState{}}
 }
 
 func bucketOf(tasks int) int {
@@ -94,11 +101,12 @@
 	return 3
 }
 
+// class returns a class's state, which counts as seen. A new one may displace the class
+// that was seen least recently.
 func (q *Quoter) class(name string) *classState {
 	c := q.classes[name]
 	if c == nil {
 		if len(q.classes) >= maxClasses {
-			// The one that was not seen for the longest goes.
 			oldest := ""
 			for _, k := range slices.Sorted(maps.Keys(q.classes)) {
 				if oldest == "" || q.classes[k].lastSeen < q.classes[oldest].lastSeen {
@@ -115,50 +123,52 @@
 	return c
 }
 
-// UpdateLoad takes in how busy it is for a class now, and says whether that has grown so much
-// that others should hear of it at once.
-func (q *Quoter) UpdateLoad(name string, l Load) bool {
+// UpdateLoad takes in the present load for a class. It returns true if the wait has grown
+// so much that it should be published at once.
+func (q *Quoter) UpdateLoad(name string, load Load) bool {
 	c := q.class(name)
 	was := c.load.Wait
-	c.load = Load{min(max(l.Wait, 0), MaxDate), min(max(l.FreeCapacity, 0), maxCapacity), clampRatio(l.RunRatio), clampRatio(l.RunSpread)}
+	c.load = Load{min(max(load.Wait, 0), MaxDate), min(max(load.FreeCapacity, 0), maxCapacity), clampRatio(load.RunRatio), clampRatio(load.RunSpread)}
 	return c.load.Wait > 2*was+5*time.Second
 }
 
-func clampRatio(f float64) float64 {
-	if !(f > 0) {
+// clampRatio bounds a ratio. It maps NaN to 0.
+func clampRatio(ratio float64) float64 {
+	if !(ratio > 0) {
 		return 0
 	}
-	return min(f, maxRatio)
+	return min(ratio, maxRatio)
 }
 
 // Base is how long a job that comes now is expected to take, without its factor. The
-// last of many tasks ends later than the usual one, by the spread, and those beyond the
-// room wait for the first ones.
+// last of many tasks ends later than the mean one, by the spread, and tasks beyond the
+// free capacity wait for the first ones.
 func (q *Quoter) Base(j Job) time.Duration {
-	l := q.Load(j.Class)
+	load := q.Load(j.Class)
 	if j.Standing {
-		return min(max(l.Wait+j.FetchTime, minBase), MaxDate)
+		return min(max(load.Wait+j.FetchTime, minBase), MaxDate)
 	}
-	run := j.Expected.Seconds() * max(l.RunRatio, 0.05)
+	run := j.Expected.Seconds() * max(load.RunRatio, 0.05)
 	if j.Tasks > 1 {
-		run *= 1 + min(l.RunSpread, 1)*math.Sqrt(2*math.Log(float64(j.Tasks)))
+		run *= 1 + min(load.RunSpread, 1)*math.Sqrt(2*math.Log(float64(j.Tasks)))
 	}
-	if l.FreeCapacity >= 1 {
-		run *= max(1, float64(j.Tasks)/l.FreeCapacity)
+	if load.FreeCapacity >= 1 {
+		run *= max(1, float64(j.Tasks)/load.FreeCapacity)
 	}
-	base := l.Wait + j.FetchTime + time.Duration(min(run, MaxDate.Seconds())*float64(time.Second))
+	base := load.Wait + j.FetchTime + time.Duration(min(run, MaxDate.Seconds())*float64(time.Second))
 	return min(max(base, minBase), MaxDate)
 }
 
-// Quote is the date for a job that comes now, and whether its class is known.
+// Quote is the date for a job that comes now, as a time from its submission, and whether
+// the class is known.
 func (q *Quoter) Quote(j Job) (time.Duration, bool) {
 	c := q.classes[j.Class]
 	known := c != nil
 	if !known {
 		c = &classState{}
 	}
-	dateFor := func(share float64) time.Duration {
-		return time.Duration(min(float64(q.Base(j))*c.factor(bucketOf(j.Tasks), q.keepShare, share), float64(MaxDate)))
+	dateFor := func(keepShare float64) time.Duration {
+		return time.Duration(min(float64(q.Base(j))*c.factor(bucketOf(j.Tasks), q.keepShare, keepShare), float64(MaxDate)))
 	}
 	date := dateFor(q.keepShare)
 	if date > revisableAfter {
@@ -167,72 +177,73 @@
 	return Round(date), known
 }
 
-// factor is that of a size for a share; wanted is the share for which factors are told
-// to others. Where few of a size have ended, all of the class tell.
-func (c *classState) factor(size int, keepShare, share float64) float64 {
+// factor is the factor by which the given share of dates is kept, for a size. publishedShare
+// is the share for which published factors hold. Without a published factor for the size
+// the finishes of all sizes of the class give the prior.
+func (c *classState) factor(size int, publishedShare, share float64) float64 {
 	bucket := &c.buckets[size]
 	prior := bucket.prior
 	if prior <= 0 {
-		all := sizeBucket{prior: unknownFactor}
-		heard := 0.0
+		all := sizeBucket{}
 		for k := range c.buckets {
 			all.ratios = append(all.ratios, c.buckets[k].ratios...)
 			all.correction += c.buckets[k].correction / sizeCount
-			heard = max(heard, c.buckets[k].prior)
+			all.prior = max(all.prior, c.buckets[k].prior)
 		}
-		if heard > 0 {
-			all.prior = heard
+		if all.prior == 0 {
+			all.prior = unknownFactor
 		}
-		prior = all.factor(all.prior, keepShare, keepShare)
+		prior = all.factor(all.prior, publishedShare, publishedShare)
 	}
-	return bucket.factor(prior, keepShare, share)
+	return bucket.factor(prior, publishedShare, share)
 }
 
-// factor is the quantile of the finishes that the share asks for. Few are taken to be
-// spread as times mostly are, with a logarithm that is normal, round what was thought
-// before; many tell it themselves.
-func (x *sizeBucket) factor(prior, keepShare, share float64) float64 {
+// factor is the quantile of the ratios for the share. A few ratios are taken for
+// log-normally distributed around the prior, as times mostly are; many give the quantile
+// themselves.
+func (b *sizeBucket) factor(prior, publishedShare, share float64) float64 {
 	normal := func(share float64) float64 { return math.Sqrt2 * math.Erfinv(2*share-1) }
 	z := normal(share)
-	n := float64(len(x.ratios))
-	sum, squares := priorWeight*(math.Log(prior)-normal(keepShare)*priorSpread), 0.0
-	for _, r := range x.ratios {
-		sum += math.Log(r)
+	n := float64(len(b.ratios))
+	sum, squares := priorWeight*(math.Log(prior)-normal(publishedShare)*priorSpread), 0.0
+	for _, ratio := range b.ratios {
+		sum += math.Log(ratio)
 	}
 	mean := sum / (priorWeight + n)
-	for _, r := range x.ratios {
-		squares += (math.Log(r) - mean) * (math.Log(r) - mean)
+	for _, ratio := range b.ratios {
+		squares += (math.Log(ratio) - mean) * (math.Log(ratio) - mean)
 	}
 	f := math.Exp(mean + z*math.Sqrt((priorWeight*priorSpread*priorSpread+squares)/(priorWeight+n)))
 	if n*(1-share) >= 1 {
-		f = slices.Sorted(slices.Values(x.ratios))[min(int(n)-1, int(math.Ceil((n+1)*share))-1)]
+		f = slices.Sorted(slices.Values(b.ratios))[min(int(n)-1, int(math.Ceil((n+1)*share))-1)]
 	}
-	return min(max(f*math.Exp(x.correction), 1/maxFactor), maxFactor)
+	return min(max(f*math.Exp(b.correction), 1/maxFactor), maxFactor)
 }
 
-// LearnFinish learns from a job's end: the base it had when it came, and how long it took.
+// LearnFinish learns from a job's end: base is what Base returned when the job came, and
+// took the time from its submission to its end.
 func (q *Quoter) LearnFinish(j Job, base, took time.Duration) {
 	if base <= 0 || took <= 0 {
 		return
 	}
-	x := &q.class(j.Class).buckets[bucketOf(j.Tasks)]
-	x.ratios = append(x.ratios, min(max(took.Seconds()/base.Seconds(), 1.0/maxRatio), maxRatio))
-	if len(x.ratios) > maxWindow {
-		x.ratios = slices.Clone(x.ratios[1:])
+	bucket := &q.class(j.Class).buckets[bucketOf(j.Tasks)]
+	bucket.ratios = append(bucket.ratios, min(max(took.Seconds()/base.Seconds(), 1.0/maxRatio), maxRatio))
+	if len(bucket.ratios) > maxWindow {
+		bucket.ratios = slices.Clone(bucket.ratios[1:])
 	}
 }
 
-// LearnOutcome learns from what became of a date, once for each job: at its end, or as soon
-// as it is missed. In the long run the share that is wanted is kept, whatever the times
-// are like: a broken date moves the factor up by as much as the kept ones that there
-// should be for each move it down.
+// LearnOutcome learns whether a date was kept, once for each job: at its end, or as soon
+// as the date is missed. A broken date raises the factor by as much as the kept ones that
+// there should be for each lower it. So the wanted share is kept in the long run,
+// whatever the distribution of times.
 func (q *Quoter) LearnOutcome(j Job, kept bool) {
-	x := &q.class(j.Class).buckets[bucketOf(j.Tasks)]
+	bucket := &q.class(j.Class).buckets[bucketOf(j.Tasks)]
 	delta := learnStep * q.keepShare
 	if kept {
 		delta = -learnStep * (1 - q.keepShare)
 	}
-	x.correction = min(max(x.correction+delta, minCorrection), maxCorrection)
+	bucket.correction = min(max(bucket.correction+delta, minCorrection), maxCorrection)
 }
 
 type quotesRecord struct {
@@ -241,8 +252,9 @@
 	Classes []storedClass `msgpack:"c"`
 }
 
-// storedClass is a class: wait in milliseconds, room, run ratio and its spread and the
-// factors in hundredths, 0 for a size that was not seen.
+// storedClass is a class's load and factors as stored. Room is the free capacity in
+// tasks. Ratio and Dev, the run ratio and its spread, and the factors by size are in
+// hundredths; a factor of 0 is that of a size that was not seen.
 type storedClass struct {
 	//lint:ignore U1000 its tag has rows stored as lists
 	_msgpack       struct{} `msgpack:",as_array"`
@@ -254,22 +266,22 @@
 
 func (c *storedClass) factors() []int { return []int{c.F0, c.F1, c.F2, c.F3} }
 
-// Encode is what others need to quote for the team, in up to limit bytes as JSON: those
-// of the classes that were seen last that fit.
+// Encode returns what other controllers need to quote for the team, in up to limit bytes
+// as JSON: as many classes as fit, the most recently seen first.
 func (q *Quoter) Encode(team string, limit int) []byte {
 	names := slices.SortedFunc(maps.Keys(q.classes), func(a, b string) int { return q.classes[b].lastSeen - q.classes[a].lastSeen })
-	hundred := func(f float64) int { return int(math.Round(100 * f)) }
+	hundredths := func(f float64) int { return int(math.Round(100 * f)) }
 	r := quotesRecord{Format: formatVersion, Team: team}
 	for _, name := range names {
 		c := q.classes[name]
-		var f [sizeCount]int
+		var factors [sizeCount]int
 		for k := range c.buckets {
-			if x := &c.buckets[k]; len(x.ratios) > 0 || x.prior > 0 {
-				f[k] = max(1, hundred(c.factor(k, q.keepShare, q.keepShare)))
+			if bucket := &c.buckets[k]; len(bucket.ratios) > 0 || bucket.prior > 0 {
+				factors[k] = max(1, hundredths(c.factor(k, q.keepShare, q.keepShare)))
 			}
 		}
 		r.Classes = append(r.Classes, storedClass{Name: name, WaitMS: int(c.load.Wait.Milliseconds()), Room: int(c.load.FreeCapacity),
-			Ratio: hundred(c.load.RunRatio), Dev: hundred(c.load.RunSpread), F0: f[0], F1: f[1], F2: f[2], F3: f[3]})
+			Ratio: hundredths(c.load.RunRatio), Dev: hundredths(c.load.RunSpread), F0: factors[0], F1: factors[1], F2: factors[2], F3: factors[3]})
 	}
 	for {
 		b := encode(r)
@@ -280,8 +292,9 @@
 	}
 }
 
-// DecodeQuoter reads what Encode wrote, and whose they are.
-func DecodeQuoter(b []byte, share float64) (string, *Quoter, error) {
+// DecodeQuoter reads what Encode wrote. It returns the team and its Quoter. The error
+// wraps ErrFormat if another version wrote it.
+func DecodeQuoter(b []byte, keepShare float64) (string, *Quoter, error) {
 	var r quotesRecord
 	if err := decode(b, &r); err != nil {
 		return "", nil, err
@@ -292,26 +305,32 @@
 	if r.Team == "" || len(r.Team) > maxNameLen || len(r.Classes) > maxClasses {
 		return "", nil, fmt.Errorf("%w: fields o, c have %d bytes, %d classes: want 1 to %d, up to %d", errRecord, len(r.Team), len(r.Classes), maxNameLen, maxClasses)
 	}
-	q := NewQuoter(share)
+	q := NewQuoter(keepShare)
 	for i := len(r.Classes) - 1; i >= 0; i-- {
-		x := r.Classes[i]
-		invalid := x.Name == "" || len(x.Name) > maxNameLen || x.WaitMS < 0 || x.WaitMS > int(MaxDate.Milliseconds()) || x.Room < 0 || x.Room > maxCapacity
-		for _, f := range append(x.factors(), x.Ratio, x.Dev) {
-			invalid = invalid || f < 0 || f > 100*maxFactor
+		stored := r.Classes[i]
+		if !stored.isValid() || q.classes[stored.Name] != nil {
+			return "", nil, fmt.Errorf("%w: field c[%d]: class %q is named twice or has an amount that is out of bounds", errRecord, i, stored.Name)
 		}
-		if invalid || q.classes[x.Name] != nil {
-			return "", nil, fmt.Errorf("%w: field c[%d]: class %q is named twice or has an amount that is out of bounds", errRecord, i, x.Name)
-		}
-		c := q.class(x.Name)
-		c.load = Load{time.Duration(x.WaitMS) * time.Millisecond, float64(x.Room), clampRatio(float64(x.Ratio) / 100), clampRatio(float64(x.Dev) / 100)}
-		for k, f := range x.factors() {
+		c := q.class(stored.Name)
+		c.load = Load{time.Duration(stored.WaitMS) * time.Millisecond, float64(stored.Room), clampRatio(float64(stored.Ratio) / 100), clampRatio(float64(stored.Dev) / 100)}
+		for k, f := range stored.factors() {
 			c.buckets[k].prior = float64(f) / 100
 		}
 	}
 	return r.Team, q, nil
 }
 
-// ClearWaitExcept notes that none of the classes but these has work that waits.
+// isValid says whether the name and all numbers are within their bounds.
+func (c *storedClass) isValid() bool {
+	for _, f := range append(c.factors(), c.Ratio, c.Dev) {
+		if f < 0 || f > 100*maxFactor {
+			return false
+		}
+	}
+	return c.Name != "" && len(c.Name) <= maxNameLen && c.WaitMS >= 0 && c.WaitMS <= int(MaxDate.Milliseconds()) && c.Room >= 0 && c.Room <= maxCapacity
+}
+
+// ClearWaitExcept notes that only these classes have waiting jobs.
 func (q *Quoter) ClearWaitExcept(waiting map[string]bool) {
 	for name, c := range q.classes {
 		if !waiting[name] {
@@ -320,7 +339,7 @@
 	}
 }
 
-// Load is how busy it is for a class, as was last seen.
+// Load is the last known load for a class.
 func (q *Quoter) Load(name string) Load {
 	if c := q.classes[name]; c != nil {
 		return c.load
--- a/internal/promise/totals.go
+++ b/internal/promise/totals.go
@@ -3,42 +3,46 @@
 import (
 	"cmp"
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"strings"
 	"time"
 )
 
-// maxRows bounds the rows of the totals; what goes beyond is summed up in others.
 const (
+	// maxRows bounds the rows of the totals. Further jobs are counted in the row of
+	// othersTeam.
 	maxRows    = 48
 	othersTeam = "~others"
-	// legacyTeam is the row of jobs that a version without promises ended: it wrote neither
-	// team nor class.
+	// legacyTeam is the row of jobs that a version without promised dates ended: it stored
+	// neither team nor class.
 	legacyTeam = "~before"
 )
 
-// JobEnd is what of a job's end the totals count. Took is from its submission to its end.
-// First says that the date was at hand when the job was accepted.
+// JobEnd is an ended job as the totals count it.
 type JobEnd struct {
-	Team, Class      string
-	Date             Date
-	Duration         time.Duration
+	Team, Class string
+	// Date is the last date; the zero Date for none.
+	Date Date
+	// Duration is the time from the submission to the end.
+	Duration time.Duration
+	// PromisedAtAccept says that the reply to the submission had the date.
 	PromisedAtAccept bool
 }
 
-// Row counts jobs that are over: those with a date, and of these the kept, the broken,
-// the revised; and by how much a date was missed at worst.
+// Row counts ended jobs of one team and class.
 type Row struct {
-	Team    string
-	Class   string
-	Jobs    int
+	Team  string
+	Class string
+	Jobs  int
+	// Made counts the jobs with a date; of these Kept and Broken count those that ended
+	// in time and late, and Revised those whose date was revised.
 	Made    int
 	Kept    int
 	Broken  int
 	Revised int
-	Worst   time.Duration
+	// Worst is the longest time by which a date was missed.
+	Worst time.Duration
 }
 
 func (r *Row) add(o Row) {
@@ -46,8 +50,8 @@
 	r.Worst = max(r.Worst, o.Worst)
 }
 
-// The ratios of promise to finish are counted in steps of an eighth of a doubling,
-// from a quarter to 64.
+// The ratios of a job's date to its duration are counted in buckets of an eighth of a
+// doubling, from 1/4 to 64.
 const (
 	ratioBuckets       = 64
 	bucketsPerDoubling = 8
@@ -55,10 +59,11 @@
 )
 
 // Totals are the outcomes of all jobs that ended up to a revision of the state service.
+// The zero value has none.
 type Totals struct {
-	// Rev: exact as of this revision. First counts the dates that were told with the
-	// first answer.
-	Revision         uint64
+	// Revision is the revision as of which the totals are exact.
+	Revision uint64
+	// PromisedAtAccept counts the dates that were in the reply to the submission.
 	PromisedAtAccept int
 	rows             map[[2]string]*Row
 	ratios           [ratioBuckets]int
@@ -80,7 +85,7 @@
 	WorstMS                           int
 }
 
-// Add counts a job's end.
+// Add counts an ended job.
 func (t *Totals) Add(e JobEnd) {
 	r := Row{Team: e.Team, Class: e.Class, Jobs: 1}
 	if e.Team == "" {
@@ -97,39 +102,45 @@
 		if e.PromisedAtAccept {
 			t.PromisedAtAccept++
 		}
-		k := int(math.Floor(bucketsPerDoubling * (math.Log2(e.Date.After.Seconds()/max(e.Duration.Seconds(), roundingStep.Seconds())) - minRatioLog2)))
-		t.ratios[min(max(k, 0), ratioBuckets-1)]++
+		bucket := int(math.Floor(bucketsPerDoubling * (math.Log2(e.Date.After.Seconds()/max(e.Duration.Seconds(), roundingStep.Seconds())) - minRatioLog2)))
+		t.ratios[min(max(bucket, 0), ratioBuckets-1)]++
 	}
 	t.addRow(r)
 }
 
+// addRow adds a row's counts to those of its team and class, or of the others.
 func (t *Totals) addRow(r Row) {
-	if t.rows == nil {
-		t.rows = map[[2]string]*Row{}
-	}
 	key := [2]string{r.Team, r.Class}
 	if t.rows[key] == nil && len(t.rows) >= maxRows {
 		key = [2]string{othersTeam, ""}
 	}
-	x := t.rows[key]
-	if x == nil {
-		x = &Row{Team: key[0], Class: key[1]}
-		t.rows[key] = x
+	t.addTo(key, r)
+}
+
+// addTo adds counts to the row with that key, which it makes if there is none.
+func (t *Totals) addTo(key [2]string, r Row) {
+	if t.rows == nil {
+		t.rows = map[[2]string]*Row{}
+	}
+	row := t.rows[key]
+	if row == nil {
+		row = &Row{Team: key[0], Class: key[1]}
+		t.rows[key] = row
 	}
-	x.add(r)
+	row.add(r)
 }
 
-// Rows are the rows, by team and class.
+// Rows returns copies of the rows, ordered by team and class.
 func (t *Totals) Rows() []Row {
-	var out []Row
+	var rows []Row
 	for _, r := range t.rows {
-		out = append(out, *r)
+		rows = append(rows, *r)
 	}
-	slices.SortFunc(out, func(a, b Row) int { return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Class, b.Class)) })
-	return out
+	slices.SortFunc(rows, func(a, b Row) int { return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Class, b.Class)) })
+	return rows
 }
 
-// Sum is all rows in one.
+// Sum is the sum of all rows.
 func (t *Totals) Sum() Row {
 	var s Row
 	for _, r := range t.rows {
@@ -138,22 +149,22 @@
 	return s
 }
 
-// MedianRatio is the median of promise to finish, 0 while there is none.
+// MedianRatio is the median ratio of a job's date to its duration, 0 without any date.
 func (t *Totals) MedianRatio() float64 {
 	all := 0
-	for _, k := range t.ratios {
-		all += k
+	for _, count := range t.ratios {
+		all += count
 	}
 	seen := 0
-	for i, k := range t.ratios {
-		if seen += k; all > 0 && 2*seen >= all {
+	for i, count := range t.ratios {
+		if seen += count; all > 0 && 2*seen >= all {
 			return math.Exp2((float64(i)+0.5)/bucketsPerDoubling + minRatioLog2)
 		}
 	}
 	return 0
 }
 
-// Clone is a copy that changes by itself.
+// Clone is an independent copy.
 func (t *Totals) Clone() *Totals {
 	c := *t
 	c.rows = make(map[[2]string]*Row, len(t.rows))
@@ -164,38 +175,40 @@
 	return &c
 }
 
-// Encode is the record. Where it would be longer than limit bytes as JSON, the rows
-// with the fewest jobs are summed up, here too, so that all go on from the same.
+// Encode returns the record, in up to limit bytes as JSON if possible. To fit, the rows
+// with the fewest jobs are merged into the others' row, in t too: t then equals what the
+// record's readers have.
 func (t *Totals) Encode(limit int) []byte {
 	for {
 		r := totalsRecord{Format: formatVersion, Revision: t.Revision, PromisedAtAccept: t.PromisedAtAccept, Ratios: slices.Clone(t.ratios[:])}
-		for _, x := range t.Rows() {
-			r.Rows = append(r.Rows, storedTotalsRow{Team: x.Team, Class: x.Class, Jobs: x.Jobs, Made: x.Made, Kept: x.Kept, Broken: x.Broken, Revised: x.Revised, WorstMS: int(x.Worst.Milliseconds())})
+		for _, row := range t.Rows() {
+			r.Rows = append(r.Rows, storedTotalsRow{Team: row.Team, Class: row.Class, Jobs: row.Jobs, Made: row.Made, Kept: row.Kept, Broken: row.Broken, Revised: row.Revised, WorstMS: int(row.Worst.Milliseconds())})
 		}
 		b := encode(r)
 		if jsonSize(b) <= limit || len(t.rows) <= 1 {
 			return b
 		}
-		least := [2]string{}
-		for _, k := range slices.SortedFunc(maps.Keys(t.rows), func(a, b [2]string) int {
-			return cmp.Or(strings.Compare(a[0], b[0]), strings.Compare(a[1], b[1]))
-		}) {
-			if k[0] != othersTeam && (least[0] == "" || t.rows[k].Jobs < t.rows[least].Jobs) {
-				least = k
-			}
+		t.mergeSmallest()
+	}
+}
+
+// mergeSmallest merges the row with the fewest jobs into the others' row.
+func (t *Totals) mergeSmallest() {
+	var smallest Row
+	for _, row := range t.Rows() {
+		if row.Team == othersTeam && row.Class == "" {
+			continue
 		}
-		x := *t.rows[least]
-		delete(t.rows, least)
-		x.Team, x.Class = othersTeam, ""
-		key := [2]string{othersTeam, ""}
-		if t.rows[key] == nil {
-			t.rows[key] = &Row{Team: othersTeam}
+		if smallest.Team == "" || row.Jobs < smallest.Jobs {
+			smallest = row
 		}
-		t.rows[key].add(x)
 	}
+	delete(t.rows, [2]string{smallest.Team, smallest.Class})
+	t.addTo([2]string{othersTeam, ""}, smallest)
 }
 
-// DecodeTotals reads the record.
+// DecodeTotals reads what Encode wrote. The error wraps ErrFormat if another version
+// wrote it.
 func DecodeTotals(b []byte) (*Totals, error) {
 	var r totalsRecord
 	if err := decode(b, &r); err != nil {
@@ -208,29 +221,29 @@
 	if len(r.Ratios) != ratioBuckets || r.PromisedAtAccept < 0 || len(r.Rows) > maxRows+1 {
 		return nil, fmt.Errorf("%w: fields h, f, t have %d, %d, %d: want %d, 0 or more, up to %d", errRecord, len(r.Ratios), r.PromisedAtAccept, len(r.Rows), ratioBuckets, maxRows+1)
 	}
-	for i, k := range r.Ratios {
-		if k < 0 || k > maxCount {
-			return nil, fmt.Errorf("%w: field h[%d] is %d: want 0 to %d", errRecord, i, k, maxCount)
+	for i, count := range r.Ratios {
+		if count < 0 || count > maxCount {
+			return nil, fmt.Errorf("%w: field h[%d] is %d: want 0 to %d", errRecord, i, count, maxCount)
 		}
-		t.ratios[i] = k
+		t.ratios[i] = count
 	}
-	for i, x := range r.Rows {
-		for _, k := range [...]int{x.Jobs, x.Made, x.Kept, x.Broken, x.Revised} {
-			if k < 0 || k > maxCount {
-				return nil, fmt.Errorf("%w: field t[%d] counts %d: want 0 to %d", errRecord, i, k, maxCount)
+	for i, row := range r.Rows {
+		for _, count := range [...]int{row.Jobs, row.Made, row.Kept, row.Broken, row.Revised} {
+			if count < 0 || count > maxCount {
+				return nil, fmt.Errorf("%w: field t[%d] counts %d: want 0 to %d", errRecord, i, count, maxCount)
 			}
 		}
-		if x.Kept+x.Broken != x.Made || x.Made > x.Jobs || x.Revised > x.Made || x.WorstMS < 0 || x.WorstMS > int(MaxDate.Milliseconds()) {
-			return nil, fmt.Errorf("%w: field t[%d]: the counts of %s, %s do not fit each other", errRecord, i, x.Team, x.Class)
+		if row.Kept+row.Broken != row.Made || row.Made > row.Jobs || row.Revised > row.Made || row.WorstMS < 0 || row.WorstMS > int(MaxDate.Milliseconds()) {
+			return nil, fmt.Errorf("%w: field t[%d]: the counts of %s, %s do not fit each other", errRecord, i, row.Team, row.Class)
 		}
-		key := [2]string{x.Team, x.Class}
-		if x.Team == "" || len(x.Team) > maxNameLen || len(x.Class) > maxNameLen || t.rows[key] != nil {
-			return nil, fmt.Errorf("%w: field t[%d]: team %q, class %q: want each once, and names of up to %d bytes", errRecord, i, x.Team, x.Class, maxNameLen)
+		key := [2]string{row.Team, row.Class}
+		if row.Team == "" || len(row.Team) > maxNameLen || len(row.Class) > maxNameLen || t.rows[key] != nil {
+			return nil, fmt.Errorf("%w: field t[%d]: team %q, class %q: want each once, and names of up to %d bytes", errRecord, i, row.Team, row.Class, maxNameLen)
 		}
-		t.rows[key] = &Row{x.Team, x.Class, x.Jobs, x.Made, x.Kept, x.Broken, x.Revised, time.Duration(x.WorstMS) * time.Millisecond}
+		t.rows[key] = &Row{row.Team, row.Class, row.Jobs, row.Made, row.Kept, row.Broken, row.Revised, time.Duration(row.WorstMS) * time.Millisecond}
 	}
 	return t, nil
 }
 
-// maxCount bounds a count in a record, so that sums can't overflow.
+// maxCount bounds a count in a record, so that no sum overflows.
 const maxCount = 1 << 40
