--- a/internal/ranking/derive.go
+++ b/internal/ranking/derive.go
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// weightedGroup is a workload that a policy script weighs, or several alike ones.
+// weightedGroup is the workloads that have one weight in a policy script.
 type weightedGroup struct {
 	workloads []string
 	weight    float64
 }
 
-// Derive makes the ranking that orders as the protocol's urgencies do, and within each a
-// policy script's weights; fits says whether a record is small enough to be stored. Where
-// the weights are more than a ranking has room for, the least of them are left out and
-// the nearest made one; exact says that this was not needed.
-func Derive(weights map[string]float64, fits func(Record) bool) (r Record, lossless bool) {
+// Derive returns the ranking that orders jobs by urgency, and within one urgency by a
+// policy script's weights. fits says whether a record is small enough to be stored. Of
+// more weights than a ranking can hold the smallest are left out and the nearest are
+// merged; lossless says that neither was necessary.
+func Derive(weights map[string]float64, fits func(Record) bool) (record Record, lossless bool) {
 	var candidates []weightedGroup
 	lossless = true
 	for name, w := range weights {
 		switch {
 		case w == 0:
 		case name == "" || len(name) > maxWorkloadLen || strings.Contains(name, "*"):
-			// An asterisk would stand for other workloads here, and not in the script.
+			// In a ranking an asterisk stands for other workloads, in a script it does not.
 			lossless = false
 		default:
 			candidates = append(candidates, weightedGroup{[]string{name}, w})
@@ -34,35 +34,41 @@
 	slices.SortFunc(candidates, func(a, b weightedGroup) int {
 		return cmp.Or(cmp.Compare(math.Abs(b.weight), math.Abs(a.weight)), cmp.Compare(a.workloads[0], b.workloads[0]))
 	})
-	if most := MaxWorkloads / len(Urgencies); len(candidates) > most {
-		candidates, lossless = candidates[:most], false
+	if limit := MaxWorkloads / len(Urgencies); len(candidates) > limit {
+		candidates, lossless = candidates[:limit], false
 	}
 	for {
-		groups, same := mergeByWeight(candidates, MaxClasses/len(Urgencies)-1)
-		r = Record{Derived: true}
-		for u := highestUrgency; u >= 0; u-- {
-			name := Urgencies[u]
-			at := len(r.Classes)
-			for i, g := range groups {
-				if g.weight < 0 && len(r.Classes) == at+i {
-					r.Classes = append(r.Classes, Class{Name: name, Urgency: name})
-				}
-				r.Classes = append(r.Classes, Class{Name: fmt.Sprintf("%s.%d", name, i+1), Workloads: g.workloads, Urgency: name})
-			}
-			if len(r.Classes) == at+len(groups) {
-				r.Classes = append(r.Classes, Class{Name: name, Urgency: name})
-			}
+		groups, distinct := mergeByWeight(candidates, MaxClasses/len(Urgencies)-1)
+		record = Record{Derived: true}
+		for urgency := highestUrgency; urgency >= 0; urgency-- {
+			record.Classes = append(record.Classes, classesOf(Urgencies[urgency], groups)...)
 		}
-		if len(candidates) == 0 || fits(r) {
-			return r, lossless && same
+		if len(candidates) == 0 || fits(record) {
+			return record, lossless && distinct
 		}
 		candidates, lossless = candidates[:len(candidates)-1], false
 	}
 }
 
-// mergeByWeight puts workloads of the same weight together, the highest first, and then the
-// nearest of the same sign, until there are at most so many. same: no two weights
-// were made one.
+// classesOf returns the classes of one urgency: one for each group, in their order, and
+// one for all other workloads, between the groups of positive and of negative weight.
+func classesOf(urgency string, groups []weightedGroup) []Class {
+	var classes []Class
+	for i, group := range groups {
+		if group.weight < 0 && len(classes) == i {
+			classes = append(classes, Class{Name: urgency, Urgency: urgency})
+		}
+		classes = append(classes, Class{Name: fmt.Sprintf("%s.%d", urgency, i+1), Workloads: group.workloads, Urgency: urgency})
+	}
+	if len(classes) == len(groups) {
+		classes = append(classes, Class{Name: urgency, Urgency: urgency})
+	}
+	return classes
+}
+
+// mergeByWeight merges workloads of the same weight, and then the nearest weights of the
+// same sign until there are at most maxGroups. The highest weight comes first. distinct
+// says that no two weights were merged.
 func mergeByWeight(candidates []weightedGroup, maxGroups int) (out []weightedGroup, distinct bool) {
 	for _, w := range candidates {
 		i := slices.IndexFunc(out, func(o weightedGroup) bool { return o.weight == w.weight })
--- a/internal/ranking/golden_test.go
+++ b/internal/ranking/golden_test.go
@@ -7,7 +7,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecord: a ranking is written as it ever was, and what stands there is read.
+// TestGoldenRecord: a ranking is encoded as in earlier versions, and one of an earlier
+// version is decoded.
 func TestGoldenRecord(t *testing.T) {
 	stored := testgolden.Values{"wire": storedRecord{Format: 3, Revision: 12, SetBy: "ops", SetAt: 1_750_000_000_123, Derived: true, Classes: []storedClass{
 		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", WaitBoundMS: 90_500, ReservedFraction: 0.25},
@@ -31,6 +32,6 @@
 	records["wire"] = stored["wire"]
 	testgolden.Full(t, records)
 	if rev := Revision(testgolden.Bytes(t, "ranking")); rev != 13 {
-		t.Errorf("revision %d is read alone, want 13", rev)
+		t.Errorf("got revision %d, want 13", rev)
 	}
 }
--- a/internal/ranking/parse.go
+++ b/internal/ranking/parse.go
@@ -22,25 +22,25 @@
 	} `toml:"class"`
 }
 
-// Parse reads a ranking's file. It is taken as a whole or refused: an error says line,
-// column and field, and what would be right.
+// Parse reads a ranking's file, as a whole or not at all. An error names line, column and
+// field, and the valid values.
 func Parse(text []byte) (Record, error) {
-	var f rankingFile
-	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&f); err != nil {
-		var se *toml.StrictMissingError
-		if errors.As(err, &se) && len(se.Errors) > 0 {
-			row, col := se.Errors[0].Position()
-			return Record{}, fmt.Errorf("ranking: %d:%d: unknown field %s: a [[class]] has name, workloads, urgency, bound_s and part", row, col, strings.Join(se.Errors[0].Key(), "."))
+	var file rankingFile
+	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&file); err != nil {
+		var missing *toml.StrictMissingError
+		if errors.As(err, &missing) && len(missing.Errors) > 0 {
+			row, col := missing.Errors[0].Position()
+			return Record{}, fmt.Errorf("ranking: %d:%d: unknown field %s: a [[class]] has name, workloads, urgency, bound_s and part", row, col, strings.Join(missing.Errors[0].Key(), "."))
 		}
-		var de *toml.DecodeError
-		if errors.As(err, &de) {
-			row, col := de.Position()
-			return Record{}, fmt.Errorf("ranking: %d:%d: field %s: %s", row, col, strings.Join(de.Key(), "."), strings.TrimPrefix(de.Error(), "toml: "))
+		var decodeErr *toml.DecodeError
+		if errors.As(err, &decodeErr) {
+			row, col := decodeErr.Position()
+			return Record{}, fmt.Errorf("ranking: %d:%d: field %s: %s", row, col, strings.Join(decodeErr.Key(), "."), strings.TrimPrefix(decodeErr.Error(), "toml: "))
 		}
 		return Record{}, fmt.Errorf("ranking: %w", err)
 	}
 	var r Record
-	for i, c := range f.Class {
+	for i, c := range file.Class {
 		if !(c.BoundS >= 0 && c.BoundS <= maxWaitBound.Seconds()) {
 			row, col := locate(text, i, "bound_s")
 			return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].bound_s: %v: want 0 for the default, or %v to %v seconds", row, col, i, c.BoundS, minWaitBound.Seconds(), maxWaitBound.Seconds())
@@ -56,8 +56,8 @@
 
 var classHeader = regexp.MustCompile(`^\s*\[\[\s*class\s*\]\]`)
 
-// locate finds the line and column of a class's field, from 1; of one that is not there
-// the class's head.
+// locate returns the line and column of a class's field, from 1. For a field that is not
+// there it returns those of the class's header.
 func locate(text []byte, class int, field string) (row, col int) {
 	named := regexp.MustCompile(`^\s*"?` + regexp.QuoteMeta(field) + `"?\s*=`)
 	row, col = 1, 1
--- a/internal/ranking/ranking.go
+++ b/internal/ranking/ranking.go
@@ -1,7 +1,7 @@
-// Package ranking holds the order of work that all controllers share: classes of
-// workloads, the first of them first. It reads and writes the record and the file that
-// an operator sets, and says where a job stands. The package has no clock, asks nobody
-// and knows no job but by its workload and urgency.
+// Package ranking holds the order of jobs that all controllers share: a list of classes
+// of workloads, the first of which goes first. It reads and writes the record and the
+// file that an operator sets, and ranks jobs by workload and urgency. The package has no
+// clock and sends nothing.
 package ranking
 
 import (
@@ -16,60 +16,65 @@
 )
 
 const (
-	// MaxClasses and MaxWorkloads bound a ranking: it is one value of the state
-	// service, and a decision looks through it for every job.
+	// MaxClasses and MaxWorkloads bound a ranking: it is one value in the state service,
+	// and is searched for every job.
 	MaxClasses   = 16
 	MaxWorkloads = 64
-	// maxNameLen and maxWorkloadLen are the longest names in bytes; the latter is the
-	// longest that a submission may have.
+	// maxNameLen and maxWorkloadLen are the longest names of classes and workloads, in
+	// bytes. The latter holds for submissions too.
 	maxNameLen     = 40
 	maxWorkloadLen = 100
-	// minWaitBound and maxWaitBound are what a bound on waiting may be, other than 0. A
-	// shorter one than a second is over before the first look at what waits.
+	// minWaitBound and maxWaitBound limit a WaitBound other than 0. A shorter one would
+	// have passed before the first planning pass.
 	minWaitBound = time.Second
 	maxWaitBound = 24 * time.Hour
-	// formatVersion is the number of the record's form. A record of a later one is passed over.
+	// formatVersion is the version of the record's format. A record of a later one is not
+	// used.
 	formatVersion = 1
-	// MaxSetByLen is the longest name of whoever sets a ranking.
+	// MaxSetByLen is the longest SetBy, in bytes.
 	MaxSetByLen = 100
-	// HistoryLen is how many rankings are kept: the record of a revision is written a
-	// second time under its number modulo this.
+	// HistoryLen is how many rankings are kept: each record is stored a second time under
+	// its revision modulo HistoryLen.
 	HistoryLen = 16
 )
 
-// ErrFormat says that a record has a form that this version does not know.
+// ErrFormat says that a record has a later format than this version knows.
 var ErrFormat = errors.New("ranking: the record has a later form than this version knows")
 
-// Urgencies are the protocol's, lowest first: a job's urgency is an index.
+// Urgencies are the names of the protocol's urgencies, indexed by a job's urgency, the
+// lowest first.
 var Urgencies = []string{"best_effort", "normal", "urgent", "critical"}
 
-// highestUrgency is the highest urgency.
 var highestUrgency = len(Urgencies) - 1
 
-// Class is work that goes together. Workloads are exact names, or prefixes that end in
-// an asterisk; with an Urgency only jobs of that urgency belong to it, and without
-// workloads all of that urgency. Bound is how long a job may wait behind others, and
-// Part which part of the room it then takes first, from 0 to 1; 0 is the built-in default
-// for either.
+// Class is a set of jobs with one rank.
 type Class struct {
-	Name             string
-	Workloads        []string
-	Urgency          string
-	WaitBound        time.Duration
+	Name string
+	// Workloads are names, or prefixes that end in an asterisk. Without any all jobs of
+	// the Urgency belong to the class.
+	Workloads []string
+	// Urgency limits the class to jobs of that urgency; "" doesn't.
+	Urgency string
+	// WaitBound is how long a job may wait behind others; 0 for the default.
+	WaitBound time.Duration
+	// ReservedFraction is the share of capacity that a job takes first after that, from
+	// 0 to 1; 0 for the default.
 	ReservedFraction float64
 }
 
-// Record is a ranking. Rev only grows. Derived: a leader made it from its policy script,
-// for want of one.
+// Record is a ranking.
 type Record struct {
+	// Revision counts rankings from 1.
 	Revision uint64
 	SetBy    string
 	SetAt    time.Time
-	Derived  bool
-	Classes  []Class
+	// Derived says that a leader made the ranking from its policy script, because nobody
+	// had set one.
+	Derived bool
+	Classes []Class
 }
 
-// storedRecord is a record as it stands in the state service.
+// storedRecord is a Record as stored. SetAt is in milliseconds since 1970.
 type storedRecord struct {
 	Format   int           `msgpack:"v"`
 	Revision uint64        `msgpack:"rev"`
@@ -87,7 +92,7 @@
 	ReservedFraction float64  `msgpack:"p,omitempty"`
 }
 
-// Encode is the record as a value of the state service.
+// Encode returns the record as a value for the state service.
 func (r Record) Encode() []byte {
 	w := storedRecord{Format: formatVersion, Revision: r.Revision, SetBy: r.SetBy, SetAt: r.SetAt.UnixMilli(), Derived: r.Derived}
 	for _, c := range r.Classes {
@@ -95,14 +100,14 @@
 	}
 	b, err := msgpack.Marshal(w)
 	if err != nil {
-		// Plain fields only; they always encode.
+		// Plain fields always encode.
 		panic("ranking: " + err.Error())
 	}
 	return b
 }
 
-// Revision is the revision of a record, also of one of a later form, or 0 where none can be
-// read.
+// Revision is the revision of an encoded record, also of one in a later format. It is 0
+// if there is none to be read.
 func Revision(b []byte) uint64 {
 	var w struct {
 		Rev uint64 `msgpack:"rev"`
@@ -113,20 +118,21 @@
 	return w.Rev
 }
 
-// Decode reads a record. An error names the field and what would be right. A length
-// that the bytes do not bear out is found before room is made for it.
+// Decode reads an encoded record. An error names the field and the valid values; it
+// wraps ErrFormat for a later format. Lengths are checked before the library allocates
+// by them.
 func Decode(b []byte) (Record, error) {
 	if _, err := sizelimit.JSON(b); err != nil {
 		return Record{}, fmt.Errorf("ranking: %w", err)
 	}
 	var header struct {
-		Form int `msgpack:"v"`
+		Format int `msgpack:"v"`
 	}
 	if err := msgpack.Unmarshal(b, &header); err != nil {
 		return Record{}, fmt.Errorf("ranking: %w", err)
 	}
-	if header.Form > formatVersion {
-		return Record{}, fmt.Errorf("%w: field v is %d: want %d", ErrFormat, header.Form, formatVersion)
+	if header.Format > formatVersion {
+		return Record{}, fmt.Errorf("%w: field v is %d: want %d", ErrFormat, header.Format, formatVersion)
 	}
 	var w storedRecord
 	if err := msgpack.Unmarshal(b, &w); err != nil {
@@ -151,13 +157,14 @@
 	return r, nil
 }
 
-// validationError is what is wrong with a ranking: in which class, counted from 0, and field.
+// validationError is why a ranking is invalid: the class, counted from 0, its field by the
+// file's name, and the reason.
 type validationError struct {
 	class         int
 	field, reason string
 }
 
-// validate says what is wrong, or nothing.
+// validate returns the first thing that is invalid, or nil.
 func (r *Record) validate() *validationError {
 	if len(r.Classes) == 0 {
 		return &validationError{0, "name", "there is no class: want one at least"}
@@ -205,7 +212,7 @@
 	return nil
 }
 
-// matches says whether a class has a workload by its name.
+// matches says whether a class names a workload.
 func (c *Class) matches(workload string) bool {
 	for _, w := range c.Workloads {
 		if w == workload {
@@ -218,18 +225,18 @@
 	return false
 }
 
-// Table is a ranking to decide by. A nil Table ranks by urgency alone.
+// Table ranks jobs. A nil Table ranks by urgency alone.
 type Table struct{ classes []Class }
 
-// Table makes the ranking ready to decide by.
+// Table returns the table of the ranking.
 func (r Record) Table() *Table { return &Table{r.Classes} }
 
-// clampUrgency puts what can't be an urgency to the nearest one.
+// clampUrgency maps an invalid urgency to the nearest valid one.
 func clampUrgency(u int) int { return min(max(u, 0), highestUrgency) }
 
-// ClassIndex is the index of a job's class, or -1: the first that matches. One that names only
-// an urgency leaves what another names together with that urgency, so that a
-// workload can stand behind the rest of its urgency, too.
+// ClassIndex is the index of a job's class, or -1: the first class that matches. A class
+// that names only an urgency doesn't take workloads that a later class names together
+// with that urgency, so that a workload can rank behind the rest of its urgency.
 func (t *Table) ClassIndex(workload string, urgency int) int {
 	if t == nil {
 		return -1
@@ -254,8 +261,8 @@
 	return first
 }
 
-// Rank is where a job stands; lower goes first. What no class names stands behind the
-// named, by its urgency.
+// Rank is a job's rank; the lowest goes first. Jobs without a class rank behind all
+// classes, by their urgency.
 func (t *Table) Rank(workload string, urgency int) int {
 	if i := t.ClassIndex(workload, urgency); i >= 0 {
 		return i
@@ -263,7 +270,7 @@
 	return t.RankCount() - 1 - clampUrgency(urgency)
 }
 
-// RankCount is one more than the last place.
+// RankCount is the number of ranks.
 func (t *Table) RankCount() int {
 	if t == nil {
 		return len(Urgencies)
@@ -271,8 +278,8 @@
 	return len(t.classes) + len(Urgencies)
 }
 
-// WaitBound is how long a job may wait behind others, and the part of the room that it
-// then takes before all others; 0 is the built-in default.
+// WaitBound returns the WaitBound and the ReservedFraction of a job's class; 0 means the
+// default.
 func (t *Table) WaitBound(workload string, urgency int) (time.Duration, float64) {
 	if i := t.ClassIndex(workload, urgency); i >= 0 {
 		return t.classes[i].WaitBound, t.classes[i].ReservedFraction
@@ -280,7 +287,7 @@
 	return 0, 0
 }
 
-// ClassName is what people call a job's place.
+// ClassName is the name of a job's class, or its urgency in parentheses.
 func (t *Table) ClassName(workload string, urgency int) string {
 	if i := t.ClassIndex(workload, urgency); i >= 0 {
 		return t.classes[i].Name
@@ -288,29 +295,29 @@
 	return "(" + Urgencies[clampUrgency(urgency)] + ")"
 }
 
-// Warnings are what may well be a mistake and is no reason to refuse: an urgency for work
-// that must go first and that no class names, and names that no job can come to.
+// Warnings are what is valid but probably a mistake: a high urgency without a class, and
+// workloads that an earlier class takes.
 func (r Record) Warnings() []string {
-	var out []string
+	var warnings []string
 	for u := highestUrgency; Urgencies[u] != "normal"; u-- {
 		if !slices.ContainsFunc(r.Classes, func(c Class) bool { return c.Urgency == Urgencies[u] && len(c.Workloads) == 0 }) {
-			out = append(out, fmt.Sprintf("no class takes all of urgency %s: what is named by none stands behind every class", Urgencies[u]))
+			warnings = append(warnings, fmt.Sprintf("no class takes all of urgency %s: what is named by none stands behind every class", Urgencies[u]))
 		}
 	}
 	for i, c := range r.Classes {
 		for _, w := range c.Workloads {
-			for _, b := range r.Classes[:i] {
-				if (b.Urgency == "" || b.Urgency == c.Urgency) && len(b.Workloads) > 0 && b.matches(strings.TrimSuffix(w, "*")) && (!strings.HasSuffix(w, "*") || b.matchesPrefix(w)) {
-					out = append(out, fmt.Sprintf("class %s: workload %s belongs to class %s, which comes before", c.Name, w, b.Name))
+			for _, earlier := range r.Classes[:i] {
+				if (earlier.Urgency == "" || earlier.Urgency == c.Urgency) && len(earlier.Workloads) > 0 && earlier.matches(strings.TrimSuffix(w, "*")) && (!strings.HasSuffix(w, "*") || earlier.matchesPrefix(w)) {
+					warnings = append(warnings, fmt.Sprintf("class %s: workload %s belongs to class %s, which comes before", c.Name, w, earlier.Name))
 					break
 				}
 			}
 		}
 	}
-	return out
+	return warnings
 }
 
-// matchesPrefix says whether a class has all that begins with a prefix.
+// matchesPrefix says whether a class names all workloads that begin with a prefix.
 func (c *Class) matchesPrefix(prefix string) bool {
 	return slices.ContainsFunc(c.Workloads, func(w string) bool {
 		p, ok := strings.CutSuffix(w, "*")
