--- a/internal/pipeline/criticalpath.go
+++ b/internal/pipeline/criticalpath.go
@@ -2,25 +2,30 @@
 
 import "time"
 
-// Task is what is known of an open job by itself: its urgency, when it is due, zero for
-// no time, and how long it will still take.
+// Task is an open job by itself, without its dependents.
 type Task struct {
 	Urgency int
-	Due     time.Time
+	// Due is when the job has to end; zero for no such time.
+	Due time.Time
+	// RunTime is how long the job still takes.
 	RunTime time.Duration
 }
 
-// CriticalPath is what the jobs behind a job ask of it: the highest urgency of all that need it,
-// when it has to be over at the latest for them to be in time, and the time that the
-// longest path takes from its start to the end of all.
+// CriticalPath is what a job's dependents require of it.
 type CriticalPath struct {
-	Urgency   int
-	Due       time.Time
+	// Urgency is the highest urgency of the job and its dependents.
+	Urgency int
+	// Due is the latest end of the job with which all dependents are in time; zero if
+	// none has to end at some time.
+	Due time.Time
+	// Remaining is the length of the longest path, from the job's start to the end of the
+	// last dependent.
 	Remaining time.Duration
 }
 
-// CriticalPaths are those of all jobs that open jobs need, and the jobs that are on a circle,
-// which only damaged records can show: what comes behind these counts for nobody.
+// CriticalPaths returns the paths of all jobs with open dependents, by job. cycle has the
+// jobs that depend on themselves, which only damaged records can cause; the dependents of
+// these are ignored.
 func (g *Graph) CriticalPaths(task func(id string) (Task, bool)) (paths map[string]CriticalPath, cycle []string) {
 	walker := pathWalker{graph: g, task: task, paths: map[string]CriticalPath{}, visiting: map[string]bool{}}
 	for id, j := range g.jobs {
@@ -39,7 +44,8 @@
 	cycle    map[string]bool
 }
 
-// visit is the one of a job; ok is false if nothing is known of it or it is on a circle.
+// visit returns a job's path. ok is false if the job isn't known or is being visited, which
+// makes it part of a cycle.
 func (w *pathWalker) visit(id string) (p CriticalPath, ok bool) {
 	if p, ok := w.paths[id]; ok {
 		return p, true
@@ -68,8 +74,8 @@
 		}
 		p.Urgency = max(p.Urgency, next.Urgency)
 		p.Remaining = max(p.Remaining, t.RunTime+next.Remaining)
-		then, _ := w.task(dependent)
-		if by := next.Due.Add(-then.RunTime); !next.Due.IsZero() && (p.Due.IsZero() || by.Before(p.Due)) {
+		dependentTask, _ := w.task(dependent)
+		if by := next.Due.Add(-dependentTask.RunTime); !next.Due.IsZero() && (p.Due.IsZero() || by.Before(p.Due)) {
 			p.Due = by
 		}
 	}
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -7,18 +7,18 @@
 	"strings"
 )
 
-// Names of jobs are kept in one string, so that some hundred fit a record: those that end
-// with a number by what stands before it, its number of digits, the first and the steps to
-// the next in base 36, and the others as they are. In what a name may consist of there
-// are none of the marks used here.
+// Names of jobs are encoded as one string, so that hundreds of them fit into a record.
+// Names that end with a number are grouped by their prefix and number of digits; the first
+// number and the steps to the following ones are in base 36. Other names stand as they
+// are. No name may contain the marks.
 const (
 	groupMark = ";"
 	partMark  = ":"
 	stepMark  = "."
 	wholeMark = "~"
 	radix     = 36
-	// maxDigits bounds the digits of a number, which has to fit 64 bits, and maxSteps
-	// the names that a string is read as.
+	// maxDigits bounds the digits of a number, which has to fit into 64 bits, and maxSteps
+	// the names of one group.
 	maxDigits = 18
 	maxSteps  = 100_000
 )
@@ -29,32 +29,33 @@
 	value  uint64
 }
 
-// EncodeNames is a list of names as one string. Their order is not kept.
+// EncodeNames encodes a list of names as one string. It doesn't keep their order.
 func EncodeNames(names []string) string {
-	var ns []numberedName
+	var numbered []numberedName
 	var groups []string
 	for _, name := range names {
-		if x, ok := parseNumbered(name); ok {
-			ns = append(ns, x)
+		if n, ok := parseNumbered(name); ok {
+			numbered = append(numbered, n)
 		} else {
 			groups = append(groups, wholeMark+name)
 		}
 	}
 	slices.Sort(groups)
-	slices.SortFunc(ns, func(a, b numberedName) int {
+	slices.SortFunc(numbered, func(a, b numberedName) int {
 		return cmp.Or(strings.Compare(a.prefix, b.prefix), cmp.Compare(a.digits, b.digits), cmp.Compare(a.value, b.value))
 	})
-	for i := 0; i < len(ns); {
-		first := ns[i]
+	for i := 0; i < len(numbered); {
+		first := numbered[i]
 		text := first.prefix + partMark + strconv.Itoa(first.digits) + partMark + strconv.FormatUint(first.value, radix)
-		for i++; i < len(ns) && ns[i].prefix == first.prefix && ns[i].digits == first.digits; i++ {
-			text += stepMark + strconv.FormatUint(ns[i].value-ns[i-1].value, radix)
+		for i++; i < len(numbered) && numbered[i].prefix == first.prefix && numbered[i].digits == first.digits; i++ {
+			text += stepMark + strconv.FormatUint(numbered[i].value-numbered[i-1].value, radix)
 		}
 		groups = append(groups, text)
 	}
 	return strings.Join(groups, groupMark)
 }
 
+// parseNumbered splits a name that ends with a number; ok is false for any other.
 func parseNumbered(name string) (numberedName, bool) {
 	prefix := strings.TrimRight(name, "0123456789")
 	digits := len(name) - len(prefix)
@@ -65,7 +66,7 @@
 	return numberedName{prefix, digits, value}, err == nil
 }
 
-// DecodeNames is the list that a string stands for, sorted; ok is false if it stands for none.
+// DecodeNames decodes what EncodeNames returned, sorted. ok is false for an invalid string.
 func DecodeNames(s string) (names []string, ok bool) {
 	if s == "" {
 		return nil, true
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,65 +1,71 @@
-// Package pipeline keeps the graph of open jobs and the jobs that they need: which of
-// them wait, which are cancelled since one before them is, and what has to be read to
-// tell. It has no clock and sends nothing. A graph is a pure function of what the
-// records say, in whatever order that comes: done and cancelled are for good, so nothing
-// that it told can become untrue.
+// Package pipeline keeps the graph of open jobs and their dependencies: which jobs wait,
+// which are cancelled because a dependency is, and which records have to be read to
+// decide that. It has no clock and sends nothing. A graph is a function of the records'
+// content, in whatever order that arrives: done and cancelled are final, so no change
+// that the graph has reported is ever revoked.
 package pipeline
 
 import "slices"
 
-// State is what the records say of a job.
+// State is a job's state by its record.
 type State uint8
 
-// The states of a job. Unknown: its record has to be read; Missing: it was read, and says
-// that the job was never accepted, which only a damaged record can lead to.
 const (
+	// Unknown means that the job's record has to be read.
 	Unknown State = iota
+	// Missing means that the job was never accepted, so that the record that names it is
+	// damaged.
 	Missing
+	// Open jobs have not ended.
 	Open
+	// Done jobs have all tasks done. This state is final.
 	Done
+	// Cancelled jobs were cancelled. This state is final.
 	Cancelled
 )
 
 // Final says that a state never changes again.
 func (s State) Final() bool { return s == Done || s == Cancelled }
 
-// job is one that needs others or that others need.
+// job is a job with dependencies or dependents.
 type job struct {
 	state State
-	// open: it is an open job, whose needs are those that its record names.
+	// isOpen says that the job was Put, with its dependencies.
 	isOpen       bool
 	dependencies []string
 	dependents   map[string]bool
-	// pending counts its needs that are not done.
+	// pending counts the dependencies that are not done.
 	pending int
-	// cancelled: it is, or one that it needs, directly or through others.
+	// cancelled says that the job or one of its direct or indirect dependencies is.
 	cancelled bool
 }
 
-// Graph has the open jobs that need others, and what they need.
+// Graph holds the open jobs that have dependencies, and these. It isn't safe for
+// concurrent use.
 type Graph struct {
 	jobs map[string]*job
-	// lookupState tells what is known of a job that is named for the first time.
+	// lookupState returns the known state of a job that is new to the graph.
 	lookupState func(id string) State
-	// unknownCount counts the jobs of which nothing is known.
+	// unknownCount counts the jobs in state Unknown.
 	unknownCount int
 }
 
-// Change is a job that has become cancelled by another's cancellation, or free to start.
+// Change reports a job that became cancelled by a dependency's cancellation, or else one
+// that is released: all of its dependencies are done.
 type Change struct {
 	ID        string
 	Cancelled bool
 }
 
-// New is an empty graph; state tells what is known of a job that is named for the first
-// time.
+// New returns an empty graph. lookupState returns the known state of a job that is new to
+// the graph.
 func New(lookupState func(id string) State) *Graph {
 	return &Graph{jobs: map[string]*job{}, lookupState: lookupState}
 }
 
-// Put takes in an open job with what it needs, and returns what that changes: the job
-// itself, if it is cancelled or free at once. What a job needs never changes, so that a
-// repeat has no effect.
+// Put enters an open job with its dependencies. It returns the job, if it is cancelled or
+// released at once, and the dependents that are cancelled with it. Dependencies never
+// change: a repeated call has no effect.
 func (g *Graph) Put(id string, dependencies []string) []Change {
 	if len(dependencies) == 0 || g.jobs[id] != nil && g.jobs[id].isOpen {
 		return nil
@@ -69,11 +75,11 @@
 	if !j.state.Final() {
 		g.applyState(j, Open)
 	}
-	lost := false
-	for _, p := range dependencies {
-		dependency := g.ensure(p)
+	dependencyCancelled := false
+	for _, name := range dependencies {
+		dependency := g.ensure(name)
 		dependency.dependents[id] = true
-		lost = lost || dependency.cancelled
+		dependencyCancelled = dependencyCancelled || dependency.cancelled
 		if dependency.state != Done {
 			j.pending++
 		}
@@ -81,7 +87,7 @@
 	switch {
 	case j.state == Done || j.cancelled:
 		return nil
-	case lost:
+	case dependencyCancelled:
 		return append([]Change{{id, true}}, g.cancelDependents(id)...)
 	case j.pending == 0:
 		return []Change{{ID: id}}
@@ -89,7 +95,7 @@
 	return nil
 }
 
-// ensure is the job of that name, which enters the graph if it is new to it.
+// ensure returns a job, which it enters if it is new to the graph.
 func (g *Graph) ensure(id string) *job {
 	j := g.jobs[id]
 	if j == nil {
@@ -103,6 +109,7 @@
 	return j
 }
 
+// applyState sets a job's state and counts unknown ones.
 func (g *Graph) applyState(j *job, s State) {
 	if j.state == Unknown {
 		g.unknownCount--
@@ -112,8 +119,8 @@
 	}
 }
 
-// SetState takes in what the records say of a job, and returns what that changes for those
-// that need it. A job that nobody needs is none of the graph's.
+// SetState sets a job's state and returns the changes of its dependents. A job that isn't
+// in the graph is ignored.
 func (g *Graph) SetState(id string, s State) []Change {
 	j := g.jobs[id]
 	if j == nil || j.state == s || j.state.Final() {
@@ -126,17 +133,18 @@
 	case s != Done || j.cancelled:
 		return nil
 	}
-	var out []Change
+	var changes []Change
 	for _, dependent := range sortedIDs(j.dependents) {
 		next := g.jobs[dependent]
 		if next.pending--; next.pending == 0 && !next.cancelled {
-			out = append(out, Change{ID: dependent})
+			changes = append(changes, Change{ID: dependent})
 		}
 	}
-	return out
+	return changes
 }
 
-// cancelDependents marks a job and all behind it, and returns these.
+// cancelDependents marks a job and all of its direct and indirect dependents as cancelled,
+// and returns the dependents.
 func (g *Graph) cancelDependents(id string) []Change {
 	var out []Change
 	g.jobs[id].cancelled = true
@@ -154,24 +162,24 @@
 	return out
 }
 
-// Remove takes a job out of the open ones. What it needed and nobody else does is
-// forgotten; what became of itself Set tells.
+// Remove removes a job from the open ones, and drops dependencies that no other job has.
+// SetState reports how the job ended.
 func (g *Graph) Remove(id string) {
 	j := g.jobs[id]
 	if j == nil {
 		return
 	}
-	for _, p := range j.dependencies {
-		if before := g.jobs[p]; before != nil {
-			delete(before.dependents, id)
-			g.forget(p)
+	for _, name := range j.dependencies {
+		if dependency := g.jobs[name]; dependency != nil {
+			delete(dependency.dependents, id)
+			g.forget(name)
 		}
 	}
 	j.isOpen, j.dependencies, j.pending = false, nil, 0
 	g.forget(id)
 }
 
-// forget drops a job that is neither open nor needed.
+// forget drops a job that is neither open nor a dependency.
 func (g *Graph) forget(id string) {
 	j := g.jobs[id]
 	if j == nil || j.isOpen || len(j.dependents) > 0 {
@@ -183,19 +191,20 @@
 	delete(g.jobs, id)
 }
 
-// IsCancelled says whether a job is, by its own record or by that of one before it.
+// IsCancelled says whether a job or one of its direct or indirect dependencies is
+// cancelled.
 func (g *Graph) IsCancelled(id string) bool {
 	j := g.jobs[id]
 	return j != nil && j.cancelled
 }
 
-// IsReleased says whether all that a job needs is done.
+// IsReleased says whether all dependencies of a job are done.
 func (g *Graph) IsReleased(id string) bool {
 	j := g.jobs[id]
 	return j == nil || !j.isOpen || j.pending == 0 && !j.cancelled
 }
 
-// Dependents are the open jobs that need a job.
+// Dependents are the open jobs that depend directly on a job, sorted.
 func (g *Graph) Dependents(id string) []string {
 	if j := g.jobs[id]; j != nil {
 		return sortedIDs(j.dependents)
@@ -203,58 +212,58 @@
 	return nil
 }
 
-// PendingDependencies are those of a job's needs that are not done.
+// PendingDependencies are the dependencies of a job that are not done.
 func (g *Graph) PendingDependencies(id string) []string {
 	j := g.jobs[id]
 	if j == nil {
 		return nil
 	}
-	var out []string
-	for _, p := range j.dependencies {
-		if g.jobs[p].state != Done {
-			out = append(out, p)
+	var pending []string
+	for _, name := range j.dependencies {
+		if g.jobs[name].state != Done {
+			pending = append(pending, name)
 		}
 	}
-	return out
+	return pending
 }
 
-// Unresolved are the jobs of which nothing is known and without which it can't be told
-// whether a job is cancelled. Near: only those that it needs itself.
+// Unresolved are the jobs whose records have to be read to decide whether a job is
+// cancelled: its unknown dependencies, direct and indirect, or directOnly.
 func (g *Graph) Unresolved(id string, directOnly bool) []string {
 	j := g.jobs[id]
 	if g.unknownCount == 0 || j == nil || j.cancelled {
 		return nil
 	}
-	var out []string
+	var unresolved []string
 	seen := map[string]bool{id: true}
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		for _, p := range g.jobs[queue[0]].dependencies {
-			if seen[p] {
+		for _, name := range g.jobs[queue[0]].dependencies {
+			if seen[name] {
 				continue
 			}
-			seen[p] = true
-			if g.jobs[p].state == Unknown {
-				out = append(out, p)
+			seen[name] = true
+			if g.jobs[name].state == Unknown {
+				unresolved = append(unresolved, name)
 			} else if !directOnly {
-				queue = append(queue, p)
+				queue = append(queue, name)
 			}
 		}
 	}
-	return out
+	return unresolved
 }
 
-// HasDependencies says whether any job needs another.
+// HasDependencies says whether any job has dependencies.
 func (g *Graph) HasDependencies() bool { return len(g.jobs) > 0 }
 
-// WaitingCount counts the open jobs that wait for others.
+// WaitingCount is the number of open jobs that wait for dependencies.
 func (g *Graph) WaitingCount() int {
-	some := 0
+	count := 0
 	for _, j := range g.jobs {
 		if j.isOpen && j.pending > 0 && !j.cancelled {
-			some++
+			count++
 		}
 	}
-	return some
+	return count
 }
 
 func sortedIDs(set map[string]bool) []string {
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is all jobs ever accepted, and what became of them: the plain form of the graph.
+// model holds all jobs ever accepted and their states: the graph in its simplest form.
 type model struct {
 	dependencies map[string][]string
 	actual       map[string]State
@@ -31,9 +31,9 @@
 
 func (m *model) urgency(id string) int {
 	u := len(id) + int(id[len(id)-1])%4
-	for after, needs := range m.dependencies {
-		if m.known[after] == Open && !m.cancelled(after) && slices.Contains(needs, id) {
-			u = max(u, m.urgency(after))
+	for dependent, dependencies := range m.dependencies {
+		if m.known[dependent] == Open && !m.cancelled(dependent) && slices.Contains(dependencies, id) {
+			u = max(u, m.urgency(dependent))
 		}
 	}
 	return u
@@ -41,108 +41,128 @@
 
 func (m *model) remaining(id string) time.Duration {
 	rest := time.Duration(0)
-	for after, needs := range m.dependencies {
-		if m.known[after] == Open && !m.cancelled(after) && slices.Contains(needs, id) {
-			rest = max(rest, m.remaining(after))
+	for dependent, dependencies := range m.dependencies {
+		if m.known[dependent] == Open && !m.cancelled(dependent) && slices.Contains(dependencies, id) {
+			rest = max(rest, m.remaining(dependent))
 		}
 	}
 	return rest + time.Second
 }
 
-// TestGraph: whatever order jobs come, end and are cancelled in, and whatever is known of
-// them only later, the graph says the same as a look through all jobs.
-func TestGraph(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		m := model{map[string][]string{}, map[string]State{}, map[string]State{}}
-		g := New(func(id string) State { return m.known[id] })
-		cancelled, released := map[string]bool{}, map[string]bool{}
-		told := func(cs []Change) {
-			for _, c := range cs {
-				if c.Cancelled {
-					cancelled[c.ID] = true
-				} else {
-					released[c.ID] = true
-				}
-			}
+// graphModel runs the same actions on a graph and on the model.
+type graphModel struct {
+	model
+	graph *Graph
+	// cancelledSeen and releasedSeen are the jobs that the graph has reported.
+	cancelledSeen, releasedSeen map[string]bool
+}
+
+func (m *graphModel) note(changes []Change) {
+	for _, change := range changes {
+		if change.Cancelled {
+			m.cancelledSeen[change.ID] = true
+		} else {
+			m.releasedSeen[change.ID] = true
 		}
-		pick := func(t *rapid.T) string {
-			return fmt.Sprint("job-", rapid.IntRange(0, max(0, len(m.dependencies)-1)).Draw(t, "job"))
+	}
+}
+
+func (m *graphModel) pick(t *rapid.T) string {
+	return fmt.Sprint("job-", rapid.IntRange(0, max(0, len(m.dependencies)-1)).Draw(t, "job"))
+}
+
+func (m *graphModel) submit(t *rapid.T) {
+	id := fmt.Sprint("job-", len(m.dependencies))
+	var dependencies []string
+	for range rapid.IntRange(0, min(3, len(m.dependencies))).Draw(t, "needs") {
+		if name := m.pick(t); !slices.Contains(dependencies, name) {
+			dependencies = append(dependencies, name)
 		}
-		over := func(id string, s State) {
-			m.actual[id] = s
-			seen := rapid.Bool().Draw(t, "seen")
-			switch {
-			case seen || m.cancelled(id):
-				// What has been told of a job's end stays known.
-				m.known[id] = s
-			default:
-				m.known[id] = Unknown
-			}
-			if !seen {
-				s = Unknown
-			}
-			told(g.SetState(id, s))
-			g.Remove(id)
+	}
+	m.dependencies[id], m.actual[id], m.known[id] = dependencies, Open, Open
+	m.note(m.graph.Put(id, dependencies))
+}
+
+// end ends a job. Whether the graph learns its state at once is drawn.
+func (m *graphModel) end(t *rapid.T, id string, state State) {
+	m.actual[id] = state
+	seen := rapid.Bool().Draw(t, "seen")
+	if seen || m.cancelled(id) {
+		// What has been reported of a job's end stays known.
+		m.known[id] = state
+	} else {
+		m.known[id] = Unknown
+	}
+	if !seen {
+		state = Unknown
+	}
+	m.note(m.graph.SetState(id, state))
+	m.graph.Remove(id)
+}
+
+// check compares the graph to the model.
+func (m *graphModel) check(t *rapid.T) {
+	paths, cycle := m.graph.CriticalPaths(func(id string) (Task, bool) {
+		return Task{Urgency: len(id) + int(id[len(id)-1])%4, RunTime: time.Second}, m.known[id] == Open
+	})
+	if len(cycle) > 0 {
+		t.Fatalf("got a cycle of %v, want none", cycle)
+	}
+	for id := range m.dependencies {
+		if m.known[id] == Open {
+			m.checkJob(t, id, paths)
 		}
+	}
+	for id, j := range m.graph.jobs {
+		if !j.isOpen && len(j.dependents) == 0 {
+			t.Fatalf("%s is in the graph, though it is neither open nor a dependency", id)
+		}
+	}
+}
+
+func (m *graphModel) checkJob(t *rapid.T, id string, paths map[string]CriticalPath) {
+	cancelled, released := m.cancelled(id), m.released(id)
+	if len(m.dependencies[id]) > 0 {
+		if got := m.graph.IsCancelled(id); got != cancelled || cancelled && !m.cancelledSeen[id] {
+			t.Fatalf("%s: got cancelled %v, reported %v; want %v", id, got, m.cancelledSeen[id], cancelled)
+		}
+		if got := m.graph.IsReleased(id); got != released || released != m.releasedSeen[id] && !cancelled {
+			t.Fatalf("%s: got released %v, reported %v; want %v", id, got, m.releasedSeen[id], released)
+		}
+		if !cancelled && len(m.graph.Unresolved(id, false)) == 0 && hasUnknownDependency(&m.model, id) {
+			t.Fatalf("%s: got nothing unresolved, want its unknown dependencies", id)
+		}
+	}
+	if path, ok := paths[id]; ok && (path.Urgency != m.urgency(id) || path.Remaining != m.remaining(id)) {
+		t.Fatalf("%s: got %v, want urgency %d, %v remaining", id, path, m.urgency(id), m.remaining(id))
+	}
+}
+
+// TestGraph: in whatever order jobs come, end and are cancelled, and whatever is known of
+// them only later, the graph agrees with a search of all jobs.
+func TestGraph(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := &graphModel{model: model{map[string][]string{}, map[string]State{}, map[string]State{}}, cancelledSeen: map[string]bool{}, releasedSeen: map[string]bool{}}
+		m.graph = New(func(id string) State { return m.known[id] })
 		t.Repeat(map[string]func(*rapid.T){
-			"submit": func(t *rapid.T) {
-				id := fmt.Sprint("job-", len(m.dependencies))
-				var needs []string
-				for range rapid.IntRange(0, min(3, len(m.dependencies))).Draw(t, "needs") {
-					if p := pick(t); !slices.Contains(needs, p) {
-						needs = append(needs, p)
-					}
-				}
-				m.dependencies[id], m.actual[id], m.known[id] = needs, Open, Open
-				told(g.Put(id, needs))
-			},
+			"submit": m.submit,
 			"end": func(t *rapid.T) {
-				if id := pick(t); m.actual[id] == Open && m.released(id) {
-					over(id, Done)
+				if id := m.pick(t); m.actual[id] == Open && m.released(id) {
+					m.end(t, id, Done)
 				}
 			},
 			"cancel": func(t *rapid.T) {
-				if id := pick(t); m.actual[id] == Open {
-					over(id, Cancelled)
+				if id := m.pick(t); m.actual[id] == Open {
+					m.end(t, id, Cancelled)
 				}
 			},
 			"read": func(t *rapid.T) {
-				if id := pick(t); m.known[id] == Unknown {
+				if id := m.pick(t); m.known[id] == Unknown {
 					m.known[id] = m.actual[id]
-					told(g.SetState(id, m.actual[id]))
-				}
-			},
-			"": func(t *rapid.T) {
-				paths, circle := g.CriticalPaths(func(id string) (Task, bool) {
-					return Task{Urgency: len(id) + int(id[len(id)-1])%4, RunTime: time.Second}, m.known[id] == Open
-				})
-				if len(circle) > 0 {
-					t.Fatalf("a circle of %v", circle)
-				}
-				for id := range m.dependencies {
-					if m.known[id] != Open {
-						continue
-					}
-					if len(m.dependencies[id]) > 0 && (g.IsCancelled(id) != m.cancelled(id) || m.cancelled(id) && !cancelled[id]) {
-						t.Fatalf("%s: cancelled %v, told %v, want %v", id, g.IsCancelled(id), cancelled[id], m.cancelled(id))
-					}
-					if len(m.dependencies[id]) > 0 && (g.IsReleased(id) != m.released(id) || m.released(id) != released[id] && !m.cancelled(id)) {
-						t.Fatalf("%s: released %v, told %v, want %v", id, g.IsReleased(id), released[id], m.released(id))
-					}
-					unread := g.Unresolved(id, false)
-					if !m.cancelled(id) && len(unread) == 0 && len(m.dependencies[id]) > 0 && hasUnknownDependency(&m, id) {
-						t.Fatalf("%s: nothing is to be read", id)
-					}
-					if p, some := paths[id]; some && (p.Urgency != m.urgency(id) || p.Remaining != m.remaining(id)) {
-						t.Fatalf("%s: %v, want urgency %d, %v left", id, p, m.urgency(id), m.remaining(id))
-					}
-				}
-				for id, j := range g.jobs {
-					if !j.isOpen && len(j.dependents) == 0 {
-						t.Fatalf("%s is kept for nobody", id)
-					}
+					m.note(m.graph.SetState(id, m.actual[id]))
 				}
 			},
+			"": m.check,
 		})
 	})
 }
@@ -153,26 +173,26 @@
 	})
 }
 
-// TestCycle: records that show a circle wait for ever, and are told of; what else there
-// is goes on, and a cancellation comes through.
+// TestCycle: jobs on a cycle wait for ever and are reported; other jobs go on, and
+// cancellations take effect.
 func TestCycle(t *testing.T) {
 	g := New(func(string) State { return Unknown })
 	for id, needs := range map[string][]string{"a": {"c"}, "b": {"a"}, "c": {"b"}, "d": {"x"}} {
 		g.Put(id, needs)
 	}
-	if _, circle := g.CriticalPaths(func(string) (Task, bool) { return Task{}, true }); len(circle) == 0 {
-		t.Error("no circle is told")
+	if _, cycle := g.CriticalPaths(func(string) (Task, bool) { return Task{}, true }); len(cycle) == 0 {
+		t.Error("got no cycle, want one")
 	}
 	if got := g.SetState("x", Done); !reflect.DeepEqual(got, []Change{{ID: "d"}}) {
-		t.Errorf("what needs x: %v", got)
+		t.Errorf("dependents of x: got %v, want d released", got)
 	}
 	if got := g.SetState("b", Cancelled); len(got) != 2 || g.IsReleased("a") || !g.IsCancelled("a") {
-		t.Errorf("behind b: %v", got)
+		t.Errorf("dependents of b: got %v, want both cancelled", got)
 	}
 }
 
-// TestLatestFinish: a job has to be over when the earliest of its own time and those of all behind
-// it asks for it, less what has to follow.
+// TestLatestFinish: a job is due by its own time and those of all dependents, less their
+// run times.
 func TestLatestFinish(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	tasks := map[string]Task{
@@ -189,19 +209,19 @@
 		"b": {Due: now.Add(80 * time.Second), Remaining: 30 * time.Second},
 	} {
 		if paths[id] != want {
-			t.Errorf("%s: %v, want %v", id, paths[id], want)
+			t.Errorf("%s: got %v, want %v", id, paths[id], want)
 		}
 	}
 }
 
-// TestNames: names come back from their short form, whatever they are, and those of jobs
-// submitted one after another take little.
+// TestNames: any names can be encoded and decoded, and those of jobs submitted one after
+// another take few bytes.
 func TestNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`job-[0-9A-Za-z_-]{1,24}|job-0{0,3}[0-9]{1,6}`), 0, 40, rapid.ID[string]).Draw(t, "names")
 		slices.Sort(names)
 		if got, ok := DecodeNames(EncodeNames(names)); !ok || !slices.Equal(got, names) {
-			t.Fatalf("%q comes back as %q", names, got)
+			t.Fatalf("got %q, %v; want %q", got, ok, names)
 		}
 	})
 	var many []string
@@ -209,11 +229,11 @@
 		many = append(many, fmt.Sprintf("job-%06d", 1000+17*i))
 	}
 	if size := len(EncodeNames(many)); size > 1100 {
-		t.Errorf("500 names take %d bytes", size)
+		t.Errorf("got %d bytes for 500 names, want 1100 at most", size)
 	}
 	for _, bad := range []string{":", "a:b:c", "job-:6:", "job-:6:zzzzzzzzzzzzzzzzz", "job-:0:1", "job-:1:z", ";", "job-:6:-1"} {
 		if got, ok := DecodeNames(bad); ok {
-			t.Errorf("%q is read as %q", bad, got)
+			t.Errorf("%q: got %q, want it refused", bad, got)
 		}
 	}
 }
