--- a/internal/lab/scale/fit.go
+++ b/internal/lab/scale/fit.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// Fit is a straight line, or a plane, through measured points, by least squares.
+// Fit is a line, or a plane, through measured points by least squares.
 type Fit struct {
+	// Figure names what was fitted.
 	Figure    string    `json:"of"`
 	Intercept float64   `json:"base"`
 	Slopes    []float64 `json:"slopes"`
-	// Residual is the root of the mean square of what the fit misses, and Points how many
-	// it was made of.
+	// Residual is the root mean square of the residuals, and Points their number.
 	Residual float64 `json:"residual"`
 	Points   int     `json:"points"`
 }
 
-// Predict is what the fit says of a place.
+// Predict returns the fitted value at x, which has an element for each slope.
 func (f *Fit) Predict(x ...float64) float64 {
 	y := f.Intercept
 	for i, s := range f.Slopes {
@@ -22,18 +22,18 @@
 	return y
 }
 
-// minPivot is how small a pivot is, against the largest, that shows that the points do not
-// tell two slopes from each other.
+// minPivot is the least pivot of the scaled normal equations, for each of their rows. Below
+// it the columns are taken to be linearly dependent.
 const minPivot = 1e-9
 
-// FitLine fits y to the columns of x. It is false when there are too few points, or they lie
-// so that they don't tell the slopes apart.
+// FitLine fits y to the columns of x. It returns false if there are too few points, or if
+// the columns are linearly dependent, so that the slopes are not determined.
 func FitLine(figure string, x [][]float64, y []float64) (Fit, bool) {
 	if len(y) == 0 || len(y) <= len(x[0])+1 {
 		return Fit{}, false
 	}
 	size := len(x[0]) + 1
-	// Columns are brought to a like size, or else a pivot says nothing.
+	// The columns are scaled to the same size, so that pivots can be compared with minPivot.
 	scale := make([]float64, size)
 	scale[0] = 1
 	for _, row := range x {
@@ -75,7 +75,9 @@
 	return out, true
 }
 
-// solveInPlace solves the equations in place.
+// solveInPlace solves linear equations, given as rows with the right side in the last
+// column, by Gauss-Jordan elimination. The solution replaces the last column. It returns
+// false if the equations are singular.
 func solveInPlace(m [][]float64) bool {
 	size := len(m)
 	for column := range size {
--- a/internal/lab/scale/plan.go
+++ b/internal/lab/scale/plan.go
@@ -1,5 +1,5 @@
-// Package scale runs clusters of growing size on loopback, real controllers and hollow
-// workers, and measures what each role takes, so that slopes can be told from counts.
+// Package scale measures what controllers of each role take in clusters of growing size on
+// loopback, with real controllers and simulated workers, and fits lines through the results.
 package scale
 
 import (
@@ -13,57 +13,63 @@
 	"github.com/micahill/micahill/internal/lab/fleet"
 )
 
-// Plan is one rung: a cluster, and the work that it is given.
+// Plan describes one measurement: a cluster and its workload.
 type Plan struct {
 	Workers, Controllers, Teams int
-	// StartsPerSecond of tasks a second, in jobs of so many Tasks, each of so long.
+	// StartsPerSecond is the rate of task starts. They come in jobs of Tasks tasks that run
+	// for TaskRunTime each.
 	StartsPerSecond float64
 	Tasks           int
 	TaskRunTime     time.Duration
-	// Duration is how long it is measured, after all workers report.
-	Duration time.Duration
-	// HeartbeatInterval is how often workers report, and Requests and Changes what the state
-	// service takes a second.
-	HeartbeatInterval       time.Duration
+	// Duration is how long is measured, after all workers are up.
+	Duration          time.Duration
+	HeartbeatInterval time.Duration
+	// StateRPS and StateWriteRPS are the requests and the writes a second that the state
+	// service takes.
 	StateRPS, StateWriteRPS float64
-	// ChangeEvery is how often the ranking is changed; 0: it is off.
+	// ChangeEvery is the pause between changes of the ranking; 0 leaves the ranking off.
 	ChangeEvery time.Duration
-	// LostWorkers is how many workers are lost at once after the measurement.
+	// LostWorkers is how many workers are killed at once after the measurement.
 	LostWorkers int
-	// Takeover: a controller is ended at the end.
+	// Takeover says that a controller is killed at the end.
 	Takeover bool
-	// Program is the controllers', and Dir an empty folder.
+	// Program is the path of the controller's executable, and Dir an empty directory.
 	Program, Dir string
-	EnableFiles  []string
-	// Progress is where progress goes.
+	// EnableFiles are passed to the controllers with --enable.
+	EnableFiles []string
+	// Progress receives lines of text about the progress.
 	Progress io.Writer
 }
 
-// What a rung may take, and what a worker and a controller are reckoned with before
-// anything starts: files on this side are a listener, the connection of its reports and
-// one of orders; memory is generous, and looked at again while it runs.
+// Limits of a measurement, and the resources that workers and controllers are expected to
+// take, which are checked before anything starts. The estimates of memory are generous;
+// checkAlive checks the memory again during the measurement.
 const (
-	maxControllers  = 19
-	maxWorkers      = 12000
-	maxDuration     = 15 * time.Minute
-	filesPerWorker  = 3
+	maxControllers = 19
+	maxWorkers     = 12000
+	maxDuration    = 15 * time.Minute
+	// filesPerWorker are a listener, the connection of its heartbeats and that of its
+	// commands.
+	filesPerWorker = 3
+	// spareFiles are left for everything that is not a worker.
 	spareFiles      = 300
 	mbPerWorker     = 0.2
 	mbPerController = 60
-	// mbPerOwnedWorker is what a controller takes for each worker that it owns.
+	// mbPerOwnedWorker is what the shard leader of a worker takes for it.
 	mbPerOwnedWorker = 0.12
-	// memoryFraction of the machine's memory is the most that all may take.
+	// memoryFraction is the part of the machine's memory that all processes may take.
 	memoryFraction = 0.5
 )
 
-// ErrPlan is wrapped by every error of a plan that can't work.
+// ErrPlan is wrapped by the error of a plan that is out of its limits.
 var ErrPlan = errors.New("scale")
 
 func planError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrPlan, fmt.Sprintf(format, args...))
 }
 
-// Validate says what is wrong with a plan, before anything starts.
+// Validate checks a plan, and what it needs against the limits of this machine. Errors name
+// the flag of the command line to change.
 func (p *Plan) Validate() error {
 	switch {
 	case p.Workers < 1 || p.Workers > maxWorkers:
@@ -106,12 +112,13 @@
 	return nil
 }
 
+// memoryMB estimates the memory of all processes.
 func (p *Plan) memoryMB() float64 {
 	n, w := float64(p.Controllers), float64(p.Workers)
 	return w*mbPerWorker + n*mbPerController + w*mbPerOwnedWorker
 }
 
-// availableMemoryMB is half of the memory that is there for new work.
+// availableMemoryMB returns the part of the available memory that a measurement may take.
 func availableMemoryMB() (float64, error) {
 	m, err := readNumericFields("/proc/meminfo")
 	if err != nil {
@@ -120,7 +127,7 @@
 	return memoryFraction * m["MemAvailable"] / 1024, nil
 }
 
-// Worker hosts have room for one large task that stands, and maxArrayTasksPerWorker small ones.
+// A machine has capacity for one task of a service and maxArrayTasksPerWorker of arrays.
 const (
 	machineCPUs            = 4
 	serviceTaskCPUs        = 3
@@ -128,7 +135,7 @@
 	maxArrayTasksPerWorker = 10
 )
 
-// deployment is what the controllers are told. Their own share of the processor is one core.
+// deployment returns the environment of the cluster. Each controller has a quota of one core.
 func (p *Plan) deployment() *fleet.Deployment {
 	deployment := fleet.DefaultDeployment()
 	deployment.Teams = nil
@@ -141,7 +148,7 @@
 	return &deployment
 }
 
-// heartbeatsPerLease is how many reports a lease lasts.
+// heartbeatsPerLease is the worker lease in heartbeat intervals.
 const heartbeatsPerLease = 6
 
 func teamName(i int) string { return fmt.Sprintf("team-%03d", i) }
--- a/internal/lab/scale/proc.go
+++ b/internal/lab/scale/proc.go
@@ -7,18 +7,20 @@
 	"strings"
 )
 
-// clockTicks is how many of /proc's ticks a second has; Linux shows 100 everywhere.
+// clockTicks is the clock ticks a second in /proc, which is 100 on all architectures that
+// Linux supports (USER_HZ, see proc(5)).
 const clockTicks = 100
 
-// processStats is what the system says of a process.
+// processStats is what /proc shows of a process.
 type processStats struct {
 	cpuSeconds         float64
 	rssMB, peakMB      float64
 	openFiles, threads int
-	// ended: it is no more, or only waits to be noticed.
+	// exited means that the process has exited, and may not have been waited for.
 	exited bool
 }
 
+// readProcess reads /proc for a process. A process that has gone is an error, with exited set.
 func readProcess(pid int) (processStats, error) {
 	var stats processStats
 	dir := fmt.Sprintf("/proc/%d/", pid)
@@ -26,7 +28,7 @@
 	if err != nil {
 		return processStats{exited: true}, fmt.Errorf("scale: %w", err)
 	}
-	// The name, in brackets, may have blanks in it.
+	// The name of the program comes first, in parentheses, and may contain spaces.
 	_, rest, _ := strings.Cut(string(b), ") ")
 	parts := strings.Fields(rest)
 	if len(parts) < 13 {
@@ -50,7 +52,7 @@
 	return stats, nil
 }
 
-// readNumericFields reads lines such as "VmRSS:  1234 kB".
+// readNumericFields reads the first number of each line such as "VmRSS:  1234 kB" by its name.
 func readNumericFields(path string) (map[string]float64, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/lab/scale/rankingchange.go
+++ b/internal/lab/scale/rankingchange.go
@@ -14,21 +14,21 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// The one record of configuration that controllers follow while they run is the ranking;
-// its changes stand for those of any such record.
+// The ranking is the only configuration record that controllers follow while they run. Its
+// changes measure how long any such record would take to reach them.
 const (
 	maxChangeWait      = 20 * time.Second
 	changePollInterval = 20 * time.Millisecond
 	rankingFile        = "[ranking]\nenabled = true\n"
 )
 
-// rankingTexts are set by turns, each another order.
+// rankingTexts are set in turn. They rank the workloads differently.
 var rankingTexts = [2]string{
 	"[[class]]\nname = \"alerts\"\nworkloads = [\"alert\"]\n[[class]]\nname = \"arrays\"\nworkloads = [\"array\"]\n",
 	"[[class]]\nname = \"alerts\"\nworkloads = [\"alert\"]\n[[class]]\nname = \"standing\"\nworkloads = [\"standing\"]\n",
 }
 
-// enableFiles writes the file that switches the ranking on.
+// enableFiles returns the files to enable, with one for the ranking if the plan changes it.
 func (p *Plan) enableFiles() ([]string, error) {
 	if p.ChangeEvery == 0 {
 		return p.EnableFiles, nil
@@ -40,7 +40,8 @@
 	return append(slices.Clone(p.EnableFiles), name), nil
 }
 
-// changeRanking sets a ranking at a controller, and waits until all say that they have it.
+// changeRanking sets a ranking at a controller, and returns the time until all controllers
+// say that they have it. It returns false if that takes too long or fails.
 func (l *workload) changeRanking(ctx context.Context, n int) (time.Duration, bool) {
 	ctx, cancel := context.WithTimeout(ctx, maxChangeWait)
 	defer cancel()
@@ -64,6 +65,7 @@
 	return time.Since(began), true
 }
 
+// requestRanking gets the ranking from the controller at an internal address, or sets it.
 func requestRanking(ctx context.Context, method, addr, query, text string) (*message.RankingReply, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/ranking"+query, strings.NewReader(text))
 	if err != nil {
@@ -81,7 +83,8 @@
 	return &r, nil
 }
 
-// changeRankings sets rankings for as long as the measurement lasts.
+// changeRankings starts to change the ranking for as long as the measurement lasts. The
+// function that it returns waits for the end and returns the latencies.
 func (l *workload) changeRankings(ctx context.Context) func() Latencies {
 	if l.plan.ChangeEvery == 0 {
 		return func() Latencies { return Latencies{} }
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -8,16 +8,17 @@
 	"text/tabwriter"
 )
 
-// Series is what several rungs gave, and the fits through them.
+// Series is several measurements and the fits through them. Its JSON is read back by later runs.
 type Series struct {
 	Measurements []*Measurement `json:"rungs"`
 	Fits         []Fit          `json:"fits"`
 }
 
-// fittedFigures are what is fitted, each as a number of a rung; NaN: it has none.
+// fittedFigures are the figures of a measurement that are fitted. NaN means that a measurement
+// has none.
 var fittedFigures = []struct {
-	name string
-	of   func(*Measurement) float64
+	name  string
+	value func(*Measurement) float64
 }{
 	{"cores of all controllers", func(r *Measurement) float64 { return r.sumRoles("", func(x Role) float64 { return x.Cores }) }},
 	{"cores of the leader", func(r *Measurement) float64 { return r.sumRoles("leader", func(x Role) float64 { return x.Cores }) }},
@@ -35,7 +36,7 @@
 	}},
 }
 
-// sumRoles adds up a figure of the roles that begin with the word.
+// sumRoles adds up a figure of the controllers whose role starts with role.
 func (r *Measurement) sumRoles(role string, figure func(Role) float64) float64 {
 	out := 0.0
 	for _, x := range r.Roles {
@@ -46,34 +47,34 @@
 	return out
 }
 
-// Fit fits each figure to workers and starts, or to workers alone where the rungs do not
-// tell the two apart.
-func (l *Series) Fit() {
+// Fit fits each figure to workers and starts, or to workers alone where the measurements do
+// not determine both slopes.
+func (s *Series) Fit() {
 	for _, f := range fittedFigures {
 		var both, one [][]float64
 		var y []float64
-		for _, r := range l.Measurements {
-			if math.IsNaN(f.of(r)) {
+		for _, r := range s.Measurements {
+			if math.IsNaN(f.value(r)) {
 				continue
 			}
 			w := float64(r.Workers)
-			both, one, y = append(both, []float64{w, r.StartsPerSecond}), append(one, []float64{w}), append(y, f.of(r))
+			both, one, y = append(both, []float64{w, r.StartsPerSecond}), append(one, []float64{w}), append(y, f.value(r))
 		}
 		fit, ok := FitLine(f.name, both, y)
 		if !ok {
 			fit, ok = FitLine(f.name, one, y)
 		}
 		if ok {
-			l.Fits = append(l.Fits, fit)
+			s.Fits = append(s.Fits, fit)
 		}
 	}
 }
 
-// Print writes the ladder as a table.
-func (l *Series) Print(out io.Writer) error {
+// Print writes the series as tables.
+func (s *Series) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "WORKERS\tSTARTS/S\tFOR\tFILL\tREPORTS/S\tREPORT KB/S\tORDERS/S\tREQUESTS/S\tCHANGES/S\t429\tACCEPT P50/P99\tURGENT P50/P99/MAX\tNEVER\tCHANGE P50/MAX\tLOSS\tTAKEOVER\tLAB\tOTHERS\tBROKEN")
-	for _, r := range l.Measurements {
+	for _, r := range s.Measurements {
 		takeover := "-"
 		if t := r.Takeover; t != nil {
 			takeover = fmt.Sprintf("%.1f/%.1f", t.ClaimedS, t.FirstStartS)
@@ -82,15 +83,15 @@
 			r.CommandsPerSecond, r.StateRPS, r.StateWriteRPS, r.RateLimited, r.AcceptLatency.P50, r.AcceptLatency.P99, r.UrgentStartLatency.P50, r.UrgentStartLatency.P99, r.UrgentStartLatency.Max, r.UrgentStartLatency.Unfinished, r.RankingLatency.P50, r.RankingLatency.Max, r.RecoveryS, takeover, r.SimulationCores, r.OtherCores, len(r.Violations))
 	}
 	fmt.Fprintln(w, "\nWORKERS\tHOST\tROLE\tTEAMS\tCORES\tMB\tPEAK MB\tFILES\tTHREADS")
-	for _, r := range l.Measurements {
+	for _, r := range s.Measurements {
 		for _, x := range r.Roles {
 			fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%.3f\t%.0f\t%.0f\t%d\t%d\n", r.Workers, x.Host, x.Role, x.Teams, x.Cores, x.RSSMB, x.PeakMB, x.Files, x.Threads)
 		}
 	}
-	if len(l.Fits) > 0 {
+	if len(s.Fits) > 0 {
 		fmt.Fprintln(w, "\nFIT OF\tBASE\tFOR 1000 WORKERS\tFOR A START/S\tRESIDUAL\tPOINTS")
 	}
-	for _, f := range l.Fits {
+	for _, f := range s.Fits {
 		starts := "-"
 		if len(f.Slopes) > 1 {
 			starts = fmt.Sprintf("%.4f", f.Slopes[1])
