--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package standin
+package simulation
 
 // raced says that the race detector is on.
 const raced = true
