--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -13,8 +13,8 @@
 // controller confirms cancellations, and then it is away for all, for longer than the
 // cancelled tasks may last, while the workers go on reporting to the owner.
 type cancelOutage struct {
-	lease, cancel time.Duration
-	nodes, teams  int
+	lease, cancelWithin time.Duration
+	controllers, teams  int
 	// loss the owner loses the state service: refused, held (what is sent comes later) or
 	// lost.
 	loss string
@@ -24,16 +24,16 @@
 	// to 4 s more, so that when the outage begins a successor has taken over, is about to,
 	// or has not.
 	refusedFor time.Duration
-	// outage is how long it lasts, in times of cancel.
-	outage float64
-	// crashed are the controllers that end in between, and back how soon they are back.
-	crashed      string
+	// outageFactor is how long it lasts, in times of cancel.
+	outageFactor float64
+	// crash are the controllers that end in between, and back how soon they are back.
+	crash        string
 	restartAfter time.Duration
 }
 
 func (e cancelOutage) String() string {
 	return fmt.Sprintf("lease=%v cancel=%v nodes=%d teams=%d %s links=%v alone=%v outage=%g ends=%s back=%v",
-		e.lease, e.cancel, e.nodes, e.teams, e.loss, e.peersConnected, e.refusedFor, e.outage, e.crashed, e.restartAfter)
+		e.lease, e.cancelWithin, e.controllers, e.teams, e.loss, e.peersConnected, e.refusedFor, e.outageFactor, e.crash, e.restartAfter)
 }
 
 // minLeaseLeft is how long an owner's grant lives at the least after it has lost the state
@@ -50,7 +50,7 @@
 		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%d", i)})
 	}
 	types, room := testTypes()
-	w := NewWorld(seed, e.nodes, set, e.cancel, types, room)
+	w := NewWorld(seed, e.controllers, set, e.cancelWithin, types, room)
 	w.Run(3 * time.Second)
 	var ids []string
 	for i := range 8 * e.teams {
@@ -62,18 +62,18 @@
 		}, 15*time.Minute, false)
 	}
 	w.Run(90 * time.Second)
-	i := w.ownerOf(set.Teams[0].Name)
-	owner := w.controllers[i]
+	i := w.shardLeaderOf(set.Teams[0].Name)
+	shardLeader := w.controllers[i]
 	switch e.loss {
 	case "refused":
-		w.refuseController(owner, e.refusedFor+2*time.Second)
+		w.refuseController(shardLeader, e.refusedFor+2*time.Second)
 	default:
-		w.Partition(owner.name, "state", e.refusedFor+2*time.Second, e.loss == "held")
+		w.Partition(shardLeader.name, "state", e.refusedFor+2*time.Second, e.loss == "held")
 	}
 	if !e.peersConnected {
 		for _, p := range w.controllers {
-			if p != owner {
-				w.Partition(owner.name, p.name, e.refusedFor+time.Duration(e.outage*float64(e.cancel)), false)
+			if p != shardLeader {
+				w.Partition(shardLeader.name, p.name, e.refusedFor+time.Duration(e.outageFactor*float64(e.cancelWithin)), false)
 			}
 		}
 	}
@@ -86,15 +86,15 @@
 		unheard := !e.peersConnected && e.refusedFor < minLeaseLeft
 		met = met || k%e.teams == 0 && w.jobs[id].lastState == "cancelled" && (!unheard || w.runningTasks(id) > 0)
 	}
-	w.Outage(time.Duration(e.outage * float64(e.cancel)))
+	w.Outage(time.Duration(e.outageFactor * float64(e.cancelWithin)))
 	w.schedule(time.Second, func() {
 		for k, p := range w.controllers {
-			if p == owner && (e.crashed == "owner" || e.crashed == "both") || p != owner && (e.crashed == "confirmers" || e.crashed == "both") {
+			if p == shardLeader && (e.crash == "owner" || e.crash == "both") || p != shardLeader && (e.crash == "confirmers" || e.crash == "both") {
 				w.CrashController(k, e.restartAfter)
 			}
 		}
 	})
-	w.Run(time.Duration((e.outage + 1) * float64(e.cancel)))
+	w.Run(time.Duration((e.outageFactor + 1) * float64(e.cancelWithin)))
 	w.Run(time.Minute)
 	for _, id := range ids {
 		if w.jobs[id].lastState != "cancelled" {
@@ -115,7 +115,7 @@
 					for _, outage := range []float64{1, 1.2, 3} {
 						for _, ends := range []string{"none", "owner", "confirmers", "both"} {
 							for _, size := range [][2]int{{3, 1}, {5, 4}} {
-								e := cancelOutage{lease: r[0], cancel: r[1], loss: how, peersConnected: links, refusedFor: alone, outage: outage, crashed: ends, nodes: size[0], teams: size[1], restartAfter: 50 * time.Millisecond}
+								e := cancelOutage{lease: r[0], cancelWithin: r[1], loss: how, peersConnected: links, refusedFor: alone, outageFactor: outage, crash: ends, controllers: size[0], teams: size[1], restartAfter: 50 * time.Millisecond}
 								if len(all)%3 == 0 {
 									e.restartAfter = 5 * time.Second
 								}
@@ -136,7 +136,7 @@
 	all := cancelOutages()
 	// Every so many: by a step that shares no factor with the number of values, all of
 	// them come up.
-	step := max(1, len(all)/int(drawnDays(t, 36, 12)))
+	step := max(1, len(all)/int(dayCount(t, 36, 12)))
 	for step > 1 && (step%2 == 0 || step%3 == 0) {
 		step++
 	}
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -144,15 +144,13 @@
 				d.Faults, d.failingFraction = c.faults, 0
 			}
 			r := RunDay(d, "")
-			for _, b := range append(r.Violations, r.Starved()...) {
-				t.Error(b)
-			}
+			reportViolations(t, append(r.Violations, r.Starved()...))
 			if m := r.ModelStats; c.p.Models > 0 && (m == nil || m.LargeModels == 0) {
 				t.Errorf("no large models: %+v", m)
 			}
 			if t.Failed() {
 				t.Logf("%+v", d.Faults)
-				t.Log(strings.Join(r.Log[max(0, len(r.Log)-60):], "\n"))
+				logTail(t, r.Log, 60)
 			}
 		})
 	}
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -4,12 +4,10 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
-	"github.com/micahill/micahill/internal/controller"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 )
@@ -17,139 +15,29 @@
 // met_test.go and met_links_test.go bring meetings of two troubles about for certain: each
 // test fails too when its meeting did not come about.
 
-// metJob is a job whose tasks take a while.
-func metJob(id, team string, tasks int, cpu float64, run time.Duration) model.JobSpec {
-	return model.JobSpec{
-		ID: id, Workload: "batch", Team: team, Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: cpu, Memory: cpu},
-		Image: "img", ImageGB: 1, ExpectedRunTime: run,
-	}
-}
-
-// submitMany submits jobs that are alike and returns their names.
-func (w *World) submitMany(prefix, team string, jobs, tasks int, cpu float64, run time.Duration) []string {
-	var ids []string
-	for i := range jobs {
-		spec := metJob(fmt.Sprintf("job-%s%03d", prefix, i), team, tasks, cpu, run)
-		w.Submit(spec, run, false)
-		ids = append(ids, spec.ID)
-	}
-	return ids
-}
-
-// smallWorld is one of three controllers in which only small machines can be rented.
-func smallWorld(seed uint64, set controller.Settings) *World {
-	types, _ := testTypes()
-	return NewWorld(seed, 3, set, testCancel, types, map[string]int{"small/a/false": 20, "small/b/false": 20})
-}
-
-// spread are n cases, or with the race detector or in short only few of them, evenly.
-func spread(n, few int) []int {
-	k := n
-	if testing.Short() || raced {
-		k = few
-	}
-	var out []int
-	for i := range k {
-		out = append(out, i*n/k)
-	}
-	return out
-}
-
-// rulesHold fails the test with every broken rule.
-func rulesHold(t *testing.T, w *World) {
-	t.Helper()
-	for _, b := range w.Violations {
-		t.Error(b)
-	}
-	if t.Failed() {
-		t.Log(strings.Join(w.logs[max(0, len(w.logs)-80):], "\n"))
-	}
-}
-
-// machinesOf are those with tasks of a job.
-func (w *World) machinesOf(id string) []*Worker {
-	var out []*Worker
-	for _, k := range sortedKeys(w.machines) {
-		m := w.machines[k]
-		for _, x := range m.tasks {
-			if x.job.spec.ID == id && x.onMachine() && !slices.Contains(out, m) {
-				out = append(out, m)
-			}
-		}
-	}
-	return out
-}
-
-// when runs until something holds, for most at the longest, and returns how long it took;
-// -1: it does not hold.
-func (w *World) when(most time.Duration, holds func() bool) time.Duration {
-	from := w.now
-	for !holds() {
-		if w.now.Sub(from) >= most {
-			return -1
-		}
-		w.Run(tickInterval)
-	}
-	return w.now.Sub(from)
-}
-
-// lastSeen notes from now on when each of these jobs was last on a machine.
-func (w *World) lastSeen(ids ...string) map[string]time.Time {
-	last := map[string]time.Time{}
-	var look func()
-	look = func() {
-		for _, id := range ids {
-			if w.runningTasks(id) > 0 {
-				last[id] = w.now
-			}
-		}
-		w.schedule(tickInterval, look)
-	}
-	look()
-	return last
-}
-
-// goneWithin checks that the jobs of lastSeen are confirmed as cancelled, and off all
-// machines so soon after the first confirmation.
-func goneWithin(t *testing.T, w *World, last map[string]time.Time, most time.Duration) {
-	t.Helper()
-	for _, id := range sortedKeys(last) {
-		j := w.jobs[id]
-		if w.when(3*time.Minute, func() bool { return !j.cancelledAt.IsZero() && w.runningTasks(id) == 0 }) < 0 {
-			t.Errorf("%s is %q and has %d tasks", id, j.lastState, w.runningTasks(id))
-		} else if d := last[id].Sub(j.cancelledAt); d > most {
-			t.Errorf("%s had tasks for %v after its cancellation was confirmed", id, d)
-		}
-	}
-}
-
-// reachedWithin is in how long the tasks of a cancelled job are gone from machines that
-// can be reached, also while their controller changes.
-const reachedWithin = 15 * time.Second
-
-// takeoverCounts is one test of cancellations while work changes hands.
-type takeoverCounts struct {
+// confirmationCounts is one test of cancellations while work changes hands.
+type confirmationCounts struct {
 	// before, between and after count the cancellations that were confirmed before the
 	// hand-over began, while nobody ran the work, and within two seconds after.
-	before, between, after atomic.Int64
+	before, during, after atomic.Int64
 }
 
 // count sorts a confirmation; the hand-over was from one moment to another.
-func (h *takeoverCounts) count(at, from, to time.Time) {
+func (h *confirmationCounts) count(at, from, to time.Time) {
 	switch {
 	case at.Before(from):
 		h.before.Add(1)
 	case at.Before(to):
-		h.between.Add(1)
+		h.during.Add(1)
 	case at.Before(to.Add(2 * time.Second)):
 		h.after.Add(1)
 	}
 }
 
-func (h *takeoverCounts) checkMet(t *testing.T) {
+func (h *confirmationCounts) checkCovered(t *testing.T) {
 	t.Helper()
-	t.Logf("confirmed before %d, between %d, right after %d", h.before.Load(), h.between.Load(), h.after.Load())
-	if h.before.Load() == 0 || h.between.Load() == 0 || h.after.Load() == 0 {
+	t.Logf("confirmed before %d, between %d, right after %d", h.before.Load(), h.during.Load(), h.after.Load())
+	if h.before.Load() == 0 || h.during.Load() == 0 || h.after.Load() == 0 {
 		t.Error("not all of the hand-over was met")
 	}
 }
@@ -157,49 +45,49 @@
 // TestCancelledDuringTakeover: an owner ends, and its jobs are cancelled at each moment of
 // the takeover, with machines that can be reached and with some that can't until later.
 func TestCancelledDuringTakeover(t *testing.T) {
-	var h takeoverCounts
+	var h confirmationCounts
 	t.Run("offsets", func(t *testing.T) {
-		for _, step := range spread(22, 8) {
+		for _, step := range sampleCases(22, 8) {
 			for _, cut := range []bool{false, true} {
 				offset := time.Duration(step-2) * 400 * time.Millisecond
 				t.Run(fmt.Sprintf("%v cut=%v", offset, cut), func(t *testing.T) {
 					t.Parallel()
-					w := newTestWorldOf(uint64(step), 3)
+					w := newTestWorldOfSize(uint64(step), 3)
 					ids := w.submitMany("x", "ops", 6, 2, 2, 10*time.Minute)
 					w.Run(60 * time.Second)
-					owner := w.ownerOf("ops")
+					shardLeader := w.shardLeaderOf("ops")
 					if cut {
-						for _, m := range w.machinesOf(ids[0]) {
+						for _, m := range w.machinesRunning(ids[0]) {
 							w.Partition(m.ID, "*", 20*time.Second, step%2 == 0)
 						}
 					}
-					last := w.lastSeen(ids...)
+					last := w.trackLastRun(ids...)
 					from := w.now.Add(time.Second)
-					w.schedule(time.Second, func() { w.CrashController(owner, 5*time.Second) })
+					w.schedule(time.Second, func() { w.CrashController(shardLeader, 5*time.Second) })
 					w.schedule(time.Second+offset, func() {
 						for _, id := range ids {
 							w.Cancel(id)
 						}
 					})
-					if w.when(20*time.Second, func() bool { return w.ownerOf("ops") != owner }) < 0 {
+					if w.waitUntil(20*time.Second, func() bool { return w.shardLeaderOf("ops") != shardLeader }) < 0 {
 						t.Fatal("no takeover")
 					}
 					to := w.now
-					most := reachedWithin
+					most := maxStopTime
 					if cut {
 						most = w.cancelWithin
 					}
-					goneWithin(t, w, last, most)
+					checkStoppedWithin(t, w, last, most)
 					for _, id := range ids {
 						h.count(w.jobs[id].cancelledAt, from, to)
 					}
 					w.Run(time.Minute)
-					rulesHold(t, w)
+					checkNoViolations(t, w)
 				})
 			}
 		}
 	})
-	h.checkMet(t)
+	h.checkCovered(t)
 }
 
 // TestCancelledAtStepsOfTakeover: the cancellations are sent the very moment at which some
@@ -211,13 +99,13 @@
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s all=%v", step, all), func(t *testing.T) {
 				t.Parallel()
-				w := newTestWorldOf(9, 3)
+				w := newTestWorldOfSize(9, 3)
 				ids := w.submitMany("x", "ops", 8, 2, 2, 10*time.Minute)
 				w.Run(60 * time.Second)
-				last := w.lastSeen(ids...)
+				last := w.trackLastRun(ids...)
 				// Of the owner itself, or of all that there are.
 				for i := range w.controllers {
-					if all || i == w.ownerOf("ops") || i == w.leaderIndex(0) {
+					if all || i == w.shardLeaderOf("ops") || i == w.leaderIndex(0) {
 						w.CrashController(i, 2*time.Second)
 					}
 				}
@@ -231,12 +119,12 @@
 					}
 					return e
 				}
-				if w.when(20*time.Second, func() bool { return met }) < 0 {
+				if w.waitUntil(20*time.Second, func() bool { return met }) < 0 {
 					t.Fatal("the step was not taken")
 				}
-				goneWithin(t, w, last, reachedWithin)
+				checkStoppedWithin(t, w, last, maxStopTime)
 				w.Run(time.Minute)
-				rulesHold(t, w)
+				checkNoViolations(t, w)
 			})
 		}
 	}
@@ -247,7 +135,7 @@
 func TestCancelledDuringHandBack(t *testing.T) {
 	// play cancels at an offset from the hand-back that a day without cancellations shows.
 	play := func(cancel time.Duration) (w *World, last map[string]time.Time, moved []time.Time) {
-		w = rebalancingWorld(t, 3, 4)
+		w = newRebalancingWorld(t, 3, 4)
 		var ids []string
 		for k := range 4 {
 			ids = append(ids, w.submitMany(fmt.Sprintf("%c", 'a'+k), fmt.Sprintf("team-%c", 'a'+k), 3, 2, 2, 10*time.Minute)...)
@@ -256,7 +144,7 @@
 		w.CrashController(2, 30*time.Second)
 		w.Run(32 * time.Second)
 		from := w.now
-		last = w.lastSeen(ids...)
+		last = w.trackLastRun(ids...)
 		if cancel > 0 {
 			w.schedule(cancel, func() {
 				for _, id := range ids {
@@ -266,7 +154,7 @@
 		}
 		w.Run(max(cancel, 45*time.Second))
 		for k := range 4 {
-			moved = append(moved, w.teamMoves(fmt.Sprintf("team-%c", 'a'+k), from)...)
+			moved = append(moved, w.teamMigrations(fmt.Sprintf("team-%c", 'a'+k), from)...)
 		}
 		slices.SortFunc(moved, time.Time.Compare)
 		return w, last, moved
@@ -276,9 +164,9 @@
 		t.Fatal("no team is handed back")
 	}
 	planned := moved[0].Sub(plain.startedAt.Add(82 * time.Second))
-	var h takeoverCounts
+	var h confirmationCounts
 	t.Run("offsets", func(t *testing.T) {
-		for _, step := range spread(10, 5) {
+		for _, step := range sampleCases(10, 5) {
 			offset := time.Duration(step-5) * 250 * time.Millisecond
 			t.Run(fmt.Sprint(offset), func(t *testing.T) {
 				t.Parallel()
@@ -286,16 +174,16 @@
 				if len(moved) == 0 {
 					t.Fatal("no team is handed back")
 				}
-				goneWithin(t, w, last, reachedWithin)
+				checkStoppedWithin(t, w, last, maxStopTime)
 				for _, id := range sortedKeys(last) {
 					h.count(w.jobs[id].cancelledAt, moved[0].Add(-300*time.Millisecond), moved[0])
 				}
 				w.Run(time.Minute)
-				rulesHold(t, w)
+				checkNoViolations(t, w)
 			})
 		}
 	})
-	h.checkMet(t)
+	h.checkCovered(t)
 }
 
 // TestLimitsWhileLeadersChange: every team is at its limit, jobs are cancelled whose
@@ -304,12 +192,12 @@
 // within seconds.
 func TestLimitsWhileLeadersChange(t *testing.T) {
 	const limit, hang, cut = 40, 15 * time.Second, 40 * time.Second
-	for seed := range drawnDays(t, 6, 4) {
+	for seed := range dayCount(t, 6, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			set := testSettings()
 			set.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: limit}}, {Name: "lab", QuotaLimit: model.Resources{CPU: limit}}}
-			w := smallWorld(seed, set)
+			w := newSmallWorld(seed, set)
 			run := map[string][]string{}
 			for _, team := range []string{"ops", "lab"} {
 				run[team] = w.submitMany(team+"r", team, limit/4, 1, 4, 10*time.Minute)
@@ -319,14 +207,14 @@
 				w.submitMany(team+"w", team, 4, 1, 4, 5*time.Minute)
 			}
 			w.Run(10 * time.Second)
-			lead := w.leaderName()
+			leader := w.leaderName()
 			// Without the cloud no return is a proof: only the machine itself is.
 			if w.cloudOutage = seed%2 == 1; w.cloudOutage {
 				w.schedule(cut+10*time.Second, func() { w.cloudOutage = false })
 			}
 			for _, team := range []string{"ops", "lab"} {
 				for i, id := range run[team][:4] {
-					m := w.machinesOf(id)[0]
+					m := w.machinesRunning(id)[0]
 					if i%2 == 0 {
 						m.hungUntil = w.now.Add(hang)
 					} else {
@@ -337,7 +225,7 @@
 			}
 			w.Run(800 * time.Millisecond)
 			for i := range w.controllers {
-				if i == w.ownerOf("ops") || i == w.ownerOf("lab") || i == w.leaderIndex(0) {
+				if i == w.shardLeaderOf("ops") || i == w.shardLeaderOf("lab") || i == w.leaderIndex(0) {
 					w.CrashController(i, 5*time.Second)
 				}
 			}
@@ -352,8 +240,8 @@
 					t.Errorf("%s uses %v", team, w.teamUsage[team])
 				}
 			}
-			if now := w.leaderName(); now == lead || now == "" {
-				t.Errorf("%s led, %q does now", lead, now)
+			if now := w.leaderName(); now == leader || now == "" {
+				t.Errorf("%s led, %q does now", leader, now)
 			}
 			served := func(n int) func() bool {
 				return func() bool {
@@ -369,7 +257,7 @@
 					return true
 				}
 			}
-			first, second := w.when(time.Minute, served(2)), w.when(2*time.Minute, served(4))
+			first, second := w.waitUntil(time.Minute, served(2)), w.waitUntil(2*time.Minute, served(4))
 			t.Logf("the room of those that hung is taken %v after, of those cut off %v after the takeover", first, first+second)
 			if hung := hang - 7800*time.Millisecond; first < 0 || first > hung+6*time.Second {
 				t.Errorf("what waits got the room of those that hung after %v, they went on after %v", first, hung)
@@ -379,7 +267,7 @@
 				t.Errorf("what waits got the room of those cut off after %v, they were back after %v", first+second, healed)
 			}
 			w.Run(time.Minute)
-			rulesHold(t, w)
+			checkNoViolations(t, w)
 		})
 	}
 }
@@ -389,7 +277,7 @@
 // later; then the leader ends. What runs is taken over: nothing twice, nothing lost.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
 	var met atomic.Int64
-	cases := spread(24, 8)
+	cases := sampleCases(24, 8)
 	t.Run("offsets", func(t *testing.T) {
 		for _, step := range cases {
 			offset := time.Duration(step) * 250 * time.Millisecond
@@ -399,7 +287,7 @@
 				for i := range types {
 					types[i].ProvisioningTime = 1500 * time.Millisecond
 				}
-				w := NewWorld(uint64(step), 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 15, "small/b/false": 15})
+				w := NewWorld(uint64(step), 3, testSettings(), testCancelWithin, types, map[string]int{"small/a/false": 15, "small/b/false": 15})
 				w.Run(20 * time.Second)
 				w.DelayWrites(0.5, 15*time.Second)
 				w.submitMany("x", "ops", 10, 2, 4, time.Minute)
@@ -407,21 +295,21 @@
 				up := func() bool {
 					return slices.ContainsFunc(w.fleet, func(m *Worker) bool { return m.incarnation > 0 })
 				}
-				if w.when(30*time.Second, up) < 0 {
+				if w.waitUntil(30*time.Second, up) < 0 {
 					t.Fatal("no machine is up")
 				}
 				w.Run(offset)
 				fresh := slices.ContainsFunc(w.fleet, func(m *Worker) bool { return len(m.tasks) > 0 && w.now.Sub(m.upAt) < 3*time.Second })
 				met.Add(int64(boolInt(fresh && w.now.Before(w.lateWritesUntil))))
-				lead, owner := w.leaderIndex(0), w.ownerOf("ops")
-				w.CrashController(lead, 5*time.Second)
-				w.CrashController(owner, 5*time.Second)
+				leader, shardLeader := w.leaderIndex(0), w.shardLeaderOf("ops")
+				w.CrashController(leader, 5*time.Second)
+				w.CrashController(shardLeader, 5*time.Second)
 				w.Run(4 * time.Minute)
 				if w.Starts != 20 {
 					t.Errorf("%d starts of 20 tasks", w.Starts)
 				}
 				checkFinalAnswers(t, w, false)
-				rulesHold(t, w)
+				checkNoViolations(t, w)
 			})
 		}
 	})
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -12,8 +12,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// arriveAtAll brings a report to every controller, and tells of their answers.
-func (w *World) arriveAtAll(r model.Heartbeat, tell func(message.HeartbeatReply)) {
+// deliverToAll brings a report to every controller, and tells of their answers.
+func (w *World) deliverToAll(r model.Heartbeat, tell func(message.HeartbeatReply)) {
 	for _, p := range w.controllers {
 		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) { tell(e.(message.HeartbeatReply)) })
 	}
@@ -30,7 +30,7 @@
 	play := func(t *testing.T, before bool, kind string, at time.Duration) (next time.Duration, answered int) {
 		set := testSettings()
 		set.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 7}}}
-		w := smallWorld(5, set)
+		w := newSmallWorld(5, set)
 		// Two machines with room for one of the small jobs each.
 		w.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
 		w.Run(45 * time.Second)
@@ -41,7 +41,7 @@
 		}
 		id := w.submitMany("x", "ops", 1, 1, 1, 3*time.Minute)[0]
 		w.Run(10 * time.Second)
-		ms := w.machinesOf(id)
+		ms := w.machinesRunning(id)
 		if len(ms) != 1 {
 			t.Fatalf("%d machines have the task", len(ms))
 		}
@@ -70,21 +70,21 @@
 		}
 		w.Run(time.Second)
 		from, started := w.now, w.Starts
-		lead, owner := w.leaderIndex(0), w.ownerOf("ops")
-		w.CrashController(lead, 5*time.Second)
-		w.CrashController(owner, 5*time.Second)
+		leader, shardLeader := w.leaderIndex(0), w.shardLeaderOf("ops")
+		w.CrashController(leader, 5*time.Second)
+		w.CrashController(shardLeader, 5*time.Second)
 		if at > 0 {
 			// Three times, as a worker repeats its report.
 			for k := range 3 {
-				w.schedule(at+time.Duration(k)*time.Second, func() { w.arriveAtAll(r, func(message.HeartbeatReply) { answered++ }) })
+				w.schedule(at+time.Duration(k)*time.Second, func() { w.deliverToAll(r, func(message.HeartbeatReply) { answered++ }) })
 			}
 		}
-		if next = w.when(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
+		if next = w.waitUntil(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
 			t.Error("nothing began any more")
 		}
 		w.Run(w.now.Sub(from) + 4*time.Minute)
 		checkFinalAnswers(t, w, true)
-		rulesHold(t, w)
+		checkNoViolations(t, w)
 		return next, answered
 	}
 	for _, before := range []bool{true, false} {
@@ -94,7 +94,7 @@
 			for at := 500 * time.Millisecond; at <= 6*time.Second; at += 500 * time.Millisecond {
 				moments = append(moments, at)
 			}
-			for _, i := range spread(len(moments), 4) {
+			for _, i := range sampleCases(len(moments), 4) {
 				at := moments[i]
 				t.Run(fmt.Sprintf("before=%v %s %v", before, kind, at), func(t *testing.T) {
 					t.Parallel()
@@ -114,13 +114,13 @@
 // TestZoneBoundJobsLoseMachines: jobs bound to one zone, of one task and arrays, apart and
 // not, while half of the zone's machines die and some of the rest are cut off.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
-	for seed := range drawnDays(t, 8, 4) {
+	for seed := range dayCount(t, 8, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			types, _ := testTypes()
-			w := NewWorld(seed, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 12, "small/b/false": 8, "small/b/true": 4})
+			w := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"small/a/false": 12, "small/b/false": 8, "small/b/true": 4})
 			for i := range 9 {
-				spec := metJob(fmt.Sprintf("job-b%03d", i), "ops", []int{1, 3, 6}[i%3], 2, 40*time.Second)
+				spec := batchJob(fmt.Sprintf("job-b%03d", i), "ops", []int{1, 3, 6}[i%3], 2, 40*time.Second)
 				spec.Zone, spec.SameZone, spec.AllowSpot = "b", i%4 == 0, i%2 == 0
 				w.Submit(spec, 40*time.Second, false)
 			}
@@ -142,11 +142,11 @@
 				t.Fatal("no machine with tasks was lost")
 			}
 			if seed%2 == 1 {
-				w.CrashController(w.ownerOf("ops"), 5*time.Second)
+				w.CrashController(w.shardLeaderOf("ops"), 5*time.Second)
 			}
 			w.Run(7 * time.Minute)
 			checkFinalAnswers(t, w, false)
-			rulesHold(t, w)
+			checkNoViolations(t, w)
 		})
 	}
 }
@@ -168,7 +168,7 @@
 		for _, back := range []time.Duration{100 * time.Millisecond, 5 * time.Second} {
 			t.Run(fmt.Sprintf("%s back=%v", outage.name, back), func(t *testing.T) {
 				t.Parallel()
-				w := newTestWorldOf(3, 5)
+				w := newTestWorldOfSize(3, 5)
 				cancelled := w.submitMany("c", "ops", 10, 2, 2, 10*time.Minute)
 				w.submitMany("x", "ops", 6, 2, 2, 90*time.Second)
 				w.Run(50 * time.Second)
@@ -177,7 +177,7 @@
 						w.schedule(outage.from+time.Duration(k)*outage.every, func() { w.Outage(outage.long) })
 					}
 				}
-				changes, lead, inside := 0, w.leaderName(), 0
+				changes, leader, inside := 0, w.leaderName(), 0
 				for k := range 10 {
 					w.schedule(time.Duration(k)*12*time.Second+4*time.Second, func() {
 						inside += boolInt(w.stateOutage)
@@ -191,8 +191,8 @@
 				}
 				for range 1200 {
 					w.Run(tickInterval)
-					if now := w.leaderName(); now != "" && now != lead {
-						changes, lead = changes+1, now
+					if now := w.leaderName(); now != "" && now != leader {
+						changes, leader = changes+1, now
 					}
 				}
 				w.Run(4 * time.Minute)
@@ -205,21 +205,21 @@
 						t.Errorf("%d: %s is %q", i, id, w.jobs[id].lastState)
 					}
 				}
-				rulesHold(t, w)
+				checkNoViolations(t, w)
 			})
 		}
 	}
 }
 
-// shortCancel leaves hardly any room beside a lease.
-const shortCancel = 28 * time.Second
+// minCancelWithin leaves hardly any room beside a lease.
+const minCancelWithin = 28 * time.Second
 
 // TestLeaderCutWhileOthersCancel: a leader loses the state service and the other
 // controllers; its workers, some of which reach only it, and users still reach it. Jobs are
 // cancelled through the new leader: they are gone in time, and the former one doesn't say
 // otherwise.
 func TestLeaderCutWhileOthersCancel(t *testing.T) {
-	for _, cancel := range []time.Duration{testCancel, shortCancel} {
+	for _, cancel := range []time.Duration{testCancelWithin, minCancelWithin} {
 		for _, wait := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("cancel=%v %v", cancel, wait), func(t *testing.T) {
 				t.Parallel()
@@ -227,7 +227,7 @@
 				w := NewWorld(2, 3, testSettings(), cancel, types, room)
 				ids := w.submitMany("x", "ops", 6, 2, 2, 10*time.Minute)
 				w.Run(60 * time.Second)
-				former := w.ownerOf("ops")
+				former := w.shardLeaderOf("ops")
 				if w.leaderIndex(-1) != former {
 					t.Fatal("the owner does not lead")
 				}
@@ -235,10 +235,10 @@
 				const cut = 90 * time.Second
 				w.cloudOutage = true
 				w.schedule(cut, func() { w.cloudOutage = false })
-				last := w.lastSeen(ids...)
+				last := w.trackLastRun(ids...)
 				w.IsolateController(former, cut, wait == 5*time.Second, false)
 				for _, id := range ids[:3] {
-					for _, m := range w.machinesOf(id) {
+					for _, m := range w.machinesRunning(id) {
 						for i, p := range w.controllers {
 							if i != former {
 								w.Partition(m.ID, p.name, cut, false)
@@ -271,17 +271,17 @@
 						})
 					}
 				}
-				goneWithin(t, w, last, w.cancelWithin)
+				checkStoppedWithin(t, w, last, w.cancelWithin)
 				w.Run(time.Minute)
-				rulesHold(t, w)
+				checkNoViolations(t, w)
 			})
 		}
 	}
 }
 
-// cutZone cuts a zone's machines and one controller off from all else for d; what is
+// partitionZone cuts a zone's machines and one controller off from all else for d; what is
 // rented there meanwhile too.
-func (w *World) cutZone(zone string, with int, d time.Duration, hold bool) {
+func (w *World) partitionZone(zone string, with int, d time.Duration, hold bool) {
 	till := w.now.Add(d)
 	machine := func(m *Worker) {
 		for i, p := range w.controllers {
@@ -310,29 +310,29 @@
 func TestZoneCutOffWithItsController(t *testing.T) {
 	for _, owns := range []bool{true, false} {
 		for _, long := range []time.Duration{26 * time.Second, 90 * time.Second} {
-			for kind, cancel := range map[string]time.Duration{"held": testCancel, "lost": testCancel, "lost, no cloud": shortCancel} {
+			for kind, cancel := range map[string]time.Duration{"held": testCancelWithin, "lost": testCancelWithin, "lost, no cloud": minCancelWithin} {
 				t.Run(fmt.Sprintf("owns=%v %v %s", owns, long, kind), func(t *testing.T) {
 					t.Parallel()
 					types, room := testTypes()
 					w := NewWorld(4, 3, testSettings(), cancel, types, room)
 					for i := range 6 {
-						spec := metJob(fmt.Sprintf("job-z%03d", i), "ops", 2, 2, 3*time.Minute)
+						spec := batchJob(fmt.Sprintf("job-z%03d", i), "ops", 2, 2, 3*time.Minute)
 						spec.Zone = []string{"a", "b"}[i%2]
 						w.Submit(spec, 3*time.Minute, false)
 					}
 					w.Run(60 * time.Second)
-					with := w.ownerOf("ops")
+					with := w.shardLeaderOf("ops")
 					if !owns {
 						with = (with + 1) % 3
 					}
 					if w.runningTasks("job-z001") != 2 {
 						t.Fatal("nothing runs in the zone")
 					}
-					w.cutZone("b", with, long, kind == "held")
+					w.partitionZone("b", with, long, kind == "held")
 					if w.cloudOutage = kind == "lost, no cloud"; w.cloudOutage {
 						w.schedule(long, func() { w.cloudOutage = false })
 					}
-					last := w.lastSeen("job-z001")
+					last := w.trackLastRun("job-z001")
 					w.Run(3 * time.Second)
 					w.Cancel("job-z001")
 					w.Run(4 * time.Second)
@@ -345,10 +345,10 @@
 					if w.cloudOutage = false; w.LostToLease == 0 && kind == "lost, no cloud" && (!owns || long > time.Minute) {
 						t.Error("no lease ran out")
 					}
-					goneWithin(t, w, last, w.cancelWithin)
+					checkStoppedWithin(t, w, last, w.cancelWithin)
 					w.Run(8 * time.Minute)
 					checkFinalAnswers(t, w, true)
-					rulesHold(t, w)
+					checkNoViolations(t, w)
 				})
 			}
 		}
@@ -381,33 +381,33 @@
 			for _, all := range []bool{false, true} {
 				t.Run(fmt.Sprintf("ends=%v %v all=%v", ends, long, all), func(t *testing.T) {
 					t.Parallel()
-					w := smallWorld(6, testSettings())
+					w := newSmallWorld(6, testSettings())
 					ids := w.submitMany("x", "ops", 8, 2, 2, 2*time.Minute)
 					w.Run(60 * time.Second)
 					var quiet []string
 					for i, id := range ids {
-						for _, m := range w.machinesOf(id) {
+						for _, m := range w.machinesRunning(id) {
 							if (all || i < 3) && !slices.Contains(quiet, m.ID) {
 								quiet = append(quiet, m.ID)
 							}
 						}
 					}
 					w.blockHeartbeats(quiet, long)
-					last := w.lastSeen(ids[0])
+					last := w.trackLastRun(ids[0])
 					w.Run(2 * time.Second)
 					if ends {
-						w.CrashController(w.ownerOf("ops"), 5*time.Second)
+						w.CrashController(w.shardLeaderOf("ops"), 5*time.Second)
 					}
 					w.Run(3 * time.Second)
 					w.Cancel(ids[0])
-					goneWithin(t, w, last, reachedWithin)
+					checkStoppedWithin(t, w, last, maxStopTime)
 					w.Run(long)
 					if len(quiet) < 2 || long > time.Minute && w.LostToLease == 0 || long < 24*time.Second && w.LostToLease > 0 {
 						t.Errorf("%d tasks were lost to leases on %d machines", w.LostToLease, len(quiet))
 					}
 					w.Run(6 * time.Minute)
 					checkFinalAnswers(t, w, true)
-					rulesHold(t, w)
+					checkNoViolations(t, w)
 				})
 			}
 		}
@@ -422,20 +422,20 @@
 	t.Run("offsets", func(t *testing.T) {
 		for _, verb := range []model.TaskCommandKind{model.StartTask, model.StopTask} {
 			held := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
-			for _, i := range spread(len(held), 7) {
+			for _, i := range sampleCases(len(held), 7) {
 				d := held[i]
 				t.Run(fmt.Sprintf("%s %v", verb, d), func(t *testing.T) {
 					t.Parallel()
-					w := newTestWorldOf(8, 3)
+					w := newTestWorldOfSize(8, 3)
 					w.submitMany("f", "ops", 4, 1, 2, 4*time.Minute)
 					w.submitMany("g", "ops", 2, 2, 2, 20*time.Second)
 					w.Run(80 * time.Second)
-					owner := w.ownerOf("ops")
+					shardLeader := w.shardLeaderOf("ops")
 					var op message.WorkerRequest
 					if w.runningTasks("job-f000") == 0 {
 						t.Fatal("nothing runs")
 					}
-					last := w.lastSeen("job-f000", "job-f001")
+					last := w.trackLastRun("job-f000", "job-f001")
 					held, done, accepted := false, false, false
 					w.corruptEffect = func(e message.Effect) message.Effect {
 						x, ok := e.(message.WorkerRequest)
@@ -443,7 +443,7 @@
 							return e
 						}
 						held, op = true, x
-						w.schedule(time.Millisecond, func() { w.CrashController(owner, 5*time.Second) })
+						w.schedule(time.Millisecond, func() { w.CrashController(shardLeader, 5*time.Second) })
 						w.schedule(record.DurationOfSeconds(d), func() {
 							m := w.machines[op.Machine]
 							if seen := m.epoch > op.Epoch; seen {
@@ -464,20 +464,20 @@
 					} else {
 						w.submitMany("x", "ops", 4, 1, 2, 30*time.Second)
 					}
-					w.when(time.Minute, func() bool { return held })
+					w.waitUntil(time.Minute, func() bool { return held })
 					w.Run(20 * time.Second)
 					if !held || !done {
 						t.Fatalf("held %v, arrived %v", held, done)
 					}
 					if verb == model.StopTask {
-						goneWithin(t, w, last, reachedWithin)
+						checkStoppedWithin(t, w, last, maxStopTime)
 					}
 					w.Run(4 * time.Minute)
 					if want := map[model.TaskCommandKind]int{model.StartTask: 12, model.StopTask: 8}[verb]; w.Starts != want {
 						t.Errorf("%d starts of %d tasks", w.Starts, want)
 					}
 					checkFinalAnswers(t, w, true)
-					rulesHold(t, w)
+					checkNoViolations(t, w)
 				})
 			}
 		}
--- a/internal/simulation/combined_users_test.go
+++ b/internal/simulation/combined_users_test.go
@@ -12,9 +12,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// askAll asks every controller about a job and fails the test for each answer that names
+// checkStateAtAll asks every controller about a job and fails the test for each answer that names
 // another state than want.
-func askAll(t *testing.T, w *World, id, want string) {
+func checkStateAtAll(t *testing.T, w *World, id, want string) {
 	t.Helper()
 	for i := range w.controllers {
 		w.userRequestTo(i, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
@@ -34,7 +34,7 @@
 	for _, slow := range []float64{60, 150, 200, mostRefused} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorldOf(3, 3)
+			w := newTestWorldOfSize(3, 3)
 			ids := w.submitMany("x", "ops", 12, 2, 2, 10*time.Minute)
 			w.Run(60 * time.Second)
 			w.stateSlowUntil, w.stateSlowFactor = w.now.Add(w.cancelWithin+30*time.Second), slow
@@ -42,10 +42,10 @@
 			w.onAnswer = func(asked time.Time, r message.UserReply) {
 				if r.State == "cancelled" && took[r.ID] == 0 {
 					took[r.ID] = w.now.Sub(asked)
-					askAll(t, w, r.ID, "cancelled")
+					checkStateAtAll(t, w, r.ID, "cancelled")
 				}
 			}
-			last := w.lastSeen(ids...)
+			last := w.trackLastRun(ids...)
 			for i, id := range ids {
 				w.schedule(time.Duration(i)*6*time.Second, func() { w.Cancel(id) })
 			}
@@ -61,10 +61,10 @@
 			if !met {
 				t.Errorf("%d are confirmed meanwhile, the longest took %v", len(took), longest)
 			}
-			goneWithin(t, w, last, w.cancelWithin)
+			checkStoppedWithin(t, w, last, w.cancelWithin)
 			w.Run(time.Minute)
 			checkFinalAnswers(t, w, true)
-			rulesHold(t, w)
+			checkNoViolations(t, w)
 		})
 	}
 }
@@ -75,7 +75,7 @@
 	for _, away := range []time.Duration{26 * time.Second, 40 * time.Second, 2 * time.Minute} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorldOf(4, 3)
+			w := newTestWorldOfSize(4, 3)
 			cancelled := w.submitMany("c", "ops", 4, 2, 2, 3*time.Minute)
 			left := w.submitMany("x", "ops", 6, 2, 2, 3*time.Minute)
 			w.Run(60 * time.Second)
@@ -83,11 +83,11 @@
 			for _, id := range left {
 				running += w.runningTasks(id)
 			}
-			last := w.lastSeen(cancelled...)
+			last := w.trackLastRun(cancelled...)
 			for _, id := range cancelled {
 				w.Cancel(id)
 			}
-			if w.when(5*time.Second, func() bool {
+			if w.waitUntil(5*time.Second, func() bool {
 				return !slices.ContainsFunc(cancelled, func(id string) bool { return w.jobs[id].cancelledAt.IsZero() })
 			}) < 0 {
 				t.Fatal("not confirmed")
@@ -99,14 +99,14 @@
 			if running == 0 || w.LostToLease < running {
 				t.Errorf("%d of %d tasks were lost to their leases", w.LostToLease, running)
 			}
-			goneWithin(t, w, last, w.cancelWithin)
+			checkStoppedWithin(t, w, last, w.cancelWithin)
 			w.Run(8 * time.Minute)
 			for _, id := range append(cancelled, left...) {
 				if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].lastState != want {
 					t.Errorf("%s is %q", id, w.jobs[id].lastState)
 				}
 			}
-			rulesHold(t, w)
+			checkNoViolations(t, w)
 		})
 	}
 }
@@ -115,10 +115,10 @@
 // is cancelled. All are served, and nothing of them is left but how they ended.
 func TestOneTaskJobs(t *testing.T) {
 	const jobs = 4 * 180
-	w := smallWorld(5, testSettings())
+	w := newSmallWorld(5, testSettings())
 	for i := range jobs {
 		at, run := time.Duration(i)*250*time.Millisecond, time.Duration(4+i%9)*time.Second
-		spec := metJob(fmt.Sprintf("job-%06d", i), []string{"ops", "lab"}[i%2], 1, 1, run)
+		spec := batchJob(fmt.Sprintf("job-%06d", i), []string{"ops", "lab"}[i%2], 1, 1, run)
 		w.schedule(at, func() { w.Submit(spec, run, false) })
 		if i%4 == 1 {
 			w.schedule(at+time.Duration(1+i%17)*time.Second, func() { w.Cancel(spec.ID) })
@@ -138,7 +138,7 @@
 			t.Errorf("%s is left", k)
 		}
 	}
-	rulesHold(t, w)
+	checkNoViolations(t, w)
 }
 
 // TestCancelledAtTheEnd: a job is cancelled, asked about and submitted once more around the
@@ -147,14 +147,14 @@
 func TestCancelledAtTheEnd(t *testing.T) {
 	// play does that at a moment, or for none returns when that record is sent.
 	play := func(t *testing.T, at time.Duration, node int) (*World, time.Duration) {
-		w := newTestWorldOf(7, 3)
-		spec := metJob("job-000001", "ops", 2, 2, 20*time.Second)
+		w := newTestWorldOfSize(7, 3)
+		spec := batchJob("job-000001", "ops", 2, 2, 20*time.Second)
 		w.Submit(spec, 20*time.Second, false)
 		j := w.jobs[spec.ID]
 		if at == 0 {
 			var sent time.Time
 			w.corruptEffect = func(e message.Effect) message.Effect {
-				if sent.IsZero() && changes(e, "job/") {
+				if sent.IsZero() && writesKey(e, "job/") {
 					sent = w.now
 				}
 				return e
@@ -180,11 +180,11 @@
 				}
 			})
 		}
-		if w.when(20*time.Second, func() bool { return j.lastState == "done" || j.lastState == "cancelled" }) < 0 {
+		if w.waitUntil(20*time.Second, func() bool { return j.lastState == "done" || j.lastState == "cancelled" }) < 0 {
 			t.Errorf("told %q", j.lastState)
 		}
 		for range 10 {
-			askAll(t, w, spec.ID, j.lastState)
+			checkStateAtAll(t, w, spec.ID, j.lastState)
 			w.Run(time.Second)
 		}
 		return w, 0
@@ -192,7 +192,7 @@
 	_, end := play(t, 0, 0)
 	var done, cancelled atomic.Int64
 	t.Run("offsets", func(t *testing.T) {
-		for _, step := range spread(40, 10) {
+		for _, step := range sampleCases(40, 10) {
 			for node := range 3 {
 				off := time.Duration(step-36) * 6 * time.Millisecond
 				t.Run(fmt.Sprintf("%v node-%d", off, node), func(t *testing.T) {
@@ -204,7 +204,7 @@
 					if w.state.records["open/job-000001"] != nil {
 						t.Error("open/job-000001 is left")
 					}
-					rulesHold(t, w)
+					checkNoViolations(t, w)
 				})
 			}
 		}
@@ -223,11 +223,11 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			types, _ := testTypes()
-			w := NewWorld(seed, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 6, "small/b/false": 6})
+			w := NewWorld(seed, 3, testSettings(), testCancelWithin, types, map[string]int{"small/a/false": 6, "small/b/false": 6})
 			w.disturbances = &disturbances{slowAnswersUntil: w.now.Add(4 * time.Minute), answerDelay: time.Second}
 			w.lossRate = 0.01
 			for i := range 24 {
-				spec := metJob(fmt.Sprintf("job-%06d", i), "ops", 4, 2, 30*time.Second)
+				spec := batchJob(fmt.Sprintf("job-%06d", i), "ops", 4, 2, 30*time.Second)
 				spec.Urgency = []model.Urgency{model.Normal, model.Urgent}[i%2]
 				w.schedule(time.Duration(i)*time.Second, func() { w.Submit(spec, 30*time.Second, false) })
 			}
@@ -246,7 +246,7 @@
 			w.lossRate = 0
 			w.Run(8 * time.Minute)
 			checkFinalAnswers(t, w, false)
-			rulesHold(t, w)
+			checkNoViolations(t, w)
 		})
 	}
 }
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -82,8 +82,8 @@
 	history    map[string][]porcupine.Operation
 	newestFate map[string]jobFate
 	// cancels are the jobs that are cancelled, and when: on that news.
-	cancels  map[string]jobFate
-	problems []string
+	cancels    map[string]jobFate
+	violations []string
 	// sentFate is the newest that a life of a controller has said of a job.
 	sentFate map[string]jobFate
 	// bursts counts bursts by what they followed, and unsaid requests without an answer.
@@ -127,8 +127,8 @@
 	c.history[id] = append(c.history[id], o)
 }
 
-// ask sends one request to one controller.
-func (c *concurrentReaders) ask(to int, kind operationKind, id string) {
+// send sends one request to one controller.
+func (c *concurrentReaders) send(to int, kind operationKind, id string) {
 	w, asked, over := c.world, c.now(), false
 	patience := 5 * time.Second
 	mk := func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
@@ -185,7 +185,7 @@
 	key := fmt.Sprintf("%s %s.%d", id, p.name, p.incarnation)
 	was, f := c.sentFate[key], fateOf(r)
 	if order[f] < order[was] {
-		c.problems = append(c.problems, fmt.Sprintf("%s says %q after %q", key, f, was))
+		c.violations = append(c.violations, fmt.Sprintf("%s says %q after %q", key, f, was))
 	}
 	c.sentFate[key] = f
 }
@@ -195,7 +195,7 @@
 func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r message.UserReply) {
 	c.unansweredCount[op.kind]++
 	if r.Status != 0 && r.Status != 503 {
-		c.problems = append(c.problems, fmt.Sprintf("%s of %s: %d %s", op.kind, op.job, r.Status, r.Message))
+		c.violations = append(c.violations, fmt.Sprintf("%s of %s: %d %s", op.kind, op.job, r.Status, r.Message))
 	}
 	if op.kind == opPoll {
 		return
@@ -214,7 +214,7 @@
 func (c *concurrentReaders) retryUntilAnswered(op jobOperation) {
 	c.world.schedule(c.world.jitter(time.Second), func() {
 		if was := c.newestFate[op.job]; op.kind == opSubmit && was == unknown || op.kind == opCancel && was == accepted {
-			c.ask(c.rng.IntN(len(c.world.controllers)), op.kind, op.job)
+			c.send(c.rng.IntN(len(c.world.controllers)), op.kind, op.job)
 		}
 	})
 }
@@ -237,16 +237,16 @@
 			if c.rng.IntN(4) == 0 {
 				kind = opSubmit
 			}
-			c.world.schedule(d*time.Millisecond, func() { c.ask(to, kind, id) })
+			c.world.schedule(d*time.Millisecond, func() { c.send(to, kind, id) })
 		}
 	}
 	if c.cancels[id] == f {
-		c.world.schedule(time.Duration(c.rng.IntN(4))*time.Millisecond, func() { c.ask(c.rng.IntN(len(c.world.controllers)), opCancel, id) })
+		c.world.schedule(time.Duration(c.rng.IntN(4))*time.Millisecond, func() { c.send(c.rng.IntN(len(c.world.controllers)), opCancel, id) })
 	}
 }
 
-// job is one that comes at a moment. Its user asks each second until he knows how it ended.
-func (c *concurrentReaders) job(at time.Duration, id string, run time.Duration, tasks int, on jobFate) {
+// addJob is one that comes at a moment. Its user asks each second until he knows how it ended.
+func (c *concurrentReaders) addJob(at time.Duration, id string, run time.Duration, tasks int, on jobFate) {
 	spec := model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks,
 		Need: model.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 	c.world.jobs[id] = newUserJob(spec, run)
@@ -256,7 +256,7 @@
 			c.cancels[id] = on
 		}
 		c.burst(id, unknown)
-		c.ask(c.rng.IntN(len(c.world.controllers)), opSubmit, id)
+		c.send(c.rng.IntN(len(c.world.controllers)), opSubmit, id)
 		c.readEverywhere(id)
 	})
 }
@@ -265,12 +265,12 @@
 	if f := c.newestFate[id]; f == done || f == cancelled {
 		return
 	}
-	c.ask(c.rng.IntN(len(c.world.controllers)), opPoll, id)
+	c.send(c.rng.IntN(len(c.world.controllers)), opPoll, id)
 	c.world.schedule(c.world.jitter(time.Second), func() { c.readEverywhere(id) })
 }
 
-// fault lets one thing go wrong for a short time.
-func (c *concurrentReaders) fault() {
+// startRandomFault lets one thing go wrong for a short time.
+func (c *concurrentReaders) startRandomFault() {
 	w, d := c.world, time.Duration(200+c.rng.IntN(6000))*time.Millisecond
 	i := c.rng.IntN(len(w.controllers))
 	back := []time.Duration{20, 100, 300}[c.rng.IntN(3)] * time.Millisecond
@@ -299,14 +299,14 @@
 	const jobs, apart = 24, 4 * time.Second
 	for i := range jobs {
 		on := []jobFate{unknown, accepted, unknown, done, unknown, cancelled}[i%6]
-		c.job(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("job-%06d", i), time.Duration(2+c.rng.IntN(12))*time.Second, 1+i%3, on)
+		c.addJob(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("job-%06d", i), time.Duration(2+c.rng.IntN(12))*time.Second, 1+i%3, on)
 	}
 	if troubles {
-		c.share = 0.15
+		c.fraction = 0.15
 		for i := range 20 {
-			c.world.schedule(32*time.Second+time.Duration(i)*5*time.Second, c.fault)
+			c.world.schedule(32*time.Second+time.Duration(i)*5*time.Second, c.startRandomFault)
 		}
-		c.world.schedule(32*time.Second+20*5*time.Second, func() { c.share = 0 })
+		c.world.schedule(32*time.Second+20*5*time.Second, func() { c.fraction = 0 })
 	}
 	c.world.Run(5 * time.Minute)
 }
@@ -353,7 +353,7 @@
 
 // check judges all registers.
 func (c *concurrentReaders) check() []string {
-	out := c.problems
+	out := c.violations
 	for _, id := range sortedKeys(c.history) {
 		if r := porcupine.CheckOperationsTimeout(jobModel, dropImpliedReads(withSubmission(c.history[id])), 5*time.Second); r != porcupine.Ok {
 			out = append(out, fmt.Sprintf("%s is no register: %s", id, r))
@@ -367,15 +367,13 @@
 // controllers end, the state service refuses, is slow, loses answers or carries out late.
 // No controller answers something older: each job is one register.
 func TestConcurrentReads(t *testing.T) {
-	for seed := range drawnDays(t, 8, 2) {
+	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(seed)
 			c := newConcurrentReaders(w, seed)
 			c.run(seed > 0)
-			for _, b := range append(w.Violations, c.check()...) {
-				t.Error(b)
-			}
+			reportViolations(t, append(w.Violations, c.check()...))
 			answers := 0
 			for _, id := range sortedKeys(w.jobs) {
 				answers += len(c.history[id])
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -2,26 +2,9 @@
 
 import (
 	"fmt"
-	"os"
-	"strings"
 	"testing"
 )
 
-// drawnDays is how many drawn days a test plays: few of them with -short or -race, under
-// which a day takes ten times as long and shows nothing more, as no decision has a
-// goroutine. A long search: MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
-func drawnDays(t *testing.T, days, few uint64) uint64 {
-	if testing.Short() || raced {
-		days = few
-	}
-	if v := os.Getenv("MICAHILL_DAYS"); v != "" {
-		if _, err := fmt.Sscan(v, &days); err != nil {
-			t.Fatal("MICAHILL_DAYS: ", err)
-		}
-	}
-	return days
-}
-
 // TestDays plays days with one to nine teams, three to seven controllers and small
 // limits, and two that an earlier form failed: with two and three teams on so many
 // machines that a share's names passed value_kb, tasks ran twice on a day without a
@@ -31,7 +14,7 @@
 		{Seed: 3, Machines: 900, Teams: 2, Controllers: 3, Jobs: 700, FaultCount: -1, Minutes: 2},
 		{Seed: 207, Machines: 700, Teams: 3, Controllers: 3, Jobs: 500, FaultCount: 2, Minutes: 2},
 	}
-	for seed := range drawnDays(t, 8, 3) {
+	for seed := range dayCount(t, 8, 3) {
 		days = append(days, DayParams{Seed: seed + 1})
 	}
 	// With troubles of no list: 20 had a job of thousands of tasks that was never done,
@@ -44,9 +27,7 @@
 			t.Parallel()
 			d := GenerateDay(p)
 			r := RunDay(d, "")
-			for _, b := range r.Violations {
-				t.Error(b)
-			}
+			reportViolations(t, r.Violations)
 			if p.UnlistedFaults {
 				for _, g := range r.Starved() {
 					t.Error("starved: ", g)
@@ -57,7 +38,7 @@
 			}
 			if t.Failed() {
 				t.Logf("%+v", d.Faults)
-				t.Log(strings.Join(r.Log[max(0, len(r.Log)-60):], "\n"))
+				logTail(t, r.Log, 60)
 			}
 		})
 	}
--- a/internal/simulation/extra_faults_test.go
+++ b/internal/simulation/extra_faults_test.go
@@ -11,14 +11,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// longJob is an array that outlasts every test.
-func longJob(id string, tasks int) model.JobSpec {
-	return model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: 1, Memory: 1},
-		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
-}
-
-// busyWorld has three jobs of four tasks that run, a minute after its begin.
-func busyWorld(t *testing.T) *World {
+// newBusyWorld has three jobs of four tasks that run, a minute after its begin.
+func newBusyWorld(t *testing.T) *World {
 	t.Helper()
 	w := newTestWorld(3)
 	for _, id := range []string{"job-000001", "job-000002", "job-000003"} {
@@ -43,17 +37,10 @@
 	panic("no task runs")
 }
 
-func noneBroken(t *testing.T, w *World) {
-	t.Helper()
-	for _, b := range w.Violations {
-		t.Error(b)
-	}
-}
-
 // Users cancel two of three jobs that run within a fifth of a second, and their machines
 // hang then; the third goes on.
 func TestCancelLongRunning(t *testing.T) {
-	w := busyWorld(t)
+	w := newBusyWorld(t)
 	w.CancelLongRunning(2, 20*time.Second)
 	w.Run(massCancelWithin)
 	aborting, hung := 0, 0
@@ -70,7 +57,7 @@
 	if aborting != 2 || hung == 0 || hung > maxHungMachines {
 		t.Errorf("%d cancelled, %d machines hang", aborting, hung)
 	}
-	w.Run(testCancel)
+	w.Run(testCancelWithin)
 	running := 0
 	for id, j := range w.jobs {
 		if w.runningTasks(id) > 0 {
@@ -83,7 +70,7 @@
 	if running != 1 {
 		t.Errorf("%d jobs run", running)
 	}
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 }
 
 // A job is called off at the moment of its end: it is told as the one or the other, and
@@ -98,13 +85,13 @@
 	if j := w.jobs[s.ID]; !j.cancelRequested || len(j.doneTasks) != 2 || !isFinal(j.lastState) {
 		t.Errorf("%d results, cancelled %v, told %q", len(j.doneTasks), j.cancelRequested, j.lastState)
 	}
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 }
 
 // A machine that reaches no controller is reached by direct commands: a cancelled task
 // ends there at once, and its answers arrive.
 func TestUnheardMachines(t *testing.T) {
-	w := busyWorld(t)
+	w := newBusyWorld(t)
 	m, x := busyMachine(w)
 	w.MakeUnheard([]string{m.ID}, time.Hour)
 	// A report that was on its way has been answered.
@@ -122,13 +109,13 @@
 	if m.incarnation < 2 {
 		t.Error("its lease has not run out")
 	}
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 }
 
 // A direct command that is held up gets no answer, and is carried out once, later, if
 // token and session match.
 func TestLateCommands(t *testing.T) {
-	w := busyWorld(t)
+	w := newBusyWorld(t)
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
 	p := w.controllers[0]
@@ -151,12 +138,12 @@
 	if x.onMachine() {
 		t.Error("never carried out")
 	}
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 }
 
 // A late command of another session does nothing.
 func TestLateCommandOfAnotherIncarnation(t *testing.T) {
-	w := busyWorld(t)
+	w := newBusyWorld(t)
 	m, x := busyMachine(w)
 	w.DelayCommands(1, time.Second)
 	w.controllers[0].delayCommand(m, message.WorkerRequest{Machine: m.ID, Epoch: m.epoch, Incarnation: m.incarnation + 1, Commands: []model.TaskCommand{{Kind: model.StopTask, Job: x.job.spec.ID, Index: x.index, Attempt: x.attempt}}})
@@ -197,7 +184,7 @@
 // Copies of reports are kept until another controller leads, and reach every controller
 // then.
 func TestReplayToNextLeader(t *testing.T) {
-	w := busyWorld(t)
+	w := newBusyWorld(t)
 	w.startProtocolFault(Fault{Kind: "copies", Fraction: 1, Duration: 20 * time.Second, Delay: time.Minute, ForNextLeader: true}, w.rng)
 	w.Run(20 * time.Second)
 	kept := len(w.heldHeartbeats)
@@ -220,7 +207,7 @@
 		t.Errorf("%d still kept under %s", len(w.heldHeartbeats), w.leaderName())
 	}
 	w.Run(time.Minute)
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 }
 
 // What users ask closely and oddly is judged: it breaks nothing with the core as it is,
--- a/internal/simulation/held_command_test.go
+++ b/internal/simulation/held_command_test.go
@@ -35,7 +35,7 @@
 		x := &heldCommand{machine: op.Machine}
 		for _, o := range op.Commands {
 			if o.Kind == model.StartTask {
-				x.starts = append(x.starts, startName(o))
+				x.starts = append(x.starts, attemptName(o))
 			}
 		}
 		if len(x.starts) == 0 {
@@ -62,14 +62,14 @@
 	}
 	for _, o := range op.Commands {
 		for _, k := range h.starts {
-			if o.Kind == model.StartTask && k != startName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
+			if o.Kind == model.StartTask && k != attemptName(o) && strings.HasPrefix(k, taskName(o.Job, o.Index)+"#") {
 				h.restarted++
 			}
 		}
 	}
 }
 
-func startName(o model.TaskCommand) string {
+func attemptName(o model.TaskCommand) string {
 	return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 }
 
--- /dev/null
+++ b/internal/simulation/helpers_test.go
@@ -0,0 +1,234 @@
+package simulation
+
+import (
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/micahill/micahill/internal/controller"
+	"github.com/micahill/micahill/internal/model"
+	"github.com/vmihailenco/msgpack/v5"
+)
+
+func testSettings() controller.Settings {
+	return controller.Settings{
+		Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second,
+		MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 150, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 8, CloudListLag: 4 * time.Second,
+		Policy:     controller.DefaultPolicy(),
+		Objectives: []model.Objective{{Kind: "wait", Workload: "rush", Within: 2 * time.Second, Fraction: 0.9}},
+		Teams:      []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40}}},
+	}
+}
+
+func testTypes() ([]model.MachineType, map[string]int) {
+	return []model.MachineType{
+			{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
+			{Name: "big", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 1.5, SpotCostPerHour: 0.5, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
+		}, map[string]int{
+			"small/a/true": 4, "small/a/false": 6, "small/b/true": 3, "small/b/false": 6, "big/a/true": 1, "big/a/false": 2,
+		}
+}
+
+const testCancelWithin = 54 * time.Second
+
+func newTestWorld(seed uint64) *World {
+	return newTestWorldOfSize(seed, 3)
+}
+
+func newTestWorldOfSize(seed uint64, controllers int) *World {
+	types, room := testTypes()
+	return NewWorld(seed, controllers, testSettings(), testCancelWithin, types, room)
+}
+
+// newSmallWorld is one of three controllers in which only small machines can be rented.
+func newSmallWorld(seed uint64, set controller.Settings) *World {
+	types, _ := testTypes()
+	return NewWorld(seed, 3, set, testCancelWithin, types, map[string]int{"small/a/false": 20, "small/b/false": 20})
+}
+
+// batchJob is a job whose tasks take a while.
+func batchJob(id, team string, tasks int, cpu float64, run time.Duration) model.JobSpec {
+	return model.JobSpec{
+		ID: id, Workload: "batch", Team: team, Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: cpu, Memory: cpu},
+		Image: "img", ImageGB: 1, ExpectedRunTime: run,
+	}
+}
+
+// submitMany submits jobs that are alike and returns their names.
+func (w *World) submitMany(prefix, team string, jobs, tasks int, cpu float64, run time.Duration) []string {
+	var ids []string
+	for i := range jobs {
+		spec := batchJob(fmt.Sprintf("job-%s%03d", prefix, i), team, tasks, cpu, run)
+		w.Submit(spec, run, false)
+		ids = append(ids, spec.ID)
+	}
+	return ids
+}
+
+// longJob is an array that outlasts every test.
+func longJob(id string, tasks int) model.JobSpec {
+	return model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: 1, Memory: 1},
+		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
+}
+
+// waitUntil runs until something holds, for most at the longest, and returns how long it took;
+// -1: it does not hold.
+func (w *World) waitUntil(most time.Duration, holds func() bool) time.Duration {
+	from := w.now
+	for !holds() {
+		if w.now.Sub(from) >= most {
+			return -1
+		}
+		w.Run(tickInterval)
+	}
+	return w.now.Sub(from)
+}
+
+// machinesRunning are those with tasks of a job.
+func (w *World) machinesRunning(id string) []*Worker {
+	var out []*Worker
+	for _, k := range sortedKeys(w.machines) {
+		m := w.machines[k]
+		for _, x := range m.tasks {
+			if x.job.spec.ID == id && x.onMachine() && !slices.Contains(out, m) {
+				out = append(out, m)
+			}
+		}
+	}
+	return out
+}
+
+// trackLastRun notes from now on when each of these jobs was last on a machine.
+func (w *World) trackLastRun(ids ...string) map[string]time.Time {
+	last := map[string]time.Time{}
+	var look func()
+	look = func() {
+		for _, id := range ids {
+			if w.runningTasks(id) > 0 {
+				last[id] = w.now
+			}
+		}
+		w.schedule(tickInterval, look)
+	}
+	look()
+	return last
+}
+
+// checkStoppedWithin checks that the jobs of lastSeen are confirmed as cancelled, and off all
+// machines so soon after the first confirmation.
+func checkStoppedWithin(t *testing.T, w *World, last map[string]time.Time, most time.Duration) {
+	t.Helper()
+	for _, id := range sortedKeys(last) {
+		j := w.jobs[id]
+		if w.waitUntil(3*time.Minute, func() bool { return !j.cancelledAt.IsZero() && w.runningTasks(id) == 0 }) < 0 {
+			t.Errorf("%s is %q and has %d tasks", id, j.lastState, w.runningTasks(id))
+		} else if d := last[id].Sub(j.cancelledAt); d > most {
+			t.Errorf("%s had tasks for %v after its cancellation was confirmed", id, d)
+		}
+	}
+}
+
+// maxStopTime is in how long the tasks of a cancelled job are gone from machines that
+// can be reached, also while their controller changes.
+const maxStopTime = 15 * time.Second
+
+// checkNoViolations fails the test with every broken rule.
+func checkNoViolations(t *testing.T, w *World) {
+	t.Helper()
+	reportViolations(t, w.Violations)
+	if t.Failed() {
+		logTail(t, w.logs, 80)
+	}
+}
+
+func reportViolations(t *testing.T, violations []string) {
+	t.Helper()
+	for _, v := range violations {
+		t.Errorf("got violation %s", v)
+	}
+}
+
+// logTail logs the last lines of a world's or a day's log.
+func logTail(t *testing.T, lines []string, last int) {
+	t.Helper()
+	t.Log(strings.Join(lines[max(0, len(lines)-last):], "\n"))
+}
+
+// checkFinalAnswers checks that users were told of each job that it is done; or, when some were to be
+// refused or cancelled, that.
+func checkFinalAnswers(t *testing.T, w *World, others bool) {
+	t.Helper()
+	for _, id := range sortedKeys(w.jobs) {
+		if j := w.jobs[id]; j.lastState != "done" && !(others && (j.refusedStatus > 0 || j.lastState == "cancelled")) {
+			t.Errorf("%s is %q in the end, %d of %d done", id, j.lastState, len(j.doneTasks), j.spec.Tasks)
+		}
+	}
+}
+
+// dayCount is how many drawn days a test plays: few of them with -short or -race, under
+// which a day takes ten times as long and shows nothing more, as no decision has a
+// goroutine. A long search: MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
+func dayCount(t *testing.T, days, few uint64) uint64 {
+	if testing.Short() || raceEnabled {
+		days = few
+	}
+	if v := os.Getenv("MICAHILL_DAYS"); v != "" {
+		if _, err := fmt.Sscan(v, &days); err != nil {
+			t.Fatal("MICAHILL_DAYS: ", err)
+		}
+	}
+	return days
+}
+
+// sampleCases are n cases, or with the race detector or in short only few of them, evenly.
+func sampleCases(n, few int) []int {
+	k := n
+	if testing.Short() || raceEnabled {
+		k = few
+	}
+	var out []int
+	for i := range k {
+		out = append(out, i*n/k)
+	}
+	return out
+}
+
+// shardLeaderOf is the controller that has a team, by the records.
+func (w *World) shardLeaderOf(team string) int {
+	for _, k := range sortedKeys(w.state.records) {
+		var share struct {
+			Host  string   `msgpack:"host"`
+			Teams []string `msgpack:"teams"`
+		}
+		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(w.state.records[k].value, &share) == nil && slices.Contains(share.Teams, team) {
+			return w.controllerIndex(share.Host)
+		}
+	}
+	return 0
+}
+
+// runUntilDone runs until all jobs are done, for some minutes at most.
+func (w *World) runUntilDone() {
+	for end := w.now.Add(5 * time.Minute); w.now.Before(end); w.Run(5 * time.Second) {
+		if !slices.ContainsFunc(sortedKeys(w.jobs), func(id string) bool { return w.jobs[id].lastState != "done" }) {
+			return
+		}
+	}
+}
+
+func maxTime(a, b time.Time) time.Time {
+	if b.After(a) {
+		return b
+	}
+	return a
+}
+
+func boolInt(b bool) int {
+	if b {
+		return 1
+	}
+	return 0
+}
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -10,9 +10,9 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// largeWorld is a pool of some hundred machines and more, with three workloads:
+// newLargeWorld is a pool of some hundred machines and more, with three workloads:
 // rush with a bounded wait, batch of middle size, and wide tasks.
-func largeWorld(seed uint64, scale float64) *World {
+func newLargeWorld(seed uint64, scale float64) *World {
 	set := testSettings()
 	set.Zones = []string{"a"}
 	set.HeartbeatInterval, set.WorkerLease = 8*time.Second, 34*time.Second
@@ -69,7 +69,7 @@
 func BenchmarkSteady(b *testing.B) {
 	for _, scale := range []float64{0.1, 0.3, 1} {
 		b.Run(fmt.Sprint(scale), func(b *testing.B) {
-			w := largeWorld(1, scale)
+			w := newLargeWorld(1, scale)
 			rng := rand.New(rand.NewPCG(1, 2))
 			w.submitAtScale(rng, scale, 100*time.Second)
 			w.Run(100 * time.Second)
@@ -99,7 +99,7 @@
 // work is done soon after.
 func TestLargePool(t *testing.T) {
 	const scale = 0.25
-	w := largeWorld(3, scale)
+	w := newLargeWorld(3, scale)
 	rng := rand.New(rand.NewPCG(3, 4))
 	w.submitAtScale(rng, scale, 200*time.Second)
 	some := func(n int, fn func(*Worker)) {
@@ -131,9 +131,7 @@
 		most = max(most, w.state.writeCount-before)
 	}
 	w.Run(2 * time.Minute)
-	for _, b := range w.Violations {
-		t.Error(b)
-	}
+	reportViolations(t, w.Violations)
 	checkFinalAnswers(t, w, false)
 	// The model of the state service refuses nothing, so its limit is checked
 	// here: what the cores ask for, without the clients that hold them back.
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -15,26 +15,26 @@
 // lostResponses lets a share of the transactions be carried out at once, and loses what the
 // state service says to their senders in that moment: the answer, and a watch's.
 type lostResponses struct {
-	share float64
-	// chosen are the senders by the first key that they write.
-	chosen map[string]string
+	fraction float64
+	// senderByKey are the senders by the first key that they write.
+	senderByKey map[string]string
 	// lost counts them by the kind of record.
 	lost map[string]int
 }
 
 func loseResponses(w *World, seed uint64, share float64) *lostResponses {
-	l := &lostResponses{share: share, chosen: map[string]string{}, lost: map[string]int{}}
+	l := &lostResponses{fraction: share, senderByKey: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
 	w.crashCondition = func(p *controllerProcess, e message.Effect) bool {
-		if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.share {
-			l.chosen[op.Writes[0].Key] = p.name
+		if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && rng.Float64() < l.fraction {
+			l.senderByKey[op.Writes[0].Key] = p.name
 		}
 		return false
 	}
 	noted := w.state.onChange
 	w.state.onChange = func(it message.KeyValue) {
-		if p, chosen := l.chosen[it.Key]; chosen {
-			delete(l.chosen, it.Key)
+		if p, chosen := l.senderByKey[it.Key]; chosen {
+			delete(l.senderByKey, it.Key)
 			l.lost[recordKind(it.Key)]++
 			w.partitionOneWay("state", p, 0)
 		}
@@ -63,7 +63,7 @@
 // job's date is one register, the totals are exact, and all jobs end.
 func TestLostResponses(t *testing.T) {
 	met, mu := map[string]int{}, sync.Mutex{}
-	days := drawnDays(t, 8, 3)
+	days := dayCount(t, 8, 3)
 	t.Run("days", func(t *testing.T) {
 		for seed := range days {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -71,27 +71,25 @@
 				types, room := testTypes()
 				set := testSettings()
 				set.Capabilities = controller.Capabilities{Ranking: true, Promises: true, PromiseFraction: 0.95, Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: time.Minute}
-				w := NewWorld(seed, 3+2*int(seed%2), set, testCancel, types, room)
+				w := NewWorld(seed, 3+2*int(seed%2), set, testCancelWithin, types, room)
 				w.CheckRanking()
 				w.rankingCheck.startsOnly = true
 				d := recordPromises(w)
 				l := loseResponses(w, seed, 0.15)
-				w.schedule(20*time.Second, func() { d.askAll(w.startedAt.Add(6 * time.Minute)) })
+				w.schedule(20*time.Second, func() { d.queryAll(w.startedAt.Add(6 * time.Minute)) })
 				for k := range 10 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.schedule(time.Duration(10+k*30)*time.Second, func() {
-						w.SetRanking(k%len(w.controllers), message.SetRanking{Record: mustRank(t, text, "somebody"), AnyRevision: true}, func(message.RankingReply) {})
+						w.SetRanking(k%len(w.controllers), message.SetRanking{Record: mustParseRanking(t, text, "somebody"), AnyRevision: true}, func(message.RankingReply) {})
 					})
 				}
-				w.schedule(8*time.Minute, func() { l.share = 0 })
+				w.schedule(8*time.Minute, func() { l.fraction = 0 })
 				randomDay(w, seed+900)
-				for _, b := range append(w.Violations, d.check()...) {
-					t.Error(b)
-				}
-				d.totals(t)
+				reportViolations(t, append(w.Violations, d.check()...))
+				d.checkTotals(t)
 				checkFinalAnswers(t, w, true)
 				if t.Failed() {
-					t.Log(strings.Join(w.logs[max(0, len(w.logs)-40):], "\n"))
+					logTail(t, w.logs, 40)
 				}
 				mu.Lock()
 				defer mu.Unlock()
@@ -114,13 +112,13 @@
 // wholly down for it, and in the end all runs.
 func TestMigrationsWithLostResponses(t *testing.T) {
 	met := 0
-	for seed := range drawnDays(t, 8, 3) {
+	for seed := range dayCount(t, 8, 3) {
 		p := newFragmentedWorld(t, seed, 3)
 		l := loseResponses(p.World, seed, 0.4)
-		p.watch()
-		p.large()
+		p.watchDown()
+		p.submitLarge()
 		p.Run(150 * time.Second)
-		l.share = 0
+		l.fraction = 0
 		p.Run(60 * time.Second)
 		if p.runningTasks("job-large") != 1 {
 			t.Errorf("%d: the large one does not run", seed)
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -11,22 +11,22 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// lowerWorld is one whose state service will have lower limits, of which controllers know
+// lowerLimitsWorld is one whose state service will have lower limits, of which controllers know
 // only once they have been replaced.
-type lowerWorld struct {
+type lowerLimitsWorld struct {
 	*World
 	next controller.Settings
 	// replaced are the controllers that know of the limits, and early counts records that
 	// those of before can't read and that were written while some could come back.
-	replaced []bool
-	early    int
+	replaced         []bool
+	unreadableWrites int
 }
 
-func newLowerWorld(seed uint64) *lowerWorld {
+func newLowerLimitsWorld(seed uint64) *lowerLimitsWorld {
 	set := testSettings()
 	set.Zones, set.Teams = []string{"a"}, []model.Team{{Name: "ops"}, {Name: "lab"}}
 	types := []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 16, Memory: 64}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
-	l := &lowerWorld{World: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 40}), next: set, replaced: make([]bool, 3)}
+	l := &lowerLimitsWorld{World: NewWorld(seed, 3, set, testCancelWithin, types, map[string]int{"box/a/false": 40}), next: set, replaced: make([]bool, 3)}
 	l.next.MaxValueBytes, l.next.CurrentMaxValueBytes, l.next.MaxTxnWrites, l.next.StoreWritesPerSecond = 1024, set.MaxValueBytes, 4, 21
 	l.adjustSettings = func(i int, set *controller.Settings) {
 		if l.replaced[i] {
@@ -35,29 +35,29 @@
 		}
 	}
 	l.state.onChange = func(it message.KeyValue) {
-		if strings.HasPrefix(it.Key, "task/") && strings.Contains(it.Key, "/s") && !l.all() {
-			l.early++
+		if strings.HasPrefix(it.Key, "task/") && strings.Contains(it.Key, "/s") && !l.allReplaced() {
+			l.unreadableWrites++
 		}
 	}
 	return l
 }
 
-func (l *lowerWorld) all() bool { return l.replaced[0] && l.replaced[1] && l.replaced[2] }
+func (l *lowerLimitsWorld) allReplaced() bool { return l.replaced[0] && l.replaced[1] && l.replaced[2] }
 
 // replace ends a controller, which comes back with the new version.
-func (l *lowerWorld) replace(i int) {
+func (l *lowerLimitsWorld) replace(i int) {
 	l.replaced[i] = true
 	l.CrashController(i, 3*time.Second)
 }
 
-// lower has the state service keep the limits to come.
-func (l *lowerWorld) lower() { l.state.SetLimits(l.next) }
+// lowerLimits has the state service keep the limits to come.
+func (l *lowerLimitsWorld) lowerLimits() { l.state.SetLimits(l.next) }
 
 // TestLowerLimitsUnseen: the controller that is replaced last has lost the state service
 // until long after the limits are lower, so that nobody is told that it is new: the others
 // find that out by the limit, are refused a few times, and go on.
 func TestLowerLimitsUnseen(t *testing.T) {
-	l := newLowerWorld(7)
+	l := newLowerLimitsWorld(7)
 	l.Run(time.Minute)
 	ids := l.submitMany("ops", "ops", 6, 100, 1, 40*time.Second)
 	ids = append(ids, l.submitMany("lab", "lab", 6, 100, 1, 40*time.Second)...)
@@ -70,9 +70,9 @@
 		l.Run(8 * time.Second)
 	}
 	cutOff := l.submitMany("late", "ops", 6, 100, 1, 30*time.Second)
-	l.lower()
+	l.lowerLimits()
 	l.Run(5 * time.Minute)
-	rulesHold(t, l.World)
+	checkNoViolations(t, l.World)
 	for _, id := range append(ids, cutOff...) {
 		if j := l.jobs[id]; j.lastState != string(model.Done) {
 			t.Errorf("%s is %s", id, j.lastState)
@@ -89,9 +89,9 @@
 // turn. Before this the state service called every further write of a job's tasks
 // malformed, for ever, as their records had been written under the old limits.
 func TestLowerLimits(t *testing.T) {
-	for _, k := range spread(24, 4) {
+	for _, k := range sampleCases(24, 4) {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
-			l := newLowerWorld(uint64(k))
+			l := newLowerLimitsWorld(uint64(k))
 			l.Run(time.Minute)
 			ids := l.submitMany("ops", "ops", 6, 100, 1, 50*time.Second)
 			ids = append(ids, l.submitMany("lab", "lab", 6, 100, 1, 35*time.Second)...)
@@ -113,7 +113,7 @@
 				l.CrashController(l.busiestController(), 2*time.Second)
 				l.Run(time.Duration(k) * 500 * time.Millisecond)
 			}
-			l.lower()
+			l.lowerLimits()
 			l.Run(time.Duration(k%7) * time.Second)
 			l.Cancel(ids[3])
 			if k%4 > 1 {
@@ -126,9 +126,9 @@
 				l.CrashController(i, 3*time.Second)
 			}
 			l.Run(2 * time.Minute)
-			rulesHold(t, l.World)
-			if l.early > 0 {
-				t.Errorf("%d records that the version before can't read, while it could come back", l.early)
+			checkNoViolations(t, l.World)
+			if l.unreadableWrites > 0 {
+				t.Errorf("%d records that the version before can't read, while it could come back", l.unreadableWrites)
 			}
 			if l.state.Malformed > 0 {
 				t.Errorf("%d requests are malformed, the last for %s", l.state.Malformed, l.state.LastMalformed)
--- a/internal/simulation/margins_test.go
+++ b/internal/simulation/margins_test.go
@@ -12,12 +12,12 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// waitingWorld has a calm world with room in which nothing of job-000002 is ever started.
-func waitingWorld(limit float64) *World {
+// newWaitingWorld has a calm world with room in which nothing of job-000002 is ever started.
+func newWaitingWorld(limit float64) *World {
 	types, room := testTypes()
 	set := testSettings()
 	set.Teams[0].QuotaLimit.CPU = limit
-	w := NewWorld(3, 3, set, testCancel, types, room)
+	w := NewWorld(3, 3, set, testCancelWithin, types, room)
 	w.faultsEndAt = w.now
 	w.corruptEffect = func(e message.Effect) message.Effect {
 		return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == "job-000002" })
@@ -39,7 +39,7 @@
 		{"too large", 0, 30, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			w := waitingWorld(c.limit)
+			w := newWaitingWorld(c.limit)
 			w.Submit(longJob("job-000001", 2), time.Hour, false)
 			w.Run(40 * time.Second)
 			// Machines are there, and stay.
@@ -48,7 +48,7 @@
 			s.Need.CPU = c.cpu
 			w.Submit(s, time.Hour, false)
 			w.Run(maxWaiting)
-			noneBroken(t, w)
+			checkNoViolations(t, w)
 			w.Run(20 * time.Second)
 			if got := strings.Contains(strings.Join(w.Violations, "\n"), RuleWaiting); got != c.noticed {
 				t.Errorf("noticed %v: %v, slack %v", got, w.Violations, w.margins)
@@ -63,7 +63,7 @@
 // The slack of a cancellation is what its last task leaves of cancel_s, counted from the
 // first answer that left a controller.
 func TestCancellationMargins(t *testing.T) {
-	w := busyWorld(t)
+	w := newBusyWorld(t)
 	const left = 12 * time.Second
 	till := w.now.Add(w.cancelWithin - left)
 	w.cloudOutage, w.settings.WorkerLease = true, time.Hour
@@ -75,7 +75,7 @@
 	}
 	w.Cancel("job-000001")
 	w.Run(w.cancelWithin + time.Second)
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 	if got := w.margins[RuleCancelled].Remaining; got < left-5*time.Second || got > left+time.Second {
 		t.Errorf("%v left, want about %v: %v", got, left, w.margins)
 	}
@@ -134,7 +134,7 @@
 	for i := range types {
 		types[i].SpotCostPerHour = types[i].CostPerHour
 	}
-	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"small/a/false": 4})
+	w := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"small/a/false": 4})
 	w.faultsEndAt = w.now
 	s := longJob("job-000001", 3)
 	s.Need.CPU, s.ExpectedRunTime = 4, time.Minute
@@ -144,7 +144,7 @@
 	s.Team, s.Need.CPU, s.ExpectedRunTime = "lab", 2, 110*time.Second
 	w.Submit(s, s.ExpectedRunTime, false)
 	w.Run(4 * time.Minute)
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 	first, j := w.jobs["job-000001"], w.jobs["job-000002"]
 	idle := first.firstStarts[0].Add(first.run)
 	for i := range s.Tasks {
@@ -158,7 +158,7 @@
 // use nothing else for now is not late yet: it is not left waiting beside that room.
 func TestNotLeftWaitingBesideExpensiveCapacity(t *testing.T) {
 	types, _ := testTypes()
-	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"big/a/false": 1})
+	w := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1})
 	w.faultsEndAt = w.now
 	long := longJob("job-000001", 20)
 	w.Submit(long, time.Hour, false)
@@ -174,7 +174,7 @@
 	s.Need.CPU, s.ExpectedRunTime = 2, 110*time.Second
 	w.Submit(s, s.ExpectedRunTime, false)
 	w.Run(3 * time.Minute)
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 	if left := w.margins[RuleWaiting].Remaining; left < maxWaiting/3 || left > maxWaiting-20*time.Second {
 		t.Errorf("slack %v: it waited for too long, or not at all", w.margins[RuleWaiting])
 	}
@@ -184,7 +184,7 @@
 // room beside the first team's long work, and the job is not left waiting beside it.
 func TestRoomOnAnotherOwnersMachine(t *testing.T) {
 	types, _ := testTypes()
-	w := NewWorld(3, 3, testSettings(), testCancel, types, map[string]int{"big/a/false": 1})
+	w := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1})
 	w.faultsEndAt = w.now
 	w.Submit(longJob("job-000001", 10), time.Hour, false)
 	w.Run(time.Minute)
@@ -192,5 +192,5 @@
 	s.Team, s.Need.CPU = "lab", 8
 	w.Submit(s, time.Hour, false)
 	w.Run(maxWaiting + 30*time.Second)
-	noneBroken(t, w)
+	checkNoViolations(t, w)
 }
--- a/internal/simulation/models_fit_test.go
+++ b/internal/simulation/models_fit_test.go
@@ -24,7 +24,7 @@
 			set.Objectives = nil
 			set.Teams = []model.Team{{Name: "ops"}, {Name: "lab"}, {Name: "web"}}
 			set.Capabilities = controller.Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
-			w := NewWorld(seed, 3, set, testCancel, []model.MachineType{
+			w := NewWorld(seed, 3, set, testCancelWithin, []model.MachineType{
 				{Name: "host", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 45 * time.Second, Zones: []string{"a", "b"}},
 				{Name: "box", Capacity: model.Resources{CPU: 8, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.4, CostPerHour: 0.4, SpotCostPerHour: 0.15, ProvisioningTime: 30 * time.Second, Zones: []string{"a", "b"}},
 			}, map[string]int{"host/a/false": hosts / 2, "host/b/false": hosts / 2})
@@ -79,7 +79,7 @@
 				t.Error(w.Violations)
 			}
 			if t.Failed() {
-				t.Log(strings.Join(w.logs, "\n"))
+				logTail(t, w.logs, len(w.logs))
 			}
 		})
 	}
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -23,12 +23,12 @@
 	down string
 }
 
-func newFragmentedWorld(t *testing.T, seed uint64, nodes int) *fragmentedWorld {
+func newFragmentedWorld(t *testing.T, seed uint64, controllers int) *fragmentedWorld {
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Objectives = []string{"a"}, nil
 	set.Capabilities = controller.Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
-	w := NewWorld(seed, nodes, set, testCancel, []model.MachineType{
+	w := NewWorld(seed, controllers, set, testCancelWithin, []model.MachineType{
 		{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"host/a/false": 4})
 	p := &fragmentedWorld{World: w}
@@ -87,24 +87,24 @@
 	return hosts == 4
 }
 
-// large submits a replica that needs a whole host.
-func (p *fragmentedWorld) large() {
+// submitLarge submits a replica that needs a whole host.
+func (p *fragmentedWorld) submitLarge() {
 	p.Submit(model.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
 		Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
-// watch notes a job of which nothing is on a machine.
-func (p *fragmentedWorld) watch() {
+// watchDown notes a job of which nothing is on a machine.
+func (p *fragmentedWorld) watchDown() {
 	for _, id := range p.small {
 		if p.runningTasks(id) == 0 && p.down == "" {
 			p.down = fmt.Sprintf("%s at %v", id, p.now.Sub(p.startedAt))
 		}
 	}
-	p.schedule(tickInterval, p.watch)
+	p.schedule(tickInterval, p.watchDown)
 }
 
-// onEffect takes in the first move that an effect writes.
-func (p *fragmentedWorld) onEffect(e message.Effect) bool {
+// noteMigration takes in the first move that an effect writes.
+func (p *fragmentedWorld) noteMigration(e message.Effect) bool {
 	op, ok := e.(message.StoreRequest)
 	if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
 		return false
@@ -125,8 +125,8 @@
 	return true
 }
 
-// orders says that an effect has such an order for a job.
-func orders(e message.Effect, verb model.TaskCommandKind, job string) bool {
+// hasCommand says that an effect has such an order for a job.
+func hasCommand(e message.Effect, verb model.TaskCommandKind, job string) bool {
 	var all []model.TaskCommand
 	switch e := e.(type) {
 	case message.WorkerRequest:
@@ -146,8 +146,8 @@
 // run again, and of none was ever everything down.
 func TestMigrationsMakeRoom(t *testing.T) {
 	p := newFragmentedWorld(t, 1, 3)
-	p.watch()
-	p.large()
+	p.watchDown()
+	p.submitLarge()
 	p.Run(80 * time.Second)
 	if p.runningTasks("job-large") != 1 {
 		t.Error("the large one does not run")
@@ -166,7 +166,7 @@
 		t.Errorf("the record is still there: %d bytes", len(row.value))
 	}
 	if t.Failed() {
-		t.Log(strings.Join(p.logs, "\n"))
+		logTail(t, p.logs, len(p.logs))
 	}
 }
 
@@ -174,11 +174,11 @@
 // that there is room for, and no rule is broken.
 func TestMigrationsSurviveFaults(t *testing.T) {
 	steps := map[string]func(*fragmentedWorld, message.Effect) bool{
-		"intent": func(p *fragmentedWorld, e message.Effect) bool { return p.onEffect(e) },
-		"stop":   func(p *fragmentedWorld, e message.Effect) bool { return orders(e, model.StopTask, "job-s") },
-		"start":  func(p *fragmentedWorld, e message.Effect) bool { return orders(e, model.StartTask, "job-s") },
+		"intent": func(p *fragmentedWorld, e message.Effect) bool { return p.noteMigration(e) },
+		"stop":   func(p *fragmentedWorld, e message.Effect) bool { return hasCommand(e, model.StopTask, "job-s") },
+		"start":  func(p *fragmentedWorld, e message.Effect) bool { return hasCommand(e, model.StartTask, "job-s") },
 		"receiver": func(p *fragmentedWorld, e message.Effect) bool {
-			return orders(e, model.StartTask, "job-large")
+			return hasCommand(e, model.StartTask, "job-large")
 		},
 	}
 	type fault struct {
@@ -204,11 +204,13 @@
 	kill := func(p *fragmentedWorld, m *Worker) { p.killMachine(m) }
 	silent := func(p *fragmentedWorld, m *Worker) { p.Partition(m.ID, "*", 70*time.Second, false) }
 	faults := map[string]fault{
-		"owner":         crash(func(x *controllerProcess) bool { return x.controller.IsShardLeader() }),
-		"others":        crash(func(x *controllerProcess) bool { return !x.controller.IsShardLeader() }),
-		"all":           crash(func(*controllerProcess) bool { return true }),
-		"state":         {do: func(p *fragmentedWorld) { p.Outage(15 * time.Second) }},
-		"owner's state": {do: func(p *fragmentedWorld) { p.Partition(p.controllers[p.owner()].name, "state", 15*time.Second, true) }},
+		"owner":  crash(func(x *controllerProcess) bool { return x.controller.IsShardLeader() }),
+		"others": crash(func(x *controllerProcess) bool { return !x.controller.IsShardLeader() }),
+		"all":    crash(func(*controllerProcess) bool { return true }),
+		"state":  {do: func(p *fragmentedWorld) { p.Outage(15 * time.Second) }},
+		"owner's state": {do: func(p *fragmentedWorld) {
+			p.Partition(p.controllers[p.shardLeader()].name, "state", 15*time.Second, true)
+		}},
 		"target dies":   on(target, kill),
 		"source dies":   on(source, kill),
 		"target silent": on(target, silent),
@@ -219,22 +221,22 @@
 	for _, step := range sortedKeys(steps) {
 		for _, name := range sortedKeys(faults) {
 			seed++
-			nodes := 3 + 2*int(seed%2)
+			controllers := 3 + 2*int(seed%2)
 			late := time.Duration(seed%3) * 40 * time.Millisecond
 			t.Run(step+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				p := newFragmentedWorld(t, seed, nodes)
-				p.watch()
+				p := newFragmentedWorld(t, seed, controllers)
+				p.watchDown()
 				hit := false
 				p.corruptEffect = func(e message.Effect) message.Effect {
-					p.onEffect(e)
+					p.noteMigration(e)
 					if !hit && p.to != "" && steps[step](p, e) {
 						hit = true
 						p.schedule(late, func() { faults[name].do(p) })
 					}
 					return e
 				}
-				p.large()
+				p.submitLarge()
 				p.Run(5 * time.Minute)
 				if !hit {
 					t.Error("the step never came")
@@ -254,14 +256,14 @@
 					t.Error(p.Violations)
 				}
 				if t.Failed() {
-					t.Log(strings.Join(p.logs, "\n"))
+					logTail(t, p.logs, len(p.logs))
 				}
 			})
 		}
 	}
 }
 
-// owner is a controller that runs the jobs.
-func (p *fragmentedWorld) owner() int {
-	return (&scenario{world: p.World}).owner()
+// shardLeader is a controller that runs the jobs.
+func (p *fragmentedWorld) shardLeader() int {
+	return (&scenario{world: p.World}).shardLeader()
 }
--- a/internal/simulation/odd_jobs_test.go
+++ b/internal/simulation/odd_jobs_test.go
@@ -57,9 +57,7 @@
 		submit("job-"+id, impossible[id])
 	}
 	w.Run(8 * time.Minute)
-	for _, b := range w.Violations {
-		t.Error(b)
-	}
+	reportViolations(t, w.Violations)
 	for id := range possible {
 		if j := w.jobs["job-"+id]; j.lastState != "done" || j.refusedStatus != 0 {
 			t.Errorf("%s is %q, refused %d, %d of %d done", id, j.lastState, j.refusedStatus, len(j.doneTasks), j.spec.Tasks)
--- a/internal/simulation/overlaps_test.go
+++ b/internal/simulation/overlaps_test.go
@@ -141,17 +141,15 @@
 // TestOverlappingFaults plays a few drawn days on which troubles meet; many more are played by
 // micahill-lab days --meetings.
 func TestOverlappingFaults(t *testing.T) {
-	for seed := range drawnDays(t, 5, 2) {
+	for seed := range dayCount(t, 5, 2) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			t.Parallel()
 			d := GenerateDay(DayParams{Seed: seed + 1, Machines: 40, OverlappingFaults: true})
 			r := RunDay(d, "")
-			for _, b := range append(r.Violations, r.Starved()...) {
-				t.Error(b)
-			}
+			reportViolations(t, append(r.Violations, r.Starved()...))
 			if t.Failed() {
 				t.Logf("%v %v", d.Cancels, d.Faults)
-				t.Log(strings.Join(r.Log[max(0, len(r.Log)-60):], "\n"))
+				logTail(t, r.Log, 60)
 			}
 		})
 	}
--- a/internal/simulation/partial_faults_test.go
+++ b/internal/simulation/partial_faults_test.go
@@ -15,13 +15,13 @@
 // before or after one of its steps, and all that ended are back within a fraction of a
 // second. Nothing starts twice, and all work is done.
 func TestImmediateRestart(t *testing.T) {
-	for _, nodes := range []int{3, 5} {
+	for _, controllers := range []int{3, 5} {
 		for _, in := range []string{"claim", "share", "register", "read", "epoch", "report"} {
 			for _, back := range []time.Duration{50, 200, 500} {
 				for _, sent := range []bool{false, true} {
-					t.Run(fmt.Sprint(nodes, in, back, sent), func(t *testing.T) {
+					t.Run(fmt.Sprint(controllers, in, back, sent), func(t *testing.T) {
 						t.Parallel()
-						w := newTestWorldOf(uint64(back), nodes)
+						w := newTestWorldOfSize(uint64(back), controllers)
 						for i := range 8 {
 							w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
 								Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 20 * time.Second}, 20*time.Second, false)
@@ -38,16 +38,14 @@
 						if w.crashCondition != nil {
 							t.Errorf("nobody came to %s", in)
 						}
-						for _, b := range w.Violations {
-							t.Error(b)
-						}
+						reportViolations(t, w.Violations)
 						for _, id := range sortedKeys(w.jobs) {
 							if w.jobs[id].lastState != "done" {
 								t.Errorf("%s is %q", id, w.jobs[id].lastState)
 							}
 						}
 						if t.Failed() {
-							t.Log(strings.Join(w.logs, "\n"))
+							logTail(t, w.logs, len(w.logs))
 						}
 					})
 				}
@@ -64,7 +62,7 @@
 	for _, c := range []struct{ jobs, times int }{{1000, 8}, {300, 30}, {100, 100}} {
 		t.Run(fmt.Sprint(c.times), func(t *testing.T) {
 			t.Parallel()
-			w := newTestWorldOf(3, 5)
+			w := newTestWorldOfSize(3, 5)
 			w.Run(10 * time.Second)
 			w.state.revision++
 			for i := range c.jobs {
@@ -123,9 +121,7 @@
 			if reads > 4*len(w.controllers)*int(within/(150*time.Millisecond)) {
 				t.Errorf("%d reads", reads)
 			}
-			for _, b := range w.Violations {
-				t.Error(b)
-			}
+			reportViolations(t, w.Violations)
 		})
 	}
 }
--- a/internal/simulation/pipeline_reads_test.go
+++ b/internal/simulation/pipeline_reads_test.go
@@ -53,14 +53,14 @@
 	jobs []*userJob
 }
 
-// pipeline has a chain of jobs come, with a fan in the middle; its jobs are cancelled on
+// addPipeline has a chain of jobs come, with a fan in the middle; its jobs are cancelled on
 // this news of them.
-func (p *pipelineReaders) pipeline(at time.Duration, name string, on [5]jobFate) {
+func (p *pipelineReaders) addPipeline(at time.Duration, name string, on [5]jobFate) {
 	id := func(k int) string { return fmt.Sprintf("job-%s%d", name, k) }
 	needs := [5][]string{nil, {id(0)}, {id(1)}, {id(1)}, {id(2), id(3)}}
 	for k := range 5 {
 		run := time.Duration(1+p.rng.IntN(6)) * time.Second
-		j := newUserJob(stepJob(id(k), 1+k%3, run, needs[k]...), run)
+		j := newUserJob(dependentJob(id(k), 1+k%3, run, needs[k]...), run)
 		p.jobs = append(p.jobs, j)
 		p.world.jobs[id(k)] = j
 		p.world.linkDependencies(j)
@@ -68,19 +68,19 @@
 			j.submitted = p.world.now
 			p.cancels[id(k)] = on[k]
 			p.burst(id(k), unknown)
-			p.ask(p.rng.IntN(len(p.world.controllers)), opSubmit, id(k))
+			p.send(p.rng.IntN(len(p.world.controllers)), opSubmit, id(k))
 			p.readEverywhere(id(k))
 		}
 		p.world.schedule(at, func() { onAllReached(j.dependencies, milestoneAccepted, submit) })
 	}
 }
 
-// watch has what waits for a job's moments hear of them.
-func (p *pipelineReaders) watch() {
+// runHooks has what waits for a job's moments hear of them.
+func (p *pipelineReaders) runHooks() {
 	for _, j := range p.jobs {
 		j.runHooks()
 	}
-	p.world.schedule(20*time.Millisecond, p.watch)
+	p.world.schedule(20*time.Millisecond, p.runHooks)
 }
 
 // addDependencyCancels adds to a job's history the cancellations of those before it: they may take place
@@ -149,14 +149,14 @@
 
 // check judges all registers, and that what comes after a cancelled job ends with it.
 func (p *pipelineReaders) check() []string {
-	out := p.problems
+	out := p.violations
 	for _, j := range p.jobs {
 		id := j.spec.ID
 		if len(p.history[id]) == 0 {
 			continue
 		}
 		if r := porcupine.CheckOperationsTimeout(dependentJobModel, dropImpliedReads(withSubmission(p.addDependencyCancels(j))), 5*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s is no register: %s: %s", id, r, tellHistory(p.addDependencyCancels(j))))
+			out = append(out, fmt.Sprintf("%s is no register: %s: %s", id, r, formatHistory(p.addDependencyCancels(j))))
 		}
 		for _, n := range j.dependencies {
 			if p.newestFate[n.spec.ID] == cancelled && p.newestFate[id] != cancelled {
@@ -167,9 +167,9 @@
 	return out
 }
 
-// pipelineDay has pipelines whose jobs are cancelled at every step, with troubles or
+// runPipelines has pipelines whose jobs are cancelled at every step, with troubles or
 // without.
-func pipelineDay(w *World, seed uint64, troubles bool) *pipelineReaders {
+func runPipelines(w *World, seed uint64, troubles bool) *pipelineReaders {
 	p := &pipelineReaders{concurrentReaders: newConcurrentReaders(w, seed)}
 	const many, apart = 12, 8 * time.Second
 	for i := range many {
@@ -182,15 +182,15 @@
 				on = [5]jobFate{unknown, unknown, unknown, unknown, unknown}
 			}
 		}
-		p.pipeline(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("%05d", i), on)
+		p.addPipeline(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("%05d", i), on)
 	}
-	p.watch()
+	p.runHooks()
 	if troubles {
-		p.share = 0.15
+		p.fraction = 0.15
 		for i := range 20 {
-			w.schedule(32*time.Second+time.Duration(i)*5*time.Second, p.fault)
+			w.schedule(32*time.Second+time.Duration(i)*5*time.Second, p.startRandomFault)
 		}
-		w.schedule(32*time.Second+20*5*time.Second, func() { p.share = 0 })
+		w.schedule(32*time.Second+20*5*time.Second, func() { p.fraction = 0 })
 	}
 	w.Run(6 * time.Minute)
 	return p
@@ -200,14 +200,12 @@
 // job of a pipeline was accepted, ended or cancelled, and cancel through different ones.
 // Each job is one register, which a cancellation before it reaches within cancel_s.
 func TestPipelineReads(t *testing.T) {
-	for seed := range drawnDays(t, 8, 2) {
+	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(seed)
-			p := pipelineDay(w, seed, seed > 0)
-			for _, b := range append(w.Violations, p.check()...) {
-				t.Error(b)
-			}
+			p := runPipelines(w, seed, seed > 0)
+			reportViolations(t, append(w.Violations, p.check()...))
 			ends := map[jobFate]int{}
 			for _, j := range p.jobs {
 				f := p.newestFate[j.spec.ID]
@@ -259,15 +257,15 @@
 					return e
 				}
 			}
-			if found := pipelineDay(w, 3, false).check(); (wrong != nil) != (len(found) > 0) {
+			if found := runPipelines(w, 3, false).check(); (wrong != nil) != (len(found) > 0) {
 				t.Errorf("noticed: %v", found)
 			}
 		})
 	}
 }
 
-// tellHistory shows what decides about a job's register.
-func tellHistory(history []porcupine.Operation) string {
+// formatHistory shows what decides about a job's register.
+func formatHistory(history []porcupine.Operation) string {
 	out := ""
 	for _, o := range dropImpliedReads(withSubmission(history)) {
 		ms := func(at int64) string {
--- a/internal/simulation/pipelines_test.go
+++ b/internal/simulation/pipelines_test.go
@@ -11,26 +11,26 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// stepJob is a job that needs others.
-func stepJob(id string, tasks int, run time.Duration, prereqs ...string) model.JobSpec {
-	spec := metJob(id, "ops", tasks, 1, run)
+// dependentJob is a job that needs others.
+func dependentJob(id string, tasks int, run time.Duration, prereqs ...string) model.JobSpec {
+	spec := batchJob(id, "ops", tasks, 1, run)
 	spec.Dependencies = prereqs
 	return spec
 }
 
 // submitChain submits a, b and c one after the other, each needing the one before it.
 func (w *World) submitChain(run time.Duration) (a, b, c *userJob) {
-	a = newUserJob(stepJob("job-00000a", 2, run), run)
-	b = newUserJob(stepJob("job-00000b", 2, run, "job-00000a"), run)
-	c = newUserJob(stepJob("job-00000c", 2, run, "job-00000b"), run)
+	a = newUserJob(dependentJob("job-00000a", 2, run), run)
+	b = newUserJob(dependentJob("job-00000b", 2, run, "job-00000a"), run)
+	c = newUserJob(dependentJob("job-00000c", 2, run, "job-00000b"), run)
 	w.submitJob(a)
 	w.submitAfter(b, milestoneAccepted, a)
 	w.submitAfter(c, milestoneAccepted, b)
 	return a, b, c
 }
 
-// replies changes the answers to users about a job.
-func replies(id string, change func(*message.UserReply)) func(message.Effect) message.Effect {
+// corruptReplies changes the answers to users about a job.
+func corruptReplies(id string, change func(*message.UserReply)) func(message.Effect) message.Effect {
 	return func(e message.Effect) message.Effect {
 		if r, ok := e.(message.UserReply); ok && r.ID == id {
 			change(&r)
@@ -40,9 +40,9 @@
 	}
 }
 
-// startsEarly puts the start of a job's first task before the first orders for any machine, and
+// startEarly puts the start of a job's first task before the first orders for any machine, and
 // lets nothing stop it.
-func startsEarly(id string) func(message.Effect) message.Effect {
+func startEarly(id string) func(message.Effect) message.Effect {
 	start, left := model.TaskCommand{Kind: model.StartTask, Job: id, Attempt: 99}, 1
 	add := func(orders []model.TaskCommand) []model.TaskCommand {
 		orders = slices.DeleteFunc(slices.Clone(orders), func(o model.TaskCommand) bool { return o.Kind == model.StopTask && o.Job == id })
@@ -79,9 +79,9 @@
 		{"nothing", "", nil, ""},
 		{"nothing, cancelled", "", nil, milestoneAccepted},
 		{"nothing, cancelled at the end", "", nil, milestoneTasksDone},
-		{"a task of a later job is started", "too_early", func(*World) func(message.Effect) message.Effect { return startsEarly(c) }, ""},
+		{"a task of a later job is started", "too_early", func(*World) func(message.Effect) message.Effect { return startEarly(c) }, ""},
 		{"a later job is called queued for ever", RuleOrphaned, func(*World) func(message.Effect) message.Effect {
-			return replies(c, func(r *message.UserReply) {
+			return corruptReplies(c, func(r *message.UserReply) {
 				if r.State == "cancelled" {
 					r.State = "queued"
 				}
@@ -89,7 +89,7 @@
 		}, milestoneAccepted},
 		{"a later job is called queued a moment too long", RuleOrphaned, func(w *World) func(message.Effect) message.Effect {
 			till := w.now.Add(w.cancelWithin + 8*time.Second)
-			return replies(c, func(r *message.UserReply) {
+			return corruptReplies(c, func(r *message.UserReply) {
 				if r.State == "cancelled" && w.now.Before(till) {
 					r.State = "queued"
 				}
@@ -97,20 +97,20 @@
 		}, milestoneAccepted},
 		{"a later job goes back", "went_back", func(w *World) func(message.Effect) message.Effect {
 			from := w.now.Add(40 * time.Second)
-			return replies(c, func(r *message.UserReply) {
+			return corruptReplies(c, func(r *message.UserReply) {
 				if r.State == "cancelled" && w.now.After(from) {
 					r.State = "queued"
 				}
 			})
 		}, milestoneAccepted},
 		{"a later job is cancelled by nobody", "went_back", func(*World) func(message.Effect) message.Effect {
-			return replies(c, func(r *message.UserReply) { r.State = "cancelled" })
+			return corruptReplies(c, func(r *message.UserReply) { r.State = "cancelled" })
 		}, ""},
 		{"what comes after is called done", "not_done", func(*World) func(message.Effect) message.Effect {
-			return replies(c, func(r *message.UserReply) { r.State = "done" })
+			return corruptReplies(c, func(r *message.UserReply) { r.State = "done" })
 		}, milestoneAccepted},
 		{"what comes after a cancelled job is refused", "refused_wrongly", func(*World) func(message.Effect) message.Effect {
-			return replies(c, func(r *message.UserReply) { r.Status = 422 })
+			return corruptReplies(c, func(r *message.UserReply) { r.Status = 422 })
 		}, ""},
 		{"a later job is never released", RuleWaiting, func(w *World) func(message.Effect) message.Effect {
 			return func(e message.Effect) message.Effect {
@@ -124,7 +124,7 @@
 			w.faultsEndAt = w.startedAt
 			ja, jb, jc := w.submitChain(15 * time.Second)
 			// Room for it all is there, and stays.
-			w.Submit(metJob("job-000001", "ops", 4, 2, time.Hour), time.Hour, false)
+			w.Submit(batchJob("job-000001", "ops", 4, 2, time.Hour), time.Hour, false)
 			if x.wrong != nil && x.at == "" {
 				w.corruptEffect = x.wrong(w)
 			}
@@ -140,7 +140,7 @@
 			w.checkDependencyOutcomes()
 			found := strings.Join(w.Violations, "\n")
 			if x.rule == "" {
-				rulesHold(t, w)
+				checkNoViolations(t, w)
 				for _, j := range []*userJob{ja, jb, jc} {
 					if want := []string{"done", "cancelled"}[boolInt(ja.lastState == "cancelled")]; j.lastState != want {
 						t.Errorf("%s is %q", j.spec.ID, j.lastState)
@@ -161,7 +161,7 @@
 	a, b, c := w.submitChain(10 * time.Second)
 	refused := []*userJob{}
 	for i, prereqs := range [][]string{{"job-999999"}, {"job-00000a", "job-999998"}, {"job-00000x"}, {"job-00000a", "job-00000a"}} {
-		j := newUserJob(stepJob(fmt.Sprintf("job-00000%c", 'u'+i), 1, 10*time.Second, prereqs...), 10*time.Second)
+		j := newUserJob(dependentJob(fmt.Sprintf("job-00000%c", 'u'+i), 1, 10*time.Second, prereqs...), 10*time.Second)
 		if i == 2 {
 			j.spec.Dependencies = []string{j.spec.ID}
 		}
@@ -175,18 +175,18 @@
 			t.Errorf("%s, which needs %v, is answered %d", j.spec.ID, j.spec.Dependencies, j.refusedStatus)
 		}
 	}
-	if w.when(5*time.Minute, func() bool { return c.lastState == "done" }) < 0 || a.lastState != "done" || b.lastState != "done" {
+	if w.waitUntil(5*time.Minute, func() bool { return c.lastState == "done" }) < 0 || a.lastState != "done" || b.lastState != "done" {
 		t.Errorf("%s %s %s", a.lastState, b.lastState, c.lastState)
 	}
-	d := newUserJob(stepJob("job-00000d", 1, 10*time.Second, a.spec.ID, c.spec.ID), 10*time.Second)
+	d := newUserJob(dependentJob("job-00000d", 1, 10*time.Second, a.spec.ID, c.spec.ID), 10*time.Second)
 	w.submitJob(d)
 	w.Run(2 * time.Minute)
-	e := newUserJob(stepJob("job-00000e", 1, time.Hour, d.spec.ID), time.Hour)
+	e := newUserJob(dependentJob("job-00000e", 1, time.Hour, d.spec.ID), time.Hour)
 	w.submitJob(e)
 	w.Run(time.Minute)
 	w.CancelAt(e.spec.ID, 0, 3)
 	w.Run(time.Minute)
-	f := newUserJob(stepJob("job-00000f", 1, 10*time.Second, a.spec.ID, e.spec.ID), 10*time.Second)
+	f := newUserJob(dependentJob("job-00000f", 1, 10*time.Second, a.spec.ID, e.spec.ID), 10*time.Second)
 	w.submitJob(f)
 	w.Run(w.cancelWithin)
 	if d.lastState != "done" || e.lastState != "cancelled" || f.lastState != "cancelled" || len(f.firstStarts) > 0 {
@@ -199,24 +199,24 @@
 	}
 	w.Run(10 * time.Second)
 	w.checkDependencyOutcomes()
-	rulesHold(t, w)
+	checkNoViolations(t, w)
 }
 
 // TestPipelineCancelledAtTheEnd: the first of a chain is cancelled around the end of its
 // last task, at one or several controllers. It ends one way, and all behind it the same.
 func TestPipelineCancelledAtTheEnd(t *testing.T) {
-	w := newTestWorldOf(7, 3)
+	w := newTestWorldOfSize(7, 3)
 	first, _, _ := w.submitChain(10 * time.Second)
 	w.Run(2 * time.Minute)
 	end := first.tasksDoneAt.Sub(w.startedAt)
 	ends := map[string]int{}
-	for _, step := range spread(32, 8) {
+	for _, step := range sampleCases(32, 8) {
 		for node := range 3 {
-			w := newTestWorldOf(7, 3)
+			w := newTestWorldOfSize(7, 3)
 			a, b, c := w.submitChain(10 * time.Second)
 			off := time.Duration(step-16) * 4 * time.Millisecond
 			w.schedule(end+off, func() { w.CancelAt(a.spec.ID, node, 1+step%3) })
-			if w.when(5*time.Minute, func() bool { return isFinal(a.lastState) && isFinal(b.lastState) && isFinal(c.lastState) }) < 0 {
+			if w.waitUntil(5*time.Minute, func() bool { return isFinal(a.lastState) && isFinal(b.lastState) && isFinal(c.lastState) }) < 0 {
 				t.Errorf("%v node-%d: %q %q %q", off, node, a.lastState, b.lastState, c.lastState)
 			}
 			w.Run(w.cancelWithin)
@@ -236,17 +236,15 @@
 // TestPipelineDays plays a few drawn days of meetings with pipelines; many more are played
 // by micahill-lab days --pipelines.
 func TestPipelineDays(t *testing.T) {
-	for seed := range drawnDays(t, 5, 2) {
+	for seed := range dayCount(t, 5, 2) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
 			t.Parallel()
 			d := GenerateDay(DayParams{Seed: seed + 1, Machines: 40, OverlappingFaults: seed%2 == 0, Pipelines: true})
 			r := RunDay(d, "")
-			for _, b := range append(r.Violations, r.Starved()...) {
-				t.Error(b)
-			}
+			reportViolations(t, append(r.Violations, r.Starved()...))
 			if t.Failed() {
 				t.Logf("%v %v", d.Cancels, d.Faults)
-				t.Log(strings.Join(r.Log[max(0, len(r.Log)-60):], "\n"))
+				logTail(t, r.Log, 60)
 			}
 		})
 	}
@@ -295,26 +293,26 @@
 // another such is cancelled with one of them. No request is called malformed.
 func TestPipelineBounds(t *testing.T) {
 	const wide, long = 1000, 200
-	w := smallWorld(9, testSettings())
+	w := newSmallWorld(9, testSettings())
 	w.state.SetLimits(w.settings)
 	run := 2 * time.Second
 	var needs []string
 	var others []*userJob
 	for i := range wide {
-		j := newUserJob(metJob(fmt.Sprintf("job-%06d", 7*i), "ops", 1, 1, run), run)
+		j := newUserJob(batchJob(fmt.Sprintf("job-%06d", 7*i), "ops", 1, 1, run), run)
 		needs, others = append(needs, j.spec.ID), append(others, j)
 		w.schedule(time.Duration(i)*60*time.Millisecond, func() { w.submitJob(j) })
 	}
-	join := newUserJob(stepJob("job-900001", 3, run, needs...), run)
-	behind := newUserJob(stepJob("job-900002", 3, run, needs...), run)
+	join := newUserJob(dependentJob("job-900001", 3, run, needs...), run)
+	behind := newUserJob(dependentJob("job-900002", 3, run, needs...), run)
 	behind.spec.Dependencies = append(slices.Clone(needs), "job-900003")
-	last := newUserJob(metJob("job-900003", "ops", 1, 1, time.Hour), time.Hour)
+	last := newUserJob(batchJob("job-900003", "ops", 1, 1, time.Hour), time.Hour)
 	w.submitAfter(join, milestoneAccepted, others...)
 	w.schedule(time.Minute, func() { w.submitJob(last) })
 	w.submitAfter(behind, milestoneAccepted, append(slices.Clone(others), last)...)
 	var before *userJob
 	for i := range long {
-		j := newUserJob(stepJob(fmt.Sprintf("job-8%05d", i), 1, run), run)
+		j := newUserJob(dependentJob(fmt.Sprintf("job-8%05d", i), 1, run), run)
 		if before == nil {
 			w.schedule(6*time.Second, func() { w.submitJob(j) })
 		} else {
@@ -333,7 +331,7 @@
 		t.Errorf("%d malformed, %s", w.state.Malformed, w.state.LastMalformed)
 	}
 	w.checkDependencyOutcomes()
-	rulesHold(t, w)
+	checkNoViolations(t, w)
 }
 
 // TestReleaseNeedsStoredEnd: while the record that a job is done can't be written, nothing
@@ -345,7 +343,7 @@
 		a, b, c := w.submitChain(10 * time.Second)
 		refused, over := 0, false
 		w.corruptEffect = func(e message.Effect) message.Effect {
-			if !over && changes(e, "job/"+a.spec.ID) {
+			if !over && writesKey(e, "job/"+a.spec.ID) {
 				refused++
 				op := e.(message.StoreRequest)
 				op.Compares = append(slices.Clone(op.Compares), message.Compare{Key: "none", ModRevision: 1})
@@ -353,7 +351,7 @@
 			}
 			return e
 		}
-		if w.when(2*time.Minute, func() bool { return !a.tasksDoneAt.IsZero() }) < 0 {
+		if w.waitUntil(2*time.Minute, func() bool { return !a.tasksDoneAt.IsZero() }) < 0 {
 			t.Fatal("not ended")
 		}
 		w.Run(5 * time.Second)
@@ -371,7 +369,7 @@
 		if c.lastState != "done" {
 			t.Errorf("%q %q %q", a.lastState, b.lastState, c.lastState)
 		}
-		rulesHold(t, w)
+		checkNoViolations(t, w)
 	}
 }
 
@@ -380,7 +378,7 @@
 func TestStoredEndIsChecked(t *testing.T) {
 	w := newTestWorld(3)
 	a, b, _ := w.submitChain(10 * time.Second)
-	if w.when(2*time.Minute, func() bool { return !a.tasksDoneAt.IsZero() }) < 0 {
+	if w.waitUntil(2*time.Minute, func() bool { return !a.tasksDoneAt.IsZero() }) < 0 {
 		t.Fatal("not ended")
 	}
 	w.checkDependencies(b, b.spec.ID)
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -17,8 +17,8 @@
 
 // promiseValue is what a date's register holds: revision and date; the zero value is none.
 type promiseValue struct {
-	rev   int
-	after time.Duration
+	revision int
+	after    time.Duration
 }
 
 // promiseModel is a job's date as one register: it is written by what the state service
@@ -37,7 +37,7 @@
 	},
 	Init: func() any { return promiseValue{} },
 	Step: func(state, input, output any) (bool, any) {
-		if x := input.(promiseOperation); x.write.rev > 0 {
+		if x := input.(promiseOperation); x.write.revision > 0 {
 			return true, x.write
 		}
 		return output.(promiseValue) == state.(promiseValue), state
@@ -51,19 +51,19 @@
 
 // promiseRecorder records a day's dates: what became durable, and what was told when.
 type promiseRecorder struct {
-	world    *World
-	history  []porcupine.Operation
-	newest   map[string]promiseValue
-	issuedAt map[string]time.Time
-	problems []string
-	changes  map[string]int
-	revised  int
+	world      *World
+	history    []porcupine.Operation
+	newest     map[string]promiseValue
+	issuedAt   map[string]time.Time
+	violations []string
+	writes     map[string]int
+	revised    int
 }
 
 func (d *promiseRecorder) since(t time.Time) int64 { return t.Sub(d.world.startedAt).Nanoseconds() }
 
 func recordPromises(w *World) *promiseRecorder {
-	d := &promiseRecorder{world: w, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, changes: map[string]int{}}
+	d := &promiseRecorder{world: w, newest: map[string]promiseValue{}, issuedAt: map[string]time.Time{}, writes: map[string]int{}}
 	w.state.onChange = d.onChange
 	w.onAnswer = func(asked time.Time, r message.UserReply) {
 		if r.PromiseRevision > 0 {
@@ -73,17 +73,17 @@
 	return d
 }
 
-func (d *promiseRecorder) commit(id string, x promiseValue) {
+func (d *promiseRecorder) onStored(id string, x promiseValue) {
 	was := d.newest[id]
 	switch {
-	case x.rev < was.rev || x == was || x.rev == 0:
+	case x.revision < was.revision || x == was || x.revision == 0:
 		return
-	case x.rev == was.rev || x.rev > was.rev+1:
-		d.problems = append(d.problems, fmt.Sprintf("%s: %v after %v", id, x, was))
-	case was.rev > 0 && d.world.now.Sub(d.issuedAt[id]) < time.Minute:
-		d.problems = append(d.problems, fmt.Sprintf("%s: %v only %v after %v", id, x, d.world.now.Sub(d.issuedAt[id]), was))
+	case x.revision == was.revision || x.revision > was.revision+1:
+		d.violations = append(d.violations, fmt.Sprintf("%s: %v after %v", id, x, was))
+	case was.revision > 0 && d.world.now.Sub(d.issuedAt[id]) < time.Minute:
+		d.violations = append(d.violations, fmt.Sprintf("%s: %v only %v after %v", id, x, d.world.now.Sub(d.issuedAt[id]), was))
 	}
-	if x.rev > 1 {
+	if x.revision > 1 {
 		d.revised++
 	}
 	d.newest[id], d.issuedAt[id] = x, d.world.now
@@ -92,27 +92,27 @@
 }
 
 func (d *promiseRecorder) onChange(it message.KeyValue) {
-	d.changes[strings.SplitN(it.Key, "/", 2)[0]]++
+	d.writes[strings.SplitN(it.Key, "/", 2)[0]]++
 	if it.Deleted {
 		return
 	}
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	switch {
 	case strings.HasPrefix(it.Key, "open/~"):
-		d.changes["page"]++
+		d.writes["page"]++
 		es, err := promise.DecodePage(it.Value)
 		if err != nil {
-			d.problems = append(d.problems, err.Error())
+			d.violations = append(d.violations, err.Error())
 		}
 		for _, id := range sortedKeys(es) {
-			d.commit(id, promiseValue{es[id].Revision, es[id].After})
+			d.onStored(id, promiseValue{es[id].Revision, es[id].After})
 		}
 	case strings.HasPrefix(it.Key, "open/"):
 		var r struct {
 			P int64 `msgpack:"p"`
 		}
 		if msgpack.Unmarshal(it.Value, &r) == nil && r.P > 0 {
-			d.commit(it.Key[len("open/"):], promiseValue{1, ms(r.P)})
+			d.onStored(it.Key[len("open/"):], promiseValue{1, ms(r.P)})
 		}
 	case strings.HasPrefix(it.Key, "job/"):
 		var r struct {
@@ -121,17 +121,17 @@
 		}
 		id := it.Key[len("job/"):]
 		if msgpack.Unmarshal(it.Value, &r) == nil && r.Rev > 0 {
-			if r.Rev < d.newest[id].rev {
-				d.problems = append(d.problems, fmt.Sprintf("%s ends with revision %d after %v", id, r.Rev, d.newest[id]))
+			if r.Rev < d.newest[id].revision {
+				d.violations = append(d.violations, fmt.Sprintf("%s ends with revision %d after %v", id, r.Rev, d.newest[id]))
 			}
-			d.commit(id, promiseValue{r.Rev, ms(r.P)})
+			d.onStored(id, promiseValue{r.Rev, ms(r.P)})
 		}
 	}
 }
 
 // check judges the register, and that the dates were made as they may be.
 func (d *promiseRecorder) check() []string {
-	out := d.problems
+	out := d.violations
 	for _, part := range promiseModel.Partition(d.history) {
 		if r := porcupine.CheckOperationsTimeout(promiseModel, part, 20*time.Second); r != porcupine.Ok {
 			out = append(out, fmt.Sprintf("%s is no register: %s", part[0].Input.(promiseOperation).job, r))
@@ -140,8 +140,8 @@
 	return out
 }
 
-// askAll has every controller that lives asked about every job, each second.
-func (d *promiseRecorder) askAll(until time.Time) {
+// queryAll has every controller that lives asked about every job, each second.
+func (d *promiseRecorder) queryAll(until time.Time) {
 	w := d.world
 	if w.now.After(until) {
 		return
@@ -162,22 +162,22 @@
 			})
 		}
 	}
-	w.schedule(time.Second, func() { d.askAll(until) })
+	w.schedule(time.Second, func() { d.queryAll(until) })
 }
 
-// promiseWorld is a world with promises, and n controllers.
-func promiseWorld(seed uint64, n int) *World {
+// newPromiseWorld is a world with promises, and n controllers.
+func newPromiseWorld(seed uint64, n int) *World {
 	types, room := testTypes()
 	set := testSettings()
 	set.Capabilities = controller.Capabilities{Promises: true, PromiseFraction: 0.95}
-	return NewWorld(seed, n, set, testCancel, types, room)
+	return NewWorld(seed, n, set, testCancelWithin, types, room)
 }
 
 func TestPromisesRandomDays(t *testing.T) {
-	for seed := range drawnDays(t, 8, 3) {
+	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := promiseWorld(seed, 3+2*int(seed%2))
+			w := newPromiseWorld(seed, 3+2*int(seed%2))
 			if seed%3 == 1 {
 				w.duplicateRate = 0.03
 			}
@@ -186,22 +186,20 @@
 			}
 			w.trace = os.Getenv("MICAHILL_TRACE")
 			d := recordPromises(w)
-			w.schedule(20*time.Second, func() { d.askAll(w.startedAt.Add(6 * time.Minute)) })
+			w.schedule(20*time.Second, func() { d.queryAll(w.startedAt.Add(6 * time.Minute)) })
 			randomDay(w, seed)
-			for _, b := range append(w.Violations, d.check()...) {
-				t.Error(b)
-			}
-			d.totals(t)
-			t.Logf("%d answers, %d revised, changes %v", len(d.history), d.revised, d.changes)
+			reportViolations(t, append(w.Violations, d.check()...))
+			d.checkTotals(t)
+			t.Logf("%d answers, %d revised, changes %v", len(d.history), d.revised, d.writes)
 			if t.Failed() || w.trace != "" {
-				t.Log(strings.Join(w.logs, "\n"))
+				logTail(t, w.logs, len(w.logs))
 			}
 		})
 	}
 }
 
-// isPage says that an effect writes a page of dates.
-func isPage(e message.Effect) bool {
+// writesPromisePage says that an effect writes a page of dates.
+func writesPromisePage(e message.Effect) bool {
 	op, ok := e.(message.StoreRequest)
 	return ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
 }
@@ -222,12 +220,12 @@
 			last[r.ID] = x
 		}
 	}
-	d.askAll(w.now)
+	d.queryAll(w.now)
 	w.Run(2500 * time.Millisecond)
 	w.onAnswer = answered
 	none := 0
 	for _, id := range sortedKeys(last) {
-		if last[id].rev == 0 {
+		if last[id].revision == 0 {
 			none++
 		} else if last[id] != d.newest[id] {
 			fmt.Fprintf(&out, "%s is told %v, %v is durable\n", id, last[id], d.newest[id])
@@ -244,8 +242,8 @@
 	return out.String()
 }
 
-// totals checks the totals against what ended, and that every accepted job has a date.
-func (d *promiseRecorder) totals(t *testing.T) *promise.Totals {
+// checkTotals checks the totals against what ended, and that every accepted job has a date.
+func (d *promiseRecorder) checkTotals(t *testing.T) *promise.Totals {
 	t.Helper()
 	row := d.world.state.records["promise/totals"]
 	if row == nil {
@@ -260,7 +258,7 @@
 	for _, id := range sortedKeys(d.world.state.records) {
 		if strings.HasPrefix(id, "job/") {
 			ended++
-			if strings.HasPrefix(id, "job/") && d.world.jobs[id[4:]].lastState == "done" && d.newest[id[4:]].rev > 0 {
+			if strings.HasPrefix(id, "job/") && d.world.jobs[id[4:]].lastState == "done" && d.newest[id[4:]].revision > 0 {
 				made++
 			}
 		}
@@ -277,7 +275,7 @@
 // told is noticed, or the check is worth nothing.
 func TestStalePromisesAreNoticed(t *testing.T) {
 	for _, lies := range []bool{false, true} {
-		w := promiseWorld(3, 3)
+		w := newPromiseWorld(3, 3)
 		d := recordPromises(w)
 		first := map[string]promiseValue{}
 		w.corruptEffect = func(e message.Effect) message.Effect {
@@ -291,7 +289,7 @@
 				first[r.ID] = x
 			}
 			if lies && w.rng.IntN(20) == 0 {
-				r.PromiseRevision, r.PromisedAfter = x.rev, x.after
+				r.PromiseRevision, r.PromisedAfter = x.revision, x.after
 			}
 			return r
 		}
@@ -299,7 +297,7 @@
 			w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%03d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
 				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 70 * time.Second}, 300*time.Second, false)
 		}
-		d.askAll(w.startedAt.Add(5 * time.Minute))
+		d.queryAll(w.startedAt.Add(5 * time.Minute))
 		w.Run(8 * time.Minute)
 		wrong := d.check()
 		if d.revised == 0 || lies != (len(wrong) > 0) {
@@ -312,7 +310,7 @@
 // stamp, each of the totals the leader's record and its own stamp, and an earlier one of
 // them that is carried out late changes nothing. In the end the totals are exact.
 func TestPromiseWritesAreGuarded(t *testing.T) {
-	w := promiseWorld(6, 3)
+	w := newPromiseWorld(6, 3)
 	d := recordPromises(w)
 	var writes []message.StoreRequest
 	w.corruptEffect = func(e message.Effect) message.Effect {
@@ -369,14 +367,12 @@
 		})
 	}
 	w.Run(30 * time.Second)
-	for _, x := range append(w.Violations, d.check()...) {
-		t.Error(x)
-	}
-	if d.totals(t); len(writes) < 10 {
+	reportViolations(t, append(w.Violations, d.check()...))
+	if d.checkTotals(t); len(writes) < 10 {
 		t.Errorf("only %d writes", len(writes))
 	}
-	if d.changes["page"] > 60 || d.changes["promise"] > 80 {
-		t.Errorf("changes: %v", d.changes)
+	if d.writes["page"] > 60 || d.writes["promise"] > 80 {
+		t.Errorf("changes: %v", d.writes)
 	}
 }
 
@@ -401,8 +397,8 @@
 	}
 	submit(0, 6)
 	w.Run(30 * time.Second)
-	if len(d.history) > 0 || d.changes["promise"] > 0 || d.changes["page"] > 0 {
-		t.Fatalf("off, and yet %v", d.changes)
+	if len(d.history) > 0 || d.writes["promise"] > 0 || d.writes["page"] > 0 {
+		t.Fatalf("off, and yet %v", d.writes)
 	}
 	roll(true)
 	submit(6, 10)
@@ -412,16 +408,14 @@
 	}
 	roll(false)
 	off := len(d.history)
-	pages := d.changes["page"]
+	pages := d.writes["page"]
 	w.Run(30 * time.Second)
-	if len(d.history) > off || d.changes["page"] > pages {
+	if len(d.history) > off || d.writes["page"] > pages {
 		t.Error("off, and yet dates are told or written")
 	}
 	roll(true)
 	w.Run(10 * time.Minute)
-	for _, x := range append(w.Violations, d.check()...) {
-		t.Error(x)
-	}
+	reportViolations(t, append(w.Violations, d.check()...))
 	for _, id := range sortedKeys(w.jobs) {
 		if w.jobs[id].lastState != "done" || w.jobs[id].promiseRevision == 0 {
 			t.Errorf("%s is %s, revision %d", id, w.jobs[id].lastState, w.jobs[id].promiseRevision)
@@ -437,7 +431,7 @@
 // TestServicePromises: a standing job's date is that by which all its replicas are up.
 // Those of a class that is known are told at once, and are kept when some were seen.
 func TestServicePromises(t *testing.T) {
-	w := promiseWorld(9, 3)
+	w := newPromiseWorld(9, 3)
 	d := recordPromises(w)
 	for i := range 6 {
 		w.schedule(time.Duration(i)*40*time.Second, func() {
@@ -446,9 +440,7 @@
 		})
 	}
 	w.Run(7 * time.Minute)
-	for _, x := range append(w.Violations, d.check()...) {
-		t.Error(x)
-	}
+	reportViolations(t, append(w.Violations, d.check()...))
 	for _, id := range sortedKeys(w.jobs) {
 		j := w.jobs[id]
 		up := time.Duration(0)
--- a/internal/simulation/race_test.go
+++ b/internal/simulation/race_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raced says that the race detector is on.
-const raced = true
+// raceEnabled says that the race detector is on.
+const raceEnabled = true
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -12,16 +12,16 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// rebalancingWorld is a world under steady load in which teams move: two controllers at first
+// newRebalancingWorld is a world under steady load in which teams move: two controllers at first
 // live, with a team each, and the third comes later.
-func rebalancingWorld(t *testing.T, seed uint64, teams int) *World {
+func newRebalancingWorld(t *testing.T, seed uint64, teams int) *World {
 	t.Helper()
 	set := testSettings()
 	set.Zones, set.Teams, set.StoreWritesPerSecond = []string{"a"}, nil, 60
 	for i := range teams {
 		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%c", 'a'+i)})
 	}
-	w := NewWorld(seed, 3, set, testCancel, []model.MachineType{
+	w := NewWorld(seed, 3, set, testCancelWithin, []model.MachineType{
 		{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 		{Name: "big", Capacity: model.Resources{CPU: 16, Memory: 64}, DiskGB: 40, ImageFetchRate: 0.5, CostPerHour: 0.8, SpotCostPerHour: 0.3, ProvisioningTime: 15 * time.Second, Zones: []string{"a"}},
 	}, map[string]int{"small/a/true": 30, "small/a/false": 30, "big/a/true": 12, "big/a/false": 10})
@@ -42,8 +42,8 @@
 	return w
 }
 
-// teamMoves are when a team came to a controller after a moment.
-func (w *World) teamMoves(team string, since time.Time) []time.Time {
+// teamMigrations are when a team came to a controller after a moment.
+func (w *World) teamMigrations(team string, since time.Time) []time.Time {
 	var out []time.Time
 	for _, l := range w.logs {
 		var at float64
@@ -60,7 +60,7 @@
 // longestStartGap is the longest time without a start of a team that a move of it after a moment is
 // part of, or that begins within ten seconds after one. Others are for want of room.
 func (w *World) longestStartGap(team string, since time.Time) time.Duration {
-	moves := w.teamMoves(team, since)
+	moves := w.teamMigrations(team, since)
 	at := []time.Time{since, w.now}
 	for _, j := range w.jobs {
 		for _, b := range j.firstStarts {
@@ -110,7 +110,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			const teams = 4
-			w := rebalancingWorld(t, seed, teams)
+			w := newRebalancingWorld(t, seed, teams)
 			w.Run(60 * time.Second)
 			w.CrashController(int(seed%3), 40*time.Second)
 			w.Run(45 * time.Second)
@@ -140,7 +140,7 @@
 			}
 			some := 0
 			for k := range teams {
-				some += len(w.teamMoves(fmt.Sprintf("team-%c", 'a'+k), from))
+				some += len(w.teamMigrations(fmt.Sprintf("team-%c", 'a'+k), from))
 				if g := w.longestStartGap(fmt.Sprintf("team-%c", 'a'+k), from); g > 5*time.Second {
 					t.Errorf("nothing of team-%c starts for %v", 'a'+k, g)
 				}
@@ -156,9 +156,7 @@
 			if now := w.teamsByController(); fmt.Sprint(now) != fmt.Sprint(was) {
 				t.Errorf("divided %v, and later %v", was, now)
 			}
-			for _, b := range w.Violations {
-				t.Error(b)
-			}
+			reportViolations(t, w.Violations)
 			if t.Failed() {
 				t.Log(w.logs)
 			}
@@ -198,7 +196,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := rebalancingWorld(t, 3, 4)
+			w := newRebalancingWorld(t, 3, 4)
 			w.Run(50 * time.Second)
 			w.CrashController(2, 30*time.Second)
 			w.Run(32 * time.Second)
@@ -206,9 +204,7 @@
 			w.Run(90 * time.Second)
 			w.lossRate, w.duplicateRate = 0, 0
 			w.Run(30 * time.Second)
-			for _, b := range w.Violations {
-				t.Error(b)
-			}
+			reportViolations(t, w.Violations)
 			late := 0
 			for _, j := range w.jobs {
 				if !j.spec.LongRunning && j.lastState != "done" && w.now.Sub(j.submitted) > 100*time.Second {
--- a/internal/simulation/small_jobs_test.go
+++ b/internal/simulation/small_jobs_test.go
@@ -15,11 +15,11 @@
 // smallJobStream is a stream of one-task jobs, of which a part is cancelled, with what it
 // costs of the state service and how long its submissions waited for their answers.
 type smallJobStream struct {
-	world     *World
-	jobs      int
-	cancelled int
-	changes   map[string]int
-	answers   []time.Duration
+	world       *World
+	jobs        int
+	cancelled   int
+	writes      map[string]int
+	acceptTimes []time.Duration
 }
 
 func newSmallJobs(seed uint64, changesASecond float64) *smallJobStream {
@@ -27,17 +27,17 @@
 	set.Zones, set.Teams = []string{"a"}, []model.Team{{Name: "ops"}}
 	set.StoreRequestsPerSecond, set.StoreWritesPerSecond = 80, changesASecond
 	types := []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.5, CostPerHour: 0.2, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}}}
-	s := &smallJobStream{world: NewWorld(seed, 3, set, testCancel, types, map[string]int{"box/a/false": 150}), changes: map[string]int{}}
+	s := &smallJobStream{world: NewWorld(seed, 3, set, testCancelWithin, types, map[string]int{"box/a/false": 150}), writes: map[string]int{}}
 	s.world.state.onChange = func(it message.KeyValue) {
 		prefix, _, _ := strings.Cut(it.Key, "/")
 		if it.Deleted {
 			prefix += " removed"
 		}
-		s.changes[prefix]++
+		s.writes[prefix]++
 	}
 	s.world.onAnswer = func(asked time.Time, r message.UserReply) {
 		if r.Status == 201 {
-			s.answers = append(s.answers, s.world.now.Sub(asked))
+			s.acceptTimes = append(s.acceptTimes, s.world.now.Sub(asked))
 		}
 	}
 	return s
@@ -87,7 +87,7 @@
 		t.Run(fmt.Sprint(limit), func(t *testing.T) {
 			s := newSmallJobs(1, limit)
 			s.world.Run(time.Minute)
-			clear(s.changes)
+			clear(s.writes)
 			s.submitAtRate(4, 3*time.Minute)
 			before := s.world.state.writeCount
 			s.world.Run(3 * time.Minute)
@@ -98,23 +98,21 @@
 					t.Errorf("%s is %q in the end", id, j.lastState)
 				}
 			}
-			for _, b := range s.world.Violations {
-				t.Error(b)
-			}
+			reportViolations(t, s.world.Violations)
 			if open, tasks := s.remainingRecords(); open+tasks > 0 {
 				t.Errorf("%d records of jobs and %d of tasks are left", open, tasks)
 			}
 			late := 0
-			for _, d := range s.answers {
+			for _, d := range s.acceptTimes {
 				if d > atOnce {
 					late++
 				}
 			}
-			slices.Sort(s.answers)
-			if n := len(s.answers); n < s.jobs*9/10 || float64(late) > (1-inTime)*float64(s.jobs) || s.world.RefusedRequests > s.jobs/100 {
-				t.Errorf("%d of %d accepted at once, %d late, the last after %v, and %d questions refused", n, s.jobs, late, s.answers[n-1], s.world.RefusedRequests)
+			slices.Sort(s.acceptTimes)
+			if n := len(s.acceptTimes); n < s.jobs*9/10 || float64(late) > (1-inTime)*float64(s.jobs) || s.world.RefusedRequests > s.jobs/100 {
+				t.Errorf("%d of %d accepted at once, %d late, the last after %v, and %d questions refused", n, s.jobs, late, s.acceptTimes[n-1], s.world.RefusedRequests)
 			}
-			c := s.changes
+			c := s.writes
 			t.Logf("%d jobs, %d cancelled: %v", s.jobs, s.cancelled, c)
 			// A start may have to be made again; the cancelled that never began cost less.
 			if most := s.jobs + s.cancelled; c["open"] > most || c["job"] > s.jobs || c["open removed"] > s.jobs || c["task"] > s.world.Starts+s.world.Starts/50 || c["task removed"] > c["task"] {
--- a/internal/simulation/waits_test.go
+++ b/internal/simulation/waits_test.go
@@ -19,7 +19,7 @@
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			set := testSettings()
 			types, _ := testTypes()
-			w := NewWorld(7, controllers, set, testCancel, types, map[string]int{"big/a/false": 4, "small/b/false": 8})
+			w := NewWorld(7, controllers, set, testCancelWithin, types, map[string]int{"big/a/false": 4, "small/b/false": 8})
 			flood := 0
 			var more func()
 			more = func() {
@@ -57,9 +57,7 @@
 					t.Errorf("%s: %d tasks have begun, the first after %v", id, len(j.firstStarts), first)
 				}
 			}
-			for _, b := range w.Violations {
-				t.Error(b)
-			}
+			reportViolations(t, w.Violations)
 		})
 	}
 }
