--- a/internal/simulation/cancel_outage_test.go
+++ b/internal/simulation/cancel_outage_test.go
@@ -9,24 +9,25 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// cancelOutage is a day on which the state service is away for an owner alone, another
-// controller confirms cancellations, and then it is away for all, for longer than the
-// cancelled tasks may last, while the workers go on reporting to the owner.
+// cancelOutage is a day on which a shard leader loses the state service, another controller confirms
+// cancellations of its jobs, and then the state service fails for all, for longer than the cancelled
+// tasks may run, while the workers still send heartbeats to the shard leader.
 type cancelOutage struct {
 	lease, cancelWithin time.Duration
 	controllers, teams  int
-	// loss the owner loses the state service: refused, held (what is sent comes later) or
-	// lost.
+	// loss is how the shard leader loses the state service: its requests are refused, its
+	// messages are held (and arrive later) or lost.
 	loss string
-	// links: the controllers reach each other meanwhile.
+	// peersConnected means that the controllers still reach each other.
 	peersConnected bool
-	// refusedFor is how long the owner is alone with its loss. The grant it holds lives for 3
-	// to 4 s more, so that when the outage begins a successor has taken over, is about to,
-	// or has not.
+	// refusedFor is how long only the shard leader is without the state service. Its lease
+	// lasts for 3 to 4 s more, so that when the outage begins a successor has taken over, is
+	// about to, or has not.
 	refusedFor time.Duration
-	// outageFactor is how long it lasts, in times of cancel.
+	// outageFactor is the length of the outage as a multiple of cancelWithin.
 	outageFactor float64
-	// crash are the controllers that end in between, and back how soon they are back.
+	// crash names the controllers that crash during the outage: none, owner, confirmers or both.
+	// They restart after restartAfter.
 	crash        string
 	restartAfter time.Duration
 }
@@ -36,21 +37,21 @@
 		e.lease, e.cancelWithin, e.controllers, e.teams, e.loss, e.peersConnected, e.refusedFor, e.outageFactor, e.crash, e.restartAfter)
 }
 
-// minLeaseLeft is how long an owner's grant lives at the least after it has lost the state
-// service: the last of its renewals was a second ago at most.
+// minLeaseLeft is the least remaining time of the shard leader's lease when it loses the state
+// service: it renewed the lease at most a second before.
 const minLeaseLeft = 3 * time.Second
 
-// run plays the day and says what broke, and whether the meeting came about: before the
-// outage jobs were confirmed as cancelled without their owner, and where nobody can have
-// told it or succeeded it they still ran.
-func (e cancelOutage) run(seed uint64) (broken []string, met bool) {
+// run plays the day. It returns what was violated, and whether the day covered its case: jobs were
+// confirmed as cancelled before the outage, and still ran if neither their shard leader nor a
+// successor could know.
+func (e cancelOutage) run(seed uint64) (violations []string, covered bool) {
 	set := testSettings()
 	set.WorkerLease, set.Teams = e.lease, nil
 	for i := range e.teams {
 		set.Teams = append(set.Teams, model.Team{Name: fmt.Sprintf("team-%d", i)})
 	}
-	types, room := testTypes()
-	w := NewWorld(seed, e.controllers, set, e.cancelWithin, types, room)
+	types, capacity := testTypes()
+	w := NewWorld(seed, e.controllers, set, e.cancelWithin, types, capacity)
 	w.Run(3 * time.Second)
 	var ids []string
 	for i := range 8 * e.teams {
@@ -82,9 +83,9 @@
 	}
 	w.Run(e.refusedFor)
 	for k, id := range ids {
-		// Told by the others, or by a successor, it may have been halted by now.
+		// Others or a successor may have stopped it by now.
 		unheard := !e.peersConnected && e.refusedFor < minLeaseLeft
-		met = met || k%e.teams == 0 && w.jobs[id].lastState == "cancelled" && (!unheard || w.runningTasks(id) > 0)
+		covered = covered || k%e.teams == 0 && w.jobs[id].lastState == "cancelled" && (!unheard || w.runningTasks(id) > 0)
 	}
 	w.Outage(time.Duration(e.outageFactor * float64(e.cancelWithin)))
 	w.schedule(time.Second, func() {
@@ -98,14 +99,14 @@
 	w.Run(time.Minute)
 	for _, id := range ids {
 		if w.jobs[id].lastState != "cancelled" {
-			broken = append(broken, id+" is "+w.jobs[id].lastState+" in the end")
+			violations = append(violations, id+": got final state "+w.jobs[id].lastState+", want cancelled")
 		}
 	}
-	return append(broken, w.Violations...), met
+	return append(violations, w.Violations...), covered
 }
 
-// cancelOutages are all days of that kind: both sites' ratio of lease to cancellation, one
-// with hardly any room between, and everything that may differ besides.
+// cancelOutages returns all such days: three ratios of lease to cancelWithin, one of which leaves
+// hardly any margin, and every combination of the other fields.
 func cancelOutages() []cancelOutage {
 	var all []cancelOutage
 	for _, r := range [][2]time.Duration{{24 * time.Second, 54 * time.Second}, {34 * time.Second, 64 * time.Second}, {24 * time.Second, 28 * time.Second}} {
@@ -130,30 +131,29 @@
 	return all
 }
 
-// TestCancelledDuringOwnerOutage: tasks whose cancellation their owner can't hear of are gone in
-// time all the same.
-func TestCancelledDuringOwnerOutage(t *testing.T) {
+// TestCancelledDuringShardLeaderOutage checks that cancelled tasks stop in time even if their shard leader
+// cannot learn of the cancellation.
+func TestCancelledDuringShardLeaderOutage(t *testing.T) {
 	all := cancelOutages()
-	// Every so many: by a step that shares no factor with the number of values, all of
-	// them come up.
+	// The step shares no factor with the numbers of values, so that every value is tested.
 	step := max(1, len(all)/int(dayCount(t, 36, 12)))
 	for step > 1 && (step%2 == 0 || step%3 == 0) {
 		step++
 	}
-	var met atomic.Int64
+	var covered atomic.Int64
 	t.Run("days", func(t *testing.T) {
 		for i := 0; i < len(all); i += step {
 			t.Run(fmt.Sprint(i), func(t *testing.T) {
 				t.Parallel()
-				broken, is := all[i].run(uint64(i))
-				met.Add(int64(boolInt(is)))
-				if len(broken) > 0 {
-					t.Errorf("%v: %d broken: %v", all[i], len(broken), broken[0])
+				violations, ok := all[i].run(uint64(i))
+				covered.Add(int64(boolInt(ok)))
+				if len(violations) > 0 {
+					t.Errorf("%v: got %d violations, the first: %v", all[i], len(violations), violations[0])
 				}
 			})
 		}
 	})
-	if played := (len(all) + step - 1) / step; int(met.Load())*10 < played*9 {
-		t.Errorf("the meeting came about on %d of %d days", met.Load(), played)
+	if played := (len(all) + step - 1) / step; int(covered.Load())*10 < played*9 {
+		t.Errorf("got %d of %d days that cover their case, want nine in ten", covered.Load(), played)
 	}
 }
--- a/internal/simulation/checks_test.go
+++ b/internal/simulation/checks_test.go
@@ -11,7 +11,7 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// dropCommands takes the orders that a test picks out of whatever goes to workers.
+// dropCommands removes the commands that match from an effect for a worker.
 func dropCommands(e message.Effect, which func(model.TaskCommand) bool) message.Effect {
 	switch x := e.(type) {
 	case message.WorkerRequest:
@@ -24,14 +24,14 @@
 	return e
 }
 
-// dropStarts does so with starts.
+// dropStarts removes the start commands that match from an effect for a worker.
 func dropStarts(e message.Effect, which func(model.TaskCommand) bool) message.Effect {
 	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StartTask && which(o) })
 }
 
-// TestDayChecksNotice: each condition on a day fails on a core made wrong on
-// purpose, and none of them on the same day with the core as it is.
-func TestDayChecksNotice(t *testing.T) {
+// TestDayChecksDetectCorruption checks that each check of a day fails on a controller that is corrupted on
+// purpose, and none on the same day with a correct one.
+func TestDayChecksDetectCorruption(t *testing.T) {
 	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 24, Minutes: 1, FaultCount: -1, HotFactor: 1})
 	d.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
 	class := func(w *World, id string) string {
@@ -40,8 +40,7 @@
 		}
 		return ""
 	}
-	// The largest of a class, in the end as in the middle: the day's jobs are known
-	// by their names alone before they come.
+	// The largest job of a class is the same in the middle of the day as at its end.
 	top := func(w *World, name string) *userJob { return w.largestJobs()[name][0][0] }
 	largest := ""
 	good := d.run("", func(w *World, e message.Effect) message.Effect {
@@ -51,10 +50,10 @@
 		return e
 	})
 	if len(good.Violations) > 0 || len(good.Starved()) > 0 {
-		t.Fatalf("the day itself is bad: %v %v", good.Violations, good.Starved())
+		t.Fatalf("uncorrupted day: got violations %v, starved %v, want none", good.Violations, good.Starved())
 	}
 	if worst := good.Worst(); worst.AllStartedS <= 0 || worst.AllStartedS < worst.FirstStartS {
-		t.Errorf("the largest began after %v s, with all tasks after %v s", worst.FirstStartS, worst.AllStartedS)
+		t.Errorf("largest job: got first start after %v s and all tasks after %v s, want them in this order", worst.FirstStartS, worst.AllStartedS)
 	}
 	ended := func(w *World) bool { return w.now.Sub(w.startedAt) > 110*time.Second }
 	for _, c := range []struct {
@@ -75,13 +74,13 @@
 			}
 			return e
 		}},
-		{"the largest put off for ever", "rush 0.00 of its largest jobs", false, func(_ *World, e message.Effect) message.Effect {
+		{"the largest job never started", "rush 0.00 of its largest jobs", false, func(_ *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == largest })
 		}},
-		{"all but its first task put off", "first after", false, func(_ *World, e message.Effect) message.Effect {
+		{"only its first task started", "first after", false, func(_ *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == largest && o.Index > 0 })
 		}},
-		{"begun late", "rush begins late: " + largest, false, func(w *World, e message.Effect) message.Effect {
+		{"the largest job started late", "rush begins late: " + largest, false, func(w *World, e message.Effect) message.Effect {
 			return dropStarts(e, func(o model.TaskCommand) bool {
 				return o.Job == largest && w.now.Before(w.jobs[largest].submitted.Add(maxStartWait+5*time.Second))
 			})
@@ -96,19 +95,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			r := d.run("", c.sabotage)
-			told := r.Starved()
+			got := r.Starved()
 			if c.broken {
-				told = r.Violations
+				got = r.Violations
 			}
-			if !strings.Contains(strings.Join(told, "\n"), c.want) {
-				t.Errorf("no %q in %q", c.want, told)
+			if !strings.Contains(strings.Join(got, "\n"), c.want) {
+				t.Errorf("got %q, want %q in it", got, c.want)
 			}
 		})
 	}
 }
 
-// TestExtendedDeadline: what troubles without any room take of the time to begin in is given back,
-// what overlaps once.
+// TestExtendedDeadline checks that faults which leave no capacity extend the time to start by their
+// length, counting overlaps once.
 func TestExtendedDeadline(t *testing.T) {
 	at := func(kind string, from, length int) Fault {
 		return Fault{Kind: kind, At: time.Duration(from) * time.Second, Duration: time.Duration(length) * time.Second}
@@ -116,13 +115,13 @@
 	d := Day{Faults: []Fault{at("cloud", 0, 30), at("die", 50, 500), at("outage", 100, 40), at("capacity", 120, 40), at("crash_all", 270, 50), at("cloud", 900, 50)}}
 	for from, want := range map[int]int{20: 20 + 240 + 10 + 60 + 5, 165: 165 + 240 + 5, 300: 540, 700: 700 + 240 + 50} {
 		if got := d.extendedDeadline(time.Duration(from)*time.Second, maxStartWait); got != time.Duration(want)*time.Second {
-			t.Errorf("what came at %d s has to begin by %v, want %d s", from, got, want)
+			t.Errorf("submitted at %d s: got start deadline %v, want %d s", from, got, want)
 		}
 	}
 }
 
-// TestProtocolFaultDays: days with the troubles of the addition and with models, 3 and 5
-// controllers, and users who ask 8, 30 and 100 times as often as usual.
+// TestProtocolFaultDays plays days with protocol faults and models, with 3 and 5 controllers, and
+// with users who poll 8, 30 and 100 times as often as usual.
 func TestProtocolFaultDays(t *testing.T) {
 	storm := func(polls float64) []Fault {
 		return []Fault{{Kind: "polls", At: 20 * time.Second, Duration: time.Minute, Fraction: polls}}
@@ -146,7 +145,7 @@
 			r := RunDay(d, "")
 			reportViolations(t, append(r.Violations, r.Starved()...))
 			if m := r.ModelStats; c.p.Models > 0 && (m == nil || m.LargeModels == 0) {
-				t.Errorf("no large models: %+v", m)
+				t.Errorf("got model stats %+v, want large models", m)
 			}
 			if t.Failed() {
 				t.Logf("%+v", d.Faults)
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -12,17 +12,17 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// met_test.go and met_links_test.go bring meetings of two troubles about for certain: each
-// test fails too when its meeting did not come about.
+// The tests of the files combined_*_test.go bring two faults about at the same time. Each test
+// also fails if its case did not come about.
 
-// confirmationCounts is one test of cancellations while work changes hands.
+// confirmationCounts counts confirmed cancellations by when they fell relative to a takeover.
 type confirmationCounts struct {
-	// before, between and after count the cancellations that were confirmed before the
-	// hand-over began, while nobody ran the work, and within two seconds after.
+	// before counts those confirmed before the takeover began, during those confirmed while no
+	// controller led the shard, and after those confirmed within two seconds after.
 	before, during, after atomic.Int64
 }
 
-// count sorts a confirmation; the hand-over was from one moment to another.
+// count counts a confirmation at a time, relative to a takeover from one time to another.
 func (h *confirmationCounts) count(at, from, to time.Time) {
 	switch {
 	case at.Before(from):
@@ -34,16 +34,17 @@
 	}
 }
 
+// checkCovered checks that there were confirmations before, during and after the takeover.
 func (h *confirmationCounts) checkCovered(t *testing.T) {
 	t.Helper()
-	t.Logf("confirmed before %d, between %d, right after %d", h.before.Load(), h.during.Load(), h.after.Load())
+	t.Logf("confirmed: %d before, %d during, %d right after", h.before.Load(), h.during.Load(), h.after.Load())
 	if h.before.Load() == 0 || h.during.Load() == 0 || h.after.Load() == 0 {
-		t.Error("not all of the hand-over was met")
+		t.Error("got no confirmation before, during or after the takeover, want some of each")
 	}
 }
 
-// TestCancelledDuringTakeover: an owner ends, and its jobs are cancelled at each moment of
-// the takeover, with machines that can be reached and with some that can't until later.
+// TestCancelledDuringTakeover kills a shard leader and cancels its jobs at each moment of the
+// takeover, with machines that are reachable and with some that are partitioned for a while.
 func TestCancelledDuringTakeover(t *testing.T) {
 	var h confirmationCounts
 	t.Run("offsets", func(t *testing.T) {
@@ -70,14 +71,14 @@
 						}
 					})
 					if w.waitUntil(20*time.Second, func() bool { return w.shardLeaderOf("ops") != shardLeader }) < 0 {
-						t.Fatal("no takeover")
+						t.Fatal("got no takeover within 20s")
 					}
 					to := w.now
-					most := maxStopTime
+					limit := maxStopTime
 					if cut {
-						most = w.cancelWithin
+						limit = w.cancelWithin
 					}
-					checkStoppedWithin(t, w, last, most)
+					checkStoppedWithin(t, w, last, limit)
 					for _, id := range ids {
 						h.count(w.jobs[id].cancelledAt, from, to)
 					}
@@ -90,8 +91,8 @@
 	h.checkCovered(t)
 }
 
-// TestCancelledAtStepsOfTakeover: the cancellations are sent the very moment at which some
-// controller takes a step of the takeover.
+// TestCancelledAtStepsOfTakeover sends the cancellations at the moment at which a controller takes a
+// step of the takeover.
 func TestCancelledAtStepsOfTakeover(t *testing.T) {
 	steps := maps.Clone(pausePoints)
 	steps["ready"] = func(e message.Effect) bool { l, ok := e.(message.Log); return ok && l.Message == "owner ready" }
@@ -103,24 +104,24 @@
 				ids := w.submitMany("x", "ops", 8, 2, 2, 10*time.Minute)
 				w.Run(60 * time.Second)
 				last := w.trackLastRun(ids...)
-				// Of the owner itself, or of all that there are.
+				// The shard leader and the leader, or all controllers.
 				for i := range w.controllers {
 					if all || i == w.shardLeaderOf("ops") || i == w.leaderIndex(0) {
 						w.CrashController(i, 2*time.Second)
 					}
 				}
-				met := false
+				reached := false
 				w.corruptEffect = func(e message.Effect) message.Effect {
-					if !met && steps[step](e) {
-						met = true
+					if !reached && steps[step](e) {
+						reached = true
 						for _, id := range ids {
 							w.Cancel(id)
 						}
 					}
 					return e
 				}
-				if w.waitUntil(20*time.Second, func() bool { return met }) < 0 {
-					t.Fatal("the step was not taken")
+				if w.waitUntil(20*time.Second, func() bool { return reached }) < 0 {
+					t.Fatalf("got no step %s within 20s", step)
 				}
 				checkStoppedWithin(t, w, last, maxStopTime)
 				w.Run(time.Minute)
@@ -130,10 +131,10 @@
 	}
 }
 
-// TestCancelledDuringHandBack: a controller comes back and gets a team as planned, whose
-// jobs are cancelled at each moment of that.
-func TestCancelledDuringHandBack(t *testing.T) {
-	// play cancels at an offset from the hand-back that a day without cancellations shows.
+// TestCancelledDuringTeamMigration restarts a controller, which is given a team, and cancels jobs of that
+// team at each moment of the migration.
+func TestCancelledDuringTeamMigration(t *testing.T) {
+	// play cancels all jobs at a time after the restart; 0 means never.
 	play := func(cancel time.Duration) (w *World, last map[string]time.Time, moved []time.Time) {
 		w = newRebalancingWorld(t, 3, 4)
 		var ids []string
@@ -161,7 +162,7 @@
 	}
 	plain, _, moved := play(0)
 	if len(moved) == 0 {
-		t.Fatal("no team is handed back")
+		t.Fatal("got no migration of a team, want one")
 	}
 	planned := moved[0].Sub(plain.startedAt.Add(82 * time.Second))
 	var h confirmationCounts
@@ -172,7 +173,7 @@
 				t.Parallel()
 				w, last, moved := play(planned + offset)
 				if len(moved) == 0 {
-					t.Fatal("no team is handed back")
+					t.Fatal("got no migration of a team, want one")
 				}
 				checkStoppedWithin(t, w, last, maxStopTime)
 				for _, id := range sortedKeys(last) {
@@ -186,10 +187,9 @@
 	h.checkCovered(t)
 }
 
-// TestLimitsWhileLeadersChange: every team is at its limit, jobs are cancelled whose
-// machines hang or are cut off, and the leader and all owners end. What may still run
-// counts for the limit until there is proof that it is gone; then the waiting get the room
-// within seconds.
+// TestLimitsWhileLeadersChange cancels jobs of teams at their quota limits, whose machines hang or are
+// partitioned, and kills the leader and all shard leaders. What may still run counts against the limit
+// until it is known to have stopped; then waiting jobs start within seconds.
 func TestLimitsWhileLeadersChange(t *testing.T) {
 	const limit, hang, cut = 40, 15 * time.Second, 40 * time.Second
 	for seed := range dayCount(t, 6, 4) {
@@ -208,7 +208,7 @@
 			}
 			w.Run(10 * time.Second)
 			leader := w.leaderName()
-			// Without the cloud no return is a proof: only the machine itself is.
+			// Without the cloud no release proves that tasks have stopped, only the machine does.
 			if w.cloudOutage = seed%2 == 1; w.cloudOutage {
 				w.schedule(cut+10*time.Second, func() { w.cloudOutage = false })
 			}
@@ -233,15 +233,15 @@
 			for _, team := range []string{"ops", "lab"} {
 				for _, id := range run[team][:4] {
 					if w.runningTasks(id) != 1 || w.jobs[id].cancelledAt.IsZero() {
-						t.Errorf("%s is %q with %d tasks", id, w.jobs[id].lastState, w.runningTasks(id))
+						t.Errorf("%s: got state %q with %d running tasks, want cancelled with 1", id, w.jobs[id].lastState, w.runningTasks(id))
 					}
 				}
 				if w.teamUsage[team].CPU != limit {
-					t.Errorf("%s uses %v", team, w.teamUsage[team])
+					t.Errorf("%s: got usage %v, want %d cores", team, w.teamUsage[team], limit)
 				}
 			}
 			if now := w.leaderName(); now == leader || now == "" {
-				t.Errorf("%s led, %q does now", leader, now)
+				t.Errorf("got leader %q, want another one than %s", now, leader)
 			}
 			served := func(n int) func() bool {
 				return func() bool {
@@ -258,13 +258,13 @@
 				}
 			}
 			first, second := w.waitUntil(time.Minute, served(2)), w.waitUntil(2*time.Minute, served(4))
-			t.Logf("the room of those that hung is taken %v after, of those cut off %v after the takeover", first, first+second)
+			t.Logf("waiting jobs use the capacity of hung machines after %v, of partitioned ones after %v", first, first+second)
 			if hung := hang - 7800*time.Millisecond; first < 0 || first > hung+6*time.Second {
-				t.Errorf("what waits got the room of those that hung after %v, they went on after %v", first, hung)
+				t.Errorf("got the capacity of hung machines used after %v, want soon after they resume at %v", first, hung)
 			}
-			// Five seconds until the next report, two for the image.
+			// Five seconds until the next heartbeat, two for the image.
 			if healed := cut - 7800*time.Millisecond; second < 0 || first+second > healed+8*time.Second {
-				t.Errorf("what waits got the room of those cut off after %v, they were back after %v", first+second, healed)
+				t.Errorf("got the capacity of partitioned machines used after %v, want soon after they are back at %v", first+second, healed)
 			}
 			w.Run(time.Minute)
 			checkNoViolations(t, w)
@@ -272,11 +272,11 @@
 	}
 }
 
-// TestNewMachinesWhileWritesLag: machines are up within two seconds of their rental and get
-// work at once, while half of the transactions have no answer and are carried out seconds
-// later; then the leader ends. What runs is taken over: nothing twice, nothing lost.
+// TestNewMachinesWhileWritesLag has machines that are ready within two seconds of their rental and get
+// tasks at once, while half of the transactions time out and are applied seconds later; then the leader
+// and the shard leader crash. The successor takes over what runs: nothing runs twice or is lost.
 func TestNewMachinesWhileWritesLag(t *testing.T) {
-	var met atomic.Int64
+	var covered atomic.Int64
 	cases := sampleCases(24, 8)
 	t.Run("offsets", func(t *testing.T) {
 		for _, step := range cases {
@@ -291,30 +291,29 @@
 				w.Run(20 * time.Second)
 				w.DelayWrites(0.5, 15*time.Second)
 				w.submitMany("x", "ops", 10, 2, 4, time.Minute)
-				// From the first that is up.
-				up := func() bool {
+				ready := func() bool {
 					return slices.ContainsFunc(w.fleet, func(m *Worker) bool { return m.incarnation > 0 })
 				}
-				if w.waitUntil(30*time.Second, up) < 0 {
-					t.Fatal("no machine is up")
+				if w.waitUntil(30*time.Second, ready) < 0 {
+					t.Fatal("got no ready machine within 30s")
 				}
 				w.Run(offset)
 				fresh := slices.ContainsFunc(w.fleet, func(m *Worker) bool { return len(m.tasks) > 0 && w.now.Sub(m.upAt) < 3*time.Second })
-				met.Add(int64(boolInt(fresh && w.now.Before(w.lateWritesUntil))))
+				covered.Add(int64(boolInt(fresh && w.now.Before(w.lateWritesUntil))))
 				leader, shardLeader := w.leaderIndex(0), w.shardLeaderOf("ops")
 				w.CrashController(leader, 5*time.Second)
 				w.CrashController(shardLeader, 5*time.Second)
 				w.Run(4 * time.Minute)
 				if w.Starts != 20 {
-					t.Errorf("%d starts of 20 tasks", w.Starts)
+					t.Errorf("got %d starts, want 20", w.Starts)
 				}
 				checkFinalAnswers(t, w, false)
 				checkNoViolations(t, w)
 			})
 		}
 	})
-	t.Logf("met %d times of %d", met.Load(), len(cases))
-	if int(met.Load()) < len(cases)/3 {
-		t.Errorf("met %d times of %d", met.Load(), len(cases))
+	t.Logf("covered %d times of %d", covered.Load(), len(cases))
+	if int(covered.Load()) < len(cases)/3 {
+		t.Errorf("got the case covered %d times of %d, want a third", covered.Load(), len(cases))
 	}
 }
--- a/internal/simulation/combined_links_test.go
+++ b/internal/simulation/combined_links_test.go
@@ -12,29 +12,29 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// deliverToAll brings a report to every controller, and tells of their answers.
-func (w *World) deliverToAll(r model.Heartbeat, tell func(message.HeartbeatReply)) {
+// deliverToAll delivers a heartbeat to every controller, and passes on their replies.
+func (w *World) deliverToAll(r model.Heartbeat, onReply func(message.HeartbeatReply)) {
 	for _, p := range w.controllers {
-		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) { tell(e.(message.HeartbeatReply)) })
+		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) { onReply(e.(message.HeartbeatReply)) })
 	}
 }
 
-// TestOldReportAtEveryController: a report of before a start, or of while it ran, is held
-// back and reaches all controllers just as a new leader begins. It proves nothing: what
-// still runs on a machine that is cut off is not started again, and if it was cancelled,
-// its team's limit leaves no room for others. And it prolongs nothing: what was on a
-// machine that died begins again as soon as without the report.
-func TestOldReportAtEveryController(t *testing.T) {
-	// play returns when the next start came, reckoned from the end of the owner, and how
-	// many copies were answered.
+// TestOldHeartbeatAtEveryController holds back a heartbeat from before a task started, or while it ran,
+// and delivers it to all controllers when a new leader begins. It must prove nothing: a task that still
+// runs on a partitioned machine is not started again, and if it was cancelled it still counts against
+// the quota limit. It must not renew a lease either: a task of a dead machine restarts as soon as
+// without the heartbeat.
+func TestOldHeartbeatAtEveryController(t *testing.T) {
+	// play returns the time from the crash of the shard leader to the next start, and how many
+	// copies of the heartbeat were answered.
 	play := func(t *testing.T, before bool, kind string, at time.Duration) (next time.Duration, answered int) {
 		set := testSettings()
 		set.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: 7}}}
 		w := newSmallWorld(5, set)
-		// Two machines with room for one of the small jobs each.
+		// Two machines with free capacity for one of the small jobs each.
 		w.submitMany("f", "ops", 2, 1, 3, 3*time.Minute)
 		w.Run(45 * time.Second)
-		// Of machines without the task, and later with it.
+		// Heartbeats of machines before the task is submitted.
 		var old []model.Heartbeat
 		for _, m := range w.fleet {
 			old = append(old, m.heartbeat(w.now))
@@ -43,19 +43,19 @@
 		w.Run(10 * time.Second)
 		ms := w.machinesRunning(id)
 		if len(ms) != 1 {
-			t.Fatalf("%d machines have the task", len(ms))
+			t.Fatalf("got the task on %d machines, want 1", len(ms))
 		}
 		m := ms[0]
 		i := slices.IndexFunc(old, func(r model.Heartbeat) bool { return r.Machine == m.ID })
 		if i < 0 {
-			t.Fatal("the task did not come to a machine that had reported before")
+			t.Fatal("got the task on a machine that had sent no heartbeat before")
 		}
 		r := old[i]
 		if !before {
 			r = m.heartbeat(w.now)
 		}
 		w.Run(4 * time.Second)
-		// No return is a proof, only the lease is.
+		// Without the cloud no release proves that the task has stopped, only its lease does.
 		w.cloudOutage = true
 		w.schedule(80*time.Second, func() { w.cloudOutage = false })
 		switch kind {
@@ -74,13 +74,13 @@
 		w.CrashController(leader, 5*time.Second)
 		w.CrashController(shardLeader, 5*time.Second)
 		if at > 0 {
-			// Three times, as a worker repeats its report.
+			// Three times, as a worker retries its heartbeat.
 			for k := range 3 {
 				w.schedule(at+time.Duration(k)*time.Second, func() { w.deliverToAll(r, func(message.HeartbeatReply) { answered++ }) })
 			}
 		}
 		if next = w.waitUntil(3*time.Minute, func() bool { return w.Starts > started }); next < 0 {
-			t.Error("nothing began any more")
+			t.Error("got no start within 3m, want one")
 		}
 		w.Run(w.now.Sub(from) + 4*time.Minute)
 		checkFinalAnswers(t, w, true)
@@ -100,10 +100,10 @@
 					t.Parallel()
 					next, answered := play(t, before, kind, at)
 					if answered < 4 {
-						t.Errorf("%d copies were answered", answered)
+						t.Errorf("got %d answered copies, want at least 4", answered)
 					}
 					if next > plain+5*time.Second {
-						t.Errorf("the next start came after %v, without the old report after %v", next, plain)
+						t.Errorf("got the next start after %v, want at most 5s more than without the old heartbeat, %v", next, plain)
 					}
 				})
 			}
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestZoneBoundJobsLoseMachines: jobs bound to one zone, of one task and arrays, apart and
-// not, while half of the zone's machines die and some of the rest are cut off.
+// TestZoneBoundJobsLoseMachines runs jobs bound to one zone while half of the zone's machines die and
+// some others are partitioned.
 func TestZoneBoundJobsLoseMachines(t *testing.T) {
 	for seed := range dayCount(t, 8, 4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -139,7 +139,7 @@
 				}
 			}
 			if lost == 0 {
-				t.Fatal("no machine with tasks was lost")
+				t.Fatal("got no tasks on the lost machines, want some")
 			}
 			if seed%2 == 1 {
 				w.CrashController(w.shardLeaderOf("ops"), 5*time.Second)
@@ -151,14 +151,14 @@
 	}
 }
 
-// TestTenHandOvers: whoever leads ends ten times in two minutes, with the state service
-// away for most of that, or in times of some seconds, while jobs come and are cancelled.
-func TestTenHandOvers(t *testing.T) {
+// TestTenLeaderChanges crashes the current leader ten times in two minutes, with long, short or no outages
+// of the state service, while jobs are submitted and cancelled.
+func TestTenLeaderChanges(t *testing.T) {
 	for _, outage := range []struct {
 		name       string
 		from, long time.Duration
 		every      time.Duration
-		// changes is how often the lead passed on at least.
+		// changes is the least number of changes of leadership.
 		changes int
 	}{
 		{"one of 60 s", 30 * time.Second, 60 * time.Second, 0, 5},
@@ -196,13 +196,13 @@
 					}
 				}
 				w.Run(4 * time.Minute)
-				t.Logf("%d changes of the lead, %d ends inside an outage", changes, inside)
+				t.Logf("%d changes of leadership, %d crashes inside an outage", changes, inside)
 				if changes < outage.changes || inside == 0 && outage.long > 0 {
-					t.Errorf("%d changes of the lead, %d ends inside an outage", changes, inside)
+					t.Errorf("got %d changes of leadership, %d crashes inside an outage, want at least %d and, with outages, some", changes, inside, outage.changes)
 				}
 				for i, id := range sortedKeys(w.jobs) {
 					if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].lastState != want {
-						t.Errorf("%d: %s is %q", i, id, w.jobs[id].lastState)
+						t.Errorf("job %d, %s: got final state %q, want %q", i, id, w.jobs[id].lastState, want)
 					}
 				}
 				checkNoViolations(t, w)
@@ -211,27 +211,26 @@
 	}
 }
 
-// minCancelWithin leaves hardly any room beside a lease.
+// minCancelWithin leaves hardly any margin above a worker lease.
 const minCancelWithin = 28 * time.Second
 
-// TestLeaderCutWhileOthersCancel: a leader loses the state service and the other
-// controllers; its workers, some of which reach only it, and users still reach it. Jobs are
-// cancelled through the new leader: they are gone in time, and the former one doesn't say
-// otherwise.
-func TestLeaderCutWhileOthersCancel(t *testing.T) {
+// TestIsolatedLeaderWhileOthersCancel isolates a leader from the state service and the other controllers,
+// while users and its workers, some of which reach only it, still reach it. Jobs cancelled through the
+// new leader stop in time, and the former leader never answers that they run.
+func TestIsolatedLeaderWhileOthersCancel(t *testing.T) {
 	for _, cancel := range []time.Duration{testCancelWithin, minCancelWithin} {
 		for _, wait := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, 20 * time.Second} {
 			t.Run(fmt.Sprintf("cancel=%v %v", cancel, wait), func(t *testing.T) {
 				t.Parallel()
-				types, room := testTypes()
-				w := NewWorld(2, 3, testSettings(), cancel, types, room)
+				types, capacity := testTypes()
+				w := NewWorld(2, 3, testSettings(), cancel, types, capacity)
 				ids := w.submitMany("x", "ops", 6, 2, 2, 10*time.Minute)
 				w.Run(60 * time.Second)
 				former := w.shardLeaderOf("ops")
 				if w.leaderIndex(-1) != former {
-					t.Fatal("the owner does not lead")
+					t.Fatal("got a leader that is not the shard leader")
 				}
-				// No return is a proof: the cloud is away.
+				// Without the cloud no release proves that tasks have stopped.
 				const cut = 90 * time.Second
 				w.cloudOutage = true
 				w.schedule(cut, func() { w.cloudOutage = false })
@@ -252,21 +251,19 @@
 					w.jobs[id].cancelRequested = true
 					w.userRequestTo(other, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
 						if r == nil || r.State != "cancelled" {
-							t.Errorf("the cancellation of %s: %v", id, r)
+							t.Errorf("cancellation of %s: got %v, want state cancelled", id, r)
 						}
 					})
 				}
 				w.Run(500 * time.Millisecond)
 				if n := w.runningTasks(ids[0]); n == 0 || w.jobs[ids[0]].cancelledAt.IsZero() {
-					t.Errorf("%d tasks when it is confirmed", n)
+					t.Errorf("got %d running tasks when the cancellation is confirmed, want some", n)
 				}
-				asked := 0
 				for end := w.now.Add(80 * time.Second); w.now.Before(end); w.Run(time.Second) {
 					for _, id := range ids {
-						asked++
 						w.userRequestTo(former, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 2*time.Second, func(r *message.UserReply) {
 							if r != nil && r.Status == 200 && r.State != "cancelled" {
-								t.Errorf("the former leader calls %s %s", id, r.State)
+								t.Errorf("%s: got state %s from the former leader, want cancelled or no answer", id, r.State)
 							}
 						})
 					}
@@ -279,8 +276,8 @@
 	}
 }
 
-// partitionZone cuts a zone's machines and one controller off from all else for d; what is
-// rented there meanwhile too.
+// partitionZone partitions the machines of a zone and one controller from everything else for d,
+// including machines that are rented meanwhile.
 func (w *World) partitionZone(zone string, with int, d time.Duration, hold bool) {
 	till := w.now.Add(d)
 	machine := func(m *Worker) {
@@ -304,17 +301,16 @@
 	w.onRented = machine
 }
 
-// TestZoneCutOffWithItsController: for longer than a lease, with the controller that owns
-// the work or another one in the zone, while some of its jobs are cancelled and new ones
-// come.
-func TestZoneCutOffWithItsController(t *testing.T) {
+// TestZonePartitionedWithController partitions a zone with the shard leader, or with another controller,
+// for longer than a worker lease, while some of the zone's jobs are cancelled and new ones come.
+func TestZonePartitionedWithController(t *testing.T) {
 	for _, owns := range []bool{true, false} {
 		for _, long := range []time.Duration{26 * time.Second, 90 * time.Second} {
 			for kind, cancel := range map[string]time.Duration{"held": testCancelWithin, "lost": testCancelWithin, "lost, no cloud": minCancelWithin} {
 				t.Run(fmt.Sprintf("owns=%v %v %s", owns, long, kind), func(t *testing.T) {
 					t.Parallel()
-					types, room := testTypes()
-					w := NewWorld(4, 3, testSettings(), cancel, types, room)
+					types, capacity := testTypes()
+					w := NewWorld(4, 3, testSettings(), cancel, types, capacity)
 					for i := range 6 {
 						spec := batchJob(fmt.Sprintf("job-z%03d", i), "ops", 2, 2, 3*time.Minute)
 						spec.Zone = []string{"a", "b"}[i%2]
@@ -326,7 +322,7 @@
 						with = (with + 1) % 3
 					}
 					if w.runningTasks("job-z001") != 2 {
-						t.Fatal("nothing runs in the zone")
+						t.Fatalf("got %d running tasks in the zone, want 2", w.runningTasks("job-z001"))
 					}
 					w.partitionZone("b", with, long, kind == "held")
 					if w.cloudOutage = kind == "lost, no cloud"; w.cloudOutage {
@@ -337,13 +333,13 @@
 					w.Cancel("job-z001")
 					w.Run(4 * time.Second)
 					if w.runningTasks("job-z001") == 0 {
-						t.Error("the cancelled job is gone before anybody can have told its machines")
+						t.Error("got the cancelled job stopped before any controller could reach its machines")
 					}
 					w.submitMany("n", "ops", 3, 1, 2, 20*time.Second)
 					w.Run(long)
-					// An owner in the zone answers for its grace.
+					// A shard leader in the zone still answers heartbeats until its grace period ends.
 					if w.cloudOutage = false; w.LostToLease == 0 && kind == "lost, no cloud" && (!owns || long > time.Minute) {
-						t.Error("no lease ran out")
+						t.Error("got no task lost to its lease, want some")
 					}
 					checkStoppedWithin(t, w, last, w.cancelWithin)
 					w.Run(8 * time.Minute)
@@ -355,8 +351,8 @@
 	}
 }
 
-// blockHeartbeats lets machines reach no controller for d, while direct commands reach them and are
-// answered.
+// blockHeartbeats keeps the heartbeats of machines from all controllers for d, while direct commands
+// reach them and are answered.
 func (w *World) blockHeartbeats(ids []string, d time.Duration) {
 	till, send := w.now.Add(d), w.heartbeatSender
 	w.heartbeatSender = func(m *Worker) {
@@ -364,17 +360,17 @@
 			send(m)
 			return
 		}
-		life := m.process
+		incarnation := m.process
 		w.schedule(4*time.Second, func() {
-			if m.process == life {
+			if m.process == incarnation {
 				m.heartbeatPending, m.controller, m.nextHeartbeatAt = false, (m.controller+1)%len(w.controllers), w.now.Add(time.Second)
 			}
 		})
 	}
 }
 
-// TestMachinesReachNoController: machines can open no connections, and direct commands reach them, for
-// less and for longer than a lease; jobs there are cancelled, and their owner ends.
+// TestMachinesReachNoController has machines whose heartbeats are lost while direct commands reach them,
+// for less and for longer than a worker lease; jobs there are cancelled, and their shard leader crashes.
 func TestMachinesReachNoController(t *testing.T) {
 	for _, ends := range []bool{false, true} {
 		for _, long := range []time.Duration{15 * time.Second, 40 * time.Second, 90 * time.Second} {
@@ -403,7 +399,7 @@
 					checkStoppedWithin(t, w, last, maxStopTime)
 					w.Run(long)
 					if len(quiet) < 2 || long > time.Minute && w.LostToLease == 0 || long < 24*time.Second && w.LostToLease > 0 {
-						t.Errorf("%d tasks were lost to leases on %d machines", w.LostToLease, len(quiet))
+						t.Errorf("got %d tasks lost to leases on %d machines in %v, want some after a minute and none within a lease", w.LostToLease, len(quiet), long)
 					}
 					w.Run(6 * time.Minute)
 					checkFinalAnswers(t, w, true)
@@ -414,17 +410,16 @@
 	}
 }
 
-// TestCommandOfFormerLeader: a leader's command is held up on its way, the leader ends, and
-// the command arrives before its successor has reached the machine, or after: it is
-// carried out once and taken over, or refused.
+// TestCommandOfFormerLeader delays a command of a leader that then crashes. If it arrives before the
+// successor has reached the machine it is executed once and taken over, and afterwards it is refused.
 func TestCommandOfFormerLeader(t *testing.T) {
 	var early, late atomic.Int64
 	t.Run("offsets", func(t *testing.T) {
-		for _, verb := range []model.TaskCommandKind{model.StartTask, model.StopTask} {
+		for _, kind := range []model.TaskCommandKind{model.StartTask, model.StopTask} {
 			held := []float64{0.5, 1, 2, 3, 4, 4.5, 5, 5.5, 6, 7, 8, 10, 12, 16}
 			for _, i := range sampleCases(len(held), 7) {
 				d := held[i]
-				t.Run(fmt.Sprintf("%s %v", verb, d), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s %v", kind, d), func(t *testing.T) {
 					t.Parallel()
 					w := newTestWorldOfSize(8, 3)
 					w.submitMany("f", "ops", 4, 1, 2, 4*time.Minute)
@@ -433,13 +428,13 @@
 					shardLeader := w.shardLeaderOf("ops")
 					var op message.WorkerRequest
 					if w.runningTasks("job-f000") == 0 {
-						t.Fatal("nothing runs")
+						t.Fatal("got no running task of job-f000")
 					}
 					last := w.trackLastRun("job-f000", "job-f001")
 					held, done, accepted := false, false, false
 					w.corruptEffect = func(e message.Effect) message.Effect {
 						x, ok := e.(message.WorkerRequest)
-						if held || !ok || !slices.ContainsFunc(x.Commands, func(o model.TaskCommand) bool { return o.Kind == verb }) {
+						if held || !ok || !slices.ContainsFunc(x.Commands, func(o model.TaskCommand) bool { return o.Kind == kind }) {
 							return e
 						}
 						held, op = true, x
@@ -453,12 +448,12 @@
 							}
 							done, accepted = true, w.executeDirect(m, op).OK
 							if accepted != (m.epoch <= op.Epoch) {
-								t.Errorf("carried out %v at epoch %d of %d", accepted, op.Epoch, m.epoch)
+								t.Errorf("command of epoch %d at a machine of epoch %d: got accepted %v", op.Epoch, m.epoch, accepted)
 							}
 						})
 						return nil
 					}
-					if verb == model.StopTask {
+					if kind == model.StopTask {
 						w.Cancel("job-f000")
 						w.Cancel("job-f001")
 					} else {
@@ -467,14 +462,14 @@
 					w.waitUntil(time.Minute, func() bool { return held })
 					w.Run(20 * time.Second)
 					if !held || !done {
-						t.Fatalf("held %v, arrived %v", held, done)
+						t.Fatalf("got command held %v, delivered %v, want both", held, done)
 					}
-					if verb == model.StopTask {
+					if kind == model.StopTask {
 						checkStoppedWithin(t, w, last, maxStopTime)
 					}
 					w.Run(4 * time.Minute)
-					if want := map[model.TaskCommandKind]int{model.StartTask: 12, model.StopTask: 8}[verb]; w.Starts != want {
-						t.Errorf("%d starts of %d tasks", w.Starts, want)
+					if want := map[model.TaskCommandKind]int{model.StartTask: 12, model.StopTask: 8}[kind]; w.Starts != want {
+						t.Errorf("got %d starts, want %d", w.Starts, want)
 					}
 					checkFinalAnswers(t, w, true)
 					checkNoViolations(t, w)
@@ -482,8 +477,8 @@
 			}
 		}
 	})
-	t.Logf("%d arrived before the successor's epoch, %d after", early.Load(), late.Load())
+	t.Logf("%d commands arrived before the successor's epoch, %d after", early.Load(), late.Load())
 	if early.Load() == 0 || late.Load() == 0 {
-		t.Error("not both were met")
+		t.Errorf("got %d commands before the successor's epoch and %d after, want some of each", early.Load(), late.Load())
 	}
 }
--- a/internal/simulation/combined_users_test.go
+++ b/internal/simulation/combined_users_test.go
@@ -12,23 +12,22 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// checkStateAtAll asks every controller about a job and fails the test for each answer that names
-// another state than want.
+// checkStateAtAll queries a job at every controller and reports each answer with another state.
 func checkStateAtAll(t *testing.T, w *World, id, want string) {
 	t.Helper()
 	for i := range w.controllers {
 		w.userRequestTo(i, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, 5*time.Second, func(r *message.UserReply) {
 			if r != nil && r.Status != 503 && r.State != want {
-				t.Errorf("%s is %s, node-%d answers %d %s", id, want, i, r.Status, r.State)
+				t.Errorf("%s at node-%d: got %d %s, want state %s", id, i, r.Status, r.State, want)
 			}
 		})
 	}
 }
 
-// TestSlowStateWhileUsersCancel: the state service takes up to seconds for each answer for
-// longer than cancel_s; users cancel, and ask all controllers as soon as that is confirmed.
-// At the slowest an answer takes about as long as a request may wait for it: most requests
-// are refused then, and which are confirmed is a matter of luck.
+// TestSlowStateWhileUsersCancel slows the state service down to seconds an answer for longer than
+// cancel_s, while users cancel jobs and query all controllers as soon as that is confirmed. At the slowest
+// an answer takes about as long as a request may wait: most requests are refused then, and which are
+// confirmed is random.
 func TestSlowStateWhileUsersCancel(t *testing.T) {
 	const mostRefused = 300
 	for _, slow := range []float64{60, 150, 200, mostRefused} {
@@ -54,12 +53,12 @@
 			for _, d := range took {
 				longest = max(longest, d)
 			}
-			met := len(took) >= len(ids)/2 && longest >= time.Duration(4*slow)*time.Millisecond
+			covered := len(took) >= len(ids)/2 && longest >= time.Duration(4*slow)*time.Millisecond
 			if slow == mostRefused {
-				met = len(took) > 0
+				covered = len(took) > 0
 			}
-			if !met {
-				t.Errorf("%d are confirmed meanwhile, the longest took %v", len(took), longest)
+			if !covered {
+				t.Errorf("got %d cancellations confirmed meanwhile, the slowest after %v, want half of them and a slow one", len(took), longest)
 			}
 			checkStoppedWithin(t, w, last, w.cancelWithin)
 			w.Run(time.Minute)
@@ -69,9 +68,9 @@
 	}
 }
 
-// TestAllAwayForLongerThanLease: all controllers are away for longer than a lease, right
-// after some jobs were cancelled.
-func TestAllAwayForLongerThanLease(t *testing.T) {
+// TestAllControllersDownBeyondLease crashes all controllers for longer than a worker lease right after some
+// jobs were cancelled.
+func TestAllControllersDownBeyondLease(t *testing.T) {
 	for _, away := range []time.Duration{26 * time.Second, 40 * time.Second, 2 * time.Minute} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
 			t.Parallel()
@@ -90,20 +89,20 @@
 			if w.waitUntil(5*time.Second, func() bool {
 				return !slices.ContainsFunc(cancelled, func(id string) bool { return w.jobs[id].cancelledAt.IsZero() })
 			}) < 0 {
-				t.Fatal("not confirmed")
+				t.Fatal("got cancellations that are not confirmed within 5s")
 			}
 			for i := range w.controllers {
 				w.CrashController(i, away)
 			}
 			w.Run(away)
 			if running == 0 || w.LostToLease < running {
-				t.Errorf("%d of %d tasks were lost to their leases", w.LostToLease, running)
+				t.Errorf("got %d tasks lost to their leases, want all %d", w.LostToLease, running)
 			}
 			checkStoppedWithin(t, w, last, w.cancelWithin)
 			w.Run(8 * time.Minute)
 			for _, id := range append(cancelled, left...) {
 				if want := []string{"done", "cancelled"}[boolInt(slices.Contains(cancelled, id))]; w.jobs[id].lastState != want {
-					t.Errorf("%s is %q", id, w.jobs[id].lastState)
+					t.Errorf("%s: got final state %q, want %q", id, w.jobs[id].lastState, want)
 				}
 			}
 			checkNoViolations(t, w)
@@ -111,8 +110,8 @@
 	}
 }
 
-// TestOneTaskJobs: four jobs of one task come each second for three minutes, and a quarter
-// is cancelled. All are served, and nothing of them is left but how they ended.
+// TestOneTaskJobs submits four jobs of one task a second for three minutes and cancels a quarter of them.
+// All end, and only the records of how they ended are left.
 func TestOneTaskJobs(t *testing.T) {
 	const jobs = 4 * 180
 	w := newSmallWorld(5, testSettings())
@@ -125,27 +124,27 @@
 		}
 	}
 	w.Run(9 * time.Minute)
-	told := map[string]int{}
+	finalStates := map[string]int{}
 	for _, j := range w.jobs {
-		told[j.lastState]++
+		finalStates[j.lastState]++
 	}
-	t.Logf("%v, %d changes, %d refused", told, w.state.writeCount, w.RefusedRequests)
-	if told["done"]+told["cancelled"] != jobs || told["cancelled"] < jobs/16 || told["done"] < jobs*3/4 {
-		t.Errorf("%d jobs: %v", jobs, told)
+	t.Logf("%v, %d writes, %d refused requests", finalStates, w.state.writeCount, w.RefusedRequests)
+	if finalStates["done"]+finalStates["cancelled"] != jobs || finalStates["cancelled"] < jobs/16 || finalStates["done"] < jobs*3/4 {
+		t.Errorf("got final states %v of %d jobs, want all done or cancelled", finalStates, jobs)
 	}
 	for k := range w.state.records {
 		if strings.HasPrefix(k, "open/") || strings.HasPrefix(k, "task/") {
-			t.Errorf("%s is left", k)
+			t.Errorf("got record %s left, want it removed", k)
 		}
 	}
 	checkNoViolations(t, w)
 }
 
-// TestCancelledAtTheEnd: a job is cancelled, asked about and submitted once more around the
-// end of its last task, most often within milliseconds of the sending of the record that it
-// is done. It ends one way, and nobody hears of the other.
+// TestCancelledAtTheEnd cancels, queries and resubmits a job around the end of its last task, mostly
+// within milliseconds of the write of its final record. It ends one way, and no answer says the other.
 func TestCancelledAtTheEnd(t *testing.T) {
-	// play does that at a moment, or for none returns when that record is sent.
+	// play cancels at a time after the start of the world. With 0 it only returns when the record
+	// that the job is done is sent.
 	play := func(t *testing.T, at time.Duration, node int) (*World, time.Duration) {
 		w := newTestWorldOfSize(7, 3)
 		spec := batchJob("job-000001", "ops", 2, 2, 20*time.Second)
@@ -176,12 +175,12 @@
 			w.userRequestTo(i, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: spec.ID} }, 2*time.Second, func(*message.UserReply) {})
 			w.userRequestTo(i, func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: spec} }, 5*time.Second, func(r *message.UserReply) {
 				if r != nil && r.Status != 200 && r.Status != 503 {
-					t.Errorf("the repeated submission is answered %d", r.Status)
+					t.Errorf("repeated submission: got status %d, want 200 or 503", r.Status)
 				}
 			})
 		}
 		if w.waitUntil(20*time.Second, func() bool { return j.lastState == "done" || j.lastState == "cancelled" }) < 0 {
-			t.Errorf("told %q", j.lastState)
+			t.Errorf("got state %q, want done or cancelled", j.lastState)
 		}
 		for range 10 {
 			checkStateAtAll(t, w, spec.ID, j.lastState)
@@ -202,7 +201,7 @@
 					cancelled.Add(int64(boolInt(w.jobs["job-000001"].lastState == "cancelled")))
 					w.Run(time.Minute)
 					if w.state.records["open/job-000001"] != nil {
-						t.Error("open/job-000001 is left")
+						t.Error("got record open/job-000001 left, want it removed")
 					}
 					checkNoViolations(t, w)
 				})
@@ -211,14 +210,14 @@
 	})
 	t.Logf("%d done, %d cancelled", done.Load(), cancelled.Load())
 	if done.Load() == 0 || cancelled.Load() == 0 {
-		t.Errorf("%d done, %d cancelled", done.Load(), cancelled.Load())
+		t.Errorf("got %d done, %d cancelled, want some of each", done.Load(), cancelled.Load())
 	}
 }
 
-// TestMoreWorkThanRoomOverSlowLinks: twice as much work as there is room for, urgent and
-// not, while what the state service and the cloud say takes up to a second and messages
-// are lost or late. All of it is done, and the urgent begins first.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+// TestOverloadOverSlowLinks submits twice as many tasks as there is capacity for, urgent and not,
+// while answers of the state service and the cloud take up to a second and messages are lost or late.
+// All jobs are done, and the urgent ones start first.
+func TestOverloadOverSlowLinks(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -237,10 +236,10 @@
 				began[i%2] += len(w.jobs[fmt.Sprintf("job-%06d", i)].firstStarts)
 			}
 			if w.teamUsage["ops"].CPU < 40 || began[0]+began[1] == 24*4 {
-				t.Errorf("there is room: %v used, %v began", w.teamUsage["ops"], began)
+				t.Errorf("got %v used and %v tasks started, want all capacity in use and some tasks waiting", w.teamUsage["ops"], began)
 			}
 			if began[1] <= began[0] {
-				t.Errorf("%d tasks of urgent jobs began, %d of others", began[1], began[0])
+				t.Errorf("got %d tasks of urgent jobs started, %d of others, want more of the urgent ones", began[1], began[0])
 			}
 			w.Run(165 * time.Second)
 			w.lossRate = 0
--- a/internal/simulation/concurrent_reads_test.go
+++ b/internal/simulation/concurrent_reads_test.go
@@ -14,7 +14,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// jobFate is what a job's register holds: what users may be told of it.
+// jobFate is the value of a job's register: what users may be answered about it.
 type jobFate string
 
 const (
@@ -24,8 +24,8 @@
 	cancelled jobFate = "cancelled"
 )
 
-// operationKind is what is done with a register. An end is the controllers' own: it is there
-// when the state service has taken it in.
+// operationKind is an operation on a register. opEnd is the controllers' own: the job is done once the
+// state service has stored it.
 type operationKind string
 
 const (
@@ -40,15 +40,15 @@
 	kind operationKind
 }
 
-// jobAnswer is an answer; the zero value is none: the request may be carried out at any
-// later time, or never.
+// jobAnswer is the answer to an operation. The zero value means none: the request may take effect at
+// any later time, or never.
 type jobAnswer struct {
 	status int
 	fate   jobFate
 }
 
-// jobModel is a job as one register. A request without an answer, or that was refused for
-// now, is one that ends at the end of time: there it changes nothing that anybody sees.
+// jobModel is the linearizability model of a job as one register. A request without an answer, or
+// refused for now, ends at the end of time, where its effect is not seen.
 var jobModel = porcupine.Model{
 	Init: func() any { return unknown },
 	Step: func(state, input, output any) (bool, any) {
@@ -74,25 +74,26 @@
 	},
 }
 
-// concurrentReaders are users who ask all controllers within milliseconds, and repeat what they
-// have submitted, whenever they hear something new, or something new has become true.
+// concurrentReaders are users who query all controllers and resubmit their jobs within milliseconds
+// after they learn something new, or after something new was stored.
 type concurrentReaders struct {
 	world      *World
 	rng        *rand.Rand
 	history    map[string][]porcupine.Operation
 	newestFate map[string]jobFate
-	// cancels are the jobs that are cancelled, and when: on that news.
+	// cancels are the jobs that are cancelled, by the fate on which their user does so.
 	cancels    map[string]jobFate
 	violations []string
-	// sentFate is the newest that a life of a controller has said of a job.
+	// sentFate is the newest fate that an incarnation of a controller has answered about a job.
 	sentFate map[string]jobFate
-	// bursts counts bursts by what they followed, and unsaid requests without an answer.
+	// bursts counts bursts by the fate that they followed, and unansweredCount the requests
+	// without an answer.
 	bursts          map[jobFate]int
 	unansweredCount map[operationKind]int
 	*lostResponses
 }
 
-// readDelays are when users ask after news.
+// readDelays are the delays of a burst's requests in milliseconds.
 var readDelays = []time.Duration{0, 1, 2, 5, 20, 60, 150, 310}
 
 func newConcurrentReaders(w *World, seed uint64) *concurrentReaders {
@@ -103,7 +104,7 @@
 	return c
 }
 
-// onChange is told of each change, before anybody hears of it.
+// onChange sees each change of a record before any controller does.
 func (c *concurrentReaders) onChange(it message.KeyValue) {
 	id, over := strings.CutPrefix(it.Key, "job/")
 	var r struct {
@@ -115,7 +116,7 @@
 	if at := c.now(); r.Status == done {
 		c.add(porcupine.Operation{Input: jobOperation{id, opEnd}, Call: at, Output: jobAnswer{}, Return: at + 1})
 	}
-	// Those who look just now.
+	// Users who happen to query just now.
 	c.burst(id, r.Status)
 }
 
@@ -129,45 +130,46 @@
 
 // send sends one request to one controller.
 func (c *concurrentReaders) send(to int, kind operationKind, id string) {
-	w, asked, over := c.world, c.now(), false
-	patience := 5 * time.Second
-	mk := func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
+	w, sentAt, finished := c.world, c.now(), false
+	timeout := 5 * time.Second
+	newCommand := func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: w.jobs[id].spec} }
 	switch kind {
 	case opPoll:
-		patience = 2 * time.Second
-		mk = func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }
+		timeout = 2 * time.Second
+		newCommand = func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }
 	case opCancel:
 		w.jobs[id].cancelRequested = true
-		mk = func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }
+		newCommand = func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} }
 	}
 	finish := func(r message.UserReply) {
-		if over {
+		if finished {
 			return
 		}
-		over = true
+		finished = true
 		if !isDefinite(r) {
-			c.unanswered(jobOperation{id, kind}, asked, r)
+			c.unanswered(jobOperation{id, kind}, sentAt, r)
 			return
 		}
 		said := jobAnswer{r.Status, fateOf(r)}
-		c.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: asked, Output: said, Return: c.now()})
+		c.add(porcupine.Operation{Input: jobOperation{id, kind}, Call: sentAt, Output: said, Return: c.now()})
 		c.noteFate(id, said.fate)
 	}
-	w.schedule(patience, func() { finish(message.UserReply{}) })
+	w.schedule(timeout, func() { finish(message.UserReply{}) })
 	p := w.controllers[to]
 	w.sendMessage("user", p.name, func() {
-		p.request(mk, func(e message.Effect) {
+		p.request(newCommand, func(e message.Effect) {
 			c.onSend(p, id, e.(message.UserReply))
 			w.sendMessage(p.name, "user", func() { finish(e.(message.UserReply)) })
 		})
 	})
 }
 
-// isDefinite says whether an answer tells of a job.
+// isDefinite reports whether an answer says something about the job.
 func isDefinite(r message.UserReply) bool {
 	return r.Status == 200 || r.Status == 201 || r.Status == 404
 }
 
+// fateOf returns the fate that an answer says.
 func fateOf(r message.UserReply) jobFate {
 	if r.State == "queued" || r.State == "running" {
 		return accepted
@@ -175,8 +177,8 @@
 	return jobFate(r.State)
 }
 
-// onSend notes that an answer leaves a controller. One after the other they never go
-// back, also if they were asked for in another order.
+// onSend sees an answer leave a controller. The answers of one incarnation must never go back, not
+// even if they were requested in another order.
 func (c *concurrentReaders) onSend(p *controllerProcess, id string, r message.UserReply) {
 	if !isDefinite(r) {
 		return
@@ -185,13 +187,13 @@
 	key := fmt.Sprintf("%s %s.%d", id, p.name, p.incarnation)
 	was, f := c.sentFate[key], fateOf(r)
 	if order[f] < order[was] {
-		c.violations = append(c.violations, fmt.Sprintf("%s says %q after %q", key, f, was))
+		c.violations = append(c.violations, fmt.Sprintf("%s: got answer %q after %q", key, f, was))
 	}
 	c.sentFate[key] = f
 }
 
-// unanswered notes a request that may be carried out later. One that comes after another
-// such, or after what it asks for was told, adds nothing.
+// unanswered records a request that may take effect later. If an earlier one of the kind is unanswered
+// too, or was answered before, it adds nothing to the history.
 func (c *concurrentReaders) unanswered(op jobOperation, asked int64, r message.UserReply) {
 	c.unansweredCount[op.kind]++
 	if r.Status != 0 && r.Status != 503 {
@@ -210,7 +212,7 @@
 	c.retryUntilAnswered(op)
 }
 
-// retryUntilAnswered repeats what got no answer, until it is clear.
+// retryUntilAnswered repeats an unanswered request until its effect is known.
 func (c *concurrentReaders) retryUntilAnswered(op jobOperation) {
 	c.world.schedule(c.world.jitter(time.Second), func() {
 		if was := c.newestFate[op.job]; op.kind == opSubmit && was == unknown || op.kind == opCancel && was == accepted {
@@ -219,7 +221,7 @@
 	})
 }
 
-// noteFate notes the newest that was told, and looks closely at once.
+// noteFate records the newest fate that was answered, and starts a burst if it is new.
 func (c *concurrentReaders) noteFate(id string, f jobFate) {
 	if f == unknown || f == c.newestFate[id] || c.newestFate[id] == done || c.newestFate[id] == cancelled {
 		return
@@ -228,7 +230,7 @@
 	c.burst(id, f)
 }
 
-// burst asks all controllers, and repeats the submission, within milliseconds.
+// burst queries all controllers, and resubmits the job, within milliseconds.
 func (c *concurrentReaders) burst(id string, f jobFate) {
 	c.bursts[f]++
 	for _, d := range readDelays {
@@ -245,15 +247,16 @@
 	}
 }
 
-// addJob is one that comes at a moment. Its user asks each second until he knows how it ended.
-func (c *concurrentReaders) addJob(at time.Duration, id string, run time.Duration, tasks int, on jobFate) {
+// addJob submits a job at a time, and cancels it after the fate cancelOn. Its user polls each second until
+// it has ended.
+func (c *concurrentReaders) addJob(at time.Duration, id string, run time.Duration, tasks int, cancelOn jobFate) {
 	spec := model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks,
 		Need: model.Resources{CPU: 1, Memory: 1}, Image: "i", ImageGB: 1, ExpectedRunTime: run}
 	c.world.jobs[id] = newUserJob(spec, run)
 	c.world.schedule(at, func() {
 		c.world.jobs[id].submitted = c.world.now
-		if on != unknown {
-			c.cancels[id] = on
+		if cancelOn != unknown {
+			c.cancels[id] = cancelOn
 		}
 		c.burst(id, unknown)
 		c.send(c.rng.IntN(len(c.world.controllers)), opSubmit, id)
@@ -261,6 +264,7 @@
 	})
 }
 
+// readEverywhere polls a random controller each second until the job has ended.
 func (c *concurrentReaders) readEverywhere(id string) {
 	if f := c.newestFate[id]; f == done || f == cancelled {
 		return
@@ -269,7 +273,7 @@
 	c.world.schedule(c.world.jitter(time.Second), func() { c.readEverywhere(id) })
 }
 
-// startRandomFault lets one thing go wrong for a short time.
+// startRandomFault starts one short fault.
 func (c *concurrentReaders) startRandomFault() {
 	w, d := c.world, time.Duration(200+c.rng.IntN(6000))*time.Millisecond
 	i := c.rng.IntN(len(w.controllers))
@@ -294,14 +298,14 @@
 	}
 }
 
-// run has jobs that end or are cancelled one after the other, with troubles or without.
-func (c *concurrentReaders) run(troubles bool) {
-	const jobs, apart = 24, 4 * time.Second
+// run submits jobs one after the other, of which some are cancelled, with faults or without.
+func (c *concurrentReaders) run(faults bool) {
+	const jobs, interval = 24, 4 * time.Second
 	for i := range jobs {
-		on := []jobFate{unknown, accepted, unknown, done, unknown, cancelled}[i%6]
-		c.addJob(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("job-%06d", i), time.Duration(2+c.rng.IntN(12))*time.Second, 1+i%3, on)
+		cancelOn := []jobFate{unknown, accepted, unknown, done, unknown, cancelled}[i%6]
+		c.addJob(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("job-%06d", i), time.Duration(2+c.rng.IntN(12))*time.Second, 1+i%3, cancelOn)
 	}
-	if troubles {
+	if faults {
 		c.fraction = 0.15
 		for i := range 20 {
 			c.world.schedule(32*time.Second+time.Duration(i)*5*time.Second, c.startRandomFault)
@@ -311,9 +315,8 @@
 	c.world.Run(5 * time.Minute)
 }
 
-// dropImpliedReads is a history without the reads that ask for no more than another one does: what
-// is read within a shorter time is read within a longer one too. Porcupine would try
-// all their orders.
+// dropImpliedReads returns a history without the reads that another one implies: what is read within a
+// shorter interval is read within a longer one too. Porcupine would try all their orders.
 func dropImpliedReads(history []porcupine.Operation) []porcupine.Operation {
 	read := func(o porcupine.Operation) (jobAnswer, bool) {
 		said, kind := o.Output.(jobAnswer), o.Input.(jobOperation).kind
@@ -335,8 +338,8 @@
 	return out
 }
 
-// withSubmission adds the submission that was carried out, if none was told so: its answer
-// can leave after the job was cancelled, and tells that instead.
+// withSubmission adds the submission that took effect if none was answered so: its answer may leave
+// after the job was cancelled, and say that instead.
 func withSubmission(history []porcupine.Operation) []porcupine.Operation {
 	first := int64(math.MaxInt64)
 	for _, o := range history {
@@ -351,21 +354,21 @@
 	return append(history, porcupine.Operation{ClientId: len(history), Input: jobOperation{id, opSubmit}, Call: first, Output: jobAnswer{}, Return: math.MaxInt64})
 }
 
-// check judges all registers.
+// check returns all violations, with the jobs whose history is not linearizable.
 func (c *concurrentReaders) check() []string {
 	out := c.violations
 	for _, id := range sortedKeys(c.history) {
 		if r := porcupine.CheckOperationsTimeout(jobModel, dropImpliedReads(withSubmission(c.history[id])), 5*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s is no register: %s", id, r))
+			out = append(out, fmt.Sprintf("%s: history is not linearizable: %s", id, r))
 		}
 	}
 	return out
 }
 
-// TestConcurrentReads: users ask all controllers within milliseconds after, or just when, a job
-// was accepted, ended or cancelled, repeat its submission, and some cancel at once, while
-// controllers end, the state service refuses, is slow, loses answers or carries out late.
-// No controller answers something older: each job is one register.
+// TestConcurrentReads has users query all controllers and resubmit jobs within milliseconds after, or
+// just when, a job is accepted, ends or is cancelled, while controllers crash and the state service
+// refuses requests, is slow, loses answers or applies writes late. No controller answers something
+// older: each job is one register.
 func TestConcurrentReads(t *testing.T) {
 	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -378,26 +381,25 @@
 			for _, id := range sortedKeys(w.jobs) {
 				answers += len(c.history[id])
 				if f := c.newestFate[id]; f != done && f != cancelled {
-					t.Errorf("%s is %q in the end", id, f)
+					t.Errorf("%s: got final state %q, want done or cancelled", id, f)
 				}
 			}
 			for _, f := range []jobFate{accepted, done, cancelled} {
 				if c.bursts[f] < 6 {
-					t.Errorf("only %d looks at %s", c.bursts[f], f)
+					t.Errorf("got %d bursts after %s, want at least 6", c.bursts[f], f)
 				}
 			}
 			if seed > 0 && (c.lost["open"] == 0 || c.unansweredCount[opSubmit] == 0) {
-				t.Errorf("no troubles were met: %v, %v", c.lost, c.unansweredCount)
+				t.Errorf("got lost responses %v and unanswered requests %v, want some of open records and submissions", c.lost, c.unansweredCount)
 			}
-			t.Logf("%d answers, looks %v, answers lost %v, no answer %v", answers, c.bursts, c.lost, c.unansweredCount)
+			t.Logf("%d answers, bursts %v, lost responses %v, unanswered %v", answers, c.bursts, c.lost, c.unansweredCount)
 		})
 	}
 }
 
-// TestStaleAnswersAreNoticed: a core made wrong is noticed, or the registers are worth
-// nothing: in each of these ways it answers something older than was told, or than it has
-// made true.
-func TestStaleAnswersAreNoticed(t *testing.T) {
+// TestStaleAnswersAreDetected checks that the registers detect each corruption by which a controller
+// answers something older than was answered or stored before.
+func TestStaleAnswersAreDetected(t *testing.T) {
 	reply := func(e message.Effect, change func(*message.UserReply)) message.Effect {
 		if r, ok := e.(message.UserReply); ok {
 			change(&r)
@@ -410,46 +412,46 @@
 		if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, first) {
 			return e
 		}
-		var when []message.Compare
+		var compares []message.Compare
 		for _, c := range op.Compares {
 			if !strings.HasPrefix(c.Key, without) {
-				when = append(when, c)
+				compares = append(compares, c)
 			}
 		}
-		op.Compares = when
+		op.Compares = compares
 		return op
 	}
-	for name, wrong := range map[string]func(message.Effect) message.Effect{
-		"nothing": nil,
-		"polls are answered from the picture": func(e message.Effect) message.Effect {
+	for name, corrupt := range map[string]func(message.Effect) message.Effect{
+		"not corrupted": nil,
+		"polls are answered from a stale watch cache": func(e message.Effect) message.Effect {
 			if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpWatch && op.WatchTimeout == 0 && op.Key == "open/" {
-				// It goes on and brings no news.
+				// The watch goes on and brings no changes.
 				op.Key = "none/"
 				return op
 			}
 			return e
 		},
-		"refused submissions are accepted": func(e message.Effect) message.Effect {
+		"refused submissions are answered as accepted": func(e message.Effect) message.Effect {
 			return reply(e, func(r *message.UserReply) {
 				if r.Status == 503 {
 					r.Status, r.State = 201, "queued"
 				}
 			})
 		},
-		"what can't be read is not known": func(e message.Effect) message.Effect {
+		"refused requests are answered not found": func(e message.Effect) message.Effect {
 			return reply(e, func(r *message.UserReply) {
 				if r.Status == 503 {
 					r.Status = 404
 				}
 			})
 		},
-		"a cancellation changes what is over": func(e message.Effect) message.Effect {
+		"a cancellation changes an ended job": func(e message.Effect) message.Effect {
 			return unguarded(e, "job/", "open/")
 		},
-		"a repeat begins anew": func(e message.Effect) message.Effect {
+		"a resubmission starts a new job": func(e message.Effect) message.Effect {
 			return unguarded(e, "open/", "")
 		},
-		"a cancelled job is called queued": func(e message.Effect) message.Effect {
+		"a cancelled job is answered as queued": func(e message.Effect) message.Effect {
 			return reply(e, func(r *message.UserReply) {
 				if r.State == "cancelled" && r.Reply%7 == 0 {
 					r.State = "queued"
@@ -459,11 +461,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newTestWorld(3)
-			w.corruptEffect = wrong
+			w.corruptEffect = corrupt
 			c := newConcurrentReaders(w, 3)
 			c.run(true)
-			if found := c.check(); (wrong != nil) != (len(found) > 0) {
-				t.Errorf("noticed: %v", found)
+			if found := c.check(); (corrupt != nil) != (len(found) > 0) {
+				t.Errorf("got violations %v, want some only if corrupted", found)
 			}
 		})
 	}
--- a/internal/simulation/day_test.go
+++ b/internal/simulation/day_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// TestDays plays days with one to nine teams, three to seven controllers and small
-// limits, and two that an earlier form failed: with two and three teams on so many
-// machines that a share's names passed value_kb, tasks ran twice on a day without a
-// fault. More of them: MICAHILL_DAYS=300 go test ./internal/simulation -run TestDays
+// TestDays plays days with one to nine teams, three to seven controllers and low limits, and two days on
+// which an earlier version failed: with two and three teams on so many machines that the names of a shard
+// exceeded value_kb, tasks ran twice without any fault. For more days:
+// MICAHILL_DAYS=300 go test ./internal/simulation -run TestDays
 func TestDays(t *testing.T) {
 	days := []DayParams{
 		{Seed: 3, Machines: 900, Teams: 2, Controllers: 3, Jobs: 700, FaultCount: -1, Minutes: 2},
@@ -17,8 +17,8 @@
 	for seed := range dayCount(t, 8, 3) {
 		days = append(days, DayParams{Seed: seed + 1})
 	}
-	// With troubles of no list: 20 had a job of thousands of tasks that was never done,
-	// since machines reported and started nothing.
+	// With unlisted faults. On day 20 a job of thousands of tasks was never done, as machines
+	// sent heartbeats and started nothing.
 	for _, seed := range []uint64{20, 22} {
 		days = append(days, DayParams{Seed: seed, UnlistedFaults: true})
 	}
@@ -30,11 +30,11 @@
 			reportViolations(t, r.Violations)
 			if p.UnlistedFaults {
 				for _, g := range r.Starved() {
-					t.Error("starved: ", g)
+					t.Errorf("got starved group %s", g)
 				}
 			}
 			if r.LostToLease > r.Starts/20+20 {
-				t.Errorf("%d of %d tasks killed by their lease", r.LostToLease, r.Starts)
+				t.Errorf("got %d of %d tasks lost to their lease, want at most a twentieth", r.LostToLease, r.Starts)
 			}
 			if t.Failed() {
 				t.Logf("%+v", d.Faults)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDayResults: a day's result says what was served, and a broken day can be cut down
-// to the trouble that breaks it.
+// TestDayResults checks that a result says what was served, and that a failing day is reduced to the
+// fault that makes it fail.
 func TestDayResults(t *testing.T) {
 	d := GenerateDay(DayParams{Seed: 5, Machines: 40, Teams: 2, Controllers: 3, Jobs: 12, Minutes: 1, FaultCount: 4})
 	r := RunDay(d, "")
@@ -54,9 +54,9 @@
 		jobs += g.Jobs
 	}
 	if len(r.Classes) == 0 || jobs == 0 || r.Starts == 0 || r.Cost <= 0 {
-		t.Errorf("a day tells nothing: %+v", r)
+		t.Errorf("got empty result %+v, want classes, jobs, starts and costs", r)
 	}
-	// For the sake of the test a day is broken that has a certain trouble in it.
+	// For this test a day fails if it has a certain fault.
 	bad := d.Faults[2]
 	less := Shrink(d, func(r DayResult) bool {
 		for _, f := range r.Day.Faults {
@@ -67,6 +67,6 @@
 		return false
 	}, func(string) {})
 	if len(less.Faults) != 1 || less.Faults[0] != bad {
-		t.Errorf("cut down to %v, want %v alone", less.Faults, bad)
+		t.Errorf("got faults %v, want only %v", less.Faults, bad)
 	}
 }
--- a/internal/simulation/held_command_test.go
+++ b/internal/simulation/held_command_test.go
@@ -9,17 +9,17 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// heldCommand is the first order with starts that was held on its way to its machine.
+// heldCommand is the first command with starts that was held on its way to its machine.
 type heldCommand struct {
 	machine string
 	starts  []string
-	// executedLate are those that the machine carried out when it came, and again those of
-	// their tasks that were ordered to start as another attempt before that.
+	// executedLate counts the starts that the machine executed when the command arrived, and
+	// restarted those of their tasks that were to start as another attempt before that.
 	executedLate, restarted int
 }
 
-// holdCommand holds the next order with starts for d, with all that is sent to its machine
-// meanwhile; what the machine sends arrives. then happens a second after it has left.
+// holdCommand holds the next command with starts for d, with everything else that is sent to its machine
+// meanwhile; what the machine sends arrives. then is called a second after the command was sent.
 func (s *scenario) holdCommand(d time.Duration, then func(message.WorkerRequest)) {
 	w := s.world
 	var h *heldCommand
@@ -55,7 +55,7 @@
 	}
 }
 
-// countOthers counts other attempts of what is held that are ordered to start meanwhile.
+// countOthers counts commands that start other attempts of the held tasks meanwhile.
 func (h *heldCommand) countOthers(w *World, op message.WorkerRequest) {
 	if !w.now.Before(w.machines[h.machine].unreachableUntil) {
 		return
@@ -69,6 +69,7 @@
 	}
 }
 
+// attemptName returns the name of the attempt that a command starts.
 func attemptName(o model.TaskCommand) string {
 	return fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 }
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -13,6 +13,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// testSettings returns settings of a small deployment with two zones and two teams, of which one
+// has a quota limit.
 func testSettings() controller.Settings {
 	return controller.Settings{
 		Zones: []string{"a", "b"}, HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second,
@@ -23,6 +25,8 @@
 	}
 }
 
+// testTypes returns two machine types, and how many machines the cloud has, by
+// type/zone/spot.
 func testTypes() ([]model.MachineType, map[string]int) {
 	return []model.MachineType{
 			{Name: "small", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 0.5, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 20 * time.Second, Zones: []string{"a", "b"}},
@@ -32,24 +36,26 @@
 		}
 }
 
+// testCancelWithin is the time in which tasks of a cancelled job have to stop (cancel_s).
 const testCancelWithin = 54 * time.Second
 
 func newTestWorld(seed uint64) *World {
 	return newTestWorldOfSize(seed, 3)
 }
 
+// newTestWorldOfSize returns a world with so many controllers.
 func newTestWorldOfSize(seed uint64, controllers int) *World {
-	types, room := testTypes()
-	return NewWorld(seed, controllers, testSettings(), testCancelWithin, types, room)
+	types, capacity := testTypes()
+	return NewWorld(seed, controllers, testSettings(), testCancelWithin, types, capacity)
 }
 
-// newSmallWorld is one of three controllers in which only small machines can be rented.
+// newSmallWorld returns a world of three controllers whose cloud has small machines only.
 func newSmallWorld(seed uint64, set controller.Settings) *World {
 	types, _ := testTypes()
 	return NewWorld(seed, 3, set, testCancelWithin, types, map[string]int{"small/a/false": 20, "small/b/false": 20})
 }
 
-// batchJob is a job whose tasks take a while.
+// batchJob returns a job of normal urgency, each of whose tasks needs cpu cores and GB.
 func batchJob(id, team string, tasks int, cpu float64, run time.Duration) model.JobSpec {
 	return model.JobSpec{
 		ID: id, Workload: "batch", Team: team, Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: cpu, Memory: cpu},
@@ -57,7 +63,7 @@
 	}
 }
 
-// submitMany submits jobs that are alike and returns their names.
+// submitMany submits equal jobs and returns their IDs.
 func (w *World) submitMany(prefix, team string, jobs, tasks int, cpu float64, run time.Duration) []string {
 	var ids []string
 	for i := range jobs {
@@ -68,18 +74,18 @@
 	return ids
 }
 
-// longJob is an array that outlasts every test.
+// longJob returns an array whose tasks outlast every test.
 func longJob(id string, tasks int) model.JobSpec {
 	return model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, Need: model.Resources{CPU: 1, Memory: 1},
 		Image: "i", ImageGB: 0.1, ExpectedRunTime: time.Hour}
 }
 
-// waitUntil runs until something holds, for most at the longest, and returns how long it took;
-// -1: it does not hold.
-func (w *World) waitUntil(most time.Duration, holds func() bool) time.Duration {
+// waitUntil runs the world until a condition holds, and returns how long that took, or -1 if it
+// does not hold within the limit.
+func (w *World) waitUntil(limit time.Duration, condition func() bool) time.Duration {
 	from := w.now
-	for !holds() {
-		if w.now.Sub(from) >= most {
+	for !condition() {
+		if w.now.Sub(from) >= limit {
 			return -1
 		}
 		w.Run(tickInterval)
@@ -87,7 +93,7 @@
 	return w.now.Sub(from)
 }
 
-// machinesRunning are those with tasks of a job.
+// machinesRunning returns the machines with tasks of a job.
 func (w *World) machinesRunning(id string) []*Worker {
 	var out []*Worker
 	for _, k := range sortedKeys(w.machines) {
@@ -101,41 +107,42 @@
 	return out
 }
 
-// trackLastRun notes from now on when each of these jobs was last on a machine.
+// trackLastRun records from now on when each of the jobs was last on a machine.
 func (w *World) trackLastRun(ids ...string) map[string]time.Time {
 	last := map[string]time.Time{}
-	var look func()
-	look = func() {
+	var scan func()
+	scan = func() {
 		for _, id := range ids {
 			if w.runningTasks(id) > 0 {
 				last[id] = w.now
 			}
 		}
-		w.schedule(tickInterval, look)
+		w.schedule(tickInterval, scan)
 	}
-	look()
+	scan()
 	return last
 }
 
-// checkStoppedWithin checks that the jobs of lastSeen are confirmed as cancelled, and off all
-// machines so soon after the first confirmation.
-func checkStoppedWithin(t *testing.T, w *World, last map[string]time.Time, most time.Duration) {
+// checkStoppedWithin checks that the jobs of trackLastRun are confirmed as cancelled, and that
+// their tasks stopped within the limit after the first confirmation.
+func checkStoppedWithin(t *testing.T, w *World, last map[string]time.Time, limit time.Duration) {
 	t.Helper()
 	for _, id := range sortedKeys(last) {
 		j := w.jobs[id]
 		if w.waitUntil(3*time.Minute, func() bool { return !j.cancelledAt.IsZero() && w.runningTasks(id) == 0 }) < 0 {
-			t.Errorf("%s is %q and has %d tasks", id, j.lastState, w.runningTasks(id))
-		} else if d := last[id].Sub(j.cancelledAt); d > most {
-			t.Errorf("%s had tasks for %v after its cancellation was confirmed", id, d)
+			t.Errorf("%s: got state %q and %d running tasks, want cancelled and none", id, j.lastState, w.runningTasks(id))
+		} else if d := last[id].Sub(j.cancelledAt); d > limit {
+			t.Errorf("%s: got tasks for %v after its cancellation was confirmed, want at most %v", id, d, limit)
 		}
 	}
 }
 
-// maxStopTime is in how long the tasks of a cancelled job are gone from machines that
-// can be reached, also while their controller changes.
+// maxStopTime is the limit for tasks of a cancelled job on reachable machines, also during a
+// takeover.
 const maxStopTime = 15 * time.Second
 
-// checkNoViolations fails the test with every broken rule.
+// checkNoViolations reports every violation of an invariant, and logs the end of the log if the
+// test has failed.
 func checkNoViolations(t *testing.T, w *World) {
 	t.Helper()
 	reportViolations(t, w.Violations)
@@ -144,6 +151,7 @@
 	}
 }
 
+// reportViolations reports each violation as an error.
 func reportViolations(t *testing.T, violations []string) {
 	t.Helper()
 	for _, v := range violations {
@@ -157,20 +165,20 @@
 	t.Log(strings.Join(lines[max(0, len(lines)-last):], "\n"))
 }
 
-// checkFinalAnswers checks that users were told of each job that it is done; or, when some were to be
-// refused or cancelled, that.
-func checkFinalAnswers(t *testing.T, w *World, others bool) {
+// checkFinalAnswers checks that the last answer about each job was that it is done or, with
+// allowOthers, that it was refused or cancelled.
+func checkFinalAnswers(t *testing.T, w *World, allowOthers bool) {
 	t.Helper()
 	for _, id := range sortedKeys(w.jobs) {
-		if j := w.jobs[id]; j.lastState != "done" && !(others && (j.refusedStatus > 0 || j.lastState == "cancelled")) {
-			t.Errorf("%s is %q in the end, %d of %d done", id, j.lastState, len(j.doneTasks), j.spec.Tasks)
+		if j := w.jobs[id]; j.lastState != "done" && !(allowOthers && (j.refusedStatus > 0 || j.lastState == "cancelled")) {
+			t.Errorf("%s: got final state %q with %d of %d tasks done, want done", id, j.lastState, len(j.doneTasks), j.spec.Tasks)
 		}
 	}
 }
 
-// dayCount is how many drawn days a test plays: few of them with -short or -race, under
-// which a day takes ten times as long and shows nothing more, as no decision has a
-// goroutine. A long search: MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
+// dayCount returns how many random days a test plays. With -short or -race these are few: the race
+// detector makes a day ten times as slow and finds nothing more, as decisions take place in one
+// goroutine. For a long search: MICAHILL_DAYS=2000 go test ./internal/simulation -run TestSimulation$
 func dayCount(t *testing.T, days, few uint64) uint64 {
 	if testing.Short() || raceEnabled {
 		days = few
@@ -183,7 +191,8 @@
 	return days
 }
 
-// sampleCases are n cases, or with the race detector or in short only few of them, evenly.
+// sampleCases returns the indexes of all n cases or, with -short or -race, few of them evenly
+// spaced.
 func sampleCases(n, few int) []int {
 	k := n
 	if testing.Short() || raceEnabled {
@@ -196,21 +205,22 @@
 	return out
 }
 
-// shardLeaderOf is the controller that has a team, by the records.
+// shardLeaderOf returns the index of the controller that leads the shard of a team, by the shard
+// records.
 func (w *World) shardLeaderOf(team string) int {
 	for _, k := range sortedKeys(w.state.records) {
-		var share struct {
+		var shard struct {
 			Host  string   `msgpack:"host"`
 			Teams []string `msgpack:"teams"`
 		}
-		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(w.state.records[k].value, &share) == nil && slices.Contains(share.Teams, team) {
-			return w.controllerIndex(share.Host)
+		if strings.HasPrefix(k, "ctl/share/") && msgpack.Unmarshal(w.state.records[k].value, &shard) == nil && slices.Contains(shard.Teams, team) {
+			return w.controllerIndex(shard.Host)
 		}
 	}
 	return 0
 }
 
-// runUntilDone runs until all jobs are done, for some minutes at most.
+// runUntilDone runs the world until all jobs are done, for at most five minutes.
 func (w *World) runUntilDone() {
 	for end := w.now.Add(5 * time.Minute); w.now.Before(end); w.Run(5 * time.Second) {
 		if !slices.ContainsFunc(sortedKeys(w.jobs), func(id string) bool { return w.jobs[id].lastState != "done" }) {
--- a/internal/simulation/large_test.go
+++ b/internal/simulation/large_test.go
@@ -10,8 +10,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newLargeWorld is a pool of some hundred machines and more, with three workloads:
-// rush with a bounded wait, batch of middle size, and wide tasks.
+// newLargeWorld returns a world with some hundred machines or more, and three workloads: rush with a
+// bounded wait, reprint of middle size, and wide with large tasks.
 func newLargeWorld(seed uint64, scale float64) *World {
 	set := testSettings()
 	set.Zones = []string{"a"}
@@ -23,14 +23,14 @@
 		{Kind: "deadline", Workload: "rush", Fraction: 0.98, DeadlineFactor: 1},
 		{Kind: "finished", Workload: "wide", Within: 120 * time.Second, Fraction: 0.85},
 	}
-	room := func(n float64) int { return max(1, int(n*scale)) }
+	scaled := func(n float64) int { return max(1, int(n*scale)) }
 	return NewWorld(seed, 3, set, 64*time.Second, []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"a"}},
 		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"a"}},
-	}, map[string]int{"box/a/true": room(800), "box/a/false": room(700), "rack/a/true": room(100), "rack/a/false": room(59)})
+	}, map[string]int{"box/a/true": scaled(800), "box/a/false": scaled(700), "rack/a/true": scaled(100), "rack/a/false": scaled(59)})
 }
 
-// submitAtScale submits what comes at the place in a time, at a scale of the full rate.
+// submitAtScale submits the jobs of a time d, at a fraction of the full size.
 func (w *World) submitAtScale(rng *rand.Rand, scale float64, d time.Duration) {
 	kinds := []struct {
 		name   string
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkSteady is what the owner does in a second of an ordinary day, by the
-// size of the pool. What matters is how it grows.
+// BenchmarkSteady measures what the controllers take for a second of a steady load, by the size of the
+// cluster. What matters is how it grows.
 func BenchmarkSteady(b *testing.B) {
 	for _, scale := range []float64{0.1, 0.3, 1} {
 		b.Run(fmt.Sprint(scale), func(b *testing.B) {
@@ -93,10 +93,9 @@
 	}
 }
 
-// TestLargePool plays a day of troubles in a pool of some hundred machines: many
-// die and hang at once, all controllers end, the owner loses the state service.
-// The rules hold, the changes stay within the state service's limit, and the
-// work is done soon after.
+// TestLargePool plays faults in a large cluster: many machines die and hang at once, all controllers
+// crash, the shard leader loses the state service. No invariant is violated, writes stay within the state
+// service's limit, and the jobs are done soon after.
 func TestLargePool(t *testing.T) {
 	const scale = 0.25
 	w := newLargeWorld(3, scale)
@@ -124,21 +123,21 @@
 			}
 		}
 	})
-	most := 0
+	maxWrites := 0
 	for range 20 {
 		before := w.state.writeCount
 		w.Run(10 * time.Second)
-		most = max(most, w.state.writeCount-before)
+		maxWrites = max(maxWrites, w.state.writeCount-before)
 	}
 	w.Run(2 * time.Minute)
 	reportViolations(t, w.Violations)
 	checkFinalAnswers(t, w, false)
-	// The model of the state service refuses nothing, so its limit is checked
-	// here: what the cores ask for, without the clients that hold them back.
-	if limit := int(10 * w.settings.StoreWritesPerSecond); most > limit {
-		t.Errorf("%d changes in ten seconds, more than the limit of %d", most, limit)
+	// The simulated state service refuses nothing here, and there are no clients that limit the
+	// rate, so this checks what the controllers themselves request.
+	if limit := int(10 * w.settings.StoreWritesPerSecond); maxWrites > limit {
+		t.Errorf("got %d writes in ten seconds, want at most %d", maxWrites, limit)
 	}
 	if w.Starts < 1000 {
-		t.Errorf("only %d starts", w.Starts)
+		t.Errorf("got %d starts, want at least 1000", w.Starts)
 	}
 }
--- a/internal/simulation/lost_responses_test.go
+++ b/internal/simulation/lost_responses_test.go
@@ -12,16 +12,17 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// lostResponses lets a share of the transactions be carried out at once, and loses what the
-// state service says to their senders in that moment: the answer, and a watch's.
+// lostResponses has a fraction of the transactions applied at once, and loses what the state service
+// sends their senders at that moment: the response, and that of a watch.
 type lostResponses struct {
 	fraction float64
-	// senderByKey are the senders by the first key that they write.
+	// senderByKey holds the senders of chosen transactions by the first key that they write.
 	senderByKey map[string]string
-	// lost counts them by the kind of record.
+	// lost counts the lost responses by the kind of record.
 	lost map[string]int
 }
 
+// loseResponses starts to lose responses in a world.
 func loseResponses(w *World, seed uint64, share float64) *lostResponses {
 	l := &lostResponses{fraction: share, senderByKey: map[string]string{}, lost: map[string]int{}}
 	rng := rand.New(rand.NewPCG(seed, 404))
@@ -31,21 +32,21 @@
 		}
 		return false
 	}
-	noted := w.state.onChange
+	previous := w.state.onChange
 	w.state.onChange = func(it message.KeyValue) {
 		if p, chosen := l.senderByKey[it.Key]; chosen {
 			delete(l.senderByKey, it.Key)
 			l.lost[recordKind(it.Key)]++
 			w.partitionOneWay("state", p, 0)
 		}
-		if noted != nil {
-			noted(it)
+		if previous != nil {
+			previous(it)
 		}
 	}
 	return l
 }
 
-// recordKind is what a key's record is for.
+// recordKind returns the kind of a key's record: its first part, or two for ctl and promise.
 func recordKind(key string) string {
 	if strings.HasPrefix(key, "open/~") {
 		return "page"
@@ -57,21 +58,21 @@
 	return parts[0]
 }
 
-// TestLostResponses plays random days on which every seventh transaction is carried out at
-// once and only its answer is lost, while everybody else goes on by what it wrote: with
-// rankings that come and go, promised dates and packed replicas. No rule is broken, each
-// job's date is one register, the totals are exact, and all jobs end.
+// TestLostResponses plays random days on which every seventh transaction is applied at once and only its
+// response is lost, while everything else goes on by what it wrote, with changing rankings, promises and
+// replica migrations. No invariant is violated, each job's promised date is one register, the totals are
+// exact, and all jobs end.
 func TestLostResponses(t *testing.T) {
-	met, mu := map[string]int{}, sync.Mutex{}
+	lost, mu := map[string]int{}, sync.Mutex{}
 	days := dayCount(t, 8, 3)
 	t.Run("days", func(t *testing.T) {
 		for seed := range days {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				types, room := testTypes()
+				types, capacity := testTypes()
 				set := testSettings()
 				set.Capabilities = controller.Capabilities{Ranking: true, Promises: true, PromiseFraction: 0.95, Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: time.Minute}
-				w := NewWorld(seed, 3+2*int(seed%2), set, testCancelWithin, types, room)
+				w := NewWorld(seed, 3+2*int(seed%2), set, testCancelWithin, types, capacity)
 				w.CheckRanking()
 				w.rankingCheck.startsOnly = true
 				d := recordPromises(w)
@@ -94,24 +95,24 @@
 				mu.Lock()
 				defer mu.Unlock()
 				for kind, k := range l.lost {
-					met[kind] += k
+					lost[kind] += k
 				}
 			})
 		}
 	})
-	t.Log("answers lost:", met)
+	t.Log("lost responses:", lost)
 	for _, kind := range []string{"open", "task", "job", "page", "promise/totals", "ctl/share", "ctl/lot", "ctl/lead", "ctl/node", "ctl/ranking", "ctl/hears", "life", "warm", "promise/quotes"} {
-		if met[kind] == 0 && days > 3 {
-			t.Errorf("no answer was lost of %s", kind)
+		if lost[kind] == 0 && days > 3 {
+			t.Errorf("got no lost response to a write of %s, want some", kind)
 		}
 	}
 }
 
-// TestMigrationsWithLostResponses: replicas move to make room while four of ten transactions get
-// no answer, also those that write the plan: each move is made once, nothing is ever
-// wholly down for it, and in the end all runs.
+// TestMigrationsWithLostResponses migrates replicas to make room while four of ten transactions get no
+// response, also those that write the plan: each migration takes place once, no job has all replicas down,
+// and in the end all run.
 func TestMigrationsWithLostResponses(t *testing.T) {
-	met := 0
+	lost := 0
 	for seed := range dayCount(t, 8, 3) {
 		p := newFragmentedWorld(t, seed, 3)
 		l := loseResponses(p.World, seed, 0.4)
@@ -121,23 +122,23 @@
 		l.fraction = 0
 		p.Run(60 * time.Second)
 		if p.runningTasks("job-large") != 1 {
-			t.Errorf("%d: the large one does not run", seed)
+			t.Errorf("seed %d: got the large job not running", seed)
 		}
 		for _, id := range p.small {
 			if p.runningTasks(id) != 2 {
-				t.Errorf("%d: %s has %d replicas up", seed, id, p.runningTasks(id))
+				t.Errorf("seed %d, %s: got %d running replicas, want 2", seed, id, p.runningTasks(id))
 			}
 		}
 		if p.down != "" || len(p.Violations) > 0 {
-			t.Error(seed, "down:", p.down, p.Violations)
+			t.Errorf("seed %d: got job with all replicas down %q, violations %v, want none", seed, p.down, p.Violations)
 		}
 		p.Run(6 * time.Minute)
 		if row := p.state.records["move/ops"]; row != nil {
-			t.Errorf("%d: the record is still there: %d bytes", seed, len(row.value))
+			t.Errorf("seed %d: got a migration record of %d bytes, want it removed", seed, len(row.value))
 		}
-		met += l.lost["move"]
+		lost += l.lost["move"]
 	}
-	if met == 0 {
-		t.Error("no answer to a move was lost")
+	if lost == 0 {
+		t.Error("got no lost response to a write of a migration, want some")
 	}
 }
--- a/internal/simulation/lower_limits_test.go
+++ b/internal/simulation/lower_limits_test.go
@@ -11,13 +11,13 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// lowerLimitsWorld is one whose state service will have lower limits, of which controllers know
-// only once they have been replaced.
+// lowerLimitsWorld is a world whose state service will lower its limits, which controllers know of only
+// once they have been replaced.
 type lowerLimitsWorld struct {
 	*World
 	next controller.Settings
-	// replaced are the controllers that know of the limits, and early counts records that
-	// those of before can't read and that were written while some could come back.
+	// replaced tells which controllers know of the new limits. unreadableWrites counts records
+	// that the version before cannot read, written while a controller could still restart as that.
 	replaced         []bool
 	unreadableWrites int
 }
@@ -44,18 +44,18 @@
 
 func (l *lowerLimitsWorld) allReplaced() bool { return l.replaced[0] && l.replaced[1] && l.replaced[2] }
 
-// replace ends a controller, which comes back with the new version.
+// replace crashes a controller, which restarts as the new version.
 func (l *lowerLimitsWorld) replace(i int) {
 	l.replaced[i] = true
 	l.CrashController(i, 3*time.Second)
 }
 
-// lowerLimits has the state service keep the limits to come.
+// lowerLimits has the state service enforce the new limits.
 func (l *lowerLimitsWorld) lowerLimits() { l.state.SetLimits(l.next) }
 
-// TestLowerLimitsUnseen: the controller that is replaced last has lost the state service
-// until long after the limits are lower, so that nobody is told that it is new: the others
-// find that out by the limit, are refused a few times, and go on.
+// TestLowerLimitsUnseen replaces the last controller while it is without the state service until long
+// after the limits are lowered, so that no controller learns that it is new: the others find that out by
+// the limit, are refused a few times, and go on.
 func TestLowerLimitsUnseen(t *testing.T) {
 	l := newLowerLimitsWorld(7)
 	l.Run(time.Minute)
@@ -75,19 +75,18 @@
 	checkNoViolations(t, l.World)
 	for _, id := range append(ids, cutOff...) {
 		if j := l.jobs[id]; j.lastState != string(model.Done) {
-			t.Errorf("%s is %s", id, j.lastState)
+			t.Errorf("%s: got final state %q, want an ended one", id, j.lastState)
 		}
 	}
 	if l.state.Malformed == 0 || l.state.Malformed > 20 {
-		t.Errorf("%d requests are malformed", l.state.Malformed)
+		t.Errorf("got %d malformed requests, want 1 to 20", l.state.Malformed)
 	}
 }
 
-// TestLowerLimits: while jobs of a hundred tasks run, the controllers are replaced one
-// after the other, and then the state service lowers its limits, at every moment of a
-// takeover, with writes that are carried out late, with one that comes back old before its
-// turn. Before this the state service called every further write of a job's tasks
-// malformed, for ever, as their records had been written under the old limits.
+// TestLowerLimits replaces the controllers one after the other while jobs of a hundred tasks run, and
+// then lowers the limits, at every moment of a takeover, with writes that are applied late and with a
+// controller that restarts as the old version. Before this was handled, the state service called every
+// further write of a job's tasks malformed, for ever, as their records were written under the old limits.
 func TestLowerLimits(t *testing.T) {
 	for _, k := range sampleCases(24, 4) {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
@@ -120,27 +119,27 @@
 				l.CrashController(l.busiestController(), 2*time.Second)
 			}
 			l.Run(6 * time.Minute)
-			// Records of ended jobs that an owner had still to remove when it ended go when
-			// one begins that owns nothing yet.
+			// Records of ended jobs that a crashed shard leader had still to remove are removed when
+			// a controller starts that leads no shard yet.
 			for i := range l.controllers {
 				l.CrashController(i, 3*time.Second)
 			}
 			l.Run(2 * time.Minute)
 			checkNoViolations(t, l.World)
 			if l.unreadableWrites > 0 {
-				t.Errorf("%d records that the version before can't read, while it could come back", l.unreadableWrites)
+				t.Errorf("got %d records that the version before cannot read while it could restart, want none", l.unreadableWrites)
 			}
 			if l.state.Malformed > 0 {
-				t.Errorf("%d requests are malformed, the last for %s", l.state.Malformed, l.state.LastMalformed)
+				t.Errorf("got %d malformed requests, the last for %s, want none", l.state.Malformed, l.state.LastMalformed)
 			}
 			for _, id := range ids {
 				if j := l.jobs[id]; j.lastState != string(model.Done) && j.lastState != string(model.Cancelled) {
-					t.Errorf("%s is %s", id, j.lastState)
+					t.Errorf("%s: got final state %q, want an ended one", id, j.lastState)
 				}
 			}
 			for key := range l.state.records {
 				if strings.HasPrefix(key, "task/") {
-					t.Errorf("%s is left", key)
+					t.Errorf("got record %s left, want it removed", key)
 				}
 			}
 		})
--- a/internal/simulation/margins_test.go
+++ b/internal/simulation/margins_test.go
@@ -12,12 +12,12 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// newWaitingWorld has a calm world with room in which nothing of job-000002 is ever started.
+// newWaitingWorld returns a world without faults in which no task of job-000002 is ever started.
 func newWaitingWorld(limit float64) *World {
-	types, room := testTypes()
+	types, capacity := testTypes()
 	set := testSettings()
 	set.Teams[0].QuotaLimit.CPU = limit
-	w := NewWorld(3, 3, set, testCancelWithin, types, room)
+	w := NewWorld(3, 3, set, testCancelWithin, types, capacity)
 	w.faultsEndAt = w.now
 	w.corruptEffect = func(e message.Effect) message.Effect {
 		return dropStarts(e, func(o model.TaskCommand) bool { return o.Job == "job-000002" })
@@ -25,24 +25,24 @@
 	return w
 }
 
-// A job is left waiting although a machine that fits has room: noticed after 90 s, not
-// earlier, and not where its team is at its limit or its task fits no machine with room.
-func TestWaitingIsNoticed(t *testing.T) {
+// TestWaitingIsDetected checks that a job left waiting although a fitting machine has free capacity is a
+// violation after 90 s, not earlier, and not if its team is at its quota limit or no machine fits.
+func TestWaitingIsDetected(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		limit   float64
-		cpu     float64
-		noticed bool
+		name     string
+		limit    float64
+		cpu      float64
+		violated bool
 	}{
-		{"room", 0, 1, true},
-		{"at the limit", 2, 1, false},
+		{"free capacity", 0, 1, true},
+		{"at the quota limit", 2, 1, false},
 		{"too large", 0, 30, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := newWaitingWorld(c.limit)
 			w.Submit(longJob("job-000001", 2), time.Hour, false)
 			w.Run(40 * time.Second)
-			// Machines are there, and stay.
+			// Keep the machines that are there.
 			w.cloudOutage = true
 			s := longJob("job-000002", 1)
 			s.Need.CPU = c.cpu
@@ -50,18 +50,18 @@
 			w.Run(maxWaiting)
 			checkNoViolations(t, w)
 			w.Run(20 * time.Second)
-			if got := strings.Contains(strings.Join(w.Violations, "\n"), RuleWaiting); got != c.noticed {
-				t.Errorf("noticed %v: %v, slack %v", got, w.Violations, w.margins)
+			if got := strings.Contains(strings.Join(w.Violations, "\n"), RuleWaiting); got != c.violated {
+				t.Errorf("got violation %v, want %v: %v, margins %v", got, c.violated, w.Violations, w.margins)
 			}
-			if _, near := w.margins[RuleWaiting]; near != c.noticed {
-				t.Errorf("slack %v", w.margins)
+			if _, ok := w.margins[RuleWaiting]; ok != c.violated {
+				t.Errorf("got margin of waiting %v, want %v: %v", ok, c.violated, w.margins)
 			}
 		})
 	}
 }
 
-// The slack of a cancellation is what its last task leaves of cancel_s, counted from the
-// first answer that left a controller.
+// TestCancellationMargins checks that the margin of a cancellation is what the last task leaves of
+// cancel_s, counted from the first answer that leaves a controller.
 func TestCancellationMargins(t *testing.T) {
 	w := newBusyWorld(t)
 	const left = 12 * time.Second
@@ -77,11 +77,11 @@
 	w.Run(w.cancelWithin + time.Second)
 	checkNoViolations(t, w)
 	if got := w.margins[RuleCancelled].Remaining; got < left-5*time.Second || got > left+time.Second {
-		t.Errorf("%v left, want about %v: %v", got, left, w.margins)
+		t.Errorf("got margin %v, want about %v: %v", got, left, w.margins)
 	}
 }
 
-// A day that is kept as a file plays as it did, and tells the same slack.
+// TestSavedDayReplays checks that a day saved to a file plays alike, with the same margins.
 func TestSavedDayReplays(t *testing.T) {
 	p := SearchProblem(DayParams{Machines: 20, Teams: 1, Minutes: 1}, func(DayResult) {})
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -96,14 +96,14 @@
 	}
 	a, b := RunDay(d, ""), RunDay(again, "")
 	if !reflect.DeepEqual(a.Margins, b.Margins) || a.Starts != b.Starts || !reflect.DeepEqual(a.Violations, b.Violations) {
-		t.Errorf("%v %d starts %v, again %v %d starts %v", a.Margins, a.Starts, a.Violations, b.Margins, b.Starts, b.Violations)
+		t.Errorf("got margins %v, %d starts, violations %v, replayed %v, %d starts, %v", a.Margins, a.Starts, a.Violations, b.Margins, b.Starts, b.Violations)
 	}
 	if len(a.Margins) == 0 {
-		t.Error("no slack was noted")
+		t.Error("got no margins, want some")
 	}
 }
 
-// Changes leave a day one that can be played, and the day that is changed as it was.
+// TestMutatedDays checks that mutations give valid days, and leave the original day as it was.
 func TestMutatedDays(t *testing.T) {
 	p := SearchProblem(DayParams{Teams: 2}, func(DayResult) {})
 	rng := rand.New(rand.NewPCG(2, 1))
@@ -112,25 +112,25 @@
 		faults, cancels := append([]Fault{}, d.Faults...), *d.Cancels
 		next := p.Mutate(rng, d)
 		if !reflect.DeepEqual(faults, d.Faults) || cancels != *d.Cancels {
-			t.Fatal("the day that was changed is another one")
+			t.Fatal("got the original day changed by Mutate")
 		}
 		if len(next.Faults) == 0 || len(next.Faults) > maxSearchFaults {
-			t.Fatalf("%d troubles", len(next.Faults))
+			t.Fatalf("got %d faults, want 1 to %d", len(next.Faults), maxSearchFaults)
 		}
 		for i, f := range next.Faults {
 			if f.At < firstSearchFault || f.At > max(next.latestFaultStart(), d.Faults[len(d.Faults)-1].At) || f.Duration < 0 || i > 0 && f.At < next.Faults[i-1].At {
-				t.Fatalf("%v of %v", f, next.Faults)
+				t.Fatalf("got fault %v out of bounds or order in %v", f, next.Faults)
 			}
 		}
 		d = next
 	}
 }
 
-// A team's job has tasks that wait for those before them, and may use ordinary machines
-// only; another team's are idle. It is given those although its tasks would not be late.
-func TestIdleMachinesGoToWhoWaits(t *testing.T) {
+// TestIdleMachinesGoToWaitingTeam checks that the idle machines of one team go to another team whose tasks
+// wait, although these would not be late yet.
+func TestIdleMachinesGoToWaitingTeam(t *testing.T) {
 	types, _ := testTypes()
-	// None is dear: idle ones are kept for a while.
+	// No machine is expensive, so idle ones are kept for a while.
 	for i := range types {
 		types[i].SpotCostPerHour = types[i].CostPerHour
 	}
@@ -149,21 +149,22 @@
 	idle := first.firstStarts[0].Add(first.run)
 	for i := range s.Tasks {
 		if at := j.firstStarts[i]; at.IsZero() || at.After(idle.Add(30*time.Second)) {
-			t.Errorf("task %d began at %v, the others' machine was idle at %v", i, at.Sub(w.startedAt), idle.Sub(w.startedAt))
+			t.Errorf("task %d: got start at %v, want within 30s after the machine was idle at %v", i, at.Sub(w.startedAt), idle.Sub(w.startedAt))
 		}
 	}
 }
 
-// A dear machine that is taken out of use has room beside long work, and a job that may
-// use nothing else for now is not late yet: it is not left waiting beside that room.
-func TestNotLeftWaitingBesideExpensiveCapacity(t *testing.T) {
+// TestWaitingBesideExpensiveMachine checks that a job that is not late yet, and may use nothing
+// else for now, is not left waiting beside the free capacity of an expensive machine that is being
+// decommissioned.
+func TestWaitingBesideExpensiveMachine(t *testing.T) {
 	types, _ := testTypes()
 	w := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1})
 	w.faultsEndAt = w.now
 	long := longJob("job-000001", 20)
 	w.Submit(long, time.Hour, false)
 	w.Run(time.Minute)
-	// The one machine that is not dear is taken for a while.
+	// The one machine that is not expensive is in use for a while.
 	w.cloudCapacity["small/a/false"] = 1
 	taken := longJob("job-000002", 1)
 	taken.Need.CPU, taken.Need.Memory, taken.ExpectedRunTime = 4, 14, 150*time.Second
@@ -176,12 +177,13 @@
 	w.Run(3 * time.Minute)
 	checkNoViolations(t, w)
 	if left := w.margins[RuleWaiting].Remaining; left < maxWaiting/3 || left > maxWaiting-20*time.Second {
-		t.Errorf("slack %v: it waited for too long, or not at all", w.margins[RuleWaiting])
+		t.Errorf("got margin %v, want %v to %v", w.margins[RuleWaiting], maxWaiting/3, maxWaiting-20*time.Second)
 	}
 }
 
-// Two teams, each another owner's, and one machine that fits the second team's job: it has
-// room beside the first team's long work, and the job is not left waiting beside it.
+// TestRoomOnAnotherOwnersMachine has two teams in different shards, and one machine that fits the second
+// team's job beside the first team's long job: the second job must not be left waiting beside it. It is
+// listed in KNOWN-RED.txt, by its name.
 func TestRoomOnAnotherOwnersMachine(t *testing.T) {
 	types, _ := testTypes()
 	w := NewWorld(3, 3, testSettings(), testCancelWithin, types, map[string]int{"big/a/false": 1})
--- a/internal/simulation/models_fit_test.go
+++ b/internal/simulation/models_fit_test.go
@@ -12,9 +12,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestModelsFit: models of one and two GPUs come and mostly go, and then some that need a
-// whole host each, of several teams with an owner each. There is room for all, in pieces
-// that lie with all owners; all begin in time, and all others stay.
+// TestModelsFit submits models of one and two GPUs, most of which go again, and then some that need a
+// whole host each, of several teams in different shards. There is capacity for all, fragmented over the
+// shards; all start in time, and all others stay.
 func TestModelsFit(t *testing.T) {
 	const hosts = 12
 	for seed := uint64(1); seed <= 3; seed++ {
@@ -30,7 +30,7 @@
 			}, map[string]int{"host/a/false": hosts / 2, "host/b/false": hosts / 2})
 			rng := rand.New(rand.NewPCG(seed, 7))
 			teams := []string{"ops", "ops", "ops", "lab", "lab", "web"}
-			come := func(at time.Duration, kind string, gpus, gb float64, tasks int, u model.Urgency, stays float64) {
+			submit := func(at time.Duration, kind string, gpus, gb float64, tasks int, u model.Urgency, stays float64) {
 				w.schedule(at, func() {
 					id := fmt.Sprintf("job-%s%04d", kind, len(w.jobs))
 					w.Submit(model.JobSpec{ID: id, Workload: "model-" + kind, Team: teams[rng.IntN(len(teams))], LongRunning: true, Urgency: u, Tasks: tasks,
@@ -42,18 +42,18 @@
 			}
 			soon := func() time.Duration { return time.Duration(rng.IntN(40000)) * time.Millisecond }
 			for range 43 {
-				come(soon(), "small", 1, 8, 1+rng.IntN(3), model.Normal, 0.25)
+				submit(soon(), "small", 1, 8, 1+rng.IntN(3), model.Normal, 0.25)
 			}
 			for range hosts / 3 {
-				come(soon(), "mid", 2, 16, 1+rng.IntN(2), model.Normal, 0.5)
+				submit(soon(), "mid", 2, 16, 1+rng.IntN(2), model.Normal, 0.5)
 			}
 			for range hosts / 2 {
-				come(260*time.Second+soon(), "large", 8, 60, 1, model.Urgent, 1)
+				submit(260*time.Second+soon(), "large", 8, 60, 1, model.Urgent, 1)
 			}
-			changes := 0
+			writes := 0
 			w.corruptEffect = func(e message.Effect) message.Effect {
 				if op, ok := e.(message.StoreRequest); ok && op.Kind == message.OpTxn && strings.HasPrefix(op.Writes[0].Key, "move/") {
-					changes++
+					writes++
 				}
 				return e
 			}
@@ -66,18 +66,16 @@
 					wait = at.Sub(j.submitted)
 				}
 				if strings.Contains(id, "large") && wait > 150*time.Second {
-					t.Errorf("%s waits %v", id, wait)
+					t.Errorf("%s: got first start after %v, want at most 150s", id, wait)
 				}
 				if up := w.runningTasks(id); !j.cancelRequested && up < j.spec.Tasks {
-					t.Errorf("%s has %d of %d replicas up", id, up, j.spec.Tasks)
+					t.Errorf("%s: got %d running replicas, want %d", id, up, j.spec.Tasks)
 				}
 			}
-			if most := day.Seconds() / 2; float64(changes) > most {
-				t.Errorf("%d changes for moves, want at most %v", changes, most)
-			}
-			if len(w.Violations) > 0 {
-				t.Error(w.Violations)
+			if limit := day.Seconds() / 2; float64(writes) > limit {
+				t.Errorf("got %d writes of migration records, want at most %v", writes, limit)
 			}
+			reportViolations(t, w.Violations)
 			if t.Failed() {
 				logTail(t, w.logs, len(w.logs))
 			}
--- a/internal/simulation/models_test.go
+++ b/internal/simulation/models_test.go
@@ -12,14 +12,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// fragmentedWorld is a world of hosts with eight GPUs whose replicas, two of a job, leave room in
-// pieces only, and of which no more can be rented.
+// fragmentedWorld is a world of hosts with eight GPUs each, whose replicas, two of a job, fragment the free
+// capacity, and without more hosts to rent.
 type fragmentedWorld struct {
 	*World
 	small []string
-	// from, to and host are of the first move written.
+	// from, to and host are those of the first migration that was written.
 	from, to, host string
-	// down is a small job that had none of its replicas on a machine.
+	// down is a small job that had no replica on a machine, and when; empty if there was none.
 	down string
 }
 
@@ -40,35 +40,36 @@
 		w.Run(time.Second)
 	}
 	w.Run(90 * time.Second)
-	// Four jobs go, such that every host keeps something and none is full.
+	// Cancel four jobs such that every host keeps a replica and none is full.
 	for mask := range 1 << 8 {
-		var keep, go4 []string
+		var keep, cancel []string
 		for i, id := range p.small {
 			if mask>>i&1 == 1 {
-				go4 = append(go4, id)
+				cancel = append(cancel, id)
 			} else {
 				keep = append(keep, id)
 			}
 		}
-		if len(go4) != 4 || !p.isFragmented(keep) {
+		if len(cancel) != 4 || !p.isFragmented(keep) {
 			continue
 		}
 		p.small = keep
-		for _, id := range go4 {
+		for _, id := range cancel {
 			w.Cancel(id)
 		}
 		w.Run(20 * time.Second)
 		for _, id := range keep {
 			if w.runningTasks(id) != 2 {
-				t.Fatalf("%s does not run at first", id)
+				t.Fatalf("%s: got %d running replicas at first, want 2", id, w.runningTasks(id))
 			}
 		}
 		return p
 	}
-	t.Fatal("the pool can't be in pieces")
+	t.Fatal("got no four jobs whose end fragments the capacity")
 	return nil
 }
 
+// isFragmented reports whether the jobs to keep leave every host neither empty nor full.
 func (p *fragmentedWorld) isFragmented(keep []string) bool {
 	hosts := 0
 	for _, m := range p.machines {
@@ -87,13 +88,13 @@
 	return hosts == 4
 }
 
-// submitLarge submits a replica that needs a whole host.
+// submitLarge submits a job with a replica that needs a whole host.
 func (p *fragmentedWorld) submitLarge() {
 	p.Submit(model.JobSpec{ID: "job-large", Workload: "large", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 1,
 		Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Image: "large", ImageGB: 20}, 0, false)
 }
 
-// watchDown notes a job of which nothing is on a machine.
+// watchDown records from now on the first job without a replica on a machine.
 func (p *fragmentedWorld) watchDown() {
 	for _, id := range p.small {
 		if p.runningTasks(id) == 0 && p.down == "" {
@@ -103,7 +104,7 @@
 	p.schedule(tickInterval, p.watchDown)
 }
 
-// noteMigration takes in the first move that an effect writes.
+// noteMigration records the first migration that an effect writes, and reports whether it writes one.
 func (p *fragmentedWorld) noteMigration(e message.Effect) bool {
 	op, ok := e.(message.StoreRequest)
 	if !ok || op.Kind != message.OpTxn || len(op.Writes) == 0 || !strings.HasPrefix(op.Writes[0].Key, "move/") {
@@ -125,8 +126,8 @@
 	return true
 }
 
-// hasCommand says that an effect has such an order for a job.
-func hasCommand(e message.Effect, verb model.TaskCommandKind, job string) bool {
+// hasCommand reports whether an effect has a command of the kind for a job with the prefix.
+func hasCommand(e message.Effect, kind model.TaskCommandKind, jobPrefix string) bool {
 	var all []model.TaskCommand
 	switch e := e.(type) {
 	case message.WorkerRequest:
@@ -135,43 +136,43 @@
 		all = e.Commands
 	}
 	for _, o := range all {
-		if o.Kind == verb && strings.HasPrefix(o.Job, job) {
+		if o.Kind == kind && strings.HasPrefix(o.Job, jobPrefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestMigrationsMakeRoom: a replica of a whole host starts though no host is free, the others
-// run again, and of none was ever everything down.
-func TestMigrationsMakeRoom(t *testing.T) {
+// TestMigrationsFreeCapacity checks that a replica of a whole host starts though no host is free, that the
+// others run again, and that no job ever had all replicas down.
+func TestMigrationsFreeCapacity(t *testing.T) {
 	p := newFragmentedWorld(t, 1, 3)
 	p.watchDown()
 	p.submitLarge()
 	p.Run(80 * time.Second)
 	if p.runningTasks("job-large") != 1 {
-		t.Error("the large one does not run")
+		t.Error("got the large job not running")
 	}
 	for _, id := range p.small {
 		if p.runningTasks(id) != 2 {
-			t.Errorf("%s has %d replicas up", id, p.runningTasks(id))
+			t.Errorf("%s: got %d running replicas, want 2", id, p.runningTasks(id))
 		}
 	}
 	if p.down != "" || len(p.Violations) > 0 {
-		t.Error("down:", p.down, p.Violations)
+		t.Errorf("got job with all replicas down %q, violations %v, want none", p.down, p.Violations)
 	}
-	// What is settled leaves the record.
+	// Finished migrations leave the record.
 	p.Run(6 * time.Minute)
 	if row := p.state.records["move/ops"]; row != nil {
-		t.Errorf("the record is still there: %d bytes", len(row.value))
+		t.Errorf("got a migration record of %d bytes, want it removed", len(row.value))
 	}
 	if t.Failed() {
 		logTail(t, p.logs, len(p.logs))
 	}
 }
 
-// TestMigrationsSurviveFaults: whatever fails at whichever step of a move, in the end all runs
-// that there is room for, and no rule is broken.
+// TestMigrationsSurviveFaults checks that after any fault at any step of a migration everything runs that
+// there is capacity for, and no invariant is violated.
 func TestMigrationsSurviveFaults(t *testing.T) {
 	steps := map[string]func(*fragmentedWorld, message.Effect) bool{
 		"intent": func(p *fragmentedWorld, e message.Effect) bool { return p.noteMigration(e) },
@@ -183,7 +184,7 @@
 	}
 	type fault struct {
 		do func(*fragmentedWorld)
-		// stops: replicas may go down by it.
+		// stops means that the fault itself may stop replicas.
 		stops bool
 	}
 	crash := func(is func(*controllerProcess) bool) fault {
@@ -202,20 +203,20 @@
 	source := func(p *fragmentedWorld) string { return p.from }
 	host := func(p *fragmentedWorld) string { return p.host }
 	kill := func(p *fragmentedWorld, m *Worker) { p.killMachine(m) }
-	silent := func(p *fragmentedWorld, m *Worker) { p.Partition(m.ID, "*", 70*time.Second, false) }
+	partition := func(p *fragmentedWorld, m *Worker) { p.Partition(m.ID, "*", 70*time.Second, false) }
 	faults := map[string]fault{
-		"owner":  crash(func(x *controllerProcess) bool { return x.controller.IsShardLeader() }),
-		"others": crash(func(x *controllerProcess) bool { return !x.controller.IsShardLeader() }),
-		"all":    crash(func(*controllerProcess) bool { return true }),
-		"state":  {do: func(p *fragmentedWorld) { p.Outage(15 * time.Second) }},
-		"owner's state": {do: func(p *fragmentedWorld) {
+		"shard leader": crash(func(x *controllerProcess) bool { return x.controller.IsShardLeader() }),
+		"others":       crash(func(x *controllerProcess) bool { return !x.controller.IsShardLeader() }),
+		"all":          crash(func(*controllerProcess) bool { return true }),
+		"state":        {do: func(p *fragmentedWorld) { p.Outage(15 * time.Second) }},
+		"shard leader's state": {do: func(p *fragmentedWorld) {
 			p.Partition(p.controllers[p.shardLeader()].name, "state", 15*time.Second, true)
 		}},
-		"target dies":   on(target, kill),
-		"source dies":   on(source, kill),
-		"target silent": on(target, silent),
-		"host silent":   on(host, silent),
-		"host recalled": on(host, func(p *fragmentedWorld, m *Worker) { m.reclaimAt = p.now.Add(20 * time.Second) }),
+		"target dies":        on(target, kill),
+		"source dies":        on(source, kill),
+		"target unreachable": on(target, partition),
+		"host unreachable":   on(host, partition),
+		"host reclaimed":     on(host, func(p *fragmentedWorld, m *Worker) { m.reclaimAt = p.now.Add(20 * time.Second) }),
 	}
 	seed := uint64(0)
 	for _, step := range sortedKeys(steps) {
@@ -239,22 +240,20 @@
 				p.submitLarge()
 				p.Run(5 * time.Minute)
 				if !hit {
-					t.Error("the step never came")
+					t.Errorf("got no step %s, want it reached", step)
 				}
 				if p.runningTasks("job-large") != 1 {
-					t.Error("the large one does not run")
+					t.Error("got the large job not running")
 				}
 				for _, id := range p.small {
 					if p.runningTasks(id) != 2 {
-						t.Errorf("%s has %d replicas up", id, p.runningTasks(id))
+						t.Errorf("%s: got %d running replicas, want 2", id, p.runningTasks(id))
 					}
 				}
 				if p.down != "" && !faults[name].stops {
-					t.Error("all replicas were down of", p.down)
-				}
-				if len(p.Violations) > 0 {
-					t.Error(p.Violations)
+					t.Errorf("got all replicas down of %s, want none", p.down)
 				}
+				reportViolations(t, p.Violations)
 				if t.Failed() {
 					logTail(t, p.logs, len(p.logs))
 				}
@@ -263,7 +262,7 @@
 	}
 }
 
-// shardLeader is a controller that runs the jobs.
+// shardLeader returns the index of a controller that leads a shard.
 func (p *fragmentedWorld) shardLeader() int {
 	return (&scenario{world: p.World}).shardLeader()
 }
--- a/internal/simulation/norace_test.go
+++ b/internal/simulation/norace_test.go
@@ -2,5 +2,5 @@
 
 package simulation
 
-// raceEnabled says that the race detector is on.
+// raceEnabled tells whether the race detector is on.
 const raceEnabled = false
--- a/internal/simulation/odd_jobs_test.go
+++ b/internal/simulation/odd_jobs_test.go
@@ -8,10 +8,10 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestOddJobs: jobs that are odd but possible are accepted and end, each where it may be;
-// what can never run is refused; and a job that is over is answered with its state,
-// whatever its repeat says.
-func TestOddJobs(t *testing.T) {
+// TestUnusualJobs checks that unusual but possible jobs are accepted and end, each where it may run; that jobs
+// which can never run are refused; and that a job that has ended is answered with its state, whatever its
+// resubmission says.
+func TestUnusualJobs(t *testing.T) {
 	w := newTestWorld(11)
 	const run = 8 * time.Second
 	submit := func(id string, change func(*model.JobSpec)) {
@@ -60,43 +60,43 @@
 	reportViolations(t, w.Violations)
 	for id := range possible {
 		if j := w.jobs["job-"+id]; j.lastState != "done" || j.refusedStatus != 0 {
-			t.Errorf("%s is %q, refused %d, %d of %d done", id, j.lastState, j.refusedStatus, len(j.doneTasks), j.spec.Tasks)
+			t.Errorf("%s: got state %q, refused with %d, %d of %d tasks done, want done", id, j.lastState, j.refusedStatus, len(j.doneTasks), j.spec.Tasks)
 		}
 	}
 	for id := range impossible {
 		if j := w.jobs["job-"+id]; j.accepted || j.refusedStatus != 422 {
-			t.Errorf("%s: accepted %v, refused %d", id, j.accepted, j.refusedStatus)
+			t.Errorf("%s: got accepted %v, refused with %d, want 422", id, j.accepted, j.refusedStatus)
 		}
 	}
 	for i, j := range w.jobs["job-over-small-disks"].machines {
 		for _, m := range j {
 			if m.MachineType != "big" {
-				t.Errorf("task %d was on a %s, whose disk is too small", i, m.MachineType)
+				t.Errorf("task %d: got machine type %s, whose disk is too small, want big", i, m.MachineType)
 			}
 		}
 	}
-	// Odd repeats of what is over, and of what was refused.
-	over := w.jobs["job-apart-on-big"].spec
-	over.Zone, over.Tasks = "c", 100
+	// Unusual resubmissions of what has ended, and of what was refused.
+	ended := w.jobs["job-apart-on-big"].spec
+	ended.Zone, ended.Tasks = "c", 100
 	for to := range w.controllers {
 		for _, c := range []struct {
-			status int
-			state  string
-			mk     func(uint64) message.Command
+			status     int
+			state      string
+			newCommand func(uint64) message.Command
 		}{
-			{200, "done", func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: over} }},
+			{200, "done", func(r uint64) message.Command { return message.SubmitJob{Reply: r, Spec: ended} }},
 			{200, "done", func(r uint64) message.Command {
-				return message.SubmitJob{Reply: r, Spec: model.JobSpec{ID: over.ID}, MalformedReason: "field owner is missing or invalid"}
+				return message.SubmitJob{Reply: r, Spec: model.JobSpec{ID: ended.ID}, MalformedReason: "field owner is missing or invalid"}
 			}},
-			{200, "done", func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: over.ID} }},
+			{200, "done", func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: ended.ID} }},
 			{404, "", func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: "job-no-zone"} }},
 			{400, "", func(r uint64) message.Command {
 				return message.SubmitJob{Reply: r, Spec: model.JobSpec{ID: "job-bad"}, MalformedReason: "field owner is missing or invalid"}
 			}},
 		} {
-			w.userRequestTo(to, c.mk, 5*time.Second, func(r *message.UserReply) {
+			w.userRequestTo(to, c.newCommand, 5*time.Second, func(r *message.UserReply) {
 				if r == nil || r.Status != c.status || r.State != c.state {
-					t.Errorf("%+v; want %d %s", r, c.status, c.state)
+					t.Errorf("got %+v, want %d %s", r, c.status, c.state)
 				}
 			})
 		}
--- a/internal/simulation/overlaps_test.go
+++ b/internal/simulation/overlaps_test.go
@@ -11,22 +11,22 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// dropStops takes the stops out of whatever goes to workers.
+// dropStops removes the stop commands from an effect for a worker.
 func dropStops(e message.Effect) message.Effect {
 	return dropCommands(e, func(o model.TaskCommand) bool { return o.Kind == model.StopTask })
 }
 
-// TestCancelledInTime: the checker of cancellations counts from the answer that leaves a
-// controller, also when nobody hears it, and looks at every machine until its lease ends.
-// The core is made wrong on purpose, and the workers' lease longer than it knows.
+// TestCancelledInTime checks the checker of cancellations: it counts from the answer that leaves a
+// controller, even if no user receives it, and watches every machine until its lease ends. The controllers
+// are corrupted, and the workers' lease is longer than they know.
 func TestCancelledInTime(t *testing.T) {
 	const id = "job-000001"
 	for _, c := range []struct {
-		name   string
-		broken bool
-		image  float64
-		// abort: the world as it is when its user cancels the job.
-		abort func(*World)
+		name     string
+		violated bool
+		image    float64
+		// prepare is called just before the user cancels the job.
+		prepare func(*World)
 	}{
 		{"stops lost until just before", false, 1, func(w *World) {
 			till := w.now.Add(w.cancelWithin - 12*time.Second)
@@ -61,7 +61,7 @@
 			}
 		}},
 		{"nothing reaches a machine", true, 1, func(w *World) { w.MakeUnreachable(sortedKeys(w.machines), time.Hour, false) }},
-		{"a machine is silent", true, 1, func(w *World) {
+		{"the machines are partitioned", true, 1, func(w *World) {
 			for id := range w.machines {
 				w.Partition(id, "*", time.Hour, false)
 			}
@@ -73,25 +73,25 @@
 			w.Submit(model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2, Need: model.Resources{CPU: 2, Memory: 2},
 				Image: "i", ImageGB: c.image, ExpectedRunTime: time.Hour}, time.Hour, false)
 			w.Run(50 * time.Second)
-			// No machine is returned, and no lease ends.
+			// No machine is released, and no lease ends.
 			w.cloudOutage, w.settings.WorkerLease = true, time.Hour
-			c.abort(w)
+			c.prepare(w)
 			w.Cancel(id)
 			w.Run(w.cancelWithin - time.Second)
 			if len(w.Violations) > 0 {
-				t.Errorf("broken before the time is over: %v", w.Violations)
+				t.Errorf("got violations before cancel_s is over: %v", w.Violations)
 			}
 			w.Run(20 * time.Second)
-			if got := strings.Contains(strings.Join(w.Violations, "\n"), "ran_cancelled"); got != c.broken {
-				t.Errorf("told %q, confirmed at %v, broken %v", w.jobs[id].lastState, w.jobs[id].cancelledAt, w.Violations)
+			if got := strings.Contains(strings.Join(w.Violations, "\n"), "ran_cancelled"); got != c.violated {
+				t.Errorf("got violation %v, want %v: state %q, confirmed at %v, violations %v", got, c.violated, w.jobs[id].lastState, w.jobs[id].cancelledAt, w.Violations)
 			}
 		})
 	}
 }
 
-// TestOverlapChecksNotice: each job is asked about for itself once all is over, also
-// one that was cancelled, and also at one controller alone.
-func TestOverlapChecksNotice(t *testing.T) {
+// TestOverlapChecksDetectCorruption checks that each job is queried by itself after the day, cancelled ones too, and
+// at each controller alone.
+func TestOverlapChecksDetectCorruption(t *testing.T) {
 	d := GenerateDay(DayParams{Seed: 4, Machines: 60, Teams: 2, Controllers: 3, Jobs: 40, Minutes: 1, HotFactor: 1, OverlappingFaults: true})
 	d.Faults = []Fault{{Kind: "crash", At: 40 * time.Second, Duration: 5 * time.Second}}
 	d.Cancels = &MassCancel{Workload: "import", Fraction: 1, At: 35 * time.Second, Duration: 20 * time.Second}
@@ -103,12 +103,12 @@
 		return e
 	})
 	if len(good.Violations) > 0 || cancelled == 0 {
-		t.Fatalf("the day itself is bad: %d answers of cancellations, %v", cancelled, good.Violations)
+		t.Fatalf("uncorrupted day: got %d answers of cancellations, violations %v, want some and none", cancelled, good.Violations)
 	}
 	for _, c := range []struct {
 		name string
-		// wrong: what happens to an effect once the day's troubles are over.
-		wrong func(*World, message.Effect) message.Effect
+		// corrupt changes an effect once the day's faults are over.
+		corrupt func(*World, message.Effect) message.Effect
 	}{
 		{"no answer about cancelled jobs", func(_ *World, e message.Effect) message.Effect {
 			if r, ok := e.(message.UserReply); ok && r.State == "cancelled" {
@@ -129,16 +129,16 @@
 				if w.now.Before(w.faultsEndAt.Add(20 * time.Second)) {
 					return e
 				}
-				return c.wrong(w, e)
+				return c.corrupt(w, e)
 			})
 			if !strings.Contains(strings.Join(r.Violations, "\n"), "forgotten") {
-				t.Errorf("nothing forgotten: %v", r.Violations)
+				t.Errorf("got violations %v, want forgotten in them", r.Violations)
 			}
 		})
 	}
 }
 
-// TestOverlappingFaults plays a few drawn days on which troubles meet; many more are played by
+// TestOverlappingFaults plays a few random days on which faults overlap. Many more are played by
 // micahill-lab days --meetings.
 func TestOverlappingFaults(t *testing.T) {
 	for seed := range dayCount(t, 5, 2) {
@@ -155,18 +155,18 @@
 	}
 }
 
-// TestOverlapsAreSeededApart: what a meeting adds is drawn from its own numbers, and all
-// its troubles overlap but an end of all at the close.
-func TestOverlapsAreSeededApart(t *testing.T) {
+// TestOverlapsUseOwnGenerator checks that the overlapping faults of a day are drawn from a generator of
+// their own, and that all of them overlap but a crash of all controllers at the end.
+func TestOverlapsUseOwnGenerator(t *testing.T) {
 	kinds := map[string]bool{}
 	for seed := range uint64(200) {
 		with, without := GenerateDay(DayParams{Seed: seed, OverlappingFaults: true}), GenerateDay(DayParams{Seed: seed})
 		if fmt.Sprint(with.Settings) != fmt.Sprint(without.Settings) || with.Jobs != without.Jobs {
-			t.Fatalf("day %d is another one with a meeting", seed)
+			t.Fatalf("day %d: got other settings or jobs with overlapping faults, want the same", seed)
 		}
-		// Two or three, on some days a later one, and an end of all.
+		// Two or three, on some days a later one, and a crash of all controllers.
 		if len(with.Faults) < 2 || len(with.Faults) > 5 || with.Cancels == nil {
-			t.Fatalf("day %d has %v, %v", seed, with.Faults, with.Cancels)
+			t.Fatalf("day %d: got faults %v, cancels %v, want 2 to 5 faults and cancels", seed, with.Faults, with.Cancels)
 		}
 		for _, f := range with.Faults {
 			kinds[f.Kind] = true
@@ -174,19 +174,19 @@
 				kinds[f.Kind+map[bool]string{true: ".at_once", false: ".for_next"}[f.Immediate]] = true
 			}
 			if f.At-with.Faults[0].At > maxFaultSpacing && (f.Kind != "crash_all" || f != with.Faults[len(with.Faults)-1]) {
-				t.Errorf("day %d: %v do not meet", seed, with.Faults)
+				t.Errorf("day %d: got faults %v, want them to overlap", seed, with.Faults)
 			}
 		}
 	}
 	for _, k := range append(slices.Clone(overlapFaultKinds), extraFaultKinds...) {
 		if !kinds[k] {
-			t.Errorf("no %s in 200 days", k)
+			t.Errorf("got no fault %s on 200 days", k)
 		}
 	}
 }
 
-// TestLateWrites: a transaction that is carried out late comes after newer ones of the
-// same controller.
+// TestLateWrites checks that a transaction which is applied late comes after newer ones of the same
+// controller.
 func TestLateWrites(t *testing.T) {
 	w := newTestWorld(1)
 	w.Run(20 * time.Second)
@@ -196,42 +196,42 @@
 	write := func(key string) {
 		p.sendStoreRequest(message.StoreRequest{ID: 1 << 40, Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}, w.now.Add(time.Minute))
 	}
-	there := func(key string) bool { return w.state.records[key] != nil }
+	exists := func(key string) bool { return w.state.records[key] != nil }
 	write("x/old")
 	w.Run(time.Second)
 	write("x/new")
 	w.Run(900 * time.Millisecond)
-	if there("x/old") || !there("x/new") {
-		t.Errorf("after 1.9 s: old %v, new %v", there("x/old"), there("x/new"))
+	if exists("x/old") || !exists("x/new") {
+		t.Errorf("after 1.9 s: got old record %v, new record %v, want only the new one", exists("x/old"), exists("x/new"))
 	}
 	w.Run(maxWriteDelay)
-	if !there("x/old") || w.state.records["x/old"].modRevision < w.state.records["x/new"].modRevision {
-		t.Errorf("the old one is not there, or not after the new one")
+	if !exists("x/old") || w.state.records["x/old"].modRevision < w.state.records["x/new"].modRevision {
+		t.Errorf("got the old record missing or with a lower revision than the new one")
 	}
 }
 
-// TestRefusedOutage: one controller alone is refused and its watches tell nothing, then
-// the service is away for all, and every lease is there afterwards.
+// TestRefusedOutage has one controller refused, whose watches bring nothing, and then an outage for all.
+// Afterwards every lease is still there.
 func TestRefusedOutage(t *testing.T) {
 	w := newTestWorld(1)
 	w.Run(20 * time.Second)
 	p := w.controllers[w.leaderIndex(0)]
-	told := 0
-	p.openWatch(message.StoreRequest{Kind: message.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(message.StoreResponse) { told++ })
+	watched := 0
+	p.openWatch(message.StoreRequest{Kind: message.OpWatch, Key: "x/", Revision: w.state.revision, WatchTimeout: time.Hour}, w.now.Add(time.Hour), func(message.StoreResponse) { watched++ })
 	w.startOverlapFault(Fault{Kind: "refused_outage", Controller: p.index, Delay: 2 * time.Second, Duration: time.Minute})
 	w.Run(time.Second)
 	if !p.stateRefused || w.stateOutage {
-		t.Error("not the one alone")
+		t.Errorf("got controller refused %v, outage %v, want only the controller refused", p.stateRefused, w.stateOutage)
 	}
 	w.state.txn(message.StoreRequest{Writes: []message.Write{{Key: "x/1", Value: []byte{0x80}}}}, &message.StoreResponse{})
 	w.Run(time.Second)
-	grants := len(w.state.leases)
+	leases := len(w.state.leases)
 	w.Run(50 * time.Second)
-	if !w.stateOutage || told > 0 || len(w.state.leases) != grants {
-		t.Errorf("outage %v, %d answers of the watch, %d leases of %d", w.stateOutage, told, len(w.state.leases), grants)
+	if !w.stateOutage || watched > 0 || len(w.state.leases) != leases {
+		t.Errorf("got outage %v, %d watch responses, %d leases, want an outage, none and %d", w.stateOutage, watched, len(w.state.leases), leases)
 	}
 	w.Run(15 * time.Second)
-	if w.stateOutage || p.stateRefused || told != 1 {
-		t.Errorf("outage %v, refused %v, %d answers of the watch", w.stateOutage, p.stateRefused, told)
+	if w.stateOutage || p.stateRefused || watched != 1 {
+		t.Errorf("after the outage: got outage %v, refused %v, %d watch responses, want false, false and 1", w.stateOutage, p.stateRefused, watched)
 	}
 }
--- a/internal/simulation/partial_faults_test.go
+++ b/internal/simulation/partial_faults_test.go
@@ -11,9 +11,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestImmediateRestart: in the middle of an election the one that claims ends as well, just
-// before or after one of its steps, and all that ended are back within a fraction of a
-// second. Nothing starts twice, and all work is done.
+// TestImmediateRestart crashes the controller that claims leadership during an election too, just before
+// or after one of its steps, and restarts all crashed ones within a fraction of a second. Nothing starts
+// twice, and all jobs are done.
 func TestImmediateRestart(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		for _, in := range []string{"claim", "share", "register", "read", "epoch", "report"} {
@@ -28,7 +28,7 @@
 						}
 						w.Run(35 * time.Second)
 						w.CrashBefore(back*time.Millisecond, sent, pausePoints[in])
-						// The one that is claimed from, and once all of them.
+						// The former shard leader, and for one restart time all controllers.
 						for i, p := range w.controllers {
 							if p.controller.IsShardLeader() || back == 500 {
 								w.CrashController(i, back*time.Millisecond)
@@ -36,12 +36,12 @@
 						}
 						w.Run(4 * time.Minute)
 						if w.crashCondition != nil {
-							t.Errorf("nobody came to %s", in)
+							t.Errorf("got no controller at step %s", in)
 						}
 						reportViolations(t, w.Violations)
 						for _, id := range sortedKeys(w.jobs) {
 							if w.jobs[id].lastState != "done" {
-								t.Errorf("%s is %q", id, w.jobs[id].lastState)
+								t.Errorf("%s: got final state %q, want done", id, w.jobs[id].lastState)
 							}
 						}
 						if t.Failed() {
@@ -54,9 +54,8 @@
 	}
 }
 
-// TestPollStorms: all controllers end, and jobs that are over, that live and that
-// nobody submitted are asked about many times as often as usual. Each has its answer
-// within 20 s, none an old one, and it costs few reads.
+// TestPollStorms crashes all controllers while users poll ended jobs, open jobs and unknown jobs many times
+// as often as usual. Each has an answer within 20 s, none an old one, with few reads.
 func TestPollStorms(t *testing.T) {
 	const within = 20 * time.Second
 	for _, c := range []struct{ jobs, times int }{{1000, 8}, {300, 30}, {100, 100}} {
@@ -94,7 +93,7 @@
 					switch {
 					case r == nil || r.Status == 503:
 					case want == "" && r.Status != 404 || want == "done" && r.State != "done" || want == "queued" && r.Status != 200:
-						t.Errorf("%s is answered %d %s", id, r.Status, r.State)
+						t.Errorf("%s: got answer %d %s, want %q", id, r.Status, r.State, want)
 					case answered[id] == 0:
 						answered[id] = w.now.Sub(began)
 					}
@@ -113,13 +112,13 @@
 			for _, d := range answered {
 				last = max(last, d)
 			}
-			t.Logf("%d of %d answered, the last after %v, %d reads, %d refused", len(answered), 2*c.jobs+40, last, reads, w.RefusedRequests)
+			t.Logf("%d of %d jobs answered, the last after %v, %d reads, %d refused requests", len(answered), 2*c.jobs+40, last, reads, w.RefusedRequests)
 			if len(answered) != 2*c.jobs+40 {
-				t.Errorf("%d of %d jobs have an answer", len(answered), 2*c.jobs+40)
+				t.Errorf("got answers about %d jobs, want %d", len(answered), 2*c.jobs+40)
 			}
-			// Three reads and a list in each turn of 150 ms, at each of the controllers.
-			if reads > 4*len(w.controllers)*int(within/(150*time.Millisecond)) {
-				t.Errorf("%d reads", reads)
+			// Each controller makes three reads and a list in each batch of 150 ms.
+			if limit := 4 * len(w.controllers) * int(within/(150*time.Millisecond)); reads > limit {
+				t.Errorf("got %d reads, want at most %d", reads, limit)
 			}
 			reportViolations(t, w.Violations)
 		})
--- a/internal/simulation/pipeline_reads_test.go
+++ b/internal/simulation/pipeline_reads_test.go
@@ -10,21 +10,22 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// opDependencyCancelled is that one of the jobs that a job needs, directly or through others, is
-// cancelled: it cancels what is accepted, and what is accepted later.
+// opDependencyCancelled is the cancellation of a job that this one needs, directly or through others: it
+// cancels the job if it is accepted, now or later.
 const opDependencyCancelled operationKind = "doom"
 
-// neverFate is news on which nobody cancels, as it doesn't come.
+// neverFate is a fate that no job reaches, for jobs that are not cancelled.
 const neverFate jobFate = "never"
 
-// dependentFate is what the register of a job in a pipeline holds.
+// dependentFate is the value of the register of a job in a pipeline.
 type dependentFate struct {
-	is     jobFate
+	is jobFate
+	// doomed means that a dependency is cancelled.
 	doomed bool
 }
 
-// dependentJobModel is jobModel with the cancellation of a job before it. That one is not done, so
-// this one isn't either.
+// dependentJobModel is jobModel with cancellations of dependencies. A cancelled dependency is never done,
+// and so this job never is either.
 var dependentJobModel = porcupine.Model{
 	Init: func() any { return dependentFate{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -37,25 +38,25 @@
 			return was.is != done, next
 		}
 		if op.kind == opSubmit && was.is == unknown && was.doomed {
-			// It is accepted all the same.
-			told := said.status == 201 && (said.fate == accepted || said.fate == cancelled)
-			return said.status == 0 || told || said.status == 200 && said.fate == cancelled, dependentFate{cancelled, true}
+			// The job is accepted nevertheless.
+			ok := said.status == 201 && (said.fate == accepted || said.fate == cancelled)
+			return said.status == 0 || ok || said.status == 200 && said.fate == cancelled, dependentFate{cancelled, true}
 		}
 		ok, next := jobModel.Step(was.is, input, output)
 		return ok, dependentFate{next.(jobFate), was.doomed}
 	},
 }
 
-// pipelineReaders are close looks at pipelines whose jobs are cancelled through different
+// pipelineReaders are concurrentReaders of pipelines, whose jobs are cancelled through different
 // controllers.
 type pipelineReaders struct {
 	*concurrentReaders
 	jobs []*userJob
 }
 
-// addPipeline has a chain of jobs come, with a fan in the middle; its jobs are cancelled on
-// this news of them.
-func (p *pipelineReaders) addPipeline(at time.Duration, name string, on [5]jobFate) {
+// addPipeline submits a chain of five jobs with a fan-out in the middle. Job k is cancelled after its fate
+// cancelOn[k].
+func (p *pipelineReaders) addPipeline(at time.Duration, name string, cancelOn [5]jobFate) {
 	id := func(k int) string { return fmt.Sprintf("job-%s%d", name, k) }
 	needs := [5][]string{nil, {id(0)}, {id(1)}, {id(1)}, {id(2), id(3)}}
 	for k := range 5 {
@@ -66,7 +67,7 @@
 		p.world.linkDependencies(j)
 		submit := func() {
 			j.submitted = p.world.now
-			p.cancels[id(k)] = on[k]
+			p.cancels[id(k)] = cancelOn[k]
 			p.burst(id(k), unknown)
 			p.send(p.rng.IntN(len(p.world.controllers)), opSubmit, id(k))
 			p.readEverywhere(id(k))
@@ -75,7 +76,7 @@
 	}
 }
 
-// runHooks has what waits for a job's moments hear of them.
+// runHooks calls what waits for milestones of the jobs, every 20 ms from now on.
 func (p *pipelineReaders) runHooks() {
 	for _, j := range p.jobs {
 		j.runHooks()
@@ -83,8 +84,8 @@
 	p.world.schedule(20*time.Millisecond, p.runHooks)
 }
 
-// addDependencyCancels adds to a job's history the cancellations of those before it: they may take place
-// since somebody asked for them, and have within cancel_s after anybody was told.
+// addDependencyCancels returns a job's history with the cancellations of its dependencies. These take
+// effect after somebody requested them, and within cancel_s after anybody was answered so.
 func (p *pipelineReaders) addDependencyCancels(j *userJob) []porcupine.Operation {
 	id := j.spec.ID
 	out := splitAcceptAndCancel(p.history[id])
@@ -92,29 +93,29 @@
 		if p.newestFate[n.spec.ID] != cancelled {
 			continue
 		}
-		asked, told := int64(math.MaxInt64), int64(math.MaxInt64)
+		requested, confirmed := int64(math.MaxInt64), int64(math.MaxInt64)
 		for _, o := range p.history[n.spec.ID] {
 			if o.Input.(jobOperation).kind == opCancel {
-				asked = min(asked, o.Call)
+				requested = min(requested, o.Call)
 			}
 			if o.Output.(jobAnswer).fate == cancelled {
-				told = min(told, o.Return)
+				confirmed = min(confirmed, o.Return)
 			}
 		}
-		if asked == math.MaxInt64 {
-			// Not itself, but through one before it.
+		if requested == math.MaxInt64 {
+			// It was not cancelled itself, but through one of its dependencies.
 			continue
 		}
-		if told < math.MaxInt64 {
-			told += p.world.cancelWithin.Nanoseconds()
+		if confirmed < math.MaxInt64 {
+			confirmed += p.world.cancelWithin.Nanoseconds()
 		}
-		out = append(out, porcupine.Operation{ClientId: len(out), Input: jobOperation{id, opDependencyCancelled}, Call: asked, Output: jobAnswer{}, Return: told})
+		out = append(out, porcupine.Operation{ClientId: len(out), Input: jobOperation{id, opDependencyCancelled}, Call: requested, Output: jobAnswer{}, Return: confirmed})
 	}
 	return out
 }
 
-// splitAcceptAndCancel divides an answer that a job was accepted and is cancelled by now: that may have
-// come about in between.
+// splitAcceptAndCancel splits answers that a job was accepted and is cancelled by now: it may have been
+// cancelled in between.
 func splitAcceptAndCancel(history []porcupine.Operation) []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, o := range history {
@@ -129,7 +130,7 @@
 	return out
 }
 
-// allDependencies are all jobs that one needs, directly or through others.
+// allDependencies returns all jobs that a job needs, directly or through others.
 func allDependencies(j *userJob) []*userJob {
 	seen := map[*userJob]bool{}
 	var out []*userJob
@@ -147,7 +148,8 @@
 	return out
 }
 
-// check judges all registers, and that what comes after a cancelled job ends with it.
+// check returns all violations, with jobs whose history is not linearizable, and dependents of cancelled
+// jobs that did not end as cancelled.
 func (p *pipelineReaders) check() []string {
 	out := p.violations
 	for _, j := range p.jobs {
@@ -156,36 +158,35 @@
 			continue
 		}
 		if r := porcupine.CheckOperationsTimeout(dependentJobModel, dropImpliedReads(withSubmission(p.addDependencyCancels(j))), 5*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s is no register: %s: %s", id, r, formatHistory(p.addDependencyCancels(j))))
+			out = append(out, fmt.Sprintf("%s: history is not linearizable: %s: %s", id, r, formatHistory(p.addDependencyCancels(j))))
 		}
 		for _, n := range j.dependencies {
 			if p.newestFate[n.spec.ID] == cancelled && p.newestFate[id] != cancelled {
-				out = append(out, fmt.Sprintf("%s is %q, and %s cancelled", id, p.newestFate[id], n.spec.ID))
+				out = append(out, fmt.Sprintf("%s: got state %q although %s is cancelled", id, p.newestFate[id], n.spec.ID))
 			}
 		}
 	}
 	return out
 }
 
-// runPipelines has pipelines whose jobs are cancelled at every step, with troubles or
-// without.
-func runPipelines(w *World, seed uint64, troubles bool) *pipelineReaders {
+// runPipelines runs pipelines whose jobs are cancelled at every step, with faults or without.
+func runPipelines(w *World, seed uint64, faults bool) *pipelineReaders {
 	p := &pipelineReaders{concurrentReaders: newConcurrentReaders(w, seed)}
-	const many, apart = 12, 8 * time.Second
-	for i := range many {
+	const pipelines, interval = 12, 8 * time.Second
+	for i := range pipelines {
 		on := [5]jobFate{neverFate, neverFate, neverFate, neverFate, neverFate}
 		if i%3 > 0 {
 			on[i%5] = []jobFate{accepted, cancelled, done}[p.rng.IntN(3)]
 			on[p.rng.IntN(5)] = []jobFate{unknown, accepted, done}[p.rng.IntN(3)]
 			if i%3 == 2 {
-				// Before they are accepted, too.
+				// These are cancelled before they are accepted.
 				on = [5]jobFate{unknown, unknown, unknown, unknown, unknown}
 			}
 		}
-		p.addPipeline(30*time.Second+time.Duration(i)*apart, fmt.Sprintf("%05d", i), on)
+		p.addPipeline(30*time.Second+time.Duration(i)*interval, fmt.Sprintf("%05d", i), on)
 	}
 	p.runHooks()
-	if troubles {
+	if faults {
 		p.fraction = 0.15
 		for i := range 20 {
 			w.schedule(32*time.Second+time.Duration(i)*5*time.Second, p.startRandomFault)
@@ -196,9 +197,9 @@
 	return p
 }
 
-// TestPipelineReads: users ask all controllers within milliseconds after, or just when, a
-// job of a pipeline was accepted, ended or cancelled, and cancel through different ones.
-// Each job is one register, which a cancellation before it reaches within cancel_s.
+// TestPipelineReads has users query all controllers within milliseconds after, or just when, a job of a
+// pipeline is accepted, ends or is cancelled, and cancel through different ones. Each job is one register,
+// which the cancellation of a dependency reaches within cancel_s.
 func TestPipelineReads(t *testing.T) {
 	for seed := range dayCount(t, 8, 2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -210,37 +211,37 @@
 			for _, j := range p.jobs {
 				f := p.newestFate[j.spec.ID]
 				if ends[f]++; f != done && f != cancelled {
-					t.Errorf("%s is %q in the end", j.spec.ID, f)
+					t.Errorf("%s: got final state %q, want done or cancelled", j.spec.ID, f)
 				}
 			}
 			if ends[done] < 10 || ends[cancelled] < 10 {
-				t.Errorf("too few: %v", ends)
+				t.Errorf("got ends %v, want at least 10 done and 10 cancelled", ends)
 			}
-			t.Logf("%v, looks %v, no answer %v", ends, p.bursts, p.unansweredCount)
+			t.Logf("%v, bursts %v, unanswered %v", ends, p.bursts, p.unansweredCount)
 		})
 	}
 }
 
-// TestStalePipelineAnswersAreNoticed: a core made wrong is noticed by the registers.
-func TestStalePipelineAnswersAreNoticed(t *testing.T) {
-	behind := func(w *World, r *message.UserReply) bool {
+// TestStalePipelineAnswersAreDetected checks that the registers detect each corruption of answers.
+func TestStalePipelineAnswersAreDetected(t *testing.T) {
+	isDependent := func(w *World, r *message.UserReply) bool {
 		j := w.jobs[r.ID]
 		return j != nil && len(j.dependencies) > 0 && !j.cancelRequested
 	}
-	for name, wrong := range map[string]func(*World, *message.UserReply){
-		"nothing": nil,
-		"what comes after is called queued now and then": func(w *World, r *message.UserReply) {
-			if behind(w, r) && r.State == "cancelled" && r.Reply%7 == 0 {
+	for name, corrupt := range map[string]func(*World, *message.UserReply){
+		"not corrupted": nil,
+		"a dependent is sometimes answered as queued": func(w *World, r *message.UserReply) {
+			if isDependent(w, r) && r.State == "cancelled" && r.Reply%7 == 0 {
 				r.State = "queued"
 			}
 		},
-		"what comes after is called cancelled too soon": func(w *World, r *message.UserReply) {
-			if behind(w, r) && r.State == "queued" && r.Reply%5 == 0 && r.Status == 200 {
+		"a dependent is answered as cancelled too soon": func(w *World, r *message.UserReply) {
+			if isDependent(w, r) && r.State == "queued" && r.Reply%5 == 0 && r.Status == 200 {
 				r.State = "cancelled"
 			}
 		},
-		"what comes after is never called cancelled": func(w *World, r *message.UserReply) {
-			if behind(w, r) && r.State == "cancelled" {
+		"a dependent is never answered as cancelled": func(w *World, r *message.UserReply) {
+			if isDependent(w, r) && r.State == "cancelled" {
 				r.State = "queued"
 			}
 		},
@@ -248,23 +249,23 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			w := newTestWorld(3)
-			if wrong != nil {
+			if corrupt != nil {
 				w.corruptEffect = func(e message.Effect) message.Effect {
 					if r, ok := e.(message.UserReply); ok {
-						wrong(w, &r)
+						corrupt(w, &r)
 						return r
 					}
 					return e
 				}
 			}
-			if found := runPipelines(w, 3, false).check(); (wrong != nil) != (len(found) > 0) {
-				t.Errorf("noticed: %v", found)
+			if found := runPipelines(w, 3, false).check(); (corrupt != nil) != (len(found) > 0) {
+				t.Errorf("got violations %v, want some only if corrupted", found)
 			}
 		})
 	}
 }
 
-// formatHistory shows what decides about a job's register.
+// formatHistory returns the operations that decide about a job's register, with times in ms.
 func formatHistory(history []porcupine.Operation) string {
 	out := ""
 	for _, o := range dropImpliedReads(withSubmission(history)) {
--- a/internal/simulation/promises_test.go
+++ b/internal/simulation/promises_test.go
@@ -15,14 +15,14 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// promiseValue is what a date's register holds: revision and date; the zero value is none.
+// promiseValue is the value of the register of a promised date. The zero value means none.
 type promiseValue struct {
 	revision int
 	after    time.Duration
 }
 
-// promiseModel is a job's date as one register: it is written by what the state service
-// takes in, and read by every answer that tells a date. An answer may tell none.
+// promiseModel is the linearizability model of a job's promised date as one register: the state service
+// writes it, and every answer with a date reads it. An answer may have none.
 var promiseModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		by := map[string][]porcupine.Operation{}
@@ -44,12 +44,13 @@
 	},
 }
 
+// promiseOperation is a write of a date, or a read if write is zero.
 type promiseOperation struct {
 	job   string
 	write promiseValue
 }
 
-// promiseRecorder records a day's dates: what became durable, and what was told when.
+// promiseRecorder records the promised dates of a world: when they were stored, and when answered.
 type promiseRecorder struct {
 	world      *World
 	history    []porcupine.Operation
@@ -73,6 +74,7 @@
 	return d
 }
 
+// onStored records that a date was stored. Revisions count up by one, at most once a minute.
 func (d *promiseRecorder) onStored(id string, x promiseValue) {
 	was := d.newest[id]
 	switch {
@@ -122,25 +124,25 @@
 		id := it.Key[len("job/"):]
 		if msgpack.Unmarshal(it.Value, &r) == nil && r.Rev > 0 {
 			if r.Rev < d.newest[id].revision {
-				d.violations = append(d.violations, fmt.Sprintf("%s ends with revision %d after %v", id, r.Rev, d.newest[id]))
+				d.violations = append(d.violations, fmt.Sprintf("%s: got final revision %d after %v", id, r.Rev, d.newest[id]))
 			}
 			d.onStored(id, promiseValue{r.Rev, ms(r.P)})
 		}
 	}
 }
 
-// check judges the register, and that the dates were made as they may be.
+// check returns all violations, with jobs whose dates are not linearizable.
 func (d *promiseRecorder) check() []string {
 	out := d.violations
 	for _, part := range promiseModel.Partition(d.history) {
 		if r := porcupine.CheckOperationsTimeout(promiseModel, part, 20*time.Second); r != porcupine.Ok {
-			out = append(out, fmt.Sprintf("%s is no register: %s", part[0].Input.(promiseOperation).job, r))
+			out = append(out, fmt.Sprintf("%s: dates are not linearizable: %s", part[0].Input.(promiseOperation).job, r))
 		}
 	}
 	return out
 }
 
-// queryAll has every controller that lives asked about every job, each second.
+// queryAll queries every job at every controller each second, until a time.
 func (d *promiseRecorder) queryAll(until time.Time) {
 	w := d.world
 	if w.now.After(until) {
@@ -153,7 +155,7 @@
 				p.request(func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} }, func(e message.Effect) {
 					r := e.(message.UserReply)
 					w.sendMessage(p.name, "user", func() {
-						// Who asked has gone after the protocol's two seconds.
+						// A user waits for at most two seconds, as the protocol says.
 						if w.now.Sub(asked) < 2*time.Second {
 							w.onAnswer(asked, r)
 						}
@@ -165,14 +167,15 @@
 	w.schedule(time.Second, func() { d.queryAll(until) })
 }
 
-// newPromiseWorld is a world with promises, and n controllers.
+// newPromiseWorld returns a world with promises.
 func newPromiseWorld(seed uint64, n int) *World {
-	types, room := testTypes()
+	types, capacity := testTypes()
 	set := testSettings()
 	set.Capabilities = controller.Capabilities{Promises: true, PromiseFraction: 0.95}
-	return NewWorld(seed, n, set, testCancelWithin, types, room)
+	return NewWorld(seed, n, set, testCancelWithin, types, capacity)
 }
 
+// TestPromisesRandomDays plays random days with promises, and queries all jobs at all controllers.
 func TestPromisesRandomDays(t *testing.T) {
 	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -190,7 +193,7 @@
 			randomDay(w, seed)
 			reportViolations(t, append(w.Violations, d.check()...))
 			d.checkTotals(t)
-			t.Logf("%d answers, %d revised, changes %v", len(d.history), d.revised, d.writes)
+			t.Logf("%d answers, %d revised, writes %v", len(d.history), d.revised, d.writes)
 			if t.Failed() || w.trace != "" {
 				logTail(t, w.logs, len(w.logs))
 			}
@@ -198,14 +201,14 @@
 	}
 }
 
-// writesPromisePage says that an effect writes a page of dates.
+// writesPromisePage reports whether an effect writes a page of promised dates.
 func writesPromisePage(e message.Effect) bool {
 	op, ok := e.(message.StoreRequest)
 	return ok && op.Kind == message.OpTxn && len(op.Writes) > 0 && strings.HasPrefix(op.Writes[0].Key, "open/~")
 }
 
-// describe asks all controllers about all jobs and says what is to be said of the dates: how
-// many have one, whether all tell the same, and what is wrong.
+// describe queries all jobs at all controllers and prints how many have a date, whether all answers are
+// alike, and what is wrong.
 func (d *promiseRecorder) describe(revised bool) string {
 	w := d.world
 	last := map[string]promiseValue{}
@@ -242,12 +245,12 @@
 	return out.String()
 }
 
-// checkTotals checks the totals against what ended, and that every accepted job has a date.
+// checkTotals checks the stored totals against the ended jobs.
 func (d *promiseRecorder) checkTotals(t *testing.T) *promise.Totals {
 	t.Helper()
 	row := d.world.state.records["promise/totals"]
 	if row == nil {
-		t.Error("no totals")
+		t.Error("got no record promise/totals")
 		return nil
 	}
 	x, err := promise.DecodeTotals(row.value)
@@ -265,16 +268,16 @@
 	}
 	s := x.Sum()
 	if s.Jobs != ended || s.Made != made || s.Kept+s.Broken != s.Made {
-		t.Errorf("totals say %+v: %d ended, %d with a date", s, ended, made)
+		t.Errorf("got totals %+v, want %d jobs, %d with a date", s, ended, made)
 	}
 	t.Logf("totals %+v, ratio %.2f, first %d", s, x.MedianRatio(), x.PromisedAtAccept)
 	return x
 }
 
-// TestStalePromisesAreNoticed: a controller that tells a job's first date after a later one was
-// told is noticed, or the check is worth nothing.
-func TestStalePromisesAreNoticed(t *testing.T) {
-	for _, lies := range []bool{false, true} {
+// TestStalePromisesAreDetected checks that an answer with a job's first date after a later one was answered
+// is detected.
+func TestStalePromisesAreDetected(t *testing.T) {
+	for _, corrupted := range []bool{false, true} {
 		w := newPromiseWorld(3, 3)
 		d := recordPromises(w)
 		first := map[string]promiseValue{}
@@ -288,7 +291,7 @@
 				x = promiseValue{r.PromiseRevision, r.PromisedAfter}
 				first[r.ID] = x
 			}
-			if lies && w.rng.IntN(20) == 0 {
+			if corrupted && w.rng.IntN(20) == 0 {
 				r.PromiseRevision, r.PromisedAfter = x.revision, x.after
 			}
 			return r
@@ -299,16 +302,16 @@
 		}
 		d.queryAll(w.startedAt.Add(5 * time.Minute))
 		w.Run(8 * time.Minute)
-		wrong := d.check()
-		if d.revised == 0 || lies != (len(wrong) > 0) {
-			t.Errorf("lies: %v, revised %d, noticed: %v", lies, d.revised, wrong)
+		found := d.check()
+		if d.revised == 0 || corrupted != (len(found) > 0) {
+			t.Errorf("corrupted %v: got %d revised, violations %v, want some revised, and violations only if corrupted", corrupted, d.revised, found)
 		}
 	}
 }
 
-// TestPromiseWritesAreGuarded: each write of a page names its team's share and the page's own
-// stamp, each of the totals the leader's record and its own stamp, and an earlier one of
-// them that is carried out late changes nothing. In the end the totals are exact.
+// TestPromiseWritesAreGuarded checks that each write of a page compares the shard record of its team and the
+// page's own mod revision, that each of the totals compares the leader record and its own, and that an earlier
+// one of these writes changes nothing if it is applied late. In the end the totals are exact.
 func TestPromiseWritesAreGuarded(t *testing.T) {
 	w := newPromiseWorld(6, 3)
 	d := recordPromises(w)
@@ -334,7 +337,7 @@
 			fenced = fenced || strings.HasPrefix(c.Key, fence)
 		}
 		if !own || !fenced || len(op.Writes) > 1 {
-			t.Errorf("%s is written under %v", key, op.Compares)
+			t.Errorf("write of %s: got compares %v, want its own key and %s", key, op.Compares, fence)
 		}
 		writes = append(writes, op)
 		return e
@@ -351,34 +354,34 @@
 	w.Run(2 * time.Minute)
 	w.CrashController(0, 3*time.Second)
 	w.Run(2 * time.Minute)
-	// The changes so far are not kept any more: all is read anew, and counted once.
+	// The history is compacted, so controllers read everything again, and must count it once.
 	w.state.compactedRevision, w.state.changes = w.state.revision, nil
 	w.Run(6 * time.Minute)
 	w.state.limits = nil
 	for _, op := range writes {
 		if op.Compares[len(op.Compares)-1].ModRevision == 0 {
-			// A page that has gone may come back so: all jobs in it are over.
+			// This may create a removed page again, whose jobs have all ended.
 			continue
 		}
 		w.state.Do(w.now, op, func(done message.StoreResponse) {
 			if done.Status != message.StoreConflict {
-				t.Errorf("a late write of %s is carried out", op.Writes[0].Key)
+				t.Errorf("late write of %s: got status %v, want a conflict", op.Writes[0].Key, done.Status)
 			}
 		})
 	}
 	w.Run(30 * time.Second)
 	reportViolations(t, append(w.Violations, d.check()...))
 	if d.checkTotals(t); len(writes) < 10 {
-		t.Errorf("only %d writes", len(writes))
+		t.Errorf("got %d writes, want at least 10", len(writes))
 	}
 	if d.writes["page"] > 60 || d.writes["promise"] > 80 {
-		t.Errorf("changes: %v", d.writes)
+		t.Errorf("got writes %v, want at most 60 of pages and 80 of promise records", d.writes)
 	}
 }
 
-// TestPromisesSwitchedOnAndOff: promises are switched on with jobs under way, off and on again, by
-// starting the controllers anew. No answer and no job is lost, jobs that came without get
-// a date, and while they are off nobody tells or writes one.
+// TestPromisesSwitchedOnAndOff restarts the controllers with promises, without and with them again while
+// jobs run. No answer and no job is lost, jobs submitted without get a date, and while promises are off
+// no date is answered or written.
 func TestPromisesSwitchedOnAndOff(t *testing.T) {
 	w := newTestWorld(8)
 	d := recordPromises(w)
@@ -388,7 +391,7 @@
 				Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 200 * time.Second}, 200*time.Second, false)
 		}
 	}
-	roll := func(on bool) {
+	restartAll := func(on bool) {
 		w.settings.Capabilities = controller.Capabilities{Promises: on, PromiseFraction: 0.95}
 		for i := range w.controllers {
 			w.CrashController(i, 500*time.Millisecond)
@@ -398,38 +401,38 @@
 	submit(0, 6)
 	w.Run(30 * time.Second)
 	if len(d.history) > 0 || d.writes["promise"] > 0 || d.writes["page"] > 0 {
-		t.Fatalf("off, and yet %v", d.writes)
+		t.Fatalf("promises off: got %d dated answers and writes %v, want none", len(d.history), d.writes)
 	}
-	roll(true)
+	restartAll(true)
 	submit(6, 10)
 	w.Run(10 * time.Second)
 	if len(d.newest) != 10 {
-		t.Errorf("%d of 10 have a date", len(d.newest))
+		t.Errorf("got %d jobs with a date, want 10", len(d.newest))
 	}
-	roll(false)
-	off := len(d.history)
+	restartAll(false)
+	answers := len(d.history)
 	pages := d.writes["page"]
 	w.Run(30 * time.Second)
-	if len(d.history) > off || d.writes["page"] > pages {
-		t.Error("off, and yet dates are told or written")
+	if len(d.history) > answers || d.writes["page"] > pages {
+		t.Error("promises off: got dates answered or written, want none")
 	}
-	roll(true)
+	restartAll(true)
 	w.Run(10 * time.Minute)
 	reportViolations(t, append(w.Violations, d.check()...))
 	for _, id := range sortedKeys(w.jobs) {
 		if w.jobs[id].lastState != "done" || w.jobs[id].promiseRevision == 0 {
-			t.Errorf("%s is %s, revision %d", id, w.jobs[id].lastState, w.jobs[id].promiseRevision)
+			t.Errorf("%s: got final state %q, date revision %d, want done with a date", id, w.jobs[id].lastState, w.jobs[id].promiseRevision)
 		}
 	}
 	for k := range w.state.records {
 		if strings.HasPrefix(k, "open/") {
-			t.Errorf("%s is left", k)
+			t.Errorf("got record %s left, want it removed", k)
 		}
 	}
 }
 
-// TestServicePromises: a standing job's date is that by which all its replicas are up.
-// Those of a class that is known are told at once, and are kept when some were seen.
+// TestServicePromises checks that the date of a service is that by which all its replicas run. A known class
+// gets one at once, and keeps it once some were seen.
 func TestServicePromises(t *testing.T) {
 	w := newPromiseWorld(9, 3)
 	d := recordPromises(w)
@@ -448,7 +451,7 @@
 			up = max(up, at.Sub(j.submitted))
 		}
 		if len(j.firstStarts) != 2 || j.promiseRevision == 0 || id > "job-002" && up > j.promised || id > "job-000" && !j.promisedAtFirst || j.promised > 5*time.Minute {
-			t.Errorf("%s: up after %v, promised %v, revision %d, at once: %v", id, up, j.promised, j.promiseRevision, j.promisedAtFirst)
+			t.Errorf("%s: got all replicas running after %v, promised %v, revision %d, promised at once %v", id, up, j.promised, j.promiseRevision, j.promisedAtFirst)
 		}
 	}
 }
--- a/internal/simulation/ranking_load_test.go
+++ b/internal/simulation/ranking_load_test.go
@@ -13,23 +13,22 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestRankingStorm: five controllers set a ranking every second; what was decided is taken
-// back as often, and work goes on. How far it comes in a minute hangs on when a ranking
-// meets a start, so that several days count together.
+// TestRankingStorm has five controllers set a ranking every second; decisions are withdrawn as often, and jobs
+// still get done. How many in a minute depends on when a ranking meets a start, so several days count together.
 func TestRankingStorm(t *testing.T) {
 	const days = 6
-	var all atomic.Int64
+	var allDone atomic.Int64
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(31+seed), func(t *testing.T) {
 				t.Parallel()
 				w := newRankingWorld(31+seed, 5)
 				w.Run(10 * time.Second)
-				held := 0
+				accepted := 0
 				for k := range 60 {
 					text := []string{rushFirst, reprintFirst}[k%2]
 					w.schedule(time.Duration(k)*time.Second, func() {
-						w.SetRanking(k%5, message.SetRanking{Record: mustParseRanking(t, text, "somebody"), AnyRevision: true}, func(r message.RankingReply) { held += boolInt(r.Status == 200) })
+						w.SetRanking(k%5, message.SetRanking{Record: mustParseRanking(t, text, "somebody"), AnyRevision: true}, func(r message.RankingReply) { accepted += boolInt(r.Status == 200) })
 					})
 				}
 				flood(w, "reprint-a", 30, 5*time.Second)
@@ -41,30 +40,30 @@
 				}
 				w.runUntilDone()
 				reportViolations(t, w.Violations)
-				if held < 50 || done < 15 {
-					t.Errorf("%d rankings were set, %d jobs done meanwhile", held, done)
+				if accepted < 50 || done < 15 {
+					t.Errorf("got %d rankings set, %d jobs done meanwhile, want at least 50 and 15", accepted, done)
 				}
-				all.Add(int64(done))
+				allDone.Add(int64(done))
 			})
 		}
 	})
-	if all.Load() < 40*days {
-		t.Errorf("%d jobs done meanwhile on %d days", all.Load(), days)
+	if allDone.Load() < 40*days {
+		t.Errorf("got %d jobs done meanwhile on %d days, want %d", allDone.Load(), days, 40*days)
 	}
 }
 
-// TestRankedDays plays random days with random faults on which rankings come and go.
+// TestRankedDays plays random days with random faults and changing rankings.
 func TestRankedDays(t *testing.T) {
 	for seed := range dayCount(t, 8, 3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			types, room := testTypes()
+			types, capacity := testTypes()
 			set := testSettings()
 			set.Capabilities = randomCapabilities(seed)
 			set.Capabilities.Ranking = true
-			w := NewWorld(seed, 3+int(seed%2)*2, set, testCancelWithin, types, room)
+			w := NewWorld(seed, 3+int(seed%2)*2, set, testCancelWithin, types, capacity)
 			w.CheckRanking()
-			// Many things bear on the order on such a day: limits, pauses, images.
+			// Other things affect the order too on such a day: quotas, pauses, images.
 			w.rankingCheck.startsOnly = true
 			w.lossRate, w.duplicateRate = 0.01, 0.02
 			rng := rand.New(rand.NewPCG(seed, 5))
@@ -81,25 +80,24 @@
 	}
 }
 
-// TestRushBehindFlood: rush work waits hardly longer behind a flood of reprints ten times
-// its size than alone, or no longer than its objective says, before and after the owner's
-// end.
+// TestRushBehindFlood checks that rush jobs wait hardly longer behind a flood of reprints ten times their size
+// than alone, or no longer than their objective, before and after a crash of the shard leader.
 func TestRushBehindFlood(t *testing.T) {
 	const within = 3 * time.Second
 	wait := func(reprints int) (before, after time.Duration) {
-		types, room := testTypes()
+		types, capacity := testTypes()
 		set := testSettings()
 		set.Capabilities.Ranking = true
 		set.Objectives = []model.Objective{{Kind: "wait", Workload: "rush-rx", Within: within, Fraction: 0.9}}
-		w := NewWorld(11, 5, set, testCancelWithin, types, room)
+		w := NewWorld(11, 5, set, testCancelWithin, types, capacity)
 		w.CheckRanking()
 		w.rankingCheck.startsOnly = true
 		w.Run(10 * time.Second)
 		w.SetRanking(2, message.SetRanking{Record: mustParseRanking(t, rushFirst, "me"), AnyRevision: true}, func(message.RankingReply) {})
-		rush := func(part string) (worst time.Duration) {
+		rush := func(prefix string) (worst time.Duration) {
 			var ids []string
 			for i := range 10 {
-				id := fmt.Sprintf("job-%s-%02d", part, i)
+				id := fmt.Sprintf("job-%s-%02d", prefix, i)
 				ids = append(ids, id)
 				w.Submit(model.JobSpec{ID: id, Workload: "rush-rx", Team: "ops", Urgency: model.Urgent, Tasks: 2, AllowSpot: true,
 					Need: model.Resources{CPU: 2, Memory: 2}, Image: "img-1", ImageGB: 0.5, ExpectedRunTime: 6 * time.Second}, 6*time.Second, false)
@@ -133,24 +131,24 @@
 	}
 	b0, a0 := wait(0)
 	b1, a1 := wait(100)
-	t.Log("alone", b0, a0, "behind a flood", b1, a1)
-	// A look at what is to be stopped, and a step of the checks, come on top of a part.
-	const grain = 600 * time.Millisecond
-	if limit := max(b0*13/10+grain, within); b1 > limit {
-		t.Errorf("before the takeover rush work waits %v, alone %v", b1, b0)
+	t.Logf("waits before and after the takeover: alone %v, %v, behind a flood %v, %v", b0, a0, b1, a1)
+	// A scan for preemption victims and a tick of the checks add to the relative limit.
+	const tolerance = 600 * time.Millisecond
+	if limit := max(b0*13/10+tolerance, within); b1 > limit {
+		t.Errorf("before the takeover: got rush jobs waiting %v, alone %v, want at most %v", b1, b0, limit)
 	}
-	if limit := max(a0*13/10+grain, within); a1 > limit {
-		t.Errorf("after the takeover rush work waits %v, alone %v", a1, a0)
+	if limit := max(a0*13/10+tolerance, within); a1 > limit {
+		t.Errorf("after the takeover: got rush jobs waiting %v, alone %v, want at most %v", a1, a0, limit)
 	}
 }
 
-// TestRankingIsSwitched: controllers go over to a ranking and back one after another, with
-// work under way; nothing is lost, and those without one leave the record alone.
-func TestRankingIsSwitched(t *testing.T) {
+// TestRankingSwitchedOnAndOff restarts controllers one after another with a ranking and without, while jobs run.
+// Nothing is lost, and controllers without a ranking leave its record alone.
+func TestRankingSwitchedOnAndOff(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		w := newRankingWorld(21, controllers)
 		w.settings.Capabilities.Ranking = false
-		// Those without one are not held to it.
+		// Controllers without a ranking are not checked for it.
 		w.rankingCheck = nil
 		on := false
 		w.adjustSettings = func(_ int, s *controller.Settings) { s.Capabilities.Ranking = on }
@@ -171,7 +169,7 @@
 		reportViolations(t, w.Violations)
 		checkFinalAnswers(t, w, false)
 		if w.state.records["ctl/ranking"] == nil || w.state.records["ranking/1"] == nil {
-			t.Error("no ranking was derived")
+			t.Error("got no ranking records, want the derived ranking")
 		}
 	}
 }
--- a/internal/simulation/ranking_test.go
+++ b/internal/simulation/ranking_test.go
@@ -12,14 +12,14 @@
 	"github.com/micahill/micahill/internal/ranking"
 )
 
-// newRankingWorld is a world whose controllers follow a ranking, which is checked. Nothing
-// but the ranking prefers one workload to another.
+// newRankingWorld returns a world whose controllers follow a ranking, which is checked. Nothing else prefers
+// one workload to another.
 func newRankingWorld(seed uint64, controllers int) *World {
-	types, room := testTypes()
+	types, capacity := testTypes()
 	set := testSettings()
 	set.Capabilities.Ranking = true
 	set.Objectives = nil
-	w := NewWorld(seed, controllers, set, testCancelWithin, types, room)
+	w := NewWorld(seed, controllers, set, testCancelWithin, types, capacity)
 	w.CheckRanking()
 	return w
 }
@@ -40,7 +40,7 @@
 	return rec
 }
 
-// flood submits jobs of one workload, all alike.
+// flood submits equal jobs of one workload.
 func flood(w *World, workload string, jobs int, run time.Duration) {
 	for i := range jobs {
 		id := fmt.Sprintf("job-%s-%03d", workload, i)
@@ -52,9 +52,8 @@
 	}
 }
 
-// TestOrderSurvivesTakeover: two controllers are started with scripts that weigh the
-// other way round. Without a ranking the order of the same work turns over with the
-// owner, and nobody is told; with one it stays.
+// TestOrderSurvivesTakeover starts two controllers with policies of opposite weights. Without a ranking the
+// order of the same jobs is reversed by a takeover; with a ranking it stays.
 func TestOrderSurvivesTakeover(t *testing.T) {
 	for _, on := range []bool{false, true} {
 		for _, controllers := range []int{3, 5} {
@@ -65,19 +64,19 @@
 				set.Objectives = nil
 				w := NewWorld(7, controllers, set, testCancelWithin, types, map[string]int{"small/a/true": 3})
 				w.CheckRanking()
-				favours := func(rush float64) controller.Policy {
+				policy := func(rush float64) controller.Policy {
 					p := controller.DefaultPolicy()
 					p.WorkloadWeights = map[string]float64{"rush-rx": rush, "reprint": -rush}
 					return p
 				}
-				w.adjustSettings = func(i int, s *controller.Settings) { s.Policy = favours(1) }
+				w.adjustSettings = func(i int, s *controller.Settings) { s.Policy = policy(1) }
 				for _, p := range w.controllers {
 					p.start()
 				}
-				// Who ever starts from now on has another script.
+				// Controllers that start from now on have the other policy.
 				w.Run(20 * time.Second)
 				shardLeader := w.shardLeaderOf("ops")
-				w.adjustSettings = func(i int, s *controller.Settings) { s.Policy = favours(-1) }
+				w.adjustSettings = func(i int, s *controller.Settings) { s.Policy = policy(-1) }
 				for i := range w.controllers {
 					if i != shardLeader {
 						w.CrashController(i, time.Second)
@@ -92,7 +91,7 @@
 				w.Run(20 * time.Second)
 				flood(w, "rush-rx", 5, 10*time.Second)
 				w.runUntilDone()
-				// How many reprints begin after the last rush task began.
+				// Count the reprints that start after the last rush task.
 				var last time.Time
 				for _, id := range sortedKeys(w.jobs) {
 					if j := w.jobs[id]; j.spec.Workload == "rush-rx" {
@@ -110,7 +109,7 @@
 					}
 				}
 				if on != (after > 0) {
-					t.Errorf("ranking %v: %d reprints begin after the last rush task", on, after)
+					t.Errorf("ranking %v: got %d reprints started after the last rush task, want some only with a ranking", on, after)
 				}
 				if on {
 					reportViolations(t, w.Violations)
@@ -121,10 +120,9 @@
 	}
 }
 
-// TestRankingChangesUnderFailures ends the setter, the leader, the owner and all, at each
-// step of a change: before it is sent, while it is on its way, and as others learn
-// of it. Whoever lives goes on by one ranking, whole, and no start that the other one
-// decided leaves late.
+// TestRankingChangesUnderFailures crashes the setter, the leader, the shard leader or all at each step of a
+// change: before it is sent, in flight, and as the others learn of it. The running controllers continue with
+// one complete ranking, and no start that was decided by the other ranking is late.
 func TestRankingChangesUnderFailures(t *testing.T) {
 	steps := []time.Duration{0, 4 * time.Millisecond, 9 * time.Millisecond, 15 * time.Millisecond, 60 * time.Millisecond, 2500 * time.Millisecond}
 	for _, controllers := range []int{3, 5} {
@@ -145,8 +143,8 @@
 					w.duplicateRate = 0.05
 					w.SetRanking(setter, message.SetRanking{Record: mustParseRanking(t, rushFirst, "first"), AnyRevision: true}, func(message.RankingReply) {})
 					w.Run(4 * time.Second)
-					var told message.RankingReply
-					w.SetRanking(setter, message.SetRanking{Record: mustParseRanking(t, reprintFirst, "second"), AnyRevision: true}, func(r message.RankingReply) { told = r })
+					var reply message.RankingReply
+					w.SetRanking(setter, message.SetRanking{Record: mustParseRanking(t, reprintFirst, "second"), AnyRevision: true}, func(r message.RankingReply) { reply = r })
 					w.Run(step)
 					switch who {
 					case "setter":
@@ -171,8 +169,8 @@
 					w.runUntilDone()
 					reportViolations(t, w.Violations)
 					out := s.describeRanking(t)
-					if !strings.HasSuffix(out, "; 0 behind\n") || told.Status == 200 && !strings.Contains(out, "by second") {
-						t.Errorf("told %d %s, in the end %s", told.Status, told.Message, out)
+					if !strings.HasSuffix(out, "; 0 behind\n") || reply.Status == 200 && !strings.Contains(out, "by second") {
+						t.Errorf("got reply %d %s and final ranking %s, want no controller behind, and the second ranking if accepted", reply.Status, reply.Message, out)
 					}
 					checkFinalAnswers(t, w, false)
 					if t.Failed() {
@@ -184,19 +182,18 @@
 	}
 }
 
-// TestStartsOfAStall: the owner stands still just before the record of a start leaves, or
-// its order, for less than its grant lives or for a minute; another ranking is set
-// meanwhile by one that lives.
-func TestStartsOfAStall(t *testing.T) {
-	order := func(e message.Effect) bool {
+// TestStartsOfPausedShardLeader pauses the shard leader just before the record of a start is sent, its command or a
+// heartbeat reply, for less than its lease or for a minute, while another controller sets another ranking.
+func TestStartsOfPausedShardLeader(t *testing.T) {
+	sendsStart := func(e message.Effect) bool {
 		op, ok := e.(message.WorkerRequest)
 		return ok && len(op.Commands) > 0 && op.Commands[0].Kind == model.StartTask
 	}
-	for what, moment := range map[string]func(message.Effect) bool{"record": pausePoints["start"], "order": order, "report": pausePoints["report"]} {
+	for name, moment := range map[string]func(message.Effect) bool{"record": pausePoints["start"], "command": sendsStart, "heartbeat": pausePoints["report"]} {
 		for _, long := range []time.Duration{3400 * time.Millisecond, time.Minute} {
-			t.Run(fmt.Sprint(what, long), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, long), func(t *testing.T) {
 				t.Parallel()
-				overtaken := 0
+				changed := 0
 				for seed := range uint64(4) {
 					w := newRankingWorld(seed, 3)
 					flood(w, "reprint-a", 40, 6*time.Second)
@@ -209,15 +206,15 @@
 					}
 					if w.now.Before(p.pausedUntil) {
 						w.SetRanking((shardLeader+1)%3, message.SetRanking{Record: mustParseRanking(t, rushFirst, "first"), AnyRevision: true}, func(r message.RankingReply) {
-							overtaken += boolInt(r.Status == 200 && w.now.Before(p.pausedUntil.Add(-maxOutdatedStartDelay)))
+							changed += boolInt(r.Status == 200 && w.now.Before(p.pausedUntil.Add(-maxOutdatedStartDelay)))
 						})
 					}
 					w.runUntilDone()
 					reportViolations(t, w.Violations)
 					checkFinalAnswers(t, w, false)
 				}
-				if overtaken < 3 {
-					t.Errorf("a ranking came during %d stalls of 4", overtaken)
+				if changed < 3 {
+					t.Errorf("got a ranking set during %d pauses of 4, want at least 3", changed)
 				}
 			})
 		}
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -12,8 +12,7 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newRebalancingWorld is a world under steady load in which teams move: two controllers at first
-// live, with a team each, and the third comes later.
+// newRebalancingWorld returns a world under steady load in which teams migrate between shards.
 func newRebalancingWorld(t *testing.T, seed uint64, teams int) *World {
 	t.Helper()
 	set := testSettings()
@@ -42,7 +41,7 @@
 	return w
 }
 
-// teamMigrations are when a team came to a controller after a moment.
+// teamMigrations returns when a team came to another controller after a time, by the controllers' logs.
 func (w *World) teamMigrations(team string, since time.Time) []time.Time {
 	var out []time.Time
 	for _, l := range w.logs {
@@ -57,8 +56,8 @@
 	return out
 }
 
-// longestStartGap is the longest time without a start of a team that a move of it after a moment is
-// part of, or that begins within ten seconds after one. Others are for want of room.
+// longestStartGap returns the longest time without a start of the team that a migration falls into, or that
+// begins within ten seconds after one. Other gaps are for want of capacity.
 func (w *World) longestStartGap(team string, since time.Time) time.Duration {
 	moves := w.teamMigrations(team, since)
 	at := []time.Time{since, w.now}
@@ -81,7 +80,7 @@
 	return longest
 }
 
-// teamsByController counts the teams that each living controller runs.
+// teamsByController returns the number of ready teams of each running controller.
 func (w *World) teamsByController() map[string]int {
 	out := map[string]int{}
 	for _, p := range w.controllers {
@@ -101,11 +100,10 @@
 	return out
 }
 
-// TestTeamsMoveWhileTheyRun: a controller comes back and gets teams within a minute.
-// What runs goes on: no task of theirs is started again, replicas neither stop nor
-// double, no team is without starts for more than five seconds, and nothing turns to
-// and fro afterwards.
-func TestTeamsMoveWhileTheyRun(t *testing.T) {
+// TestTeamMigrationUnderLoad restarts a controller, which is given teams within a minute. No task of these is
+// started again, replicas neither stop nor double, no team is without starts for more than five seconds, and
+// teams do not migrate again afterwards.
+func TestTeamMigrationUnderLoad(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -115,7 +113,7 @@
 			w.CrashController(int(seed%3), 40*time.Second)
 			w.Run(45 * time.Second)
 			from := w.now
-			tries := func() int {
+			restarts := func() int {
 				n := 0
 				for _, m := range w.machines {
 					for _, x := range m.tasks {
@@ -126,35 +124,35 @@
 				}
 				return n
 			}
-			again := tries()
+			before := restarts()
 			for i := range 60 {
 				w.Run(time.Second)
 				for k := range teams {
 					if n := w.runningTasks(fmt.Sprintf("job-steam-%c", 'a'+k)); i > 0 && n != 3 {
-						t.Fatalf("%d replicas of team-%c after %d s", n, 'a'+k, i)
+						t.Fatalf("got %d replicas of team-%c after %d s, want 3", n, 'a'+k, i)
 					}
 				}
 			}
 			if at := w.teamsByController(); slices.ContainsFunc(w.controllers, func(p *controllerProcess) bool { return at[p.name] == 0 }) {
-				t.Errorf("a minute after a controller is back the teams are divided %v", at)
+				t.Errorf("a minute after the restart: got teams by controller %v, want some at each", at)
 			}
-			some := 0
+			migrations := 0
 			for k := range teams {
-				some += len(w.teamMigrations(fmt.Sprintf("team-%c", 'a'+k), from))
+				migrations += len(w.teamMigrations(fmt.Sprintf("team-%c", 'a'+k), from))
 				if g := w.longestStartGap(fmt.Sprintf("team-%c", 'a'+k), from); g > 5*time.Second {
-					t.Errorf("nothing of team-%c starts for %v", 'a'+k, g)
+					t.Errorf("team-%c: got no start for %v, want at most 5s", 'a'+k, g)
 				}
 			}
-			if some == 0 {
-				t.Error("no team has moved")
+			if migrations == 0 {
+				t.Error("got no migration of a team, want some")
 			}
-			if n := tries(); n > again+1 {
-				t.Errorf("%d tasks were started again while teams moved", n-again)
+			if n := restarts(); n > before+1 {
+				t.Errorf("got %d tasks started again during the migrations, want at most 1", n-before)
 			}
 			was := w.teamsByController()
 			w.Run(4 * time.Minute)
 			if now := w.teamsByController(); fmt.Sprint(now) != fmt.Sprint(was) {
-				t.Errorf("divided %v, and later %v", was, now)
+				t.Errorf("got teams by controller %v, 4 minutes later %v, want the same", was, now)
 			}
 			reportViolations(t, w.Violations)
 			if t.Failed() {
@@ -164,33 +162,32 @@
 	}
 }
 
-// TestMovesOverBadLinks: teams move while a part of all messages is lost, doubled or
-// held, the controllers can't hear one another, or the owner ends in the middle. No
-// task runs twice, and all work is done.
-func TestMovesOverBadLinks(t *testing.T) {
+// TestTeamMigrationOverBadLinks migrates teams while messages are lost, duplicated or held, controllers are
+// partitioned from each other, or shard leaders crash. No task runs twice, and all jobs are done.
+func TestTeamMigrationOverBadLinks(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		bad  func(w *World)
+		name    string
+		disturb func(w *World)
 	}{
 		{"loss", func(w *World) { w.lossRate, w.duplicateRate = 0.03, 0.03 }},
-		{"deaf peers", func(w *World) {
+		{"controllers partitioned", func(w *World) {
 			for i := range w.controllers {
 				w.Partition(w.controllers[i].name, w.controllers[(i+1)%3].name, 40*time.Second, i%2 == 0)
 			}
 		}},
-		{"owner ends", func(w *World) {
+		{"shard leaders crash", func(w *World) {
 			w.schedule(33*time.Second, func() { w.CrashController(0, 5*time.Second) })
 			w.schedule(47*time.Second, func() { w.CrashController(1, 5*time.Second) })
 		}},
-		{"all end", func(w *World) {
+		{"all crash", func(w *World) {
 			w.schedule(35*time.Second, func() {
 				for i := range w.controllers {
 					w.CrashController(i, 5*time.Second)
 				}
 			})
 		}},
-		{"state service away", func(w *World) { w.schedule(34*time.Second, func() { w.Outage(20 * time.Second) }) }},
-		{"receiver cut", func(w *World) {
+		{"state service outage", func(w *World) { w.schedule(34*time.Second, func() { w.Outage(20 * time.Second) }) }},
+		{"receiver partitioned", func(w *World) {
 			w.schedule(34*time.Second, func() { w.Partition(w.controllers[2].name, "*", 30*time.Second, true) })
 		}},
 	} {
@@ -200,7 +197,7 @@
 			w.Run(50 * time.Second)
 			w.CrashController(2, 30*time.Second)
 			w.Run(32 * time.Second)
-			c.bad(w)
+			c.disturb(w)
 			w.Run(90 * time.Second)
 			w.lossRate, w.duplicateRate = 0, 0
 			w.Run(30 * time.Second)
@@ -212,7 +209,7 @@
 				}
 			}
 			if late > 0 {
-				t.Errorf("%d jobs are not done 100 s after they came", late)
+				t.Errorf("got %d jobs not done 100 s after their submission, want none", late)
 			}
 			if t.Failed() {
 				t.Log(w.logs)
