--- a/internal/simulation/scenario_faults_test.go
+++ b/internal/simulation/scenario_faults_test.go
@@ -13,7 +13,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// pausePoints are what a process may be about to send when it stands still.
+// pausePoints are the steps at which a scenario pauses or crashes a controller: just before it sends such
+// an effect. The names are those of the scenario files.
 var pausePoints = map[string]func(message.Effect) bool{
 	"renew": func(e message.Effect) bool {
 		op, ok := e.(message.StoreRequest)
@@ -60,13 +61,13 @@
 	"poll":   func(e message.Effect) bool { r, ok := e.(message.UserReply); return ok && r.Status == 200 },
 }
 
-// writesKey says that an effect writes a key with this beginning.
+// writesKey reports whether an effect writes a key with the prefix.
 func writesKey(e message.Effect, key string) bool {
 	op, ok := e.(message.StoreRequest)
 	return ok && slices.ContainsFunc(op.Writes, func(c message.Write) bool { return strings.HasPrefix(c.Key, key) })
 }
 
-// busiestMachine is the nth machine with the most tasks on it.
+// busiestMachine returns the machine with the most tasks.
 func (s *scenario) busiestMachine() *Worker {
 	var best *Worker
 	for _, id := range sortedKeys(s.world.machines) {
@@ -77,7 +78,7 @@
 	return best
 }
 
-// shardLeader is the controller that runs the jobs.
+// shardLeader returns the index of the first controller that leads a shard, or 0.
 func (s *scenario) shardLeader() int {
 	for i, p := range s.world.controllers {
 		if p.alive && p.controller.IsShardLeader() {
@@ -87,7 +88,7 @@
 	return 0
 }
 
-// watchUnreachable counts what is ordered to start on machines that nothing reaches.
+// watchUnreachable counts the attempts that controllers start on unreachable machines from now on.
 func (s *scenario) watchUnreachable(ids []string) {
 	s.unreachable, s.startedUnreachable = map[string]bool{}, map[string]bool{}
 	for _, id := range ids {
@@ -105,95 +106,191 @@
 	}
 }
 
+// startFault starts the fault that a scenario's command names.
 func (s *scenario) startFault(t *testing.T, d *datadriven.TestData) string {
-	w := s.world
-	dur := durationArg(t, d, "for", 20)
-	node := func() int {
-		if d.HasArg("owner") {
-			return s.shardLeader()
-		}
-		if d.HasArg("team") {
-			return w.shardLeaderOf(arg(t, d, "team", ""))
+	kind, duration := d.CmdArgs[0].Key, durationArg(t, d, "for", 20)
+	for _, start := range []func(*testing.T, *datadriven.TestData, string, time.Duration) bool{
+		s.startControllerFault, s.startStoreFault, s.startLinkFault, s.startMachineFault, s.startUserFault,
+	} {
+		if start(t, d, kind, duration) {
+			return ""
 		}
-		return arg(t, d, "node", 0)
 	}
-	switch what := d.CmdArgs[0].Key; what {
+	d.Fatalf(t, "unknown fault %s", kind)
+	return ""
+}
+
+// controllerArg returns the index of the controller that a command names: the shard leader, that of
+// a team, or one by its number.
+func (s *scenario) controllerArg(t *testing.T, d *datadriven.TestData) int {
+	if d.HasArg("owner") {
+		return s.shardLeader()
+	}
+	if d.HasArg("team") {
+		return s.world.shardLeaderOf(arg(t, d, "team", ""))
+	}
+	return arg(t, d, "node", 0)
+}
+
+// startControllerFault starts a fault of controller processes. It returns false if the kind is none.
+func (s *scenario) startControllerFault(t *testing.T, d *datadriven.TestData, kind string, duration time.Duration) bool {
+	w := s.world
+	switch kind {
 	case "crash":
-		if is, ok := pausePoints[arg(t, d, "in", "")]; ok {
-			// Whoever is the first to come to that.
-			w.CrashBefore(durationArg(t, d, "back", 0.05), d.HasArg("sent"), is)
-			break
-		}
-		if d.HasArg("others") {
-			for i := range w.controllers {
-				if i != s.shardLeader() {
-					w.CrashController(i, durationArg(t, d, "back", 5))
-				}
-			}
-			break
-		}
-		if d.HasArg("all") {
-			for i := range w.controllers {
-				w.CrashController(i, durationArg(t, d, "back", 5))
-			}
-			break
-		}
-		if d.HasArg("still") {
-			// In the middle of what it was doing.
-			for i, p := range w.controllers {
-				if w.now.Before(p.pausedUntil) {
-					w.CrashController(i, durationArg(t, d, "back", 5))
-				}
-			}
-			break
-		}
-		w.CrashController(node(), durationArg(t, d, "back", 5))
-	case "cut":
-		w.Partition(w.controllers[node()].name, arg(t, d, "from", "*"), dur, d.HasArg("hold"))
-	case "refused":
-		w.refuseController(w.controllers[node()], dur)
+		s.crash(t, d)
 	case "still":
-		// In the middle of something, or at once; the owner, or whoever comes first.
+		// At a step of the shard leader, or of the first controller that comes to it, or at once.
 		who := func(p *controllerProcess) bool { return !d.HasArg("owner") || p.controller.IsShardLeader() }
 		is, ok := pausePoints[arg(t, d, "in", "")]
 		if !ok {
-			w.Pause(node(), dur)
+			w.Pause(s.controllerArg(t, d), duration)
 			break
 		}
-		w.PauseBefore(dur, is, who)
+		w.PauseBefore(duration, is, who)
+	case "refused":
+		w.refuseController(w.controllers[s.controllerArg(t, d)], duration)
 	case "refused_outage":
-		// It alone at first, then all.
-		w.startOverlapFault(Fault{Kind: "refused_outage", Controller: node(), Delay: durationArg(t, d, "late", 2), Duration: dur})
+		// Only this controller at first, then all.
+		w.startOverlapFault(Fault{Kind: "refused_outage", Controller: s.controllerArg(t, d), Delay: durationArg(t, d, "late", 2), Duration: duration})
+	default:
+		return false
+	}
+	return true
+}
+
+// crash crashes one or several controllers, or the first that comes to a step.
+func (s *scenario) crash(t *testing.T, d *datadriven.TestData) {
+	w := s.world
+	if is, ok := pausePoints[arg(t, d, "in", "")]; ok {
+		w.CrashBefore(durationArg(t, d, "back", 0.05), d.HasArg("sent"), is)
+		return
+	}
+	restartAfter := durationArg(t, d, "back", 5)
+	crashIf := func(selected func(i int) bool) {
+		for i := range w.controllers {
+			if selected(i) {
+				w.CrashController(i, restartAfter)
+			}
+		}
+	}
+	switch {
+	case d.HasArg("others"):
+		crashIf(func(i int) bool { return i != s.shardLeader() })
+	case d.HasArg("all"):
+		crashIf(func(int) bool { return true })
+	case d.HasArg("still"):
+		// Those that are paused.
+		crashIf(func(i int) bool { return w.now.Before(w.controllers[i].pausedUntil) })
+	default:
+		w.CrashController(s.controllerArg(t, d), restartAfter)
+	}
+}
+
+// startStoreFault starts a fault of the state service or the cloud. It returns false if the kind is
+// none.
+func (s *scenario) startStoreFault(t *testing.T, d *datadriven.TestData, kind string, duration time.Duration) bool {
+	w := s.world
+	switch kind {
 	case "late_writes":
-		w.DelayWrites(arg(t, d, "share", 0.5), dur)
-	case "late_commands":
-		w.DelayCommands(arg(t, d, "share", 0.5), dur)
-	case "cancel_now":
-		w.CancelLongRunning(arg(t, d, "count", 8), dur)
-	case "mute_machines":
-		// They reach no controller; orders reach them.
-		w.MakeUnheard(w.SampleMachineIDs(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1))), dur)
-	case "close_looks":
-		w.concurrentReadsUntil = w.now.Add(dur)
-	case "odd_requests":
-		w.SendInvalidRequests(dur)
+		w.DelayWrites(arg(t, d, "share", 0.5), duration)
 	case "outage":
-		w.Outage(dur)
+		w.Outage(duration)
+	case "damage":
+		// A record that no version can decode.
+		w.state.txn(message.StoreRequest{Writes: []message.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &message.StoreResponse{})
 	case "cloud":
 		w.cloudOutage = true
-		w.schedule(dur, func() { w.cloudOutage = false })
+		w.schedule(duration, func() { w.cloudOutage = false })
+	case "capacity":
+		for _, k := range sortedKeys(w.cloudCapacity) {
+			w.cloudCapacity[k] = 0
+		}
+	default:
+		return false
+	}
+	return true
+}
+
+// startLinkFault starts a fault of links between processes. It returns false if the kind is none.
+func (s *scenario) startLinkFault(t *testing.T, d *datadriven.TestData, kind string, duration time.Duration) bool {
+	w := s.world
+	switch kind {
+	case "cut":
+		w.Partition(w.controllers[s.controllerArg(t, d)].name, arg(t, d, "from", "*"), duration, d.HasArg("hold"))
+	case "cut_alone":
+		// The controller loses the state service and the other controllers, but not its workers.
+		w.IsolateController(s.controllerArg(t, d), duration, d.HasArg("refused"), d.HasArg("hold"))
+	case "unanswered":
+		// Only what the state service sends the controller is lost.
+		w.partitionOneWay("state", w.controllers[s.controllerArg(t, d)].name, duration)
+	case "mute":
+		// Only what the controller sends workers is lost.
+		w.partitionOneWay(w.controllers[s.controllerArg(t, d)].name, "workers", duration)
 	case "half":
 		for i, id := range sortedKeys(w.machines) {
 			if i%2 == 0 && w.machines[id].up(w.now) {
-				w.Partition(id, "*", dur, d.HasArg("hold"))
+				w.Partition(id, "*", duration, d.HasArg("hold"))
+			}
+		}
+	case "only_owner":
+		// The machines with tasks and all controllers but their shard leader don't reach each other.
+		for _, id := range sortedKeys(w.machines) {
+			for i, p := range w.controllers {
+				if m := w.machines[id]; len(m.tasks) > 0 && i != s.controllerArg(t, d) {
+					w.Partition(p.name, id, duration, d.HasArg("hold"))
+				}
 			}
 		}
+	case "late_commands":
+		w.DelayCommands(arg(t, d, "share", 0.5), duration)
+	case "held_order":
+		s.startHeldCommand(d, duration)
+	case "copies":
+		w.startProtocolFault(Fault{Kind: kind, Fraction: arg(t, d, "share", 0.3), Delay: durationArg(t, d, "longest", 120), Duration: duration, ForNextLeader: d.HasArg("for_next")}, w.rng)
+	case "twice":
+		w.startOverlapFault(Fault{Kind: kind, Fraction: arg(t, d, "share", 0.2), Duration: duration})
+	case "loss":
+		w.startOverlapFault(Fault{Kind: kind, Fraction: arg(t, d, "share", 0.02), Duration: duration})
+	default:
+		return false
+	}
+	return true
+}
+
+// startHeldCommand holds the next command with starts, and cancels its job, crashes the shard leader
+// or reclaims the machine meanwhile.
+func (s *scenario) startHeldCommand(d *datadriven.TestData, duration time.Duration) {
+	w := s.world
+	// d is another command's by the time the command is held.
+	abort, crash, recall := d.HasArg("abort"), d.HasArg("crash"), d.HasArg("recall")
+	s.holdCommand(duration, func(op message.WorkerRequest) {
+		if abort {
+			w.Cancel(op.Commands[0].Job)
+		}
+		if crash {
+			w.CrashController(s.shardLeader(), 50*time.Millisecond)
+		}
+		if recall {
+			// Too short a notice for the task, so it is to run elsewhere.
+			m := w.machines[op.Machine]
+			m.reclaimAt, m.changed = w.now.Add(time.Minute), true
+		}
+	})
+}
+
+// startMachineFault starts a fault of machines. It returns false if the kind is none.
+func (s *scenario) startMachineFault(t *testing.T, d *datadriven.TestData, kind string, duration time.Duration) bool {
+	w := s.world
+	sample := func() []string {
+		return w.SampleMachineIDs(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1)))
+	}
+	switch kind {
 	case "die":
 		w.killMachine(s.busiestMachine())
 	case "hang":
-		s.busiestMachine().hungUntil = w.now.Add(dur)
+		s.busiestMachine().hungUntil = w.now.Add(duration)
 	case "recall":
-		s.busiestMachine().reclaimAt = w.now.Add(dur)
+		s.busiestMachine().reclaimAt = w.now.Add(duration)
 	case "slow":
 		s.busiestMachine().slowFactor = arg(t, d, "factor", 5.0)
 		for _, x := range s.busiestMachine().tasks {
@@ -201,69 +298,40 @@
 		}
 	case "faulty":
 		s.busiestMachine().faulty = true
-	case "capacity":
-		for _, k := range sortedKeys(w.cloudCapacity) {
-			w.cloudCapacity[k] = 0
-		}
+	case "anew":
+		// The worker restarts under the same name without its state.
+		w.RestartWorker(s.busiestMachine(), 0)
+	case "mute_machines":
+		// Their heartbeats are lost, commands reach them.
+		w.MakeUnheard(sample(), duration)
 	case "deaf_machines":
-		// Their reports arrive; answers and orders don't reach them.
+		// Their heartbeats arrive; replies and commands don't reach them.
 		var ids []string
-		switch {
-		case d.HasArg("busiest"):
+		if d.HasArg("busiest") {
 			ids = []string{s.busiestMachine().ID}
-		default:
-			ids = w.SampleMachineIDs(arg(t, d, "share", 0.1), arg(t, d, "zone", ""), rand.New(rand.NewPCG(1, 1)))
+		} else {
+			ids = sample()
 		}
-		w.MakeUnreachable(ids, dur, d.HasArg("hold"))
+		w.MakeUnreachable(ids, duration, d.HasArg("hold"))
 		s.watchUnreachable(ids)
-	case "only_owner":
-		// The machines with work and the controllers but their owner don't reach each other.
-		for _, id := range sortedKeys(w.machines) {
-			for i, p := range w.controllers {
-				if m := w.machines[id]; len(m.tasks) > 0 && i != node() {
-					w.Partition(p.name, id, dur, d.HasArg("hold"))
-				}
-			}
-		}
-	case "held_order":
-		// d is another command's by then.
-		abort, crash, recall := d.HasArg("abort"), d.HasArg("crash"), d.HasArg("recall")
-		s.holdCommand(dur, func(op message.WorkerRequest) {
-			if abort {
-				w.Cancel(op.Commands[0].Job)
-			}
-			if crash {
-				w.CrashController(s.shardLeader(), 50*time.Millisecond)
-			}
-			if recall {
-				// Too short for the task, so it is to go elsewhere.
-				m := w.machines[op.Machine]
-				m.reclaimAt, m.changed = w.now.Add(time.Minute), true
-			}
-		})
-	case "anew":
-		// Its worker begins anew under the same name, knowing nothing.
-		w.RestartWorker(s.busiestMachine(), 0)
-	case "cut_alone":
-		// It loses the state service and the other controllers, but not its workers.
-		w.IsolateController(node(), dur, d.HasArg("refused"), d.HasArg("hold"))
-	case "unanswered":
-		// What the state service answers a controller is lost, and nothing else.
-		w.partitionOneWay("state", w.controllers[node()].name, dur)
-	case "mute":
-		// What a controller sends to workers is lost, and nothing else.
-		w.partitionOneWay(w.controllers[node()].name, "workers", dur)
-	case "copies":
-		w.startProtocolFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.3), Delay: durationArg(t, d, "longest", 120), Duration: dur, ForNextLeader: d.HasArg("for_next")}, w.rng)
-	case "twice":
-		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.2), Duration: dur})
-	case "damage":
-		// Somebody writes what no version understands.
-		w.state.txn(message.StoreRequest{Writes: []message.Write{{Key: arg(t, d, "key", ""), Value: []byte{0x81, 0xa1, 'v', 99}}}}, &message.StoreResponse{})
-	case "loss":
-		w.startOverlapFault(Fault{Kind: what, Fraction: arg(t, d, "share", 0.02), Duration: dur})
 	default:
-		d.Fatalf(t, "unknown fault %s", what)
+		return false
 	}
-	return ""
+	return true
+}
+
+// startUserFault starts unusual requests of users. It returns false if the kind is none.
+func (s *scenario) startUserFault(t *testing.T, d *datadriven.TestData, kind string, duration time.Duration) bool {
+	w := s.world
+	switch kind {
+	case "cancel_now":
+		w.CancelLongRunning(arg(t, d, "count", 8), duration)
+	case "close_looks":
+		w.concurrentReadsUntil = w.now.Add(duration)
+	case "odd_requests":
+		w.SendInvalidRequests(duration)
+	default:
+		return false
+	}
+	return true
 }
--- a/internal/simulation/scenario_ranking_test.go
+++ b/internal/simulation/scenario_ranking_test.go
@@ -11,7 +11,7 @@
 	"github.com/micahill/micahill/internal/ranking"
 )
 
-// setRanking sets a ranking by one controller or several at once, and says what each was told.
+// setRanking sets a ranking at one controller or at several at once, and prints their replies.
 func (s *scenario) setRanking(t *testing.T, d *datadriven.TestData) string {
 	var controllers []int
 	for _, c := range d.CmdArgs {
@@ -25,24 +25,23 @@
 			}
 		}
 	}
-	told := make([]string, len(controllers))
+	replies := make([]string, len(controllers))
 	for k, i := range controllers {
 		c := message.SetRanking{Record: mustParseRanking(t, d.Input, fmt.Sprintf("n%d", i)), AnyRevision: !d.HasArg("rev"), Revision: uint64(arg(t, d, "rev", 0))}
-		told[k] = "no answer"
+		replies[k] = "no answer"
 		s.world.SetRanking(i, c, func(r message.RankingReply) {
-			told[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message)
+			replies[k] = fmt.Sprintf("%d revision %d %s", r.Status, r.Revision, r.Message)
 		})
 	}
 	s.world.Run(durationArg(t, d, "for", 4.5))
 	if d.HasArg("quiet") {
-		// Which change gets through bad links is luck.
+		// Which change gets through bad links is random.
 		return ""
 	}
-	return strings.Join(told, "\n") + "\n"
+	return strings.Join(replies, "\n") + "\n"
 }
 
-// describeRanking shows the record in the state service, and whether all living controllers
-// know it.
+// describeRanking prints the stored ranking, and how many running controllers do not know it.
 func (s *scenario) describeRanking(t *testing.T) string {
 	row := s.world.state.records["ctl/ranking"]
 	if row == nil {
@@ -71,17 +70,17 @@
 	return fmt.Sprintf("revision %d by %s: %s; %d behind\n", rec.Revision, rec.SetBy, strings.Join(names, ", "), behind)
 }
 
-// explainWaiting asks the owner of a job's team why it waits.
+// explainWaiting asks the shard leader of team ops why a job waits.
 func (s *scenario) explainWaiting(id string) string {
 	out := "no answer"
 	s.world.controllers[s.world.shardLeaderOf("ops")].request(func(r uint64) message.Command { return message.QueryRanking{Reply: r, Job: id} }, func(e message.Effect) { out = e.(message.RankingReply).Explanation })
 	s.world.Run(time.Second)
-	// What is free just then is luck.
+	// What is free at this moment is random.
 	out, _, _ = strings.Cut(out, ";")
 	return out + "\n"
 }
 
-// describeUnfinished counts the jobs that are not done, and tells what was broken.
+// describeUnfinished prints how many jobs are not done, and the violations.
 func (s *scenario) describeUnfinished() string {
 	k := 0
 	for _, j := range s.world.jobs {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -17,8 +17,8 @@
 // randomDay plays a world with random jobs and random faults.
 func randomDay(w *World, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 99))
-	// On some days links are half there, too, and what ends is back at once.
-	half := rand.New(rand.NewPCG(seed, 77))
+	// Some days have partial faults too: one-way partitions, and crashes with immediate restarts.
+	partialRNG := rand.New(rand.NewPCG(seed, 77))
 	id := 0
 	for step := range 24 {
 		for range rng.IntN(4) {
@@ -42,8 +42,8 @@
 		}
 		if step > 3 && step < 18 {
 			w.randomFault(rng)
-			if seed%3 == 2 && half.IntN(2) == 0 {
-				w.startPartialFault(half)
+			if seed%3 == 2 && partialRNG.IntN(2) == 0 {
+				w.startPartialFault(partialRNG)
 			}
 		}
 		w.QueryUnknownJob(fmt.Sprintf("job-9%05d", rng.IntN(1000)))
@@ -52,7 +52,7 @@
 	w.Run(8 * time.Minute)
 }
 
-// randomCapabilities switches on each part of the product on half of the days, by chance.
+// randomCapabilities enables each capability on a random half of the days.
 func randomCapabilities(seed uint64) controller.Capabilities {
 	rng := rand.New(rand.NewPCG(seed, 64))
 	p := DayParams{}
@@ -65,16 +65,16 @@
 	return out
 }
 
-// TestSimulation plays random days with random faults. After every start and
-// every tick the rules are checked; in the end all work must be done.
+// TestSimulation plays random days with random faults. The invariants are checked after every start and every
+// tick, and all jobs have to be done in the end.
 func TestSimulation(t *testing.T) {
 	for seed := range dayCount(t, 32, 8) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			types, room := testTypes()
+			types, capacity := testTypes()
 			set := testSettings()
 			set.Capabilities = randomCapabilities(seed)
-			w := NewWorld(seed, 3, set, testCancelWithin, types, room)
+			w := NewWorld(seed, 3, set, testCancelWithin, types, capacity)
 			switch seed % 4 {
 			case 1:
 				w.duplicateRate = 0.03
@@ -83,14 +83,14 @@
 			case 3:
 				w.lossRate, w.duplicateRate = 0.02, 0.02
 			}
-			// One day with the lines on some jobs or machines, such as job-000013|vm-000003:
+			// To trace jobs or machines on one day, such as job-000013|vm-000003:
 			// MICAHILL_TRACE=... go test ./internal/simulation -run 'TestSimulation$/^7$'
 			w.trace = os.Getenv("MICAHILL_TRACE")
 			randomDay(w, seed)
 			reportViolations(t, w.Violations)
 			checkFinalAnswers(t, w, true)
 			if w.Starts == 0 {
-				t.Error("nothing ran")
+				t.Error("got no starts, want some")
 			}
 			if t.Failed() || w.trace != "" {
 				last := 60
@@ -103,23 +103,23 @@
 	}
 }
 
-// TestSimulationNoticesBrokenInvariants breaks an invariant on purpose: the
-// checks have to see it, or they are worth nothing.
-func TestSimulationNoticesBrokenInvariants(t *testing.T) {
+// TestSimulationDetectsCorruption checks that the invariant checkers detect a controller that is corrupted
+// on purpose.
+func TestSimulationDetectsCorruption(t *testing.T) {
 	for _, c := range []struct {
-		rule   string
-		break_ func(*World)
+		rule    string
+		corrupt func(*World)
 	}{
 		{"ran_twice", func(w *World) {
-			// The cores believe in far too short a lease.
+			// Controllers assume far too short a worker lease.
 			w.leaseOverride = 500 * time.Millisecond
 			for i := range w.controllers {
 				w.CrashController(i, 0)
 			}
 		}},
 		{"ran_cancelled", func(w *World) {
-			// Stops get lost, and answers prolong leases all the same: an owner that has
-			// no proof would let the lease run out.
+			// Stop commands are lost, while heartbeat replies still renew leases. A correct shard
+			// leader would let the lease expire.
 			w.corruptEffect = func(e message.Effect) message.Effect {
 				if x, ok := e.(message.HeartbeatReply); ok && x.Status == 503 {
 					x.Status, x.Epoch = 200, math.MaxUint64
@@ -129,7 +129,7 @@
 			}
 		}},
 		{"not_done", func(w *World) {
-			// Every job is called done.
+			// Every job is answered as done.
 			w.corruptEffect = func(e message.Effect) message.Effect {
 				if x, ok := e.(message.UserReply); ok && x.Status == 200 {
 					x.State = "done"
@@ -141,7 +141,7 @@
 	} {
 		t.Run(c.rule, func(t *testing.T) {
 			w := newTestWorld(5)
-			c.break_(w)
+			c.corrupt(w)
 			for i := range 12 {
 				w.Submit(model.JobSpec{ID: fmt.Sprintf("job-%06d", i), Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: 2,
 					Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: 90 * time.Second}, 90*time.Second, false)
@@ -159,7 +159,7 @@
 					return
 				}
 			}
-			t.Errorf("no %s noticed: %v, %d starts", c.rule, w.Violations, w.Starts)
+			t.Errorf("got violations %v after %d starts, want %s", w.Violations, w.Starts, c.rule)
 			logTail(t, w.logs, len(w.logs))
 		})
 	}
--- a/internal/simulation/small_jobs_test.go
+++ b/internal/simulation/small_jobs_test.go
@@ -12,8 +12,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// smallJobStream is a stream of one-task jobs, of which a part is cancelled, with what it
-// costs of the state service and how long its submissions waited for their answers.
+// smallJobStream is a stream of one-task jobs, some of which are cancelled. It counts their writes to the
+// state service and measures how long submissions wait for their answers.
 type smallJobStream struct {
 	world       *World
 	jobs        int
@@ -43,7 +43,7 @@
 	return s
 }
 
-// submitAtRate submits jobs at a rate, one in four of which is cancelled within half a minute.
+// submitAtRate submits jobs at a rate a second, and cancels one in four within half a minute.
 func (s *smallJobStream) submitAtRate(rate float64, d time.Duration) {
 	rng := rand.New(rand.NewPCG(5, 6))
 	for range int(rate * d.Seconds()) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// remainingRecords counts the records that are there of jobs that are not over, and of tasks.
+// remainingRecords counts the records of open jobs and of tasks.
 func (s *smallJobStream) remainingRecords() (open, tasks int) {
 	for k := range s.world.state.records {
 		switch {
@@ -75,12 +75,10 @@
 	return open, tasks
 }
 
-// TestSmallJobs: four one-task jobs a second for three minutes, a quarter of them
-// cancelled, at the limits of 80 requests and 30 changes a second, and at 20 changes,
-// which they use up. Submissions are answered at once, all are served, and in the end
-// their records are gone. A job costs what its records are: one change for its
-// acceptance, one for a start, two for its end, one more if it was cancelled, and one to
-// remove the record of its task.
+// TestSmallJobs submits four one-task jobs a second for three minutes and cancels a quarter, at limits of 80
+// requests and 30 writes a second, and of 20 writes, which they use up. Submissions are answered at once, all
+// jobs end, and their records are removed. A job costs one write for its acceptance, one for a start, two for
+// its end, one more if it was cancelled, and one to remove the record of its task.
 func TestSmallJobs(t *testing.T) {
 	const atOnce, inTime = 300 * time.Millisecond, 0.98
 	for _, limit := range []float64{30, 20} {
@@ -91,16 +89,16 @@
 			s.submitAtRate(4, 3*time.Minute)
 			before := s.world.state.writeCount
 			s.world.Run(3 * time.Minute)
-			t.Logf("%.1f changes a second, %d requests refused", float64(s.world.state.writeCount-before)/180, s.world.state.RateLimited)
+			t.Logf("%.1f writes a second, %d requests refused", float64(s.world.state.writeCount-before)/180, s.world.state.RateLimited)
 			s.world.Run(2 * time.Minute)
 			for _, id := range sortedKeys(s.world.jobs) {
 				if j := s.world.jobs[id]; j.lastState != "done" && !(j.cancelRequested && j.lastState == "cancelled") {
-					t.Errorf("%s is %q in the end", id, j.lastState)
+					t.Errorf("%s: got final state %q, want done, or cancelled if requested", id, j.lastState)
 				}
 			}
 			reportViolations(t, s.world.Violations)
 			if open, tasks := s.remainingRecords(); open+tasks > 0 {
-				t.Errorf("%d records of jobs and %d of tasks are left", open, tasks)
+				t.Errorf("got %d records of jobs and %d of tasks left, want none", open, tasks)
 			}
 			late := 0
 			for _, d := range s.acceptTimes {
@@ -110,13 +108,13 @@
 			}
 			slices.Sort(s.acceptTimes)
 			if n := len(s.acceptTimes); n < s.jobs*9/10 || float64(late) > (1-inTime)*float64(s.jobs) || s.world.RefusedRequests > s.jobs/100 {
-				t.Errorf("%d of %d accepted at once, %d late, the last after %v, and %d questions refused", n, s.jobs, late, s.acceptTimes[n-1], s.world.RefusedRequests)
+				t.Errorf("got %d of %d jobs accepted, %d late, the last after %v, and %d requests refused", n, s.jobs, late, s.acceptTimes[n-1], s.world.RefusedRequests)
 			}
 			c := s.writes
 			t.Logf("%d jobs, %d cancelled: %v", s.jobs, s.cancelled, c)
-			// A start may have to be made again; the cancelled that never began cost less.
+			// Some starts are repeated; jobs cancelled before their start cost less.
 			if most := s.jobs + s.cancelled; c["open"] > most || c["job"] > s.jobs || c["open removed"] > s.jobs || c["task"] > s.world.Starts+s.world.Starts/50 || c["task removed"] > c["task"] {
-				t.Errorf("%d jobs with %d starts took %v", s.jobs, s.world.Starts, c)
+				t.Errorf("%d jobs with %d starts: got writes %v, want no more than their records need", s.jobs, s.world.Starts, c)
 			}
 		})
 	}
