--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -8,46 +8,62 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// aging.go joins the core to internal/aging: in whose turn what waits is placed, and
-// which machines are gathered for work that has waited too long and fits nowhere.
+// aging.go connects the scheduler to internal/aging: in which order pending tasks are placed, and
+// which machines are reserved for overdue jobs that fit nowhere.
 
-// queueEntry is some of a job's waiting tasks; first: because it has waited too long.
+const (
+	// reservationInterval separates two updates of the reservations, and maxReservations bounds
+	// the jobs that machines are reserved for: each goes through all machines.
+	reservationInterval = 500 * time.Millisecond
+	maxReservations     = 16
+)
+
+// queueEntry is some of a job's pending tasks. goesFirst says that the job is overdue and was
+// promoted before others.
 type queueEntry struct {
 	job       *job
 	tasks     int
 	goesFirst bool
 }
 
-// waitTime is for how long some of a job has waited behind others: since it was submitted,
-// or all that it needs was done.
-// A task that was stopped or lost waits again, and has waited from the start as its
-// user sees it.
+// machineReservation is a job that machines are reserved for, and those that could be.
+type machineReservation struct {
+	job   *job
+	hosts []aging.Candidate
+	// fittingMachines counts the machines that a task would fit on when empty.
+	fittingMachines int
+	// machinesNeeded is how many machines its pending tasks would fill.
+	machinesNeeded int
+}
+
+// waitTime is how long a job has waited: since it was submitted, or since all its dependencies
+// were done. A task that was stopped or lost has, for its user, waited from the start.
 func (s *scheduler) waitTime(j *job) time.Duration { return s.now.Sub(j.readySince()) }
 
-// queueOrder is what waits, in the order in which it is placed.
+// queueOrder returns the pending tasks in the order in which they are placed.
 func (s *scheduler) queueOrder() []queueEntry {
-	rs := s.queuedJobs()
-	rooms := map[taskShape]float64{}
-	jobs := make([]aging.Job, len(rs))
-	for i, r := range rs {
-		j := r.job
+	queued := s.queuedJobs()
+	capacities := map[taskShape]float64{}
+	jobs := make([]aging.Job, len(queued))
+	for i, q := range queued {
+		j := q.job
 		bound, part := s.controller.ranking.waitBound(j)
 		p := aging.Job{
-			Waited: s.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: r.guaranteed,
+			Waited: s.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: q.guaranteed,
 			WaitingTasks: s.placeableTasks(j), Gang: j.Gang,
 		}
 		if s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
-			// What it waits for is its own cure.
+			// It waits until it stops failing, not for others.
 			p.Waited = 0
 		}
 		if j.overdue = p.Overdue(); j.overdue {
 			shape := j.taskShape()
-			room, ok := rooms[shape]
+			capacity, ok := capacities[shape]
 			if !ok {
-				room = s.totalCapacityFor(j)
-				rooms[shape] = room
+				capacity = s.totalCapacityFor(j)
+				capacities[shape] = capacity
 			}
-			p.TaskFraction = 1 / max(room, 1)
+			p.TaskFraction = 1 / max(capacity, 1)
 			p.RunningFraction = float64(j.liveTasks) * p.TaskFraction
 		}
 		jobs[i] = p
@@ -55,12 +71,12 @@
 	ts := aging.QueueOrder(jobs)
 	out := make([]queueEntry, len(ts))
 	for i, t := range ts {
-		out[i] = queueEntry{rs[t.Job].job, t.Tasks, t.Promoted}
+		out[i] = queueEntry{queued[t.Job].job, t.Tasks, t.Promoted}
 	}
 	return out
 }
 
-// jobsInQueueOrder is the jobs that wait for places, by their first turn.
+// jobsInQueueOrder returns the jobs with pending tasks, by their first entry in the queue.
 func (s *scheduler) jobsInQueueOrder() []*job {
 	var out []*job
 	seen := map[*job]bool{}
@@ -73,7 +89,7 @@
 	return out
 }
 
-// totalCapacityFor is how many tasks like the job's all machines there are would hold, empty.
+// totalCapacityFor is how many tasks like the job's all usable machines would hold if empty.
 func (s *scheduler) totalCapacityFor(j *job) float64 {
 	all, avoidGPUs := 0, s.avoidsGPUsNow(j)
 	for _, m := range s.controller.shardLeader.machinesByID {
@@ -84,32 +100,16 @@
 	return float64(all)
 }
 
-// needsReservation says that machines are to be gathered for a job: it has waited too long, and
-// nothing of it runs whose end would leave it room.
+// needsReservation reports whether machines should be reserved for a job: it is overdue, and no
+// task of it is live whose end would leave capacity for the next.
 func (j *job) needsReservation() bool {
 	return j.overdue && j.liveTasks == 0 && !j.Gang && j.pendingTasks() > 0
 }
 
-// reservationInterval separates two looks at what to gather machines for, and maxReservations bounds
-// the jobs that one is for: each goes through all machines.
-const (
-	reservationInterval = 500 * time.Millisecond
-	maxReservations     = 16
-)
-
-// machineReservation is a job that machines are gathered for, and those that could be.
-type machineReservation struct {
-	job             *job
-	hosts           []aging.Candidate
-	fittingMachines int
-	// machinesNeeded is how many machines its waiting tasks would fill.
-	machinesNeeded int
-}
-
-// dueStart is when a waiting job's tasks should start at the latest, for what is rented. One
-// that has waited too long and of which nothing has begun is late whatever its aims say:
-// with none that it can still meet it is due so late that no ordinary machine would be
-// rented for it, and where there is no spot room it would wait beside a free cloud.
+// dueStart is when a pending job's tasks should start at the latest, as far as scaling out is
+// concerned. An overdue job that has not started is late whatever its objectives say: with none
+// that it can still meet, its latest start is so late that no on-demand machine would be rented
+// for it, and where spot capacity is refused it would wait beside a free cloud.
 func (s *scheduler) dueStart(j *job) time.Time {
 	if l := s.latestStart(j); !j.overdue || j.liveTasks > 0 || j.doneTasks > 0 || l.Before(s.now) {
 		return l
@@ -117,17 +117,17 @@
 	return s.now
 }
 
-// reserveMachines holds machines for work that has waited too long and of which nothing runs: a
-// task as large as a machine among thousands of small ones, or work of low urgency while
-// higher work takes whatever comes free. What runs there ends in peace, and nothing else
-// comes. All that is held together is a part of the machines: one for each job first,
-// so that all begin, and then more for those that have waited for the longest.
+// reserveMachines reserves machines for overdue jobs of which nothing runs: a task as large as a
+// machine among thousands of small ones, or work of low urgency while higher work takes whatever
+// comes free. What runs on a reserved machine goes on to its end, and nothing else is placed there.
+// All reservations together are bounded by aging.MaxReservedFraction: one machine for each job
+// first, so that all begin, and then more for those that have waited longest.
 func (s *scheduler) reserveMachines(jobs []*job) {
 	o := s.controller.shardLeader
-	if s.now.Sub(o.scheduler.machinesReservedAt) < reservationInterval {
+	if s.now.Sub(s.machinesReservedAt) < reservationInterval {
 		return
 	}
-	o.scheduler.machinesReservedAt = s.now
+	s.machinesReservedAt = s.now
 	reservedFor := map[string]string{}
 	var reservations []*machineReservation
 	for _, j := range jobs {
@@ -157,12 +157,12 @@
 	for _, m := range o.machinesByID {
 		if m.reservedFor != reservedFor[m.id] {
 			m.reservedFor = reservedFor[m.id]
-			s.debug("held", "machine", m.id, "for", m.reservedFor)
+			s.debug("machine reservation changed", "machine", m.id, "for", m.reservedFor)
 		}
 	}
 }
 
-// machineReservationFor is what could be gathered for a job.
+// machineReservationFor returns the machines that could be reserved for a job.
 func (s *scheduler) machineReservationFor(j *job) *machineReservation {
 	g := &machineReservation{job: j}
 	each, avoidGPUs := 1, s.avoidsGPUsNow(j)
@@ -180,8 +180,8 @@
 	return g
 }
 
-// timeUntilFits is when a task would fit on m if nothing else came, as far as the expected ends
-// of what runs there tell.
+// timeUntilFits is how long it takes until need fits on m if nothing else is placed there, by the
+// expected ends of its live tasks, and whether it fits then.
 func (s *scheduler) timeUntilFits(m *machine, need model.Resources) (time.Duration, bool) {
 	free := m.free()
 	if need.Fits(free) {
@@ -203,6 +203,5 @@
 	return last, need.Fits(free)
 }
 
-// reservedForOther says that a machine is held for work that has waited too long, and the job
-// is other work.
+// reservedForOther reports whether the machine is reserved for another job than j.
 func (m *machine) reservedForOther(j *job) bool { return m.reservedFor != "" && m.reservedFor != j.ID }
--- a/internal/controller/arrivals.go
+++ b/internal/controller/arrivals.go
@@ -5,28 +5,49 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/model"
 )
 
 // workloadKey names a team's jobs of a workload.
 type workloadKey struct{ team, workload string }
 
-// workloadKeysOf are the teams whose jobs of a workload have lately come here, or came to
-// whoever had them before.
+// arrival is a job that was submitted lately.
+type arrival struct {
+	arrivedAt time.Time
+	tasks     int
+	need      model.Resources
+	spec      *model.JobSpec
+}
+
+// maxBurst bounds burstFactor's addition for chance.
+const maxBurst = 0.5
+
+// recordArrival notes a job that has just been submitted.
+func (f *fleetPlanner) recordArrival(j *job) {
+	k := workloadKey{j.Team, j.Workload}
+	f.arrivals[k] = append(f.arrivals[k], arrival{f.now, j.Tasks, j.Need, &j.JobSpec})
+}
+
+// forgetArrivals drops the arrivals of a team's workload: the team has left this shard.
+func (f *fleetPlanner) forgetArrivals(k workloadKey) { delete(f.arrivals, k) }
+
+// workloadKeysOf returns the teams, as keys, whose jobs of a workload have lately arrived here or at
+// the previous shard leader of the team.
 func (f *fleetPlanner) workloadKeysOf(workload string) []workloadKey {
 	var out []workloadKey
 	for _, t := range sortedKeys(f.controller.shardLeader.teams) {
 		k := workloadKey{t, workload}
-		if _, told := f.controller.knowledge.inheritedLoads[k]; told || len(f.arrivals[k]) > 0 {
+		if _, inherited := f.controller.knowledge.inheritedLoads[k]; inherited || len(f.arrivals[k]) > 0 {
 			out = append(out, k)
 		}
 	}
 	return out
 }
 
-// burstFactor is how much more than the average a workload may well bring within a
-// time. Jobs come by chance and differ in size about as much as their mean, so
-// what comes varies by one part in the root of their number: by half where few
-// come, by little where hundreds do.
+// burstFactor is by how much the tasks of a workload that arrive within some time may well exceed
+// the average. Jobs arrive at random and differ in size by about their mean, so the sum varies by
+// one part in the square root of their number: by half where few arrive, by little where hundreds
+// do.
 func (f *fleetPlanner) burstFactor(name string, within time.Duration) float64 {
 	jobs := 0.0
 	for _, k := range f.workloadKeysOf(name) {
@@ -35,10 +56,7 @@
 	return 1 + min(maxBurst, 1/math.Sqrt(max(jobs, 1)))
 }
 
-// maxBurst bounds what is kept in hand for chance.
-const maxBurst = 0.5
-
-// arrivalRate is the workload's tasks a second over the last while.
+// arrivalRate is how many of the workload's tasks have arrived per second within the window.
 func (f *fleetPlanner) arrivalRate(name string, window time.Duration) float64 {
 	sum := 0.0
 	for _, k := range f.workloadKeysOf(name) {
@@ -47,20 +65,19 @@
 	return sum
 }
 
-// teamArrivalRate is that of one team. After a takeover, what a former owner told of it fills
-// in for what was not seen.
+// teamArrivalRate is the rate of one team. After a takeover, the rate that the previous shard leader
+// published stands for the time that was not seen here.
 func (f *fleetPlanner) teamArrivalRate(k workloadKey, window time.Duration) float64 {
-	o := f.controller.shardLeader
-	as := o.fleet.arrivals[k]
+	as := f.arrivals[k]
 	for len(as) > 0 && f.now.Sub(as[0].arrivedAt) > arrivalWindow {
 		as = as[1:]
 	}
-	o.fleet.arrivals[k] = as
-	held := o.teams[k.team]
+	f.arrivals[k] = as
+	held := f.controller.shardLeader.teams[k.team]
 	if held == nil || !held.ready {
 		return 0
 	}
-	old, told := f.controller.knowledge.inheritedLoads[k]
+	old, inherited := f.controller.knowledge.inheritedLoads[k]
 	span := f.now.Sub(held.readyAt)
 	sum := 0
 	for _, a := range as {
@@ -71,19 +88,19 @@
 	if span >= window {
 		return float64(sum) / window.Seconds()
 	}
-	if !told {
+	if !inherited {
 		if span < settleTime {
 			return 0
 		}
-		// At the start, and after an outage or the end of all, what has gathered
-		// meanwhile comes at once. Over the few seconds since, it looks like many
-		// times what will come, and hundreds of machines would be rented for it.
+		// At the start, and after an outage, the work that has gathered arrives at once.
+		// Divided by the few seconds since, it would look like a rate many times the
+		// true one, and hundreds of machines would be rented for it.
 		return float64(sum) / min(window, span+recentWindow).Seconds()
 	}
 	return (float64(sum) + old.TasksPerSecond*(window-span).Seconds()) / window.Seconds()
 }
 
-// workloadLoads is what a successor has to know of the teams' workloads.
+// workloadLoads returns what a successor needs to know of the teams' workloads.
 func (f *fleetPlanner) workloadLoads() []message.WorkloadLoad {
 	var out []message.WorkloadLoad
 	for _, name := range sortedKeys(f.controller.shardLeader.workloads) {
@@ -98,17 +115,13 @@
 	return out
 }
 
-// inheritLoads keeps what another controller, the owner of teams now, tells of their
-// workloads.
+// inheritLoads keeps what other shard leaders publish of their teams' workloads, in case this
+// controller takes the teams over.
 func (c *Controller) inheritLoads(ls []message.WorkloadLoad) {
 	for _, l := range ls {
-		k := workloadKey{l.Team, l.Workload}
 		if c.shardLeader != nil && c.shardLeader.teams[l.Team] != nil {
 			continue
 		}
-		c.knowledge.inheritedLoads[k] = l
-		if e := c.knowledge.estimators[l.Workload]; l.Samples > 0 && (c.shardLeader == nil || e == nil || e.samples < l.Samples) {
-			c.knowledge.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
-		}
+		c.knowledge.inheritLoad(l, c.shardLeader == nil)
 	}
 }
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -8,17 +8,22 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// candidate_queues.go finds, for a task that is played forward, the machine on which it
-// could run first. Machines on which a fetch of the task's image takes the same
-// time stand in one lane, a heap by when there is room, so that a task looks at
-// some few lanes and not at the pool; those that hold its image have lanes of
-// their own. A machine taken elsewhere makes its entries out of date, which is put
-// right when they come up.
+// candidate_queues.go finds, for a task in a simulation, the machine on which it could run first.
+// Machines that take equally long to fetch the task's image stand in one queue, a heap by when the
+// task fits, so that a task compares a few queues and not the whole pool; those that hold its image
+// have queues of their own. A task placed on a machine puts its entries in other queues out of
+// date; they are corrected when they come up.
 
-// simulatedCandidate is a machine in a lane: its place in the plan, when a task could start to
-// fetch there, and how many tasks it had taken by then.
+// lookAhead is how many of the first machines of a queue are compared for a task that arrives
+// later. Those that are free by then are equally good, and the first of the simulation is taken, so
+// that others stay idle.
+const lookAhead = 15
+
+// simulatedCandidate is a machine in a queue.
 type simulatedCandidate struct {
-	start             time.Duration
+	// start is when a task could start to fetch there, from the simulation's start.
+	start time.Duration
+	// index is that of the machine, placements its value when start was computed.
 	index, placements int32
 }
 
@@ -27,35 +32,36 @@
 	return e.start < o.start || e.start == o.start && e.index < o.index
 }
 
-// candidateQueueKey is what the machines of a lane have in common.
+// candidateQueueKey is what the machines of a queue have in common.
 type candidateQueueKey struct {
-	// secondsPerGB is how long they take for one GB of an image, in seconds.
+	// secondsPerGB is how many seconds they take to fetch one GB of an image.
 	secondsPerGB float64
-	// needed: other work that waits depends on them.
+	// neededElsewhere says that other pending work depends on them.
 	neededElsewhere bool
 }
 
+// candidateQueue is machines by when a task of one kind could start.
 type candidateQueue struct {
 	candidateQueueKey
 	heap[simulatedCandidate, *simulatedCandidate]
 }
 
-// candidateQueues are some machines of a plan, up to the one known last.
+// candidateQueues are some machines of a simulation; the first indexed ones are entered.
 type candidateQueues struct {
 	indexed int
 	all     []*candidateQueue
 }
 
-func (ls *candidateQueues) add(key candidateQueueKey, e simulatedCandidate) {
-	for _, l := range ls.all {
-		if l.candidateQueueKey == key {
-			l.push(e)
+func (qs *candidateQueues) add(key candidateQueueKey, e simulatedCandidate) {
+	for _, q := range qs.all {
+		if q.candidateQueueKey == key {
+			q.push(e)
 			return
 		}
 	}
-	l := &candidateQueue{candidateQueueKey: key}
-	ls.all = append(ls.all, l)
-	l.push(e)
+	q := &candidateQueue{candidateQueueKey: key}
+	qs.all = append(qs.all, q)
+	q.push(e)
 }
 
 // shapeCandidates is the machines for one kind of task: all of them as if they had no
@@ -63,25 +69,30 @@
 type shapeCandidates struct {
 	candidateQueues
 	byImage map[int32]*candidateQueues
-	// off: the tasks stay off machines with GPUs.
+	// avoidGPUs keeps the tasks off machines with GPUs.
 	avoidGPUs bool
 }
 
-// placementRequest is a job for which places are looked for in a plan.
+// placementRequest is a job whose tasks are to be placed in a simulation.
 type placementRequest struct {
-	job        *job
-	need       model.Resources
-	imageGB    float64
-	imageID    int32
-	run        time.Duration
+	job     *job
+	need    model.Resources
+	imageGB float64
+	imageID int32
+	// run is how long a task is expected to occupy its machine.
+	run time.Duration
+
+	// candidates are all machines, holders those that hold or fetch the image.
 	candidates *shapeCandidates
 	holders    *candidateQueues
-	// avoidedMachine is the machine that no waiting task of it may go to, or -1.
+	// avoidedMachine is the index of the machine that all pending tasks avoid, or -1.
 	avoidedMachine int32
-	// each: every machine is looked at, as its tasks are not all alike.
+	// fullScan says that every machine is looked at for each task, as they are not alike.
 	fullScan   bool
-	offers     []offer
 	zoneLimits *zoneLimits
+
+	// offers are the machine kinds that may be rented for it.
+	offers []offer
 }
 
 // offer is a kind of machine that may be rented for a job.
@@ -93,7 +104,7 @@
 	fetchTime       time.Duration
 }
 
-// newRequest prepares to look for places for a job's tasks.
+// newRequest prepares to place a job's tasks.
 func (p *simulation) newRequest(j *job) *placementRequest {
 	a := &placementRequest{
 		job: j, need: j.Need, imageGB: j.ImageGB, imageID: p.imageID(j.Image), run: p.controller.shardLeader.fleet.expectedOccupancy(j), avoidedMachine: -1,
@@ -123,8 +134,8 @@
 	return a
 }
 
-// imageID numbers the images of a plan. Those of its machines are numbered when
-// the room is looked at.
+// imageID numbers the images of a simulation. Those that its machines hold got their numbers from
+// futureFreeCapacity.
 func (p *simulation) imageID(name string) int32 {
 	id, ok := p.imageIDs[name]
 	if !ok {
@@ -137,7 +148,7 @@
 	return id
 }
 
-// indexImages notes which machines of the plan hold or fetch which images.
+// indexImages notes which machines hold or fetch which images.
 func (p *simulation) indexImages() {
 	p.imageHolders = make([][]int32, len(p.imageIDs))
 	for i, v := range p.machines {
@@ -149,10 +160,9 @@
 	}
 }
 
-// refreshCandidates takes in machines that were added since, and those that were given the
-// image.
+// refreshCandidates enters the machines that were added since, and those that got the image.
 func (p *simulation) refreshCandidates(a *placementRequest) {
-	add := func(ls *candidateQueues, i int32, held bool) {
+	add := func(qs *candidateQueues, i int32, held bool) {
 		v := p.machines[i]
 		if !a.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) {
 			return
@@ -168,21 +178,21 @@
 				key.secondsPerGB = v.fetchingSecondsPerGB
 			}
 		}
-		ls.add(key, simulatedCandidate{start, i, int32(v.placements)})
+		qs.add(key, simulatedCandidate{start, i, int32(v.placements)})
 	}
 	for ; a.candidates.indexed < len(p.machines); a.candidates.indexed++ {
 		p.spend(1)
 		add(&a.candidates.candidateQueues, int32(a.candidates.indexed), false)
 	}
-	for has := p.imageHolders[a.imageID]; a.holders.indexed < len(has); a.holders.indexed++ {
+	for holders := p.imageHolders[a.imageID]; a.holders.indexed < len(holders); a.holders.indexed++ {
 		p.spend(1)
-		add(a.holders, has[a.holders.indexed], true)
+		add(a.holders, holders[a.holders.indexed], true)
 	}
 }
 
-// bestMachine is the machine on which a task that comes at the time from could run
-// first, its image there, and when. yields looks only at those that no other
-// waiting work depends on.
+// bestMachine returns the machine on which a task that arrives at from could first run, with its
+// image there, and when. With avoidNeeded it considers only machines that no other pending work
+// depends on.
 func (p *simulation) bestMachine(a *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
 	wait := max(0, from.Sub(p.now))
 	if a.fullScan {
@@ -192,12 +202,12 @@
 	p.refreshCandidates(a)
 	best, at := int32(-1), time.Duration(0)
 	for _, set := range [...][]*candidateQueue{a.candidates.all, a.holders.all} {
-		for _, l := range set {
-			if avoidNeeded && l.neededElsewhere {
+		for _, q := range set {
+			if avoidNeeded && q.neededElsewhere {
 				continue
 			}
-			if i, start, ok := p.firstInQueue(l, a, wait); ok {
-				if t := start + record.DurationOfSeconds(l.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
+			if i, start, ok := p.firstInQueue(q, a, wait); ok {
+				if t := start + record.DurationOfSeconds(q.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
 					best, at = i, t
 				}
 			}
@@ -209,53 +219,48 @@
 	return p.machines[best], p.now.Add(at)
 }
 
-// lookAhead is how many of the first machines of a lane are compared for a task
-// that comes later. Those that are free by then are all as good, and the first of
-// the plan is to be taken, so that others stay idle.
-const lookAhead = 15
-
-// firstInQueue is the machine of a lane on which a task could start first, and when.
-func (p *simulation) firstInQueue(l *candidateQueue, a *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
-	var aside simulatedCandidate
-	set := false
-	for len(l.elems) > 0 {
-		e := &l.elems[0]
+// firstInQueue returns the machine of a queue on which a task could start first, and when.
+func (p *simulation) firstInQueue(q *candidateQueue, a *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
+	var avoided simulatedCandidate
+	hasAvoided := false
+	for len(q.elems) > 0 {
+		e := &q.elems[0]
 		v := p.machines[e.index]
 		if int32(v.placements) != e.placements {
 			if start, ok := v.earliestStart(a.need, false, a.candidates.avoidGPUs); ok {
 				e.start, e.placements = start, int32(v.placements)
-				l.siftDown()
+				q.siftDown()
 			} else {
-				l.pop()
+				q.pop()
 			}
 			continue
 		}
 		if e.index != a.avoidedMachine {
 			break
 		}
-		aside, set = l.pop(), true
+		avoided, hasAvoided = q.pop(), true
 	}
-	if len(l.elems) == 0 {
-		if set {
-			l.push(aside)
+	if len(q.elems) == 0 {
+		if hasAvoided {
+			q.push(avoided)
 		}
 		return 0, 0, false
 	}
-	i, start := l.elems[0].index, max(l.elems[0].start, wait)
-	if l.elems[0].start < wait {
-		for _, x := range l.elems[1:min(len(l.elems), lookAhead)] {
+	i, start := q.elems[0].index, max(q.elems[0].start, wait)
+	if q.elems[0].start < wait {
+		for _, x := range q.elems[1:min(len(q.elems), lookAhead)] {
 			if x.start <= wait && x.index < i && x.index != a.avoidedMachine && int32(p.machines[x.index].placements) == x.placements {
 				i = x.index
 			}
 		}
 	}
-	if set {
-		l.push(aside)
+	if hasAvoided {
+		q.push(avoided)
 	}
 	return i, start, true
 }
 
-// bestByFullScan looks at every machine, for tasks that are not all alike.
+// bestByFullScan is bestMachine for tasks that are not all alike: it looks at every machine.
 func (p *simulation) bestByFullScan(a *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
 	var best *simulatedMachine
 	var at time.Duration
@@ -273,7 +278,7 @@
 	return best, at
 }
 
-// fetchTime is how long v would take to have the image.
+// fetchTime is how long v takes to have the image.
 func (p *simulation) fetchTime(v *simulatedMachine, a *placementRequest) time.Duration {
 	switch {
 	case slices.Contains(v.placedImages, a.imageID) || slices.Contains(v.cached, a.imageID):
@@ -284,10 +289,9 @@
 	return record.DurationOfSeconds(v.secondsPerGB * a.imageGB)
 }
 
-// placeTasks lets up to count tasks start on v, as many as fit there at one time, and
-// says how many, when, and how long the fetch of their image is that the first of
-// them counts; for the others the image is taken to be there. Alike tasks that come
-// together count as one.
+// placeTasks lets up to count tasks start on v, as many as fit at one time, and returns how many,
+// when the one that has to fetch the image starts, and how long that fetch is; for the others the
+// image counts as there. With fullScan it places one.
 func (p *simulation) placeTasks(a *placementRequest, v *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
 	at, ok := v.earliestStart(a.need, a.job.Gang, a.candidates.avoidGPUs)
 	if !ok {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -6,7 +6,6 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/micahill/micahill/internal/boottime"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/sizelimit"
 )
@@ -56,14 +55,10 @@
 	n.requests.cloudCallbacks = map[uint64]func(message.CloudResponse){}
 	n.requests.workerCallbacks = map[uint64]func(message.WorkerResponse){}
 	n.frontend.progressByJob = map[string]message.Progress{}
-	n.knowledge.estimators = map[string]*estimator{}
-	n.knowledge.released = map[string]bool{}
-	n.knowledge.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
-	n.knowledge.predecessorMachines = map[string]predecessorMachine{}
+	n.knowledge.init()
 	n.membership.peersWithoutStore = map[string]time.Time{}
 	n.requests.malformedTxns = map[uint64]bool{}
 	n.cancellations.unacked = map[string]*unackedCancellation{}
-	n.knowledge.provisioningTimes = map[machineKind]*boottime.Estimator{}
 	n.rateLimits.peers = map[string]peerRates{}
 	n.frontend.init()
 	return n
@@ -195,19 +190,7 @@
 			n.shardLeader.remoteAttempts.receiveRemoteAttempts(c.From, c.RemoteStatuses)
 			n.partition.applyReroutedHeartbeats(c.Rerouted)
 		}
-		for _, h := range c.MachineUpdates {
-			n.knowledge.predecessorMachines[h.ID] = predecessorMachine{MachineUpdate: h, receivedAt: n.now}
-		}
-		if len(c.MachineUpdates) > 0 && n.now.Sub(n.knowledge.predecessorsPrunedAt) > machineUpdateTTL {
-			// What nobody names any more is gone. The memory is judged again
-			// when it is used, from when the last news came.
-			n.knowledge.predecessorsPrunedAt = n.now
-			for id, h := range n.knowledge.predecessorMachines {
-				if n.now.Sub(h.receivedAt) > machineUpdateTTL {
-					delete(n.knowledge.predecessorMachines, id)
-				}
-			}
-		}
+		n.knowledge.recordMachineUpdates(c.MachineUpdates)
 		if c.IsCapacityRequest && n.leader != nil {
 			n.leader.receiveUpdate(n.now, c)
 		}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -216,8 +216,8 @@
 		return
 	}
 	j.dependenciesPending, j.releasedAt = false, d.now
-	d.controller.shardLeader.scheduler.placementDue = true
-	d.controller.shardLeader.scheduler.placementUrgent = d.controller.shardLeader.scheduler.placementUrgent || d.waitObjective(j.Workload) > 0
+	d.controller.shardLeader.scheduler.requestPlacement()
+	d.controller.shardLeader.scheduler.hurryPlacement(j.Workload)
 }
 
 // awaitDependencies has a job here wait for what it needs.
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -133,7 +133,7 @@
 			return true
 		}
 	}
-	for r := range g.controller.expectedFor(j) {
+	for r := range g.controller.shardLeader.fleet.expectedFor(j) {
 		if j.Need.Fits(g.controller.knowledge.machineTypes[r.machineType].Capacity) {
 			return true
 		}
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -9,19 +9,20 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// exchange.go carries out what the owners ask of the cloud, and hands over what one has
-// to spare and another wants; what is decided is in internal/exchange.
+// exchange.go is the leader's part of scaling: it hands over machines that one shard leader can spare
+// and another needs, and sends the other requests to the cloud. The matching is in internal/exchange.
 
 const (
-	// maxHandovers bounds the machines handed over in one look, and handoverCooldown is how long
-	// one that was stays where it is: to and fro it would only report.
+	// maxHandovers bounds the machines handed over in one tick; handoverCooldown is how long a
+	// machine stays where it was handed over to, so that it is not moved to and fro.
 	maxHandovers     = 200
 	handoverCooldown = 20 * time.Second
-	// maxSurplus bounds the machines that an owner says it has to spare.
+	// maxSurplus bounds the machines that a shard leader offers.
 	maxSurplus = 200
 	// handoverTime is how long a machine that is handed over takes to be of use there.
 	handoverTime = 2 * time.Second
-	// statusComing is the status of a machine that is being handed over, for whoever gets it.
+	// statusComing is the status of a machine that is being handed over, as published to the
+	// shard leader that gets it.
 	statusComing = "coming"
 )
 
@@ -31,7 +32,7 @@
 
 func fromExchangeKind(k exchange.Kind) machineKind { return machineKind{k.MachineType, k.Zone, k.Spot} }
 
-// fleetRequest is what an owner asks of the leader.
+// fleetRequest is what a shard leader asks of the leader.
 type fleetRequest struct {
 	host     string
 	capacity map[machineKind]int
@@ -39,13 +40,12 @@
 	surplus  []string
 }
 
-// fleetRequests are those of all owners whose word is fresh.
+// fleetRequests returns the requests of all shard leaders whose last update is fresh.
 func (l *leader) fleetRequests() []fleetRequest {
 	var out []fleetRequest
 	if o := l.controller.shardLeader; o != nil && o.ready {
-		// What could not be booked at once stays wanted until the next look.
-		out = append(out, fleetRequest{l.settings.Host, o.fleet.capacityRequests, o.fleet.machinesToRelease, o.fleet.surplus})
-		o.fleet.machinesToRelease = nil
+		// What could not be booked at once stays requested until the next tick.
+		out = append(out, fleetRequest{l.settings.Host, o.fleet.capacityRequests, o.fleet.takeReleases(), o.fleet.surplus})
 	}
 	for _, host := range sortedKeys(l.updates) {
 		w, ok := l.freshUpdate(host)
@@ -61,10 +61,10 @@
 	return out
 }
 
-// exchangeMachines meets the wishes.
+// exchangeMachines meets the requests of the shard leaders, by handovers, bookings and releases.
 func (l *leader) exchangeMachines() {
 	if l.controller.membership.revision < l.sharding.writtenRevision {
-		// Whose the machines are is not known before what was written has been read.
+		// The machines' owners are not known before the last write has been read.
 		return
 	}
 	requests := l.fleetRequests()
@@ -83,7 +83,7 @@
 	}
 	handovers, bookings := exchange.Match(owners, exchange.Limits{
 		MaxTransfers: maxHandovers, MaxScaleOuts: l.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
-		// One more wish is heard only when all bookings of it are answered.
+		// A further request for a kind counts only when all bookings of it are answered.
 		IsBusy: func(host string, k exchange.Kind) bool {
 			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(l.now)
 		},
@@ -92,15 +92,15 @@
 		l.sharding.unrecordedMachines[m.ID] = sharding.NewMachine{ID: m.ID, Host: m.To, KnownAt: l.now}
 		l.handedOverAt[m.ID] = l.now
 		l.rentals[m.ID].handedOverAt = l.now
-		// Its wishes count again when it knows of these.
+		// Its requests count again when it knows of this machine.
 		l.requiredSeq[m.To] = l.seq + 1
-		l.debug("handed over", "machine", m.ID, "from", m.From, "to", m.To)
+		l.debug("machine handed over", "machine", m.ID, "from", m.From, "to", m.To)
 	}
 	for i := range requests {
 		w := &requests[i]
 		if w.host == l.settings.Host {
 			for k := range w.capacity {
-				// What is left of them stays wanted until the next look.
+				// What is left of them stays requested until the next tick.
 				j := slices.IndexFunc(owners, func(o exchange.Owner) bool { return o.Host == w.host })
 				w.capacity[k] = owners[j].CapacityRequests[k.exchangeKind()]
 			}
@@ -117,14 +117,14 @@
 	}
 }
 
-// canHandOver says that a machine may be handed over by an owner now.
+// canHandOver reports whether a machine may be handed over by a shard leader now.
 func (l *leader) canHandOver(id, host string) bool {
 	_, assigned := l.sharding.unrecordedMachines[id]
 	_, recentlyHandedOver := l.handedOverAt[id]
 	return l.ownerOf(id) == host && !assigned && !recentlyHandedOver && !l.controller.knowledge.released[id]
 }
 
-// releaseFor returns machines that their owner no longer wants.
+// releaseFor returns to the cloud the machines that a shard leader has released.
 func (l *leader) releaseFor(host string, ids []string) {
 	var releasable []string
 	for _, id := range ids {
@@ -143,23 +143,22 @@
 	}
 }
 
-// surplusFor counts what others than an owner have to spare, by kind.
-func surplusFor(c *Controller, host string) []message.CapacityRequest {
-	l := c.leader
+// surplusExcept counts, by kind, the machines that shard leaders other than that on host offer.
+func (l *leader) surplusExcept(host string) []message.CapacityRequest {
 	byKind := map[machineKind]int{}
 	count := func(of string, ids []string) {
 		for _, id := range ids {
-			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && c.leader.canHandOver(id, of) {
+			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && l.canHandOver(id, of) {
 				byKind[r.machineKind]++
 			}
 		}
 	}
-	if o := c.shardLeader; o != nil && o.ready {
-		count(c.settings.Host, o.fleet.surplus)
+	if o := l.controller.shardLeader; o != nil && o.ready {
+		count(l.settings.Host, o.fleet.surplus)
 	}
-	for _, h := range sortedKeys(l.updates) {
-		if w, ok := c.leader.freshUpdate(h); ok {
-			count(h, w.update.Surplus)
+	for _, from := range sortedKeys(l.updates) {
+		if w, ok := l.freshUpdate(from); ok {
+			count(from, w.update.Surplus)
 		}
 	}
 	var out []message.CapacityRequest
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -10,26 +10,81 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// fleetKnowledge TODO.
+// fleetKnowledge is what a controller knows of machines and workloads whatever role it has: prices
+// and capacities, how long machines take to be ready, how accurate estimates of run times are, and
+// what other shard leaders publish. Its methods may be called at any time from within Step.
+//
+// It outlives the loss of shard leadership, so that a controller that takes a shard over plans with
+// what it has learnt before. None of it is stored: after a restart it is learnt anew, from the cloud,
+// from heartbeats and from the updates of peers.
 type fleetKnowledge struct {
 	component
 
+	// machineTypes, by name, is the cloud's list; empty until it was read for the first time.
 	machineTypes map[string]model.MachineType
-	// provisioningTimes is what was learnt of how long machines of each kind take to come up.
+	// provisioningTimes estimates how long machines of each kind take to be ready.
 	provisioningTimes map[machineKind]*boottime.Estimator
-	// accuracy of the workloads' estimates outlives a loss of the owner role.
+	// estimators, by workload, correct the estimates of run times that users give.
 	estimators map[string]*estimator
-	// inheritedLoads is what the owner before told of the workloads.
-	inheritedLoads map[workloadKey]message.WorkloadLoad
-	// released remembers machines whose return was asked for: neither an old
-	// list nor a late report may bring them back.
+	// released holds the machines whose release was requested: neither an old list nor a late
+	// heartbeat may bring them back into use. Entries stay.
 	released map[string]bool
-	// predecessorMachines is what other owners last told of their machines.
+
+	// inheritedLoads is what other shard leaders last published of their teams' workloads.
+	inheritedLoads map[workloadKey]message.WorkloadLoad
+	// predecessorMachines is what other shard leaders last published of their machines, pruned
+	// of entries older than machineUpdateTTL.
 	predecessorMachines  map[string]predecessorMachine
 	predecessorsPrunedAt time.Time
 }
 
-// cheapestCPUCost is the lowest price of a processor among all kinds.
+func (k *fleetKnowledge) init() {
+	k.provisioningTimes = map[machineKind]*boottime.Estimator{}
+	k.estimators = map[string]*estimator{}
+	k.released = map[string]bool{}
+	k.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
+	k.predecessorMachines = map[string]predecessorMachine{}
+}
+
+// markReleased notes that the release of a machine was requested: it is never given work again,
+// whatever becomes of the request.
+func (k *fleetKnowledge) markReleased(id string) { k.released[id] = true }
+
+// inheritLoad keeps what another shard leader published of a workload. Its estimator is taken over
+// where this controller leads no shard, or has seen fewer samples.
+func (k *fleetKnowledge) inheritLoad(l message.WorkloadLoad, leadsNoShard bool) {
+	k.inheritedLoads[workloadKey{l.Team, l.Workload}] = l
+	if e := k.estimators[l.Workload]; l.Samples > 0 && (leadsNoShard || e == nil || e.samples < l.Samples) {
+		k.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
+	}
+}
+
+// recordMachineUpdates keeps what another shard leader published of its machines.
+func (k *fleetKnowledge) recordMachineUpdates(updates []message.MachineUpdate) {
+	for _, u := range updates {
+		k.predecessorMachines[u.ID] = predecessorMachine{MachineUpdate: u, receivedAt: k.now}
+	}
+	if len(updates) > 0 && k.now.Sub(k.predecessorsPrunedAt) > machineUpdateTTL {
+		// Machines that nobody publishes any more are gone. Readers check the age of an
+		// entry themselves, so pruning may be late.
+		k.predecessorsPrunedAt = k.now
+		for id, m := range k.predecessorMachines {
+			if k.now.Sub(m.receivedAt) > machineUpdateTTL {
+				delete(k.predecessorMachines, id)
+			}
+		}
+	}
+}
+
+// setMachineTypes replaces the list of machine types.
+func (k *fleetKnowledge) setMachineTypes(types []model.MachineType) {
+	k.machineTypes = map[string]model.MachineType{}
+	for _, t := range types {
+		k.machineTypes[t.Name] = t
+	}
+}
+
+// cheapestCPUCost is the lowest cost of a CPU per hour among all kinds of machines.
 func (k *fleetKnowledge) cheapestCPUCost() float64 {
 	low := 0.0
 	for _, f := range k.machineTypes {
@@ -42,7 +97,7 @@
 	return max(low, 1e-9)
 }
 
-// fittingMachineTypes names the flavours a task fits.
+// fittingMachineTypes returns the names of the machine types a task fits, in no order.
 func (k *fleetKnowledge) fittingMachineTypes(s *model.JobSpec) []string {
 	var out []string
 	for name, f := range k.machineTypes {
@@ -64,7 +119,7 @@
 	return record.DurationOfSeconds(m.fetchSeconds(j, fetching, k.imageFetchRate(m)))
 }
 
-// imageFetchRate is how many GB a machine fetches in a second, as far as is known.
+// imageFetchRate is how many GB a machine fetches in a second; 1 where it is not known.
 func (k *fleetKnowledge) imageFetchRate(m *machine) float64 {
 	if rate := k.machineTypes[m.machineType].ImageFetchRate; rate > 0 {
 		return rate
@@ -72,29 +127,29 @@
 	return 1
 }
 
-func (kk *fleetKnowledge) costPerHour(k machineKind) float64 {
-	f := kk.machineTypes[k.machineType]
-	p := f.CostPerHour
-	if k.spot {
-		p = f.SpotCostPerHour
+// costPerHour is the price of a machine, times the policy's cost factor for its type.
+func (k *fleetKnowledge) costPerHour(kind machineKind) float64 {
+	f := k.machineTypes[kind.machineType]
+	cost := f.CostPerHour
+	if kind.spot {
+		cost = f.SpotCostPerHour
 	}
-	if w, ok := kk.settings.Policy.CostFactors[k.machineType]; ok && w > 0 {
-		p *= w
+	if w, ok := k.settings.Policy.CostFactors[kind.machineType]; ok && w > 0 {
+		cost *= w
 	}
-	return p
+	return cost
 }
 
+// costPerCPU is the cost of one CPU of a machine per hour.
 func (k *fleetKnowledge) costPerCPU(m *machine) float64 {
 	return k.costPerHour(machineKind{m.machineType, m.zone, m.spot}) / max(m.size.CPU, 1)
 }
 
+// loadMachineTypes reads the machine types from the cloud, again and again.
 func (c *Controller) loadMachineTypes() {
 	c.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
 		if d.Status == message.CloudOK {
-			c.knowledge.machineTypes = map[string]model.MachineType{}
-			for _, f := range d.MachineTypes {
-				c.knowledge.machineTypes[f.Name] = f
-			}
+			c.knowledge.setMachineTypes(d.MachineTypes)
 			if c.shardLeader != nil {
 				for _, m := range c.shardLeader.machines {
 					if f, ok := c.knowledge.machineTypes[m.machineType]; ok {
@@ -109,20 +164,21 @@
 	})
 }
 
-// safetyMargin is the time in hand that the uncertainty of a job's run time asks for.
+// safetyMargin is the time kept in hand for the uncertainty of a job's run time.
 func (k *fleetKnowledge) safetyMargin(j *job) time.Duration {
 	if j.LongRunning {
-		// It has no end to be in time.
+		// It has no deadline for its end.
 		return minSafetyMargin
 	}
-	share := minSafetyFraction
+	fraction := minSafetyFraction
 	if e := k.estimators[j.Workload]; e != nil && len(j.sortedRunTimes) == 0 {
-		share = max(share, min(e.deviation, 1))
+		fraction = max(fraction, min(e.deviation, 1))
 	}
-	return minSafetyMargin + time.Duration(share*float64(k.expectedRunTime(j)))
+	return minSafetyMargin + time.Duration(fraction*float64(k.expectedRunTime(j)))
 }
 
-// planningHorizon is the time until a machine rented now is of use.
+// planningHorizon is how far ahead demand is planned for: the mean time until a machine rented now
+// is ready.
 func (k *fleetKnowledge) planningHorizon() time.Duration {
 	var sum time.Duration
 	for _, f := range k.machineTypes {
--- a/internal/controller/leader_updates.go
+++ b/internal/controller/leader_updates.go
@@ -77,7 +77,7 @@
 	request, hasRequest := l.sharding.planner.PendingMove()
 	for _, host := range sortedKeys(updates) {
 		m := updates[host]
-		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, surplusFor(l.controller, host)
+		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, l.surplusExcept(host)
 		m.OthersNeeds, m.EvacuationRequests = othersNeeds[host], empty[host]
 		if hasRequest && request.From == host {
 			m.TeamRelease = []sharding.MoveRequest{request}
@@ -138,7 +138,7 @@
 	for _, w := range update.Blocked {
 		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = c.now.Add(updateTTL)
 	}
-	o.fleet.view = v
+	o.fleet.setView(v)
 	c.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
 	for _, a := range update.TeamRelease {
 		o.teamRelease, o.teamReleaseAt = a, c.now
--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -23,7 +23,9 @@
 			if j.borrowedLoan != "" {
 				if was := j.startableUntil; c.StartableUntil[id].After(was) || c.StartableUntil[id].IsZero() {
 					j.startableUntil = c.StartableUntil[id]
-					o.scheduler.placementDue = o.scheduler.placementDue || was.Before(l.now)
+					if was.Before(l.now) {
+						o.scheduler.requestPlacement()
+					}
 				}
 			}
 		}
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -164,7 +164,7 @@
 		}
 		if j := o.jobs[k.job]; j != nil && k.index < len(j.tasks) && j.tasks[k.index].notBefore.Equal(until) {
 			j.tasks[k.index].notBefore = time.Time{}
-			o.scheduler.placementDue = true
+			o.scheduler.requestPlacement()
 		}
 	}
 	for k, until := range pinnedUntil {
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -282,7 +282,7 @@
 			}
 		}
 	}
-	for r := range g.controller.expectedFor(j) {
+	for r := range g.controller.shardLeader.fleet.expectedFor(j) {
 		if f := g.controller.knowledge.machineTypes[r.machineType]; j.zoneAllowed(r.zone) && j.Need.Fits(f.Capacity) {
 			cost = min(cost, g.controller.knowledge.timeToReady(r.machineKind, g.now.Sub(r.rentedAt))+newMachineFetchTime(&f, j))
 		}
--- a/internal/controller/planning_pass_test.go
+++ b/internal/controller/planning_pass_test.go
@@ -34,7 +34,7 @@
 	n = largePool(400)
 	n.shardLeader.fleet.planningPass = newPlanningPass(n.shardLeader.fleet.scanFleet)
 	n.shardLeader.fleet.planningPass.run(1000)
-	n.shardLeader.endPlanningPass()
+	n.shardLeader.fleet.endPlanningPass()
 	if n.shardLeader.fleet.capacityRequests != nil || n.shardLeader.fleet.planningPass != nil {
 		t.Errorf("a pass that was given up wants %v", n.shardLeader.fleet.capacityRequests)
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// stopTimeout is how long a stopped task's room is waited for.
+	// stopTimeout is how long the capacity of a stopped task is waited for.
 	stopTimeout = 1500 * time.Millisecond
 )
 
-// preemptionInterval is how often a waiting job may look for work to stop: it goes
-// through the attempts of many machines.
+// preemptionInterval is how often a job may scan for work to stop: a scan goes through the
+// attempts of many machines.
 const preemptionInterval = 500 * time.Millisecond
 
+// preemptIfDue preempts for j unless it did so within preemptionInterval. It returns for how many
+// of j's pending tasks capacity is coming free.
 func (s *scheduler) preemptIfDue(j *job, fetch time.Duration) int {
 	if s.now.Sub(j.lastPreemptionScan) >= preemptionInterval {
 		j.lastPreemptionScan = s.now
@@ -26,14 +28,14 @@
 	return min(j.preemptionCapacity, j.pendingTasks())
 }
 
-// maxPreemptions is how often a task may be stopped for others: work is not to be
-// stopped in turns and never end.
+// maxPreemptions is how often a task may be preempted, so that it is not stopped again and again
+// and never finishes.
 const maxPreemptions = 2
 
-// hasMaxPreemptions says that the one running task of a job that has waited too long is left
-// alone: the job was stopped for others as often as a task may be. Without it each of its
-// tasks takes a turn: a machine is gathered for the job as soon as nothing of it runs,
-// that of the stop, so that nobody gains by it, and the next is stopped there.
+// hasMaxPreemptions reports whether the only live task of an overdue job is protected, since the
+// job was preempted as often as a task may be. Otherwise each of its tasks would be stopped in
+// turn: as soon as nothing of the job runs, the machine of the stopped task is reserved for it,
+// so nobody gains by the stop, and the next task is stopped there.
 func (s *scheduler) hasMaxPreemptions(j *job) bool {
 	if j.liveTasks != 1 {
 		return false
@@ -49,7 +51,8 @@
 	return stops >= maxPreemptions
 }
 
-// preemptionVictimsOn picks the tasks on m whose stop makes room for one of j's.
+// preemptionVictimsOn picks the tasks on m whose stop makes one task of j fit, those that lose the
+// least work first. It returns them with the work lost, and whether the task then fits.
 func (s *scheduler) preemptionVictimsOn(j *job, m *machine, free model.Resources) ([]*task, time.Duration, bool) {
 	type victim struct {
 		t    *task
@@ -71,7 +74,7 @@
 			if o.CheckpointInterval > 0 {
 				loss = min(loss%o.CheckpointInterval, o.CheckpointCost)
 			}
-			// Stopping a large task for a small one loses the more.
+			// Stopping a large task for a small one counts as a larger loss.
 			loss = time.Duration(float64(loss) * max(1, o.Need.CPU/max(j.Need.CPU, 0.1)))
 		}
 		candidates = append(candidates, victim{t, o.Need, loss})
@@ -90,12 +93,13 @@
 	return out, sum, len(out) > 0 && j.Need.Fits(free)
 }
 
-// preemptionVictims is where work of some kind may take the place of lower work: machines with
-// room at once, and those where something may be stopped, the least work lost
-// first. It is looked for now and then and judged again when it is used: going
-// through all that runs for each job that waits would take longer than the wait.
+// preemptionVictims is where one kind of task may take the place of lower work. It is a cache,
+// since a scan of everything that runs for each pending job would take longer than the wait; what
+// it names is checked again before use.
 type preemptionVictims struct {
-	at           time.Time
+	at time.Time
+	// withCapacity are machines with free capacity, withVictims those where tasks may be
+	// stopped, the least work lost first.
 	withCapacity []*machine
 	withVictims  []*machine
 }
@@ -105,23 +109,24 @@
 	urgency model.Urgency
 }
 
+// preemptionVictimsFor returns the cached victims for j, or scans for them.
 func (s *scheduler) preemptionVictimsFor(j *job) *preemptionVictims {
 	o := s.controller.shardLeader
 	key := preemptionVictimsKey{j.taskShape(), j.Urgency}
-	p := o.scheduler.preemptionVictims[key]
+	p := s.preemptionVictims[key]
 	if p != nil && s.now.Sub(p.at) < preemptionInterval {
 		return p
 	}
 	p = &preemptionVictims{at: s.now}
-	if o.scheduler.preemptionVictims == nil {
-		o.scheduler.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
+	if s.preemptionVictims == nil {
+		s.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
 	}
-	for k, old := range o.scheduler.preemptionVictims {
+	for k, old := range s.preemptionVictims {
 		if s.now.Sub(old.at) > workloadRetention {
-			delete(o.scheduler.preemptionVictims, k)
+			delete(s.preemptionVictims, k)
 		}
 	}
-	o.scheduler.preemptionVictims[key] = p
+	s.preemptionVictims[key] = p
 	type choice struct {
 		m    *machine
 		loss time.Duration
@@ -145,7 +150,7 @@
 	return p
 }
 
-// freeAfterPreemption is the room on m with what stopped tasks are about to leave.
+// freeAfterPreemption is the free capacity of m with what preempted tasks are about to leave.
 func (s *scheduler) freeAfterPreemption(m *machine) model.Resources {
 	f := m.free()
 	for k, t := range m.attempts {
@@ -156,9 +161,9 @@
 	return f
 }
 
-// preempt stops tasks of lower urgency so that the waiting tasks of j find room
-// where the image takes no longer than fetch, the least work lost first. It says
-// for how many tasks room is coming, by these stops and by earlier ones.
+// preempt stops tasks of lower urgency so that pending tasks of j fit on machines that need no
+// longer than fetch to have the image, the least work lost first. It returns for how many tasks
+// capacity is coming free, by these stops and by earlier ones.
 func (s *scheduler) preempt(j *job, fetch time.Duration) int {
 	need := j.pendingTasks()
 	if !s.withinQuotaLimit(j) {
@@ -166,7 +171,7 @@
 	}
 	p := s.preemptionVictimsFor(j)
 	suits := func(m *machine) bool {
-		return !m.removed && s.controller.shardLeader.scheduler.usable(m) && !m.reservedForOther(j) && j.zoneAllowed(m.zone) && s.controller.knowledge.fetchTime(m, j) <= fetch
+		return !m.removed && s.usable(m) && !m.reservedForOther(j) && j.zoneAllowed(m.zone) && s.controller.knowledge.fetchTime(m, j) <= fetch
 	}
 	for _, m := range p.withCapacity {
 		if need > 0 && suits(m) {
@@ -183,7 +188,7 @@
 		}
 		free := s.freeAfterPreemption(m)
 		if k := free.FitCount(j.Need); k > 0 {
-			// Stopped for another job a moment ago, or something has ended.
+			// Tasks were stopped for another job a moment ago, or have ended.
 			need -= k
 			continue
 		}
@@ -197,7 +202,7 @@
 		}
 		s.controller.markDispatchPending(m)
 		need--
-		s.debug("preempt", "for", j.ID, "machine", m.id, "stopped", len(ts), "loss", loss)
+		s.debug("tasks preempted", "for", j.ID, "machine", m.id, "stopped", len(ts), "loss", loss)
 	}
 	return j.pendingTasks() - max(need, 0)
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -7,21 +7,27 @@
 	"github.com/micahill/micahill/internal/boottime"
 )
 
-// provisioning.go joins the core to internal/boottime: how long machines take to come up, learnt
-// for each kind.
+// provisioning.go applies internal/boottime: it learns for each kind how long machines take from
+// being rented to being ready, and which kinds have stopped becoming ready.
 
-func (kk *fleetKnowledge) provisioningOf(k machineKind) *boottime.Estimator {
-	b := kk.provisioningTimes[k]
-	if b == nil {
-		b = &boottime.Estimator{}
-		kk.provisioningTimes[k] = b
+// maxReadyFactor bounds how much later than the cloud's own figure machines are planned to be ready,
+// in times of that figure, also when none became ready lately and one is rented all the same for
+// want of another kind.
+const maxReadyFactor = 10
+
+// provisioningOf returns the estimator of a kind, without expired samples.
+func (k *fleetKnowledge) provisioningOf(kind machineKind) *boottime.Estimator {
+	e := k.provisioningTimes[kind]
+	if e == nil {
+		e = &boottime.Estimator{}
+		k.provisioningTimes[kind] = e
 	}
-	b.Expire(kk.now, kk.machineTypes[k.machineType].ProvisioningTime)
-	return b
+	e.Expire(k.now, k.machineTypes[kind.machineType].ProvisioningTime)
+	return e
 }
 
-// becameReady learns from a machine that is heard for the first time. One that was rented
-// before this owner began may have been up for long.
+// becameReady learns from a machine's first heartbeat. Machines rented before this shard leader was
+// ready are ignored: they may have been up for long.
 func (f *fleetPlanner) becameReady(m *machine) {
 	v := f.view
 	if v == nil {
@@ -32,49 +38,44 @@
 	}
 }
 
-// timeToReady is how long a machine of a kind most likely takes that is rented now, or was
-// rented so long ago and is not up yet.
-func (kk *fleetKnowledge) timeToReady(k machineKind, age time.Duration) time.Duration {
-	f := kk.machineTypes[k.machineType]
-	return min(kk.provisioningOf(k).Remaining(age, f.ProvisioningTime), maxReadyFactor*f.ProvisioningTime)
+// timeToReady is how long a machine of a kind most likely takes to be ready that was rented age ago
+// and is not ready yet.
+func (k *fleetKnowledge) timeToReady(kind machineKind, age time.Duration) time.Duration {
+	f := k.machineTypes[kind.machineType]
+	return min(k.provisioningOf(kind).Remaining(age, f.ProvisioningTime), maxReadyFactor*f.ProvisioningTime)
 }
 
-// maxReadyFactor bounds how much later than told machines are planned to come up, in times
-// of that, also when none came up lately and one is rented all the same for want of
-// another.
-const maxReadyFactor = 10
-
-// isExpected says that a machine that was not heard of yet is counted on: that waiting for
-// it is a better bet than another.
+// isExpected reports whether a machine without a heartbeat so far is counted on: to wait for it is
+// better than to rent another.
 func (k *fleetKnowledge) isExpected(r *rental) bool {
 	f, ok := k.machineTypes[r.machineType]
 	return ok && !r.releasing && r.status != "returned" && r.status != "failed" && k.provisioningOf(r.machineKind).IsWorthWaiting(k.now.Sub(r.rentedAt), f.ProvisioningTime)
 }
 
-// expectedFor are the machines on their way that are counted on and that a job allows.
-func (c *Controller) expectedFor(j *job) iter.Seq[*rental] {
+// expectedFor yields the machines that are counted on but not ready yet and that a job allows.
+func (f *fleetPlanner) expectedFor(j *job) iter.Seq[*rental] {
 	return func(yield func(*rental) bool) {
-		if c.shardLeader.fleet.view == nil {
+		if f.view == nil {
 			return
 		}
-		for id, r := range c.shardLeader.fleet.view.rentals {
-			if m := c.shardLeader.machines[id]; (m == nil || !m.heard) && c.knowledge.isExpected(r) && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
+		for id, r := range f.view.rentals {
+			if m := f.controller.shardLeader.machines[id]; (m == nil || !m.heard) && f.controller.knowledge.isExpected(r) && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
 				return
 			}
 		}
 	}
 }
 
-// isGivenUp says that a machine that has not come up is not worth its rent any more.
+// isGivenUp reports whether a machine that is not ready is not worth its cost any more.
 func (k *fleetKnowledge) isGivenUp(r *rental) bool {
 	return k.provisioningOf(r.machineKind).GiveUp(k.now.Sub(r.rentedAt), k.machineTypes[r.machineType].ProvisioningTime)
 }
 
-// kindsNeverReady are the kinds of which machines have stopped coming up.
+// kindsNeverReady returns the kinds of which machines have stopped becoming ready.
 func (f *fleetPlanner) kindsNeverReady() map[machineKind]bool {
 	o := f.controller.shardLeader
 	provisioning := map[machineKind][]boottime.Provisioning{}
-	for id, r := range o.fleet.view.rentals {
+	for id, r := range f.view.rentals {
 		if m := o.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(o.readyAt) {
 			provisioning[r.machineKind] = append(provisioning[r.machineKind], boottime.Provisioning(r.rentedAt))
 		}
@@ -88,18 +89,17 @@
 	return neverReady
 }
 
-// logNeverReady tells of kinds that have stopped coming up, or come up again.
-func (f *fleetPlanner) logNeverReady(current map[machineKind]bool) {
-	o := f.controller.shardLeader
+// setNeverReadyKinds keeps what kindsNeverReady found and logs what has changed.
+func (f *fleetPlanner) setNeverReadyKinds(current map[machineKind]bool) {
 	for _, k := range sortedKinds(current) {
-		if !o.fleet.neverReadyKinds[k] {
-			f.info("machines of a kind do not come up: others are rented", "flavour", k.machineType, "zone", k.zone, "spot", k.spot)
+		if !f.neverReadyKinds[k] {
+			f.info("machine kind never ready, others requested instead", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
 		}
 	}
-	for _, k := range sortedKinds(o.fleet.neverReadyKinds) {
+	for _, k := range sortedKinds(f.neverReadyKinds) {
 		if !current[k] {
-			f.info("machines of a kind are rented again", "flavour", k.machineType, "zone", k.zone, "spot", k.spot)
+			f.info("machine kind requested again", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
 		}
 	}
-	o.fleet.neverReadyKinds = current
+	f.neverReadyKinds = current
 }
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -14,23 +14,22 @@
 	// jobSizeWeight weighs the time that the whole fleet would need for a job
 	// against its slack.
 	jobSizeWeight = 2
-)
-
-const (
 	// minRunTimeLeft is the part of the expected run time that must at least be left
 	// before a deadline for it to be worth trying; run times are uncertain.
 	minRunTimeLeft = 0.7
-	// lastDue is when a job beyond all its aims is due.
+	// lastDue is how long after it was ready a job is due that misses all its objectives.
 	lastDue = 10 * time.Minute
-	// A job without any aim is due after some of its run times, or this.
+	// A job without any objective is due after noObjectiveRuns of its run times, or after
+	// minNoObjectiveDue if that is longer.
 	noObjectiveRuns   = 4
 	minNoObjectiveDue = time.Minute
+	// minCapacityFraction is the part of all capacity that a workload may count on in any case.
+	minCapacityFraction = 0.25
 )
 
-// latestStart is when a task of the job should start at the latest to meet the next
-// of its aims that it can still meet. Jobs are placed in this order. What can
-// meet no aim any more goes last: in its place before the others it would only
-// make those late as well.
+// latestStart is when a task of the job should start at the latest to meet the first of its
+// objectives that it can still meet. Jobs are placed in this order. A job that can meet none any
+// more goes last: before the others it would only make those late as well.
 func (s *scheduler) latestStart(j *job) time.Time {
 	if j.LongRunning {
 		// Replicas are to run at all times.
@@ -42,9 +41,9 @@
 	if soonest.After(target) {
 		target = soonest
 	}
-	aims := 0
+	objectives := 0
 	consider := func(t time.Time) {
-		aims++
+		objectives++
 		if t.Before(target) && !soonest.After(t) {
 			target = t
 		}
@@ -64,13 +63,13 @@
 			consider(j.readySince().Add(o.Within))
 		}
 	}
-	if aims == 0 {
+	if objectives == 0 {
 		consider(j.readySince().Add(max(minNoObjectiveDue, noObjectiveRuns*d)))
 	}
 	return target.Add(-d)
 }
 
-// withinQuotaLimit says whether one more task keeps its team within the limit.
+// withinQuotaLimit reports whether one more task of the job keeps its team within its quota limit.
 func (s *scheduler) withinQuotaLimit(j *job) bool {
 	t := s.team(j.Team)
 	if t == nil {
@@ -80,7 +79,7 @@
 	return (t.QuotaLimit.CPU <= 0 || u.CPU <= t.QuotaLimit.CPU+roundingTolerance) && (t.QuotaLimit.GPU <= 0 || u.GPU <= t.QuotaLimit.GPU+roundingTolerance)
 }
 
-// withinGuaranteedQuota says whether the job's next task lies within its team's guarantee.
+// withinGuaranteedQuota reports whether the job's next task lies within its team's guaranteed quota.
 func (s *scheduler) withinGuaranteedQuota(j *job) bool {
 	t := s.team(j.Team)
 	if t == nil || t.GuaranteedQuota.CPU <= 0 && t.GuaranteedQuota.GPU <= 0 {
@@ -90,25 +89,27 @@
 	return u.CPU <= t.GuaranteedQuota.CPU+roundingTolerance && u.GPU <= t.GuaranteedQuota.GPU+roundingTolerance
 }
 
-// queuedJob is a waiting job and what decides its turn.
+// queuedJob is a job with pending tasks and what decides its place in the queue.
 type queuedJob struct {
 	job *job
-	// g: within its team's guarantee.
-	guaranteed  bool
+	// guaranteed says that its next task lies within its team's guaranteed quota.
+	guaranteed bool
+	// latestStart is that of the job, later the more work it has.
 	latestStart time.Time
-	// rankingPlace is that in the ranking, and weight the policy script's where there is none.
+	// rankingPlace is its place in the ranking; weight is from the policy script and counts
+	// where there is no ranking.
 	rankingPlace int
 	weight       float64
-	// workDuration is how long its waiting tasks would take all that its workload has,
-	// and late says that it is put off so that others are in time.
+	// workDuration is how long its pending tasks would occupy all that its workload has;
+	// deferred says that it goes last so that others are in time.
 	workDuration time.Duration
 	deferred     bool
-	// missed: its promised date can't be kept any more.
+	// missesPromise says that its promised date can't be kept any more.
 	missesPromise bool
 }
 
-// placeableTasks is how many of a job's waiting tasks may be placed now: of a job that fails
-// everywhere one at a time, to see whether it still does.
+// placeableTasks is how many of a job's pending tasks may be placed now. A job that fails
+// everywhere gets one at a time, to see whether it still does.
 func (s *scheduler) placeableTasks(j *job) int {
 	switch {
 	case j.pendingTasks() == 0 || !j.mayStart(s.now) || j.notBefore.After(s.now):
@@ -121,9 +122,10 @@
 	return 1
 }
 
-// queuedJobs sorts the jobs that wait for places by their urgency and aims.
+// queuedJobs returns the jobs with placeable tasks in the order of compareQueueOrder. As a side
+// effect it keeps each job's waitingSince.
 func (s *scheduler) queuedJobs() []queuedJob {
-	var rs []queuedJob
+	var queued []queuedJob
 	cpus := 0.0
 	for _, m := range s.controller.shardLeader.machinesByID {
 		cpus += m.size.CPU
@@ -141,19 +143,21 @@
 	}
 	slices.SortFunc(waiting, func(a, b *job) int { return strings.Compare(a.ID, b.ID) })
 	for _, j := range waiting {
-		// Aims count jobs, so of two that are as pressing the one with less
-		// left to do goes first: together they are done the sooner.
+		// Objectives count jobs, so of two as pressing ones that with less work left goes
+		// first: on average they are then done sooner.
 		left := float64(len(j.tasks)-j.doneTasks) * j.Need.CPU * s.controller.knowledge.expectedRunTime(j).Seconds()
 		key := s.latestStart(j).Add(record.DurationOfSeconds(jobSizeWeight * left / max(cpus, 1)))
-		rs = append(rs, queuedJob{job: j, guaranteed: s.withinGuaranteedQuota(j), latestStart: key, rankingPlace: s.controller.ranking.rankOf(j), weight: s.controller.ranking.policyWeight(j), missesPromise: s.controller.promises.cannotKeepDate(j)})
+		queued = append(queued, queuedJob{job: j, guaranteed: s.withinGuaranteedQuota(j), latestStart: key, rankingPlace: s.controller.ranking.rankOf(j), weight: s.controller.ranking.policyWeight(j), missesPromise: s.controller.promises.cannotKeepDate(j)})
 	}
-	slices.SortStableFunc(rs, compareQueueOrder)
-	if s.deferLateJobs(rs) {
-		slices.SortStableFunc(rs, compareQueueOrder)
+	slices.SortStableFunc(queued, compareQueueOrder)
+	if s.deferLateJobs(queued) {
+		slices.SortStableFunc(queued, compareQueueOrder)
 	}
-	return rs
+	return queued
 }
 
+// compareQueueOrder puts guaranteed quota first, then the ranking, the weights of the policy
+// script, jobs that can be in time, and of those the one with the earliest latest start.
 func compareQueueOrder(a, b queuedJob) int {
 	switch {
 	case a.guaranteed != b.guaranteed:
@@ -175,60 +179,59 @@
 	if a.deferred {
 		return cmp.Or(cmp.Compare(a.workDuration, b.workDuration), a.latestStart.Compare(b.latestStart))
 	}
-	// Of two that are as pressing, to the second, what can still keep its date goes
-	// before what can't: that is late either way.
+	// Of two that are as pressing, to the second, a job that can still keep its promised date
+	// goes before one that can't: that is late either way.
 	return cmp.Or(a.latestStart.Truncate(time.Second).Compare(b.latestStart.Truncate(time.Second)),
 		cmp.Compare(boolToFloat(a.missesPromise), boolToFloat(b.missesPromise)), cmp.Compare(b.job.criticalPath.Remaining, a.job.criticalPath.Remaining), a.latestStart.Compare(b.latestStart))
 }
 
-// deferLateJobs lets as many jobs as possible be in time when not all can be. Taken in
-// the order of their aims, as soon as one would be late the largest of those
-// before it and itself is put off (Moore's rule for the number of late jobs):
-// aims count jobs, and one large job that is late either way would take several
-// others with it. Nothing is put off while all can be in time.
-func (s *scheduler) deferLateJobs(rs []queuedJob) bool {
-	rooms := map[string]float64{}
+// deferLateJobs lets as many jobs as possible be in time when not all can be, and reports whether
+// it deferred any. Jobs are taken in queue order; as soon as one would be late, the largest of
+// those so far, itself included, is deferred (Moore's algorithm for the number of late jobs).
+// Objectives count jobs, and one large job that is late either way would make several others late.
+func (s *scheduler) deferLateJobs(queued []queuedJob) bool {
+	capacities := map[string]float64{}
 	accumulated := map[string]time.Duration{}
 	onTime := map[string][]*queuedJob{}
 	some := false
-	for i := range rs {
-		r := &rs[i]
-		j := r.job
+	for i := range queued {
+		q := &queued[i]
+		j := q.job
 		if j.LongRunning || j.Gang {
 			continue
 		}
-		room, ok := rooms[j.Workload]
+		capacity, ok := capacities[j.Workload]
 		if !ok {
-			room = s.capacityFor(j)
-			rooms[j.Workload] = room
+			capacity = s.capacityFor(j)
+			capacities[j.Workload] = capacity
 		}
 		run := s.controller.knowledge.expectedRunTime(j)
-		r.workDuration = time.Duration(float64(j.pendingTasks()) * float64(run) / max(room, 1))
-		key := fmt.Sprint(j.Workload, j.Urgency, r.guaranteed)
-		onTime[key] = append(onTime[key], r)
-		accumulated[key] += r.workDuration
+		q.workDuration = time.Duration(float64(j.pendingTasks()) * float64(run) / max(capacity, 1))
+		key := fmt.Sprint(j.Workload, j.Urgency, q.guaranteed)
+		onTime[key] = append(onTime[key], q)
+		accumulated[key] += q.workDuration
 		// Its last task starts when the work before it is nearly done, the first
 		// ones at once.
-		aim := s.latestStart(j)
-		if !s.now.Add(accumulated[key] - run).After(aim) {
+		if !s.now.Add(accumulated[key] - run).After(s.latestStart(j)) {
 			continue
 		}
-		big := 0
+		largest := 0
 		for k, x := range onTime[key] {
-			if x.workDuration > onTime[key][big].workDuration {
-				big = k
+			if x.workDuration > onTime[key][largest].workDuration {
+				largest = k
 			}
 		}
-		x := onTime[key][big]
+		x := onTime[key][largest]
 		x.deferred, some = true, true
 		accumulated[key] -= x.workDuration
-		onTime[key] = slices.Delete(onTime[key], big, big+1)
+		onTime[key] = slices.Delete(onTime[key], largest, largest+1)
 	}
 	return some
 }
 
-// capacityFor is how many tasks like the job's its workload may count on running at
-// a time: those that run and what is free, and at least a part of all.
+// capacityFor is how many tasks like the job's its workload may count on running at a time: those
+// that are live and those that fit into free and coming capacity, and at least
+// minCapacityFraction of what all usable machines hold.
 func (s *scheduler) capacityFor(j *job) float64 {
 	live := 0
 	for _, o := range s.controller.shardLeader.jobs {
@@ -244,8 +247,8 @@
 		}
 	}
 	if v := s.controller.shardLeader.fleet.view; v != nil {
-		// What boots is there before the aims of what waits are over.
-		for r := range s.controller.expectedFor(j) {
+		// Machines on their way are ready before the objectives of pending work have passed.
+		for r := range s.controller.shardLeader.fleet.expectedFor(j) {
 			free += s.controller.knowledge.machineTypes[r.machineType].Capacity.FitCount(j.Need)
 		}
 		for k, c := range v.pendingRentals {
@@ -254,8 +257,5 @@
 			}
 		}
 	}
-	return max(float64(live+free), roomLeast*float64(all))
+	return max(float64(live+free), minCapacityFraction*float64(all))
 }
-
-// roomLeast is the part of all room that a workload may count on in any case.
-const roomLeast = 0.25
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -182,8 +182,7 @@
 			r.controller.shardLeader.endAttempt(o.jobs[k.job], k.index, false)
 		}
 	}
-	o.scheduler.placementDue, o.scheduler.placementUrgent = true, true
-	o.scheduler.preemptionVictims = nil
+	o.scheduler.restartPlacement()
 }
 
 // refresh reads the ranking anew for what waits for it.
@@ -207,7 +206,7 @@
 				r.controller.markDispatchPending(m)
 			}
 		}
-		r.controller.shardLeader.scheduler.placementDue = true
+		r.controller.shardLeader.scheduler.requestPlacement()
 	})
 }
 
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -339,7 +339,7 @@
 						if s.machine != m {
 							continue
 						}
-						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, h).rate(n, h, s); suits {
+						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, h).rate(&n.shardLeader.scheduler, h, s); suits {
 							t.Fatalf("%s of %s, place %d, is on %s; %s of %s, place %d, waits", l.ID, l.Workload, n.ranking.rankOf(l), m.id, h.ID, h.Workload, n.ranking.rankOf(h))
 						}
 					}
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -236,7 +236,7 @@
 		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != model.Ended && m.attempts[k] == nil && o.jobs[k.job] != nil
 	}
 	if hadOthersAttempts && !m.hasOthersAttempts {
-		o.scheduler.placementDue = true
+		o.scheduler.requestPlacement()
 		if len(m.attempts) == 0 {
 			m.idleSince = r.now
 		}
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -169,7 +169,7 @@
 // releaseMachines asks the cloud to take machines back until it says that it has.
 func (l *leader) releaseMachines(ids []string) {
 	for _, id := range ids {
-		l.controller.knowledge.released[id] = true
+		l.controller.knowledge.markReleased(id)
 		if r := l.rentals[id]; r != nil {
 			r.releasing = true
 		}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -41,9 +41,9 @@
 		// only the answer to a return is proof. If one was asked for already, the
 		// wish may have been lost, or answered to another owner.
 		if id := m.id; o.fleet.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || c.knowledge.released[id]) && settled && len(o.fleet.machinesToRelease) < maxReleasePerRequest {
-			c.knowledge.released[id] = true
+			c.knowledge.markReleased(id)
 			m.releasing = true
-			o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
+			o.fleet.requestRelease(id)
 		}
 	}
 	for _, id := range sortedKeys(o.fleet.view.rentals) {
@@ -51,7 +51,7 @@
 		m := o.machines[id]
 		if r.releasing && c.leader == nil {
 			// Asked for already; the wish may have been lost.
-			o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
+			o.fleet.requestRelease(id)
 		}
 		if r.releasing {
 			continue
@@ -79,13 +79,12 @@
 		if reason == "never came up" && !c.knowledge.released[id] {
 			// Once, however often the leader is asked.
 			c.knowledge.provisioningOf(r.machineKind).RecordGivenUp(c.now)
-			o.fleet.neverReadyCount++
-			o.fleet.neverReadyCost += c.knowledge.costPerHour(r.machineKind) * c.now.Sub(r.rentedAt).Hours()
+			o.fleet.recordNeverReady(c.knowledge.costPerHour(r.machineKind) * c.now.Sub(r.rentedAt).Hours())
 			c.info("machines that never served", "count", o.fleet.neverReadyCount, "cost", o.fleet.neverReadyCost)
 		}
-		o.fleet.machinesToRelease = append(o.fleet.machinesToRelease, id)
+		o.fleet.requestRelease(id)
 		// Never given work again, whatever becomes of the return.
-		c.knowledge.released[id] = true
+		c.knowledge.markReleased(id)
 		if m != nil {
 			m.releasing = true
 		}
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -8,16 +8,32 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// scaling.go says which machines are worth renting, which are spare and which dear
-// ones to let go, by playing the fleet forward.
+// scaling.go decides by simulation which machines are worth renting, which are surplus and which
+// expensive ones to decommission.
 
-// minIdleTime is how long a machine that nothing needs stays at least: ends and
-// starts follow one another, and plans change from second to second.
-const minIdleTime = 10 * time.Second
+const (
+	// minIdleTime is how long an idle machine is kept at least: ends and starts follow one
+	// another, and plans change from second to second.
+	minIdleTime = 10 * time.Second
+	// surplusAfter is how long a machine must be idle before another shard leader may have it.
+	surplusAfter = 2 * time.Second
+	// expensiveFactor is how many times the lowest cost of a CPU a machine's must be for the
+	// machine to be decommissioned while others can do its work.
+	expensiveFactor = 1.5
+	// tolerableDelay is how much later a task may start on average so that an expensive machine
+	// can go. Of a thousand tasks some few are always a little later.
+	tolerableDelay = 10 * time.Millisecond
+	// maxDecommissionTries bounds the failed tries in one pass.
+	maxDecommissionTries = 4
+	// decommissionBatches is in how many parts a long list of machines is tried.
+	decommissionBatches = 8
+	// slowDecommissionSize is the pool size from which on machines to decommission are chosen
+	// less often: each as many machines more add a leaderPeriod.
+	slowDecommissionSize = 100
+)
 
-// surplusMachines picks the idle machines that are not needed: for what waits or for
-// what the last while makes likely, played forward on the cheapest machines
-// first. A machine that is cheap is kept the longer.
+// surplusMachines returns the idle machines that are needed neither for pending work nor for what the
+// last minutes make likely, simulated on the cheapest machines first. Cheap machines are kept longer.
 func (f *fleetPlanner) surplusMachines(r *freeCapacity, charge chargeFunc) map[string]bool {
 	o := f.controller.shardLeader
 	surplus := map[string]bool{}
@@ -32,8 +48,8 @@
 	if !idle {
 		return surplus
 	}
-	// A machine being retired is one without which nothing is late; it goes as
-	// soon as it is idle, and none is kept for its sake.
+	// Without the machines under decommission nothing is late; they go as soon as they are
+	// idle, and no other machine is released in their place.
 	decommissioning := map[*machine]bool{}
 	for _, v := range r.machines {
 		if v.machine.decommissioning {
@@ -55,11 +71,7 @@
 	return surplus
 }
 
-// surplusAfter is how long a machine must have had no task before another owner may have
-// it: ends and starts follow one another.
-const surplusAfter = 2 * time.Second
-
-// hasOtherShardLeaders says that there are other owners.
+// hasOtherShardLeaders reports whether other controllers hold shards with teams.
 func (m *membership) hasOtherShardLeaders() bool {
 	for _, s := range m.shardMap.Shards() {
 		if s.Host != m.settings.Host && len(s.Teams) > 0 {
@@ -69,8 +81,8 @@
 	return false
 }
 
-// surplusForOthers are the machines of those that nothing here needs that others may have, the
-// dearest first.
+// surplusForOthers returns those of the surplus machines that other shard leaders may have, the most
+// expensive first.
 func (f *fleetPlanner) surplusForOthers(surplus map[string]bool) []string {
 	if !f.controller.membership.hasOtherShardLeaders() {
 		return nil
@@ -91,32 +103,28 @@
 	return out
 }
 
-// isIdleExpired says that a machine has had no task for as long as one of its price is kept.
+// isIdleExpired reports whether a machine has been idle for as long as one of its cost is kept.
 func (f *fleetPlanner) isIdleExpired(m *machine, cheapest float64) bool {
 	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && f.now.Sub(m.idleSince) > f.idleRetention(m, cheapest)
 }
 
-// expensiveFactor is how many times the cheapest price a machine must cost to be retired
-// while others can do its work.
-const expensiveFactor = 1.5
-
-// decommissionExpensive takes dear machines out of use, one after another, as long as the
-// others would start everything in time without them; what runs there ends in
-// peace. Without this, work spreads over all machines there are, none goes idle,
-// and the ordinary ones of one rush are paid for ever after.
+// decommissionExpensive takes expensive machines out of use, as long as the others would start
+// everything in time without them; what runs there goes on to its end. Otherwise work would spread over
+// all machines, none would go idle, and the on-demand machines rented for one burst would be paid for
+// ever after.
 func (f *fleetPlanner) decommissionExpensive(r *freeCapacity, charge chargeFunc) {
 	var expensive []*machine
 	cheapest := f.controller.knowledge.cheapestCPUCost()
 	for _, m := range f.controller.shardLeader.machinesByID {
-		// One that is held for a job is out of the plan, so that nothing would miss it.
+		// A machine reserved for a job is not simulated, so nothing would miss it.
 		if f.controller.shardLeader.scheduler.usable(m) && m.reservedFor == "" && f.controller.knowledge.costPerCPU(m) > expensiveFactor*cheapest {
 			expensive = append(expensive, m)
 		}
 	}
-	// After a takeover the forecast comes from the former owner's news, or is
-	// not there yet.
+	// After a takeover the forecast comes from the previous shard leader's updates, or is not
+	// there yet.
 	o, chosen := f.controller.shardLeader, map[*machine]bool{}
-	// Decided as one: while the others are played forward nothing changes.
+	// Applied all at once, as the pass may be suspended during the simulations.
 	defer func() {
 		for _, m := range o.machinesByID {
 			m.decommissioning = chosen[m]
@@ -127,7 +135,7 @@
 	}
 	// The emptiest go first.
 	slices.SortStableFunc(expensive, func(a, b *machine) int {
-		return cmp.Compare(f.controller.shardLeader.fleet.utilization(a), f.controller.shardLeader.fleet.utilization(b))
+		return cmp.Compare(f.utilization(a), f.utilization(b))
 	})
 	demands := f.demands(f.controller.knowledge.planningHorizon(), true, false)
 	base := f.simulatedLateness(r, demands, nil, charge)
@@ -136,8 +144,8 @@
 		base += time.Duration(d.count) * tolerableDelay
 	}
 	failures := 0
-	// Of many, several are tried at once, and fewer when that is too much: each
-	// try plays all demands forward.
+	// Of many, several are tried at once, and fewer after a failure: each try simulates all
+	// demands.
 	batchSize := max(1, len(expensive)/decommissionBatches)
 	for len(expensive) > 0 {
 		batch := expensive[:min(batchSize, len(expensive))]
@@ -159,39 +167,45 @@
 		}
 		batchSize = max(1, batchSize/2)
 	}
-	f.debug("retire", "dear", candidateCount, "retiring", len(chosen), "late", before, "tries in vain", failures)
+	f.debug("decommission planned", "expensive", candidateCount, "decommissioning", len(chosen), "late", before, "failed_tries", failures)
 }
 
-// tolerableDelay is how much later a task may start on the average for the sake of a
-// dear machine that goes. Of a thousand tasks some few are always a little later.
-const tolerableDelay = 10 * time.Millisecond
-
-// maxDecommissionTries bounds the tries in vain in one look.
-const (
-	maxDecommissionTries = 4
-	// decommissionBatches is in how many parts a long list of machines is tried, and
-	// slowDecommissionSize after how many machines in the pool the looks get rarer.
-	decommissionBatches  = 8
-	slowDecommissionSize = 100
-)
-
-// idleRetention is how long a machine stays idle before it may go back: the longer
-// the cheaper it is.
+// idleRetention is how long an idle machine is kept before it may be released: the longer the cheaper
+// it is.
 func (f *fleetPlanner) idleRetention(m *machine, cheapest float64) time.Duration {
 	return max(minIdleTime, time.Duration(float64(f.settings.Policy.IdleTimeout)*cheapest/f.controller.knowledge.costPerCPU(m)))
 }
 
-// planScaleOut asks the cloud for machines. It plays forward, in the order of placement,
-// when each waiting or expected task would start on the machines there are, by
-// the expected ends of what runs. Where a machine rented now would let it start
-// sooner, a spot one is rented; an ordinary one, several times as dear, only if
-// the task would otherwise start later than it must.
+// scaleOutPlan is the state of planScaleOut.
+type scaleOutPlan struct {
+	sim      *simulation
+	requests map[machineKind]int
+	// unmetCPU is the CPUs that all tasks not yet placed need.
+	unmetCPU float64
+}
+
+// planScaleOut decides which machines to request. It simulates, in the order of placement, when each
+// pending or expected task would start on the present machines and those on their way. Where a machine
+// rented now would let it start sooner, a spot machine is requested; an on-demand one, several times as
+// expensive, only if the task would otherwise start later than it must.
 func (f *fleetPlanner) planScaleOut(r *freeCapacity, charge chargeFunc) map[machineKind]int {
-	o := f.controller.shardLeader
-	sim := f.newSimulation(r.machines, r.imageIDs, charge)
-	for _, id := range sortedKeys(o.fleet.view.rentals) {
-		r := o.fleet.view.rentals[id]
-		m := o.machines[id]
+	plan := &scaleOutPlan{sim: f.newSimulation(r.machines, r.imageIDs, charge), requests: map[machineKind]int{}}
+	f.addExpectedMachines(plan.sim)
+	demands := f.demands(f.controller.knowledge.planningHorizon(), false, false)
+	for _, d := range demands {
+		plan.unmetCPU += float64(d.count) * d.job.Need.CPU
+	}
+	for _, d := range demands {
+		plan.addDemand(d)
+	}
+	return plan.requests
+}
+
+// addExpectedMachines adds the machines that are handed over, booked or on their way to a simulation.
+func (f *fleetPlanner) addExpectedMachines(sim *simulation) {
+	for _, id := range sortedKeys(f.view.rentals) {
+		r := f.view.rentals[id]
+		m := f.controller.shardLeader.machines[id]
 		if r.releasing || r.status == "returned" || r.status == "failed" || m != nil && (m.heard || f.expectedToReport(m)) {
 			continue
 		}
@@ -203,54 +217,50 @@
 			sim.addProvisioning(r.machineKind, f.now.Add(f.controller.knowledge.timeToReady(r.machineKind, f.now.Sub(r.rentedAt))))
 		}
 	}
-	for _, k := range sortedKinds(o.fleet.view.pendingRentals) {
-		for range o.fleet.view.pendingRentals[k] {
+	for _, k := range sortedKinds(f.view.pendingRentals) {
+		for range f.view.pendingRentals[k] {
 			sim.addProvisioning(k, sim.now.Add(f.controller.knowledge.timeToReady(k, 0)))
 		}
 	}
-	requests := map[machineKind]int{}
-	demands := f.demands(f.controller.knowledge.planningHorizon(), false, false)
-	unmet := 0.0
-	for _, d := range demands {
-		unmet += float64(d.count) * d.job.Need.CPU
-	}
-	for _, d := range demands {
-		a := sim.newRequest(d.job)
-		rented, first, reliefs := 0, time.Duration(0), 0
-		for from, remaining := range d.arrivalBatches(sim.now) {
-			for remaining > 0 && sim.nextVisit() {
-				count := max(1, int(unmet/max(d.job.Need.CPU, 0.1)))
-				v, at := sim.bestMachine(a, from, false)
-				if k, ok := sim.kindWorthRenting(a, d, from, v != nil, at, count); ok {
-					if rented++; rented == 1 {
-						first = at.Sub(from)
-					}
-					requests[k]++
-					v = sim.addMachine(k)
-				} else if x, k, ok := sim.scarcityRelief(a, v, from, count); x != nil {
-					v = x
-				} else if ok {
-					reliefs++
-					requests[k]++
-					v = sim.addMachine(k)
-				}
-				k := remaining
-				if v != nil {
-					k, _, _ = sim.placeTasks(a, v, from, remaining)
+}
+
+// addDemand places a demand's tasks in the simulation and requests the machines that this is worth.
+func (p *scaleOutPlan) addDemand(d demand) {
+	sim := p.sim
+	a := sim.newRequest(d.job)
+	rented, first, reliefs := 0, time.Duration(0), 0
+	for from, remaining := range d.arrivalBatches(sim.now) {
+		for remaining > 0 && sim.nextVisit() {
+			count := max(1, int(p.unmetCPU/max(d.job.Need.CPU, 0.1)))
+			v, at := sim.bestMachine(a, from, false)
+			if k, ok := sim.kindWorthRenting(a, d, from, v != nil, at, count); ok {
+				if rented++; rented == 1 {
+					first = at.Sub(from)
 				}
-				remaining -= k
-				unmet -= float64(k) * d.job.Need.CPU
+				p.requests[k]++
+				v = sim.addMachine(k)
+			} else if x, k, ok := sim.scarcityRelief(a, v, from, count); x != nil {
+				v = x
+			} else if ok {
+				reliefs++
+				p.requests[k]++
+				v = sim.addMachine(k)
 			}
+			placed := remaining
+			if v != nil {
+				placed, _, _ = sim.placeTasks(a, v, from, remaining)
+			}
+			remaining -= placed
+			p.unmetCPU -= float64(placed) * d.job.Need.CPU
 		}
-		if rented+reliefs > 0 {
-			f.debug("wants", "workload", d.job.Workload, "tasks", d.count, "expected", d.arrivalSpread > 0, "machines", rented, "instead of waiting", first, "to leave room", reliefs)
-		}
 	}
-	return requests
+	if rented+reliefs > 0 {
+		sim.controller.debug("scale-out planned", "workload", d.job.Workload, "tasks", d.count, "expected", d.arrivalSpread > 0, "machines", rented, "instead_of_waiting", first, "for_scarcity", reliefs)
+	}
 }
 
-// timeToReady is how long a machine of a kind takes to be of use: less while another owner
-// has some to spare.
+// timeToReady is how long a machine of a kind takes to be of use: less while another shard leader
+// offers one.
 func (p *simulation) timeToReady(o offer) time.Duration {
 	if p.surplus[o.machineKind] > 0 {
 		return handoverTime
@@ -258,7 +268,7 @@
 	return o.timeToReady
 }
 
-// addMachine adds a machine that is to be rented, or handed over by another owner.
+// addMachine adds a machine that is to be rented, or handed over by another shard leader.
 func (p *simulation) addMachine(k machineKind) *simulatedMachine {
 	if p.surplus[k] > 0 {
 		p.surplus[k]--
@@ -267,10 +277,10 @@
 	return p.addProvisioning(k, p.now.Add(p.controller.knowledge.timeToReady(k, 0)))
 }
 
-// scarcityRelief is what keeps a task off room on which work that waits, and fits little
-// else, depends: another machine that is there soon enough, or a cheap kind to
-// rent. Looking for one that is there first matters: without it each task that
-// is expected would want a new machine, beside hundreds that are idle.
+// scarcityRelief keeps a task off a machine that pending work depends on which fits little else. It
+// returns another machine that is free soon enough, or a spot kind to rent. It matters that present
+// machines come first: otherwise each expected task would request a new machine, beside hundreds of
+// idle ones.
 func (p *simulation) scarcityRelief(a *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
 	if chosen == nil || !p.isNeededElsewhere(a.job, chosen.machineKind.machineType) {
 		return nil, machineKind{}, false
@@ -285,24 +295,24 @@
 	return nil, k.machineKind, ok
 }
 
-// neededElsewhere says that another workload waits which fits the flavour and
-// fewer flavours than this one.
-func (f *fleetPlanner) neededElsewhere(s *model.JobSpec, flavour string) bool {
-	mine := len(f.controller.knowledge.fittingMachineTypes(s))
+// neededElsewhere reports whether another workload with pending tasks fits the machine type, and fewer
+// types than that of spec does.
+func (f *fleetPlanner) neededElsewhere(spec *model.JobSpec, machineType string) bool {
+	mine := len(f.controller.knowledge.fittingMachineTypes(spec))
 	for name := range f.controller.shardLeader.scheduler.startDeadlines {
 		w := f.controller.shardLeader.workloads[name]
-		if name == s.Workload || w == nil {
+		if name == spec.Workload || w == nil {
 			continue
 		}
-		if theirs := f.controller.knowledge.fittingMachineTypes(w.spec); len(theirs) < mine && slices.Contains(theirs, flavour) {
+		if theirs := f.controller.knowledge.fittingMachineTypes(w.spec); len(theirs) < mine && slices.Contains(theirs, machineType) {
 			return true
 		}
 	}
 	return false
 }
 
-// kindWorthRenting says what to rent for tasks of a demand that come at the time from
-// and would start at the time at (if they have a place at all).
+// kindWorthRenting returns what to rent, if anything, for tasks of a demand that arrive at from and
+// would start at the time at, if placed says that they fit anywhere.
 func (p *simulation) kindWorthRenting(a *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
 	for _, spot := range [...]bool{true, false} {
 		k, ok := p.bestKind(a, count, spot)
@@ -312,9 +322,9 @@
 		if !placed {
 			return k.machineKind, true
 		}
-		// It has to fetch the image as well, and not before the task is there:
-		// without that, each task expected later than a boot takes would want a
-		// machine of its own, beside idle ones that have to fetch too.
+		// It has to fetch the image as well, and not before the task has arrived: otherwise
+		// each task expected later than provisioning takes would request a machine of its
+		// own, beside idle ones that have to fetch too.
 		ready := later(p.now.Add(p.timeToReady(k)), from).Add(k.fetchTime)
 		if !at.After(ready.Add(minSafetyMargin)) {
 			continue
@@ -323,8 +333,8 @@
 		if !late && !at.After(ready.Add(p.minPayback(k, a))) {
 			continue
 		}
-		// One that another owner has to spare is there already: as long as work waits
-		// that it would do sooner, it isn't to stand idle beside it.
+		// A machine that another shard leader offers is ready already: as long as work waits
+		// that it would start sooner, it should not stand idle.
 		if spot || late || p.surplus[k.machineKind] > 0 {
 			return k.machineKind, true
 		}
@@ -332,10 +342,10 @@
 	return machineKind{}, false
 }
 
-// minPayback is for how long a new machine should find work for the time that it boots,
-// and is paid for, to be worth it: tasks that are short and not pressing are then done
-// one after another, by some machines, and not each on one of its own. Tasks that run
-// for longer than the boot pay for it by themselves.
+// minPayback is how much later than on a new machine a task must otherwise start for the machine to
+// be worth the time of its provisioning, which is paid for too. Short tasks that are not pressing are
+// so done one after another, and not each on a machine of its own. Tasks that run for longer than
+// provisioning takes pay for it by themselves.
 func (p *simulation) minPayback(k offer, a *placementRequest) time.Duration {
 	if p.surplus[k.machineKind] > 0 || p.controller.waitObjective(a.job.Workload) > 0 {
 		return 0
@@ -343,13 +353,13 @@
 	return k.timeToReady - a.run
 }
 
-// offers are the kinds of machines on which tasks of a job fit, in order.
-func (p *simulation) offers(j *job, off bool) []offer {
+// offers returns the kinds of machines on which tasks of a job fit, in a fixed order.
+func (p *simulation) offers(j *job, avoidGPUs bool) []offer {
 	var out []offer
 	for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
 		f := p.controller.knowledge.machineTypes[name]
 		fit := f.Capacity.FitCount(j.Need)
-		if fit == 0 || off && p.controller.shardLeader.scheduler.currentPackingProfile().kind(name) != nil {
+		if fit == 0 || avoidGPUs && p.controller.shardLeader.scheduler.currentPackingProfile().kind(name) != nil {
 			continue
 		}
 		for _, z := range f.Zones {
@@ -364,8 +374,8 @@
 	return out
 }
 
-// bestKind is the cheapest kind, spot or not, for some tasks of a job, among
-// those the cloud has not just refused.
+// bestKind returns the kind that is cheapest for count tasks of a job, spot or not as asked, among those
+// that the cloud has not just refused.
 func (p *simulation) bestKind(a *placementRequest, count int, spot bool) (offer, bool) {
 	var best offer
 	var bestCost float64
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -6,28 +6,101 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-const (
-	// fetchMargin is the part of a bounded wait that orders and writes take.
-	fetchMargin = 500 * time.Millisecond
-)
+// commandAndWriteTime is the part of a bounded wait that is set aside for writing the task's
+// record and sending the start command; the rest may be spent on fetching the image.
+const commandAndWriteTime = 500 * time.Millisecond
+
+// scheduler decides which pending task starts on which machine, and which running tasks are
+// stopped for it. It is part of a shard leader and works on the leader's jobs and machines:
+// its methods may be called only while this controller leads a shard, from within Step.
+//
+// The scheduler owns no durable state. A successor starts with an empty one: everything here
+// is derived from jobs, machines and the clock, or only spaces out expensive scans.
+//
+// Invariants: a task is placed only on a machine that is usable, while the membership lease is
+// valid, and within its team's quota limit; the attempt starts only after its record is durable.
+type scheduler struct {
+	component
+
+	// placementDue says that something changed that may let tasks be placed, placementUrgent
+	// that one of these tasks has a bounded wait. The last round began at placedAt, and the
+	// step that contained it took roundDuration.
+	placementDue    bool
+	placementUrgent bool
+	placedAt        time.Time
+	roundDuration   time.Duration
+
+	// preemptionVictims caches, for each kind of task, where lower work may be stopped.
+	preemptionVictims map[preemptionVictimsKey]*preemptionVictims
+	// machinesReservedAt is when machines were last reserved for overdue jobs; see aging.go.
+	machinesReservedAt time.Time
+	// startDeadlines holds, for each workload with pending tasks, when the first of them
+	// should start at the latest. Rebuilt in each placement round.
+	startDeadlines map[string]time.Time
+
+	// packingProfile is the usual demand on machines with GPUs; nil while the models
+	// capability is off. See packing.go.
+	packingProfile *packingProfile
+	// freeCapacityReportedAt is when free GPU capacity was last reported to the metrics.
+	freeCapacityReportedAt time.Time
+}
+
+// requestPlacement asks for a placement round: a task has become pending, or capacity free.
+func (s *scheduler) requestPlacement() { s.placementDue = true }
+
+// hurryPlacement lets the next round start without the usual interval if the wait of the
+// workload's tasks is bounded. It does not ask for a round by itself.
+func (s *scheduler) hurryPlacement(workload string) {
+	s.placementUrgent = s.placementUrgent || s.waitObjective(workload) > 0
+}
+
+// restartPlacement asks for a round at once and forgets where work may be preempted: the
+// ranking has changed.
+func (s *scheduler) restartPlacement() {
+	s.placementDue, s.placementUrgent = true, true
+	s.preemptionVictims = nil
+}
+
+// placementRoundDue reports whether a requested round may start now.
+func (s *scheduler) placementRoundDue() bool {
+	return s.placementDue && !s.now.Before(s.nextRoundAt())
+}
 
-// usable says whether tasks may be placed on m now.
+// nextRoundAt is when the next round may start. After a round that took long, half as much
+// again as it took is left to other work, however many tasks are pending.
+func (s *scheduler) nextRoundAt() time.Time {
+	gap := placementInterval
+	if s.placementUrgent {
+		gap = 0
+	}
+	return s.placedAt.Add(max(gap, s.roundDuration*5/2))
+}
+
+// runPlacementRound answers all requests for a round made so far.
+func (s *scheduler) runPlacementRound() {
+	s.placementDue, s.placementUrgent, s.placedAt = false, false, s.now
+	s.placeAll()
+}
+
+// recordRoundDuration notes how long the step with the last round took.
+func (s *scheduler) recordRoundDuration(d time.Duration) { s.roundDuration = d }
+
+// usable reports whether tasks may be placed on m now.
 func (s *scheduler) usable(m *machine) bool {
 	return !s.controller.isRentedForOther(m.id) && m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks && m.size.CPU > 0 && m.reachability.Reachable() && !s.controller.shardLeader.heartbeats.unresponsive(m)
 }
 
-// placeAll places what waits, in order.
+// placeAll reserves machines for overdue jobs and places pending tasks in queue order.
 func (s *scheduler) placeAll() {
-	o := s.controller.shardLeader
-	turns := s.queueOrder()
+	entries := s.queueOrder()
 	var jobs []*job
-	for _, t := range turns {
-		if t.goesFirst || !t.job.overdue {
-			jobs = append(jobs, t.job)
+	for _, e := range entries {
+		if e.goesFirst || !e.job.overdue {
+			jobs = append(jobs, e.job)
 		}
 	}
 	s.reserveMachines(jobs)
-	if len(turns) == 0 {
+	if len(entries) == 0 {
 		return
 	}
 	if s.now.After(s.controller.membership.leaseValidUntil) || s.controller.ranking.stale {
@@ -35,46 +108,49 @@
 	}
 	s.placeReserved()
 	r := s.newPlacementRound()
-	o.scheduler.startDeadlines = map[string]time.Time{}
-	for _, t := range turns {
-		j, l := t.job, s.latestStart(t.job)
-		if t, ok := o.scheduler.startDeadlines[j.Workload]; !ok || l.Before(t) {
-			o.scheduler.startDeadlines[j.Workload] = l
-		}
+	s.updateStartDeadlines(entries)
+	for _, e := range entries {
+		e.job.placingOverdue = e.goesFirst
+		s.placeQueueEntry(e.job, r, e.tasks)
+		e.job.placingOverdue = false
 	}
-	for _, t := range turns {
-		t.job.placingOverdue = t.goesFirst
-		s.placeQueueEntry(t.job, r, t.tasks)
-		t.job.placingOverdue = false
+}
+
+func (s *scheduler) updateStartDeadlines(entries []queueEntry) {
+	s.startDeadlines = map[string]time.Time{}
+	for _, e := range entries {
+		j, latest := e.job, s.latestStart(e.job)
+		if t, ok := s.startDeadlines[j.Workload]; !ok || latest.Before(t) {
+			s.startDeadlines[j.Workload] = latest
+		}
 	}
 }
 
-// placeQueueEntry places up to count waiting tasks of a job whose turn it is.
+// placeQueueEntry places up to count pending tasks of a job whose turn it is.
 func (s *scheduler) placeQueueEntry(j *job, r *placementRound, count int) {
 	if j.Gang {
 		s.placeGang(j, r)
 		return
 	}
-	most := func() int { return min(count, s.controller.shardLeader.scheduler.placeableTasks(j)) }
+	most := func() int { return min(count, s.placeableTasks(j)) }
 	place := func(fetch time.Duration, most int) {
-		waiting := j.pendingTasks()
-		s.controller.shardLeader.scheduler.placeJob(j, r, fetch, most)
-		count -= waiting - j.pendingTasks()
+		pending := j.pendingTasks()
+		s.placeJob(j, r, fetch, most)
+		count -= pending - j.pendingTasks()
 	}
 	bound := s.waitObjective(j.Workload)
 	if bound == 0 || j.Urgency == model.BestEffort {
 		place(forever, most())
 		if (j.placingOverdue || s.preemptsForReplica(j)) && most() > 0 && !s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
-			// Work of lower urgency makes room for what has waited too long, and such
-			// without GPUs for replicas.
+			// Work of lower urgency is stopped for an overdue job, and such work without
+			// GPUs also for replicas.
 			s.preemptIfDue(j, forever)
 		}
 		return
 	}
-	// Where an objective bounds the wait: first where the image is, then
-	// in the place of lower work there, and only then where it must be
-	// fetched first, which alone can take longer than the bound.
-	left := bound - s.now.Sub(j.readySince()) - fetchMargin
+	// With a bounded wait: first where the image is or can be in time, then in place of lower
+	// work there, and only then where the fetch alone may take longer than the bound.
+	left := bound - s.now.Sub(j.readySince()) - commandAndWriteTime
 	place(max(left, 0), most())
 	freeing := 0
 	switch {
@@ -86,26 +162,3 @@
 	}
 	place(forever, most()-freeing)
 }
-
-// scheduler TODO.
-type scheduler struct {
-	component
-
-	// place: something has changed that may let tasks be placed, and hurry:
-	// for one whose wait is bounded. placed is when that was last done.
-	placementDue    bool
-	placementUrgent bool
-	placedAt        time.Time
-	// roundDuration is how long the step with the last round of placing took.
-	roundDuration time.Duration
-	// preemptionVictims is where urgent work may take the place of other work.
-	preemptionVictims map[preemptionVictimsKey]*preemptionVictims
-	// machinesReservedAt is when machines were last gathered; see aging.go.
-	machinesReservedAt time.Time
-	// packingProfile is what is usual on machines with GPUs, while models are on.
-	packingProfile         *packingProfile
-	freeCapacityReportedAt time.Time
-	// startDeadlines is, for each workload with tasks that wait for a place, when the
-	// first of them should start at the latest.
-	startDeadlines map[string]time.Time
-}
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -105,13 +105,6 @@
 	lastSeen time.Time
 }
 
-type arrival struct {
-	arrivedAt time.Time
-	tasks     int
-	need      model.Resources
-	spec      *model.JobSpec
-}
-
 // grace is H: how long an owner goes on answering its workers after its grant
 // may have ended. A full lease, so that a long outage of the state service
 // costs no work; a successor that reaches the workers needs not wait for it,
@@ -123,7 +116,7 @@
 		return
 	}
 	c.info("owner no more", "why", reason)
-	c.shardLeader.endPlanningPass()
+	c.shardLeader.fleet.endPlanningPass()
 	if c.shardLeader.scheduler.packingProfile != nil {
 		c.emit(message.GPUFreeCapacityReport{})
 	}
@@ -179,14 +172,13 @@
 		// here; another controller's may be a second off.
 		j = s.addJob(spec, s.now, it.ModRevision)
 		if !r.Cancelled {
-			k := workloadKey{j.Team, j.Workload}
-			s.fleet.arrivals[k] = append(s.fleet.arrivals[k], arrival{s.now, j.Tasks, j.Need, &j.JobSpec})
+			s.fleet.recordArrival(j)
 		}
 		j.setLoanFrom(&r)
 		s.controller.promises.noteBaseQuote(j)
 	}
 	s.applyJobRecord(j, it.ModRevision, &r)
-	s.scheduler.placementDue = true
+	s.scheduler.requestPlacement()
 }
 
 // addJob takes a job into the owner's books.
@@ -197,7 +189,7 @@
 	if j.Workload != "" {
 		s.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", s.now.Sub(j.submittedAt))
 		s.workloads[j.Workload] = &workload{&j.JobSpec, s.now}
-		s.scheduler.placementUrgent = s.scheduler.placementUrgent || s.waitObjective(j.Workload) > 0
+		s.scheduler.hurryPlacement(j.Workload)
 	}
 	s.controller.awaitDependencies(j)
 	return j
@@ -271,7 +263,7 @@
 		j.requeued = append(j.requeued, i)
 	}
 	j.markChanged(i, s.now, done && j.doneTasks == len(j.tasks))
-	s.scheduler.placementDue = true
+	s.scheduler.requestPlacement()
 }
 
 // tick does what is due: sweep the machines, relaunch, place, write, and
@@ -299,15 +291,14 @@
 		s.controller.promises.tick()
 		s.controller.shardLeader.persistence.writePrewarmed()
 		s.controller.shardLeader.scheduler.reportGPUFreeCapacity()
-		s.scheduler.placementDue = true
+		s.scheduler.requestPlacement()
 	}
 	if s.fleet.planningPass != nil {
 		s.controller.shardLeader.fleet.planFleet(false)
 	}
-	if s.scheduler.placementDue && !s.now.Before(s.nextPlacementRound()) {
-		s.scheduler.placementDue, s.scheduler.placementUrgent, s.scheduler.placedAt = false, false, s.now
-		s.controller.planning.placementRan = true
-		s.controller.shardLeader.scheduler.placeAll()
+	if s.scheduler.placementRoundDue() {
+		s.controller.planning.notePlacementRound()
+		s.scheduler.runPlacementRound()
 		s.persistence.persistedAt = time.Time{}
 	}
 	if s.now.Sub(s.persistence.persistedAt) >= persistInterval {
@@ -323,21 +314,11 @@
 	if next := s.persistence.persistedAt.Add(persistInterval); s.persistence.persistedAt != s.now && next.Before(s.wakeAt) {
 		s.wakeAt = next
 	}
-	if next := s.nextPlacementRound(); s.scheduler.placementDue && next.Before(s.wakeAt) {
+	if next := s.scheduler.nextRoundAt(); s.scheduler.placementDue && next.Before(s.wakeAt) {
 		s.wakeAt = next
 	}
 }
 
-// nextPlacementRound is when tasks may be placed again. A round that took long leaves as
-// much time and half of it again to others, however much work waits.
-func (s *shardLeader) nextPlacementRound() time.Time {
-	gap := placementInterval
-	if s.scheduler.placementUrgent {
-		gap = 0
-	}
-	return s.scheduler.placedAt.Add(max(gap, s.scheduler.roundDuration*5/2))
-}
-
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -156,7 +156,7 @@
 	delete(o.promiseDates.pageWriters, team)
 	for k := range o.fleet.arrivals {
 		if k.team == team {
-			delete(o.fleet.arrivals, k)
+			o.fleet.forgetArrivals(k)
 		}
 	}
 }
@@ -467,7 +467,7 @@
 		s.controller.promises.recoverPages(t, recovered)
 	}
 	s.controller.shardLeader.migration.recoverRecords(teams, migrationItems)
-	s.scheduler.placementDue = true
+	s.scheduler.requestPlacement()
 	s.remoteAttempts.due = true
 	for _, m := range s.machinesByID {
 		// What runs there may have been another's until now.
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -9,46 +9,49 @@
 )
 
 const (
-	// simulatedVisitLimit bounds the tasks that are played forward at once.
+	// simulatedVisitLimit bounds the visits of one simulation of a small pool; see nextVisit.
 	simulatedVisitLimit = 4000
-	// minSafetyMargin, and minSafetyFraction of the run time at least, are kept in hand,
-	// since run times are only expected.
+	// minSafetyMargin, plus at least minSafetyFraction of the run time, is kept in hand before
+	// a deadline, since run times are only estimates.
 	minSafetyMargin   = 5 * time.Second
 	minSafetyFraction = 0.25
-	// forever is how long a replica runs, for all that is planned here.
+	// forever stands for the run time of a replica, and for a fetch without bound.
 	forever = 24 * time.Hour
-	// maxLateness bounds the lateness of a task; one that finds no place at all has twice.
+	// maxLateness bounds the lateness of a task; one that fits nowhere counts twice as much.
 	maxLateness = 10 * time.Minute
 )
 
-// simulation is the fleet played forward: which task would start where and when. It
-// rests on the moment at which it was begun, also when it is carried on later.
+// simulation predicts on which machine and when each task would start. Its time stands still at
+// the moment it was begun, also when a planning pass carries it on in later steps. It changes
+// nothing but its own copies of the machines.
 type simulation struct {
 	controller *Controller
 	now        time.Time
 	machines   []*simulatedMachine
-	// imageIDs numbers the images, and holders are the machines that have each.
+	// imageIDs numbers the images, and imageHolders lists the machines that have each.
 	imageIDs     map[string]int32
 	imageHolders [][]int32
-	// queues hold, for each kind of task that was asked for, the machines by
-	// when one could run there.
-	queues      map[taskShape]*shapeCandidates
+	// queues holds, for each kind of task requested so far, the machines by when one could
+	// run there.
+	queues map[taskShape]*shapeCandidates
+	// neededCache remembers isNeededElsewhere by workload and machine type.
 	neededCache map[[2]string]bool
-	// refusedKinds are the kinds that the cloud has just refused.
+	// refusedKinds are the kinds that the cloud has just refused, or that are never ready.
 	refusedKinds map[machineKind]bool
-	// surplus counts the machines that other owners have to spare.
+	// surplus counts the machines that other shard leaders can hand over.
 	surplus map[machineKind]int
 	visits  int
 	charge  chargeFunc
 }
 
-// chargeFunc is told of work done, in units of about a tenth of a microsecond. It may
-// put the plan aside for a while, and says whether to go on.
+// chargeFunc is called with the work done, in units of about a tenth of a microsecond. It may
+// suspend the planning pass for a while, and returns whether to go on.
 type chargeFunc func(units int) bool
 
-// visitUnits is what the placing of some alike tasks on one machine costs.
+// visitUnits is what placing some alike tasks on one machine costs.
 const visitUnits = 8
 
+// newSimulation begins a simulation on the given machines, which it may change.
 func (f *fleetPlanner) newSimulation(vs []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
 	p := &simulation{controller: f.controller, now: f.now, machines: vs, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
 	if v := f.view; v != nil {
@@ -67,16 +70,17 @@
 	return p
 }
 
+// spend charges work done and returns whether to go on.
 func (p *simulation) spend(units int) bool { return p.charge == nil || p.charge(units) }
 
-// nextVisit counts one more visit and says whether to go on. What is played is bounded
-// by the pool, not by what waits.
+// nextVisit counts one more visit and returns whether to go on. Visits are bounded by the size of
+// the pool, not by the number of pending tasks.
 func (p *simulation) nextVisit() bool {
 	p.visits++
 	return p.spend(visitUnits) && p.visits <= max(simulatedVisitLimit, 2*len(p.machines))
 }
 
-// addProvisioning adds a machine that is not up yet.
+// addProvisioning adds a machine that is not ready yet.
 func (p *simulation) addProvisioning(k machineKind, ready time.Time) *simulatedMachine {
 	f := p.controller.knowledge.machineTypes[k.machineType]
 	v := &simulatedMachine{machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: f.Capacity, packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType)}
@@ -87,7 +91,7 @@
 	return v
 }
 
-// isNeededElsewhere says, once for a plan, that others wait for the flavour that fit fewer.
+// isNeededElsewhere is neededElsewhere, evaluated once for a simulation.
 func (p *simulation) isNeededElsewhere(j *job, machineType string) bool {
 	key := [2]string{j.Workload, machineType}
 	is, ok := p.neededCache[key]
@@ -101,9 +105,9 @@
 	return is
 }
 
-// simulate places a demand's tasks and tells of each lot where and when; v is nil for
-// tasks without a place.
-func (p *simulation) simulate(d demand, tell func(count int, v *simulatedMachine, from, at time.Time)) {
+// simulate places a demand's tasks and calls placed for each batch with its machine, arrival and
+// start; v is nil for tasks that fit nowhere.
+func (p *simulation) simulate(d demand, placed func(count int, v *simulatedMachine, from, at time.Time)) {
 	a := p.newRequest(d.job)
 	for from, left := range d.arrivalBatches(p.now) {
 		for left > 0 {
@@ -116,38 +120,38 @@
 				var fetch time.Duration
 				k, at, fetch = p.placeTasks(a, v, from, left)
 				if fetch > 0 && k > 1 {
-					tell(k-1, v, from, at.Add(-fetch))
+					placed(k-1, v, from, at.Add(-fetch))
 					left, k = left-(k-1), 1
 				}
 			}
-			tell(k, v, from, at)
+			placed(k, v, from, at)
 			left -= k
 		}
 	}
 }
 
-// simulatedLateness sums up how much later than they must tasks would start in the room,
-// were some machines not there.
+// simulatedLateness sums up how much later than their deadlines tasks would start on the machines
+// of r without some of them.
 func (f *fleetPlanner) simulatedLateness(r *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
 	p := f.newSimulation(copyFreeCapacity(r, without), r.imageIDs, charge)
-	var late time.Duration
+	var total time.Duration
 	for _, d := range demands {
 		bound := f.waitObjective(d.job.Workload)
 		margin := f.controller.knowledge.safetyMargin(d.job)
 		p.simulate(d, func(count int, v *simulatedMachine, from, at time.Time) {
-			// Worse than any place, however late: else a machine that is the only place
-			// for what runs for hours would be let go.
-			one := 2 * maxLateness
+			// To fit nowhere is worse than any late start: else the only machine that
+			// tasks of long run time fit on would be decommissioned.
+			lateness := 2 * maxLateness
 			if v != nil {
-				one = min(max(0, at.Add(margin).Sub(d.startDeadline(p.now, from))), maxLateness)
+				lateness = min(max(0, at.Add(margin).Sub(d.startDeadline(p.now, from))), maxLateness)
 				if bound > 0 {
-					one += max(0, at.Sub(from)-bound)
+					lateness += max(0, at.Sub(from)-bound)
 				}
 			}
-			late += time.Duration(count) * one
+			total += time.Duration(count) * lateness
 		})
 	}
-	return late
+	return total
 }
 
 // newMachineFetchTime is how long a new machine takes to fetch the image.
@@ -158,7 +162,7 @@
 	return record.DurationOfSeconds(j.ImageGB / f.ImageFetchRate)
 }
 
-// expectedOccupancy is how long a task of the job is expected to hold its room.
+// expectedOccupancy is how long a task of the job is expected to occupy its machine.
 func (f *fleetPlanner) expectedOccupancy(j *job) time.Duration {
 	if j.LongRunning {
 		return forever
@@ -166,8 +170,8 @@
 	return max(f.controller.knowledge.expectedRunTime(j), time.Second)
 }
 
-// zoneLimits keeps machines from being rented in a zone where same_place or apart
-// keep the job's tasks from starting.
+// zoneLimits keeps machines from being rented in zones where SameZone or SpreadZones keep the job's
+// tasks from starting.
 type zoneLimits struct {
 	job       *job
 	liveTasks map[string]int
@@ -183,6 +187,7 @@
 	return z
 }
 
+// capacity is how many more of the job's tasks may start in a zone.
 func (z *zoneLimits) capacity(zone string) int {
 	switch {
 	case z.job.SameZone && len(z.liveTasks) > 0 && z.liveTasks[zone] == 0:
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -110,7 +110,7 @@
 			n.frontend.watchCache.refreshScheduled = true
 			now, k := n.now, 0
 			n.Step(now, nil)
-			n.shardLeader.endPlanningPass()
+			n.shardLeader.fleet.endPlanningPass()
 			for b.Loop() {
 				k++
 				id := fmt.Sprintf("job-x%06d", k)
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -70,7 +70,7 @@
 // onDecision sees the decisions of a core's step.
 func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
 	l, ok := e.(message.Log)
-	if r == nil || !ok || l.Message != "placed" {
+	if r == nil || !ok || l.Message != "task placed" {
 		return
 	}
 	args := map[string]any{}
