--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -123,7 +123,7 @@
 // All reservations together are bounded by aging.MaxReservedFraction: one machine for each job
 // first, so that all begin, and then more for those that have waited longest.
 func (s *scheduler) reserveMachines(jobs []*job) {
-	o := s.controller.shardLeader
+	sl := s.controller.shardLeader
 	if s.now.Sub(s.machinesReservedAt) < reservationInterval {
 		return
 	}
@@ -136,7 +136,7 @@
 		}
 	}
 	usable := 0
-	for _, m := range o.machinesByID {
+	for _, m := range sl.machinesByID {
 		if len(reservations) > 0 && s.usable(m) {
 			usable++
 		}
@@ -154,7 +154,7 @@
 			g.hosts = slices.DeleteFunc(g.hosts, func(h aging.Candidate) bool { return reservedFor[h.ID] != "" })
 		}
 	}
-	for _, m := range o.machinesByID {
+	for _, m := range sl.machinesByID {
 		if m.reservedFor != reservedFor[m.id] {
 			m.reservedFor = reservedFor[m.id]
 			s.debug("machine reservation changed", "machine", m.id, "for", m.reservedFor)
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -106,32 +106,32 @@
 
 // newRequest prepares to place a job's tasks.
 func (p *simulation) newRequest(j *job) *placementRequest {
-	a := &placementRequest{
+	req := &placementRequest{
 		job: j, need: j.Need, imageGB: j.ImageGB, imageID: p.imageID(j.Image), run: p.controller.shardLeader.fleet.expectedOccupancy(j), avoidedMachine: -1,
 		fullScan: j.Gang || j.SameZone || j.SpreadZones, zoneLimits: newZoneLimits(j),
 	}
 	if j.Image == "" {
-		a.imageGB = 0
+		req.imageGB = 0
 	}
 	if away := j.avoidedMachine(); away != "" {
-		a.avoidedMachine = int32(slices.IndexFunc(p.machines, func(v *simulatedMachine) bool { return v.machine != nil && v.machine.id == away }))
+		req.avoidedMachine = int32(slices.IndexFunc(p.machines, func(v *simulatedMachine) bool { return v.machine != nil && v.machine.id == away }))
 	}
 	shape := j.taskShape()
-	a.candidates = p.queues[shape]
-	if a.candidates == nil {
-		a.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.shardLeader.scheduler.avoidsGPUs(j)}
+	req.candidates = p.queues[shape]
+	if req.candidates == nil {
+		req.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.shardLeader.scheduler.avoidsGPUs(j)}
 		if p.queues == nil {
 			p.queues = map[taskShape]*shapeCandidates{}
 		}
-		p.queues[shape] = a.candidates
+		p.queues[shape] = req.candidates
 	}
-	a.holders = a.candidates.byImage[a.imageID]
-	if a.holders == nil {
-		a.holders = &candidateQueues{}
-		a.candidates.byImage[a.imageID] = a.holders
+	req.holders = req.candidates.byImage[req.imageID]
+	if req.holders == nil {
+		req.holders = &candidateQueues{}
+		req.candidates.byImage[req.imageID] = req.holders
 	}
-	a.offers = p.offers(j, a.candidates.avoidGPUs)
-	return a
+	req.offers = p.offers(j, req.candidates.avoidGPUs)
+	return req
 }
 
 // imageID numbers the images of a simulation. Those that its machines hold got their numbers from
@@ -161,53 +161,53 @@
 }
 
 // refreshCandidates enters the machines that were added since, and those that got the image.
-func (p *simulation) refreshCandidates(a *placementRequest) {
+func (p *simulation) refreshCandidates(req *placementRequest) {
 	add := func(qs *candidateQueues, i int32, held bool) {
 		v := p.machines[i]
-		if !a.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) {
+		if !req.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) {
 			return
 		}
-		start, ok := v.earliestStart(a.need, false, a.candidates.avoidGPUs)
+		start, ok := v.earliestStart(req.need, false, req.candidates.avoidGPUs)
 		if !ok {
 			return
 		}
-		key := candidateQueueKey{secondsPerGB: v.secondsPerGB, neededElsewhere: p.isNeededElsewhere(a.job, v.machineKind.machineType)}
+		key := candidateQueueKey{secondsPerGB: v.secondsPerGB, neededElsewhere: p.isNeededElsewhere(req.job, v.machineKind.machineType)}
 		if held {
 			key.secondsPerGB = 0
-			if !slices.Contains(v.placedImages, a.imageID) && !slices.Contains(v.cached, a.imageID) {
+			if !slices.Contains(v.placedImages, req.imageID) && !slices.Contains(v.cached, req.imageID) {
 				key.secondsPerGB = v.fetchingSecondsPerGB
 			}
 		}
 		qs.add(key, simulatedCandidate{start, i, int32(v.placements)})
 	}
-	for ; a.candidates.indexed < len(p.machines); a.candidates.indexed++ {
+	for ; req.candidates.indexed < len(p.machines); req.candidates.indexed++ {
 		p.spend(1)
-		add(&a.candidates.candidateQueues, int32(a.candidates.indexed), false)
+		add(&req.candidates.candidateQueues, int32(req.candidates.indexed), false)
 	}
-	for holders := p.imageHolders[a.imageID]; a.holders.indexed < len(holders); a.holders.indexed++ {
+	for holders := p.imageHolders[req.imageID]; req.holders.indexed < len(holders); req.holders.indexed++ {
 		p.spend(1)
-		add(a.holders, holders[a.holders.indexed], true)
+		add(req.holders, holders[req.holders.indexed], true)
 	}
 }
 
 // bestMachine returns the machine on which a task that arrives at from could first run, with its
 // image there, and when. With avoidNeeded it considers only machines that no other pending work
 // depends on.
-func (p *simulation) bestMachine(a *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
+func (p *simulation) bestMachine(req *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
 	wait := max(0, from.Sub(p.now))
-	if a.fullScan {
-		v, at := p.bestByFullScan(a, wait, avoidNeeded)
+	if req.fullScan {
+		v, at := p.bestByFullScan(req, wait, avoidNeeded)
 		return v, p.now.Add(at)
 	}
-	p.refreshCandidates(a)
+	p.refreshCandidates(req)
 	best, at := int32(-1), time.Duration(0)
-	for _, set := range [...][]*candidateQueue{a.candidates.all, a.holders.all} {
+	for _, set := range [...][]*candidateQueue{req.candidates.all, req.holders.all} {
 		for _, q := range set {
 			if avoidNeeded && q.neededElsewhere {
 				continue
 			}
-			if i, start, ok := p.firstInQueue(q, a, wait); ok {
-				if t := start + record.DurationOfSeconds(q.secondsPerGB*a.imageGB); best < 0 || t < at || t == at && i < best {
+			if i, start, ok := p.firstInQueue(q, req, wait); ok {
+				if t := start + record.DurationOfSeconds(q.secondsPerGB*req.imageGB); best < 0 || t < at || t == at && i < best {
 					best, at = i, t
 				}
 			}
@@ -220,14 +220,14 @@
 }
 
 // firstInQueue returns the machine of a queue on which a task could start first, and when.
-func (p *simulation) firstInQueue(q *candidateQueue, a *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
+func (p *simulation) firstInQueue(q *candidateQueue, req *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
 	var avoided simulatedCandidate
 	hasAvoided := false
 	for len(q.elems) > 0 {
 		e := &q.elems[0]
 		v := p.machines[e.index]
 		if int32(v.placements) != e.placements {
-			if start, ok := v.earliestStart(a.need, false, a.candidates.avoidGPUs); ok {
+			if start, ok := v.earliestStart(req.need, false, req.candidates.avoidGPUs); ok {
 				e.start, e.placements = start, int32(v.placements)
 				q.siftDown()
 			} else {
@@ -235,7 +235,7 @@
 			}
 			continue
 		}
-		if e.index != a.avoidedMachine {
+		if e.index != req.avoidedMachine {
 			break
 		}
 		avoided, hasAvoided = q.pop(), true
@@ -249,7 +249,7 @@
 	i, start := q.elems[0].index, max(q.elems[0].start, wait)
 	if q.elems[0].start < wait {
 		for _, x := range q.elems[1:min(len(q.elems), lookAhead)] {
-			if x.start <= wait && x.index < i && x.index != a.avoidedMachine && int32(p.machines[x.index].placements) == x.placements {
+			if x.start <= wait && x.index < i && x.index != req.avoidedMachine && int32(p.machines[x.index].placements) == x.placements {
 				i = x.index
 			}
 		}
@@ -261,16 +261,16 @@
 }
 
 // bestByFullScan is bestMachine for tasks that are not all alike: it looks at every machine.
-func (p *simulation) bestByFullScan(a *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
+func (p *simulation) bestByFullScan(req *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
 	var best *simulatedMachine
 	var at time.Duration
 	p.spend(len(p.machines))
 	for i, v := range p.machines {
-		if !a.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) || a.zoneLimits.capacity(v.machineKind.zone) == 0 || int32(i) == a.avoidedMachine || avoidNeeded && p.isNeededElsewhere(a.job, v.machineKind.machineType) {
+		if !req.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) || req.zoneLimits.capacity(v.machineKind.zone) == 0 || int32(i) == req.avoidedMachine || avoidNeeded && p.isNeededElsewhere(req.job, v.machineKind.machineType) {
 			continue
 		}
-		if start, ok := v.earliestStart(a.need, a.job.Gang, a.candidates.avoidGPUs); ok {
-			if t := max(start, wait) + p.fetchTime(v, a); best == nil || t < at {
+		if start, ok := v.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs); ok {
+			if t := max(start, wait) + p.fetchTime(v, req); best == nil || t < at {
 				best, at = v, t
 			}
 		}
@@ -279,40 +279,40 @@
 }
 
 // fetchTime is how long v takes to have the image.
-func (p *simulation) fetchTime(v *simulatedMachine, a *placementRequest) time.Duration {
+func (p *simulation) fetchTime(v *simulatedMachine, req *placementRequest) time.Duration {
 	switch {
-	case slices.Contains(v.placedImages, a.imageID) || slices.Contains(v.cached, a.imageID):
+	case slices.Contains(v.placedImages, req.imageID) || slices.Contains(v.cached, req.imageID):
 		return 0
-	case slices.Contains(v.fetchingImages, a.imageID):
-		return record.DurationOfSeconds(v.fetchingSecondsPerGB * a.imageGB)
+	case slices.Contains(v.fetchingImages, req.imageID):
+		return record.DurationOfSeconds(v.fetchingSecondsPerGB * req.imageGB)
 	}
-	return record.DurationOfSeconds(v.secondsPerGB * a.imageGB)
+	return record.DurationOfSeconds(v.secondsPerGB * req.imageGB)
 }
 
 // placeTasks lets up to count tasks start on v, as many as fit at one time, and returns how many,
 // when the one that has to fetch the image starts, and how long that fetch is; for the others the
 // image counts as there. With fullScan it places one.
-func (p *simulation) placeTasks(a *placementRequest, v *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
-	at, ok := v.earliestStart(a.need, a.job.Gang, a.candidates.avoidGPUs)
+func (p *simulation) placeTasks(req *placementRequest, v *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
+	at, ok := v.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs)
 	if !ok {
 		return count, from, 0
 	}
 	at = max(at, from.Sub(p.now))
-	fetch := p.fetchTime(v, a)
-	if !slices.Contains(v.placedImages, a.imageID) && !slices.Contains(v.cached, a.imageID) {
-		v.placedImages = append(slices.Clip(v.placedImages), a.imageID)
-		p.imageHolders[a.imageID] = append(p.imageHolders[a.imageID], v.index)
+	fetch := p.fetchTime(v, req)
+	if !slices.Contains(v.placedImages, req.imageID) && !slices.Contains(v.cached, req.imageID) {
+		v.placedImages = append(slices.Clip(v.placedImages), req.imageID)
+		p.imageHolders[req.imageID] = append(p.imageHolders[req.imageID], v.index)
 	}
-	if a.fullScan {
+	if req.fullScan {
 		count = 1
 	}
 	k := 0
 	if fetch > 0 {
-		k = v.placeTasks(a.need, at, fetch+a.run, 1, a.candidates.avoidGPUs)
+		k = v.placeTasks(req.need, at, fetch+req.run, 1, req.candidates.avoidGPUs)
 	}
-	if more := min(count-k, v.freeFor(v.free, a.candidates.avoidGPUs).FitCount(a.need)); k == 0 || more > 0 {
-		k += v.placeTasks(a.need, at, a.run, count-k, a.candidates.avoidGPUs)
+	if more := min(count-k, v.freeFor(v.free, req.candidates.avoidGPUs).FitCount(req.need)); k == 0 || more > 0 {
+		k += v.placeTasks(req.need, at, req.run, count-k, req.candidates.avoidGPUs)
 	}
-	a.zoneLimits.add(v.machineKind.zone, k)
+	req.zoneLimits.add(v.machineKind.zone, k)
 	return k, p.now.Add(at + fetch), fetch
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -65,13 +65,13 @@
 }
 
 func (f *fleetPlanner) pendingDemands() []demand {
-	o := f.controller.shardLeader
+	sl := f.controller.shardLeader
 	counted := map[string]model.Resources{}
 	var out []demand
-	for _, j := range o.scheduler.jobsInQueueOrder() {
+	for _, j := range sl.scheduler.jobsInQueueOrder() {
 		count := max(0, f.controller.shardLeader.scheduler.placeableTasks(j)-f.controller.shardLeader.migration.reservedTasks(j))
 		if t := f.team(j.Team); t != nil {
-			u := o.usedByTeam[j.Team].AddScaled(counted[j.Team], 1)
+			u := sl.usedByTeam[j.Team].AddScaled(counted[j.Team], 1)
 			left := model.Resources{CPU: t.QuotaLimit.CPU - u.CPU, GPU: t.QuotaLimit.GPU - u.GPU}
 			if t.QuotaLimit.CPU > 0 {
 				count = min(count, model.Resources{CPU: left.CPU}.FitCount(model.Resources{CPU: j.Need.CPU}))
@@ -81,16 +81,16 @@
 			}
 			counted[j.Team] = counted[j.Team].AddScaled(j.Need, float64(count))
 		}
-		out = append(out, demand{job: j, count: count, latestStart: o.scheduler.dueStart(j)})
+		out = append(out, demand{job: j, count: count, latestStart: sl.scheduler.dueStart(j)})
 	}
 	return out
 }
 
 func (f *fleetPlanner) expectedDemands(horizon time.Duration, bursts, cautious bool) []demand {
-	o := f.controller.shardLeader
+	sl := f.controller.shardLeader
 	var out []demand
-	for _, name := range sortedKeys(o.workloads) {
-		w := o.workloads[name]
+	for _, name := range sortedKeys(sl.workloads) {
+		w := sl.workloads[name]
 		if w.spec.LongRunning || w.spec.Gang {
 			continue
 		}
@@ -106,7 +106,7 @@
 		}
 		if k := int(count + 0.5); k > 0 {
 			j := &job{JobSpec: *w.spec, tasks: make([]task, k), submittedAt: f.now.Add(horizon / 2)}
-			out = append(out, demand{job: j, count: k, latestStart: o.scheduler.latestStart(j), arrivalSpread: horizon})
+			out = append(out, demand{job: j, count: k, latestStart: sl.scheduler.latestStart(j), arrivalSpread: horizon})
 		}
 	}
 	return out
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -87,9 +87,9 @@
 // cheapestCPUCost is the lowest cost of a CPU per hour among all kinds of machines.
 func (k *fleetKnowledge) cheapestCPUCost() float64 {
 	low := 0.0
-	for _, f := range k.machineTypes {
-		for _, p := range [...]float64{f.CostPerHour, f.SpotCostPerHour} {
-			if u := p / max(f.Capacity.CPU, 1); u > 0 && (low == 0 || u < low) {
+	for _, machineType := range k.machineTypes {
+		for _, p := range [...]float64{machineType.CostPerHour, machineType.SpotCostPerHour} {
+			if u := p / max(machineType.Capacity.CPU, 1); u > 0 && (low == 0 || u < low) {
 				low = u
 			}
 		}
@@ -100,8 +100,8 @@
 // fittingMachineTypes returns the names of the machine types a task fits, in no order.
 func (k *fleetKnowledge) fittingMachineTypes(s *model.JobSpec) []string {
 	var out []string
-	for name, f := range k.machineTypes {
-		if s.Need.Fits(f.Capacity) && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)) {
+	for name, machineType := range k.machineTypes {
+		if s.Need.Fits(machineType.Capacity) && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)) {
 			out = append(out, name)
 		}
 	}
@@ -129,10 +129,10 @@
 
 // costPerHour is the price of a machine, times the policy's cost factor for its type.
 func (k *fleetKnowledge) costPerHour(kind machineKind) float64 {
-	f := k.machineTypes[kind.machineType]
-	cost := f.CostPerHour
+	machineType := k.machineTypes[kind.machineType]
+	cost := machineType.CostPerHour
 	if kind.spot {
-		cost = f.SpotCostPerHour
+		cost = machineType.SpotCostPerHour
 	}
 	if w, ok := k.settings.Policy.CostFactors[kind.machineType]; ok && w > 0 {
 		cost *= w
@@ -152,8 +152,8 @@
 			c.knowledge.setMachineTypes(d.MachineTypes)
 			if c.shardLeader != nil {
 				for _, m := range c.shardLeader.machines {
-					if f, ok := c.knowledge.machineTypes[m.machineType]; ok {
-						m.size, m.disk = f.Capacity, f.DiskGB
+					if machineType, ok := c.knowledge.machineTypes[m.machineType]; ok {
+						m.size, m.disk = machineType.Capacity, machineType.DiskGB
 					}
 				}
 			}
@@ -181,8 +181,8 @@
 // is ready.
 func (k *fleetKnowledge) planningHorizon() time.Duration {
 	var sum time.Duration
-	for _, f := range k.machineTypes {
-		sum += f.ProvisioningTime
+	for _, machineType := range k.machineTypes {
+		sum += machineType.ProvisioningTime
 	}
 	return sum / time.Duration(max(1, len(k.machineTypes)))
 }
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -80,7 +80,7 @@
 // tallyReplicas counts the replicas with GPUs that are live, pending or lately seen, and notes in p
 // whether any waits.
 func (s *scheduler) tallyReplicas(p *packingProfile) map[replicaShape]replicaTally {
-	o := s.controller.shardLeader
+	sl := s.controller.shardLeader
 	tallies := map[replicaShape]replicaTally{}
 	add := func(spec *model.JobSpec, tasks int, waiting bool) {
 		if spec.Need.GPU <= roundingTolerance || tasks <= 0 {
@@ -94,10 +94,10 @@
 		tallies[k] = c
 		p.replicasWaiting = p.replicasWaiting || waiting
 	}
-	for _, j := range o.jobs {
-		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), s.placeableTasks(j) > 0 && s.withinQuotaLimit(j) && !o.faultAttribution.FailsEverywhere(j.ID))
+	for _, j := range sl.jobs {
+		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), s.placeableTasks(j) > 0 && s.withinQuotaLimit(j) && !sl.faultAttribution.FailsEverywhere(j.ID))
 	}
-	for _, w := range o.workloads {
+	for _, w := range sl.workloads {
 		if s.now.Sub(w.lastSeen) < workloadRetention {
 			add(w.spec, 1, false)
 		}
@@ -111,8 +111,8 @@
 		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.machineTypes, b.machineTypes))
 	})
 	for _, name := range sortedKeys(s.controller.knowledge.machineTypes) {
-		f := s.controller.knowledge.machineTypes[name]
-		if f.Capacity.GPU <= roundingTolerance {
+		machineType := s.controller.knowledge.machineTypes[name]
+		if machineType.Capacity.GPU <= roundingTolerance {
 			continue
 		}
 		var seen []packing.Demand
@@ -121,7 +121,7 @@
 				seen = append(seen, packing.Demand{Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)), GB: float64(c.megabytes) / 1000 / float64(c.tasks), HasWaiting: c.waits})
 			}
 		}
-		if k := packing.NewProfile(f.Capacity, f.ImageFetchRate, seen); k != nil {
+		if k := packing.NewProfile(machineType.Capacity, machineType.ImageFetchRate, seen); k != nil {
 			p.kinds[name] = k
 		}
 	}
@@ -129,13 +129,13 @@
 
 // findGPUFallback notes in p the workloads without GPUs that may take machines with GPUs.
 func (s *scheduler) findGPUFallback(p *packingProfile) {
-	o := s.controller.shardLeader
+	sl := s.controller.shardLeader
 	fallbackAfter := gpuFallbackAfter
 	if p.replicasWaiting {
 		fallbackAfter = 2 * gpuFallbackAfter
 	}
-	for _, j := range o.jobs {
-		if since := later(later(j.readySince(), j.lastPlacedAt), o.readyAt); j.Need.GPU <= roundingTolerance && s.now.Sub(since) > fallbackAfter && s.placeableTasks(j) > 0 {
+	for _, j := range sl.jobs {
+		if since := later(later(j.readySince(), j.lastPlacedAt), sl.readyAt); j.Need.GPU <= roundingTolerance && s.now.Sub(since) > fallbackAfter && s.placeableTasks(j) > 0 {
 			p.gpuFallback[j.Workload] = true
 		}
 	}
@@ -164,11 +164,11 @@
 	if p == nil || j.Need.GPU > roundingTolerance || len(p.kinds) == 0 {
 		return false
 	}
-	for name, f := range s.controller.knowledge.machineTypes {
-		if p.kinds[name] != nil || !j.Need.Fits(f.Capacity) {
+	for name, machineType := range s.controller.knowledge.machineTypes {
+		if p.kinds[name] != nil || !j.Need.Fits(machineType.Capacity) {
 			continue
 		}
-		for _, z := range f.Zones {
+		for _, z := range machineType.Zones {
 			if j.allowsMachine(name, z, true) || j.allowsMachine(name, z, false) {
 				return true
 			}
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -188,14 +188,14 @@
 
 // scanFleet is the work of a planning pass.
 func (f *fleetPlanner) scanFleet(charge chargeFunc) {
-	o := f.controller.shardLeader
+	sl := f.controller.shardLeader
 	// The live tasks and their expected ends are the same for all parts of the pass.
 	r := f.futureFreeCapacity()
 	if !charge(len(r.machines)) {
 		return
 	}
 	f.setNeverReadyKinds(f.kindsNeverReady())
-	if f.now.Sub(f.decommissionedAt) >= leaderPeriod*time.Duration(1+len(o.machinesByID)/slowDecommissionSize) {
+	if f.now.Sub(f.decommissionedAt) >= leaderPeriod*time.Duration(1+len(sl.machinesByID)/slowDecommissionSize) {
 		f.decommissionExpensive(r, charge)
 		f.decommissionedAt = f.now
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -111,7 +111,7 @@
 
 // preemptionVictimsFor returns the cached victims for j, or scans for them.
 func (s *scheduler) preemptionVictimsFor(j *job) *preemptionVictims {
-	o := s.controller.shardLeader
+	sl := s.controller.shardLeader
 	key := preemptionVictimsKey{j.taskShape(), j.Urgency}
 	p := s.preemptionVictims[key]
 	if p != nil && s.now.Sub(p.at) < preemptionInterval {
@@ -133,7 +133,7 @@
 	}
 	var cs []choice
 	avoidGPUs := s.avoidsGPUsNow(j)
-	for _, m := range o.machinesByID {
+	for _, m := range sl.machinesByID {
 		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !s.usable(m) || !s.gpuPolicyAllows(avoidGPUs, m) {
 			continue
 		}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -41,15 +41,15 @@
 // timeToReady is how long a machine of a kind most likely takes to be ready that was rented age ago
 // and is not ready yet.
 func (k *fleetKnowledge) timeToReady(kind machineKind, age time.Duration) time.Duration {
-	f := k.machineTypes[kind.machineType]
-	return min(k.provisioningOf(kind).Remaining(age, f.ProvisioningTime), maxReadyFactor*f.ProvisioningTime)
+	machineType := k.machineTypes[kind.machineType]
+	return min(k.provisioningOf(kind).Remaining(age, machineType.ProvisioningTime), maxReadyFactor*machineType.ProvisioningTime)
 }
 
 // isExpected reports whether a machine without a heartbeat so far is counted on: to wait for it is
 // better than to rent another.
 func (k *fleetKnowledge) isExpected(r *rental) bool {
-	f, ok := k.machineTypes[r.machineType]
-	return ok && !r.releasing && r.status != "returned" && r.status != "failed" && k.provisioningOf(r.machineKind).IsWorthWaiting(k.now.Sub(r.rentedAt), f.ProvisioningTime)
+	machineType, ok := k.machineTypes[r.machineType]
+	return ok && !r.releasing && r.status != "returned" && r.status != "failed" && k.provisioningOf(r.machineKind).IsWorthWaiting(k.now.Sub(r.rentedAt), machineType.ProvisioningTime)
 }
 
 // expectedFor yields the machines that are counted on but not ready yet and that a job allows.
@@ -73,10 +73,10 @@
 
 // kindsNeverReady returns the kinds of which machines have stopped becoming ready.
 func (f *fleetPlanner) kindsNeverReady() map[machineKind]bool {
-	o := f.controller.shardLeader
+	sl := f.controller.shardLeader
 	provisioning := map[machineKind][]boottime.Provisioning{}
 	for id, r := range f.view.rentals {
-		if m := o.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(o.readyAt) {
+		if m := sl.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(sl.readyAt) {
 			provisioning[r.machineKind] = append(provisioning[r.machineKind], boottime.Provisioning(r.rentedAt))
 		}
 	}
--- a/internal/controller/relaunch.go
+++ b/internal/controller/relaunch.go
@@ -18,10 +18,10 @@
 // together has a timer of Policy.RelaunchFactor times the median run time of the job's finished
 // tasks; when it expires with at most a tenth of the group unfinished, those are relaunched.
 func (s *scheduler) relaunch() {
-	o := s.controller.shardLeader
+	sl := s.controller.shardLeader
 	relaunched := 0
-	for _, id := range sortedKeys(o.jobs) {
-		j := o.jobs[id]
+	for _, id := range sortedKeys(sl.jobs) {
+		j := sl.jobs[id]
 		if j.cancelled || j.ending || j.LongRunning || j.liveTasks == 0 {
 			continue
 		}
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -35,11 +35,11 @@
 // surplusMachines returns the idle machines that are needed neither for pending work nor for what the
 // last minutes make likely, simulated on the cheapest machines first. Cheap machines are kept longer.
 func (f *fleetPlanner) surplusMachines(r *freeCapacity, charge chargeFunc) map[string]bool {
-	o := f.controller.shardLeader
+	sl := f.controller.shardLeader
 	surplus := map[string]bool{}
 	cheapest := f.controller.knowledge.cheapestCPUCost()
 	idle := false
-	for _, m := range o.machinesByID {
+	for _, m := range sl.machinesByID {
 		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && f.controller.shardLeader.scheduler.usable(m) && (f.controller.membership.hasOtherShardLeaders() && f.now.Sub(m.idleSince) > surplusAfter || f.isIdleExpired(m, cheapest)) {
 			surplus[m.id] = true
 			idle = true
@@ -227,19 +227,19 @@
 // addDemand places a demand's tasks in the simulation and requests the machines that this is worth.
 func (p *scaleOutPlan) addDemand(d demand) {
 	sim := p.sim
-	a := sim.newRequest(d.job)
+	req := sim.newRequest(d.job)
 	rented, first, reliefs := 0, time.Duration(0), 0
 	for from, remaining := range d.arrivalBatches(sim.now) {
 		for remaining > 0 && sim.nextVisit() {
 			count := max(1, int(p.unmetCPU/max(d.job.Need.CPU, 0.1)))
-			v, at := sim.bestMachine(a, from, false)
-			if k, ok := sim.kindWorthRenting(a, d, from, v != nil, at, count); ok {
+			v, at := sim.bestMachine(req, from, false)
+			if k, ok := sim.kindWorthRenting(req, d, from, v != nil, at, count); ok {
 				if rented++; rented == 1 {
 					first = at.Sub(from)
 				}
 				p.requests[k]++
 				v = sim.addMachine(k)
-			} else if x, k, ok := sim.scarcityRelief(a, v, from, count); x != nil {
+			} else if x, k, ok := sim.scarcityRelief(req, v, from, count); x != nil {
 				v = x
 			} else if ok {
 				reliefs++
@@ -248,7 +248,7 @@
 			}
 			placed := remaining
 			if v != nil {
-				placed, _, _ = sim.placeTasks(a, v, from, remaining)
+				placed, _, _ = sim.placeTasks(req, v, from, remaining)
 			}
 			remaining -= placed
 			p.unmetCPU -= float64(placed) * d.job.Need.CPU
@@ -281,13 +281,13 @@
 // returns another machine that is free soon enough, or a spot kind to rent. It matters that present
 // machines come first: otherwise each expected task would request a new machine, beside hundreds of
 // idle ones.
-func (p *simulation) scarcityRelief(a *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
-	if chosen == nil || !p.isNeededElsewhere(a.job, chosen.machineKind.machineType) {
+func (p *simulation) scarcityRelief(req *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
+	if chosen == nil || !p.isNeededElsewhere(req.job, chosen.machineKind.machineType) {
 		return nil, machineKind{}, false
 	}
-	k, ok := p.bestKind(a, count, true)
-	ok = ok && !p.isNeededElsewhere(a.job, k.machineType)
-	if x, at := p.bestMachine(a, from, true); x != nil {
+	k, ok := p.bestKind(req, count, true)
+	ok = ok && !p.isNeededElsewhere(req.job, k.machineType)
+	if x, at := p.bestMachine(req, from, true); x != nil {
 		if !ok || !at.After(later(p.now.Add(p.timeToReady(k)), from).Add(k.fetchTime+minSafetyMargin)) {
 			return x, machineKind{}, false
 		}
@@ -313,9 +313,9 @@
 
 // kindWorthRenting returns what to rent, if anything, for tasks of a demand that arrive at from and
 // would start at the time at, if placed says that they fit anywhere.
-func (p *simulation) kindWorthRenting(a *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
+func (p *simulation) kindWorthRenting(req *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
 	for _, spot := range [...]bool{true, false} {
-		k, ok := p.bestKind(a, count, spot)
+		k, ok := p.bestKind(req, count, spot)
 		if !ok {
 			continue
 		}
@@ -330,7 +330,7 @@
 			continue
 		}
 		late := at.Add(p.controller.knowledge.safetyMargin(d.job)).After(d.startDeadline(p.now, from))
-		if !late && !at.After(ready.Add(p.minPayback(k, a))) {
+		if !late && !at.After(ready.Add(p.minPayback(k, req))) {
 			continue
 		}
 		// A machine that another shard leader offers is ready already: as long as work waits
@@ -346,27 +346,27 @@
 // be worth the time of its provisioning, which is paid for too. Short tasks that are not pressing are
 // so done one after another, and not each on a machine of its own. Tasks that run for longer than
 // provisioning takes pay for it by themselves.
-func (p *simulation) minPayback(k offer, a *placementRequest) time.Duration {
-	if p.surplus[k.machineKind] > 0 || p.controller.waitObjective(a.job.Workload) > 0 {
+func (p *simulation) minPayback(k offer, req *placementRequest) time.Duration {
+	if p.surplus[k.machineKind] > 0 || p.controller.waitObjective(req.job.Workload) > 0 {
 		return 0
 	}
-	return k.timeToReady - a.run
+	return k.timeToReady - req.run
 }
 
 // offers returns the kinds of machines on which tasks of a job fit, in a fixed order.
 func (p *simulation) offers(j *job, avoidGPUs bool) []offer {
 	var out []offer
 	for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
-		f := p.controller.knowledge.machineTypes[name]
-		fit := f.Capacity.FitCount(j.Need)
+		machineType := p.controller.knowledge.machineTypes[name]
+		fit := machineType.Capacity.FitCount(j.Need)
 		if fit == 0 || avoidGPUs && p.controller.shardLeader.scheduler.currentPackingProfile().kind(name) != nil {
 			continue
 		}
-		for _, z := range f.Zones {
+		for _, z := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
 				if j.allowsMachine(name, z, spot) {
 					k := machineKind{name, z, spot}
-					out = append(out, offer{k, fit, p.controller.knowledge.costPerHour(k), p.controller.knowledge.timeToReady(k, 0), newMachineFetchTime(&f, j)})
+					out = append(out, offer{k, fit, p.controller.knowledge.costPerHour(k), p.controller.knowledge.timeToReady(k, 0), newMachineFetchTime(&machineType, j)})
 				}
 			}
 		}
@@ -376,12 +376,12 @@
 
 // bestKind returns the kind that is cheapest for count tasks of a job, spot or not as asked, among those
 // that the cloud has not just refused.
-func (p *simulation) bestKind(a *placementRequest, count int, spot bool) (offer, bool) {
+func (p *simulation) bestKind(req *placementRequest, count int, spot bool) (offer, bool) {
 	var best offer
 	var bestCost float64
 	found := false
-	for _, o := range a.offers {
-		if o.spot != spot || a.zoneLimits.capacity(o.zone) == 0 || p.refusedKinds[o.machineKind] && p.surplus[o.machineKind] == 0 {
+	for _, o := range req.offers {
+		if o.spot != spot || req.zoneLimits.capacity(o.zone) == 0 || p.refusedKinds[o.machineKind] && p.surplus[o.machineKind] == 0 {
 			continue
 		}
 		cost := o.costPerHour / float64(min(o.tasksPerMachine, max(count, 1)))
--- a/internal/controller/simulated_machine.go
+++ b/internal/controller/simulated_machine.go
@@ -120,8 +120,8 @@
 // will: the cloud lists it as running. For planning it counts as present. A successor that counted
 // only machines it had heard from would rent hundreds beside them, which then stand idle.
 func (f *fleetPlanner) expectedToReport(m *machine) bool {
-	o := f.controller.shardLeader
-	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || f.now.Sub(o.readyAt) > 2*f.maxHeartbeatInterval() || f.view == nil {
+	sl := f.controller.shardLeader
+	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || f.now.Sub(sl.readyAt) > 2*f.maxHeartbeatInterval() || f.view == nil {
 		return false
 	}
 	r := f.view.rentals[m.id]
@@ -132,24 +132,24 @@
 // their expected ends are known. A task that runs longer than expected is taken to go on for a
 // fifth of its expected run time.
 func (f *fleetPlanner) futureFreeCapacity() *freeCapacity {
-	o := f.controller.shardLeader
-	r := &freeCapacity{machines: make([]*simulatedMachine, 0, len(o.machinesByID)), imageIDs: map[string]int32{}}
-	all := make([]simulatedMachine, len(o.machinesByID))
+	sl := f.controller.shardLeader
+	r := &freeCapacity{machines: make([]*simulatedMachine, 0, len(sl.machinesByID)), imageIDs: map[string]int32{}}
+	all := make([]simulatedMachine, len(sl.machinesByID))
 	attempts, images := 0, 0
-	for _, m := range o.machinesByID {
+	for _, m := range sl.machinesByID {
 		attempts += len(m.attempts) + 1
 		images += len(m.images)
 	}
 	ends, ids := make([]release, 0, attempts), make([]int32, 0, images)
-	profile := o.scheduler.currentPackingProfile()
-	for i, m := range o.machinesByID {
-		if !o.scheduler.usable(m) && !f.expectedToReport(m) || m.reservedFor != "" {
+	profile := sl.scheduler.currentPackingProfile()
+	for i, m := range sl.machinesByID {
+		if !sl.scheduler.usable(m) && !f.expectedToReport(m) || m.reservedFor != "" {
 			continue
 		}
 		v := &all[i]
 		*v = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingKind: profile.kind(m.machineType)}
 		if v.packingKind != nil && !v.idle {
-			v.nonGPUFree = v.packingKind.NonGPUCapacity(v.free, o.scheduler.nonGPUUse(m))
+			v.nonGPUFree = v.packingKind.NonGPUCapacity(v.free, sl.scheduler.nonGPUUse(m))
 		}
 		ends = f.addReleases(v, ends)
 		ids = r.addImages(v, ids)
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -82,10 +82,10 @@
 
 // addProvisioning adds a machine that is not ready yet.
 func (p *simulation) addProvisioning(k machineKind, ready time.Time) *simulatedMachine {
-	f := p.controller.knowledge.machineTypes[k.machineType]
-	v := &simulatedMachine{machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: f.Capacity, packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType)}
-	if f.ImageFetchRate > 0 {
-		v.secondsPerGB = 1 / f.ImageFetchRate
+	machineType := p.controller.knowledge.machineTypes[k.machineType]
+	v := &simulatedMachine{machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: machineType.Capacity, packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType)}
+	if machineType.ImageFetchRate > 0 {
+		v.secondsPerGB = 1 / machineType.ImageFetchRate
 	}
 	p.machines = append(p.machines, v)
 	return v
@@ -108,17 +108,17 @@
 // simulate places a demand's tasks and calls placed for each batch with its machine, arrival and
 // start; v is nil for tasks that fit nowhere.
 func (p *simulation) simulate(d demand, placed func(count int, v *simulatedMachine, from, at time.Time)) {
-	a := p.newRequest(d.job)
+	req := p.newRequest(d.job)
 	for from, left := range d.arrivalBatches(p.now) {
 		for left > 0 {
 			if !p.nextVisit() {
 				return
 			}
-			v, at := p.bestMachine(a, from, false)
+			v, at := p.bestMachine(req, from, false)
 			k := left
 			if v != nil {
 				var fetch time.Duration
-				k, at, fetch = p.placeTasks(a, v, from, left)
+				k, at, fetch = p.placeTasks(req, v, from, left)
 				if fetch > 0 && k > 1 {
 					placed(k-1, v, from, at.Add(-fetch))
 					left, k = left-(k-1), 1
@@ -155,11 +155,11 @@
 }
 
 // newMachineFetchTime is how long a new machine takes to fetch the image.
-func newMachineFetchTime(f *model.MachineType, j *job) time.Duration {
-	if f.ImageFetchRate <= 0 {
+func newMachineFetchTime(machineType *model.MachineType, j *job) time.Duration {
+	if machineType.ImageFetchRate <= 0 {
 		return 0
 	}
-	return record.DurationOfSeconds(j.ImageGB / f.ImageFetchRate)
+	return record.DurationOfSeconds(j.ImageGB / machineType.ImageFetchRate)
 }
 
 // expectedOccupancy is how long a task of the job is expected to occupy its machine.
