--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,82 +11,112 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// Worker is a model of one machine's worker.
+const (
+	// minHeartbeatInterval is the shortest time between two heartbeats of a machine.
+	minHeartbeatInterval = 500 * time.Millisecond
+	// heartbeatTimeout is how long a worker waits for the answer to a heartbeat.
+	heartbeatTimeout = 4 * time.Second
+	// heartbeatRetryPause is how long a worker waits before it turns to another controller.
+	heartbeatRetryPause = time.Second
+)
+
+// Worker is a model of one machine with its worker.
 type Worker struct {
+	// ID names the machine, and Addr is where its worker is reached.
 	ID          string
 	Addr        string
 	MachineType string
 	Zone        string
 	Spot        bool
 	Size        model.Resources
-	FetchRate   float64
+	// FetchRate is how fast it fetches images, in GB/s.
+	FetchRate float64
 
+	// rentedAt is when it was rented, and upAt when its worker starts.
 	rentedAt time.Time
 	upAt     time.Time
 	dead     bool
 	diedAt   time.Time
 	released bool
-	// taken: by the cloud; goneAt is when it was that or returned. used: some task
-	// was ever started on it.
-	reclaimed  bool
-	goneAt     time.Time
-	everUsed   bool
-	hungUntil  time.Time
+	// reclaimed: the cloud took the machine back. goneAt is when that happened or it was released.
+	reclaimed bool
+	goneAt    time.Time
+	// everUsed: some task ran on it.
+	everUsed bool
+	// hungUntil: the worker hangs until then.
+	hungUntil time.Time
+	// slowFactor is how many times longer tasks run on it; 0 means as long as usual.
 	slowFactor float64
-	faulty     bool
-	// process counts the processes that its worker was.
+	// faulty: every task fails on it.
+	faulty bool
+	// process counts the restarts of the worker.
 	process int
-	// lazy: it reports and takes orders, and never starts anything.
+	// ignoresStarts: it sends heartbeats and takes commands, and never starts a task.
 	ignoresStarts bool
-	reclaimAt     time.Time
-	// unreachableUntil: nothing reaches it until then, and holdWhileUnreachable: it does so afterwards.
+	// reclaimAt is when the cloud takes it back, if it has announced that.
+	reclaimAt time.Time
+	// unreachableUntil: nothing reaches it until then. With holdWhileUnreachable messages are
+	// delivered afterwards, else lost.
 	unreachableUntil     time.Time
 	holdWhileUnreachable bool
 	// unheardUntil: it reaches no controller until then.
 	unheardUntil time.Time
-	// recentFree is what was free on it when it was last looked at what waits.
+	// recentFree is the free capacity at the last checks for waiting jobs; see resourceUse.
 	recentFree []model.Resources
 
+	// incarnation, sequence and epoch are those of its heartbeats.
 	incarnation uint64
 	sequence    uint64
 	epoch       uint64
-	leaseStart  time.Time
-	images      map[string]time.Time
-	tasks       map[string]*workerTask
+	// leaseStart is when the last heartbeat was sent whose answer renewed the lease.
+	leaseStart time.Time
+	// images says when each image is, or will be, fetched.
+	images map[string]time.Time
+	// tasks has the attempts on it by "job/index#attempt".
+	tasks map[string]*workerTask
 
+	// controller is the index of the controller that it sends heartbeats to.
 	controller       int
 	nextHeartbeatAt  time.Time
 	lastHeartbeatAt  time.Time
 	heartbeatPending bool
-	changed          bool
+	// changed: there is something new for a heartbeat, so it need not wait for the interval.
+	changed bool
 }
 
+// workerTask is an attempt of a task on a machine.
 type workerTask struct {
-	job              *userJob
-	index            int
-	attempt          uint64
-	status           model.TaskStatus
-	cause            string
-	checkpointed     bool
-	imageReadyAt     time.Time
+	job     *userJob
+	index   int
+	attempt uint64
+	status  model.TaskStatus
+	// cause is why it ended.
+	cause string
+	// checkpointed: it stored a checkpoint when it was stopped.
+	checkpointed bool
+	imageReadyAt time.Time
+	// remaining is the run time that is left.
 	remaining        time.Duration
 	checkpointDoneAt time.Time
-	// blamed: that it is still there was told; others are to find room in the list.
+	// violationReported: that it outlived its job's cancellation was reported. Reporting it once
+	// leaves room for others in the list of violations.
 	violationReported bool
 }
 
+// taskName names a task as the protocol does.
 func taskName(job string, i int) string { return fmt.Sprintf("%s/%d", job, i) }
 
-// up says that the worker runs and is not hanging.
+// up reports whether the worker runs and does not hang.
 func (m *Worker) up(now time.Time) bool {
 	return !m.dead && !m.released && !now.Before(m.upAt) && !now.Before(m.hungUntil)
 }
 
-// onMachine says that a task counts as being on its machine.
+// onMachine reports whether the task takes resources of its machine.
 func (t *workerTask) onMachine() bool {
 	return t.status == model.Running || t.status == model.Checkpointing
 }
 
+// heartbeat makes the worker's next heartbeat.
 func (m *Worker) heartbeat(now time.Time) model.Heartbeat {
 	m.sequence++
 	r := model.Heartbeat{
@@ -102,9 +133,9 @@
 	return r
 }
 
-// executeCommands carries out orders one after another.
-func (w *World) executeCommands(m *Worker, orders []model.TaskCommand) {
-	for _, o := range orders {
+// executeCommands carries out commands one after another.
+func (w *World) executeCommands(m *Worker, commands []model.TaskCommand) {
+	for _, o := range commands {
 		key := fmt.Sprintf("%s#%d", taskName(o.Job, o.Index), o.Attempt)
 		t := m.tasks[key]
 		switch o.Kind {
@@ -116,9 +147,9 @@
 			if t == nil || t.status == model.Ended {
 				continue
 			}
-			save := t.job.spec.CheckpointInterval > 0 && t.status == model.Running && o.GracePeriod >= t.job.spec.CheckpointCost
+			savesCheckpoint := t.job.spec.CheckpointInterval > 0 && t.status == model.Running && o.GracePeriod >= t.job.spec.CheckpointCost
 			switch {
-			case save:
+			case savesCheckpoint:
 				t.status, t.checkpointDoneAt = model.Checkpointing, w.now.Add(t.job.spec.CheckpointCost)
 			case t.status == model.Checkpointing && o.GracePeriod > 0:
 			default:
@@ -132,6 +163,8 @@
 	}
 }
 
+// startTask starts an attempt, or ends it at once if the task runs here already or the machine has
+// no free capacity for it.
 func (w *World) startTask(m *Worker, o model.TaskCommand, key string) {
 	j := w.jobs[o.Job]
 	if j == nil && w.jobSource != nil {
@@ -172,14 +205,15 @@
 	if m.slowFactor > 0 {
 		t.remaining = time.Duration(float64(t.remaining) * m.slowFactor)
 	}
-	if saved, ok := j.checkpoints[o.Index]; ok {
-		t.remaining = min(t.remaining, saved)
+	if remaining, ok := j.checkpoints[o.Index]; ok {
+		t.remaining = min(t.remaining, remaining)
 	}
 	if j.doneTasks[o.Index] {
 		t.remaining = 0
 	}
 }
 
+// endTask ends an attempt.
 func (w *World) endTask(m *Worker, t *workerTask, cause string) {
 	t.cause = cause
 	w.releaseTask(t)
@@ -187,20 +221,11 @@
 	m.changed = true
 }
 
-// advanceMachine moves the machine's tasks on by a tick.
+// advanceMachine moves a machine's tasks on by d, and sends its heartbeat when that is due.
 func (w *World) advanceMachine(m *Worker, d time.Duration) {
-	// A hanging machine goes on within its lease or not at all, so the end of
-	// a lease comes to it as well.
+	// A hanging machine goes on within its lease or not at all, so its lease ends as well.
 	if m.incarnation > 0 && w.now.Sub(m.leaseStart) > w.settings.WorkerLease {
-		for _, t := range m.tasks {
-			if t.onMachine() {
-				w.LostToLease++
-			}
-		}
-		w.clearTasks(m)
-		clear(m.images)
-		m.incarnation++
-		m.leaseStart, m.changed = w.now, true
+		w.expireWorkerLease(m)
 	}
 	if !m.up(w.now) {
 		return
@@ -209,109 +234,143 @@
 		m.incarnation, m.leaseStart, m.nextHeartbeatAt = 1, w.now, w.now
 	}
 	for _, t := range m.tasks {
-		switch t.status {
-		case model.Fetching:
-			if !t.imageReadyAt.After(w.now) {
-				t.status, m.changed, m.everUsed = model.Running, true, true
-				team := t.job.spec.Team
-				w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
-				w.checkStart(m, t)
-			}
-		case model.Running:
-			if m.faulty || t.job.alwaysFails {
-				w.endTask(m, t, "error")
-				continue
-			}
-			t.remaining -= d
-			if checkpointEvery := t.job.spec.CheckpointInterval; checkpointEvery > 0 && t.remaining > 0 {
-				// Saved progress is what is left rounded up to a checkpoint.
-				steps := (t.job.run - t.remaining) / checkpointEvery
-				t.job.saveCheckpoint(t.index, t.job.run-steps*checkpointEvery)
-			}
-			if t.remaining <= 0 && !t.job.spec.LongRunning {
-				t.job.doneTasks[t.index] = true
-				w.endTask(m, t, "done")
-				w.noteTasksDone(t.job)
-				w.maybeCancelAtEnd(t.job)
-			}
-		case model.Checkpointing:
-			if !t.checkpointDoneAt.After(w.now) {
-				t.job.saveCheckpoint(t.index, t.remaining)
-				t.checkpointed = true
-				w.endTask(m, t, "stopped")
-			}
-		}
+		w.advanceTask(m, t, d)
 	}
-	// No more often than every half second, and every report interval.
-	if !m.heartbeatPending && (!w.now.Before(m.nextHeartbeatAt) || m.changed && w.now.Sub(m.lastHeartbeatAt) >= 500*time.Millisecond) {
+	if !m.heartbeatPending && (!w.now.Before(m.nextHeartbeatAt) || m.changed && w.now.Sub(m.lastHeartbeatAt) >= minHeartbeatInterval) {
 		m.heartbeatPending, m.changed, m.lastHeartbeatAt = true, false, w.now
 		m.nextHeartbeatAt = w.now.Add(w.jitter(w.settings.HeartbeatInterval))
 		w.heartbeatSender(m)
 	}
 }
 
+// expireWorkerLease kills a worker's tasks at the end of its lease and begins a new incarnation.
+func (w *World) expireWorkerLease(m *Worker) {
+	for _, t := range m.tasks {
+		if t.onMachine() {
+			w.LostToLease++
+		}
+	}
+	w.clearTasks(m)
+	clear(m.images)
+	m.incarnation++
+	m.leaseStart, m.changed = w.now, true
+}
+
+// advanceTask moves a task on by d.
+func (w *World) advanceTask(m *Worker, t *workerTask, d time.Duration) {
+	switch t.status {
+	case model.Fetching:
+		if !t.imageReadyAt.After(w.now) {
+			t.status, m.changed, m.everUsed = model.Running, true, true
+			team := t.job.spec.Team
+			w.teamUsage[team] = w.teamUsage[team].AddScaled(t.job.spec.Need, 1)
+			w.checkStart(m, t)
+		}
+	case model.Running:
+		if m.faulty || t.job.alwaysFails {
+			w.endTask(m, t, "error")
+			return
+		}
+		t.remaining -= d
+		if interval := t.job.spec.CheckpointInterval; interval > 0 && t.remaining > 0 {
+			// What is left counts from the last whole checkpoint.
+			steps := (t.job.run - t.remaining) / interval
+			t.job.saveCheckpoint(t.index, t.job.run-steps*interval)
+		}
+		if t.remaining <= 0 && !t.job.spec.LongRunning {
+			t.job.doneTasks[t.index] = true
+			w.endTask(m, t, "done")
+			w.noteTasksDone(t.job)
+			w.maybeCancelAtEnd(t.job)
+		}
+	case model.Checkpointing:
+		if !t.checkpointDoneAt.After(w.now) {
+			t.job.saveCheckpoint(t.index, t.remaining)
+			t.checkpointed = true
+			w.endTask(m, t, "stopped")
+		}
+	}
+}
+
+// sendHeartbeat sends a worker's heartbeat to the controller that it knows, and takes the answer.
+// Without an answer in time the worker turns to the next controller.
 func (w *World) sendHeartbeat(m *Worker) {
 	sent, incarnation, to, process := w.now, m.incarnation, m.controller, m.process
 	answered := false
 	r := m.heartbeat(w.now)
-	next := func(again time.Duration) {
-		m.heartbeatPending = false
-		m.controller = (to + 1) % len(w.controllers)
-		m.nextHeartbeatAt = w.now.Add(again)
-	}
-	w.schedule(4*time.Second, func() {
+	w.schedule(heartbeatTimeout, func() {
 		if !answered && m.process == process {
 			answered = true
-			next(time.Second)
+			w.tryNextController(m, to)
 		}
 	})
 	if w.now.Before(m.unheardUntil) {
-		// It opens no connection, and there is nothing that could arrive.
+		// It opens no connection, so nothing can arrive.
 		return
 	}
 	p := w.controllers[to]
 	w.copyHeartbeat(r)
 	if w.duplicateRate > 0 && w.rng.Float64() < w.duplicateRate {
 		w.schedule(w.randomDelay(), func() {
-			w.sendMessage(m.ID, p.name, func() {
-				p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(message.Effect) {})
-			})
+			w.sendMessage(m.ID, p.name, func() { p.deliverHeartbeat(r, func(message.Effect) {}) })
 		})
 	}
 	w.sendMessage(m.ID, p.name, func() {
-		p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, func(e message.Effect) {
+		p.deliverHeartbeat(r, func(e message.Effect) {
 			a := e.(message.HeartbeatReply)
 			w.sendMessage(p.name, m.ID, func() {
-				if answered {
-					// Given up: the answer is dropped.
-					return
-				}
-				answered = true
-				switch {
-				case a.Status == 421 && a.MachineOwner != "" && w.controllerIndex(a.MachineOwner) >= 0 && w.controllerIndex(a.MachineOwner) != to:
-					m.heartbeatPending = false
-					m.controller = w.controllerIndex(a.MachineOwner)
-					m.nextHeartbeatAt = w.now.Add(w.jitter(250 * time.Millisecond))
-				case a.Status != 200:
-					next(time.Second)
-				default:
-					w.checkReplySize(a)
-					m.heartbeatPending = false
-					if a.Epoch < m.epoch || incarnation != m.incarnation {
-						return
-					}
-					if a.Epoch > m.epoch {
-						m.epoch, m.changed = a.Epoch, true
-					}
-					m.leaseStart = sent
-					w.executeCommands(m, a.Commands)
+				// An answer that comes after the timeout is dropped.
+				if !answered {
+					answered = true
+					w.takeHeartbeatReply(m, a, to, incarnation, sent)
 				}
 			})
 		})
 	})
 }
 
-// executeDirect is a request to the worker's own address.
+// deliverHeartbeat hands a heartbeat to a controller; fn takes the answer.
+func (p *controllerProcess) deliverHeartbeat(r model.Heartbeat, fn func(message.Effect)) {
+	p.request(func(reply uint64) message.Command { return message.WorkerHeartbeat{Reply: reply, Heartbeat: r} }, fn)
+}
+
+// tryNextController makes a worker send its next heartbeat to the controller after one that did
+// not take it.
+func (w *World) tryNextController(m *Worker, failed int) {
+	m.heartbeatPending = false
+	m.controller = (failed + 1) % len(w.controllers)
+	m.nextHeartbeatAt = w.now.Add(heartbeatRetryPause)
+}
+
+// takeHeartbeatReply acts on the answer of controller to. incarnation is the worker's when it sent
+// the heartbeat, at sent.
+func (w *World) takeHeartbeatReply(m *Worker, a message.HeartbeatReply, to int, incarnation uint64, sent time.Time) {
+	owner := -1
+	if a.MachineOwner != "" {
+		owner = w.controllerIndex(a.MachineOwner)
+	}
+	switch {
+	case a.Status == http.StatusMisdirectedRequest && owner >= 0 && owner != to:
+		m.heartbeatPending = false
+		m.controller = owner
+		m.nextHeartbeatAt = w.now.Add(w.jitter(250 * time.Millisecond))
+	case a.Status != http.StatusOK:
+		w.tryNextController(m, to)
+	default:
+		w.checkReplySize(a)
+		m.heartbeatPending = false
+		if a.Epoch < m.epoch || incarnation != m.incarnation {
+			return
+		}
+		if a.Epoch > m.epoch {
+			m.epoch, m.changed = a.Epoch, true
+		}
+		m.leaseStart = sent
+		w.executeCommands(m, a.Commands)
+	}
+}
+
+// executeDirect carries out a request to the worker's own address.
 func (w *World) executeDirect(m *Worker, op message.WorkerRequest) message.WorkerResponse {
 	d := message.WorkerResponse{ID: op.ID, OK: true}
 	if !op.StatusOnly {
@@ -329,6 +388,8 @@
 	return d
 }
 
+// sortedKeys returns the keys of a map in order, for loops whose order must not change from run to
+// run.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
