--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -266,7 +266,9 @@
 	var at time.Duration
 	p.spend(len(p.machines))
 	for i, v := range p.machines {
-		if !req.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) || req.zoneLimits.capacity(v.machineKind.zone) == 0 || int32(i) == req.avoidedMachine || avoidNeeded && p.isNeededElsewhere(req.job, v.machineKind.machineType) {
+		if !req.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) ||
+			req.zoneLimits.capacity(v.machineKind.zone) == 0 || int32(i) == req.avoidedMachine ||
+			avoidNeeded && p.isNeededElsewhere(req.job, v.machineKind.machineType) {
 			continue
 		}
 		if start, ok := v.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs); ok {
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -118,7 +118,10 @@
 		var seen []packing.Demand
 		for _, k := range shapes {
 			if c := tallies[k]; k.machineTypes == "" || slices.Contains(strings.Fields(k.machineTypes), name) {
-				seen = append(seen, packing.Demand{Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)), GB: float64(c.megabytes) / 1000 / float64(c.tasks), HasWaiting: c.waits})
+				seen = append(seen, packing.Demand{
+					Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)),
+					GB: float64(c.megabytes) / 1000 / float64(c.tasks), HasWaiting: c.waits,
+				})
 			}
 		}
 		if k := packing.NewProfile(machineType.Capacity, machineType.ImageFetchRate, seen); k != nil {
@@ -135,7 +138,8 @@
 		fallbackAfter = 2 * gpuFallbackAfter
 	}
 	for _, j := range sl.jobs {
-		if since := later(later(j.readySince(), j.lastPlacedAt), sl.readyAt); j.Need.GPU <= roundingTolerance && s.now.Sub(since) > fallbackAfter && s.placeableTasks(j) > 0 {
+		since := later(later(j.readySince(), j.lastPlacedAt), sl.readyAt)
+		if j.Need.GPU <= roundingTolerance && s.now.Sub(since) > fallbackAfter && s.placeableTasks(j) > 0 {
 			p.gpuFallback[j.Workload] = true
 		}
 	}
@@ -291,7 +295,11 @@
 	var out []message.GPUFreeCapacity
 	for _, k := range sortedKinds(byKind) {
 		r := byKind[k]
-		out = append(out, message.GPUFreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Machines: r.Machines, EmptyMachines: r.WholeMachines, FreeGPUs: r.FreeGPUs, FragmentedGPUs: r.FragmentedGPUs, LargestReplicaGPUs: r.LargestFit})
+		out = append(out, message.GPUFreeCapacity{
+			MachineType: k.machineType, Zone: k.zone, Spot: k.spot,
+			Machines: r.Machines, EmptyMachines: r.WholeMachines,
+			FreeGPUs: r.FreeGPUs, FragmentedGPUs: r.FragmentedGPUs, LargestReplicaGPUs: r.LargestFit,
+		})
 	}
 	return out
 }
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -79,7 +79,10 @@
 
 // newPlacementRound rates all usable machines as far as that is the same for all jobs.
 func (s *scheduler) newPlacementRound() *placementRound {
-	r := &placementRound{prewarmedImages: map[string]bool{}, scarcityByWorkload: map[string]map[string]scarcity{}, full: map[taskShape]bool{}, candidateGroups: map[candidateGroupKey]*candidateGroup{}}
+	r := &placementRound{
+		prewarmedImages: map[string]bool{}, scarcityByWorkload: map[string]map[string]scarcity{},
+		full: map[taskShape]bool{}, candidateGroups: map[candidateGroupKey]*candidateGroup{},
+	}
 	for _, w := range s.controller.shardLeader.workloads {
 		if s.waitObjective(w.spec.Workload) > 0 && s.now.Sub(w.lastSeen) < workloadRetention {
 			for _, k := range s.controller.shardLeader.fleet.workloadKeysOf(w.spec.Workload) {
@@ -183,6 +186,12 @@
 	score     float64
 }
 
+// betterThan compares the first machines of two heaps that are not empty, with their fetch times.
+func (f *fetchTimeHeap) betterThan(o *fetchTimeHeap) bool {
+	a, b := f.fetchSeconds+f.elems[0].score, o.fetchSeconds+o.elems[0].score
+	return a < b || a == b && f.elems[0].candidate.index < o.elems[0].candidate.index
+}
+
 //lint:ignore U1000 heap calls it by its type parameter
 func (a *ratedCandidate) before(b *ratedCandidate) bool {
 	return a.score < b.score || a.score == b.score && a.candidate.index < b.candidate.index
@@ -209,7 +218,10 @@
 		s.reratePacked(r, g, j)
 		return g
 	}
-	g := &candidateGroup{run: s.controller.knowledge.expectedRunTime(j).Seconds(), boundedWait: s.waitObjective(j.Workload) > 0, leftWaiting: key.leftWaiting, avoidGPUs: s.avoidsGPUsNow(j), packedSeen: len(r.packedCandidates)}
+	g := &candidateGroup{
+		run: s.controller.knowledge.expectedRunTime(j).Seconds(), boundedWait: s.waitObjective(j.Workload) > 0,
+		leftWaiting: key.leftWaiting, avoidGPUs: s.avoidsGPUsNow(j), packedSeen: len(r.packedCandidates),
+	}
 	if !j.placingOverdue {
 		// An overdue job leaves nothing to others that fit fewer types.
 		g.scarcity = s.scarcityFor(r, j)
@@ -284,8 +296,7 @@
 				f.siftDown()
 			}
 		}
-		if len(f.elems) > 0 && (best == nil || f.fetchSeconds+f.elems[0].score < best.fetchSeconds+best.elems[0].score ||
-			f.fetchSeconds+f.elems[0].score == best.fetchSeconds+best.elems[0].score && f.elems[0].candidate.index < best.elems[0].candidate.index) {
+		if len(f.elems) > 0 && (best == nil || f.betterThan(best)) {
 			best = f
 		}
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -65,7 +65,8 @@
 	for _, k := range able {
 		t := m.attempts[k]
 		o := s.controller.shardLeader.jobs[k.job]
-		if o.Urgency >= j.Urgency || o.Gang || o.LongRunning || s.hasMaxPreemptions(o) || s.controller.ranking.rankOf(o) < s.controller.ranking.rankOf(j) || nonGPUOnly && o.Need.GPU > roundingTolerance {
+		if o.Urgency >= j.Urgency || o.Gang || o.LongRunning || s.hasMaxPreemptions(o) || s.controller.ranking.rankOf(o) < s.controller.ranking.rankOf(j) ||
+			nonGPUOnly && o.Need.GPU > roundingTolerance {
 			continue
 		}
 		var loss time.Duration
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -49,7 +49,8 @@
 // better than to rent another.
 func (k *fleetKnowledge) isExpected(r *rental) bool {
 	machineType, ok := k.machineTypes[r.machineType]
-	return ok && !r.releasing && r.status != "returned" && r.status != "failed" && k.provisioningOf(r.machineKind).IsWorthWaiting(k.now.Sub(r.rentedAt), machineType.ProvisioningTime)
+	return ok && !r.releasing && r.status != "returned" && r.status != "failed" &&
+		k.provisioningOf(r.machineKind).IsWorthWaiting(k.now.Sub(r.rentedAt), machineType.ProvisioningTime)
 }
 
 // expectedFor yields the machines that are counted on but not ready yet and that a job allows.
@@ -59,7 +60,9 @@
 			return
 		}
 		for id, r := range f.view.rentals {
-			if m := f.controller.shardLeader.machines[id]; (m == nil || !m.heard) && f.controller.knowledge.isExpected(r) && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
+			m := f.controller.shardLeader.machines[id]
+			counted := (m == nil || !m.heard) && f.controller.knowledge.isExpected(r)
+			if counted && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
 				return
 			}
 		}
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -147,7 +147,11 @@
 		// first: on average they are then done sooner.
 		left := float64(len(j.tasks)-j.doneTasks) * j.Need.CPU * s.controller.knowledge.expectedRunTime(j).Seconds()
 		key := s.latestStart(j).Add(record.DurationOfSeconds(jobSizeWeight * left / max(cpus, 1)))
-		queued = append(queued, queuedJob{job: j, guaranteed: s.withinGuaranteedQuota(j), latestStart: key, rankingPlace: s.controller.ranking.rankOf(j), weight: s.controller.ranking.policyWeight(j), missesPromise: s.controller.promises.cannotKeepDate(j)})
+		queued = append(queued, queuedJob{
+			job: j, guaranteed: s.withinGuaranteedQuota(j), latestStart: key,
+			rankingPlace: s.controller.ranking.rankOf(j), weight: s.controller.ranking.policyWeight(j),
+			missesPromise: s.controller.promises.cannotKeepDate(j),
+		})
 	}
 	slices.SortStableFunc(queued, compareQueueOrder)
 	if s.deferLateJobs(queued) {
@@ -182,7 +186,9 @@
 	// Of two that are as pressing, to the second, a job that can still keep its promised date
 	// goes before one that can't: that is late either way.
 	return cmp.Or(a.latestStart.Truncate(time.Second).Compare(b.latestStart.Truncate(time.Second)),
-		cmp.Compare(boolToFloat(a.missesPromise), boolToFloat(b.missesPromise)), cmp.Compare(b.job.criticalPath.Remaining, a.job.criticalPath.Remaining), a.latestStart.Compare(b.latestStart))
+		cmp.Compare(boolToFloat(a.missesPromise), boolToFloat(b.missesPromise)),
+		cmp.Compare(b.job.criticalPath.Remaining, a.job.criticalPath.Remaining),
+		a.latestStart.Compare(b.latestStart))
 }
 
 // deferLateJobs lets as many jobs as possible be in time when not all can be, and reports whether
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -40,7 +40,8 @@
 	cheapest := f.controller.knowledge.cheapestCPUCost()
 	idle := false
 	for _, m := range sl.machinesByID {
-		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && f.controller.shardLeader.scheduler.usable(m) && (f.controller.membership.hasOtherShardLeaders() && f.now.Sub(m.idleSince) > surplusAfter || f.isIdleExpired(m, cheapest)) {
+		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && f.controller.shardLeader.scheduler.usable(m) &&
+			(f.controller.membership.hasOtherShardLeaders() && f.now.Sub(m.idleSince) > surplusAfter || f.isIdleExpired(m, cheapest)) {
 			surplus[m.id] = true
 			idle = true
 		}
@@ -58,7 +59,8 @@
 	}
 	simulated := copyFreeCapacity(r, decommissioning)
 	slices.SortStableFunc(simulated, func(a, b *simulatedMachine) int {
-		return cmp.Or(cmp.Compare(boolToFloat(a.idle), boolToFloat(b.idle)), cmp.Compare(f.controller.knowledge.costPerCPU(a.machine), f.controller.knowledge.costPerCPU(b.machine)))
+		return cmp.Or(cmp.Compare(boolToFloat(a.idle), boolToFloat(b.idle)),
+			cmp.Compare(f.controller.knowledge.costPerCPU(a.machine), f.controller.knowledge.costPerCPU(b.machine)))
 	})
 	sim := f.newSimulation(simulated, r.imageIDs, charge)
 	for _, d := range f.demands(f.controller.knowledge.planningHorizon(), true, true) {
@@ -89,7 +91,8 @@
 	}
 	var candidates []*machine
 	for _, m := range f.controller.shardLeader.machinesByID {
-		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && !m.releasing && !m.reclaimNoticed && !m.faulty && f.now.Sub(m.idleSince) > surplusAfter {
+		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) &&
+			!m.releasing && !m.reclaimNoticed && !m.faulty && f.now.Sub(m.idleSince) > surplusAfter {
 			candidates = append(candidates, m)
 		}
 	}
@@ -255,7 +258,8 @@
 		}
 	}
 	if rented+reliefs > 0 {
-		sim.controller.debug("scale-out planned", "workload", d.job.Workload, "tasks", d.count, "expected", d.arrivalSpread > 0, "machines", rented, "instead_of_waiting", first, "for_scarcity", reliefs)
+		sim.controller.debug("scale-out planned", "workload", d.job.Workload, "tasks", d.count,
+			"expected", d.arrivalSpread > 0, "machines", rented, "instead_of_waiting", first, "for_scarcity", reliefs)
 	}
 }
 
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -87,7 +87,10 @@
 
 // usable reports whether tasks may be placed on m now.
 func (s *scheduler) usable(m *machine) bool {
-	return !s.controller.isRentedForOther(m.id) && m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks && m.size.CPU > 0 && m.reachability.Reachable() && !s.controller.shardLeader.heartbeats.unresponsive(m)
+	return !s.controller.isRentedForOther(m.id) &&
+		m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks &&
+		m.size.CPU > 0 && m.reachability.Reachable() &&
+		!s.controller.shardLeader.heartbeats.unresponsive(m)
 }
 
 // placeAll reserves machines for overdue jobs and places pending tasks in queue order.
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -83,7 +83,10 @@
 // addProvisioning adds a machine that is not ready yet.
 func (p *simulation) addProvisioning(k machineKind, ready time.Time) *simulatedMachine {
 	machineType := p.controller.knowledge.machineTypes[k.machineType]
-	v := &simulatedMachine{machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: machineType.Capacity, packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType)}
+	v := &simulatedMachine{
+		machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: machineType.Capacity,
+		packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType),
+	}
 	if machineType.ImageFetchRate > 0 {
 		v.secondsPerGB = 1 / machineType.ImageFetchRate
 	}
--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// onDecision reads the decisions of a controller's step from its debug log: the event "placed" with
+// onDecision reads the decisions of a controller's step from its debug log: the event "task placed" with
 // its keys job, task, try, machine and ranking.
 func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
 	l, ok := e.(message.Log)
