--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -42,7 +42,7 @@
 			return
 		}
 		heartbeat := wire.Decode()
-		if heartbeat.Validate() != "" {
+		if heartbeat.Validate() != nil {
 			return
 		}
 		for _, task := range heartbeat.Tasks {
--- a/internal/api/heartbeat.go
+++ b/internal/api/heartbeat.go
@@ -28,8 +28,8 @@
 		return h.rejectInput(c, "not a MessagePack map with a report's fields: "+err.Error())
 	}
 	heartbeat := wire.Decode()
-	if problem := heartbeat.Validate(); problem != "" {
-		return h.rejectInput(c, "field "+problem)
+	if err := heartbeat.Validate(); err != nil {
+		return h.rejectInput(c, "field "+err.Error())
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), controllerTimeout)
 	defer cancel()
--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -96,7 +96,7 @@
 	for _, c := range cancellations {
 		acks = append(acks, c.ID)
 		var r record.OpenJob
-		if !record.Decode(c.Record, &r) || !r.Cancelled || r.Validate() != "" {
+		if !record.Decode(c.Record, &r) || !r.Cancelled || r.Validate() != nil {
 			g.rejectInput("news", from, "a cancellation that can't be read")
 			continue
 		}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -159,8 +159,8 @@
 	case message.QueryPromises:
 		n.promises.query(c)
 	case message.PeerUpdate:
-		if bad := c.Validate(); bad != "" {
-			n.rejectInput("news", c.From, bad)
+		if err := c.Validate(); err != nil {
+			n.rejectInput("news", c.From, err.Error())
 			break
 		}
 		if c.StoreUnavailable {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -375,7 +375,7 @@
 	small.MachineTypes = s.MachineTypes[:3]
 	r.Cancelled, small.Cancelled = true, true
 	r.ShrinkToFit(2048)
-	if size, err := sizelimit.JSON(record.Encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.Validate() != "" {
+	if size, err := sizelimit.JSON(record.Encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.Validate() != nil {
 		t.Errorf("%d bytes, %+v", size, r)
 	}
 	if small.ShrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -279,7 +279,7 @@
 	if !n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("told again, it is a sign of life again")
 	}
-	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == "" || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == "" {
+	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == nil || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == nil {
 		t.Error("bad news is taken")
 	}
 }
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -152,9 +152,9 @@
 		s.rejectInput("record", it.Key, "it can't be read")
 		return
 	}
-	if problem := r.Validate(); problem != "" {
+	if err := r.Validate(); err != nil {
 		// Its job stays queued until somebody mends the record or cancels it.
-		s.rejectInput("record", it.Key, problem)
+		s.rejectInput("record", it.Key, err.Error())
 		return
 	}
 	if j == nil {
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -428,8 +428,8 @@
 		if s.controller.frontend.finalStatuses[id] == model.Done {
 			continue
 		}
-		if bad := l.rec.Validate(); bad != "" {
-			s.rejectInput("record", record.OpenJobPrefix+id, bad)
+		if err := l.rec.Validate(); err != nil {
+			s.rejectInput("record", record.OpenJobPrefix+id, err.Error())
 			continue
 		}
 		spec := l.rec.JobSpec(id)
--- a/internal/message/peer_validate.go
+++ b/internal/message/peer_validate.go
@@ -6,9 +6,9 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// Validate returns the first thing that is wrong with an update, as field and reason, "" if it is
-// valid. Fields have the names of the protocol between controllers; see package peer.
-func (u *PeerUpdate) Validate() string {
+// Validate returns the first thing that is wrong with an update as a *validate.FieldError, nil if
+// it is valid. Fields have the names of the protocol between controllers; see package peer.
+func (u *PeerUpdate) Validate() error {
 	var check validate.Check
 	u.validateCapacity(&check)
 	u.validateLoads(&check)
@@ -17,7 +17,7 @@
 	u.validateRemoteAttempts(&check)
 	u.validateEvacuations(&check)
 	u.validateRemoteStatuses(&check)
-	return check.Problem()
+	return check.Err()
 }
 
 func (u *PeerUpdate) validateCapacity(check *validate.Check) {
--- a/internal/message/peer_validate_test.go
+++ b/internal/message/peer_validate_test.go
@@ -1,12 +1,14 @@
 package message
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/micahill/micahill/internal/remote"
+	"github.com/micahill/micahill/internal/validate"
 )
 
 // TestPeerUpdateValidate has an update with one fault in each part: the fault's field is named.
@@ -40,9 +42,9 @@
 		{"the first fault stands", PeerUpdate{CapacityRequests: []CapacityRequest{{Count: -1}}, RemoteStatuses: []remote.MachineStatus{{}}}, "wants.count"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got, _, _ := strings.Cut(c.update.Validate(), " ")
-			if got != c.want {
-				t.Errorf("got a fault of %q, want %q", got, c.want)
+			var got *validate.FieldError
+			if err := c.update.Validate(); c.want == "" && err != nil || c.want != "" && (!errors.As(err, &got) || got.Field != c.want) {
+				t.Errorf("got error %v, want one of field %q", err, c.want)
 			}
 		})
 	}
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -63,9 +63,9 @@
 	Tasks []TaskReport
 }
 
-// Validate returns the first thing that is wrong with a heartbeat, as field and reason, "" if it
-// is valid. Fields have the names of the workers' protocol.
-func (r *Heartbeat) Validate() string {
+// Validate returns the first thing that is wrong with a heartbeat as a *validate.FieldError, nil
+// if it is valid. Fields have the names of the workers' protocol.
+func (r *Heartbeat) Validate() error {
 	var c validate.Check
 	c.Name("host", r.Machine, true)
 	c.Name("address", r.Addr, false)
@@ -78,7 +78,7 @@
 		c.Name("piece", r.Tasks[i].Job, true)
 		c.Count("piece", r.Tasks[i].Index, 0, validate.MaxTasks-1)
 	}
-	return c.Problem()
+	return c.Err()
 }
 
 // TaskCommandKind is what a worker is to do with an attempt. Its values are the protocol's.
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -109,12 +109,12 @@
 	}
 }
 
-// Validate returns the first thing that is wrong with the record, as field and reason, "" if it is
-// valid. A cancelled job's record that an earlier version shortened has no team, and is valid.
-func (r *OpenJob) Validate() string {
+// Validate returns the first thing that is wrong with the record as a *validate.FieldError, nil if
+// it is valid. A cancelled job's record that an earlier version shortened has no team, and is valid.
+func (r *OpenJob) Validate() error {
 	var c validate.Check
 	if r.Cancelled && r.Team == "" {
-		return ""
+		return nil
 	}
 	c.Count("n", r.Tasks, 1, validate.MaxTasks)
 	for _, f := range [...]struct {
@@ -125,7 +125,7 @@
 	}
 	c.Count("u", r.Urgency, int(model.BestEffort), int(model.Critical))
 	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
-		return "pr is no list of names"
+		return &validate.FieldError{Field: "pr", Found: "is no list of names"}
 	}
-	return c.Problem()
+	return c.Err()
 }
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -20,16 +20,37 @@
 	maxCauses = 256
 )
 
+// FieldError says which field of an input is invalid, and what would be valid. Its text
+// reaches users.
+type FieldError struct {
+	Field string
+	// Found says what stands in the field, such as "is missing".
+	Found string
+	// Want says what would be valid, "" where Found says it all.
+	Want string
+}
+
+func (e *FieldError) Error() string {
+	if e.Want == "" {
+		return e.Field + " " + e.Found
+	}
+	return e.Field + " " + e.Found + ": want " + e.Want
+}
+
 // Check collects what is wrong with a value; the first problem stands.
-type Check struct{ problem string }
+type Check struct{ first *FieldError }
 
-// Problem returns what is wrong, "" for nothing: the field, and what would be valid. The text
-// reaches users.
-func (c *Check) Problem() string { return c.problem }
+// Err returns what is wrong as a *FieldError, nil for nothing.
+func (c *Check) Err() error {
+	if c.first == nil {
+		return nil
+	}
+	return c.first
+}
 
-func (c *Check) reject(format string, args ...any) {
-	if c.problem == "" {
-		c.problem = fmt.Sprintf(format, args...)
+func (c *Check) reject(field, found, want string) {
+	if c.first == nil {
+		c.first = &FieldError{Field: field, Found: found, Want: want}
 	}
 }
 
@@ -39,14 +60,14 @@
 // Amount requires a finite number from 0 to MaxAmount.
 func (c *Check) Amount(field string, f float64) {
 	if !IsAmount(f) {
-		c.reject("%s is %v: want a number from 0 to %g", field, f, float64(MaxAmount))
+		c.reject(field, fmt.Sprintf("is %v", f), fmt.Sprintf("a number from 0 to %g", float64(MaxAmount)))
 	}
 }
 
 // Count requires a whole number from minimum to maximum.
 func (c *Check) Count(field string, n, minimum, maximum int) {
 	if n < minimum || n > maximum {
-		c.reject("%s is %d: want %d to %d", field, n, minimum, maximum)
+		c.reject(field, fmt.Sprintf("is %d", n), fmt.Sprintf("%d to %d", minimum, maximum))
 	}
 }
 
@@ -54,9 +75,9 @@
 func (c *Check) Name(field, s string, required bool) {
 	switch {
 	case required && s == "":
-		c.reject("%s is missing", field)
+		c.reject(field, "is missing", "")
 	case len(s) > MaxNameBytes:
-		c.reject("%s has %d bytes: want %d at most", field, len(s), MaxNameBytes)
+		c.reject(field, fmt.Sprintf("has %d bytes", len(s)), fmt.Sprintf("%d at most", MaxNameBytes))
 	}
 }
 
