--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -29,7 +29,7 @@
 		"box":  {Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
 		"rack": {Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
 	}
-	o := newShardLeader(n)
+	o := n.newShardLeader()
 	o.ready, o.readyAt, o.since = true, n.now.Add(-time.Hour), n.now.Add(-time.Hour)
 	o.generation, n.lastID = 0, 0
 	o.teams["ops"] = &heldTeam{ready: true, readyAt: n.now.Add(-time.Hour)}
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -20,8 +20,37 @@
 	// maxContactsInFlight bounds the questions to machines that are under way: those
 	// to silent hosts hang, and a successor has a thousand to ask.
 	maxContactsInFlight = 48
+	// leaseCheckInterval separates two reads of the shard map for a worker lease that has
+	// run out, when the first got no answer.
+	leaseCheckInterval = 2 * time.Second
+	// reclaimNoticeFactor is how much longer than announced a reclaimed machine may stay.
+	reclaimNoticeFactor = 1.5
 )
 
+// failover takes over what an earlier shard leader left: it contacts the machines that this
+// one has inherited, sweeps for leases that ran out, and bumps epochs where a command of
+// an earlier leader may still be executed.
+//
+// It belongs to a shardLeader and is dropped with it. Its methods may be called only while
+// that one leads, and callbacks compare the generation before they use it. Nothing of its
+// state needs to be inherited: the next leader starts with all of its machines again.
+type failover struct {
+	component
+
+	// inheritedMachines are machines of an earlier leader that are still to be contacted,
+	// those with work first.
+	inheritedMachines []*machine
+	// contactsInFlight counts the contacts under way, maxContactsInFlight at most.
+	contactsInFlight int
+
+	// higherEpochSeen has the machines that have seen an epoch above the one under which
+	// they are owned, and since when.
+	higherEpochSeen map[string]time.Time
+	// epochBumps counts the segments written to bump epochs, which are named by it.
+	epochBumps    int
+	epochBumpedAt time.Time
+}
+
 // contact asks a machine of a former owner for its status and so learns its
 // tenure, which orders need; the orders carry the higher epoch.
 func (f *failover) contact(m *machine) {
@@ -62,10 +91,9 @@
 // contactInheritedMachines goes on reaching the machines of a former owner, some at a time,
 // those with work first. One that has reported meanwhile has heard of the epoch.
 func (f *failover) contactInheritedMachines() {
-	o := f.controller.shardLeader
-	for len(o.failover.inheritedMachines) > 0 && o.failover.contactsInFlight < maxContactsInFlight {
-		m := o.failover.inheritedMachines[0]
-		o.failover.inheritedMachines = o.failover.inheritedMachines[1:]
+	for len(f.inheritedMachines) > 0 && f.contactsInFlight < maxContactsInFlight {
+		m := f.inheritedMachines[0]
+		f.inheritedMachines = f.inheritedMachines[1:]
 		if !m.removed && m.seenEpoch < m.epoch {
 			f.contact(m)
 		}
@@ -94,6 +122,22 @@
 	})
 }
 
+// addInherited has a machine contacted, after those that wait already.
+func (f *failover) addInherited(m *machine) { f.inheritedMachines = append(f.inheritedMachines, m) }
+
+// contactAll reaches all machines at once, those with live attempts first: the epoch ends
+// what an earlier leader may still command, and their heartbeats are the proof. Those
+// without are contacted as well, or they would stay with a leader that has lost only the
+// store, for the whole of its grace.
+func (f *failover) contactAll() {
+	f.inheritedMachines = slices.Clone(f.controller.shardLeader.machinesByID)
+	f.controller.ranking.sortInheritedByRank(f.inheritedMachines)
+	f.contactInheritedMachines()
+}
+
+// forgetMachine drops a machine that another shard leads now.
+func (f *failover) forgetMachine(id string) { delete(f.higherEpochSeen, id) }
+
 // sweep looks for leases that ran out and for attempts that were never sent.
 func (f *failover) sweep() {
 	o := f.controller.shardLeader
@@ -139,18 +183,11 @@
 		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen || m.removed || !f.now.After(m.leaseEnd) {
 			return
 		}
-		f.info("lease surely over", "machine", m.id, "attempts", len(m.attempts))
+		f.info("worker lease expired", "machine", m.id, "attempts", len(m.attempts))
 		f.controller.shardLeader.heartbeats.loseAllAttempts(m, nil)
 	})
 }
 
-// leaseCheckInterval separates two looks at the division for a lease that is over, when the
-// first got no answer.
-const leaseCheckInterval = 2 * time.Second
-
-// reclaimNoticeFactor is how much longer than announced a machine may stay.
-const reclaimNoticeFactor = 1.5
-
 // drainReclaimed stops what cannot end before the cloud takes the machine: what saves,
 // just in time to save; other work at once, as it is lost in any case and can
 // begin elsewhere the sooner.
@@ -174,11 +211,6 @@
 	}
 }
 
-// maxHeartbeatInterval is the longest pause between two reports of a living worker.
-func (e *environment) maxHeartbeatInterval() time.Duration {
-	return e.settings.HeartbeatInterval * 5 / 4
-}
-
 // expectsHeartbeats says that a machine should be heard of: it has been, or a former owner
 // had work on it.
 func (m *machine) expectsHeartbeats() bool { return m.heard || !m.isEmpty() }
@@ -213,18 +245,3 @@
 	}
 	return limit
 }
-
-// failover TODO.
-type failover struct {
-	component
-
-	// inheritedMachines are machines of a former owner that are still to be contacted, and
-	// contacts counts the questions under way.
-	inheritedMachines []*machine
-	contactsInFlight  int
-	// higherEpochSeen are machines that have seen an epoch above the one they are owned
-	// under, and raises counts the lots written to raise epochs.
-	higherEpochSeen map[string]time.Time
-	epochBumps      int
-	epochBumpedAt   time.Time
-}
--- /dev/null
+++ b/internal/controller/control_records.go
@@ -0,0 +1,254 @@
+package controller
+
+import (
+	"strings"
+	"time"
+
+	"github.com/micahill/micahill/internal/incarnation"
+	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/record"
+	"github.com/micahill/micahill/internal/sharding"
+)
+
+// loadControlRecords reads ctl/ anew. Pages read later may tell of later changes, so that it is
+// whole only when the changes up to the last page have come in order as well.
+func (m *membership) loadControlRecords() {
+	m.generation++
+	gen := m.generation
+	var items []message.KeyValue
+	var firstRevision uint64
+	var began time.Time
+	var list func(from string)
+	list = func(from string) {
+		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
+			if gen != m.generation {
+				return
+			}
+			if d.Status != message.StoreOK {
+				m.after(m.jitter(storeRetryDelay), func() {
+					if gen == m.generation {
+						list(from)
+					}
+				})
+				return
+			}
+			if from == "" {
+				firstRevision, items, began = d.Revision, nil, d.SentAt
+			}
+			items = append(items, d.KeyValues...)
+			if d.Truncated && len(d.KeyValues) > 0 {
+				list(d.KeyValues[len(d.KeyValues)-1].Key)
+				return
+			}
+			m.leader, m.leaderModRevision, m.drain = record.Leader{}, 0, record.Drain{}
+			clear(m.controllers)
+			oldShardMap := m.shardMap
+			m.shardMap = sharding.NewMap()
+			for _, it := range items {
+				m.applyControlRecord(it)
+			}
+			m.controller.markReassignedAfterReRead(oldShardMap)
+			m.controller.ranking.noteAbsence(items)
+			m.controller.ranking.noteKnown(began)
+			m.revision = firstRevision
+			m.watchControlRecords(gen, d.Revision)
+		})
+	}
+	list("")
+}
+
+// watchControlRecords watches ctl/. What is known of it counts from the revision whole on.
+func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
+	if gen != m.generation {
+		return
+	}
+	if !m.loaded && m.revision >= completeRevision {
+		m.loaded, m.ready = true, true
+		m.controller.frontend.watchCache.start()
+		m.controlRecordsChanged()
+	}
+	hold := watchTimeout
+	if m.revision < completeRevision {
+		hold = 0
+	}
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
+		if gen != m.generation {
+			return
+		}
+		switch d.Status {
+		case message.StoreOK:
+			m.applyControlUpdates(d)
+			m.watchControlRecords(gen, completeRevision)
+		case message.StoreCompacted:
+			m.loaded = false
+			m.loadControlRecords()
+		default:
+			m.after(m.jitter(storeRetryDelay), func() { m.watchControlRecords(gen, completeRevision) })
+		}
+	})
+}
+
+// applyControlUpdates takes in what a watch or a read of ctl/ has brought: all changes after a
+// revision that was known. Of two that overlap each change counts once.
+func (m *membership) applyControlUpdates(d message.StoreResponse) {
+	changed := false
+	for i, it := range d.KeyValues {
+		if it.ModRevision > m.revision {
+			m.applyControlRecord(it)
+			changed = true
+			if i+1 == len(d.KeyValues) || d.KeyValues[i+1].ModRevision != it.ModRevision {
+				m.controller.markReassignedTeams()
+			}
+		}
+	}
+	m.revision = max(m.revision, d.Revision)
+	m.controller.ranking.noteKnown(d.SentAt)
+	if changed && m.loaded {
+		m.controlRecordsChanged()
+	}
+}
+
+// confirmControlRecords calls fn when ctl/ is known as of a moment after this call. What is counted
+// against a machine by time alone, as the end of its lease, may count only if the
+// machine still was this controller's by then.
+func (m *membership) confirmControlRecords(fn func()) {
+	m.confirmWaiters = append(m.confirmWaiters, fn)
+	if m.confirming || !m.loaded {
+		return
+	}
+	m.confirming = true
+	waiters := m.confirmWaiters
+	m.confirmWaiters = nil
+	gen := m.generation
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision}, func(d message.StoreResponse) {
+		m.confirming = false
+		if gen != m.generation || d.Status != message.StoreOK {
+			// Whoever needs it asks again.
+			return
+		}
+		m.applyControlUpdates(d)
+		for _, fn := range waiters {
+			fn()
+		}
+		if next := m.confirmWaiters; len(next) > 0 {
+			m.confirmWaiters = nil
+			for _, fn := range next {
+				m.confirmControlRecords(fn)
+			}
+		}
+	})
+}
+
+func (m *membership) applyControlRecord(it message.KeyValue) {
+	value := it.Value
+	if it.Deleted {
+		value = nil
+	}
+	var err error
+	switch {
+	case it.Key == record.DrainKey:
+		m.drain = record.Drain{}
+		if !it.Deleted {
+			record.Decode(it.Value, &m.drain)
+		}
+	case it.Key == record.LeaderKey:
+		m.leader, m.leaderModRevision = record.Leader{}, 0
+		if !it.Deleted && record.Decode(it.Value, &m.leader) {
+			m.leaderModRevision = it.ModRevision
+		}
+	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
+		m.formats.applyFormatRecord(it)
+	case it.Key == record.RankingKey:
+		m.controller.ranking.applyRecord(it)
+	case strings.HasPrefix(it.Key, record.ReroutePrefix):
+		m.controller.partition.applyRerouteRecord(it)
+	case strings.HasPrefix(it.Key, record.MemberPrefix):
+		host := strings.TrimPrefix(it.Key, record.MemberPrefix)
+		delete(m.controllers, host)
+		var r record.Member
+		if !it.Deleted && record.Decode(it.Value, &r) {
+			m.controllers[host] = r
+		}
+	case strings.HasPrefix(it.Key, record.ShardPrefix):
+		err = m.shardMap.ApplyShard(strings.TrimPrefix(it.Key, record.ShardPrefix), value, it.ModRevision)
+	case strings.HasPrefix(it.Key, record.ShardSegmentPrefix):
+		err = m.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
+	}
+	if err != nil {
+		m.rejectInput("record", it.Key, err.Error())
+	}
+}
+
+func (m *membership) controlRecordsChanged() {
+	m.controller.ranking.applyChange()
+	switch {
+	case m.leaderModRevision == 0:
+		m.controller.stepDown()
+		wait := time.Duration(0)
+		switch {
+		case m.controller.partition.receivesNothing(m.now):
+			// The others first; see partition.go.
+			wait = partitionLeadDelay
+		case incarnation.OnProbation(m.now, m.startedAt) && m.hasEstablishedPeer():
+			// Others have been up for longer, and may be for longer yet.
+			wait = recentStartLeadDelay
+		}
+		if wait == 0 {
+			m.claimLeadership()
+			break
+		}
+		m.after(wait, func() {
+			if m.leaderModRevision == 0 {
+				m.claimLeadership()
+			}
+		})
+	case m.leader.Incarnation == m.incarnation() && m.leaseID != 0:
+		m.controller.becomeLeader()
+	default:
+		m.controller.stepDown()
+	}
+	m.controller.syncShardLeader()
+	m.formats.advanceFormat()
+}
+
+func (m *membership) claimLeadership() {
+	if m.claimingLeadership || m.leaseID == 0 || !m.loaded {
+		return
+	}
+	m.claimingLeadership = true
+	rec := record.Encode(record.Leader{Host: m.settings.Host, Incarnation: m.incarnation()})
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
+		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: m.leaseID}}}, func(d message.StoreResponse) {
+		m.claimingLeadership = false
+		switch d.Status {
+		case message.StoreOK, message.StoreConflict:
+			// The watch will say who has it. If our own unanswered claim did it,
+			// the watch says that as well.
+		case message.StoreNoLease:
+			m.leaseLost("lease expired while claiming leadership")
+		default:
+			m.after(m.jitter(storeRetryDelay), func() {
+				if m.leaderModRevision == 0 {
+					m.claimLeadership()
+				}
+			})
+		}
+	})
+}
+
+// liveMachineOwner is the controller that takes the reports of a machine: its owner, if it
+// lives.
+func (m *membership) liveMachineOwner(machine string) string {
+	o, ok := m.shardMap.Owner(machine)
+	if !ok || !m.loaded || m.controllers[o.Host].Incarnation != o.Incarnation {
+		return ""
+	}
+	return o.Host
+}
+
+// ownedMachine says whether a machine is this controller's by the records that it has read,
+// and under which epoch.
+func (m *membership) ownedMachine(machine string) (sharding.Owner, bool) {
+	o, ok := m.shardMap.Owner(machine)
+	return o, ok && o.Host == m.settings.Host && o.Incarnation == m.incarnation() && m.leaseID != 0 && m.loaded
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,72 +1,72 @@
+// Package controller is the deterministic state machine of a controller, one replica of
+// the control plane: membership, leadership, shards, jobs, attempts, machines, placement
+// and fleet sizing. It has no clocks, sockets or goroutines: its driver calls Step with
+// batches of commands and the time, and carries out the effects that Step returns.
 package controller
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/micahill/micahill/internal/boottime"
 	"github.com/micahill/micahill/internal/message"
-	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// Controller is one controller. All of its state belongs to the goroutine that
-// calls Step.
+// Controller is one replica of the control plane. All of its state belongs to the
+// goroutine that calls Step; nothing in this package locks.
+//
+// Each component owns its fields. Other components call its methods and never write its
+// fields. The components here live as long as the process. shardLeader and leader exist
+// only while this controller holds these roles; they are dropped with the membership
+// lease, and a new one starts from the records in the store.
 type Controller struct {
 	*environment
 
+	// Who takes part, and which roles this controller has.
 	membership  membership
-	frontend    frontend
-	ranking     rankingState
-	shardLeader *shardLeader
-	leader      *leader
-	role        message.Role
-	rateLimits  rateLimits
-	// lending are the loans this cluster has taken, as far as this node has read.
-	lending lending
-	// cancellations are the cancellations that peers are told of; see cancellation_gossip.go.
+	partition   partitionDetector
+	renewal     leaseRenewer
+	shardLeader *shardLeader // nil unless this controller holds a shard
+	leader      *leader      // nil unless this controller is the leader
+	// role is what was last emitted of the two.
+	role message.Role
+
+	// Requests of users and operators.
+	frontend frontend
+	ranking  rankingState
+	lending  lending
+	promises promiseState
+	// cancellations are passed on to peers; see cancellation_gossip.go.
 	cancellations cancellationGossip
-	// promises is what is known of promised dates beside the jobs.
-	promises  promiseState
-	knowledge fleetKnowledge
-	renewal   leaseRenewer
-	partition partitionDetector
-	planning  planningThrottle
-	requests  requestTracker
-}
-
-// predecessorMachine is what another shard leader last published of one of its machines, and
-// when it was received.
-type predecessorMachine struct {
-	message.MachineUpdate
-	receivedAt time.Time
-}
 
-type timer struct {
-	at time.Time
-	fn func()
+	// Shared by both roles.
+	requests   requestTracker
+	rateLimits rateLimits
+	planning   planningThrottle
+	// knowledge outlives the roles: what was learnt of machines and workloads.
+	knowledge fleetKnowledge
 }
 
-// New makes a controller that knows nothing yet. Step starts it.
+// New makes a controller that knows nothing yet. The first Step starts it.
 func New(set Settings, rng *rand.Rand) *Controller {
-	n := &Controller{environment: &environment{settings: set, rng: rng}}
-	n.connectComponents()
-	n.requests.storeCallbacks = map[uint64]func(message.StoreResponse){}
-	n.requests.cloudCallbacks = map[uint64]func(message.CloudResponse){}
-	n.requests.workerCallbacks = map[uint64]func(message.WorkerResponse){}
-	n.frontend.progressByJob = map[string]message.Progress{}
-	n.knowledge.estimators = map[string]*estimator{}
-	n.knowledge.released = map[string]bool{}
-	n.knowledge.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
-	n.knowledge.predecessorMachines = map[string]predecessorMachine{}
-	n.membership.peersWithoutStore = map[string]time.Time{}
-	n.requests.malformedTxns = map[uint64]bool{}
-	n.cancellations.unacked = map[string]*unackedCancellation{}
-	n.knowledge.provisioningTimes = map[machineKind]*boottime.Estimator{}
-	n.rateLimits.peers = map[string]peerRates{}
-	n.frontend.init()
-	return n
+	c := &Controller{
+		environment:   &environment{settings: set, rng: rng},
+		requests:      newRequestTracker(),
+		membership:    membership{peersWithoutStore: map[string]time.Time{}},
+		frontend:      frontend{progressByJob: map[string]message.Progress{}},
+		cancellations: cancellationGossip{unacked: map[string]*unackedCancellation{}},
+		rateLimits:    rateLimits{peers: map[string]peerRates{}},
+		knowledge: fleetKnowledge{
+			estimators:          map[string]*estimator{},
+			released:            map[string]bool{},
+			inheritedLoads:      map[workloadKey]message.WorkloadLoad{},
+			predecessorMachines: map[string]predecessorMachine{},
+			provisioningTimes:   map[machineKind]*boottime.Estimator{},
+		},
+	}
+	c.connectComponents()
+	c.frontend.init()
+	return c
 }
 
 // connectComponents gives each component the environment and the way to the others.
@@ -88,136 +88,80 @@
 	c.planning.component = shared
 }
 
-// Step takes a batch of commands at one moment and returns what is to be done.
-func (n *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
-	n.now = now
-	n.effects = nil
-	n.partition.monitor.Ran(now)
-	if !n.membership.started {
-		n.membership.start()
+// Step handles a batch of commands at one moment and returns the effects to carry out.
+func (c *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
+	c.now = now
+	c.effects = nil
+	c.partition.monitor.Ran(now)
+	if !c.membership.started {
+		c.membership.start()
 	}
-	for _, c := range cmds {
-		n.handleCommand(c)
+	for _, cmd := range cmds {
+		c.handleCommand(cmd)
 	}
-	n.runTimers()
-	n.membership.publishStoreUnavailable()
-	n.frontend.flushSubmissions()
-	if n.shardLeader != nil {
-		n.shardLeader.tick()
+	c.runTimers()
+	c.membership.publishStoreUnavailable()
+	c.frontend.flushSubmissions()
+	if c.shardLeader != nil {
+		c.shardLeader.tick()
 	}
-	if n.leader != nil {
-		n.leader.tick()
+	if c.leader != nil {
+		c.leader.tick()
 	}
-	if r := (message.Role{Leader: n.leader != nil, ShardLeader: n.shardLeader != nil}); r != n.role {
-		n.role = r
-		n.emit(r)
+	if r := (message.Role{Leader: c.leader != nil, ShardLeader: c.shardLeader != nil}); r != c.role {
+		c.role = r
+		c.emit(r)
 	}
-	return n.effects
+	return c.effects
 }
 
-func (n *Controller) handleCommand(c message.Command) {
-	switch c := c.(type) {
+// handleCommand passes a command to the component that it is for.
+func (c *Controller) handleCommand(cmd message.Command) {
+	switch cmd := cmd.(type) {
 	case message.SubmitJob:
-		n.frontend.submitJob(c)
+		c.frontend.submitJob(cmd)
 	case message.QueryJob:
-		n.frontend.queryJob(c)
+		c.frontend.queryJob(cmd)
 	case message.CancelJob:
-		n.frontend.cancelJob(c)
+		c.frontend.cancelJob(cmd)
 	case message.WorkerHeartbeat:
-		if !handleStaleHeartbeat(n, &c) {
-			n.handleHeartbeat(c)
-		}
+		c.receiveHeartbeat(cmd)
 	case message.StoreResponse:
-		if c.Status != message.StoreUnknown && c.Status != message.StoreRefused {
-			n.membership.storeFailingSince = time.Time{}
-		} else if n.membership.storeFailingSince.IsZero() {
-			n.membership.storeFailingSince = n.now
-		}
-		if fn := n.requests.storeCallbacks[c.ID]; fn != nil {
-			delete(n.requests.storeCallbacks, c.ID)
-			fn(c)
-		}
+		c.requests.receiveStoreResponse(cmd)
 	case message.CloudResponse:
-		if fn := n.requests.cloudCallbacks[c.ID]; fn != nil {
-			delete(n.requests.cloudCallbacks, c.ID)
-			fn(c)
-		}
+		c.requests.receiveCloudResponse(cmd)
 	case message.WorkerResponse:
-		if fn := n.requests.workerCallbacks[c.ID]; fn != nil {
-			delete(n.requests.workerCallbacks, c.ID)
-			fn(c)
-		}
+		c.requests.receiveWorkerResponse(cmd)
 	case message.QueryStatus:
-		n.replyStatus(c)
+		c.replyStatus(cmd)
 	case message.LoanCommand:
-		n.lending.runCommand(c)
+		c.lending.runCommand(cmd)
 	case message.QueryLoans:
-		n.lending.queryLoans(c)
+		c.lending.queryLoans(cmd)
 	case message.RenewCommand:
-		n.lending.runRenewCommand(c)
+		c.lending.runRenewCommand(cmd)
 	case message.SetRanking:
-		n.ranking.set(c)
+		c.ranking.set(cmd)
 	case message.QueryRanking:
-		n.ranking.query(c)
+		c.ranking.query(cmd)
 	case message.DrainCommand:
-		n.lending.runDrainCommand(c)
+		c.lending.runDrainCommand(cmd)
 	case message.QueryPromises:
-		n.promises.query(c)
+		c.promises.query(cmd)
 	case message.PeerUpdate:
-		if bad := c.Validate(); bad != "" {
-			n.rejectInput("news", c.From, bad)
-			break
-		}
-		if c.StoreUnavailable {
-			n.membership.peersWithoutStore[c.From] = n.now
-		}
-		if c.Rates != nil {
-			n.rateLimits.peers[c.From] = peerRates{n.now, *c.Rates}
-		}
-		if !n.membership.fromCurrentIncarnation(&c) {
-			break
-		}
-		if len(c.Cancellations) > 0 {
-			n.cancellations.receive(c.From, c.Cancellations)
-		}
-		n.cancellations.acknowledge(c.From, c.CancellationAcks)
-		for _, p := range c.Progress {
-			n.frontend.progressByJob[p.ID] = p
-		}
-		n.inheritLoads(c.WorkloadLoads)
-		for _, q := range c.Quotes {
-			if n.promises.enabled() {
-				n.promises.acceptQuotes(c.From, q.Value, true)
-			}
-		}
-		if n.shardLeader != nil {
-			n.shardLeader.remoteAttempts.receiveRemoteRequests(c.From, c.RemoteAttempts)
-			n.shardLeader.remoteAttempts.receiveRemoteAttempts(c.From, c.RemoteStatuses)
-			n.partition.applyReroutedHeartbeats(c.Rerouted)
-		}
-		for _, h := range c.MachineUpdates {
-			n.knowledge.predecessorMachines[h.ID] = predecessorMachine{MachineUpdate: h, receivedAt: n.now}
-		}
-		if len(c.MachineUpdates) > 0 && n.now.Sub(n.knowledge.predecessorsPrunedAt) > machineUpdateTTL {
-			// What nobody names any more is gone. The memory is judged again
-			// when it is used, from when the last news came.
-			n.knowledge.predecessorsPrunedAt = n.now
-			for id, h := range n.knowledge.predecessorMachines {
-				if n.now.Sub(h.receivedAt) > machineUpdateTTL {
-					delete(n.knowledge.predecessorMachines, id)
-				}
-			}
-		}
-		if c.IsCapacityRequest && n.leader != nil {
-			n.leader.receiveUpdate(n.now, c)
-		}
-		if c.IsLeaderUpdate && n.shardLeader != nil && n.leader == nil && c.Incarnation == n.membership.leader.Incarnation {
-			n.receiveLeaderUpdate(c)
-		}
+		c.receivePeerUpdate(cmd)
 	}
 }
 
-// Deadline is when Step wants to be called at the latest, if nothing comes.
+// receiveHeartbeat handles a worker's heartbeat, unless it is a stale copy of one.
+func (c *Controller) receiveHeartbeat(cmd message.WorkerHeartbeat) {
+	if !handleStaleHeartbeat(c, &cmd) {
+		c.handleHeartbeat(cmd)
+	}
+}
+
+// Deadline is the latest time at which Step must be called if no command comes before;
+// zero if there is none.
 func (c *Controller) Deadline() time.Time {
 	var t time.Time
 	earliest := func(o time.Time) {
@@ -240,138 +184,16 @@
 	return t
 }
 
-// StepTook tells how long the last step took here, with all that it sent off: planning
-// is divided so that steps stay short, and placing leaves time to the rest.
+// StepTook reports how long the last Step took, its effects included. Planning is cut into
+// slices by it, so that steps stay short and placement leaves time for the rest.
 func (c *Controller) StepTook(d time.Duration) { c.planning.recordStep(d) }
 
-// Healthy says whether this node can take requests now.
+// Healthy says whether this controller can take users' requests now.
 func (c *Controller) Healthy(now time.Time) bool {
 	return c.membership.ready && (!c.membership.storeDown(now) || c.membership.storeDownEverywhere(now))
 }
 
-func (e *environment) after(d time.Duration, fn func()) {
-	e.timers = append(e.timers, timer{e.now.Add(d), fn})
-}
-
-func (e *environment) runTimers() {
-	var due []timer
-	keep := e.timers[:0]
-	for _, t := range e.timers {
-		if t.at.After(e.now) {
-			keep = append(keep, t)
-		} else {
-			due = append(due, t)
-		}
-	}
-	e.timers = keep
-	for _, t := range due {
-		t.fn()
-	}
-}
-
-func (ee *environment) emit(e message.Effect) {
-	if p, ok := e.(message.SendPeerUpdate); ok {
-		p.Update.Incarnation = ee.incarnation()
-		e = p
-	}
-	ee.effects = append(ee.effects, e)
-}
-
-func (e *environment) nextID() uint64 { e.lastID++; return e.lastID }
-
-// toStore sends a request to the state service. One that passes its limits does not
-// leave: it would be refused as malformed, as often as it is sent, and count against
-// the limit of requests. It is a defect, told of as an error, and answered as such.
-func (r *requestTracker) toStore(op message.StoreRequest, fn func(message.StoreResponse)) {
-	op.ID = r.nextID()
-	if op.Kind == message.OpTxn {
-		compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
-		for i, c := range op.Compares {
-			compares[i] = c.Key
-		}
-		for i, c := range op.Writes {
-			writes[i] = sizelimit.Write{Key: c.Key, Value: c.Value}
-		}
-		if err := r.limitsOf(&op).CheckTxn(compares, writes); err != nil {
-			r.internalError("a request passes the state service's limits", "err", err)
-			r.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
-			return
-		}
-		if len(r.malformedTxns) > 0 && r.malformedTxns[txnHash(&op)] {
-			// Called malformed before, as it is.
-			r.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
-			return
-		}
-		callback := fn
-		fn = func(d message.StoreResponse) {
-			if d.Status == message.StoreMalformed {
-				r.internalError("the state service calls a transaction malformed", "changes", len(op.Writes), "first", firstWriteKey(&op))
-				if len(r.malformedTxns) >= maxMalformedTxns {
-					clear(r.malformedTxns)
-				}
-				r.malformedTxns[txnHash(&op)] = true
-			}
-			callback(d)
-		}
-	}
-	r.controller.rateLimits.countRequest(&op)
-	r.storeCallbacks[op.ID] = fn
-	r.emit(op)
-}
-
-// maxMalformedTxns bounds how many malformed transactions are remembered.
-const maxMalformedTxns = 256
-
-// txnHash tells transactions apart by what they would do.
-func txnHash(op *message.StoreRequest) uint64 {
-	h := xxhash.New()
-	for _, c := range op.Compares {
-		fmt.Fprint(h, c.Key, c.ModRevision, ";")
-	}
-	for _, a := range op.Writes {
-		fmt.Fprint(h, a.Key, a.LeaseID, len(a.Value), ":")
-		h.Write(a.Value)
-	}
-	return h.Sum64()
-}
-
-func firstWriteKey(op *message.StoreRequest) string {
-	if len(op.Writes) == 0 {
-		return ""
-	}
-	return op.Writes[0].Key
-}
-
-// internalError tells of a mistake of this program's that it goes on with.
-func (e *environment) internalError(text string, args ...any) {
-	e.internalErrors++
-	e.emit(message.Log{Error: true, Message: text, Args: args})
-}
-
-func (r *requestTracker) toCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
-	op.ID = r.nextID()
-	r.cloudCallbacks[op.ID] = fn
-	r.emit(op)
-}
-
-func (r *requestTracker) toWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
-	op.ID = r.nextID()
-	r.workerCallbacks[op.ID] = fn
-	r.emit(op)
-}
-
-func (e *environment) info(text string, args ...any) { e.emit(message.Log{Message: text, Args: args}) }
-func (e *environment) debug(text string, args ...any) {
-	e.emit(message.Log{Debug: true, Message: text, Args: args})
-}
-
-// jitter spreads d by a quarter either way, so that controllers that fell
-// over together do not come back in step.
-func (e *environment) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + e.rng.Float64()/2))
-}
-
-// spread is d, give or take a half.
-func (e *environment) spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + e.rng.Float64()))
+// IsShardLeader says whether this controller runs the jobs of some team now.
+func (c *Controller) IsShardLeader() bool {
+	return c.shardLeader != nil && c.shardLeader.ready && len(c.shardLeader.teams) > 0
 }
--- a/internal/controller/epoch_bump.go
+++ b/internal/controller/epoch_bump.go
@@ -14,10 +14,10 @@
 // begun anew.
 func (f *failover) maybeBumpEpoch() {
 	o := f.controller.shardLeader
-	if f.controller.membership.bumpingEpoch || f.now.Sub(o.failover.epochBumpedAt) < epochBumpInterval || f.now.After(f.controller.membership.leaseValidUntil) {
+	if f.controller.membership.bumpingEpoch || f.now.Sub(f.epochBumpedAt) < epochBumpInterval || f.now.After(f.controller.membership.leaseValidUntil) {
 		return
 	}
-	needed := len(o.failover.higherEpochSeen) > 0
+	needed := len(f.higherEpochSeen) > 0
 	for _, m := range o.machinesByID {
 		needed = needed || m.restartEpoch != 0 && m.restartEpoch == m.epoch || m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&o.remoteAttempts.registry)
 	}
@@ -26,7 +26,7 @@
 	}
 	// Only as of now: a machine that has seen a higher epoch is another's more likely,
 	// of which the watch has not told yet.
-	o.failover.epochBumpedAt = f.now
+	f.epochBumpedAt = f.now
 	f.controller.membership.confirmControlRecords(func() {
 		if f.controller.shardLeader == o {
 			f.controller.shardLeader.failover.bumpEpoch()
@@ -54,28 +54,28 @@
 			add(m.id)
 		}
 	}
-	for _, id := range sortedKeys(o.failover.higherEpochSeen) {
+	for _, id := range sortedKeys(f.higherEpochSeen) {
 		if _, mine := f.controller.membership.ownedMachine(id); !mine {
-			delete(o.failover.higherEpochSeen, id)
-		} else if f.now.Sub(o.failover.higherEpochSeen[id]) > epochBumpInterval {
+			delete(f.higherEpochSeen, id)
+		} else if f.now.Sub(f.higherEpochSeen[id]) > epochBumpInterval {
 			add(id)
 		}
 	}
 	for _, name := range sortedKeys(byShard) {
 		s := f.controller.membership.shardMap.Shard(name)
-		o.failover.epochBumps++
-		w, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), o.generation, o.failover.epochBumps), s, byShard[name])
+		f.epochBumps++
+		w, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), o.generation, f.epochBumps), s, byShard[name])
 		if len(bumped) == 0 {
 			continue
 		}
-		f.controller.membership.bumpingEpoch = true
-		f.info("machines get a higher epoch", "machines", len(bumped), "such as", bumped[0], "share", name)
+		f.controller.membership.epochBumpStarted()
+		f.info("epoch bumped", "machines", len(bumped), "example", bumped[0], "shard", name)
 		f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: s.ModRevision}, {Key: record.ShardSegmentPrefix + w.Name, ModRevision: 0}},
 			Writes: []message.Write{{Key: record.ShardSegmentPrefix + w.Name, Value: w.Value}}}, func(message.StoreResponse) {
-			f.controller.membership.bumpingEpoch = false
+			f.controller.membership.epochBumpEnded()
 			if f.controller.shardLeader == o {
 				for _, id := range bumped {
-					delete(o.failover.higherEpochSeen, id)
+					delete(f.higherEpochSeen, id)
 				}
 			}
 		})
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -13,18 +13,38 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// formats.go has the records of tasks go over to fewer tasks a record before the state
-// service lowers its limit of values. The version before numbers its records by the
-// limit of now and can't read others, so nothing changes until no controller of that
-// version can come back. Each controller that knows parts says so in a record of its
-// own, which outlives it; when all have, which stays true for ever, the leader writes
-// formatKey, and from then on records stand as parts. What stood before is read, and never
-// written again: see docs/design.md, "Two versions, and lower limits".
-
-const (
-	// sizedSegmentMark is what the names of parts begin with, after the job's.
-	sizedSegmentMark = "s"
-)
+// sizedSegmentMark begins the name, within a job's keys, of a segment whose name says its size.
+const sizedSegmentMark = "s"
+
+// formatMigration has task records go over to fewer tasks a segment before the store lowers
+// its limit of value sizes.
+//
+// The previous version of this program numbers segments by the present limit and can't
+// read others, so nothing changes until no controller of that version can come back. Each
+// controller that knows sized segments says so in a record of its own, which outlives it.
+// When all have, which stays true for ever, the leader writes record.FormatKey, and from
+// then on segments are written with their size in the name. Segments of earlier formats
+// are read, and never written again: see docs/design.md, "Two versions, and lower limits".
+//
+// It is part of membership and lives as long as the process. Its state follows records
+// that are never taken back, so that a failover changes nothing of it.
+type formatMigration struct {
+	component
+
+	// support has the controllers that know sized segments.
+	support map[string]bool
+	// current is the format that all have gone over to, zero before; modRevision is that of
+	// record.FormatKey.
+	current     segmentFormat
+	modRevision uint64
+	// writing: a write of one of these records is under way.
+	writing bool
+	// limitsLowered: the store has its new limits. probingLimits: it has lately been asked.
+	limitsLowered bool
+	probingLimits bool
+}
+
+func (f *formatMigration) init() { f.support = map[string]bool{} }
 
 // segmentFormat is how a job's tasks are divided among records: so many share one, which is
 // numbered alone, or is a part whose name says how many.
@@ -61,18 +81,18 @@
 }
 
 // parseSegmentKey reads the form of a record of tasks and its number from its key.
-func (ff *formatMigration) parseSegmentKey(key string) (f segmentFormat, k int, ok bool) {
+func (f *formatMigration) parseSegmentKey(key string) (format segmentFormat, k int, ok bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
-	f = ff.settings.unsizedFormat()
+	format = f.settings.unsizedFormat()
 	if part, sized := strings.CutPrefix(name, sizedSegmentMark); sized {
 		per, rest, _ := strings.Cut(part, ".")
-		f.sized = true
-		f.tasksPerSegment, _ = strconv.Atoi(per)
+		format.sized = true
+		format.tasksPerSegment, _ = strconv.Atoi(per)
 		name = rest
 	}
 	k, err := strconv.Atoi(name)
-	ok = err == nil && k >= 0 && f.tasksPerSegment > 0 && key[strings.LastIndexByte(key, '/')+1:] == f.nameOf(k)
-	return f, k, ok
+	ok = err == nil && k >= 0 && format.tasksPerSegment > 0 && key[strings.LastIndexByte(key, '/')+1:] == format.nameOf(k)
+	return format, k, ok
 }
 
 // applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
@@ -83,7 +103,7 @@
 	case it.Key != record.FormatKey:
 		f.support[strings.TrimPrefix(it.Key, record.FormatSupportPrefix)] = true
 	case !record.Decode(it.Value, &r) || r.TasksPerSegment <= 0:
-		f.rejectInput("record", it.Key, "it can't be read")
+		f.rejectInput("record", it.Key, "record unreadable")
 	default:
 		f.modRevision = it.ModRevision
 		f.adoptFormat(segmentFormat{r.TasksPerSegment, true})
@@ -92,49 +112,48 @@
 
 // adoptFormat goes over to a form if it is finer than the one that counts: one that has
 // come to count once counts for all, and stays.
-func (ff *formatMigration) adoptFormat(f segmentFormat) {
-	if !f.sized || f.tasksPerSegment >= ff.currentFormat().tasksPerSegment && ff.currentFormat().sized {
+func (f *formatMigration) adoptFormat(format segmentFormat) {
+	if !format.sized || format.tasksPerSegment >= f.currentFormat().tasksPerSegment && f.currentFormat().sized {
 		return
 	}
-	ff.current = f
-	ff.info("records of tasks are parts", "tasks", f.tasksPerSegment)
-	if ff.controller.shardLeader == nil {
+	f.current = format
+	f.info("task record format migrated", "tasks_per_segment", format.tasksPerSegment)
+	if f.controller.shardLeader == nil {
 		return
 	}
-	for _, j := range ff.controller.shardLeader.jobs {
-		j.changeFormat(f)
+	for _, j := range f.controller.shardLeader.jobs {
+		j.changeFormat(format)
 	}
 }
 
 // advanceFormat says that this controller knows parts, where they will be needed, and as the
 // leader that all do.
 func (f *formatMigration) advanceFormat() {
-	s := &f.controller.membership
 	target := record.MaxTasksPerSegment(f.settings.MaxValueBytes)
-	if s.formats.writing || !s.loaded || s.leaseID == 0 || target >= f.currentFormat().tasksPerSegment {
+	if f.writing || !f.controller.membership.loaded || f.controller.membership.leaseID == 0 || target >= f.currentFormat().tasksPerSegment {
 		return
 	}
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
 	rec := record.Encode(record.Format{TasksPerSegment: target})
 	switch {
-	case !s.formats.support[f.settings.Host]:
+	case !f.support[f.settings.Host]:
 		key := record.FormatSupportPrefix + f.settings.Host
 		op.Compares = []message.Compare{{Key: key, ModRevision: 0}}
 		op.Writes = []message.Write{{Key: key, Value: rec}}
-	case s.formats.limitsLowered && f.controller.shardLeader != nil:
-		op.Compares = append(f.controller.shardLeader.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: s.formats.modRevision})
+	case f.limitsLowered && f.controller.shardLeader != nil:
+		op.Compares = append(f.controller.shardLeader.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: f.modRevision})
 		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
 	case f.controller.leader != nil && f.allSupportSizedSegments():
-		op.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: f.controller.leader.modRevision}, {Key: record.FormatKey, ModRevision: s.formats.modRevision}}
+		op.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: f.controller.leader.modRevision}, {Key: record.FormatKey, ModRevision: f.modRevision}}
 		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
 	default:
 		return
 	}
-	s.formats.writing = true
+	f.writing = true
 	f.controller.requests.toStore(op, func(message.StoreResponse) {
 		// The watch brings it, whoever wrote it.
 		f.after(f.jitter(storeRetryDelay), func() {
-			s.formats.writing = false
+			f.writing = false
 			f.advanceFormat()
 		})
 	})
@@ -145,15 +164,14 @@
 // replaced, and has not said so. A record that was called malformed may be so for another
 // reason; a plain text that is too large for the limit to come is not.
 func (f *formatMigration) probeValueLimit() {
-	s := &f.controller.membership
 	text := record.Encode(strings.Repeat("x", f.settings.MaxValueBytes))
-	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || s.formats.limitsLowered || s.formats.probingLimits || f.currentFormat().sized {
+	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || f.limitsLowered || f.probingLimits || f.currentFormat().sized {
 		return
 	}
-	s.formats.probingLimits = true
+	f.probingLimits = true
 	f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.LimitProbeKey, Value: text}}}, func(d message.StoreResponse) {
-		s.formats.limitsLowered = d.Status == message.StoreMalformed
-		f.after(malformedRetryDelay, func() { s.formats.probingLimits = false })
+		f.limitsLowered = d.Status == message.StoreMalformed
+		f.after(malformedRetryDelay, func() { f.probingLimits = false })
 		f.advanceFormat()
 	})
 }
@@ -175,14 +193,14 @@
 	if f == j.segmentFormat {
 		return
 	}
-	old, oldForm := j.segments, j.segmentFormat
+	old, oldFormat := j.segments, j.segmentFormat
 	j.segmentFormat, j.segments = f, map[int]*taskSegment{}
 	for _, k := range sortedKeys(old) {
 		c := old[k]
 		if c.modRevision != 0 || c.writeInFlight {
-			j.formerKeys = append(j.formerKeys, oldForm.keyOf(j.ID, k))
+			j.formerKeys = append(j.formerKeys, oldFormat.keyOf(j.ID, k))
 		}
-		for i := k * oldForm.tasksPerSegment; i < min((k+1)*oldForm.tasksPerSegment, len(j.tasks)); i++ {
+		for i := k * oldFormat.tasksPerSegment; i < min((k+1)*oldFormat.tasksPerSegment, len(j.tasks)); i++ {
 			t := &j.tasks[i]
 			if t.version == 0 {
 				continue
@@ -200,22 +218,22 @@
 }
 
 // formerSegment is the chunk of a task whose state stands in a record of a former form.
-func (j *job) formerSegment(i int, rank uint64) *taskSegment {
+func (j *job) formerSegment(i int, rankingRevision uint64) *taskSegment {
 	c := j.segmentOf(i)
 	if c.version == 0 {
 		c.version, c.persistedVersion, c.inFlightVersion = 1, 1, 1
 	}
-	c.rankingRevision = max(c.rankingRevision, rank)
+	c.rankingRevision = max(c.rankingRevision, rankingRevision)
 	return c
 }
 
 // neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
 // whatever form it may be by the time that they are judged.
-func (ff *formatMigration) neverStartedCompares(id string) []message.Compare {
+func (f *formatMigration) neverStartedCompares(id string) []message.Compare {
 	var out []message.Compare
-	for _, f := range [...]segmentFormat{ff.settings.unsizedFormat(), ff.currentFormat(), {record.MaxTasksPerSegment(ff.settings.MaxValueBytes), true}} {
-		c := message.Compare{Key: f.keyOf(id, 0), ModRevision: 0}
-		if f.sized && !ff.currentFormat().sized && f.tasksPerSegment >= ff.currentFormat().tasksPerSegment {
+	for _, format := range [...]segmentFormat{f.settings.unsizedFormat(), f.currentFormat(), {record.MaxTasksPerSegment(f.settings.MaxValueBytes), true}} {
+		c := message.Compare{Key: format.keyOf(id, 0), ModRevision: 0}
+		if format.sized && !f.currentFormat().sized && format.tasksPerSegment >= f.currentFormat().tasksPerSegment {
 			// It never comes to that.
 			continue
 		}
@@ -227,29 +245,12 @@
 }
 
 // compareFormats orders records of tasks: those that count before others come first.
-func (ff *formatMigration) compareFormats(a, b message.KeyValue) int {
+func (f *formatMigration) compareFormats(a, b message.KeyValue) int {
 	rank := func(it message.KeyValue) int {
-		if f, _, ok := ff.parseSegmentKey(it.Key); ok && f.sized {
-			return f.tasksPerSegment
+		if format, _, ok := f.parseSegmentKey(it.Key); ok && format.sized {
+			return format.tasksPerSegment
 		}
 		return math.MaxInt
 	}
 	return cmp.Compare(rank(a), rank(b))
 }
-
-// formatMigration TODO.
-type formatMigration struct {
-	component
-
-	// formatSupport are the controllers that know parts of records, and form the one that all
-	// have come to, of formatKey's stamp; forming: a write for that is under way. See
-	// formats.go.
-	support     map[string]bool
-	current     segmentFormat
-	modRevision uint64
-	writing     bool
-	// lowered: the state service has its new limits, and probing: that has lately been
-	// asked for.
-	limitsLowered bool
-	probingLimits bool
-}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -1,7 +1,6 @@
 package controller
 
 import (
-	"cmp"
 	"slices"
 	"strings"
 	"time"
@@ -11,14 +10,6 @@
 	"github.com/micahill/micahill/internal/reachability"
 )
 
-const (
-	// clockDrift bounds how far steady clocks of two machines run apart, with
-	// room to spare over the 0.05 % of the protocol.
-	clockDrift = 0.002
-	// leaseMargin absorbs rounding and scheduling on both sides of a lease.
-	leaseMargin = time.Second
-)
-
 type taskKey struct {
 	job   string
 	index int
@@ -181,40 +172,6 @@
 	m.zone = zone
 }
 
-// formerOwnerGrace is for how long a former owner may go on answering a machine after it has
-// become another's. One that lives knows of that with its watch, or loses its grant,
-// and then answers for its grace.
-func (r *leaseRenewer) formerOwnerGrace() time.Duration { return membershipLeaseTTL + r.grace() }
-
-func (r *leaseRenewer) leaseEndAfter(t time.Time) time.Time {
-	return t.Add(time.Duration(float64(r.settings.WorkerLease)*(1+clockDrift)) + leaseMargin)
-}
-
-func sortedAttempts(m *machine) []taskKey { return sortedTasks(m.attempts) }
-
-// sortedTasks gives an order to what is kept by task, so that the same inputs
-// give the same decisions.
-func sortedTasks[V any](m map[taskKey]V) []taskKey {
-	keys := make([]taskKey, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	sortTasks(keys)
-	return keys
-}
-
-func sortTasks(keys []taskKey) {
-	if len(keys) < 2 {
-		return
-	}
-	slices.SortFunc(keys, func(a, b taskKey) int {
-		if c := cmp.Compare(a.index, b.index); c != 0 && a.job == b.job {
-			return c
-		}
-		return strings.Compare(a.job, b.job)
-	})
-}
-
 // noteImage notes that m fetches or holds the image of j, dropping what a cache
 // that keeps the most recently used would have dropped.
 func (m *machine) noteImage(j *job, now time.Time, cached bool) {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -1,10 +1,6 @@
 package controller
 
 import (
-	"cmp"
-	"slices"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/micahill/micahill/internal/incarnation"
@@ -35,54 +31,67 @@
 	storeDownAfter = 1500 * time.Millisecond
 )
 
-// membership is this node's grant and its picture of ctl/.
+// membership keeps this controller's place among the others: its lease in the store, its
+// record under ctl/ that rests on it, and what all controllers know from ctl/, the leader
+// and the shard map among it.
+//
+// It starts with the first Step and lives as long as the process. While leaseID is 0 this
+// controller has no lease and may hold no role: whoever loses the lease gives up both
+// roles at once (relinquishRoles), and the next lease is that of a new incarnation.
+// Callbacks compare the lease or the generation that they began under, since both may
+// have changed meanwhile. Other components read the fields and call the methods at any
+// time; what ctl/ says counts only while loaded.
 type membership struct {
 	component
 
 	started bool
-	ready   bool
+	// startedAt is when this process began.
+	startedAt time.Time
+	// ready: ctl/ has been read once, so that users can be answered.
+	ready bool
+
+	// leaseID is the lease in the store, 0 when there is none.
 	leaseID uint64
-	// startedAt is when this process began. recordModRevision is the stamp of this controller's
-	// record, 0 when there is none: what is written there names it, so that a late
-	// write of a former life does not take the place of this one's.
-	startedAt         time.Time
-	recordModRevision uint64
-	// leaseValidUntil: until then the grant lives whatever happened, counted from
-	// the sending of the last successful renewal. During an outage it lives
-	// longer, but this node cannot know.
+	// leaseValidUntil: the lease lives until then whatever happens, counted from the
+	// sending of the last successful renewal. It may live longer, but this controller
+	// can't know.
 	leaseValidUntil time.Time
 	renewing        bool
-	generation      int
+	// recordModRevision is the mod revision of this controller's record, 0 when there is
+	// none. Writing the record compares it, so that a late write of an earlier
+	// incarnation does not replace this one's.
+	recordModRevision uint64
 
+	// storeFailingSince is since when the store has answered nothing but errors, zero
+	// while it answers; see storeDown.
 	storeFailingSince time.Time
+	// peersWithoutStore is when each peer last published that it doesn't reach the store.
+	peersWithoutStore           map[string]time.Time
+	storeUnavailablePublishedAt time.Time
 
-	// revision is the revision up to which ctl/ is known. Its records are taken in as
-	// the watch brings them, in their order and never ahead of it, our own as well:
-	// then all that is read of the division belongs together.
-	revision           uint64
-	loaded             bool
+	// What is known from ctl/, as of revision. Records are applied in the order in which
+	// the watch brings them and never ahead of it, this controller's own as well, so that
+	// all that is read of the shard map belongs together.
+	revision uint64
+	loaded   bool
+	// generation changes when ctl/ is read anew: answers to older requests don't count.
+	generation         int
 	leader             record.Leader
-	leaderModRevision  uint64
+	leaderModRevision  uint64 // 0 when there is no leader
+	claimingLeadership bool
 	controllers        map[string]record.Member
 	shardMap           *sharding.Map
-	claimingLeadership bool
 	drain              record.Drain
-	// confirmWaiters wait until ctl/ is known as of a moment after they were asked; sure is
-	// that a read for them is under way.
+	formats            formatMigration
+
+	// confirmWaiters wait until ctl/ is known as of a moment after their call; confirming:
+	// a read for earlier ones is under way. See confirmControlRecords.
 	confirmWaiters []func()
 	confirming     bool
-	// receivesNothingUntil: this node has given up for hearing no worker and stands back
-	// until then; mute: it heard them, and they didn't hear it. reroutesReportedAt is when another last said that it hears this node's.
-	receivesNothingUntil time.Time
-	unheard              bool
-	reroutesReportedAt   time.Time
-	formats              formatMigration
-	// raising: machines are being named once more for a higher epoch.
+
+	// bumpingEpoch: a segment that names machines again for a higher epoch is being
+	// written. Kept here since such a write may outlast the shard leader that sent it.
 	bumpingEpoch bool
-	// storeUnavailable is when each of the others last said that the state service does
-	// not answer there.
-	peersWithoutStore           map[string]time.Time
-	storeUnavailablePublishedAt time.Time
 }
 
 func (m *membership) storeDown(now time.Time) bool {
@@ -102,6 +111,18 @@
 	return len(m.settings.Peers) > 0
 }
 
+// noteStoreStatus notes whether the store has answered a request.
+func (m *membership) noteStoreStatus(status message.StoreStatus) {
+	if status != message.StoreUnknown && status != message.StoreRefused {
+		m.storeFailingSince = time.Time{}
+	} else if m.storeFailingSince.IsZero() {
+		m.storeFailingSince = m.now
+	}
+}
+
+// notePeerWithoutStore notes that a peer has published that it doesn't reach the store.
+func (m *membership) notePeerWithoutStore(peer string) { m.peersWithoutStore[peer] = m.now }
+
 // publishStoreUnavailable tells the others that the state service does not answer here.
 func (m *membership) publishStoreUnavailable() {
 	if !m.storeDown(m.now) || m.now.Sub(m.storeUnavailablePublishedAt) < storeUnavailableInterval {
@@ -115,7 +136,8 @@
 
 func (m *membership) start() {
 	m.started, m.startedAt = true, m.now
-	m.controllers, m.formats.support = map[string]record.Member{}, map[string]bool{}
+	m.controllers = map[string]record.Member{}
+	m.formats.init()
 	m.shardMap = sharding.NewMap()
 	// The earlier life is ended at once, whatever this one waits for: the others are
 	// to have its duties.
@@ -155,13 +177,13 @@
 		rec := record.Encode(record.Incarnation{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
 		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
-			m.info("earlier lives were short: this one waits", "lives", past.ShortRuns, "for", wait)
+			m.info("start delayed after short incarnations", "incarnations", past.ShortRuns, "delay", wait)
 		}
 		m.after(wait, fn)
 	})
 }
 
-// endPreviousIncarnation ends the grant of this controller's earlier life, which is surely
+// endPreviousIncarnation ends the leaseID of this controller's earlier life, which is surely
 // over, so that the others need not wait for it to run out, and calls fn when it is
 // known what stands under its name.
 func (m *membership) endPreviousIncarnation(fn func()) {
@@ -202,20 +224,20 @@
 }
 
 func (m *membership) register() {
-	grant := m.leaseID
+	leaseID := m.leaseID
 	key := record.MemberPrefix + m.settings.Host
-	rec := record.Encode(record.Member{LeaseID: grant, Incarnation: m.incarnation(), ReceivesNothing: m.receivesNothing(m.now), StartedAt: m.startedAt.UnixMilli()})
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: m.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: grant}}}, func(d message.StoreResponse) {
-		if m.leaseID != grant {
+	rec := record.Encode(record.Member{LeaseID: leaseID, Incarnation: m.incarnation(), ReceivesNothing: m.controller.partition.receivesNothing(m.now), StartedAt: m.startedAt.UnixMilli()})
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: m.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: leaseID}}}, func(d message.StoreResponse) {
+		if m.leaseID != leaseID {
 			return
 		}
 		switch d.Status {
 		case message.StoreConflict:
 			// A write of a former life came late, or this one's own had no answer.
 			m.after(m.jitter(storeRetryDelay), func() {
-				if m.leaseID == grant {
+				if m.leaseID == leaseID {
 					m.endPreviousIncarnation(func() {
-						if m.leaseID == grant {
+						if m.leaseID == leaseID {
 							m.register()
 						}
 					})
@@ -227,10 +249,10 @@
 				m.loadControlRecords()
 			}
 		case message.StoreNoLease:
-			m.leaseLost("grant ended before registration")
+			m.leaseLost("lease expired before registration")
 		default:
 			m.after(m.jitter(storeRetryDelay), func() {
-				if m.leaseID == grant {
+				if m.leaseID == leaseID {
 					m.register()
 				}
 			})
@@ -238,22 +260,22 @@
 	})
 }
 
-// leaseLost steps down at once: the state service says the grant is over,
+// leaseLost steps down at once: the state service says the leaseID is over,
 // so others may hold the roles already.
 func (m *membership) leaseLost(reason string) {
 	if m.leaseID == 0 {
 		return
 	}
-	m.info("session lost", "why", reason)
-	m.relinquishRoles("session lost")
+	m.info("membership lease lost", "reason", reason)
+	m.relinquishRoles("membership lease lost")
 	m.createLease()
 }
 
-// relinquishRoles gives up all roles with the grant that they rest on. What this process
-// takes up under its next grant it takes up as another life.
+// relinquishRoles gives up all roles with the leaseID that they rest on. What this process
+// takes up under its next leaseID it takes up as another life.
 func (m *membership) relinquishRoles(reason string) {
 	m.leaseID, m.recordModRevision = 0, 0
-	m.lostLeases++
+	m.beginNextIncarnation()
 	m.controller.stepDown()
 	m.controller.dropShardLeader(reason)
 }
@@ -264,17 +286,17 @@
 		return
 	}
 	m.renewing = true
-	grant := m.leaseID
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: grant}, func(d message.StoreResponse) {
+	leaseID := m.leaseID
+	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: leaseID}, func(d message.StoreResponse) {
 		m.renewing = false
-		if m.leaseID != grant {
+		if m.leaseID != leaseID {
 			return
 		}
 		switch d.Status {
 		case message.StoreOK:
 			m.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
 		case message.StoreNotFound, message.StoreNoLease:
-			m.leaseLost("grant ran out")
+			m.leaseLost("lease expired")
 		}
 	})
 }
@@ -303,264 +325,7 @@
 	return lives && r.Incarnation == c.Incarnation
 }
 
-// incarnation names this process, and which grant it has in turn.
-func (e *environment) incarnation() string {
-	if e.lostLeases == 0 {
-		return e.settings.Incarnation
-	}
-	return e.settings.Incarnation + "." + strconv.Itoa(e.lostLeases)
-}
-
-// loadControlRecords reads ctl/ anew. Pages read later may tell of later changes, so that it is
-// whole only when the changes up to the last page have come in order as well.
-func (m *membership) loadControlRecords() {
-	m.generation++
-	gen := m.generation
-	var items []message.KeyValue
-	var firstRevision uint64
-	var began time.Time
-	var list func(from string)
-	list = func(from string) {
-		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
-			if gen != m.generation {
-				return
-			}
-			if d.Status != message.StoreOK {
-				m.after(m.jitter(storeRetryDelay), func() {
-					if gen == m.generation {
-						list(from)
-					}
-				})
-				return
-			}
-			if from == "" {
-				firstRevision, items, began = d.Revision, nil, d.SentAt
-			}
-			items = append(items, d.KeyValues...)
-			if d.Truncated && len(d.KeyValues) > 0 {
-				list(d.KeyValues[len(d.KeyValues)-1].Key)
-				return
-			}
-			m.leader, m.leaderModRevision, m.drain = record.Leader{}, 0, record.Drain{}
-			clear(m.controllers)
-			oldShardMap := m.shardMap
-			m.shardMap = sharding.NewMap()
-			for _, it := range items {
-				m.applyControlRecord(it)
-			}
-			markReassignedAfterReRead(m.controller, oldShardMap)
-			m.controller.ranking.noteAbsence(items)
-			m.controller.ranking.noteKnown(began)
-			m.revision = firstRevision
-			m.watchControlRecords(gen, d.Revision)
-		})
-	}
-	list("")
-}
-
-// watchControlRecords watches ctl/. What is known of it counts from the revision whole on.
-func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
-	if gen != m.generation {
-		return
-	}
-	if !m.loaded && m.revision >= completeRevision {
-		m.loaded, m.ready = true, true
-		m.controller.frontend.watchCache.start()
-		m.controlRecordsChanged()
-	}
-	hold := watchTimeout
-	if m.revision < completeRevision {
-		hold = 0
-	}
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
-		if gen != m.generation {
-			return
-		}
-		switch d.Status {
-		case message.StoreOK:
-			m.applyControlUpdates(d)
-			m.watchControlRecords(gen, completeRevision)
-		case message.StoreCompacted:
-			m.loaded = false
-			m.loadControlRecords()
-		default:
-			m.after(m.jitter(storeRetryDelay), func() { m.watchControlRecords(gen, completeRevision) })
-		}
-	})
-}
+// epochBumpStarted notes that a write that bumps epochs is under way, until epochBumpEnded.
+func (m *membership) epochBumpStarted() { m.bumpingEpoch = true }
 
-// applyControlUpdates takes in what a watch or a read of ctl/ has brought: all changes after a
-// revision that was known. Of two that overlap each change counts once.
-func (m *membership) applyControlUpdates(d message.StoreResponse) {
-	changed := false
-	for i, it := range d.KeyValues {
-		if it.ModRevision > m.revision {
-			m.applyControlRecord(it)
-			changed = true
-			if i+1 == len(d.KeyValues) || d.KeyValues[i+1].ModRevision != it.ModRevision {
-				markReassignedTeams(m.controller)
-			}
-		}
-	}
-	m.revision = max(m.revision, d.Revision)
-	m.controller.ranking.noteKnown(d.SentAt)
-	if changed && m.loaded {
-		m.controlRecordsChanged()
-	}
-}
-
-// confirmControlRecords calls fn when ctl/ is known as of a moment after this call. What is counted
-// against a machine by time alone, as the end of its lease, may count only if the
-// machine still was this controller's by then.
-func (m *membership) confirmControlRecords(fn func()) {
-	m.confirmWaiters = append(m.confirmWaiters, fn)
-	if m.confirming || !m.loaded {
-		return
-	}
-	m.confirming = true
-	waiters := m.confirmWaiters
-	m.confirmWaiters = nil
-	gen := m.generation
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision}, func(d message.StoreResponse) {
-		m.confirming = false
-		if gen != m.generation || d.Status != message.StoreOK {
-			// Whoever needs it asks again.
-			return
-		}
-		m.applyControlUpdates(d)
-		for _, fn := range waiters {
-			fn()
-		}
-		if next := m.confirmWaiters; len(next) > 0 {
-			m.confirmWaiters = nil
-			for _, fn := range next {
-				m.confirmControlRecords(fn)
-			}
-		}
-	})
-}
-
-func (m *membership) applyControlRecord(it message.KeyValue) {
-	value := it.Value
-	if it.Deleted {
-		value = nil
-	}
-	var err error
-	switch {
-	case it.Key == record.DrainKey:
-		m.drain = record.Drain{}
-		if !it.Deleted {
-			record.Decode(it.Value, &m.drain)
-		}
-	case it.Key == record.LeaderKey:
-		m.leader, m.leaderModRevision = record.Leader{}, 0
-		if !it.Deleted && record.Decode(it.Value, &m.leader) {
-			m.leaderModRevision = it.ModRevision
-		}
-	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
-		m.controller.membership.formats.applyFormatRecord(it)
-	case it.Key == record.RankingKey:
-		m.controller.ranking.applyRecord(it)
-	case strings.HasPrefix(it.Key, record.ReroutePrefix):
-		m.controller.partition.applyRerouteRecord(it)
-	case strings.HasPrefix(it.Key, record.MemberPrefix):
-		host := strings.TrimPrefix(it.Key, record.MemberPrefix)
-		delete(m.controllers, host)
-		var r record.Member
-		if !it.Deleted && record.Decode(it.Value, &r) {
-			m.controllers[host] = r
-		}
-	case strings.HasPrefix(it.Key, record.ShardPrefix):
-		err = m.shardMap.ApplyShard(strings.TrimPrefix(it.Key, record.ShardPrefix), value, it.ModRevision)
-	case strings.HasPrefix(it.Key, record.ShardSegmentPrefix):
-		err = m.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
-	}
-	if err != nil {
-		m.rejectInput("record", it.Key, err.Error())
-	}
-}
-
-func (m *membership) controlRecordsChanged() {
-	m.controller.ranking.applyChange()
-	switch {
-	case m.leaderModRevision == 0:
-		m.controller.stepDown()
-		wait := time.Duration(0)
-		switch {
-		case m.receivesNothing(m.now):
-			// The others first; see partition.go.
-			wait = partitionLeadDelay
-		case incarnation.OnProbation(m.now, m.startedAt) && m.hasEstablishedPeer():
-			// Others have been up for longer, and may be for longer yet.
-			wait = recentStartLeadDelay
-		}
-		if wait == 0 {
-			m.claimLeadership()
-			break
-		}
-		m.after(wait, func() {
-			if m.leaderModRevision == 0 {
-				m.claimLeadership()
-			}
-		})
-	case m.leader.Incarnation == m.incarnation() && m.leaseID != 0:
-		m.controller.becomeLeader()
-	default:
-		m.controller.stepDown()
-	}
-	m.controller.syncShardLeader()
-	m.controller.membership.formats.advanceFormat()
-}
-
-func (m *membership) claimLeadership() {
-	if m.claimingLeadership || m.leaseID == 0 || !m.loaded {
-		return
-	}
-	m.claimingLeadership = true
-	rec := record.Encode(record.Leader{Host: m.settings.Host, Incarnation: m.incarnation()})
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
-		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: m.leaseID}}}, func(d message.StoreResponse) {
-		m.claimingLeadership = false
-		switch d.Status {
-		case message.StoreOK, message.StoreConflict:
-			// The watch will say who has it. If our own unanswered claim did it,
-			// the watch says that as well.
-		case message.StoreNoLease:
-			m.leaseLost("grant ended while claiming the lead")
-		default:
-			m.after(m.jitter(storeRetryDelay), func() {
-				if m.leaderModRevision == 0 {
-					m.claimLeadership()
-				}
-			})
-		}
-	})
-}
-
-// liveMachineOwner is the controller that takes the reports of a machine: its owner, if it
-// lives.
-func (m *membership) liveMachineOwner(machine string) string {
-	o, ok := m.shardMap.Owner(machine)
-	if !ok || !m.loaded || m.controllers[o.Host].Incarnation != o.Incarnation {
-		return ""
-	}
-	return o.Host
-}
-
-// ownedMachine says whether a machine is this controller's by the records that it has read,
-// and under which epoch.
-func (m *membership) ownedMachine(machine string) (sharding.Owner, bool) {
-	o, ok := m.shardMap.Owner(machine)
-	return o, ok && o.Host == m.settings.Host && o.Incarnation == m.incarnation() && m.leaseID != 0 && m.loaded
-}
-
-// sortedKeys gives an order to a map, so that the same inputs give the same
-// decisions.
-func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
-	keys := make([]K, 0, len(m))
-	for k := range m {
-		keys = append(keys, k)
-	}
-	slices.Sort(keys)
-	return keys
-}
+func (m *membership) epochBumpEnded() { m.bumpingEpoch = false }
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -70,7 +70,7 @@
 		return
 	}
 	gen := g.controller.shardLeader.generation
-	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
+	g.controller.requests.readAll(record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
 }
 
 // recoverRecords takes up what former owners had under way for teams that have come.
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -48,7 +48,7 @@
 	if !p.enabled() {
 		return
 	}
-	readAll(p.controller, record.QuotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
+	p.controller.requests.readAll(record.QuotesPrefix, message.PriorityUser, func() bool { return true }, func(its []message.KeyValue) {
 		for _, it := range its {
 			p.acceptQuotes(it.Key, it.Value, false)
 		}
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -10,17 +10,6 @@
 	"github.com/micahill/micahill/internal/selfmonitor"
 )
 
-// A controller that reaches the state service but no worker is of no use as an
-// owner: it keeps its grant, so nobody takes its share, and the workers' leases
-// run out while they ask the others in vain. The others tell it, by a record that
-// its watch brings, that its machines keep coming to them; together with its own
-// silence that is proof, and it gives its grant up. Where nobody hears the
-// workers nobody says so, and everything stays as it is.
-//
-// The same holds for one whose answers are lost on the way: it hears the workers in
-// their turns, and they hear the others only. When the others say that its machines
-// come back, it asks those that it has just heard; if none answers, it is mute.
-
 const (
 	// minReroutedMachines is how many machines must come back before anybody says so. One
 	// may have lost its way by itself.
@@ -36,21 +25,77 @@
 	partitionLeadDelay = 3 * time.Second
 )
 
-// receivesNothing says that this controller has lately given up for hearing no worker.
-func (m *membership) receivesNothing(now time.Time) bool { return now.Before(m.receivesNothingUntil) }
+const (
+	// reroutedHeartbeatInterval separates two updates to a machine owner about its
+	// rerouted heartbeats.
+	reroutedHeartbeatInterval = 500 * time.Millisecond
+	// maxRecentPolls is how many machines are polled when others say that they report there.
+	maxRecentPolls = 4
+	// maxReroutedPolls bounds the polls under way to machines with rerouted heartbeats.
+	maxReroutedPolls = 8
+)
+
+// partitionDetector finds out whether this controller is cut off from the workers while
+// others are not, and has it give up its roles then.
+//
+// A controller that reaches the store but no worker is of no use as a shard leader: it
+// keeps its lease, so nobody takes its shard, and the workers' leases run out while they
+// ask the others in vain. The others say so by a record that its watch brings: its
+// machines keep reporting to them. Together with its own silence that is proof, and it
+// gives up its membership lease. Where nobody hears the workers nobody says so, and
+// everything stays as it is.
+//
+// The same holds for one whose answers are lost: it gets heartbeats, and the workers hear
+// only the others. When the others say that its machines report there, it polls those
+// that it has just heard; if none answers, it is unheard.
+//
+// It lives as long as the process: what was seen before a failover counts after it.
+// checkPartition and applyReroutedHeartbeats may be called only while this controller
+// leads a shard, the other methods at any time.
+type partitionDetector struct {
+	component
+
+	// monitor is what this controller hears of workers.
+	monitor selfmonitor.Monitor
+	// reroutesReportedAt is when another controller last said that machines of this one
+	// report to it.
+	reroutesReportedAt time.Time
+	// receivesNothingUntil: this controller has given up its roles and stands by until then.
+	// unheard: it heard the workers, and they didn't hear it.
+	receivesNothingUntil time.Time
+	unheard              bool
+	// reachabilityRequestedAt is when a worker was last asked whether it hears this
+	// controller again.
+	reachabilityRequestedAt time.Time
+
+	// Heartbeats of others' machines that came here.
+
+	// reroutedMachines are the machines that were sent to their owners.
+	reroutedMachines    selfmonitor.ReroutedMachines
+	reroutedPublishedAt time.Time
+	// reroutedPollsInFlight counts the polls of such machines.
+	reroutedPollsInFlight int
+	// reroutedHeartbeats wait to be published, by the owner's host.
+	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
+}
+
+// receivesNothing says that this controller stands by since it was cut off from the workers.
+func (p *partitionDetector) receivesNothing(now time.Time) bool {
+	return now.Before(p.receivesNothingUntil)
+}
 
 // heartbeatReceived notes that a report has reached this controller at all.
 func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
 	p.monitor.HeartbeatReceived(p.now)
 	switch {
-	case !p.controller.membership.receivesNothing(p.now):
-	case !p.controller.membership.unheard:
+	case !p.receivesNothing(p.now):
+	case !p.unheard:
 		p.endStandDown()
 	case p.now.Sub(p.reachabilityRequestedAt) > probeInterval:
 		// That it hears the worker is nothing new.
 		p.reachabilityRequestedAt = p.now
 		p.controller.requests.toWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
-			if d.Heartbeat != nil && p.controller.membership.receivesNothing(p.now) {
+			if d.Heartbeat != nil && p.receivesNothing(p.now) {
 				p.endStandDown()
 			}
 		})
@@ -71,12 +116,9 @@
 	}
 }
 
-// maxRecentPolls is how many machines are asked when others say that they come back.
-const maxRecentPolls = 4
-
 // endStandDown lets the controller be chosen again.
 func (p *partitionDetector) endStandDown() {
-	p.controller.membership.receivesNothingUntil, p.controller.membership.unheard = time.Time{}, false
+	p.receivesNothingUntil, p.unheard = time.Time{}, false
 	if p.controller.membership.leaseID != 0 && p.controller.membership.loaded {
 		p.controller.membership.register()
 	}
@@ -86,8 +128,8 @@
 // when its machines keep coming here. One that does not hear where it is sent says
 // nothing of its steward, so it is asked.
 func (p *partitionDetector) noteRerouted(r *model.Heartbeat, ownerHost string) {
-	s := &p.controller.membership
-	ownerRecord, ok := s.controllers[ownerHost]
+	members := &p.controller.membership
+	ownerRecord, ok := members.controllers[ownerHost]
 	if !ok || ownerHost == p.settings.Host {
 		return
 	}
@@ -106,10 +148,6 @@
 	p.queueReroutedHeartbeat(r, ownerHost)
 }
 
-const (
-	reroutedHeartbeatInterval = 500 * time.Millisecond
-)
-
 // queueReroutedHeartbeat tells a steward that a report of its machine came here: it may not have heard
 // it for long, and take one that only doesn't hear the answers for one that is gone.
 func (p *partitionDetector) queueReroutedHeartbeat(r *model.Heartbeat, ownerHost string) {
@@ -143,13 +181,10 @@
 	}
 }
 
-// maxReroutedPolls bounds the questions under way to machines that came back.
-const maxReroutedPolls = 8
-
 // publishRerouted tells a steward, in its present life, that its machines come here.
 func (p *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
-	s := &p.controller.membership
-	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || s.leaseID == 0 || p.now.After(s.leaseValidUntil) {
+	members := &p.controller.membership
+	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || members.leaseID == 0 || p.now.After(members.leaseValidUntil) {
 		return
 	}
 	count := p.reroutedMachines.CountReappeared(p.now, ownerHost)
@@ -157,73 +192,56 @@
 		return
 	}
 	p.reroutedPublishedAt = p.now
-	p.info("machines come back from their steward", "steward", ownerHost, "machines", count)
+	p.info("heartbeats rerouted from machine owner", "owner", ownerHost, "machines", count)
 	rec := record.Encode(record.ReroutedMachines{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: members.leaseID}}}, func(message.StoreResponse) {})
 }
 
 // applyRerouteRecord takes in what another controller says of this one's machines.
 func (p *partitionDetector) applyRerouteRecord(it message.KeyValue) {
 	var r record.ReroutedMachines
 	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == p.settings.Host && r.Incarnation == p.incarnation() {
-		if p.now.Sub(p.controller.membership.reroutesReportedAt) > rerouteRecordTTL {
+		if p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
 			// What was asked before says nothing of now.
 			p.monitor.RequestDelivered()
 		}
-		p.controller.membership.reroutesReportedAt = p.now
+		p.reroutesReportedAt = p.now
 	}
 }
 
 // checkPartition gives the share up when this owner hears nothing and others do.
 func (p *partitionDetector) checkPartition() {
-	o, s := p.controller.shardLeader, &p.controller.membership
-	if s.leaseID == 0 || p.now.Sub(s.reroutesReportedAt) > rerouteRecordTTL {
+	leader, members := p.controller.shardLeader, &p.controller.membership
+	if members.leaseID == 0 || p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
 		return
 	}
 	reporting := 0
-	for _, m := range o.machinesByID {
+	for _, m := range leader.machinesByID {
 		if m.expectsHeartbeats() && !m.releasing {
 			reporting++
 		}
 	}
-	receivesNothing := p.monitor.ReceivesNothing(p.now, o.readyAt, reporting, p.maxHeartbeatInterval())
+	receivesNothing := p.monitor.ReceivesNothing(p.now, leader.readyAt, reporting, p.maxHeartbeatInterval())
 	if !receivesNothing {
 		p.pollRecentMachines()
 	}
 	if !receivesNothing && (reporting < 2 || !p.monitor.Unheard(p.now)) {
 		return
 	}
-	p.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !receivesNothing)
-	grant := s.leaseID
-	s.reroutesReportedAt, s.receivesNothingUntil, s.unheard = time.Time{}, p.now.Add(partitionStandDown), !receivesNothing
+	p.info("shard given up in a partition", "machines", reporting, "heartbeats_received", !receivesNothing)
+	leaseID := members.leaseID
+	p.reroutesReportedAt, p.receivesNothingUntil, p.unheard = time.Time{}, p.now.Add(partitionStandDown), !receivesNothing
 	p.after(partitionStandDown, func() {
-		if !s.receivesNothing(p.now) {
+		if !p.receivesNothing(p.now) {
 			p.endStandDown()
 		}
 	})
-	p.controller.membership.relinquishRoles("hears no worker")
+	p.controller.membership.relinquishRoles("partitioned from workers")
 	// Ended, the grant takes the lead and the node's record with it at once. A new
 	// one is asked for only then: this node is not to look alive in between.
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: grant}, func(message.StoreResponse) {
-		if s.leaseID == 0 {
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: leaseID}, func(message.StoreResponse) {
+		if members.leaseID == 0 {
 			p.controller.membership.createLease()
 		}
 	})
 }
-
-// partitionDetector TODO.
-type partitionDetector struct {
-	component
-
-	// selfMonitor and strays are what this node hears of workers, and which it sent on;
-	// see partition.go.
-	monitor             selfmonitor.Monitor
-	reroutedMachines    selfmonitor.ReroutedMachines
-	reroutedPublishedAt time.Time
-	// reroutedPollsInFlight counts the questions under way to machines that came back.
-	reroutedPollsInFlight int
-	// reroutedHeartbeats are reports of others' machines that these are to be told of.
-	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
-	// reachabilityRequestedAt is when a worker was last asked whether it hears this node again.
-	reachabilityRequestedAt time.Time
-}
--- /dev/null
+++ b/internal/controller/peer_updates.go
@@ -0,0 +1,85 @@
+package controller
+
+import (
+	"time"
+
+	"github.com/micahill/micahill/internal/message"
+)
+
+// predecessorMachine is what another shard leader last published of one of its machines, and
+// when it was received.
+type predecessorMachine struct {
+	message.MachineUpdate
+	receivedAt time.Time
+}
+
+// receivePeerUpdate takes in what another controller has published. Of one that does not
+// take part, only its rates and the state of its store connection count.
+func (c *Controller) receivePeerUpdate(u message.PeerUpdate) {
+	if problem := u.Validate(); problem != "" {
+		c.rejectInput("peer update", u.From, problem)
+		return
+	}
+	if u.StoreUnavailable {
+		c.membership.notePeerWithoutStore(u.From)
+	}
+	if u.Rates != nil {
+		c.rateLimits.receivePeerRates(u.From, *u.Rates)
+	}
+	if !c.membership.fromCurrentIncarnation(&u) {
+		return
+	}
+	if len(u.Cancellations) > 0 {
+		c.cancellations.receive(u.From, u.Cancellations)
+	}
+	c.cancellations.acknowledge(u.From, u.CancellationAcks)
+	c.frontend.receiveProgress(u.Progress)
+	c.inheritLoads(u.WorkloadLoads)
+	for _, q := range u.Quotes {
+		if c.promises.enabled() {
+			c.promises.acceptQuotes(u.From, q.Value, true)
+		}
+	}
+	if c.shardLeader != nil {
+		c.shardLeader.remoteAttempts.receiveRemoteRequests(u.From, u.RemoteAttempts)
+		c.shardLeader.remoteAttempts.receiveRemoteAttempts(u.From, u.RemoteStatuses)
+		c.partition.applyReroutedHeartbeats(u.Rerouted)
+	}
+	c.knowledge.receiveMachineUpdates(u.MachineUpdates)
+	if u.IsCapacityRequest && c.leader != nil {
+		c.leader.receiveUpdate(c.now, u)
+	}
+	if u.IsLeaderUpdate && c.shardLeader != nil && c.leader == nil && u.Incarnation == c.membership.leader.Incarnation {
+		c.receiveLeaderUpdate(u)
+	}
+}
+
+// receivePeerRates notes how much of the store's rate another controller uses.
+func (r *rateLimits) receivePeerRates(from string, rates message.Rates) {
+	r.peers[from] = peerRates{r.now, rates}
+}
+
+// receiveProgress notes how far jobs of other shard leaders are.
+func (f *frontend) receiveProgress(progress []message.Progress) {
+	for _, p := range progress {
+		f.progressByJob[p.ID] = p
+	}
+}
+
+// receiveMachineUpdates remembers machines of other shard leaders, for a failover. Those
+// that nobody has named for machineUpdateTTL are forgotten; readers check the age as well,
+// since this happens seldom.
+func (k *fleetKnowledge) receiveMachineUpdates(updates []message.MachineUpdate) {
+	for _, u := range updates {
+		k.predecessorMachines[u.ID] = predecessorMachine{MachineUpdate: u, receivedAt: k.now}
+	}
+	if len(updates) == 0 || k.now.Sub(k.predecessorsPrunedAt) <= machineUpdateTTL {
+		return
+	}
+	k.predecessorsPrunedAt = k.now
+	for id, h := range k.predecessorMachines {
+		if k.now.Sub(h.receivedAt) > machineUpdateTTL {
+			delete(k.predecessorMachines, id)
+		}
+	}
+}
--- a/internal/controller/record.go
+++ /dev/null
@@ -1,1 +0,0 @@
-package controller
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -8,11 +8,14 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
+// maxRunTime bounds a run time in a record.
+const maxRunTime = 366 * 24 * time.Hour
+
 // recoverSegment takes in a record of a job's tasks that a former owner wrote.
 func (f *failover) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegment) {
 	format, segmentIndex, ok := f.controller.membership.formats.parseSegmentKey(it.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
-		f.rejectInput("record", it.Key, "its job has no such part")
+		f.rejectInput("record", it.Key, "job has no such segment")
 		return
 	}
 	if segmentIndex*format.tasksPerSegment >= len(j.tasks) {
@@ -24,6 +27,19 @@
 		j.formerKeys = append(j.formerKeys, it.Key)
 	}
 	defer j.markCovered(format, segmentIndex)
+	f.recoverDone(j, format, r)
+	f.recoverRows(j, format, it.Key, r)
+	if len(j.sortedRunTimes) == 0 {
+		for _, ms := range r.RunTimes {
+			if ms > 0 && ms < maxRunTime.Milliseconds() {
+				j.recordRunTime(time.Duration(ms) * time.Millisecond)
+			}
+		}
+	}
+}
+
+// recoverDone applies which tasks a segment says are done.
+func (f *failover) recoverDone(j *job, format segmentFormat, r *record.TaskSegment) {
 	for i := 0; i+1 < len(r.DoneRanges); i += 2 {
 		for x := max(0, r.DoneRanges[i]); x <= r.DoneRanges[i+1] && x < len(j.tasks); x++ {
 			t := &j.tasks[x]
@@ -37,9 +53,14 @@
 			j.nextFresh = max(j.nextFresh, x+1)
 		}
 	}
-	marks := map[int64]bool{}
+}
+
+// recoverRows applies the tasks that a segment has rows for: their attempts and, of those
+// that were live, their machines and groups.
+func (f *failover) recoverRows(j *job, format segmentFormat, key string, r *record.TaskSegment) {
+	relaunched := map[int64]bool{}
 	for _, g := range r.RelaunchedGroups {
-		marks[g] = true
+		relaunched[g] = true
 	}
 	for _, row := range r.Rows {
 		if row.Index < 0 || row.Index >= len(j.tasks) || j.isCovered(row.Index) {
@@ -47,7 +68,7 @@
 		}
 		t := &j.tasks[row.Index]
 		if t.done || t.machine != nil {
-			f.rejectInput("record", it.Key, "a task is named twice")
+			f.rejectInput("record", key, "task listed twice")
 			continue
 		}
 		j.trackFormat(format, row.Index, r.RankingRevision)
@@ -64,19 +85,12 @@
 			t.rankingRevision = r.RankingRevision
 			g := j.groups[row.Group]
 			if g == nil {
-				g = &group{startedAt: time.UnixMilli(row.Group), relaunchDecided: marks[row.Group]}
+				g = &group{startedAt: time.UnixMilli(row.Group), relaunchDecided: relaunched[row.Group]}
 				j.groups[row.Group] = g
 			}
 			g.tasks = append(g.tasks, row.Index)
 		}
 	}
-	if len(j.sortedRunTimes) == 0 {
-		for _, ms := range r.RunTimes {
-			if ms > 0 && ms < maxRunTime.Milliseconds() {
-				j.recordRunTime(time.Duration(ms) * time.Millisecond)
-			}
-		}
-	}
 }
 
 // markCovered notes that what a part says of its tasks counts before what records of a former
@@ -95,9 +109,9 @@
 
 // trackFormat notes where the state of a task stands: in the job's own form or in another,
 // from which it moves when it changes.
-func (j *job) trackFormat(f segmentFormat, i int, rank uint64) {
+func (j *job) trackFormat(f segmentFormat, i int, rankingRevision uint64) {
 	if f != j.segmentFormat {
-		j.formerSegment(i, rank)
+		j.formerSegment(i, rankingRevision)
 	}
 }
 
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -6,84 +6,101 @@
 	"github.com/micahill/micahill/internal/faultattribution"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
-	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/sharding"
 )
 
 const (
-	// shardLeaderTickInterval is how often the owner looks round without being asked.
+	// shardLeaderTickInterval is how often a shard leader looks at everything unasked.
 	shardLeaderTickInterval = 500 * time.Millisecond
-	// placementInterval separates two rounds of placing. Ends and arrivals come by
-	// the dozen a second in a large pool; a round looks at every machine, and
-	// what it places shares a write.
+	// placementInterval separates two rounds of placement. In a large pool tasks end and
+	// arrive by the dozen a second; a round looks at every machine, and what it places
+	// shares a write.
 	placementInterval = 150 * time.Millisecond
-	// epochBumpInterval bounds how often an owner raises its epoch by itself.
+	// epochBumpInterval is the least time between two epoch bumps of a shard leader.
 	epochBumpInterval = 3 * time.Second
-	// persistInterval separates two looks at what is to be written, which go through all
-	// jobs, but after a round of placing: hundreds of reports come in a second.
+	// persistInterval separates two scans of all jobs for what is to be written, except
+	// after a round of placement: hundreds of heartbeats come in a second.
 	persistInterval = 20 * time.Millisecond
 )
 
-// shardLeader runs the teams and machines of the shares that this controller holds.
+// shardLeader runs the teams and machines of the shards that this controller holds, with the
+// components that exist only for that.
+//
+// There is one while the shard map, as read under the present membership lease, gives this
+// controller a shard; see syncShardLeader. Its methods may be called only while
+// Controller.shardLeader is it. It may be dropped and made anew while a request is under
+// way, so a callback compares Controller.shardLeader or the generation before it uses it.
+// All of its state is lost with it: the next one loads the teams' records and learns of
+// the machines by their heartbeats.
+//
+// A task's attempt is counted in its job, its machine and its team alike: only
+// attachAttempt, endAttempt and the hand-over of teams and machines change these.
 type shardLeader struct {
 	component
 
-	since      time.Time
-	ready      bool
-	readyAt    time.Time
+	// generation differs for each shard leader of a process.
 	generation int
-	// teams are those of the shares that are held; see shard_sync.go.
+	since      time.Time
+	// ready: the records of the first teams have been read, at readyAt.
+	ready   bool
+	readyAt time.Time
+	// wakeAt is when tick wants to run next, sweptAt when it last looked at everything.
+	wakeAt  time.Time
+	sweptAt time.Time
+
+	// What it holds; see shard_sync.go.
 	teams  map[string]*heldTeam
 	shards map[string]bool
-	// catchAllSince is since when one of the shares has the machines that no lot names.
+	// catchAllSince is since when one of the shards has the machines that no segment names.
 	catchAllSince time.Time
-	// loading: records of teams are being read.
-	loadingTeams   bool
-	jobs           map[string]*job
-	machines       map[string]*machine
-	remoteAttempts remoteAttempts
-	promiseDates   shardLeaderDates
-	// machinesByID are the machines in the order of their names, and dirty those for
-	// which orders may be due.
+	// loadingTeams: records of teams are being read.
+	loadingTeams bool
+
+	jobs     map[string]*job
+	machines map[string]*machine
+	// machinesByID are the same machines in the order of their ids.
 	machinesByID []*machine
 	usedByTeam   map[string]model.Resources
+	// workloads has the newest job of each workload.
+	workloads map[string]*workload
 	// faultAttribution tells faulty machines from jobs that fail everywhere.
 	faultAttribution faultattribution.Tracker
-	wakeAt           time.Time
-	sweptAt          time.Time
-	// teamRelease is a team that the leader wants to move, and when it last said so.
-	teamRelease   sharding.MoveRequest
-	teamReleaseAt time.Time
-	// workloads holds the newest job of each workload.
-	workloads        map[string]*workload
+	promiseDates     shardLeaderDates
+
+	// What is published to the peers; see publish.go.
 	publishedAt      time.Time
 	loadsPublishedAt time.Time
-	// publishTurn says which machines the others are told of next.
-	publishTurn  int
-	dependencies dependencyTracker
-	dispatcher   dispatcher
-	failover     failover
-	fleet        fleetPlanner
-	heartbeats   heartbeatTracker
-	migration    migrationManager
-	persistence  persistence
-	scheduler    scheduler
+	// publishTurn says which part of the machines is published next.
+	publishTurn int
+	// teamRelease is a team that the leader wants to move, as of teamReleaseAt.
+	teamRelease   sharding.MoveRequest
+	teamReleaseAt time.Time
+
+	dependencies   dependencyTracker
+	dispatcher     dispatcher
+	failover       failover
+	fleet          fleetPlanner
+	heartbeats     heartbeatTracker
+	migration      migrationManager
+	persistence    persistence
+	remoteAttempts remoteAttempts
+	scheduler      scheduler
 }
 
 // newShardLeader makes a shard leader that leads nothing yet.
-func newShardLeader(c *Controller) *shardLeader {
-	o := &shardLeader{
+func (c *Controller) newShardLeader() *shardLeader {
+	s := &shardLeader{
 		since: c.now, generation: int(c.nextID()),
 		teams: map[string]*heldTeam{}, shards: map[string]bool{},
 		jobs: map[string]*job{}, machines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
-		workloads: map[string]*workload{},
-	}
-	o.remoteAttempts.machines = map[string]*machine{}
-	o.failover.higherEpochSeen = map[string]time.Time{}
-	o.fleet.arrivals = map[workloadKey][]arrival{}
-	o.persistence.prewarmedImages = map[string]map[string]float64{}
-	o.connectComponents(component{environment: c.environment, controller: c})
-	return o
+		workloads:      map[string]*workload{},
+		remoteAttempts: remoteAttempts{machines: map[string]*machine{}},
+		failover:       failover{higherEpochSeen: map[string]time.Time{}},
+		fleet:          fleetPlanner{arrivals: map[workloadKey][]arrival{}},
+		persistence:    persistence{prewarmedImages: map[string]map[string]float64{}},
+	}
+	s.connectComponents(component{environment: c.environment, controller: c})
+	return s
 }
 
 // connectComponents gives each part of a shard leader the environment and the way to the others.
@@ -100,29 +117,12 @@
 	s.migration.component = shared
 }
 
-type workload struct {
-	spec     *model.JobSpec
-	lastSeen time.Time
-}
-
-type arrival struct {
-	arrivedAt time.Time
-	tasks     int
-	need      model.Resources
-	spec      *model.JobSpec
-}
-
-// grace is H: how long an owner goes on answering its workers after its grant
-// may have ended. A full lease, so that a long outage of the state service
-// costs no work; a successor that reaches the workers needs not wait for it,
-// because the higher epoch reaches them at once.
-func (r *leaseRenewer) grace() time.Duration { return r.settings.WorkerLease }
-
+// dropShardLeader ends the shard leadership with all of its state.
 func (c *Controller) dropShardLeader(reason string) {
 	if c.shardLeader == nil {
 		return
 	}
-	c.info("owner no more", "why", reason)
+	c.info("shard leadership lost", "reason", reason)
 	c.shardLeader.endPlanningPass()
 	if c.shardLeader.scheduler.packingProfile != nil {
 		c.emit(message.GPUFreeCapacityReport{})
@@ -130,152 +130,7 @@
 	c.shardLeader = nil
 }
 
-// observeOwnWrite tells the owner at once of a change this node wrote itself, unless the
-// picture is newer: its answer may come after the job was cancelled and over.
-func (c *Controller) observeOwnWrite(it message.KeyValue) {
-	if c.shardLeader != nil && it.ModRevision > c.frontend.watchCache.revision {
-		c.shardLeader.applyOpenJob(it)
-	}
-}
-
-func (s *shardLeader) applyOpenJob(it message.KeyValue) {
-	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
-	j := s.jobs[id]
-	if it.Deleted {
-		if j != nil && j.elsewhere() {
-			// Settled by the leader, who has heard from the peer.
-			delete(s.jobs, id)
-		}
-		return
-	}
-	if j != nil && it.ModRevision <= j.modRevision {
-		return
-	}
-	if _, ended := s.controller.frontend.finalStatuses[id]; ended && j == nil && s.controller.frontend.finalStatuses[id] == model.Done {
-		return
-	}
-	var r record.OpenJob
-	if !record.Decode(it.Value, &r) {
-		s.rejectInput("record", it.Key, "it can't be read")
-		return
-	}
-	if problem := r.Validate(); problem != "" {
-		// Its job stays queued until somebody mends the record or cancels it.
-		s.rejectInput("record", it.Key, problem)
-		return
-	}
-	if j == nil {
-		// An earlier form kept nothing of a cancelled job but that it is one.
-		held := s.teams[r.Team]
-		if (!r.Cancelled || r.Team != "") && (held == nil || !held.ready) || !s.ready {
-			// Another's, or it comes when the team's records have been read.
-			return
-		}
-		spec := r.JobSpec(id)
-		if r.Cancelled {
-			spec.Tasks = r.Tasks
-		}
-		// It has just come, and this clock is the one that its waits are judged by
-		// here; another controller's may be a second off.
-		j = s.addJob(spec, s.now, it.ModRevision)
-		if !r.Cancelled {
-			k := workloadKey{j.Team, j.Workload}
-			s.fleet.arrivals[k] = append(s.fleet.arrivals[k], arrival{s.now, j.Tasks, j.Need, &j.JobSpec})
-		}
-		j.setLoanFrom(&r)
-		s.controller.promises.noteBaseQuote(j)
-	}
-	s.applyJobRecord(j, it.ModRevision, &r)
-	s.scheduler.placementDue = true
-}
-
-// addJob takes a job into the owner's books.
-func (s *shardLeader) addJob(spec model.JobSpec, at time.Time, stamp uint64) *job {
-	j := newJob(spec, at, stamp, s.settings.currentMaxValueBytes())
-	j.segmentFormat = s.controller.membership.formats.currentFormat()
-	s.jobs[j.ID] = j
-	if j.Workload != "" {
-		s.debug("job", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", s.now.Sub(j.submittedAt))
-		s.workloads[j.Workload] = &workload{&j.JobSpec, s.now}
-		s.scheduler.placementUrgent = s.scheduler.placementUrgent || s.waitObjective(j.Workload) > 0
-	}
-	s.controller.awaitDependencies(j)
-	return j
-}
-
-// applyJobRecord takes in a job's record in open/ as it stands now.
-func (s *shardLeader) applyJobRecord(j *job, stamp uint64, r *record.OpenJob) {
-	id := j.ID
-	j.modRevision = stamp
-	j.setLoanFrom(r)
-	s.controller.promises.notePromiseRecord(j, r)
-	if r.Cancelled {
-		// Whoever wrote that has written job/ with it.
-		j.cancelDerived = false
-	}
-	if r.Cancelled && !j.cancelled {
-		j.cancelled = true
-		s.controller.frontend.cacheFinalStatus(id, model.Cancelled)
-		for i := range j.tasks[:j.nextFresh] {
-			if t := &j.tasks[i]; t.machine != nil {
-				t.stopReason = stopCancel
-				s.controller.markDispatchPending(t.machine)
-			}
-		}
-	}
-}
-
-// attachAttempt makes the attempt of task i live on m.
-func (s *shardLeader) attachAttempt(j *job, i int, m *machine) {
-	t := &j.tasks[i]
-	t.machine = m
-	j.liveTasks++
-	j.liveByZone[m.zone]++
-	m.attempts[taskKey{j.ID, i}] = t
-	m.used = m.used.AddScaled(j.Need, 1)
-	u := s.usedByTeam[j.Team]
-	s.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
-}
-
-// endAttempt takes note of the proof that a live attempt is over.
-func (s *shardLeader) endAttempt(j *job, i int, done bool) {
-	t := &j.tasks[i]
-	m := t.machine
-	if m == nil {
-		return
-	}
-	delete(m.attempts, taskKey{j.ID, i})
-	m.used = m.used.AddScaled(j.Need, -1)
-	s.usedByTeam[j.Team] = s.usedByTeam[j.Team].AddScaled(j.Need, -1)
-	j.liveTasks--
-	j.liveByZone[m.zone]--
-	if len(m.attempts) == 0 {
-		m.idleSince = s.now
-		m.used = model.Resources{}
-		if m.remote {
-			s.dropRemoteMachine(m)
-		}
-	}
-	if t.isRunning() {
-		j.runningTasks--
-	}
-	t.machine, t.reported, t.startedAt = nil, false, time.Time{}
-	if t.stopReason == stopRelaunch {
-		t.avoidMachine = m.id
-	}
-	t.stopReason = stopNone
-	if done {
-		t.done = true
-		j.doneTasks++
-	} else if !j.cancelled {
-		j.requeued = append(j.requeued, i)
-	}
-	j.markChanged(i, s.now, done && j.doneTasks == len(j.tasks))
-	s.scheduler.placementDue = true
-}
-
-// tick does what is due: sweep the machines, relaunch, place, write, and
-// send orders.
+// tick ends each Step: it does what is due and sets wakeAt.
 func (s *shardLeader) tick() {
 	if !s.ready {
 		s.wakeAt = s.now.Add(shardLeaderTickInterval)
@@ -283,64 +138,50 @@
 	}
 	if s.now.Sub(s.sweptAt) >= shardLeaderTickInterval {
 		s.sweptAt = s.now
-		s.controller.shardLeader.failover.sweep()
-		s.controller.ranking.retryRefresh()
-		s.controller.shardLeader.heartbeats.quarantineNonStarting()
-		if s.controller.partition.checkPartition(); s.controller.shardLeader != s {
+		if s.sweep(); s.controller.shardLeader != s {
 			return
 		}
-		s.controller.shardLeader.scheduler.relaunch()
-		s.controller.shardLeader.failover.maybeBumpEpoch()
-		s.controller.shardLeader.migration.tick()
-		s.controller.shardLeader.fleet.planFleet(true)
-		s.publishToPeers()
-		s.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
-		s.controller.shardLeader.dependencies.updateCriticalPaths()
-		s.controller.promises.tick()
-		s.controller.shardLeader.persistence.writePrewarmed()
-		s.controller.shardLeader.scheduler.reportGPUFreeCapacity()
-		s.scheduler.placementDue = true
 	}
 	if s.fleet.planningPass != nil {
-		s.controller.shardLeader.fleet.planFleet(false)
+		s.fleet.planFleet(false)
 	}
-	if s.scheduler.placementDue && !s.now.Before(s.nextPlacementRound()) {
-		s.scheduler.placementDue, s.scheduler.placementUrgent, s.scheduler.placedAt = false, false, s.now
-		s.controller.planning.placementRan = true
-		s.controller.shardLeader.scheduler.placeAll()
-		s.persistence.persistedAt = time.Time{}
+	if s.scheduler.roundDue() {
+		s.scheduler.runRound()
+		s.persistence.writeSoon()
 	}
-	if s.now.Sub(s.persistence.persistedAt) >= persistInterval {
-		s.persistence.persistedAt = s.now
-		s.controller.shardLeader.persistence.writeShardLeaderRecords()
-	}
-	s.controller.shardLeader.dispatcher.dispatchAll()
-	s.controller.shardLeader.remoteAttempts.publishRemoteAttempts()
+	s.persistence.writeIfDue()
+	s.dispatcher.dispatchAll()
+	s.remoteAttempts.publishRemoteAttempts()
 	if s.remoteAttempts.due {
-		s.controller.shardLeader.remoteAttempts.requestRemoteAttempts()
+		s.remoteAttempts.requestRemoteAttempts()
 	}
 	s.wakeAt = s.sweptAt.Add(shardLeaderTickInterval)
 	if next := s.persistence.persistedAt.Add(persistInterval); s.persistence.persistedAt != s.now && next.Before(s.wakeAt) {
 		s.wakeAt = next
 	}
-	if next := s.nextPlacementRound(); s.scheduler.placementDue && next.Before(s.wakeAt) {
+	if next := s.scheduler.nextRound(); s.scheduler.placementDue && next.Before(s.wakeAt) {
 		s.wakeAt = next
 	}
 }
 
-// nextPlacementRound is when tasks may be placed again. A round that took long leaves as
-// much time and half of it again to others, however much work waits.
-func (s *shardLeader) nextPlacementRound() time.Time {
-	gap := placementInterval
-	if s.scheduler.placementUrgent {
-		gap = 0
-	}
-	return s.scheduler.placedAt.Add(max(gap, s.scheduler.roundDuration*5/2))
-}
-
-func later(a, b time.Time) time.Time {
-	if b.After(a) {
-		return b
+// sweep does what is done every shardLeaderTickInterval. In a partition the shard leader
+// may be dropped by it.
+func (s *shardLeader) sweep() {
+	s.failover.sweep()
+	s.controller.ranking.retryRefresh()
+	s.heartbeats.quarantineNonStarting()
+	if s.controller.partition.checkPartition(); s.controller.shardLeader != s {
+		return
 	}
-	return a
+	s.scheduler.relaunch()
+	s.failover.maybeBumpEpoch()
+	s.migration.tick()
+	s.fleet.planFleet(true)
+	s.publishToPeers()
+	s.remoteAttempts.requestRemoteAttempts()
+	s.dependencies.updateCriticalPaths()
+	s.controller.promises.tick()
+	s.persistence.writePrewarmed()
+	s.scheduler.reportGPUFreeCapacity()
+	s.scheduler.requestPlacement()
 }
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -74,7 +74,7 @@
 	input := sharding.Input{Map: s.shardMap, Self: ll.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: ll.controller.confirmedGone}
 	for _, h := range sortedKeys(s.controllers) {
 		r := s.controllers[h]
-		receivesNothing := r.ReceivesNothing || h == ll.settings.Host && s.receivesNothing(ll.now)
+		receivesNothing := r.ReceivesNothing || h == ll.settings.Host && ll.controller.partition.receivesNothing(ll.now)
 		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: ll.controller.membership.recentlyStarted(r)})
 	}
 	for _, t := range ll.settings.Teams {
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
-	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/record"
 	"github.com/micahill/micahill/internal/remote"
 	"github.com/micahill/micahill/internal/sharding"
@@ -29,19 +28,19 @@
 
 // markReassignedTeams notes which teams are another's as of the revision that ctl/ has just been
 // brought to. One answer may tell of many: that a team went and that it came back.
-func markReassignedTeams(c *Controller) {
+func (c *Controller) markReassignedTeams() {
 	if c.shardLeader == nil {
 		return
 	}
 	for t, h := range c.shardLeader.teams {
-		s := c.membership.shardMap.Team(t)
-		h.reassigned = h.reassigned || s == nil || s.Host != c.settings.Host || s.Incarnation != c.incarnation()
+		is := c.membership.shardMap.Team(t)
+		h.reassigned = h.reassigned || is == nil || is.Host != c.settings.Host || is.Incarnation != c.incarnation()
 	}
 }
 
 // markReassignedAfterReRead does the same when ctl/ has been read anew and what happened in between
 // is not told: only a share that has not been written since has kept its teams.
-func markReassignedAfterReRead(c *Controller, before *sharding.Map) {
+func (c *Controller) markReassignedAfterReRead(before *sharding.Map) {
 	if c.shardLeader == nil {
 		return
 	}
@@ -53,23 +52,23 @@
 
 // syncShardLeader brings the owner's books in step with ctl/.
 func (c *Controller) syncShardLeader() {
-	s := &c.membership
-	if !s.loaded {
+	members := &c.membership
+	if !members.loaded {
 		return
 	}
 	var heldShards []*sharding.Shard
-	if s.leaseID != 0 {
-		heldShards = slices.DeleteFunc(s.shardMap.HeldBy(c.settings.Host, c.incarnation()), func(x *sharding.Shard) bool {
-			return len(x.Teams) == 0 && !x.CatchAll && !s.shardMap.HasMachines(x.Name)
+	if members.leaseID != 0 {
+		heldShards = slices.DeleteFunc(members.shardMap.HeldBy(c.settings.Host, c.incarnation()), func(x *sharding.Shard) bool {
+			return len(x.Teams) == 0 && !x.CatchAll && !members.shardMap.HasMachines(x.Name)
 		})
 	}
 	if len(heldShards) == 0 {
-		c.dropShardLeader("no share")
+		c.dropShardLeader("no shard held")
 		return
 	}
 	if c.shardLeader == nil {
-		c.shardLeader = newShardLeader(c)
-		c.info("owner", "shares", shardNames(heldShards))
+		c.shardLeader = c.newShardLeader()
+		c.info("shard leadership gained", "shards", shardNames(heldShards))
 		c.frontend.watchCache.watchOpenJobs()
 	}
 	c.shardLeader.syncMachines(heldShards)
@@ -95,13 +94,13 @@
 	}
 	for _, t := range sortedKeys(s.teams) {
 		if !assigned[t] || s.teams[t].reassigned {
-			s.info("a team goes", "team", t)
+			s.info("team handed over", "team", t)
 			s.handOverTeam(t)
 		}
 	}
 	for _, t := range sortedKeys(assigned) {
 		if assigned[t] && s.teams[t] == nil {
-			s.info("a team comes", "team", t)
+			s.info("team acquired", "team", t)
 			s.teams[t] = &heldTeam{holdID: int(s.nextID())}
 		}
 	}
@@ -110,15 +109,15 @@
 
 // handOverTeam takes a team's jobs out of the books. What of them runs here goes on, in
 // the care of this controller, until their new owner asks for it or it ends.
-func (o *shardLeader) handOverTeam(team string) {
-	delete(o.teams, team)
+func (s *shardLeader) handOverTeam(team string) {
+	delete(s.teams, team)
 	newOwner := ""
-	if s := o.controller.membership.shardMap.Team(team); s != nil {
-		newOwner = s.Host
+	if shard := s.controller.membership.shardMap.Team(team); shard != nil {
+		newOwner = shard.Host
 	}
 	affected := map[string]*machine{}
-	for _, id := range sortedKeys(o.jobs) {
-		j := o.jobs[id]
+	for _, id := range sortedKeys(s.jobs) {
+		j := s.jobs[id]
 		if j.Team != team {
 			continue
 		}
@@ -131,34 +130,30 @@
 			delete(m.attempts, taskKey{id, i})
 			m.used = m.used.AddScaled(j.Need, -1)
 			if m.remote {
-				o.dropRemoteMachine(m)
+				s.dropRemoteMachine(m)
 				continue
 			}
 			// It may run or yet begin, and takes room. Whoever owns the job now reads
 			// of it and asks. What was never told to anybody is nowhere.
 			a := remote.AttemptID{Job: id, Index: i, Attempt: t.attempt}
-			o.remoteAttempts.registry.Request(o.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
+			s.remoteAttempts.registry.Request(s.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
 			if !t.startSent {
-				o.remoteAttempts.registry.MarkGone(o.now, m.id, a)
+				s.remoteAttempts.registry.MarkGone(s.now, m.id, a)
 			}
 			affected[m.id] = m
 		}
-		delete(o.jobs, id)
-		o.faultAttribution.ForgetJob(id)
+		delete(s.jobs, id)
+		s.faultAttribution.ForgetJob(id)
 	}
 	// Only now: what belongs to a job in the books is not counted as another's.
 	for _, id := range sortedKeys(affected) {
-		o.controller.shardLeader.remoteAttempts.recountOthersUsed(affected[id])
-		o.controller.markDispatchPending(affected[id])
-	}
-	delete(o.usedByTeam, team)
-	o.controller.shardLeader.migration.forget(team)
-	delete(o.promiseDates.pageWriters, team)
-	for k := range o.fleet.arrivals {
-		if k.team == team {
-			delete(o.fleet.arrivals, k)
-		}
+		s.remoteAttempts.recountOthersUsed(affected[id])
+		s.controller.markDispatchPending(affected[id])
 	}
+	delete(s.usedByTeam, team)
+	s.migration.forget(team)
+	delete(s.promiseDates.pageWriters, team)
+	s.fleet.forgetTeam(team)
 }
 
 // syncMachines lets go of the machines that are another's now, takes up those that
@@ -204,7 +199,7 @@
 func (s *shardLeader) handOverMachine(m *machine) {
 	s.removeMachine(m)
 	s.remoteAttempts.registry.ForgetMachine(m.id)
-	delete(s.failover.higherEpochSeen, m.id)
+	s.failover.forgetMachine(m.id)
 	if len(m.attempts) == 0 {
 		return
 	}
@@ -222,7 +217,7 @@
 		asRemote.used = asRemote.used.AddScaled(s.jobs[k.job].Need, 1)
 	}
 	s.dropRemoteMachine(asRemote)
-	s.remoteAttempts.due = true
+	s.remoteAttempts.requestSoon()
 }
 
 // takeOverMachine takes up a machine on which this owner's jobs have run under another.
@@ -247,287 +242,34 @@
 	}
 	// Whoever had it may go on answering it for a while.
 	m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
-	s.controller.shardLeader.remoteAttempts.rePoll(m)
+	s.remoteAttempts.rePoll(m)
 	if h := s.controller.knowledge.predecessorMachines[m.id]; s.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
 		s.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
 	}
-	s.failover.inheritedMachines = append(s.failover.inheritedMachines, m)
-}
-
-// remoteMachine is a machine of another owner, as far as this one's jobs have attempts there.
-func (s *shardLeader) remoteMachine(id string) *machine {
-	a := s.remoteAttempts.machines[id]
-	if a == nil {
-		a = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
-		if h, ok := s.controller.knowledge.predecessorMachines[id]; ok {
-			a.zone, a.machineType, a.spot = h.Zone, h.MachineType, h.Spot
-		}
-		s.remoteAttempts.machines[id] = a
-	}
-	return a
-}
-
-// dropRemoteMachine forgets a machine of another owner when nothing of ours is on it.
-func (s *shardLeader) dropRemoteMachine(a *machine) {
-	if len(a.attempts) == 0 {
-		delete(s.remoteAttempts.machines, a.id)
-		a.removed = true
-	}
-}
-
-// ownedOrRemoteMachine is the machine that a record names, whoever owns it.
-func (s *shardLeader) ownedOrRemoteMachine(id string) *machine {
-	if _, mine := s.controller.membership.ownedMachine(id); mine {
-		return s.ensureMachine(id)
-	}
-	return s.remoteMachine(id)
+	s.failover.addInherited(m)
 }
 
 // shardCompares are what a write for these teams has among its conditions: that their
 // shares are as this owner has read them. "" stands for any of its shares.
-func (o *shardLeader) shardCompares(teams ...string) []message.Compare {
+func (s *shardLeader) shardCompares(teams ...string) []message.Compare {
 	var out []message.Compare
 	for _, t := range teams {
-		s := o.controller.membership.shardMap.Team(t)
-		if s == nil || !o.shards[s.Name] {
-			for _, name := range sortedKeys(o.shards) {
-				if s = o.controller.membership.shardMap.Shard(name); s != nil {
+		shard := s.controller.membership.shardMap.Team(t)
+		if shard == nil || !s.shards[shard.Name] {
+			for _, name := range sortedKeys(s.shards) {
+				if shard = s.controller.membership.shardMap.Shard(name); shard != nil {
 					break
 				}
 			}
 		}
-		if s == nil {
+		if shard == nil {
 			// Nothing is held any more; the write is to fail.
-			out = append(out, message.Compare{Key: record.ShardPrefix + o.settings.Host, ModRevision: ^uint64(0)})
+			out = append(out, message.Compare{Key: record.ShardPrefix + s.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
-		if c := (message.Compare{Key: record.ShardPrefix + s.Name, ModRevision: s.ModRevision}); !slices.Contains(out, c) {
+		if c := (message.Compare{Key: record.ShardPrefix + shard.Name, ModRevision: shard.ModRevision}); !slices.Contains(out, c) {
 			out = append(out, c)
 		}
 	}
 	return out
 }
-
-// loadTeams reads the records of teams that are not ready: first what is open, as of
-// a moment after they came, then the tasks. Whoever had them before can write nothing
-// in between: what it writes names its own share.
-func (s *shardLeader) loadTeams() {
-	if s.loadingTeams {
-		return
-	}
-	teams := map[string]*heldTeam{}
-	for t, h := range s.teams {
-		if !h.ready {
-			teams[t] = h
-		}
-	}
-	if len(teams) == 0 && s.ready {
-		return
-	}
-	s.loadingTeams = true
-	began := s.now
-	gen := s.generation
-	var tasks, migrationItems []message.KeyValue
-	current := func() bool { return s.controller.shardLeader != nil && s.controller.shardLeader.generation == gen }
-	var readOpenJobs, listTasks func()
-	var listPrewarmed func(from string)
-	readOpenJobs = func() {
-		s.controller.frontend.watchCache.refresh(func(ok bool) {
-			switch {
-			case !current():
-			case !ok:
-				s.after(s.jitter(storeRetryDelay), func() {
-					if current() {
-						readOpenJobs()
-					}
-				})
-			default:
-				listTasks()
-			}
-		})
-	}
-	listTasks = func() {
-		readAll(s.controller, record.TaskSegmentPrefix, message.PriorityMembership, current, func(its []message.KeyValue) {
-			tasks = its
-			s.controller.shardLeader.migration.read(func(its []message.KeyValue) {
-				migrationItems = its
-				if s.ready {
-					s.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
-				} else {
-					listPrewarmed("")
-				}
-			})
-		})
-	}
-	// Images are no more than a help: without them it goes on as well.
-	listPrewarmed = func(from string) {
-		s.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
-			if !current() {
-				return
-			}
-			for _, it := range d.KeyValues {
-				s.controller.shardLeader.persistence.applyPrewarmedRecord(it)
-			}
-			if d.Status == message.StoreOK && d.Truncated && len(d.KeyValues) > 0 {
-				listPrewarmed(d.KeyValues[len(d.KeyValues)-1].Key)
-				return
-			}
-			s.controller.shardLeader.recoverTeams(teams, tasks, migrationItems, began)
-		})
-	}
-	readOpenJobs()
-}
-
-// readAll reads all that stands under a prefix, page by page and again until it is
-// answered, as long as it is wanted, and gives it to then.
-func readAll(c *Controller, prefix string, prio message.Priority, wanted func() bool, then func([]message.KeyValue)) {
-	var got []message.KeyValue
-	var list func(from string)
-	list = func(from string) {
-		c.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: prio, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
-			switch {
-			case !wanted():
-			case d.Status != message.StoreOK:
-				c.after(c.jitter(storeRetryDelay), func() {
-					if wanted() {
-						list(from)
-					}
-				})
-			default:
-				got = append(got, d.KeyValues...)
-				if d.Truncated && len(d.KeyValues) > 0 {
-					list(d.KeyValues[len(d.KeyValues)-1].Key)
-					return
-				}
-				then(got)
-			}
-		})
-	}
-	list("")
-}
-
-// recoverTeams restores the jobs of teams from what was read.
-func (s *shardLeader) recoverTeams(requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, began time.Time) {
-	s.loadingTeams = false
-	firstLoad := !s.ready
-	// Some may have gone while their records were read, and others may have written
-	// more of them, even if they are back by now.
-	teams := slices.DeleteFunc(sortedKeys(requested), func(t string) bool { return s.teams[t] != requested[t] })
-	recovered := map[string]*job{}
-	for _, it := range tasks {
-		// Whoever wrote a part knew that all know parts.
-		if f, _, ok := s.controller.membership.formats.parseSegmentKey(it.Key); ok {
-			s.controller.membership.formats.adoptFormat(f)
-		}
-	}
-	for _, id := range sortedKeys(s.controller.frontend.watchCache.openJobs) {
-		l := s.controller.frontend.watchCache.openJobs[id]
-		if !slices.Contains(teams, l.rec.Team) && !(firstLoad && l.rec.Cancelled && l.rec.Team == "") || s.jobs[id] != nil {
-			continue
-		}
-		if s.controller.frontend.finalStatuses[id] == model.Done {
-			continue
-		}
-		if bad := l.rec.Validate(); bad != "" {
-			s.rejectInput("record", record.OpenJobPrefix+id, bad)
-			continue
-		}
-		spec := l.rec.JobSpec(id)
-		if l.rec.Cancelled {
-			spec.Tasks = l.rec.Tasks
-		}
-		j := s.addJob(spec, time.UnixMilli(l.rec.SubmittedAtMillis), l.modRevision)
-		recovered[id] = j
-		s.applyJobRecord(j, l.modRevision, &l.rec)
-	}
-	attempts := 0
-	slices.SortStableFunc(tasks, s.controller.membership.formats.compareFormats)
-	for _, it := range tasks {
-		id := record.JobIDFromKey(it.Key, record.TaskSegmentPrefix)
-		j := recovered[id]
-		if j == nil {
-			if _, open := s.controller.frontend.watchCache.openJobs[id]; firstLoad && !open {
-				s.persistence.orphanedRecords = append(s.persistence.orphanedRecords, it.Key)
-			}
-			continue
-		}
-		var r record.TaskSegment
-		if !record.Decode(it.Value, &r) {
-			s.rejectInput("record", it.Key, "it can't be read")
-			continue
-		}
-		s.controller.shardLeader.failover.recoverSegment(j, it, &r)
-	}
-	for _, id := range sortedKeys(recovered) {
-		s.controller.shardLeader.failover.queueRecovered(recovered[id])
-		attempts += recovered[id].liveTasks
-	}
-	for _, t := range teams {
-		s.teams[t].ready, s.teams[t].readyAt = true, s.now
-		s.controller.promises.recoverPages(t, recovered)
-	}
-	s.controller.shardLeader.migration.recoverRecords(teams, migrationItems)
-	s.scheduler.placementDue = true
-	s.remoteAttempts.due = true
-	for _, m := range s.machinesByID {
-		// What runs there may have been another's until now.
-		s.controller.shardLeader.remoteAttempts.rePoll(m)
-	}
-	if firstLoad {
-		s.ready, s.readyAt = true, s.now
-		s.controller.shardLeader.failover.adoptPredecessorMachines()
-	}
-	s.info("owner ready", "teams", teams, "jobs", len(recovered), "attempts", attempts, "machines", len(s.machines), "after", s.now.Sub(began))
-	// Reach the machines at once, those with living attempts first: the epoch ends
-	// what a former owner may still order, and their reports are the proof. Those
-	// without are contacted as well, or they would stay with a former owner that has
-	// lost the state service alone, for the whole of its grace.
-	s.failover.inheritedMachines = slices.Clone(s.machinesByID)
-	s.controller.ranking.sortInheritedByRank(s.failover.inheritedMachines)
-	s.controller.shardLeader.failover.contactInheritedMachines()
-	s.loadTeams()
-}
-
-// adoptPredecessorMachines takes up what other owners last told of machines that are this one's.
-func (f *failover) adoptPredecessorMachines() {
-	for _, id := range sortedKeys(f.controller.knowledge.predecessorMachines) {
-		h := f.controller.knowledge.predecessorMachines[id]
-		if _, mine := f.controller.membership.ownedMachine(id); !mine || f.now.Sub(h.receivedAt) >= machineUpdateTTL || f.controller.knowledge.released[id] {
-			continue
-		}
-		m := f.controller.shardLeader.ensureMachine(id)
-		f.controller.shardLeader.describe(m, h.Addr, h.MachineType, h.Zone, h.Spot)
-		for name, gb := range h.Images {
-			m.images[name] = &image{sizeGB: gb, last: f.now, cached: true}
-		}
-	}
-}
-
-// syncOpenJobs brings the jobs in step with open/ after it has been read anew, since
-// the watch was too far behind.
-func syncOpenJobs(c *Controller) {
-	o := c.shardLeader
-	if o == nil || !o.ready {
-		return
-	}
-	open := c.frontend.watchCache.openJobs
-	for _, id := range sortedKeys(o.jobs) {
-		if l, there := open[id]; there {
-			if l.modRevision > o.jobs[id].modRevision {
-				c.shardLeader.applyJobRecord(o.jobs[id], l.modRevision, &l.rec)
-			}
-		} else if o.jobs[id].elsewhere() {
-			delete(o.jobs, id)
-		}
-	}
-	for _, id := range sortedKeys(open) {
-		if l := open[id]; o.jobs[id] == nil {
-			c.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + id, Value: record.Encode(l.rec), ModRevision: l.modRevision})
-		}
-	}
-}
-
-// IsShardLeader says whether this node runs jobs now.
-func (c *Controller) IsShardLeader() bool {
-	return c.shardLeader != nil && c.shardLeader.ready && len(c.shardLeader.teams) > 0
-}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,82 +6,108 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-func (n *Controller) replyStatus(c message.QueryStatus) {
-	s := message.StatusReply{
-		Reply: c.Reply, Host: n.settings.Host, Healthy: n.Healthy(n.now), Leader: n.membership.leader.Host,
-		InternalErrors: n.internalErrors,
-		RejectedInputs: n.rejectedInputs,
-		Migrations:     migrationsStatus(n),
-		IsLeader:       n.leader != nil, IsShardLeader: n.IsShardLeader(), Controllers: sortedKeys(n.membership.controllers),
+// replyStatus answers with what operators want to know of this controller.
+func (c *Controller) replyStatus(cmd message.QueryStatus) {
+	reply := message.StatusReply{
+		Reply: cmd.Reply, Host: c.settings.Host, Healthy: c.Healthy(c.now), Leader: c.membership.leader.Host,
+		InternalErrors: c.internalErrors,
+		RejectedInputs: c.rejectedInputs,
+		Migrations:     migrationsStatus(c),
+		IsLeader:       c.leader != nil, IsShardLeader: c.IsShardLeader(), Controllers: sortedKeys(c.membership.controllers),
+		Teams:  c.teamStatuses(),
+		Shards: c.membership.shardStatuses(),
 	}
-	cpus := map[string]float64{}
-	if n.shardLeader != nil {
-		for _, l := range n.shardLeader.teamLoads() {
-			cpus[l.Team] = l.CPU
+	if s := c.shardLeader; s != nil {
+		reply.GPUFreeCapacity = s.scheduler.gpuFreeCapacity()
+		for _, m := range s.remoteAttempts.machines {
+			reply.RemoteAttempts.OnOthersMachines += len(m.attempts)
+		}
+		for _, id := range s.remoteAttempts.registry.Machines() {
+			reply.RemoteAttempts.OthersHere += s.remoteAttempts.registry.LiveCount(id)
+		}
+		reply.Workloads = s.workloadStatuses()
+		reply.Pipelines, reply.BlockingJobs = s.dependencies.blockingJobs()
+		reply.Machines = s.machineStatuses()
+	}
+	c.emit(reply)
+}
+
+func (c *Controller) teamStatuses() []message.TeamStatus {
+	var out []message.TeamStatus
+	cpuByTeam := map[string]float64{}
+	if c.shardLeader != nil {
+		for _, l := range c.shardLeader.teamLoads() {
+			cpuByTeam[l.Team] = l.CPU
 		}
 	}
-	for _, t := range n.settings.Teams {
-		ts := message.TeamStatus{Name: t.Name, CPU: cpus[t.Name]}
-		if x := n.membership.shardMap.Team(t.Name); x != nil {
-			ts.Owner = x.Host
+	for _, t := range c.settings.Teams {
+		status := message.TeamStatus{Name: t.Name, CPU: cpuByTeam[t.Name]}
+		if x := c.membership.shardMap.Team(t.Name); x != nil {
+			status.Owner = x.Host
 		}
-		if n.shardLeader != nil && n.shardLeader.teams[t.Name] != nil {
-			ts.IsLocal, ts.Ready = true, n.shardLeader.teams[t.Name].ready
+		if c.shardLeader != nil && c.shardLeader.teams[t.Name] != nil {
+			status.IsLocal, status.Ready = true, c.shardLeader.teams[t.Name].ready
 		}
-		s.Teams = append(s.Teams, ts)
+		out = append(out, status)
 	}
-	for _, x := range n.membership.shardMap.Shards() {
-		s.Shards = append(s.Shards, message.ShardStatus{
-			Name: x.Name, Leader: x.Host, Alive: n.membership.controllers[x.Host].Incarnation == x.Incarnation, Teams: len(x.Teams), HoldsCatchAll: x.CatchAll,
-			Segments: len(n.membership.shardMap.SegmentsOf(x.Name)),
+	return out
+}
+
+func (m *membership) shardStatuses() []message.ShardStatus {
+	var out []message.ShardStatus
+	for _, x := range m.shardMap.Shards() {
+		out = append(out, message.ShardStatus{
+			Name: x.Name, Leader: x.Host, Alive: m.controllers[x.Host].Incarnation == x.Incarnation, Teams: len(x.Teams), HoldsCatchAll: x.CatchAll,
+			Segments: len(m.shardMap.SegmentsOf(x.Name)),
 		})
 	}
-	if o := n.shardLeader; o != nil {
-		s.GPUFreeCapacity = n.shardLeader.scheduler.gpuFreeCapacity()
-		for _, a := range o.remoteAttempts.machines {
-			s.RemoteAttempts.OnOthersMachines += len(a.attempts)
-		}
-		for _, id := range o.remoteAttempts.registry.Machines() {
-			s.RemoteAttempts.OthersHere += o.remoteAttempts.registry.LiveCount(id)
-		}
-		by := map[string]*message.WorkloadStatus{}
-		for _, j := range o.jobs {
-			w := by[j.Workload]
-			if w == nil {
-				w = &message.WorkloadStatus{Name: j.Workload, TasksPerSecond: n.shardLeader.fleet.arrivalRate(j.Workload, arrivalWindow), RunToEstimate: 1}
-				if e := n.knowledge.estimators[j.Workload]; e != nil {
-					w.RunToEstimate = e.ratio
-				}
-				by[j.Workload] = w
+	return out
+}
+
+func (s *shardLeader) workloadStatuses() []message.WorkloadStatus {
+	byName := map[string]*message.WorkloadStatus{}
+	for _, j := range s.jobs {
+		w := byName[j.Workload]
+		if w == nil {
+			w = &message.WorkloadStatus{Name: j.Workload, TasksPerSecond: s.fleet.arrivalRate(j.Workload, arrivalWindow), RunToEstimate: 1}
+			if e := s.controller.knowledge.estimators[j.Workload]; e != nil {
+				w.RunToEstimate = e.ratio
 			}
-			w.Jobs++
-			w.Waiting += j.pendingTasks()
-			w.Live += j.liveTasks
-			w.Done += j.doneTasks
+			byName[j.Workload] = w
 		}
-		s.Pipelines, s.BlockingJobs = n.shardLeader.dependencies.blockingJobs()
-		for _, name := range sortedKeys(by) {
-			s.Workloads = append(s.Workloads, *by[name])
-		}
-		for _, id := range sortedKeys(o.machines) {
-			m := o.machines[id]
-			ms := message.MachineStatus{ID: id, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, State: n.machineState(m), Tasks: len(m.attempts), UsedCPU: m.used.CPU, CPU: m.size.CPU}
-			if m.heard {
-				ms.LastHeartbeatAge = n.now.Sub(m.lastHeard).Round(100 * time.Millisecond).String()
-			}
-			s.Machines = append(s.Machines, ms)
+		w.Jobs++
+		w.Waiting += j.pendingTasks()
+		w.Live += j.liveTasks
+		w.Done += j.doneTasks
+	}
+	var out []message.WorkloadStatus
+	for _, name := range sortedKeys(byName) {
+		out = append(out, *byName[name])
+	}
+	return out
+}
+
+func (s *shardLeader) machineStatuses() []message.MachineStatus {
+	var out []message.MachineStatus
+	for _, id := range sortedKeys(s.machines) {
+		m := s.machines[id]
+		status := message.MachineStatus{ID: id, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, State: s.machineState(m), Tasks: len(m.attempts), UsedCPU: m.used.CPU, CPU: m.size.CPU}
+		if m.heard {
+			status.LastHeartbeatAge = s.now.Sub(m.lastHeard).Round(100 * time.Millisecond).String()
 		}
+		out = append(out, status)
 	}
-	n.emit(s)
+	return out
 }
 
-func (c *Controller) machineState(m *machine) string {
+// machineState is a machine's state in the words of the operators' pages.
+func (s *shardLeader) machineState(m *machine) string {
 	switch {
 	case m.releasing:
 		return "returning"
 	case !m.heard:
 		return "booting"
-	case c.shardLeader.heartbeats.unresponsive(m):
+	case s.heartbeats.unresponsive(m):
 		return "silent"
 	case !m.reachability.Reachable():
 		return "deaf"
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -102,7 +102,7 @@
 			w.openJobs, w.promisePages, w.revision, w.loaded, w.loading = open, pages, revision, true, false
 			w.asOf = later(w.asOf, began)
 			w.rebuildDependencyGraph()
-			syncOpenJobs(w.controller)
+			w.controller.syncOpenJobs()
 			w.startNextRefresh()
 			w.watchOpenJobs()
 		})
--- a/internal/simulation/combined_faults_test.go
+++ b/internal/simulation/combined_faults_test.go
@@ -206,7 +206,7 @@
 // controller takes a step of the takeover.
 func TestCancelledAtStepsOfTakeover(t *testing.T) {
 	steps := maps.Clone(pausePoints)
-	steps["ready"] = func(e message.Effect) bool { l, ok := e.(message.Log); return ok && l.Message == "owner ready" }
+	steps["ready"] = func(e message.Effect) bool { l, ok := e.(message.Log); return ok && l.Message == "shard leader ready" }
 	for _, step := range []string{"claim", "share", "read", "epoch", "ready", "report"} {
 		for _, all := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s all=%v", step, all), func(t *testing.T) {
--- a/internal/simulation/rebalance_test.go
+++ b/internal/simulation/rebalance_test.go
@@ -47,7 +47,7 @@
 	var out []time.Time
 	for _, l := range w.logs {
 		var at float64
-		if _, err := fmt.Sscan(l, &at); err != nil || !strings.Contains(l, "a team comes [team "+team+"]") {
+		if _, err := fmt.Sscan(l, &at); err != nil || !strings.Contains(l, "team acquired [team "+team+"]") {
 			continue
 		}
 		if t := w.startedAt.Add(record.DurationOfSeconds(at)); t.After(since) {
