--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -6,7 +6,7 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// attachAttempt makes the attempt of task i live on m.
+// attachAttempt counts the attempt of task i as live on m.
 func (s *shardLeader) attachAttempt(j *job, i int, m *machine) {
 	t := &j.tasks[i]
 	t.machine = m
@@ -18,7 +18,8 @@
 	s.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
 }
 
-// endAttempt takes note of the proof that a live attempt is over.
+// endAttempt ends a live attempt once its end is proven, with the task done or to be queued
+// again.
 func (s *shardLeader) endAttempt(j *job, i int, done bool) {
 	t := &j.tasks[i]
 	m := t.machine
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -8,17 +8,16 @@
 )
 
 const (
-	// probeAfterIntervals is after how many of the longest report intervals a silent
-	// machine is asked directly. When it has not answered unresponsiveProbes times,
-	// it is taken for lost and returned rather than waited for. Where reports
-	// are seldom, waiting for several of them to be missed would cost its tasks
-	// the longer.
+	// probeAfterIntervals is after how many of the longest heartbeat intervals a silent
+	// machine is polled. When it has not answered unresponsiveProbes polls, it is taken for
+	// lost and released rather than waited for. Where heartbeats are rare, waiting until
+	// several are missed would cost its tasks more time.
 	probeAfterIntervals = 1.15
 	unresponsiveProbes  = 2
-	// probeInterval separates the questions to a silent machine.
+	// probeInterval separates two polls of a silent machine.
 	probeInterval = 3 * time.Second
-	// maxContactsInFlight bounds the questions to machines that are under way: those
-	// to silent hosts hang, and a successor has a thousand to ask.
+	// maxContactsInFlight bounds the polls under way: those to dead hosts hang, and a
+	// successor may have a thousand machines to poll.
 	maxContactsInFlight = 48
 	// leaseCheckInterval separates two reads of the shard map for a worker lease that has
 	// run out, when the first got no answer.
@@ -51,8 +50,8 @@
 	epochBumpedAt time.Time
 }
 
-// contact asks a machine of a former owner for its status and so learns its
-// tenure, which orders need; the orders carry the higher epoch.
+// contact polls a machine for its status, and so learns its incarnation, which commands need
+// and which then carry the higher epoch.
 func (f *failover) contact(m *machine) {
 	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || f.now.Sub(m.probed) < probeInterval {
 		return
@@ -81,15 +80,15 @@
 			return
 		}
 		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOthersAttempts {
-			// The order may be lost, and perhaps no report comes: of a machine that reaches
-			// no controller, answers are all that is heard.
+			// The command may be lost, and perhaps no heartbeat comes: of a machine that
+			// reaches no controller, answers are all that is heard.
 			f.controller.markDispatchPending(m)
 		}
 	})
 }
 
-// contactInheritedMachines goes on reaching the machines of a former owner, some at a time,
-// those with work first. One that has reported meanwhile has heard of the epoch.
+// contactInheritedMachines goes on with the machines of an earlier leader, some at a time. One
+// that has sent a heartbeat meanwhile knows of the epoch and is left out.
 func (f *failover) contactInheritedMachines() {
 	for len(f.inheritedMachines) > 0 && f.contactsInFlight < maxContactsInFlight {
 		m := f.inheritedMachines[0]
@@ -100,7 +99,7 @@
 	}
 }
 
-// showEpoch shows the worker the current epoch with an empty order.
+// showEpoch makes the current epoch known to the worker by an empty command.
 func (f *failover) showEpoch(m *machine) {
 	gen, epoch := f.controller.shardLeader.generation, m.epoch
 	m.dispatchInFlight = true
@@ -138,16 +137,17 @@
 // forgetMachine drops a machine that another shard leads now.
 func (f *failover) forgetMachine(id string) { delete(f.higherEpochSeen, id) }
 
-// sweep looks for leases that ran out and for attempts that were never sent.
+// sweep polls silent machines, ends the leases that ran out, drains reclaimed machines and
+// drops attempts that were never sent.
 func (f *failover) sweep() {
-	o := f.controller.shardLeader
+	leader := f.controller.shardLeader
 	f.contactInheritedMachines()
-	for _, id := range sortedKeys(o.remoteAttempts.machines) {
-		if m := o.remoteAttempts.machines[id]; m.reclaimNoticed {
+	for _, id := range sortedKeys(leader.remoteAttempts.machines) {
+		if m := leader.remoteAttempts.machines[id]; m.reclaimNoticed {
 			f.drainReclaimed(m)
 		}
 	}
-	for _, m := range slices.Clone(o.machinesByID) {
+	for _, m := range slices.Clone(leader.machinesByID) {
 		if m.expectsHeartbeats() && (f.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(f.maxHeartbeatInterval())) || !m.reachability.Reachable()) {
 			f.contact(m)
 		}
@@ -156,23 +156,23 @@
 				f.leaseExpired(m)
 				continue
 			}
-			// If it is ever heard of again, it is in a later tenure and empty.
-			o.removeMachine(m)
+			// If it is ever heard of again, it is another incarnation and empty.
+			leader.removeMachine(m)
 			continue
 		}
 		if m.reclaimNoticed {
 			f.drainReclaimed(m)
 		}
 		for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone && !t.startSent }) {
-			// Never told to anybody, so it is nowhere.
-			f.controller.shardLeader.endAttempt(o.jobs[k.job], k.index, false)
+			// Never sent, so it is nowhere.
+			f.controller.shardLeader.endAttempt(leader.jobs[k.job], k.index, false)
 		}
 	}
 }
 
-// leaseExpired counts a lease that has run out, with all that the machine had on it, once
-// it is sure that the machine was this owner's until then: another one would have
-// prolonged it.
+// leaseExpired ends a worker lease that has run out, with all attempts on the machine, once it
+// is confirmed that the machine was this controller's until then: another owner would have
+// renewed it.
 func (f *failover) leaseExpired(m *machine) {
 	if f.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
 		return
@@ -188,9 +188,9 @@
 	})
 }
 
-// drainReclaimed stops what cannot end before the cloud takes the machine: what saves,
-// just in time to save; other work at once, as it is lost in any case and can
-// begin elsewhere the sooner.
+// drainReclaimed stops what can't end before the cloud reclaims the machine: tasks with
+// checkpoints just in time for one more; others at once, since they are lost in any case and
+// can start elsewhere the sooner.
 func (f *failover) drainReclaimed(m *machine) {
 	untilReclaim := m.reclaimAt.Sub(f.now)
 	for _, k := range sortedAttempts(m) {
@@ -211,26 +211,26 @@
 	}
 }
 
-// expectsHeartbeats says that a machine should be heard of: it has been, or a former owner
-// had work on it.
+// expectsHeartbeats says that heartbeats of a machine should come: some have, or a former
+// owner had work on it.
 func (m *machine) expectsHeartbeats() bool { return m.heard || !m.isEmpty() }
 
-// sinceLastHeartbeat is how long nothing has been heard of a machine; after a takeover
-// the count begins when this owner was ready to hear, and of a machine that comes
-// later, perhaps with work, when it came.
+// sinceLastHeartbeat is how long nothing has been heard of a machine. After a failover it
+// counts from when this shard leader was ready, and for a machine that came later, perhaps
+// with work, from when it came.
 func (f *failover) sinceLastHeartbeat(m *machine) time.Duration {
 	return f.now.Sub(later(later(m.lastHeard, m.ownedSince), f.controller.shardLeader.readyAt))
 }
 
-// unresponsive says that a machine has missed reports and does not answer. One that
-// a former owner had work on counts as well, though it was never heard of here:
-// it may have been lost before the takeover.
+// unresponsive says that a machine has missed heartbeats and does not answer polls. One that a
+// former owner had work on counts as well, though it was never heard here: it may have been
+// lost before the failover.
 func (h *heartbeatTracker) unresponsive(m *machine) bool {
 	if !m.expectsHeartbeats() {
 		return false
 	}
 	if m.reclaimNoticed && h.now.After(m.reclaimAt) {
-		// Taken, as it was announced.
+		// Reclaimed, as announced.
 		return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.maxHeartbeatInterval()
 	}
 	return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.controller.unresponsiveAfter(m) && h.now.Sub(m.reroutedAt) > h.controller.unresponsiveAfter(m)
@@ -240,7 +240,7 @@
 func (c *Controller) unresponsiveAfter(m *machine) time.Duration {
 	limit := time.Duration(probeAfterIntervals*float64(c.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
 	if m.heard && m.unansweredProbes < unresponsiveProbes {
-		// Not asked often enough, for want of connections.
+		// Not polled often enough, since too many polls were under way.
 		limit *= 2
 	}
 	return limit
--- a/internal/controller/control_records.go
+++ b/internal/controller/control_records.go
@@ -10,8 +10,8 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// loadControlRecords reads ctl/ anew. Pages read later may tell of later changes, so that it is
-// whole only when the changes up to the last page have come in order as well.
+// loadControlRecords reads ctl/ anew, page by page. A later page may show later changes, so
+// the records are complete only when the watch has brought all changes up to the last page.
 func (m *membership) loadControlRecords() {
 	m.generation++
 	gen := m.generation
@@ -57,7 +57,8 @@
 	list("")
 }
 
-// watchControlRecords watches ctl/. What is known of it counts from the revision whole on.
+// watchControlRecords watches ctl/ from m.revision on, again and again. The records count as
+// loaded from completeRevision on; until then it only fetches what has changed already.
 func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
 	if gen != m.generation {
 		return
@@ -88,8 +89,8 @@
 	})
 }
 
-// applyControlUpdates takes in what a watch or a read of ctl/ has brought: all changes after a
-// revision that was known. Of two that overlap each change counts once.
+// applyControlUpdates applies the changes after some revision that a watch or read of ctl/ has
+// brought. Of two that overlap each change counts once.
 func (m *membership) applyControlUpdates(d message.StoreResponse) {
 	changed := false
 	for i, it := range d.KeyValues {
@@ -108,9 +109,10 @@
 	}
 }
 
-// confirmControlRecords calls fn when ctl/ is known as of a moment after this call. What is counted
-// against a machine by time alone, as the end of its lease, may count only if the
-// machine still was this controller's by then.
+// confirmControlRecords calls fn when ctl/ is known as of a moment after this call. Only then
+// may something count against a machine by time alone, such as the end of its lease: the
+// machine may be another controller's by now. If the read fails fn is not called, and whoever
+// needs it calls again.
 func (m *membership) confirmControlRecords(fn func()) {
 	m.confirmWaiters = append(m.confirmWaiters, fn)
 	if m.confirming || !m.loaded {
@@ -123,7 +125,7 @@
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision}, func(d message.StoreResponse) {
 		m.confirming = false
 		if gen != m.generation || d.Status != message.StoreOK {
-			// Whoever needs it asks again.
+			// Whoever still needs it calls again.
 			return
 		}
 		m.applyControlUpdates(d)
@@ -139,6 +141,7 @@
 	})
 }
 
+// applyControlRecord applies one record under ctl/, or its deletion.
 func (m *membership) applyControlRecord(it message.KeyValue) {
 	value := it.Value
 	if it.Deleted {
@@ -179,6 +182,8 @@
 	}
 }
 
+// controlRecordsChanged brings this controller's roles in line with ctl/, after each batch of
+// changes.
 func (m *membership) controlRecordsChanged() {
 	m.controller.ranking.applyChange()
 	switch {
@@ -187,10 +192,10 @@
 		wait := time.Duration(0)
 		switch {
 		case m.controller.partition.receivesNothing(m.now):
-			// The others first; see partition.go.
+			// The others first: this controller was cut off from the workers.
 			wait = partitionLeadDelay
 		case incarnation.OnProbation(m.now, m.startedAt) && m.hasEstablishedPeer():
-			// Others have been up for longer, and may be for longer yet.
+			// Others have been up for longer, and so are less likely to be gone soon.
 			wait = recentStartLeadDelay
 		}
 		if wait == 0 {
@@ -211,6 +216,7 @@
 	m.formats.advanceFormat()
 }
 
+// claimLeadership writes the leader's record if nobody has it.
 func (m *membership) claimLeadership() {
 	if m.claimingLeadership || m.leaseID == 0 || !m.loaded {
 		return
@@ -222,8 +228,7 @@
 		m.claimingLeadership = false
 		switch d.Status {
 		case message.StoreOK, message.StoreConflict:
-			// The watch will say who has it. If our own unanswered claim did it,
-			// the watch says that as well.
+		// The watch shows who has it, this controller's own unanswered claim included.
 		case message.StoreNoLease:
 			m.leaseLost("lease expired while claiming leadership")
 		default:
@@ -236,8 +241,8 @@
 	})
 }
 
-// liveMachineOwner is the controller that takes the reports of a machine: its owner, if it
-// lives.
+// liveMachineOwner is the host of the controller that takes a machine's heartbeats: its owner,
+// if it is alive, or "".
 func (m *membership) liveMachineOwner(machine string) string {
 	o, ok := m.shardMap.Owner(machine)
 	if !ok || !m.loaded || m.controllers[o.Host].Incarnation != o.Incarnation {
@@ -246,8 +251,8 @@
 	return o.Host
 }
 
-// ownedMachine says whether a machine is this controller's by the records that it has read,
-// and under which epoch.
+// ownedMachine says whether a machine is this controller's by the records read so far, and
+// under which epoch.
 func (m *membership) ownedMachine(machine string) (sharding.Owner, bool) {
 	o, ok := m.shardMap.Owner(machine)
 	return o, ok && o.Host == m.settings.Host && o.Incarnation == m.incarnation() && m.leaseID != 0 && m.loaded
--- a/internal/controller/deadline.go
+++ b/internal/controller/deadline.go
@@ -8,15 +8,15 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// A controller may stand still between deciding and sending, for longer than its
-// grant lives, and go on in the middle. Starts are guarded by the conditions of
-// their records and by the epoch; rentals, returns and answers that prolong leases
-// are not, so each carries the moment until which the grant it rests on surely
-// lived, and whoever sends it looks at the clock once more. So do answers to users that
-// rest on a read, unless they tell of an end: another controller may have told more since.
-
-// CheckDeadline says whether an effect must not leave any more, and what its sender hears
-// instead: an answer for the core, or another answer for the worker that waits.
+// CheckDeadline says whether an effect is too late to be carried out, and what its sender gets
+// instead: a command for the controller, or another effect for whoever waits.
+//
+// A controller may stand still between deciding and sending, for longer than its lease lives,
+// and go on in the middle. Starts are guarded by the compares of their records and by the
+// epoch. Cloud requests and answers that renew worker leases are not, so each carries the time
+// until which the lease that it rests on surely lives, and the driver checks it once more. So
+// do answers to users that rest on a read, unless they report an end: another controller may
+// have reported more since.
 func CheckDeadline(e message.Effect, now time.Time) (rejection message.Command, instead message.Effect, late bool) {
 	passed := func(t time.Time) bool { return !t.IsZero() && now.After(t) }
 	switch e := e.(type) {
@@ -26,7 +26,7 @@
 		return message.WorkerResponse{ID: e.ID, NotSent: true}, nil, passed(e.SendDeadline)
 	case message.HeartbeatReply:
 		if !passed(e.SendDeadline) && passed(e.StartsDeadline) {
-			// Its lease is prolonged all the same.
+			// The worker's lease is renewed all the same.
 			e.StartsDeadline = time.Time{}
 			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
 			return nil, e, true
--- a/internal/controller/epoch_bump.go
+++ b/internal/controller/epoch_bump.go
@@ -8,35 +8,35 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// maybeBumpEpoch names machines once more, for a higher epoch: where a start without an
-// answer stands in the way, which can no longer be executed then, where a machine has
-// seen a higher epoch than that under which it is this owner's, and where its worker has
-// begun anew.
+// maybeBumpEpoch names machines in a new segment of the shard map, which gives them a higher
+// epoch: where an unanswered start stands in the way, which can't be executed after that;
+// where a machine has seen a higher epoch than the one under which it is owned; and where its
+// worker has restarted under the current epoch.
 func (f *failover) maybeBumpEpoch() {
-	o := f.controller.shardLeader
+	leader := f.controller.shardLeader
 	if f.controller.membership.bumpingEpoch || f.now.Sub(f.epochBumpedAt) < epochBumpInterval || f.now.After(f.controller.membership.leaseValidUntil) {
 		return
 	}
 	needed := len(f.higherEpochSeen) > 0
-	for _, m := range o.machinesByID {
-		needed = needed || m.restartEpoch != 0 && m.restartEpoch == m.epoch || m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&o.remoteAttempts.registry)
+	for _, m := range leader.machinesByID {
+		needed = needed || m.restartEpoch != 0 && m.restartEpoch == m.epoch || m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&leader.remoteAttempts.registry)
 	}
 	if !needed {
 		return
 	}
-	// Only as of now: a machine that has seen a higher epoch is another's more likely,
-	// of which the watch has not told yet.
+	// Only after a confirmation: a machine that has seen a higher epoch is more likely
+	// another's, of which the watch has not brought the record yet.
 	f.epochBumpedAt = f.now
 	f.controller.membership.confirmControlRecords(func() {
-		if f.controller.shardLeader == o {
+		if f.controller.shardLeader == leader {
 			f.controller.shardLeader.failover.bumpEpoch()
 		}
 	})
 }
 
-// bumpEpoch names the machines that need it once more.
+// bumpEpoch names the machines that need it, of one shard at a time.
 func (f *failover) bumpEpoch() {
-	o := f.controller.shardLeader
+	leader := f.controller.shardLeader
 	if f.controller.membership.bumpingEpoch {
 		return
 	}
@@ -46,9 +46,9 @@
 			byShard[x.Name] = append(byShard[x.Name], id)
 		}
 	}
-	for _, m := range o.machinesByID {
-		// While the machine is out of reach a higher epoch does not reach it either.
-		if m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&o.remoteAttempts.registry) {
+	for _, m := range leader.machinesByID {
+		// A higher epoch doesn't reach a machine that is out of reach either.
+		if m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&leader.remoteAttempts.registry) {
 			add(m.id)
 		} else if m.restartEpoch != 0 && m.restartEpoch == m.epoch {
 			add(m.id)
@@ -64,7 +64,7 @@
 	for _, name := range sortedKeys(byShard) {
 		s := f.controller.membership.shardMap.Shard(name)
 		f.epochBumps++
-		w, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), o.generation, f.epochBumps), s, byShard[name])
+		w, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), leader.generation, f.epochBumps), s, byShard[name])
 		if len(bumped) == 0 {
 			continue
 		}
@@ -73,7 +73,7 @@
 		f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: s.ModRevision}, {Key: record.ShardSegmentPrefix + w.Name, ModRevision: 0}},
 			Writes: []message.Write{{Key: record.ShardSegmentPrefix + w.Name, Value: w.Value}}}, func(message.StoreResponse) {
 			f.controller.membership.epochBumpEnded()
-			if f.controller.shardLeader == o {
+			if f.controller.shardLeader == leader {
 				for _, id := range bumped {
 					delete(f.higherEpochSeen, id)
 				}
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -46,8 +46,8 @@
 
 func (f *formatMigration) init() { f.support = map[string]bool{} }
 
-// segmentFormat is how a job's tasks are divided among records: so many share one, which is
-// numbered alone, or is a part whose name says how many.
+// segmentFormat is how a job's task records are cut into segments: so many tasks share one. A
+// segment's name is its number or, if sized, the size and the number.
 type segmentFormat struct {
 	tasksPerSegment int
 	sized           bool
@@ -64,15 +64,15 @@
 	return record.TaskSegmentPrefix + id + "/" + f.nameOf(k)
 }
 
-// currentMaxValueBytes is the limit of values by which records without parts are numbered.
+// currentMaxValueBytes is the limit of value sizes that unsized segments are numbered by.
 func (s *Settings) currentMaxValueBytes() int { return max(s.MaxValueBytes, s.CurrentMaxValueBytes) }
 
-// unsizedFormat is the form without parts.
+// unsizedFormat is the format of the previous version of this program.
 func (s *Settings) unsizedFormat() segmentFormat {
 	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(s.currentMaxValueBytes())}
 }
 
-// currentFormat is the form in which records of tasks are written now.
+// currentFormat is the format in which task records are written now.
 func (f *formatMigration) currentFormat() segmentFormat {
 	if f.current.tasksPerSegment > 0 {
 		return f.current
@@ -80,7 +80,7 @@
 	return f.settings.unsizedFormat()
 }
 
-// parseSegmentKey reads the form of a record of tasks and its number from its key.
+// parseSegmentKey reads a segment's format and number from its key.
 func (f *formatMigration) parseSegmentKey(key string) (format segmentFormat, k int, ok bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
 	format = f.settings.unsizedFormat()
@@ -95,7 +95,7 @@
 	return format, k, ok
 }
 
-// applyFormatRecord takes in what ctl/ says of forms. It is never taken back.
+// applyFormatRecord applies a record under ctl/ about formats. Their deletion changes nothing.
 func (f *formatMigration) applyFormatRecord(it message.KeyValue) {
 	var r record.Format
 	switch {
@@ -110,8 +110,8 @@
 	}
 }
 
-// adoptFormat goes over to a form if it is finer than the one that counts: one that has
-// come to count once counts for all, and stays.
+// adoptFormat goes over to a format if it is finer than the current one: a format that has
+// come to count for one controller counts for all, and stays.
 func (f *formatMigration) adoptFormat(format segmentFormat) {
 	if !format.sized || format.tasksPerSegment >= f.currentFormat().tasksPerSegment && f.currentFormat().sized {
 		return
@@ -126,8 +126,9 @@
 	}
 }
 
-// advanceFormat says that this controller knows parts, where they will be needed, and as the
-// leader that all do.
+// advanceFormat takes the next step of the migration, if one is due: it writes that this
+// controller knows sized segments or, as the leader or with the limits lowered, that all go
+// over to them.
 func (f *formatMigration) advanceFormat() {
 	target := record.MaxTasksPerSegment(f.settings.MaxValueBytes)
 	if f.writing || !f.controller.membership.loaded || f.controller.membership.leaseID == 0 || target >= f.currentFormat().tasksPerSegment {
@@ -151,7 +152,7 @@
 	}
 	f.writing = true
 	f.controller.requests.toStore(op, func(message.StoreResponse) {
-		// The watch brings it, whoever wrote it.
+		// The watch brings the record, whoever wrote it.
 		f.after(f.jitter(storeRetryDelay), func() {
 			f.writing = false
 			f.advanceFormat()
@@ -159,10 +160,11 @@
 	})
 }
 
-// probeValueLimit finds out whether the state service has lowered its limit of values, which
-// it does only when the upgrade is over: a controller may have been cut off since it was
-// replaced, and has not said so. A record that was called malformed may be so for another
-// reason; a plain text that is too large for the limit to come is not.
+// probeValueLimit finds out whether the store has lowered its limit of value sizes. It does so
+// only after the upgrade, so that no controller of the previous version is left even if one
+// has not written that it knows sized segments, having been cut off since its upgrade. A
+// record may be rejected as malformed for other reasons; a plain text that only the new limit
+// forbids is not.
 func (f *formatMigration) probeValueLimit() {
 	text := record.Encode(strings.Repeat("x", f.settings.MaxValueBytes))
 	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || f.limitsLowered || f.probingLimits || f.currentFormat().sized {
@@ -176,8 +178,9 @@
 	})
 }
 
-// allSupportSizedSegments says that every controller of the deployment has said that it knows parts.
-// Its process of the version before is over by then and never comes back.
+// allSupportSizedSegments says that every controller of the deployment has written that it
+// knows sized segments. Its process of the previous version is over by then and never comes
+// back.
 func (f *formatMigration) allSupportSizedSegments() bool {
 	for _, h := range f.settings.Peers {
 		if !f.support[h] {
@@ -187,8 +190,8 @@
 	return f.support[f.settings.Host]
 }
 
-// changeFormat divides the job's tasks anew. What is durable stays so where it stands; what
-// is not, or perhaps is not, has to be written in the new form.
+// changeFormat cuts the job's tasks into segments anew. What is durable stays where it stands;
+// what is not, or may not be, has to be written in the new format.
 func (j *job) changeFormat(f segmentFormat) {
 	if f == j.segmentFormat {
 		return
@@ -217,7 +220,7 @@
 	}
 }
 
-// formerSegment is the chunk of a task whose state stands in a record of a former form.
+// formerSegment is the segment of a task whose state stands in a record of a former format.
 func (j *job) formerSegment(i int, rankingRevision uint64) *taskSegment {
 	c := j.segmentOf(i)
 	if c.version == 0 {
@@ -228,13 +231,13 @@
 }
 
 // neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
-// whatever form it may be by the time that they are judged.
+// whatever format that may be when the store checks them.
 func (f *formatMigration) neverStartedCompares(id string) []message.Compare {
 	var out []message.Compare
 	for _, format := range [...]segmentFormat{f.settings.unsizedFormat(), f.currentFormat(), {record.MaxTasksPerSegment(f.settings.MaxValueBytes), true}} {
 		c := message.Compare{Key: format.keyOf(id, 0), ModRevision: 0}
 		if format.sized && !f.currentFormat().sized && format.tasksPerSegment >= f.currentFormat().tasksPerSegment {
-			// It never comes to that.
+			// Such a format is never adopted.
 			continue
 		}
 		if !slices.Contains(out, c) {
@@ -244,7 +247,7 @@
 	return out
 }
 
-// compareFormats orders records of tasks: those that count before others come first.
+// compareFormats orders task records: finer formats, which take precedence, come first.
 func (f *formatMigration) compareFormats(a, b message.KeyValue) int {
 	rank := func(it message.KeyValue) int {
 		if format, _, ok := f.parseSegmentKey(it.Key); ok && format.sized {
--- a/internal/controller/heap.go
+++ b/internal/controller/heap.go
@@ -1,7 +1,7 @@
 package controller
 
-// heap is a heap, the first element before all others. It is the innermost part of
-// planning and placing, and so holds values, and not interfaces as container/heap.
+// heap is a binary heap with the first element before all others. It is the inner loop of
+// planning and placement, and so holds values rather than interfaces as container/heap does.
 type heap[T any, P interface {
 	*T
 	before(*T) bool
@@ -21,7 +21,7 @@
 	}
 }
 
-// siftDown puts the first element where it belongs after it has become later.
+// siftDown restores the order after the first element has become later.
 func (h *heap[T, P]) siftDown() {
 	for k := 0; ; {
 		c := 2*k + 1
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -8,12 +8,13 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
+// applyOpenJob applies a change of a job's record in open/, be it new, changed or deleted.
 func (s *shardLeader) applyOpenJob(it message.KeyValue) {
 	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
 	j := s.jobs[id]
 	if it.Deleted {
 		if j != nil && j.elsewhere() {
-			// Settled by the leader, who has heard from the peer.
+			// The leader has settled it, after it heard from the peer cluster.
 			delete(s.jobs, id)
 		}
 		return
@@ -30,23 +31,23 @@
 		return
 	}
 	if problem := r.Validate(); problem != "" {
-		// Its job stays queued until somebody mends the record or cancels it.
+		// The job stays queued until somebody mends the record or cancels it.
 		s.rejectInput("record", it.Key, problem)
 		return
 	}
 	if j == nil {
-		// An earlier form kept nothing of a cancelled job but that it is one.
+		// An earlier format kept nothing of a cancelled job but that it is cancelled.
 		held := s.teams[r.Team]
 		if (!r.Cancelled || r.Team != "") && (held == nil || !held.ready) || !s.ready {
-			// Another's, or it comes when the team's records have been read.
+			// Another shard's, or it comes when the team's records have been read.
 			return
 		}
 		spec := r.JobSpec(id)
 		if r.Cancelled {
 			spec.Tasks = r.Tasks
 		}
-		// It has just come, and this clock is the one that its waits are judged by
-		// here; another controller's may be a second off.
+		// It has just come, and its waits are measured by this controller's clock; another's
+		// may be a second off.
 		j = s.addJob(spec, s.now, it.ModRevision)
 		if !r.Cancelled {
 			s.fleet.noteArrival(j)
@@ -58,7 +59,7 @@
 	s.scheduler.requestPlacement()
 }
 
-// addJob takes a job into the owner's books.
+// addJob adds a job that was submitted at a time, with the mod revision of its record.
 func (s *shardLeader) addJob(spec model.JobSpec, at time.Time, modRevision uint64) *job {
 	j := newJob(spec, at, modRevision, s.settings.currentMaxValueBytes())
 	j.segmentFormat = s.controller.membership.formats.currentFormat()
@@ -74,14 +75,14 @@
 	return j
 }
 
-// applyJobRecord takes in a job's record in open/ as it stands now.
+// applyJobRecord applies a job's record in open/ as it is now to the job.
 func (s *shardLeader) applyJobRecord(j *job, modRevision uint64, r *record.OpenJob) {
 	id := j.ID
 	j.modRevision = modRevision
 	j.setLoanFrom(r)
 	s.controller.promises.notePromiseRecord(j, r)
 	if r.Cancelled {
-		// Whoever wrote that has written job/ with it.
+		// Whoever wrote this has written the record in job/ with it.
 		j.cancelDerived = false
 	}
 	if r.Cancelled && !j.cancelled {
@@ -96,8 +97,8 @@
 	}
 }
 
-// observeOwnWrite tells the owner at once of a change this node wrote itself, unless the
-// picture is newer: its answer may come after the job was cancelled and over.
+// observeOwnWrite applies a record that this controller wrote to its shard leader at once,
+// unless the watch cache is newer: the answer may come after the job was cancelled and over.
 func (c *Controller) observeOwnWrite(it message.KeyValue) {
 	if c.shardLeader != nil && it.ModRevision > c.frontend.watchCache.revision {
 		c.shardLeader.applyOpenJob(it)
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -10,12 +10,16 @@
 	"github.com/micahill/micahill/internal/reachability"
 )
 
+// taskKey identifies a task.
 type taskKey struct {
 	job   string
 	index int
 }
 
-// machine is a rented machine as its owner knows it.
+// machine is a machine as a shard leader knows it that owns it or has attempts on it. It
+// belongs to that shardLeader, whose components write their groups of fields; only
+// shardLeader attaches and ends attempts. All of it is lost at a failover, and learnt again
+// from records, heartbeats and peers.
 type machine struct {
 	id          string
 	addr        string
@@ -23,100 +27,122 @@
 	zone        string
 	spot        bool
 	size        model.Resources
-	disk        float64
+	disk        float64 // GB
 
-	// afar: it is another controller's; only what this one's jobs have on it is kept.
-	// epoch is that under which it is owned, and former until when somebody who owned
-	// it before may go on answering it.
-	remote           bool
+	// Ownership (shardLeader).
+
+	// remote: it is another controller's, and only what jobs held here have on it is kept.
+	remote bool
+	// epoch is that under which it is owned, and formerOwnerUntil until when a former owner
+	// may go on answering it.
 	epoch            uint64
 	formerOwnerUntil time.Time
-	// ownedSince is since when it has been in this owner's books.
+	// ownedSince is since when this shard leader has known it as its own.
 	ownedSince time.Time
+	// removed: the shard leader has dropped it.
+	removed bool
+
+	// What runs there (shardLeader; others' attempts: remoteAttempts).
 
 	attempts map[taskKey]*task
 	used     model.Resources
-	// reservedForMigration is the room of places that are held for moves; see migration.go.
-	reservedForMigration model.Resources
-	// gift: it is held to be emptied for another owner.
-	evacuatingForOther bool
-	// othersUsed is the room that attempts of others' jobs take, and hasOthersAttempts says that
+	// othersUsed is what attempts of other shards' jobs take, and hasOthersAttempts says that
 	// there are any.
 	othersUsed        model.Resources
 	hasOthersAttempts bool
-	// asking: open/ is being read to tell what becomes of a piece.
-	readingOpenJobs bool
-	// taskReports is the newest report's list, and last the same as it came.
+	images            map[string]*image
+	// speed is how its finished tasks' run times compared with the expected ones, over
+	// speedN tasks.
+	speed  float64
+	speedN int
+
+	// What its heartbeats say (heartbeatTracker).
+
+	heard       bool
+	lastHeard   time.Time
+	incarnation uint64
+	sequence    uint64
+	seenEpoch   uint64
+	// restartEpoch is the epoch under which its worker restarted, if it did.
+	restartEpoch uint64
+	// taskReports has the tasks of the newest heartbeat, lastTaskReports the same as it came.
 	taskReports     map[taskKey]model.TaskReport
 	lastTaskReports []model.TaskReport
-	// strays: something runs there that should not; its size is not known.
+	// hasUnknownTasks: something runs there that should not, of unknown size.
 	hasUnknownTasks bool
-	images          map[string]*image
-
-	heard          bool
-	incarnation    uint64
-	sequence       uint64
-	seenEpoch      uint64
-	lastHeard      time.Time
-	leaseEnd       time.Time
-	reclaimNoticed bool
-	reclaimAt      time.Time
-	releasing      bool
-	// retiring: others can do its work more cheaply; see retire.
-	decommissioning bool
-	faulty          bool
-	idleSince       time.Time
-	// reservedFor is the job that has waited too long and gets the machine when it is
-	// empty enough; see aging.go.
-	reservedFor string
+	// readingOpenJobs: open/ is being read to decide about a task that it reports.
+	readingOpenJobs bool
+	// reroutedAt is when another controller published a newer heartbeat of it, and rerouted
+	// that one.
+	reroutedAt time.Time
+	rerouted   message.ReroutedHeartbeat
 
-	// dirty: orders may be due; it is then in the owner's list. forgotten:
-	// the owner has dropped it.
-	dispatchPending  bool
-	removed          bool
-	dispatchInFlight bool
-	// questioned: it has been asked for its status, which starts nothing.
+	// Its worker lease and whether it is alive (heartbeatTracker, failover).
+
+	// leaseEnd is when its lease is over by this controller's clock, zero if it has none.
+	leaseEnd time.Time
+	// ownershipCheckedAt is when the lease was over by the clock, and the shard map was read
+	// to confirm that the machine was this controller's all the time.
+	ownershipCheckedAt time.Time
+	// statusRequested: it is being polled for its status, which starts nothing.
 	statusRequested bool
-	// fresh: what was ordered last has starts that are nowhere else; see ranking.go.
-	hasNewStarts bool
-	// unackedStartEpoch is the epoch of an order with a start that got no answer and
-	// may be executed minutes later, until a higher epoch is reported.
-	unackedStartEpoch uint64
-	// replySequence: a report answered with starts; until a later report they
-	// count as on their way. An answer from /orders can overtake them.
-	replySequence uint64
-	// probed is when a question to the silent machine was last sent, and
-	// unanswered how many since it was last heard got no answer.
+	// probed is when it was last polled, and unansweredProbes how many polls since it was
+	// last heard got no answer.
 	probed           time.Time
 	unansweredProbes int
-	// checking: its lease is over by the clock, and the division is being read to
-	// tell whether it was this owner's all the time.
-	ownershipCheckedAt time.Time
-	// reachability is whether it hears this owner, shown that something has just shown it, and
-	// unheard how many reports without a sign of this owner's time were answered; see
-	// heartbeat_proof.go. newest is when the newest of its messages came, sign of life or not.
+	// reachability is whether it hears this controller; shownReachable: something has just
+	// shown it; unheardHeartbeats counts the heartbeats without a sign of this controller
+	// that were answered; see heartbeat_proof.go.
 	reachability      reachability.Detector
 	shownReachable    bool
 	unheardHeartbeats int
-	newestMessageAt   time.Time
-	// reroutedAt is when another controller told of a newer report of it, and came that one.
-	reroutedAt time.Time
-	rerouted   message.ReroutedHeartbeat
-	// restartEpoch is the epoch under which its worker began anew, if it did.
-	restartEpoch uint64
-	// dispatchUnanswered: the last direct order got no answer; wait for a report.
+	// newestMessageAt is when its newest message came, a sign of life or not.
+	newestMessageAt time.Time
+
+	// Commands to it (dispatcher).
+
+	// dispatchPending: commands may be pending, and the dispatcher has it in its list.
+	dispatchPending  bool
+	dispatchInFlight bool
+	// dispatchUnanswered: the last commands sent got no answer; wait for a heartbeat.
 	dispatchUnanswered bool
-	// speed is how its finished tasks compared with what was expected.
-	speed  float64
-	speedN int
+	// hasNewStarts: the last commands have starts that are recorded nowhere else; see
+	// ranking.go.
+	hasNewStarts bool
+	// unackedStartEpoch is the epoch of a command with a start that got no answer and may be
+	// executed minutes later, until a heartbeat shows a higher epoch.
+	unackedStartEpoch uint64
+	// replySequence is the sequence of a heartbeat that was answered with starts: until a
+	// later heartbeat they count as on their way. An answer to commands can overtake them.
+	replySequence uint64
+
+	// Its use (scheduler, migrationManager, fleetPlanner).
+
+	idleSince time.Time
+	faulty    bool
+	// reclaimNoticed: the cloud has announced that it takes the machine at reclaimAt.
+	reclaimNoticed bool
+	reclaimAt      time.Time
+	releasing      bool
+	// decommissioning: other machines can do its work for less.
+	decommissioning bool
+	// reservedFor is the job that has waited too long and gets the machine when it is empty
+	// enough; see aging.go.
+	reservedFor string
+	// reservedForMigration is kept free for replicas that migrate here; see migration.go.
+	reservedForMigration model.Resources
+	// evacuatingForOther: it is kept to be emptied for another shard.
+	evacuatingForOther bool
 }
 
+// image is a container image on a machine: cached, or being fetched. last is its last use.
 type image struct {
 	sizeGB float64
 	last   time.Time
 	cached bool
 }
 
+// ensureMachine is the machine of an id, added if it is not known.
 func (s *shardLeader) ensureMachine(id string) *machine {
 	m := s.machines[id]
 	if m == nil {
@@ -131,12 +157,12 @@
 	return m
 }
 
-// free is the room on a machine for one more task.
+// free is what a machine has free for more tasks.
 func (m *machine) free() model.Resources {
 	return m.size.AddScaled(m.used, -1).AddScaled(m.othersUsed, -1).AddScaled(m.reservedForMigration, -1)
 }
 
-// isEmpty says that no task is on a machine or may yet begin there.
+// isEmpty says that no task runs on a machine or may yet start there.
 func (m *machine) isEmpty() bool { return len(m.attempts) == 0 && !m.hasOthersAttempts }
 
 func machineID(m *machine, id string) int { return strings.Compare(m.id, id) }
@@ -152,6 +178,8 @@
 	s.faultAttribution.ForgetMachine(m.id)
 }
 
+// describe notes a machine's address, type and zone, as its heartbeat, the cloud or a peer
+// says.
 func (s *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
 	if m.machineType == "" {
 		s.setMachineZone(m, zone)
@@ -162,7 +190,7 @@
 	}
 }
 
-// setMachineZone notes in which zone a machine with tasks on it is.
+// setMachineZone changes the zone of a machine that may have attempts.
 func (s *shardLeader) setMachineZone(m *machine, zone string) {
 	for k := range m.attempts {
 		j := s.jobs[k.job]
@@ -172,8 +200,8 @@
 	m.zone = zone
 }
 
-// noteImage notes that m fetches or holds the image of j, dropping what a cache
-// that keeps the most recently used would have dropped.
+// noteImage notes that m fetches or holds the image of j, and forgets the images that a
+// least-recently-used cache would have dropped.
 func (m *machine) noteImage(j *job, now time.Time, cached bool) {
 	if j.Image == "" {
 		return
@@ -209,7 +237,7 @@
 	}
 }
 
-// dropMachine forgets a machine that is proven gone.
+// dropMachine drops a machine that is proven gone, if it is this shard leader's.
 func (c *Controller) dropMachine(m *machine, why string) {
 	if c.shardLeader == nil || c.shardLeader.machines[m.id] != m {
 		return
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// membershipLeaseTTL is how long a silent controller keeps its roles. Short, for
-	// a quick takeover; several renewals fit in, for late answers.
+	// membershipLeaseTTL is how long a controller that doesn't renew its lease keeps its
+	// roles. Short, for a quick failover; several renewals fit in, for late answers.
 	membershipLeaseTTL = 4 * time.Second
-	// leaseRenewInterval leaves room for two lost renewals within membershipLeaseTTL.
+	// leaseRenewInterval leaves time for two lost renewals within membershipLeaseTTL.
 	leaseRenewInterval = time.Second
-	// storeRetryDelay separates tries after a refusal of the state service.
+	// storeRetryDelay separates attempts after the store refused or didn't answer.
 	storeRetryDelay = 400 * time.Millisecond
-	// watchTimeout is how long a watch stays open without news.
+	// watchTimeout is how long a watch stays open without a change.
 	watchTimeout = 30 * time.Second
-	// storeUnavailableInterval is how often the others are told that the state service does
-	// not answer, and storeUnavailableTTL how long that counts.
+	// storeUnavailableInterval is how often a controller publishes that it doesn't reach the
+	// store, and storeUnavailableTTL how long that counts.
 	storeUnavailableInterval = time.Second
 	storeUnavailableTTL      = 3 * time.Second
-	// recentStartLeadDelay is how long one that has just begun leaves the lead to others: they
-	// hear of it within some milliseconds.
+	// recentStartLeadDelay is how long a controller that has just started leaves the lead to
+	// others: they learn of a vacancy within some milliseconds.
 	recentStartLeadDelay = 500 * time.Millisecond
-	// storeDownAfter is how long requests must have failed, with no success
-	// in between, before users are refused at once instead of tried for.
+	// storeDownAfter is how long requests to the store must have failed, without a success in
+	// between, before users are refused at once instead of being kept waiting.
 	storeDownAfter = 1500 * time.Millisecond
 )
 
@@ -94,14 +94,15 @@
 	bumpingEpoch bool
 }
 
+// storeDown says that the store has not answered for a while.
 func (m *membership) storeDown(now time.Time) bool {
 	return !m.storeFailingSince.IsZero() && now.Sub(m.storeFailingSince) > storeDownAfter
 }
 
-// storeDownEverywhere says that all the other controllers have lost the state service
-// as well, so that a user who is sent elsewhere finds it no better. A node that
-// is alone with its loss turns unhealthy, and so does one that hears nothing;
-// in an outage for all, to be taken out and let in again only costs time.
+// storeDownEverywhere says that all the other controllers have lost the store as well, so that
+// a user sent elsewhere fares no better. A controller that is alone with its loss turns
+// unhealthy, and so does one that is cut off from its peers. In an outage for all, being taken
+// out of and into the load balancer would only cost time.
 func (m *membership) storeDownEverywhere(now time.Time) bool {
 	for _, p := range m.settings.Peers {
 		if at, ok := m.peersWithoutStore[p]; !ok || now.Sub(at) > storeUnavailableTTL {
@@ -123,7 +124,7 @@
 // notePeerWithoutStore notes that a peer has published that it doesn't reach the store.
 func (m *membership) notePeerWithoutStore(peer string) { m.peersWithoutStore[peer] = m.now }
 
-// publishStoreUnavailable tells the others that the state service does not answer here.
+// publishStoreUnavailable lets the peers know that this controller doesn't reach the store.
 func (m *membership) publishStoreUnavailable() {
 	if !m.storeDown(m.now) || m.now.Sub(m.storeUnavailablePublishedAt) < storeUnavailableInterval {
 		return
@@ -134,13 +135,14 @@
 	}
 }
 
+// start begins taking part, in the first Step.
 func (m *membership) start() {
 	m.started, m.startedAt = true, m.now
 	m.controllers = map[string]record.Member{}
 	m.formats.init()
 	m.shardMap = sharding.NewMap()
-	// The earlier life is ended at once, whatever this one waits for: the others are
-	// to have its duties.
+	// The previous incarnation's lease is revoked at once, whatever this incarnation waits
+	// for, so that the others take over its roles.
 	ended, waited := false, false
 	begin := func() {
 		if ended && waited {
@@ -161,8 +163,8 @@
 	m.controller.rateLimits.publishRates()
 }
 
-// beginIncarnation calls fn when this life may take part, which after several short ones in
-// a row is not at once; see internal/incarnation.
+// beginIncarnation calls fn when this incarnation may take part, which after several short
+// ones in a row is not at once; see internal/incarnation.
 func (m *membership) beginIncarnation(fn func()) {
 	key := record.IncarnationPrefix + m.settings.Host
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
@@ -173,7 +175,7 @@
 		var r record.Incarnation
 		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && record.Decode(d.KeyValues[0].Value, &r)
 		past, wait := incarnation.Start(m.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
-		// It need not be waited for: lost, it only makes the next life wait less.
+		// Nobody waits for this write: if it is lost, the next incarnation waits less.
 		rec := record.Encode(record.Incarnation{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
 		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
@@ -183,9 +185,9 @@
 	})
 }
 
-// endPreviousIncarnation ends the leaseID of this controller's earlier life, which is surely
-// over, so that the others need not wait for it to run out, and calls fn when it is
-// known what stands under its name.
+// endPreviousIncarnation revokes the lease of this controller's previous incarnation, whose
+// process is over, so that the others need not wait for it to expire. It calls fn when
+// recordModRevision is known.
 func (m *membership) endPreviousIncarnation(fn func()) {
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + m.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
@@ -197,8 +199,7 @@
 				return
 			}
 			m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
-				// Should the record stand all the same, registering fails and comes
-				// back here.
+				// If the record is still there, registering conflicts and comes back here.
 				m.recordModRevision = 0
 				fn()
 			})
@@ -211,6 +212,7 @@
 	})
 }
 
+// createLease gets a lease, retrying until it has one, and registers under it.
 func (m *membership) createLease() {
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK {
@@ -223,6 +225,8 @@
 	})
 }
 
+// register writes this controller's record under its lease, retrying as long as it has this
+// lease. The first time it goes on with reading ctl/.
 func (m *membership) register() {
 	leaseID := m.leaseID
 	key := record.MemberPrefix + m.settings.Host
@@ -233,7 +237,7 @@
 		}
 		switch d.Status {
 		case message.StoreConflict:
-			// A write of a former life came late, or this one's own had no answer.
+			// An earlier incarnation's write came late, or this one's own got no answer.
 			m.after(m.jitter(storeRetryDelay), func() {
 				if m.leaseID == leaseID {
 					m.endPreviousIncarnation(func() {
@@ -260,8 +264,8 @@
 	})
 }
 
-// leaseLost steps down at once: the state service says the leaseID is over,
-// so others may hold the roles already.
+// leaseLost gives up all roles at once: the store says that the lease is over, so others may
+// have them already.
 func (m *membership) leaseLost(reason string) {
 	if m.leaseID == 0 {
 		return
@@ -271,8 +275,8 @@
 	m.createLease()
 }
 
-// relinquishRoles gives up all roles with the leaseID that they rest on. What this process
-// takes up under its next leaseID it takes up as another life.
+// relinquishRoles gives up all roles with the lease that they rest on. Under its next lease
+// this process is a new incarnation.
 func (m *membership) relinquishRoles(reason string) {
 	m.leaseID, m.recordModRevision = 0, 0
 	m.beginNextIncarnation()
@@ -280,6 +284,7 @@
 	m.controller.dropShardLeader(reason)
 }
 
+// leaseRenewLoop renews the lease every leaseRenewInterval, one renewal at a time.
 func (m *membership) leaseRenewLoop() {
 	m.after(leaseRenewInterval, m.leaseRenewLoop)
 	if m.leaseID == 0 || m.renewing {
@@ -301,13 +306,14 @@
 	})
 }
 
-// recentlyStarted says that a controller began so lately that it gets no duty yet that another
+// recentlyStarted says that a controller started so lately that it gets no duty that another
 // can have.
 func (m *membership) recentlyStarted(r record.Member) bool {
 	return r.StartedAt != 0 && incarnation.OnProbation(m.now, time.UnixMilli(r.StartedAt))
 }
 
-// hasEstablishedPeer says that some other controller has been up for a while.
+// hasEstablishedPeer says that some other controller has been up for a while and hears
+// workers.
 func (m *membership) hasEstablishedPeer() bool {
 	for h, r := range m.controllers {
 		if h != m.settings.Host && !m.recentlyStarted(r) && !r.ReceivesNothing {
@@ -317,9 +323,9 @@
 	return false
 }
 
-// fromCurrentIncarnation says that news comes from a life of its sender that takes part now, as far as
-// this node has read. What a former life sent may come late, and what it asked for may
-// be in use by now.
+// fromCurrentIncarnation says that an update comes from an incarnation of its sender that
+// takes part now, as far as ctl/ is known. What an earlier one sent may come late, and what it
+// requested may be in use by now.
 func (m *membership) fromCurrentIncarnation(c *message.PeerUpdate) bool {
 	r, lives := m.controllers[c.From]
 	return lives && r.Incarnation == c.Incarnation
--- a/internal/controller/ordering.go
+++ b/internal/controller/ordering.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// sortedKeys gives an order to a map, so that the same inputs give the same
-// decisions.
+// sortedKeys gives a map's keys in order, so that the same inputs give the same decisions.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
@@ -20,8 +19,7 @@
 
 func sortedAttempts(m *machine) []taskKey { return sortedTasks(m.attempts) }
 
-// sortedTasks gives an order to what is kept by task, so that the same inputs
-// give the same decisions.
+// sortedTasks gives the keys of a map by task in order, likewise.
 func sortedTasks[V any](m map[taskKey]V) []taskKey {
 	keys := make([]taskKey, 0, len(m))
 	for k := range m {
@@ -31,6 +29,7 @@
 	return keys
 }
 
+// sortTasks orders tasks by job and, within a job, by index.
 func sortTasks(keys []taskKey) {
 	if len(keys) < 2 {
 		return
@@ -43,6 +42,7 @@
 	})
 }
 
+// later is the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// minReroutedMachines is how many machines must come back before anybody says so. One
-	// may have lost its way by itself.
+	// minReroutedMachines is how many machines of an owner must report here before this
+	// controller publishes it. One may have lost its way by itself.
 	minReroutedMachines = 2
-	// rerouteRecordInterval separates two such records, and rerouteRecordTTL is how long one counts.
+	// rerouteRecordInterval separates two such records, and rerouteRecordTTL is how long one
+	// counts.
 	rerouteRecordInterval = 3 * time.Second
 	rerouteRecordTTL      = 10 * time.Second
-	// partitionStandDown is how long a controller that gave up stands back, unless a report
-	// comes before; it goes on serving users.
+	// partitionStandDown is how long a controller that gave up its roles stands by, unless a
+	// heartbeat comes before; it goes on serving users.
 	partitionStandDown = 2 * time.Minute
-	// partitionLeadDelay is how long it leaves the lead to others when there is none. If all
-	// have given up, one of them has to lead after all.
+	// partitionLeadDelay is how long it leaves the lead to others when there is no leader. If
+	// all have given up, one of them has to lead after all.
 	partitionLeadDelay = 3 * time.Second
 )
 
@@ -84,7 +85,7 @@
 	return now.Before(p.receivesNothingUntil)
 }
 
-// heartbeatReceived notes that a report has reached this controller at all.
+// heartbeatReceived notes that a heartbeat has reached this controller at all.
 func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
 	p.monitor.HeartbeatReceived(p.now)
 	switch {
@@ -92,7 +93,7 @@
 	case !p.unheard:
 		p.endStandDown()
 	case p.now.Sub(p.reachabilityRequestedAt) > probeInterval:
-		// That it hears the worker is nothing new.
+		// That this controller hears the worker is nothing new; does the worker hear it?
 		p.reachabilityRequestedAt = p.now
 		p.controller.requests.toWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
 			if d.Heartbeat != nil && p.receivesNothing(p.now) {
@@ -102,7 +103,7 @@
 	}
 }
 
-// pollRecentMachines asks the machines that were last heard whether they hear this owner.
+// pollRecentMachines asks the machines that were last heard whether they hear this controller.
 func (p *partitionDetector) pollRecentMachines() {
 	var machines []*machine
 	for _, m := range p.controller.shardLeader.machinesByID {
@@ -116,7 +117,7 @@
 	}
 }
 
-// endStandDown lets the controller be chosen again.
+// endStandDown lets this controller hold shards and lead again.
 func (p *partitionDetector) endStandDown() {
 	p.receivesNothingUntil, p.unheard = time.Time{}, false
 	if p.controller.membership.leaseID != 0 && p.controller.membership.loaded {
@@ -124,9 +125,9 @@
 	}
 }
 
-// noteRerouted notes that a machine was sent to its steward, and tells that steward
-// when its machines keep coming here. One that does not hear where it is sent says
-// nothing of its steward, so it is asked.
+// noteRerouted notes that a machine reported here and was sent to its owner, and publishes it
+// when machines of that owner keep reporting here. A machine that hears no controller says
+// nothing about its owner, so it is polled.
 func (p *partitionDetector) noteRerouted(r *model.Heartbeat, ownerHost string) {
 	members := &p.controller.membership
 	ownerRecord, ok := members.controllers[ownerHost]
@@ -148,8 +149,9 @@
 	p.queueReroutedHeartbeat(r, ownerHost)
 }
 
-// queueReroutedHeartbeat tells a steward that a report of its machine came here: it may not have heard
-// it for long, and take one that only doesn't hear the answers for one that is gone.
+// queueReroutedHeartbeat has a machine's owner learn of a heartbeat that came here: the owner
+// may not have heard the machine for long and take it for gone, though it only doesn't hear
+// the answers.
 func (p *partitionDetector) queueReroutedHeartbeat(r *model.Heartbeat, ownerHost string) {
 	if len(p.reroutedHeartbeats) == 0 {
 		p.after(reroutedHeartbeatInterval, func() {
@@ -165,9 +167,9 @@
 	}
 }
 
-// applyReroutedHeartbeats takes in which machines of this owner reported to another. A report that this
-// owner would have taken for a sign of life is one there, too: such a machine lives, and
-// likely doesn't hear what is sent to it.
+// applyReroutedHeartbeats applies heartbeats of this shard's machines that reached another
+// controller. One that would count as a sign of life here counts there, too: the machine
+// lives, and likely doesn't hear what this controller sends.
 func (p *partitionDetector) applyReroutedHeartbeats(heartbeats []message.ReroutedHeartbeat) {
 	for _, x := range heartbeats {
 		m := p.controller.shardLeader.machines[x.ID]
@@ -181,7 +183,8 @@
 	}
 }
 
-// publishRerouted tells a steward, in its present life, that its machines come here.
+// publishRerouted writes a record for an owner's present incarnation: its machines report
+// here.
 func (p *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
 	members := &p.controller.membership
 	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || members.leaseID == 0 || p.now.After(members.leaseValidUntil) {
@@ -197,19 +200,20 @@
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: members.leaseID}}}, func(message.StoreResponse) {})
 }
 
-// applyRerouteRecord takes in what another controller says of this one's machines.
+// applyRerouteRecord applies such a record of another controller about this one's machines.
 func (p *partitionDetector) applyRerouteRecord(it message.KeyValue) {
 	var r record.ReroutedMachines
 	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == p.settings.Host && r.Incarnation == p.incarnation() {
 		if p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
-			// What was asked before says nothing of now.
+			// Polls before this record prove nothing about now.
 			p.monitor.RequestDelivered()
 		}
 		p.reroutesReportedAt = p.now
 	}
 }
 
-// checkPartition gives the share up when this owner hears nothing and others do.
+// checkPartition gives up all roles when this shard leader and its workers don't hear each
+// other and another controller hears them. It may drop the shard leader.
 func (p *partitionDetector) checkPartition() {
 	leader, members := p.controller.shardLeader, &p.controller.membership
 	if members.leaseID == 0 || p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
@@ -237,8 +241,8 @@
 		}
 	})
 	p.controller.membership.relinquishRoles("partitioned from workers")
-	// Ended, the grant takes the lead and the node's record with it at once. A new
-	// one is asked for only then: this node is not to look alive in between.
+	// Revoking the lease frees the lead and this controller's record at once. A new lease is
+	// requested only after that: this controller must not look alive in between.
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: leaseID}, func(message.StoreResponse) {
 		if members.leaseID == 0 {
 			p.controller.membership.createLease()
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// machineUpdateTurns is in how many turns, a second each, the others are told of all
-	// machines, and machineUpdateTTL how long they remember one.
+	// machineUpdateTurns is in how many turns, a second each, all machines are published, and
+	// machineUpdateTTL how long the peers remember one.
 	machineUpdateTurns = 5
 	machineUpdateTTL   = 15 * time.Second
-	// loadsPublishInterval is how often the others are told of the workloads.
+	// loadsPublishInterval is how often the workloads' loads are published.
 	loadsPublishInterval = 5 * time.Second
 )
 
-// machineUpdates is what a successor has to know of the machines: of some of them at a
-// time, so that news of a large pool is spread over the seconds.
+// machineUpdates is what a successor has to know of the machines, some of them in each turn,
+// so that updates of a large pool are spread over the seconds.
 func (s *shardLeader) machineUpdates() []message.MachineUpdate {
 	var out []message.MachineUpdate
 	s.publishTurn = (s.publishTurn + 1) % machineUpdateTurns
@@ -42,11 +42,11 @@
 	return out
 }
 
-// maxProgressPerUpdate bounds the jobs in one news.
+// maxProgressPerUpdate bounds the jobs in one update.
 const maxProgressPerUpdate = 3000
 
-// publishToPeers shows the progress of open jobs to the other controllers, and asks
-// the leader for machines.
+// publishToPeers sends the progress of open jobs to the other controllers and, to the leader,
+// the requests for machines.
 func (s *shardLeader) publishToPeers() {
 	if s.now.Sub(s.publishedAt) < time.Second {
 		return
@@ -57,7 +57,7 @@
 	for _, id := range sortedKeys(s.jobs) {
 		j := s.jobs[id]
 		if len(update.Progress) >= maxProgressPerUpdate {
-			// The rest with the next news.
+			// The rest goes with the next update.
 			break
 		}
 		p := j.progress()
@@ -90,10 +90,10 @@
 	}
 }
 
-// offers says which machines would go along with the team that the leader wants to
-// move, as many as are its part of what all teams here keep busy: the receiver is not to
-// begin with none. Those go first on which only its tasks are, then idle ones, then those
-// of which it has the most; what others have on them goes on there.
+// offers says which machines could go along with the team that the leader wants to move: as
+// many as the team's part of what all teams here keep busy, so that its receiver does not
+// begin with none. First go machines with tasks of this team only, then idle ones, then those
+// that it uses most of; what others have on them goes on there.
 func (s *shardLeader) offers() []sharding.Offer {
 	r := s.teamRelease
 	held := s.teams[r.Team]
@@ -109,8 +109,8 @@
 	}
 	type choice struct {
 		m *machine
-		// of is the team's part of what runs there, 1 for all of it, and 0.5 for an
-		// idle machine.
+		// of is the team's part of what runs there, 1 for all of it, and 0.5 for an idle
+		// machine.
 		of float64
 	}
 	totalCPU := 0.0
@@ -150,8 +150,8 @@
 // maxOfferedMachines bounds the machines that go along with a team at once.
 const maxOfferedMachines = 1000
 
-// teamLoads is what each team of this owner keeps busy: what its tasks take, and what
-// those that wait would.
+// teamLoads is what each team here keeps busy: what its tasks take, and what those waiting
+// would.
 func (s *shardLeader) teamLoads() []message.TeamLoad {
 	cpuByTeam := map[string]float64{}
 	for t := range s.teams {
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -11,7 +11,7 @@
 // maxRunTime bounds a run time in a record.
 const maxRunTime = 366 * 24 * time.Hour
 
-// recoverSegment takes in a record of a job's tasks that a former owner wrote.
+// recoverSegment applies a record of a job's tasks that an earlier shard leader wrote.
 func (f *failover) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegment) {
 	format, segmentIndex, ok := f.controller.membership.formats.parseSegmentKey(it.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
@@ -44,7 +44,7 @@
 		for x := max(0, r.DoneRanges[i]); x <= r.DoneRanges[i+1] && x < len(j.tasks); x++ {
 			t := &j.tasks[x]
 			if t.done || j.isCovered(x) {
-				// Named twice, it is still one: a job is done when all its tasks are.
+				// Listed twice, it is still one: a job is done when all its tasks are.
 				continue
 			}
 			j.trackFormat(format, x, r.RankingRevision)
@@ -93,8 +93,8 @@
 	}
 }
 
-// markCovered notes that what a part says of its tasks counts before what records of a former
-// form say: it was written later, and says all of them.
+// markCovered notes that a sized segment takes precedence over records of former formats: it
+// was written later, and has all of its tasks.
 func (j *job) markCovered(f segmentFormat, k int) {
 	if !f.sized {
 		return
@@ -107,15 +107,15 @@
 
 func (j *job) isCovered(i int) bool { return i < len(j.covered) && j.covered[i] }
 
-// trackFormat notes where the state of a task stands: in the job's own form or in another,
-// from which it moves when it changes.
+// trackFormat notes where a task's state stands: in the job's own format, or in another one,
+// which it leaves when it changes.
 func (j *job) trackFormat(f segmentFormat, i int, rankingRevision uint64) {
 	if f != j.segmentFormat {
 		j.formerSegment(i, rankingRevision)
 	}
 }
 
-// queueRecovered queues what is neither done nor live.
+// queueRecovered queues the tasks that are neither done nor live.
 func (f *failover) queueRecovered(j *job) {
 	j.releaseIfStarted()
 	j.covered = nil
--- a/internal/controller/remote_machines.go
+++ b/internal/controller/remote_machines.go
@@ -1,6 +1,6 @@
 package controller
 
-// remoteMachine is a machine of another owner, as far as this one's jobs have attempts there.
+// remoteMachine is a machine of another owner, as far as jobs held here have attempts there.
 func (s *shardLeader) remoteMachine(id string) *machine {
 	a := s.remoteAttempts.machines[id]
 	if a == nil {
@@ -13,7 +13,7 @@
 	return a
 }
 
-// dropRemoteMachine forgets a machine of another owner when nothing of ours is on it.
+// dropRemoteMachine drops a remote machine on which no attempt is left.
 func (s *shardLeader) dropRemoteMachine(a *machine) {
 	if len(a.attempts) == 0 {
 		delete(s.remoteAttempts.machines, a.id)
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -10,24 +10,24 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// shard_sync.go keeps the owner's books in step with the division: which teams and which
-// machines are this controller's, by the records that it has read. What comes is taken
-// up where it is, what goes is let go where it is; nothing else is disturbed.
+// shard_sync.go keeps the shard leader in line with the shard map: which teams and machines
+// are this controller's, by the records read so far. What comes is taken over as it runs,
+// what goes is handed over as it runs; nothing else is disturbed.
 
-// heldTeam is a team of this owner.
+// heldTeam is a team of a shard that this controller holds.
 type heldTeam struct {
-	// ready: its records have been read, since readyAt.
+	// ready: its records have been read, at readyAt.
 	ready   bool
 	readyAt time.Time
-	// holdID tells this time from others that the team was here.
+	// holdID tells this time that the team is held from others.
 	holdID int
-	// away: it has been another's since it came, even if it is back by now. That other
-	// has written of its jobs, so that what is in the books is not what stands there.
+	// reassigned: it has been another shard's since it came, even if it is back by now. The
+	// other leader has written of its jobs, so that what is known here is out of date.
 	reassigned bool
 }
 
-// markReassignedTeams notes which teams are another's as of the revision that ctl/ has just been
-// brought to. One answer may tell of many: that a team went and that it came back.
+// markReassignedTeams notes which teams are another shard's as of the revision just applied.
+// It runs after each revision, since one answer may show that a team went and came back.
 func (c *Controller) markReassignedTeams() {
 	if c.shardLeader == nil {
 		return
@@ -38,8 +38,8 @@
 	}
 }
 
-// markReassignedAfterReRead does the same when ctl/ has been read anew and what happened in between
-// is not told: only a share that has not been written since has kept its teams.
+// markReassignedAfterReRead does the same when ctl/ has been read anew, which doesn't show
+// what happened in between: only a shard that has not been written since has kept its teams.
 func (c *Controller) markReassignedAfterReRead(before *sharding.Map) {
 	if c.shardLeader == nil {
 		return
@@ -50,7 +50,7 @@
 	}
 }
 
-// syncShardLeader brings the owner's books in step with ctl/.
+// syncShardLeader makes, updates or drops the shard leader to match ctl/.
 func (c *Controller) syncShardLeader() {
 	members := &c.membership
 	if !members.loaded {
@@ -83,8 +83,7 @@
 	return out
 }
 
-// syncTeams lets go of the teams that are another's now, and reads the records of
-// those that have come.
+// syncTeams hands over the teams that are another shard's now, and loads those that came.
 func (s *shardLeader) syncTeams(heldShards []*sharding.Shard) {
 	assigned := map[string]bool{}
 	for _, x := range heldShards {
@@ -107,8 +106,8 @@
 	s.loadTeams()
 }
 
-// handOverTeam takes a team's jobs out of the books. What of them runs here goes on, in
-// the care of this controller, until their new owner asks for it or it ends.
+// handOverTeam drops a team and its jobs. Their attempts on machines here go on, as remote
+// attempts in this controller's care, until their new owner asks for them or they end.
 func (s *shardLeader) handOverTeam(team string) {
 	delete(s.teams, team)
 	newOwner := ""
@@ -133,8 +132,8 @@
 				s.dropRemoteMachine(m)
 				continue
 			}
-			// It may run or yet begin, and takes room. Whoever owns the job now reads
-			// of it and asks. What was never told to anybody is nowhere.
+			// It runs or may yet start, and takes resources. The job's new owner reads of it
+			// and asks. A start that was never sent is nowhere.
 			a := remote.AttemptID{Job: id, Index: i, Attempt: t.attempt}
 			s.remoteAttempts.registry.Request(s.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
 			if !t.startSent {
@@ -145,7 +144,7 @@
 		delete(s.jobs, id)
 		s.faultAttribution.ForgetJob(id)
 	}
-	// Only now: what belongs to a job in the books is not counted as another's.
+	// Only now: an attempt of a job held here does not count as another's.
 	for _, id := range sortedKeys(affected) {
 		s.remoteAttempts.recountOthersUsed(affected[id])
 		s.controller.markDispatchPending(affected[id])
@@ -156,8 +155,8 @@
 	s.fleet.forgetTeam(team)
 }
 
-// syncMachines lets go of the machines that are another's now, takes up those that
-// have come, and notes whose the others are.
+// syncMachines hands over the machines that are another shard's now, takes over those that
+// came, and notes new epochs.
 func (s *shardLeader) syncMachines(heldShards []*sharding.Shard) {
 	clear(s.shards)
 	catchAll := false
@@ -177,8 +176,8 @@
 		case !mine:
 			s.handOverMachine(m)
 		case x.Epoch != m.epoch:
-			// It may have been another's in between, of which this one has read only
-			// now: what was seen of it, and when its lease ends, count anew.
+			// It may have been another's in between, which this controller has read only now:
+			// what was observed of it, and when its lease ends, count anew.
 			m.epoch, m.formerOwnerUntil = x.Epoch, s.now.Add(s.controller.renewal.formerOwnerGrace())
 			if !m.leaseEnd.IsZero() {
 				m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
@@ -194,8 +193,8 @@
 	}
 }
 
-// handOverMachine forgets a machine that is another's now. The attempts of this owner's
-// jobs on it stay there: its new owner is asked about them.
+// handOverMachine drops a machine that is another shard's now. Attempts of jobs held here stay
+// on it as remote attempts: its new owner is asked about them.
 func (s *shardLeader) handOverMachine(m *machine) {
 	s.removeMachine(m)
 	s.remoteAttempts.registry.ForgetMachine(m.id)
@@ -208,7 +207,7 @@
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
 		if !t.startSent {
-			// Never told to anybody, so it is nowhere.
+			// Never sent, so it is nowhere.
 			s.endAttempt(s.jobs[k.job], k.index, false)
 			continue
 		}
@@ -220,7 +219,8 @@
 	s.remoteAttempts.requestSoon()
 }
 
-// takeOverMachine takes up a machine on which this owner's jobs have run under another.
+// takeOverMachine makes a remote machine, on which jobs held here have attempts, one of this
+// shard.
 func (s *shardLeader) takeOverMachine(asRemote *machine) {
 	delete(s.remoteAttempts.machines, asRemote.id)
 	asRemote.removed = true
@@ -240,7 +240,7 @@
 		m.attempts[k] = t
 		m.used = m.used.AddScaled(j.Need, 1)
 	}
-	// Whoever had it may go on answering it for a while.
+	// Its former owner may go on answering it for a while.
 	m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
 	s.remoteAttempts.rePoll(m)
 	if h := s.controller.knowledge.predecessorMachines[m.id]; s.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
@@ -249,8 +249,8 @@
 	s.failover.addInherited(m)
 }
 
-// shardCompares are what a write for these teams has among its conditions: that their
-// shares are as this owner has read them. "" stands for any of its shares.
+// shardCompares are the conditions of a write for these teams: that their shards are as this
+// shard leader has read them. "" stands for any of its shards.
 func (s *shardLeader) shardCompares(teams ...string) []message.Compare {
 	var out []message.Compare
 	for _, t := range teams {
@@ -263,7 +263,7 @@
 			}
 		}
 		if shard == nil {
-			// Nothing is held any more; the write is to fail.
+			// Nothing is held any more, so the write must fail.
 			out = append(out, message.Compare{Key: record.ShardPrefix + s.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
--- a/internal/controller/team_loading.go
+++ b/internal/controller/team_loading.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// adoptPredecessorMachines takes up what other owners last told of machines that are this one's.
+// adoptPredecessorMachines adds the machines of this shard that other shard leaders have
+// published lately.
 func (f *failover) adoptPredecessorMachines() {
 	for _, id := range sortedKeys(f.controller.knowledge.predecessorMachines) {
 		h := f.controller.knowledge.predecessorMachines[id]
@@ -205,7 +206,7 @@
 	}
 }
 
-// syncOpenJobs brings the jobs in step with open/ after it has been read anew, since
+// syncOpenJobs brings the shard leader's jobs in line with open/ after it was read anew, since
 // the watch was too far behind.
 func (c *Controller) syncOpenJobs() {
 	s := c.shardLeader
