--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -233,12 +233,12 @@
 		// Reclaimed, as announced.
 		return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.maxHeartbeatInterval()
 	}
-	return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.controller.unresponsiveAfter(m) && h.now.Sub(m.reroutedAt) > h.controller.unresponsiveAfter(m)
+	return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.unresponsiveAfter(m) && h.now.Sub(m.reroutedAt) > h.unresponsiveAfter(m)
 }
 
 // unresponsiveAfter is how long nothing must have been heard of a machine.
-func (c *Controller) unresponsiveAfter(m *machine) time.Duration {
-	limit := time.Duration(probeAfterIntervals*float64(c.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
+func (h *heartbeatTracker) unresponsiveAfter(m *machine) time.Duration {
+	limit := time.Duration(probeAfterIntervals*float64(h.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
 	if m.heard && m.unansweredProbes < unresponsiveProbes {
 		// Not polled often enough, since too many polls were under way.
 		limit *= 2
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -92,7 +92,7 @@
 func (c *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
 	c.now = now
 	c.effects = nil
-	c.partition.monitor.Ran(now)
+	c.partition.stepBegan()
 	if !c.membership.started {
 		c.membership.start()
 	}
--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -25,7 +25,7 @@
 		if !h.unresponsive(m) {
 			continue
 		}
-		x := disruption.Machine{ID: m.id, Tasks: len(m.attempts) + h.controller.shardLeader.remoteAttempts.registry.LiveCount(m.id), UnresponsiveFor: h.controller.shardLeader.failover.sinceLastHeartbeat(m) - h.controller.unresponsiveAfter(m)}
+		x := disruption.Machine{ID: m.id, Tasks: len(m.attempts) + h.controller.shardLeader.remoteAttempts.registry.LiveCount(m.id), UnresponsiveFor: h.controller.shardLeader.failover.sinceLastHeartbeat(m) - h.unresponsiveAfter(m)}
 		for k := range m.attempts {
 			j := h.controller.shardLeader.jobs[k.job]
 			if l, u := h.controller.shardLeader.scheduler.latestStart(j), h.controller.ranking.inverseRank(j); u > x.Urgency || x.LatestStart.IsZero() || u == x.Urgency && l.Before(x.LatestStart) {
--- a/internal/controller/fleet.go
+++ b/internal/controller/fleet.go
@@ -412,7 +412,7 @@
 	o.fleet.view = v
 	c.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
 	for _, a := range update.TeamRelease {
-		o.teamRelease, o.teamReleaseAt = a, c.now
+		c.shardLeader.receiveTeamRelease(a)
 	}
 }
 
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -109,7 +109,7 @@
 	}
 	if shown {
 		m.reachability.EffectSeen()
-		h.controller.partition.monitor.RequestDelivered()
+		h.controller.partition.requestDelivered()
 		return
 	}
 	m.reachability.HeartbeatWithoutEffect(h.now, r.Sequence > was.sequence+1, h.controller.renewal.leaseEndAfter(h.now).Sub(h.now))
@@ -151,12 +151,12 @@
 			// Before that it may not have been up.
 			m.reachability.ProbeUnanswered(h.now)
 		}
-		h.controller.partition.monitor.RequestUnanswered(h.now)
+		h.controller.partition.requestUnanswered()
 		return false
 	}
 	m.reachability.ProbeAnswered()
 	m.statusRequested = false
-	h.controller.partition.monitor.RequestDelivered()
+	h.controller.partition.requestDelivered()
 	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
 		h.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
 		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -256,7 +256,7 @@
 func TestReroutedHeartbeats(t *testing.T) {
 	n := largePool(12)
 	m, _ := machineWithTask(n)
-	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
 	for _, x := range []message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}, {ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}, {ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}} {
 		n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
 		if !n.shardLeader.heartbeats.unresponsive(m) {
@@ -274,7 +274,7 @@
 	if n.shardLeader.heartbeats.unresponsive(m) || n.shardLeader.scheduler.usable(m) {
 		t.Errorf("silent %v, usable %v", n.shardLeader.heartbeats.unresponsive(m), n.shardLeader.scheduler.usable(m))
 	}
-	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
 	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
 	if !n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("told again, it is a sign of life again")
@@ -292,7 +292,7 @@
 	was := m.epoch
 	n.putSegment(t, n.settings.Host, 9, m.id)
 	n.syncShardLeader()
-	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
 	n.membership.leaseValidUntil = n.now.Add(time.Second)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, was, m.lastTaskReports
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -170,10 +170,7 @@
 
 func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
 	o := p.controller.shardLeader
-	if o.jobs[j.ID] == j {
-		delete(o.jobs, j.ID)
-	}
-	o.faultAttribution.ForgetJob(j.ID)
+	o.removeJob(j)
 	o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, segmentKeys...)
 }
 
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -97,6 +97,14 @@
 	}
 }
 
+// removeJob drops a job whose end is recorded.
+func (s *shardLeader) removeJob(j *job) {
+	if s.jobs[j.ID] == j {
+		delete(s.jobs, j.ID)
+	}
+	s.faultAttribution.ForgetJob(j.ID)
+}
+
 // observeOwnWrite applies a record that this controller wrote to its shard leader at once,
 // unless the watch cache is newer: the answer may come after the job was cancelled and over.
 func (c *Controller) observeOwnWrite(it message.KeyValue) {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -73,7 +73,7 @@
 	// readingOpenJobs: open/ is being read to decide about a task that it reports.
 	readingOpenJobs bool
 	// reroutedAt is when another controller published a newer heartbeat of it, and rerouted
-	// that one.
+	// that one; set by partitionDetector.
 	reroutedAt time.Time
 	rerouted   message.ReroutedHeartbeat
 
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -85,6 +85,15 @@
 	return now.Before(p.receivesNothingUntil)
 }
 
+// stepBegan notes that this controller runs: while it stood still it could hear nothing.
+func (p *partitionDetector) stepBegan() { p.monitor.Ran(p.now) }
+
+// requestDelivered notes a sign that something sent to a worker has arrived.
+func (p *partitionDetector) requestDelivered() { p.monitor.RequestDelivered() }
+
+// requestUnanswered notes that a worker has not answered a direct request.
+func (p *partitionDetector) requestUnanswered() { p.monitor.RequestUnanswered(p.now) }
+
 // heartbeatReceived notes that a heartbeat has reached this controller at all.
 func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
 	p.monitor.HeartbeatReceived(p.now)
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -388,7 +388,7 @@
 		// no longer than the oldest has waited and machines take to come.
 		load.Wait = max(class.oldestWait, min(clearTime, class.oldestWait+2*pp.controller.knowledge.planningHorizon()))
 		if pp.quoterFor(k.team, true).UpdateLoad(k.workload, load) {
-			o.loadsPublishedAt = time.Time{}
+			o.publishLoadsSoon()
 		}
 	}
 	for team := range o.teams {
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -90,6 +90,14 @@
 	}
 }
 
+// publishLoadsSoon has the workloads' loads published with the next update.
+func (s *shardLeader) publishLoadsSoon() { s.loadsPublishedAt = time.Time{} }
+
+// receiveTeamRelease notes which team the leader wants to move, for offers.
+func (s *shardLeader) receiveTeamRelease(r sharding.MoveRequest) {
+	s.teamRelease, s.teamReleaseAt = r, s.now
+}
+
 // offers says which machines could go along with the team that the leader wants to move: as
 // many as the team's part of what all teams here keep busy, so that its receiver does not
 // begin with none. First go machines with tasks of this team only, then idle ones, then those
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -176,7 +176,7 @@
 	l, o := ll, ll.controller.shardLeader
 	ll.recordTeamLoads(ll.controller.shardLeader.teamLoads())
 	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == ll.settings.Host {
-		o.teamRelease, o.teamReleaseAt = a, ll.now
+		o.receiveTeamRelease(a)
 		for _, x := range ll.controller.shardLeader.offers() {
 			l.sharding.offers[x.Team] = x
 		}
