--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,8 +17,8 @@
 //
 // Each component owns its fields. Other components call its methods and never write its
 // fields. The components here live as long as the process. shardLeader and leader exist
-// only while this controller holds these roles; they are dropped with the membership
-// lease, and a new one starts from the records in the store.
+// only while this controller has these roles; they are dropped with the membership lease
+// at the latest, and a new one starts from the records in the store.
 type Controller struct {
 	*environment
 
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		id := m.id
-		if !m.heard || m.releasing || s.controller.shardLeader.heartbeats.unresponsive(m) {
+		if !m.heard || m.releasing || s.heartbeats.unresponsive(m) {
 			continue
 		}
 		h := message.MachineUpdate{ID: id, Addr: m.addr, MachineType: m.machineType, Zone: m.zone, Spot: m.spot, Images: map[string]float64{}}
@@ -68,21 +68,14 @@
 	}
 	if s.now.Sub(s.loadsPublishedAt) >= loadsPublishInterval {
 		s.loadsPublishedAt = s.now
-		update.WorkloadLoads = s.controller.shardLeader.fleet.workloadLoads()
+		update.WorkloadLoads = s.fleet.workloadLoads()
 		update.Quotes = s.controller.promises.quotesUpdate()
 	}
 	update.MachineUpdates = s.machineUpdates()
 	for _, p := range s.settings.Peers {
 		out := update
 		if s.controller.leader == nil && p == s.controller.membership.leader.Host && s.fleet.view != nil {
-			out.Seq, out.ToRelease, out.Surplus, out.Offers, out.TeamLoads = s.fleet.leaderUpdateSeq, s.fleet.machinesToRelease, s.fleet.surplus, s.offers(), s.teamLoads()
-			for _, k := range sortedKinds(s.fleet.capacityRequests) {
-				out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: s.fleet.capacityRequests[k]})
-			}
-			if s.migration.state != nil {
-				out.HostNeeds, out.EvacuationCosts = s.migration.state.evacuation.needs, s.migration.state.evacuation.costs
-			}
-			out.IsCapacityRequest = true
+			s.addCapacityRequest(&out)
 		}
 		if len(out.Progress) > 0 || len(out.WorkloadLoads) > 0 || len(out.Quotes) > 0 || len(out.MachineUpdates) > 0 || out.IsCapacityRequest {
 			s.emit(message.SendPeerUpdate{To: p, Update: out})
@@ -90,6 +83,20 @@
 	}
 }
 
+// addCapacityRequest adds to an update what the leader plans the fleet and the shards by: what
+// this shard leader requests, and what it could give.
+func (s *shardLeader) addCapacityRequest(out *message.PeerUpdate) {
+	out.IsCapacityRequest = true
+	out.Seq, out.ToRelease, out.Surplus = s.fleet.leaderUpdateSeq, s.fleet.machinesToRelease, s.fleet.surplus
+	out.Offers, out.TeamLoads = s.offers(), s.teamLoads()
+	for _, k := range sortedKinds(s.fleet.capacityRequests) {
+		out.CapacityRequests = append(out.CapacityRequests, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: s.fleet.capacityRequests[k]})
+	}
+	if s.migration.state != nil {
+		out.HostNeeds, out.EvacuationCosts = s.migration.state.evacuation.needs, s.migration.state.evacuation.costs
+	}
+}
+
 // publishLoadsSoon has the workloads' loads published with the next update.
 func (s *shardLeader) publishLoadsSoon() { s.loadsPublishedAt = time.Time{} }
 
