--- a/internal/controller/control_records.go
+++ b/internal/controller/control_records.go
@@ -40,16 +40,7 @@
 				list(d.KeyValues[len(d.KeyValues)-1].Key)
 				return
 			}
-			m.leader, m.leaderModRevision, m.drain = record.Leader{}, 0, record.Drain{}
-			clear(m.controllers)
-			oldShardMap := m.shardMap
-			m.shardMap = sharding.NewMap()
-			for _, it := range items {
-				m.applyControlRecord(it)
-			}
-			m.controller.markReassignedAfterReRead(oldShardMap)
-			m.controller.ranking.noteAbsence(items)
-			m.controller.ranking.noteKnown(began)
+			m.replaceControlRecords(items, began)
 			m.revision = firstRevision
 			m.watchControlRecords(gen, d.Revision)
 		})
@@ -57,6 +48,20 @@
 	list("")
 }
 
+// replaceControlRecords takes what was read of ctl/ for all that is there, as of a time.
+func (m *membership) replaceControlRecords(items []message.KeyValue, asOf time.Time) {
+	m.leader, m.leaderModRevision, m.drain = record.Leader{}, 0, record.Drain{}
+	clear(m.controllers)
+	oldShardMap := m.shardMap
+	m.shardMap = sharding.NewMap()
+	for _, it := range items {
+		m.applyControlRecord(it)
+	}
+	m.controller.markReassignedAfterReRead(oldShardMap)
+	m.controller.ranking.noteAbsence(items)
+	m.controller.ranking.noteKnown(asOf)
+}
+
 // watchControlRecords watches ctl/ from m.revision on, again and again. The records count as
 // loaded from completeRevision on; until then it only fetches what has changed already.
 func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
