--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/micahill/micahill/internal/message"
+	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/validate"
 )
 
@@ -133,3 +134,23 @@
 func (e *environment) maxHeartbeatInterval() time.Duration {
 	return e.settings.HeartbeatInterval * 5 / 4
 }
+
+// team is the settings of a team, nil if there is none of the name.
+func (e *environment) team(name string) *model.Team {
+	for i := range e.settings.Teams {
+		if e.settings.Teams[i].Name == name {
+			return &e.settings.Teams[i]
+		}
+	}
+	return nil
+}
+
+// waitObjective is how soon the workload's tasks are to start, or 0.
+func (e *environment) waitObjective(workload string) time.Duration {
+	for _, o := range e.settings.Objectives {
+		if o.Kind == "wait" && o.Workload == workload {
+			return o.Within
+		}
+	}
+	return 0
+}
