--- a/internal/controller/due.go
+++ b/internal/controller/due.go
@@ -10,15 +10,18 @@
 // requestPlacement has the next round of placement run as soon as rounds may.
 func (s *scheduler) requestPlacement() { s.placementDue = true }
 
-// makePlacementUrgent has the next round, once requested, wait for no interval.
-func (s *scheduler) makePlacementUrgent() { s.placementUrgent = true }
+// hurryPlacement lets the next round, once requested, wait for no interval if the wait of the
+// workload's tasks is bounded.
+func (s *scheduler) hurryPlacement(workload string) {
+	s.placementUrgent = s.placementUrgent || s.waitObjective(workload) > 0
+}
 
-// roundDue says whether a round of placement is to run now.
-func (s *scheduler) roundDue() bool { return s.placementDue && !s.now.Before(s.nextRound()) }
+// placementRoundDue says whether a round of placement is to run now.
+func (s *scheduler) placementRoundDue() bool { return s.placementDue && !s.now.Before(s.nextRoundAt()) }
 
-// nextRound is when tasks may be placed again. A round that took long leaves two and a half
+// nextRoundAt is when tasks may be placed again. A round that took long leaves two and a half
 // times as long to others, however much work waits.
-func (s *scheduler) nextRound() time.Time {
+func (s *scheduler) nextRoundAt() time.Time {
 	gap := placementInterval
 	if s.placementUrgent {
 		gap = 0
@@ -26,10 +29,9 @@
 	return s.placedAt.Add(max(gap, s.roundDuration*5/2))
 }
 
-// runRound runs a round of placement.
-func (s *scheduler) runRound() {
+// runPlacementRound runs a round of placement.
+func (s *scheduler) runPlacementRound() {
 	s.placementDue, s.placementUrgent, s.placedAt = false, false, s.now
-	s.controller.planning.notePlacementRound()
 	s.placeAll()
 }
 
@@ -56,8 +58,8 @@
 // requestSoon has the owners of remote machines asked about attempts there in this tick.
 func (r *remoteAttempts) requestSoon() { r.due = true }
 
-// noteArrival counts a new job's tasks among those that the fleet is sized for.
-func (f *fleetPlanner) noteArrival(j *job) {
+// recordArrival counts a new job's tasks among those that the fleet is sized for.
+func (f *fleetPlanner) recordArrival(j *job) {
 	k := workloadKey{j.Team, j.Workload}
 	f.arrivals[k] = append(f.arrivals[k], arrival{f.now, j.Tasks, j.Need, &j.JobSpec})
 }
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -50,7 +50,7 @@
 		// may be a second off.
 		j = s.addJob(spec, s.now, it.ModRevision)
 		if !r.Cancelled {
-			s.fleet.noteArrival(j)
+			s.fleet.recordArrival(j)
 		}
 		j.setLoanFrom(&r)
 		s.controller.promises.noteBaseQuote(j)
@@ -67,9 +67,7 @@
 	if j.Workload != "" {
 		s.debug("job added", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", s.now.Sub(j.submittedAt))
 		s.workloads[j.Workload] = &workload{&j.JobSpec, s.now}
-		if s.waitObjective(j.Workload) > 0 {
-			s.scheduler.makePlacementUrgent()
-		}
+		s.scheduler.hurryPlacement(j.Workload)
 	}
 	s.controller.awaitDependencies(j)
 	return j
--- a/internal/controller/peer_updates.go
+++ b/internal/controller/peer_updates.go
@@ -45,7 +45,7 @@
 		c.shardLeader.remoteAttempts.receiveRemoteAttempts(u.From, u.RemoteStatuses)
 		c.partition.applyReroutedHeartbeats(u.Rerouted)
 	}
-	c.knowledge.receiveMachineUpdates(u.MachineUpdates)
+	c.knowledge.recordMachineUpdates(u.MachineUpdates)
 	if u.IsCapacityRequest && c.leader != nil {
 		c.leader.receiveUpdate(c.now, u)
 	}
@@ -66,10 +66,10 @@
 	}
 }
 
-// receiveMachineUpdates remembers machines of other shard leaders, for a failover. Those
+// recordMachineUpdates remembers machines of other shard leaders, for a failover. Those
 // that nobody has named for machineUpdateTTL are forgotten; readers check the age as well,
 // since this happens seldom.
-func (k *fleetKnowledge) receiveMachineUpdates(updates []message.MachineUpdate) {
+func (k *fleetKnowledge) recordMachineUpdates(updates []message.MachineUpdate) {
 	for _, u := range updates {
 		k.predecessorMachines[u.ID] = predecessorMachine{MachineUpdate: u, receivedAt: k.now}
 	}
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -145,8 +145,9 @@
 	if s.fleet.planningPass != nil {
 		s.fleet.planFleet(false)
 	}
-	if s.scheduler.roundDue() {
-		s.scheduler.runRound()
+	if s.scheduler.placementRoundDue() {
+		s.controller.planning.notePlacementRound()
+		s.scheduler.runPlacementRound()
 		s.persistence.writeSoon()
 	}
 	s.persistence.writeIfDue()
@@ -159,7 +160,7 @@
 	if next := s.persistence.persistedAt.Add(persistInterval); s.persistence.persistedAt != s.now && next.Before(s.wakeAt) {
 		s.wakeAt = next
 	}
-	if next := s.scheduler.nextRound(); s.scheduler.placementDue && next.Before(s.wakeAt) {
+	if next := s.scheduler.nextRoundAt(); s.scheduler.placementDue && next.Before(s.wakeAt) {
 		s.wakeAt = next
 	}
 }
