--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -8,7 +8,6 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/micahill/micahill/internal/boottime"
 	"github.com/micahill/micahill/internal/message"
 )
 
@@ -56,15 +55,9 @@
 		frontend:      frontend{progressByJob: map[string]message.Progress{}},
 		cancellations: cancellationGossip{unacked: map[string]*unackedCancellation{}},
 		rateLimits:    rateLimits{peers: map[string]peerRates{}},
-		knowledge: fleetKnowledge{
-			estimators:          map[string]*estimator{},
-			released:            map[string]bool{},
-			inheritedLoads:      map[workloadKey]message.WorkloadLoad{},
-			predecessorMachines: map[string]predecessorMachine{},
-			provisioningTimes:   map[machineKind]*boottime.Estimator{},
-		},
 	}
 	c.connectComponents()
+	c.knowledge.init()
 	c.frontend.init()
 	return c
 }
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -116,11 +116,3 @@
 	spec     *model.JobSpec
 	lastSeen time.Time
 }
-
-// arrival is a job that came in, as the sizing of the fleet counts it.
-type arrival struct {
-	arrivedAt time.Time
-	tasks     int
-	need      model.Resources
-	spec      *model.JobSpec
-}
--- a/internal/controller/peer_updates.go
+++ b/internal/controller/peer_updates.go
@@ -65,21 +65,3 @@
 		f.progressByJob[p.ID] = p
 	}
 }
-
-// recordMachineUpdates remembers machines of other shard leaders, for a failover. Those
-// that nobody has named for machineUpdateTTL are forgotten; readers check the age as well,
-// since this happens seldom.
-func (k *fleetKnowledge) recordMachineUpdates(updates []message.MachineUpdate) {
-	for _, u := range updates {
-		k.predecessorMachines[u.ID] = predecessorMachine{MachineUpdate: u, receivedAt: k.now}
-	}
-	if len(updates) == 0 || k.now.Sub(k.predecessorsPrunedAt) <= machineUpdateTTL {
-		return
-	}
-	k.predecessorsPrunedAt = k.now
-	for id, h := range k.predecessorMachines {
-		if k.now.Sub(h.receivedAt) > machineUpdateTTL {
-			delete(k.predecessorMachines, id)
-		}
-	}
-}
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -123,7 +123,7 @@
 		return
 	}
 	c.info("shard leadership lost", "reason", reason)
-	c.shardLeader.endPlanningPass()
+	c.shardLeader.fleet.endPlanningPass()
 	if c.shardLeader.scheduler.packingProfile != nil {
 		c.emit(message.GPUFreeCapacityReport{})
 	}
