--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -75,7 +75,7 @@
 
 // checkDependenciesAccepted goes on once all names are known to be those of accepted jobs. One that is
 // not is refused only after a read that began after the request.
-func (ff *frontend) checkDependenciesAccepted(w *userRequest, names []string, proceed func()) {
+func (f *frontend) checkDependenciesAccepted(request *userRequest, names []string, proceed func()) {
 	pending, unread, missing := 1, false, []string{}
 	finish := func() {
 		if pending--; pending > 0 {
@@ -83,23 +83,23 @@
 		}
 		switch {
 		case len(missing) > 0:
-			ff.answerFromRecord(w, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
+			f.answerFromRecord(request, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
 		case unread:
-			ff.refuseRequest(w, "the state service does not answer")
+			f.refuseRequest(request, "the state service does not answer")
 		default:
 			proceed()
 		}
 	}
 	for _, p := range names {
-		if ff.controller.frontend.watchCache.cachedJobState(p) != pipeline.Unknown {
+		if f.watchCache.cachedJobState(p) != pipeline.Unknown {
 			continue
 		}
 		pending++
-		ff.controller.frontend.watchCache.readJobRecord(p, func(f jobLookup) {
+		f.watchCache.readJobRecord(p, func(lookup jobLookup) {
 			switch {
-			case !f.ok:
+			case !lookup.ok:
 				unread = true
-			case !f.accepted:
+			case !lookup.accepted:
 				missing = append(missing, p)
 			}
 			finish()
@@ -113,7 +113,7 @@
 func (f *frontend) acceptedReply(s *submission) message.UserReply {
 	r := message.UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
 	for _, p := range s.spec.Dependencies {
-		if f.controller.frontend.watchCache.cachedJobState(p) == pipeline.Cancelled {
+		if f.watchCache.cachedJobState(p) == pipeline.Cancelled {
 			f.cacheFinalStatus(s.spec.ID, model.Cancelled)
 			r.State = string(model.Cancelled)
 			return r
@@ -295,17 +295,17 @@
 
 // lookupWithDependencies tells of an open job, which is cancelled if one that it needs is: what is not
 // known of these is read first.
-func (ff *frontend) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
-	unread := ff.controller.frontend.watchCache.graph().Unresolved(id, false)
+func (f *frontend) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
+	unread := f.watchCache.graph().Unresolved(id, false)
 	if len(unread) > 0 && !l.rec.Cancelled {
-		ff.readDependencyStates(id, unread, fn)
+		f.readDependencyStates(id, unread, fn)
 		return
 	}
-	ff.controller.frontend.watchCache.lookupOfOpenJob(id, l, func(f jobLookup) {
-		if ff.controller.frontend.watchCache.graph().IsCancelled(id) {
-			f.rec.Status = model.Cancelled
+	f.watchCache.lookupOfOpenJob(id, l, func(lookup jobLookup) {
+		if f.watchCache.graph().IsCancelled(id) {
+			lookup.rec.Status = model.Cancelled
 		}
-		fn(f)
+		fn(lookup)
 	})
 }
 
@@ -322,7 +322,7 @@
 				fn(jobLookup{})
 				return
 			}
-			f.controller.frontend.watchCache.readJob(id, fn)
+			f.watchCache.readJob(id, fn)
 		})
 	}
 }
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -10,16 +10,15 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// maxOrphanedRecords bounds the records of tasks of ended jobs that are kept while changes are
-// short: they are two pages for a successor to read.
+// maxOrphanedRecords bounds the segments of ended jobs that are kept while writes are
+// scarce: a successor reads them in two pages.
 const maxOrphanedRecords = 1000
 
-// writeJobEnds writes the end of jobs whose tasks are all done, and clears away
-// cancelled ones whose tasks are all gone.
+// writeJobEnds writes the end of jobs whose tasks are all done, and removes the records of
+// cancelled jobs whose tasks are all gone.
 func (p *persistence) writeJobEnds() {
-	o := p.controller.shardLeader
 	var endedJobs, cancelledDependents []*job
-	for _, j := range o.jobs {
+	for _, j := range p.controller.shardLeader.jobs {
 		if !j.ending && j.cancelDerived {
 			cancelledDependents = append(cancelledDependents, j)
 		} else if !j.ending && (j.cancelled && j.liveTasks == 0 || !j.cancelled && j.doneTasks == len(j.tasks)) {
@@ -28,22 +27,22 @@
 	}
 	byName := func(a, b *job) int { return strings.Compare(a.ID, b.ID) }
 	slices.SortFunc(endedJobs, byName)
-	for len(endedJobs) > 0 && o.persistence.txnsInFlight < maxSegmentTxns+2 && p.controller.rateLimits.writesAllowed() > 0 {
+	for len(endedJobs) > 0 && p.txnsInFlight < maxSegmentTxns+2 && p.controller.rateLimits.writesAllowed() > 0 {
 		endedJobs = p.writeEndBatch(endedJobs)
 	}
-	if len(cancelledDependents) > 0 && o.persistence.txnsInFlight == 0 && !p.controller.rateLimits.shortOfWrites() {
-		// That they are cancelled is known without; it is only that they leave the books.
+	if len(cancelledDependents) > 0 && p.txnsInFlight == 0 && !p.controller.rateLimits.shortOfWrites() {
+		// Every controller knows that they are cancelled; only their records have to go.
 		slices.SortFunc(cancelledDependents, byName)
 		p.writeEndBatch(cancelledDependents)
 	}
-	if len(o.persistence.orphanedRecords) > 0 && o.persistence.txnsInFlight == 0 && (!p.controller.rateLimits.shortOfWrites() || len(o.persistence.orphanedRecords) > maxOrphanedRecords) {
+	if len(p.orphanedRecords) > 0 && p.txnsInFlight == 0 && (!p.controller.rateLimits.shortOfWrites() || len(p.orphanedRecords) > maxOrphanedRecords) {
 		p.deleteOrphanedRecords()
 	}
 }
 
-// jobEnd is a job whose end is being written: its record, and the records of its tasks,
-// which mean nothing without it and go when there is time: changes are short just when
-// many jobs end and others start.
+// jobEnd is a job whose end is being written: its final record, and the keys of its segments.
+// These mean nothing without the job and are deleted when there is time, since writes are
+// scarce just when many jobs end and others start.
 type jobEnd struct {
 	job         *job
 	rec         record.JobStatus
@@ -58,18 +57,18 @@
 	size := 0
 	for len(endedJobs) > 0 {
 		j := endedJobs[0]
-		e := jobEnd{job: j, rec: p.controller.promises.endRecord(j)}
+		end := jobEnd{job: j, rec: p.controller.promises.endRecord(j)}
 		var writes []message.Write
 		if !j.cancelled || j.cancelDerived {
-			writes = append(writes, message.Write{Key: record.JobStatusPrefix + j.ID, Value: record.Encode(e.rec)})
+			writes = append(writes, message.Write{Key: record.JobStatusPrefix + j.ID, Value: record.Encode(end.rec)})
 		}
 		writes = append(writes, message.Write{Key: record.OpenJobPrefix + j.ID})
 		compares := append(p.controller.shardLeader.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
-		for _, a := range writes {
-			size += sizelimit.WriteBytes(sizelimit.Write{Key: a.Key, Value: a.Value})
+		for _, w := range writes {
+			size += sizelimit.WriteBytes(sizelimit.Write{Key: w.Key, Value: w.Value})
 		}
-		for _, c := range compares {
-			size += sizelimit.CompareBytes(c.Key)
+		for _, compare := range compares {
+			size += sizelimit.CompareBytes(compare.Key)
 		}
 		if j.cancelDerived {
 			op.Priority = message.PriorityLazy
@@ -77,36 +76,37 @@
 		if len(batch) > 0 && (len(op.Writes)+len(writes) > maxWrites || size > targetTxnBytes || j.endWriteAlone || batch[0].job.endWriteAlone) {
 			break
 		}
-		for _, c := range compares {
-			if !slices.Contains(op.Compares, c) {
-				op.Compares = append(op.Compares, c)
+		for _, compare := range compares {
+			if !slices.Contains(op.Compares, compare) {
+				op.Compares = append(op.Compares, compare)
 			}
 		}
 		op.Writes = append(op.Writes, writes...)
-		e.segmentKeys = slices.Clone(j.formerKeys)
+		end.segmentKeys = slices.Clone(j.formerKeys)
 		for _, k := range sortedKeys(j.segments) {
-			if c := j.segments[k]; c.modRevision != 0 || c.writeInFlight {
-				e.segmentKeys = append(e.segmentKeys, j.segmentKey(c))
+			if seg := j.segments[k]; seg.modRevision != 0 || seg.writeInFlight {
+				end.segmentKeys = append(end.segmentKeys, j.segmentKey(seg))
 			}
 		}
 		j.ending = true
-		batch, endedJobs = append(batch, e), endedJobs[1:]
+		batch, endedJobs = append(batch, end), endedJobs[1:]
 	}
 	gen := p.controller.shardLeader.generation
-	p.controller.rateLimits.writeTxn(op, func(d message.StoreResponse) {
-		for _, e := range batch {
-			p.controller.handleEndResponse(e, d, gen, len(batch) == 1)
+	p.writeTxn(op, func(d message.StoreResponse) {
+		for _, end := range batch {
+			p.controller.handleEndResponse(end, d, gen, len(batch) == 1)
 		}
 	})
 	return endedJobs
 }
 
-// handleEndResponse deals with the answer to the write of a job's end, alone or with others'.
-func (c *Controller) handleEndResponse(e jobEnd, d message.StoreResponse, gen int, alone bool) {
-	j := e.job
-	if d.Status == message.StoreOK && e.rec.Status == model.Done {
+// handleEndResponse takes in the answer to the transaction with a job's end. gen is the
+// generation of the shard leader that sent it; alone: it held no other job's end.
+func (c *Controller) handleEndResponse(end jobEnd, d message.StoreResponse, gen int, alone bool) {
+	j := end.job
+	if d.Status == message.StoreOK && end.rec.Status == model.Done {
 		c.frontend.cacheFinalStatus(j.ID, model.Done)
-		c.promises.learnFromEnd(j, e.rec)
+		c.promises.learnFromEnd(j, end.rec)
 		c.debug("job done", "job", j.ID, "workload", j.Workload, "age", c.now.Sub(j.submittedAt))
 	}
 	if c.shardLeader == nil || c.shardLeader.generation != gen {
@@ -115,19 +115,19 @@
 	retry := func() { j.ending = false }
 	switch d.Status {
 	case message.StoreOK:
-		c.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
+		c.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
 			return strings.HasPrefix(key, record.OpenJobPrefix) && key != record.OpenJobPrefix+j.ID
 		}
 		if !alone && !slices.ContainsFunc(d.FailedKeys, func(key string) bool { return !isOthersRecord(key) }) {
-			// Only others of the same write have changed.
+			// Only other jobs of the same transaction have changed.
 			retry()
 			return
 		}
-		c.shardLeader.persistence.resolveEndConflict(e, gen)
+		c.shardLeader.persistence.resolveEndConflict(end, gen)
 	case message.StoreMalformed:
-		// Of several one is at fault, and the others are not to suffer for it.
+		// One of several is at fault: each is written alone, so that the others get through.
 		if !alone {
 			j.endWriteAlone = true
 			retry()
@@ -139,10 +139,10 @@
 	}
 }
 
-// resolveEndConflict finds out why an end could not be written: an earlier try that got no
-// answer may have been carried out.
-func (p *persistence) resolveEndConflict(e jobEnd, gen int) {
-	j := e.job
+// resolveEndConflict finds out why the compares of an end failed: an earlier transaction whose
+// answer was lost may have been applied.
+func (p *persistence) resolveEndConflict(end jobEnd, gen int) {
+	j := end.job
 	retry := func() { j.ending = false }
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}, func(d message.StoreResponse) {
 		var r record.JobStatus
@@ -150,14 +150,14 @@
 			p.controller.frontend.cacheFinalStatus(j.ID, model.Done)
 			p.controller.promises.cacheDoneDate(j.ID, r)
 			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
-				p.controller.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
+				p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 			}
 			return
 		}
 		if j.cancelled && d.Status == message.StoreOK {
 			p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}, func(d message.StoreResponse) {
 				if d.Status == message.StoreNotFound && p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
-					p.controller.shardLeader.persistence.removeEndedJob(j, e.segmentKeys)
+					p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 					return
 				}
 				p.after(p.jitter(storeRetryDelay), retry)
@@ -168,6 +168,7 @@
 	})
 }
 
+// removeEndedJob drops a job whose end is durable, and leaves its segments to be deleted.
 func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
 	o := p.controller.shardLeader
 	if o.jobs[j.ID] == j {
@@ -177,14 +178,13 @@
 	o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, segmentKeys...)
 }
 
-// deleteOrphanedRecords removes records of tasks whose job is over. Each removal needs
-// that the job's open record is gone: a record that a list showed may belong to
-// a job that came after open/ was listed, and that another controller runs.
+// deleteOrphanedRecords deletes segments whose job is over. The transaction compares that the
+// job's open record is gone: a segment that a list showed may belong to a job that was
+// accepted after open/ was listed, and that another controller leads.
 func (p *persistence) deleteOrphanedRecords() {
-	o := p.controller.shardLeader
-	k := min(len(o.persistence.orphanedRecords), maxLazyWrites, p.settings.MaxTxnWrites)
-	keys := o.persistence.orphanedRecords[:k]
-	o.persistence.orphanedRecords = slices.Clone(o.persistence.orphanedRecords[k:])
+	k := min(len(p.orphanedRecords), maxLazyWrites, p.settings.MaxTxnWrites)
+	keys := p.orphanedRecords[:k]
+	p.orphanedRecords = slices.Clone(p.orphanedRecords[k:])
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares("")}
 	for _, key := range keys {
 		if open := (message.Compare{Key: record.OpenJobPrefix + record.JobIDFromKey(key, record.TaskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
@@ -192,8 +192,8 @@
 		}
 		op.Writes = append(op.Writes, message.Write{Key: key})
 	}
-	gen := o.generation
-	p.controller.rateLimits.writeTxn(op, func(d message.StoreResponse) {
+	gen := p.controller.shardLeader.generation
+	p.writeTxn(op, func(d message.StoreResponse) {
 		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != gen {
 			return
 		}
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -11,11 +11,12 @@
 )
 
 // prewarmedWriteInterval is how often one of the records is written that say which machines
-// hold which images. It is news that nothing depends on but the time that work
-// waits for its images after the end of all controllers, when nobody else knows.
+// hold which images. They only spare work the fetch of its images after all controllers
+// have ended at once, when no machine's former shard leader is left to publish that.
 const prewarmedWriteInterval = 4 * time.Second
 
-// splitMachineNumber splits a machine's name into what stands before its number, and that.
+// splitMachineNumber splits a machine's name into its prefix and its number, with the width of
+// the latter in digits.
 func splitMachineNumber(id string) (prefix string, value, width int, ok bool) {
 	prefix = strings.TrimRight(id, "0123456789")
 	digits := id[len(prefix):]
@@ -23,20 +24,20 @@
 	return prefix, value, len(digits), err == nil
 }
 
-// prewarmedImageOverhead is what an image takes in a record's JSON form beside its name and its
-// machines.
+// prewarmedImageOverhead is the size of an image in a record's JSON beside its name and its
+// machines, in bytes.
 const prewarmedImageOverhead = 32
 
-// nextPrewarmedRecord puts together the next record, from the machine at the place on, and
-// says where the one after it begins.
+// nextPrewarmedRecord makes the next record, from the machine at index from on, and returns the
+// index with which the record after it begins.
 func (p *persistence) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
 	var r record.Prewarmed
-	at := map[string]int{}
+	position := map[string]int{}
 	maxBytes := p.settings.MaxValueBytes * 3 / 4
 	bytesLeft := maxBytes
-	ms := p.controller.shardLeader.machinesByID
-	for ; from < len(ms); from++ {
-		m := ms[from]
+	machines := p.controller.shardLeader.machinesByID
+	for ; from < len(machines); from++ {
+		m := machines[from]
 		prefix, value, width, ok := splitMachineNumber(m.id)
 		if !ok || !m.heard || m.releasing {
 			continue
@@ -47,29 +48,29 @@
 		case r.MachinePrefix != prefix || r.NumberWidth != width:
 			return r, from
 		}
-		before := bytesLeft
+		bytesBefore := bytesLeft
 		for _, name := range sortedKeys(m.images) {
-			im := m.images[name]
-			if !im.cached {
+			img := m.images[name]
+			if !img.cached {
 				continue
 			}
-			i, ok := at[name]
-			cost := width + 2
+			i, ok := position[name]
+			bytes := width + 2
 			if !ok {
-				cost += sizelimit.StringSize(name) + prewarmedImageOverhead
+				bytes += sizelimit.StringSize(name) + prewarmedImageOverhead
 			}
-			if cost > bytesLeft {
-				if before == maxBytes {
-					// No record holds all that it has.
+			if bytes > bytesLeft {
+				if bytesBefore == maxBytes {
+					// All its images don't fit into any record.
 					return r, from + 1
 				}
 				return r, from
 			}
-			bytesLeft -= cost
+			bytesLeft -= bytes
 			if !ok {
 				i = len(r.Images)
-				at[name] = i
-				r.Images = append(r.Images, record.PrewarmedImage{Name: name, GB: im.sizeGB})
+				position[name] = i
+				r.Images = append(r.Images, record.PrewarmedImage{Name: name, GB: img.sizeGB})
 			}
 			r.Images[i].Machines = append(r.Images[i].Machines, value)
 		}
@@ -77,24 +78,23 @@
 	return r, from
 }
 
-// writePrewarmed writes the records one after another, again and again.
+// writePrewarmed writes the records one after another, over and over.
 func (p *persistence) writePrewarmed() {
-	o := p.controller.shardLeader
-	if o.persistence.writingPrewarmed || p.now.Sub(o.persistence.prewarmedWrittenAt) < prewarmedWriteInterval || o.persistence.txnsInFlight > 0 || p.now.After(p.controller.membership.leaseValidUntil) {
+	if p.writingPrewarmed || p.now.Sub(p.prewarmedWrittenAt) < prewarmedWriteInterval || p.txnsInFlight > 0 || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
-	o.persistence.prewarmedWrittenAt = p.now
-	if o.persistence.prewarmedNextMachine >= len(o.machinesByID) {
-		o.persistence.prewarmedNextMachine, o.persistence.prewarmedNextKey = 0, 0
+	p.prewarmedWrittenAt = p.now
+	if p.prewarmedNextMachine >= len(p.controller.shardLeader.machinesByID) {
+		p.prewarmedNextMachine, p.prewarmedNextKey = 0, 0
 	}
-	r, next := p.nextPrewarmedRecord(o.persistence.prewarmedNextMachine)
+	r, next := p.nextPrewarmedRecord(p.prewarmedNextMachine)
 	if len(r.Images) == 0 {
-		o.persistence.prewarmedNextMachine = next
+		p.prewarmedNextMachine = next
 		return
 	}
-	key := record.PrewarmedPrefix + p.settings.Host + "/" + strconv.Itoa(o.persistence.prewarmedNextKey)
-	o.persistence.prewarmedNextMachine, o.persistence.prewarmedNextKey, o.persistence.writingPrewarmed = next, o.persistence.prewarmedNextKey+1, true
-	gen := o.generation
+	key := record.PrewarmedPrefix + p.settings.Host + "/" + strconv.Itoa(p.prewarmedNextKey)
+	p.prewarmedNextMachine, p.prewarmedNextKey, p.writingPrewarmed = next, p.prewarmedNextKey+1, true
+	gen := p.controller.shardLeader.generation
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(""),
 		Writes: []message.Write{{Key: key, Value: record.Encode(r)}}}, func(message.StoreResponse) {
 		if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
@@ -103,25 +103,26 @@
 	})
 }
 
-// applyPrewarmedRecord takes in a record of a former owner.
-func (p *persistence) applyPrewarmedRecord(it message.KeyValue) {
+// applyPrewarmedRecord takes in a record of a former shard leader.
+func (p *persistence) applyPrewarmedRecord(kv message.KeyValue) {
 	var r record.Prewarmed
-	if !record.Decode(it.Value, &r) {
+	if !record.Decode(kv.Value, &r) {
 		return
 	}
-	for _, im := range r.Images {
-		for _, value := range im.Machines {
+	for _, img := range r.Images {
+		for _, value := range img.Machines {
 			digits := strconv.Itoa(value)
 			id := r.MachinePrefix + strings.Repeat("0", max(0, r.NumberWidth-len(digits))) + digits
 			if p.prewarmedImages[id] == nil {
 				p.prewarmedImages[id] = map[string]float64{}
 			}
-			p.prewarmedImages[id][im.Name] = im.GB
+			p.prewarmedImages[id][img.Name] = img.GB
 		}
 	}
 }
 
-// recoverCachedImages remembers what a machine held, when it is heard of for the first time.
+// recoverCachedImages gives a machine the images that a former shard leader wrote down for it,
+// when its first heartbeat comes.
 func (p *persistence) recoverCachedImages(m *machine) {
 	if len(m.images) > 0 {
 		return
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -119,7 +119,7 @@
 					message.SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
 				})
 				clear(n.requests.storeCallbacks)
-				n.frontend.submitQueue, n.frontend.inFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
+				n.frontend.submitQueue, n.frontend.submitTxnsInFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
 				n.frontend.watchCache.nextReadWaiters = nil
 				n.timers = nil
 			}
