--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -124,7 +124,7 @@
 	case message.CancelJob:
 		n.frontend.cancelJob(c)
 	case message.WorkerHeartbeat:
-		if !handleStaleHeartbeat(n, &c) {
+		if !n.handleStaleHeartbeat(&c) {
 			n.handleHeartbeat(c)
 		}
 	case message.StoreResponse:
--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -6,14 +6,15 @@
 	"github.com/micahill/micahill/internal/disruption"
 )
 
-// releaseAheadSeconds is for how many seconds' worth of changes tasks of lost machines are
-// set free at a time; most share a change with others.
+// releaseAheadSeconds: tasks of lost machines are freed at most as many at a time as the store
+// allows writes in so many seconds. Most share a write with others.
 const releaseAheadSeconds = 4
 
-// correlatedFailureLogInterval separates two lines in the log on machines that are silent together.
+// correlatedFailureLogInterval separates two log lines on correlated machine failures.
 const correlatedFailureLogInterval = 5 * time.Second
 
-// unresponsiveMachines names the silent machines that are to be given back now.
+// unresponsiveMachines lists the machines to release now because they have missed heartbeats or
+// receive nothing; see internal/disruption.
 func (h *heartbeatTracker) unresponsiveMachines() []string {
 	pool := disruption.Pool{Lease: h.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * h.settings.StoreWritesPerSecond)}
 	var unresponsive []disruption.Machine
@@ -36,13 +37,13 @@
 	}
 	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, h.controller.shardLeader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
-		// When all fall silent together, the fault is likely ours.
+		// If all miss heartbeats together, the fault is likely this controller's.
 		return nil
 	}
 	toRelease := append(disruption.SelectReleases(pool, unresponsive), h.unreachableMachines(pool.Reporting)...)
 	if disruption.IsCorrelated(pool, len(unresponsive)) && h.now.Sub(h.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
 		h.correlatedFailureLoggedAt = h.now
-		h.info("machines are silent together", "silent", len(unresponsive), "of", pool.Reporting, "given back", len(toRelease))
+		h.info("correlated machine failure", "unresponsive", len(unresponsive), "of", pool.Reporting, "released", len(toRelease))
 	}
 	return toRelease
 }
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -8,35 +8,35 @@
 	"github.com/micahill/micahill/internal/reachability"
 )
 
-// heartbeat_proof.go says what a message of a worker proves. A report may be late, or a copy of one
-// that came before: minutes old, of a machine that is gone or another's by now. Reports
-// are ordered by tenure and tick, but a successor knows no earlier ones. So the first
-// that counts is one that shows this owner's epoch, which nobody could have sent before
-// its time, or the answer to a direct question.
+// heartbeat_proof.go says what a worker's message proves. A heartbeat may be late, or a copy of
+// an earlier one: minutes old, of a machine that is gone or that another controller owns by
+// now. Heartbeats are ordered by incarnation and sequence, but a successor knows no earlier
+// ones. So the first that counts is one that shows the current epoch, which no worker could
+// have sent before this controller's time, or the reply to a poll.
 
-// maxUnprovenReplies is how many reports of a machine that has shown no sign of this owner's
-// answers are answered while its address does not answer either. Each answer counts as
-// one that prolonged its lease, and would put off the proof that this has run out.
+// maxUnprovenReplies is how many heartbeats are answered of a machine that has shown no effect
+// of any answer, while its address does not answer polls either. Each answer counts as one
+// that prolonged the lease, and puts off the proof that the lease has expired.
 const maxUnprovenReplies = 3
 
-// heartbeatReplyTimeout is how long a worker waits for the answer to a report.
+// heartbeatReplyTimeout is how long a worker waits for the answer to a heartbeat.
 const heartbeatReplyTimeout = 4 * time.Second
 
-// supersedes says that something newer than the report was heard. What a worker has seen of
-// epochs never falls: a copy of before it began anew may have a higher tenure, but not
-// the epoch of a later owner.
+// supersedes says that something newer than the heartbeat is known. The epoch that a worker has
+// seen never falls: a copy from before a restart may have a higher incarnation, but not the
+// epoch of a later owner.
 func (m *machine) supersedes(r *model.Heartbeat) bool {
 	return r.Epoch < m.seenEpoch || r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence
 }
 
-// handleUnprovenHeartbeat deals with reports that prove nothing, and says whether this is one.
+// handleUnprovenHeartbeat answers a heartbeat that proves nothing, and says whether it is one.
 func (h *heartbeatTracker) handleUnprovenHeartbeat(m *machine, c *message.WorkerHeartbeat) bool {
 	r := &c.Heartbeat
 	switch {
 	case m.heard && m.supersedes(r):
-		// A copy, or overtaken: it was sent before what is known came, so that nobody
-		// waits for its answer any more when that is long ago. Else it is answered and
-		// ordered nothing. Perhaps the worker has begun anew: its own answer would tell.
+		// A copy, or overtaken: it was sent before what is known came. If that is long ago,
+		// no worker waits for the answer any more. Else the answer has no commands. The
+		// worker may have restarted: its reply to a poll will tell.
 		h.controller.shardLeader.failover.contact(m)
 		if h.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
 			h.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
@@ -44,8 +44,8 @@
 		}
 		h.controller.renewal.renewWithoutCommands(m, c)
 	case m.restartEpoch != 0 && r.Epoch <= m.restartEpoch:
-		// Perhaps of the time before its worker began anew. Its own answers tell, until
-		// its reports show an epoch that it can only have seen since.
+		// Perhaps from before its worker restarted. Only poll replies count until a
+		// heartbeat shows an epoch that the worker can only have seen since.
 		m.probed = time.Time{}
 		h.controller.shardLeader.failover.contact(m)
 		h.controller.renewal.renewWithoutCommands(m, c)
@@ -59,8 +59,8 @@
 			m.unheardHeartbeats++
 			h.controller.renewal.renewWithoutCommands(m, c)
 		}
-		// If the answer arrives, the worker shows that with its next report, half a second
-		// later. Shown the epoch directly, it answers sooner.
+		// If the answer arrives, the next heartbeat shows that, half a second later. The
+		// reply to a direct request comes sooner.
 		if m.incarnation = r.Incarnation; !m.dispatchInFlight && h.controller.shardLeader.failover.contactsInFlight < maxContactsInFlight {
 			h.controller.shardLeader.failover.showEpoch(m)
 		}
@@ -70,7 +70,7 @@
 	return true
 }
 
-// machineSnapshot is what was known of a machine before a message of it.
+// machineSnapshot is what was known of a machine before one of its messages.
 type machineSnapshot struct {
 	heard                 bool
 	incarnation, sequence uint64
@@ -82,8 +82,8 @@
 	return machineSnapshot{m.heard, m.incarnation, m.sequence, m.seenEpoch, m.lastTaskReports}
 }
 
-// detectReachability looks at a report that was taken in for what only an answer or order of ours
-// can have brought.
+// detectReachability looks in a heartbeat that was taken in for what only an answer or a command
+// of this controller can have caused.
 func (h *heartbeatTracker) detectReachability(m *machine, r *model.Heartbeat, was machineSnapshot) {
 	m.unheardHeartbeats = 0
 	shown := m.shownReachable || was.epoch < m.epoch && r.Epoch >= m.epoch
@@ -100,7 +100,7 @@
 		return
 	}
 	for i := range was.taskReports {
-		// Cleared: only an order does that. They are cleared in their order.
+		// Only a command clears a task, and they are cleared in order.
 		if p := &was.taskReports[i]; p.Status == model.Ended {
 			q, there := m.taskReports[taskKey{p.Job, p.Index}]
 			shown = shown || !there || q.Attempt != p.Attempt
@@ -116,7 +116,7 @@
 	h.probeIfUnreachable(m)
 }
 
-// probeIfUnreachable asks a machine at once of which it is not sure that it hears.
+// probeIfUnreachable polls a machine at once that perhaps receives nothing.
 func (h *heartbeatTracker) probeIfUnreachable(m *machine) {
 	if !m.reachability.Reachable() {
 		m.probed = time.Time{}
@@ -124,31 +124,31 @@
 	}
 }
 
-// expectAcknowledgment notes what an answer to a report will have to show.
+// expectAcknowledgment notes that the answer to a heartbeat will have an effect that shows.
 func expectAcknowledgment(m *machine, commands []model.TaskCommand) {
 	if m.seenEpoch < m.epoch {
 		m.reachability.ExpectEffect()
 	}
-	for _, o := range commands {
-		if o.Kind != model.StopTask {
+	for _, cmd := range commands {
+		if cmd.Kind != model.StopTask {
 			m.reachability.ExpectEffect()
 			return
 		}
 	}
 }
 
-// applyPollReply takes in the answer of a machine to a direct request, or that there was
-// none. was is what was known of the machine when the request left: if the answer is
-// older, the worker has begun anew, under the same name and without its tasks. No late
-// message can look like that, since it answers our own question. The worker then knows
-// nothing of its tenure, its epoch and its tasks: what should run there is ordered to
-// start there again, as any start may be repeated, and goes elsewhere only by the usual
-// proof. Late reports and orders of before are told apart by a higher epoch.
+// applyPollReply takes in a machine's reply to a request, or nil if there was none, and says
+// whether there was one. was is what was known of the machine when the request was sent: if
+// the reply is older, the worker has restarted, under the same name and without its tasks.
+// No late message can look like that, since it answers a request of ours. The worker has
+// then lost its incarnation, epoch and tasks: what should run there is started there
+// again, as any start may be repeated, and goes elsewhere only with the usual proof. Late
+// heartbeats and commands of before are told apart by a higher epoch.
 func (h *heartbeatTracker) applyPollReply(m *machine, r *model.Heartbeat, was machineSnapshot) bool {
 	if r == nil || r.Machine != m.id {
 		m.unansweredProbes++
 		if was.heard {
-			// Before that it may not have been up.
+			// Before its first message the machine may not have been ready.
 			m.reachability.ProbeUnanswered(h.now)
 		}
 		h.controller.partition.monitor.RequestUnanswered(h.now)
@@ -158,7 +158,7 @@
 	m.statusRequested = false
 	h.controller.partition.monitor.RequestDelivered()
 	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
-		h.info("a worker has begun anew", "machine", m.id, "tenure", r.Incarnation)
+		h.info("worker restarted", "machine", m.id, "incarnation", r.Incarnation)
 		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
 		m.restartEpoch, m.rerouted = m.epoch, message.ReroutedHeartbeat{}
 		m.leaseEnd = later(m.leaseEnd, h.controller.renewal.leaseEndAfter(later(h.now, m.formerOwnerUntil)))
@@ -179,26 +179,27 @@
 	return true
 }
 
-// unreachableMachines names the machines that report and hear nothing, and are to be given back.
+// unreachableMachines lists the machines to release that send heartbeats and receive nothing.
+// reporting is how many machines should send heartbeats.
 func (h *heartbeatTracker) unreachableMachines(reporting int) []string {
-	o := h.controller.shardLeader
+	s := h.controller.shardLeader
 	var unreachable []reachability.Machine
-	for _, m := range o.machinesByID {
+	for _, m := range s.machinesByID {
 		if !m.heard || m.releasing || h.unresponsive(m) {
 			continue
 		}
-		if d, is := m.reachability.Unreachable(h.now); is {
-			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + o.remoteAttempts.registry.LiveCount(m.id), UnreachableFor: d})
+		if since, is := m.reachability.Unreachable(h.now); is {
+			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + s.remoteAttempts.registry.LiveCount(m.id), UnreachableFor: since})
 		}
 	}
 	if len(unreachable) == 0 {
 		return nil
 	}
-	p := reachability.ReleasePolicy{SingleTimeout: unresponsiveProbes*probeInterval + h.maxHeartbeatInterval(), LeaseRemaining: h.controller.renewal.leaseEndAfter(h.now).Sub(h.now), LastReleased: o.heartbeats.unreachableReleasedAt}
-	toRelease := reachability.SelectReleases(h.now, p, reporting, unreachable)
+	policy := reachability.ReleasePolicy{SingleTimeout: unresponsiveProbes*probeInterval + h.maxHeartbeatInterval(), LeaseRemaining: h.controller.renewal.leaseEndAfter(h.now).Sub(h.now), LastReleased: h.unreachableReleasedAt}
+	toRelease := reachability.SelectReleases(h.now, policy, reporting, unreachable)
 	if len(toRelease) > 0 {
-		o.heartbeats.unreachableReleasedAt = h.now
-		h.info("machines report and hear nothing", "machines", len(unreachable), "of", reporting, "given back", len(toRelease))
+		h.unreachableReleasedAt = h.now
+		h.info("machines unreachable", "machines", len(unreachable), "of", reporting, "released", len(toRelease))
 	}
 	return toRelease
 }
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -10,81 +10,113 @@
 	"github.com/micahill/micahill/internal/remote"
 )
 
-// handleHeartbeat takes a report that waits for its answer.
-func (n *Controller) handleHeartbeat(c message.WorkerHeartbeat) {
-	o := n.shardLeader
-	r := &c.Heartbeat
-	n.partition.heartbeatReceived(r)
-	segment, mine := n.membership.ownedMachine(r.Machine)
+// maxMissedStarts is how many heartbeats in a row may lack a task that the answer to each
+// heartbeat before them had started. One answer may be late and dropped, or lost.
+const maxMissedStarts = 5
+
+// heartbeatTracker takes in what workers report, and judges from it which machines are
+// unresponsive, unreachable or faulty.
+//
+// It is part of a shardLeader and its methods are called only while that one leads: with
+// each heartbeat or poll reply, and by the sweep of the machines. A successor starts with
+// none of this; heartbeat_proof.go says from when on it believes a heartbeat.
+//
+// Invariant: what a message changes here was sent after everything that is known of the
+// machine.
+type heartbeatTracker struct {
+	component
+
+	// lastHeartbeats has the newest heartbeat of removed machines; see stale_heartbeat.go.
+	lastHeartbeats map[string]lastHeartbeat
+	// unreachableReleasedAt is when a machine that receives nothing was last released.
+	unreachableReleasedAt time.Time
+	// correlatedFailureLoggedAt is when a correlated machine failure was last logged.
+	correlatedFailureLoggedAt time.Time
+}
+
+// noteHigherEpoch notes that a machine's worker has seen a higher epoch than this controller's.
+func (f *failover) noteHigherEpoch(machine string) {
+	if f.higherEpochSeen[machine].IsZero() {
+		f.higherEpochSeen[machine] = f.now
+	}
+}
+
+// clearHigherEpoch notes that a machine's worker accepts this controller's epoch.
+func (f *failover) clearHigherEpoch(machine string) { delete(f.higherEpochSeen, machine) }
+
+// handleHeartbeat takes in a heartbeat that waits for its answer.
+func (c *Controller) handleHeartbeat(hb message.WorkerHeartbeat) {
+	s := c.shardLeader
+	r := &hb.Heartbeat
+	c.partition.heartbeatReceived(r)
+	segment, mine := c.membership.ownedMachine(r.Machine)
 	switch {
-	case o == nil || !mine:
-		ownerHost := n.membership.liveMachineOwner(r.Machine)
-		if ownerHost == n.settings.Host {
+	case s == nil || !mine:
+		ownerHost := c.membership.liveMachineOwner(r.Machine)
+		if ownerHost == c.settings.Host {
 			ownerHost = ""
 		}
 		if ownerHost != "" {
-			n.partition.noteRerouted(r, ownerHost)
+			c.partition.noteRerouted(r, ownerHost)
 		}
-		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 421, MachineOwner: ownerHost})
+		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421, MachineOwner: ownerHost})
 		return
 	case r.Epoch > segment.Epoch:
-		// Somebody has a higher epoch: this node was deposed or its watch is
-		// late. A worker drops a lower epoch and would sit here while its
-		// lease runs out, so send it on. If it is ours all the same, it needs a
+		// Another controller has a higher epoch: this one was deposed or its watch is
+		// late. The worker drops answers with a lower epoch and would wait here while its
+		// lease expires, so send it on. If the machine is ours all the same, it needs a
 		// higher epoch; see maybeBumpEpoch.
-		if o.failover.higherEpochSeen[r.Machine].IsZero() {
-			o.failover.higherEpochSeen[r.Machine] = n.now
-		}
-		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 421})
+		s.failover.noteHigherEpoch(r.Machine)
+		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421})
 		return
-	case n.now.After(n.renewal.renewalDeadline()):
-		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
+	case c.now.After(c.renewal.renewalDeadline()):
+		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 503})
 		return
-	case !o.ready:
-		n.renewal.renewBeforeRecovery(&c, segment.Epoch)
+	case !s.ready:
+		c.renewal.renewBeforeRecovery(&hb, segment.Epoch)
 		return
-	case n.knowledge.released[r.Machine]:
-		// Never given work again, and about to go.
-		n.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
+	case c.knowledge.released[r.Machine]:
+		// It gets no work any more and is about to be gone.
+		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 503})
 		return
 	}
-	m := n.shardLeader.ensureMachine(r.Machine)
-	if n.shardLeader.heartbeats.handleUnprovenHeartbeat(m, &c) {
+	m := s.ensureMachine(r.Machine)
+	if s.heartbeats.handleUnprovenHeartbeat(m, &hb) {
 		return
 	}
-	delete(o.failover.higherEpochSeen, r.Machine)
+	s.failover.clearHigherEpoch(r.Machine)
 	before := m.snapshot()
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
-	n.shardLeader.heartbeats.detectReachability(m, r, before)
-	// Looked at once for both: nearly all reports are of machines that are settled.
+	s.heartbeats.applyHeartbeat(m, r, true)
+	s.heartbeats.detectReachability(m, r, before)
+	// Computed once for both: nearly all heartbeats are of settled machines.
 	settled := m.settled()
-	until, renews := n.renewal.renewLease(m, settled, nil, c.Reply)
+	until, renews := c.renewal.renewLease(m, settled, nil, hb.Reply)
 	if !renews {
 		return
 	}
-	commands := n.shardLeader.dispatcher.pendingCommands(m, settled)
+	commands := s.dispatcher.pendingCommands(m, settled)
 	for _, cmd := range commands {
 		if cmd.Kind == model.StartTask {
 			m.replySequence = r.Sequence
 		}
 	}
 	expectAcknowledgment(m, commands)
-	n.emit(message.HeartbeatReply{Reply: c.Reply, SendDeadline: until, StartsDeadline: n.ranking.startDispatchDeadline(m), Status: 200, Epoch: m.epoch, Commands: commands})
+	c.emit(message.HeartbeatReply{Reply: hb.Reply, SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m), Status: 200, Epoch: m.epoch, Commands: commands})
 }
 
-// applyHeartbeat takes in what a worker says, unless something newer was heard.
+// applyHeartbeat takes in a heartbeat or a poll reply, unless something newer is known.
 func (h *heartbeatTracker) applyHeartbeat(m *machine, r *model.Heartbeat, isHeartbeat bool) {
 	if m.heard && m.supersedes(r) {
 		return
 	}
 	h.controller.shardLeader.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
-	// After the worker has begun anew, an order from before that got no answer may be
-	// carried out in a later tenure of the same number, until the worker has seen a
-	// higher epoch. That one was given since says nothing.
+	// After the worker has restarted, a start of before that got no answer may take effect in
+	// a later incarnation of the same number, until the worker has seen a higher epoch. That
+	// a higher one was assigned meanwhile proves nothing.
 	leaseExpired := m.heard && r.Incarnation > m.incarnation && !(m.unackedStartEpoch != 0 && m.restartEpoch >= m.unackedStartEpoch && r.Epoch <= m.unackedStartEpoch)
 	if leaseExpired {
-		// A later tenure: the worker has killed and forgotten everything.
-		h.debug("lease ran out", "machine", m.id, "tenure", r.Incarnation)
+		// A later incarnation: the worker has killed and forgotten everything.
+		h.debug("worker lease expired", "machine", m.id, "incarnation", r.Incarnation)
 		h.loseAllAttempts(m, r)
 	}
 	if !m.heard {
@@ -96,21 +128,21 @@
 		m.replySequence, m.unackedStartEpoch = 0, 0
 	}
 	if !m.heard || r.Incarnation > m.incarnation {
-		// A lease that has begun by now; what was known of an earlier one says
-		// nothing of it. Heard by an answer, it may get work before we answer any
-		// of its reports, and a former owner may go on prolonging it for a while.
+		// Its lease has begun by now; what was known of an earlier one says nothing of it.
+		// Known by a poll reply, it may get work before any of its heartbeats is answered,
+		// and a former owner may go on prolonging the lease for a while.
 		m.leaseEnd = later(m.leaseEnd, h.controller.renewal.leaseEndAfter(later(h.now, m.formerOwnerUntil)))
 	}
 	m.heard, m.incarnation, m.sequence = true, r.Incarnation, r.Sequence
 	m.seenEpoch = max(m.seenEpoch, r.Epoch)
 	if m.newestMessageAt = h.now; !isHeartbeat || r.Epoch >= m.epoch {
-		// Sent in this owner's time, and no older than what was known.
+		// Sent under this controller's epoch, and no older than what was known.
 		m.lastHeard, m.unansweredProbes = h.now, 0
 	}
 	m.dispatchUnanswered = false
 	if r.ReclaimIn >= 0 {
 		if !m.reclaimNoticed {
-			h.debug("notice", "machine", m.id, "in", r.ReclaimIn)
+			h.debug("reclaim notice received", "machine", m.id, "in", r.ReclaimIn)
 		}
 		m.reclaimNoticed, m.reclaimAt = true, h.now.Add(r.ReclaimIn)
 	}
@@ -123,11 +155,16 @@
 	if m.unchangedBy(r) {
 		return
 	}
+	h.applyTaskReports(m, r, isHeartbeat)
+}
+
+// applyTaskReports takes in the tasks of a heartbeat or poll reply that has changes.
+func (h *heartbeatTracker) applyTaskReports(m *machine, r *model.Heartbeat, isHeartbeat bool) {
 	m.lastTaskReports = r.Tasks
 	m.taskReports = make(map[taskKey]model.TaskReport, len(r.Tasks))
 	for _, p := range r.Tasks {
 		k := taskKey{p.Job, p.Index}
-		// Of several attempts of a task on one machine the living one counts.
+		// Of several attempts of a task on one machine the live one counts.
 		if q, ok := m.taskReports[k]; !ok || q.Status == model.Ended {
 			m.taskReports[k] = p
 		}
@@ -139,17 +176,14 @@
 	}
 	for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }) {
 		if _, ok := m.taskReports[k]; !ok && h.controller.shardLeader.dispatcher.noStartInFlight(m) {
-			// To be stopped, and not there: the proof that it is gone.
+			// It was to be stopped and is not there: the proof that it is gone.
 			h.controller.shardLeader.endAttempt(h.controller.shardLeader.jobs[k.job], k.index, false)
 		}
 	}
 }
 
-// maxMissedStarts is how many reports in a row may be without a task that was ordered to start
-// with the answer to each report before. One answer may be late and dropped, or lost.
-const maxMissedStarts = 5
-
-// countMissedStarts counts the reports that do not show what was ordered to start.
+// countMissedStarts counts for each attempt the heartbeats that do not show it though its start
+// was sent.
 func countMissedStarts(m *machine) {
 	for k, t := range m.attempts {
 		if p, ok := m.taskReports[k]; !ok || p.Attempt != t.attempt {
@@ -160,10 +194,10 @@
 	}
 }
 
-// quarantineNonStarting deals with machines that report and never start what they are told to:
-// what was to start there goes elsewhere, with the usual proof, and they are returned.
-// When many seem to be like that, the fault is more likely in the links, and answers
-// that do not arrive are none of the machines' doing.
+// quarantineNonStarting deals with machines that send heartbeats and never start what they
+// should: those tasks go elsewhere, with the usual proof, and the machines are released. If
+// many seem to be like that, the fault is more likely in the network, since answers that do
+// not arrive are not the machines' fault.
 func (h *heartbeatTracker) quarantineNonStarting() {
 	missed := func(t *task) bool { return t.missedStarts >= maxMissedStarts && t.stopReason == stopNone }
 	var nonStarting []*machine
@@ -174,7 +208,7 @@
 		}
 		reporting++
 		if _, unreachable := m.reachability.Unreachable(h.now); unreachable {
-			// It hears nothing of what it is told; see unhearing.
+			// It receives nothing; see unreachableMachines.
 			continue
 		}
 		for _, t := range m.attempts {
@@ -189,7 +223,7 @@
 	}
 	for _, m := range nonStarting {
 		if !m.faulty {
-			h.info("machine starts nothing that it is told to", "machine", m.id)
+			h.info("machine quarantined: starts nothing", "machine", m.id)
 		}
 		m.faulty = true
 		for _, k := range m.attemptsWhere(missed) {
@@ -200,8 +234,8 @@
 	}
 }
 
-// attemptsWhere names the attempts that fulfil a condition, in order. Mostly there
-// are none, and nothing is sorted.
+// attemptsWhere lists the attempts that fulfil a condition, in order. Mostly there are none,
+// and nothing has to be sorted.
 func (m *machine) attemptsWhere(is func(*task) bool) []taskKey {
 	var keys []taskKey
 	for k, t := range m.attempts {
@@ -213,9 +247,8 @@
 	return keys
 }
 
-// unchangedBy says that a report tells nothing that is not known: the attempts that
-// should be there run there, as before. Nearly all reports of a large pool are
-// like that, and cost next to nothing here.
+// unchangedBy says that a heartbeat has nothing new: the attempts that should run there do, as
+// before. Nearly all heartbeats of a large pool are like that, and cost next to nothing here.
 func (m *machine) unchangedBy(r *model.Heartbeat) bool {
 	if len(r.Tasks) != len(m.attempts) || !slices.Equal(r.Tasks, m.lastTaskReports) || len(m.taskReports) != len(m.lastTaskReports) {
 		return false
@@ -230,7 +263,7 @@
 	return true
 }
 
-// applyTaskReport takes in one line of a report.
+// applyTaskReport takes in the state of one task.
 func (h *heartbeatTracker) applyTaskReport(m *machine, k taskKey, p model.TaskReport) {
 	j := h.controller.shardLeader.jobs[k.job]
 	if j == nil || k.index < 0 || k.index >= len(j.tasks) {
@@ -255,29 +288,29 @@
 		m.noteImage(j, h.now, true)
 		if t.startedAt.IsZero() {
 			t.startedAt = h.now
-			h.debug("running", "job", j.ID, "task", k.index, "try", t.attempt, "machine", m.id, "age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
+			h.debug("task running", "job", j.ID, "task", k.index, "attempt", t.attempt, "machine", m.id, "age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
 		}
 	case model.Ended:
 		switch p.Cause {
 		case "done":
 			m.noteImage(j, h.now, true)
-			// What a former owner started has run for longer than was seen
-			// here; a median of such times is near nothing, and would have all
-			// its tasks relaunched.
+			// What a former shard leader started has run for longer than was seen here.
+			// The median of such times is near zero, and would have all tasks of the job
+			// relaunched.
 			if !t.startedAt.IsZero() && !t.inherited {
 				ran := h.now.Sub(t.startedAt)
 				h.updateMachineSpeed(m, j, ran)
 				j.recordRunTime(ran)
 				h.controller.knowledge.updateEstimator(j, ran)
 			}
-			// What failed elsewhere is done here.
+			// What failed elsewhere is done here: the fault may be another machine's.
 			h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, k.index, m.id))
 			h.controller.shardLeader.endAttempt(j, k.index, true)
 		case "error":
 			h.recordTaskFailure(m, j, k.index)
 			h.controller.shardLeader.endAttempt(j, k.index, false)
 		case "unknown":
-			// The worker says no such job: try again, not at once.
+			// The worker knows no such job: try again, but not at once.
 			t.notBefore = h.now.Add(h.jitter(2 * time.Second))
 			h.controller.shardLeader.endAttempt(j, k.index, false)
 		default:
@@ -286,7 +319,8 @@
 	}
 }
 
-// updateMachineSpeed keeps a running ratio of run time against what was expected.
+// updateMachineSpeed keeps a moving average of the machine's run times, as a ratio to the
+// median of their jobs.
 func (h *heartbeatTracker) updateMachineSpeed(m *machine, j *job, ran time.Duration) {
 	ref, ok := j.medianRunTime()
 	if !ok || len(j.sortedRunTimes) < 2 {
@@ -301,9 +335,9 @@
 	m.speed += 0.3 * (r - m.speed)
 }
 
-// recordTaskFailure takes note that a task failed on a machine: internal/faultattribution says whose fault
-// it is. The task is tried again elsewhere, and a job that fails everywhere ever more
-// slowly, one task at a time.
+// recordTaskFailure notes that a task failed on a machine; internal/faultattribution decides
+// whose fault it is. The task is tried again elsewhere, and a job that fails everywhere with
+// growing backoff, one task at a time.
 func (h *heartbeatTracker) recordTaskFailure(m *machine, j *job, index int) {
 	t := &j.tasks[index]
 	t.failures++
@@ -316,39 +350,39 @@
 		t.notBefore = h.now.Add(h.jitter(pause))
 	}
 	h.debug("task failed", "job", j.ID, "task", index, "machine", m.id, "fails", t.failures)
-	b := &h.controller.shardLeader.faultAttribution
+	tracker := &h.controller.shardLeader.faultAttribution
 	if j.doneTasks > 0 {
-		// What was done before its first failure, or under a former owner, counts.
-		b.MarkJobWorks(j.ID)
+		// Tasks done before its first failure, or under a former shard leader, count too.
+		tracker.MarkJobWorks(j.ID)
 	}
-	was := b.FailsEverywhere(j.ID)
-	h.updateFaultyMachines(b.TaskFailed(j.ID, index, m.id))
-	if pause := b.RetryBackoff(j.ID); pause > 0 {
+	failedEverywhere := tracker.FailsEverywhere(j.ID)
+	h.updateFaultyMachines(tracker.TaskFailed(j.ID, index, m.id))
+	if pause := tracker.RetryBackoff(j.ID); pause > 0 {
 		j.notBefore = h.now.Add(h.jitter(pause))
 	}
-	if b.FailsEverywhere(j.ID) && !was {
-		h.info("a job fails on every machine: it is tried ever more slowly", "job", j.ID, "workload", j.Workload, "owner", j.Team)
+	if tracker.FailsEverywhere(j.ID) && !failedEverywhere {
+		h.info("job fails on every machine: backing off", "job", j.ID, "workload", j.Workload, "owner", j.Team)
 	}
 }
 
-// updateFaultyMachines looks again at machines of which internal/faultattribution thinks otherwise now.
-func (h *heartbeatTracker) updateFaultyMachines(hosts []string) {
-	for _, id := range hosts {
+// updateFaultyMachines takes over what internal/faultattribution now says of some machines.
+func (h *heartbeatTracker) updateFaultyMachines(ids []string) {
+	for _, id := range ids {
 		m := h.controller.shardLeader.machines[id]
 		if m == nil {
 			continue
 		}
 		m.faulty = h.controller.shardLeader.faultAttribution.IsFaulty(id)
 		if m.faulty {
-			h.info("machine is faulty", "machine", id)
+			h.info("machine quarantined", "machine", id)
 		} else {
-			h.info("machine is not faulty: what failed there fails everywhere", "machine", id)
+			h.info("machine quarantine lifted: job fault", "machine", id)
 		}
 	}
 }
 
-// loseAllAttempts notes that everything on m is gone. What the new report lists has
-// been started since, and stays.
+// loseAllAttempts notes that everything on m is gone, but for what the new heartbeat r lists:
+// that was started since. r is nil if there is none.
 func (h *heartbeatTracker) loseAllAttempts(m *machine, r *model.Heartbeat) {
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
@@ -362,24 +396,12 @@
 		}
 		h.controller.shardLeader.endAttempt(h.controller.shardLeader.jobs[k.job], k.index, false)
 	}
-	h.controller.shardLeader.remoteAttempts.registry.MarkMachineGone(h.now, m.id, func(a remote.AttemptID) bool {
+	h.controller.shardLeader.remoteAttempts.registry.MarkMachineGone(h.now, m.id, func(attempt remote.AttemptID) bool {
 		return r != nil && slices.ContainsFunc(r.Tasks, func(p model.TaskReport) bool {
-			return p.Job == a.Job && p.Index == a.Index && p.Attempt == a.Attempt
+			return p.Job == attempt.Job && p.Index == attempt.Index && p.Attempt == attempt.Attempt
 		})
 	})
 	m.taskReports, m.lastTaskReports = nil, nil
 	h.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
 	m.images = map[string]*image{}
 }
-
-// heartbeatTracker TODO.
-type heartbeatTracker struct {
-	component
-
-	// lastHeartbeats is the newest that was heard of machines that were dropped; see stale_heartbeat.go.
-	lastHeartbeats map[string]lastHeartbeat
-	// unreachableReleasedAt is when a machine that hears nothing was last given back.
-	unreachableReleasedAt time.Time
-	// correlatedFailureLoggedAt is when the log last told of machines that are silent together.
-	correlatedFailureLoggedAt time.Time
-}
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -164,7 +164,7 @@
 		s.machinesByID = slices.Delete(s.machinesByID, i, i+1)
 	}
 	m.removed = true
-	s.keepLastHeartbeat(m)
+	s.heartbeats.keepLastHeartbeat(m)
 	s.faultAttribution.ForgetMachine(m.id)
 }
 
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -10,25 +10,47 @@
 	"github.com/micahill/micahill/internal/remote"
 )
 
-// markDispatchPending notes that orders may be due for m. Going through all machines after
-// every batch of commands would cost a large pool more than its reports do.
+// maxCommands bounds the commands in one answer or request to a worker, whose body may have
+// 64 KiB: a command takes some 70 bytes and its job's name.
+const maxCommands = 500
+
+// dispatcher decides which commands a worker gets, from its newest heartbeat and from what
+// should run there, and sends those that can't wait for the next heartbeat.
+//
+// It is part of a shardLeader and its methods are called only while that one leads: by Step
+// (dispatchAll) and with each heartbeat (pendingCommands). It has nothing to hand over at
+// failover: a successor reconciles from the records and the heartbeats.
+//
+// Invariant: a start is sent only for a durable attempt, and only as long as this
+// controller would know in time of a cancellation.
+type dispatcher struct {
+	component
+
+	// dirtyMachines are those with dispatchPending set.
+	dirtyMachines []*machine
+}
+
+// markDispatchPending notes that there may be commands for m. To go through all machines
+// after every batch of inputs would cost a large pool more than its heartbeats do.
 func (c *Controller) markDispatchPending(m *machine) {
-	if o := c.shardLeader; o != nil && !m.dispatchPending {
+	if s := c.shardLeader; s != nil && !m.dispatchPending {
 		m.dispatchPending = true
-		o.dispatcher.dirtyMachines = append(o.dispatcher.dirtyMachines, m)
+		s.dispatcher.addDirty(m)
 	}
 }
 
-// dispatchAll sends the orders that are due.
+// addDirty has dispatchAll look at m.
+func (d *dispatcher) addDirty(m *machine) { d.dirtyMachines = append(d.dirtyMachines, m) }
+
+// dispatchAll sends the commands that are due.
 func (d *dispatcher) dispatchAll() {
-	o := d.controller.shardLeader
-	if len(o.dispatcher.dirtyMachines) == 0 {
+	if len(d.dirtyMachines) == 0 {
 		return
 	}
-	slices.SortFunc(o.dispatcher.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
-	now := o.dispatcher.dirtyMachines
-	o.dispatcher.dirtyMachines = nil
-	for _, m := range now {
+	slices.SortFunc(d.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
+	machines := d.dirtyMachines
+	d.dirtyMachines = nil
+	for _, m := range machines {
 		if m.removed {
 			continue
 		}
@@ -36,17 +58,18 @@
 			d.dispatch(m)
 		}
 		if m.dispatchPending {
-			o.dispatcher.dirtyMachines = append(o.dispatcher.dirtyMachines, m)
+			d.dirtyMachines = append(d.dirtyMachines, m)
 		}
 	}
 }
 
-// noStartInFlight says that no start for m is on its way anywhere.
+// noStartInFlight says that no start for m is in flight.
 func (d *dispatcher) noStartInFlight(m *machine) bool {
 	return m.seenEpoch >= m.epoch && m.unackedStartEpoch == 0 && m.replySequence == 0 && !m.dispatchInFlight
 }
 
-// waitsForStartProof says that a start without an answer keeps m from being settled.
+// waitsForStartProof says that a start without an answer keeps m from being settled: something
+// there can only be cleared or given up when no start is in flight.
 func (m *machine) waitsForStartProof(registry *remote.Registry) bool {
 	if registry.HasUnreported(m.id) {
 		return true
@@ -64,85 +87,106 @@
 	return false
 }
 
-// maxCommands bounds the orders of one answer or request to a worker, whose body may
-// have 64 KiB: an order takes some 70 bytes and its job's name.
-const maxCommands = 500
-
-// reconcile is what the worker has to be told, from its newest report and what
-// should be there. Repeating an order does no harm but for a start after its
-// clear, so clear waits until no start can be on its way.
+// reconcile is what the worker has to do, from its newest heartbeat and what should run
+// there. A repeated command does no harm, except for a start after its clear: so a clear
+// waits until no start can be in flight.
 func (d *dispatcher) reconcile(m *machine) []model.TaskCommand {
 	return d.pendingCommands(m, m.settled())
 }
 
-// pendingCommands is reconcile for who has looked already whether the machine is settled.
+// pendingCommands is reconcile for a caller that knows whether the machine is settled.
 func (d *dispatcher) pendingCommands(m *machine, settled bool) []model.TaskCommand {
-	o := d.controller.shardLeader
 	m.dispatchPending, m.hasNewStarts = false, false
 	if settled {
 		return nil
 	}
-	// Clearing up comes last, with the room that is left: thousands of short tasks may
-	// have ended here, and what is to start or stop is not to wait behind them. What is
-	// left of it goes with the next report's answer.
-	var commands, clears []model.TaskCommand
 	noStartInFlight := d.noStartInFlight(m)
+	commands, clears := d.commandsForReports(m, noStartInFlight)
+	commands = d.appendStarts(commands, m, noStartInFlight)
+	// Clears come last, as far as there is space: thousands of short tasks may have ended
+	// here, and starts and stops must not wait for them. The rest goes with the answer to
+	// the next heartbeat.
+	return append(commands, clears[:min(len(clears), max(0, maxCommands-len(commands)))]...)
+}
+
+// commandsForReports is what has to happen to the tasks that the worker reports. Clears that
+// nothing waits for are returned apart.
+func (d *dispatcher) commandsForReports(m *machine, noStartInFlight bool) (commands, clears []model.TaskCommand) {
+	s := d.controller.shardLeader
 	for _, k := range sortedTasks(m.taskReports) {
 		if len(commands) >= maxCommands {
 			d.controller.markDispatchPending(m)
 			break
 		}
 		p := m.taskReports[k]
-		j := o.jobs[k.job]
-		var t *task
-		if j != nil && k.index < len(j.tasks) {
-			t = &j.tasks[k.index]
-		}
-		if j == nil {
-			if cmd, some := d.controller.shardLeader.remoteAttempts.commandForOthers(m, p, noStartInFlight); some && cmd.Kind == model.ClearTask {
-				clears = append(clears, cmd)
-			} else if some {
-				commands = append(commands, cmd)
-			}
-			continue
+		var cmd model.TaskCommand
+		var needed, canWait bool
+		if j := s.jobs[k.job]; j == nil {
+			cmd, needed = s.remoteAttempts.commandForOthers(m, p, noStartInFlight)
+			canWait = cmd.Kind == model.ClearTask
+		} else {
+			cmd, needed = d.commandForReport(m, j, k, p, noStartInFlight)
+			// A clear is urgent if another attempt of the task is to start here.
+			canWait = cmd.Kind == model.ClearTask && m.attempts[k] == nil
 		}
-		isCurrent := t != nil && t.machine == m && t.attempt == p.Attempt
 		switch {
-		case isCurrent && t.stopReason != stopNone && p.Status == model.Checkpointing && d.gracePeriod(m, j, t) > 0:
-			// It saves already.
-		case isCurrent && t.stopReason != stopNone && p.Status != model.Ended:
-			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt, GracePeriod: d.gracePeriod(m, j, t)})
-		case isCurrent:
-		case p.Status != model.Ended:
-			commands = append(commands, model.TaskCommand{Kind: model.StopTask, Job: k.job, Index: k.index, Attempt: p.Attempt})
-		case noStartInFlight && (t == nil || j.durable(k.index)):
-			cmd := model.TaskCommand{Kind: model.ClearTask, Job: k.job, Index: k.index, Attempt: p.Attempt}
-			if m.attempts[k] != nil {
-				// Another attempt of it is to start here.
-				commands = append(commands, cmd)
-			} else {
-				clears = append(clears, cmd)
-			}
+		case !needed:
+		case canWait:
+			clears = append(clears, cmd)
+		default:
+			commands = append(commands, cmd)
 		}
 	}
+	return commands, clears
+}
+
+// commandForReport is what has to happen to a reported task of a job of this shard leader, and
+// false for nothing.
+func (d *dispatcher) commandForReport(m *machine, j *job, k taskKey, p model.TaskReport, noStartInFlight bool) (model.TaskCommand, bool) {
+	var t *task
+	if k.index < len(j.tasks) {
+		t = &j.tasks[k.index]
+	}
+	cmd := model.TaskCommand{Job: k.job, Index: k.index, Attempt: p.Attempt}
+	isCurrent := t != nil && t.machine == m && t.attempt == p.Attempt
+	switch {
+	case isCurrent && t.stopReason != stopNone && p.Status == model.Checkpointing && d.gracePeriod(m, j, t) > 0:
+		// It is writing its checkpoint already.
+		return cmd, false
+	case isCurrent && t.stopReason != stopNone && p.Status != model.Ended:
+		cmd.Kind, cmd.GracePeriod = model.StopTask, d.gracePeriod(m, j, t)
+	case isCurrent:
+		return cmd, false
+	case p.Status != model.Ended:
+		cmd.Kind = model.StopTask
+	case noStartInFlight && (t == nil || j.durable(k.index)):
+		cmd.Kind = model.ClearTask
+	default:
+		return cmd, false
+	}
+	return cmd, true
+}
+
+// appendStarts adds the starts of attempts that are durable and that the worker does not
+// report yet.
+func (d *dispatcher) appendStarts(commands []model.TaskCommand, m *machine, noStartInFlight bool) []model.TaskCommand {
 	for _, k := range sortedAttempts(m) {
 		if d.now.After(d.controller.renewal.startDeadline()) {
-			// A job may have been cancelled that this node can't hear of.
+			// A job may have been cancelled without this controller learning of it.
 			break
 		}
 		if len(commands) >= maxCommands {
-			// The rest goes with the next.
+			// The rest goes with the next commands.
 			d.controller.markDispatchPending(m)
 			break
 		}
 		t := m.attempts[k]
-		j := o.jobs[k.job]
+		j := d.controller.shardLeader.jobs[k.job]
 		if t.stopReason != stopNone || !j.durable(k.index) || j.dependenciesPending || !j.mayStart(d.now) {
 			continue
 		}
-		if p, ok := m.taskReports[k]; ok && p.Attempt == t.attempt {
-			continue
-		} else if ok && p.Status != model.Ended {
+		if p, ok := m.taskReports[k]; ok && (p.Attempt == t.attempt || p.Status != model.Ended) {
+			// It runs, or an earlier attempt of it has not ended.
 			continue
 		}
 		if !d.controller.ranking.mayDispatchStart(m, j, k.index, noStartInFlight) {
@@ -151,11 +195,10 @@
 		t.startSent = true
 		commands = append(commands, model.TaskCommand{Kind: model.StartTask, Job: k.job, Index: k.index, Attempt: t.attempt})
 	}
-	return append(commands, clears[:min(len(clears), max(0, maxCommands-len(commands)))]...)
+	return commands
 }
 
-// settled says that what is there is what should be, so that there is nothing
-// to order.
+// settled says that the machine runs what it should, so that there are no commands for it.
 func (m *machine) settled() bool {
 	if len(m.attempts) != len(m.taskReports) {
 		return false
@@ -169,7 +212,7 @@
 	return true
 }
 
-// gracePeriod is the time a stopped task gets to save.
+// gracePeriod is the time that a stopped task gets for its checkpoint.
 func (d *dispatcher) gracePeriod(m *machine, j *job, t *task) time.Duration {
 	if j.CheckpointInterval <= 0 || t.stopReason == stopCancel {
 		return 0
@@ -177,64 +220,57 @@
 	if m.reclaimNoticed && d.now.Add(j.CheckpointCost).After(m.reclaimAt) {
 		return 0
 	}
-	// A little over the cost, so that rounding does not lose the work.
+	// A second more, so that rounding does not lose the work.
 	return j.CheckpointCost + time.Second
 }
 
-// dispatch sends orders to the worker at once, without waiting for its report.
-func (dd *dispatcher) dispatch(m *machine) {
-	o := dd.controller.shardLeader
+// dispatch sends commands to the worker at once, without waiting for its heartbeat.
+func (d *dispatcher) dispatch(m *machine) {
+	s := d.controller.shardLeader
 	if m.remote {
-		// Its owner is asked.
+		// Its owner gets a request.
 		m.dispatchPending = false
-		o.remoteAttempts.due = true
+		s.remoteAttempts.due = true
 		return
 	}
 	if m.dispatchInFlight || m.statusRequested || m.dispatchUnanswered || m.releasing || m.addr == "" || !m.heard {
 		return
 	}
-	if dd.now.After(dd.controller.membership.leaseValidUntil) {
-		// Perhaps deposed already; reports go on being answered for a while.
+	if d.now.After(d.controller.membership.leaseValidUntil) {
+		// Perhaps another controller leads by now. Heartbeats are answered a while longer.
 		return
 	}
-	commands := dd.reconcile(m)
+	commands := d.reconcile(m)
 	if len(commands) == 0 {
 		return
 	}
-	if !slices.ContainsFunc(commands, func(o model.TaskCommand) bool { return o.Kind != model.ClearTask }) {
-		// Clearing up can wait for the next report's answer.
+	if !slices.ContainsFunc(commands, func(cmd model.TaskCommand) bool { return cmd.Kind != model.ClearTask }) {
+		// Clears can wait for the answer to the next heartbeat.
 		return
 	}
-	starts := slices.ContainsFunc(commands, func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
-	until := dd.controller.membership.leaseValidUntil
+	starts := slices.ContainsFunc(commands, func(cmd model.TaskCommand) bool { return cmd.Kind == model.StartTask })
+	until := d.controller.membership.leaseValidUntil
 	if starts {
-		until = earlier(dd.controller.renewal.startDeadline(), dd.controller.ranking.startDispatchDeadline(m))
+		until = earlier(d.controller.renewal.startDeadline(), d.controller.ranking.startDispatchDeadline(m))
 	}
 	m.dispatchInFlight = true
 	before := m.snapshot()
-	epoch, gen := m.epoch, o.generation
-	dd.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(d message.WorkerResponse) {
-		if dd.controller.shardLeader == nil || dd.controller.shardLeader.generation != gen || m.removed {
+	epoch, gen := m.epoch, s.generation
+	d.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(response message.WorkerResponse) {
+		if d.controller.shardLeader == nil || d.controller.shardLeader.generation != gen || m.removed {
 			return
 		}
 		m.dispatchInFlight = false
-		if d.NotSent {
-			dd.controller.markDispatchPending(m)
+		if response.NotSent {
+			d.controller.markDispatchPending(m)
 			return
 		}
-		if !dd.controller.shardLeader.heartbeats.applyPollReply(m, d.Heartbeat, before) {
+		if !d.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
 			m.dispatchUnanswered = true
 			if starts {
 				m.unackedStartEpoch = max(m.unackedStartEpoch, epoch)
-				dd.controller.ranking.noteUnansweredStarts(m, commands)
+				d.controller.ranking.noteUnansweredStarts(m, commands)
 			}
 		}
 	})
 }
-
-// dispatcher TODO.
-type dispatcher struct {
-	component
-
-	dirtyMachines []*machine
-}
