--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -148,7 +148,7 @@
 
 // receiveHeartbeat handles a worker's heartbeat, unless it is a stale copy of one.
 func (c *Controller) receiveHeartbeat(cmd message.WorkerHeartbeat) {
-	if !handleStaleHeartbeat(c, &cmd) {
+	if !c.handleStaleHeartbeat(&cmd) {
 		c.handleHeartbeat(cmd)
 	}
 }
