--- a/internal/api/respond.go
+++ b/internal/api/respond.go
@@ -52,7 +52,7 @@
 	shouldLog := h.rejectLog.Allow(time.Now(), c.Path()+reason)
 	h.mu.Unlock()
 	if shouldLog {
-		slog.Info("bad input is not taken", "what", c.Path(), "from", c.RealIP(), "why", reason)
+		slog.Info("invalid input rejected", "route", c.Path(), "from", c.RealIP(), "reason", reason)
 	}
 	return respondError(c, http.StatusBadRequest, reason)
 }
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -107,10 +107,10 @@
 // rejectInput counts invalid input from outside: peers' updates, workers' heartbeats and
 // records, which may be damaged or written by mistake. It is logged once a minute for
 // each cause; nothing fails because of it.
-func (e *environment) rejectInput(what, from, reason string) {
+func (e *environment) rejectInput(kind, from, reason string) {
 	e.rejectedInputs++
-	if e.rejections.Allow(e.now, what+" "+from+" "+reason) {
-		e.info("bad input is not taken", "what", what, "from", from, "why", reason, "total", e.rejectedInputs)
+	if e.rejections.Allow(e.now, kind+" "+from+" "+reason) {
+		e.info("invalid input rejected", "kind", kind, "from", from, "reason", reason, "total", e.rejectedInputs)
 	}
 }
 
