--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -14,38 +14,55 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// dependencies.go joins internal/pipeline: jobs that need others. The graph follows the picture
-// of open/ and the ends that were read or written; that a job waits or is cancelled with
-// one before it is derived from it on every node, and nobody decides it. A task starts only
-// when job/ says of all that its job needs that they are done. That can't become untrue, so
-// the start needs no condition of its own: no later write, takeover or late transaction
-// changes a job's end.
+// dependencies.go applies internal/pipeline to jobs that depend on others. The graph follows the
+// watch cache and the ends of jobs that were read or written. That a job waits, or is cancelled
+// with a dependency, is derived from the graph by every controller; nobody decides it. A task
+// starts only when all dependencies of its job are durably done. That can't become untrue, so
+// the start needs no compare of its own: no later write, takeover or late transaction changes
+// the end of a job.
 
 const (
-	// criticalPathInterval separates two looks at what the jobs behind others ask of these.
+	// criticalPathInterval separates two computations of the critical paths.
 	criticalPathInterval = time.Second
-	// maxNamedDependencies bounds the names that are told of what a job waits for.
+	// maxNamedDependencies bounds the names of a job's dependencies in a text.
 	maxNamedDependencies = 5
+	// dependenciesOverhead is the size of the names in a record beside themselves, in bytes.
+	dependenciesOverhead = 16
+	// maxBlockingJobs bounds the jobs in a status that others wait for.
+	maxBlockingJobs = 10
 )
 
-// dependencyState is what of a job concerns those that it needs and those that need it.
+// dependencyTracker looks after the jobs of a shard leader that depend on others or that others
+// depend on. It is part of a shardLeader and its methods are called only while that one leads.
+// Nothing of it is stored: a successor derives it from the graph in the watch cache.
+type dependencyTracker struct {
+	component
+
+	// paths are the critical paths of jobs, by job, as of pathsScannedAt.
+	pathsScannedAt time.Time
+	paths          map[string]pipeline.CriticalPath
+}
+
+// dependencyState is what a job keeps of its dependencies and dependents.
 type dependencyState struct {
-	// waits: not all that it needs is known to be done. released is when it was.
+	// dependenciesPending: some dependency is not known to be done. releasedAt is when the
+	// last one was.
 	dependenciesPending bool
 	releasedAt          time.Time
-	// derived: it is cancelled with one that it needs, and job/ may not say so yet.
+	// cancelDerived: the job is cancelled with a dependency, and its status record may not
+	// say so yet.
 	cancelDerived bool
-	// ownUrgency is the urgency that its record names, and path what the jobs behind it ask.
+	// ownUrgency is the urgency in its record; criticalPath is what its dependents require.
 	ownUrgency   model.Urgency
 	criticalPath pipeline.CriticalPath
-	// raised: the urgency that it has now is that of a job behind it.
+	// urgencyRaised: its present urgency is that of a dependent.
 	urgencyRaised bool
 }
 
-// readySince is since when nothing but room holds the job up.
+// readySince is since when the job waits for nothing but free capacity.
 func (j *job) readySince() time.Time { return later(j.submittedAt, j.releasedAt) }
 
-// validateDependencies says why a job can't need what it names.
+// validateDependencies says why a job can't have the dependencies that it names, or nothing.
 func (f *frontend) validateDependencies(s *model.JobSpec) string {
 	if len(s.Dependencies) == 0 {
 		return ""
@@ -70,11 +87,8 @@
 	return ""
 }
 
-// dependenciesOverhead is what the names take in a record beside themselves.
-const dependenciesOverhead = 16
-
-// checkDependenciesAccepted goes on once all names are known to be those of accepted jobs. One that is
-// not is refused only after a read that began after the request.
+// checkDependenciesAccepted calls proceed once all names are known to be those of accepted jobs.
+// A job with another name is refused only after a read that began after the request.
 func (f *frontend) checkDependenciesAccepted(request *userRequest, names []string, proceed func()) {
 	pending, unread, missing := 1, false, []string{}
 	finish := func() {
@@ -108,8 +122,8 @@
 	finish()
 }
 
-// acceptedReply is the answer to a submission that was stored. One that names a cancelled job is
-// cancelled from the start.
+// acceptedReply is the answer to a submission that was stored. A job with a cancelled dependency
+// is cancelled from the start.
 func (f *frontend) acceptedReply(s *submission) message.UserReply {
 	r := message.UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
 	for _, p := range s.spec.Dependencies {
@@ -122,7 +136,7 @@
 	return r.WithDate(s.promisedDate())
 }
 
-// cachedJobState is what this node knows of a job by itself.
+// cachedJobState is what this controller knows of a job without a read.
 func (w *watchCache) cachedJobState(id string) pipeline.State {
 	switch w.controller.frontend.finalStatuses[id] {
 	case model.Done:
@@ -130,9 +144,9 @@
 	case model.Cancelled:
 		return pipeline.Cancelled
 	}
-	l, open := w.openJobs[id]
+	cached, open := w.openJobs[id]
 	switch {
-	case open && l.rec.Cancelled:
+	case open && cached.rec.Cancelled:
 		return pipeline.Cancelled
 	case open:
 		return pipeline.Open
@@ -140,7 +154,7 @@
 	return pipeline.Unknown
 }
 
-// graph is the one of the picture.
+// graph is the graph of the open jobs that depend on others.
 func (w *watchCache) graph() *pipeline.Graph {
 	if w.dependencyGraph == nil {
 		w.dependencyGraph = pipeline.New(w.cachedJobState)
@@ -148,12 +162,12 @@
 	return w.dependencyGraph
 }
 
-// rebuildDependencyGraph makes the graph anew after the picture has been read anew.
+// rebuildDependencyGraph makes the graph anew after the cache was loaded.
 func (w *watchCache) rebuildDependencyGraph() {
 	w.dependencyGraph = nil
 	for _, id := range sortedKeys(w.openJobs) {
-		l := w.openJobs[id]
-		w.controller.applyDependencyChanges(w.graph().Put(id, l.rec.DependencyNames()))
+		cached := w.openJobs[id]
+		w.controller.applyDependencyChanges(w.graph().Put(id, cached.rec.DependencyNames()))
 	}
 	if w.controller.shardLeader == nil {
 		return
@@ -163,12 +177,12 @@
 	}
 }
 
-// updateDependencyGraph takes in a change of open/.
-func (w *watchCache) updateDependencyGraph(it message.KeyValue) {
-	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
-	l, open := w.openJobs[id]
+// updateDependencyGraph applies a change of an open record to the graph.
+func (w *watchCache) updateDependencyGraph(kv message.KeyValue) {
+	id := record.JobIDFromKey(kv.Key, record.OpenJobPrefix)
+	cached, open := w.openJobs[id]
 	if open {
-		w.controller.applyDependencyChanges(w.graph().Put(id, l.rec.DependencyNames()))
+		w.controller.applyDependencyChanges(w.graph().Put(id, cached.rec.DependencyNames()))
 	}
 	w.controller.noteDependencyState(id)
 	if !open {
@@ -177,40 +191,41 @@
 	}
 }
 
-// noteDependencyState takes in what is now known of a job.
+// noteDependencyState applies to the graph what is now known of a job.
 func (c *Controller) noteDependencyState(id string) {
 	c.applyDependencyChanges(c.frontend.watchCache.graph().SetState(id, c.frontend.watchCache.cachedJobState(id)))
 }
 
-// applyDependencyChanges carries out what has changed for jobs behind others.
-func (n *Controller) applyDependencyChanges(changes []pipeline.Change) {
-	for _, c := range changes {
+// applyDependencyChanges carries out what a change of the graph means for dependent jobs.
+func (c *Controller) applyDependencyChanges(changes []pipeline.Change) {
+	for _, change := range changes {
 		var j *job
-		if n.shardLeader != nil {
-			j = n.shardLeader.jobs[c.ID]
+		if c.shardLeader != nil {
+			j = c.shardLeader.jobs[change.ID]
 		}
 		switch {
-		case c.Cancelled:
-			if n.frontend.finalStatuses[c.ID] == "" {
-				n.frontend.cacheFinalStatus(c.ID, model.Cancelled)
+		case change.Cancelled:
+			if c.frontend.finalStatuses[change.ID] == "" {
+				c.frontend.cacheFinalStatus(change.ID, model.Cancelled)
 			}
-			n.cancelDependent(j)
+			j.cancelWithDependency()
 		case j != nil:
-			n.shardLeader.dependencies.releaseJob(j)
+			c.shardLeader.dependencies.releaseJob(j)
 		}
 	}
 }
 
-// cancelDependent cancels a job here with one that it needs: nothing of it has ever started,
-// since that one is not done. Its end is written as any other; see writeJobEnds.
-func (c *Controller) cancelDependent(j *job) {
+// cancelWithDependency cancels a job with one of its dependencies. None of its tasks has ever
+// started, since that dependency is not done. Its end is written as any other; see
+// writeJobEnds. j may be nil.
+func (j *job) cancelWithDependency() {
 	if j == nil || j.cancelled || j.hasStarted() {
 		return
 	}
 	j.cancelled, j.cancelDerived = true, true
 }
 
-// releaseJob lets a job go when all that it needs is done.
+// releaseJob lets a job be placed when all its dependencies are done.
 func (d *dependencyTracker) releaseJob(j *job) {
 	if !j.dependenciesPending {
 		return
@@ -220,7 +235,8 @@
 	d.controller.shardLeader.scheduler.placementUrgent = d.controller.shardLeader.scheduler.placementUrgent || d.waitObjective(j.Workload) > 0
 }
 
-// awaitDependencies has a job here wait for what it needs.
+// awaitDependencies adds a job of this shard leader to the graph and has it wait for its
+// dependencies.
 func (c *Controller) awaitDependencies(j *job) {
 	if len(j.Dependencies) == 0 {
 		return
@@ -229,7 +245,7 @@
 	c.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
 	switch {
 	case g.IsCancelled(j.ID):
-		c.cancelDependent(j)
+		j.cancelWithDependency()
 	case j.hasStarted() || !j.releasedAt.IsZero():
 	case g.IsReleased(j.ID):
 		j.releasedAt = c.now
@@ -241,7 +257,7 @@
 	}
 }
 
-// releaseIfStarted: what has begun under a former owner waits for nothing.
+// releaseIfStarted releases a job that has started under a former shard leader.
 func (j *job) releaseIfStarted() {
 	if !j.hasStarted() {
 		return
@@ -254,7 +270,7 @@
 	}
 }
 
-// readFinalState reads what became of a job that is open no more, if one here waits for it.
+// readFinalState reads the end of a job that is no longer open, if a job here waits for it.
 func (c *Controller) readFinalState(id string) {
 	if c.frontend.watchCache.cachedJobState(id) != pipeline.Unknown || !c.hasWaitingDependents(id) {
 		return
@@ -266,7 +282,7 @@
 	})
 }
 
-// hasWaitingDependents says whether a job here waits for a job.
+// hasWaitingDependents says whether a job of this shard leader waits for a job.
 func (c *Controller) hasWaitingDependents(id string) bool {
 	return c.shardLeader != nil && slices.ContainsFunc(c.frontend.watchCache.graph().Dependents(id), func(after string) bool {
 		j := c.shardLeader.jobs[after]
@@ -274,9 +290,9 @@
 	})
 }
 
-// applyFinalState takes in the answer to a read of job/, and says whether there was one. A job
-// that is needed was accepted before: one that is neither open nor over shows that a
-// record is damaged. What needs it waits until somebody cancels it.
+// applyFinalState takes in the answer to a read of a job's status record, and says whether there
+// was one. A dependency was accepted before its dependents: one that is neither open nor over
+// shows that a record is damaged. Its dependents wait until somebody cancels them.
 func (c *Controller) applyFinalState(id string, d message.StoreResponse) bool {
 	var r record.JobStatus
 	switch {
@@ -293,15 +309,15 @@
 	return true
 }
 
-// lookupWithDependencies tells of an open job, which is cancelled if one that it needs is: what is not
-// known of these is read first.
-func (f *frontend) lookupWithDependencies(id string, l *openJob, fn func(jobLookup)) {
+// lookupWithDependencies is what the store has of an open job, which counts as cancelled if a
+// dependency is: what is not known of these is read first.
+func (f *frontend) lookupWithDependencies(id string, cached *openJob, fn func(jobLookup)) {
 	unread := f.watchCache.graph().Unresolved(id, false)
-	if len(unread) > 0 && !l.rec.Cancelled {
+	if len(unread) > 0 && !cached.rec.Cancelled {
 		f.readDependencyStates(id, unread, fn)
 		return
 	}
-	f.watchCache.lookupOfOpenJob(id, l, func(lookup jobLookup) {
+	f.watchCache.lookupOfOpenJob(id, cached, func(lookup jobLookup) {
 		if f.watchCache.graph().IsCancelled(id) {
 			lookup.rec.Status = model.Cancelled
 		}
@@ -309,7 +325,8 @@
 	})
 }
 
-// readDependencyStates reads the ends that a job's state rests on, and looks again.
+// readDependencyStates reads the ends of unread, on which a job's state rests, and then the job
+// again.
 func (f *frontend) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
 	left, failed := len(unread), false
 	for _, p := range unread {
@@ -327,33 +344,33 @@
 	}
 }
 
-// updateCriticalPaths brings up to date what the jobs behind others ask of those here: the highest
-// urgency of all that need a job, and when it has to be over for them to be in time.
+// updateCriticalPaths computes what dependents require of the jobs here: the highest urgency of
+// all that depend on a job, and when it has to be over for them to be in time.
 func (d *dependencyTracker) updateCriticalPaths() {
-	o := d.controller.shardLeader
-	if d.now.Sub(o.dependencies.pathsScannedAt) < criticalPathInterval || !d.controller.frontend.watchCache.graph().HasDependencies() {
+	s := d.controller.shardLeader
+	if d.now.Sub(d.pathsScannedAt) < criticalPathInterval || !d.controller.frontend.watchCache.graph().HasDependencies() {
 		return
 	}
-	o.dependencies.pathsScannedAt = d.now
+	d.pathsScannedAt = d.now
 	paths, cycle := d.controller.frontend.watchCache.graph().CriticalPaths(d.controller.criticalPathTask)
 	if len(cycle) > 0 {
 		d.rejectInput("record", record.OpenJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
 	}
-	for id := range o.dependencies.paths {
-		if j := o.jobs[id]; j != nil && paths[id] == (pipeline.CriticalPath{}) {
-			d.controller.applyCriticalPath(j, pipeline.CriticalPath{})
+	for id := range d.paths {
+		if j := s.jobs[id]; j != nil && paths[id] == (pipeline.CriticalPath{}) {
+			j.setCriticalPath(pipeline.CriticalPath{})
 		}
 	}
 	for id, p := range paths {
-		if j := o.jobs[id]; j != nil {
-			d.controller.applyCriticalPath(j, p)
+		if j := s.jobs[id]; j != nil {
+			j.setCriticalPath(p)
 		}
 	}
-	o.dependencies.paths = paths
+	d.paths = paths
 }
 
-// applyCriticalPath gives a job what those behind it ask.
-func (c *Controller) applyCriticalPath(j *job, p pipeline.CriticalPath) {
+// setCriticalPath gives a job what its dependents require.
+func (j *job) setCriticalPath(p pipeline.CriticalPath) {
 	j.criticalPath = p
 	if !j.urgencyRaised {
 		j.ownUrgency = j.Urgency
@@ -364,23 +381,23 @@
 	j.urgencyRaised = j.Urgency != j.ownUrgency
 }
 
-// criticalPathTask is an open job as the paths see it.
+// criticalPathTask is an open job as a step of a critical path.
 func (c *Controller) criticalPathTask(id string) (pipeline.Task, bool) {
-	l, open := c.frontend.watchCache.openJobs[id]
-	if !open || l.rec.Cancelled {
+	cached, open := c.frontend.watchCache.openJobs[id]
+	if !open || cached.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
-	t := pipeline.Task{Urgency: l.rec.Urgency, RunTime: record.DurationOfSeconds(l.rec.ExpectedSeconds)}
-	if l.rec.DeadlineSeconds > 0 {
-		t.Due = time.UnixMilli(l.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(l.rec.DeadlineSeconds))
+	t := pipeline.Task{Urgency: cached.rec.Urgency, RunTime: record.DurationOfSeconds(cached.rec.ExpectedSeconds)}
+	if cached.rec.DeadlineSeconds > 0 {
+		t.Due = time.UnixMilli(cached.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(cached.rec.DeadlineSeconds))
 	}
-	if e := c.knowledge.estimators[l.rec.Workload]; e != nil {
+	if e := c.knowledge.estimators[cached.rec.Workload]; e != nil {
 		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
 	}
 	return t, true
 }
 
-// describeDependencies names some of what a job waits for, with how many it is.
+// describeDependencies names the jobs that a job waits for, and how many more there are.
 func (c *Controller) describeDependencies(id string) string {
 	names := c.frontend.watchCache.graph().PendingDependencies(id)
 	text := strings.Join(names[:min(len(names), maxNamedDependencies)], ", ")
@@ -390,11 +407,8 @@
 	return text
 }
 
-// maxBlockingJobs bounds the jobs in a status that others wait for.
-const maxBlockingJobs = 10
-
-// blockingJobs counts the jobs here that wait for others, and tells for which most of them
-// do, themselves not waiting.
+// blockingJobs counts the jobs here that wait for others, and lists the ones that most of them
+// wait for and that wait for none themselves.
 func (d *dependencyTracker) blockingJobs() (waiting int, blocking []message.BlockingJobStatus) {
 	count := map[string]int{}
 	for id, j := range d.controller.shardLeader.jobs {
@@ -409,21 +423,12 @@
 		}
 	}
 	for _, p := range sortedKeys(count) {
-		h := message.BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
+		status := message.BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
 		if _, open := d.controller.frontend.watchCache.openJobs[p]; open {
-			h.State = d.controller.frontend.replyWithStatus(p, model.Queued).State
+			status.State = d.controller.frontend.replyWithStatus(p, model.Queued).State
 		}
-		blocking = append(blocking, h)
+		blocking = append(blocking, status)
 	}
 	slices.SortStableFunc(blocking, func(a, b message.BlockingJobStatus) int { return cmp.Compare(b.Dependents, a.Dependents) })
 	return waiting, blocking[:min(len(blocking), maxBlockingJobs)]
 }
-
-// dependencyTracker TODO.
-type dependencyTracker struct {
-	component
-
-	// pathsScannedAt is when the paths of pipelines were last looked at.
-	pathsScannedAt time.Time
-	paths          map[string]pipeline.CriticalPath
-}
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -21,33 +21,41 @@
 	stopDrain
 )
 
-// task is one task of a job. Its attempt is live while m is set: from the
-// decision to start it there until there is proof that it is gone.
+// task is one task of a job. Its attempt is live while machine is set: from the decision to
+// start it there until there is proof that it is gone.
 type task struct {
+	// attempt counts from 1; 0: never placed. groupStart is when it was placed, in
+	// milliseconds, and names its group.
 	attempt    uint64
 	machine    *machine
 	groupStart int64
-	// version is the chunk version at which the task last changed.
+	// version is the segment version at which the task last changed.
 	version uint64
-	// rankingRevision is the stamp of the ranking under which it was placed.
+	// rankingRevision is the mod revision of the ranking under which it was placed.
 	rankingRevision uint64
-	startedAt       time.Time
-	avoidMachine    string
-	notBefore       time.Time
-	stoppedAt       time.Time
-	failures        int
-	preemptions     int
-	status          model.TaskStatus
-	// missedStarts counts the reports in a row that did not show it though it was ordered.
+
+	// startedAt is when it was first reported as running, or zero.
+	startedAt    time.Time
+	avoidMachine string
+	notBefore    time.Time
+	stoppedAt    time.Time
+	failures     int
+	preemptions  int
+
+	// status is what the worker last reported, if reported.
+	status model.TaskStatus
+	// missedStarts counts the heartbeats in a row that did not show it though its start was
+	// sent.
 	missedStarts uint8
-	// sent: a start may be on its way. left: one surely left and had no answer. seen: the worker has reported it.
+	// startSent: a start may be in flight. startUnanswered: one was surely sent and had no
+	// answer. reported: the worker has reported the attempt.
 	startSent       bool
 	startUnanswered bool
 	reported        bool
 	stopReason      stopReason
 	relaunched      bool
-	// inherited: a former owner started it, so this one does not know when it
-	// began to run.
+	// inherited: a former shard leader started it, so this one does not know when it began
+	// to run.
 	inherited bool
 	done      bool
 }
@@ -61,83 +69,100 @@
 
 // taskSegment is the durable record of some consecutive tasks.
 type taskSegment struct {
-	index            int
-	modRevision      uint64
+	index int
+	// modRevision is that of its record, 0 if there is none.
+	modRevision uint64
+	// version counts the changes. The others are the versions that are durable, that were
+	// last sent, and that the store called malformed.
 	version          uint64
 	persistedVersion uint64
 	inFlightVersion  uint64
+	rejectedVersion  uint64
 	writeInFlight    bool
-	// rankingRevision is the stamp of the ranking that the record of its last starts names.
+	// rankingRevision is the mod revision of the ranking that the record of its last starts
+	// names.
 	rankingRevision uint64
-	// rejectedVersion is the version that the state service called malformed.
-	rejectedVersion uint64
-	// alone: a write that it shared was malformed, and it is to be written by itself.
+	// writeAlone: a transaction that it shared was malformed, so it gets one of its own.
 	writeAlone bool
-	// urgent: a start waits for the write; otherwise it may wait and share.
+	// urgent: a start waits for the write. Otherwise it may wait, from changedSince on, and
+	// share a transaction.
 	urgent       bool
 	changedSince time.Time
 }
 
+// job is an open job of this shard leader's shards.
 type job struct {
 	model.JobSpec
 	submittedAt time.Time
+	// modRevision is that of the open record.
 	modRevision uint64
 	cancelled   bool
-	ending      bool
-	// endWriteAlone: a write that its end shared was malformed.
+	// ending: its end is being written. endWriteAlone: a transaction that its end shared was
+	// malformed.
+	ending        bool
 	endWriteAlone bool
-	// segmentFormat is how the tasks are divided among records. former are keys of records
-	// of other forms, which only go with the job, and covered the tasks of which such
-	// records say nothing that counts, while the job is restored.
+
+	// segmentFormat is how the tasks are divided among segments. formerKeys are keys of
+	// records of other formats, which are deleted with the job. covered, during recovery,
+	// are the tasks of which such records say nothing that counts.
 	segmentFormat
 	formerKeys []string
 	covered    []bool
 	tasks      []task
 	segments   map[int]*taskSegment
-	// unsaved: some chunk may have changed since it was written.
+	// unpersisted: some segment may have changed since it was written.
 	unpersisted bool
-	nextFresh   int
-	requeued    []int
-	doneTasks   int
-	liveTasks   int
-	// runningTasks counts the attempts that are reported as running.
+
+	// Tasks from nextFresh on have never been placed; requeued ones wait for another
+	// attempt.
+	nextFresh int
+	requeued  []int
+	doneTasks int
+	// liveTasks counts the live attempts, liveByZone by zone, and runningTasks those that
+	// are reported as running.
+	liveTasks    int
+	liveByZone   map[string]int
 	runningTasks int
-	groups       map[int64]*group
+	// groups are by groupStart.
+	groups map[int64]*group
+
 	// recentRunTimes are the last finished run times, in the order of their ends;
-	// sorted holds all of them in order, so that the median costs nothing.
+	// sortedRunTimes are all of them by length, for the median.
 	recentRunTimes []time.Duration
 	sortedRunTimes []time.Duration
+
 	// notBefore is when a job that fails everywhere may be tried again.
 	notBefore time.Time
-	// lastPreemptionScan is when it last looked for work to stop, and coming for how
-	// many of its tasks that makes room.
+	// lastPreemptionScan is when it last looked for victims of preemption, and
+	// preemptionCapacity for how many of its tasks their end makes free capacity.
 	lastPreemptionScan time.Time
 	preemptionCapacity int
-	// overdue: it has waited behind others for longer than it may, and early: what of
-	// it goes first for that is being placed. placedAt is when a task of it was last
-	// given a place, and waitingSince since when some wait for one without a break.
+	// overdue: it has waited behind others for longer than it may. placingOverdue: what goes
+	// first for that is being placed. lastPlacedAt is when a task was last placed, and
+	// waitingSince since when some task has been waiting without a break.
 	overdue, placingOverdue    bool
 	lastPlacedAt, waitingSince time.Time
-	liveByZone                 map[string]int
-	lastPublished              message.Progress
+
+	lastPublished message.Progress
 	// rankingPlace is its place in the table of rankingVersion.
 	rankingPlace, rankingVersion int
+
 	dependencyState
 	loanState
 	dateState
 }
 
-func newJob(spec model.JobSpec, at time.Time, stamp uint64, valueBytes int) *job {
+func newJob(spec model.JobSpec, at time.Time, modRevision uint64, valueBytes int) *job {
 	return &job{
-		JobSpec: spec, submittedAt: at, modRevision: stamp, segmentFormat: segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(valueBytes)},
+		JobSpec: spec, submittedAt: at, modRevision: modRevision, segmentFormat: segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(valueBytes)},
 		tasks:    make([]task, spec.Tasks),
 		segments: map[int]*taskSegment{}, groups: map[int64]*group{}, liveByZone: map[string]int{},
 	}
 }
 
-// grow makes room for more tasks, where a record of an earlier form did not say how many
-// there are. The machines' books point to the tasks: what they hold must not be left
-// behind, or a cancelled job's attempts would be looked after in a copy that nobody stops.
+// grow adds tasks, where a record of an earlier format did not say how many there are. Machines
+// point to the tasks, which move here: without new pointers, the attempts of a cancelled job
+// would stay in a copy that nothing stops.
 func (j *job) grow(tasks int) {
 	j.tasks = append(j.tasks, make([]task, tasks-len(j.tasks))...)
 	for i := range j.tasks {
@@ -147,6 +172,7 @@
 	}
 }
 
+// progress is the count of tasks for users.
 func (j *job) progress() message.Progress {
 	return message.Progress{ID: j.ID, Done: j.doneTasks, Running: j.runningTasks}
 }
@@ -154,7 +180,7 @@
 // isRunning says that a worker reports the attempt as running.
 func (t *task) isRunning() bool { return t.machine != nil && t.reported && t.status == model.Running }
 
-// recordRunTime takes note of a finished run time.
+// recordRunTime notes the run time of a task that is done.
 func (j *job) recordRunTime(d time.Duration) {
 	i, _ := slices.BinarySearch(j.sortedRunTimes, d)
 	j.sortedRunTimes = slices.Insert(j.sortedRunTimes, i, d)
@@ -164,40 +190,41 @@
 	}
 }
 
-// keptRunTimes is how many of the last run times a record holds: enough for a
+// keptRunTimes is how many of the last run times a segment's record has: enough for a
 // successor's median.
 const keptRunTimes = 16
 
+// segmentOf is the segment of task i, made if there is none.
 func (j *job) segmentOf(i int) *taskSegment {
-	c := j.segments[i/j.tasksPerSegment]
-	if c == nil {
-		c = &taskSegment{index: i / j.tasksPerSegment}
-		j.segments[c.index] = c
+	seg := j.segments[i/j.tasksPerSegment]
+	if seg == nil {
+		seg = &taskSegment{index: i / j.tasksPerSegment}
+		j.segments[seg.index] = seg
 	}
-	return c
+	return seg
 }
 
-func (j *job) segmentKey(c *taskSegment) string { return j.keyOf(j.ID, c.index) }
+func (j *job) segmentKey(seg *taskSegment) string { return j.keyOf(j.ID, seg.index) }
 
-// markChanged notes that task i changed and has to be written.
+// markChanged notes that task i changed and has to be written; urgent: something waits for that.
 func (j *job) markChanged(i int, now time.Time, urgent bool) {
-	c := j.segmentOf(i)
-	if c.version == c.inFlightVersion || c.version == c.persistedVersion {
-		c.changedSince = now
+	seg := j.segmentOf(i)
+	if seg.version == seg.inFlightVersion || seg.version == seg.persistedVersion {
+		seg.changedSince = now
 	}
-	c.version++
+	seg.version++
 	j.unpersisted = true
-	c.urgent = c.urgent || urgent
-	j.tasks[i].version = c.version
+	seg.urgent = seg.urgent || urgent
+	j.tasks[i].version = seg.version
 }
 
-// durable says whether the last change of task i is in the state service.
+// durable says whether the last change of task i is in the store.
 func (j *job) durable(i int) bool {
-	c := j.segments[i/j.tasksPerSegment]
-	return c != nil && j.tasks[i].version <= c.persistedVersion
+	seg := j.segments[i/j.tasksPerSegment]
+	return seg != nil && j.tasks[i].version <= seg.persistedVersion
 }
 
-// pendingTasks counts the tasks that wait for a place.
+// pendingTasks counts the tasks that wait for placement.
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.ending || j.dependenciesPending || j.elsewhere() {
 		return 0
@@ -210,7 +237,7 @@
 	for k, i := range j.requeued {
 		if !j.tasks[i].notBefore.After(now) {
 			if k == 0 {
-				// Mostly so; of a long queue nothing is moved then.
+				// The usual case: nothing of a long queue has to be moved.
 				j.requeued = j.requeued[1:]
 			} else {
 				j.requeued = slices.Delete(j.requeued, k, k+1)
@@ -225,37 +252,37 @@
 	return -1
 }
 
-// avoidedMachine is the machine that none of the job's waiting tasks may go to, if there
-// is one: it is no room for them, and a plan that counted on it would leave them
-// waiting beside it for ever.
+// avoidedMachine is the machine that none of the job's waiting tasks may go to, if there is
+// one. Its free capacity is none for them: a simulation that counted on it would have them
+// wait for ever.
 func (j *job) avoidedMachine() string {
 	if j.nextFresh < len(j.tasks) || len(j.requeued) == 0 {
 		return ""
 	}
-	away := j.tasks[j.requeued[0]].avoidMachine
+	avoided := j.tasks[j.requeued[0]].avoidMachine
 	for _, i := range j.requeued {
-		if t := &j.tasks[i]; t.avoidMachine != away || !t.avoids(away) {
+		if t := &j.tasks[i]; t.avoidMachine != avoided || !t.avoids(avoided) {
 			return ""
 		}
 	}
-	return away
+	return avoided
 }
 
-// avoids says that the task is to go elsewhere: it failed there, or was too slow.
-// One that has failed in many places may go anywhere.
+// avoids says that the task has to go elsewhere: it failed there, or was too slow. One that has
+// failed in many places may go anywhere.
 func (t *task) avoids(machine string) bool {
 	return t.avoidMachine == machine && t.failures < jobFaultFailures
 }
 
-// jobFaultFailures is after how many failures the fault is likely the job's own.
+// jobFaultFailures is how many failures make a fault of the job itself likely.
 const jobFaultFailures = 4
 
-// segmentRecord is the chunk in durable form.
-func (j *job) segmentRecord(c *taskSegment) record.TaskSegment {
-	r := record.TaskSegment{RankingRevision: c.rankingRevision}
-	lo, hi := c.index*j.tasksPerSegment, min((c.index+1)*j.tasksPerSegment, len(j.tasks))
+// segmentRecord is the record of a segment as it is now.
+func (j *job) segmentRecord(seg *taskSegment) record.TaskSegment {
+	r := record.TaskSegment{RankingRevision: seg.rankingRevision}
+	first, end := seg.index*j.tasksPerSegment, min((seg.index+1)*j.tasksPerSegment, len(j.tasks))
 	groups := map[int64]bool{}
-	for i := lo; i < hi; i++ {
+	for i := first; i < end; i++ {
 		t := &j.tasks[i]
 		switch {
 		case t.done:
@@ -274,7 +301,7 @@
 		}
 	}
 	for g := range groups {
-		if gr := j.groups[g]; gr != nil && gr.relaunchDecided {
+		if group := j.groups[g]; group != nil && group.relaunchDecided {
 			r.RelaunchedGroups = append(r.RelaunchedGroups, g)
 		}
 	}
@@ -286,7 +313,7 @@
 	return r
 }
 
-// medianRunTime is the middle of the job's finished run times.
+// medianRunTime is the median of the job's run times, and false if no task is done.
 func (j *job) medianRunTime() (time.Duration, bool) {
 	if len(j.sortedRunTimes) == 0 {
 		return 0, false
@@ -305,17 +332,17 @@
 	return j.AllowSpot || !spot
 }
 
-// zoneAllowed judges same_place and apart against the job's live tasks.
+// zoneAllowed says whether affinity (same_place) and anti-affinity (apart) let a task start in
+// a zone, beside the job's live tasks.
 func (j *job) zoneAllowed(zone string) bool {
 	if j.SpreadZones && j.liveByZone[""] > 0 {
-		// After a takeover, before a machine has been heard of or listed, it
-		// is not known where its tasks are. For the same place that is as good
-		// as another zone, below.
+		// After a failover the zone of a machine is unknown until its first heartbeat or
+		// the cloud's list. For affinity that counts as another zone, below.
 		return false
 	}
 	if j.SameZone && j.liveTasks > 0 {
-		for z, k := range j.liveByZone {
-			if k > 0 && z != zone {
+		for z, tasks := range j.liveByZone {
+			if tasks > 0 && z != zone {
 				return false
 			}
 		}
@@ -323,18 +350,20 @@
 	return !j.SpreadZones || j.liveByZone[zone] < (len(j.tasks)+1)/2
 }
 
-// estimator learns how wrong a workload's estimates have lately been.
+// estimator learns how far off the expected run times of a workload's jobs have lately been.
 type estimator struct {
+	// ratio is the mean of run time over expected run time.
 	ratio float64
-	// deviation is how far single run times are from the corrected estimate, as a
-	// share of it.
+	// deviation is the mean distance of run times from the corrected estimate, as a fraction
+	// of it.
 	deviation float64
 	samples   int
 }
 
-// minEstimatorWeight is the weight of the newest finished task in the average.
+// minEstimatorWeight is the least weight of the newest task in the averages.
 const minEstimatorWeight = 0.08
 
+// updateEstimator learns from the run time of a task that is done.
 func (k *fleetKnowledge) updateEstimator(j *job, ran time.Duration) {
 	if j.ExpectedRunTime <= 0 {
 		return
@@ -345,14 +374,14 @@
 		k.estimators[j.Workload] = e
 	}
 	e.samples++
-	r := ran.Seconds() / j.ExpectedRunTime.Seconds()
-	w := max(minEstimatorWeight, 1/float64(e.samples+1))
-	r = min(r, 4)
-	e.deviation += w * (math.Abs(r-e.ratio)/max(e.ratio, 0.1) - e.deviation)
-	e.ratio += w * (r - e.ratio)
+	ratio := ran.Seconds() / j.ExpectedRunTime.Seconds()
+	weight := max(minEstimatorWeight, 1/float64(e.samples+1))
+	ratio = min(ratio, 4)
+	e.deviation += weight * (math.Abs(ratio-e.ratio)/max(e.ratio, 0.1) - e.deviation)
+	e.ratio += weight * (ratio - e.ratio)
 }
 
-// expectedRunTime is the corrected estimate of a task's run time.
+// expectedRunTime is the median of the job's run times, or else the corrected estimate.
 func (k *fleetKnowledge) expectedRunTime(j *job) time.Duration {
 	if m, ok := j.medianRunTime(); ok {
 		return m
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -8,29 +8,40 @@
 	"github.com/micahill/micahill/internal/remote"
 )
 
-// remote_attempts.go joins the core to internal/remote: attempts of this owner's jobs on the
-// machines of others, and of others' jobs on the machines here. Both arise only when
-// a team or a machine moves while something runs; nothing is started across owners.
+// remote_attempts.go applies internal/remote: attempts of this shard leader's jobs on the
+// machines of others, and of others' jobs on the machines here. Both arise only when a
+// team or a machine moves while something runs; nothing is started across shards.
 
 const (
-	// remoteRequestInterval is how often the owners of other machines are asked again.
+	// remoteRequestInterval is how often the owners of remote machines get a request.
 	remoteRequestInterval = time.Second
-	// maxRemoteAttempts bounds the attempts in one message.
+	// maxRemoteAttempts bounds the attempts in the requests of one round.
 	maxRemoteAttempts = 2000
 )
 
-// remoteAttempts is when others were last asked, and whether to ask before it is time.
+// remoteAttempts exchanges with other shard leaders what becomes of attempts that run on a
+// machine of one shard for a job of another.
+//
+// It is part of a shardLeader and its methods are called only while that one leads: in every
+// tick, with each heartbeat, and with the updates of peers. A successor starts empty: the job's
+// shard leader requests the attempts that its records name again, and heartbeats show the rest.
+//
+// Invariant: an attempt on a remote machine counts as gone only when the shard map's present
+// owner of the machine says so under its present epoch.
 type remoteAttempts struct {
 	component
 
-	requested time.Time
-	due       bool
-	// from is the machine with which the next question begins, if not all fit.
-	from     string
-	registry remote.Registry
-	// remoteMachines are machines of other owners on which attempts of these jobs are, and
-	// registry the account of others' attempts on the machines here; see remote_attempts.go.
+	// machines are the remote machines on which attempts of this shard leader's jobs are.
 	machines map[string]*machine
+	// registry has the attempts of others on the machines here.
+	registry remote.Registry
+
+	// requestedAt is when the owners of remote machines last got requests; due: they get them
+	// in this step. nextAfter is the machine after which the next round begins, if not all
+	// fit into the last.
+	requestedAt time.Time
+	due         bool
+	nextAfter   string
 }
 
 // remoteAttempt names a task's attempt.
@@ -38,41 +49,41 @@
 	return remote.AttemptID{Job: k.job, Index: k.index, Attempt: attempt}
 }
 
-// requestRemoteAttempts asks the owners of other machines for the attempts of this owner's jobs
-// there, and says what is wanted of them.
+// requestRemoteAttempts sends the owners of remote machines requests for the attempts of this
+// shard leader's jobs there, with what has to become of them.
 func (r *remoteAttempts) requestRemoteAttempts() {
-	o := r.controller.shardLeader
-	if len(o.remoteAttempts.machines) == 0 || !o.remoteAttempts.due && r.now.Sub(o.remoteAttempts.requested) < remoteRequestInterval {
+	s := r.controller.shardLeader
+	if len(r.machines) == 0 || !r.due && r.now.Sub(r.requestedAt) < remoteRequestInterval {
 		return
 	}
-	o.remoteAttempts.due, o.remoteAttempts.requested = false, r.now
+	r.due, r.requestedAt = false, r.now
 	requests := map[string][]remote.Request{}
 	count := 0
-	ids := sortedKeys(o.remoteAttempts.machines)
-	// Of more than fit, those after the last that were asked for come next.
+	ids := sortedKeys(r.machines)
+	// If not all fit, the round goes on where the last one ended.
 	start := 0
-	for start < len(ids) && ids[start] <= o.remoteAttempts.from {
+	for start < len(ids) && ids[start] <= r.nextAfter {
 		start++
 	}
-	o.remoteAttempts.from = ""
+	r.nextAfter = ""
 	for _, id := range append(ids[start:], ids[:start]...) {
-		a := o.remoteAttempts.machines[id]
-		x, ok := r.controller.membership.shardMap.Owner(id)
-		if !ok || x.Host == r.settings.Host {
+		m := r.machines[id]
+		owner, ok := r.controller.membership.shardMap.Owner(id)
+		if !ok || owner.Host == r.settings.Host {
 			continue
 		}
 		request := remote.Request{Machine: id}
-		for _, key := range sortedAttempts(a) {
-			t := a.attempts[key]
-			w := remote.AttemptRequest{AttemptID: remoteAttempt(key, t.attempt)}
+		for _, key := range sortedAttempts(m) {
+			t := m.attempts[key]
+			attempt := remote.AttemptRequest{AttemptID: remoteAttempt(key, t.attempt)}
 			if t.stopReason != stopNone {
-				w.Intent, w.WindDown = remote.Stop, r.controller.shardLeader.dispatcher.gracePeriod(a, o.jobs[key.job], t)
+				attempt.Intent, attempt.WindDown = remote.Stop, s.dispatcher.gracePeriod(m, s.jobs[key.job], t)
 			}
-			request.Attempts = append(request.Attempts, w)
+			request.Attempts = append(request.Attempts, attempt)
 		}
-		requests[x.Host] = append(requests[x.Host], request)
+		requests[owner.Host] = append(requests[owner.Host], request)
 		if count += len(request.Attempts); count >= maxRemoteAttempts {
-			o.remoteAttempts.from = id
+			r.nextAfter = id
 			break
 		}
 	}
@@ -81,23 +92,24 @@
 	}
 }
 
-// receiveRemoteRequests takes in what a jobs' owner asks about machines of this one.
+// receiveRemoteRequests takes in the requests of a peer for attempts of its jobs on the machines
+// here.
 func (r *remoteAttempts) receiveRemoteRequests(from string, requests []remote.Request) {
-	o := r.controller.shardLeader
-	for _, a := range requests {
-		if _, mine := r.controller.membership.ownedMachine(a.Machine); !mine || !o.ready {
+	s := r.controller.shardLeader
+	for _, request := range requests {
+		if _, mine := r.controller.membership.ownedMachine(request.Machine); !mine || !s.ready {
 			continue
 		}
-		changed := o.remoteAttempts.registry.Request(r.now, from, a)
-		m := o.machines[a.Machine]
+		changed := r.registry.Request(r.now, from, request)
+		m := s.machines[request.Machine]
 		if m == nil {
-			if o.remoteAttempts.registry.LiveCount(a.Machine) == 0 {
-				// All that was asked for is known to be gone.
+			if r.registry.LiveCount(request.Machine) == 0 {
+				// All requested attempts are known to be gone.
 				continue
 			}
-			// It is looked after like one with work of this owner's own: it may never
-			// have been heard of here, and only its lease's end may tell.
-			m = r.controller.shardLeader.ensureMachine(a.Machine)
+			// It is treated like a machine with attempts of this shard leader's own: it may
+			// never have sent a heartbeat here, and only the end of its lease may tell.
+			m = s.ensureMachine(request.Machine)
 		}
 		if !m.heard {
 			m.leaseEnd = later(m.leaseEnd, r.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
@@ -112,23 +124,23 @@
 	}
 }
 
-// publishRemoteAttempts tells the others what is known of the attempts of their jobs here.
+// publishRemoteAttempts publishes to the others what is known of the attempts of their jobs here.
 func (r *remoteAttempts) publishRemoteAttempts() {
-	o := r.controller.shardLeader
-	updates := o.remoteAttempts.registry.DueStatuses(r.now, func(id string) (remote.MachineInfo, bool) {
-		x, mine := r.controller.membership.ownedMachine(id)
-		about := remote.MachineInfo{Epoch: x.Epoch, JobOwner: func(job string) string {
-			if l, open := r.controller.frontend.watchCache.openJobs[job]; open {
-				if s := r.controller.membership.shardMap.Team(l.rec.Team); s != nil && s.Host != r.settings.Host {
-					return s.Host
+	s := r.controller.shardLeader
+	updates := r.registry.DueStatuses(r.now, func(id string) (remote.MachineInfo, bool) {
+		segment, mine := r.controller.membership.ownedMachine(id)
+		info := remote.MachineInfo{Epoch: segment.Epoch, JobOwner: func(job string) string {
+			if cached, open := r.controller.frontend.watchCache.openJobs[job]; open {
+				if shard := r.controller.membership.shardMap.Team(cached.rec.Team); shard != nil && shard.Host != r.settings.Host {
+					return shard.Host
 				}
 			}
 			return ""
 		}}
-		if m := o.machines[id]; m != nil {
-			about.Zone = m.zone
+		if m := s.machines[id]; m != nil {
+			info.Zone = m.zone
 		}
-		return about, mine
+		return info, mine
 	})
 	for _, host := range sortedKeys(updates) {
 		if host != r.settings.Host {
@@ -137,48 +149,48 @@
 	}
 }
 
-// receiveRemoteAttempts takes in what a machine's owner tells of attempts of this owner's jobs. It
-// counts only from whom the division names as the machine's owner now, under the
-// epoch of now: since an earlier one the machine may have been this owner's again,
-// and the attempt may have been started.
+// receiveRemoteAttempts takes in what a machine's owner has published of attempts of this shard
+// leader's jobs. It counts only from the owner that the shard map names now, under the
+// present epoch: since an earlier one the machine may have been this controller's again, and
+// the attempt may have been started.
 func (r *remoteAttempts) receiveRemoteAttempts(from string, updates []remote.MachineStatus) {
-	o := r.controller.shardLeader
+	s := r.controller.shardLeader
 	for _, update := range updates {
-		x, ok := r.controller.membership.shardMap.Owner(update.Machine)
-		if !ok || x.Host != from || x.Epoch != update.Epoch || !o.ready {
+		owner, ok := r.controller.membership.shardMap.Owner(update.Machine)
+		if !ok || owner.Host != from || owner.Epoch != update.Epoch || !s.ready {
 			continue
 		}
-		a := o.remoteAttempts.machines[update.Machine]
-		var back remote.Request
-		for _, w := range update.Attempts {
-			j := o.jobs[w.Job]
-			if j == nil || w.Index < 0 || w.Index >= len(j.tasks) {
+		m := r.machines[update.Machine]
+		var reply remote.Request
+		for _, status := range update.Attempts {
+			j := s.jobs[status.Job]
+			if j == nil || status.Index < 0 || status.Index >= len(j.tasks) {
 				continue
 			}
-			t := &j.tasks[w.Index]
-			if a != nil && t.machine == a && t.attempt == w.Attempt {
-				r.applyRemoteAttempt(j, a, w)
-			} else if w.State == remote.Ended && j.durable(w.Index) {
-				back.Attempts = append(back.Attempts, remote.AttemptRequest{AttemptID: w.AttemptID, Intent: remote.Settled})
-			} else if w.State == remote.Fetching || w.State == remote.Running || w.State == remote.Checkpointing {
-				back.Attempts = append(back.Attempts, remote.AttemptRequest{AttemptID: w.AttemptID, Intent: remote.Stop})
+			t := &j.tasks[status.Index]
+			if m != nil && t.machine == m && t.attempt == status.Attempt {
+				r.applyRemoteAttempt(j, m, status)
+			} else if status.State == remote.Ended && j.durable(status.Index) {
+				reply.Attempts = append(reply.Attempts, remote.AttemptRequest{AttemptID: status.AttemptID, Intent: remote.Settled})
+			} else if status.State == remote.Fetching || status.State == remote.Running || status.State == remote.Checkpointing {
+				reply.Attempts = append(reply.Attempts, remote.AttemptRequest{AttemptID: status.AttemptID, Intent: remote.Stop})
 			}
 		}
-		if a != nil && a.zone == "" && update.Zone != "" {
-			r.controller.shardLeader.setMachineZone(a, update.Zone)
+		if m != nil && m.zone == "" && update.Zone != "" {
+			s.setMachineZone(m, update.Zone)
 		}
-		if len(back.Attempts) > 0 {
-			back.Machine = update.Machine
-			r.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: r.settings.Host, RemoteAttempts: []remote.Request{back}}})
+		if len(reply.Attempts) > 0 {
+			reply.Machine = update.Machine
+			r.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: r.settings.Host, RemoteAttempts: []remote.Request{reply}}})
 		}
 	}
 }
 
-// applyRemoteAttempt takes in the state of one live attempt on another's machine.
-func (r *remoteAttempts) applyRemoteAttempt(j *job, a *machine, w remote.AttemptStatus) {
-	k := taskKey{j.ID, w.Index}
-	p := model.TaskReport{Job: j.ID, Index: w.Index, Attempt: w.Attempt, Cause: w.Cause}
-	switch w.State {
+// applyRemoteAttempt takes in the state of one live attempt on a remote machine.
+func (r *remoteAttempts) applyRemoteAttempt(j *job, m *machine, status remote.AttemptStatus) {
+	k := taskKey{j.ID, status.Index}
+	p := model.TaskReport{Job: j.ID, Index: status.Index, Attempt: status.Attempt, Cause: status.Cause}
+	switch status.State {
 	case remote.Fetching:
 		p.Status = model.Fetching
 	case remote.Running:
@@ -188,63 +200,63 @@
 	case remote.Ended:
 		p.Status = model.Ended
 	case remote.Gone:
-		r.controller.shardLeader.endAttempt(j, w.Index, false)
+		r.controller.shardLeader.endAttempt(j, status.Index, false)
 		return
 	default:
 		return
 	}
-	r.controller.shardLeader.heartbeats.applyTaskReport(a, k, p)
+	r.controller.shardLeader.heartbeats.applyTaskReport(m, k, p)
 }
 
-// toRemoteTask is a reported state in the ownership package's terms.
+// toRemoteTask is a task report in the terms of internal/remote.
 func toRemoteTask(p model.TaskReport) remote.ReportedAttempt {
-	s := [...]remote.State{model.Fetching: remote.Fetching, model.Running: remote.Running, model.Checkpointing: remote.Checkpointing, model.Ended: remote.Ended}[p.Status]
-	return remote.ReportedAttempt{AttemptID: remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: s, Cause: p.Cause}
+	state := [...]remote.State{model.Fetching: remote.Fetching, model.Running: remote.Running, model.Checkpointing: remote.Checkpointing, model.Ended: remote.Ended}[p.Status]
+	return remote.ReportedAttempt{AttemptID: remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: state, Cause: p.Cause}
 }
 
-// updateRegistry hands the newest report of a machine to the registry.
+// updateRegistry passes the newest task reports of a machine to the registry.
 func (r *remoteAttempts) updateRegistry(m *machine) {
-	o := r.controller.shardLeader
+	s := r.controller.shardLeader
 	var tasks []remote.ReportedAttempt
 	for _, p := range m.taskReports {
 		tasks = append(tasks, toRemoteTask(p))
 	}
-	// Under the epoch that it has shown nothing older can be executed any more; and a
-	// start of this owner's own may be on its way, from before the job went to another.
-	o.remoteAttempts.registry.ObserveHeartbeat(r.now, m.id, tasks, func(job string) bool { return o.jobs[job] != nil }, r.controller.shardLeader.dispatcher.noStartInFlight(m))
+	// Nothing under an older epoch than the machine has shown can take effect any more. But a
+	// start of this shard leader's own may be in flight, from before the job's team moved.
+	r.registry.ObserveHeartbeat(r.now, m.id, tasks, func(job string) bool { return s.jobs[job] != nil }, s.dispatcher.noStartInFlight(m))
 	r.recountOthersUsed(m)
 }
 
-// recountOthersUsed reckons the room that others' attempts take on a machine.
+// recountOthersUsed sums up the resources that others' attempts use on a machine.
 func (r *remoteAttempts) recountOthersUsed(m *machine) {
-	o := r.controller.shardLeader
+	s := r.controller.shardLeader
 	hadOthersAttempts := m.hasOthersAttempts
 	m.othersUsed, m.hasOthersAttempts, m.hasUnknownTasks = model.Resources{}, false, false
-	for _, a := range o.remoteAttempts.registry.LiveAttempts(m.id) {
-		if o.jobs[a.Job] != nil {
+	for _, attempt := range r.registry.LiveAttempts(m.id) {
+		if s.jobs[attempt.Job] != nil {
 			continue
 		}
 		m.hasOthersAttempts = true
-		if l, open := r.controller.frontend.watchCache.openJobs[a.Job]; open {
-			m.othersUsed = m.othersUsed.AddScaled(model.Resources{CPU: l.rec.CPU, GPU: l.rec.GPU, Memory: l.rec.Memory}, 1)
+		if cached, open := r.controller.frontend.watchCache.openJobs[attempt.Job]; open {
+			m.othersUsed = m.othersUsed.AddScaled(model.Resources{CPU: cached.rec.CPU, GPU: cached.rec.GPU, Memory: cached.rec.Memory}, 1)
 		} else {
-			// Its size is not known.
+			// What it uses is not known.
 			m.hasUnknownTasks = true
 		}
 	}
 	for k, p := range m.taskReports {
-		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != model.Ended && m.attempts[k] == nil && o.jobs[k.job] != nil
+		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != model.Ended && m.attempts[k] == nil && s.jobs[k.job] != nil
 	}
 	if hadOthersAttempts && !m.hasOthersAttempts {
-		o.scheduler.placementDue = true
+		s.scheduler.placementDue = true
 		if len(m.attempts) == 0 {
 			m.idleSince = r.now
 		}
 	}
 }
 
-// rePoll looks once more at what a machine last reported, after attempts on it have
-// become this owner's.
+// rePoll applies once more what a machine last reported, after attempts on it have become this
+// shard leader's.
 func (r *remoteAttempts) rePoll(m *machine) {
 	for _, k := range sortedTasks(m.taskReports) {
 		r.controller.shardLeader.heartbeats.applyTaskReport(m, k, m.taskReports[k])
@@ -256,44 +268,43 @@
 	r.controller.markDispatchPending(m)
 }
 
-// commandForOthers says what is to become of a piece that belongs to none of this owner's jobs:
-// nothing, or an order. Another controller owns its job and says so, or the job is
-// over and it is cleared away.
-func (r *remoteAttempts) commandForOthers(m *machine, p model.TaskReport, quiet bool) (model.TaskCommand, bool) {
-	o := r.controller.shardLeader
-	a := remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
-	since, w, requested := o.remoteAttempts.registry.Find(m.id, a)
-	stop, over := requested && w.Intent == remote.Stop, requested && w.Intent == remote.Settled
+// commandForOthers is what has to happen to a reported task of none of this shard leader's jobs,
+// and false for nothing. Another controller leads its job and requests that, or the job is
+// over and the task is cleared.
+func (r *remoteAttempts) commandForOthers(m *machine, p model.TaskReport, noStartInFlight bool) (model.TaskCommand, bool) {
+	attempt := remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
+	since, request, requested := r.registry.Find(m.id, attempt)
+	stop, over := requested && request.Intent == remote.Stop, requested && request.Intent == remote.Settled
 	_, final := r.controller.frontend.finalStatuses[p.Job]
-	switch l, open := r.controller.frontend.watchCache.openJobs[p.Job]; {
+	switch cached, open := r.controller.frontend.watchCache.openJobs[p.Job]; {
 	case final:
-		stop, over, w.WindDown = true, true, 0
+		stop, over, request.WindDown = true, true, 0
 	case open:
-		// Cancelled: it is stopped whether or not its job's owner can be heard, also while
-		// it saves because that owner had it stopped before.
-		if l.rec.Cancelled {
-			stop, w.WindDown = true, 0
+		// Cancelled: it is stopped even if its job's shard leader can't be reached, and also
+		// while it writes a checkpoint because that one had it stopped before.
+		if cached.rec.Cancelled {
+			stop, request.WindDown = true, 0
 		}
 	case r.controller.frontend.watchCache.asOf.After(since) && !since.IsZero():
-		// Not open, as of a moment after it was first seen: the job is over.
+		// Not open, as of a moment after the attempt was first seen: the job is over.
 		stop, over = true, true
 	default:
 		r.refreshFor(m)
 		return model.TaskCommand{}, false
 	}
-	x := model.TaskCommand{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
+	cmd := model.TaskCommand{Job: p.Job, Index: p.Index, Attempt: p.Attempt}
 	switch {
-	case p.Status == model.Ended && over && quiet:
-		x.Kind = model.ClearTask
-	case p.Status != model.Ended && stop && !(p.Status == model.Checkpointing && w.WindDown > 0):
-		x.Kind, x.GracePeriod = model.StopTask, w.WindDown
+	case p.Status == model.Ended && over && noStartInFlight:
+		cmd.Kind = model.ClearTask
+	case p.Status != model.Ended && stop && !(p.Status == model.Checkpointing && request.WindDown > 0):
+		cmd.Kind, cmd.GracePeriod = model.StopTask, request.WindDown
 	default:
 		return model.TaskCommand{}, false
 	}
-	return x, true
+	return cmd, true
 }
 
-// refreshFor reads open/ anew and looks at a machine again then.
+// refreshFor refreshes the watch cache and has the machine dispatched to after that.
 func (r *remoteAttempts) refreshFor(m *machine) {
 	if m.readingOpenJobs {
 		return
