--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -248,7 +248,7 @@
 		m.hasUnknownTasks = m.hasUnknownTasks || p.Status != model.Ended && m.attempts[k] == nil && s.jobs[k.job] != nil
 	}
 	if hadOthersAttempts && !m.hasOthersAttempts {
-		s.scheduler.placementDue = true
+		s.scheduler.requestPlacement()
 		if len(m.attempts) == 0 {
 			m.idleSince = r.now
 		}
