--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -171,10 +171,7 @@
 // removeEndedJob drops a job whose end is durable, and leaves its segments to be deleted.
 func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
 	o := p.controller.shardLeader
-	if o.jobs[j.ID] == j {
-		delete(o.jobs, j.ID)
-	}
-	o.faultAttribution.ForgetJob(j.ID)
+	o.removeJob(j)
 	o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, segmentKeys...)
 }
 
