--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -35,7 +35,7 @@
 		m.idleSince = s.now
 		m.used = model.Resources{}
 		if m.remote {
-			s.dropRemoteMachine(m)
+			s.remoteAttempts.dropIfEmpty(m)
 		}
 	}
 	if t.isRunning() {
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -134,8 +134,16 @@
 	f.contactInheritedMachines()
 }
 
-// forgetMachine drops a machine that another shard leads now.
-func (f *failover) forgetMachine(id string) { delete(f.higherEpochSeen, id) }
+// noteHigherEpoch notes that a machine's worker has seen a higher epoch than this controller's.
+func (f *failover) noteHigherEpoch(machine string) {
+	if f.higherEpochSeen[machine].IsZero() {
+		f.higherEpochSeen[machine] = f.now
+	}
+}
+
+// clearHigherEpoch notes that a machine's worker accepts this controller's epoch, or that the
+// machine is another controller's now.
+func (f *failover) clearHigherEpoch(machine string) { delete(f.higherEpochSeen, machine) }
 
 // sweep polls silent machines, ends the leases that ran out, drains reclaimed machines and
 // drops attempts that were never sent.
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -190,6 +190,17 @@
 	return r
 }
 
+// forgetFinalStatus forgets the end of a job whose records have been dropped.
+func (f *frontend) forgetFinalStatus(id string) { delete(f.finalStatuses, id) }
+
+// clearEndDates forgets the promised dates of done jobs.
+func (f *frontend) clearEndDates() { f.endDates = map[string]uint64{} }
+
+// cacheEndDate notes the promised date of a done job.
+func (f *frontend) cacheEndDate(id string, d promise.Date) {
+	f.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
+}
+
 // progressOf is a job's count of tasks as far as this controller knows; for display.
 func (f *frontend) progressOf(id string) message.Progress {
 	if f.controller.shardLeader != nil {
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -34,16 +34,6 @@
 	correlatedFailureLoggedAt time.Time
 }
 
-// noteHigherEpoch notes that a machine's worker has seen a higher epoch than this controller's.
-func (f *failover) noteHigherEpoch(machine string) {
-	if f.higherEpochSeen[machine].IsZero() {
-		f.higherEpochSeen[machine] = f.now
-	}
-}
-
-// clearHigherEpoch notes that a machine's worker accepts this controller's epoch.
-func (f *failover) clearHigherEpoch(machine string) { delete(f.higherEpochSeen, machine) }
-
 // handleHeartbeat takes in a heartbeat that waits for its answer.
 func (c *Controller) handleHeartbeat(hb message.WorkerHeartbeat) {
 	s := c.shardLeader
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -170,9 +170,8 @@
 
 // removeEndedJob drops a job whose end is durable, and leaves its segments to be deleted.
 func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
-	o := p.controller.shardLeader
-	o.removeJob(j)
-	o.persistence.orphanedRecords = append(o.persistence.orphanedRecords, segmentKeys...)
+	p.controller.shardLeader.removeJob(j)
+	p.orphanedRecords = append(p.orphanedRecords, segmentKeys...)
 }
 
 // deleteOrphanedRecords deletes segments whose job is over. The transaction compares that the
--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -15,9 +15,7 @@
 // queryLoans answers when the picture of open/ is as of a moment after the
 // question.
 func (l *lending) queryLoans(c message.QueryLoans) {
-	for _, p := range c.Progress {
-		l.controller.frontend.progressByJob[p.ID] = p
-	}
+	l.controller.frontend.receiveProgress(c.Progress)
 	if o := l.controller.shardLeader; o != nil {
 		for id, j := range o.jobs {
 			if j.borrowedLoan != "" {
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -146,7 +146,7 @@
 		req.Writes = append(req.Writes, message.Write{Key: record.OffloadedJobPrefix + cmd.Loan}, message.Write{Key: record.JobStatusPrefix + cmd.Job})
 		onApplied = func() {
 			delete(l.byLoan, cmd.Loan)
-			delete(l.controller.frontend.finalStatuses, cmd.Job)
+			l.controller.frontend.forgetFinalStatus(cmd.Job)
 		}
 	}
 	if openUpdate.Key != "" {
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -44,7 +44,7 @@
 // lets the leader count.
 func (p *promiseState) start() {
 	p.quotes = map[string]*promise.Quoter{}
-	p.controller.frontend.endDates = map[string]uint64{}
+	p.controller.frontend.clearEndDates()
 	if !p.enabled() {
 		return
 	}
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -92,7 +92,7 @@
 // cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
 func (p *promiseState) cacheDoneDate(id string, r record.JobStatus) {
 	if d := r.Date(); p.enabled() && d.Revision > 0 {
-		p.controller.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
+		p.controller.frontend.cacheEndDate(id, d)
 	}
 }
 
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -230,7 +230,7 @@
 	if m.remote {
 		// Its owner gets a request.
 		m.dispatchPending = false
-		s.remoteAttempts.due = true
+		s.remoteAttempts.requestSoon()
 		return
 	}
 	if m.dispatchInFlight || m.statusRequested || m.dispatchUnanswered || m.releasing || m.addr == "" || !m.heard {
--- a/internal/controller/remote_machines.go
+++ b/internal/controller/remote_machines.go
@@ -1,30 +1,34 @@
 package controller
 
-// remoteMachine is a machine of another owner, as far as jobs held here have attempts there.
-func (s *shardLeader) remoteMachine(id string) *machine {
-	a := s.remoteAttempts.machines[id]
-	if a == nil {
-		a = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
-		if h, ok := s.controller.knowledge.predecessorMachines[id]; ok {
-			a.zone, a.machineType, a.spot = h.Zone, h.MachineType, h.Spot
+// machine returns a machine of another owner, made if there is none, as far as jobs of this
+// shard leader have attempts there.
+func (r *remoteAttempts) machine(id string) *machine {
+	m := r.machines[id]
+	if m == nil {
+		m = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
+		if p, ok := r.controller.knowledge.predecessorMachines[id]; ok {
+			m.zone, m.machineType, m.spot = p.Zone, p.MachineType, p.Spot
 		}
-		s.remoteAttempts.machines[id] = a
+		r.machines[id] = m
 	}
-	return a
+	return m
 }
 
-// dropRemoteMachine drops a remote machine on which no attempt is left.
-func (s *shardLeader) dropRemoteMachine(a *machine) {
-	if len(a.attempts) == 0 {
-		delete(s.remoteAttempts.machines, a.id)
-		a.removed = true
+// dropIfEmpty drops a remote machine on which no attempt is left.
+func (r *remoteAttempts) dropIfEmpty(m *machine) {
+	if len(m.attempts) == 0 {
+		r.forgetMachine(m.id)
+		m.removed = true
 	}
 }
 
+// forgetMachine forgets a remote machine.
+func (r *remoteAttempts) forgetMachine(id string) { delete(r.machines, id) }
+
 // ownedOrRemoteMachine is the machine that a record names, whoever owns it.
 func (s *shardLeader) ownedOrRemoteMachine(id string) *machine {
 	if _, mine := s.controller.membership.ownedMachine(id); mine {
 		return s.ensureMachine(id)
 	}
-	return s.remoteMachine(id)
+	return s.remoteAttempts.machine(id)
 }
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -129,7 +129,7 @@
 			delete(m.attempts, taskKey{id, i})
 			m.used = m.used.AddScaled(j.Need, -1)
 			if m.remote {
-				s.dropRemoteMachine(m)
+				s.remoteAttempts.dropIfEmpty(m)
 				continue
 			}
 			// It runs or may yet start, and takes resources. The job's new owner reads of it
@@ -198,11 +198,11 @@
 func (s *shardLeader) handOverMachine(m *machine) {
 	s.removeMachine(m)
 	s.remoteAttempts.registry.ForgetMachine(m.id)
-	s.failover.forgetMachine(m.id)
+	s.failover.clearHigherEpoch(m.id)
 	if len(m.attempts) == 0 {
 		return
 	}
-	asRemote := s.remoteMachine(m.id)
+	asRemote := s.remoteAttempts.machine(m.id)
 	asRemote.zone, asRemote.machineType, asRemote.spot = m.zone, m.machineType, m.spot
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
@@ -215,14 +215,14 @@
 		asRemote.attempts[k] = t
 		asRemote.used = asRemote.used.AddScaled(s.jobs[k.job].Need, 1)
 	}
-	s.dropRemoteMachine(asRemote)
+	s.remoteAttempts.dropIfEmpty(asRemote)
 	s.remoteAttempts.requestSoon()
 }
 
 // takeOverMachine makes a remote machine, on which jobs held here have attempts, one of this
 // shard.
 func (s *shardLeader) takeOverMachine(asRemote *machine) {
-	delete(s.remoteAttempts.machines, asRemote.id)
+	s.remoteAttempts.forgetMachine(asRemote.id)
 	asRemote.removed = true
 	m := s.ensureMachine(asRemote.id)
 	if m.machineType == "" && asRemote.machineType != "" {
