--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -18,7 +18,8 @@
 func (h *heartbeatTracker) unresponsiveMachines() []string {
 	pool := disruption.Pool{Lease: h.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * h.settings.StoreWritesPerSecond)}
 	var unresponsive []disruption.Machine
-	for _, m := range h.controller.shardLeader.machinesByID {
+	s := h.controller.shardLeader
+	for _, m := range s.machinesByID {
 		if !m.expectsHeartbeats() || m.releasing {
 			continue
 		}
@@ -26,16 +27,21 @@
 		if !h.unresponsive(m) {
 			continue
 		}
-		x := disruption.Machine{ID: m.id, Tasks: len(m.attempts) + h.controller.shardLeader.remoteAttempts.registry.LiveCount(m.id), UnresponsiveFor: h.controller.shardLeader.failover.sinceLastHeartbeat(m) - h.unresponsiveAfter(m)}
+		candidate := disruption.Machine{
+			ID: m.id, Tasks: len(m.attempts) + s.remoteAttempts.registry.LiveCount(m.id),
+			UnresponsiveFor: s.failover.sinceLastHeartbeat(m) - h.unresponsiveAfter(m),
+		}
 		for k := range m.attempts {
-			j := h.controller.shardLeader.jobs[k.job]
-			if l, u := h.controller.shardLeader.scheduler.latestStart(j), h.controller.ranking.inverseRank(j); u > x.Urgency || x.LatestStart.IsZero() || u == x.Urgency && l.Before(x.LatestStart) {
-				x.Urgency, x.LatestStart = u, l
+			j := s.jobs[k.job]
+			start, urgency := s.scheduler.latestStart(j), h.controller.ranking.inverseRank(j)
+			isFirst := candidate.LatestStart.IsZero()
+			if isFirst || urgency > candidate.Urgency || urgency == candidate.Urgency && start.Before(candidate.LatestStart) {
+				candidate.Urgency, candidate.LatestStart = urgency, start
 			}
 		}
-		unresponsive = append(unresponsive, x)
+		unresponsive = append(unresponsive, candidate)
 	}
-	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, h.controller.shardLeader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
+	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, s.readyAt, pool.Reporting, h.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// If all miss heartbeats together, the fault is likely this controller's.
 		return nil
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -195,7 +195,11 @@
 	if len(unreachable) == 0 {
 		return nil
 	}
-	policy := reachability.ReleasePolicy{SingleTimeout: unresponsiveProbes*probeInterval + h.maxHeartbeatInterval(), LeaseRemaining: h.controller.renewal.leaseEndAfter(h.now).Sub(h.now), LastReleased: h.unreachableReleasedAt}
+	policy := reachability.ReleasePolicy{
+		SingleTimeout:  unresponsiveProbes*probeInterval + h.maxHeartbeatInterval(),
+		LeaseRemaining: h.controller.renewal.leaseEndAfter(h.now).Sub(h.now),
+		LastReleased:   h.unreachableReleasedAt,
+	}
 	toRelease := reachability.SelectReleases(h.now, policy, reporting, unreachable)
 	if len(toRelease) > 0 {
 		h.unreachableReleasedAt = h.now
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -91,7 +91,10 @@
 		}
 	}
 	expectAcknowledgment(m, commands)
-	c.emit(message.HeartbeatReply{Reply: hb.Reply, SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m), Status: 200, Epoch: m.epoch, Commands: commands})
+	c.emit(message.HeartbeatReply{
+		Reply: hb.Reply, Status: 200, Epoch: m.epoch, Commands: commands,
+		SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m),
+	})
 }
 
 // applyHeartbeat takes in a heartbeat or a poll reply, unless something newer is known.
@@ -278,34 +281,41 @@
 		m.noteImage(j, h.now, true)
 		if t.startedAt.IsZero() {
 			t.startedAt = h.now
-			h.debug("task running", "job", j.ID, "task", k.index, "attempt", t.attempt, "machine", m.id, "age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
+			h.debug("task running", "job", j.ID, "task", k.index, "attempt", t.attempt, "machine", m.id,
+				"age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
 		}
 	case model.Ended:
-		switch p.Cause {
-		case "done":
-			m.noteImage(j, h.now, true)
-			// What a former shard leader started has run for longer than was seen here.
-			// The median of such times is near zero, and would have all tasks of the job
-			// relaunched.
-			if !t.startedAt.IsZero() && !t.inherited {
-				ran := h.now.Sub(t.startedAt)
-				h.updateMachineSpeed(m, j, ran)
-				j.recordRunTime(ran)
-				h.controller.knowledge.updateEstimator(j, ran)
-			}
-			// What failed elsewhere is done here: the fault may be another machine's.
-			h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, k.index, m.id))
-			h.controller.shardLeader.endAttempt(j, k.index, true)
-		case "error":
-			h.recordTaskFailure(m, j, k.index)
-			h.controller.shardLeader.endAttempt(j, k.index, false)
-		case "unknown":
-			// The worker knows no such job: try again, but not at once.
-			t.notBefore = h.now.Add(h.jitter(2 * time.Second))
-			h.controller.shardLeader.endAttempt(j, k.index, false)
-		default:
-			h.controller.shardLeader.endAttempt(j, k.index, false)
+		h.applyEndedTask(m, j, k.index, p.Cause)
+	}
+}
+
+// applyEndedTask takes in the end of a live attempt, with the worker's cause for it.
+func (h *heartbeatTracker) applyEndedTask(m *machine, j *job, index int, cause string) {
+	t := &j.tasks[index]
+	switch cause {
+	case "done":
+		m.noteImage(j, h.now, true)
+		// What a former shard leader started has run for longer than was seen here.
+		// The median of such times is near zero, and would have all tasks of the job
+		// relaunched.
+		if !t.startedAt.IsZero() && !t.inherited {
+			ran := h.now.Sub(t.startedAt)
+			h.updateMachineSpeed(m, j, ran)
+			j.recordRunTime(ran)
+			h.controller.knowledge.updateEstimator(j, ran)
 		}
+		// What failed elsewhere is done here: the fault may be another machine's.
+		h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, index, m.id))
+		h.controller.shardLeader.endAttempt(j, index, true)
+	case "error":
+		h.recordTaskFailure(m, j, index)
+		h.controller.shardLeader.endAttempt(j, index, false)
+	case "unknown":
+		// The worker knows no such job: try again, but not at once.
+		t.notBefore = h.now.Add(h.jitter(2 * time.Second))
+		h.controller.shardLeader.endAttempt(j, index, false)
+	default:
+		h.controller.shardLeader.endAttempt(j, index, false)
 	}
 }
 
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -37,31 +37,38 @@
 			f.controller.lending.cancelLentJob(request, lookup)
 			return
 		}
-		id := request.id
-		// The resources of its tasks stay in the record: until the tasks are gone they
-		// count for their team's quota limit, whoever leads the shard.
-		rec := lookup.open
-		rec.Cancelled, rec.CancelledAtMillis = true, f.now.UnixMilli()
-		rec.ShrinkToFit(f.settings.MaxValueBytes)
-		open := record.Encode(rec)
-		// Both records change together: the revision of the open record guards starts.
-		f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: record.OpenJobPrefix + id, ModRevision: lookup.modRevision}},
-			Writes: []message.Write{
-				{Key: record.JobStatusPrefix + id, Value: record.Encode(f.controller.promises.endRecordFromCache(id, model.Cancelled, &openJob{lookup.modRevision, lookup.open}))},
-				{Key: record.OpenJobPrefix + id, Value: open},
-			}}, func(d message.StoreResponse) {
-			switch d.Status {
-			case message.StoreOK:
-				f.cacheFinalStatus(id, model.Cancelled)
-				f.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
-				f.controller.cancellations.publish(message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, f.settings.Peers)
-				f.answerRequest(request, f.replyWithStatus(id, model.Cancelled))
-			case message.StoreConflict:
-				// Done or cancelled in between: read again.
-				f.cancelOpenJob(request)
-			default:
-				f.refuseRequest(request, "the state service does not answer")
-			}
-		})
+		f.storeCancellation(request, lookup)
+	})
+}
+
+// storeCancellation cancels an open job as it was read.
+func (f *frontend) storeCancellation(request *userRequest, lookup jobLookup) {
+	id := request.id
+	// The resources of its tasks stay in the record: until the tasks are gone they count for
+	// their team's quota limit, whoever leads the shard.
+	rec := lookup.open
+	rec.Cancelled, rec.CancelledAtMillis = true, f.now.UnixMilli()
+	rec.ShrinkToFit(f.settings.MaxValueBytes)
+	open := record.Encode(rec)
+	status := record.Encode(f.controller.promises.endRecordFromCache(id, model.Cancelled, &openJob{lookup.modRevision, lookup.open}))
+	// Both records change together: the revision of the open record guards starts.
+	op := message.StoreRequest{
+		Kind: message.OpTxn, Priority: message.PriorityUser,
+		Compares: []message.Compare{{Key: record.OpenJobPrefix + id, ModRevision: lookup.modRevision}},
+		Writes:   []message.Write{{Key: record.JobStatusPrefix + id, Value: status}, {Key: record.OpenJobPrefix + id, Value: open}},
+	}
+	f.controller.requests.toStore(op, func(d message.StoreResponse) {
+		switch d.Status {
+		case message.StoreOK:
+			f.cacheFinalStatus(id, model.Cancelled)
+			f.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
+			f.controller.cancellations.publish(message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, f.settings.Peers)
+			f.answerRequest(request, f.replyWithStatus(id, model.Cancelled))
+		case message.StoreConflict:
+			// Done or cancelled in between: read again.
+			f.cancelOpenJob(request)
+		default:
+			f.refuseRequest(request, "the state service does not answer")
+		}
 	})
 }
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -144,7 +144,9 @@
 func (p *persistence) resolveEndConflict(end jobEnd, gen int) {
 	j := end.job
 	retry := func() { j.ending = false }
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}, func(d message.StoreResponse) {
+	readStatus := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}
+	readOpen := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}
+	p.controller.requests.toStore(readStatus, func(d message.StoreResponse) {
 		var r record.JobStatus
 		if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
 			p.controller.frontend.cacheFinalStatus(j.ID, model.Done)
@@ -155,7 +157,7 @@
 			return
 		}
 		if j.cancelled && d.Status == message.StoreOK {
-			p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}, func(d message.StoreResponse) {
+			p.controller.requests.toStore(readOpen, func(d message.StoreResponse) {
 				if d.Status == message.StoreNotFound && p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
 					p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 					return
--- a/internal/controller/rate_limits.go
+++ b/internal/controller/rate_limits.go
@@ -87,7 +87,10 @@
 		}
 		requests, writes = append(requests, peer.Requests), append(writes, peer.Writes)
 	}
-	allotted := message.Rates{Requests: ratelimit.Allocate(r.settings.StoreRequestsPerSecond, requests)[0], Writes: ratelimit.Allocate(r.settings.StoreWritesPerSecond, writes)[0]}
+	allotted := message.Rates{
+		Requests: ratelimit.Allocate(r.settings.StoreRequestsPerSecond, requests)[0],
+		Writes:   ratelimit.Allocate(r.settings.StoreWritesPerSecond, writes)[0],
+	}
 	r.writesShort = rates.Writes*ratelimit.Headroom > allotted.Writes*(1+minRateChange)
 	if ratesDiffer(allotted.Requests, r.allotted.Requests) || ratesDiffer(allotted.Writes, r.allotted.Writes) {
 		r.allotted = allotted
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -256,7 +256,11 @@
 	m.dispatchInFlight = true
 	before := m.snapshot()
 	epoch, gen := m.epoch, s.generation
-	d.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: until, Epoch: epoch, Incarnation: m.incarnation, Commands: commands}, func(response message.WorkerResponse) {
+	request := message.WorkerRequest{
+		Machine: m.id, Addr: m.addr, SendDeadline: until,
+		Epoch: epoch, Incarnation: m.incarnation, Commands: commands,
+	}
+	d.controller.requests.toWorker(request, func(response message.WorkerResponse) {
 		if d.controller.shardLeader == nil || d.controller.shardLeader.generation != gen || m.removed {
 			return
 		}
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -210,7 +210,12 @@
 
 // toRemoteTask is a task report in the terms of internal/remote.
 func toRemoteTask(p model.TaskReport) remote.ReportedAttempt {
-	state := [...]remote.State{model.Fetching: remote.Fetching, model.Running: remote.Running, model.Checkpointing: remote.Checkpointing, model.Ended: remote.Ended}[p.Status]
+	state := [...]remote.State{
+		model.Fetching:      remote.Fetching,
+		model.Running:       remote.Running,
+		model.Checkpointing: remote.Checkpointing,
+		model.Ended:         remote.Ended,
+	}[p.Status]
 	return remote.ReportedAttempt{AttemptID: remote.AttemptID{Job: p.Job, Index: p.Index, Attempt: p.Attempt}, State: state, Cause: p.Cause}
 }
 
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -91,7 +91,8 @@
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		w.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}, func(d message.StoreResponse) {
+		request := message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}
+		w.controller.requests.toStore(request, func(d message.StoreResponse) {
 			if d.Status != message.StoreOK {
 				w.after(w.jitter(storeRetryDelay), func() { list(from) })
 				return
@@ -144,7 +145,11 @@
 		return
 	}
 	w.watching = true
-	w.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.OpenJobPrefix, Revision: w.revision, WatchTimeout: watchTimeout}, func(d message.StoreResponse) {
+	request := message.StoreRequest{
+		Kind: message.OpWatch, Priority: message.PriorityMembership,
+		Key: record.OpenJobPrefix, Revision: w.revision, WatchTimeout: watchTimeout,
+	}
+	w.controller.requests.toStore(request, func(d message.StoreResponse) {
 		w.watching = false
 		switch {
 		case !w.loaded:
@@ -194,7 +199,8 @@
 		return
 	}
 	w.readWaiters, w.nextReadWaiters, w.readInFlight, w.lastReadAt = w.nextReadWaiters, nil, true, w.now
-	w.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: w.revision}, func(d message.StoreResponse) {
+	request := message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: w.revision}
+	w.controller.requests.toStore(request, func(d message.StoreResponse) {
 		w.readInFlight = false
 		waiters := w.readWaiters
 		w.readWaiters = nil
@@ -268,7 +274,12 @@
 
 // lookupOfOpenJob is what an open job's own record says.
 func (w *watchCache) lookupOfOpenJob(id string, cached *openJob, fn func(jobLookup)) {
-	lookup := jobLookup{ok: true, accepted: true, modRevision: cached.modRevision, open: cached.rec, rec: record.JobStatus{Status: model.Queued, Tasks: cached.rec.Tasks}, promisedDate: w.controller.promises.durableDate(id, cached)}
+	lookup := jobLookup{
+		ok: true, accepted: true,
+		modRevision: cached.modRevision, open: cached.rec,
+		rec:          record.JobStatus{Status: model.Queued, Tasks: cached.rec.Tasks},
+		promisedDate: w.controller.promises.durableDate(id, cached),
+	}
 	if cached.rec.Cancelled {
 		lookup.rec.Status = model.Cancelled
 	}
