--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// largePool is an owner with some machines, three quarters of them with work,
-// and jobs that wait.
+// largePool is a shard leader with some machines, three quarters of them with work, and
+// jobs that wait.
 func largePool(machines int) *Controller {
 	n := New(Settings{
 		Host: "a", Zones: []string{"z"}, Teams: []model.Team{{Name: "ops"}}, Policy: DefaultPolicy(),
@@ -61,17 +61,19 @@
 	return n
 }
 
-// holdAllShards makes the node the holder of one share with all teams and machines.
+// holdAllShards makes the controller the leader of one shard with all teams and machines.
 func (c *Controller) holdAllShards() {
 	s := &c.membership
 	s.leaseID, s.loaded, s.shardMap = 1, true, sharding.NewMap()
 	s.controllers = map[string]record.Member{c.settings.Host: {Incarnation: c.incarnation()}}
-	b := record.Encode(map[string]any{"host": c.settings.Host, "nonce": c.incarnation(), "teams": []string{"ops"}, "rest": true})
-	if err := s.shardMap.ApplyShard(c.settings.Host, b, 1); err != nil {
+	shard := record.Encode(map[string]any{"host": c.settings.Host, "nonce": c.incarnation(), "teams": []string{"ops"}, "rest": true})
+	if err := s.shardMap.ApplyShard(c.settings.Host, shard, 1); err != nil {
 		panic(err)
 	}
 }
 
+// poolHeartbeat is the first heartbeat of the pool's machine i, without tasks; every
+// eighth machine is a rack.
 func (c *Controller) poolHeartbeat(i int) *model.Heartbeat {
 	r := &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
 	if i%8 == 0 {
@@ -82,7 +84,7 @@
 
 var poolSizes = []int{300, 1300, 5000, 10000}
 
-// BenchmarkHeartbeat is the ordinary report, which changes nothing. It must not
+// BenchmarkHeartbeat is the ordinary heartbeat, which changes nothing. Its cost must not
 // grow with the pool.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range poolSizes {
@@ -102,7 +104,7 @@
 	}
 }
 
-// BenchmarkPlacementRound is a round of placing in which nothing is placed any more. It
+// BenchmarkPlacementRound is a placement round in which nothing is placed any more. Its cost
 // may grow with the machines, not with their product with the jobs.
 func BenchmarkPlacementRound(b *testing.B) {
 	for _, size := range poolSizes {
@@ -116,7 +118,7 @@
 	}
 }
 
-// BenchmarkFleetPlanning is a look at the fleet: what to retire, to return and to rent.
+// BenchmarkFleetPlanning is one scan of the fleet: what to decommission, release and rent.
 func BenchmarkFleetPlanning(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -131,7 +133,7 @@
 }
 
 // TestPlacementDoesNotMultiply guards the shape of the costs by counting, not by
-// time: a round in which a long queue of alike jobs finds no room looks at the
+// time: a round in which a long queue of similar jobs finds no free capacity looks at the
 // machines once for each kind of task, not once for each job.
 func TestPlacementDoesNotMultiply(t *testing.T) {
 	n := largePool(400)
@@ -146,12 +148,12 @@
 		waiting++
 	}
 	if waiting <= len(kinds) {
-		t.Fatalf("%d jobs wait, of %d kinds: the pool is too large for the test", waiting, len(kinds))
+		t.Fatalf("got %d waiting jobs of %d kinds, want more jobs than kinds: the pool is too large for the test", waiting, len(kinds))
 	}
 	if len(r.full) != len(kinds) {
-		t.Errorf("%d kinds of tasks known to find no room, want %d", len(r.full), len(kinds))
+		t.Errorf("got %d kinds of tasks known to find no free capacity, want %d", len(r.full), len(kinds))
 	}
-	// A report that repeats the last one leaves nothing to do.
+	// A heartbeat that repeats the last one leaves nothing to do.
 	m := n.shardLeader.machinesByID[0]
 	heartbeat := n.poolHeartbeat(0)
 	for k, a := range m.attempts {
@@ -161,6 +163,6 @@
 	n.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
 	heartbeat.Sequence = 3
 	if !m.unchangedBy(heartbeat) || n.shardLeader.dispatcher.reconcile(m) != nil {
-		t.Error("an ordinary report is not recognised as such")
+		t.Error("got work to do after a heartbeat that changes nothing, want none")
 	}
 }
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -7,13 +7,14 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// TestUserReplyDeadline: what rests on a read is told as long as it is waited for, also
-// when its sender stands still meanwhile; ends and refusals are told at any time.
+// TestUserReplyDeadline: an answer that depends on a read is sent only while its user waits
+// for it, also when the sender stands still meanwhile; ends and refusals are sent at any
+// time.
 func TestUserReplyDeadline(t *testing.T) {
 	n := largePool(1)
-	for _, x := range []struct {
-		r    message.UserReply
-		good bool
+	for _, tc := range []struct {
+		reply      message.UserReply
+		neverStale bool
 	}{
 		{message.UserReply{Status: 200, State: "queued"}, false},
 		{message.UserReply{Status: 200, State: "running"}, false},
@@ -24,20 +25,20 @@
 		{message.UserReply{Status: 200, State: "cancelled"}, true},
 		{message.UserReply{Status: 503, Message: "starting"}, true},
 	} {
-		w := n.frontend.newUserRequest(7, "job-1")
+		request := n.frontend.newUserRequest(7, "job-1")
 		requestedAt := n.now
 		n.now, n.effects = n.now.Add(time.Second), nil
-		n.frontend.answerRequest(w, x.r)
+		n.frontend.answerRequest(request, tc.reply)
 		reply := n.effects[0].(message.UserReply)
 		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
-			t.Errorf("%+v is late while it is waited for", x.r)
+			t.Errorf("%+v: got late while its user waits, want in time", tc.reply)
 		}
 		_, instead, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout+time.Millisecond))
-		if late == x.good {
-			t.Errorf("%+v leaves late: %v", x.r, !late)
+		if late == tc.neverStale {
+			t.Errorf("%+v after its time: got late %v, want %v", tc.reply, late, !tc.neverStale)
 		}
 		if r, _ := instead.(message.UserReply); late && (r.Status != 503 || r.RetryAfter == 0 || r.State != "" || r.Reply != 7) {
-			t.Errorf("%+v is answered late by %+v", x.r, r)
+			t.Errorf("%+v: got %+v instead of the late answer, want 503 with a time to retry and no state", tc.reply, r)
 		}
 	}
 }
