--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -9,9 +9,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestExpectedTasksRentNothingBesideIdleMachines guards against renting a machine
-// for each task that is only expected, because one that is to be rented was taken
-// to have the image by the time the task comes, which idle ones have to fetch.
+// TestExpectedTasksRentNothingBesideIdleMachines guards against renting a machine for each
+// task that is only expected: a machine to be rented was taken to have the image by the time
+// the task comes, while idle ones have to fetch it.
 func TestExpectedTasksRentNothingBesideIdleMachines(t *testing.T) {
 	n := largePool(0)
 	for i := range 40 {
@@ -26,15 +26,15 @@
 		n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{n.now, spec.Tasks, spec.Need, &spec})
 	}
 	if d := n.shardLeader.fleet.demands(n.knowledge.planningHorizon(), false, false); len(d) != 1 || d[0].count < 50 {
-		t.Fatalf("%d demands; more tasks were to be expected", len(d))
+		t.Fatalf("got demands %v, want one of at least 50 tasks", d)
 	}
-	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) != 0 {
-		t.Errorf("wants %v beside 40 idle machines", wants)
+	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
+		t.Errorf("got capacity requests %v beside 40 idle machines, want none", requests)
 	}
 }
 
 // TestScarcityReliefUsesIdleMachines guards against renting a small machine for each task
-// that should leave room on racks, beside small ones that are idle.
+// that should leave free capacity on racks, beside small machines that are idle.
 func TestScarcityReliefUsesIdleMachines(t *testing.T) {
 	n := largePool(0)
 	for i := range 80 {
@@ -49,7 +49,7 @@
 	n.shardLeader.scheduler.startDeadlines = map[string]time.Time{"wide": n.now}
 	for _, m := range n.shardLeader.machinesByID {
 		if m.machineType == "rack" {
-			// The racks hold the image, and so come first in the plan.
+			// The racks have the image, and so come first in the simulation.
 			m.images["s"] = &image{sizeGB: 0.5, cached: true}
 		}
 	}
@@ -57,15 +57,15 @@
 		n.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}], arrival{n.now, 12, small.Need, &small})
 	}
 	if !n.shardLeader.fleet.neededElsewhere(&small, "rack") {
-		t.Fatal("nobody waits for racks")
+		t.Fatal("got no waiting job that needs racks, want one")
 	}
-	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) != 0 {
-		t.Errorf("wants %v beside 70 idle boxes", wants)
+	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
+		t.Errorf("got capacity requests %v beside 70 idle boxes, want none", requests)
 	}
 }
 
-// TestLargestLateJobIsDeferred: of jobs that cannot all be in time the largest is put off, and none
-// while all can be.
+// TestLargestLateJobIsDeferred: of jobs that can't all meet their deadlines the largest is
+// deferred, and none while all can.
 func TestLargestLateJobIsDeferred(t *testing.T) {
 	n := largePool(10)
 	clear(n.shardLeader.jobs)
@@ -89,47 +89,47 @@
 		}
 		return out
 	}
-	// There is room for 24 tasks at a time, and time for three rounds of them.
+	// There is capacity for 24 tasks at a time, and time for three rounds of them.
 	add("job-1", 30)
 	add("job-2", 8)
 	if got := deferred(); got != "" {
-		t.Errorf("all can be in time, but %sput off", got)
+		t.Errorf("got %sdeferred while all can meet their deadlines, want none", got)
 	}
 	n.shardLeader.jobs["job-1"].tasks = make([]task, 90)
 	add("job-3", 8)
 	if got := deferred(); got != "job-1 " {
-		t.Errorf("%sput off, want the largest", got)
+		t.Errorf("got %q deferred, want the largest, %q", got, "job-1 ")
 	}
 	if o := n.shardLeader.scheduler.jobsInQueueOrder(); o[len(o)-1].ID != "job-1" {
-		t.Errorf("%s is the last, want the one put off", o[len(o)-1].ID)
+		t.Errorf("got %s last in the queue, want job-1, which is deferred", o[len(o)-1].ID)
 	}
 }
 
-// TestSharedOutage: in an outage of the state service a controller stays healthy
-// only as long as all others say that they have lost it as well.
+// TestSharedOutage: in an outage of the store a controller stays healthy only as long as all
+// its peers say that they have lost it as well.
 func TestSharedOutage(t *testing.T) {
 	n := largePool(0)
 	n.settings.Peers = []string{"b", "c"}
 	n.membership.storeFailingSince = n.now.Add(-time.Minute)
 	if n.Healthy(n.now) {
-		t.Error("healthy though it hears of nobody")
+		t.Error("got healthy without a word of its peers, want unhealthy")
 	}
 	n.handleCommand(message.PeerUpdate{From: "b", StoreUnavailable: true})
 	if n.Healthy(n.now) {
-		t.Error("healthy though one other may have the state service")
+		t.Error("got healthy though one peer may reach the store, want unhealthy")
 	}
 	n.handleCommand(message.PeerUpdate{From: "c", StoreUnavailable: true})
 	if !n.Healthy(n.now) {
-		t.Error("unhealthy in an outage for all")
+		t.Error("got unhealthy in an outage for all, want healthy")
 	}
 	if n.Healthy(n.now.Add(2 * storeUnavailableTTL)) {
-		t.Error("healthy on old news")
+		t.Error("got healthy by expired updates, want unhealthy")
 	}
 }
 
-// TestGangNeedsCapacityForAllTasks guards against a gang of which some tasks are placed and
-// the others find only room that placing refuses: the first wait for them, are
-// stopped after a while, and it all begins again.
+// TestGangNeedsCapacityForAllTasks guards against a gang of which some tasks are placed while
+// the others find only capacity that placing refuses: the first would wait for them, be
+// stopped after a while, and all would begin again.
 func TestGangNeedsCapacityForAllTasks(t *testing.T) {
 	n := largePool(0)
 	for i := range 3 {
@@ -143,18 +143,18 @@
 	n.shardLeader.machinesByID[0].decommissioning = true
 	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 0 {
-		t.Fatalf("%d of 6 tasks are placed while a machine is being let go", j.liveTasks)
+		t.Fatalf("got %d of 6 tasks placed while a machine is being decommissioned, want 0", j.liveTasks)
 	}
 	n.shardLeader.machinesByID[0].decommissioning = false
 	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 6 {
-		t.Errorf("%d of 6 tasks are placed on room for all", j.liveTasks)
+		t.Errorf("got %d of 6 tasks placed on capacity for all, want 6", j.liveTasks)
 	}
 }
 
-// TestSuccessorCountsUnreportedMachines guards against renting beside a pool that
-// is there: a successor hears its machines within some seconds, and until then the
-// cloud's list says that they run.
+// TestSuccessorCountsUnreportedMachines guards against renting beside a pool that exists: a
+// successor receives its machines' heartbeats within some seconds, and until then the cloud's
+// list says that they run.
 func TestSuccessorCountsUnreportedMachines(t *testing.T) {
 	open, tasks := predecessorRecords(200)
 	n := successor()
@@ -169,18 +169,18 @@
 	spec := model.JobSpec{ID: "job-w", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 60, AllowSpot: true,
 		Need: model.Resources{CPU: 4, Memory: 4}, Image: "w", ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: 3 * time.Minute}
 	n.shardLeader.jobs[spec.ID] = newJob(spec, n.now, 1, 4096)
-	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) != 0 {
-		t.Errorf("wants %v beside 200 machines that run", wants)
+	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
+		t.Errorf("got capacity requests %v beside 200 machines that run, want none", requests)
 	}
 	n.now = n.now.Add(time.Minute)
 	n.shardLeader.fleet.view.receivedAt = n.now
-	if wants := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(wants) == 0 {
-		t.Error("wants nothing though no machine was ever heard of")
+	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) == 0 {
+		t.Error("got no capacity request though no machine sent a heartbeat, want some")
 	}
 }
 
-// TestInitialBacklogIsNoArrivalRate guards against renting for what gathered during an
-// outage, or before the start, as if it went on coming like that.
+// TestInitialBacklogIsNoArrivalRate guards against renting for a backlog of an outage, or of
+// the time before the start, as if jobs kept arriving at that rate.
 func TestInitialBacklogIsNoArrivalRate(t *testing.T) {
 	n := largePool(0)
 	n.shardLeader.readyAt = n.now.Add(-settleTime)
@@ -188,18 +188,23 @@
 		n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{n.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
 	}
 	if r := n.shardLeader.fleet.arrivalRate("wide", arrivalWindow); r > 20 {
-		t.Errorf("600 tasks that came at once make %.0f a second, want no more than if they had come in %v", r, recentWindow)
+		t.Errorf("got %.0f tasks a second of 600 that came at once, want no more than if they had come in %v", r, recentWindow)
 	}
 }
 
-// TestOverdueJobScalesOut: beside a full pool and without spot ones in the cloud, a job
-// beyond all its aims gets ordinary machines from its bound on, until it has begun.
+// TestOverdueJobScalesOut: beside a full pool and without spot machines in the cloud, a job
+// beyond all its objectives gets on-demand machines from its bound on, until it has begun.
 func TestOverdueJobScalesOut(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
+		name   string
 		waited time.Duration
 		done   int
 		want   bool
-	}{{time.Minute, 0, false}, {3 * time.Minute, 0, true}, {3 * time.Minute, 1, false}} {
+	}{
+		{"within the bound", time.Minute, 0, false},
+		{"beyond the bound", 3 * time.Minute, 0, true},
+		{"begun", 3 * time.Minute, 1, false},
+	} {
 		n := largePool(0)
 		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine("vm-000000"), n.poolHeartbeat(0), true)
 		n.settings.Objectives = []model.Objective{{Kind: "finished", Workload: "wide", Within: 30 * time.Second}}
@@ -215,33 +220,38 @@
 			n.shardLeader.scheduler.placeJob(job(fmt.Sprint("job-", i), 200*time.Second), n.shardLeader.scheduler.newPlacementRound(), forever, 2)
 		}
 		j := job("job-late", 25*time.Second)
-		j.submittedAt, j.doneTasks = n.now.Add(-c.waited), c.done
-		if got := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); (len(got) > 0) != c.want {
-			t.Errorf("waited %v, %d done: rents %v, want some: %v", c.waited, c.done, got, c.want)
+		j.submittedAt, j.doneTasks = n.now.Add(-tc.waited), tc.done
+		if got := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); (len(got) > 0) != tc.want {
+			t.Errorf("%s: got capacity requests %v, want some: %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestAgingPreemptionIsBounded: the last running task of a job that has waited too long is not
-// stopped any more when tasks of the job were stopped often enough, whichever.
+// TestAgingPreemptionIsBounded: the last running task of a job that has waited too long is
+// not preempted any more once tasks of the job, whichever, were preempted often enough.
 func TestAgingPreemptionIsBounded(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
+		name   string
 		stops  int
 		waited time.Duration
 		want   bool
-	}{{maxPreemptions - 1, 3 * time.Minute, true}, {maxPreemptions, 3 * time.Minute, false}, {maxPreemptions, time.Minute, true}} {
+	}{
+		{"overdue, below the bound", maxPreemptions - 1, 3 * time.Minute, true},
+		{"overdue, at the bound", maxPreemptions, 3 * time.Minute, false},
+		{"at the bound, not overdue", maxPreemptions, time.Minute, true},
+	} {
 		n := largePool(0)
 		m := n.shardLeader.ensureMachine("vm-000000")
 		n.shardLeader.heartbeats.applyHeartbeat(m, n.poolHeartbeat(0), true)
-		j := newJob(model.JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, n.now.Add(-c.waited), 1, 4096)
+		j := newJob(model.JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, n.now.Add(-tc.waited), 1, 4096)
 		n.shardLeader.jobs[j.ID] = j
 		n.shardLeader.scheduler.placeJob(j, n.shardLeader.scheduler.newPlacementRound(), forever, 1)
-		j.tasks[0].preemptions = c.stops - 1
+		j.tasks[0].preemptions = tc.stops - 1
 		j.nextFresh = 2
 		j.tasks[1].preemptions = 1
 		high := newJob(model.JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
-		if _, _, ok := n.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != c.want {
-			t.Errorf("%d stops, waited %v: stopped %v, want %v (%d live)", c.stops, c.waited, ok, c.want, j.liveTasks)
+		if _, _, ok := n.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != tc.want {
+			t.Errorf("%s: got preempted %v with %d live tasks, want %v with 1", tc.name, ok, j.liveTasks, tc.want)
 		}
 	}
 }
