--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -17,20 +17,24 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// storedRecord is a record as the version in production wrote it, under values of 4 KiB.
+// storedRecord is a record as the version in production wrote it, with values of at most
+// 4 KiB.
 type storedRecord struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 	Size  int    `json:"size"`
 }
 
-// productionRecords are records that commit 0a0f15a has written, by their keys.
+// productionRecords are records that commit 0a0f15a wrote, by key.
 func productionRecords(t *testing.T) map[string][]byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/forms/production.json")
+	if err != nil {
+		t.Fatalf("reading the fixtures: got error %v, want none", err)
+	}
 	var all []storedRecord
-	if err != nil || json.Unmarshal(b, &all) != nil {
-		t.Fatal("no fixtures", err)
+	if err := json.Unmarshal(b, &all); err != nil {
+		t.Fatalf("decoding the fixtures: got error %v, want none", err)
 	}
 	out := map[string][]byte{}
 	for _, x := range all {
@@ -39,17 +43,17 @@
 	return out
 }
 
-// taskState is what records say of a task.
+// taskState is what the records say of a task.
 type taskState struct {
 	attempt uint64
 	machine string
 	done    bool
 }
 
-// recoverWithOldVersion reads the records of a job's tasks as commit 0a0f15a does: by the number of
-// the record under values of 4 KiB, whatever is named otherwise dropped.
+// recoverWithOldVersion reads the records of a job's tasks as commit 0a0f15a does: by the
+// number of the record, for values of at most 4 KiB. Records with other names are dropped.
 func recoverWithOldVersion(id string, tasks int, rows map[string][]byte) (map[int]taskState, int) {
-	const per = 4096 * 3 / 4 / 72
+	const tasksPerRecord = 4096 * 3 / 4 / 72
 	out, dropped := map[int]taskState{}, 0
 	for key, value := range rows {
 		name, is := strings.CutPrefix(key, record.TaskSegmentPrefix+id+"/")
@@ -57,7 +61,7 @@
 			continue
 		}
 		var r record.TaskSegment
-		if k, err := strconv.Atoi(name); err != nil || k*per >= tasks || !record.Decode(value, &r) {
+		if k, err := strconv.Atoi(name); err != nil || k*tasksPerRecord >= tasks || !record.Decode(value, &r) {
 			dropped++
 			continue
 		}
@@ -79,7 +83,8 @@
 
 const formatTestJob = "job-000001"
 
-// newFormatTestController is a controller of this version that knows of the lower limit to come.
+// newFormatTestController is a controller of this version that knows of a lower value limit
+// to come.
 func newFormatTestController() *Controller {
 	n := largePool(60)
 	n.settings.MaxValueBytes, n.settings.CurrentMaxValueBytes = 2048, 4096
@@ -91,25 +96,25 @@
 	return n
 }
 
-// recoverTestJob restores the job as a successor does.
+// recoverTestJob recovers the job as a successor does.
 func recoverTestJob(c *Controller, rows map[string][]byte) *job {
-	var its []message.KeyValue
+	var segments []message.KeyValue
 	for _, key := range sortedKeys(rows) {
 		if strings.HasPrefix(key, record.TaskSegmentPrefix+formatTestJob+"/") {
-			its = append(its, message.KeyValue{Key: key, Value: rows[key], ModRevision: 7})
+			segments = append(segments, message.KeyValue{Key: key, Value: rows[key], ModRevision: 7})
 		}
 	}
-	for _, it := range its {
-		if f, _, ok := c.membership.formats.parseSegmentKey(it.Key); ok {
+	for _, kv := range segments {
+		if f, _, ok := c.membership.formats.parseSegmentKey(kv.Key); ok {
 			c.membership.formats.adoptFormat(f)
 		}
 	}
 	j := c.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Workload: "w", Team: "ops", Tasks: 100, Need: model.Resources{CPU: 0.1, Memory: 0.1}}, c.now, 1)
-	slices.SortStableFunc(its, c.membership.formats.compareFormats)
-	for _, it := range its {
+	slices.SortStableFunc(segments, c.membership.formats.compareFormats)
+	for _, kv := range segments {
 		var r record.TaskSegment
-		if record.Decode(it.Value, &r) {
-			c.shardLeader.failover.recoverSegment(j, it, &r)
+		if record.Decode(kv.Value, &r) {
+			c.shardLeader.failover.recoverSegment(j, kv, &r)
 		}
 	}
 	c.shardLeader.failover.queueRecovered(j)
@@ -138,16 +143,17 @@
 	return out
 }
 
+// requireSameStates requires that all tasks of the job have the wanted states.
 func requireSameStates(t *testing.T, what string, got, want map[int]taskState) {
 	t.Helper()
 	for i := range 100 {
 		if got[i] != want[i] {
-			t.Fatalf("%s: task %d is %+v, want %+v", what, i, got[i], want[i])
+			t.Fatalf("%s: task %d: got %+v, want %+v", what, i, got[i], want[i])
 		}
 	}
 }
 
-// changeTask has something become of a task, as a start, an end or a loss does.
+// changeTask changes a task as a start, an end or the loss of its machine does.
 func changeTask(c *Controller, j *job, i int, rng *rand.Rand) {
 	t := &j.tasks[i]
 	switch {
@@ -163,13 +169,14 @@
 	}
 }
 
-// writeSegment is one write of a chunk.
+// writeSegment encodes a task record segment, checks it against the limits and, with rows,
+// stores it there.
 func writeSegment(t *testing.T, n *Controller, j *job, c *taskSegment, rows map[string][]byte) (string, []byte) {
 	t.Helper()
 	key, value := j.segmentKey(c), record.Encode(j.segmentRecord(c))
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}
 	if err := n.requests.limitsOf(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("write of %s: got error %v, want none", key, err)
 	}
 	if rows != nil {
 		rows[key] = value
@@ -178,8 +185,9 @@
 	return key, value
 }
 
-// TestOldVersionReadsNewRecords: before all controllers are known to know parts, a process of the
-// version in production finds all that this version wrote, as that may run twice else.
+// TestOldVersionReadsNewRecords: before all controllers are known to support sized segments,
+// a process of the version in production finds all that this version wrote; it would run
+// tasks a second time otherwise.
 func TestOldVersionReadsNewRecords(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -196,15 +204,16 @@
 		}
 		got, dropped := recoverWithOldVersion(formatTestJob, 100, rows)
 		if requireSameStates(t, "old of new", got, taskStatesOf(j)); dropped > 0 {
-			t.Fatalf("%d records are dropped", dropped)
+			t.Fatalf("got %d records dropped, want 0", dropped)
 		}
 	}
 }
 
-// TestSizedSegmentsAfterAnySteps: all come to parts at some moment between changes, a write in
-// the old form may have no answer and be carried out at any time later, and successors
-// take over anywhere: what was made durable last counts for every task, all that is
-// written fits the lower limit, and no record of the old form is written again.
+// TestSizedSegmentsAfterAnySteps: all controllers change to sized segments at some moment
+// between changes, a write in the former format may have no answer and be applied at any
+// later time, and successors take over anywhere. What was made durable last counts for every
+// task, all that is written fits the lower limit, and no record of the former format is
+// written again.
 func TestSizedSegmentsAfterAnySteps(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -237,7 +246,7 @@
 				}
 			case x == 2:
 				if sized && lateKey != "" {
-					// A successor's share has another stamp: what is late comes to nothing.
+					// A successor's shard has another mod revision: the late write is refused.
 					lateKey = ""
 				}
 				n = newFormatTestController()
@@ -254,7 +263,7 @@
 				}
 				key, value := writeSegment(t, n, j, c, rows)
 				if size, err := sizelimit.JSON(value); sized && (err != nil || size > 2048) || sized != strings.Contains(key, "/"+sizedSegmentMark) {
-					t.Fatalf("seed %d: %s of %d bytes, parts %v", seed, key, size, sized)
+					t.Fatalf("seed %d: got %s of %d bytes, want at most 2048 with the mark of a sized segment: %v", seed, key, size, sized)
 				}
 				for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, 100); i++ {
 					durable[i] = taskStateOf(j, i)
@@ -265,11 +274,11 @@
 			}
 			for i := range 100 {
 				if j.tasks[i].version > 0 && j.durable(i) && taskStateOf(j, i) != durable[i] {
-					t.Fatalf("seed %d step %d: task %d counts as durable as %+v, and %+v is", seed, step, i, taskStateOf(j, i), durable[i])
+					t.Fatalf("seed %d step %d: task %d: got %+v taken for durable, want %+v", seed, step, i, taskStateOf(j, i), durable[i])
 				}
 			}
 		}
-		// Its end removes whatever stands there.
+		// The job's end removes all its records.
 		left := slices.Clone(j.formerKeys)
 		for _, c := range j.segments {
 			if c.modRevision != 0 {
@@ -278,13 +287,13 @@
 		}
 		for key := range rows {
 			if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(left, key) {
-				t.Fatalf("seed %d: %s stays when the job is over", seed, key)
+				t.Fatalf("seed %d: got %s left when the job is over, want it removed", seed, key)
 			}
 		}
 	}
 }
 
-// formatWrites runs what a controller does about forms and returns its writes.
+// formatWrites lets a controller advance the format and returns its writes.
 func formatWrites(c *Controller) []message.StoreRequest {
 	c.effects, c.membership.formats.writing = nil, false
 	c.membership.loaded, c.membership.leaseID = true, 1
@@ -298,77 +307,77 @@
 	return out
 }
 
-// TestFormatNeedsAllControllers: records become parts only when each controller of the deployment has
-// said that it knows them, by a write of the leader's that names its term; without a
-// lower limit to come nothing is written at all.
+// TestFormatNeedsAllControllers: segments become sized only when each controller of the
+// deployment has recorded that it supports them, by a write of the leader that compares its
+// leadership. Without a lower limit to come nothing is written.
 func TestFormatNeedsAllControllers(t *testing.T) {
 	n := newFormatTestController()
 	n.settings.Peers = []string{"b", "c"}
 	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != record.FormatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: record.FormatSupportPrefix + "a", ModRevision: 0}) {
-		t.Fatalf("the first write is %+v", ops)
+		t.Fatalf("got first writes %+v, want one of this controller's support, which is absent", ops)
 	}
 	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
 	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
 	n.leader = newLeader(n)
 	n.leader.modRevision = 9
 	if ops := formatWrites(n); len(ops) > 0 {
-		t.Fatalf("written while c may come back: %+v", ops)
+		t.Fatalf("got %+v written while c may come back, want nothing", ops)
 	}
 	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "c", ModRevision: 5})
 	n.leader = nil
 	if ops := formatWrites(n); len(ops) > 0 {
-		t.Fatalf("written by none that leads: %+v", ops)
+		t.Fatalf("got %+v written by a controller that does not lead, want nothing", ops)
 	}
 	n.leader = newLeader(n)
 	n.leader.modRevision = 9
 	ops := formatWrites(n)
 	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
-		t.Fatalf("%+v", ops)
+		t.Fatalf("got writes %+v, want one of the format that compares the leadership and its absence", ops)
 	}
 	if n.membership.formats.currentFormat().sized {
-		t.Fatal("parts count before they were read to")
+		t.Fatal("got sized segments before the format record was read, want the former format")
 	}
 	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
 	if f := n.membership.formats.currentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
-		t.Fatalf("the form is %+v", f)
+		t.Fatalf("got format %+v, want sized segments under 2048 bytes", f)
 	}
 	if ops := formatWrites(n); len(ops) > 0 {
-		t.Fatalf("written again: %+v", ops)
+		t.Fatalf("got %+v written again, want nothing", ops)
 	}
 	same := newFormatTestController()
 	same.settings.CurrentMaxValueBytes = 2048
 	if ops := formatWrites(same); len(ops) > 0 {
-		t.Fatalf("written without need: %+v", ops)
+		t.Fatalf("got %+v written without a lower limit to come, want nothing", ops)
 	}
 }
 
-// TestLoanAcrossFormats: a loan that is written late must not find its job started in
-// another form of records than the one that counted when it was sent.
+// TestLoanAcrossFormats: a loan that is written late must not find its job started in another
+// record format than the one that was current when it was sent.
 func TestLoanAcrossFormats(t *testing.T) {
 	n := newFormatTestController()
-	conds := n.membership.formats.neverStartedCompares(formatTestJob)
+	compares := n.membership.formats.neverStartedCompares(formatTestJob)
 	j := n.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
 	before := j.segmentKey(j.segmentOf(0))
 	n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
 	for _, key := range []string{before, after} {
-		if !slices.Contains(conds, message.Compare{Key: key, ModRevision: 0}) {
-			t.Errorf("%v do not name %s", conds, key)
+		if !slices.Contains(compares, message.Compare{Key: key, ModRevision: 0}) {
+			t.Errorf("got compares %v, want the absence of %s among them", compares, key)
 		}
 	}
 	same := newFormatTestController()
 	same.settings.CurrentMaxValueBytes = 0
-	if conds := same.membership.formats.neverStartedCompares(formatTestJob); len(conds) != 1 {
-		t.Errorf("without a limit to come: %v", conds)
+	if compares := same.membership.formats.neverStartedCompares(formatTestJob); len(compares) != 1 {
+		t.Errorf("without a limit to come: got compares %v, want 1", compares)
 	}
 }
 
-// TestCancelledRecordShrinksToFit: a job whose description was written under a larger limit can
-// be cancelled under the lower one.
+// TestCancelledRecordShrinksToFit: a job whose description was written under a larger limit
+// can be cancelled under the lower one.
 func TestCancelledRecordShrinksToFit(t *testing.T) {
 	s := model.JobSpec{ID: formatTestJob, Team: "ops", Workload: "w", Tasks: 7, Need: model.Resources{CPU: 2}, Image: "img", ExpectedRunTime: time.Second}
 	for i := range 80 {
-		s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("a-flavour-with-a-long-name-%03d", i))
+		s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("a-machine-type-with-a-long-name-%03d", i))
 	}
 	r := record.NewOpenJob(&s, time.Unix(1_750_000_000, 0))
 	small := r
@@ -376,16 +385,16 @@
 	r.Cancelled, small.Cancelled = true, true
 	r.ShrinkToFit(2048)
 	if size, err := sizelimit.JSON(record.Encode(r)); err != nil || size > 2048 || r.Team != "ops" || r.Tasks != 7 || r.CPU != 2 || r.Validate() != "" {
-		t.Errorf("%d bytes, %+v", size, r)
+		t.Errorf("got %d bytes (error %v) of %+v, want a valid record of at most 2048 with its team, tasks and CPU", size, err, r)
 	}
 	if small.ShrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
-		t.Error("one that fits is shortened")
+		t.Errorf("got %+v of a record that fits, want it unchanged", small)
 	}
 }
 
-// TestValueLimitIsProbed: a record that is called malformed shows nothing of the limits, which
-// a text between them does: only that has the form change without all having said that
-// they know parts, and by a write that names the owner's share.
+// TestValueLimitIsProbed: that a record is called malformed proves nothing about the limits;
+// that a text between them is does: only that changes the format before all controllers
+// have recorded their support, by a write that compares the owner's shard.
 func TestValueLimitIsProbed(t *testing.T) {
 	for _, status := range []message.StoreStatus{message.StoreOK, message.StoreUnknown, message.StoreMalformed} {
 		n := newFormatTestController()
@@ -402,14 +411,14 @@
 			}
 		}
 		if size, err := sizelimit.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
-			t.Fatalf("the probe has %d bytes, %v", size, err)
+			t.Fatalf("got a probe of %d bytes (error %v), want more than 2048 and at most 4096", size, err)
 		}
 		n.requests.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
 		ops := formatWrites(n)
 		if changed := len(ops) > 0 && ops[0].Writes[0].Key == record.FormatKey; changed != (status == message.StoreMalformed) {
-			t.Errorf("answered %v: %+v", status, ops)
+			t.Errorf("answered %v: got writes %+v, want the format: %v", status, ops, status == message.StoreMalformed)
 		} else if changed && ops[0].Compares[0] != n.shardLeader.shardCompares("")[0] {
-			t.Errorf("it does not name the share: %+v", ops[0].Compares)
+			t.Errorf("got compares %+v, want the shard's first", ops[0].Compares)
 		}
 	}
 }
--- a/internal/controller/golden_keys_test.go
+++ b/internal/controller/golden_keys_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestGoldenKeys: keys of the state service that are made up by rules are what they ever were.
+// TestGoldenKeys: the store keys that are built by rules never change.
 func TestGoldenKeys(t *testing.T) {
 	for want, got := range map[string]string{
 		"open/~ops/":               teamPagePrefix("ops"),
@@ -13,7 +13,7 @@
 		"move/ops":                 migrationKey("ops"),
 	} {
 		if got != want {
-			t.Errorf("%q was %q", got, want)
+			t.Errorf("got key %q, want %q", got, want)
 		}
 	}
 }
