--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -10,15 +10,15 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// FuzzRecords: whatever stands in a record, nothing ends for it, no task is counted
-// twice, and what is taken in can be written again within its bound.
+// FuzzRecords: whatever a record holds, it makes no job end, no task is counted twice, and
+// what is recovered can be encoded again.
 func FuzzRecords(f *testing.F) {
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: model.Resources{CPU: 1, Memory: 1}}
 	now := time.Unix(1_750_000_000, 0)
 	f.Add(record.Encode(record.NewOpenJob(&spec, now)), record.Encode(record.TaskSegment{MachinePrefix: "vm-", DoneRanges: []int{0, 2, 1, 3}, Rows: []record.TaskEntry{{Index: 5, Try: 1, Machine: "7"}, {Index: 5, Try: 2, Machine: "8"}}, RunTimes: []int64{-1, 1 << 62}}))
 	f.Add(record.Encode(record.OpenJob{Tasks: -1}), record.Encode(record.TaskSegment{DoneRanges: []int{-5, 1 << 40}}))
 	f.Add([]byte{0xdd, 0xff}, []byte{0x81})
-	f.Fuzz(func(t *testing.T, open, chunk []byte) {
+	f.Fuzz(func(t *testing.T, open, segment []byte) {
 		n := largePool(2)
 		n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
 		n.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: open, ModRevision: 5})
@@ -27,10 +27,10 @@
 			j = n.shardLeader.addJob(spec, n.now, 5)
 		}
 		var r record.TaskSegment
-		if !record.Decode(chunk, &r) {
+		if !record.Decode(segment, &r) {
 			return
 		}
-		n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: chunk, ModRevision: 6}, &r)
+		n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: segment, ModRevision: 6}, &r)
 		n.shardLeader.failover.queueRecovered(j)
 		done := 0
 		for i := range j.tasks {
@@ -39,7 +39,7 @@
 			}
 		}
 		if done != j.doneTasks {
-			t.Fatalf("%d of its tasks are done and %d are counted", done, j.doneTasks)
+			t.Fatalf("got %d tasks counted as done, want the %d that are", j.doneTasks, done)
 		}
 		n.shardLeader.scheduler.placeAll()
 		for _, k := range sortedKeys(j.segments) {
@@ -48,7 +48,8 @@
 	})
 }
 
-// FuzzControlRecords: damaged records of the division, of nodes and of lives.
+// FuzzControlRecords: damaged records of the shard map, of controllers, of the leadership and
+// of the ranking are read without a panic.
 func FuzzControlRecords(f *testing.F) {
 	f.Add("share/a", []byte{0x80})
 	f.Add("lot/1", []byte{0x81, 0xa1, 'x', 0x01})
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -9,7 +9,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// machineWithTask gives the first machine of a pool one task that runs there.
+// machineWithTask clears the pool's jobs and gives its first machine one task, which runs
+// there.
 func machineWithTask(c *Controller) (*machine, *job) {
 	c.shardLeader.jobs = map[string]*job{}
 	for _, m := range c.shardLeader.machinesByID {
@@ -22,7 +23,8 @@
 	return m, j
 }
 
-// ask takes what the node has just asked a machine, and answers it or not.
+// answerPoll answers the poll that the controller has just sent to a machine, or with nil
+// lets it fail.
 func (c *Controller) answerPoll(t *testing.T, m *machine, r *model.Heartbeat) {
 	t.Helper()
 	for _, op := range emittedEffects[message.WorkerRequest](c) {
@@ -32,11 +34,11 @@
 			return
 		}
 	}
-	t.Fatal("the machine is not asked")
+	t.Fatalf("got no poll of %s, want one", m.id)
 }
 
-// TestCommandWithoutReply: after an order without an answer nothing more is placed on a
-// machine, though it reports; it is asked, and used again with its first answer.
+// TestCommandWithoutReply: after a command without an answer nothing more is placed on a
+// machine, though its heartbeats arrive; it is polled, and used again with its first answer.
 func TestCommandWithoutReply(t *testing.T) {
 	n := largePool(12)
 	m, _ := machineWithTask(n)
@@ -45,7 +47,7 @@
 	n.answerPoll(t, m, nil)
 	n.nextHeartbeat(0, m.lastTaskReports...)
 	if n.shardLeader.scheduler.usable(m) {
-		t.Fatal("it gets more work")
+		t.Fatal("got the machine usable without an answer, want unusable")
 	}
 	n.shardLeader.failover.contact(m)
 	n.answerPoll(t, m, nil)
@@ -54,86 +56,86 @@
 		x.lastHeard = n.now
 	}
 	if back := n.shardLeader.heartbeats.unreachableMachines(12); len(back) != 1 || back[0] != m.id {
-		t.Errorf("%v are given back, want %s", back, m.id)
+		t.Errorf("got unreachable machines %v, want %s", back, m.id)
 	}
 	n.shardLeader.failover.contact(m)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
 	n.answerPoll(t, m, r)
 	if !n.shardLeader.scheduler.usable(m) || len(n.shardLeader.heartbeats.unreachableMachines(12)) != 0 {
-		t.Error("it answers, and is not used again")
+		t.Error("got the machine unusable after its answer, want usable")
 	}
 }
 
-// TestLeaseExpiresDespiteHeartbeats: a later tenure of a machine that reports is proof for its
-// tasks and a doubt about its hearing; a report that shows a start ends the doubt.
+// TestLeaseExpiresDespiteHeartbeats: a later incarnation of a machine whose heartbeats arrive
+// proves its tasks gone, and makes it doubtful that answers reach it; a heartbeat that shows
+// a start ends the doubt.
 func TestLeaseExpiresDespiteHeartbeats(t *testing.T) {
 	n := largePool(12)
 	m, j := machineWithTask(n)
-	sendHeartbeat := func(tenure, tick uint64, tasks ...model.TaskReport) {
+	sendHeartbeat := func(incarnation, sequence uint64, tasks ...model.TaskReport) {
 		r := n.poolHeartbeat(0)
-		r.Incarnation, r.Sequence, r.Epoch, r.Tasks = tenure, tick, m.epoch, tasks
+		r.Incarnation, r.Sequence, r.Epoch, r.Tasks = incarnation, sequence, m.epoch, tasks
 		n.now = n.now.Add(3 * time.Second)
 		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	}
 	sendHeartbeat(2, m.sequence+1)
 	if j.liveTasks != 0 || n.shardLeader.scheduler.usable(m) {
-		t.Fatalf("%d tasks are live, usable %v", j.liveTasks, n.shardLeader.scheduler.usable(m))
+		t.Fatalf("got %d live tasks and usable %v, want 0 and false", j.liveTasks, n.shardLeader.scheduler.usable(m))
 	}
-	t1 := &j.tasks[0]
-	t1.attempt, t1.startSent = 2, true
+	j.tasks[0].attempt, j.tasks[0].startSent = 2, true
 	n.shardLeader.attachAttempt(j, 0, m)
 	sendHeartbeat(2, m.sequence+1, model.TaskReport{Job: j.ID, Index: 0, Attempt: 2, Status: model.Fetching})
 	if !n.shardLeader.scheduler.usable(m) {
-		t.Error("it has started what it was told to, and is not used")
+		t.Error("got the machine unusable after it started its task, want usable")
 	}
 }
 
-// TestDuplicateHeartbeats: a report that comes once more, or first of all under an epoch of before,
-// is no sign of life, no notice and no end of an attempt, orders nothing, and puts no
-// proof off.
+// TestDuplicateHeartbeats: a heartbeat that arrives once more, or whose first arrival is under
+// an earlier epoch, proves no machine alive, is no reclaim notice and no end of an attempt,
+// causes no command, and delays no proof.
 func TestDuplicateHeartbeats(t *testing.T) {
 	n := largePool(12)
 	m, j := machineWithTask(n)
-	heard, tick, end := m.lastHeard, m.sequence, m.leaseEnd
+	heard, sequence, end := m.lastHeard, m.sequence, m.leaseEnd
 	old := n.poolHeartbeat(0)
 	old.Sequence, old.Epoch, old.ReclaimIn = 1, m.epoch, time.Second
 	old.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	n.now = n.now.Add(time.Hour)
 	n.effects = nil
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *old})
-	if m.lastHeard != heard || m.sequence != tick || m.reclaimNoticed || j.doneTasks != 0 || m.leaseEnd != end {
-		t.Error("a copy counts")
+	if m.lastHeard != heard || m.sequence != sequence || m.reclaimNoticed || j.doneTasks != 0 || m.leaseEnd != end {
+		t.Error("got a copy of a heartbeat taken for new, want it ignored")
 	}
 	for _, r := range emittedEffects[message.HeartbeatReply](n) {
 		if r.Status != 503 {
-			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
+			t.Errorf("copy: got answer %d with %v, want 503", r.Status, r.Commands)
 		}
 	}
-	// One that was overtaken is waited for, and its answer counts.
+	// The worker waits for the answer to one that was overtaken, and that answer counts.
 	n.now, n.effects = m.newestMessageAt.Add(time.Second), nil
 	m.leaseEnd = n.now
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *old})
 	for _, r := range emittedEffects[message.HeartbeatReply](n) {
 		if r.Status != 200 || len(r.Commands) > 0 {
-			t.Errorf("it is answered %d with %v", r.Status, r.Commands)
+			t.Errorf("overtaken: got answer %d with %v, want 200 without commands", r.Status, r.Commands)
 		}
 	}
-	if m.leaseEnd.Before(n.renewal.leaseEndAfter(n.now)) || m.sequence != tick {
-		t.Error("its lease is prolonged, and not counted")
+	if m.leaseEnd.Before(n.renewal.leaseEndAfter(n.now)) || m.sequence != sequence {
+		t.Error("got a lease end that leaves out the answer, want it counted")
 	}
-	// A successor knows no earlier tick.
+	// A successor knows no earlier sequence.
 	n = largePool(1)
 	earlyHeartbeat := model.Heartbeat{Machine: "vm-000900", Addr: "x", MachineType: "box", Zone: "z", Incarnation: 1, Sequence: 70, Epoch: 0, ReclaimIn: time.Second}
 	earlyHeartbeat.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	m = n.shardLeader.machines[earlyHeartbeat.Machine]
 	if m.heard || m.reclaimNoticed || n.shardLeader.scheduler.usable(m) || len(m.taskReports) > 0 {
-		t.Fatal("the first report of all, of an epoch of before, counts")
+		t.Fatal("got the first heartbeat counted under an earlier epoch, want it ignored")
 	}
 	n.answerPoll(t, m, nil)
 	for range 2 {
-		// Its address does not answer, and more copies come.
+		// Its address does not answer, and more copies arrive.
 		n.now, n.effects = n.now.Add(4*time.Second), nil
 		earlyHeartbeat.Sequence++
 		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
@@ -143,18 +145,18 @@
 	n.now = n.now.Add(4 * time.Second)
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	if m.leaseEnd != end {
-		t.Error("copies put the end of its lease off")
+		t.Errorf("got lease end %v after copies, want %v", m.leaseEnd, end)
 	}
 	earlyHeartbeat.Sequence, earlyHeartbeat.Epoch = earlyHeartbeat.Sequence+1, m.epoch
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	if !m.heard || !m.reclaimNoticed {
-		t.Error("a report with this owner's epoch does not count")
+		t.Error("got a heartbeat with this owner's epoch ignored, want it counted")
 	}
 }
 
-// TestWorkerRestart: a worker that answers with less than was known has begun anew. Its
-// tasks start there again, a late report of before is told apart, and so is one that
-// only looks like its first reports.
+// TestWorkerRestart: a worker that answers with less than was known has restarted. Its tasks
+// start there again; a late heartbeat of the former worker is recognised, and so is one that
+// only resembles its first heartbeats.
 func TestWorkerRestart(t *testing.T) {
 	n := largePool(12)
 	m, j := machineWithTask(n)
@@ -162,47 +164,49 @@
 	first.Sequence, first.Epoch = 1, 0
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *first})
 	if m.restartEpoch != 0 || m.sequence == 1 {
-		t.Fatal("a copy of its first report is taken for a new beginning")
+		t.Fatal("got a copy of its first heartbeat taken for a restart, want it ignored")
 	}
 	n.effects, m.statusRequested, m.probed = nil, false, time.Time{}
 	m.rerouted = message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
 	n.shardLeader.failover.contact(m)
 	n.answerPoll(t, m, first)
 	if m.rerouted != (message.ReroutedHeartbeat{}) {
-		t.Error("what it told others before is held against its reports")
+		t.Errorf("got rerouted heartbeat %v kept after the restart, want none", m.rerouted)
 	}
 	if m.restartEpoch != m.epoch || j.liveTasks != 1 {
-		t.Fatalf("begun anew under %d, %d tasks live", m.restartEpoch, j.liveTasks)
+		t.Fatalf("got restart epoch %d with %d live tasks, want %d with 1", m.restartEpoch, j.liveTasks, m.epoch)
 	}
-	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StartTask {
-		t.Errorf("ordered %v, want its task's start", os)
+	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StartTask {
+		t.Errorf("got commands %v, want its task's start", commands)
 	}
-	// A report of before comes late, with a higher tick and without the task.
+	// A heartbeat of the former worker arrives late, with a higher sequence and without the
+	// task.
 	late := n.poolHeartbeat(0)
 	late.Sequence, late.Epoch = 900, m.epoch
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.sequence == 900 || j.liveTasks != 1 {
-		t.Error("a report of before counts")
+		t.Error("got a heartbeat of the former worker counted, want it ignored")
 	}
-	// Under a higher epoch, which only the new one can have seen, reports count again.
+	// Under a higher epoch, which only the new worker can have seen, heartbeats count again.
 	n.putSegment(t, n.settings.Host, 9, m.id)
 	n.syncShardLeader()
 	late.Sequence, late.Epoch = 5, 9
 	late.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}}
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.epoch != 9 || m.sequence != 5 {
-		t.Error("a report under the higher epoch does not count")
+		t.Errorf("got epoch %d and sequence %d, want 9 and 5 by the heartbeat under the higher epoch", m.epoch, m.sequence)
 	}
-	// A copy of before has a higher tenure, and an epoch that the worker left behind.
+	// A copy of an earlier time has a higher incarnation, and an epoch that the worker has
+	// left behind.
 	late.Incarnation, late.Sequence, late.Epoch, late.Tasks = 7, 1, 8, nil
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.incarnation == 7 || j.liveTasks != 1 {
-		t.Error("a copy of an earlier owner's time is proof of a lease that ran out")
+		t.Error("got a copy of an earlier owner's time taken as proof of an expired lease, want it ignored")
 	}
 }
 
-// TestLateSubmitReply: the answer to a submission may come after the job was cancelled and is
-// over; it does not bring the job back into the owner's books.
+// TestLateSubmitReply: the answer to a submission may arrive after the job was cancelled and
+// is over; it does not make the owner add the job again.
 func TestLateSubmitReply(t *testing.T) {
 	n := twoControllers(t)
 	n.frontend.watchCache.revision = 20
@@ -211,18 +215,18 @@
 	put := message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJob(&spec, n.now)), ModRevision: 21}
 	n.observeOwnWrite(put)
 	if n.shardLeader.jobs[spec.ID] == nil {
-		t.Fatal("a job that was just accepted is not taken up")
+		t.Fatal("got no job after its submission was accepted, want it added")
 	}
 	delete(n.shardLeader.jobs, spec.ID)
 	n.frontend.watchCache.revision = 22
 	n.observeOwnWrite(put)
 	if n.shardLeader.jobs[spec.ID] != nil {
-		t.Error("an answer that comes late brings it back")
+		t.Error("got the job added again by a late answer, want it left out")
 	}
 }
 
-// TestExpiredLeaseStartsNothing: one whose grant may have ended goes on answering its workers
-// and starts nothing, not even what is durable: its job may have been cancelled.
+// TestExpiredLeaseStartsNothing: a controller whose lease may have ended goes on answering its
+// workers and starts nothing, not even what is durable: its job may have been cancelled.
 func TestExpiredLeaseStartsNothing(t *testing.T) {
 	n := largePool(12)
 	m, j := machineWithTask(n)
@@ -235,74 +239,82 @@
 		n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 		for _, a := range emittedEffects[message.HeartbeatReply](n) {
 			if a.Status != 200 {
-				t.Fatalf("a report is answered %d", a.Status)
+				t.Fatalf("got answer %d to a heartbeat, want 200", a.Status)
 			}
 			out = append(out, a.Commands...)
 		}
 		return out
 	}
 	n.membership.leaseValidUntil = n.now.Add(-time.Second)
-	if os := sendHeartbeat(); len(os) != 0 || j.tasks[0].startSent {
-		t.Errorf("ordered %v", os)
+	if commands := sendHeartbeat(); len(commands) != 0 || j.tasks[0].startSent {
+		t.Errorf("got commands %v after the lease, want none", commands)
 	}
 	n.membership.leaseValidUntil = n.now.Add(time.Second)
-	if os := sendHeartbeat(); len(os) != 1 || os[0].Kind != model.StartTask {
-		t.Errorf("ordered %v, want its start", os)
+	if commands := sendHeartbeat(); len(commands) != 1 || commands[0].Kind != model.StartTask {
+		t.Errorf("got commands %v, want the task's start", commands)
 	}
 }
 
-// TestReroutedHeartbeats: a machine that reports to others lives and may not hear this owner: it is no
-// silent one, and gets no work. What is older, or of a time before, says nothing.
+// TestReroutedHeartbeats: a machine whose heartbeats reach other controllers is alive and may
+// not receive this owner's answers: it is not unresponsive, and gets no work. What is older,
+// or under an earlier epoch, proves nothing.
 func TestReroutedHeartbeats(t *testing.T) {
 	n := largePool(12)
 	m, _ := machineWithTask(n)
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
-	for _, x := range []message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}, {ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}, {ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}} {
-		n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
+	for _, tc := range []struct {
+		name      string
+		heartbeat message.ReroutedHeartbeat
+	}{
+		{"known sequence", message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence}},
+		{"earlier epoch", message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}},
+		{"earlier incarnation", message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation - 1, Sequence: m.sequence + 5}},
+	} {
+		n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{tc.heartbeat})
 		if !n.shardLeader.heartbeats.unresponsive(m) {
-			t.Errorf("%v is a sign of life", x)
+			t.Errorf("%s: got the machine responsive by %v, want unresponsive", tc.name, tc.heartbeat)
 		}
 	}
 	m.epoch++
 	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
 	if !n.shardLeader.heartbeats.unresponsive(m) {
-		t.Error("a report that shows no epoch of this owner's time is a sign of life")
+		t.Error("got the machine responsive by a heartbeat without an epoch of this owner's time, want unresponsive")
 	}
 	m.epoch--
 	x := message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
 	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
 	if n.shardLeader.heartbeats.unresponsive(m) || n.shardLeader.scheduler.usable(m) {
-		t.Errorf("silent %v, usable %v", n.shardLeader.heartbeats.unresponsive(m), n.shardLeader.scheduler.usable(m))
+		t.Errorf("got unresponsive %v and usable %v, want false for both", n.shardLeader.heartbeats.unresponsive(m), n.shardLeader.scheduler.usable(m))
 	}
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
 	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
 	if !n.shardLeader.heartbeats.unresponsive(m) {
-		t.Error("told again, it is a sign of life again")
+		t.Error("got the machine responsive by a repeated update, want unresponsive")
 	}
 	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == "" || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == "" {
-		t.Error("bad news is taken")
+		t.Error("got an invalid peer update accepted, want it rejected")
 	}
 }
 
-// TestHeartbeatUnderEarlierEpoch: a newer report under an epoch of before, of a machine that
-// is known, tells what was there, and not that the machine lives now.
+// TestHeartbeatUnderEarlierEpoch: a newer heartbeat under an earlier epoch, of a machine that
+// is known, says what was there, and not that the machine is alive now.
 func TestHeartbeatUnderEarlierEpoch(t *testing.T) {
 	n := largePool(12)
 	m, _ := machineWithTask(n)
-	was := m.epoch
+	earlierEpoch := m.epoch
 	n.putSegment(t, n.settings.Host, 9, m.id)
 	n.syncShardLeader()
 	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
 	n.membership.leaseValidUntil = n.now.Add(time.Second)
 	r := n.poolHeartbeat(0)
-	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, was, m.lastTaskReports
+	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, earlierEpoch, m.lastTaskReports
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	if m.sequence != r.Sequence || !n.shardLeader.heartbeats.unresponsive(m) {
-		t.Errorf("known up to tick %d, silent %v", m.sequence, n.shardLeader.heartbeats.unresponsive(m))
+		t.Errorf("got sequence %d and unresponsive %v, want %d and true", m.sequence, n.shardLeader.heartbeats.unresponsive(m), r.Sequence)
 	}
 	r.Sequence, r.Epoch = m.sequence+1, m.epoch
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	if n.shardLeader.heartbeats.unresponsive(m) {
-		t.Error("a report under the epoch of now is no sign of life")
+		t.Error("got the machine unresponsive after a heartbeat under the present epoch, want responsive")
 	}
 }
