--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -16,28 +16,28 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// hugeJobRun is an owner with one job, its machines and a state service that answers all
-// its writes at the next step, a second later.
+// hugeJobRun is a shard leader with one job, its machines, and a store that answers all its
+// writes at the next step, a tenth of a second later.
 type hugeJobRun struct {
 	controller *Controller
 	job        *job
 	reports    map[string][]model.TaskReport
 	endsAt     map[taskKey]time.Time
-	// taskDuration is how long a task takes, and tick that of the newest report.
+	// taskDuration is how long a task takes, and sequence that of the newest heartbeat.
 	taskDuration time.Duration
 	sequence     uint64
 	pending      []message.Command
 	revision     uint64
-	// stored is what stands in the state service, and the others count the writes: their
-	// changes and bytes, the most changes in one and the longest value.
+	// stored is the content of the store. The others count the transactions, their writes
+	// and bytes, the most writes in one and the longest value.
 	stored                                          map[string]message.KeyValue
 	txns, writes, bytes, maxTxnWrites, longestValue int
 }
 
 const maxHugeTasks = validate.MaxTasks
 
-// newHugeJob has a job of so many tasks accepted on so many machines, each with room for
-// eight tasks of it at a time.
+// newHugeJob submits a job of so many tasks to a shard leader of so many machines, each with
+// capacity for eight of its tasks at a time.
 func newHugeJob(tasks, machines int) *hugeJobRun {
 	n := largePool(0)
 	n.rng = rand.New(rand.NewPCG(1, 2))
@@ -64,7 +64,7 @@
 	return d
 }
 
-// handleEffects answers what the owner asks for.
+// handleEffects answers the controller's requests.
 func (d *hugeJobRun) handleEffects(out []message.Effect) {
 	for _, e := range out {
 		switch e := e.(type) {
@@ -112,7 +112,7 @@
 	}
 }
 
-// heartbeat is what a machine says now.
+// heartbeat is the next heartbeat of a machine.
 func (d *hugeJobRun) heartbeat(machine string) *model.Heartbeat {
 	d.sequence++
 	r := d.controller.poolHeartbeat(0)
@@ -125,10 +125,10 @@
 	return r
 }
 
-// runSecond plays one second, with a report of each machine.
+// runSecond simulates one second, with a heartbeat of each machine.
 func (d *hugeJobRun) runSecond() {
 	n := d.controller
-	// Ten times a second, as a busy controller steps, with a tenth of the reports each.
+	// Ten times a second, as a busy controller steps, with a tenth of the heartbeats each.
 	for part := range 10 {
 		n.now = n.now.Add(100 * time.Millisecond)
 		cmds := d.pending
@@ -148,28 +148,27 @@
 	return seconds
 }
 
-// TestHugeJobRecords: a job of tens of thousands of tasks is accepted with
-// one change, and keeps the bounds of values and transactions to its end. Its tasks share
-// their changes.
+// TestHugeJobRecords: a job of tens of thousands of tasks is accepted with one write, and
+// keeps the bounds of values and transactions to its end. Its tasks share their writes.
 func TestHugeJobRecords(t *testing.T) {
 	d := newHugeJob(20_000, 1000)
 	if d.job == nil || d.writes != 1 {
-		t.Fatalf("accepted: %v, with %d changes", d.job != nil, d.writes)
+		t.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
 	}
 	took := d.runUntilDone(1000)
 	if d.controller.shardLeader.jobs[d.job.ID] != nil {
-		t.Fatalf("%d of %d done after %d s", d.job.doneTasks, len(d.job.tasks), took)
+		t.Fatalf("got %d of %d tasks done after %d s, want all", d.job.doneTasks, len(d.job.tasks), took)
 	}
 	set := d.controller.settings
 	if d.longestValue > set.MaxValueBytes || d.maxTxnWrites > set.MaxTxnWrites || d.controller.internalErrors > 0 {
-		t.Errorf("the longest value has %d bytes, the largest transaction %d changes; %d defects", d.longestValue, d.maxTxnWrites, d.controller.internalErrors)
+		t.Errorf("got values of %d bytes, transactions of %d writes, %d internal errors; want at most %d, %d and none", d.longestValue, d.maxTxnWrites, d.controller.internalErrors, set.MaxValueBytes, set.MaxTxnWrites)
 	}
 	if d.writes > len(d.job.tasks)/10 {
-		t.Errorf("%d changes for %d tasks", d.writes, len(d.job.tasks))
+		t.Errorf("got %d writes for %d tasks, want at most a tenth", d.writes, len(d.job.tasks))
 	}
 }
 
-// storedRecords gives what stands in the state service to a successor.
+// storedRecords are the records in the store that a successor reads.
 func (d *hugeJobRun) storedRecords() (open, tasks []message.KeyValue) {
 	for _, k := range sortedKeys(d.stored) {
 		switch {
@@ -182,7 +181,7 @@
 	return open, tasks
 }
 
-// allocations counts what fn allocates.
+// allocations counts the allocations of fn.
 func allocations(fn func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -191,10 +190,9 @@
 	return after.Mallocs - before.Mallocs
 }
 
-// TestHugeJobIsLinear: a takeover of a job ten times as large costs about ten times as
-// much, and a second of it on the same machines hardly more: what is done then grows with
-// the machines. Work is counted in allocations, as time would give another verdict on
-// each machine.
+// TestHugeJobIsLinear: the takeover of a job ten times as large costs about ten times as
+// much, and a second of it on the same machines hardly more, since that work grows with the
+// machines. Work is counted in allocations, as time would differ from machine to machine.
 func TestHugeJobIsLinear(t *testing.T) {
 	const machines = 200
 	measure := func(tasks int) (second, takeover uint64) {
@@ -207,20 +205,20 @@
 		n := successor()
 		takeover = allocations(func() { n.takeOverRecords(open, items) })
 		if j := n.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
-			t.Fatal("nothing is restored")
+			t.Fatal("got no running and done tasks after the takeover, want some")
 		}
 		return second, takeover
 	}
 	s1, t1 := measure(maxHugeTasks / 10)
 	s2, t2 := measure(maxHugeTasks)
 	if s2 > 2*s1 || t2 > 12*t1 {
-		t.Errorf("a job of ten times the tasks: %d allocations a second after %d, %d for a takeover after %d", s2, s1, t2, t1)
+		t.Errorf("ten times the tasks: got %d allocations a second and %d for a takeover, want at most 2 times %d and 12 times %d", s2, t2, s1, t1)
 	}
 }
 
-// TestLongQueueIsNotMoved guards against a queue of tasks that are to begin once more that
-// is copied for each that is taken out of it: after the loss of many machines that was the
-// square of their tasks in one step.
+// TestLongQueueIsNotMoved guards against copying the queue of tasks to start again for each
+// task that is taken out of it: after the loss of many machines that cost the square of
+// their tasks in one step.
 func TestLongQueueIsNotMoved(t *testing.T) {
 	j := newJob(model.JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
 	for i := range j.tasks {
@@ -229,18 +227,18 @@
 	j.nextFresh = len(j.tasks)
 	second := &j.requeued[1]
 	if i := j.takePending(time.Time{}); i != 0 || &j.requeued[0] != second {
-		t.Errorf("task %d is next, and the others were moved: %v", i, &j.requeued[0] != second)
+		t.Errorf("got task %d, queue copied %v; want task 0, false", i, &j.requeued[0] != second)
 	}
 }
 
-// BenchmarkHugeJob is a job of the most tasks that a user may hand in, on 2,000 machines.
+// BenchmarkHugeJob is a job of the most tasks that a user may submit, on 2,000 machines.
 func BenchmarkHugeJob(b *testing.B) {
 	const machines = 2000
 	b.Run("accept", func(b *testing.B) {
 		for b.Loop() {
 			d := newHugeJob(maxHugeTasks, 0)
 			if d.job == nil || d.writes != 1 {
-				b.Fatal("not accepted")
+				b.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
 			}
 		}
 	})
@@ -252,7 +250,7 @@
 			b.StartTimer()
 			d.controller.shardLeader.scheduler.placeAll()
 			if d.job.liveTasks != 8*machines {
-				b.Fatalf("%d are placed", d.job.liveTasks)
+				b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*machines)
 			}
 		}
 	})
@@ -271,7 +269,7 @@
 			b.StartTimer()
 			d.controller.shardLeader.scheduler.placeAll()
 			if d.job.liveTasks != 8*machines {
-				b.Fatalf("%d are placed", d.job.liveTasks)
+				b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*machines)
 			}
 		}
 	})
@@ -286,7 +284,7 @@
 			runtime.ReadMemStats(&after)
 			took += d.runUntilDone(10_000)
 			if d.controller.shardLeader.jobs[d.job.ID] != nil {
-				b.Fatal("it is not done")
+				b.Fatalf("got %d of %d tasks done, want all", d.job.doneTasks, len(d.job.tasks))
 			}
 			done, txns := d.writes, d.txns
 			for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
@@ -313,7 +311,7 @@
 			n := successor()
 			n.takeOverRecords(open, tasks)
 			if n.shardLeader.jobs[d.job.ID].doneTasks == 0 {
-				b.Fatal("nothing is restored")
+				b.Fatal("got no done tasks after the takeover, want some")
 			}
 		}
 		b.ReportMetric(float64(len(tasks)), "records")
