--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -12,29 +12,29 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newOddTypesPool is an owner with machine types that leave little: one kind in two zones, one in
-// one zone, one with a small disk, and one that is offered nowhere.
+// newOddTypesPool is a shard leader with machine types that leave little choice: one in two
+// zones, one in one zone, one with a small disk, and one that is offered nowhere.
 func newOddTypesPool() *Controller {
 	n := largePool(0)
 	n.settings.Zones = []string{"a", "b"}
 	n.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
 	n.knowledge.machineTypes = map[string]model.MachineType{}
-	for _, f := range []model.MachineType{
+	for _, mt := range []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, Zones: []string{"a", "b"}},
 		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, Zones: []string{"a"}},
 		{Name: "thin", Capacity: model.Resources{CPU: 8, Memory: 16}, DiskGB: 10, Zones: []string{"b"}},
 		{Name: "gone", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400},
 	} {
-		f.ImageFetchRate, f.CostPerHour, f.SpotCostPerHour, f.ProvisioningTime = 0.4, f.Capacity.CPU/20, f.Capacity.CPU/60, 30*time.Second
-		n.knowledge.machineTypes[f.Name] = f
+		mt.ImageFetchRate, mt.CostPerHour, mt.SpotCostPerHour, mt.ProvisioningTime = 0.4, mt.Capacity.CPU/20, mt.Capacity.CPU/60, 30*time.Second
+		n.knowledge.machineTypes[mt.Name] = mt
 	}
 	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	return n
 }
 
-// submitTestJob is what a submission comes to: the records that it would write, or the answer
-// if nothing is known of the job.
+// submitTestJob submits a job, changed by change. It returns the answer, or "" without one,
+// and the records that the submission writes. Reads show that the job is unknown.
 func submitTestJob(c *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
 	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
 	change(&s)
@@ -72,31 +72,31 @@
 		change func(*model.JobSpec)
 		want   string
 	}{
-		"a zone that there is not":               {func(s *model.JobSpec) { s.Zone = "c" }, "422 a task fits no"},
-		"a flavour that there is not":            {func(s *model.JobSpec) { s.MachineTypes = []string{"huge"} }, "422 a task fits no"},
-		"a flavour that is offered nowhere":      {func(s *model.JobSpec) { s.MachineTypes = []string{"gone"} }, "422 a task fits no"},
-		"needs what is offered nowhere":          {func(s *model.JobSpec) { s.Need.GPU = 1 }, "422 a task fits no"},
-		"a flavour that is not in its zone":      {func(s *model.JobSpec) { s.MachineTypes, s.Zone = []string{"rack"}, "b" }, "422 a task fits no"},
-		"larger than what is in its zone":        {func(s *model.JobSpec) { s.Need.CPU, s.Zone = 9, "b" }, "422 a task fits no"},
-		"larger than the flavour":                {func(s *model.JobSpec) { s.Need.CPU, s.MachineTypes = 5, []string{"box"} }, "422 a task fits no"},
-		"an image larger than any disk":          {func(s *model.JobSpec) { s.ImageGB = 71 }, "422 a task fits no"},
-		"an image larger than the flavour's":     {func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = 11, []string{"thin"} }, "422 a task fits no"},
-		"fits by size and by disk, not by both":  {func(s *model.JobSpec) { s.Need.CPU, s.ImageGB = 30, 10; s.MachineTypes = []string{"box", "thin"} }, "422 a task fits no"},
-		"a team that there is not":               {func(s *model.JobSpec) { s.Team = "nobody" }, "422 unknown owner"},
-		"a task above the limit":                 {func(s *model.JobSpec) { s.Team, s.Need.CPU, s.Tasks = "lab", 32, 1; s.Need.GPU = 0 }, ""},
-		"an array above the limit":               {func(s *model.JobSpec) { s.Team, s.Tasks = "lab", 100 }, ""},
-		"replicas above the limit":               {func(s *model.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 21 }, "422 the job needs more"},
-		"replicas up to the limit":               {func(s *model.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 20 }, ""},
-		"a gang above the limit":                 {func(s *model.JobSpec) { s.Team, s.Gang, s.Tasks = "lab", true, 21 }, "422 the job needs more"},
-		"a gang apart at one place":              {func(s *model.JobSpec) { s.Gang, s.SameZone, s.SpreadZones = true, true, true }, "422 tasks that start together"},
-		"a gang apart in one zone":               {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.Zone = true, true, "a" }, "422 tasks that start together"},
-		"a gang apart on what one zone has":      {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.MachineTypes = true, true, []string{"rack"} }, "422 tasks that start together"},
-		"a gang apart that fits in one zone":     {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.Need.CPU = true, true, 20 }, "422 tasks that start together"},
-		"a gang apart":                           {func(s *model.JobSpec) { s.Gang, s.SpreadZones = true, true }, ""},
-		"a gang of one apart at one place":       {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.SameZone, s.Tasks = true, true, true, 1 }, ""},
-		"an array apart at one place":            {func(s *model.JobSpec) { s.SpreadZones, s.SameZone = true, true }, ""},
-		"one flavour that is and one that isn't": {func(s *model.JobSpec) { s.MachineTypes = []string{"box", "huge"} }, ""},
-		"too many flavours": {func(s *model.JobSpec) {
+		"an unknown zone":                                  {func(s *model.JobSpec) { s.Zone = "c" }, "422 a task fits no"},
+		"an unknown machine type":                          {func(s *model.JobSpec) { s.MachineTypes = []string{"huge"} }, "422 a task fits no"},
+		"a machine type offered nowhere":                   {func(s *model.JobSpec) { s.MachineTypes = []string{"gone"} }, "422 a task fits no"},
+		"needs what is offered nowhere":                    {func(s *model.JobSpec) { s.Need.GPU = 1 }, "422 a task fits no"},
+		"a machine type not in its zone":                   {func(s *model.JobSpec) { s.MachineTypes, s.Zone = []string{"rack"}, "b" }, "422 a task fits no"},
+		"larger than what is in its zone":                  {func(s *model.JobSpec) { s.Need.CPU, s.Zone = 9, "b" }, "422 a task fits no"},
+		"larger than the machine type":                     {func(s *model.JobSpec) { s.Need.CPU, s.MachineTypes = 5, []string{"box"} }, "422 a task fits no"},
+		"an image larger than any disk":                    {func(s *model.JobSpec) { s.ImageGB = 71 }, "422 a task fits no"},
+		"an image larger than the type's disk":             {func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = 11, []string{"thin"} }, "422 a task fits no"},
+		"fits by size and by disk, not by both":            {func(s *model.JobSpec) { s.Need.CPU, s.ImageGB = 30, 10; s.MachineTypes = []string{"box", "thin"} }, "422 a task fits no"},
+		"an unknown team":                                  {func(s *model.JobSpec) { s.Team = "nobody" }, "422 unknown owner"},
+		"a task above the limit":                           {func(s *model.JobSpec) { s.Team, s.Need.CPU, s.Tasks = "lab", 32, 1; s.Need.GPU = 0 }, ""},
+		"an array above the limit":                         {func(s *model.JobSpec) { s.Team, s.Tasks = "lab", 100 }, ""},
+		"replicas above the limit":                         {func(s *model.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 21 }, "422 the job needs more"},
+		"replicas up to the limit":                         {func(s *model.JobSpec) { s.Team, s.LongRunning, s.Tasks = "lab", true, 20 }, ""},
+		"a gang above the limit":                           {func(s *model.JobSpec) { s.Team, s.Gang, s.Tasks = "lab", true, 21 }, "422 the job needs more"},
+		"a gang spread over zones in the same zone":        {func(s *model.JobSpec) { s.Gang, s.SameZone, s.SpreadZones = true, true, true }, "422 tasks that start together"},
+		"a gang spread over zones in a given zone":         {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.Zone = true, true, "a" }, "422 tasks that start together"},
+		"a gang spread over zones on a type of one zone":   {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.MachineTypes = true, true, []string{"rack"} }, "422 tasks that start together"},
+		"a gang spread over zones that fits in one":        {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.Need.CPU = true, true, 20 }, "422 tasks that start together"},
+		"a gang spread over zones":                         {func(s *model.JobSpec) { s.Gang, s.SpreadZones = true, true }, ""},
+		"a gang of one spread over zones in the same zone": {func(s *model.JobSpec) { s.Gang, s.SpreadZones, s.SameZone, s.Tasks = true, true, true, 1 }, ""},
+		"an array spread over zones in the same zone":      {func(s *model.JobSpec) { s.SpreadZones, s.SameZone = true, true }, ""},
+		"one known and one unknown machine type":           {func(s *model.JobSpec) { s.MachineTypes = []string{"box", "huge"} }, ""},
+		"too many machine types": {func(s *model.JobSpec) {
 			for i := range 200 {
 				s.MachineTypes = append(s.MachineTypes, fmt.Sprintf("box-%030d", i))
 			}
@@ -106,26 +106,25 @@
 		t.Run(name, func(t *testing.T) {
 			got, records := submitTestJob(newOddTypesPool(), c.change)
 			if !strings.HasPrefix(got, c.want) || (c.want == "") != (got == "") || (c.want == "") != (len(records) == 1) {
-				t.Errorf("%q, %d records; want %q", got, len(records), c.want)
+				t.Errorf("got answer %q and %d records, want %q, and a record only without an answer", got, len(records), c.want)
 			}
 		})
 	}
 }
 
-// TestImageLargerThanADisk: a job whose image is larger than the disks of some kinds of
-// machines is bound to the others. Where it is placed and what is rented for it looks at
-// the kinds that it allows.
+// TestImageLargerThanADisk: a job whose image is larger than the disks of some machine types
+// is restricted to the others. Placement and scale-out look at the types that it allows.
 func TestImageLargerThanADisk(t *testing.T) {
 	for _, c := range []struct {
-		image    float64
-		flavours []string
-		want     string
+		imageGB      float64
+		machineTypes []string
+		want         string
 	}{
 		{1, nil, ""}, {10, nil, ""}, {11, nil, "box rack"}, {60, nil, "rack"}, {60, []string{"box", "rack"}, "rack"}, {5, []string{"box", "rack"}, "box rack"},
 	} {
-		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = c.image, c.flavours })
+		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = c.imageGB, c.machineTypes })
 		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != c.want {
-			t.Errorf("%v GB on %v: %+v", c.image, c.flavours, records)
+			t.Errorf("%v GB on %v: got records %+v, want one with machine types %q", c.imageGB, c.machineTypes, records, c.want)
 		}
 	}
 }
