--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -12,7 +12,7 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newDoneJobs makes jobs whose only task is done, with a record of it.
+// newDoneJobs adds jobs whose only task is done, with a durable record of it.
 func newDoneJobs(c *Controller, count int) []*job {
 	var out []*job
 	for i := range count {
@@ -24,7 +24,7 @@
 	return out
 }
 
-// sentTxns are the transactions that were sent since the last look.
+// sentTxns are the transactions that were sent since the last call.
 func sentTxns(c *Controller) []message.StoreRequest {
 	var out []message.StoreRequest
 	for _, op := range emittedEffects[message.StoreRequest](c) {
@@ -36,9 +36,9 @@
 	return out
 }
 
-// TestJobEndsShareTransaction: the ends of several jobs are one transaction, with the conditions
-// of each; when one of them was cancelled meanwhile the others are over with the next
-// write, without a read, and that one is asked about.
+// TestJobEndsShareTransaction: the ends of several jobs are one transaction, with the compares
+// of each. When one of them was cancelled meanwhile the others end with the next write,
+// without a read, and that one is read.
 func TestJobEndsShareTransaction(t *testing.T) {
 	n := largePool(4)
 	jobs := newDoneJobs(n, 3)
@@ -46,30 +46,30 @@
 	n.shardLeader.persistence.writeJobEnds()
 	ops := sentTxns(n)
 	if len(ops) != 1 || len(ops[0].Writes) != 6 {
-		t.Fatalf("three ends were sent as %+v", ops)
+		t.Fatalf("got three ends sent as %+v, want one transaction of 6 writes", ops)
 	}
 	for _, j := range jobs {
 		if !slices.Contains(ops[0].Compares, message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision}) {
-			t.Errorf("the end of %s does not name its record", j.ID)
+			t.Errorf("got compares %v, want that of the record of %s", ops[0].Compares, j.ID)
 		}
 	}
 	n.requests.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + jobs[1].ID}})
 	if jobs[0].ending || jobs[2].ending || !jobs[1].ending {
-		t.Errorf("after a conflict of the second: ending %v %v %v", jobs[0].ending, jobs[1].ending, jobs[2].ending)
+		t.Errorf("after a conflict of the second: got ending %v %v %v, want false true false", jobs[0].ending, jobs[1].ending, jobs[2].ending)
 	}
 	n.effects = nil
 	n.shardLeader.persistence.writeJobEnds()
 	if ops = sentTxns(n); len(ops) != 1 || len(ops[0].Writes) != 4 {
-		t.Fatalf("the others were sent as %+v", ops)
+		t.Fatalf("got the others sent as %+v, want one transaction of 4 writes", ops)
 	}
 	n.requests.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreOK, Revision: 300})
 	if n.frontend.finalStatuses[jobs[0].ID] != model.Done || n.frontend.finalStatuses[jobs[2].ID] != model.Done || n.frontend.finalStatuses[jobs[1].ID] == model.Done || n.shardLeader.jobs[jobs[1].ID] == nil {
-		t.Errorf("final: %v", n.frontend.finalStatuses)
+		t.Errorf("got final statuses %v, want those of the first and the third job", n.frontend.finalStatuses)
 	}
 }
 
-// TestMalformedJobEndIsWrittenAlone: a write of several ends that is called malformed is sent again
-// for each by itself, and only the one at fault waits.
+// TestMalformedJobEndIsWrittenAlone: a write of several ends that is called malformed is sent
+// again for each by itself, and only the one at fault waits.
 func TestMalformedJobEndIsWrittenAlone(t *testing.T) {
 	n := largePool(4)
 	jobs := newDoneJobs(n, 3)
@@ -79,52 +79,52 @@
 	n.shardLeader.persistence.writeJobEnds()
 	ops := sentTxns(n)
 	if len(ops) != 3 {
-		t.Fatalf("%d writes for three ends that are tried alone", len(ops))
+		t.Fatalf("got %d writes for three ends that are tried alone, want 3", len(ops))
 	}
 	n.requests.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreOK})
 	n.requests.storeCallbacks[ops[1].ID](message.StoreResponse{Status: message.StoreMalformed})
 	n.requests.storeCallbacks[ops[2].ID](message.StoreResponse{Status: message.StoreOK})
 	n.shardLeader.persistence.writeJobEnds()
 	if len(n.frontend.finalStatuses) != 2 || n.shardLeader.jobs[jobs[1].ID] == nil {
-		t.Errorf("over: %v", n.frontend.finalStatuses)
+		t.Errorf("got final statuses %v, want those of the first and the third job", n.frontend.finalStatuses)
 	}
 }
 
-// TestWritesInFlightAreBounded: the writes under way take at most half a second's part of
-// the changes, so that a hundred ends don't stand before what users wait for, and as
-// answers come the others follow.
+// TestWritesInFlightAreBounded: the writes in flight take at most half a second's share of the
+// rate, so that a hundred ends don't delay what users wait for; the others follow as answers
+// arrive.
 func TestWritesInFlightAreBounded(t *testing.T) {
 	n := largePool(4)
 	n.rateLimits.allotted = message.Rates{Requests: 20, Writes: 16}
 	newDoneJobs(n, 100)
 	n.effects = nil
-	over := 0
+	ended := 0
 	for range 200 {
 		n.shardLeader.persistence.writeJobEnds()
 		n.shardLeader.persistence.writeSegments()
-		changes := 0
+		writes := 0
 		ops := sentTxns(n)
 		for _, op := range ops {
-			changes += len(op.Writes)
+			writes += len(op.Writes)
 		}
-		if changes > 8 {
-			t.Fatalf("%d changes are under way at 16 a second", changes)
+		if writes > 8 {
+			t.Fatalf("got %d writes in flight at 16 a second, want at most 8", writes)
 		}
 		for _, op := range ops {
 			n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK})
 		}
 		n.effects = nil
-		if over = len(n.frontend.finalStatuses); over == 100 {
+		if ended = len(n.frontend.finalStatuses); ended == 100 {
 			break
 		}
 	}
-	if over < 100 || n.shardLeader.persistence.writesInFlight != 0 || n.shardLeader.persistence.txnsInFlight != 0 {
-		t.Errorf("%d of 100 are over, with %d changes of %d writes under way", over, n.shardLeader.persistence.writesInFlight, n.shardLeader.persistence.txnsInFlight)
+	if ended < 100 || n.shardLeader.persistence.writesInFlight != 0 || n.shardLeader.persistence.txnsInFlight != 0 {
+		t.Errorf("got %d of 100 jobs ended, with %d writes of %d transactions in flight; want all and none", ended, n.shardLeader.persistence.writesInFlight, n.shardLeader.persistence.txnsInFlight)
 	}
 }
 
-// TestOrphanedRecordsWaitForWrites: the records of tasks of ended jobs are not removed while changes
-// are short, unless there are more than a successor is to read, and go when they are not.
+// TestOrphanedRecordsWaitForWrites: the task records of ended jobs are not removed while the
+// rate of writes is short, unless there are more than a successor should have to read.
 func TestOrphanedRecordsWaitForWrites(t *testing.T) {
 	n := largePool(4)
 	removed := func() int {
@@ -141,14 +141,14 @@
 	}
 	n.rateLimits.writesShort = true
 	if removed() != 1 || removed() != 0 || len(n.shardLeader.persistence.orphanedRecords) != maxOrphanedRecords {
-		t.Errorf("%d records wait while changes are short", len(n.shardLeader.persistence.orphanedRecords))
+		t.Errorf("got %d records left while writes are short, want %d after one removal", len(n.shardLeader.persistence.orphanedRecords), maxOrphanedRecords)
 	}
 	n.rateLimits.writesShort = false
 	for range maxOrphanedRecords {
 		removed()
 	}
 	if len(n.shardLeader.persistence.orphanedRecords) != 0 {
-		t.Errorf("%d records are left", len(n.shardLeader.persistence.orphanedRecords))
+		t.Errorf("got %d records left, want 0", len(n.shardLeader.persistence.orphanedRecords))
 	}
 }
 
@@ -164,21 +164,21 @@
 	j.nextFresh = 1
 	n.shardLeader.scheduler.startAttempt(j, 0, n.shardLeader.machinesByID[0])
 	n.effects = nil
-	for look := 1; !j.durable(0); look++ {
-		if look > 3 {
-			t.Fatalf("the start is not written after %d looks", look-1)
+	for round := 1; !j.durable(0); round++ {
+		if round > 3 {
+			t.Fatalf("got no write of the start in %d rounds, want it within 3", round-1)
 		}
 		n.shardLeader.persistence.writeShardLeaderRecords()
 		for _, op := range sentTxns(n) {
 			for _, a := range op.Writes {
 				if a.Key != "task/starts/0" && strings.HasPrefix(a.Key, record.TaskSegmentPrefix) && a.Value != nil {
-					t.Errorf("%s is written though its job is done", a.Key)
+					t.Errorf("got %s written though its job is done, want only its end", a.Key)
 				}
 			}
 			n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 500})
 		}
 	}
-	if over := len(n.frontend.finalStatuses); over == 0 || over == 100 {
-		t.Errorf("%d of 100 ends were written meanwhile", over)
+	if ended := len(n.frontend.finalStatuses); ended == 0 || ended == 100 {
+		t.Errorf("got %d of 100 ends written meanwhile, want some and not all", ended)
 	}
 }
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maxBytesPerMachine is what the core may keep for each machine with its tasks and its part
-// of the jobs: at 2,000 machines a tenth of the smallest quota of the sites known.
+// maxBytesPerMachine is what the controller may keep for each machine with its tasks and its
+// part of the jobs: at 2,000 machines a tenth of the smallest memory quota of the known sites.
 const maxBytesPerMachine = 12 << 10
 
-// TestMemoryBySize: what the core keeps grows with the machines and stays far within the
-// quota, also while the fleet is planned and all of it reports.
+// TestMemoryBySize: the controller's memory grows with the machines and stays far within the
+// quota, also while the fleet is planned and all machines send heartbeats.
 func TestMemoryBySize(t *testing.T) {
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -30,7 +30,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			if kept := int64(after.HeapAlloc) - int64(before.HeapAlloc); kept > int64(machines)*maxBytesPerMachine {
-				t.Errorf("%d machines keep %d KB", machines, kept>>10)
+				t.Errorf("%d machines: got %d KB kept, want at most %d", machines, kept>>10, machines*maxBytesPerMachine>>10)
 			}
 			runtime.KeepAlive(n)
 		})
