--- a/internal/controller/migration_bench_test.go
+++ b/internal/controller/migration_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// BenchmarkMigrations is what moves cost an owner in half a second in which a model of a whole
-// host waits and none of three moves make room for it, with five replicas on each host
-// and as many jobs that wait for other machines.
+// BenchmarkMigrations is the cost of migrations in half a second in which a replica of a whole
+// host waits and no three moves free a host for it, with five replicas on each host and as
+// many jobs that wait for other machines.
 func BenchmarkMigrations(b *testing.B) {
 	for _, hosts := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
@@ -46,7 +46,7 @@
 				n.shardLeader.migration.tick()
 			}
 			if x := n.shardLeader.migration.state.unschedulable["job-large"]; x == nil || !x.lastTried.Equal(n.now) {
-				b.Fatal("the planner was not asked")
+				b.Fatalf("got replica state %+v, want one that was tried now", x)
 			}
 		})
 	}
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -11,8 +11,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// hostPool is an owner with three hosts of eight GPUs, of which no more can be rented. A
-// replica of half a host is on each of the first two, and one of a whole host waits.
+// hostPool is a shard leader with two hosts of eight GPUs, and no more can be rented. A replica
+// of half a host is on each, and one of a whole host waits.
 func hostPool(t *testing.T) *Controller {
 	t.Helper()
 	n := largePool(0)
@@ -41,18 +41,19 @@
 		Need: model.Resources{CPU: 8 * gpus, GPU: gpus, Memory: 64 * gpus}, Image: "img", ImageGB: 5}, c.now, 7)
 }
 
-// reportRunning has the record of a replica durable, and its machine report it.
-func (n *Controller) reportRunning(j *job, host int) {
-	for _, c := range j.segments {
-		c.persistedVersion = c.version
+// reportRunning makes the record of a replica durable, and has its machine report it.
+func (c *Controller) reportRunning(j *job, host int) {
+	for _, segment := range j.segments {
+		segment.persistedVersion = segment.version
 	}
 	j.tasks[0].startSent = true
-	r := n.hostHeartbeat(host, n.shardLeader.machinesByID[host].sequence+1)
+	r := c.hostHeartbeat(host, c.shardLeader.machinesByID[host].sequence+1)
 	r.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: j.tasks[0].attempt, Status: model.Running}}
-	n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.machinesByID[host], r, true)
+	c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.machinesByID[host], r, true)
 }
 
-// awaitMigrationWrite lets time pass until a move is to be written.
+// awaitMigrationWrite lets time pass until a migration record is to be written, and returns
+// the write.
 func (c *Controller) awaitMigrationWrite(t *testing.T) message.StoreRequest {
 	t.Helper()
 	for range 10 {
@@ -68,73 +69,74 @@
 			}
 		}
 	}
-	t.Fatal("no move is written")
+	t.Fatal("got no write of a migration record, want one")
 	return message.StoreRequest{}
 }
 
-// TestMigrationIsWrittenBeforeStop: a move's record names all that it rests on, its places are held
-// at once, and its replica is stopped when it is durable, not before.
+// TestMigrationIsWrittenBeforeStop: the write of a migration compares all that it depends on,
+// its places are held at once, and its replica is stopped when the record is durable, not
+// before.
 func TestMigrationIsWrittenBeforeStop(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
-	share := n.membership.shardMap.Team("ops")
-	for _, c := range []message.Compare{{Key: record.ShardPrefix + "a", ModRevision: share.ModRevision}, {Key: record.OpenJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
+	shard := n.membership.shardMap.Team("ops")
+	for _, c := range []message.Compare{{Key: record.ShardPrefix + "a", ModRevision: shard.ModRevision}, {Key: record.OpenJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
 		if !slices.Contains(op.Compares, c) {
-			t.Errorf("conditions %v, want %v among them", op.Compares, c)
+			t.Errorf("got compares %v, want %v among them", op.Compares, c)
 		}
 	}
 	moved := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
 	if !slices.Contains(op.Compares, message.Compare{Key: record.OpenJobPrefix + moved.Job, ModRevision: 7}) {
-		t.Errorf("conditions %v, want the moved job's", op.Compares)
+		t.Errorf("got compares %v, want that of the moved job among them", op.Compares)
 	}
 	j := n.shardLeader.jobs[moved.Job]
 	if j.tasks[0].stopReason != stopNone {
-		t.Error("stopped before its move is durable")
+		t.Errorf("got stop reason %v before the migration is durable, want none", j.tasks[0].stopReason)
 	}
 	if k := n.shardLeader.migration.reservedTasks(n.shardLeader.jobs["job-large"]); k != 1 {
-		t.Errorf("%d tasks have a place coming, want 1", k)
+		t.Errorf("got %d tasks with a reserved place, want 1", k)
 	}
 	for _, d := range n.shardLeader.fleet.demands(time.Minute, false, false) {
 		if d.job.ID == "job-large" && d.count != 0 {
-			t.Error("a machine would be rented for what moves make room for")
+			t.Errorf("got a demand of %d tasks for which the migration frees a host, want 0", d.count)
 		}
 	}
-	// Another replica is kept off the places.
+	// Another replica gets none of the held places.
 	late := n.addReplica("job-t1", 4)
 	n.shardLeader.scheduler.placeAll()
 	if late.liveTasks != 0 {
-		t.Error("another has taken a place that is held")
+		t.Errorf("got %d tasks of another job on held places, want 0", late.liveTasks)
 	}
 	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	if j.tasks[0].stopReason != stopDrain {
-		t.Error("not stopped when its move is durable")
+		t.Errorf("got stop reason %v when the migration is durable, want %v", j.tasks[0].stopReason, stopDrain)
 	}
 }
 
-// TestMigrationConflict: when something that it rests on has changed, nothing is stopped and
-// nothing stays held; without an answer it is written once more.
+// TestMigrationConflict: when something that a migration depends on has changed, nothing is
+// stopped and no place stays held; without an answer it is read and written once more.
 func TestMigrationConflict(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + "job-large"}})
 	if len(n.shardLeader.migration.state.tracker.Holds()) > 0 || n.shardLeader.machinesByID[0].reservedForMigration != (model.Resources{}) || n.shardLeader.machinesByID[1].reservedForMigration != (model.Resources{}) {
-		t.Error("places stay held")
+		t.Errorf("got holds %v after a conflict, want none", n.shardLeader.migration.state.tracker.Holds())
 	}
 	op = n.awaitMigrationWrite(t)
 	n.effects = nil
 	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreUnknown})
 	get, ok := n.effects[0].(message.StoreRequest)
 	if !ok || get.Kind != message.OpGet {
-		t.Fatalf("without an answer %v, want a reading", n.effects)
+		t.Fatalf("without an answer: got effects %v, want a read", n.effects)
 	}
 	n.requests.storeCallbacks[get.ID](message.StoreResponse{Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "move/ops", ModRevision: 33}}})
 	if op = n.awaitMigrationWrite(t); !slices.Contains(op.Compares, message.Compare{Key: "move/ops", ModRevision: 33}) {
-		t.Errorf("conditions %v, want the record's stamp", op.Compares)
+		t.Errorf("got compares %v, want the record's mod revision 33 among them", op.Compares)
 	}
 }
 
-// TestNoStopWithoutConfirmedLease: an owner whose grant may have ended stops nothing, also when the
-// answer to a write comes then.
+// TestNoStopWithoutConfirmedLease: a shard leader whose lease may have ended stops nothing,
+// also when the answer to a write arrives then.
 func TestNoStopWithoutConfirmedLease(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
@@ -142,14 +144,14 @@
 	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	for _, j := range n.shardLeader.jobs {
 		if j.tasks[0].stopReason != stopNone {
-			t.Errorf("%s is stopped", j.ID)
+			t.Errorf("%s: got stop reason %v without a confirmed lease, want none", j.ID, j.tasks[0].stopReason)
 		}
 	}
 }
 
-// TestMigrationKeepsQuota: while a replica is down for its move, others of its team leave
-// its part of the limit to it; it starts at its target, and the one that waited where it
-// was.
+// TestMigrationKeepsQuota: while a replica is down for its migration, others of its team leave
+// its part of the quota limit to it; it starts at its target, and the replica that waited
+// starts where it was.
 func TestMigrationKeepsQuota(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
@@ -160,20 +162,20 @@
 	n.shardLeader.endAttempt(j, 0, false)
 	n.settings.Teams[0].QuotaLimit = model.Resources{GPU: 13}
 	if n.shardLeader.scheduler.withinQuotaLimit(n.shardLeader.jobs["job-large"]) {
-		t.Error("another may take the room within the limit")
+		t.Error("got another replica within the quota limit, want its part reserved")
 	}
 	n.settings.Teams[0].QuotaLimit = model.Resources{}
 	n.shardLeader.scheduler.placeAll()
 	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To {
-		t.Errorf("it is on %v, want %s", j.tasks[0].machine, s.To)
+		t.Errorf("got the moved replica on %v, want %s", j.tasks[0].machine, s.To)
 	}
-	if l := n.shardLeader.jobs["job-large"]; l.tasks[0].machine != from {
-		t.Errorf("the large one is on %v, want %s", l.tasks[0].machine, s.From)
+	if large := n.shardLeader.jobs["job-large"]; large.tasks[0].machine != from {
+		t.Errorf("got the large replica on %v, want %s", large.tasks[0].machine, s.From)
 	}
 }
 
-// TestReservedMachineIsNotIdle: a machine that is empty and has a place held is neither returned nor
-// handed to another owner.
+// TestReservedMachineIsNotIdle: an empty machine with a held place is neither released nor
+// handed over to another shard.
 func TestReservedMachineIsNotIdle(t *testing.T) {
 	n := hostPool(t)
 	n.putShard(t, "b", "b", 2, false, "lab")
@@ -188,23 +190,23 @@
 		return n.shardLeader.fleet.isIdleExpired(m, n.knowledge.cheapestCPUCost()) || n.shardLeader.fleet.surplusMachines(n.shardLeader.fleet.futureFreeCapacity(), func(int) bool { return true })[m.id]
 	}
 	if !isSurplus() {
-		t.Fatal("the test shows nothing")
+		t.Fatal("got no surplus without a held place, want one: the test proves nothing")
 	}
 	m.reservedForMigration = model.Resources{GPU: 1}
 	if isSurplus() {
-		t.Error("it counts as idle")
+		t.Error("got the machine as surplus with a held place, want it kept")
 	}
 }
 
-// TestSuccessorRecoversMigrations: a successor holds the places again, with what has come of it, and
-// waits for hosts that it has not heard.
+// TestSuccessorRecoversMigrations: a successor holds the places again, as far as the migration
+// has come, and waits for hosts that it has not heard of.
 func TestSuccessorRecoversMigrations(t *testing.T) {
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	s := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
 	successor := largePool(0)
 	successor.settings.Capabilities, successor.knowledge.machineTypes = n.settings.Capabilities, n.knowledge.machineTypes
-	j, l := successor.addReplica(s.Job, 4), successor.addReplica("job-large", 8)
+	j, large := successor.addReplica(s.Job, 4), successor.addReplica("job-large", 8)
 	j.nextFresh, j.tasks[0].attempt = 1, s.Attempt
 	successor.shardLeader.attachAttempt(j, 0, successor.shardLeader.ensureMachine(s.From))
 	successor.shardLeader.ensureMachine(s.To)
@@ -215,22 +217,22 @@
 	other.nextFresh = 1
 	successor.shardLeader.heartbeats.applyHeartbeat(successor.shardLeader.ensureMachine("vm-000002"), successor.hostHeartbeat(2, 1), true)
 	successor.shardLeader.scheduler.startAttempt(other, 0, successor.shardLeader.ensureMachine("vm-000002"))
-	// It was stopped by the former owner, and its machine's owner says that it is gone.
+	// It was stopped by the predecessor, and its machine's owner says that it is gone.
 	successor.shardLeader.endAttempt(j, 0, false)
 	successor.shardLeader.scheduler.placeAll()
 	if len(successor.shardLeader.migration.state.tracker.Holds()) != 2 || j.liveTasks != 0 {
-		t.Fatalf("held: %v; live %d", successor.shardLeader.migration.state.tracker.Holds(), j.liveTasks)
+		t.Fatalf("got holds %v and %d live tasks, want 2 holds and none", successor.shardLeader.migration.state.tracker.Holds(), j.liveTasks)
 	}
 	for i := range 2 {
 		successor.shardLeader.heartbeats.applyHeartbeat(successor.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i)), successor.hostHeartbeat(i, 1), true)
 	}
 	successor.shardLeader.scheduler.placeAll()
-	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To || l.tasks[0].machine == nil || l.tasks[0].machine.id != s.From {
-		t.Errorf("on %v and %v, want %s and %s", j.tasks[0].machine, l.tasks[0].machine, s.To, s.From)
+	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To || large.tasks[0].machine == nil || large.tasks[0].machine.id != s.From {
+		t.Errorf("got the replicas on %v and %v, want %s and %s", j.tasks[0].machine, large.tasks[0].machine, s.To, s.From)
 	}
-	// One that can't be read holds nothing, and is told of.
+	// A record that can't be decoded holds nothing, and is counted as rejected.
 	successor.shardLeader.migration.recoverRecords([]string{"ops"}, []message.KeyValue{{Key: "move/ops", Value: []byte{0x81}, ModRevision: 21}})
 	if len(successor.shardLeader.migration.state.tracker.Holds()) != 0 || successor.rejectedInputs != 1 {
-		t.Errorf("held %v, complaints %d", successor.shardLeader.migration.state.tracker.Holds(), successor.rejectedInputs)
+		t.Errorf("got holds %v and %d rejected inputs, want none and 1", successor.shardLeader.migration.state.tracker.Holds(), successor.rejectedInputs)
 	}
 }
