--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -10,7 +10,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// newGPUHostPool is an owner of some eight-GPU hosts, and of plain machines if any.
+// newGPUHostPool is a shard leader of some eight-GPU hosts, and of machines without GPUs, if
+// any.
 func newGPUHostPool(hosts, plain int) *Controller {
 	n := largePool(0)
 	n.settings.Capabilities.Models = true
@@ -26,19 +27,20 @@
 	return n
 }
 
-// submitReplicas hands in a standing job of so many GPUs a replica.
+// submitReplicas submits a long-running job of so many GPUs a replica.
 func (c *Controller) submitReplicas(id, image string, gpus float64, tasks int, u model.Urgency) *job {
 	return c.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: u, Tasks: tasks,
 		Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 40 * gpus}, Image: image, ImageGB: 8})
 }
 
+// submitTestJob adds a job of team ops.
 func (c *Controller) submitTestJob(s model.JobSpec) *job {
 	s.Team = "ops"
 	j := c.shardLeader.addJob(s, c.now, 1)
 	return j
 }
 
-// advance lets time pass, in which all machines are heard and have fetched their images.
+// advance lets time pass in which all machines send heartbeats and have fetched their images.
 func (c *Controller) advance(d time.Duration) {
 	c.now = c.now.Add(d)
 	for _, m := range c.shardLeader.machinesByID {
@@ -49,19 +51,19 @@
 	}
 }
 
-// gpuHostCapacity is the room on the g8 hosts.
+// gpuHostCapacity is the free capacity of the g8 hosts.
 func (c *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
 	t.Helper()
 	rs := c.shardLeader.scheduler.gpuFreeCapacity()
 	if len(rs) != 1 || rs[0].MachineType != "g8" {
-		t.Fatalf("%+v", rs)
+		t.Fatalf("got free capacity %+v, want that of g8 alone", rs)
 	}
 	return rs[0]
 }
 
-// TestReplicasKeepHostsWhole: after replicas have gone, some hosts are whole and hold
-// images, and others have room in pieces. Small replicas that come go to the pieces, as
-// long as there are any, though they have to fetch there.
+// TestReplicasKeepHostsWhole: after replicas have ended, some hosts are empty and hold images,
+// and others are fragmented. Small replicas that arrive go to the fragments, as long as there
+// are any, though they have to fetch their images there.
 func TestReplicasKeepHostsWhole(t *testing.T) {
 	n := newGPUHostPool(6, 0)
 	fill := func(from, count, image int, gpus float64) {
@@ -75,32 +77,32 @@
 		fill(100*h, 8, h, 1)
 	}
 	if r := n.gpuHostCapacity(t); r.FreeGPUs != 0 {
-		t.Fatalf("48 replicas leave %+v", r)
+		t.Fatalf("got %+v beside 48 replicas, want no free GPUs", r)
 	}
 	for id, j := range n.shardLeader.jobs {
-		// The first three hosts go empty, and three replicas of each of the others go.
+		// All replicas of the first three hosts end, and three of each of the others.
 		if i, _ := strconv.Atoi(id[4:]); i < 300 || i%100 < 3 {
 			n.shardLeader.endAttempt(j, 0, true)
 			delete(n.shardLeader.jobs, id)
 		}
 	}
 	if r := n.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 9 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("got %+v, want 3 empty machines and 9 fragmented GPUs", r)
 	}
 	fill(1000, 3, 0, 1)
 	fill(1100, 2, 1, 1)
 	fill(1200, 1, 2, 2)
 	if r := n.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 2 {
-		t.Errorf("replicas that fit the pieces leave %+v", r)
+		t.Errorf("got %+v beside replicas that fit the fragments, want 3 empty machines and 2 fragmented GPUs", r)
 	}
 	large := n.submitReplicas("job-002000", "img-7", 8, 3, model.Normal)
 	if n.shardLeader.scheduler.placeAll(); large.liveTasks != 3 {
-		t.Errorf("%d of 3 large replicas are placed", large.liveTasks)
+		t.Errorf("got %d of 3 large replicas placed, want all", large.liveTasks)
 	}
 }
 
-// TestRoundSeesFragmentedHosts: of two kinds of replicas that are placed in one round, in turns,
-// each sees what the other has broken.
+// TestRoundSeesFragmentedHosts: of two kinds of replicas that are placed in one round, in
+// turns, each sees which hosts the other has fragmented.
 func TestRoundSeesFragmentedHosts(t *testing.T) {
 	n := newGPUHostPool(6, 0)
 	n.shardLeader.machinesByID[5].images["img-b"] = &image{sizeGB: 8, cached: true}
@@ -113,12 +115,12 @@
 	}
 	n.shardLeader.scheduler.placeAll()
 	if r := n.gpuHostCapacity(t); r.EmptyMachines != 4 || r.FragmentedGPUs != 5 {
-		t.Errorf("11 replicas on hosts of 8 GPUs leave %+v", r)
+		t.Errorf("got %+v beside 11 replicas on hosts of 8 GPUs, want 4 empty machines and 5 fragmented GPUs", r)
 	}
 }
 
-// TestWorkWithoutGPUs: it takes of a host with GPUs what no model could use, the rest
-// elsewhere; nothing else is wanted for it, and it isn't counted upon there.
+// TestWorkWithoutGPUs: work without GPUs takes of a host with GPUs what no model could use, and
+// the rest elsewhere; no such host is requested for it, and its use there does not count.
 func TestWorkWithoutGPUs(t *testing.T) {
 	n := newGPUHostPool(2, 1)
 	a := n.submitReplicas("job-000001", "img", 2, 1, model.Normal)
@@ -126,63 +128,62 @@
 	batch := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "batch", Urgency: model.BestEffort, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
 	n.advance(2 * time.Second)
 	n.shardLeader.scheduler.placeAll()
-	here := func(m *machine) model.Resources { return n.shardLeader.scheduler.nonGPUUse(m) }
+	nonGPUUse := func(m *machine) model.Resources { return n.shardLeader.scheduler.nonGPUUse(m) }
 	ms := n.shardLeader.machinesByID
-	if x, y, z := here(ms[0]).CPU, here(ms[1]).CPU, here(ms[2]).CPU; x != 16 || y != 16 || z != 32 {
-		t.Errorf("work without GPUs takes %v, %v and %v processors, want 16, 16 and 32", x, y, z)
+	if x, y, z := nonGPUUse(ms[0]).CPU, nonGPUUse(ms[1]).CPU, nonGPUUse(ms[2]).CPU; x != 16 || y != 16 || z != 32 {
+		t.Errorf("got %v, %v and %v CPUs used without GPUs, want 16, 16 and 32", x, y, z)
 	}
 	if a.liveTasks != 1 || n.gpuHostCapacity(t).EmptyMachines != 1 {
-		t.Errorf("%d live, %+v", a.liveTasks, n.gpuHostCapacity(t))
+		t.Errorf("got %d live replicas and %+v, want 1 and one empty machine", a.liveTasks, n.gpuHostCapacity(t))
 	}
 	for k := range n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil) {
 		if k.machineType == "g8" {
-			t.Error("a machine with GPUs is wanted for work without")
+			t.Errorf("got a capacity request %+v for work without GPUs, want none of g8", k)
 		}
 	}
-	if l := n.submitReplicas("job-000003", "img", 8, 1, model.Normal); true {
-		if n.advance(2 * time.Second); l.liveTasks != 0 {
-			t.Fatal("placed too soon")
-		}
-		n.shardLeader.scheduler.placeAll()
-		if l.liveTasks != 1 {
-			t.Error("a whole host has no room for a model beside other work")
-		}
+	large := n.submitReplicas("job-000003", "img", 8, 1, model.Normal)
+	if n.advance(2 * time.Second); large.liveTasks != 0 {
+		t.Fatalf("got %d replicas live before a placement round, want 0", large.liveTasks)
+	}
+	if n.shardLeader.scheduler.placeAll(); large.liveTasks != 1 {
+		t.Errorf("got %d replicas of a whole host live beside other work, want 1", large.liveTasks)
 	}
-	// What is brief and urgent takes what there is, while no replica waits.
+	// What is brief and urgent takes what is free, while no replica waits.
 	rush := n.submitTestJob(model.JobSpec{ID: "job-000004", Workload: "rush", Urgency: model.Urgent, Tasks: 2, Need: model.Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
 	n.advance(2 * time.Second)
 	if n.shardLeader.scheduler.placeAll(); rush.liveTasks != 2 {
-		t.Errorf("%d of 2 brief tasks are placed", rush.liveTasks)
+		t.Errorf("got %d of 2 brief tasks placed, want all", rush.liveTasks)
 	}
-	// The other kinds are refused: after a while it goes wherever there is room.
+	// The cloud refuses other machines: after a while the work goes wherever it fits.
 	n.advance(gpuFallbackAfter + time.Second)
 	n.shardLeader.scheduler.placeAll()
-	if here(ms[0]).CPU+here(ms[1]).CPU <= 32 {
-		t.Errorf("%d tasks wait beside free processors for good", batch.pendingTasks())
+	if nonGPUUse(ms[0]).CPU+nonGPUUse(ms[1]).CPU <= 32 {
+		t.Errorf("got %d tasks waiting beside free CPUs after %v, want more placed", batch.pendingTasks(), gpuFallbackAfter)
 	}
-	// What may go nowhere else is no matter of that.
+	// Work that fits nothing else is not restricted.
 	n = newGPUHostPool(1, 1)
 	n.submitReplicas("job-000001", "img", 1, 1, model.Normal)
 	only := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "only", Urgency: model.Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
 	if n.shardLeader.scheduler.placeAll(); only.liveTasks != 10 {
-		t.Errorf("%d of 10 tasks that fit nothing else are placed", only.liveTasks)
+		t.Errorf("got %d of 10 tasks placed that fit nothing else, want all", only.liveTasks)
 	}
 }
 
-// TestReplicaPreemptsNonGPUWork: lower work without GPUs gives way to a replica, work as
-// urgent doesn't.
+// TestReplicaPreemptsNonGPUWork: less urgent work without GPUs gives way to a replica, equally
+// urgent work does not.
 func TestReplicaPreemptsNonGPUWork(t *testing.T) {
-	for _, c := range []struct {
-		u    model.Urgency
-		want bool
-	}{{model.Urgent, true}, {model.Normal, false}} {
+	for _, tc := range []struct {
+		name    string
+		urgency model.Urgency
+		want    int
+	}{{"more urgent", model.Urgent, 4}, {"as urgent", model.Normal, 0}} {
 		n := newGPUHostPool(1, 0)
 		low := n.submitTestJob(model.JobSpec{ID: "job-000001", Workload: "batch", Urgency: model.Normal, Tasks: 5, Need: model.Resources{CPU: 12, Memory: 2}, ExpectedRunTime: time.Hour})
 		if n.shardLeader.scheduler.placeAll(); low.liveTasks != 5 {
-			t.Fatalf("%d live", low.liveTasks)
+			t.Fatalf("%s: got %d of 5 tasks placed, want all", tc.name, low.liveTasks)
 		}
 		n.advance(2 * time.Second)
-		n.submitReplicas("job-000002", "img", 8, 1, c.u)
+		n.submitReplicas("job-000002", "img", 8, 1, tc.urgency)
 		n.shardLeader.scheduler.placeAll()
 		stopped := 0
 		for i := range low.tasks {
@@ -190,14 +191,14 @@
 				stopped++
 			}
 		}
-		if want := 4; c.want && stopped != want || !c.want && stopped != 0 {
-			t.Errorf("%d tasks are stopped for a replica of urgency %d", stopped, c.u)
+		if stopped != tc.want {
+			t.Errorf("%s: got %d tasks preempted for the replica, want %d", tc.name, stopped, tc.want)
 		}
 	}
 }
 
-// BenchmarkPlacementRoundWithGPUs is a round of placing on hosts with GPUs, where replicas and work
-// without GPUs wait for which there is no room.
+// BenchmarkPlacementRoundWithGPUs is a placement round on hosts with GPUs, where replicas and
+// work without GPUs wait that fit nowhere.
 func BenchmarkPlacementRoundWithGPUs(b *testing.B) {
 	for _, hosts := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
