--- a/internal/controller/planning_pass_test.go
+++ b/internal/controller/planning_pass_test.go
@@ -8,42 +8,42 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestPlanningPassIsSliced guards against a look at the fleet that keeps reports and
-// renewals waiting: it takes several steps, ends as it would in one, and a pass
-// that is given up asks for nothing.
+// TestPlanningPassIsSliced guards against a scan of the fleet that delays heartbeats and lease
+// renewals: it takes several steps, ends as it would in one, and a pass that is given up
+// requests nothing.
 func TestPlanningPassIsSliced(t *testing.T) {
 	whole := largePool(400)
-	wants := whole.shardLeader.fleet.planScaleOut(whole.shardLeader.fleet.futureFreeCapacity(), nil)
+	requests := whole.shardLeader.fleet.planScaleOut(whole.shardLeader.fleet.futureFreeCapacity(), nil)
 	n := largePool(400)
 	n.shardLeader.fleet.planningPass = newPlanningPass(n.shardLeader.fleet.scanFleet)
 	slices := 1
 	for ; !n.shardLeader.fleet.planningPass.run(1000); slices++ {
 		if n.shardLeader.fleet.planningPass.used > 2000+len(n.shardLeader.machinesByID) {
-			t.Fatalf("a slice of 1000 units takes %d", n.shardLeader.fleet.planningPass.used)
+			t.Fatalf("got %d units in a slice of 1000, want at most %d", n.shardLeader.fleet.planningPass.used, 2000+len(n.shardLeader.machinesByID))
 		}
 		if slices > 10_000 {
-			t.Fatal("the look does not end")
+			t.Fatalf("got no end of the scan in %d slices, want one", slices)
 		}
 	}
 	if slices < 5 {
-		t.Errorf("the look took %d slices, want it divided", slices)
+		t.Errorf("got %d slices, want at least 5", slices)
 	}
-	if len(wants) == 0 || len(n.shardLeader.fleet.capacityRequests) != len(wants) {
-		t.Errorf("divided it wants %v, as a whole %v", n.shardLeader.fleet.capacityRequests, wants)
+	if len(requests) == 0 || len(n.shardLeader.fleet.capacityRequests) != len(requests) {
+		t.Errorf("got capacity requests %v in slices, want those of one step, %v", n.shardLeader.fleet.capacityRequests, requests)
 	}
 	n = largePool(400)
 	n.shardLeader.fleet.planningPass = newPlanningPass(n.shardLeader.fleet.scanFleet)
 	n.shardLeader.fleet.planningPass.run(1000)
 	n.shardLeader.endPlanningPass()
 	if n.shardLeader.fleet.capacityRequests != nil || n.shardLeader.fleet.planningPass != nil {
-		t.Errorf("a pass that was given up wants %v", n.shardLeader.fleet.capacityRequests)
+		t.Errorf("got capacity requests %v of a pass that was given up, want none", n.shardLeader.fleet.capacityRequests)
 	}
 }
 
-// TestStartNeverSent: for want of a connection it surely did not leave, so it is
-// no start on its way, and no epoch has to be raised for it.
+// TestStartNeverSent: a start that surely did not leave, for want of a connection, is not on
+// its way, and needs no epoch bump.
 func TestStartNeverSent(t *testing.T) {
-	for _, left := range []bool{true, false} {
+	for _, sent := range []bool{true, false} {
 		n := largePool(1)
 		m := n.shardLeader.machinesByID[0]
 		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
@@ -54,13 +54,13 @@
 		j.segmentOf(0).persistedVersion = j.segmentOf(0).version
 		n.shardLeader.dispatcher.dispatch(m)
 		if len(n.requests.workerCallbacks) != 1 {
-			t.Fatalf("%d orders are sent, want the start", len(n.requests.workerCallbacks))
+			t.Fatalf("got %d requests to workers, want 1 with the start", len(n.requests.workerCallbacks))
 		}
 		for id := range n.requests.workerCallbacks {
-			n.handleCommand(message.WorkerResponse{ID: id, NotSent: !left})
+			n.handleCommand(message.WorkerResponse{ID: id, NotSent: !sent})
 		}
-		if on := m.unackedStartEpoch != 0; on != left {
-			t.Errorf("left %v: a start counts as on its way: %v", left, on)
+		if got := m.unackedStartEpoch != 0; got != sent {
+			t.Errorf("sent %v: got a start on its way: %v, want %v", sent, got, sent)
 		}
 	}
 }
--- a/internal/controller/prewarmed_test.go
+++ b/internal/controller/prewarmed_test.go
@@ -8,8 +8,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// TestSuccessorRecoversCachedImages guards against fetches, after the end of all
-// controllers, of images that the machines hold.
+// TestSuccessorRecoversCachedImages guards against fetching images again that the machines
+// have, after all controllers have ended.
 func TestSuccessorRecoversCachedImages(t *testing.T) {
 	n := largePool(300)
 	for i, m := range n.shardLeader.machinesByID {
@@ -24,14 +24,14 @@
 	for from := 0; from < len(n.shardLeader.machinesByID); records++ {
 		var r record.Prewarmed
 		r, from = n.shardLeader.persistence.nextPrewarmedRecord(from)
-		val := record.Encode(r)
-		if len(val) > n.settings.MaxValueBytes {
-			t.Errorf("a record of %d bytes", len(val))
+		value := record.Encode(r)
+		if len(value) > n.settings.MaxValueBytes {
+			t.Errorf("got a record of %d bytes, want at most %d", len(value), n.settings.MaxValueBytes)
 		}
-		successor.shardLeader.persistence.applyPrewarmedRecord(message.KeyValue{Value: val})
+		successor.shardLeader.persistence.applyPrewarmedRecord(message.KeyValue{Value: value})
 	}
 	if records < 1 || records > 4 {
-		t.Errorf("%d records for 300 machines", records)
+		t.Errorf("got %d records for 300 machines, want 1 to 4", records)
 	}
 	for i := range 300 {
 		r := n.poolHeartbeat(i)
@@ -39,7 +39,7 @@
 		successor.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 		im := m.images[fmt.Sprintf("img-%02d", i%20)]
 		if im == nil || !im.cached || im.sizeGB != 1.5 || len(m.images) != 1 {
-			t.Fatalf("%s holds %v", r.Machine, m.images)
+			t.Fatalf("%s: got images %v, want img-%02d alone, cached, of 1.5 GB", r.Machine, m.images, i%20)
 		}
 	}
 }
