--- a/internal/controller/promises_test.go
+++ b/internal/controller/promises_test.go
@@ -13,8 +13,8 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// newPromisingNode is an owner with promises on, and a book for its team.
-func newPromisingNode(t *testing.T) (*Controller, string) {
+// newPromisingController is a shard leader with promises on, and pages for its team.
+func newPromisingController(t *testing.T) (*Controller, string) {
 	t.Helper()
 	n := largePool(4)
 	n.settings.Capabilities = Capabilities{Promises: true, PromiseFraction: 0.95}
@@ -24,23 +24,23 @@
 	return n, team
 }
 
-// TestUnreadableDates: where the newest date of a job may stand in a page that can't be
-// read, its owner decides none, its end carries none, and none is told.
+// TestUnreadableDates: where the newest date of a job may be in a page that can't be read, its
+// owner decides none, its end carries none, and none is answered.
 func TestUnreadableDates(t *testing.T) {
-	n, team := newPromisingNode(t)
+	n, team := newPromisingController(t)
 	m := &n.frontend.watchCache
 	m.openJobs = map[string]openJob{}
 	if !n.promises.applyPage(&m.promisePages, message.KeyValue{Key: teamPagePrefix(team) + "0", ModRevision: 9, Value: []byte("x")}) {
-		t.Fatal("a page is taken for a job")
+		t.Fatal("got a page taken for a job, want it applied as a page")
 	}
 	jobs := map[string]*job{}
-	for id, stamp := range map[string]uint64{"job-old": 5, "job-new": 12} {
+	for id, modRevision := range map[string]uint64{"job-old": 5, "job-new": 12} {
 		spec := model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Hour}
 		rec := record.NewOpenJob(&spec, n.now)
 		rec.PromisedMillis = 60_000
-		m.openJobs[id] = openJob{stamp, rec}
-		j := n.shardLeader.addJob(spec, n.now, stamp)
-		n.shardLeader.applyJobRecord(j, stamp, &rec)
+		m.openJobs[id] = openJob{modRevision, rec}
+		j := n.shardLeader.addJob(spec, n.now, modRevision)
+		n.shardLeader.applyJobRecord(j, modRevision, &rec)
 		jobs[id] = j
 	}
 	n.promises.recoverPages(team, jobs)
@@ -48,102 +48,106 @@
 	n.promises.tick()
 	for id, want := range map[string]bool{"job-old": false, "job-new": true} {
 		l := m.openJobs[id]
-		told, end := n.promises.durableDate(id, &l).Revision > 0, n.promises.endRecord(jobs[id])
-		if _, entered := n.shardLeader.promiseDates.pageWriters[team].Lookup(id); told != want || entered || (end.PromiseRevision > 0) != want {
-			t.Errorf("%s: told %v, entered %v, ends with %d", id, told, entered, end.PromiseRevision)
+		published, end := n.promises.durableDate(id, &l).Revision > 0, n.promises.endRecord(jobs[id])
+		if _, entered := n.shardLeader.promiseDates.pageWriters[team].Lookup(id); published != want || entered || (end.PromiseRevision > 0) != want {
+			t.Errorf("%s: got published %v, in a page %v, end with revision %d; want %v, false, and a revision: %v", id, published, entered, end.PromiseRevision, want, want)
 		}
 	}
 }
 
-// TestPageKeysOfTeamNames: a team's name may be of any characters and any length, and its pages
+// TestPageKeysOfTeamNames: a team's name may have any characters and any length, and its pages
 // are its own.
 func TestPageKeysOfTeamNames(t *testing.T) {
 	seen := map[string]bool{}
 	for _, team := range []string{"ops", "ops/1", "~ops", "ö s", strings.Repeat("ü", 90), strings.Repeat("ü", 89) + "u", "a%2F"} {
 		key := teamPagePrefix(team) + "0"
 		if seen[key] || len(key) > 130 || strings.ContainsAny(key, " \t\n") || strings.Count(key, "/") != 2 {
-			t.Errorf("%q has key %q", team, key)
+			t.Errorf("%q: got key %q, want one of its own of at most 130 bytes, two slashes and no space", team, key)
 		}
 		seen[key] = true
 	}
 }
 
-// TestKeepableDateGoesFirst: of two jobs that are as pressing, the one that can still keep its
-// date goes first; with more than a second between them, or while dates are off, it is
-// as without them.
+// TestKeepableDateGoesFirst: of two equally urgent jobs, the one that can still keep its date
+// goes first; with more than a second between them, or when no date is due, the order is as
+// without dates.
 func TestKeepableDateGoesFirst(t *testing.T) {
-	n, team := newPromisingNode(t)
+	n, team := newPromisingController(t)
 	add := func(id string, at time.Duration, date time.Duration) {
 		j := n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 100 * time.Second}, n.now.Add(at), 1)
 		j.promised = promise.Date{After: date, Revision: 1}
 	}
-	for _, c := range []struct {
+	for _, tc := range []struct {
+		name  string
 		apart time.Duration
-		late  time.Duration
+		date  time.Duration
 		want  string
 	}{
-		{0, 30 * time.Second, "b"}, {0, 300 * time.Second, "a"}, {5 * time.Second, 30 * time.Second, "a"}, {0, -time.Second, "a"},
+		{"first can't keep its date", 0, 30 * time.Second, "b"},
+		{"both can", 0, 300 * time.Second, "a"},
+		{"seconds apart", 5 * time.Second, 30 * time.Second, "a"},
+		{"no date", 0, -time.Second, "a"},
 	} {
 		clear(n.shardLeader.jobs)
-		add("a", -c.apart, c.late)
+		add("a", -tc.apart, tc.date)
 		add("b", 0, 300*time.Second)
-		if got := n.shardLeader.scheduler.jobsInQueueOrder()[0].ID; got != c.want {
-			t.Errorf("%v: %s goes first", c, got)
+		if got := n.shardLeader.scheduler.jobsInQueueOrder()[0].ID; got != tc.want {
+			t.Errorf("%s: got %s first, want %s", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestLentDates: a job is lent only when its date is durable, it keeps its first date in
-// its record, gets no new one while it is away, and the end that its peer made tells it.
+// TestLentDates: a job is lent only when its date is durable, its record keeps its first date,
+// it gets no new date while it is lent, and the end that its peer reports carries its date.
 func TestLentDates(t *testing.T) {
-	n, team := newPromisingNode(t)
+	n, team := newPromisingController(t)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	j := n.shardLeader.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
 	j.firstPromise, j.promised = time.Minute, promise.Date{After: time.Minute, Revision: 1}
 	if rec := j.currentRecord(); rec.PromisedMillis != 60_000 {
-		t.Errorf("its record has %d", rec.PromisedMillis)
+		t.Errorf("got %d ms in its record, want 60000", rec.PromisedMillis)
 	}
-	b := n.shardLeader.promiseDates.pageWriters[team]
-	b.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
+	pages := n.shardLeader.promiseDates.pageWriters[team]
+	pages.Put(promise.Entry{Job: j.ID, Date: promise.Date{After: 2 * time.Minute, Revision: 2}})
 	n.effects = nil
 	n.leader = newLeader(n)
 	if n.lending.runCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 0 {
-		t.Error("lent before its date is durable")
+		t.Error("got a write that lends it before its date is durable, want none")
 	}
-	w, _ := b.NextWrite()
-	b.MarkWritten(w, 7)
+	w, _ := pages.NextWrite()
+	pages.MarkWritten(w, 7)
 	if n.lending.runCommand(message.LoanCommand{Kind: message.LoanLend, Job: j.ID, Peer: "p", LendCount: 1}); len(sentStoreRequests(n)) != 1 {
-		t.Error("not lent")
+		t.Errorf("got %d writes that lend it when its date is durable, want 1", len(sentStoreRequests(n)))
 	}
 	j.promisedAt = n.now.Add(-time.Hour)
 	j.promised.After = time.Hour
 	n.promises.updateDate(j)
-	if !b.IsDurable(j.ID) {
-		t.Error("a new date while it is away")
+	if !pages.IsDurable(j.ID) {
+		t.Error("got a new date while it is lent, want none")
 	}
 	if err := n.frontend.watchCache.promisePages.Apply(teamPagePrefix(team)+"0", 7, w.Value); err != nil {
-		t.Fatal(err)
+		t.Fatalf("applying the page: got error %v, want none", err)
 	}
 	rec := j.currentRecord()
 	if r := n.promises.endRecordFromCache(j.ID, model.Done, &openJob{8, rec}); r.Date() != (promise.Date{After: 2 * time.Minute, Revision: 2}) || r.Team != team {
-		t.Errorf("it ends with %+v", r)
+		t.Errorf("got end %+v, want the date of 2m0s, revision 2, and team %s", r, team)
 	}
 	if r := n.promises.endRecordFromCache(j.ID, model.Cancelled, &openJob{8, rec}); r.PromiseRevision != 0 || r.Workload != "w" {
-		t.Errorf("cancelled with %+v", r)
+		t.Errorf("cancelled: got end %+v, want no date and workload w", r)
 	}
 }
 
-// TestDurableDates: a date is told by nobody, not by its owner either, before it is
-// durable, and only from then on counts the time in which no other may follow.
+// TestDurableDates: no controller answers a date before it is durable, its owner included, and
+// only from then on counts the time in which no other may follow.
 func TestDurableDates(t *testing.T) {
-	n, team := newPromisingNode(t)
+	n, team := newPromisingController(t)
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
 	m := &n.frontend.watchCache
 	spec := model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: 2000 * time.Second}
 	rec := record.NewOpenJob(&spec, n.now)
 	m.openJobs = map[string]openJob{spec.ID: {3, rec}}
 	j := n.shardLeader.addJob(spec, n.now, 3)
-	l := m.openJobs[spec.ID]
+	open := m.openJobs[spec.ID]
 	tick := func(d time.Duration) {
 		for end := n.now.Add(d); n.now.Before(end); {
 			n.now = n.now.Add(dateCheckInterval)
@@ -163,27 +167,27 @@
 		return out
 	}
 	tick(100 * time.Second)
-	if w := writes(); len(w) != 1 || j.promised.Revision != 1 || n.promises.durableDate(spec.ID, &l).Revision != 0 {
-		t.Fatalf("%d writes, revision %d, told %v", len(w), j.promised.Revision, n.promises.durableDate(spec.ID, &l))
+	if w := writes(); len(w) != 1 || j.promised.Revision != 1 || n.promises.durableDate(spec.ID, &open).Revision != 0 {
+		t.Fatalf("got %d writes, revision %d, published date %v; want 1, 1 and none", len(w), j.promised.Revision, n.promises.durableDate(spec.ID, &open))
 	}
 	op := writes()[0]
 	n.effects = nil
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: 7})
 	n.promises.applyPage(&m.promisePages, message.KeyValue{Key: op.Writes[0].Key, ModRevision: 7, Value: op.Writes[0].Value})
 	tick(promise.MinRevisionInterval - 2*dateCheckInterval)
-	if j.promised.Revision != 1 || n.promises.durableDate(spec.ID, &l).Revision != 1 {
-		t.Errorf("revision %d within a minute, told %v", j.promised.Revision, n.promises.durableDate(spec.ID, &l))
+	if j.promised.Revision != 1 || n.promises.durableDate(spec.ID, &open).Revision != 1 {
+		t.Errorf("within a minute: got revision %d, published date %v; want 1 for both", j.promised.Revision, n.promises.durableDate(spec.ID, &open))
 	}
 	tick(4 * dateCheckInterval)
-	if w := writes(); j.promised.Revision != 2 || len(w) != 1 || n.promises.durableDate(spec.ID, &l).Revision != 1 {
-		t.Errorf("revision %d, %d writes, told %v", j.promised.Revision, len(w), n.promises.durableDate(spec.ID, &l))
+	if w := writes(); j.promised.Revision != 2 || len(w) != 1 || n.promises.durableDate(spec.ID, &open).Revision != 1 {
+		t.Errorf("after a minute: got revision %d, %d writes, published date %v; want 2, 1 and revision 1", j.promised.Revision, len(w), n.promises.durableDate(spec.ID, &open))
 	}
 }
 
-// TestDateOfAnEnd: an end of which the outcome is unknown may be carried out later with
-// the date that it carries. No other date is decided after it.
+// TestDateOfAnEnd: the write of an end without an answer may be applied later, with the date
+// that it carries. No other date is decided after it.
 func TestDateOfAnEnd(t *testing.T) {
-	n, team := newPromisingNode(t)
+	n, team := newPromisingController(t)
 	n.membership.leaseValidUntil = n.now.Add(time.Hour)
 	j := n.shardLeader.addJob(model.JobSpec{ID: "job-1", Workload: "w", Team: team, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, n.now, 3)
 	j.promised, j.promisedAt = promise.Date{After: 5 * time.Minute, Revision: 1}, n.now
@@ -198,14 +202,14 @@
 		n.promises.tick()
 	}
 	if j.ending || j.promised.Revision != 1 {
-		t.Errorf("ending %v, its date is revision %d, its late end carries 1", j.ending, j.promised.Revision)
+		t.Errorf("got ending %v with date revision %d, want false with 1, which the late end carries", j.ending, j.promised.Revision)
 	}
 }
 
 // TestTotalsAreReadAgain: after a write of totals without an answer the leader reads the
-// record before it counts on: it may have been written or not.
+// record before it continues counting: it may have been written or not.
 func TestTotalsAreReadAgain(t *testing.T) {
-	n, _ := newPromisingNode(t)
+	n, _ := newPromisingController(t)
 	n.leader, n.membership.leaseValidUntil = newLeader(n), n.now.Add(time.Minute)
 	last := func() message.StoreRequest {
 		t.Helper()
@@ -215,31 +219,31 @@
 				return op
 			}
 		}
-		t.Fatal("totals are neither read nor written")
+		t.Fatal("got totals neither read nor written, want one of them")
 		return message.StoreRequest{}
 	}
-	x := &n.promises.totals
-	x.leadership, x.modRevision, x.inFlight = n.leader, 7, true
+	totals := &n.promises.totals
+	totals.leadership, totals.modRevision, totals.inFlight = n.leader, 7, true
 	n.promises.writeTotals(&promise.Totals{Revision: 5}, true)
 	n.requests.storeCallbacks[last().ID](message.StoreResponse{Status: message.StoreUnknown})
 	n.promises.totalsLoop()
 	if op := last(); op.Kind != message.OpGet {
-		t.Errorf("it goes on with %+v", op)
+		t.Errorf("got %+v after a write without an answer, want a read", op)
 	}
 }
 
-// TestTeamKeys: a record is asked for by its key in a path, where what is escaped would be
-// read as another key than the one it was written under.
+// TestTeamKeys: a record is read by its key in a URL path, where escaped characters would be
+// taken for another key than the one it was written under.
 func TestTeamKeys(t *testing.T) {
 	seen := map[string]string{}
 	for _, team := range []string{"ops", "a b", "a/b", "a%20b", "a?b", "a#b", "a.b", "~ops", "é", strings.Repeat("x", 300), ""} {
 		key := teamPagePrefix(team) + "0"
 		u, err := url.Parse("http://state/store/" + key)
 		if err != nil || u.Path != "/store/"+key || len(key) > sizelimit.MaxKeyBytes {
-			t.Errorf("%q: key %q is read as %v %v", team, key, u, err)
+			t.Errorf("%q: got key %q read as %v (error %v), want the same of at most %d bytes", team, key, u, err, sizelimit.MaxKeyBytes)
 		}
 		if other, same := seen[key]; same {
-			t.Errorf("%q and %q share the key %q", team, other, key)
+			t.Errorf("%q: got key %q of %q, want one of its own", team, key, other)
 		}
 		seen[key] = team
 	}
