--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -15,8 +15,8 @@
 	"pgregory.net/rapid"
 )
 
-// newRankedNode is an owner that follows a ranking, known as of now.
-func newRankedNode(machines int, text string) *Controller {
+// newRankedController is a shard leader that follows a ranking, known as of now.
+func newRankedController(machines int, text string) *Controller {
 	n := largePool(machines)
 	n.settings.Capabilities.Ranking = true
 	n.settings.Objectives = nil
@@ -25,14 +25,14 @@
 	return n
 }
 
-// setRanking has a ranking come with a read that began now.
-func (c *Controller) setRanking(text string, stamp uint64) {
+// setRanking applies a ranking by a read that began now.
+func (c *Controller) setRanking(text string, revision uint64) {
 	rec, err := ranking.Parse([]byte(text))
 	if err != nil {
 		panic(err)
 	}
-	rec.Revision = stamp
-	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: c.now, Revision: stamp, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: stamp}}})
+	rec.Revision = revision
+	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: c.now, Revision: revision, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: rec.Encode(), ModRevision: revision}}})
 }
 
 const (
@@ -47,6 +47,7 @@
 	return j
 }
 
+// comparedRevision is the mod revision that a transaction compares a key with, if it does.
 func comparedRevision(op *message.StoreRequest, key string) (uint64, bool) {
 	i := slices.IndexFunc(op.Compares, func(c message.Compare) bool { return c.Key == key })
 	if i < 0 {
@@ -55,20 +56,20 @@
 	return op.Compares[i].ModRevision, true
 }
 
-// TestStartsNameTheRanking: the record of a start fails when another ranking has come, and
-// what it was to begin is decided anew when that has been read, not before.
+// TestStartsNameTheRanking: the write of a start fails when another ranking was set, and what
+// it was to start is decided again when that ranking has been read, not before.
 func TestStartsNameTheRanking(t *testing.T) {
-	n := newRankedNode(1, barFirst)
+	n := newRankedController(1, barFirst)
 	foo, bar := n.addWaitingJob("job-1", "foo", 1, 20), n.addWaitingJob("job-2", "bar", 1, 20)
 	n.effects = nil
 	n.shardLeader.scheduler.placeAll()
 	n.shardLeader.persistence.writeSegments()
 	ops := sentStoreRequests(n)
 	if foo.liveTasks != 0 || bar.liveTasks != 1 || len(ops) != 1 {
-		t.Fatalf("foo has %d, bar %d places, %d writes", foo.liveTasks, bar.liveTasks, len(ops))
+		t.Fatalf("got %d live tasks of foo, %d of bar, %d writes; want 0, 1 and 1", foo.liveTasks, bar.liveTasks, len(ops))
 	}
-	if stamp, ok := comparedRevision(&ops[0], record.RankingKey); !ok || stamp != 7 {
-		t.Fatalf("the start names %v", ops[0].Compares)
+	if revision, ok := comparedRevision(&ops[0], record.RankingKey); !ok || revision != 7 {
+		t.Fatalf("got compares %v of the start, want the ranking at 7 among them", ops[0].Compares)
 	}
 	n.effects = nil
 	n.handleCommand(message.StoreResponse{ID: ops[0].ID, Status: message.StoreConflict, FailedKeys: []string{record.RankingKey}})
@@ -76,30 +77,30 @@
 	n.shardLeader.persistence.writeSegments()
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
-			t.Fatal("a start is written though the ranking is not known")
+			t.Fatalf("got %+v written while the ranking is not known, want no transaction", op)
 		}
 	}
-	// Also one that another write of the same transaction made fail; meanwhile time goes on.
+	// Also a start whose transaction failed for another write in it; meanwhile time passes.
 	n.now = n.now.Add(100 * time.Millisecond)
 	n.setRanking(fooFirst, 9)
 	n.effects = nil
 	n.shardLeader.scheduler.placeAll()
 	n.shardLeader.persistence.writeSegments()
-	some := false
+	written := false
 	for _, op := range emittedEffects[message.StoreRequest](n) {
 		if op.Kind == message.OpTxn {
-			stamp, _ := comparedRevision(&op, record.RankingKey)
-			some = some || stamp == 9
+			revision, _ := comparedRevision(&op, record.RankingKey)
+			written = written || revision == 9
 		}
 	}
-	if foo.liveTasks != 1 || bar.liveTasks != 0 || !some {
-		t.Errorf("under the new ranking foo has %d, bar %d places, written %v", foo.liveTasks, bar.liveTasks, some)
+	if foo.liveTasks != 1 || bar.liveTasks != 0 || !written {
+		t.Errorf("under the new ranking: got %d live tasks of foo, %d of bar, written %v; want 1, 0 and true", foo.liveTasks, bar.liveTasks, written)
 	}
 }
 
-// nodeWithUnsentStart is a node with a durable start that was not sent yet.
-func nodeWithUnsentStart() (*Controller, *machine, *job) {
-	n := newRankedNode(1, fooFirst)
+// controllerWithUnsentStart is a controller with a durable start that was not sent yet.
+func controllerWithUnsentStart() (*Controller, *machine, *job) {
+	n := newRankedController(1, fooFirst)
 	m := n.shardLeader.machinesByID[0]
 	j := n.addWaitingJob("job-1", "foo", 1, 1)
 	n.shardLeader.scheduler.placeAll()
@@ -108,119 +109,129 @@
 	return n, m, j
 }
 
-func countStarts(os []model.TaskCommand) int {
-	k := 0
-	for _, o := range os {
-		k += int(boolToFloat(o.Kind == model.StartTask))
+func countStarts(commands []model.TaskCommand) int {
+	starts := 0
+	for _, command := range commands {
+		if command.Kind == model.StartTask {
+			starts++
+		}
 	}
-	return k
+	return starts
 }
 
-// TestUnsentStartsAreJudgedAtDeparture: a start that is durable leaves while the ranking is
-// known as of two seconds ago, else after it was read, and none that is held in a queue.
+// TestUnsentStartsAreJudgedAtDeparture: a durable start is sent while the ranking is known as
+// of two seconds ago, or after it was read again, and none that was held up in a queue.
 func TestUnsentStartsAreJudgedAtDeparture(t *testing.T) {
-	n, m, j := nodeWithUnsentStart()
+	n, m, j := controllerWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
 	n.shardLeader.dispatcher.dispatch(m)
 	if len(n.requests.workerCallbacks) != 0 || j.tasks[0].startSent {
-		t.Fatal("a start leaves three seconds after the ranking was known")
+		t.Fatal("got a start sent three seconds after the ranking was known, want it held")
 	}
 	op := sentStoreRequests(n)[0]
 	if op.Kind != message.OpWatch || op.Key != record.ControlPrefix || op.WatchTimeout != 0 {
-		t.Fatalf("it waits for %+v", op)
+		t.Fatalf("got request %+v, want a read of ctl/", op)
 	}
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
 	n.effects = nil
 	n.shardLeader.dispatcher.dispatchAll()
 	if len(n.requests.workerCallbacks) != 1 {
-		t.Fatal("the start does not leave though the ranking is known")
+		t.Fatalf("got %d requests to workers when the ranking is known, want 1 with the start", len(n.requests.workerCallbacks))
 	}
 	w := n.effects[0].(message.WorkerRequest)
 	if _, _, late := CheckDeadline(w, n.now.Add(maxRankingStaleness+time.Millisecond)); !late {
-		t.Error("it may leave later than the ranking is known")
+		t.Error("got the start in time after the ranking's, want it late")
 	}
-	// In the answer to a report it is left out, and the lease goes on.
-	n, m, _ = nodeWithUnsentStart()
+	// In the answer to a heartbeat it is left out, and the lease is renewed.
+	n, m, _ = controllerWithUnsentStart()
 	n.now = n.now.Add(time.Second)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 5, m.epoch
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	a := n.effects[len(n.effects)-1].(message.HeartbeatReply)
 	if countStarts(a.Commands) != 1 {
-		t.Fatalf("answered %+v", a)
+		t.Fatalf("got answer %+v, want one start in it", a)
 	}
 	_, instead, late := CheckDeadline(a, n.now.Add(maxRankingStaleness))
 	if b, ok := instead.(message.HeartbeatReply); !late || !ok || b.Status != 200 || countStarts(b.Commands) != 0 {
-		t.Errorf("late it becomes %+v", instead)
+		t.Errorf("got %+v instead of the late answer, want 200 without starts", instead)
 	}
-	// It never arrived; when the machine says so, it counts as one that never left.
+	// It never arrived; when the machine's heartbeat shows that, it counts as never sent.
 	n.setRanking(barFirst, 9)
 	r.Sequence = 6
 	n.effects = nil
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 2, Heartbeat: *r})
 	for _, a := range emittedEffects[message.HeartbeatReply](n) {
 		if countStarts(a.Commands) != 0 {
-			t.Error("a start that is proven nowhere leaves under the old ranking")
+			t.Errorf("got commands %v, want no start under the former ranking that no machine has shown", a.Commands)
 		}
 	}
 }
 
-// TestHeldOfAFormerTime: a start that waited for the ranking when the owner lost its share is
-// no business of the time after: its job may not even be in the books then.
+// TestHeldOfAFormerTime: a start that waited for the ranking when its controller lost its shard
+// is not sent in a later leadership, which may not even know its job.
 func TestHeldOfAFormerTime(t *testing.T) {
-	n, m, j := nodeWithUnsentStart()
+	n, m, j := controllerWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
 	n.shardLeader.dispatcher.dispatch(m)
 	op := sentStoreRequests(n)[0]
-	again := n.shardLeader.ensureMachine("vm-again")
+	added := n.shardLeader.ensureMachine("vm-added")
 	delete(n.shardLeader.machines, m.id)
-	n.shardLeader.machinesByID = []*machine{again}
+	n.shardLeader.machinesByID = []*machine{added}
 	delete(n.shardLeader.jobs, j.ID)
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreOK, SentAt: n.now, Revision: 8})
 	n.shardLeader.dispatcher.dispatchAll()
 	if len(n.requests.workerCallbacks) != 0 {
-		t.Error("something is ordered for a machine of a former time")
+		t.Errorf("got %d requests to workers for a machine of the former leadership, want 0", len(n.requests.workerCallbacks))
 	}
 }
 
-// TestSuccessorReplansStarts: a successor orders what its ranking decided, and places anew what is
-// proven nowhere and was decided under another one. What had no answer is repeated, and
-// what perhaps never left waits for the proof.
+// TestSuccessorReplansStarts: a successor sends the starts that its ranking decided, and places
+// again what no machine has shown and another ranking decided. A start without an answer is
+// repeated, and one that perhaps was never sent waits for the proof.
 func TestSuccessorReplansStarts(t *testing.T) {
-	for _, c := range []struct {
-		rank        uint64
-		quiet, left bool
-		want        int
-		anew        bool
-	}{{7, true, false, 1, false}, {6, true, false, 0, true}, {6, false, false, 0, false}, {6, false, true, 1, false}, {6, true, true, 0, true}, {7, false, false, 1, false}} {
-		n := newRankedNode(1, fooFirst)
+	for _, tc := range []struct {
+		name            string
+		rankingRevision uint64
+		acked, sent     bool
+		wantStarts      int
+		wantPlacedAgain bool
+	}{
+		{"this ranking, all answered", 7, true, false, 1, false},
+		{"another ranking, all answered", 6, true, false, 0, true},
+		{"another ranking, perhaps sent", 6, false, false, 0, false},
+		{"another ranking, sent without an answer", 6, false, true, 1, false},
+		{"another ranking, sent and all answered", 6, true, true, 0, true},
+		{"this ranking, perhaps sent", 7, false, false, 1, false},
+	} {
+		n := newRankedController(1, fooFirst)
 		m := n.shardLeader.machinesByID[0]
 		j := n.addWaitingJob("job-1", "foo", 1, 1)
-		rec := record.TaskSegment{RankingRevision: c.rank, Rows: []record.TaskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
+		rec := record.TaskSegment{RankingRevision: tc.rankingRevision, Rows: []record.TaskEntry{{Index: 0, Try: 3, Machine: m.id, Group: n.now.UnixMilli()}}}
 		n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 2}, &rec)
-		if !c.quiet {
+		if !tc.acked {
 			m.unackedStartEpoch = m.epoch
 		}
-		j.tasks[0].startUnanswered = c.left
-		if got := countStarts(n.shardLeader.dispatcher.reconcile(m)); got != c.want {
-			t.Errorf("%+v: %d starts", c, got)
+		j.tasks[0].startUnanswered = tc.sent
+		if got := countStarts(n.shardLeader.dispatcher.reconcile(m)); got != tc.wantStarts {
+			t.Errorf("%s: got %d starts, want %d", tc.name, got, tc.wantStarts)
 		}
-		if anew := len(j.requeued) == 1; anew != c.anew {
-			t.Errorf("%+v: placed anew %v", c, anew)
+		if got := len(j.requeued) == 1; got != tc.wantPlacedAgain {
+			t.Errorf("%s: got placed again %v, want %v", tc.name, got, tc.wantPlacedAgain)
 		}
-		if proof := m.waitsForStartProof(&n.shardLeader.remoteAttempts.registry); proof != (c.want == 0 && !c.anew) {
-			t.Errorf("%+v: a higher epoch is asked for: %v", c, proof)
+		if got, want := m.waitsForStartProof(&n.shardLeader.remoteAttempts.registry), tc.wantStarts == 0 && !tc.wantPlacedAgain; got != want {
+			t.Errorf("%s: got wait for a higher epoch %v, want %v", tc.name, got, want)
 		}
-		if got := j.segmentRecord(j.segmentOf(0)).RankingRevision; got != c.rank {
-			t.Errorf("the record says %d, read as %d", got, c.rank)
+		if got := j.segmentRecord(j.segmentOf(0)).RankingRevision; got != tc.rankingRevision {
+			t.Errorf("%s: got ranking revision %d in the record, want %d as read", tc.name, got, tc.rankingRevision)
 		}
 	}
 }
 
-// TestWritersOfTheRanking: whoever sets one names the record that he saw, a leader that
-// derives one its lead and that there is none.
+// TestWritersOfTheRanking: a write of a ranking compares the record that its setter saw; that
+// of a derived one the leadership, and that there is no record.
 func TestWritersOfTheRanking(t *testing.T) {
-	n := newRankedNode(1, fooFirst)
+	n := newRankedController(1, fooFirst)
 	set := func(rev uint64) (*message.StoreRequest, *message.RankingReply) {
 		n.effects = nil
 		rec, _ := ranking.Parse([]byte(barFirst))
@@ -233,15 +244,15 @@
 		return &all[len(all)-1], nil
 	}
 	if _, r := set(6); r == nil || r.Status != 409 {
-		t.Fatalf("over another revision: %+v", r)
+		t.Fatalf("over another revision: got reply %+v, want 409", r)
 	}
 	op, _ := set(7)
-	if stamp, ok := comparedRevision(op, record.RankingKey); !ok || stamp != 7 || len(op.Writes) != 2 || op.Writes[1].Key != "ranking/8" {
-		t.Fatalf("set with %+v", op)
+	if revision, ok := comparedRevision(op, record.RankingKey); !ok || revision != 7 || len(op.Writes) != 2 || op.Writes[1].Key != "ranking/8" {
+		t.Fatalf("got write %+v, want one that compares the ranking at 7 and also writes ranking/8", op)
 	}
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict, FailedKeys: []string{record.RankingKey}})
 	if r := n.effects[len(n.effects)-1].(message.RankingReply); r.Status != 409 {
-		t.Errorf("the second of two is told %+v", r)
+		t.Errorf("the second of two: got reply %+v, want 409", r)
 	}
 	n.ranking.applyRecord(message.KeyValue{Key: record.RankingKey, Deleted: true})
 	n.leader = newLeader(n)
@@ -250,17 +261,18 @@
 	deriveRanking(n)
 	deriveRanking(n)
 	all := sentStoreRequests(n)
-	lead, a := comparedRevision(&all[0], record.LeaderKey)
-	none, b := comparedRevision(&all[0], record.RankingKey)
-	if !a || !b || lead != 5 || none != 0 || len(all) != 1 {
-		t.Errorf("%d derived with %+v", len(all), all[0].Compares)
+	leaderRevision, comparesLeader := comparedRevision(&all[0], record.LeaderKey)
+	rankingRevision, comparesRanking := comparedRevision(&all[0], record.RankingKey)
+	if !comparesLeader || !comparesRanking || leaderRevision != 5 || rankingRevision != 0 || len(all) != 1 {
+		t.Errorf("derived: got %d writes with compares %+v, want 1 with the leadership at 5 and no ranking", len(all), all[0].Compares)
 	}
 }
 
-// TestDamagedRanking: the last good one goes on to count, it is told, and writes name the
-// record that stands; without one of its own a controller looks into the history.
+// TestDamagedRanking: the last valid ranking goes on to count, the damage is reported, and
+// writes compare the record that is there; a controller without a valid ranking reads the
+// history.
 func TestDamagedRanking(t *testing.T) {
-	n := newRankedNode(1, barFirst)
+	n := newRankedController(1, barFirst)
 	foo, bar := n.addWaitingJob("job-1", "foo", 1, 1), n.addWaitingJob("job-2", "bar", 1, 1)
 	good := n.ranking.lastValid.Encode()
 	later := record.Encode(map[string]any{"v": 9, "rev": 30})
@@ -269,30 +281,30 @@
 		n.effects = nil
 		n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: uint64(20 + i), KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: b, ModRevision: uint64(20 + i)}}})
 		if n.ranking.rankOf(bar) >= n.ranking.rankOf(foo) || n.ranking.modRevision != uint64(20+i) || n.ranking.invalidReason == "" || len(n.effects) == 0 {
-			t.Errorf("damaged by %v: %d and %d, stamp %d, %d lines", b, n.ranking.rankOf(bar), n.ranking.rankOf(foo), n.ranking.modRevision, len(n.effects))
+			t.Errorf("damaged by %v: got ranks %d of bar and %d of foo, mod revision %d, reason %q, %d effects; want bar first, %d, a reason and some", b, n.ranking.rankOf(bar), n.ranking.rankOf(foo), n.ranking.modRevision, n.ranking.invalidReason, len(n.effects), 20+i)
 		}
 	}
 	if n.ranking.highestRevision != 30 {
-		t.Error("the next revision would not be above that of a later form")
+		t.Errorf("got highest revision %d, want 30, that of a later format", n.ranking.highestRevision)
 	}
 	n.ranking = rankingState{component: n.ranking.component}
 	n.effects = nil
 	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, SentAt: n.now, Revision: 40, KeyValues: []message.KeyValue{{Key: record.RankingKey, Value: later, ModRevision: 40}}})
 	all := sentStoreRequests(n)
 	if len(all) != 1 || all[0].Kind != message.OpList || all[0].Key != record.RankingHistoryPrefix {
-		t.Fatalf("asked %+v", all)
+		t.Fatalf("got requests %+v, want one list of the history", all)
 	}
 	n.handleCommand(message.StoreResponse{ID: all[0].ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "ranking/1", Value: later}, {Key: "ranking/7", Value: good}}})
 	if n.ranking.lastValid.Revision != 7 || n.ranking.rankOf(bar) >= n.ranking.rankOf(foo) {
-		t.Errorf("revision %d counts", n.ranking.lastValid.Revision)
+		t.Errorf("got revision %d as the last valid one, want 7", n.ranking.lastValid.Revision)
 	}
 }
 
-// TestRankedWorkIsNotStopped: the protocol lets urgent work take the place of lower, but
-// not of what stands before it.
+// TestRankedWorkIsNotStopped: the protocol lets urgent work preempt less urgent work, but not
+// work that is ranked before it.
 func TestRankedWorkIsNotStopped(t *testing.T) {
 	for _, text := range []string{fooFirst, barFirst} {
-		n := newRankedNode(1, text)
+		n := newRankedController(1, text)
 		m := n.shardLeader.machinesByID[0]
 		low := n.addWaitingJob("job-1", "foo", 1, 32)
 		n.shardLeader.scheduler.placeAll()
@@ -300,17 +312,17 @@
 		high.Urgency = model.Urgent
 		ts, _, ok := n.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free())
 		if ok != (text == barFirst) || low.liveTasks != 1 {
-			t.Errorf("%d victims, %v", len(ts), ok)
+			t.Errorf("got %d victims, preemption %v, %d live tasks; want preemption %v and 1", len(ts), ok, low.liveTasks, text == barFirst)
 		}
 	}
 }
 
-// TestNoLaterRankedFirst: in no round does a job get a place that would have suited one
-// that stands before it and goes on waiting.
+// TestNoLaterRankedFirst: in no round is a job placed where a job that is ranked before it, and
+// still waits, could have been placed.
 func TestNoLaterRankedFirst(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SampledFrom([]string{fooFirst, barFirst, "[[class]]\nname=\"u\"\nurgency=\"urgent\"\n[[class]]\nname=\"b\"\nworkloads=[\"ba*\"]\n"}).Draw(t, "ranking")
-		n := newRankedNode(0, text)
+		n := newRankedController(0, text)
 		n.settings.Teams = []model.Team{{Name: "ops", QuotaLimit: model.Resources{CPU: rapid.Float64Range(10, 200).Draw(t, "limit")}}}
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			r := n.poolHeartbeat(i * rapid.IntRange(1, 8).Draw(t, "kind"))
@@ -327,47 +339,47 @@
 		n.shardLeader.scheduler.placeAll()
 		for _, m := range n.shardLeader.machinesByID {
 			for k := range m.attempts {
-				l := n.shardLeader.jobs[k.job]
-				m.used = m.used.AddScaled(l.Need, -1)
-				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(l.Need, -1)
+				placed := n.shardLeader.jobs[k.job]
+				m.used = m.used.AddScaled(placed.Need, -1)
+				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(placed.Need, -1)
 				r := n.shardLeader.scheduler.newPlacementRound()
-				for _, h := range n.shardLeader.jobs {
-					if n.ranking.rankOf(h) >= n.ranking.rankOf(l) || n.shardLeader.scheduler.placeableTasks(h) == 0 || !n.shardLeader.scheduler.withinQuotaLimit(h) {
+				for _, waiting := range n.shardLeader.jobs {
+					if n.ranking.rankOf(waiting) >= n.ranking.rankOf(placed) || n.shardLeader.scheduler.placeableTasks(waiting) == 0 || !n.shardLeader.scheduler.withinQuotaLimit(waiting) {
 						continue
 					}
 					for _, s := range r.candidates {
 						if s.machine != m {
 							continue
 						}
-						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, h).rate(n, h, s); suits {
-							t.Fatalf("%s of %s, place %d, is on %s; %s of %s, place %d, waits", l.ID, l.Workload, n.ranking.rankOf(l), m.id, h.ID, h.Workload, n.ranking.rankOf(h))
+						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, waiting).rate(n, waiting, s); suits {
+							t.Fatalf("got %s of %s, rank %d, on %s while %s of %s, rank %d, waits; want the other one there", placed.ID, placed.Workload, n.ranking.rankOf(placed), m.id, waiting.ID, waiting.Workload, n.ranking.rankOf(waiting))
 						}
 					}
 				}
-				m.used = m.used.AddScaled(l.Need, 1)
-				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(l.Need, 1)
+				m.used = m.used.AddScaled(placed.Need, 1)
+				n.shardLeader.usedByTeam["ops"] = n.shardLeader.usedByTeam["ops"].AddScaled(placed.Need, 1)
 			}
 		}
 	})
 }
 
-// TestOverloadRefusesLowestRankFirst: what may wait for the state service is kept for those
-// that stand in front.
+// TestOverloadRefusesLowestRankFirst: the last of the queue for the store is kept for the jobs
+// that are ranked first.
 func TestOverloadRefusesLowestRankFirst(t *testing.T) {
-	n := newRankedNode(1, fooFirst)
+	n := newRankedController(1, fooFirst)
 	n.frontend.waitingRequests = maxWaitingRequests * 3 / 4
 	first, last := model.JobSpec{Workload: "foo", Urgency: model.Normal}, model.JobSpec{Workload: "x", Urgency: model.BestEffort}
 	if n.ranking.overloadRefuses(&first) || !n.ranking.overloadRefuses(&last) {
-		t.Error("the first is refused, or the last is not")
+		t.Errorf("got first refused %v, last refused %v; want false, true", n.ranking.overloadRefuses(&first), n.ranking.overloadRefuses(&last))
 	}
 	if n.settings.Capabilities.Ranking = false; n.ranking.overloadRefuses(&last) {
-		t.Error("refused without a ranking")
+		t.Error("got the last refused without a ranking, want it accepted")
 	}
 }
 
-// TestExplainRank: a line says what stands before a job and what would let it go.
+// TestExplainRank: a line says what is ranked before a job and what would let it start.
 func TestExplainRank(t *testing.T) {
-	n := newRankedNode(1, fooFirst)
+	n := newRankedController(1, fooFirst)
 	first := n.addWaitingJob("job-1", "foo", 2, 20)
 	n.shardLeader.scheduler.placeAll()
 	n.addWaitingJob("job-2", "bar", 3, 20)
