--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -9,20 +9,19 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// TestCancelledInManySegments: a cancelled job whose tasks stand in several records, of
-// which an earlier form did not say how many they are: a successor stops every attempt and
-// starts none again. Once the tasks had been moved to make room, the machines' books still
-// had those of the first record in the old place, and started them 90 s after the job was
-// cancelled.
+// TestCancelledInManySegments: a cancelled job's tasks are in several segments, and an earlier
+// format did not record how many tasks there are: a successor stops every attempt and starts
+// none again. When the task slice had grown, the machines still pointed into the former one
+// for the first segment's tasks, and started them 90 s after the job was cancelled.
 func TestCancelledInManySegments(t *testing.T) {
-	for _, known := range []bool{true, false} {
+	for _, countKnown := range []bool{true, false} {
 		n := largePool(24)
 		machineWithTask(n)
 		n.now = n.now.Add(n.renewal.formerOwnerGrace())
 		spec := model.JobSpec{ID: "job-000905", Workload: "w", Team: "ops", Need: model.Resources{CPU: 1, Memory: 1}}
-		per := newJob(spec, n.now, 1, 4096).tasksPerSegment
-		total := 2*per + 7
-		if known {
+		tasksPerSegment := newJob(spec, n.now, 1, 4096).tasksPerSegment
+		total := 2*tasksPerSegment + 7
+		if countKnown {
 			spec.Tasks = total
 		}
 		j := n.shardLeader.addJob(spec, n.now, 1)
@@ -31,24 +30,24 @@
 		n.shardLeader.applyJobRecord(j, 2, &rec)
 		for k := range 3 {
 			var r record.TaskSegment
-			for i := k * per; i < min(total, (k+1)*per); i++ {
+			for i := k * tasksPerSegment; i < min(total, (k+1)*tasksPerSegment); i++ {
 				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: n.shardLeader.machinesByID[i%24].id, Group: n.now.UnixMilli()})
 			}
 			n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
 		}
 		n.shardLeader.failover.queueRecovered(j)
 		if j.liveTasks != total {
-			t.Fatalf("%d attempts restored, want %d", j.liveTasks, total)
+			t.Fatalf("count known %v: got %d attempts recovered, want %d", countKnown, j.liveTasks, total)
 		}
 		for _, m := range n.shardLeader.machinesByID {
 			for k, x := range m.attempts {
 				if k.job == j.ID && (x != &j.tasks[k.index] || x.stopReason != stopCancel) {
-					t.Fatalf("tasks known %v: attempt %d on %s is not stopped", known, k.index, m.id)
+					t.Fatalf("count known %v: got attempt of task %d on %s not stopped, want it stopped", countKnown, k.index, m.id)
 				}
 			}
 			for _, o := range n.shardLeader.dispatcher.reconcile(m) {
 				if o.Kind == model.StartTask && o.Job == j.ID {
-					t.Fatalf("tasks known %v: %v is ordered", known, o)
+					t.Fatalf("count known %v: got command %v, want no start", countKnown, o)
 				}
 			}
 		}
