--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -11,33 +11,34 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// putShard writes a share into the node's picture of ctl/.
-func (c *Controller) putShard(t *testing.T, name, host string, stamp uint64, rest bool, teams ...string) {
+// putShard applies a record of a shard to the controller's shard map.
+func (c *Controller) putShard(t *testing.T, name, host string, modRevision uint64, rest bool, teams ...string) {
 	t.Helper()
 	b := record.Encode(map[string]any{"host": host, "nonce": host + "#1", "teams": teams, "rest": rest})
 	if host == c.settings.Host {
 		b = record.Encode(map[string]any{"host": host, "nonce": c.incarnation(), "teams": teams, "rest": rest})
 	}
-	if err := c.membership.shardMap.ApplyShard(name, b, stamp); err != nil {
-		t.Fatal(err)
+	if err := c.membership.shardMap.ApplyShard(name, b, modRevision); err != nil {
+		t.Fatalf("applying shard %s: got error %v, want none", name, err)
 	}
 	c.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
 }
 
-// putSegment names machines for a share.
-func (c *Controller) putSegment(t *testing.T, share string, stamp uint64, ids ...string) {
+// putSegment applies a shard segment that assigns machines to a shard.
+func (c *Controller) putSegment(t *testing.T, shard string, modRevision uint64, ids ...string) {
 	t.Helper()
-	w, some := sharding.BumpEpoch(c.requests.storeLimits(), "l"+ids[0], c.membership.shardMap.Shard(share), ids)
-	if len(some) != len(ids) {
-		t.Fatal("too many")
+	w, assigned := sharding.BumpEpoch(c.requests.storeLimits(), "l"+ids[0], c.membership.shardMap.Shard(shard), ids)
+	if len(assigned) != len(ids) {
+		t.Fatalf("got %d machines in one segment, want %d", len(assigned), len(ids))
 	}
-	if err := c.membership.shardMap.ApplySegment(w.Name, w.Value, stamp); err != nil {
-		t.Fatal(err)
+	if err := c.membership.shardMap.ApplySegment(w.Name, w.Value, modRevision); err != nil {
+		t.Fatalf("applying segment %s: got error %v, want none", w.Name, err)
 	}
 }
 
-// twoControllers is an owner with one machine of its own, and another controller's share.
+// twoControllers is a shard leader with one machine, and another controller's shard.
 func twoControllers(t *testing.T) *Controller {
+	t.Helper()
 	n := largePool(1)
 	n.settings.Teams = append(n.settings.Teams, model.Team{Name: "lab"})
 	n.putShard(t, "b", "b", 2, false, "lab")
@@ -45,41 +46,41 @@
 	return n
 }
 
-// TestLeaderUpdateMakesNoOwner: what the leader tells of a machine makes nobody its owner; a
-// record does.
+// TestLeaderUpdateMakesNoOwner: the leader's update about a machine makes no controller its
+// owner; a record does.
 func TestLeaderUpdateMakesNoOwner(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 3, "vm-000077")
 	for _, status := range []string{"running", statusComing, "booting"} {
 		n.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 5, RentalUpdates: []message.RentalUpdate{{ID: "vm-000077", Addr: "x", MachineType: "box", Zone: "z", Status: status}}})
 		if n.shardLeader.machines["vm-000077"] != nil {
-			t.Errorf("told of a %s machine of another's it is taken for its own", status)
+			t.Errorf("got another shard's %s machine as its own by an update, want it left out", status)
 		}
 	}
 	n.putSegment(t, "a", 4, "vm-000078")
 	n.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 6, RentalUpdates: []message.RentalUpdate{{ID: "vm-000078", Addr: "x", MachineType: "box", Zone: "z", Status: "running"}}})
 	if n.shardLeader.machines["vm-000078"] == nil {
-		t.Error("a machine of its own is not looked after")
+		t.Error("got a machine of its own shard left out, want it added")
 	}
 }
 
 // TestControlUpdatesInOrder: of two answers that overlap each change counts once, and an older
-// one does not undo a newer.
+// one does not undo a newer one.
 func TestControlUpdatesInOrder(t *testing.T) {
 	n := twoControllers(t)
 	n.membership.revision = 5
-	item := func(host string, stamp uint64) message.KeyValue {
-		return message.KeyValue{Key: record.ShardPrefix + "x", Value: record.Encode(map[string]any{"host": host, "nonce": "n", "teams": []string{"lab"}}), ModRevision: stamp}
+	shardRecord := func(host string, modRevision uint64) message.KeyValue {
+		return message.KeyValue{Key: record.ShardPrefix + "x", Value: record.Encode(map[string]any{"host": host, "nonce": "n", "teams": []string{"lab"}}), ModRevision: modRevision}
 	}
-	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{item("c", 7), item("d", 9)}})
-	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{item("c", 7)}})
+	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{shardRecord("c", 7), shardRecord("d", 9)}})
+	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{shardRecord("c", 7)}})
 	if s := n.membership.shardMap.Shard("x"); s.Host != "d" || n.membership.revision != 9 {
-		t.Errorf("the share is %s's as of %d, want the later holder's", s.Host, n.membership.revision)
+		t.Errorf("got shard of %s as of revision %d, want d's as of 9", s.Host, n.membership.revision)
 	}
 }
 
-// TestTakenOverMachineWithTasks: whoever had it may go on answering it, so its lease
-// is not over before that one surely stopped.
+// TestTakenOverMachineWithTasks: the former owner may go on answering the machine, so its lease
+// does not expire here before that owner surely stopped.
 func TestTakenOverMachineWithTasks(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 3, "vm-000077")
@@ -87,28 +88,28 @@
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	n.shardLeader.attachAttempt(j, 0, n.shardLeader.ownedOrRemoteMachine("vm-000077"))
 	if len(n.shardLeader.remoteAttempts.machines) != 1 || n.shardLeader.machines["vm-000077"] != nil {
-		t.Fatal("a machine of another's is not kept apart")
+		t.Fatal("got another shard's machine among its own, want a remote machine")
 	}
 	n.putSegment(t, "a", 4, "vm-000077")
 	n.syncShardLeader()
 	m := n.shardLeader.machines["vm-000077"]
 	if m == nil || len(m.attempts) != 1 || j.tasks[0].machine != m || len(n.shardLeader.remoteAttempts.machines) != 0 {
-		t.Fatal("it is not taken up with its work")
+		t.Fatal("got the machine without its attempt, want both taken over")
 	}
 	if least := n.now.Add(membershipLeaseTTL + n.renewal.grace() + n.settings.WorkerLease); m.leaseEnd.Before(least) {
-		t.Errorf("its lease counts as over after %v, want %v at least", m.leaseEnd.Sub(n.now), least.Sub(n.now))
+		t.Errorf("got the lease expired after %v, want at least %v", m.leaseEnd.Sub(n.now), least.Sub(n.now))
 	}
-	// And it goes again, with the work on it.
+	// It is given away again, with the work on it.
 	n.putSegment(t, "b", 5, "vm-000077", "vm-000079")
 	n.syncShardLeader()
 	if a := n.shardLeader.remoteAttempts.machines["vm-000077"]; a == nil || j.tasks[0].machine != a || j.liveTasks != 1 {
-		t.Error("what runs on a machine that goes is lost from the books")
+		t.Error("got the attempt on a machine that was given away dropped, want it on the remote machine")
 	}
 }
 
-// TestLeaseRestartsUnderNewEpoch: a machine that is this owner's under a new epoch may have been
-// another's in between, and one that was never heard of and has others' work may have been
-// answered by whoever had it: their leases count from the last answer that was possible.
+// TestLeaseRestartsUnderNewEpoch: a machine that is this owner's under a new epoch may have
+// been another's in between, and one without a heartbeat that has others' work may have been
+// answered by its former owner: their leases count from the last answer that was possible.
 func TestLeaseRestartsUnderNewEpoch(t *testing.T) {
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
@@ -117,16 +118,16 @@
 	n.syncShardLeader()
 	least := n.now.Add(membershipLeaseTTL + n.renewal.grace() + n.settings.WorkerLease)
 	if m.epoch != 4 || m.leaseEnd.Before(least) {
-		t.Errorf("under epoch %d its lease counts as over after %v, want %v at least", m.epoch, m.leaseEnd.Sub(n.now), least.Sub(n.now))
+		t.Errorf("got epoch %d, lease expired after %v; want 4 and at least %v", m.epoch, m.leaseEnd.Sub(n.now), least.Sub(n.now))
 	}
 	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
 	if m = n.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
-		t.Errorf("a machine with others' work: %+v", m)
+		t.Errorf("got machine %+v with others' work, want one not heard of whose lease lasts at least until %v", m, least)
 	}
 }
 
-// TestRemoteAttemptsAreLeftAlone: what runs on a machine for another controller's job is
-// not stopped before that controller has asked for it.
+// TestRemoteAttemptsAreLeftAlone: what runs on a machine for another controller's job is not
+// stopped before that controller has requested it.
 func TestRemoteAttemptsAreLeftAlone(t *testing.T) {
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
@@ -138,29 +139,30 @@
 	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	n.frontend.watchCache.asOf = n.now.Add(time.Minute)
 	n.now = n.now.Add(time.Minute)
-	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 0 {
-		t.Errorf("ordered %v", os)
+	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 0 {
+		t.Errorf("got commands %v, want none", commands)
 	}
 	if m.isEmpty() || m.othersUsed.CPU != 1 || m.hasUnknownTasks {
-		t.Errorf("it takes %v, empty %v, strays %v: want its room to be known", m.othersUsed, m.isEmpty(), m.hasUnknownTasks)
+		t.Errorf("got others' use %v, empty %v, unknown tasks %v; want 1 CPU, false and false", m.othersUsed, m.isEmpty(), m.hasUnknownTasks)
 	}
-	// Cancelled, it is stopped unasked: its job's owner may not be heard.
+	// Cancelled, it is stopped without a request: its job's owner may be unreachable.
 	rec := record.NewOpenJob(&spec, n.now)
 	rec.Cancelled = true
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
-	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
-		t.Errorf("ordered %v for a cancelled job, want a stop", os)
+	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
+		t.Errorf("for a cancelled job: got commands %v, want a stop", commands)
 	}
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
-	// Asked to stop it, it does.
+	// On request it is stopped.
 	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
-	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0].Kind != model.StopTask {
-		t.Errorf("ordered %v, want a stop", os)
+	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
+		t.Errorf("on request: got commands %v, want a stop", commands)
 	}
 }
 
-// TestCancelledWhileCheckpointing: another owner's task was told to stop with time to save, and
-// then its job is cancelled. It is ended at once, though that owner is not heard.
+// TestCancelledWhileCheckpointing: another owner's task was told to stop with time to
+// checkpoint, and then its job is cancelled. It is ended at once, though that owner is not
+// heard.
 func TestCancelledWhileCheckpointing(t *testing.T) {
 	n := twoControllers(t)
 	m := n.shardLeader.machinesByID[0]
@@ -172,32 +174,32 @@
 	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	a := remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
 	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
-	if os := n.shardLeader.dispatcher.reconcile(m); len(os) > 0 {
-		t.Errorf("ordered %v while it saves", os)
+	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) > 0 {
+		t.Errorf("while it is checkpointing: got commands %v, want none", commands)
 	}
 	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
 	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
 	want := model.TaskCommand{Kind: model.StopTask, Job: spec.ID, Attempt: 1}
-	if os := n.shardLeader.dispatcher.reconcile(m); len(os) != 1 || os[0] != want {
-		t.Errorf("ordered %+v for a cancelled job that saves, want %+v", os, want)
+	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0] != want {
+		t.Errorf("cancelled while it is checkpointing: got commands %+v, want %+v", commands, want)
 	}
 }
 
-// TestStaleTeamReadIsIgnored: what was read of a team does not count when the team was
-// another's in between, who may have written more.
+// TestStaleTeamReadIsIgnored: what was read of a team does not count when the team was another
+// shard's in between, whose leader may have written more.
 func TestStaleTeamReadIsIgnored(t *testing.T) {
 	n := twoControllers(t)
 	staleTeam := &heldTeam{holdID: 1}
 	n.shardLeader.teams["ops"] = &heldTeam{holdID: 2}
 	n.shardLeader.recoverTeams(map[string]*heldTeam{"ops": staleTeam}, nil, nil, n.now)
 	if n.shardLeader.teams["ops"].ready {
-		t.Error("an older reading makes the team ready")
+		t.Error("got the team ready by an older read, want it not ready")
 	}
 }
 
-// TestHandedOverTeamLeavesTasks: what a team that goes leaves running here takes room, though no
-// report has shown it yet, and is not told to be gone while its start may be on its
-// way.
+// TestHandedOverTeamLeavesTasks: what a team that is handed over leaves running here takes
+// capacity, though no heartbeat has shown it yet, and is not reported as gone while its start
+// may be on its way.
 func TestHandedOverTeamLeavesTasks(t *testing.T) {
 	n := twoControllers(t)
 	n.putShard(t, "a", "a", 6, true, "ops", "lab")
@@ -216,7 +218,7 @@
 	// Its start got no answer.
 	m.unackedStartEpoch, m.seenEpoch = m.epoch, m.epoch
 	if n.shardLeader.jobs[spec.ID] != nil || m.isEmpty() || m.othersUsed.CPU != 3 {
-		t.Fatalf("left behind it takes %v, empty %v", m.othersUsed, m.isEmpty())
+		t.Fatalf("got others' use %v, empty %v after the hand-over; want 3 CPU and false", m.othersUsed, m.isEmpty())
 	}
 	requests := []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
 	publishedState := func() remote.State {
@@ -228,14 +230,14 @@
 				return p.Update.RemoteStatuses[0].Attempts[0].State
 			}
 		}
-		t.Fatal("nothing is told")
+		t.Fatal("got no state published, want one")
 		return 0
 	}
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 3, m.epoch
 	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Unknown {
-		t.Errorf("told as %v while its start may be on its way", s)
+		t.Errorf("while its start may be on its way: got state %v, want %v", s, remote.Unknown)
 	}
 	// Under a higher epoch it can't be executed any more.
 	n.putSegment(t, "a", 9, m.id)
@@ -244,12 +246,12 @@
 	r.Sequence, r.Epoch = 4, m.epoch
 	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Gone {
-		t.Errorf("told as %v, want that it is gone", s)
+		t.Errorf("under a higher epoch: got state %v, want %v", s, remote.Gone)
 	}
 }
 
-// TestRemoteStateNeedsCurrentEpoch: a word about a machine counts only from its owner, under the
-// epoch of now.
+// TestRemoteStateNeedsCurrentEpoch: an update about a machine counts only from its owner, under
+// the present epoch.
 func TestRemoteStateNeedsCurrentEpoch(t *testing.T) {
 	n := twoControllers(t)
 	n.putSegment(t, "b", 5, "vm-000077")
@@ -262,10 +264,10 @@
 	publish("b", 4)
 	publish("c", 5)
 	if j.liveTasks != 1 {
-		t.Error("a word under an earlier epoch, or of another, counts")
+		t.Error("got the attempt gone by an update under an earlier epoch or of another controller, want it live")
 	}
 	publish("b", 5)
 	if j.liveTasks != 0 || j.pendingTasks() != 1 {
-		t.Error("the owner's word does not count")
+		t.Errorf("got %d live and %d pending tasks by the owner's update, want 0 and 1", j.liveTasks, j.pendingTasks())
 	}
 }
