--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -19,40 +19,39 @@
 	return emittedEffects[message.StoreRequest](c)
 }
 
-// TestMalformedIsNotResent guards against a request that the state service refuses
-// for its size or form, as often as it is sent: it eats the limit of requests, and
-// whatever waits for it waits for ever.
+// TestMalformedIsNotResent guards against sending a request again that the store refuses for
+// its size or form each time: it would use up the rate of requests, and whatever waits for it
+// would wait for ever.
 func TestMalformedIsNotResent(t *testing.T) {
 	n := largePool(0)
 	var got []message.StoreStatus
-	fn := func(d message.StoreResponse) { got = append(got, d.Status) }
-	later := func() {
+	callback := func(d message.StoreResponse) { got = append(got, d.Status) }
+	passSecond := func() {
 		n.now = n.now.Add(time.Second)
 		n.runTimers()
 	}
-	// What passes a limit does not leave.
-	n.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, fn)
-	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || n.internalErrors != 1 {
-		t.Errorf("%d requests have left, answered %v, %d defects", len(sentStoreRequests(n)), got, n.internalErrors)
+	// What exceeds a limit is not sent.
+	n.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, callback)
+	if passSecond(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || n.internalErrors != 1 {
+		t.Errorf("got %d requests sent, statuses %v, %d internal errors; want 0, malformed and 1", len(sentStoreRequests(n)), got, n.internalErrors)
 	}
-	// What is called malformed all the same is not sent again as it is, but what
-	// differs is.
+	// What the store calls malformed is not sent again as it is, but what differs is.
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 1})}}}
-	n.requests.toStore(op, fn)
+	n.requests.toStore(op, callback)
 	n.handleCommand(message.StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: message.StoreMalformed})
 	n.effects, got = nil, nil
-	n.requests.toStore(op, fn)
-	if later(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
-		t.Errorf("sent again: %v, answered %v", sentStoreRequests(n), got)
+	n.requests.toStore(op, callback)
+	if passSecond(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
+		t.Errorf("got %v sent again, statuses %v; want nothing and malformed", sentStoreRequests(n), got)
 	}
 	op.Writes = []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 2})}}
-	if n.requests.toStore(op, fn); len(sentStoreRequests(n)) != 1 {
-		t.Error("another one does not leave")
+	if n.requests.toStore(op, callback); len(sentStoreRequests(n)) != 1 {
+		t.Errorf("got %d requests of another value sent, want 1", len(sentStoreRequests(n)))
 	}
 }
 
-// TestOneMalformedSegmentAmongOthers: the tasks of a record that can't be stored are
-// put off, and those of others in the same write start.
+// TestOneMalformedSegmentAmongOthers: the tasks of a segment that can't be stored are deferred,
+// and those of others in the same write start.
 func TestOneMalformedSegmentAmongOthers(t *testing.T) {
 	n := largePool(4)
 	n.membership.leaseID = 1
@@ -69,16 +68,16 @@
 		n.effects = nil
 		n.shardLeader.persistence.writeSegments()
 		for _, op := range sentStoreRequests(n) {
-			bad := false
+			malformed := false
 			for _, a := range op.Writes {
-				bad = bad || strings.HasPrefix(a.Key, record.TaskSegmentPrefix+"job-1/")
+				malformed = malformed || strings.HasPrefix(a.Key, record.TaskSegmentPrefix+"job-1/")
 			}
 			d := message.StoreResponse{ID: op.ID, Status: message.StoreOK, Revision: 9}
-			if bad {
+			if malformed {
 				d.Status = message.StoreMalformed
 			}
 			for _, a := range op.Writes {
-				written[a.Key] = written[a.Key] || !bad
+				written[a.Key] = written[a.Key] || !malformed
 			}
 			n.handleCommand(d)
 		}
@@ -86,20 +85,20 @@
 		n.runTimers()
 	}
 	if !written["task/job-2/0"] || n.shardLeader.jobs["job-2"].liveTasks != 1 {
-		t.Error("a job has to suffer for another's record")
+		t.Errorf("got writes %v, %d live tasks of job-2; want its segment written and 1", written, n.shardLeader.jobs["job-2"].liveTasks)
 	}
 	if j := n.shardLeader.jobs["job-1"]; j.liveTasks != 0 || !j.tasks[0].notBefore.After(n.now) {
-		t.Error("what can't be stored is neither given up nor put off")
+		t.Errorf("got %d live tasks of job-1, not before %v; want 0, deferred", j.liveTasks, j.tasks[0].notBefore)
 	}
 }
 
-// TestSegmentsOfLongMachineNames: the rows of a record stay within a value however long the
-// machines' names are, as they share what they begin with.
+// TestSegmentsOfLongMachineNames: the rows of a segment stay within a value however long the
+// machines' names are, since the names' common prefix is stored once.
 func TestSegmentsOfLongMachineNames(t *testing.T) {
-	for _, value := range []int{1 << 10, 4 << 10, 16 << 10} {
+	for _, maxBytes := range []int{1 << 10, 4 << 10, 16 << 10} {
 		n := largePool(0)
-		n.settings.MaxValueBytes = value
-		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: model.Resources{CPU: 1, Memory: 1}}, n.now, 1, value)
+		n.settings.MaxValueBytes = maxBytes
+		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: model.Resources{CPU: 1, Memory: 1}}, n.now, 1, maxBytes)
 		n.shardLeader.jobs[j.ID] = j
 		for i := range j.tasksPerSegment {
 			m := n.shardLeader.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
@@ -112,29 +111,29 @@
 		}
 		r := j.segmentRecord(j.segmentOf(0))
 		size, err := sizelimit.JSON(record.Encode(r))
-		if err != nil || size > value {
-			t.Errorf("%d rows take %d bytes of %d, %v", j.tasksPerSegment, size, value, err)
+		if err != nil || size > maxBytes {
+			t.Errorf("got %d rows of %d bytes (error %v), want at most %d bytes", j.tasksPerSegment, size, err, maxBytes)
 		}
 		// A successor reads the names as they were.
 		successor := largePool(0)
-		successor.settings.MaxValueBytes = value
-		h := newJob(j.JobSpec, n.now, 1, value)
-		successor.shardLeader.jobs[h.ID] = h
+		successor.settings.MaxValueBytes = maxBytes
+		recovered := newJob(j.JobSpec, n.now, 1, maxBytes)
+		successor.shardLeader.jobs[recovered.ID] = recovered
 		var back record.TaskSegment
 		if !record.Decode(record.Encode(r), &back) {
-			t.Fatal("unreadable")
+			t.Fatal("got a record that can't be decoded, want it read")
 		}
-		successor.shardLeader.failover.recoverSegment(h, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
+		successor.shardLeader.failover.recoverSegment(recovered, message.KeyValue{Key: record.TaskSegmentPrefix + "job-1/0", ModRevision: 1}, &back)
 		for i := range j.tasksPerSegment {
-			if h.tasks[i].machine == nil || h.tasks[i].machine.id != j.tasks[i].machine.id {
-				t.Fatalf("task %d is on %v, was on %s", i, h.tasks[i].machine, j.tasks[i].machine.id)
+			if recovered.tasks[i].machine == nil || recovered.tasks[i].machine.id != j.tasks[i].machine.id {
+				t.Fatalf("task %d: got machine %v, want %s", i, recovered.tasks[i].machine, j.tasks[i].machine.id)
 			}
 		}
 	}
 }
 
-// TestCommandsAreBounded: a worker with hundreds of pieces to be cleared away is not
-// sent a body beyond the protocol's 64 KiB, and the rest follows.
+// TestCommandsAreBounded: a worker with hundreds of tasks to clear is not sent a body beyond
+// the protocol's 64 KiB, and the rest follows.
 func TestCommandsAreBounded(t *testing.T) {
 	n := largePool(1)
 	m := n.shardLeader.machinesByID[0]
@@ -158,27 +157,27 @@
 	}
 	b, err := json.Marshal(map[string]any{"epoch": 1, "orders": ws})
 	if err != nil || len(commands) == 0 || len(b) > sizelimit.MaxBodyBytes {
-		t.Errorf("%d orders in %d bytes, %v", len(commands), len(b), err)
+		t.Errorf("got %d commands in %d bytes (error %v), want some in at most %d", len(commands), len(b), err, sizelimit.MaxBodyBytes)
 	}
-	// The rest follows with the answer to the next report, which lists what is left.
+	// The rest follows with the answer to the next heartbeat, which lists what is left.
 	r.Sequence, r.Tasks = 10, r.Tasks[len(commands):]
 	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if more := n.shardLeader.dispatcher.reconcile(m); len(more) == 0 {
-		t.Error("nothing is due any more, though only a part was sent")
+		t.Error("got no commands for the rest, want some")
 	}
 }
 
-// TestDamagedRecords: a record that claims more than it holds is refused before room
-// is made for it.
+// TestDamagedRecords: a record that claims more elements than it holds is refused before
+// memory is allocated for them.
 func TestDamagedRecords(t *testing.T) {
 	long, err := msgpack.Marshal(map[string]any{"t": []int{1}})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding: got error %v, want none", err)
 	}
-	// The list says that it has four thousand million elements.
-	bad := append(slices.Clone(long[:3]), 0xdd, 0xff, 0xff, 0xff, 0xff)
+	// The list claims to have four thousand million elements.
+	damaged := append(slices.Clone(long[:3]), 0xdd, 0xff, 0xff, 0xff, 0xff)
 	var r record.TaskSegment
-	if record.Decode(bad, &r) {
-		t.Error("a damaged record is read")
+	if record.Decode(damaged, &r) {
+		t.Errorf("got damaged record decoded as %+v, want it refused", r)
 	}
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -12,8 +12,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// predecessorRecords is what a successor finds in the state service: some machines, each
-// with three tasks of a job of sixty.
+// predecessorRecords is what a successor finds in the store: some machines, each with three
+// tasks of a job of sixty.
 func predecessorRecords(machines int) (open, tasks []message.KeyValue) {
 	const each, size = 3, 60
 	for k := 0; k*size < machines*each; k++ {
@@ -35,7 +35,7 @@
 	return open, tasks
 }
 
-// successor is an owner that has read nothing yet.
+// successor is a shard leader that has read nothing yet.
 func successor() *Controller {
 	n := largePool(0)
 	n.shardLeader.ready, n.shardLeader.readyAt = false, time.Time{}
@@ -44,18 +44,17 @@
 	return n
 }
 
-// takeOverRecords lets an owner take over what was read.
+// takeOverRecords lets a shard leader take over what was read.
 func (c *Controller) takeOverRecords(open, tasks []message.KeyValue) {
-	m := &c.frontend.watchCache
-	m.openJobs = map[string]openJob{}
-	for _, it := range open {
-		applyOpenJobRecord(m.openJobs, it)
+	cache := &c.frontend.watchCache
+	cache.openJobs = map[string]openJob{}
+	for _, kv := range open {
+		applyOpenJobRecord(cache.openJobs, kv)
 	}
 	c.shardLeader.recoverTeams(map[string]*heldTeam{"ops": c.shardLeader.teams["ops"]}, tasks, nil, c.now)
 }
 
-// BenchmarkTakeover is what a successor does between its last read and its first
-// answer.
+// BenchmarkTakeover is the work of a successor between its last read and its first answer.
 func BenchmarkTakeover(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -68,7 +67,7 @@
 	}
 }
 
-// BenchmarkFirstHeartbeat is the first report of each machine after a takeover.
+// BenchmarkFirstHeartbeat is the first heartbeat of each machine after a takeover.
 func BenchmarkFirstHeartbeat(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -89,6 +88,7 @@
 	}
 }
 
+// firstHeartbeat handles the first heartbeat of the pool's machine i, with all its tasks.
 func firstHeartbeat(c *Controller, i int) {
 	r := c.poolHeartbeat(i)
 	for k, t := range c.shardLeader.ensureMachine(r.Machine).attempts {
@@ -98,8 +98,8 @@
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 }
 
-// BenchmarkStep is a step with one poll and one submission in it, in which nothing
-// else is due: what users wait for.
+// BenchmarkStep is a step with one query and one submission in it, in which nothing else is
+// due: what users wait for.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestTakeoverStaysWithinMemory: ten thousand machines with thirty thousand tasks,
-// read, restored and heard, take a bounded part of what a controller of such a size
-// is given, and what is built up for a moment is no multiple of it.
+// TestTakeoverStaysWithinMemory: ten thousand machines with thirty thousand tasks, read,
+// recovered and heard, take a bounded part of the memory that a controller of such a size
+// gets, and what is allocated for a moment is no multiple of it.
 func TestTakeoverStaysWithinMemory(t *testing.T) {
 	const machines = 10_000
 	open, tasks := predecessorRecords(machines)
@@ -150,14 +150,14 @@
 	kept := (after.HeapAlloc - before.HeapAlloc) >> 20
 	t.Logf("%d MB kept, %d MB allocated in all", kept, churned)
 	if len(n.shardLeader.machinesByID) != machines || len(n.shardLeader.jobs) != 500 {
-		t.Fatalf("%d machines and %d jobs are restored", len(n.shardLeader.machinesByID), len(n.shardLeader.jobs))
+		t.Fatalf("got %d machines and %d jobs recovered, want 10000 and 500", len(n.shardLeader.machinesByID), len(n.shardLeader.jobs))
 	}
 	// A controller with 256 MB leaves 150 to Go's heap.
 	if kept > 75 {
-		t.Errorf("%d MB are kept for %d machines, want no more than half of a heap of 150", kept, machines)
+		t.Errorf("got %d MB kept for %d machines, want at most 75, half of a heap of 150", kept, machines)
 	}
 	if churned > 300 {
-		t.Errorf("%d MB are allocated on the way", churned)
+		t.Errorf("got %d MB allocated in all, want at most 300", churned)
 	}
 	runtime.KeepAlive(n)
 }
