--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -10,7 +10,7 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// addJobOn gives a new job one task, ordered to start on a machine.
+// addJobOn adds a job with one task whose start was sent to a machine.
 func (c *Controller) addJobOn(id string, m *machine) *job {
 	j := c.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
@@ -18,7 +18,7 @@
 	return j
 }
 
-// nextHeartbeat is the next report of machine i, as if it had started nothing.
+// nextHeartbeat applies the next heartbeat of machine i, which lists these tasks alone.
 func (c *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
 	m := c.shardLeader.machinesByID[i]
 	r := c.poolHeartbeat(i)
@@ -27,8 +27,8 @@
 	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 }
 
-// TestStartsNothing: a machine that reports and never starts what it is told to loses
-// its work to others and gets no more; one slow answer is no reason.
+// TestStartsNothing: a machine that sends heartbeats and never starts its tasks loses them to
+// others and gets no more; one slow answer is no reason.
 func TestStartsNothing(t *testing.T) {
 	n := largePool(12)
 	n.shardLeader.jobs = map[string]*job{}
@@ -42,18 +42,18 @@
 	}
 	n.shardLeader.heartbeats.quarantineNonStarting()
 	if m.faulty || j.liveTasks != 1 {
-		t.Fatal("given up too soon")
+		t.Fatalf("got faulty %v with %d live tasks too soon, want false with 1", m.faulty, j.liveTasks)
 	}
 	n.nextHeartbeat(0)
 	n.shardLeader.heartbeats.quarantineNonStarting()
 	if !m.faulty || j.tasks[0].stopReason == stopNone {
-		t.Fatal("a machine that starts nothing keeps its work")
+		t.Fatalf("got faulty %v, stop reason %v; want true and a reason", m.faulty, j.tasks[0].stopReason)
 	}
 	n.nextHeartbeat(0)
 	if j.liveTasks != 0 || j.pendingTasks() != 1 {
-		t.Error("its task does not wait for another place")
+		t.Errorf("got %d live and %d pending tasks, want 0 and 1", j.liveTasks, j.pendingTasks())
 	}
-	// Many at once: the links are at fault, and no machine is blamed.
+	// Many at once: the network is at fault, and no machine is quarantined.
 	var jobs []*job
 	for i := 1; i < 9; i++ {
 		jobs = append(jobs, n.addJobOn(fmt.Sprintf("job-%06d", 900+i), n.shardLeader.machinesByID[i]))
@@ -67,13 +67,13 @@
 	n.shardLeader.heartbeats.quarantineNonStarting()
 	for i := 1; i < 9; i++ {
 		if n.shardLeader.machinesByID[i].faulty || jobs[i-1].liveTasks != 1 {
-			t.Fatal("machines are blamed for a fault of the links")
+			t.Fatalf("%s: got faulty %v with %d live tasks for a fault of the network, want false with 1", n.shardLeader.machinesByID[i].id, n.shardLeader.machinesByID[i].faulty, jobs[i-1].liveTasks)
 		}
 	}
 }
 
-// TestStartsBeforeClears: what is to start does not wait behind thousands of short tasks
-// to be cleared away, and those do not make every step look at the machine.
+// TestStartsBeforeClears: starts do not wait behind thousands of short tasks to clear, and
+// those do not make every step look at the machine.
 func TestStartsBeforeClears(t *testing.T) {
 	n := largePool(1)
 	n.shardLeader.jobs = map[string]*job{}
@@ -90,15 +90,15 @@
 	n.nextHeartbeat(0, ended...)
 	commands := n.shardLeader.dispatcher.reconcile(m)
 	if len(commands) != maxCommands || commands[0].Kind != model.StartTask {
-		t.Errorf("%d orders, the first %v", len(commands), commands[0])
+		t.Errorf("got %d commands, the first %v; want %d, the first a start", len(commands), commands[0], maxCommands)
 	}
 	if m.dispatchPending {
-		t.Error("what is left to clear away makes each step look at it again")
+		t.Error("got a dispatch pending for what is left to clear, want none")
 	}
 }
 
 // TestJobFailingEverywhere: a job that fails everywhere is tried one task at a time, ever more
-// seldom, and asks for no machines; no machine is blamed, and others go on.
+// seldom, and requests no machines; no machine is quarantined, and others go on.
 func TestJobFailingEverywhere(t *testing.T) {
 	n := largePool(12)
 	n.shardLeader.jobs = map[string]*job{}
@@ -108,7 +108,7 @@
 	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
 	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks < 3 {
-		t.Fatal("nothing is placed")
+		t.Fatalf("got %d tasks placed, want at least 3", j.liveTasks)
 	}
 	for i, m := range n.shardLeader.machinesByID {
 		for _, k := range sortedAttempts(m) {
@@ -117,11 +117,11 @@
 	}
 	for _, m := range n.shardLeader.machinesByID {
 		if m.faulty {
-			t.Error("a machine is blamed")
+			t.Errorf("got %s quarantined for a fault of the job, want it usable", m.id)
 		}
 	}
 	if n.shardLeader.scheduler.placeableTasks(j) != 0 {
-		t.Error("it is tried again at once")
+		t.Errorf("got %d tasks placeable at once, want 0", n.shardLeader.scheduler.placeableTasks(j))
 	}
 	n.now = n.now.Add(5 * time.Minute)
 	for _, m := range n.shardLeader.machinesByID {
@@ -129,16 +129,16 @@
 	}
 	n.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 1 {
-		t.Errorf("%d of its tasks are tried at a time", j.liveTasks)
+		t.Errorf("got %d of its tasks tried at a time, want 1", j.liveTasks)
 	}
 	for _, d := range n.shardLeader.fleet.demands(time.Minute, false, false) {
 		if d.job == j && d.count > 1 {
-			t.Errorf("it asks for room for %d tasks", d.count)
+			t.Errorf("got a demand of %d tasks, want at most 1", d.count)
 		}
 	}
 }
 
-// TestUpdateOfFormerIncarnation: what a former life of a controller wished counts no more.
+// TestUpdateOfFormerIncarnation: requests of a former incarnation of a controller do not count.
 func TestUpdateOfFormerIncarnation(t *testing.T) {
 	n := twoControllers(t)
 	n.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
@@ -147,25 +147,25 @@
 	n.leader.ackedSeq["b"] = 9
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
 	if _, ok := n.leader.freshUpdate("b"); ok || n.frontend.progressByJob["job-000900"].Done != 0 {
-		t.Error("news of a former life counts")
+		t.Error("got an update of a former incarnation counted, want it ignored")
 	}
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
 	if _, ok := n.leader.freshUpdate("b"); !ok || n.leader.ackedSeq["b"] != 0 || n.leader.rentals["vm"].publishedTo != "" {
-		t.Error("the present life is not told anew")
+		t.Error("got no new publication to the present incarnation, want one from the start")
 	}
-	// And what came in time is not used when another life has taken its place since.
+	// What arrived in time is not used when another incarnation has begun since.
 	n.membership.controllers["b"] = record.Member{Incarnation: "b#3"}
 	if _, ok := n.leader.freshUpdate("b"); ok {
-		t.Error("a former life's wishes are met")
+		t.Error("got the requests of a former incarnation as fresh, want them ignored")
 	}
 	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
 	if n.membership.peersWithoutStore["b"] != n.now {
-		t.Error("that the state service is away counts from whoever says so")
+		t.Error("got a lost store ignored of a former incarnation, want it counted from whoever reports it")
 	}
 }
 
-// TestRegistrationComparesRevision: a registration names the record that it replaces, and one that
-// is refused looks what stands there.
+// TestRegistrationComparesRevision: a registration compares the record that it replaces, and
+// after a refusal the record is read.
 func TestRegistrationComparesRevision(t *testing.T) {
 	n := largePool(1)
 	key := record.MemberPrefix + "a"
@@ -173,30 +173,30 @@
 	n.membership.register()
 	op := n.effects[len(n.effects)-1].(message.StoreRequest)
 	if len(op.Compares) != 1 || op.Compares[0] != (message.Compare{Key: key, ModRevision: 4}) {
-		t.Fatalf("it names %v", op.Compares)
+		t.Fatalf("got compares %v, want %s at 4", op.Compares, key)
 	}
 	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict})
 	n.now, n.effects = n.now.Add(time.Second), nil
 	n.runTimers()
 	get, ok := n.effects[len(n.effects)-1].(message.StoreRequest)
 	if !ok || get.Kind != message.OpGet || get.Key != key {
-		t.Fatal("it does not look what stands there")
+		t.Fatalf("got %+v after the refusal, want a read of %s", get, key)
 	}
-	// A former life's, whose write came late: its grant is ended and this one registers.
+	// A former incarnation's record, written late: its lease is revoked and this one registers.
 	n.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.Member{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
-	drop := n.effects[len(n.effects)-1].(message.StoreRequest)
-	if drop.Kind != message.OpLeaseRevoke || drop.LeaseID != 3 {
-		t.Fatalf("it asks for %+v", drop)
+	revoke := n.effects[len(n.effects)-1].(message.StoreRequest)
+	if revoke.Kind != message.OpLeaseRevoke || revoke.LeaseID != 3 {
+		t.Fatalf("got %+v, want lease 3 revoked", revoke)
 	}
-	n.handleCommand(message.StoreResponse{ID: drop.ID, Status: message.StoreOK})
+	n.handleCommand(message.StoreResponse{ID: revoke.ID, Status: message.StoreOK})
 	if op = n.effects[len(n.effects)-1].(message.StoreRequest); op.Kind != message.OpTxn || op.Compares[0] != (message.Compare{Key: key, ModRevision: 0}) {
-		t.Errorf("then it asks for %+v", op)
+		t.Errorf("got %+v after the revocation, want a registration that compares the absence of %s", op, key)
 	}
 }
 
-// TestReleasedIsNotRequestedAgain: a machine of which the leader says that its return was answered is
-// not asked for again: hundreds of these left no room for others, which were then paid
-// for to the end.
+// TestReleasedIsNotRequestedAgain: a machine whose release was answered, as the leader reports,
+// is not requested again: hundreds of these left no place for others, which then were paid for
+// to the end.
 func TestReleasedIsNotRequestedAgain(t *testing.T) {
 	n := twoControllers(t)
 	n.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
@@ -212,6 +212,6 @@
 	n.handleCommand(update)
 	n.selectReleases(nil)
 	if len(n.shardLeader.fleet.machinesToRelease) != 0 {
-		t.Errorf("%d that are returned are asked for again", len(n.shardLeader.fleet.machinesToRelease))
+		t.Errorf("got %d released machines requested again, want 0", len(n.shardLeader.fleet.machinesToRelease))
 	}
 }
