--- a/internal/migration/find_test.go
+++ b/internal/migration/find_test.go
@@ -10,9 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// cheapestCost tries every sequence of moves: the measure that Find is held to.
+// cheapestCost tries every sequence of moves. Find is held to its result.
 func cheapestCost(p *Problem) (time.Duration, bool) {
-	best, found := time.Duration(0), false
+	cheapest, found := time.Duration(0), false
 	free := make([]resource.Resources, len(p.Hosts))
 	for h := range p.Hosts {
 		free[h] = p.Hosts[h].Free
@@ -20,12 +20,12 @@
 	moved := make([]bool, len(p.Replicas))
 	var try func(left int, cost time.Duration)
 	try = func(left int, cost time.Duration) {
-		if cost > p.MaxCost || found && cost >= best {
+		if cost > p.MaxCost || found && cost >= cheapest {
 			return
 		}
 		for h := range p.Hosts {
 			if w := &p.WaitingTask; p.Hosts[h].Schedulable && w.Need.Fits(free[h]) && (w.Allowed == nil || w.Allowed(h)) {
-				best, found = cost, true
+				cheapest, found = cost, true
 				return
 			}
 		}
@@ -38,38 +38,38 @@
 				continue
 			}
 			for h := range p.Hosts {
-				m := &p.Hosts[h]
-				if h == r.HostIndex || !m.Schedulable || !r.Need.Fits(free[h]) || r.Allowed != nil && !r.Allowed(h) {
+				host := &p.Hosts[h]
+				if h == r.HostIndex || !host.Schedulable || !r.Need.Fits(free[h]) || r.Allowed != nil && !r.Allowed(h) {
 					continue
 				}
-				c := r.LostWork
-				if !m.Images[r.Image] && r.ImageGB > 0 {
-					if m.FetchRate <= 0 {
+				moveCost := r.LostWork
+				if !host.Images[r.Image] && r.ImageGB > 0 {
+					if host.FetchRate <= 0 {
 						continue
 					}
-					c += time.Duration(r.ImageGB / m.FetchRate * float64(time.Second))
+					moveCost += time.Duration(r.ImageGB / host.FetchRate * float64(time.Second))
 				}
 				moved[i] = true
 				free[r.HostIndex], free[h] = free[r.HostIndex].AddScaled(r.Need, 1), free[h].AddScaled(r.Need, -1)
-				try(left-1, cost+c)
+				try(left-1, cost+moveCost)
 				free[r.HostIndex], free[h] = free[r.HostIndex].AddScaled(r.Need, -1), free[h].AddScaled(r.Need, 1)
 				moved[i] = false
 			}
 		}
 	}
 	try(min(p.MaxMoves, MaxMoves), 0)
-	return best, found
+	return cheapest, found
 }
 
-// checkPlan plays a plan and says what is wrong with it.
+// checkPlan carries out a plan and returns an error if it breaks a rule of the problem.
 func checkPlan(p *Problem, plan Plan) error {
-	at := map[string]int{}
+	hostIndex := map[string]int{}
 	free := make([]resource.Resources, len(p.Hosts))
 	for h := range p.Hosts {
-		at[p.Hosts[h].ID], free[h] = h, p.Hosts[h].Free
+		hostIndex[p.Hosts[h].ID], free[h] = h, p.Hosts[h].Free
 	}
 	if len(plan.Moves) > min(p.MaxMoves, MaxMoves) {
-		return fmt.Errorf("%d moves", len(plan.Moves))
+		return fmt.Errorf("got %d moves, want at most %d", len(plan.Moves), min(p.MaxMoves, MaxMoves))
 	}
 	seen, cost := map[int]bool{}, time.Duration(0)
 	for _, v := range plan.Moves {
@@ -80,54 +80,54 @@
 			}
 		}
 		if i < 0 || seen[i] {
-			return fmt.Errorf("%s/%d moves twice or is nobody", v.Job, v.Index)
+			return fmt.Errorf("got a move of %s/%d, want one of a known replica that has not moved yet", v.Job, v.Index)
 		}
 		seen[i] = true
-		r, to := &p.Replicas[i], at[v.To]
+		r, to := &p.Replicas[i], hostIndex[v.To]
 		switch {
 		case p.Hosts[r.HostIndex].ID != v.From, v.From == v.To, r.Need != v.Need:
-			return fmt.Errorf("%s/%d from %s to %s", v.Job, v.Index, v.From, v.To)
+			return fmt.Errorf("got %s/%d of %+v moved from %s to %s, want its need and host, and another host", v.Job, v.Index, v.Need, v.From, v.To)
 		case !r.Movable, !p.Hosts[to].Schedulable, r.Allowed != nil && !r.Allowed(to):
-			return fmt.Errorf("%s/%d may not go to %s", v.Job, v.Index, v.To)
+			return fmt.Errorf("got %s/%d moved to %s, want a host where it may run", v.Job, v.Index, v.To)
 		}
 		free[r.HostIndex] = free[r.HostIndex].AddScaled(r.Need, 1)
 		if !r.Need.Fits(free[to]) {
-			return fmt.Errorf("no room for %s/%d on %s", v.Job, v.Index, v.To)
+			return fmt.Errorf("got %s/%d moved to %s with %+v free, want room for it", v.Job, v.Index, v.To, free[to])
 		}
 		free[to] = free[to].AddScaled(r.Need, -1)
-		down := time.Duration(0)
+		downtime := time.Duration(0)
 		if !p.Hosts[to].Images[r.Image] && r.ImageGB > 0 {
-			down = time.Duration(r.ImageGB / p.Hosts[to].FetchRate * float64(time.Second))
+			downtime = time.Duration(r.ImageGB / p.Hosts[to].FetchRate * float64(time.Second))
 		}
-		if v.Downtime != down {
-			return fmt.Errorf("%s/%d is down for %v, not %v", v.Job, v.Index, down, v.Downtime)
+		if v.Downtime != downtime {
+			return fmt.Errorf("%s/%d: got downtime %v, want %v", v.Job, v.Index, v.Downtime, downtime)
 		}
-		cost += down + r.LostWork
+		cost += downtime + r.LostWork
 	}
-	h, ok := at[plan.Host]
+	h, ok := hostIndex[plan.Host]
 	switch w := &p.WaitingTask; {
 	case !ok || !p.Hosts[h].Schedulable || w.Allowed != nil && !w.Allowed(h):
-		return fmt.Errorf("%q is no place", plan.Host)
+		return fmt.Errorf("got host %q, want one where the waiting task may run", plan.Host)
 	case !w.Need.Fits(free[h]):
-		return fmt.Errorf("no room on %s: %+v", plan.Host, free[h])
+		return fmt.Errorf("got %+v free on %s, want %+v", free[h], plan.Host, w.Need)
 	case plan.Cost != cost || cost > p.MaxCost:
-		return fmt.Errorf("costs %v, not %v; at most %v", cost, plan.Cost, p.MaxCost)
+		return fmt.Errorf("got cost %v, want %v, and at most %v", plan.Cost, cost, p.MaxCost)
 	}
 	return nil
 }
 
-// drawProblem fills hosts of one or two sizes with replicas of four. Fuller ones leave
-// only chains.
-func drawProblem(t *rapid.T, hostsMost, replicasMost int) *Problem {
-	p := &Problem{MaxMoves: rapid.IntRange(0, MaxMoves).Draw(t, "most"), MaxCost: time.Duration(rapid.SampledFrom([]int{10, 60, 600}).Draw(t, "dearest")) * time.Second}
-	p.MaxMoves = rapid.SampledFrom([]int{p.MaxMoves, MaxMoves, MaxMoves}).Draw(t, "or three")
+// drawProblem fills hosts of one or two sizes with replicas of four sizes. Full hosts leave
+// only chains of moves.
+func drawProblem(t *rapid.T, maxHosts, maxReplicas int) *Problem {
+	p := &Problem{MaxMoves: rapid.IntRange(0, MaxMoves).Draw(t, "max moves"), MaxCost: time.Duration(rapid.SampledFrom([]int{10, 60, 600}).Draw(t, "max cost")) * time.Second}
+	p.MaxMoves = rapid.SampledFrom([]int{p.MaxMoves, MaxMoves, MaxMoves}).Draw(t, "max moves or three")
 	images := []string{"a", "b", "c"}
 	gbs := []float64{2, 16, 40}
-	n := rapid.IntRange(2, hostsMost).Draw(t, "hosts")
+	n := rapid.IntRange(2, maxHosts).Draw(t, "hosts")
 	for h := range n {
 		size := resource.Resources{CPU: 32, GPU: float64(rapid.SampledFrom([]int{8, 8, 8, 4}).Draw(t, "gpus")), Memory: 64}
 		m := Host{ID: fmt.Sprintf("h%d", h), Kind: fmt.Sprint(size.GPU), Size: size, Free: size, Images: map[string]bool{},
-			Schedulable: rapid.IntRange(0, 5).Draw(t, "no target") > 0, FetchRate: rapid.SampledFrom([]float64{1, 2, 0}).Draw(t, "pull")}
+			Schedulable: rapid.IntRange(0, 5).Draw(t, "unschedulable") > 0, FetchRate: rapid.SampledFrom([]float64{1, 2, 0}).Draw(t, "fetch rate")}
 		for _, im := range images {
 			if rapid.IntRange(0, 2).Draw(t, "has "+im) == 0 {
 				m.Images[im] = true
@@ -146,44 +146,44 @@
 		g := rapid.SampledFrom(sizes).Draw(t, name)
 		return resource.Resources{CPU: g * rapid.SampledFrom([]float64{2, 4}).Draw(t, name+" cpu"), GPU: g, Memory: g * rapid.SampledFrom([]float64{1, 8}).Draw(t, name+" memory")}
 	}
-	for i := range rapid.IntRange(replicasMost/2, replicasMost).Draw(t, "replicas") {
+	for i := range rapid.IntRange(maxReplicas/2, maxReplicas).Draw(t, "replicas") {
 		h, im := rapid.IntRange(0, n-1).Draw(t, "host"), rapid.IntRange(0, 2).Draw(t, "image")
 		r := Replica{Job: fmt.Sprintf("j%d", i/3), Index: i, HostIndex: h, Need: need("need", 1, 1, 2, 2, 4, 8), Image: images[im], ImageGB: gbs[im],
 			Movable: rapid.IntRange(0, 7).Draw(t, "fixed") > 0, Allowed: allowed("allowed"),
-			LostWork: time.Duration(rapid.SampledFrom([]int{0, 0, 3, 20}).Draw(t, "loss")) * time.Second}
+			LostWork: time.Duration(rapid.SampledFrom([]int{0, 0, 3, 20}).Draw(t, "lost work")) * time.Second}
 		if !r.Need.Fits(p.Hosts[h].Free) {
 			continue
 		}
 		p.Hosts[h].Free = p.Hosts[h].Free.AddScaled(r.Need, -1)
 		p.Replicas = append(p.Replicas, r)
 	}
-	w := need("want", 1, 2, 4, 8, 8)
+	w := need("waiting", 1, 2, 4, 8, 8)
 	for h := range p.Hosts {
-		// Mostly it fits nowhere as it is, and other work takes the rest.
-		if m := &p.Hosts[h]; w.Fits(m.Free) && rapid.IntRange(0, 9).Draw(t, "taken") > 0 {
+		// Mostly the waiting task fits nowhere without moves, and other work takes the rest.
+		if m := &p.Hosts[h]; w.Fits(m.Free) && rapid.IntRange(0, 9).Draw(t, "occupied") > 0 {
 			m.Free.GPU = w.GPU - float64(rapid.IntRange(1, int(w.GPU)).Draw(t, "missing"))
 		}
 	}
-	p.WaitingTask = WaitingTask{Job: "w", Need: w, Image: images[rapid.IntRange(0, 2).Draw(t, "its image")], Allowed: allowed("where it may go")}
+	p.WaitingTask = WaitingTask{Job: "w", Need: w, Image: images[rapid.IntRange(0, 2).Draw(t, "waiting image")], Allowed: allowed("waiting allowed")}
 	return p
 }
 
-// TestFindAgainstAllPlans: a plan is found whenever there is one, it can be carried out as
-// it stands, and costs little more than the cheapest.
+// TestFindAgainstAllPlans: a plan is found whenever there is one, it can be carried out as it
+// stands, and costs little more than the cheapest.
 func TestFindAgainstAllPlans(t *testing.T) {
 	lengths := map[int]int{}
 	check := func(p *Problem) error {
 		plan, ok := Find(p)
-		best, exists := cheapestCost(p)
+		cheapest, exists := cheapestCost(p)
 		switch {
 		case ok != exists:
-			return fmt.Errorf("a plan is found: %v, there is one: %v", ok, exists)
+			return fmt.Errorf("got a plan found %v, want %v", ok, exists)
 		case !ok:
 			return nil
 		}
 		lengths[len(plan.Moves)]++
-		if float64(plan.Cost) > costTolerance*float64(best) {
-			return fmt.Errorf("costs %v, the cheapest %v", plan.Cost, best)
+		if float64(plan.Cost) > costTolerance*float64(cheapest) {
+			return fmt.Errorf("got cost %v, want at most %v times the cheapest, %v", plan.Cost, costTolerance, cheapest)
 		}
 		return checkPlan(p, plan)
 	}
@@ -192,7 +192,7 @@
 			t.Fatal(err)
 		}
 	})
-	// Long plans are rare, so that it takes many problems.
+	// Long plans are rare, and so take many problems.
 	problems := rapid.Custom(func(t *rapid.T) *Problem { return drawProblem(t, 6, 10) })
 	for i := range 4000 {
 		if err := check(problems.Example(i)); err != nil {
@@ -200,13 +200,13 @@
 		}
 	}
 	if lengths[2] < 50 || lengths[3] < 10 {
-		t.Errorf("too few long plans: %v", lengths)
+		t.Errorf("got plans by length %v, want at least 50 of two moves and 10 of three", lengths)
 	}
 	t.Log("plans by length:", lengths)
 }
 
-// TestReplicasChangePlaces: two replicas may only change places, which takes that a third leaves
-// first, though in sum there would be room without.
+// TestReplicasChangePlaces: two replicas can only swap hosts after a third has left, though in
+// sum there is room without that.
 func TestReplicasChangePlaces(t *testing.T) {
 	gpu := func(g float64) resource.Resources { return resource.Resources{GPU: g} }
 	host := func(id string, size, free float64) Host {
@@ -221,14 +221,14 @@
 	}
 	plan, ok := Find(p)
 	if !ok || len(plan.Moves) != 3 || plan.Moves[0].Job != "c" {
-		t.Fatalf("%v, %+v", ok, plan)
+		t.Fatalf("got found %v, plan %+v, want three moves, the first of c", ok, plan)
 	}
 	if err := checkPlan(p, plan); err != nil {
-		t.Error(err)
+		t.Errorf("checking the plan: %v", err)
 	}
 }
 
-// TestBoundedFindAgainstExhaustive: what is left out among many hosts costs little.
+// TestBoundedFindAgainstExhaustive: what the search leaves out among many hosts costs little.
 func TestBoundedFindAgainstExhaustive(t *testing.T) {
 	lengths := map[int]int{}
 	var boundedSum, exhaustiveSum time.Duration
@@ -239,17 +239,17 @@
 			r := &p.Replicas[i]
 			r.LostWork = time.Duration(rnd.IntN(20)) * time.Second
 			if rnd.IntN(3) == 0 {
-				part := rnd.IntN(4)
-				r.Allowed = func(h int) bool { return h%4 != part }
+				excluded := rnd.IntN(4)
+				r.Allowed = func(h int) bool { return h%4 != excluded }
 			}
 		}
 		for h := range p.Hosts {
 			p.Hosts[h].FetchRate = float64(1 + rnd.IntN(4))
 		}
 		bounded, ok := find(p, false)
-		best, exists := find(p, true)
+		exhaustive, exists := find(p, true)
 		if ok != exists {
-			t.Fatalf("seed %d: a plan is found: %v, there is one: %v", seed, ok, exists)
+			t.Fatalf("seed %d: got a plan found %v, want %v", seed, ok, exists)
 		}
 		if !ok {
 			continue
@@ -258,21 +258,20 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		lengths[len(bounded.Moves)]++
-		boundedSum, exhaustiveSum = boundedSum+bounded.Cost, exhaustiveSum+best.Cost
-		if float64(bounded.Cost) > costTolerance*costTolerance*float64(best.Cost) {
-			t.Errorf("seed %d: costs %v, the cheapest %v", seed, bounded.Cost, best.Cost)
+		boundedSum, exhaustiveSum = boundedSum+bounded.Cost, exhaustiveSum+exhaustive.Cost
+		if float64(bounded.Cost) > costTolerance*costTolerance*float64(exhaustive.Cost) {
+			t.Errorf("seed %d: got cost %v, want at most %v times that of the exhaustive search, %v", seed, bounded.Cost, costTolerance*costTolerance, exhaustive.Cost)
 		}
 	}
-	t.Log("plans by length:", lengths, "cost", boundedSum, "the cheapest", exhaustiveSum)
+	t.Log("plans by length:", lengths, "cost", boundedSum, "exhaustive", exhaustiveSum)
 }
 
-// newFleet is a number of eight-GPU hosts, five replicas each on the average, with about so
-// many GPUs free on each; none of them whole. A replica of half a host waits, or one of a
-// whole.
+// newFleet is a number of eight-GPU hosts with five replicas each on average and about free
+// GPUs free on each; none of them is empty. A replica of want GPUs waits.
 func newFleet(hosts int, seed uint64, free float64, want float64) *Problem {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	size := resource.Resources{CPU: 64, GPU: 8, Memory: 512}
-	per := func(g float64) resource.Resources { return resource.Resources{CPU: 6 * g, GPU: g, Memory: 48 * g} }
+	perGPUs := func(g float64) resource.Resources { return resource.Resources{CPU: 6 * g, GPU: g, Memory: 48 * g} }
 	p := &Problem{MaxMoves: MaxMoves, MaxCost: 10 * time.Minute}
 	for h := range hosts {
 		m := Host{ID: fmt.Sprintf("host-%05d", h), Kind: "g8", Size: size, Free: size, Schedulable: true, Images: map[string]bool{}, FetchRate: 2}
@@ -284,17 +283,18 @@
 			}
 			im := rnd.IntN(30)
 			image := fmt.Sprint("model-", im)
-			m.Free = m.Free.AddScaled(per(g), -1)
+			m.Free = m.Free.AddScaled(perGPUs(g), -1)
 			m.Images[image] = true
-			p.Replicas = append(p.Replicas, Replica{Job: fmt.Sprintf("job-%d", im), Index: h*8 + k, HostIndex: h, Need: per(g),
+			p.Replicas = append(p.Replicas, Replica{Job: fmt.Sprintf("job-%d", im), Index: h*8 + k, HostIndex: h, Need: perGPUs(g),
 				Image: image, ImageGB: 10 + 4*float64(im), Movable: rnd.IntN(4) > 0})
 		}
 		p.Hosts = append(p.Hosts, m)
 	}
-	p.WaitingTask = WaitingTask{Job: "large", Need: per(want), Image: "model-11", ImageGB: 54}
+	p.WaitingTask = WaitingTask{Job: "large", Need: perGPUs(want), Image: "model-11", ImageGB: 54}
 	return p
 }
 
+// BenchmarkFind is the search for a plan in fleets of several sizes and loads.
 func BenchmarkFind(b *testing.B) {
 	for _, c := range []struct {
 		name       string
@@ -314,6 +314,7 @@
 	}
 }
 
+// foundSign makes a metric negative where no plan was found.
 func foundSign(b bool) float64 {
 	if b {
 		return 1
