--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -14,6 +14,7 @@
 // donorController is a shard leader beside another, with two hosts that have half a host's
 // replica each, and nothing that waits.
 func donorController(t *testing.T) *Controller {
+	t.Helper()
 	n := hostPool(t)
 	n.putShard(t, "b", "b", 2, false, "lab")
 	delete(n.shardLeader.jobs, "job-large")
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -119,9 +119,9 @@
 	return starts
 }
 
-// TestUnsentStartsAreJudgedAtDeparture: a durable start is sent while the ranking is known as
+// TestUnsentStartsAreCheckedWhenSent: a durable start is sent while the ranking is known as
 // of two seconds ago, or after it was read again, and none that was held up in a queue.
-func TestUnsentStartsAreJudgedAtDeparture(t *testing.T) {
+func TestUnsentStartsAreCheckedWhenSent(t *testing.T) {
 	n, m, j := controllerWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
 	n.shardLeader.dispatcher.dispatch(m)
@@ -168,9 +168,9 @@
 	}
 }
 
-// TestHeldOfAFormerTime: a start that waited for the ranking when its controller lost its shard
+// TestHeldStartOfFormerLeadership: a start that waited for the ranking when its controller lost its shard
 // is not sent in a later leadership, which may not even know its job.
-func TestHeldOfAFormerTime(t *testing.T) {
+func TestHeldStartOfFormerLeadership(t *testing.T) {
 	n, m, j := controllerWithUnsentStart()
 	n.now = n.now.Add(3 * time.Second)
 	n.shardLeader.dispatcher.dispatch(m)
