--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -261,7 +261,7 @@
 func TestReroutedHeartbeats(t *testing.T) {
 	n := largePool(12)
 	m, _ := machineWithTask(n)
-	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
 	for _, tc := range []struct {
 		name      string
 		heartbeat message.ReroutedHeartbeat
@@ -286,12 +286,12 @@
 	if n.shardLeader.heartbeats.unresponsive(m) || n.shardLeader.scheduler.usable(m) {
 		t.Errorf("got unresponsive %v and usable %v, want false for both", n.shardLeader.heartbeats.unresponsive(m), n.shardLeader.scheduler.usable(m))
 	}
-	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
 	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
 	if !n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("got the machine responsive by a repeated update, want unresponsive")
 	}
-	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == "" || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == "" {
+	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == nil || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == nil {
 		t.Error("got an invalid peer update accepted, want it rejected")
 	}
 }
@@ -304,7 +304,7 @@
 	earlierEpoch := m.epoch
 	n.putSegment(t, n.settings.Host, 9, m.id)
 	n.syncShardLeader()
-	n.now = n.now.Add(5 * n.unresponsiveAfter(m))
+	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
 	n.membership.leaseValidUntil = n.now.Add(time.Second)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, earlierEpoch, m.lastTaskReports
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -70,7 +70,7 @@
 		return
 	}
 	gen := g.controller.shardLeader.generation
-	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
+	g.controller.requests.readAll(record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
 }
 
 // recoverRecords takes up what former owners had under way for teams that have come.
@@ -164,7 +164,7 @@
 		}
 		if j := o.jobs[k.job]; j != nil && k.index < len(j.tasks) && j.tasks[k.index].notBefore.Equal(until) {
 			j.tasks[k.index].notBefore = time.Time{}
-			o.scheduler.placementDue = true
+			o.scheduler.requestPlacement()
 		}
 	}
 	for k, until := range pinnedUntil {
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -10,54 +10,109 @@
 	"github.com/micahill/micahill/internal/selfmonitor"
 )
 
-// A controller that reaches the state service but no worker is of no use as an
-// owner: it keeps its grant, so nobody takes its share, and the workers' leases
-// run out while they ask the others in vain. The others tell it, by a record that
-// its watch brings, that its machines keep coming to them; together with its own
-// silence that is proof, and it gives its grant up. Where nobody hears the
-// workers nobody says so, and everything stays as it is.
-//
-// The same holds for one whose answers are lost on the way: it hears the workers in
-// their turns, and they hear the others only. When the others say that its machines
-// come back, it asks those that it has just heard; if none answers, it is mute.
-
 const (
-	// minReroutedMachines is how many machines must come back before anybody says so. One
-	// may have lost its way by itself.
+	// minReroutedMachines is how many machines of an owner must report here before this
+	// controller publishes it. One may have lost its way by itself.
 	minReroutedMachines = 2
-	// rerouteRecordInterval separates two such records, and rerouteRecordTTL is how long one counts.
+	// rerouteRecordInterval separates two such records, and rerouteRecordTTL is how long one
+	// counts.
 	rerouteRecordInterval = 3 * time.Second
 	rerouteRecordTTL      = 10 * time.Second
-	// partitionStandDown is how long a controller that gave up stands back, unless a report
-	// comes before; it goes on serving users.
+	// partitionStandDown is how long a controller that gave up its roles stands by, unless a
+	// heartbeat comes before; it goes on serving users.
 	partitionStandDown = 2 * time.Minute
-	// partitionLeadDelay is how long it leaves the lead to others when there is none. If all
-	// have given up, one of them has to lead after all.
+	// partitionLeadDelay is how long it leaves the lead to others when there is no leader. If
+	// all have given up, one of them has to lead after all.
 	partitionLeadDelay = 3 * time.Second
 )
 
-// receivesNothing says that this controller has lately given up for hearing no worker.
-func (m *membership) receivesNothing(now time.Time) bool { return now.Before(m.receivesNothingUntil) }
+const (
+	// reroutedHeartbeatInterval separates two updates to a machine owner about its
+	// rerouted heartbeats.
+	reroutedHeartbeatInterval = 500 * time.Millisecond
+	// maxRecentPolls is how many machines are polled when others say that they report there.
+	maxRecentPolls = 4
+	// maxReroutedPolls bounds the polls under way to machines with rerouted heartbeats.
+	maxReroutedPolls = 8
+)
+
+// partitionDetector finds out whether this controller is cut off from the workers while
+// others are not, and has it give up its roles then.
+//
+// A controller that reaches the store but no worker is of no use as a shard leader: it
+// keeps its lease, so nobody takes its shard, and the workers' leases run out while they
+// ask the others in vain. The others say so by a record that its watch brings: its
+// machines keep reporting to them. Together with its own silence that is proof, and it
+// gives up its membership lease. Where nobody hears the workers nobody says so, and
+// everything stays as it is.
+//
+// The same holds for one whose answers are lost: it gets heartbeats, and the workers hear
+// only the others. When the others say that its machines report there, it polls those
+// that it has just heard; if none answers, it is unheard.
+//
+// It lives as long as the process: what was seen before a failover counts after it.
+// checkPartition and applyReroutedHeartbeats may be called only while this controller
+// leads a shard, the other methods at any time.
+type partitionDetector struct {
+	component
 
-// heartbeatReceived notes that a report has reached this controller at all.
+	// monitor is what this controller hears of workers.
+	monitor selfmonitor.Monitor
+	// reroutesReportedAt is when another controller last said that machines of this one
+	// report to it.
+	reroutesReportedAt time.Time
+	// receivesNothingUntil: this controller has given up its roles and stands by until then.
+	// unheard: it heard the workers, and they didn't hear it.
+	receivesNothingUntil time.Time
+	unheard              bool
+	// reachabilityRequestedAt is when a worker was last asked whether it hears this
+	// controller again.
+	reachabilityRequestedAt time.Time
+
+	// Heartbeats of others' machines that came here.
+
+	// reroutedMachines are the machines that were sent to their owners.
+	reroutedMachines    selfmonitor.ReroutedMachines
+	reroutedPublishedAt time.Time
+	// reroutedPollsInFlight counts the polls of such machines.
+	reroutedPollsInFlight int
+	// reroutedHeartbeats wait to be published, by the owner's host.
+	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
+}
+
+// receivesNothing says that this controller stands by since it was cut off from the workers.
+func (p *partitionDetector) receivesNothing(now time.Time) bool {
+	return now.Before(p.receivesNothingUntil)
+}
+
+// stepBegan notes that this controller runs: while it stood still it could hear nothing.
+func (p *partitionDetector) stepBegan() { p.monitor.Ran(p.now) }
+
+// requestDelivered notes a sign that something sent to a worker has arrived.
+func (p *partitionDetector) requestDelivered() { p.monitor.RequestDelivered() }
+
+// requestUnanswered notes that a worker has not answered a direct request.
+func (p *partitionDetector) requestUnanswered() { p.monitor.RequestUnanswered(p.now) }
+
+// heartbeatReceived notes that a heartbeat has reached this controller at all.
 func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
 	p.monitor.HeartbeatReceived(p.now)
 	switch {
-	case !p.controller.membership.receivesNothing(p.now):
-	case !p.controller.membership.unheard:
+	case !p.receivesNothing(p.now):
+	case !p.unheard:
 		p.endStandDown()
 	case p.now.Sub(p.reachabilityRequestedAt) > probeInterval:
-		// That it hears the worker is nothing new.
+		// That this controller hears the worker is nothing new; does the worker hear it?
 		p.reachabilityRequestedAt = p.now
 		p.controller.requests.toWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
-			if d.Heartbeat != nil && p.controller.membership.receivesNothing(p.now) {
+			if d.Heartbeat != nil && p.receivesNothing(p.now) {
 				p.endStandDown()
 			}
 		})
 	}
 }
 
-// pollRecentMachines asks the machines that were last heard whether they hear this owner.
+// pollRecentMachines asks the machines that were last heard whether they hear this controller.
 func (p *partitionDetector) pollRecentMachines() {
 	var machines []*machine
 	for _, m := range p.controller.shardLeader.machinesByID {
@@ -71,23 +126,20 @@
 	}
 }
 
-// maxRecentPolls is how many machines are asked when others say that they come back.
-const maxRecentPolls = 4
-
-// endStandDown lets the controller be chosen again.
+// endStandDown lets this controller hold shards and lead again.
 func (p *partitionDetector) endStandDown() {
-	p.controller.membership.receivesNothingUntil, p.controller.membership.unheard = time.Time{}, false
+	p.receivesNothingUntil, p.unheard = time.Time{}, false
 	if p.controller.membership.leaseID != 0 && p.controller.membership.loaded {
 		p.controller.membership.register()
 	}
 }
 
-// noteRerouted notes that a machine was sent to its steward, and tells that steward
-// when its machines keep coming here. One that does not hear where it is sent says
-// nothing of its steward, so it is asked.
+// noteRerouted notes that a machine reported here and was sent to its owner, and publishes it
+// when machines of that owner keep reporting here. A machine that hears no controller says
+// nothing about its owner, so it is polled.
 func (p *partitionDetector) noteRerouted(r *model.Heartbeat, ownerHost string) {
-	s := &p.controller.membership
-	ownerRecord, ok := s.controllers[ownerHost]
+	members := &p.controller.membership
+	ownerRecord, ok := members.controllers[ownerHost]
 	if !ok || ownerHost == p.settings.Host {
 		return
 	}
@@ -106,12 +158,9 @@
 	p.queueReroutedHeartbeat(r, ownerHost)
 }
 
-const (
-	reroutedHeartbeatInterval = 500 * time.Millisecond
-)
-
-// queueReroutedHeartbeat tells a steward that a report of its machine came here: it may not have heard
-// it for long, and take one that only doesn't hear the answers for one that is gone.
+// queueReroutedHeartbeat has a machine's owner learn of a heartbeat that came here: the owner
+// may not have heard the machine for long and take it for gone, though it only doesn't hear
+// the answers.
 func (p *partitionDetector) queueReroutedHeartbeat(r *model.Heartbeat, ownerHost string) {
 	if len(p.reroutedHeartbeats) == 0 {
 		p.after(reroutedHeartbeatInterval, func() {
@@ -127,9 +176,9 @@
 	}
 }
 
-// applyReroutedHeartbeats takes in which machines of this owner reported to another. A report that this
-// owner would have taken for a sign of life is one there, too: such a machine lives, and
-// likely doesn't hear what is sent to it.
+// applyReroutedHeartbeats applies heartbeats of this shard's machines that reached another
+// controller. One that would count as a sign of life here counts there, too: the machine
+// lives, and likely doesn't hear what this controller sends.
 func (p *partitionDetector) applyReroutedHeartbeats(heartbeats []message.ReroutedHeartbeat) {
 	for _, x := range heartbeats {
 		m := p.controller.shardLeader.machines[x.ID]
@@ -143,13 +192,11 @@
 	}
 }
 
-// maxReroutedPolls bounds the questions under way to machines that came back.
-const maxReroutedPolls = 8
-
-// publishRerouted tells a steward, in its present life, that its machines come here.
+// publishRerouted writes a record for an owner's present incarnation: its machines report
+// here.
 func (p *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
-	s := &p.controller.membership
-	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || s.leaseID == 0 || p.now.After(s.leaseValidUntil) {
+	members := &p.controller.membership
+	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || members.leaseID == 0 || p.now.After(members.leaseValidUntil) {
 		return
 	}
 	count := p.reroutedMachines.CountReappeared(p.now, ownerHost)
@@ -157,73 +204,57 @@
 		return
 	}
 	p.reroutedPublishedAt = p.now
-	p.info("machines come back from their steward", "steward", ownerHost, "machines", count)
+	p.info("heartbeats rerouted from machine owner", "owner", ownerHost, "machines", count)
 	rec := record.Encode(record.ReroutedMachines{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: s.leaseID}}}, func(message.StoreResponse) {})
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: members.leaseID}}}, func(message.StoreResponse) {})
 }
 
-// applyRerouteRecord takes in what another controller says of this one's machines.
+// applyRerouteRecord applies such a record of another controller about this one's machines.
 func (p *partitionDetector) applyRerouteRecord(it message.KeyValue) {
 	var r record.ReroutedMachines
 	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == p.settings.Host && r.Incarnation == p.incarnation() {
-		if p.now.Sub(p.controller.membership.reroutesReportedAt) > rerouteRecordTTL {
-			// What was asked before says nothing of now.
+		if p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
+			// Polls before this record prove nothing about now.
 			p.monitor.RequestDelivered()
 		}
-		p.controller.membership.reroutesReportedAt = p.now
+		p.reroutesReportedAt = p.now
 	}
 }
 
-// checkPartition gives the share up when this owner hears nothing and others do.
+// checkPartition gives up all roles when this shard leader and its workers don't hear each
+// other and another controller hears them. It may drop the shard leader.
 func (p *partitionDetector) checkPartition() {
-	o, s := p.controller.shardLeader, &p.controller.membership
-	if s.leaseID == 0 || p.now.Sub(s.reroutesReportedAt) > rerouteRecordTTL {
+	leader, members := p.controller.shardLeader, &p.controller.membership
+	if members.leaseID == 0 || p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
 		return
 	}
 	reporting := 0
-	for _, m := range o.machinesByID {
+	for _, m := range leader.machinesByID {
 		if m.expectsHeartbeats() && !m.releasing {
 			reporting++
 		}
 	}
-	receivesNothing := p.monitor.ReceivesNothing(p.now, o.readyAt, reporting, p.maxHeartbeatInterval())
+	receivesNothing := p.monitor.ReceivesNothing(p.now, leader.readyAt, reporting, p.maxHeartbeatInterval())
 	if !receivesNothing {
 		p.pollRecentMachines()
 	}
 	if !receivesNothing && (reporting < 2 || !p.monitor.Unheard(p.now)) {
 		return
 	}
-	p.info("workers and this controller don't hear each other, and others do: the share is given up", "machines", reporting, "reports come", !receivesNothing)
-	grant := s.leaseID
-	s.reroutesReportedAt, s.receivesNothingUntil, s.unheard = time.Time{}, p.now.Add(partitionStandDown), !receivesNothing
+	p.info("shard given up in a partition", "machines", reporting, "heartbeats_received", !receivesNothing)
+	leaseID := members.leaseID
+	p.reroutesReportedAt, p.receivesNothingUntil, p.unheard = time.Time{}, p.now.Add(partitionStandDown), !receivesNothing
 	p.after(partitionStandDown, func() {
-		if !s.receivesNothing(p.now) {
+		if !p.receivesNothing(p.now) {
 			p.endStandDown()
 		}
 	})
-	p.controller.membership.relinquishRoles("hears no worker")
-	// Ended, the grant takes the lead and the node's record with it at once. A new
-	// one is asked for only then: this node is not to look alive in between.
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: grant}, func(message.StoreResponse) {
-		if s.leaseID == 0 {
+	p.controller.membership.relinquishRoles("partitioned from workers")
+	// Revoking the lease frees the lead and this controller's record at once. A new lease is
+	// requested only after that: this controller must not look alive in between.
+	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: leaseID}, func(message.StoreResponse) {
+		if members.leaseID == 0 {
 			p.controller.membership.createLease()
 		}
 	})
 }
-
-// partitionDetector TODO.
-type partitionDetector struct {
-	component
-
-	// selfMonitor and strays are what this node hears of workers, and which it sent on;
-	// see partition.go.
-	monitor             selfmonitor.Monitor
-	reroutedMachines    selfmonitor.ReroutedMachines
-	reroutedPublishedAt time.Time
-	// reroutedPollsInFlight counts the questions under way to machines that came back.
-	reroutedPollsInFlight int
-	// reroutedHeartbeats are reports of others' machines that these are to be told of.
-	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
-	// reachabilityRequestedAt is when a worker was last asked whether it hears this node again.
-	reachabilityRequestedAt time.Time
-}
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -351,7 +351,7 @@
 						if s.machine != m {
 							continue
 						}
-						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, waiting).rate(n, waiting, s); suits {
+						if _, suits := n.shardLeader.scheduler.candidateGroupFor(r, waiting).rate(&n.shardLeader.scheduler, waiting, s); suits {
 							t.Fatalf("got %s of %s, rank %d, on %s while %s of %s, rank %d, waits; want the other one there", placed.ID, placed.Workload, n.ranking.rankOf(placed), m.id, waiting.ID, waiting.Workload, n.ranking.rankOf(waiting))
 						}
 					}
