--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -42,14 +42,7 @@
 	segment, mine := c.membership.ownedMachine(r.Machine)
 	switch {
 	case s == nil || !mine:
-		ownerHost := c.membership.liveMachineOwner(r.Machine)
-		if ownerHost == c.settings.Host {
-			ownerHost = ""
-		}
-		if ownerHost != "" {
-			c.partition.noteRerouted(r, ownerHost)
-		}
-		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421, MachineOwner: ownerHost})
+		c.rerouteHeartbeat(&hb)
 		return
 	case r.Epoch > segment.Epoch:
 		// Another controller has a higher epoch: this one was deposed or its watch is
@@ -97,6 +90,19 @@
 	})
 }
 
+// rerouteHeartbeat sends the worker of a machine that is not this controller's to the machine
+// owner, as far as it is known, and lets that one know that the worker came here.
+func (c *Controller) rerouteHeartbeat(hb *message.WorkerHeartbeat) {
+	ownerHost := c.membership.liveMachineOwner(hb.Heartbeat.Machine)
+	if ownerHost == c.settings.Host {
+		ownerHost = ""
+	}
+	if ownerHost != "" {
+		c.partition.noteRerouted(&hb.Heartbeat, ownerHost)
+	}
+	c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421, MachineOwner: ownerHost})
+}
+
 // applyHeartbeat takes in a heartbeat or a poll reply, unless something newer is known.
 func (h *heartbeatTracker) applyHeartbeat(m *machine, r *model.Heartbeat, isHeartbeat bool) {
 	if m.heard && m.supersedes(r) {
