--- a/internal/simulation/ranking_checks.go
+++ b/internal/simulation/ranking_checks.go
@@ -72,7 +72,7 @@
 // its keys job, task, try, machine and ranking.
 func (r *rankingChecker) onDecision(p *controllerProcess, e message.Effect) {
 	l, ok := e.(message.Log)
-	if r == nil || !ok || l.Message != "placed" {
+	if r == nil || !ok || l.Message != "task placed" {
 		return
 	}
 	args := map[string]any{}
