--- a/internal/controller/arrivals.go
+++ b/internal/controller/arrivals.go
@@ -8,6 +8,13 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
+// arrivalWindow is how far back arrivals count, recentWindow the part of it that shows soonest when
+// they have ended.
+const (
+	arrivalWindow = 90 * time.Second
+	recentWindow  = 30 * time.Second
+)
+
 // workloadKey names a team's jobs of a workload.
 type workloadKey struct{ team, workload string }
 
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -10,6 +10,9 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
+// machineTypesInterval is how often machine types and prices are read again.
+const machineTypesInterval = 30 * time.Second
+
 // fleetKnowledge is what a controller knows of machines and workloads whatever role it has: prices
 // and capacities, how long machines take to be ready, how accurate estimates of run times are, and
 // what other shard leaders publish. Its methods may be called at any time from within Step.
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -7,104 +7,142 @@
 	"github.com/micahill/micahill/internal/migration"
 )
 
-type receivedUpdate struct {
-	receivedAt time.Time
-	update     message.PeerUpdate
-}
+const (
+	// leaderPeriod is how often the leader looks at the fleet.
+	leaderPeriod = time.Second
+	// updateTTL is how long a shard leader's requests and the leader's view of machines count.
+	updateTTL = 4 * time.Second
+)
 
-// receiveUpdate takes in what an owner asks. Another life of it knows nothing of what its
-// former one was told.
-func (l *leader) receiveUpdate(now time.Time, update message.PeerUpdate) {
-	if l.updates[update.From].update.Incarnation != update.Incarnation {
-		delete(l.ackedSeq, update.From)
-		for _, r := range l.rentals {
-			if r.publishedTo == update.From {
-				r.publishedTo = ""
-			}
-		}
-	}
-	l.updates[update.From] = receivedUpdate{receivedAt: now, update: update}
-}
+// leader is the cluster leader's part of a controller. It owns all dealings with the cloud (it
+// lists, rents and releases machines), assigns machines and teams to shards, and arranges the
+// exchange of machines and the evacuation of hosts between shard leaders.
+//
+// It exists only while the record at record.LeaderKey names this controller: Controller.leader is
+// nil otherwise, and its methods may be called only while it is not. A callback may run after the
+// leader was replaced, so it compares generation before it acts, and calls the leader that is there.
+//
+// Invariants: what it writes to the store names modRevision, so that nothing of a deposed leader is
+// applied; requests to the cloud carry the end of the membership lease as deadline; and nothing is
+// decided before the first complete list, or after the lease may have expired.
+//
+// At failover nothing of it is handed over. A new leader learns the machines from the cloud's lists,
+// their owners from the shard map, and what shard leaders need from their updates.
+type leader struct {
+	component
 
-// freshUpdate is an owner's word, if it is fresh and of the life that takes part now: what a
-// former one did not need, the present one may.
-func (l *leader) freshUpdate(host string) (receivedUpdate, bool) {
-	w, ok := l.updates[host]
-	return w, ok && l.now.Sub(w.receivedAt) <= updateTTL && l.controller.membership.fromCurrentIncarnation(&w.update)
-}
+	// modRevision is that of the record that names this controller, generation tells this leader
+	// from earlier ones of the same process.
+	modRevision uint64
+	generation  int
 
-// bookingKey is a booking under way for an owner.
-type bookingKey struct {
-	owner       string
-	machineKind machineKind
-}
+	// wakeAt is when tick has something to do next.
+	wakeAt     time.Time
+	lastScan   time.Time
+	lastLogged time.Time
 
-// leader owns the dealings with the cloud and writes the shares.
-type leader struct {
-	component
+	// rentals are the machines known, by ID. Until hasListed they may be incomplete.
+	rentals      map[string]*rental
+	hasListed    bool
+	listInFlight bool
+	lastListAt   time.Time
+	// unlistedSince are the machines that the shard map names and the cloud's lists don't show.
+	unlistedSince map[string]time.Time
 
-	modRevision    uint64
-	gen            int
-	wakeAt         time.Time
-	lastScan       time.Time
-	lastLogged     time.Time
-	rentals        map[string]*rental
-	hasListed      bool
-	listInFlight   bool
-	lastListAt     time.Time
-	blockedUntil   map[machineKind]time.Time
-	pendingRentals map[bookingKey]int
-	// confirmedReleases are machines whose return this leader has had answered; late lists
-	// go on naming them.
+	// blockedUntil is until when no machine of a kind is requested, after the cloud refused one.
+	blockedUntil map[machineKind]time.Time
+	// bookingsInFlight has the idempotency keys of the bookings without an answer, pendingRentals
+	// the machines requested in them. bookingSeq numbers the keys.
+	bookingsInFlight map[string]bool
+	pendingRentals   map[bookingKey]int
+	bookingSeq       uint64
+	// confirmedReleases are the machines whose release the cloud has confirmed to this leader.
+	// Lists, which lag, may go on naming them.
 	confirmedReleases map[string]bool
-	// booking names the requests to rent that are not answered yet.
-	booking map[string]bool
-	// seq numbers what the owners are told; an owner's wishes count only when
-	// it knows of what was rented for it last, which is requiredSeq.
+
+	// updates holds the last update of each shard leader, by host.
+	updates map[string]receivedUpdate
+	// seq numbers the updates to shard leaders, and ackedSeq has the last that each has received.
+	// The capacity requests of one count only when it knows what was rented for it last, that
+	// is, from requiredSeq on.
 	seq         uint64
+	ackedSeq    map[string]uint64
 	requiredSeq map[string]uint64
-	bookingSeq  uint64
-	updates     map[string]receivedUpdate
-	sharding    shardPlanning
-	// publishTurn says which machines the owners are told of next, and acked up to which
-	// of its news each has them all.
+	// publishTurn selects the machines that are published though nothing changed.
 	publishTurn int
-	ackedSeq    map[string]uint64
-	// handedOverAt is when a machine was last handed over.
+
+	sharding shardPlanning
+	// handedOverAt has the machines that were handed over within handoverCooldown, by ID.
 	handedOverAt map[string]time.Time
-	// evacuations are the hosts that owners are asked to empty for others.
+	// evacuations are the hosts that shard leaders are asked to empty for others.
 	evacuations migration.Evacuations
-	// unlistedSince are machines that records name and lists do not show, since when.
-	unlistedSince map[string]time.Time
 }
 
-// newLeader makes a leader that knows no machine yet.
+// receivedUpdate is the last update of a shard leader.
+type receivedUpdate struct {
+	receivedAt time.Time
+	update     message.PeerUpdate
+}
+
+// bookingKey identifies what is being rented for a shard leader.
+type bookingKey struct {
+	owner       string
+	machineKind machineKind
+}
+
+// newLeader returns a leader that knows no machine yet.
 func newLeader(c *Controller) *leader {
 	return &leader{
 		component:   component{environment: c.environment, controller: c},
-		modRevision: c.membership.leaderModRevision, gen: int(c.nextID()),
-		rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[bookingKey]int{}, booking: map[string]bool{}, requiredSeq: map[string]uint64{},
-		updates: map[string]receivedUpdate{}, confirmedReleases: map[string]bool{}, ackedSeq: map[string]uint64{}, unlistedSince: map[string]time.Time{}, handedOverAt: map[string]time.Time{}, sharding: newShardPlanning(c),
+		modRevision: c.membership.leaderModRevision, generation: int(c.nextID()),
+		rentals: map[string]*rental{}, unlistedSince: map[string]time.Time{},
+		blockedUntil: map[machineKind]time.Time{}, bookingsInFlight: map[string]bool{}, pendingRentals: map[bookingKey]int{}, confirmedReleases: map[string]bool{},
+		updates: map[string]receivedUpdate{}, ackedSeq: map[string]uint64{}, requiredSeq: map[string]uint64{},
+		sharding: newShardPlanning(c), handedOverAt: map[string]time.Time{},
 	}
 }
 
+// becomeLeader takes up leadership, unless this controller leads under the present record already.
 func (c *Controller) becomeLeader() {
 	if c.leader != nil && c.leader.modRevision == c.membership.leaderModRevision {
 		c.leader.planShards()
 		return
 	}
 	c.leader = newLeader(c)
-	c.info("leader", "stamp", c.membership.leaderModRevision)
+	c.info("leadership gained", "mod_revision", c.membership.leaderModRevision)
 	c.leader.planShards()
 }
 
+// stepDown gives up leadership.
 func (c *Controller) stepDown() {
 	if c.leader != nil {
-		c.info("leader no more")
+		c.info("leadership lost")
 		c.leader = nil
 	}
 }
 
+// receiveUpdate takes in the update of a shard leader. A new incarnation of it knows nothing of what
+// was published to the former one.
+func (l *leader) receiveUpdate(now time.Time, update message.PeerUpdate) {
+	if l.updates[update.From].update.Incarnation != update.Incarnation {
+		delete(l.ackedSeq, update.From)
+		for _, r := range l.rentals {
+			if r.publishedTo == update.From {
+				r.publishedTo = ""
+			}
+		}
+	}
+	l.updates[update.From] = receivedUpdate{receivedAt: now, update: update}
+}
+
+// freshUpdate returns the last update of a host, and whether it is recent and of the host's present
+// incarnation: what a former one did not need, the present one may.
+func (l *leader) freshUpdate(host string) (receivedUpdate, bool) {
+	w, ok := l.updates[host]
+	return w, ok && l.now.Sub(w.receivedAt) <= updateTTL && l.controller.membership.fromCurrentIncarnation(&w.update)
+}
+
+// tick does once a leaderPeriod what the leader does by itself.
 func (l *leader) tick() {
 	if l.now.Sub(l.lastScan) < leaderPeriod {
 		l.wakeAt = l.lastScan.Add(leaderPeriod)
@@ -112,7 +150,7 @@
 	}
 	l.lastScan = l.now
 	l.wakeAt = l.now.Add(leaderPeriod)
-	deriveRanking(l.controller)
+	l.controller.ranking.derive()
 	if !l.listInFlight && l.now.Sub(l.lastListAt) >= l.listInterval() {
 		l.listMachines("", nil)
 	}
@@ -121,27 +159,13 @@
 			delete(l.rentals, id)
 		}
 	}
-	// A leader that is cut off finds every machine silent, and the returns it
-	// asks for are held on the way and executed when the cut ends, under a
-	// successor that uses the machines. So nothing is decided unless the
-	// grant surely lives.
+	// To a leader that is cut off every machine seems unresponsive, and the releases that it
+	// requests are held up on the way and executed when the cut ends, under a successor
+	// that uses the machines. So nothing is decided unless the lease is surely valid.
 	if !l.hasListed || l.now.After(l.controller.membership.leaseValidUntil) {
 		return
 	}
-	for _, host := range sortedKeys(l.updates) {
-		if w, ok := l.freshUpdate(host); ok {
-			l.ackedSeq[host] = max(l.ackedSeq[host], w.update.Seq)
-			for _, x := range w.update.Offers {
-				l.sharding.offers[x.Team] = x
-			}
-			if w.receivedAt.After(l.lastScan.Add(-leaderPeriod)) {
-				l.recordTeamLoads(w.update.TeamLoads)
-			}
-		}
-	}
-	if o := l.controller.shardLeader; o != nil && o.ready {
-		l.applyOwnUpdate()
-	}
+	l.applyUpdates()
 	l.planShards()
 	l.exchangeMachines()
 	l.publishRentals()
@@ -150,3 +174,23 @@
 		l.logFleet()
 	}
 }
+
+// applyUpdates takes in what the shard leaders, this controller's included, need and offer.
+func (l *leader) applyUpdates() {
+	for _, host := range sortedKeys(l.updates) {
+		w, ok := l.freshUpdate(host)
+		if !ok {
+			continue
+		}
+		l.ackedSeq[host] = max(l.ackedSeq[host], w.update.Seq)
+		for _, x := range w.update.Offers {
+			l.sharding.offers[x.Team] = x
+		}
+		if w.receivedAt.After(l.lastScan.Add(-leaderPeriod)) {
+			l.recordTeamLoads(w.update.TeamLoads)
+		}
+	}
+	if s := l.controller.shardLeader; s != nil && s.ready {
+		l.applyOwnUpdate()
+	}
+}
--- a/internal/controller/leader_updates.go
+++ b/internal/controller/leader_updates.go
@@ -8,29 +8,36 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// fleetView is what an owner knows of its machines from the leader.
+const (
+	// maxRentalsPerUpdate bounds the machines in one update.
+	maxRentalsPerUpdate = 3000
+	// publishTurns is in how many updates, one a second, a shard leader is sent all of its
+	// machines. What has changed is in each update until it was acknowledged.
+	publishTurns = 5
+)
+
+// fleetView is what a shard leader knows of its machines from the leader.
 type fleetView struct {
-	leaderHost     string
-	incarnation    string
-	seq            uint64
-	receivedAt     time.Time
-	rentals        map[string]*rental
-	blockedUntil   map[machineKind]time.Time
+	// leaderHost, incarnation and seq identify the update, received at receivedAt.
+	leaderHost  string
+	incarnation string
+	seq         uint64
+	receivedAt  time.Time
+
+	rentals map[string]*rental
+	// blockedUntil is until when no machine of a kind is to be had.
+	blockedUntil map[machineKind]time.Time
+	// pendingRentals are machines whose booking has no answer yet. Only a shard leader that
+	// leads the cluster as well knows them.
 	pendingRentals map[machineKind]int
-	// surplus is what other owners have to spare.
+	// surplus is what other shard leaders can spare.
 	surplus map[machineKind]int
 }
 
-// maxRentalsPerUpdate bounds the machines in one news.
-const maxRentalsPerUpdate = 3000
-
-// publishTurns is in how many turns, a second each, an owner is told of all its machines;
-// of what has changed it is told at once, and until it has shown that it knows.
-const publishTurns = 5
-
-// publishRentals tells the other owners of their machines.
+// publishRentals sends each other shard leader an update: its machines, the kinds that the cloud
+// refuses, what others can spare, and which hosts and team it is asked to give up.
 func (l *leader) publishRentals() {
-	othersNeeds, empty := l.assignEvacuations()
+	othersNeeds, evacuations := l.assignEvacuations()
 	updates := map[string]*message.PeerUpdate{}
 	for _, x := range l.controller.membership.shardMap.Shards() {
 		if x.Host != l.settings.Host && slices.Contains(l.settings.Peers, x.Host) && updates[x.Host] == nil {
@@ -43,29 +50,9 @@
 	l.seq++
 	l.publishTurn = (l.publishTurn + 1) % publishTurns
 	for i, id := range sortedKeys(l.rentals) {
-		r := l.rentals[id]
 		host := l.assignedHost(id)
-		m := updates[host]
-		if m == nil {
-			continue
-		}
-		status := r.status
-		switch {
-		case !r.releasedAt.IsZero():
-			status = "returned"
-		case status == "running" && l.ownerOf(id) != host:
-			status = statusComing
-		}
-		if r.publishedTo != host || r.publishedStatus != status {
-			r.publishedTo, r.publishedStatus, r.publishedSeq = host, status, l.seq
-		}
-		if len(m.RentalUpdates) >= maxRentalsPerUpdate {
-			// It goes with the next news, until it is known to be known.
-			r.publishedSeq = l.seq + 1
-			continue
-		}
-		if r.publishedSeq > l.ackedSeq[host] || i%publishTurns == l.publishTurn {
-			m.RentalUpdates = append(m.RentalUpdates, message.RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: l.now.Sub(r.rentedAt)})
+		if update := updates[host]; update != nil {
+			l.addRentalUpdate(update, host, l.rentals[id], i%publishTurns == l.publishTurn)
 		}
 	}
 	var blocked []message.CapacityRequest
@@ -76,28 +63,50 @@
 	}
 	request, hasRequest := l.sharding.planner.PendingMove()
 	for _, host := range sortedKeys(updates) {
-		m := updates[host]
-		m.Seq, m.Blocked, m.SurplusElsewhere = l.seq, blocked, l.surplusExcept(host)
-		m.OthersNeeds, m.EvacuationRequests = othersNeeds[host], empty[host]
+		update := updates[host]
+		update.Seq, update.Blocked, update.SurplusElsewhere = l.seq, blocked, l.surplusExcept(host)
+		update.OthersNeeds, update.EvacuationRequests = othersNeeds[host], evacuations[host]
 		if hasRequest && request.From == host {
-			m.TeamRelease = []sharding.MoveRequest{request}
+			update.TeamRelease = []sharding.MoveRequest{request}
 		}
-		l.emit(message.SendPeerUpdate{To: host, Update: *m})
+		l.emit(message.SendPeerUpdate{To: host, Update: *update})
+	}
+}
+
+// addRentalUpdate adds a machine to the update for a host, if it is its turn or if the host has not
+// acknowledged the machine's present status.
+func (l *leader) addRentalUpdate(update *message.PeerUpdate, host string, r *rental, itsTurn bool) {
+	status := r.status
+	switch {
+	case !r.releasedAt.IsZero():
+		status = "returned"
+	case status == "running" && l.ownerOf(r.id) != host:
+		status = statusComing
+	}
+	if r.publishedTo != host || r.publishedStatus != status {
+		r.publishedTo, r.publishedStatus, r.publishedSeq = host, status, l.seq
+	}
+	if len(update.RentalUpdates) >= maxRentalsPerUpdate {
+		// It goes with the next update, and on until that is acknowledged.
+		r.publishedSeq = l.seq + 1
+		return
+	}
+	if r.publishedSeq > l.ackedSeq[host] || itsTurn {
+		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: l.now.Sub(r.rentedAt)})
 	}
 }
 
-// receiveLeaderUpdate takes in what the leader tells of this owner's machines. Its word
-// that a return was answered, or that the cloud calls a machine failed, is the
-// proof that the machine is gone.
+// receiveLeaderUpdate takes in what the leader publishes of this shard leader's machines. That a
+// release was confirmed, or that the cloud calls a machine failed, proves that the machine is gone.
 func (c *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
-	o := c.shardLeader
+	s := c.shardLeader
 	v := &fleetView{rentals: map[string]*rental{}}
-	switch old := o.fleet.view; {
+	switch old := s.fleet.view; {
 	case old == nil || old.leaderHost != update.From || old.incarnation != update.Incarnation:
 	case old.seq > update.Seq && c.now.Sub(old.receivedAt) < updateTTL:
 		return
 	default:
-		// It tells of some at a time. What it names no more is gone.
+		// An update has only some of the machines. One that none has any more is gone.
 		v.rentals = old.rentals
 		for id, r := range v.rentals {
 			if _, mine := c.membership.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || c.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
@@ -108,28 +117,7 @@
 	v.leaderHost, v.incarnation = update.From, update.Incarnation
 	v.seq, v.receivedAt, v.blockedUntil, v.pendingRentals = update.Seq, c.now, map[machineKind]time.Time{}, map[machineKind]int{}
 	for _, x := range update.RentalUpdates {
-		// News says where to look, never what is owned: one that boots is counted on
-		// before any record names it, and used only then.
-		if _, mine := c.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
-			continue
-		}
-		r := &rental{publishedAt: c.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: c.now.Add(-x.Age), status: x.Status, releasing: c.knowledge.released[x.ID]}
-		v.rentals[x.ID] = r
-		if !o.ready {
-			continue
-		}
-		if m := o.machines[x.ID]; m != nil && (x.Status == "returned" || x.Status == "failed") {
-			c.dropMachine(m, x.Status)
-		}
-		if x.Status == "returned" {
-			// Over: kept, it would be asked for again as long as it is told of, and told
-			// of as long as it is asked for, and leave no room for others to be returned.
-			delete(v.rentals, x.ID)
-			continue
-		}
-		if !c.knowledge.released[x.ID] {
-			c.adopt(r)
-		}
+		c.applyRentalUpdate(v, x)
 	}
 	v.surplus = map[machineKind]int{}
 	for _, w := range update.SurplusElsewhere {
@@ -138,9 +126,36 @@
 	for _, w := range update.Blocked {
 		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = c.now.Add(updateTTL)
 	}
-	o.fleet.setView(v)
+	s.fleet.setView(v)
 	c.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
 	for _, a := range update.TeamRelease {
-		o.teamRelease, o.teamReleaseAt = a, c.now
+		s.teamRelease, s.teamReleaseAt = a, c.now
+	}
+}
+
+// applyRentalUpdate takes one machine of the leader's update into the view v, and adopts or drops it.
+func (c *Controller) applyRentalUpdate(v *fleetView, x message.RentalUpdate) {
+	// An update says where to look, never what is owned: a booting machine is counted on before
+	// the shard map names it, and used only then.
+	if _, mine := c.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
+		return
+	}
+	r := &rental{publishedAt: c.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: c.now.Add(-x.Age), status: x.Status, releasing: c.knowledge.released[x.ID]}
+	v.rentals[x.ID] = r
+	s := c.shardLeader
+	if !s.ready {
+		return
+	}
+	if m := s.machines[x.ID]; m != nil && (x.Status == "returned" || x.Status == "failed") {
+		c.dropMachine(m, x.Status)
+	}
+	if x.Status == "returned" {
+		// Kept in the view, its release would be requested as long as it is published, and it
+		// would be published as long as its release is requested, in place of others.
+		delete(v.rentals, x.ID)
+		return
+	}
+	if !c.knowledge.released[x.ID] {
+		c.adopt(r)
 	}
 }
--- a/internal/controller/machine_kinds.go
+++ b/internal/controller/machine_kinds.go
@@ -5,19 +5,21 @@
 	"slices"
 )
 
+// machineKind is what the cloud rents machines by.
 type machineKind struct {
 	machineType string
 	zone        string
 	spot        bool
 }
 
+// sortedKinds returns the keys of m in a fixed order.
 func sortedKinds[V any](m map[machineKind]V) []machineKind {
-	ks := make([]machineKind, 0, len(m))
+	kinds := make([]machineKind, 0, len(m))
 	for k := range m {
-		ks = append(ks, k)
+		kinds = append(kinds, k)
 	}
-	slices.SortFunc(ks, func(a, b machineKind) int {
+	slices.SortFunc(kinds, func(a, b machineKind) int {
 		return cmp.Or(cmp.Compare(a.machineType, b.machineType), cmp.Compare(a.zone, b.zone), cmp.Compare(boolToFloat(a.spot), boolToFloat(b.spot)))
 	})
-	return ks
+	return kinds
 }
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -204,7 +204,7 @@
 		return
 	}
 	f.surplus = f.surplusForOthers(surplus)
-	f.controller.selectReleases(surplus)
+	f.selectReleases(surplus)
 	requests := f.planScaleOut(r, charge)
 	if !charge(0) {
 		return
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -290,26 +290,26 @@
 	return []message.Write{{Key: record.RankingKey, Value: b}, {Key: fmt.Sprint(record.RankingHistoryPrefix, rec.Revision%ranking.HistoryLen), Value: b}}
 }
 
-// deriveRanking has a leader write the ranking that its script stands for, where there is
-// none. From then on the record counts, not a controller's own script.
-func deriveRanking(c *Controller) {
-	r := &c.ranking
-	if !c.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !c.membership.loaded || c.now.After(c.membership.leaseValidUntil) {
+// derive writes the ranking that the leader's policy script stands for, if there is none. From then on the
+// record counts, and no controller's own script. It may be called only while this controller leads.
+func (r *rankingState) derive() {
+	m := &r.controller.membership
+	if !r.settings.Capabilities.Ranking || r.modRevision != 0 || r.writingDerived || !m.loaded || r.now.After(m.leaseValidUntil) {
 		return
 	}
-	rec, lossless := ranking.Derive(c.settings.Policy.WorkloadWeights, func(rec ranking.Record) bool { return c.ranking.fits(rec) })
+	rec, lossless := ranking.Derive(r.settings.Policy.WorkloadWeights, r.fits)
 	if !lossless {
-		c.info("the policy script weighs more workloads than a ranking has room for", "kept", len(rec.Classes))
+		r.info("policy weights truncated to ranking limit", "kept", len(rec.Classes))
 	}
-	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, c.settings.Host, c.now
+	rec.Revision, rec.SetBy, rec.SetAt = r.highestRevision+1, r.settings.Host, r.now
 	r.writingDerived = true
-	c.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: c.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
-		pause := c.jitter(storeRetryDelay)
+	r.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: r.controller.leader.modRevision}, {Key: record.RankingKey, ModRevision: 0}}, Writes: rankingWrites(rec)}, func(d message.StoreResponse) {
+		pause := r.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
 			pause = malformedRetryDelay
 		}
 		// The watch brings it, whoever wrote it.
-		c.after(pause, func() { r.writingDerived = false })
+		r.after(pause, func() { r.writingDerived = false })
 	})
 }
 
--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -247,8 +247,8 @@
 	n.leader = newLeader(n)
 	n.leader.modRevision = 5
 	n.effects = nil
-	deriveRanking(n)
-	deriveRanking(n)
+	n.ranking.derive()
+	n.ranking.derive()
 	all := sentStoreRequests(n)
 	lead, a := comparedRevision(&all[0], record.LeaderKey)
 	none, b := comparedRevision(&all[0], record.RankingKey)
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -9,51 +9,84 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
+const (
+	// refusedBackoff is how long no machine of a kind is requested after the cloud refused one.
+	refusedBackoff = 12 * time.Second
+	// maxRentPerRequest is the cloud's limit on machines in one booking.
+	maxRentPerRequest = 50
+	// listPageSize is about how many machines the cloud lists in one answer.
+	listPageSize = 500
+)
+
 // rental is a machine as the cloud knows it.
 type rental struct {
 	machineKind
-	id         string
-	addr       string
-	rentedAt   time.Time
-	status     string
+	id       string
+	addr     string
+	rentedAt time.Time
+	// status is the cloud's, or statusComing.
+	status string
+	// releasing says that its release was requested.
 	releasing  bool
 	lastListed time.Time
-	// publishedTo, publishedStatus and publishedSeq are which owner was last told what of it, and by
-	// which news; told is when an owner was told of it.
+
+	// publishedTo, publishedStatus and publishedSeq say to which shard leader the leader
+	// published which status last, and in which update it did so first.
 	publishedTo, publishedStatus string
 	publishedSeq                 uint64
-	publishedAt                  time.Time
-	// handedOverAt is when it was last handed over to another owner.
+	// publishedAt is when a shard leader received it from the leader last.
+	publishedAt time.Time
+	// handedOverAt is when it was last handed over to another shard leader.
 	handedOverAt time.Time
-	// releasedAt is when its return was answered; kept a while for its owner to hear.
+	// releasedAt is when its release was confirmed. It is kept for a while, to be published.
 	releasedAt time.Time
 }
 
-// listPageSize is about how many machines the cloud lists in one answer.
-const listPageSize = 500
+// newRental returns the rental that the cloud lists.
+func newRental(now time.Time, x *model.CloudMachine) *rental {
+	return &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: now.Add(-x.Age)}
+}
 
-// listInterval is how often the machines are listed: the longer the list the more
-// seldom, since it is late in any case, and costs a request for each page.
+// listInterval is how often the machines are listed. Long lists are read less often: they are late in
+// any case, and cost a request a page.
 func (l *leader) listInterval() time.Duration {
 	return max(l.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(l.rentals)/listPageSize)
 }
 
-// bookingBudget is how many requests to rent may be sent in one look: half of the
-// cloud's limit, since lists, returns and prices need some as well.
+// bookingBudget is how many bookings may be sent in one tick: half of the cloud's limit, since lists,
+// releases and prices need some as well.
 func (l *leader) bookingBudget() int {
 	return max(1, int(l.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
 }
 
-// ownerOf is whose machine it is, by the records.
+// ownerOf returns the host of the shard leader that a machine belongs to by the shard map, or "".
 func (l *leader) ownerOf(id string) string {
-	if o, ok := l.controller.membership.shardMap.Owner(id); ok {
-		return o.Host
+	if s, ok := l.controller.membership.shardMap.Owner(id); ok {
+		return s.Host
 	}
 	return ""
 }
 
-// confirmReleased tells the owner of a machine that its return was answered before it
-// came to this owner.
+// assignedHost is ownerOf, or the host that the machine is about to belong to.
+func (l *leader) assignedHost(id string) string {
+	if m, ok := l.sharding.unrecordedMachines[id]; ok {
+		return m.Host
+	}
+	return l.ownerOf(id)
+}
+
+// isRentedForOther reports whether a machine was rented for another shard leader and the shard map
+// does not say so yet. It gets no work before.
+func (c *Controller) isRentedForOther(id string) bool {
+	if c.leader == nil {
+		return false
+	}
+	m, ok := c.leader.sharding.unrecordedMachines[id]
+	return ok && m.Host != c.settings.Host
+}
+
+// confirmReleased lets the owner of a machine know that its release was confirmed before the machine
+// belonged to it.
 func (l *leader) confirmReleased(id, host string) {
 	if host == l.settings.Host {
 		if m := l.controller.shardLeader.machines[id]; m != nil {
@@ -69,63 +102,50 @@
 	r.releasedAt = l.now
 }
 
-// isRentedForOther says that a machine was rented for another controller, whose record is
-// being written: it is not to be given work before.
-func (c *Controller) isRentedForOther(id string) bool {
-	if c.leader == nil {
-		return false
-	}
-	r, ok := c.leader.sharding.unrecordedMachines[id]
-	return ok && r.Host != c.settings.Host
-}
-
-// assignedHost is whose machine it is or is about to be.
-func (l *leader) assignedHost(id string) string {
-	if r, ok := l.sharding.unrecordedMachines[id]; ok {
-		return r.Host
-	}
-	return l.ownerOf(id)
-}
-
-func (l *leader) listMachines(from string, got []model.CloudMachine) {
-	gen := l.gen
+// listMachines reads the cloud's list from the page after the machine from on; listed has the pages
+// before.
+func (l *leader) listMachines(from string, listed []model.CloudMachine) {
+	generation := l.generation
 	l.listInFlight = true
-	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(d message.CloudResponse) {
+	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(resp message.CloudResponse) {
 		l := l.controller.leader
-		if l == nil || l.gen != gen {
+		if l == nil || l.generation != generation {
 			return
 		}
-		if d.Status != message.CloudOK {
+		if resp.Status != message.CloudOK {
 			l.listInFlight = false
 			l.lastListAt = l.now
 			return
 		}
-		got = append(got, d.Machines...)
-		if d.Truncated && len(d.Machines) > 0 {
-			l.controller.leader.listMachines(got[len(got)-1].ID, got)
+		listed = append(listed, resp.Machines...)
+		if resp.Truncated && len(resp.Machines) > 0 {
+			l.listMachines(listed[len(listed)-1].ID, listed)
 			return
 		}
 		l.listInFlight, l.lastListAt, l.hasListed = false, l.now, true
-		l.controller.leader.receiveMachineList(got)
+		l.receiveMachineList(listed)
 	})
 }
 
 // receiveMachineList takes in a list, which may be older than the one before.
 func (l *leader) receiveMachineList(listed []model.CloudMachine) {
 	var again []string
-	for _, x := range listed {
+	for i := range listed {
+		x := &listed[i]
 		if l.controller.knowledge.released[x.ID] && (l.confirmedReleases[x.ID] || l.ownerOf(x.ID) == l.settings.Host) {
 			if l.rentals[x.ID] == nil && !l.confirmedReleases[x.ID] {
-				// Its return was asked for under an earlier leader, with whom the
-				// wish was lost. Nobody else would ever ask again.
-				l.rentals[x.ID] = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, addr: x.Addr, rentedAt: l.now.Add(-x.Age), status: x.Status, lastListed: l.now}
+				// Its release was requested under an earlier leader, and the request
+				// lost with it. Nobody else would ever repeat it.
+				r := newRental(l.now, x)
+				r.addr, r.status, r.lastListed = x.Addr, x.Status, l.now
+				l.rentals[x.ID] = r
 				again = append(again, x.ID)
 			}
 			continue
 		}
 		r := l.rentals[x.ID]
 		if r == nil {
-			r = &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: l.now.Add(-x.Age)}
+			r = newRental(l.now, x)
 			l.rentals[x.ID] = r
 		}
 		r.addr, r.lastListed = x.Addr, l.now
@@ -140,15 +160,19 @@
 	for ; len(again) > 0; again = again[min(len(again), maxReleasePerRequest):] {
 		l.releaseMachines(again[:min(len(again), maxReleasePerRequest)])
 	}
+	l.forgetUnlisted()
+	l.markUnlisted()
+}
+
+// forgetUnlisted forgets machines that lists have not shown for long. Once listed, a machine stays
+// listed until it is gone, but a list can be older than the one before. Absence proves nothing for the
+// tasks there: these go on by heartbeats, the worker lease, or the answer to a release.
+func (l *leader) forgetUnlisted() {
 	for _, id := range sortedKeys(l.rentals) {
 		r := l.rentals[id]
-		// Once listed, a machine stays listed until it is gone. A list can be
-		// older than the one before, so wait some lists before forgetting;
-		// absence is no proof for its tasks, which go on by reports, lease or
-		// the answer to a return.
 		forgetAfter := 4*l.settings.CloudListLag + 5*time.Second + 2*l.listInterval()
 		if l.ownerOf(id) != l.settings.Host {
-			// Its owner has to learn of it and may still need it returned.
+			// Its owner has to learn of it, and may still need it released.
 			forgetAfter += 2 * l.settings.WorkerLease
 		}
 		if !r.lastListed.IsZero() && l.now.Sub(r.lastListed) > forgetAfter {
@@ -163,10 +187,9 @@
 			delete(l.rentals, id)
 		}
 	}
-	l.markUnlisted()
 }
 
-// releaseMachines asks the cloud to take machines back until it says that it has.
+// releaseMachines requests the release of machines until the cloud confirms it.
 func (l *leader) releaseMachines(ids []string) {
 	for _, id := range ids {
 		l.controller.knowledge.markReleased(id)
@@ -174,91 +197,96 @@
 			r.releasing = true
 		}
 	}
-	gen := l.gen
+	generation := l.generation
 	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRelease, SendDeadline: l.controller.membership.leaseValidUntil, Machines: ids}, func(d message.CloudResponse) {
-		if l.controller.leader == nil || l.controller.leader.gen != gen {
+		l := l.controller.leader
+		if l == nil || l.generation != generation {
 			return
 		}
 		if d.Status != message.CloudOK {
-			// Executed or not, they get no more work; ask until it is sure.
+			// Executed or not, they get no more work. Asked for until it is confirmed.
 			l.after(l.jitter(time.Second), func() {
-				if l.controller.leader != nil && l.controller.leader.gen == gen {
-					l.controller.leader.releaseMachines(ids)
+				if l := l.controller.leader; l != nil && l.generation == generation {
+					l.releaseMachines(ids)
 				}
 			})
 			return
 		}
 		for _, id := range ids {
-			l.controller.leader.confirmedReleases[id] = true
+			l.confirmedReleases[id] = true
 			if l.controller.shardLeader != nil {
 				if m := l.controller.shardLeader.machines[id]; m != nil {
 					l.controller.dropMachine(m, "returned")
 				}
 			}
-			if r := l.controller.leader.rentals[id]; r != nil {
+			if r := l.rentals[id]; r != nil {
 				r.releasedAt = l.now
 			}
 		}
 	})
 }
 
-// booked notes that a booking is answered.
-func (l *leader) booked(a bookingKey, booking string, count int) {
-	delete(l.booking, booking)
-	if l.pendingRentals[a] -= count; l.pendingRentals[a] <= 0 {
-		delete(l.pendingRentals, a)
-	}
-}
-
-// sendBooking sends one booking for an owner. A booking without an answer is
-// repeated under the same name, which rents nothing twice.
+// sendBooking requests machines of a kind for a shard leader. booking is the idempotency key, "" for a
+// new booking: one without an answer is repeated under its key, which rents nothing twice.
 func (l *leader) sendBooking(host string, k machineKind, count int, booking string) {
 	if booking == "" {
 		l.bookingSeq++
 		booking = fmt.Sprintf("%d-%s-%s-%d", l.modRevision, l.settings.Host, l.settings.Incarnation, l.bookingSeq)
-		l.debug("rent", "flavour", k.machineType, "spot", k.spot, "count", count, "for", host)
+		l.debug("machines requested", "machine_type", k.machineType, "spot", k.spot, "count", count, "owner", host)
 	}
-	a := bookingKey{host, k}
-	if again := booking != "" && l.booking[booking]; !again {
-		l.booking[booking] = true
-		l.pendingRentals[a] += count
+	if !l.bookingsInFlight[booking] {
+		l.bookingsInFlight[booking] = true
+		l.pendingRentals[bookingKey{host, k}] += count
 	}
-	gen := l.gen
-	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: l.controller.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(d message.CloudResponse) {
+	generation := l.generation
+	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: l.controller.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(resp message.CloudResponse) {
 		l := l.controller.leader
-		if l == nil || l.gen != gen {
+		if l == nil || l.generation != generation {
 			return
 		}
-		switch d.Status {
+		switch resp.Status {
 		case message.CloudOK:
-			l.controller.leader.booked(a, booking, count)
-			for _, id := range d.Rented {
-				r := &rental{id: id, machineKind: k, rentedAt: l.now, status: "booting"}
-				l.rentals[id] = r
-				if l.controller.leader.ownerOf(id) != host {
-					l.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: l.now}
-				}
-				l.controller.adopt(r)
-			}
-			// Its wishes count again when it knows of these.
-			l.requiredSeq[host] = l.seq + 1
-			if len(d.Rented) < count {
-				l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
-			}
-			l.controller.leader.planShards()
+			l.endBooking(bookingKey{host, k}, booking, count)
+			l.receiveRented(host, k, count, resp.Rented)
 		case message.CloudNoCapacity:
-			l.controller.leader.booked(a, booking, count)
+			l.endBooking(bookingKey{host, k}, booking, count)
 			l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
 		case message.CloudMalformed:
-			l.controller.leader.booked(a, booking, count)
+			l.endBooking(bookingKey{host, k}, booking, count)
 			l.blockedUntil[k] = l.now.Add(time.Minute)
-			l.info("the cloud calls a booking malformed", "flavour", k.machineType)
+			l.info("booking rejected by the cloud as malformed", "machine_type", k.machineType)
 		default:
 			l.after(l.jitter(time.Second), func() {
-				if l.controller.leader != nil && l.controller.leader.gen == gen {
-					l.controller.leader.sendBooking(host, k, count, booking)
+				if l := l.controller.leader; l != nil && l.generation == generation {
+					l.sendBooking(host, k, count, booking)
 				}
 			})
 		}
 	})
 }
+
+// endBooking notes that a booking was answered.
+func (l *leader) endBooking(key bookingKey, booking string, count int) {
+	delete(l.bookingsInFlight, booking)
+	if l.pendingRentals[key] -= count; l.pendingRentals[key] <= 0 {
+		delete(l.pendingRentals, key)
+	}
+}
+
+// receiveRented takes in the machines that the cloud has rented out, of count requested for a host.
+func (l *leader) receiveRented(host string, k machineKind, count int, ids []string) {
+	for _, id := range ids {
+		r := &rental{id: id, machineKind: k, rentedAt: l.now, status: "booting"}
+		l.rentals[id] = r
+		if l.ownerOf(id) != host {
+			l.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: l.now}
+		}
+		l.controller.adopt(r)
+	}
+	// Its capacity requests count again when it knows of these.
+	l.requiredSeq[host] = l.seq + 1
+	if len(ids) < count {
+		l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
+	}
+	l.planShards()
+}
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -11,39 +11,51 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// shard_planning.go is the leader's part in the division: what internal/sharding decides is
-// written on condition that this leader still leads, and counts for everybody, the
-// leader too, only when the watch brings it.
+// shard_planning.go is how the leader changes the shard map. What internal/sharding decides is written
+// on condition that this leader still leads, and counts for everybody, the leader included, only when
+// the watch brings it.
 
-// unlistedGracePeriod is for how long records name machines that the lists, which lag, do not
-// show.
-const unlistedGracePeriod = time.Minute
-
-// loadSmoothing is the weight of the newest word on what a team keeps busy, one a second:
-// a mean over a minute, as teams that are alike differ by half from one moment to the
-// next, and a move for that would be one in vain.
-const loadSmoothing = 1.0 / 60
+const (
+	// unlistedGracePeriod is how long the shard map may name a machine that the lists, which lag,
+	// do not show, before the machine counts as gone.
+	unlistedGracePeriod = time.Minute
+	// loadSmoothing is the weight of the newest sample of a team's load, one a second, so that the
+	// load is a mean over about a minute: teams that are alike differ by half from one moment
+	// to the next, and to move one for that would be in vain.
+	loadSmoothing = 1.0 / 60
+)
 
-// shardPlanning is what the leader knows for the division.
+// shardPlanning is what the leader knows for changes of the shard map.
 type shardPlanning struct {
 	planner *sharding.Planner
-	writing bool
-	// writtenRevision is when it last wrote: nothing more is planned before that has been read.
+	// writing says that a change is being written. Nothing more is planned before
+	// writtenRevision, of the last write, has been read.
+	writing         bool
 	writtenRevision uint64
-	// unrecordedMachines are machines that were rented for a controller and that no record
-	// names for it yet.
+
+	// unrecordedMachines were rented for a shard leader or handed over to one, and the shard
+	// map does not say so yet.
 	unrecordedMachines map[string]sharding.NewMachine
-	offers             map[string]sharding.Offer
-	loads              map[string]float64
+	// offers, by team, are of the machines that would go with the team. loads are the CPUs that
+	// teams keep busy, smoothed.
+	offers map[string]sharding.Offer
+	loads  map[string]float64
 }
 
-// storeLimits are the state service's limits.
+func newShardPlanning(c *Controller) shardPlanning {
+	return shardPlanning{
+		planner:            sharding.New(c.requests.storeLimits(), fmt.Sprint(c.membership.leaderModRevision), c.settings.Policy.RebalanceInterval, c.now),
+		unrecordedMachines: map[string]sharding.NewMachine{}, offers: map[string]sharding.Offer{}, loads: map[string]float64{},
+	}
+}
+
+// storeLimits are the store's limits.
 func (r *requestTracker) storeLimits() sizelimit.Limits {
 	return sizelimit.Limits{ValueBytes: r.settings.MaxValueBytes, Ops: r.settings.MaxTxnWrites}
 }
 
-// limitsOf are those that a transaction keeps to. As long as a controller of the version
-// before can come back, records of tasks are as it writes and reads them.
+// limitsOf are the limits that a transaction keeps to. As long as a controller of the version before
+// may come back, task records keep to what that version reads and writes.
 func (r *requestTracker) limitsOf(op *message.StoreRequest) sizelimit.Limits {
 	l := r.storeLimits()
 	if r.controller.membership.formats.currentFormat().sized {
@@ -57,82 +69,88 @@
 	return l
 }
 
-func newShardPlanning(c *Controller) shardPlanning {
-	return shardPlanning{
-		planner:            sharding.New(c.requests.storeLimits(), fmt.Sprint(c.membership.leaderModRevision), c.settings.Policy.RebalanceInterval, c.now),
-		unrecordedMachines: map[string]sharding.NewMachine{}, offers: map[string]sharding.Offer{}, loads: map[string]float64{},
+// planShards writes the next change of the shard map, if there is one.
+func (l *leader) planShards() {
+	m := &l.controller.membership
+	planning := &l.sharding
+	if planning.writing || m.revision < planning.writtenRevision || !m.loaded || l.now.After(m.leaseValidUntil) {
+		return
+	}
+	writes := planning.planner.Plan(l.now, l.planningInput())
+	clear(planning.offers)
+	if len(writes) > 0 {
+		l.writeShardMap(writes)
 	}
 }
 
-// planShards writes the next change of the division, if there is one.
-func (ll *leader) planShards() {
-	l, s := ll, &ll.controller.membership
+// planningInput is what the planner decides on. Machines whose record has come, or that are gone, are
+// unrecorded no longer.
+func (l *leader) planningInput() sharding.Input {
+	m := &l.controller.membership
 	planning := &l.sharding
-	if planning.writing || s.revision < planning.writtenRevision || !s.loaded || ll.now.After(s.leaseValidUntil) {
-		return
+	input := sharding.Input{Map: m.shardMap, Self: l.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: l.confirmedGone}
+	for _, h := range sortedKeys(m.controllers) {
+		r := m.controllers[h]
+		receivesNothing := r.ReceivesNothing || h == l.settings.Host && m.receivesNothing(l.now)
+		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: l.controller.membership.recentlyStarted(r)})
 	}
-	input := sharding.Input{Map: s.shardMap, Self: ll.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: ll.controller.confirmedGone}
-	for _, h := range sortedKeys(s.controllers) {
-		r := s.controllers[h]
-		receivesNothing := r.ReceivesNothing || h == ll.settings.Host && s.receivesNothing(ll.now)
-		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: ll.controller.membership.recentlyStarted(r)})
-	}
-	for _, t := range ll.settings.Teams {
+	for _, t := range l.settings.Teams {
 		input.Teams = append(input.Teams, t.Name)
 	}
 	for _, id := range sortedKeys(planning.unrecordedMachines) {
 		r := planning.unrecordedMachines[id]
-		if o, ok := s.shardMap.Owner(id); ok && o.Host == r.Host || ll.controller.confirmedGone(id) {
+		if s, ok := m.shardMap.Owner(id); ok && s.Host == r.Host || l.confirmedGone(id) {
 			delete(planning.unrecordedMachines, id)
 			continue
 		}
 		input.NewMachines = append(input.NewMachines, r)
 	}
-	writes := planning.planner.Plan(ll.now, input)
-	clear(planning.offers)
-	if len(writes) == 0 {
-		return
-	}
+	return input
+}
+
+// writeShardMap writes one change. It names the leader's record, so that nothing of a deposed leader is
+// applied, and each record as it was read.
+func (l *leader) writeShardMap(writes []sharding.Write) {
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: l.modRevision}}}
 	for _, w := range writes {
 		key := record.ShardSegmentPrefix + w.Name
 		if w.IsShard {
 			key = record.ShardPrefix + w.Name
-			ll.info("division", "share", w.Name, "gone", w.Value == nil)
+			l.info("shard map changed", "shard", w.Name, "removed", w.Value == nil)
 		}
 		op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: w.ModRevision})
 		op.Writes = append(op.Writes, message.Write{Key: key, Value: w.Value})
 	}
-	planning.writing = true
-	gen := l.gen
-	ll.controller.requests.toStore(op, func(d message.StoreResponse) {
-		if ll.controller.leader == nil || ll.controller.leader.gen != gen {
+	l.sharding.writing = true
+	generation := l.generation
+	l.controller.requests.toStore(op, func(d message.StoreResponse) {
+		l := l.controller.leader
+		if l == nil || l.generation != generation {
 			return
 		}
-		planning.writing = false
+		l.sharding.writing = false
 		if d.Status == message.StoreOK || d.Status == message.StoreConflict {
 			// After a conflict the watch is behind.
-			planning.writtenRevision = d.Revision
+			l.sharding.writtenRevision = d.Revision
 			return
 		}
-		pause := ll.jitter(storeRetryDelay)
+		pause := l.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
-			// The same would be planned again. Other changes may go meanwhile, when what
-			// they rest on is another.
+			// The same would be planned again. Other changes may be written meanwhile, if
+			// what they rest on is different.
 			pause = malformedRetryDelay
 		}
-		ll.after(pause, func() {
-			if ll.controller.leader != nil && ll.controller.leader.gen == gen {
-				ll.controller.leader.planShards()
+		l.after(pause, func() {
+			if l := l.controller.leader; l != nil && l.generation == generation {
+				l.planShards()
 			}
 		})
 	})
 }
 
-// confirmedGone says that a machine is gone: its return was answered, or the cloud has
-// not listed it for long. That is no proof for what ran there, only for the records.
-func (c *Controller) confirmedGone(id string) bool {
-	l := c.leader
+// confirmedGone reports whether a machine is gone: its release was confirmed, or the cloud has not
+// listed it for long. The latter proves nothing for the tasks there; it is enough for the shard map.
+func (l *leader) confirmedGone(id string) bool {
 	if l.confirmedReleases[id] {
 		return true
 	}
@@ -140,11 +158,11 @@
 		return !r.releasedAt.IsZero()
 	}
 	unlistedSince, unlisted := l.unlistedSince[id]
-	return unlisted && c.now.Sub(unlistedSince) > unlistedGracePeriod
+	return unlisted && l.now.Sub(unlistedSince) > unlistedGracePeriod
 }
 
-// markUnlisted notes which machines that records name a list does not show. A new one is
-// missing for a while, and so is all that a former leader rented just before.
+// markUnlisted notes which machines of the shard map a list does not show. A new machine is missing for
+// a while, and so is all that a former leader rented just before.
 func (l *leader) markUnlisted() {
 	l.controller.membership.shardMap.EachMachine(func(id string) {
 		if l.rentals[id] != nil {
@@ -160,7 +178,7 @@
 	}
 }
 
-// recordTeamLoads takes in what an owner's teams keep busy, as a mean over the last while.
+// recordTeamLoads adds a sample of the CPUs that a shard leader's teams keep busy.
 func (l *leader) recordTeamLoads(teamLoads []message.TeamLoad) {
 	loads := l.sharding.loads
 	for _, x := range teamLoads {
@@ -171,13 +189,14 @@
 	}
 }
 
-// applyOwnUpdate is what this leader, as an owner, would tell the leader.
-func (ll *leader) applyOwnUpdate() {
-	l, o := ll, ll.controller.shardLeader
-	ll.recordTeamLoads(ll.controller.shardLeader.teamLoads())
-	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == ll.settings.Host {
-		o.teamRelease, o.teamReleaseAt = a, ll.now
-		for _, x := range ll.controller.shardLeader.offers() {
+// applyOwnUpdate takes in what this controller as shard leader would publish to the leader, and asks it
+// for the team that is to move.
+func (l *leader) applyOwnUpdate() {
+	s := l.controller.shardLeader
+	l.recordTeamLoads(s.teamLoads())
+	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == l.settings.Host {
+		s.teamRelease, s.teamReleaseAt = a, l.now
+		for _, x := range s.offers() {
 			l.sharding.offers[x.Team] = x
 		}
 	}
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -210,7 +210,7 @@
 		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: id, MachineType: "box", Zone: "z", Status: "returned"})
 	}
 	n.handleCommand(update)
-	n.selectReleases(nil)
+	n.shardLeader.fleet.selectReleases(nil)
 	if len(n.shardLeader.fleet.machinesToRelease) != 0 {
 		t.Errorf("%d that are returned are asked for again", len(n.shardLeader.fleet.machinesToRelease))
 	}
