--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -11,58 +11,65 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// evacuation.go lets owners help each other to whole hosts. One that has work which fits
-// nowhere, and for which the cloud has no machines, says so; others say what emptying a
-// host would cost them; the leader asks the one for whom it is cheapest, who moves what
-// is there away and has the host to spare. It is handed over like any other, by the
-// record of ownership: news only says where to look.
-
-// neededJobSpec is the work that needs the host, as far as it is known.
-func neededJobSpec(h *message.HostNeed) model.JobSpec {
-	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
-}
+// evacuation.go lets shard leaders empty hosts for each other. One with work that fits nowhere, and for which the
+// cloud has no machines, publishes the kinds it needs; others publish what emptying a host would cost them; the
+// leader asks the cheapest of these, which migrates what is there away and has the host as surplus. The host is
+// handed over like any other, by the shard map.
 
 const (
-	// refusedWindow is how long a kind counts as refused after the cloud last did: it
-	// is asked again now and then.
+	// refusedWindow is how long a kind counts as refused by the cloud, which is asked again
+	// more often.
 	refusedWindow = 3 * refusedBackoff
-	// maxEvacuationCost is what emptying a host for another owner may cost, in time down.
+	// maxEvacuationCost is what emptying a host for another shard leader may cost, in downtime.
 	maxEvacuationCost = time.Minute
-	// evacuationCostInterval is how often an owner reckons what emptying would cost it.
+	// evacuationCostInterval is how often a shard leader computes what emptying would cost it.
 	evacuationCostInterval = 5 * time.Second
-	// hostNeedDelay is how long small work waits in vain before a host is emptied for it:
-	// others may have pieces, but machines go whole.
+	// hostNeedDelay is how long small tasks are pending before a host is emptied for them: others
+	// may have the capacity on several machines, but only whole machines change hands.
 	hostNeedDelay = 20 * time.Second
-	// maxHostNeeds bounds the kinds in one news.
+	// maxHostNeeds bounds the kinds in one update.
 	maxHostNeeds = 64
-	// evacuationPrefix begins the name, in records of moves, of what a host is emptied for:
-	// no job is named so.
+	// evacuationPrefix begins the name, in migration records, of what a host is emptied for. No
+	// job is named so.
 	evacuationPrefix = "~"
+	// maxCostedKinds bounds the kinds for which costs are computed at one time.
+	maxCostedKinds = 2
 )
 
-// evacuation is what an owner knows of others' needs, and they of its own.
+// evacuation is what a shard leader knows of others' needs for hosts, and publishes of its own.
 type evacuation struct {
 	// refusedAt is when the cloud last refused a kind.
 	refusedAt map[machineKind]time.Time
-	// needs are this owner's.
+	// needs are this shard leader's.
 	needs []message.HostNeed
-	// othersNeeds are others', and empty what this one is asked to empty, as of at.
+	// othersNeeds are those of others, and assigned those that this one is asked to empty a host
+	// for, both received from the leader at receivedAt.
 	othersNeeds, assigned []message.HostNeed
 	receivedAt            time.Time
-	costs                 []message.HostCost
-	costedAt              time.Time
+	// costs are what emptying hosts for others would cost, as of costedAt.
+	costs    []message.HostCost
+	costedAt time.Time
+}
+
+// isEvacuationHold reports whether a place is held to empty its host for another shard leader.
+func isEvacuationHold(job string) bool { return strings.HasPrefix(job, evacuationPrefix) }
+
+// neededJobSpec is the work that needs the host, as far as it is known here.
+func neededJobSpec(h *message.HostNeed) model.JobSpec {
+	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
 }
 
 func neededKind(h *message.HostNeed) machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
 
-// receiveHostNeeds takes in what the leader says of others' needs.
+// receiveHostNeeds takes in what the leader publishes of others' needs.
 func (g *migrationManager) receiveHostNeeds(othersNeeds, assigned []message.HostNeed) {
-	if mv := migrationsOf(g.controller); mv != nil {
+	if mv := g.controller.migrations(); mv != nil {
 		mv.evacuation.othersNeeds, mv.evacuation.assigned, mv.evacuation.receivedAt = othersNeeds, assigned, g.now
 	}
 }
 
-// evacuationRequest is what the owner is asked to empty a host of a kind for, nil if it is not.
+// evacuationRequest returns the need for which a host is to be emptied here, by the name that the host is held
+// under; nil if the leader has not asked for it lately.
 func (mv *migrations) evacuationRequest(now time.Time, name string) *message.HostNeed {
 	if now.Sub(mv.evacuation.receivedAt) > updateTTL {
 		return nil
@@ -75,7 +82,8 @@
 	return nil
 }
 
-// updateHostNeeds says on which kinds a whole host would help work that waits in vain.
+// updateHostNeeds computes of which kinds a whole host would help the first job that can't be placed. There are
+// none unless the cloud has lately refused machines.
 func (g *migrationManager) updateHostNeeds(mv *migrations) {
 	b := &mv.evacuation
 	v := g.controller.shardLeader.fleet.view
@@ -88,25 +96,14 @@
 			b.refusedAt[k] = g.now
 		}
 	}
-	var waiting *job
-	lately := false
+	refused := false
 	for _, at := range b.refusedAt {
-		lately = lately || g.now.Sub(at) < refusedWindow
+		refused = refused || g.now.Sub(at) < refusedWindow
 	}
-	if !lately {
+	if !refused {
 		return
 	}
-	for _, j := range g.controller.shardLeader.scheduler.jobsInQueueOrder() {
-		// Its own moves go first.
-		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.HeldFor(j.ID) || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
-			continue
-		}
-		if g.now.Sub(later(j.readySince(), g.controller.shardLeader.readyAt)) < 2*migrationDelay || g.hasCapacityFor(j) {
-			continue
-		}
-		waiting = j
-		break
-	}
+	waiting := g.firstInNeedOfHost(mv)
 	if waiting == nil {
 		return
 	}
@@ -126,7 +123,23 @@
 	}
 }
 
-// hasCapacityFor says that there is room for a task of j, or a machine for it is coming.
+// firstInNeedOfHost returns the first job of the queue that migrations here do not help and that has no capacity in
+// sight, or nil.
+func (g *migrationManager) firstInNeedOfHost(mv *migrations) *job {
+	for _, j := range g.controller.shardLeader.scheduler.jobsInQueueOrder() {
+		// Migrations on its own machines are tried first.
+		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.HeldFor(j.ID) || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
+			continue
+		}
+		if g.now.Sub(later(j.readySince(), g.controller.shardLeader.readyAt)) < 2*migrationDelay || g.hasCapacityFor(j) {
+			continue
+		}
+		return j
+	}
+	return nil
+}
+
+// hasCapacityFor reports whether a task of j fits somewhere, or a machine for it is expected.
 func (g *migrationManager) hasCapacityFor(j *job) bool {
 	for _, m := range g.controller.shardLeader.machinesByID {
 		if g.controller.shardLeader.scheduler.usable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && j.Need.Fits(m.free()) {
@@ -141,13 +154,13 @@
 	return false
 }
 
-// planEvacuation reckons what emptying a host would cost, and begins to empty the one that
-// this owner is asked for. It says whether it has asked the planner.
-func (g *migrationManager) planEvacuation(mv *migrations) bool {
+// planEvacuation begins to empty a host that the leader has asked for, or else computes what emptying hosts would
+// cost.
+func (g *migrationManager) planEvacuation(mv *migrations) {
 	b := &mv.evacuation
 	if g.now.Sub(b.receivedAt) > updateTTL {
 		b.costs = nil
-		return false
+		return
 	}
 	for i := range b.assigned {
 		h := &b.assigned[i]
@@ -159,13 +172,12 @@
 		if plan, ok := migration.Find(p); ok {
 			g.begin(mv, team, p, plan)
 		}
-		return true
+		return
 	}
 	if len(b.othersNeeds) == 0 || g.now.Sub(b.costedAt) < evacuationCostInterval {
-		return false
+		return
 	}
 	b.costedAt, b.costs = g.now, nil
-	// One kind after another would be asked for by each: the first that waits is first.
 	tries := 0
 	for i := range b.othersNeeds {
 		h := &b.othersNeeds[i]
@@ -180,14 +192,10 @@
 			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: plan.Cost})
 		}
 	}
-	return true
 }
 
-// maxCostedKinds bounds the kinds for which an owner reckons costs in one look.
-const maxCostedKinds = 2
-
-// donorTeam is the team under which an owner writes moves for others: the first that has
-// no write under way.
+// donorTeam is the team in whose record migrations for others are written: the first with no write under way, or
+// "".
 func (g *migrationManager) donorTeam(mv *migrations) string {
 	for _, t := range sortedKeys(g.controller.shardLeader.teams) {
 		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.UnsavedPlans(t)) == 0 && g.controller.shardLeader.teams[t].ready {
@@ -197,15 +205,14 @@
 	return ""
 }
 
-// hasEmptyHost says that an empty host of a kind is there already: it is to spare when it is
-// not needed here.
+// hasEmptyHost reports whether there is an empty host of a kind. It will be surplus unless it is needed here.
 func (g *migrationManager) hasEmptyHost(k machineKind) bool {
 	return slices.ContainsFunc(g.controller.shardLeader.machinesByID, func(m *machine) bool {
 		return (machineKind{m.machineType, m.zone, m.spot}) == k && m.isEmpty() && g.controller.shardLeader.scheduler.usable(m)
 	})
 }
 
-// evacuationProblem is what the planner is asked for a whole host of a kind.
+// evacuationProblem is the planner's problem for a whole host of a kind.
 func (g *migrationManager) evacuationProblem(mv *migrations, h *message.HostNeed) *migration.Problem {
 	k := neededKind(h)
 	other := &job{JobSpec: neededJobSpec(h)}
@@ -218,7 +225,7 @@
 	return p
 }
 
-// kindNames names the kinds of needs.
+// kindNames returns the names of the kinds needed.
 func kindNames(hs []message.HostNeed) []string {
 	var out []string
 	for i := range hs {
@@ -227,8 +234,8 @@
 	return out
 }
 
-// assignEvacuations has the leader decide who empties a host for whom. It says what each owner
-// is told of others' needs and is asked for.
+// assignEvacuations has the leader decide which shard leader empties a host for which. It returns, by host, the needs
+// of others to publish and the needs assigned.
 func (l *leader) assignEvacuations() (othersNeeds, assigned map[string][]message.HostNeed) {
 	if !l.settings.Capabilities.Models {
 		return nil, nil
@@ -255,7 +262,7 @@
 	othersNeeds, assigned = map[string][]message.HostNeed{}, map[string][]message.HostNeed{}
 	for _, host := range slices.Sorted(maps.Keys(needs)) {
 		if len(needs[host]) > 0 {
-			// Who needs a host itself has none to give.
+			// One that needs a host itself has none to give.
 			continue
 		}
 		for _, d := range needed {
@@ -279,6 +286,3 @@
 	}
 	return othersNeeds, assigned
 }
-
-// isEvacuationHold says that a place is held to empty its host for another owner.
-func isEvacuationHold(job string) bool { return strings.HasPrefix(job, evacuationPrefix) }
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -10,60 +10,82 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// migration.go carries out moves of replicas: it shows the owner's books to internal/migration,
-// holds places, stops replicas, and starts them at their targets. A move decides where,
-// never whether: a replica starts anew only on proof and after its record, like any task.
+// migration.go carries out migrations of replicas: it shows jobs and machines to internal/migration, holds
+// places, stops replicas, and starts them at their targets. A migration decides where a replica runs, never
+// whether: it starts again only on proof that it has ended and after its record, like any task.
 
-// migrations is an owner's moves.
+// migrationManager owns the migrations of replicas and the evacuation of hosts for other shard leaders. It is
+// part of the shard leader: its methods may be called only while this controller leads a shard. A callback
+// compares the shard leader's generation, and calls the manager that is there.
+//
+// Invariants: a replica is stopped only after its plan is durable, only while the membership lease is surely
+// valid, and only for a place that is held for it; what is held for one task no other gets.
+//
+// At failover the plans are recovered from the records of the teams (recoverRecords); all else is learnt anew.
+type migrationManager struct {
+	component
+
+	// state is nil until the first call of Controller.migrations with the models capability on.
+	state *migrations
+}
+
+// migrations is a shard leader's migrations.
 type migrations struct {
 	tracker *migration.Tracker
-	records map[string]*migrationRecord
-	// held are the machines with places held, and pinned the tasks that wait for theirs.
+	// records, by team, are the stored ones. lastWrite is of any.
+	records   map[string]*migrationRecord
+	lastWrite time.Time
+	// recoveredAt is when records of a predecessor were last recovered.
+	recoveredAt time.Time
+
+	// held are the machines with places held, and pinnedUntil the tasks that wait for theirs.
 	held        []*machine
 	pinnedUntil map[taskKey]time.Time
-	// recoveredAt is when records of a former owner were last taken up.
-	recoveredAt time.Time
-	// evacuation is what owners need of each other.
-	evacuation evacuation
-	// unschedulable are jobs of which a task waits and fits nowhere.
+	// unschedulable are jobs of which a task waits and fits nowhere, by ID.
 	unschedulable map[string]*unschedulableReplica
-	lastWrite     time.Time
-	// lastLogged is when the log was last told of what is under way.
+
+	// evacuation is what shard leaders need of each other.
+	evacuation evacuation
+	// lastLogged is when the migrations under way were last logged.
 	lastLogged time.Time
 }
 
-// migrationRecord is a team's record as it stands in the state service.
+// migrationRecord is a team's record as it stands in the store.
 type migrationRecord struct {
 	modRevision uint64
 	writing     bool
-	// rejectedVersion is the version that the state service called malformed.
+	// rejectedVersion is the version that the store called malformed; it is not sent again.
 	rejectedVersion uint64
 }
 
 // migrationKey is the key of a team's record.
 func migrationKey(team string) string { return record.MigrationPrefix + teamKey(team) }
 
-// migrationsOf is an owner's moves, nil where models are not switched on.
-func migrationsOf(c *Controller) *migrations {
-	o := c.shardLeader
-	if !c.settings.Capabilities.Models || o == nil {
+// migrations returns the shard leader's migrations, nil without one or without the models capability.
+func (c *Controller) migrations() *migrations {
+	s := c.shardLeader
+	if !c.settings.Capabilities.Models || s == nil {
 		return nil
 	}
-	if o.migration.state == nil {
-		o.migration.state = &migrations{
-			tracker: migration.NewTracker(c.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
+	return s.migration.ensureState()
+}
+
+// ensureState makes the state on first use.
+func (g *migrationManager) ensureState() *migrations {
+	if g.state == nil {
+		g.state = &migrations{
+			tracker: migration.NewTracker(g.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
 			pinnedUntil: map[taskKey]time.Time{}, unschedulable: map[string]*unschedulableReplica{}, evacuation: evacuation{refusedAt: map[machineKind]time.Time{}},
 		}
 	}
-	o.migration.state.tracker.MaxRecordBytes = c.maxMigrationRecordBytes()
-	return o.migration.state
+	g.state.tracker.MaxRecordBytes = g.maxRecordBytes()
+	return g.state
 }
 
-// maxMigrationRecordBytes bounds the record of a team's moves, as JSON.
-func (c *Controller) maxMigrationRecordBytes() int { return c.settings.MaxValueBytes * 3 / 4 }
+// maxRecordBytes bounds the record of a team's migrations, as JSON.
+func (g *migrationManager) maxRecordBytes() int { return g.settings.MaxValueBytes * 3 / 4 }
 
-// read reads the records of moves under way, together with the teams' others, and
-// gives them to then.
+// read reads the records of all teams and passes them to then.
 func (g *migrationManager) read(then func([]message.KeyValue)) {
 	if !g.settings.Capabilities.Models {
 		then(nil)
@@ -73,9 +95,9 @@
 	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
 }
 
-// recoverRecords takes up what former owners had under way for teams that have come.
+// recoverRecords takes up what predecessors had under way for teams that have come, from items as read.
 func (g *migrationManager) recoverRecords(teams []string, items []message.KeyValue) {
-	mv := migrationsOf(g.controller)
+	mv := g.controller.migrations()
 	if mv == nil {
 		return
 	}
@@ -89,7 +111,7 @@
 			}
 			rec.modRevision = it.ModRevision
 			if err := mv.tracker.Recover(g.now, team, it.Value); err != nil {
-				// Its replicas run, or start on the ordinary path.
+				// Its replicas run, or start like any other.
 				g.rejectInput("record", it.Key, err.Error())
 			}
 		}
@@ -98,7 +120,7 @@
 	g.updateReservations(mv)
 }
 
-// forget lets go of what is under way for a team that is another owner's now.
+// forget drops what is under way for a team that another shard leader has now.
 func (g *migrationManager) forget(team string) {
 	if mv := g.state; mv != nil {
 		mv.tracker.ForgetTeam(team)
@@ -107,9 +129,9 @@
 	}
 }
 
-// tick looks after moves under way, writes them, and plans others.
+// tick carries on the migrations under way, plans others, and writes what has changed.
 func (g *migrationManager) tick() {
-	mv := migrationsOf(g.controller)
+	mv := g.controller.migrations()
 	if mv == nil {
 		return
 	}
@@ -121,8 +143,8 @@
 	g.write(mv)
 }
 
-// advance stops the replicas whose time has come. Nothing is stopped by an owner who
-// can't be sure that it is one.
+// advance stops the replicas that are to be stopped now. Nothing is stopped by a shard leader that can't be sure
+// that it is one.
 func (g *migrationManager) advance(mv *migrations) {
 	if g.now.After(g.controller.membership.leaseValidUntil) {
 		return
@@ -130,24 +152,24 @@
 	for _, s := range mv.tracker.Update(g.now, migrationFacts{g.controller}) {
 		j := g.controller.shardLeader.jobs[s.Job]
 		t := &j.tasks[s.Index]
-		g.info("replica moves", "job", s.Job, "task", s.Index, "from", t.machine.id)
+		g.info("replica migration started", "job", s.Job, "task", s.Index, "from", t.machine.id)
 		t.stopReason = stopDrain
 		g.controller.markDispatchPending(t.machine)
 	}
 	g.updateReservations(mv)
 }
 
-// updateReservations keeps others off the places that are held, and the tasks that these are
-// held for off others.
+// updateReservations keeps other tasks off the places that are held, and the tasks that have a place held off
+// other places.
 func (g *migrationManager) updateReservations(mv *migrations) {
-	o := g.controller.shardLeader
+	s := g.controller.shardLeader
 	for _, m := range mv.held {
 		m.reservedForMigration, m.evacuatingForOther = model.Resources{}, false
 	}
 	mv.held = mv.held[:0]
 	pinnedUntil := map[taskKey]time.Time{}
 	for _, h := range mv.tracker.Holds() {
-		if m := o.machines[h.Host]; m != nil {
+		if m := s.machines[h.Host]; m != nil {
 			if m.reservedForMigration == (model.Resources{}) {
 				mv.held = append(mv.held, m)
 			}
@@ -162,20 +184,20 @@
 		if _, still := pinnedUntil[k]; still {
 			continue
 		}
-		if j := o.jobs[k.job]; j != nil && k.index < len(j.tasks) && j.tasks[k.index].notBefore.Equal(until) {
+		if j := s.jobs[k.job]; j != nil && k.index < len(j.tasks) && j.tasks[k.index].notBefore.Equal(until) {
 			j.tasks[k.index].notBefore = time.Time{}
-			o.scheduler.requestPlacement()
+			s.scheduler.requestPlacement()
 		}
 	}
 	for k, until := range pinnedUntil {
-		if j := o.jobs[k.job]; j != nil && k.index < len(j.tasks) {
+		if j := s.jobs[k.job]; j != nil && k.index < len(j.tasks) {
 			j.tasks[k.index].notBefore = until
 		}
 	}
 	mv.pinnedUntil = pinnedUntil
 }
 
-// placeReserved starts what has its place held, there.
+// placeReserved starts the tasks that have a place held, there.
 func (s *scheduler) placeReserved() {
 	mv := s.controller.shardLeader.migration.state
 	if mv == nil || len(mv.tracker.Plans()) == 0 {
@@ -188,7 +210,7 @@
 		if j == nil || m == nil || j.pendingTasks() == 0 || !j.mayStart(s.now) || j.notBefore.After(s.now) || !s.usable(m) {
 			continue
 		}
-		// What is held for others is taken off, what is held for it is not.
+		// What is held for others is not free, what is held for this task is.
 		if !j.Need.Fits(m.free().AddScaled(h.Need, 1)) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !s.withinQuotaLimit(j) {
 			continue
 		}
@@ -207,8 +229,8 @@
 	}
 }
 
-// takeReservedTask takes a task out of those that wait: the one that a place on m is held for,
-// or any one of its job's; -1 when it does not wait.
+// takeReservedTask removes a task from those pending and returns its index: the one that a place on m is held
+// for, or for a negative index any of the job; -1 if it is not pending.
 func (s *scheduler) takeReservedTask(mv *migrations, j *job, index int, m *machine) int {
 	for k, i := range j.requeued {
 		t := &j.tasks[i]
@@ -225,8 +247,8 @@
 	return -1
 }
 
-// migratingResources is what replicas of the team that are down for their move will take again:
-// it stays theirs within the team's limit.
+// migratingResources is what the replicas of other jobs of the team will take again that are down for their
+// migration: it stays theirs within the team's quota limit.
 func (g *migrationManager) migratingResources(j *job) model.Resources {
 	var sum model.Resources
 	mv := g.state
@@ -241,8 +263,8 @@
 	return sum
 }
 
-// reservedTasks counts the waiting tasks of a job that have a place held, or for which moves
-// are being thought about: no machine is rented for them meanwhile.
+// reservedTasks counts the pending tasks of a job that have a place held, or for which a migration is about to be
+// planned: no machine is requested for them meanwhile.
 func (g *migrationManager) reservedTasks(j *job) int {
 	mv := g.state
 	if mv == nil {
@@ -259,124 +281,3 @@
 	}
 	return k
 }
-
-// migrationFacts shows the owner's books to the book of moves.
-type migrationFacts struct{ n *Controller }
-
-// movableReplica is a replica that may be moved at all, nil for other tasks.
-func (g *migrationManager) movableReplica(id string, index int) (*job, *task) {
-	j := g.controller.shardLeader.jobs[id]
-	if j == nil || !j.LongRunning || j.Gang || j.cancelled || j.ending || j.elsewhere() || j.borrowedLoan != "" || index >= len(j.tasks) {
-		return nil, nil
-	}
-	return j, &j.tasks[index]
-}
-
-func (f migrationFacts) Task(id string, index int) migration.Task {
-	j, t := f.n.shardLeader.migration.movableReplica(id, index)
-	if j == nil {
-		return migration.Task{}
-	}
-	out := migration.Task{Known: true, Attempt: t.attempt, Running: t.isRunning(), Stopping: t.stopReason != stopNone}
-	if t.machine != nil {
-		out.Host = t.machine.id
-	}
-	return out
-}
-
-func (f migrationFacts) RunningReplicas(id string) (int, int) {
-	j := f.n.shardLeader.jobs[id]
-	if j == nil {
-		return 0, 0
-	}
-	up := 0
-	for i := range j.tasks[:j.nextFresh] {
-		if t := &j.tasks[i]; t.isRunning() && t.stopReason == stopNone && !f.n.shardLeader.heartbeats.unresponsive(t.machine) {
-			up++
-		}
-	}
-	return up, len(j.tasks)
-}
-
-func (f migrationFacts) WaitingTasks(id string) int {
-	if isEvacuationHold(id) {
-		return int(boolToFloat(f.n.shardLeader.migration.state.evacuationRequest(f.n.now, id) != nil))
-	}
-	j := f.n.shardLeader.jobs[id]
-	if j == nil {
-		return 0
-	}
-	return j.pendingTasks()
-}
-
-func (f migrationFacts) FreeCapacity(host string) (model.Resources, bool) {
-	m := f.n.shardLeader.machines[host]
-	if m == nil {
-		return model.Resources{}, false
-	}
-	return m.free().AddScaled(m.reservedForMigration, 1), f.n.shardLeader.scheduler.usable(m)
-}
-
-func (f migrationFacts) Unheard(host string) bool {
-	n := f.n
-	if _, mine := n.membership.ownedMachine(host); !mine || n.knowledge.released[host] {
-		return false
-	}
-	m := n.shardLeader.machines[host]
-	return (m == nil || !m.heard) && n.now.Sub(later(n.shardLeader.readyAt, n.shardLeader.migration.state.recoveredAt)) < 3*n.maxHeartbeatInterval()
-}
-
-func (f migrationFacts) Downtime(id, host string) time.Duration {
-	j, m := f.n.shardLeader.jobs[id], f.n.shardLeader.machines[host]
-	if j == nil || m == nil {
-		return 0
-	}
-	return f.n.knowledge.fetchTime(m, j)
-}
-
-func (f migrationFacts) YieldsTo(id, other string) bool {
-	j, o := f.n.shardLeader.jobs[id], f.n.shardLeader.jobs[other]
-	if h := f.n.shardLeader.migration.state.evacuationRequest(f.n.now, other); h != nil {
-		o = &job{JobSpec: neededJobSpec(h)}
-	}
-	return j != nil && o != nil && f.n.shardLeader.migration.yieldsTo(j, o)
-}
-
-// yieldsTo says that a job's only replica may be stopped to make room for another job:
-// one that goes before it by the ranking, or stands beside it and is larger.
-func (g *migrationManager) yieldsTo(j, other *job) bool {
-	switch a, b := g.controller.ranking.rankOf(j), g.controller.ranking.rankOf(other); {
-	case a != b:
-		return b < a
-	case other.Need.GPU != j.Need.GPU:
-		return other.Need.GPU > j.Need.GPU
-	}
-	return other.Need.CPU > j.Need.CPU
-}
-
-// migrationsStatus is nil where models are not switched on.
-func migrationsStatus(c *Controller) *message.MigrationsStatus {
-	if c.shardLeader == nil || c.shardLeader.migration.state == nil {
-		return nil
-	}
-	b := c.shardLeader.migration.state.tracker
-	s := &message.MigrationsStatus{Plans: b.Stats.Started, Moved: b.Stats.Moved, Dropped: b.Stats.Dropped, LongestDownSeconds: b.Stats.LongestDowntime.Seconds()}
-	for _, e := range b.Plans() {
-		for i := range e.Steps {
-			x := &e.Steps[i]
-			s.InProgress = append(s.InProgress, message.MigrationStatus{
-				Job: x.Job, Task: x.Index, From: x.From, To: x.To, For: e.HeldFor, State: x.State.String(),
-				ExpectedDownSeconds: x.Downtime.Seconds(), GivenUpInSeconds: e.Until.Sub(c.now).Seconds(),
-			})
-		}
-	}
-	return s
-}
-
-// migrationManager TODO.
-type migrationManager struct {
-	component
-
-	// migrations are replicas on the move; see migration.go.
-	state *migrations
-}
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -1,52 +1,51 @@
 package controller
 
 import (
-	"slices"
 	"time"
 
-	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/migration"
 	"github.com/micahill/micahill/internal/model"
-	"github.com/micahill/micahill/internal/record"
 )
 
-// migration_plan.go says when moves are worth planning, and writes them down.
+// migration_plan.go decides when migrations are worth planning, and for which tasks.
 
 const (
-	// migrationDelay is how long a task must have waited and fitted nowhere before moves are
-	// planned for it: ends and starts follow one another. migrationRetryInterval separates two tries
-	// for one job.
+	// migrationDelay is how long a task must have been pending and fitted nowhere before
+	// migrations are planned for it: capacity is often free a moment later.
+	// migrationRetryInterval separates two attempts for one job.
 	migrationDelay         = 1500 * time.Millisecond
 	migrationRetryInterval = 3 * time.Second
-	// maxMigrationWait is what waiting may cost where neither renting nor an end is in sight.
+	// maxMigrationWait bounds the cost of a migration if neither a new machine nor the end of a
+	// task is in sight.
 	maxMigrationWait = 2 * time.Minute
-	// largeFraction is the part of a machine that a task must need, in one dimension, for
-	// room in pieces to be of no use to it.
+	// largeFraction is the part of a machine, in one dimension, from which on a task counts as
+	// large: scattered free capacity is of no use to it.
 	largeFraction = 0.25
-	// migrationWriteInterval separates two writes of moves, times the owners: all of them together
-	// make no more than one change in this time. migrationLazyDelay is how long what only ends
-	// a move may wait.
+	// migrationWriteInterval, times the number of shard leaders, separates two writes: all of
+	// them together make at most one in this time. migrationLazyDelay is how long the write of
+	// what only ends a migration may wait.
 	migrationWriteInterval = 2 * time.Second
 	migrationLazyDelay     = 10 * time.Second
-	// migrationLogInterval is how often the log is told of moves under way.
+	// migrationLogInterval is how often the migrations under way are logged.
 	migrationLogInterval = 30 * time.Second
 )
 
-// unschedulableReplica is a job of which a task waits and fits nowhere, though the pieces would do.
+// unschedulableReplica is a job of which a task is pending and fits on no machine, though all machines together
+// have the capacity.
 type unschedulableReplica struct {
 	since, lastTried time.Time
 }
 
-// plan looks for moves for the first job in turn that needs them.
+// plan looks for migrations for the first job of the queue that needs them.
 func (g *migrationManager) plan(mv *migrations) {
 	o := g.controller.shardLeader
 	if g.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
 		mv.lastLogged = g.now
 		t := mv.tracker.Stats
-		g.info("moves", "under way", len(mv.tracker.Plans()), "planned", t.Started, "moved", t.Moved, "dropped", t.Dropped, "longest down", t.LongestDowntime.Round(time.Millisecond))
+		g.info("migrations under way", "plans", len(mv.tracker.Plans()), "planned", t.Started, "moved", t.Moved, "dropped", t.Dropped, "longest_down", t.LongestDowntime.Round(time.Millisecond))
 	}
 	unschedulable := map[string]*unschedulableReplica{}
-	// Of a long queue of alike jobs only the first looks at every machine.
+	// Of many jobs of one shape only the first scans the machines.
 	alike := map[taskShape]bool{}
 	for id, j := range o.jobs {
 		if !g.waitsForCapacity(mv, j) {
@@ -78,7 +77,7 @@
 			continue
 		}
 		if rec := mv.records[j.Team]; rec == nil || rec.writing || len(mv.tracker.UnsavedPlans(j.Team)) > 0 || g.nextMigrationWrite(mv).After(g.now) {
-			// The next plan would wait for its write, holding places.
+			// The plan would wait for its write, and hold places meanwhile.
 			continue
 		}
 		x.lastTried = g.now
@@ -87,7 +86,7 @@
 	}
 }
 
-// waitsForCapacity says that a task of j waits which moves could help: it is large for some
+// waitsForCapacity reports whether a task of j is pending that migrations could help: it is large for some type of
 // machine, and has no place held.
 func (g *migrationManager) waitsForCapacity(mv *migrations, j *job) bool {
 	if j.Gang || j.borrowedLoan != "" || g.controller.shardLeader.scheduler.placeableTasks(j) == 0 || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
@@ -104,8 +103,7 @@
 	return false
 }
 
-// isUnschedulable says that a task of j fits nowhere as it is, and that there is enough room for
-// it in pieces.
+// isUnschedulable reports whether a task of j fits on no machine, while all of them together have the capacity.
 func (g *migrationManager) isUnschedulable(j *job) bool {
 	var sum model.Resources
 	large := false
@@ -123,22 +121,23 @@
 	return large && j.Need.Fits(sum)
 }
 
+// isLarge reports whether a task needs so much of a machine that scattered free capacity is of no use to it.
 func isLarge(need, size model.Resources) bool {
 	return need.CPU >= largeFraction*size.CPU || need.Memory >= largeFraction*size.Memory || size.GPU > 0 && need.GPU >= largeFraction*size.GPU
 }
 
-// planMigrationFor looks for moves that make room for a task of j, and begins them.
+// planMigrationFor looks for migrations that make room for a task of j, and begins them.
 func (g *migrationManager) planMigrationFor(mv *migrations, j *job) {
 	p := g.migrationProblem(mv, j)
 	plan, ok := migration.Find(p)
 	if !ok {
-		g.debug("no moves", "job", j.ID, "dearest", p.MaxCost)
+		g.debug("no migration found", "job", j.ID, "max_cost", p.MaxCost)
 		return
 	}
 	g.begin(mv, j.Team, p, plan)
 }
 
-// begin takes up a plan that the planner has found.
+// begin starts a plan that the planner has found.
 func (g *migrationManager) begin(mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
 	for _, m := range plan.Moves {
@@ -146,7 +145,7 @@
 		attempts = append(attempts, t.attempt)
 	}
 	reason := mv.tracker.Start(g.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, migration.Limits{
-		MaxRecordBytes: g.controller.maxMigrationRecordBytes(), MaxMovingFraction: g.settings.Capabilities.MaxMigratingFraction,
+		MaxRecordBytes: g.maxRecordBytes(), MaxMovingFraction: g.settings.Capabilities.MaxMigratingFraction,
 		KindOf: func(host string) (string, int) {
 			m := g.controller.shardLeader.machines[host]
 			if m == nil {
@@ -162,13 +161,14 @@
 		},
 	})
 	if reason != "" {
-		g.debug("moves are not begun", "for", p.WaitingTask.Job, "why", reason)
+		g.debug("migration not started", "job", p.WaitingTask.Job, "reason", reason)
 		return
 	}
-	g.info("moves planned", "for", p.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "instead of", p.MaxCost)
+	g.info("migration planned", "job", p.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "max_cost", p.MaxCost)
 	g.updateReservations(mv)
 }
 
+// kindName is a kind as logs and records of evacuations have it.
 func kindName(k machineKind) string {
 	name := k.machineType + "/" + k.zone
 	if k.spot {
@@ -177,7 +177,7 @@
 	return name
 }
 
-// migrationProblem is what the planner is asked for a task of j.
+// migrationProblem is the planner's problem for a task of j.
 func (g *migrationManager) migrationProblem(mv *migrations, j *job) *migration.Problem {
 	p, hosts := g.migrationCandidates(mv, j)
 	p.MaxCost = g.maxMigrationCost(j)
@@ -188,7 +188,7 @@
 	return p
 }
 
-// migrationCandidates is the hosts there are, and the replicas that may be moved for a job.
+// migrationCandidates is the problem's hosts, also as machines, and the replicas that may be migrated for a job.
 func (g *migrationManager) migrationCandidates(mv *migrations, j *job) (*migration.Problem, []*machine) {
 	o := g.controller.shardLeader
 	p := &migration.Problem{MaxMoves: migration.MaxMoves}
@@ -198,8 +198,8 @@
 		if !g.controller.shardLeader.scheduler.usable(m) {
 			continue
 		}
-		// One that is being retired is room as well: replicas on it don't end by
-		// themselves, and work that waits in vain is not to wait beside it.
+		// A machine that is being decommissioned counts as well: replicas on it don't end by
+		// themselves, and work that fits nowhere else is not to wait beside it.
 		h := migration.Host{
 			ID: m.id, Kind: kindName(machineKind{m.machineType, m.zone, m.spot}), Size: m.size, Free: m.free(),
 			Schedulable: !m.reservedForOther(j), Images: map[string]bool{}, FetchRate: g.controller.knowledge.imageFetchRate(m),
@@ -212,7 +212,7 @@
 		place[m] = len(hosts)
 		hosts, p.Hosts = append(hosts, m), append(p.Hosts, h)
 	}
-	// A job's replicas in one zone may go to the same machines.
+	// All replicas of a job in one zone may go to the same machines.
 	type like struct{ job, zone string }
 	allowed := map[like]func(int) bool{}
 	canSpare := map[string]bool{}
@@ -245,7 +245,7 @@
 	return p, hosts
 }
 
-// allowedHosts says where a replica of j that is in a zone may go, given j's other tasks.
+// allowedHosts returns which of hosts a replica of j that is in a zone may go to, given j's other tasks.
 func allowedHosts(j *job, zone string, hosts []*machine) func(int) bool {
 	zoneOK := func(to string) bool {
 		switch {
@@ -262,8 +262,8 @@
 	}
 }
 
-// maxMigrationCost is what moves for a task of j may cost: the time that renting would take, with
-// the fetch, or until something ends, whichever is shorter.
+// maxMigrationCost is what migrations for a task of j may cost: the time until a new machine would be ready and have
+// the image, or until capacity is free, whichever is shorter.
 func (g *migrationManager) maxMigrationCost(j *job) time.Duration {
 	cost := maxMigrationWait
 	v := g.controller.shardLeader.fleet.view
@@ -297,139 +297,3 @@
 	}
 	return cost
 }
-
-// nextMigrationWrite is when moves may be written next.
-func (g *migrationManager) nextMigrationWrite(mv *migrations) time.Time {
-	owners := 0
-	for _, s := range g.controller.membership.shardMap.Shards() {
-		if len(s.Teams) > 0 {
-			owners++
-		}
-	}
-	return mv.lastWrite.Add(migrationWriteInterval * time.Duration(max(1, owners)))
-}
-
-// write writes what is due: new plans at once, ends of moves when there is time. A
-// plan's record names the stamps of the open records of all its jobs, so that none is
-// moved that was cancelled meanwhile, the shares of their teams, and its own.
-func (g *migrationManager) write(mv *migrations) {
-	if g.nextMigrationWrite(mv).After(g.now) {
-		return
-	}
-	var best string
-	var bestSince time.Time
-	bestFresh := false
-	for _, team := range mv.tracker.Teams() {
-		since, fresh, due := mv.tracker.WriteDue(team)
-		rec := mv.records[team]
-		if rec == nil || rec.writing || !due || !fresh && g.now.Sub(since) < migrationLazyDelay {
-			continue
-		}
-		if _, ver := mv.tracker.EncodeRecord(team); ver == rec.rejectedVersion {
-			continue
-		}
-		if best == "" || fresh && !bestFresh || fresh == bestFresh && since.Before(bestSince) {
-			best, bestSince, bestFresh = team, since, fresh
-		}
-	}
-	if best == "" {
-		return
-	}
-	mv.lastWrite = g.now
-	g.writeTeam(mv, best)
-}
-
-func (g *migrationManager) writeTeam(mv *migrations, team string) {
-	rec := mv.records[team]
-	val, ver := mv.tracker.EncodeRecord(team)
-	key := migrationKey(team)
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
-	teams := []string{team}
-	for _, e := range mv.tracker.UnsavedPlans(team) {
-		op.Priority = message.PriorityStart
-		var jobs []string
-		if !isEvacuationHold(e.HeldFor) {
-			jobs = append(jobs, e.HeldFor)
-		}
-		for i := range e.Steps {
-			jobs = append(jobs, e.Steps[i].Job)
-		}
-		for _, id := range jobs {
-			j := g.controller.shardLeader.jobs[id]
-			if j == nil {
-				// Over or gone: nothing of this plan is to be done.
-				mv.tracker.WriteRefused(team, g.now)
-				return
-			}
-			teams = append(teams, j.Team)
-			if c := (message.Compare{Key: record.OpenJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
-				op.Compares = append(op.Compares, c)
-			}
-		}
-	}
-	op.Compares = append(op.Compares, g.controller.shardLeader.shardCompares(teams...)...)
-	op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: rec.modRevision})
-	op.Writes = []message.Write{{Key: key, Value: val}}
-	if val == nil && rec.modRevision == 0 {
-		mv.tracker.MarkPersisted(team, ver)
-		return
-	}
-	rec.writing = true
-	gen := g.controller.shardLeader.generation
-	g.controller.requests.toStore(op, func(d message.StoreResponse) {
-		if g.controller.shardLeader == nil || g.controller.shardLeader.generation != gen || mv.records[team] != rec {
-			return
-		}
-		rec.writing = false
-		switch d.Status {
-		case message.StoreOK:
-			rec.modRevision = d.Revision
-			if val == nil {
-				rec.modRevision = 0
-			}
-			mv.tracker.MarkPersisted(team, ver)
-			g.controller.shardLeader.migration.advance(mv)
-		case message.StoreConflict:
-			if !slices.Contains(d.FailedKeys, key) {
-				// A job or a share is not what it was: plan anew, if it is still needed.
-				mv.tracker.WriteRefused(team, g.now)
-				g.controller.shardLeader.migration.updateReservations(mv)
-				return
-			}
-			g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
-		case message.StoreUnknown:
-			g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
-		case message.StoreMalformed:
-			mv.tracker.WriteRefused(team, g.now)
-			_, rec.rejectedVersion = mv.tracker.EncodeRecord(team)
-			g.controller.shardLeader.migration.updateReservations(mv)
-		}
-	})
-}
-
-// reReadTeam reads a team's record after a write of ours that may have been applied, or
-// may be later: what stands there was written under this owner's share. It is written
-// anew on top of it.
-func (g *migrationManager) reReadTeam(mv *migrations, team string, rec *migrationRecord) {
-	rec.writing = true
-	gen := g.controller.shardLeader.generation
-	g.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(d message.StoreResponse) {
-		if g.controller.shardLeader == nil || g.controller.shardLeader.generation != gen || mv.records[team] != rec {
-			return
-		}
-		switch d.Status {
-		case message.StoreOK:
-			rec.modRevision, rec.writing = d.KeyValues[0].ModRevision, false
-		case message.StoreNotFound:
-			rec.modRevision, rec.writing = 0, false
-		default:
-			g.after(g.jitter(storeRetryDelay), func() {
-				if g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen && mv.records[team] == rec {
-					g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
-				}
-			})
-			return
-		}
-		mv.tracker.WriteUncertain(team, g.now)
-	})
-}
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -300,6 +300,6 @@
 func (s *scheduler) reportGPUFreeCapacity() {
 	if p := s.currentPackingProfile(); p != nil && s.now.Sub(s.freeCapacityReportedAt) >= gpuCapacityInterval {
 		s.freeCapacityReportedAt = s.now
-		s.emit(message.GPUFreeCapacityReport{Kinds: s.gpuFreeCapacity(), Migrations: migrationsStatus(s.controller)})
+		s.emit(message.GPUFreeCapacityReport{Kinds: s.gpuFreeCapacity(), Migrations: s.controller.migrationsStatus()})
 	}
 }
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -11,7 +11,7 @@
 		Reply: c.Reply, Host: n.settings.Host, Healthy: n.Healthy(n.now), Leader: n.membership.leader.Host,
 		InternalErrors: n.internalErrors,
 		RejectedInputs: n.rejectedInputs,
-		Migrations:     migrationsStatus(n),
+		Migrations:     n.migrationsStatus(),
 		IsLeader:       n.leader != nil, IsShardLeader: n.IsShardLeader(), Controllers: sortedKeys(n.membership.controllers),
 	}
 	cpus := map[string]float64{}
