--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -12,8 +12,18 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// queryLoans answers when the picture of open/ is as of a moment after the
-// question.
+const (
+	// maxOfferedPerKind is how many machines of a kind are offered to peers that would have to be
+	// rented for them: the cloud does not say how many it has.
+	maxOfferedPerKind = 8
+	// refusalMemory is how long no machine of a kind is expected after a refusal has passed. It is
+	// requested again much sooner; but a plan that counts on it each time would keep jobs here that
+	// then wait.
+	refusalMemory = time.Minute
+)
+
+// queryLoans answers once the watch cache is as of a moment after the query, and takes in what the query brings: the
+// progress of jobs at peers, and until when borrowed jobs may start.
 func (l *lending) queryLoans(c message.QueryLoans) {
 	for _, p := range c.Progress {
 		l.controller.frontend.progressByJob[p.ID] = p
@@ -52,6 +62,7 @@
 	})
 }
 
+// buildLoanView is the answer to a query, with the loans that this controller decides on.
 func (l *lending) buildLoanView(c message.QueryLoans, runsGuestTeam bool) message.LoanView {
 	cache := &l.controller.frontend.watchCache
 	v := message.LoanView{
@@ -83,38 +94,38 @@
 	return v
 }
 
-// buildBorrowedJob is what is durable of a loan that was taken.
-func (ll *lending) buildBorrowedJob(name string) message.BorrowedJob {
-	g := ll.byLoan[name]
+// buildBorrowedJob is what is known of a loan that was taken.
+func (l *lending) buildBorrowedJob(name string) message.BorrowedJob {
+	g := l.byLoan[name]
 	b := message.BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
-	if l, there := ll.controller.frontend.watchCache.openJobs[g.Job]; there {
-		b.StatusKnown, b.Spec, b.Ending = true, l.rec.JobSpec(g.Job), l.rec.Cancelled
-	} else if s, ok := ll.controller.frontend.finalStatuses[g.Job]; ok {
+	if open, there := l.controller.frontend.watchCache.openJobs[g.Job]; there {
+		b.StatusKnown, b.Spec, b.Ending = true, open.rec.JobSpec(g.Job), open.rec.Cancelled
+	} else if s, ok := l.controller.frontend.finalStatuses[g.Job]; ok {
 		b.StatusKnown, b.Status = true, s
 	} else {
-		ll.controller.frontend.readStatusRecord(g.Job, func(d message.StoreResponse) {
+		l.controller.frontend.readStatusRecord(g.Job, func(d message.StoreResponse) {
 			var r record.JobStatus
 			if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
-				ll.controller.frontend.cacheFinalStatus(g.Job, r.Status)
+				l.controller.frontend.cacheFinalStatus(g.Job, r.Status)
 			}
 		})
 	}
-	p := ll.controller.frontend.progressOf(g.Job)
+	p := l.controller.frontend.progressOf(g.Job)
 	b.DoneTasks, b.RunningTasks = p.Done, p.Running
-	if j := ll.controller.shardLeader.jobs[g.Job]; j != nil {
+	if j := l.controller.shardLeader.jobs[g.Job]; j != nil {
 		b.Started = j.hasStarted()
 	}
 	return b
 }
 
-// simulateLoans plays the queue forward on the machines there are: which jobs of which
-// nothing was started end too late, and which machines nothing of ours will want.
-func (ll *lending) simulateLoans(v *message.LoanView) {
-	v.CheapestCPUHour = ll.controller.knowledge.cheapestCPUCost()
-	images := map[string]bool{}
-	capacity := ll.controller.shardLeader.fleet.futureFreeCapacity()
-	sim := ll.controller.shardLeader.fleet.newSimulation(copyFreeCapacity(capacity, nil), capacity.imageIDs, nil)
-	for _, d := range ll.controller.shardLeader.fleet.demands(ll.controller.knowledge.planningHorizon(), true, false) {
+// simulateLoans simulates the queue on the machines there are, and adds to the view which jobs that were never started
+// would end too late here, and which capacity no job of this cluster will want.
+func (l *lending) simulateLoans(v *message.LoanView) {
+	fleet := &l.controller.shardLeader.fleet
+	v.CheapestCPUHour = l.controller.knowledge.cheapestCPUCost()
+	capacity := fleet.futureFreeCapacity()
+	sim := fleet.newSimulation(copyFreeCapacity(capacity, nil), capacity.imageIDs, nil)
+	for _, d := range fleet.demands(l.controller.knowledge.planningHorizon(), true, false) {
 		last, unplaceable := time.Time{}, d.count == 0
 		sim.simulate(d, func(_ int, x *simulatedMachine, _, at time.Time) {
 			if unplaceable = unplaceable || x == nil; x != nil {
@@ -124,47 +135,64 @@
 		if d.arrivalSpread > 0 || d.job.borrowedLoan != "" {
 			continue
 		}
-		finish := last.Add(ll.controller.shardLeader.fleet.expectedOccupancy(d.job)).Sub(ll.now)
-		if unplaceable {
-			finish = maxLateness
-		}
-		// What waits may also run on machines that are rented for it, unless the
-		// cloud has lately had none of the kind.
-		for k, f := range ll.rentableKinds() {
-			if d.job.allowsMachine(k.machineType, k.zone, k.spot) && d.job.Need.Fits(f.Capacity) {
-				finish = min(finish, f.ProvisioningTime+newMachineFetchTime(&f, d.job)+ll.controller.shardLeader.fleet.expectedOccupancy(d.job))
-			}
-		}
-		sloDue := ll.controller.shardLeader.scheduler.latestStart(d.job).Add(ll.controller.knowledge.expectedRunTime(d.job)).Sub(ll.now)
-		if finish > sloDue {
-			v.OwnWorkLate, v.LateUrgency = true, max(v.LateUrgency, d.job.Urgency)
-		}
-		if d.job.isLendable() {
-			v.Waiting = append(v.Waiting, message.WaitingJob{
-				Spec: d.job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: ll.controller.knowledge.expectedRunTime(d.job), LendCount: d.job.lendCount,
-			})
+		l.addWaitingJob(v, d.job, l.homeFinish(d.job, last, unplaceable))
+	}
+	l.addFreeCapacity(v, sim)
+}
+
+// homeFinish is how long the job is expected to take still here, if the last of its pending tasks starts at lastStart.
+func (l *lending) homeFinish(j *job, lastStart time.Time, unplaceable bool) time.Duration {
+	occupancy := l.controller.shardLeader.fleet.expectedOccupancy(j)
+	finish := lastStart.Add(occupancy).Sub(l.now)
+	if unplaceable {
+		finish = maxLateness
+	}
+	// Pending tasks may also run on machines that are rented for them, unless the cloud has lately
+	// refused the kind.
+	for k, f := range l.rentableKinds() {
+		if j.allowsMachine(k.machineType, k.zone, k.spot) && j.Need.Fits(f.Capacity) {
+			finish = min(finish, f.ProvisioningTime+newMachineFetchTime(&f, j)+occupancy)
 		}
 	}
-	type like struct {
-		k    machineKind
-		each model.Resources
+	return finish
+}
+
+// addWaitingJob adds a job to the view: whether it would be late here, and if it can be lent the job itself.
+func (l *lending) addWaitingJob(v *message.LoanView, j *job, finish time.Duration) {
+	runTime := l.controller.knowledge.expectedRunTime(j)
+	sloDue := l.controller.shardLeader.scheduler.latestStart(j).Add(runTime).Sub(l.now)
+	if finish > sloDue {
+		v.OwnWorkLate, v.LateUrgency = true, max(v.LateUrgency, j.Urgency)
+	}
+	if j.isLendable() {
+		v.Waiting = append(v.Waiting, message.WaitingJob{Spec: j.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: runTime, LendCount: j.lendCount})
 	}
-	count := map[like]int{}
+}
+
+// addFreeCapacity adds to the view the machines that the simulation left free, those that may be rented, and the images
+// that the free ones have.
+func (l *lending) addFreeCapacity(v *message.LoanView, sim *simulation) {
+	type group struct {
+		kind       machineKind
+		perMachine model.Resources
+	}
+	images := map[string]bool{}
+	count := map[group]int{}
 	for _, x := range sim.machines {
-		if x.machine == nil || x.placements > 0 || !ll.controller.shardLeader.scheduler.usable(x.machine) || x.machine.decommissioning {
+		if x.machine == nil || x.placements > 0 || !l.controller.shardLeader.scheduler.usable(x.machine) || x.machine.decommissioning {
 			continue
 		}
-		count[like{x.machineKind, x.machine.free()}]++
+		count[group{x.machineKind, x.machine.free()}]++
 		for name, im := range x.machine.images {
 			images[name] = images[name] || im.cached
 		}
 	}
-	for k, f := range ll.rentableKinds() {
-		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: ll.controller.knowledge.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+	for k, f := range l.rentableKinds() {
+		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: l.controller.knowledge.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
-	for l, k := range count {
-		f := ll.controller.knowledge.machineTypes[l.k.machineType]
-		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: l.k.machineType, Zone: l.k.zone, Spot: l.k.spot, PerMachine: l.each, Machines: k, CostPerCPUHour: ll.controller.knowledge.costPerHour(l.k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+	for g, n := range count {
+		f := l.controller.knowledge.machineTypes[g.kind.machineType]
+		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: g.kind.machineType, Zone: g.kind.zone, Spot: g.kind.spot, PerMachine: g.perMachine, Machines: n, CostPerCPUHour: l.controller.knowledge.costPerHour(g.kind) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
 	}
 	slices.SortFunc(v.FreeCapacity, func(a, b message.FreeCapacity) int {
 		return cmp.Or(strings.Compare(a.MachineType, b.MachineType), strings.Compare(a.Zone, b.Zone), cmp.Compare(boolToFloat(a.Spot), boolToFloat(b.Spot)), cmp.Compare(a.AvailableIn, b.AvailableIn), cmp.Compare(a.PerMachine.CPU, b.PerMachine.CPU), cmp.Compare(a.PerMachine.Memory, b.PerMachine.Memory))
@@ -176,16 +204,7 @@
 	}
 }
 
-// maxOfferedPerKind is how many machines of a kind are offered to peers that would have to
-// be rented for them: the cloud does not tell how many it has.
-const maxOfferedPerKind = 8
-
-// refusalMemory is for how long after a refusal has passed a kind is not counted on. It
-// is asked for again much sooner; but a plan that counts on it each time anew would
-// keep at home what then waits.
-const refusalMemory = time.Minute
-
-// rentableKinds are the kinds of machines that the cloud has not lately refused.
+// rentableKinds returns the kinds of machines that the cloud has not lately refused.
 func (l *lending) rentableKinds() map[machineKind]model.MachineType {
 	out := map[machineKind]model.MachineType{}
 	if l.controller.shardLeader.fleet.view == nil {
--- a/internal/controller/migration_facts.go
+++ b/internal/controller/migration_facts.go
@@ -8,7 +8,7 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// migrationFacts shows the shard leader's jobs and machines to the tracker; see migration.Facts.
+// migrationFacts shows the shard leader's jobs and machines to the tracker.
 type migrationFacts struct{ controller *Controller }
 
 // movableReplica returns a replica that may be migrated at all, nil for other tasks.
