--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -5,43 +5,42 @@
 	"fmt"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/micahill/micahill/internal/message"
 	"github.com/micahill/micahill/internal/model"
 	"github.com/micahill/micahill/internal/promise"
 	"github.com/micahill/micahill/internal/record"
 )
 
-// outcomes.go shares what quotes rest on, and counts what became of the dates. The
-// totals are a record that the leader brings up to date: exact as of a revision of the
-// state service, by the changes of job/ since, each record of which is written once.
+// outcomes.go counts what became of the dates. The totals are a record that the leader updates: exact as of a revision of
+// the store, by the changes of job/ since, each record of which is written once.
 
 const (
-	// totalsInterval is how often the leader looks what has ended, and totalsLogInterval how
-	// often the log tells of the totals.
+	// totalsInterval is how often the leader counts what has ended, totalsLogInterval how often the
+	// totals are logged.
 	totalsInterval    = 10 * time.Second
 	totalsLogInterval = 30 * time.Second
-	// maxTotalsLag is after how many revisions the record is written though nothing
-	// has ended: the state service keeps the last 10,000 changes only, and to read all
-	// of job/ anew takes long.
+	// maxTotalsLag is after how many revisions the record is written though nothing has ended: the
+	// store keeps the last 10,000 changes only, and to read all of job/ again takes long.
 	maxTotalsLag = 5000
+	// maxOpenPromises bounds the jobs in one answer.
+	maxOpenPromises = 1000
 )
 
-// totalsTracker is the leader's account of the record, as long as it leads.
+// totalsTracker is the leader's count, as long as it leads.
 type totalsTracker struct {
-	// leadership is the leadership under which the record was read, and stamp the record's.
+	// leadership is the leader under which the record was read, nil if it has to be read again, and
+	// modRevision the record's.
 	leadership  *leader
 	modRevision uint64
-	// writtenRevision is the revision in the record, and now the counts as of a later one, up
-	// to which nothing more has ended.
+	// writtenRevision is the revision that the record counts up to, and current the counts as of a
+	// later one, up to which nothing more has ended.
 	writtenRevision uint64
 	current         *promise.Totals
 	inFlight        bool
 	loggedAt        time.Time
 }
 
-// start reads what quotes rest on, which is there after the end of all too, and
-// lets the leader count.
+// start reads the stored quotes, which outlive a stop of the whole cluster, and begins the count of the leader.
 func (p *promiseState) start() {
 	p.quotes = map[string]*promise.Quoter{}
 	p.controller.frontend.endDates = map[string]uint64{}
@@ -56,73 +55,7 @@
 	p.totalsLoop()
 }
 
-// acceptQuotes takes in quotes of another's team, from news or, where none has come yet,
-// from the record.
-func (p *promiseState) acceptQuotes(from string, value []byte, fromPeer bool) {
-	team, q, err := promise.DecodeQuoter(value, p.settings.Capabilities.PromiseFraction)
-	if err != nil {
-		p.rejectInput("quotes", from, err.Error())
-		return
-	}
-	if p.team(team) == nil || !fromPeer && p.quotes[team] != nil || p.controller.shardLeader != nil && p.controller.shardLeader.teams[team] != nil {
-		return
-	}
-	p.quotes[team] = q
-}
-
-// quotesUpdate are the quotes of the teams here, for the others.
-func (p *promiseState) quotesUpdate() []message.TeamQuotes {
-	if !p.enabled() {
-		return nil
-	}
-	var out []message.TeamQuotes
-	for _, t := range sortedKeys(p.controller.shardLeader.teams) {
-		if q := p.quotes[t]; q != nil {
-			out = append(out, message.TeamQuotes{Team: t, Value: q.Encode(t, p.maxPageBytes())})
-		}
-	}
-	return out
-}
-
-// storeQuotes writes the quotes of one team, if they have changed: they are read only
-// after an end of all, and what they then say of the load is old anyway.
-func (p *promiseState) storeQuotes() {
-	o := p.controller.shardLeader
-	// The controllers share the pace.
-	if p.now.Sub(o.promiseDates.quotesStoredAt) < quoteStoreInterval*time.Duration(1+len(p.settings.Peers)) && !o.promiseDates.quotesStoredAt.IsZero() || p.now.After(p.controller.membership.leaseValidUntil) {
-		return
-	}
-	teams := sortedKeys(o.promiseDates.pageWriters)
-	for range teams {
-		next := ""
-		for _, t := range teams {
-			if t > o.promiseDates.quotesStoredTeam {
-				next = t
-				break
-			}
-		}
-		if o.promiseDates.quotesStoredTeam = next; next == "" {
-			continue
-		}
-		value := p.quoterFor(next, true).Encode(next, p.maxPageBytes())
-		hash := xxhash.Sum64(value)
-		if o.promiseDates.quotesStoredHash[next] == hash {
-			continue
-		}
-		o.promiseDates.quotesStoredAt = p.now
-		p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(next), Writes: []message.Write{{Key: record.QuotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
-			if p.controller.shardLeader == o && d.Status == message.StoreOK {
-				if o.promiseDates.quotesStoredHash == nil {
-					o.promiseDates.quotesStoredHash = map[string]uint64{}
-				}
-				o.promiseDates.quotesStoredHash[next] = hash
-			}
-		})
-		return
-	}
-}
-
-// totalsLoop lets the leader count what has ended.
+// totalsLoop has the leader count what has ended, again and again.
 func (p *promiseState) totalsLoop() {
 	p.after(totalsInterval, func() { p.totalsLoop() })
 	x := &p.totals
@@ -137,7 +70,7 @@
 	p.followTotals()
 }
 
-// isStillLeader says whether a step of the leader's may go on, which began under by.
+// isStillLeader reports whether a count that began under a leader may go on.
 func (p *promiseState) isStillLeader(by *leader) bool {
 	if p.controller.leader != by || by == nil {
 		p.totals.inFlight = false
@@ -146,8 +79,8 @@
 	return true
 }
 
-// readTotals begins from the record. One that is damaged is counted anew, from all of
-// job/; one of another version is left to it.
+// readTotals begins from the record. If that is damaged, all of job/ is counted again; a record of another version is left
+// to that version.
 func (p *promiseState) readTotals() {
 	by := p.controller.leader
 	tracker := &p.totals
@@ -156,13 +89,13 @@
 			return
 		}
 		var t *promise.Totals
-		var stamp uint64
+		var modRevision uint64
 		switch resp.Status {
 		case message.StoreNotFound:
 			t = &promise.Totals{}
 		case message.StoreOK:
 			var err error
-			stamp = resp.KeyValues[0].ModRevision
+			modRevision = resp.KeyValues[0].ModRevision
 			if t, err = promise.DecodeTotals(resp.KeyValues[0].Value); err != nil {
 				p.rejectInput("record", record.TotalsKey, err.Error())
 				if errors.Is(err, promise.ErrFormat) {
@@ -175,12 +108,12 @@
 			tracker.inFlight = false
 			return
 		}
-		tracker.leadership, tracker.modRevision, tracker.writtenRevision, tracker.current = by, stamp, t.Revision, t
+		tracker.leadership, tracker.modRevision, tracker.writtenRevision, tracker.current = by, modRevision, t.Revision, t
 		p.followTotals()
 	})
 }
 
-// followTotals takes in what has ended since.
+// followTotals counts what has ended since the record.
 func (p *promiseState) followTotals() {
 	by := p.controller.leader
 	x := &p.totals
@@ -202,8 +135,8 @@
 	})
 }
 
-// listEnds counts from all of job/ what has ended since a revision, up to that of the
-// first page: what ends meanwhile the next look brings.
+// listEnds counts from all of job/ what has ended since a revision, up to that of the first page; what ends meanwhile is
+// counted next time.
 func (p *promiseState) listEnds(t *promise.Totals, from string, upTo, since uint64) {
 	by := p.controller.leader
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityLazy, Key: record.JobStatusPrefix, StartAfter: from}, func(d message.StoreResponse) {
@@ -227,8 +160,8 @@
 	})
 }
 
-// countEnds counts the ends after a revision and up to another. Each job's stands there
-// once; of work borrowed from peers its home counts.
+// countEnds adds the ends after a revision and up to another, and reports whether there were any. A job has one end; a
+// borrowed one is counted by its home.
 func countEnds(t *promise.Totals, items []message.KeyValue, since, upTo uint64) bool {
 	counted := false
 	for _, it := range items {
@@ -242,8 +175,8 @@
 	return counted
 }
 
-// writeTotals writes the record if it says something new. It names the leader's record
-// and its own stamp, so that nothing is counted twice, whoever else believes to lead.
+// writeTotals writes the record if something has ended, or the last write is long ago. It names the leader's record and the
+// record as it was read, so that nothing is counted twice, whoever else believes to lead.
 func (p *promiseState) writeTotals(t *promise.Totals, ended bool) {
 	tracker := &p.totals
 	by := p.controller.leader
@@ -257,7 +190,7 @@
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: by.modRevision}, {Key: record.TotalsKey, ModRevision: tracker.modRevision}}, Writes: []message.Write{{Key: record.TotalsKey, Value: value}}}, func(d message.StoreResponse) {
 		tracker.inFlight = false
 		if p.controller.leader != by || d.Status != message.StoreOK {
-			// What became of it the record tells, before anything more is counted.
+			// The record is read again before anything more is counted.
 			tracker.leadership = nil
 			return
 		}
@@ -266,7 +199,7 @@
 	})
 }
 
-// reportTotals tells the shell, and now and then the log.
+// reportTotals reports the totals to the metrics, and now and then to the log.
 func (p *promiseState) reportTotals() {
 	x := &p.totals
 	s := x.current.Sum()
@@ -281,18 +214,16 @@
 			open++
 		}
 	}
-	p.info("promises", "ended", s.Jobs, "made", s.Made, "kept", s.Kept, "broken", s.Broken, "revised", s.Revised,
+	p.info("promise totals", "ended", s.Jobs, "made", s.Made, "kept", s.Kept, "broken", s.Broken, "revised", s.Revised,
 		"worst", s.Worst, "ratio", fmt.Sprintf("%.2f", x.current.MedianRatio()), "first", x.current.PromisedAtAccept, "open", open)
 }
 
-// openMost bounds the jobs in one answer.
-const openMost = 1000
-
+// newPromiseRow is a row as replies have it.
 func newPromiseRow(r promise.Row) message.PromiseRow {
 	return message.PromiseRow{Team: r.Team, Class: r.Class, Ended: r.Jobs, Made: r.Made, Kept: r.Kept, Broken: r.Broken, Revised: r.Revised, WorstSeconds: r.Worst.Seconds()}
 }
 
-// query answers from a fresh read, so that any controller tells the same.
+// query answers from a linearizable read, so that all controllers give the same answer.
 func (p *promiseState) query(query message.QueryPromises) {
 	reply := message.PromiseReply{Reply: query.Reply, Host: p.settings.Host, Rows: []message.PromiseRow{}, Open: []message.OpenPromise{}}
 	p.controller.frontend.watchCache.refresh(func(ok bool) {
@@ -337,6 +268,7 @@
 	})
 }
 
+// addOpenPromises adds the open jobs that the query asks for.
 func (p *promiseState) addOpenPromises(query message.QueryPromises, reply *message.PromiseReply) {
 	cache := &p.controller.frontend.watchCache
 	for _, id := range sortedKeys(cache.openJobs) {
@@ -359,7 +291,7 @@
 		x.AtRisk = d.Revision > 0 && !allUp && age+left > d.After
 		switch {
 		case query.OnlyAtRisk && !x.AtRisk:
-		case len(reply.Open) >= openMost:
+		case len(reply.Open) >= maxOpenPromises:
 			reply.Omitted++
 		default:
 			reply.Open = append(reply.Open, x)
--- a/internal/controller/promise_pages.go
+++ b/internal/controller/promise_pages.go
@@ -11,23 +11,25 @@
 	"github.com/micahill/micahill/internal/promise"
 )
 
-// shardLeaderDates is what an owner has of dates beside the jobs.
+// shardLeaderDates is what a shard leader has of dates beside the jobs. It belongs to promiseState, whose methods alone
+// write it, and ends with the shard leader.
 type shardLeaderDates struct {
+	// pageWriters are those of the teams led, by name. checkedAt is when dates were last checked.
 	pageWriters map[string]*promise.PageWriter
 	checkedAt   time.Time
-	// busy: a page is being written, or read after a write without an answer. turn is
-	// the team whose page was the last.
+	// pageInFlight says that a page is being written, or read after a write without an answer.
+	// lastTeam is the team whose page was the last.
 	pageInFlight bool
 	lastTeam     string
-	// quotesStoredAt is when quotes were last written, of the team that is named, and quotesStoredHash
-	// their hashes.
+	// quotesStoredAt is when quotes were last written, quotesStoredTeam of which team, and
+	// quotesStoredHash has the hash of what was written, by team.
 	quotesStoredAt   time.Time
 	quotesStoredTeam string
 	quotesStoredHash map[string]uint64
 }
 
-// teamKey is a team in a key: as it is where all its characters may stand in the path of
-// a request, and else, or if it is long, its hash.
+// teamKey is a team's name in a key: the name itself, or its hash if it is long or has characters that may not be in the
+// path of a request.
 func teamKey(team string) string {
 	plain := len(team) > 0 && len(team) <= maxTeamKeyLen
 	for _, c := range team {
@@ -39,12 +41,13 @@
 	return fmt.Sprintf("~%016x", xxhash.Sum64String(team))
 }
 
+// teamPagePrefix begins the keys of a team's pages.
 func teamPagePrefix(team string) string { return pagePrefix + teamKey(team) + "/" }
 
-// maxPageBytes bounds the records of dates, quotes and totals, as JSON.
+// maxPageBytes bounds a page and the records of quotes and totals, as JSON.
 func (p *promiseState) maxPageBytes() int { return p.settings.MaxValueBytes * 3 / 4 }
 
-// applyPage says whether a key under open/ is that of a page, and takes it in.
+// applyPage takes in a page and reports whether the key, under open/, is that of one.
 func (p *promiseState) applyPage(pages *promise.Pages, it message.KeyValue) bool {
 	if !strings.HasPrefix(it.Key, pagePrefix) {
 		return false
@@ -62,8 +65,8 @@
 	return true
 }
 
-// recoverPages takes up the pages of a team that has come, as its former owner left
-// them. When a date in them was made is not told: they count as made now.
+// recoverPages takes up the pages of a team that has come, as its last shard leader left them. They don't say when a date
+// was made: all count as made now.
 func (p *promiseState) recoverPages(team string, restored map[string]*job) {
 	o := p.controller.shardLeader
 	if !p.enabled() {
@@ -91,7 +94,7 @@
 	}
 }
 
-// writePage writes the page that most wait for, at most one at a time.
+// writePage writes the page of the next team that has dates to write. Only one page is in flight at a time.
 func (p *promiseState) writePage() {
 	o := p.controller.shardLeader
 	if o.promiseDates.pageInFlight {
@@ -107,7 +110,7 @@
 			_, there := open[id]
 			return !there && o.jobs[id] == nil
 		})
-		// In turns, so that a team with many does not keep the others' from being told.
+		// In turns, so that a team with many dates does not keep those of others unreported.
 		if next, ok := candidate.NextWrite(); ok && (writer == nil || team <= o.promiseDates.lastTeam && t > o.promiseDates.lastTeam) {
 			team, writer, w = t, candidate, next
 		}
@@ -129,22 +132,22 @@
 		o.promiseDates.pageInFlight = false
 		switch resp.Status {
 		case message.StoreOK:
-			stamp := resp.Revision
+			modRevision := resp.Revision
 			if w.Value == nil {
-				stamp = 0
+				modRevision = 0
 			}
-			writer.MarkWritten(w, stamp)
+			writer.MarkWritten(w, modRevision)
 		case message.StoreMalformed:
 			o.promiseDates.checkedAt = p.now.Add(malformedRetryDelay)
 		case message.StoreConflict, message.StoreUnknown:
-			// Perhaps an earlier write of this owner's, carried out late; another's
-			// would have needed its own share.
+			// Perhaps an earlier write of this shard leader was applied late; one of another
+			// would have needed the shard.
 			writer.MarkUncertain(w.Number)
 		}
 	})
 }
 
-// readPage finds out on what a page is to be written.
+// readPage reads the mod revision that the next write of a page has to name.
 func (p *promiseState) readPage(writer *promise.PageWriter, key string, w promise.PageWrite) {
 	o := p.controller.shardLeader
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: key}, func(d message.StoreResponse) {
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -8,66 +8,79 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// promises.go joins the promised dates in the core: who writes a date, under which
-// conditions, and when it may be told. What is decided of dates is in internal/promise.
+// promises.go has who writes promised completion dates, under which conditions, and when a date may be reported. What
+// is decided of dates is in internal/promise.
 //
-// A job's first date stands in open/<id>, written by whoever accepts it, or in a page;
-// later ones stand in pages, which the team's owner writes alone: each write names its
-// share's stamp and the page's own. Pages stand under open/, so the read on which an
-// answer rests brings the newest date with the job, as of the same revision.
+// A job's first date is in its record in open/, written by the controller that accepts it, or in a page. Later dates are
+// in pages, which only the team's shard leader writes: each write names the mod revisions of its shard and of the page.
+// Pages are under open/ too, so the read on which an answer rests brings the newest date with the job, as of the same
+// revision.
 
 const (
-	// pageMarker is what the keys of pages begin with after open/. No job is named so.
+	// pageMarker begins the keys of pages after open/. No job is named so.
 	pageMarker = "~"
 	pagePrefix = record.OpenJobPrefix + pageMarker
-	// maxTeamKeyLen is how long a team's name may be in a key; longer ones stand as their
-	// hash.
+	// maxTeamKeyLen is how long a team's name may be in a key; longer ones are hashed.
 	maxTeamKeyLen = 100
-	// dateCheckInterval is how often an owner looks at the dates of its jobs, and at most one
-	// page of them is written each time: what waits shares it.
+	// dateCheckInterval is how often a shard leader checks the dates of its jobs. At most one page is
+	// written each time, with all dates of it that wait.
 	dateCheckInterval = 2 * time.Second
-	// quoteStoreInterval separates two writes of quotes, one team's at a time.
+	// quoteStoreInterval, times the number of controllers, separates two writes of quotes, one team's
+	// at a time.
 	quoteStoreInterval = 30 * time.Second
-	// recentCauseWindow is for how long a trouble counts as the reason of a delay.
+	// recentCauseWindow is how long an outage or a change counts as the reason of a delay.
 	recentCauseWindow = 5 * time.Minute
-	// overrunFraction is the part of its run time that a task is taken to need still when it has
-	// run for longer than expected.
+	// overrunFraction is the part of its expected run time that a task is assumed to need still when
+	// it has run for longer than that.
 	overrunFraction = 0.25
 )
 
-// promiseState is what a controller has of dates beside its jobs.
+// promiseState owns what quotes rest on and the totals of what became of dates. The dates of open jobs are in dateState,
+// and the pages of a shard leader in shardLeaderDates.
+//
+// Its methods may be called at any time from within Step; tick and those that take a job only while this controller
+// leads the job's shard, and those that write totals only by the leader (isStillLeader). They do nothing unless enabled.
+//
+// Invariants: a date is reported only when it is durable; a later date never comes before an earlier one of the same
+// job; an end names the newest date that was decided; each end is counted once.
+//
+// At failover a team's next shard leader reads the pages (recoverPages) and goes on with the quotes that were published
+// or stored last; the next leader goes on from the stored totals.
 type promiseState struct {
 	component
 
-	// quotes are what quotes rest on, by team: what their owner told or wrote last,
-	// or, of a team here, what it learns.
+	// quotes are what quotes rest on, by team: what the team's shard leader published or stored last,
+	// or, of a team here, what is learnt.
 	quotes map[string]*promise.Quoter
-	// lastOutage is when the state service last did not answer here, and ranked when the
-	// order of work was last changed.
+	// lastOutage is when the store last did not answer here, rankingChangedAt when the order of work
+	// last changed: reasons of delays.
 	lastOutage, rankingChangedAt time.Time
-	totals                       totalsTracker
-	// perGB is how many seconds a GB of an image takes the usual kind of machine, as
-	// reckoned when so many kinds were known.
+
+	// totals is the leader's count of what became of dates.
+	totals totalsTracker
+
+	// perGB is how many seconds a GB of an image takes on a machine of the average type, computed when
+	// fetchTypeCount types were known.
 	perGB          float64
 	fetchTypeCount int
 }
 
-// dateState is what of a job concerns its date, as its owner has it.
+// dateState is the part of a job that is about its date.
 type dateState struct {
-	// firstPromise is the date in the accepting record, 0 for none. promised is the newest
-	// that is decided, durable or not, and made when.
+	// firstPromise is the date in the record that accepted the job, 0 for none. promised is the newest
+	// that was decided, durable or not, at promisedAt.
 	firstPromise time.Duration
 	promised     promise.Date
 	promisedAt   time.Time
-	// baseQuote is what the owner's quote was when the job came, to learn from.
+	// baseQuote is what was quoted here when the job came, to learn from.
 	baseQuote time.Duration
-	// restored: it was taken over, from whom or from which life ever.
+	// takenOver says that it was recovered, from another shard leader or an earlier incarnation.
 	takenOver bool
-	// judged: what became of the date has been learnt from.
+	// outcomeLearned says that the quotes have learnt what became of the date.
 	outcomeLearned bool
-	// blind: its newest date stands where it can't be read. None is told any more.
+	// dateUnreadable says that its newest date can't be read. None is reported any more.
 	dateUnreadable bool
-	// allUpAt is when all replicas of a standing job were first up.
+	// allUpAt is when all replicas of a long-running job first ran.
 	allUpAt time.Time
 }
 
@@ -77,8 +90,8 @@
 // noteRankingChange notes that the order of work has changed, which may delay jobs.
 func (p *promiseState) noteRankingChange() { p.rankingChangedAt = p.now }
 
-// durableDate is the newest durable date of an open job, as of the picture: none where it
-// can't be told which is the newest.
+// durableDate is the newest durable date of an open job, as of the watch cache: none if it isn't known which is the
+// newest.
 func (p *promiseState) durableDate(id string, l *openJob) promise.Date {
 	if !p.enabled() || l.rec.Cancelled {
 		return promise.Date{}
@@ -93,36 +106,35 @@
 	return l.rec.FirstDate()
 }
 
-// cacheDoneDate keeps what a done job's record says of its date, for whoever asks.
+// cacheDoneDate keeps the date in a done job's record, for queries.
 func (p *promiseState) cacheDoneDate(id string, r record.JobStatus) {
 	if d := r.Date(); p.enabled() && d.Revision > 0 {
 		p.controller.frontend.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
 	}
 }
 
-// notePromiseRecord takes in a job's record as its owner reads it.
+// notePromiseRecord takes in the first date of a job from its record in open/.
 func (p *promiseState) notePromiseRecord(j *job, r *record.OpenJob) {
 	if d := r.FirstDate(); p.enabled() && d.Revision > 0 && j.promised.Revision == 0 && !j.dateUnreadable {
 		j.firstPromise, j.promised, j.promisedAt = d.After, d, j.submittedAt
 	}
 }
 
-// noteBaseQuote notes what was to be expected of a job when it came.
+// noteBaseQuote notes what is quoted for a job that has just come.
 func (p *promiseState) noteBaseQuote(j *job) {
 	if p.enabled() && j.borrowedLoan == "" {
 		j.baseQuote = p.quoterFor(j.Team, true).Base(p.promiseJob(&j.JobSpec))
 	}
 }
 
-// isDateDurable says that nothing of the job's date waits to be written.
+// isDateDurable reports whether no date of the job waits to be written.
 func (p *promiseState) isDateDurable(j *job) bool {
 	b := p.controller.shardLeader.promiseDates.pageWriters[j.Team]
 	return b == nil || b.IsDurable(j.ID)
 }
 
-// endRecordFromCache is the record of a job that is over, by its record in open/, for whoever
-// does not run it: who cancels, and the leader for one that a peer has done. Its owner
-// has made no date since it was lent, and none was on its way.
+// endRecordFromCache is the record of a job that is over and does not run here, by its record in open/: of one that is
+// cancelled, or that a peer has done. No date was decided since it was lent, and none was being written then.
 func (p *promiseState) endRecordFromCache(id string, s model.JobStatus, l *openJob) record.JobStatus {
 	r := record.JobStatus{Status: s, Tasks: l.rec.Tasks}
 	if !p.enabled() {
@@ -138,8 +150,8 @@
 	return r
 }
 
-// endRecord is the record of a job whose tasks are all done here: with the newest date
-// that was decided, durable or not, so that no late page can be newer than it.
+// endRecord is the record of a job whose tasks are all done here. It has the newest date that was decided, durable or
+// not, so that no page that is written late can have a newer one.
 func (p *promiseState) endRecord(j *job) record.JobStatus {
 	r := record.JobStatus{Status: model.Done, Tasks: len(j.tasks)}
 	if j.cancelled {
@@ -159,7 +171,7 @@
 	return r
 }
 
-// tick does what is due for the dates of this owner's jobs.
+// tick does once a dateCheckInterval what is due for the dates of this shard leader's jobs.
 func (p *promiseState) tick() {
 	o := p.controller.shardLeader
 	if !p.enabled() {
@@ -180,15 +192,15 @@
 	p.storeQuotes()
 }
 
-// classLoad gathers what waits of one class.
+// classLoad sums up the pending tasks of one class: a team's jobs of a workload.
 type classLoad struct {
 	sample     *job
 	pending    int
 	oldestWait time.Duration
 }
 
-// updateLoads brings up to date how busy it is for each class, so that bursts, takeovers
-// and outages show in quotes within seconds; what grows fast the others hear at once.
+// updateLoads updates the load of each class, so that bursts, takeovers and outages show in quotes within seconds. A load
+// that grows fast is published at once.
 func (p *promiseState) updateLoads() {
 	o := p.controller.shardLeader
 	byClass := map[workloadKey]*classLoad{}
@@ -227,8 +239,8 @@
 		if freeCapacity >= 1 {
 			clearTime = time.Duration(float64(class.pending) / freeCapacity * float64(p.controller.knowledge.expectedRunTime(class.sample)))
 		}
-		// What is rented meanwhile is not counted, so that work before it holds one up
-		// no longer than the oldest has waited and machines take to come.
+		// Machines rented meanwhile are not counted. So the work ahead delays a job by no more
+		// than the oldest has waited, plus the time machines take to be ready.
 		load.Wait = max(class.oldestWait, min(clearTime, class.oldestWait+2*p.controller.knowledge.planningHorizon()))
 		if p.quoterFor(k.team, true).UpdateLoad(k.workload, load) {
 			o.loadsPublishedAt = time.Time{}
@@ -239,9 +251,9 @@
 	}
 }
 
-// updateDate gives a job its first date, or a new one where it would be missed. Once its
-// tasks are all done it has the date that it ends with: an end without an answer may be
-// carried out later, and must not take back a date that was told since.
+// updateDate gives a job its first date, or a new one if it would be missed. Once all its tasks are done the date is the
+// one that it ends with: an end whose write has no answer may be applied later, and must not take back a date that was
+// reported since.
 func (p *promiseState) updateDate(j *job) {
 	o := p.controller.shardLeader
 	writer := o.promiseDates.pageWriters[j.Team]
@@ -269,7 +281,7 @@
 		return
 	}
 	if !writer.IsDurable(j.ID) {
-		// A date is made when others can read it, which is not known yet.
+		// A date counts as made when others can read it, which is not known yet.
 		j.promisedAt = p.now
 	}
 	if age >= j.promised.After {
@@ -284,11 +296,10 @@
 	j.promised, j.promisedAt = d, p.now
 	e := promise.Entry{Job: j.ID, Date: d, Reason: p.revisionReason(j)}
 	writer.Put(e)
-	p.debug("date revised", "job", j.ID, "to", d.After, "rev", d.Revision, "why", e.Reason)
+	p.debug("promised date revised", "job", j.ID, "after", d.After, "revision", d.Revision, "reason", e.Reason)
 }
 
-// forecastRemaining is how long the job is expected to take still, and how long with the spread
-// of its run times.
+// forecastRemaining is how long the job is expected to take still, and how long with the spread of its run times.
 func (p *promiseState) forecastRemaining(j *job, q *promise.Quoter) (remaining, remainingHigh time.Duration) {
 	run := p.controller.knowledge.expectedRunTime(j)
 	if j.LongRunning {
@@ -297,7 +308,7 @@
 	if n := j.pendingTasks(); n > 0 || j.liveTasks == 0 {
 		load := q.Load(j.Workload)
 		if j.liveTasks > 0 || j.doneTasks > 0 {
-			// It has had its turn.
+			// It has been placed before, so nothing is ahead of it.
 			load.Wait = 0
 		}
 		rounds := 1.0
@@ -341,8 +352,7 @@
 	return promise.EstimateWrong
 }
 
-// hasLostAttempt says that some task of the job has begun more than once without having been
-// too slow.
+// hasLostAttempt reports whether a task of the job was started more than once, and not for being slow.
 func hasLostAttempt(j *job) bool {
 	for i := range j.tasks[:j.nextFresh] {
 		if t := &j.tasks[i]; t.attempt > 1 && !t.relaunched && !t.done {
@@ -352,8 +362,8 @@
 	return false
 }
 
-// cannotKeepDate says that a job's date can't be kept any more, whenever its tasks start. Once
-// it has passed that counts no longer: nobody is to wait behind others for good for it.
+// cannotKeepDate reports whether a job's date can't be kept any more, whenever its tasks start. Once it has passed that
+// counts no longer, so that no job stays behind others for ever.
 func (p *promiseState) cannotKeepDate(j *job) bool {
 	d := j.promised
 	end := j.submittedAt.Add(d.After)
