--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -28,13 +28,13 @@
 	for _, p := range c.Progress {
 		l.controller.frontend.progressByJob[p.ID] = p
 	}
-	if o := l.controller.shardLeader; o != nil {
-		for id, j := range o.jobs {
+	if s := l.controller.shardLeader; s != nil {
+		for id, j := range s.jobs {
 			if j.borrowedLoan != "" {
 				if was := j.startableUntil; c.StartableUntil[id].After(was) || c.StartableUntil[id].IsZero() {
 					j.startableUntil = c.StartableUntil[id]
 					if was.Before(l.now) {
-						o.scheduler.requestPlacement()
+						s.scheduler.requestPlacement()
 					}
 				}
 			}
@@ -88,7 +88,7 @@
 			v.Borrowed = append(v.Borrowed, l.buildBorrowedJob(name))
 		}
 	}
-	if o := l.controller.shardLeader; o != nil && o.ready && c.WithSimulation {
+	if s := l.controller.shardLeader; s != nil && s.ready && c.WithSimulation {
 		l.simulateLoans(&v)
 	}
 	return v
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -91,8 +91,10 @@
 		then(nil)
 		return
 	}
-	gen := g.controller.shardLeader.generation
-	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool { return g.controller.shardLeader != nil && g.controller.shardLeader.generation == gen }, then)
+	generation := g.controller.shardLeader.generation
+	readAll(g.controller, record.MigrationPrefix, message.PriorityMembership, func() bool {
+		return g.controller.shardLeader != nil && g.controller.shardLeader.generation == generation
+	}, then)
 }
 
 // recoverRecords takes up what predecessors had under way for teams that have come, from items as read.
@@ -256,8 +258,8 @@
 		return sum
 	}
 	for k := range mv.pinnedUntil {
-		if o := g.controller.shardLeader.jobs[k.job]; o != nil && o != j && o.Team == j.Team && k.index < len(o.tasks) && o.tasks[k.index].machine == nil {
-			sum = sum.AddScaled(o.Need, 1)
+		if other := g.controller.shardLeader.jobs[k.job]; other != nil && other != j && other.Team == j.Team && k.index < len(other.tasks) && other.tasks[k.index].machine == nil {
+			sum = sum.AddScaled(other.Need, 1)
 		}
 	}
 	return sum
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -38,7 +38,7 @@
 
 // plan looks for migrations for the first job of the queue that needs them.
 func (g *migrationManager) plan(mv *migrations) {
-	o := g.controller.shardLeader
+	s := g.controller.shardLeader
 	if g.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
 		mv.lastLogged = g.now
 		t := mv.tracker.Stats
@@ -47,7 +47,7 @@
 	unschedulable := map[string]*unschedulableReplica{}
 	// Of many jobs of one shape only the first scans the machines.
 	alike := map[taskShape]bool{}
-	for id, j := range o.jobs {
+	for id, j := range s.jobs {
 		if !g.waitsForCapacity(mv, j) {
 			continue
 		}
@@ -190,11 +190,11 @@
 
 // migrationCandidates is the problem's hosts, also as machines, and the replicas that may be migrated for a job.
 func (g *migrationManager) migrationCandidates(mv *migrations, j *job) (*migration.Problem, []*machine) {
-	o := g.controller.shardLeader
+	s := g.controller.shardLeader
 	p := &migration.Problem{MaxMoves: migration.MaxMoves}
 	var hosts []*machine
 	place := map[*machine]int{}
-	for _, m := range o.machinesByID {
+	for _, m := range s.machinesByID {
 		if !g.controller.shardLeader.scheduler.usable(m) {
 			continue
 		}
--- a/internal/controller/promise_pages.go
+++ b/internal/controller/promise_pages.go
@@ -68,16 +68,16 @@
 // recoverPages takes up the pages of a team that has come, as its last shard leader left them. They don't say when a date
 // was made: all count as made now.
 func (p *promiseState) recoverPages(team string, restored map[string]*job) {
-	o := p.controller.shardLeader
+	s := p.controller.shardLeader
 	if !p.enabled() {
 		return
 	}
 	cache := &p.controller.frontend.watchCache
 	prefix := teamPagePrefix(team)
-	if o.promiseDates.pageWriters == nil {
-		o.promiseDates.pageWriters = map[string]*promise.PageWriter{}
+	if s.promiseDates.pageWriters == nil {
+		s.promiseDates.pageWriters = map[string]*promise.PageWriter{}
 	}
-	o.promiseDates.pageWriters[team] = cache.promisePages.NewWriter(prefix, p.maxPageBytes())
+	s.promiseDates.pageWriters[team] = cache.promisePages.NewWriter(prefix, p.maxPageBytes())
 	p.quoterFor(team, true)
 	for id, j := range restored {
 		if j.Team != team {
@@ -96,29 +96,29 @@
 
 // writePage writes the page of the next team that has dates to write. Only one page is in flight at a time.
 func (p *promiseState) writePage() {
-	o := p.controller.shardLeader
-	if o.promiseDates.pageInFlight {
+	s := p.controller.shardLeader
+	if s.promiseDates.pageInFlight {
 		return
 	}
 	open := p.controller.frontend.watchCache.openJobs
 	var team string
 	var writer *promise.PageWriter
 	var w promise.PageWrite
-	for _, t := range sortedKeys(o.promiseDates.pageWriters) {
-		candidate := o.promiseDates.pageWriters[t]
+	for _, t := range sortedKeys(s.promiseDates.pageWriters) {
+		candidate := s.promiseDates.pageWriters[t]
 		candidate.RemoveEnded(func(id string) bool {
 			_, there := open[id]
-			return !there && o.jobs[id] == nil
+			return !there && s.jobs[id] == nil
 		})
 		// In turns, so that a team with many dates does not keep those of others unreported.
-		if next, ok := candidate.NextWrite(); ok && (writer == nil || team <= o.promiseDates.lastTeam && t > o.promiseDates.lastTeam) {
+		if next, ok := candidate.NextWrite(); ok && (writer == nil || team <= s.promiseDates.lastTeam && t > s.promiseDates.lastTeam) {
 			team, writer, w = t, candidate, next
 		}
 	}
 	if writer == nil || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
-	o.promiseDates.pageInFlight, o.promiseDates.lastTeam = true, team
+	s.promiseDates.pageInFlight, s.promiseDates.lastTeam = true, team
 	key := teamPagePrefix(team) + strconv.Itoa(w.Number)
 	if !w.RevisionKnown {
 		p.readPage(writer, key, w)
@@ -126,10 +126,10 @@
 	}
 	req := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: append(p.controller.shardLeader.shardCompares(team), message.Compare{Key: key, ModRevision: w.ModRevision}), Writes: []message.Write{{Key: key, Value: w.Value}}}
 	p.controller.requests.toStore(req, func(resp message.StoreResponse) {
-		if p.controller.shardLeader != o {
+		if p.controller.shardLeader != s {
 			return
 		}
-		o.promiseDates.pageInFlight = false
+		s.promiseDates.pageInFlight = false
 		switch resp.Status {
 		case message.StoreOK:
 			modRevision := resp.Revision
@@ -138,7 +138,7 @@
 			}
 			writer.MarkWritten(w, modRevision)
 		case message.StoreMalformed:
-			o.promiseDates.checkedAt = p.now.Add(malformedRetryDelay)
+			s.promiseDates.checkedAt = p.now.Add(malformedRetryDelay)
 		case message.StoreConflict, message.StoreUnknown:
 			// Perhaps an earlier write of this shard leader was applied late; one of another
 			// would have needed the shard.
@@ -149,12 +149,12 @@
 
 // readPage reads the mod revision that the next write of a page has to name.
 func (p *promiseState) readPage(writer *promise.PageWriter, key string, w promise.PageWrite) {
-	o := p.controller.shardLeader
+	s := p.controller.shardLeader
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: key}, func(d message.StoreResponse) {
-		if p.controller.shardLeader != o {
+		if p.controller.shardLeader != s {
 			return
 		}
-		o.promiseDates.pageInFlight = false
+		s.promiseDates.pageInFlight = false
 		switch d.Status {
 		case message.StoreOK:
 			if _, err := promise.DecodePage(d.KeyValues[0].Value); err != nil {
--- a/internal/controller/promise_quotes.go
+++ b/internal/controller/promise_quotes.go
@@ -51,35 +51,35 @@
 // storeQuotes writes the quotes of one team, if they have changed. They are read only after a stop of the whole cluster,
 // when the load in them is out of date anyway.
 func (p *promiseState) storeQuotes() {
-	o := p.controller.shardLeader
+	s := p.controller.shardLeader
 	// All controllers together keep to the interval.
-	if p.now.Sub(o.promiseDates.quotesStoredAt) < quoteStoreInterval*time.Duration(1+len(p.settings.Peers)) && !o.promiseDates.quotesStoredAt.IsZero() || p.now.After(p.controller.membership.leaseValidUntil) {
+	if p.now.Sub(s.promiseDates.quotesStoredAt) < quoteStoreInterval*time.Duration(1+len(p.settings.Peers)) && !s.promiseDates.quotesStoredAt.IsZero() || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
 	}
-	teams := sortedKeys(o.promiseDates.pageWriters)
+	teams := sortedKeys(s.promiseDates.pageWriters)
 	for range teams {
 		next := ""
 		for _, t := range teams {
-			if t > o.promiseDates.quotesStoredTeam {
+			if t > s.promiseDates.quotesStoredTeam {
 				next = t
 				break
 			}
 		}
-		if o.promiseDates.quotesStoredTeam = next; next == "" {
+		if s.promiseDates.quotesStoredTeam = next; next == "" {
 			continue
 		}
 		value := p.quoterFor(next, true).Encode(next, p.maxPageBytes())
 		hash := xxhash.Sum64(value)
-		if o.promiseDates.quotesStoredHash[next] == hash {
+		if s.promiseDates.quotesStoredHash[next] == hash {
 			continue
 		}
-		o.promiseDates.quotesStoredAt = p.now
+		s.promiseDates.quotesStoredAt = p.now
 		p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(next), Writes: []message.Write{{Key: record.QuotesPrefix + teamKey(next), Value: value}}}, func(d message.StoreResponse) {
-			if p.controller.shardLeader == o && d.Status == message.StoreOK {
-				if o.promiseDates.quotesStoredHash == nil {
-					o.promiseDates.quotesStoredHash = map[string]uint64{}
+			if p.controller.shardLeader == s && d.Status == message.StoreOK {
+				if s.promiseDates.quotesStoredHash == nil {
+					s.promiseDates.quotesStoredHash = map[string]uint64{}
 				}
-				o.promiseDates.quotesStoredHash[next] = hash
+				s.promiseDates.quotesStoredHash[next] = hash
 			}
 		})
 		return
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -173,20 +173,20 @@
 
 // tick does once a dateCheckInterval what is due for the dates of this shard leader's jobs.
 func (p *promiseState) tick() {
-	o := p.controller.shardLeader
+	s := p.controller.shardLeader
 	if !p.enabled() {
 		return
 	}
 	if p.controller.membership.storeDown(p.now) {
 		p.lastOutage = p.now
 	}
-	if p.now.Sub(o.promiseDates.checkedAt) < dateCheckInterval {
+	if p.now.Sub(s.promiseDates.checkedAt) < dateCheckInterval {
 		return
 	}
-	o.promiseDates.checkedAt = p.now
+	s.promiseDates.checkedAt = p.now
 	p.updateLoads()
-	for _, id := range sortedKeys(o.jobs) {
-		p.updateDate(o.jobs[id])
+	for _, id := range sortedKeys(s.jobs) {
+		p.updateDate(s.jobs[id])
 	}
 	p.writePage()
 	p.storeQuotes()
@@ -202,11 +202,11 @@
 // updateLoads updates the load of each class, so that bursts, takeovers and outages show in quotes within seconds. A load
 // that grows fast is published at once.
 func (p *promiseState) updateLoads() {
-	o := p.controller.shardLeader
+	s := p.controller.shardLeader
 	byClass := map[workloadKey]*classLoad{}
 	var keys []workloadKey
-	for _, id := range sortedKeys(o.jobs) {
-		j := o.jobs[id]
+	for _, id := range sortedKeys(s.jobs) {
+		j := s.jobs[id]
 		if j.cancelled || j.Workload == "" || j.borrowedLoan != "" {
 			continue
 		}
@@ -243,10 +243,10 @@
 		// than the oldest has waited, plus the time machines take to be ready.
 		load.Wait = max(class.oldestWait, min(clearTime, class.oldestWait+2*p.controller.knowledge.planningHorizon()))
 		if p.quoterFor(k.team, true).UpdateLoad(k.workload, load) {
-			o.loadsPublishedAt = time.Time{}
+			s.loadsPublishedAt = time.Time{}
 		}
 	}
-	for team := range o.teams {
+	for team := range s.teams {
 		p.quoterFor(team, true).ClearWaitExcept(seen[team])
 	}
 }
@@ -255,8 +255,8 @@
 // one that it ends with: an end whose write has no answer may be applied later, and must not take back a date that was
 // reported since.
 func (p *promiseState) updateDate(j *job) {
-	o := p.controller.shardLeader
-	writer := o.promiseDates.pageWriters[j.Team]
+	s := p.controller.shardLeader
+	writer := s.promiseDates.pageWriters[j.Team]
 	if writer == nil || j.cancelled || j.doneTasks == len(j.tasks) || j.elsewhere() || j.dependenciesPending || j.borrowedLoan != "" || j.dateUnreadable || j.Workload == "" {
 		return
 	}
@@ -337,10 +337,10 @@
 
 // revisionReason is the reason of a revision.
 func (p *promiseState) revisionReason(j *job) promise.Reason {
-	o := p.controller.shardLeader
-	held := o.teams[j.Team]
+	s := p.controller.shardLeader
+	held := s.teams[j.Team]
 	switch lost := hasLostAttempt(j); {
-	case o.faultAttribution.FailsEverywhere(j.ID):
+	case s.faultAttribution.FailsEverywhere(j.ID):
 		return promise.JobMistake
 	case lost:
 		return promise.MachinesLost
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -182,16 +182,16 @@
 // replanUnsentStarts takes back the starts that were sent to nobody, and has all pending tasks placed in the
 // new order.
 func (r *rankingState) replanUnsentStarts() {
-	o := r.controller.shardLeader
-	if o == nil {
+	s := r.controller.shardLeader
+	if s == nil {
 		return
 	}
-	for _, m := range o.machinesByID {
+	for _, m := range s.machinesByID {
 		for _, k := range m.attemptsWhere(func(t *task) bool { return !t.startSent }) {
-			r.controller.shardLeader.endAttempt(o.jobs[k.job], k.index, false)
+			r.controller.shardLeader.endAttempt(s.jobs[k.job], k.index, false)
 		}
 	}
-	o.scheduler.restartPlacement()
+	s.scheduler.restartPlacement()
 }
 
 // refresh reads the ranking again for the machines that wait for it.
--- a/internal/controller/ranking_queries.go
+++ b/internal/controller/ranking_queries.go
@@ -190,7 +190,7 @@
 
 // explainBlockers names what keeps a job's tasks from starting, other than the jobs ahead.
 func (r *rankingState) explainBlockers(j *job) []string {
-	o := r.controller.shardLeader
+	s := r.controller.shardLeader
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	fetching, unsent := 0, 0
@@ -219,7 +219,7 @@
 	case j.pendingTasks() == 0:
 	case !j.mayStart(r.now):
 		add("its home has not lately said that it may start here")
-	case o.faultAttribution.FailsEverywhere(j.ID):
+	case s.faultAttribution.FailsEverywhere(j.ID):
 		add("it fails on every machine and is tried one task at a time")
 	case !r.controller.shardLeader.scheduler.withinQuotaLimit(j):
 		add("its team %s is at its limit: it goes on when tasks of the team end", j.Team)
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -14,8 +14,8 @@
 // adopt makes a rental a machine of this controller's shard, if the shard map names it there. A
 // machine that is running and has not been heard yet is contacted.
 func (c *Controller) adopt(r *rental) {
-	o := c.shardLeader
-	if o == nil || r.status == "failed" || r.releasing || !o.ready {
+	s := c.shardLeader
+	if s == nil || r.status == "failed" || r.releasing || !s.ready {
 		return
 	}
 	if _, mine := c.membership.ownedMachine(r.id); !mine || c.leader != nil && c.leader.sharding.unrecordedMachines[r.id].Host != "" {
@@ -23,7 +23,7 @@
 		return
 	}
 	m := c.shardLeader.ensureMachine(r.id)
-	if !c.membership.shardMap.IsAssigned(r.id) && !o.catchAllSince.IsZero() && r.rentedAt.After(o.catchAllSince) {
+	if !c.membership.shardMap.IsAssigned(r.id) && !s.catchAllSince.IsZero() && r.rentedAt.After(s.catchAllSince) {
 		// Rented since this shard has the machines that no segment names: it never
 		// belonged to another.
 		m.formerOwnerUntil = time.Time{}
