--- a/internal/controller/ranking_test.go
+++ b/internal/controller/ranking_test.go
@@ -258,8 +258,8 @@
 	n.leader = newLeader(n)
 	n.leader.modRevision = 5
 	n.effects = nil
-	deriveRanking(n)
-	deriveRanking(n)
+	n.ranking.derive()
+	n.ranking.derive()
 	all := sentStoreRequests(n)
 	leaderRevision, comparesLeader := comparedRevision(&all[0], record.LeaderKey)
 	rankingRevision, comparesRanking := comparedRevision(&all[0], record.RankingKey)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,7 +12,7 @@
 		Reply: cmd.Reply, Host: c.settings.Host, Healthy: c.Healthy(c.now), Leader: c.membership.leader.Host,
 		InternalErrors: c.internalErrors,
 		RejectedInputs: c.rejectedInputs,
-		Migrations:     migrationsStatus(c),
+		Migrations:     c.migrationsStatus(),
 		IsLeader:       c.leader != nil, IsShardLeader: c.IsShardLeader(), Controllers: sortedKeys(c.membership.controllers),
 		Teams:  c.teamStatuses(),
 		Shards: c.membership.shardStatuses(),
