--- /dev/null
+++ b/internal/controller/format_steps_test.go
@@ -0,0 +1,171 @@
+package controller
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/micahill/micahill/internal/record"
+	"github.com/micahill/micahill/internal/sizelimit"
+)
+
+// formatSteps are random steps of a job across the change to sized segments.
+type formatSteps struct {
+	rng        *rand.Rand
+	steps      int
+	controller *Controller
+	job        *job
+	// sized: the change has come.
+	sized bool
+	// stored are the records in the store, and durable is what they say of the tasks.
+	stored  map[string][]byte
+	durable map[int]taskState
+	// writtenSized are the tasks whose newest record is in a sized segment.
+	writtenSized map[int]bool
+	// late is a write in the former format that has no answer.
+	late *lateSegmentWrite
+}
+
+type lateSegmentWrite struct {
+	key    string
+	value  []byte
+	states map[int]taskState
+}
+
+func newFormatSteps(t *testing.T, seed uint64) *formatSteps {
+	t.Helper()
+	s := &formatSteps{rng: rand.New(rand.NewPCG(seed, 2)), stored: productionRecords(t), controller: newFormatTestController(), writtenSized: map[int]bool{}}
+	s.job = recoverTestJob(s.controller, s.stored)
+	s.durable = taskStatesOf(s.job)
+	return s
+}
+
+// statesOf are the states of a segment's tasks.
+func (s *formatSteps) statesOf(segment *taskSegment) map[int]taskState {
+	states := map[int]taskState{}
+	for i := segment.index * s.job.tasksPerSegment; i < min((segment.index+1)*s.job.tasksPerSegment, 100); i++ {
+		states[i] = taskStateOf(s.job, i)
+	}
+	return states
+}
+
+// step does one step at random.
+func (s *formatSteps) step(t *testing.T) {
+	t.Helper()
+	s.steps++
+	switch x := s.rng.IntN(12); {
+	case x == 0 && s.steps > 6 && !s.sized:
+		s.changeFormat(t)
+	case x == 1 && s.late != nil:
+		s.applyLateWrite()
+	case x == 2:
+		s.takeOver(t)
+	case x < 6:
+		s.write(t)
+	default:
+		changeTask(s.controller, s.job, s.rng.IntN(100), s.rng)
+	}
+}
+
+// changeFormat changes to sized segments, perhaps with a write of the former format in flight.
+func (s *formatSteps) changeFormat(t *testing.T) {
+	t.Helper()
+	s.sized = true
+	if segment := s.job.segments[s.rng.IntN(3)]; segment != nil {
+		key, value := writeSegment(t, s.controller, s.job, segment, nil)
+		segment.writeInFlight = true
+		s.late = &lateSegmentWrite{key, value, s.statesOf(segment)}
+	}
+	s.adoptSizedFormat()
+}
+
+func (s *formatSteps) adoptSizedFormat() {
+	s.controller.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
+}
+
+func (s *formatSteps) applyLateWrite() {
+	s.stored[s.late.key] = s.late.value
+	for i, state := range s.late.states {
+		if !s.writtenSized[i] {
+			s.durable[i] = state
+		}
+	}
+	s.late = nil
+}
+
+// takeOver has a successor recover the job. Its shard has another mod revision, so that the
+// late write is refused.
+func (s *formatSteps) takeOver(t *testing.T) {
+	t.Helper()
+	s.late = nil
+	s.controller = newFormatTestController()
+	if s.sized {
+		s.adoptSizedFormat()
+	}
+	s.job = recoverTestJob(s.controller, s.stored)
+	requireSameStates(t, fmt.Sprint("step ", s.steps, ", recovered"), taskStatesOf(s.job), s.durable)
+}
+
+// write writes one of the segments, if it has changed.
+func (s *formatSteps) write(t *testing.T) {
+	t.Helper()
+	keys := sortedKeys(s.job.segments)
+	segment := s.job.segments[keys[s.rng.IntN(len(keys))]]
+	if segment.version == segment.persistedVersion {
+		return
+	}
+	key, value := writeSegment(t, s.controller, s.job, segment, s.stored)
+	if size, err := sizelimit.JSON(value); s.sized && (err != nil || size > 2048) || s.sized != strings.Contains(key, "/"+sizedSegmentMark) {
+		t.Fatalf("got %s of %d bytes, want at most 2048 with the mark of a sized segment: %v", key, size, s.sized)
+	}
+	for i, state := range s.statesOf(segment) {
+		s.durable[i] = state
+		s.writtenSized[i] = s.sized
+	}
+}
+
+// checkDurable: what the controller takes for durable is what the store has.
+func (s *formatSteps) checkDurable(t *testing.T) {
+	t.Helper()
+	for i := range 100 {
+		if s.job.tasks[i].version > 0 && s.job.durable(i) && taskStateOf(s.job, i) != s.durable[i] {
+			t.Fatalf("step %d: task %d: got %+v taken for durable, want %+v", s.steps, i, taskStateOf(s.job, i), s.durable[i])
+		}
+	}
+}
+
+// checkRemoval: the job's end removes all its records.
+func (s *formatSteps) checkRemoval(t *testing.T) {
+	t.Helper()
+	removed := slices.Clone(s.job.formerKeys)
+	for _, segment := range s.job.segments {
+		if segment.modRevision != 0 {
+			removed = append(removed, s.job.segmentKey(segment))
+		}
+	}
+	for key := range s.stored {
+		if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(removed, key) {
+			t.Fatalf("got %s left when the job is over, want it removed", key)
+		}
+	}
+}
+
+// TestSizedSegmentsAfterAnySteps: all controllers change to sized segments at some moment
+// between changes, a write in the former format may have no answer and be applied at any
+// later time, and successors take over anywhere. What was made durable last counts for every
+// task, all that is written fits the lower limit, and no record of the former format is
+// written again.
+func TestSizedSegmentsAfterAnySteps(t *testing.T) {
+	for seed := range uint64(200) {
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
+			s := newFormatSteps(t, seed)
+			for range 60 {
+				s.step(t)
+				s.checkDurable(t)
+			}
+			s.checkRemoval(t)
+		})
+	}
+}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -171,16 +171,16 @@
 
 // writeSegment encodes a task record segment, checks it against the limits and, with rows,
 // stores it there.
-func writeSegment(t *testing.T, n *Controller, j *job, c *taskSegment, rows map[string][]byte) (string, []byte) {
+func writeSegment(t *testing.T, c *Controller, j *job, segment *taskSegment, rows map[string][]byte) (string, []byte) {
 	t.Helper()
-	key, value := j.segmentKey(c), record.Encode(j.segmentRecord(c))
+	key, value := j.segmentKey(segment), record.Encode(j.segmentRecord(segment))
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: key, Value: value}}}
-	if err := n.requests.limitsOf(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
+	if err := c.requests.limitsOf(&op).CheckTxn(nil, []sizelimit.Write{{Key: key, Value: value}}); err != nil {
 		t.Fatalf("write of %s: got error %v, want none", key, err)
 	}
 	if rows != nil {
 		rows[key] = value
-		c.modRevision, c.persistedVersion = 8, c.version
+		segment.modRevision, segment.persistedVersion = 8, segment.version
 	}
 	return key, value
 }
@@ -209,90 +209,6 @@
 	}
 }
 
-// TestSizedSegmentsAfterAnySteps: all controllers change to sized segments at some moment
-// between changes, a write in the former format may have no answer and be applied at any
-// later time, and successors take over anywhere. What was made durable last counts for every
-// task, all that is written fits the lower limit, and no record of the former format is
-// written again.
-func TestSizedSegmentsAfterAnySteps(t *testing.T) {
-	for seed := range uint64(200) {
-		rng := rand.New(rand.NewPCG(seed, 2))
-		rows := productionRecords(t)
-		n := newFormatTestController()
-		j := recoverTestJob(n, rows)
-		sized := false
-		lateKey, lateValue, lateStates := "", []byte(nil), map[int]taskState(nil)
-		durable := taskStatesOf(j)
-		writtenSized := map[int]bool{}
-		for step := range 60 {
-			switch x := rng.IntN(12); {
-			case x == 0 && step > 5 && !sized:
-				sized = true
-				if c := j.segments[rng.IntN(3)]; c != nil {
-					lateKey, lateValue = writeSegment(t, n, j, c, nil)
-					c.writeInFlight = true
-					lateStates = map[int]taskState{}
-					for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, 100); i++ {
-						lateStates[i] = taskStateOf(j, i)
-					}
-				}
-				n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
-			case x == 1 && lateKey != "":
-				rows[lateKey], lateKey = lateValue, ""
-				for i, s := range lateStates {
-					if !writtenSized[i] {
-						durable[i] = s
-					}
-				}
-			case x == 2:
-				if sized && lateKey != "" {
-					// A successor's shard has another mod revision: the late write is refused.
-					lateKey = ""
-				}
-				n = newFormatTestController()
-				if sized {
-					n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
-				}
-				j = recoverTestJob(n, rows)
-				requireSameStates(t, fmt.Sprint("seed ", seed, " step ", step), taskStatesOf(j), durable)
-			case x < 6:
-				ks := sortedKeys(j.segments)
-				c := j.segments[ks[rng.IntN(len(ks))]]
-				if c.version == c.persistedVersion {
-					continue
-				}
-				key, value := writeSegment(t, n, j, c, rows)
-				if size, err := sizelimit.JSON(value); sized && (err != nil || size > 2048) || sized != strings.Contains(key, "/"+sizedSegmentMark) {
-					t.Fatalf("seed %d: got %s of %d bytes, want at most 2048 with the mark of a sized segment: %v", seed, key, size, sized)
-				}
-				for i := c.index * j.tasksPerSegment; i < min((c.index+1)*j.tasksPerSegment, 100); i++ {
-					durable[i] = taskStateOf(j, i)
-					writtenSized[i] = sized
-				}
-			default:
-				changeTask(n, j, rng.IntN(100), rng)
-			}
-			for i := range 100 {
-				if j.tasks[i].version > 0 && j.durable(i) && taskStateOf(j, i) != durable[i] {
-					t.Fatalf("seed %d step %d: task %d: got %+v taken for durable, want %+v", seed, step, i, taskStateOf(j, i), durable[i])
-				}
-			}
-		}
-		// The job's end removes all its records.
-		left := slices.Clone(j.formerKeys)
-		for _, c := range j.segments {
-			if c.modRevision != 0 {
-				left = append(left, j.segmentKey(c))
-			}
-		}
-		for key := range rows {
-			if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(left, key) {
-				t.Fatalf("seed %d: got %s left when the job is over, want it removed", seed, key)
-			}
-		}
-	}
-}
-
 // formatWrites lets a controller advance the format and returns its writes.
 func formatWrites(c *Controller) []message.StoreRequest {
 	c.effects, c.membership.formats.writing = nil, false
