--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -231,90 +231,107 @@
 	}
 }
 
+// hugeJobMachines is the number of machines of BenchmarkHugeJob.
+const hugeJobMachines = 2000
+
 // BenchmarkHugeJob is a job of the most tasks that a user may submit, on 2,000 machines.
 func BenchmarkHugeJob(b *testing.B) {
-	const machines = 2000
-	b.Run("accept", func(b *testing.B) {
-		for b.Loop() {
-			d := newHugeJob(maxHugeTasks, 0)
-			if d.job == nil || d.writes != 1 {
-				b.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
-			}
+	b.Run("accept", benchmarkAccept)
+	b.Run("place", benchmarkPlace)
+	b.Run("place-anew", benchmarkPlaceAgain)
+	b.Run("life", benchmarkWholeRun)
+	b.Run("takeover", benchmarkTakeover)
+}
+
+// benchmarkAccept is the submission of the job.
+func benchmarkAccept(b *testing.B) {
+	for b.Loop() {
+		d := newHugeJob(maxHugeTasks, 0)
+		if d.job == nil || d.writes != 1 {
+			b.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
 		}
-	})
-	b.Run("place", func(b *testing.B) {
-		for b.Loop() {
-			b.StopTimer()
-			d := newHugeJob(maxHugeTasks, machines)
-			d.controller.now = d.controller.now.Add(time.Second)
-			b.StartTimer()
-			d.controller.shardLeader.scheduler.placeAll()
-			if d.job.liveTasks != 8*machines {
-				b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*machines)
-			}
+	}
+}
+
+// benchmarkPlace is the first placement round.
+func benchmarkPlace(b *testing.B) {
+	for b.Loop() {
+		b.StopTimer()
+		d := newHugeJob(maxHugeTasks, hugeJobMachines)
+		d.controller.now = d.controller.now.Add(time.Second)
+		b.StartTimer()
+		d.controller.shardLeader.scheduler.placeAll()
+		if d.job.liveTasks != 8*hugeJobMachines {
+			b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*hugeJobMachines)
 		}
-	})
-	b.Run("place-anew", func(b *testing.B) {
-		for b.Loop() {
-			b.StopTimer()
-			d := newHugeJob(maxHugeTasks, machines)
-			d.controller.shardLeader.scheduler.placeAll()
-			d.job.nextFresh = len(d.job.tasks)
-			for i := range d.job.tasks {
-				if d.controller.shardLeader.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
-					d.job.requeued = append(d.job.requeued, i)
-				}
-			}
-			d.controller.now = d.controller.now.Add(time.Second)
-			b.StartTimer()
-			d.controller.shardLeader.scheduler.placeAll()
-			if d.job.liveTasks != 8*machines {
-				b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*machines)
+	}
+}
+
+// benchmarkPlaceAgain is a placement round after all tasks were lost.
+func benchmarkPlaceAgain(b *testing.B) {
+	for b.Loop() {
+		b.StopTimer()
+		d := newHugeJob(maxHugeTasks, hugeJobMachines)
+		d.controller.shardLeader.scheduler.placeAll()
+		d.job.nextFresh = len(d.job.tasks)
+		for i := range d.job.tasks {
+			if d.controller.shardLeader.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
+				d.job.requeued = append(d.job.requeued, i)
 			}
 		}
-	})
-	b.Run("life", func(b *testing.B) {
-		for b.Loop() {
-			var before, after runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&before)
-			d := newHugeJob(maxHugeTasks, machines)
-			took := d.runUntilDone(100)
-			runtime.GC()
-			runtime.ReadMemStats(&after)
-			took += d.runUntilDone(10_000)
-			if d.controller.shardLeader.jobs[d.job.ID] != nil {
-				b.Fatalf("got %d of %d tasks done, want all", d.job.doneTasks, len(d.job.tasks))
-			}
-			done, txns := d.writes, d.txns
-			for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
-				d.runSecond()
-			}
-			b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
-			b.ReportMetric(float64(took), "seconds-played")
-			b.ReportMetric(float64(txns), "txns")
-			b.ReportMetric(float64(done), "changes")
-			b.ReportMetric(float64(d.bytes>>10), "KB-written")
-			b.ReportMetric(float64(d.longestValue), "widest-bytes")
-			b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-kept")
+		d.controller.now = d.controller.now.Add(time.Second)
+		b.StartTimer()
+		d.controller.shardLeader.scheduler.placeAll()
+		if d.job.liveTasks != 8*hugeJobMachines {
+			b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*hugeJobMachines)
 		}
-	})
-	b.Run("takeover", func(b *testing.B) {
-		d := newHugeJob(maxHugeTasks, machines)
-		d.runUntilDone(70)
-		open, tasks := d.storedRecords()
-		size := 0
-		for _, it := range tasks {
-			size += len(it.Value)
+	}
+}
+
+// benchmarkWholeRun is the whole run, to the last record removed.
+func benchmarkWholeRun(b *testing.B) {
+	for b.Loop() {
+		var before, after runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		d := newHugeJob(maxHugeTasks, hugeJobMachines)
+		took := d.runUntilDone(100)
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		took += d.runUntilDone(10_000)
+		if d.controller.shardLeader.jobs[d.job.ID] != nil {
+			b.Fatalf("got %d of %d tasks done, want all", d.job.doneTasks, len(d.job.tasks))
 		}
-		for b.Loop() {
-			n := successor()
-			n.takeOverRecords(open, tasks)
-			if n.shardLeader.jobs[d.job.ID].doneTasks == 0 {
-				b.Fatal("got no done tasks after the takeover, want some")
-			}
+		done, txns := d.writes, d.txns
+		for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
+			d.runSecond()
 		}
-		b.ReportMetric(float64(len(tasks)), "records")
-		b.ReportMetric(float64(size>>10), "KB-read")
-	})
+		b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
+		b.ReportMetric(float64(took), "seconds-played")
+		b.ReportMetric(float64(txns), "txns")
+		b.ReportMetric(float64(done), "changes")
+		b.ReportMetric(float64(d.bytes>>10), "KB-written")
+		b.ReportMetric(float64(d.longestValue), "widest-bytes")
+		b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-kept")
+	}
+}
+
+// benchmarkTakeover is the recovery of the job while it runs.
+func benchmarkTakeover(b *testing.B) {
+	d := newHugeJob(maxHugeTasks, hugeJobMachines)
+	d.runUntilDone(70)
+	open, tasks := d.storedRecords()
+	size := 0
+	for _, it := range tasks {
+		size += len(it.Value)
+	}
+	for b.Loop() {
+		n := successor()
+		n.takeOverRecords(open, tasks)
+		if n.shardLeader.jobs[d.job.ID].doneTasks == 0 {
+			b.Fatal("got no done tasks after the takeover, want some")
+		}
+	}
+	b.ReportMetric(float64(len(tasks)), "records")
+	b.ReportMetric(float64(size>>10), "KB-read")
 }
