--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -13,17 +13,18 @@
 func TestUserReplyDeadline(t *testing.T) {
 	n := largePool(1)
 	for _, tc := range []struct {
+		name       string
 		reply      message.UserReply
 		neverStale bool
 	}{
-		{message.UserReply{Status: 200, State: "queued"}, false},
-		{message.UserReply{Status: 200, State: "running"}, false},
-		{message.UserReply{Status: 201, State: "queued"}, false},
-		{message.UserReply{Status: 404, Message: "no such job"}, false},
-		{message.UserReply{Status: 422, Message: "unknown owner"}, false},
-		{message.UserReply{Status: 200, State: "done"}, true},
-		{message.UserReply{Status: 200, State: "cancelled"}, true},
-		{message.UserReply{Status: 503, Message: "starting"}, true},
+		{"queued", message.UserReply{Status: 200, State: "queued"}, false},
+		{"running", message.UserReply{Status: 200, State: "running"}, false},
+		{"accepted", message.UserReply{Status: 201, State: "queued"}, false},
+		{"unknown job", message.UserReply{Status: 404, Message: "no such job"}, false},
+		{"unknown team", message.UserReply{Status: 422, Message: "unknown owner"}, false},
+		{"done", message.UserReply{Status: 200, State: "done"}, true},
+		{"cancelled", message.UserReply{Status: 200, State: "cancelled"}, true},
+		{"refused", message.UserReply{Status: 503, Message: "starting"}, true},
 	} {
 		request := n.frontend.newUserRequest(7, "job-1")
 		requestedAt := n.now
@@ -31,14 +32,14 @@
 		n.frontend.answerRequest(request, tc.reply)
 		reply := n.effects[0].(message.UserReply)
 		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
-			t.Errorf("%+v: got late while its user waits, want in time", tc.reply)
+			t.Errorf("%s: got late while its user waits, want in time", tc.name)
 		}
 		_, instead, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout+time.Millisecond))
 		if late == tc.neverStale {
-			t.Errorf("%+v after its time: got late %v, want %v", tc.reply, late, !tc.neverStale)
+			t.Errorf("%s, after its time: got late %v, want %v", tc.name, late, !tc.neverStale)
 		}
 		if r, _ := instead.(message.UserReply); late && (r.Status != 503 || r.RetryAfter == 0 || r.State != "" || r.Reply != 7) {
-			t.Errorf("%+v: got %+v instead of the late answer, want 503 with a time to retry and no state", tc.reply, r)
+			t.Errorf("%s: got %+v instead of the late answer, want 503 with a time to retry and no state", tc.name, r)
 		}
 	}
 }
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -68,7 +68,7 @@
 // TestImpossibleJobs: a job that can never run is refused with the reason, and all others
 // are accepted.
 func TestImpossibleJobs(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change func(*model.JobSpec)
 		want   string
 	}{
@@ -104,9 +104,9 @@
 		}, "400 the description is too long"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, records := submitTestJob(newOddTypesPool(), c.change)
-			if !strings.HasPrefix(got, c.want) || (c.want == "") != (got == "") || (c.want == "") != (len(records) == 1) {
-				t.Errorf("got answer %q and %d records, want %q, and a record only without an answer", got, len(records), c.want)
+			got, records := submitTestJob(newOddTypesPool(), tc.change)
+			if !strings.HasPrefix(got, tc.want) || (tc.want == "") != (got == "") || (tc.want == "") != (len(records) == 1) {
+				t.Errorf("got answer %q and %d records, want %q, and a record only without an answer", got, len(records), tc.want)
 			}
 		})
 	}
@@ -115,16 +115,22 @@
 // TestImageLargerThanADisk: a job whose image is larger than the disks of some machine types
 // is restricted to the others. Placement and scale-out look at the types that it allows.
 func TestImageLargerThanADisk(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
+		name         string
 		imageGB      float64
 		machineTypes []string
 		want         string
 	}{
-		{1, nil, ""}, {10, nil, ""}, {11, nil, "box rack"}, {60, nil, "rack"}, {60, []string{"box", "rack"}, "rack"}, {5, []string{"box", "rack"}, "box rack"},
+		{"fits all", 1, nil, ""},
+		{"just fits all", 10, nil, ""},
+		{"fits two", 11, nil, "box rack"},
+		{"fits one", 60, nil, "rack"},
+		{"fits one of those allowed", 60, []string{"box", "rack"}, "rack"},
+		{"fits those allowed", 5, []string{"box", "rack"}, "box rack"},
 	} {
-		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = c.imageGB, c.machineTypes })
-		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != c.want {
-			t.Errorf("%v GB on %v: got records %+v, want one with machine types %q", c.imageGB, c.machineTypes, records, c.want)
+		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = tc.imageGB, tc.machineTypes })
+		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != tc.want {
+			t.Errorf("%s: got records %+v, want one with machine types %q", tc.name, records, tc.want)
 		}
 	}
 }
