--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -23,11 +23,11 @@
 
 // setHostNeeds has the leader say that another shard needs a host, and request one or not.
 func (c *Controller) setHostNeeds(requested bool) {
-	h := []message.HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
+	needs := []message.HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
 	if requested {
-		c.shardLeader.migration.receiveHostNeeds(h, h)
+		c.shardLeader.migration.receiveHostNeeds(needs, needs)
 	} else {
-		c.shardLeader.migration.receiveHostNeeds(h, nil)
+		c.shardLeader.migration.receiveHostNeeds(needs, nil)
 	}
 }
 
@@ -45,7 +45,9 @@
 	}
 	n.setHostNeeds(true)
 	op := n.awaitMigrationWrite(t)
-	if slices.ContainsFunc(op.Compares, func(c message.Compare) bool { return strings.HasPrefix(c.Key, record.OpenJobPrefix+evacuationPrefix) }) {
+	if slices.ContainsFunc(op.Compares, func(compare message.Compare) bool {
+		return strings.HasPrefix(compare.Key, record.OpenJobPrefix+evacuationPrefix)
+	}) {
 		t.Errorf("got compares %v, want none of the evacuation, which is no job", op.Compares)
 	}
 	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -281,13 +281,13 @@
 		t.Error("got the machine responsive by a heartbeat without an epoch of this owner's time, want unresponsive")
 	}
 	m.epoch--
-	x := message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
-	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
+	rerouted := message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
+	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{rerouted})
 	if n.shardLeader.heartbeats.unresponsive(m) || n.shardLeader.scheduler.usable(m) {
 		t.Errorf("got unresponsive %v and usable %v, want false for both", n.shardLeader.heartbeats.unresponsive(m), n.shardLeader.scheduler.usable(m))
 	}
 	n.now = n.now.Add(5 * n.shardLeader.heartbeats.unresponsiveAfter(m))
-	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{x})
+	n.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{rerouted})
 	if !n.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("got the machine responsive by a repeated update, want unresponsive")
 	}
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -56,8 +56,8 @@
 	}})
 	n.frontend.flushSubmissions()
 	d.handleEffects(n.effects)
-	for _, c := range d.pending {
-		n.handleCommand(c)
+	for _, command := range d.pending {
+		n.handleCommand(command)
 	}
 	d.pending = nil
 	d.job = n.shardLeader.jobs["job-huge"]
--- a/internal/controller/migration_bench_test.go
+++ b/internal/controller/migration_bench_test.go
@@ -29,8 +29,8 @@
 					n.shardLeader.scheduler.startAttempt(j, k, m)
 					r.Tasks = append(r.Tasks, model.TaskReport{Job: j.ID, Index: k, Attempt: 1, Status: model.Running})
 				}
-				for _, c := range j.segments {
-					c.persistedVersion = c.version
+				for _, segment := range j.segments {
+					segment.persistedVersion = segment.version
 				}
 				n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 				n.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, n.now, 7)
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -80,9 +80,9 @@
 	n := hostPool(t)
 	op := n.awaitMigrationWrite(t)
 	shard := n.membership.shardMap.Team("ops")
-	for _, c := range []message.Compare{{Key: record.ShardPrefix + "a", ModRevision: shard.ModRevision}, {Key: record.OpenJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
-		if !slices.Contains(op.Compares, c) {
-			t.Errorf("got compares %v, want %v among them", op.Compares, c)
+	for _, compare := range []message.Compare{{Key: record.ShardPrefix + "a", ModRevision: shard.ModRevision}, {Key: record.OpenJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
+		if !slices.Contains(op.Compares, compare) {
+			t.Errorf("got compares %v, want %v among them", op.Compares, compare)
 		}
 	}
 	moved := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -149,9 +149,9 @@
 		t.Errorf("after the proof that it is gone: got answer %d, want 200", a.Status)
 	}
 	// A task of another owner's job, whose record does not say when it was cancelled.
-	k := newJob(model.JobSpec{ID: "job-000902", Team: "lab", Tasks: 1}, n.now, 1, 4096)
-	n.setCancelled(k, time.UnixMilli(0))
-	if a := n.heartbeatOf(m, model.TaskReport{Job: k.ID, Index: 0, Attempt: 1, Status: model.Running}); a.Status != 503 {
+	othersJob := newJob(model.JobSpec{ID: "job-000902", Team: "lab", Tasks: 1}, n.now, 1, 4096)
+	n.setCancelled(othersJob, time.UnixMilli(0))
+	if a := n.heartbeatOf(m, model.TaskReport{Job: othersJob.ID, Index: 0, Attempt: 1, Status: model.Running}); a.Status != 503 {
 		t.Errorf("with a task that may have been cancelled long ago: got answer %d, want 503", a.Status)
 	}
 }
@@ -163,9 +163,9 @@
 func TestUnprovenHeartbeatListsCancelled(t *testing.T) {
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
-	k := newJob(model.JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, n.now, 1, 4096)
+	cancelled := newJob(model.JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, n.now, 1, 4096)
 	at := n.now.Add(-10 * time.Second)
-	n.setCancelled(k, at)
+	n.setCancelled(cancelled, at)
 	m := n.shardLeader.machines["vm-000003"]
 	for j := range m.attempts {
 		n.shardLeader.endAttempt(n.shardLeader.jobs[j.job], j.index, false)
@@ -174,7 +174,7 @@
 	replyUnderFormerEpoch := func() message.HeartbeatReply {
 		r := n.poolHeartbeat(0)
 		r.Machine, r.Sequence, r.Epoch = m.id, m.sequence+1, m.epoch-1
-		r.Tasks = []model.TaskReport{{Job: k.ID, Index: 0, Attempt: 1, Status: model.Running}}
+		r.Tasks = []model.TaskReport{{Job: cancelled.ID, Index: 0, Attempt: 1, Status: model.Running}}
 		return n.replyToHeartbeat(r)
 	}
 	deadline := at.Add(n.settings.RenewalBound().Window())
@@ -195,17 +195,17 @@
 	n := largePool(12)
 	n.frontend.watchCache.openJobs = map[string]openJob{}
 	m, _ := machineWithTask(n)
-	k := n.addJobOn("job-000901", m)
+	cancelled := n.addJobOn("job-000901", m)
 	m.unackedStartEpoch = m.epoch
 	m.epoch++
-	n.setCancelled(k, n.now.Add(-time.Minute))
+	n.setCancelled(cancelled, n.now.Add(-time.Minute))
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks, n.effects = m.sequence+1, m.unackedStartEpoch, m.lastTaskReports, nil
 	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	r.Sequence, r.Epoch = r.Sequence+1, m.epoch
 	n.answerPoll(t, m, r)
-	if until := n.renewal.machineRenewalDeadline(m, m.settled(), nil); n.now.After(until) || k.liveTasks > 0 {
-		t.Errorf("got answers until %v and %d live attempts after the epoch was shown, want later than %v and 0", until, k.liveTasks, n.now)
+	if until := n.renewal.machineRenewalDeadline(m, m.settled(), nil); n.now.After(until) || cancelled.liveTasks > 0 {
+		t.Errorf("got answers until %v and %d live attempts after the epoch was shown, want later than %v and 0", until, cancelled.liveTasks, n.now)
 	}
 }
 
@@ -316,20 +316,20 @@
 	}
 	n.effects = nil
 	n.setCancelled(j, n.now)
-	if k := countStops(); k != 1 {
-		t.Fatalf("got %d stops, want 1", k)
+	if stops := countStops(); stops != 1 {
+		t.Fatalf("got %d stops, want 1", stops)
 	}
 	n.answerPoll(t, m, nil)
 	n.now, n.effects = n.now.Add(5*time.Second), nil
-	if k := countStops(); k != 0 {
-		t.Errorf("got %d stops for a machine that does not answer, want 0", k)
+	if stops := countStops(); stops != 0 {
+		t.Errorf("got %d stops for a machine that does not answer, want 0", stops)
 	}
 	n.shardLeader.failover.contact(m)
 	r := n.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
 	n.answerPoll(t, m, r)
-	if k := countStops(); k != 1 {
-		t.Errorf("got %d stops after it has answered, want 1", k)
+	if stops := countStops(); stops != 1 {
+		t.Errorf("got %d stops after it has answered, want 1", stops)
 	}
 }
 
