--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -34,16 +34,6 @@
 	correlatedFailureLoggedAt time.Time
 }
 
-// noteHigherEpoch notes that a machine's worker has seen a higher epoch than this controller's.
-func (f *failover) noteHigherEpoch(machine string) {
-	if f.higherEpochSeen[machine].IsZero() {
-		f.higherEpochSeen[machine] = f.now
-	}
-}
-
-// clearHigherEpoch notes that a machine's worker accepts this controller's epoch.
-func (f *failover) clearHigherEpoch(machine string) { delete(f.higherEpochSeen, machine) }
-
 // handleHeartbeat takes in a heartbeat that waits for its answer.
 func (c *Controller) handleHeartbeat(hb message.WorkerHeartbeat) {
 	s := c.shardLeader
@@ -52,14 +42,7 @@
 	segment, mine := c.membership.ownedMachine(r.Machine)
 	switch {
 	case s == nil || !mine:
-		ownerHost := c.membership.liveMachineOwner(r.Machine)
-		if ownerHost == c.settings.Host {
-			ownerHost = ""
-		}
-		if ownerHost != "" {
-			c.partition.noteRerouted(r, ownerHost)
-		}
-		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421, MachineOwner: ownerHost})
+		c.rerouteHeartbeat(&hb)
 		return
 	case r.Epoch > segment.Epoch:
 		// Another controller has a higher epoch: this one was deposed or its watch is
@@ -101,7 +84,23 @@
 		}
 	}
 	expectAcknowledgment(m, commands)
-	c.emit(message.HeartbeatReply{Reply: hb.Reply, SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m), Status: 200, Epoch: m.epoch, Commands: commands})
+	c.emit(message.HeartbeatReply{
+		Reply: hb.Reply, Status: 200, Epoch: m.epoch, Commands: commands,
+		SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m),
+	})
+}
+
+// rerouteHeartbeat sends the worker of a machine that is not this controller's to the machine
+// owner, as far as it is known, and lets that one know that the worker came here.
+func (c *Controller) rerouteHeartbeat(hb *message.WorkerHeartbeat) {
+	ownerHost := c.membership.liveMachineOwner(hb.Heartbeat.Machine)
+	if ownerHost == c.settings.Host {
+		ownerHost = ""
+	}
+	if ownerHost != "" {
+		c.partition.noteRerouted(&hb.Heartbeat, ownerHost)
+	}
+	c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421, MachineOwner: ownerHost})
 }
 
 // applyHeartbeat takes in a heartbeat or a poll reply, unless something newer is known.
@@ -288,34 +287,41 @@
 		m.noteImage(j, h.now, true)
 		if t.startedAt.IsZero() {
 			t.startedAt = h.now
-			h.debug("task running", "job", j.ID, "task", k.index, "attempt", t.attempt, "machine", m.id, "age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
+			h.debug("task running", "job", j.ID, "task", k.index, "attempt", t.attempt, "machine", m.id,
+				"age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
 		}
 	case model.Ended:
-		switch p.Cause {
-		case "done":
-			m.noteImage(j, h.now, true)
-			// What a former shard leader started has run for longer than was seen here.
-			// The median of such times is near zero, and would have all tasks of the job
-			// relaunched.
-			if !t.startedAt.IsZero() && !t.inherited {
-				ran := h.now.Sub(t.startedAt)
-				h.updateMachineSpeed(m, j, ran)
-				j.recordRunTime(ran)
-				h.controller.knowledge.updateEstimator(j, ran)
-			}
-			// What failed elsewhere is done here: the fault may be another machine's.
-			h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, k.index, m.id))
-			h.controller.shardLeader.endAttempt(j, k.index, true)
-		case "error":
-			h.recordTaskFailure(m, j, k.index)
-			h.controller.shardLeader.endAttempt(j, k.index, false)
-		case "unknown":
-			// The worker knows no such job: try again, but not at once.
-			t.notBefore = h.now.Add(h.jitter(2 * time.Second))
-			h.controller.shardLeader.endAttempt(j, k.index, false)
-		default:
-			h.controller.shardLeader.endAttempt(j, k.index, false)
+		h.applyEndedTask(m, j, k.index, p.Cause)
+	}
+}
+
+// applyEndedTask takes in the end of a live attempt, with the worker's cause for it.
+func (h *heartbeatTracker) applyEndedTask(m *machine, j *job, index int, cause string) {
+	t := &j.tasks[index]
+	switch cause {
+	case "done":
+		m.noteImage(j, h.now, true)
+		// What a former shard leader started has run for longer than was seen here.
+		// The median of such times is near zero, and would have all tasks of the job
+		// relaunched.
+		if !t.startedAt.IsZero() && !t.inherited {
+			ran := h.now.Sub(t.startedAt)
+			h.updateMachineSpeed(m, j, ran)
+			j.recordRunTime(ran)
+			h.controller.knowledge.updateEstimator(j, ran)
 		}
+		// What failed elsewhere is done here: the fault may be another machine's.
+		h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, index, m.id))
+		h.controller.shardLeader.endAttempt(j, index, true)
+	case "error":
+		h.recordTaskFailure(m, j, index)
+		h.controller.shardLeader.endAttempt(j, index, false)
+	case "unknown":
+		// The worker knows no such job: try again, but not at once.
+		t.notBefore = h.now.Add(h.jitter(2 * time.Second))
+		h.controller.shardLeader.endAttempt(j, index, false)
+	default:
+		h.controller.shardLeader.endAttempt(j, index, false)
 	}
 }
 
