--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -15,30 +15,30 @@
 // largePool is a shard leader with some machines, three quarters of them with work, and
 // jobs that wait.
 func largePool(machines int) *Controller {
-	n := New(Settings{
+	c := New(Settings{
 		Host: "a", Zones: []string{"z"}, Teams: []model.Team{{Name: "ops"}}, Policy: DefaultPolicy(),
 		HeartbeatInterval: 8 * time.Second, WorkerLease: 34 * time.Second, CancellationBound: 64 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 10,
 		Objectives: []model.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second}},
 	}, rand.New(rand.NewPCG(1, 2)))
-	n.now = time.Unix(1_750_000_000, 0)
-	n.membership.started, n.membership.ready = true, true
-	n.membership.leaseValidUntil = n.now.Add(24 * time.Hour)
-	n.frontend.watchCache.asOf = n.membership.leaseValidUntil
-	n.holdAllShards()
-	n.knowledge.machineTypes = map[string]model.MachineType{
+	c.now = time.Unix(1_750_000_000, 0)
+	c.membership.started, c.membership.ready = true, true
+	c.membership.leaseValidUntil = c.now.Add(24 * time.Hour)
+	c.frontend.watchCache.asOf = c.membership.leaseValidUntil
+	c.holdAllShards()
+	c.knowledge.machineTypes = map[string]model.MachineType{
 		"box":  {Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
 		"rack": {Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
 	}
-	o := n.newShardLeader()
-	o.ready, o.readyAt, o.since = true, n.now.Add(-time.Hour), n.now.Add(-time.Hour)
-	o.generation, n.lastID = 0, 0
-	o.teams["ops"] = &heldTeam{ready: true, readyAt: n.now.Add(-time.Hour)}
+	o := c.newShardLeader()
+	o.ready, o.readyAt, o.since = true, c.now.Add(-time.Hour), c.now.Add(-time.Hour)
+	o.generation, c.lastID = 0, 0
+	o.teams["ops"] = &heldTeam{ready: true, readyAt: c.now.Add(-time.Hour)}
 	o.shards["a"] = true
-	o.fleet.view = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
-	n.shardLeader = o
+	o.fleet.view = &fleetView{receivedAt: c.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
+	c.shardLeader = o
 	for i := range machines {
-		m := n.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
-		n.shardLeader.heartbeats.applyHeartbeat(m, n.poolHeartbeat(i), true)
+		m := c.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
+		c.shardLeader.heartbeats.applyHeartbeat(m, c.poolHeartbeat(i), true)
 	}
 	for i := range machines / 8 {
 		name := []string{"rush", "reprint", "wide"}[i%3]
@@ -46,19 +46,19 @@
 			ID: fmt.Sprintf("job-%06d", i), Workload: name, Team: "ops", Urgency: model.Normal, Tasks: 24, AllowSpot: true,
 			Need: model.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("%s-%d", name, i%12), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		j := newJob(spec, n.now, 1, 4096)
-		n.shardLeader.jobs[j.ID] = j
-		n.shardLeader.workloads[name] = &workload{&j.JobSpec, n.now}
+		j := newJob(spec, c.now, 1, 4096)
+		c.shardLeader.jobs[j.ID] = j
+		c.shardLeader.workloads[name] = &workload{&j.JobSpec, c.now}
 		for range 3 {
 			k := workloadKey{"ops", name}
-			n.shardLeader.fleet.arrivals[k] = append(n.shardLeader.fleet.arrivals[k], arrival{n.now, j.Tasks, j.Need, &j.JobSpec})
+			c.shardLeader.fleet.arrivals[k] = append(c.shardLeader.fleet.arrivals[k], arrival{c.now, j.Tasks, j.Need, &j.JobSpec})
 		}
 	}
-	full := n.shardLeader.scheduler.newPlacementRound()
-	for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
-		n.shardLeader.scheduler.placeJob(j, full, forever, 6)
+	full := c.shardLeader.scheduler.newPlacementRound()
+	for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
+		c.shardLeader.scheduler.placeJob(j, full, forever, 6)
 	}
-	return n
+	return c
 }
 
 // holdAllShards makes the controller the leader of one shard with all teams and machines.
@@ -89,16 +89,16 @@
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := largePool(size)
-			m := n.shardLeader.machinesByID[0]
-			r := n.poolHeartbeat(0)
+			c := largePool(size)
+			m := c.shardLeader.machinesByID[0]
+			r := c.poolHeartbeat(0)
 			for k, t := range m.attempts {
 				r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
 			}
 			for b.Loop() {
 				r.Sequence++
-				n.effects = n.effects[:0]
-				n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+				c.effects = c.effects[:0]
+				c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 			}
 		})
 	}
@@ -109,10 +109,10 @@
 func BenchmarkPlacementRound(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := largePool(size)
+			c := largePool(size)
 			for b.Loop() {
-				n.effects = n.effects[:0]
-				n.shardLeader.scheduler.placeAll()
+				c.effects = c.effects[:0]
+				c.shardLeader.scheduler.placeAll()
 			}
 		})
 	}
@@ -122,11 +122,11 @@
 func BenchmarkFleetPlanning(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := largePool(size)
+			c := largePool(size)
 			for b.Loop() {
-				n.effects = n.effects[:0]
-				n.shardLeader.fleet.decommissionedAt = time.Time{}
-				n.shardLeader.fleet.scanFleet(func(int) bool { return true })
+				c.effects = c.effects[:0]
+				c.shardLeader.fleet.decommissionedAt = time.Time{}
+				c.shardLeader.fleet.scanFleet(func(int) bool { return true })
 			}
 		})
 	}
@@ -136,14 +136,14 @@
 // time: a round in which a long queue of similar jobs finds no free capacity looks at the
 // machines once for each kind of task, not once for each job.
 func TestPlacementDoesNotMultiply(t *testing.T) {
-	n := largePool(400)
-	r := n.shardLeader.scheduler.newPlacementRound()
-	for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
-		n.shardLeader.scheduler.placeJob(j, r, forever, j.pendingTasks())
+	c := largePool(400)
+	r := c.shardLeader.scheduler.newPlacementRound()
+	for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
+		c.shardLeader.scheduler.placeJob(j, r, forever, j.pendingTasks())
 	}
 	kinds := map[taskShape]bool{}
 	waiting := 0
-	for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
+	for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
 		kinds[j.taskShape()] = true
 		waiting++
 	}
@@ -154,15 +154,15 @@
 		t.Errorf("got %d kinds of tasks known to find no free capacity, want %d", len(r.full), len(kinds))
 	}
 	// A heartbeat that repeats the last one leaves nothing to do.
-	m := n.shardLeader.machinesByID[0]
-	heartbeat := n.poolHeartbeat(0)
+	m := c.shardLeader.machinesByID[0]
+	heartbeat := c.poolHeartbeat(0)
 	for k, a := range m.attempts {
 		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: a.attempt, Status: model.Running})
 	}
 	heartbeat.Sequence = 2
-	n.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
+	c.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
 	heartbeat.Sequence = 3
-	if !m.unchangedBy(heartbeat) || n.shardLeader.dispatcher.reconcile(m) != nil {
+	if !m.unchangedBy(heartbeat) || c.shardLeader.dispatcher.reconcile(m) != nil {
 		t.Error("got work to do after a heartbeat that changes nothing, want none")
 	}
 }
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -11,7 +11,7 @@
 // for it, also when the sender stands still meanwhile; ends and refusals are sent at any
 // time.
 func TestUserReplyDeadline(t *testing.T) {
-	n := largePool(1)
+	c := largePool(1)
 	for _, tc := range []struct {
 		name       string
 		reply      message.UserReply
@@ -26,11 +26,11 @@
 		{"cancelled", message.UserReply{Status: 200, State: "cancelled"}, true},
 		{"refused", message.UserReply{Status: 503, Message: "starting"}, true},
 	} {
-		request := n.frontend.newUserRequest(7, "job-1")
-		requestedAt := n.now
-		n.now, n.effects = n.now.Add(time.Second), nil
-		n.frontend.answerRequest(request, tc.reply)
-		reply := n.effects[0].(message.UserReply)
+		request := c.frontend.newUserRequest(7, "job-1")
+		requestedAt := c.now
+		c.now, c.effects = c.now.Add(time.Second), nil
+		c.frontend.answerRequest(request, tc.reply)
+		reply := c.effects[0].(message.UserReply)
 		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
 			t.Errorf("%s: got late while its user waits, want in time", tc.name)
 		}
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -13,22 +13,22 @@
 // task that is only expected: a machine to be rented was taken to have the image by the time
 // the task comes, while idle ones have to fetch it.
 func TestExpectedTasksRentNothingBesideIdleMachines(t *testing.T) {
-	n := largePool(0)
+	c := largePool(0)
 	for i := range 40 {
-		r := n.poolHeartbeat(0)
+		r := c.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
 	}
 	spec := model.JobSpec{ID: "job-x", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 20, AllowSpot: true,
 		Need: model.Resources{CPU: 8, Memory: 22}, Image: "wide-1", ImageGB: 6, ExpectedRunTime: 40 * time.Second, Deadline: 3 * time.Minute}
-	n.shardLeader.workloads["wide"] = &workload{&spec, n.now}
+	c.shardLeader.workloads["wide"] = &workload{&spec, c.now}
 	for range 10 {
-		n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{n.now, spec.Tasks, spec.Need, &spec})
+		c.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(c.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{c.now, spec.Tasks, spec.Need, &spec})
 	}
-	if d := n.shardLeader.fleet.demands(n.knowledge.planningHorizon(), false, false); len(d) != 1 || d[0].count < 50 {
+	if d := c.shardLeader.fleet.demands(c.knowledge.planningHorizon(), false, false); len(d) != 1 || d[0].count < 50 {
 		t.Fatalf("got demands %v, want one of at least 50 tasks", d)
 	}
-	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
+	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
 		t.Errorf("got capacity requests %v beside 40 idle machines, want none", requests)
 	}
 }
@@ -36,30 +36,30 @@
 // TestScarcityReliefUsesIdleMachines guards against renting a small machine for each task
 // that should leave free capacity on racks, beside small machines that are idle.
 func TestScarcityReliefUsesIdleMachines(t *testing.T) {
-	n := largePool(0)
+	c := largePool(0)
 	for i := range 80 {
 		// Every eighth is a rack; the boxes are idle as well.
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(n.poolHeartbeat(i).Machine), n.poolHeartbeat(i), true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(c.poolHeartbeat(i).Machine), c.poolHeartbeat(i), true)
 	}
 	small := model.JobSpec{ID: "job-s", Workload: "small", Team: "ops", Urgency: model.Normal, Tasks: 1, AllowSpot: true,
 		Need: model.Resources{CPU: 4, Memory: 4}, Image: "s", ImageGB: 0.5, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute}
 	wide := small
 	wide.ID, wide.Workload, wide.Need = "job-w", "wide", model.Resources{CPU: 8, Memory: 22}
-	n.shardLeader.workloads["small"], n.shardLeader.workloads["wide"] = &workload{&small, n.now}, &workload{&wide, n.now}
-	n.shardLeader.scheduler.startDeadlines = map[string]time.Time{"wide": n.now}
-	for _, m := range n.shardLeader.machinesByID {
+	c.shardLeader.workloads["small"], c.shardLeader.workloads["wide"] = &workload{&small, c.now}, &workload{&wide, c.now}
+	c.shardLeader.scheduler.startDeadlines = map[string]time.Time{"wide": c.now}
+	for _, m := range c.shardLeader.machinesByID {
 		if m.machineType == "rack" {
 			// The racks have the image, and so come first in the simulation.
 			m.images["s"] = &image{sizeGB: 0.5, cached: true}
 		}
 	}
 	for range 10 {
-		n.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}], arrival{n.now, 12, small.Need, &small})
+		c.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}] = append(c.shardLeader.fleet.arrivals[workloadKey{"ops", "small"}], arrival{c.now, 12, small.Need, &small})
 	}
-	if !n.shardLeader.fleet.neededElsewhere(&small, "rack") {
+	if !c.shardLeader.fleet.neededElsewhere(&small, "rack") {
 		t.Fatal("got no waiting job that needs racks, want one")
 	}
-	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
+	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
 		t.Errorf("got capacity requests %v beside 70 idle boxes, want none", requests)
 	}
 }
@@ -67,20 +67,20 @@
 // TestLargestLateJobIsDeferred: of jobs that can't all meet their deadlines the largest is
 // deferred, and none while all can.
 func TestLargestLateJobIsDeferred(t *testing.T) {
-	n := largePool(10)
-	clear(n.shardLeader.jobs)
-	clear(n.shardLeader.workloads)
+	c := largePool(10)
+	clear(c.shardLeader.jobs)
+	clear(c.shardLeader.workloads)
 	add := func(id string, tasks int) {
 		j := newJob(model.JobSpec{ID: id, Workload: "batch", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true,
-			Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: 30 * time.Second, Deadline: 90 * time.Second}, n.now, 1, 4096)
-		n.shardLeader.jobs[id] = j
+			Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: 30 * time.Second, Deadline: 90 * time.Second}, c.now, 1, 4096)
+		c.shardLeader.jobs[id] = j
 	}
 	deferred := func() string {
 		rs := []queuedJob{}
-		for _, j := range n.shardLeader.scheduler.jobsInQueueOrder() {
+		for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
 			rs = append(rs, queuedJob{job: j})
 		}
-		n.shardLeader.scheduler.deferLateJobs(rs)
+		c.shardLeader.scheduler.deferLateJobs(rs)
 		out := ""
 		for _, r := range rs {
 			if r.deferred {
@@ -95,12 +95,12 @@
 	if got := deferred(); got != "" {
 		t.Errorf("got %sdeferred while all can meet their deadlines, want none", got)
 	}
-	n.shardLeader.jobs["job-1"].tasks = make([]task, 90)
+	c.shardLeader.jobs["job-1"].tasks = make([]task, 90)
 	add("job-3", 8)
 	if got := deferred(); got != "job-1 " {
 		t.Errorf("got %q deferred, want the largest, %q", got, "job-1 ")
 	}
-	if o := n.shardLeader.scheduler.jobsInQueueOrder(); o[len(o)-1].ID != "job-1" {
+	if o := c.shardLeader.scheduler.jobsInQueueOrder(); o[len(o)-1].ID != "job-1" {
 		t.Errorf("got %s last in the queue, want job-1, which is deferred", o[len(o)-1].ID)
 	}
 }
@@ -108,21 +108,21 @@
 // TestSharedOutage: in an outage of the store a controller stays healthy only as long as all
 // its peers say that they have lost it as well.
 func TestSharedOutage(t *testing.T) {
-	n := largePool(0)
-	n.settings.Peers = []string{"b", "c"}
-	n.membership.storeFailingSince = n.now.Add(-time.Minute)
-	if n.Healthy(n.now) {
+	c := largePool(0)
+	c.settings.Peers = []string{"b", "c"}
+	c.membership.storeFailingSince = c.now.Add(-time.Minute)
+	if c.Healthy(c.now) {
 		t.Error("got healthy without a word of its peers, want unhealthy")
 	}
-	n.handleCommand(message.PeerUpdate{From: "b", StoreUnavailable: true})
-	if n.Healthy(n.now) {
+	c.handleCommand(message.PeerUpdate{From: "b", StoreUnavailable: true})
+	if c.Healthy(c.now) {
 		t.Error("got healthy though one peer may reach the store, want unhealthy")
 	}
-	n.handleCommand(message.PeerUpdate{From: "c", StoreUnavailable: true})
-	if !n.Healthy(n.now) {
+	c.handleCommand(message.PeerUpdate{From: "c", StoreUnavailable: true})
+	if !c.Healthy(c.now) {
 		t.Error("got unhealthy in an outage for all, want healthy")
 	}
-	if n.Healthy(n.now.Add(2 * storeUnavailableTTL)) {
+	if c.Healthy(c.now.Add(2 * storeUnavailableTTL)) {
 		t.Error("got healthy by expired updates, want unhealthy")
 	}
 }
@@ -131,22 +131,22 @@
 // the others find only capacity that placing refuses: the first would wait for them, be
 // stopped after a while, and all would begin again.
 func TestGangNeedsCapacityForAllTasks(t *testing.T) {
-	n := largePool(0)
+	c := largePool(0)
 	for i := range 3 {
-		r := n.poolHeartbeat(1)
+		r := c.poolHeartbeat(1)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
 	}
 	j := newJob(model.JobSpec{ID: "job-g", Workload: "batch", Team: "ops", Gang: true, Urgency: model.Normal, Tasks: 6, AllowSpot: true,
-		Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: 20 * time.Second}, n.now, 1, 4096)
-	n.shardLeader.jobs[j.ID] = j
-	n.shardLeader.machinesByID[0].decommissioning = true
-	n.shardLeader.scheduler.placeAll()
+		Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: 20 * time.Second}, c.now, 1, 4096)
+	c.shardLeader.jobs[j.ID] = j
+	c.shardLeader.machinesByID[0].decommissioning = true
+	c.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 0 {
 		t.Fatalf("got %d of 6 tasks placed while a machine is being decommissioned, want 0", j.liveTasks)
 	}
-	n.shardLeader.machinesByID[0].decommissioning = false
-	n.shardLeader.scheduler.placeAll()
+	c.shardLeader.machinesByID[0].decommissioning = false
+	c.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 6 {
 		t.Errorf("got %d of 6 tasks placed on capacity for all, want 6", j.liveTasks)
 	}
@@ -157,24 +157,24 @@
 // list says that they run.
 func TestSuccessorCountsUnreportedMachines(t *testing.T) {
 	open, tasks := predecessorRecords(200)
-	n := successor()
-	n.takeOverRecords(open, tasks)
-	n.shardLeader.fleet.view = &fleetView{receivedAt: n.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
+	c := successor()
+	c.takeOverRecords(open, tasks)
+	c.shardLeader.fleet.view = &fleetView{receivedAt: c.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
 	for i := range 200 {
-		r := n.poolHeartbeat(i)
-		n.shardLeader.ensureMachine(r.Machine)
-		n.shardLeader.fleet.view.rentals[r.Machine] = &rental{id: r.Machine, machineKind: machineKind{r.MachineType, r.Zone, r.Spot}, addr: "x", status: "running", rentedAt: n.now.Add(-time.Hour)}
-		n.adopt(n.shardLeader.fleet.view.rentals[r.Machine])
+		r := c.poolHeartbeat(i)
+		c.shardLeader.ensureMachine(r.Machine)
+		c.shardLeader.fleet.view.rentals[r.Machine] = &rental{id: r.Machine, machineKind: machineKind{r.MachineType, r.Zone, r.Spot}, addr: "x", status: "running", rentedAt: c.now.Add(-time.Hour)}
+		c.adopt(c.shardLeader.fleet.view.rentals[r.Machine])
 	}
 	spec := model.JobSpec{ID: "job-w", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 60, AllowSpot: true,
 		Need: model.Resources{CPU: 4, Memory: 4}, Image: "w", ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: 3 * time.Minute}
-	n.shardLeader.jobs[spec.ID] = newJob(spec, n.now, 1, 4096)
-	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
+	c.shardLeader.jobs[spec.ID] = newJob(spec, c.now, 1, 4096)
+	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
 		t.Errorf("got capacity requests %v beside 200 machines that run, want none", requests)
 	}
-	n.now = n.now.Add(time.Minute)
-	n.shardLeader.fleet.view.receivedAt = n.now
-	if requests := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) == 0 {
+	c.now = c.now.Add(time.Minute)
+	c.shardLeader.fleet.view.receivedAt = c.now
+	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) == 0 {
 		t.Error("got no capacity request though no machine sent a heartbeat, want some")
 	}
 }
@@ -182,12 +182,12 @@
 // TestInitialBacklogIsNoArrivalRate guards against renting for a backlog of an outage, or of
 // the time before the start, as if jobs kept arriving at that rate.
 func TestInitialBacklogIsNoArrivalRate(t *testing.T) {
-	n := largePool(0)
-	n.shardLeader.readyAt = n.now.Add(-settleTime)
+	c := largePool(0)
+	c.shardLeader.readyAt = c.now.Add(-settleTime)
 	for range 20 {
-		n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(n.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{n.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
+		c.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(c.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{c.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
 	}
-	if r := n.shardLeader.fleet.arrivalRate("wide", arrivalWindow); r > 20 {
+	if r := c.shardLeader.fleet.arrivalRate("wide", arrivalWindow); r > 20 {
 		t.Errorf("got %.0f tasks a second of 600 that came at once, want no more than if they had come in %v", r, recentWindow)
 	}
 }
@@ -205,23 +205,23 @@
 		{"beyond the bound", 3 * time.Minute, 0, true},
 		{"begun", 3 * time.Minute, 1, false},
 	} {
-		n := largePool(0)
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine("vm-000000"), n.poolHeartbeat(0), true)
-		n.settings.Objectives = []model.Objective{{Kind: "finished", Workload: "wide", Within: 30 * time.Second}}
-		for k := range n.knowledge.machineTypes {
-			n.shardLeader.fleet.view.blockedUntil[machineKind{k, "z", true}] = n.now.Add(time.Hour)
+		c := largePool(0)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine("vm-000000"), c.poolHeartbeat(0), true)
+		c.settings.Objectives = []model.Objective{{Kind: "finished", Workload: "wide", Within: 30 * time.Second}}
+		for k := range c.knowledge.machineTypes {
+			c.shardLeader.fleet.view.blockedUntil[machineKind{k, "z", true}] = c.now.Add(time.Hour)
 		}
 		job := func(id string, run time.Duration) *job {
-			j := newJob(model.JobSpec{ID: id, Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 2, AllowSpot: true, Need: model.Resources{CPU: 4}, ExpectedRunTime: run}, n.now, 1, 4096)
-			n.shardLeader.jobs[id] = j
+			j := newJob(model.JobSpec{ID: id, Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 2, AllowSpot: true, Need: model.Resources{CPU: 4}, ExpectedRunTime: run}, c.now, 1, 4096)
+			c.shardLeader.jobs[id] = j
 			return j
 		}
 		for i := range 8 {
-			n.shardLeader.scheduler.placeJob(job(fmt.Sprint("job-", i), 200*time.Second), n.shardLeader.scheduler.newPlacementRound(), forever, 2)
+			c.shardLeader.scheduler.placeJob(job(fmt.Sprint("job-", i), 200*time.Second), c.shardLeader.scheduler.newPlacementRound(), forever, 2)
 		}
 		j := job("job-late", 25*time.Second)
-		j.submittedAt, j.doneTasks = n.now.Add(-tc.waited), tc.done
-		if got := n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil); (len(got) > 0) != tc.want {
+		j.submittedAt, j.doneTasks = c.now.Add(-tc.waited), tc.done
+		if got := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); (len(got) > 0) != tc.want {
 			t.Errorf("%s: got capacity requests %v, want some: %v", tc.name, got, tc.want)
 		}
 	}
@@ -240,17 +240,17 @@
 		{"overdue, at the bound", maxPreemptions, 3 * time.Minute, false},
 		{"at the bound, not overdue", maxPreemptions, time.Minute, true},
 	} {
-		n := largePool(0)
-		m := n.shardLeader.ensureMachine("vm-000000")
-		n.shardLeader.heartbeats.applyHeartbeat(m, n.poolHeartbeat(0), true)
-		j := newJob(model.JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, n.now.Add(-tc.waited), 1, 4096)
-		n.shardLeader.jobs[j.ID] = j
-		n.shardLeader.scheduler.placeJob(j, n.shardLeader.scheduler.newPlacementRound(), forever, 1)
+		c := largePool(0)
+		m := c.shardLeader.ensureMachine("vm-000000")
+		c.shardLeader.heartbeats.applyHeartbeat(m, c.poolHeartbeat(0), true)
+		j := newJob(model.JobSpec{ID: "job-low", Workload: "wide", Team: "ops", Tasks: 3, AllowSpot: true, Need: m.free(), ExpectedRunTime: time.Minute}, c.now.Add(-tc.waited), 1, 4096)
+		c.shardLeader.jobs[j.ID] = j
+		c.shardLeader.scheduler.placeJob(j, c.shardLeader.scheduler.newPlacementRound(), forever, 1)
 		j.tasks[0].preemptions = tc.stops - 1
 		j.nextFresh = 2
 		j.tasks[1].preemptions = 1
-		high := newJob(model.JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, n.now, 1, 4096)
-		if _, _, ok := n.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != tc.want {
+		high := newJob(model.JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, c.now, 1, 4096)
+		if _, _, ok := c.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != tc.want {
 			t.Errorf("%s: got preempted %v with %d live tasks, want %v with 1", tc.name, ok, j.liveTasks, tc.want)
 		}
 	}
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -86,14 +86,14 @@
 // newFormatTestController is a controller of this version that knows of a lower value limit
 // to come.
 func newFormatTestController() *Controller {
-	n := largePool(60)
-	n.settings.MaxValueBytes, n.settings.CurrentMaxValueBytes = 2048, 4096
-	n.membership.formats.support = map[string]bool{}
-	n.shardLeader.jobs = map[string]*job{}
-	for _, m := range n.shardLeader.machinesByID {
+	c := largePool(60)
+	c.settings.MaxValueBytes, c.settings.CurrentMaxValueBytes = 2048, 4096
+	c.membership.formats.support = map[string]bool{}
+	c.shardLeader.jobs = map[string]*job{}
+	for _, m := range c.shardLeader.machinesByID {
 		m.attempts = map[taskKey]*task{}
 	}
-	return n
+	return c
 }
 
 // recoverTestJob recovers the job as a successor does.
@@ -193,14 +193,14 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		rows := productionRecords(t)
 		want, _ := recoverWithOldVersion(formatTestJob, 100, rows)
-		n := newFormatTestController()
-		j := recoverTestJob(n, rows)
+		c := newFormatTestController()
+		j := recoverTestJob(c, rows)
 		requireSameStates(t, "new of old", taskStatesOf(j), want)
 		for range 60 {
-			changeTask(n, j, rng.IntN(100), rng)
+			changeTask(c, j, rng.IntN(100), rng)
 		}
 		for _, k := range sortedKeys(j.segments) {
-			writeSegment(t, n, j, j.segments[k], rows)
+			writeSegment(t, c, j, j.segments[k], rows)
 		}
 		got, dropped := recoverWithOldVersion(formatTestJob, 100, rows)
 		if requireSameStates(t, "old of new", got, taskStatesOf(j)); dropped > 0 {
@@ -227,37 +227,37 @@
 // deployment has recorded that it supports them, by a write of the leader that compares its
 // leadership. Without a lower limit to come nothing is written.
 func TestFormatNeedsAllControllers(t *testing.T) {
-	n := newFormatTestController()
-	n.settings.Peers = []string{"b", "c"}
-	if ops := formatWrites(n); len(ops) != 1 || ops[0].Writes[0].Key != record.FormatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: record.FormatSupportPrefix + "a", ModRevision: 0}) {
+	c := newFormatTestController()
+	c.settings.Peers = []string{"b", "c"}
+	if ops := formatWrites(c); len(ops) != 1 || ops[0].Writes[0].Key != record.FormatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: record.FormatSupportPrefix + "a", ModRevision: 0}) {
 		t.Fatalf("got first writes %+v, want one of this controller's support, which is absent", ops)
 	}
-	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
-	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
-	n.leader = newLeader(n)
-	n.leader.modRevision = 9
-	if ops := formatWrites(n); len(ops) > 0 {
+	c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
+	c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
+	c.leader = newLeader(c)
+	c.leader.modRevision = 9
+	if ops := formatWrites(c); len(ops) > 0 {
 		t.Fatalf("got %+v written while c may come back, want nothing", ops)
 	}
-	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "c", ModRevision: 5})
-	n.leader = nil
-	if ops := formatWrites(n); len(ops) > 0 {
+	c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "c", ModRevision: 5})
+	c.leader = nil
+	if ops := formatWrites(c); len(ops) > 0 {
 		t.Fatalf("got %+v written by a controller that does not lead, want nothing", ops)
 	}
-	n.leader = newLeader(n)
-	n.leader.modRevision = 9
-	ops := formatWrites(n)
+	c.leader = newLeader(c)
+	c.leader.modRevision = 9
+	ops := formatWrites(c)
 	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
 		t.Fatalf("got writes %+v, want one of the format that compares the leadership and its absence", ops)
 	}
-	if n.membership.formats.currentFormat().sized {
+	if c.membership.formats.currentFormat().sized {
 		t.Fatal("got sized segments before the format record was read, want the former format")
 	}
-	n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
-	if f := n.membership.formats.currentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
+	c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatKey, Value: ops[0].Writes[0].Value, ModRevision: 6})
+	if f := c.membership.formats.currentFormat(); f != (segmentFormat{record.MaxTasksPerSegment(2048), true}) {
 		t.Fatalf("got format %+v, want sized segments under 2048 bytes", f)
 	}
-	if ops := formatWrites(n); len(ops) > 0 {
+	if ops := formatWrites(c); len(ops) > 0 {
 		t.Fatalf("got %+v written again, want nothing", ops)
 	}
 	same := newFormatTestController()
@@ -270,11 +270,11 @@
 // TestLoanAcrossFormats: a loan that is written late must not find its job started in another
 // record format than the one that was current when it was sent.
 func TestLoanAcrossFormats(t *testing.T) {
-	n := newFormatTestController()
-	compares := n.membership.formats.neverStartedCompares(formatTestJob)
-	j := n.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, n.now, 1)
+	c := newFormatTestController()
+	compares := c.membership.formats.neverStartedCompares(formatTestJob)
+	j := c.shardLeader.addJob(model.JobSpec{ID: formatTestJob, Team: "ops", Tasks: 100}, c.now, 1)
 	before := j.segmentKey(j.segmentOf(0))
-	n.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
+	c.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
 	after := j.segmentKey(j.segmentOf(0))
 	for _, key := range []string{before, after} {
 		if !slices.Contains(compares, message.Compare{Key: key, ModRevision: 0}) {
@@ -313,15 +313,15 @@
 // have recorded their support, by a write that compares the owner's shard.
 func TestValueLimitIsProbed(t *testing.T) {
 	for _, status := range []message.StoreStatus{message.StoreOK, message.StoreUnknown, message.StoreMalformed} {
-		n := newFormatTestController()
-		n.settings.Peers = []string{"b"}
-		n.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
-		n.membership.loaded, n.membership.leaseID = true, 1
-		j := recoverTestJob(n, productionRecords(t))
-		n.effects = nil
-		n.shardLeader.persistence.deferMalformedSegment(j, j.segments[0], 1)
+		c := newFormatTestController()
+		c.settings.Peers = []string{"b"}
+		c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
+		c.membership.loaded, c.membership.leaseID = true, 1
+		j := recoverTestJob(c, productionRecords(t))
+		c.effects = nil
+		c.shardLeader.persistence.deferMalformedSegment(j, j.segments[0], 1)
 		var probe message.StoreRequest
-		for _, e := range n.effects {
+		for _, e := range c.effects {
 			if op, ok := e.(message.StoreRequest); ok && op.Writes[0].Key == record.LimitProbeKey {
 				probe = op
 			}
@@ -329,11 +329,11 @@
 		if size, err := sizelimit.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
 			t.Fatalf("got a probe of %d bytes (error %v), want more than 2048 and at most 4096", size, err)
 		}
-		n.requests.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
-		ops := formatWrites(n)
+		c.requests.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
+		ops := formatWrites(c)
 		if changed := len(ops) > 0 && ops[0].Writes[0].Key == record.FormatKey; changed != (status == message.StoreMalformed) {
 			t.Errorf("answered %v: got writes %+v, want the format: %v", status, ops, status == message.StoreMalformed)
-		} else if changed && ops[0].Compares[0] != n.shardLeader.shardCompares("")[0] {
+		} else if changed && ops[0].Compares[0] != c.shardLeader.shardCompares("")[0] {
 			t.Errorf("got compares %+v, want the shard's first", ops[0].Compares)
 		}
 	}
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -19,19 +19,19 @@
 	f.Add(record.Encode(record.OpenJob{Tasks: -1}), record.Encode(record.TaskSegment{DoneRanges: []int{-5, 1 << 40}}))
 	f.Add([]byte{0xdd, 0xff}, []byte{0x81})
 	f.Fuzz(func(t *testing.T, open, segment []byte) {
-		n := largePool(2)
-		n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
-		n.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: open, ModRevision: 5})
-		j := n.shardLeader.jobs[spec.ID]
+		c := largePool(2)
+		c.frontend.watchCache.loaded, c.frontend.watchCache.openJobs = true, map[string]openJob{}
+		c.shardLeader.applyOpenJob(message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: open, ModRevision: 5})
+		j := c.shardLeader.jobs[spec.ID]
 		if j == nil {
-			j = n.shardLeader.addJob(spec, n.now, 5)
+			j = c.shardLeader.addJob(spec, c.now, 5)
 		}
 		var r record.TaskSegment
 		if !record.Decode(segment, &r) {
 			return
 		}
-		n.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: segment, ModRevision: 6}, &r)
-		n.shardLeader.failover.queueRecovered(j)
+		c.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: record.TaskSegmentPrefix + spec.ID + "/0", Value: segment, ModRevision: 6}, &r)
+		c.shardLeader.failover.queueRecovered(j)
 		done := 0
 		for i := range j.tasks {
 			if j.tasks[i].done {
@@ -41,7 +41,7 @@
 		if done != j.doneTasks {
 			t.Fatalf("got %d tasks counted as done, want the %d that are", j.doneTasks, done)
 		}
-		n.shardLeader.scheduler.placeAll()
+		c.shardLeader.scheduler.placeAll()
 		for _, k := range sortedKeys(j.segments) {
 			record.Encode(j.segmentRecord(j.segments[k]))
 		}
@@ -57,9 +57,9 @@
 	f.Add("lead", record.Encode(record.Leader{Host: "b"}))
 	f.Add("ranking", ranking.Record{Revision: 2, Classes: []ranking.Class{{Name: "a", Urgency: "urgent"}}}.Encode())
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		n := twoControllers(t)
-		n.settings.Capabilities.Ranking = true
-		n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: record.ControlPrefix + key, Value: value, ModRevision: 98}}})
-		n.syncShardLeader()
+		c := twoControllers(t)
+		c.settings.Capabilities.Ranking = true
+		c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 99, KeyValues: []message.KeyValue{{Key: record.ControlPrefix + key, Value: value, ModRevision: 98}}})
+		c.syncShardLeader()
 	})
 }
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -39,28 +39,28 @@
 // newHugeJob submits a job of so many tasks to a shard leader of so many machines, each with
 // capacity for eight of its tasks at a time.
 func newHugeJob(tasks, machines int) *hugeJobRun {
-	n := largePool(0)
-	n.rng = rand.New(rand.NewPCG(1, 2))
-	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	d := &hugeJobRun{controller: n, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
+	c := largePool(0)
+	c.rng = rand.New(rand.NewPCG(1, 2))
+	c.membership.ready, c.frontend.watchCache.loaded, c.frontend.watchCache.refreshScheduled = true, true, true
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	d := &hugeJobRun{controller: c, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
 	for i := range machines {
-		r := n.poolHeartbeat(0)
+		r := c.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
 	}
-	n.now = n.now.Add(time.Second)
-	n.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
+	c.now = c.now.Add(time.Second)
+	c.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
 		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 4},
 		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
 	}})
-	n.frontend.flushSubmissions()
-	d.handleEffects(n.effects)
+	c.frontend.flushSubmissions()
+	d.handleEffects(c.effects)
 	for _, command := range d.pending {
-		n.handleCommand(command)
+		c.handleCommand(command)
 	}
 	d.pending = nil
-	d.job = n.shardLeader.jobs["job-huge"]
+	d.job = c.shardLeader.jobs["job-huge"]
 	return d
 }
 
@@ -127,16 +127,16 @@
 
 // runSecond simulates one second, with a heartbeat of each machine.
 func (d *hugeJobRun) runSecond() {
-	n := d.controller
+	c := d.controller
 	// Ten times a second, as a busy controller steps, with a tenth of the heartbeats each.
 	for part := range 10 {
-		n.now = n.now.Add(100 * time.Millisecond)
+		c.now = c.now.Add(100 * time.Millisecond)
 		cmds := d.pending
 		d.pending = nil
-		for i := part; i < len(n.shardLeader.machinesByID); i += 10 {
-			cmds = append(cmds, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(n.shardLeader.machinesByID[i].id)})
+		for i := part; i < len(c.shardLeader.machinesByID); i += 10 {
+			cmds = append(cmds, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(c.shardLeader.machinesByID[i].id)})
 		}
-		d.handleEffects(n.Step(n.now, cmds))
+		d.handleEffects(c.Step(c.now, cmds))
 	}
 }
 
@@ -202,9 +202,9 @@
 		}
 		second = allocations(d.runSecond)
 		open, items := d.storedRecords()
-		n := successor()
-		takeover = allocations(func() { n.takeOverRecords(open, items) })
-		if j := n.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
+		c := successor()
+		takeover = allocations(func() { c.takeOverRecords(open, items) })
+		if j := c.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
 			t.Fatal("got no running and done tasks after the takeover, want some")
 		}
 		return second, takeover
@@ -326,9 +326,9 @@
 		size += len(it.Value)
 	}
 	for b.Loop() {
-		n := successor()
-		n.takeOverRecords(open, tasks)
-		if n.shardLeader.jobs[d.job.ID].doneTasks == 0 {
+		c := successor()
+		c.takeOverRecords(open, tasks)
+		if c.shardLeader.jobs[d.job.ID].doneTasks == 0 {
 			b.Fatal("got no done tasks after the takeover, want some")
 		}
 	}
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -15,10 +15,10 @@
 // newOddTypesPool is a shard leader with machine types that leave little choice: one in two
 // zones, one in one zone, one with a small disk, and one that is offered nowhere.
 func newOddTypesPool() *Controller {
-	n := largePool(0)
-	n.settings.Zones = []string{"a", "b"}
-	n.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
-	n.knowledge.machineTypes = map[string]model.MachineType{}
+	c := largePool(0)
+	c.settings.Zones = []string{"a", "b"}
+	c.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
+	c.knowledge.machineTypes = map[string]model.MachineType{}
 	for _, mt := range []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, Zones: []string{"a", "b"}},
 		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, Zones: []string{"a"}},
@@ -26,11 +26,11 @@
 		{Name: "gone", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400},
 	} {
 		mt.ImageFetchRate, mt.CostPerHour, mt.SpotCostPerHour, mt.ProvisioningTime = 0.4, mt.Capacity.CPU/20, mt.Capacity.CPU/60, 30*time.Second
-		n.knowledge.machineTypes[mt.Name] = mt
+		c.knowledge.machineTypes[mt.Name] = mt
 	}
-	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	return n
+	c.membership.ready, c.frontend.watchCache.loaded, c.frontend.watchCache.refreshScheduled = true, true, true
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	return c
 }
 
 // submitTestJob submits a job, changed by change. It returns the answer, or "" without one,
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -19,20 +19,20 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			n := largePool(machines)
+			c := largePool(machines)
 			for i := range machines {
-				r := n.poolHeartbeat(i)
+				r := c.poolHeartbeat(i)
 				r.Sequence = 7
-				n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.machinesByID[i], r, true)
+				c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.machinesByID[i], r, true)
 			}
-			n.now = n.now.Add(time.Second)
-			n.shardLeader.fleet.scanFleet(func(int) bool { return true })
+			c.now = c.now.Add(time.Second)
+			c.shardLeader.fleet.scanFleet(func(int) bool { return true })
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			if kept := int64(after.HeapAlloc) - int64(before.HeapAlloc); kept > int64(machines)*maxBytesPerMachine {
 				t.Errorf("%d machines: got %d KB kept, want at most %d", machines, kept>>10, machines*maxBytesPerMachine>>10)
 			}
-			runtime.KeepAlive(n)
+			runtime.KeepAlive(c)
 		})
 	}
 }
--- a/internal/controller/migration_test.go
+++ b/internal/controller/migration_test.go
@@ -15,21 +15,21 @@
 // of half a host is on each, and one of a whole host waits.
 func hostPool(t *testing.T) *Controller {
 	t.Helper()
-	n := largePool(0)
-	n.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
-	n.knowledge.machineTypes = map[string]model.MachineType{"host": {Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}}
-	n.shardLeader.fleet.view.blockedUntil[machineKind{"host", "z", false}] = n.now.Add(time.Hour)
-	n.shardLeader.migration.recoverRecords([]string{"ops"}, nil)
+	c := largePool(0)
+	c.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.5, MigrationCooldown: 5 * time.Minute}
+	c.knowledge.machineTypes = map[string]model.MachineType{"host": {Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 400, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}}
+	c.shardLeader.fleet.view.blockedUntil[machineKind{"host", "z", false}] = c.now.Add(time.Hour)
+	c.shardLeader.migration.recoverRecords([]string{"ops"}, nil)
 	for i := range 2 {
 		id := fmt.Sprintf("vm-%06d", i)
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(id), n.hostHeartbeat(i, 1), true)
-		j := n.addReplica(fmt.Sprintf("job-s%d", i), 4)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(id), c.hostHeartbeat(i, 1), true)
+		j := c.addReplica(fmt.Sprintf("job-s%d", i), 4)
 		j.nextFresh = 1
-		n.shardLeader.scheduler.startAttempt(j, 0, n.shardLeader.machines[id])
-		n.reportRunning(j, i)
+		c.shardLeader.scheduler.startAttempt(j, 0, c.shardLeader.machines[id])
+		c.reportRunning(j, i)
 	}
-	n.addReplica("job-large", 8)
-	return n
+	c.addReplica("job-large", 8)
+	return c
 }
 
 func (c *Controller) hostHeartbeat(i int, sequence uint64) *model.Heartbeat {
@@ -77,37 +77,37 @@
 // its places are held at once, and its replica is stopped when the record is durable, not
 // before.
 func TestMigrationIsWrittenBeforeStop(t *testing.T) {
-	n := hostPool(t)
-	op := n.awaitMigrationWrite(t)
-	shard := n.membership.shardMap.Team("ops")
+	c := hostPool(t)
+	op := c.awaitMigrationWrite(t)
+	shard := c.membership.shardMap.Team("ops")
 	for _, compare := range []message.Compare{{Key: record.ShardPrefix + "a", ModRevision: shard.ModRevision}, {Key: record.OpenJobPrefix + "job-large", ModRevision: 7}, {Key: "move/ops", ModRevision: 0}} {
 		if !slices.Contains(op.Compares, compare) {
 			t.Errorf("got compares %v, want %v among them", op.Compares, compare)
 		}
 	}
-	moved := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
+	moved := c.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
 	if !slices.Contains(op.Compares, message.Compare{Key: record.OpenJobPrefix + moved.Job, ModRevision: 7}) {
 		t.Errorf("got compares %v, want that of the moved job among them", op.Compares)
 	}
-	j := n.shardLeader.jobs[moved.Job]
+	j := c.shardLeader.jobs[moved.Job]
 	if j.tasks[0].stopReason != stopNone {
 		t.Errorf("got stop reason %v before the migration is durable, want none", j.tasks[0].stopReason)
 	}
-	if k := n.shardLeader.migration.reservedTasks(n.shardLeader.jobs["job-large"]); k != 1 {
+	if k := c.shardLeader.migration.reservedTasks(c.shardLeader.jobs["job-large"]); k != 1 {
 		t.Errorf("got %d tasks with a reserved place, want 1", k)
 	}
-	for _, d := range n.shardLeader.fleet.demands(time.Minute, false, false) {
+	for _, d := range c.shardLeader.fleet.demands(time.Minute, false, false) {
 		if d.job.ID == "job-large" && d.count != 0 {
 			t.Errorf("got a demand of %d tasks for which the migration frees a host, want 0", d.count)
 		}
 	}
 	// Another replica gets none of the held places.
-	late := n.addReplica("job-t1", 4)
-	n.shardLeader.scheduler.placeAll()
+	late := c.addReplica("job-t1", 4)
+	c.shardLeader.scheduler.placeAll()
 	if late.liveTasks != 0 {
 		t.Errorf("got %d tasks of another job on held places, want 0", late.liveTasks)
 	}
-	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
 	if j.tasks[0].stopReason != stopDrain {
 		t.Errorf("got stop reason %v when the migration is durable, want %v", j.tasks[0].stopReason, stopDrain)
 	}
@@ -116,21 +116,21 @@
 // TestMigrationConflict: when something that a migration depends on has changed, nothing is
 // stopped and no place stays held; without an answer it is read and written once more.
 func TestMigrationConflict(t *testing.T) {
-	n := hostPool(t)
-	op := n.awaitMigrationWrite(t)
-	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + "job-large"}})
-	if len(n.shardLeader.migration.state.tracker.Holds()) > 0 || n.shardLeader.machinesByID[0].reservedForMigration != (model.Resources{}) || n.shardLeader.machinesByID[1].reservedForMigration != (model.Resources{}) {
-		t.Errorf("got holds %v after a conflict, want none", n.shardLeader.migration.state.tracker.Holds())
-	}
-	op = n.awaitMigrationWrite(t)
-	n.effects = nil
-	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreUnknown})
-	get, ok := n.effects[0].(message.StoreRequest)
+	c := hostPool(t)
+	op := c.awaitMigrationWrite(t)
+	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + "job-large"}})
+	if len(c.shardLeader.migration.state.tracker.Holds()) > 0 || c.shardLeader.machinesByID[0].reservedForMigration != (model.Resources{}) || c.shardLeader.machinesByID[1].reservedForMigration != (model.Resources{}) {
+		t.Errorf("got holds %v after a conflict, want none", c.shardLeader.migration.state.tracker.Holds())
+	}
+	op = c.awaitMigrationWrite(t)
+	c.effects = nil
+	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreUnknown})
+	get, ok := c.effects[0].(message.StoreRequest)
 	if !ok || get.Kind != message.OpGet {
-		t.Fatalf("without an answer: got effects %v, want a read", n.effects)
+		t.Fatalf("without an answer: got effects %v, want a read", c.effects)
 	}
-	n.requests.storeCallbacks[get.ID](message.StoreResponse{Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "move/ops", ModRevision: 33}}})
-	if op = n.awaitMigrationWrite(t); !slices.Contains(op.Compares, message.Compare{Key: "move/ops", ModRevision: 33}) {
+	c.requests.storeCallbacks[get.ID](message.StoreResponse{Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: "move/ops", ModRevision: 33}}})
+	if op = c.awaitMigrationWrite(t); !slices.Contains(op.Compares, message.Compare{Key: "move/ops", ModRevision: 33}) {
 		t.Errorf("got compares %v, want the record's mod revision 33 among them", op.Compares)
 	}
 }
@@ -138,11 +138,11 @@
 // TestNoStopWithoutConfirmedLease: a shard leader whose lease may have ended stops nothing,
 // also when the answer to a write arrives then.
 func TestNoStopWithoutConfirmedLease(t *testing.T) {
-	n := hostPool(t)
-	op := n.awaitMigrationWrite(t)
-	n.membership.leaseValidUntil = n.now.Add(-time.Second)
-	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
-	for _, j := range n.shardLeader.jobs {
+	c := hostPool(t)
+	op := c.awaitMigrationWrite(t)
+	c.membership.leaseValidUntil = c.now.Add(-time.Second)
+	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	for _, j := range c.shardLeader.jobs {
 		if j.tasks[0].stopReason != stopNone {
 			t.Errorf("%s: got stop reason %v without a confirmed lease, want none", j.ID, j.tasks[0].stopReason)
 		}
@@ -153,23 +153,23 @@
 // its part of the quota limit to it; it starts at its target, and the replica that waited
 // starts where it was.
 func TestMigrationKeepsQuota(t *testing.T) {
-	n := hostPool(t)
-	op := n.awaitMigrationWrite(t)
-	n.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
-	s := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
-	j := n.shardLeader.jobs[s.Job]
-	from := n.shardLeader.machines[s.From]
-	n.shardLeader.endAttempt(j, 0, false)
-	n.settings.Teams[0].QuotaLimit = model.Resources{GPU: 13}
-	if n.shardLeader.scheduler.withinQuotaLimit(n.shardLeader.jobs["job-large"]) {
+	c := hostPool(t)
+	op := c.awaitMigrationWrite(t)
+	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	s := c.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
+	j := c.shardLeader.jobs[s.Job]
+	from := c.shardLeader.machines[s.From]
+	c.shardLeader.endAttempt(j, 0, false)
+	c.settings.Teams[0].QuotaLimit = model.Resources{GPU: 13}
+	if c.shardLeader.scheduler.withinQuotaLimit(c.shardLeader.jobs["job-large"]) {
 		t.Error("got another replica within the quota limit, want its part reserved")
 	}
-	n.settings.Teams[0].QuotaLimit = model.Resources{}
-	n.shardLeader.scheduler.placeAll()
+	c.settings.Teams[0].QuotaLimit = model.Resources{}
+	c.shardLeader.scheduler.placeAll()
 	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To {
 		t.Errorf("got the moved replica on %v, want %s", j.tasks[0].machine, s.To)
 	}
-	if large := n.shardLeader.jobs["job-large"]; large.tasks[0].machine != from {
+	if large := c.shardLeader.jobs["job-large"]; large.tasks[0].machine != from {
 		t.Errorf("got the large replica on %v, want %s", large.tasks[0].machine, s.From)
 	}
 }
@@ -177,17 +177,17 @@
 // TestReservedMachineIsNotIdle: an empty machine with a held place is neither released nor
 // handed over to another shard.
 func TestReservedMachineIsNotIdle(t *testing.T) {
-	n := hostPool(t)
-	n.putShard(t, "b", "b", 2, false, "lab")
-	n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine("vm-000002"), n.hostHeartbeat(2, 1), true)
-	m := n.shardLeader.machines["vm-000002"]
-	n.now = n.now.Add(10 * time.Minute)
-	for _, x := range n.shardLeader.machinesByID {
-		x.lastHeard = n.now
-	}
-	delete(n.shardLeader.jobs, "job-large")
+	c := hostPool(t)
+	c.putShard(t, "b", "b", 2, false, "lab")
+	c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine("vm-000002"), c.hostHeartbeat(2, 1), true)
+	m := c.shardLeader.machines["vm-000002"]
+	c.now = c.now.Add(10 * time.Minute)
+	for _, x := range c.shardLeader.machinesByID {
+		x.lastHeard = c.now
+	}
+	delete(c.shardLeader.jobs, "job-large")
 	isSurplus := func() bool {
-		return n.shardLeader.fleet.isIdleExpired(m, n.knowledge.cheapestCPUCost()) || n.shardLeader.fleet.surplusMachines(n.shardLeader.fleet.futureFreeCapacity(), func(int) bool { return true })[m.id]
+		return c.shardLeader.fleet.isIdleExpired(m, c.knowledge.cheapestCPUCost()) || c.shardLeader.fleet.surplusMachines(c.shardLeader.fleet.futureFreeCapacity(), func(int) bool { return true })[m.id]
 	}
 	if !isSurplus() {
 		t.Fatal("got no surplus without a held place, want one: the test proves nothing")
@@ -201,11 +201,11 @@
 // TestSuccessorRecoversMigrations: a successor holds the places again, as far as the migration
 // has come, and waits for hosts that it has not heard of.
 func TestSuccessorRecoversMigrations(t *testing.T) {
-	n := hostPool(t)
-	op := n.awaitMigrationWrite(t)
-	s := n.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
+	c := hostPool(t)
+	op := c.awaitMigrationWrite(t)
+	s := c.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
 	successor := largePool(0)
-	successor.settings.Capabilities, successor.knowledge.machineTypes = n.settings.Capabilities, n.knowledge.machineTypes
+	successor.settings.Capabilities, successor.knowledge.machineTypes = c.settings.Capabilities, c.knowledge.machineTypes
 	j, large := successor.addReplica(s.Job, 4), successor.addReplica("job-large", 8)
 	j.nextFresh, j.tasks[0].attempt = 1, s.Attempt
 	successor.shardLeader.attachAttempt(j, 0, successor.shardLeader.ensureMachine(s.From))
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -13,18 +13,18 @@
 // newGPUHostPool is a shard leader of some eight-GPU hosts, and of machines without GPUs, if
 // any.
 func newGPUHostPool(hosts, plain int) *Controller {
-	n := largePool(0)
-	n.settings.Capabilities.Models = true
-	n.knowledge.machineTypes["g8"] = model.MachineType{Name: "g8", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
+	c := largePool(0)
+	c.settings.Capabilities.Models = true
+	c.knowledge.machineTypes["g8"] = model.MachineType{Name: "g8", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
 	for i := range hosts + plain {
-		r := n.poolHeartbeat(0)
+		r := c.poolHeartbeat(0)
 		r.Machine, r.Spot = fmt.Sprintf("vm-%06d", i), false
 		if i < hosts {
 			r.MachineType = "g8"
 		}
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
 	}
-	return n
+	return c
 }
 
 // submitReplicas submits a long-running job of so many GPUs a replica.
@@ -65,38 +65,38 @@
 // and others are fragmented. Small replicas that arrive go to the fragments, as long as there
 // are any, though they have to fetch their images there.
 func TestReplicasKeepHostsWhole(t *testing.T) {
-	n := newGPUHostPool(6, 0)
+	c := newGPUHostPool(6, 0)
 	fill := func(from, count, image int, gpus float64) {
 		for i := range count {
-			n.submitReplicas(fmt.Sprintf("job-%06d", from+i), fmt.Sprintf("img-%d", image), gpus, 1, model.Normal)
-			n.shardLeader.scheduler.placeAll()
-			n.advance(2 * time.Second)
+			c.submitReplicas(fmt.Sprintf("job-%06d", from+i), fmt.Sprintf("img-%d", image), gpus, 1, model.Normal)
+			c.shardLeader.scheduler.placeAll()
+			c.advance(2 * time.Second)
 		}
 	}
 	for h := range 6 {
 		fill(100*h, 8, h, 1)
 	}
-	if r := n.gpuHostCapacity(t); r.FreeGPUs != 0 {
+	if r := c.gpuHostCapacity(t); r.FreeGPUs != 0 {
 		t.Fatalf("got %+v beside 48 replicas, want no free GPUs", r)
 	}
-	for id, j := range n.shardLeader.jobs {
+	for id, j := range c.shardLeader.jobs {
 		// All replicas of the first three hosts end, and three of each of the others.
 		if i, _ := strconv.Atoi(id[4:]); i < 300 || i%100 < 3 {
-			n.shardLeader.endAttempt(j, 0, true)
-			delete(n.shardLeader.jobs, id)
+			c.shardLeader.endAttempt(j, 0, true)
+			delete(c.shardLeader.jobs, id)
 		}
 	}
-	if r := n.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 9 {
+	if r := c.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 9 {
 		t.Fatalf("got %+v, want 3 empty machines and 9 fragmented GPUs", r)
 	}
 	fill(1000, 3, 0, 1)
 	fill(1100, 2, 1, 1)
 	fill(1200, 1, 2, 2)
-	if r := n.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 2 {
+	if r := c.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 2 {
 		t.Errorf("got %+v beside replicas that fit the fragments, want 3 empty machines and 2 fragmented GPUs", r)
 	}
-	large := n.submitReplicas("job-002000", "img-7", 8, 3, model.Normal)
-	if n.shardLeader.scheduler.placeAll(); large.liveTasks != 3 {
+	large := c.submitReplicas("job-002000", "img-7", 8, 3, model.Normal)
+	if c.shardLeader.scheduler.placeAll(); large.liveTasks != 3 {
 		t.Errorf("got %d of 3 large replicas placed, want all", large.liveTasks)
 	}
 }
@@ -104,17 +104,17 @@
 // TestRoundSeesFragmentedHosts: of two kinds of replicas that are placed in one round, in
 // turns, each sees which hosts the other has fragmented.
 func TestRoundSeesFragmentedHosts(t *testing.T) {
-	n := newGPUHostPool(6, 0)
-	n.shardLeader.machinesByID[5].images["img-b"] = &image{sizeGB: 8, cached: true}
+	c := newGPUHostPool(6, 0)
+	c.shardLeader.machinesByID[5].images["img-b"] = &image{sizeGB: 8, cached: true}
 	for i := range 11 {
 		if i == 1 {
-			n.submitReplicas("job-000001", "img-b", 1, 1, model.Normal)
+			c.submitReplicas("job-000001", "img-b", 1, 1, model.Normal)
 			continue
 		}
-		n.submitReplicas(fmt.Sprintf("job-%06d", i), "img-a", 1, 1, model.Normal).ImageGB = 1
+		c.submitReplicas(fmt.Sprintf("job-%06d", i), "img-a", 1, 1, model.Normal).ImageGB = 1
 	}
-	n.shardLeader.scheduler.placeAll()
-	if r := n.gpuHostCapacity(t); r.EmptyMachines != 4 || r.FragmentedGPUs != 5 {
+	c.shardLeader.scheduler.placeAll()
+	if r := c.gpuHostCapacity(t); r.EmptyMachines != 4 || r.FragmentedGPUs != 5 {
 		t.Errorf("got %+v beside 11 replicas on hosts of 8 GPUs, want 4 empty machines and 5 fragmented GPUs", r)
 	}
 }
@@ -122,49 +122,49 @@
 // TestWorkWithoutGPUs: work without GPUs takes of a host with GPUs what no model could use, and
 // the rest elsewhere; no such host is requested for it, and its use there does not count.
 func TestWorkWithoutGPUs(t *testing.T) {
-	n := newGPUHostPool(2, 1)
-	a := n.submitReplicas("job-000001", "img", 2, 1, model.Normal)
-	n.shardLeader.scheduler.placeAll()
-	batch := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "batch", Urgency: model.BestEffort, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
-	n.advance(2 * time.Second)
-	n.shardLeader.scheduler.placeAll()
-	nonGPUUse := func(m *machine) model.Resources { return n.shardLeader.scheduler.nonGPUUse(m) }
-	ms := n.shardLeader.machinesByID
+	c := newGPUHostPool(2, 1)
+	a := c.submitReplicas("job-000001", "img", 2, 1, model.Normal)
+	c.shardLeader.scheduler.placeAll()
+	batch := c.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "batch", Urgency: model.BestEffort, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
+	c.advance(2 * time.Second)
+	c.shardLeader.scheduler.placeAll()
+	nonGPUUse := func(m *machine) model.Resources { return c.shardLeader.scheduler.nonGPUUse(m) }
+	ms := c.shardLeader.machinesByID
 	if x, y, z := nonGPUUse(ms[0]).CPU, nonGPUUse(ms[1]).CPU, nonGPUUse(ms[2]).CPU; x != 16 || y != 16 || z != 32 {
 		t.Errorf("got %v, %v and %v CPUs used without GPUs, want 16, 16 and 32", x, y, z)
 	}
-	if a.liveTasks != 1 || n.gpuHostCapacity(t).EmptyMachines != 1 {
-		t.Errorf("got %d live replicas and %+v, want 1 and one empty machine", a.liveTasks, n.gpuHostCapacity(t))
+	if a.liveTasks != 1 || c.gpuHostCapacity(t).EmptyMachines != 1 {
+		t.Errorf("got %d live replicas and %+v, want 1 and one empty machine", a.liveTasks, c.gpuHostCapacity(t))
 	}
-	for k := range n.shardLeader.fleet.planScaleOut(n.shardLeader.fleet.futureFreeCapacity(), nil) {
+	for k := range c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil) {
 		if k.machineType == "g8" {
 			t.Errorf("got a capacity request %+v for work without GPUs, want none of g8", k)
 		}
 	}
-	large := n.submitReplicas("job-000003", "img", 8, 1, model.Normal)
-	if n.advance(2 * time.Second); large.liveTasks != 0 {
+	large := c.submitReplicas("job-000003", "img", 8, 1, model.Normal)
+	if c.advance(2 * time.Second); large.liveTasks != 0 {
 		t.Fatalf("got %d replicas live before a placement round, want 0", large.liveTasks)
 	}
-	if n.shardLeader.scheduler.placeAll(); large.liveTasks != 1 {
+	if c.shardLeader.scheduler.placeAll(); large.liveTasks != 1 {
 		t.Errorf("got %d replicas of a whole host live beside other work, want 1", large.liveTasks)
 	}
 	// What is brief and urgent takes what is free, while no replica waits.
-	rush := n.submitTestJob(model.JobSpec{ID: "job-000004", Workload: "rush", Urgency: model.Urgent, Tasks: 2, Need: model.Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
-	n.advance(2 * time.Second)
-	if n.shardLeader.scheduler.placeAll(); rush.liveTasks != 2 {
+	rush := c.submitTestJob(model.JobSpec{ID: "job-000004", Workload: "rush", Urgency: model.Urgent, Tasks: 2, Need: model.Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
+	c.advance(2 * time.Second)
+	if c.shardLeader.scheduler.placeAll(); rush.liveTasks != 2 {
 		t.Errorf("got %d of 2 brief tasks placed, want all", rush.liveTasks)
 	}
 	// The cloud refuses other machines: after a while the work goes wherever it fits.
-	n.advance(gpuFallbackAfter + time.Second)
-	n.shardLeader.scheduler.placeAll()
+	c.advance(gpuFallbackAfter + time.Second)
+	c.shardLeader.scheduler.placeAll()
 	if nonGPUUse(ms[0]).CPU+nonGPUUse(ms[1]).CPU <= 32 {
 		t.Errorf("got %d tasks waiting beside free CPUs after %v, want more placed", batch.pendingTasks(), gpuFallbackAfter)
 	}
 	// Work that fits nothing else is not restricted.
-	n = newGPUHostPool(1, 1)
-	n.submitReplicas("job-000001", "img", 1, 1, model.Normal)
-	only := n.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "only", Urgency: model.Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
-	if n.shardLeader.scheduler.placeAll(); only.liveTasks != 10 {
+	c = newGPUHostPool(1, 1)
+	c.submitReplicas("job-000001", "img", 1, 1, model.Normal)
+	only := c.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "only", Urgency: model.Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
+	if c.shardLeader.scheduler.placeAll(); only.liveTasks != 10 {
 		t.Errorf("got %d of 10 tasks placed that fit nothing else, want all", only.liveTasks)
 	}
 }
@@ -177,14 +177,14 @@
 		urgency model.Urgency
 		want    int
 	}{{"more urgent", model.Urgent, 4}, {"as urgent", model.Normal, 0}} {
-		n := newGPUHostPool(1, 0)
-		low := n.submitTestJob(model.JobSpec{ID: "job-000001", Workload: "batch", Urgency: model.Normal, Tasks: 5, Need: model.Resources{CPU: 12, Memory: 2}, ExpectedRunTime: time.Hour})
-		if n.shardLeader.scheduler.placeAll(); low.liveTasks != 5 {
+		c := newGPUHostPool(1, 0)
+		low := c.submitTestJob(model.JobSpec{ID: "job-000001", Workload: "batch", Urgency: model.Normal, Tasks: 5, Need: model.Resources{CPU: 12, Memory: 2}, ExpectedRunTime: time.Hour})
+		if c.shardLeader.scheduler.placeAll(); low.liveTasks != 5 {
 			t.Fatalf("%s: got %d of 5 tasks placed, want all", tc.name, low.liveTasks)
 		}
-		n.advance(2 * time.Second)
-		n.submitReplicas("job-000002", "img", 8, 1, tc.urgency)
-		n.shardLeader.scheduler.placeAll()
+		c.advance(2 * time.Second)
+		c.submitReplicas("job-000002", "img", 8, 1, tc.urgency)
+		c.shardLeader.scheduler.placeAll()
 		stopped := 0
 		for i := range low.tasks {
 			if low.tasks[i].stopReason == stopPreempt {
@@ -202,19 +202,19 @@
 func BenchmarkPlacementRoundWithGPUs(b *testing.B) {
 	for _, hosts := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			n := newGPUHostPool(hosts, hosts)
+			c := newGPUHostPool(hosts, hosts)
 			for i := range hosts * 5 {
-				n.submitReplicas(fmt.Sprintf("job-%06d", i), fmt.Sprintf("img-%d", i%30), []float64{1, 2}[i%2], 1, model.Normal)
+				c.submitReplicas(fmt.Sprintf("job-%06d", i), fmt.Sprintf("img-%d", i%30), []float64{1, 2}[i%2], 1, model.Normal)
 			}
 			for i := range hosts / 5 {
-				n.submitTestJob(model.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+i), Workload: fmt.Sprint("batch-", i%5), Urgency: model.Normal, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute})
-				n.submitReplicas(fmt.Sprintf("job-%06d", 200000+i), fmt.Sprintf("img-%d", i%30), 8, 1, model.Urgent)
+				c.submitTestJob(model.JobSpec{ID: fmt.Sprintf("job-%06d", 100000+i), Workload: fmt.Sprint("batch-", i%5), Urgency: model.Normal, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute})
+				c.submitReplicas(fmt.Sprintf("job-%06d", 200000+i), fmt.Sprintf("img-%d", i%30), 8, 1, model.Urgent)
 			}
-			n.shardLeader.scheduler.placeAll()
+			c.shardLeader.scheduler.placeAll()
 			for b.Loop() {
-				n.advance(placementInterval)
-				n.effects = n.effects[:0]
-				n.shardLeader.scheduler.placeAll()
+				c.advance(placementInterval)
+				c.effects = c.effects[:0]
+				c.shardLeader.scheduler.placeAll()
 			}
 		})
 	}
--- a/internal/controller/prewarmed_test.go
+++ b/internal/controller/prewarmed_test.go
@@ -11,8 +11,8 @@
 // TestSuccessorRecoversCachedImages guards against fetching images again that the machines
 // have, after all controllers have ended.
 func TestSuccessorRecoversCachedImages(t *testing.T) {
-	n := largePool(300)
-	for i, m := range n.shardLeader.machinesByID {
+	c := largePool(300)
+	for i, m := range c.shardLeader.machinesByID {
 		m.images = map[string]*image{
 			fmt.Sprintf("img-%02d", i%20): {sizeGB: 1.5, cached: true},
 			"coming":                      {sizeGB: 2},
@@ -21,12 +21,12 @@
 	successor := largePool(0)
 	successor.shardLeader.persistence.prewarmedImages = map[string]map[string]float64{}
 	records := 0
-	for from := 0; from < len(n.shardLeader.machinesByID); records++ {
+	for from := 0; from < len(c.shardLeader.machinesByID); records++ {
 		var r record.Prewarmed
-		r, from = n.shardLeader.persistence.nextPrewarmedRecord(from)
+		r, from = c.shardLeader.persistence.nextPrewarmedRecord(from)
 		value := record.Encode(r)
-		if len(value) > n.settings.MaxValueBytes {
-			t.Errorf("got a record of %d bytes, want at most %d", len(value), n.settings.MaxValueBytes)
+		if len(value) > c.settings.MaxValueBytes {
+			t.Errorf("got a record of %d bytes, want at most %d", len(value), c.settings.MaxValueBytes)
 		}
 		successor.shardLeader.persistence.applyPrewarmedRecord(message.KeyValue{Value: value})
 	}
@@ -34,7 +34,7 @@
 		t.Errorf("got %d records for 300 machines, want 1 to 4", records)
 	}
 	for i := range 300 {
-		r := n.poolHeartbeat(i)
+		r := c.poolHeartbeat(i)
 		m := successor.shardLeader.ensureMachine(r.Machine)
 		successor.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 		im := m.images[fmt.Sprintf("img-%02d", i%20)]
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -40,42 +40,42 @@
 // what was decided before is checked when it is sent. Other answers of the store, and late
 // ones, change nothing.
 func TestRenewalBound(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, j := machineWithTask(n)
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, j := machineWithTask(c)
 	running := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
-	n.frontend.watchCache.asOf = time.Time{}
-	if a := n.heartbeatOf(m, running); a.Status != 503 {
+	c.frontend.watchCache.asOf = time.Time{}
+	if a := c.heartbeatOf(m, running); a.Status != 503 {
 		t.Errorf("got answer %d of an owner that has read nothing, want 503", a.Status)
 	}
-	sent := n.now
-	n.now = n.now.Add(5 * time.Second)
-	n.frontend.watchCache.applyOpenJobUpdates(message.StoreResponse{SentAt: sent})
-	n.frontend.watchCache.applyOpenJobUpdates(message.StoreResponse{SentAt: sent.Add(-time.Minute)})
-	deadline := sent.Add(n.settings.RenewalBound().Window())
+	sent := c.now
+	c.now = c.now.Add(5 * time.Second)
+	c.frontend.watchCache.applyOpenJobUpdates(message.StoreResponse{SentAt: sent})
+	c.frontend.watchCache.applyOpenJobUpdates(message.StoreResponse{SentAt: sent.Add(-time.Minute)})
+	deadline := sent.Add(c.settings.RenewalBound().Window())
 	if least := 25 * time.Second; deadline.Sub(sent) < least {
 		t.Fatalf("got a window of %v, want at least %v", deadline.Sub(sent), least)
 	}
-	a := n.heartbeatOf(m, running)
+	a := c.heartbeatOf(m, running)
 	if a.Status != 200 || !a.SendDeadline.Equal(deadline) {
 		t.Errorf("got answer %d until %v after the read was sent, want 200 until %v", a.Status, a.SendDeadline.Sub(sent), deadline.Sub(sent))
 	}
 	if _, instead, late := CheckDeadline(a, deadline.Add(time.Millisecond)); !late || instead.(message.HeartbeatReply).Status != 503 {
 		t.Errorf("after the deadline: got late %v and %+v instead, want true and 503", late, instead)
 	}
-	n.now = deadline.Add(time.Millisecond)
+	c.now = deadline.Add(time.Millisecond)
 	end := m.leaseEnd
-	if a := n.heartbeatOf(m, running); a.Status != 503 || m.leaseEnd != end {
+	if a := c.heartbeatOf(m, running); a.Status != 503 || m.leaseEnd != end {
 		t.Errorf("after the window: got answer %d, lease extended by %v; want 503 and 0", a.Status, m.leaseEnd.Sub(end))
 	}
 	// The grace bounds answers as well: successors rely on it.
-	n.frontend.watchCache.asOf = n.now.Add(time.Hour)
-	n.membership.leaseValidUntil = n.now.Add(-n.renewal.grace())
-	if a := n.heartbeatOf(m, running); a.Status != 200 || !a.SendDeadline.Equal(n.now) {
-		t.Errorf("at the end of the grace: got answer %d until %v, want 200 until %v", a.Status, a.SendDeadline, n.now)
+	c.frontend.watchCache.asOf = c.now.Add(time.Hour)
+	c.membership.leaseValidUntil = c.now.Add(-c.renewal.grace())
+	if a := c.heartbeatOf(m, running); a.Status != 200 || !a.SendDeadline.Equal(c.now) {
+		t.Errorf("at the end of the grace: got answer %d until %v, want 200 until %v", a.Status, a.SendDeadline, c.now)
 	}
-	n.now = n.now.Add(time.Millisecond)
-	if a := n.heartbeatOf(m, running); a.Status != 503 {
+	c.now = c.now.Add(time.Millisecond)
+	if a := c.heartbeatOf(m, running); a.Status != 503 {
 		t.Errorf("after the grace: got answer %d, want 503", a.Status)
 	}
 }
@@ -83,22 +83,22 @@
 // TestStartDeadline: a membership lease is renewed by an owner that can't read open/. The
 // starts that it sends directly leave no later than its answers do; stops are not bound by that.
 func TestStartDeadline(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, j := machineWithTask(n)
-	starting := n.addJobOn("job-000901", m)
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, j := machineWithTask(c)
+	starting := c.addJobOn("job-000901", m)
 	starting.segmentOf(0).persistedVersion = 1
-	n.frontend.watchCache.asOf = n.now
-	deadline := n.now.Add(n.settings.RenewalBound().Window())
+	c.frontend.watchCache.asOf = c.now
+	deadline := c.now.Add(c.settings.RenewalBound().Window())
 	dispatched := func() (op message.WorkerRequest) {
-		m.dispatchInFlight, n.effects = false, nil
-		n.shardLeader.dispatcher.dispatch(m)
-		for _, w := range emittedEffects[message.WorkerRequest](n) {
+		m.dispatchInFlight, c.effects = false, nil
+		c.shardLeader.dispatcher.dispatch(m)
+		for _, w := range emittedEffects[message.WorkerRequest](c) {
 			op = w
 		}
 		return op
 	}
-	n.now = deadline
+	c.now = deadline
 	op := dispatched()
 	if len(op.Commands) != 1 || op.Commands[0].Kind != model.StartTask || !op.SendDeadline.Equal(deadline) {
 		t.Errorf("got commands %v until %v, want a start until %v", op.Commands, op.SendDeadline, deadline)
@@ -106,13 +106,13 @@
 	if back, _, late := CheckDeadline(op, deadline.Add(time.Millisecond)); !late || !back.(message.WorkerResponse).NotSent {
 		t.Errorf("after the deadline: got late %v and response %+v, want true and not sent", late, back)
 	}
-	n.now = deadline.Add(time.Millisecond)
+	c.now = deadline.Add(time.Millisecond)
 	if op := dispatched(); len(op.Commands) > 0 {
 		t.Errorf("after the window: got commands %v, want none", op.Commands)
 	}
-	n.setCancelled(j, n.now)
-	if op := dispatched(); len(op.Commands) != 1 || op.Commands[0].Kind != model.StopTask || !op.SendDeadline.Equal(n.membership.leaseValidUntil) {
-		t.Errorf("got commands %v until %v, want a stop until %v, the confirmed end of the lease", op.Commands, op.SendDeadline, n.membership.leaseValidUntil)
+	c.setCancelled(j, c.now)
+	if op := dispatched(); len(op.Commands) != 1 || op.Commands[0].Kind != model.StopTask || !op.SendDeadline.Equal(c.membership.leaseValidUntil) {
+		t.Errorf("got commands %v until %v, want a stop until %v, the confirmed end of the lease", op.Commands, op.SendDeadline, c.membership.leaseValidUntil)
 	}
 }
 
@@ -120,38 +120,38 @@
 // may have a cancelled job's tasks is answered only within the time that these have, counted
 // from the sending of the write with both clocks wrong, and again once they are gone.
 func TestCancelledWithoutProof(t *testing.T) {
-	n := largePool(12)
-	n.settings.MaxClockError = time.Second
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, j := machineWithTask(n)
+	c := largePool(12)
+	c.settings.MaxClockError = time.Second
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, j := machineWithTask(c)
 	running := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
-	at := n.now.Add(-10 * time.Second)
-	deadline := at.Add(n.settings.RenewalBound().Window() - 2*time.Second)
-	n.setCancelled(j, at)
-	a := n.heartbeatOf(m, running)
+	at := c.now.Add(-10 * time.Second)
+	deadline := at.Add(c.settings.RenewalBound().Window() - 2*time.Second)
+	c.setCancelled(j, at)
+	a := c.heartbeatOf(m, running)
 	if a.Status != 200 || !a.SendDeadline.Equal(deadline) || len(a.Commands) != 1 || a.Commands[0].Kind != model.StopTask {
 		t.Errorf("got answer %+v, want 200 with a stop until %v", a, deadline)
 	}
 	// A start that was sent and is not shown counts as running.
-	if a := n.heartbeatOf(m); a.Status == 200 && !a.SendDeadline.Equal(deadline) && len(m.attempts) > 0 {
+	if a := c.heartbeatOf(m); a.Status == 200 && !a.SendDeadline.Equal(deadline) && len(m.attempts) > 0 {
 		t.Errorf("with a start on its way: got an answer until %v, want %v", a.SendDeadline, deadline)
 	}
-	n.now = deadline.Add(time.Millisecond)
+	c.now = deadline.Add(time.Millisecond)
 	m.replySequence, m.unackedStartEpoch = 0, m.epoch // a command without an answer
-	n.addJobOn("job-000901", m)
-	j2 := n.shardLeader.jobs["job-000901"]
-	n.setCancelled(j2, at)
-	if a := n.heartbeatOf(m); a.Status != 503 {
+	c.addJobOn("job-000901", m)
+	j2 := c.shardLeader.jobs["job-000901"]
+	c.setCancelled(j2, at)
+	if a := c.heartbeatOf(m); a.Status != 503 {
 		t.Errorf("after the time of a cancelled job whose start may be on its way: got answer %d, want 503", a.Status)
 	}
 	m.unackedStartEpoch = 0
-	if a := n.heartbeatOf(m); a.Status != 200 {
+	if a := c.heartbeatOf(m); a.Status != 200 {
 		t.Errorf("after the proof that it is gone: got answer %d, want 200", a.Status)
 	}
 	// A task of another owner's job, whose record does not say when it was cancelled.
-	othersJob := newJob(model.JobSpec{ID: "job-000902", Team: "lab", Tasks: 1}, n.now, 1, 4096)
-	n.setCancelled(othersJob, time.UnixMilli(0))
-	if a := n.heartbeatOf(m, model.TaskReport{Job: othersJob.ID, Index: 0, Attempt: 1, Status: model.Running}); a.Status != 503 {
+	othersJob := newJob(model.JobSpec{ID: "job-000902", Team: "lab", Tasks: 1}, c.now, 1, 4096)
+	c.setCancelled(othersJob, time.UnixMilli(0))
+	if a := c.heartbeatOf(m, model.TaskReport{Job: othersJob.ID, Index: 0, Attempt: 1, Status: model.Running}); a.Status != 503 {
 		t.Errorf("with a task that may have been cancelled long ago: got answer %d, want 503", a.Status)
 	}
 }
@@ -161,28 +161,28 @@
 // them. When that job is cancelled, its time bounds the answers to these heartbeats too,
 // though they have the former owner's epoch and prove nothing.
 func TestUnprovenHeartbeatListsCancelled(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	cancelled := newJob(model.JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, n.now, 1, 4096)
-	at := n.now.Add(-10 * time.Second)
-	n.setCancelled(cancelled, at)
-	m := n.shardLeader.machines["vm-000003"]
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	cancelled := newJob(model.JobSpec{ID: "job-000905", Team: "lab", Tasks: 1}, c.now, 1, 4096)
+	at := c.now.Add(-10 * time.Second)
+	c.setCancelled(cancelled, at)
+	m := c.shardLeader.machines["vm-000003"]
 	for j := range m.attempts {
-		n.shardLeader.endAttempt(n.shardLeader.jobs[j.job], j.index, false)
+		c.shardLeader.endAttempt(c.shardLeader.jobs[j.job], j.index, false)
 	}
 	m.heard, m.taskReports, m.lastTaskReports, m.seenEpoch = false, nil, nil, 0
 	replyUnderFormerEpoch := func() message.HeartbeatReply {
-		r := n.poolHeartbeat(0)
+		r := c.poolHeartbeat(0)
 		r.Machine, r.Sequence, r.Epoch = m.id, m.sequence+1, m.epoch-1
 		r.Tasks = []model.TaskReport{{Job: cancelled.ID, Index: 0, Attempt: 1, Status: model.Running}}
-		return n.replyToHeartbeat(r)
+		return c.replyToHeartbeat(r)
 	}
-	deadline := at.Add(n.settings.RenewalBound().Window())
+	deadline := at.Add(c.settings.RenewalBound().Window())
 	if a := replyUnderFormerEpoch(); a.Status != 200 || !a.SendDeadline.Equal(deadline) {
 		t.Errorf("got answer %d until %v, want 200 until %v", a.Status, a.SendDeadline, deadline)
 	}
-	n.now = deadline.Add(time.Millisecond)
-	n.frontend.watchCache.asOf = n.now
+	c.now = deadline.Add(time.Millisecond)
+	c.frontend.watchCache.asOf = c.now
 	if a := replyUnderFormerEpoch(); a.Status != 503 {
 		t.Errorf("after the time of a cancelled job that only the heartbeat lists: got answer %d, want 503", a.Status)
 	}
@@ -192,45 +192,45 @@
 // that is no longer answered for that reason. The higher epoch that would be the proof is
 // sent directly, or all work there would be lost with the lease.
 func TestEpochIsShownWhereRenewalEnds(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, _ := machineWithTask(n)
-	cancelled := n.addJobOn("job-000901", m)
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, _ := machineWithTask(c)
+	cancelled := c.addJobOn("job-000901", m)
 	m.unackedStartEpoch = m.epoch
 	m.epoch++
-	n.setCancelled(cancelled, n.now.Add(-time.Minute))
-	r := n.poolHeartbeat(0)
-	r.Sequence, r.Epoch, r.Tasks, n.effects = m.sequence+1, m.unackedStartEpoch, m.lastTaskReports, nil
-	n.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	c.setCancelled(cancelled, c.now.Add(-time.Minute))
+	r := c.poolHeartbeat(0)
+	r.Sequence, r.Epoch, r.Tasks, c.effects = m.sequence+1, m.unackedStartEpoch, m.lastTaskReports, nil
+	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
 	r.Sequence, r.Epoch = r.Sequence+1, m.epoch
-	n.answerPoll(t, m, r)
-	if until := n.renewal.machineRenewalDeadline(m, m.settled(), nil); n.now.After(until) || cancelled.liveTasks > 0 {
-		t.Errorf("got answers until %v and %d live attempts after the epoch was shown, want later than %v and 0", until, cancelled.liveTasks, n.now)
+	c.answerPoll(t, m, r)
+	if until := c.renewal.machineRenewalDeadline(m, m.settled(), nil); c.now.After(until) || cancelled.liveTasks > 0 {
+		t.Errorf("got answers until %v and %d live attempts after the epoch was shown, want later than %v and 0", until, cancelled.liveTasks, c.now)
 	}
 }
 
 // TestStopsBeforeRecovery: an owner that has not read which attempts there should be stops
 // what it knows to be cancelled, and renews no lease beyond that job's time.
 func TestStopsBeforeRecovery(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, j := machineWithTask(n)
-	n.shardLeader.ready = false
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, j := machineWithTask(c)
+	c.shardLeader.ready = false
 	task := func(job string) model.TaskReport {
 		return model.TaskReport{Job: job, Index: 0, Attempt: 1, Status: model.Running}
 	}
-	at := n.now.Add(-10 * time.Second)
-	delete(n.shardLeader.jobs, j.ID)
-	n.setCancelled(j, at)
-	a := n.heartbeatOf(m, task(j.ID), task("job-000903"))
-	if deadline := at.Add(n.settings.RenewalBound().Window()); a.Status != 200 || !a.SendDeadline.Equal(deadline) {
+	at := c.now.Add(-10 * time.Second)
+	delete(c.shardLeader.jobs, j.ID)
+	c.setCancelled(j, at)
+	a := c.heartbeatOf(m, task(j.ID), task("job-000903"))
+	if deadline := at.Add(c.settings.RenewalBound().Window()); a.Status != 200 || !a.SendDeadline.Equal(deadline) {
 		t.Errorf("got answer %d until %v, want 200 until %v", a.Status, a.SendDeadline, deadline)
 	}
 	if len(a.Commands) != 1 || a.Commands[0] != (model.TaskCommand{Kind: model.StopTask, Job: j.ID, Attempt: 1}) {
 		t.Errorf("got commands %v, want a stop of %s without a grace period", a.Commands, j.ID)
 	}
-	n.now = n.now.Add(n.settings.RenewalBound().Window())
-	if a := n.heartbeatOf(m, task(j.ID)); a.Status != 503 {
+	c.now = c.now.Add(c.settings.RenewalBound().Window())
+	if a := c.heartbeatOf(m, task(j.ID)); a.Status != 503 {
 		t.Errorf("after the time of a cancelled job: got answer %d, want 503", a.Status)
 	}
 }
@@ -240,29 +240,29 @@
 // owner's epoch, it is answered only within the time of every cancelled job.
 func TestUnreadStartsOfFormerOwner(t *testing.T) {
 	for _, ready := range []bool{false, true} {
-		n := largePool(12)
-		n.frontend.watchCache.openJobs = map[string]openJob{}
-		m, j := machineWithTask(n)
-		delete(n.shardLeader.jobs, j.ID)
-		n.setCancelled(j, n.now.Add(-10*time.Second))
-		deadline := n.now.Add(n.settings.RenewalBound().Window() - 10*time.Second)
-		n.shardLeader.ready, n.shardLeader.teams["ops"].ready = ready, false
+		c := largePool(12)
+		c.frontend.watchCache.openJobs = map[string]openJob{}
+		m, j := machineWithTask(c)
+		delete(c.shardLeader.jobs, j.ID)
+		c.setCancelled(j, c.now.Add(-10*time.Second))
+		deadline := c.now.Add(c.settings.RenewalBound().Window() - 10*time.Second)
+		c.shardLeader.ready, c.shardLeader.teams["ops"].ready = ready, false
 		firstHeartbeat := func(epoch uint64) message.HeartbeatReply {
-			n.shardLeader.removeMachine(m)
-			n.shardLeader.heartbeats.lastHeartbeats = nil
-			m = n.shardLeader.ensureMachine(m.id)
-			r := n.poolHeartbeat(0)
+			c.shardLeader.removeMachine(m)
+			c.shardLeader.heartbeats.lastHeartbeats = nil
+			m = c.shardLeader.ensureMachine(m.id)
+			r := c.poolHeartbeat(0)
 			r.Epoch, r.Sequence = epoch, r.Sequence+1
-			return n.replyToHeartbeat(r)
+			return c.replyToHeartbeat(r)
 		}
-		epoch := n.shardLeader.ensureMachine(m.id).epoch
+		epoch := c.shardLeader.ensureMachine(m.id).epoch
 		if epoch == 0 {
 			t.Fatal("got epoch 0 of the machine, want one")
 		}
 		if a := firstHeartbeat(epoch - 1); a.Status != 200 || !a.SendDeadline.Equal(deadline) {
 			t.Errorf("ready %v: got answer %d until %v, want 200 until %v", ready, a.Status, a.SendDeadline, deadline)
 		}
-		n.now = deadline.Add(time.Millisecond)
+		c.now = deadline.Add(time.Millisecond)
 		if a := firstHeartbeat(epoch - 1); a.Status != 503 {
 			t.Errorf("ready %v: after the time of a cancelled job whose start may be on its way: got answer %d, want 503", ready, a.Status)
 		}
@@ -276,25 +276,25 @@
 // told once more when its job is cancelled, without a grace period, and no other reason to
 // stop gives it one again.
 func TestCancelledStopsWithoutCheckpoint(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, j := machineWithTask(n)
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, j := machineWithTask(c)
 	j.CheckpointInterval, j.CheckpointCost, j.LongRunning = 30*time.Second, 4*time.Second, true
 	task := model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}
 	j.tasks[0].stopReason = stopDrain
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask || commands[0].GracePeriod < j.CheckpointCost {
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask || commands[0].GracePeriod < j.CheckpointCost {
 		t.Errorf("got commands %+v, want a stop with a grace period of at least %v", commands, j.CheckpointCost)
 	}
 	task.Status = model.Checkpointing
-	n.nextHeartbeat(0, task)
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) > 0 {
+	c.nextHeartbeat(0, task)
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) > 0 {
 		t.Errorf("while it is checkpointing: got commands %+v, want none", commands)
 	}
-	n.setCancelled(j, n.now)
-	m.reclaimNoticed, m.reclaimAt = true, n.now.Add(time.Minute)
-	n.shardLeader.failover.drainReclaimed(m)
-	n.shardLeader.scheduler.relaunch()
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask || commands[0].GracePeriod != 0 {
+	c.setCancelled(j, c.now)
+	m.reclaimNoticed, m.reclaimAt = true, c.now.Add(time.Minute)
+	c.shardLeader.failover.drainReclaimed(m)
+	c.shardLeader.scheduler.relaunch()
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask || commands[0].GracePeriod != 0 {
 		t.Errorf("cancelled while it is checkpointing: got commands %+v, want a stop without a grace period", commands)
 	}
 }
@@ -302,32 +302,32 @@
 // TestStopIsRepeatedWithoutHeartbeats: a machine reaches no controller, and the direct stop
 // was lost. When it answers a poll, it is told to stop once more.
 func TestStopIsRepeatedWithoutHeartbeats(t *testing.T) {
-	n := largePool(12)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	m, j := machineWithTask(n)
+	c := largePool(12)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	m, j := machineWithTask(c)
 	countStops := func() (stops int) {
-		n.shardLeader.dispatcher.dispatchAll()
-		for _, op := range emittedEffects[message.WorkerRequest](n) {
+		c.shardLeader.dispatcher.dispatchAll()
+		for _, op := range emittedEffects[message.WorkerRequest](c) {
 			if op.Machine == m.id && len(op.Commands) > 0 && op.Commands[0].Kind == model.StopTask {
 				stops++
 			}
 		}
 		return stops
 	}
-	n.effects = nil
-	n.setCancelled(j, n.now)
+	c.effects = nil
+	c.setCancelled(j, c.now)
 	if stops := countStops(); stops != 1 {
 		t.Fatalf("got %d stops, want 1", stops)
 	}
-	n.answerPoll(t, m, nil)
-	n.now, n.effects = n.now.Add(5*time.Second), nil
+	c.answerPoll(t, m, nil)
+	c.now, c.effects = c.now.Add(5*time.Second), nil
 	if stops := countStops(); stops != 0 {
 		t.Errorf("got %d stops for a machine that does not answer, want 0", stops)
 	}
-	n.shardLeader.failover.contact(m)
-	r := n.poolHeartbeat(0)
+	c.shardLeader.failover.contact(m)
+	r := c.poolHeartbeat(0)
 	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
-	n.answerPoll(t, m, r)
+	c.answerPoll(t, m, r)
 	if stops := countStops(); stops != 1 {
 		t.Errorf("got %d stops after it has answered, want 1", stops)
 	}
@@ -339,40 +339,40 @@
 // bounded.
 func TestMassCancellation(t *testing.T) {
 	const machines, each = 30, 3 * maxCommands
-	n := largePool(machines)
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	n.shardLeader.jobs = map[string]*job{}
-	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Team: "ops", Tasks: machines * each}, n.now, 1)
+	c := largePool(machines)
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	c.shardLeader.jobs = map[string]*job{}
+	j := c.shardLeader.addJob(model.JobSpec{ID: "job-000900", Team: "ops", Tasks: machines * each}, c.now, 1)
 	j.nextFresh = j.Tasks
 	for i := range j.tasks {
 		j.tasks[i].attempt, j.tasks[i].startSent = 1, true
 	}
 	all := map[*machine][]model.TaskReport{}
-	for k, m := range n.shardLeader.machinesByID {
+	for k, m := range c.shardLeader.machinesByID {
 		m.attempts = map[taskKey]*task{}
 		for i := range each {
-			n.shardLeader.attachAttempt(j, k*each+i, m)
+			c.shardLeader.attachAttempt(j, k*each+i, m)
 			all[m] = append(all[m], model.TaskReport{Job: j.ID, Index: k*each + i, Attempt: 1, Status: model.Running})
 		}
-		n.heartbeatOf(m, all[m]...)
+		c.heartbeatOf(m, all[m]...)
 	}
-	at := n.now
-	n.effects = nil
-	n.setCancelled(j, at)
-	n.shardLeader.dispatcher.dispatchAll()
+	at := c.now
+	c.effects = nil
+	c.setCancelled(j, at)
+	c.shardLeader.dispatcher.dispatchAll()
 	commandsSent := map[string]int{}
-	for _, op := range emittedEffects[message.WorkerRequest](n) {
+	for _, op := range emittedEffects[message.WorkerRequest](c) {
 		commandsSent[op.Machine] = len(op.Commands)
-		n.handleCommand(message.WorkerResponse{ID: op.ID})
+		c.handleCommand(message.WorkerResponse{ID: op.ID})
 	}
-	for _, m := range n.shardLeader.machinesByID {
+	for _, m := range c.shardLeader.machinesByID {
 		if commandsSent[m.id] != maxCommands {
 			t.Fatalf("%s: got %d commands at once, want %d", m.id, commandsSent[m.id], maxCommands)
 		}
 		for round := range 3 {
-			a := n.heartbeatOf(m, all[m]...)
-			if a.Status != 200 || len(a.Commands) != maxCommands || !a.SendDeadline.Equal(at.Add(n.settings.RenewalBound().Window())) {
-				t.Fatalf("%s, heartbeat %d: got answer %d with %d commands until %v, want 200 with %d until %v", m.id, round, a.Status, len(a.Commands), a.SendDeadline, maxCommands, at.Add(n.settings.RenewalBound().Window()))
+			a := c.heartbeatOf(m, all[m]...)
+			if a.Status != 200 || len(a.Commands) != maxCommands || !a.SendDeadline.Equal(at.Add(c.settings.RenewalBound().Window())) {
+				t.Fatalf("%s, heartbeat %d: got answer %d with %d commands until %v, want 200 with %d until %v", m.id, round, a.Status, len(a.Commands), a.SendDeadline, maxCommands, at.Add(c.settings.RenewalBound().Window()))
 			}
 			all[m] = all[m][maxCommands:]
 		}
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -39,27 +39,27 @@
 // twoControllers is a shard leader with one machine, and another controller's shard.
 func twoControllers(t *testing.T) *Controller {
 	t.Helper()
-	n := largePool(1)
-	n.settings.Teams = append(n.settings.Teams, model.Team{Name: "lab"})
-	n.putShard(t, "b", "b", 2, false, "lab")
-	n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
-	return n
+	c := largePool(1)
+	c.settings.Teams = append(c.settings.Teams, model.Team{Name: "lab"})
+	c.putShard(t, "b", "b", 2, false, "lab")
+	c.frontend.watchCache.loaded, c.frontend.watchCache.openJobs = true, map[string]openJob{}
+	return c
 }
 
 // TestLeaderUpdateMakesNoOwner: the leader's update about a machine makes no controller its
 // owner; a record does.
 func TestLeaderUpdateMakesNoOwner(t *testing.T) {
-	n := twoControllers(t)
-	n.putSegment(t, "b", 3, "vm-000077")
+	c := twoControllers(t)
+	c.putSegment(t, "b", 3, "vm-000077")
 	for _, status := range []string{"running", statusComing, "booting"} {
-		n.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 5, RentalUpdates: []message.RentalUpdate{{ID: "vm-000077", Addr: "x", MachineType: "box", Zone: "z", Status: status}}})
-		if n.shardLeader.machines["vm-000077"] != nil {
+		c.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 5, RentalUpdates: []message.RentalUpdate{{ID: "vm-000077", Addr: "x", MachineType: "box", Zone: "z", Status: status}}})
+		if c.shardLeader.machines["vm-000077"] != nil {
 			t.Errorf("got another shard's %s machine as its own by an update, want it left out", status)
 		}
 	}
-	n.putSegment(t, "a", 4, "vm-000078")
-	n.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 6, RentalUpdates: []message.RentalUpdate{{ID: "vm-000078", Addr: "x", MachineType: "box", Zone: "z", Status: "running"}}})
-	if n.shardLeader.machines["vm-000078"] == nil {
+	c.putSegment(t, "a", 4, "vm-000078")
+	c.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 6, RentalUpdates: []message.RentalUpdate{{ID: "vm-000078", Addr: "x", MachineType: "box", Zone: "z", Status: "running"}}})
+	if c.shardLeader.machines["vm-000078"] == nil {
 		t.Error("got a machine of its own shard left out, want it added")
 	}
 }
@@ -67,42 +67,42 @@
 // TestControlUpdatesInOrder: of two answers that overlap each change counts once, and an older
 // one does not undo a newer one.
 func TestControlUpdatesInOrder(t *testing.T) {
-	n := twoControllers(t)
-	n.membership.revision = 5
+	c := twoControllers(t)
+	c.membership.revision = 5
 	shardRecord := func(host string, modRevision uint64) message.KeyValue {
 		return message.KeyValue{Key: record.ShardPrefix + "x", Value: record.Encode(map[string]any{"host": host, "nonce": "n", "teams": []string{"lab"}}), ModRevision: modRevision}
 	}
-	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{shardRecord("c", 7), shardRecord("d", 9)}})
-	n.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{shardRecord("c", 7)}})
-	if s := n.membership.shardMap.Shard("x"); s.Host != "d" || n.membership.revision != 9 {
-		t.Errorf("got shard of %s as of revision %d, want d's as of 9", s.Host, n.membership.revision)
+	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{shardRecord("c", 7), shardRecord("d", 9)}})
+	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{shardRecord("c", 7)}})
+	if s := c.membership.shardMap.Shard("x"); s.Host != "d" || c.membership.revision != 9 {
+		t.Errorf("got shard of %s as of revision %d, want d's as of 9", s.Host, c.membership.revision)
 	}
 }
 
 // TestTakenOverMachineWithTasks: the former owner may go on answering the machine, so its lease
 // does not expire here before that owner surely stopped.
 func TestTakenOverMachineWithTasks(t *testing.T) {
-	n := twoControllers(t)
-	n.putSegment(t, "b", 3, "vm-000077")
-	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	c := twoControllers(t)
+	c.putSegment(t, "b", 3, "vm-000077")
+	j := c.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.shardLeader.attachAttempt(j, 0, n.shardLeader.ownedOrRemoteMachine("vm-000077"))
-	if len(n.shardLeader.remoteAttempts.machines) != 1 || n.shardLeader.machines["vm-000077"] != nil {
+	c.shardLeader.attachAttempt(j, 0, c.shardLeader.ownedOrRemoteMachine("vm-000077"))
+	if len(c.shardLeader.remoteAttempts.machines) != 1 || c.shardLeader.machines["vm-000077"] != nil {
 		t.Fatal("got another shard's machine among its own, want a remote machine")
 	}
-	n.putSegment(t, "a", 4, "vm-000077")
-	n.syncShardLeader()
-	m := n.shardLeader.machines["vm-000077"]
-	if m == nil || len(m.attempts) != 1 || j.tasks[0].machine != m || len(n.shardLeader.remoteAttempts.machines) != 0 {
+	c.putSegment(t, "a", 4, "vm-000077")
+	c.syncShardLeader()
+	m := c.shardLeader.machines["vm-000077"]
+	if m == nil || len(m.attempts) != 1 || j.tasks[0].machine != m || len(c.shardLeader.remoteAttempts.machines) != 0 {
 		t.Fatal("got the machine without its attempt, want both taken over")
 	}
-	if least := n.now.Add(membershipLeaseTTL + n.renewal.grace() + n.settings.WorkerLease); m.leaseEnd.Before(least) {
-		t.Errorf("got the lease expired after %v, want at least %v", m.leaseEnd.Sub(n.now), least.Sub(n.now))
+	if least := c.now.Add(membershipLeaseTTL + c.renewal.grace() + c.settings.WorkerLease); m.leaseEnd.Before(least) {
+		t.Errorf("got the lease expired after %v, want at least %v", m.leaseEnd.Sub(c.now), least.Sub(c.now))
 	}
 	// It is given away again, with the work on it.
-	n.putSegment(t, "b", 5, "vm-000077", "vm-000079")
-	n.syncShardLeader()
-	if a := n.shardLeader.remoteAttempts.machines["vm-000077"]; a == nil || j.tasks[0].machine != a || j.liveTasks != 1 {
+	c.putSegment(t, "b", 5, "vm-000077", "vm-000079")
+	c.syncShardLeader()
+	if a := c.shardLeader.remoteAttempts.machines["vm-000077"]; a == nil || j.tasks[0].machine != a || j.liveTasks != 1 {
 		t.Error("got the attempt on a machine that was given away dropped, want it on the remote machine")
 	}
 }
@@ -111,17 +111,17 @@
 // been another's in between, and one without a heartbeat that has others' work may have been
 // answered by its former owner: their leases count from the last answer that was possible.
 func TestLeaseRestartsUnderNewEpoch(t *testing.T) {
-	n := twoControllers(t)
-	m := n.shardLeader.machinesByID[0]
-	m.formerOwnerUntil, m.leaseEnd = time.Time{}, n.renewal.leaseEndAfter(n.now)
-	n.putSegment(t, "a", 4, m.id, "vm-000088")
-	n.syncShardLeader()
-	least := n.now.Add(membershipLeaseTTL + n.renewal.grace() + n.settings.WorkerLease)
+	c := twoControllers(t)
+	m := c.shardLeader.machinesByID[0]
+	m.formerOwnerUntil, m.leaseEnd = time.Time{}, c.renewal.leaseEndAfter(c.now)
+	c.putSegment(t, "a", 4, m.id, "vm-000088")
+	c.syncShardLeader()
+	least := c.now.Add(membershipLeaseTTL + c.renewal.grace() + c.settings.WorkerLease)
 	if m.epoch != 4 || m.leaseEnd.Before(least) {
-		t.Errorf("got epoch %d, lease expired after %v; want 4 and at least %v", m.epoch, m.leaseEnd.Sub(n.now), least.Sub(n.now))
+		t.Errorf("got epoch %d, lease expired after %v; want 4 and at least %v", m.epoch, m.leaseEnd.Sub(c.now), least.Sub(c.now))
 	}
-	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
-	if m = n.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
+	c.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
+	if m = c.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
 		t.Errorf("got machine %+v with others' work, want one not heard of whose lease lasts at least until %v", m, least)
 	}
 }
@@ -129,33 +129,33 @@
 // TestRemoteAttemptsAreLeftAlone: what runs on a machine for another controller's job is not
 // stopped before that controller has requested it.
 func TestRemoteAttemptsAreLeftAlone(t *testing.T) {
-	n := twoControllers(t)
-	m := n.shardLeader.machinesByID[0]
+	c := twoControllers(t)
+	m := c.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 2, Need: model.Resources{CPU: 1, Memory: 2}}
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
-	r := n.poolHeartbeat(0)
+	c.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, c.now)}
+	r := c.poolHeartbeat(0)
 	r.Sequence = 2
 	r.Tasks = []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Running}}
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
-	n.frontend.watchCache.asOf = n.now.Add(time.Minute)
-	n.now = n.now.Add(time.Minute)
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 0 {
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	c.frontend.watchCache.asOf = c.now.Add(time.Minute)
+	c.now = c.now.Add(time.Minute)
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 0 {
 		t.Errorf("got commands %v, want none", commands)
 	}
 	if m.isEmpty() || m.othersUsed.CPU != 1 || m.hasUnknownTasks {
 		t.Errorf("got others' use %v, empty %v, unknown tasks %v; want 1 CPU, false and false", m.othersUsed, m.isEmpty(), m.hasUnknownTasks)
 	}
 	// Cancelled, it is stopped without a request: its job's owner may be unreachable.
-	rec := record.NewOpenJob(&spec, n.now)
+	rec := record.NewOpenJob(&spec, c.now)
 	rec.Cancelled = true
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
+	c.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
 		t.Errorf("for a cancelled job: got commands %v, want a stop", commands)
 	}
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
+	c.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, c.now)}
 	// On request it is stopped.
-	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
+	c.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
 		t.Errorf("on request: got commands %v, want a stop", commands)
 	}
 }
@@ -164,23 +164,23 @@
 // checkpoint, and then its job is cancelled. It is ended at once, though that owner is not
 // heard.
 func TestCancelledWhileCheckpointing(t *testing.T) {
-	n := twoControllers(t)
-	m := n.shardLeader.machinesByID[0]
+	c := twoControllers(t)
+	m := c.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 2}}
-	rec := record.NewOpenJob(&spec, n.now)
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, rec}
-	r := n.poolHeartbeat(0)
+	rec := record.NewOpenJob(&spec, c.now)
+	c.frontend.watchCache.openJobs[spec.ID] = openJob{1, rec}
+	r := c.poolHeartbeat(0)
 	r.Sequence, r.Tasks = 2, []model.TaskReport{{Job: spec.ID, Index: 0, Attempt: 1, Status: model.Checkpointing}}
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	a := remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}
-	n.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) > 0 {
+	c.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a, Intent: remote.Stop, WindDown: 20 * time.Second}}}})
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) > 0 {
 		t.Errorf("while it is checkpointing: got commands %v, want none", commands)
 	}
-	rec.Cancelled, rec.CancelledAtMillis = true, n.now.UnixMilli()
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
+	rec.Cancelled, rec.CancelledAtMillis = true, c.now.UnixMilli()
+	c.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
 	want := model.TaskCommand{Kind: model.StopTask, Job: spec.ID, Attempt: 1}
-	if commands := n.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0] != want {
+	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0] != want {
 		t.Errorf("cancelled while it is checkpointing: got commands %+v, want %+v", commands, want)
 	}
 }
@@ -188,11 +188,11 @@
 // TestStaleTeamReadIsIgnored: what was read of a team does not count when the team was another
 // shard's in between, whose leader may have written more.
 func TestStaleTeamReadIsIgnored(t *testing.T) {
-	n := twoControllers(t)
+	c := twoControllers(t)
 	staleTeam := &heldTeam{holdID: 1}
-	n.shardLeader.teams["ops"] = &heldTeam{holdID: 2}
-	n.shardLeader.recoverTeams(map[string]*heldTeam{"ops": staleTeam}, nil, nil, n.now)
-	if n.shardLeader.teams["ops"].ready {
+	c.shardLeader.teams["ops"] = &heldTeam{holdID: 2}
+	c.shardLeader.recoverTeams(map[string]*heldTeam{"ops": staleTeam}, nil, nil, c.now)
+	if c.shardLeader.teams["ops"].ready {
 		t.Error("got the team ready by an older read, want it not ready")
 	}
 }
@@ -201,31 +201,31 @@
 // capacity, though no heartbeat has shown it yet, and is not reported as gone while its start
 // may be on its way.
 func TestHandedOverTeamLeavesTasks(t *testing.T) {
-	n := twoControllers(t)
-	n.putShard(t, "a", "a", 6, true, "ops", "lab")
-	n.putShard(t, "b", "b", 7, false)
-	n.shardLeader.teams["lab"] = &heldTeam{ready: true}
-	n.syncShardLeader()
-	m := n.shardLeader.machinesByID[0]
+	c := twoControllers(t)
+	c.putShard(t, "a", "a", 6, true, "ops", "lab")
+	c.putShard(t, "b", "b", 7, false)
+	c.shardLeader.teams["lab"] = &heldTeam{ready: true}
+	c.syncShardLeader()
+	m := c.shardLeader.machinesByID[0]
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "lab", Tasks: 1, Need: model.Resources{CPU: 3, Memory: 2}, ExpectedRunTime: time.Minute}
-	n.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, n.now)}
-	j := n.shardLeader.addJob(spec, n.now, 1)
+	c.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, c.now)}
+	j := c.shardLeader.addJob(spec, c.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.shardLeader.attachAttempt(j, 0, m)
-	n.putShard(t, "a", "a", 8, true, "ops")
-	n.putShard(t, "b", "b", 8, false, "lab")
-	n.syncShardLeader()
+	c.shardLeader.attachAttempt(j, 0, m)
+	c.putShard(t, "a", "a", 8, true, "ops")
+	c.putShard(t, "b", "b", 8, false, "lab")
+	c.syncShardLeader()
 	// Its start got no answer.
 	m.unackedStartEpoch, m.seenEpoch = m.epoch, m.epoch
-	if n.shardLeader.jobs[spec.ID] != nil || m.isEmpty() || m.othersUsed.CPU != 3 {
+	if c.shardLeader.jobs[spec.ID] != nil || m.isEmpty() || m.othersUsed.CPU != 3 {
 		t.Fatalf("got others' use %v, empty %v after the hand-over; want 3 CPU and false", m.othersUsed, m.isEmpty())
 	}
 	requests := []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
 	publishedState := func() remote.State {
-		n.now, n.effects = n.now.Add(2*time.Second), nil
-		n.shardLeader.remoteAttempts.receiveRemoteRequests("b", requests)
-		n.shardLeader.remoteAttempts.publishRemoteAttempts()
-		for _, p := range emittedEffects[message.SendPeerUpdate](n) {
+		c.now, c.effects = c.now.Add(2*time.Second), nil
+		c.shardLeader.remoteAttempts.receiveRemoteRequests("b", requests)
+		c.shardLeader.remoteAttempts.publishRemoteAttempts()
+		for _, p := range emittedEffects[message.SendPeerUpdate](c) {
 			if len(p.Update.RemoteStatuses) > 0 {
 				return p.Update.RemoteStatuses[0].Attempts[0].State
 			}
@@ -233,18 +233,18 @@
 		t.Fatal("got no state published, want one")
 		return 0
 	}
-	r := n.poolHeartbeat(0)
+	r := c.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 3, m.epoch
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Unknown {
 		t.Errorf("while its start may be on its way: got state %v, want %v", s, remote.Unknown)
 	}
 	// Under a higher epoch it can't be executed any more.
-	n.putSegment(t, "a", 9, m.id)
-	n.syncShardLeader()
-	r = n.poolHeartbeat(0)
+	c.putSegment(t, "a", 9, m.id)
+	c.syncShardLeader()
+	r = c.poolHeartbeat(0)
 	r.Sequence, r.Epoch = 4, m.epoch
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Gone {
 		t.Errorf("under a higher epoch: got state %v, want %v", s, remote.Gone)
 	}
@@ -253,13 +253,13 @@
 // TestRemoteStateNeedsCurrentEpoch: an update about a machine counts only from its owner, under
 // the present epoch.
 func TestRemoteStateNeedsCurrentEpoch(t *testing.T) {
-	n := twoControllers(t)
-	n.putSegment(t, "b", 5, "vm-000077")
-	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
+	c := twoControllers(t)
+	c.putSegment(t, "b", 5, "vm-000077")
+	j := c.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	n.shardLeader.attachAttempt(j, 0, n.shardLeader.ownedOrRemoteMachine("vm-000077"))
+	c.shardLeader.attachAttempt(j, 0, c.shardLeader.ownedOrRemoteMachine("vm-000077"))
 	publish := func(from string, epoch uint64) {
-		n.shardLeader.remoteAttempts.receiveRemoteAttempts(from, []remote.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []remote.AttemptStatus{{AttemptID: remote.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: remote.Gone}}}})
+		c.shardLeader.remoteAttempts.receiveRemoteAttempts(from, []remote.MachineStatus{{Machine: "vm-000077", Epoch: epoch, Attempts: []remote.AttemptStatus{{AttemptID: remote.AttemptID{Job: j.ID, Index: 0, Attempt: 1}, State: remote.Gone}}}})
 	}
 	publish("b", 4)
 	publish("c", 5)
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -23,51 +23,51 @@
 // its size or form each time: it would use up the rate of requests, and whatever waits for it
 // would wait for ever.
 func TestMalformedIsNotResent(t *testing.T) {
-	n := largePool(0)
+	c := largePool(0)
 	var got []message.StoreStatus
 	callback := func(d message.StoreResponse) { got = append(got, d.Status) }
 	passSecond := func() {
-		n.now = n.now.Add(time.Second)
-		n.runTimers()
+		c.now = c.now.Add(time.Second)
+		c.runTimers()
 	}
 	// What exceeds a limit is not sent.
-	n.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, callback)
-	if passSecond(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || n.internalErrors != 1 {
-		t.Errorf("got %d requests sent, statuses %v, %d internal errors; want 0, malformed and 1", len(sentStoreRequests(n)), got, n.internalErrors)
+	c.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, callback)
+	if passSecond(); len(sentStoreRequests(c)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || c.internalErrors != 1 {
+		t.Errorf("got %d requests sent, statuses %v, %d internal errors; want 0, malformed and 1", len(sentStoreRequests(c)), got, c.internalErrors)
 	}
 	// What the store calls malformed is not sent again as it is, but what differs is.
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 1})}}}
-	n.requests.toStore(op, callback)
-	n.handleCommand(message.StoreResponse{ID: sentStoreRequests(n)[0].ID, Status: message.StoreMalformed})
-	n.effects, got = nil, nil
-	n.requests.toStore(op, callback)
-	if passSecond(); len(sentStoreRequests(n)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
-		t.Errorf("got %v sent again, statuses %v; want nothing and malformed", sentStoreRequests(n), got)
+	c.requests.toStore(op, callback)
+	c.handleCommand(message.StoreResponse{ID: sentStoreRequests(c)[0].ID, Status: message.StoreMalformed})
+	c.effects, got = nil, nil
+	c.requests.toStore(op, callback)
+	if passSecond(); len(sentStoreRequests(c)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) {
+		t.Errorf("got %v sent again, statuses %v; want nothing and malformed", sentStoreRequests(c), got)
 	}
 	op.Writes = []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 2})}}
-	if n.requests.toStore(op, callback); len(sentStoreRequests(n)) != 1 {
-		t.Errorf("got %d requests of another value sent, want 1", len(sentStoreRequests(n)))
+	if c.requests.toStore(op, callback); len(sentStoreRequests(c)) != 1 {
+		t.Errorf("got %d requests of another value sent, want 1", len(sentStoreRequests(c)))
 	}
 }
 
 // TestOneMalformedSegmentAmongOthers: the tasks of a segment that can't be stored are deferred,
 // and those of others in the same write start.
 func TestOneMalformedSegmentAmongOthers(t *testing.T) {
-	n := largePool(4)
-	n.membership.leaseID = 1
-	n.shardLeader.jobs = map[string]*job{}
+	c := largePool(4)
+	c.membership.leaseID = 1
+	c.shardLeader.jobs = map[string]*job{}
 	for _, id := range []string{"job-1", "job-2"} {
-		j := n.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
-		i := j.takePending(n.now)
+		j := c.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
+		i := j.takePending(c.now)
 		j.tasks[i].attempt = 1
-		n.shardLeader.attachAttempt(j, i, n.shardLeader.machinesByID[0])
-		j.markChanged(i, n.now, true)
+		c.shardLeader.attachAttempt(j, i, c.shardLeader.machinesByID[0])
+		j.markChanged(i, c.now, true)
 	}
 	written := map[string]bool{}
 	for range 8 {
-		n.effects = nil
-		n.shardLeader.persistence.writeSegments()
-		for _, op := range sentStoreRequests(n) {
+		c.effects = nil
+		c.shardLeader.persistence.writeSegments()
+		for _, op := range sentStoreRequests(c) {
 			malformed := false
 			for _, a := range op.Writes {
 				malformed = malformed || strings.HasPrefix(a.Key, record.TaskSegmentPrefix+"job-1/")
@@ -79,15 +79,15 @@
 			for _, a := range op.Writes {
 				written[a.Key] = written[a.Key] || !malformed
 			}
-			n.handleCommand(d)
+			c.handleCommand(d)
 		}
-		n.now = n.now.Add(time.Second)
-		n.runTimers()
+		c.now = c.now.Add(time.Second)
+		c.runTimers()
 	}
-	if !written["task/job-2/0"] || n.shardLeader.jobs["job-2"].liveTasks != 1 {
-		t.Errorf("got writes %v, %d live tasks of job-2; want its segment written and 1", written, n.shardLeader.jobs["job-2"].liveTasks)
+	if !written["task/job-2/0"] || c.shardLeader.jobs["job-2"].liveTasks != 1 {
+		t.Errorf("got writes %v, %d live tasks of job-2; want its segment written and 1", written, c.shardLeader.jobs["job-2"].liveTasks)
 	}
-	if j := n.shardLeader.jobs["job-1"]; j.liveTasks != 0 || !j.tasks[0].notBefore.After(n.now) {
+	if j := c.shardLeader.jobs["job-1"]; j.liveTasks != 0 || !j.tasks[0].notBefore.After(c.now) {
 		t.Errorf("got %d live tasks of job-1, not before %v; want 0, deferred", j.liveTasks, j.tasks[0].notBefore)
 	}
 }
@@ -96,17 +96,17 @@
 // machines' names are, since the names' common prefix is stored once.
 func TestSegmentsOfLongMachineNames(t *testing.T) {
 	for _, maxBytes := range []int{1 << 10, 4 << 10, 16 << 10} {
-		n := largePool(0)
-		n.settings.MaxValueBytes = maxBytes
-		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: model.Resources{CPU: 1, Memory: 1}}, n.now, 1, maxBytes)
-		n.shardLeader.jobs[j.ID] = j
+		c := largePool(0)
+		c.settings.MaxValueBytes = maxBytes
+		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 10_000, Need: model.Resources{CPU: 1, Memory: 1}}, c.now, 1, maxBytes)
+		c.shardLeader.jobs[j.ID] = j
 		for i := range j.tasksPerSegment {
-			m := n.shardLeader.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
+			m := c.shardLeader.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
 			j.nextFresh++
 			t := &j.tasks[i]
-			t.attempt, t.groupStart, t.relaunched = 12, n.now.UnixMilli()+int64(i), true
-			n.shardLeader.attachAttempt(j, i, m)
-			j.groups[t.groupStart] = &group{startedAt: n.now, relaunchDecided: i%2 == 0}
+			t.attempt, t.groupStart, t.relaunched = 12, c.now.UnixMilli()+int64(i), true
+			c.shardLeader.attachAttempt(j, i, m)
+			j.groups[t.groupStart] = &group{startedAt: c.now, relaunchDecided: i%2 == 0}
 			j.recordRunTime(time.Duration(100+i) * time.Second)
 		}
 		r := j.segmentRecord(j.segmentOf(0))
@@ -117,7 +117,7 @@
 		// A successor reads the names as they were.
 		successor := largePool(0)
 		successor.settings.MaxValueBytes = maxBytes
-		recovered := newJob(j.JobSpec, n.now, 1, maxBytes)
+		recovered := newJob(j.JobSpec, c.now, 1, maxBytes)
 		successor.shardLeader.jobs[recovered.ID] = recovered
 		var back record.TaskSegment
 		if !record.Decode(record.Encode(r), &back) {
@@ -135,16 +135,16 @@
 // TestCommandsAreBounded: a worker with hundreds of tasks to clear is not sent a body beyond
 // the protocol's 64 KiB, and the rest follows.
 func TestCommandsAreBounded(t *testing.T) {
-	n := largePool(1)
-	m := n.shardLeader.machinesByID[0]
-	r := n.poolHeartbeat(0)
+	c := largePool(1)
+	m := c.shardLeader.machinesByID[0]
+	r := c.poolHeartbeat(0)
 	r.Sequence = 9
 	for i := range 1200 {
 		r.Tasks = append(r.Tasks, model.TaskReport{Job: "job-000001", Index: i, Attempt: 1, Status: model.Ended, Cause: "done"})
 	}
-	n.frontend.finalStatuses["job-000001"] = model.Done
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
-	commands := n.shardLeader.dispatcher.reconcile(m)
+	c.frontend.finalStatuses["job-000001"] = model.Done
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	commands := c.shardLeader.dispatcher.reconcile(m)
 	type wire struct {
 		Verb  string  `json:"verb"`
 		Piece string  `json:"piece"`
@@ -161,8 +161,8 @@
 	}
 	// The rest follows with the answer to the next heartbeat, which lists what is left.
 	r.Sequence, r.Tasks = 10, r.Tasks[len(commands):]
-	n.shardLeader.heartbeats.applyHeartbeat(m, r, true)
-	if more := n.shardLeader.dispatcher.reconcile(m); len(more) == 0 {
+	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	if more := c.shardLeader.dispatcher.reconcile(m); len(more) == 0 {
 		t.Error("got no commands for the rest, want some")
 	}
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -37,11 +37,11 @@
 
 // successor is a shard leader that has read nothing yet.
 func successor() *Controller {
-	n := largePool(0)
-	n.shardLeader.ready, n.shardLeader.readyAt = false, time.Time{}
-	n.shardLeader.teams["ops"] = &heldTeam{}
-	n.shardLeader.persistence.prewarmedImages = map[string]map[string]float64{}
-	return n
+	c := largePool(0)
+	c.shardLeader.ready, c.shardLeader.readyAt = false, time.Time{}
+	c.shardLeader.teams["ops"] = &heldTeam{}
+	c.shardLeader.persistence.prewarmedImages = map[string]map[string]float64{}
+	return c
 }
 
 // takeOverRecords lets a shard leader take over what was read.
@@ -60,8 +60,8 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			open, tasks := predecessorRecords(size)
 			for b.Loop() {
-				n := successor()
-				n.takeOverRecords(open, tasks)
+				c := successor()
+				c.takeOverRecords(open, tasks)
 			}
 		})
 	}
@@ -73,15 +73,15 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			open, tasks := predecessorRecords(size)
 			i := size
-			var n *Controller
+			var c *Controller
 			for b.Loop() {
 				if i == size {
 					b.StopTimer()
-					i, n = 0, successor()
-					n.takeOverRecords(open, tasks)
+					i, c = 0, successor()
+					c.takeOverRecords(open, tasks)
 					b.StartTimer()
 				}
-				firstHeartbeat(n, i)
+				firstHeartbeat(c, i)
 				i++
 			}
 		})
@@ -103,25 +103,25 @@
 func BenchmarkStep(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := largePool(size)
-			n.rng = rand.New(rand.NewPCG(1, 2))
-			n.membership.ready, n.frontend.watchCache.loaded = true, true
-			n.frontend.watchCache.openJobs = map[string]openJob{}
-			n.frontend.watchCache.refreshScheduled = true
-			now, k := n.now, 0
-			n.Step(now, nil)
-			n.shardLeader.fleet.endPlanningPass()
+			c := largePool(size)
+			c.rng = rand.New(rand.NewPCG(1, 2))
+			c.membership.ready, c.frontend.watchCache.loaded = true, true
+			c.frontend.watchCache.openJobs = map[string]openJob{}
+			c.frontend.watchCache.refreshScheduled = true
+			now, k := c.now, 0
+			c.Step(now, nil)
+			c.shardLeader.fleet.endPlanningPass()
 			for b.Loop() {
 				k++
 				id := fmt.Sprintf("job-x%06d", k)
-				n.Step(now, []message.Command{
+				c.Step(now, []message.Command{
 					message.QueryJob{Reply: 1, ID: id},
 					message.SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
 				})
-				clear(n.requests.storeCallbacks)
-				n.frontend.submitQueue, n.frontend.submitTxnsInFlight, n.frontend.waitingRequests, n.frontend.requestsByDeadline = nil, 0, 0, nil
-				n.frontend.watchCache.nextReadWaiters = nil
-				n.timers = nil
+				clear(c.requests.storeCallbacks)
+				c.frontend.submitQueue, c.frontend.submitTxnsInFlight, c.frontend.waitingRequests, c.frontend.requestsByDeadline = nil, 0, 0, nil
+				c.frontend.watchCache.nextReadWaiters = nil
+				c.timers = nil
 			}
 		})
 	}
@@ -136,21 +136,21 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	n := successor()
-	n.takeOverRecords(open, tasks)
+	c := successor()
+	c.takeOverRecords(open, tasks)
 	for i := range machines {
-		firstHeartbeat(n, i)
+		firstHeartbeat(c, i)
 	}
-	n.effects = nil
-	n.shardLeader.fleet.planFleet(true)
+	c.effects = nil
+	c.shardLeader.fleet.planFleet(true)
 	runtime.ReadMemStats(&after)
 	churned := (after.TotalAlloc - before.TotalAlloc) >> 20
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	kept := (after.HeapAlloc - before.HeapAlloc) >> 20
 	t.Logf("%d MB kept, %d MB allocated in all", kept, churned)
-	if len(n.shardLeader.machinesByID) != machines || len(n.shardLeader.jobs) != 500 {
-		t.Fatalf("got %d machines and %d jobs recovered, want 10000 and 500", len(n.shardLeader.machinesByID), len(n.shardLeader.jobs))
+	if len(c.shardLeader.machinesByID) != machines || len(c.shardLeader.jobs) != 500 {
+		t.Fatalf("got %d machines and %d jobs recovered, want 10000 and 500", len(c.shardLeader.machinesByID), len(c.shardLeader.jobs))
 	}
 	// A controller with 256 MB leaves 150 to Go's heap.
 	if kept > 75 {
@@ -159,5 +159,5 @@
 	if churned > 300 {
 		t.Errorf("got %d MB allocated in all, want at most 300", churned)
 	}
-	runtime.KeepAlive(n)
+	runtime.KeepAlive(c)
 }
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -30,44 +30,44 @@
 // TestStartsNothing: a machine that sends heartbeats and never starts its tasks loses them to
 // others and gets no more; one slow answer is no reason.
 func TestStartsNothing(t *testing.T) {
-	n := largePool(12)
-	n.shardLeader.jobs = map[string]*job{}
-	for _, m := range n.shardLeader.machinesByID {
+	c := largePool(12)
+	c.shardLeader.jobs = map[string]*job{}
+	for _, m := range c.shardLeader.machinesByID {
 		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
-	m := n.shardLeader.machinesByID[0]
-	j := n.addJobOn("job-000900", m)
+	m := c.shardLeader.machinesByID[0]
+	j := c.addJobOn("job-000900", m)
 	for range maxMissedStarts - 1 {
-		n.nextHeartbeat(0)
+		c.nextHeartbeat(0)
 	}
-	n.shardLeader.heartbeats.quarantineNonStarting()
+	c.shardLeader.heartbeats.quarantineNonStarting()
 	if m.faulty || j.liveTasks != 1 {
 		t.Fatalf("got faulty %v with %d live tasks too soon, want false with 1", m.faulty, j.liveTasks)
 	}
-	n.nextHeartbeat(0)
-	n.shardLeader.heartbeats.quarantineNonStarting()
+	c.nextHeartbeat(0)
+	c.shardLeader.heartbeats.quarantineNonStarting()
 	if !m.faulty || j.tasks[0].stopReason == stopNone {
 		t.Fatalf("got faulty %v, stop reason %v; want true and a reason", m.faulty, j.tasks[0].stopReason)
 	}
-	n.nextHeartbeat(0)
+	c.nextHeartbeat(0)
 	if j.liveTasks != 0 || j.pendingTasks() != 1 {
 		t.Errorf("got %d live and %d pending tasks, want 0 and 1", j.liveTasks, j.pendingTasks())
 	}
 	// Many at once: the network is at fault, and no machine is quarantined.
 	var jobs []*job
 	for i := 1; i < 9; i++ {
-		jobs = append(jobs, n.addJobOn(fmt.Sprintf("job-%06d", 900+i), n.shardLeader.machinesByID[i]))
+		jobs = append(jobs, c.addJobOn(fmt.Sprintf("job-%06d", 900+i), c.shardLeader.machinesByID[i]))
 		for range maxMissedStarts {
-			n.nextHeartbeat(i)
+			c.nextHeartbeat(i)
 		}
 	}
-	for _, m := range n.shardLeader.machinesByID {
-		m.lastHeard = n.now
+	for _, m := range c.shardLeader.machinesByID {
+		m.lastHeard = c.now
 	}
-	n.shardLeader.heartbeats.quarantineNonStarting()
+	c.shardLeader.heartbeats.quarantineNonStarting()
 	for i := 1; i < 9; i++ {
-		if n.shardLeader.machinesByID[i].faulty || jobs[i-1].liveTasks != 1 {
-			t.Fatalf("%s: got faulty %v with %d live tasks for a fault of the network, want false with 1", n.shardLeader.machinesByID[i].id, n.shardLeader.machinesByID[i].faulty, jobs[i-1].liveTasks)
+		if c.shardLeader.machinesByID[i].faulty || jobs[i-1].liveTasks != 1 {
+			t.Fatalf("%s: got faulty %v with %d live tasks for a fault of the network, want false with 1", c.shardLeader.machinesByID[i].id, c.shardLeader.machinesByID[i].faulty, jobs[i-1].liveTasks)
 		}
 	}
 }
@@ -75,20 +75,20 @@
 // TestStartsBeforeClears: starts do not wait behind thousands of short tasks to clear, and
 // those do not make every step look at the machine.
 func TestStartsBeforeClears(t *testing.T) {
-	n := largePool(1)
-	n.shardLeader.jobs = map[string]*job{}
-	m := n.shardLeader.machinesByID[0]
+	c := largePool(1)
+	c.shardLeader.jobs = map[string]*job{}
+	m := c.shardLeader.machinesByID[0]
 	m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
-	n.frontend.watchCache.loaded, n.frontend.watchCache.openJobs = true, map[string]openJob{}
-	j := n.addJobOn("job-000900", m)
+	c.frontend.watchCache.loaded, c.frontend.watchCache.openJobs = true, map[string]openJob{}
+	j := c.addJobOn("job-000900", m)
 	j.segmentOf(0).persistedVersion = 1
 	var ended []model.TaskReport
 	for i := range 3 * maxCommands {
 		ended = append(ended, model.TaskReport{Job: "job-000901", Index: i, Attempt: 1, Status: model.Ended, Cause: "done"})
 	}
-	n.frontend.cacheFinalStatus("job-000901", model.Done)
-	n.nextHeartbeat(0, ended...)
-	commands := n.shardLeader.dispatcher.reconcile(m)
+	c.frontend.cacheFinalStatus("job-000901", model.Done)
+	c.nextHeartbeat(0, ended...)
+	commands := c.shardLeader.dispatcher.reconcile(m)
 	if len(commands) != maxCommands || commands[0].Kind != model.StartTask {
 		t.Errorf("got %d commands, the first %v; want %d, the first a start", len(commands), commands[0], maxCommands)
 	}
@@ -100,38 +100,38 @@
 // TestJobFailingEverywhere: a job that fails everywhere is tried one task at a time, ever more
 // seldom, and requests no machines; no machine is quarantined, and others go on.
 func TestJobFailingEverywhere(t *testing.T) {
-	n := largePool(12)
-	n.shardLeader.jobs = map[string]*job{}
-	for _, m := range n.shardLeader.machinesByID {
+	c := largePool(12)
+	c.shardLeader.jobs = map[string]*job{}
+	for _, m := range c.shardLeader.machinesByID {
 		m.attempts, m.used = map[taskKey]*task{}, model.Resources{}
 	}
-	j := n.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, n.now, 1)
-	n.shardLeader.scheduler.placeAll()
+	j := c.shardLeader.addJob(model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
+	c.shardLeader.scheduler.placeAll()
 	if j.liveTasks < 3 {
 		t.Fatalf("got %d tasks placed, want at least 3", j.liveTasks)
 	}
-	for i, m := range n.shardLeader.machinesByID {
+	for i, m := range c.shardLeader.machinesByID {
 		for _, k := range sortedAttempts(m) {
-			n.nextHeartbeat(i, model.TaskReport{Job: k.job, Index: k.index, Attempt: j.tasks[k.index].attempt, Status: model.Ended, Cause: "error"})
+			c.nextHeartbeat(i, model.TaskReport{Job: k.job, Index: k.index, Attempt: j.tasks[k.index].attempt, Status: model.Ended, Cause: "error"})
 		}
 	}
-	for _, m := range n.shardLeader.machinesByID {
+	for _, m := range c.shardLeader.machinesByID {
 		if m.faulty {
 			t.Errorf("got %s quarantined for a fault of the job, want it usable", m.id)
 		}
 	}
-	if n.shardLeader.scheduler.placeableTasks(j) != 0 {
-		t.Errorf("got %d tasks placeable at once, want 0", n.shardLeader.scheduler.placeableTasks(j))
+	if c.shardLeader.scheduler.placeableTasks(j) != 0 {
+		t.Errorf("got %d tasks placeable at once, want 0", c.shardLeader.scheduler.placeableTasks(j))
 	}
-	n.now = n.now.Add(5 * time.Minute)
-	for _, m := range n.shardLeader.machinesByID {
-		m.lastHeard = n.now
+	c.now = c.now.Add(5 * time.Minute)
+	for _, m := range c.shardLeader.machinesByID {
+		m.lastHeard = c.now
 	}
-	n.shardLeader.scheduler.placeAll()
+	c.shardLeader.scheduler.placeAll()
 	if j.liveTasks != 1 {
 		t.Errorf("got %d of its tasks tried at a time, want 1", j.liveTasks)
 	}
-	for _, d := range n.shardLeader.fleet.demands(time.Minute, false, false) {
+	for _, d := range c.shardLeader.fleet.demands(time.Minute, false, false) {
 		if d.job == j && d.count > 1 {
 			t.Errorf("got a demand of %d tasks, want at most 1", d.count)
 		}
@@ -140,26 +140,26 @@
 
 // TestUpdateOfFormerIncarnation: requests of a former incarnation of a controller do not count.
 func TestUpdateOfFormerIncarnation(t *testing.T) {
-	n := twoControllers(t)
-	n.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
-	n.leader = newLeader(n)
-	n.leader.rentals["vm"] = &rental{id: "vm", publishedTo: "b"}
-	n.leader.ackedSeq["b"] = 9
-	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
-	if _, ok := n.leader.freshUpdate("b"); ok || n.frontend.progressByJob["job-000900"].Done != 0 {
+	c := twoControllers(t)
+	c.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
+	c.leader = newLeader(c)
+	c.leader.rentals["vm"] = &rental{id: "vm", publishedTo: "b"}
+	c.leader.ackedSeq["b"] = 9
+	c.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
+	if _, ok := c.leader.freshUpdate("b"); ok || c.frontend.progressByJob["job-000900"].Done != 0 {
 		t.Error("got an update of a former incarnation counted, want it ignored")
 	}
-	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
-	if _, ok := n.leader.freshUpdate("b"); !ok || n.leader.ackedSeq["b"] != 0 || n.leader.rentals["vm"].publishedTo != "" {
+	c.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
+	if _, ok := c.leader.freshUpdate("b"); !ok || c.leader.ackedSeq["b"] != 0 || c.leader.rentals["vm"].publishedTo != "" {
 		t.Error("got no new publication to the present incarnation, want one from the start")
 	}
 	// What arrived in time is not used when another incarnation has begun since.
-	n.membership.controllers["b"] = record.Member{Incarnation: "b#3"}
-	if _, ok := n.leader.freshUpdate("b"); ok {
+	c.membership.controllers["b"] = record.Member{Incarnation: "b#3"}
+	if _, ok := c.leader.freshUpdate("b"); ok {
 		t.Error("got the requests of a former incarnation as fresh, want them ignored")
 	}
-	n.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
-	if n.membership.peersWithoutStore["b"] != n.now {
+	c.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
+	if c.membership.peersWithoutStore["b"] != c.now {
 		t.Error("got a lost store ignored of a former incarnation, want it counted from whoever reports it")
 	}
 }
@@ -167,29 +167,29 @@
 // TestRegistrationComparesRevision: a registration compares the record that it replaces, and
 // after a refusal the record is read.
 func TestRegistrationComparesRevision(t *testing.T) {
-	n := largePool(1)
+	c := largePool(1)
 	key := record.MemberPrefix + "a"
-	n.membership.leaseID, n.membership.recordModRevision, n.effects = 7, 4, nil
-	n.membership.register()
-	op := n.effects[len(n.effects)-1].(message.StoreRequest)
+	c.membership.leaseID, c.membership.recordModRevision, c.effects = 7, 4, nil
+	c.membership.register()
+	op := c.effects[len(c.effects)-1].(message.StoreRequest)
 	if len(op.Compares) != 1 || op.Compares[0] != (message.Compare{Key: key, ModRevision: 4}) {
 		t.Fatalf("got compares %v, want %s at 4", op.Compares, key)
 	}
-	n.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict})
-	n.now, n.effects = n.now.Add(time.Second), nil
-	n.runTimers()
-	get, ok := n.effects[len(n.effects)-1].(message.StoreRequest)
+	c.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict})
+	c.now, c.effects = c.now.Add(time.Second), nil
+	c.runTimers()
+	get, ok := c.effects[len(c.effects)-1].(message.StoreRequest)
 	if !ok || get.Kind != message.OpGet || get.Key != key {
 		t.Fatalf("got %+v after the refusal, want a read of %s", get, key)
 	}
 	// A former incarnation's record, written late: its lease is revoked and this one registers.
-	n.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.Member{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
-	revoke := n.effects[len(n.effects)-1].(message.StoreRequest)
+	c.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.Member{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
+	revoke := c.effects[len(c.effects)-1].(message.StoreRequest)
 	if revoke.Kind != message.OpLeaseRevoke || revoke.LeaseID != 3 {
 		t.Fatalf("got %+v, want lease 3 revoked", revoke)
 	}
-	n.handleCommand(message.StoreResponse{ID: revoke.ID, Status: message.StoreOK})
-	if op = n.effects[len(n.effects)-1].(message.StoreRequest); op.Kind != message.OpTxn || op.Compares[0] != (message.Compare{Key: key, ModRevision: 0}) {
+	c.handleCommand(message.StoreResponse{ID: revoke.ID, Status: message.StoreOK})
+	if op = c.effects[len(c.effects)-1].(message.StoreRequest); op.Kind != message.OpTxn || op.Compares[0] != (message.Compare{Key: key, ModRevision: 0}) {
 		t.Errorf("got %+v after the revocation, want a registration that compares the absence of %s", op, key)
 	}
 }
@@ -198,20 +198,20 @@
 // is not requested again: hundreds of these left no place for others, which then were paid for
 // to the end.
 func TestReleasedIsNotRequestedAgain(t *testing.T) {
-	n := twoControllers(t)
-	n.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
-	n.membership.leader = record.Leader{Host: "b", Incarnation: "b#1"}
-	n.shardLeader.fleet.view.leaderHost = "b"
+	c := twoControllers(t)
+	c.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
+	c.membership.leader = record.Leader{Host: "b", Incarnation: "b#1"}
+	c.shardLeader.fleet.view.leaderHost = "b"
 	update := message.PeerUpdate{From: "b", Incarnation: "b#1", IsLeaderUpdate: true, Seq: 1}
 	for i := range 2 * maxReleasePerRequest {
 		id := fmt.Sprintf("vm-%06d", 100+i)
-		n.putSegment(t, "a", uint64(100+i), id)
-		n.knowledge.released[id] = true
+		c.putSegment(t, "a", uint64(100+i), id)
+		c.knowledge.released[id] = true
 		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: id, MachineType: "box", Zone: "z", Status: "returned"})
 	}
-	n.handleCommand(update)
-	n.selectReleases(nil)
-	if len(n.shardLeader.fleet.machinesToRelease) != 0 {
-		t.Errorf("got %d released machines requested again, want 0", len(n.shardLeader.fleet.machinesToRelease))
+	c.handleCommand(update)
+	c.selectReleases(nil)
+	if len(c.shardLeader.fleet.machinesToRelease) != 0 {
+		t.Errorf("got %d released machines requested again, want 0", len(c.shardLeader.fleet.machinesToRelease))
 	}
 }
