--- a/internal/controller/format_steps_test.go
+++ b/internal/controller/format_steps_test.go
@@ -13,6 +13,7 @@
 
 // formatSteps are random steps of a job across the change to sized segments.
 type formatSteps struct {
+	seed       uint64
 	rng        *rand.Rand
 	steps      int
 	controller *Controller
@@ -36,12 +37,15 @@
 
 func newFormatSteps(t *testing.T, seed uint64) *formatSteps {
 	t.Helper()
-	s := &formatSteps{rng: rand.New(rand.NewPCG(seed, 2)), stored: productionRecords(t), controller: newFormatTestController(), writtenSized: map[int]bool{}}
+	s := &formatSteps{seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), stored: productionRecords(t), controller: newFormatTestController(), writtenSized: map[int]bool{}}
 	s.job = recoverTestJob(s.controller, s.stored)
 	s.durable = taskStatesOf(s.job)
 	return s
 }
 
+// at names the present step in messages.
+func (s *formatSteps) at() string { return fmt.Sprint("seed ", s.seed, " step ", s.steps) }
+
 // statesOf are the states of a segment's tasks.
 func (s *formatSteps) statesOf(segment *taskSegment) map[int]taskState {
 	states := map[int]taskState{}
@@ -105,7 +109,7 @@
 		s.adoptSizedFormat()
 	}
 	s.job = recoverTestJob(s.controller, s.stored)
-	requireSameStates(t, fmt.Sprint("step ", s.steps, ", recovered"), taskStatesOf(s.job), s.durable)
+	requireSameStates(t, s.at()+", recovered", taskStatesOf(s.job), s.durable)
 }
 
 // write writes one of the segments, if it has changed.
@@ -118,7 +122,7 @@
 	}
 	key, value := writeSegment(t, s.controller, s.job, segment, s.stored)
 	if size, err := sizelimit.JSON(value); s.sized && (err != nil || size > 2048) || s.sized != strings.Contains(key, "/"+sizedSegmentMark) {
-		t.Fatalf("got %s of %d bytes, want at most 2048 with the mark of a sized segment: %v", key, size, s.sized)
+		t.Fatalf("%s: got %s of %d bytes, want at most 2048 with the mark of a sized segment: %v", s.at(), key, size, s.sized)
 	}
 	for i, state := range s.statesOf(segment) {
 		s.durable[i] = state
@@ -131,7 +135,7 @@
 	t.Helper()
 	for i := range 100 {
 		if s.job.tasks[i].version > 0 && s.job.durable(i) && taskStateOf(s.job, i) != s.durable[i] {
-			t.Fatalf("step %d: task %d: got %+v taken for durable, want %+v", s.steps, i, taskStateOf(s.job, i), s.durable[i])
+			t.Fatalf("%s: task %d: got %+v taken for durable, want %+v", s.at(), i, taskStateOf(s.job, i), s.durable[i])
 		}
 	}
 }
@@ -147,7 +151,7 @@
 	}
 	for key := range s.stored {
 		if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(removed, key) {
-			t.Fatalf("got %s left when the job is over, want it removed", key)
+			t.Fatalf("%s: got %s left when the job is over, want it removed", s.at(), key)
 		}
 	}
 }
@@ -159,13 +163,11 @@
 // written again.
 func TestSizedSegmentsAfterAnySteps(t *testing.T) {
 	for seed := range uint64(200) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			s := newFormatSteps(t, seed)
-			for range 60 {
-				s.step(t)
-				s.checkDurable(t)
-			}
-			s.checkRemoval(t)
-		})
+		s := newFormatSteps(t, seed)
+		for range 60 {
+			s.step(t)
+			s.checkDurable(t)
+		}
+		s.checkRemoval(t)
 	}
 }
