--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -39,28 +39,28 @@
 // newHugeJob submits a job of so many tasks to a shard leader of so many machines, each with
 // capacity for eight of its tasks at a time.
 func newHugeJob(tasks, machines int) *hugeJobRun {
-	n := largePool(0)
-	n.rng = rand.New(rand.NewPCG(1, 2))
-	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	d := &hugeJobRun{controller: n, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
+	c := largePool(0)
+	c.rng = rand.New(rand.NewPCG(1, 2))
+	c.membership.ready, c.frontend.watchCache.loaded, c.frontend.watchCache.refreshScheduled = true, true, true
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	d := &hugeJobRun{controller: c, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
 	for i := range machines {
-		r := n.poolHeartbeat(0)
+		r := c.poolHeartbeat(0)
 		r.Machine = fmt.Sprintf("vm-%06d", i)
-		n.shardLeader.heartbeats.applyHeartbeat(n.shardLeader.ensureMachine(r.Machine), r, true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
 	}
-	n.now = n.now.Add(time.Second)
-	n.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
+	c.now = c.now.Add(time.Second)
+	c.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
 		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 4},
 		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
 	}})
-	n.frontend.flushSubmissions()
-	d.handleEffects(n.effects)
-	for _, c := range d.pending {
-		n.handleCommand(c)
+	c.frontend.flushSubmissions()
+	d.handleEffects(c.effects)
+	for _, command := range d.pending {
+		c.handleCommand(command)
 	}
 	d.pending = nil
-	d.job = n.shardLeader.jobs["job-huge"]
+	d.job = c.shardLeader.jobs["job-huge"]
 	return d
 }
 
@@ -127,16 +127,16 @@
 
 // runSecond simulates one second, with a heartbeat of each machine.
 func (d *hugeJobRun) runSecond() {
-	n := d.controller
+	c := d.controller
 	// Ten times a second, as a busy controller steps, with a tenth of the heartbeats each.
 	for part := range 10 {
-		n.now = n.now.Add(100 * time.Millisecond)
+		c.now = c.now.Add(100 * time.Millisecond)
 		cmds := d.pending
 		d.pending = nil
-		for i := part; i < len(n.shardLeader.machinesByID); i += 10 {
-			cmds = append(cmds, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(n.shardLeader.machinesByID[i].id)})
+		for i := part; i < len(c.shardLeader.machinesByID); i += 10 {
+			cmds = append(cmds, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(c.shardLeader.machinesByID[i].id)})
 		}
-		d.handleEffects(n.Step(n.now, cmds))
+		d.handleEffects(c.Step(c.now, cmds))
 	}
 }
 
@@ -202,9 +202,9 @@
 		}
 		second = allocations(d.runSecond)
 		open, items := d.storedRecords()
-		n := successor()
-		takeover = allocations(func() { n.takeOverRecords(open, items) })
-		if j := n.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
+		c := successor()
+		takeover = allocations(func() { c.takeOverRecords(open, items) })
+		if j := c.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
 			t.Fatal("got no running and done tasks after the takeover, want some")
 		}
 		return second, takeover
@@ -231,90 +231,107 @@
 	}
 }
 
+// hugeJobMachines is the number of machines of BenchmarkHugeJob.
+const hugeJobMachines = 2000
+
 // BenchmarkHugeJob is a job of the most tasks that a user may submit, on 2,000 machines.
 func BenchmarkHugeJob(b *testing.B) {
-	const machines = 2000
-	b.Run("accept", func(b *testing.B) {
-		for b.Loop() {
-			d := newHugeJob(maxHugeTasks, 0)
-			if d.job == nil || d.writes != 1 {
-				b.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
-			}
+	b.Run("accept", benchmarkAccept)
+	b.Run("place", benchmarkPlace)
+	b.Run("place-anew", benchmarkPlaceAgain)
+	b.Run("life", benchmarkWholeRun)
+	b.Run("takeover", benchmarkTakeover)
+}
+
+// benchmarkAccept is the submission of the job.
+func benchmarkAccept(b *testing.B) {
+	for b.Loop() {
+		d := newHugeJob(maxHugeTasks, 0)
+		if d.job == nil || d.writes != 1 {
+			b.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
 		}
-	})
-	b.Run("place", func(b *testing.B) {
-		for b.Loop() {
-			b.StopTimer()
-			d := newHugeJob(maxHugeTasks, machines)
-			d.controller.now = d.controller.now.Add(time.Second)
-			b.StartTimer()
-			d.controller.shardLeader.scheduler.placeAll()
-			if d.job.liveTasks != 8*machines {
-				b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*machines)
-			}
+	}
+}
+
+// benchmarkPlace is the first placement round.
+func benchmarkPlace(b *testing.B) {
+	for b.Loop() {
+		b.StopTimer()
+		d := newHugeJob(maxHugeTasks, hugeJobMachines)
+		d.controller.now = d.controller.now.Add(time.Second)
+		b.StartTimer()
+		d.controller.shardLeader.scheduler.placeAll()
+		if d.job.liveTasks != 8*hugeJobMachines {
+			b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*hugeJobMachines)
 		}
-	})
-	b.Run("place-anew", func(b *testing.B) {
-		for b.Loop() {
-			b.StopTimer()
-			d := newHugeJob(maxHugeTasks, machines)
-			d.controller.shardLeader.scheduler.placeAll()
-			d.job.nextFresh = len(d.job.tasks)
-			for i := range d.job.tasks {
-				if d.controller.shardLeader.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
-					d.job.requeued = append(d.job.requeued, i)
-				}
-			}
-			d.controller.now = d.controller.now.Add(time.Second)
-			b.StartTimer()
-			d.controller.shardLeader.scheduler.placeAll()
-			if d.job.liveTasks != 8*machines {
-				b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*machines)
+	}
+}
+
+// benchmarkPlaceAgain is a placement round after all tasks were lost.
+func benchmarkPlaceAgain(b *testing.B) {
+	for b.Loop() {
+		b.StopTimer()
+		d := newHugeJob(maxHugeTasks, hugeJobMachines)
+		d.controller.shardLeader.scheduler.placeAll()
+		d.job.nextFresh = len(d.job.tasks)
+		for i := range d.job.tasks {
+			if d.controller.shardLeader.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
+				d.job.requeued = append(d.job.requeued, i)
 			}
 		}
-	})
-	b.Run("life", func(b *testing.B) {
-		for b.Loop() {
-			var before, after runtime.MemStats
-			runtime.GC()
-			runtime.ReadMemStats(&before)
-			d := newHugeJob(maxHugeTasks, machines)
-			took := d.runUntilDone(100)
-			runtime.GC()
-			runtime.ReadMemStats(&after)
-			took += d.runUntilDone(10_000)
-			if d.controller.shardLeader.jobs[d.job.ID] != nil {
-				b.Fatalf("got %d of %d tasks done, want all", d.job.doneTasks, len(d.job.tasks))
-			}
-			done, txns := d.writes, d.txns
-			for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
-				d.runSecond()
-			}
-			b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
-			b.ReportMetric(float64(took), "seconds-played")
-			b.ReportMetric(float64(txns), "txns")
-			b.ReportMetric(float64(done), "changes")
-			b.ReportMetric(float64(d.bytes>>10), "KB-written")
-			b.ReportMetric(float64(d.longestValue), "widest-bytes")
-			b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-kept")
+		d.controller.now = d.controller.now.Add(time.Second)
+		b.StartTimer()
+		d.controller.shardLeader.scheduler.placeAll()
+		if d.job.liveTasks != 8*hugeJobMachines {
+			b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*hugeJobMachines)
 		}
-	})
-	b.Run("takeover", func(b *testing.B) {
-		d := newHugeJob(maxHugeTasks, machines)
-		d.runUntilDone(70)
-		open, tasks := d.storedRecords()
-		size := 0
-		for _, it := range tasks {
-			size += len(it.Value)
+	}
+}
+
+// benchmarkWholeRun is the whole run, to the last record removed.
+func benchmarkWholeRun(b *testing.B) {
+	for b.Loop() {
+		var before, after runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&before)
+		d := newHugeJob(maxHugeTasks, hugeJobMachines)
+		took := d.runUntilDone(100)
+		runtime.GC()
+		runtime.ReadMemStats(&after)
+		took += d.runUntilDone(10_000)
+		if d.controller.shardLeader.jobs[d.job.ID] != nil {
+			b.Fatalf("got %d of %d tasks done, want all", d.job.doneTasks, len(d.job.tasks))
 		}
-		for b.Loop() {
-			n := successor()
-			n.takeOverRecords(open, tasks)
-			if n.shardLeader.jobs[d.job.ID].doneTasks == 0 {
-				b.Fatal("got no done tasks after the takeover, want some")
-			}
+		done, txns := d.writes, d.txns
+		for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
+			d.runSecond()
 		}
-		b.ReportMetric(float64(len(tasks)), "records")
-		b.ReportMetric(float64(size>>10), "KB-read")
-	})
+		b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
+		b.ReportMetric(float64(took), "seconds-played")
+		b.ReportMetric(float64(txns), "txns")
+		b.ReportMetric(float64(done), "changes")
+		b.ReportMetric(float64(d.bytes>>10), "KB-written")
+		b.ReportMetric(float64(d.longestValue), "widest-bytes")
+		b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-kept")
+	}
+}
+
+// benchmarkTakeover is the recovery of the job while it runs.
+func benchmarkTakeover(b *testing.B) {
+	d := newHugeJob(maxHugeTasks, hugeJobMachines)
+	d.runUntilDone(70)
+	open, tasks := d.storedRecords()
+	size := 0
+	for _, it := range tasks {
+		size += len(it.Value)
+	}
+	for b.Loop() {
+		c := successor()
+		c.takeOverRecords(open, tasks)
+		if c.shardLeader.jobs[d.job.ID].doneTasks == 0 {
+			b.Fatal("got no done tasks after the takeover, want some")
+		}
+	}
+	b.ReportMetric(float64(len(tasks)), "records")
+	b.ReportMetric(float64(size>>10), "KB-read")
 }
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -15,10 +15,10 @@
 // newOddTypesPool is a shard leader with machine types that leave little choice: one in two
 // zones, one in one zone, one with a small disk, and one that is offered nowhere.
 func newOddTypesPool() *Controller {
-	n := largePool(0)
-	n.settings.Zones = []string{"a", "b"}
-	n.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
-	n.knowledge.machineTypes = map[string]model.MachineType{}
+	c := largePool(0)
+	c.settings.Zones = []string{"a", "b"}
+	c.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
+	c.knowledge.machineTypes = map[string]model.MachineType{}
 	for _, mt := range []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, Zones: []string{"a", "b"}},
 		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, Zones: []string{"a"}},
@@ -26,11 +26,11 @@
 		{Name: "gone", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400},
 	} {
 		mt.ImageFetchRate, mt.CostPerHour, mt.SpotCostPerHour, mt.ProvisioningTime = 0.4, mt.Capacity.CPU/20, mt.Capacity.CPU/60, 30*time.Second
-		n.knowledge.machineTypes[mt.Name] = mt
+		c.knowledge.machineTypes[mt.Name] = mt
 	}
-	n.membership.ready, n.frontend.watchCache.loaded, n.frontend.watchCache.refreshScheduled = true, true, true
-	n.frontend.watchCache.openJobs = map[string]openJob{}
-	return n
+	c.membership.ready, c.frontend.watchCache.loaded, c.frontend.watchCache.refreshScheduled = true, true, true
+	c.frontend.watchCache.openJobs = map[string]openJob{}
+	return c
 }
 
 // submitTestJob submits a job, changed by change. It returns the answer, or "" without one,
@@ -68,7 +68,7 @@
 // TestImpossibleJobs: a job that can never run is refused with the reason, and all others
 // are accepted.
 func TestImpossibleJobs(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		change func(*model.JobSpec)
 		want   string
 	}{
@@ -104,9 +104,9 @@
 		}, "400 the description is too long"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, records := submitTestJob(newOddTypesPool(), c.change)
-			if !strings.HasPrefix(got, c.want) || (c.want == "") != (got == "") || (c.want == "") != (len(records) == 1) {
-				t.Errorf("got answer %q and %d records, want %q, and a record only without an answer", got, len(records), c.want)
+			got, records := submitTestJob(newOddTypesPool(), tc.change)
+			if !strings.HasPrefix(got, tc.want) || (tc.want == "") != (got == "") || (tc.want == "") != (len(records) == 1) {
+				t.Errorf("got answer %q and %d records, want %q, and a record only without an answer", got, len(records), tc.want)
 			}
 		})
 	}
@@ -115,16 +115,22 @@
 // TestImageLargerThanADisk: a job whose image is larger than the disks of some machine types
 // is restricted to the others. Placement and scale-out look at the types that it allows.
 func TestImageLargerThanADisk(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
+		name         string
 		imageGB      float64
 		machineTypes []string
 		want         string
 	}{
-		{1, nil, ""}, {10, nil, ""}, {11, nil, "box rack"}, {60, nil, "rack"}, {60, []string{"box", "rack"}, "rack"}, {5, []string{"box", "rack"}, "box rack"},
+		{"fits all", 1, nil, ""},
+		{"just fits all", 10, nil, ""},
+		{"fits two", 11, nil, "box rack"},
+		{"fits one", 60, nil, "rack"},
+		{"fits one of those allowed", 60, []string{"box", "rack"}, "rack"},
+		{"fits those allowed", 5, []string{"box", "rack"}, "box rack"},
 	} {
-		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = c.imageGB, c.machineTypes })
-		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != c.want {
-			t.Errorf("%v GB on %v: got records %+v, want one with machine types %q", c.imageGB, c.machineTypes, records, c.want)
+		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = tc.imageGB, tc.machineTypes })
+		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != tc.want {
+			t.Errorf("%s: got records %+v, want one with machine types %q", tc.name, records, tc.want)
 		}
 	}
 }
