--- a/cmd/micahill/logs_test.go
+++ b/cmd/micahill/logs_test.go
@@ -23,6 +23,10 @@
 // simulationOnly are folders whose lines no operator sees.
 var simulationOnly = []string{"internal/simulation", "internal/lab", "internal/search", "internal/testgolden", "internal/testseed"}
 
+// passThrough is the package that writes the controller's own lines on: their messages stand
+// where they are made.
+const passThrough = "internal/server"
+
 // TestLogLinesAreDocumented checks that docs/operations/logs.md has each log line at info and
 // above with its level, and no line that the program does not write.
 func TestLogLinesAreDocumented(t *testing.T) {
@@ -101,7 +105,9 @@
 		}
 		literal, ok := call.Args[0].(*ast.BasicLit)
 		if !ok {
-			t.Errorf("%s: the message of a log line is no literal", files.Position(call.Pos()))
+			if !strings.HasSuffix(filepath.ToSlash(filepath.Dir(path)), passThrough) {
+				t.Errorf("%s: the message of a log line is no literal", files.Position(call.Pos()))
+			}
 			return true
 		}
 		message, err := strconv.Unquote(literal.Value)
