--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,7 +14,7 @@
 func TestExposition(t *testing.T) {
 	r := New()
 	setPromises := RegisterPromises(r.Registry())
-	r.Request("/healthz", "200", 2*time.Millisecond)
+	r.Request("/Route", "200", 2*time.Millisecond)
 	r.Step(time.Millisecond, 3)
 	r.State(message.OpGet, message.StoreOK, 3*time.Millisecond)
 	r.State(message.OpWatch, message.StoreOK, 9*time.Second)
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -28,7 +28,7 @@
 	ShardSegmentPrefix = "ctl/lot/"
 	// ReroutePrefix<host> has the ReroutedMachines that a controller reports of another. It
 	// is written under the writer's membership lease, and read by the one it names.
-	ReroutePrefix = "ctl/hears/"
+	ReroutePrefix = ControlPrefix + "hears/"
 	// DrainKey has the Drain, written by whichever controller the operators ask.
 	DrainKey = "ctl/drain"
 	// FormatKey has the Format in which task segments are written. The leader, or a shard
