--- a/internal/aging/aging.go
+++ b/internal/aging/aging.go
@@ -1,9 +1,9 @@
-// Package aging prevents starvation in the job queue. Any rule that orders jobs by their
-// objectives delays some for the sake of many, the largest first, and without a limit these
-// wait for as long as others come. A job that has waited longer than its limit goes before all
-// work of its own or lower urgency, whatever the objectives. All such jobs together go first
-// on a part of the capacity only, so that other work can still meet its deadlines. The package
-// has no clock and knows no machines.
+// Package aging prevents starvation in the job queue. Any rule that orders jobs by their objectives
+// delays some jobs, the largest first, in favor of many others. Without a limit the delayed jobs
+// wait as long as new jobs arrive. A job that has waited longer than its limit goes before all jobs
+// of its own or lower urgency, whatever their objectives. All such jobs together go first only on a
+// part of the capacity, so that other jobs can still meet their deadlines. The package has no clock
+// and does not know the state of the machines.
 package aging
 
 import (
@@ -13,67 +13,70 @@
 )
 
 const (
-	// DefaultMaxWait is how long a job may wait behind others by default. The operators' rule
-	// has the largest jobs start within four minutes; half of that is left for reserving or
-	// renting machines, and for image fetches.
+	// DefaultMaxWait is how long a job may wait behind other jobs by default. The operators'
+	// rule requires the largest jobs to start within four minutes; half of that is left for
+	// reserving or renting machines and for image fetches.
 	DefaultMaxWait = 2 * time.Minute
-	// DefaultPriorityFraction is the default part of the capacity for its kind of task that
-	// overdue work may take first. The rest stays with work that can still meet its
-	// objectives: if overdue work could take all, a long queue would be worked off in order of
-	// arrival, and all of it late.
+	// DefaultPriorityFraction is the default fraction of the capacity for its kind of task that
+	// overdue jobs may take first. The rest stays with jobs that can still meet their
+	// objectives: if overdue jobs could take everything, a long queue would be processed in
+	// order of arrival, and all its jobs would be late.
 	DefaultPriorityFraction = 0.75
-	// MaxReservedFraction is the part of the machines that may be reserved at a time for one
-	// job that fits nowhere, and is closed to all other work.
+	// MaxReservedFraction is the fraction of the machines that may be reserved at a time for a
+	// job that fits on no machine. A reserved machine accepts no tasks of other jobs.
 	MaxReservedFraction = 0.25
 )
 
-// Job is a job in the queue.
+// Job describes a job in the queue.
 type Job struct {
-	// Waited is how long the job has waited behind others; MaxWait is how long it may (0:
-	// DefaultMaxWait).
+	// Waited is how long the job has waited behind other jobs. MaxWait is its limit, where 0
+	// means DefaultMaxWait.
 	Waited, MaxWait time.Duration
-	// PriorityFraction is the part of the capacity that the job may take first (0:
-	// DefaultPriorityFraction).
+	// PriorityFraction is the fraction of the capacity that the job may take first, where 0
+	// means DefaultPriorityFraction.
 	PriorityFraction float64
-	// Urgency is the protocol's, higher first. Guaranteed: the next task is within the team's
-	// guaranteed quota.
+	// Urgency is the urgency of the protocol; a higher value goes first. Guaranteed is set if
+	// the next task is within the team's guaranteed quota.
 	Urgency    int
 	Guaranteed bool
-	// WaitingTasks are those to place. TaskFraction is the part of all capacity for such tasks
-	// that one takes; RunningFraction is the part that the job's running tasks take.
+	// WaitingTasks is the number of tasks to place. TaskFraction is the fraction of all
+	// capacity for such tasks that one task takes; RunningFraction is the fraction that the
+	// job's running tasks take.
 	WaitingTasks                  int
 	TaskFraction, RunningFraction float64
-	// Gang: the tasks start all at once or not at all.
+	// Gang is set if the tasks start all at once or not at all.
 	Gang bool
 }
 
-func (j *Job) maxWait() time.Duration {
-	if j.MaxWait > 0 {
-		return j.MaxWait
+// maxWait returns MaxWait or its default.
+func (job *Job) maxWait() time.Duration {
+	if job.MaxWait > 0 {
+		return job.MaxWait
 	}
 	return DefaultMaxWait
 }
 
-func (j *Job) priorityFraction() float64 {
-	if j.PriorityFraction > 0 {
-		return j.PriorityFraction
+// priorityFraction returns PriorityFraction or its default.
+func (job *Job) priorityFraction() float64 {
+	if job.PriorityFraction > 0 {
+		return job.PriorityFraction
 	}
 	return DefaultPriorityFraction
 }
 
-// Overdue reports whether the job has waited longer than it may.
-func (j *Job) Overdue() bool { return j.WaitingTasks > 0 && j.Waited > j.maxWait() }
+// Overdue reports whether the job has tasks to place and has waited longer than its limit.
+func (job *Job) Overdue() bool { return job.WaitingTasks > 0 && job.Waited > job.maxWait() }
 
-// Entry is some tasks of a job to place. Job is its index in the list of jobs. Promoted: they
-// go before others because the job is overdue.
+// Entry is a number of tasks of one job at one position of the queue. Job is the job's index in the
+// list of jobs. Promoted is set if the tasks go before other jobs because their job is overdue.
 type Entry struct {
 	Job, Tasks int
 	Promoted   bool
 }
 
-// QueueOrder returns the order of placement of jobs that are given in their order without
-// aging. A job of which only some tasks are promoted has two entries: the rest keeps its
-// ordinary position.
+// QueueOrder returns the order in which tasks are placed. The jobs are given in their order without
+// aging. A job with only some tasks promoted has two entries: its other tasks keep their ordinary
+// position.
 func QueueOrder(jobs []Job) []Entry {
 	var overdue []int
 	for i := range jobs {
@@ -81,12 +84,12 @@
 			overdue = append(overdue, i)
 		}
 	}
-	out := make([]Entry, 0, len(jobs)+len(overdue))
+	entries := make([]Entry, 0, len(jobs)+len(overdue))
 	if len(overdue) == 0 {
 		for i := range jobs {
-			out = append(out, Entry{i, jobs[i].WaitingTasks, false})
+			entries = append(entries, Entry{i, jobs[i].WaitingTasks, false})
 		}
-		return out
+		return entries
 	}
 	// The job that is furthest over its limit goes first.
 	slices.SortStableFunc(overdue, func(a, b int) int {
@@ -100,32 +103,33 @@
 		}
 	}
 	for i := range jobs {
-		// Place the promoted tasks that go before this job.
-		promoted = slices.DeleteFunc(promoted, func(t Entry) bool {
-			if !outranks(&jobs[t.Job], &jobs[i]) && t.Job != i {
+		// Emit the promoted tasks that go before this job.
+		promoted = slices.DeleteFunc(promoted, func(entry Entry) bool {
+			if !outranks(&jobs[entry.Job], &jobs[i]) && entry.Job != i {
 				return false
 			}
-			out = append(out, t)
+			entries = append(entries, entry)
 			return true
 		})
 		if remaining := jobs[i].WaitingTasks - counts[i]; remaining > 0 {
-			out = append(out, Entry{i, remaining, false})
+			entries = append(entries, Entry{i, remaining, false})
 		}
 	}
-	return out
+	return entries
 }
 
-// outranks reports whether an overdue job goes before job j: one of its own or lower urgency,
-// but not one whose guaranteed quota it would violate.
-func outranks(overdue, j *Job) bool {
-	return overdue.Urgency >= j.Urgency && (overdue.Guaranteed || !j.Guaranteed)
+// outranks reports whether an overdue job goes before another job: the other job has the same or a
+// lower urgency, and the overdue job does not displace guaranteed quota of the other job.
+func outranks(overdue, job *Job) bool {
+	return overdue.Urgency >= job.Urgency && (overdue.Guaranteed || !job.Guaranteed)
 }
 
-// promotedTasks returns how many tasks of each overdue job are promoted. Its running tasks
-// count, so that a job of thousands of tasks does not take one part of the fleet after
-// another. But a job without running tasks gets one task at least, as long as all such extra
-// tasks take no more than the priority fraction once more: otherwise a large task would never
-// start where few fit.
+// promotedTasks returns how many tasks of each overdue job are promoted. The running tasks of
+// overdue jobs count toward the priority fraction, so that a job of thousands of tasks does not
+// take one part of the fleet after another. A job without running tasks gets at least one task, as
+// long as all such extra tasks together take at most the priority fraction once more; the first
+// overdue job gets its extra task in any case. Otherwise a large task would never start where few
+// of its kind fit.
 func promotedTasks(jobs []Job, overdue []int) map[int]int {
 	counts := map[int]int{}
 	taken, bonus := 0.0, 0.0
@@ -133,22 +137,22 @@
 		taken += jobs[i].RunningFraction
 	}
 	for k, i := range overdue {
-		j := &jobs[i]
-		count := j.WaitingTasks
+		job := &jobs[i]
+		count := job.WaitingTasks
 		switch {
-		case j.Gang:
-			count = int(min(1, max(0, j.priorityFraction()-taken)*1e9)) * j.WaitingTasks
-		case j.TaskFraction > 0:
-			count = min(count, max(0, int((j.priorityFraction()-taken)/j.TaskFraction)))
+		case job.Gang:
+			count = int(min(1, max(0, job.priorityFraction()-taken)*1e9)) * job.WaitingTasks
+		case job.TaskFraction > 0:
+			count = min(count, max(0, int((job.priorityFraction()-taken)/job.TaskFraction)))
 		}
-		if minimum := j.RunningFraction == 0 && (k == 0 || bonus+j.TaskFraction <= j.priorityFraction()); count == 0 && minimum {
+		if minimum := job.RunningFraction == 0 && (k == 0 || bonus+job.TaskFraction <= job.priorityFraction()); count == 0 && minimum {
 			count = 1
-			if j.Gang {
-				count = j.WaitingTasks
+			if job.Gang {
+				count = job.WaitingTasks
 			}
-			bonus += float64(count) * j.TaskFraction
+			bonus += float64(count) * job.TaskFraction
 		} else {
-			taken += float64(count) * j.TaskFraction
+			taken += float64(count) * job.TaskFraction
 		}
 		if count > 0 {
 			counts[i] = count
@@ -157,18 +161,19 @@
 	return counts
 }
 
-// Candidate is a machine that could be reserved for a task. FreeIn is when the task would fit
-// if nothing else were placed there; Reserved: the machine is reserved already.
+// Candidate is a machine that could be reserved for a task. FreeIn is how long it takes until the
+// task fits if no other task is placed there. Reserved is set if the machine is already reserved
+// for the job.
 type Candidate struct {
 	ID       string
 	FreeIn   time.Duration
 	Reserved bool
 }
 
-// Reserve selects machines to reserve for tasks that fit nowhere: first those reserved
-// already, since switching would never empty any, then those that are empty enough soonest. Of
-// the machineCount machines that the tasks could use it takes MaxReservedFraction at most, but
-// always one.
+// Reserve selects machines to reserve for tasks that fit on no machine. Machines that are already
+// reserved come first, since switching between machines would never empty any of them; then come
+// those that are empty enough soonest. Of the machineCount machines that the tasks could use,
+// Reserve selects at most MaxReservedFraction, but always at least one if there is a candidate.
 func Reserve(candidates []Candidate, taskCount, machineCount int) []string {
 	limit := min(taskCount, max(1, int(MaxReservedFraction*float64(machineCount))))
 	sorted := slices.Clone(candidates)
@@ -181,9 +186,9 @@
 		}
 		return cmp.Or(cmp.Compare(a.FreeIn, b.FreeIn), cmp.Compare(a.ID, b.ID))
 	})
-	var out []string
-	for _, h := range sorted[:min(limit, len(sorted))] {
-		out = append(out, h.ID)
+	var selected []string
+	for _, candidate := range sorted[:min(limit, len(sorted))] {
+		selected = append(selected, candidate.ID)
 	}
-	return out
+	return selected
 }
--- a/internal/aging/aging_test.go
+++ b/internal/aging/aging_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestFairOrder: every task of every job has an entry; an overdue job goes before all of its
-// own or lower urgency, but not before guaranteed quota; and promoted tasks stay within the
-// priority fraction, give or take one task.
+// TestFairOrder checks the queue order for random jobs. Every task has an entry. An overdue job
+// goes before all jobs of its own or lower urgency, but not before guaranteed quota. Promoted tasks
+// stay within the priority fraction, except for the extra task of a job without running tasks.
 func TestFairOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		jobs := make([]Job, rapid.IntRange(0, 12).Draw(t, "jobs"))
@@ -30,7 +30,7 @@
 			largest = max(largest, jobs[i].TaskFraction)
 		}
 		for k, entry := range entries {
-			j := &jobs[entry.Job]
+			job := &jobs[entry.Job]
 			if tasks[entry.Job] += entry.Tasks; entry.Tasks <= 0 {
 				t.Fatalf("entry %v has no tasks", entry)
 			}
@@ -38,20 +38,20 @@
 				continue
 			}
 			promoted++
-			if !j.Overdue() {
-				t.Fatalf("entry %v is promoted and its job is not overdue", entry)
+			if !job.Overdue() {
+				t.Fatalf("entry %v is promoted but its job is not overdue", entry)
 			}
-			// The fraction, as much once more for jobs without running tasks, and one task in
-			// any case.
-			if j.Gang {
-				gangs += float64(entry.Tasks) * j.TaskFraction
+			// Promoted tasks may take the priority fraction, as much once more for jobs
+			// without running tasks, and one task in any case.
+			if job.Gang {
+				gangs += float64(entry.Tasks) * job.TaskFraction
 			}
-			if taken += float64(entry.Tasks) * j.TaskFraction; taken > 2*DefaultPriorityFraction+largest+gangs+1e-9 {
+			if taken += float64(entry.Tasks) * job.TaskFraction; taken > 2*DefaultPriorityFraction+largest+gangs+1e-9 {
 				t.Fatalf("entry %v: got %.2f of the capacity promoted, want less", entry, taken)
 			}
 			for _, earlier := range entries[:k] {
-				b := &jobs[earlier.Job]
-				if !earlier.Promoted && b.Urgency <= j.Urgency && (j.Guaranteed || !b.Guaranteed) {
+				earlierJob := &jobs[earlier.Job]
+				if !earlier.Promoted && earlierJob.Urgency <= job.Urgency && (job.Guaranteed || !earlierJob.Guaranteed) {
 					t.Fatalf("entry %v comes after %v, want it before", entry, earlier)
 				}
 			}
@@ -63,15 +63,15 @@
 			}
 			anyOverdue = anyOverdue || jobs[i].Overdue()
 		}
-		noneRunning := !slices.ContainsFunc(jobs, func(j Job) bool { return j.RunningFraction > 0 })
+		noneRunning := !slices.ContainsFunc(jobs, func(job Job) bool { return job.RunningFraction > 0 })
 		if anyOverdue && noneRunning && promoted == 0 {
-			t.Fatal("no entry is promoted though jobs are overdue")
+			t.Fatal("got no promoted entry although jobs are overdue, want at least one")
 		}
 	})
 }
 
-// TestReserve: reserved machines stay reserved, and there are never more than the fraction
-// allows, but one.
+// TestReserve checks that reserved machines stay reserved, and that at most MaxReservedFraction of
+// the machines is reserved, but always one.
 func TestReserve(t *testing.T) {
 	candidates := []Candidate{{"a", 5 * time.Second, false}, {"b", time.Second, false}, {"c", 9 * time.Second, true}, {"d", 2 * time.Second, false}}
 	if got := Reserve(candidates, 9, 8); !slices.Equal(got, []string{"c", "b"}) {
--- a/internal/throttle/throttle_test.go
+++ b/internal/throttle/throttle_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestSlicesReachTarget: on machines of very different speed slices reach about the target
-// time, and planning leaves most of the time to other work.
+// TestSlicesReachTarget checks that slices come close to the target duration on machines of very
+// different speed, and that planning leaves most of the time to other commands. A slice size that
+// did not follow the machine's speed would delay heartbeats on a slow machine.
 func TestSlicesReachTarget(t *testing.T) {
 	for _, unit := range []time.Duration{20, 100, 700, 5000} {
 		var budget SliceBudget
@@ -19,27 +20,27 @@
 		}
 		took := time.Duration(budget.Slice()) * unit
 		if budget.Slice() != maxSlice && budget.Slice() != minSlice && (took < TargetStep/2 || took > 2*TargetStep) {
-			t.Errorf("%v a unit: slice takes %v, want about %v", unit, took, TargetStep)
+			t.Errorf("%v per unit: slice takes %v, want about %v", unit, took, TargetStep)
 		}
 		if fraction := planned.Seconds() / (planned + rested).Seconds(); fraction > 0.45 {
-			t.Errorf("got planning fraction %.2f, want 0.45 at most", fraction)
+			t.Errorf("got planning fraction %.2f, want at most 0.45", fraction)
 		}
 	}
 }
 
-// TestOneLongStep: a step that was long for other reasons does not make slices useless, and
-// short slices do not make them grow without limit.
+// TestOneLongStep checks that a step that took long for reasons other than its slice shrinks the
+// slice size by at most half, and that a series of short slices does not make it grow.
 func TestOneLongStep(t *testing.T) {
 	var budget SliceBudget
 	before := budget.Slice()
 	budget.Record(before, 10*time.Second)
 	if budget.Slice() < before/2 {
-		t.Errorf("after one long step: slice went from %d to %d, want half at least", before, budget.Slice())
+		t.Errorf("after one long step: slice size went from %d to %d, want at least half", before, budget.Slice())
 	}
 	for range 100 {
 		budget.Record(1, time.Microsecond)
 	}
 	if budget.Slice() > before {
-		t.Errorf("after short slices: got slice %d, want no growth", budget.Slice())
+		t.Errorf("after short slices: got slice size %d, want no growth", budget.Slice())
 	}
 }
