--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -8,200 +8,210 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// aging.go connects the scheduler to internal/aging: in which order pending tasks are placed, and
-// which machines are reserved for overdue jobs that fit nowhere.
+// aging.go connects the scheduler to internal/aging: it decides in which order pending tasks are
+// placed, and which machines are reserved for overdue jobs that fit on no machine.
 
 const (
-	// reservationInterval separates two updates of the reservations, and maxReservations bounds
-	// the jobs that machines are reserved for: each goes through all machines.
+	// reservationInterval is the minimum time between two updates of the reservations.
+	// maxReservations bounds the number of jobs with reserved machines, since each of these
+	// jobs costs a scan of all machines.
 	reservationInterval = 500 * time.Millisecond
 	maxReservations     = 16
 )
 
-// queueEntry is some of a job's pending tasks. goesFirst says that the job is overdue and was
-// promoted before others.
+// queueEntry is some of a job's pending tasks at one position of the queue. goesFirst is set if the
+// job is overdue and was promoted before other jobs.
 type queueEntry struct {
 	job       *job
 	tasks     int
 	goesFirst bool
 }
 
-// machineReservation is a job that machines are reserved for, and those that could be.
+// machineReservation is an overdue job that needs reserved machines, with the machines that could
+// be reserved for it.
 type machineReservation struct {
 	job   *job
 	hosts []aging.Candidate
-	// fittingMachines counts the machines that a task would fit on when empty.
+	// fittingMachines counts the machines that a task would fit on if they were empty.
 	fittingMachines int
-	// machinesNeeded is how many machines its pending tasks would fill.
+	// machinesNeeded is how many machines the job's pending tasks would fill.
 	machinesNeeded int
 }
 
-// waitTime is how long a job has waited: since it was submitted, or since all its dependencies
-// were done. A task that was stopped or lost has, for its user, waited from the start.
-func (s *scheduler) waitTime(j *job) time.Duration { return s.now.Sub(j.readySince()) }
+// waitTime returns how long a job has waited since it was submitted, or since its last dependency
+// was done. The wait does not restart when a task is stopped or lost, because the user has waited
+// from the start.
+func (s *scheduler) waitTime(job *job) time.Duration { return s.now.Sub(job.readySince()) }
 
-// queueOrder returns the pending tasks in the order in which they are placed.
+// queueOrder returns the pending tasks in the order in which they are placed. It also updates the
+// overdue flag of each job.
 func (s *scheduler) queueOrder() []queueEntry {
 	queued := s.queuedJobs()
 	capacities := map[taskShape]float64{}
 	jobs := make([]aging.Job, len(queued))
-	for i, q := range queued {
-		j := q.job
-		bound, part := s.controller.ranking.waitBound(j)
-		p := aging.Job{
-			Waited: s.waitTime(j), MaxWait: bound, PriorityFraction: part, Urgency: int(j.Urgency), Guaranteed: q.guaranteed,
-			WaitingTasks: s.placeableTasks(j), Gang: j.Gang,
+	for i, queuedEntry := range queued {
+		job := queuedEntry.job
+		bound, priorityFraction := s.controller.ranking.waitBound(job)
+		agingJob := aging.Job{
+			Waited: s.waitTime(job), MaxWait: bound, PriorityFraction: priorityFraction, Urgency: int(job.Urgency), Guaranteed: queuedEntry.guaranteed,
+			WaitingTasks: s.placeableTasks(job), Gang: job.Gang,
 		}
-		if s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
-			// It waits until it stops failing, not for others.
-			p.Waited = 0
+		if s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
+			// The job waits until its tasks stop failing, and not behind other jobs, so
+			// it does not age.
+			agingJob.Waited = 0
 		}
-		if j.overdue = p.Overdue(); j.overdue {
-			shape := j.taskShape()
+		if job.overdue = agingJob.Overdue(); job.overdue {
+			shape := job.taskShape()
 			capacity, ok := capacities[shape]
 			if !ok {
-				capacity = s.totalCapacityFor(j)
+				capacity = s.totalCapacityFor(job)
 				capacities[shape] = capacity
 			}
-			p.TaskFraction = 1 / max(capacity, 1)
-			p.RunningFraction = float64(j.liveTasks) * p.TaskFraction
+			agingJob.TaskFraction = 1 / max(capacity, 1)
+			agingJob.RunningFraction = float64(job.liveTasks) * agingJob.TaskFraction
 		}
-		jobs[i] = p
+		jobs[i] = agingJob
 	}
-	ts := aging.QueueOrder(jobs)
-	out := make([]queueEntry, len(ts))
-	for i, t := range ts {
-		out[i] = queueEntry{queued[t.Job].job, t.Tasks, t.Promoted}
+	ordered := aging.QueueOrder(jobs)
+	entries := make([]queueEntry, len(ordered))
+	for i, entry := range ordered {
+		entries[i] = queueEntry{queued[entry.Job].job, entry.Tasks, entry.Promoted}
 	}
-	return out
+	return entries
 }
 
-// jobsInQueueOrder returns the jobs with pending tasks, by their first entry in the queue.
+// jobsInQueueOrder returns the jobs with pending tasks, ordered by their first queue entries.
 func (s *scheduler) jobsInQueueOrder() []*job {
-	var out []*job
+	var jobs []*job
 	seen := map[*job]bool{}
-	for _, t := range s.queueOrder() {
-		if !seen[t.job] {
-			seen[t.job] = true
-			out = append(out, t.job)
+	for _, entry := range s.queueOrder() {
+		if !seen[entry.job] {
+			seen[entry.job] = true
+			jobs = append(jobs, entry.job)
 		}
 	}
-	return out
+	return jobs
 }
 
-// totalCapacityFor is how many tasks like the job's all usable machines would hold if empty.
-func (s *scheduler) totalCapacityFor(j *job) float64 {
-	all, avoidGPUs := 0, s.avoidsGPUsNow(j)
-	for _, m := range s.controller.shardLeader.machinesByID {
-		if j.allowsMachine(m.machineType, m.zone, m.spot) && s.usable(m) && s.gpuPolicyAllows(avoidGPUs, m) {
-			all += m.size.FitCount(j.Need)
+// totalCapacityFor returns how many tasks of the job's shape all usable machines would hold if they
+// were empty.
+func (s *scheduler) totalCapacityFor(job *job) float64 {
+	total, avoidGPUs := 0, s.avoidsGPUsNow(job)
+	for _, machine := range s.controller.shardLeader.machinesByID {
+		if job.allowsMachine(machine.machineType, machine.zone, machine.spot) && s.usable(machine) && s.gpuPolicyAllows(avoidGPUs, machine) {
+			total += machine.size.FitCount(job.Need)
 		}
 	}
-	return float64(all)
+	return float64(total)
 }
 
-// needsReservation reports whether machines should be reserved for a job: it is overdue, and no
-// task of it is live whose end would leave capacity for the next.
+// needsReservation reports whether machines should be reserved for a job: the job is overdue and
+// has no live task whose end would free capacity for the next task.
 func (j *job) needsReservation() bool {
 	return j.overdue && j.liveTasks == 0 && !j.Gang && j.pendingTasks() > 0
 }
 
-// dueStart is when a pending job's tasks should start at the latest, as far as scaling out is
-// concerned. An overdue job that has not started is late whatever its objectives say: with none
-// that it can still meet, its latest start is so late that no on-demand machine would be rented
-// for it, and where spot capacity is refused it would wait beside a free cloud.
-func (s *scheduler) dueStart(j *job) time.Time {
-	if l := s.latestStart(j); !j.overdue || j.liveTasks > 0 || j.doneTasks > 0 || l.Before(s.now) {
-		return l
+// dueStart returns when a pending job's tasks should start at the latest, as far as scaling out is
+// concerned. An overdue job that has not started is due at once, whatever its objectives say: if it
+// can meet none of them, its latest start is so late that no on-demand machine would be rented for
+// it, and the job would wait without end where the cloud refuses spot capacity but offers on-demand
+// machines.
+func (s *scheduler) dueStart(job *job) time.Time {
+	if start := s.latestStart(job); !job.overdue || job.liveTasks > 0 || job.doneTasks > 0 || start.Before(s.now) {
+		return start
 	}
 	return s.now
 }
 
-// reserveMachines reserves machines for overdue jobs of which nothing runs: a task as large as a
-// machine among thousands of small ones, or work of low urgency while higher work takes whatever
-// comes free. What runs on a reserved machine goes on to its end, and nothing else is placed there.
-// All reservations together are bounded by aging.MaxReservedFraction: one machine for each job
-// first, so that all begin, and then more for those that have waited longest.
+// reserveMachines reserves machines for overdue jobs without a live task, such as a job whose task
+// fills a whole machine among thousands of small tasks, or a job of low urgency while tasks of
+// higher urgency take all capacity that becomes free. Tasks that run on a reserved machine go on to
+// their end, and no task of another job is placed there. aging.MaxReservedFraction bounds all
+// reservations together. The first pass reserves one machine for each job, so that every job makes
+// progress; the second reserves more machines for the jobs that have waited longest.
 func (s *scheduler) reserveMachines(jobs []*job) {
-	sl := s.controller.shardLeader
+	shardLeader := s.controller.shardLeader
 	if s.now.Sub(s.machinesReservedAt) < reservationInterval {
 		return
 	}
 	s.machinesReservedAt = s.now
 	reservedFor := map[string]string{}
 	var reservations []*machineReservation
-	for _, j := range jobs {
-		if j.needsReservation() && len(reservations) < maxReservations {
-			reservations = append(reservations, s.machineReservationFor(j))
+	for _, job := range jobs {
+		if job.needsReservation() && len(reservations) < maxReservations {
+			reservations = append(reservations, s.machineReservationFor(job))
 		}
 	}
 	usable := 0
-	for _, m := range sl.machinesByID {
-		if len(reservations) > 0 && s.usable(m) {
+	for _, machine := range shardLeader.machinesByID {
+		if len(reservations) > 0 && s.usable(machine) {
 			usable++
 		}
 	}
-	left := max(1, int(aging.MaxReservedFraction*float64(usable)))
-	for _, most := range [...]int{1, usable} {
-		for _, g := range reservations {
-			for _, id := range aging.Reserve(g.hosts, min(left, most, g.machinesNeeded), g.fittingMachines) {
-				if reservedFor[id] == "" {
-					reservedFor[id] = g.job.ID
-					g.machinesNeeded--
-					left--
+	remaining := max(1, int(aging.MaxReservedFraction*float64(usable)))
+	for _, limit := range [...]int{1, usable} {
+		for _, reservation := range reservations {
+			for _, machineID := range aging.Reserve(reservation.hosts, min(remaining, limit, reservation.machinesNeeded), reservation.fittingMachines) {
+				if reservedFor[machineID] == "" {
+					reservedFor[machineID] = reservation.job.ID
+					reservation.machinesNeeded--
+					remaining--
 				}
 			}
-			g.hosts = slices.DeleteFunc(g.hosts, func(h aging.Candidate) bool { return reservedFor[h.ID] != "" })
+			reservation.hosts = slices.DeleteFunc(reservation.hosts, func(candidate aging.Candidate) bool { return reservedFor[candidate.ID] != "" })
 		}
 	}
-	for _, m := range sl.machinesByID {
-		if m.reservedFor != reservedFor[m.id] {
-			m.reservedFor = reservedFor[m.id]
-			s.debug("machine reservation changed", "machine", m.id, "for", m.reservedFor)
+	for _, machine := range shardLeader.machinesByID {
+		if machine.reservedFor != reservedFor[machine.id] {
+			machine.reservedFor = reservedFor[machine.id]
+			s.debug("machine reservation changed", "machine", machine.id, "for", machine.reservedFor)
 		}
 	}
 }
 
 // machineReservationFor returns the machines that could be reserved for a job.
-func (s *scheduler) machineReservationFor(j *job) *machineReservation {
-	g := &machineReservation{job: j}
-	each, avoidGPUs := 1, s.avoidsGPUsNow(j)
-	for _, m := range s.controller.shardLeader.machinesByID {
-		if !s.gpuPolicyAllows(avoidGPUs, m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.Need.Fits(m.size) || !s.usable(m) {
+func (s *scheduler) machineReservationFor(job *job) *machineReservation {
+	reservation := &machineReservation{job: job}
+	tasksPerMachine, avoidGPUs := 1, s.avoidsGPUsNow(job)
+	for _, machine := range s.controller.shardLeader.machinesByID {
+		if !s.gpuPolicyAllows(avoidGPUs, machine) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.Need.Fits(machine.size) || !s.usable(machine) {
 			continue
 		}
-		g.fittingMachines++
-		each = max(each, m.size.FitCount(j.Need))
-		if at, ok := s.timeUntilFits(m, j.Need); ok && j.zoneAllowed(m.zone) {
-			g.hosts = append(g.hosts, aging.Candidate{ID: m.id, FreeIn: at, Reserved: m.reservedFor == j.ID})
+		reservation.fittingMachines++
+		tasksPerMachine = max(tasksPerMachine, machine.size.FitCount(job.Need))
+		if freeIn, ok := s.timeUntilFits(machine, job.Need); ok && job.zoneAllowed(machine.zone) {
+			reservation.hosts = append(reservation.hosts, aging.Candidate{ID: machine.id, FreeIn: freeIn, Reserved: machine.reservedFor == job.ID})
 		}
 	}
-	g.machinesNeeded = (s.placeableTasks(j) + each - 1) / each
-	return g
+	reservation.machinesNeeded = (s.placeableTasks(job) + tasksPerMachine - 1) / tasksPerMachine
+	return reservation
 }
 
-// timeUntilFits is how long it takes until need fits on m if nothing else is placed there, by the
-// expected ends of its live tasks, and whether it fits then.
-func (s *scheduler) timeUntilFits(m *machine, need model.Resources) (time.Duration, bool) {
-	free := m.free()
+// timeUntilFits returns how long it takes until need fits on a machine if no other task is placed
+// there, based on the expected ends of its live tasks, and whether need fits then.
+func (s *scheduler) timeUntilFits(machine *machine, need model.Resources) (time.Duration, bool) {
+	free := machine.free()
 	if need.Fits(free) {
 		return 0, true
 	}
 	var last time.Duration
-	for _, k := range sortedAttempts(m) {
-		j := s.controller.shardLeader.jobs[k.job]
-		if j.LongRunning {
+	for _, key := range sortedAttempts(machine) {
+		job := s.controller.shardLeader.jobs[key.job]
+		if job.LongRunning {
 			continue
 		}
-		left := s.controller.knowledge.expectedRunTime(j)
-		if t := m.attempts[k]; !t.startedAt.IsZero() {
-			left = max(left-s.now.Sub(t.startedAt), left/5)
+		remaining := s.controller.knowledge.expectedRunTime(job)
+		if task := machine.attempts[key]; !task.startedAt.IsZero() {
+			remaining = max(remaining-s.now.Sub(task.startedAt), remaining/5)
 		}
-		last = max(last, left)
-		free = free.AddScaled(j.Need, 1)
+		last = max(last, remaining)
+		free = free.AddScaled(job.Need, 1)
 	}
 	return last, need.Fits(free)
 }
 
-// reservedForOther reports whether the machine is reserved for another job than j.
-func (m *machine) reservedForOther(j *job) bool { return m.reservedFor != "" && m.reservedFor != j.ID }
+// reservedForOther reports whether the machine is reserved for a job other than the given one.
+func (m *machine) reservedForOther(job *job) bool {
+	return m.reservedFor != "" && m.reservedFor != job.ID
+}
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -12,33 +12,33 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// largePool is a shard leader with some machines, three quarters of them with work, and
-// jobs that wait.
+// largePool returns a controller that leads a shard with the given number of machines, three
+// quarters of which run tasks, and with pending jobs.
 func largePool(machines int) *Controller {
-	c := New(Settings{
+	controller := New(Settings{
 		Host: "a", Zones: []string{"z"}, Teams: []model.Team{{Name: "ops"}}, Policy: DefaultPolicy(),
 		HeartbeatInterval: 8 * time.Second, WorkerLease: 34 * time.Second, CancellationBound: 64 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30, CloudRequestsPerSecond: 10,
 		Objectives: []model.Objective{{Kind: "wait", Workload: "rush", Within: 3 * time.Second}},
 	}, rand.New(rand.NewPCG(1, 2)))
-	c.now = time.Unix(1_750_000_000, 0)
-	c.membership.started, c.membership.ready = true, true
-	c.membership.leaseValidUntil = c.now.Add(24 * time.Hour)
-	c.frontend.watchCache.asOf = c.membership.leaseValidUntil
-	c.holdAllShards()
-	c.knowledge.machineTypes = map[string]model.MachineType{
+	controller.now = time.Unix(1_750_000_000, 0)
+	controller.membership.started, controller.membership.ready = true, true
+	controller.membership.leaseValidUntil = controller.now.Add(24 * time.Hour)
+	controller.frontend.watchCache.asOf = controller.membership.leaseValidUntil
+	controller.holdAllShards()
+	controller.knowledge.machineTypes = map[string]model.MachineType{
 		"box":  {Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, ImageFetchRate: 0.3, CostPerHour: 0.2, SpotCostPerHour: 0.07, ProvisioningTime: 50 * time.Second, Zones: []string{"z"}},
 		"rack": {Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, ImageFetchRate: 0.4, CostPerHour: 1.45, SpotCostPerHour: 0.53, ProvisioningTime: 20 * time.Second, Zones: []string{"z"}},
 	}
-	o := c.newShardLeader()
-	o.ready, o.readyAt, o.since = true, c.now.Add(-time.Hour), c.now.Add(-time.Hour)
-	o.generation, c.lastID = 0, 0
-	o.teams["ops"] = &heldTeam{ready: true, readyAt: c.now.Add(-time.Hour)}
-	o.shards["a"] = true
-	o.fleet.view = &fleetView{receivedAt: c.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
-	c.shardLeader = o
+	shardLeader := controller.newShardLeader()
+	shardLeader.ready, shardLeader.readyAt, shardLeader.since = true, controller.now.Add(-time.Hour), controller.now.Add(-time.Hour)
+	shardLeader.generation, controller.lastID = 0, 0
+	shardLeader.teams["ops"] = &heldTeam{ready: true, readyAt: controller.now.Add(-time.Hour)}
+	shardLeader.shards["a"] = true
+	shardLeader.fleet.view = &fleetView{receivedAt: controller.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
+	controller.shardLeader = shardLeader
 	for i := range machines {
-		m := c.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
-		c.shardLeader.heartbeats.applyHeartbeat(m, c.poolHeartbeat(i), true)
+		machine := controller.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
+		controller.shardLeader.heartbeats.applyHeartbeat(machine, controller.poolHeartbeat(i), true)
 	}
 	for i := range machines / 8 {
 		name := []string{"rush", "reprint", "wide"}[i%3]
@@ -46,123 +46,126 @@
 			ID: fmt.Sprintf("job-%06d", i), Workload: name, Team: "ops", Urgency: model.Normal, Tasks: 24, AllowSpot: true,
 			Need: model.Resources{CPU: 4, Memory: 14}, Image: fmt.Sprintf("%s-%d", name, i%12), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		j := newJob(spec, c.now, 1, 4096)
-		c.shardLeader.jobs[j.ID] = j
-		c.shardLeader.workloads[name] = &workload{&j.JobSpec, c.now}
+		job := newJob(spec, controller.now, 1, 4096)
+		controller.shardLeader.jobs[job.ID] = job
+		controller.shardLeader.workloads[name] = &workload{&job.JobSpec, controller.now}
 		for range 3 {
-			k := workloadKey{"ops", name}
-			c.shardLeader.fleet.arrivals[k] = append(c.shardLeader.fleet.arrivals[k], arrival{c.now, j.Tasks, j.Need, &j.JobSpec})
+			key := workloadKey{"ops", name}
+			controller.shardLeader.fleet.arrivals[key] = append(controller.shardLeader.fleet.arrivals[key], arrival{controller.now, job.Tasks, job.Need, &job.JobSpec})
 		}
 	}
-	full := c.shardLeader.scheduler.newPlacementRound()
-	for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
-		c.shardLeader.scheduler.placeJob(j, full, forever, 6)
+	round := controller.shardLeader.scheduler.newPlacementRound()
+	for _, job := range controller.shardLeader.scheduler.jobsInQueueOrder() {
+		controller.shardLeader.scheduler.placeJob(job, round, forever, 6)
 	}
-	return c
+	return controller
 }
 
 // holdAllShards makes the controller the leader of one shard with all teams and machines.
 func (c *Controller) holdAllShards() {
-	s := &c.membership
-	s.leaseID, s.loaded, s.shardMap = 1, true, sharding.NewMap()
-	s.controllers = map[string]record.Member{c.settings.Host: {Incarnation: c.incarnation()}}
+	membership := &c.membership
+	membership.leaseID, membership.loaded, membership.shardMap = 1, true, sharding.NewMap()
+	membership.controllers = map[string]record.Member{c.settings.Host: {Incarnation: c.incarnation()}}
 	shard := record.Encode(map[string]any{"host": c.settings.Host, "nonce": c.incarnation(), "teams": []string{"ops"}, "rest": true})
-	if err := s.shardMap.ApplyShard(c.settings.Host, shard, 1); err != nil {
+	if err := membership.shardMap.ApplyShard(c.settings.Host, shard, 1); err != nil {
 		panic(err)
 	}
 }
 
-// poolHeartbeat is the first heartbeat of the pool's machine i, without tasks; every
-// eighth machine is a rack.
-func (c *Controller) poolHeartbeat(i int) *model.Heartbeat {
-	r := &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
-	if i%8 == 0 {
-		r.MachineType = "rack"
+// poolHeartbeat returns the first heartbeat of the pool's machine i, without tasks. Every eighth
+// machine is a rack.
+func (c *Controller) poolHeartbeat(index int) *model.Heartbeat {
+	heartbeat := &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", index), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
+	if index%8 == 0 {
+		heartbeat.MachineType = "rack"
 	}
-	return r
+	return heartbeat
 }
 
+// poolSizes are the numbers of machines in the benchmarks.
 var poolSizes = []int{300, 1300, 5000, 10000}
 
-// BenchmarkHeartbeat is the ordinary heartbeat, which changes nothing. Its cost must not
-// grow with the pool.
+// BenchmarkHeartbeat measures a heartbeat that changes nothing, the most frequent kind. Its cost
+// must not grow with the pool.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := largePool(size)
-			m := c.shardLeader.machinesByID[0]
-			r := c.poolHeartbeat(0)
-			for k, t := range m.attempts {
-				r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
+			controller := largePool(size)
+			machine := controller.shardLeader.machinesByID[0]
+			heartbeat := controller.poolHeartbeat(0)
+			for key, task := range machine.attempts {
+				heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: key.job, Index: key.index, Attempt: task.attempt, Status: model.Running})
 			}
 			for b.Loop() {
-				r.Sequence++
-				c.effects = c.effects[:0]
-				c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+				heartbeat.Sequence++
+				controller.effects = controller.effects[:0]
+				controller.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
 			}
 		})
 	}
 }
 
-// BenchmarkPlacementRound is a placement round in which nothing is placed any more. Its cost
-// may grow with the machines, not with their product with the jobs.
+// BenchmarkPlacementRound measures a placement round that finds no free capacity for any pending
+// task. Its cost may grow with the machines, but not with the product of machines and jobs.
 func BenchmarkPlacementRound(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := largePool(size)
+			controller := largePool(size)
 			for b.Loop() {
-				c.effects = c.effects[:0]
-				c.shardLeader.scheduler.placeAll()
+				controller.effects = controller.effects[:0]
+				controller.shardLeader.scheduler.placeAll()
 			}
 		})
 	}
 }
 
-// BenchmarkFleetPlanning is one scan of the fleet: what to decommission, release and rent.
+// BenchmarkFleetPlanning measures one scan of the fleet, which decides what to decommission,
+// release and rent.
 func BenchmarkFleetPlanning(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := largePool(size)
+			controller := largePool(size)
 			for b.Loop() {
-				c.effects = c.effects[:0]
-				c.shardLeader.fleet.decommissionedAt = time.Time{}
-				c.shardLeader.fleet.scanFleet(func(int) bool { return true })
+				controller.effects = controller.effects[:0]
+				controller.shardLeader.fleet.decommissionedAt = time.Time{}
+				controller.shardLeader.fleet.scanFleet(func(int) bool { return true })
 			}
 		})
 	}
 }
 
-// TestPlacementDoesNotMultiply guards the shape of the costs by counting, not by
-// time: a round in which a long queue of similar jobs finds no free capacity looks at the
-// machines once for each kind of task, not once for each job.
+// TestPlacementDoesNotMultiply checks by counting, not by time, that a round with a long queue of
+// similar jobs and no free capacity scans the machines once for each kind of task. A scan for each
+// job would make the cost grow with the product of machines and jobs. The test also checks that a
+// repeated heartbeat changes nothing.
 func TestPlacementDoesNotMultiply(t *testing.T) {
-	c := largePool(400)
-	r := c.shardLeader.scheduler.newPlacementRound()
-	for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
-		c.shardLeader.scheduler.placeJob(j, r, forever, j.pendingTasks())
+	controller := largePool(400)
+	round := controller.shardLeader.scheduler.newPlacementRound()
+	for _, job := range controller.shardLeader.scheduler.jobsInQueueOrder() {
+		controller.shardLeader.scheduler.placeJob(job, round, forever, job.pendingTasks())
 	}
 	kinds := map[taskShape]bool{}
 	waiting := 0
-	for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
-		kinds[j.taskShape()] = true
+	for _, job := range controller.shardLeader.scheduler.jobsInQueueOrder() {
+		kinds[job.taskShape()] = true
 		waiting++
 	}
 	if waiting <= len(kinds) {
-		t.Fatalf("got %d waiting jobs of %d kinds, want more jobs than kinds: the pool is too large for the test", waiting, len(kinds))
+		t.Fatalf("got %d waiting jobs with %d kinds of tasks, want more jobs than kinds: the pool is too large for the test", waiting, len(kinds))
 	}
-	if len(r.full) != len(kinds) {
-		t.Errorf("got %d kinds of tasks known to find no free capacity, want %d", len(r.full), len(kinds))
+	if len(round.full) != len(kinds) {
+		t.Errorf("got %d kinds of tasks marked as fitting on no machine, want %d", len(round.full), len(kinds))
 	}
-	// A heartbeat that repeats the last one leaves nothing to do.
-	m := c.shardLeader.machinesByID[0]
-	heartbeat := c.poolHeartbeat(0)
-	for k, a := range m.attempts {
-		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: a.attempt, Status: model.Running})
+	// A heartbeat with the same content as the last one requires no commands.
+	machine := controller.shardLeader.machinesByID[0]
+	heartbeat := controller.poolHeartbeat(0)
+	for key, attempt := range machine.attempts {
+		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: key.job, Index: key.index, Attempt: attempt.attempt, Status: model.Running})
 	}
 	heartbeat.Sequence = 2
-	c.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
+	controller.shardLeader.heartbeats.applyHeartbeat(machine, heartbeat, true)
 	heartbeat.Sequence = 3
-	if !m.unchangedBy(heartbeat) || c.shardLeader.dispatcher.reconcile(m) != nil {
-		t.Error("got work to do after a heartbeat that changes nothing, want none")
+	if !machine.unchangedBy(heartbeat) || controller.shardLeader.dispatcher.reconcile(machine) != nil {
+		t.Error("a heartbeat that changes nothing counts as a change or causes commands, want neither")
 	}
 }
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -8,64 +8,71 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// candidate_queues.go finds, for a task in a simulation, the machine on which it could run first.
-// Machines that take equally long to fetch the task's image stand in one queue, a heap by when the
-// task fits, so that a task compares a few queues and not the whole pool; those that hold its image
-// have queues of their own. A task placed on a machine puts its entries in other queues out of
-// date; they are corrected when they come up.
+// candidate_queues.go finds the machine of a simulation on which a task could run first. Machines
+// with the same fetch time for the task's image share one queue, a heap ordered by when the task
+// fits, so that the search for a task compares a few queues and not the whole pool. Machines that
+// hold the image have separate queues. Placing a task on a machine makes the machine's entries in
+// other queues stale; an entry is corrected when it reaches the front of its queue.
 
-// lookAhead is how many of the first machines of a queue are compared for a task that arrives
-// later. Those that are free by then are equally good, and the first of the simulation is taken, so
-// that others stay idle.
+// lookAhead is how many machines at the front of a queue are compared for a task that arrives
+// later. Machines that are free by then are equally good, and the machine with the lowest index is
+// taken, so that the others stay idle.
 const lookAhead = 15
 
-// simulatedCandidate is a machine in a queue.
+// simulatedCandidate is the entry of a machine in a candidateQueue.
 type simulatedCandidate struct {
-	// start is when a task could start to fetch there, from the simulation's start.
+	// start is when a task could start to fetch its image on the machine, relative to the start
+	// of the simulation.
 	start time.Duration
-	// index is that of the machine, placements its value when start was computed.
+	// index is the machine's index. placements is the machine's placement count when start was
+	// computed; the entry is stale if the count has changed.
 	index, placements int32
 }
 
+// before orders entries by start and then by machine index.
+//
 //lint:ignore U1000 heap calls it by its type parameter
 func (e *simulatedCandidate) before(o *simulatedCandidate) bool {
 	return e.start < o.start || e.start == o.start && e.index < o.index
 }
 
-// candidateQueueKey is what the machines of a queue have in common.
+// candidateQueueKey holds the properties that all machines of a queue share.
 type candidateQueueKey struct {
-	// secondsPerGB is how many seconds they take to fetch one GB of an image.
+	// secondsPerGB is how many seconds the machines need to fetch one GB of an image.
 	secondsPerGB float64
-	// neededElsewhere says that other pending work depends on them.
+	// neededElsewhere is set if other pending jobs depend on the machines.
 	neededElsewhere bool
 }
 
-// candidateQueue is machines by when a task of one kind could start.
+// candidateQueue orders machines by when a task of one kind could start there.
 type candidateQueue struct {
 	candidateQueueKey
 	heap[simulatedCandidate, *simulatedCandidate]
 }
 
-// candidateQueues are some machines of a simulation; the first indexed ones are entered.
+// candidateQueues holds the queues for a list of machines of a simulation. The first indexed
+// machines of the list are in the queues.
 type candidateQueues struct {
 	indexed int
 	all     []*candidateQueue
 }
 
-func (qs *candidateQueues) add(key candidateQueueKey, e simulatedCandidate) {
-	for _, q := range qs.all {
-		if q.candidateQueueKey == key {
-			q.push(e)
+// add inserts an entry into the queue with the given key.
+func (queues *candidateQueues) add(key candidateQueueKey, entry simulatedCandidate) {
+	for _, queue := range queues.all {
+		if queue.candidateQueueKey == key {
+			queue.push(entry)
 			return
 		}
 	}
-	q := &candidateQueue{candidateQueueKey: key}
-	qs.all = append(qs.all, q)
-	q.push(e)
+	queue := &candidateQueue{candidateQueueKey: key}
+	queues.all = append(queues.all, queue)
+	queue.push(entry)
 }
 
-// shapeCandidates is the machines for one kind of task: all of them as if they had no
-// image, and for each image those that hold or fetch it.
+// shapeCandidates holds the candidate machines for one kind of task: the embedded queues have all
+// machines as if none held an image, and byImage has, for each image, the machines that hold or
+// fetch it.
 type shapeCandidates struct {
 	candidateQueues
 	byImage map[int32]*candidateQueues
@@ -73,25 +80,26 @@
 	avoidGPUs bool
 }
 
-// placementRequest is a job whose tasks are to be placed in a simulation.
+// placementRequest describes a job whose tasks are to be placed in a simulation.
 type placementRequest struct {
 	job     *job
 	need    model.Resources
 	imageGB float64
 	imageID int32
-	// run is how long a task is expected to occupy its machine.
+	// run is how long a task is expected to occupy its machine, without the image fetch.
 	run time.Duration
 
-	// candidates are all machines, holders those that hold or fetch the image.
+	// candidates are all machines; holders are the machines that hold or fetch the image.
 	candidates *shapeCandidates
 	holders    *candidateQueues
 	// avoidedMachine is the index of the machine that all pending tasks avoid, or -1.
 	avoidedMachine int32
-	// fullScan says that every machine is looked at for each task, as they are not alike.
+	// fullScan is set if the search looks at every machine for each task, because the tasks of
+	// the job constrain each other.
 	fullScan   bool
 	zoneLimits *zoneLimits
 
-	// offers are the machine kinds that may be rented for it.
+	// offers are the machine kinds that may be rented for the job.
 	offers []offer
 }
 
@@ -104,22 +112,24 @@
 	fetchTime       time.Duration
 }
 
-// newRequest prepares to place a job's tasks.
-func (p *simulation) newRequest(j *job) *placementRequest {
+// newRequest returns a request to place the tasks of a job in the simulation.
+func (p *simulation) newRequest(job *job) *placementRequest {
 	req := &placementRequest{
-		job: j, need: j.Need, imageGB: j.ImageGB, imageID: p.imageID(j.Image), run: p.controller.shardLeader.fleet.expectedOccupancy(j), avoidedMachine: -1,
-		fullScan: j.Gang || j.SameZone || j.SpreadZones, zoneLimits: newZoneLimits(j),
+		job: job, need: job.Need, imageGB: job.ImageGB, imageID: p.imageID(job.Image), run: p.controller.shardLeader.fleet.expectedOccupancy(job), avoidedMachine: -1,
+		fullScan: job.Gang || job.SameZone || job.SpreadZones, zoneLimits: newZoneLimits(job),
 	}
-	if j.Image == "" {
+	if job.Image == "" {
 		req.imageGB = 0
 	}
-	if away := j.avoidedMachine(); away != "" {
-		req.avoidedMachine = int32(slices.IndexFunc(p.machines, func(v *simulatedMachine) bool { return v.machine != nil && v.machine.id == away }))
+	if away := job.avoidedMachine(); away != "" {
+		req.avoidedMachine = int32(slices.IndexFunc(p.machines, func(simMachine *simulatedMachine) bool {
+			return simMachine.machine != nil && simMachine.machine.id == away
+		}))
 	}
-	shape := j.taskShape()
+	shape := job.taskShape()
 	req.candidates = p.queues[shape]
 	if req.candidates == nil {
-		req.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.shardLeader.scheduler.avoidsGPUs(j)}
+		req.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.shardLeader.scheduler.avoidsGPUs(job)}
 		if p.queues == nil {
 			p.queues = map[taskShape]*shapeCandidates{}
 		}
@@ -130,12 +140,12 @@
 		req.holders = &candidateQueues{}
 		req.candidates.byImage[req.imageID] = req.holders
 	}
-	req.offers = p.offers(j, req.candidates.avoidGPUs)
+	req.offers = p.offers(job, req.candidates.avoidGPUs)
 	return req
 }
 
-// imageID numbers the images of a simulation. Those that its machines hold got their numbers from
-// futureFreeCapacity.
+// imageID returns the number of an image in this simulation and assigns one if the image has none.
+// futureFreeCapacity has numbered the images that the machines hold.
 func (p *simulation) imageID(name string) int32 {
 	id, ok := p.imageIDs[name]
 	if !ok {
@@ -148,11 +158,11 @@
 	return id
 }
 
-// indexImages notes which machines hold or fetch which images.
+// indexImages rebuilds imageHolders, which lists the machines that hold or fetch each image.
 func (p *simulation) indexImages() {
 	p.imageHolders = make([][]int32, len(p.imageIDs))
-	for i, v := range p.machines {
-		for _, set := range [...][]int32{v.placedImages, v.cached, v.fetchingImages} {
+	for i, simMachine := range p.machines {
+		for _, set := range [...][]int32{simMachine.placedImages, simMachine.cached, simMachine.fetchingImages} {
 			for _, id := range set {
 				p.imageHolders[id] = append(p.imageHolders[id], int32(i))
 			}
@@ -160,25 +170,26 @@
 	}
 }
 
-// refreshCandidates enters the machines that were added since, and those that got the image.
+// refreshCandidates adds to the request's queues the machines that joined the simulation, and the
+// machines that got the image, since the last call.
 func (p *simulation) refreshCandidates(req *placementRequest) {
-	add := func(qs *candidateQueues, i int32, held bool) {
-		v := p.machines[i]
-		if !req.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) {
+	add := func(queues *candidateQueues, index int32, held bool) {
+		simMachine := p.machines[index]
+		if !req.job.allowsMachine(simMachine.machineKind.machineType, simMachine.machineKind.zone, simMachine.machineKind.spot) {
 			return
 		}
-		start, ok := v.earliestStart(req.need, false, req.candidates.avoidGPUs)
+		start, ok := simMachine.earliestStart(req.need, false, req.candidates.avoidGPUs)
 		if !ok {
 			return
 		}
-		key := candidateQueueKey{secondsPerGB: v.secondsPerGB, neededElsewhere: p.isNeededElsewhere(req.job, v.machineKind.machineType)}
+		key := candidateQueueKey{secondsPerGB: simMachine.secondsPerGB, neededElsewhere: p.isNeededElsewhere(req.job, simMachine.machineKind.machineType)}
 		if held {
 			key.secondsPerGB = 0
-			if !slices.Contains(v.placedImages, req.imageID) && !slices.Contains(v.cached, req.imageID) {
-				key.secondsPerGB = v.fetchingSecondsPerGB
+			if !slices.Contains(simMachine.placedImages, req.imageID) && !slices.Contains(simMachine.cached, req.imageID) {
+				key.secondsPerGB = simMachine.fetchingSecondsPerGB
 			}
 		}
-		qs.add(key, simulatedCandidate{start, i, int32(v.placements)})
+		queues.add(key, simulatedCandidate{start, index, int32(simMachine.placements)})
 	}
 	for ; req.candidates.indexed < len(p.machines); req.candidates.indexed++ {
 		p.spend(1)
@@ -190,25 +201,25 @@
 	}
 }
 
-// bestMachine returns the machine on which a task that arrives at from could first run, with its
-// image there, and when. With avoidNeeded it considers only machines that no other pending work
-// depends on.
+// bestMachine returns the machine on which a task that arrives at from could run first, with its
+// image present, and when. With avoidNeeded it considers only machines that no other pending job
+// depends on. The machine is nil if there is none.
 func (p *simulation) bestMachine(req *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
 	wait := max(0, from.Sub(p.now))
 	if req.fullScan {
-		v, at := p.bestByFullScan(req, wait, avoidNeeded)
-		return v, p.now.Add(at)
+		simMachine, earliest := p.bestByFullScan(req, wait, avoidNeeded)
+		return simMachine, p.now.Add(earliest)
 	}
 	p.refreshCandidates(req)
-	best, at := int32(-1), time.Duration(0)
+	best, earliest := int32(-1), time.Duration(0)
 	for _, set := range [...][]*candidateQueue{req.candidates.all, req.holders.all} {
-		for _, q := range set {
-			if avoidNeeded && q.neededElsewhere {
+		for _, queue := range set {
+			if avoidNeeded && queue.neededElsewhere {
 				continue
 			}
-			if i, start, ok := p.firstInQueue(q, req, wait); ok {
-				if t := start + record.DurationOfSeconds(q.secondsPerGB*req.imageGB); best < 0 || t < at || t == at && i < best {
-					best, at = i, t
+			if index, start, ok := p.firstInQueue(queue, req, wait); ok {
+				if ready := start + record.DurationOfSeconds(queue.secondsPerGB*req.imageGB); best < 0 || ready < earliest || ready == earliest && index < best {
+					best, earliest = index, ready
 				}
 			}
 		}
@@ -216,105 +227,108 @@
 	if best < 0 {
 		return nil, p.now
 	}
-	return p.machines[best], p.now.Add(at)
+	return p.machines[best], p.now.Add(earliest)
 }
 
-// firstInQueue returns the machine of a queue on which a task could start first, and when.
-func (p *simulation) firstInQueue(q *candidateQueue, req *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
+// firstInQueue returns the index of the queue's machine on which a task could start first, and
+// when, relative to the start of the simulation. It corrects stale entries at the front of the
+// queue.
+func (p *simulation) firstInQueue(queue *candidateQueue, req *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
 	var avoided simulatedCandidate
 	hasAvoided := false
-	for len(q.elems) > 0 {
-		e := &q.elems[0]
-		v := p.machines[e.index]
-		if int32(v.placements) != e.placements {
-			if start, ok := v.earliestStart(req.need, false, req.candidates.avoidGPUs); ok {
-				e.start, e.placements = start, int32(v.placements)
-				q.siftDown()
+	for len(queue.elems) > 0 {
+		entry := &queue.elems[0]
+		simMachine := p.machines[entry.index]
+		if int32(simMachine.placements) != entry.placements {
+			if start, ok := simMachine.earliestStart(req.need, false, req.candidates.avoidGPUs); ok {
+				entry.start, entry.placements = start, int32(simMachine.placements)
+				queue.siftDown()
 			} else {
-				q.pop()
+				queue.pop()
 			}
 			continue
 		}
-		if e.index != req.avoidedMachine {
+		if entry.index != req.avoidedMachine {
 			break
 		}
-		avoided, hasAvoided = q.pop(), true
+		avoided, hasAvoided = queue.pop(), true
 	}
-	if len(q.elems) == 0 {
+	if len(queue.elems) == 0 {
 		if hasAvoided {
-			q.push(avoided)
+			queue.push(avoided)
 		}
 		return 0, 0, false
 	}
-	i, start := q.elems[0].index, max(q.elems[0].start, wait)
-	if q.elems[0].start < wait {
-		for _, x := range q.elems[1:min(len(q.elems), lookAhead)] {
-			if x.start <= wait && x.index < i && x.index != req.avoidedMachine && int32(p.machines[x.index].placements) == x.placements {
-				i = x.index
+	index, start := queue.elems[0].index, max(queue.elems[0].start, wait)
+	if queue.elems[0].start < wait {
+		for _, other := range queue.elems[1:min(len(queue.elems), lookAhead)] {
+			if other.start <= wait && other.index < index && other.index != req.avoidedMachine && int32(p.machines[other.index].placements) == other.placements {
+				index = other.index
 			}
 		}
 	}
 	if hasAvoided {
-		q.push(avoided)
+		queue.push(avoided)
 	}
-	return i, start, true
+	return index, start, true
 }
 
-// bestByFullScan is bestMachine for tasks that are not all alike: it looks at every machine.
+// bestByFullScan implements bestMachine for tasks that constrain each other by looking at every
+// machine.
 func (p *simulation) bestByFullScan(req *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
 	var best *simulatedMachine
-	var at time.Duration
+	var earliest time.Duration
 	p.spend(len(p.machines))
-	for i, v := range p.machines {
-		if !req.job.allowsMachine(v.machineKind.machineType, v.machineKind.zone, v.machineKind.spot) ||
-			req.zoneLimits.capacity(v.machineKind.zone) == 0 || int32(i) == req.avoidedMachine ||
-			avoidNeeded && p.isNeededElsewhere(req.job, v.machineKind.machineType) {
+	for i, simMachine := range p.machines {
+		if !req.job.allowsMachine(simMachine.machineKind.machineType, simMachine.machineKind.zone, simMachine.machineKind.spot) ||
+			req.zoneLimits.capacity(simMachine.machineKind.zone) == 0 || int32(i) == req.avoidedMachine ||
+			avoidNeeded && p.isNeededElsewhere(req.job, simMachine.machineKind.machineType) {
 			continue
 		}
-		if start, ok := v.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs); ok {
-			if t := max(start, wait) + p.fetchTime(v, req); best == nil || t < at {
-				best, at = v, t
+		if start, ok := simMachine.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs); ok {
+			if ready := max(start, wait) + p.fetchTime(simMachine, req); best == nil || ready < earliest {
+				best, earliest = simMachine, ready
 			}
 		}
 	}
-	return best, at
+	return best, earliest
 }
 
-// fetchTime is how long v takes to have the image.
-func (p *simulation) fetchTime(v *simulatedMachine, req *placementRequest) time.Duration {
+// fetchTime returns how long a machine needs until it has the image.
+func (p *simulation) fetchTime(simMachine *simulatedMachine, req *placementRequest) time.Duration {
 	switch {
-	case slices.Contains(v.placedImages, req.imageID) || slices.Contains(v.cached, req.imageID):
+	case slices.Contains(simMachine.placedImages, req.imageID) || slices.Contains(simMachine.cached, req.imageID):
 		return 0
-	case slices.Contains(v.fetchingImages, req.imageID):
-		return record.DurationOfSeconds(v.fetchingSecondsPerGB * req.imageGB)
+	case slices.Contains(simMachine.fetchingImages, req.imageID):
+		return record.DurationOfSeconds(simMachine.fetchingSecondsPerGB * req.imageGB)
 	}
-	return record.DurationOfSeconds(v.secondsPerGB * req.imageGB)
+	return record.DurationOfSeconds(simMachine.secondsPerGB * req.imageGB)
 }
 
-// placeTasks lets up to count tasks start on v, as many as fit at one time, and returns how many,
-// when the one that has to fetch the image starts, and how long that fetch is; for the others the
-// image counts as there. With fullScan it places one.
-func (p *simulation) placeTasks(req *placementRequest, v *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
-	at, ok := v.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs)
+// placeTasks places up to count tasks on a machine, as many as fit at one time. It returns how many
+// it placed, when the task that has to fetch the image starts to run, and how long the fetch takes;
+// the other tasks count as having the image. With fullScan it places one task.
+func (p *simulation) placeTasks(req *placementRequest, simMachine *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
+	start, ok := simMachine.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs)
 	if !ok {
 		return count, from, 0
 	}
-	at = max(at, from.Sub(p.now))
-	fetch := p.fetchTime(v, req)
-	if !slices.Contains(v.placedImages, req.imageID) && !slices.Contains(v.cached, req.imageID) {
-		v.placedImages = append(slices.Clip(v.placedImages), req.imageID)
-		p.imageHolders[req.imageID] = append(p.imageHolders[req.imageID], v.index)
+	start = max(start, from.Sub(p.now))
+	fetch := p.fetchTime(simMachine, req)
+	if !slices.Contains(simMachine.placedImages, req.imageID) && !slices.Contains(simMachine.cached, req.imageID) {
+		simMachine.placedImages = append(slices.Clip(simMachine.placedImages), req.imageID)
+		p.imageHolders[req.imageID] = append(p.imageHolders[req.imageID], simMachine.index)
 	}
 	if req.fullScan {
 		count = 1
 	}
-	k := 0
+	placed := 0
 	if fetch > 0 {
-		k = v.placeTasks(req.need, at, fetch+req.run, 1, req.candidates.avoidGPUs)
+		placed = simMachine.placeTasks(req.need, start, fetch+req.run, 1, req.candidates.avoidGPUs)
 	}
-	if more := min(count-k, v.freeFor(v.free, req.candidates.avoidGPUs).FitCount(req.need)); k == 0 || more > 0 {
-		k += v.placeTasks(req.need, at, req.run, count-k, req.candidates.avoidGPUs)
+	if more := min(count-placed, simMachine.freeFor(simMachine.free, req.candidates.avoidGPUs).FitCount(req.need)); placed == 0 || more > 0 {
+		placed += simMachine.placeTasks(req.need, start, req.run, count-placed, req.candidates.avoidGPUs)
 	}
-	req.zoneLimits.add(v.machineKind.zone, k)
-	return k, p.now.Add(at + fetch), fetch
+	req.zoneLimits.add(simMachine.machineKind.zone, placed)
+	return placed, p.now.Add(start + fetch), fetch
 }
--- a/internal/controller/deadline.go
+++ b/internal/controller/deadline.go
@@ -8,27 +8,29 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// CheckDeadline says whether an effect is too late to be carried out, and what its sender gets
-// instead: a command for the controller, or another effect for whoever waits.
+// CheckDeadline reports whether it is too late to carry out an effect, and returns what happens
+// instead: a command for the controller that sent the effect, or another effect for the peer that
+// waits for an answer.
 //
-// A controller may stand still between deciding and sending, for longer than its lease lives,
-// and go on in the middle. Starts are guarded by the compares of their records and by the
-// epoch. Cloud requests and answers that renew worker leases are not, so each carries the time
-// until which the lease that it rests on surely lives, and the driver checks it once more. So
-// do answers to users that rest on a read, unless they report an end: another controller may
-// have reported more since.
-func CheckDeadline(e message.Effect, now time.Time) (rejection message.Command, instead message.Effect, late bool) {
+// A controller process may be suspended between deciding and sending for longer than its lease is
+// valid, and then continue. Start commands are guarded by the compares in the transactions that
+// write their records, and by the epoch. Cloud requests and answers that renew worker leases have
+// no such guard. Each of them therefore carries the time until which the lease that it depends on
+// is certainly valid, and the driver checks that time again before it sends. The same holds for
+// answers to users that depend on a read, except those that report the end of a job: another
+// controller may have reported a later state in the meantime.
+func CheckDeadline(effect message.Effect, now time.Time) (rejection message.Command, instead message.Effect, late bool) {
 	passed := func(t time.Time) bool { return !t.IsZero() && now.After(t) }
-	switch e := e.(type) {
+	switch e := effect.(type) {
 	case message.CloudRequest:
 		return message.CloudResponse{ID: e.ID, Status: message.CloudRefused}, nil, passed(e.SendDeadline)
 	case message.WorkerRequest:
 		return message.WorkerResponse{ID: e.ID, NotSent: true}, nil, passed(e.SendDeadline)
 	case message.HeartbeatReply:
 		if !passed(e.SendDeadline) && passed(e.StartsDeadline) {
-			// The worker's lease is renewed all the same.
+			// The reply still renews the worker's lease, but without start commands.
 			e.StartsDeadline = time.Time{}
-			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(o model.TaskCommand) bool { return o.Kind == model.StartTask })
+			e.Commands = slices.DeleteFunc(slices.Clone(e.Commands), func(command model.TaskCommand) bool { return command.Kind == model.StartTask })
 			return nil, e, true
 		}
 		return nil, message.HeartbeatReply{Reply: e.Reply, Status: 503}, passed(e.SendDeadline)
--- a/internal/controller/deadline_test.go
+++ b/internal/controller/deadline_test.go
@@ -7,11 +7,11 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// TestUserReplyDeadline: an answer that depends on a read is sent only while its user waits
-// for it, also when the sender stands still meanwhile; ends and refusals are sent at any
-// time.
+// TestUserReplyDeadline checks that an answer that depends on a read is sent only while its user
+// waits for it, even if the sender is suspended before sending. A later answer could contradict
+// what another controller has reported since. Final states and refusals are sent at any time.
 func TestUserReplyDeadline(t *testing.T) {
-	c := largePool(1)
+	controller := largePool(1)
 	for _, tc := range []struct {
 		name       string
 		reply      message.UserReply
@@ -26,20 +26,20 @@
 		{"cancelled", message.UserReply{Status: 200, State: "cancelled"}, true},
 		{"refused", message.UserReply{Status: 503, Message: "starting"}, true},
 	} {
-		request := c.frontend.newUserRequest(7, "job-1")
-		requestedAt := c.now
-		c.now, c.effects = c.now.Add(time.Second), nil
-		c.frontend.answerRequest(request, tc.reply)
-		reply := c.effects[0].(message.UserReply)
+		request := controller.frontend.newUserRequest(7, "job-1")
+		requestedAt := controller.now
+		controller.now, controller.effects = controller.now.Add(time.Second), nil
+		controller.frontend.answerRequest(request, tc.reply)
+		reply := controller.effects[0].(message.UserReply)
 		if _, _, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout)); late {
-			t.Errorf("%s: got late while its user waits, want in time", tc.name)
+			t.Errorf("%s: reply is late within the request timeout, want in time", tc.name)
 		}
 		_, instead, late := CheckDeadline(reply, requestedAt.Add(userRequestTimeout+time.Millisecond))
 		if late == tc.neverStale {
-			t.Errorf("%s, after its time: got late %v, want %v", tc.name, late, !tc.neverStale)
+			t.Errorf("%s, after the request timeout: got late %v, want %v", tc.name, late, !tc.neverStale)
 		}
-		if r, _ := instead.(message.UserReply); late && (r.Status != 503 || r.RetryAfter == 0 || r.State != "" || r.Reply != 7) {
-			t.Errorf("%s: got %+v instead of the late answer, want 503 with a time to retry and no state", tc.name, r)
+		if replacement, _ := instead.(message.UserReply); late && (replacement.Status != 503 || replacement.RetryAfter == 0 || replacement.State != "" || replacement.Reply != 7) {
+			t.Errorf("%s: late reply replaced by %+v, want status 503 with a retry time and no state", tc.name, replacement)
 		}
 	}
 }
--- a/internal/controller/due.go
+++ b/internal/controller/due.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// due.go has the marks by which components ask each other for work in the next tick of the
-// shard leader, and the checks whether it is due. See shardLeader.tick.
+// due.go has the methods by which components request actions from each other for the next tick of
+// the shard leader, and the checks whether such an action is due. See shardLeader.tick.
 
-// writeSoon has the records that have changed written in this tick.
+// writeSoon requests that changed records are written in this tick.
 func (p *persistence) writeSoon() { p.persistedAt = time.Time{} }
 
-// writeIfDue writes the records that have changed, if that was not just done.
+// writeIfDue writes the changed records unless they were written within persistInterval.
 func (p *persistence) writeIfDue() {
 	if p.now.Sub(p.persistedAt) >= persistInterval {
 		p.persistedAt = p.now
@@ -16,15 +16,16 @@
 	}
 }
 
-// addOrphanedRecord has a task record deleted whose job is over.
+// addOrphanedRecord queues the deletion of a task record whose job is over.
 func (p *persistence) addOrphanedRecord(key string) {
 	p.orphanedRecords = append(p.orphanedRecords, key)
 }
 
-// requestSoon has the owners of remote machines asked about attempts there in this tick.
+// requestSoon requests that the owners of remote machines are asked in this tick about the attempts
+// on these machines.
 func (r *remoteAttempts) requestSoon() { r.due = true }
 
-// forgetTeam drops what has arrived for a team that another shard has now.
+// forgetTeam removes the recorded arrivals of a team that another shard has taken over.
 func (f *fleetPlanner) forgetTeam(team string) {
 	for k := range f.arrivals {
 		if k.team == team {
--- a/internal/controller/estimator.go
+++ b/internal/controller/estimator.go
@@ -5,45 +5,48 @@
 	"time"
 )
 
-// estimator learns how far off the expected run times of a workload's jobs have lately been.
+// estimator tracks how far the expected run times of a workload's jobs have recently deviated from
+// the actual run times.
 type estimator struct {
-	// ratio is the mean of run time over expected run time.
+	// ratio is the moving average of run time divided by expected run time.
 	ratio float64
-	// deviation is the mean distance of run times from the corrected estimate, as a fraction
-	// of it.
+	// deviation is the moving average of the distance between the run time and the corrected
+	// estimate, as a fraction of that estimate.
 	deviation float64
-	samples   int
+	// samples is the number of run times taken into account.
+	samples int
 }
 
-// minEstimatorWeight is the least weight of the newest task in the averages.
+// minEstimatorWeight is the minimum weight of the newest task in the averages.
 const minEstimatorWeight = 0.08
 
-// updateEstimator learns from the run time of a task that is done.
-func (k *fleetKnowledge) updateEstimator(j *job, ran time.Duration) {
-	if j.ExpectedRunTime <= 0 {
+// updateEstimator updates the estimator of the job's workload with the run time of a finished task.
+func (k *fleetKnowledge) updateEstimator(job *job, runTime time.Duration) {
+	if job.ExpectedRunTime <= 0 {
 		return
 	}
-	e := k.estimators[j.Workload]
-	if e == nil {
-		e = &estimator{ratio: 1, deviation: minSafetyFraction}
-		k.estimators[j.Workload] = e
+	workloadEstimator := k.estimators[job.Workload]
+	if workloadEstimator == nil {
+		workloadEstimator = &estimator{ratio: 1, deviation: minSafetyFraction}
+		k.estimators[job.Workload] = workloadEstimator
 	}
-	e.samples++
-	ratio := ran.Seconds() / j.ExpectedRunTime.Seconds()
-	weight := max(minEstimatorWeight, 1/float64(e.samples+1))
+	workloadEstimator.samples++
+	ratio := runTime.Seconds() / job.ExpectedRunTime.Seconds()
+	weight := max(minEstimatorWeight, 1/float64(workloadEstimator.samples+1))
 	ratio = min(ratio, 4)
-	e.deviation += weight * (math.Abs(ratio-e.ratio)/max(e.ratio, 0.1) - e.deviation)
-	e.ratio += weight * (ratio - e.ratio)
+	workloadEstimator.deviation += weight * (math.Abs(ratio-workloadEstimator.ratio)/max(workloadEstimator.ratio, 0.1) - workloadEstimator.deviation)
+	workloadEstimator.ratio += weight * (ratio - workloadEstimator.ratio)
 }
 
-// expectedRunTime is the median of the job's run times, or else the corrected estimate.
-func (k *fleetKnowledge) expectedRunTime(j *job) time.Duration {
-	if m, ok := j.medianRunTime(); ok {
-		return m
+// expectedRunTime returns the median run time of the job's finished tasks, or, without one, the
+// job's expected run time corrected by the estimator of its workload.
+func (k *fleetKnowledge) expectedRunTime(job *job) time.Duration {
+	if median, ok := job.medianRunTime(); ok {
+		return median
 	}
-	d := j.ExpectedRunTime
-	if e := k.estimators[j.Workload]; e != nil {
-		d = time.Duration(float64(d) * e.ratio)
+	expected := job.ExpectedRunTime
+	if workloadEstimator := k.estimators[job.Workload]; workloadEstimator != nil {
+		expected = time.Duration(float64(expected) * workloadEstimator.ratio)
 	}
-	return d
+	return expected
 }
--- a/internal/controller/heap.go
+++ b/internal/controller/heap.go
@@ -1,7 +1,8 @@
 package controller
 
-// heap is a binary heap with the first element before all others. It is the inner loop of
-// planning and placement, and so holds values rather than interfaces as container/heap does.
+// heap is a binary heap whose first element precedes all others in the order of before. Planning
+// and placement use it in their inner loops, so it holds values instead of interfaces as
+// container/heap does.
 type heap[T any, P interface {
 	*T
 	before(*T) bool
@@ -9,41 +10,43 @@
 	elems []T
 }
 
-func (h *heap[T, P]) push(e T) {
-	h.elems = append(h.elems, e)
-	for k := len(h.elems) - 1; k > 0; {
-		up := (k - 1) / 2
-		if !P(&h.elems[k]).before(&h.elems[up]) {
+// push adds an element.
+func (h *heap[T, P]) push(elem T) {
+	h.elems = append(h.elems, elem)
+	for index := len(h.elems) - 1; index > 0; {
+		parent := (index - 1) / 2
+		if !P(&h.elems[index]).before(&h.elems[parent]) {
 			return
 		}
-		h.elems[k], h.elems[up] = h.elems[up], h.elems[k]
-		k = up
+		h.elems[index], h.elems[parent] = h.elems[parent], h.elems[index]
+		index = parent
 	}
 }
 
-// siftDown restores the order after the first element has become later.
+// siftDown restores the order after the first element has been changed to a later one.
 func (h *heap[T, P]) siftDown() {
-	for k := 0; ; {
-		c := 2*k + 1
-		if c >= len(h.elems) {
+	for index := 0; ; {
+		child := 2*index + 1
+		if child >= len(h.elems) {
 			return
 		}
-		if c+1 < len(h.elems) && P(&h.elems[c+1]).before(&h.elems[c]) {
-			c++
+		if child+1 < len(h.elems) && P(&h.elems[child+1]).before(&h.elems[child]) {
+			child++
 		}
-		if !P(&h.elems[c]).before(&h.elems[k]) {
+		if !P(&h.elems[child]).before(&h.elems[index]) {
 			return
 		}
-		h.elems[k], h.elems[c] = h.elems[c], h.elems[k]
-		k = c
+		h.elems[index], h.elems[child] = h.elems[child], h.elems[index]
+		index = child
 	}
 }
 
+// pop removes the first element and returns it. The heap must not be empty.
 func (h *heap[T, P]) pop() T {
-	e := h.elems[0]
+	first := h.elems[0]
 	last := len(h.elems) - 1
 	h.elems[0] = h.elems[last]
 	h.elems = h.elems[:last]
 	h.siftDown()
-	return e
+	return first
 }
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -16,172 +16,181 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// hugeJobRun is a shard leader with one job, its machines, and a store that answers all its
-// writes at the next step, a tenth of a second later.
+// hugeJobRun simulates a shard leader with one job, its machines, and a store that answers every
+// write in the next step, a tenth of a second later.
 type hugeJobRun struct {
 	controller *Controller
 	job        *job
 	reports    map[string][]model.TaskReport
 	endsAt     map[taskKey]time.Time
-	// taskDuration is how long a task takes, and sequence that of the newest heartbeat.
+	// taskDuration is how long a task runs; sequence is the sequence number of the newest
+	// heartbeat.
 	taskDuration time.Duration
 	sequence     uint64
 	pending      []message.Command
 	revision     uint64
-	// stored is the content of the store. The others count the transactions, their writes
-	// and bytes, the most writes in one and the longest value.
+	// stored is the content of the store. The counters are the transactions, their writes and
+	// bytes, the most writes in one transaction, and the longest value in bytes.
 	stored                                          map[string]message.KeyValue
 	txns, writes, bytes, maxTxnWrites, longestValue int
 }
 
+// maxHugeTasks is the largest number of tasks that a user may submit in a job.
 const maxHugeTasks = validate.MaxTasks
 
-// newHugeJob submits a job of so many tasks to a shard leader of so many machines, each with
-// capacity for eight of its tasks at a time.
+// newHugeJob submits a job with the given number of tasks to a shard leader with the given number
+// of machines. Each machine has capacity for eight of the job's tasks at a time.
 func newHugeJob(tasks, machines int) *hugeJobRun {
-	c := largePool(0)
-	c.rng = rand.New(rand.NewPCG(1, 2))
-	c.membership.ready, c.frontend.watchCache.loaded, c.frontend.watchCache.refreshScheduled = true, true, true
-	c.frontend.watchCache.openJobs = map[string]openJob{}
-	d := &hugeJobRun{controller: c, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
+	controller := largePool(0)
+	controller.rng = rand.New(rand.NewPCG(1, 2))
+	controller.membership.ready, controller.frontend.watchCache.loaded, controller.frontend.watchCache.refreshScheduled = true, true, true
+	controller.frontend.watchCache.openJobs = map[string]openJob{}
+	run := &hugeJobRun{controller: controller, reports: map[string][]model.TaskReport{}, endsAt: map[taskKey]time.Time{}, taskDuration: 20 * time.Second, stored: map[string]message.KeyValue{}}
 	for i := range machines {
-		r := c.poolHeartbeat(0)
-		r.Machine = fmt.Sprintf("vm-%06d", i)
-		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
+		heartbeat := controller.poolHeartbeat(0)
+		heartbeat.Machine = fmt.Sprintf("vm-%06d", i)
+		controller.shardLeader.heartbeats.applyHeartbeat(controller.shardLeader.ensureMachine(heartbeat.Machine), heartbeat, true)
 	}
-	c.now = c.now.Add(time.Second)
-	c.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
+	controller.now = controller.now.Add(time.Second)
+	controller.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: model.JobSpec{
 		ID: "job-huge", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: tasks, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 4},
-		Image: "img", ImageGB: 1, ExpectedRunTime: d.taskDuration, Deadline: time.Hour,
+		Image: "img", ImageGB: 1, ExpectedRunTime: run.taskDuration, Deadline: time.Hour,
 	}})
-	c.frontend.flushSubmissions()
-	d.handleEffects(c.effects)
-	for _, command := range d.pending {
-		c.handleCommand(command)
+	controller.frontend.flushSubmissions()
+	run.handleEffects(controller.effects)
+	for _, command := range run.pending {
+		controller.handleCommand(command)
 	}
-	d.pending = nil
-	d.job = c.shardLeader.jobs["job-huge"]
-	return d
+	run.pending = nil
+	run.job = controller.shardLeader.jobs["job-huge"]
+	return run
 }
 
-// handleEffects answers the controller's requests.
-func (d *hugeJobRun) handleEffects(out []message.Effect) {
-	for _, e := range out {
-		switch e := e.(type) {
+// handleEffects plays the store and the workers: it carries out the controller's requests and
+// queues the answers.
+func (run *hugeJobRun) handleEffects(out []message.Effect) {
+	for _, effect := range out {
+		switch e := effect.(type) {
 		case message.StoreRequest:
 			if e.Kind != message.OpTxn {
 				continue
 			}
-			d.revision++
-			d.txns++
-			d.maxTxnWrites = max(d.maxTxnWrites, len(e.Writes))
-			for _, c := range e.Writes {
-				d.writes++
-				d.bytes += len(c.Value)
-				if c.Value == nil {
-					delete(d.stored, c.Key)
+			run.revision++
+			run.txns++
+			run.maxTxnWrites = max(run.maxTxnWrites, len(e.Writes))
+			for _, write := range e.Writes {
+				run.writes++
+				run.bytes += len(write.Value)
+				if write.Value == nil {
+					delete(run.stored, write.Key)
 					continue
 				}
-				size, err := sizelimit.JSON(c.Value)
+				size, err := sizelimit.JSON(write.Value)
 				if err != nil {
 					panic(err)
 				}
-				d.longestValue = max(d.longestValue, size)
-				d.stored[c.Key] = message.KeyValue{Key: c.Key, Value: c.Value, ModRevision: d.revision}
+				run.longestValue = max(run.longestValue, size)
+				run.stored[write.Key] = message.KeyValue{Key: write.Key, Value: write.Value, ModRevision: run.revision}
 			}
-			d.pending = append(d.pending, message.StoreResponse{ID: e.ID, Status: message.StoreOK, Revision: d.revision, SentAt: d.controller.now})
+			run.pending = append(run.pending, message.StoreResponse{ID: e.ID, Status: message.StoreOK, Revision: run.revision, SentAt: run.controller.now})
 		case message.WorkerRequest:
-			d.runCommands(e.Machine, e.Commands)
-			d.pending = append(d.pending, message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: d.heartbeat(e.Machine)})
+			run.runCommands(e.Machine, e.Commands)
+			run.pending = append(run.pending, message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: run.heartbeat(e.Machine)})
 		case message.HeartbeatReply:
-			d.runCommands(fmt.Sprintf("vm-%06d", e.Reply-1), e.Commands)
+			run.runCommands(fmt.Sprintf("vm-%06d", e.Reply-1), e.Commands)
 		}
 	}
 }
 
-func (d *hugeJobRun) runCommands(machine string, commands []model.TaskCommand) {
-	for _, o := range commands {
-		k := taskKey{o.Job, o.Index}
-		switch o.Kind {
+// runCommands carries out task commands on a machine.
+func (run *hugeJobRun) runCommands(machine string, commands []model.TaskCommand) {
+	for _, command := range commands {
+		key := taskKey{command.Job, command.Index}
+		switch command.Kind {
 		case model.StartTask:
-			d.reports[machine] = append(d.reports[machine], model.TaskReport{Job: o.Job, Index: o.Index, Attempt: o.Attempt, Status: model.Running})
-			d.endsAt[k] = d.controller.now.Add(d.taskDuration)
+			run.reports[machine] = append(run.reports[machine], model.TaskReport{Job: command.Job, Index: command.Index, Attempt: command.Attempt, Status: model.Running})
+			run.endsAt[key] = run.controller.now.Add(run.taskDuration)
 		case model.ClearTask:
-			d.reports[machine] = slices.DeleteFunc(d.reports[machine], func(p model.TaskReport) bool { return p.Index == o.Index && p.Attempt == o.Attempt })
+			run.reports[machine] = slices.DeleteFunc(run.reports[machine], func(report model.TaskReport) bool {
+				return report.Index == command.Index && report.Attempt == command.Attempt
+			})
 		}
 	}
 }
 
-// heartbeat is the next heartbeat of a machine.
-func (d *hugeJobRun) heartbeat(machine string) *model.Heartbeat {
-	d.sequence++
-	r := d.controller.poolHeartbeat(0)
-	r.Machine, r.Sequence, r.Tasks = machine, d.sequence, slices.Clone(d.reports[machine])
-	for i := range r.Tasks {
-		if p := &r.Tasks[i]; !d.controller.now.Before(d.endsAt[taskKey{p.Job, p.Index}]) {
-			p.Status, p.Cause = model.Ended, "done"
+// heartbeat returns the next heartbeat of a machine. Tasks that have run for taskDuration are
+// reported as ended.
+func (run *hugeJobRun) heartbeat(machine string) *model.Heartbeat {
+	run.sequence++
+	heartbeat := run.controller.poolHeartbeat(0)
+	heartbeat.Machine, heartbeat.Sequence, heartbeat.Tasks = machine, run.sequence, slices.Clone(run.reports[machine])
+	for i := range heartbeat.Tasks {
+		if report := &heartbeat.Tasks[i]; !run.controller.now.Before(run.endsAt[taskKey{report.Job, report.Index}]) {
+			report.Status, report.Cause = model.Ended, "done"
 		}
 	}
-	return r
+	return heartbeat
 }
 
-// runSecond simulates one second, with a heartbeat of each machine.
-func (d *hugeJobRun) runSecond() {
-	c := d.controller
-	// Ten times a second, as a busy controller steps, with a tenth of the heartbeats each.
+// runSecond simulates one second, with one heartbeat of each machine.
+func (run *hugeJobRun) runSecond() {
+	controller := run.controller
+	// A busy controller steps ten times a second, each time with a tenth of the heartbeats.
 	for part := range 10 {
-		c.now = c.now.Add(100 * time.Millisecond)
-		cmds := d.pending
-		d.pending = nil
-		for i := part; i < len(c.shardLeader.machinesByID); i += 10 {
-			cmds = append(cmds, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *d.heartbeat(c.shardLeader.machinesByID[i].id)})
+		controller.now = controller.now.Add(100 * time.Millisecond)
+		commands := run.pending
+		run.pending = nil
+		for i := part; i < len(controller.shardLeader.machinesByID); i += 10 {
+			commands = append(commands, message.WorkerHeartbeat{Reply: uint64(i + 1), Heartbeat: *run.heartbeat(controller.shardLeader.machinesByID[i].id)})
 		}
-		d.handleEffects(c.Step(c.now, cmds))
+		run.handleEffects(controller.Step(controller.now, commands))
 	}
 }
 
-// runUntilDone goes on until the job is done, or for so long.
-func (d *hugeJobRun) runUntilDone(maxSeconds int) (seconds int) {
-	for seconds = 0; seconds < maxSeconds && d.controller.shardLeader.jobs[d.job.ID] != nil; seconds++ {
-		d.runSecond()
+// runUntilDone runs the simulation until the job is done, for at most maxSeconds, and returns the
+// seconds simulated.
+func (run *hugeJobRun) runUntilDone(maxSeconds int) (seconds int) {
+	for seconds = 0; seconds < maxSeconds && run.controller.shardLeader.jobs[run.job.ID] != nil; seconds++ {
+		run.runSecond()
 	}
 	return seconds
 }
 
-// TestHugeJobRecords: a job of tens of thousands of tasks is accepted with one write, and
-// keeps the bounds of values and transactions to its end. Its tasks share their writes.
+// TestHugeJobRecords checks that a job of tens of thousands of tasks is accepted with one write,
+// and that its records stay within the limits of values and transactions until it is done. Its
+// tasks must share writes: at most one write for ten tasks.
 func TestHugeJobRecords(t *testing.T) {
-	d := newHugeJob(20_000, 1000)
-	if d.job == nil || d.writes != 1 {
-		t.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
+	run := newHugeJob(20_000, 1000)
+	if run.job == nil || run.writes != 1 {
+		t.Fatalf("got accepted %v with %d writes, want true with 1", run.job != nil, run.writes)
 	}
-	took := d.runUntilDone(1000)
-	if d.controller.shardLeader.jobs[d.job.ID] != nil {
-		t.Fatalf("got %d of %d tasks done after %d s, want all", d.job.doneTasks, len(d.job.tasks), took)
+	took := run.runUntilDone(1000)
+	if run.controller.shardLeader.jobs[run.job.ID] != nil {
+		t.Fatalf("got %d of %d tasks done after %d seconds, want all", run.job.doneTasks, len(run.job.tasks), took)
 	}
-	set := d.controller.settings
-	if d.longestValue > set.MaxValueBytes || d.maxTxnWrites > set.MaxTxnWrites || d.controller.internalErrors > 0 {
-		t.Errorf("got values of %d bytes, transactions of %d writes, %d internal errors; want at most %d, %d and none", d.longestValue, d.maxTxnWrites, d.controller.internalErrors, set.MaxValueBytes, set.MaxTxnWrites)
+	settings := run.controller.settings
+	if run.longestValue > settings.MaxValueBytes || run.maxTxnWrites > settings.MaxTxnWrites || run.controller.internalErrors > 0 {
+		t.Errorf("got a value of %d bytes, a transaction of %d writes, %d internal errors; want at most %d, %d and none", run.longestValue, run.maxTxnWrites, run.controller.internalErrors, settings.MaxValueBytes, settings.MaxTxnWrites)
 	}
-	if d.writes > len(d.job.tasks)/10 {
-		t.Errorf("got %d writes for %d tasks, want at most a tenth", d.writes, len(d.job.tasks))
+	if run.writes > len(run.job.tasks)/10 {
+		t.Errorf("got %d writes for %d tasks, want at most a tenth", run.writes, len(run.job.tasks))
 	}
 }
 
-// storedRecords are the records in the store that a successor reads.
-func (d *hugeJobRun) storedRecords() (open, tasks []message.KeyValue) {
-	for _, k := range sortedKeys(d.stored) {
+// storedRecords returns the records in the store that a successor reads.
+func (run *hugeJobRun) storedRecords() (open, tasks []message.KeyValue) {
+	for _, key := range sortedKeys(run.stored) {
 		switch {
-		case strings.HasPrefix(k, record.OpenJobPrefix):
-			open = append(open, d.stored[k])
-		case strings.HasPrefix(k, record.TaskSegmentPrefix):
-			tasks = append(tasks, d.stored[k])
+		case strings.HasPrefix(key, record.OpenJobPrefix):
+			open = append(open, run.stored[key])
+		case strings.HasPrefix(key, record.TaskSegmentPrefix):
+			tasks = append(tasks, run.stored[key])
 		}
 	}
 	return open, tasks
 }
 
-// allocations counts the allocations of fn.
+// allocations returns the number of heap allocations made while fn runs.
 func allocations(fn func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -190,145 +199,146 @@
 	return after.Mallocs - before.Mallocs
 }
 
-// TestHugeJobIsLinear: the takeover of a job ten times as large costs about ten times as
-// much, and a second of it on the same machines hardly more, since that work grows with the
-// machines. Work is counted in allocations, as time would differ from machine to machine.
+// TestHugeJobIsLinear checks that taking over a job ten times as large costs about ten times as
+// much, and that simulating a second of it on the same machines costs hardly more, since that cost
+// grows with the machines. The test counts allocations, since times differ between machines.
 func TestHugeJobIsLinear(t *testing.T) {
 	const machines = 200
 	measure := func(tasks int) (second, takeover uint64) {
-		d := newHugeJob(tasks, machines)
+		run := newHugeJob(tasks, machines)
 		for range 30 {
-			d.runSecond()
+			run.runSecond()
 		}
-		second = allocations(d.runSecond)
-		open, items := d.storedRecords()
-		c := successor()
-		takeover = allocations(func() { c.takeOverRecords(open, items) })
-		if j := c.shardLeader.jobs[d.job.ID]; j == nil || j.doneTasks == 0 || j.liveTasks == 0 {
+		second = allocations(run.runSecond)
+		open, items := run.storedRecords()
+		controller := successor()
+		takeover = allocations(func() { controller.takeOverRecords(open, items) })
+		if job := controller.shardLeader.jobs[run.job.ID]; job == nil || job.doneTasks == 0 || job.liveTasks == 0 {
 			t.Fatal("got no running and done tasks after the takeover, want some")
 		}
 		return second, takeover
 	}
-	s1, t1 := measure(maxHugeTasks / 10)
-	s2, t2 := measure(maxHugeTasks)
-	if s2 > 2*s1 || t2 > 12*t1 {
-		t.Errorf("ten times the tasks: got %d allocations a second and %d for a takeover, want at most 2 times %d and 12 times %d", s2, t2, s1, t1)
+	smallSecond, smallTakeover := measure(maxHugeTasks / 10)
+	largeSecond, largeTakeover := measure(maxHugeTasks)
+	if largeSecond > 2*smallSecond || largeTakeover > 12*smallTakeover {
+		t.Errorf("ten times the tasks: got %d allocations per second and %d per takeover, want at most 2 times %d and 12 times %d", largeSecond, largeTakeover, smallSecond, smallTakeover)
 	}
 }
 
-// TestLongQueueIsNotMoved guards against copying the queue of tasks to start again for each
-// task that is taken out of it: after the loss of many machines that cost the square of
-// their tasks in one step.
+// TestLongQueueIsNotMoved guards against copying the queue of tasks to retry for each task that is
+// taken from it. After the loss of many machines the copies would cost the square of the number of
+// tasks in one step.
 func TestLongQueueIsNotMoved(t *testing.T) {
-	j := newJob(model.JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
-	for i := range j.tasks {
-		j.requeued = append(j.requeued, i)
+	job := newJob(model.JobSpec{ID: "job-huge", Tasks: maxHugeTasks}, time.Time{}, 1, 4096)
+	for i := range job.tasks {
+		job.requeued = append(job.requeued, i)
 	}
-	j.nextFresh = len(j.tasks)
-	second := &j.requeued[1]
-	if i := j.takePending(time.Time{}); i != 0 || &j.requeued[0] != second {
-		t.Errorf("got task %d, queue copied %v; want task 0, false", i, &j.requeued[0] != second)
+	job.nextFresh = len(job.tasks)
+	second := &job.requeued[1]
+	if i := job.takePending(time.Time{}); i != 0 || &job.requeued[0] != second {
+		t.Errorf("got task %d, queue copied %v; want task 0, false", i, &job.requeued[0] != second)
 	}
 }
 
-// hugeJobMachines is the number of machines of BenchmarkHugeJob.
+// hugeJobMachines is the number of machines in BenchmarkHugeJob.
 const hugeJobMachines = 2000
 
-// BenchmarkHugeJob is a job of the most tasks that a user may submit, on 2,000 machines.
+// BenchmarkHugeJob measures a job with the most tasks that a user may submit, on hugeJobMachines
+// machines.
 func BenchmarkHugeJob(b *testing.B) {
 	b.Run("accept", benchmarkAccept)
 	b.Run("place", benchmarkPlace)
-	b.Run("place-anew", benchmarkPlaceAgain)
-	b.Run("life", benchmarkWholeRun)
+	b.Run("place-again", benchmarkPlaceAgain)
+	b.Run("whole-run", benchmarkWholeRun)
 	b.Run("takeover", benchmarkTakeover)
 }
 
-// benchmarkAccept is the submission of the job.
+// benchmarkAccept measures the submission of the job.
 func benchmarkAccept(b *testing.B) {
 	for b.Loop() {
-		d := newHugeJob(maxHugeTasks, 0)
-		if d.job == nil || d.writes != 1 {
-			b.Fatalf("got accepted %v with %d writes, want true with 1", d.job != nil, d.writes)
+		run := newHugeJob(maxHugeTasks, 0)
+		if run.job == nil || run.writes != 1 {
+			b.Fatalf("got accepted %v with %d writes, want true with 1", run.job != nil, run.writes)
 		}
 	}
 }
 
-// benchmarkPlace is the first placement round.
+// benchmarkPlace measures the first placement round.
 func benchmarkPlace(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		d := newHugeJob(maxHugeTasks, hugeJobMachines)
-		d.controller.now = d.controller.now.Add(time.Second)
+		run := newHugeJob(maxHugeTasks, hugeJobMachines)
+		run.controller.now = run.controller.now.Add(time.Second)
 		b.StartTimer()
-		d.controller.shardLeader.scheduler.placeAll()
-		if d.job.liveTasks != 8*hugeJobMachines {
-			b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*hugeJobMachines)
+		run.controller.shardLeader.scheduler.placeAll()
+		if run.job.liveTasks != 8*hugeJobMachines {
+			b.Fatalf("got %d tasks placed, want %d", run.job.liveTasks, 8*hugeJobMachines)
 		}
 	}
 }
 
-// benchmarkPlaceAgain is a placement round after all tasks were lost.
+// benchmarkPlaceAgain measures a placement round after all tasks were lost.
 func benchmarkPlaceAgain(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		d := newHugeJob(maxHugeTasks, hugeJobMachines)
-		d.controller.shardLeader.scheduler.placeAll()
-		d.job.nextFresh = len(d.job.tasks)
-		for i := range d.job.tasks {
-			if d.controller.shardLeader.endAttempt(d.job, i, false); d.job.tasks[i].attempt == 0 {
-				d.job.requeued = append(d.job.requeued, i)
+		run := newHugeJob(maxHugeTasks, hugeJobMachines)
+		run.controller.shardLeader.scheduler.placeAll()
+		run.job.nextFresh = len(run.job.tasks)
+		for i := range run.job.tasks {
+			if run.controller.shardLeader.endAttempt(run.job, i, false); run.job.tasks[i].attempt == 0 {
+				run.job.requeued = append(run.job.requeued, i)
 			}
 		}
-		d.controller.now = d.controller.now.Add(time.Second)
+		run.controller.now = run.controller.now.Add(time.Second)
 		b.StartTimer()
-		d.controller.shardLeader.scheduler.placeAll()
-		if d.job.liveTasks != 8*hugeJobMachines {
-			b.Fatalf("got %d tasks placed, want %d", d.job.liveTasks, 8*hugeJobMachines)
+		run.controller.shardLeader.scheduler.placeAll()
+		if run.job.liveTasks != 8*hugeJobMachines {
+			b.Fatalf("got %d tasks placed, want %d", run.job.liveTasks, 8*hugeJobMachines)
 		}
 	}
 }
 
-// benchmarkWholeRun is the whole run, to the last record removed.
+// benchmarkWholeRun measures the job from its submission until its last record is removed.
 func benchmarkWholeRun(b *testing.B) {
 	for b.Loop() {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		d := newHugeJob(maxHugeTasks, hugeJobMachines)
-		took := d.runUntilDone(100)
+		run := newHugeJob(maxHugeTasks, hugeJobMachines)
+		took := run.runUntilDone(100)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		took += d.runUntilDone(10_000)
-		if d.controller.shardLeader.jobs[d.job.ID] != nil {
-			b.Fatalf("got %d of %d tasks done, want all", d.job.doneTasks, len(d.job.tasks))
+		took += run.runUntilDone(10_000)
+		if run.controller.shardLeader.jobs[run.job.ID] != nil {
+			b.Fatalf("got %d of %d tasks done, want all", run.job.doneTasks, len(run.job.tasks))
 		}
-		done, txns := d.writes, d.txns
-		for len(d.controller.shardLeader.persistence.orphanedRecords) > 0 || d.controller.shardLeader.persistence.txnsInFlight > 0 {
-			d.runSecond()
+		writesUntilDone, txns := run.writes, run.txns
+		for len(run.controller.shardLeader.persistence.orphanedRecords) > 0 || run.controller.shardLeader.persistence.txnsInFlight > 0 {
+			run.runSecond()
 		}
-		b.ReportMetric(float64(d.writes-done), "changes-to-clear-away")
-		b.ReportMetric(float64(took), "seconds-played")
+		b.ReportMetric(float64(run.writes-writesUntilDone), "cleanup-writes")
+		b.ReportMetric(float64(took), "simulated-seconds")
 		b.ReportMetric(float64(txns), "txns")
-		b.ReportMetric(float64(done), "changes")
-		b.ReportMetric(float64(d.bytes>>10), "KB-written")
-		b.ReportMetric(float64(d.longestValue), "widest-bytes")
-		b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-kept")
+		b.ReportMetric(float64(writesUntilDone), "changes")
+		b.ReportMetric(float64(run.bytes>>10), "KB-written")
+		b.ReportMetric(float64(run.longestValue), "longest-value-bytes")
+		b.ReportMetric(float64((after.HeapAlloc-before.HeapAlloc)>>20), "MB-retained")
 	}
 }
 
-// benchmarkTakeover is the recovery of the job while it runs.
+// benchmarkTakeover measures the takeover of the job while it runs.
 func benchmarkTakeover(b *testing.B) {
-	d := newHugeJob(maxHugeTasks, hugeJobMachines)
-	d.runUntilDone(70)
-	open, tasks := d.storedRecords()
+	run := newHugeJob(maxHugeTasks, hugeJobMachines)
+	run.runUntilDone(70)
+	open, tasks := run.storedRecords()
 	size := 0
-	for _, it := range tasks {
-		size += len(it.Value)
+	for _, item := range tasks {
+		size += len(item.Value)
 	}
 	for b.Loop() {
-		c := successor()
-		c.takeOverRecords(open, tasks)
-		if c.shardLeader.jobs[d.job.ID].doneTasks == 0 {
+		controller := successor()
+		controller.takeOverRecords(open, tasks)
+		if controller.shardLeader.jobs[run.job.ID].doneTasks == 0 {
 			b.Fatal("got no done tasks after the takeover, want some")
 		}
 	}
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -12,61 +12,62 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newOddTypesPool is a shard leader with machine types that leave little choice: one in two
-// zones, one in one zone, one with a small disk, and one that is offered nowhere.
+// newOddTypesPool returns a controller that leads a shard, with machine types that restrict
+// placement: one offered in two zones, one in one zone, one with a small disk, and one offered
+// nowhere.
 func newOddTypesPool() *Controller {
-	c := largePool(0)
-	c.settings.Zones = []string{"a", "b"}
-	c.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
-	c.knowledge.machineTypes = map[string]model.MachineType{}
-	for _, mt := range []model.MachineType{
+	controller := largePool(0)
+	controller.settings.Zones = []string{"a", "b"}
+	controller.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
+	controller.knowledge.machineTypes = map[string]model.MachineType{}
+	for _, machineType := range []model.MachineType{
 		{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 32}, DiskGB: 50, Zones: []string{"a", "b"}},
 		{Name: "rack", Capacity: model.Resources{CPU: 32, Memory: 128}, DiskGB: 70, Zones: []string{"a"}},
 		{Name: "thin", Capacity: model.Resources{CPU: 8, Memory: 16}, DiskGB: 10, Zones: []string{"b"}},
 		{Name: "gone", Capacity: model.Resources{CPU: 96, GPU: 8, Memory: 768}, DiskGB: 400},
 	} {
-		mt.ImageFetchRate, mt.CostPerHour, mt.SpotCostPerHour, mt.ProvisioningTime = 0.4, mt.Capacity.CPU/20, mt.Capacity.CPU/60, 30*time.Second
-		c.knowledge.machineTypes[mt.Name] = mt
+		machineType.ImageFetchRate, machineType.CostPerHour, machineType.SpotCostPerHour, machineType.ProvisioningTime = 0.4, machineType.Capacity.CPU/20, machineType.Capacity.CPU/60, 30*time.Second
+		controller.knowledge.machineTypes[machineType.Name] = machineType
 	}
-	c.membership.ready, c.frontend.watchCache.loaded, c.frontend.watchCache.refreshScheduled = true, true, true
-	c.frontend.watchCache.openJobs = map[string]openJob{}
-	return c
+	controller.membership.ready, controller.frontend.watchCache.loaded, controller.frontend.watchCache.refreshScheduled = true, true, true
+	controller.frontend.watchCache.openJobs = map[string]openJob{}
+	return controller
 }
 
-// submitTestJob submits a job, changed by change. It returns the answer, or "" without one,
-// and the records that the submission writes. Reads show that the job is unknown.
-func submitTestJob(c *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
-	s := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
-	change(&s)
-	c.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: s})
-	c.frontend.flushSubmissions()
+// submitTestJob submits a job after change has modified its description. It returns the answer, or
+// "" if there was none, and the records that the submission writes. Reads of the store find no job.
+func submitTestJob(controller *Controller, change func(*model.JobSpec)) (string, []record.OpenJob) {
+	spec := model.JobSpec{ID: "job-1", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 4, Need: model.Resources{CPU: 2, Memory: 2}, Image: "i", ImageGB: 1, ExpectedRunTime: time.Minute}
+	change(&spec)
+	controller.frontend.submitJob(message.SubmitJob{Reply: 1, Spec: spec})
+	controller.frontend.flushSubmissions()
 	var records []record.OpenJob
-	for _, op := range emittedEffects[message.StoreRequest](c) {
-		if op.Kind == message.OpTxn {
+	for _, request := range emittedEffects[message.StoreRequest](controller) {
+		if request.Kind == message.OpTxn {
 			var r record.OpenJob
-			record.Decode(op.Writes[0].Value, &r)
+			record.Decode(request.Writes[0].Value, &r)
 			records = append(records, r)
 		}
 	}
-	c.effects = nil
-	for _, fn := range c.frontend.watchCache.nextReadWaiters {
+	controller.effects = nil
+	for _, fn := range controller.frontend.watchCache.nextReadWaiters {
 		fn(true)
 	}
-	for _, op := range emittedEffects[message.StoreRequest](c) {
-		if op.Kind == message.OpGet {
-			c.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreNotFound})
+	for _, request := range emittedEffects[message.StoreRequest](controller) {
+		if request.Kind == message.OpGet {
+			controller.handleCommand(message.StoreResponse{ID: request.ID, Status: message.StoreNotFound})
 		}
 	}
-	i := slices.IndexFunc(c.effects, func(e message.Effect) bool { _, ok := e.(message.UserReply); return ok })
+	i := slices.IndexFunc(controller.effects, func(e message.Effect) bool { _, ok := e.(message.UserReply); return ok })
 	if i < 0 {
 		return "", records
 	}
-	r := c.effects[i].(message.UserReply)
+	r := controller.effects[i].(message.UserReply)
 	return fmt.Sprintf("%d %s", r.Status, r.Message), records
 }
 
-// TestImpossibleJobs: a job that can never run is refused with the reason, and all others
-// are accepted.
+// TestImpossibleJobs checks that a job that can never run is refused with the reason, and that all
+// other jobs are accepted. An accepted job that can't run would wait forever.
 func TestImpossibleJobs(t *testing.T) {
 	for name, tc := range map[string]struct {
 		change func(*model.JobSpec)
@@ -75,13 +76,13 @@
 		"an unknown zone":                                  {func(s *model.JobSpec) { s.Zone = "c" }, "422 a task fits no"},
 		"an unknown machine type":                          {func(s *model.JobSpec) { s.MachineTypes = []string{"huge"} }, "422 a task fits no"},
 		"a machine type offered nowhere":                   {func(s *model.JobSpec) { s.MachineTypes = []string{"gone"} }, "422 a task fits no"},
-		"needs what is offered nowhere":                    {func(s *model.JobSpec) { s.Need.GPU = 1 }, "422 a task fits no"},
+		"a GPU that no zone offers":                        {func(s *model.JobSpec) { s.Need.GPU = 1 }, "422 a task fits no"},
 		"a machine type not in its zone":                   {func(s *model.JobSpec) { s.MachineTypes, s.Zone = []string{"rack"}, "b" }, "422 a task fits no"},
-		"larger than what is in its zone":                  {func(s *model.JobSpec) { s.Need.CPU, s.Zone = 9, "b" }, "422 a task fits no"},
-		"larger than the machine type":                     {func(s *model.JobSpec) { s.Need.CPU, s.MachineTypes = 5, []string{"box"} }, "422 a task fits no"},
+		"larger than any machine type in its zone":         {func(s *model.JobSpec) { s.Need.CPU, s.Zone = 9, "b" }, "422 a task fits no"},
+		"larger than the allowed machine type":             {func(s *model.JobSpec) { s.Need.CPU, s.MachineTypes = 5, []string{"box"} }, "422 a task fits no"},
 		"an image larger than any disk":                    {func(s *model.JobSpec) { s.ImageGB = 71 }, "422 a task fits no"},
-		"an image larger than the type's disk":             {func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = 11, []string{"thin"} }, "422 a task fits no"},
-		"fits by size and by disk, not by both":            {func(s *model.JobSpec) { s.Need.CPU, s.ImageGB = 30, 10; s.MachineTypes = []string{"box", "thin"} }, "422 a task fits no"},
+		"an image larger than the allowed type's disk":     {func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = 11, []string{"thin"} }, "422 a task fits no"},
+		"no allowed type has both the size and the disk":   {func(s *model.JobSpec) { s.Need.CPU, s.ImageGB = 30, 10; s.MachineTypes = []string{"box", "thin"} }, "422 a task fits no"},
 		"an unknown team":                                  {func(s *model.JobSpec) { s.Team = "nobody" }, "422 unknown owner"},
 		"a task above the limit":                           {func(s *model.JobSpec) { s.Team, s.Need.CPU, s.Tasks = "lab", 32, 1; s.Need.GPU = 0 }, ""},
 		"an array above the limit":                         {func(s *model.JobSpec) { s.Team, s.Tasks = "lab", 100 }, ""},
@@ -106,14 +107,15 @@
 		t.Run(name, func(t *testing.T) {
 			got, records := submitTestJob(newOddTypesPool(), tc.change)
 			if !strings.HasPrefix(got, tc.want) || (tc.want == "") != (got == "") || (tc.want == "") != (len(records) == 1) {
-				t.Errorf("got answer %q and %d records, want %q, and a record only without an answer", got, len(records), tc.want)
+				t.Errorf("got answer %q and %d records, want answer %q, and one record if there is no answer", got, len(records), tc.want)
 			}
 		})
 	}
 }
 
-// TestImageLargerThanADisk: a job whose image is larger than the disks of some machine types
-// is restricted to the others. Placement and scale-out look at the types that it allows.
+// TestImageLargerThanADisk checks that a job whose image is larger than the disks of some machine
+// types is restricted to the other types. Placement and scale-out consider only the types that the
+// job's record allows.
 func TestImageLargerThanADisk(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -121,12 +123,12 @@
 		machineTypes []string
 		want         string
 	}{
-		{"fits all", 1, nil, ""},
-		{"just fits all", 10, nil, ""},
-		{"fits two", 11, nil, "box rack"},
-		{"fits one", 60, nil, "rack"},
-		{"fits one of those allowed", 60, []string{"box", "rack"}, "rack"},
-		{"fits those allowed", 5, []string{"box", "rack"}, "box rack"},
+		{"fits all types", 1, nil, ""},
+		{"exactly fits the smallest disk", 10, nil, ""},
+		{"fits two types", 11, nil, "box rack"},
+		{"fits one type", 60, nil, "rack"},
+		{"fits one of the allowed types", 60, []string{"box", "rack"}, "rack"},
+		{"fits all allowed types", 5, []string{"box", "rack"}, "box rack"},
 	} {
 		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = tc.imageGB, tc.machineTypes })
 		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != tc.want {
--- a/internal/controller/left_waiting.go
+++ b/internal/controller/left_waiting.go
@@ -9,10 +9,12 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// left_waiting.go finds the jobs that are left waiting, and says why nothing of them is placed:
-// for operators, and for the requests to other owners (see transfer_requests.go).
+// left_waiting.go finds the jobs that are left waiting and the reason why none of their tasks is
+// placed. Operators see the reason, and transfer requests to the owners of other machines use it
+// (see transfer_requests.go).
 
-// waitReason is why no task of a waiting job is placed, in the words of the operators' pages.
+// waitReason is the reason why no task of a waiting job is placed, in the terms of the operators'
+// pages.
 type waitReason string
 
 const (
@@ -26,169 +28,176 @@
 )
 
 const (
-	// capacitySoon is how soon capacity must be expected for a job to wait for that alone, and
-	// maxWaitForSoon until when. Run times and boot times are often wrong by half, so what is
-	// expected again and again counts no longer then.
+	// capacitySoon is how soon capacity must be expected for a job to wait for that capacity
+	// alone. maxWaitForSoon is the wait after which expected capacity counts no longer: run
+	// times and boot times are often wrong by half, so capacity may be expected again and again
+	// without coming.
 	capacitySoon   = 15 * time.Second
 	maxWaitForSoon = time.Minute
-	// waitReportInterval is how often waits are reported to the metrics.
+	// waitReportInterval is the interval between reports of waits to the metrics.
 	waitReportInterval = 5 * time.Second
-	// maxWaitingStatuses bounds the jobs in a status.
+	// maxWaitingStatuses bounds the number of waiting jobs listed in a status.
 	maxWaitingStatuses = 20
 )
 
-// waitingJob is a job that is left waiting: it has had tasks to place for longer than
-// leftWaitingAfter, and none was placed.
+// waitingJob is a job that is left waiting: it has had placeable tasks for longer than
+// leftWaitingAfter, and none of them was placed in that time.
 type waitingJob struct {
 	job    *job
 	waited time.Duration
 }
 
-// unservedFor is how long a job has had tasks to place without a task of it being placed, also
-// under former owners. One that waits only for tasks to be repeated has its record of that since
-// this shard leader has it.
-func (s *scheduler) unservedFor(j *job) time.Duration {
-	from := j.waitingSince
-	if j.nextFresh < len(j.tasks) {
-		from = earlier(from, j.readySince())
+// unservedFor returns how long a job has had placeable tasks without any of its tasks being placed,
+// including the time under earlier owners. If all pending tasks are retries, the wait counts from
+// this shard leader's takeover at the earliest, since the wait under earlier owners is unknown.
+func (s *scheduler) unservedFor(job *job) time.Duration {
+	since := job.waitingSince
+	if job.nextFresh < len(job.tasks) {
+		since = earlier(since, job.readySince())
 	}
-	return s.now.Sub(later(from, j.lastStarted()))
+	return s.now.Sub(later(since, job.lastStarted()))
 }
 
-// lastStarted is when a group of the job's tasks was last placed, by its records too.
+// lastStarted returns when a group of the job's tasks was last placed, including groups restored
+// from records.
 func (j *job) lastStarted() time.Time {
-	at := j.lastPlacedAt
-	for _, g := range j.groups {
-		at = later(at, g.startedAt)
+	last := j.lastPlacedAt
+	for _, group := range j.groups {
+		last = later(last, group.startedAt)
 	}
-	return at
+	return last
 }
 
 // jobsLeftWaiting returns the jobs that are left waiting, the longest wait first.
 func (s *scheduler) jobsLeftWaiting() []waitingJob {
-	var out []waitingJob
-	for _, j := range s.controller.shardLeader.jobs {
-		if j.waitingSince.IsZero() || s.now.Sub(j.lastPlacedAt) <= leftWaitingAfter || s.placeableTasks(j) == 0 {
+	var waiting []waitingJob
+	for _, job := range s.controller.shardLeader.jobs {
+		if job.waitingSince.IsZero() || s.now.Sub(job.lastPlacedAt) <= leftWaitingAfter || s.placeableTasks(job) == 0 {
 			continue
 		}
-		if waited := s.unservedFor(j); waited > leftWaitingAfter {
-			out = append(out, waitingJob{job: j, waited: waited})
+		if waited := s.unservedFor(job); waited > leftWaitingAfter {
+			waiting = append(waiting, waitingJob{job: job, waited: waited})
 		}
 	}
-	slices.SortFunc(out, func(a, b waitingJob) int {
+	slices.SortFunc(waiting, func(a, b waitingJob) int {
 		return cmp.Or(cmp.Compare(b.waited, a.waited), strings.Compare(a.job.ID, b.job.ID))
 	})
-	return out
+	return waiting
 }
 
-// waitDiagnosis finds the reasons of waits. It looks at all machines, which in a large pool is
-// done once for all jobs whose tasks are alike.
+// waitDiagnosis determines the reasons of waits. A reason may take a scan of all machines, so the
+// result of a scan is shared by all jobs with the same kind of task.
 type waitDiagnosis struct {
 	scheduler *scheduler
 	byShape   map[taskShape]shapeCapacity
 }
 
-// shapeCapacity is the capacity for one kind of task: free here, and expected soon.
+// shapeCapacity says which capacity there is for one kind of task: free at present, on a machine
+// that is being provisioned, or to be freed soon by tasks that end.
 type shapeCapacity struct {
 	free, machineComing, freeSoon bool
 }
 
+// newWaitDiagnosis returns a waitDiagnosis for the present state. It must not be kept beyond the
+// current step.
 func (s *scheduler) newWaitDiagnosis() *waitDiagnosis {
 	return &waitDiagnosis{scheduler: s, byShape: map[taskShape]shapeCapacity{}}
 }
 
-// reason says why no task of a job is placed.
-func (d *waitDiagnosis) reason(w waitingJob) waitReason {
+// reason returns why no task of a job is placed.
+func (diagnosis *waitDiagnosis) reason(waiting waitingJob) waitReason {
 	switch {
-	case d.scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(w.job.ID) && w.job.liveTasks == 0:
+	case diagnosis.scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(waiting.job.ID) && waiting.job.liveTasks == 0:
 		return waitsForRetry
-	case !d.scheduler.withinQuotaLimit(w.job):
+	case !diagnosis.scheduler.withinQuotaLimit(waiting.job):
 		return waitsForQuotaLimit
-	case w.job.Gang:
+	case waiting.job.Gang:
 		return waitsForGang
 	}
-	switch c := d.capacity(w.job); {
-	case c.free:
+	switch capacity := diagnosis.capacity(waiting.job); {
+	case capacity.free:
 		return waitsForTurn
-	case w.waited >= maxWaitForSoon:
+	case waiting.waited >= maxWaitForSoon:
 		return waitsForCapacity
-	case c.machineComing:
+	case capacity.machineComing:
 		return waitsForMachine
-	case c.freeSoon:
+	case capacity.freeSoon:
 		return waitsForTaskEnd
 	}
 	return waitsForCapacity
 }
 
-// capacity is the capacity for a task of a job.
-func (d *waitDiagnosis) capacity(j *job) shapeCapacity {
-	avoided := j.avoidedMachine()
-	alike := avoided == "" && !j.SameZone && !j.SpreadZones
-	shape := j.taskShape()
-	if c, known := d.byShape[shape]; known && alike {
-		return c
+// capacity returns the capacity for a task of a job.
+func (diagnosis *waitDiagnosis) capacity(job *job) shapeCapacity {
+	avoided := job.avoidedMachine()
+	alike := avoided == "" && !job.SameZone && !job.SpreadZones
+	shape := job.taskShape()
+	if capacity, known := diagnosis.byShape[shape]; known && alike {
+		return capacity
 	}
-	c := shapeCapacity{machineComing: d.scheduler.machineComing(j)}
-	for _, m := range d.scheduler.controller.shardLeader.machinesByID {
-		if m.id == avoided || !j.Need.Fits(m.size) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || m.reservedForOther(j) || !d.scheduler.usable(m) {
+	capacity := shapeCapacity{machineComing: diagnosis.scheduler.machineComing(job)}
+	for _, machine := range diagnosis.scheduler.controller.shardLeader.machinesByID {
+		if machine.id == avoided || !job.Need.Fits(machine.size) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.zoneAllowed(machine.zone) || machine.reservedForOther(job) || !diagnosis.scheduler.usable(machine) {
 			continue
 		}
-		if j.Need.Fits(m.free()) {
-			c.free = true
+		if job.Need.Fits(machine.free()) {
+			capacity.free = true
 			break
 		}
-		if !c.freeSoon {
-			in, fits := d.scheduler.timeUntilFits(m, j.Need)
-			c.freeSoon = fits && in <= capacitySoon
+		if !capacity.freeSoon {
+			freeIn, fits := diagnosis.scheduler.timeUntilFits(machine, job.Need)
+			capacity.freeSoon = fits && freeIn <= capacitySoon
 		}
 	}
 	if alike {
-		d.byShape[shape] = c
+		diagnosis.byShape[shape] = capacity
 	}
-	return c
+	return capacity
 }
 
-// machineComing reports whether a machine for the job is expected to be ready soon.
-func (s *scheduler) machineComing(j *job) bool {
-	for r := range s.controller.shardLeader.fleet.expectedFor(j) {
-		fits := j.Need.Fits(s.controller.knowledge.machineTypes[r.machineType].Capacity)
-		if fits && s.controller.knowledge.timeToReady(r.machineKind, s.now.Sub(r.rentedAt)) <= capacitySoon {
+// machineComing reports whether a machine that fits a task of the job is expected to be ready
+// within capacitySoon.
+func (s *scheduler) machineComing(job *job) bool {
+	for rental := range s.controller.shardLeader.fleet.expectedFor(job) {
+		fits := job.Need.Fits(s.controller.knowledge.machineTypes[rental.machineType].Capacity)
+		if fits && s.controller.knowledge.timeToReady(rental.machineKind, s.now.Sub(rental.rentedAt)) <= capacitySoon {
 			return true
 		}
 	}
 	return false
 }
 
-// waitingStatuses are the jobs left waiting for the operators' status, at most
-// maxWaitingStatuses.
+// waitingStatuses returns the jobs that are left waiting, for the status that operators see, at
+// most maxWaitingStatuses.
 func (s *scheduler) waitingStatuses() []message.WaitingJobStatus {
-	var out []message.WaitingJobStatus
+	var statuses []message.WaitingJobStatus
 	diagnosis := s.newWaitDiagnosis()
-	for _, w := range s.jobsLeftWaiting() {
-		if len(out) >= maxWaitingStatuses {
+	for _, waiting := range s.jobsLeftWaiting() {
+		if len(statuses) >= maxWaitingStatuses {
 			break
 		}
-		out = append(out, message.WaitingJobStatus{Job: w.job.ID, Team: w.job.Team, Workload: w.job.Workload, WaitedSeconds: w.waited.Seconds(), Reason: string(diagnosis.reason(w))})
+		statuses = append(statuses, message.WaitingJobStatus{Job: waiting.job.ID, Team: waiting.job.Team, Workload: waiting.job.Workload, WaitedSeconds: waiting.waited.Seconds(), Reason: string(diagnosis.reason(waiting))})
 	}
-	return out
+	return statuses
 }
 
-// reportWaits reports to the metrics, each waitReportInterval, how many jobs of each team are left
-// waiting and for how long.
+// reportWaits reports to the metrics, once per waitReportInterval, how many jobs of each team are
+// left waiting and for how long.
 func (s *scheduler) reportWaits() {
 	if s.now.Sub(s.waitsReportedAt) < waitReportInterval {
 		return
 	}
 	s.waitsReportedAt = s.now
 	byTeam := map[string]*message.TeamWaits{}
-	for _, w := range s.jobsLeftWaiting() {
-		t := byTeam[w.job.Team]
-		if t == nil {
-			// The first of a team has waited longest.
-			t = &message.TeamWaits{Team: w.job.Team, Longest: w.waited}
-			byTeam[w.job.Team] = t
+	for _, waiting := range s.jobsLeftWaiting() {
+		teamWaits := byTeam[waiting.job.Team]
+		if teamWaits == nil {
+			// Jobs come longest wait first, so the team's first job has its longest
+			// wait.
+			teamWaits = &message.TeamWaits{Team: waiting.job.Team, Longest: waiting.waited}
+			byTeam[waiting.job.Team] = teamWaits
 		}
-		t.Jobs++
+		teamWaits.Jobs++
 	}
 	report := message.WaitReport{}
 	for _, team := range sortedKeys(byTeam) {
--- a/internal/controller/ordering.go
+++ b/internal/controller/ordering.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// sortedKeys gives a map's keys in order, so that the same inputs give the same decisions.
+// sortedKeys returns the keys of a map in ascending order, so that the same inputs give the same
+// decisions.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K {
 	keys := make([]K, 0, len(m))
 	for k := range m {
@@ -17,9 +18,10 @@
 	return keys
 }
 
+// sortedAttempts returns the keys of a machine's attempts, ordered by sortTasks.
 func sortedAttempts(m *machine) []taskKey { return sortedTasks(m.attempts) }
 
-// sortedTasks gives the keys of a map by task in order, likewise.
+// sortedTasks returns the keys of a map, ordered by sortTasks.
 func sortedTasks[V any](m map[taskKey]V) []taskKey {
 	keys := make([]taskKey, 0, len(m))
 	for k := range m {
@@ -42,7 +44,7 @@
 	})
 }
 
-// later is the later of two times.
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -9,58 +9,64 @@
 )
 
 const (
-	// expensivePenalty is added to a machine's score for each time that its CPUs cost the
-	// price of the cheapest kind, so that expensive machines go idle first and are released.
+	// expensivePenalty is the score penalty of a machine whose CPUs cost twice as much as those
+	// of the cheapest kind. The penalty is proportional to the excess cost, so that expensive
+	// machines become idle first and are released.
 	expensivePenalty = time.Second
-	// prewarmedPenalty keeps other work off machines that hold the images of workloads
-	// whose wait is bounded, as long as a fetch elsewhere is quicker.
+	// prewarmedPenalty is added to the score of machines that hold images of workloads with a
+	// bounded wait. It keeps tasks of other workloads off these machines as long as a fetch
+	// elsewhere is quicker.
 	prewarmedPenalty = 3 * time.Second
-	// leftWaitingAfter is after which time a job counts as left waiting: it has pending tasks,
-	// and none was placed for so long. It may then use machines that cost reasons keep from
-	// it. The operators' rule allows twice as long beside a machine with free capacity.
+	// leftWaitingAfter is how long a job with pending tasks may go without a placed task before
+	// it counts as left waiting. Such a job may also use the machines that are otherwise closed
+	// to it to save cost. The operators' rule allows twice this time beside a machine with free
+	// capacity.
 	leftWaitingAfter = 45 * time.Second
-	// maxSkippedTasks bounds the tasks of a job that are passed over in a round because they
-	// avoid the machines that have capacity.
+	// maxSkippedTasks bounds how many tasks of a job a round skips because they avoid the
+	// machines that have capacity.
 	maxSkippedTasks = 16
 )
 
 // placement_round.go places pending tasks. A round rates a machine a few times for each kind of
-// task and image, not once for each job: when a large pool has fallen behind, hundreds of jobs are
-// pending, and heartbeats and renewals wait for the round.
+// task and image, and not once for each job: when a large pool has fallen behind, hundreds of jobs
+// are pending, and heartbeats and lease renewals wait until the round ends.
 
-// placementRound is what one round finds out once for all jobs.
+// placementRound holds what one round determines once for all jobs.
 type placementRound struct {
 	// candidates are the usable machines with any free capacity.
 	candidates []*candidateMachine
-	// prewarmedImages are the images of workloads whose wait is bounded.
+	// prewarmedImages are the images of workloads with a bounded wait.
 	prewarmedImages    map[string]bool
 	scarcityByWorkload map[string]map[string]scarcity
-	// full are the kinds of tasks that fit nowhere. Of a long queue of alike jobs only the
-	// first rates every machine.
+	// full are the kinds of tasks that fit on no machine. In a long queue of similar jobs only
+	// the first job rates every machine.
 	full            map[taskShape]bool
 	candidateGroups map[candidateGroupKey]*candidateGroup
-	// packedCandidates are the machines with GPUs on which tasks were placed, in that order,
-	// once for each task.
+	// packedCandidates lists the GPU machines on which this round placed tasks, in the order of
+	// placement and once for each task.
 	packedCandidates []*candidateMachine
 }
 
-// candidateMachine is a machine with free capacity, and the part of its rating that is the same
-// for all jobs.
+// candidateMachine is a machine with free capacity, together with the part of its rating that is
+// the same for all jobs.
 type candidateMachine struct {
 	machine *machine
 	index   int
-	// costPenalty keeps work off an expensive machine, in seconds.
+	// costPenalty is the part of the score, in seconds, that keeps tasks off an expensive
+	// machine.
 	costPenalty float64
-	// holdsPrewarmed says that it holds an image of a workload whose wait is bounded.
+	// holdsPrewarmed is set if the machine holds an image of a workload with a bounded wait.
 	holdsPrewarmed bool
-	// fetchRate is in GB a second; fetchCount images are being fetched.
+	// fetchRate is the image fetch rate in GB per second; fetchCount is the number of images
+	// being fetched.
 	fetchRate  float64
 	fetchCount int
-	// packingKind is the usual demand on machines of its type, if they have GPUs; else nil.
+	// packingKind is the usual demand on machines of this type if they have GPUs, and nil
+	// otherwise.
 	packingKind *packing.Profile
 }
 
-// taskShape is what of a task decides on which machines it may run.
+// taskShape contains the properties of a task that decide on which machines it may run.
 type taskShape struct {
 	workload     string
 	need         model.Resources
@@ -69,74 +75,77 @@
 	spot         bool
 }
 
+// taskShape returns the shape of the job's tasks.
 func (j *job) taskShape() taskShape {
-	s := taskShape{workload: j.Workload, need: j.Need, zone: j.Zone, spot: j.AllowSpot}
+	shape := taskShape{workload: j.Workload, need: j.Need, zone: j.Zone, spot: j.AllowSpot}
 	if len(j.MachineTypes) > 0 {
-		s.machineTypes = strings.Join(j.MachineTypes, " ")
+		shape.machineTypes = strings.Join(j.MachineTypes, " ")
 	}
-	return s
+	return shape
 }
 
-// newPlacementRound rates all usable machines as far as that is the same for all jobs.
+// newPlacementRound lists the usable machines with free capacity and computes the part of their
+// ratings that is the same for all jobs.
 func (s *scheduler) newPlacementRound() *placementRound {
-	r := &placementRound{
+	round := &placementRound{
 		prewarmedImages: map[string]bool{}, scarcityByWorkload: map[string]map[string]scarcity{},
 		full: map[taskShape]bool{}, candidateGroups: map[candidateGroupKey]*candidateGroup{},
 	}
-	for _, w := range s.controller.shardLeader.workloads {
-		if s.waitObjective(w.spec.Workload) > 0 && s.now.Sub(w.lastSeen) < workloadRetention {
-			for _, k := range s.controller.shardLeader.fleet.workloadKeysOf(w.spec.Workload) {
-				for _, a := range s.controller.shardLeader.fleet.arrivals[k] {
-					r.prewarmedImages[a.spec.Image] = true
+	for _, workload := range s.controller.shardLeader.workloads {
+		if s.waitObjective(workload.spec.Workload) > 0 && s.now.Sub(workload.lastSeen) < workloadRetention {
+			for _, key := range s.controller.shardLeader.fleet.workloadKeysOf(workload.spec.Workload) {
+				for _, arrival := range s.controller.shardLeader.fleet.arrivals[key] {
+					round.prewarmedImages[arrival.spec.Image] = true
 				}
 			}
 		}
 	}
 	cheapest, costPenalties, usual := s.controller.knowledge.cheapestCPUCost(), map[machineKind]float64{}, s.currentPackingProfile()
-	for _, m := range s.controller.shardLeader.machinesByID {
-		free := m.free()
-		if free.CPU <= roundingTolerance || free.Memory <= roundingTolerance || !s.usable(m) {
+	for _, machine := range s.controller.shardLeader.machinesByID {
+		free := machine.free()
+		if free.CPU <= roundingTolerance || free.Memory <= roundingTolerance || !s.usable(machine) {
 			continue
 		}
-		c := &candidateMachine{machine: m, index: len(r.candidates), fetchRate: s.controller.knowledge.imageFetchRate(m), packingKind: usual.kind(m.machineType)}
-		k := machineKind{m.machineType, m.zone, m.spot}
-		d, ok := costPenalties[k]
+		candidate := &candidateMachine{machine: machine, index: len(round.candidates), fetchRate: s.controller.knowledge.imageFetchRate(machine), packingKind: usual.kind(machine.machineType)}
+		key := machineKind{machine.machineType, machine.zone, machine.spot}
+		penalty, ok := costPenalties[key]
 		if !ok {
-			d = expensivePenalty.Seconds() * (s.controller.knowledge.costPerCPU(m)/cheapest - 1)
-			costPenalties[k] = d
+			penalty = expensivePenalty.Seconds() * (s.controller.knowledge.costPerCPU(machine)/cheapest - 1)
+			costPenalties[key] = penalty
 		}
-		c.costPenalty = d
-		c.scanImages(r)
-		r.candidates = append(r.candidates, c)
+		candidate.costPenalty = penalty
+		candidate.scanImages(round)
+		round.candidates = append(round.candidates, candidate)
 	}
-	return r
+	return round
 }
 
-// scanImages notes which images the machine holds and fetches now.
-func (c *candidateMachine) scanImages(r *placementRound) {
-	c.holdsPrewarmed, c.fetchCount = false, 0
-	for name, im := range c.machine.images {
+// scanImages updates holdsPrewarmed and fetchCount from the machine's images.
+func (candidate *candidateMachine) scanImages(round *placementRound) {
+	candidate.holdsPrewarmed, candidate.fetchCount = false, 0
+	for name, image := range candidate.machine.images {
 		switch {
-		case !im.cached:
-			c.fetchCount++
-		case r.prewarmedImages[name]:
-			c.holdsPrewarmed = true
+		case !image.cached:
+			candidate.fetchCount++
+		case round.prewarmedImages[name]:
+			candidate.holdsPrewarmed = true
 		}
 	}
 }
 
-// fetchSeconds is how long the machine needs to have the job's image, in seconds.
-func (c *candidateMachine) fetchSeconds(j *job) float64 {
-	return c.machine.fetchSeconds(j, c.fetchCount, c.fetchRate)
+// fetchSeconds returns how many seconds the machine needs until it has the job's image.
+func (candidate *candidateMachine) fetchSeconds(job *job) float64 {
+	return candidate.machine.fetchSeconds(job, candidate.fetchCount, candidate.fetchRate)
 }
 
-// scarcityFor is scarcityOf, once in a round for each workload whose tasks may run on any type.
-func (s *scheduler) scarcityFor(r *placementRound, j *job) map[string]scarcity {
-	byType, ok := r.scarcityByWorkload[j.Workload]
-	if !ok || len(j.MachineTypes) > 0 {
-		byType = s.scarcityOf(&j.JobSpec)
-		if len(j.MachineTypes) == 0 {
-			r.scarcityByWorkload[j.Workload] = byType
+// scarcityFor returns scarcityOf for the job. For jobs whose tasks may run on any machine type, the
+// result is computed once per round and workload.
+func (s *scheduler) scarcityFor(round *placementRound, job *job) map[string]scarcity {
+	byType, ok := round.scarcityByWorkload[job.Workload]
+	if !ok || len(job.MachineTypes) > 0 {
+		byType = s.scarcityOf(&job.JobSpec)
+		if len(job.MachineTypes) == 0 {
+			round.scarcityByWorkload[job.Workload] = byType
 		}
 	}
 	return byType
@@ -151,240 +160,251 @@
 }
 
 // leftWaiting reports whether the job is left waiting; see leftWaitingAfter.
-func (s *scheduler) leftWaiting(j *job) bool {
-	return !j.waitingSince.IsZero() && s.now.Sub(later(j.waitingSince, j.lastPlacedAt)) > leftWaitingAfter
+func (s *scheduler) leftWaiting(job *job) bool {
+	return !job.waitingSince.IsZero() && s.now.Sub(later(job.waitingSince, job.lastPlacedAt)) > leftWaitingAfter
 }
 
-// candidateGroup is the machines with capacity for alike tasks, those with the same fetch time in
-// one heap, the best first. Scores may be out of date, since other tasks take capacity and fetch
-// images too; the first of a heap is rated again when it comes up.
+// candidateGroup holds the machines with capacity for one kind of task: one heap for each fetch
+// time, with the best machine first. Scores may be out of date, since other tasks also take
+// capacity and fetch images, so the first machine of a heap is rated again before use.
 type candidateGroup struct {
 	byFetchTime []*fetchTimeHeap
 	// run is the expected run time in seconds.
 	run         float64
 	boundedWait bool
-	// leftWaiting opens machines under decommission to the job.
+	// leftWaiting allows the job to use machines under decommission.
 	leftWaiting bool
-	// scarcity is by machine type; nil where no other workload matters.
+	// scarcity is by machine type. It is nil if no other workload competes for the machine
+	// types.
 	scarcity map[string]scarcity
 	// avoidGPUs keeps the tasks off machines with GPUs.
 	avoidGPUs bool
-	// packedSeen counts the packed candidates of the round that were rated again.
+	// packedSeen counts the entries of the round's packedCandidates that this group has rated
+	// again.
 	packedSeen int
 }
 
-// fetchTimeHeap is machines that take equally long to have the image.
+// fetchTimeHeap holds the machines that need the same time to fetch the image.
 type fetchTimeHeap struct {
 	fetchSeconds float64
 	heap[ratedCandidate, *ratedCandidate]
 }
 
-// ratedCandidate is a machine on which a task may be placed, and how well it suits, in seconds;
-// less is better.
+// ratedCandidate is a machine on which a task may be placed, with its score in seconds. A lower
+// score is better.
 type ratedCandidate struct {
 	candidate *candidateMachine
 	score     float64
 }
 
-// betterThan compares the first machines of two heaps that are not empty, with their fetch times.
+// betterThan reports whether the first machine of f is better than the first machine of o, by fetch
+// time plus score. Neither heap may be empty.
 func (f *fetchTimeHeap) betterThan(o *fetchTimeHeap) bool {
 	a, b := f.fetchSeconds+f.elems[0].score, o.fetchSeconds+o.elems[0].score
 	return a < b || a == b && f.elems[0].candidate.index < o.elems[0].candidate.index
 }
 
+// before reports whether a has the better score. Equal scores are ordered by machine index.
+//
 //lint:ignore U1000 heap calls it by its type parameter
 func (a *ratedCandidate) before(b *ratedCandidate) bool {
 	return a.score < b.score || a.score == b.score && a.candidate.index < b.candidate.index
 }
 
-func (g *candidateGroup) push(fetch float64, p ratedCandidate) {
-	for _, f := range g.byFetchTime {
-		if f.fetchSeconds == fetch {
-			f.push(p)
+// push adds a machine to the heap for the given fetch time, in seconds.
+func (group *candidateGroup) push(fetch float64, candidate ratedCandidate) {
+	for _, fetchHeap := range group.byFetchTime {
+		if fetchHeap.fetchSeconds == fetch {
+			fetchHeap.push(candidate)
 			return
 		}
 	}
-	f := &fetchTimeHeap{fetchSeconds: fetch}
-	f.push(p)
-	g.byFetchTime = append(g.byFetchTime, f)
+	fetchHeap := &fetchTimeHeap{fetchSeconds: fetch}
+	fetchHeap.push(candidate)
+	group.byFetchTime = append(group.byFetchTime, fetchHeap)
 }
 
-// candidateGroupFor returns the machines for a job's tasks. Alike jobs share a group, but where it
-// matters in which zone the job's other tasks are.
-func (s *scheduler) candidateGroupFor(r *placementRound, j *job) *candidateGroup {
-	key := candidateGroupKey{j.taskShape(), j.Image, j.ImageGB, s.leftWaiting(j)}
-	own := j.SameZone || j.SpreadZones || j.placingOverdue
-	if g := r.candidateGroups[key]; g != nil && !own {
-		s.reratePacked(r, g, j)
-		return g
+// candidateGroupFor returns the group of machines for a job's tasks. Similar jobs share a group,
+// except a job that is placed as overdue, or whose tasks depend on the zones of its other tasks.
+func (s *scheduler) candidateGroupFor(round *placementRound, job *job) *candidateGroup {
+	key := candidateGroupKey{job.taskShape(), job.Image, job.ImageGB, s.leftWaiting(job)}
+	unshared := job.SameZone || job.SpreadZones || job.placingOverdue
+	if group := round.candidateGroups[key]; group != nil && !unshared {
+		s.reratePacked(round, group, job)
+		return group
 	}
-	g := &candidateGroup{
-		run: s.controller.knowledge.expectedRunTime(j).Seconds(), boundedWait: s.waitObjective(j.Workload) > 0,
-		leftWaiting: key.leftWaiting, avoidGPUs: s.avoidsGPUsNow(j), packedSeen: len(r.packedCandidates),
+	group := &candidateGroup{
+		run: s.controller.knowledge.expectedRunTime(job).Seconds(), boundedWait: s.waitObjective(job.Workload) > 0,
+		leftWaiting: key.leftWaiting, avoidGPUs: s.avoidsGPUsNow(job), packedSeen: len(round.packedCandidates),
 	}
-	if !j.placingOverdue {
-		// An overdue job leaves nothing to others that fit fewer types.
-		g.scarcity = s.scarcityFor(r, j)
+	if !job.placingOverdue {
+		// An overdue job does not keep scarce machines free for workloads that fit fewer
+		// types.
+		group.scarcity = s.scarcityFor(round, job)
 	}
-	for _, c := range r.candidates {
-		if score, ok := g.rate(s, j, c); ok {
-			g.push(c.fetchSeconds(j), ratedCandidate{c, score})
+	for _, candidate := range round.candidates {
+		if score, ok := group.rate(s, job, candidate); ok {
+			group.push(candidate.fetchSeconds(job), ratedCandidate{candidate, score})
 		}
 	}
-	if !own {
-		r.candidateGroups[key] = g
+	if !unshared {
+		round.candidateGroups[key] = group
 	}
-	return g
+	return group
 }
 
-// rate returns how well a machine suits a task of j, apart from the fetch, and whether the task
-// may be placed there at all. The fullest machine is best, so that others go empty.
-func (g *candidateGroup) rate(s *scheduler, j *job, c *candidateMachine) (float64, bool) {
-	m := c.machine
-	free := m.free()
-	if !j.Need.Fits(free) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || m.reservedForOther(j) {
+// rate returns the score of a machine for a task of the job without the fetch time, and whether the
+// task may be placed there at all. The fullest machine has the best score, so that other machines
+// become empty.
+func (group *candidateGroup) rate(scheduler *scheduler, job *job, candidate *candidateMachine) (float64, bool) {
+	machine := candidate.machine
+	free := machine.free()
+	if !job.Need.Fits(free) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.zoneAllowed(machine.zone) || machine.reservedForOther(job) {
 		return 0, false
 	}
-	sc := notScarce
-	if len(g.scarcity) > 0 {
-		sc = g.scarcity[m.machineType]
+	typeScarcity := notScarce
+	if len(group.scarcity) > 0 {
+		typeScarcity = group.scarcity[machine.machineType]
 	}
-	if m.decommissioning && !g.boundedWait && !g.leftWaiting && m.reservedFor != j.ID || sc == scarceNow {
+	if machine.decommissioning && !group.boundedWait && !group.leftWaiting && machine.reservedFor != job.ID || typeScarcity == scarceNow {
 		return 0, false
 	}
-	score := c.costPenalty
-	if !g.boundedWait && c.holdsPrewarmed {
+	score := candidate.costPenalty
+	if !group.boundedWait && candidate.holdsPrewarmed {
 		score += prewarmedPenalty.Seconds()
 	}
-	if m.speedN >= slowSeen && m.speed > slowMachine {
-		score += g.run * (m.speed - 1)
+	if machine.speedN >= slowSeen && machine.speed > slowMachine {
+		score += group.run * (machine.speed - 1)
 	}
-	if sc == scarceSoon {
+	if typeScarcity == scarceSoon {
 		score += scarcePenalty.Seconds()
 	}
-	if c.packingKind != nil {
-		more, ok := s.rateGPUMachine(c.packingKind, j, m, free, g.avoidGPUs)
-		return score + more, ok
+	if candidate.packingKind != nil {
+		gpuScore, ok := scheduler.rateGPUMachine(candidate.packingKind, job, machine, free, group.avoidGPUs)
+		return score + gpuScore, ok
 	}
-	return score + (free.CPU-j.Need.CPU)/max(m.size.CPU, 1), true
+	return score + (free.CPU-job.Need.CPU)/max(machine.size.CPU, 1), true
 }
 
-// best returns the heap whose first machine is best for a task of j, among those that need no
-// longer than most seconds to have the image.
-func (g *candidateGroup) best(s *scheduler, j *job, most float64) (*fetchTimeHeap, bool) {
+// best returns the heap whose first machine is best for a task of the job, among machines that need
+// no longer than the given fetch time, in seconds, to have the image.
+func (group *candidateGroup) best(scheduler *scheduler, job *job, maxFetchSeconds float64) (*fetchTimeHeap, bool) {
 	var best *fetchTimeHeap
-	// Moving a machine to another heap may append one, so the length is read each time.
-	for k := 0; k < len(g.byFetchTime); k++ {
-		f := g.byFetchTime[k]
-		if f.fetchSeconds > most {
+	// Moving a machine to another heap may append a heap, so the loop reads the length each
+	// time.
+	for index := 0; index < len(group.byFetchTime); index++ {
+		fetchHeap := group.byFetchTime[index]
+		if fetchHeap.fetchSeconds > maxFetchSeconds {
 			continue
 		}
-		for len(f.elems) > 0 {
-			// Copied: once the first is popped, another stands in its place and would be
-			// pushed with this one's score.
-			p := f.elems[0]
-			score, ok := g.rate(s, j, p.candidate)
-			if fetch := p.candidate.fetchSeconds(j); ok && fetch == f.fetchSeconds && score <= p.score {
+		for len(fetchHeap.elems) > 0 {
+			// The candidate is copied: pop moves another machine to the front of the
+			// heap, and that machine must not be pushed with the score of the removed
+			// one.
+			first := fetchHeap.elems[0]
+			score, ok := group.rate(scheduler, job, first.candidate)
+			if fetch := first.candidate.fetchSeconds(job); ok && fetch == fetchHeap.fetchSeconds && score <= first.score {
 				break
 			} else if !ok {
-				f.pop()
-			} else if fetch != f.fetchSeconds {
-				f.pop()
-				g.push(fetch, ratedCandidate{p.candidate, score})
+				fetchHeap.pop()
+			} else if fetch != fetchHeap.fetchSeconds {
+				fetchHeap.pop()
+				group.push(fetch, ratedCandidate{first.candidate, score})
 			} else {
-				f.elems[0].score = score
-				f.siftDown()
+				fetchHeap.elems[0].score = score
+				fetchHeap.siftDown()
 			}
 		}
-		if len(f.elems) > 0 && (best == nil || f.betterThan(best)) {
-			best = f
+		if len(fetchHeap.elems) > 0 && (best == nil || fetchHeap.betterThan(best)) {
+			best = fetchHeap
 		}
 	}
 	return best, best != nil
 }
 
-// placeJob places up to count pending tasks on machines that need no longer than fetch to have
+// placeJob places up to count pending tasks of a job on machines that need at most fetch to have
 // the image.
-func (s *scheduler) placeJob(j *job, r *placementRound, fetch time.Duration, count int) {
-	if count <= 0 || j.pendingTasks() == 0 || !s.withinQuotaLimit(j) {
+func (s *scheduler) placeJob(job *job, round *placementRound, fetch time.Duration, count int) {
+	if count <= 0 || job.pendingTasks() == 0 || !s.withinQuotaLimit(job) {
 		return
 	}
-	shape := j.taskShape()
-	leftWaiting := s.leftWaiting(j)
-	if r.full[shape] && !j.placingOverdue && !leftWaiting {
+	shape := job.taskShape()
+	leftWaiting := s.leftWaiting(job)
+	if round.full[shape] && !job.placingOverdue && !leftWaiting {
 		return
 	}
-	candidates := s.candidateGroupFor(r, j)
-	most := fetch.Seconds()
-	// Tasks that avoid the only machines with capacity do not keep the others from them.
+	candidates := s.candidateGroupFor(round, job)
+	maxFetchSeconds := fetch.Seconds()
+	// Tasks that avoid the only machines with capacity must not block the job's other tasks.
 	var skipped []int
 	defer func() {
 		if len(skipped) > 0 {
-			j.requeued = append(skipped, j.requeued...)
+			job.requeued = append(skipped, job.requeued...)
 		}
 	}()
-	for ; count > 0 && j.pendingTasks() > 0 && s.withinQuotaLimit(j); count-- {
-		if leftWaiting && !s.leftWaiting(j) {
-			// One task was placed: the others are not left waiting any more.
-			leftWaiting, candidates = false, s.candidateGroupFor(r, j)
+	for ; count > 0 && job.pendingTasks() > 0 && s.withinQuotaLimit(job); count-- {
+		if leftWaiting && !s.leftWaiting(job) {
+			// A task was placed, so the job is not left waiting any more and loses
+			// access to machines under decommission.
+			leftWaiting, candidates = false, s.candidateGroupFor(round, job)
 		}
-		i := j.takePending(s.now)
-		if i < 0 {
+		index := job.takePending(s.now)
+		if index < 0 {
 			return
 		}
-		t := &j.tasks[i]
+		task := &job.tasks[index]
 		var avoided []ratedCandidate
-		f, ok := candidates.best(s, j, most)
-		for ok && t.avoids(f.elems[0].candidate.machine.id) {
-			avoided = append(avoided, f.pop())
-			f, ok = candidates.best(s, j, most)
+		fetchHeap, ok := candidates.best(s, job, maxFetchSeconds)
+		for ok && task.avoids(fetchHeap.elems[0].candidate.machine.id) {
+			avoided = append(avoided, fetchHeap.pop())
+			fetchHeap, ok = candidates.best(s, job, maxFetchSeconds)
 		}
 		if !ok {
-			for _, p := range avoided {
-				candidates.push(p.candidate.fetchSeconds(j), p)
+			for _, avoidedCandidate := range avoided {
+				candidates.push(avoidedCandidate.candidate.fetchSeconds(job), avoidedCandidate)
 			}
-			skipped = append(skipped, i)
+			skipped = append(skipped, index)
 			if len(avoided) > 0 && len(skipped) < maxSkippedTasks {
 				continue
 			}
-			if fetch == forever && len(avoided) == 0 && !j.SameZone && !j.SpreadZones && !leftWaiting {
-				r.full[shape] = true
+			if fetch == forever && len(avoided) == 0 && !job.SameZone && !job.SpreadZones && !leftWaiting {
+				round.full[shape] = true
 			}
 			return
 		}
-		c := f.elems[0].candidate
-		s.startAttempt(j, i, c.machine)
-		c.scanImages(r)
-		if c.packingKind != nil {
-			r.packedCandidates = append(r.packedCandidates, c)
+		candidate := fetchHeap.elems[0].candidate
+		s.startAttempt(job, index, candidate.machine)
+		candidate.scanImages(round)
+		if candidate.packingKind != nil {
+			round.packedCandidates = append(round.packedCandidates, candidate)
 		}
-		for _, p := range avoided {
-			candidates.push(p.candidate.fetchSeconds(j), p)
+		for _, avoidedCandidate := range avoided {
+			candidates.push(avoidedCandidate.candidate.fetchSeconds(job), avoidedCandidate)
 		}
 	}
 }
 
-// startAttempt makes a new attempt of task i live on m. The start command is sent once its record
-// is durable.
-func (s *scheduler) startAttempt(j *job, i int, m *machine) {
-	t, id := &j.tasks[i], s.now.UnixMilli()
-	g := j.groups[id]
-	if g == nil {
-		g = &group{startedAt: s.now}
-		j.groups[id] = g
+// startAttempt creates a new live attempt of a task on a machine. The start command is sent once
+// the record of the attempt is durable.
+func (s *scheduler) startAttempt(job *job, index int, machine *machine) {
+	task, groupID := &job.tasks[index], s.now.UnixMilli()
+	taskGroup := job.groups[groupID]
+	if taskGroup == nil {
+		taskGroup = &group{startedAt: s.now}
+		job.groups[groupID] = taskGroup
 	}
-	g.tasks = append(g.tasks, i)
-	t.attempt++
-	j.lastPlacedAt = s.now
-	if pause := s.controller.shardLeader.faultAttribution.RetryBackoff(j.ID); pause > 0 {
-		j.notBefore = later(j.notBefore, s.now.Add(s.jitter(pause)))
+	taskGroup.tasks = append(taskGroup.tasks, index)
+	task.attempt++
+	job.lastPlacedAt = s.now
+	if pause := s.controller.shardLeader.faultAttribution.RetryBackoff(job.ID); pause > 0 {
+		job.notBefore = later(job.notBefore, s.now.Add(s.jitter(pause)))
 	}
-	t.groupStart = id
-	t.rankingRevision = s.controller.ranking.modRevision
-	t.startSent, t.reported, t.inherited, t.missedStarts, t.startUnanswered = false, false, false, 0, false
-	s.controller.shardLeader.attachAttempt(j, i, m)
-	m.lastPlacedAt = s.now
-	m.noteImage(j, s.now, false)
-	j.markChanged(i, s.now, true)
-	s.debug("task placed", "job", j.ID, "task", i, "try", t.attempt, "machine", m.id, "ranking", t.rankingRevision)
+	task.groupStart = groupID
+	task.rankingRevision = s.controller.ranking.modRevision
+	task.startSent, task.reported, task.inherited, task.missedStarts, task.startUnanswered = false, false, false, 0, false
+	s.controller.shardLeader.attachAttempt(job, index, machine)
+	machine.lastPlacedAt = s.now
+	machine.noteImage(job, s.now, false)
+	job.markChanged(index, s.now, true)
+	s.debug("task placed", "job", job.ID, "task", index, "try", task.attempt, "machine", machine.id, "ranking", task.rankingRevision)
 }
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -5,52 +5,52 @@
 	"time"
 )
 
-// fleetPlanner decides which machines this shard leader needs: which to request, which to release,
-// which to decommission and which to offer to other shard leaders. It only records requests; the
-// leader carries them out (see exchange.go) after reading them here or from a PeerUpdate. It is part
-// of a shard leader: its methods may be called only while this controller leads a shard, from within
-// Step.
+// fleetPlanner decides which machines this shard leader needs: which to request, release,
+// decommission, and offer to other shard leaders. It only records requests. The leader reads them
+// here or from a PeerUpdate and carries them out (see exchange.go). The planner is part of a shard
+// leader: its methods may be called only from within Step, while this controller leads a shard.
 //
-// Nothing of it is stored. A successor gets arrival rates from the updates published before and
-// starts with a new planning pass; requests that no leader has carried out yet are lost with the
-// shard leader and made again.
+// The planner stores nothing durably. A successor takes the arrival rates from earlier published
+// updates and starts with a new planning pass. Requests that no leader has carried out yet are lost
+// with the shard leader and made again by its successor.
 type fleetPlanner struct {
 	component
 
-	// view is what the leader last published of this shard leader's machines; nil before the
-	// first update.
+	// view is the leader's last published view of this shard leader's machines. It is nil
+	// before the first update.
 	view *fleetView
 
-	// planningPass is the pass under way, or nil; its next slice runs at planningPassAt. The last
-	// pass ended, or was tried in vain, at plannedAt.
+	// planningPass is the pass in progress, or nil. Its next slice runs at planningPassAt.
+	// plannedAt is when the last pass ended or failed to start.
 	planningPass   *planningPass
 	planningPassAt time.Time
 	plannedAt      time.Time
-	// leaderUpdateSeq is the leader's update that the pass rests on.
+	// leaderUpdateSeq is the sequence number of the leader's update that the pass is based on.
 	leaderUpdateSeq uint64
 
-	// capacityRequests, machinesToRelease and surplus are what is asked of the leader: machines
-	// to rent, machines to return to the cloud, and idle machines that others may have, the most
-	// expensive first. A new pass clears them.
+	// capacityRequests, machinesToRelease and surplus are the requests to the leader: machines
+	// to rent, machines to return to the cloud, and idle machines that other shard leaders may
+	// have, the most expensive first. A new pass clears them.
 	capacityRequests  map[machineKind]int
 	machinesToRelease []string
 	surplus           []string
 
 	// decommissionedAt is when machines to decommission were last chosen.
 	decommissionedAt time.Time
-	// neverReadyKinds are the kinds of which machines have stopped becoming ready.
+	// neverReadyKinds are the machine kinds whose machines have stopped becoming ready.
 	neverReadyKinds map[machineKind]bool
-	// neverReadyCount and neverReadyCost sum up the machines that were given up for it.
+	// neverReadyCount and neverReadyCost are the number and the total cost of the machines that
+	// were given up before they were ready.
 	neverReadyCount int
 	neverReadyCost  float64
-	// arrivals are the jobs that arrived within arrivalWindow, the oldest first.
+	// arrivals are the jobs that arrived within arrivalWindow, oldest first.
 	arrivals map[workloadKey][]arrival
 }
 
-// setView takes in what the leader has published.
-func (f *fleetPlanner) setView(v *fleetView) { f.view = v }
+// setView replaces the view with what the leader has published.
+func (f *fleetPlanner) setView(view *fleetView) { f.view = view }
 
-// pausePlanning lets the next slice of a planning pass wait until the given time.
+// pausePlanning delays the next slice of a planning pass until the given time.
 func (f *fleetPlanner) pausePlanning(until time.Time) { f.planningPassAt = until }
 
 // requestRelease asks the leader to return a machine to the cloud.
@@ -58,57 +58,60 @@
 	f.machinesToRelease = append(f.machinesToRelease, id)
 }
 
-// takeReleases returns the machines to release and forgets them.
+// takeReleases returns the machines to release and clears the list.
 func (f *fleetPlanner) takeReleases() []string {
 	ids := f.machinesToRelease
 	f.machinesToRelease = nil
 	return ids
 }
 
-// recordNeverReady counts a machine that was given up before it was ready, and what it cost.
+// recordNeverReady counts a machine that was given up before it was ready, and adds its cost to the
+// total.
 func (f *fleetPlanner) recordNeverReady(cost float64) {
 	f.neverReadyCount++
 	f.neverReadyCost += cost
 }
 
-// planningPass is a scan of the fleet that runs in slices: to simulate a large pool takes longer than
-// heartbeats, polls and renewals can wait. It is a coroutine and not a goroutine: it goes on only
-// inside Step, so that the same inputs give the same decisions. The machines and jobs that it has read
-// may have changed when it ends, so its decisions are checked again before they are carried out.
+// planningPass is a scan of the fleet that runs in slices, because simulating a large pool takes
+// longer than heartbeats, polls and lease renewals can wait. It is a coroutine, not a goroutine,
+// and advances only inside Step, so that the same inputs give the same decisions. The machines and
+// jobs that the pass has read may have changed by its end, so its decisions are checked again
+// before they are carried out.
 type planningPass struct {
 	next func() (struct{}, bool)
 	stop func()
-	// used is the work done in this slice, sliceLimit what is allowed.
+	// used is the number of units of planning spent in the current slice; sliceLimit is the
+	// number allowed.
 	used, sliceLimit int
 	stopped          bool
 }
 
-// newPlanningPass prepares a pass; nothing of scan runs before run.
+// newPlanningPass returns a pass over scan. scan does not start before the first call of run.
 func newPlanningPass(scan func(chargeFunc)) *planningPass {
-	ps := &planningPass{}
-	ps.next, ps.stop = iter.Pull(func(yield func(struct{}) bool) {
+	pass := &planningPass{}
+	pass.next, pass.stop = iter.Pull(func(yield func(struct{}) bool) {
 		scan(func(units int) bool {
-			ps.used += units
-			if ps.stopped || ps.used < ps.sliceLimit {
-				return !ps.stopped
+			pass.used += units
+			if pass.stopped || pass.used < pass.sliceLimit {
+				return !pass.stopped
 			}
-			// Once stopped, it must not yield again.
-			ps.stopped = !yield(struct{}{})
-			return !ps.stopped
+			// After yield has returned false it must not be called again.
+			pass.stopped = !yield(struct{}{})
+			return !pass.stopped
 		})
 	})
-	return ps
+	return pass
 }
 
-// run carries the pass on for a slice and returns whether it has ended.
-func (ps *planningPass) run(slice int) bool {
-	ps.used, ps.sliceLimit = 0, slice
-	_, more := ps.next()
+// run continues the pass for one slice and reports whether the pass has ended.
+func (pass *planningPass) run(slice int) bool {
+	pass.used, pass.sliceLimit = 0, slice
+	_, more := pass.next()
 	return !more
 }
 
-// planFleet carries the planning pass on. A new one is begun only if startNew is set and none is under
-// way.
+// planFleet continues the planning pass for one slice. If no pass is in progress, it begins one if
+// startNew is set.
 func (f *fleetPlanner) planFleet(startNew bool) {
 	if f.planningPass == nil && (!startNew || !f.beginPlanningPass()) {
 		return
@@ -117,7 +120,8 @@
 		return
 	}
 	if f.now.After(f.controller.membership.leaseValidUntil) {
-		// Another shard leader may have taken over: no requests are made any more.
+		// Another shard leader may have taken over, so this one must not make further
+		// requests.
 		f.endPlanningPass()
 		return
 	}
@@ -128,9 +132,9 @@
 	f.controller.planning.noteSlice(pass.used)
 }
 
-// beginPlanningPass prepares a new pass and withdraws the requests of the last one. It returns whether
-// there is a pass to run: not within leaderPeriod of the last, nor without a fresh view and a valid
-// lease.
+// beginPlanningPass prepares a new pass and clears the requests of the last one. It reports whether
+// there is a pass to run: there is none within leaderPeriod of the last pass, and none without a
+// fresh view and a valid lease.
 func (f *fleetPlanner) beginPlanningPass() bool {
 	if f.now.Sub(f.plannedAt) < leaderPeriod {
 		return false
@@ -149,8 +153,8 @@
 	return true
 }
 
-// endPlanningPass stops a pass under way. It must be called before a shard leader is dropped, since
-// the coroutine would never end otherwise.
+// endPlanningPass aborts a pass in progress. It must be called before a shard leader is dropped,
+// since the coroutine would never end otherwise.
 func (f *fleetPlanner) endPlanningPass() {
 	if f.planningPass != nil {
 		f.planningPass.stop()
@@ -158,54 +162,56 @@
 	}
 }
 
-// refreshFleetView makes the view anew where this controller is the leader itself, and returns whether
-// planning may go on: not before the leader has listed the machines.
+// refreshFleetView rebuilds the view if this controller is itself the leader, and reports whether
+// planning may continue: it may not before the leader has listed the machines.
 func (f *fleetPlanner) refreshFleetView() bool {
-	l := f.controller.leader
-	if l == nil {
+	leader := f.controller.leader
+	if leader == nil {
 		return true
 	}
-	if !l.hasListed {
+	if !leader.hasListed {
 		return false
 	}
-	v := &fleetView{receivedAt: f.now, rentals: map[string]*rental{}, blockedUntil: l.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
-	for _, w := range l.surplusExcept(f.settings.Host) {
-		v.surplus[machineKind{w.MachineType, w.Zone, w.Spot}] = w.Count
+	view := &fleetView{receivedAt: f.now, rentals: map[string]*rental{}, blockedUntil: leader.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
+	for _, surplus := range leader.surplusExcept(f.settings.Host) {
+		view.surplus[machineKind{surplus.MachineType, surplus.Zone, surplus.Spot}] = surplus.Count
 	}
-	for id, r := range l.rentals {
-		if r.releasedAt.IsZero() && l.assignedHost(id) == f.settings.Host {
-			v.rentals[id] = r
+	for machineID, rental := range leader.rentals {
+		if rental.releasedAt.IsZero() && leader.assignedHost(machineID) == f.settings.Host {
+			view.rentals[machineID] = rental
 		}
 	}
-	for a, c := range l.pendingRentals {
-		if a.owner == f.settings.Host {
-			v.pendingRentals[a.machineKind] = c
+	for pending, count := range leader.pendingRentals {
+		if pending.owner == f.settings.Host {
+			view.pendingRentals[pending.machineKind] = count
 		}
 	}
-	f.setView(v)
+	f.setView(view)
 	return true
 }
 
-// scanFleet is the work of a planning pass.
+// scanFleet runs a whole planning pass. charge yields between slices; a pass that charge has
+// stopped makes no further requests.
 func (f *fleetPlanner) scanFleet(charge chargeFunc) {
-	sl := f.controller.shardLeader
-	// The live tasks and their expected ends are the same for all parts of the pass.
-	r := f.futureFreeCapacity()
-	if !charge(len(r.machines)) {
+	shardLeader := f.controller.shardLeader
+	// The live tasks and their expected ends are the same for all parts of the pass, so all
+	// parts share one simulation.
+	sim := f.futureFreeCapacity()
+	if !charge(len(sim.machines)) {
 		return
 	}
 	f.setNeverReadyKinds(f.kindsNeverReady())
-	if f.now.Sub(f.decommissionedAt) >= leaderPeriod*time.Duration(1+len(sl.machinesByID)/slowDecommissionSize) {
-		f.decommissionExpensive(r, charge)
+	if f.now.Sub(f.decommissionedAt) >= leaderPeriod*time.Duration(1+len(shardLeader.machinesByID)/slowDecommissionSize) {
+		f.decommissionExpensive(sim, charge)
 		f.decommissionedAt = f.now
 	}
-	surplus := f.surplusMachines(r, charge)
+	surplus := f.surplusMachines(sim, charge)
 	if !charge(0) {
 		return
 	}
 	f.surplus = f.surplusForOthers(surplus)
 	f.selectReleases(surplus)
-	requests := f.planScaleOut(r, charge)
+	requests := f.planScaleOut(sim, charge)
 	if !charge(0) {
 		return
 	}
--- a/internal/controller/planning_pass_test.go
+++ b/internal/controller/planning_pass_test.go
@@ -9,58 +9,59 @@
 )
 
 // TestPlanningPassIsSliced guards against a scan of the fleet that delays heartbeats and lease
-// renewals: it takes several steps, ends as it would in one, and a pass that is given up
-// requests nothing.
+// renewals. A pass must take several slices of bounded size, end with the same requests as an
+// unsliced scan, and make no requests if it is aborted.
 func TestPlanningPassIsSliced(t *testing.T) {
 	whole := largePool(400)
 	requests := whole.shardLeader.fleet.planScaleOut(whole.shardLeader.fleet.futureFreeCapacity(), nil)
-	c := largePool(400)
-	c.shardLeader.fleet.planningPass = newPlanningPass(c.shardLeader.fleet.scanFleet)
+	controller := largePool(400)
+	controller.shardLeader.fleet.planningPass = newPlanningPass(controller.shardLeader.fleet.scanFleet)
 	slices := 1
-	for ; !c.shardLeader.fleet.planningPass.run(1000); slices++ {
-		if c.shardLeader.fleet.planningPass.used > 2000+len(c.shardLeader.machinesByID) {
-			t.Fatalf("got %d units in a slice of 1000, want at most %d", c.shardLeader.fleet.planningPass.used, 2000+len(c.shardLeader.machinesByID))
+	for ; !controller.shardLeader.fleet.planningPass.run(1000); slices++ {
+		if controller.shardLeader.fleet.planningPass.used > 2000+len(controller.shardLeader.machinesByID) {
+			t.Fatalf("got %d units in a slice of 1000, want at most %d", controller.shardLeader.fleet.planningPass.used, 2000+len(controller.shardLeader.machinesByID))
 		}
 		if slices > 10_000 {
-			t.Fatalf("got no end of the scan in %d slices, want one", slices)
+			t.Fatalf("scan has not ended after %d slices", slices)
 		}
 	}
 	if slices < 5 {
 		t.Errorf("got %d slices, want at least 5", slices)
 	}
-	if len(requests) == 0 || len(c.shardLeader.fleet.capacityRequests) != len(requests) {
-		t.Errorf("got capacity requests %v in slices, want those of one step, %v", c.shardLeader.fleet.capacityRequests, requests)
+	if len(requests) == 0 || len(controller.shardLeader.fleet.capacityRequests) != len(requests) {
+		t.Errorf("got capacity requests %v from a sliced scan, want those of an unsliced scan, %v", controller.shardLeader.fleet.capacityRequests, requests)
 	}
-	c = largePool(400)
-	c.shardLeader.fleet.planningPass = newPlanningPass(c.shardLeader.fleet.scanFleet)
-	c.shardLeader.fleet.planningPass.run(1000)
-	c.shardLeader.fleet.endPlanningPass()
-	if c.shardLeader.fleet.capacityRequests != nil || c.shardLeader.fleet.planningPass != nil {
-		t.Errorf("got capacity requests %v of a pass that was given up, want none", c.shardLeader.fleet.capacityRequests)
+	controller = largePool(400)
+	controller.shardLeader.fleet.planningPass = newPlanningPass(controller.shardLeader.fleet.scanFleet)
+	controller.shardLeader.fleet.planningPass.run(1000)
+	controller.shardLeader.fleet.endPlanningPass()
+	if controller.shardLeader.fleet.capacityRequests != nil || controller.shardLeader.fleet.planningPass != nil {
+		t.Errorf("got capacity requests %v from an aborted pass, want none", controller.shardLeader.fleet.capacityRequests)
 	}
 }
 
-// TestStartNeverSent: a start that surely did not leave, for want of a connection, is not on
-// its way, and needs no epoch bump.
+// TestStartNeverSent checks that a start command that certainly was not sent, for lack of a
+// connection, does not count as unacknowledged. If it did, the machine would need an epoch bump for
+// nothing.
 func TestStartNeverSent(t *testing.T) {
 	for _, sent := range []bool{true, false} {
-		c := largePool(1)
-		m := c.shardLeader.machinesByID[0]
-		j := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1, 4096)
-		c.shardLeader.jobs[j.ID] = j
-		j.nextFresh, j.tasks[0].attempt = 1, 1
-		c.shardLeader.attachAttempt(j, 0, m)
-		j.markChanged(0, c.now, true)
-		j.segmentOf(0).persistedVersion = j.segmentOf(0).version
-		c.shardLeader.dispatcher.dispatch(m)
-		if len(c.requests.workerCallbacks) != 1 {
-			t.Fatalf("got %d requests to workers, want 1 with the start", len(c.requests.workerCallbacks))
+		controller := largePool(1)
+		machine := controller.shardLeader.machinesByID[0]
+		job := newJob(model.JobSpec{ID: "job-1", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, controller.now, 1, 4096)
+		controller.shardLeader.jobs[job.ID] = job
+		job.nextFresh, job.tasks[0].attempt = 1, 1
+		controller.shardLeader.attachAttempt(job, 0, machine)
+		job.markChanged(0, controller.now, true)
+		job.segmentOf(0).persistedVersion = job.segmentOf(0).version
+		controller.shardLeader.dispatcher.dispatch(machine)
+		if len(controller.requests.workerCallbacks) != 1 {
+			t.Fatalf("got %d requests to workers, want 1 with the start command", len(controller.requests.workerCallbacks))
 		}
-		for id := range c.requests.workerCallbacks {
-			c.handleCommand(message.WorkerResponse{ID: id, NotSent: !sent})
+		for id := range controller.requests.workerCallbacks {
+			controller.handleCommand(message.WorkerResponse{ID: id, NotSent: !sent})
 		}
-		if got := m.unackedStartEpoch != 0; got != sent {
-			t.Errorf("sent %v: got a start on its way: %v, want %v", sent, got, sent)
+		if got := machine.unackedStartEpoch != 0; got != sent {
+			t.Errorf("sent %v: got unacknowledged start %v, want %v", sent, got, sent)
 		}
 	}
 }
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -10,200 +10,207 @@
 )
 
 const (
-	// stopTimeout is how long the capacity of a stopped task is waited for.
+	// stopTimeout is how long the capacity of a preempted task counts as about to become free.
 	stopTimeout = 1500 * time.Millisecond
 )
 
-// preemptionInterval is how often a job may scan for work to stop: a scan goes through the
-// attempts of many machines.
+// preemptionInterval is the minimum time between two scans for tasks that a job may preempt. A scan
+// goes through the attempts of many machines.
 const preemptionInterval = 500 * time.Millisecond
 
-// preemptIfDue preempts for j unless it did so within preemptionInterval. It returns for how many
-// of j's pending tasks capacity is coming free.
-func (s *scheduler) preemptIfDue(j *job, fetch time.Duration) int {
-	if s.now.Sub(j.lastPreemptionScan) >= preemptionInterval {
-		j.lastPreemptionScan = s.now
-		j.preemptionCapacity = s.preempt(j, fetch)
-	}
-	return min(j.preemptionCapacity, j.pendingTasks())
+// preemptIfDue calls preempt for a job unless it did so within preemptionInterval. It returns for
+// how many of the job's pending tasks capacity is about to become free.
+func (s *scheduler) preemptIfDue(job *job, fetch time.Duration) int {
+	if s.now.Sub(job.lastPreemptionScan) >= preemptionInterval {
+		job.lastPreemptionScan = s.now
+		job.preemptionCapacity = s.preempt(job, fetch)
+	}
+	return min(job.preemptionCapacity, job.pendingTasks())
 }
 
-// maxPreemptions is how often a task may be preempted, so that it is not stopped again and again
-// and never finishes.
+// maxPreemptions is how often a task may be preempted. Without a limit a task could be stopped
+// again and again and never finish.
 const maxPreemptions = 2
 
-// hasMaxPreemptions reports whether the only live task of an overdue job is protected, since the
-// job was preempted as often as a task may be. Otherwise each of its tasks would be stopped in
-// turn: as soon as nothing of the job runs, the machine of the stopped task is reserved for it,
-// so nobody gains by the stop, and the next task is stopped there.
-func (s *scheduler) hasMaxPreemptions(j *job) bool {
-	if j.liveTasks != 1 {
+// hasMaxPreemptions reports whether the only live task of an overdue job must not be preempted
+// because the tasks of the job were preempted maxPreemptions times in total. Without this rule each
+// task of the job would be stopped in turn: as soon as the job has no live task, the machine of the
+// stopped task is reserved for it, so the preempting job gains nothing, and the next task is
+// stopped there.
+func (s *scheduler) hasMaxPreemptions(job *job) bool {
+	if job.liveTasks != 1 {
 		return false
 	}
-	bound, _ := s.controller.ranking.waitBound(j)
-	if p := (aging.Job{Waited: s.waitTime(j), MaxWait: bound, WaitingTasks: 1}); !p.Overdue() {
+	bound, _ := s.controller.ranking.waitBound(job)
+	if agingJob := (aging.Job{Waited: s.waitTime(job), MaxWait: bound, WaitingTasks: 1}); !agingJob.Overdue() {
 		return false
 	}
 	stops := 0
-	for i := range j.tasks[:j.nextFresh] {
-		stops += j.tasks[i].preemptions
+	for i := range job.tasks[:job.nextFresh] {
+		stops += job.tasks[i].preemptions
 	}
 	return stops >= maxPreemptions
 }
 
-// preemptionVictimsOn picks the tasks on m whose stop makes one task of j fit, those that lose the
-// least work first. It returns them with the work lost, and whether the task then fits.
-func (s *scheduler) preemptionVictimsOn(j *job, m *machine, free model.Resources) ([]*task, time.Duration, bool) {
+// preemptionVictimsOn picks the tasks on a machine that have to be stopped so that one task of the
+// job fits, those with the least lost run time first. free is the machine's capacity without these
+// stops. It returns the tasks, the run time lost, and whether the task of the job then fits.
+func (s *scheduler) preemptionVictimsOn(job *job, machine *machine, free model.Resources) ([]*task, time.Duration, bool) {
 	type victim struct {
 		t    *task
 		need model.Resources
 		loss time.Duration
 	}
 	var candidates []victim
-	nonGPUOnly := s.preemptsOnlyNonGPU(j)
-	able := m.attemptsWhere(func(t *task) bool { return t.stopReason == stopNone && t.preemptions < maxPreemptions })
-	for _, k := range able {
-		t := m.attempts[k]
-		o := s.controller.shardLeader.jobs[k.job]
-		if o.Urgency >= j.Urgency || o.Gang || o.LongRunning || s.hasMaxPreemptions(o) || s.controller.ranking.rankOf(o) < s.controller.ranking.rankOf(j) ||
-			nonGPUOnly && o.Need.GPU > roundingTolerance {
+	nonGPUOnly := s.preemptsOnlyNonGPU(job)
+	preemptible := machine.attemptsWhere(func(task *task) bool { return task.stopReason == stopNone && task.preemptions < maxPreemptions })
+	for _, key := range preemptible {
+		task := machine.attempts[key]
+		other := s.controller.shardLeader.jobs[key.job]
+		if other.Urgency >= job.Urgency || other.Gang || other.LongRunning || s.hasMaxPreemptions(other) || s.controller.ranking.rankOf(other) < s.controller.ranking.rankOf(job) ||
+			nonGPUOnly && other.Need.GPU > roundingTolerance {
 			continue
 		}
 		var loss time.Duration
-		if !t.startedAt.IsZero() {
-			loss = s.now.Sub(t.startedAt)
-			if o.CheckpointInterval > 0 {
-				loss = min(loss%o.CheckpointInterval, o.CheckpointCost)
+		if !task.startedAt.IsZero() {
+			loss = s.now.Sub(task.startedAt)
+			if other.CheckpointInterval > 0 {
+				loss = min(loss%other.CheckpointInterval, other.CheckpointCost)
 			}
 			// Stopping a large task for a small one counts as a larger loss.
-			loss = time.Duration(float64(loss) * max(1, o.Need.CPU/max(j.Need.CPU, 0.1)))
+			loss = time.Duration(float64(loss) * max(1, other.Need.CPU/max(job.Need.CPU, 0.1)))
 		}
-		candidates = append(candidates, victim{t, o.Need, loss})
+		candidates = append(candidates, victim{task, other.Need, loss})
 	}
 	slices.SortStableFunc(candidates, func(a, b victim) int { return int(a.loss - b.loss) })
-	var out []*task
-	var sum time.Duration
+	var victims []*task
+	var totalLoss time.Duration
 	for _, v := range candidates {
-		if j.Need.Fits(free) {
+		if job.Need.Fits(free) {
 			break
 		}
 		free = free.AddScaled(v.need, 1)
-		sum += v.loss
-		out = append(out, v.t)
+		totalLoss += v.loss
+		victims = append(victims, v.t)
 	}
-	return out, sum, len(out) > 0 && j.Need.Fits(free)
+	return victims, totalLoss, len(victims) > 0 && job.Need.Fits(free)
 }
 
-// preemptionVictims is where one kind of task may take the place of lower work. It is a cache,
-// since a scan of everything that runs for each pending job would take longer than the wait; what
-// it names is checked again before use.
+// preemptionVictims lists the machines where tasks of one kind may replace tasks of lower urgency.
+// It is a cache, since scanning all live tasks for each pending job would take longer than the
+// bounded wait. Its machines are checked again before use.
 type preemptionVictims struct {
 	at time.Time
-	// withCapacity are machines with free capacity, withVictims those where tasks may be
-	// stopped, the least work lost first.
+	// withCapacity are machines with enough free capacity; withVictims are machines where tasks
+	// may be stopped, ordered by the run time lost, the least first.
 	withCapacity []*machine
 	withVictims  []*machine
 }
 
+// preemptionVictimsKey identifies the tasks that share one entry of the cache.
 type preemptionVictimsKey struct {
 	taskShape
 	urgency model.Urgency
 }
 
-// preemptionVictimsFor returns the cached victims for j, or scans for them.
-func (s *scheduler) preemptionVictimsFor(j *job) *preemptionVictims {
-	sl := s.controller.shardLeader
-	key := preemptionVictimsKey{j.taskShape(), j.Urgency}
-	p := s.preemptionVictims[key]
-	if p != nil && s.now.Sub(p.at) < preemptionInterval {
-		return p
-	}
-	p = &preemptionVictims{at: s.now}
+// preemptionVictimsFor returns the cached victims for a job, or scans for them if the cache entry
+// is older than preemptionInterval.
+func (s *scheduler) preemptionVictimsFor(job *job) *preemptionVictims {
+	shardLeader := s.controller.shardLeader
+	key := preemptionVictimsKey{job.taskShape(), job.Urgency}
+	victims := s.preemptionVictims[key]
+	if victims != nil && s.now.Sub(victims.at) < preemptionInterval {
+		return victims
+	}
+	victims = &preemptionVictims{at: s.now}
 	if s.preemptionVictims == nil {
 		s.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
 	}
-	for k, old := range s.preemptionVictims {
+	for oldKey, old := range s.preemptionVictims {
 		if s.now.Sub(old.at) > workloadRetention {
-			delete(s.preemptionVictims, k)
+			delete(s.preemptionVictims, oldKey)
 		}
 	}
-	s.preemptionVictims[key] = p
+	s.preemptionVictims[key] = victims
 	type choice struct {
 		m    *machine
 		loss time.Duration
 	}
-	var cs []choice
-	avoidGPUs := s.avoidsGPUsNow(j)
-	for _, m := range sl.machinesByID {
-		if !j.allowsMachine(m.machineType, m.zone, m.spot) || !s.usable(m) || !s.gpuPolicyAllows(avoidGPUs, m) {
+	var choices []choice
+	avoidGPUs := s.avoidsGPUsNow(job)
+	for _, machine := range shardLeader.machinesByID {
+		if !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !s.usable(machine) || !s.gpuPolicyAllows(avoidGPUs, machine) {
 			continue
 		}
-		if free := s.freeAfterPreemption(m); j.Need.Fits(free) {
-			p.withCapacity = append(p.withCapacity, m)
-		} else if _, loss, ok := s.preemptionVictimsOn(j, m, free); ok {
-			cs = append(cs, choice{m, loss})
+		if free := s.freeAfterPreemption(machine); job.Need.Fits(free) {
+			victims.withCapacity = append(victims.withCapacity, machine)
+		} else if _, loss, ok := s.preemptionVictimsOn(job, machine, free); ok {
+			choices = append(choices, choice{machine, loss})
 		}
 	}
-	slices.SortStableFunc(cs, func(a, b choice) int { return cmp.Compare(a.loss, b.loss) })
-	for _, c := range cs {
-		p.withVictims = append(p.withVictims, c.m)
+	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(a.loss, b.loss) })
+	for _, choice := range choices {
+		victims.withVictims = append(victims.withVictims, choice.m)
 	}
-	return p
+	return victims
 }
 
-// freeAfterPreemption is the free capacity of m with what preempted tasks are about to leave.
-func (s *scheduler) freeAfterPreemption(m *machine) model.Resources {
-	f := m.free()
-	for k, t := range m.attempts {
-		if t.stopReason == stopPreempt && s.now.Sub(t.stoppedAt) < stopTimeout {
-			f = f.AddScaled(s.controller.shardLeader.jobs[k.job].Need, 1)
+// freeAfterPreemption returns the free capacity of a machine plus the capacity of preempted tasks
+// that are about to end.
+func (s *scheduler) freeAfterPreemption(machine *machine) model.Resources {
+	free := machine.free()
+	for key, task := range machine.attempts {
+		if task.stopReason == stopPreempt && s.now.Sub(task.stoppedAt) < stopTimeout {
+			free = free.AddScaled(s.controller.shardLeader.jobs[key.job].Need, 1)
 		}
 	}
-	return f
+	return free
 }
 
-// preempt stops tasks of lower urgency so that pending tasks of j fit on machines that need no
-// longer than fetch to have the image, the least work lost first. It returns for how many tasks
-// capacity is coming free, by these stops and by earlier ones.
-func (s *scheduler) preempt(j *job, fetch time.Duration) int {
-	need := j.pendingTasks()
-	if !s.withinQuotaLimit(j) {
+// preempt stops tasks of lower urgency so that pending tasks of the job fit on machines that need
+// at most fetch to have the image. It stops the tasks with the least lost run time first. It
+// returns for how many of the job's tasks capacity is about to become free, through these stops and
+// earlier ones.
+func (s *scheduler) preempt(job *job, fetch time.Duration) int {
+	remaining := job.pendingTasks()
+	if !s.withinQuotaLimit(job) {
 		return 0
 	}
-	p := s.preemptionVictimsFor(j)
-	suits := func(m *machine) bool {
-		return !m.removed && s.usable(m) && !m.reservedForOther(j) && j.zoneAllowed(m.zone) && s.controller.knowledge.fetchTime(m, j) <= fetch
+	victims := s.preemptionVictimsFor(job)
+	suits := func(machine *machine) bool {
+		return !machine.removed && s.usable(machine) && !machine.reservedForOther(job) && job.zoneAllowed(machine.zone) && s.controller.knowledge.fetchTime(machine, job) <= fetch
 	}
-	for _, m := range p.withCapacity {
-		if need > 0 && suits(m) {
-			need -= s.freeAfterPreemption(m).FitCount(j.Need)
+	for _, machine := range victims.withCapacity {
+		if remaining > 0 && suits(machine) {
+			remaining -= s.freeAfterPreemption(machine).FitCount(job.Need)
 		}
 	}
-	most := s.maxPreemptionLoss(j)
-	for _, m := range p.withVictims {
-		if need <= 0 {
+	maxLoss := s.maxPreemptionLoss(job)
+	for _, machine := range victims.withVictims {
+		if remaining <= 0 {
 			break
 		}
-		if !suits(m) {
+		if !suits(machine) {
 			continue
 		}
-		free := s.freeAfterPreemption(m)
-		if k := free.FitCount(j.Need); k > 0 {
-			// Tasks were stopped for another job a moment ago, or have ended.
-			need -= k
+		free := s.freeAfterPreemption(machine)
+		if count := free.FitCount(job.Need); count > 0 {
+			// Capacity has become free since the scan: tasks have ended or were stopped
+			// for another job.
+			remaining -= count
 			continue
 		}
-		ts, loss, ok := s.preemptionVictimsOn(j, m, free)
-		if !ok || loss > most {
+		tasks, loss, ok := s.preemptionVictimsOn(job, machine, free)
+		if !ok || loss > maxLoss {
 			continue
 		}
-		for _, t := range ts {
-			t.stopReason, t.stoppedAt = stopPreempt, s.now
-			t.preemptions++
+		for _, task := range tasks {
+			task.stopReason, task.stoppedAt = stopPreempt, s.now
+			task.preemptions++
 		}
-		s.controller.markDispatchPending(m)
-		need--
-		s.debug("tasks preempted", "for", j.ID, "machine", m.id, "stopped", len(ts), "loss", loss)
+		s.controller.markDispatchPending(machine)
+		remaining--
+		s.debug("tasks preempted", "for", job.ID, "machine", machine.id, "stopped", len(tasks), "loss", loss)
 	}
-	return j.pendingTasks() - max(need, 0)
+	return job.pendingTasks() - max(remaining, 0)
 }
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -12,183 +12,188 @@
 )
 
 const (
-	// jobSizeWeight weighs the time that the whole fleet would need for a job
-	// against its slack.
+	// jobSizeWeight is the weight of a job's size in the queue order, relative to its latest
+	// start. The size is the time that the whole fleet would need for the job's remaining
+	// tasks.
 	jobSizeWeight = 2
-	// minRunTimeLeft is the part of the expected run time that must at least be left
-	// before a deadline for it to be worth trying; run times are uncertain.
+	// minRunTimeLeft is the fraction of the expected run time that must be left before a
+	// deadline for the scheduler to aim for that deadline. It is below 1 because run times are
+	// uncertain.
 	minRunTimeLeft = 0.7
-	// lastDue is how long after it was ready a job is due that misses all its objectives.
+	// lastDue is the time from ready to due for a job that misses all its objectives.
 	lastDue = 10 * time.Minute
-	// A job without any objective is due after noObjectiveRuns of its run times, or after
-	// minNoObjectiveDue if that is longer.
+	// A job without any objective is due after noObjectiveRuns of its run times, but not before
+	// minNoObjectiveDue.
 	noObjectiveRuns   = 4
 	minNoObjectiveDue = time.Minute
-	// minCapacityFraction is the part of all capacity that a workload may count on in any case.
+	// minCapacityFraction is the fraction of all capacity that a workload can always expect.
 	minCapacityFraction = 0.25
 )
 
-// latestStart is when a task of the job should start at the latest to meet the first of its
-// objectives that it can still meet. Jobs are placed in this order. A job that can meet none any
-// more goes last: before the others it would only make those late as well.
-func (s *scheduler) latestStart(j *job) time.Time {
-	if j.LongRunning {
-		// Replicas are to run at all times.
-		return j.readySince()
+// latestStart returns when a task of the job should start at the latest to meet the earliest
+// objective that the job can still meet. Jobs are placed in this order. A job that can meet no
+// objective is placed last, since before other jobs it would only make them late as well.
+func (s *scheduler) latestStart(job *job) time.Time {
+	if job.LongRunning {
+		// Replicas should run at all times.
+		return job.readySince()
 	}
-	d := s.controller.knowledge.expectedRunTime(j)
-	soonest := s.now.Add(time.Duration(minRunTimeLeft * float64(d)))
-	target := j.readySince().Add(lastDue)
-	if soonest.After(target) {
-		target = soonest
+	runTime := s.controller.knowledge.expectedRunTime(job)
+	earliestEnd := s.now.Add(time.Duration(minRunTimeLeft * float64(runTime)))
+	target := job.readySince().Add(lastDue)
+	if earliestEnd.After(target) {
+		target = earliestEnd
 	}
 	objectives := 0
-	consider := func(t time.Time) {
+	consider := func(due time.Time) {
 		objectives++
-		if t.Before(target) && !soonest.After(t) {
-			target = t
+		if due.Before(target) && !earliestEnd.After(due) {
+			target = due
 		}
 	}
-	if j.Deadline > 0 {
-		consider(j.submittedAt.Add(j.Deadline))
+	if job.Deadline > 0 {
+		consider(job.submittedAt.Add(job.Deadline))
 	}
-	if !j.criticalPath.Due.IsZero() {
-		consider(j.criticalPath.Due)
+	if !job.criticalPath.Due.IsZero() {
+		consider(job.criticalPath.Due)
 	}
-	for _, o := range s.settings.Objectives {
+	for _, objective := range s.settings.Objectives {
 		switch {
-		case o.Workload != j.Workload:
-		case o.Kind == "deadline" && j.Deadline > 0 && o.DeadlineFactor > 0:
-			consider(j.submittedAt.Add(time.Duration(o.DeadlineFactor * float64(j.Deadline))))
-		case o.Kind == "finished" && o.Within > 0:
-			consider(j.readySince().Add(o.Within))
+		case objective.Workload != job.Workload:
+		case objective.Kind == "deadline" && job.Deadline > 0 && objective.DeadlineFactor > 0:
+			consider(job.submittedAt.Add(time.Duration(objective.DeadlineFactor * float64(job.Deadline))))
+		case objective.Kind == "finished" && objective.Within > 0:
+			consider(job.readySince().Add(objective.Within))
 		}
 	}
 	if objectives == 0 {
-		consider(j.readySince().Add(max(minNoObjectiveDue, noObjectiveRuns*d)))
+		consider(job.readySince().Add(max(minNoObjectiveDue, noObjectiveRuns*runTime)))
 	}
-	return target.Add(-d)
+	return target.Add(-runTime)
 }
 
 // withinQuotaLimit reports whether one more task of the job keeps its team within its quota limit.
-func (s *scheduler) withinQuotaLimit(j *job) bool {
-	t := s.team(j.Team)
-	if t == nil {
+func (s *scheduler) withinQuotaLimit(job *job) bool {
+	team := s.team(job.Team)
+	if team == nil {
 		return false
 	}
-	u := s.controller.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1).AddScaled(s.controller.shardLeader.migration.migratingResources(j), 1)
-	return (t.QuotaLimit.CPU <= 0 || u.CPU <= t.QuotaLimit.CPU+roundingTolerance) && (t.QuotaLimit.GPU <= 0 || u.GPU <= t.QuotaLimit.GPU+roundingTolerance)
+	used := s.controller.shardLeader.usedByTeam[job.Team].AddScaled(job.Need, 1).AddScaled(s.controller.shardLeader.migration.migratingResources(job), 1)
+	return (team.QuotaLimit.CPU <= 0 || used.CPU <= team.QuotaLimit.CPU+roundingTolerance) && (team.QuotaLimit.GPU <= 0 || used.GPU <= team.QuotaLimit.GPU+roundingTolerance)
 }
 
 // withinGuaranteedQuota reports whether the job's next task lies within its team's guaranteed quota.
-func (s *scheduler) withinGuaranteedQuota(j *job) bool {
-	t := s.team(j.Team)
-	if t == nil || t.GuaranteedQuota.CPU <= 0 && t.GuaranteedQuota.GPU <= 0 {
+func (s *scheduler) withinGuaranteedQuota(job *job) bool {
+	team := s.team(job.Team)
+	if team == nil || team.GuaranteedQuota.CPU <= 0 && team.GuaranteedQuota.GPU <= 0 {
 		return false
 	}
-	u := s.controller.shardLeader.usedByTeam[j.Team].AddScaled(j.Need, 1)
-	return u.CPU <= t.GuaranteedQuota.CPU+roundingTolerance && u.GPU <= t.GuaranteedQuota.GPU+roundingTolerance
+	used := s.controller.shardLeader.usedByTeam[job.Team].AddScaled(job.Need, 1)
+	return used.CPU <= team.GuaranteedQuota.CPU+roundingTolerance && used.GPU <= team.GuaranteedQuota.GPU+roundingTolerance
 }
 
-// queuedJob is a job with pending tasks and what decides its place in the queue.
+// queuedJob is a job with pending tasks and the values that decide its position in the queue.
 type queuedJob struct {
 	job *job
-	// guaranteed says that its next task lies within its team's guaranteed quota.
+	// guaranteed is set if the job's next task is within the guaranteed quota of its team.
 	guaranteed bool
-	// latestStart is that of the job, later the more work it has.
+	// latestStart is the job's latest start plus an amount that grows with its remaining run
+	// time.
 	latestStart time.Time
-	// rankingPlace is its place in the ranking; weight is from the policy script and counts
-	// where there is no ranking.
+	// rankingPlace is the job's position in the ranking. weight comes from the policy script
+	// and is used only without a ranking.
 	rankingPlace int
 	weight       float64
-	// workDuration is how long its pending tasks would occupy all that its workload has;
-	// deferred says that it goes last so that others are in time.
+	// workDuration is how long the job's pending tasks would occupy all capacity of its
+	// workload. deferred moves the job behind others that can then be in time.
 	workDuration time.Duration
 	deferred     bool
-	// missesPromise says that its promised date can't be kept any more.
+	// missesPromise is set if the job can't meet its promised date any more.
 	missesPromise bool
 }
 
-// placeableTasks is how many of a job's pending tasks may be placed now. A job that fails
-// everywhere gets one at a time, each after a backoff, to see whether it still does: when none is
-// live, or beside tasks that run; and more beside those that run for longer than any failure took.
-func (s *scheduler) placeableTasks(j *job) int {
-	if j.pendingTasks() == 0 || !j.mayStart(s.now) {
+// placeableTasks returns how many of a job's pending tasks may be placed at present. A job that
+// fails everywhere gets one retry at a time, after a backoff, to find out whether it still fails:
+// if it has no live task, or while other tasks of it run. It gets more retries if tasks of it have
+// run for longer than any failed one.
+func (s *scheduler) placeableTasks(job *job) int {
+	if job.pendingTasks() == 0 || !job.mayStart(s.now) {
 		return 0
 	}
-	backsOff := j.notBefore.After(s.now)
-	if s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
-		outlasting, running := s.provenTasks(j)
-		retries := 2*outlasting - j.liveTasks
-		if !backsOff && (j.liveTasks == 0 || running > 0) {
+	backsOff := job.notBefore.After(s.now)
+	if s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
+		outlasting, running := s.provenTasks(job)
+		retries := 2*outlasting - job.liveTasks
+		if !backsOff && (job.liveTasks == 0 || running > 0) {
 			retries = max(retries, 1)
 		}
-		return max(0, min(j.pendingTasks(), retries))
+		return max(0, min(job.pendingTasks(), retries))
 	}
 	if backsOff {
 		return 0
 	}
-	return j.pendingTasks()
+	return job.pendingTasks()
 }
 
-// provenTasks counts the tasks of a job that have run for longer than any that failed, and those
-// that have run for faultattribution.MinProofRun. Each of the first allows one more beside it, so that what runs at most doubles
-// before the new ones have outlasted the failures as well. A job with a mistake whose tasks fail
-// after some time has few of these, and the fewer the more have failed; one whose tasks fail at
-// once has none of either.
-func (s *scheduler) provenTasks(j *job) (outlasting, running int) {
+// provenTasks counts the tasks of a job that have run for longer than any failed one (outlasting),
+// and those that have run for at least faultattribution.MinProofRun (running). Each outlasting task
+// allows one further task, so the number of live tasks at most doubles before the new tasks have
+// outlasted the failures as well. A faulty job whose tasks fail after some time has few outlasting
+// tasks, and fewer the more tasks have failed. A job whose tasks fail at once has neither kind.
+func (s *scheduler) provenTasks(job *job) (outlasting, running int) {
 	live := 0
-	for i := range j.tasks[:j.nextFresh] {
-		t := &j.tasks[i]
-		if t.machine == nil {
+	for i := range job.tasks[:job.nextFresh] {
+		task := &job.tasks[i]
+		if task.machine == nil {
 			continue
 		}
-		// What a machine has not said since counts for nothing: it may hang.
-		if t.isRunning() && !t.inherited && !t.startedAt.IsZero() {
-			ran := t.machine.lastHeard.Sub(t.startedAt)
+		// The run time counts only up to the machine's last heartbeat, as the machine may
+		// hang since then.
+		if task.isRunning() && !task.inherited && !task.startedAt.IsZero() {
+			ran := task.machine.lastHeard.Sub(task.startedAt)
 			if ran >= faultattribution.MinProofRun {
 				running++
 			}
-			if s.controller.shardLeader.faultAttribution.Outlasts(j.ID, ran) {
+			if s.controller.shardLeader.faultAttribution.Outlasts(job.ID, ran) {
 				outlasting++
 			}
 		}
-		if live++; live == j.liveTasks {
+		if live++; live == job.liveTasks {
 			break
 		}
 	}
 	return outlasting, running
 }
 
-// queuedJobs returns the jobs with placeable tasks in the order of compareQueueOrder. As a side
-// effect it keeps each job's waitingSince.
+// queuedJobs returns the jobs with placeable tasks in the order of compareQueueOrder. It also
+// updates waitingSince of each job.
 func (s *scheduler) queuedJobs() []queuedJob {
 	var queued []queuedJob
 	cpus := 0.0
-	for _, m := range s.controller.shardLeader.machinesByID {
-		cpus += m.size.CPU
+	for _, machine := range s.controller.shardLeader.machinesByID {
+		cpus += machine.size.CPU
 	}
 	var waiting []*job
-	for _, j := range s.controller.shardLeader.jobs {
-		if s.placeableTasks(j) == 0 {
-			j.waitingSince = time.Time{}
+	for _, job := range s.controller.shardLeader.jobs {
+		if s.placeableTasks(job) == 0 {
+			job.waitingSince = time.Time{}
 			continue
 		}
-		if j.waitingSince.IsZero() {
-			j.waitingSince = s.now
+		if job.waitingSince.IsZero() {
+			job.waitingSince = s.now
 		}
-		waiting = append(waiting, j)
+		waiting = append(waiting, job)
 	}
 	slices.SortFunc(waiting, func(a, b *job) int { return strings.Compare(a.ID, b.ID) })
-	for _, j := range waiting {
-		// Objectives count jobs, so of two as pressing ones that with less work left goes
-		// first: on average they are then done sooner.
-		left := float64(len(j.tasks)-j.doneTasks) * j.Need.CPU * s.controller.knowledge.expectedRunTime(j).Seconds()
-		key := s.latestStart(j).Add(record.DurationOfSeconds(jobSizeWeight * left / max(cpus, 1)))
+	for _, job := range waiting {
+		// Objectives count jobs. Of two equally urgent jobs, the job with less remaining
+		// run time goes first, which lowers the mean completion time.
+		remaining := float64(len(job.tasks)-job.doneTasks) * job.Need.CPU * s.controller.knowledge.expectedRunTime(job).Seconds()
+		adjustedStart := s.latestStart(job).Add(record.DurationOfSeconds(jobSizeWeight * remaining / max(cpus, 1)))
 		queued = append(queued, queuedJob{
-			job: j, guaranteed: s.withinGuaranteedQuota(j), latestStart: key,
-			rankingPlace: s.controller.ranking.rankOf(j), weight: s.controller.ranking.policyWeight(j),
-			missesPromise: s.controller.promises.cannotKeepDate(j),
+			job: job, guaranteed: s.withinGuaranteedQuota(job), latestStart: adjustedStart,
+			rankingPlace: s.controller.ranking.rankOf(job), weight: s.controller.ranking.policyWeight(job),
+			missesPromise: s.controller.promises.cannotKeepDate(job),
 		})
 	}
 	slices.SortStableFunc(queued, compareQueueOrder)
@@ -198,8 +203,9 @@
 	return queued
 }
 
-// compareQueueOrder puts guaranteed quota first, then the ranking, the weights of the policy
-// script, jobs that can be in time, and of those the one with the earliest latest start.
+// compareQueueOrder orders jobs by guaranteed quota, then by ranking, then by the weight from the
+// policy script, and then puts jobs that can be in time before deferred jobs. Among jobs that can
+// be in time, the job that must start earliest goes first.
 func compareQueueOrder(a, b queuedJob) int {
 	switch {
 	case a.guaranteed != b.guaranteed:
@@ -221,85 +227,86 @@
 	if a.deferred {
 		return cmp.Or(cmp.Compare(a.workDuration, b.workDuration), a.latestStart.Compare(b.latestStart))
 	}
-	// Of two that are as pressing, to the second, a job that can still keep its promised date
-	// goes before one that can't: that is late either way.
+	// Of two jobs whose latest starts are in the same second, a job that can still meet its
+	// promised date goes before a job that will miss its date in either order.
 	return cmp.Or(a.latestStart.Truncate(time.Second).Compare(b.latestStart.Truncate(time.Second)),
 		cmp.Compare(boolToFloat(a.missesPromise), boolToFloat(b.missesPromise)),
 		cmp.Compare(b.job.criticalPath.Remaining, a.job.criticalPath.Remaining),
 		a.latestStart.Compare(b.latestStart))
 }
 
-// deferLateJobs lets as many jobs as possible be in time when not all can be, and reports whether
-// it deferred any. Jobs are taken in queue order; as soon as one would be late, the largest of
-// those so far, itself included, is deferred (Moore's algorithm for the number of late jobs).
-// Objectives count jobs, and one large job that is late either way would make several others late.
+// deferLateJobs maximizes the number of jobs in time when not all can be, and reports whether it
+// deferred any. It takes jobs in queue order. When a job would be late, it defers the largest job
+// taken so far, the late job included (Moore's algorithm, which minimizes the number of late jobs).
+// Objectives count jobs, and one large job that is late in any case would make several others late.
 func (s *scheduler) deferLateJobs(queued []queuedJob) bool {
 	capacities := map[string]float64{}
 	accumulated := map[string]time.Duration{}
 	onTime := map[string][]*queuedJob{}
-	some := false
+	anyDeferred := false
 	for i := range queued {
-		q := &queued[i]
-		j := q.job
-		if j.LongRunning || j.Gang {
+		entry := &queued[i]
+		job := entry.job
+		if job.LongRunning || job.Gang {
 			continue
 		}
-		capacity, ok := capacities[j.Workload]
+		capacity, ok := capacities[job.Workload]
 		if !ok {
-			capacity = s.capacityFor(j)
-			capacities[j.Workload] = capacity
+			capacity = s.capacityFor(job)
+			capacities[job.Workload] = capacity
 		}
-		run := s.controller.knowledge.expectedRunTime(j)
-		q.workDuration = time.Duration(float64(j.pendingTasks()) * float64(run) / max(capacity, 1))
-		key := fmt.Sprint(j.Workload, j.Urgency, q.guaranteed)
-		onTime[key] = append(onTime[key], q)
-		accumulated[key] += q.workDuration
-		// Its last task starts when the work before it is nearly done, the first
-		// ones at once.
-		if !s.now.Add(accumulated[key] - run).After(s.latestStart(j)) {
+		runTime := s.controller.knowledge.expectedRunTime(job)
+		entry.workDuration = time.Duration(float64(job.pendingTasks()) * float64(runTime) / max(capacity, 1))
+		key := fmt.Sprint(job.Workload, job.Urgency, entry.guaranteed)
+		onTime[key] = append(onTime[key], entry)
+		accumulated[key] += entry.workDuration
+		// The job's last task starts when the tasks before it are nearly done; its first
+		// tasks start at once.
+		if !s.now.Add(accumulated[key] - runTime).After(s.latestStart(job)) {
 			continue
 		}
 		largest := 0
-		for k, x := range onTime[key] {
-			if x.workDuration > onTime[key][largest].workDuration {
+		for k, candidate := range onTime[key] {
+			if candidate.workDuration > onTime[key][largest].workDuration {
 				largest = k
 			}
 		}
-		x := onTime[key][largest]
-		x.deferred, some = true, true
-		accumulated[key] -= x.workDuration
+		candidate := onTime[key][largest]
+		candidate.deferred, anyDeferred = true, true
+		accumulated[key] -= candidate.workDuration
 		onTime[key] = slices.Delete(onTime[key], largest, largest+1)
 	}
-	return some
+	return anyDeferred
 }
 
-// capacityFor is how many tasks like the job's its workload may count on running at a time: those
-// that are live and those that fit into free and coming capacity, and at least
-// minCapacityFraction of what all usable machines hold.
-func (s *scheduler) capacityFor(j *job) float64 {
+// capacityFor returns how many tasks of the job's shape its workload can expect to run at a time:
+// its live tasks plus those that fit into free and expected capacity, but at least
+// minCapacityFraction of the capacity of all usable machines.
+func (s *scheduler) capacityFor(job *job) float64 {
 	live := 0
-	for _, o := range s.controller.shardLeader.jobs {
-		if o.Workload == j.Workload {
-			live += o.liveTasks
+	for _, other := range s.controller.shardLeader.jobs {
+		if other.Workload == job.Workload {
+			live += other.liveTasks
 		}
 	}
-	all, free, avoidGPUs := 0, 0, s.avoidsGPUs(j)
-	for _, m := range s.controller.shardLeader.machinesByID {
-		if j.allowsMachine(m.machineType, m.zone, m.spot) && s.usable(m) && s.gpuPolicyAllows(avoidGPUs, m) {
-			all += m.size.FitCount(j.Need)
-			free += m.free().FitCount(j.Need)
+	total, free, avoidGPUs := 0, 0, s.avoidsGPUs(job)
+	for _, machine := range s.controller.shardLeader.machinesByID {
+		if job.allowsMachine(machine.machineType, machine.zone, machine.spot) && s.usable(machine) && s.gpuPolicyAllows(avoidGPUs, machine) {
+			total += machine.size.FitCount(job.Need)
+			free += machine.free().FitCount(job.Need)
 		}
 	}
-	if v := s.controller.shardLeader.fleet.view; v != nil {
-		// Machines on their way are ready before the objectives of pending work have passed.
-		for r := range s.controller.shardLeader.fleet.expectedFor(j) {
-			free += s.controller.knowledge.machineTypes[r.machineType].Capacity.FitCount(j.Need)
+	if view := s.controller.shardLeader.fleet.view; view != nil {
+		// Machines being provisioned are ready before the objectives of pending jobs have
+		// passed.
+		for rental := range s.controller.shardLeader.fleet.expectedFor(job) {
+			free += s.controller.knowledge.machineTypes[rental.machineType].Capacity.FitCount(job.Need)
 		}
-		for k, c := range v.pendingRentals {
-			if j.allowsMachine(k.machineType, k.zone, k.spot) {
-				free += c * s.controller.knowledge.machineTypes[k.machineType].Capacity.FitCount(j.Need)
+		for kind, count := range view.pendingRentals {
+			if job.allowsMachine(kind.machineType, kind.zone, kind.spot) {
+				free += count * s.controller.knowledge.machineTypes[kind.machineType].Capacity.FitCount(job.Need)
 			}
 		}
 	}
-	return max(float64(live+free), minCapacityFraction*float64(all))
+	return max(float64(live+free), minCapacityFraction*float64(total))
 }
--- a/internal/controller/relaunch.go
+++ b/internal/controller/relaunch.go
@@ -3,92 +3,94 @@
 import "time"
 
 const (
-	// relaunchFraction is the part of a group that may at most be unfinished for its
+	// relaunchFraction is the largest fraction of a group that may be unfinished for its
 	// stragglers to be relaunched.
 	relaunchFraction = 0.1
 	// noMedianFactor multiplies Policy.RelaunchFactor for jobs without a median run time of
-	// their own: their reference is an estimate, often wrong by half.
+	// their own. Their limit is based on an estimate, which is often wrong by half.
 	noMedianFactor = 1.5
-	// maxRelaunchesPerScan is how many stragglers are stopped in one scan, so that many
-	// expiring at once are spread out.
+	// maxRelaunchesPerScan bounds the stragglers that one scan stops, so that relaunches are
+	// spread out when many timers expire together. The stragglers of the first group in a scan
+	// are stopped together even if they are more.
 	maxRelaunchesPerScan = 8
 )
 
-// relaunch stops stragglers and starts them once more elsewhere. A group of tasks that started
+// relaunch stops stragglers and starts them again on other machines. A group of tasks that started
 // together has a timer of Policy.RelaunchFactor times the median run time of the job's finished
-// tasks; when it expires with at most a tenth of the group unfinished, those are relaunched.
+// tasks. If at most relaunchFraction of the group is unfinished when the timer expires, the
+// unfinished tasks are relaunched.
 func (s *scheduler) relaunch() {
-	sl := s.controller.shardLeader
+	shardLeader := s.controller.shardLeader
 	relaunched := 0
-	for _, id := range sortedKeys(sl.jobs) {
-		j := sl.jobs[id]
-		if j.cancelled || j.ending || j.LongRunning || j.liveTasks == 0 {
+	for _, jobID := range sortedKeys(shardLeader.jobs) {
+		job := shardLeader.jobs[jobID]
+		if job.cancelled || job.ending || job.LongRunning || job.liveTasks == 0 {
 			continue
 		}
-		med, hasMedian := j.medianRunTime()
+		median, hasMedian := job.medianRunTime()
 		factor := s.settings.Policy.RelaunchFactor
-		if !hasMedian || j.doneTasks*2 < len(j.tasks) {
-			// No timer runs before half of the tasks have finished. A job of one task
-			// never gets there, so its reference is the corrected estimate, with a
-			// longer limit.
-			e := s.controller.knowledge.estimators[j.Workload]
-			if len(j.tasks) > 1 || e == nil || e.samples < 5 {
+		if !hasMedian || job.doneTasks*2 < len(job.tasks) {
+			// No timer runs before half of the job's tasks have finished. A job with
+			// one task never reaches that point, so its limit is longer and based on
+			// the corrected estimate.
+			estimator := s.controller.knowledge.estimators[job.Workload]
+			if len(job.tasks) > 1 || estimator == nil || estimator.samples < 5 {
 				continue
 			}
-			med = s.controller.knowledge.expectedRunTime(j)
+			median = s.controller.knowledge.expectedRunTime(job)
 			factor *= noMedianFactor
 		}
-		limit := time.Duration(factor * float64(med))
-		for _, gid := range sortedKeys(j.groups) {
-			g := j.groups[gid]
-			if g.relaunchDecided || s.now.Sub(g.startedAt) < limit {
+		limit := time.Duration(factor * float64(median))
+		for _, groupID := range sortedKeys(job.groups) {
+			group := job.groups[groupID]
+			if group.relaunchDecided || s.now.Sub(group.startedAt) < limit {
 				continue
 			}
 			var stragglers []int
-			for _, i := range g.tasks {
-				if t := &j.tasks[i]; !t.done && t.groupStart == gid {
-					stragglers = append(stragglers, i)
+			for _, index := range group.tasks {
+				if task := &job.tasks[index]; !task.done && task.groupStart == groupID {
+					stragglers = append(stragglers, index)
 				}
 			}
 			if len(stragglers) == 0 {
-				delete(j.groups, gid)
+				delete(job.groups, groupID)
 				continue
 			}
-			// A tenth of a small group is less than one task: one may always be
+			// A tenth of a small group is less than one task, so one task may always be
 			// relaunched.
-			if len(stragglers) > max(1, int(relaunchFraction*float64(g.size()))) {
+			if len(stragglers) > max(1, int(relaunchFraction*float64(group.size()))) {
 				continue
 			}
 			if relaunched+len(stragglers) > maxRelaunchesPerScan && relaunched > 0 {
 				continue
 			}
-			if !s.worthRelaunch(j, stragglers, limit) {
+			if !s.worthRelaunch(job, stragglers, limit) {
 				continue
 			}
 			relaunched += len(stragglers)
-			g.relaunchDecided = true
-			for _, i := range stragglers {
-				t := &j.tasks[i]
-				t.relaunched, t.stopReason = true, stopRelaunch
-				s.controller.markDispatchPending(t.machine)
-				j.markChanged(i, s.now, true)
-				s.debug("task relaunched", "job", j.ID, "task", i, "machine", t.machine.id, "limit", limit)
+			group.relaunchDecided = true
+			for _, index := range stragglers {
+				task := &job.tasks[index]
+				task.relaunched, task.stopReason = true, stopRelaunch
+				s.controller.markDispatchPending(task.machine)
+				job.markChanged(index, s.now, true)
+				s.debug("task relaunched", "job", job.ID, "task", index, "machine", task.machine.id, "limit", limit)
 			}
 		}
 	}
 }
 
-// worthRelaunch reports whether each straggler runs, has itself run for the limit (time spent
-// fetching an image does not count), was not relaunched before, and fits elsewhere.
-func (s *scheduler) worthRelaunch(j *job, stragglers []int, limit time.Duration) bool {
-	for _, i := range stragglers {
-		t := &j.tasks[i]
-		if t.machine == nil || t.stopReason != stopNone || t.relaunched || t.startedAt.IsZero() || s.now.Sub(t.startedAt) < limit {
+// worthRelaunch reports whether all stragglers may be relaunched: each of them runs, has run for at
+// least limit without its image fetch, was not relaunched before, and fits on another machine.
+func (s *scheduler) worthRelaunch(job *job, stragglers []int, limit time.Duration) bool {
+	for _, index := range stragglers {
+		task := &job.tasks[index]
+		if task.machine == nil || task.stopReason != stopNone || task.relaunched || task.startedAt.IsZero() || s.now.Sub(task.startedAt) < limit {
 			return false
 		}
-		fits, avoidGPUs := false, s.avoidsGPUsNow(j)
-		for _, m := range s.controller.shardLeader.machinesByID {
-			if m != t.machine && s.gpuPolicyAllows(avoidGPUs, m) && j.Need.Fits(m.free()) && j.allowsMachine(m.machineType, m.zone, m.spot) && s.usable(m) {
+		fits, avoidGPUs := false, s.avoidsGPUsNow(job)
+		for _, machine := range s.controller.shardLeader.machinesByID {
+			if machine != task.machine && s.gpuPolicyAllows(avoidGPUs, machine) && job.Need.Fits(machine.free()) && job.allowsMachine(machine.machineType, machine.zone, machine.spot) && s.usable(machine) {
 				fits = true
 				break
 			}
