--- a/internal/controller/relaunch_takeover_test.go
+++ b/internal/controller/relaunch_takeover_test.go
@@ -10,91 +10,87 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// groupAfterTakeover is a successor of a shard leader that started a job's forty tasks together a
-// minute and a half ago. All but four were done after half a minute each; these run, and there is
-// room elsewhere. Its machines were heard once, just now.
+// groupAfterTakeover returns a successor of a shard leader that started a job's forty tasks
+// together ninety seconds ago. All but four were done after thirty seconds each; these four still
+// run, and other machines have free capacity. Each machine has sent one heartbeat to the successor.
 func groupAfterTakeover(t *testing.T) (*Controller, *job) {
 	t.Helper()
 	former := largePool(0)
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: 40, AllowSpot: true, Need: model.Resources{CPU: 4, Memory: 1}, ExpectedRunTime: 30 * time.Second}
-	j := newJob(spec, former.now, 1, 4096)
-	former.shardLeader.jobs[j.ID] = j
-	for i := range j.tasks {
+	job := newJob(spec, former.now, 1, 4096)
+	former.shardLeader.jobs[job.ID] = job
+	for i := range job.tasks {
 		former.shardLeader.heartbeats.applyHeartbeat(former.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i)), former.poolHeartbeat(1), true)
 	}
 	former.shardLeader.scheduler.placeAll()
-	if j.liveTasks != 40 || len(j.groups) != 1 {
-		t.Fatalf("got %d tasks placed in %d groups, want 40 in one", j.liveTasks, len(j.groups))
+	if job.liveTasks != 40 || len(job.groups) != 1 {
+		t.Fatalf("got %d tasks placed in %d groups, want 40 in 1", job.liveTasks, len(job.groups))
 	}
 	for i := range 36 {
-		j.recordRunTime(30 * time.Second)
-		former.shardLeader.endAttempt(j, i, true)
+		job.recordRunTime(30 * time.Second)
+		former.shardLeader.endAttempt(job, i, true)
 	}
 	var tasks []message.KeyValue
-	for k := 0; k*j.tasksPerSegment < len(j.tasks); k++ {
-		tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, k), Value: record.Encode(j.segmentRecord(j.segmentOf(k * j.tasksPerSegment))), ModRevision: 2})
+	for k := 0; k*job.tasksPerSegment < len(job.tasks); k++ {
+		tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, job.ID, k), Value: record.Encode(job.segmentRecord(job.segmentOf(k * job.tasksPerSegment))), ModRevision: 2})
 	}
-	c := successor()
-	c.now = former.now.Add(90 * time.Second)
-	c.takeOverRecords([]message.KeyValue{{Key: record.OpenJobPrefix + j.ID, Value: record.Encode(record.NewOpenJob(&spec, former.now)), ModRevision: 1}}, tasks)
-	c.shardLeader.ready, c.shardLeader.readyAt = true, c.now
+	controller := successor()
+	controller.now = former.now.Add(90 * time.Second)
+	controller.takeOverRecords([]message.KeyValue{{Key: record.OpenJobPrefix + job.ID, Value: record.Encode(record.NewOpenJob(&spec, former.now)), ModRevision: 1}}, tasks)
+	controller.shardLeader.ready, controller.shardLeader.readyAt = true, controller.now
 	for i := range 44 {
-		r := c.poolHeartbeat(1)
-		r.Machine = fmt.Sprintf("vm-%06d", i)
-		for _, m := range former.shardLeader.machines {
-			for k, a := range m.attempts {
-				if m.id == r.Machine {
-					r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: a.attempt, Status: model.Running})
+		heartbeat := controller.poolHeartbeat(1)
+		heartbeat.Machine = fmt.Sprintf("vm-%06d", i)
+		for _, machine := range former.shardLeader.machines {
+			for k, attempt := range machine.attempts {
+				if machine.id == heartbeat.Machine {
+					heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: attempt.attempt, Status: model.Running})
 				}
 			}
 		}
-		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
+		controller.shardLeader.heartbeats.applyHeartbeat(controller.shardLeader.ensureMachine(heartbeat.Machine), heartbeat, true)
 	}
-	return c, c.shardLeader.jobs[j.ID]
+	return controller, controller.shardLeader.jobs[job.ID]
 }
 
-// relaunchedTasks counts the tasks of a job that are stopped to be started once more elsewhere.
-func relaunchedTasks(j *job) int {
+// relaunchedTasks counts the tasks of a job that were stopped to be relaunched.
+func relaunchedTasks(job *job) int {
 	count := 0
-	for i := range j.tasks {
-		if j.tasks[i].stopReason == stopRelaunch {
+	for i := range job.tasks {
+		if job.tasks[i].stopReason == stopRelaunch {
 			count++
 		}
 	}
 	return count
 }
 
-// TestTenthOfGroupAfterTakeover: of a group of forty tasks four are a tenth, also for a successor.
-// They are relaunched when the timer has expired and they have run for that long here.
-//
-// What happens: they are not. Why: the records say of a done task that it is done and not in which
-// group it was, so the group that a successor restores has the unfinished tasks alone, four of
-// four. What showed it: the restored group has four tasks.
+// TestTenthOfGroupAfterTakeover checks that a successor counts the done tasks of a restored group,
+// so that the four unfinished tasks are a tenth of forty and are relaunched when the timer expires.
+// The record of a done task does not name the task's group. A group restored from the unfinished
+// tasks alone would have four of four unfinished, and none would be relaunched.
 func TestTenthOfGroupAfterTakeover(t *testing.T) {
-	c, j := groupAfterTakeover(t)
-	c.now = c.now.Add(2 * time.Minute)
-	for _, m := range c.shardLeader.machinesByID {
-		m.lastHeard = c.now
+	controller, job := groupAfterTakeover(t)
+	controller.now = controller.now.Add(2 * time.Minute)
+	for _, machine := range controller.shardLeader.machinesByID {
+		machine.lastHeard = controller.now
 	}
-	c.shardLeader.scheduler.relaunch()
-	if got := relaunchedTasks(j); got != 4 {
-		t.Errorf("got %d tasks relaunched of a group of %d, want all 4 unfinished ones of 40", got, len(j.groups[j.tasks[36].groupStart].tasks))
+	controller.shardLeader.scheduler.relaunch()
+	if got := relaunchedTasks(job); got != 4 {
+		t.Errorf("got %d tasks relaunched in a group restored with %d unfinished tasks, want all 4 unfinished of 40", got, len(job.groups[job.tasks[36].groupStart].tasks))
 	}
 }
 
-// TestRunTimeAfterTakeover: the run time of a task that a former shard leader started counts from
-// its start, as far as it is known, so that the timer, which has expired, holds at once.
-//
-// What happens: a straggler alone in its group is relaunched only when it has run for the whole
-// limit once more. Why: a successor takes the moment when it first sees a task run for its start.
-// What showed it: the task's start is the successor's first heartbeat.
+// TestRunTimeAfterTakeover checks that the run time of a task that a former shard leader started
+// counts from its start as far as known, so that an expired timer applies at once. If a successor
+// took its first heartbeat about the task for the start, a straggler would be relaunched only after
+// it had run for the whole limit once more.
 func TestRunTimeAfterTakeover(t *testing.T) {
-	c, j := groupAfterTakeover(t)
+	controller, job := groupAfterTakeover(t)
 	for i := 37; i < 40; i++ {
-		c.shardLeader.endAttempt(j, i, true)
+		controller.shardLeader.endAttempt(job, i, true)
 	}
-	c.shardLeader.scheduler.relaunch()
-	if got := relaunchedTasks(j); got != 1 {
-		t.Errorf("got %d tasks relaunched, want the one that has run for %v; its start counts from %v ago", got, 90*time.Second, c.now.Sub(j.tasks[36].startedAt))
+	controller.shardLeader.scheduler.relaunch()
+	if got := relaunchedTasks(job); got != 1 {
+		t.Errorf("got %d tasks relaunched, want 1 that has run for %v; its run time counts from %v ago", got, 90*time.Second, controller.now.Sub(job.tasks[36].startedAt))
 	}
 }
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -6,61 +6,63 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// commandAndWriteTime is the part of a bounded wait that is set aside for writing the task's
-// record and sending the start command; the rest may be spent on fetching the image.
+// commandAndWriteTime is the part of a workload's wait bound that is reserved for writing the
+// task's record and sending the start command. The rest may be spent on fetching the image.
 const commandAndWriteTime = 500 * time.Millisecond
 
-// scheduler decides which pending task starts on which machine, and which running tasks are
-// stopped for it. It is part of a shard leader and works on the leader's jobs and machines:
-// its methods may be called only while this controller leads a shard, from within Step.
+// scheduler decides which pending task starts on which machine, and which running tasks are stopped
+// to free capacity for it. It belongs to a shard leader and handles the jobs and machines of that
+// leader. Its methods may be called only from within Step, while this controller leads a shard.
 //
-// The scheduler owns no durable state. A successor starts with an empty one: everything here
-// is derived from jobs, machines and the clock, or only spaces out expensive scans.
+// The scheduler has no durable state. A successor starts with an empty scheduler: its state is
+// derived from jobs, machines and the clock, or only limits how often expensive scans run.
 //
-// Invariants: a task is placed only on a machine that is usable, while the membership lease is
-// valid, and within its team's quota limit; the attempt starts only after its record is durable.
+// Invariants: a task is placed only on a usable machine, while the membership lease is valid, and
+// within the quota limit of its team. The attempt starts only after its record is durable.
 type scheduler struct {
 	component
 
-	// placementDue says that something changed that may let tasks be placed, placementUrgent
-	// that one of these tasks has a bounded wait. The last round began at placedAt, and the
-	// step that contained it took roundDuration.
+	// placementDue is set when a change may allow tasks to be placed, placementUrgent when the
+	// wait of one of these tasks is bounded. placedAt is when the last round began;
+	// roundDuration is how long the step that contained the last round took.
 	placementDue    bool
 	placementUrgent bool
 	placedAt        time.Time
 	roundDuration   time.Duration
 
-	// preemptionVictims caches, for each kind of task, where lower work may be stopped.
+	// preemptionVictims caches, for each kind of task, the machines where tasks of lower
+	// urgency may be stopped.
 	preemptionVictims map[preemptionVictimsKey]*preemptionVictims
 	// machinesReservedAt is when machines were last reserved for overdue jobs; see aging.go.
 	machinesReservedAt time.Time
-	// startDeadlines holds, for each workload with pending tasks, when the first of them
-	// should start at the latest. Rebuilt in each placement round.
+	// startDeadlines holds, for each workload with pending tasks, the earliest of the latest
+	// start times of its jobs. Each placement round rebuilds it.
 	startDeadlines map[string]time.Time
 
-	// packingProfile is the usual demand on machines with GPUs; nil while the models
-	// capability is off. See packing.go.
+	// packingProfile is the usual demand on machines with GPUs. It is nil while the models
+	// capability is off; see packing.go.
 	packingProfile *packingProfile
 	// freeCapacityReportedAt is when free GPU capacity was last reported to the metrics.
 	freeCapacityReportedAt time.Time
 
 	// waitsReportedAt is when the jobs left waiting were last reported to the metrics;
-	// waitsReported says that there were any.
+	// waitsReported is set if that report listed any.
 	waitsReportedAt time.Time
 	waitsReported   bool
 }
 
-// requestPlacement asks for a placement round: a task has become pending, or capacity free.
+// requestPlacement requests a placement round. It is called when a task has become pending or
+// capacity has become free.
 func (s *scheduler) requestPlacement() { s.placementDue = true }
 
-// hurryPlacement lets the next round start without the usual interval if the wait of the
-// workload's tasks is bounded. It does not ask for a round by itself.
+// hurryPlacement lets the next round start without the usual interval if the wait of the workload's
+// tasks is bounded. It does not request a round.
 func (s *scheduler) hurryPlacement(workload string) {
 	s.placementUrgent = s.placementUrgent || s.waitObjective(workload) > 0
 }
 
-// restartPlacement asks for a round at once and forgets where work may be preempted: the
-// ranking has changed.
+// restartPlacement requests an immediate round and clears the cache of preemption victims. It is
+// called when the ranking has changed.
 func (s *scheduler) restartPlacement() {
 	s.placementDue, s.placementUrgent = true, true
 	s.preemptionVictims = nil
@@ -71,8 +73,9 @@
 	return s.placementDue && !s.now.Before(s.nextRoundAt())
 }
 
-// nextRoundAt is when the next round may start. After a round that took long, half as much
-// again as it took is left to other work, however many tasks are pending.
+// nextRoundAt returns when the next round may start. Rounds start at intervals of at least 2.5
+// times the duration of the last round, which leaves time for other commands however many tasks are
+// pending.
 func (s *scheduler) nextRoundAt() time.Time {
 	gap := placementInterval
 	if s.placementUrgent {
@@ -81,16 +84,16 @@
 	return s.placedAt.Add(max(gap, s.roundDuration*5/2))
 }
 
-// runPlacementRound answers all requests for a round made so far.
+// runPlacementRound runs a placement round and clears all requests for one.
 func (s *scheduler) runPlacementRound() {
 	s.placementDue, s.placementUrgent, s.placedAt = false, false, s.now
 	s.placeAll()
 }
 
-// recordRoundDuration notes how long the step with the last round took.
+// recordRoundDuration stores how long the step with the last round took.
 func (s *scheduler) recordRoundDuration(d time.Duration) { s.roundDuration = d }
 
-// usable reports whether tasks may be placed on m now.
+// usable reports whether tasks may be placed on a machine at present.
 func (s *scheduler) usable(m *machine) bool {
 	return !s.controller.isRentedForOther(m.id) &&
 		m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks &&
@@ -102,9 +105,9 @@
 func (s *scheduler) placeAll() {
 	entries := s.queueOrder()
 	var jobs []*job
-	for _, e := range entries {
-		if e.goesFirst || !e.job.overdue {
-			jobs = append(jobs, e.job)
+	for _, entry := range entries {
+		if entry.goesFirst || !entry.job.overdue {
+			jobs = append(jobs, entry.job)
 		}
 	}
 	s.reserveMachines(jobs)
@@ -115,58 +118,60 @@
 		return
 	}
 	s.placeReserved()
-	r := s.newPlacementRound()
+	round := s.newPlacementRound()
 	s.updateStartDeadlines(entries)
-	for _, e := range entries {
-		e.job.placingOverdue = e.goesFirst
-		s.placeQueueEntry(e.job, r, e.tasks)
-		e.job.placingOverdue = false
+	for _, entry := range entries {
+		entry.job.placingOverdue = entry.goesFirst
+		s.placeQueueEntry(entry.job, round, entry.tasks)
+		entry.job.placingOverdue = false
 	}
 }
 
+// updateStartDeadlines rebuilds startDeadlines from the queue entries.
 func (s *scheduler) updateStartDeadlines(entries []queueEntry) {
 	s.startDeadlines = map[string]time.Time{}
-	for _, e := range entries {
-		j, latest := e.job, s.latestStart(e.job)
-		if t, ok := s.startDeadlines[j.Workload]; !ok || latest.Before(t) {
-			s.startDeadlines[j.Workload] = latest
+	for _, entry := range entries {
+		job, latest := entry.job, s.latestStart(entry.job)
+		if earliest, ok := s.startDeadlines[job.Workload]; !ok || latest.Before(earliest) {
+			s.startDeadlines[job.Workload] = latest
 		}
 	}
 }
 
-// placeQueueEntry places up to count pending tasks of a job whose turn it is.
-func (s *scheduler) placeQueueEntry(j *job, r *placementRound, count int) {
-	if j.Gang {
-		s.placeGang(j, r)
+// placeQueueEntry places up to count pending tasks of a job.
+func (s *scheduler) placeQueueEntry(job *job, round *placementRound, count int) {
+	if job.Gang {
+		s.placeGang(job, round)
 		return
 	}
-	most := func() int { return min(count, s.placeableTasks(j)) }
+	most := func() int { return min(count, s.placeableTasks(job)) }
 	place := func(fetch time.Duration, most int) {
-		pending := j.pendingTasks()
-		s.placeJob(j, r, fetch, most)
-		count -= pending - j.pendingTasks()
+		pending := job.pendingTasks()
+		s.placeJob(job, round, fetch, most)
+		count -= pending - job.pendingTasks()
 	}
-	bound := s.waitObjective(j.Workload)
-	if bound == 0 || j.Urgency == model.BestEffort {
+	bound := s.waitObjective(job.Workload)
+	if bound == 0 || job.Urgency == model.BestEffort {
 		place(forever, most())
-		if (j.placingOverdue || s.preemptsForReplica(j)) && most() > 0 && !s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID) {
-			// Work of lower urgency is stopped for an overdue job, and such work without
-			// GPUs also for replicas.
-			s.preemptIfDue(j, forever)
+		if (job.placingOverdue || s.preemptsForReplica(job)) && most() > 0 && !s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
+			// An overdue job may preempt tasks of lower urgency; a job with replicas
+			// may preempt only such tasks without GPUs.
+			s.preemptIfDue(job, forever)
 		}
 		return
 	}
-	// With a bounded wait: first where the image is or can be in time, then in place of lower
-	// work there, and only then where the fetch alone may take longer than the bound.
-	left := bound - s.now.Sub(j.readySince()) - commandAndWriteTime
+	// A job with a bounded wait is placed in three steps: first on machines that have the image
+	// or can fetch it in time, then by preemption on such machines, and last on machines where
+	// the fetch alone may exceed the bound.
+	left := bound - s.now.Sub(job.readySince()) - commandAndWriteTime
 	place(max(left, 0), most())
 	freeing := 0
 	switch {
-	case s.placeableTasks(j) == 0 || s.controller.shardLeader.faultAttribution.FailsEverywhere(j.ID):
+	case s.placeableTasks(job) == 0 || s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID):
 	case left > 0:
-		freeing = s.preemptIfDue(j, left)
-	case s.latestStart(j).Sub(s.now) < bound:
-		freeing = s.preemptIfDue(j, forever)
+		freeing = s.preemptIfDue(job, left)
+	case s.latestStart(job).Sub(s.now) < bound:
+		freeing = s.preemptIfDue(job, forever)
 	}
 	place(forever, most()-freeing)
 }
