--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,10 +8,12 @@
 	"pgregory.net/rapid"
 )
 
+// nominal is the boot time that the cloud states in these tests.
 const nominal = 40 * time.Second
 
-// TestPriorEstimate: without samples a machine is waited for until it is later than usual,
-// another is rented then, and it is given up only when it is very late.
+// TestPriorEstimate guards against renting or giving up machines too early when there are no samples. A
+// machine must be worth waiting for until it takes longer than usual, and be given up only when it is very
+// late.
 func TestPriorEstimate(t *testing.T) {
 	var estimator Estimator
 	for _, c := range []struct {
@@ -27,7 +29,7 @@
 	}
 }
 
-// TestLearns: the estimate follows boot times in both directions.
+// TestLearns guards against an estimate that stays at the nominal time when machines boot faster or slower.
 func TestLearns(t *testing.T) {
 	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
@@ -44,16 +46,16 @@
 		t.Errorf("after late boots: Remaining(0): got %v, want twice the nominal time at least", r)
 	}
 	if !estimator.IsWorthWaiting(2*nominal, nominal) {
-		t.Error("machine as late as the others: got not worth waiting, want worth it")
+		t.Error("machine as slow as the others: got not worth waiting, want worth waiting")
 	}
 	if estimator.GiveUp(4*nominal, nominal) {
-		t.Error("machine as late as the others: got given up, want kept")
+		t.Error("machine as slow as the others: got given up, want not given up")
 	}
 }
 
-// TestExpire: a kind of which all machines were given up is tried again after a while. A
-// cloud's on-demand machines used not to be rented for a whole day after a minute of late
-// boots.
+// TestExpire guards against a kind that is never rented again after all its machines were given up. Without
+// the expiry of samples, a minute of late boots kept a cloud's on-demand machines from being rented for a
+// whole day.
 func TestExpire(t *testing.T) {
 	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
@@ -62,7 +64,7 @@
 	}
 	estimator.Expire(now.Add(4*nominal), nominal)
 	if estimator.Remaining(0, nominal) != Never {
-		t.Error("samples expired too early")
+		t.Error("Remaining(0) before expiry: got a time, want Never")
 	}
 	estimator.Expire(now.Add(4*nominal+time.Second), nominal)
 	if r := estimator.Remaining(0, nominal); r > 2*nominal {
@@ -70,8 +72,8 @@
 	}
 }
 
-// TestNeverReady: a kind that stops becoming ready is recognized, until a machine becomes
-// ready.
+// TestNeverReady guards against renting more machines of a kind whose machines have stopped becoming ready.
+// The kind must count as never ready while three machines are overdue, until one becomes ready.
 func TestNeverReady(t *testing.T) {
 	var estimator Estimator
 	now := time.Unix(1_750_000_000, 0)
@@ -96,8 +98,9 @@
 	}
 }
 
-// TestBounds: whatever the samples, a new machine is always worth waiting for or takes Never,
-// one that is worth waiting for is not given up, and none is waited for without limit.
+// TestBounds guards against contradictory decisions for any samples. A new machine must be worth waiting for
+// unless its estimate is Never, no machine may be both worth waiting for and given up, and no machine may be
+// waited for without limit.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var estimator Estimator
@@ -110,14 +113,14 @@
 			}
 		}
 		if !estimator.IsWorthWaiting(0, nominal) && estimator.Remaining(0, nominal) != Never {
-			t.Fatal("new machine: got not worth waiting, want worth it or Never")
+			t.Fatal("new machine: got not worth waiting and an estimate below Never, want worth waiting or Never")
 		}
 		if !estimator.GiveUp(time.Hour, nominal) || estimator.IsWorthWaiting(time.Hour, nominal) {
-			t.Fatal("machine of an hour: got worth waiting or not given up, want given up")
+			t.Fatal("machine at the age of an hour: got worth waiting or not given up, want given up")
 		}
 		age := time.Duration(rapid.IntRange(0, 900).Draw(t, "age")) * time.Second
 		if estimator.IsWorthWaiting(age, nominal) && estimator.GiveUp(age, nominal) {
-			t.Fatal("machine is both worth waiting for and given up")
+			t.Fatal("machine of a random age: got both worth waiting and given up, want at most one")
 		}
 	})
 }
--- a/internal/controller/arrivals.go
+++ b/internal/controller/arrivals.go
@@ -8,17 +8,17 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// arrivalWindow is how far back arrivals count, recentWindow the part of it that shows soonest when
-// they have ended.
+// arrivalWindow is how far back arrivals count for the arrival rate. recentWindow is the last part of
+// arrivalWindow; its rate shows sooner that arrivals have ended.
 const (
 	arrivalWindow = 90 * time.Second
 	recentWindow  = 30 * time.Second
 )
 
-// workloadKey names a team's jobs of a workload.
+// workloadKey identifies the jobs of one team in one workload.
 type workloadKey struct{ team, workload string }
 
-// arrival is a job that was submitted lately.
+// arrival is a job that was submitted within arrivalWindow.
 type arrival struct {
 	arrivedAt time.Time
 	tasks     int
@@ -26,35 +26,35 @@
 	spec      *model.JobSpec
 }
 
-// maxBurst bounds burstFactor's addition for chance.
+// maxBurst is the largest fraction that burstFactor adds to the average.
 const maxBurst = 0.5
 
-// recordArrival notes a job that has just been submitted.
+// recordArrival records the arrival of a job that has just been submitted.
 func (f *fleetPlanner) recordArrival(j *job) {
 	k := workloadKey{j.Team, j.Workload}
 	f.arrivals[k] = append(f.arrivals[k], arrival{f.now, j.Tasks, j.Need, &j.JobSpec})
 }
 
-// forgetArrivals drops the arrivals of a team's workload: the team has left this shard.
+// forgetArrivals drops the arrivals of a team's workload when the team has left this shard.
 func (f *fleetPlanner) forgetArrivals(k workloadKey) { delete(f.arrivals, k) }
 
-// workloadKeysOf returns the teams, as keys, whose jobs of a workload have lately arrived here or at
-// the previous shard leader of the team.
+// workloadKeysOf returns the keys of a workload for the teams whose jobs of it have arrived here within
+// arrivalWindow, or for which the previous shard leader of the team published a load.
 func (f *fleetPlanner) workloadKeysOf(workload string) []workloadKey {
 	var out []workloadKey
-	for _, t := range sortedKeys(f.controller.shardLeader.teams) {
-		k := workloadKey{t, workload}
-		if _, inherited := f.controller.knowledge.inheritedLoads[k]; inherited || len(f.arrivals[k]) > 0 {
-			out = append(out, k)
+	for _, team := range sortedKeys(f.controller.shardLeader.teams) {
+		key := workloadKey{team, workload}
+		if _, inherited := f.controller.knowledge.inheritedLoads[key]; inherited || len(f.arrivals[key]) > 0 {
+			out = append(out, key)
 		}
 	}
 	return out
 }
 
-// burstFactor is by how much the tasks of a workload that arrive within some time may well exceed
-// the average. Jobs arrive at random and differ in size by about their mean, so the sum varies by
-// one part in the square root of their number: by half where few arrive, by little where hundreds
-// do.
+// burstFactor returns the factor by which the number of a workload's tasks that arrive within a time may
+// exceed the average. Jobs arrive at random, and the standard deviation of their sizes is about the mean
+// size. The sum therefore varies by about one over the square root of the number of jobs: by half where
+// few jobs arrive, by little where hundreds arrive.
 func (f *fleetPlanner) burstFactor(name string, within time.Duration) float64 {
 	jobs := 0.0
 	for _, k := range f.workloadKeysOf(name) {
@@ -63,7 +63,7 @@
 	return 1 + min(maxBurst, 1/math.Sqrt(max(jobs, 1)))
 }
 
-// arrivalRate is how many of the workload's tasks have arrived per second within the window.
+// arrivalRate returns how many of the workload's tasks arrived per second within the window.
 func (f *fleetPlanner) arrivalRate(name string, window time.Duration) float64 {
 	sum := 0.0
 	for _, k := range f.workloadKeysOf(name) {
@@ -72,22 +72,23 @@
 	return sum
 }
 
-// teamArrivalRate is the rate of one team. After a takeover, the rate that the previous shard leader
-// published stands for the time that was not seen here.
-func (f *fleetPlanner) teamArrivalRate(k workloadKey, window time.Duration) float64 {
-	as := f.arrivals[k]
-	for len(as) > 0 && f.now.Sub(as[0].arrivedAt) > arrivalWindow {
-		as = as[1:]
+// teamArrivalRate returns the arrival rate of one team's workload in tasks per second. For the part of the
+// window before this shard leader had taken the team over, it assumes the rate that the previous shard
+// leader published.
+func (f *fleetPlanner) teamArrivalRate(key workloadKey, window time.Duration) float64 {
+	arrivals := f.arrivals[key]
+	for len(arrivals) > 0 && f.now.Sub(arrivals[0].arrivedAt) > arrivalWindow {
+		arrivals = arrivals[1:]
 	}
-	f.arrivals[k] = as
-	held := f.controller.shardLeader.teams[k.team]
-	if held == nil || !held.ready {
+	f.arrivals[key] = arrivals
+	teamState := f.controller.shardLeader.teams[key.team]
+	if teamState == nil || !teamState.ready {
 		return 0
 	}
-	old, inherited := f.controller.knowledge.inheritedLoads[k]
-	span := f.now.Sub(held.readyAt)
+	inheritedLoad, inherited := f.controller.knowledge.inheritedLoads[key]
+	span := f.now.Sub(teamState.readyAt)
 	sum := 0
-	for _, a := range as {
+	for _, a := range arrivals {
 		if f.now.Sub(a.arrivedAt) <= window {
 			sum += a.tasks
 		}
@@ -99,36 +100,37 @@
 		if span < settleTime {
 			return 0
 		}
-		// At the start, and after an outage, the work that has gathered arrives at once.
-		// Divided by the few seconds since, it would look like a rate many times the
-		// true one, and hundreds of machines would be rented for it.
+		// At the start of the cluster and after an outage, the jobs that have accumulated
+		// arrive at once. Divided by the few seconds since then, their tasks would look
+		// like many times the true rate, and hundreds of machines would be rented for it.
 		return float64(sum) / min(window, span+recentWindow).Seconds()
 	}
-	return (float64(sum) + old.TasksPerSecond*(window-span).Seconds()) / window.Seconds()
+	return (float64(sum) + inheritedLoad.TasksPerSecond*(window-span).Seconds()) / window.Seconds()
 }
 
-// workloadLoads returns what a successor needs to know of the teams' workloads.
+// workloadLoads returns the arrival rates and run time estimates of the teams' workloads, which a successor
+// needs.
 func (f *fleetPlanner) workloadLoads() []message.WorkloadLoad {
 	var out []message.WorkloadLoad
 	for _, name := range sortedKeys(f.controller.shardLeader.workloads) {
-		for _, k := range f.workloadKeysOf(name) {
-			l := message.WorkloadLoad{Team: k.team, Workload: name, TasksPerSecond: f.teamArrivalRate(k, arrivalWindow), RunTimeRatio: 1}
-			if e := f.controller.knowledge.estimators[name]; e != nil {
-				l.RunTimeRatio, l.Deviation, l.Samples = e.ratio, e.deviation, e.samples
+		for _, key := range f.workloadKeysOf(name) {
+			load := message.WorkloadLoad{Team: key.team, Workload: name, TasksPerSecond: f.teamArrivalRate(key, arrivalWindow), RunTimeRatio: 1}
+			if estimator := f.controller.knowledge.estimators[name]; estimator != nil {
+				load.RunTimeRatio, load.Deviation, load.Samples = estimator.ratio, estimator.deviation, estimator.samples
 			}
-			out = append(out, l)
+			out = append(out, load)
 		}
 	}
 	return out
 }
 
-// inheritLoads keeps what other shard leaders publish of their teams' workloads, in case this
+// inheritLoads keeps the workload loads that other shard leaders publish for their teams, in case this
 // controller takes the teams over.
-func (c *Controller) inheritLoads(ls []message.WorkloadLoad) {
-	for _, l := range ls {
-		if c.shardLeader != nil && c.shardLeader.teams[l.Team] != nil {
+func (c *Controller) inheritLoads(loads []message.WorkloadLoad) {
+	for _, load := range loads {
+		if c.shardLeader != nil && c.shardLeader.teams[load.Team] != nil {
 			continue
 		}
-		c.knowledge.inheritLoad(l, c.shardLeader == nil)
+		c.knowledge.inheritLoad(load, c.shardLeader == nil)
 	}
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -9,31 +9,35 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// maxArrivalBatches is in how many batches expected tasks arrive in a simulation at most. With fewer
-// and larger ones more machines look needed at a time, and too many expensive ones are kept.
+// maxArrivalBatches is the largest number of batches in which the expected tasks of a demand arrive in a
+// simulation. With fewer and larger batches, more machines would seem needed at a time, and too many
+// expensive machines would be kept.
 const maxArrivalBatches = 512
 
-// demand is some tasks of a job: pending now, or expected to arrive evenly within arrivalSpread.
+// demand is a number of tasks of a job. The tasks are pending now, or, if arrivalSpread is not 0, expected
+// to arrive evenly within arrivalSpread from now.
 type demand struct {
-	job           *job
-	count         int
+	job   *job
+	count int
+	// latestStart is when a pending task, or an expected task that arrives in the middle of
+	// arrivalSpread, should start at the latest.
 	latestStart   time.Time
 	arrivalSpread time.Duration
 }
 
-// startDeadline is when a task of the demand that arrives at from should start at the latest:
-// expected tasks that arrive later are due later.
+// startDeadline returns when a task of the demand that arrives at from should start at the latest. The
+// later an expected task arrives, the later it is due.
 func (d demand) startDeadline(now, from time.Time) time.Time {
 	return d.latestStart.Add(from.Sub(now) - d.arrivalSpread/2)
 }
 
-// arrivalAt is when the demand's task i arrives.
+// arrivalAt returns when task i of the demand arrives.
 func (d demand) arrivalAt(now time.Time, i int) time.Time {
 	return now.Add(d.arrivalSpread * time.Duration(i+1) / time.Duration(d.count+1))
 }
 
-// arrivalBatches yields when tasks of the demand arrive together, and how many: pending tasks at
-// once, expected ones in at most maxArrivalBatches batches.
+// arrivalBatches yields the time and the number of tasks of each batch in which the demand arrives:
+// pending tasks in one batch, expected tasks in at most maxArrivalBatches.
 func (d demand) arrivalBatches(now time.Time) iter.Seq2[time.Time, int] {
 	size := max(1, d.count)
 	if d.arrivalSpread > 0 {
@@ -49,12 +53,13 @@
 	}
 }
 
-// demands returns what needs capacity within the horizon, by rank: the pending tasks, as far as the
-// teams' quota limits let them run, then the arrivals that the last minutes make likely, with more
-// for workloads whose wait is bounded.
+// demands returns the demands for capacity within the horizon, ordered by rank. At equal rank the pending
+// tasks come first, as far as the teams' quota limits let them run, then the tasks that are expected to
+// arrive.
 //
-// The forecast is the average rate. With bursts it adds what chance may bring; when cautious it
-// falls at once when arrivals end.
+// The forecast is the average arrival rate of each workload, multiplied by the policy's headroom factor
+// for workloads with a wait objective. With bursts it includes the random variation of arrivals. With
+// cautious it falls soon after arrivals have ended.
 func (f *fleetPlanner) demands(horizon time.Duration, bursts, cautious bool) []demand {
 	out := f.pendingDemands()
 	out = append(out, f.expectedDemands(horizon, bursts, cautious)...)
@@ -64,34 +69,38 @@
 	return out
 }
 
+// pendingDemands returns the pending tasks of each job in queue order, as far as the teams' quota limits
+// let them run. Tasks for which the migration manager reserves capacity are not counted.
 func (f *fleetPlanner) pendingDemands() []demand {
-	sl := f.controller.shardLeader
+	shardLeader := f.controller.shardLeader
 	counted := map[string]model.Resources{}
 	var out []demand
-	for _, j := range sl.scheduler.jobsInQueueOrder() {
+	for _, j := range shardLeader.scheduler.jobsInQueueOrder() {
 		count := max(0, f.controller.shardLeader.scheduler.placeableTasks(j)-f.controller.shardLeader.migration.reservedTasks(j))
-		if t := f.team(j.Team); t != nil {
-			u := sl.usedByTeam[j.Team].AddScaled(counted[j.Team], 1)
-			left := model.Resources{CPU: t.QuotaLimit.CPU - u.CPU, GPU: t.QuotaLimit.GPU - u.GPU}
-			if t.QuotaLimit.CPU > 0 {
+		if team := f.team(j.Team); team != nil {
+			used := shardLeader.usedByTeam[j.Team].AddScaled(counted[j.Team], 1)
+			left := model.Resources{CPU: team.QuotaLimit.CPU - used.CPU, GPU: team.QuotaLimit.GPU - used.GPU}
+			if team.QuotaLimit.CPU > 0 {
 				count = min(count, model.Resources{CPU: left.CPU}.FitCount(model.Resources{CPU: j.Need.CPU}))
 			}
-			if t.QuotaLimit.GPU > 0 {
+			if team.QuotaLimit.GPU > 0 {
 				count = min(count, model.Resources{GPU: left.GPU}.FitCount(model.Resources{GPU: j.Need.GPU}))
 			}
 			counted[j.Team] = counted[j.Team].AddScaled(j.Need, float64(count))
 		}
-		out = append(out, demand{job: j, count: count, latestStart: sl.scheduler.dueStart(j)})
+		out = append(out, demand{job: j, count: count, latestStart: shardLeader.scheduler.dueStart(j)})
 	}
 	return out
 }
 
+// expectedDemands returns the tasks that are expected to arrive within the horizon, for each workload; see
+// demands. Long-running jobs and gangs are not forecast.
 func (f *fleetPlanner) expectedDemands(horizon time.Duration, bursts, cautious bool) []demand {
-	sl := f.controller.shardLeader
+	shardLeader := f.controller.shardLeader
 	var out []demand
-	for _, name := range sortedKeys(sl.workloads) {
-		w := sl.workloads[name]
-		if w.spec.LongRunning || w.spec.Gang {
+	for _, name := range sortedKeys(shardLeader.workloads) {
+		workload := shardLeader.workloads[name]
+		if workload.spec.LongRunning || workload.spec.Gang {
 			continue
 		}
 		count := f.arrivalRate(name, arrivalWindow) * horizon.Seconds()
@@ -105,8 +114,8 @@
 			count *= f.settings.Policy.HeadroomFactor
 		}
 		if k := int(count + 0.5); k > 0 {
-			j := &job{JobSpec: *w.spec, tasks: make([]task, k), submittedAt: f.now.Add(horizon / 2)}
-			out = append(out, demand{job: j, count: k, latestStart: sl.scheduler.latestStart(j), arrivalSpread: horizon})
+			j := &job{JobSpec: *workload.spec, tasks: make([]task, k), submittedAt: f.now.Add(horizon / 2)}
+			out = append(out, demand{job: j, count: k, latestStart: shardLeader.scheduler.latestStart(j), arrivalSpread: horizon})
 		}
 	}
 	return out
--- a/internal/controller/fleet_test.go
+++ b/internal/controller/fleet_test.go
@@ -9,15 +9,15 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// TestExpectedTasksRentNothingBesideIdleMachines guards against renting a machine for each
-// task that is only expected: a machine to be rented was taken to have the image by the time
-// the task comes, while idle ones have to fetch it.
+// TestExpectedTasksRentNothingBesideIdleMachines guards against renting a machine for each expected task
+// although machines are idle. That happens if planning assumes that a machine to be rented has the image
+// when the task arrives, whereas idle machines have to fetch it.
 func TestExpectedTasksRentNothingBesideIdleMachines(t *testing.T) {
 	c := largePool(0)
 	for i := range 40 {
-		r := c.poolHeartbeat(0)
-		r.Machine = fmt.Sprintf("vm-%06d", i)
-		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
+		heartbeat := c.poolHeartbeat(0)
+		heartbeat.Machine = fmt.Sprintf("vm-%06d", i)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(heartbeat.Machine), heartbeat, true)
 	}
 	spec := model.JobSpec{ID: "job-x", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 20, AllowSpot: true,
 		Need: model.Resources{CPU: 8, Memory: 22}, Image: "wide-1", ImageGB: 6, ExpectedRunTime: 40 * time.Second, Deadline: 3 * time.Minute}
@@ -29,16 +29,16 @@
 		t.Fatalf("got demands %v, want one of at least 50 tasks", d)
 	}
 	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
-		t.Errorf("got capacity requests %v beside 40 idle machines, want none", requests)
+		t.Errorf("got capacity requests %v with 40 idle machines, want none", requests)
 	}
 }
 
-// TestScarcityReliefUsesIdleMachines guards against renting a small machine for each task
-// that should leave free capacity on racks, beside small machines that are idle.
+// TestScarcityReliefUsesIdleMachines guards against renting a small machine for each task that is kept off
+// scarce racks, although small machines are idle.
 func TestScarcityReliefUsesIdleMachines(t *testing.T) {
 	c := largePool(0)
 	for i := range 80 {
-		// Every eighth is a rack; the boxes are idle as well.
+		// Every eighth machine is a rack, the others are boxes. All are idle.
 		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(c.poolHeartbeat(i).Machine), c.poolHeartbeat(i), true)
 	}
 	small := model.JobSpec{ID: "job-s", Workload: "small", Team: "ops", Urgency: model.Normal, Tasks: 1, AllowSpot: true,
@@ -49,7 +49,7 @@
 	c.shardLeader.scheduler.startDeadlines = map[string]time.Time{"wide": c.now}
 	for _, m := range c.shardLeader.machinesByID {
 		if m.machineType == "rack" {
-			// The racks have the image, and so come first in the simulation.
+			// The racks have the image, so the simulation prefers them.
 			m.images["s"] = &image{sizeGB: 0.5, cached: true}
 		}
 	}
@@ -60,12 +60,12 @@
 		t.Fatal("got no waiting job that needs racks, want one")
 	}
 	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
-		t.Errorf("got capacity requests %v beside 70 idle boxes, want none", requests)
+		t.Errorf("got capacity requests %v with 70 idle boxes, want none", requests)
 	}
 }
 
-// TestLargestLateJobIsDeferred: of jobs that can't all meet their deadlines the largest is
-// deferred, and none while all can.
+// TestLargestLateJobIsDeferred guards against a large job that makes all other jobs miss their deadlines.
+// Of jobs that can't all meet their deadlines, the largest must be deferred; while all can, none.
 func TestLargestLateJobIsDeferred(t *testing.T) {
 	c := largePool(10)
 	clear(c.shardLeader.jobs)
@@ -76,66 +76,67 @@
 		c.shardLeader.jobs[id] = j
 	}
 	deferred := func() string {
-		rs := []queuedJob{}
+		queue := []queuedJob{}
 		for _, j := range c.shardLeader.scheduler.jobsInQueueOrder() {
-			rs = append(rs, queuedJob{job: j})
+			queue = append(queue, queuedJob{job: j})
 		}
-		c.shardLeader.scheduler.deferLateJobs(rs)
+		c.shardLeader.scheduler.deferLateJobs(queue)
 		out := ""
-		for _, r := range rs {
+		for _, r := range queue {
 			if r.deferred {
 				out += r.job.ID + " "
 			}
 		}
 		return out
 	}
-	// There is capacity for 24 tasks at a time, and time for three rounds of them.
+	// There is capacity for 24 tasks at a time, and time to run three such sets one after another.
 	add("job-1", 30)
 	add("job-2", 8)
 	if got := deferred(); got != "" {
-		t.Errorf("got %sdeferred while all can meet their deadlines, want none", got)
+		t.Errorf("got jobs %sdeferred while all can meet their deadlines, want none", got)
 	}
 	c.shardLeader.jobs["job-1"].tasks = make([]task, 90)
 	add("job-3", 8)
 	if got := deferred(); got != "job-1 " {
-		t.Errorf("got %q deferred, want the largest, %q", got, "job-1 ")
+		t.Errorf("got jobs %q deferred, want the largest, %q", got, "job-1 ")
 	}
 	if o := c.shardLeader.scheduler.jobsInQueueOrder(); o[len(o)-1].ID != "job-1" {
 		t.Errorf("got %s last in the queue, want job-1, which is deferred", o[len(o)-1].ID)
 	}
 }
 
-// TestSharedOutage: in an outage of the store a controller stays healthy only as long as all
-// its peers say that they have lost it as well.
+// TestSharedOutage guards against a restart of all controllers in an outage of the store. A controller that
+// can't reach the store must stay healthy only while recent updates of all its peers say that they can't
+// reach it either.
 func TestSharedOutage(t *testing.T) {
 	c := largePool(0)
 	c.settings.Peers = []string{"b", "c"}
 	c.membership.storeFailingSince = c.now.Add(-time.Minute)
 	if c.Healthy(c.now) {
-		t.Error("got healthy without a word of its peers, want unhealthy")
+		t.Error("got healthy without an update from any peer, want unhealthy")
 	}
 	c.handleCommand(message.PeerUpdate{From: "b", StoreUnavailable: true})
 	if c.Healthy(c.now) {
-		t.Error("got healthy though one peer may reach the store, want unhealthy")
+		t.Error("got healthy with an update from one of two peers, want unhealthy")
 	}
 	c.handleCommand(message.PeerUpdate{From: "c", StoreUnavailable: true})
 	if !c.Healthy(c.now) {
-		t.Error("got unhealthy in an outage for all, want healthy")
+		t.Error("got unhealthy though no peer reaches the store, want healthy")
 	}
 	if c.Healthy(c.now.Add(2 * storeUnavailableTTL)) {
-		t.Error("got healthy by expired updates, want unhealthy")
+		t.Error("got healthy after the peers' updates have expired, want unhealthy")
 	}
 }
 
-// TestGangNeedsCapacityForAllTasks guards against a gang of which some tasks are placed while
-// the others find only capacity that placing refuses: the first would wait for them, be
-// stopped after a while, and all would begin again.
+// TestGangNeedsCapacityForAllTasks guards against placing only some tasks of a gang because the capacity
+// check counts a machine that placement refuses. The placed tasks would wait for the others and be stopped
+// after a while, and the same would happen again.
 func TestGangNeedsCapacityForAllTasks(t *testing.T) {
 	c := largePool(0)
 	for i := range 3 {
-		r := c.poolHeartbeat(1)
-		r.Machine = fmt.Sprintf("vm-%06d", i)
-		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
+		heartbeat := c.poolHeartbeat(1)
+		heartbeat.Machine = fmt.Sprintf("vm-%06d", i)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(heartbeat.Machine), heartbeat, true)
 	}
 	j := newJob(model.JobSpec{ID: "job-g", Workload: "batch", Team: "ops", Gang: true, Urgency: model.Normal, Tasks: 6, AllowSpot: true,
 		Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: 20 * time.Second}, c.now, 1, 4096)
@@ -152,35 +153,36 @@
 	}
 }
 
-// TestSuccessorCountsUnreportedMachines guards against renting beside a pool that exists: a
-// successor receives its machines' heartbeats within some seconds, and until then the cloud's
-// list says that they run.
+// TestSuccessorCountsUnreportedMachines guards against renting machines after a takeover although the pool
+// is large enough. A successor receives its machines' heartbeats only within some seconds. Until then it
+// must count the machines that the cloud lists as running.
 func TestSuccessorCountsUnreportedMachines(t *testing.T) {
 	open, tasks := predecessorRecords(200)
 	c := successor()
 	c.takeOverRecords(open, tasks)
 	c.shardLeader.fleet.view = &fleetView{receivedAt: c.now, rentals: map[string]*rental{}, blockedUntil: map[machineKind]time.Time{}, pendingRentals: map[machineKind]int{}}
 	for i := range 200 {
-		r := c.poolHeartbeat(i)
-		c.shardLeader.ensureMachine(r.Machine)
-		c.shardLeader.fleet.view.rentals[r.Machine] = &rental{id: r.Machine, machineKind: machineKind{r.MachineType, r.Zone, r.Spot}, addr: "x", status: "running", rentedAt: c.now.Add(-time.Hour)}
-		c.adopt(c.shardLeader.fleet.view.rentals[r.Machine])
+		heartbeat := c.poolHeartbeat(i)
+		c.shardLeader.ensureMachine(heartbeat.Machine)
+		c.shardLeader.fleet.view.rentals[heartbeat.Machine] = &rental{id: heartbeat.Machine, machineKind: machineKind{heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot}, addr: "x", status: "running", rentedAt: c.now.Add(-time.Hour)}
+		c.adopt(c.shardLeader.fleet.view.rentals[heartbeat.Machine])
 	}
 	spec := model.JobSpec{ID: "job-w", Workload: "wide", Team: "ops", Urgency: model.Normal, Tasks: 60, AllowSpot: true,
 		Need: model.Resources{CPU: 4, Memory: 4}, Image: "w", ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: 3 * time.Minute}
 	c.shardLeader.jobs[spec.ID] = newJob(spec, c.now, 1, 4096)
 	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) != 0 {
-		t.Errorf("got capacity requests %v beside 200 machines that run, want none", requests)
+		t.Errorf("got capacity requests %v with 200 machines listed as running, want none", requests)
 	}
 	c.now = c.now.Add(time.Minute)
 	c.shardLeader.fleet.view.receivedAt = c.now
 	if requests := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); len(requests) == 0 {
-		t.Error("got no capacity request though no machine sent a heartbeat, want some")
+		t.Error("got no capacity request though no machine has sent a heartbeat for a minute, want some")
 	}
 }
 
-// TestInitialBacklogIsNoArrivalRate guards against renting for a backlog of an outage, or of
-// the time before the start, as if jobs kept arriving at that rate.
+// TestInitialBacklogIsNoArrivalRate guards against renting too many machines for jobs that accumulated
+// during an outage or before the start. They all arrive within a few seconds, which must not count as a
+// lasting arrival rate.
 func TestInitialBacklogIsNoArrivalRate(t *testing.T) {
 	c := largePool(0)
 	c.shardLeader.readyAt = c.now.Add(-settleTime)
@@ -188,12 +190,13 @@
 		c.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}] = append(c.shardLeader.fleet.arrivals[workloadKey{"ops", "wide"}], arrival{c.now.Add(-settleTime + time.Second), 30, model.Resources{}, &model.JobSpec{}})
 	}
 	if r := c.shardLeader.fleet.arrivalRate("wide", arrivalWindow); r > 20 {
-		t.Errorf("got %.0f tasks a second of 600 that came at once, want no more than if they had come in %v", r, recentWindow)
+		t.Errorf("got %.0f tasks per second for 600 tasks that arrived at once, want at most the rate for an arrival within %v", r, recentWindow)
 	}
 }
 
-// TestOverdueJobScalesOut: beside a full pool and without spot machines in the cloud, a job
-// beyond all its objectives gets on-demand machines from its bound on, until it has begun.
+// TestOverdueJobScalesOut guards against a job that waits indefinitely because it can't meet any of its
+// objectives any more, while the pool is full and the cloud refuses spot machines. On-demand machines must
+// be requested for the job once it has waited longer than its bound, until a task of it has started.
 func TestOverdueJobScalesOut(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -222,13 +225,14 @@
 		j := job("job-late", 25*time.Second)
 		j.submittedAt, j.doneTasks = c.now.Add(-tc.waited), tc.done
 		if got := c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil); (len(got) > 0) != tc.want {
-			t.Errorf("%s: got capacity requests %v, want some: %v", tc.name, got, tc.want)
+			t.Errorf("%s: got capacity requests %v, want any: %v", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestAgingPreemptionIsBounded: the last running task of a job that has waited too long is
-// not preempted any more once tasks of the job, whichever, were preempted often enough.
+// TestAgingPreemptionIsBounded guards against preempting the tasks of a job again and again, so that the job
+// never ends. If an overdue job has only one live task, that task must not be preempted once any tasks of
+// the job were preempted maxPreemptions times in total.
 func TestAgingPreemptionIsBounded(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -251,7 +255,7 @@
 		j.tasks[1].preemptions = 1
 		high := newJob(model.JobSpec{ID: "job-high", Workload: "rush", Team: "ops", Urgency: model.Urgent, Tasks: 1, AllowSpot: true, Need: m.size, ExpectedRunTime: time.Minute}, c.now, 1, 4096)
 		if _, _, ok := c.shardLeader.scheduler.preemptionVictimsOn(high, m, m.free()); j.liveTasks != 1 || ok != tc.want {
-			t.Errorf("%s: got preempted %v with %d live tasks, want %v with 1", tc.name, ok, j.liveTasks, tc.want)
+			t.Errorf("%s: got preemption possible %v with %d live tasks, want %v with 1", tc.name, ok, j.liveTasks, tc.want)
 		}
 	}
 }
--- a/internal/controller/memory_test.go
+++ b/internal/controller/memory_test.go
@@ -7,12 +7,14 @@
 	"time"
 )
 
-// maxBytesPerMachine is what the controller may keep for each machine with its tasks and its
-// part of the jobs: at 2,000 machines a tenth of the smallest memory quota of the known sites.
+// maxBytesPerMachine is how many bytes of memory the controller may keep for each machine, including the
+// machine's tasks and its share of the jobs. At 2,000 machines this is a tenth of the smallest memory quota
+// of the known sites.
 const maxBytesPerMachine = 12 << 10
 
-// TestMemoryBySize: the controller's memory grows with the machines and stays far within the
-// quota, also while the fleet is planned and all machines send heartbeats.
+// TestMemoryBySize guards against a controller that exceeds its memory quota on a large fleet. The memory
+// that it keeps must be bounded for each machine, also after planning the fleet and heartbeats of all
+// machines.
 func TestMemoryBySize(t *testing.T) {
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -21,9 +23,9 @@
 			runtime.ReadMemStats(&before)
 			c := largePool(machines)
 			for i := range machines {
-				r := c.poolHeartbeat(i)
-				r.Sequence = 7
-				c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.machinesByID[i], r, true)
+				heartbeat := c.poolHeartbeat(i)
+				heartbeat.Sequence = 7
+				c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.machinesByID[i], heartbeat, true)
 			}
 			c.now = c.now.Add(time.Second)
 			c.shardLeader.fleet.scanFleet(func(int) bool { return true })
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -13,91 +13,99 @@
 	"github.com/micahill/micahill/internal/packing"
 )
 
-// packing.go applies internal/packing where the models capability is on: replicas are rated by the
-// capacity they leave, and work without GPUs stays off machines with GPUs, except for what no
-// replica could use there.
+// packing.go applies internal/packing when the models capability is on. The scheduler then rates a
+// placement by the GPU capacity that it leaves usable for replicas, the tasks of long-running jobs.
+// Tasks without GPUs stay off machines with GPUs, except for CPUs and memory there that no replica
+// could use.
 
 const (
-	// packingProfileInterval is how often the usual demand is learnt anew.
+	// packingProfileInterval is how often the packing profile is recomputed.
 	packingProfileInterval = time.Second
-	// gpuFallbackAfter is how long work without GPUs waits in vain, with nothing of its job
-	// started, before it may take machines with GPUs as well: the other kinds may be
-	// refused for hours. While replicas wait for GPUs it is twice as long.
+	// gpuFallbackAfter is how long a job without GPUs must have waited since it was ready, or since
+	// one of its tasks was last placed, before its tasks may also use machines with GPUs. The
+	// cloud may refuse the other kinds for hours. The time doubles while replicas wait for GPUs.
 	gpuFallbackAfter = 2 * time.Minute
-	// maxBriefRunTime is how long work without GPUs whose wait is bounded may run to take machines
-	// with GPUs at once, at the price that it costs the replicas, as long as none waits.
+	// maxBriefRunTime is the longest expected run time of tasks without GPUs that may use machines
+	// with GPUs at once. The tasks' workload must have a wait objective, and no replica may be
+	// waiting. A machine is then rated by the capacity that replicas would lose on it.
 	maxBriefRunTime = 30 * time.Second
-	// maxReplicaPreemptionLoss is the most work that may be lost by stopping work without GPUs
-	// for a replica: about as long as a machine rented for it would take to be ready.
+	// maxReplicaPreemptionLoss is the most run time that may be lost when tasks without GPUs are
+	// preempted for a replica. A machine rented for the replica would take about as long to
+	// become ready.
 	maxReplicaPreemptionLoss = time.Minute
-	// gpuCapacityInterval is how often free GPU capacity is reported to the metrics.
+	// gpuCapacityInterval is how often the free GPU capacity is reported to the metrics.
 	gpuCapacityInterval = 5 * time.Second
 )
 
-// packingProfile is the usual demand on the machine types that have GPUs.
+// packingProfile describes the usual demand for GPUs, for each machine type that has GPUs.
 type packingProfile struct {
+	// at is when the profile was computed.
 	at time.Time
-	// kinds holds, by machine type, those on which any demand is usual.
+	// kinds holds the profiles by machine type. A type on which no demand for GPUs fits has none.
 	kinds map[string]*packing.Profile
-	// gpuFallback are the workloads without GPUs that have waited in vain for too long.
+	// gpuFallback holds the workloads without GPUs that have waited for longer than
+	// gpuFallbackAfter allows, and may use machines with GPUs.
 	gpuFallback map[string]bool
-	// replicasWaiting says that a replica with GPUs is pending and may be placed.
+	// replicasWaiting reports whether a replica with GPUs is pending and may be placed.
 	replicasWaiting bool
 }
 
-// replicaShape is replicas that are alike for what capacity is worth.
+// replicaShape identifies the replicas that packing treats alike: those with the same resource need and
+// the same allowed machine types, joined by spaces.
 type replicaShape struct {
 	need         model.Resources
 	machineTypes string
 }
 
-// replicaTally sums up replicas of one shape: their number, the size of their images in whole
-// megabytes, so that the order in which jobs are counted does not matter, and whether any waits.
+// replicaTally sums up the replicas of one shape: their number, the total size of their images, and
+// whether any replica waits. The size is in whole megabytes, so that the sum does not depend on the
+// order in which jobs are counted.
 type replicaTally struct {
 	tasks, megabytes int64
 	waits            bool
 }
 
-// currentPackingProfile returns the usual demand, or nil when the capability is off. It is learnt
-// from the present jobs and the newest job of each recent workload, so that it needs no records
-// and a successor has it with the jobs.
+// currentPackingProfile returns the packing profile, or nil when the models capability is off. It
+// recomputes the profile each packingProfileInterval, from the present jobs and the newest job of
+// each recent workload. The profile therefore needs no records of its own: a successor derives it
+// from the jobs that it takes over.
 func (s *scheduler) currentPackingProfile() *packingProfile {
-	p := s.packingProfile
-	if !s.settings.Capabilities.Models || p != nil && s.now.Sub(p.at) < packingProfileInterval && !s.now.Before(p.at) {
-		return p
+	profile := s.packingProfile
+	if !s.settings.Capabilities.Models || profile != nil && s.now.Sub(profile.at) < packingProfileInterval && !s.now.Before(profile.at) {
+		return profile
 	}
-	p = &packingProfile{at: s.now, kinds: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
-	s.packingProfile = p
-	tallies := s.tallyReplicas(p)
+	profile = &packingProfile{at: s.now, kinds: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
+	s.packingProfile = profile
+	tallies := s.tallyReplicas(profile)
 	if len(tallies) == 0 {
-		return p
+		return profile
 	}
-	s.learnPackingKinds(p, tallies)
-	s.findGPUFallback(p)
-	return p
+	s.learnPackingKinds(profile, tallies)
+	s.findGPUFallback(profile)
+	return profile
 }
 
-// tallyReplicas counts the replicas with GPUs that are live, pending or lately seen, and notes in p
-// whether any waits.
-func (s *scheduler) tallyReplicas(p *packingProfile) map[replicaShape]replicaTally {
-	sl := s.controller.shardLeader
+// tallyReplicas counts the replicas with GPUs that are live or pending, and one for each workload seen
+// within workloadRetention. It sets profile.replicasWaiting if any replica waits and may be placed.
+func (s *scheduler) tallyReplicas(profile *packingProfile) map[replicaShape]replicaTally {
+	shardLeader := s.controller.shardLeader
 	tallies := map[replicaShape]replicaTally{}
 	add := func(spec *model.JobSpec, tasks int, waiting bool) {
 		if spec.Need.GPU <= roundingTolerance || tasks <= 0 {
 			return
 		}
-		k := replicaShape{spec.Need, strings.Join(spec.MachineTypes, " ")}
-		c := tallies[k]
-		c.tasks += int64(tasks)
-		c.megabytes += int64(tasks) * int64(spec.ImageGB*1000)
-		c.waits = c.waits || waiting
-		tallies[k] = c
-		p.replicasWaiting = p.replicasWaiting || waiting
+		shape := replicaShape{spec.Need, strings.Join(spec.MachineTypes, " ")}
+		total := tallies[shape]
+		total.tasks += int64(tasks)
+		total.megabytes += int64(tasks) * int64(spec.ImageGB*1000)
+		total.waits = total.waits || waiting
+		tallies[shape] = total
+		profile.replicasWaiting = profile.replicasWaiting || waiting
 	}
-	for _, j := range sl.jobs {
-		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), s.placeableTasks(j) > 0 && s.withinQuotaLimit(j) && !sl.faultAttribution.FailsEverywhere(j.ID))
+	for _, j := range shardLeader.jobs {
+		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), s.placeableTasks(j) > 0 && s.withinQuotaLimit(j) && !shardLeader.faultAttribution.FailsEverywhere(j.ID))
 	}
-	for _, w := range sl.workloads {
+	for _, w := range shardLeader.workloads {
 		if s.now.Sub(w.lastSeen) < workloadRetention {
 			add(w.spec, 1, false)
 		}
@@ -105,8 +113,9 @@
 	return tallies
 }
 
-// learnPackingKinds fills p.kinds from the replicas that each machine type with GPUs may run.
-func (s *scheduler) learnPackingKinds(p *packingProfile, tallies map[replicaShape]replicaTally) {
+// learnPackingKinds fills profile.kinds: for each machine type with GPUs, the profile of the replicas that
+// may run on it.
+func (s *scheduler) learnPackingKinds(profile *packingProfile, tallies map[replicaShape]replicaTally) {
 	shapes := slices.SortedFunc(maps.Keys(tallies), func(a, b replicaShape) int {
 		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.machineTypes, b.machineTypes))
 	})
@@ -115,65 +124,67 @@
 		if machineType.Capacity.GPU <= roundingTolerance {
 			continue
 		}
-		var seen []packing.Demand
+		var demands []packing.Demand
 		for _, k := range shapes {
-			if c := tallies[k]; k.machineTypes == "" || slices.Contains(strings.Fields(k.machineTypes), name) {
-				seen = append(seen, packing.Demand{
-					Need: k.need, Tasks: int(min(c.tasks, math.MaxInt32)),
-					GB: float64(c.megabytes) / 1000 / float64(c.tasks), HasWaiting: c.waits,
+			if total := tallies[k]; k.machineTypes == "" || slices.Contains(strings.Fields(k.machineTypes), name) {
+				demands = append(demands, packing.Demand{
+					Need: k.need, Tasks: int(min(total.tasks, math.MaxInt32)),
+					GB: float64(total.megabytes) / 1000 / float64(total.tasks), HasWaiting: total.waits,
 				})
 			}
 		}
-		if k := packing.NewProfile(machineType.Capacity, machineType.ImageFetchRate, seen); k != nil {
-			p.kinds[name] = k
+		if k := packing.NewProfile(machineType.Capacity, machineType.ImageFetchRate, demands); k != nil {
+			profile.kinds[name] = k
 		}
 	}
 }
 
-// findGPUFallback notes in p the workloads without GPUs that may take machines with GPUs.
-func (s *scheduler) findGPUFallback(p *packingProfile) {
-	sl := s.controller.shardLeader
+// findGPUFallback fills profile.gpuFallback with the workloads without GPUs that have waited for so long that
+// their tasks may use machines with GPUs.
+func (s *scheduler) findGPUFallback(profile *packingProfile) {
+	shardLeader := s.controller.shardLeader
 	fallbackAfter := gpuFallbackAfter
-	if p.replicasWaiting {
+	if profile.replicasWaiting {
 		fallbackAfter = 2 * gpuFallbackAfter
 	}
-	for _, j := range sl.jobs {
-		since := later(later(j.readySince(), j.lastPlacedAt), sl.readyAt)
+	for _, j := range shardLeader.jobs {
+		since := later(later(j.readySince(), j.lastPlacedAt), shardLeader.readyAt)
 		if j.Need.GPU <= roundingTolerance && s.now.Sub(since) > fallbackAfter && s.placeableTasks(j) > 0 {
-			p.gpuFallback[j.Workload] = true
+			profile.gpuFallback[j.Workload] = true
 		}
 	}
 }
 
-// kind returns the usual demand on machines of a type; nil is none.
-func (p *packingProfile) kind(machineType string) *packing.Profile {
-	if p == nil {
+// kind returns the profile of a machine type, or nil if the type has none. The receiver may be nil.
+func (profile *packingProfile) kind(machineType string) *packing.Profile {
+	if profile == nil {
 		return nil
 	}
-	return p.kinds[machineType]
+	return profile.kinds[machineType]
 }
 
-// avoidsGPUsNow reports whether a job's tasks stay off machines with GPUs now, except for what no
-// replica could use there.
+// avoidsGPUsNow reports whether a job's tasks may use at present only that capacity of machines with
+// GPUs that no replica could use. Unlike avoidsGPUs it considers how long the job has waited, how
+// brief its tasks are, and whether replicas wait.
 func (s *scheduler) avoidsGPUsNow(j *job) bool {
-	p := s.currentPackingProfile()
-	return s.avoidsGPUs(j) && !p.gpuFallback[j.Workload] &&
-		(p.replicasWaiting || j.LongRunning || s.waitObjective(j.Workload) == 0 || s.controller.knowledge.expectedRunTime(j) > maxBriefRunTime)
+	profile := s.currentPackingProfile()
+	return s.avoidsGPUs(j) && !profile.gpuFallback[j.Workload] &&
+		(profile.replicasWaiting || j.LongRunning || s.waitObjective(j.Workload) == 0 || s.controller.knowledge.expectedRunTime(j) > maxBriefRunTime)
 }
 
-// avoidsGPUs reports whether no machine with GPUs is wanted for a job's tasks: they need none, and
-// fit other kinds.
+// avoidsGPUs reports whether no machine with GPUs is to be rented for a job's tasks, because the tasks
+// need no GPU and fit a machine type that has no packing profile.
 func (s *scheduler) avoidsGPUs(j *job) bool {
-	p := s.currentPackingProfile()
-	if p == nil || j.Need.GPU > roundingTolerance || len(p.kinds) == 0 {
+	profile := s.currentPackingProfile()
+	if profile == nil || j.Need.GPU > roundingTolerance || len(profile.kinds) == 0 {
 		return false
 	}
 	for name, machineType := range s.controller.knowledge.machineTypes {
-		if p.kinds[name] != nil || !j.Need.Fits(machineType.Capacity) {
+		if profile.kinds[name] != nil || !j.Need.Fits(machineType.Capacity) {
 			continue
 		}
-		for _, z := range machineType.Zones {
-			if j.allowsMachine(name, z, true) || j.allowsMachine(name, z, false) {
+		for _, zone := range machineType.Zones {
+			if j.allowsMachine(name, zone, true) || j.allowsMachine(name, zone, false) {
 				return true
 			}
 		}
@@ -181,16 +192,16 @@
 	return false
 }
 
-// gpuPolicyAllows reports whether a job's tasks may use a machine like any other. avoidGPUs is what
-// avoidsGPUsNow says of the job.
+// gpuPolicyAllows reports whether a job's tasks may use all free capacity of a machine. avoidGPUs is
+// the result of avoidsGPUsNow for the job.
 func (s *scheduler) gpuPolicyAllows(avoidGPUs bool, m *machine) bool {
 	return !avoidGPUs || s.currentPackingProfile().kind(m.machineType) == nil
 }
 
-// nonGPUUse is what work without GPUs uses on a machine, including that of other shards' jobs when
-// none of it uses GPUs.
+// nonGPUUse returns the CPUs and memory that tasks without GPUs use on a machine. The tasks of other
+// shards' jobs are included if none of them uses GPUs.
 func (s *scheduler) nonGPUUse(m *machine) model.Resources {
-	// Counted in millionths, so that the order of the attempts does not matter.
+	// Integer sums of millionths do not depend on the order of the attempts in the map.
 	var cpu, memory int64
 	for k := range m.attempts {
 		if j := s.controller.shardLeader.jobs[k.job]; j != nil && j.Need.GPU <= roundingTolerance {
@@ -198,69 +209,74 @@
 			memory += int64(math.Round(j.Need.Memory / roundingTolerance))
 		}
 	}
-	r := model.Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
+	used := model.Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
 	if m.othersUsed.GPU <= roundingTolerance {
-		r = r.AddScaled(m.othersUsed, 1)
+		used = used.AddScaled(m.othersUsed, 1)
 	}
-	return r
+	return used
 }
 
-// rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better.
-func (s *scheduler) rateGPUMachine(k *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
+// rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better. It returns false
+// if the task avoids GPUs and does not fit in the capacity that no replica could use.
+func (s *scheduler) rateGPUMachine(profile *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
 	if avoidGPUs {
-		return 0, j.Need.Fits(k.NonGPUCapacity(free, s.nonGPUUse(m)))
+		return 0, j.Need.Fits(profile.NonGPUCapacity(free, s.nonGPUUse(m)))
 	}
-	score := k.FragmentationCost(free, j.Need)
+	score := profile.FragmentationCost(free, j.Need)
 	if j.Need.GPU > roundingTolerance {
-		// Of machines with the same cost the fullest, as elsewhere, but by GPUs.
+		// Among machines of the same cost the fullest is preferred. For GPU tasks it is the one
+		// with the fewest GPUs left.
 		score += (free.GPU - j.Need.GPU) / m.size.GPU
 	}
 	return score, true
 }
 
-// reratePacked rates the machines again on which tasks were placed since a group was last used: one
-// that is no longer whole suits better than before, and would be found behind the whole ones.
-func (s *scheduler) reratePacked(r *placementRound, g *candidateGroup, j *job) {
-	for ; g.packedSeen < len(r.packedCandidates); g.packedSeen++ {
-		c := r.packedCandidates[g.packedSeen]
-		if score, ok := g.rate(s, j, c); ok {
-			g.push(c.fetchSeconds(j), ratedCandidate{c, score})
+// reratePacked rates again the machines on which tasks were placed since the group was last used. A
+// machine that has become partly used is preferred to an empty one; with its former rating it would
+// come after the empty machines.
+func (s *scheduler) reratePacked(round *placementRound, candidates *candidateGroup, j *job) {
+	for ; candidates.packedSeen < len(round.packedCandidates); candidates.packedSeen++ {
+		candidate := round.packedCandidates[candidates.packedSeen]
+		if score, ok := candidates.rate(s, j, candidate); ok {
+			candidates.push(candidate.fetchSeconds(j), ratedCandidate{candidate, score})
 		}
 	}
 }
 
-// freeCapacityOn is the free capacity of a machine for the tasks of a group.
-func (s *scheduler) freeCapacityOn(g *candidateGroup, c *candidateMachine) model.Resources {
-	if g.avoidGPUs && c.packingKind != nil {
-		return c.packingKind.NonGPUCapacity(c.machine.free(), s.nonGPUUse(c.machine))
+// freeCapacityOn returns the free capacity of a machine that the tasks of a group may use.
+func (s *scheduler) freeCapacityOn(candidates *candidateGroup, candidate *candidateMachine) model.Resources {
+	if candidates.avoidGPUs && candidate.packingKind != nil {
+		return candidate.packingKind.NonGPUCapacity(candidate.machine.free(), s.nonGPUUse(candidate.machine))
 	}
-	return c.machine.free()
+	return candidate.machine.free()
 }
 
-// freeFor is the part of a simulated machine's free capacity that a task may use, which depends on
-// whether it avoids GPUs.
-func (v *simulatedMachine) freeFor(free model.Resources, avoidGPUs bool) model.Resources {
-	if v.packingKind == nil || !avoidGPUs {
+// freeFor returns the part of a simulated machine's free capacity that a task may use. A task that
+// avoids GPUs may use only what no replica could use.
+func (simMachine *simulatedMachine) freeFor(free model.Resources, avoidGPUs bool) model.Resources {
+	if simMachine.packingKind == nil || !avoidGPUs {
 		return free
 	}
-	rest := v.packingKind.NonGPUSurplus(free)
-	return model.Resources{CPU: min(rest.CPU, v.nonGPUFree.CPU), Memory: min(rest.Memory, v.nonGPUFree.Memory)}
+	rest := simMachine.packingKind.NonGPUSurplus(free)
+	return model.Resources{CPU: min(rest.CPU, simMachine.nonGPUFree.CPU), Memory: min(rest.Memory, simMachine.nonGPUFree.Memory)}
 }
 
-// preemptsForReplica reports whether lower work without GPUs is stopped for a task of j: it took
-// capacity that no replica could use when it was placed, or was there before.
+// preemptsForReplica reports whether less urgent tasks without GPUs may be preempted for a task of j.
+// Such tasks run on machines with GPUs if no replica could use their capacity when they were placed,
+// or if they were placed before there were replicas.
 func (s *scheduler) preemptsForReplica(j *job) bool {
 	return s.settings.Capabilities.Models && j.Need.GPU > roundingTolerance
 }
 
-// preemptsOnlyNonGPU reports whether nothing but work without GPUs may be stopped for a job: its
-// wait is not bounded, and it is not overdue.
+// preemptsOnlyNonGPU reports whether only tasks without GPUs may be preempted for a job: the job needs
+// GPUs, its workload has no wait objective, and it is not overdue.
 func (s *scheduler) preemptsOnlyNonGPU(j *job) bool {
 	return s.preemptsForReplica(j) && !j.placingOverdue && s.waitObjective(j.Workload) == 0
 }
 
-// maxPreemptionLoss is the most work that may be lost when tasks are stopped for one of j: its own
-// expected run time, which for a replica says little.
+// maxPreemptionLoss returns the most run time that may be lost when tasks are preempted for a task of
+// j: the expected run time of that task. The expected run time of a replica says little, so for a
+// replica it is at least maxReplicaPreemptionLoss.
 func (s *scheduler) maxPreemptionLoss(j *job) time.Duration {
 	if s.preemptsForReplica(j) && j.LongRunning {
 		return max(s.controller.knowledge.expectedRunTime(j), maxReplicaPreemptionLoss)
@@ -268,7 +284,8 @@
 	return s.controller.knowledge.expectedRunTime(j)
 }
 
-// utilization is the fraction of a machine in use: of its GPUs, where the models capability is on.
+// utilization returns the fraction of a machine's CPUs that is in use. For a machine with GPUs, when the
+// models capability is on, it is the fraction of the GPUs.
 func (f *fleetPlanner) utilization(m *machine) float64 {
 	if f.settings.Capabilities.Models && m.size.GPU > roundingTolerance {
 		return m.used.GPU / m.size.GPU
@@ -276,7 +293,7 @@
 	return m.used.CPU / max(m.size.CPU, 1)
 }
 
-// gpuFreeCapacity returns the free capacity of the usable machines with GPUs, by kind.
+// gpuFreeCapacity returns the free capacity of the usable machines with GPUs, for each machine kind.
 func (s *scheduler) gpuFreeCapacity() []message.GPUFreeCapacity {
 	if !s.settings.Capabilities.Models {
 		return nil
@@ -286,25 +303,25 @@
 		if m.size.GPU <= roundingTolerance || !s.usable(m) {
 			continue
 		}
-		k := machineKind{m.machineType, m.zone, m.spot}
-		if byKind[k] == nil {
-			byKind[k] = &packing.FreeCapacity{}
+		kind := machineKind{m.machineType, m.zone, m.spot}
+		if byKind[kind] == nil {
+			byKind[kind] = &packing.FreeCapacity{}
 		}
-		byKind[k].Add(s.currentPackingProfile().kind(m.machineType), m.size, m.free())
+		byKind[kind].Add(s.currentPackingProfile().kind(m.machineType), m.size, m.free())
 	}
 	var out []message.GPUFreeCapacity
-	for _, k := range sortedKinds(byKind) {
-		r := byKind[k]
+	for _, kind := range sortedKinds(byKind) {
+		capacity := byKind[kind]
 		out = append(out, message.GPUFreeCapacity{
-			MachineType: k.machineType, Zone: k.zone, Spot: k.spot,
-			Machines: r.Machines, EmptyMachines: r.WholeMachines,
-			FreeGPUs: r.FreeGPUs, FragmentedGPUs: r.FragmentedGPUs, LargestReplicaGPUs: r.LargestFit,
+			MachineType: kind.machineType, Zone: kind.zone, Spot: kind.spot,
+			Machines: capacity.Machines, EmptyMachines: capacity.WholeMachines,
+			FreeGPUs: capacity.FreeGPUs, FragmentedGPUs: capacity.FragmentedGPUs, LargestReplicaGPUs: capacity.LargestFit,
 		})
 	}
 	return out
 }
 
-// reportGPUFreeCapacity reports gpuFreeCapacity to the metrics, each gpuCapacityInterval.
+// reportGPUFreeCapacity reports gpuFreeCapacity to the metrics once each gpuCapacityInterval.
 func (s *scheduler) reportGPUFreeCapacity() {
 	if p := s.currentPackingProfile(); p != nil && s.now.Sub(s.freeCapacityReportedAt) >= gpuCapacityInterval {
 		s.freeCapacityReportedAt = s.now
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -10,60 +10,61 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// newGPUHostPool is a shard leader of some eight-GPU hosts, and of machines without GPUs, if
-// any.
+// newGPUHostPool returns a controller that leads a shard with the given numbers of eight-GPU hosts and of
+// machines without GPUs.
 func newGPUHostPool(hosts, plain int) *Controller {
 	c := largePool(0)
 	c.settings.Capabilities.Models = true
 	c.knowledge.machineTypes["g8"] = model.MachineType{Name: "g8", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, DiskGB: 300, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4.5, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
 	for i := range hosts + plain {
-		r := c.poolHeartbeat(0)
-		r.Machine, r.Spot = fmt.Sprintf("vm-%06d", i), false
+		heartbeat := c.poolHeartbeat(0)
+		heartbeat.Machine, heartbeat.Spot = fmt.Sprintf("vm-%06d", i), false
 		if i < hosts {
-			r.MachineType = "g8"
+			heartbeat.MachineType = "g8"
 		}
-		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(r.Machine), r, true)
+		c.shardLeader.heartbeats.applyHeartbeat(c.shardLeader.ensureMachine(heartbeat.Machine), heartbeat, true)
 	}
 	return c
 }
 
-// submitReplicas submits a long-running job of so many GPUs a replica.
-func (c *Controller) submitReplicas(id, image string, gpus float64, tasks int, u model.Urgency) *job {
-	return c.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: u, Tasks: tasks,
+// submitReplicas adds a long-running job with the given number of GPUs per replica.
+func (c *Controller) submitReplicas(id, image string, gpus float64, tasks int, urgency model.Urgency) *job {
+	return c.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: urgency, Tasks: tasks,
 		Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 40 * gpus}, Image: image, ImageGB: 8})
 }
 
-// submitTestJob adds a job of team ops.
-func (c *Controller) submitTestJob(s model.JobSpec) *job {
-	s.Team = "ops"
-	j := c.shardLeader.addJob(s, c.now, 1)
+// submitTestJob adds a job of the team ops.
+func (c *Controller) submitTestJob(spec model.JobSpec) *job {
+	spec.Team = "ops"
+	j := c.shardLeader.addJob(spec, c.now, 1)
 	return j
 }
 
-// advance lets time pass in which all machines send heartbeats and have fetched their images.
+// advance moves the time on by d. All machines then have sent a heartbeat and fetched their images.
 func (c *Controller) advance(d time.Duration) {
 	c.now = c.now.Add(d)
 	for _, m := range c.shardLeader.machinesByID {
 		m.lastHeard = c.now
-		for _, im := range m.images {
-			im.cached = true
+		for _, img := range m.images {
+			img.cached = true
 		}
 	}
 }
 
-// gpuHostCapacity is the free capacity of the g8 hosts.
+// gpuHostCapacity returns the free capacity of the g8 hosts.
 func (c *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
 	t.Helper()
-	rs := c.shardLeader.scheduler.gpuFreeCapacity()
-	if len(rs) != 1 || rs[0].MachineType != "g8" {
-		t.Fatalf("got free capacity %+v, want that of g8 alone", rs)
+	reports := c.shardLeader.scheduler.gpuFreeCapacity()
+	if len(reports) != 1 || reports[0].MachineType != "g8" {
+		t.Fatalf("got free capacity %+v, want only that of machine type g8", reports)
 	}
-	return rs[0]
+	return reports[0]
 }
 
-// TestReplicasKeepHostsWhole: after replicas have ended, some hosts are empty and hold images,
-// and others are fragmented. Small replicas that arrive go to the fragments, as long as there
-// are any, though they have to fetch their images there.
+// TestReplicasKeepHostsWhole guards against small replicas that take empty hosts, so that large replicas
+// fit nowhere. After some replicas have ended, some hosts are empty and hold the images, and others are
+// partly used. New small replicas must go to the partly used hosts as long as they fit there, although
+// they have to fetch their images.
 func TestReplicasKeepHostsWhole(t *testing.T) {
 	c := newGPUHostPool(6, 0)
 	fill := func(from, count, image int, gpus float64) {
@@ -77,7 +78,7 @@
 		fill(100*h, 8, h, 1)
 	}
 	if r := c.gpuHostCapacity(t); r.FreeGPUs != 0 {
-		t.Fatalf("got %+v beside 48 replicas, want no free GPUs", r)
+		t.Fatalf("got %+v with 48 replicas, want no free GPUs", r)
 	}
 	for id, j := range c.shardLeader.jobs {
 		// All replicas of the first three hosts end, and three of each of the others.
@@ -93,7 +94,7 @@
 	fill(1100, 2, 1, 1)
 	fill(1200, 1, 2, 2)
 	if r := c.gpuHostCapacity(t); r.EmptyMachines != 3 || r.FragmentedGPUs != 2 {
-		t.Errorf("got %+v beside replicas that fit the fragments, want 3 empty machines and 2 fragmented GPUs", r)
+		t.Errorf("got %+v after replicas that fit on the partly used hosts, want 3 empty machines and 2 fragmented GPUs", r)
 	}
 	large := c.submitReplicas("job-002000", "img-7", 8, 3, model.Normal)
 	if c.shardLeader.scheduler.placeAll(); large.liveTasks != 3 {
@@ -101,8 +102,9 @@
 	}
 }
 
-// TestRoundSeesFragmentedHosts: of two kinds of replicas that are placed in one round, in
-// turns, each sees which hosts the other has fragmented.
+// TestRoundSeesFragmentedHosts guards against outdated ratings within a placement round. Two kinds of
+// replicas are placed in turns in one round. Each kind must prefer the hosts on which replicas of the
+// other kind have just been placed to empty hosts.
 func TestRoundSeesFragmentedHosts(t *testing.T) {
 	c := newGPUHostPool(6, 0)
 	c.shardLeader.machinesByID[5].images["img-b"] = &image{sizeGB: 8, cached: true}
@@ -115,30 +117,32 @@
 	}
 	c.shardLeader.scheduler.placeAll()
 	if r := c.gpuHostCapacity(t); r.EmptyMachines != 4 || r.FragmentedGPUs != 5 {
-		t.Errorf("got %+v beside 11 replicas on hosts of 8 GPUs, want 4 empty machines and 5 fragmented GPUs", r)
+		t.Errorf("got %+v with 11 replicas on hosts of 8 GPUs, want 4 empty machines and 5 fragmented GPUs", r)
 	}
 }
 
-// TestWorkWithoutGPUs: work without GPUs takes of a host with GPUs what no model could use, and
-// the rest elsewhere; no such host is requested for it, and its use there does not count.
+// TestWorkWithoutGPUs guards against tasks without GPUs that take the CPUs and memory which replicas need
+// on hosts with GPUs. Such tasks must take only what no replica could use there, and the rest elsewhere.
+// No host with GPUs may be requested for them, and a host with such tasks alone must count as empty.
+// Exceptions are brief tasks, a long wait, and tasks that fit no other machine type.
 func TestWorkWithoutGPUs(t *testing.T) {
 	c := newGPUHostPool(2, 1)
-	a := c.submitReplicas("job-000001", "img", 2, 1, model.Normal)
+	replicas := c.submitReplicas("job-000001", "img", 2, 1, model.Normal)
 	c.shardLeader.scheduler.placeAll()
 	batch := c.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "batch", Urgency: model.BestEffort, Tasks: 200, Need: model.Resources{CPU: 2, Memory: 2}, ExpectedRunTime: time.Minute, Deadline: time.Hour})
 	c.advance(2 * time.Second)
 	c.shardLeader.scheduler.placeAll()
 	nonGPUUse := func(m *machine) model.Resources { return c.shardLeader.scheduler.nonGPUUse(m) }
-	ms := c.shardLeader.machinesByID
-	if x, y, z := nonGPUUse(ms[0]).CPU, nonGPUUse(ms[1]).CPU, nonGPUUse(ms[2]).CPU; x != 16 || y != 16 || z != 32 {
+	machines := c.shardLeader.machinesByID
+	if x, y, z := nonGPUUse(machines[0]).CPU, nonGPUUse(machines[1]).CPU, nonGPUUse(machines[2]).CPU; x != 16 || y != 16 || z != 32 {
 		t.Errorf("got %v, %v and %v CPUs used without GPUs, want 16, 16 and 32", x, y, z)
 	}
-	if a.liveTasks != 1 || c.gpuHostCapacity(t).EmptyMachines != 1 {
-		t.Errorf("got %d live replicas and %+v, want 1 and one empty machine", a.liveTasks, c.gpuHostCapacity(t))
+	if replicas.liveTasks != 1 || c.gpuHostCapacity(t).EmptyMachines != 1 {
+		t.Errorf("got %d live replicas and %+v, want 1 and one empty machine", replicas.liveTasks, c.gpuHostCapacity(t))
 	}
 	for k := range c.shardLeader.fleet.planScaleOut(c.shardLeader.fleet.futureFreeCapacity(), nil) {
 		if k.machineType == "g8" {
-			t.Errorf("got a capacity request %+v for work without GPUs, want none of g8", k)
+			t.Errorf("got a capacity request %+v for tasks without GPUs, want none of g8", k)
 		}
 	}
 	large := c.submitReplicas("job-000003", "img", 8, 1, model.Normal)
@@ -146,31 +150,31 @@
 		t.Fatalf("got %d replicas live before a placement round, want 0", large.liveTasks)
 	}
 	if c.shardLeader.scheduler.placeAll(); large.liveTasks != 1 {
-		t.Errorf("got %d replicas of a whole host live beside other work, want 1", large.liveTasks)
+		t.Errorf("got %d live replicas of a whole host with tasks without GPUs there, want 1", large.liveTasks)
 	}
-	// What is brief and urgent takes what is free, while no replica waits.
+	// Brief tasks with a wait objective use all free capacity while no replica waits.
 	rush := c.submitTestJob(model.JobSpec{ID: "job-000004", Workload: "rush", Urgency: model.Urgent, Tasks: 2, Need: model.Resources{CPU: 4, Memory: 2}, ExpectedRunTime: 10 * time.Second})
 	c.advance(2 * time.Second)
 	if c.shardLeader.scheduler.placeAll(); rush.liveTasks != 2 {
 		t.Errorf("got %d of 2 brief tasks placed, want all", rush.liveTasks)
 	}
-	// The cloud refuses other machines: after a while the work goes wherever it fits.
+	// If the cloud refuses other machines, the tasks may use any machine after gpuFallbackAfter.
 	c.advance(gpuFallbackAfter + time.Second)
 	c.shardLeader.scheduler.placeAll()
-	if nonGPUUse(ms[0]).CPU+nonGPUUse(ms[1]).CPU <= 32 {
-		t.Errorf("got %d tasks waiting beside free CPUs after %v, want more placed", batch.pendingTasks(), gpuFallbackAfter)
+	if nonGPUUse(machines[0]).CPU+nonGPUUse(machines[1]).CPU <= 32 {
+		t.Errorf("got %d tasks waiting although hosts with GPUs have free CPUs, after %v; want more placed", batch.pendingTasks(), gpuFallbackAfter)
 	}
-	// Work that fits nothing else is not restricted.
+	// Tasks that fit no machine type without GPUs are not restricted.
 	c = newGPUHostPool(1, 1)
 	c.submitReplicas("job-000001", "img", 1, 1, model.Normal)
 	only := c.submitTestJob(model.JobSpec{ID: "job-000002", Workload: "only", Urgency: model.Normal, Tasks: 10, MachineTypes: []string{"g8"}, Need: model.Resources{CPU: 4, Memory: 4}, ExpectedRunTime: time.Minute})
 	if c.shardLeader.scheduler.placeAll(); only.liveTasks != 10 {
-		t.Errorf("got %d of 10 tasks placed that fit nothing else, want all", only.liveTasks)
+		t.Errorf("got %d of 10 tasks placed that fit only machines with GPUs, want all", only.liveTasks)
 	}
 }
 
-// TestReplicaPreemptsNonGPUWork: less urgent work without GPUs gives way to a replica, equally
-// urgent work does not.
+// TestReplicaPreemptsNonGPUWork guards against a replica that waits for a host on which less urgent tasks
+// without GPUs run. Such tasks must be preempted for the replica; equally urgent ones must not.
 func TestReplicaPreemptsNonGPUWork(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -197,8 +201,8 @@
 	}
 }
 
-// BenchmarkPlacementRoundWithGPUs is a placement round on hosts with GPUs, where replicas and
-// work without GPUs wait that fit nowhere.
+// BenchmarkPlacementRoundWithGPUs measures a placement round on hosts with GPUs while replicas and tasks
+// without GPUs wait that fit on no host.
 func BenchmarkPlacementRoundWithGPUs(b *testing.B) {
 	for _, hosts := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -10,13 +10,13 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// prewarmedWriteInterval is how often one of the records is written that say which machines
-// hold which images. They only spare work the fetch of its images after all controllers
-// have ended at once, when no machine's former shard leader is left to publish that.
+// prewarmedWriteInterval is the time between the writes of consecutive records, which say which machines
+// hold which images. The records only avoid image fetches after all controllers have ended at once, when no former
+// shard leader is left to publish the images of its machines. They are therefore written seldom.
 const prewarmedWriteInterval = 4 * time.Second
 
-// splitMachineNumber splits a machine's name into its prefix and its number, with the width of
-// the latter in digits.
+// splitMachineNumber splits a machine's id into a prefix and a trailing number, and returns the number's
+// width in digits. ok is false if the id ends in no number.
 func splitMachineNumber(id string) (prefix string, value, width int, ok bool) {
 	prefix = strings.TrimRight(id, "0123456789")
 	digits := id[len(prefix):]
@@ -24,14 +24,15 @@
 	return prefix, value, len(digits), err == nil
 }
 
-// prewarmedImageOverhead is the size of an image in a record's JSON beside its name and its
-// machines, in bytes.
+// prewarmedImageOverhead is the size of an image in a record's JSON without its name and its machines, in
+// bytes.
 const prewarmedImageOverhead = 32
 
-// nextPrewarmedRecord makes the next record, from the machine at index from on, and returns the
-// index with which the record after it begins.
+// nextPrewarmedRecord returns a record of the images on the machines from index from on, and the index at
+// which the next record begins. A record holds machines whose ids have the same prefix and number width,
+// and as many as fit in the store's size limit for a value.
 func (p *persistence) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
-	var r record.Prewarmed
+	var prewarmed record.Prewarmed
 	position := map[string]int{}
 	maxBytes := p.settings.MaxValueBytes * 3 / 4
 	bytesLeft := maxBytes
@@ -43,10 +44,10 @@
 			continue
 		}
 		switch {
-		case len(r.Images) == 0:
-			r.MachinePrefix, r.NumberWidth = prefix, width
-		case r.MachinePrefix != prefix || r.NumberWidth != width:
-			return r, from
+		case len(prewarmed.Images) == 0:
+			prewarmed.MachinePrefix, prewarmed.NumberWidth = prefix, width
+		case prewarmed.MachinePrefix != prefix || prewarmed.NumberWidth != width:
+			return prewarmed, from
 		}
 		bytesBefore := bytesLeft
 		for _, name := range sortedKeys(m.images) {
@@ -61,24 +62,26 @@
 			}
 			if bytes > bytesLeft {
 				if bytesBefore == maxBytes {
-					// All its images don't fit into any record.
-					return r, from + 1
+					// The machine has too many images for any record, so the rest
+					// of them is skipped.
+					return prewarmed, from + 1
 				}
-				return r, from
+				return prewarmed, from
 			}
 			bytesLeft -= bytes
 			if !ok {
-				i = len(r.Images)
+				i = len(prewarmed.Images)
 				position[name] = i
-				r.Images = append(r.Images, record.PrewarmedImage{Name: name, GB: img.sizeGB})
+				prewarmed.Images = append(prewarmed.Images, record.PrewarmedImage{Name: name, GB: img.sizeGB})
 			}
-			r.Images[i].Machines = append(r.Images[i].Machines, value)
+			prewarmed.Images[i].Machines = append(prewarmed.Images[i].Machines, value)
 		}
 	}
-	return r, from
+	return prewarmed, from
 }
 
-// writePrewarmed writes the records one after another, over and over.
+// writePrewarmed writes the next record if prewarmedWriteInterval has passed and no other transaction is in
+// flight. After the last machine it begins again with the first.
 func (p *persistence) writePrewarmed() {
 	if p.writingPrewarmed || p.now.Sub(p.prewarmedWrittenAt) < prewarmedWriteInterval || p.txnsInFlight > 0 || p.now.After(p.controller.membership.leaseValidUntil) {
 		return
@@ -87,32 +90,33 @@
 	if p.prewarmedNextMachine >= len(p.controller.shardLeader.machinesByID) {
 		p.prewarmedNextMachine, p.prewarmedNextKey = 0, 0
 	}
-	r, next := p.nextPrewarmedRecord(p.prewarmedNextMachine)
-	if len(r.Images) == 0 {
+	prewarmed, next := p.nextPrewarmedRecord(p.prewarmedNextMachine)
+	if len(prewarmed.Images) == 0 {
 		p.prewarmedNextMachine = next
 		return
 	}
 	key := record.PrewarmedPrefix + p.settings.Host + "/" + strconv.Itoa(p.prewarmedNextKey)
 	p.prewarmedNextMachine, p.prewarmedNextKey, p.writingPrewarmed = next, p.prewarmedNextKey+1, true
-	gen := p.controller.shardLeader.generation
+	generation := p.controller.shardLeader.generation
 	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(""),
-		Writes: []message.Write{{Key: key, Value: record.Encode(r)}}}, func(message.StoreResponse) {
-		if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+		Writes: []message.Write{{Key: key, Value: record.Encode(prewarmed)}}}, func(message.StoreResponse) {
+		if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
 			p.controller.shardLeader.persistence.writingPrewarmed = false
 		}
 	})
 }
 
-// applyPrewarmedRecord takes in a record of a former shard leader.
+// applyPrewarmedRecord adds the images of a former shard leader's record to p.prewarmedImages. It ignores a
+// record that can't be decoded.
 func (p *persistence) applyPrewarmedRecord(kv message.KeyValue) {
-	var r record.Prewarmed
-	if !record.Decode(kv.Value, &r) {
+	var prewarmed record.Prewarmed
+	if !record.Decode(kv.Value, &prewarmed) {
 		return
 	}
-	for _, img := range r.Images {
+	for _, img := range prewarmed.Images {
 		for _, value := range img.Machines {
 			digits := strconv.Itoa(value)
-			id := r.MachinePrefix + strings.Repeat("0", max(0, r.NumberWidth-len(digits))) + digits
+			id := prewarmed.MachinePrefix + strings.Repeat("0", max(0, prewarmed.NumberWidth-len(digits))) + digits
 			if p.prewarmedImages[id] == nil {
 				p.prewarmedImages[id] = map[string]float64{}
 			}
@@ -121,8 +125,8 @@
 	}
 }
 
-// recoverCachedImages gives a machine the images that a former shard leader wrote down for it,
-// when its first heartbeat comes.
+// recoverCachedImages marks the images that a former shard leader recorded for a machine as cached there.
+// It is called at the machine's first heartbeat, and does nothing if images of the machine are known.
 func (p *persistence) recoverCachedImages(m *machine) {
 	if len(m.images) > 0 {
 		return
--- a/internal/controller/prewarmed_test.go
+++ b/internal/controller/prewarmed_test.go
@@ -8,8 +8,9 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// TestSuccessorRecoversCachedImages guards against fetching images again that the machines
-// have, after all controllers have ended.
+// TestSuccessorRecoversCachedImages guards against fetching images again that the machines still hold,
+// after all controllers have ended and no peer is left to publish those images. The successor must recover
+// the cached images, and only those, from the stored records.
 func TestSuccessorRecoversCachedImages(t *testing.T) {
 	c := largePool(300)
 	for i, m := range c.shardLeader.machinesByID {
@@ -37,9 +38,9 @@
 		r := c.poolHeartbeat(i)
 		m := successor.shardLeader.ensureMachine(r.Machine)
 		successor.shardLeader.heartbeats.applyHeartbeat(m, r, true)
-		im := m.images[fmt.Sprintf("img-%02d", i%20)]
-		if im == nil || !im.cached || im.sizeGB != 1.5 || len(m.images) != 1 {
-			t.Fatalf("%s: got images %v, want img-%02d alone, cached, of 1.5 GB", r.Machine, m.images, i%20)
+		img := m.images[fmt.Sprintf("img-%02d", i%20)]
+		if img == nil || !img.cached || img.sizeGB != 1.5 || len(m.images) != 1 {
+			t.Fatalf("%s: got images %v, want only img-%02d, cached, with 1.5 GB", r.Machine, m.images, i%20)
 		}
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -7,79 +7,79 @@
 	"github.com/micahill/micahill/internal/boottime"
 )
 
-// provisioning.go applies internal/boottime: it learns for each kind how long machines take from
-// being rented to being ready, and which kinds have stopped becoming ready.
+// provisioning.go applies internal/boottime. For each kind of machine it estimates the time from renting a
+// machine to its being ready, and detects kinds whose machines have stopped becoming ready.
 
-// maxReadyFactor bounds how much later than the cloud's own figure machines are planned to be ready,
-// in times of that figure, also when none became ready lately and one is rented all the same for
-// want of another kind.
+// maxReadyFactor bounds the time to ready that planning assumes, as a multiple of the provisioning time that
+// the cloud states. The bound also holds if no machine of a kind became ready recently and one is rented
+// nevertheless, because no other kind is available.
 const maxReadyFactor = 10
 
-// provisioningOf returns the estimator of a kind, without expired samples.
+// provisioningOf returns the estimator of a kind, after dropping its samples if they have expired.
 func (k *fleetKnowledge) provisioningOf(kind machineKind) *boottime.Estimator {
-	e := k.provisioningTimes[kind]
-	if e == nil {
-		e = &boottime.Estimator{}
-		k.provisioningTimes[kind] = e
+	estimator := k.provisioningTimes[kind]
+	if estimator == nil {
+		estimator = &boottime.Estimator{}
+		k.provisioningTimes[kind] = estimator
 	}
-	e.Expire(k.now, k.machineTypes[kind.machineType].ProvisioningTime)
-	return e
+	estimator.Expire(k.now, k.machineTypes[kind.machineType].ProvisioningTime)
+	return estimator
 }
 
-// becameReady learns from a machine's first heartbeat. Machines rented before this shard leader was
-// ready are ignored: they may have been up for long.
+// becameReady records, at a machine's first heartbeat, how long the machine took to become ready. It ignores
+// machines rented before this shard leader was ready, since they may have been running for long.
 func (f *fleetPlanner) becameReady(m *machine) {
-	v := f.view
-	if v == nil {
+	view := f.view
+	if view == nil {
 		return
 	}
-	if r := v.rentals[m.id]; r != nil && r.status == "booting" && r.rentedAt.After(f.controller.shardLeader.readyAt) {
-		f.controller.knowledge.provisioningOf(r.machineKind).RecordReady(f.now, f.now.Sub(r.rentedAt))
+	if rental := view.rentals[m.id]; rental != nil && rental.status == "booting" && rental.rentedAt.After(f.controller.shardLeader.readyAt) {
+		f.controller.knowledge.provisioningOf(rental.machineKind).RecordReady(f.now, f.now.Sub(rental.rentedAt))
 	}
 }
 
-// timeToReady is how long a machine of a kind most likely takes to be ready that was rented age ago
-// and is not ready yet.
+// timeToReady returns how much longer a machine that was rented age ago and is not ready yet is likely to
+// take. It is at most maxReadyFactor times the provisioning time that the cloud states.
 func (k *fleetKnowledge) timeToReady(kind machineKind, age time.Duration) time.Duration {
 	machineType := k.machineTypes[kind.machineType]
 	return min(k.provisioningOf(kind).Remaining(age, machineType.ProvisioningTime), maxReadyFactor*machineType.ProvisioningTime)
 }
 
-// isExpected reports whether a machine without a heartbeat so far is counted on: to wait for it is
-// better than to rent another.
-func (k *fleetKnowledge) isExpected(r *rental) bool {
-	machineType, ok := k.machineTypes[r.machineType]
-	return ok && !r.releasing && r.status != "returned" && r.status != "failed" &&
-		k.provisioningOf(r.machineKind).IsWorthWaiting(k.now.Sub(r.rentedAt), machineType.ProvisioningTime)
+// isExpected reports whether planning counts on a machine that has sent no heartbeat yet: waiting for the
+// machine is better than renting another.
+func (k *fleetKnowledge) isExpected(rental *rental) bool {
+	machineType, ok := k.machineTypes[rental.machineType]
+	return ok && !rental.releasing && rental.status != "returned" && rental.status != "failed" &&
+		k.provisioningOf(rental.machineKind).IsWorthWaiting(k.now.Sub(rental.rentedAt), machineType.ProvisioningTime)
 }
 
-// expectedFor yields the machines that are counted on but not ready yet and that a job allows.
+// expectedFor yields the rentals that are not ready yet, that planning counts on and that a job allows.
 func (f *fleetPlanner) expectedFor(j *job) iter.Seq[*rental] {
 	return func(yield func(*rental) bool) {
 		if f.view == nil {
 			return
 		}
-		for id, r := range f.view.rentals {
+		for id, rental := range f.view.rentals {
 			m := f.controller.shardLeader.machines[id]
-			counted := (m == nil || !m.heard) && f.controller.knowledge.isExpected(r)
-			if counted && j.allowsMachine(r.machineType, r.zone, r.spot) && !yield(r) {
+			counted := (m == nil || !m.heard) && f.controller.knowledge.isExpected(rental)
+			if counted && j.allowsMachine(rental.machineType, rental.zone, rental.spot) && !yield(rental) {
 				return
 			}
 		}
 	}
 }
 
-// isGivenUp reports whether a machine that is not ready is not worth its cost any more.
-func (k *fleetKnowledge) isGivenUp(r *rental) bool {
-	return k.provisioningOf(r.machineKind).GiveUp(k.now.Sub(r.rentedAt), k.machineTypes[r.machineType].ProvisioningTime)
+// isGivenUp reports whether a machine that is not ready has taken so long that it is not worth its cost.
+func (k *fleetKnowledge) isGivenUp(rental *rental) bool {
+	return k.provisioningOf(rental.machineKind).GiveUp(k.now.Sub(rental.rentedAt), k.machineTypes[rental.machineType].ProvisioningTime)
 }
 
-// kindsNeverReady returns the kinds of which machines have stopped becoming ready.
+// kindsNeverReady returns the kinds whose machines have stopped becoming ready.
 func (f *fleetPlanner) kindsNeverReady() map[machineKind]bool {
-	sl := f.controller.shardLeader
+	shardLeader := f.controller.shardLeader
 	provisioning := map[machineKind][]boottime.Provisioning{}
 	for id, r := range f.view.rentals {
-		if m := sl.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(sl.readyAt) {
+		if m := shardLeader.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(shardLeader.readyAt) {
 			provisioning[r.machineKind] = append(provisioning[r.machineKind], boottime.Provisioning(r.rentedAt))
 		}
 	}
@@ -92,11 +92,11 @@
 	return neverReady
 }
 
-// setNeverReadyKinds keeps what kindsNeverReady found and logs what has changed.
+// setNeverReadyKinds stores the result of kindsNeverReady and logs the differences from the previous one.
 func (f *fleetPlanner) setNeverReadyKinds(current map[machineKind]bool) {
 	for _, k := range sortedKinds(current) {
 		if !f.neverReadyKinds[k] {
-			f.info("machine kind never ready, others requested instead", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
+			f.info("machine kind not becoming ready, other kinds requested instead", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
 		}
 	}
 	for _, k := range sortedKinds(f.neverReadyKinds) {
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -3,42 +3,42 @@
 import "time"
 
 const (
-	// maxReleasePerRequest is the cloud's limit on machines in one release.
+	// maxReleasePerRequest is the cloud's limit on the number of machines in one release request.
 	maxReleasePerRequest = 100
 	// settleTime is how long after a takeover no machine counts as unresponsive or idle.
 	settleTime = 8 * time.Second
-	// reasonNeverReady is why a machine is released that was given up before it was ready.
+	// reasonNeverReady is the reason for releasing a machine that was given up before it was ready.
 	reasonNeverReady = "never ready"
 )
 
-// adopt makes a rental a machine of this controller's shard, if the shard map names it there. A
-// machine that is running and has not been heard yet is contacted.
-func (c *Controller) adopt(r *rental) {
-	s := c.shardLeader
-	if s == nil || r.status == "failed" || r.releasing || !s.ready {
+// adopt adds a rental to the machines of this controller's shard, if the shard map assigns it to the shard.
+// It contacts a machine that is running and has not sent a heartbeat yet.
+func (c *Controller) adopt(rental *rental) {
+	shardLeader := c.shardLeader
+	if shardLeader == nil || rental.status == "failed" || rental.releasing || !shardLeader.ready {
 		return
 	}
-	if _, mine := c.membership.ownedMachine(r.id); !mine || c.leader != nil && c.leader.sharding.unrecordedMachines[r.id].Host != "" {
-		// It belongs to another shard leader, or is about to.
+	if _, mine := c.membership.ownedMachine(rental.id); !mine || c.leader != nil && c.leader.sharding.unrecordedMachines[rental.id].Host != "" {
+		// Another shard leader owns the machine, or is about to.
 		return
 	}
-	m := c.shardLeader.ensureMachine(r.id)
-	if !c.membership.shardMap.IsAssigned(r.id) && !s.catchAllSince.IsZero() && r.rentedAt.After(s.catchAllSince) {
-		// Rented since this shard has the machines that no segment names: it never
-		// belonged to another.
+	m := c.shardLeader.ensureMachine(rental.id)
+	if !c.membership.shardMap.IsAssigned(rental.id) && !shardLeader.catchAllSince.IsZero() && rental.rentedAt.After(shardLeader.catchAllSince) {
+		// The machine was rented after this shard became the owner of the machines that no
+		// segment names, so it has had no former owner.
 		m.formerOwnerUntil = time.Time{}
 	}
 	if m.machineType == "" || m.addr == "" {
-		c.shardLeader.describe(m, r.addr, r.machineType, r.zone, r.spot)
+		c.shardLeader.describe(m, rental.addr, rental.machineType, rental.zone, rental.spot)
 	}
-	if !m.heard && (r.status == "running" || r.status == statusComing) && r.addr != "" {
+	if !m.heard && (rental.status == "running" || rental.status == statusComing) && rental.addr != "" {
 		c.shardLeader.failover.contact(m)
 	}
 }
 
-// selectReleases chooses the machines to return to the cloud: failed, never ready, unresponsive and
-// faulty ones, and idle ones that are not needed. The planning pass that found surplus may have
-// taken a while, so each machine is judged by its present state.
+// selectReleases requests the release of machines that failed, were never ready, are unresponsive or are
+// faulty, and of surplus machines that have been idle for long enough. The planning pass that computed
+// surplus may have taken a while, so selectReleases checks the present state of each machine.
 func (f *fleetPlanner) selectReleases(surplus map[string]bool) {
 	settled := f.now.Sub(f.controller.shardLeader.since) > settleTime
 	unresponsive := map[string]bool{}
@@ -48,29 +48,31 @@
 	f.releaseUnpublished(unresponsive, settled)
 	cheapest := f.controller.knowledge.cheapestCPUCost()
 	for _, id := range sortedKeys(f.view.rentals) {
-		r := f.view.rentals[id]
-		if r.releasing && f.controller.leader == nil {
-			// The leader was asked already, but the request may have been lost.
+		rental := f.view.rentals[id]
+		if rental.releasing && f.controller.leader == nil {
+			// The release was already requested from the leader, but the request may have
+			// been lost.
 			f.requestRelease(id)
 		}
-		if r.releasing {
+		if rental.releasing {
 			continue
 		}
 		m := f.controller.shardLeader.machines[id]
-		reason := f.releaseReason(r, m, settled, unresponsive[id])
+		reason := f.releaseReason(rental, m, settled, unresponsive[id])
 		if reason == "" && m != nil && settled && surplus[id] && f.isIdleExpired(m, cheapest) {
 			reason = "idle"
 		}
 		if reason == "" || len(f.machinesToRelease) >= maxReleasePerRequest {
 			continue
 		}
-		f.release(r, m, reason)
+		f.release(rental, m, reason)
 	}
 }
 
-// releaseUnpublished requests the release of machines with attempts that the leader no longer
-// publishes. They may be gone, or a list was late: only the answer to a release is proof. If one was
-// requested already, the request may have been lost, or confirmed to another shard leader.
+// releaseUnpublished requests the release of unresponsive machines with attempts that are missing in the
+// leader's list of rentals. Such a machine may be gone, or the list may be late; only the response to a
+// release request is proof. Machines whose release was already requested are included, since the request
+// may have been lost, or confirmed to another shard leader.
 func (f *fleetPlanner) releaseUnpublished(unresponsive map[string]bool, settled bool) {
 	for _, m := range f.controller.shardLeader.machinesByID {
 		if id := m.id; f.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || f.controller.knowledge.released[id]) && settled && len(f.machinesToRelease) < maxReleasePerRequest {
@@ -81,16 +83,17 @@
 	}
 }
 
-// releaseReason says why a rental is to be released whether it is needed or not, or "". m is nil if
-// it is no machine of this shard yet.
-func (f *fleetPlanner) releaseReason(r *rental, m *machine, settled, unresponsive bool) string {
+// releaseReason returns why a rental is to be released even if it is needed, or "" if it is not. m is nil
+// if the rental is not a machine of this shard yet.
+func (f *fleetPlanner) releaseReason(rental *rental, m *machine, settled, unresponsive bool) string {
 	switch {
-	case r.status == "failed":
+	case rental.status == "failed":
 		return "failed"
 	case m == nil:
-	case !m.heard && settled && f.controller.knowledge.isGivenUp(r) && m.isEmpty() && f.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(f.controller.shardLeader.since)):
-		// A machine that another shard leader has just handed over gets time, however long
-		// ago it was rented. What came with the takeover has had it when settled.
+	case !m.heard && settled && f.controller.knowledge.isGivenUp(rental) && m.isEmpty() && f.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(f.controller.shardLeader.since)):
+		// A machine that another shard leader has just handed over gets settleTime to report,
+		// however long ago it was rented. A machine that came with the takeover of the shard
+		// has had that time once settled is true.
 		return reasonNeverReady
 	case unresponsive && settled:
 		return "unresponsive"
@@ -100,17 +103,17 @@
 	return ""
 }
 
-// release requests the release of a machine, which gets no more work whatever becomes of that.
-func (f *fleetPlanner) release(r *rental, m *machine, reason string) {
-	f.info("machine released", "machine", r.id, "reason", reason)
-	if reason == reasonNeverReady && !f.controller.knowledge.released[r.id] {
-		// Counted once, however often the leader is asked.
-		f.controller.knowledge.provisioningOf(r.machineKind).RecordGivenUp(f.now)
-		f.recordNeverReady(f.controller.knowledge.costPerHour(r.machineKind) * f.now.Sub(r.rentedAt).Hours())
-		f.info("machines never ready", "count", f.neverReadyCount, "cost", f.neverReadyCost)
+// release requests the release of a machine. No more tasks are placed on it, even if the request fails.
+func (f *fleetPlanner) release(rental *rental, m *machine, reason string) {
+	f.info("machine released", "machine", rental.id, "reason", reason)
+	if reason == reasonNeverReady && !f.controller.knowledge.released[rental.id] {
+		// The machine is counted once, however often its release is requested.
+		f.controller.knowledge.provisioningOf(rental.machineKind).RecordGivenUp(f.now)
+		f.recordNeverReady(f.controller.knowledge.costPerHour(rental.machineKind) * f.now.Sub(rental.rentedAt).Hours())
+		f.info("machines given up before they were ready", "count", f.neverReadyCount, "cost", f.neverReadyCost)
 	}
-	f.requestRelease(r.id)
-	f.controller.knowledge.markReleased(r.id)
+	f.requestRelease(rental.id)
+	f.controller.knowledge.markReleased(rental.id)
 	if m != nil {
 		m.releasing = true
 	}
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -8,38 +8,41 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// scaling.go decides by simulation which machines are worth renting, which are surplus and which
-// expensive ones to decommission.
+// scaling.go decides by simulation which machines to rent, which machines are surplus, and which expensive
+// machines to decommission.
 
 const (
-	// minIdleTime is how long an idle machine is kept at least: ends and starts follow one
-	// another, and plans change from second to second.
+	// minIdleTime is how long an idle machine is kept at least. Another task often starts soon
+	// after one has ended, and the scale-out plan changes from second to second.
 	minIdleTime = 10 * time.Second
-	// surplusAfter is how long a machine must be idle before another shard leader may have it.
+	// surplusAfter is how long a machine must be idle before it is offered to other shard leaders.
 	surplusAfter = 2 * time.Second
-	// expensiveFactor is how many times the lowest cost of a CPU a machine's must be for the
-	// machine to be decommissioned while others can do its work.
+	// expensiveFactor says which machines are expensive: those whose cost per CPU is more than this
+	// multiple of the lowest. They are decommissioned while other machines can run their tasks.
 	expensiveFactor = 1.5
-	// tolerableDelay is how much later a task may start on average so that an expensive machine
-	// can go. Of a thousand tasks some few are always a little later.
+	// tolerableDelay is how much later tasks may start on average when an expensive machine is
+	// decommissioned. It is not 0, since among a thousand tasks a few always start slightly later.
 	tolerableDelay = 10 * time.Millisecond
-	// maxDecommissionTries bounds the failed tries in one pass.
+	// maxDecommissionTries is the number of failed tries after which decommissionExpensive ends.
 	maxDecommissionTries = 4
-	// decommissionBatches is in how many parts a long list of machines is tried.
+	// decommissionBatches is the number of batches into which decommissionExpensive at first divides
+	// the expensive machines.
 	decommissionBatches = 8
-	// slowDecommissionSize is the pool size from which on machines to decommission are chosen
-	// less often: each as many machines more add a leaderPeriod.
+	// slowDecommissionSize is the pool size from which on decommissionExpensive runs less often:
+	// each slowDecommissionSize machines add one leaderPeriod to the interval between its runs.
 	slowDecommissionSize = 100
 )
 
-// surplusMachines returns the idle machines that are needed neither for pending work nor for what the
-// last minutes make likely, simulated on the cheapest machines first. Cheap machines are kept longer.
-func (f *fleetPlanner) surplusMachines(r *freeCapacity, charge chargeFunc) map[string]bool {
-	sl := f.controller.shardLeader
+// surplusMachines returns the ids of the idle machines that are needed neither for pending tasks nor for
+// expected ones. It simulates the demands on the machines in use first and then on the cheapest ones, so
+// that the expensive ones become surplus first. Cheap machines are kept idle for longer; see
+// idleRetention.
+func (f *fleetPlanner) surplusMachines(capacity *freeCapacity, charge chargeFunc) map[string]bool {
+	shardLeader := f.controller.shardLeader
 	surplus := map[string]bool{}
 	cheapest := f.controller.knowledge.cheapestCPUCost()
 	idle := false
-	for _, m := range sl.machinesByID {
+	for _, m := range shardLeader.machinesByID {
 		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && f.controller.shardLeader.scheduler.usable(m) &&
 			(f.controller.membership.hasOtherShardLeaders() && f.now.Sub(m.idleSince) > surplusAfter || f.isIdleExpired(m, cheapest)) {
 			surplus[m.id] = true
@@ -49,31 +52,32 @@
 	if !idle {
 		return surplus
 	}
-	// Without the machines under decommission nothing is late; they go as soon as they are
-	// idle, and no other machine is released in their place.
+	// The machines under decommission are left out: no task is late without them. They are released
+	// as soon as they are idle, and the simulation must not count on them and let another machine
+	// be released instead.
 	decommissioning := map[*machine]bool{}
-	for _, v := range r.machines {
-		if v.machine.decommissioning {
-			decommissioning[v.machine] = true
+	for _, simMachine := range capacity.machines {
+		if simMachine.machine.decommissioning {
+			decommissioning[simMachine.machine] = true
 		}
 	}
-	simulated := copyFreeCapacity(r, decommissioning)
+	simulated := copyFreeCapacity(capacity, decommissioning)
 	slices.SortStableFunc(simulated, func(a, b *simulatedMachine) int {
 		return cmp.Or(cmp.Compare(boolToFloat(a.idle), boolToFloat(b.idle)),
 			cmp.Compare(f.controller.knowledge.costPerCPU(a.machine), f.controller.knowledge.costPerCPU(b.machine)))
 	})
-	sim := f.newSimulation(simulated, r.imageIDs, charge)
+	sim := f.newSimulation(simulated, capacity.imageIDs, charge)
 	for _, d := range f.demands(f.controller.knowledge.planningHorizon(), true, true) {
-		sim.simulate(d, func(_ int, v *simulatedMachine, _, _ time.Time) {
-			if v != nil {
-				delete(surplus, v.machine.id)
+		sim.simulate(d, func(_ int, simMachine *simulatedMachine, _, _ time.Time) {
+			if simMachine != nil {
+				delete(surplus, simMachine.machine.id)
 			}
 		})
 	}
 	return surplus
 }
 
-// hasOtherShardLeaders reports whether other controllers hold shards with teams.
+// hasOtherShardLeaders reports whether another controller leads a shard that has teams.
 func (m *membership) hasOtherShardLeaders() bool {
 	for _, s := range m.shardMap.Shards() {
 		if s.Host != m.settings.Host && len(s.Teams) > 0 {
@@ -83,8 +87,8 @@
 	return false
 }
 
-// surplusForOthers returns those of the surplus machines that other shard leaders may have, the most
-// expensive first.
+// surplusForOthers returns the surplus machines to offer to other shard leaders, the most expensive first
+// and at most maxSurplus. It returns none if there is no other shard leader.
 func (f *fleetPlanner) surplusForOthers(surplus map[string]bool) []string {
 	if !f.controller.membership.hasOtherShardLeaders() {
 		return nil
@@ -106,56 +110,57 @@
 	return out
 }
 
-// isIdleExpired reports whether a machine has been idle for as long as one of its cost is kept.
+// isIdleExpired reports whether a machine has been idle for longer than its idleRetention. cheapest is the
+// lowest cost per CPU.
 func (f *fleetPlanner) isIdleExpired(m *machine, cheapest float64) bool {
 	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && f.now.Sub(m.idleSince) > f.idleRetention(m, cheapest)
 }
 
-// decommissionExpensive takes expensive machines out of use, as long as the others would start
-// everything in time without them; what runs there goes on to its end. Otherwise work would spread over
-// all machines, none would go idle, and the on-demand machines rented for one burst would be paid for
-// ever after.
-func (f *fleetPlanner) decommissionExpensive(r *freeCapacity, charge chargeFunc) {
+// decommissionExpensive chooses the expensive machines on which no more tasks are started, as long as all
+// tasks would start in time on the other machines. Tasks that run on a decommissioned machine continue to
+// their end. Without decommissioning, tasks would spread over all machines, none would become idle, and
+// the on-demand machines rented for one burst would be paid for indefinitely.
+func (f *fleetPlanner) decommissionExpensive(capacity *freeCapacity, charge chargeFunc) {
 	var expensive []*machine
 	cheapest := f.controller.knowledge.cheapestCPUCost()
 	for _, m := range f.controller.shardLeader.machinesByID {
-		// A machine reserved for a job is not simulated, so nothing would miss it.
+		// A machine reserved for a job is not in the simulation, which would therefore never find
+		// it needed.
 		if f.controller.shardLeader.scheduler.usable(m) && m.reservedFor == "" && f.controller.knowledge.costPerCPU(m) > expensiveFactor*cheapest {
 			expensive = append(expensive, m)
 		}
 	}
-	// After a takeover the forecast comes from the previous shard leader's updates, or is not
-	// there yet.
-	o, chosen := f.controller.shardLeader, map[*machine]bool{}
-	// Applied all at once, as the pass may be suspended during the simulations.
+	shardLeader, chosen := f.controller.shardLeader, map[*machine]bool{}
+	// The choice is applied at the end, since the pass may be suspended during the simulations.
 	defer func() {
-		for _, m := range o.machinesByID {
+		for _, m := range shardLeader.machinesByID {
 			m.decommissioning = chosen[m]
 		}
 	}()
-	if len(expensive) == 0 || f.now.Sub(o.since) < recentWindow && len(f.controller.knowledge.inheritedLoads) == 0 {
+	// Soon after a takeover there is a forecast only if the previous shard leader has published loads.
+	if len(expensive) == 0 || f.now.Sub(shardLeader.since) < recentWindow && len(f.controller.knowledge.inheritedLoads) == 0 {
 		return
 	}
-	// The emptiest go first.
+	// The machines with the lowest utilization are tried first.
 	slices.SortStableFunc(expensive, func(a, b *machine) int {
 		return cmp.Compare(f.utilization(a), f.utilization(b))
 	})
 	demands := f.demands(f.controller.knowledge.planningHorizon(), true, false)
-	base := f.simulatedLateness(r, demands, nil, charge)
-	before, candidateCount := base, len(expensive)
+	tolerated := f.simulatedLateness(capacity, demands, nil, charge)
+	lateness, candidateCount := tolerated, len(expensive)
 	for _, d := range demands {
-		base += time.Duration(d.count) * tolerableDelay
+		tolerated += time.Duration(d.count) * tolerableDelay
 	}
 	failures := 0
-	// Of many, several are tried at once, and fewer after a failure: each try simulates all
-	// demands.
+	// Several machines are tried at once, since each try simulates all demands. After a failure the
+	// batch is halved.
 	batchSize := max(1, len(expensive)/decommissionBatches)
 	for len(expensive) > 0 {
 		batch := expensive[:min(batchSize, len(expensive))]
 		for _, m := range batch {
 			chosen[m] = true
 		}
-		if f.simulatedLateness(r, demands, chosen, charge) <= base {
+		if f.simulatedLateness(capacity, demands, chosen, charge) <= tolerated {
 			expensive = expensive[len(batch):]
 			continue
 		}
@@ -170,29 +175,30 @@
 		}
 		batchSize = max(1, batchSize/2)
 	}
-	f.debug("decommission planned", "expensive", candidateCount, "decommissioning", len(chosen), "late", before, "failed_tries", failures)
+	f.debug("decommission planned", "expensive", candidateCount, "decommissioning", len(chosen), "late", lateness, "failed_tries", failures)
 }
 
-// idleRetention is how long an idle machine is kept before it may be released: the longer the cheaper
-// it is.
+// idleRetention returns how long an idle machine is kept before it may be released. The time is inversely
+// proportional to its cost per CPU, and at least minIdleTime. cheapest is the lowest cost per CPU.
 func (f *fleetPlanner) idleRetention(m *machine, cheapest float64) time.Duration {
 	return max(minIdleTime, time.Duration(float64(f.settings.Policy.IdleTimeout)*cheapest/f.controller.knowledge.costPerCPU(m)))
 }
 
-// scaleOutPlan is the state of planScaleOut.
+// scaleOutPlan is the state of planScaleOut: its simulation and the machines to request, by kind.
 type scaleOutPlan struct {
 	sim      *simulation
 	requests map[machineKind]int
-	// unmetCPU is the CPUs that all tasks not yet placed need.
+	// unmetCPU is the number of CPUs that the tasks not yet placed in the simulation need.
 	unmetCPU float64
 }
 
-// planScaleOut decides which machines to request. It simulates, in the order of placement, when each
-// pending or expected task would start on the present machines and those on their way. Where a machine
-// rented now would let it start sooner, a spot machine is requested; an on-demand one, several times as
-// expensive, only if the task would otherwise start later than it must.
-func (f *fleetPlanner) planScaleOut(r *freeCapacity, charge chargeFunc) map[machineKind]int {
-	plan := &scaleOutPlan{sim: f.newSimulation(r.machines, r.imageIDs, charge), requests: map[machineKind]int{}}
+// planScaleOut decides how many machines of each kind to request. It simulates, in the order of placement,
+// when each pending or expected task would start on the present machines and on those that are expected.
+// If the task would start sooner on a machine rented now, planScaleOut requests a spot machine. It requests
+// an on-demand machine, which costs several times as much, only if the task would otherwise miss its start
+// deadline.
+func (f *fleetPlanner) planScaleOut(capacity *freeCapacity, charge chargeFunc) map[machineKind]int {
+	plan := &scaleOutPlan{sim: f.newSimulation(capacity.machines, capacity.imageIDs, charge), requests: map[machineKind]int{}}
 	f.addExpectedMachines(plan.sim)
 	demands := f.demands(f.controller.knowledge.planningHorizon(), false, false)
 	for _, d := range demands {
@@ -204,20 +210,21 @@
 	return plan.requests
 }
 
-// addExpectedMachines adds the machines that are handed over, booked or on their way to a simulation.
+// addExpectedMachines adds to a simulation the machines that are not ready but expected: those being handed
+// over by another shard leader, those being provisioned, and pending rentals.
 func (f *fleetPlanner) addExpectedMachines(sim *simulation) {
 	for _, id := range sortedKeys(f.view.rentals) {
-		r := f.view.rentals[id]
+		rental := f.view.rentals[id]
 		m := f.controller.shardLeader.machines[id]
-		if r.releasing || r.status == "returned" || r.status == "failed" || m != nil && (m.heard || f.expectedToReport(m)) {
+		if rental.releasing || rental.status == "returned" || rental.status == "failed" || m != nil && (m.heard || f.expectedToReport(m)) {
 			continue
 		}
-		if r.status == statusComing || f.now.Sub(r.handedOverAt) < handoverCooldown {
-			sim.addProvisioning(r.machineKind, f.now.Add(handoverTime))
+		if rental.status == statusComing || f.now.Sub(rental.handedOverAt) < handoverCooldown {
+			sim.addProvisioning(rental.machineKind, f.now.Add(handoverTime))
 			continue
 		}
-		if f.controller.knowledge.isExpected(r) {
-			sim.addProvisioning(r.machineKind, f.now.Add(f.controller.knowledge.timeToReady(r.machineKind, f.now.Sub(r.rentedAt))))
+		if f.controller.knowledge.isExpected(rental) {
+			sim.addProvisioning(rental.machineKind, f.now.Add(f.controller.knowledge.timeToReady(rental.machineKind, f.now.Sub(rental.rentedAt))))
 		}
 	}
 	for _, k := range sortedKinds(f.view.pendingRentals) {
@@ -227,34 +234,35 @@
 	}
 }
 
-// addDemand places a demand's tasks in the simulation and requests the machines that this is worth.
-func (p *scaleOutPlan) addDemand(d demand) {
-	sim := p.sim
-	req := sim.newRequest(d.job)
+// addDemand places the tasks of a demand in the simulation, and requests the machines that are worth renting
+// for them.
+func (plan *scaleOutPlan) addDemand(d demand) {
+	sim := plan.sim
+	request := sim.newRequest(d.job)
 	rented, first, reliefs := 0, time.Duration(0), 0
 	for from, remaining := range d.arrivalBatches(sim.now) {
 		for remaining > 0 && sim.nextVisit() {
-			count := max(1, int(p.unmetCPU/max(d.job.Need.CPU, 0.1)))
-			v, at := sim.bestMachine(req, from, false)
-			if k, ok := sim.kindWorthRenting(req, d, from, v != nil, at, count); ok {
+			count := max(1, int(plan.unmetCPU/max(d.job.Need.CPU, 0.1)))
+			simMachine, at := sim.bestMachine(request, from, false)
+			if kind, ok := sim.kindWorthRenting(request, d, from, simMachine != nil, at, count); ok {
 				if rented++; rented == 1 {
 					first = at.Sub(from)
 				}
-				p.requests[k]++
-				v = sim.addMachine(k)
-			} else if x, k, ok := sim.scarcityRelief(req, v, from, count); x != nil {
-				v = x
+				plan.requests[kind]++
+				simMachine = sim.addMachine(kind)
+			} else if alternative, kind, ok := sim.scarcityRelief(request, simMachine, from, count); alternative != nil {
+				simMachine = alternative
 			} else if ok {
 				reliefs++
-				p.requests[k]++
-				v = sim.addMachine(k)
+				plan.requests[kind]++
+				simMachine = sim.addMachine(kind)
 			}
 			placed := remaining
-			if v != nil {
-				placed, _, _ = sim.placeTasks(req, v, from, remaining)
+			if simMachine != nil {
+				placed, _, _ = sim.placeTasks(request, simMachine, from, remaining)
 			}
 			remaining -= placed
-			p.unmetCPU -= float64(placed) * d.job.Need.CPU
+			plan.unmetCPU -= float64(placed) * d.job.Need.CPU
 		}
 	}
 	if rented+reliefs > 0 {
@@ -263,8 +271,8 @@
 	}
 }
 
-// timeToReady is how long a machine of a kind takes to be of use: less while another shard leader
-// offers one.
+// timeToReady returns how long a machine of the offered kind takes to be ready: handoverTime while another
+// shard leader has surplus machines of the kind, and otherwise the provisioning time.
 func (p *simulation) timeToReady(o offer) time.Duration {
 	if p.surplus[o.machineKind] > 0 {
 		return handoverTime
@@ -272,92 +280,96 @@
 	return o.timeToReady
 }
 
-// addMachine adds a machine that is to be rented, or handed over by another shard leader.
-func (p *simulation) addMachine(k machineKind) *simulatedMachine {
-	if p.surplus[k] > 0 {
-		p.surplus[k]--
-		return p.addProvisioning(k, p.now.Add(handoverTime))
+// addMachine adds a machine that is to be requested: one that another shard leader hands over, or else one
+// that is rented.
+func (p *simulation) addMachine(kind machineKind) *simulatedMachine {
+	if p.surplus[kind] > 0 {
+		p.surplus[kind]--
+		return p.addProvisioning(kind, p.now.Add(handoverTime))
 	}
-	return p.addProvisioning(k, p.now.Add(p.controller.knowledge.timeToReady(k, 0)))
+	return p.addProvisioning(kind, p.now.Add(p.controller.knowledge.timeToReady(kind, 0)))
 }
 
-// scarcityRelief keeps a task off a machine that pending work depends on which fits little else. It
-// returns another machine that is free soon enough, or a spot kind to rent. It matters that present
-// machines come first: otherwise each expected task would request a new machine, beside hundreds of
-// idle ones.
-func (p *simulation) scarcityRelief(req *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
-	if chosen == nil || !p.isNeededElsewhere(req.job, chosen.machineKind.machineType) {
+// scarcityRelief finds an alternative to the chosen machine if pending tasks that fit few other machine
+// types depend on the chosen machine's type. It returns another machine that is free soon enough, or else
+// a spot kind to rent. Present machines come first: otherwise each expected task would request a new
+// machine although hundreds of machines are idle.
+func (p *simulation) scarcityRelief(request *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
+	if chosen == nil || !p.isNeededElsewhere(request.job, chosen.machineKind.machineType) {
 		return nil, machineKind{}, false
 	}
-	k, ok := p.bestKind(req, count, true)
-	ok = ok && !p.isNeededElsewhere(req.job, k.machineType)
-	if x, at := p.bestMachine(req, from, true); x != nil {
-		if !ok || !at.After(later(p.now.Add(p.timeToReady(k)), from).Add(k.fetchTime+minSafetyMargin)) {
-			return x, machineKind{}, false
+	spotOffer, ok := p.bestKind(request, count, true)
+	ok = ok && !p.isNeededElsewhere(request.job, spotOffer.machineType)
+	if alternative, at := p.bestMachine(request, from, true); alternative != nil {
+		if !ok || !at.After(later(p.now.Add(p.timeToReady(spotOffer)), from).Add(spotOffer.fetchTime+minSafetyMargin)) {
+			return alternative, machineKind{}, false
 		}
 	}
-	return nil, k.machineKind, ok
+	return nil, spotOffer.machineKind, ok
 }
 
-// neededElsewhere reports whether another workload with pending tasks fits the machine type, and fewer
-// types than that of spec does.
+// neededElsewhere reports whether another workload with pending tasks fits the machine type, and fits fewer
+// machine types than the workload of spec.
 func (f *fleetPlanner) neededElsewhere(spec *model.JobSpec, machineType string) bool {
 	mine := len(f.controller.knowledge.fittingMachineTypes(spec))
 	for name := range f.controller.shardLeader.scheduler.startDeadlines {
-		w := f.controller.shardLeader.workloads[name]
-		if name == spec.Workload || w == nil {
+		workload := f.controller.shardLeader.workloads[name]
+		if name == spec.Workload || workload == nil {
 			continue
 		}
-		if theirs := f.controller.knowledge.fittingMachineTypes(w.spec); len(theirs) < mine && slices.Contains(theirs, machineType) {
+		if theirs := f.controller.knowledge.fittingMachineTypes(workload.spec); len(theirs) < mine && slices.Contains(theirs, machineType) {
 			return true
 		}
 	}
 	return false
 }
 
-// kindWorthRenting returns what to rent, if anything, for tasks of a demand that arrive at from and
-// would start at the time at, if placed says that they fit anywhere.
-func (p *simulation) kindWorthRenting(req *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
+// kindWorthRenting returns the kind of machine to rent, if any, for tasks of a demand that arrive at from.
+// placed says whether the tasks fit on a simulated machine, and at is when they would start there. The
+// kind is the cheapest one for count tasks.
+func (p *simulation) kindWorthRenting(request *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
 	for _, spot := range [...]bool{true, false} {
-		k, ok := p.bestKind(req, count, spot)
+		offered, ok := p.bestKind(request, count, spot)
 		if !ok {
 			continue
 		}
 		if !placed {
-			return k.machineKind, true
+			return offered.machineKind, true
 		}
-		// It has to fetch the image as well, and not before the task has arrived: otherwise
-		// each task expected later than provisioning takes would request a machine of its
-		// own, beside idle ones that have to fetch too.
-		ready := later(p.now.Add(p.timeToReady(k)), from).Add(k.fetchTime)
+		// A new machine has to fetch the image as well, and begins only when the task has
+		// arrived. Otherwise each task expected to arrive after the provisioning time would
+		// request a machine of its own although idle machines only have to fetch the image too.
+		ready := later(p.now.Add(p.timeToReady(offered)), from).Add(offered.fetchTime)
 		if !at.After(ready.Add(minSafetyMargin)) {
 			continue
 		}
 		late := at.Add(p.controller.knowledge.safetyMargin(d.job)).After(d.startDeadline(p.now, from))
-		if !late && !at.After(ready.Add(p.minPayback(k, req))) {
+		if !late && !at.After(ready.Add(p.minPayback(offered, request))) {
 			continue
 		}
-		// A machine that another shard leader offers is ready already: as long as work waits
-		// that it would start sooner, it should not stand idle.
-		if spot || late || p.surplus[k.machineKind] > 0 {
-			return k.machineKind, true
+		// A surplus machine of another shard leader is already ready. It should not stay idle
+		// while there are tasks that would start sooner on it.
+		if spot || late || p.surplus[offered.machineKind] > 0 {
+			return offered.machineKind, true
 		}
 	}
 	return machineKind{}, false
 }
 
-// minPayback is how much later than on a new machine a task must otherwise start for the machine to
-// be worth the time of its provisioning, which is paid for too. Short tasks that are not pressing are
-// so done one after another, and not each on a machine of its own. Tasks that run for longer than
-// provisioning takes pay for it by themselves.
-func (p *simulation) minPayback(k offer, req *placementRequest) time.Duration {
-	if p.surplus[k.machineKind] > 0 || p.controller.waitObjective(req.job.Workload) > 0 {
+// minPayback returns by how much a new machine must advance the start of a task to be worth renting. The
+// provisioning time of a machine is paid for too. With this limit, short tasks that are not urgent run one
+// after another, and not each on a machine of its own. For tasks that run for longer than provisioning
+// takes, there is no minimum. Neither is there one for workloads with a wait objective, or for kinds of
+// which another shard leader has surplus machines.
+func (p *simulation) minPayback(offered offer, request *placementRequest) time.Duration {
+	if p.surplus[offered.machineKind] > 0 || p.controller.waitObjective(request.job.Workload) > 0 {
 		return 0
 	}
-	return k.timeToReady - req.run
+	return offered.timeToReady - request.run
 }
 
-// offers returns the kinds of machines on which tasks of a job fit, in a fixed order.
+// offers returns the kinds of machines that may be rented for a job, in a fixed order. With avoidGPUs, kinds
+// with a packing profile are left out.
 func (p *simulation) offers(j *job, avoidGPUs bool) []offer {
 	var out []offer
 	for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
@@ -366,11 +378,11 @@
 		if fit == 0 || avoidGPUs && p.controller.shardLeader.scheduler.currentPackingProfile().kind(name) != nil {
 			continue
 		}
-		for _, z := range machineType.Zones {
+		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
-				if j.allowsMachine(name, z, spot) {
-					k := machineKind{name, z, spot}
-					out = append(out, offer{k, fit, p.controller.knowledge.costPerHour(k), p.controller.knowledge.timeToReady(k, 0), newMachineFetchTime(&machineType, j)})
+				if j.allowsMachine(name, zone, spot) {
+					kind := machineKind{name, zone, spot}
+					out = append(out, offer{kind, fit, p.controller.knowledge.costPerHour(kind), p.controller.knowledge.timeToReady(kind, 0), newMachineFetchTime(&machineType, j)})
 				}
 			}
 		}
@@ -378,19 +390,19 @@
 	return out
 }
 
-// bestKind returns the kind that is cheapest for count tasks of a job, spot or not as asked, among those
-// that the cloud has not just refused.
-func (p *simulation) bestKind(req *placementRequest, count int, spot bool) (offer, bool) {
+// bestKind returns the spot or on-demand kind that is cheapest per task for count tasks of a job. Kinds that
+// the cloud has recently refused count only if another shard leader has surplus machines of them.
+func (p *simulation) bestKind(request *placementRequest, count int, spot bool) (offer, bool) {
 	var best offer
 	var bestCost float64
 	found := false
-	for _, o := range req.offers {
-		if o.spot != spot || req.zoneLimits.capacity(o.zone) == 0 || p.refusedKinds[o.machineKind] && p.surplus[o.machineKind] == 0 {
+	for _, candidate := range request.offers {
+		if candidate.spot != spot || request.zoneLimits.capacity(candidate.zone) == 0 || p.refusedKinds[candidate.machineKind] && p.surplus[candidate.machineKind] == 0 {
 			continue
 		}
-		cost := o.costPerHour / float64(min(o.tasksPerMachine, max(count, 1)))
+		cost := candidate.costPerHour / float64(min(candidate.tasksPerMachine, max(count, 1)))
 		if !found || cost < bestCost {
-			best, bestCost, found = o, cost, true
+			best, bestCost, found = candidate, cost, true
 		}
 	}
 	return best, found
--- a/internal/controller/scarcity.go
+++ b/internal/controller/scarcity.go
@@ -7,44 +7,47 @@
 )
 
 const (
-	// scarcePenalty is how long a fetch elsewhere is preferred to a machine that other
-	// workloads depend on.
+	// scarcePenalty is how much longer an image fetch may take on another machine for that machine
+	// to be preferred to one that other workloads depend on.
 	scarcePenalty = 20 * time.Second
-	// scarcityWindow is how near to its latest start pending work must be to have the
-	// machine types it depends on to itself.
+	// scarcityWindow is the time before the latest start of a workload's pending tasks in which the
+	// machine types that the workload depends on are scarce for others.
 	scarcityWindow = 45 * time.Second
 )
 
-// workloadRetention is how long after its last job more work of a workload is expected.
+// workloadRetention is how long after the last job of a workload more jobs of it are expected.
 const workloadRetention = 5 * time.Minute
 
-// scarcity says how much other workloads depend on a machine type.
+// scarcity is the degree to which other workloads depend on a machine type.
 type scarcity int
 
 const (
+	// notScarce: no other recent workload depends more on the machine type.
 	notScarce scarcity = iota
-	// scarceSoon: work that fits few other machine types has arrived lately.
+	// scarceSoon: a job that fits fewer machine types was submitted within workloadRetention.
 	scarceSoon
-	// scarceNow: such work is pending now, ranked at least as high.
+	// scarceNow: tasks of such a workload are pending, ranked at least as high, and due within
+	// scarcityWindow.
 	scarceNow
 )
 
-// scarcityOf rates the machine types on which some other recent workload depends more than the
-// one of spec, since it fits fewer types. Otherwise small tasks fill the only machines on which
-// large ones fit, and these wait beside idle small machines.
+// scarcityOf returns the scarcity of the machine types on which another recent workload depends more than
+// the workload of spec, since the other workload fits fewer types. Without this rating, small tasks would
+// fill the only machines on which large tasks fit, and the large tasks would wait while small machines
+// are idle.
 func (s *scheduler) scarcityOf(spec *model.JobSpec) map[string]scarcity {
 	var out map[string]scarcity
 	mine := s.controller.knowledge.fittingMachineTypes(spec)
-	for _, w := range s.controller.shardLeader.workloads {
-		if w.spec.Workload == spec.Workload || s.now.Sub(w.lastSeen) > workloadRetention {
+	for _, workload := range s.controller.shardLeader.workloads {
+		if workload.spec.Workload == spec.Workload || s.now.Sub(workload.lastSeen) > workloadRetention {
 			continue
 		}
-		theirs := s.controller.knowledge.fittingMachineTypes(w.spec)
+		theirs := s.controller.knowledge.fittingMachineTypes(workload.spec)
 		if len(theirs) >= len(mine) {
 			continue
 		}
 		rate := scarceSoon
-		if t, ok := s.startDeadlines[w.spec.Workload]; ok && s.controller.ranking.rankOfSpec(w.spec) <= s.controller.ranking.rankOfSpec(spec) && t.Sub(s.now) < scarcityWindow {
+		if deadline, ok := s.startDeadlines[workload.spec.Workload]; ok && s.controller.ranking.rankOfSpec(workload.spec) <= s.controller.ranking.rankOfSpec(spec) && deadline.Sub(s.now) < scarcityWindow {
 			rate = scarceNow
 		}
 		if out == nil {
--- a/internal/controller/simulated_machine.go
+++ b/internal/controller/simulated_machine.go
@@ -9,162 +9,167 @@
 	"github.com/micahill/micahill/internal/packing"
 )
 
-// freeCapacity is the present machines, with what their live tasks will leave, and the numbers of
-// their images.
+// freeCapacity holds the present machines with the capacity that is free now and the capacity that
+// their live tasks will release. imageIDs maps the names of the machines' images to image numbers.
 type freeCapacity struct {
 	machines []*simulatedMachine
 	imageIDs map[string]int32
 }
 
-// spareReleases is for how many more releases a copy of a machine has memory at once.
+// spareReleases is the number of further releases for which copyFreeCapacity allocates memory in each
+// copy of a machine.
 const spareReleases = 2
 
-// copyFreeCapacity copies the machines of r, but those in without, for a simulation to change.
-func copyFreeCapacity(r *freeCapacity, without map[*machine]bool) []*simulatedMachine {
-	out := make([]*simulatedMachine, 0, len(r.machines))
-	all := make([]simulatedMachine, len(r.machines))
+// copyFreeCapacity copies the machines of capacity, except those in without, so that a simulation can change
+// the copies.
+func copyFreeCapacity(capacity *freeCapacity, without map[*machine]bool) []*simulatedMachine {
+	copies := make([]*simulatedMachine, 0, len(capacity.machines))
+	storage := make([]simulatedMachine, len(capacity.machines))
 	total := 0
-	for _, v := range r.machines {
+	for _, v := range capacity.machines {
 		total += len(v.releases) + spareReleases
 	}
-	ends := make([]release, total)
-	for i, v := range r.machines {
+	releases := make([]release, total)
+	for i, v := range capacity.machines {
 		if without[v.machine] {
 			continue
 		}
-		all[i] = *v
-		k := copy(ends, v.releases)
-		all[i].releases = ends[: k : k+spareReleases]
-		ends = ends[k+spareReleases:]
-		out = append(out, &all[i])
+		storage[i] = *v
+		k := copy(releases, v.releases)
+		storage[i].releases = releases[: k : k+spareReleases]
+		releases = releases[k+spareReleases:]
+		copies = append(copies, &storage[i])
 	}
-	return out
+	return copies
 }
 
-// simulatedMachine is a machine in a simulation: its free capacity from some time on, and what live
-// tasks will leave later. Times count from the start of the simulation.
+// simulatedMachine is a machine in a simulation: its free capacity from some time on, and the capacity
+// that tasks will release later. Times count from the present time of the simulation.
 type simulatedMachine struct {
 	machineKind machineKind
 	index       int32
-	// machine is nil for one that is not ready yet.
+	// machine is nil for a machine that is not ready yet.
 	machine *machine
 	idle    bool
 
-	// cached and fetchingImages are the images it holds and fetches now, placedImages those
-	// that tasks placed by the simulation will have fetched.
+	// cached and fetchingImages are the numbers of the images that the machine holds and that it
+	// is fetching. placedImages are those that tasks placed by the simulation cause it to fetch.
 	cached, fetchingImages, placedImages []int32
 	// placements counts the calls of placeTasks.
 	placements int
-	// secondsPerGB is how long it takes to fetch a GB of an image, fetchingSecondsPerGB what is
-	// left on average for an image that is being fetched.
+	// secondsPerGB is the time to fetch one GB of an image. fetchingSecondsPerGB is the average
+	// time left per GB for an image that is being fetched.
 	secondsPerGB, fetchingSecondsPerGB float64
 
-	// free is the capacity that is free from at on; releases, by time, is what comes later.
+	// free is the capacity that is free from the time at on. releases, ordered by time, are the
+	// amounts that become free later.
 	at       time.Duration
 	free     model.Resources
 	releases []release
 
-	// packingKind is the usual demand on machines of its type, if they have GPUs; nonGPUFree is
-	// what work without GPUs may use.
+	// packingKind is the packing profile of the machine type, or nil if the type has none.
+	// nonGPUFree is the capacity that tasks which avoid GPUs may use.
 	packingKind *packing.Profile
 	nonGPUFree  model.Resources
 }
 
-// release is capacity that the end of some tasks leaves.
+// release is capacity that becomes free at a time, when some tasks end.
 type release struct {
 	at   time.Duration
 	need model.Resources
 }
 
-// earliestStart is when a task fits, and whether it ever does. The tasks of a gang need their
-// capacity all at once, so capacity that is released later does not count for them.
-func (v *simulatedMachine) earliestStart(need model.Resources, gang, avoidGPUs bool) (time.Duration, bool) {
-	free := v.free
-	if need.Fits(v.freeFor(free, avoidGPUs)) {
-		return v.at, true
+// earliestStart returns when a task first fits on the machine, and whether it ever does. All tasks of a
+// gang need their capacity at once, so capacity that is released later does not count for them.
+func (simMachine *simulatedMachine) earliestStart(need model.Resources, gang, avoidGPUs bool) (time.Duration, bool) {
+	free := simMachine.free
+	if need.Fits(simMachine.freeFor(free, avoidGPUs)) {
+		return simMachine.at, true
 	}
 	if gang {
 		return 0, false
 	}
-	for i := range v.releases {
-		e := &v.releases[i]
+	for i := range simMachine.releases {
+		e := &simMachine.releases[i]
 		free = free.AddScaled(e.need, 1)
-		if need.Fits(v.freeFor(free, avoidGPUs)) {
-			return max(v.at, e.at), true
+		if need.Fits(simMachine.freeFor(free, avoidGPUs)) {
+			return max(simMachine.at, e.at), true
 		}
 	}
 	return 0, false
 }
 
-// placeTasks lets up to count tasks start at the time that earliestStart gave, or later, and returns
-// how many fit.
-func (v *simulatedMachine) placeTasks(need model.Resources, at, run time.Duration, count int, avoidGPUs bool) int {
-	for len(v.releases) > 0 && !need.Fits(v.freeFor(v.free, avoidGPUs)) {
-		v.free = v.free.AddScaled(v.releases[0].need, 1)
-		v.at = max(v.at, v.releases[0].at)
-		v.releases = v.releases[1:]
+// placeTasks places up to count tasks, which start at the time at and run for the time run, and returns
+// how many fit. at is not before the time that earliestStart returned for such a task.
+func (simMachine *simulatedMachine) placeTasks(need model.Resources, at, run time.Duration, count int, avoidGPUs bool) int {
+	for len(simMachine.releases) > 0 && !need.Fits(simMachine.freeFor(simMachine.free, avoidGPUs)) {
+		simMachine.free = simMachine.free.AddScaled(simMachine.releases[0].need, 1)
+		simMachine.at = max(simMachine.at, simMachine.releases[0].at)
+		simMachine.releases = simMachine.releases[1:]
 	}
-	k := max(1, min(count, v.freeFor(v.free, avoidGPUs).FitCount(need)))
-	v.placements++
+	placed := max(1, min(count, simMachine.freeFor(simMachine.free, avoidGPUs).FitCount(need)))
+	simMachine.placements++
 	if avoidGPUs {
-		v.nonGPUFree = v.nonGPUFree.AddScaled(need, -float64(k))
+		simMachine.nonGPUFree = simMachine.nonGPUFree.AddScaled(need, -float64(placed))
 	}
-	v.free = v.free.AddScaled(need, -float64(k))
-	end := release{at + run, model.Resources{}.AddScaled(need, float64(k))}
-	i, _ := slices.BinarySearchFunc(v.releases, end, func(a, b release) int { return cmp.Compare(a.at, b.at) })
-	v.releases = slices.Insert(v.releases, i, end)
-	return k
+	simMachine.free = simMachine.free.AddScaled(need, -float64(placed))
+	end := release{at + run, model.Resources{}.AddScaled(need, float64(placed))}
+	i, _ := slices.BinarySearchFunc(simMachine.releases, end, func(a, b release) int { return cmp.Compare(a.at, b.at) })
+	simMachine.releases = slices.Insert(simMachine.releases, i, end)
+	return placed
 }
 
-// expectedToReport reports whether a machine has sent no heartbeat since a takeover, but most likely
-// will: the cloud lists it as running. For planning it counts as present. A successor that counted
-// only machines it had heard from would rent hundreds beside them, which then stand idle.
+// expectedToReport reports whether a machine has sent no heartbeat since this controller took its shard
+// over, but most likely will, because the cloud lists it as running. Planning counts such a machine as
+// present. If a successor counted only machines that have sent heartbeats, it would rent hundreds of
+// others, which would then stand idle.
 func (f *fleetPlanner) expectedToReport(m *machine) bool {
-	sl := f.controller.shardLeader
-	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || f.now.Sub(sl.readyAt) > 2*f.maxHeartbeatInterval() || f.view == nil {
+	shardLeader := f.controller.shardLeader
+	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || f.now.Sub(shardLeader.readyAt) > 2*f.maxHeartbeatInterval() || f.view == nil {
 		return false
 	}
-	r := f.view.rentals[m.id]
-	return r != nil && r.status == "running" && !r.releasing
+	rental := f.view.rentals[m.id]
+	return rental != nil && rental.status == "running" && !rental.releasing
 }
 
-// futureFreeCapacity returns each usable machine with what its live tasks will leave, as far as
-// their expected ends are known. A task that runs longer than expected is taken to go on for a
-// fifth of its expected run time.
+// futureFreeCapacity returns each usable machine with its free capacity and the capacity that its live
+// tasks will release, as far as their expected ends are known. A task is assumed to run for at least
+// another fifth of its expected run time, also when it has already run for longer than expected.
 func (f *fleetPlanner) futureFreeCapacity() *freeCapacity {
-	sl := f.controller.shardLeader
-	r := &freeCapacity{machines: make([]*simulatedMachine, 0, len(sl.machinesByID)), imageIDs: map[string]int32{}}
-	all := make([]simulatedMachine, len(sl.machinesByID))
+	shardLeader := f.controller.shardLeader
+	capacity := &freeCapacity{machines: make([]*simulatedMachine, 0, len(shardLeader.machinesByID)), imageIDs: map[string]int32{}}
+	storage := make([]simulatedMachine, len(shardLeader.machinesByID))
 	attempts, images := 0, 0
-	for _, m := range sl.machinesByID {
+	for _, m := range shardLeader.machinesByID {
 		attempts += len(m.attempts) + 1
 		images += len(m.images)
 	}
-	ends, ids := make([]release, 0, attempts), make([]int32, 0, images)
-	profile := sl.scheduler.currentPackingProfile()
-	for i, m := range sl.machinesByID {
-		if !sl.scheduler.usable(m) && !f.expectedToReport(m) || m.reservedFor != "" {
+	releases, ids := make([]release, 0, attempts), make([]int32, 0, images)
+	profile := shardLeader.scheduler.currentPackingProfile()
+	for i, m := range shardLeader.machinesByID {
+		if !shardLeader.scheduler.usable(m) && !f.expectedToReport(m) || m.reservedFor != "" {
 			continue
 		}
-		v := &all[i]
-		*v = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingKind: profile.kind(m.machineType)}
-		if v.packingKind != nil && !v.idle {
-			v.nonGPUFree = v.packingKind.NonGPUCapacity(v.free, sl.scheduler.nonGPUUse(m))
+		simMachine := &storage[i]
+		*simMachine = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingKind: profile.kind(m.machineType)}
+		if simMachine.packingKind != nil && !simMachine.idle {
+			simMachine.nonGPUFree = simMachine.packingKind.NonGPUCapacity(simMachine.free, shardLeader.scheduler.nonGPUUse(m))
 		}
-		ends = f.addReleases(v, ends)
-		ids = r.addImages(v, ids)
+		releases = f.addReleases(simMachine, releases)
+		ids = capacity.addImages(simMachine, ids)
 		rate := f.controller.knowledge.imageFetchRate(m)
-		v.secondsPerGB, v.fetchingSecondsPerGB = float64(1+len(v.fetchingImages))/rate, 1/rate/2
-		r.machines = append(r.machines, v)
+		simMachine.secondsPerGB, simMachine.fetchingSecondsPerGB = float64(1+len(simMachine.fetchingImages))/rate, 1/rate/2
+		capacity.machines = append(capacity.machines, simMachine)
 	}
-	return r
+	return capacity
 }
 
-// addReleases sets v.releases to the expected ends of the machine's live tasks, in order. It appends
-// them to ends, which is large enough for all machines, and returns it.
-func (f *fleetPlanner) addReleases(v *simulatedMachine, ends []release) []release {
-	start := len(ends)
-	for k, t := range v.machine.attempts {
+// addReleases sets the releases of a machine to what the machine's live tasks release at their expected
+// ends, ordered by time. It appends the releases to the given slice, which has capacity for those of all
+// machines, and returns the extended slice.
+func (f *fleetPlanner) addReleases(simMachine *simulatedMachine, releases []release) []release {
+	start := len(releases)
+	for k, attempt := range simMachine.machine.attempts {
 		j := f.controller.shardLeader.jobs[k.job]
 		if j.LongRunning {
 			continue
@@ -172,38 +177,39 @@
 		run := f.controller.knowledge.expectedRunTime(j)
 		left := run
 		switch {
-		case t.inherited:
-			// When it started is not known here, only when it was placed.
-			left = max(run-f.now.Sub(time.UnixMilli(t.groupStart)), run/5)
-		case !t.startedAt.IsZero():
-			left = max(run-f.now.Sub(t.startedAt), run/5)
+		case attempt.inherited:
+			// For an inherited attempt only the placement time is known, not its start.
+			left = max(run-f.now.Sub(time.UnixMilli(attempt.groupStart)), run/5)
+		case !attempt.startedAt.IsZero():
+			left = max(run-f.now.Sub(attempt.startedAt), run/5)
 		}
-		ends = append(ends, release{left, j.Need})
+		releases = append(releases, release{left, j.Need})
 	}
-	v.releases = ends[start:len(ends):len(ends)]
-	slices.SortFunc(v.releases, func(a, b release) int {
+	simMachine.releases = releases[start:len(releases):len(releases)]
+	slices.SortFunc(simMachine.releases, func(a, b release) int {
 		return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory))
 	})
-	return ends
+	return releases
 }
 
-// addImages numbers the images that the machine holds and fetches. It appends them to ids, which is
-// large enough for all machines, and returns it.
-func (r *freeCapacity) addImages(v *simulatedMachine, ids []int32) []int32 {
-	// The cached images come first, then those being fetched.
+// addImages sets the machine's cached and fetchingImages to the numbers of the images that the machine holds and
+// fetches, and assigns numbers to new images. It appends the numbers to ids, which has capacity for those
+// of all machines, and returns the extended slice.
+func (capacity *freeCapacity) addImages(simMachine *simulatedMachine, ids []int32) []int32 {
+	// The numbers of the cached images come first, then those of the images being fetched.
 	start, cached := len(ids), 0
-	for name, im := range v.machine.images {
-		id, ok := r.imageIDs[name]
+	for name, img := range simMachine.machine.images {
+		id, ok := capacity.imageIDs[name]
 		if !ok {
-			id = int32(len(r.imageIDs))
-			r.imageIDs[name] = id
+			id = int32(len(capacity.imageIDs))
+			capacity.imageIDs[name] = id
 		}
 		ids = append(ids, id)
-		if im.cached {
+		if img.cached {
 			ids[len(ids)-1], ids[start+cached] = ids[start+cached], id
 			cached++
 		}
 	}
-	v.cached, v.fetchingImages = ids[start:start+cached:start+cached], ids[start+cached:len(ids):len(ids)]
+	simMachine.cached, simMachine.fetchingImages = ids[start:start+cached:start+cached], ids[start+cached:len(ids):len(ids)]
 	return ids
 }
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -9,144 +9,153 @@
 )
 
 const (
-	// simulatedVisitLimit bounds the visits of one simulation of a small pool; see nextVisit.
+	// simulatedVisitLimit is the number of visits to which a simulation of a small pool is limited;
+	// see nextVisit.
 	simulatedVisitLimit = 4000
-	// minSafetyMargin, plus at least minSafetyFraction of the run time, is kept in hand before
-	// a deadline, since run times are only estimates.
+	// minSafetyMargin plus at least minSafetyFraction of the run time is the margin that planning
+	// leaves before a deadline, since run times are only estimates.
 	minSafetyMargin   = 5 * time.Second
 	minSafetyFraction = 0.25
-	// forever stands for the run time of a replica, and for a fetch without bound.
+	// forever is the run time assumed for the tasks of long-running jobs, and the fetch time
+	// assumed where no bound is set.
 	forever = 24 * time.Hour
-	// maxLateness bounds the lateness of a task; one that fits nowhere counts twice as much.
+	// maxLateness bounds the lateness that simulatedLateness counts for a task's deadline. A task
+	// that fits nowhere counts twice as much.
 	maxLateness = 10 * time.Minute
 )
 
-// simulation predicts on which machine and when each task would start. Its time stands still at
-// the moment it was begun, also when a planning pass carries it on in later steps. It changes
-// nothing but its own copies of the machines.
+// simulation predicts on which machine and when each task would start. Its present time is the moment
+// at which it was created, also when a planning pass continues it in later steps. It changes only its
+// own copies of the machines.
 type simulation struct {
 	controller *Controller
 	now        time.Time
 	machines   []*simulatedMachine
-	// imageIDs numbers the images, and imageHolders lists the machines that have each.
+	// imageIDs maps image names to image numbers. imageHolders lists, by image number, the indexes
+	// of the machines that have the image.
 	imageIDs     map[string]int32
 	imageHolders [][]int32
-	// queues holds, for each kind of task requested so far, the machines by when one could
-	// run there.
+	// queues holds the machines for each task shape placed so far, ordered by when such a task
+	// could start there.
 	queues map[taskShape]*shapeCandidates
-	// neededCache remembers isNeededElsewhere by workload and machine type.
+	// neededCache caches the results of isNeededElsewhere by workload and machine type.
 	neededCache map[[2]string]bool
-	// refusedKinds are the kinds that the cloud has just refused, or that are never ready.
+	// refusedKinds holds the machine kinds that the cloud has recently refused, and those whose
+	// machines do not become ready.
 	refusedKinds map[machineKind]bool
-	// surplus counts the machines that other shard leaders can hand over.
+	// surplus counts the machines of each kind that other shard leaders can hand over.
 	surplus map[machineKind]int
-	visits  int
-	charge  chargeFunc
+	// visits counts the calls of nextVisit.
+	visits int
+	// charge is called with the computation done; nil means that the simulation is not limited.
+	charge chargeFunc
 }
 
-// chargeFunc is called with the work done, in units of about a tenth of a microsecond. It may
-// suspend the planning pass for a while, and returns whether to go on.
+// chargeFunc is called with the amount of computation done, in units of about a tenth of a microsecond.
+// It may suspend the planning pass for a while, and returns whether the pass continues.
 type chargeFunc func(units int) bool
 
-// visitUnits is what placing some alike tasks on one machine costs.
+// visitUnits is the cost of placing some equal tasks on one machine, in the units of chargeFunc.
 const visitUnits = 8
 
-// newSimulation begins a simulation on the given machines, which it may change.
-func (f *fleetPlanner) newSimulation(vs []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
-	p := &simulation{controller: f.controller, now: f.now, machines: vs, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
+// newSimulation creates a simulation on the given machines, which the simulation may change. images
+// maps the names of the images to the numbers that the machines use for them.
+func (f *fleetPlanner) newSimulation(machines []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
+	sim := &simulation{controller: f.controller, now: f.now, machines: machines, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
 	if v := f.view; v != nil {
 		for k, until := range v.blockedUntil {
-			p.refusedKinds[k] = until.After(f.now)
+			sim.refusedKinds[k] = until.After(f.now)
 		}
 		for k := range f.neverReadyKinds {
-			p.refusedKinds[k] = true
+			sim.refusedKinds[k] = true
 		}
-		p.surplus = maps.Clone(v.surplus)
+		sim.surplus = maps.Clone(v.surplus)
 	}
-	for i, v := range vs {
+	for i, v := range machines {
 		v.index = int32(i)
 	}
-	p.indexImages()
-	return p
+	sim.indexImages()
+	return sim
 }
 
-// spend charges work done and returns whether to go on.
+// spend charges units of computation and returns whether to continue.
 func (p *simulation) spend(units int) bool { return p.charge == nil || p.charge(units) }
 
-// nextVisit counts one more visit and returns whether to go on. Visits are bounded by the size of
-// the pool, not by the number of pending tasks.
+// nextVisit counts one more visit, the placement of some equal tasks on one machine, and returns whether
+// to continue. Visits are bounded by the size of the pool, not by the number of pending tasks.
 func (p *simulation) nextVisit() bool {
 	p.visits++
 	return p.spend(visitUnits) && p.visits <= max(simulatedVisitLimit, 2*len(p.machines))
 }
 
-// addProvisioning adds a machine that is not ready yet.
-func (p *simulation) addProvisioning(k machineKind, ready time.Time) *simulatedMachine {
-	machineType := p.controller.knowledge.machineTypes[k.machineType]
-	v := &simulatedMachine{
-		machineKind: k, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: machineType.Capacity,
-		packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(k.machineType),
+// addProvisioning adds a machine of a kind that becomes ready at the given time, and returns it.
+func (p *simulation) addProvisioning(kind machineKind, ready time.Time) *simulatedMachine {
+	machineType := p.controller.knowledge.machineTypes[kind.machineType]
+	added := &simulatedMachine{
+		machineKind: kind, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: machineType.Capacity,
+		packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(kind.machineType),
 	}
 	if machineType.ImageFetchRate > 0 {
-		v.secondsPerGB = 1 / machineType.ImageFetchRate
+		added.secondsPerGB = 1 / machineType.ImageFetchRate
 	}
-	p.machines = append(p.machines, v)
-	return v
+	p.machines = append(p.machines, added)
+	return added
 }
 
-// isNeededElsewhere is neededElsewhere, evaluated once for a simulation.
+// isNeededElsewhere returns the result of neededElsewhere, which it evaluates once per simulation for
+// each workload and machine type.
 func (p *simulation) isNeededElsewhere(j *job, machineType string) bool {
 	key := [2]string{j.Workload, machineType}
-	is, ok := p.neededCache[key]
+	needed, ok := p.neededCache[key]
 	if !ok {
 		if p.neededCache == nil {
 			p.neededCache = map[[2]string]bool{}
 		}
-		is = p.controller.shardLeader.fleet.neededElsewhere(&j.JobSpec, machineType)
-		p.neededCache[key] = is
+		needed = p.controller.shardLeader.fleet.neededElsewhere(&j.JobSpec, machineType)
+		p.neededCache[key] = needed
 	}
-	return is
+	return needed
 }
 
-// simulate places a demand's tasks and calls placed for each batch with its machine, arrival and
-// start; v is nil for tasks that fit nowhere.
-func (p *simulation) simulate(d demand, placed func(count int, v *simulatedMachine, from, at time.Time)) {
-	req := p.newRequest(d.job)
+// simulate places the tasks of a demand. It calls placed for each number of tasks that start together,
+// with their machine, arrival time and start time. The machine is nil for tasks that fit on no machine.
+func (p *simulation) simulate(d demand, placed func(count int, simMachine *simulatedMachine, from, at time.Time)) {
+	request := p.newRequest(d.job)
 	for from, left := range d.arrivalBatches(p.now) {
 		for left > 0 {
 			if !p.nextVisit() {
 				return
 			}
-			v, at := p.bestMachine(req, from, false)
-			k := left
-			if v != nil {
+			simMachine, at := p.bestMachine(request, from, false)
+			started := left
+			if simMachine != nil {
 				var fetch time.Duration
-				k, at, fetch = p.placeTasks(req, v, from, left)
-				if fetch > 0 && k > 1 {
-					placed(k-1, v, from, at.Add(-fetch))
-					left, k = left-(k-1), 1
+				started, at, fetch = p.placeTasks(request, simMachine, from, left)
+				if fetch > 0 && started > 1 {
+					placed(started-1, simMachine, from, at.Add(-fetch))
+					left, started = left-(started-1), 1
 				}
 			}
-			placed(k, v, from, at)
-			left -= k
+			placed(started, simMachine, from, at)
+			left -= started
 		}
 	}
 }
 
-// simulatedLateness sums up how much later than their deadlines tasks would start on the machines
-// of r without some of them.
-func (f *fleetPlanner) simulatedLateness(r *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
-	p := f.newSimulation(copyFreeCapacity(r, without), r.imageIDs, charge)
+// simulatedLateness returns the sum of the delays with which the demands' tasks would start beyond
+// their deadlines and wait objectives, if only the machines of capacity that are not in without existed.
+func (f *fleetPlanner) simulatedLateness(capacity *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
+	sim := f.newSimulation(copyFreeCapacity(capacity, without), capacity.imageIDs, charge)
 	var total time.Duration
 	for _, d := range demands {
 		bound := f.waitObjective(d.job.Workload)
 		margin := f.controller.knowledge.safetyMargin(d.job)
-		p.simulate(d, func(count int, v *simulatedMachine, from, at time.Time) {
-			// To fit nowhere is worse than any late start: else the only machine that
-			// tasks of long run time fit on would be decommissioned.
+		sim.simulate(d, func(count int, simMachine *simulatedMachine, from, at time.Time) {
+			// A task that fits nowhere counts more than any late start. Otherwise the
+			// only machine on which tasks of long run time fit would be decommissioned.
 			lateness := 2 * maxLateness
-			if v != nil {
-				lateness = min(max(0, at.Add(margin).Sub(d.startDeadline(p.now, from))), maxLateness)
+			if simMachine != nil {
+				lateness = min(max(0, at.Add(margin).Sub(d.startDeadline(sim.now, from))), maxLateness)
 				if bound > 0 {
 					lateness += max(0, at.Sub(from)-bound)
 				}
@@ -157,7 +166,8 @@
 	return total
 }
 
-// newMachineFetchTime is how long a new machine takes to fetch the image.
+// newMachineFetchTime returns how long a new machine takes to fetch the job's image; 0 if the fetch rate
+// of the machine type is unknown.
 func newMachineFetchTime(machineType *model.MachineType, j *job) time.Duration {
 	if machineType.ImageFetchRate <= 0 {
 		return 0
@@ -165,7 +175,7 @@
 	return record.DurationOfSeconds(j.ImageGB / machineType.ImageFetchRate)
 }
 
-// expectedOccupancy is how long a task of the job is expected to occupy its machine.
+// expectedOccupancy returns how long a task of the job is expected to occupy its machine.
 func (f *fleetPlanner) expectedOccupancy(j *job) time.Duration {
 	if j.LongRunning {
 		return forever
@@ -173,32 +183,34 @@
 	return max(f.controller.knowledge.expectedRunTime(j), time.Second)
 }
 
-// zoneLimits keeps machines from being rented in zones where SameZone or SpreadZones keep the job's
-// tasks from starting.
+// zoneLimits counts a job's live and simulated tasks by zone. It prevents renting machines in zones in
+// which the job's SameZone or SpreadZones does not allow more of its tasks.
 type zoneLimits struct {
 	job       *job
 	liveTasks map[string]int
 }
 
+// newZoneLimits returns the limits of a job, with the tasks that are live in each zone.
 func newZoneLimits(j *job) *zoneLimits {
-	z := &zoneLimits{j, map[string]int{}}
-	for zone, k := range j.liveByZone {
-		if k > 0 {
-			z.liveTasks[zone] = k
+	limits := &zoneLimits{j, map[string]int{}}
+	for zone, tasks := range j.liveByZone {
+		if tasks > 0 {
+			limits.liveTasks[zone] = tasks
 		}
 	}
-	return z
+	return limits
 }
 
-// capacity is how many more of the job's tasks may start in a zone.
-func (z *zoneLimits) capacity(zone string) int {
+// capacity returns how many more of the job's tasks may start in a zone.
+func (limits *zoneLimits) capacity(zone string) int {
 	switch {
-	case z.job.SameZone && len(z.liveTasks) > 0 && z.liveTasks[zone] == 0:
+	case limits.job.SameZone && len(limits.liveTasks) > 0 && limits.liveTasks[zone] == 0:
 		return 0
-	case z.job.SpreadZones:
-		return max(0, (len(z.job.tasks)+1)/2-z.liveTasks[zone])
+	case limits.job.SpreadZones:
+		return max(0, (len(limits.job.tasks)+1)/2-limits.liveTasks[zone])
 	}
-	return len(z.job.tasks)
+	return len(limits.job.tasks)
 }
 
-func (z *zoneLimits) add(zone string, k int) { z.liveTasks[zone] += k }
+// add counts k more tasks in a zone.
+func (limits *zoneLimits) add(zone string, tasks int) { limits.liveTasks[zone] += tasks }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,7 +1,7 @@
-// Package exchange matches the capacity requests of machine owners: with surplus machines of
-// other owners, at once and at no cost, or by scaling out. Without it an owner would rent what
-// its neighbour releases. What is scarce is handed out round-robin, so that no owner's
-// requests all go before another's.
+// Package exchange meets the capacity requests of machine owners, either with surplus machines of other
+// owners, which are available at once and at no cost, or by scaling out. Without it, one owner would
+// rent machines while another releases machines of the same kind. Scarce machines and scale-outs are
+// distributed round-robin, so that no owner has all its requests met before the others.
 package exchange
 
 import (
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// Kind is a machine type in a zone, spot or not.
+// Kind identifies machines of one type in one zone, either spot or on-demand.
 type Kind struct {
 	MachineType string
 	Zone        string
 	Spot        bool
 }
 
-// Compare orders kinds by machine type, zone and spot.
+// Compare orders kinds by machine type, then zone, then on-demand before spot.
 func (k Kind) Compare(other Kind) int {
 	toInt := func(b bool) int {
 		if b {
@@ -28,35 +28,37 @@
 	return cmp.Or(strings.Compare(k.MachineType, other.MachineType), strings.Compare(k.Zone, other.Zone), toInt(k.Spot)-toInt(other.Spot))
 }
 
-// Machine is a surplus machine of an owner.
+// Machine is a surplus machine that an owner can hand over.
 type Machine struct {
 	ID   string
 	Kind Kind
 }
 
-// Owner is one owner's capacity requests and surplus. CapacityRequests counts the machines
-// wanted of each kind; Surplus has the best to transfer first.
+// Owner holds the capacity requests and the surplus machines of one owner. CapacityRequests is the number
+// of machines requested of each kind. Surplus is ordered by preference: the machine to transfer first
+// comes first.
 type Owner struct {
 	Host             string
 	CapacityRequests map[Kind]int
 	Surplus          []Machine
 }
 
-// Transfer hands a machine over from one owner's host to another's.
+// Transfer is the handover of a machine from one owner to another. ID is the machine's id, From and To are
+// the owners' hosts.
 type Transfer struct {
 	ID       string
 	From, To string
 }
 
-// ScaleOut is a request to rent Count machines of a kind for a host.
+// ScaleOut is a request to rent Count machines of a kind for the owner on a host.
 type ScaleOut struct {
 	Host  string
 	Kind  Kind
 	Count int
 }
 
-// Limits bound what is done at once: transfers, scale-outs, and machines in a scale-out.
-// IsBusy reports whether a kind can't be rented for a host now; nil means never.
+// Limits bound the transfers and scale-outs of one call of Match, and the machines in one scale-out.
+// IsBusy reports whether a kind can't be rented for a host at present; nil means that all kinds can.
 type Limits struct {
 	MaxTransfers   int
 	MaxScaleOuts   int
@@ -64,8 +66,9 @@
 	IsBusy         func(host string, k Kind) bool
 }
 
-// Match meets capacity requests, and reduces the CapacityRequests of the owners by what is
-// met. An owner receives no machine of a kind of which it has surplus itself.
+// Match returns the transfers and scale-outs that meet the owners' capacity requests. It subtracts the
+// machines of these transfers and scale-outs from the owners' CapacityRequests. An owner receives no
+// machine of a kind of which it has surplus machines itself.
 func Match(owners []Owner, limits Limits) ([]Transfer, []ScaleOut) {
 	owners = slices.Clone(owners)
 	slices.SortFunc(owners, func(a, b Owner) int { return strings.Compare(a.Host, b.Host) })
@@ -73,7 +76,8 @@
 	return transfers, scaleOutRest(owners, limits)
 }
 
-// transferSurplus transfers surplus machines to owners that request such, round-robin.
+// transferSurplus returns transfers of surplus machines to the owners that request their kinds, round-robin
+// over the owners and at most limit.
 func transferSurplus(owners []Owner, limit int) []Transfer {
 	type surplusMachine struct {
 		from int
@@ -81,30 +85,30 @@
 	}
 	surplus := map[Kind][]surplusMachine{}
 	hasSurplus := make([]map[Kind]bool, len(owners))
-	for i, o := range owners {
+	for i, owner := range owners {
 		hasSurplus[i] = map[Kind]bool{}
-		for _, m := range o.Surplus {
+		for _, m := range owner.Surplus {
 			surplus[m.Kind] = append(surplus[m.Kind], surplusMachine{i, m.ID})
 			hasSurplus[i][m.Kind] = true
 		}
 	}
 	kinds := make([]Kind, 0, len(surplus))
-	for k := range surplus {
-		kinds = append(kinds, k)
+	for kind := range surplus {
+		kinds = append(kinds, kind)
 	}
 	slices.SortFunc(kinds, Kind.Compare)
 	var out []Transfer
-	for _, k := range kinds {
+	for _, kind := range kinds {
 		for progressed := true; progressed; {
 			progressed = false
-			for i, o := range owners {
-				if len(surplus[k]) == 0 || len(out) >= limit || o.CapacityRequests[k] <= 0 || hasSurplus[i][k] {
+			for i, owner := range owners {
+				if len(surplus[kind]) == 0 || len(out) >= limit || owner.CapacityRequests[kind] <= 0 || hasSurplus[i][kind] {
 					continue
 				}
-				s := surplus[k][0]
-				surplus[k] = surplus[k][1:]
-				o.CapacityRequests[k]--
-				out = append(out, Transfer{s.id, owners[s.from].Host, o.Host})
+				s := surplus[kind][0]
+				surplus[kind] = surplus[kind][1:]
+				owner.CapacityRequests[kind]--
+				out = append(out, Transfer{s.id, owners[s.from].Host, owner.Host})
 				progressed = true
 			}
 		}
@@ -112,29 +116,30 @@
 	return out
 }
 
-// scaleOutRest rents the rest, round-robin over the owners and over the kinds of each.
+// scaleOutRest returns scale-outs for the capacity requests that remain, round-robin over the owners and
+// over the kinds of each owner.
 func scaleOutRest(owners []Owner, limits Limits) []ScaleOut {
 	var out []ScaleOut
 	pending := make([][]Kind, len(owners))
-	for i, o := range owners {
-		for k, n := range o.CapacityRequests {
-			if n > 0 && (limits.IsBusy == nil || !limits.IsBusy(o.Host, k)) {
-				pending[i] = append(pending[i], k)
+	for i, owner := range owners {
+		for kind, n := range owner.CapacityRequests {
+			if n > 0 && (limits.IsBusy == nil || !limits.IsBusy(owner.Host, kind)) {
+				pending[i] = append(pending[i], kind)
 			}
 		}
 		slices.SortFunc(pending[i], Kind.Compare)
 	}
 	for progressed := true; progressed && len(out) < limits.MaxScaleOuts; {
 		progressed = false
-		for i, o := range owners {
+		for i, owner := range owners {
 			if len(pending[i]) == 0 || len(out) >= limits.MaxScaleOuts {
 				continue
 			}
-			k := pending[i][0]
-			count := min(o.CapacityRequests[k], limits.MaxPerScaleOut)
-			out = append(out, ScaleOut{o.Host, k, count})
-			if o.CapacityRequests[k] -= count; o.CapacityRequests[k] > 0 {
-				pending[i] = append(pending[i][1:], k)
+			kind := pending[i][0]
+			count := min(owner.CapacityRequests[kind], limits.MaxPerScaleOut)
+			out = append(out, ScaleOut{owner.Host, kind, count})
+			if owner.CapacityRequests[kind] -= count; owner.CapacityRequests[kind] > 0 {
+				pending[i] = append(pending[i][1:], kind)
 			} else {
 				pending[i] = pending[i][1:]
 			}
--- a/internal/exchange/transfer.go
+++ b/internal/exchange/transfer.go
@@ -9,43 +9,45 @@
 	"github.com/micahill/micahill/internal/resource"
 )
 
-// transfer.go decides which machines change owners although something runs on them, or although
-// their owner keeps them idle for work that it expects. Jobs wait for long while their owner has
-// no free capacity for them: it makes a TransferRequest. The other owners answer with a
-// TransferOffer for each machine whose free capacity would do. MatchOffers then chooses. What
-// runs on a machine goes on there as remote attempts of its former owner's jobs.
+// transfer.go decides which machines change owners although tasks run on them, or although their owner
+// keeps them idle for tasks that it expects. An owner whose jobs have waited for long, because it has no
+// free capacity for them, makes a TransferRequest. The other owners answer with a TransferOffer for each
+// machine with enough free capacity. MatchOffers then chooses among the offers. Tasks that run on a
+// transferred machine continue there as remote attempts of the former owner's jobs.
 //
-// Progress: a transfer answers a job that nothing was placed of for long, and its machine has
-// free capacity for a task of that job, so the next task of it can be placed. Transfers end when
-// no job waits, and MinOwnership and TransferQuota bound them while jobs do.
+// Progress: a transfer is made for a job of which no task was placed for long, and the transferred machine
+// has free capacity for a task of the job, so the job's next task can be placed. Transfers end when no job
+// waits. While jobs wait, MinOwnership and TransferQuota bound the transfers.
 
 const (
-	// MinOwnership is how long an owner keeps a machine before it offers the machine to others.
-	// It bounds the transfers of one machine to 3600/20 = 180 an hour, whoever leads: the owner
-	// itself counts the time, and one that takes over counts anew. Beside the time after which
-	// jobs are asked for it leaves enough of the bound on waiting to decide and begin.
+	// MinOwnership is how long an owner keeps a machine before it offers the machine to others. It
+	// bounds the transfers of one machine to 3600/20 = 180 per hour, independently of changes of the
+	// leader: the owner itself measures the time, and an owner that takes over starts from zero. The
+	// sum of MinOwnership and the wait after which an owner makes a TransferRequest is short enough
+	// to leave time within the bound on waiting for the decision and the start.
 	MinOwnership = 20 * time.Second
-	// OldWait is how long a job has waited when it goes before waiting work of the machine's
-	// owner that the machine has no free capacity for now. Before, the longer wait decides.
+	// OldWait is the wait from which on a requesting job takes precedence over those waiting tasks of
+	// the machine's owner for which the machine has no free capacity at present. Below OldWait, the
+	// longer wait takes precedence.
 	OldWait = time.Minute
 )
 
-// TransferRequest asks for free capacity on machines of other owners, for jobs whose owner has
-// none for them.
+// TransferRequest is an owner's request for machines of other owners, for jobs for which the owner has no
+// free capacity.
 type TransferRequest struct {
 	Team string
 	// Kinds are the kinds of machines on which the jobs' tasks may run.
 	Kinds []Kind
-	// Need is what a task takes.
+	// Need is what one task of the jobs needs.
 	Need resource.Resources
-	// Jobs is how many jobs wait; each needs free capacity for one task.
+	// Jobs is the number of jobs that wait. Each needs free capacity for one task.
 	Jobs int
-	// Waited is how long the first of them has waited.
+	// Waited is how long the job that has waited longest has waited.
 	Waited time.Duration
 }
 
-// TransferOffer is a machine that its owner would transfer. Free is what nothing on it uses, and
-// Attempts is how many attempts of its owner's jobs run there.
+// TransferOffer is a machine that its owner offers to transfer. Free is the machine's unused capacity, and
+// Attempts is the number of attempts of the owner's jobs that run on it.
 type TransferOffer struct {
 	ID       string
 	Kind     Kind
@@ -53,87 +55,90 @@
 	Attempts int
 }
 
-// WaitingTask is the next task of a job that waits for capacity of its own owner.
+// WaitingTask is the next task of a job that waits for capacity on machines of the job's own owner.
 type WaitingTask struct {
 	Kinds  []Kind
 	Need   resource.Resources
 	Waited time.Duration
 }
 
-// suits reports whether a machine has free capacity for one of the jobs.
-func (r *TransferRequest) suits(o *TransferOffer) bool {
-	return r.Need.Fits(o.Free) && slices.Contains(r.Kinds, o.Kind)
+// suits reports whether a machine is of an allowed kind and has free capacity for a task of the jobs.
+func (request *TransferRequest) suits(offer *TransferOffer) bool {
+	return request.Need.Fits(offer.Free) && slices.Contains(request.Kinds, offer.Kind)
 }
 
-// yieldsTo reports whether an owner's own waiting task is no reason to keep a machine of this
-// size from a request: it may not use the machine at all, or it could not use it now and has
-// waited for less time.
-func (t *WaitingTask) yieldsTo(r *TransferRequest, o *TransferOffer, size resource.Resources) bool {
+// yieldsTo reports whether the machine may be offered for the request although the task of the machine's
+// owner waits. It may if the task can't use the machine even when the machine is empty. It also may if the
+// task doesn't fit into the free capacity at present, and the requesting job has waited for OldWait or for
+// longer than the task. size is the size of the machine.
+func (task *WaitingTask) yieldsTo(request *TransferRequest, offer *TransferOffer, size resource.Resources) bool {
 	switch {
-	case !slices.Contains(t.Kinds, o.Kind) || !t.Need.Fits(size):
+	case !slices.Contains(task.Kinds, offer.Kind) || !task.Need.Fits(size):
 		return true
-	case t.Need.Fits(o.Free):
+	case task.Need.Fits(offer.Free):
 		return false
 	}
-	return r.Waited >= OldWait || t.Waited < r.Waited
+	return request.Waited >= OldWait || task.Waited < request.Waited
 }
 
-// SizeOf returns the size of the machines of a kind.
+// SizeOf is a function that returns the size of the machines of a kind.
 type SizeOf func(Kind) resource.Resources
 
-// SelectOffers returns which of its machines an owner offers for the requests of others: for each
-// request as many as it needs, those first whose loss costs the owner least. No machine is offered
-// that the owner's own waiting tasks could use.
+// SelectOffers returns the machines that an owner offers for the requests of other owners, at most limit.
+// For each request it selects as many machines as the request needs, in the order of compareCost. It
+// selects no machine for which the owner's own waiting tasks take precedence; see yieldsTo.
 func SelectOffers(requests []TransferRequest, machines []TransferOffer, waiting []WaitingTask, sizeOf SizeOf, limit int) []TransferOffer {
 	machines = slices.Clone(machines)
 	slices.SortFunc(machines, func(a, b TransferOffer) int { return compareCost(&a, &b, sizeOf) })
 	offered := make([]bool, len(machines))
-	var out []TransferOffer
-	for _, r := range ByWait(requests) {
-		jobs := r.Jobs
+	var offers []TransferOffer
+	for _, request := range ByWait(requests) {
+		jobs := request.Jobs
 		for i := range machines {
-			m := &machines[i]
-			if jobs <= 0 || len(out) >= limit {
+			candidate := &machines[i]
+			if jobs <= 0 || len(offers) >= limit {
 				break
 			}
-			if offered[i] || !r.suits(m) {
+			if offered[i] || !request.suits(candidate) {
 				continue
 			}
-			if slices.ContainsFunc(waiting, func(t WaitingTask) bool { return !t.yieldsTo(&r, m, sizeOf(m.Kind)) }) {
+			if slices.ContainsFunc(waiting, func(t WaitingTask) bool { return !t.yieldsTo(&request, candidate, sizeOf(candidate.Kind)) }) {
 				continue
 			}
 			offered[i] = true
-			jobs -= m.Free.FitCount(r.Need)
-			out = append(out, *m)
+			jobs -= candidate.Free.FitCount(request.Need)
+			offers = append(offers, *candidate)
 		}
 	}
-	return out
+	return offers
 }
 
-// compareCost orders machines by what their loss costs an owner: small machines first, since the
-// whole machine goes, on which larger work may be expected; then few attempts, which become remote
-// ones, and little free capacity.
+// compareCost orders machines by what their loss costs the owner, the least first. Small machines come
+// before large ones, since the owner loses the whole machine and may expect large tasks. Among machines of
+// equal size, those with few attempts come first, since the attempts become remote ones, and then those
+// with little free capacity.
 func compareCost(a, b *TransferOffer, sizeOf SizeOf) int {
 	return cmp.Or(cmp.Compare(sizeOf(a.Kind).CPU, sizeOf(b.Kind).CPU), a.Attempts-b.Attempts, cmp.Compare(a.Free.CPU, b.Free.CPU), strings.Compare(a.ID, b.ID))
 }
 
-// ByWait returns the requests with the longest wait first.
+// ByWait returns a copy of the requests, sorted with the longest wait first.
 func ByWait(requests []TransferRequest) []TransferRequest {
 	out := slices.Clone(requests)
 	slices.SortStableFunc(out, func(a, b TransferRequest) int { return cmp.Compare(b.Waited, a.Waited) })
 	return out
 }
 
-// Exchanger is an owner with its requests and offers.
+// Exchanger is an owner with its transfer requests and its offers.
 type Exchanger struct {
 	Host     string
 	Requests []TransferRequest
 	Offers   []TransferOffer
 }
 
-// MatchOffers returns the transfers that meet the requests, at most limit. The longest waits are
-// met first, each with the machine that costs its owner least. allow is asked once for each
-// transfer to a team and counts it.
+// MatchOffers returns the transfers that meet the requests, at most limit. Requests with the longest wait
+// are met first, each with the machine whose loss costs its owner least. MatchOffers calls allow before each
+// transfer with the team that receives the machine. allow counts the transfer and reports whether it is
+// allowed.
 func MatchOffers(owners []Exchanger, sizeOf SizeOf, limit int, allow func(team string) bool) []Transfer {
 	type request struct {
 		TransferRequest
@@ -146,8 +151,8 @@
 	var requests []request
 	var offers []offer
 	for _, o := range owners {
-		for _, r := range o.Requests {
-			requests = append(requests, request{r, o.Host})
+		for _, pending := range o.Requests {
+			requests = append(requests, request{pending, o.Host})
 		}
 		for _, x := range o.Offers {
 			offers = append(offers, offer{x, o.Host})
@@ -158,14 +163,14 @@
 	})
 	slices.SortFunc(offers, func(a, b offer) int { return compareCost(&a.TransferOffer, &b.TransferOffer, sizeOf) })
 	var out []Transfer
-	for _, r := range requests {
-		for r.Jobs > 0 && len(out) < limit {
-			i := slices.IndexFunc(offers, func(o offer) bool { return o.host != r.host && r.suits(&o.TransferOffer) })
-			if i < 0 || !allow(r.Team) {
+	for _, pending := range requests {
+		for pending.Jobs > 0 && len(out) < limit {
+			i := slices.IndexFunc(offers, func(o offer) bool { return o.host != pending.host && pending.suits(&o.TransferOffer) })
+			if i < 0 || !allow(pending.Team) {
 				break
 			}
-			out = append(out, Transfer{ID: offers[i].ID, From: offers[i].host, To: r.host})
-			r.Jobs -= offers[i].Free.FitCount(r.Need)
+			out = append(out, Transfer{ID: offers[i].ID, From: offers[i].host, To: pending.host})
+			pending.Jobs -= offers[i].Free.FitCount(pending.Need)
 			offers = slices.Delete(offers, i, i+1)
 		}
 	}
@@ -173,41 +178,43 @@
 }
 
 const (
-	// quotaBurst is how many transfers a team may get at once, and quotaInterval after which
-	// time it may get one more: at most quotaBurst + 3600/3 = 1,400 in the first hour of a
-	// leader and 1,200 in each further one.
+	// quotaBurst is the number of transfers that a team may receive at once, and quotaInterval the
+	// time after which it may receive one more. A team therefore receives at most 200 + 3600/3 =
+	// 1,400 transfers in the first hour of a leader and 1,200 in each further hour.
 	quotaBurst    = 200
 	quotaInterval = 3 * time.Second
 )
 
-// TransferQuota bounds the transfers to each team. The zero value is ready. A new leader starts
-// with a new one.
+// TransferQuota bounds the number of transfers to each team. The zero value is ready to use. A new leader
+// starts with a new TransferQuota. It is not safe for concurrent use.
 type TransferQuota struct {
 	teams map[string]*teamQuota
 }
 
+// teamQuota is the quota of one team: how many transfers are left, and when the quota was last refilled.
 type teamQuota struct {
 	left   int
 	refill time.Time
 }
 
-// Allow counts a transfer to a team, and reports whether it is within the quota.
-func (q *TransferQuota) Allow(now time.Time, team string) bool {
-	if q.teams == nil {
-		q.teams = map[string]*teamQuota{}
+// Allow reports whether one more transfer to a team is within the quota at the time now, and if so counts
+// the transfer.
+func (quota *TransferQuota) Allow(now time.Time, team string) bool {
+	if quota.teams == nil {
+		quota.teams = map[string]*teamQuota{}
 	}
-	t := q.teams[team]
-	if t == nil {
-		t = &teamQuota{left: quotaBurst, refill: now}
-		q.teams[team] = t
+	state := quota.teams[team]
+	if state == nil {
+		state = &teamQuota{left: quotaBurst, refill: now}
+		quota.teams[team] = state
 	}
-	if n := int(now.Sub(t.refill) / quotaInterval); n > 0 {
-		t.left = min(quotaBurst, t.left+n)
-		t.refill = t.refill.Add(time.Duration(n) * quotaInterval)
+	if n := int(now.Sub(state.refill) / quotaInterval); n > 0 {
+		state.left = min(quotaBurst, state.left+n)
+		state.refill = state.refill.Add(time.Duration(n) * quotaInterval)
 	}
-	if t.left == 0 {
+	if state.left == 0 {
 		return false
 	}
-	t.left--
+	state.left--
 	return true
 }
--- a/internal/exchange/transfer_test.go
+++ b/internal/exchange/transfer_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// transferModel is owners with machines and jobs. A job takes a part of one machine for ever and
-// starts only on machines of its own owner.
+// transferModel is a model of owners with machines and jobs. A job starts only on a machine of its own
+// owner, uses a part of that machine, and never ends.
 type transferModel struct {
 	now      time.Time
 	hosts    []string
@@ -19,10 +19,11 @@
 	waiting  []*modelJob
 	quota    TransferQuota
 	sizes    map[Kind]resource.Resources
-	// transferredAt are all transfers, by machine.
+	// transferredAt holds the times of all transfers by machine id.
 	transferredAt map[string][]time.Time
 }
 
+// modelMachine is a machine of the model with its present owner.
 type modelMachine struct {
 	id, host   string
 	kind       Kind
@@ -31,6 +32,7 @@
 	attempts   int
 }
 
+// modelJob is a job of the model that waits since the time since.
 type modelJob struct {
 	host  string
 	kinds []Kind
@@ -38,12 +40,13 @@
 	since time.Time
 }
 
-func (w *transferModel) sizeOf(k Kind) resource.Resources { return w.sizes[k] }
+// sizeOf returns the size of the machines of a kind.
+func (model *transferModel) sizeOf(k Kind) resource.Resources { return model.sizes[k] }
 
-// placeJobs starts what fits on machines of its owner.
-func (w *transferModel) placeJobs() {
-	w.waiting = slices.DeleteFunc(w.waiting, func(j *modelJob) bool {
-		for _, m := range w.machines {
+// placeJobs starts the waiting jobs that fit on a machine of their owner.
+func (model *transferModel) placeJobs() {
+	model.waiting = slices.DeleteFunc(model.waiting, func(j *modelJob) bool {
+		for _, m := range model.machines {
 			if m.host == j.host && slices.Contains(j.kinds, m.kind) && j.need.Fits(m.free) {
 				m.free = m.free.AddScaled(j.need, -1)
 				m.attempts++
@@ -54,107 +57,108 @@
 	})
 }
 
-// exchange carries out one round of requests, offers and transfers.
-func (w *transferModel) exchange(t *rapid.T) []Transfer {
+// exchange carries out one round of requests, offers and transfers, and checks each transfer.
+func (model *transferModel) exchange(t *rapid.T) []Transfer {
 	requests := map[string][]TransferRequest{}
 	waiting := map[string][]WaitingTask{}
-	for _, j := range w.waiting {
-		waited := w.now.Sub(j.since)
+	for _, j := range model.waiting {
+		waited := model.now.Sub(j.since)
 		waiting[j.host] = append(waiting[j.host], WaitingTask{j.kinds, j.need, waited})
 		if waited > 45*time.Second {
 			requests[j.host] = append(requests[j.host], TransferRequest{Team: j.host, Kinds: j.kinds, Need: j.need, Jobs: 1, Waited: waited})
 		}
 	}
 	var owners []Exchanger
-	for _, host := range w.hosts {
+	for _, host := range model.hosts {
 		var others []TransferRequest
-		for _, from := range w.hosts {
+		for _, from := range model.hosts {
 			if from != host {
 				others = append(others, requests[from]...)
 			}
 		}
 		var candidates []TransferOffer
-		for _, m := range w.machines {
-			if m.host == host && w.now.Sub(m.ownedSince) >= MinOwnership {
+		for _, m := range model.machines {
+			if m.host == host && model.now.Sub(m.ownedSince) >= MinOwnership {
 				candidates = append(candidates, TransferOffer{m.id, m.kind, m.free, m.attempts})
 			}
 		}
-		owners = append(owners, Exchanger{host, requests[host], SelectOffers(others, candidates, waiting[host], w.sizeOf, 50)})
+		owners = append(owners, Exchanger{host, requests[host], SelectOffers(others, candidates, waiting[host], model.sizeOf, 50)})
 	}
-	transfers := MatchOffers(owners, w.sizeOf, 200, func(team string) bool { return w.quota.Allow(w.now, team) })
+	transfers := MatchOffers(owners, model.sizeOf, 200, func(team string) bool { return model.quota.Allow(model.now, team) })
 	moved := map[string]bool{}
-	for _, x := range transfers {
-		m := w.machines[slices.IndexFunc(w.machines, func(m *modelMachine) bool { return m.id == x.ID })]
-		if m.host != x.From || x.To == x.From || moved[x.ID] {
-			t.Fatalf("got transfer %v of a machine of %s, transferred before: %v", x, m.host, moved[x.ID])
-		}
-		for _, j := range w.waiting {
-			if j.host == x.From && slices.Contains(j.kinds, m.kind) && j.need.Fits(m.free) {
-				t.Fatalf("got transfer %v of a machine that a waiting job of its owner fits on", x)
+	for _, transfer := range transfers {
+		m := model.machines[slices.IndexFunc(model.machines, func(m *modelMachine) bool { return m.id == transfer.ID })]
+		if m.host != transfer.From || transfer.To == transfer.From || moved[transfer.ID] {
+			t.Fatalf("got transfer %v of a machine of %s, transferred in this round before: %v", transfer, m.host, moved[transfer.ID])
+		}
+		for _, j := range model.waiting {
+			if j.host == transfer.From && slices.Contains(j.kinds, m.kind) && j.need.Fits(m.free) {
+				t.Fatalf("got transfer %v of a machine on which a waiting job of its owner fits, want none", transfer)
 			}
 		}
-		moved[x.ID] = true
-		w.transferredAt[x.ID] = append(w.transferredAt[x.ID], w.now)
-		m.host, m.ownedSince, m.attempts = x.To, w.now, 0
+		moved[transfer.ID] = true
+		model.transferredAt[transfer.ID] = append(model.transferredAt[transfer.ID], model.now)
+		m.host, m.ownedSince, m.attempts = transfer.To, model.now, 0
 	}
 	return transfers
 }
 
-// TestTransfersEndAndServe: no machine is transferred twice within MinOwnership, none that a
-// waiting job of its owner fits on; transfers end; and at the end no job waits while any machine
-// has free capacity for it.
+// TestTransfersEndAndServe guards against machines that are transferred back and forth without end, and
+// against jobs that wait although machines have free capacity for them. No machine may be transferred twice
+// within MinOwnership, or while a waiting job of its owner fits on it. Transfers must end, and then no job
+// may wait that fits into the free capacity of any machine.
 func TestTransfersEndAndServe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &transferModel{now: time.Unix(1_750_000_000, 0), transferredAt: map[string][]time.Time{}}
-		start := w.now
+		model := &transferModel{now: time.Unix(1_750_000_000, 0), transferredAt: map[string][]time.Time{}}
+		start := model.now
 		for i := range rapid.IntRange(2, 4).Draw(t, "owners") {
-			w.hosts = append(w.hosts, fmt.Sprintf("worker-%d", i))
+			model.hosts = append(model.hosts, fmt.Sprintf("worker-%d", i))
 		}
 		drawResources := func(name string, most int) resource.Resources {
 			return resource.Resources{CPU: float64(rapid.IntRange(1, most).Draw(t, name+" CPUs")), Memory: float64(rapid.IntRange(1, most).Draw(t, name+" memory"))}
 		}
-		w.sizes = map[Kind]resource.Resources{}
+		model.sizes = map[Kind]resource.Resources{}
 		for _, k := range kinds {
-			w.sizes[k] = drawResources("size", 16)
+			model.sizes[k] = drawResources("size", 16)
 		}
 		for i := range rapid.IntRange(1, 12).Draw(t, "machines") {
 			kind := rapid.SampledFrom(kinds).Draw(t, "kind")
-			w.machines = append(w.machines, &modelMachine{id: fmt.Sprintf("vm-%06d", i), host: rapid.SampledFrom(w.hosts).Draw(t, "owner"), kind: kind, free: w.sizes[kind]})
+			model.machines = append(model.machines, &modelMachine{id: fmt.Sprintf("vm-%06d", i), host: rapid.SampledFrom(model.hosts).Draw(t, "owner"), kind: kind, free: model.sizes[kind]})
 		}
 		for range rapid.IntRange(1, 20).Draw(t, "jobs") {
 			allowed := []Kind{rapid.SampledFrom(kinds).Draw(t, "allowed"), rapid.SampledFrom(kinds).Draw(t, "allowed too")}
-			w.waiting = append(w.waiting, &modelJob{rapid.SampledFrom(w.hosts).Draw(t, "team"), allowed, drawResources("need", 10), w.now})
+			model.waiting = append(model.waiting, &modelJob{rapid.SampledFrom(model.hosts).Draw(t, "team"), allowed, drawResources("need", 10), model.now})
 		}
 		last := time.Duration(0)
-		for w.now.Sub(start) < 15*time.Minute {
-			w.placeJobs()
-			if len(w.exchange(t)) > 0 {
-				last = w.now.Sub(start)
+		for model.now.Sub(start) < 15*time.Minute {
+			model.placeJobs()
+			if len(model.exchange(t)) > 0 {
+				last = model.now.Sub(start)
 			}
-			w.now = w.now.Add(time.Second)
+			model.now = model.now.Add(time.Second)
 		}
 		if last > 14*time.Minute {
-			t.Fatalf("got the last transfer after %v, want an end of them", last)
+			t.Fatalf("got the last transfer after %v, want it within 14 minutes", last)
 		}
-		for id, times := range w.transferredAt {
+		for id, times := range model.transferredAt {
 			for i := 1; i < len(times); i++ {
 				if times[i].Sub(times[i-1]) < MinOwnership {
-					t.Fatalf("%s: got two transfers within %v", id, times[i].Sub(times[i-1]))
+					t.Fatalf("%s: got two transfers within %v, want at least MinOwnership between them", id, times[i].Sub(times[i-1]))
 				}
 			}
 		}
-		for _, j := range w.waiting {
-			for _, m := range w.machines {
+		for _, j := range model.waiting {
+			for _, m := range model.machines {
 				if slices.Contains(j.kinds, m.kind) && j.need.Fits(m.free) {
-					t.Fatalf("a job of %s that needs %v waits beside %+v", j.host, j.need, *m)
+					t.Fatalf("got a waiting job of %s that needs %v, want it placed on %+v", j.host, j.need, *m)
 				}
 			}
 		}
 	})
 }
 
-// TestOwnersOfEachOthersCapacity: of two owners that each have free capacity only for the job of
-// the other, both jobs are served, and no machine returns for the same job.
+// TestOwnersOfEachOthersCapacity guards against jobs that wait although each of two owners has free capacity
+// for the job of the other. Both owners must exchange their machines, each machine once.
 func TestOwnersOfEachOthersCapacity(t *testing.T) {
 	box, rack := Kind{"box", "a", false}, Kind{"rack", "a", false}
 	free := resource.Resources{CPU: 4, Memory: 8}
@@ -170,7 +174,8 @@
 	}
 }
 
-// TestSelectOffers: which of its machines an owner offers.
+// TestSelectOffers guards against an owner that offers machines which its own waiting tasks need, more
+// machines than requested, or machines whose loss costs more than necessary.
 func TestSelectOffers(t *testing.T) {
 	box := Kind{"box", "a", false}
 	size := resource.Resources{CPU: 16, Memory: 16}
@@ -201,14 +206,14 @@
 		limit   int
 		want    []string
 	}{
-		{"small machines, few attempts and little free capacity first", request, nil, 10, []string{"vm-3"}},
-		{"as many as are needed", many, nil, 10, []string{"vm-3", "vm-2"}},
-		{"at most as many as allowed", many, nil, 1, []string{"vm-3"}},
-		{"none that a waiting task fits on", many, []WaitingTask{fitting}, 10, []string{"vm-3"}},
-		{"none before a longer wait for the same machines", request, []WaitingTask{largeTask}, 10, nil},
-		{"after a shorter wait", request, []WaitingTask{newer}, 10, []string{"vm-3"}},
-		{"an old wait goes first", old, []WaitingTask{largeTask}, 10, []string{"vm-3"}},
-		{"waits for other kinds do not count", request, []WaitingTask{elsewhere}, 10, []string{"vm-3"}},
+		{"small machines with few attempts and little free capacity come first", request, nil, 10, []string{"vm-3"}},
+		{"as many machines as the request needs", many, nil, 10, []string{"vm-3", "vm-2"}},
+		{"at most as many machines as the limit", many, nil, 1, []string{"vm-3"}},
+		{"no machine on which a waiting task of the owner fits", many, []WaitingTask{fitting}, 10, []string{"vm-3"}},
+		{"no machine for which a task of the owner has waited longer", request, []WaitingTask{largeTask}, 10, nil},
+		{"a machine for which a task of the owner has waited less", request, []WaitingTask{newer}, 10, []string{"vm-3"}},
+		{"a request with a long wait takes precedence", old, []WaitingTask{largeTask}, 10, []string{"vm-3"}},
+		{"tasks that wait for other kinds do not count", request, []WaitingTask{elsewhere}, 10, []string{"vm-3"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got []string
@@ -222,14 +227,14 @@
 	}
 }
 
-// TestTransferQuota: a team gets its burst at once, then one transfer each quotaInterval; the
-// quota of one team is not another's.
+// TestTransferQuota guards against unlimited transfers to a team. A team must receive at most quotaBurst
+// transfers at once and then one per quotaInterval, independently of other teams.
 func TestTransferQuota(t *testing.T) {
-	var q TransferQuota
+	var quota TransferQuota
 	now := time.Unix(1_750_000_000, 0)
 	count := func(team string) int {
 		n := 0
-		for n < 2*quotaBurst && q.Allow(now, team) {
+		for n < 2*quotaBurst && quota.Allow(now, team) {
 			n++
 		}
 		return n
@@ -239,7 +244,7 @@
 	}
 	now = now.Add(4 * quotaInterval)
 	if got := count("ops"); got != 4 {
-		t.Errorf("got %d more after four intervals, want 4", got)
+		t.Errorf("got %d more transfers after four intervals, want 4", got)
 	}
 	if got := count("lab"); got != quotaBurst {
 		t.Errorf("got %d transfers to another team, want %d", got, quotaBurst)
