--- a/internal/packing/packing.go
+++ b/internal/packing/packing.go
@@ -1,9 +1,10 @@
-// Package packing rates where on machines with GPUs a task should be placed. A small replica
-// fits on many machines, a large one only where enough is free on one machine; so a place is
-// rated by what could no longer be placed there, and an empty machine is kept empty while
-// others have free capacity. The unit is seconds, those of the image fetch that it takes to
-// move a replica away again, so that cached images and fragmentation add up to one rating.
-// Which sizes are usual is learnt from the tasks there are; no workload is known by its name.
+// Package packing rates on which machine with GPUs a task should be placed. A small replica fits on
+// many machines, a large one only where enough GPUs are free on one machine. A placement is therefore
+// rated by the tasks of the usual sizes that no longer fit on the machine after it, and an empty machine
+// stays empty while other machines have free capacity. Ratings are in seconds: the time for the image
+// fetch and restart when a replica is moved away again. Fetch times and fragmentation can therefore be
+// added to one rating. The usual sizes follow from the present tasks; the package knows no workload by
+// name.
 package packing
 
 import (
@@ -16,42 +17,45 @@
 )
 
 const (
-	// maxSizes bounds the sizes that a place is rated by: those that take most GPUs.
+	// maxSizes is the largest number of sizes by which a placement is rated. Sizes with waiting
+	// tasks come first, then those whose tasks need the most GPUs in total.
 	maxSizes = 8
 	// migrationOverhead is how long a migration takes besides the image fetch: the write of its
-	// record, the stop until it is confirmed, and the start.
+	// record, the stop of the task until the stop is confirmed, and the start.
 	migrationOverhead = 5 * time.Second
 )
 
-// Demand is the tasks of one size that run, wait or were submitted lately.
+// Demand describes the tasks of one size that run, wait or were submitted recently.
 type Demand struct {
 	Need  resource.Resources
 	Tasks int
-	// GB is the size of their image.
+	// GB is the average size of the tasks' images.
 	GB float64
-	// HasWaiting says that some of them wait to be placed.
+	// HasWaiting reports whether any of the tasks waits to be placed.
 	HasWaiting bool
 }
 
-// SizeValue is a size of tasks and what it costs to lose a place for one, in seconds.
+// SizeValue is a task size with the cost, in seconds, of free capacity being lost for one such task.
 type SizeValue struct {
 	Need        resource.Resources
 	LossSeconds float64
 }
 
-// Profile is what is usual on the machines of a kind with GPUs.
+// Profile holds the usual task sizes and what they need, for machines of one size with GPUs.
 type Profile struct {
 	machineSize resource.Resources
 	sizeValues  []SizeValue
-	// migrationSeconds is how long it takes to move a replica that is in the way.
+	// migrationSeconds is how long the migration of a replica takes on average.
 	migrationSeconds float64
-	// perGPU is the CPU and memory that each GPU needs, so that every usual size can use it.
+	// perGPU is the CPU and memory to be kept for each GPU, so that every usual size can use the
+	// GPU.
 	perGPU resource.Resources
 }
 
-// NewProfile learns what is usual on machines of a size, which fetch images at fetchRate GB per
-// second. It returns nil if they have no GPU, or no demand could use one. The whole machine
-// always counts as if a task waited for it: what needs it fits nowhere else, and is rare.
+// NewProfile returns the profile of machines of a size that fetch images at fetchRate GB per second. It
+// returns nil if the machines have no GPU, or if no demand for GPUs fits on them. Capacity for a task
+// that takes a whole machine always counts as if such a task waited, since such a task fits nowhere else
+// and is rare.
 func NewProfile(size resource.Resources, fetchRate float64, demands []Demand) *Profile {
 	if size.GPU <= resource.Tolerance {
 		return nil
@@ -62,20 +66,20 @@
 	}
 	profile := &Profile{machineSize: size, perGPU: needPerGPU(size, distinct)}
 	distinct = distinct[:min(len(distinct), maxSizes)]
-	gpuSum, tasks, gb := 0.0, 0, 0.0
-	for _, s := range distinct {
-		gpuSum, tasks, gb = gpuSum+s.totalGPUs(), tasks+s.Tasks, gb+s.GB*float64(s.Tasks)
+	gpuSum, tasks, imageGB := 0.0, 0, 0.0
+	for _, demand := range distinct {
+		gpuSum, tasks, imageGB = gpuSum+demand.totalGPUs(), tasks+demand.Tasks, imageGB+demand.GB*float64(demand.Tasks)
 	}
 	profile.migrationSeconds = migrationOverhead.Seconds()
 	if fetchRate > 0 {
-		profile.migrationSeconds += gb / float64(tasks) / fetchRate
+		profile.migrationSeconds += imageGB / float64(tasks) / fetchRate
 	}
-	for _, s := range distinct {
-		fraction := s.totalGPUs() / gpuSum
-		if s.HasWaiting {
+	for _, demand := range distinct {
+		fraction := demand.totalGPUs() / gpuSum
+		if demand.HasWaiting {
 			fraction = 1
 		}
-		profile.sizeValues = append(profile.sizeValues, SizeValue{s.Need, fraction * profile.migrationSeconds})
+		profile.sizeValues = append(profile.sizeValues, SizeValue{demand.Need, fraction * profile.migrationSeconds})
 	}
 	wholeMachine := SizeValue{resource.Resources{CPU: profile.perGPU.CPU * size.GPU, GPU: size.GPU, Memory: profile.perGPU.Memory * size.GPU}, profile.migrationSeconds}
 	if i := slices.IndexFunc(profile.sizeValues, func(u SizeValue) bool { return u.Need.GPU > size.GPU-resource.Tolerance }); i >= 0 {
@@ -86,23 +90,23 @@
 	return profile
 }
 
-// mergeBySize is the demand for GPUs that fits on a machine, one of each size: those with waiting
-// tasks first, then those that take most GPUs.
+// mergeBySize returns the demands for GPUs that fit on a machine, with those of equal size merged into
+// one. Demands with waiting tasks come first, then those whose tasks need the most GPUs in total.
 func mergeBySize(size resource.Resources, demands []Demand) []Demand {
 	var distinct []Demand
-	for _, s := range demands {
-		if s.Need.GPU <= resource.Tolerance || s.Tasks <= 0 || !s.Need.Fits(size) {
+	for _, demand := range demands {
+		if demand.Need.GPU <= resource.Tolerance || demand.Tasks <= 0 || !demand.Need.Fits(size) {
 			continue
 		}
-		i := slices.IndexFunc(distinct, func(o Demand) bool { return o.Need == s.Need })
+		i := slices.IndexFunc(distinct, func(merged Demand) bool { return merged.Need == demand.Need })
 		if i < 0 {
-			distinct = append(distinct, s)
+			distinct = append(distinct, demand)
 			continue
 		}
-		o := &distinct[i]
-		o.GB = (o.GB*float64(o.Tasks) + s.GB*float64(s.Tasks)) / float64(o.Tasks+s.Tasks)
-		o.Tasks += s.Tasks
-		o.HasWaiting = o.HasWaiting || s.HasWaiting
+		merged := &distinct[i]
+		merged.GB = (merged.GB*float64(merged.Tasks) + demand.GB*float64(demand.Tasks)) / float64(merged.Tasks+demand.Tasks)
+		merged.Tasks += demand.Tasks
+		merged.HasWaiting = merged.HasWaiting || demand.HasWaiting
 	}
 	slices.SortFunc(distinct, func(a, b Demand) int {
 		return cmp.Or(cmp.Compare(waitingFirst(b), waitingFirst(a)), cmp.Compare(b.totalGPUs(), a.totalGPUs()), cmp.Compare(b.Need.GPU, a.Need.GPU),
@@ -111,97 +115,99 @@
 	return distinct
 }
 
-// needPerGPU is the most CPU and memory that a size needs for each GPU. Sizes that can't use all
-// GPUs of an empty machine don't count.
+// needPerGPU returns the most CPU and the most memory that a task of any demand needs for each of its
+// GPUs. It ignores demands that can't use all GPUs of an empty machine.
 func needPerGPU(size resource.Resources, demands []Demand) resource.Resources {
 	var perGPU resource.Resources
-	for _, s := range demands {
-		if g := s.Need.GPU; size.GPU/g*s.Need.CPU <= size.CPU+resource.Tolerance && size.GPU/g*s.Need.Memory <= size.Memory+resource.Tolerance {
-			perGPU.CPU, perGPU.Memory = max(perGPU.CPU, s.Need.CPU/g), max(perGPU.Memory, s.Need.Memory/g)
+	for _, demand := range demands {
+		if gpus := demand.Need.GPU; size.GPU/gpus*demand.Need.CPU <= size.CPU+resource.Tolerance && size.GPU/gpus*demand.Need.Memory <= size.Memory+resource.Tolerance {
+			perGPU.CPU, perGPU.Memory = max(perGPU.CPU, demand.Need.CPU/gpus), max(perGPU.Memory, demand.Need.Memory/gpus)
 		}
 	}
 	return perGPU
 }
 
-// totalGPUs is how many GPUs all tasks of a size take.
-func (s Demand) totalGPUs() float64 { return float64(s.Tasks) * s.Need.GPU }
+// totalGPUs returns how many GPUs the tasks of the demand need in total.
+func (demand Demand) totalGPUs() float64 { return float64(demand.Tasks) * demand.Need.GPU }
 
-func waitingFirst(s Demand) int {
-	if s.HasWaiting {
+// waitingFirst returns 1 if some tasks of the demand wait, and otherwise 0, for sorting.
+func waitingFirst(demand Demand) int {
+	if demand.HasWaiting {
 		return 1
 	}
 	return 0
 }
 
-// FragmentationCost is what it costs, in seconds, to place a task on a machine with so much free:
-// for each usual size, the places lost beyond those that the task itself stands for. The
-// more of a partly used machine is free, the likelier it is evacuated, with one more replica
-// to move.
-func (k *Profile) FragmentationCost(free, need resource.Resources) float64 {
+// FragmentationCost returns the cost, in seconds, of placing a task on a machine with the given free
+// capacity. For each usual size it counts how many fewer tasks of the size fit afterwards, beyond the
+// number that corresponds to the task's own GPUs. For a partly used machine the cost grows with the
+// fraction of GPUs left free, since the more of a machine is free, the likelier it is to be evacuated,
+// and then one more replica has to be moved.
+func (profile *Profile) FragmentationCost(free, need resource.Resources) float64 {
 	remaining := free.AddScaled(need, -1)
 	cost := 0.0
-	for i := range k.sizeValues {
-		u := &k.sizeValues[i]
-		before := free.FitCount(u.Need)
+	for i := range profile.sizeValues {
+		sizeValue := &profile.sizeValues[i]
+		before := free.FitCount(sizeValue.Need)
 		if before == 0 {
 			continue
 		}
-		if lostPlaces := float64(before-remaining.FitCount(u.Need)) - need.GPU/u.Need.GPU; lostPlaces > 0 {
-			cost += lostPlaces * u.LossSeconds
+		if lostPlaces := float64(before-remaining.FitCount(sizeValue.Need)) - need.GPU/sizeValue.Need.GPU; lostPlaces > 0 {
+			cost += lostPlaces * sizeValue.LossSeconds
 		}
 	}
-	if need.GPU > resource.Tolerance && free.GPU < k.machineSize.GPU-resource.Tolerance {
-		openFraction := max(0, remaining.GPU) / k.machineSize.GPU
-		cost += openFraction * openFraction * k.migrationSeconds
+	if need.GPU > resource.Tolerance && free.GPU < profile.machineSize.GPU-resource.Tolerance {
+		openFraction := max(0, remaining.GPU) / profile.machineSize.GPU
+		cost += openFraction * openFraction * profile.migrationSeconds
 	}
 	return cost
 }
 
-// NonGPUSurplus is the part of the free capacity that none of its GPUs needs.
-func (k *Profile) NonGPUSurplus(free resource.Resources) resource.Resources {
-	r := free.AddScaled(k.perGPU, -max(0, free.GPU))
-	return resource.Resources{CPU: max(0, r.CPU), Memory: max(0, r.Memory)}
+// NonGPUSurplus returns the free CPU and memory beyond what the free GPUs need.
+func (profile *Profile) NonGPUSurplus(free resource.Resources) resource.Resources {
+	surplus := free.AddScaled(profile.perGPU, -max(0, free.GPU))
+	return resource.Resources{CPU: max(0, surplus.CPU), Memory: max(0, surplus.Memory)}
 }
 
-// NonGPUCapacity is the free capacity for tasks without GPUs: what no GPU needs, neither those
-// that are free now nor those that will be when all tasks with GPUs have gone. nonGPUUsed is
-// what tasks without GPUs take already.
-func (k *Profile) NonGPUCapacity(free, nonGPUUsed resource.Resources) resource.Resources {
-	now, empty := k.NonGPUSurplus(free), k.NonGPUSurplus(k.machineSize.AddScaled(nonGPUUsed, -1))
-	return resource.Resources{CPU: min(now.CPU, empty.CPU), Memory: min(now.Memory, empty.Memory)}
+// NonGPUCapacity returns the free capacity that tasks without GPUs may use: the CPU and memory that
+// neither the GPUs that are free now need, nor all GPUs of the machine when the tasks with GPUs have
+// ended. nonGPUUsed is what tasks without GPUs already use.
+func (profile *Profile) NonGPUCapacity(free, nonGPUUsed resource.Resources) resource.Resources {
+	surplusNow, surplusWhenEmpty := profile.NonGPUSurplus(free), profile.NonGPUSurplus(profile.machineSize.AddScaled(nonGPUUsed, -1))
+	return resource.Resources{CPU: min(surplusNow.CPU, surplusWhenEmpty.CPU), Memory: min(surplusNow.Memory, surplusWhenEmpty.Memory)}
 }
 
-// FreeCapacity sums up the free capacity on machines of a kind.
+// FreeCapacity sums up the free GPU capacity of machines of one kind.
 type FreeCapacity struct {
 	Machines int
-	// WholeMachines counts the machines of which all GPUs are free and can be used.
+	// WholeMachines counts the machines whose GPUs are all free and usable.
 	WholeMachines int
-	// FreeGPUs is how many GPUs are free, and FragmentedGPUs how many of them are on other
-	// machines than the whole ones.
+	// FreeGPUs is the number of free GPUs, and FragmentedGPUs the number of those that are not
+	// on whole machines.
 	FreeGPUs       float64
 	FragmentedGPUs float64
-	// LargestFit is the most GPUs that one replica could have now.
+	// LargestFit is the largest number of GPUs that one replica could use on a machine.
 	LargestFit float64
 }
 
-// Add counts a machine of a size with GPUs, with so much free. profile may be nil if it is
-// unknown.
-func (r *FreeCapacity) Add(profile *Profile, size, free resource.Resources) {
-	r.Machines++
+// Add counts a machine with GPUs, given its size and its free capacity. profile may be nil if the
+// machine type has none; all free GPUs then count as usable.
+func (capacity *FreeCapacity) Add(profile *Profile, size, free resource.Resources) {
+	capacity.Machines++
 	usable := max(0, free.GPU)
-	r.FreeGPUs += usable
+	capacity.FreeGPUs += usable
 	if profile != nil {
-		for _, d := range [...][2]float64{{free.CPU, profile.perGPU.CPU}, {free.Memory, profile.perGPU.Memory}} {
-			if d[1] > 0 {
-				usable = min(usable, max(0, d[0])/d[1])
+		for _, dimension := range [...][2]float64{{free.CPU, profile.perGPU.CPU}, {free.Memory, profile.perGPU.Memory}} {
+			if dimension[1] > 0 {
+				usable = min(usable, max(0, dimension[0])/dimension[1])
 			}
 		}
 	}
 	usable = math.Floor(usable + resource.Tolerance)
-	r.LargestFit = max(r.LargestFit, usable)
+	capacity.LargestFit = max(capacity.LargestFit, usable)
 	if usable >= size.GPU-resource.Tolerance {
-		r.WholeMachines++
+		capacity.WholeMachines++
 	} else {
-		r.FragmentedGPUs += max(0, free.GPU)
+		capacity.FragmentedGPUs += max(0, free.GPU)
 	}
 }
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,21 +1,22 @@
-// Package resource computes with what machines offer and tasks take. It imports nothing of the
-// project, so that packages below the controller, such as packing, can use it.
+// Package resource has arithmetic on the resources that machines offer and tasks need. It imports no other
+// package of the project, so that packages below the controller, such as packing, can use it.
 package resource
 
 import "math"
 
-// Resources is what a machine offers or a task takes: CPUs, GPUs, and memory in the protocol's
-// unit.
+// Resources is an amount of resources that a machine offers or a task needs: CPUs, GPUs, and memory in
+// the protocol's unit.
 type Resources struct {
 	CPU    float64
 	GPU    float64
 	Memory float64
 }
 
-// Tolerance absorbs rounding when decimal amounts are added and subtracted many times.
+// Tolerance is the difference up to which two amounts count as equal. It covers the rounding errors of
+// decimal amounts that are added and subtracted many times.
 const Tolerance = 1e-6
 
-// Fits reports whether r fits into free.
+// Fits reports whether each amount of r is at most that of free, up to Tolerance.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU+Tolerance && r.GPU <= free.GPU+Tolerance && r.Memory <= free.Memory+Tolerance
 }
@@ -25,7 +26,7 @@
 	return Resources{CPU: r.CPU + n*o.CPU, GPU: r.GPU + n*o.GPU, Memory: r.Memory + n*o.Memory}
 }
 
-// FitCount returns how many tasks of size o fit into r; math.MaxInt32 if o is empty.
+// FitCount returns how many tasks that need o fit into r; math.MaxInt32 if o is empty.
 func (r Resources) FitCount(o Resources) int {
 	n := math.Inf(1)
 	for _, dimension := range [...][2]float64{{r.CPU, o.CPU}, {r.GPU, o.GPU}, {r.Memory, o.Memory}} {
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestFits: a task that fits exactly fits in spite of rounding, and FitCount agrees.
+// TestFits guards against rounding errors that make a task with an exact fit seem too large, and against
+// results of Fits and FitCount that contradict each other.
 func TestFits(t *testing.T) {
 	free := Resources{CPU: 4, GPU: 1, Memory: 16}
 	for _, c := range []struct {
@@ -32,7 +33,8 @@
 	}
 }
 
-// TestAddScaled: subtracting is adding a negative multiple.
+// TestAddScaled guards against an AddScaled that can't subtract: a negative multiple must be subtracted in
+// each dimension.
 func TestAddScaled(t *testing.T) {
 	got := Resources{CPU: 8, GPU: 2, Memory: 32}.AddScaled(Resources{CPU: 2, GPU: 1, Memory: 4}, -2)
 	if want := (Resources{CPU: 4, Memory: 24}); got != want {
