--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -6,7 +6,7 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// attachAttempt counts the attempt of task i as live on m.
+// attachAttempt registers the current attempt of task i as live on m and counts its resources.
 func (s *shardLeader) attachAttempt(j *job, i int, m *machine) {
 	t := &j.tasks[i]
 	t.machine = m
@@ -14,12 +14,12 @@
 	j.liveByZone[m.zone]++
 	m.attempts[taskKey{j.ID, i}] = t
 	m.used = m.used.AddScaled(j.Need, 1)
-	u := s.usedByTeam[j.Team]
-	s.usedByTeam[j.Team] = u.AddScaled(j.Need, 1)
+	used := s.usedByTeam[j.Team]
+	s.usedByTeam[j.Team] = used.AddScaled(j.Need, 1)
 }
 
-// endAttempt ends a live attempt once its end is proven, with the task done or to be queued
-// again.
+// endAttempt removes a live attempt. The caller must have proof that the attempt has ended. If done
+// is false, the task is queued again unless its job is cancelled.
 func (s *shardLeader) endAttempt(j *job, i int, done bool) {
 	t := &j.tasks[i]
 	m := t.machine
--- a/internal/controller/cancellation_gossip.go
+++ b/internal/controller/cancellation_gossip.go
@@ -7,125 +7,132 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// cancellation_gossip.go has controllers publish cancellations to each other. The record in the
-// store decides, and the shard leader of a job gets it from its watch. One that has lost the
-// store does not: the leases of its machines bound how long the tasks last (see
-// renewal_bound.go), at the price of all other tasks there. So whoever has confirmed a
-// cancellation publishes it too, once its record is durable, and again until it is
-// acknowledged. A controller that does not lead the job's shard passes it on to the one that
-// does, whose link to the first may be cut. A published cancellation stops tasks but does not
-// advance watchCache.asOf, since nobody vouches that it is the only one.
+// cancellation_gossip.go implements the exchange of cancellations between controllers. The record
+// in the store is authoritative, and the shard leader of a job gets the record from its watch. A
+// shard leader that has lost the store does not get it. Then only the expiry of its machines'
+// leases stops the tasks (see renewal_bound.go), which also ends all other tasks on these machines.
+// So the controller that confirmed a cancellation also publishes it to its peers, once the record
+// is durable, and repeats this until each peer has acknowledged it. A controller that does not lead
+// the job's shard passes the cancellation on to the shard leader, since the link from the publisher
+// to the shard leader may be cut. A published cancellation stops tasks but does not advance
+// watchCache.asOf, since it does not prove that there are no other cancellations.
 
+// Limits of the cancellation gossip.
 const (
-	// cancellationBatchDelay is how long a cancellation waits for others to share its update.
+	// cancellationBatchDelay is how long a cancellation waits for further cancellations that can
+	// be sent in the same update.
 	cancellationBatchDelay = 50 * time.Millisecond
-	// cancellationResendInterval separates two updates with the same cancellation to a peer
-	// that has not acknowledged it.
+	// cancellationResendInterval is the minimum time between two updates with the same
+	// cancellation to a peer that has not acknowledged it.
 	cancellationResendInterval = time.Second
-	// maxUnackedCancellations bounds what is published at a time; for more the store has to do.
+	// maxUnackedCancellations bounds the cancellations that are being published. Further
+	// cancellations reach the other controllers only through the store.
 	maxUnackedCancellations = 2000
 )
 
 // unackedCancellation is a cancellation that some peers have not acknowledged yet.
 type unackedCancellation struct {
 	cancellation message.Cancellation
-	// unackedPeers has when it was last sent to each of those peers.
+	// unackedPeers maps each of these peers to the time at which the cancellation was last sent
+	// to it.
 	unackedPeers map[string]time.Time
 	expiresAt    time.Time
 }
 
-// cancellationGossip publishes confirmed cancellations to peers and receives theirs. Every
-// controller has one; it is used whether or not it leads a shard. What is unacknowledged when
-// the process ends is left to the store's watches.
+// cancellationGossip publishes confirmed cancellations to peers and applies those that peers
+// publish. Every controller has one, whether or not it leads a shard. Cancellations that are not
+// acknowledged when the process ends reach the other controllers only through the store's watches.
 type cancellationGossip struct {
 	component
 
-	// unacked is by job.
+	// unacked maps job IDs to cancellations.
 	unacked map[string]*unackedCancellation
-	// batching: publishPending is scheduled after cancellationBatchDelay; resending: after
-	// cancellationResendInterval.
+	// batching: a call of publishPending is scheduled after cancellationBatchDelay. resending: a
+	// call is scheduled after cancellationResendInterval.
 	batching, resending bool
 }
 
-// publish publishes a cancellation whose record is durable.
-func (g *cancellationGossip) publish(cancellation message.Cancellation, peers []string) {
-	if g.unacked[cancellation.ID] != nil || len(g.unacked) >= maxUnackedCancellations || len(peers) == 0 {
+// publish publishes a cancellation to peers. Its record must be durable.
+func (gossip *cancellationGossip) publish(cancellation message.Cancellation, peers []string) {
+	if gossip.unacked[cancellation.ID] != nil || len(gossip.unacked) >= maxUnackedCancellations || len(peers) == 0 {
 		return
 	}
-	// After the bound the workers' leases have stopped the tasks.
-	pending := &unackedCancellation{cancellation: cancellation, unackedPeers: map[string]time.Time{}, expiresAt: g.now.Add(g.settings.CancellationBound)}
-	for _, p := range peers {
-		pending.unackedPeers[p] = time.Time{}
+	// When CancellationBound has passed, the tasks have stopped because the workers' leases have
+	// expired.
+	pending := &unackedCancellation{cancellation: cancellation, unackedPeers: map[string]time.Time{}, expiresAt: gossip.now.Add(gossip.settings.CancellationBound)}
+	for _, peer := range peers {
+		pending.unackedPeers[peer] = time.Time{}
 	}
-	g.unacked[cancellation.ID] = pending
-	if !g.batching {
-		g.batching = true
-		g.after(cancellationBatchDelay, func() {
-			g.batching = false
-			g.publishPending()
+	gossip.unacked[cancellation.ID] = pending
+	if !gossip.batching {
+		gossip.batching = true
+		gossip.after(cancellationBatchDelay, func() {
+			gossip.batching = false
+			gossip.publishPending()
 		})
 	}
 }
 
-// publishPending sends what is not acknowledged, and again as long as there is any.
-func (g *cancellationGossip) publishPending() {
+// publishPending sends the unacknowledged cancellations that are due, and schedules itself again as
+// long as there are any.
+func (gossip *cancellationGossip) publishPending() {
 	byPeer := map[string][]message.Cancellation{}
-	for _, id := range sortedKeys(g.unacked) {
-		pending := g.unacked[id]
-		if g.now.After(pending.expiresAt) || len(pending.unackedPeers) == 0 {
-			delete(g.unacked, id)
+	for _, id := range sortedKeys(gossip.unacked) {
+		pending := gossip.unacked[id]
+		if gossip.now.After(pending.expiresAt) || len(pending.unackedPeers) == 0 {
+			delete(gossip.unacked, id)
 			continue
 		}
-		for p, sentAt := range pending.unackedPeers {
-			if g.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[p]) < message.MaxCancellationsPerUpdate {
-				pending.unackedPeers[p] = g.now
-				byPeer[p] = append(byPeer[p], pending.cancellation)
+		for peer, sentAt := range pending.unackedPeers {
+			if gossip.now.Sub(sentAt) >= cancellationResendInterval && len(byPeer[peer]) < message.MaxCancellationsPerUpdate {
+				pending.unackedPeers[peer] = gossip.now
+				byPeer[peer] = append(byPeer[peer], pending.cancellation)
 			}
 		}
 	}
-	for _, p := range sortedKeys(byPeer) {
-		g.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: g.settings.Host, Cancellations: byPeer[p]}})
+	for _, peer := range sortedKeys(byPeer) {
+		gossip.emit(message.SendPeerUpdate{To: peer, Update: message.PeerUpdate{From: gossip.settings.Host, Cancellations: byPeer[peer]}})
 	}
-	if len(g.unacked) > 0 && !g.resending {
-		g.resending = true
-		g.after(cancellationResendInterval, func() {
-			g.resending = false
-			g.publishPending()
+	if len(gossip.unacked) > 0 && !gossip.resending {
+		gossip.resending = true
+		gossip.after(cancellationResendInterval, func() {
+			gossip.resending = false
+			gossip.publishPending()
 		})
 	}
 }
 
-// receive takes in cancellations that a peer published. One that does not fit what the watch
-// cache has of the job is ignored: the record will come.
-func (g *cancellationGossip) receive(from string, cancellations []message.Cancellation) {
+// receive applies cancellations that a peer published, and acknowledges them. It ignores a
+// cancellation that does not match the job in the watch cache: the watch will deliver the record.
+func (gossip *cancellationGossip) receive(from string, cancellations []message.Cancellation) {
 	var acks []string
-	for _, c := range cancellations {
-		acks = append(acks, c.ID)
-		var r record.OpenJob
-		if !record.Decode(c.Record, &r) || !r.Cancelled || r.Validate() != nil {
-			g.rejectInput("peer update", from, "cancellation unreadable")
+	for _, cancellation := range cancellations {
+		acks = append(acks, cancellation.ID)
+		var openRecord record.OpenJob
+		if !record.Decode(cancellation.Record, &openRecord) || !openRecord.Cancelled || openRecord.Validate() != nil {
+			gossip.rejectInput("peer update", from, "cancellation unreadable")
 			continue
 		}
-		cached, open := g.controller.frontend.watchCache.openJobs[c.ID]
-		if !open || cached.rec.Cancelled || c.ModRevision <= cached.modRevision || r.SubmittedAtMillis != cached.rec.SubmittedAtMillis || r.Team != cached.rec.Team || r.Tasks != cached.rec.Tasks {
+		cached, open := gossip.controller.frontend.watchCache.openJobs[cancellation.ID]
+		if !open || cached.rec.Cancelled || cancellation.ModRevision <= cached.modRevision || openRecord.SubmittedAtMillis != cached.rec.SubmittedAtMillis || openRecord.Team != cached.rec.Team || openRecord.Tasks != cached.rec.Tasks {
 			continue
 		}
-		if g.controller.shardLeader != nil && g.controller.shardLeader.jobs[c.ID] != nil {
-			g.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + c.ID, Value: c.Record, ModRevision: c.ModRevision})
+		if gossip.controller.shardLeader != nil && gossip.controller.shardLeader.jobs[cancellation.ID] != nil {
+			gossip.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + cancellation.ID, Value: cancellation.Record, ModRevision: cancellation.ModRevision})
 			continue
 		}
-		if shard := g.controller.membership.shardMap.Team(r.Team); shard != nil && shard.Host != g.settings.Host && shard.Host != from {
-			g.publish(c, []string{shard.Host})
+		if shard := gossip.controller.membership.shardMap.Team(openRecord.Team); shard != nil && shard.Host != gossip.settings.Host && shard.Host != from {
+			gossip.publish(cancellation, []string{shard.Host})
 		}
 	}
-	g.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: g.settings.Host, CancellationAcks: acks}})
+	gossip.emit(message.SendPeerUpdate{To: from, Update: message.PeerUpdate{From: gossip.settings.Host, CancellationAcks: acks}})
 }
 
-// acknowledge notes that a peer has received cancellations.
-func (g *cancellationGossip) acknowledge(from string, jobs []string) {
+// acknowledge records that a peer has received the cancellations of the given jobs.
+func (gossip *cancellationGossip) acknowledge(from string, jobs []string) {
 	for _, id := range jobs {
-		if x := g.unacked[id]; x != nil {
-			delete(x.unackedPeers, from)
+		if pending := gossip.unacked[id]; pending != nil {
+			delete(pending.unackedPeers, from)
 		}
 	}
 }
--- a/internal/controller/cancellation_gossip_test.go
+++ b/internal/controller/cancellation_gossip_test.go
@@ -9,104 +9,108 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// gossipedJob is a running job of a controller that peer b tells of its cancellation.
+// gossipedJob is a running job of a controller to which peer b publishes the job's cancellation.
 type gossipedJob struct {
 	controller *Controller
 	machine    *machine
 	job        *job
-	// open is the job's record, and cancelled the same when it is cancelled.
+	// open is the job's open record, and cancelled the same record after the cancellation.
 	open, cancelled record.OpenJob
 }
 
+// newGossipedJob returns a controller whose shard leader runs a task of a job that is not cancelled.
 func newGossipedJob() *gossipedJob {
-	g := &gossipedJob{controller: largePool(12)}
-	g.controller.frontend.watchCache.openJobs = map[string]openJob{}
-	g.machine, g.job = machineWithTask(g.controller)
-	g.open = record.NewOpenJob(&g.job.JobSpec, g.job.submittedAt)
-	g.controller.frontend.watchCache.openJobs[g.job.ID] = openJob{g.job.modRevision, g.open}
-	g.cancelled = g.open
-	g.cancelled.Cancelled, g.cancelled.CancelledAtMillis = true, g.controller.now.UnixMilli()
-	return g
+	gossiped := &gossipedJob{controller: largePool(12)}
+	gossiped.controller.frontend.watchCache.openJobs = map[string]openJob{}
+	gossiped.machine, gossiped.job = machineWithTask(gossiped.controller)
+	gossiped.open = record.NewOpenJob(&gossiped.job.JobSpec, gossiped.job.submittedAt)
+	gossiped.controller.frontend.watchCache.openJobs[gossiped.job.ID] = openJob{gossiped.job.modRevision, gossiped.open}
+	gossiped.cancelled = gossiped.open
+	gossiped.cancelled.Cancelled, gossiped.cancelled.CancelledAtMillis = true, gossiped.controller.now.UnixMilli()
+	return gossiped
 }
 
-// receive receives a record from peer b. It returns the acknowledgements to b, and how many
-// cancellations are to be passed on.
-func (g *gossipedJob) receive(r record.OpenJob, modRevision uint64) (acks, passedOn int) {
-	c := g.controller
-	c.effects = nil
-	c.cancellations.receive("b", []message.Cancellation{{ID: g.job.ID, Record: record.Encode(r), ModRevision: modRevision}})
-	for _, p := range emittedEffects[message.SendPeerUpdate](c) {
-		if p.To == "b" {
-			acks += len(p.Update.CancellationAcks)
+// receive has the controller receive a cancellation with the given record from peer b. It returns
+// the number of acknowledgements to b and of cancellations that are to be passed on.
+func (gossiped *gossipedJob) receive(openRecord record.OpenJob, modRevision uint64) (acks, passedOn int) {
+	controller := gossiped.controller
+	controller.effects = nil
+	controller.cancellations.receive("b", []message.Cancellation{{ID: gossiped.job.ID, Record: record.Encode(openRecord), ModRevision: modRevision}})
+	for _, update := range emittedEffects[message.SendPeerUpdate](controller) {
+		if update.To == "b" {
+			acks += len(update.Update.CancellationAcks)
 		}
 	}
-	return acks, len(c.cancellations.unacked)
+	return acks, len(controller.cancellations.unacked)
 }
 
-// sentTo are the peers to which cancellations were sent since the last call.
-func (g *gossipedJob) sentTo() (peers []string) {
-	for _, p := range emittedEffects[message.SendPeerUpdate](g.controller) {
-		if len(p.Update.Cancellations) > 0 {
-			peers = append(peers, p.To)
+// sentTo returns the peers to which the controller sent cancellations since the last call.
+func (gossiped *gossipedJob) sentTo() (peers []string) {
+	for _, update := range emittedEffects[message.SendPeerUpdate](gossiped.controller) {
+		if len(update.Update.Cancellations) > 0 {
+			peers = append(peers, update.To)
 		}
 	}
-	g.controller.effects = nil
+	gossiped.controller.effects = nil
 	return peers
 }
 
-// TestCancellationGossip: the job's owner stops its tasks by a peer's update alone. What does
-// not fit the job is ignored; nothing of it moves the renewal bound.
+// TestCancellationGossip guards against tasks that go on although a peer has published their job's
+// cancellation, and against wrong stops: the shard leader stops the tasks on a peer's update alone,
+// but ignores a cancellation that does not match the job. A peer's update must not advance the
+// renewal bound.
 func TestCancellationGossip(t *testing.T) {
-	g := newGossipedJob()
-	c, j := g.controller, g.job
-	asOf := c.frontend.watchCache.asOf
+	gossiped := newGossipedJob()
+	controller, j := gossiped.controller, gossiped.job
+	asOf := controller.frontend.watchCache.asOf
 	for name, damage := range map[string]func(*record.OpenJob) uint64{
-		"another time":            func(r *record.OpenJob) uint64 { r.SubmittedAtMillis++; return j.modRevision + 1 },
-		"another team":            func(r *record.OpenJob) uint64 { r.Team = "lab"; return j.modRevision + 1 },
-		"other tasks":             func(r *record.OpenJob) uint64 { r.Tasks++; return j.modRevision + 1 },
-		"an earlier mod revision": func(*record.OpenJob) uint64 { return j.modRevision },
-		"not cancelled":           func(r *record.OpenJob) uint64 { r.Cancelled = false; return j.modRevision + 1 },
+		"different submission time": func(openRecord *record.OpenJob) uint64 { openRecord.SubmittedAtMillis++; return j.modRevision + 1 },
+		"different team":            func(openRecord *record.OpenJob) uint64 { openRecord.Team = "lab"; return j.modRevision + 1 },
+		"different task count":      func(openRecord *record.OpenJob) uint64 { openRecord.Tasks++; return j.modRevision + 1 },
+		"no newer mod revision":     func(*record.OpenJob) uint64 { return j.modRevision },
+		"a record not cancelled":    func(openRecord *record.OpenJob) uint64 { openRecord.Cancelled = false; return j.modRevision + 1 },
 	} {
-		r := g.cancelled
-		modRevision := damage(&r)
-		if acks, _ := g.receive(r, modRevision); acks != 1 || j.cancelled {
-			t.Errorf("%s: got %d acknowledgements, cancelled %v; want 1 and false", name, acks, j.cancelled)
+		openRecord := gossiped.cancelled
+		modRevision := damage(&openRecord)
+		if acks, _ := gossiped.receive(openRecord, modRevision); acks != 1 || j.cancelled {
+			t.Errorf("cancellation with %s: got %d acknowledgements, cancelled %v; want 1 and false", name, acks, j.cancelled)
 		}
 	}
-	c.frontend.watchCache.revision = j.modRevision
-	g.receive(g.cancelled, j.modRevision+1)
-	if a := c.heartbeatOf(g.machine, model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}); len(a.Commands) != 1 || a.Commands[0].Kind != model.StopTask {
-		t.Errorf("got commands %v, want a stop", a.Commands)
+	controller.frontend.watchCache.revision = j.modRevision
+	gossiped.receive(gossiped.cancelled, j.modRevision+1)
+	if reply := controller.heartbeatOf(gossiped.machine, model.TaskReport{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}); len(reply.Commands) != 1 || reply.Commands[0].Kind != model.StopTask {
+		t.Errorf("got commands %v, want a stop", reply.Commands)
 	}
-	if c.frontend.watchCache.asOf != asOf {
-		t.Error("got the renewal bound moved by a peer's update, want it unchanged")
+	if controller.frontend.watchCache.asOf != asOf {
+		t.Error("renewal bound after a peer's update: got it advanced, want it unchanged")
 	}
 }
 
-// TestCancellationIsPassedOn: a controller that does not own the job sends its cancellation
-// to the owner until that acknowledges it.
+// TestCancellationIsPassedOn guards against a cancellation that does not reach the job's shard
+// leader because the link from the publisher is cut: a controller that does not lead the job's
+// shard sends the cancellation to the shard leader until the shard leader acknowledges it.
 func TestCancellationIsPassedOn(t *testing.T) {
-	g := newGossipedJob()
-	c, j := g.controller, g.job
-	c.frontend.watchCache.revision = j.modRevision
-	c.frontend.watchCache.openJobs["job-000904"] = openJob{1, g.cancelled}
-	delete(c.shardLeader.jobs, j.ID)
-	c.membership.shardMap.Team("ops").Host = "c"
-	if _, passedOn := g.receive(g.cancelled, j.modRevision+1); passedOn != 1 {
+	gossiped := newGossipedJob()
+	controller, j := gossiped.controller, gossiped.job
+	controller.frontend.watchCache.revision = j.modRevision
+	controller.frontend.watchCache.openJobs["job-000904"] = openJob{1, gossiped.cancelled}
+	delete(controller.shardLeader.jobs, j.ID)
+	controller.membership.shardMap.Team("ops").Host = "c"
+	if _, passedOn := gossiped.receive(gossiped.cancelled, j.modRevision+1); passedOn != 1 {
 		t.Errorf("got %d cancellations passed on, want 1", passedOn)
 	}
 	for i, want := range []int{1, 0, 1} {
-		c.effects = nil
-		c.now = c.now.Add([]time.Duration{cancellationBatchDelay, cancellationResendInterval / 2, cancellationResendInterval}[i])
-		c.runTimers()
-		if got := g.sentTo(); len(got) != want || want == 1 && got[0] != "c" {
-			t.Errorf("round %d: got it sent to %v, want %d times, to c", i, got, want)
+		controller.effects = nil
+		controller.now = controller.now.Add([]time.Duration{cancellationBatchDelay, cancellationResendInterval / 2, cancellationResendInterval}[i])
+		controller.runTimers()
+		if got := gossiped.sentTo(); len(got) != want || want == 1 && got[0] != "c" {
+			t.Errorf("round %d: got the cancellation sent to %v, want it sent %d times, only to c", i, got, want)
 		}
 	}
-	c.cancellations.acknowledge("c", []string{j.ID, "job-000999"})
-	c.now = c.now.Add(time.Minute)
-	c.runTimers()
-	if got := g.sentTo(); len(got) > 0 || len(c.cancellations.unacked) > 0 {
-		t.Errorf("acknowledged: got it sent to %v, %d kept; want none", got, len(c.cancellations.unacked))
+	controller.cancellations.acknowledge("c", []string{j.ID, "job-000999"})
+	controller.now = controller.now.Add(time.Minute)
+	controller.runTimers()
+	if got := gossiped.sentTo(); len(got) > 0 || len(controller.cancellations.unacked) > 0 {
+		t.Errorf("after the acknowledgement: got the cancellation sent to %v and %d unacknowledged, want none", got, len(controller.cancellations.unacked))
 	}
 }
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -7,51 +7,54 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
+// Limits of polls of machines.
 const (
-	// probeAfterIntervals is after how many of the longest heartbeat intervals a silent
-	// machine is polled. When it has not answered unresponsiveProbes polls, it is taken for
-	// lost and released rather than waited for. Where heartbeats are rare, waiting until
-	// several are missed would cost its tasks more time.
+	// probeAfterIntervals is the time, as a multiple of the longest heartbeat interval, after
+	// which a silent machine is polled. A machine that has not answered unresponsiveProbes
+	// polls counts as lost and is released. Waiting for several missed heartbeats instead
+	// would delay the machine's tasks more where heartbeat intervals are long.
 	probeAfterIntervals = 1.15
 	unresponsiveProbes  = 2
-	// probeInterval separates two polls of a silent machine.
+	// probeInterval is the minimum time between two polls of a silent machine.
 	probeInterval = 3 * time.Second
-	// maxContactsInFlight bounds the polls under way: those to dead hosts hang, and a
-	// successor may have a thousand machines to poll.
+	// maxContactsInFlight bounds the polls in flight. Polls of dead hosts hang, and a new
+	// shard leader may have a thousand machines to poll.
 	maxContactsInFlight = 48
-	// leaseCheckInterval separates two reads of the shard map for a worker lease that has
-	// run out, when the first got no answer.
+	// leaseCheckInterval is the minimum time between two reads of the shard map for an
+	// expired worker lease, if the first read got no answer.
 	leaseCheckInterval = 2 * time.Second
-	// reclaimNoticeFactor is how much longer than announced a reclaimed machine may stay.
+	// reclaimNoticeFactor is the factor by which a reclaimed machine may last longer than
+	// announced.
 	reclaimNoticeFactor = 1.5
 )
 
-// failover takes over what an earlier shard leader left: it contacts the machines that this
-// one has inherited, sweeps for leases that ran out, and bumps epochs where a command of
-// an earlier leader may still be executed.
+// failover takes over the machines and tasks of an earlier shard leader: it contacts the
+// inherited machines, ends expired worker leases, and bumps epochs where a command of an
+// earlier leader may still be executed.
 //
 // It belongs to a shardLeader and is dropped with it. Its methods may be called only while
-// that one leads, and callbacks compare the generation before they use it. Nothing of its
-// state needs to be inherited: the next leader starts with all of its machines again.
+// that shardLeader leads, and callbacks compare the generation before they use it. Its state
+// is not handed over: the next shard leader contacts all of its machines again.
 type failover struct {
 	component
 
-	// inheritedMachines are machines of an earlier leader that are still to be contacted,
-	// those with work first.
+	// inheritedMachines are the machines of an earlier leader that are still to be contacted,
+	// those with attempts first.
 	inheritedMachines []*machine
-	// contactsInFlight counts the contacts under way, maxContactsInFlight at most.
+	// contactsInFlight counts the polls in flight, at most maxContactsInFlight.
 	contactsInFlight int
 
-	// higherEpochSeen has the machines that have seen an epoch above the one under which
-	// they are owned, and since when.
+	// higherEpochSeen maps each machine whose worker has seen a higher epoch than the one
+	// under which the machine is owned to the time at which this was noticed.
 	higherEpochSeen map[string]time.Time
-	// epochBumps counts the segments written to bump epochs, which are named by it.
+	// epochBumps counts the shard map segments that this failover wrote to bump epochs. The
+	// count is part of the segments' names.
 	epochBumps    int
 	epochBumpedAt time.Time
 }
 
-// contact polls a machine for its status, and so learns its incarnation, which commands need
-// and which then carry the higher epoch.
+// contact polls a machine for its status. The answer contains the worker's incarnation, which
+// commands require. The commands that follow carry the current epoch to the worker.
 func (f *failover) contact(m *machine) {
 	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || f.now.Sub(m.probed) < probeInterval {
 		return
@@ -61,18 +64,18 @@
 	}
 	m.statusRequested, m.probed = true, f.now
 	f.contactsInFlight++
-	gen, was := f.controller.shardLeader.generation, m.snapshot()
-	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(d message.WorkerResponse) {
-		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen {
+	generation, before := f.controller.shardLeader.generation, m.snapshot()
+	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(response message.WorkerResponse) {
+		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != generation {
 			return
 		}
 		m.statusRequested = false
 		f.controller.shardLeader.failover.contactsInFlight--
 		f.controller.shardLeader.failover.contactInheritedMachines()
-		if d.NotSent || m.removed {
+		if response.NotSent || m.removed {
 			return
 		}
-		if !f.controller.shardLeader.heartbeats.applyPollReply(m, d.Heartbeat, was) {
+		if !f.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
 			return
 		}
 		if m.seenEpoch < m.epoch && !m.dispatchInFlight {
@@ -80,15 +83,15 @@
 			return
 		}
 		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOthersAttempts {
-			// The command may be lost, and perhaps no heartbeat comes: of a machine that
-			// reaches no controller, answers are all that is heard.
+			// The stop may have been lost, and no heartbeat may follow: a machine that reaches
+			// no controller is only heard of through its answers to polls.
 			f.controller.markDispatchPending(m)
 		}
 	})
 }
 
-// contactInheritedMachines goes on with the machines of an earlier leader, some at a time. One
-// that has sent a heartbeat meanwhile knows of the epoch and is left out.
+// contactInheritedMachines contacts the next inherited machines, up to maxContactsInFlight at a
+// time. It skips machines whose heartbeats have shown the current epoch in the meantime.
 func (f *failover) contactInheritedMachines() {
 	for len(f.inheritedMachines) > 0 && f.contactsInFlight < maxContactsInFlight {
 		m := f.inheritedMachines[0]
@@ -99,14 +102,14 @@
 	}
 }
 
-// showEpoch makes the current epoch known to the worker by an empty command.
+// showEpoch sends the current epoch to a machine's worker in a request without commands.
 func (f *failover) showEpoch(m *machine) {
-	gen, epoch := f.controller.shardLeader.generation, m.epoch
+	generation, epoch := f.controller.shardLeader.generation, m.epoch
 	m.dispatchInFlight = true
 	f.contactsInFlight++
-	was := m.snapshot()
-	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: f.controller.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(d message.WorkerResponse) {
-		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen {
+	before := m.snapshot()
+	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: f.controller.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(response message.WorkerResponse) {
+		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != generation {
 			return
 		}
 		m.dispatchInFlight = false
@@ -115,38 +118,40 @@
 		if m.removed {
 			return
 		}
-		if !d.NotSent && f.controller.shardLeader.heartbeats.applyPollReply(m, d.Heartbeat, was) {
+		if !response.NotSent && f.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
 			f.controller.markDispatchPending(m)
 		}
 	})
 }
 
-// addInherited has a machine contacted, after those that wait already.
+// addInherited appends a machine to the inherited machines that are to be contacted.
 func (f *failover) addInherited(m *machine) { f.inheritedMachines = append(f.inheritedMachines, m) }
 
-// contactAll reaches all machines at once, those with live attempts first: the epoch ends
-// what an earlier leader may still command, and their heartbeats are the proof. Those
-// without are contacted as well, or they would stay with a leader that has lost only the
-// store, for the whole of its grace.
+// contactAll contacts all machines without waiting for their heartbeats, those with live attempts
+// first. Once a worker has seen the current epoch, no command of an earlier leader takes effect
+// there, and the worker's heartbeats prove that. Machines without attempts are contacted too:
+// otherwise they would stay with an earlier leader that has lost only the store, until the end of
+// that leader's grace period.
 func (f *failover) contactAll() {
 	f.inheritedMachines = slices.Clone(f.controller.shardLeader.machinesByID)
 	f.controller.ranking.sortInheritedByRank(f.inheritedMachines)
 	f.contactInheritedMachines()
 }
 
-// noteHigherEpoch notes that a machine's worker has seen a higher epoch than this controller's.
+// noteHigherEpoch records that a machine's worker has seen a higher epoch than the one under which
+// this controller owns the machine.
 func (f *failover) noteHigherEpoch(machine string) {
 	if f.higherEpochSeen[machine].IsZero() {
 		f.higherEpochSeen[machine] = f.now
 	}
 }
 
-// clearHigherEpoch notes that a machine's worker accepts this controller's epoch, or that the
-// machine is another controller's now.
+// clearHigherEpoch records that a machine's worker accepts this controller's epoch, or that another
+// controller owns the machine.
 func (f *failover) clearHigherEpoch(machine string) { delete(f.higherEpochSeen, machine) }
 
-// sweep polls silent machines, ends the leases that ran out, drains reclaimed machines and
-// drops attempts that were never sent.
+// sweep polls silent machines, ends expired leases, drains reclaimed machines and ends attempts
+// that are to be stopped and whose start was never sent.
 func (f *failover) sweep() {
 	leader := f.controller.shardLeader
 	f.contactInheritedMachines()
@@ -164,31 +169,31 @@
 				f.leaseExpired(m)
 				continue
 			}
-			// If it is ever heard of again, it is another incarnation and empty.
+			// If the machine reports again, its worker is another incarnation without tasks.
 			leader.removeMachine(m)
 			continue
 		}
 		if m.reclaimNoticed {
 			f.drainReclaimed(m)
 		}
-		for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone && !t.startSent }) {
-			// Never sent, so it is nowhere.
-			f.controller.shardLeader.endAttempt(leader.jobs[k.job], k.index, false)
+		for _, key := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone && !t.startSent }) {
+			// Its start was never sent, so the attempt runs nowhere.
+			f.controller.shardLeader.endAttempt(leader.jobs[key.job], key.index, false)
 		}
 	}
 }
 
-// leaseExpired ends a worker lease that has run out, with all attempts on the machine, once it
-// is confirmed that the machine was this controller's until then: another owner would have
-// renewed it.
+// leaseExpired ends all attempts on a machine whose worker lease has expired by this controller's
+// clock. It first confirms that this controller still owns the machine, since another owner would
+// have renewed the lease.
 func (f *failover) leaseExpired(m *machine) {
 	if f.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
 		return
 	}
 	m.ownershipCheckedAt = f.now
-	gen := f.controller.shardLeader.generation
+	generation := f.controller.shardLeader.generation
 	f.controller.membership.confirmControlRecords(func() {
-		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != gen || m.removed || !f.now.After(m.leaseEnd) {
+		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != generation || m.removed || !f.now.After(m.leaseEnd) {
 			return
 		}
 		f.info("worker lease expired", "machine", m.id, "attempts", len(m.attempts))
@@ -196,14 +201,14 @@
 	})
 }
 
-// drainReclaimed stops what can't end before the cloud reclaims the machine: tasks with
-// checkpoints just in time for one more; others at once, since they are lost in any case and
-// can start elsewhere the sooner.
+// drainReclaimed stops the tasks that will not finish before the cloud reclaims the machine. It
+// stops a task with checkpoints as late as still allows one more checkpoint. It stops other tasks
+// at once: their progress is lost in any case, and they can start elsewhere sooner.
 func (f *failover) drainReclaimed(m *machine) {
 	untilReclaim := m.reclaimAt.Sub(f.now)
-	for _, k := range sortedAttempts(m) {
-		t := m.attempts[k]
-		j := f.controller.shardLeader.jobs[k.job]
+	for _, key := range sortedAttempts(m) {
+		t := m.attempts[key]
+		j := f.controller.shardLeader.jobs[key.job]
 		if t.stopReason != stopNone {
 			continue
 		}
@@ -219,36 +224,36 @@
 	}
 }
 
-// expectsHeartbeats says that heartbeats of a machine should come: some have, or a former
-// owner had work on it.
+// expectsHeartbeats reports whether the machine should send heartbeats: it has sent some, or it has
+// attempts, perhaps of a former owner.
 func (m *machine) expectsHeartbeats() bool { return m.heard || !m.isEmpty() }
 
-// sinceLastHeartbeat is how long nothing has been heard of a machine. After a failover it
-// counts from when this shard leader was ready, and for a machine that came later, perhaps
-// with work, from when it came.
+// sinceLastHeartbeat returns how long a machine has sent no heartbeat. Time before this shard leader
+// was ready does not count, nor does time before it owned the machine, which may have come with
+// running tasks.
 func (f *failover) sinceLastHeartbeat(m *machine) time.Duration {
 	return f.now.Sub(later(later(m.lastHeard, m.ownedSince), f.controller.shardLeader.readyAt))
 }
 
-// unresponsive says that a machine has missed heartbeats and does not answer polls. One that a
-// former owner had work on counts as well, though it was never heard here: it may have been
-// lost before the failover.
+// unresponsive reports whether a machine has missed heartbeats and does not answer polls. A machine
+// with attempts of a former owner can be unresponsive although this controller never heard it: it
+// may have been lost before the failover.
 func (h *heartbeatTracker) unresponsive(m *machine) bool {
 	if !m.expectsHeartbeats() {
 		return false
 	}
 	if m.reclaimNoticed && h.now.After(m.reclaimAt) {
-		// Reclaimed, as announced.
+		// The cloud has reclaimed the machine as announced, so no polls are needed.
 		return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.maxHeartbeatInterval()
 	}
 	return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.unresponsiveAfter(m) && h.now.Sub(m.reroutedAt) > h.unresponsiveAfter(m)
 }
 
-// unresponsiveAfter is how long nothing must have been heard of a machine.
+// unresponsiveAfter returns how long a machine must have been silent to count as unresponsive.
 func (h *heartbeatTracker) unresponsiveAfter(m *machine) time.Duration {
 	limit := time.Duration(probeAfterIntervals*float64(h.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
 	if m.heard && m.unansweredProbes < unresponsiveProbes {
-		// Not polled often enough, since too many polls were under way.
+		// The machine was polled too rarely, since too many polls were in flight.
 		limit *= 2
 	}
 	return limit
--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -6,20 +6,21 @@
 	"github.com/micahill/micahill/internal/disruption"
 )
 
-// releaseAheadSeconds: tasks of lost machines are freed at most as many at a time as the store
-// allows writes in so many seconds. Most share a write with others.
+// releaseAheadSeconds bounds how many tasks of lost machines are freed at a time: at most as many
+// as the store allows writes in this many seconds. Most tasks share a write with others.
 const releaseAheadSeconds = 4
 
-// correlatedFailureLogInterval separates two log lines on correlated machine failures.
+// correlatedFailureLogInterval is the minimum time between two log lines about correlated machine
+// failures.
 const correlatedFailureLogInterval = 5 * time.Second
 
-// unresponsiveMachines lists the machines to release now because they have missed heartbeats or
-// receive nothing; see internal/disruption.
+// unresponsiveMachines returns the machines to release, either because they have missed heartbeats
+// or because they receive nothing. See internal/disruption.
 func (h *heartbeatTracker) unresponsiveMachines() []string {
 	pool := disruption.Pool{Lease: h.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * h.settings.StoreWritesPerSecond)}
 	var unresponsive []disruption.Machine
-	s := h.controller.shardLeader
-	for _, m := range s.machinesByID {
+	leader := h.controller.shardLeader
+	for _, m := range leader.machinesByID {
 		if !m.expectsHeartbeats() || m.releasing {
 			continue
 		}
@@ -28,22 +29,23 @@
 			continue
 		}
 		candidate := disruption.Machine{
-			ID: m.id, Tasks: len(m.attempts) + s.remoteAttempts.registry.LiveCount(m.id),
-			UnresponsiveFor: s.failover.sinceLastHeartbeat(m) - h.unresponsiveAfter(m),
+			ID: m.id, Tasks: len(m.attempts) + leader.remoteAttempts.registry.LiveCount(m.id),
+			UnresponsiveFor: leader.failover.sinceLastHeartbeat(m) - h.unresponsiveAfter(m),
 		}
-		for k := range m.attempts {
-			j := s.jobs[k.job]
-			start, urgency := s.scheduler.latestStart(j), h.controller.ranking.inverseRank(j)
+		for key := range m.attempts {
+			j := leader.jobs[key.job]
+			latestStart, urgency := leader.scheduler.latestStart(j), h.controller.ranking.inverseRank(j)
 			isFirst := candidate.LatestStart.IsZero()
-			if isFirst || urgency > candidate.Urgency || urgency == candidate.Urgency && start.Before(candidate.LatestStart) {
-				candidate.Urgency, candidate.LatestStart = urgency, start
+			if isFirst || urgency > candidate.Urgency || urgency == candidate.Urgency && latestStart.Before(candidate.LatestStart) {
+				candidate.Urgency, candidate.LatestStart = urgency, latestStart
 			}
 		}
 		unresponsive = append(unresponsive, candidate)
 	}
-	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, s.readyAt, pool.Reporting, h.maxHeartbeatInterval())
+	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, leader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
-		// If all miss heartbeats together, the fault is likely this controller's.
+		// If all machines miss heartbeats at the same time, the fault is probably in this
+		// controller or its network.
 		return nil
 	}
 	toRelease := append(disruption.SelectReleases(pool, unresponsive), h.unreachableMachines(pool.Reporting)...)
--- a/internal/controller/epoch_bump.go
+++ b/internal/controller/epoch_bump.go
@@ -8,10 +8,10 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// maybeBumpEpoch names machines in a new segment of the shard map, which gives them a higher
-// epoch: where an unanswered start stands in the way, which can't be executed after that;
-// where a machine has seen a higher epoch than the one under which it is owned; and where its
-// worker has restarted under the current epoch.
+// maybeBumpEpoch gives machines a higher epoch by listing them in a new segment of the shard map. It
+// does so for three kinds of machines: those with an unanswered start that has to be ruled out,
+// since a start of an earlier epoch is not executed; those that have seen a higher epoch than the
+// one under which they are owned; and those whose worker has restarted under the current epoch.
 func (f *failover) maybeBumpEpoch() {
 	leader := f.controller.shardLeader
 	if f.controller.membership.bumpingEpoch || f.now.Sub(f.epochBumpedAt) < epochBumpInterval || f.now.After(f.controller.membership.leaseValidUntil) {
@@ -24,8 +24,8 @@
 	if !needed {
 		return
 	}
-	// Only after a confirmation: a machine that has seen a higher epoch is more likely
-	// another's, of which the watch has not brought the record yet.
+	// Confirm the shard map first: a machine that has seen a higher epoch more likely belongs to
+	// another controller, whose record the watch has not delivered yet.
 	f.epochBumpedAt = f.now
 	f.controller.membership.confirmControlRecords(func() {
 		if f.controller.shardLeader == leader {
@@ -34,7 +34,7 @@
 	})
 }
 
-// bumpEpoch names the machines that need it, of one shard at a time.
+// bumpEpoch writes the segment that gives the machines a higher epoch, for one shard at a time.
 func (f *failover) bumpEpoch() {
 	leader := f.controller.shardLeader
 	if f.controller.membership.bumpingEpoch {
@@ -42,12 +42,13 @@
 	}
 	byShard := map[string][]string{}
 	add := func(id string) {
-		if x, mine := f.controller.membership.ownedMachine(id); mine {
-			byShard[x.Name] = append(byShard[x.Name], id)
+		if shard, owned := f.controller.membership.ownedMachine(id); owned {
+			byShard[shard.Name] = append(byShard[shard.Name], id)
 		}
 	}
 	for _, m := range leader.machinesByID {
-		// A higher epoch doesn't reach a machine that is out of reach either.
+		// A machine whose last commands got no answer is skipped: a higher epoch would not reach it
+		// either.
 		if m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&leader.remoteAttempts.registry) {
 			add(m.id)
 		} else if m.restartEpoch != 0 && m.restartEpoch == m.epoch {
@@ -55,23 +56,23 @@
 		}
 	}
 	for _, id := range sortedKeys(f.higherEpochSeen) {
-		if _, mine := f.controller.membership.ownedMachine(id); !mine {
+		if _, owned := f.controller.membership.ownedMachine(id); !owned {
 			delete(f.higherEpochSeen, id)
 		} else if f.now.Sub(f.higherEpochSeen[id]) > epochBumpInterval {
 			add(id)
 		}
 	}
 	for _, name := range sortedKeys(byShard) {
-		s := f.controller.membership.shardMap.Shard(name)
+		bumpedShard := f.controller.membership.shardMap.Shard(name)
 		f.epochBumps++
-		w, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), leader.generation, f.epochBumps), s, byShard[name])
+		segment, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), leader.generation, f.epochBumps), bumpedShard, byShard[name])
 		if len(bumped) == 0 {
 			continue
 		}
 		f.controller.membership.epochBumpStarted()
 		f.info("epoch bumped", "machines", len(bumped), "example", bumped[0], "shard", name)
-		f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: s.ModRevision}, {Key: record.ShardSegmentPrefix + w.Name, ModRevision: 0}},
-			Writes: []message.Write{{Key: record.ShardSegmentPrefix + w.Name, Value: w.Value}}}, func(message.StoreResponse) {
+		f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: bumpedShard.ModRevision}, {Key: record.ShardSegmentPrefix + segment.Name, ModRevision: 0}},
+			Writes: []message.Write{{Key: record.ShardSegmentPrefix + segment.Name, Value: segment.Value}}}, func(message.StoreResponse) {
 			f.controller.membership.epochBumpEnded()
 			if f.controller.shardLeader == leader {
 				for _, id := range bumped {
--- a/internal/controller/job_cancellation.go
+++ b/internal/controller/job_cancellation.go
@@ -6,19 +6,20 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// cancelJob cancels a job for a user.
-func (f *frontend) cancelJob(c message.CancelJob) {
-	if s, ok := f.finalStatuses[c.ID]; ok {
-		f.emit(withReply(f.replyWithStatus(c.ID, s), c.Reply))
+// cancelJob handles a user's request to cancel a job.
+func (f *frontend) cancelJob(command message.CancelJob) {
+	if status, ok := f.finalStatuses[command.ID]; ok {
+		f.emit(withReply(f.replyWithStatus(command.ID, status), command.Reply))
 		return
 	}
-	if f.refuseIfUnavailable(c.Reply, c.ID, nil) {
+	if f.refuseIfUnavailable(command.Reply, command.ID, nil) {
 		return
 	}
-	f.cancelOpenJob(f.newUserRequest(c.Reply, c.ID))
+	f.cancelOpenJob(f.newUserRequest(command.Reply, command.ID))
 }
 
-// cancelOpenJob reads a job and cancels it as it was read; a conflict starts over.
+// cancelOpenJob reads a job and cancels it in the state that it read. If the job's record has
+// changed in between, it reads the job again.
 func (f *frontend) cancelOpenJob(request *userRequest) {
 	f.watchCache.readJob(request.id, func(lookup jobLookup) {
 		switch {
@@ -41,31 +42,33 @@
 	})
 }
 
-// storeCancellation cancels an open job as it was read.
+// storeCancellation writes the cancellation of an open job, on the condition that the job's record
+// has not changed since lookup.
 func (f *frontend) storeCancellation(request *userRequest, lookup jobLookup) {
 	id := request.id
-	// The resources of its tasks stay in the record: until the tasks are gone they count for
-	// their team's quota limit, whoever leads the shard.
-	rec := lookup.open
-	rec.Cancelled, rec.CancelledAtMillis = true, f.now.UnixMilli()
-	rec.ShrinkToFit(f.settings.MaxValueBytes)
-	open := record.Encode(rec)
+	// The record keeps the resources of the job's tasks: until the tasks are gone, they count
+	// against their team's quota limit, also under a new shard leader.
+	openRecord := lookup.open
+	openRecord.Cancelled, openRecord.CancelledAtMillis = true, f.now.UnixMilli()
+	openRecord.ShrinkToFit(f.settings.MaxValueBytes)
+	open := record.Encode(openRecord)
 	status := record.Encode(f.controller.promises.endRecordFromCache(id, model.Cancelled, &openJob{lookup.modRevision, lookup.open}))
-	// Both records change together: the revision of the open record guards starts.
-	op := message.StoreRequest{
+	// Both records change in one transaction. The open record has to change, since every write of
+	// a start compares its revision.
+	txn := message.StoreRequest{
 		Kind: message.OpTxn, Priority: message.PriorityUser,
 		Compares: []message.Compare{{Key: record.OpenJobPrefix + id, ModRevision: lookup.modRevision}},
 		Writes:   []message.Write{{Key: record.JobStatusPrefix + id, Value: status}, {Key: record.OpenJobPrefix + id, Value: open}},
 	}
-	f.controller.requests.toStore(op, func(d message.StoreResponse) {
-		switch d.Status {
+	f.controller.requests.toStore(txn, func(response message.StoreResponse) {
+		switch response.Status {
 		case message.StoreOK:
 			f.cacheFinalStatus(id, model.Cancelled)
-			f.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: d.Revision})
-			f.controller.cancellations.publish(message.Cancellation{ID: id, Record: open, ModRevision: d.Revision}, f.settings.Peers)
+			f.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + id, Value: open, ModRevision: response.Revision})
+			f.controller.cancellations.publish(message.Cancellation{ID: id, Record: open, ModRevision: response.Revision}, f.settings.Peers)
 			f.answerRequest(request, f.replyWithStatus(id, model.Cancelled))
 		case message.StoreConflict:
-			// Done or cancelled in between: read again.
+			// The job finished or was cancelled in between: read it again.
 			f.cancelOpenJob(request)
 		default:
 			f.refuseRequest(request, "the state service does not answer")
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -10,12 +10,12 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// maxOrphanedRecords bounds the segments of ended jobs that are kept while writes are
-// scarce: a successor reads them in two pages.
+// maxOrphanedRecords is the number of segment records of ended jobs above which they are deleted
+// even when the write rate is short. The next shard leader reads this many in two pages.
 const maxOrphanedRecords = 1000
 
-// writeJobEnds writes the end of jobs whose tasks are all done, and removes the records of
-// cancelled jobs whose tasks are all gone.
+// writeJobEnds writes the ends of jobs whose tasks are all done, and deletes the records of
+// cancelled jobs that have no live tasks left.
 func (p *persistence) writeJobEnds() {
 	var endedJobs, cancelledDependents []*job
 	for _, j := range p.controller.shardLeader.jobs {
@@ -31,7 +31,8 @@
 		endedJobs = p.writeEndBatch(endedJobs)
 	}
 	if len(cancelledDependents) > 0 && p.txnsInFlight == 0 && !p.controller.rateLimits.shortOfWrites() {
-		// Every controller knows that they are cancelled; only their records have to go.
+		// Every controller derives from the cancelled dependency that these jobs are cancelled.
+		// Only their records are left to delete, which may wait.
 		slices.SortFunc(cancelledDependents, byName)
 		p.writeEndBatch(cancelledDependents)
 	}
@@ -40,18 +41,19 @@
 	}
 }
 
-// jobEnd is a job whose end is being written: its final record, and the keys of its segments.
-// These mean nothing without the job and are deleted when there is time, since writes are
-// scarce just when many jobs end and others start.
+// jobEnd is a job whose end is being written, with its final record and the keys of its segments.
+// The segments are ignored once the job is gone. They are deleted later, since the write rate is
+// short at the times when many jobs end and others start.
 type jobEnd struct {
 	job         *job
 	rec         record.JobStatus
 	segmentKeys []string
 }
 
-// writeEndBatch writes the ends of as many jobs as share a transaction, and returns the others.
+// writeEndBatch writes the ends of as many jobs as fit in one transaction, and returns the
+// remaining jobs.
 func (p *persistence) writeEndBatch(endedJobs []*job) []*job {
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
+	txn := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
 	maxWrites := min(p.settings.MaxTxnWrites, p.controller.rateLimits.writesAllowed())
 	var batch []jobEnd
 	size := 0
@@ -64,70 +66,71 @@
 		}
 		writes = append(writes, message.Write{Key: record.OpenJobPrefix + j.ID})
 		compares := append(p.controller.shardLeader.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
-		for _, w := range writes {
-			size += sizelimit.WriteBytes(sizelimit.Write{Key: w.Key, Value: w.Value})
+		for _, write := range writes {
+			size += sizelimit.WriteBytes(sizelimit.Write{Key: write.Key, Value: write.Value})
 		}
 		for _, compare := range compares {
 			size += sizelimit.CompareBytes(compare.Key)
 		}
 		if j.cancelDerived {
-			op.Priority = message.PriorityLazy
+			txn.Priority = message.PriorityLazy
 		}
-		if len(batch) > 0 && (len(op.Writes)+len(writes) > maxWrites || size > targetTxnBytes || j.endWriteAlone || batch[0].job.endWriteAlone) {
+		if len(batch) > 0 && (len(txn.Writes)+len(writes) > maxWrites || size > targetTxnBytes || j.endWriteAlone || batch[0].job.endWriteAlone) {
 			break
 		}
 		for _, compare := range compares {
-			if !slices.Contains(op.Compares, compare) {
-				op.Compares = append(op.Compares, compare)
+			if !slices.Contains(txn.Compares, compare) {
+				txn.Compares = append(txn.Compares, compare)
 			}
 		}
-		op.Writes = append(op.Writes, writes...)
+		txn.Writes = append(txn.Writes, writes...)
 		end.segmentKeys = slices.Clone(j.formerKeys)
-		for _, k := range sortedKeys(j.segments) {
-			if seg := j.segments[k]; seg.modRevision != 0 || seg.writeInFlight {
+		for _, index := range sortedKeys(j.segments) {
+			if seg := j.segments[index]; seg.modRevision != 0 || seg.writeInFlight {
 				end.segmentKeys = append(end.segmentKeys, j.segmentKey(seg))
 			}
 		}
 		j.ending = true
 		batch, endedJobs = append(batch, end), endedJobs[1:]
 	}
-	gen := p.controller.shardLeader.generation
-	p.writeTxn(op, func(d message.StoreResponse) {
+	generation := p.controller.shardLeader.generation
+	p.writeTxn(txn, func(response message.StoreResponse) {
 		for _, end := range batch {
-			p.controller.handleEndResponse(end, d, gen, len(batch) == 1)
+			p.controller.handleEndResponse(end, response, generation, len(batch) == 1)
 		}
 	})
 	return endedJobs
 }
 
-// handleEndResponse takes in the answer to the transaction with a job's end. gen is the
-// generation of the shard leader that sent it; alone: it held no other job's end.
-func (c *Controller) handleEndResponse(end jobEnd, d message.StoreResponse, gen int, alone bool) {
+// handleEndResponse processes the store's response to the transaction that contains a job's end.
+// generation is that of the shard leader that sent the transaction. alone says that the
+// transaction contained no other job's end.
+func (c *Controller) handleEndResponse(end jobEnd, response message.StoreResponse, generation int, alone bool) {
 	j := end.job
-	if d.Status == message.StoreOK && end.rec.Status == model.Done {
+	if response.Status == message.StoreOK && end.rec.Status == model.Done {
 		c.frontend.cacheFinalStatus(j.ID, model.Done)
 		c.promises.learnFromEnd(j, end.rec)
 		c.debug("job done", "job", j.ID, "workload", j.Workload, "age", c.now.Sub(j.submittedAt))
 	}
-	if c.shardLeader == nil || c.shardLeader.generation != gen {
+	if c.shardLeader == nil || c.shardLeader.generation != generation {
 		return
 	}
 	retry := func() { j.ending = false }
-	switch d.Status {
+	switch response.Status {
 	case message.StoreOK:
 		c.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
 			return strings.HasPrefix(key, record.OpenJobPrefix) && key != record.OpenJobPrefix+j.ID
 		}
-		if !alone && !slices.ContainsFunc(d.FailedKeys, func(key string) bool { return !isOthersRecord(key) }) {
-			// Only other jobs of the same transaction have changed.
+		if !alone && !slices.ContainsFunc(response.FailedKeys, func(key string) bool { return !isOthersRecord(key) }) {
+			// Only the records of other jobs in the same transaction have changed.
 			retry()
 			return
 		}
-		c.shardLeader.persistence.resolveEndConflict(end, gen)
+		c.shardLeader.persistence.resolveEndConflict(end, generation)
 	case message.StoreMalformed:
-		// One of several is at fault: each is written alone, so that the others get through.
+		// One end of several is malformed. Each is written alone, so that the valid ones succeed.
 		if !alone {
 			j.endWriteAlone = true
 			retry()
@@ -139,26 +142,26 @@
 	}
 }
 
-// resolveEndConflict finds out why the compares of an end failed: an earlier transaction whose
-// answer was lost may have been applied.
-func (p *persistence) resolveEndConflict(end jobEnd, gen int) {
+// resolveEndConflict reads the job's records to find out why the compares of its end failed. The
+// store may have applied an earlier transaction with the same end whose response was lost.
+func (p *persistence) resolveEndConflict(end jobEnd, generation int) {
 	j := end.job
 	retry := func() { j.ending = false }
 	readStatus := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}
 	readOpen := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}
-	p.controller.requests.toStore(readStatus, func(d message.StoreResponse) {
-		var r record.JobStatus
-		if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status == model.Done {
+	p.controller.requests.toStore(readStatus, func(response message.StoreResponse) {
+		var statusRecord record.JobStatus
+		if response.Status == message.StoreOK && record.Decode(response.KeyValues[0].Value, &statusRecord) && statusRecord.Status == model.Done {
 			p.controller.frontend.cacheFinalStatus(j.ID, model.Done)
-			p.controller.promises.cacheDoneDate(j.ID, r)
-			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+			p.controller.promises.cacheDoneDate(j.ID, statusRecord)
+			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
 				p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 			}
 			return
 		}
-		if j.cancelled && d.Status == message.StoreOK {
-			p.controller.requests.toStore(readOpen, func(d message.StoreResponse) {
-				if d.Status == message.StoreNotFound && p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+		if j.cancelled && response.Status == message.StoreOK {
+			p.controller.requests.toStore(readOpen, func(response message.StoreResponse) {
+				if response.Status == message.StoreNotFound && p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
 					p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 					return
 				}
@@ -170,39 +173,39 @@
 	})
 }
 
-// removeEndedJob drops a job whose end is durable, and leaves its segments to be deleted.
+// removeEndedJob drops a job whose end is durable, and queues its segments for deletion.
 func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
 	p.controller.shardLeader.removeJob(j)
 	p.orphanedRecords = append(p.orphanedRecords, segmentKeys...)
 }
 
-// deleteOrphanedRecords deletes segments whose job is over. The transaction compares that the
-// job's open record is gone: a segment that a list showed may belong to a job that was
-// accepted after open/ was listed, and that another controller leads.
+// deleteOrphanedRecords deletes segments of ended jobs. The transaction is conditional on the
+// absence of the job's open record: a segment may have been listed although its job was accepted
+// only after open/ was listed, and then another controller may lead that job.
 func (p *persistence) deleteOrphanedRecords() {
-	k := min(len(p.orphanedRecords), maxLazyWrites, p.settings.MaxTxnWrites)
-	keys := p.orphanedRecords[:k]
-	p.orphanedRecords = slices.Clone(p.orphanedRecords[k:])
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares("")}
+	count := min(len(p.orphanedRecords), maxLazyWrites, p.settings.MaxTxnWrites)
+	keys := p.orphanedRecords[:count]
+	p.orphanedRecords = slices.Clone(p.orphanedRecords[count:])
+	txn := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares("")}
 	for _, key := range keys {
-		if open := (message.Compare{Key: record.OpenJobPrefix + record.JobIDFromKey(key, record.TaskSegmentPrefix), ModRevision: 0}); !slices.Contains(op.Compares, open) {
-			op.Compares = append(op.Compares, open)
+		if open := (message.Compare{Key: record.OpenJobPrefix + record.JobIDFromKey(key, record.TaskSegmentPrefix), ModRevision: 0}); !slices.Contains(txn.Compares, open) {
+			txn.Compares = append(txn.Compares, open)
 		}
-		op.Writes = append(op.Writes, message.Write{Key: key})
+		txn.Writes = append(txn.Writes, message.Write{Key: key})
 	}
-	gen := p.controller.shardLeader.generation
-	p.writeTxn(op, func(d message.StoreResponse) {
-		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != gen {
+	generation := p.controller.shardLeader.generation
+	p.writeTxn(txn, func(response message.StoreResponse) {
+		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != generation {
 			return
 		}
-		if d.Status == message.StoreOK || d.Status == message.StoreMalformed {
+		if response.Status == message.StoreOK || response.Status == message.StoreMalformed {
 			return
 		}
 		keys = slices.DeleteFunc(keys, func(key string) bool {
-			return slices.Contains(d.FailedKeys, record.OpenJobPrefix+record.JobIDFromKey(key, record.TaskSegmentPrefix))
+			return slices.Contains(response.FailedKeys, record.OpenJobPrefix+record.JobIDFromKey(key, record.TaskSegmentPrefix))
 		})
 		p.after(p.jitter(storeRetryDelay), func() {
-			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == gen {
+			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
 				p.controller.shardLeader.persistence.orphanedRecords = append(p.controller.shardLeader.persistence.orphanedRecords, keys...)
 			}
 		})
--- a/internal/controller/job_ends_test.go
+++ b/internal/controller/job_ends_test.go
@@ -12,173 +12,178 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newDoneJobs adds jobs whose only task is done, with a durable record of it.
-func newDoneJobs(c *Controller, count int) []*job {
-	var out []*job
+// newDoneJobs adds jobs with one task each, which is done and durably recorded as done.
+func newDoneJobs(controller *Controller, count int) []*job {
+	var jobs []*job
 	for i := range count {
-		j := c.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: c.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, c.now, uint64(100+i))
+		j := controller.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("small-%d", i), Workload: "w", Team: controller.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, controller.now, uint64(100+i))
 		j.nextFresh, j.doneTasks, j.tasks[0].done = 1, 1, true
 		j.segments[0] = &taskSegment{modRevision: uint64(200 + i), version: 1, persistedVersion: 1}
-		out = append(out, j)
+		jobs = append(jobs, j)
 	}
-	return out
+	return jobs
 }
 
-// sentTxns are the transactions that were sent since the last call.
-func sentTxns(c *Controller) []message.StoreRequest {
-	var out []message.StoreRequest
-	for _, op := range emittedEffects[message.StoreRequest](c) {
-		if op.Kind == message.OpTxn {
-			out = append(out, op)
+// sentTxns returns the transactions that the controller sent since the last call.
+func sentTxns(controller *Controller) []message.StoreRequest {
+	var txns []message.StoreRequest
+	for _, request := range emittedEffects[message.StoreRequest](controller) {
+		if request.Kind == message.OpTxn {
+			txns = append(txns, request)
 		}
 	}
-	c.effects = nil
-	return out
+	controller.effects = nil
+	return txns
 }
 
-// TestJobEndsShareTransaction: the ends of several jobs are one transaction, with the compares
-// of each. When one of them was cancelled meanwhile the others end with the next write,
-// without a read, and that one is read.
+// TestJobEndsShareTransaction guards against losing the ends of several jobs that share a
+// transaction when one of the jobs was cancelled in the meantime. The transaction contains the
+// compares of every job. After the conflict, the other ends are written again without a read, and
+// the records of the cancelled job are read.
 func TestJobEndsShareTransaction(t *testing.T) {
-	c := largePool(4)
-	jobs := newDoneJobs(c, 3)
-	c.effects = nil
-	c.shardLeader.persistence.writeJobEnds()
-	ops := sentTxns(c)
-	if len(ops) != 1 || len(ops[0].Writes) != 6 {
-		t.Fatalf("got three ends sent as %+v, want one transaction of 6 writes", ops)
+	controller := largePool(4)
+	jobs := newDoneJobs(controller, 3)
+	controller.effects = nil
+	controller.shardLeader.persistence.writeJobEnds()
+	txns := sentTxns(controller)
+	if len(txns) != 1 || len(txns[0].Writes) != 6 {
+		t.Fatalf("three ends: got transactions %+v, want one with 6 writes", txns)
 	}
 	for _, j := range jobs {
-		if !slices.Contains(ops[0].Compares, message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision}) {
-			t.Errorf("got compares %v, want that of the record of %s", ops[0].Compares, j.ID)
+		if !slices.Contains(txns[0].Compares, message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision}) {
+			t.Errorf("got compares %v, want among them that of the open record of %s", txns[0].Compares, j.ID)
 		}
 	}
-	c.requests.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + jobs[1].ID}})
+	controller.requests.storeCallbacks[txns[0].ID](message.StoreResponse{Status: message.StoreConflict, FailedKeys: []string{record.OpenJobPrefix + jobs[1].ID}})
 	if jobs[0].ending || jobs[2].ending || !jobs[1].ending {
-		t.Errorf("after a conflict of the second: got ending %v %v %v, want false true false", jobs[0].ending, jobs[1].ending, jobs[2].ending)
+		t.Errorf("after a conflict on the second job: got ending %v %v %v, want false true false", jobs[0].ending, jobs[1].ending, jobs[2].ending)
 	}
-	c.effects = nil
-	c.shardLeader.persistence.writeJobEnds()
-	if ops = sentTxns(c); len(ops) != 1 || len(ops[0].Writes) != 4 {
-		t.Fatalf("got the others sent as %+v, want one transaction of 4 writes", ops)
+	controller.effects = nil
+	controller.shardLeader.persistence.writeJobEnds()
+	if txns = sentTxns(controller); len(txns) != 1 || len(txns[0].Writes) != 4 {
+		t.Fatalf("first and third end after the conflict: got transactions %+v, want one with 4 writes", txns)
 	}
-	c.requests.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreOK, Revision: 300})
-	if c.frontend.finalStatuses[jobs[0].ID] != model.Done || c.frontend.finalStatuses[jobs[2].ID] != model.Done || c.frontend.finalStatuses[jobs[1].ID] == model.Done || c.shardLeader.jobs[jobs[1].ID] == nil {
-		t.Errorf("got final statuses %v, want those of the first and the third job", c.frontend.finalStatuses)
+	controller.requests.storeCallbacks[txns[0].ID](message.StoreResponse{Status: message.StoreOK, Revision: 300})
+	if controller.frontend.finalStatuses[jobs[0].ID] != model.Done || controller.frontend.finalStatuses[jobs[2].ID] != model.Done || controller.frontend.finalStatuses[jobs[1].ID] == model.Done || controller.shardLeader.jobs[jobs[1].ID] == nil {
+		t.Errorf("got final statuses %v, want those of the first and the third job", controller.frontend.finalStatuses)
 	}
 }
 
-// TestMalformedJobEndIsWrittenAlone: a write of several ends that is called malformed is sent
-// again for each by itself, and only the one at fault waits.
+// TestMalformedJobEndIsWrittenAlone guards against one malformed end that blocks the ends of other
+// jobs: after the store rejects a transaction of several ends as malformed, each end is sent in a
+// transaction of its own, and only the malformed one waits.
 func TestMalformedJobEndIsWrittenAlone(t *testing.T) {
-	c := largePool(4)
-	jobs := newDoneJobs(c, 3)
-	c.effects = nil
-	c.shardLeader.persistence.writeJobEnds()
-	c.requests.storeCallbacks[sentTxns(c)[0].ID](message.StoreResponse{Status: message.StoreMalformed})
-	c.shardLeader.persistence.writeJobEnds()
-	ops := sentTxns(c)
-	if len(ops) != 3 {
-		t.Fatalf("got %d writes for three ends that are tried alone, want 3", len(ops))
-	}
-	c.requests.storeCallbacks[ops[0].ID](message.StoreResponse{Status: message.StoreOK})
-	c.requests.storeCallbacks[ops[1].ID](message.StoreResponse{Status: message.StoreMalformed})
-	c.requests.storeCallbacks[ops[2].ID](message.StoreResponse{Status: message.StoreOK})
-	c.shardLeader.persistence.writeJobEnds()
-	if len(c.frontend.finalStatuses) != 2 || c.shardLeader.jobs[jobs[1].ID] == nil {
-		t.Errorf("got final statuses %v, want those of the first and the third job", c.frontend.finalStatuses)
+	controller := largePool(4)
+	jobs := newDoneJobs(controller, 3)
+	controller.effects = nil
+	controller.shardLeader.persistence.writeJobEnds()
+	controller.requests.storeCallbacks[sentTxns(controller)[0].ID](message.StoreResponse{Status: message.StoreMalformed})
+	controller.shardLeader.persistence.writeJobEnds()
+	txns := sentTxns(controller)
+	if len(txns) != 3 {
+		t.Fatalf("three ends written alone: got %d transactions, want 3", len(txns))
+	}
+	controller.requests.storeCallbacks[txns[0].ID](message.StoreResponse{Status: message.StoreOK})
+	controller.requests.storeCallbacks[txns[1].ID](message.StoreResponse{Status: message.StoreMalformed})
+	controller.requests.storeCallbacks[txns[2].ID](message.StoreResponse{Status: message.StoreOK})
+	controller.shardLeader.persistence.writeJobEnds()
+	if len(controller.frontend.finalStatuses) != 2 || controller.shardLeader.jobs[jobs[1].ID] == nil {
+		t.Errorf("got final statuses %v, want those of the first and the third job", controller.frontend.finalStatuses)
 	}
 }
 
-// TestWritesInFlightAreBounded: the writes in flight take at most half a second's share of the
-// rate, so that a hundred ends don't delay what users wait for; the others follow as answers
-// arrive.
+// TestWritesInFlightAreBounded guards against a hundred ends that delay the writes for which users
+// wait: the writes in flight are at most those that the rate allows in half a second. The remaining
+// ends follow as responses arrive.
 func TestWritesInFlightAreBounded(t *testing.T) {
-	c := largePool(4)
-	c.rateLimits.allotted = message.Rates{Requests: 20, Writes: 16}
-	newDoneJobs(c, 100)
-	c.effects = nil
+	controller := largePool(4)
+	controller.rateLimits.allotted = message.Rates{Requests: 20, Writes: 16}
+	newDoneJobs(controller, 100)
+	controller.effects = nil
 	ended := 0
 	for range 200 {
-		c.shardLeader.persistence.writeJobEnds()
-		c.shardLeader.persistence.writeSegments()
+		controller.shardLeader.persistence.writeJobEnds()
+		controller.shardLeader.persistence.writeSegments()
 		writes := 0
-		ops := sentTxns(c)
-		for _, op := range ops {
-			writes += len(op.Writes)
+		txns := sentTxns(controller)
+		for _, txn := range txns {
+			writes += len(txn.Writes)
 		}
 		if writes > 8 {
-			t.Fatalf("got %d writes in flight at 16 a second, want at most 8", writes)
+			t.Fatalf("got %d writes in flight at a rate of 16 per second, want at most 8", writes)
 		}
-		for _, op := range ops {
-			c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK})
+		for _, txn := range txns {
+			controller.requests.storeCallbacks[txn.ID](message.StoreResponse{Status: message.StoreOK})
 		}
-		c.effects = nil
-		if ended = len(c.frontend.finalStatuses); ended == 100 {
+		controller.effects = nil
+		if ended = len(controller.frontend.finalStatuses); ended == 100 {
 			break
 		}
 	}
-	if ended < 100 || c.shardLeader.persistence.writesInFlight != 0 || c.shardLeader.persistence.txnsInFlight != 0 {
-		t.Errorf("got %d of 100 jobs ended, with %d writes of %d transactions in flight; want all and none", ended, c.shardLeader.persistence.writesInFlight, c.shardLeader.persistence.txnsInFlight)
+	if ended < 100 || controller.shardLeader.persistence.writesInFlight != 0 || controller.shardLeader.persistence.txnsInFlight != 0 {
+		t.Errorf("got %d of 100 jobs ended, with %d writes and %d transactions in flight; want 100, 0 and 0", ended, controller.shardLeader.persistence.writesInFlight, controller.shardLeader.persistence.txnsInFlight)
 	}
 }
 
-// TestOrphanedRecordsWaitForWrites: the task records of ended jobs are not removed while the
-// rate of writes is short, unless there are more than a successor should have to read.
+// TestOrphanedRecordsWaitForWrites guards against deletions of ended jobs' task records that take a
+// short write rate from other writes, and against an unlimited number of such records: while the
+// rate is short, they are deleted only if there are more than maxOrphanedRecords, which a new shard
+// leader would have to read.
 func TestOrphanedRecordsWaitForWrites(t *testing.T) {
-	c := largePool(4)
+	controller := largePool(4)
 	removed := func() int {
-		c.effects = nil
-		c.shardLeader.persistence.writeJobEnds()
-		ops := sentTxns(c)
-		for _, op := range ops {
-			c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK})
+		controller.effects = nil
+		controller.shardLeader.persistence.writeJobEnds()
+		txns := sentTxns(controller)
+		for _, txn := range txns {
+			controller.requests.storeCallbacks[txn.ID](message.StoreResponse{Status: message.StoreOK})
 		}
-		return len(ops)
+		return len(txns)
 	}
 	for i := range maxOrphanedRecords + maxLazyWrites {
-		c.shardLeader.persistence.orphanedRecords = append(c.shardLeader.persistence.orphanedRecords, fmt.Sprintf("task/small-%d/0", i))
+		controller.shardLeader.persistence.orphanedRecords = append(controller.shardLeader.persistence.orphanedRecords, fmt.Sprintf("task/small-%d/0", i))
 	}
-	c.rateLimits.writesShort = true
-	if removed() != 1 || removed() != 0 || len(c.shardLeader.persistence.orphanedRecords) != maxOrphanedRecords {
-		t.Errorf("got %d records left while writes are short, want %d after one removal", len(c.shardLeader.persistence.orphanedRecords), maxOrphanedRecords)
+	controller.rateLimits.writesShort = true
+	if removed() != 1 || removed() != 0 || len(controller.shardLeader.persistence.orphanedRecords) != maxOrphanedRecords {
+		t.Errorf("short write rate: got %d records left, want %d after a single deletion", len(controller.shardLeader.persistence.orphanedRecords), maxOrphanedRecords)
 	}
-	c.rateLimits.writesShort = false
+	controller.rateLimits.writesShort = false
 	for range maxOrphanedRecords {
 		removed()
 	}
-	if len(c.shardLeader.persistence.orphanedRecords) != 0 {
-		t.Errorf("got %d records left, want 0", len(c.shardLeader.persistence.orphanedRecords))
+	if len(controller.shardLeader.persistence.orphanedRecords) != 0 {
+		t.Errorf("sufficient write rate: got %d records left, want 0", len(controller.shardLeader.persistence.orphanedRecords))
 	}
 }
 
-// TestStartAndEndWritesAlternate: while a hundred ends wait a start is written soon, and the
-// other way round; a job that is done is written by its end alone.
+// TestStartAndEndWritesAlternate guards against a start that waits until a hundred ends are
+// written, and against ends that wait for starts. For a job whose tasks are all done, only the end
+// is written.
 func TestStartAndEndWritesAlternate(t *testing.T) {
-	c := largePool(4)
-	c.rateLimits.allotted = message.Rates{Requests: 20, Writes: 8}
-	for _, j := range newDoneJobs(c, 100) {
-		j.markChanged(0, c.now, true)
+	controller := largePool(4)
+	controller.rateLimits.allotted = message.Rates{Requests: 20, Writes: 8}
+	for _, j := range newDoneJobs(controller, 100) {
+		j.markChanged(0, controller.now, true)
 	}
-	j := c.shardLeader.addJob(model.JobSpec{ID: "starts", Workload: "w", Team: c.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, c.now, 99)
+	j := controller.shardLeader.addJob(model.JobSpec{ID: "starts", Workload: "w", Team: controller.settings.Teams[0].Name, Tasks: 1, Need: model.Resources{CPU: 1}, ExpectedRunTime: time.Minute}, controller.now, 99)
 	j.nextFresh = 1
-	c.shardLeader.scheduler.startAttempt(j, 0, c.shardLeader.machinesByID[0])
-	c.effects = nil
+	controller.shardLeader.scheduler.startAttempt(j, 0, controller.shardLeader.machinesByID[0])
+	controller.effects = nil
 	for round := 1; !j.durable(0); round++ {
 		if round > 3 {
-			t.Fatalf("got no write of the start in %d rounds, want it within 3", round-1)
+			t.Fatalf("got no durable start after %d rounds, want it within 3", round-1)
 		}
-		c.shardLeader.persistence.writeShardLeaderRecords()
-		for _, op := range sentTxns(c) {
-			for _, a := range op.Writes {
-				if a.Key != "task/starts/0" && strings.HasPrefix(a.Key, record.TaskSegmentPrefix) && a.Value != nil {
-					t.Errorf("got %s written though its job is done, want only its end", a.Key)
+		controller.shardLeader.persistence.writeShardLeaderRecords()
+		for _, txn := range sentTxns(controller) {
+			for _, write := range txn.Writes {
+				if write.Key != "task/starts/0" && strings.HasPrefix(write.Key, record.TaskSegmentPrefix) && write.Value != nil {
+					t.Errorf("got %s written although its job is done, want only the job's end written", write.Key)
 				}
 			}
-			c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 500})
+			controller.requests.storeCallbacks[txn.ID](message.StoreResponse{Status: message.StoreOK, Revision: 500})
 		}
 	}
-	if ended := len(c.frontend.finalStatuses); ended == 0 || ended == 100 {
-		t.Errorf("got %d of 100 ends written meanwhile, want some and not all", ended)
+	if ended := len(controller.frontend.finalStatuses); ended == 0 || ended == 100 {
+		t.Errorf("got %d of 100 ends written until the start was durable, want between 1 and 99", ended)
 	}
 }
--- a/internal/controller/job_queries.go
+++ b/internal/controller/job_queries.go
@@ -10,20 +10,20 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// queryJob answers a user who asks for a job's state.
-func (f *frontend) queryJob(c message.QueryJob) {
-	if s, ok := f.finalStatuses[c.ID]; ok {
-		f.emit(withReply(f.replyWithStatus(c.ID, s), c.Reply))
+// queryJob handles a user's request for a job's state.
+func (f *frontend) queryJob(command message.QueryJob) {
+	if status, ok := f.finalStatuses[command.ID]; ok {
+		f.emit(withReply(f.replyWithStatus(command.ID, status), command.Reply))
 		return
 	}
-	if f.refuseIfUnavailable(c.Reply, c.ID, nil) {
+	if f.refuseIfUnavailable(command.Reply, command.ID, nil) {
 		return
 	}
-	f.answerFromRecord(f.newUserRequest(c.Reply, c.ID), 404, "no such job")
+	f.answerFromRecord(f.newUserRequest(command.Reply, command.ID), 404, "no such job")
 }
 
-// answerFromRecord answers with the job's state if it was ever accepted, and else with status
-// and reason.
+// answerFromRecord reads the job's record and answers the request with the job's state. If the job
+// was never accepted, it answers with the given HTTP status and reason.
 func (f *frontend) answerFromRecord(request *userRequest, status int, reason string) {
 	f.watchCache.readJob(request.id, func(lookup jobLookup) {
 		switch {
@@ -32,43 +32,43 @@
 		case lookup.accepted:
 			f.answerRequest(request, f.replyFor(request.id, lookup))
 		default:
-			r := message.UserReply{Status: status, Message: reason}
+			reply := message.UserReply{Status: status, Message: reason}
 			if status == 503 {
-				r.RetryAfter = retryAfter
+				reply.RetryAfter = retryAfter
 			}
-			f.answerRequest(request, r)
+			f.answerRequest(request, reply)
 		}
 	})
 }
 
-// replyFor is the answer from what has just been read of a job.
+// replyFor returns the reply to a user that describes a job as it has just been read.
 func (f *frontend) replyFor(id string, lookup jobLookup) message.UserReply {
-	r := lookup.rec
-	if r.Status.IsFinal() {
-		f.cacheFinalStatus(id, r.Status)
-		f.controller.promises.cacheDoneDate(id, r)
+	rec := lookup.rec
+	if rec.Status.IsFinal() {
+		f.cacheFinalStatus(id, rec.Status)
+		f.controller.promises.cacheDoneDate(id, rec)
 	}
-	reply := f.replyWithStatus(id, r.Status)
-	if r.Status == model.Done {
-		reply.Done = r.Tasks
-	} else if !r.Status.IsFinal() {
+	reply := f.replyWithStatus(id, rec.Status)
+	if rec.Status == model.Done {
+		reply.Done = rec.Tasks
+	} else if !rec.Status.IsFinal() {
 		reply = reply.WithDate(lookup.promisedDate)
 	}
 	return reply
 }
 
-// readStatusRecord gets job/<id> with a read that begins after this call. Many that wait together
-// share few reads; see internal/readbatch.
-func (f *frontend) readStatusRecord(id string, fn func(message.StoreResponse)) {
-	f.statusWaiters[id] = append(f.statusWaiters[id], fn)
+// readStatusRecord passes the record job/<id> to callback, from a read that begins after this call.
+// Concurrent calls share reads; see internal/readbatch.
+func (f *frontend) readStatusRecord(id string, callback func(message.StoreResponse)) {
+	f.statusWaiters[id] = append(f.statusWaiters[id], callback)
 	f.readBatches.Request(id)
 	f.sendReadBatches()
 }
 
-// sendReadBatches sends the reads that are due.
+// sendReadBatches sends the batched reads that are due.
 func (f *frontend) sendReadBatches() {
 	for {
-		r, ok := f.readBatches.Next()
+		read, ok := f.readBatches.Next()
 		if !ok {
 			return
 		}
@@ -80,49 +80,49 @@
 				f.sendReadBatches()
 			})
 		}
-		// The read answers those who asked before it began.
+		// The read answers the callers that asked before it began.
 		waiters := map[string][]func(message.StoreResponse){}
-		for _, id := range r.Requested() {
+		for _, id := range read.Requested() {
 			waiters[id] = f.statusWaiters[id]
 			delete(f.statusWaiters, id)
 		}
-		op := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.JobStatusPrefix + r.ID}
-		if r.IsList {
-			op.Kind, op.Key, op.StartAfter = message.OpList, record.JobStatusPrefix, record.JobStatusPrefix+r.After
+		request := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.JobStatusPrefix + read.ID}
+		if read.IsList {
+			request.Kind, request.Key, request.StartAfter = message.OpList, record.JobStatusPrefix, record.JobStatusPrefix+read.After
 		}
-		f.controller.requests.toStore(op, func(d message.StoreResponse) { f.handleReadBatch(r, d, waiters) })
+		f.controller.requests.toStore(request, func(response message.StoreResponse) { f.handleReadBatch(read, response, waiters) })
 	}
 }
 
-// handleReadBatch passes the answer of a read to those who wait for it.
-func (f *frontend) handleReadBatch(r readbatch.Read, d message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
-	ok, last, found := d.Status == message.StoreOK, "", map[string]message.KeyValue{}
-	for _, kv := range d.KeyValues {
+// handleReadBatch passes the response to a read to the callers in waiters.
+func (f *frontend) handleReadBatch(read readbatch.Read, batchResponse message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
+	succeeded, last, found := batchResponse.Status == message.StoreOK, "", map[string]message.KeyValue{}
+	for _, kv := range batchResponse.KeyValues {
 		last = strings.TrimPrefix(kv.Key, record.JobStatusPrefix)
 		found[last] = kv
 		var rec record.JobStatus
-		if r.IsList && record.Decode(kv.Value, &rec) && rec.Status.IsFinal() {
-			// An end is for good, also if nobody asked for it.
+		if read.IsList && record.Decode(kv.Value, &rec) && rec.Status.IsFinal() {
+			// A final status never changes, so it is cached even if no request asked for it.
 			f.cacheFinalStatus(last, rec.Status)
 			f.controller.promises.cacheDoneDate(last, rec)
 		}
 	}
-	settled := f.readBatches.Complete(r, ok, last, d.Truncated && last != "")
-	// What the list did not reach waits for the next read.
+	settled := f.readBatches.Complete(read, succeeded, last, batchResponse.Truncated && last != "")
+	// Jobs beyond the part of the list that was returned wait for the next read.
 	for id, callbacks := range waiters {
 		if !slices.Contains(settled, id) {
 			f.statusWaiters[id] = append(callbacks, f.statusWaiters[id]...)
 		}
 	}
 	for _, id := range settled {
-		response := d
-		if kv, listed := found[id]; r.IsList && ok && listed {
+		response := batchResponse
+		if kv, listed := found[id]; read.IsList && succeeded && listed {
 			response.KeyValues = []message.KeyValue{kv}
-		} else if r.IsList && ok {
+		} else if read.IsList && succeeded {
 			response.Status, response.KeyValues = message.StoreNotFound, nil
 		}
-		for _, fn := range waiters[id] {
-			fn(response)
+		for _, callback := range waiters[id] {
+			callback(response)
 		}
 	}
 	f.sendReadBatches()
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -8,60 +8,64 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// applyOpenJob applies a change of a job's record in open/, be it new, changed or deleted.
-func (s *shardLeader) applyOpenJob(it message.KeyValue) {
-	id := record.JobIDFromKey(it.Key, record.OpenJobPrefix)
+// applyOpenJob applies a created, changed or deleted record in open/ to the shard leader's jobs.
+func (s *shardLeader) applyOpenJob(change message.KeyValue) {
+	id := record.JobIDFromKey(change.Key, record.OpenJobPrefix)
 	j := s.jobs[id]
-	if it.Deleted {
+	if change.Deleted {
 		if j != nil && j.elsewhere() {
-			// The leader has settled it, after it heard from the peer cluster.
+			// The job was lent to a peer cluster. Its shard leader deleted the record after the
+			// peer had reported the outcome.
 			delete(s.jobs, id)
 		}
 		return
 	}
-	if j != nil && it.ModRevision <= j.modRevision {
+	if j != nil && change.ModRevision <= j.modRevision {
 		return
 	}
 	if _, ended := s.controller.frontend.finalStatuses[id]; ended && j == nil && s.controller.frontend.finalStatuses[id] == model.Done {
 		return
 	}
-	var r record.OpenJob
-	if !record.Decode(it.Value, &r) {
-		s.rejectInput("record", it.Key, "record unreadable")
+	var openRecord record.OpenJob
+	if !record.Decode(change.Value, &openRecord) {
+		s.rejectInput("record", change.Key, "record unreadable")
 		return
 	}
-	if err := r.Validate(); err != nil {
-		// The job stays queued until somebody mends the record or cancels it.
-		s.rejectInput("record", it.Key, err.Error())
+	if err := openRecord.Validate(); err != nil {
+		// The job stays queued until an operator repairs the record or cancels the job.
+		s.rejectInput("record", change.Key, err.Error())
 		return
 	}
 	if j == nil {
-		// An earlier format kept nothing of a cancelled job but that it is cancelled.
-		held := s.teams[r.Team]
-		if (!r.Cancelled || r.Team != "") && (held == nil || !held.ready) || !s.ready {
-			// Another shard's, or it comes when the team's records have been read.
+		// In an earlier format, the record of a cancelled job contains only the cancellation and
+		// thus no team.
+		held := s.teams[openRecord.Team]
+		if (!openRecord.Cancelled || openRecord.Team != "") && (held == nil || !held.ready) || !s.ready {
+			// The job belongs to another shard, or it is added once the records of its team have
+			// been read.
 			return
 		}
-		spec := r.JobSpec(id)
-		if r.Cancelled {
-			spec.Tasks = r.Tasks
+		spec := openRecord.JobSpec(id)
+		if openRecord.Cancelled {
+			spec.Tasks = openRecord.Tasks
 		}
-		// It has just come, and its waits are measured by this controller's clock; another's
-		// may be a second off.
-		j = s.addJob(spec, s.now, it.ModRevision)
-		if !r.Cancelled {
+		// The job is new, and its waiting times are measured by this controller's clock. The clock
+		// of the controller that accepted it may be a second off.
+		j = s.addJob(spec, s.now, change.ModRevision)
+		if !openRecord.Cancelled {
 			s.fleet.recordArrival(j)
 		}
-		j.setLoanFrom(&r)
+		j.setLoanFrom(&openRecord)
 		s.controller.promises.noteBaseQuote(j)
 	}
-	s.applyJobRecord(j, it.ModRevision, &r)
+	s.applyJobRecord(j, change.ModRevision, &openRecord)
 	s.scheduler.requestPlacement()
 }
 
-// addJob adds a job that was submitted at a time, with the mod revision of its record.
-func (s *shardLeader) addJob(spec model.JobSpec, at time.Time, modRevision uint64) *job {
-	j := newJob(spec, at, modRevision, s.settings.currentMaxValueBytes())
+// addJob adds a job that was submitted at the given time. modRevision is that of its record in
+// open/.
+func (s *shardLeader) addJob(spec model.JobSpec, submittedAt time.Time, modRevision uint64) *job {
+	j := newJob(spec, submittedAt, modRevision, s.settings.currentMaxValueBytes())
 	j.segmentFormat = s.controller.membership.formats.currentFormat()
 	s.jobs[j.ID] = j
 	if j.Workload != "" {
@@ -73,17 +77,18 @@
 	return j
 }
 
-// applyJobRecord applies a job's record in open/ as it is now to the job.
-func (s *shardLeader) applyJobRecord(j *job, modRevision uint64, r *record.OpenJob) {
+// applyJobRecord updates a job from its current record in open/.
+func (s *shardLeader) applyJobRecord(j *job, modRevision uint64, openRecord *record.OpenJob) {
 	id := j.ID
 	j.modRevision = modRevision
-	j.setLoanFrom(r)
-	s.controller.promises.notePromiseRecord(j, r)
-	if r.Cancelled {
-		// Whoever wrote this has written the record in job/ with it.
+	j.setLoanFrom(openRecord)
+	s.controller.promises.notePromiseRecord(j, openRecord)
+	if openRecord.Cancelled {
+		// The transaction that wrote this record also wrote the cancellation to the job's record
+		// in job/.
 		j.cancelDerived = false
 	}
-	if r.Cancelled && !j.cancelled {
+	if openRecord.Cancelled && !j.cancelled {
 		j.cancelled = true
 		s.controller.frontend.cacheFinalStatus(id, model.Cancelled)
 		for i := range j.tasks[:j.nextFresh] {
@@ -95,7 +100,7 @@
 	}
 }
 
-// removeJob drops a job whose end is recorded.
+// removeJob drops a job whose end is durable.
 func (s *shardLeader) removeJob(j *job) {
 	if s.jobs[j.ID] == j {
 		delete(s.jobs, j.ID)
@@ -103,15 +108,16 @@
 	s.faultAttribution.ForgetJob(j.ID)
 }
 
-// observeOwnWrite applies a record that this controller wrote to its shard leader at once,
-// unless the watch cache is newer: the answer may come after the job was cancelled and over.
-func (c *Controller) observeOwnWrite(it message.KeyValue) {
-	if c.shardLeader != nil && it.ModRevision > c.frontend.watchCache.revision {
-		c.shardLeader.applyOpenJob(it)
+// observeOwnWrite applies a record that this controller has written to its shard leader without
+// waiting for the watch. It ignores the record if the watch cache is newer, since the store's
+// response may arrive after the job was cancelled and removed.
+func (c *Controller) observeOwnWrite(written message.KeyValue) {
+	if c.shardLeader != nil && written.ModRevision > c.frontend.watchCache.revision {
+		c.shardLeader.applyOpenJob(written)
 	}
 }
 
-// workload is what is known of a workload by its newest job.
+// workload describes a workload by the spec of its newest job.
 type workload struct {
 	spec     *model.JobSpec
 	lastSeen time.Time
--- a/internal/controller/job_validation.go
+++ b/internal/controller/job_validation.go
@@ -8,40 +8,41 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// openRecordReserve is the space left in a job's open record for what is added later: that it is
-// cancelled, lent or borrowed. In bytes.
+// openRecordReserve is the space, in bytes, that stays free in a job's open record for fields that
+// are added later, when the job is cancelled, lent or borrowed.
 const openRecordReserve = 256
 
-// validateSpec says why a job can never run here, as an HTTP status and a reason; 0 if it can.
-func (f *frontend) validateSpec(s *model.JobSpec) (int, string) {
+// validateSpec checks whether a job can ever run in this cluster. It returns 0 if so, and otherwise
+// an HTTP status and the reason.
+func (f *frontend) validateSpec(spec *model.JobSpec) (int, string) {
 	var team *model.Team
 	for i := range f.settings.Teams {
-		if f.settings.Teams[i].Name == s.Team {
+		if f.settings.Teams[i].Name == spec.Team {
 			team = &f.settings.Teams[i]
 		}
 	}
 	if team == nil {
-		return 422, "unknown owner " + s.Team
+		return 422, "unknown owner " + spec.Team
 	}
-	eligible := f.eligibleTypesFor(s)
+	eligible := f.eligibleTypesFor(spec)
 	if len(eligible.machineTypes) == 0 {
 		return 422, "a task fits no allowed flavour"
 	}
-	if s.Gang && s.SpreadZones && s.Tasks > 1 && (s.SameZone || len(eligible.zones) == 1) {
+	if spec.Gang && spec.SpreadZones && spec.Tasks > 1 && (spec.SameZone || len(eligible.zones) == 1) {
 		return 422, "tasks that start together cannot be apart in one zone"
 	}
 	count := 1.0
-	if s.LongRunning || s.Gang {
-		count = float64(s.Tasks)
+	if spec.LongRunning || spec.Gang {
+		count = float64(spec.Tasks)
 	}
-	all := model.Resources{}.AddScaled(s.Need, count)
-	if (team.QuotaLimit.CPU > 0 && all.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && all.GPU > team.QuotaLimit.GPU+roundingTolerance) {
+	total := model.Resources{}.AddScaled(spec.Need, count)
+	if (team.QuotaLimit.CPU > 0 && total.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && total.GPU > team.QuotaLimit.GPU+roundingTolerance) {
 		return 422, "the job needs more than its owner's limit"
 	}
-	if reason := f.validateDependencies(s); reason != "" {
+	if reason := f.validateDependencies(spec); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(s, f.now))); err != nil || size+openRecordReserve > f.settings.MaxValueBytes {
+	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(spec, f.now))); err != nil || size+openRecordReserve > f.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -51,36 +52,39 @@
 type eligibleTypes struct {
 	machineTypes []string
 	zones        map[string]bool
-	// excludedByDisk: other allowed types would fit but for the size of its image.
+	// excludedByDisk: the job also allows machine types that would fit a task but whose disks are
+	// smaller than its image.
 	excludedByDisk bool
 }
 
-// eligibleTypesFor finds which of the types and zones that a job allows exist and fit a task.
-func (f *frontend) eligibleTypesFor(s *model.JobSpec) eligibleTypes {
-	out := eligibleTypes{zones: map[string]bool{}}
+// eligibleTypesFor returns the machine types and zones that the job allows, that exist, and that
+// fit a task of the job.
+func (f *frontend) eligibleTypesFor(spec *model.JobSpec) eligibleTypes {
+	eligible := eligibleTypes{zones: map[string]bool{}}
 	for _, name := range sortedKeys(f.controller.knowledge.machineTypes) {
 		machineType := f.controller.knowledge.machineTypes[name]
-		zones := slices.DeleteFunc(slices.Clone(machineType.Zones), func(z string) bool { return s.Zone != "" && s.Zone != z })
-		allowed := len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)
+		zones := slices.DeleteFunc(slices.Clone(machineType.Zones), func(zone string) bool { return spec.Zone != "" && spec.Zone != zone })
+		allowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, name)
 		switch {
-		case !allowed || len(zones) == 0 || !s.Need.Fits(machineType.Capacity):
-		case machineType.DiskGB > 0 && s.ImageGB > machineType.DiskGB:
-			out.excludedByDisk = true
+		case !allowed || len(zones) == 0 || !spec.Need.Fits(machineType.Capacity):
+		case machineType.DiskGB > 0 && spec.ImageGB > machineType.DiskGB:
+			eligible.excludedByDisk = true
 		default:
-			out.machineTypes = append(out.machineTypes, name)
-			for _, z := range zones {
-				out.zones[z] = true
+			eligible.machineTypes = append(eligible.machineTypes, name)
+			for _, zone := range zones {
+				eligible.zones[zone] = true
 			}
 		}
 	}
-	return out
+	return eligible
 }
 
-// restrictToFittingDisks narrows a job's machine types to those whose disks have space for its
-// image: placement and scale-out look at nothing but what it allows.
-func (f *frontend) restrictToFittingDisks(s model.JobSpec) model.JobSpec {
-	if eligible := f.eligibleTypesFor(&s); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
-		s.MachineTypes = eligible.machineTypes
+// restrictToFittingDisks returns the spec with its machine types narrowed to those whose disks have
+// space for its image. Placement and scale-out do not check disks; they only check which types the
+// job allows.
+func (f *frontend) restrictToFittingDisks(spec model.JobSpec) model.JobSpec {
+	if eligible := f.eligibleTypesFor(&spec); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
+		spec.MachineTypes = eligible.machineTypes
 	}
-	return s
+	return spec
 }
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -9,9 +9,10 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// stopReason is why a live attempt is to be stopped.
+// stopReason is why the shard leader wants to stop a live attempt.
 type stopReason uint8
 
+// The reasons for stopping an attempt. stopNone means that the attempt is to continue.
 const (
 	stopNone stopReason = iota
 	stopCancel
@@ -20,20 +21,20 @@
 	stopDrain
 )
 
-// task is one task of a job. Its attempt is live while machine is set: from the decision to
-// start it there until there is proof that it is gone.
+// task is one task of a job. Its attempt is live while machine is set, which is from the
+// decision to start the attempt there until the shard leader has proof that the attempt is gone.
 type task struct {
-	// attempt counts from 1; 0: never placed. groupStart is when it was placed, in
-	// milliseconds, and names its group.
+	// attempt counts from 1; 0 means that the task was never placed. groupStart is the Unix time
+	// in milliseconds at which the attempt was placed. It identifies the attempt's group.
 	attempt    uint64
 	machine    *machine
 	groupStart int64
 	// version is the segment version at which the task last changed.
 	version uint64
-	// rankingRevision is the mod revision of the ranking under which it was placed.
+	// rankingRevision is the mod revision of the ranking under which the task was placed.
 	rankingRevision uint64
 
-	// startedAt is when it was first reported as running, or zero.
+	// startedAt is when the worker first reported the attempt as running, or zero.
 	startedAt    time.Time
 	avoidMachine string
 	notBefore    time.Time
@@ -41,35 +42,35 @@
 	failures     int
 	preemptions  int
 
-	// status is what the worker last reported, if reported.
+	// status is the status that the worker last reported. It is valid only if reported is set.
 	status model.TaskStatus
-	// missedStarts counts the heartbeats in a row that did not show it though its start was
-	// sent.
+	// missedStarts counts the consecutive heartbeats that did not list the attempt although its
+	// start had been sent.
 	missedStarts uint8
-	// startSent: a start may be in flight. startUnanswered: one was surely sent and had no
-	// answer. reported: the worker has reported the attempt.
+	// startSent: a start command may be in flight. startUnanswered: a start command was certainly
+	// sent and got no answer. reported: the worker has reported the attempt.
 	startSent       bool
 	startUnanswered bool
 	reported        bool
 	stopReason      stopReason
 	relaunched      bool
-	// inherited: a former shard leader started it, so this one does not know when it began
-	// to run.
+	// inherited: a former shard leader started the attempt, so this shard leader does not know
+	// when it began to run.
 	inherited bool
 	done      bool
 }
 
-// group is the tasks of a job that were started together.
+// group is a set of tasks of one job that were started together.
 type group struct {
 	startedAt       time.Time
 	tasks           []int
 	relaunchDecided bool
-	// finishedBefore counts, by segment, the tasks that were done under a former shard leader
-	// and are not among tasks.
+	// finishedBefore counts, by segment, the tasks of the group that finished under a former
+	// shard leader. They are not listed in tasks.
 	finishedBefore map[int]int64
 }
 
-// size is how many tasks were started together.
+// size returns how many tasks were started together.
 func (g *group) size() int {
 	size := len(g.tasks)
 	for _, count := range g.finishedBefore {
@@ -78,84 +79,89 @@
 	return size
 }
 
-// taskSegment is the durable record of some consecutive tasks.
+// taskSegment is the state of a task segment: a durable record that covers a range of
+// consecutive tasks of a job.
 type taskSegment struct {
 	index int
-	// modRevision is that of its record, 0 if there is none.
+	// modRevision is the mod revision of the stored record, or 0 if no record is stored.
 	modRevision uint64
-	// version counts the changes. The others are the versions that are durable, that were
-	// last sent, and that the store called malformed.
+	// version counts the changes to the segment's tasks. persistedVersion is the version that is
+	// durable, inFlightVersion the one that was last sent to the store, and rejectedVersion the
+	// one that the store rejected as malformed.
 	version          uint64
 	persistedVersion uint64
 	inFlightVersion  uint64
 	rejectedVersion  uint64
 	writeInFlight    bool
-	// rankingRevision is the mod revision of the ranking that the record of its last starts
-	// names.
+	// rankingRevision is the mod revision of the ranking that is named in the record of the
+	// segment's most recent starts.
 	rankingRevision uint64
-	// writeAlone: a transaction that it shared was malformed, so it gets one of its own.
+	// writeAlone: the store rejected a transaction that held this and other segments as malformed,
+	// so this segment is written in a transaction of its own.
 	writeAlone bool
-	// urgent: a start waits for the write. Otherwise it may wait, from changedSince on, and
-	// share a transaction.
+	// urgent: a start waits for the write. A write that is not urgent may be delayed, counted from
+	// changedSince, in order to share a transaction.
 	urgent       bool
 	changedSince time.Time
 }
 
-// job is an open job of this shard leader's shards.
+// job is an open job in one of this shard leader's shards.
 type job struct {
 	model.JobSpec
 	submittedAt time.Time
-	// modRevision is that of the open record.
+	// modRevision is the mod revision of the job's record in open/.
 	modRevision uint64
 	cancelled   bool
-	// ending: its end is being written. endWriteAlone: a transaction that its end shared was
-	// malformed.
+	// ending: the job's end is being written. endWriteAlone: the store rejected a transaction that
+	// held the ends of this and other jobs as malformed, so this end is written alone.
 	ending        bool
 	endWriteAlone bool
 
-	// segmentFormat is how the tasks are divided among segments. formerKeys are keys of
-	// records of other formats, which are deleted with the job. covered, during recovery,
-	// are the tasks of which such records say nothing that counts.
+	// segmentFormat is how the tasks are divided into segments. formerKeys are the keys of
+	// segment records in other formats, which are deleted with the job. covered is set during
+	// recovery only: for the tasks marked in it, records in other formats are ignored.
 	segmentFormat
 	formerKeys []string
 	covered    []bool
 	tasks      []task
 	segments   map[int]*taskSegment
-	// unpersisted: some segment may have changed since it was written.
+	// unpersisted: some segment may have changed since it was last written.
 	unpersisted bool
 
-	// Tasks from nextFresh on have never been placed; requeued ones wait for another
-	// attempt.
+	// Tasks with an index of nextFresh or above have never been placed. The tasks in requeued
+	// wait for another attempt.
 	nextFresh int
 	requeued  []int
 	doneTasks int
-	// liveTasks counts the live attempts, liveByZone by zone, and runningTasks those that
-	// are reported as running.
+	// liveTasks counts the live attempts, liveByZone counts them by zone, and runningTasks
+	// counts those that workers report as running.
 	liveTasks    int
 	liveByZone   map[string]int
 	runningTasks int
-	// groups are by groupStart.
+	// groups maps groupStart to the group.
 	groups map[int64]*group
 
-	// recentRunTimes are the last finished run times, in the order of their ends;
-	// sortedRunTimes are all of them by length, for the median.
+	// recentRunTimes are the run times of the tasks that finished last, in the order in which
+	// they finished. sortedRunTimes are the run times of all finished tasks, shortest first, for
+	// the median.
 	recentRunTimes []time.Duration
 	sortedRunTimes []time.Duration
 
-	// notBefore is when a job that fails everywhere may be tried again.
+	// notBefore is the earliest time at which a job that fails everywhere may be tried again.
 	notBefore time.Time
-	// lastPreemptionScan is when it last looked for victims of preemption, and
-	// preemptionCapacity for how many of its tasks their end makes free capacity.
+	// lastPreemptionScan is when the scheduler last searched for tasks to preempt for this job.
+	// preemptionCapacity is for how many of the job's tasks the preempted tasks free capacity.
 	lastPreemptionScan time.Time
 	preemptionCapacity int
-	// overdue: it has waited behind others for longer than it may. placingOverdue: what goes
-	// first for that is being placed. lastPlacedAt is when a task was last placed, and
-	// waitingSince since when some task has been waiting without a break.
+	// overdue: the job has waited behind other jobs for longer than its bound. placingOverdue: the
+	// tasks that go first because the job is overdue are being placed. lastPlacedAt is when a
+	// task of the job was last placed. waitingSince is the start of the period in which at least
+	// one task has been waiting continuously.
 	overdue, placingOverdue    bool
 	lastPlacedAt, waitingSince time.Time
 
 	lastPublished message.Progress
-	// rankingPlace is its place in the table of rankingVersion.
+	// rankingPlace is the job's cached place in the ranking table with version rankingVersion.
 	rankingPlace, rankingVersion int
 
 	dependencyState
@@ -163,17 +169,20 @@
 	dateState
 }
 
-func newJob(spec model.JobSpec, at time.Time, modRevision uint64, valueBytes int) *job {
+// newJob returns a job without placed tasks that was submitted at the given time. valueBytes is
+// the store's limit for a value, which bounds the tasks of a segment.
+func newJob(spec model.JobSpec, submittedAt time.Time, modRevision uint64, valueBytes int) *job {
 	return &job{
-		JobSpec: spec, submittedAt: at, modRevision: modRevision, segmentFormat: segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(valueBytes)},
+		JobSpec: spec, submittedAt: submittedAt, modRevision: modRevision, segmentFormat: segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(valueBytes)},
 		tasks:    make([]task, spec.Tasks),
 		segments: map[int]*taskSegment{}, groups: map[int64]*group{}, liveByZone: map[string]int{},
 	}
 }
 
-// grow adds tasks, where a record of an earlier format did not say how many there are. Machines
-// point to the tasks, which move here: without new pointers, the attempts of a cancelled job
-// would stay in a copy that nothing stops.
+// grow extends the job to the given number of tasks. It is needed where a record of an earlier
+// format does not contain the task count. Growing the slice may move the tasks in memory, so grow
+// also updates the machines' pointers to them. Otherwise the machines would keep attempts of a
+// cancelled job in a stale copy, and nothing would stop these attempts.
 func (j *job) grow(tasks int) {
 	j.tasks = append(j.tasks, make([]task, tasks-len(j.tasks))...)
 	for i := range j.tasks {
@@ -183,29 +192,29 @@
 	}
 }
 
-// progress is the count of tasks for users.
+// progress returns the task counts that users see.
 func (j *job) progress() message.Progress {
 	return message.Progress{ID: j.ID, Done: j.doneTasks, Running: j.runningTasks}
 }
 
-// isRunning says that a worker reports the attempt as running.
+// isRunning reports whether a worker reports the attempt as running.
 func (t *task) isRunning() bool { return t.machine != nil && t.reported && t.status == model.Running }
 
-// recordRunTime notes the run time of a task that is done.
-func (j *job) recordRunTime(d time.Duration) {
-	i, _ := slices.BinarySearch(j.sortedRunTimes, d)
-	j.sortedRunTimes = slices.Insert(j.sortedRunTimes, i, d)
-	j.recentRunTimes = append(j.recentRunTimes, d)
+// recordRunTime records the run time of a finished task.
+func (j *job) recordRunTime(runTime time.Duration) {
+	i, _ := slices.BinarySearch(j.sortedRunTimes, runTime)
+	j.sortedRunTimes = slices.Insert(j.sortedRunTimes, i, runTime)
+	j.recentRunTimes = append(j.recentRunTimes, runTime)
 	if len(j.recentRunTimes) > 2*keptRunTimes {
 		j.recentRunTimes = slices.Clone(j.recentRunTimes[len(j.recentRunTimes)-keptRunTimes:])
 	}
 }
 
-// keptRunTimes is how many of the last run times a segment's record has: enough for a
-// successor's median.
+// keptRunTimes is how many of the most recent run times a segment's record contains. They are
+// enough for the next shard leader to compute a median.
 const keptRunTimes = 16
 
-// segmentOf is the segment of task i, made if there is none.
+// segmentOf returns the segment of task i and creates it if it does not exist.
 func (j *job) segmentOf(i int) *taskSegment {
 	seg := j.segments[i/j.tasksPerSegment]
 	if seg == nil {
@@ -215,9 +224,11 @@
 	return seg
 }
 
+// segmentKey returns the key of the segment's record in the store.
 func (j *job) segmentKey(seg *taskSegment) string { return j.keyOf(j.ID, seg.index) }
 
-// markChanged notes that task i changed and has to be written; urgent: something waits for that.
+// markChanged records that task i changed and has to be written. urgent says that a start or the
+// job's end waits for the write.
 func (j *job) markChanged(i int, now time.Time, urgent bool) {
 	seg := j.segmentOf(i)
 	if seg.version == seg.inFlightVersion || seg.version == seg.persistedVersion {
@@ -229,13 +240,13 @@
 	j.tasks[i].version = seg.version
 }
 
-// durable says whether the last change of task i is in the store.
+// durable reports whether the last change of task i is in the store.
 func (j *job) durable(i int) bool {
 	seg := j.segments[i/j.tasksPerSegment]
 	return seg != nil && j.tasks[i].version <= seg.persistedVersion
 }
 
-// pendingTasks counts the tasks that wait for placement.
+// pendingTasks returns the number of tasks that wait for placement.
 func (j *job) pendingTasks() int {
 	if j.cancelled || j.ending || j.dependenciesPending || j.elsewhere() {
 		return 0
@@ -243,15 +254,16 @@
 	return len(j.tasks) - j.nextFresh + len(j.requeued)
 }
 
-// takePending returns the next task to place, or -1.
+// takePending removes the next task to place from the queue and returns its index, or -1 if no
+// task may be placed at this time.
 func (j *job) takePending(now time.Time) int {
-	for k, i := range j.requeued {
+	for position, i := range j.requeued {
 		if !j.tasks[i].notBefore.After(now) {
-			if k == 0 {
-				// The usual case: nothing of a long queue has to be moved.
+			if position == 0 {
+				// The usual case: reslicing avoids moving the elements of a long queue.
 				j.requeued = j.requeued[1:]
 			} else {
-				j.requeued = slices.Delete(j.requeued, k, k+1)
+				j.requeued = slices.Delete(j.requeued, position, position+1)
 			}
 			return i
 		}
@@ -263,9 +275,9 @@
 	return -1
 }
 
-// avoidedMachine is the machine that none of the job's waiting tasks may go to, if there is
-// one. Its free capacity is none for them: a simulation that counted on it would have them
-// wait for ever.
+// avoidedMachine returns the machine on which none of the job's waiting tasks may be placed, or ""
+// if no machine is excluded for all of them. A simulation must not count this machine's free
+// capacity for the job; otherwise the tasks would wait for it forever.
 func (j *job) avoidedMachine() string {
 	if j.nextFresh < len(j.tasks) || len(j.requeued) == 0 {
 		return ""
@@ -279,18 +291,19 @@
 	return avoided
 }
 
-// avoids says that the task has to go elsewhere: it failed there, or was too slow. One that has
-// failed in many places may go anywhere.
+// avoids reports whether the task must not be placed on the machine because it failed or was too
+// slow there. A task with jobFaultFailures failures or more may be placed on any machine.
 func (t *task) avoids(machine string) bool {
 	return t.avoidMachine == machine && t.failures < jobFaultFailures
 }
 
-// jobFaultFailures is how many failures make a fault of the job itself likely.
+// jobFaultFailures is the number of failures of a task from which on a fault of the job itself is
+// more likely than a fault of the machine.
 const jobFaultFailures = 4
 
-// segmentRecord is the record of a segment as it is now.
+// segmentRecord returns the record to store for the current state of a segment.
 func (j *job) segmentRecord(seg *taskSegment) record.TaskSegment {
-	r := record.TaskSegment{RankingRevision: seg.rankingRevision}
+	rec := record.TaskSegment{RankingRevision: seg.rankingRevision}
 	first, end := seg.index*j.tasksPerSegment, min((seg.index+1)*j.tasksPerSegment, len(j.tasks))
 	groups := map[int64]bool{}
 	finished := map[int64]int64{}
@@ -299,39 +312,40 @@
 		switch {
 		case t.done:
 			finished[t.groupStart]++
-			if k := len(r.DoneRanges); k > 0 && r.DoneRanges[k-1] == i-1 {
-				r.DoneRanges[k-1] = i
+			if k := len(rec.DoneRanges); k > 0 && rec.DoneRanges[k-1] == i-1 {
+				rec.DoneRanges[k-1] = i
 			} else {
-				r.DoneRanges = append(r.DoneRanges, i, i)
+				rec.DoneRanges = append(rec.DoneRanges, i, i)
 			}
 		case t.attempt > 0:
-			row := record.TaskEntry{Index: i, Try: t.attempt, Group: t.groupStart, Relaunched: t.relaunched}
+			entry := record.TaskEntry{Index: i, Try: t.attempt, Group: t.groupStart, Relaunched: t.relaunched}
 			if t.machine != nil {
-				row.Machine = t.machine.id
+				entry.Machine = t.machine.id
 			}
-			r.Rows = append(r.Rows, row)
+			rec.Rows = append(rec.Rows, entry)
 			groups[t.groupStart] = true
 		}
 	}
-	for g := range groups {
-		if group := j.groups[g]; group != nil && group.relaunchDecided {
-			r.RelaunchedGroups = append(r.RelaunchedGroups, g)
+	for groupID := range groups {
+		if group := j.groups[groupID]; group != nil && group.relaunchDecided {
+			rec.RelaunchedGroups = append(rec.RelaunchedGroups, groupID)
 		}
 	}
-	slices.Sort(r.RelaunchedGroups)
+	slices.Sort(rec.RelaunchedGroups)
 	for _, id := range sortedKeys(j.groups) {
 		if count := finished[id] + j.groups[id].finishedBefore[seg.index]; count > 0 {
-			r.FinishedInGroups = append(r.FinishedInGroups, id, count)
+			rec.FinishedInGroups = append(rec.FinishedInGroups, id, count)
 		}
 	}
-	r.FactorMachinePrefix()
+	rec.FactorMachinePrefix()
 	for _, d := range j.recentRunTimes[max(0, len(j.recentRunTimes)-keptRunTimes):] {
-		r.RunTimes = append(r.RunTimes, d.Milliseconds())
+		rec.RunTimes = append(rec.RunTimes, d.Milliseconds())
 	}
-	return r
+	return rec
 }
 
-// medianRunTime is the median of the job's run times, and false if no task is done.
+// medianRunTime returns the median run time of the job's finished tasks, and false if no task has
+// finished.
 func (j *job) medianRunTime() (time.Duration, bool) {
 	if len(j.sortedRunTimes) == 0 {
 		return 0, false
@@ -339,7 +353,8 @@
 	return j.sortedRunTimes[len(j.sortedRunTimes)/2], true
 }
 
-// allowsMachine says whether a task of the job may ever start on such a machine.
+// allowsMachine reports whether the job's constraints permit its tasks on a machine of the given
+// type and zone. spot says that the machine is a spot machine.
 func (j *job) allowsMachine(machineType, zone string, spot bool) bool {
 	if len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, machineType) {
 		return false
@@ -350,17 +365,17 @@
 	return j.AllowSpot || !spot
 }
 
-// zoneAllowed says whether affinity (same_place) and anti-affinity (apart) let a task start in
-// a zone, beside the job's live tasks.
+// zoneAllowed reports whether zone affinity (same_place) and anti-affinity (apart) permit another
+// task in a zone, given the zones of the job's live tasks.
 func (j *job) zoneAllowed(zone string) bool {
 	if j.SpreadZones && j.liveByZone[""] > 0 {
 		// After a failover the zone of a machine is unknown until its first heartbeat or
-		// the cloud's list. For affinity that counts as another zone, below.
+		// the cloud's next list. For affinity, below, an unknown zone counts as a different zone.
 		return false
 	}
 	if j.SameZone && j.liveTasks > 0 {
-		for z, tasks := range j.liveByZone {
-			if tasks > 0 && z != zone {
+		for otherZone, tasks := range j.liveByZone {
+			if tasks > 0 && otherZone != zone {
 				return false
 			}
 		}
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -10,66 +10,69 @@
 	"github.com/micahill/micahill/internal/remote"
 )
 
-// maxCommands bounds the commands in one answer or request to a worker, whose body may have
-// 64 KiB: a command takes some 70 bytes and its job's name.
+// maxCommands bounds the commands in one response or request to a worker. The body may have 64 KiB,
+// and a command takes about 70 bytes plus the job's name.
 const maxCommands = 500
 
-// dispatcher decides which commands a worker gets, from its newest heartbeat and from what
-// should run there, and sends those that can't wait for the next heartbeat.
+// dispatcher compares the tasks in a worker's newest heartbeat with the attempts that should run
+// there, and derives the commands for the worker. It sends the commands that can't wait for the
+// response to the next heartbeat.
 //
-// It is part of a shardLeader and its methods are called only while that one leads: by Step
-// (dispatchAll) and with each heartbeat (pendingCommands). It has nothing to hand over at
-// failover: a successor reconciles from the records and the heartbeats.
+// It is part of a shardLeader, and its methods are called only while that shardLeader leads: by
+// Step (dispatchAll) and for each heartbeat (pendingCommands). It has no state to hand over at
+// failover: the next shard leader reconciles from the records and the heartbeats.
 //
-// Invariant: a start is sent only for a durable attempt, and only as long as this
-// controller would know in time of a cancellation.
+// Invariant: a start is sent only for a durable attempt, and only as long as this controller would
+// learn of the job's cancellation in time.
 type dispatcher struct {
 	component
 
-	// dirtyMachines are those with dispatchPending set.
+	// dirtyMachines are the machines with dispatchPending set.
 	dirtyMachines []*machine
 }
 
-// markDispatchPending notes that there may be commands for m. To go through all machines
-// after every batch of inputs would cost a large pool more than its heartbeats do.
+// markDispatchPending records that there may be commands for m. In a large pool, checking all
+// machines after every batch of inputs would cost more than handling their heartbeats.
 func (c *Controller) markDispatchPending(m *machine) {
-	if s := c.shardLeader; s != nil && !m.dispatchPending {
+	if leader := c.shardLeader; leader != nil && !m.dispatchPending {
 		m.dispatchPending = true
-		s.dispatcher.addDirty(m)
+		leader.dispatcher.addDirty(m)
 	}
 }
 
-// addDirty has dispatchAll look at m.
-func (d *dispatcher) addDirty(m *machine) { d.dirtyMachines = append(d.dirtyMachines, m) }
+// addDirty adds m to the machines that dispatchAll checks.
+func (dispatcher *dispatcher) addDirty(m *machine) {
+	dispatcher.dirtyMachines = append(dispatcher.dirtyMachines, m)
+}
 
-// dispatchAll sends the commands that are due.
-func (d *dispatcher) dispatchAll() {
-	if len(d.dirtyMachines) == 0 {
+// dispatchAll sends the commands that are due to the machines marked by markDispatchPending.
+func (dispatcher *dispatcher) dispatchAll() {
+	if len(dispatcher.dirtyMachines) == 0 {
 		return
 	}
-	slices.SortFunc(d.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
-	machines := d.dirtyMachines
-	d.dirtyMachines = nil
+	slices.SortFunc(dispatcher.dirtyMachines, func(a, b *machine) int { return strings.Compare(a.id, b.id) })
+	machines := dispatcher.dirtyMachines
+	dispatcher.dirtyMachines = nil
 	for _, m := range machines {
 		if m.removed {
 			continue
 		}
 		if m.dispatchPending {
-			d.dispatch(m)
+			dispatcher.dispatch(m)
 		}
 		if m.dispatchPending {
-			d.dirtyMachines = append(d.dirtyMachines, m)
+			dispatcher.dirtyMachines = append(dispatcher.dirtyMachines, m)
 		}
 	}
 }
 
-// noStartInFlight says that no start for m is in flight.
-func (d *dispatcher) noStartInFlight(m *machine) bool {
+// noStartInFlight reports whether it is certain that no start for m is in flight.
+func (dispatcher *dispatcher) noStartInFlight(m *machine) bool {
 	return m.seenEpoch >= m.epoch && m.unackedStartEpoch == 0 && m.replySequence == 0 && !m.dispatchInFlight
 }
 
-// waitsForStartProof says that a start without an answer keeps m from being settled: something
-// there can only be cleared or given up when no start is in flight.
+// waitsForStartProof reports whether an unanswered start keeps m from being settled: m has a task
+// to clear or an attempt to give up, which is possible only when no start is in flight.
 func (m *machine) waitsForStartProof(registry *remote.Registry) bool {
 	if registry.HasUnreported(m.id) {
 		return true
@@ -79,55 +82,56 @@
 			return true
 		}
 	}
-	for _, p := range m.taskReports {
-		if p.Status == model.Ended {
+	for _, report := range m.taskReports {
+		if report.Status == model.Ended {
 			return true
 		}
 	}
 	return false
 }
 
-// reconcile is what the worker has to do, from its newest heartbeat and what should run
-// there. A repeated command does no harm, except for a start after its clear: so a clear
-// waits until no start can be in flight.
-func (d *dispatcher) reconcile(m *machine) []model.TaskCommand {
-	return d.pendingCommands(m, m.settled())
+// reconcile returns the commands that bring the worker from the state in its newest heartbeat to
+// the state that it should have. Commands may be repeated, with one exception: a start that arrives
+// after the clear of the same attempt would run it again. So a clear waits until no start can be in
+// flight.
+func (dispatcher *dispatcher) reconcile(m *machine) []model.TaskCommand {
+	return dispatcher.pendingCommands(m, m.settled())
 }
 
-// pendingCommands is reconcile for a caller that knows whether the machine is settled.
-func (d *dispatcher) pendingCommands(m *machine, settled bool) []model.TaskCommand {
+// pendingCommands is like reconcile, for a caller that knows whether the machine is settled.
+func (dispatcher *dispatcher) pendingCommands(m *machine, settled bool) []model.TaskCommand {
 	m.dispatchPending, m.hasNewStarts = false, false
 	if settled {
 		return nil
 	}
-	noStartInFlight := d.noStartInFlight(m)
-	commands, clears := d.commandsForReports(m, noStartInFlight)
-	commands = d.appendStarts(commands, m, noStartInFlight)
-	// Clears come last, as far as there is space: thousands of short tasks may have ended
-	// here, and starts and stops must not wait for them. The rest goes with the answer to
-	// the next heartbeat.
+	noStartInFlight := dispatcher.noStartInFlight(m)
+	commands, clears := dispatcher.commandsForReports(m, noStartInFlight)
+	commands = dispatcher.appendStarts(commands, m, noStartInFlight)
+	// Clears come last and only up to maxCommands: thousands of short tasks may have ended on the
+	// machine, and starts and stops must not wait for their clears. The remaining clears go with
+	// the response to the next heartbeat.
 	return append(commands, clears[:min(len(clears), max(0, maxCommands-len(commands)))]...)
 }
 
-// commandsForReports is what has to happen to the tasks that the worker reports. Clears that
-// nothing waits for are returned apart.
-func (d *dispatcher) commandsForReports(m *machine, noStartInFlight bool) (commands, clears []model.TaskCommand) {
-	s := d.controller.shardLeader
-	for _, k := range sortedTasks(m.taskReports) {
+// commandsForReports returns the commands for the tasks that the worker reports. It returns clears
+// that nothing waits for separately.
+func (dispatcher *dispatcher) commandsForReports(m *machine, noStartInFlight bool) (commands, clears []model.TaskCommand) {
+	leader := dispatcher.controller.shardLeader
+	for _, key := range sortedTasks(m.taskReports) {
 		if len(commands) >= maxCommands {
-			d.controller.markDispatchPending(m)
+			dispatcher.controller.markDispatchPending(m)
 			break
 		}
-		p := m.taskReports[k]
+		report := m.taskReports[key]
 		var cmd model.TaskCommand
 		var needed, canWait bool
-		if j := s.jobs[k.job]; j == nil {
-			cmd, needed = s.remoteAttempts.commandForOthers(m, p, noStartInFlight)
+		if j := leader.jobs[key.job]; j == nil {
+			cmd, needed = leader.remoteAttempts.commandForOthers(m, report, noStartInFlight)
 			canWait = cmd.Kind == model.ClearTask
 		} else {
-			cmd, needed = d.commandForReport(m, j, k, p, noStartInFlight)
-			// A clear is urgent if another attempt of the task is to start here.
-			canWait = cmd.Kind == model.ClearTask && m.attempts[k] == nil
+			cmd, needed = dispatcher.commandForReport(m, j, key, report, noStartInFlight)
+			// A clear can't wait if another attempt of the task is to start on this machine.
+			canWait = cmd.Kind == model.ClearTask && m.attempts[key] == nil
 		}
 		switch {
 		case !needed:
@@ -140,26 +144,26 @@
 	return commands, clears
 }
 
-// commandForReport is what has to happen to a reported task of a job of this shard leader, and
-// false for nothing.
-func (d *dispatcher) commandForReport(m *machine, j *job, k taskKey, p model.TaskReport, noStartInFlight bool) (model.TaskCommand, bool) {
+// commandForReport returns the command for a reported task of a job of this shard leader, and false
+// if the task needs none.
+func (dispatcher *dispatcher) commandForReport(m *machine, j *job, key taskKey, report model.TaskReport, noStartInFlight bool) (model.TaskCommand, bool) {
 	var t *task
-	if k.index < len(j.tasks) {
-		t = &j.tasks[k.index]
+	if key.index < len(j.tasks) {
+		t = &j.tasks[key.index]
 	}
-	cmd := model.TaskCommand{Job: k.job, Index: k.index, Attempt: p.Attempt}
-	isCurrent := t != nil && t.machine == m && t.attempt == p.Attempt
+	cmd := model.TaskCommand{Job: key.job, Index: key.index, Attempt: report.Attempt}
+	isCurrent := t != nil && t.machine == m && t.attempt == report.Attempt
 	switch {
-	case isCurrent && t.stopReason != stopNone && p.Status == model.Checkpointing && d.gracePeriod(m, j, t) > 0:
-		// It is writing its checkpoint already.
+	case isCurrent && t.stopReason != stopNone && report.Status == model.Checkpointing && dispatcher.gracePeriod(m, j, t) > 0:
+		// The task is already writing its checkpoint.
 		return cmd, false
-	case isCurrent && t.stopReason != stopNone && p.Status != model.Ended:
-		cmd.Kind, cmd.GracePeriod = model.StopTask, d.gracePeriod(m, j, t)
+	case isCurrent && t.stopReason != stopNone && report.Status != model.Ended:
+		cmd.Kind, cmd.GracePeriod = model.StopTask, dispatcher.gracePeriod(m, j, t)
 	case isCurrent:
 		return cmd, false
-	case p.Status != model.Ended:
+	case report.Status != model.Ended:
 		cmd.Kind = model.StopTask
-	case noStartInFlight && (t == nil || j.durable(k.index)):
+	case noStartInFlight && (t == nil || j.durable(key.index)):
 		cmd.Kind = model.ClearTask
 	default:
 		return cmd, false
@@ -167,113 +171,118 @@
 	return cmd, true
 }
 
-// appendStarts adds the starts of attempts that are durable and that the worker does not
-// report yet.
-func (d *dispatcher) appendStarts(commands []model.TaskCommand, m *machine, noStartInFlight bool) []model.TaskCommand {
-	for _, k := range sortedAttempts(m) {
-		if d.now.After(d.controller.renewal.startDeadline()) {
-			// A job may have been cancelled without this controller learning of it.
+// appendStarts appends the starts of attempts that are durable and that the worker does not report
+// yet.
+func (dispatcher *dispatcher) appendStarts(commands []model.TaskCommand, m *machine, noStartInFlight bool) []model.TaskCommand {
+	for _, key := range sortedAttempts(m) {
+		if dispatcher.now.After(dispatcher.controller.renewal.startDeadline()) {
+			// A job may have been cancelled without the knowledge of this controller.
 			break
 		}
 		if len(commands) >= maxCommands {
-			// The rest goes with the next commands.
-			d.controller.markDispatchPending(m)
+			// The remaining starts go with the next commands.
+			dispatcher.controller.markDispatchPending(m)
 			break
 		}
-		t := m.attempts[k]
-		j := d.controller.shardLeader.jobs[k.job]
-		if t.stopReason != stopNone || !j.durable(k.index) || j.dependenciesPending || !j.mayStart(d.now) {
+		t := m.attempts[key]
+		j := dispatcher.controller.shardLeader.jobs[key.job]
+		if t.stopReason != stopNone || !j.durable(key.index) || j.dependenciesPending || !j.mayStart(dispatcher.now) {
 			continue
 		}
-		if p, ok := m.taskReports[k]; ok && (p.Attempt == t.attempt || p.Status != model.Ended) {
-			// It runs, or an earlier attempt of it has not ended.
+		if report, ok := m.taskReports[key]; ok && (report.Attempt == t.attempt || report.Status != model.Ended) {
+			// The attempt runs, or an earlier attempt of the task has not ended.
 			continue
 		}
-		if !d.controller.ranking.mayDispatchStart(m, j, k.index, noStartInFlight) {
+		if !dispatcher.controller.ranking.mayDispatchStart(m, j, key.index, noStartInFlight) {
 			continue
 		}
 		t.startSent = true
-		commands = append(commands, model.TaskCommand{Kind: model.StartTask, Job: k.job, Index: k.index, Attempt: t.attempt})
+		commands = append(commands, model.TaskCommand{Kind: model.StartTask, Job: key.job, Index: key.index, Attempt: t.attempt})
 	}
 	return commands
 }
 
-// settled says that the machine runs what it should, so that there are no commands for it.
+// settled reports whether the machine runs exactly the attempts that it should, so that there are
+// no commands for it.
 func (m *machine) settled() bool {
 	if len(m.attempts) != len(m.taskReports) {
 		return false
 	}
-	for k, t := range m.attempts {
-		p, ok := m.taskReports[k]
-		if !ok || p.Attempt != t.attempt || t.stopReason != stopNone || p.Status == model.Ended {
+	for key, t := range m.attempts {
+		report, ok := m.taskReports[key]
+		if !ok || report.Attempt != t.attempt || t.stopReason != stopNone || report.Status == model.Ended {
 			return false
 		}
 	}
 	return true
 }
 
-// gracePeriod is the time that a stopped task gets for its checkpoint.
-func (d *dispatcher) gracePeriod(m *machine, j *job, t *task) time.Duration {
+// gracePeriod returns the time that a task gets for a checkpoint when it is stopped. It is 0 for a
+// task without checkpoints, for a task of a cancelled job, and on a machine that the cloud reclaims
+// before the checkpoint would be written.
+func (dispatcher *dispatcher) gracePeriod(m *machine, j *job, t *task) time.Duration {
 	if j.CheckpointInterval <= 0 || t.stopReason == stopCancel {
 		return 0
 	}
-	if m.reclaimNoticed && d.now.Add(j.CheckpointCost).After(m.reclaimAt) {
+	if m.reclaimNoticed && dispatcher.now.Add(j.CheckpointCost).After(m.reclaimAt) {
 		return 0
 	}
-	// A second more, so that rounding does not lose the work.
+	// The extra second prevents rounding from cutting off the checkpoint.
 	return j.CheckpointCost + time.Second
 }
 
-// dispatch sends commands to the worker at once, without waiting for its heartbeat.
-func (d *dispatcher) dispatch(m *machine) {
-	s := d.controller.shardLeader
+// dispatch sends the pending commands to m's worker without waiting for its next heartbeat. It
+// sends nothing if all of the commands are clears, which can wait.
+func (dispatcher *dispatcher) dispatch(m *machine) {
+	leader := dispatcher.controller.shardLeader
 	if m.remote {
-		// Its owner gets a request.
+		// The machine's owner gets a request to send the commands.
 		m.dispatchPending = false
-		s.remoteAttempts.requestSoon()
+		leader.remoteAttempts.requestSoon()
 		return
 	}
 	if m.dispatchInFlight || m.statusRequested || m.dispatchUnanswered || m.releasing || m.addr == "" || !m.heard {
 		return
 	}
-	if d.now.After(d.controller.membership.leaseValidUntil) {
-		// Perhaps another controller leads by now. Heartbeats are answered a while longer.
+	if dispatcher.now.After(dispatcher.controller.membership.leaseValidUntil) {
+		// Another controller may lead the shard. Only responses to heartbeats are sent a while
+		// longer.
 		return
 	}
-	commands := d.reconcile(m)
+	commands := dispatcher.reconcile(m)
 	if len(commands) == 0 {
 		return
 	}
 	if !slices.ContainsFunc(commands, func(cmd model.TaskCommand) bool { return cmd.Kind != model.ClearTask }) {
-		// Clears can wait for the answer to the next heartbeat.
+		// Clears can wait for the response to the next heartbeat.
 		return
 	}
 	starts := slices.ContainsFunc(commands, func(cmd model.TaskCommand) bool { return cmd.Kind == model.StartTask })
-	until := d.controller.membership.leaseValidUntil
+	sendDeadline := dispatcher.controller.membership.leaseValidUntil
 	if starts {
-		until = earlier(d.controller.renewal.startDeadline(), d.controller.ranking.startDispatchDeadline(m))
+		sendDeadline = earlier(dispatcher.controller.renewal.startDeadline(), dispatcher.controller.ranking.startDispatchDeadline(m))
 	}
 	m.dispatchInFlight = true
 	before := m.snapshot()
-	epoch, gen := m.epoch, s.generation
+	epoch, generation := m.epoch, leader.generation
 	request := message.WorkerRequest{
-		Machine: m.id, Addr: m.addr, SendDeadline: until,
+		Machine: m.id, Addr: m.addr, SendDeadline: sendDeadline,
 		Epoch: epoch, Incarnation: m.incarnation, Commands: commands,
 	}
-	d.controller.requests.toWorker(request, func(response message.WorkerResponse) {
-		if d.controller.shardLeader == nil || d.controller.shardLeader.generation != gen || m.removed {
+	dispatcher.controller.requests.toWorker(request, func(response message.WorkerResponse) {
+		if dispatcher.controller.shardLeader == nil || dispatcher.controller.shardLeader.generation != generation || m.removed {
 			return
 		}
 		m.dispatchInFlight = false
 		if response.NotSent {
-			d.controller.markDispatchPending(m)
+			dispatcher.controller.markDispatchPending(m)
 			return
 		}
-		if !d.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
+		if !dispatcher.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
 			m.dispatchUnanswered = true
 			if starts {
 				m.unackedStartEpoch = max(m.unackedStartEpoch, epoch)
-				d.controller.ranking.noteUnansweredStarts(m, commands)
+				dispatcher.controller.ranking.noteUnansweredStarts(m, commands)
 			}
 		}
 	})
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -8,32 +8,32 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// maxRunTime bounds a run time in a record.
+// maxRunTime is the upper bound for a valid run time in a record.
 const maxRunTime = 366 * 24 * time.Hour
 
-// recoverSegment applies a record of a job's tasks that an earlier shard leader wrote.
-func (f *failover) recoverSegment(j *job, it message.KeyValue, r *record.TaskSegment) {
-	format, segmentIndex, ok := f.controller.membership.formats.parseSegmentKey(it.Key)
+// recoverSegment applies a segment record that an earlier shard leader wrote to a job.
+func (f *failover) recoverSegment(j *job, kv message.KeyValue, rec *record.TaskSegment) {
+	format, segmentIndex, ok := f.controller.membership.formats.parseSegmentKey(kv.Key)
 	if !ok || segmentIndex > validate.MaxTasks || format.tasksPerSegment > validate.MaxTasks || !j.cancelled && segmentIndex*format.tasksPerSegment >= len(j.tasks) {
-		f.rejectInput("record", it.Key, "job has no such segment")
+		f.rejectInput("record", kv.Key, "key does not name a segment of the job")
 		return
 	}
 	if segmentIndex*format.tasksPerSegment >= len(j.tasks) {
 		j.grow((segmentIndex + 1) * format.tasksPerSegment)
 	}
 	if format == j.segmentFormat {
-		j.segments[segmentIndex] = &taskSegment{index: segmentIndex, modRevision: it.ModRevision, version: 1, persistedVersion: 1, inFlightVersion: 1, rankingRevision: r.RankingRevision}
+		j.segments[segmentIndex] = &taskSegment{index: segmentIndex, modRevision: kv.ModRevision, version: 1, persistedVersion: 1, inFlightVersion: 1, rankingRevision: rec.RankingRevision}
 	} else {
-		j.formerKeys = append(j.formerKeys, it.Key)
+		j.formerKeys = append(j.formerKeys, kv.Key)
 	}
 	defer j.markCovered(format, segmentIndex)
-	f.recoverDone(j, format, r)
-	f.recoverRows(j, format, it.Key, r)
+	f.recoverDone(j, format, rec)
+	f.recoverRows(j, format, kv.Key, rec)
 	if format == j.segmentFormat {
-		f.recoverFinished(j, segmentIndex, it.Key, r)
+		f.recoverFinished(j, segmentIndex, kv.Key, rec)
 	}
 	if len(j.sortedRunTimes) == 0 {
-		for _, ms := range r.RunTimes {
+		for _, ms := range rec.RunTimes {
 			if ms > 0 && ms < maxRunTime.Milliseconds() {
 				j.recordRunTime(time.Duration(ms) * time.Millisecond)
 			}
@@ -41,59 +41,60 @@
 	}
 }
 
-// recoverDone applies which tasks a segment says are done.
-func (f *failover) recoverDone(j *job, format segmentFormat, r *record.TaskSegment) {
-	for i := 0; i+1 < len(r.DoneRanges); i += 2 {
-		for x := max(0, r.DoneRanges[i]); x <= r.DoneRanges[i+1] && x < len(j.tasks); x++ {
-			t := &j.tasks[x]
-			if t.done || j.isCovered(x) {
-				// Listed twice, it is still one: a job is done when all its tasks are.
+// recoverDone marks the tasks as done that a segment record lists as done.
+func (f *failover) recoverDone(j *job, format segmentFormat, rec *record.TaskSegment) {
+	for i := 0; i+1 < len(rec.DoneRanges); i += 2 {
+		for index := max(0, rec.DoneRanges[i]); index <= rec.DoneRanges[i+1] && index < len(j.tasks); index++ {
+			t := &j.tasks[index]
+			if t.done || j.isCovered(index) {
+				// A task that is listed twice counts once: the job is done when doneTasks reaches
+				// the number of its tasks.
 				continue
 			}
-			j.trackFormat(format, x, r.RankingRevision)
+			j.trackFormat(format, index, rec.RankingRevision)
 			t.done, t.version, t.attempt = true, 1, 1
 			j.doneTasks++
-			j.nextFresh = max(j.nextFresh, x+1)
+			j.nextFresh = max(j.nextFresh, index+1)
 		}
 	}
 }
 
-// recoverRows applies the tasks that a segment has rows for: their attempts and, of those
-// that were live, their machines and groups.
-func (f *failover) recoverRows(j *job, format segmentFormat, key string, r *record.TaskSegment) {
+// recoverRows restores the tasks for which a segment record has rows: their attempts and, for live
+// attempts, their machines and groups.
+func (f *failover) recoverRows(j *job, format segmentFormat, key string, rec *record.TaskSegment) {
 	relaunched := map[int64]bool{}
-	for _, g := range r.RelaunchedGroups {
+	for _, g := range rec.RelaunchedGroups {
 		relaunched[g] = true
 	}
-	for _, row := range r.Rows {
-		if row.Index < 0 || row.Index >= len(j.tasks) || j.isCovered(row.Index) {
+	for _, entry := range rec.Rows {
+		if entry.Index < 0 || entry.Index >= len(j.tasks) || j.isCovered(entry.Index) {
 			continue
 		}
-		t := &j.tasks[row.Index]
+		t := &j.tasks[entry.Index]
 		if t.done || t.machine != nil {
 			f.rejectInput("record", key, "task listed twice")
 			continue
 		}
-		j.trackFormat(format, row.Index, r.RankingRevision)
-		t.attempt, t.groupStart, t.relaunched, t.version = row.Try, row.Group, row.Relaunched, 1
-		j.nextFresh = max(j.nextFresh, row.Index+1)
-		if row.Machine != "" {
-			m := f.controller.shardLeader.ownedOrRemoteMachine(r.MachinePrefix + row.Machine)
+		j.trackFormat(format, entry.Index, rec.RankingRevision)
+		t.attempt, t.groupStart, t.relaunched, t.version = entry.Try, entry.Group, entry.Relaunched, 1
+		j.nextFresh = max(j.nextFresh, entry.Index+1)
+		if entry.Machine != "" {
+			m := f.controller.shardLeader.ownedOrRemoteMachine(rec.MachinePrefix + entry.Machine)
 			if !m.remote && !m.heard {
-				// A former owner may have gone on answering it for a while.
+				// A former owner may have renewed the machine's lease until formerOwnerUntil.
 				m.leaseEnd = later(m.leaseEnd, f.controller.renewal.leaseEndAfter(later(f.now, m.formerOwnerUntil)))
 			}
-			f.controller.shardLeader.attachAttempt(j, row.Index, m)
+			f.controller.shardLeader.attachAttempt(j, entry.Index, m)
 			t.startSent, t.inherited = true, true
-			t.rankingRevision = r.RankingRevision
-			g := j.recoveredGroup(row.Group)
-			g.relaunchDecided = g.relaunchDecided || relaunched[row.Group]
-			g.tasks = append(g.tasks, row.Index)
+			t.rankingRevision = rec.RankingRevision
+			g := j.recoveredGroup(entry.Group)
+			g.relaunchDecided = g.relaunchDecided || relaunched[entry.Group]
+			g.tasks = append(g.tasks, entry.Index)
 		}
 	}
 }
 
-// recoveredGroup is the group of a job that a record names, made if there is none.
+// recoveredGroup returns the job's group with the given ID and creates it if it does not exist.
 func (j *job) recoveredGroup(id int64) *group {
 	g := j.groups[id]
 	if g == nil {
@@ -103,17 +104,17 @@
 	return g
 }
 
-// recoverFinished applies in which groups the done tasks of a segment were: what part of a group
-// is unfinished decides whether it is relaunched.
-func (f *failover) recoverFinished(j *job, segmentIndex int, key string, r *record.TaskSegment) {
-	if len(r.FinishedInGroups)%2 != 0 {
-		f.rejectInput("record", key, "gd: an odd number of values, want pairs of a group and a count")
+// recoverFinished restores how many done tasks of a segment belong to which group. Whether the
+// rest of a group is relaunched depends on the unfinished fraction of the group.
+func (f *failover) recoverFinished(j *job, segmentIndex int, key string, rec *record.TaskSegment) {
+	if len(rec.FinishedInGroups)%2 != 0 {
+		f.rejectInput("record", key, "gd: odd number of values, want pairs of a group time and a count")
 		return
 	}
-	for i := 0; i < len(r.FinishedInGroups); i += 2 {
-		id, count := r.FinishedInGroups[i], r.FinishedInGroups[i+1]
+	for i := 0; i < len(rec.FinishedInGroups); i += 2 {
+		id, count := rec.FinishedInGroups[i], rec.FinishedInGroups[i+1]
 		if id <= 0 || count <= 0 || count > int64(j.tasksPerSegment) {
-			f.rejectInput("record", key, "gd: a group that is no time, or a count that is no part of the segment")
+			f.rejectInput("record", key, "gd: want a positive group time and a count between 1 and the size of a segment")
 			continue
 		}
 		g := j.recoveredGroup(id)
@@ -124,29 +125,32 @@
 	}
 }
 
-// markCovered notes that a sized segment takes precedence over records of former formats: it
-// was written later, and has all of its tasks.
-func (j *job) markCovered(f segmentFormat, k int) {
-	if !f.sized {
+// markCovered records that the given segment of a sized format takes precedence over records of former
+// formats for its tasks. The sized segment was written later and contains all of these tasks.
+func (j *job) markCovered(format segmentFormat, segmentIndex int) {
+	if !format.sized {
 		return
 	}
 	j.covered = append(j.covered, make([]bool, max(0, len(j.tasks)-len(j.covered)))...)
-	for i := k * f.tasksPerSegment; i < min((k+1)*f.tasksPerSegment, len(j.tasks)); i++ {
+	for i := segmentIndex * format.tasksPerSegment; i < min((segmentIndex+1)*format.tasksPerSegment, len(j.tasks)); i++ {
 		j.covered[i] = true
 	}
 }
 
+// isCovered reports whether a sized segment has already provided the state of task i.
 func (j *job) isCovered(i int) bool { return i < len(j.covered) && j.covered[i] }
 
-// trackFormat notes where a task's state stands: in the job's own format, or in another one,
-// which it leaves when it changes.
-func (j *job) trackFormat(f segmentFormat, i int, rankingRevision uint64) {
-	if f != j.segmentFormat {
+// trackFormat records that the state of task i was read from a segment of format f. If f is not the
+// job's own format, trackFormat creates the task's segment in the job's format. The next change of
+// the task is then written there.
+func (j *job) trackFormat(format segmentFormat, i int, rankingRevision uint64) {
+	if format != j.segmentFormat {
 		j.formerSegment(i, rankingRevision)
 	}
 }
 
-// queueRecovered queues the tasks that are neither done nor live.
+// queueRecovered queues the tasks that are neither done nor live, once all segments of the job are
+// recovered. It also has the live attempts of a cancelled job stopped.
 func (f *failover) queueRecovered(j *job) {
 	j.releaseIfStarted()
 	j.covered = nil
--- a/internal/controller/recovery_test.go
+++ b/internal/controller/recovery_test.go
@@ -9,45 +9,46 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// TestCancelledInManySegments: a cancelled job's tasks are in several segments, and an earlier
-// format did not record how many tasks there are: a successor stops every attempt and starts
-// none again. When the task slice had grown, the machines still pointed into the former one
-// for the first segment's tasks, and started them 90 s after the job was cancelled.
+// TestCancelledInManySegments guards against tasks that start after their job was cancelled. The
+// job's tasks are in several segments, and a record of an earlier format does not contain the task
+// count, so the task slice grows during recovery. If the machines keep pointers into the old slice,
+// the attempts of the first segment are not stopped, and were seen to start 90 s after the
+// cancellation. The new shard leader has to stop every attempt and start none.
 func TestCancelledInManySegments(t *testing.T) {
 	for _, countKnown := range []bool{true, false} {
-		c := largePool(24)
-		machineWithTask(c)
-		c.now = c.now.Add(c.renewal.formerOwnerGrace())
+		controller := largePool(24)
+		machineWithTask(controller)
+		controller.now = controller.now.Add(controller.renewal.formerOwnerGrace())
 		spec := model.JobSpec{ID: "job-000905", Workload: "w", Team: "ops", Need: model.Resources{CPU: 1, Memory: 1}}
-		tasksPerSegment := newJob(spec, c.now, 1, 4096).tasksPerSegment
+		tasksPerSegment := newJob(spec, controller.now, 1, 4096).tasksPerSegment
 		total := 2*tasksPerSegment + 7
 		if countKnown {
 			spec.Tasks = total
 		}
-		j := c.shardLeader.addJob(spec, c.now, 1)
-		rec := record.NewOpenJob(&j.JobSpec, c.now)
-		rec.Cancelled, rec.CancelledAtMillis = true, c.now.UnixMilli()
-		c.shardLeader.applyJobRecord(j, 2, &rec)
-		for k := range 3 {
-			var r record.TaskSegment
-			for i := k * tasksPerSegment; i < min(total, (k+1)*tasksPerSegment); i++ {
-				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: c.shardLeader.machinesByID[i%24].id, Group: c.now.UnixMilli()})
+		j := controller.shardLeader.addJob(spec, controller.now, 1)
+		openRecord := record.NewOpenJob(&j.JobSpec, controller.now)
+		openRecord.Cancelled, openRecord.CancelledAtMillis = true, controller.now.UnixMilli()
+		controller.shardLeader.applyJobRecord(j, 2, &openRecord)
+		for segmentIndex := range 3 {
+			var segment record.TaskSegment
+			for i := segmentIndex * tasksPerSegment; i < min(total, (segmentIndex+1)*tasksPerSegment); i++ {
+				segment.Rows = append(segment.Rows, record.TaskEntry{Index: i, Try: 1, Machine: controller.shardLeader.machinesByID[i%24].id, Group: controller.now.UnixMilli()})
 			}
-			c.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, k), ModRevision: 3}, &r)
+			controller.shardLeader.failover.recoverSegment(j, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, j.ID, segmentIndex), ModRevision: 3}, &segment)
 		}
-		c.shardLeader.failover.queueRecovered(j)
+		controller.shardLeader.failover.queueRecovered(j)
 		if j.liveTasks != total {
-			t.Fatalf("count known %v: got %d attempts recovered, want %d", countKnown, j.liveTasks, total)
+			t.Fatalf("task count known %v: got %d attempts recovered, want %d", countKnown, j.liveTasks, total)
 		}
-		for _, m := range c.shardLeader.machinesByID {
-			for k, x := range m.attempts {
-				if k.job == j.ID && (x != &j.tasks[k.index] || x.stopReason != stopCancel) {
-					t.Fatalf("count known %v: got attempt of task %d on %s not stopped, want it stopped", countKnown, k.index, m.id)
+		for _, m := range controller.shardLeader.machinesByID {
+			for segmentIndex, attempt := range m.attempts {
+				if segmentIndex.job == j.ID && (attempt != &j.tasks[segmentIndex.index] || attempt.stopReason != stopCancel) {
+					t.Fatalf("task count known %v: attempt of task %d on %s is not to be stopped, want it stopped", countKnown, segmentIndex.index, m.id)
 				}
 			}
-			for _, o := range c.shardLeader.dispatcher.reconcile(m) {
-				if o.Kind == model.StartTask && o.Job == j.ID {
-					t.Fatalf("count known %v: got command %v, want no start", countKnown, o)
+			for _, command := range controller.shardLeader.dispatcher.reconcile(m) {
+				if command.Kind == model.StartTask && command.Job == j.ID {
+					t.Fatalf("task count known %v: got command %v, want no start", countKnown, command)
 				}
 			}
 		}
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -12,39 +12,39 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// predecessorRecords is what a successor finds in the store: some machines, each with three
-// tasks of a job of sixty.
+// predecessorRecords returns the records that a new shard leader finds in the store: open jobs with
+// sixty tasks each, and segments that place three tasks on each machine.
 func predecessorRecords(machines int) (open, tasks []message.KeyValue) {
-	const each, size = 3, 60
-	for k := 0; k*size < machines*each; k++ {
+	const tasksPerMachine, tasksPerJob = 3, 60
+	for jobIndex := 0; jobIndex*tasksPerJob < machines*tasksPerMachine; jobIndex++ {
 		spec := model.JobSpec{
-			ID: fmt.Sprintf("job-%06d", k), Workload: []string{"rush", "reprint", "wide"}[k%3], Team: "ops", Urgency: model.Normal, Tasks: size, AllowSpot: true,
-			Need: model.Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", k%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
+			ID: fmt.Sprintf("job-%06d", jobIndex), Workload: []string{"rush", "reprint", "wide"}[jobIndex%3], Team: "ops", Urgency: model.Normal, Tasks: tasksPerJob, AllowSpot: true,
+			Need: model.Resources{CPU: 1, Memory: 1}, Image: fmt.Sprintf("img-%d", jobIndex%40), ImageGB: 1, ExpectedRunTime: 25 * time.Second, Deadline: time.Minute,
 		}
-		open = append(open, message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJob(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(k + 1)})
+		open = append(open, message.KeyValue{Key: record.OpenJobPrefix + spec.ID, Value: record.Encode(record.NewOpenJob(&spec, time.Unix(1_750_000_000, 0))), ModRevision: uint64(jobIndex + 1)})
 		perSegment := record.MaxTasksPerSegment(4096)
-		for c := 0; c*perSegment < size; c++ {
-			var r record.TaskSegment
-			for i := c * perSegment; i < min((c+1)*perSegment, size); i++ {
-				m := (k*size + i) / each
-				r.Rows = append(r.Rows, record.TaskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", m), Group: 1_750_000_000_000})
+		for segmentIndex := 0; segmentIndex*perSegment < tasksPerJob; segmentIndex++ {
+			var segment record.TaskSegment
+			for i := segmentIndex * perSegment; i < min((segmentIndex+1)*perSegment, tasksPerJob); i++ {
+				machineIndex := (jobIndex*tasksPerJob + i) / tasksPerMachine
+				segment.Rows = append(segment.Rows, record.TaskEntry{Index: i, Try: 1, Machine: fmt.Sprintf("vm-%06d", machineIndex), Group: 1_750_000_000_000})
 			}
-			tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, spec.ID, c), Value: record.Encode(r), ModRevision: uint64(k + 1)})
+			tasks = append(tasks, message.KeyValue{Key: fmt.Sprintf("%s%s/%d", record.TaskSegmentPrefix, spec.ID, segmentIndex), Value: record.Encode(segment), ModRevision: uint64(jobIndex + 1)})
 		}
 	}
 	return open, tasks
 }
 
-// successor is a shard leader that has read nothing yet.
+// successor returns a controller with a new shard leader that has not read any records yet.
 func successor() *Controller {
-	c := largePool(0)
-	c.shardLeader.ready, c.shardLeader.readyAt = false, time.Time{}
-	c.shardLeader.teams["ops"] = &heldTeam{}
-	c.shardLeader.persistence.prewarmedImages = map[string]map[string]float64{}
-	return c
+	controller := largePool(0)
+	controller.shardLeader.ready, controller.shardLeader.readyAt = false, time.Time{}
+	controller.shardLeader.teams["ops"] = &heldTeam{}
+	controller.shardLeader.persistence.prewarmedImages = map[string]map[string]float64{}
+	return controller
 }
 
-// takeOverRecords lets a shard leader take over what was read.
+// takeOverRecords has the controller's shard leader recover from the given records.
 func (c *Controller) takeOverRecords(open, tasks []message.KeyValue) {
 	cache := &c.frontend.watchCache
 	cache.openJobs = map[string]openJob{}
@@ -54,110 +54,114 @@
 	c.shardLeader.recoverTeams(map[string]*heldTeam{"ops": c.shardLeader.teams["ops"]}, tasks, nil, c.now)
 }
 
-// BenchmarkTakeover is the work of a successor between its last read and its first answer.
+// BenchmarkTakeover measures the recovery of a new shard leader from its last read of records to
+// its first response to a heartbeat.
 func BenchmarkTakeover(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			open, tasks := predecessorRecords(size)
 			for b.Loop() {
-				c := successor()
-				c.takeOverRecords(open, tasks)
+				controller := successor()
+				controller.takeOverRecords(open, tasks)
 			}
 		})
 	}
 }
 
-// BenchmarkFirstHeartbeat is the first heartbeat of each machine after a takeover.
+// BenchmarkFirstHeartbeat measures how long a controller takes to handle the first heartbeat of a
+// machine after a takeover.
 func BenchmarkFirstHeartbeat(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			open, tasks := predecessorRecords(size)
 			i := size
-			var c *Controller
+			var controller *Controller
 			for b.Loop() {
 				if i == size {
 					b.StopTimer()
-					i, c = 0, successor()
-					c.takeOverRecords(open, tasks)
+					i, controller = 0, successor()
+					controller.takeOverRecords(open, tasks)
 					b.StartTimer()
 				}
-				firstHeartbeat(c, i)
+				firstHeartbeat(controller, i)
 				i++
 			}
 		})
 	}
 }
 
-// firstHeartbeat handles the first heartbeat of the pool's machine i, with all its tasks.
-func firstHeartbeat(c *Controller, i int) {
-	r := c.poolHeartbeat(i)
-	for k, t := range c.shardLeader.ensureMachine(r.Machine).attempts {
-		r.Tasks = append(r.Tasks, model.TaskReport{Job: k.job, Index: k.index, Attempt: t.attempt, Status: model.Running})
+// firstHeartbeat has the controller handle the first heartbeat of machine i, which reports all of
+// the machine's tasks as running.
+func firstHeartbeat(controller *Controller, i int) {
+	heartbeat := controller.poolHeartbeat(i)
+	for key, t := range controller.shardLeader.ensureMachine(heartbeat.Machine).attempts {
+		heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: key.job, Index: key.index, Attempt: t.attempt, Status: model.Running})
 	}
-	c.effects = c.effects[:0]
-	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	controller.effects = controller.effects[:0]
+	controller.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
 }
 
-// BenchmarkStep is a step with one query and one submission in it, in which nothing else is
-// due: what users wait for.
+// BenchmarkStep measures a step with one query and one submission in which nothing else is due.
+// Users wait for such a step.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range poolSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := largePool(size)
-			c.rng = rand.New(rand.NewPCG(1, 2))
-			c.membership.ready, c.frontend.watchCache.loaded = true, true
-			c.frontend.watchCache.openJobs = map[string]openJob{}
-			c.frontend.watchCache.refreshScheduled = true
-			now, k := c.now, 0
-			c.Step(now, nil)
-			c.shardLeader.fleet.endPlanningPass()
+			controller := largePool(size)
+			controller.rng = rand.New(rand.NewPCG(1, 2))
+			controller.membership.ready, controller.frontend.watchCache.loaded = true, true
+			controller.frontend.watchCache.openJobs = map[string]openJob{}
+			controller.frontend.watchCache.refreshScheduled = true
+			now, count := controller.now, 0
+			controller.Step(now, nil)
+			controller.shardLeader.fleet.endPlanningPass()
 			for b.Loop() {
-				k++
-				id := fmt.Sprintf("job-x%06d", k)
-				c.Step(now, []message.Command{
+				count++
+				id := fmt.Sprintf("job-x%06d", count)
+				controller.Step(now, []message.Command{
 					message.QueryJob{Reply: 1, ID: id},
 					message.SubmitJob{Reply: 2, Spec: model.JobSpec{ID: id, Workload: "rush", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}}},
 				})
-				clear(c.requests.storeCallbacks)
-				c.frontend.submitQueue, c.frontend.submitTxnsInFlight, c.frontend.waitingRequests, c.frontend.requestsByDeadline = nil, 0, 0, nil
-				c.frontend.watchCache.nextReadWaiters = nil
-				c.timers = nil
+				clear(controller.requests.storeCallbacks)
+				controller.frontend.submitQueue, controller.frontend.submitTxnsInFlight, controller.frontend.waitingRequests, controller.frontend.requestsByDeadline = nil, 0, 0, nil
+				controller.frontend.watchCache.nextReadWaiters = nil
+				controller.timers = nil
 			}
 		})
 	}
 }
 
-// TestTakeoverStaysWithinMemory: ten thousand machines with thirty thousand tasks, read,
-// recovered and heard, take a bounded part of the memory that a controller of such a size
-// gets, and what is allocated for a moment is no multiple of it.
+// TestTakeoverStaysWithinMemory guards against a controller that runs out of memory when it takes
+// over a large pool. After it has recovered ten thousand machines with thirty thousand tasks and
+// handled a heartbeat of each, the memory in use is at most half of its heap, and the allocations
+// in total are bounded as well.
 func TestTakeoverStaysWithinMemory(t *testing.T) {
 	const machines = 10_000
 	open, tasks := predecessorRecords(machines)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	c := successor()
-	c.takeOverRecords(open, tasks)
+	controller := successor()
+	controller.takeOverRecords(open, tasks)
 	for i := range machines {
-		firstHeartbeat(c, i)
+		firstHeartbeat(controller, i)
 	}
-	c.effects = nil
-	c.shardLeader.fleet.planFleet(true)
+	controller.effects = nil
+	controller.shardLeader.fleet.planFleet(true)
 	runtime.ReadMemStats(&after)
-	churned := (after.TotalAlloc - before.TotalAlloc) >> 20
+	allocated := (after.TotalAlloc - before.TotalAlloc) >> 20
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	kept := (after.HeapAlloc - before.HeapAlloc) >> 20
-	t.Logf("%d MB kept, %d MB allocated in all", kept, churned)
-	if len(c.shardLeader.machinesByID) != machines || len(c.shardLeader.jobs) != 500 {
-		t.Fatalf("got %d machines and %d jobs recovered, want 10000 and 500", len(c.shardLeader.machinesByID), len(c.shardLeader.jobs))
+	t.Logf("%d MB kept, %d MB allocated in total", kept, allocated)
+	if len(controller.shardLeader.machinesByID) != machines || len(controller.shardLeader.jobs) != 500 {
+		t.Fatalf("got %d machines and %d jobs recovered, want 10000 and 500", len(controller.shardLeader.machinesByID), len(controller.shardLeader.jobs))
 	}
-	// A controller with 256 MB leaves 150 to Go's heap.
+	// A controller with 256 MB of memory has 150 MB for Go's heap.
 	if kept > 75 {
-		t.Errorf("got %d MB kept for %d machines, want at most 75, half of a heap of 150", kept, machines)
+		t.Errorf("got %d MB kept for %d machines, want at most 75, half of a heap of 150 MB", kept, machines)
 	}
-	if churned > 300 {
-		t.Errorf("got %d MB allocated in all, want at most 300", churned)
+	if allocated > 300 {
+		t.Errorf("got %d MB allocated in total, want at most 300", allocated)
 	}
-	runtime.KeepAlive(c)
+	runtime.KeepAlive(controller)
 }
--- a/internal/disruption/disruption.go
+++ b/internal/disruption/disruption.go
@@ -1,9 +1,10 @@
-// Package disruption decides which unresponsive machines to release. A single one is released,
-// so that its tasks may start elsewhere. Many at once are a correlated failure: a partition
-// may end, and the machines return with their tasks. They are neither all released at once nor
-// all waited for. Urgent work gets its proof first, no more at a time than can be started
-// elsewhere. Machines without work are waited for as long as their leases run, since releasing
-// them gains nothing.
+// Package disruption decides which unresponsive machines to release. A single unresponsive machine
+// is released, so that its tasks can start elsewhere. Many unresponsive machines at once are a
+// correlated failure. Its cause may be a network partition that ends, after which the machines
+// return with their tasks. So the package neither releases all of these machines at once nor waits
+// for all of them. It releases the machines with the most urgent tasks first, and at a time only as
+// many as have tasks that can be started elsewhere. It waits for machines without tasks until their
+// leases expire, since releasing them earlier has no benefit.
 package disruption
 
 import (
@@ -12,23 +13,25 @@
 	"time"
 )
 
+// Thresholds for correlated failures.
 const (
-	// minCorrelated machines, which are also correlatedFraction of the pool, make a correlated
-	// failure.
+	// Unresponsive machines are a correlated failure if there are at least minCorrelated of
+	// them and they are at least correlatedFraction of the pool.
 	minCorrelated      = 4
 	correlatedFraction = 0.1
-	// majorityGrace is how much longer machines are waited for if more than half of the pool
-	// is unresponsive, or no heartbeat of any machine is received. The fault is then likely
-	// the controller's, and the other controllers, to which the machines turn, say so within
-	// this time.
+	// majorityGrace is how much longer the controller waits for machines if more than half of
+	// the pool is unresponsive or the controller receives no heartbeats at all. The fault is
+	// then probably in the controller or its network. The machines send their heartbeats to the
+	// other controllers instead, which report them to this controller within this time.
 	majorityGrace = 10 * time.Second
 )
 
 // Machine is an unresponsive machine.
 type Machine struct {
 	ID string
-	// Tasks counts what runs there. Urgency is the highest of these tasks, and LatestStart is
-	// when the most pressing of them should start elsewhere at the latest.
+	// Tasks counts the tasks on the machine. Urgency is the highest urgency among them, and
+	// LatestStart is the earliest of the times by which a task of that urgency has to start
+	// elsewhere.
 	Tasks       int
 	Urgency     int
 	LatestStart time.Time
@@ -36,45 +39,48 @@
 	UnresponsiveFor time.Duration
 }
 
-// Pool describes the whole fleet.
+// Pool describes all machines of a controller and the limits for releasing them.
 type Pool struct {
-	// Reporting counts the machines that should send heartbeats, including the unresponsive.
+	// Reporting counts the machines that should send heartbeats, including the unresponsive ones.
 	Reporting int
-	Lease     time.Duration
-	// MaxStarts is how many tasks may be freed to start elsewhere at a time.
+	// Lease is the duration of a worker lease.
+	Lease time.Duration
+	// MaxStarts is the number of tasks that may be freed to start elsewhere at a time.
 	MaxStarts int
-	// ReceivesNothing: no heartbeat of any machine has come for longer than chance explains.
+	// ReceivesNothing: the controller has received no heartbeat of any machine for longer than
+	// can be a coincidence.
 	ReceivesNothing bool
 }
 
-// IsCorrelated reports whether so many unresponsive machines are a correlated failure.
-func IsCorrelated(p Pool, unresponsive int) bool {
-	return unresponsive >= minCorrelated && float64(unresponsive) >= correlatedFraction*float64(p.Reporting)
+// IsCorrelated reports whether the given number of unresponsive machines is a correlated failure.
+func IsCorrelated(pool Pool, unresponsive int) bool {
+	return unresponsive >= minCorrelated && float64(unresponsive) >= correlatedFraction*float64(pool.Reporting)
 }
 
-// SelectReleases returns the machines to release now, the most pressing first.
-func SelectReleases(p Pool, unresponsive []Machine) []string {
+// SelectReleases returns the IDs of the machines to release at this time. Machines with tasks come
+// first, ordered by urgency and then by LatestStart.
+func SelectReleases(pool Pool, unresponsive []Machine) []string {
 	sorted := slices.Clone(unresponsive)
 	slices.SortStableFunc(sorted, func(a, b Machine) int {
 		return cmp.Or(
 			cmp.Compare(min(b.Tasks, 1), min(a.Tasks, 1)), cmp.Compare(b.Urgency, a.Urgency),
 			a.LatestStart.Compare(b.LatestStart), cmp.Compare(a.ID, b.ID))
 	})
-	correlated := IsCorrelated(p, len(sorted))
-	majority := p.Reporting > 1 && (p.ReceivesNothing || 2*len(sorted) > p.Reporting)
-	var out []string
+	correlated := IsCorrelated(pool, len(sorted))
+	majority := pool.Reporting > 1 && (pool.ReceivesNothing || 2*len(sorted) > pool.Reporting)
+	var released []string
 	freedTasks := 0
 	for _, m := range sorted {
 		switch {
 		case majority && m.UnresponsiveFor < majorityGrace:
 			continue
-		case correlated && m.Tasks == 0 && m.UnresponsiveFor < p.Lease:
+		case correlated && m.Tasks == 0 && m.UnresponsiveFor < pool.Lease:
 			continue
-		case correlated && freedTasks > 0 && freedTasks+m.Tasks > p.MaxStarts:
+		case correlated && freedTasks > 0 && freedTasks+m.Tasks > pool.MaxStarts:
 			continue
 		}
 		freedTasks += m.Tasks
-		out = append(out, m.ID)
+		released = append(released, m.ID)
 	}
-	return out
+	return released
 }
--- a/internal/faultattribution/tracker.go
+++ b/internal/faultattribution/tracker.go
@@ -1,8 +1,9 @@
-// Package faultattribution tells a machine that fails whatever runs on it from a job that
-// fails wherever it runs. One failure proves neither. The package counts distinct machines for
-// a job and distinct jobs for a machine, and successes in spite of a failure: a task that
-// succeeds elsewhere shows that the machine was at fault, and a machine on which other work
-// succeeds is not faulty. The package has no clock and sends nothing.
+// Package faultattribution distinguishes a machine that fails every task that runs on it from a job
+// that fails on every machine. One failure proves neither. The package counts the distinct machines
+// on which a job failed and the distinct jobs that failed on a machine. It also counts successes
+// after a failure: a task that succeeds on another machine shows that the first machine was at
+// fault, and a machine on which other tasks succeed is not faulty. The package has no clock and
+// sends nothing.
 package faultattribution
 
 import (
@@ -10,32 +11,34 @@
 	"time"
 )
 
+// Thresholds for attributing faults, and the retry backoff.
 const (
-	// jobFaultMachines is on how many machines a job or a task must have failed, without any
-	// success, before the fault counts as its own. Faulty machines are rare; that one job
-	// meets three of them in a row and no healthy one is rarer.
+	// jobFaultMachines is the number of machines on which a job or a task must have failed,
+	// without any success, before the job or task itself counts as faulty. Faulty machines
+	// are rare, and it is even rarer that one job meets three of them and no healthy one.
 	jobFaultMachines = 3
-	// machineFaultJobs is how many jobs, none of them at fault by itself, must have failed on
-	// a machine without any success there meanwhile, before it counts as faulty though none of
-	// them has succeeded elsewhere yet.
+	// machineFaultJobs is the number of jobs, none of them faulty itself, that must have failed
+	// on a machine without any success there in between, before the machine counts as
+	// faulty although none of these jobs has succeeded elsewhere yet.
 	machineFaultJobs = 2
-	// minBackoff is the backoff of a job that fails everywhere before one of its tasks is
-	// retried; it doubles up to maxBackoff. The job is never given up: its user may repair what
-	// it needs, and only its user may end it.
-	// The operators allow a job to wait 90 s beside a sound machine, which one that has met only
-	// faulty ones so far would do: a quarter more than maxBackoff, with the jitter, is less.
+	// minBackoff is how long a job that fails everywhere waits before one of its tasks is
+	// retried. The wait doubles with each failure up to maxBackoff. The job is never given up:
+	// its user may repair what it depends on, and only its user may end it.
+	// A job that has met only faulty machines so far also backs off, although a healthy machine
+	// may be free. Operators allow such a wait of 90 s. maxBackoff plus a quarter for the
+	// jitter is 75 s.
 	minBackoff = 2 * time.Second
 	maxBackoff = time.Minute
-	// outlastFactor is how many times as long as any failed attempt of its job, and MinProofRun
-	// how much longer in addition, a task must run to show that the job may work where it runs;
-	// maxProofRun bounds both together. Where machines became faulty under tasks that had run
-	// for long, the others prove themselves in that time.
+	// A task shows that its job may work on its machine when it has run outlastFactor times as
+	// long as the longest failed attempt of the job, plus MinProofRun. maxProofRun bounds the
+	// difference to the longest failed attempt. Where machines became faulty while tasks had
+	// already run for long, the tasks on healthy machines reach this bound soon.
 	outlastFactor = 1.25
 	maxProofRun   = 25 * time.Second
 )
 
-// MinProofRun is how long a task must run for that to be a sign that its job may work there: a
-// mistake mostly shows at once.
+// MinProofRun is the minimum run time of a task that indicates that its job may work on the
+// machine. Most faults of a job make its tasks fail shortly after they start.
 const MinProofRun = 5 * time.Second
 
 // Tracker attributes failures to jobs or machines. The zero value is empty and ready. It is
@@ -45,167 +48,174 @@
 	machines map[string]*machineRecord
 }
 
+// jobRecord contains the failures and successes of a job.
 type jobRecord struct {
 	// failedMachines are the machines on which tasks of the job failed, up to
-	// jobFaultMachines; taskFailedMachines are the same for each task that has not succeeded.
+	// jobFaultMachines of them. taskFailedMachines lists the same for each task that has not
+	// succeeded, by task index.
 	failedMachines     []string
 	taskFailedMachines map[int][]string
-	// hasSucceeded: some task has succeeded. failures counts the failures since the job fails
-	// everywhere.
+	// hasSucceeded: some task of the job has succeeded. failures counts the job's failures while
+	// the job fails everywhere, including the one from which on it does.
 	hasSucceeded bool
 	failures     int
-	// longestFailure is how long the longest attempt that failed had run.
+	// longestFailure is the run time of the job's longest failed attempt.
 	longestFailure time.Duration
 }
 
+// machineRecord contains the failures on a machine.
 type machineRecord struct {
-	// failedJobs are the jobs not at fault that failed here since anything last succeeded
-	// here; provenFaulty: something that failed here succeeded elsewhere.
+	// failedJobs are the jobs that are not faulty themselves and that failed on this machine
+	// since a task last succeeded on it. provenFaulty: a task that failed on this machine
+	// succeeded on another one.
 	failedJobs   map[string]bool
 	provenFaulty bool
 }
 
-func (j *jobRecord) failsEverywhere() bool {
-	return !j.hasSucceeded && len(j.failedMachines) >= jobFaultMachines
+// failsEverywhere reports whether the job has failed on jobFaultMachines machines without any
+// success.
+func (job *jobRecord) failsEverywhere() bool {
+	return !job.hasSucceeded && len(job.failedMachines) >= jobFaultMachines
 }
 
-// exoneratesMachine reports whether a failure of the task says nothing of the machine.
-func (j *jobRecord) exoneratesMachine(index int) bool {
-	return j.failsEverywhere() || len(j.taskFailedMachines[index]) >= jobFaultMachines
+// exoneratesMachine reports whether a failure of the task does not count against the machine,
+// because the job or the task itself counts as faulty.
+func (job *jobRecord) exoneratesMachine(index int) bool {
+	return job.failsEverywhere() || len(job.taskFailedMachines[index]) >= jobFaultMachines
 }
 
 // TaskFailed records that a task of a job failed on a machine. It returns the machines whose
 // IsFaulty has changed.
-func (t *Tracker) TaskFailed(id string, index int, host string) (changed []string) {
-	j := t.jobRecord(id)
-	if len(j.failedMachines) < jobFaultMachines && !slices.Contains(j.failedMachines, host) {
-		j.failedMachines = append(j.failedMachines, host)
+func (tracker *Tracker) TaskFailed(jobID string, index int, machine string) (changed []string) {
+	job := tracker.jobRecord(jobID)
+	if len(job.failedMachines) < jobFaultMachines && !slices.Contains(job.failedMachines, machine) {
+		job.failedMachines = append(job.failedMachines, machine)
 	}
-	if failed := j.taskFailedMachines[index]; len(failed) < jobFaultMachines && !slices.Contains(failed, host) {
-		j.taskFailedMachines[index] = append(failed, host)
+	if failed := job.taskFailedMachines[index]; len(failed) < jobFaultMachines && !slices.Contains(failed, machine) {
+		job.taskFailedMachines[index] = append(failed, machine)
 	}
-	if j.failsEverywhere() {
-		j.failures++
+	if job.failsEverywhere() {
+		job.failures++
 	}
-	if !j.exoneratesMachine(index) {
-		m := t.machineRecord(host)
-		return t.updateFault(host, func() { m.failedJobs[id] = true })
+	if !job.exoneratesMachine(index) {
+		record := tracker.machineRecord(machine)
+		return tracker.updateFault(machine, func() { record.failedJobs[jobID] = true })
 	}
-	// Failures of this job no longer count against the machines.
-	for _, machine := range append(slices.Clone(j.failedMachines), j.taskFailedMachines[index]...) {
-		if m := t.machines[machine]; m != nil && m.failedJobs[id] && !j.otherTaskFailedOn(index, machine) {
-			changed = append(changed, t.updateFault(machine, func() { delete(m.failedJobs, id) })...)
+	// Earlier failures of this job or task do not count against the machines either.
+	for _, failedOn := range append(slices.Clone(job.failedMachines), job.taskFailedMachines[index]...) {
+		if record := tracker.machines[failedOn]; record != nil && record.failedJobs[jobID] && !job.otherTaskFailedOn(index, failedOn) {
+			changed = append(changed, tracker.updateFault(failedOn, func() { delete(record.failedJobs, jobID) })...)
 		}
 	}
 	return changed
 }
 
-// jobRecord returns the record of a job, created at its first failure.
-func (t *Tracker) jobRecord(id string) *jobRecord {
-	if t.jobs == nil {
-		t.jobs, t.machines = map[string]*jobRecord{}, map[string]*machineRecord{}
+// jobRecord returns the record of a job and creates it if it does not exist.
+func (tracker *Tracker) jobRecord(jobID string) *jobRecord {
+	if tracker.jobs == nil {
+		tracker.jobs, tracker.machines = map[string]*jobRecord{}, map[string]*machineRecord{}
 	}
-	j := t.jobs[id]
-	if j == nil {
-		j = &jobRecord{taskFailedMachines: map[int][]string{}}
-		t.jobs[id] = j
+	job := tracker.jobs[jobID]
+	if job == nil {
+		job = &jobRecord{taskFailedMachines: map[int][]string{}}
+		tracker.jobs[jobID] = job
 	}
-	return j
+	return job
 }
 
-// machineRecord returns the record of a machine, created at the first failure there.
-func (t *Tracker) machineRecord(host string) *machineRecord {
-	m := t.machines[host]
-	if m == nil {
-		m = &machineRecord{failedJobs: map[string]bool{}}
-		t.machines[host] = m
+// machineRecord returns the record of a machine and creates it if it does not exist.
+func (tracker *Tracker) machineRecord(machine string) *machineRecord {
+	record := tracker.machines[machine]
+	if record == nil {
+		record = &machineRecord{failedJobs: map[string]bool{}}
+		tracker.machines[machine] = record
 	}
-	return m
+	return record
 }
 
-// MarkJobWorks records, before a failure, that some task of the job has succeeded at any time
-// and under any shard leader: such a job does not fail everywhere.
-func (t *Tracker) MarkJobWorks(id string) { t.jobRecord(id).hasSucceeded = true }
+// MarkJobWorks records that some task of the job has succeeded at some time, perhaps under an
+// earlier shard leader. Such a job does not fail everywhere. Call it before TaskFailed.
+func (tracker *Tracker) MarkJobWorks(jobID string) { tracker.jobRecord(jobID).hasSucceeded = true }
 
-// RecordFailedRun records, before a failure, how long the attempt had run.
-func (t *Tracker) RecordFailedRun(id string, ran time.Duration) {
-	j := t.jobRecord(id)
-	j.longestFailure = max(j.longestFailure, ran)
+// RecordFailedRun records how long a failed attempt of the job had run. Call it before TaskFailed.
+func (tracker *Tracker) RecordFailedRun(jobID string, ran time.Duration) {
+	job := tracker.jobRecord(jobID)
+	job.longestFailure = max(job.longestFailure, ran)
 }
 
-// Outlasts reports whether a task that has run for a time, and goes on, makes it likely that its
-// job works on that machine though it failed on others: it has outlasted all failures by far. It
-// proves nothing yet. So it neither counts against the other machines nor ends FailsEverywhere;
-// it only justifies one more attempt beside it.
-func (t *Tracker) Outlasts(id string, ran time.Duration) bool {
-	j := t.jobs[id]
-	if j == nil {
+// Outlasts reports whether a task that has run for the time ran, and still runs, makes it likely
+// that its job works on the task's machine although the job failed on others: the task has run
+// much longer than all failed attempts. This is no proof. So it neither counts against the other
+// machines nor makes FailsEverywhere false. It only justifies one more attempt in parallel.
+func (tracker *Tracker) Outlasts(jobID string, ran time.Duration) bool {
+	job := tracker.jobs[jobID]
+	if job == nil {
 		return false
 	}
-	margin := time.Duration((outlastFactor-1)*float64(j.longestFailure)) + MinProofRun
-	return ran >= j.longestFailure+min(margin, maxProofRun)
+	margin := time.Duration((outlastFactor-1)*float64(job.longestFailure)) + MinProofRun
+	return ran >= job.longestFailure+min(margin, maxProofRun)
 }
 
-// otherTaskFailedOn reports whether another task of the job failed on the machine without
-// exonerating it.
-func (j *jobRecord) otherTaskFailedOn(index int, host string) bool {
-	for i, machines := range j.taskFailedMachines {
-		if i != index && !j.exoneratesMachine(i) && slices.Contains(machines, host) {
+// otherTaskFailedOn reports whether another task of the job failed on the machine and that failure
+// counts against the machine.
+func (job *jobRecord) otherTaskFailedOn(index int, machine string) bool {
+	for i, machines := range job.taskFailedMachines {
+		if i != index && !job.exoneratesMachine(i) && slices.Contains(machines, machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// updateFault makes a change, and returns the machine if its IsFaulty has changed.
-func (t *Tracker) updateFault(host string, change func()) []string {
-	was := t.IsFaulty(host)
+// updateFault calls change, and returns the machine if the change altered its IsFaulty.
+func (tracker *Tracker) updateFault(machine string, change func()) []string {
+	was := tracker.IsFaulty(machine)
 	change()
-	if t.IsFaulty(host) == was {
+	if tracker.IsFaulty(machine) == was {
 		return nil
 	}
-	return []string{host}
+	return []string{machine}
 }
 
 // TaskDone records that a task of a job succeeded on a machine. It returns the machines whose
-// IsFaulty has changed: those on which the task had failed were at fault, unless it failed on
-// so many that the task itself is the likelier cause.
-func (t *Tracker) TaskDone(id string, index int, host string) (changed []string) {
-	if m := t.machines[host]; m != nil && len(m.failedJobs) > 0 {
-		changed = t.updateFault(host, func() { clear(m.failedJobs) })
-	}
-	j := t.jobs[id]
-	if j == nil {
+// IsFaulty has changed. The machines on which the task had failed before count as faulty, unless
+// the task failed on so many machines that the task itself is the more likely cause.
+func (tracker *Tracker) TaskDone(jobID string, index int, machine string) (changed []string) {
+	if record := tracker.machines[machine]; record != nil && len(record.failedJobs) > 0 {
+		changed = tracker.updateFault(machine, func() { clear(record.failedJobs) })
+	}
+	job := tracker.jobs[jobID]
+	if job == nil {
 		return changed
 	}
-	j.hasSucceeded, j.failures = true, 0
-	if failedMachines := j.taskFailedMachines[index]; len(failedMachines) < jobFaultMachines {
-		for _, machine := range failedMachines {
-			if machine == host {
+	job.hasSucceeded, job.failures = true, 0
+	if failedMachines := job.taskFailedMachines[index]; len(failedMachines) < jobFaultMachines {
+		for _, failedOn := range failedMachines {
+			if failedOn == machine {
 				continue
 			}
-			m := t.machineRecord(machine)
-			changed = append(changed, t.updateFault(machine, func() { m.provenFaulty = true })...)
+			record := tracker.machineRecord(failedOn)
+			changed = append(changed, tracker.updateFault(failedOn, func() { record.provenFaulty = true })...)
 		}
 	}
-	delete(j.taskFailedMachines, index)
+	delete(job.taskFailedMachines, index)
 	return changed
 }
 
-// FailsEverywhere reports whether a job fails wherever it runs.
-func (t *Tracker) FailsEverywhere(id string) bool {
-	j := t.jobs[id]
-	return j != nil && j.failsEverywhere()
+// FailsEverywhere reports whether a job counts as failing on every machine.
+func (tracker *Tracker) FailsEverywhere(jobID string) bool {
+	job := tracker.jobs[jobID]
+	return job != nil && job.failsEverywhere()
 }
 
-// RetryBackoff returns how long a job that fails everywhere waits for its next attempt; 0 for
-// other jobs.
-func (t *Tracker) RetryBackoff(id string) time.Duration {
-	if !t.FailsEverywhere(id) {
+// RetryBackoff returns how long a job that fails everywhere waits for its next attempt, and 0 for
+// any other job.
+func (tracker *Tracker) RetryBackoff(jobID string) time.Duration {
+	if !tracker.FailsEverywhere(jobID) {
 		return 0
 	}
 	backoff := minBackoff
-	for range t.jobs[id].failures - 1 {
+	for range tracker.jobs[jobID].failures - 1 {
 		if backoff *= 2; backoff >= maxBackoff {
 			return maxBackoff
 		}
@@ -213,15 +223,15 @@
 	return backoff
 }
 
-// IsFaulty reports whether a machine fails what runs on it.
-func (t *Tracker) IsFaulty(host string) bool {
-	m := t.machines[host]
-	return m != nil && (m.provenFaulty || len(m.failedJobs) >= machineFaultJobs)
+// IsFaulty reports whether a machine counts as failing the tasks that run on it.
+func (tracker *Tracker) IsFaulty(machine string) bool {
+	record := tracker.machines[machine]
+	return record != nil && (record.provenFaulty || len(record.failedJobs) >= machineFaultJobs)
 }
 
-// ForgetJob drops a job. Its failures still count against machines, unless it failed
-// everywhere.
-func (t *Tracker) ForgetJob(id string) { delete(t.jobs, id) }
+// ForgetJob drops the record of a job. The job's failures still count against machines, unless the
+// job failed everywhere.
+func (tracker *Tracker) ForgetJob(jobID string) { delete(tracker.jobs, jobID) }
 
-// ForgetMachine drops a machine.
-func (t *Tracker) ForgetMachine(host string) { delete(t.machines, host) }
+// ForgetMachine drops the record of a machine.
+func (tracker *Tracker) ForgetMachine(machine string) { delete(tracker.machines, machine) }
--- a/internal/faultattribution/tracker_test.go
+++ b/internal/faultattribution/tracker_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// TestJobsFailingEverywhere: jobs that fail everywhere are recognized after three machines,
-// and count against no machine, however many there are.
+// TestJobsFailingEverywhere guards against blaming machines for faulty jobs: a job that fails on
+// three machines counts as failing everywhere, and even many such jobs make no machine faulty.
 func TestJobsFailingEverywhere(t *testing.T) {
 	var tracker Tracker
-	for k := range 20 {
-		id := fmt.Sprint("job", k)
+	for jobIndex := range 20 {
+		jobID := fmt.Sprint("job", jobIndex)
 		for i := range 5 {
-			tracker.TaskFailed(id, i, fmt.Sprint("vm", i))
+			tracker.TaskFailed(jobID, i, fmt.Sprint("vm", i))
 		}
-		if !tracker.FailsEverywhere(id) {
-			t.Errorf("FailsEverywhere(%s): got false, want true", id)
+		if !tracker.FailsEverywhere(jobID) {
+			t.Errorf("FailsEverywhere(%s): got false, want true", jobID)
 		}
 	}
 	for i := range 5 {
@@ -30,36 +30,38 @@
 	}
 }
 
-// TestFaultyMachineAmongFailingJobs: a machine that fails everything is recognized among jobs
-// that do.
+// TestFaultyMachineAmongFailingJobs guards against missing a faulty machine while faulty jobs also
+// fail on it. The machine counts as faulty when a task that failed there succeeds elsewhere, or
+// when two healthy jobs fail there. It stops counting as faulty when one of these two jobs turns
+// out to fail everywhere.
 func TestFaultyMachineAmongFailingJobs(t *testing.T) {
 	var tracker Tracker
-	for i, at := range []string{"bad", "vm1", "vm2"} {
-		tracker.TaskFailed("broken", i, at)
+	for i, machine := range []string{"faulty", "vm1", "vm2"} {
+		tracker.TaskFailed("failing", i, machine)
 	}
-	tracker.TaskFailed("sound", 0, "bad")
-	if tracker.IsFaulty("bad") {
+	tracker.TaskFailed("healthy", 0, "faulty")
+	if tracker.IsFaulty("faulty") {
 		t.Error("IsFaulty after one failure of a healthy job: got true, want false")
 	}
-	if got := tracker.TaskDone("sound", 0, "vm1"); !slices.Equal(got, []string{"bad"}) || !tracker.IsFaulty("bad") {
-		t.Errorf("after a success elsewhere: got changed %v, want bad as faulty", got)
+	if got := tracker.TaskDone("healthy", 0, "vm1"); !slices.Equal(got, []string{"faulty"}) || !tracker.IsFaulty("faulty") {
+		t.Errorf("after a success elsewhere: got changed %v, want [faulty], and the machine faulty", got)
 	}
-	// And without waiting for that, when two jobs fail there and nothing succeeds.
-	tracker.TaskFailed("one", 0, "worse")
-	if got := tracker.TaskFailed("two", 0, "worse"); !slices.Equal(got, []string{"worse"}) {
-		t.Errorf("got changed %v, want worse", got)
+	// Two jobs fail on another machine, and nothing succeeds there or elsewhere.
+	tracker.TaskFailed("one", 0, "faulty2")
+	if got := tracker.TaskFailed("two", 0, "faulty2"); !slices.Equal(got, []string{"faulty2"}) {
+		t.Errorf("after failures of two jobs: got changed %v, want [faulty2]", got)
 	}
-	// One of them turns out to fail everywhere.
+	// The second job turns out to fail everywhere.
 	tracker.TaskFailed("two", 1, "vm1")
-	if got := tracker.TaskFailed("two", 2, "vm2"); !slices.Equal(got, []string{"worse"}) || tracker.IsFaulty("worse") {
-		t.Errorf("got changed %v, want worse", got)
+	if got := tracker.TaskFailed("two", 2, "vm2"); !slices.Equal(got, []string{"faulty2"}) || tracker.IsFaulty("faulty2") {
+		t.Errorf("after the second job failed everywhere: got changed %v, want [faulty2], and the machine not faulty", got)
 	}
 }
 
-// TestSucceededBeforeFirstFailure: a job of which tasks succeeded before its first failure
-// does not fail everywhere, however many faulty machines it meets then. A job of 9,720 tasks,
-// most of them done, used to wait two minutes for its next attempt on a day with many such
-// machines.
+// TestSucceededBeforeFirstFailure guards against backing off a job that works: a job with
+// successful tasks before its first failure does not count as failing everywhere, even if it then
+// fails on many faulty machines. With such a backoff, a job of 9,720 tasks, most of them done,
+// waited two minutes for its next attempt while many machines were faulty.
 func TestSucceededBeforeFirstFailure(t *testing.T) {
 	var tracker Tracker
 	for i := range 40 {
@@ -67,7 +69,7 @@
 		tracker.TaskFailed("job", i, fmt.Sprint("vm", i%5))
 	}
 	if tracker.FailsEverywhere("job") || tracker.RetryBackoff("job") > 0 {
-		t.Errorf("job with earlier successes: fails everywhere or backs off by %v, want neither", tracker.RetryBackoff("job"))
+		t.Errorf("job with earlier successes: got FailsEverywhere true or backoff %v, want false and 0", tracker.RetryBackoff("job"))
 	}
 	tracker.TaskDone("job", 3, "vm9")
 	if !tracker.IsFaulty("vm3") {
@@ -75,8 +77,8 @@
 	}
 }
 
-// TestSuccessBetweenFailures: a machine on which work succeeds between two failures is not
-// faulty.
+// TestSuccessBetweenFailures guards against blaming a healthy machine for two unrelated failures: a
+// machine on which a task succeeds between two failures is not faulty.
 func TestSuccessBetweenFailures(t *testing.T) {
 	var tracker Tracker
 	tracker.TaskFailed("one", 0, "vm")
@@ -87,8 +89,9 @@
 	}
 }
 
-// TestTaskFailingEverywhere: a task that fails on many machines says nothing of them, though
-// the others of its job succeed, and though it succeeds at last.
+// TestTaskFailingEverywhere guards against blaming machines for a single faulty task: a task that
+// fails on many machines makes none of them faulty, even if other tasks of its job succeed and the
+// task itself succeeds in the end.
 func TestTaskFailingEverywhere(t *testing.T) {
 	var tracker Tracker
 	tracker.TaskDone("job", 0, "vm0")
@@ -107,8 +110,8 @@
 	}
 }
 
-// TestRetryBackoff: the backoff grows up to its limit, and is zero once something has
-// succeeded.
+// TestRetryBackoff guards against retries at too high a rate and against a backoff that never ends:
+// the backoff grows up to maxBackoff, and is zero after a success.
 func TestRetryBackoff(t *testing.T) {
 	var tracker Tracker
 	last := time.Duration(0)
@@ -116,7 +119,7 @@
 		tracker.TaskFailed("job", 0, fmt.Sprint("vm", i))
 		backoff := tracker.RetryBackoff("job")
 		if i < jobFaultMachines-1 && backoff != 0 || backoff < last || backoff > maxBackoff {
-			t.Fatalf("after %d failures: got backoff %v, want a rising one up to maxBackoff", i+1, backoff)
+			t.Fatalf("after %d failures: got backoff %v, want 0 before jobFaultMachines failures, then no decrease, and at most maxBackoff", i+1, backoff)
 		}
 		last = backoff
 	}
@@ -125,32 +128,33 @@
 	}
 	tracker.TaskDone("job", 0, "vm99")
 	if tracker.FailsEverywhere("job") || tracker.RetryBackoff("job") != 0 {
-		t.Error("after a success: job still backs off")
+		t.Error("after a success: got FailsEverywhere true or a backoff, want false and 0")
 	}
 }
 
-// TestSoundMachinesAreNotFaulty: in whatever order results come in, machines that never fail a
-// healthy job's task are not faulty once every job is decided.
+// TestSoundMachinesAreNotFaulty guards against blaming healthy machines: with one faulty machine
+// and any mix of healthy and faulty jobs, no other machine counts as faulty once all jobs have
+// either succeeded or failed everywhere.
 func TestSoundMachinesAreNotFaulty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker Tracker
 		hosts := rapid.IntRange(jobFaultMachines+2, 12).Draw(t, "hosts")
-		faulty := rapid.IntRange(0, hosts-1).Draw(t, "bad")
+		faulty := rapid.IntRange(0, hosts-1).Draw(t, "faulty host")
 		jobs := rapid.IntRange(1, 12).Draw(t, "jobs")
-		for k := range jobs {
-			id := fmt.Sprint("job", k)
-			failsEverywhere := rapid.Bool().Draw(t, "broken")
+		for jobIndex := range jobs {
+			jobID := fmt.Sprint("job", jobIndex)
+			failsEverywhere := rapid.Bool().Draw(t, "fails everywhere")
 			for attempt := 0; attempt < 8; attempt++ {
-				at := (k + attempt) % hosts
-				if failsEverywhere || at == faulty {
-					tracker.TaskFailed(id, 0, fmt.Sprint("vm", at))
+				machine := (jobIndex + attempt) % hosts
+				if failsEverywhere || machine == faulty {
+					tracker.TaskFailed(jobID, 0, fmt.Sprint("vm", machine))
 					continue
 				}
-				tracker.TaskDone(id, 0, fmt.Sprint("vm", at))
+				tracker.TaskDone(jobID, 0, fmt.Sprint("vm", machine))
 				break
 			}
-			if tracker.FailsEverywhere(id) != failsEverywhere {
-				t.Fatalf("job %d: got FailsEverywhere %v", k, !failsEverywhere)
+			if tracker.FailsEverywhere(jobID) != failsEverywhere {
+				t.Fatalf("FailsEverywhere(job%d): got %v, want the opposite", jobIndex, !failsEverywhere)
 			}
 		}
 		for h := range hosts {
@@ -161,9 +165,9 @@
 	})
 }
 
-// TestOutlasts: a task outlasts the failures of its job when it runs for longer than the longest
-// of them by a margin. That alone proves nothing: the job still counts as failing everywhere, and
-// nothing counts against the machines on which it failed.
+// TestOutlasts guards against taking a running task too early as a sign that its job works: the
+// task has to run longer than the job's longest failed attempt, by a margin. Even then, the job
+// still counts as failing everywhere, and the machines on which it failed do not become faulty.
 func TestOutlasts(t *testing.T) {
 	var tracker Tracker
 	if tracker.Outlasts("job", time.Hour) {
@@ -186,10 +190,10 @@
 	} {
 		tracker.RecordFailedRun("job", c.longest)
 		if got := tracker.Outlasts("job", c.ran); got != c.want {
-			t.Errorf("a run of %v after failures of up to %v: got %v, want %v", c.ran, c.longest, got, c.want)
+			t.Errorf("Outlasts after a run of %v, with failures after up to %v: got %v, want %v", c.ran, c.longest, got, c.want)
 		}
 	}
 	if !tracker.FailsEverywhere("job") || tracker.IsFaulty("vm0") {
-		t.Error("after a run that outlasts the failures: got another verdict, want the same")
+		t.Error("after a run that outlasts the failures: got FailsEverywhere false or IsFaulty(vm0) true, want true and false")
 	}
 }
