--- a/internal/controller/control_records.go
+++ b/internal/controller/control_records.go
@@ -10,8 +10,9 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// loadControlRecords reads ctl/ anew, page by page. A later page may show later changes, so
-// the records are complete only when the watch has brought all changes up to the last page.
+// loadControlRecords reads ctl/ anew, page by page. A later page may contain later changes, so
+// the records are complete only when the watch has delivered all changes up to the revision of
+// the last page.
 func (m *membership) loadControlRecords() {
 	m.generation++
 	gen := m.generation
@@ -48,7 +49,8 @@
 	list("")
 }
 
-// replaceControlRecords takes what was read of ctl/ for all that is there, as of a time.
+// replaceControlRecords replaces the known records with items, which are all records under ctl/
+// as of the time asOf.
 func (m *membership) replaceControlRecords(items []message.KeyValue, asOf time.Time) {
 	m.leader, m.leaderModRevision = record.Leader{}, 0
 	m.drain, m.drainModRevision = record.Drain{}, 0
@@ -63,8 +65,9 @@
 	m.controller.ranking.noteKnown(asOf)
 }
 
-// watchControlRecords watches ctl/ from m.revision on, again and again. The records count as
-// loaded from completeRevision on; until then it only fetches what has changed already.
+// watchControlRecords watches ctl/ from m.revision on, and watches again after each answer. The
+// records count as loaded from completeRevision on; until then each watch returns at once with
+// the changes made so far.
 func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
 	if gen != m.generation {
 		return
@@ -95,8 +98,8 @@
 	})
 }
 
-// applyControlUpdates applies the changes after some revision that a watch or read of ctl/ has
-// brought. Of two that overlap each change counts once.
+// applyControlUpdates applies the changes that a watch or a read of ctl/ has returned. Answers
+// may overlap; each change is applied once.
 func (m *membership) applyControlUpdates(d message.StoreResponse) {
 	changed := false
 	for i, it := range d.KeyValues {
@@ -115,10 +118,10 @@
 	}
 }
 
-// confirmControlRecords calls fn when ctl/ is known as of a moment after this call. Only then
-// may something count against a machine by time alone, such as the end of its lease: the
-// machine may be another controller's by now. If the read fails fn is not called, and whoever
-// needs it calls again.
+// confirmControlRecords calls fn when ctl/ is known as of a time after this call. An action
+// against a machine that follows from elapsed time alone, such as the end of its worker lease,
+// must wait for this, since the machine may belong to another controller by then. If the read
+// fails, fn is not called; a caller that still needs the confirmation calls again.
 func (m *membership) confirmControlRecords(fn func()) {
 	m.confirmWaiters = append(m.confirmWaiters, fn)
 	if m.confirming || !m.loaded {
@@ -131,7 +134,7 @@
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision}, func(d message.StoreResponse) {
 		m.confirming = false
 		if gen != m.generation || d.Status != message.StoreOK {
-			// Whoever still needs it calls again.
+			// Callers that still need the confirmation call again.
 			return
 		}
 		m.applyControlUpdates(d)
@@ -189,8 +192,8 @@
 	}
 }
 
-// controlRecordsChanged brings this controller's roles in line with ctl/, after each batch of
-// changes.
+// controlRecordsChanged brings this controller's roles in line with ctl/. It is called after
+// each batch of changes.
 func (m *membership) controlRecordsChanged() {
 	m.controller.ranking.applyChange()
 	switch {
@@ -199,10 +202,11 @@
 		wait := time.Duration(0)
 		switch {
 		case m.controller.partition.receivesNothing(m.now):
-			// The others first: this controller was cut off from the workers.
+			// Other controllers claim leadership first, since this controller was cut off from
+			// the workers.
 			wait = partitionLeadDelay
 		case incarnation.OnProbation(m.now, m.startedAt) && m.hasEstablishedPeer():
-			// Others have been up for longer, and so are less likely to be gone soon.
+			// Other controllers have been up for longer, and so are less likely to fail soon.
 			wait = recentStartLeadDelay
 		}
 		if wait == 0 {
@@ -223,7 +227,7 @@
 	m.formats.advanceFormat()
 }
 
-// claimLeadership writes the leader's record if nobody has it.
+// claimLeadership writes the leader record if it does not exist.
 func (m *membership) claimLeadership() {
 	if m.claimingLeadership || m.leaseID == 0 || !m.loaded {
 		return
@@ -235,7 +239,8 @@
 		m.claimingLeadership = false
 		switch d.Status {
 		case message.StoreOK, message.StoreConflict:
-		// The watch shows who has it, this controller's own unanswered claim included.
+			// The watch delivers the leader record, also if it is this controller's and the
+			// answer to the write was lost.
 		case message.StoreNoLease:
 			m.leaseLost("lease expired while claiming leadership")
 		default:
@@ -248,8 +253,8 @@
 	})
 }
 
-// liveMachineOwner is the host of the controller that takes a machine's heartbeats: its owner,
-// if it is alive, or "".
+// liveMachineOwner returns the host of the controller that receives a machine's heartbeats: the
+// machine's owner if that is alive, otherwise "".
 func (m *membership) liveMachineOwner(machine string) string {
 	o, ok := m.shardMap.Owner(machine)
 	if !ok || !m.loaded || m.controllers[o.Host].Incarnation != o.Incarnation {
@@ -258,8 +263,8 @@
 	return o.Host
 }
 
-// ownedMachine says whether a machine is this controller's by the records read so far, and
-// under which epoch.
+// ownedMachine returns the owner and epoch of a machine, and whether the owner is this
+// controller according to the records read so far.
 func (m *membership) ownedMachine(machine string) (sharding.Owner, bool) {
 	o, ok := m.shardMap.Owner(machine)
 	return o, ok && o.Host == m.settings.Host && o.Incarnation == m.incarnation() && m.leaseID != 0 && m.loaded
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,23 +11,23 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// Controller is one replica of the control plane. All of its state belongs to the
-// goroutine that calls Step; nothing in this package locks.
+// Controller is one replica of the control plane. All of its state belongs to the goroutine that
+// calls Step; nothing in this package locks.
 //
-// Each component owns its fields. Other components call its methods and never write its
-// fields. The components here live as long as the process. shardLeader and leader exist
-// only while this controller has these roles; they are dropped with the membership lease
+// Each component owns its fields. Other components call its methods and never write its fields.
+// The components that are stored by value live as long as the process. shardLeader and leader
+// exist only while this controller has these roles. They are dropped with the membership lease
 // at the latest, and a new one starts from the records in the store.
 type Controller struct {
 	*environment
 
-	// Who takes part, and which roles this controller has.
+	// Membership, and the roles that this controller has.
 	membership  membership
 	partition   partitionDetector
 	renewal     leaseRenewer
 	shardLeader *shardLeader // nil unless this controller holds a shard
 	leader      *leader      // nil unless this controller is the leader
-	// role is what was last emitted of the two.
+	// role is the role that Step emitted last.
 	role message.Role
 
 	// Requests of users and operators.
@@ -35,18 +35,19 @@
 	ranking  rankingState
 	lending  lending
 	promises promiseState
-	// cancellations are passed on to peers; see cancellation_gossip.go.
+	// cancellations passes cancellations of jobs on to peers; see cancellation_gossip.go.
 	cancellations cancellationGossip
 
 	// Shared by both roles.
 	requests   requestTracker
 	rateLimits rateLimits
 	planning   planningThrottle
-	// knowledge outlives the roles: what was learnt of machines and workloads.
+	// knowledge is what this controller has learnt about machines and workloads. It survives the
+	// loss of a role.
 	knowledge fleetKnowledge
 }
 
-// New makes a controller that knows nothing yet. The first Step starts it.
+// New returns a controller without any state. The first Step starts it.
 func New(set Settings, rng *rand.Rand) *Controller {
 	c := &Controller{
 		environment:   &environment{settings: set, rng: rng},
@@ -62,7 +63,8 @@
 	return c
 }
 
-// connectComponents gives each component the environment and the way to the others.
+// connectComponents gives each component the shared environment and a reference to the
+// controller.
 func (c *Controller) connectComponents() {
 	shared := component{environment: c.environment, controller: c}
 	c.requests.component = shared
@@ -81,7 +83,7 @@
 	c.planning.component = shared
 }
 
-// Step handles a batch of commands at one moment and returns the effects to carry out.
+// Step handles a batch of commands at the time now and returns the effects to carry out.
 func (c *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
 	c.now = now
 	c.effects = nil
@@ -108,7 +110,7 @@
 	return c.effects
 }
 
-// handleCommand passes a command to the component that it is for.
+// handleCommand dispatches a command to the component that handles it.
 func (c *Controller) handleCommand(cmd message.Command) {
 	switch cmd := cmd.(type) {
 	case message.SubmitJob:
@@ -146,15 +148,16 @@
 	}
 }
 
-// receiveHeartbeat handles a worker's heartbeat, unless it is a stale copy of one.
+// receiveHeartbeat handles a worker's heartbeat. A late copy of an earlier heartbeat goes to
+// handleStaleHeartbeat instead.
 func (c *Controller) receiveHeartbeat(cmd message.WorkerHeartbeat) {
 	if !c.handleStaleHeartbeat(&cmd) {
 		c.handleHeartbeat(cmd)
 	}
 }
 
-// Deadline is the latest time at which Step must be called if no command comes before;
-// zero if there is none.
+// Deadline returns the latest time at which Step must be called if no command arrives earlier,
+// or the zero time if there is none.
 func (c *Controller) Deadline() time.Time {
 	var t time.Time
 	earliest := func(o time.Time) {
@@ -177,16 +180,17 @@
 	return t
 }
 
-// StepTook reports how long the last Step took, its effects included. Planning is cut into
-// slices by it, so that steps stay short and placement leaves time for the rest.
+// StepTook records how long the last Step took, including the execution of its effects. Planning
+// is divided into slices accordingly, so that steps stay short and planning leaves time for
+// other commands.
 func (c *Controller) StepTook(d time.Duration) { c.planning.recordStep(d) }
 
-// Healthy says whether this controller can take users' requests now.
+// Healthy reports whether this controller can take users' requests.
 func (c *Controller) Healthy(now time.Time) bool {
 	return c.membership.ready && (!c.membership.storeDown(now) || c.membership.storeDownEverywhere(now))
 }
 
-// IsShardLeader says whether this controller runs the jobs of some team now.
+// IsShardLeader reports whether this controller runs the jobs of at least one team.
 func (c *Controller) IsShardLeader() bool {
 	return c.shardLeader != nil && c.shardLeader.ready && len(c.shardLeader.teams) > 0
 }
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -9,7 +9,7 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// lastStoreRequest is the last request to the state service that a controller made.
+// lastStoreRequest returns the last request that a controller sent to the store.
 func (c *Controller) lastStoreRequest(t *testing.T) message.StoreRequest {
 	t.Helper()
 	for _, e := range slices.Backward(c.effects) {
@@ -17,35 +17,33 @@
 			return op
 		}
 	}
-	t.Fatal("got no request to the state service, want one")
+	t.Fatal("got no request to the store, want one")
 	return message.StoreRequest{}
 }
 
-// answerStore answers a request to the state service.
+// answerStore passes a response to the callback of a request to the store.
 func (c *Controller) answerStore(op message.StoreRequest, response message.StoreResponse) {
 	c.requests.storeCallbacks[op.ID](response)
 }
 
-// TestDrainIsFenced: a switch of the cluster's drain names the revision of the one that its
-// controller knows.
-//
-// What happened: it named none, so that an older switch which was carried out late took the place
-// of a newer one, and the answer to an older one undid what the watch had brought. What showed it:
-// the write to ctl/drain had no compares.
+// TestDrainIsFenced checks that a write of the cluster's drain compares the revision of the
+// drain record that the controller knows. Without the compare, a delayed write of an older
+// switch replaces a newer one, and the answer to an older write undoes a newer record that the
+// watch has delivered.
 func TestDrainIsFenced(t *testing.T) {
 	c := largePool(0)
 	c.handleCommand(message.DrainCommand{Reply: 1, Enabled: true, Deadline: c.now})
 	op := c.lastStoreRequest(t)
 	if want := (message.Compare{Key: record.DrainKey}); !slices.Equal(op.Compares, []message.Compare{want}) {
-		t.Fatalf("got compares %v of the first switch, want that there was none", op.Compares)
+		t.Fatalf("got compares %v of the first switch, want that the record is absent", op.Compares)
 	}
 	c.answerStore(op, message.StoreResponse{Status: message.StoreOK, Revision: 10})
 	c.handleCommand(message.DrainCommand{Reply: 2, Enabled: false})
 	op = c.lastStoreRequest(t)
 	if want := (message.Compare{Key: record.DrainKey, ModRevision: 10}); !slices.Equal(op.Compares, []message.Compare{want}) {
-		t.Errorf("got compares %v of the second switch, want the first one's revision", op.Compares)
+		t.Errorf("got compares %v of the second switch, want the revision of the first switch", op.Compares)
 	}
-	// The watch brings a newer one before the answer.
+	// The watch delivers a newer record before the answer arrives.
 	c.membership.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: record.Encode(record.Drain{Enabled: true}), ModRevision: 12})
 	c.answerStore(op, message.StoreResponse{Status: message.StoreOK, Revision: 11})
 	if !c.membership.drain.Enabled {
@@ -53,8 +51,9 @@
 	}
 }
 
-// TestDrainAnswers: what an operator is told of a switch whose compares did not hold: done if it
-// stands there all the same, as when its first answer was lost, and not done otherwise.
+// TestDrainAnswers checks the reply to an operator when the compares of a drain write did not
+// hold. The reply is durable if the stored record equals the requested one, as after a first
+// answer that was lost, and otherwise not applied.
 func TestDrainAnswers(t *testing.T) {
 	deadline := time.Unix(1_750_000_600, 0)
 	for _, tc := range []struct {
@@ -62,8 +61,8 @@
 		stored record.Drain
 		want   message.LoanStatus
 	}{
-		{"its answer was lost", record.Drain{Enabled: true, Deadline: deadline.UnixMilli()}, message.LoanDurable},
-		{"another's is newer", record.Drain{}, message.LoanNotApplied},
+		{"answer to the first write was lost", record.Drain{Enabled: true, Deadline: deadline.UnixMilli()}, message.LoanDurable},
+		{"another switch is newer", record.Drain{}, message.LoanNotApplied},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := largePool(0)
@@ -72,7 +71,7 @@
 			c.answerStore(c.lastStoreRequest(t), message.StoreResponse{Status: message.StoreConflict, Revision: 12})
 			read := c.lastStoreRequest(t)
 			if read.Kind != message.OpWatch || read.Key != record.ControlPrefix {
-				t.Fatalf("got request %v, want the control records read", read)
+				t.Fatalf("got request %v, want a read of the control records", read)
 			}
 			c.answerStore(read, message.StoreResponse{Status: message.StoreOK, Revision: 12, KeyValues: []message.KeyValue{{Key: record.DrainKey, Value: record.Encode(tc.stored), ModRevision: 12}}})
 			if got, ok := c.effects[len(c.effects)-1].(message.LoanReply); !ok || got != (message.LoanReply{Reply: 7, Status: tc.want}) {
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -10,51 +10,55 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// environment is what all components of a controller share: settings, clock, random
-// numbers, timers, the effects of the running Step and the counts of errors. There is one
-// for the life of the process; it survives every loss of a role.
+// environment is the state that all components of a controller share: settings, clock, random
+// numbers, timers, the effects of the running Step and the counts of errors. A controller has
+// one environment, which survives every loss of a role.
 type environment struct {
 	settings Settings
 	rng      *rand.Rand
 
-	// now and effects belong to the running Step. A component reads now and never keeps
-	// an own clock.
+	// now is the time of the running Step, and effects are what it returns. now is the only
+	// clock of the components.
 	now     time.Time
 	effects []message.Effect
 	lastID  uint64
-	// timers stand in the order in which they were set; those that are due run in it.
+	// timers are kept in the order in which they were set. Those that are due run in this order.
 	timers []timer
 
-	// internalErrors counts faults of this program that it went on after, such as
-	// transactions that the store called malformed.
+	// internalErrors counts faults of this program after which it kept running, such as
+	// transactions that the store rejected as malformed.
 	internalErrors int
-	// rejectedInputs counts invalid input from outside; rejections bounds its log lines.
+	// rejectedInputs counts invalid inputs from outside the process. rejections limits how often
+	// they are logged.
 	rejectedInputs int
 	rejections     validate.LogLimiter
-	// lostLeases counts the membership leases that this process has lost. Each loss makes
-	// it a new incarnation, since it forgets with its roles which commands are on their way.
+	// lostLeases counts the membership leases that this process has lost. Each loss makes the
+	// process a new incarnation, because the process drops its roles and with them the knowledge
+	// of which commands are in flight.
 	lostLeases int
 }
 
-// component is embedded by every part of a controller: the environment, and the way to the
-// other parts, whose methods it calls and whose fields it never writes.
+// component is embedded in every component of a controller. It holds the shared environment and
+// the controller, through which a component calls the methods of the others. A component never
+// writes the fields of another.
 type component struct {
 	*environment
 	controller *Controller
 }
 
-// timer is a function that a Step at or after a time is to call.
+// timer is a function that the first Step at or after a given time calls.
 type timer struct {
 	at time.Time
 	fn func()
 }
 
-// after calls fn in the first Step that is at least d from now.
+// after sets a timer: the first Step that is at least d from now calls fn.
 func (e *environment) after(d time.Duration, fn func()) {
 	e.timers = append(e.timers, timer{e.now.Add(d), fn})
 }
 
-// runTimers calls the functions that are due. What these set runs in a later Step.
+// runTimers calls the functions of the timers that are due. A timer set by one of these
+// functions runs in a later Step.
 func (e *environment) runTimers() {
 	var due []timer
 	keep := e.timers[:0]
@@ -71,8 +75,8 @@
 	}
 }
 
-// emit adds an effect to those that the running Step returns. An update to a peer names
-// the incarnation that sends it.
+// emit adds an effect to those that the running Step returns. It writes the sender's incarnation
+// into an update to a peer.
 func (e *environment) emit(effect message.Effect) {
 	if p, ok := effect.(message.SendPeerUpdate); ok {
 		p.Update.Incarnation = e.incarnation()
@@ -81,10 +85,11 @@
 	e.effects = append(e.effects, effect)
 }
 
+// nextID returns an ID that is unique within this process.
 func (e *environment) nextID() uint64 { e.lastID++; return e.lastID }
 
-// incarnation names this process together with the membership lease that it is on: the
-// first, or the one after so many losses.
+// incarnation returns the name of the current incarnation of this process: the configured name,
+// with the number of lost membership leases appended after the first loss.
 func (e *environment) incarnation() string {
 	if e.lostLeases == 0 {
 		return e.settings.Incarnation
@@ -92,21 +97,21 @@
 	return e.settings.Incarnation + "." + strconv.Itoa(e.lostLeases)
 }
 
-// beginNextIncarnation has this process go on as a new incarnation, after the loss of its
-// membership lease.
+// beginNextIncarnation makes this process a new incarnation after the loss of its membership
+// lease.
 func (e *environment) beginNextIncarnation() {
 	e.lostLeases++
 }
 
-// internalError logs and counts a fault of this program that it goes on after.
+// internalError logs and counts a fault of this program after which it keeps running.
 func (e *environment) internalError(text string, args ...any) {
 	e.internalErrors++
 	e.emit(message.Log{Error: true, Message: text, Args: args})
 }
 
-// rejectInput counts invalid input from outside: peers' updates, workers' heartbeats and
-// records, which may be damaged or written by mistake. It is logged once a minute for
-// each cause; nothing fails because of it.
+// rejectInput counts an invalid input from outside: a peer's update, a worker's heartbeat or a
+// stored record, which may be damaged or written by mistake. Each cause is logged at most once a
+// minute. An invalid input never stops the controller.
 func (e *environment) rejectInput(kind, from, reason string) {
 	e.rejectedInputs++
 	if e.rejections.Allow(e.now, kind+" "+from+" "+reason) {
@@ -114,28 +119,31 @@
 	}
 }
 
+// info logs a message at level info.
 func (e *environment) info(text string, args ...any) { e.emit(message.Log{Message: text, Args: args}) }
+
+// debug logs a message at level debug.
 func (e *environment) debug(text string, args ...any) {
 	e.emit(message.Log{Debug: true, Message: text, Args: args})
 }
 
-// jitter spreads d by a quarter either way, so that controllers that failed together do
-// not retry in step.
+// jitter changes d at random by up to a quarter either way, so that controllers that failed
+// together do not retry at the same time.
 func (e *environment) jitter(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.75 + e.rng.Float64()/2))
 }
 
-// spread is d, give or take a half.
+// spread changes d at random by up to a half either way.
 func (e *environment) spread(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (0.5 + e.rng.Float64()))
 }
 
-// maxHeartbeatInterval is the longest pause between two heartbeats of a living worker.
+// maxHeartbeatInterval returns the longest time between two heartbeats of a live worker.
 func (e *environment) maxHeartbeatInterval() time.Duration {
 	return e.settings.HeartbeatInterval * 5 / 4
 }
 
-// team is the settings of a team, nil if there is none of the name.
+// team returns the settings of the team of this name, or nil if there is none.
 func (e *environment) team(name string) *model.Team {
 	for i := range e.settings.Teams {
 		if e.settings.Teams[i].Name == name {
@@ -145,7 +153,8 @@
 	return nil
 }
 
-// waitObjective is how soon the workload's tasks are to start, or 0.
+// waitObjective returns the time within which the tasks of a workload should start, or 0 if no
+// objective is set.
 func (e *environment) waitObjective(workload string) time.Duration {
 	for _, o := range e.settings.Objectives {
 		if o.Kind == "wait" && o.Workload == workload {
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -8,30 +8,35 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// exchange.go is the leader's part of scaling: it hands over machines that one shard leader can spare
-// and another needs, and sends the other requests to the cloud. The matching is in internal/exchange.
+// exchange.go is the leader's part of scaling. The leader hands over machines that one shard leader
+// can spare to another that needs them, and sends the remaining requests to the cloud.
+// internal/exchange matches requests with machines.
 
 const (
-	// maxHandovers bounds the machines handed over in one tick; handoverCooldown is how long a
-	// machine stays where it was handed over to, so that it is not moved to and fro.
-	maxHandovers     = 200
+	// maxHandovers bounds the machines handed over in one tick.
+	maxHandovers = 200
+	// handoverCooldown is how long a machine stays with its new owner after a handover, so that
+	// it is not moved back and forth.
 	handoverCooldown = 20 * time.Second
-	// maxSurplus bounds the machines that a shard leader offers.
+	// maxSurplus bounds the machines that a shard leader offers as surplus.
 	maxSurplus = 200
-	// handoverTime is how long a machine that is handed over takes to be of use there.
+	// handoverTime is the time from a handover until the new owner can use the machine.
 	handoverTime = 2 * time.Second
-	// statusComing is the status of a machine that is being handed over, as published to the
-	// shard leader that gets it.
+	// statusComing is the status of a machine that is being handed over, as published to its
+	// new owner.
 	statusComing = "coming"
 )
 
+// exchangeKind returns the kind as a type of internal/exchange.
 func (k machineKind) exchangeKind() exchange.Kind {
 	return exchange.Kind{MachineType: k.machineType, Zone: k.zone, Spot: k.spot}
 }
 
+// fromExchangeKind returns the machineKind for a kind of internal/exchange.
 func fromExchangeKind(k exchange.Kind) machineKind { return machineKind{k.MachineType, k.Zone, k.Spot} }
 
-// fleetRequest is what a shard leader asks of the leader.
+// fleetRequest holds what one shard leader requests from the leader and what it offers: the
+// machines to rent by kind, the machines to release, and the machines that it can spare.
 type fleetRequest struct {
 	host     string
 	capacity map[machineKind]int
@@ -43,7 +48,7 @@
 func (l *leader) fleetRequests() []fleetRequest {
 	var out []fleetRequest
 	if o := l.controller.shardLeader; o != nil && o.ready {
-		// What could not be booked at once stays requested until the next tick.
+		// Requests that could not be booked at once stay until the next tick.
 		out = append(out, fleetRequest{l.settings.Host, o.fleet.capacityRequests, o.fleet.takeReleases(), o.fleet.surplus})
 	}
 	for _, host := range sortedKeys(l.updates) {
@@ -60,10 +65,11 @@
 	return out
 }
 
-// exchangeMachines meets the requests of the shard leaders, by handovers, bookings and releases.
+// exchangeMachines serves the requests of the shard leaders by handovers, bookings and releases.
 func (l *leader) exchangeMachines() {
 	if l.controller.membership.revision < l.sharding.writtenRevision {
-		// The machines' owners are not known before the last write has been read.
+		// The owners of the machines are known only once the leader has read its last write
+		// of the shard map.
 		return
 	}
 	requests := l.fleetRequests()
@@ -82,7 +88,7 @@
 	}
 	handovers, bookings := exchange.Match(owners, exchange.Limits{
 		MaxTransfers: maxHandovers, MaxScaleOuts: l.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
-		// A further request for a kind counts only when all bookings of it are answered.
+		// A further request for a kind counts only when all bookings of that kind are answered.
 		IsBusy: func(host string, k exchange.Kind) bool {
 			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(l.now)
 		},
@@ -95,7 +101,7 @@
 		w := &requests[i]
 		if w.host == l.settings.Host {
 			for k := range w.capacity {
-				// What is left of them stays requested until the next tick.
+				// The remaining requests stay until the next tick.
 				j := slices.IndexFunc(owners, func(o exchange.Owner) bool { return o.Host == w.host })
 				w.capacity[k] = owners[j].CapacityRequests[k.exchangeKind()]
 			}
@@ -112,14 +118,14 @@
 	}
 }
 
-// canHandOver reports whether a machine may be handed over by a shard leader now.
+// canHandOver reports whether the shard leader on host may hand over a machine at present.
 func (l *leader) canHandOver(id, host string) bool {
 	_, assigned := l.sharding.unrecordedMachines[id]
 	_, recentlyHandedOver := l.handedOverAt[id]
 	return l.ownerOf(id) == host && !assigned && !recentlyHandedOver && !l.controller.knowledge.released[id]
 }
 
-// releaseFor returns to the cloud the machines that a shard leader has released.
+// releaseFor returns to the cloud the machines whose release the shard leader on host requests.
 func (l *leader) releaseFor(host string, ids []string) {
 	var releasable []string
 	for _, id := range ids {
@@ -138,7 +144,8 @@
 	}
 }
 
-// surplusExcept counts, by kind, the machines that shard leaders other than that on host offer.
+// surplusExcept counts, by kind, the machines that the shard leaders on other hosts offer as
+// surplus.
 func (l *leader) surplusExcept(host string) []message.CapacityRequest {
 	byKind := map[machineKind]int{}
 	count := func(of string, ids []string) {
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -10,37 +10,41 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// machineTypesInterval is how often machine types and prices are read again.
+// machineTypesInterval is the time between reads of the machine types and prices.
 const machineTypesInterval = 30 * time.Second
 
-// fleetKnowledge is what a controller knows of machines and workloads whatever role it has: prices
-// and capacities, how long machines take to be ready, how accurate estimates of run times are, and
-// what other shard leaders publish. Its methods may be called at any time from within Step.
+// fleetKnowledge is what a controller knows about machines and workloads in every role: prices
+// and capacities, how long machines take to be ready, how accurate estimates of run times are,
+// and what other shard leaders publish. Its methods may be called at any time within Step.
 //
-// It outlives the loss of shard leadership, so that a controller that takes a shard over plans with
-// what it has learnt before. None of it is stored: after a restart it is learnt anew, from the cloud,
-// from heartbeats and from the updates of peers.
+// It survives the loss of shard leadership, so that a controller that takes over a shard plans
+// with what it learnt before. None of it is stored: after a restart it is learnt anew from the
+// cloud, from heartbeats and from the updates of peers.
 type fleetKnowledge struct {
 	component
 
-	// machineTypes, by name, is the cloud's list; empty until it was read for the first time.
+	// machineTypes is the cloud's list of machine types by name; it is empty before the first
+	// read.
 	machineTypes map[string]model.MachineType
 	// provisioningTimes estimates how long machines of each kind take to be ready.
 	provisioningTimes map[machineKind]*boottime.Estimator
 	// estimators, by workload, correct the estimates of run times that users give.
 	estimators map[string]*estimator
-	// released holds the machines whose release was requested: neither an old list nor a late
-	// heartbeat may bring them back into use. Entries stay.
+	// released holds the machines whose release was requested. Neither an old list nor a late
+	// heartbeat may bring them back into use. Entries are never removed.
 	released map[string]bool
 
-	// inheritedLoads is what other shard leaders last published of their teams' workloads.
+	// inheritedLoads is what other shard leaders last published about the workloads of their
+	// teams.
 	inheritedLoads map[workloadKey]message.WorkloadLoad
-	// predecessorMachines is what other shard leaders last published of their machines, pruned
-	// of entries older than machineUpdateTTL.
-	predecessorMachines  map[string]predecessorMachine
+	// predecessorMachines is what other shard leaders last published about their machines.
+	// Entries older than machineUpdateTTL are pruned.
+	predecessorMachines map[string]predecessorMachine
+	// predecessorsPrunedAt is when predecessorMachines was last pruned.
 	predecessorsPrunedAt time.Time
 }
 
+// init creates the maps.
 func (k *fleetKnowledge) init() {
 	k.provisioningTimes = map[machineKind]*boottime.Estimator{}
 	k.estimators = map[string]*estimator{}
@@ -49,12 +53,12 @@
 	k.predecessorMachines = map[string]predecessorMachine{}
 }
 
-// markReleased notes that the release of a machine was requested: it is never given work again,
-// whatever becomes of the request.
+// markReleased records that the release of a machine was requested. The machine never gets a
+// task again, whatever the outcome of the request.
 func (k *fleetKnowledge) markReleased(id string) { k.released[id] = true }
 
-// inheritLoad keeps what another shard leader published of a workload. Its estimator is taken over
-// where this controller leads no shard, or has seen fewer samples.
+// inheritLoad stores what another shard leader published about a workload. Its estimator
+// replaces this controller's own if this controller leads no shard or has fewer samples.
 func (k *fleetKnowledge) inheritLoad(l message.WorkloadLoad, leadsNoShard bool) {
 	k.inheritedLoads[workloadKey{l.Team, l.Workload}] = l
 	if e := k.estimators[l.Workload]; l.Samples > 0 && (leadsNoShard || e == nil || e.samples < l.Samples) {
@@ -62,13 +66,13 @@
 	}
 }
 
-// recordMachineUpdates keeps what another shard leader published of its machines.
+// recordMachineUpdates stores what another shard leader published about its machines.
 func (k *fleetKnowledge) recordMachineUpdates(updates []message.MachineUpdate) {
 	for _, u := range updates {
 		k.predecessorMachines[u.ID] = predecessorMachine{MachineUpdate: u, receivedAt: k.now}
 	}
 	if len(updates) > 0 && k.now.Sub(k.predecessorsPrunedAt) > machineUpdateTTL {
-		// Machines that nobody publishes any more are gone. Readers check the age of an
+		// Machines that no shard leader publishes any more are gone. Readers check the age of an
 		// entry themselves, so pruning may be late.
 		k.predecessorsPrunedAt = k.now
 		for id, m := range k.predecessorMachines {
@@ -87,7 +91,7 @@
 	}
 }
 
-// cheapestCPUCost is the lowest cost of a CPU per hour among all kinds of machines.
+// cheapestCPUCost returns the lowest cost of a CPU per hour among all kinds of machines.
 func (k *fleetKnowledge) cheapestCPUCost() float64 {
 	low := 0.0
 	for _, machineType := range k.machineTypes {
@@ -100,7 +104,8 @@
 	return max(low, 1e-9)
 }
 
-// fittingMachineTypes returns the names of the machine types a task fits, in no order.
+// fittingMachineTypes returns the names of the machine types on which a task of the job fits, in
+// no particular order.
 func (k *fleetKnowledge) fittingMachineTypes(s *model.JobSpec) []string {
 	var out []string
 	for name, machineType := range k.machineTypes {
@@ -111,7 +116,7 @@
 	return out
 }
 
-// fetchTime is how long m needs to have the image of j.
+// fetchTime returns how long machine m takes until it has the image of job j.
 func (k *fleetKnowledge) fetchTime(m *machine, j *job) time.Duration {
 	fetching := 0
 	for _, im := range m.images {
@@ -122,7 +127,8 @@
 	return record.DurationOfSeconds(m.fetchSeconds(j, fetching, k.imageFetchRate(m)))
 }
 
-// imageFetchRate is how many GB a machine fetches in a second; 1 where it is not known.
+// imageFetchRate returns how many GB of images a machine fetches per second, or 1 if the rate is
+// not known.
 func (k *fleetKnowledge) imageFetchRate(m *machine) float64 {
 	if rate := k.machineTypes[m.machineType].ImageFetchRate; rate > 0 {
 		return rate
@@ -130,7 +136,8 @@
 	return 1
 }
 
-// costPerHour is the price of a machine, times the policy's cost factor for its type.
+// costPerHour returns the price of a machine per hour, multiplied by the policy's cost factor
+// for its type.
 func (k *fleetKnowledge) costPerHour(kind machineKind) float64 {
 	machineType := k.machineTypes[kind.machineType]
 	cost := machineType.CostPerHour
@@ -143,12 +150,13 @@
 	return cost
 }
 
-// costPerCPU is the cost of one CPU of a machine per hour.
+// costPerCPU returns the cost of one CPU of a machine per hour.
 func (k *fleetKnowledge) costPerCPU(m *machine) float64 {
 	return k.costPerHour(machineKind{m.machineType, m.zone, m.spot}) / max(m.size.CPU, 1)
 }
 
-// loadMachineTypes reads the machine types from the cloud, again and again.
+// loadMachineTypes reads the machine types from the cloud every machineTypesInterval, and
+// retries failed reads after a second.
 func (c *Controller) loadMachineTypes() {
 	c.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
 		if d.Status == message.CloudOK {
@@ -167,10 +175,10 @@
 	})
 }
 
-// safetyMargin is the time kept in hand for the uncertainty of a job's run time.
+// safetyMargin returns the time reserved for the uncertainty of a job's run time.
 func (k *fleetKnowledge) safetyMargin(j *job) time.Duration {
 	if j.LongRunning {
-		// It has no deadline for its end.
+		// A long-running job has no deadline for its end.
 		return minSafetyMargin
 	}
 	fraction := minSafetyFraction
@@ -180,8 +188,8 @@
 	return minSafetyMargin + time.Duration(fraction*float64(k.expectedRunTime(j)))
 }
 
-// planningHorizon is how far ahead demand is planned for: the mean time until a machine rented now
-// is ready.
+// planningHorizon returns how far ahead demand is planned: the mean time until a newly rented
+// machine is ready.
 func (k *fleetKnowledge) planningHorizon() time.Duration {
 	var sum time.Duration
 	for _, machineType := range k.machineTypes {
--- a/internal/controller/fleet_log.go
+++ b/internal/controller/fleet_log.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// fleetLogInterval is how often the fleet is described in the log, at debug.
+// fleetLogInterval is the time between summaries of the fleet in the log, at level debug.
 const fleetLogInterval = 10 * time.Second
 
-// logFleet logs how much of the machines is in use, the machines of each kind, and the pending
-// tasks of each job. It may be called only while this controller leads a shard as well.
+// logFleet logs how much of the machines' CPU is in use, the number of machines of each kind,
+// and the pending tasks of each job. It may be called only while this controller also leads a
+// shard.
 func (l *leader) logFleet() {
 	type sums struct{ ready, idle, booting int }
 	byKind := map[machineKind]*sums{}
--- a/internal/controller/golden_keys_test.go
+++ b/internal/controller/golden_keys_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestGoldenKeys: the store keys that are built by rules never change.
+// TestGoldenKeys checks that the store keys that functions build never change. A changed key
+// would hide records that are already stored.
 func TestGoldenKeys(t *testing.T) {
 	for want, got := range map[string]string{
 		"open/~ops/":               teamPagePrefix("ops"),
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -14,41 +14,44 @@
 	"github.com/micahill/micahill/internal/simulation"
 )
 
-// harness runs real controllers against the simulated store. Everything else is in the
-// hands of a scenario: which store requests are refused, lost or applied late, and what
-// a worker reports and when. It is for single conditions of the safety argument; whole
-// days are simulated in internal/simulation.
+// harness runs real controllers against the simulated store. The scenario decides everything
+// else: which store requests are refused, lost or applied late, and what a worker reports and
+// when. The harness tests single conditions of the safety argument; internal/simulation
+// simulates whole days.
 type harness struct {
 	t           *testing.T
 	now         time.Time
 	store       *simulation.StateService
 	controllers map[string]*harnessController
 	machines    map[string]*scriptedWorker
-	// maxMachines bounds the machines that can be rented, and unlisted keeps new ones
+	// maxMachines bounds the machines that can be rented. unlisted keeps newly rented machines
 	// out of the machine list.
 	maxMachines int
 	unlisted    bool
-	// releaseMode "unknown" makes the cloud answer no release.
+	// releaseMode "unknown" makes the cloud release nothing and answer every release with
+	// CloudUnknown.
 	releaseMode string
-	// idempotencyKeys are the keys of scale-out requests so far; each may be used once.
+	// idempotencyKeys are the keys of all bookings so far. A key may be used once.
 	idempotencyKeys map[string]bool
-	// ignoredReplies are heartbeats whose answers the scenario does not print.
+	// ignoredReplies are the heartbeats whose answers are not printed in full; see
+	// handleIgnoredReply.
 	ignoredReplies map[uint64]*scriptedWorker
-	// heartbeatCopies are heartbeats by the names that a scenario gave them.
+	// heartbeatCopies are the heartbeats to which the scenario gave a name, by that name.
 	heartbeatCopies map[string]model.Heartbeat
+	// output is what was printed since the last flush, and printed what printOnce has printed.
 	output          []string
 	printed         map[string]bool
 }
 
-// harnessController is one controller and its connections; controller is nil while its
-// process is down.
+// harnessController is one controller and its connections. controller is nil while its process
+// is down.
 type harnessController struct {
 	harness     *harness
 	name        string
 	incarnation int
 	controller  *controller.Controller
 	queue       []message.Command
-	// rules say what becomes of store requests; the first match applies.
+	// rules decide the outcome of store requests. The first matching rule applies.
 	rules          []storeRule
 	heldRequests   []heldRequest
 	txns           []string
@@ -58,18 +61,20 @@
 	replyNames     map[uint64]string
 }
 
-// workerCommand is a request that the controller sent straight to a worker.
+// workerCommand is a request that the controller sent directly to a worker.
 type workerCommand struct {
 	message.WorkerRequest
 	sentAt time.Time
 }
 
-// pollTimeout is after how long a poll that the scenario does not answer fails.
-// Commands wait for the scenario.
+// pollTimeout is the time after which a poll fails if the scenario does not answer it. Commands
+// wait for the scenario without a limit.
 const pollTimeout = 2 * time.Second
 
+// harnessHosts are the hosts on which a scenario can run controllers.
 var harnessHosts = []string{"a", "b"}
 
+// newHarness returns a harness without controllers or machines.
 func newHarness(t *testing.T) *harness {
 	t.Helper()
 	return &harness{
@@ -80,7 +85,8 @@
 	}
 }
 
-// start begins a new incarnation of a controller, which knows nothing of the former one.
+// start starts a new incarnation of a controller, which has none of the state of the previous
+// one.
 func (h *harness) start(name string) *harnessController {
 	c := h.controllers[name]
 	if c == nil {
@@ -105,7 +111,7 @@
 	return c
 }
 
-// run lets time pass in steps of 50 ms.
+// run advances the time by d in steps of 50 ms.
 func (h *harness) run(d time.Duration) {
 	for end := h.now.Add(d); ; h.now = h.now.Add(50 * time.Millisecond) {
 		h.store.Expire(h.now)
@@ -130,8 +136,8 @@
 	}
 }
 
-// step fails the polls that are overdue, hands the queue over to the controller and
-// carries out what it returns.
+// step fails the polls that are overdue, passes the queue to the controller and carries out the
+// effects that it returns.
 func (c *harnessController) step() {
 	now := c.harness.now
 	c.workerCommands = slices.DeleteFunc(c.workerCommands, func(op workerCommand) bool {
@@ -148,13 +154,14 @@
 	}
 }
 
+// push queues a command for the controller, unless its process is down.
 func (c *harnessController) push(command message.Command) {
 	if c.controller != nil {
 		c.queue = append(c.queue, command)
 	}
 }
 
-// pushRequest pushes a command whose answer is printed with a name.
+// pushRequest queues a command whose answer is printed with the given name.
 func (h *harness) pushRequest(c *harnessController, name string, newCommand func(uint64) message.Command) {
 	c.lastReply++
 	c.replyNames[c.lastReply] = name
@@ -185,6 +192,7 @@
 	}
 }
 
+// formatLoanView returns the text that a scenario prints for a view of the loans.
 func formatLoanView(e message.LoanView) string {
 	text := fmt.Sprintf("view ok=%v leads=%v guests=%v", e.OK, e.IsLeader, e.RunsGuestTeam)
 	for _, l := range e.Lent {
@@ -196,6 +204,7 @@
 	return text
 }
 
+// formatCommands returns the text that a scenario prints for task commands, in sorted order.
 func formatCommands(commands []model.TaskCommand) string {
 	var out []string
 	for _, o := range commands {
@@ -205,9 +214,10 @@
 	return strings.Join(out, "")
 }
 
+// print adds a line to the output of the current scenario line.
 func (h *harness) print(text string) { h.output = append(h.output, text) }
 
-// printOnce prints what is repeated again and again only the first time.
+// printOnce prints a text only the first time, since some events recur.
 func (h *harness) printOnce(text string) {
 	if !h.printed[text] {
 		h.printed[text] = true
@@ -215,7 +225,7 @@
 	}
 }
 
-// flush returns what was printed since the last call.
+// flush returns the output since the last call.
 func (h *harness) flush() string {
 	out := h.output
 	h.output = nil
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -9,91 +9,103 @@
 )
 
 const (
-	// leaderPeriod is how often the leader looks at the fleet.
+	// leaderPeriod is the interval between ticks of the leader, in which it reviews the fleet.
 	leaderPeriod = time.Second
-	// updateTTL is how long a shard leader's requests and the leader's view of machines count.
+	// updateTTL is how long an update between the leader and a shard leader counts after it
+	// arrives.
 	updateTTL = 4 * time.Second
 )
 
-// leader is the cluster leader's part of a controller. It owns all dealings with the cloud (it
-// lists, rents and releases machines), assigns machines and teams to shards, and arranges the
-// exchange of machines and the evacuation of hosts between shard leaders.
+// leader is the cluster leader's part of a controller. Only the leader sends requests for
+// machines to the cloud: it lists, rents and releases them. It also assigns machines and teams
+// to shards, and arranges the exchange of machines between shard leaders and the evacuation of
+// hosts for other shard leaders.
 //
-// It exists only while the record at record.LeaderKey names this controller: Controller.leader is
-// nil otherwise, and its methods may be called only while it is not. A callback may run after the
-// leader was replaced, so it compares generation before it acts, and calls the leader that is there.
+// A leader exists only while the record at record.LeaderKey names this controller. Otherwise
+// Controller.leader is nil, and the methods may not be called. A callback may run after the
+// leader was replaced, so it compares the generation before it acts, and calls methods of the
+// current leader.
 //
-// Invariants: what it writes to the store names modRevision, so that nothing of a deposed leader is
-// applied; requests to the cloud carry the end of the membership lease as deadline; and nothing is
-// decided before the first complete list, or after the lease may have expired.
+// Invariants: writes to the store compare modRevision, so that no write of a deposed leader is
+// applied; requests to the cloud carry the end of the membership lease as their deadline; and
+// the leader decides nothing before the first complete list of machines, or once the lease may
+// have expired.
 //
-// At failover nothing of it is handed over. A new leader learns the machines from the cloud's lists,
-// their owners from the shard map, and what shard leaders need from their updates.
+// A failover transfers no state. A new leader learns the machines from the cloud's lists, the
+// machines' owners from the shard map, and the needs of shard leaders from their updates.
 type leader struct {
 	component
 
-	// modRevision is that of the record that names this controller, generation tells this leader
-	// from earlier ones of the same process.
+	// modRevision is the mod revision of the record that names this controller. generation
+	// distinguishes this leader from earlier ones of the same process.
 	modRevision uint64
 	generation  int
 
-	// wakeAt is when tick has something to do next.
+	// wakeAt is when tick must run next. lastScan is when it last reviewed the fleet, and
+	// lastLogged when it last logged a summary of the fleet.
 	wakeAt     time.Time
 	lastScan   time.Time
 	lastLogged time.Time
 
-	// rentals are the machines known, by ID. Until hasListed they may be incomplete.
+	// rentals holds the known machines by ID. Until hasListed is set they may be incomplete.
 	rentals      map[string]*rental
 	hasListed    bool
 	listInFlight bool
 	lastListAt   time.Time
-	// unlistedSince are the machines that the shard map names and the cloud's lists don't show.
+	// unlistedSince holds the machines that the shard map names and the cloud's lists do not
+	// contain, with the time from which they were missing.
 	unlistedSince map[string]time.Time
 
-	// blockedUntil is until when no machine of a kind is requested, after the cloud refused one.
+	// blockedUntil is the time until which no machine of a kind is requested, after the cloud
+	// refused one.
 	blockedUntil map[machineKind]time.Time
-	// bookingsInFlight has the idempotency keys of the bookings without an answer, pendingRentals
-	// the machines requested in them. bookingSeq numbers the keys.
+	// bookingsInFlight holds the idempotency keys of bookings without an answer, and
+	// pendingRentals the number of machines that these bookings request. bookingSeq numbers the
+	// keys.
 	bookingsInFlight map[string]bool
 	pendingRentals   map[bookingKey]int
 	bookingSeq       uint64
-	// confirmedReleases are the machines whose release the cloud has confirmed to this leader.
-	// Lists, which lag, may go on naming them.
+	// confirmedReleases holds the machines whose release the cloud has confirmed to this leader.
+	// The cloud's lists lag and may still contain them.
 	confirmedReleases map[string]bool
 
 	// updates holds the last update of each shard leader, by host.
 	updates map[string]receivedUpdate
-	// seq numbers the updates to shard leaders, and ackedSeq has the last that each has received.
-	// The capacity requests of one count only when it knows what was rented for it last, that
-	// is, from requiredSeq on.
+	// seq numbers the updates to shard leaders. ackedSeq is the last number that each shard
+	// leader has received. A shard leader's capacity requests count only once it has received
+	// the update requiredSeq, which tells it what was last rented for it.
 	seq         uint64
 	ackedSeq    map[string]uint64
 	requiredSeq map[string]uint64
-	// publishTurn selects the machines that are published though nothing changed.
+	// publishTurn selects the machines that are published although nothing about them has
+	// changed.
 	publishTurn int
 
+	// sharding plans which machines and teams belong to which shard.
 	sharding shardPlanning
-	// handedOverAt has the machines that were handed over within handoverCooldown, by ID.
+	// handedOverAt holds the machines that were handed over within the last handoverCooldown, by
+	// ID.
 	handedOverAt map[string]time.Time
-	// transferQuota bounds the transfers of machines in use to each team.
+	// transferQuota limits how many machines in use are transferred for each team.
 	transferQuota exchange.TransferQuota
-	// evacuations are the hosts that shard leaders are asked to empty for others.
+	// evacuations are the hosts that shard leaders are asked to evacuate for other shard
+	// leaders.
 	evacuations migration.Evacuations
 }
 
-// receivedUpdate is the last update of a shard leader.
+// receivedUpdate is the last update of a shard leader and the time at which it arrived.
 type receivedUpdate struct {
 	receivedAt time.Time
 	update     message.PeerUpdate
 }
 
-// bookingKey identifies what is being rented for a shard leader.
+// bookingKey identifies the shard leader and the kind of machine of a booking.
 type bookingKey struct {
 	owner       string
 	machineKind machineKind
 }
 
-// newLeader returns a leader that knows no machine yet.
+// newLeader returns a leader that knows no machines yet.
 func newLeader(c *Controller) *leader {
 	return &leader{
 		component:   component{environment: c.environment, controller: c},
@@ -105,7 +117,8 @@
 	}
 }
 
-// becomeLeader takes up leadership, unless this controller leads under the present record already.
+// becomeLeader makes this controller the leader under the current leader record. If it already
+// is, it only plans the shards.
 func (c *Controller) becomeLeader() {
 	if c.leader != nil && c.leader.modRevision == c.membership.leaderModRevision {
 		c.leader.planShards()
@@ -124,8 +137,9 @@
 	}
 }
 
-// receiveUpdate takes in the update of a shard leader. A new incarnation of it knows nothing of what
-// was published to the former one.
+// receiveUpdate stores the update of a shard leader. If the update comes from a new incarnation
+// of the shard leader, all of its machines are published again, since the new incarnation knows
+// nothing of what was published to the former one.
 func (l *leader) receiveUpdate(now time.Time, update message.PeerUpdate) {
 	if l.updates[update.From].update.Incarnation != update.Incarnation {
 		delete(l.ackedSeq, update.From)
@@ -138,14 +152,15 @@
 	l.updates[update.From] = receivedUpdate{receivedAt: now, update: update}
 }
 
-// freshUpdate returns the last update of a host, and whether it is recent and of the host's present
-// incarnation: what a former one did not need, the present one may.
+// freshUpdate returns the last update of a host, and whether that update is recent and was sent
+// by the current incarnation of the host. The current incarnation may need what a former one did
+// not.
 func (l *leader) freshUpdate(host string) (receivedUpdate, bool) {
 	w, ok := l.updates[host]
 	return w, ok && l.now.Sub(w.receivedAt) <= updateTTL && l.controller.membership.fromCurrentIncarnation(&w.update)
 }
 
-// tick does once a leaderPeriod what the leader does by itself.
+// tick performs the periodic duties of the leader once per leaderPeriod.
 func (l *leader) tick() {
 	if l.now.Sub(l.lastScan) < leaderPeriod {
 		l.wakeAt = l.lastScan.Add(leaderPeriod)
@@ -162,9 +177,9 @@
 			delete(l.rentals, id)
 		}
 	}
-	// To a leader that is cut off every machine seems unresponsive, and the releases that it
-	// requests are held up on the way and executed when the cut ends, under a successor
-	// that uses the machines. So nothing is decided unless the lease is surely valid.
+	// To a leader that is cut off every machine seems unresponsive. The releases that it
+	// requests are delayed on the way and executed when the partition ends, under a successor
+	// that uses the machines. So the leader decides nothing unless its lease is certainly valid.
 	if !l.hasListed || l.now.After(l.controller.membership.leaseValidUntil) {
 		return
 	}
@@ -178,7 +193,8 @@
 	}
 }
 
-// applyUpdates takes in what the shard leaders, this controller's included, need and offer.
+// applyUpdates applies what the shard leaders, including the one on this controller, need and
+// offer.
 func (l *leader) applyUpdates() {
 	for _, host := range sortedKeys(l.updates) {
 		w, ok := l.freshUpdate(host)
--- a/internal/controller/leader_updates.go
+++ b/internal/controller/leader_updates.go
@@ -11,31 +11,34 @@
 const (
 	// maxRentalsPerUpdate bounds the machines in one update.
 	maxRentalsPerUpdate = 3000
-	// publishTurns is in how many updates, one a second, a shard leader is sent all of its
-	// machines. What has changed is in each update until it was acknowledged.
+	// publishTurns is the number of updates, one per second, over which a shard leader is sent
+	// all of its machines. A machine whose status has changed is in every update until the shard
+	// leader has acknowledged it.
 	publishTurns = 5
 )
 
-// fleetView is what a shard leader knows of its machines from the leader.
+// fleetView is what a shard leader knows of its machines from the updates of the leader.
 type fleetView struct {
-	// leaderHost, incarnation and seq identify the update, received at receivedAt.
+	// leaderHost, incarnation and seq identify the last update, which arrived at receivedAt.
 	leaderHost  string
 	incarnation string
 	seq         uint64
 	receivedAt  time.Time
 
+	// rentals holds the published machines by ID.
 	rentals map[string]*rental
-	// blockedUntil is until when no machine of a kind is to be had.
+	// blockedUntil is the time until which the cloud refuses machines of a kind.
 	blockedUntil map[machineKind]time.Time
-	// pendingRentals are machines whose booking has no answer yet. Only a shard leader that
-	// leads the cluster as well knows them.
+	// pendingRentals counts the machines in bookings that have no answer yet. It is known only
+	// to the shard leader on the controller that leads the cluster.
 	pendingRentals map[machineKind]int
-	// surplus is what other shard leaders can spare.
+	// surplus counts the machines that other shard leaders can spare.
 	surplus map[machineKind]int
 }
 
 // publishRentals sends each other shard leader an update: its machines, the kinds that the cloud
-// refuses, what others can spare, and which hosts and team it is asked to give up.
+// refuses, the machines that other shard leaders can spare, and the hosts and the team that it
+// is asked to give up.
 func (l *leader) publishRentals() {
 	othersNeeds, evacuations := l.assignEvacuations()
 	updates := map[string]*message.PeerUpdate{}
@@ -78,8 +81,8 @@
 	}
 }
 
-// addRentalUpdate adds a machine to the update for a host, if it is its turn or if the host has not
-// acknowledged the machine's present status.
+// addRentalUpdate adds a machine to the update for a host if itsTurn is set or the host has not
+// acknowledged the machine's current status.
 func (l *leader) addRentalUpdate(update *message.PeerUpdate, host string, r *rental, itsTurn bool) {
 	status := r.status
 	switch {
@@ -92,7 +95,8 @@
 		r.publishedTo, r.publishedStatus, r.publishedSeq = host, status, l.seq
 	}
 	if len(update.RentalUpdates) >= maxRentalsPerUpdate {
-		// It goes with the next update, and on until that is acknowledged.
+		// The machine goes into the next update, and into each further one until the host
+		// acknowledges it.
 		r.publishedSeq = l.seq + 1
 		return
 	}
@@ -101,8 +105,8 @@
 	}
 }
 
-// receiveLeaderUpdate takes in what the leader publishes of this shard leader's machines. That a
-// release was confirmed, or that the cloud calls a machine failed, proves that the machine is gone.
+// receiveLeaderUpdate applies the leader's update to this shard leader. A confirmed release, or
+// the status "failed" from the cloud, proves that a machine is gone.
 func (c *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
 	s := c.shardLeader
 	v := &fleetView{rentals: map[string]*rental{}}
@@ -111,7 +115,8 @@
 	case old.seq > update.Seq && c.now.Sub(old.receivedAt) < updateTTL:
 		return
 	default:
-		// An update has only some of the machines. One that none has any more is gone.
+		// An update contains only some of the machines. A machine that none of the recent
+		// updates contains is gone.
 		v.rentals = old.rentals
 		for id, r := range v.rentals {
 			if _, mine := c.membership.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || c.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
@@ -139,10 +144,11 @@
 	}
 }
 
-// applyRentalUpdate takes one machine of the leader's update into the view v, and adopts or drops it.
+// applyRentalUpdate stores one machine of the leader's update in the view v, and adopts or drops
+// the machine.
 func (c *Controller) applyRentalUpdate(v *fleetView, x message.RentalUpdate) {
-	// An update says where to look, never what is owned: a booting machine is counted on before
-	// the shard map names it, and used only then.
+	// An update informs about machines and never establishes ownership. A booting machine is
+	// included in planning before the shard map names it, and is used only afterwards.
 	if _, mine := c.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
 		return
 	}
@@ -156,8 +162,9 @@
 		c.dropMachine(m, x.Status)
 	}
 	if x.Status == "returned" {
-		// Kept in the view, its release would be requested as long as it is published, and it
-		// would be published as long as its release is requested, in place of others.
+		// If the machine stayed in the view, its release would be requested as long as the
+		// leader publishes it, and the leader would publish it, in place of other machines, as
+		// long as its release is requested.
 		delete(v.rentals, x.ID)
 		return
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -10,71 +10,81 @@
 )
 
 const (
-	// membershipLeaseTTL is how long a controller that doesn't renew its lease keeps its
-	// roles. Short, for a quick failover; several renewals fit in, for late answers.
+	// membershipLeaseTTL is how long a controller keeps its roles after it stops renewing its
+	// lease. It is short for a quick failover, and long enough for several renewals, since
+	// answers may be late.
 	membershipLeaseTTL = 4 * time.Second
-	// leaseRenewInterval leaves time for two lost renewals within membershipLeaseTTL.
+	// leaseRenewInterval is the time between renewals of the lease. Two renewals may be lost
+	// within membershipLeaseTTL.
 	leaseRenewInterval = time.Second
-	// storeRetryDelay separates attempts after the store refused or didn't answer.
+	// storeRetryDelay is the time before a request is repeated that the store refused or did not
+	// answer.
 	storeRetryDelay = 400 * time.Millisecond
 	// watchTimeout is how long a watch stays open without a change.
 	watchTimeout = 30 * time.Second
-	// storeUnavailableInterval is how often a controller publishes that it doesn't reach the
-	// store, and storeUnavailableTTL how long that counts.
+	// storeUnavailableInterval is how often a controller that cannot reach the store tells its
+	// peers so. storeUnavailableTTL is how long such an update counts.
 	storeUnavailableInterval = time.Second
 	storeUnavailableTTL      = 3 * time.Second
-	// recentStartLeadDelay is how long a controller that has just started leaves the lead to
-	// others: they learn of a vacancy within some milliseconds.
+	// recentStartLeadDelay is how long a controller that has just started waits before it claims
+	// vacant leadership, so that an established controller claims it first. Controllers learn of
+	// a vacancy within some milliseconds.
 	recentStartLeadDelay = 500 * time.Millisecond
-	// storeDownAfter is how long requests to the store must have failed, without a success in
-	// between, before users are refused at once instead of being kept waiting.
+	// storeDownAfter is how long all requests to the store must have failed before users'
+	// requests are refused at once instead of waiting for the store.
 	storeDownAfter = 1500 * time.Millisecond
 )
 
-// membership keeps this controller's place among the others: its lease in the store, its
-// record under ctl/ that rests on it, and what all controllers know from ctl/, the leader
-// and the shard map among it.
+// membership is this controller's registration among the controllers: its lease in the store,
+// its record under ctl/ that depends on the lease, and all records under ctl/, among them the
+// leader and the shard map.
 //
 // It starts with the first Step and lives as long as the process. While leaseID is 0 this
-// controller has no lease and may hold no role: whoever loses the lease gives up both
-// roles at once (relinquishRoles), and the next lease is that of a new incarnation.
-// Callbacks compare the lease or the generation that they began under, since both may
-// have changed meanwhile. Other components read the fields and call the methods at any
-// time; what ctl/ says counts only while loaded.
+// controller has no lease and may hold no role. When it loses the lease, it gives up both roles
+// at once (relinquishRoles), and its next lease belongs to a new incarnation. The lease and the
+// generation may change while a request is in flight, so a callback compares them with their
+// values at the time of the request. Other components read the fields and call the methods at
+// any time; the records under ctl/ are valid only while loaded is true.
 type membership struct {
 	component
 
 	started bool
-	// startedAt is when this process began.
+	// startedAt is when this process started.
 	startedAt time.Time
-	// ready: ctl/ has been read once, so that users can be answered.
+	// ready is set once ctl/ has been read completely; from then on users' requests can be
+	// answered.
 	ready bool
 
-	// leaseID is the lease in the store, 0 when there is none.
+	// leaseID is the lease in the store, or 0 without one.
 	leaseID uint64
-	// leaseValidUntil: the lease lives until then whatever happens, counted from the
-	// sending of the last successful renewal. It may live longer, but this controller
-	// can't know.
+	// leaseValidUntil is the time until which the lease is certainly valid, counted from the
+	// sending of the last successful renewal. The lease may last longer, but this controller
+	// cannot know that.
 	leaseValidUntil time.Time
-	renewing        bool
-	// recordModRevision is the mod revision of this controller's record, 0 when there is
-	// none. Writing the record compares it, so that a late write of an earlier
-	// incarnation does not replace this one's.
+	// renewing is set while a renewal is in flight.
+	renewing bool
+	// recordModRevision is the mod revision of this controller's record, or 0 if it has none.
+	// The write of the record compares it, so that a late write of an earlier incarnation does
+	// not replace this incarnation's record.
 	recordModRevision uint64
 
-	// storeFailingSince is since when the store has answered nothing but errors, zero
-	// while it answers; see storeDown.
+	// storeFailingSince is when the store began to answer with nothing but errors; it is zero
+	// while the store answers. See storeDown.
 	storeFailingSince time.Time
-	// peersWithoutStore is when each peer last published that it doesn't reach the store.
-	peersWithoutStore           map[string]time.Time
+	// peersWithoutStore is when each peer last reported that it cannot reach the store.
+	peersWithoutStore map[string]time.Time
+	// storeUnavailablePublishedAt is when this controller last told its peers that it cannot
+	// reach the store.
 	storeUnavailablePublishedAt time.Time
 
-	// What is known from ctl/, as of revision. Records are applied in the order in which
-	// the watch brings them and never ahead of it, this controller's own as well, so that
-	// all that is read of the shard map belongs together.
+	// revision is the revision of ctl/ that the records below show. All records, this
+	// controller's own included, are applied in the order in which the watch delivers them and
+	// never earlier, so that all parts of the shard map are of the same revision. loaded is set
+	// while the records are complete.
 	revision uint64
 	loaded   bool
-	// generation changes when ctl/ is read anew: answers to older requests don't count.
+	// generation changes whenever ctl/ is read anew. Answers to requests of an earlier
+	// generation are ignored.
 	generation         int
 	leader             record.Leader
 	leaderModRevision  uint64 // 0 when there is no leader
@@ -82,28 +92,31 @@
 	controllers        map[string]record.Member
 	shardMap           *sharding.Map
 	drain              record.Drain
-	drainModRevision   uint64 // 0 when it was never switched
+	drainModRevision   uint64 // 0 if the drain was never switched
 	formats            formatMigration
 
-	// confirmWaiters wait until ctl/ is known as of a moment after their call; confirming:
-	// a read for earlier ones is under way. See confirmControlRecords.
+	// confirmWaiters are called when ctl/ is known as of a time after they were added.
+	// confirming is set while a read of ctl/ for earlier waiters is in flight. See
+	// confirmControlRecords.
 	confirmWaiters []func()
 	confirming     bool
 
-	// bumpingEpoch: a segment that names machines again for a higher epoch is being
-	// written. Kept here since such a write may outlast the shard leader that sent it.
+	// bumpingEpoch is set while a write is in flight that raises the epoch of machines in a
+	// shard segment. It is kept here because such a write may outlast the shard leader that sent
+	// it.
 	bumpingEpoch bool
 }
 
-// storeDown says that the store has not answered for a while.
+// storeDown reports whether the store has failed to answer for longer than storeDownAfter.
 func (m *membership) storeDown(now time.Time) bool {
 	return !m.storeFailingSince.IsZero() && now.Sub(m.storeFailingSince) > storeDownAfter
 }
 
-// storeDownEverywhere says that all the other controllers have lost the store as well, so that
-// a user sent elsewhere fares no better. A controller that is alone with its loss turns
-// unhealthy, and so does one that is cut off from its peers. In an outage for all, being taken
-// out of and into the load balancer would only cost time.
+// storeDownEverywhere reports whether all other controllers have lost the store as well, so that
+// another controller could not serve a user either. A controller that alone cannot reach the
+// store becomes unhealthy, and so does one that is cut off from its peers too. In an outage that
+// affects all controllers they stay healthy, since removing them from the load balancer and
+// adding them again would only cost time.
 func (m *membership) storeDownEverywhere(now time.Time) bool {
 	for _, p := range m.settings.Peers {
 		if at, ok := m.peersWithoutStore[p]; !ok || now.Sub(at) > storeUnavailableTTL {
@@ -113,7 +126,7 @@
 	return len(m.settings.Peers) > 0
 }
 
-// noteStoreStatus notes whether the store has answered a request.
+// noteStoreStatus records whether the store has answered a request.
 func (m *membership) noteStoreStatus(status message.StoreStatus) {
 	if status != message.StoreUnknown && status != message.StoreRefused {
 		m.storeFailingSince = time.Time{}
@@ -122,10 +135,11 @@
 	}
 }
 
-// notePeerWithoutStore notes that a peer has published that it doesn't reach the store.
+// notePeerWithoutStore records that a peer has reported that it cannot reach the store.
 func (m *membership) notePeerWithoutStore(peer string) { m.peersWithoutStore[peer] = m.now }
 
-// publishStoreUnavailable lets the peers know that this controller doesn't reach the store.
+// publishStoreUnavailable tells the peers that this controller cannot reach the store, once per
+// storeUnavailableInterval while the store is down.
 func (m *membership) publishStoreUnavailable() {
 	if !m.storeDown(m.now) || m.now.Sub(m.storeUnavailablePublishedAt) < storeUnavailableInterval {
 		return
@@ -136,14 +150,15 @@
 	}
 }
 
-// start begins taking part, in the first Step.
+// start begins the registration of this controller, in the first Step.
 func (m *membership) start() {
 	m.started, m.startedAt = true, m.now
 	m.controllers = map[string]record.Member{}
 	m.formats.init()
 	m.shardMap = sharding.NewMap()
-	// The previous incarnation's lease is revoked at once, whatever this incarnation waits
-	// for, so that the others take over its roles.
+	// The previous incarnation's lease is revoked at once, even if this incarnation has to wait
+	// before it may register, so that other controllers take over the previous incarnation's
+	// roles.
 	ended, waited := false, false
 	begin := func() {
 		if ended && waited {
@@ -164,8 +179,8 @@
 	m.controller.rateLimits.publishRates()
 }
 
-// beginIncarnation calls fn when this incarnation may take part, which after several short
-// ones in a row is not at once; see internal/incarnation.
+// beginIncarnation calls fn when this incarnation may register. After several short incarnations
+// in a row it waits first; see internal/incarnation.
 func (m *membership) beginIncarnation(fn func()) {
 	key := record.IncarnationPrefix + m.settings.Host
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
@@ -176,7 +191,8 @@
 		var r record.Incarnation
 		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && record.Decode(d.KeyValues[0].Value, &r)
 		past, wait := incarnation.Start(m.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
-		// Nobody waits for this write: if it is lost, the next incarnation waits less.
+		// Nothing waits for this write. If it is lost, the next incarnation waits for a shorter
+		// time.
 		rec := record.Encode(record.Incarnation{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
 		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
@@ -187,8 +203,8 @@
 }
 
 // endPreviousIncarnation revokes the lease of this controller's previous incarnation, whose
-// process is over, so that the others need not wait for it to expire. It calls fn when
-// recordModRevision is known.
+// process has ended, so that the other controllers need not wait until the lease expires. It
+// calls fn when recordModRevision is known.
 func (m *membership) endPreviousIncarnation(fn func()) {
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + m.settings.Host}, func(d message.StoreResponse) {
 		switch d.Status {
@@ -200,7 +216,8 @@
 				return
 			}
 			m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
-				// If the record is still there, registering conflicts and comes back here.
+				// If the record still exists, the registration conflicts and calls
+				// endPreviousIncarnation again.
 				m.recordModRevision = 0
 				fn()
 			})
@@ -213,7 +230,8 @@
 	})
 }
 
-// createLease gets a lease, retrying until it has one, and registers under it.
+// createLease requests a lease until the store grants one, and registers this controller under
+// it.
 func (m *membership) createLease() {
 	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(d message.StoreResponse) {
 		if d.Status != message.StoreOK {
@@ -226,8 +244,8 @@
 	})
 }
 
-// register writes this controller's record under its lease, retrying as long as it has this
-// lease. The first time it goes on with reading ctl/.
+// register writes this controller's record under its lease, and retries as long as the
+// controller has this lease. After the first success it loads ctl/.
 func (m *membership) register() {
 	leaseID := m.leaseID
 	key := record.MemberPrefix + m.settings.Host
@@ -238,7 +256,8 @@
 		}
 		switch d.Status {
 		case message.StoreConflict:
-			// An earlier incarnation's write came late, or this one's own got no answer.
+			// An earlier incarnation's write arrived late, or this incarnation's own write
+			// succeeded and the answer was lost.
 			m.after(m.jitter(storeRetryDelay), func() {
 				if m.leaseID == leaseID {
 					m.endPreviousIncarnation(func() {
@@ -265,8 +284,8 @@
 	})
 }
 
-// leaseLost gives up all roles at once: the store says that the lease is over, so others may
-// have them already.
+// leaseLost gives up all roles at once and requests a new lease. The store has reported that the
+// lease is over, so other controllers may hold the roles already.
 func (m *membership) leaseLost(reason string) {
 	if m.leaseID == 0 {
 		return
@@ -276,8 +295,8 @@
 	m.createLease()
 }
 
-// relinquishRoles gives up all roles with the lease that they rest on. Under its next lease
-// this process is a new incarnation.
+// relinquishRoles gives up the lease and the roles that depend on it. Under its next lease this
+// process is a new incarnation.
 func (m *membership) relinquishRoles(reason string) {
 	m.leaseID, m.recordModRevision = 0, 0
 	m.beginNextIncarnation()
@@ -307,14 +326,14 @@
 	})
 }
 
-// recentlyStarted says that a controller started so lately that it gets no duty that another
-// can have.
+// recentlyStarted reports whether a controller started so recently that it is given a role only
+// if no other controller can take it.
 func (m *membership) recentlyStarted(r record.Member) bool {
 	return r.StartedAt != 0 && incarnation.OnProbation(m.now, time.UnixMilli(r.StartedAt))
 }
 
-// hasEstablishedPeer says that some other controller has been up for a while and hears
-// workers.
+// hasEstablishedPeer reports whether another controller has been up for a while and receives
+// heartbeats from workers.
 func (m *membership) hasEstablishedPeer() bool {
 	for h, r := range m.controllers {
 		if h != m.settings.Host && !m.recentlyStarted(r) && !r.ReceivesNothing {
@@ -324,15 +343,17 @@
 	return false
 }
 
-// fromCurrentIncarnation says that an update comes from an incarnation of its sender that
-// takes part now, as far as ctl/ is known. What an earlier one sent may come late, and what it
-// requested may be in use by now.
+// fromCurrentIncarnation reports whether an update was sent by the current incarnation of its
+// sender, according to the records read from ctl/. An update of an earlier incarnation may
+// arrive late, and a machine whose release it requests may be in use again.
 func (m *membership) fromCurrentIncarnation(c *message.PeerUpdate) bool {
 	r, lives := m.controllers[c.From]
 	return lives && r.Incarnation == c.Incarnation
 }
 
-// epochBumpStarted notes that a write that bumps epochs is under way, until epochBumpEnded.
+// epochBumpStarted records that a write that raises epochs is in flight, until epochBumpEnded is
+// called.
 func (m *membership) epochBumpStarted() { m.bumpingEpoch = true }
 
+// epochBumpEnded records that the write that raises epochs has been answered.
 func (m *membership) epochBumpEnded() { m.bumpingEpoch = false }
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -14,52 +14,56 @@
 	refusedBackoff = 12 * time.Second
 	// maxRentPerRequest is the cloud's limit on machines in one booking.
 	maxRentPerRequest = 50
-	// listPageSize is about how many machines the cloud lists in one answer.
+	// listPageSize is the approximate number of machines in one page of the cloud's list.
 	listPageSize = 500
 )
 
-// rental is a machine as the cloud knows it.
+// rental is a machine as the cloud reports it.
 type rental struct {
 	machineKind
 	id       string
 	addr     string
 	rentedAt time.Time
-	// status is the cloud's, or statusComing.
+	// status is the status that the cloud reports, or statusComing.
 	status string
-	// releasing says that its release was requested.
-	releasing  bool
+	// releasing is set once the release of the machine was requested.
+	releasing bool
+	// lastListed is when a list of the cloud last contained the machine.
 	lastListed time.Time
 
-	// publishedTo, publishedStatus and publishedSeq say to which shard leader the leader
-	// published which status last, and in which update it did so first.
+	// publishedTo and publishedStatus are the shard leader to which the leader last published
+	// the machine and the status that it published. publishedSeq is the first update with this
+	// status.
 	publishedTo, publishedStatus string
 	publishedSeq                 uint64
-	// publishedAt is when a shard leader received it from the leader last.
+	// publishedAt is when a shard leader last received the machine in an update from the leader.
 	publishedAt time.Time
-	// handedOverAt is when it was last handed over to another shard leader.
+	// handedOverAt is when the machine was last handed over to another shard leader.
 	handedOverAt time.Time
-	// releasedAt is when its release was confirmed. It is kept for a while, to be published.
+	// releasedAt is when the release was confirmed. The rental is kept for a while afterwards,
+	// so that the release can be published.
 	releasedAt time.Time
 }
 
-// newRental returns the rental that the cloud lists.
+// newRental returns a rental for a machine in the cloud's list.
 func newRental(now time.Time, x *model.CloudMachine) *rental {
 	return &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: now.Add(-x.Age)}
 }
 
-// listInterval is how often the machines are listed. Long lists are read less often: they are late in
-// any case, and cost a request a page.
+// listInterval returns the time between reads of the machine list. The interval grows with the
+// number of pages, since each page costs a request and the list lags in any case.
 func (l *leader) listInterval() time.Duration {
 	return max(l.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(l.rentals)/listPageSize)
 }
 
-// bookingBudget is how many bookings may be sent in one tick: half of the cloud's limit, since lists,
-// releases and prices need some as well.
+// bookingBudget returns how many bookings may be sent in one tick: half of the cloud's request
+// rate limit, since lists, releases and prices take requests as well.
 func (l *leader) bookingBudget() int {
 	return max(1, int(l.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
 }
 
-// ownerOf returns the host of the shard leader that a machine belongs to by the shard map, or "".
+// ownerOf returns the host of the shard leader that owns a machine according to the shard map,
+// or "".
 func (l *leader) ownerOf(id string) string {
 	if s, ok := l.controller.membership.shardMap.Owner(id); ok {
 		return s.Host
@@ -67,7 +71,8 @@
 	return ""
 }
 
-// assignedHost is ownerOf, or the host that the machine is about to belong to.
+// assignedHost returns the host that a machine is about to belong to, or else its owner
+// according to the shard map.
 func (l *leader) assignedHost(id string) string {
 	if m, ok := l.sharding.unrecordedMachines[id]; ok {
 		return m.Host
@@ -75,8 +80,8 @@
 	return l.ownerOf(id)
 }
 
-// isRentedForOther reports whether a machine was rented for another shard leader and the shard map
-// does not say so yet. It gets no work before.
+// isRentedForOther reports whether a machine was rented for another shard leader and the shard
+// map does not record this yet. Until it does, the machine gets no tasks.
 func (c *Controller) isRentedForOther(id string) bool {
 	if c.leader == nil {
 		return false
@@ -85,8 +90,8 @@
 	return ok && m.Host != c.settings.Host
 }
 
-// confirmReleased lets the owner of a machine know that its release was confirmed before the machine
-// belonged to it.
+// confirmReleased informs the owner of a machine that the machine's release was confirmed before
+// the machine belonged to it.
 func (l *leader) confirmReleased(id, host string) {
 	if host == l.settings.Host {
 		if m := l.controller.shardLeader.machines[id]; m != nil {
@@ -102,8 +107,8 @@
 	r.releasedAt = l.now
 }
 
-// listMachines reads the cloud's list from the page after the machine from on; listed has the pages
-// before.
+// listMachines reads the cloud's list from the page after the machine from. listed holds the
+// machines of the earlier pages.
 func (l *leader) listMachines(from string, listed []model.CloudMachine) {
 	generation := l.generation
 	l.listInFlight = true
@@ -127,15 +132,16 @@
 	})
 }
 
-// receiveMachineList takes in a list, which may be older than the one before.
+// receiveMachineList applies a complete list of machines, which may be older than the previous
+// one.
 func (l *leader) receiveMachineList(listed []model.CloudMachine) {
 	var again []string
 	for i := range listed {
 		x := &listed[i]
 		if l.controller.knowledge.released[x.ID] && (l.confirmedReleases[x.ID] || l.ownerOf(x.ID) == l.settings.Host) {
 			if l.rentals[x.ID] == nil && !l.confirmedReleases[x.ID] {
-				// Its release was requested under an earlier leader, and the request
-				// lost with it. Nobody else would ever repeat it.
+				// The release was requested under an earlier leader, and the request was lost
+				// with that leader. No other component would repeat it.
 				r := newRental(l.now, x)
 				r.addr, r.status, r.lastListed = x.Addr, x.Status, l.now
 				l.rentals[x.ID] = r
@@ -164,15 +170,16 @@
 	l.markUnlisted()
 }
 
-// forgetUnlisted forgets machines that lists have not shown for long. Once listed, a machine stays
-// listed until it is gone, but a list can be older than the one before. Absence proves nothing for the
-// tasks there: these go on by heartbeats, the worker lease, or the answer to a release.
+// forgetUnlisted removes the rentals of machines that no list has contained for a long time. A
+// list may be older than the previous one, but a machine that was listed once stays listed until
+// it is gone. Absence from the list proves nothing about the tasks on a machine: they are judged
+// by heartbeats, the worker lease, or the answer to a release.
 func (l *leader) forgetUnlisted() {
 	for _, id := range sortedKeys(l.rentals) {
 		r := l.rentals[id]
 		forgetAfter := 4*l.settings.CloudListLag + 5*time.Second + 2*l.listInterval()
 		if l.ownerOf(id) != l.settings.Host {
-			// Its owner has to learn of it, and may still need it released.
+			// The owner has to be informed, and may still need the machine's release.
 			forgetAfter += 2 * l.settings.WorkerLease
 		}
 		if !r.lastListed.IsZero() && l.now.Sub(r.lastListed) > forgetAfter {
@@ -189,7 +196,8 @@
 	}
 }
 
-// releaseMachines requests the release of machines until the cloud confirms it.
+// releaseMachines requests the release of machines, and repeats the request until the cloud
+// confirms it.
 func (l *leader) releaseMachines(ids []string) {
 	for _, id := range ids {
 		l.controller.knowledge.markReleased(id)
@@ -204,7 +212,8 @@
 			return
 		}
 		if d.Status != message.CloudOK {
-			// Executed or not, they get no more work. Asked for until it is confirmed.
+			// Executed or not, the machines get no more tasks. The request is repeated until
+			// it is confirmed.
 			l.after(l.jitter(time.Second), func() {
 				if l := l.controller.leader; l != nil && l.generation == generation {
 					l.releaseMachines(ids)
@@ -226,8 +235,9 @@
 	})
 }
 
-// sendBooking requests machines of a kind for a shard leader. booking is the idempotency key, "" for a
-// new booking: one without an answer is repeated under its key, which rents nothing twice.
+// sendBooking requests machines of a kind for a shard leader. booking is the idempotency key, or
+// "" for a new booking. A booking without an answer is repeated under its key, so that it rents
+// no machine twice.
 func (l *leader) sendBooking(host string, k machineKind, count int, booking string) {
 	if booking == "" {
 		l.bookingSeq++
@@ -265,7 +275,7 @@
 	})
 }
 
-// endBooking notes that a booking was answered.
+// endBooking records that a booking was answered.
 func (l *leader) endBooking(key bookingKey, booking string, count int) {
 	delete(l.bookingsInFlight, booking)
 	if l.pendingRentals[key] -= count; l.pendingRentals[key] <= 0 {
@@ -273,7 +283,8 @@
 	}
 }
 
-// receiveRented takes in the machines that the cloud has rented out, of count requested for a host.
+// receiveRented stores the machines that the cloud has rented out in answer to a booking of
+// count machines for host.
 func (l *leader) receiveRented(host string, k machineKind, count int, ids []string) {
 	for _, id := range ids {
 		r := &rental{id: id, machineKind: k, rentedAt: l.now, status: "booting"}
@@ -283,7 +294,8 @@
 		}
 		l.controller.adopt(r)
 	}
-	// Its capacity requests count again when it knows of these.
+	// The capacity requests of the shard leader on host count again once it knows of these
+	// machines.
 	l.requiredSeq[host] = l.seq + 1
 	if len(ids) < count {
 		l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -11,22 +11,23 @@
 // maxMalformedTxns bounds how many malformed transactions are remembered.
 const maxMalformedTxns = 256
 
-// requestTracker sends requests to the store, the cloud and the workers, and calls back
-// with their responses. Any component may use it in any role. Each callback runs at most
-// once, in the Step that gets the response, and perhaps long after its sender lost the
-// role that it acted in: a callback checks by itself what has become of that.
+// requestTracker sends requests to the store, the cloud and the workers, and passes each
+// response to the callback of its request. Any component may use it in any role. A callback runs
+// at most once, in the Step that receives the response. By then the controller may have lost the
+// role in which it sent the request, so each callback checks the role itself.
 type requestTracker struct {
 	component
 
-	// The callbacks of requests without a response yet, by the id of the request.
+	// The callbacks of requests that have no response yet, by request ID.
 	storeCallbacks  map[uint64]func(message.StoreResponse)
 	cloudCallbacks  map[uint64]func(message.CloudResponse)
 	workerCallbacks map[uint64]func(message.WorkerResponse)
-	// malformedTxns has the hashes of transactions that the store called malformed: none
-	// is sent again as it is.
+	// malformedTxns holds the hashes of transactions that the store rejected as malformed. None
+	// of them is sent again unchanged.
 	malformedTxns map[uint64]bool
 }
 
+// newRequestTracker returns a tracker with no outstanding requests.
 func newRequestTracker() requestTracker {
 	return requestTracker{
 		storeCallbacks:  map[uint64]func(message.StoreResponse){},
@@ -36,9 +37,11 @@
 	}
 }
 
-// toStore sends a request to the store. A transaction beyond the store's limits of size is
-// not sent: it would be rejected as malformed each time and count against the limit of
-// requests. It is an internal error, and answered as malformed.
+// toStore sends a request to the store and calls fn with the response. A transaction that
+// exceeds the store's size limits is not sent, because the store would reject it as malformed
+// each time and count it against the request rate limit. toStore reports such a transaction as
+// an internal error and answers it as malformed. A transaction that the store has already
+// rejected as malformed is answered as malformed after storeRetryDelay without being sent.
 func (r *requestTracker) toStore(op message.StoreRequest, fn func(message.StoreResponse)) {
 	op.ID = r.nextID()
 	if op.Kind == message.OpTxn {
@@ -64,7 +67,7 @@
 	r.emit(op)
 }
 
-// checkTxnLimits says whether the store takes a transaction of this size.
+// checkTxnLimits returns an error if a transaction exceeds the store's size limits.
 func (r *requestTracker) checkTxnLimits(op *message.StoreRequest) error {
 	compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
 	for i, c := range op.Compares {
@@ -76,7 +79,7 @@
 	return r.limitsOf(op).CheckTxn(compares, writes)
 }
 
-// noteMalformed remembers a transaction that the store has called malformed.
+// noteMalformed remembers a transaction that the store rejected as malformed.
 func (r *requestTracker) noteMalformed(op *message.StoreRequest) {
 	r.internalError("transaction rejected as malformed", "writes", len(op.Writes), "first_key", firstWriteKey(op))
 	if len(r.malformedTxns) >= maxMalformedTxns {
@@ -85,7 +88,7 @@
 	r.malformedTxns[txnHash(op)] = true
 }
 
-// txnHash tells transactions apart by what they would do.
+// txnHash returns a hash of the compares and writes of a transaction.
 func txnHash(op *message.StoreRequest) uint64 {
 	h := xxhash.New()
 	for _, c := range op.Compares {
@@ -98,6 +101,7 @@
 	return h.Sum64()
 }
 
+// firstWriteKey returns the key of a transaction's first write, or "" if it writes nothing.
 func firstWriteKey(op *message.StoreRequest) string {
 	if len(op.Writes) == 0 {
 		return ""
@@ -105,18 +109,21 @@
 	return op.Writes[0].Key
 }
 
+// toCloud sends a request to the cloud and calls fn with the response.
 func (r *requestTracker) toCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
 	op.ID = r.nextID()
 	r.cloudCallbacks[op.ID] = fn
 	r.emit(op)
 }
 
+// toWorker sends a request to a worker and calls fn with the response.
 func (r *requestTracker) toWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
 	op.ID = r.nextID()
 	r.workerCallbacks[op.ID] = fn
 	r.emit(op)
 }
 
+// receiveStoreResponse calls the callback of the store request that the response answers.
 func (r *requestTracker) receiveStoreResponse(d message.StoreResponse) {
 	r.controller.membership.noteStoreStatus(d.Status)
 	if fn := r.storeCallbacks[d.ID]; fn != nil {
@@ -125,6 +132,7 @@
 	}
 }
 
+// receiveCloudResponse calls the callback of the cloud request that the response answers.
 func (r *requestTracker) receiveCloudResponse(d message.CloudResponse) {
 	if fn := r.cloudCallbacks[d.ID]; fn != nil {
 		delete(r.cloudCallbacks, d.ID)
@@ -132,6 +140,7 @@
 	}
 }
 
+// receiveWorkerResponse calls the callback of the worker request that the response answers.
 func (r *requestTracker) receiveWorkerResponse(d message.WorkerResponse) {
 	if fn := r.workerCallbacks[d.ID]; fn != nil {
 		delete(r.workerCallbacks, d.ID)
@@ -139,8 +148,8 @@
 	}
 }
 
-// readAll reads all records under a prefix, page by page with retries, as long as wanted
-// says so, and then calls fn with them.
+// readAll reads all records under a prefix, page by page, and calls fn with them. It retries
+// pages that fail, and stops without calling fn once wanted returns false.
 func (r *requestTracker) readAll(prefix string, priority message.Priority, wanted func() bool, fn func([]message.KeyValue)) {
 	var got []message.KeyValue
 	var list func(from string)
--- a/internal/controller/safety_test.go
+++ b/internal/controller/safety_test.go
@@ -6,8 +6,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestSafety runs the scenarios of single conditions. conditions.toml names the
-// lines that they guard.
+// TestSafety runs the scenarios in testdata/safety, each of which tests single conditions of the
+// safety argument. conditions.toml names the code lines that the scenarios guard.
 func TestSafety(t *testing.T) {
 	datadriven.Walk(t, "testdata/safety", func(t *testing.T, path string) {
 		h := newHarness(t)
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -16,15 +16,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// scenarioLine is one line of a scenario, at the controller that its argument node names:
-// a without one.
+// scenarioLine is one line of a scenario, for the controller that its argument node names, by
+// default a.
 type scenarioLine struct {
 	*harness
 	d *datadriven.TestData
 	c *harnessController
 }
 
-// scenarioCommands are the commands of a scenario.
+// scenarioCommands maps the commands of a scenario to their implementations.
 var scenarioCommands = map[string]func(*scenarioLine){
 	// Controllers and time.
 	"boot":  (*scenarioLine).boot,
@@ -58,7 +58,7 @@
 	"answer": (*scenarioLine).answerWorkerCommand,
 }
 
-// runLine carries out one line of a scenario, and returns what it printed.
+// runLine carries out one line of a scenario and returns what it printed.
 func (h *harness) runLine(d *datadriven.TestData) string {
 	h.t.Helper()
 	l := &scenarioLine{harness: h, d: d, c: h.controllers["a"]}
@@ -73,7 +73,7 @@
 	return h.flush()
 }
 
-// first is the name that a line begins with.
+// first returns the first argument of the line, which is a name.
 func (l *scenarioLine) first() string {
 	l.t.Helper()
 	if len(l.d.CmdArgs) == 0 {
@@ -82,16 +82,17 @@
 	return l.d.CmdArgs[0].Key
 }
 
-// worker is that of the machine that a line begins with.
+// worker returns the worker of the machine that is the first argument of the line.
 func (l *scenarioLine) worker() *scriptedWorker {
 	l.t.Helper()
 	worker := l.machines[l.first()]
 	if worker == nil {
-		l.d.Fatalf(l.t, "%s: got machine %s, want one of the %d that there are", l.d.Cmd, l.first(), len(l.machines))
+		l.d.Fatalf(l.t, "%s: got unknown machine %s, want one of the %d machines", l.d.Cmd, l.first(), len(l.machines))
 	}
 	return worker
 }
 
+// number returns the value of a numeric argument, or value if the line has no such argument.
 func (l *scenarioLine) number(key string, value float64) float64 {
 	l.t.Helper()
 	if l.d.HasArg(key) {
@@ -100,7 +101,7 @@
 	return value
 }
 
-// text is the value of an argument that must be there.
+// text returns the value of an argument that the line must have.
 func (l *scenarioLine) text(key string) string {
 	l.t.Helper()
 	var value string
@@ -108,7 +109,7 @@
 	return value
 }
 
-// textOfOnly is the value of only=, or "", which every text has in it.
+// textOfOnly returns the value of only=, or "", which every text contains.
 func (l *scenarioLine) textOfOnly() string {
 	l.t.Helper()
 	if !l.d.HasArg("only") {
@@ -117,7 +118,7 @@
 	return l.text("only")
 }
 
-// values are those of an argument, nil without one.
+// values returns the values of an argument, or nil if the line has no such argument.
 func (l *scenarioLine) values(key string) []string {
 	for _, a := range l.d.CmdArgs {
 		if a.Key == key {
@@ -127,14 +128,14 @@
 	return nil
 }
 
-// wait lets for= seconds pass.
+// wait lets for= seconds pass, or the given number of seconds if the line has no for=.
 func (l *scenarioLine) wait(seconds float64) {
 	l.t.Helper()
 	l.run(record.DurationOfSeconds(l.number("for", seconds)))
 }
 
-// boot starts a controller. late=(text): requests with that text get no answer until
-// deliver; lose=(text): they are executed, and get none.
+// boot starts a controller. late=(text): store requests that contain the text get no answer and
+// are executed at deliver. lose=(text): such requests are executed and get no answer.
 func (l *scenarioLine) boot() {
 	c := l.start(l.first())
 	for _, mode := range []string{"late", "lose"} {
@@ -145,12 +146,15 @@
 	l.wait(1)
 }
 
-// end ends a process; what it sent may still be applied.
+// end ends a controller's process. Requests that it sent may still be applied.
 func (l *scenarioLine) end() { l.controllers[l.first()].controller = nil }
 
-// connectPeers lets the controller's updates to and from its peers through, or not.
+// connectPeers connects or disconnects a controller: "on" delivers the updates between it and
+// its peers, any other argument drops them.
 func (l *scenarioLine) connectPeers() { l.c.peersConnected = l.first() == "on" }
 
+// submit submits a job. Its arguments set the fields of the specification that differ from the
+// defaults.
 func (l *scenarioLine) submit() {
 	spec := model.JobSpec{ID: l.first(), Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: int(l.number("tasks", 1)),
 		Need: model.Resources{CPU: l.number("cpu", 4), Memory: l.number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: record.DurationOfSeconds(l.number("expected", 20)),
@@ -162,7 +166,8 @@
 	l.wait(2)
 }
 
-// loan is one step of a loan: what, job, n=1.
+// loan sends one command of a loan. Its arguments are the kind of command, the job and n=, the
+// lend count, by default 1.
 func (l *scenarioLine) loan() {
 	kinds := []string{"lend", "back", "settle", "cancelled", "accept", "give_up", "drop"}
 	kind := slices.Index(kinds, l.first())
@@ -178,7 +183,7 @@
 	l.wait(0.5)
 }
 
-// view asks for the loans. startable=job: that borrowed job may be started for the next 10 s.
+// view queries the loans. startable=job: the borrowed job may be started during the next 10 s.
 func (l *scenarioLine) view() {
 	q := message.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
 	if l.d.HasArg("startable") {
@@ -188,20 +193,22 @@
 	l.wait(0.5)
 }
 
+// query queries a job.
 func (l *scenarioLine) query() {
 	id := l.first()
 	l.pushRequest(l.c, id, func(r uint64) message.Command { return message.QueryJob{Reply: r, ID: id} })
 	l.wait(0.3)
 }
 
+// cancel cancels a job.
 func (l *scenarioLine) cancel() {
 	id := l.first()
 	l.pushRequest(l.c, id, func(r uint64) message.Command { return message.CancelJob{Reply: r, ID: id} })
 	l.wait(0.3)
 }
 
-// addStoreRule says what becomes of the controller's store requests with the text of
-// only=, or of all; ok: all as usual.
+// addStoreRule sets the outcome of the controller's store requests that contain the text of
+// only=, or of all requests. ok: removes all rules.
 func (l *scenarioLine) addStoreRule() {
 	mode := l.first()
 	l.c.rules = append(l.c.rules, storeRule{mode: mode, contains: l.textOfOnly()})
@@ -210,8 +217,8 @@
 	}
 }
 
-// deliver executes the held store requests. say: prints what became of each, which shows
-// that there was one.
+// deliver executes the held store requests. say: also prints the outcome of each, which shows
+// that the request was made.
 func (l *scenarioLine) deliver() {
 	held := l.c.heldRequests
 	l.c.heldRequests = nil
@@ -236,8 +243,7 @@
 	}
 }
 
-// printTxns prints the transactions since the last call that have the text of only= in
-// them.
+// printTxns prints the transactions since the last call that contain the text of only=.
 func (l *scenarioLine) printTxns() {
 	only := l.textOfOnly()
 	for _, txn := range l.c.txns {
@@ -248,18 +254,18 @@
 	l.c.txns = nil
 }
 
-// setCapacity bounds the machines that can be rented from now on.
+// setCapacity bounds the number of machines that can be rented.
 func (l *scenarioLine) setCapacity() {
 	l.maxMachines, l.unlisted = int(l.number("machines", 2)), l.d.HasArg("unlisted")
 }
 
-// setReleaseMode says whether the cloud answers a release from now on.
+// setReleaseMode sets how the cloud answers releases; see harness.releaseMode.
 func (l *scenarioLine) setReleaseMode() {
 	l.releaseMode = l.first()
 	clear(l.printed)
 }
 
-// setMachine changes a machine, or adds one that was rented some other way.
+// setMachine changes a machine, or adds one that no controller rented.
 func (l *scenarioLine) setMachine() {
 	worker := l.machines[l.first()]
 	if worker == nil {
@@ -271,13 +277,14 @@
 	}
 	worker.failed, worker.unlisted = l.d.HasArg("failed"), l.d.HasArg("unlisted")
 	if l.d.HasArg("anew") {
-		// Its worker begins anew under the same name, knowing nothing.
+		// The worker restarts under the same name without any state.
 		worker.incarnation, worker.sequence, worker.epoch = 1, 0, 0
 	}
 }
 
-// heartbeat sends one heartbeat, and the next one at once where the answer has a higher
-// epoch, but for once. as=name: late sends a copy of it.
+// heartbeat sends one heartbeat. If the answer has a higher epoch, the worker sends the next
+// heartbeat at once, unless the line has the argument once. as=name: keeps a copy, which the
+// command late sends.
 func (l *scenarioLine) heartbeat() {
 	worker, d := l.worker(), l.d
 	r := l.newHeartbeat(d, worker)
@@ -301,7 +308,7 @@
 	worker.resend, worker.reported = nil, nil
 }
 
-// lateHeartbeat lets a copy of a heartbeat arrive as it was sent.
+// lateHeartbeat delivers an unchanged copy of an earlier heartbeat.
 func (l *scenarioLine) lateHeartbeat() {
 	name := l.first()
 	r, ok := l.heartbeatCopies[name]
@@ -312,9 +319,10 @@
 	l.run(0)
 }
 
-// keepReporting lets a worker repeat its heartbeat from now on; off ends that.
+// keepReporting makes a worker repeat its heartbeat periodically. deaf: no answer or command
+// reaches the worker. off: ends the repetition.
 func (l *scenarioLine) keepReporting() {
-	worker, c, said := l.worker(), l.c, *l.d // datadriven uses d again
+	worker, c, said := l.worker(), l.c, *l.d // a copy, since datadriven reuses d
 	worker.repeat = func() {
 		r := l.newHeartbeat(&said, worker)
 		l.pushRequest(c, "", func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: r} })
@@ -326,7 +334,7 @@
 	}
 }
 
-// printWorkerCommands prints the commands and polls that wait for their answer.
+// printWorkerCommands prints the commands and polls that wait for an answer.
 func (l *scenarioLine) printWorkerCommands() {
 	l.run(0)
 	for _, op := range l.c.workerCommands {
@@ -341,9 +349,9 @@
 	}
 }
 
-// answerWorkerCommand answers the first command that waits for the machine, or its first
-// poll without one. lost: there is no answer; refused: the worker does not carry it out;
-// from=machine: another machine has its address by now.
+// answerWorkerCommand answers the first command that waits for the machine, or the first poll if
+// there is no command. lost: there is no answer. refused: the worker does not carry out the
+// command. from=machine: another machine answers, which has taken over the address.
 func (l *scenarioLine) answerWorkerCommand() {
 	l.run(0)
 	worker, c := l.worker(), l.c
@@ -374,11 +382,13 @@
 	l.run(0)
 }
 
-// putEmptyRecord writes a record, an empty map, as somebody else than a controller.
+// putEmptyRecord writes a record that contains an empty map, as a program other than a
+// controller might.
 func (l *scenarioLine) putEmptyRecord() {
 	l.store.Do(l.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: l.first(), Value: l.encode(map[string]any{})}}}, func(message.StoreResponse) {})
 }
 
+// encode returns the msgpack encoding of v.
 func (l *scenarioLine) encode(v any) []byte {
 	l.t.Helper()
 	raw, err := msgpack.Marshal(v)
@@ -388,7 +398,8 @@
 	return raw
 }
 
-// assignTeams gives shards these teams in one write, as a leader does: a=(ops) b=(lab).
+// assignTeams assigns teams to shards in one write, as a leader does. An example is "teams
+// a=(ops) b=(lab)".
 func (l *scenarioLine) assignTeams() {
 	op := message.StoreRequest{Kind: message.OpTxn}
 	for _, a := range l.d.CmdArgs {
@@ -408,17 +419,18 @@
 	l.wait(0.5)
 }
 
-// assignMachines writes a shard segment with these machines, as a leader does:
-// lot name share=b machines=(vm-1).
+// assignMachines writes a shard segment that contains the given machines, as a leader does. An
+// example is "lot name share=b machines=(vm-1)".
 func (l *scenarioLine) assignMachines() {
 	if !l.d.HasArg("machines") {
-		l.d.Fatalf(l.t, "lot: got no machines=, want it")
+		l.d.Fatalf(l.t, "lot: got no argument machines=, want one")
 	}
 	w, _ := sharding.BumpEpoch(sizelimit.Limits{ValueBytes: 4096}, l.first(), &sharding.Shard{Name: l.text("share")}, l.values("machines"))
 	l.store.Do(l.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "ctl/lot/" + w.Name, Value: w.Value}}}, func(message.StoreResponse) {})
 	l.wait(0.5)
 }
 
+// printKeys prints the store keys with the prefix that is the first argument.
 func (l *scenarioLine) printKeys() {
 	l.store.Do(l.now, message.StoreRequest{Kind: message.OpList, Key: l.first()}, func(r message.StoreResponse) {
 		for _, kv := range r.KeyValues {
@@ -427,6 +439,7 @@
 	})
 }
 
+// printShardLeaders prints the hosts of the controllers that lead a shard with teams.
 func (l *scenarioLine) printShardLeaders() {
 	for _, host := range harnessHosts {
 		if c := l.controllers[host]; c != nil && c.controller != nil && c.controller.IsShardLeader() {
--- a/internal/controller/scripted_store_test.go
+++ b/internal/controller/scripted_store_test.go
@@ -10,20 +10,21 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// storeRule is for store requests whose text has contains in it. Mode: "refuse", "lose"
-// (executed, no answer), "late" (no answer, executed at deliver), "hold" (executed
-// and answered at deliver), "gone" (once: the watch is too far behind).
+// storeRule decides the outcome of store requests whose text contains a string. The modes are
+// "refuse"; "lose" (executed, no answer); "late" (no answer, executed at deliver); "hold"
+// (executed and answered at deliver); and "gone" (once: the watch starts at a compacted
+// revision).
 type storeRule struct{ mode, contains string }
 
-// heldRequest is a request that is executed at deliver. Done gets the store's response,
-// also where the controller gets none.
+// heldRequest is a request that is executed at deliver. exec passes the store's response to
+// done, even if the controller gets no answer.
 type heldRequest struct {
 	text string
 	exec func(done func(message.StoreResponse))
 }
 
-// describeRequest is how a store request reads in a scenario: a transaction as the keys
-// that it compares, "absent" for those that must not exist, and its writes.
+// describeRequest returns the text of a store request in a scenario. For a transaction, it lists
+// the compared keys, with "absent" after those that must not exist, and the writes.
 func describeRequest(op message.StoreRequest) string {
 	switch {
 	case op.Kind == message.OpWatch && op.WatchTimeout == 0:
@@ -50,7 +51,7 @@
 	return fmt.Sprintf("when %s: %s", strings.Join(compares, ", "), strings.Join(writes, ", "))
 }
 
-// handleStoreRequest does with a request what the first rule that matches it says.
+// handleStoreRequest handles a request according to the first rule that matches it.
 func (c *harnessController) handleStoreRequest(op message.StoreRequest) {
 	h := c.harness
 	text := describeRequest(op)
@@ -90,7 +91,8 @@
 	}
 }
 
-// storeMode is the mode for a request. A rule of mode "gone" is used up by it.
+// storeMode returns the mode for a request. A rule of mode "gone" is removed once it has
+// matched.
 func (c *harnessController) storeMode(text string) string {
 	i := slices.IndexFunc(c.rules, func(r storeRule) bool { return strings.Contains(text, r.contains) })
 	if i < 0 {
@@ -103,7 +105,7 @@
 	return mode
 }
 
-// handleCloudRequest is a cloud with one machine type of 4 CPU.
+// handleCloudRequest answers for a cloud with one machine type of 4 CPUs.
 func (h *harness) handleCloudRequest(op message.CloudRequest) message.CloudResponse {
 	d := message.CloudResponse{ID: op.ID}
 	switch op.Kind {
@@ -126,6 +128,8 @@
 	return d
 }
 
+// rentMachines rents out up to op.Count machines within maxMachines, and prints an idempotency
+// key that is used a second time.
 func (h *harness) rentMachines(op message.CloudRequest, d *message.CloudResponse) {
 	if h.idempotencyKeys[op.IdempotencyKey] {
 		h.print("booking used again: " + op.IdempotencyKey)
@@ -141,6 +145,7 @@
 	}
 }
 
+// listMachines returns the cloud's list, without released and unlisted machines.
 func (h *harness) listMachines() []model.CloudMachine {
 	var out []model.CloudMachine
 	for _, worker := range h.sortedMachines() {
--- a/internal/controller/scripted_worker_test.go
+++ b/internal/controller/scripted_worker_test.go
@@ -12,27 +12,31 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// scriptedWorker is a machine and what its worker knows of itself.
+// scriptedWorker is a machine and the state of its worker. A kept worker is one whose heartbeat
+// the scenario line "keep" repeats.
 type scriptedWorker struct {
 	id, zone              string
 	incarnation, sequence uint64
-	// epoch is the highest that the worker has seen.
+	// epoch is the highest epoch that the worker has seen.
 	epoch uint64
-	// How the cloud lists the machine.
+	// failed, released and unlisted decide how the cloud lists the machine.
 	failed, released, unlisted bool
-	// unreachable: the heartbeats of a kept worker arrive, and no answer and no command
-	// reaches it.
+	// unreachable: the heartbeats of a kept worker arrive, but no answer or command reaches the
+	// worker.
 	unreachable bool
-	// repeat sends the heartbeat of a kept worker, whose arguments are repeated.
+	// repeat sends the heartbeat of a kept worker again, with the scenario arguments in
+	// repeated. repeatedAt is when it was last sent.
 	repeat     func()
 	repeated   *datadriven.TestData
 	repeatedAt time.Time
-	// resend sends the latest heartbeat once more, with the next sequence.
+	// resend sends the latest heartbeat again with the next sequence number.
 	resend func() *datadriven.TestData
-	// reported are the arguments of its heartbeat, while it reports a higher epoch.
+	// reported are the scenario arguments of the heartbeat while the worker reports a higher
+	// epoch.
 	reported *datadriven.TestData
 }
 
+// sortedMachines returns the machines in the order of their IDs.
 func (h *harness) sortedMachines() []*scriptedWorker {
 	var out []*scriptedWorker
 	for _, worker := range h.machines {
@@ -42,8 +46,9 @@
 	return out
 }
 
-// handleWorkerRequest answers a poll where the worker does so by itself: a kept one, and
-// one that has just learnt a higher epoch. All else waits for the scenario.
+// handleWorkerRequest answers a poll if the worker answers without the scenario: a kept worker,
+// or one that has just learnt a higher epoch. All other polls and all commands wait for the
+// scenario.
 func (c *harnessController) handleWorkerRequest(e message.WorkerRequest) {
 	h := c.harness
 	worker := h.machines[e.Machine]
@@ -60,7 +65,8 @@
 	c.push(message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &heartbeat})
 }
 
-// handleHeartbeatReply lets the worker learn the epoch of an answer, and prints it.
+// handleHeartbeatReply gives the worker the epoch of an answer to its heartbeat, and prints the
+// answer.
 func (c *harnessController) handleHeartbeatReply(e message.HeartbeatReply) {
 	h := c.harness
 	if worker := h.ignoredReplies[e.Reply]; worker != nil {
@@ -73,12 +79,12 @@
 	if e.Status == 200 {
 		switch {
 		case worker == nil:
-			// A copy: nobody waits for its answer.
+			// The heartbeat was a copy, so no worker waits for the answer.
 		case e.Epoch < worker.epoch:
 			text += " dropped"
 		case e.Epoch > worker.epoch && worker.resend != nil:
-			// A higher epoch is a change, which the worker reports at once; the
-			// answer to that is printed.
+			// The worker reports a higher epoch at once, and the answer to that
+			// heartbeat is printed instead.
 			worker.epoch = e.Epoch
 			worker.reported = worker.resend()
 			return
@@ -93,8 +99,8 @@
 	h.print(fmt.Sprintf("%s %s", c.replyNames[e.Reply], text))
 }
 
-// handleIgnoredReply prints of an answer to a kept worker only what starts a task, and
-// what does not reach it.
+// handleIgnoredReply handles an answer to the heartbeat of a kept worker. It prints only
+// commands that start a task, and answers that do not reach the worker.
 func (h *harness) handleIgnoredReply(worker *scriptedWorker, e message.HeartbeatReply) {
 	if worker.unreachable {
 		h.printOnce(fmt.Sprintf("%s %d in vain", worker.id, e.Status))
@@ -106,8 +112,9 @@
 	}
 }
 
-// newHeartbeat makes the worker's next heartbeat as the scenario says: tenure= (its
-// incarnation), tick= (its sequence), newer, tasks=(job/0#1=running,job/1-3#1=fetching).
+// newHeartbeat returns the worker's next heartbeat with the arguments of the scenario line:
+// tenure= sets the incarnation, tick= the sequence number, newer raises the epoch, and
+// tasks=(job/0#1=running,job/1-3#1=fetching) lists the tasks.
 func (h *harness) newHeartbeat(d *datadriven.TestData, worker *scriptedWorker) model.Heartbeat {
 	h.t.Helper()
 	uintArg(h.t, d, "tenure", &worker.incarnation)
@@ -116,7 +123,7 @@
 	uintArg(h.t, d, "tick", &r.Sequence)
 	worker.sequence = max(worker.sequence, r.Sequence)
 	if d.HasArg("newer") {
-		// The worker has seen an epoch above all that this store gave.
+		// The worker has seen a higher epoch than any that this store has assigned.
 		r.Epoch += 1000
 	}
 	for _, a := range d.CmdArgs {
@@ -130,8 +137,8 @@
 	return r
 }
 
-// parseTaskReports reads job/0#1=status or job/0-3#1=status: job, index or first and last
-// index, attempt.
+// parseTaskReports parses job/0#1=status or job/0-3#1=status: the job, the index or the first
+// and last index, the attempt and the status.
 func parseTaskReports(t *testing.T, d *datadriven.TestData, text string) []model.TaskReport {
 	t.Helper()
 	name, status, ok := strings.Cut(text, "=")
@@ -160,6 +167,7 @@
 	return out
 }
 
+// uintArg stores the argument key in v if the scenario line has it.
 func uintArg(t *testing.T, d *datadriven.TestData, key string, v *uint64) {
 	t.Helper()
 	if d.HasArg(key) {
--- a/internal/controller/transfer_requests.go
+++ b/internal/controller/transfer_requests.go
@@ -9,57 +9,63 @@
 )
 
 // transfer_requests.go is a shard leader's part in transfers of machines that are in use, which
-// internal/exchange decides. Where other shard leaders run teams, a job that is left waiting for
-// want of capacity here makes a request, which the leader publishes to the others. They offer
-// machines with free capacity, and the leader transfers what suits; see transfers.go. A
-// transferred machine changes shards like any other: what runs there goes on as remote attempts.
-
-// partlyRunningWait is how long a job must be left waiting of which tasks run: their ends mostly make
-// room for the next. It leaves enough of the 90 s that the operators allow for the transfer.
+// internal/exchange decides. If other shard leaders run teams, a shard leader requests capacity for
+// each of its jobs that is left waiting for lack of capacity, and the leader publishes the request
+// to the other shard leaders. They offer machines with free capacity, and the leader transfers
+// those that suit the request; see transfers.go. A transferred machine changes shards like any
+// other machine: the tasks on it continue as remote attempts.
+
+// partlyRunningWait is how long a job must be left waiting before capacity is requested for it if
+// some of its tasks run, since the end of a running task mostly frees capacity for the next one. The
+// rest of the 90 s that the operators allow must suffice for the transfer.
 const partlyRunningWait = 65 * time.Second
 
-// quietTime is how long an owner must have placed nothing on a machine to offer it at once: one that
-// it uses again and again is offered only for jobs that have waited for busyMachineWait.
 const (
-	quietTime       = 30 * time.Second
+	// quietTime is how long an owner must have placed no task on a machine before it offers the
+	// machine for any request. A machine on which the owner has placed a task more recently is
+	// offered only if a job has waited for busyMachineWait.
+	quietTime = 30 * time.Second
+	// busyMachineWait is how long a job of another shard leader must have waited before machines
+	// are offered that their owner has used within quietTime.
 	busyMachineWait = 75 * time.Second
 )
 
-// transferSettleTime is how long a machine that came may take until tasks are placed there. Until
-// then nothing more is requested for as many jobs as it could serve.
+// transferSettleTime is how long after its arrival a transferred machine may go without a task. Until
+// then, capacity is not requested for the number of jobs that the machine could serve.
 const transferSettleTime = 8 * time.Second
 
-// machineTransfers are a shard leader's requests for capacity on machines of others, and its
-// offers to them.
+// machineTransfers holds a shard leader's requests for capacity on machines of other shard
+// leaders, and its offers to them.
 //
-// It is part of a shardLeader and its methods are called only while that one leads. It stores
-// nothing: a successor computes its own requests from the jobs, and the leader repeats those of
-// others each second.
+// It is part of a shardLeader, and its methods are called only while that shard leader is
+// active. It stores no records: a successor computes its own requests from the jobs, and the
+// leader repeats the requests of the other shard leaders every second.
 //
 // Invariant: no machine is offered within exchange.MinOwnership after it came to this shard
-// leader, and none that must stay: one that is released, reclaimed, reserved, or not surely
-// reachable and in a known state.
+// leader, nor a machine that is released, about to be reclaimed, reserved, possibly unreachable
+// or in an unknown state.
 type machineTransfers struct {
 	component
 
-	// requests are this shard leader's own, offers its answer to the requests of others.
+	// requests are this shard leader's own requests, and offers are its answers to the requests
+	// of other shard leaders.
 	requests []exchange.TransferRequest
 	offers   []exchange.TransferOffer
-	// updatedAt is when both were computed last.
+	// updatedAt is when requests and offers were last computed.
 	updatedAt time.Time
-	// othersRequests are those of other shard leaders as the leader published them at
+	// othersRequests are the requests of other shard leaders, as the leader published them at
 	// receivedAt.
 	othersRequests []exchange.TransferRequest
 	receivedAt     time.Time
 }
 
-// receiveRequests takes in what other shard leaders request, as the leader publishes it.
+// receiveRequests stores the requests of other shard leaders, as the leader publishes them.
 func (x *machineTransfers) receiveRequests(requests []exchange.TransferRequest) {
 	x.othersRequests, x.receivedAt = requests, x.now
 }
 
-// update computes the requests and offers anew. Where one shard leader runs all teams there are
-// none.
+// update computes the requests and offers anew, at most once per leaderPeriod. There are none if
+// a single shard leader runs all teams, or until the machines have been heard after a takeover.
 func (x *machineTransfers) update() {
 	s := x.controller.shardLeader
 	if x.now.Sub(x.updatedAt) < leaderPeriod {
@@ -75,8 +81,8 @@
 	}
 }
 
-// newRequests returns what to request for jobs that are left waiting. Jobs whose tasks are alike
-// share a request; the longest waits come first.
+// newRequests returns the requests for jobs that are left waiting. Jobs whose tasks are alike
+// share a request. The jobs with the longest waits come first.
 func (x *machineTransfers) newRequests(waiting []waitingJob) []exchange.TransferRequest {
 	var out []exchange.TransferRequest
 	index := map[taskShape]int{}
@@ -100,7 +106,7 @@
 	return x.withoutArriving(out)
 }
 
-// withoutArriving lowers requests by what machines that just came, or are coming, will serve.
+// withoutArriving reduces requests by the number of jobs that arriving machines will serve.
 func (x *machineTransfers) withoutArriving(requests []exchange.TransferRequest) []exchange.TransferRequest {
 	arriving := x.arrivingKinds()
 	var out []exchange.TransferRequest
@@ -115,8 +121,8 @@
 	return out
 }
 
-// arrivingKinds counts, by kind, the machines of other owners that come here and that no task was
-// placed on yet.
+// arrivingKinds counts, by kind, the machines that come from other owners and have not been
+// heard here yet.
 func (x *machineTransfers) arrivingKinds() map[exchange.Kind]int {
 	s := x.controller.shardLeader
 	out := map[exchange.Kind]int{}
@@ -135,7 +141,7 @@
 	return out
 }
 
-// allowedKinds are the kinds of machines on which a task of a job may run now.
+// allowedKinds returns the kinds of machines on which a task of a job may run at present.
 func (x *machineTransfers) allowedKinds(j *job) []exchange.Kind {
 	var out []exchange.Kind
 	for _, name := range sortedKeys(x.controller.knowledge.machineTypes) {
@@ -154,7 +160,7 @@
 	return out
 }
 
-// longestWait is the longest wait that others request for.
+// longestWait returns the longest wait among the requests of other shard leaders.
 func (x *machineTransfers) longestWait() time.Duration {
 	longest := time.Duration(0)
 	for _, r := range x.othersRequests {
@@ -163,8 +169,8 @@
 	return longest
 }
 
-// candidates are the machines here that could be offered; quietOnly leaves out those on which
-// something was placed lately.
+// candidates returns an offer for each machine that may be offered. If quietOnly is set, it
+// leaves out machines on which a task was placed within quietTime.
 func (x *machineTransfers) candidates(quietOnly bool) []exchange.TransferOffer {
 	var out []exchange.TransferOffer
 	for _, m := range x.controller.shardLeader.machinesByID {
@@ -179,12 +185,12 @@
 	return out
 }
 
-// sizeOfKind is the size of the machines of a kind.
+// sizeOfKind returns the capacity of the machines of a kind.
 func (k *fleetKnowledge) sizeOfKind(kind exchange.Kind) model.Resources {
 	return k.machineTypes[kind.MachineType].Capacity
 }
 
-// mayOffer reports whether a machine could go to another owner now.
+// mayOffer reports whether a machine may be offered to other owners at present.
 func (x *machineTransfers) mayOffer(m *machine) bool {
 	s := x.controller.shardLeader
 	switch {
@@ -196,8 +202,8 @@
 		return false
 	}
 	for _, t := range m.attempts {
-		// What is being stopped, or was placed and is not shown yet, would change hands in
-		// the middle of that.
+		// An attempt that is being stopped, or that was placed and is not reported yet, would
+		// change owners in the middle of this transition.
 		if t.stopReason != stopNone || !t.reported {
 			return false
 		}
@@ -205,8 +211,8 @@
 	return true
 }
 
-// ownWaitingTasks are the next tasks of the jobs that wait here, one of each kind of task, with
-// the longest wait of these.
+// ownWaitingTasks returns the next tasks of the jobs that wait at this shard leader: one for
+// each group of jobs whose tasks are alike, with the longest wait in the group.
 func (x *machineTransfers) ownWaitingTasks() []exchange.WaitingTask {
 	s := x.controller.shardLeader
 	var out []exchange.WaitingTask
--- a/internal/controller/transfers.go
+++ b/internal/controller/transfers.go
@@ -6,11 +6,12 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// transfers.go is the leader's part in transfers of machines that are in use: it publishes to each
-// shard leader what the others request, and writes the transfers that internal/exchange chooses
-// into the shard map.
+// transfers.go is the leader's part in transfers of machines that are in use. The leader publishes
+// to each shard leader the requests of the other shard leaders, and writes the transfers that
+// internal/exchange chooses into the shard map.
 
-// exchangers returns the shard leaders with their requests and offers, as far as these are fresh.
+// exchangers returns the shard leaders whose last update is fresh, with their requests and
+// offers.
 func (l *leader) exchangers() []exchange.Exchanger {
 	var out []exchange.Exchanger
 	if o := l.controller.shardLeader; o != nil && o.ready {
@@ -24,8 +25,9 @@
 	return out
 }
 
-// validOffers returns the offers of machines that their owner may give away now. An offer of a
-// machine that is not the sender's is refused; just after a transfer it is only late.
+// validOffers returns the offers of machines that their owner may give away at present. An offer
+// of a machine that does not belong to the sender is rejected as invalid input, except just
+// after a transfer, when the offer is merely late.
 func (l *leader) validOffers(host string, offers []exchange.TransferOffer) []exchange.TransferOffer {
 	var out []exchange.TransferOffer
 	for _, o := range offers {
@@ -37,7 +39,7 @@
 		case l.ownerOf(o.ID) != host && !recentlyHandedOver:
 			l.controller.rejectInput("transfer offer", host, "transfer_offers.machine: not a machine of the sender")
 		case r.status == "running" && !r.releasing && l.canHandOver(o.ID, host):
-			// The kind is the cloud's word, not the sender's.
+			// The kind is taken from the cloud's list, not from the sender.
 			o.Kind = r.machineKind.exchangeKind()
 			out = append(out, o)
 		}
@@ -45,7 +47,7 @@
 	return out
 }
 
-// transferMachines transfers machines in use to shard leaders whose jobs are left waiting.
+// transferMachines transfers machines in use to shard leaders that have jobs left waiting.
 func (l *leader) transferMachines() {
 	owners := l.exchangers()
 	for i := range owners {
@@ -58,18 +60,19 @@
 	}
 }
 
-// handOver notes that a machine goes from one shard leader to another. The shard map says so when
-// the next change of it is written.
+// handOver assigns a machine to another shard leader. The next write of the shard map records
+// the change.
 func (l *leader) handOver(t exchange.Transfer) {
 	l.sharding.unrecordedMachines[t.ID] = sharding.NewMachine{ID: t.ID, Host: t.To, KnownAt: l.now}
 	l.handedOverAt[t.ID] = l.now
 	l.rentals[t.ID].handedOverAt = l.now
-	// Its requests count again when it knows of this machine.
+	// The requests of the new owner count again once it knows of this machine.
 	l.requiredSeq[t.To] = l.seq + 1
 	l.debug("machine handed over", "machine", t.ID, "from", t.From, "to", t.To)
 }
 
-// requestsOfOthers returns, by host, what shard leaders other than that one request.
+// requestsOfOthers returns, for each of the hosts, the requests of the shard leaders on other
+// hosts.
 func (l *leader) requestsOfOthers(hosts []string) map[string][]exchange.TransferRequest {
 	owners := l.exchangers()
 	out := map[string][]exchange.TransferRequest{}
--- a/internal/controller/transfers_test.go
+++ b/internal/controller/transfers_test.go
@@ -11,14 +11,15 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// beside has another shard leader run a team beside a controller's own.
+// beside adds a second shard leader, which runs a team of its own.
 func (c *Controller) beside(t *testing.T) {
 	t.Helper()
 	c.settings.Teams = append(c.settings.Teams, model.Team{Name: "lab"})
 	c.putShard(t, "b", "b", 2, false, "lab")
 }
 
-// updateTransfers computes requests and offers as if a period had passed.
+// updateTransfers computes requests and offers as if leaderPeriod had passed since the last
+// update.
 func (c *Controller) updateTransfers() *machineTransfers {
 	x := &c.shardLeader.transfers
 	x.updatedAt = time.Time{}
@@ -26,7 +27,9 @@
 	return x
 }
 
-// TestTransferRequests: what is requested for a job that has waited, and when nothing is.
+// TestTransferRequests checks for which waiting jobs a shard leader requests capacity of other
+// shard leaders. A request for a job that is about to be served here would take a machine away
+// from another owner without need.
 func TestTransferRequests(t *testing.T) {
 	waited := leftWaitingAfter + time.Second
 	for _, tc := range []struct {
@@ -37,18 +40,18 @@
 		want   int
 	}{
 		{"a job left waiting", false, waited, nil, 1},
-		{"tasks of it run", false, waited, func(_ *Controller, j *job) { j.liveTasks = 1 }, 0},
-		{"tasks of it run, and it has waited for longer", false, partlyRunningWait, func(_ *Controller, j *job) { j.liveTasks = 1 }, 1},
+		{"some tasks run", false, waited, func(_ *Controller, j *job) { j.liveTasks = 1 }, 0},
+		{"some tasks run and the wait has reached partlyRunningWait", false, partlyRunningWait, func(_ *Controller, j *job) { j.liveTasks = 1 }, 1},
 		{"no other shard leader", true, waited, nil, 0},
 		{"not left waiting yet", false, leftWaitingAfter - time.Second, nil, 0},
 		{"a machine is about to be ready", false, waited, (*Controller).expectRack, 0},
 		{"free capacity here", false, waited, func(_ *Controller, j *job) { j.Need.CPU = 1 }, 0},
 		{"team at its limit", false, waited, func(c *Controller, _ *job) { c.settings.Teams[0].QuotaLimit.CPU = 30 }, 0},
 		{"just after a takeover", false, waited, func(c *Controller, _ *job) { c.shardLeader.readyAt = c.now }, 0},
-		{"a machine is coming from another shard", false, waited, func(c *Controller, _ *job) {
+		{"a machine is being handed over by another shard leader", false, waited, func(c *Controller, _ *job) {
 			c.shardLeader.fleet.view.rentals["vm-000007"] = &rental{id: "vm-000007", machineKind: machineKind{"rack", "z", true}, status: statusComing, rentedAt: c.now.Add(-time.Hour)}
 		}, 0},
-		{"another job of the same kind", false, waited, func(c *Controller, j *job) {
+		{"two jobs with the same kind of task", false, waited, func(c *Controller, j *job) {
 			other := newJob(j.JobSpec, j.submittedAt, 1, 4096)
 			other.ID, other.waitingSince = "job-other", j.waitingSince
 			c.shardLeader.jobs[other.ID] = other
@@ -66,7 +69,7 @@
 			for _, r := range c.updateTransfers().requests {
 				got += r.Jobs
 				if r.Team != "ops" || r.Need != j.Need || r.Waited < tc.waited || !slices.Equal(r.Kinds, []exchange.Kind{{MachineType: "rack", Zone: "z", Spot: true}, {MachineType: "rack", Zone: "z"}}) {
-					t.Errorf("got request %+v, want the job's", r)
+					t.Errorf("got request %+v, want one with the job's team, need, kinds and wait", r)
 				}
 			}
 			if got != tc.want {
@@ -76,8 +79,8 @@
 	}
 }
 
-// offeringPool is a shard leader with a rack that a long job fills in part, and a request of
-// another shard leader for what is left there.
+// offeringPool returns a shard leader with a rack that a long job fills in part, and the rack.
+// Another shard leader requests the remaining capacity of the rack.
 func offeringPool(t *testing.T) (*Controller, *machine) {
 	t.Helper()
 	c, j := waitingPool(time.Second)
@@ -94,7 +97,9 @@
 	return c, m
 }
 
-// TestTransferOffers: a machine in use is offered on request, and not while it must stay.
+// TestTransferOffers checks that a machine in use is offered on request, and that a machine is
+// not offered while a change of owner would disturb its tasks or take capacity that its owner
+// needs.
 func TestTransferOffers(t *testing.T) {
 	attemptOf := func(m *machine) *task {
 		for _, k := range sortedAttempts(m) {
@@ -109,18 +114,18 @@
 	}{
 		{"in use", func(*Controller, *machine) {}, 1},
 		{"just handed over", func(c *Controller, m *machine) { m.ownedSince = c.now.Add(time.Second - exchange.MinOwnership) }, 0},
-		{"used just now", func(c *Controller, m *machine) { m.lastPlacedAt = c.now }, 0},
-		{"used just now, and the job has waited for long", func(c *Controller, m *machine) {
+		{"used recently", func(c *Controller, m *machine) { m.lastPlacedAt = c.now }, 0},
+		{"used recently and the wait has reached busyMachineWait", func(c *Controller, m *machine) {
 			m.lastPlacedAt = c.now
 			c.shardLeader.transfers.othersRequests[0].Waited = busyMachineWait
 		}, 1},
 		{"released", func(_ *Controller, m *machine) { m.releasing = true }, 0},
 		{"about to be reclaimed", func(c *Controller, m *machine) { m.reclaimNoticed, m.reclaimAt = true, c.now.Add(time.Minute) }, 0},
 		{"faulty", func(_ *Controller, m *machine) { m.faulty = true }, 0},
-		{"not heard", func(_ *Controller, m *machine) { m.heard = false }, 0},
+		{"no heartbeat received", func(_ *Controller, m *machine) { m.heard = false }, 0},
 		{"reserved for a job", func(_ *Controller, m *machine) { m.reservedFor = "job-000001" }, 0},
-		{"reserved for a replica", func(_ *Controller, m *machine) { m.reservedForMigration = model.Resources{CPU: 1} }, 0},
-		{"evacuated for another", func(_ *Controller, m *machine) { m.evacuatingForOther = true }, 0},
+		{"reserved for a migrating replica", func(_ *Controller, m *machine) { m.reservedForMigration = model.Resources{CPU: 1} }, 0},
+		{"evacuated for another shard leader", func(_ *Controller, m *machine) { m.evacuatingForOther = true }, 0},
 		{"a start in flight", func(_ *Controller, m *machine) { m.unackedStartEpoch = 1 }, 0},
 		{"a task being stopped", func(_ *Controller, m *machine) { attemptOf(m).stopReason = stopPreempt }, 0},
 		{"a task not reported yet", func(_ *Controller, m *machine) { attemptOf(m).reported = false }, 0},
@@ -128,7 +133,7 @@
 			c.shardLeader.transfers.receivedAt = c.now.Add(-updateTTL - time.Second)
 		}, 0},
 		{"no request", func(c *Controller, _ *machine) { c.shardLeader.transfers.othersRequests = nil }, 0},
-		{"own job waits for it", func(c *Controller, _ *machine) {
+		{"a job of the owner waits for the machine", func(c *Controller, _ *machine) {
 			c.shardLeader.jobs["job-own"] = newJob(model.JobSpec{ID: "job-own", Workload: "batch", Team: "ops", Tasks: 1, AllowSpot: true, Need: model.Resources{CPU: 1, Memory: 1}}, c.now, 1, 4096)
 		}, 0},
 	} {
@@ -142,8 +147,8 @@
 	}
 }
 
-// transferringLeader is a leader whose other shard leader offers a machine, for which this one's
-// job waits.
+// transferringLeader returns a leader that also leads a shard with a waiting job. Another shard
+// leader, b, owns a machine on which the job fits.
 func transferringLeader(t *testing.T) *Controller {
 	t.Helper()
 	c, _ := waitingPool(leftWaitingAfter + time.Second)
@@ -155,14 +160,15 @@
 	return c
 }
 
-// offerFromB receives an offer of one machine from the other shard leader.
+// offerFromB delivers an update from shard leader b that offers one machine.
 func (c *Controller) offerFromB(incarnation, machine string) {
 	c.leader.receiveUpdate(c.now, message.PeerUpdate{From: "b", Incarnation: incarnation, IsCapacityRequest: true,
 		TransferOffers: []exchange.TransferOffer{{ID: machine, Kind: exchange.Kind{MachineType: "rack", Zone: "z", Spot: true}, Free: model.Resources{CPU: 10, Memory: 30}, Attempts: 2}}})
 }
 
-// TestLeaderTransfersOffer: the leader writes an offered machine into the shard that requests one,
-// and an offer that its sender may not make changes nothing.
+// TestLeaderTransfersOffer checks that the leader assigns an offered machine to the shard leader
+// that requests one. An offer that its sender may not make must change nothing, or a machine
+// would change owners while it is in use by another or being released.
 func TestLeaderTransfersOffer(t *testing.T) {
 	for _, tc := range []struct {
 		name                 string
@@ -172,13 +178,13 @@
 	}{
 		{"valid", "b#1", "vm-000077", nil, 1, 0},
 		{"unknown machine", "b#1", "vm-000099", nil, 0, 1},
-		{"machine of another", "b#1", "vm-000000", func(c *Controller) {
+		{"machine that another shard leader owns", "b#1", "vm-000000", func(c *Controller) {
 			c.leader.rentals["vm-000000"] = &rental{id: "vm-000000", machineKind: machineKind{"rack", "z", true}, status: "running"}
 		}, 0, 1},
-		{"former incarnation", "b#0", "vm-000077", nil, 0, 0},
-		{"machine handed over just now", "b#1", "vm-000077", func(c *Controller) { c.leader.handedOverAt["vm-000077"] = c.now }, 0, 0},
-		{"machine being returned", "b#1", "vm-000077", func(c *Controller) { c.leader.rentals["vm-000077"].releasing = true }, 0, 0},
-		{"kind that the cloud calls otherwise", "b#1", "vm-000077", func(c *Controller) { c.leader.rentals["vm-000077"].machineType = "box" }, 0, 0},
+		{"sender is a former incarnation", "b#0", "vm-000077", nil, 0, 0},
+		{"machine handed over recently", "b#1", "vm-000077", func(c *Controller) { c.leader.handedOverAt["vm-000077"] = c.now }, 0, 0},
+		{"machine being released", "b#1", "vm-000077", func(c *Controller) { c.leader.rentals["vm-000077"].releasing = true }, 0, 0},
+		{"cloud lists another machine type", "b#1", "vm-000077", func(c *Controller) { c.leader.rentals["vm-000077"].machineType = "box" }, 0, 0},
 		{"team beyond its quota of transfers", "b#1", "vm-000077", func(c *Controller) {
 			for range 1000 {
 				c.leader.transferQuota.Allow(c.now, "ops")
@@ -199,19 +205,20 @@
 	}
 }
 
-// TestTransferToControllerWithoutShard: a machine whose receiver lost its shard before the record
-// was written stays with its owner, instead of being kept from all.
+// TestTransferToControllerWithoutShard checks that a machine stays with its owner if the
+// receiver loses its shard before the transfer is written. Otherwise the machine would belong to
+// no shard leader.
 func TestTransferToControllerWithoutShard(t *testing.T) {
 	c := transferringLeader(t)
 	c.leader.handOver(exchange.Transfer{ID: "vm-000077", From: "b", To: "gone"})
 	c.membership.controllers["gone"] = record.Member{Incarnation: "gone#1"}
 	if in := c.leader.planningInput(); len(in.NewMachines) != 0 || c.leader.assignedHost("vm-000077") != "b" {
-		t.Errorf("got new machines %v and the machine with %q, want none and it with b", in.NewMachines, c.leader.assignedHost("vm-000077"))
+		t.Errorf("got new machines %v and the machine assigned to %q, want no new machines and the machine assigned to b", in.NewMachines, c.leader.assignedHost("vm-000077"))
 	}
 }
 
-// TestRequestsOfOthers: the leader publishes to each shard leader what the others request, and
-// not its own.
+// TestRequestsOfOthers checks that the leader publishes to each shard leader the requests of the
+// others, and not its own.
 func TestRequestsOfOthers(t *testing.T) {
 	c := transferringLeader(t)
 	others := c.leader.requestsOfOthers([]string{"a", "b"})
