--- a/internal/controller/control_records.go
+++ b/internal/controller/control_records.go
@@ -13,37 +13,37 @@
 // loadControlRecords reads ctl/ anew, page by page. A later page may contain later changes, so
 // the records are complete only when the watch has delivered all changes up to the revision of
 // the last page.
-func (m *membership) loadControlRecords() {
-	m.generation++
-	gen := m.generation
+func (membership *membership) loadControlRecords() {
+	membership.generation++
+	generation := membership.generation
 	var items []message.KeyValue
 	var firstRevision uint64
 	var began time.Time
 	var list func(from string)
 	list = func(from string) {
-		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(d message.StoreResponse) {
-			if gen != m.generation {
+		membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.ControlPrefix, StartAfter: from}, func(response message.StoreResponse) {
+			if generation != membership.generation {
 				return
 			}
-			if d.Status != message.StoreOK {
-				m.after(m.jitter(storeRetryDelay), func() {
-					if gen == m.generation {
+			if response.Status != message.StoreOK {
+				membership.after(membership.jitter(storeRetryDelay), func() {
+					if generation == membership.generation {
 						list(from)
 					}
 				})
 				return
 			}
 			if from == "" {
-				firstRevision, items, began = d.Revision, nil, d.SentAt
+				firstRevision, items, began = response.Revision, nil, response.SentAt
 			}
-			items = append(items, d.KeyValues...)
-			if d.Truncated && len(d.KeyValues) > 0 {
-				list(d.KeyValues[len(d.KeyValues)-1].Key)
+			items = append(items, response.KeyValues...)
+			if response.Truncated && len(response.KeyValues) > 0 {
+				list(response.KeyValues[len(response.KeyValues)-1].Key)
 				return
 			}
-			m.replaceControlRecords(items, began)
-			m.revision = firstRevision
-			m.watchControlRecords(gen, d.Revision)
+			membership.replaceControlRecords(items, began)
+			membership.revision = firstRevision
+			membership.watchControlRecords(generation, response.Revision)
 		})
 	}
 	list("")
@@ -51,70 +51,70 @@
 
 // replaceControlRecords replaces the known records with items, which are all records under ctl/
 // as of the time asOf.
-func (m *membership) replaceControlRecords(items []message.KeyValue, asOf time.Time) {
-	m.leader, m.leaderModRevision = record.Leader{}, 0
-	m.drain, m.drainModRevision = record.Drain{}, 0
-	clear(m.controllers)
-	oldShardMap := m.shardMap
-	m.shardMap = sharding.NewMap()
-	for _, it := range items {
-		m.applyControlRecord(it)
+func (membership *membership) replaceControlRecords(items []message.KeyValue, asOf time.Time) {
+	membership.leader, membership.leaderModRevision = record.Leader{}, 0
+	membership.drain, membership.drainModRevision = record.Drain{}, 0
+	clear(membership.controllers)
+	oldShardMap := membership.shardMap
+	membership.shardMap = sharding.NewMap()
+	for _, item := range items {
+		membership.applyControlRecord(item)
 	}
-	m.controller.markReassignedAfterReRead(oldShardMap)
-	m.controller.ranking.noteAbsence(items)
-	m.controller.ranking.noteKnown(asOf)
+	membership.controller.markReassignedAfterReRead(oldShardMap)
+	membership.controller.ranking.noteAbsence(items)
+	membership.controller.ranking.noteKnown(asOf)
 }
 
-// watchControlRecords watches ctl/ from m.revision on, and watches again after each answer. The
+// watchControlRecords watches ctl/ from revision on, and watches again after each answer. The
 // records count as loaded from completeRevision on; until then each watch returns at once with
 // the changes made so far.
-func (m *membership) watchControlRecords(gen int, completeRevision uint64) {
-	if gen != m.generation {
+func (membership *membership) watchControlRecords(generation int, completeRevision uint64) {
+	if generation != membership.generation {
 		return
 	}
-	if !m.loaded && m.revision >= completeRevision {
-		m.loaded, m.ready = true, true
-		m.controller.frontend.watchCache.start()
-		m.controlRecordsChanged()
+	if !membership.loaded && membership.revision >= completeRevision {
+		membership.loaded, membership.ready = true, true
+		membership.controller.frontend.watchCache.start()
+		membership.controlRecordsChanged()
 	}
 	hold := watchTimeout
-	if m.revision < completeRevision {
+	if membership.revision < completeRevision {
 		hold = 0
 	}
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision, WatchTimeout: hold}, func(d message.StoreResponse) {
-		if gen != m.generation {
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: membership.revision, WatchTimeout: hold}, func(response message.StoreResponse) {
+		if generation != membership.generation {
 			return
 		}
-		switch d.Status {
+		switch response.Status {
 		case message.StoreOK:
-			m.applyControlUpdates(d)
-			m.watchControlRecords(gen, completeRevision)
+			membership.applyControlUpdates(response)
+			membership.watchControlRecords(generation, completeRevision)
 		case message.StoreCompacted:
-			m.loaded = false
-			m.loadControlRecords()
+			membership.loaded = false
+			membership.loadControlRecords()
 		default:
-			m.after(m.jitter(storeRetryDelay), func() { m.watchControlRecords(gen, completeRevision) })
+			membership.after(membership.jitter(storeRetryDelay), func() { membership.watchControlRecords(generation, completeRevision) })
 		}
 	})
 }
 
 // applyControlUpdates applies the changes that a watch or a read of ctl/ has returned. Answers
 // may overlap; each change is applied once.
-func (m *membership) applyControlUpdates(d message.StoreResponse) {
+func (membership *membership) applyControlUpdates(response message.StoreResponse) {
 	changed := false
-	for i, it := range d.KeyValues {
-		if it.ModRevision > m.revision {
-			m.applyControlRecord(it)
+	for i, item := range response.KeyValues {
+		if item.ModRevision > membership.revision {
+			membership.applyControlRecord(item)
 			changed = true
-			if i+1 == len(d.KeyValues) || d.KeyValues[i+1].ModRevision != it.ModRevision {
-				m.controller.markReassignedTeams()
+			if i+1 == len(response.KeyValues) || response.KeyValues[i+1].ModRevision != item.ModRevision {
+				membership.controller.markReassignedTeams()
 			}
 		}
 	}
-	m.revision = max(m.revision, d.Revision)
-	m.controller.ranking.noteKnown(d.SentAt)
-	if changed && m.loaded {
-		m.controlRecordsChanged()
+	membership.revision = max(membership.revision, response.Revision)
+	membership.controller.ranking.noteKnown(response.SentAt)
+	if changed && membership.loaded {
+		membership.controlRecordsChanged()
 	}
 }
 
@@ -122,131 +122,131 @@
 // against a machine that follows from elapsed time alone, such as the end of its worker lease,
 // must wait for this, since the machine may belong to another controller by then. If the read
 // fails, fn is not called; a caller that still needs the confirmation calls again.
-func (m *membership) confirmControlRecords(fn func()) {
-	m.confirmWaiters = append(m.confirmWaiters, fn)
-	if m.confirming || !m.loaded {
+func (membership *membership) confirmControlRecords(fn func()) {
+	membership.confirmWaiters = append(membership.confirmWaiters, fn)
+	if membership.confirming || !membership.loaded {
 		return
 	}
-	m.confirming = true
-	waiters := m.confirmWaiters
-	m.confirmWaiters = nil
-	gen := m.generation
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: m.revision}, func(d message.StoreResponse) {
-		m.confirming = false
-		if gen != m.generation || d.Status != message.StoreOK {
+	membership.confirming = true
+	waiters := membership.confirmWaiters
+	membership.confirmWaiters = nil
+	generation := membership.generation
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityMembership, Key: record.ControlPrefix, Revision: membership.revision}, func(response message.StoreResponse) {
+		membership.confirming = false
+		if generation != membership.generation || response.Status != message.StoreOK {
 			// Callers that still need the confirmation call again.
 			return
 		}
-		m.applyControlUpdates(d)
+		membership.applyControlUpdates(response)
 		for _, fn := range waiters {
 			fn()
 		}
-		if next := m.confirmWaiters; len(next) > 0 {
-			m.confirmWaiters = nil
+		if next := membership.confirmWaiters; len(next) > 0 {
+			membership.confirmWaiters = nil
 			for _, fn := range next {
-				m.confirmControlRecords(fn)
+				membership.confirmControlRecords(fn)
 			}
 		}
 	})
 }
 
 // applyControlRecord applies one record under ctl/, or its deletion.
-func (m *membership) applyControlRecord(it message.KeyValue) {
-	value := it.Value
-	if it.Deleted {
+func (membership *membership) applyControlRecord(item message.KeyValue) {
+	value := item.Value
+	if item.Deleted {
 		value = nil
 	}
 	var err error
 	switch {
-	case it.Key == record.DrainKey:
-		m.drain, m.drainModRevision = record.Drain{}, 0
-		if !it.Deleted {
-			record.Decode(it.Value, &m.drain)
-			m.drainModRevision = it.ModRevision
+	case item.Key == record.DrainKey:
+		membership.drain, membership.drainModRevision = record.Drain{}, 0
+		if !item.Deleted {
+			record.Decode(item.Value, &membership.drain)
+			membership.drainModRevision = item.ModRevision
 		}
-	case it.Key == record.LeaderKey:
-		m.leader, m.leaderModRevision = record.Leader{}, 0
-		if !it.Deleted && record.Decode(it.Value, &m.leader) {
-			m.leaderModRevision = it.ModRevision
+	case item.Key == record.LeaderKey:
+		membership.leader, membership.leaderModRevision = record.Leader{}, 0
+		if !item.Deleted && record.Decode(item.Value, &membership.leader) {
+			membership.leaderModRevision = item.ModRevision
 		}
-	case it.Key == record.FormatKey, strings.HasPrefix(it.Key, record.FormatSupportPrefix):
-		m.formats.applyFormatRecord(it)
-	case it.Key == record.RankingKey:
-		m.controller.ranking.applyRecord(it)
-	case strings.HasPrefix(it.Key, record.ReroutePrefix):
-		m.controller.partition.applyRerouteRecord(it)
-	case strings.HasPrefix(it.Key, record.MemberPrefix):
-		host := strings.TrimPrefix(it.Key, record.MemberPrefix)
-		delete(m.controllers, host)
-		var r record.Member
-		if !it.Deleted && record.Decode(it.Value, &r) {
-			m.controllers[host] = r
+	case item.Key == record.FormatKey, strings.HasPrefix(item.Key, record.FormatSupportPrefix):
+		membership.formats.applyFormatRecord(item)
+	case item.Key == record.RankingKey:
+		membership.controller.ranking.applyRecord(item)
+	case strings.HasPrefix(item.Key, record.ReroutePrefix):
+		membership.controller.partition.applyRerouteRecord(item)
+	case strings.HasPrefix(item.Key, record.MemberPrefix):
+		host := strings.TrimPrefix(item.Key, record.MemberPrefix)
+		delete(membership.controllers, host)
+		var member record.Member
+		if !item.Deleted && record.Decode(item.Value, &member) {
+			membership.controllers[host] = member
 		}
-	case strings.HasPrefix(it.Key, record.ShardPrefix):
-		err = m.shardMap.ApplyShard(strings.TrimPrefix(it.Key, record.ShardPrefix), value, it.ModRevision)
-	case strings.HasPrefix(it.Key, record.ShardSegmentPrefix):
-		err = m.shardMap.ApplySegment(strings.TrimPrefix(it.Key, record.ShardSegmentPrefix), value, it.ModRevision)
+	case strings.HasPrefix(item.Key, record.ShardPrefix):
+		err = membership.shardMap.ApplyShard(strings.TrimPrefix(item.Key, record.ShardPrefix), value, item.ModRevision)
+	case strings.HasPrefix(item.Key, record.ShardSegmentPrefix):
+		err = membership.shardMap.ApplySegment(strings.TrimPrefix(item.Key, record.ShardSegmentPrefix), value, item.ModRevision)
 	}
 	if err != nil {
-		m.rejectInput("record", it.Key, err.Error())
+		membership.rejectInput("record", item.Key, err.Error())
 	}
 }
 
 // controlRecordsChanged brings this controller's roles in line with ctl/. It is called after
 // each batch of changes.
-func (m *membership) controlRecordsChanged() {
-	m.controller.ranking.applyChange()
+func (membership *membership) controlRecordsChanged() {
+	membership.controller.ranking.applyChange()
 	switch {
-	case m.leaderModRevision == 0:
-		m.controller.stepDown()
+	case membership.leaderModRevision == 0:
+		membership.controller.stepDown()
 		wait := time.Duration(0)
 		switch {
-		case m.controller.partition.receivesNothing(m.now):
+		case membership.controller.partition.receivesNothing(membership.now):
 			// Other controllers claim leadership first, since this controller was cut off from
 			// the workers.
 			wait = partitionLeadDelay
-		case incarnation.OnProbation(m.now, m.startedAt) && m.hasEstablishedPeer():
+		case incarnation.OnProbation(membership.now, membership.startedAt) && membership.hasEstablishedPeer():
 			// Other controllers have been up for longer, and so are less likely to fail soon.
 			wait = recentStartLeadDelay
 		}
 		if wait == 0 {
-			m.claimLeadership()
+			membership.claimLeadership()
 			break
 		}
-		m.after(wait, func() {
-			if m.leaderModRevision == 0 {
-				m.claimLeadership()
+		membership.after(wait, func() {
+			if membership.leaderModRevision == 0 {
+				membership.claimLeadership()
 			}
 		})
-	case m.leader.Incarnation == m.incarnation() && m.leaseID != 0:
-		m.controller.becomeLeader()
+	case membership.leader.Incarnation == membership.incarnation() && membership.leaseID != 0:
+		membership.controller.becomeLeader()
 	default:
-		m.controller.stepDown()
+		membership.controller.stepDown()
 	}
-	m.controller.syncShardLeader()
-	m.formats.advanceFormat()
+	membership.controller.syncShardLeader()
+	membership.formats.advanceFormat()
 }
 
 // claimLeadership writes the leader record if it does not exist.
-func (m *membership) claimLeadership() {
-	if m.claimingLeadership || m.leaseID == 0 || !m.loaded {
+func (membership *membership) claimLeadership() {
+	if membership.claimingLeadership || membership.leaseID == 0 || !membership.loaded {
 		return
 	}
-	m.claimingLeadership = true
-	rec := record.Encode(record.Leader{Host: m.settings.Host, Incarnation: m.incarnation()})
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
-		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: m.leaseID}}}, func(d message.StoreResponse) {
-		m.claimingLeadership = false
-		switch d.Status {
+	membership.claimingLeadership = true
+	rec := record.Encode(record.Leader{Host: membership.settings.Host, Incarnation: membership.incarnation()})
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: 0}},
+		Writes: []message.Write{{Key: record.LeaderKey, Value: rec, LeaseID: membership.leaseID}}}, func(response message.StoreResponse) {
+		membership.claimingLeadership = false
+		switch response.Status {
 		case message.StoreOK, message.StoreConflict:
 			// The watch delivers the leader record, also if it is this controller's and the
 			// answer to the write was lost.
 		case message.StoreNoLease:
-			m.leaseLost("lease expired while claiming leadership")
+			membership.leaseLost("lease expired while claiming leadership")
 		default:
-			m.after(m.jitter(storeRetryDelay), func() {
-				if m.leaderModRevision == 0 {
-					m.claimLeadership()
+			membership.after(membership.jitter(storeRetryDelay), func() {
+				if membership.leaderModRevision == 0 {
+					membership.claimLeadership()
 				}
 			})
 		}
@@ -255,17 +255,17 @@
 
 // liveMachineOwner returns the host of the controller that receives a machine's heartbeats: the
 // machine's owner if that is alive, otherwise "".
-func (m *membership) liveMachineOwner(machine string) string {
-	o, ok := m.shardMap.Owner(machine)
-	if !ok || !m.loaded || m.controllers[o.Host].Incarnation != o.Incarnation {
+func (membership *membership) liveMachineOwner(machine string) string {
+	owner, ok := membership.shardMap.Owner(machine)
+	if !ok || !membership.loaded || membership.controllers[owner.Host].Incarnation != owner.Incarnation {
 		return ""
 	}
-	return o.Host
+	return owner.Host
 }
 
 // ownedMachine returns the owner and epoch of a machine, and whether the owner is this
 // controller according to the records read so far.
-func (m *membership) ownedMachine(machine string) (sharding.Owner, bool) {
-	o, ok := m.shardMap.Owner(machine)
-	return o, ok && o.Host == m.settings.Host && o.Incarnation == m.incarnation() && m.leaseID != 0 && m.loaded
+func (membership *membership) ownedMachine(machine string) (sharding.Owner, bool) {
+	owner, ok := membership.shardMap.Owner(machine)
+	return owner, ok && owner.Host == membership.settings.Host && owner.Incarnation == membership.incarnation() && membership.leaseID != 0 && membership.loaded
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -48,149 +48,149 @@
 }
 
 // New returns a controller without any state. The first Step starts it.
-func New(set Settings, rng *rand.Rand) *Controller {
-	c := &Controller{
-		environment:   &environment{settings: set, rng: rng},
+func New(settings Settings, rng *rand.Rand) *Controller {
+	controller := &Controller{
+		environment:   &environment{settings: settings, rng: rng},
 		requests:      newRequestTracker(),
 		membership:    membership{peersWithoutStore: map[string]time.Time{}},
 		frontend:      frontend{progressByJob: map[string]message.Progress{}},
 		cancellations: cancellationGossip{unacked: map[string]*unackedCancellation{}},
 		rateLimits:    rateLimits{peers: map[string]peerRates{}},
 	}
-	c.connectComponents()
-	c.knowledge.init()
-	c.frontend.init()
-	return c
+	controller.connectComponents()
+	controller.knowledge.init()
+	controller.frontend.init()
+	return controller
 }
 
 // connectComponents gives each component the shared environment and a reference to the
 // controller.
-func (c *Controller) connectComponents() {
-	shared := component{environment: c.environment, controller: c}
-	c.requests.component = shared
-	c.membership.component = shared
-	c.membership.formats.component = shared
-	c.frontend.component = shared
-	c.frontend.watchCache.component = shared
-	c.ranking.component = shared
-	c.rateLimits.component = shared
-	c.lending.component = shared
-	c.cancellations.component = shared
-	c.promises.component = shared
-	c.knowledge.component = shared
-	c.renewal.component = shared
-	c.partition.component = shared
-	c.planning.component = shared
+func (controller *Controller) connectComponents() {
+	shared := component{environment: controller.environment, controller: controller}
+	controller.requests.component = shared
+	controller.membership.component = shared
+	controller.membership.formats.component = shared
+	controller.frontend.component = shared
+	controller.frontend.watchCache.component = shared
+	controller.ranking.component = shared
+	controller.rateLimits.component = shared
+	controller.lending.component = shared
+	controller.cancellations.component = shared
+	controller.promises.component = shared
+	controller.knowledge.component = shared
+	controller.renewal.component = shared
+	controller.partition.component = shared
+	controller.planning.component = shared
 }
 
 // Step handles a batch of commands at the time now and returns the effects to carry out.
-func (c *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
-	c.now = now
-	c.effects = nil
-	c.partition.stepBegan()
-	if !c.membership.started {
-		c.membership.start()
+func (controller *Controller) Step(now time.Time, commands []message.Command) []message.Effect {
+	controller.now = now
+	controller.effects = nil
+	controller.partition.stepBegan()
+	if !controller.membership.started {
+		controller.membership.start()
 	}
-	for _, cmd := range cmds {
-		c.handleCommand(cmd)
+	for _, command := range commands {
+		controller.handleCommand(command)
 	}
-	c.runTimers()
-	c.membership.publishStoreUnavailable()
-	c.frontend.flushSubmissions()
-	if c.shardLeader != nil {
-		c.shardLeader.tick()
+	controller.runTimers()
+	controller.membership.publishStoreUnavailable()
+	controller.frontend.flushSubmissions()
+	if controller.shardLeader != nil {
+		controller.shardLeader.tick()
 	}
-	if c.leader != nil {
-		c.leader.tick()
+	if controller.leader != nil {
+		controller.leader.tick()
 	}
-	if r := (message.Role{Leader: c.leader != nil, ShardLeader: c.shardLeader != nil}); r != c.role {
-		c.role = r
-		c.emit(r)
+	if role := (message.Role{Leader: controller.leader != nil, ShardLeader: controller.shardLeader != nil}); role != controller.role {
+		controller.role = role
+		controller.emit(role)
 	}
-	return c.effects
+	return controller.effects
 }
 
 // handleCommand dispatches a command to the component that handles it.
-func (c *Controller) handleCommand(cmd message.Command) {
-	switch cmd := cmd.(type) {
+func (controller *Controller) handleCommand(command message.Command) {
+	switch cmd := command.(type) {
 	case message.SubmitJob:
-		c.frontend.submitJob(cmd)
+		controller.frontend.submitJob(cmd)
 	case message.QueryJob:
-		c.frontend.queryJob(cmd)
+		controller.frontend.queryJob(cmd)
 	case message.CancelJob:
-		c.frontend.cancelJob(cmd)
+		controller.frontend.cancelJob(cmd)
 	case message.WorkerHeartbeat:
-		c.receiveHeartbeat(cmd)
+		controller.receiveHeartbeat(cmd)
 	case message.StoreResponse:
-		c.requests.receiveStoreResponse(cmd)
+		controller.requests.receiveStoreResponse(cmd)
 	case message.CloudResponse:
-		c.requests.receiveCloudResponse(cmd)
+		controller.requests.receiveCloudResponse(cmd)
 	case message.WorkerResponse:
-		c.requests.receiveWorkerResponse(cmd)
+		controller.requests.receiveWorkerResponse(cmd)
 	case message.QueryStatus:
-		c.replyStatus(cmd)
+		controller.replyStatus(cmd)
 	case message.LoanCommand:
-		c.lending.runCommand(cmd)
+		controller.lending.runCommand(cmd)
 	case message.QueryLoans:
-		c.lending.queryLoans(cmd)
+		controller.lending.queryLoans(cmd)
 	case message.RenewCommand:
-		c.lending.runRenewCommand(cmd)
+		controller.lending.runRenewCommand(cmd)
 	case message.SetRanking:
-		c.ranking.set(cmd)
+		controller.ranking.set(cmd)
 	case message.QueryRanking:
-		c.ranking.query(cmd)
+		controller.ranking.query(cmd)
 	case message.DrainCommand:
-		c.lending.runDrainCommand(cmd)
+		controller.lending.runDrainCommand(cmd)
 	case message.QueryPromises:
-		c.promises.query(cmd)
+		controller.promises.query(cmd)
 	case message.PeerUpdate:
-		c.receivePeerUpdate(cmd)
+		controller.receivePeerUpdate(cmd)
 	}
 }
 
 // receiveHeartbeat handles a worker's heartbeat. A late copy of an earlier heartbeat goes to
 // handleStaleHeartbeat instead.
-func (c *Controller) receiveHeartbeat(cmd message.WorkerHeartbeat) {
-	if !c.handleStaleHeartbeat(&cmd) {
-		c.handleHeartbeat(cmd)
+func (controller *Controller) receiveHeartbeat(command message.WorkerHeartbeat) {
+	if !controller.handleStaleHeartbeat(&command) {
+		controller.handleHeartbeat(command)
 	}
 }
 
 // Deadline returns the latest time at which Step must be called if no command arrives earlier,
 // or the zero time if there is none.
-func (c *Controller) Deadline() time.Time {
-	var t time.Time
-	earliest := func(o time.Time) {
-		if !o.IsZero() && (t.IsZero() || o.Before(t)) {
-			t = o
+func (controller *Controller) Deadline() time.Time {
+	var deadline time.Time
+	earliest := func(candidate time.Time) {
+		if !candidate.IsZero() && (deadline.IsZero() || candidate.Before(deadline)) {
+			deadline = candidate
 		}
 	}
-	for _, tm := range c.timers {
-		earliest(tm.at)
+	for _, timer := range controller.timers {
+		earliest(timer.at)
 	}
-	if c.shardLeader != nil {
-		earliest(c.shardLeader.wakeAt)
-		if c.shardLeader.fleet.planningPass != nil {
-			earliest(c.shardLeader.fleet.planningPassAt)
+	if controller.shardLeader != nil {
+		earliest(controller.shardLeader.wakeAt)
+		if controller.shardLeader.fleet.planningPass != nil {
+			earliest(controller.shardLeader.fleet.planningPassAt)
 		}
 	}
-	if c.leader != nil {
-		earliest(c.leader.wakeAt)
+	if controller.leader != nil {
+		earliest(controller.leader.wakeAt)
 	}
-	return t
+	return deadline
 }
 
 // StepTook records how long the last Step took, including the execution of its effects. Planning
 // is divided into slices accordingly, so that steps stay short and planning leaves time for
 // other commands.
-func (c *Controller) StepTook(d time.Duration) { c.planning.recordStep(d) }
+func (controller *Controller) StepTook(d time.Duration) { controller.planning.recordStep(d) }
 
 // Healthy reports whether this controller can take users' requests.
-func (c *Controller) Healthy(now time.Time) bool {
-	return c.membership.ready && (!c.membership.storeDown(now) || c.membership.storeDownEverywhere(now))
+func (controller *Controller) Healthy(now time.Time) bool {
+	return controller.membership.ready && (!controller.membership.storeDown(now) || controller.membership.storeDownEverywhere(now))
 }
 
 // IsShardLeader reports whether this controller runs the jobs of at least one team.
-func (c *Controller) IsShardLeader() bool {
-	return c.shardLeader != nil && c.shardLeader.ready && len(c.shardLeader.teams) > 0
+func (controller *Controller) IsShardLeader() bool {
+	return controller.shardLeader != nil && controller.shardLeader.ready && len(controller.shardLeader.teams) > 0
 }
--- a/internal/controller/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -10,11 +10,11 @@
 )
 
 // lastStoreRequest returns the last request that a controller sent to the store.
-func (c *Controller) lastStoreRequest(t *testing.T) message.StoreRequest {
+func (controller *Controller) lastStoreRequest(t *testing.T) message.StoreRequest {
 	t.Helper()
-	for _, e := range slices.Backward(c.effects) {
-		if op, ok := e.(message.StoreRequest); ok {
-			return op
+	for _, effect := range slices.Backward(controller.effects) {
+		if request, ok := effect.(message.StoreRequest); ok {
+			return request
 		}
 	}
 	t.Fatal("got no request to the store, want one")
@@ -22,8 +22,8 @@
 }
 
 // answerStore passes a response to the callback of a request to the store.
-func (c *Controller) answerStore(op message.StoreRequest, response message.StoreResponse) {
-	c.requests.storeCallbacks[op.ID](response)
+func (controller *Controller) answerStore(request message.StoreRequest, response message.StoreResponse) {
+	controller.requests.storeCallbacks[request.ID](response)
 }
 
 // TestDrainIsFenced checks that a write of the cluster's drain compares the revision of the
@@ -31,22 +31,22 @@
 // switch replaces a newer one, and the answer to an older write undoes a newer record that the
 // watch has delivered.
 func TestDrainIsFenced(t *testing.T) {
-	c := largePool(0)
-	c.handleCommand(message.DrainCommand{Reply: 1, Enabled: true, Deadline: c.now})
-	op := c.lastStoreRequest(t)
-	if want := (message.Compare{Key: record.DrainKey}); !slices.Equal(op.Compares, []message.Compare{want}) {
-		t.Fatalf("got compares %v of the first switch, want that the record is absent", op.Compares)
+	controller := largePool(0)
+	controller.handleCommand(message.DrainCommand{Reply: 1, Enabled: true, Deadline: controller.now})
+	request := controller.lastStoreRequest(t)
+	if want := (message.Compare{Key: record.DrainKey}); !slices.Equal(request.Compares, []message.Compare{want}) {
+		t.Fatalf("got compares %v of the first switch, want that the record is absent", request.Compares)
 	}
-	c.answerStore(op, message.StoreResponse{Status: message.StoreOK, Revision: 10})
-	c.handleCommand(message.DrainCommand{Reply: 2, Enabled: false})
-	op = c.lastStoreRequest(t)
-	if want := (message.Compare{Key: record.DrainKey, ModRevision: 10}); !slices.Equal(op.Compares, []message.Compare{want}) {
-		t.Errorf("got compares %v of the second switch, want the revision of the first switch", op.Compares)
+	controller.answerStore(request, message.StoreResponse{Status: message.StoreOK, Revision: 10})
+	controller.handleCommand(message.DrainCommand{Reply: 2, Enabled: false})
+	request = controller.lastStoreRequest(t)
+	if want := (message.Compare{Key: record.DrainKey, ModRevision: 10}); !slices.Equal(request.Compares, []message.Compare{want}) {
+		t.Errorf("got compares %v of the second switch, want the revision of the first switch", request.Compares)
 	}
 	// The watch delivers a newer record before the answer arrives.
-	c.membership.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: record.Encode(record.Drain{Enabled: true}), ModRevision: 12})
-	c.answerStore(op, message.StoreResponse{Status: message.StoreOK, Revision: 11})
-	if !c.membership.drain.Enabled {
+	controller.membership.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: record.Encode(record.Drain{Enabled: true}), ModRevision: 12})
+	controller.answerStore(request, message.StoreResponse{Status: message.StoreOK, Revision: 11})
+	if !controller.membership.drain.Enabled {
 		t.Error("got the newer switch undone by the answer to an older one, want it kept")
 	}
 }
@@ -65,17 +65,17 @@
 		{"another switch is newer", record.Drain{}, message.LoanNotApplied},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c := largePool(0)
-			c.membership.loaded = true
-			c.handleCommand(message.DrainCommand{Reply: 7, Enabled: true, Deadline: deadline})
-			c.answerStore(c.lastStoreRequest(t), message.StoreResponse{Status: message.StoreConflict, Revision: 12})
-			read := c.lastStoreRequest(t)
+			controller := largePool(0)
+			controller.membership.loaded = true
+			controller.handleCommand(message.DrainCommand{Reply: 7, Enabled: true, Deadline: deadline})
+			controller.answerStore(controller.lastStoreRequest(t), message.StoreResponse{Status: message.StoreConflict, Revision: 12})
+			read := controller.lastStoreRequest(t)
 			if read.Kind != message.OpWatch || read.Key != record.ControlPrefix {
 				t.Fatalf("got request %v, want a read of the control records", read)
 			}
-			c.answerStore(read, message.StoreResponse{Status: message.StoreOK, Revision: 12, KeyValues: []message.KeyValue{{Key: record.DrainKey, Value: record.Encode(tc.stored), ModRevision: 12}}})
-			if got, ok := c.effects[len(c.effects)-1].(message.LoanReply); !ok || got != (message.LoanReply{Reply: 7, Status: tc.want}) {
-				t.Errorf("got %+v, want status %v", c.effects[len(c.effects)-1], tc.want)
+			controller.answerStore(read, message.StoreResponse{Status: message.StoreOK, Revision: 12, KeyValues: []message.KeyValue{{Key: record.DrainKey, Value: record.Encode(tc.stored), ModRevision: 12}}})
+			if got, ok := controller.effects[len(controller.effects)-1].(message.LoanReply); !ok || got != (message.LoanReply{Reply: 7, Status: tc.want}) {
+				t.Errorf("got %+v, want status %v", controller.effects[len(controller.effects)-1], tc.want)
 			}
 		})
 	}
--- a/internal/controller/environment.go
+++ b/internal/controller/environment.go
@@ -53,101 +53,103 @@
 }
 
 // after sets a timer: the first Step that is at least d from now calls fn.
-func (e *environment) after(d time.Duration, fn func()) {
-	e.timers = append(e.timers, timer{e.now.Add(d), fn})
+func (env *environment) after(d time.Duration, fn func()) {
+	env.timers = append(env.timers, timer{env.now.Add(d), fn})
 }
 
 // runTimers calls the functions of the timers that are due. A timer set by one of these
 // functions runs in a later Step.
-func (e *environment) runTimers() {
+func (env *environment) runTimers() {
 	var due []timer
-	keep := e.timers[:0]
-	for _, t := range e.timers {
-		if t.at.After(e.now) {
-			keep = append(keep, t)
+	keep := env.timers[:0]
+	for _, timer := range env.timers {
+		if timer.at.After(env.now) {
+			keep = append(keep, timer)
 		} else {
-			due = append(due, t)
+			due = append(due, timer)
 		}
 	}
-	e.timers = keep
-	for _, t := range due {
-		t.fn()
+	env.timers = keep
+	for _, timer := range due {
+		timer.fn()
 	}
 }
 
 // emit adds an effect to those that the running Step returns. It writes the sender's incarnation
 // into an update to a peer.
-func (e *environment) emit(effect message.Effect) {
-	if p, ok := effect.(message.SendPeerUpdate); ok {
-		p.Update.Incarnation = e.incarnation()
-		effect = p
+func (env *environment) emit(effect message.Effect) {
+	if update, ok := effect.(message.SendPeerUpdate); ok {
+		update.Update.Incarnation = env.incarnation()
+		effect = update
 	}
-	e.effects = append(e.effects, effect)
+	env.effects = append(env.effects, effect)
 }
 
 // nextID returns an ID that is unique within this process.
-func (e *environment) nextID() uint64 { e.lastID++; return e.lastID }
+func (env *environment) nextID() uint64 { env.lastID++; return env.lastID }
 
 // incarnation returns the name of the current incarnation of this process: the configured name,
 // with the number of lost membership leases appended after the first loss.
-func (e *environment) incarnation() string {
-	if e.lostLeases == 0 {
-		return e.settings.Incarnation
+func (env *environment) incarnation() string {
+	if env.lostLeases == 0 {
+		return env.settings.Incarnation
 	}
-	return e.settings.Incarnation + "." + strconv.Itoa(e.lostLeases)
+	return env.settings.Incarnation + "." + strconv.Itoa(env.lostLeases)
 }
 
 // beginNextIncarnation makes this process a new incarnation after the loss of its membership
 // lease.
-func (e *environment) beginNextIncarnation() {
-	e.lostLeases++
+func (env *environment) beginNextIncarnation() {
+	env.lostLeases++
 }
 
 // internalError logs and counts a fault of this program after which it keeps running.
-func (e *environment) internalError(text string, args ...any) {
-	e.internalErrors++
-	e.emit(message.Log{Error: true, Message: text, Args: args})
+func (env *environment) internalError(text string, args ...any) {
+	env.internalErrors++
+	env.emit(message.Log{Error: true, Message: text, Args: args})
 }
 
 // rejectInput counts an invalid input from outside: a peer's update, a worker's heartbeat or a
 // stored record, which may be damaged or written by mistake. Each cause is logged at most once a
 // minute. An invalid input never stops the controller.
-func (e *environment) rejectInput(kind, from, reason string) {
-	e.rejectedInputs++
-	if e.rejections.Allow(e.now, kind+" "+from+" "+reason) {
-		e.info("invalid input rejected", "kind", kind, "from", from, "reason", reason, "total", e.rejectedInputs)
+func (env *environment) rejectInput(kind, from, reason string) {
+	env.rejectedInputs++
+	if env.rejections.Allow(env.now, kind+" "+from+" "+reason) {
+		env.info("invalid input rejected", "kind", kind, "from", from, "reason", reason, "total", env.rejectedInputs)
 	}
 }
 
 // info logs a message at level info.
-func (e *environment) info(text string, args ...any) { e.emit(message.Log{Message: text, Args: args}) }
+func (env *environment) info(text string, args ...any) {
+	env.emit(message.Log{Message: text, Args: args})
+}
 
 // debug logs a message at level debug.
-func (e *environment) debug(text string, args ...any) {
-	e.emit(message.Log{Debug: true, Message: text, Args: args})
+func (env *environment) debug(text string, args ...any) {
+	env.emit(message.Log{Debug: true, Message: text, Args: args})
 }
 
 // jitter changes d at random by up to a quarter either way, so that controllers that failed
 // together do not retry at the same time.
-func (e *environment) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.75 + e.rng.Float64()/2))
+func (env *environment) jitter(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.75 + env.rng.Float64()/2))
 }
 
 // spread changes d at random by up to a half either way.
-func (e *environment) spread(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.5 + e.rng.Float64()))
+func (env *environment) spread(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (0.5 + env.rng.Float64()))
 }
 
 // maxHeartbeatInterval returns the longest time between two heartbeats of a live worker.
-func (e *environment) maxHeartbeatInterval() time.Duration {
-	return e.settings.HeartbeatInterval * 5 / 4
+func (env *environment) maxHeartbeatInterval() time.Duration {
+	return env.settings.HeartbeatInterval * 5 / 4
 }
 
 // team returns the settings of the team of this name, or nil if there is none.
-func (e *environment) team(name string) *model.Team {
-	for i := range e.settings.Teams {
-		if e.settings.Teams[i].Name == name {
-			return &e.settings.Teams[i]
+func (env *environment) team(name string) *model.Team {
+	for i := range env.settings.Teams {
+		if env.settings.Teams[i].Name == name {
+			return &env.settings.Teams[i]
 		}
 	}
 	return nil
@@ -155,10 +157,10 @@
 
 // waitObjective returns the time within which the tasks of a workload should start, or 0 if no
 // objective is set.
-func (e *environment) waitObjective(workload string) time.Duration {
-	for _, o := range e.settings.Objectives {
-		if o.Kind == "wait" && o.Workload == workload {
-			return o.Within
+func (env *environment) waitObjective(workload string) time.Duration {
+	for _, objective := range env.settings.Objectives {
+		if objective.Kind == "wait" && objective.Workload == workload {
+			return objective.Within
 		}
 	}
 	return 0
--- a/internal/controller/exchange.go
+++ b/internal/controller/exchange.go
@@ -28,12 +28,14 @@
 )
 
 // exchangeKind returns the kind as a type of internal/exchange.
-func (k machineKind) exchangeKind() exchange.Kind {
-	return exchange.Kind{MachineType: k.machineType, Zone: k.zone, Spot: k.spot}
+func (kind machineKind) exchangeKind() exchange.Kind {
+	return exchange.Kind{MachineType: kind.machineType, Zone: kind.zone, Spot: kind.spot}
 }
 
 // fromExchangeKind returns the machineKind for a kind of internal/exchange.
-func fromExchangeKind(k exchange.Kind) machineKind { return machineKind{k.MachineType, k.Zone, k.Spot} }
+func fromExchangeKind(kind exchange.Kind) machineKind {
+	return machineKind{kind.MachineType, kind.Zone, kind.Spot}
+}
 
 // fleetRequest holds what one shard leader requests from the leader and what it offers: the
 // machines to rent by kind, the machines to release, and the machines that it can spare.
@@ -45,127 +47,127 @@
 }
 
 // fleetRequests returns the requests of all shard leaders whose last update is fresh.
-func (l *leader) fleetRequests() []fleetRequest {
+func (leader *leader) fleetRequests() []fleetRequest {
 	var out []fleetRequest
-	if o := l.controller.shardLeader; o != nil && o.ready {
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
 		// Requests that could not be booked at once stay until the next tick.
-		out = append(out, fleetRequest{l.settings.Host, o.fleet.capacityRequests, o.fleet.takeReleases(), o.fleet.surplus})
+		out = append(out, fleetRequest{leader.settings.Host, shardLeader.fleet.capacityRequests, shardLeader.fleet.takeReleases(), shardLeader.fleet.surplus})
 	}
-	for _, host := range sortedKeys(l.updates) {
-		w, ok := l.freshUpdate(host)
-		if !ok || w.update.Seq < l.requiredSeq[host] {
+	for _, host := range sortedKeys(leader.updates) {
+		received, ok := leader.freshUpdate(host)
+		if !ok || received.update.Seq < leader.requiredSeq[host] {
 			continue
 		}
-		x := fleetRequest{host, map[machineKind]int{}, w.update.ToRelease, w.update.Surplus}
-		for _, k := range w.update.CapacityRequests {
-			x.capacity[machineKind{k.MachineType, k.Zone, k.Spot}] += k.Count
+		request := fleetRequest{host, map[machineKind]int{}, received.update.ToRelease, received.update.Surplus}
+		for _, capacityRequest := range received.update.CapacityRequests {
+			request.capacity[machineKind{capacityRequest.MachineType, capacityRequest.Zone, capacityRequest.Spot}] += capacityRequest.Count
 		}
-		out = append(out, x)
+		out = append(out, request)
 	}
 	return out
 }
 
 // exchangeMachines serves the requests of the shard leaders by handovers, bookings and releases.
-func (l *leader) exchangeMachines() {
-	if l.controller.membership.revision < l.sharding.writtenRevision {
+func (leader *leader) exchangeMachines() {
+	if leader.controller.membership.revision < leader.sharding.writtenRevision {
 		// The owners of the machines are known only once the leader has read its last write
 		// of the shard map.
 		return
 	}
-	requests := l.fleetRequests()
+	requests := leader.fleetRequests()
 	var owners []exchange.Owner
-	for _, w := range requests {
-		o := exchange.Owner{Host: w.host, CapacityRequests: map[exchange.Kind]int{}}
-		for k, c := range w.capacity {
-			o.CapacityRequests[k.exchangeKind()] = c
+	for _, request := range requests {
+		owner := exchange.Owner{Host: request.host, CapacityRequests: map[exchange.Kind]int{}}
+		for kind, count := range request.capacity {
+			owner.CapacityRequests[kind.exchangeKind()] = count
 		}
-		for _, id := range w.surplus {
-			if r := l.rentals[id]; r != nil && r.status == "running" && l.canHandOver(id, w.host) {
-				o.Surplus = append(o.Surplus, exchange.Machine{ID: id, Kind: r.machineKind.exchangeKind()})
+		for _, id := range request.surplus {
+			if rental := leader.rentals[id]; rental != nil && rental.status == "running" && leader.canHandOver(id, request.host) {
+				owner.Surplus = append(owner.Surplus, exchange.Machine{ID: id, Kind: rental.machineKind.exchangeKind()})
 			}
 		}
-		owners = append(owners, o)
+		owners = append(owners, owner)
 	}
 	handovers, bookings := exchange.Match(owners, exchange.Limits{
-		MaxTransfers: maxHandovers, MaxScaleOuts: l.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
+		MaxTransfers: maxHandovers, MaxScaleOuts: leader.bookingBudget(), MaxPerScaleOut: maxRentPerRequest,
 		// A further request for a kind counts only when all bookings of that kind are answered.
-		IsBusy: func(host string, k exchange.Kind) bool {
-			return l.pendingRentals[bookingKey{host, fromExchangeKind(k)}] > 0 || l.blockedUntil[fromExchangeKind(k)].After(l.now)
+		IsBusy: func(host string, kind exchange.Kind) bool {
+			return leader.pendingRentals[bookingKey{host, fromExchangeKind(kind)}] > 0 || leader.blockedUntil[fromExchangeKind(kind)].After(leader.now)
 		},
 	})
-	for _, m := range handovers {
-		l.handOver(m)
+	for _, handover := range handovers {
+		leader.handOver(handover)
 	}
-	l.transferMachines()
+	leader.transferMachines()
 	for i := range requests {
-		w := &requests[i]
-		if w.host == l.settings.Host {
-			for k := range w.capacity {
+		request := &requests[i]
+		if request.host == leader.settings.Host {
+			for kind := range request.capacity {
 				// The remaining requests stay until the next tick.
-				j := slices.IndexFunc(owners, func(o exchange.Owner) bool { return o.Host == w.host })
-				w.capacity[k] = owners[j].CapacityRequests[k.exchangeKind()]
+				index := slices.IndexFunc(owners, func(owner exchange.Owner) bool { return owner.Host == request.host })
+				request.capacity[kind] = owners[index].CapacityRequests[kind.exchangeKind()]
 			}
 		}
-		l.releaseFor(w.host, w.releases)
+		leader.releaseFor(request.host, request.releases)
 	}
-	for _, b := range bookings {
-		l.sendBooking(b.Host, fromExchangeKind(b.Kind), b.Count, "")
+	for _, booking := range bookings {
+		leader.sendBooking(booking.Host, fromExchangeKind(booking.Kind), booking.Count, "")
 	}
-	for id, at := range l.handedOverAt {
-		if l.now.Sub(at) > handoverCooldown {
-			delete(l.handedOverAt, id)
+	for id, at := range leader.handedOverAt {
+		if leader.now.Sub(at) > handoverCooldown {
+			delete(leader.handedOverAt, id)
 		}
 	}
 }
 
 // canHandOver reports whether the shard leader on host may hand over a machine at present.
-func (l *leader) canHandOver(id, host string) bool {
-	_, assigned := l.sharding.unrecordedMachines[id]
-	_, recentlyHandedOver := l.handedOverAt[id]
-	return l.ownerOf(id) == host && !assigned && !recentlyHandedOver && !l.controller.knowledge.released[id]
+func (leader *leader) canHandOver(id, host string) bool {
+	_, assigned := leader.sharding.unrecordedMachines[id]
+	_, recentlyHandedOver := leader.handedOverAt[id]
+	return leader.ownerOf(id) == host && !assigned && !recentlyHandedOver && !leader.controller.knowledge.released[id]
 }
 
 // releaseFor returns to the cloud the machines whose release the shard leader on host requests.
-func (l *leader) releaseFor(host string, ids []string) {
+func (leader *leader) releaseFor(host string, ids []string) {
 	var releasable []string
 	for _, id := range ids {
-		_, assigned := l.sharding.unrecordedMachines[id]
-		r := l.rentals[id]
+		_, assigned := leader.sharding.unrecordedMachines[id]
+		rental := leader.rentals[id]
 		switch {
-		case l.ownerOf(id) != host || assigned:
-		case l.confirmedReleases[id]:
-			l.confirmReleased(id, host)
-		case len(releasable) < maxReleasePerRequest && (r == nil || !r.releasing):
+		case leader.ownerOf(id) != host || assigned:
+		case leader.confirmedReleases[id]:
+			leader.confirmReleased(id, host)
+		case len(releasable) < maxReleasePerRequest && (rental == nil || !rental.releasing):
 			releasable = append(releasable, id)
 		}
 	}
 	if len(releasable) > 0 {
-		l.releaseMachines(releasable)
+		leader.releaseMachines(releasable)
 	}
 }
 
 // surplusExcept counts, by kind, the machines that the shard leaders on other hosts offer as
 // surplus.
-func (l *leader) surplusExcept(host string) []message.CapacityRequest {
+func (leader *leader) surplusExcept(host string) []message.CapacityRequest {
 	byKind := map[machineKind]int{}
-	count := func(of string, ids []string) {
+	count := func(owner string, ids []string) {
 		for _, id := range ids {
-			if r := l.rentals[id]; of != host && r != nil && r.status == "running" && l.canHandOver(id, of) {
-				byKind[r.machineKind]++
+			if rental := leader.rentals[id]; owner != host && rental != nil && rental.status == "running" && leader.canHandOver(id, owner) {
+				byKind[rental.machineKind]++
 			}
 		}
 	}
-	if o := l.controller.shardLeader; o != nil && o.ready {
-		count(l.settings.Host, o.fleet.surplus)
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
+		count(leader.settings.Host, shardLeader.fleet.surplus)
 	}
-	for _, from := range sortedKeys(l.updates) {
-		if w, ok := l.freshUpdate(from); ok {
-			count(from, w.update.Surplus)
+	for _, from := range sortedKeys(leader.updates) {
+		if received, ok := leader.freshUpdate(from); ok {
+			count(from, received.update.Surplus)
 		}
 	}
 	var out []message.CapacityRequest
-	for _, k := range sortedKinds(byKind) {
-		out = append(out, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: byKind[k]})
+	for _, kind := range sortedKinds(byKind) {
+		out = append(out, message.CapacityRequest{MachineType: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: byKind[kind]})
 	}
 	return out
 }
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -45,59 +45,59 @@
 }
 
 // init creates the maps.
-func (k *fleetKnowledge) init() {
-	k.provisioningTimes = map[machineKind]*boottime.Estimator{}
-	k.estimators = map[string]*estimator{}
-	k.released = map[string]bool{}
-	k.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
-	k.predecessorMachines = map[string]predecessorMachine{}
+func (knowledge *fleetKnowledge) init() {
+	knowledge.provisioningTimes = map[machineKind]*boottime.Estimator{}
+	knowledge.estimators = map[string]*estimator{}
+	knowledge.released = map[string]bool{}
+	knowledge.inheritedLoads = map[workloadKey]message.WorkloadLoad{}
+	knowledge.predecessorMachines = map[string]predecessorMachine{}
 }
 
 // markReleased records that the release of a machine was requested. The machine never gets a
 // task again, whatever the outcome of the request.
-func (k *fleetKnowledge) markReleased(id string) { k.released[id] = true }
+func (knowledge *fleetKnowledge) markReleased(id string) { knowledge.released[id] = true }
 
 // inheritLoad stores what another shard leader published about a workload. Its estimator
 // replaces this controller's own if this controller leads no shard or has fewer samples.
-func (k *fleetKnowledge) inheritLoad(l message.WorkloadLoad, leadsNoShard bool) {
-	k.inheritedLoads[workloadKey{l.Team, l.Workload}] = l
-	if e := k.estimators[l.Workload]; l.Samples > 0 && (leadsNoShard || e == nil || e.samples < l.Samples) {
-		k.estimators[l.Workload] = &estimator{ratio: l.RunTimeRatio, deviation: l.Deviation, samples: l.Samples}
+func (knowledge *fleetKnowledge) inheritLoad(load message.WorkloadLoad, leadsNoShard bool) {
+	knowledge.inheritedLoads[workloadKey{load.Team, load.Workload}] = load
+	if known := knowledge.estimators[load.Workload]; load.Samples > 0 && (leadsNoShard || known == nil || known.samples < load.Samples) {
+		knowledge.estimators[load.Workload] = &estimator{ratio: load.RunTimeRatio, deviation: load.Deviation, samples: load.Samples}
 	}
 }
 
 // recordMachineUpdates stores what another shard leader published about its machines.
-func (k *fleetKnowledge) recordMachineUpdates(updates []message.MachineUpdate) {
-	for _, u := range updates {
-		k.predecessorMachines[u.ID] = predecessorMachine{MachineUpdate: u, receivedAt: k.now}
+func (knowledge *fleetKnowledge) recordMachineUpdates(updates []message.MachineUpdate) {
+	for _, update := range updates {
+		knowledge.predecessorMachines[update.ID] = predecessorMachine{MachineUpdate: update, receivedAt: knowledge.now}
 	}
-	if len(updates) > 0 && k.now.Sub(k.predecessorsPrunedAt) > machineUpdateTTL {
+	if len(updates) > 0 && knowledge.now.Sub(knowledge.predecessorsPrunedAt) > machineUpdateTTL {
 		// Machines that no shard leader publishes any more are gone. Readers check the age of an
 		// entry themselves, so pruning may be late.
-		k.predecessorsPrunedAt = k.now
-		for id, m := range k.predecessorMachines {
-			if k.now.Sub(m.receivedAt) > machineUpdateTTL {
-				delete(k.predecessorMachines, id)
+		knowledge.predecessorsPrunedAt = knowledge.now
+		for id, predecessor := range knowledge.predecessorMachines {
+			if knowledge.now.Sub(predecessor.receivedAt) > machineUpdateTTL {
+				delete(knowledge.predecessorMachines, id)
 			}
 		}
 	}
 }
 
 // setMachineTypes replaces the list of machine types.
-func (k *fleetKnowledge) setMachineTypes(types []model.MachineType) {
-	k.machineTypes = map[string]model.MachineType{}
+func (knowledge *fleetKnowledge) setMachineTypes(types []model.MachineType) {
+	knowledge.machineTypes = map[string]model.MachineType{}
 	for _, t := range types {
-		k.machineTypes[t.Name] = t
+		knowledge.machineTypes[t.Name] = t
 	}
 }
 
 // cheapestCPUCost returns the lowest cost of a CPU per hour among all kinds of machines.
-func (k *fleetKnowledge) cheapestCPUCost() float64 {
+func (knowledge *fleetKnowledge) cheapestCPUCost() float64 {
 	low := 0.0
-	for _, machineType := range k.machineTypes {
-		for _, p := range [...]float64{machineType.CostPerHour, machineType.SpotCostPerHour} {
-			if u := p / max(machineType.Capacity.CPU, 1); u > 0 && (low == 0 || u < low) {
-				low = u
+	for _, machineType := range knowledge.machineTypes {
+		for _, price := range [...]float64{machineType.CostPerHour, machineType.SpotCostPerHour} {
+			if perCPU := price / max(machineType.Capacity.CPU, 1); perCPU > 0 && (low == 0 || perCPU < low) {
+				low = perCPU
 			}
 		}
 	}
@@ -106,31 +106,31 @@
 
 // fittingMachineTypes returns the names of the machine types on which a task of the job fits, in
 // no particular order.
-func (k *fleetKnowledge) fittingMachineTypes(s *model.JobSpec) []string {
+func (knowledge *fleetKnowledge) fittingMachineTypes(spec *model.JobSpec) []string {
 	var out []string
-	for name, machineType := range k.machineTypes {
-		if s.Need.Fits(machineType.Capacity) && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, name)) {
+	for name, machineType := range knowledge.machineTypes {
+		if spec.Need.Fits(machineType.Capacity) && (len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, name)) {
 			out = append(out, name)
 		}
 	}
 	return out
 }
 
-// fetchTime returns how long machine m takes until it has the image of job j.
-func (k *fleetKnowledge) fetchTime(m *machine, j *job) time.Duration {
+// fetchTime returns how long a machine takes until it has the image of a job.
+func (knowledge *fleetKnowledge) fetchTime(machine *machine, job *job) time.Duration {
 	fetching := 0
-	for _, im := range m.images {
-		if !im.cached {
+	for _, image := range machine.images {
+		if !image.cached {
 			fetching++
 		}
 	}
-	return record.DurationOfSeconds(m.fetchSeconds(j, fetching, k.imageFetchRate(m)))
+	return record.DurationOfSeconds(machine.fetchSeconds(job, fetching, knowledge.imageFetchRate(machine)))
 }
 
 // imageFetchRate returns how many GB of images a machine fetches per second, or 1 if the rate is
 // not known.
-func (k *fleetKnowledge) imageFetchRate(m *machine) float64 {
-	if rate := k.machineTypes[m.machineType].ImageFetchRate; rate > 0 {
+func (knowledge *fleetKnowledge) imageFetchRate(machine *machine) float64 {
+	if rate := knowledge.machineTypes[machine.machineType].ImageFetchRate; rate > 0 {
 		return rate
 	}
 	return 1
@@ -138,62 +138,62 @@
 
 // costPerHour returns the price of a machine per hour, multiplied by the policy's cost factor
 // for its type.
-func (k *fleetKnowledge) costPerHour(kind machineKind) float64 {
-	machineType := k.machineTypes[kind.machineType]
+func (knowledge *fleetKnowledge) costPerHour(kind machineKind) float64 {
+	machineType := knowledge.machineTypes[kind.machineType]
 	cost := machineType.CostPerHour
 	if kind.spot {
 		cost = machineType.SpotCostPerHour
 	}
-	if w, ok := k.settings.Policy.CostFactors[kind.machineType]; ok && w > 0 {
-		cost *= w
+	if factor, ok := knowledge.settings.Policy.CostFactors[kind.machineType]; ok && factor > 0 {
+		cost *= factor
 	}
 	return cost
 }
 
 // costPerCPU returns the cost of one CPU of a machine per hour.
-func (k *fleetKnowledge) costPerCPU(m *machine) float64 {
-	return k.costPerHour(machineKind{m.machineType, m.zone, m.spot}) / max(m.size.CPU, 1)
+func (knowledge *fleetKnowledge) costPerCPU(machine *machine) float64 {
+	return knowledge.costPerHour(machineKind{machine.machineType, machine.zone, machine.spot}) / max(machine.size.CPU, 1)
 }
 
 // loadMachineTypes reads the machine types from the cloud every machineTypesInterval, and
 // retries failed reads after a second.
-func (c *Controller) loadMachineTypes() {
-	c.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(d message.CloudResponse) {
-		if d.Status == message.CloudOK {
-			c.knowledge.setMachineTypes(d.MachineTypes)
-			if c.shardLeader != nil {
-				for _, m := range c.shardLeader.machines {
-					if machineType, ok := c.knowledge.machineTypes[m.machineType]; ok {
-						m.size, m.disk = machineType.Capacity, machineType.DiskGB
+func (controller *Controller) loadMachineTypes() {
+	controller.requests.toCloud(message.CloudRequest{Kind: message.CloudListTypes}, func(response message.CloudResponse) {
+		if response.Status == message.CloudOK {
+			controller.knowledge.setMachineTypes(response.MachineTypes)
+			if controller.shardLeader != nil {
+				for _, machine := range controller.shardLeader.machines {
+					if machineType, ok := controller.knowledge.machineTypes[machine.machineType]; ok {
+						machine.size, machine.disk = machineType.Capacity, machineType.DiskGB
 					}
 				}
 			}
-			c.after(c.jitter(machineTypesInterval), c.loadMachineTypes)
+			controller.after(controller.jitter(machineTypesInterval), controller.loadMachineTypes)
 			return
 		}
-		c.after(c.jitter(time.Second), c.loadMachineTypes)
+		controller.after(controller.jitter(time.Second), controller.loadMachineTypes)
 	})
 }
 
 // safetyMargin returns the time reserved for the uncertainty of a job's run time.
-func (k *fleetKnowledge) safetyMargin(j *job) time.Duration {
-	if j.LongRunning {
+func (knowledge *fleetKnowledge) safetyMargin(job *job) time.Duration {
+	if job.LongRunning {
 		// A long-running job has no deadline for its end.
 		return minSafetyMargin
 	}
 	fraction := minSafetyFraction
-	if e := k.estimators[j.Workload]; e != nil && len(j.sortedRunTimes) == 0 {
-		fraction = max(fraction, min(e.deviation, 1))
+	if estimator := knowledge.estimators[job.Workload]; estimator != nil && len(job.sortedRunTimes) == 0 {
+		fraction = max(fraction, min(estimator.deviation, 1))
 	}
-	return minSafetyMargin + time.Duration(fraction*float64(k.expectedRunTime(j)))
+	return minSafetyMargin + time.Duration(fraction*float64(knowledge.expectedRunTime(job)))
 }
 
 // planningHorizon returns how far ahead demand is planned: the mean time until a newly rented
 // machine is ready.
-func (k *fleetKnowledge) planningHorizon() time.Duration {
+func (knowledge *fleetKnowledge) planningHorizon() time.Duration {
 	var sum time.Duration
-	for _, machineType := range k.machineTypes {
+	for _, machineType := range knowledge.machineTypes {
 		sum += machineType.ProvisioningTime
 	}
-	return sum / time.Duration(max(1, len(k.machineTypes)))
+	return sum / time.Duration(max(1, len(knowledge.machineTypes)))
 }
--- a/internal/controller/fleet_log.go
+++ b/internal/controller/fleet_log.go
@@ -11,42 +11,42 @@
 // logFleet logs how much of the machines' CPU is in use, the number of machines of each kind,
 // and the pending tasks of each job. It may be called only while this controller also leads a
 // shard.
-func (l *leader) logFleet() {
+func (leader *leader) logFleet() {
 	type sums struct{ ready, idle, booting int }
 	byKind := map[machineKind]*sums{}
 	var used, size float64
-	for _, r := range l.rentals {
-		s := byKind[r.machineKind]
-		if s == nil {
-			s = &sums{}
-			byKind[r.machineKind] = s
+	for _, rental := range leader.rentals {
+		counts := byKind[rental.machineKind]
+		if counts == nil {
+			counts = &sums{}
+			byKind[rental.machineKind] = counts
 		}
-		m := l.controller.shardLeader.machines[r.id]
+		machine := leader.controller.shardLeader.machines[rental.id]
 		switch {
-		case m == nil || !m.heard:
-			s.booting++
-		case m.isEmpty():
-			s.ready++
-			s.idle++
+		case machine == nil || !machine.heard:
+			counts.booting++
+		case machine.isEmpty():
+			counts.ready++
+			counts.idle++
 		default:
-			s.ready++
+			counts.ready++
 		}
-		if m != nil && m.heard {
-			used += m.used.CPU
-			size += m.size.CPU
+		if machine != nil && machine.heard {
+			used += machine.used.CPU
+			size += machine.size.CPU
 		}
 	}
 	args := []any{"used_cpus", used, "cpus", size}
-	for _, k := range sortedKinds(byKind) {
-		s := byKind[k]
-		name := k.machineType
-		if k.spot {
+	for _, kind := range sortedKinds(byKind) {
+		counts := byKind[kind]
+		name := kind.machineType
+		if kind.spot {
 			name += "/spot"
 		}
-		args = append(args, name, fmt.Sprintf("%d ready, %d idle, %d booting", s.ready, s.idle, s.booting))
+		args = append(args, name, fmt.Sprintf("%d ready, %d idle, %d booting", counts.ready, counts.idle, counts.booting))
 	}
-	for _, j := range l.controller.shardLeader.scheduler.jobsInQueueOrder() {
-		args = append(args, j.Workload, j.pendingTasks())
+	for _, job := range leader.controller.shardLeader.scheduler.jobsInQueueOrder() {
+		args = append(args, job.Workload, job.pendingTasks())
 	}
-	l.debug("fleet summary", args...)
+	leader.debug("fleet summary", args...)
 }
--- a/internal/controller/harness_test.go
+++ b/internal/controller/harness_test.go
@@ -39,8 +39,8 @@
 	// heartbeatCopies are the heartbeats to which the scenario gave a name, by that name.
 	heartbeatCopies map[string]model.Heartbeat
 	// output is what was printed since the last flush, and printed what printOnce has printed.
-	output          []string
-	printed         map[string]bool
+	output  []string
+	printed map[string]bool
 }
 
 // harnessController is one controller and its connections. controller is nil while its process
@@ -87,17 +87,17 @@
 
 // start starts a new incarnation of a controller, which has none of the state of the previous
 // one.
-func (h *harness) start(name string) *harnessController {
-	c := h.controllers[name]
-	if c == nil {
-		c = &harnessController{harness: h, name: name}
-		h.controllers[name] = c
+func (harness *harness) start(name string) *harnessController {
+	node := harness.controllers[name]
+	if node == nil {
+		node = &harnessController{harness: harness, name: name}
+		harness.controllers[name] = node
 	}
-	c.incarnation++
-	c.rules, c.peersConnected, c.replyNames = nil, true, map[uint64]string{}
-	c.queue, c.heldRequests, c.workerCommands, c.txns = nil, nil, nil, nil
+	node.incarnation++
+	node.rules, node.peersConnected, node.replyNames = nil, true, map[uint64]string{}
+	node.queue, node.heldRequests, node.workerCommands, node.txns = nil, nil, nil, nil
 	settings := controller.Settings{
-		Host: name, Incarnation: fmt.Sprintf("%s.%d", name, c.incarnation), Zones: []string{"z1", "z2"},
+		Host: name, Incarnation: fmt.Sprintf("%s.%d", name, node.incarnation), Zones: []string{"z1", "z2"},
 		HeartbeatInterval: 3 * time.Second, WorkerLease: 24 * time.Second, CancellationBound: 54 * time.Second, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreWritesPerSecond: 30,
 		CloudListLag: 4 * time.Second, CloudRequestsPerSecond: 4, Policy: controller.DefaultPolicy(),
 		Teams: []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 8}}},
@@ -107,30 +107,30 @@
 			settings.Peers = append(settings.Peers, host)
 		}
 	}
-	c.controller = controller.New(settings, rand.New(rand.NewPCG(1, uint64(c.incarnation))))
-	return c
+	node.controller = controller.New(settings, rand.New(rand.NewPCG(1, uint64(node.incarnation))))
+	return node
 }
 
 // run advances the time by d in steps of 50 ms.
-func (h *harness) run(d time.Duration) {
-	for end := h.now.Add(d); ; h.now = h.now.Add(50 * time.Millisecond) {
-		h.store.Expire(h.now)
-		for _, worker := range h.sortedMachines() {
-			if worker.repeat != nil && h.now.Sub(worker.repeatedAt) >= 3*time.Second {
-				worker.repeatedAt = h.now
+func (harness *harness) run(d time.Duration) {
+	for end := harness.now.Add(d); ; harness.now = harness.now.Add(50 * time.Millisecond) {
+		harness.store.Expire(harness.now)
+		for _, worker := range harness.sortedMachines() {
+			if worker.repeat != nil && harness.now.Sub(worker.repeatedAt) >= 3*time.Second {
+				worker.repeatedAt = harness.now
 				worker.repeat()
 			}
 		}
 		for busy := true; busy; {
 			busy = false
 			for _, host := range harnessHosts {
-				if c := h.controllers[host]; c != nil && c.controller != nil {
-					c.step()
-					busy = busy || len(c.queue) > 0
+				if node := harness.controllers[host]; node != nil && node.controller != nil {
+					node.step()
+					busy = busy || len(node.queue) > 0
 				}
 			}
 		}
-		if !h.now.Before(end) {
+		if !harness.now.Before(end) {
 			return
 		}
 	}
@@ -138,68 +138,68 @@
 
 // step fails the polls that are overdue, passes the queue to the controller and carries out the
 // effects that it returns.
-func (c *harnessController) step() {
-	now := c.harness.now
-	c.workerCommands = slices.DeleteFunc(c.workerCommands, func(op workerCommand) bool {
-		overdue := len(op.Commands) == 0 && now.Sub(op.sentAt) > pollTimeout
+func (node *harnessController) step() {
+	now := node.harness.now
+	node.workerCommands = slices.DeleteFunc(node.workerCommands, func(command workerCommand) bool {
+		overdue := len(command.Commands) == 0 && now.Sub(command.sentAt) > pollTimeout
 		if overdue {
-			c.push(message.WorkerResponse{ID: op.ID})
+			node.push(message.WorkerResponse{ID: command.ID})
 		}
 		return overdue
 	})
-	queue := c.queue
-	c.queue = nil
-	for _, effect := range c.controller.Step(now, queue) {
-		c.execute(effect)
+	queue := node.queue
+	node.queue = nil
+	for _, effect := range node.controller.Step(now, queue) {
+		node.execute(effect)
 	}
 }
 
 // push queues a command for the controller, unless its process is down.
-func (c *harnessController) push(command message.Command) {
-	if c.controller != nil {
-		c.queue = append(c.queue, command)
+func (node *harnessController) push(command message.Command) {
+	if node.controller != nil {
+		node.queue = append(node.queue, command)
 	}
 }
 
 // pushRequest queues a command whose answer is printed with the given name.
-func (h *harness) pushRequest(c *harnessController, name string, newCommand func(uint64) message.Command) {
-	c.lastReply++
-	c.replyNames[c.lastReply] = name
-	c.push(newCommand(c.lastReply))
+func (harness *harness) pushRequest(node *harnessController, name string, newCommand func(uint64) message.Command) {
+	node.lastReply++
+	node.replyNames[node.lastReply] = name
+	node.push(newCommand(node.lastReply))
 }
 
 // execute carries out one effect of the controller.
-func (c *harnessController) execute(effect message.Effect) {
+func (node *harnessController) execute(effect message.Effect) {
 	switch e := effect.(type) {
 	case message.StoreRequest:
-		c.handleStoreRequest(e)
+		node.handleStoreRequest(e)
 	case message.CloudRequest:
-		c.push(c.harness.handleCloudRequest(e))
+		node.push(node.harness.handleCloudRequest(e))
 	case message.WorkerRequest:
-		c.handleWorkerRequest(e)
+		node.handleWorkerRequest(e)
 	case message.UserReply:
-		c.harness.print(strings.TrimSpace(fmt.Sprintf("%s %d %s", c.replyNames[e.Reply], e.Status, e.State)))
+		node.harness.print(strings.TrimSpace(fmt.Sprintf("%s %d %s", node.replyNames[e.Reply], e.Status, e.State)))
 	case message.HeartbeatReply:
-		c.handleHeartbeatReply(e)
+		node.handleHeartbeatReply(e)
 	case message.LoanReply:
-		c.harness.print(c.replyNames[e.Reply] + " " + [...]string{"durable", "not", "unsure"}[e.Status])
+		node.harness.print(node.replyNames[e.Reply] + " " + [...]string{"durable", "not", "unsure"}[e.Status])
 	case message.LoanView:
-		c.harness.print(formatLoanView(e))
+		node.harness.print(formatLoanView(e))
 	case message.SendPeerUpdate:
-		if to := c.harness.controllers[e.To]; to != nil && c.peersConnected && to.peersConnected {
+		if to := node.harness.controllers[e.To]; to != nil && node.peersConnected && to.peersConnected {
 			to.push(e.Update)
 		}
 	}
 }
 
 // formatLoanView returns the text that a scenario prints for a view of the loans.
-func formatLoanView(e message.LoanView) string {
-	text := fmt.Sprintf("view ok=%v leads=%v guests=%v", e.OK, e.IsLeader, e.RunsGuestTeam)
-	for _, l := range e.Lent {
-		text += fmt.Sprintf(" lent=%s#%d->%s", l.Spec.ID, l.LendCount, l.Peer)
+func formatLoanView(view message.LoanView) string {
+	text := fmt.Sprintf("view ok=%v leads=%v guests=%v", view.OK, view.IsLeader, view.RunsGuestTeam)
+	for _, loan := range view.Lent {
+		text += fmt.Sprintf(" lent=%s#%d->%s", loan.Spec.ID, loan.LendCount, loan.Peer)
 	}
-	for _, l := range e.Borrowed {
-		text += fmt.Sprintf(" borrowed=%s:%s:ending=%v", l.Loan, l.Status, l.Ending)
+	for _, loan := range view.Borrowed {
+		text += fmt.Sprintf(" borrowed=%s:%s:ending=%v", loan.Loan, loan.Status, loan.Ending)
 	}
 	return text
 }
@@ -207,28 +207,28 @@
 // formatCommands returns the text that a scenario prints for task commands, in sorted order.
 func formatCommands(commands []model.TaskCommand) string {
 	var out []string
-	for _, o := range commands {
-		out = append(out, fmt.Sprintf(" %s %s/%d#%d", o.Kind, o.Job, o.Index, o.Attempt))
+	for _, command := range commands {
+		out = append(out, fmt.Sprintf(" %s %s/%d#%d", command.Kind, command.Job, command.Index, command.Attempt))
 	}
 	slices.Sort(out)
 	return strings.Join(out, "")
 }
 
 // print adds a line to the output of the current scenario line.
-func (h *harness) print(text string) { h.output = append(h.output, text) }
+func (harness *harness) print(text string) { harness.output = append(harness.output, text) }
 
 // printOnce prints a text only the first time, since some events recur.
-func (h *harness) printOnce(text string) {
-	if !h.printed[text] {
-		h.printed[text] = true
-		h.print(text)
+func (harness *harness) printOnce(text string) {
+	if !harness.printed[text] {
+		harness.printed[text] = true
+		harness.print(text)
 	}
 }
 
 // flush returns the output since the last call.
-func (h *harness) flush() string {
-	out := h.output
-	h.output = nil
+func (harness *harness) flush() string {
+	out := harness.output
+	harness.output = nil
 	if len(out) == 0 {
 		return ""
 	}
--- a/internal/controller/leader.go
+++ b/internal/controller/leader.go
@@ -106,110 +106,110 @@
 }
 
 // newLeader returns a leader that knows no machines yet.
-func newLeader(c *Controller) *leader {
+func newLeader(controller *Controller) *leader {
 	return &leader{
-		component:   component{environment: c.environment, controller: c},
-		modRevision: c.membership.leaderModRevision, generation: int(c.nextID()),
+		component:   component{environment: controller.environment, controller: controller},
+		modRevision: controller.membership.leaderModRevision, generation: int(controller.nextID()),
 		rentals: map[string]*rental{}, unlistedSince: map[string]time.Time{},
 		blockedUntil: map[machineKind]time.Time{}, bookingsInFlight: map[string]bool{}, pendingRentals: map[bookingKey]int{}, confirmedReleases: map[string]bool{},
 		updates: map[string]receivedUpdate{}, ackedSeq: map[string]uint64{}, requiredSeq: map[string]uint64{},
-		sharding: newShardPlanning(c), handedOverAt: map[string]time.Time{},
+		sharding: newShardPlanning(controller), handedOverAt: map[string]time.Time{},
 	}
 }
 
 // becomeLeader makes this controller the leader under the current leader record. If it already
 // is, it only plans the shards.
-func (c *Controller) becomeLeader() {
-	if c.leader != nil && c.leader.modRevision == c.membership.leaderModRevision {
-		c.leader.planShards()
+func (controller *Controller) becomeLeader() {
+	if controller.leader != nil && controller.leader.modRevision == controller.membership.leaderModRevision {
+		controller.leader.planShards()
 		return
 	}
-	c.leader = newLeader(c)
-	c.info("leadership gained", "mod_revision", c.membership.leaderModRevision)
-	c.leader.planShards()
+	controller.leader = newLeader(controller)
+	controller.info("leadership gained", "mod_revision", controller.membership.leaderModRevision)
+	controller.leader.planShards()
 }
 
 // stepDown gives up leadership.
-func (c *Controller) stepDown() {
-	if c.leader != nil {
-		c.info("leadership lost")
-		c.leader = nil
+func (controller *Controller) stepDown() {
+	if controller.leader != nil {
+		controller.info("leadership lost")
+		controller.leader = nil
 	}
 }
 
 // receiveUpdate stores the update of a shard leader. If the update comes from a new incarnation
 // of the shard leader, all of its machines are published again, since the new incarnation knows
 // nothing of what was published to the former one.
-func (l *leader) receiveUpdate(now time.Time, update message.PeerUpdate) {
-	if l.updates[update.From].update.Incarnation != update.Incarnation {
-		delete(l.ackedSeq, update.From)
-		for _, r := range l.rentals {
-			if r.publishedTo == update.From {
-				r.publishedTo = ""
+func (leader *leader) receiveUpdate(now time.Time, update message.PeerUpdate) {
+	if leader.updates[update.From].update.Incarnation != update.Incarnation {
+		delete(leader.ackedSeq, update.From)
+		for _, rental := range leader.rentals {
+			if rental.publishedTo == update.From {
+				rental.publishedTo = ""
 			}
 		}
 	}
-	l.updates[update.From] = receivedUpdate{receivedAt: now, update: update}
+	leader.updates[update.From] = receivedUpdate{receivedAt: now, update: update}
 }
 
 // freshUpdate returns the last update of a host, and whether that update is recent and was sent
 // by the current incarnation of the host. The current incarnation may need what a former one did
 // not.
-func (l *leader) freshUpdate(host string) (receivedUpdate, bool) {
-	w, ok := l.updates[host]
-	return w, ok && l.now.Sub(w.receivedAt) <= updateTTL && l.controller.membership.fromCurrentIncarnation(&w.update)
+func (leader *leader) freshUpdate(host string) (receivedUpdate, bool) {
+	received, ok := leader.updates[host]
+	return received, ok && leader.now.Sub(received.receivedAt) <= updateTTL && leader.controller.membership.fromCurrentIncarnation(&received.update)
 }
 
 // tick performs the periodic duties of the leader once per leaderPeriod.
-func (l *leader) tick() {
-	if l.now.Sub(l.lastScan) < leaderPeriod {
-		l.wakeAt = l.lastScan.Add(leaderPeriod)
+func (leader *leader) tick() {
+	if leader.now.Sub(leader.lastScan) < leaderPeriod {
+		leader.wakeAt = leader.lastScan.Add(leaderPeriod)
 		return
 	}
-	l.lastScan = l.now
-	l.wakeAt = l.now.Add(leaderPeriod)
-	l.controller.ranking.derive()
-	if !l.listInFlight && l.now.Sub(l.lastListAt) >= l.listInterval() {
-		l.listMachines("", nil)
+	leader.lastScan = leader.now
+	leader.wakeAt = leader.now.Add(leaderPeriod)
+	leader.controller.ranking.derive()
+	if !leader.listInFlight && leader.now.Sub(leader.lastListAt) >= leader.listInterval() {
+		leader.listMachines("", nil)
 	}
-	for id, r := range l.rentals {
-		if !r.releasedAt.IsZero() && l.now.Sub(r.releasedAt) > 2*updateTTL {
-			delete(l.rentals, id)
+	for id, rental := range leader.rentals {
+		if !rental.releasedAt.IsZero() && leader.now.Sub(rental.releasedAt) > 2*updateTTL {
+			delete(leader.rentals, id)
 		}
 	}
 	// To a leader that is cut off every machine seems unresponsive. The releases that it
 	// requests are delayed on the way and executed when the partition ends, under a successor
 	// that uses the machines. So the leader decides nothing unless its lease is certainly valid.
-	if !l.hasListed || l.now.After(l.controller.membership.leaseValidUntil) {
+	if !leader.hasListed || leader.now.After(leader.controller.membership.leaseValidUntil) {
 		return
 	}
-	l.applyUpdates()
-	l.planShards()
-	l.exchangeMachines()
-	l.publishRentals()
-	if l.controller.shardLeader != nil && l.now.Sub(l.lastLogged) >= fleetLogInterval {
-		l.lastLogged = l.now
-		l.logFleet()
+	leader.applyUpdates()
+	leader.planShards()
+	leader.exchangeMachines()
+	leader.publishRentals()
+	if leader.controller.shardLeader != nil && leader.now.Sub(leader.lastLogged) >= fleetLogInterval {
+		leader.lastLogged = leader.now
+		leader.logFleet()
 	}
 }
 
 // applyUpdates applies what the shard leaders, including the one on this controller, need and
 // offer.
-func (l *leader) applyUpdates() {
-	for _, host := range sortedKeys(l.updates) {
-		w, ok := l.freshUpdate(host)
+func (leader *leader) applyUpdates() {
+	for _, host := range sortedKeys(leader.updates) {
+		received, ok := leader.freshUpdate(host)
 		if !ok {
 			continue
 		}
-		l.ackedSeq[host] = max(l.ackedSeq[host], w.update.Seq)
-		for _, x := range w.update.Offers {
-			l.sharding.offers[x.Team] = x
+		leader.ackedSeq[host] = max(leader.ackedSeq[host], received.update.Seq)
+		for _, offer := range received.update.Offers {
+			leader.sharding.offers[offer.Team] = offer
 		}
-		if w.receivedAt.After(l.lastScan.Add(-leaderPeriod)) {
-			l.recordTeamLoads(w.update.TeamLoads)
+		if received.receivedAt.After(leader.lastScan.Add(-leaderPeriod)) {
+			leader.recordTeamLoads(received.update.TeamLoads)
 		}
 	}
-	if s := l.controller.shardLeader; s != nil && s.ready {
-		l.applyOwnUpdate()
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
+		leader.applyOwnUpdate()
 	}
 }
--- a/internal/controller/leader_updates.go
+++ b/internal/controller/leader_updates.go
@@ -39,136 +39,136 @@
 // publishRentals sends each other shard leader an update: its machines, the kinds that the cloud
 // refuses, the machines that other shard leaders can spare, and the hosts and the team that it
 // is asked to give up.
-func (l *leader) publishRentals() {
-	othersNeeds, evacuations := l.assignEvacuations()
+func (leader *leader) publishRentals() {
+	othersNeeds, evacuations := leader.assignEvacuations()
 	updates := map[string]*message.PeerUpdate{}
-	for _, x := range l.controller.membership.shardMap.Shards() {
-		if x.Host != l.settings.Host && slices.Contains(l.settings.Peers, x.Host) && updates[x.Host] == nil {
-			updates[x.Host] = &message.PeerUpdate{From: l.settings.Host, IsLeaderUpdate: true}
+	for _, shard := range leader.controller.membership.shardMap.Shards() {
+		if shard.Host != leader.settings.Host && slices.Contains(leader.settings.Peers, shard.Host) && updates[shard.Host] == nil {
+			updates[shard.Host] = &message.PeerUpdate{From: leader.settings.Host, IsLeaderUpdate: true}
 		}
 	}
 	if len(updates) == 0 {
 		return
 	}
-	l.seq++
-	l.publishTurn = (l.publishTurn + 1) % publishTurns
-	for i, id := range sortedKeys(l.rentals) {
-		host := l.assignedHost(id)
+	leader.seq++
+	leader.publishTurn = (leader.publishTurn + 1) % publishTurns
+	for i, id := range sortedKeys(leader.rentals) {
+		host := leader.assignedHost(id)
 		if update := updates[host]; update != nil {
-			l.addRentalUpdate(update, host, l.rentals[id], i%publishTurns == l.publishTurn)
+			leader.addRentalUpdate(update, host, leader.rentals[id], i%publishTurns == leader.publishTurn)
 		}
 	}
 	var blocked []message.CapacityRequest
-	for _, k := range sortedKinds(l.blockedUntil) {
-		if l.blockedUntil[k].After(l.now) {
-			blocked = append(blocked, message.CapacityRequest{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: 1})
+	for _, kind := range sortedKinds(leader.blockedUntil) {
+		if leader.blockedUntil[kind].After(leader.now) {
+			blocked = append(blocked, message.CapacityRequest{MachineType: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: 1})
 		}
 	}
-	others := l.requestsOfOthers(append(sortedKeys(updates), l.settings.Host))
-	if s := l.controller.shardLeader; s != nil && s.ready {
-		s.transfers.receiveRequests(others[l.settings.Host])
+	others := leader.requestsOfOthers(append(sortedKeys(updates), leader.settings.Host))
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
+		shardLeader.transfers.receiveRequests(others[leader.settings.Host])
 	}
-	request, hasRequest := l.sharding.planner.PendingMove()
+	request, hasRequest := leader.sharding.planner.PendingMove()
 	for _, host := range sortedKeys(updates) {
 		update := updates[host]
-		update.Seq, update.Blocked, update.SurplusElsewhere = l.seq, blocked, l.surplusExcept(host)
+		update.Seq, update.Blocked, update.SurplusElsewhere = leader.seq, blocked, leader.surplusExcept(host)
 		update.OthersNeeds, update.EvacuationRequests = othersNeeds[host], evacuations[host]
 		update.OthersTransferRequests = others[host]
 		if hasRequest && request.From == host {
 			update.TeamRelease = []sharding.MoveRequest{request}
 		}
-		l.emit(message.SendPeerUpdate{To: host, Update: *update})
+		leader.emit(message.SendPeerUpdate{To: host, Update: *update})
 	}
 }
 
 // addRentalUpdate adds a machine to the update for a host if itsTurn is set or the host has not
 // acknowledged the machine's current status.
-func (l *leader) addRentalUpdate(update *message.PeerUpdate, host string, r *rental, itsTurn bool) {
-	status := r.status
+func (leader *leader) addRentalUpdate(update *message.PeerUpdate, host string, rental *rental, itsTurn bool) {
+	status := rental.status
 	switch {
-	case !r.releasedAt.IsZero():
+	case !rental.releasedAt.IsZero():
 		status = "returned"
-	case status == "running" && l.ownerOf(r.id) != host:
+	case status == "running" && leader.ownerOf(rental.id) != host:
 		status = statusComing
 	}
-	if r.publishedTo != host || r.publishedStatus != status {
-		r.publishedTo, r.publishedStatus, r.publishedSeq = host, status, l.seq
+	if rental.publishedTo != host || rental.publishedStatus != status {
+		rental.publishedTo, rental.publishedStatus, rental.publishedSeq = host, status, leader.seq
 	}
 	if len(update.RentalUpdates) >= maxRentalsPerUpdate {
 		// The machine goes into the next update, and into each further one until the host
 		// acknowledges it.
-		r.publishedSeq = l.seq + 1
+		rental.publishedSeq = leader.seq + 1
 		return
 	}
-	if r.publishedSeq > l.ackedSeq[host] || itsTurn {
-		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: r.id, Addr: r.addr, MachineType: r.machineType, Zone: r.zone, Spot: r.spot, Status: status, Age: l.now.Sub(r.rentedAt)})
+	if rental.publishedSeq > leader.ackedSeq[host] || itsTurn {
+		update.RentalUpdates = append(update.RentalUpdates, message.RentalUpdate{ID: rental.id, Addr: rental.addr, MachineType: rental.machineType, Zone: rental.zone, Spot: rental.spot, Status: status, Age: leader.now.Sub(rental.rentedAt)})
 	}
 }
 
 // receiveLeaderUpdate applies the leader's update to this shard leader. A confirmed release, or
 // the status "failed" from the cloud, proves that a machine is gone.
-func (c *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
-	s := c.shardLeader
-	v := &fleetView{rentals: map[string]*rental{}}
-	switch old := s.fleet.view; {
+func (controller *Controller) receiveLeaderUpdate(update message.PeerUpdate) {
+	shardLeader := controller.shardLeader
+	view := &fleetView{rentals: map[string]*rental{}}
+	switch old := shardLeader.fleet.view; {
 	case old == nil || old.leaderHost != update.From || old.incarnation != update.Incarnation:
-	case old.seq > update.Seq && c.now.Sub(old.receivedAt) < updateTTL:
+	case old.seq > update.Seq && controller.now.Sub(old.receivedAt) < updateTTL:
 		return
 	default:
 		// An update contains only some of the machines. A machine that none of the recent
 		// updates contains is gone.
-		v.rentals = old.rentals
-		for id, r := range v.rentals {
-			if _, mine := c.membership.ownedMachine(id); !mine && r.status != "booting" && r.status != statusComing || c.now.Sub(r.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
-				delete(v.rentals, id)
+		view.rentals = old.rentals
+		for id, rental := range view.rentals {
+			if _, mine := controller.membership.ownedMachine(id); !mine && rental.status != "booting" && rental.status != statusComing || controller.now.Sub(rental.publishedAt) > 2*publishTurns*leaderPeriod+updateTTL {
+				delete(view.rentals, id)
 			}
 		}
 	}
-	v.leaderHost, v.incarnation = update.From, update.Incarnation
-	v.seq, v.receivedAt, v.blockedUntil, v.pendingRentals = update.Seq, c.now, map[machineKind]time.Time{}, map[machineKind]int{}
-	for _, x := range update.RentalUpdates {
-		c.applyRentalUpdate(v, x)
+	view.leaderHost, view.incarnation = update.From, update.Incarnation
+	view.seq, view.receivedAt, view.blockedUntil, view.pendingRentals = update.Seq, controller.now, map[machineKind]time.Time{}, map[machineKind]int{}
+	for _, rentalUpdate := range update.RentalUpdates {
+		controller.applyRentalUpdate(view, rentalUpdate)
 	}
-	v.surplus = map[machineKind]int{}
-	for _, w := range update.SurplusElsewhere {
-		v.surplus[machineKind{w.MachineType, w.Zone, w.Spot}] += w.Count
+	view.surplus = map[machineKind]int{}
+	for _, capacity := range update.SurplusElsewhere {
+		view.surplus[machineKind{capacity.MachineType, capacity.Zone, capacity.Spot}] += capacity.Count
 	}
-	for _, w := range update.Blocked {
-		v.blockedUntil[machineKind{w.MachineType, w.Zone, w.Spot}] = c.now.Add(updateTTL)
+	for _, capacity := range update.Blocked {
+		view.blockedUntil[machineKind{capacity.MachineType, capacity.Zone, capacity.Spot}] = controller.now.Add(updateTTL)
 	}
-	s.fleet.setView(v)
-	c.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
-	s.transfers.receiveRequests(update.OthersTransferRequests)
-	for _, a := range update.TeamRelease {
-		s.receiveTeamRelease(a)
+	shardLeader.fleet.setView(view)
+	controller.shardLeader.migration.receiveHostNeeds(update.OthersNeeds, update.EvacuationRequests)
+	shardLeader.transfers.receiveRequests(update.OthersTransferRequests)
+	for _, moveRequest := range update.TeamRelease {
+		shardLeader.receiveTeamRelease(moveRequest)
 	}
 }
 
-// applyRentalUpdate stores one machine of the leader's update in the view v, and adopts or drops
+// applyRentalUpdate stores one machine of the leader's update in the view, and adopts or drops
 // the machine.
-func (c *Controller) applyRentalUpdate(v *fleetView, x message.RentalUpdate) {
+func (controller *Controller) applyRentalUpdate(view *fleetView, update message.RentalUpdate) {
 	// An update informs about machines and never establishes ownership. A booting machine is
 	// included in planning before the shard map names it, and is used only afterwards.
-	if _, mine := c.membership.ownedMachine(x.ID); !mine && x.Status != "booting" && x.Status != statusComing {
+	if _, mine := controller.membership.ownedMachine(update.ID); !mine && update.Status != "booting" && update.Status != statusComing {
 		return
 	}
-	r := &rental{publishedAt: c.now, id: x.ID, addr: x.Addr, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: c.now.Add(-x.Age), status: x.Status, releasing: c.knowledge.released[x.ID]}
-	v.rentals[x.ID] = r
-	s := c.shardLeader
-	if !s.ready {
+	rental := &rental{publishedAt: controller.now, id: update.ID, addr: update.Addr, machineKind: machineKind{update.MachineType, update.Zone, update.Spot}, rentedAt: controller.now.Add(-update.Age), status: update.Status, releasing: controller.knowledge.released[update.ID]}
+	view.rentals[update.ID] = rental
+	shardLeader := controller.shardLeader
+	if !shardLeader.ready {
 		return
 	}
-	if m := s.machines[x.ID]; m != nil && (x.Status == "returned" || x.Status == "failed") {
-		c.dropMachine(m, x.Status)
+	if machine := shardLeader.machines[update.ID]; machine != nil && (update.Status == "returned" || update.Status == "failed") {
+		controller.dropMachine(machine, update.Status)
 	}
-	if x.Status == "returned" {
+	if update.Status == "returned" {
 		// If the machine stayed in the view, its release would be requested as long as the
 		// leader publishes it, and the leader would publish it, in place of other machines, as
 		// long as its release is requested.
-		delete(v.rentals, x.ID)
+		delete(view.rentals, update.ID)
 		return
 	}
-	if !c.knowledge.released[x.ID] {
-		c.adopt(r)
+	if !controller.knowledge.released[update.ID] {
+		controller.adopt(rental)
 	}
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -108,8 +108,8 @@
 }
 
 // storeDown reports whether the store has failed to answer for longer than storeDownAfter.
-func (m *membership) storeDown(now time.Time) bool {
-	return !m.storeFailingSince.IsZero() && now.Sub(m.storeFailingSince) > storeDownAfter
+func (membership *membership) storeDown(now time.Time) bool {
+	return !membership.storeFailingSince.IsZero() && now.Sub(membership.storeFailingSince) > storeDownAfter
 }
 
 // storeDownEverywhere reports whether all other controllers have lost the store as well, so that
@@ -117,167 +117,169 @@
 // store becomes unhealthy, and so does one that is cut off from its peers too. In an outage that
 // affects all controllers they stay healthy, since removing them from the load balancer and
 // adding them again would only cost time.
-func (m *membership) storeDownEverywhere(now time.Time) bool {
-	for _, p := range m.settings.Peers {
-		if at, ok := m.peersWithoutStore[p]; !ok || now.Sub(at) > storeUnavailableTTL {
+func (membership *membership) storeDownEverywhere(now time.Time) bool {
+	for _, peer := range membership.settings.Peers {
+		if at, ok := membership.peersWithoutStore[peer]; !ok || now.Sub(at) > storeUnavailableTTL {
 			return false
 		}
 	}
-	return len(m.settings.Peers) > 0
+	return len(membership.settings.Peers) > 0
 }
 
 // noteStoreStatus records whether the store has answered a request.
-func (m *membership) noteStoreStatus(status message.StoreStatus) {
+func (membership *membership) noteStoreStatus(status message.StoreStatus) {
 	if status != message.StoreUnknown && status != message.StoreRefused {
-		m.storeFailingSince = time.Time{}
-	} else if m.storeFailingSince.IsZero() {
-		m.storeFailingSince = m.now
+		membership.storeFailingSince = time.Time{}
+	} else if membership.storeFailingSince.IsZero() {
+		membership.storeFailingSince = membership.now
 	}
 }
 
 // notePeerWithoutStore records that a peer has reported that it cannot reach the store.
-func (m *membership) notePeerWithoutStore(peer string) { m.peersWithoutStore[peer] = m.now }
+func (membership *membership) notePeerWithoutStore(peer string) {
+	membership.peersWithoutStore[peer] = membership.now
+}
 
 // publishStoreUnavailable tells the peers that this controller cannot reach the store, once per
 // storeUnavailableInterval while the store is down.
-func (m *membership) publishStoreUnavailable() {
-	if !m.storeDown(m.now) || m.now.Sub(m.storeUnavailablePublishedAt) < storeUnavailableInterval {
+func (membership *membership) publishStoreUnavailable() {
+	if !membership.storeDown(membership.now) || membership.now.Sub(membership.storeUnavailablePublishedAt) < storeUnavailableInterval {
 		return
 	}
-	m.storeUnavailablePublishedAt = m.now
-	for _, p := range m.settings.Peers {
-		m.emit(message.SendPeerUpdate{To: p, Update: message.PeerUpdate{From: m.settings.Host, StoreUnavailable: true}})
+	membership.storeUnavailablePublishedAt = membership.now
+	for _, peer := range membership.settings.Peers {
+		membership.emit(message.SendPeerUpdate{To: peer, Update: message.PeerUpdate{From: membership.settings.Host, StoreUnavailable: true}})
 	}
 }
 
 // start begins the registration of this controller, in the first Step.
-func (m *membership) start() {
-	m.started, m.startedAt = true, m.now
-	m.controllers = map[string]record.Member{}
-	m.formats.init()
-	m.shardMap = sharding.NewMap()
+func (membership *membership) start() {
+	membership.started, membership.startedAt = true, membership.now
+	membership.controllers = map[string]record.Member{}
+	membership.formats.init()
+	membership.shardMap = sharding.NewMap()
 	// The previous incarnation's lease is revoked at once, even if this incarnation has to wait
 	// before it may register, so that other controllers take over the previous incarnation's
 	// roles.
 	ended, waited := false, false
 	begin := func() {
 		if ended && waited {
-			m.createLease()
+			membership.createLease()
 		}
 	}
-	m.endPreviousIncarnation(func() {
+	membership.endPreviousIncarnation(func() {
 		ended = true
 		begin()
 	})
-	m.beginIncarnation(func() {
+	membership.beginIncarnation(func() {
 		waited = true
 		begin()
 	})
-	m.leaseRenewLoop()
-	m.controller.loadMachineTypes()
-	m.controller.promises.start()
-	m.controller.rateLimits.publishRates()
+	membership.leaseRenewLoop()
+	membership.controller.loadMachineTypes()
+	membership.controller.promises.start()
+	membership.controller.rateLimits.publishRates()
 }
 
 // beginIncarnation calls fn when this incarnation may register. After several short incarnations
 // in a row it waits first; see internal/incarnation.
-func (m *membership) beginIncarnation(fn func()) {
-	key := record.IncarnationPrefix + m.settings.Host
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(d message.StoreResponse) {
-		if d.Status != message.StoreOK && d.Status != message.StoreNotFound {
-			m.after(m.jitter(storeRetryDelay), func() { m.beginIncarnation(fn) })
+func (membership *membership) beginIncarnation(fn func()) {
+	key := record.IncarnationPrefix + membership.settings.Host
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: key}, func(response message.StoreResponse) {
+		if response.Status != message.StoreOK && response.Status != message.StoreNotFound {
+			membership.after(membership.jitter(storeRetryDelay), func() { membership.beginIncarnation(fn) })
 			return
 		}
-		var r record.Incarnation
-		known := d.Status == message.StoreOK && len(d.KeyValues) == 1 && record.Decode(d.KeyValues[0].Value, &r)
-		past, wait := incarnation.Start(m.now, incarnation.History{StartedAt: time.UnixMilli(r.StartedAt), ShortRuns: r.ShortLived}, known)
+		var stored record.Incarnation
+		known := response.Status == message.StoreOK && len(response.KeyValues) == 1 && record.Decode(response.KeyValues[0].Value, &stored)
+		past, wait := incarnation.Start(membership.now, incarnation.History{StartedAt: time.UnixMilli(stored.StartedAt), ShortRuns: stored.ShortLived}, known)
 		// Nothing waits for this write. If it is lost, the next incarnation waits for a shorter
 		// time.
 		rec := record.Encode(record.Incarnation{StartedAt: past.StartedAt.UnixMilli(), ShortLived: past.ShortRuns})
-		m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
+		membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Writes: []message.Write{{Key: key, Value: rec}}}, func(message.StoreResponse) {})
 		if wait > 0 {
-			m.info("start delayed after short incarnations", "incarnations", past.ShortRuns, "delay", wait)
+			membership.info("start delayed after short incarnations", "incarnations", past.ShortRuns, "delay", wait)
 		}
-		m.after(wait, fn)
+		membership.after(wait, fn)
 	})
 }
 
 // endPreviousIncarnation revokes the lease of this controller's previous incarnation, whose
 // process has ended, so that the other controllers need not wait until the lease expires. It
 // calls fn when recordModRevision is known.
-func (m *membership) endPreviousIncarnation(fn func()) {
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + m.settings.Host}, func(d message.StoreResponse) {
-		switch d.Status {
+func (membership *membership) endPreviousIncarnation(fn func()) {
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityMembership, Key: record.MemberPrefix + membership.settings.Host}, func(response message.StoreResponse) {
+		switch response.Status {
 		case message.StoreOK:
 			var old record.Member
-			if !record.Decode(d.KeyValues[0].Value, &old) || old.Incarnation == m.incarnation() {
-				m.recordModRevision = d.KeyValues[0].ModRevision
+			if !record.Decode(response.KeyValues[0].Value, &old) || old.Incarnation == membership.incarnation() {
+				membership.recordModRevision = response.KeyValues[0].ModRevision
 				fn()
 				return
 			}
-			m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
+			membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: old.LeaseID}, func(message.StoreResponse) {
 				// If the record still exists, the registration conflicts and calls
 				// endPreviousIncarnation again.
-				m.recordModRevision = 0
+				membership.recordModRevision = 0
 				fn()
 			})
 		case message.StoreNotFound:
-			m.recordModRevision = 0
+			membership.recordModRevision = 0
 			fn()
 		default:
-			m.after(m.jitter(storeRetryDelay), func() { m.endPreviousIncarnation(fn) })
+			membership.after(membership.jitter(storeRetryDelay), func() { membership.endPreviousIncarnation(fn) })
 		}
 	})
 }
 
 // createLease requests a lease until the store grants one, and registers this controller under
 // it.
-func (m *membership) createLease() {
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(d message.StoreResponse) {
-		if d.Status != message.StoreOK {
-			m.after(m.jitter(storeRetryDelay), m.createLease)
+func (membership *membership) createLease() {
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseGrant, Priority: message.PriorityMembership, TTL: membershipLeaseTTL}, func(response message.StoreResponse) {
+		if response.Status != message.StoreOK {
+			membership.after(membership.jitter(storeRetryDelay), membership.createLease)
 			return
 		}
-		m.leaseID = d.LeaseID
-		m.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
-		m.register()
+		membership.leaseID = response.LeaseID
+		membership.leaseValidUntil = response.SentAt.Add(membershipLeaseTTL)
+		membership.register()
 	})
 }
 
 // register writes this controller's record under its lease, and retries as long as the
 // controller has this lease. After the first success it loads ctl/.
-func (m *membership) register() {
-	leaseID := m.leaseID
-	key := record.MemberPrefix + m.settings.Host
-	rec := record.Encode(record.Member{LeaseID: leaseID, Incarnation: m.incarnation(), ReceivesNothing: m.controller.partition.receivesNothing(m.now), StartedAt: m.startedAt.UnixMilli()})
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: m.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: leaseID}}}, func(d message.StoreResponse) {
-		if m.leaseID != leaseID {
+func (membership *membership) register() {
+	leaseID := membership.leaseID
+	key := record.MemberPrefix + membership.settings.Host
+	rec := record.Encode(record.Member{LeaseID: leaseID, Incarnation: membership.incarnation(), ReceivesNothing: membership.controller.partition.receivesNothing(membership.now), StartedAt: membership.startedAt.UnixMilli()})
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: membership.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: leaseID}}}, func(response message.StoreResponse) {
+		if membership.leaseID != leaseID {
 			return
 		}
-		switch d.Status {
+		switch response.Status {
 		case message.StoreConflict:
 			// An earlier incarnation's write arrived late, or this incarnation's own write
 			// succeeded and the answer was lost.
-			m.after(m.jitter(storeRetryDelay), func() {
-				if m.leaseID == leaseID {
-					m.endPreviousIncarnation(func() {
-						if m.leaseID == leaseID {
-							m.register()
+			membership.after(membership.jitter(storeRetryDelay), func() {
+				if membership.leaseID == leaseID {
+					membership.endPreviousIncarnation(func() {
+						if membership.leaseID == leaseID {
+							membership.register()
 						}
 					})
 				}
 			})
 		case message.StoreOK:
-			m.recordModRevision = d.Revision
-			if !m.loaded {
-				m.loadControlRecords()
+			membership.recordModRevision = response.Revision
+			if !membership.loaded {
+				membership.loadControlRecords()
 			}
 		case message.StoreNoLease:
-			m.leaseLost("lease expired before registration")
+			membership.leaseLost("lease expired before registration")
 		default:
-			m.after(m.jitter(storeRetryDelay), func() {
-				if m.leaseID == leaseID {
-					m.register()
+			membership.after(membership.jitter(storeRetryDelay), func() {
+				if membership.leaseID == leaseID {
+					membership.register()
 				}
 			})
 		}
@@ -286,57 +288,57 @@
 
 // leaseLost gives up all roles at once and requests a new lease. The store has reported that the
 // lease is over, so other controllers may hold the roles already.
-func (m *membership) leaseLost(reason string) {
-	if m.leaseID == 0 {
+func (membership *membership) leaseLost(reason string) {
+	if membership.leaseID == 0 {
 		return
 	}
-	m.info("membership lease lost", "reason", reason)
-	m.relinquishRoles("membership lease lost")
-	m.createLease()
+	membership.info("membership lease lost", "reason", reason)
+	membership.relinquishRoles("membership lease lost")
+	membership.createLease()
 }
 
 // relinquishRoles gives up the lease and the roles that depend on it. Under its next lease this
 // process is a new incarnation.
-func (m *membership) relinquishRoles(reason string) {
-	m.leaseID, m.recordModRevision = 0, 0
-	m.beginNextIncarnation()
-	m.controller.stepDown()
-	m.controller.dropShardLeader(reason)
+func (membership *membership) relinquishRoles(reason string) {
+	membership.leaseID, membership.recordModRevision = 0, 0
+	membership.beginNextIncarnation()
+	membership.controller.stepDown()
+	membership.controller.dropShardLeader(reason)
 }
 
 // leaseRenewLoop renews the lease every leaseRenewInterval, one renewal at a time.
-func (m *membership) leaseRenewLoop() {
-	m.after(leaseRenewInterval, m.leaseRenewLoop)
-	if m.leaseID == 0 || m.renewing {
+func (membership *membership) leaseRenewLoop() {
+	membership.after(leaseRenewInterval, membership.leaseRenewLoop)
+	if membership.leaseID == 0 || membership.renewing {
 		return
 	}
-	m.renewing = true
-	leaseID := m.leaseID
-	m.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: leaseID}, func(d message.StoreResponse) {
-		m.renewing = false
-		if m.leaseID != leaseID {
+	membership.renewing = true
+	leaseID := membership.leaseID
+	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRenew, Priority: message.PriorityMembership, LeaseID: leaseID}, func(response message.StoreResponse) {
+		membership.renewing = false
+		if membership.leaseID != leaseID {
 			return
 		}
-		switch d.Status {
+		switch response.Status {
 		case message.StoreOK:
-			m.leaseValidUntil = d.SentAt.Add(membershipLeaseTTL)
+			membership.leaseValidUntil = response.SentAt.Add(membershipLeaseTTL)
 		case message.StoreNotFound, message.StoreNoLease:
-			m.leaseLost("lease expired")
+			membership.leaseLost("lease expired")
 		}
 	})
 }
 
 // recentlyStarted reports whether a controller started so recently that it is given a role only
 // if no other controller can take it.
-func (m *membership) recentlyStarted(r record.Member) bool {
-	return r.StartedAt != 0 && incarnation.OnProbation(m.now, time.UnixMilli(r.StartedAt))
+func (membership *membership) recentlyStarted(member record.Member) bool {
+	return member.StartedAt != 0 && incarnation.OnProbation(membership.now, time.UnixMilli(member.StartedAt))
 }
 
 // hasEstablishedPeer reports whether another controller has been up for a while and receives
 // heartbeats from workers.
-func (m *membership) hasEstablishedPeer() bool {
-	for h, r := range m.controllers {
-		if h != m.settings.Host && !m.recentlyStarted(r) && !r.ReceivesNothing {
+func (membership *membership) hasEstablishedPeer() bool {
+	for host, member := range membership.controllers {
+		if host != membership.settings.Host && !membership.recentlyStarted(member) && !member.ReceivesNothing {
 			return true
 		}
 	}
@@ -346,14 +348,14 @@
 // fromCurrentIncarnation reports whether an update was sent by the current incarnation of its
 // sender, according to the records read from ctl/. An update of an earlier incarnation may
 // arrive late, and a machine whose release it requests may be in use again.
-func (m *membership) fromCurrentIncarnation(c *message.PeerUpdate) bool {
-	r, lives := m.controllers[c.From]
-	return lives && r.Incarnation == c.Incarnation
+func (membership *membership) fromCurrentIncarnation(update *message.PeerUpdate) bool {
+	member, lives := membership.controllers[update.From]
+	return lives && member.Incarnation == update.Incarnation
 }
 
 // epochBumpStarted records that a write that raises epochs is in flight, until epochBumpEnded is
 // called.
-func (m *membership) epochBumpStarted() { m.bumpingEpoch = true }
+func (membership *membership) epochBumpStarted() { membership.bumpingEpoch = true }
 
 // epochBumpEnded records that the write that raises epochs has been answered.
-func (m *membership) epochBumpEnded() { m.bumpingEpoch = false }
+func (membership *membership) epochBumpEnded() { membership.bumpingEpoch = false }
--- a/internal/controller/rentals.go
+++ b/internal/controller/rentals.go
@@ -46,229 +46,229 @@
 }
 
 // newRental returns a rental for a machine in the cloud's list.
-func newRental(now time.Time, x *model.CloudMachine) *rental {
-	return &rental{id: x.ID, machineKind: machineKind{x.MachineType, x.Zone, x.Spot}, rentedAt: now.Add(-x.Age)}
+func newRental(now time.Time, listed *model.CloudMachine) *rental {
+	return &rental{id: listed.ID, machineKind: machineKind{listed.MachineType, listed.Zone, listed.Spot}, rentedAt: now.Add(-listed.Age)}
 }
 
 // listInterval returns the time between reads of the machine list. The interval grows with the
 // number of pages, since each page costs a request and the list lags in any case.
-func (l *leader) listInterval() time.Duration {
-	return max(l.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(l.rentals)/listPageSize)
+func (leader *leader) listInterval() time.Duration {
+	return max(leader.settings.CloudListLag/2, 2*time.Second) * time.Duration(1+len(leader.rentals)/listPageSize)
 }
 
 // bookingBudget returns how many bookings may be sent in one tick: half of the cloud's request
 // rate limit, since lists, releases and prices take requests as well.
-func (l *leader) bookingBudget() int {
-	return max(1, int(l.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
+func (leader *leader) bookingBudget() int {
+	return max(1, int(leader.settings.CloudRequestsPerSecond/2*leaderPeriod.Seconds()))
 }
 
 // ownerOf returns the host of the shard leader that owns a machine according to the shard map,
 // or "".
-func (l *leader) ownerOf(id string) string {
-	if s, ok := l.controller.membership.shardMap.Owner(id); ok {
-		return s.Host
+func (leader *leader) ownerOf(id string) string {
+	if owner, ok := leader.controller.membership.shardMap.Owner(id); ok {
+		return owner.Host
 	}
 	return ""
 }
 
 // assignedHost returns the host that a machine is about to belong to, or else its owner
 // according to the shard map.
-func (l *leader) assignedHost(id string) string {
-	if m, ok := l.sharding.unrecordedMachines[id]; ok {
-		return m.Host
+func (leader *leader) assignedHost(id string) string {
+	if assigned, ok := leader.sharding.unrecordedMachines[id]; ok {
+		return assigned.Host
 	}
-	return l.ownerOf(id)
+	return leader.ownerOf(id)
 }
 
 // isRentedForOther reports whether a machine was rented for another shard leader and the shard
 // map does not record this yet. Until it does, the machine gets no tasks.
-func (c *Controller) isRentedForOther(id string) bool {
-	if c.leader == nil {
+func (controller *Controller) isRentedForOther(id string) bool {
+	if controller.leader == nil {
 		return false
 	}
-	m, ok := c.leader.sharding.unrecordedMachines[id]
-	return ok && m.Host != c.settings.Host
+	assigned, ok := controller.leader.sharding.unrecordedMachines[id]
+	return ok && assigned.Host != controller.settings.Host
 }
 
 // confirmReleased informs the owner of a machine that the machine's release was confirmed before
 // the machine belonged to it.
-func (l *leader) confirmReleased(id, host string) {
-	if host == l.settings.Host {
-		if m := l.controller.shardLeader.machines[id]; m != nil {
-			l.controller.dropMachine(m, "returned")
+func (leader *leader) confirmReleased(id, host string) {
+	if host == leader.settings.Host {
+		if machine := leader.controller.shardLeader.machines[id]; machine != nil {
+			leader.controller.dropMachine(machine, "returned")
 		}
 		return
 	}
-	r := l.rentals[id]
-	if r == nil {
-		r = &rental{id: id}
-		l.rentals[id] = r
+	rented := leader.rentals[id]
+	if rented == nil {
+		rented = &rental{id: id}
+		leader.rentals[id] = rented
 	}
-	r.releasedAt = l.now
+	rented.releasedAt = leader.now
 }
 
 // listMachines reads the cloud's list from the page after the machine from. listed holds the
 // machines of the earlier pages.
-func (l *leader) listMachines(from string, listed []model.CloudMachine) {
-	generation := l.generation
-	l.listInFlight = true
-	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(resp message.CloudResponse) {
-		l := l.controller.leader
-		if l == nil || l.generation != generation {
+func (leader *leader) listMachines(from string, listed []model.CloudMachine) {
+	generation := leader.generation
+	leader.listInFlight = true
+	leader.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudListMachines, StartAfter: from}, func(response message.CloudResponse) {
+		leader := leader.controller.leader
+		if leader == nil || leader.generation != generation {
 			return
 		}
-		if resp.Status != message.CloudOK {
-			l.listInFlight = false
-			l.lastListAt = l.now
+		if response.Status != message.CloudOK {
+			leader.listInFlight = false
+			leader.lastListAt = leader.now
 			return
 		}
-		listed = append(listed, resp.Machines...)
-		if resp.Truncated && len(resp.Machines) > 0 {
-			l.listMachines(listed[len(listed)-1].ID, listed)
+		listed = append(listed, response.Machines...)
+		if response.Truncated && len(response.Machines) > 0 {
+			leader.listMachines(listed[len(listed)-1].ID, listed)
 			return
 		}
-		l.listInFlight, l.lastListAt, l.hasListed = false, l.now, true
-		l.receiveMachineList(listed)
+		leader.listInFlight, leader.lastListAt, leader.hasListed = false, leader.now, true
+		leader.receiveMachineList(listed)
 	})
 }
 
 // receiveMachineList applies a complete list of machines, which may be older than the previous
 // one.
-func (l *leader) receiveMachineList(listed []model.CloudMachine) {
-	var again []string
+func (leader *leader) receiveMachineList(listed []model.CloudMachine) {
+	var toRepeat []string
 	for i := range listed {
-		x := &listed[i]
-		if l.controller.knowledge.released[x.ID] && (l.confirmedReleases[x.ID] || l.ownerOf(x.ID) == l.settings.Host) {
-			if l.rentals[x.ID] == nil && !l.confirmedReleases[x.ID] {
+		cloudMachine := &listed[i]
+		if leader.controller.knowledge.released[cloudMachine.ID] && (leader.confirmedReleases[cloudMachine.ID] || leader.ownerOf(cloudMachine.ID) == leader.settings.Host) {
+			if leader.rentals[cloudMachine.ID] == nil && !leader.confirmedReleases[cloudMachine.ID] {
 				// The release was requested under an earlier leader, and the request was lost
 				// with that leader. No other component would repeat it.
-				r := newRental(l.now, x)
-				r.addr, r.status, r.lastListed = x.Addr, x.Status, l.now
-				l.rentals[x.ID] = r
-				again = append(again, x.ID)
+				rental := newRental(leader.now, cloudMachine)
+				rental.addr, rental.status, rental.lastListed = cloudMachine.Addr, cloudMachine.Status, leader.now
+				leader.rentals[cloudMachine.ID] = rental
+				toRepeat = append(toRepeat, cloudMachine.ID)
 			}
 			continue
 		}
-		r := l.rentals[x.ID]
-		if r == nil {
-			r = newRental(l.now, x)
-			l.rentals[x.ID] = r
+		rental := leader.rentals[cloudMachine.ID]
+		if rental == nil {
+			rental = newRental(leader.now, cloudMachine)
+			leader.rentals[cloudMachine.ID] = rental
 		}
-		r.addr, r.lastListed = x.Addr, l.now
-		if x.Status == "failed" && r.status != "failed" && l.controller.shardLeader != nil {
-			if m := l.controller.shardLeader.machines[x.ID]; m != nil {
-				l.controller.dropMachine(m, "failed")
+		rental.addr, rental.lastListed = cloudMachine.Addr, leader.now
+		if cloudMachine.Status == "failed" && rental.status != "failed" && leader.controller.shardLeader != nil {
+			if machine := leader.controller.shardLeader.machines[cloudMachine.ID]; machine != nil {
+				leader.controller.dropMachine(machine, "failed")
 			}
 		}
-		r.status = x.Status
-		l.controller.adopt(r)
+		rental.status = cloudMachine.Status
+		leader.controller.adopt(rental)
 	}
-	for ; len(again) > 0; again = again[min(len(again), maxReleasePerRequest):] {
-		l.releaseMachines(again[:min(len(again), maxReleasePerRequest)])
+	for ; len(toRepeat) > 0; toRepeat = toRepeat[min(len(toRepeat), maxReleasePerRequest):] {
+		leader.releaseMachines(toRepeat[:min(len(toRepeat), maxReleasePerRequest)])
 	}
-	l.forgetUnlisted()
-	l.markUnlisted()
+	leader.forgetUnlisted()
+	leader.markUnlisted()
 }
 
 // forgetUnlisted removes the rentals of machines that no list has contained for a long time. A
 // list may be older than the previous one, but a machine that was listed once stays listed until
 // it is gone. Absence from the list proves nothing about the tasks on a machine: they are judged
 // by heartbeats, the worker lease, or the answer to a release.
-func (l *leader) forgetUnlisted() {
-	for _, id := range sortedKeys(l.rentals) {
-		r := l.rentals[id]
-		forgetAfter := 4*l.settings.CloudListLag + 5*time.Second + 2*l.listInterval()
-		if l.ownerOf(id) != l.settings.Host {
+func (leader *leader) forgetUnlisted() {
+	for _, id := range sortedKeys(leader.rentals) {
+		rental := leader.rentals[id]
+		forgetAfter := 4*leader.settings.CloudListLag + 5*time.Second + 2*leader.listInterval()
+		if leader.ownerOf(id) != leader.settings.Host {
 			// The owner has to be informed, and may still need the machine's release.
-			forgetAfter += 2 * l.settings.WorkerLease
+			forgetAfter += 2 * leader.settings.WorkerLease
 		}
-		if !r.lastListed.IsZero() && l.now.Sub(r.lastListed) > forgetAfter {
-			if l.controller.shardLeader != nil {
-				if m := l.controller.shardLeader.machines[id]; m != nil && (!m.isEmpty() || !l.controller.shardLeader.heartbeats.unresponsive(m)) {
+		if !rental.lastListed.IsZero() && leader.now.Sub(rental.lastListed) > forgetAfter {
+			if leader.controller.shardLeader != nil {
+				if machine := leader.controller.shardLeader.machines[id]; machine != nil && (!machine.isEmpty() || !leader.controller.shardLeader.heartbeats.unresponsive(machine)) {
 					continue
 				}
-				if m := l.controller.shardLeader.machines[id]; m != nil {
-					l.controller.shardLeader.removeMachine(m)
+				if machine := leader.controller.shardLeader.machines[id]; machine != nil {
+					leader.controller.shardLeader.removeMachine(machine)
 				}
 			}
-			delete(l.rentals, id)
+			delete(leader.rentals, id)
 		}
 	}
 }
 
 // releaseMachines requests the release of machines, and repeats the request until the cloud
 // confirms it.
-func (l *leader) releaseMachines(ids []string) {
+func (leader *leader) releaseMachines(ids []string) {
 	for _, id := range ids {
-		l.controller.knowledge.markReleased(id)
-		if r := l.rentals[id]; r != nil {
-			r.releasing = true
+		leader.controller.knowledge.markReleased(id)
+		if rental := leader.rentals[id]; rental != nil {
+			rental.releasing = true
 		}
 	}
-	generation := l.generation
-	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRelease, SendDeadline: l.controller.membership.leaseValidUntil, Machines: ids}, func(d message.CloudResponse) {
-		l := l.controller.leader
-		if l == nil || l.generation != generation {
+	generation := leader.generation
+	leader.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRelease, SendDeadline: leader.controller.membership.leaseValidUntil, Machines: ids}, func(response message.CloudResponse) {
+		leader := leader.controller.leader
+		if leader == nil || leader.generation != generation {
 			return
 		}
-		if d.Status != message.CloudOK {
+		if response.Status != message.CloudOK {
 			// Executed or not, the machines get no more tasks. The request is repeated until
 			// it is confirmed.
-			l.after(l.jitter(time.Second), func() {
-				if l := l.controller.leader; l != nil && l.generation == generation {
-					l.releaseMachines(ids)
+			leader.after(leader.jitter(time.Second), func() {
+				if leader := leader.controller.leader; leader != nil && leader.generation == generation {
+					leader.releaseMachines(ids)
 				}
 			})
 			return
 		}
 		for _, id := range ids {
-			l.confirmedReleases[id] = true
-			if l.controller.shardLeader != nil {
-				if m := l.controller.shardLeader.machines[id]; m != nil {
-					l.controller.dropMachine(m, "returned")
+			leader.confirmedReleases[id] = true
+			if leader.controller.shardLeader != nil {
+				if machine := leader.controller.shardLeader.machines[id]; machine != nil {
+					leader.controller.dropMachine(machine, "returned")
 				}
 			}
-			if r := l.rentals[id]; r != nil {
-				r.releasedAt = l.now
+			if rental := leader.rentals[id]; rental != nil {
+				rental.releasedAt = leader.now
 			}
 		}
 	})
 }
 
-// sendBooking requests machines of a kind for a shard leader. booking is the idempotency key, or
-// "" for a new booking. A booking without an answer is repeated under its key, so that it rents
-// no machine twice.
-func (l *leader) sendBooking(host string, k machineKind, count int, booking string) {
-	if booking == "" {
-		l.bookingSeq++
-		booking = fmt.Sprintf("%d-%s-%s-%d", l.modRevision, l.settings.Host, l.settings.Incarnation, l.bookingSeq)
-		l.debug("machines requested", "machine_type", k.machineType, "spot", k.spot, "count", count, "owner", host)
+// sendBooking requests machines of a kind for a shard leader. idempotencyKey is "" for a new
+// booking. A booking without an answer is repeated under its key, so that it rents no machine
+// twice.
+func (leader *leader) sendBooking(host string, kind machineKind, count int, idempotencyKey string) {
+	if idempotencyKey == "" {
+		leader.bookingSeq++
+		idempotencyKey = fmt.Sprintf("%d-%s-%s-%d", leader.modRevision, leader.settings.Host, leader.settings.Incarnation, leader.bookingSeq)
+		leader.debug("machines requested", "machine_type", kind.machineType, "spot", kind.spot, "count", count, "owner", host)
 	}
-	if !l.bookingsInFlight[booking] {
-		l.bookingsInFlight[booking] = true
-		l.pendingRentals[bookingKey{host, k}] += count
+	if !leader.bookingsInFlight[idempotencyKey] {
+		leader.bookingsInFlight[idempotencyKey] = true
+		leader.pendingRentals[bookingKey{host, kind}] += count
 	}
-	generation := l.generation
-	l.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: l.controller.membership.leaseValidUntil, IdempotencyKey: booking, MachineType: k.machineType, Zone: k.zone, Spot: k.spot, Count: count}, func(resp message.CloudResponse) {
-		l := l.controller.leader
-		if l == nil || l.generation != generation {
+	generation := leader.generation
+	leader.controller.requests.toCloud(message.CloudRequest{Kind: message.CloudRent, SendDeadline: leader.controller.membership.leaseValidUntil, IdempotencyKey: idempotencyKey, MachineType: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count}, func(response message.CloudResponse) {
+		leader := leader.controller.leader
+		if leader == nil || leader.generation != generation {
 			return
 		}
-		switch resp.Status {
+		switch response.Status {
 		case message.CloudOK:
-			l.endBooking(bookingKey{host, k}, booking, count)
-			l.receiveRented(host, k, count, resp.Rented)
+			leader.endBooking(bookingKey{host, kind}, idempotencyKey, count)
+			leader.receiveRented(host, kind, count, response.Rented)
 		case message.CloudNoCapacity:
-			l.endBooking(bookingKey{host, k}, booking, count)
-			l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
+			leader.endBooking(bookingKey{host, kind}, idempotencyKey, count)
+			leader.blockedUntil[kind] = leader.now.Add(leader.jitter(refusedBackoff))
 		case message.CloudMalformed:
-			l.endBooking(bookingKey{host, k}, booking, count)
-			l.blockedUntil[k] = l.now.Add(time.Minute)
-			l.info("booking rejected by the cloud as malformed", "machine_type", k.machineType)
+			leader.endBooking(bookingKey{host, kind}, idempotencyKey, count)
+			leader.blockedUntil[kind] = leader.now.Add(time.Minute)
+			leader.info("booking rejected by the cloud as malformed", "machine_type", kind.machineType)
 		default:
-			l.after(l.jitter(time.Second), func() {
-				if l := l.controller.leader; l != nil && l.generation == generation {
-					l.sendBooking(host, k, count, booking)
+			leader.after(leader.jitter(time.Second), func() {
+				if leader := leader.controller.leader; leader != nil && leader.generation == generation {
+					leader.sendBooking(host, kind, count, idempotencyKey)
 				}
 			})
 		}
@@ -276,29 +276,29 @@
 }
 
 // endBooking records that a booking was answered.
-func (l *leader) endBooking(key bookingKey, booking string, count int) {
-	delete(l.bookingsInFlight, booking)
-	if l.pendingRentals[key] -= count; l.pendingRentals[key] <= 0 {
-		delete(l.pendingRentals, key)
+func (leader *leader) endBooking(key bookingKey, idempotencyKey string, count int) {
+	delete(leader.bookingsInFlight, idempotencyKey)
+	if leader.pendingRentals[key] -= count; leader.pendingRentals[key] <= 0 {
+		delete(leader.pendingRentals, key)
 	}
 }
 
 // receiveRented stores the machines that the cloud has rented out in answer to a booking of
 // count machines for host.
-func (l *leader) receiveRented(host string, k machineKind, count int, ids []string) {
+func (leader *leader) receiveRented(host string, kind machineKind, count int, ids []string) {
 	for _, id := range ids {
-		r := &rental{id: id, machineKind: k, rentedAt: l.now, status: "booting"}
-		l.rentals[id] = r
-		if l.ownerOf(id) != host {
-			l.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: l.now}
+		rental := &rental{id: id, machineKind: kind, rentedAt: leader.now, status: "booting"}
+		leader.rentals[id] = rental
+		if leader.ownerOf(id) != host {
+			leader.sharding.unrecordedMachines[id] = sharding.NewMachine{ID: id, Host: host, KnownAt: leader.now}
 		}
-		l.controller.adopt(r)
+		leader.controller.adopt(rental)
 	}
 	// The capacity requests of the shard leader on host count again once it knows of these
 	// machines.
-	l.requiredSeq[host] = l.seq + 1
+	leader.requiredSeq[host] = leader.seq + 1
 	if len(ids) < count {
-		l.blockedUntil[k] = l.now.Add(l.jitter(refusedBackoff))
+		leader.blockedUntil[kind] = leader.now.Add(leader.jitter(refusedBackoff))
 	}
-	l.planShards()
+	leader.planShards()
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -42,134 +42,134 @@
 // each time and count it against the request rate limit. toStore reports such a transaction as
 // an internal error and answers it as malformed. A transaction that the store has already
 // rejected as malformed is answered as malformed after storeRetryDelay without being sent.
-func (r *requestTracker) toStore(op message.StoreRequest, fn func(message.StoreResponse)) {
-	op.ID = r.nextID()
-	if op.Kind == message.OpTxn {
-		if err := r.checkTxnLimits(&op); err != nil {
-			r.internalError("store request exceeds limits", "err", err)
-			r.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
+func (tracker *requestTracker) toStore(request message.StoreRequest, fn func(message.StoreResponse)) {
+	request.ID = tracker.nextID()
+	if request.Kind == message.OpTxn {
+		if err := tracker.checkTxnLimits(&request); err != nil {
+			tracker.internalError("store request exceeds limits", "err", err)
+			tracker.after(0, func() { fn(message.StoreResponse{ID: request.ID, Status: message.StoreMalformed, SentAt: tracker.now}) })
 			return
 		}
-		if len(r.malformedTxns) > 0 && r.malformedTxns[txnHash(&op)] {
-			r.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
+		if len(tracker.malformedTxns) > 0 && tracker.malformedTxns[txnHash(&request)] {
+			tracker.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: request.ID, Status: message.StoreMalformed, SentAt: tracker.now}) })
 			return
 		}
 		callback := fn
-		fn = func(d message.StoreResponse) {
-			if d.Status == message.StoreMalformed {
-				r.noteMalformed(&op)
+		fn = func(response message.StoreResponse) {
+			if response.Status == message.StoreMalformed {
+				tracker.noteMalformed(&request)
 			}
-			callback(d)
+			callback(response)
 		}
 	}
-	r.controller.rateLimits.countRequest(&op)
-	r.storeCallbacks[op.ID] = fn
-	r.emit(op)
+	tracker.controller.rateLimits.countRequest(&request)
+	tracker.storeCallbacks[request.ID] = fn
+	tracker.emit(request)
 }
 
 // checkTxnLimits returns an error if a transaction exceeds the store's size limits.
-func (r *requestTracker) checkTxnLimits(op *message.StoreRequest) error {
-	compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
-	for i, c := range op.Compares {
-		compares[i] = c.Key
+func (tracker *requestTracker) checkTxnLimits(request *message.StoreRequest) error {
+	compares, writes := make([]string, len(request.Compares)), make([]sizelimit.Write, len(request.Writes))
+	for i, compare := range request.Compares {
+		compares[i] = compare.Key
 	}
-	for i, w := range op.Writes {
-		writes[i] = sizelimit.Write{Key: w.Key, Value: w.Value}
+	for i, write := range request.Writes {
+		writes[i] = sizelimit.Write{Key: write.Key, Value: write.Value}
 	}
-	return r.limitsOf(op).CheckTxn(compares, writes)
+	return tracker.limitsOf(request).CheckTxn(compares, writes)
 }
 
 // noteMalformed remembers a transaction that the store rejected as malformed.
-func (r *requestTracker) noteMalformed(op *message.StoreRequest) {
-	r.internalError("transaction rejected as malformed", "writes", len(op.Writes), "first_key", firstWriteKey(op))
-	if len(r.malformedTxns) >= maxMalformedTxns {
-		clear(r.malformedTxns)
+func (tracker *requestTracker) noteMalformed(request *message.StoreRequest) {
+	tracker.internalError("transaction rejected as malformed", "writes", len(request.Writes), "first_key", firstWriteKey(request))
+	if len(tracker.malformedTxns) >= maxMalformedTxns {
+		clear(tracker.malformedTxns)
 	}
-	r.malformedTxns[txnHash(op)] = true
+	tracker.malformedTxns[txnHash(request)] = true
 }
 
 // txnHash returns a hash of the compares and writes of a transaction.
-func txnHash(op *message.StoreRequest) uint64 {
-	h := xxhash.New()
-	for _, c := range op.Compares {
-		fmt.Fprint(h, c.Key, c.ModRevision, ";")
+func txnHash(request *message.StoreRequest) uint64 {
+	hash := xxhash.New()
+	for _, compare := range request.Compares {
+		fmt.Fprint(hash, compare.Key, compare.ModRevision, ";")
 	}
-	for _, a := range op.Writes {
-		fmt.Fprint(h, a.Key, a.LeaseID, len(a.Value), ":")
-		h.Write(a.Value)
+	for _, write := range request.Writes {
+		fmt.Fprint(hash, write.Key, write.LeaseID, len(write.Value), ":")
+		hash.Write(write.Value)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
 // firstWriteKey returns the key of a transaction's first write, or "" if it writes nothing.
-func firstWriteKey(op *message.StoreRequest) string {
-	if len(op.Writes) == 0 {
+func firstWriteKey(request *message.StoreRequest) string {
+	if len(request.Writes) == 0 {
 		return ""
 	}
-	return op.Writes[0].Key
+	return request.Writes[0].Key
 }
 
 // toCloud sends a request to the cloud and calls fn with the response.
-func (r *requestTracker) toCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
-	op.ID = r.nextID()
-	r.cloudCallbacks[op.ID] = fn
-	r.emit(op)
+func (tracker *requestTracker) toCloud(request message.CloudRequest, fn func(message.CloudResponse)) {
+	request.ID = tracker.nextID()
+	tracker.cloudCallbacks[request.ID] = fn
+	tracker.emit(request)
 }
 
 // toWorker sends a request to a worker and calls fn with the response.
-func (r *requestTracker) toWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
-	op.ID = r.nextID()
-	r.workerCallbacks[op.ID] = fn
-	r.emit(op)
+func (tracker *requestTracker) toWorker(request message.WorkerRequest, fn func(message.WorkerResponse)) {
+	request.ID = tracker.nextID()
+	tracker.workerCallbacks[request.ID] = fn
+	tracker.emit(request)
 }
 
 // receiveStoreResponse calls the callback of the store request that the response answers.
-func (r *requestTracker) receiveStoreResponse(d message.StoreResponse) {
-	r.controller.membership.noteStoreStatus(d.Status)
-	if fn := r.storeCallbacks[d.ID]; fn != nil {
-		delete(r.storeCallbacks, d.ID)
-		fn(d)
+func (tracker *requestTracker) receiveStoreResponse(response message.StoreResponse) {
+	tracker.controller.membership.noteStoreStatus(response.Status)
+	if fn := tracker.storeCallbacks[response.ID]; fn != nil {
+		delete(tracker.storeCallbacks, response.ID)
+		fn(response)
 	}
 }
 
 // receiveCloudResponse calls the callback of the cloud request that the response answers.
-func (r *requestTracker) receiveCloudResponse(d message.CloudResponse) {
-	if fn := r.cloudCallbacks[d.ID]; fn != nil {
-		delete(r.cloudCallbacks, d.ID)
-		fn(d)
+func (tracker *requestTracker) receiveCloudResponse(response message.CloudResponse) {
+	if fn := tracker.cloudCallbacks[response.ID]; fn != nil {
+		delete(tracker.cloudCallbacks, response.ID)
+		fn(response)
 	}
 }
 
 // receiveWorkerResponse calls the callback of the worker request that the response answers.
-func (r *requestTracker) receiveWorkerResponse(d message.WorkerResponse) {
-	if fn := r.workerCallbacks[d.ID]; fn != nil {
-		delete(r.workerCallbacks, d.ID)
-		fn(d)
+func (tracker *requestTracker) receiveWorkerResponse(response message.WorkerResponse) {
+	if fn := tracker.workerCallbacks[response.ID]; fn != nil {
+		delete(tracker.workerCallbacks, response.ID)
+		fn(response)
 	}
 }
 
 // readAll reads all records under a prefix, page by page, and calls fn with them. It retries
 // pages that fail, and stops without calling fn once wanted returns false.
-func (r *requestTracker) readAll(prefix string, priority message.Priority, wanted func() bool, fn func([]message.KeyValue)) {
-	var got []message.KeyValue
+func (tracker *requestTracker) readAll(prefix string, priority message.Priority, wanted func() bool, fn func([]message.KeyValue)) {
+	var records []message.KeyValue
 	var list func(from string)
 	list = func(from string) {
-		r.toStore(message.StoreRequest{Kind: message.OpList, Priority: priority, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
+		tracker.toStore(message.StoreRequest{Kind: message.OpList, Priority: priority, Key: prefix, StartAfter: from}, func(response message.StoreResponse) {
 			switch {
 			case !wanted():
-			case d.Status != message.StoreOK:
-				r.after(r.jitter(storeRetryDelay), func() {
+			case response.Status != message.StoreOK:
+				tracker.after(tracker.jitter(storeRetryDelay), func() {
 					if wanted() {
 						list(from)
 					}
 				})
 			default:
-				got = append(got, d.KeyValues...)
-				if d.Truncated && len(d.KeyValues) > 0 {
-					list(d.KeyValues[len(d.KeyValues)-1].Key)
+				records = append(records, response.KeyValues...)
+				if response.Truncated && len(response.KeyValues) > 0 {
+					list(response.KeyValues[len(response.KeyValues)-1].Key)
 					return
 				}
-				fn(got)
+				fn(records)
 			}
 		})
 	}
--- a/internal/controller/safety_test.go
+++ b/internal/controller/safety_test.go
@@ -10,7 +10,7 @@
 // safety argument. conditions.toml names the code lines that the scenarios guard.
 func TestSafety(t *testing.T) {
 	datadriven.Walk(t, "testdata/safety", func(t *testing.T, path string) {
-		h := newHarness(t)
-		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return h.runLine(d) })
+		harness := newHarness(t)
+		datadriven.RunTest(t, path, func(t *testing.T, data *datadriven.TestData) string { return harness.runLine(data) })
 	})
 }
--- a/internal/controller/scripted_store_test.go
+++ b/internal/controller/scripted_store_test.go
@@ -25,130 +25,130 @@
 
 // describeRequest returns the text of a store request in a scenario. For a transaction, it lists
 // the compared keys, with "absent" after those that must not exist, and the writes.
-func describeRequest(op message.StoreRequest) string {
+func describeRequest(request message.StoreRequest) string {
 	switch {
-	case op.Kind == message.OpWatch && op.WatchTimeout == 0:
-		return "read " + op.Key
-	case op.Kind != message.OpTxn:
-		return fmt.Sprintf("%s %s", op.Kind, op.Key)
+	case request.Kind == message.OpWatch && request.WatchTimeout == 0:
+		return "read " + request.Key
+	case request.Kind != message.OpTxn:
+		return fmt.Sprintf("%s %s", request.Kind, request.Key)
 	}
 	var compares, writes []string
-	for _, c := range op.Compares {
+	for _, compare := range request.Compares {
 		how := "="
-		if c.ModRevision == 0 {
+		if compare.ModRevision == 0 {
 			how = " absent"
 		}
-		compares = append(compares, c.Key+how)
+		compares = append(compares, compare.Key+how)
 	}
-	for _, w := range op.Writes {
+	for _, write := range request.Writes {
 		kind := "put "
-		if w.Value == nil {
+		if write.Value == nil {
 			kind = "remove "
 		}
-		writes = append(writes, kind+w.Key)
+		writes = append(writes, kind+write.Key)
 	}
 	slices.Sort(compares)
 	return fmt.Sprintf("when %s: %s", strings.Join(compares, ", "), strings.Join(writes, ", "))
 }
 
 // handleStoreRequest handles a request according to the first rule that matches it.
-func (c *harnessController) handleStoreRequest(op message.StoreRequest) {
-	h := c.harness
-	text := describeRequest(op)
-	if op.Kind == message.OpTxn {
-		c.txns = append(c.txns, text)
+func (node *harnessController) handleStoreRequest(request message.StoreRequest) {
+	harness := node.harness
+	text := describeRequest(request)
+	if request.Kind == message.OpTxn {
+		node.txns = append(node.txns, text)
 	}
-	sentAt, incarnation := h.now, c.incarnation
+	sentAt, incarnation := harness.now, node.incarnation
 	exec := func(answer bool, done func(message.StoreResponse)) {
-		h.store.Do(h.now, op, func(d message.StoreResponse) {
-			if d.SentAt = sentAt; answer && c.incarnation == incarnation {
-				c.push(d)
+		harness.store.Do(harness.now, request, func(response message.StoreResponse) {
+			if response.SentAt = sentAt; answer && node.incarnation == incarnation {
+				node.push(response)
 			}
-			done(d)
+			done(response)
 		})
 	}
 	hold := func(answer bool) {
-		c.heldRequests = append(c.heldRequests, heldRequest{text, func(done func(message.StoreResponse)) { exec(answer, done) }})
+		node.heldRequests = append(node.heldRequests, heldRequest{text, func(done func(message.StoreResponse)) { exec(answer, done) }})
 	}
 	ignore := func(message.StoreResponse) {}
-	switch mode := c.storeMode(text); mode {
+	switch mode := node.storeMode(text); mode {
 	case "ok":
 		exec(true, ignore)
 	case "refuse":
-		c.push(message.StoreResponse{ID: op.ID, Status: message.StoreRefused, SentAt: sentAt})
+		node.push(message.StoreResponse{ID: request.ID, Status: message.StoreRefused, SentAt: sentAt})
 	case "lose":
 		exec(false, ignore)
-		c.push(message.StoreResponse{ID: op.ID, Status: message.StoreUnknown, SentAt: sentAt})
+		node.push(message.StoreResponse{ID: request.ID, Status: message.StoreUnknown, SentAt: sentAt})
 	case "late":
 		hold(false)
-		c.push(message.StoreResponse{ID: op.ID, Status: message.StoreUnknown, SentAt: sentAt})
+		node.push(message.StoreResponse{ID: request.ID, Status: message.StoreUnknown, SentAt: sentAt})
 	case "hold":
 		hold(true)
 	case "gone":
-		c.push(message.StoreResponse{ID: op.ID, Status: message.StoreCompacted, SentAt: sentAt})
+		node.push(message.StoreResponse{ID: request.ID, Status: message.StoreCompacted, SentAt: sentAt})
 	default:
-		h.t.Fatalf("got store mode %q, want ok, refuse, lose, late, hold or gone", mode)
+		harness.t.Fatalf("got store mode %q, want ok, refuse, lose, late, hold or gone", mode)
 	}
 }
 
 // storeMode returns the mode for a request. A rule of mode "gone" is removed once it has
 // matched.
-func (c *harnessController) storeMode(text string) string {
-	i := slices.IndexFunc(c.rules, func(r storeRule) bool { return strings.Contains(text, r.contains) })
+func (node *harnessController) storeMode(text string) string {
+	i := slices.IndexFunc(node.rules, func(rule storeRule) bool { return strings.Contains(text, rule.contains) })
 	if i < 0 {
 		return "ok"
 	}
-	mode := c.rules[i].mode
+	mode := node.rules[i].mode
 	if mode == "gone" {
-		c.rules = slices.Delete(c.rules, i, i+1)
+		node.rules = slices.Delete(node.rules, i, i+1)
 	}
 	return mode
 }
 
 // handleCloudRequest answers for a cloud with one machine type of 4 CPUs.
-func (h *harness) handleCloudRequest(op message.CloudRequest) message.CloudResponse {
-	d := message.CloudResponse{ID: op.ID}
-	switch op.Kind {
+func (harness *harness) handleCloudRequest(request message.CloudRequest) message.CloudResponse {
+	response := message.CloudResponse{ID: request.ID}
+	switch request.Kind {
 	case message.CloudListTypes:
-		d.MachineTypes = []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
+		response.MachineTypes = []model.MachineType{{Name: "box", Capacity: model.Resources{CPU: 4, Memory: 16}, DiskGB: 20, ImageFetchRate: 1, CostPerHour: 0.2, SpotCostPerHour: 0.1, ProvisioningTime: 5 * time.Second, Zones: []string{"z1", "z2"}}}
 	case message.CloudRent:
-		h.rentMachines(op, &d)
+		harness.rentMachines(request, &response)
 	case message.CloudListMachines:
-		d.Machines = h.listMachines()
+		response.Machines = harness.listMachines()
 	case message.CloudRelease:
-		h.printOnce("return " + strings.Join(op.Machines, " "))
-		if h.releaseMode == "unknown" {
-			d.Status = message.CloudUnknown
-			return d
+		harness.printOnce("return " + strings.Join(request.Machines, " "))
+		if harness.releaseMode == "unknown" {
+			response.Status = message.CloudUnknown
+			return response
 		}
-		for _, id := range op.Machines {
-			h.machines[id].released = true
+		for _, id := range request.Machines {
+			harness.machines[id].released = true
 		}
 	}
-	return d
+	return response
 }
 
 // rentMachines rents out up to op.Count machines within maxMachines, and prints an idempotency
 // key that is used a second time.
-func (h *harness) rentMachines(op message.CloudRequest, d *message.CloudResponse) {
-	if h.idempotencyKeys[op.IdempotencyKey] {
-		h.print("booking used again: " + op.IdempotencyKey)
+func (harness *harness) rentMachines(request message.CloudRequest, response *message.CloudResponse) {
+	if harness.idempotencyKeys[request.IdempotencyKey] {
+		harness.print("booking used again: " + request.IdempotencyKey)
 	}
-	h.idempotencyKeys[op.IdempotencyKey] = true
-	for range min(op.Count, h.maxMachines-len(h.machines)) {
-		worker := &scriptedWorker{id: fmt.Sprintf("vm-%d", len(h.machines)+1), zone: op.Zone, incarnation: 1, unlisted: h.unlisted}
-		h.machines[worker.id] = worker
-		d.Rented = append(d.Rented, worker.id)
+	harness.idempotencyKeys[request.IdempotencyKey] = true
+	for range min(request.Count, harness.maxMachines-len(harness.machines)) {
+		worker := &scriptedWorker{id: fmt.Sprintf("vm-%d", len(harness.machines)+1), zone: request.Zone, incarnation: 1, unlisted: harness.unlisted}
+		harness.machines[worker.id] = worker
+		response.Rented = append(response.Rented, worker.id)
 	}
-	if len(d.Rented) == 0 {
-		d.Status = message.CloudNoCapacity
+	if len(response.Rented) == 0 {
+		response.Status = message.CloudNoCapacity
 	}
 }
 
 // listMachines returns the cloud's list, without released and unlisted machines.
-func (h *harness) listMachines() []model.CloudMachine {
+func (harness *harness) listMachines() []model.CloudMachine {
 	var out []model.CloudMachine
-	for _, worker := range h.sortedMachines() {
+	for _, worker := range harness.sortedMachines() {
 		status := "running"
 		if worker.failed {
 			status = "failed"
--- a/internal/controller/scripted_worker_test.go
+++ b/internal/controller/scripted_worker_test.go
@@ -37,9 +37,9 @@
 }
 
 // sortedMachines returns the machines in the order of their IDs.
-func (h *harness) sortedMachines() []*scriptedWorker {
+func (harness *harness) sortedMachines() []*scriptedWorker {
 	var out []*scriptedWorker
-	for _, worker := range h.machines {
+	for _, worker := range harness.machines {
 		out = append(out, worker)
 	}
 	slices.SortFunc(out, func(x, y *scriptedWorker) int { return strings.Compare(x.id, y.id) })
@@ -49,104 +49,104 @@
 // handleWorkerRequest answers a poll if the worker answers without the scenario: a kept worker,
 // or one that has just learnt a higher epoch. All other polls and all commands wait for the
 // scenario.
-func (c *harnessController) handleWorkerRequest(e message.WorkerRequest) {
-	h := c.harness
-	worker := h.machines[e.Machine]
-	said := worker.repeated
+func (node *harnessController) handleWorkerRequest(request message.WorkerRequest) {
+	harness := node.harness
+	worker := harness.machines[request.Machine]
+	data := worker.repeated
 	if worker.reported != nil {
-		said = worker.reported
+		data = worker.reported
 	}
-	if said == nil || len(e.Commands) > 0 || worker.unreachable {
-		c.workerCommands = append(c.workerCommands, workerCommand{e, h.now})
+	if data == nil || len(request.Commands) > 0 || worker.unreachable {
+		node.workerCommands = append(node.workerCommands, workerCommand{request, harness.now})
 		return
 	}
-	worker.epoch = max(worker.epoch, e.Epoch)
-	heartbeat := h.newHeartbeat(said, worker)
-	c.push(message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &heartbeat})
+	worker.epoch = max(worker.epoch, request.Epoch)
+	heartbeat := harness.newHeartbeat(data, worker)
+	node.push(message.WorkerResponse{ID: request.ID, OK: true, Heartbeat: &heartbeat})
 }
 
 // handleHeartbeatReply gives the worker the epoch of an answer to its heartbeat, and prints the
 // answer.
-func (c *harnessController) handleHeartbeatReply(e message.HeartbeatReply) {
-	h := c.harness
-	if worker := h.ignoredReplies[e.Reply]; worker != nil {
-		delete(h.ignoredReplies, e.Reply)
-		h.handleIgnoredReply(worker, e)
+func (node *harnessController) handleHeartbeatReply(reply message.HeartbeatReply) {
+	harness := node.harness
+	if worker := harness.ignoredReplies[reply.Reply]; worker != nil {
+		delete(harness.ignoredReplies, reply.Reply)
+		harness.handleIgnoredReply(worker, reply)
 		return
 	}
-	worker := h.machines[c.replyNames[e.Reply]]
-	text := fmt.Sprint(e.Status)
-	if e.Status == 200 {
+	worker := harness.machines[node.replyNames[reply.Reply]]
+	text := fmt.Sprint(reply.Status)
+	if reply.Status == 200 {
 		switch {
 		case worker == nil:
 			// The heartbeat was a copy, so no worker waits for the answer.
-		case e.Epoch < worker.epoch:
+		case reply.Epoch < worker.epoch:
 			text += " dropped"
-		case e.Epoch > worker.epoch && worker.resend != nil:
+		case reply.Epoch > worker.epoch && worker.resend != nil:
 			// The worker reports a higher epoch at once, and the answer to that
 			// heartbeat is printed instead.
-			worker.epoch = e.Epoch
+			worker.epoch = reply.Epoch
 			worker.reported = worker.resend()
 			return
 		default:
-			worker.epoch = e.Epoch
+			worker.epoch = reply.Epoch
 		}
-		text += formatCommands(e.Commands)
+		text += formatCommands(reply.Commands)
 	}
-	if e.MachineOwner != "" {
-		text += " to " + e.MachineOwner
+	if reply.MachineOwner != "" {
+		text += " to " + reply.MachineOwner
 	}
-	h.print(fmt.Sprintf("%s %s", c.replyNames[e.Reply], text))
+	harness.print(fmt.Sprintf("%s %s", node.replyNames[reply.Reply], text))
 }
 
 // handleIgnoredReply handles an answer to the heartbeat of a kept worker. It prints only
 // commands that start a task, and answers that do not reach the worker.
-func (h *harness) handleIgnoredReply(worker *scriptedWorker, e message.HeartbeatReply) {
+func (harness *harness) handleIgnoredReply(worker *scriptedWorker, reply message.HeartbeatReply) {
 	if worker.unreachable {
-		h.printOnce(fmt.Sprintf("%s %d in vain", worker.id, e.Status))
+		harness.printOnce(fmt.Sprintf("%s %d in vain", worker.id, reply.Status))
 		return
 	}
-	worker.epoch = max(worker.epoch, e.Epoch)
-	if text := formatCommands(e.Commands); strings.Contains(text, " start ") {
-		h.printOnce(worker.id + text)
+	worker.epoch = max(worker.epoch, reply.Epoch)
+	if text := formatCommands(reply.Commands); strings.Contains(text, " start ") {
+		harness.printOnce(worker.id + text)
 	}
 }
 
 // newHeartbeat returns the worker's next heartbeat with the arguments of the scenario line:
 // tenure= sets the incarnation, tick= the sequence number, newer raises the epoch, and
 // tasks=(job/0#1=running,job/1-3#1=fetching) lists the tasks.
-func (h *harness) newHeartbeat(d *datadriven.TestData, worker *scriptedWorker) model.Heartbeat {
-	h.t.Helper()
-	uintArg(h.t, d, "tenure", &worker.incarnation)
+func (harness *harness) newHeartbeat(data *datadriven.TestData, worker *scriptedWorker) model.Heartbeat {
+	harness.t.Helper()
+	uintArg(harness.t, data, "tenure", &worker.incarnation)
 	worker.sequence++
-	r := model.Heartbeat{Machine: worker.id, Addr: worker.id, MachineType: "box", Zone: worker.zone, Incarnation: worker.incarnation, Sequence: worker.sequence, Epoch: worker.epoch, ReclaimIn: -1}
-	uintArg(h.t, d, "tick", &r.Sequence)
-	worker.sequence = max(worker.sequence, r.Sequence)
-	if d.HasArg("newer") {
+	heartbeat := model.Heartbeat{Machine: worker.id, Addr: worker.id, MachineType: "box", Zone: worker.zone, Incarnation: worker.incarnation, Sequence: worker.sequence, Epoch: worker.epoch, ReclaimIn: -1}
+	uintArg(harness.t, data, "tick", &heartbeat.Sequence)
+	worker.sequence = max(worker.sequence, heartbeat.Sequence)
+	if data.HasArg("newer") {
 		// The worker has seen a higher epoch than any that this store has assigned.
-		r.Epoch += 1000
+		heartbeat.Epoch += 1000
 	}
-	for _, a := range d.CmdArgs {
-		if a.Key != "tasks" {
+	for _, argument := range data.CmdArgs {
+		if argument.Key != "tasks" {
 			continue
 		}
-		for _, v := range a.Vals {
-			r.Tasks = append(r.Tasks, parseTaskReports(h.t, d, v)...)
+		for _, value := range argument.Vals {
+			heartbeat.Tasks = append(heartbeat.Tasks, parseTaskReports(harness.t, data, value)...)
 		}
 	}
-	return r
+	return heartbeat
 }
 
 // parseTaskReports parses job/0#1=status or job/0-3#1=status: the job, the index or the first
 // and last index, the attempt and the status.
-func parseTaskReports(t *testing.T, d *datadriven.TestData, text string) []model.TaskReport {
+func parseTaskReports(t *testing.T, data *datadriven.TestData, text string) []model.TaskReport {
 	t.Helper()
 	name, status, ok := strings.Cut(text, "=")
 	task := model.TaskReport{}
 	last := 0
 	if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "-", " ", "#", " ").Replace(name), "%s %d %d %d", &task.Job, &task.Index, &last, &task.Attempt); err != nil || !ok {
 		if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "#", " ").Replace(name), "%s %d %d", &task.Job, &task.Index, &task.Attempt); err != nil || !ok {
-			d.Fatalf(t, "tasks: got %q, want job/0#1=status or job/0-3#1=status", text)
+			data.Fatalf(t, "tasks: got %q, want job/0#1=status or job/0-3#1=status", text)
 		}
 		last = task.Index
 	}
@@ -168,9 +168,9 @@
 }
 
 // uintArg stores the argument key in v if the scenario line has it.
-func uintArg(t *testing.T, d *datadriven.TestData, key string, v *uint64) {
+func uintArg(t *testing.T, data *datadriven.TestData, key string, value *uint64) {
 	t.Helper()
-	if d.HasArg(key) {
-		d.ScanArgs(t, key, v)
+	if data.HasArg(key) {
+		data.ScanArgs(t, key, value)
 	}
 }
--- a/internal/controller/transfer_requests.go
+++ b/internal/controller/transfer_requests.go
@@ -60,62 +60,62 @@
 }
 
 // receiveRequests stores the requests of other shard leaders, as the leader publishes them.
-func (x *machineTransfers) receiveRequests(requests []exchange.TransferRequest) {
-	x.othersRequests, x.receivedAt = requests, x.now
+func (transfers *machineTransfers) receiveRequests(requests []exchange.TransferRequest) {
+	transfers.othersRequests, transfers.receivedAt = requests, transfers.now
 }
 
 // update computes the requests and offers anew, at most once per leaderPeriod. There are none if
 // a single shard leader runs all teams, or until the machines have been heard after a takeover.
-func (x *machineTransfers) update() {
-	s := x.controller.shardLeader
-	if x.now.Sub(x.updatedAt) < leaderPeriod {
+func (transfers *machineTransfers) update() {
+	shardLeader := transfers.controller.shardLeader
+	if transfers.now.Sub(transfers.updatedAt) < leaderPeriod {
 		return
 	}
-	x.updatedAt, x.requests, x.offers = x.now, nil, nil
-	if !x.controller.membership.hasOtherShardLeaders() || x.now.Sub(s.readyAt) <= settleTime {
+	transfers.updatedAt, transfers.requests, transfers.offers = transfers.now, nil, nil
+	if !transfers.controller.membership.hasOtherShardLeaders() || transfers.now.Sub(shardLeader.readyAt) <= settleTime {
 		return
 	}
-	x.requests = x.newRequests(s.scheduler.jobsLeftWaiting())
-	if len(x.othersRequests) > 0 && x.now.Sub(x.receivedAt) <= updateTTL {
-		x.offers = exchange.SelectOffers(x.othersRequests, x.candidates(x.longestWait() < busyMachineWait), x.ownWaitingTasks(), x.controller.knowledge.sizeOfKind, message.MaxTransferOffers)
+	transfers.requests = transfers.newRequests(shardLeader.scheduler.jobsLeftWaiting())
+	if len(transfers.othersRequests) > 0 && transfers.now.Sub(transfers.receivedAt) <= updateTTL {
+		transfers.offers = exchange.SelectOffers(transfers.othersRequests, transfers.candidates(transfers.longestWait() < busyMachineWait), transfers.ownWaitingTasks(), transfers.controller.knowledge.sizeOfKind, message.MaxTransferOffers)
 	}
 }
 
 // newRequests returns the requests for jobs that are left waiting. Jobs whose tasks are alike
 // share a request. The jobs with the longest waits come first.
-func (x *machineTransfers) newRequests(waiting []waitingJob) []exchange.TransferRequest {
+func (transfers *machineTransfers) newRequests(waiting []waitingJob) []exchange.TransferRequest {
 	var out []exchange.TransferRequest
 	index := map[taskShape]int{}
-	diagnosis := x.controller.shardLeader.scheduler.newWaitDiagnosis()
-	for _, w := range waiting {
-		if w.job.borrowedLoan != "" || w.job.liveTasks > 0 && w.waited < partlyRunningWait || diagnosis.reason(w) != waitsForCapacity {
+	diagnosis := transfers.controller.shardLeader.scheduler.newWaitDiagnosis()
+	for _, waitingJob := range waiting {
+		if waitingJob.job.borrowedLoan != "" || waitingJob.job.liveTasks > 0 && waitingJob.waited < partlyRunningWait || diagnosis.reason(waitingJob) != waitsForCapacity {
 			continue
 		}
-		shape := w.job.taskShape()
-		if i, known := index[shape]; known && out[i].Team == w.job.Team {
+		shape := waitingJob.job.taskShape()
+		if i, known := index[shape]; known && out[i].Team == waitingJob.job.Team {
 			out[i].Jobs++
 			continue
 		}
-		kinds := x.allowedKinds(w.job)
+		kinds := transfers.allowedKinds(waitingJob.job)
 		if len(out) >= message.MaxTransferRequests || len(kinds) == 0 {
 			continue
 		}
 		index[shape] = len(out)
-		out = append(out, exchange.TransferRequest{Team: w.job.Team, Kinds: kinds, Need: w.job.Need, Jobs: 1, Waited: w.waited})
+		out = append(out, exchange.TransferRequest{Team: waitingJob.job.Team, Kinds: kinds, Need: waitingJob.job.Need, Jobs: 1, Waited: waitingJob.waited})
 	}
-	return x.withoutArriving(out)
+	return transfers.withoutArriving(out)
 }
 
 // withoutArriving reduces requests by the number of jobs that arriving machines will serve.
-func (x *machineTransfers) withoutArriving(requests []exchange.TransferRequest) []exchange.TransferRequest {
-	arriving := x.arrivingKinds()
+func (transfers *machineTransfers) withoutArriving(requests []exchange.TransferRequest) []exchange.TransferRequest {
+	arriving := transfers.arrivingKinds()
 	var out []exchange.TransferRequest
-	for _, r := range requests {
-		for _, k := range r.Kinds {
-			r.Jobs -= arriving[k]
+	for _, request := range requests {
+		for _, kind := range request.Kinds {
+			request.Jobs -= arriving[kind]
 		}
-		if r.Jobs > 0 {
-			out = append(out, r)
+		if request.Jobs > 0 {
+			out = append(out, request)
 		}
 	}
 	return out
@@ -123,18 +123,18 @@
 
 // arrivingKinds counts, by kind, the machines that come from other owners and have not been
 // heard here yet.
-func (x *machineTransfers) arrivingKinds() map[exchange.Kind]int {
-	s := x.controller.shardLeader
+func (transfers *machineTransfers) arrivingKinds() map[exchange.Kind]int {
+	shardLeader := transfers.controller.shardLeader
 	out := map[exchange.Kind]int{}
-	for _, m := range s.machinesByID {
-		if x.now.Sub(m.ownedSince) < transferSettleTime && !m.heard && m.machineType != "" {
-			out[exchange.Kind{MachineType: m.machineType, Zone: m.zone, Spot: m.spot}]++
+	for _, machine := range shardLeader.machinesByID {
+		if transfers.now.Sub(machine.ownedSince) < transferSettleTime && !machine.heard && machine.machineType != "" {
+			out[exchange.Kind{MachineType: machine.machineType, Zone: machine.zone, Spot: machine.spot}]++
 		}
 	}
-	if v := s.fleet.view; v != nil {
-		for id, r := range v.rentals {
-			if r.status == statusComing && s.machines[id] == nil {
-				out[r.machineKind.exchangeKind()]++
+	if view := shardLeader.fleet.view; view != nil {
+		for id, rental := range view.rentals {
+			if rental.status == statusComing && shardLeader.machines[id] == nil {
+				out[rental.machineKind.exchangeKind()]++
 			}
 		}
 	}
@@ -142,16 +142,16 @@
 }
 
 // allowedKinds returns the kinds of machines on which a task of a job may run at present.
-func (x *machineTransfers) allowedKinds(j *job) []exchange.Kind {
+func (transfers *machineTransfers) allowedKinds(job *job) []exchange.Kind {
 	var out []exchange.Kind
-	for _, name := range sortedKeys(x.controller.knowledge.machineTypes) {
-		machineType := x.controller.knowledge.machineTypes[name]
-		if !j.Need.Fits(machineType.Capacity) {
+	for _, name := range sortedKeys(transfers.controller.knowledge.machineTypes) {
+		machineType := transfers.controller.knowledge.machineTypes[name]
+		if !job.Need.Fits(machineType.Capacity) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
-				if j.allowsMachine(name, zone, spot) && j.zoneAllowed(zone) && len(out) < message.MaxTransferKinds {
+				if job.allowsMachine(name, zone, spot) && job.zoneAllowed(zone) && len(out) < message.MaxTransferKinds {
 					out = append(out, exchange.Kind{MachineType: name, Zone: zone, Spot: spot})
 				}
 			}
@@ -161,50 +161,50 @@
 }
 
 // longestWait returns the longest wait among the requests of other shard leaders.
-func (x *machineTransfers) longestWait() time.Duration {
+func (transfers *machineTransfers) longestWait() time.Duration {
 	longest := time.Duration(0)
-	for _, r := range x.othersRequests {
-		longest = max(longest, r.Waited)
+	for _, request := range transfers.othersRequests {
+		longest = max(longest, request.Waited)
 	}
 	return longest
 }
 
-// candidates returns an offer for each machine that may be offered. If quietOnly is set, it
-// leaves out machines on which a task was placed within quietTime.
-func (x *machineTransfers) candidates(quietOnly bool) []exchange.TransferOffer {
+// candidates returns an offer for each machine that may be offered. If excludeRecentlyUsed is
+// set, it leaves out machines on which a task was placed within quietTime.
+func (transfers *machineTransfers) candidates(excludeRecentlyUsed bool) []exchange.TransferOffer {
 	var out []exchange.TransferOffer
-	for _, m := range x.controller.shardLeader.machinesByID {
-		if quietOnly && x.now.Sub(m.lastPlacedAt) < quietTime {
+	for _, machine := range transfers.controller.shardLeader.machinesByID {
+		if excludeRecentlyUsed && transfers.now.Sub(machine.lastPlacedAt) < quietTime {
 			continue
 		}
-		if x.mayOffer(m) {
-			kind := exchange.Kind{MachineType: m.machineType, Zone: m.zone, Spot: m.spot}
-			out = append(out, exchange.TransferOffer{ID: m.id, Kind: kind, Free: m.free(), Attempts: len(m.attempts)})
+		if transfers.mayOffer(machine) {
+			kind := exchange.Kind{MachineType: machine.machineType, Zone: machine.zone, Spot: machine.spot}
+			out = append(out, exchange.TransferOffer{ID: machine.id, Kind: kind, Free: machine.free(), Attempts: len(machine.attempts)})
 		}
 	}
 	return out
 }
 
 // sizeOfKind returns the capacity of the machines of a kind.
-func (k *fleetKnowledge) sizeOfKind(kind exchange.Kind) model.Resources {
-	return k.machineTypes[kind.MachineType].Capacity
+func (knowledge *fleetKnowledge) sizeOfKind(kind exchange.Kind) model.Resources {
+	return knowledge.machineTypes[kind.MachineType].Capacity
 }
 
 // mayOffer reports whether a machine may be offered to other owners at present.
-func (x *machineTransfers) mayOffer(m *machine) bool {
-	s := x.controller.shardLeader
+func (transfers *machineTransfers) mayOffer(machine *machine) bool {
+	shardLeader := transfers.controller.shardLeader
 	switch {
-	case x.now.Sub(m.ownedSince) < exchange.MinOwnership:
+	case transfers.now.Sub(machine.ownedSince) < exchange.MinOwnership:
 		return false
-	case !s.scheduler.usable(m) || !s.dispatcher.noStartInFlight(m):
+	case !shardLeader.scheduler.usable(machine) || !shardLeader.dispatcher.noStartInFlight(machine):
 		return false
-	case m.reservedFor != "" || m.evacuatingForOther || m.reservedForMigration != (model.Resources{}):
+	case machine.reservedFor != "" || machine.evacuatingForOther || machine.reservedForMigration != (model.Resources{}):
 		return false
 	}
-	for _, t := range m.attempts {
+	for _, attempt := range machine.attempts {
 		// An attempt that is being stopped, or that was placed and is not reported yet, would
 		// change owners in the middle of this transition.
-		if t.stopReason != stopNone || !t.reported {
+		if attempt.stopReason != stopNone || !attempt.reported {
 			return false
 		}
 	}
@@ -213,23 +213,23 @@
 
 // ownWaitingTasks returns the next tasks of the jobs that wait at this shard leader: one for
 // each group of jobs whose tasks are alike, with the longest wait in the group.
-func (x *machineTransfers) ownWaitingTasks() []exchange.WaitingTask {
-	s := x.controller.shardLeader
+func (transfers *machineTransfers) ownWaitingTasks() []exchange.WaitingTask {
+	shardLeader := transfers.controller.shardLeader
 	var out []exchange.WaitingTask
 	index := map[taskShape]int{}
-	for _, id := range sortedKeys(s.jobs) {
-		j := s.jobs[id]
-		if s.scheduler.placeableTasks(j) == 0 || !s.scheduler.withinQuotaLimit(j) || s.faultAttribution.FailsEverywhere(id) {
+	for _, id := range sortedKeys(shardLeader.jobs) {
+		job := shardLeader.jobs[id]
+		if shardLeader.scheduler.placeableTasks(job) == 0 || !shardLeader.scheduler.withinQuotaLimit(job) || shardLeader.faultAttribution.FailsEverywhere(id) {
 			continue
 		}
-		waited := s.scheduler.unservedFor(j)
-		shape := j.taskShape()
+		waited := shardLeader.scheduler.unservedFor(job)
+		shape := job.taskShape()
 		if i, known := index[shape]; known {
 			out[i].Waited = max(out[i].Waited, waited)
 			continue
 		}
 		index[shape] = len(out)
-		out = append(out, exchange.WaitingTask{Kinds: x.allowedKinds(j), Need: j.Need, Waited: waited})
+		out = append(out, exchange.WaitingTask{Kinds: transfers.allowedKinds(job), Need: job.Need, Waited: waited})
 	}
 	return out
 }
--- a/internal/controller/transfers.go
+++ b/internal/controller/transfers.go
@@ -12,14 +12,14 @@
 
 // exchangers returns the shard leaders whose last update is fresh, with their requests and
 // offers.
-func (l *leader) exchangers() []exchange.Exchanger {
+func (leader *leader) exchangers() []exchange.Exchanger {
 	var out []exchange.Exchanger
-	if o := l.controller.shardLeader; o != nil && o.ready {
-		out = append(out, exchange.Exchanger{Host: l.settings.Host, Requests: o.transfers.requests, Offers: o.transfers.offers})
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
+		out = append(out, exchange.Exchanger{Host: leader.settings.Host, Requests: shardLeader.transfers.requests, Offers: shardLeader.transfers.offers})
 	}
-	for _, host := range sortedKeys(l.updates) {
-		if w, ok := l.freshUpdate(host); ok && w.update.Seq >= l.requiredSeq[host] {
-			out = append(out, exchange.Exchanger{Host: host, Requests: w.update.TransferRequests, Offers: w.update.TransferOffers})
+	for _, host := range sortedKeys(leader.updates) {
+		if received, ok := leader.freshUpdate(host); ok && received.update.Seq >= leader.requiredSeq[host] {
+			out = append(out, exchange.Exchanger{Host: host, Requests: received.update.TransferRequests, Offers: received.update.TransferOffers})
 		}
 	}
 	return out
@@ -28,58 +28,58 @@
 // validOffers returns the offers of machines that their owner may give away at present. An offer
 // of a machine that does not belong to the sender is rejected as invalid input, except just
 // after a transfer, when the offer is merely late.
-func (l *leader) validOffers(host string, offers []exchange.TransferOffer) []exchange.TransferOffer {
+func (leader *leader) validOffers(host string, offers []exchange.TransferOffer) []exchange.TransferOffer {
 	var out []exchange.TransferOffer
-	for _, o := range offers {
-		r := l.rentals[o.ID]
-		_, recentlyHandedOver := l.handedOverAt[o.ID]
+	for _, offer := range offers {
+		rental := leader.rentals[offer.ID]
+		_, recentlyHandedOver := leader.handedOverAt[offer.ID]
 		switch {
-		case r == nil:
-			l.controller.rejectInput("transfer offer", host, "transfer_offers.machine: not a machine of this cluster")
-		case l.ownerOf(o.ID) != host && !recentlyHandedOver:
-			l.controller.rejectInput("transfer offer", host, "transfer_offers.machine: not a machine of the sender")
-		case r.status == "running" && !r.releasing && l.canHandOver(o.ID, host):
+		case rental == nil:
+			leader.controller.rejectInput("transfer offer", host, "transfer_offers.machine: not a machine of this cluster")
+		case leader.ownerOf(offer.ID) != host && !recentlyHandedOver:
+			leader.controller.rejectInput("transfer offer", host, "transfer_offers.machine: not a machine of the sender")
+		case rental.status == "running" && !rental.releasing && leader.canHandOver(offer.ID, host):
 			// The kind is taken from the cloud's list, not from the sender.
-			o.Kind = r.machineKind.exchangeKind()
-			out = append(out, o)
+			offer.Kind = rental.machineKind.exchangeKind()
+			out = append(out, offer)
 		}
 	}
 	return out
 }
 
 // transferMachines transfers machines in use to shard leaders that have jobs left waiting.
-func (l *leader) transferMachines() {
-	owners := l.exchangers()
+func (leader *leader) transferMachines() {
+	owners := leader.exchangers()
 	for i := range owners {
-		owners[i].Offers = l.validOffers(owners[i].Host, owners[i].Offers)
+		owners[i].Offers = leader.validOffers(owners[i].Host, owners[i].Offers)
 	}
-	transfers := exchange.MatchOffers(owners, l.controller.knowledge.sizeOfKind, maxHandovers, func(team string) bool { return l.transferQuota.Allow(l.now, team) })
-	for _, t := range transfers {
-		l.handOver(t)
-		l.info("machine transferred for waiting jobs", "machine", t.ID, "from", t.From, "to", t.To)
+	transfers := exchange.MatchOffers(owners, leader.controller.knowledge.sizeOfKind, maxHandovers, func(team string) bool { return leader.transferQuota.Allow(leader.now, team) })
+	for _, transfer := range transfers {
+		leader.handOver(transfer)
+		leader.info("machine transferred for waiting jobs", "machine", transfer.ID, "from", transfer.From, "to", transfer.To)
 	}
 }
 
 // handOver assigns a machine to another shard leader. The next write of the shard map records
 // the change.
-func (l *leader) handOver(t exchange.Transfer) {
-	l.sharding.unrecordedMachines[t.ID] = sharding.NewMachine{ID: t.ID, Host: t.To, KnownAt: l.now}
-	l.handedOverAt[t.ID] = l.now
-	l.rentals[t.ID].handedOverAt = l.now
+func (leader *leader) handOver(transfer exchange.Transfer) {
+	leader.sharding.unrecordedMachines[transfer.ID] = sharding.NewMachine{ID: transfer.ID, Host: transfer.To, KnownAt: leader.now}
+	leader.handedOverAt[transfer.ID] = leader.now
+	leader.rentals[transfer.ID].handedOverAt = leader.now
 	// The requests of the new owner count again once it knows of this machine.
-	l.requiredSeq[t.To] = l.seq + 1
-	l.debug("machine handed over", "machine", t.ID, "from", t.From, "to", t.To)
+	leader.requiredSeq[transfer.To] = leader.seq + 1
+	leader.debug("machine handed over", "machine", transfer.ID, "from", transfer.From, "to", transfer.To)
 }
 
 // requestsOfOthers returns, for each of the hosts, the requests of the shard leaders on other
 // hosts.
-func (l *leader) requestsOfOthers(hosts []string) map[string][]exchange.TransferRequest {
-	owners := l.exchangers()
+func (leader *leader) requestsOfOthers(hosts []string) map[string][]exchange.TransferRequest {
+	owners := leader.exchangers()
 	out := map[string][]exchange.TransferRequest{}
 	for _, host := range hosts {
-		for _, o := range owners {
-			if o.Host != host {
-				out[host] = append(out[host], o.Requests...)
+		for _, owner := range owners {
+			if owner.Host != host {
+				out[host] = append(out[host], owner.Requests...)
 			}
 		}
 		if len(out[host]) > message.MaxTransferRequests {
