--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -11,23 +11,23 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// Controller is one replica of the control plane. All of its state belongs to the
-// goroutine that calls Step; nothing in this package locks.
+// Controller is one replica of the control plane. All of its state belongs to the goroutine that
+// calls Step; nothing in this package locks.
 //
-// Each component owns its fields. Other components call its methods and never write its
-// fields. The components here live as long as the process. shardLeader and leader exist
-// only while this controller has these roles; they are dropped with the membership lease
+// Each component owns its fields. Other components call its methods and never write its fields.
+// The components that are stored by value live as long as the process. shardLeader and leader
+// exist only while this controller has these roles. They are dropped with the membership lease
 // at the latest, and a new one starts from the records in the store.
 type Controller struct {
 	*environment
 
-	// Who takes part, and which roles this controller has.
+	// Membership, and the roles that this controller has.
 	membership  membership
 	partition   partitionDetector
 	renewal     leaseRenewer
 	shardLeader *shardLeader // nil unless this controller holds a shard
 	leader      *leader      // nil unless this controller is the leader
-	// role is what was last emitted of the two.
+	// role is the role that Step emitted last.
 	role message.Role
 
 	// Requests of users and operators.
@@ -35,158 +35,162 @@
 	ranking  rankingState
 	lending  lending
 	promises promiseState
-	// cancellations are passed on to peers; see cancellation_gossip.go.
+	// cancellations passes cancellations of jobs on to peers; see cancellation_gossip.go.
 	cancellations cancellationGossip
 
 	// Shared by both roles.
 	requests   requestTracker
 	rateLimits rateLimits
 	planning   planningThrottle
-	// knowledge outlives the roles: what was learnt of machines and workloads.
+	// knowledge is what this controller has learnt about machines and workloads. It survives the
+	// loss of a role.
 	knowledge fleetKnowledge
 }
 
-// New makes a controller that knows nothing yet. The first Step starts it.
-func New(set Settings, rng *rand.Rand) *Controller {
-	c := &Controller{
-		environment:   &environment{settings: set, rng: rng},
+// New returns a controller without any state. The first Step starts it.
+func New(settings Settings, rng *rand.Rand) *Controller {
+	controller := &Controller{
+		environment:   &environment{settings: settings, rng: rng},
 		requests:      newRequestTracker(),
 		membership:    membership{peersWithoutStore: map[string]time.Time{}},
 		frontend:      frontend{progressByJob: map[string]message.Progress{}},
 		cancellations: cancellationGossip{unacked: map[string]*unackedCancellation{}},
 		rateLimits:    rateLimits{peers: map[string]peerRates{}},
 	}
-	c.connectComponents()
-	c.knowledge.init()
-	c.frontend.init()
-	return c
+	controller.connectComponents()
+	controller.knowledge.init()
+	controller.frontend.init()
+	return controller
 }
 
-// connectComponents gives each component the environment and the way to the others.
-func (c *Controller) connectComponents() {
-	shared := component{environment: c.environment, controller: c}
-	c.requests.component = shared
-	c.membership.component = shared
-	c.membership.formats.component = shared
-	c.frontend.component = shared
-	c.frontend.watchCache.component = shared
-	c.ranking.component = shared
-	c.rateLimits.component = shared
-	c.lending.component = shared
-	c.cancellations.component = shared
-	c.promises.component = shared
-	c.knowledge.component = shared
-	c.renewal.component = shared
-	c.partition.component = shared
-	c.planning.component = shared
+// connectComponents gives each component the shared environment and a reference to the
+// controller.
+func (controller *Controller) connectComponents() {
+	shared := component{environment: controller.environment, controller: controller}
+	controller.requests.component = shared
+	controller.membership.component = shared
+	controller.membership.formats.component = shared
+	controller.frontend.component = shared
+	controller.frontend.watchCache.component = shared
+	controller.ranking.component = shared
+	controller.rateLimits.component = shared
+	controller.lending.component = shared
+	controller.cancellations.component = shared
+	controller.promises.component = shared
+	controller.knowledge.component = shared
+	controller.renewal.component = shared
+	controller.partition.component = shared
+	controller.planning.component = shared
 }
 
-// Step handles a batch of commands at one moment and returns the effects to carry out.
-func (c *Controller) Step(now time.Time, cmds []message.Command) []message.Effect {
-	c.now = now
-	c.effects = nil
-	c.partition.stepBegan()
-	if !c.membership.started {
-		c.membership.start()
+// Step handles a batch of commands at the time now and returns the effects to carry out.
+func (controller *Controller) Step(now time.Time, commands []message.Command) []message.Effect {
+	controller.now = now
+	controller.effects = nil
+	controller.partition.stepBegan()
+	if !controller.membership.started {
+		controller.membership.start()
 	}
-	for _, cmd := range cmds {
-		c.handleCommand(cmd)
+	for _, command := range commands {
+		controller.handleCommand(command)
 	}
-	c.runTimers()
-	c.membership.publishStoreUnavailable()
-	c.frontend.flushSubmissions()
-	if c.shardLeader != nil {
-		c.shardLeader.tick()
+	controller.runTimers()
+	controller.membership.publishStoreUnavailable()
+	controller.frontend.flushSubmissions()
+	if controller.shardLeader != nil {
+		controller.shardLeader.tick()
 	}
-	if c.leader != nil {
-		c.leader.tick()
+	if controller.leader != nil {
+		controller.leader.tick()
 	}
-	if r := (message.Role{Leader: c.leader != nil, ShardLeader: c.shardLeader != nil}); r != c.role {
-		c.role = r
-		c.emit(r)
+	if role := (message.Role{Leader: controller.leader != nil, ShardLeader: controller.shardLeader != nil}); role != controller.role {
+		controller.role = role
+		controller.emit(role)
 	}
-	return c.effects
+	return controller.effects
 }
 
-// handleCommand passes a command to the component that it is for.
-func (c *Controller) handleCommand(cmd message.Command) {
-	switch cmd := cmd.(type) {
+// handleCommand dispatches a command to the component that handles it.
+func (controller *Controller) handleCommand(command message.Command) {
+	switch cmd := command.(type) {
 	case message.SubmitJob:
-		c.frontend.submitJob(cmd)
+		controller.frontend.submitJob(cmd)
 	case message.QueryJob:
-		c.frontend.queryJob(cmd)
+		controller.frontend.queryJob(cmd)
 	case message.CancelJob:
-		c.frontend.cancelJob(cmd)
+		controller.frontend.cancelJob(cmd)
 	case message.WorkerHeartbeat:
-		c.receiveHeartbeat(cmd)
+		controller.receiveHeartbeat(cmd)
 	case message.StoreResponse:
-		c.requests.receiveStoreResponse(cmd)
+		controller.requests.receiveStoreResponse(cmd)
 	case message.CloudResponse:
-		c.requests.receiveCloudResponse(cmd)
+		controller.requests.receiveCloudResponse(cmd)
 	case message.WorkerResponse:
-		c.requests.receiveWorkerResponse(cmd)
+		controller.requests.receiveWorkerResponse(cmd)
 	case message.QueryStatus:
-		c.replyStatus(cmd)
+		controller.replyStatus(cmd)
 	case message.LoanCommand:
-		c.lending.runCommand(cmd)
+		controller.lending.runCommand(cmd)
 	case message.QueryLoans:
-		c.lending.queryLoans(cmd)
+		controller.lending.queryLoans(cmd)
 	case message.RenewCommand:
-		c.lending.runRenewCommand(cmd)
+		controller.lending.runRenewCommand(cmd)
 	case message.SetRanking:
-		c.ranking.set(cmd)
+		controller.ranking.set(cmd)
 	case message.QueryRanking:
-		c.ranking.query(cmd)
+		controller.ranking.query(cmd)
 	case message.DrainCommand:
-		c.lending.runDrainCommand(cmd)
+		controller.lending.runDrainCommand(cmd)
 	case message.QueryPromises:
-		c.promises.query(cmd)
+		controller.promises.query(cmd)
 	case message.PeerUpdate:
-		c.receivePeerUpdate(cmd)
+		controller.receivePeerUpdate(cmd)
 	}
 }
 
-// receiveHeartbeat handles a worker's heartbeat, unless it is a stale copy of one.
-func (c *Controller) receiveHeartbeat(cmd message.WorkerHeartbeat) {
-	if !c.handleStaleHeartbeat(&cmd) {
-		c.handleHeartbeat(cmd)
+// receiveHeartbeat handles a worker's heartbeat. A late copy of an earlier heartbeat goes to
+// handleStaleHeartbeat instead.
+func (controller *Controller) receiveHeartbeat(command message.WorkerHeartbeat) {
+	if !controller.handleStaleHeartbeat(&command) {
+		controller.handleHeartbeat(command)
 	}
 }
 
-// Deadline is the latest time at which Step must be called if no command comes before;
-// zero if there is none.
-func (c *Controller) Deadline() time.Time {
-	var t time.Time
-	earliest := func(o time.Time) {
-		if !o.IsZero() && (t.IsZero() || o.Before(t)) {
-			t = o
+// Deadline returns the latest time at which Step must be called if no command arrives earlier,
+// or the zero time if there is none.
+func (controller *Controller) Deadline() time.Time {
+	var deadline time.Time
+	earliest := func(candidate time.Time) {
+		if !candidate.IsZero() && (deadline.IsZero() || candidate.Before(deadline)) {
+			deadline = candidate
 		}
 	}
-	for _, tm := range c.timers {
-		earliest(tm.at)
+	for _, timer := range controller.timers {
+		earliest(timer.at)
 	}
-	if c.shardLeader != nil {
-		earliest(c.shardLeader.wakeAt)
-		if c.shardLeader.fleet.planningPass != nil {
-			earliest(c.shardLeader.fleet.planningPassAt)
+	if controller.shardLeader != nil {
+		earliest(controller.shardLeader.wakeAt)
+		if controller.shardLeader.fleet.planningPass != nil {
+			earliest(controller.shardLeader.fleet.planningPassAt)
 		}
 	}
-	if c.leader != nil {
-		earliest(c.leader.wakeAt)
+	if controller.leader != nil {
+		earliest(controller.leader.wakeAt)
 	}
-	return t
+	return deadline
 }
 
-// StepTook reports how long the last Step took, its effects included. Planning is cut into
-// slices by it, so that steps stay short and placement leaves time for the rest.
-func (c *Controller) StepTook(d time.Duration) { c.planning.recordStep(d) }
+// StepTook records how long the last Step took, including the execution of its effects. Planning
+// is divided into slices accordingly, so that steps stay short and planning leaves time for
+// other commands.
+func (controller *Controller) StepTook(d time.Duration) { controller.planning.recordStep(d) }
 
-// Healthy says whether this controller can take users' requests now.
-func (c *Controller) Healthy(now time.Time) bool {
-	return c.membership.ready && (!c.membership.storeDown(now) || c.membership.storeDownEverywhere(now))
+// Healthy reports whether this controller can take users' requests.
+func (controller *Controller) Healthy(now time.Time) bool {
+	return controller.membership.ready && (!controller.membership.storeDown(now) || controller.membership.storeDownEverywhere(now))
 }
 
-// IsShardLeader says whether this controller runs the jobs of some team now.
-func (c *Controller) IsShardLeader() bool {
-	return c.shardLeader != nil && c.shardLeader.ready && len(c.shardLeader.teams) > 0
+// IsShardLeader reports whether this controller runs the jobs of at least one team.
+func (controller *Controller) IsShardLeader() bool {
+	return controller.shardLeader != nil && controller.shardLeader.ready && len(controller.shardLeader.teams) > 0
 }
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -11,22 +11,23 @@
 // maxMalformedTxns bounds how many malformed transactions are remembered.
 const maxMalformedTxns = 256
 
-// requestTracker sends requests to the store, the cloud and the workers, and calls back
-// with their responses. Any component may use it in any role. Each callback runs at most
-// once, in the Step that gets the response, and perhaps long after its sender lost the
-// role that it acted in: a callback checks by itself what has become of that.
+// requestTracker sends requests to the store, the cloud and the workers, and passes each
+// response to the callback of its request. Any component may use it in any role. A callback runs
+// at most once, in the Step that receives the response. By then the controller may have lost the
+// role in which it sent the request, so each callback checks the role itself.
 type requestTracker struct {
 	component
 
-	// The callbacks of requests without a response yet, by the id of the request.
+	// The callbacks of requests that have no response yet, by request ID.
 	storeCallbacks  map[uint64]func(message.StoreResponse)
 	cloudCallbacks  map[uint64]func(message.CloudResponse)
 	workerCallbacks map[uint64]func(message.WorkerResponse)
-	// malformedTxns has the hashes of transactions that the store called malformed: none
-	// is sent again as it is.
+	// malformedTxns holds the hashes of transactions that the store rejected as malformed. None
+	// of them is sent again unchanged.
 	malformedTxns map[uint64]bool
 }
 
+// newRequestTracker returns a tracker with no outstanding requests.
 func newRequestTracker() requestTracker {
 	return requestTracker{
 		storeCallbacks:  map[uint64]func(message.StoreResponse){},
@@ -36,131 +37,139 @@
 	}
 }
 
-// toStore sends a request to the store. A transaction beyond the store's limits of size is
-// not sent: it would be rejected as malformed each time and count against the limit of
-// requests. It is an internal error, and answered as malformed.
-func (r *requestTracker) toStore(op message.StoreRequest, fn func(message.StoreResponse)) {
-	op.ID = r.nextID()
-	if op.Kind == message.OpTxn {
-		if err := r.checkTxnLimits(&op); err != nil {
-			r.internalError("store request exceeds limits", "err", err)
-			r.after(0, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
+// toStore sends a request to the store and calls fn with the response. A transaction that
+// exceeds the store's size limits is not sent, because the store would reject it as malformed
+// each time and count it against the request rate limit. toStore reports such a transaction as
+// an internal error and answers it as malformed. A transaction that the store has already
+// rejected as malformed is answered as malformed after storeRetryDelay without being sent.
+func (tracker *requestTracker) toStore(request message.StoreRequest, fn func(message.StoreResponse)) {
+	request.ID = tracker.nextID()
+	if request.Kind == message.OpTxn {
+		if err := tracker.checkTxnLimits(&request); err != nil {
+			tracker.internalError("store request exceeds limits", "err", err)
+			tracker.after(0, func() { fn(message.StoreResponse{ID: request.ID, Status: message.StoreMalformed, SentAt: tracker.now}) })
 			return
 		}
-		if len(r.malformedTxns) > 0 && r.malformedTxns[txnHash(&op)] {
-			r.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: op.ID, Status: message.StoreMalformed, SentAt: r.now}) })
+		if len(tracker.malformedTxns) > 0 && tracker.malformedTxns[txnHash(&request)] {
+			tracker.after(storeRetryDelay, func() { fn(message.StoreResponse{ID: request.ID, Status: message.StoreMalformed, SentAt: tracker.now}) })
 			return
 		}
 		callback := fn
-		fn = func(d message.StoreResponse) {
-			if d.Status == message.StoreMalformed {
-				r.noteMalformed(&op)
+		fn = func(response message.StoreResponse) {
+			if response.Status == message.StoreMalformed {
+				tracker.noteMalformed(&request)
 			}
-			callback(d)
+			callback(response)
 		}
 	}
-	r.controller.rateLimits.countRequest(&op)
-	r.storeCallbacks[op.ID] = fn
-	r.emit(op)
+	tracker.controller.rateLimits.countRequest(&request)
+	tracker.storeCallbacks[request.ID] = fn
+	tracker.emit(request)
 }
 
-// checkTxnLimits says whether the store takes a transaction of this size.
-func (r *requestTracker) checkTxnLimits(op *message.StoreRequest) error {
-	compares, writes := make([]string, len(op.Compares)), make([]sizelimit.Write, len(op.Writes))
-	for i, c := range op.Compares {
-		compares[i] = c.Key
+// checkTxnLimits returns an error if a transaction exceeds the store's size limits.
+func (tracker *requestTracker) checkTxnLimits(request *message.StoreRequest) error {
+	compares, writes := make([]string, len(request.Compares)), make([]sizelimit.Write, len(request.Writes))
+	for i, compare := range request.Compares {
+		compares[i] = compare.Key
 	}
-	for i, w := range op.Writes {
-		writes[i] = sizelimit.Write{Key: w.Key, Value: w.Value}
+	for i, write := range request.Writes {
+		writes[i] = sizelimit.Write{Key: write.Key, Value: write.Value}
 	}
-	return r.limitsOf(op).CheckTxn(compares, writes)
+	return tracker.limitsOf(request).CheckTxn(compares, writes)
 }
 
-// noteMalformed remembers a transaction that the store has called malformed.
-func (r *requestTracker) noteMalformed(op *message.StoreRequest) {
-	r.internalError("transaction rejected as malformed", "writes", len(op.Writes), "first_key", firstWriteKey(op))
-	if len(r.malformedTxns) >= maxMalformedTxns {
-		clear(r.malformedTxns)
+// noteMalformed remembers a transaction that the store rejected as malformed.
+func (tracker *requestTracker) noteMalformed(request *message.StoreRequest) {
+	tracker.internalError("transaction rejected as malformed", "writes", len(request.Writes), "first_key", firstWriteKey(request))
+	if len(tracker.malformedTxns) >= maxMalformedTxns {
+		clear(tracker.malformedTxns)
 	}
-	r.malformedTxns[txnHash(op)] = true
+	tracker.malformedTxns[txnHash(request)] = true
 }
 
-// txnHash tells transactions apart by what they would do.
-func txnHash(op *message.StoreRequest) uint64 {
-	h := xxhash.New()
-	for _, c := range op.Compares {
-		fmt.Fprint(h, c.Key, c.ModRevision, ";")
+// txnHash returns a hash of the compares and writes of a transaction.
+func txnHash(request *message.StoreRequest) uint64 {
+	hash := xxhash.New()
+	for _, compare := range request.Compares {
+		fmt.Fprint(hash, compare.Key, compare.ModRevision, ";")
 	}
-	for _, a := range op.Writes {
-		fmt.Fprint(h, a.Key, a.LeaseID, len(a.Value), ":")
-		h.Write(a.Value)
+	for _, write := range request.Writes {
+		fmt.Fprint(hash, write.Key, write.LeaseID, len(write.Value), ":")
+		hash.Write(write.Value)
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
 
-func firstWriteKey(op *message.StoreRequest) string {
-	if len(op.Writes) == 0 {
+// firstWriteKey returns the key of a transaction's first write, or "" if it writes nothing.
+func firstWriteKey(request *message.StoreRequest) string {
+	if len(request.Writes) == 0 {
 		return ""
 	}
-	return op.Writes[0].Key
+	return request.Writes[0].Key
 }
 
-func (r *requestTracker) toCloud(op message.CloudRequest, fn func(message.CloudResponse)) {
-	op.ID = r.nextID()
-	r.cloudCallbacks[op.ID] = fn
-	r.emit(op)
+// toCloud sends a request to the cloud and calls fn with the response.
+func (tracker *requestTracker) toCloud(request message.CloudRequest, fn func(message.CloudResponse)) {
+	request.ID = tracker.nextID()
+	tracker.cloudCallbacks[request.ID] = fn
+	tracker.emit(request)
 }
 
-func (r *requestTracker) toWorker(op message.WorkerRequest, fn func(message.WorkerResponse)) {
-	op.ID = r.nextID()
-	r.workerCallbacks[op.ID] = fn
-	r.emit(op)
+// toWorker sends a request to a worker and calls fn with the response.
+func (tracker *requestTracker) toWorker(request message.WorkerRequest, fn func(message.WorkerResponse)) {
+	request.ID = tracker.nextID()
+	tracker.workerCallbacks[request.ID] = fn
+	tracker.emit(request)
 }
 
-func (r *requestTracker) receiveStoreResponse(d message.StoreResponse) {
-	r.controller.membership.noteStoreStatus(d.Status)
-	if fn := r.storeCallbacks[d.ID]; fn != nil {
-		delete(r.storeCallbacks, d.ID)
-		fn(d)
+// receiveStoreResponse calls the callback of the store request that the response answers.
+func (tracker *requestTracker) receiveStoreResponse(response message.StoreResponse) {
+	tracker.controller.membership.noteStoreStatus(response.Status)
+	if fn := tracker.storeCallbacks[response.ID]; fn != nil {
+		delete(tracker.storeCallbacks, response.ID)
+		fn(response)
 	}
 }
 
-func (r *requestTracker) receiveCloudResponse(d message.CloudResponse) {
-	if fn := r.cloudCallbacks[d.ID]; fn != nil {
-		delete(r.cloudCallbacks, d.ID)
-		fn(d)
+// receiveCloudResponse calls the callback of the cloud request that the response answers.
+func (tracker *requestTracker) receiveCloudResponse(response message.CloudResponse) {
+	if fn := tracker.cloudCallbacks[response.ID]; fn != nil {
+		delete(tracker.cloudCallbacks, response.ID)
+		fn(response)
 	}
 }
 
-func (r *requestTracker) receiveWorkerResponse(d message.WorkerResponse) {
-	if fn := r.workerCallbacks[d.ID]; fn != nil {
-		delete(r.workerCallbacks, d.ID)
-		fn(d)
+// receiveWorkerResponse calls the callback of the worker request that the response answers.
+func (tracker *requestTracker) receiveWorkerResponse(response message.WorkerResponse) {
+	if fn := tracker.workerCallbacks[response.ID]; fn != nil {
+		delete(tracker.workerCallbacks, response.ID)
+		fn(response)
 	}
 }
 
-// readAll reads all records under a prefix, page by page with retries, as long as wanted
-// says so, and then calls fn with them.
-func (r *requestTracker) readAll(prefix string, priority message.Priority, wanted func() bool, fn func([]message.KeyValue)) {
-	var got []message.KeyValue
+// readAll reads all records under a prefix, page by page, and calls fn with them. It retries
+// pages that fail, and stops without calling fn once wanted returns false.
+func (tracker *requestTracker) readAll(prefix string, priority message.Priority, wanted func() bool, fn func([]message.KeyValue)) {
+	var records []message.KeyValue
 	var list func(from string)
 	list = func(from string) {
-		r.toStore(message.StoreRequest{Kind: message.OpList, Priority: priority, Key: prefix, StartAfter: from}, func(d message.StoreResponse) {
+		tracker.toStore(message.StoreRequest{Kind: message.OpList, Priority: priority, Key: prefix, StartAfter: from}, func(response message.StoreResponse) {
 			switch {
 			case !wanted():
-			case d.Status != message.StoreOK:
-				r.after(r.jitter(storeRetryDelay), func() {
+			case response.Status != message.StoreOK:
+				tracker.after(tracker.jitter(storeRetryDelay), func() {
 					if wanted() {
 						list(from)
 					}
 				})
 			default:
-				got = append(got, d.KeyValues...)
-				if d.Truncated && len(d.KeyValues) > 0 {
-					list(d.KeyValues[len(d.KeyValues)-1].Key)
+				records = append(records, response.KeyValues...)
+				if response.Truncated && len(response.KeyValues) > 0 {
+					list(response.KeyValues[len(response.KeyValues)-1].Key)
 					return
 				}
-				fn(got)
+				fn(records)
 			}
 		})
 	}
--- a/internal/controller/scripted_worker_test.go
+++ b/internal/controller/scripted_worker_test.go
@@ -12,134 +12,141 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// scriptedWorker is a machine and what its worker knows of itself.
+// scriptedWorker is a machine and the state of its worker. A kept worker is one whose heartbeat
+// the scenario line "keep" repeats.
 type scriptedWorker struct {
 	id, zone              string
 	incarnation, sequence uint64
-	// epoch is the highest that the worker has seen.
+	// epoch is the highest epoch that the worker has seen.
 	epoch uint64
-	// How the cloud lists the machine.
+	// failed, released and unlisted decide how the cloud lists the machine.
 	failed, released, unlisted bool
-	// unreachable: the heartbeats of a kept worker arrive, and no answer and no command
-	// reaches it.
+	// unreachable: the heartbeats of a kept worker arrive, but no answer or command reaches the
+	// worker.
 	unreachable bool
-	// repeat sends the heartbeat of a kept worker, whose arguments are repeated.
+	// repeat sends the heartbeat of a kept worker again, with the scenario arguments in
+	// repeated. repeatedAt is when it was last sent.
 	repeat     func()
 	repeated   *datadriven.TestData
 	repeatedAt time.Time
-	// resend sends the latest heartbeat once more, with the next sequence.
+	// resend sends the latest heartbeat again with the next sequence number.
 	resend func() *datadriven.TestData
-	// reported are the arguments of its heartbeat, while it reports a higher epoch.
+	// reported are the scenario arguments of the heartbeat while the worker reports a higher
+	// epoch.
 	reported *datadriven.TestData
 }
 
-func (h *harness) sortedMachines() []*scriptedWorker {
+// sortedMachines returns the machines in the order of their IDs.
+func (harness *harness) sortedMachines() []*scriptedWorker {
 	var out []*scriptedWorker
-	for _, worker := range h.machines {
+	for _, worker := range harness.machines {
 		out = append(out, worker)
 	}
 	slices.SortFunc(out, func(x, y *scriptedWorker) int { return strings.Compare(x.id, y.id) })
 	return out
 }
 
-// handleWorkerRequest answers a poll where the worker does so by itself: a kept one, and
-// one that has just learnt a higher epoch. All else waits for the scenario.
-func (c *harnessController) handleWorkerRequest(e message.WorkerRequest) {
-	h := c.harness
-	worker := h.machines[e.Machine]
-	said := worker.repeated
+// handleWorkerRequest answers a poll if the worker answers without the scenario: a kept worker,
+// or one that has just learnt a higher epoch. All other polls and all commands wait for the
+// scenario.
+func (node *harnessController) handleWorkerRequest(request message.WorkerRequest) {
+	harness := node.harness
+	worker := harness.machines[request.Machine]
+	data := worker.repeated
 	if worker.reported != nil {
-		said = worker.reported
+		data = worker.reported
 	}
-	if said == nil || len(e.Commands) > 0 || worker.unreachable {
-		c.workerCommands = append(c.workerCommands, workerCommand{e, h.now})
+	if data == nil || len(request.Commands) > 0 || worker.unreachable {
+		node.workerCommands = append(node.workerCommands, workerCommand{request, harness.now})
 		return
 	}
-	worker.epoch = max(worker.epoch, e.Epoch)
-	heartbeat := h.newHeartbeat(said, worker)
-	c.push(message.WorkerResponse{ID: e.ID, OK: true, Heartbeat: &heartbeat})
+	worker.epoch = max(worker.epoch, request.Epoch)
+	heartbeat := harness.newHeartbeat(data, worker)
+	node.push(message.WorkerResponse{ID: request.ID, OK: true, Heartbeat: &heartbeat})
 }
 
-// handleHeartbeatReply lets the worker learn the epoch of an answer, and prints it.
-func (c *harnessController) handleHeartbeatReply(e message.HeartbeatReply) {
-	h := c.harness
-	if worker := h.ignoredReplies[e.Reply]; worker != nil {
-		delete(h.ignoredReplies, e.Reply)
-		h.handleIgnoredReply(worker, e)
+// handleHeartbeatReply gives the worker the epoch of an answer to its heartbeat, and prints the
+// answer.
+func (node *harnessController) handleHeartbeatReply(reply message.HeartbeatReply) {
+	harness := node.harness
+	if worker := harness.ignoredReplies[reply.Reply]; worker != nil {
+		delete(harness.ignoredReplies, reply.Reply)
+		harness.handleIgnoredReply(worker, reply)
 		return
 	}
-	worker := h.machines[c.replyNames[e.Reply]]
-	text := fmt.Sprint(e.Status)
-	if e.Status == 200 {
+	worker := harness.machines[node.replyNames[reply.Reply]]
+	text := fmt.Sprint(reply.Status)
+	if reply.Status == 200 {
 		switch {
 		case worker == nil:
-			// A copy: nobody waits for its answer.
-		case e.Epoch < worker.epoch:
+			// The heartbeat was a copy, so no worker waits for the answer.
+		case reply.Epoch < worker.epoch:
 			text += " dropped"
-		case e.Epoch > worker.epoch && worker.resend != nil:
-			// A higher epoch is a change, which the worker reports at once; the
-			// answer to that is printed.
-			worker.epoch = e.Epoch
+		case reply.Epoch > worker.epoch && worker.resend != nil:
+			// The worker reports a higher epoch at once, and the answer to that
+			// heartbeat is printed instead.
+			worker.epoch = reply.Epoch
 			worker.reported = worker.resend()
 			return
 		default:
-			worker.epoch = e.Epoch
+			worker.epoch = reply.Epoch
 		}
-		text += formatCommands(e.Commands)
+		text += formatCommands(reply.Commands)
 	}
-	if e.MachineOwner != "" {
-		text += " to " + e.MachineOwner
+	if reply.MachineOwner != "" {
+		text += " to " + reply.MachineOwner
 	}
-	h.print(fmt.Sprintf("%s %s", c.replyNames[e.Reply], text))
+	harness.print(fmt.Sprintf("%s %s", node.replyNames[reply.Reply], text))
 }
 
-// handleIgnoredReply prints of an answer to a kept worker only what starts a task, and
-// what does not reach it.
-func (h *harness) handleIgnoredReply(worker *scriptedWorker, e message.HeartbeatReply) {
+// handleIgnoredReply handles an answer to the heartbeat of a kept worker. It prints only
+// commands that start a task, and answers that do not reach the worker.
+func (harness *harness) handleIgnoredReply(worker *scriptedWorker, reply message.HeartbeatReply) {
 	if worker.unreachable {
-		h.printOnce(fmt.Sprintf("%s %d in vain", worker.id, e.Status))
+		harness.printOnce(fmt.Sprintf("%s %d in vain", worker.id, reply.Status))
 		return
 	}
-	worker.epoch = max(worker.epoch, e.Epoch)
-	if text := formatCommands(e.Commands); strings.Contains(text, " start ") {
-		h.printOnce(worker.id + text)
+	worker.epoch = max(worker.epoch, reply.Epoch)
+	if text := formatCommands(reply.Commands); strings.Contains(text, " start ") {
+		harness.printOnce(worker.id + text)
 	}
 }
 
-// newHeartbeat makes the worker's next heartbeat as the scenario says: tenure= (its
-// incarnation), tick= (its sequence), newer, tasks=(job/0#1=running,job/1-3#1=fetching).
-func (h *harness) newHeartbeat(d *datadriven.TestData, worker *scriptedWorker) model.Heartbeat {
-	h.t.Helper()
-	uintArg(h.t, d, "tenure", &worker.incarnation)
+// newHeartbeat returns the worker's next heartbeat with the arguments of the scenario line:
+// tenure= sets the incarnation, tick= the sequence number, newer raises the epoch, and
+// tasks=(job/0#1=running,job/1-3#1=fetching) lists the tasks.
+func (harness *harness) newHeartbeat(data *datadriven.TestData, worker *scriptedWorker) model.Heartbeat {
+	harness.t.Helper()
+	uintArg(harness.t, data, "tenure", &worker.incarnation)
 	worker.sequence++
-	r := model.Heartbeat{Machine: worker.id, Addr: worker.id, MachineType: "box", Zone: worker.zone, Incarnation: worker.incarnation, Sequence: worker.sequence, Epoch: worker.epoch, ReclaimIn: -1}
-	uintArg(h.t, d, "tick", &r.Sequence)
-	worker.sequence = max(worker.sequence, r.Sequence)
-	if d.HasArg("newer") {
-		// The worker has seen an epoch above all that this store gave.
-		r.Epoch += 1000
+	heartbeat := model.Heartbeat{Machine: worker.id, Addr: worker.id, MachineType: "box", Zone: worker.zone, Incarnation: worker.incarnation, Sequence: worker.sequence, Epoch: worker.epoch, ReclaimIn: -1}
+	uintArg(harness.t, data, "tick", &heartbeat.Sequence)
+	worker.sequence = max(worker.sequence, heartbeat.Sequence)
+	if data.HasArg("newer") {
+		// The worker has seen a higher epoch than any that this store has assigned.
+		heartbeat.Epoch += 1000
 	}
-	for _, a := range d.CmdArgs {
-		if a.Key != "tasks" {
+	for _, argument := range data.CmdArgs {
+		if argument.Key != "tasks" {
 			continue
 		}
-		for _, v := range a.Vals {
-			r.Tasks = append(r.Tasks, parseTaskReports(h.t, d, v)...)
+		for _, value := range argument.Vals {
+			heartbeat.Tasks = append(heartbeat.Tasks, parseTaskReports(harness.t, data, value)...)
 		}
 	}
-	return r
+	return heartbeat
 }
 
-// parseTaskReports reads job/0#1=status or job/0-3#1=status: job, index or first and last
-// index, attempt.
-func parseTaskReports(t *testing.T, d *datadriven.TestData, text string) []model.TaskReport {
+// parseTaskReports parses job/0#1=status or job/0-3#1=status: the job, the index or the first
+// and last index, the attempt and the status.
+func parseTaskReports(t *testing.T, data *datadriven.TestData, text string) []model.TaskReport {
 	t.Helper()
 	name, status, ok := strings.Cut(text, "=")
 	task := model.TaskReport{}
 	last := 0
 	if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "-", " ", "#", " ").Replace(name), "%s %d %d %d", &task.Job, &task.Index, &last, &task.Attempt); err != nil || !ok {
 		if _, err := fmt.Sscanf(strings.NewReplacer("/", " ", "#", " ").Replace(name), "%s %d %d", &task.Job, &task.Index, &task.Attempt); err != nil || !ok {
-			d.Fatalf(t, "tasks: got %q, want job/0#1=status or job/0-3#1=status", text)
+			data.Fatalf(t, "tasks: got %q, want job/0#1=status or job/0-3#1=status", text)
 		}
 		last = task.Index
 	}
@@ -160,9 +167,10 @@
 	return out
 }
 
-func uintArg(t *testing.T, d *datadriven.TestData, key string, v *uint64) {
+// uintArg stores the argument key in v if the scenario line has it.
+func uintArg(t *testing.T, data *datadriven.TestData, key string, value *uint64) {
 	t.Helper()
-	if d.HasArg(key) {
-		d.ScanArgs(t, key, v)
+	if data.HasArg(key) {
+		data.ScanArgs(t, key, value)
 	}
 }
--- a/internal/controller/transfer_requests.go
+++ b/internal/controller/transfer_requests.go
@@ -9,143 +9,149 @@
 )
 
 // transfer_requests.go is a shard leader's part in transfers of machines that are in use, which
-// internal/exchange decides. Where other shard leaders run teams, a job that is left waiting for
-// want of capacity here makes a request, which the leader publishes to the others. They offer
-// machines with free capacity, and the leader transfers what suits; see transfers.go. A
-// transferred machine changes shards like any other: what runs there goes on as remote attempts.
-
-// partlyRunningWait is how long a job must be left waiting of which tasks run: their ends mostly make
-// room for the next. It leaves enough of the 90 s that the operators allow for the transfer.
+// internal/exchange decides. If other shard leaders run teams, a shard leader requests capacity for
+// each of its jobs that is left waiting for lack of capacity, and the leader publishes the request
+// to the other shard leaders. They offer machines with free capacity, and the leader transfers
+// those that suit the request; see transfers.go. A transferred machine changes shards like any
+// other machine: the tasks on it continue as remote attempts.
+
+// partlyRunningWait is how long a job must be left waiting before capacity is requested for it if
+// some of its tasks run, since the end of a running task mostly frees capacity for the next one. The
+// rest of the 90 s that the operators allow must suffice for the transfer.
 const partlyRunningWait = 65 * time.Second
 
-// quietTime is how long an owner must have placed nothing on a machine to offer it at once: one that
-// it uses again and again is offered only for jobs that have waited for busyMachineWait.
 const (
-	quietTime       = 30 * time.Second
+	// quietTime is how long an owner must have placed no task on a machine before it offers the
+	// machine for any request. A machine on which the owner has placed a task more recently is
+	// offered only if a job has waited for busyMachineWait.
+	quietTime = 30 * time.Second
+	// busyMachineWait is how long a job of another shard leader must have waited before machines
+	// are offered that their owner has used within quietTime.
 	busyMachineWait = 75 * time.Second
 )
 
-// transferSettleTime is how long a machine that came may take until tasks are placed there. Until
-// then nothing more is requested for as many jobs as it could serve.
+// transferSettleTime is how long after its arrival a transferred machine may go without a task. Until
+// then, capacity is not requested for the number of jobs that the machine could serve.
 const transferSettleTime = 8 * time.Second
 
-// machineTransfers are a shard leader's requests for capacity on machines of others, and its
-// offers to them.
+// machineTransfers holds a shard leader's requests for capacity on machines of other shard
+// leaders, and its offers to them.
 //
-// It is part of a shardLeader and its methods are called only while that one leads. It stores
-// nothing: a successor computes its own requests from the jobs, and the leader repeats those of
-// others each second.
+// It is part of a shardLeader, and its methods are called only while that shard leader is
+// active. It stores no records: a successor computes its own requests from the jobs, and the
+// leader repeats the requests of the other shard leaders every second.
 //
 // Invariant: no machine is offered within exchange.MinOwnership after it came to this shard
-// leader, and none that must stay: one that is released, reclaimed, reserved, or not surely
-// reachable and in a known state.
+// leader, nor a machine that is released, about to be reclaimed, reserved, possibly unreachable
+// or in an unknown state.
 type machineTransfers struct {
 	component
 
-	// requests are this shard leader's own, offers its answer to the requests of others.
+	// requests are this shard leader's own requests, and offers are its answers to the requests
+	// of other shard leaders.
 	requests []exchange.TransferRequest
 	offers   []exchange.TransferOffer
-	// updatedAt is when both were computed last.
+	// updatedAt is when requests and offers were last computed.
 	updatedAt time.Time
-	// othersRequests are those of other shard leaders as the leader published them at
+	// othersRequests are the requests of other shard leaders, as the leader published them at
 	// receivedAt.
 	othersRequests []exchange.TransferRequest
 	receivedAt     time.Time
 }
 
-// receiveRequests takes in what other shard leaders request, as the leader publishes it.
-func (x *machineTransfers) receiveRequests(requests []exchange.TransferRequest) {
-	x.othersRequests, x.receivedAt = requests, x.now
+// receiveRequests stores the requests of other shard leaders, as the leader publishes them.
+func (transfers *machineTransfers) receiveRequests(requests []exchange.TransferRequest) {
+	transfers.othersRequests, transfers.receivedAt = requests, transfers.now
 }
 
-// update computes the requests and offers anew. Where one shard leader runs all teams there are
-// none.
-func (x *machineTransfers) update() {
-	s := x.controller.shardLeader
-	if x.now.Sub(x.updatedAt) < leaderPeriod {
+// update computes the requests and offers anew, at most once per leaderPeriod. There are none if
+// a single shard leader runs all teams, or until the machines have been heard after a takeover.
+func (transfers *machineTransfers) update() {
+	shardLeader := transfers.controller.shardLeader
+	if transfers.now.Sub(transfers.updatedAt) < leaderPeriod {
 		return
 	}
-	x.updatedAt, x.requests, x.offers = x.now, nil, nil
-	if !x.controller.membership.hasOtherShardLeaders() || x.now.Sub(s.readyAt) <= settleTime {
+	transfers.updatedAt, transfers.requests, transfers.offers = transfers.now, nil, nil
+	if !transfers.controller.membership.hasOtherShardLeaders() || transfers.now.Sub(shardLeader.readyAt) <= settleTime {
 		return
 	}
-	x.requests = x.newRequests(s.scheduler.jobsLeftWaiting())
-	if len(x.othersRequests) > 0 && x.now.Sub(x.receivedAt) <= updateTTL {
-		x.offers = exchange.SelectOffers(x.othersRequests, x.candidates(x.longestWait() < busyMachineWait), x.ownWaitingTasks(), x.controller.knowledge.sizeOfKind, message.MaxTransferOffers)
+	transfers.requests = transfers.newRequests(shardLeader.scheduler.jobsLeftWaiting())
+	if len(transfers.othersRequests) > 0 && transfers.now.Sub(transfers.receivedAt) <= updateTTL {
+		transfers.offers = exchange.SelectOffers(transfers.othersRequests, transfers.candidates(transfers.longestWait() < busyMachineWait), transfers.ownWaitingTasks(), transfers.controller.knowledge.sizeOfKind, message.MaxTransferOffers)
 	}
 }
 
-// newRequests returns what to request for jobs that are left waiting. Jobs whose tasks are alike
-// share a request; the longest waits come first.
-func (x *machineTransfers) newRequests(waiting []waitingJob) []exchange.TransferRequest {
+// newRequests returns the requests for jobs that are left waiting. Jobs whose tasks are alike
+// share a request. The jobs with the longest waits come first.
+func (transfers *machineTransfers) newRequests(waiting []waitingJob) []exchange.TransferRequest {
 	var out []exchange.TransferRequest
 	index := map[taskShape]int{}
-	diagnosis := x.controller.shardLeader.scheduler.newWaitDiagnosis()
-	for _, w := range waiting {
-		if w.job.borrowedLoan != "" || w.job.liveTasks > 0 && w.waited < partlyRunningWait || diagnosis.reason(w) != waitsForCapacity {
+	diagnosis := transfers.controller.shardLeader.scheduler.newWaitDiagnosis()
+	for _, waitingJob := range waiting {
+		if waitingJob.job.borrowedLoan != "" || waitingJob.job.liveTasks > 0 && waitingJob.waited < partlyRunningWait || diagnosis.reason(waitingJob) != waitsForCapacity {
 			continue
 		}
-		shape := w.job.taskShape()
-		if i, known := index[shape]; known && out[i].Team == w.job.Team {
+		shape := waitingJob.job.taskShape()
+		if i, known := index[shape]; known && out[i].Team == waitingJob.job.Team {
 			out[i].Jobs++
 			continue
 		}
-		kinds := x.allowedKinds(w.job)
+		kinds := transfers.allowedKinds(waitingJob.job)
 		if len(out) >= message.MaxTransferRequests || len(kinds) == 0 {
 			continue
 		}
 		index[shape] = len(out)
-		out = append(out, exchange.TransferRequest{Team: w.job.Team, Kinds: kinds, Need: w.job.Need, Jobs: 1, Waited: w.waited})
+		out = append(out, exchange.TransferRequest{Team: waitingJob.job.Team, Kinds: kinds, Need: waitingJob.job.Need, Jobs: 1, Waited: waitingJob.waited})
 	}
-	return x.withoutArriving(out)
+	return transfers.withoutArriving(out)
 }
 
-// withoutArriving lowers requests by what machines that just came, or are coming, will serve.
-func (x *machineTransfers) withoutArriving(requests []exchange.TransferRequest) []exchange.TransferRequest {
-	arriving := x.arrivingKinds()
+// withoutArriving reduces requests by the number of jobs that arriving machines will serve.
+func (transfers *machineTransfers) withoutArriving(requests []exchange.TransferRequest) []exchange.TransferRequest {
+	arriving := transfers.arrivingKinds()
 	var out []exchange.TransferRequest
-	for _, r := range requests {
-		for _, k := range r.Kinds {
-			r.Jobs -= arriving[k]
+	for _, request := range requests {
+		for _, kind := range request.Kinds {
+			request.Jobs -= arriving[kind]
 		}
-		if r.Jobs > 0 {
-			out = append(out, r)
+		if request.Jobs > 0 {
+			out = append(out, request)
 		}
 	}
 	return out
 }
 
-// arrivingKinds counts, by kind, the machines of other owners that come here and that no task was
-// placed on yet.
-func (x *machineTransfers) arrivingKinds() map[exchange.Kind]int {
-	s := x.controller.shardLeader
+// arrivingKinds counts, by kind, the machines that come from other owners and have not been
+// heard here yet.
+func (transfers *machineTransfers) arrivingKinds() map[exchange.Kind]int {
+	shardLeader := transfers.controller.shardLeader
 	out := map[exchange.Kind]int{}
-	for _, m := range s.machinesByID {
-		if x.now.Sub(m.ownedSince) < transferSettleTime && !m.heard && m.machineType != "" {
-			out[exchange.Kind{MachineType: m.machineType, Zone: m.zone, Spot: m.spot}]++
+	for _, machine := range shardLeader.machinesByID {
+		if transfers.now.Sub(machine.ownedSince) < transferSettleTime && !machine.heard && machine.machineType != "" {
+			out[exchange.Kind{MachineType: machine.machineType, Zone: machine.zone, Spot: machine.spot}]++
 		}
 	}
-	if v := s.fleet.view; v != nil {
-		for id, r := range v.rentals {
-			if r.status == statusComing && s.machines[id] == nil {
-				out[r.machineKind.exchangeKind()]++
+	if view := shardLeader.fleet.view; view != nil {
+		for id, rental := range view.rentals {
+			if rental.status == statusComing && shardLeader.machines[id] == nil {
+				out[rental.machineKind.exchangeKind()]++
 			}
 		}
 	}
 	return out
 }
 
-// allowedKinds are the kinds of machines on which a task of a job may run now.
-func (x *machineTransfers) allowedKinds(j *job) []exchange.Kind {
+// allowedKinds returns the kinds of machines on which a task of a job may run at present.
+func (transfers *machineTransfers) allowedKinds(job *job) []exchange.Kind {
 	var out []exchange.Kind
-	for _, name := range sortedKeys(x.controller.knowledge.machineTypes) {
-		machineType := x.controller.knowledge.machineTypes[name]
-		if !j.Need.Fits(machineType.Capacity) {
+	for _, name := range sortedKeys(transfers.controller.knowledge.machineTypes) {
+		machineType := transfers.controller.knowledge.machineTypes[name]
+		if !job.Need.Fits(machineType.Capacity) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
-				if j.allowsMachine(name, zone, spot) && j.zoneAllowed(zone) && len(out) < message.MaxTransferKinds {
+				if job.allowsMachine(name, zone, spot) && job.zoneAllowed(zone) && len(out) < message.MaxTransferKinds {
 					out = append(out, exchange.Kind{MachineType: name, Zone: zone, Spot: spot})
 				}
 			}
@@ -154,76 +160,76 @@
 	return out
 }
 
-// longestWait is the longest wait that others request for.
-func (x *machineTransfers) longestWait() time.Duration {
+// longestWait returns the longest wait among the requests of other shard leaders.
+func (transfers *machineTransfers) longestWait() time.Duration {
 	longest := time.Duration(0)
-	for _, r := range x.othersRequests {
-		longest = max(longest, r.Waited)
+	for _, request := range transfers.othersRequests {
+		longest = max(longest, request.Waited)
 	}
 	return longest
 }
 
-// candidates are the machines here that could be offered; quietOnly leaves out those on which
-// something was placed lately.
-func (x *machineTransfers) candidates(quietOnly bool) []exchange.TransferOffer {
+// candidates returns an offer for each machine that may be offered. If excludeRecentlyUsed is
+// set, it leaves out machines on which a task was placed within quietTime.
+func (transfers *machineTransfers) candidates(excludeRecentlyUsed bool) []exchange.TransferOffer {
 	var out []exchange.TransferOffer
-	for _, m := range x.controller.shardLeader.machinesByID {
-		if quietOnly && x.now.Sub(m.lastPlacedAt) < quietTime {
+	for _, machine := range transfers.controller.shardLeader.machinesByID {
+		if excludeRecentlyUsed && transfers.now.Sub(machine.lastPlacedAt) < quietTime {
 			continue
 		}
-		if x.mayOffer(m) {
-			kind := exchange.Kind{MachineType: m.machineType, Zone: m.zone, Spot: m.spot}
-			out = append(out, exchange.TransferOffer{ID: m.id, Kind: kind, Free: m.free(), Attempts: len(m.attempts)})
+		if transfers.mayOffer(machine) {
+			kind := exchange.Kind{MachineType: machine.machineType, Zone: machine.zone, Spot: machine.spot}
+			out = append(out, exchange.TransferOffer{ID: machine.id, Kind: kind, Free: machine.free(), Attempts: len(machine.attempts)})
 		}
 	}
 	return out
 }
 
-// sizeOfKind is the size of the machines of a kind.
-func (k *fleetKnowledge) sizeOfKind(kind exchange.Kind) model.Resources {
-	return k.machineTypes[kind.MachineType].Capacity
+// sizeOfKind returns the capacity of the machines of a kind.
+func (knowledge *fleetKnowledge) sizeOfKind(kind exchange.Kind) model.Resources {
+	return knowledge.machineTypes[kind.MachineType].Capacity
 }
 
-// mayOffer reports whether a machine could go to another owner now.
-func (x *machineTransfers) mayOffer(m *machine) bool {
-	s := x.controller.shardLeader
+// mayOffer reports whether a machine may be offered to other owners at present.
+func (transfers *machineTransfers) mayOffer(machine *machine) bool {
+	shardLeader := transfers.controller.shardLeader
 	switch {
-	case x.now.Sub(m.ownedSince) < exchange.MinOwnership:
+	case transfers.now.Sub(machine.ownedSince) < exchange.MinOwnership:
 		return false
-	case !s.scheduler.usable(m) || !s.dispatcher.noStartInFlight(m):
+	case !shardLeader.scheduler.usable(machine) || !shardLeader.dispatcher.noStartInFlight(machine):
 		return false
-	case m.reservedFor != "" || m.evacuatingForOther || m.reservedForMigration != (model.Resources{}):
+	case machine.reservedFor != "" || machine.evacuatingForOther || machine.reservedForMigration != (model.Resources{}):
 		return false
 	}
-	for _, t := range m.attempts {
-		// What is being stopped, or was placed and is not shown yet, would change hands in
-		// the middle of that.
-		if t.stopReason != stopNone || !t.reported {
+	for _, attempt := range machine.attempts {
+		// An attempt that is being stopped, or that was placed and is not reported yet, would
+		// change owners in the middle of this transition.
+		if attempt.stopReason != stopNone || !attempt.reported {
 			return false
 		}
 	}
 	return true
 }
 
-// ownWaitingTasks are the next tasks of the jobs that wait here, one of each kind of task, with
-// the longest wait of these.
-func (x *machineTransfers) ownWaitingTasks() []exchange.WaitingTask {
-	s := x.controller.shardLeader
+// ownWaitingTasks returns the next tasks of the jobs that wait at this shard leader: one for
+// each group of jobs whose tasks are alike, with the longest wait in the group.
+func (transfers *machineTransfers) ownWaitingTasks() []exchange.WaitingTask {
+	shardLeader := transfers.controller.shardLeader
 	var out []exchange.WaitingTask
 	index := map[taskShape]int{}
-	for _, id := range sortedKeys(s.jobs) {
-		j := s.jobs[id]
-		if s.scheduler.placeableTasks(j) == 0 || !s.scheduler.withinQuotaLimit(j) || s.faultAttribution.FailsEverywhere(id) {
+	for _, id := range sortedKeys(shardLeader.jobs) {
+		job := shardLeader.jobs[id]
+		if shardLeader.scheduler.placeableTasks(job) == 0 || !shardLeader.scheduler.withinQuotaLimit(job) || shardLeader.faultAttribution.FailsEverywhere(id) {
 			continue
 		}
-		waited := s.scheduler.unservedFor(j)
-		shape := j.taskShape()
+		waited := shardLeader.scheduler.unservedFor(job)
+		shape := job.taskShape()
 		if i, known := index[shape]; known {
 			out[i].Waited = max(out[i].Waited, waited)
 			continue
 		}
 		index[shape] = len(out)
-		out = append(out, exchange.WaitingTask{Kinds: x.allowedKinds(j), Need: j.Need, Waited: waited})
+		out = append(out, exchange.WaitingTask{Kinds: transfers.allowedKinds(job), Need: job.Need, Waited: waited})
 	}
 	return out
 }
