--- a/internal/controller/effects_test.go
+++ b/internal/controller/effects_test.go
@@ -4,14 +4,14 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// emittedEffects are the effects of one kind that the controller has emitted since its
+// emittedEffects returns the effects of type E that the controller has emitted since its
 // effects were last cleared.
 func emittedEffects[E message.Effect](c *Controller) []E {
-	var out []E
+	var matching []E
 	for _, e := range c.effects {
-		if x, is := e.(E); is {
-			out = append(out, x)
+		if effect, ok := e.(E); ok {
+			matching = append(matching, effect)
 		}
 	}
-	return out
+	return matching
 }
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -8,61 +8,66 @@
 	"github.com/micahill/micahill/internal/reachability"
 )
 
-// heartbeat_proof.go says what a worker's message proves. A heartbeat may be late, or a copy of
-// an earlier one: minutes old, of a machine that is gone or that another controller owns by
-// now. Heartbeats are ordered by incarnation and sequence, but a successor knows no earlier
-// ones. So the first that counts is one that shows the current epoch, which no worker could
-// have sent before this controller's time, or the reply to a poll.
+// heartbeat_proof.go decides what a worker's message proves. A heartbeat may arrive late or
+// be a copy of an earlier heartbeat: it may be minutes old, and its machine may be gone or
+// belong to another controller. Heartbeats are ordered by incarnation and sequence, but a
+// successor doesn't know the earlier ones. So the first message that a successor applies is
+// a heartbeat that shows the current epoch, which no worker can have sent before the
+// successor owned the machine, or the reply to a poll.
 
-// maxUnprovenReplies is how many heartbeats are answered of a machine that has shown no effect
-// of any answer, while its address does not answer polls either. Each answer counts as one
-// that prolonged the lease, and puts off the proof that the lease has expired.
+// maxUnprovenReplies is how many heartbeats of a machine are answered while no heartbeat
+// shows an effect of any reply and the machine's address does not answer polls either. Each
+// reply counts as a renewal of the machine's lease, and so delays the proof that the lease
+// has expired.
 const maxUnprovenReplies = 3
 
-// heartbeatReplyTimeout is how long a worker waits for the answer to a heartbeat.
+// heartbeatReplyTimeout is how long a worker waits for the reply to a heartbeat.
 const heartbeatReplyTimeout = 4 * time.Second
 
-// supersedes says that something newer than the heartbeat is known. The epoch that a worker has
-// seen never falls: a copy from before a restart may have a higher incarnation, but not the
-// epoch of a later owner.
-func (m *machine) supersedes(r *model.Heartbeat) bool {
-	return r.Epoch < m.seenEpoch || r.Incarnation < m.incarnation || r.Incarnation == m.incarnation && r.Sequence <= m.sequence
+// supersedes reports whether a message newer than heartbeat has been applied. The epoch that a
+// worker has seen never decreases: a copy from before a worker restart may have a higher
+// incarnation, but it cannot have the epoch of a later owner.
+func (m *machine) supersedes(heartbeat *model.Heartbeat) bool {
+	return heartbeat.Epoch < m.seenEpoch || heartbeat.Incarnation < m.incarnation || heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= m.sequence
 }
 
-// handleUnprovenHeartbeat answers a heartbeat that proves nothing, and says whether it is one.
-func (h *heartbeatTracker) handleUnprovenHeartbeat(m *machine, c *message.WorkerHeartbeat) bool {
-	r := &c.Heartbeat
+// handleUnprovenHeartbeat answers a heartbeat that proves nothing about the present state of
+// m. It reports whether the heartbeat is of this kind; if not, it does nothing.
+func (tracker *heartbeatTracker) handleUnprovenHeartbeat(m *machine, received *message.WorkerHeartbeat) bool {
+	heartbeat := &received.Heartbeat
 	switch {
-	case m.heard && m.supersedes(r):
-		// A copy, or overtaken: it was sent before what is known came. If that is long ago,
-		// no worker waits for the answer any more. Else the answer has no commands. The
-		// worker may have restarted: its reply to a poll will tell.
-		h.controller.shardLeader.failover.contact(m)
-		if h.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
-			h.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
+	case m.heard && m.supersedes(heartbeat):
+		// The heartbeat is a copy or was overtaken: its worker sent it before the newest
+		// message that was applied. If that message arrived long ago, the worker has stopped
+		// waiting for this reply. Otherwise the reply carries no commands. The worker may
+		// have restarted; its reply to a poll will show that.
+		tracker.controller.shardLeader.failover.contact(m)
+		if tracker.now.Sub(m.newestMessageAt) > heartbeatReplyTimeout {
+			tracker.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 			break
 		}
-		h.controller.renewal.renewWithoutCommands(m, c)
-	case m.restartEpoch != 0 && r.Epoch <= m.restartEpoch:
-		// Perhaps from before its worker restarted. Only poll replies count until a
-		// heartbeat shows an epoch that the worker can only have seen since.
+		tracker.controller.renewal.renewWithoutCommands(m, received)
+	case m.restartEpoch != 0 && heartbeat.Epoch <= m.restartEpoch:
+		// The heartbeat may be from before the worker's restart. Only poll replies are
+		// applied until a heartbeat shows an epoch that the worker can have seen only after
+		// the restart.
 		m.probed = time.Time{}
-		h.controller.shardLeader.failover.contact(m)
-		h.controller.renewal.renewWithoutCommands(m, c)
-	case !m.heard && r.Epoch < m.epoch:
+		tracker.controller.shardLeader.failover.contact(m)
+		tracker.controller.renewal.renewWithoutCommands(m, received)
+	case !m.heard && heartbeat.Epoch < m.epoch:
 		if m.addr == "" {
-			h.controller.shardLeader.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
+			tracker.controller.shardLeader.describe(m, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot)
 		}
 		if m.unansweredProbes >= unresponsiveProbes && m.unheardHeartbeats >= maxUnprovenReplies {
-			h.emit(message.HeartbeatReply{Reply: c.Reply, Status: 503})
+			tracker.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 		} else {
 			m.unheardHeartbeats++
-			h.controller.renewal.renewWithoutCommands(m, c)
+			tracker.controller.renewal.renewWithoutCommands(m, received)
 		}
-		// If the answer arrives, the next heartbeat shows that, half a second later. The
-		// reply to a direct request comes sooner.
-		if m.incarnation = r.Incarnation; !m.dispatchInFlight && h.controller.shardLeader.failover.contactsInFlight < maxContactsInFlight {
-			h.controller.shardLeader.failover.showEpoch(m)
+		// If the reply to this heartbeat arrives, the worker's next heartbeat shows the
+		// epoch half a second later. The reply to a direct request shows it sooner.
+		if m.incarnation = heartbeat.Incarnation; !m.dispatchInFlight && tracker.controller.shardLeader.failover.contactsInFlight < maxContactsInFlight {
+			tracker.controller.shardLeader.failover.showEpoch(m)
 		}
 	default:
 		return false
@@ -70,7 +75,8 @@
 	return true
 }
 
-// machineSnapshot is what was known of a machine before one of its messages.
+// machineSnapshot is what was known of a machine at an earlier moment: before a heartbeat
+// was applied, or when a poll was sent.
 type machineSnapshot struct {
 	heard                 bool
 	incarnation, sequence uint64
@@ -78,132 +84,138 @@
 	taskReports           []model.TaskReport
 }
 
+// snapshot returns what is known of m at this moment.
 func (m *machine) snapshot() machineSnapshot {
 	return machineSnapshot{m.heard, m.incarnation, m.sequence, m.seenEpoch, m.lastTaskReports}
 }
 
-// detectReachability looks in a heartbeat that was taken in for what only an answer or a command
-// of this controller can have caused.
-func (h *heartbeatTracker) detectReachability(m *machine, r *model.Heartbeat, was machineSnapshot) {
+// detectReachability looks in a heartbeat that was applied for effects that only a reply or
+// a command of this controller can have caused, and updates m.reachability.
+func (tracker *heartbeatTracker) detectReachability(m *machine, heartbeat *model.Heartbeat, before machineSnapshot) {
 	m.unheardHeartbeats = 0
-	shown := m.shownReachable || was.epoch < m.epoch && r.Epoch >= m.epoch
+	shown := m.shownReachable || before.epoch < m.epoch && heartbeat.Epoch >= m.epoch
 	m.shownReachable = false
-	if !was.heard {
+	if !before.heard {
 		if shown {
 			m.reachability.EffectSeen()
 		}
 		return
 	}
-	if r.Incarnation > was.incarnation {
-		m.reachability.Incarnation(h.now)
-		h.probeIfUnreachable(m)
+	if heartbeat.Incarnation > before.incarnation {
+		m.reachability.Incarnation(tracker.now)
+		tracker.probeIfUnreachable(m)
 		return
 	}
-	for i := range was.taskReports {
-		// Only a command clears a task, and they are cleared in order.
-		if p := &was.taskReports[i]; p.Status == model.Ended {
-			q, there := m.taskReports[taskKey{p.Job, p.Index}]
-			shown = shown || !there || q.Attempt != p.Attempt
+	for i := range before.taskReports {
+		// A worker drops an ended task only on a clear command, and clears arrive in order.
+		if report := &before.taskReports[i]; report.Status == model.Ended {
+			current, listed := m.taskReports[taskKey{report.Job, report.Index}]
+			shown = shown || !listed || current.Attempt != report.Attempt
 			break
 		}
 	}
 	if shown {
 		m.reachability.EffectSeen()
-		h.controller.partition.requestDelivered()
+		tracker.controller.partition.requestDelivered()
 		return
 	}
-	m.reachability.HeartbeatWithoutEffect(h.now, r.Sequence > was.sequence+1, h.controller.renewal.leaseEndAfter(h.now).Sub(h.now))
-	h.probeIfUnreachable(m)
+	m.reachability.HeartbeatWithoutEffect(tracker.now, heartbeat.Sequence > before.sequence+1, tracker.controller.renewal.leaseEndAfter(tracker.now).Sub(tracker.now))
+	tracker.probeIfUnreachable(m)
 }
 
-// probeIfUnreachable polls a machine at once that perhaps receives nothing.
-func (h *heartbeatTracker) probeIfUnreachable(m *machine) {
+// probeIfUnreachable polls a machine at once if it may not receive this controller's
+// messages.
+func (tracker *heartbeatTracker) probeIfUnreachable(m *machine) {
 	if !m.reachability.Reachable() {
 		m.probed = time.Time{}
-		h.controller.shardLeader.failover.contact(m)
+		tracker.controller.shardLeader.failover.contact(m)
 	}
 }
 
-// expectAcknowledgment notes that the answer to a heartbeat will have an effect that shows.
+// expectAcknowledgment records that the reply to a heartbeat will have an effect that a
+// later heartbeat shows.
 func expectAcknowledgment(m *machine, commands []model.TaskCommand) {
 	if m.seenEpoch < m.epoch {
 		m.reachability.ExpectEffect()
 	}
-	for _, cmd := range commands {
-		if cmd.Kind != model.StopTask {
+	for _, command := range commands {
+		if command.Kind != model.StopTask {
 			m.reachability.ExpectEffect()
 			return
 		}
 	}
 }
 
-// applyPollReply takes in a machine's reply to a request, or nil if there was none, and says
-// whether there was one. was is what was known of the machine when the request was sent: if
-// the reply is older, the worker has restarted, under the same name and without its tasks.
-// No late message can look like that, since it answers a request of ours. The worker has
-// then lost its incarnation, epoch and tasks: what should run there is started there
-// again, as any start may be repeated, and goes elsewhere only with the usual proof. Late
-// heartbeats and commands of before are told apart by a higher epoch.
-func (h *heartbeatTracker) applyPollReply(m *machine, r *model.Heartbeat, was machineSnapshot) bool {
-	if r == nil || r.Machine != m.id {
+// applyPollReply applies a machine's reply to a request; reply is nil if the request got
+// none. It reports whether a valid reply arrived.
+//
+// before is what was known of the machine when the request was sent. A reply that is older
+// than that state shows that the worker has restarted under the same name, without its tasks. No late
+// message can look like that, since the reply answers a request of this controller. A
+// restarted worker has lost its incarnation, epoch and tasks. The tasks that should run
+// there are started there again, which is safe because starts are idempotent; they are
+// placed elsewhere only after the usual proof. The higher epoch of this controller
+// distinguishes late heartbeats and commands from before the restart.
+func (tracker *heartbeatTracker) applyPollReply(m *machine, reply *model.Heartbeat, before machineSnapshot) bool {
+	if reply == nil || reply.Machine != m.id {
 		m.unansweredProbes++
-		if was.heard {
-			// Before its first message the machine may not have been ready.
-			m.reachability.ProbeUnanswered(h.now)
+		if before.heard {
+			// A machine that has sent no message yet may not have been ready.
+			m.reachability.ProbeUnanswered(tracker.now)
 		}
-		h.controller.partition.requestUnanswered()
+		tracker.controller.partition.requestUnanswered()
 		return false
 	}
 	m.reachability.ProbeAnswered()
 	m.statusRequested = false
-	h.controller.partition.requestDelivered()
-	if old := (machine{incarnation: was.incarnation, sequence: was.sequence, seenEpoch: was.epoch}); was.heard && old.supersedes(r) {
-		h.info("worker restarted", "machine", m.id, "incarnation", r.Incarnation)
-		m.incarnation, m.sequence, m.seenEpoch = r.Incarnation, r.Sequence-min(r.Sequence, 1), 0
+	tracker.controller.partition.requestDelivered()
+	if old := (machine{incarnation: before.incarnation, sequence: before.sequence, seenEpoch: before.epoch}); before.heard && old.supersedes(reply) {
+		tracker.info("worker restarted", "machine", m.id, "incarnation", reply.Incarnation)
+		m.incarnation, m.sequence, m.seenEpoch = reply.Incarnation, reply.Sequence-min(reply.Sequence, 1), 0
 		m.restartEpoch, m.rerouted = m.epoch, message.ReroutedHeartbeat{}
-		m.leaseEnd = later(m.leaseEnd, h.controller.renewal.leaseEndAfter(later(h.now, m.formerOwnerUntil)))
+		m.leaseEnd = later(m.leaseEnd, tracker.controller.renewal.leaseEndAfter(later(tracker.now, m.formerOwnerUntil)))
 		if m.replySequence != 0 {
-			m.replySequence = r.Sequence
+			m.replySequence = reply.Sequence
 		}
 		m.taskReports, m.lastTaskReports, m.images = nil, nil, map[string]*image{}
-		for _, k := range sortedAttempts(m) {
-			if t := m.attempts[k]; t.isRunning() {
-				h.controller.shardLeader.jobs[k.job].runningTasks--
+		for _, key := range sortedAttempts(m) {
+			if t := m.attempts[key]; t.isRunning() {
+				tracker.controller.shardLeader.jobs[key.job].runningTasks--
 			}
-			m.attempts[k].reported, m.attempts[k].startedAt = false, time.Time{}
+			m.attempts[key].reported, m.attempts[key].startedAt = false, time.Time{}
 		}
-		h.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
+		tracker.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
 	}
-	h.applyHeartbeat(m, r, false)
+	tracker.applyHeartbeat(m, reply, false)
 	m.shownReachable = false
 	return true
 }
 
-// unreachableMachines lists the machines to release that send heartbeats and receive nothing.
-// reporting is how many machines should send heartbeats.
-func (h *heartbeatTracker) unreachableMachines(reporting int) []string {
-	s := h.controller.shardLeader
+// unreachableMachines returns the ids of the machines to release because they send
+// heartbeats and receive nothing. reporting is how many machines should send heartbeats.
+func (tracker *heartbeatTracker) unreachableMachines(reporting int) []string {
+	leader := tracker.controller.shardLeader
 	var unreachable []reachability.Machine
-	for _, m := range s.machinesByID {
-		if !m.heard || m.releasing || h.unresponsive(m) {
+	for _, m := range leader.machinesByID {
+		if !m.heard || m.releasing || tracker.unresponsive(m) {
 			continue
 		}
-		if since, is := m.reachability.Unreachable(h.now); is {
-			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + s.remoteAttempts.registry.LiveCount(m.id), UnreachableFor: since})
+		if unreachableFor, isUnreachable := m.reachability.Unreachable(tracker.now); isUnreachable {
+			unreachable = append(unreachable, reachability.Machine{ID: m.id, Tasks: len(m.attempts) + leader.remoteAttempts.registry.LiveCount(m.id), UnreachableFor: unreachableFor})
 		}
 	}
 	if len(unreachable) == 0 {
 		return nil
 	}
 	policy := reachability.ReleasePolicy{
-		SingleTimeout:  unresponsiveProbes*probeInterval + h.maxHeartbeatInterval(),
-		LeaseRemaining: h.controller.renewal.leaseEndAfter(h.now).Sub(h.now),
-		LastReleased:   h.unreachableReleasedAt,
+		SingleTimeout:  unresponsiveProbes*probeInterval + tracker.maxHeartbeatInterval(),
+		LeaseRemaining: tracker.controller.renewal.leaseEndAfter(tracker.now).Sub(tracker.now),
+		LastReleased:   tracker.unreachableReleasedAt,
 	}
-	toRelease := reachability.SelectReleases(h.now, policy, reporting, unreachable)
+	toRelease := reachability.SelectReleases(tracker.now, policy, reporting, unreachable)
 	if len(toRelease) > 0 {
-		h.unreachableReleasedAt = h.now
-		h.info("machines unreachable", "machines", len(unreachable), "of", reporting, "released", len(toRelease))
+		tracker.unreachableReleasedAt = tracker.now
+		tracker.info("machines unreachable", "machines", len(unreachable), "of", reporting, "released", len(toRelease))
 	}
 	return toRelease
 }
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -9,8 +9,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// machineWithTask clears the pool's jobs and gives its first machine one task, which runs
-// there.
+// machineWithTask removes all jobs of the pool and runs one task of a new job on its first
+// machine.
 func machineWithTask(c *Controller) (*machine, *job) {
 	c.shardLeader.jobs = map[string]*job{}
 	for _, m := range c.shardLeader.machinesByID {
@@ -23,22 +23,23 @@
 	return m, j
 }
 
-// answerPoll answers the poll that the controller has just sent to a machine, or with nil
-// lets it fail.
-func (c *Controller) answerPoll(t *testing.T, m *machine, r *model.Heartbeat) {
+// answerPoll answers the poll that the controller has just sent to m with heartbeat, or lets
+// the poll fail if heartbeat is nil.
+func (c *Controller) answerPoll(t *testing.T, m *machine, heartbeat *model.Heartbeat) {
 	t.Helper()
-	for _, op := range emittedEffects[message.WorkerRequest](c) {
-		if op.Machine == m.id {
+	for _, request := range emittedEffects[message.WorkerRequest](c) {
+		if request.Machine == m.id {
 			c.effects = nil
-			c.handleCommand(message.WorkerResponse{ID: op.ID, OK: true, Heartbeat: r})
+			c.handleCommand(message.WorkerResponse{ID: request.ID, OK: true, Heartbeat: heartbeat})
 			return
 		}
 	}
 	t.Fatalf("got no poll of %s, want one", m.id)
 }
 
-// TestCommandWithoutReply: after a command without an answer nothing more is placed on a
-// machine, though its heartbeats arrive; it is polled, and used again with its first answer.
+// TestCommandWithoutReply guards against placing tasks on a machine that receives no
+// commands. After a command without a reply the machine is not used, though its heartbeats
+// arrive. It is polled, and used again after its first reply.
 func TestCommandWithoutReply(t *testing.T) {
 	c := largePool(12)
 	m, _ := machineWithTask(c)
@@ -47,37 +48,38 @@
 	c.answerPoll(t, m, nil)
 	c.nextHeartbeat(0, m.lastTaskReports...)
 	if c.shardLeader.scheduler.usable(m) {
-		t.Fatal("got the machine usable without an answer, want unusable")
+		t.Fatal("got the machine usable without a reply, want unusable")
 	}
 	c.shardLeader.failover.contact(m)
 	c.answerPoll(t, m, nil)
 	c.now = c.now.Add(20 * time.Second)
-	for _, x := range c.shardLeader.machinesByID {
-		x.lastHeard = c.now
+	for _, other := range c.shardLeader.machinesByID {
+		other.lastHeard = c.now
 	}
-	if back := c.shardLeader.heartbeats.unreachableMachines(12); len(back) != 1 || back[0] != m.id {
-		t.Errorf("got unreachable machines %v, want %s", back, m.id)
+	if unreachable := c.shardLeader.heartbeats.unreachableMachines(12); len(unreachable) != 1 || unreachable[0] != m.id {
+		t.Errorf("got unreachable machines %v, want %s", unreachable, m.id)
 	}
 	c.shardLeader.failover.contact(m)
-	r := c.poolHeartbeat(0)
-	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
-	c.answerPoll(t, m, r)
+	heartbeat := c.poolHeartbeat(0)
+	heartbeat.Sequence, heartbeat.Epoch, heartbeat.Tasks = m.sequence+1, m.epoch, m.lastTaskReports
+	c.answerPoll(t, m, heartbeat)
 	if !c.shardLeader.scheduler.usable(m) || len(c.shardLeader.heartbeats.unreachableMachines(12)) != 0 {
-		t.Error("got the machine unusable after its answer, want usable")
+		t.Error("got the machine unusable after its reply, want usable")
 	}
 }
 
-// TestLeaseExpiresDespiteHeartbeats: a later incarnation of a machine whose heartbeats arrive
-// proves its tasks gone, and makes it doubtful that answers reach it; a heartbeat that shows
-// a start ends the doubt.
+// TestLeaseExpiresDespiteHeartbeats checks a machine that reports a later incarnation
+// although its heartbeats were answered. The incarnation proves its tasks gone, and the
+// machine is not used, since replies may not reach it. A heartbeat that shows a newly
+// started task makes it usable again.
 func TestLeaseExpiresDespiteHeartbeats(t *testing.T) {
 	c := largePool(12)
 	m, j := machineWithTask(c)
 	sendHeartbeat := func(incarnation, sequence uint64, tasks ...model.TaskReport) {
-		r := c.poolHeartbeat(0)
-		r.Incarnation, r.Sequence, r.Epoch, r.Tasks = incarnation, sequence, m.epoch, tasks
+		heartbeat := c.poolHeartbeat(0)
+		heartbeat.Incarnation, heartbeat.Sequence, heartbeat.Epoch, heartbeat.Tasks = incarnation, sequence, m.epoch, tasks
 		c.now = c.now.Add(3 * time.Second)
-		c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+		c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
 	}
 	sendHeartbeat(2, m.sequence+1)
 	if j.liveTasks != 0 || c.shardLeader.scheduler.usable(m) {
@@ -91,38 +93,40 @@
 	}
 }
 
-// TestDuplicateHeartbeats: a heartbeat that arrives once more, or whose first arrival is under
-// an earlier epoch, proves no machine alive, is no reclaim notice and no end of an attempt,
-// causes no command, and delays no proof.
+// TestDuplicateHeartbeats guards against trusting copies. A heartbeat that arrives twice, or
+// that arrives first under an earlier epoch, doesn't prove the machine alive, announces no
+// reclaim, ends no attempt, causes no command, and doesn't delay the proof that the lease
+// has expired.
 func TestDuplicateHeartbeats(t *testing.T) {
 	c := largePool(12)
 	m, j := machineWithTask(c)
-	heard, sequence, end := m.lastHeard, m.sequence, m.leaseEnd
+	lastHeard, sequence, leaseEnd := m.lastHeard, m.sequence, m.leaseEnd
 	old := c.poolHeartbeat(0)
 	old.Sequence, old.Epoch, old.ReclaimIn = 1, m.epoch, time.Second
 	old.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Ended, Cause: "done"}}
 	c.now = c.now.Add(time.Hour)
 	c.effects = nil
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *old})
-	if m.lastHeard != heard || m.sequence != sequence || m.reclaimNoticed || j.doneTasks != 0 || m.leaseEnd != end {
-		t.Error("got a copy of a heartbeat taken for new, want it ignored")
+	if m.lastHeard != lastHeard || m.sequence != sequence || m.reclaimNoticed || j.doneTasks != 0 || m.leaseEnd != leaseEnd {
+		t.Error("got a copy of a heartbeat applied, want it ignored")
 	}
-	for _, r := range emittedEffects[message.HeartbeatReply](c) {
-		if r.Status != 503 {
-			t.Errorf("copy: got answer %d with %v, want 503", r.Status, r.Commands)
+	for _, reply := range emittedEffects[message.HeartbeatReply](c) {
+		if reply.Status != 503 {
+			t.Errorf("copy: got reply %d with %v, want 503", reply.Status, reply.Commands)
 		}
 	}
-	// The worker waits for the answer to one that was overtaken, and that answer counts.
+	// The worker still waits for the reply to a heartbeat that was overtaken, so this reply
+	// counts as a lease renewal.
 	c.now, c.effects = m.newestMessageAt.Add(time.Second), nil
 	m.leaseEnd = c.now
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *old})
-	for _, r := range emittedEffects[message.HeartbeatReply](c) {
-		if r.Status != 200 || len(r.Commands) > 0 {
-			t.Errorf("overtaken: got answer %d with %v, want 200 without commands", r.Status, r.Commands)
+	for _, reply := range emittedEffects[message.HeartbeatReply](c) {
+		if reply.Status != 200 || len(reply.Commands) > 0 {
+			t.Errorf("overtaken: got reply %d with %v, want 200 without commands", reply.Status, reply.Commands)
 		}
 	}
 	if m.leaseEnd.Before(c.renewal.leaseEndAfter(c.now)) || m.sequence != sequence {
-		t.Error("got a lease end that leaves out the answer, want it counted")
+		t.Error("got a lease end that leaves out the reply, want the reply counted as a renewal")
 	}
 	// A successor knows no earlier sequence.
 	c = largePool(1)
@@ -131,32 +135,32 @@
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	m = c.shardLeader.machines[earlyHeartbeat.Machine]
 	if m.heard || m.reclaimNoticed || c.shardLeader.scheduler.usable(m) || len(m.taskReports) > 0 {
-		t.Fatal("got the first heartbeat counted under an earlier epoch, want it ignored")
+		t.Fatal("got the first heartbeat applied under an earlier epoch, want it ignored")
 	}
 	c.answerPoll(t, m, nil)
 	for range 2 {
-		// Its address does not answer, and more copies arrive.
+		// The machine's address does not answer, and more copies arrive.
 		c.now, c.effects = c.now.Add(4*time.Second), nil
 		earlyHeartbeat.Sequence++
 		c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 		c.answerPoll(t, m, nil)
 	}
-	end = m.leaseEnd
+	leaseEnd = m.leaseEnd
 	c.now = c.now.Add(4 * time.Second)
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
-	if m.leaseEnd != end {
-		t.Errorf("got lease end %v after copies, want %v", m.leaseEnd, end)
+	if m.leaseEnd != leaseEnd {
+		t.Errorf("got lease end %v after copies, want %v", m.leaseEnd, leaseEnd)
 	}
 	earlyHeartbeat.Sequence, earlyHeartbeat.Epoch = earlyHeartbeat.Sequence+1, m.epoch
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: earlyHeartbeat})
 	if !m.heard || !m.reclaimNoticed {
-		t.Error("got a heartbeat with this owner's epoch ignored, want it counted")
+		t.Error("got a heartbeat with this owner's epoch ignored, want it applied")
 	}
 }
 
-// TestWorkerRestart: a worker that answers with less than was known has restarted. Its tasks
-// start there again; a late heartbeat of the former worker is recognised, and so is one that
-// only resembles its first heartbeats.
+// TestWorkerRestart checks a worker that answers a poll with a lower sequence than was
+// known: it has restarted. Its tasks are started on it again. A late heartbeat of the former
+// worker process, and a copy of one of its first heartbeats, are recognized and ignored.
 func TestWorkerRestart(t *testing.T) {
 	c := largePool(12)
 	m, j := machineWithTask(c)
@@ -164,7 +168,7 @@
 	first.Sequence, first.Epoch = 1, 0
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *first})
 	if m.restartEpoch != 0 || m.sequence == 1 {
-		t.Fatal("got a copy of its first heartbeat taken for a restart, want it ignored")
+		t.Fatal("got a copy of the first heartbeat treated as a restart, want it ignored")
 	}
 	c.effects, m.statusRequested, m.probed = nil, false, time.Time{}
 	m.rerouted = message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
@@ -177,36 +181,38 @@
 		t.Fatalf("got restart epoch %d with %d live tasks, want %d with 1", m.restartEpoch, j.liveTasks, m.epoch)
 	}
 	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StartTask {
-		t.Errorf("got commands %v, want its task's start", commands)
+		t.Errorf("got commands %v, want a start of the task", commands)
 	}
-	// A heartbeat of the former worker arrives late, with a higher sequence and without the
-	// task.
+	// A heartbeat of the former worker process arrives late, with a higher sequence and
+	// without the task.
 	late := c.poolHeartbeat(0)
 	late.Sequence, late.Epoch = 900, m.epoch
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.sequence == 900 || j.liveTasks != 1 {
-		t.Error("got a heartbeat of the former worker counted, want it ignored")
+		t.Error("got a heartbeat of the former worker process applied, want it ignored")
 	}
-	// Under a higher epoch, which only the new worker can have seen, heartbeats count again.
+	// Heartbeats count again under a higher epoch, which only the restarted worker can have
+	// seen.
 	c.putSegment(t, c.settings.Host, 9, m.id)
 	c.syncShardLeader()
 	late.Sequence, late.Epoch = 5, 9
 	late.Tasks = []model.TaskReport{{Job: j.ID, Index: 0, Attempt: 1, Status: model.Running}}
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.epoch != 9 || m.sequence != 5 {
-		t.Errorf("got epoch %d and sequence %d, want 9 and 5 by the heartbeat under the higher epoch", m.epoch, m.sequence)
+		t.Errorf("got epoch %d and sequence %d, want 9 and 5 from the heartbeat under the higher epoch", m.epoch, m.sequence)
 	}
-	// A copy of an earlier time has a higher incarnation, and an epoch that the worker has
-	// left behind.
+	// A copy from an earlier owner's time has a higher incarnation, but an epoch lower than
+	// the worker has seen.
 	late.Incarnation, late.Sequence, late.Epoch, late.Tasks = 7, 1, 8, nil
 	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *late})
 	if m.incarnation == 7 || j.liveTasks != 1 {
-		t.Error("got a copy of an earlier owner's time taken as proof of an expired lease, want it ignored")
+		t.Error("got a copy from an earlier owner's time treated as proof of an expired lease, want it ignored")
 	}
 }
 
-// TestLateSubmitReply: the answer to a submission may arrive after the job was cancelled and
-// is over; it does not make the owner add the job again.
+// TestLateSubmitReply guards against adding a finished job again. The reply to a submission
+// may arrive after the job was cancelled and is over; the job's owner must then not add the
+// job.
 func TestLateSubmitReply(t *testing.T) {
 	c := twoControllers(t)
 	c.frontend.watchCache.revision = 20
@@ -221,43 +227,45 @@
 	c.frontend.watchCache.revision = 22
 	c.observeOwnWrite(put)
 	if c.shardLeader.jobs[spec.ID] != nil {
-		t.Error("got the job added again by a late answer, want it left out")
+		t.Error("got the job added again by a late reply, want no job")
 	}
 }
 
-// TestExpiredLeaseStartsNothing: a controller whose lease may have ended goes on answering its
-// workers and starts nothing, not even what is durable: its job may have been cancelled.
+// TestExpiredLeaseStartsNothing guards against starting a task of a cancelled job. A
+// controller whose membership lease may have ended may miss the cancellation, so it goes on
+// answering its workers but starts nothing, not even attempts that are durable.
 func TestExpiredLeaseStartsNothing(t *testing.T) {
 	c := largePool(12)
 	m, j := machineWithTask(c)
 	c.shardLeader.attachAttempt(j, 0, m)
 	j.tasks[0].startSent = false
-	sendHeartbeat := func() (out []model.TaskCommand) {
+	sendHeartbeat := func() (commandsSent []model.TaskCommand) {
 		c.effects = nil
-		r := c.poolHeartbeat(0)
-		r.Sequence, r.Epoch = m.sequence+1, m.epoch
-		c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-		for _, a := range emittedEffects[message.HeartbeatReply](c) {
-			if a.Status != 200 {
-				t.Fatalf("got answer %d to a heartbeat, want 200", a.Status)
+		heartbeat := c.poolHeartbeat(0)
+		heartbeat.Sequence, heartbeat.Epoch = m.sequence+1, m.epoch
+		c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
+		for _, reply := range emittedEffects[message.HeartbeatReply](c) {
+			if reply.Status != 200 {
+				t.Fatalf("got reply %d to a heartbeat, want 200", reply.Status)
 			}
-			out = append(out, a.Commands...)
+			commandsSent = append(commandsSent, reply.Commands...)
 		}
-		return out
+		return commandsSent
 	}
 	c.membership.leaseValidUntil = c.now.Add(-time.Second)
 	if commands := sendHeartbeat(); len(commands) != 0 || j.tasks[0].startSent {
-		t.Errorf("got commands %v after the lease, want none", commands)
+		t.Errorf("got commands %v after the lease ended, want none", commands)
 	}
 	c.membership.leaseValidUntil = c.now.Add(time.Second)
 	if commands := sendHeartbeat(); len(commands) != 1 || commands[0].Kind != model.StartTask {
-		t.Errorf("got commands %v, want the task's start", commands)
+		t.Errorf("got commands %v, want a start of the task", commands)
 	}
 }
 
-// TestReroutedHeartbeats: a machine whose heartbeats reach other controllers is alive and may
-// not receive this owner's answers: it is not unresponsive, and gets no work. What is older,
-// or under an earlier epoch, proves nothing.
+// TestReroutedHeartbeats checks a machine whose heartbeats reach other controllers. It is
+// alive, so it is not unresponsive; it may not receive its owner's replies, so it gets no
+// tasks. A rerouted heartbeat that is older than the known ones, or under an earlier epoch,
+// proves nothing.
 func TestReroutedHeartbeats(t *testing.T) {
 	c := largePool(12)
 	m, _ := machineWithTask(c)
@@ -272,13 +280,13 @@
 	} {
 		c.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{tc.heartbeat})
 		if !c.shardLeader.heartbeats.unresponsive(m) {
-			t.Errorf("%s: got the machine responsive by %v, want unresponsive", tc.name, tc.heartbeat)
+			t.Errorf("%s: got the machine responsive after %v, want unresponsive", tc.name, tc.heartbeat)
 		}
 	}
 	m.epoch++
 	c.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{{ID: m.id, Epoch: m.epoch - 1, Incarnation: m.incarnation, Sequence: m.sequence + 5}})
 	if !c.shardLeader.heartbeats.unresponsive(m) {
-		t.Error("got the machine responsive by a heartbeat without an epoch of this owner's time, want unresponsive")
+		t.Error("got the machine responsive after a heartbeat under a former owner's epoch, want unresponsive")
 	}
 	m.epoch--
 	rerouted := message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: m.sequence + 5}
@@ -289,15 +297,16 @@
 	c.now = c.now.Add(5 * c.shardLeader.heartbeats.unresponsiveAfter(m))
 	c.partition.applyReroutedHeartbeats([]message.ReroutedHeartbeat{rerouted})
 	if !c.shardLeader.heartbeats.unresponsive(m) {
-		t.Error("got the machine responsive by a repeated update, want unresponsive")
+		t.Error("got the machine responsive after a repeated update, want unresponsive")
 	}
 	if (&message.PeerUpdate{From: "b", Rerouted: make([]message.ReroutedHeartbeat, message.MaxReroutedHeartbeats+1)}).Validate() == nil || (&message.PeerUpdate{From: "b", Rerouted: []message.ReroutedHeartbeat{{}}}).Validate() == nil {
 		t.Error("got an invalid peer update accepted, want it rejected")
 	}
 }
 
-// TestHeartbeatUnderEarlierEpoch: a newer heartbeat under an earlier epoch, of a machine that
-// is known, says what was there, and not that the machine is alive now.
+// TestHeartbeatUnderEarlierEpoch checks that a newer heartbeat under an earlier epoch
+// updates the tasks of a known machine, but doesn't prove that the machine is alive at
+// present.
 func TestHeartbeatUnderEarlierEpoch(t *testing.T) {
 	c := largePool(12)
 	m, _ := machineWithTask(c)
@@ -306,14 +315,14 @@
 	c.syncShardLeader()
 	c.now = c.now.Add(5 * c.shardLeader.heartbeats.unresponsiveAfter(m))
 	c.membership.leaseValidUntil = c.now.Add(time.Second)
-	r := c.poolHeartbeat(0)
-	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, earlierEpoch, m.lastTaskReports
-	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
-	if m.sequence != r.Sequence || !c.shardLeader.heartbeats.unresponsive(m) {
-		t.Errorf("got sequence %d and unresponsive %v, want %d and true", m.sequence, c.shardLeader.heartbeats.unresponsive(m), r.Sequence)
-	}
-	r.Sequence, r.Epoch = m.sequence+1, m.epoch
-	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *r})
+	heartbeat := c.poolHeartbeat(0)
+	heartbeat.Sequence, heartbeat.Epoch, heartbeat.Tasks = m.sequence+1, earlierEpoch, m.lastTaskReports
+	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
+	if m.sequence != heartbeat.Sequence || !c.shardLeader.heartbeats.unresponsive(m) {
+		t.Errorf("got sequence %d and unresponsive %v, want %d and true", m.sequence, c.shardLeader.heartbeats.unresponsive(m), heartbeat.Sequence)
+	}
+	heartbeat.Sequence, heartbeat.Epoch = m.sequence+1, m.epoch
+	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
 	if c.shardLeader.heartbeats.unresponsive(m) {
 		t.Error("got the machine unresponsive after a heartbeat under the present epoch, want responsive")
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -11,182 +11,192 @@
 	"github.com/micahill/micahill/internal/remote"
 )
 
-// maxMissedStarts is how many heartbeats in a row may lack a task that the answer to each
-// heartbeat before them had started. One answer may be late and dropped, or lost.
+// maxMissedStarts is how many heartbeats in a row may lack a task although the reply to each
+// heartbeat before them carried its start command. It is above one because a single reply
+// may be lost, or arrive late and be dropped by the worker.
 const maxMissedStarts = 5
 
-// heartbeatTracker takes in what workers report, and judges from it which machines are
-// unresponsive, unreachable or faulty.
+// heartbeatTracker applies the heartbeats and poll replies of workers, and decides from them
+// which machines are unresponsive, unreachable or faulty.
 //
-// It is part of a shardLeader and its methods are called only while that one leads: with
-// each heartbeat or poll reply, and by the sweep of the machines. A successor starts with
-// none of this; heartbeat_proof.go says from when on it believes a heartbeat.
+// It is part of a shardLeader. Its methods are called only while that shard leader leads:
+// with each heartbeat or poll reply, and by the periodic check of all machines. A successor
+// starts with an empty tracker; heartbeat_proof.go says which heartbeat is the first that a
+// successor applies.
 //
-// Invariant: what a message changes here was sent after everything that is known of the
-// machine.
+// Invariant: a message changes the state of a machine here only if the worker sent it after
+// every message already applied for that machine.
 type heartbeatTracker struct {
 	component
 
-	// lastHeartbeats has the newest heartbeat of removed machines; see stale_heartbeat.go.
+	// lastHeartbeats holds the newest heartbeat of each removed machine; see
+	// stale_heartbeat.go.
 	lastHeartbeats map[string]lastHeartbeat
-	// unreachableReleasedAt is when a machine that receives nothing was last released.
+	// unreachableReleasedAt is when an unreachable machine was last released.
 	unreachableReleasedAt time.Time
 	// correlatedFailureLoggedAt is when a correlated machine failure was last logged.
 	correlatedFailureLoggedAt time.Time
 }
 
-// handleHeartbeat takes in a heartbeat that waits for its answer.
-func (c *Controller) handleHeartbeat(hb message.WorkerHeartbeat) {
-	s := c.shardLeader
-	r := &hb.Heartbeat
-	c.partition.heartbeatReceived(r)
-	segment, mine := c.membership.ownedMachine(r.Machine)
+// handleHeartbeat applies a heartbeat whose worker waits for the reply, and emits the reply.
+func (c *Controller) handleHeartbeat(received message.WorkerHeartbeat) {
+	leader := c.shardLeader
+	heartbeat := &received.Heartbeat
+	c.partition.heartbeatReceived(heartbeat)
+	segment, owned := c.membership.ownedMachine(heartbeat.Machine)
 	switch {
-	case s == nil || !mine:
-		c.rerouteHeartbeat(&hb)
+	case leader == nil || !owned:
+		c.rerouteHeartbeat(&received)
 		return
-	case r.Epoch > segment.Epoch:
-		// Another controller has a higher epoch: this one was deposed or its watch is
-		// late. The worker drops answers with a lower epoch and would wait here while its
-		// lease expires, so send it on. If the machine is ours all the same, it needs a
-		// higher epoch; see maybeBumpEpoch.
-		s.failover.noteHigherEpoch(r.Machine)
-		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421})
+	case heartbeat.Epoch > segment.Epoch:
+		// Another controller owns the machine under a higher epoch: this controller was
+		// deposed, or its watch lags. The worker drops replies with a lower epoch, so it
+		// would wait here until its lease expires; status 421 sends the worker to another
+		// controller. If this controller does own the machine, it needs a higher epoch; see
+		// maybeBumpEpoch.
+		leader.failover.noteHigherEpoch(heartbeat.Machine)
+		c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 421})
 		return
 	case c.now.After(c.renewal.renewalDeadline()):
-		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 503})
+		c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 		return
-	case !s.ready:
-		c.renewal.renewBeforeRecovery(&hb, segment.Epoch)
+	case !leader.ready:
+		c.renewal.renewBeforeRecovery(&received, segment.Epoch)
 		return
-	case c.knowledge.released[r.Machine]:
-		// It gets no work any more and is about to be gone.
-		c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 503})
+	case c.knowledge.released[heartbeat.Machine]:
+		// The machine's release was requested: it gets no more tasks and will be gone soon.
+		c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 		return
 	}
-	m := s.ensureMachine(r.Machine)
-	if s.heartbeats.handleUnprovenHeartbeat(m, &hb) {
+	m := leader.ensureMachine(heartbeat.Machine)
+	if leader.heartbeats.handleUnprovenHeartbeat(m, &received) {
 		return
 	}
-	s.failover.clearHigherEpoch(r.Machine)
+	leader.failover.clearHigherEpoch(heartbeat.Machine)
 	before := m.snapshot()
-	s.heartbeats.applyHeartbeat(m, r, true)
-	s.heartbeats.detectReachability(m, r, before)
-	// Computed once for both: nearly all heartbeats are of settled machines.
+	leader.heartbeats.applyHeartbeat(m, heartbeat, true)
+	leader.heartbeats.detectReachability(m, heartbeat, before)
+	// Computed once for both the lease renewal and the commands: nearly all heartbeats come
+	// from settled machines.
 	settled := m.settled()
-	until, renews := c.renewal.renewLease(m, settled, nil, hb.Reply)
+	until, renews := c.renewal.renewLease(m, settled, nil, received.Reply)
 	if !renews {
 		return
 	}
-	commands := s.dispatcher.pendingCommands(m, settled)
-	for _, cmd := range commands {
-		if cmd.Kind == model.StartTask {
-			m.replySequence = r.Sequence
+	commands := leader.dispatcher.pendingCommands(m, settled)
+	for _, command := range commands {
+		if command.Kind == model.StartTask {
+			m.replySequence = heartbeat.Sequence
 		}
 	}
 	expectAcknowledgment(m, commands)
 	c.emit(message.HeartbeatReply{
-		Reply: hb.Reply, Status: 200, Epoch: m.epoch, Commands: commands,
+		Reply: received.Reply, Status: 200, Epoch: m.epoch, Commands: commands,
 		SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m),
 	})
 }
 
-// rerouteHeartbeat sends the worker of a machine that is not this controller's to the machine
-// owner, as far as it is known, and lets that one know that the worker came here.
-func (c *Controller) rerouteHeartbeat(hb *message.WorkerHeartbeat) {
-	ownerHost := c.membership.liveMachineOwner(hb.Heartbeat.Machine)
+// rerouteHeartbeat sends the worker of a machine that this controller doesn't own to the
+// machine's owner, if the owner is known, and reports the reroute to the owner.
+func (c *Controller) rerouteHeartbeat(received *message.WorkerHeartbeat) {
+	ownerHost := c.membership.liveMachineOwner(received.Heartbeat.Machine)
 	if ownerHost == c.settings.Host {
 		ownerHost = ""
 	}
 	if ownerHost != "" {
-		c.partition.noteRerouted(&hb.Heartbeat, ownerHost)
+		c.partition.noteRerouted(&received.Heartbeat, ownerHost)
 	}
-	c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 421, MachineOwner: ownerHost})
+	c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 421, MachineOwner: ownerHost})
 }
 
-// applyHeartbeat takes in a heartbeat or a poll reply, unless something newer is known.
-func (h *heartbeatTracker) applyHeartbeat(m *machine, r *model.Heartbeat, isHeartbeat bool) {
-	if m.heard && m.supersedes(r) {
+// applyHeartbeat applies a heartbeat or a poll reply, unless a newer message of the machine
+// has been applied.
+func (tracker *heartbeatTracker) applyHeartbeat(m *machine, heartbeat *model.Heartbeat, isHeartbeat bool) {
+	if m.heard && m.supersedes(heartbeat) {
 		return
 	}
-	h.controller.shardLeader.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
-	// After the worker has restarted, a start of before that got no answer may take effect in
-	// a later incarnation of the same number, until the worker has seen a higher epoch. That
-	// a higher one was assigned meanwhile proves nothing.
-	leaseExpired := m.heard && r.Incarnation > m.incarnation && !(m.unackedStartEpoch != 0 && m.restartEpoch >= m.unackedStartEpoch && r.Epoch <= m.unackedStartEpoch)
+	tracker.controller.shardLeader.describe(m, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot)
+	// After a worker restart, an unacknowledged start from before the restart may still take
+	// effect, in a later incarnation with the same number, until the worker has seen a
+	// higher epoch. The assignment of a higher epoch alone does not prove that the worker
+	// has seen it.
+	leaseExpired := m.heard && heartbeat.Incarnation > m.incarnation && !(m.unackedStartEpoch != 0 && m.restartEpoch >= m.unackedStartEpoch && heartbeat.Epoch <= m.unackedStartEpoch)
 	if leaseExpired {
-		// A later incarnation: the worker has killed and forgotten everything.
-		h.debug("worker lease expired", "machine", m.id, "incarnation", r.Incarnation)
-		h.loseAllAttempts(m, r)
+		// A later incarnation means that the worker has killed and forgotten all its tasks.
+		tracker.debug("worker lease expired", "machine", m.id, "incarnation", heartbeat.Incarnation)
+		tracker.loseAllAttempts(m, heartbeat)
 	}
 	if !m.heard {
-		m.idleSince = h.now
-		h.controller.shardLeader.persistence.recoverCachedImages(m)
-		h.controller.shardLeader.fleet.becameReady(m)
+		m.idleSince = tracker.now
+		tracker.controller.shardLeader.persistence.recoverCachedImages(m)
+		tracker.controller.shardLeader.fleet.becameReady(m)
 	}
 	if !m.heard || leaseExpired {
 		m.replySequence, m.unackedStartEpoch = 0, 0
 	}
-	if !m.heard || r.Incarnation > m.incarnation {
-		// Its lease has begun by now; what was known of an earlier one says nothing of it.
-		// Known by a poll reply, it may get work before any of its heartbeats is answered,
-		// and a former owner may go on prolonging the lease for a while.
-		m.leaseEnd = later(m.leaseEnd, h.controller.renewal.leaseEndAfter(later(h.now, m.formerOwnerUntil)))
+	if !m.heard || heartbeat.Incarnation > m.incarnation {
+		// The lease of this incarnation has begun by this moment; the lease end of an
+		// earlier incarnation says nothing about it. A machine known from a poll reply may
+		// get tasks before any of its heartbeats is answered, and a former owner may renew
+		// its lease for some time.
+		m.leaseEnd = later(m.leaseEnd, tracker.controller.renewal.leaseEndAfter(later(tracker.now, m.formerOwnerUntil)))
 	}
-	m.heard, m.incarnation, m.sequence = true, r.Incarnation, r.Sequence
-	m.seenEpoch = max(m.seenEpoch, r.Epoch)
-	if m.newestMessageAt = h.now; !isHeartbeat || r.Epoch >= m.epoch {
-		// Sent under this controller's epoch, and no older than what was known.
-		m.lastHeard, m.unansweredProbes = h.now, 0
+	m.heard, m.incarnation, m.sequence = true, heartbeat.Incarnation, heartbeat.Sequence
+	m.seenEpoch = max(m.seenEpoch, heartbeat.Epoch)
+	if m.newestMessageAt = tracker.now; !isHeartbeat || heartbeat.Epoch >= m.epoch {
+		// The worker sent this message under this controller's epoch, and after every
+		// message applied before.
+		m.lastHeard, m.unansweredProbes = tracker.now, 0
 	}
 	m.dispatchUnanswered = false
-	if r.ReclaimIn >= 0 {
+	if heartbeat.ReclaimIn >= 0 {
 		if !m.reclaimNoticed {
-			h.debug("reclaim notice received", "machine", m.id, "in", r.ReclaimIn)
+			tracker.debug("reclaim notice received", "machine", m.id, "in", heartbeat.ReclaimIn)
 		}
-		m.reclaimNoticed, m.reclaimAt = true, h.now.Add(r.ReclaimIn)
+		m.reclaimNoticed, m.reclaimAt = true, tracker.now.Add(heartbeat.ReclaimIn)
 	}
-	if isHeartbeat && m.replySequence != 0 && r.Sequence > m.replySequence {
+	if isHeartbeat && m.replySequence != 0 && heartbeat.Sequence > m.replySequence {
 		m.replySequence = 0
 	}
 	if m.unackedStartEpoch != 0 && m.seenEpoch > m.unackedStartEpoch {
 		m.unackedStartEpoch = 0
 	}
-	if m.unchangedBy(r) {
+	if m.unchangedBy(heartbeat) {
 		return
 	}
-	h.applyTaskReports(m, r, isHeartbeat)
+	tracker.applyTaskReports(m, heartbeat, isHeartbeat)
 }
 
-// applyTaskReports takes in the tasks of a heartbeat or poll reply that has changes.
-func (h *heartbeatTracker) applyTaskReports(m *machine, r *model.Heartbeat, isHeartbeat bool) {
-	m.lastTaskReports = r.Tasks
-	m.taskReports = make(map[taskKey]model.TaskReport, len(r.Tasks))
-	for _, p := range r.Tasks {
-		k := taskKey{p.Job, p.Index}
-		// Of several attempts of a task on one machine the live one counts.
-		if q, ok := m.taskReports[k]; !ok || q.Status == model.Ended {
-			m.taskReports[k] = p
+// applyTaskReports applies the task list of a heartbeat or poll reply that contains changes.
+func (tracker *heartbeatTracker) applyTaskReports(m *machine, heartbeat *model.Heartbeat, isHeartbeat bool) {
+	m.lastTaskReports = heartbeat.Tasks
+	m.taskReports = make(map[taskKey]model.TaskReport, len(heartbeat.Tasks))
+	for _, report := range heartbeat.Tasks {
+		key := taskKey{report.Job, report.Index}
+		// If a machine reports several attempts of one task, keep the live attempt.
+		if known, ok := m.taskReports[key]; !ok || known.Status == model.Ended {
+			m.taskReports[key] = report
 		}
-		h.applyTaskReport(m, k, p)
+		tracker.applyTaskReport(m, key, report)
 	}
-	h.controller.shardLeader.remoteAttempts.updateRegistry(m)
+	tracker.controller.shardLeader.remoteAttempts.updateRegistry(m)
 	if isHeartbeat {
 		countMissedStarts(m)
 	}
-	for _, k := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }) {
-		if _, ok := m.taskReports[k]; !ok && h.controller.shardLeader.dispatcher.noStartInFlight(m) {
-			// It was to be stopped and is not there: the proof that it is gone.
-			h.controller.shardLeader.endAttempt(h.controller.shardLeader.jobs[k.job], k.index, false)
+	for _, key := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }) {
+		if _, ok := m.taskReports[key]; !ok && tracker.controller.shardLeader.dispatcher.noStartInFlight(m) {
+			// The attempt was told to stop and the machine doesn't report it: that proves
+			// that the attempt is gone.
+			tracker.controller.shardLeader.endAttempt(tracker.controller.shardLeader.jobs[key.job], key.index, false)
 		}
 	}
 }
 
-// countMissedStarts counts for each attempt the heartbeats that do not show it though its start
-// was sent.
+// countMissedStarts counts, for each attempt on m whose start was sent, the heartbeats that
+// do not list the attempt.
 func countMissedStarts(m *machine) {
-	for k, t := range m.attempts {
-		if p, ok := m.taskReports[k]; !ok || p.Attempt != t.attempt {
+	for key, t := range m.attempts {
+		if report, ok := m.taskReports[key]; !ok || report.Attempt != t.attempt {
 			if t.startSent && t.missedStarts < maxMissedStarts {
 				t.missedStarts++
 			}
@@ -194,21 +204,22 @@
 	}
 }
 
-// quarantineNonStarting deals with machines that send heartbeats and never start what they
-// should: those tasks go elsewhere, with the usual proof, and the machines are released. If
-// many seem to be like that, the fault is more likely in the network, since answers that do
-// not arrive are not the machines' fault.
-func (h *heartbeatTracker) quarantineNonStarting() {
+// quarantineNonStarting quarantines machines that send heartbeats but never start their
+// tasks. It stops these attempts, so that their tasks are placed elsewhere after the usual
+// proof that the attempts are gone. If many machines fail to start tasks, it does nothing:
+// then the network is more likely at fault, since replies that do not arrive are no fault of
+// the machines.
+func (tracker *heartbeatTracker) quarantineNonStarting() {
 	missed := func(t *task) bool { return t.missedStarts >= maxMissedStarts && t.stopReason == stopNone }
 	var nonStarting []*machine
 	reporting := 0
-	for _, m := range h.controller.shardLeader.machinesByID {
-		if !m.heard || m.releasing || h.unresponsive(m) {
+	for _, m := range tracker.controller.shardLeader.machinesByID {
+		if !m.heard || m.releasing || tracker.unresponsive(m) {
 			continue
 		}
 		reporting++
-		if _, unreachable := m.reachability.Unreachable(h.now); unreachable {
-			// It receives nothing; see unreachableMachines.
+		if _, unreachable := m.reachability.Unreachable(tracker.now); unreachable {
+			// The machine receives nothing; unreachableMachines handles it.
 			continue
 		}
 		for _, t := range m.attempts {
@@ -223,209 +234,216 @@
 	}
 	for _, m := range nonStarting {
 		if !m.faulty {
-			h.info("machine quarantined: starts nothing", "machine", m.id)
+			tracker.info("machine quarantined: does not start tasks", "machine", m.id)
 		}
 		m.faulty = true
-		for _, k := range m.attemptsWhere(missed) {
-			t := m.attempts[k]
+		for _, key := range m.attemptsWhere(missed) {
+			t := m.attempts[key]
 			t.stopReason, t.avoidMachine = stopDrain, m.id
-			h.controller.markDispatchPending(m)
+			tracker.controller.markDispatchPending(m)
 		}
 	}
 }
 
-// attemptsWhere lists the attempts that fulfil a condition, in order. Mostly there are none,
-// and nothing has to be sorted.
-func (m *machine) attemptsWhere(is func(*task) bool) []taskKey {
+// attemptsWhere returns the keys of the attempts on m for which matches returns true, sorted by
+// task. The result is usually empty, so sorting all attempts first would be wasted time.
+func (m *machine) attemptsWhere(matches func(*task) bool) []taskKey {
 	var keys []taskKey
-	for k, t := range m.attempts {
-		if is(t) {
-			keys = append(keys, k)
+	for key, t := range m.attempts {
+		if matches(t) {
+			keys = append(keys, key)
 		}
 	}
 	sortTasks(keys)
 	return keys
 }
 
-// unchangedBy says that a heartbeat has nothing new: the attempts that should run there do, as
-// before. Nearly all heartbeats of a large pool are like that, and cost next to nothing here.
-func (m *machine) unchangedBy(r *model.Heartbeat) bool {
-	if len(r.Tasks) != len(m.attempts) || !slices.Equal(r.Tasks, m.lastTaskReports) || len(m.taskReports) != len(m.lastTaskReports) {
+// unchangedBy reports whether a heartbeat contains no changes: the machine runs exactly the
+// expected attempts in the known states. This fast path covers nearly all heartbeats of a
+// large pool.
+func (m *machine) unchangedBy(heartbeat *model.Heartbeat) bool {
+	if len(heartbeat.Tasks) != len(m.attempts) || !slices.Equal(heartbeat.Tasks, m.lastTaskReports) || len(m.taskReports) != len(m.lastTaskReports) {
 		return false
 	}
 	for i := range m.lastTaskReports {
-		p := &m.lastTaskReports[i]
-		t := m.attempts[taskKey{p.Job, p.Index}]
-		if t == nil || t.attempt != p.Attempt || t.stopReason != stopNone || !t.reported || t.status != p.Status || p.Status == model.Ended {
+		report := &m.lastTaskReports[i]
+		t := m.attempts[taskKey{report.Job, report.Index}]
+		if t == nil || t.attempt != report.Attempt || t.stopReason != stopNone || !t.reported || t.status != report.Status || report.Status == model.Ended {
 			return false
 		}
 	}
 	return true
 }
 
-// applyTaskReport takes in the state of one task.
-func (h *heartbeatTracker) applyTaskReport(m *machine, k taskKey, p model.TaskReport) {
-	j := h.controller.shardLeader.jobs[k.job]
-	if j == nil || k.index < 0 || k.index >= len(j.tasks) {
+// applyTaskReport applies the reported state of one task attempt.
+func (tracker *heartbeatTracker) applyTaskReport(m *machine, key taskKey, report model.TaskReport) {
+	j := tracker.controller.shardLeader.jobs[key.job]
+	if j == nil || key.index < 0 || key.index >= len(j.tasks) {
 		return
 	}
-	t := &j.tasks[k.index]
-	if t.machine != m || t.attempt != p.Attempt {
+	t := &j.tasks[key.index]
+	if t.machine != m || t.attempt != report.Attempt {
 		return
 	}
 	if t.isRunning() {
 		j.runningTasks--
 	}
 	m.shownReachable = m.shownReachable || !t.reported && !t.inherited
-	t.reported, t.status, t.missedStarts = true, p.Status, 0
+	t.reported, t.status, t.missedStarts = true, report.Status, 0
 	if t.isRunning() {
 		j.runningTasks++
 	}
-	switch p.Status {
+	switch report.Status {
 	case model.Fetching:
-		m.noteImage(j, h.now, false)
+		m.noteImage(j, tracker.now, false)
 	case model.Running, model.Checkpointing:
-		m.noteImage(j, h.now, true)
+		m.noteImage(j, tracker.now, true)
 		if t.startedAt.IsZero() {
-			t.startedAt = h.firstSeenRunning(m, j, t)
-			h.debug("task running", "job", j.ID, "task", k.index, "attempt", t.attempt, "machine", m.id,
-				"age", h.now.Sub(j.submittedAt), "fetched", h.now.Sub(time.UnixMilli(t.groupStart)))
+			t.startedAt = tracker.firstSeenRunning(m, j, t)
+			tracker.debug("task running", "job", j.ID, "task", key.index, "attempt", t.attempt, "machine", m.id,
+				"age", tracker.now.Sub(j.submittedAt), "fetched", tracker.now.Sub(time.UnixMilli(t.groupStart)))
 		}
 	case model.Ended:
-		h.applyEndedTask(m, j, k.index, p.Cause)
+		tracker.applyEndedTask(m, j, key.index, report.Cause)
 	}
 }
 
-// firstSeenRunning is when a task began to run that is now reported as running for the first time.
-// One that a former shard leader started has run since its group was started and its image was
-// fetched, at half the machine's rate: several images may have shared it.
-func (h *heartbeatTracker) firstSeenRunning(m *machine, j *job, t *task) time.Time {
+// firstSeenRunning estimates when a task began to run that is reported as running for the
+// first time. For a task that a former shard leader started, it assumes that the task has
+// run since its group was started and its image was fetched. It assumes half the machine's
+// fetch rate, since several images may have been fetched at the same time.
+func (tracker *heartbeatTracker) firstSeenRunning(m *machine, j *job, t *task) time.Time {
 	if !t.inherited {
-		return h.now
+		return tracker.now
 	}
 	began := time.UnixMilli(t.groupStart)
 	if j.Image != "" {
-		began = began.Add(record.DurationOfSeconds(2 * j.ImageGB / h.controller.knowledge.imageFetchRate(m)))
+		began = began.Add(record.DurationOfSeconds(2 * j.ImageGB / tracker.controller.knowledge.imageFetchRate(m)))
 	}
-	return earlier(h.now, began)
+	return earlier(tracker.now, began)
 }
 
-// applyEndedTask takes in the end of a live attempt, with the worker's cause for it.
-func (h *heartbeatTracker) applyEndedTask(m *machine, j *job, index int, cause string) {
+// applyEndedTask applies the reported end of a live attempt, with the cause that the worker
+// gave.
+func (tracker *heartbeatTracker) applyEndedTask(m *machine, j *job, index int, cause string) {
 	t := &j.tasks[index]
 	switch cause {
 	case "done":
-		m.noteImage(j, h.now, true)
-		// What a former shard leader started has run for longer than was seen here.
-		// The median of such times is near zero, and would have all tasks of the job
-		// relaunched.
+		m.noteImage(j, tracker.now, true)
+		// The run times of tasks that a former shard leader started are not recorded: they
+		// ran for longer than this shard leader saw. The median of the observed times would
+		// be near zero, and all tasks of the job would be relaunched.
 		if !t.startedAt.IsZero() && !t.inherited {
-			ran := h.now.Sub(t.startedAt)
-			h.updateMachineSpeed(m, j, ran)
-			j.recordRunTime(ran)
-			h.controller.knowledge.updateEstimator(j, ran)
+			runTime := tracker.now.Sub(t.startedAt)
+			tracker.updateMachineSpeed(m, j, runTime)
+			j.recordRunTime(runTime)
+			tracker.controller.knowledge.updateEstimator(j, runTime)
 		}
-		// What failed elsewhere is done here: the fault may be another machine's.
-		h.updateFaultyMachines(h.controller.shardLeader.faultAttribution.TaskDone(j.ID, index, m.id))
-		h.controller.shardLeader.endAttempt(j, index, true)
+		// The task failed on another machine and succeeded here, so that other machine may
+		// be at fault.
+		tracker.updateFaultyMachines(tracker.controller.shardLeader.faultAttribution.TaskDone(j.ID, index, m.id))
+		tracker.controller.shardLeader.endAttempt(j, index, true)
 	case "error":
-		h.recordTaskFailure(m, j, index)
-		h.controller.shardLeader.endAttempt(j, index, false)
+		tracker.recordTaskFailure(m, j, index)
+		tracker.controller.shardLeader.endAttempt(j, index, false)
 	case "unknown":
-		// The worker knows no such job: try again, but not at once.
-		t.notBefore = h.now.Add(h.jitter(2 * time.Second))
-		h.controller.shardLeader.endAttempt(j, index, false)
+		// The worker does not know the job: retry after a delay.
+		t.notBefore = tracker.now.Add(tracker.jitter(2 * time.Second))
+		tracker.controller.shardLeader.endAttempt(j, index, false)
 	default:
-		h.controller.shardLeader.endAttempt(j, index, false)
+		tracker.controller.shardLeader.endAttempt(j, index, false)
 	}
 }
 
-// updateMachineSpeed keeps a moving average of the machine's run times, as a ratio to the
-// median of their jobs.
-func (h *heartbeatTracker) updateMachineSpeed(m *machine, j *job, ran time.Duration) {
-	ref, ok := j.medianRunTime()
+// updateMachineSpeed updates the moving average of the machine's run times, each as a ratio
+// to the median run time of its job.
+func (tracker *heartbeatTracker) updateMachineSpeed(m *machine, j *job, runTime time.Duration) {
+	median, ok := j.medianRunTime()
 	if !ok || len(j.sortedRunTimes) < 2 {
 		return
 	}
 	m.speedN++
-	r := ran.Seconds() / max(ref.Seconds(), 0.1)
+	ratio := runTime.Seconds() / max(median.Seconds(), 0.1)
 	if m.speedN == 1 {
-		m.speed = r
+		m.speed = ratio
 		return
 	}
-	m.speed += 0.3 * (r - m.speed)
+	m.speed += 0.3 * (ratio - m.speed)
 }
 
-// recordTaskFailure notes that a task failed on a machine; internal/faultattribution decides
-// whose fault it is. The task is tried again elsewhere, and a job that fails everywhere with
-// growing backoff, one task at a time.
-func (h *heartbeatTracker) recordTaskFailure(m *machine, j *job, index int) {
+// recordTaskFailure records that a task failed on a machine; internal/faultattribution
+// decides whether the machine or the job is at fault. The task is retried on another
+// machine. A job that fails on every machine is retried with growing backoff, one task at a
+// time.
+func (tracker *heartbeatTracker) recordTaskFailure(m *machine, j *job, index int) {
 	t := &j.tasks[index]
 	t.failures++
 	t.avoidMachine = m.id
-	pause := time.Second
+	backoff := time.Second
 	for i := 1; i < min(t.failures, 6); i++ {
-		pause *= 2
+		backoff *= 2
 	}
 	if t.failures > 1 {
-		t.notBefore = h.now.Add(h.jitter(pause))
+		t.notBefore = tracker.now.Add(tracker.jitter(backoff))
 	}
-	h.debug("task failed", "job", j.ID, "task", index, "machine", m.id, "fails", t.failures)
-	tracker := &h.controller.shardLeader.faultAttribution
+	tracker.debug("task failed", "job", j.ID, "task", index, "machine", m.id, "fails", t.failures)
+	attribution := &tracker.controller.shardLeader.faultAttribution
 	if j.doneTasks > 0 {
-		// Tasks done before its first failure, or under a former shard leader, count too.
-		tracker.MarkJobWorks(j.ID)
+		// Tasks that succeeded before the job's first failure, or under a former shard
+		// leader, count too.
+		attribution.MarkJobWorks(j.ID)
 	}
 	if !t.startedAt.IsZero() && !t.inherited {
-		tracker.RecordFailedRun(j.ID, h.now.Sub(t.startedAt))
+		attribution.RecordFailedRun(j.ID, tracker.now.Sub(t.startedAt))
 	}
-	failedEverywhere := tracker.FailsEverywhere(j.ID)
-	h.updateFaultyMachines(tracker.TaskFailed(j.ID, index, m.id))
-	if pause := tracker.RetryBackoff(j.ID); pause > 0 {
-		j.notBefore = h.now.Add(h.jitter(pause))
+	failedEverywhere := attribution.FailsEverywhere(j.ID)
+	tracker.updateFaultyMachines(attribution.TaskFailed(j.ID, index, m.id))
+	if backoff := attribution.RetryBackoff(j.ID); backoff > 0 {
+		j.notBefore = tracker.now.Add(tracker.jitter(backoff))
 	}
-	if tracker.FailsEverywhere(j.ID) && !failedEverywhere {
-		h.info("job fails on every machine: backing off", "job", j.ID, "workload", j.Workload, "owner", j.Team)
+	if attribution.FailsEverywhere(j.ID) && !failedEverywhere {
+		tracker.info("job fails on every machine: backing off", "job", j.ID, "workload", j.Workload, "owner", j.Team)
 	}
 }
 
-// updateFaultyMachines takes over what internal/faultattribution now says of some machines.
-func (h *heartbeatTracker) updateFaultyMachines(ids []string) {
+// updateFaultyMachines updates the quarantine of some machines to the present verdicts of
+// internal/faultattribution.
+func (tracker *heartbeatTracker) updateFaultyMachines(ids []string) {
 	for _, id := range ids {
-		m := h.controller.shardLeader.machines[id]
+		m := tracker.controller.shardLeader.machines[id]
 		if m == nil {
 			continue
 		}
-		m.faulty = h.controller.shardLeader.faultAttribution.IsFaulty(id)
+		m.faulty = tracker.controller.shardLeader.faultAttribution.IsFaulty(id)
 		if m.faulty {
-			h.info("machine quarantined", "machine", id)
+			tracker.info("machine quarantined", "machine", id)
 		} else {
-			h.info("machine quarantine lifted: job fault", "machine", id)
+			tracker.info("machine quarantine lifted: job is at fault", "machine", id)
 		}
 	}
 }
 
-// loseAllAttempts notes that everything on m is gone, but for what the new heartbeat r lists:
-// that was started since. r is nil if there is none.
-func (h *heartbeatTracker) loseAllAttempts(m *machine, r *model.Heartbeat) {
-	for _, k := range sortedAttempts(m) {
-		t := m.attempts[k]
-		if r != nil {
-			kept := slices.ContainsFunc(r.Tasks, func(p model.TaskReport) bool {
-				return p.Job == k.job && p.Index == k.index && p.Attempt == t.attempt
+// loseAllAttempts records that all attempts on m are gone, except the attempts that heartbeat
+// lists: these were started since. heartbeat is nil if no new one has arrived.
+func (tracker *heartbeatTracker) loseAllAttempts(m *machine, heartbeat *model.Heartbeat) {
+	for _, key := range sortedAttempts(m) {
+		t := m.attempts[key]
+		if heartbeat != nil {
+			kept := slices.ContainsFunc(heartbeat.Tasks, func(report model.TaskReport) bool {
+				return report.Job == key.job && report.Index == key.index && report.Attempt == t.attempt
 			})
 			if kept {
 				continue
 			}
 		}
-		h.controller.shardLeader.endAttempt(h.controller.shardLeader.jobs[k.job], k.index, false)
+		tracker.controller.shardLeader.endAttempt(tracker.controller.shardLeader.jobs[key.job], key.index, false)
 	}
-	h.controller.shardLeader.remoteAttempts.registry.MarkMachineGone(h.now, m.id, func(attempt remote.AttemptID) bool {
-		return r != nil && slices.ContainsFunc(r.Tasks, func(p model.TaskReport) bool {
-			return p.Job == attempt.Job && p.Index == attempt.Index && p.Attempt == attempt.Attempt
+	tracker.controller.shardLeader.remoteAttempts.registry.MarkMachineGone(tracker.now, m.id, func(attempt remote.AttemptID) bool {
+		return heartbeat != nil && slices.ContainsFunc(heartbeat.Tasks, func(report model.TaskReport) bool {
+			return report.Job == attempt.Job && report.Index == attempt.Index && report.Attempt == attempt.Attempt
 		})
 	})
 	m.taskReports, m.lastTaskReports = nil, nil
-	h.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
+	tracker.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
 	m.images = map[string]*image{}
 }
--- a/internal/controller/machine_kinds.go
+++ b/internal/controller/machine_kinds.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// machineKind is what the cloud rents machines by.
+// machineKind identifies a kind of machine that the cloud rents.
 type machineKind struct {
 	machineType string
 	zone        string
 	spot        bool
 }
 
-// sortedKinds returns the keys of m in a fixed order.
+// sortedKinds returns the keys of m sorted by type, zone and spot.
 func sortedKinds[V any](m map[machineKind]V) []machineKind {
 	kinds := make([]machineKind, 0, len(m))
 	for k := range m {
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// slowMachine is how much slower than expected a machine's tasks must run,
-	// over slowSeen tasks at least, before it is avoided.
+	// slowMachine is the ratio of actual to expected run time, averaged over at least
+	// slowSeen tasks, from which a machine is avoided.
 	slowMachine = 1.7
-	slowSeen    = 2
+	slowSeen    = 2 // tasks
 )
 
-// taskKey identifies a task.
+// taskKey identifies a task by its job and its index in the job.
 type taskKey struct {
 	job   string
 	index int
 }
 
-// machine is a machine as a shard leader knows it that owns it or has attempts on it. It
-// belongs to that shardLeader, whose components write their groups of fields; only
-// shardLeader attaches and ends attempts. All of it is lost at a failover, and learnt again
-// from records, heartbeats and peers.
+// machine is what a shard leader knows of a machine that it owns or on which its jobs have
+// attempts. It belongs to that shardLeader. Each component of the shardLeader writes its own
+// group of fields; only shardLeader itself attaches and ends attempts. The whole state is
+// lost at a failover, and rebuilt from records, heartbeats and peers.
 type machine struct {
 	id          string
 	addr        string
@@ -36,206 +36,227 @@
 	size        model.Resources
 	disk        float64 // GB
 
-	// Ownership (shardLeader).
+	// Ownership (written by shardLeader).
 
-	// remote: it is another controller's, and only what jobs held here have on it is kept.
+	// remote means that another controller owns the machine. Then the state covers only the
+	// attempts of this shard leader's jobs on it.
 	remote bool
-	// epoch is that under which it is owned, and formerOwnerUntil until when a former owner
-	// may go on answering it.
+	// epoch is the epoch under which this controller owns the machine. Until
+	// formerOwnerUntil a former owner may still answer the machine's heartbeats.
 	epoch            uint64
 	formerOwnerUntil time.Time
-	// ownedSince is since when this shard leader has known it as its own.
+	// ownedSince is when this shard leader learned that it owns the machine.
 	ownedSince time.Time
-	// removed: the shard leader has dropped it.
+	// removed means that the shard leader has dropped the machine.
 	removed bool
 
-	// What runs there (shardLeader; others' attempts: remoteAttempts).
+	// Attempts and images on the machine (written by shardLeader; the attempts of other
+	// shards' jobs by remoteAttempts).
 
 	attempts map[taskKey]*task
 	used     model.Resources
-	// othersUsed is what attempts of other shards' jobs take, and hasOthersAttempts says that
-	// there are any.
+	// othersUsed is the capacity that attempts of other shards' jobs use; hasOthersAttempts
+	// means that there are such attempts.
 	othersUsed        model.Resources
 	hasOthersAttempts bool
 	images            map[string]*image
-	// speed is how its finished tasks' run times compared with the expected ones, over
-	// speedN tasks.
+	// speed is the moving average of the run times of the tasks that finished on the
+	// machine, each as a ratio to the median run time of its job; speedN counts these tasks.
 	speed  float64
 	speedN int
 
-	// What its heartbeats say (heartbeatTracker).
+	// State from the machine's messages (written by heartbeatTracker).
 
 	heard       bool
 	lastHeard   time.Time
 	incarnation uint64
 	sequence    uint64
 	seenEpoch   uint64
-	// restartEpoch is the epoch under which its worker restarted, if it did.
+	// restartEpoch is the epoch under which the machine's worker last restarted; 0 if it
+	// never did.
 	restartEpoch uint64
-	// taskReports has the tasks of the newest heartbeat, lastTaskReports the same as it came.
+	// taskReports holds the tasks of the newest message by task, lastTaskReports the same
+	// tasks in the order in which they arrived.
 	taskReports     map[taskKey]model.TaskReport
 	lastTaskReports []model.TaskReport
-	// hasUnknownTasks: something runs there that should not, of unknown size.
+	// hasUnknownTasks means that the machine runs tasks that it should not run or whose
+	// resource use is unknown.
 	hasUnknownTasks bool
-	// readingOpenJobs: open/ is being read to decide about a task that it reports.
+	// readingOpenJobs means that open/ is being read to decide about a task that the machine
+	// reports.
 	readingOpenJobs bool
-	// reroutedAt is when another controller published a newer heartbeat of it, and rerouted
-	// that one; set by partitionDetector.
+	// rerouted is a newer heartbeat of the machine that reached another controller, which
+	// published it at reroutedAt. Both are set by partitionDetector.
 	reroutedAt time.Time
 	rerouted   message.ReroutedHeartbeat
 
-	// Its worker lease and whether it is alive (heartbeatTracker, failover).
+	// The worker's lease and signs of life (written by heartbeatTracker and failover).
 
-	// leaseEnd is when its lease is over by this controller's clock, zero if it has none.
+	// leaseEnd is when the worker's lease has certainly expired by this controller's clock;
+	// zero if there is no lease.
 	leaseEnd time.Time
-	// ownershipCheckedAt is when the lease was over by the clock, and the shard map was read
-	// to confirm that the machine was this controller's all the time.
+	// ownershipCheckedAt is when, after the lease had expired by the clock, the shard map
+	// was read to confirm that this controller had owned the machine all the time.
 	ownershipCheckedAt time.Time
-	// statusRequested: it is being polled for its status, which starts nothing.
+	// statusRequested means that a status poll is in flight, which starts no task.
 	statusRequested bool
-	// probed is when it was last polled, and unansweredProbes how many polls since it was
-	// last heard got no answer.
+	// probed is when the machine was last polled; unansweredProbes counts the polls without
+	// a reply since the last proven message.
 	probed           time.Time
 	unansweredProbes int
-	// reachability is whether it hears this controller; shownReachable: something has just
-	// shown it; unheardHeartbeats counts the heartbeats without a sign of this controller
-	// that were answered; see heartbeat_proof.go.
+	// reachability tracks whether the machine receives this controller's messages.
+	// shownReachable means that the message being applied has shown that it does.
+	// unheardHeartbeats counts the answered heartbeats that show no effect of this
+	// controller; see heartbeat_proof.go.
 	reachability      reachability.Detector
 	shownReachable    bool
 	unheardHeartbeats int
-	// newestMessageAt is when its newest message came, a sign of life or not.
+	// newestMessageAt is when the newest applied message arrived, whether or not it proves
+	// that the machine is alive.
 	newestMessageAt time.Time
 
-	// Commands to it (dispatcher).
+	// Commands to the machine (written by dispatcher).
 
-	// dispatchPending: commands may be pending, and the dispatcher has it in its list.
+	// dispatchPending means that commands may be pending and that the machine is in the
+	// dispatcher's list.
 	dispatchPending  bool
 	dispatchInFlight bool
-	// dispatchUnanswered: the last commands sent got no answer; wait for a heartbeat.
+	// dispatchUnanswered means that the last commands sent directly got no reply; the
+	// dispatcher waits for a heartbeat.
 	dispatchUnanswered bool
-	// hasNewStarts: the last commands have starts that are recorded nowhere else; see
-	// ranking.go.
+	// hasNewStarts means that the last commands contain starts that are recorded nowhere
+	// else; see ranking.go.
 	hasNewStarts bool
-	// unackedStartEpoch is the epoch of a command with a start that got no answer and may be
-	// executed minutes later, until a heartbeat shows a higher epoch.
+	// unackedStartEpoch is the epoch of a start command without a reply; 0 if there is none.
+	// The worker may execute that start minutes later, until a heartbeat shows a higher
+	// epoch.
 	unackedStartEpoch uint64
-	// replySequence is the sequence of a heartbeat that was answered with starts: until a
-	// later heartbeat they count as on their way. An answer to commands can overtake them.
+	// replySequence is the sequence of a heartbeat that was answered with start commands; 0
+	// if none. These starts count as in flight until a later heartbeat arrives. A poll reply
+	// does not end that, since it can overtake the reply to the heartbeat.
 	replySequence uint64
 
-	// Its use (scheduler, migrationManager, fleetPlanner).
+	// Use of the machine (written by scheduler, migrationManager and fleetPlanner).
 
+	// idleSince is when the machine became empty.
 	idleSince time.Time
-	// lastPlacedAt is when an attempt was last placed here.
+	// lastPlacedAt is when an attempt was last placed on the machine.
 	lastPlacedAt time.Time
-	faulty       bool
-	// reclaimNoticed: the cloud has announced that it takes the machine at reclaimAt.
+	// faulty means that the machine is quarantined.
+	faulty bool
+	// reclaimNoticed means that the cloud has announced that it will reclaim the machine at
+	// reclaimAt.
 	reclaimNoticed bool
 	reclaimAt      time.Time
 	releasing      bool
-	// decommissioning: other machines can do its work for less.
+	// decommissioning means that other machines can run this machine's tasks at lower cost.
 	decommissioning bool
-	// reservedFor is the job that has waited too long and gets the machine when it is empty
-	// enough; see aging.go.
+	// reservedFor is the id of the job that has waited too long and gets this machine once
+	// enough of its capacity is free; see aging.go.
 	reservedFor string
-	// reservedForMigration is kept free for replicas that migrate here; see migration.go.
+	// reservedForMigration is the capacity kept free for replicas that migrate to this
+	// machine; see migration.go.
 	reservedForMigration model.Resources
-	// evacuatingForOther: it is kept to be emptied for another shard.
+	// evacuatingForOther means that the machine is kept and emptied so that another shard
+	// can use it.
 	evacuatingForOther bool
 }
 
-// image is a container image on a machine: cached, or being fetched. last is its last use.
+// image is a container image on a machine: cached, or being fetched. last is when a task
+// last used it.
 type image struct {
 	sizeGB float64
 	last   time.Time
 	cached bool
 }
 
-// ensureMachine is the machine of an id, added if it is not known.
+// ensureMachine returns the machine with the given id, and adds it if it is unknown.
 func (s *shardLeader) ensureMachine(id string) *machine {
 	m := s.machines[id]
 	if m == nil {
 		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: s.now, ownedSince: s.now, formerOwnerUntil: s.now.Add(s.controller.renewal.formerOwnerGrace())}
-		if x, ok := s.controller.membership.ownedMachine(id); ok {
-			m.epoch = x.Epoch
+		if segment, ok := s.controller.membership.ownedMachine(id); ok {
+			m.epoch = segment.Epoch
 		}
 		s.machines[id] = m
-		i, _ := slices.BinarySearchFunc(s.machinesByID, id, machineID)
-		s.machinesByID = slices.Insert(s.machinesByID, i, m)
+		index, _ := slices.BinarySearchFunc(s.machinesByID, id, machineID)
+		s.machinesByID = slices.Insert(s.machinesByID, index, m)
 	}
 	return m
 }
 
-// free is what a machine has free for more tasks.
+// free returns the capacity of m that is neither used nor reserved.
 func (m *machine) free() model.Resources {
 	return m.size.AddScaled(m.used, -1).AddScaled(m.othersUsed, -1).AddScaled(m.reservedForMigration, -1)
 }
 
-// isEmpty says that no task runs on a machine or may yet start there.
+// isEmpty reports whether no task runs on m or may still start there.
 func (m *machine) isEmpty() bool { return len(m.attempts) == 0 && !m.hasOthersAttempts }
 
+// machineID compares the id of m with id, for a binary search by id.
 func machineID(m *machine, id string) int { return strings.Compare(m.id, id) }
 
-// removeMachine drops a machine on which nothing is left.
+// removeMachine drops a machine that has no attempts left.
 func (s *shardLeader) removeMachine(m *machine) {
 	delete(s.machines, m.id)
-	if i, ok := slices.BinarySearchFunc(s.machinesByID, m.id, machineID); ok && s.machinesByID[i] == m {
-		s.machinesByID = slices.Delete(s.machinesByID, i, i+1)
+	if index, ok := slices.BinarySearchFunc(s.machinesByID, m.id, machineID); ok && s.machinesByID[index] == m {
+		s.machinesByID = slices.Delete(s.machinesByID, index, index+1)
 	}
 	m.removed = true
 	s.heartbeats.keepLastHeartbeat(m)
 	s.faultAttribution.ForgetMachine(m.id)
 }
 
-// describe notes a machine's address, type and zone, as its heartbeat, the cloud or a peer
-// says.
+// describe records a machine's address, type and zone, as reported by its heartbeat, the
+// cloud or a peer.
 func (s *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
 	if m.machineType == "" {
 		s.setMachineZone(m, zone)
 	}
 	m.addr, m.machineType, m.spot = addr, machineType, spot
-	if f, ok := s.controller.knowledge.machineTypes[machineType]; ok {
-		m.size, m.disk = f.Capacity, f.DiskGB
+	if spec, ok := s.controller.knowledge.machineTypes[machineType]; ok {
+		m.size, m.disk = spec.Capacity, spec.DiskGB
 	}
 }
 
-// setMachineZone changes the zone of a machine that may have attempts.
+// setMachineZone changes the zone of a machine, and updates the zone counts of the jobs with
+// attempts on it.
 func (s *shardLeader) setMachineZone(m *machine, zone string) {
-	for k := range m.attempts {
-		j := s.jobs[k.job]
+	for key := range m.attempts {
+		j := s.jobs[key.job]
 		j.liveByZone[m.zone]--
 		j.liveByZone[zone]++
 	}
 	m.zone = zone
 }
 
-// noteImage notes that m fetches or holds the image of j, and forgets the images that a
-// least-recently-used cache would have dropped.
+// noteImage records that m fetches or has cached the image of j, and removes the images that
+// a least-recently-used cache would have evicted.
 func (m *machine) noteImage(j *job, now time.Time, cached bool) {
 	if j.Image == "" {
 		return
 	}
-	im := m.images[j.Image]
-	if im == nil {
-		im = &image{sizeGB: j.ImageGB}
-		m.images[j.Image] = im
+	entry := m.images[j.Image]
+	if entry == nil {
+		entry = &image{sizeGB: j.ImageGB}
+		m.images[j.Image] = entry
 	}
-	im.last = now
-	im.cached = im.cached || cached
+	entry.last = now
+	entry.cached = entry.cached || cached
 	if m.disk <= 0 {
 		return
 	}
 	for {
-		sum, oldest := 0.0, ""
-		for _, x := range m.images {
-			sum += x.sizeGB
+		totalGB, oldest := 0.0, ""
+		for _, other := range m.images {
+			totalGB += other.sizeGB
 		}
-		if sum <= m.disk {
+		if totalGB <= m.disk {
 			return
 		}
 		for _, name := range sortedKeys(m.images) {
-			x := m.images[name]
-			if name != j.Image && (oldest == "" || x.last.Before(m.images[oldest].last)) {
+			other := m.images[name]
+			if name != j.Image && (oldest == "" || other.last.Before(m.images[oldest].last)) {
 				oldest = name
 			}
 		}
@@ -246,7 +267,7 @@
 	}
 }
 
-// dropMachine drops a machine that is proven gone, if it is this shard leader's.
+// dropMachine drops a machine that is proven gone, if the present shard leader still has it.
 func (c *Controller) dropMachine(m *machine, why string) {
 	if c.shardLeader == nil || c.shardLeader.machines[m.id] != m {
 		return
@@ -256,18 +277,19 @@
 	c.shardLeader.removeMachine(m)
 }
 
-// fetchSeconds is how long the machine needs to have the image of j, in seconds, when it
-// is fetching so many and pulls so much a second.
+// fetchSeconds returns how many seconds the machine needs until it has cached the image of
+// j. fetching is how many images the machine is fetching already, and fetchRate is its fetch
+// rate in GB/s.
 func (m *machine) fetchSeconds(j *job, fetching int, fetchRate float64) float64 {
 	if j.Image == "" || j.ImageGB <= 0 {
 		return 0
 	}
-	switch im := m.images[j.Image]; {
-	case im == nil:
+	switch entry := m.images[j.Image]; {
+	case entry == nil:
 		return float64(1+fetching) * j.ImageGB / fetchRate
-	case im.cached:
+	case entry.cached:
 		return 0
 	}
-	// Already coming.
+	// The fetch is in progress: assume that half of it is left.
 	return j.ImageGB / fetchRate / 2
 }
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -11,221 +11,240 @@
 )
 
 const (
-	// minReroutedMachines is how many machines of an owner must report here before this
-	// controller publishes it. One may have lost its way by itself.
+	// minReroutedMachines is how many machines of one owner must report to this controller
+	// before it publishes that. A single machine may be unable to reach its owner through a
+	// fault of its own.
 	minReroutedMachines = 2
-	// rerouteRecordInterval separates two such records, and rerouteRecordTTL is how long one
-	// counts.
+	// rerouteRecordInterval is the least time between two reroute records that this
+	// controller writes, and rerouteRecordTTL is how long a received record is valid.
 	rerouteRecordInterval = 3 * time.Second
 	rerouteRecordTTL      = 10 * time.Second
-	// partitionStandDown is how long a controller that gave up its roles stands by, unless a
-	// heartbeat comes before; it goes on serving users.
+	// partitionStandDown is how long a controller that gave up its roles takes none again,
+	// unless it receives a heartbeat earlier. It goes on serving users meanwhile.
 	partitionStandDown = 2 * time.Minute
-	// partitionLeadDelay is how long it leaves the lead to others when there is no leader. If
-	// all have given up, one of them has to lead after all.
+	// partitionLeadDelay is how long such a controller waits when there is no leader, so
+	// that another controller can become the leader. If all controllers stand down, one of
+	// them must still lead.
 	partitionLeadDelay = 3 * time.Second
 )
 
 const (
-	// reroutedHeartbeatInterval separates two updates to a machine owner about its
-	// rerouted heartbeats.
+	// reroutedHeartbeatInterval is the least time between two updates to a machine owner
+	// about its rerouted heartbeats.
 	reroutedHeartbeatInterval = 500 * time.Millisecond
-	// maxRecentPolls is how many machines are polled when others say that they report there.
+	// maxRecentPolls is how many machines this controller polls when others publish that its
+	// machines report to them.
 	maxRecentPolls = 4
-	// maxReroutedPolls bounds the polls under way to machines with rerouted heartbeats.
+	// maxReroutedPolls bounds the polls in flight to machines with rerouted heartbeats.
 	maxReroutedPolls = 8
 )
 
-// partitionDetector finds out whether this controller is cut off from the workers while
-// others are not, and has it give up its roles then.
+// partitionDetector detects that this controller is partitioned from the workers while other
+// controllers are not, and then gives up this controller's roles.
 //
-// A controller that reaches the store but no worker is of no use as a shard leader: it
-// keeps its lease, so nobody takes its shard, and the workers' leases run out while they
-// ask the others in vain. The others say so by a record that its watch brings: its
-// machines keep reporting to them. Together with its own silence that is proof, and it
-// gives up its membership lease. Where nobody hears the workers nobody says so, and
-// everything stays as it is.
+// A controller that reaches the store but no worker can't do the work of a shard leader.
+// Because it keeps its membership lease, no other controller takes over its shard, and the
+// leases of its workers expire while the workers try the other controllers in vain. The
+// other controllers write a record that machines of this controller keep reporting to them,
+// and this controller's watch brings the record. Together with the absence of heartbeats at
+// this controller, the record proves the partition, and this controller gives up its
+// membership lease. If no controller receives heartbeats, no such record is written and all
+// roles stay where they are.
 //
-// The same holds for one whose answers are lost: it gets heartbeats, and the workers hear
-// only the others. When the others say that its machines report there, it polls those
-// that it has just heard; if none answers, it is unheard.
+// The same applies to a controller whose replies are lost: it receives heartbeats, but the
+// workers receive only the replies of other controllers. When other controllers publish that
+// its machines report to them, it polls the machines from which it has heard most recently.
+// If no machine answers, nothing that it sends arrives.
 //
-// It lives as long as the process: what was seen before a failover counts after it.
-// checkPartition and applyReroutedHeartbeats may be called only while this controller
+// The detector lives as long as the process: its observations from before a failover remain
+// valid. checkPartition and applyReroutedHeartbeats may be called only while this controller
 // leads a shard, the other methods at any time.
 type partitionDetector struct {
 	component
 
-	// monitor is what this controller hears of workers.
+	// monitor records this controller's own observations of its connection to the workers.
 	monitor selfmonitor.Monitor
-	// reroutesReportedAt is when another controller last said that machines of this one
-	// report to it.
+	// reroutesReportedAt is when another controller last published that machines of this
+	// controller report to it.
 	reroutesReportedAt time.Time
-	// receivesNothingUntil: this controller has given up its roles and stands by until then.
-	// unheard: it heard the workers, and they didn't hear it.
+	// receivesNothingUntil is until when this controller stands down after it gave up its
+	// roles. unheard means that it did so because the workers didn't receive its messages,
+	// although it received theirs.
 	receivesNothingUntil time.Time
 	unheard              bool
-	// reachabilityRequestedAt is when a worker was last asked whether it hears this
-	// controller again.
+	// reachabilityRequestedAt is when a worker was last polled to find out whether it
+	// receives this controller's messages again.
 	reachabilityRequestedAt time.Time
 
-	// Heartbeats of others' machines that came here.
+	// Heartbeats of other owners' machines that reached this controller.
 
-	// reroutedMachines are the machines that were sent to their owners.
+	// reroutedMachines tracks the machines that were sent to their owners.
 	reroutedMachines    selfmonitor.ReroutedMachines
 	reroutedPublishedAt time.Time
-	// reroutedPollsInFlight counts the polls of such machines.
+	// reroutedPollsInFlight counts the polls in flight to rerouted machines.
 	reroutedPollsInFlight int
-	// reroutedHeartbeats wait to be published, by the owner's host.
+	// reroutedHeartbeats holds the heartbeats that wait to be sent to the owners, by the
+	// owner's host.
 	reroutedHeartbeats map[string][]message.ReroutedHeartbeat
 }
 
-// receivesNothing says that this controller stands by since it was cut off from the workers.
-func (p *partitionDetector) receivesNothing(now time.Time) bool {
-	return now.Before(p.receivesNothingUntil)
+// receivePartition reports whether this controller stands down because it was partitioned
+// from the workers.
+func (detector *partitionDetector) receivesNothing(now time.Time) bool {
+	return now.Before(detector.receivesNothingUntil)
 }
 
-// stepBegan notes that this controller runs: while it stood still it could hear nothing.
-func (p *partitionDetector) stepBegan() { p.monitor.Ran(p.now) }
+// stepBegan records that this controller runs: while it was paused it could receive nothing.
+func (detector *partitionDetector) stepBegan() { detector.monitor.Ran(detector.now) }
 
-// requestDelivered notes a sign that something sent to a worker has arrived.
-func (p *partitionDetector) requestDelivered() { p.monitor.RequestDelivered() }
+// requestDelivered records evidence that a message to a worker has arrived.
+func (detector *partitionDetector) requestDelivered() { detector.monitor.RequestDelivered() }
 
-// requestUnanswered notes that a worker has not answered a direct request.
-func (p *partitionDetector) requestUnanswered() { p.monitor.RequestUnanswered(p.now) }
+// requestUnanswered records that a worker has not answered a direct request.
+func (detector *partitionDetector) requestUnanswered() {
+	detector.monitor.RequestUnanswered(detector.now)
+}
 
-// heartbeatReceived notes that a heartbeat has reached this controller at all.
-func (p *partitionDetector) heartbeatReceived(r *model.Heartbeat) {
-	p.monitor.HeartbeatReceived(p.now)
+// heartbeatReceived records that a heartbeat of any worker has reached this controller.
+func (detector *partitionDetector) heartbeatReceived(heartbeat *model.Heartbeat) {
+	detector.monitor.HeartbeatReceived(detector.now)
 	switch {
-	case !p.receivesNothing(p.now):
-	case !p.unheard:
-		p.endStandDown()
-	case p.now.Sub(p.reachabilityRequestedAt) > probeInterval:
-		// That this controller hears the worker is nothing new; does the worker hear it?
-		p.reachabilityRequestedAt = p.now
-		p.controller.requests.toWorker(message.WorkerRequest{Machine: r.Machine, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
-			if d.Heartbeat != nil && p.receivesNothing(p.now) {
-				p.endStandDown()
+	case !detector.receivesNothing(detector.now):
+	case !detector.unheard:
+		detector.endStandDown()
+	case detector.now.Sub(detector.reachabilityRequestedAt) > probeInterval:
+		// This controller received heartbeats all the time; only a poll shows whether the
+		// worker receives its messages again.
+		detector.reachabilityRequestedAt = detector.now
+		detector.controller.requests.toWorker(message.WorkerRequest{Machine: heartbeat.Machine, Addr: heartbeat.Addr, StatusOnly: true}, func(response message.WorkerResponse) {
+			if response.Heartbeat != nil && detector.receivesNothing(detector.now) {
+				detector.endStandDown()
 			}
 		})
 	}
 }
 
-// pollRecentMachines asks the machines that were last heard whether they hear this controller.
-func (p *partitionDetector) pollRecentMachines() {
+// pollRecentMachines polls the machines that reported most recently, to find out whether
+// they receive this controller's messages.
+func (detector *partitionDetector) pollRecentMachines() {
 	var machines []*machine
-	for _, m := range p.controller.shardLeader.machinesByID {
+	for _, m := range detector.controller.shardLeader.machinesByID {
 		if m.heard && !m.releasing {
 			machines = append(machines, m)
 		}
 	}
 	slices.SortStableFunc(machines, func(a, b *machine) int { return b.lastHeard.Compare(a.lastHeard) })
 	for _, m := range machines[:min(len(machines), maxRecentPolls)] {
-		p.controller.shardLeader.failover.contact(m)
+		detector.controller.shardLeader.failover.contact(m)
 	}
 }
 
-// endStandDown lets this controller hold shards and lead again.
-func (p *partitionDetector) endStandDown() {
-	p.receivesNothingUntil, p.unheard = time.Time{}, false
-	if p.controller.membership.leaseID != 0 && p.controller.membership.loaded {
-		p.controller.membership.register()
+// endStandDown ends the stand-down: this controller registers again and may hold shards and
+// lead.
+func (detector *partitionDetector) endStandDown() {
+	detector.receivesNothingUntil, detector.unheard = time.Time{}, false
+	if detector.controller.membership.leaseID != 0 && detector.controller.membership.loaded {
+		detector.controller.membership.register()
 	}
 }
 
-// noteRerouted notes that a machine reported here and was sent to its owner, and publishes it
-// when machines of that owner keep reporting here. A machine that hears no controller says
-// nothing about its owner, so it is polled.
-func (p *partitionDetector) noteRerouted(r *model.Heartbeat, ownerHost string) {
-	members := &p.controller.membership
+// noteRerouted records that a machine of another owner reported to this controller and was
+// sent to its owner. If machines of that owner keep reporting here, it publishes that. A
+// machine that receives the messages of no controller says nothing about its owner, so the
+// machine is polled first.
+func (detector *partitionDetector) noteRerouted(heartbeat *model.Heartbeat, ownerHost string) {
+	members := &detector.controller.membership
 	ownerRecord, ok := members.controllers[ownerHost]
-	if !ok || ownerHost == p.settings.Host {
+	if !ok || ownerHost == detector.settings.Host {
 		return
 	}
-	if p.reroutedMachines.Rerouted(p.now, r.Machine, ownerHost) && p.reroutedPollsInFlight < maxReroutedPolls {
-		p.reroutedPollsInFlight++
-		id := r.Machine
-		p.controller.requests.toWorker(message.WorkerRequest{Machine: id, Addr: r.Addr, StatusOnly: true}, func(d message.WorkerResponse) {
-			p.reroutedPollsInFlight--
-			if d.Heartbeat != nil && d.Heartbeat.Machine == id {
-				p.reroutedMachines.ProbeAnswered(p.now, id)
-				p.publishRerouted(ownerHost, ownerRecord.Incarnation)
+	if detector.reroutedMachines.Rerouted(detector.now, heartbeat.Machine, ownerHost) && detector.reroutedPollsInFlight < maxReroutedPolls {
+		detector.reroutedPollsInFlight++
+		id := heartbeat.Machine
+		detector.controller.requests.toWorker(message.WorkerRequest{Machine: id, Addr: heartbeat.Addr, StatusOnly: true}, func(response message.WorkerResponse) {
+			detector.reroutedPollsInFlight--
+			if response.Heartbeat != nil && response.Heartbeat.Machine == id {
+				detector.reroutedMachines.ProbeAnswered(detector.now, id)
+				detector.publishRerouted(ownerHost, ownerRecord.Incarnation)
 			}
 		})
 	}
-	p.publishRerouted(ownerHost, ownerRecord.Incarnation)
-	p.queueReroutedHeartbeat(r, ownerHost)
+	detector.publishRerouted(ownerHost, ownerRecord.Incarnation)
+	detector.queueReroutedHeartbeat(heartbeat, ownerHost)
 }
 
-// queueReroutedHeartbeat has a machine's owner learn of a heartbeat that came here: the owner
-// may not have heard the machine for long and take it for gone, though it only doesn't hear
-// the answers.
-func (p *partitionDetector) queueReroutedHeartbeat(r *model.Heartbeat, ownerHost string) {
-	if len(p.reroutedHeartbeats) == 0 {
-		p.after(reroutedHeartbeatInterval, func() {
-			for _, to := range sortedKeys(p.reroutedHeartbeats) {
-				p.emit(message.SendPeerUpdate{To: to, Update: message.PeerUpdate{From: p.settings.Host, Rerouted: p.reroutedHeartbeats[to]}})
+// queueReroutedHeartbeat queues a heartbeat that reached this controller for the machine's
+// owner. The owner may not have received a heartbeat for long and take the machine for gone,
+// although the machine only doesn't receive the owner's replies.
+func (detector *partitionDetector) queueReroutedHeartbeat(heartbeat *model.Heartbeat, ownerHost string) {
+	if len(detector.reroutedHeartbeats) == 0 {
+		detector.after(reroutedHeartbeatInterval, func() {
+			for _, to := range sortedKeys(detector.reroutedHeartbeats) {
+				detector.emit(message.SendPeerUpdate{To: to, Update: message.PeerUpdate{From: detector.settings.Host, Rerouted: detector.reroutedHeartbeats[to]}})
 			}
-			p.reroutedHeartbeats = nil
+			detector.reroutedHeartbeats = nil
 		})
-		p.reroutedHeartbeats = map[string][]message.ReroutedHeartbeat{}
+		detector.reroutedHeartbeats = map[string][]message.ReroutedHeartbeat{}
 	}
-	if len(p.reroutedHeartbeats[ownerHost]) < message.MaxReroutedHeartbeats {
-		p.reroutedHeartbeats[ownerHost] = append(p.reroutedHeartbeats[ownerHost], message.ReroutedHeartbeat{ID: r.Machine, Epoch: r.Epoch, Incarnation: r.Incarnation, Sequence: r.Sequence})
+	if len(detector.reroutedHeartbeats[ownerHost]) < message.MaxReroutedHeartbeats {
+		detector.reroutedHeartbeats[ownerHost] = append(detector.reroutedHeartbeats[ownerHost], message.ReroutedHeartbeat{ID: heartbeat.Machine, Epoch: heartbeat.Epoch, Incarnation: heartbeat.Incarnation, Sequence: heartbeat.Sequence})
 	}
 }
 
 // applyReroutedHeartbeats applies heartbeats of this shard's machines that reached another
-// controller. One that would count as a sign of life here counts there, too: the machine
-// lives, and likely doesn't hear what this controller sends.
-func (p *partitionDetector) applyReroutedHeartbeats(heartbeats []message.ReroutedHeartbeat) {
-	for _, x := range heartbeats {
-		m := p.controller.shardLeader.machines[x.ID]
-		r := model.Heartbeat{Epoch: x.Epoch, Incarnation: x.Incarnation, Sequence: x.Sequence}
-		if m == nil || !m.heard || x.Epoch < m.epoch || m.supersedes(&r) || (&machine{incarnation: m.rerouted.Incarnation, sequence: m.rerouted.Sequence}).supersedes(&r) {
+// controller. A rerouted heartbeat counts as a sign of life if it would count as one when
+// received here directly: the machine is alive, but probably doesn't receive this
+// controller's messages.
+func (detector *partitionDetector) applyReroutedHeartbeats(heartbeats []message.ReroutedHeartbeat) {
+	for _, rerouted := range heartbeats {
+		m := detector.controller.shardLeader.machines[rerouted.ID]
+		heartbeat := model.Heartbeat{Epoch: rerouted.Epoch, Incarnation: rerouted.Incarnation, Sequence: rerouted.Sequence}
+		if m == nil || !m.heard || rerouted.Epoch < m.epoch || m.supersedes(&heartbeat) || (&machine{incarnation: m.rerouted.Incarnation, sequence: m.rerouted.Sequence}).supersedes(&heartbeat) {
 			continue
 		}
-		m.reroutedAt, m.rerouted = p.now, x
-		m.reachability.ReportedElsewhere(p.now)
-		p.controller.shardLeader.heartbeats.probeIfUnreachable(m)
+		m.reroutedAt, m.rerouted = detector.now, rerouted
+		m.reachability.ReportedElsewhere(detector.now)
+		detector.controller.shardLeader.heartbeats.probeIfUnreachable(m)
 	}
 }
 
-// publishRerouted writes a record for an owner's present incarnation: its machines report
-// here.
-func (p *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
-	members := &p.controller.membership
-	if p.now.Sub(p.reroutedPublishedAt) < rerouteRecordInterval || members.leaseID == 0 || p.now.After(members.leaseValidUntil) {
+// publishRerouted writes the record that machines of an owner report to this controller. The
+// record names the owner's present incarnation.
+func (detector *partitionDetector) publishRerouted(ownerHost, ownerIncarnation string) {
+	members := &detector.controller.membership
+	if detector.now.Sub(detector.reroutedPublishedAt) < rerouteRecordInterval || members.leaseID == 0 || detector.now.After(members.leaseValidUntil) {
 		return
 	}
-	count := p.reroutedMachines.CountReappeared(p.now, ownerHost)
+	count := detector.reroutedMachines.CountReappeared(detector.now, ownerHost)
 	if count < minReroutedMachines {
 		return
 	}
-	p.reroutedPublishedAt = p.now
-	p.info("heartbeats rerouted from machine owner", "owner", ownerHost, "machines", count)
+	detector.reroutedPublishedAt = detector.now
+	detector.info("machines of another controller report here", "owner", ownerHost, "machines", count)
 	rec := record.Encode(record.ReroutedMachines{Controller: ownerHost, Incarnation: ownerIncarnation, Machines: count})
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + p.settings.Host, Value: rec, LeaseID: members.leaseID}}}, func(message.StoreResponse) {})
+	detector.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.ReroutePrefix + detector.settings.Host, Value: rec, LeaseID: members.leaseID}}}, func(message.StoreResponse) {})
 }
 
-// applyRerouteRecord applies such a record of another controller about this one's machines.
-func (p *partitionDetector) applyRerouteRecord(it message.KeyValue) {
-	var r record.ReroutedMachines
-	if !it.Deleted && record.Decode(it.Value, &r) && r.Controller == p.settings.Host && r.Incarnation == p.incarnation() {
-		if p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
-			// Polls before this record prove nothing about now.
-			p.monitor.RequestDelivered()
+// applyRerouteRecord applies a record of another controller that this controller's machines
+// report to it.
+func (detector *partitionDetector) applyRerouteRecord(item message.KeyValue) {
+	var reroutes record.ReroutedMachines
+	if !item.Deleted && record.Decode(item.Value, &reroutes) && reroutes.Controller == detector.settings.Host && reroutes.Incarnation == detector.incarnation() {
+		if detector.now.Sub(detector.reroutesReportedAt) > rerouteRecordTTL {
+			// Unanswered polls from before this record don't show whether messages arrive at
+			// present.
+			detector.monitor.RequestDelivered()
 		}
-		p.reroutesReportedAt = p.now
+		detector.reroutesReportedAt = detector.now
 	}
 }
 
-// checkPartition gives up all roles when this shard leader and its workers don't hear each
-// other and another controller hears them. It may drop the shard leader.
-func (p *partitionDetector) checkPartition() {
-	leader, members := p.controller.shardLeader, &p.controller.membership
-	if members.leaseID == 0 || p.now.Sub(p.reroutesReportedAt) > rerouteRecordTTL {
+// checkPartition gives up all roles if this shard leader and its workers can't exchange
+// messages in one direction while another controller receives the workers' heartbeats. It
+// may drop the shard leader.
+func (detector *partitionDetector) checkPartition() {
+	leader, members := detector.controller.shardLeader, &detector.controller.membership
+	if members.leaseID == 0 || detector.now.Sub(detector.reroutesReportedAt) > rerouteRecordTTL {
 		return
 	}
 	reporting := 0
@@ -234,27 +253,28 @@
 			reporting++
 		}
 	}
-	receivesNothing := p.monitor.ReceivesNothing(p.now, leader.readyAt, reporting, p.maxHeartbeatInterval())
-	if !receivesNothing {
-		p.pollRecentMachines()
+	receivePartition := detector.monitor.ReceivesNothing(detector.now, leader.readyAt, reporting, detector.maxHeartbeatInterval())
+	if !receivePartition {
+		detector.pollRecentMachines()
 	}
-	if !receivesNothing && (reporting < 2 || !p.monitor.Unheard(p.now)) {
+	if !receivePartition && (reporting < 2 || !detector.monitor.Unheard(detector.now)) {
 		return
 	}
-	p.info("shard given up in a partition", "machines", reporting, "heartbeats_received", !receivesNothing)
+	detector.info("shard given up: partitioned from workers", "machines", reporting, "heartbeats_received", !receivePartition)
 	leaseID := members.leaseID
-	p.reroutesReportedAt, p.receivesNothingUntil, p.unheard = time.Time{}, p.now.Add(partitionStandDown), !receivesNothing
-	p.after(partitionStandDown, func() {
-		if !p.receivesNothing(p.now) {
-			p.endStandDown()
+	detector.reroutesReportedAt, detector.receivesNothingUntil, detector.unheard = time.Time{}, detector.now.Add(partitionStandDown), !receivePartition
+	detector.after(partitionStandDown, func() {
+		if !detector.receivesNothing(detector.now) {
+			detector.endStandDown()
 		}
 	})
-	p.controller.membership.relinquishRoles("partitioned from workers")
-	// Revoking the lease frees the lead and this controller's record at once. A new lease is
-	// requested only after that: this controller must not look alive in between.
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: leaseID}, func(message.StoreResponse) {
+	detector.controller.membership.relinquishRoles("partitioned from workers")
+	// Revoking the lease frees the lead and this controller's member record at once. A new
+	// lease is requested only after that, since this controller must not look alive in
+	// between.
+	detector.controller.requests.toStore(message.StoreRequest{Kind: message.OpLeaseRevoke, Priority: message.PriorityMembership, LeaseID: leaseID}, func(message.StoreResponse) {
 		if members.leaseID == 0 {
-			p.controller.membership.createLease()
+			detector.controller.membership.createLease()
 		}
 	})
 }
--- a/internal/controller/remote_machines.go
+++ b/internal/controller/remote_machines.go
@@ -1,33 +1,34 @@
 package controller
 
-// machine returns a machine of another owner, made if there is none, as far as jobs of this
-// shard leader have attempts there.
-func (r *remoteAttempts) machine(id string) *machine {
-	m := r.machines[id]
+// machine returns the state of a machine of another owner, and adds it if it is missing. The
+// state covers only the attempts of this shard leader's jobs on the machine.
+func (attempts *remoteAttempts) machine(id string) *machine {
+	m := attempts.machines[id]
 	if m == nil {
 		m = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
-		if p, ok := r.controller.knowledge.predecessorMachines[id]; ok {
-			m.zone, m.machineType, m.spot = p.Zone, p.MachineType, p.Spot
+		if predecessor, ok := attempts.controller.knowledge.predecessorMachines[id]; ok {
+			m.zone, m.machineType, m.spot = predecessor.Zone, predecessor.MachineType, predecessor.Spot
 		}
-		r.machines[id] = m
+		attempts.machines[id] = m
 	}
 	return m
 }
 
-// dropIfEmpty drops a remote machine on which no attempt is left.
-func (r *remoteAttempts) dropIfEmpty(m *machine) {
+// dropIfEmpty drops a remote machine that has no attempts left.
+func (attempts *remoteAttempts) dropIfEmpty(m *machine) {
 	if len(m.attempts) == 0 {
-		r.forgetMachine(m.id)
+		attempts.forgetMachine(m.id)
 		m.removed = true
 	}
 }
 
-// forgetMachine forgets a remote machine.
-func (r *remoteAttempts) forgetMachine(id string) { delete(r.machines, id) }
+// forgetMachine drops a remote machine.
+func (attempts *remoteAttempts) forgetMachine(id string) { delete(attempts.machines, id) }
 
-// ownedOrRemoteMachine is the machine that a record names, whoever owns it.
+// ownedOrRemoteMachine returns the machine that a record names, whether or not this
+// controller owns it.
 func (s *shardLeader) ownedOrRemoteMachine(id string) *machine {
-	if _, mine := s.controller.membership.ownedMachine(id); mine {
+	if _, owned := s.controller.membership.ownedMachine(id); owned {
 		return s.ensureMachine(id)
 	}
 	return s.remoteAttempts.machine(id)
--- a/internal/controller/stale_heartbeat.go
+++ b/internal/controller/stale_heartbeat.go
@@ -7,79 +7,83 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// stale_heartbeat.go recognizes copies of heartbeats where the machine's own state can't: the
-// machine was removed since and comes back under the epoch that it had, or its newest
-// heartbeats went to another controller. Such a copy looks like the newest message ever. If
-// it were believed, a machine that is gone would seem alive, get work and have its lease
-// prolonged.
+// stale_heartbeat.go recognizes copies of heartbeats that the machine's own state can't
+// reveal: the machine was removed and comes back under the epoch that it had, or its newest
+// heartbeats went to another controller. Such a copy looks like the newest message of the
+// machine. If the copy were applied, a machine that is gone would count as alive, get tasks
+// and have its lease renewed.
 
-// lastHeartbeatTTL is how long the newest heartbeat of a removed machine is kept. Messages can
-// arrive minutes late.
+// lastHeartbeatTTL is how long the newest heartbeat of a removed machine is kept. Messages
+// can arrive minutes late.
 const lastHeartbeatTTL = 10 * time.Minute
 
-// lastHeartbeat is the newest heartbeat that is known of a machine, and when it came.
+// lastHeartbeat identifies the newest known heartbeat of a machine and says when it arrived.
 type lastHeartbeat struct {
 	epoch, incarnation, sequence uint64
 	receivedAt                   time.Time
 }
 
-// supersedes says that a heartbeat was sent no later than the last one. One that shows a higher
-// epoch was sent later, also by a worker that has restarted.
-func (l lastHeartbeat) supersedes(r *model.Heartbeat) bool {
-	return r.Epoch < l.epoch || r.Epoch == l.epoch && (r.Incarnation < l.incarnation || r.Incarnation == l.incarnation && r.Sequence <= l.sequence)
+// supersedes reports whether heartbeat was sent no later than the last one. A heartbeat with a
+// higher epoch was sent later, even if the worker has restarted in between.
+func (last lastHeartbeat) supersedes(heartbeat *model.Heartbeat) bool {
+	return heartbeat.Epoch < last.epoch || heartbeat.Epoch == last.epoch && (heartbeat.Incarnation < last.incarnation || heartbeat.Incarnation == last.incarnation && heartbeat.Sequence <= last.sequence)
 }
 
-// keepLastHeartbeat keeps the newest heartbeat of a machine that is removed.
-func (h *heartbeatTracker) keepLastHeartbeat(m *machine) {
+// keepLastHeartbeat stores the newest heartbeat of a machine that is being removed.
+func (tracker *heartbeatTracker) keepLastHeartbeat(m *machine) {
 	if !m.heard {
-		// What is kept from an earlier removal stays.
+		// The heartbeat stored at an earlier removal stays.
 		return
 	}
-	if h.lastHeartbeats == nil {
-		h.lastHeartbeats = map[string]lastHeartbeat{}
+	if tracker.lastHeartbeats == nil {
+		tracker.lastHeartbeats = map[string]lastHeartbeat{}
 	}
-	for id, last := range h.lastHeartbeats {
+	for id, last := range tracker.lastHeartbeats {
 		if m.newestMessageAt.Sub(last.receivedAt) > lastHeartbeatTTL {
-			delete(h.lastHeartbeats, id)
+			delete(tracker.lastHeartbeats, id)
 		}
 	}
-	h.lastHeartbeats[m.id] = lastHeartbeat{m.seenEpoch, m.incarnation, m.sequence, m.newestMessageAt}
+	tracker.lastHeartbeats[m.id] = lastHeartbeat{m.seenEpoch, m.incarnation, m.sequence, m.newestMessageAt}
 }
 
-// lastHeartbeat is what a heartbeat must be newer than, beside what the machine itself knows.
-func (h *heartbeatTracker) lastHeartbeat(id string) (lastHeartbeat, bool) {
-	m := h.controller.shardLeader.machines[id]
+// lastHeartbeat returns the heartbeat that a new heartbeat of the machine must be newer
+// than, in addition to the machine's own state, and false if none is known.
+func (tracker *heartbeatTracker) lastHeartbeat(id string) (lastHeartbeat, bool) {
+	m := tracker.controller.shardLeader.machines[id]
 	if m == nil || !m.heard {
-		last, ok := h.lastHeartbeats[id]
+		last, ok := tracker.lastHeartbeats[id]
 		return last, ok
 	}
-	// A worker that another controller sends here comes at once: later it is a copy.
-	return lastHeartbeat{m.rerouted.Epoch, m.rerouted.Incarnation, m.rerouted.Sequence, m.reroutedAt}, m.rerouted.ID != "" && h.now.Sub(m.reroutedAt) > heartbeatReplyTimeout
+	// A worker that another controller sends here arrives at once. A heartbeat that is no
+	// newer than the rerouted one and arrives after heartbeatReplyTimeout is a copy.
+	return lastHeartbeat{m.rerouted.Epoch, m.rerouted.Incarnation, m.rerouted.Sequence, m.reroutedAt}, m.rerouted.ID != "" && tracker.now.Sub(m.reroutedAt) > heartbeatReplyTimeout
 }
 
-// handleStaleHeartbeat deals with a heartbeat that is such a copy, and says whether it is one. No
-// worker waits for the answer. The worker may have restarted: its reply to a poll will tell.
-func (c *Controller) handleStaleHeartbeat(hb *message.WorkerHeartbeat) bool {
-	s, r := c.shardLeader, &hb.Heartbeat
-	if s == nil || !s.ready || c.knowledge.released[r.Machine] {
+// handleStaleHeartbeat answers a heartbeat that is a copy of an earlier heartbeat, and
+// reports whether the heartbeat is such a copy. No worker waits for the reply. The worker
+// may have restarted; its reply to a poll will show that.
+func (c *Controller) handleStaleHeartbeat(received *message.WorkerHeartbeat) bool {
+	leader, heartbeat := c.shardLeader, &received.Heartbeat
+	if leader == nil || !leader.ready || c.knowledge.released[heartbeat.Machine] {
 		return false
 	}
-	last, ok := s.heartbeats.lastHeartbeat(r.Machine)
-	if !ok || !last.supersedes(r) {
+	last, ok := leader.heartbeats.lastHeartbeat(heartbeat.Machine)
+	if !ok || !last.supersedes(heartbeat) {
 		return false
 	}
-	if segment, mine := c.membership.ownedMachine(r.Machine); !mine || r.Epoch > segment.Epoch {
+	if segment, owned := c.membership.ownedMachine(heartbeat.Machine); !owned || heartbeat.Epoch > segment.Epoch {
 		return false
 	}
-	m := s.ensureMachine(r.Machine)
+	m := leader.ensureMachine(heartbeat.Machine)
 	if m.addr == "" {
-		s.describe(m, r.Addr, r.MachineType, r.Zone, r.Spot)
+		leader.describe(m, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot)
 	}
 	if !m.heard {
-		// If nothing comes from it, it is removed again when this lease is over.
+		// Unless the machine sends a new message, it is removed again when this lease has
+		// expired.
 		m.leaseEnd = later(m.leaseEnd, c.renewal.leaseEndAfter(c.now))
 	}
-	s.failover.contact(m)
-	c.emit(message.HeartbeatReply{Reply: hb.Reply, Status: 503})
+	leader.failover.contact(m)
+	c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 	return true
 }
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -10,7 +10,7 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// addJobOn adds a job with one task whose start was sent to a machine.
+// addJobOn adds a job with one task whose start was sent to m.
 func (c *Controller) addJobOn(id string, m *machine) *job {
 	j := c.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
@@ -18,17 +18,18 @@
 	return j
 }
 
-// nextHeartbeat applies the next heartbeat of machine i, which lists these tasks alone.
+// nextHeartbeat applies the next heartbeat of machine i, which lists only the given tasks.
 func (c *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
 	m := c.shardLeader.machinesByID[i]
-	r := c.poolHeartbeat(i)
-	r.Sequence, r.Epoch, r.Tasks = m.sequence+1, m.epoch, tasks
+	heartbeat := c.poolHeartbeat(i)
+	heartbeat.Sequence, heartbeat.Epoch, heartbeat.Tasks = m.sequence+1, m.epoch, tasks
 	c.now = c.now.Add(c.settings.HeartbeatInterval)
-	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
+	c.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
 }
 
-// TestStartsNothing: a machine that sends heartbeats and never starts its tasks loses them to
-// others and gets no more; one slow answer is no reason.
+// TestStartsNothing checks a machine that sends heartbeats but never starts its tasks: the
+// tasks are stopped and placed elsewhere, and the machine gets no more tasks. One slow reply
+// doesn't cause this.
 func TestStartsNothing(t *testing.T) {
 	c := largePool(12)
 	c.shardLeader.jobs = map[string]*job{}
@@ -42,18 +43,19 @@
 	}
 	c.shardLeader.heartbeats.quarantineNonStarting()
 	if m.faulty || j.liveTasks != 1 {
-		t.Fatalf("got faulty %v with %d live tasks too soon, want false with 1", m.faulty, j.liveTasks)
+		t.Fatalf("one heartbeat before the limit: got faulty %v with %d live tasks, want false with 1", m.faulty, j.liveTasks)
 	}
 	c.nextHeartbeat(0)
 	c.shardLeader.heartbeats.quarantineNonStarting()
 	if !m.faulty || j.tasks[0].stopReason == stopNone {
-		t.Fatalf("got faulty %v, stop reason %v; want true and a reason", m.faulty, j.tasks[0].stopReason)
+		t.Fatalf("at the limit: got faulty %v, stop reason %v; want true and a reason", m.faulty, j.tasks[0].stopReason)
 	}
 	c.nextHeartbeat(0)
 	if j.liveTasks != 0 || j.pendingTasks() != 1 {
 		t.Errorf("got %d live and %d pending tasks, want 0 and 1", j.liveTasks, j.pendingTasks())
 	}
-	// Many at once: the network is at fault, and no machine is quarantined.
+	// If many machines start nothing at once, the network is at fault and no machine is
+	// quarantined.
 	var jobs []*job
 	for i := 1; i < 9; i++ {
 		jobs = append(jobs, c.addJobOn(fmt.Sprintf("job-%06d", 900+i), c.shardLeader.machinesByID[i]))
@@ -67,13 +69,13 @@
 	c.shardLeader.heartbeats.quarantineNonStarting()
 	for i := 1; i < 9; i++ {
 		if c.shardLeader.machinesByID[i].faulty || jobs[i-1].liveTasks != 1 {
-			t.Fatalf("%s: got faulty %v with %d live tasks for a fault of the network, want false with 1", c.shardLeader.machinesByID[i].id, c.shardLeader.machinesByID[i].faulty, jobs[i-1].liveTasks)
+			t.Fatalf("%s: got faulty %v with %d live tasks after a network fault, want false with 1", c.shardLeader.machinesByID[i].id, c.shardLeader.machinesByID[i].faulty, jobs[i-1].liveTasks)
 		}
 	}
 }
 
-// TestStartsBeforeClears: starts do not wait behind thousands of short tasks to clear, and
-// those do not make every step look at the machine.
+// TestStartsBeforeClears guards against starts that wait behind the clears of thousands of
+// short tasks. The remaining clears don't mark the machine for dispatch in every step.
 func TestStartsBeforeClears(t *testing.T) {
 	c := largePool(1)
 	c.shardLeader.jobs = map[string]*job{}
@@ -93,12 +95,13 @@
 		t.Errorf("got %d commands, the first %v; want %d, the first a start", len(commands), commands[0], maxCommands)
 	}
 	if m.dispatchPending {
-		t.Error("got a dispatch pending for what is left to clear, want none")
+		t.Error("got a dispatch pending for the remaining clears, want none")
 	}
 }
 
-// TestJobFailingEverywhere: a job that fails everywhere is tried one task at a time, ever more
-// seldom, and requests no machines; no machine is quarantined, and others go on.
+// TestJobFailingEverywhere checks a job that fails on every machine: it is tried one task at
+// a time with growing backoff, and causes no machines to be rented. No machine is
+// quarantined, and other jobs run on.
 func TestJobFailingEverywhere(t *testing.T) {
 	c := largePool(12)
 	c.shardLeader.jobs = map[string]*job{}
@@ -117,7 +120,7 @@
 	}
 	for _, m := range c.shardLeader.machinesByID {
 		if m.faulty {
-			t.Errorf("got %s quarantined for a fault of the job, want it usable", m.id)
+			t.Errorf("got %s quarantined although the job is at fault, want it usable", m.id)
 		}
 	}
 	if c.shardLeader.scheduler.placeableTasks(j) != 0 {
@@ -138,7 +141,8 @@
 	}
 }
 
-// TestUpdateOfFormerIncarnation: requests of a former incarnation of a controller do not count.
+// TestUpdateOfFormerIncarnation guards against applying updates that a former incarnation of
+// a controller sent.
 func TestUpdateOfFormerIncarnation(t *testing.T) {
 	c := twoControllers(t)
 	c.membership.controllers["b"] = record.Member{Incarnation: "b#2"}
@@ -147,56 +151,59 @@
 	c.leader.ackedSeq["b"] = 9
 	c.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", IsCapacityRequest: true, Seq: 9, ToRelease: []string{"vm"}, Progress: []message.Progress{{ID: "job-000900", Done: 3}}})
 	if _, ok := c.leader.freshUpdate("b"); ok || c.frontend.progressByJob["job-000900"].Done != 0 {
-		t.Error("got an update of a former incarnation counted, want it ignored")
+		t.Error("got an update of a former incarnation applied, want it ignored")
 	}
 	c.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#2", IsCapacityRequest: true, Seq: 3})
 	if _, ok := c.leader.freshUpdate("b"); !ok || c.leader.ackedSeq["b"] != 0 || c.leader.rentals["vm"].publishedTo != "" {
-		t.Error("got no new publication to the present incarnation, want one from the start")
+		t.Error("got acknowledged state of a former incarnation kept, want everything published again")
 	}
-	// What arrived in time is not used when another incarnation has begun since.
+	// An update that arrived in time is not used once another incarnation of its sender has
+	// begun.
 	c.membership.controllers["b"] = record.Member{Incarnation: "b#3"}
 	if _, ok := c.leader.freshUpdate("b"); ok {
-		t.Error("got the requests of a former incarnation as fresh, want them ignored")
+		t.Error("got the update of a former incarnation as fresh, want it ignored")
 	}
 	c.handleCommand(message.PeerUpdate{From: "b", Incarnation: "b#1", StoreUnavailable: true})
 	if c.membership.peersWithoutStore["b"] != c.now {
-		t.Error("got a lost store ignored of a former incarnation, want it counted from whoever reports it")
+		t.Error("got a report of an unavailable store ignored, want it counted from any incarnation")
 	}
 }
 
-// TestRegistrationComparesRevision: a registration compares the record that it replaces, and
-// after a refusal the record is read.
+// TestRegistrationComparesRevision guards against overwriting another incarnation's member
+// record. A registration compares the revision of the record that it replaces; after a
+// conflict the record is read again.
 func TestRegistrationComparesRevision(t *testing.T) {
 	c := largePool(1)
 	key := record.MemberPrefix + "a"
 	c.membership.leaseID, c.membership.recordModRevision, c.effects = 7, 4, nil
 	c.membership.register()
-	op := c.effects[len(c.effects)-1].(message.StoreRequest)
-	if len(op.Compares) != 1 || op.Compares[0] != (message.Compare{Key: key, ModRevision: 4}) {
-		t.Fatalf("got compares %v, want %s at 4", op.Compares, key)
+	registration := c.effects[len(c.effects)-1].(message.StoreRequest)
+	if len(registration.Compares) != 1 || registration.Compares[0] != (message.Compare{Key: key, ModRevision: 4}) {
+		t.Fatalf("got compares %v, want %s at 4", registration.Compares, key)
 	}
-	c.handleCommand(message.StoreResponse{ID: op.ID, Status: message.StoreConflict})
+	c.handleCommand(message.StoreResponse{ID: registration.ID, Status: message.StoreConflict})
 	c.now, c.effects = c.now.Add(time.Second), nil
 	c.runTimers()
-	get, ok := c.effects[len(c.effects)-1].(message.StoreRequest)
-	if !ok || get.Kind != message.OpGet || get.Key != key {
-		t.Fatalf("got %+v after the refusal, want a read of %s", get, key)
+	read, ok := c.effects[len(c.effects)-1].(message.StoreRequest)
+	if !ok || read.Kind != message.OpGet || read.Key != key {
+		t.Fatalf("got %+v after the conflict, want a read of %s", read, key)
 	}
-	// A former incarnation's record, written late: its lease is revoked and this one registers.
-	c.handleCommand(message.StoreResponse{ID: get.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.Member{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
+	// The record was written late by a former incarnation: its lease is revoked, and this
+	// incarnation registers.
+	c.handleCommand(message.StoreResponse{ID: read.ID, Status: message.StoreOK, KeyValues: []message.KeyValue{{Key: key, Value: record.Encode(record.Member{LeaseID: 3, Incarnation: "former"}), ModRevision: 9}}})
 	revoke := c.effects[len(c.effects)-1].(message.StoreRequest)
 	if revoke.Kind != message.OpLeaseRevoke || revoke.LeaseID != 3 {
 		t.Fatalf("got %+v, want lease 3 revoked", revoke)
 	}
 	c.handleCommand(message.StoreResponse{ID: revoke.ID, Status: message.StoreOK})
-	if op = c.effects[len(c.effects)-1].(message.StoreRequest); op.Kind != message.OpTxn || op.Compares[0] != (message.Compare{Key: key, ModRevision: 0}) {
-		t.Errorf("got %+v after the revocation, want a registration that compares the absence of %s", op, key)
+	if registration = c.effects[len(c.effects)-1].(message.StoreRequest); registration.Kind != message.OpTxn || registration.Compares[0] != (message.Compare{Key: key, ModRevision: 0}) {
+		t.Errorf("got %+v after the revocation, want a registration that requires %s to be absent", registration, key)
 	}
 }
 
-// TestReleasedIsNotRequestedAgain: a machine whose release was answered, as the leader reports,
-// is not requested again: hundreds of these left no place for others, which then were paid for
-// to the end.
+// TestReleasedIsNotRequestedAgain guards against repeating the release requests of machines
+// that the leader reports as returned. Hundreds of such requests filled the list, and other
+// machines were paid for to the end because their release was never requested.
 func TestReleasedIsNotRequestedAgain(t *testing.T) {
 	c := twoControllers(t)
 	c.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -1,11 +1,11 @@
-// Package reachability decides whether a machine receives what its controller sends. A
-// heartbeat shows that the machine was alive when it sent it, not that replies and commands
-// arrive there. Proof of that is a heartbeat that could not look so without a reply (an epoch
-// that the machine had not seen, a start, a clear, a lease that did not expire), or the answer
-// to a probe. Doubt is raised by an expected effect that does not show, a probe without an
-// answer, and an incarnation that ended while the machine sent heartbeats. A doubt costs
-// little: nothing is placed on the machine until one probe is answered. The package has no
-// clock and sends nothing.
+// Package reachability decides whether a machine receives the messages of its controller. A
+// heartbeat shows that the machine was alive when it sent the heartbeat, but not that
+// replies and commands arrive there. Proof of that is the answer to a probe, or a heartbeat
+// that shows an effect of a reply or command: an epoch that the machine had not seen before,
+// a start, a clear, or a lease that did not expire. Suspicion arises from an expected effect
+// that does not show, a probe without an answer, and an incarnation that ended while the
+// machine sent heartbeats. A suspicion costs little: nothing is placed on the machine until
+// one probe is answered. The package has no clock and sends nothing.
 package reachability
 
 import (
@@ -18,116 +18,126 @@
 
 const (
 	// maxMisses is how many heartbeats in a row may fail to show the effect of the replies
-	// before them. One reply may be lost, or late and dropped.
+	// before them. A single reply may be lost, or be late and dropped.
 	maxMisses = 2
 	// maxUnansweredProbes is how many unanswered probes, without other proof, make a machine
 	// that sends heartbeats count as unreachable.
 	maxUnansweredProbes = 2
-	// gapDoubtEvery is the least time between two doubts raised by skipped sequence numbers
-	// alone: where heartbeats are lost now and then, or others probe the machine, these prove
-	// little.
+	// gapDoubtEvery is the least time between two suspicions raised by skipped sequence
+	// numbers alone. Where heartbeats are lost occasionally, or other controllers probe the
+	// machine, a gap proves little.
 	gapDoubtEvery = 30 * time.Second
 )
 
-// Detector holds the evidence on whether one machine receives what its owner sends. The zero
-// value has no doubt.
+// Detector holds the evidence on whether one machine receives its owner's messages. The zero
+// value has no suspicion.
 type Detector struct {
+	// expectsEffect means that a heartbeat has to show the effect of a reply; misses counts the
+	// heartbeats in a row that didn't.
 	expectsEffect bool
 	misses        int
-	// doubtedSince is when the doubt was raised (zero: none); unansweredProbes counts the
-	// probes without an answer since the last proof.
+	// doubtedSince is when the suspicion was raised, or zero if there is none.
+	// unansweredProbes counts the probes without an answer since the last proof.
 	doubtedSince     time.Time
 	unansweredProbes int
-	lastGapDoubt     time.Time
-	// consecutive: the last heartbeat followed directly on the one before. After a failover
-	// machines arrive rerouted by other controllers, and the first gap means nothing.
+	// lastGapDoubt is when skipped sequence numbers last raised a suspicion.
+	lastGapDoubt time.Time
+	// consecutive means that the last heartbeat directly followed the heartbeat before it.
+	// After a failover, machines arrive rerouted by other controllers, so the first gap
+	// means nothing.
 	consecutive bool
 	// incarnationAt is when the newest incarnation was first reported.
 	incarnationAt time.Time
-	// reachedByReplies: probes to its address had no answer, and replies to its heartbeats
-	// arrived.
+	// reachedByReplies means that probes to the machine's address had no answer although
+	// replies to its heartbeats arrived.
 	reachedByReplies bool
 }
 
 // ProbeAnswered records the answer to a probe.
-func (d *Detector) ProbeAnswered() {
-	d.reachedByReplies = false
-	d.reset()
+func (detector *Detector) ProbeAnswered() {
+	detector.reachedByReplies = false
+	detector.reset()
 }
 
-// EffectSeen records a heartbeat that could not look so without a reply or command.
-func (d *Detector) EffectSeen() {
-	d.reachedByReplies = d.reachedByReplies || d.unansweredProbes > 0
-	d.reset()
+// EffectSeen records a heartbeat that shows an effect of a reply or command.
+func (detector *Detector) EffectSeen() {
+	detector.reachedByReplies = detector.reachedByReplies || detector.unansweredProbes > 0
+	detector.reset()
 }
 
-func (d *Detector) reset() {
-	d.expectsEffect, d.misses, d.unansweredProbes, d.doubtedSince = false, 0, 0, time.Time{}
+// reset removes the suspicion after a proof.
+func (detector *Detector) reset() {
+	detector.expectsEffect, detector.misses, detector.unansweredProbes, detector.doubtedSince = false, 0, 0, time.Time{}
 }
 
-// ExpectEffect records that a reply was sent whose effect a later heartbeat has to show.
-func (d *Detector) ExpectEffect() { d.expectsEffect = true }
+// ExpectEffect records that a reply was sent whose effect a later heartbeat must show.
+func (detector *Detector) ExpectEffect() { detector.expectsEffect = true }
 
 // ProbeUnanswered records that a probe had no answer.
-func (d *Detector) ProbeUnanswered(now time.Time) {
-	d.unansweredProbes++
-	if !d.reachedByReplies {
-		d.doubt(now)
+func (detector *Detector) ProbeUnanswered(now time.Time) {
+	detector.unansweredProbes++
+	if !detector.reachedByReplies {
+		detector.doubt(now)
 	}
 }
 
-// Incarnation records a heartbeat of a later incarnation: the lease expired. If its heartbeats
-// were answered and nothing renewed the lease, the replies did not arrive.
-func (d *Detector) Incarnation(now time.Time) {
-	d.incarnationAt = now
-	d.doubt(now)
+// Incarnation records a heartbeat of a later incarnation, which means that the worker's
+// lease expired. If the heartbeats were answered and the lease was still not renewed, the
+// replies did not arrive.
+func (detector *Detector) Incarnation(now time.Time) {
+	detector.incarnationAt = now
+	detector.doubt(now)
 }
 
-// HeartbeatWithoutEffect records a heartbeat that shows nothing of our replies. skipped: the
-// machine has sent others in between that did not come here. lease is how long a lease lasts
-// at least.
-func (d *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
-	if d.expectsEffect {
-		if d.misses++; d.misses >= maxMisses {
-			d.doubt(now)
+// HeartbeatWithoutEffect records a heartbeat that shows no effect of the owner's replies.
+// skipped means that the machine sent other heartbeats in between that did not arrive here.
+// lease is the least time that a lease lasts.
+func (detector *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
+	if detector.expectsEffect {
+		if detector.misses++; detector.misses >= maxMisses {
+			detector.doubt(now)
 		}
 	}
-	if skipped && d.consecutive && now.Sub(d.lastGapDoubt) > gapDoubtEvery {
-		d.lastGapDoubt = now
-		d.doubt(now)
+	if skipped && detector.consecutive && now.Sub(detector.lastGapDoubt) > gapDoubtEvery {
+		detector.lastGapDoubt = now
+		detector.doubt(now)
 	}
-	d.consecutive = !skipped
-	since := d.doubtedSince
-	if d.incarnationAt.After(since) {
-		since = d.incarnationAt
+	detector.consecutive = !skipped
+	since := detector.doubtedSince
+	if detector.incarnationAt.After(since) {
+		since = detector.incarnationAt
 	}
-	if !d.doubtedSince.IsZero() && now.Sub(since) > lease {
-		// Since then its lease would have expired, had no reply renewed it.
-		d.EffectSeen()
+	if !detector.doubtedSince.IsZero() && now.Sub(since) > lease {
+		// The machine's lease would have expired since then if no reply had renewed it.
+		detector.EffectSeen()
 	}
 }
 
-// ReportedElsewhere records that the machine has sent heartbeats to another controller since.
-func (d *Detector) ReportedElsewhere(now time.Time) { d.doubt(now) }
+// ReportedElsewhere records that the machine has sent newer heartbeats to another
+// controller.
+func (detector *Detector) ReportedElsewhere(now time.Time) { detector.doubt(now) }
 
-func (d *Detector) doubt(now time.Time) {
-	if d.doubtedSince.IsZero() {
-		d.doubtedSince = now
+// doubt raises a suspicion, unless there is one already.
+func (detector *Detector) doubt(now time.Time) {
+	if detector.doubtedSince.IsZero() {
+		detector.doubtedSince = now
 	}
 }
 
-// Reachable reports whether there is no doubt that replies and commands arrive.
-func (d *Detector) Reachable() bool { return d.doubtedSince.IsZero() }
+// Reachable reports whether there is no suspicion that replies and commands fail to arrive.
+func (detector *Detector) Reachable() bool { return detector.doubtedSince.IsZero() }
 
-// Unreachable reports whether the doubt was confirmed by unanswered probes, and how old it is.
-func (d *Detector) Unreachable(now time.Time) (time.Duration, bool) {
-	if d.Reachable() || d.unansweredProbes < maxUnansweredProbes {
+// Unreachable reports whether unanswered probes have confirmed the suspicion, and how old
+// the suspicion is.
+func (detector *Detector) Unreachable(now time.Time) (time.Duration, bool) {
+	if detector.Reachable() || detector.unansweredProbes < maxUnansweredProbes {
 		return 0, false
 	}
-	return now.Sub(d.doubtedSince), true
+	return now.Sub(detector.doubtedSince), true
 }
 
-// Machine is an unreachable machine that sends heartbeats. Tasks counts what runs there.
+// Machine is an unreachable machine that sends heartbeats. Tasks counts the tasks that run
+// there.
 type Machine struct {
 	ID             string
 	Tasks          int
@@ -136,8 +146,8 @@
 
 // ReleasePolicy says how long unreachable machines are kept.
 type ReleasePolicy struct {
-	// SingleTimeout is how long a single one is waited for: as long as for an unresponsive
-	// one.
+	// SingleTimeout is how long a single unreachable machine is kept: as long as a single
+	// unresponsive machine.
 	SingleTimeout time.Duration
 	// LeaseRemaining is how long the lease of an unreachable machine may still run.
 	LeaseRemaining time.Duration
@@ -145,15 +155,18 @@
 	LastReleased time.Time
 }
 
-// releaseEvery is the least time between two releases during a correlated failure: the fault
-// is then likely in a link, and each machine that is kept is of use again at its end.
+// releaseEvery is the least time between two releases during a correlated failure. The fault
+// is then probably in the network, and each machine that is kept is usable again when the
+// fault ends.
 const releaseEvery = 10 * time.Second
 
-// SelectReleases returns the machines to release now. A single one is released like an
-// unresponsive one: the cloud's answer is the proof that its tasks wait for. In a correlated
-// failure none is released before its lease has certainly expired, which proves the same at no
-// cost, and then one at a time, those with tasks first. If every machine that sends heartbeats
-// is unreachable none is released: the fault is in what this controller sends.
+// SelectReleases returns the ids of the machines to release now. A single machine is
+// released like an unresponsive one: the cloud's confirmation proves that its tasks are
+// gone, so that they can run elsewhere. In a correlated failure no machine is released
+// before its lease has certainly expired, which proves the same at no cost; after that one
+// machine is released at a time, machines with tasks first. If every machine that sends
+// heartbeats is unreachable, no machine is released, because then the fault is in what this
+// controller sends.
 func SelectReleases(now time.Time, policy ReleasePolicy, reporting int, unreachable []Machine) []string {
 	if len(unreachable) >= reporting && reporting > 1 {
 		return nil
@@ -163,15 +176,15 @@
 	slices.SortStableFunc(sorted, func(a, b Machine) int {
 		return cmp.Or(cmp.Compare(min(b.Tasks, 1), min(a.Tasks, 1)), cmp.Compare(b.UnreachableFor, a.UnreachableFor), cmp.Compare(a.ID, b.ID))
 	})
-	var out []string
+	var toRelease []string
 	for _, m := range sorted {
 		switch {
 		case m.UnreachableFor <= policy.SingleTimeout || correlated && (m.UnreachableFor <= policy.LeaseRemaining || now.Sub(policy.LastReleased) < releaseEvery):
 		case correlated:
-			return append(out, m.ID)
+			return append(toRelease, m.ID)
 		default:
-			out = append(out, m.ID)
+			toRelease = append(toRelease, m.ID)
 		}
 	}
-	return out
+	return toRelease
 }
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -10,81 +10,100 @@
 	"pgregory.net/rapid"
 )
 
+// t0 is the start of each test.
 var t0 = time.Unix(1_750_000_000, 0)
 
+// at returns the time s seconds after t0.
 func at(s float64) time.Time { return t0.Add(time.Duration(s * float64(time.Second))) }
 
+// lease is the duration of a worker lease.
 const lease = 25 * time.Second
 
-// TestDoubts: what raises a doubt, what does not, and what ends it.
+// TestDoubts checks what raises a suspicion that a machine is unreachable, what does not,
+// and what ends it.
 func TestDoubts(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(d *Detector)
+		do   func(detector *Detector)
 		want bool
 	}{
-		{"nothing is known", func(*Detector) {}, true},
-		{"a reply was late once", func(d *Detector) { d.ExpectEffect(); d.HeartbeatWithoutEffect(at(1), false, lease) }, true},
-		{"two heartbeats show no effect", func(d *Detector) {
-			d.ExpectEffect()
-			d.HeartbeatWithoutEffect(at(1), false, lease)
-			d.HeartbeatWithoutEffect(at(2), false, lease)
+		{"no evidence", func(*Detector) {}, true},
+		{"one reply was late", func(detector *Detector) {
+			detector.ExpectEffect()
+			detector.HeartbeatWithoutEffect(at(1), false, lease)
+		}, true},
+		{"two heartbeats show no effect", func(detector *Detector) {
+			detector.ExpectEffect()
+			detector.HeartbeatWithoutEffect(at(1), false, lease)
+			detector.HeartbeatWithoutEffect(at(2), false, lease)
 		}, false},
-		{"no effect was expected", func(d *Detector) {
-			d.HeartbeatWithoutEffect(at(1), false, lease)
-			d.HeartbeatWithoutEffect(at(2), false, lease)
+		{"no effect was expected", func(detector *Detector) {
+			detector.HeartbeatWithoutEffect(at(1), false, lease)
+			detector.HeartbeatWithoutEffect(at(2), false, lease)
+		}, true},
+		{"the lease expired", func(detector *Detector) { detector.Incarnation(at(1)) }, false},
+		{"a probe had no answer", func(detector *Detector) { detector.ProbeUnanswered(at(1)) }, false},
+		{"a later probe is answered", func(detector *Detector) {
+			detector.ProbeUnanswered(at(1))
+			detector.ProbeUnanswered(at(4))
+			detector.ProbeAnswered()
 		}, true},
-		{"the lease expired", func(d *Detector) { d.Incarnation(at(1)) }, false},
-		{"a probe had no answer", func(d *Detector) { d.ProbeUnanswered(at(1)) }, false},
-		{"a later probe is answered", func(d *Detector) { d.ProbeUnanswered(at(1)); d.ProbeUnanswered(at(4)); d.ProbeAnswered() }, true},
-		{"it sent heartbeats elsewhere", func(d *Detector) {
-			d.HeartbeatWithoutEffect(at(97), false, lease)
-			d.HeartbeatWithoutEffect(at(100), true, lease)
+		{"skipped heartbeats went to another controller", func(detector *Detector) {
+			detector.HeartbeatWithoutEffect(at(97), false, lease)
+			detector.HeartbeatWithoutEffect(at(100), true, lease)
 		}, false},
-		{"it was rerouted by others", func(d *Detector) { d.HeartbeatWithoutEffect(at(100), true, lease) }, true},
-		{"heartbeats are lost now and then", func(d *Detector) {
-			d.HeartbeatWithoutEffect(at(97), false, lease)
-			d.HeartbeatWithoutEffect(at(100), true, lease)
-			d.ProbeAnswered()
-			d.HeartbeatWithoutEffect(at(107), false, lease)
-			d.HeartbeatWithoutEffect(at(110), true, lease)
+		{"first heartbeat after a reroute has a gap", func(detector *Detector) { detector.HeartbeatWithoutEffect(at(100), true, lease) }, true},
+		{"heartbeats are lost occasionally", func(detector *Detector) {
+			detector.HeartbeatWithoutEffect(at(97), false, lease)
+			detector.HeartbeatWithoutEffect(at(100), true, lease)
+			detector.ProbeAnswered()
+			detector.HeartbeatWithoutEffect(at(107), false, lease)
+			detector.HeartbeatWithoutEffect(at(110), true, lease)
 		}, true},
-		{"its address never answers, its heartbeats show a start", func(d *Detector) { d.ProbeUnanswered(at(1)); d.EffectSeen(); d.ProbeUnanswered(at(5)) }, true},
-		{"its address never answers, and its lease is renewed", func(d *Detector) {
-			d.ProbeUnanswered(at(1))
-			d.HeartbeatWithoutEffect(at(20), false, lease)
-			d.HeartbeatWithoutEffect(at(27), false, lease)
-			d.ProbeUnanswered(at(30))
+		{"probes are never answered but heartbeats show a start", func(detector *Detector) {
+			detector.ProbeUnanswered(at(1))
+			detector.EffectSeen()
+			detector.ProbeUnanswered(at(5))
 		}, true},
-		{"its lease has not yet expired", func(d *Detector) { d.ProbeUnanswered(at(1)); d.HeartbeatWithoutEffect(at(20), false, lease) }, false},
-		{"its leases expire one after another", func(d *Detector) {
-			d.ProbeUnanswered(at(1))
-			d.Incarnation(at(20))
-			d.HeartbeatWithoutEffect(at(40), false, lease)
-			d.Incarnation(at(44))
-			d.HeartbeatWithoutEffect(at(60), false, lease)
+		{"probes are never answered but the lease is renewed", func(detector *Detector) {
+			detector.ProbeUnanswered(at(1))
+			detector.HeartbeatWithoutEffect(at(20), false, lease)
+			detector.HeartbeatWithoutEffect(at(27), false, lease)
+			detector.ProbeUnanswered(at(30))
+		}, true},
+		{"a probe had no answer and the lease has not expired yet", func(detector *Detector) {
+			detector.ProbeUnanswered(at(1))
+			detector.HeartbeatWithoutEffect(at(20), false, lease)
+		}, false},
+		{"leases expire one after another", func(detector *Detector) {
+			detector.ProbeUnanswered(at(1))
+			detector.Incarnation(at(20))
+			detector.HeartbeatWithoutEffect(at(40), false, lease)
+			detector.Incarnation(at(44))
+			detector.HeartbeatWithoutEffect(at(60), false, lease)
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var d Detector
-			if c.do(&d); d.Reachable() != c.want {
-				t.Errorf("Reachable: got %v, want %v", d.Reachable(), c.want)
+			var detector Detector
+			if c.do(&detector); detector.Reachable() != c.want {
+				t.Errorf("Reachable: got %v, want %v", detector.Reachable(), c.want)
 			}
 		})
 	}
-	var d Detector
-	d.ProbeUnanswered(at(1))
-	if _, unreachable := d.Unreachable(at(9)); unreachable {
+	var detector Detector
+	detector.ProbeUnanswered(at(1))
+	if _, unreachable := detector.Unreachable(at(9)); unreachable {
 		t.Error("Unreachable after one probe: got true, want false")
 	}
-	d.ProbeUnanswered(at(4))
-	if age, unreachable := d.Unreachable(at(9)); !unreachable || age != 8*time.Second {
+	detector.ProbeUnanswered(at(4))
+	if age, unreachable := detector.Unreachable(at(9)); !unreachable || age != 8*time.Second {
 		t.Errorf("Unreachable: got %v for %v, want true for 8s", unreachable, age)
 	}
 }
 
-// TestSelectReleases: unreachable machines are released in time, not earlier, never all of
-// them, and in a correlated failure one at a time and only after their leases.
+// TestSelectReleases checks that unreachable machines are released in time and not too
+// early, never all of them, and in a correlated failure one at a time and only after their
+// leases.
 func TestSelectReleases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reporting := rapid.IntRange(1, 60).Draw(t, "reporting")
@@ -101,7 +120,7 @@
 				due++
 			}
 			if slices.Contains(got, m.ID) && m.UnreachableFor <= policy.SingleTimeout {
-				t.Fatalf("machine %v is released too early", m)
+				t.Fatalf("got machine %v released within its timeout, want it kept", m)
 			}
 		}
 		want := due
@@ -119,8 +138,9 @@
 	})
 }
 
-// TestAllUnreachable: if all machines that send heartbeats are unreachable the fault is in
-// what this controller sends, and none is released; a single machine is no such case.
+// TestAllUnreachable guards against releasing every machine when the fault is in what this
+// controller sends: then all machines that send heartbeats are unreachable. A single machine
+// is released all the same.
 func TestAllUnreachable(t *testing.T) {
 	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
 	unreachable := []Machine{{"vm-1", 1, time.Minute}, {"vm-2", 0, time.Minute}}
@@ -132,8 +152,9 @@
 	}
 }
 
-// TestManyBeforeTheirLease: in a correlated failure one machine is released when its lease has
-// certainly expired, and none before, though each by itself would be.
+// TestManyBeforeTheirLease guards against losing many machines to one network fault. In a
+// correlated failure one machine is released when its lease has certainly expired, and none
+// before, though each alone would be.
 func TestManyBeforeTheirLease(t *testing.T) {
 	policy := ReleasePolicy{SingleTimeout: 10 * time.Second, LeaseRemaining: lease, LastReleased: at(-60)}
 	unreachable := []Machine{{"vm-1", 1, lease}, {"vm-2", 0, lease}, {"vm-3", 0, lease}, {"vm-4", 0, lease}}
@@ -142,6 +163,6 @@
 	}
 	unreachable[2].UnreachableFor += time.Second
 	if got := SelectReleases(t0, policy, 30, unreachable); len(got) != 1 || got[0] != "vm-3" {
-		t.Errorf("one lease expired: got %v, want vm-3 alone", got)
+		t.Errorf("one lease expired: got %v, want only vm-3", got)
 	}
 }
--- a/internal/remote/registry.go
+++ b/internal/remote/registry.go
@@ -1,15 +1,16 @@
-// Package remote tracks attempts whose job and whose machine have different owners, and
-// defines what the two controllers exchange about them. This happens after a team or a machine
-// has moved: what runs goes on where it is.
+// Package remote tracks attempts whose job and machine have different owners, and defines
+// the messages that the two controllers exchange about them. Such attempts arise when a team
+// or a machine moves to another controller: running attempts stay on their machines.
 //
-// Only the machine's owner sends commands to the machine; only the job's owner decides about
-// the attempt. The job's owner repeats a Request for each of its remote attempts: keep it,
-// stop it, or its end is durable. The machine's owner answers with what it knows. Nothing is
-// started this way, since an attempt is only started by a controller that owns both job and
-// machine. So the state of an attempt changes in one direction, from running to gone, and
-// messages may be lost, late or duplicated without harm. A MachineStatus carries the epoch
-// under which its sender owns the machine: one from before the machine came back to a
-// controller that may start the attempt there is ignored.
+// Only the machine's owner sends commands to the machine, and only the job's owner decides
+// about the attempt. The job's owner repeats a Request for each of its remote attempts: keep
+// the attempt, stop it, or note that its end is durable. The machine's owner answers with
+// the state that it knows. No attempt is started this way: only a controller that owns both
+// the job and the machine starts one. So the state of an attempt changes in one direction
+// only, from running to gone, and messages may be lost, late or duplicated without harm. A
+// MachineStatus carries the epoch under which its sender owns the machine. A receiver
+// ignores a status from an earlier epoch: since then the machine may have come back to a
+// controller that may have started the attempt on it.
 package remote
 
 import (
@@ -19,8 +20,8 @@
 )
 
 const (
-	// requestTTL is how long a request is kept that is not repeated: its sender may have died,
-	// and a successor repeats it only when it has recovered all records.
+	// requestTTL is how long a request is kept without being repeated. Its sender may have
+	// died, and a successor repeats the request only after it has recovered all records.
 	requestTTL = time.Minute
 	// resendEvery is how often an unchanged status is sent again.
 	resendEvery = time.Second
@@ -35,6 +36,7 @@
 	Attempt uint64
 }
 
+// compare orders attempts by job, index and attempt number.
 func (a AttemptID) compare(b AttemptID) int {
 	if c := strings.Compare(a.Job, b.Job); c != 0 {
 		return c
@@ -45,10 +47,11 @@
 	return int(a.Attempt) - int(b.Attempt)
 }
 
-// Intent is what a job's owner wants of an attempt.
+// Intent is what a job's owner requests for an attempt.
 type Intent uint8
 
-// Keep: let it run. Stop: stop it. Settled: its end is durable, so the machine may clear it.
+// Keep requests that the attempt continues, and Stop that it stops. Settled says that the
+// end of the attempt is durable, so that the machine may clear it.
 const (
 	Keep Intent = iota
 	Stop
@@ -58,8 +61,9 @@
 // State is what the machine's owner knows of an attempt.
 type State uint8
 
-// Unknown: the machine has sent no heartbeat, or its heartbeat proves nothing. Gone: the
-// attempt is proven to be neither on the machine nor on its way there.
+// Unknown means that the machine has sent no heartbeat, or that its heartbeat proves
+// nothing. Gone means that the attempt is proven to be neither on the machine nor in flight
+// to it.
 const (
 	Unknown State = iota
 	Fetching
@@ -69,29 +73,30 @@
 	Gone
 )
 
-// AttemptRequest is an attempt and what its job's owner wants of it.
+// AttemptRequest is an attempt and what its job's owner requests for it.
 type AttemptRequest struct {
 	AttemptID
 	Intent Intent
-	// WindDown, for Stop, is how long the attempt may take to write a checkpoint.
+	// WindDown is how long the attempt may take to write a checkpoint before a Stop takes
+	// effect.
 	WindDown time.Duration
 }
 
-// Request is what a job's owner wants of its attempts on another owner's machine.
+// Request contains what a job's owner requests for its attempts on another owner's machine.
 type Request struct {
 	Machine  string
 	Attempts []AttemptRequest
 }
 
-// AttemptStatus is what is known of an attempt. Cause says how it ended.
+// AttemptStatus is the known state of an attempt. Cause says why an ended attempt ended.
 type AttemptStatus struct {
 	AttemptID
 	State State
 	Cause string
 }
 
-// MachineStatus is what a machine's owner publishes about attempts there, under the epoch by
-// which it owns the machine.
+// MachineStatus is what a machine's owner publishes about attempts on the machine. Epoch is
+// the epoch under which the sender owns the machine.
 type MachineStatus struct {
 	Machine  string
 	Epoch    uint64
@@ -106,281 +111,289 @@
 	Cause string
 }
 
-// Registry holds, for a machine owner, the attempts on its machines whose jobs belong to other
-// controllers. The zero value is empty and ready. It is not safe for concurrent use.
+// Registry holds, for a machine owner, the attempts on its machines whose jobs belong to
+// other controllers. The zero value is empty and ready. It is not safe for concurrent use.
 type Registry struct {
 	machines map[string]*machineState
 }
 
+// machineState is what a Registry knows of one machine.
 type machineState struct {
+	// requested holds the newest request for each attempt.
 	requested map[AttemptID]*requested
-	// reported are the attempts of the newest heartbeat.
+	// reported holds the attempts of the newest heartbeat.
 	reported map[AttemptID]*sighting
-	// gone has when each attempt was proven gone.
+	// gone holds the time at which each attempt was proven gone.
 	gone map[AttemptID]time.Time
-	// publishedAt is when a status was last sent; changed means that it has changed since.
+	// publishedAt is when a status was last sent; changed means that the status has changed
+	// since.
 	publishedAt time.Time
 	changed     bool
 }
 
+// requested is the newest request for an attempt, with its sender and its arrival time.
 type requested struct {
 	AttemptRequest
 	requester   string
 	requestedAt time.Time
 }
 
+// sighting is a reported attempt and the time at which it was first reported.
 type sighting struct {
 	ReportedAttempt
 	since time.Time
 }
 
-func (r *Registry) machineStateOf(machine string) *machineState {
-	if r.machines == nil {
-		r.machines = map[string]*machineState{}
+// machineStateOf returns the state of a machine, and adds it if it is missing.
+func (registry *Registry) machineStateOf(machine string) *machineState {
+	if registry.machines == nil {
+		registry.machines = map[string]*machineState{}
 	}
-	h := r.machines[machine]
-	if h == nil {
-		h = &machineState{requested: map[AttemptID]*requested{}, reported: map[AttemptID]*sighting{}, gone: map[AttemptID]time.Time{}}
-		r.machines[machine] = h
+	state := registry.machines[machine]
+	if state == nil {
+		state = &machineState{requested: map[AttemptID]*requested{}, reported: map[AttemptID]*sighting{}, gone: map[AttemptID]time.Time{}}
+		registry.machines[machine] = state
 	}
-	return h
+	return state
 }
 
-// Request records what a job's owner wants. It reports whether an attempt is newly to be
-// stopped or cleared.
-func (r *Registry) Request(now time.Time, from string, a Request) bool {
-	h := r.machineStateOf(a.Machine)
+// Request records a request of a job's owner, whose host is from. It reports whether an
+// attempt must newly be stopped or cleared.
+func (registry *Registry) Request(now time.Time, from string, request Request) bool {
+	state := registry.machineStateOf(request.Machine)
 	changed := false
-	for _, x := range a.Attempts {
-		old := h.requested[x.AttemptID]
-		if old == nil {
-			old = &requested{}
-			h.requested[x.AttemptID] = old
-			h.changed = true
+	for _, attempt := range request.Attempts {
+		known := state.requested[attempt.AttemptID]
+		if known == nil {
+			known = &requested{}
+			state.requested[attempt.AttemptID] = known
+			state.changed = true
 		}
-		if old.Intent != Keep && x.Intent == Keep {
-			// A stop is final: a later Keep was sent earlier, or its sender has forgotten the
-			// stop. A settled attempt never runs again.
-			x.Intent, x.WindDown = old.Intent, old.WindDown
+		if known.Intent != Keep && attempt.Intent == Keep {
+			// A stop is final: a later Keep was sent before the stop, or its sender has
+			// forgotten the stop. A settled attempt never runs again.
+			attempt.Intent, attempt.WindDown = known.Intent, known.WindDown
 		}
-		changed = changed || x.Intent != old.Intent
-		*old = requested{x, from, now}
+		changed = changed || attempt.Intent != known.Intent
+		*known = requested{attempt, from, now}
 	}
 	return changed
 }
 
-// ObserveHeartbeat records the attempts of a machine's newest heartbeat, all of them. isOwn
-// says which jobs the machine's owner takes for its own; requested attempts are tracked all
-// the same, since it may not have read yet that their job now belongs to another controller.
-// conclusive means that no command of an earlier epoch can be executed there any more and no
-// start under the current one is in flight: attempts that are not listed are gone.
-func (r *Registry) ObserveHeartbeat(now time.Time, machine string, reported []ReportedAttempt, isOwn func(job string) bool, conclusive bool) {
-	h := r.machines[machine]
-	if h == nil {
-		if !slices.ContainsFunc(reported, func(p ReportedAttempt) bool { return !isOwn(p.Job) }) {
+// ObserveHeartbeat records all attempts of a machine's newest heartbeat. isOwn reports
+// whether the machine's owner considers a job its own. Requested attempts are tracked even
+// if isOwn is true, since the machine's owner may not have read yet that the job has moved
+// to another controller. conclusive means that the machine can't execute commands of an
+// earlier epoch and that no start under the current epoch is in flight: then the attempts
+// that the heartbeat doesn't list are gone.
+func (registry *Registry) ObserveHeartbeat(now time.Time, machine string, reported []ReportedAttempt, isOwn func(job string) bool, conclusive bool) {
+	state := registry.machines[machine]
+	if state == nil {
+		if !slices.ContainsFunc(reported, func(report ReportedAttempt) bool { return !isOwn(report.Job) }) {
 			return
 		}
-		h = r.machineStateOf(machine)
+		state = registry.machineStateOf(machine)
 	}
 	seen := make(map[AttemptID]*sighting, len(reported))
-	for _, p := range reported {
-		if isOwn(p.Job) && h.requested[p.AttemptID] == nil {
+	for _, report := range reported {
+		if isOwn(report.Job) && state.requested[report.AttemptID] == nil {
 			continue
 		}
-		x := h.reported[p.AttemptID]
-		if x == nil {
-			x = &sighting{since: now}
-			h.changed = true
+		known := state.reported[report.AttemptID]
+		if known == nil {
+			known = &sighting{since: now}
+			state.changed = true
 		}
-		h.changed = h.changed || x.State != p.State
-		x.ReportedAttempt = p
-		seen[p.AttemptID] = x
+		state.changed = state.changed || known.State != report.State
+		known.ReportedAttempt = report
+		seen[report.AttemptID] = known
 	}
-	h.reported = seen
+	state.reported = seen
 	if !conclusive {
 		return
 	}
-	for a := range h.requested {
-		if seen[a] == nil && h.gone[a].IsZero() {
-			h.gone[a], h.changed = now, true
+	for attempt := range state.requested {
+		if seen[attempt] == nil && state.gone[attempt].IsZero() {
+			state.gone[attempt], state.changed = now, true
 		}
 	}
 }
 
 // MarkGone records that one attempt is proven gone.
-func (r *Registry) MarkGone(now time.Time, machine string, a AttemptID) {
-	if h := r.machines[machine]; h != nil && h.requested[a] != nil && h.gone[a].IsZero() {
-		h.gone[a], h.changed = now, true
+func (registry *Registry) MarkGone(now time.Time, machine string, attempt AttemptID) {
+	if state := registry.machines[machine]; state != nil && state.requested[attempt] != nil && state.gone[attempt].IsZero() {
+		state.gone[attempt], state.changed = now, true
 	}
 }
 
-// MarkMachineGone records that all attempts on the machine are proven gone, except those
-// started since.
-func (r *Registry) MarkMachineGone(now time.Time, machine string, since func(AttemptID) bool) {
-	h := r.machines[machine]
-	if h == nil {
+// MarkMachineGone records that all attempts on the machine are proven gone, except the
+// attempts for which startedSince returns true.
+func (registry *Registry) MarkMachineGone(now time.Time, machine string, startedSince func(AttemptID) bool) {
+	state := registry.machines[machine]
+	if state == nil {
 		return
 	}
-	for a := range h.requested {
-		if h.gone[a].IsZero() && !since(a) {
-			h.gone[a], h.changed = now, true
+	for attempt := range state.requested {
+		if state.gone[attempt].IsZero() && !startedSince(attempt) {
+			state.gone[attempt], state.changed = now, true
 		}
 	}
-	clear(h.reported)
+	clear(state.reported)
 }
 
-// LiveCount is the number of LiveAttempts of a machine.
-func (r *Registry) LiveCount(machine string) int { return len(r.LiveAttempts(machine)) }
+// LiveCount returns the number of LiveAttempts of a machine.
+func (registry *Registry) LiveCount(machine string) int { return len(registry.LiveAttempts(machine)) }
 
-// ForgetObservations drops what was observed of a machine under an earlier epoch: in between,
-// another owner may have started there what was absent before. Requests stay.
-func (r *Registry) ForgetObservations(machine string) {
-	if h := r.machines[machine]; h != nil {
-		clear(h.gone)
-		clear(h.reported)
+// ForgetObservations drops the observations of a machine from an earlier epoch: since then
+// another owner may have started an attempt there that was absent before. Requests are kept.
+func (registry *Registry) ForgetObservations(machine string) {
+	if state := registry.machines[machine]; state != nil {
+		clear(state.gone)
+		clear(state.reported)
 	}
 }
 
-// ForgetMachine drops a machine that now belongs to another owner.
-func (r *Registry) ForgetMachine(machine string) { delete(r.machines, machine) }
+// ForgetMachine drops a machine that has moved to another owner.
+func (registry *Registry) ForgetMachine(machine string) { delete(registry.machines, machine) }
 
 // Machines returns the machines with reported or requested attempts of other owners, sorted.
-func (r *Registry) Machines() []string {
-	out := make([]string, 0, len(r.machines))
-	for id := range r.machines {
-		out = append(out, id)
+func (registry *Registry) Machines() []string {
+	ids := make([]string, 0, len(registry.machines))
+	for id := range registry.machines {
+		ids = append(ids, id)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
-// HasUnreported reports whether an attempt is requested on the machine that is neither
-// reported nor known to be gone.
-func (r *Registry) HasUnreported(machine string) bool {
-	h := r.machines[machine]
-	if h == nil {
+// HasUnreported reports whether a requested attempt on the machine is neither reported nor
+// known to be gone.
+func (registry *Registry) HasUnreported(machine string) bool {
+	state := registry.machines[machine]
+	if state == nil {
 		return false
 	}
-	for a := range h.requested {
-		if h.reported[a] == nil && h.gone[a].IsZero() {
+	for attempt := range state.requested {
+		if state.reported[attempt] == nil && state.gone[attempt].IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// LiveAttempts returns the attempts that take capacity on a machine, in order: those reported
-// and not ended, and those requested that may yet start there.
-func (r *Registry) LiveAttempts(machine string) []AttemptID {
-	h := r.machines[machine]
-	if h == nil {
+// LiveAttempts returns the attempts that use capacity on a machine, sorted: the reported
+// attempts that have not ended, and the requested attempts that may still start there.
+func (registry *Registry) LiveAttempts(machine string) []AttemptID {
+	state := registry.machines[machine]
+	if state == nil {
 		return nil
 	}
-	var out []AttemptID
-	for a, p := range h.reported {
-		if p.State != Ended {
-			out = append(out, a)
+	var live []AttemptID
+	for attempt, report := range state.reported {
+		if report.State != Ended {
+			live = append(live, attempt)
 		}
 	}
-	for a, x := range h.requested {
-		if h.reported[a] == nil && h.gone[a].IsZero() && x.Intent != Settled {
-			out = append(out, a)
+	for attempt, request := range state.requested {
+		if state.reported[attempt] == nil && state.gone[attempt].IsZero() && request.Intent != Settled {
+			live = append(live, attempt)
 		}
 	}
-	slices.SortFunc(out, AttemptID.compare)
-	return out
+	slices.SortFunc(live, AttemptID.compare)
+	return live
 }
 
-// Find returns when an attempt was first reported, and what its job's owner wants of it; ok is
-// false if nothing was requested.
-func (r *Registry) Find(machine string, a AttemptID) (since time.Time, request AttemptRequest, ok bool) {
-	h := r.machines[machine]
-	if h == nil {
+// Find returns when an attempt was first reported, and what its job's owner requests for it.
+// ok is false if the job's owner has requested nothing.
+func (registry *Registry) Find(machine string, attempt AttemptID) (since time.Time, request AttemptRequest, ok bool) {
+	state := registry.machines[machine]
+	if state == nil {
 		return time.Time{}, AttemptRequest{}, false
 	}
-	if p := h.reported[a]; p != nil {
-		since = p.since
+	if report := state.reported[attempt]; report != nil {
+		since = report.since
 	}
-	if x := h.requested[a]; x != nil {
-		return since, x.AttemptRequest, true
+	if known := state.requested[attempt]; known != nil {
+		return since, known.AttemptRequest, true
 	}
 	return since, AttemptRequest{}, false
 }
 
-// MachineInfo is what a machine's owner adds to a status. JobOwner returns the host that owns
-// the job of an attempt that nobody has requested; "" if no other controller does.
+// MachineInfo is what a machine's owner adds to a status. JobOwner returns the host that
+// owns the job of an attempt without a request, or "" if no other controller owns the job.
 type MachineInfo struct {
 	Epoch    uint64
 	Zone     string
 	JobOwner func(job string) string
 }
 
-// DueStatuses returns the messages that are due, by host. A change is sent at once, and an
-// unchanged status every resendEvery, which makes up for lost messages.
-func (r *Registry) DueStatuses(now time.Time, infoOf func(machine string) (MachineInfo, bool)) map[string][]MachineStatus {
-	var out map[string][]MachineStatus
+// DueStatuses returns the status messages that are due, by receiving host. A change is sent
+// at once, and an unchanged status every resendEvery, which makes up for lost messages.
+func (registry *Registry) DueStatuses(now time.Time, infoOf func(machine string) (MachineInfo, bool)) map[string][]MachineStatus {
+	var due map[string][]MachineStatus
 	counts := map[string]int{}
-	for _, id := range r.Machines() {
-		h := r.machines[id]
-		h.expireRequests(now)
-		if len(h.requested) == 0 && len(h.reported) == 0 {
-			delete(r.machines, id)
+	for _, id := range registry.Machines() {
+		state := registry.machines[id]
+		state.expireRequests(now)
+		if len(state.requested) == 0 && len(state.reported) == 0 {
+			delete(registry.machines, id)
 			continue
 		}
-		if !h.changed && now.Sub(h.publishedAt) < resendEvery {
+		if !state.changed && now.Sub(state.publishedAt) < resendEvery {
 			continue
 		}
 		info, ok := infoOf(id)
 		if !ok {
 			continue
 		}
-		h.changed, h.publishedAt = false, now
-		for controller, statuses := range h.statusesByController(info) {
+		state.changed, state.publishedAt = false, now
+		for controller, statuses := range state.statusesByController(info) {
 			if counts[controller] += len(statuses); counts[controller] > maxAttemptsPerMessage && counts[controller] > len(statuses) {
-				// The rest goes with the next round.
-				h.changed = true
+				// The remaining statuses are sent in the next round.
+				state.changed = true
 				continue
 			}
 			slices.SortFunc(statuses, func(a, b AttemptStatus) int { return a.compare(b.AttemptID) })
-			if out == nil {
-				out = map[string][]MachineStatus{}
+			if due == nil {
+				due = map[string][]MachineStatus{}
 			}
-			out[controller] = append(out[controller], MachineStatus{id, info.Epoch, info.Zone, statuses})
+			due[controller] = append(due[controller], MachineStatus{id, info.Epoch, info.Zone, statuses})
 		}
 	}
-	return out
+	return due
 }
 
-// expireRequests drops requests that are no longer repeated.
-func (h *machineState) expireRequests(now time.Time) {
-	for a, x := range h.requested {
-		if now.Sub(x.requestedAt) > requestTTL {
-			delete(h.requested, a)
-			delete(h.gone, a)
+// expireRequests drops the requests that were not repeated within requestTTL.
+func (state *machineState) expireRequests(now time.Time) {
+	for attempt, request := range state.requested {
+		if now.Sub(request.requestedAt) > requestTTL {
+			delete(state.requested, attempt)
+			delete(state.gone, attempt)
 		}
 	}
 }
 
-// statusesByController returns the status of each requested attempt for its requester, and
-// of each other reported attempt for the controller that owns its job.
-func (h *machineState) statusesByController(info MachineInfo) map[string][]AttemptStatus {
-	out := map[string][]AttemptStatus{}
-	for a, x := range h.requested {
-		status := AttemptStatus{AttemptID: a}
-		if p := h.reported[a]; p != nil {
-			status.State, status.Cause = p.State, p.Cause
-		} else if !h.gone[a].IsZero() {
+// statusesByController returns the statuses to send to each controller: each requested
+// attempt goes to its requester, and each other reported attempt to the controller that owns
+// its job.
+func (state *machineState) statusesByController(info MachineInfo) map[string][]AttemptStatus {
+	statuses := map[string][]AttemptStatus{}
+	for attempt, request := range state.requested {
+		status := AttemptStatus{AttemptID: attempt}
+		if report := state.reported[attempt]; report != nil {
+			status.State, status.Cause = report.State, report.Cause
+		} else if !state.gone[attempt].IsZero() {
 			status.State = Gone
 		}
-		out[x.requester] = append(out[x.requester], status)
+		statuses[request.requester] = append(statuses[request.requester], status)
 	}
-	for a, p := range h.reported {
-		if h.requested[a] != nil {
+	for attempt, report := range state.reported {
+		if state.requested[attempt] != nil {
 			continue
 		}
-		if controller := info.JobOwner(a.Job); controller != "" {
-			out[controller] = append(out[controller], AttemptStatus{a, p.State, p.Cause})
+		if controller := info.JobOwner(attempt.Job); controller != "" {
+			statuses[controller] = append(statuses[controller], AttemptStatus{attempt, report.State, report.Cause})
 		}
 	}
-	return out
+	return statuses
 }
--- a/internal/remote/registry_test.go
+++ b/internal/remote/registry_test.go
@@ -10,35 +10,41 @@
 	"pgregory.net/rapid"
 )
 
-// ownerModel is one machine, whose owner alternates between a job's owner (a) and another
-// controller (b), and the attempts of that job on it. Commands and messages are lost, late and
-// duplicated. Whatever a believes to be gone must be absent for ever.
+// ownerModel models one machine, whose owner alternates between a job's owner (a) and
+// another controller (b), and the attempts of that job on the machine. Commands and messages
+// may be lost, late and duplicated. Invariant: an attempt that a believes gone is never on
+// the machine again.
 type ownerModel struct {
 	now   time.Time
 	epoch uint64
-	// machineIsOwn: a owns the machine. seenEpoch and present are the worker's.
+	// machineIsOwn means that a owns the machine. seenEpoch, present and alive are the state
+	// of the machine's worker.
 	machineIsOwn bool
 	seenEpoch    uint64
 	present      map[AttemptID]State
 	alive        bool
-	// commands are starts in flight, with the epoch they were sent under.
+	// commands holds the starts in flight, with the epochs under which they were sent.
 	commands []startCommand
-	// live are the attempts that a believes to be live; gone those it has proof of.
+	// live holds the attempts that a believes live, and gone the attempts that a believes
+	// gone.
 	live       map[AttemptID]bool
 	gone       map[AttemptID]bool
 	lastNumber uint64
 	registry   *Registry
 	requests   []Request
 	statuses   []MachineStatus
-	// disabled removes one condition, to show that the model detects that.
+	// disabled names a condition that is removed, to show that the model detects its
+	// absence.
 	disabled string
 }
 
+// startCommand is a start command in flight.
 type startCommand struct {
 	attempt AttemptID
 	epoch   uint64
 }
 
+// newOwnerModel returns a model in which a owns the machine under epoch 1.
 func newOwnerModel() *ownerModel {
 	return &ownerModel{
 		now: time.Unix(1_750_000_000, 0), epoch: 1, machineIsOwn: true, alive: true,
@@ -46,317 +52,327 @@
 	}
 }
 
-func (m *ownerModel) liveAttempts() []AttemptID {
-	var out []AttemptID
-	for a := range m.live {
-		out = append(out, a)
+// liveAttempts returns the attempts that a believes live, sorted.
+func (model *ownerModel) liveAttempts() []AttemptID {
+	var attempts []AttemptID
+	for attempt := range model.live {
+		attempts = append(attempts, attempt)
 	}
-	slices.SortFunc(out, AttemptID.compare)
-	return out
+	slices.SortFunc(attempts, AttemptID.compare)
+	return attempts
 }
 
-func (m *ownerModel) isPresent(a AttemptID) bool { s, ok := m.present[a]; return ok && s != Ended }
+// isPresent reports whether the attempt runs on the machine.
+func (model *ownerModel) isPresent(attempt AttemptID) bool {
+	state, ok := model.present[attempt]
+	return ok && state != Ended
+}
 
 // believeGone makes a believe that an attempt is gone.
-func (m *ownerModel) believeGone(t *rapid.T, a AttemptID) {
-	delete(m.live, a)
-	m.gone[a] = true
-	m.check(t)
+func (model *ownerModel) believeGone(t *rapid.T, attempt AttemptID) {
+	delete(model.live, attempt)
+	model.gone[attempt] = true
+	model.check(t)
 }
 
-func (m *ownerModel) check(t *rapid.T) {
-	for a := range m.gone {
-		if m.isPresent(a) {
-			t.Fatalf("attempt %v: its owner believes it gone, and it is on the machine", a)
+// check fails the test if an attempt that a believes gone is on the machine.
+func (model *ownerModel) check(t *rapid.T) {
+	for attempt := range model.gone {
+		if model.isPresent(attempt) {
+			t.Fatalf("attempt %v: its job's owner believes it gone, but it is on the machine", attempt)
 		}
 	}
 }
 
-// sendHeartbeat sends a heartbeat to whoever owns the machine.
-func (m *ownerModel) sendHeartbeat(t *rapid.T) {
-	if !m.alive {
+// sendHeartbeat delivers a heartbeat of the machine to its present owner.
+func (model *ownerModel) sendHeartbeat(t *rapid.T) {
+	if !model.alive {
 		return
 	}
-	m.seenEpoch = max(m.seenEpoch, m.epoch)
+	model.seenEpoch = max(model.seenEpoch, model.epoch)
 	var reported []ReportedAttempt
-	for a, s := range m.present {
-		reported = append(reported, ReportedAttempt{AttemptID: a, State: s, Cause: "done"})
+	for attempt, state := range model.present {
+		reported = append(reported, ReportedAttempt{AttemptID: attempt, State: state, Cause: "done"})
 	}
-	conclusive := !slices.ContainsFunc(m.commands, func(o startCommand) bool { return o.epoch >= m.epoch })
-	if m.disabled == "quiet" {
+	conclusive := !slices.ContainsFunc(model.commands, func(command startCommand) bool { return command.epoch >= model.epoch })
+	if model.disabled == "quiet" {
 		conclusive = true
 	}
-	if m.machineIsOwn {
-		for _, a := range m.liveAttempts() {
-			if s, ok := m.present[a]; ok && s == Ended || !ok && conclusive {
-				m.believeGone(t, a)
+	if model.machineIsOwn {
+		for _, attempt := range model.liveAttempts() {
+			if state, ok := model.present[attempt]; ok && state == Ended || !ok && conclusive {
+				model.believeGone(t, attempt)
 			}
 		}
 		return
 	}
-	m.registry.ObserveHeartbeat(m.now, "vm", reported, func(string) bool { return m.disabled == "own" }, conclusive)
+	model.registry.ObserveHeartbeat(model.now, "vm", reported, func(string) bool { return model.disabled == "own" }, conclusive)
 }
 
-func (m *ownerModel) receiveStatus(t *rapid.T, x MachineStatus) {
-	if m.machineIsOwn || x.Epoch != m.epoch && m.disabled != "epoch" {
+// receiveStatus delivers a status of the machine's owner to a.
+func (model *ownerModel) receiveStatus(t *rapid.T, status MachineStatus) {
+	if model.machineIsOwn || status.Epoch != model.epoch && model.disabled != "epoch" {
 		return
 	}
-	for _, w := range x.Attempts {
-		if m.live[w.AttemptID] && (w.State == Ended || w.State == Gone) {
-			m.believeGone(t, w.AttemptID)
+	for _, attempt := range status.Attempts {
+		if model.live[attempt.AttemptID] && (attempt.State == Ended || attempt.State == Gone) {
+			model.believeGone(t, attempt.AttemptID)
 		}
 	}
 }
 
-func (m *ownerModel) actions() map[string]func(*rapid.T) {
+// actions returns the random actions of the model by name; the action "" checks the invariant.
+func (model *ownerModel) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"": m.check,
+		"": model.check,
 		"start": func(t *rapid.T) {
-			if m.machineIsOwn && len(m.live) < 4 {
-				m.lastNumber++
-				a := AttemptID{"job", 0, m.lastNumber}
-				m.live[a] = true
-				m.commands = append(m.commands, startCommand{a, m.epoch})
+			if model.machineIsOwn && len(model.live) < 4 {
+				model.lastNumber++
+				attempt := AttemptID{"job", 0, model.lastNumber}
+				model.live[attempt] = true
+				model.commands = append(model.commands, startCommand{attempt, model.epoch})
 			}
 		},
 		"add duplicate start": func(t *rapid.T) {
 			// A live but absent attempt is started again, under the present epoch.
-			for _, a := range m.liveAttempts() {
-				if _, ok := m.present[a]; m.machineIsOwn && !ok {
-					m.commands = append(m.commands, startCommand{a, m.epoch})
+			for _, attempt := range model.liveAttempts() {
+				if _, ok := model.present[attempt]; model.machineIsOwn && !ok {
+					model.commands = append(model.commands, startCommand{attempt, model.epoch})
 				}
 			}
 		},
 		"deliver command": func(t *rapid.T) {
-			if len(m.commands) == 0 {
+			if len(model.commands) == 0 {
 				return
 			}
-			i := rapid.IntRange(0, len(m.commands)-1).Draw(t, "command")
-			o := m.commands[i]
-			if !rapid.Bool().Draw(t, "duplicated") || o.epoch < m.seenEpoch {
-				m.commands = slices.Delete(m.commands, i, i+1)
+			i := rapid.IntRange(0, len(model.commands)-1).Draw(t, "command")
+			command := model.commands[i]
+			if !rapid.Bool().Draw(t, "duplicated") || command.epoch < model.seenEpoch {
+				model.commands = slices.Delete(model.commands, i, i+1)
 			}
-			if _, there := m.present[o.attempt]; m.alive && o.epoch >= m.seenEpoch && !there {
-				m.seenEpoch = o.epoch
-				m.present[o.attempt] = Running
+			if _, present := model.present[command.attempt]; model.alive && command.epoch >= model.seenEpoch && !present {
+				model.seenEpoch = command.epoch
+				model.present[command.attempt] = Running
 			}
 		},
 		"end": func(t *rapid.T) {
-			for _, a := range m.liveAttempts() {
-				if m.isPresent(a) {
-					m.present[a] = Ended
+			for _, attempt := range model.liveAttempts() {
+				if model.isPresent(attempt) {
+					model.present[attempt] = Ended
 					return
 				}
 			}
 		},
-		"receive heartbeat": m.sendHeartbeat,
+		"receive heartbeat": model.sendHeartbeat,
 		"move machine": func(t *rapid.T) {
-			m.epoch++
-			m.machineIsOwn = !m.machineIsOwn
-			m.registry.ForgetMachine("vm")
+			model.epoch++
+			model.machineIsOwn = !model.machineIsOwn
+			model.registry.ForgetMachine("vm")
 		},
 		"die": func(t *rapid.T) {
-			if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 && !m.machineIsOwn {
-				// The cloud has confirmed its release: nothing there comes back.
-				m.alive = false
-				clear(m.present)
-				m.registry.MarkMachineGone(m.now, "vm", func(AttemptID) bool { return false })
+			if rapid.IntRange(0, 9).Draw(t, "rarely") == 0 && !model.machineIsOwn {
+				// The cloud has confirmed the release: no attempt on the machine can come
+				// back.
+				model.alive = false
+				clear(model.present)
+				model.registry.MarkMachineGone(model.now, "vm", func(AttemptID) bool { return false })
 			}
 		},
 		"add request": func(t *rapid.T) {
-			x := Request{Machine: "vm"}
-			for _, a := range m.liveAttempts() {
-				x.Attempts = append(x.Attempts, AttemptRequest{AttemptID: a, Intent: Intent(rapid.IntRange(0, 1).Draw(t, "intent"))})
+			request := Request{Machine: "vm"}
+			for _, attempt := range model.liveAttempts() {
+				request.Attempts = append(request.Attempts, AttemptRequest{AttemptID: attempt, Intent: Intent(rapid.IntRange(0, 1).Draw(t, "intent"))})
 			}
-			m.requests = append(m.requests, x)
+			model.requests = append(model.requests, request)
 		},
 		"apply request": func(t *rapid.T) {
-			if len(m.requests) > 0 && !m.machineIsOwn {
-				m.registry.Request(m.now, "a", m.requests[rapid.IntRange(0, len(m.requests)-1).Draw(t, "request")])
+			if len(model.requests) > 0 && !model.machineIsOwn {
+				model.registry.Request(model.now, "a", model.requests[rapid.IntRange(0, len(model.requests)-1).Draw(t, "request")])
 			}
 		},
 		"transmit statuses": func(t *rapid.T) {
-			m.now = m.now.Add(2 * time.Second)
-			if m.machineIsOwn {
+			model.now = model.now.Add(2 * time.Second)
+			if model.machineIsOwn {
 				return
 			}
-			out := m.registry.DueStatuses(m.now, func(string) (MachineInfo, bool) {
-				return MachineInfo{Epoch: m.epoch, JobOwner: func(string) string { return "a" }}, true
+			out := model.registry.DueStatuses(model.now, func(string) (MachineInfo, bool) {
+				return MachineInfo{Epoch: model.epoch, JobOwner: func(string) string { return "a" }}, true
 			})
-			m.statuses = append(m.statuses, out["a"]...)
+			model.statuses = append(model.statuses, out["a"]...)
 		},
 		"transmitted status arrives": func(t *rapid.T) {
-			// Any message that was ever sent: late, duplicated, out of order.
-			if len(m.statuses) > 0 {
-				m.receiveStatus(t, m.statuses[rapid.IntRange(0, len(m.statuses)-1).Draw(t, "status")])
+			// Any status that was ever sent may arrive: late, duplicated or out of order.
+			if len(model.statuses) > 0 {
+				model.receiveStatus(t, model.statuses[rapid.IntRange(0, len(model.statuses)-1).Draw(t, "status")])
 			}
 		},
 	}
 }
 
-// TestNoLiveAttemptIsBelievedGone: no message, however late, makes a job's owner believe an
-// attempt gone that is on the machine or may yet start there.
+// TestNoLiveAttemptIsBelievedGone checks that no message, however late, makes a job's owner
+// believe an attempt gone that is on the machine or may still start there.
 func TestNoLiveAttemptIsBelievedGone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(newOwnerModel().actions()) })
 }
 
-// TestModelNotices: without a condition the model finds a task that its owner believes gone
-// and that is on its machine; otherwise the model would be worthless.
+// TestModelNotices checks that the model detects a missing condition: without the condition,
+// a job's owner believes an attempt gone that is on the machine. A model that misses this
+// would prove nothing.
 func TestModelNotices(t *testing.T) {
 	attempt := func(n uint64) AttemptID { return AttemptID{"job", 0, n} }
-	detects := func(disabled string, steps func(m *ownerModel, rt *rapid.T)) (noticed bool) {
-		// The steps are fixed; only rapid's T is needed.
+	detects := func(disabled string, steps func(model *ownerModel, rt *rapid.T)) (noticed bool) {
+		// The steps are fixed; rapid.Check only supplies a *rapid.T.
 		rapid.Check(t, func(rt *rapid.T) {
-			m := newOwnerModel()
-			m.disabled = disabled
+			model := newOwnerModel()
+			model.disabled = disabled
 			defer func() {
 				if r := recover(); r != nil {
 					noticed = true
 				}
 			}()
-			steps(m, rt)
-			for a := range m.gone {
-				noticed = noticed || m.isPresent(a)
+			steps(model, rt)
+			for a := range model.gone {
+				noticed = noticed || model.isPresent(a)
 			}
 		})
 		return noticed
 	}
-	// A status from before the machine came back to the job's owner, which has started the
-	// attempt meanwhile.
-	lateStatus := func(m *ownerModel, rt *rapid.T) {
-		m.live[attempt(1)] = true
-		m.epoch, m.machineIsOwn = 2, false
-		m.registry.Request(m.now, "a", Request{Machine: "vm", Attempts: []AttemptRequest{{AttemptID: attempt(1)}}})
-		m.sendHeartbeat(rt)
-		old := m.registry.DueStatuses(m.now, func(string) (MachineInfo, bool) {
+	// A status arrives that was sent before the machine came back to the job's owner, which
+	// has started the attempt since.
+	lateStatus := func(model *ownerModel, rt *rapid.T) {
+		model.live[attempt(1)] = true
+		model.epoch, model.machineIsOwn = 2, false
+		model.registry.Request(model.now, "a", Request{Machine: "vm", Attempts: []AttemptRequest{{AttemptID: attempt(1)}}})
+		model.sendHeartbeat(rt)
+		statuses := model.registry.DueStatuses(model.now, func(string) (MachineInfo, bool) {
 			return MachineInfo{Epoch: 2, JobOwner: func(string) string { return "" }}, true
 		})["a"]
-		m.epoch, m.machineIsOwn = 4, false
-		m.present[attempt(1)] = Running // started under epoch 3, when the machine was a's
-		for _, x := range old {
-			if x.Epoch == m.epoch || m.disabled == "epoch" {
-				for _, w := range x.Attempts {
-					if w.State == Gone {
-						m.gone[w.AttemptID] = true
+		model.epoch, model.machineIsOwn = 4, false
+		model.present[attempt(1)] = Running // started under epoch 3, when a owned the machine
+		for _, status := range statuses {
+			if status.Epoch == model.epoch || model.disabled == "epoch" {
+				for _, reported := range status.Attempts {
+					if reported.State == Gone {
+						model.gone[reported.AttemptID] = true
 					}
 				}
 			}
 		}
 	}
 	if !detects("epoch", lateStatus) || detects("", lateStatus) {
-		t.Error("late status of an older epoch: got undetected without the condition, or detected with it")
+		t.Error("late status of an older epoch: got no detection without the condition, or a detection with it")
 	}
-	// The machine's owner still takes the job for its own and hides the attempt.
-	hiddenAttempt := func(m *ownerModel, rt *rapid.T) {
-		m.machineIsOwn = false
-		m.present[attempt(1)] = Running
-		m.registry.Request(m.now, "a", Request{Machine: "vm", Attempts: []AttemptRequest{{AttemptID: attempt(1)}}})
-		m.registry.ObserveHeartbeat(m.now, "vm", []ReportedAttempt{{AttemptID: attempt(1), State: Running}}, func(string) bool { return true }, true)
-		for _, x := range m.registry.DueStatuses(m.now, func(string) (MachineInfo, bool) { return MachineInfo{Epoch: m.epoch}, true })["a"] {
-			for _, w := range x.Attempts {
-				if w.State == Gone {
-					m.gone[w.AttemptID] = true
+	// The machine's owner still considers the job its own and hides the attempt.
+	hiddenAttempt := func(model *ownerModel, rt *rapid.T) {
+		model.machineIsOwn = false
+		model.present[attempt(1)] = Running
+		model.registry.Request(model.now, "a", Request{Machine: "vm", Attempts: []AttemptRequest{{AttemptID: attempt(1)}}})
+		model.registry.ObserveHeartbeat(model.now, "vm", []ReportedAttempt{{AttemptID: attempt(1), State: Running}}, func(string) bool { return true }, true)
+		for _, status := range model.registry.DueStatuses(model.now, func(string) (MachineInfo, bool) { return MachineInfo{Epoch: model.epoch}, true })["a"] {
+			for _, reported := range status.Attempts {
+				if reported.State == Gone {
+					model.gone[reported.AttemptID] = true
 				}
 			}
 		}
 	}
 	if detects("", hiddenAttempt) {
-		t.Error("attempt on the machine is published as gone while its job is taken for the owner's own")
+		t.Error("got an attempt on the machine published as gone because the owner considers its job its own, want it tracked")
 	}
 }
 
-// TestRegistry: a requested stop is final, a requested attempt takes capacity, and a status is
-// sent again until its owner has received it.
+// TestRegistry checks that a requested stop is final, that a requested attempt uses
+// capacity, and that a status is sent again periodically, which makes up for a lost message.
 func TestRegistry(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	a, b := AttemptID{"j", 0, 1}, AttemptID{"j", 1, 1}
-	d := &Registry{}
+	registry := &Registry{}
 	infoOf := func(string) (MachineInfo, bool) {
 		return MachineInfo{Epoch: 7, Zone: "z", JobOwner: func(string) string { return "c" }}, true
 	}
 	own := func(string) bool { return false }
-	if !d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a, Intent: Stop}}}) {
-		t.Error("Request: got no change for a stop, want one")
+	if !registry.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a, Intent: Stop}}}) {
+		t.Error("Request: got no change after a stop, want one")
 	}
-	if d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a}}}); len(d.LiveAttempts("vm")) != 1 {
-		t.Errorf("LiveAttempts: got %v, want the attempt that may yet start", d.LiveAttempts("vm"))
+	if registry.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a}}}); len(registry.LiveAttempts("vm")) != 1 {
+		t.Errorf("LiveAttempts: got %v, want the attempt that may still start", registry.LiveAttempts("vm"))
 	}
-	d.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: a, State: Running}, {AttemptID: b, State: Running}}, own, true)
-	if _, w, ok := d.Find("vm", a); !ok || w.Intent != Stop {
-		t.Errorf("Find after a late Keep: got %v, want Stop", w)
+	registry.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: a, State: Running}, {AttemptID: b, State: Running}}, own, true)
+	if _, request, ok := registry.Find("vm", a); !ok || request.Intent != Stop {
+		t.Errorf("Find after a late Keep: got %v, want Stop", request)
 	}
-	statuses := d.DueStatuses(now, infoOf)
+	statuses := registry.DueStatuses(now, infoOf)
 	if len(statuses["a"]) != 1 || len(statuses["c"]) != 1 || statuses["a"][0].Epoch != 7 || statuses["c"][0].Attempts[0].AttemptID != b {
 		t.Errorf("DueStatuses: got %v, want one for the requester and one for the job's owner", statuses)
 	}
-	if again := d.DueStatuses(now.Add(time.Millisecond), infoOf); len(again) != 0 {
+	if again := registry.DueStatuses(now.Add(time.Millisecond), infoOf); len(again) != 0 {
 		t.Errorf("DueStatuses without a change: got %v, want none", again)
 	}
-	d.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, false)
-	if got := d.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Unknown {
+	registry.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, false)
+	if got := registry.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Unknown {
 		t.Errorf("absent without proof: got state %v, want Unknown", got)
 	}
-	d.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, true)
-	if got := d.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Gone {
+	registry.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, true)
+	if got := registry.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Gone {
 		t.Errorf("absent with proof: got state %v, want Gone", got)
 	}
-	if len(d.LiveAttempts("vm")) != 1 || d.HasUnreported("vm") {
-		t.Errorf("LiveAttempts: got %v, want one, and none unreported", d.LiveAttempts("vm"))
+	if len(registry.LiveAttempts("vm")) != 1 || registry.HasUnreported("vm") {
+		t.Errorf("LiveAttempts: got %v, want one, and none unreported", registry.LiveAttempts("vm"))
 	}
-	// No more requests, and nothing there: it is forgotten.
-	d.ObserveHeartbeat(now, "vm", nil, own, true)
-	d.DueStatuses(now.Add(2*requestTTL), infoOf)
-	if len(d.Machines()) != 0 {
-		t.Errorf("Machines: got %v, want none", d.Machines())
+	// The requests expire and the machine reports nothing, so the machine is forgotten.
+	registry.ObserveHeartbeat(now, "vm", nil, own, true)
+	registry.DueStatuses(now.Add(2*requestTTL), infoOf)
+	if len(registry.Machines()) != 0 {
+		t.Errorf("Machines: got %v, want none", registry.Machines())
 	}
 }
 
-// TestForgetObservations: what a machine's owner observed under an earlier epoch is not
-// published under the next. While its reads lagged behind it may have taken the machine for
-// its own, and another owner may have started there what it then did not see.
+// TestForgetObservations guards against publishing observations of an earlier epoch under
+// the next epoch. While the reads of the machine's owner lagged, it may have considered the
+// machine its own although another owner had started an attempt there that it had not seen.
 func TestForgetObservations(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
-	d := &Registry{}
+	registry := &Registry{}
 	a := AttemptID{"j", 0, 1}
 	own := func(string) bool { return false }
-	d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a, Intent: Stop}}})
-	d.ObserveHeartbeat(now, "vm", nil, own, true)
-	d.ForgetObservations("vm")
-	status := d.DueStatuses(now, func(string) (MachineInfo, bool) {
+	registry.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a, Intent: Stop}}})
+	registry.ObserveHeartbeat(now, "vm", nil, own, true)
+	registry.ForgetObservations("vm")
+	status := registry.DueStatuses(now, func(string) (MachineInfo, bool) {
 		return MachineInfo{Epoch: 9, JobOwner: func(string) string { return "" }}, true
 	})["a"][0]
 	if got := status.Attempts[0].State; got != Unknown {
-		t.Errorf("got state %v under epoch %d, want Unknown: it was observed under an earlier epoch", got, status.Epoch)
+		t.Errorf("got state %v under epoch %d, want Unknown because it was observed under an earlier epoch", got, status.Epoch)
 	}
-	if _, w, ok := d.Find("vm", a); !ok || w.Intent != Stop {
-		t.Error("request is forgotten as well")
+	if _, request, ok := registry.Find("vm", a); !ok || request.Intent != Stop {
+		t.Error("got the request forgotten with the observations, want it kept")
 	}
 }
 
-// TestMessagesAreBounded: of more attempts than a message may hold the rest is sent in the
-// next round, and none is left out for ever.
+// TestMessagesAreBounded checks that attempts beyond the limit of a message are sent in a
+// later round and that none is left out forever.
 func TestMessagesAreBounded(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
-	d := &Registry{}
+	registry := &Registry{}
 	const machines, each = 900, 10
 	for i := range machines {
-		x := Request{Machine: fmt.Sprintf("vm-%04d", i)}
+		message := Request{Machine: fmt.Sprintf("vm-%04d", i)}
 		for k := range each {
-			x.Attempts = append(x.Attempts, AttemptRequest{AttemptID: AttemptID{fmt.Sprintf("job-%04d", i), k, 1}})
+			message.Attempts = append(message.Attempts, AttemptRequest{AttemptID: AttemptID{fmt.Sprintf("job-%04d", i), k, 1}})
 		}
-		d.Request(now, "a", x)
+		registry.Request(now, "a", message)
 	}
 	reportedMachines := map[string]bool{}
 	for range 10 {
-		n := 0
-		for _, x := range d.DueStatuses(now, func(string) (MachineInfo, bool) {
+		attempts := 0
+		for _, message := range registry.DueStatuses(now, func(string) (MachineInfo, bool) {
 			return MachineInfo{Epoch: 1, JobOwner: func(string) string { return "" }}, true
 		})["a"] {
-			n += len(x.Attempts)
-			reportedMachines[x.Machine] = true
+			attempts += len(message.Attempts)
+			reportedMachines[message.Machine] = true
 		}
-		if n > maxAttemptsPerMessage {
-			t.Fatalf("got %d attempts in a message, want fewer", n)
+		if attempts > maxAttemptsPerMessage {
+			t.Fatalf("got %d attempts in a message, want at most maxAttemptsPerMessage", attempts)
 		}
 	}
 	if len(reportedMachines) != machines {
@@ -364,14 +380,15 @@
 	}
 }
 
-// TestLost: requested attempts are gone with their machine, except those started since.
+// TestLost checks that requested attempts are gone with their machine, except the attempts
+// started since.
 func TestLost(t *testing.T) {
 	now := time.Unix(1_750_000_000, 0)
 	a, b := AttemptID{"j", 0, 1}, AttemptID{"j", 1, 1}
-	d := &Registry{}
-	d.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a}, {AttemptID: b}}})
-	d.MarkMachineGone(now, "vm", func(x AttemptID) bool { return x == b })
-	if got := d.LiveAttempts("vm"); len(got) != 1 || got[0] != b {
-		t.Errorf("LiveAttempts: got %v, want %v alone", got, b)
+	registry := &Registry{}
+	registry.Request(now, "a", Request{"vm", []AttemptRequest{{AttemptID: a}, {AttemptID: b}}})
+	registry.MarkMachineGone(now, "vm", func(x AttemptID) bool { return x == b })
+	if got := registry.LiveAttempts("vm"); len(got) != 1 || got[0] != b {
+		t.Errorf("LiveAttempts: got %v, want only %v", got, b)
 	}
 }
