--- a/internal/selfmonitor/selfmonitor.go
+++ b/internal/selfmonitor/selfmonitor.go
@@ -1,79 +1,85 @@
-// Package selfmonitor tells a controller that is itself partitioned from the workers from one
-// whose workers are gone. Neither controller can know alone, since both receive nothing. So
-// two observations are combined: the shard leader's own, that no heartbeat has come for longer
-// than chance explains, and the others', that machines which they rerouted to the leader keep
-// reappearing. The package has no clock and sends nothing.
+// Package selfmonitor distinguishes a controller that is partitioned from its workers from a
+// controller whose workers are gone. The controller itself receives nothing in either case,
+// so it combines two observations. The shard leader observes that no heartbeat has arrived
+// for longer than chance explains. The other controllers observe that machines which they
+// rerouted to that shard leader keep reporting to them. The package has no clock and sends
+// nothing.
 package selfmonitor
 
 import "time"
 
 const (
-	// minMissedHeartbeats is how many heartbeats must be missing before their absence is no
-	// chance: with that many expected, all are missing once in e^8 times.
+	// minMissedHeartbeats is how many expected heartbeats must be missing before chance is
+	// ruled out: with 8 heartbeats expected, none arrives by chance once in e^8 cases.
 	minMissedHeartbeats = 8
-	// minSilence is the shortest silence that counts, however many machines send heartbeats: a
-	// lost packet is sent again within it.
+	// minSilence is the shortest time without heartbeats that counts, however many machines
+	// send them: a lost packet is sent again within it.
 	minSilence = 3 * time.Second
-	// pauseThreshold is how long the controller must not have run for the silence to be its
-	// own doing. The silence is then measured anew.
+	// pauseThreshold is the least time for which the controller must not have run to count
+	// as paused. A pause explains missing heartbeats, so the silence is measured anew after
+	// it.
 	pauseThreshold = 1500 * time.Millisecond
-	// minReappearance and maxReappearance bound the gap after which a rerouted machine that is
-	// seen again has not been received there: sooner it is a duplicated heartbeat, later
-	// something else may have happened to it.
+	// minReappearance and maxReappearance bound the gap after which a rerouted machine that
+	// reports here again counts as not served by its owner. After a shorter gap the
+	// heartbeat is a duplicate; after a longer gap something else may have happened to the
+	// machine.
 	minReappearance = 2 * time.Second
 	maxReappearance = 20 * time.Second
-	// maxTracked bounds the machines that are tracked; the oldest are dropped.
+	// maxTracked bounds the machines that are tracked. Beyond it the machines not rerouted within
+	// maxReappearance are dropped, and all machines if that is not enough.
 	maxTracked = 1 << 14
 )
 
-// Monitor is what a controller observes of its own connection to the workers. The zero value
-// is ready.
+// Monitor records what a controller observes of its own connection to the workers. The zero
+// value is ready.
 type Monitor struct {
 	lastHeartbeat, lastRun, resumedAt time.Time
-	// unanswered counts requests to workers without an answer since there was last a sign that
-	// one arrived; firstUnanswered is when the first of them was sent.
+	// unanswered counts the requests to workers without an answer since the last sign that a
+	// request arrived; firstUnanswered is when the first of them was recorded.
 	unanswered      int
 	firstUnanswered time.Time
 }
 
-// minUnanswered is how many requests in a row must be unanswered before a controller takes
-// itself for unheard. They go to workers that have just sent heartbeats.
+// minUnanswered is how many requests in a row must be unanswered before a controller
+// concludes that its messages don't arrive. The requests go to workers that have just sent
+// heartbeats.
 const minUnanswered = 4
 
-// RequestDelivered records a sign that something sent to a worker arrived.
-func (m *Monitor) RequestDelivered() { m.unanswered = 0 }
+// RequestDelivered records a sign that a message to a worker arrived.
+func (monitor *Monitor) RequestDelivered() { monitor.unanswered = 0 }
 
 // RequestUnanswered records that a request to a worker had no answer.
-func (m *Monitor) RequestUnanswered(now time.Time) {
-	if m.unanswered++; m.unanswered == 1 {
-		m.firstUnanswered = now
+func (monitor *Monitor) RequestUnanswered(now time.Time) {
+	if monitor.unanswered++; monitor.unanswered == 1 {
+		monitor.firstUnanswered = now
 	}
 }
 
-// Unheard reports a send partition: workers send heartbeats, and nothing sent to them arrives.
-func (m *Monitor) Unheard(now time.Time) bool {
-	return m.unanswered >= minUnanswered && now.Sub(m.firstUnanswered) > minSilence && now.Sub(m.resumedAt) > minSilence
+// Unheard reports a send partition: workers send heartbeats, but no message to them arrives.
+func (monitor *Monitor) Unheard(now time.Time) bool {
+	return monitor.unanswered >= minUnanswered && now.Sub(monitor.firstUnanswered) > minSilence && now.Sub(monitor.resumedAt) > minSilence
 }
 
-// HeartbeatReceived records a heartbeat of any worker, whatever the answer to it.
-func (m *Monitor) HeartbeatReceived(now time.Time) { m.lastHeartbeat = now }
+// HeartbeatReceived records a heartbeat of any worker, whatever the reply to it.
+func (monitor *Monitor) HeartbeatReceived(now time.Time) { monitor.lastHeartbeat = now }
 
-// Ran records that the controller runs. A pause explains the silence during it.
-func (m *Monitor) Ran(now time.Time) {
-	if now.Sub(m.lastRun) > pauseThreshold {
-		m.resumedAt = now
+// Ran records that the controller runs. If it was paused before, the pause explains the
+// missing heartbeats.
+func (monitor *Monitor) Ran(now time.Time) {
+	if now.Sub(monitor.lastRun) > pauseThreshold {
+		monitor.resumedAt = now
 	}
-	m.lastRun = now
+	monitor.lastRun = now
 }
 
 // ReceivesNothing reports a receive partition: machines that each send a heartbeat at least
-// once per interval can't all have been silent since the last heartbeat by chance. Nothing
-// from before since counts.
-func (m *Monitor) ReceivesNothing(now, since time.Time, machines int, interval time.Duration) bool {
+// once per interval can't all have been silent since the last heartbeat by chance. The time
+// before since is ignored.
+func (monitor *Monitor) ReceivesNothing(now, since time.Time, machines int, interval time.Duration) bool {
 	if machines < 2 {
 		return false
 	}
-	for _, t := range [...]time.Time{m.lastHeartbeat, m.resumedAt} {
+	for _, t := range [...]time.Time{monitor.lastHeartbeat, monitor.resumedAt} {
 		if t.After(since) {
 			since = t
 		}
@@ -81,15 +87,15 @@
 	return now.Sub(since) > max(minSilence, minMissedHeartbeats*interval/time.Duration(machines))
 }
 
-// ReroutedMachines tracks the machines that were rerouted to other controllers. The zero value
-// is ready.
+// ReroutedMachines tracks the machines that were rerouted to other controllers. The zero
+// value is ready.
 type ReroutedMachines struct {
 	reroutes map[string]reroute
 }
 
-// reroute is the last reroute of one machine. A machine that reappears may not have received
-// where it was sent, or an old copy of its heartbeat may have come. So it counts only once it
-// has answered a probe since.
+// reroute is the last reroute of one machine. A machine that reappears may be unable to
+// receive the replies of the controller that it was sent to, or an old copy of its heartbeat
+// may have arrived. So it counts only if it has answered a probe recently.
 type reroute struct {
 	to           string
 	lastSent     time.Time
@@ -100,32 +106,33 @@
 }
 
 // Rerouted records that a machine was rerouted to a controller, and reports whether to probe
-// the machine. One that was sent there before, not long ago, has reappeared.
-func (r *ReroutedMachines) Rerouted(now time.Time, machine, to string) (probe bool) {
-	if r.reroutes == nil {
-		r.reroutes = map[string]reroute{}
+// the machine. A machine that was sent to the same controller a short time before has
+// reappeared.
+func (machines *ReroutedMachines) Rerouted(now time.Time, machine, to string) (probe bool) {
+	if machines.reroutes == nil {
+		machines.reroutes = map[string]reroute{}
 	}
-	x := r.reroutes[machine]
-	gap := now.Sub(x.lastSent)
+	entry := machines.reroutes[machine]
+	gap := now.Sub(entry.lastSent)
 	switch {
-	case x.to != to || gap > maxReappearance:
-		x = reroute{to: to}
+	case entry.to != to || gap > maxReappearance:
+		entry = reroute{to: to}
 	case gap >= minReappearance:
-		x.reappeared, x.reappearedAt = true, now
+		entry.reappeared, entry.reappearedAt = true, now
 	}
-	x.lastSent = now
-	if probe = x.reappeared && now.Sub(x.probedAt) > probeEvery && now.Sub(x.answeredAt) > maxReappearance/2; probe {
-		x.probedAt = now
+	entry.lastSent = now
+	if probe = entry.reappeared && now.Sub(entry.probedAt) > probeEvery && now.Sub(entry.answeredAt) > maxReappearance/2; probe {
+		entry.probedAt = now
 	}
-	r.reroutes[machine] = x
-	if len(r.reroutes) > maxTracked {
-		for id, y := range r.reroutes {
-			if now.Sub(y.lastSent) > maxReappearance {
-				delete(r.reroutes, id)
+	machines.reroutes[machine] = entry
+	if len(machines.reroutes) > maxTracked {
+		for id, other := range machines.reroutes {
+			if now.Sub(other.lastSent) > maxReappearance {
+				delete(machines.reroutes, id)
 			}
 		}
-		if len(r.reroutes) > maxTracked {
-			clear(r.reroutes)
+		if len(machines.reroutes) > maxTracked {
+			clear(machines.reroutes)
 		}
 	}
 	return probe
@@ -134,20 +141,20 @@
 // probeEvery is the least time between two probes of a machine that reappeared.
 const probeEvery = 3 * time.Second
 
-// ProbeAnswered records that a machine which reappeared answered a probe.
-func (r *ReroutedMachines) ProbeAnswered(now time.Time, machine string) {
-	if x, ok := r.reroutes[machine]; ok {
-		x.answeredAt = now
-		r.reroutes[machine] = x
+// ProbeAnswered records that a machine that reappeared answered a probe.
+func (machines *ReroutedMachines) ProbeAnswered(now time.Time, machine string) {
+	if entry, ok := machines.reroutes[machine]; ok {
+		entry.answeredAt = now
+		machines.reroutes[machine] = entry
 	}
 }
 
-// CountReappeared counts the machines that recently reappeared from a controller though they
-// receive what is sent to them.
-func (r *ReroutedMachines) CountReappeared(now time.Time, from string) int {
+// CountReappeared counts the machines that recently reappeared after a reroute to the
+// controller from, although they receive messages that are sent to them.
+func (machines *ReroutedMachines) CountReappeared(now time.Time, from string) int {
 	count := 0
-	for _, x := range r.reroutes {
-		if x.to == from && x.reappeared && now.Sub(x.reappearedAt) <= maxReappearance && now.Sub(x.answeredAt) <= maxReappearance {
+	for _, entry := range machines.reroutes {
+		if entry.to == from && entry.reappeared && now.Sub(entry.reappearedAt) <= maxReappearance && now.Sub(entry.answeredAt) <= maxReappearance {
 			count++
 		}
 	}
