--- a/internal/controller/format_steps_test.go
+++ b/internal/controller/format_steps_test.go
@@ -11,30 +11,34 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// formatSteps are random steps of a job across the change to sized segments.
+// formatSteps runs random steps of a job before and after the change to sized segments.
 type formatSteps struct {
 	seed       uint64
 	rng        *rand.Rand
 	steps      int
 	controller *Controller
 	job        *job
-	// sized: the change has come.
+	// sized is set after the change to sized segments.
 	sized bool
-	// stored are the records in the store, and durable is what they say of the tasks.
+	// stored are the records in the store. durable is the state of the tasks according to these
+	// records.
 	stored  map[string][]byte
 	durable map[int]taskState
 	// writtenSized are the tasks whose newest record is in a sized segment.
 	writtenSized map[int]bool
-	// late is a write in the former format that has no answer.
+	// late is a write in the former format that has no answer, or nil.
 	late *lateSegmentWrite
 }
 
+// lateSegmentWrite is a write of a segment that the store may apply later, and the task states
+// that it holds.
 type lateSegmentWrite struct {
 	key    string
 	value  []byte
 	states map[int]taskState
 }
 
+// newFormatSteps returns a job recovered from the production records.
 func newFormatSteps(t *testing.T, seed uint64) *formatSteps {
 	t.Helper()
 	s := &formatSteps{seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), stored: productionRecords(t), controller: newFormatTestController(), writtenSized: map[int]bool{}}
@@ -43,10 +47,10 @@
 	return s
 }
 
-// at names the present step in messages.
+// at returns the seed and the present step, for messages.
 func (s *formatSteps) at() string { return fmt.Sprint("seed ", s.seed, " step ", s.steps) }
 
-// statesOf are the states of a segment's tasks.
+// statesOf returns the states of a segment's tasks.
 func (s *formatSteps) statesOf(segment *taskSegment) map[int]taskState {
 	states := map[int]taskState{}
 	for i := segment.index * s.job.tasksPerSegment; i < min((segment.index+1)*s.job.tasksPerSegment, 100); i++ {
@@ -55,7 +59,7 @@
 	return states
 }
 
-// step does one step at random.
+// step makes one random step.
 func (s *formatSteps) step(t *testing.T) {
 	t.Helper()
 	s.steps++
@@ -73,7 +77,8 @@
 	}
 }
 
-// changeFormat changes to sized segments, perhaps with a write of the former format in flight.
+// changeFormat changes to sized segments. If a randomly picked segment exists, a write of it in
+// the former format is in flight.
 func (s *formatSteps) changeFormat(t *testing.T) {
 	t.Helper()
 	s.sized = true
@@ -85,10 +90,13 @@
 	s.adoptSizedFormat()
 }
 
+// adoptSizedFormat has the controller adopt sized segments for values of 2048 bytes.
 func (s *formatSteps) adoptSizedFormat() {
 	s.controller.membership.formats.adoptFormat(segmentFormat{record.MaxTasksPerSegment(2048), true})
 }
 
+// applyLateWrite has the store apply the late write. States that sized segments hold take
+// precedence over it.
 func (s *formatSteps) applyLateWrite() {
 	s.stored[s.late.key] = s.late.value
 	for i, state := range s.late.states {
@@ -99,8 +107,8 @@
 	s.late = nil
 }
 
-// takeOver has a successor recover the job. Its shard has another mod revision, so that the
-// late write is refused.
+// takeOver replaces the controller by a successor that recovers the job. The successor's shard
+// has another mod revision, so the store refuses the late write.
 func (s *formatSteps) takeOver(t *testing.T) {
 	t.Helper()
 	s.late = nil
@@ -109,10 +117,10 @@
 		s.adoptSizedFormat()
 	}
 	s.job = recoverTestJob(s.controller, s.stored)
-	requireSameStates(t, s.at()+", recovered", taskStatesOf(s.job), s.durable)
+	requireSameStates(t, s.at()+": recovered by a successor", taskStatesOf(s.job), s.durable)
 }
 
-// write writes one of the segments, if it has changed.
+// write writes a random segment, if it has changed.
 func (s *formatSteps) write(t *testing.T) {
 	t.Helper()
 	keys := sortedKeys(s.job.segments)
@@ -122,7 +130,7 @@
 	}
 	key, value := writeSegment(t, s.controller, s.job, segment, s.stored)
 	if size, err := sizelimit.JSON(value); s.sized && (err != nil || size > 2048) || s.sized != strings.Contains(key, "/"+sizedSegmentMark) {
-		t.Fatalf("%s: got %s of %d bytes, want at most 2048 with the mark of a sized segment: %v", s.at(), key, size, s.sized)
+		t.Fatalf("%s: got %s of %d bytes, want at most 2048 bytes once segments are sized, and a sized name: %v", s.at(), key, size, s.sized)
 	}
 	for i, state := range s.statesOf(segment) {
 		s.durable[i] = state
@@ -130,7 +138,8 @@
 	}
 }
 
-// checkDurable: what the controller takes for durable is what the store has.
+// checkDurable checks that the task states that the controller takes for durable are those in
+// the store.
 func (s *formatSteps) checkDurable(t *testing.T) {
 	t.Helper()
 	for i := range 100 {
@@ -140,7 +149,7 @@
 	}
 }
 
-// checkRemoval: the job's end removes all its records.
+// checkRemoval checks that the job's end removes all its task records.
 func (s *formatSteps) checkRemoval(t *testing.T) {
 	t.Helper()
 	removed := slices.Clone(s.job.formerKeys)
@@ -151,16 +160,16 @@
 	}
 	for key := range s.stored {
 		if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(removed, key) {
-			t.Fatalf("%s: got %s left when the job is over, want it removed", s.at(), key)
+			t.Fatalf("%s: got record %s left after the job's end, want it removed", s.at(), key)
 		}
 	}
 }
 
-// TestSizedSegmentsAfterAnySteps: all controllers change to sized segments at some moment
-// between changes, a write in the former format may have no answer and be applied at any
-// later time, and successors take over anywhere. What was made durable last counts for every
-// task, all that is written fits the lower limit, and no record of the former format is
-// written again.
+// TestSizedSegmentsAfterAnySteps guards against task states that are lost or outdated after the
+// change to sized segments. The change comes at a random moment, a write in the former format
+// may get no answer and be applied at any later time, and successors take over in between. For
+// every task the last durable state must count, each write must fit the lower limit, and no
+// record of the former format may be written again.
 func TestSizedSegmentsAfterAnySteps(t *testing.T) {
 	for seed := range uint64(200) {
 		s := newFormatSteps(t, seed)
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -13,46 +13,51 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// sizedSegmentMark begins the name, within a job's keys, of a segment whose name says its size.
+// sizedSegmentMark begins the name of a sized segment, whose name includes its size, within a
+// job's keys.
 const sizedSegmentMark = "s"
 
-// formatMigration has task records go over to fewer tasks a segment before the store lowers
-// its limit of value sizes.
+// formatMigration has the controllers change to task records with fewer tasks in a segment
+// before the store lowers its limit of value sizes.
 //
-// The previous version of this program numbers segments by the present limit and can't
-// read others, so nothing changes until no controller of that version can come back. Each
-// controller that knows sized segments says so in a record of its own, which outlives it.
-// When all have, which stays true for ever, the leader writes record.FormatKey, and from
-// then on segments are written with their size in the name. Segments of earlier formats
-// are read, and never written again: see docs/design.md, "Two versions, and lower limits".
+// The previous version of this program numbers segments by the present limit and can't read any
+// others. So nothing changes until no controller of that version can come back. Each controller
+// that supports sized segments writes a record of its own that says so and outlives the process.
+// Once every controller has written one, which stays true for ever, the leader writes
+// record.FormatKey. From then on segments are written with their size in the name. Segments of
+// earlier formats are read and never written again: see docs/design.md, "Two versions, and lower
+// limits".
 //
-// It is part of membership and lives as long as the process. Its state follows records
-// that are never taken back, so that a failover changes nothing of it.
+// formatMigration is part of membership and lives as long as the process. Its state follows
+// records that are never removed, so a failover does not change it.
 type formatMigration struct {
 	component
 
-	// support has the controllers that know sized segments.
+	// support has the hosts of the controllers that support sized segments.
 	support map[string]bool
-	// current is the format that all have gone over to, zero before; modRevision is that of
-	// record.FormatKey.
+	// current is the format that all controllers have changed to, and zero before the change.
+	// modRevision is the mod revision of record.FormatKey.
 	current     segmentFormat
 	modRevision uint64
-	// writing: a write of one of these records is under way.
+	// writing is set while a write of one of these records is under way.
 	writing bool
-	// limitsLowered: the store has its new limits. probingLimits: it has lately been asked.
+	// limitsLowered is set when the store was found to enforce its new value limit.
+	// probingLimits is set for malformedRetryDelay after a probe of that limit.
 	limitsLowered bool
 	probingLimits bool
 }
 
+// init prepares the empty set of supporting controllers.
 func (f *formatMigration) init() { f.support = map[string]bool{} }
 
-// segmentFormat is how a job's task records are cut into segments: so many tasks share one. A
-// segment's name is its number or, if sized, the size and the number.
+// segmentFormat is how a job's task records are cut into segments of tasksPerSegment tasks. The
+// name of a segment is its number or, if the format is sized, its size and its number.
 type segmentFormat struct {
 	tasksPerSegment int
 	sized           bool
 }
 
+// nameOf returns the name of segment k within a job's keys.
 func (f segmentFormat) nameOf(k int) string {
 	if !f.sized {
 		return strconv.Itoa(k)
@@ -60,19 +65,21 @@
 	return fmt.Sprintf("%s%d.%d", sizedSegmentMark, f.tasksPerSegment, k)
 }
 
+// keyOf returns the store's key of segment k of the job id.
 func (f segmentFormat) keyOf(id string, k int) string {
 	return record.TaskSegmentPrefix + id + "/" + f.nameOf(k)
 }
 
-// currentMaxValueBytes is the limit of value sizes that unsized segments are numbered by.
+// currentMaxValueBytes returns the limit of value sizes, in bytes, that the numbers of unsized
+// segments are based on.
 func (s *Settings) currentMaxValueBytes() int { return max(s.MaxValueBytes, s.CurrentMaxValueBytes) }
 
-// unsizedFormat is the format of the previous version of this program.
+// unsizedFormat returns the format of the previous version of this program.
 func (s *Settings) unsizedFormat() segmentFormat {
 	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(s.currentMaxValueBytes())}
 }
 
-// currentFormat is the format in which task records are written now.
+// currentFormat returns the format in which task records are written at present.
 func (f *formatMigration) currentFormat() segmentFormat {
 	if f.current.tasksPerSegment > 0 {
 		return f.current
@@ -80,7 +87,8 @@
 	return f.settings.unsizedFormat()
 }
 
-// parseSegmentKey reads a segment's format and number from its key.
+// parseSegmentKey returns the format and the number of the segment that a key names. ok is false
+// for a key that no format produces.
 func (f *formatMigration) parseSegmentKey(key string) (format segmentFormat, k int, ok bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
 	format = f.settings.unsizedFormat()
@@ -95,7 +103,8 @@
 	return format, k, ok
 }
 
-// applyFormatRecord applies a record under ctl/ about formats. Their deletion changes nothing.
+// applyFormatRecord applies a format record or format support record under ctl/. The deletion of
+// such a record changes nothing.
 func (f *formatMigration) applyFormatRecord(it message.KeyValue) {
 	var r record.Format
 	switch {
@@ -110,8 +119,8 @@
 	}
 }
 
-// adoptFormat goes over to a format if it is finer than the current one: a format that has
-// come to count for one controller counts for all, and stays.
+// adoptFormat changes to a sized format that has fewer tasks in a segment than the current one.
+// A format that one controller has adopted counts for all, and is never given up.
 func (f *formatMigration) adoptFormat(format segmentFormat) {
 	if !format.sized || format.tasksPerSegment >= f.currentFormat().tasksPerSegment && f.currentFormat().sized {
 		return
@@ -126,9 +135,9 @@
 	}
 }
 
-// advanceFormat takes the next step of the migration, if one is due: it writes that this
-// controller knows sized segments or, as the leader or with the limits lowered, that all go
-// over to them.
+// advanceFormat takes the next step of the migration, if one is due. It records that this
+// controller supports sized segments. Once it has, it writes the new format: as the leader when
+// all controllers support it, or as a shard leader when the store has lowered its limit.
 func (f *formatMigration) advanceFormat() {
 	target := record.MaxTasksPerSegment(f.settings.MaxValueBytes)
 	if f.writing || !f.controller.membership.loaded || f.controller.membership.leaseID == 0 || target >= f.currentFormat().tasksPerSegment {
@@ -152,7 +161,8 @@
 	}
 	f.writing = true
 	f.controller.requests.toStore(op, func(message.StoreResponse) {
-		// The watch brings the record, whoever wrote it.
+		// The watch delivers the record, whichever controller wrote it. Without it the step is
+		// tried again.
 		f.after(f.jitter(storeRetryDelay), func() {
 			f.writing = false
 			f.advanceFormat()
@@ -160,11 +170,11 @@
 	})
 }
 
-// probeValueLimit finds out whether the store has lowered its limit of value sizes. It does so
-// only after the upgrade, so that no controller of the previous version is left even if one
-// has not written that it knows sized segments, having been cut off since its upgrade. A
-// record may be rejected as malformed for other reasons; a plain text that only the new limit
-// forbids is not.
+// probeValueLimit finds out whether the store has lowered its limit of value sizes. The store
+// does so only after the upgrade, when no controller of the previous version is left. That holds
+// even if a controller has not recorded its support, having been cut off from the store since
+// its upgrade. The store may reject a task record as malformed for other reasons, so the probe
+// is a plain text that only the new limit forbids.
 func (f *formatMigration) probeValueLimit() {
 	text := record.Encode(strings.Repeat("x", f.settings.MaxValueBytes))
 	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || f.limitsLowered || f.probingLimits || f.currentFormat().sized {
@@ -178,9 +188,9 @@
 	})
 }
 
-// allSupportSizedSegments says that every controller of the deployment has written that it
-// knows sized segments. Its process of the previous version is over by then and never comes
-// back.
+// allSupportSizedSegments reports whether every controller of the deployment has recorded that
+// it supports sized segments. Each controller's process of the previous version has ended by
+// then and never comes back.
 func (f *formatMigration) allSupportSizedSegments() bool {
 	for _, h := range f.settings.Peers {
 		if !f.support[h] {
@@ -190,8 +200,9 @@
 	return f.support[f.settings.Host]
 }
 
-// changeFormat cuts the job's tasks into segments anew. What is durable stays where it stands;
-// what is not, or may not be, has to be written in the new format.
+// changeFormat divides the job's tasks into segments of format f. Durable task states stay in
+// the records of the former format. A state that is not durable, or may not be because its write
+// is in flight, is to be written in the new format.
 func (j *job) changeFormat(f segmentFormat) {
 	if f == j.segmentFormat {
 		return
@@ -220,7 +231,8 @@
 	}
 }
 
-// formerSegment is the segment of a task whose state stands in a record of a former format.
+// formerSegment returns the present segment of task i, whose state is stored in a record of a
+// former format. rankingRevision is that of the former segment.
 func (j *job) formerSegment(i int, rankingRevision uint64) *taskSegment {
 	c := j.segmentOf(i)
 	if c.version == 0 {
@@ -230,14 +242,14 @@
 	return c
 }
 
-// neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
-// whatever format that may be when the store checks them.
+// neverStartedCompares returns compares that hold only if no record of the job's first tasks was
+// ever written, in any format that may be current when the store checks the compares.
 func (f *formatMigration) neverStartedCompares(id string) []message.Compare {
 	var out []message.Compare
 	for _, format := range [...]segmentFormat{f.settings.unsizedFormat(), f.currentFormat(), {record.MaxTasksPerSegment(f.settings.MaxValueBytes), true}} {
 		c := message.Compare{Key: format.keyOf(id, 0), ModRevision: 0}
 		if format.sized && !f.currentFormat().sized && format.tasksPerSegment >= f.currentFormat().tasksPerSegment {
-			// Such a format is never adopted.
+			// A sized format with this many tasks in a segment is never adopted.
 			continue
 		}
 		if !slices.Contains(out, c) {
@@ -247,7 +259,8 @@
 	return out
 }
 
-// compareFormats orders task records: finer formats, which take precedence, come first.
+// compareFormats orders task records by format, those with fewer tasks in a segment first,
+// because they take precedence over the coarser ones.
 func (f *formatMigration) compareFormats(a, b message.KeyValue) int {
 	rank := func(it message.KeyValue) int {
 		if format, _, ok := f.parseSegmentKey(it.Key); ok && format.sized {
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -17,15 +17,14 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// storedRecord is a record as the version in production wrote it, with values of at most
-// 4 KiB.
+// storedRecord is a record that the version in production wrote under a value limit of 4 KiB.
 type storedRecord struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
 	Size  int    `json:"size"`
 }
 
-// productionRecords are records that commit 0a0f15a wrote, by key.
+// productionRecords returns records that commit 0a0f15a wrote, by key.
 func productionRecords(t *testing.T) map[string][]byte {
 	t.Helper()
 	b, err := os.ReadFile("testdata/forms/production.json")
@@ -43,15 +42,16 @@
 	return out
 }
 
-// taskState is what the records say of a task.
+// taskState is the state of a task according to the records.
 type taskState struct {
 	attempt uint64
 	machine string
 	done    bool
 }
 
-// recoverWithOldVersion reads the records of a job's tasks as commit 0a0f15a does: by the
-// number of the record, for values of at most 4 KiB. Records with other names are dropped.
+// recoverWithOldVersion reads the records of a job's tasks as commit 0a0f15a does: it takes the
+// number of a record as its position, for values of at most 4 KiB. It returns the states, and
+// the number of records that it dropped for their names or values.
 func recoverWithOldVersion(id string, tasks int, rows map[string][]byte) (map[int]taskState, int) {
 	const tasksPerRecord = 4096 * 3 / 4 / 72
 	out, dropped := map[int]taskState{}, 0
@@ -81,10 +81,11 @@
 	return out, dropped
 }
 
+// formatTestJob is the job whose records productionRecords has.
 const formatTestJob = "job-000001"
 
-// newFormatTestController is a controller of this version that knows of a lower value limit
-// to come.
+// newFormatTestController returns a controller of this version whose settings announce a lower
+// value limit.
 func newFormatTestController() *Controller {
 	c := largePool(60)
 	c.settings.MaxValueBytes, c.settings.CurrentMaxValueBytes = 2048, 4096
@@ -96,7 +97,7 @@
 	return c
 }
 
-// recoverTestJob recovers the job as a successor does.
+// recoverTestJob recovers the job from the records as a successor does.
 func recoverTestJob(c *Controller, rows map[string][]byte) *job {
 	var segments []message.KeyValue
 	for _, key := range sortedKeys(rows) {
@@ -121,6 +122,8 @@
 	return j
 }
 
+// taskStateOf returns the state of a task that its job has in memory. A done task has no
+// attempt, as in the records.
 func taskStateOf(j *job, i int) taskState {
 	t := &j.tasks[i]
 	s := taskState{attempt: t.attempt, done: t.done}
@@ -133,6 +136,7 @@
 	return s
 }
 
+// taskStatesOf returns the states of all tasks that have ever started.
 func taskStatesOf(j *job) map[int]taskState {
 	out := map[int]taskState{}
 	for i := range j.tasks {
@@ -143,7 +147,7 @@
 	return out
 }
 
-// requireSameStates requires that all tasks of the job have the wanted states.
+// requireSameStates fails the test unless all tasks of the job have the wanted states.
 func requireSameStates(t *testing.T, what string, got, want map[int]taskState) {
 	t.Helper()
 	for i := range 100 {
@@ -153,7 +157,7 @@
 	}
 }
 
-// changeTask changes a task as a start, an end or the loss of its machine does.
+// changeTask changes a task as its start, its end or the loss of its machine does.
 func changeTask(c *Controller, j *job, i int, rng *rand.Rand) {
 	t := &j.tasks[i]
 	switch {
@@ -169,8 +173,8 @@
 	}
 }
 
-// writeSegment encodes a task record segment, checks it against the limits and, with rows,
-// stores it there.
+// writeSegment encodes a task segment and checks the write against the limits. If rows is not
+// nil, it stores the record there.
 func writeSegment(t *testing.T, c *Controller, j *job, segment *taskSegment, rows map[string][]byte) (string, []byte) {
 	t.Helper()
 	key, value := j.segmentKey(segment), record.Encode(j.segmentRecord(segment))
@@ -185,9 +189,9 @@
 	return key, value
 }
 
-// TestOldVersionReadsNewRecords: before all controllers are known to support sized segments,
-// a process of the version in production finds all that this version wrote; it would run
-// tasks a second time otherwise.
+// TestOldVersionReadsNewRecords guards against tasks that run a second time: before all
+// controllers are known to support sized segments, a process of the version in production must
+// find every record that this version wrote.
 func TestOldVersionReadsNewRecords(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -195,7 +199,7 @@
 		want, _ := recoverWithOldVersion(formatTestJob, 100, rows)
 		c := newFormatTestController()
 		j := recoverTestJob(c, rows)
-		requireSameStates(t, "new of old", taskStatesOf(j), want)
+		requireSameStates(t, "records of the old version, read by this version", taskStatesOf(j), want)
 		for range 60 {
 			changeTask(c, j, rng.IntN(100), rng)
 		}
@@ -203,13 +207,13 @@
 			writeSegment(t, c, j, j.segments[k], rows)
 		}
 		got, dropped := recoverWithOldVersion(formatTestJob, 100, rows)
-		if requireSameStates(t, "old of new", got, taskStatesOf(j)); dropped > 0 {
+		if requireSameStates(t, "records of this version, read by the old version", got, taskStatesOf(j)); dropped > 0 {
 			t.Fatalf("got %d records dropped, want 0", dropped)
 		}
 	}
 }
 
-// formatWrites lets a controller advance the format and returns its writes.
+// formatWrites lets the controller advance the format and returns its store requests.
 func formatWrites(c *Controller) []message.StoreRequest {
 	c.effects, c.membership.formats.writing = nil, false
 	c.membership.loaded, c.membership.leaseID = true, 1
@@ -223,14 +227,14 @@
 	return out
 }
 
-// TestFormatNeedsAllControllers: segments become sized only when each controller of the
-// deployment has recorded that it supports them, by a write of the leader that compares its
-// leadership. Without a lower limit to come nothing is written.
+// TestFormatNeedsAllControllers checks that segments become sized only when each controller of
+// the deployment has recorded its support, by a write of the leader that compares its
+// leadership. Without a lower limit in the settings nothing is written.
 func TestFormatNeedsAllControllers(t *testing.T) {
 	c := newFormatTestController()
 	c.settings.Peers = []string{"b", "c"}
 	if ops := formatWrites(c); len(ops) != 1 || ops[0].Writes[0].Key != record.FormatSupportPrefix+"a" || ops[0].Compares[0] != (message.Compare{Key: record.FormatSupportPrefix + "a", ModRevision: 0}) {
-		t.Fatalf("got first writes %+v, want one of this controller's support, which is absent", ops)
+		t.Fatalf("got first writes %+v, want one record of this controller's support, on condition that it is absent", ops)
 	}
 	c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "a", ModRevision: 3})
 	c.membership.formats.applyFormatRecord(message.KeyValue{Key: record.FormatSupportPrefix + "b", ModRevision: 4})
@@ -248,7 +252,7 @@
 	c.leader.modRevision = 9
 	ops := formatWrites(c)
 	if len(ops) != 1 || ops[0].Writes[0].Key != record.FormatKey || !slices.Contains(ops[0].Compares, message.Compare{Key: record.LeaderKey, ModRevision: 9}) || !slices.Contains(ops[0].Compares, message.Compare{Key: record.FormatKey, ModRevision: 0}) {
-		t.Fatalf("got writes %+v, want one of the format that compares the leadership and its absence", ops)
+		t.Fatalf("got writes %+v, want one format record that compares the leadership and its own absence", ops)
 	}
 	if c.membership.formats.currentFormat().sized {
 		t.Fatal("got sized segments before the format record was read, want the former format")
@@ -267,8 +271,9 @@
 	}
 }
 
-// TestLoanAcrossFormats: a loan that is written late must not find its job started in another
-// record format than the one that was current when it was sent.
+// TestLoanAcrossFormats guards against lending a job that has started. A loan that is written
+// late must fail if the job has a task record in another format than the one that was current
+// when the loan was sent.
 func TestLoanAcrossFormats(t *testing.T) {
 	c := newFormatTestController()
 	compares := c.membership.formats.neverStartedCompares(formatTestJob)
@@ -284,12 +289,12 @@
 	same := newFormatTestController()
 	same.settings.CurrentMaxValueBytes = 0
 	if compares := same.membership.formats.neverStartedCompares(formatTestJob); len(compares) != 1 {
-		t.Errorf("without a limit to come: got compares %v, want 1", compares)
+		t.Errorf("without a lower limit in the settings: got compares %v, want 1", compares)
 	}
 }
 
-// TestCancelledRecordShrinksToFit: a job whose description was written under a larger limit
-// can be cancelled under the lower one.
+// TestCancelledRecordShrinksToFit guards against a job that can't be cancelled because its
+// description was written under a larger value limit than the present one.
 func TestCancelledRecordShrinksToFit(t *testing.T) {
 	s := model.JobSpec{ID: formatTestJob, Team: "ops", Workload: "w", Tasks: 7, Need: model.Resources{CPU: 2}, Image: "img", ExpectedRunTime: time.Second}
 	for i := range 80 {
@@ -308,9 +313,10 @@
 	}
 }
 
-// TestValueLimitIsProbed: that a record is called malformed proves nothing about the limits;
-// that a text between them is does: only that changes the format before all controllers
-// have recorded their support, by a write that compares the owner's shard.
+// TestValueLimitIsProbed checks the evidence for a lowered value limit. A record that the store
+// calls malformed proves nothing about the limit; a refused plain text with a size between the
+// two limits does. Only the latter changes the format before all controllers have recorded their
+// support, by a write that compares the owner's shard.
 func TestValueLimitIsProbed(t *testing.T) {
 	for _, status := range []message.StoreStatus{message.StoreOK, message.StoreUnknown, message.StoreMalformed} {
 		c := newFormatTestController()
@@ -332,9 +338,9 @@
 		c.requests.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
 		ops := formatWrites(c)
 		if changed := len(ops) > 0 && ops[0].Writes[0].Key == record.FormatKey; changed != (status == message.StoreMalformed) {
-			t.Errorf("answered %v: got writes %+v, want the format: %v", status, ops, status == message.StoreMalformed)
+			t.Errorf("probe answered %v: got writes %+v, want the format record: %v", status, ops, status == message.StoreMalformed)
 		} else if changed && ops[0].Compares[0] != c.shardLeader.shardCompares("")[0] {
-			t.Errorf("got compares %+v, want the shard's first", ops[0].Compares)
+			t.Errorf("got compares %+v, want the compare of the shard first", ops[0].Compares)
 		}
 	}
 }
--- a/internal/controller/fuzz_test.go
+++ b/internal/controller/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// FuzzRecords: whatever a record holds, it makes no job end, no task is counted twice, and
-// what is recovered can be encoded again.
+// FuzzRecords guards against damaged job and task records: whatever they hold, no job may end
+// because of them, no task may be counted twice, and the recovered job must be encodable again.
 func FuzzRecords(f *testing.F) {
 	spec := model.JobSpec{ID: "job-000900", Workload: "w", Team: "ops", Tasks: 24, Need: model.Resources{CPU: 1, Memory: 1}}
 	now := time.Unix(1_750_000_000, 0)
@@ -48,8 +48,8 @@
 	})
 }
 
-// FuzzControlRecords: damaged records of the shard map, of controllers, of the leadership and
-// of the ranking are read without a panic.
+// FuzzControlRecords guards against a panic on damaged records of the shard map, of controllers,
+// of the leadership and of the ranking.
 func FuzzControlRecords(f *testing.F) {
 	f.Add("share/a", []byte{0x80})
 	f.Add("lot/1", []byte{0x81, 0xa1, 'x', 0x01})
--- a/internal/controller/peer_updates.go
+++ b/internal/controller/peer_updates.go
@@ -6,15 +6,15 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// predecessorMachine is what another shard leader last published of one of its machines, and
-// when it was received.
+// predecessorMachine is the update that another shard leader last published of one of its
+// machines, and when the update was received.
 type predecessorMachine struct {
 	message.MachineUpdate
 	receivedAt time.Time
 }
 
-// receivePeerUpdate takes in what another controller has published. Of one that does not
-// take part, only its rates and the state of its store connection count.
+// receivePeerUpdate applies an update from another controller. If the sender is not a current
+// incarnation of the membership, only its rates and the state of its store connection count.
 func (c *Controller) receivePeerUpdate(u message.PeerUpdate) {
 	if err := u.Validate(); err != nil {
 		c.rejectInput("peer update", u.From, err.Error())
@@ -54,12 +54,12 @@
 	}
 }
 
-// receivePeerRates notes how much of the store's rate another controller uses.
+// receivePeerRates records the store rates that another controller uses.
 func (r *rateLimits) receivePeerRates(from string, rates message.Rates) {
 	r.peers[from] = peerRates{r.now, rates}
 }
 
-// receiveProgress notes how far jobs of other shard leaders are.
+// receiveProgress records the progress of jobs of other shard leaders.
 func (f *frontend) receiveProgress(progress []message.Progress) {
 	for _, p := range progress {
 		f.progressByJob[p.ID] = p
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// machineUpdateTurns is in how many turns, a second each, all machines are published, and
-	// machineUpdateTTL how long the peers remember one.
+	// machineUpdateTurns is the number of updates, one a second, over which all machines are
+	// published once. machineUpdateTTL is how long the peers keep the update of a machine.
 	machineUpdateTurns = 5
 	machineUpdateTTL   = 15 * time.Second
-	// loadsPublishInterval is how often the workloads' loads are published.
+	// loadsPublishInterval is how often the loads of the workloads are published.
 	loadsPublishInterval = 5 * time.Second
 )
 
-// machineUpdates is what a successor has to know of the machines, some of them in each turn,
-// so that updates of a large pool are spread over the seconds.
+// machineUpdates returns what a successor has to know of the machines. Each call covers the next
+// part of the machines, so that the updates of a large pool are spread over several seconds.
 func (s *shardLeader) machineUpdates() []message.MachineUpdate {
 	var out []message.MachineUpdate
 	s.publishTurn = (s.publishTurn + 1) % machineUpdateTurns
@@ -42,11 +42,12 @@
 	return out
 }
 
-// maxProgressPerUpdate bounds the jobs in one update.
+// maxProgressPerUpdate is the largest number of jobs whose progress one update holds.
 const maxProgressPerUpdate = 3000
 
-// publishToPeers sends the progress of open jobs to the other controllers and, to the leader,
-// the requests for machines.
+// publishToPeers sends the other controllers the progress of open jobs, loads, quotes and
+// machines, at most once a second. The update to the leader includes this shard leader's
+// capacity requests.
 func (s *shardLeader) publishToPeers() {
 	if s.now.Sub(s.publishedAt) < time.Second {
 		return
@@ -72,19 +73,19 @@
 		update.Quotes = s.controller.promises.quotesUpdate()
 	}
 	update.MachineUpdates = s.machineUpdates()
-	for _, p := range s.settings.Peers {
+	for _, peer := range s.settings.Peers {
 		out := update
-		if s.controller.leader == nil && p == s.controller.membership.leader.Host && s.fleet.view != nil {
+		if s.controller.leader == nil && peer == s.controller.membership.leader.Host && s.fleet.view != nil {
 			s.addCapacityRequest(&out)
 		}
 		if len(out.Progress) > 0 || len(out.WorkloadLoads) > 0 || len(out.Quotes) > 0 || len(out.MachineUpdates) > 0 || out.IsCapacityRequest {
-			s.emit(message.SendPeerUpdate{To: p, Update: out})
+			s.emit(message.SendPeerUpdate{To: peer, Update: out})
 		}
 	}
 }
 
-// addCapacityRequest adds to an update what the leader plans the fleet and the shards by: what
-// this shard leader requests, and what it could give.
+// addCapacityRequest adds to an update the data from which the leader plans the fleet and the
+// shards: the machines that this shard leader requests and those that it could give away.
 func (s *shardLeader) addCapacityRequest(out *message.PeerUpdate) {
 	out.IsCapacityRequest = true
 	out.Seq, out.ToRelease, out.Surplus = s.fleet.leaderUpdateSeq, s.fleet.machinesToRelease, s.fleet.surplus
@@ -98,18 +99,19 @@
 	}
 }
 
-// publishLoadsSoon has the workloads' loads published with the next update.
+// publishLoadsSoon has the next update include the loads of the workloads.
 func (s *shardLeader) publishLoadsSoon() { s.loadsPublishedAt = time.Time{} }
 
-// receiveTeamRelease notes which team the leader wants to move, for offers.
+// receiveTeamRelease records the team that the leader wants to move, for offers.
 func (s *shardLeader) receiveTeamRelease(r sharding.MoveRequest) {
 	s.teamRelease, s.teamReleaseAt = r, s.now
 }
 
-// offers says which machines could go along with the team that the leader wants to move: as
-// many as the team's part of what all teams here keep busy, so that its receiver does not
-// begin with none. First go machines with tasks of this team only, then idle ones, then those
-// that it uses most of; what others have on them goes on there.
+// offers returns the machines that could be handed over along with the team that the leader
+// wants to move. Their capacity corresponds to the team's part of the load of all teams here, so
+// that the receiver does not start without machines. Machines with tasks of this team only come
+// first, then idle ones, then those of which the team uses the largest part. Tasks of other
+// teams keep running on an offered machine.
 func (s *shardLeader) offers() []sharding.Offer {
 	r := s.teamRelease
 	held := s.teams[r.Team]
@@ -124,10 +126,10 @@
 		}
 	}
 	type choice struct {
-		m *machine
-		// of is the team's part of what runs there, 1 for all of it, and 0.5 for an idle
-		// machine.
-		of float64
+		machine *machine
+		// teamFraction is the team's part of the CPUs in use on the machine: 1 if the team uses
+		// all of them. An idle machine counts as 0.5.
+		teamFraction float64
 	}
 	totalCPU := 0.0
 	var choices []choice
@@ -144,30 +146,30 @@
 					teamCPU += j.Need.CPU
 				}
 			}
-			c.of = teamCPU / max(m.used.CPU+m.othersUsed.CPU, teamCPU, roundingTolerance)
+			c.teamFraction = teamCPU / max(m.used.CPU+m.othersUsed.CPU, teamCPU, roundingTolerance)
 		}
 		choices = append(choices, c)
 	}
-	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(b.of, a.of) })
+	slices.SortStableFunc(choices, func(a, b choice) int { return cmp.Compare(b.teamFraction, a.teamFraction) })
 	remainingCPU := totalCPU * teamLoad / max(totalLoad, 1)
 	offer := sharding.Offer{Team: r.Team}
 	for _, c := range choices {
-		if len(offer.Machines) >= maxOfferedMachines || c.of == 0 {
+		if len(offer.Machines) >= maxOfferedMachines || c.teamFraction == 0 {
 			break
 		}
-		if c.m.size.CPU <= remainingCPU {
-			remainingCPU -= c.m.size.CPU
-			offer.Machines = append(offer.Machines, c.m.id)
+		if c.machine.size.CPU <= remainingCPU {
+			remainingCPU -= c.machine.size.CPU
+			offer.Machines = append(offer.Machines, c.machine.id)
 		}
 	}
 	return []sharding.Offer{offer}
 }
 
-// maxOfferedMachines bounds the machines that go along with a team at once.
+// maxOfferedMachines is the largest number of machines that are offered with a team.
 const maxOfferedMachines = 1000
 
-// teamLoads is what each team here keeps busy: what its tasks take, and what those waiting
-// would.
+// teamLoads returns the load of each team held here, in CPUs: those that its live tasks use and
+// those that its pending tasks need.
 func (s *shardLeader) teamLoads() []message.TeamLoad {
 	cpuByTeam := map[string]float64{}
 	for t := range s.teams {
--- a/internal/controller/rate_limits.go
+++ b/internal/controller/rate_limits.go
@@ -8,60 +8,67 @@
 	"github.com/micahill/micahill/internal/ratelimit"
 )
 
-// rate_limits.go divides the store's rate limits among the controllers: each publishes once a
-// second what it uses, and computes its own part from what the others have published.
+// rate_limits.go divides the store's rate limits among the controllers. Each controller
+// publishes the rates that it uses once a second, and computes its own share from the rates
+// that the other controllers have published.
 
 const (
 	// ratesPublishInterval is how often a controller publishes its rates.
 	ratesPublishInterval = time.Second
-	// ratesTTL is how long published rates count. After that a live controller is taken to
-	// need what its role mostly does.
+	// ratesTTL is how long published rates count. After that a live controller is assumed to
+	// need the default rates of its role.
 	ratesTTL = 10 * time.Second
-	// What a controller is taken to need as long as it has not published its rates, in requests
-	// and writes a second: of a shard leader, and of the others.
+	// shardLeaderRequests and shardLeaderWrites, in requests and writes a second, are the
+	// assumed need of a shard leader with teams that has not published its rates.
 	shardLeaderRequests, shardLeaderWrites = 25, 10
-	followerRequests, followerWrites       = 8, 1.5
-	// minRateChange is by what fraction a part must change to be emitted.
+	// followerRequests and followerWrites, in requests and writes a second, are the assumed
+	// need of any other controller that has not published its rates.
+	followerRequests, followerWrites = 8, 1.5
+	// minRateChange is the fraction by which this controller's share must change to be emitted
+	// again.
 	minRateChange = 0.05
-	// writeAheadWindow bounds the shard leader's writes in flight to what its part allows in
-	// this time. Transactions put together as late as that share more writes, have the
-	// most urgent first and fewer conflicts with cancellations, and leave some of the part to
-	// what users wait for.
+	// writeAheadWindow bounds the shard leader's writes in flight to the number that its share
+	// allows in this time. Transactions that are composed late combine more writes, put the most
+	// urgent first and conflict less often with cancellations. They also leave some of the share
+	// to requests that users wait for.
 	writeAheadWindow = 500 * time.Millisecond
-	// minWritesInFlight may be in flight however small the part is: the end of a job.
+	// minWritesInFlight is the number of writes that may be in flight however small the share
+	// is, so that the end of a job can always be written.
 	minWritesInFlight = 2
 )
 
-// rateLimits computes this controller's part of the store's rate limits. Every controller has
-// one from its start to its end; what is lost with it is published again within a second.
+// rateLimits computes this controller's share of the store's rate limits. It lives as long as
+// the process. Its state is lost with the process, and the peers publish their rates again
+// within a second.
 type rateLimits struct {
 	component
 
-	// requests and writes measure what this controller sends to the store, a second.
+	// requests and writes measure the rates at which this controller sends requests and writes
+	// to the store.
 	requests, writes ratelimit.Meter
 	// peers are the rates that other controllers have published, by host.
 	peers map[string]peerRates
 
-	// allotted is this controller's part, as last emitted. writesShort: what it writes has
-	// less than the usual headroom in that.
+	// allotted is this controller's share, as last emitted. writesShort is set when the share
+	// leaves the writes less than the usual headroom.
 	allotted    message.Rates
 	writesShort bool
 }
 
-// peerRates is what a peer published last.
+// peerRates is the rates that a peer last published, and when they arrived.
 type peerRates struct {
 	receivedAt time.Time
 	message.Rates
 }
 
-// countRequest counts a request to the store.
+// countRequest counts a request that is sent to the store, and its writes.
 func (r *rateLimits) countRequest(op *message.StoreRequest) {
 	r.requests.Add(1)
 	r.writes.Add(float64(len(op.Writes)))
 }
 
-// publishRates publishes what this controller uses and emits its part if that has changed. It
-// calls itself again once a second.
+// publishRates publishes the rates that this controller uses, and emits its share if that has
+// changed by more than minRateChange. It schedules itself again after ratesPublishInterval.
 func (r *rateLimits) publishRates() {
 	r.after(ratesPublishInterval, r.publishRates)
 	rates := message.Rates{Requests: r.requests.Rate(r.now), Writes: r.writes.Rate(r.now)}
@@ -98,11 +105,12 @@
 	}
 }
 
-// shortOfWrites says that the part hardly allows the writes that can't wait.
+// shortOfWrites reports whether the share has little left beyond the writes that can't be
+// delayed.
 func (r *rateLimits) shortOfWrites() bool { return r.writesShort }
 
-// writesAllowed is how many more writes the shard leader may have in flight. Only while there is
-// a shard leader.
+// writesAllowed returns how many more writes the shard leader may have in flight; it may be
+// negative. Call it only while there is a shard leader.
 func (r *rateLimits) writesAllowed() int {
 	allotted := r.allotted.Writes
 	if allotted <= 0 {
@@ -114,5 +122,5 @@
 	return max(minWritesInFlight, int(allotted*writeAheadWindow.Seconds())) - r.controller.shardLeader.persistence.writesInFlight
 }
 
-// ratesDiffer says whether a differs from b by more than minRateChange.
+// ratesDiffer reports whether a differs from b by more than the fraction minRateChange of b.
 func ratesDiffer(a, b float64) bool { return math.Abs(a-b) > minRateChange*b }
--- a/internal/controller/settings.go
+++ b/internal/controller/settings.go
@@ -10,7 +10,7 @@
 // roundingTolerance absorbs rounding of resources; see internal/resource.
 const roundingTolerance = resource.Tolerance
 
-// Settings is what a controller is given at start. It never changes.
+// Settings is the configuration that a controller gets at its start. It never changes.
 type Settings struct {
 	Host       string
 	Peers      []string
@@ -20,66 +20,72 @@
 
 	HeartbeatInterval time.Duration
 	WorkerLease       time.Duration
-	// CancellationBound is how long after its confirmation a cancelled job's tasks may last.
+	// CancellationBound is the longest time that a cancelled job's tasks may run after the
+	// cancellation was confirmed.
 	CancellationBound time.Duration
-	// MaxClockError is the largest error of a controller's time of day.
+	// MaxClockError is the largest error of a controller's wall clock.
 	MaxClockError time.Duration
 
-	// StoreRequestsPerSecond and StoreWritesPerSecond are the store's limits, which all
-	// controllers share.
+	// StoreRequestsPerSecond and StoreWritesPerSecond are the store's rate limits, which all
+	// controllers share. MaxTxnWrites and MaxValueBytes are the store's limits of the writes in
+	// one transaction and of the size of a value.
 	StoreRequestsPerSecond float64
 	StoreWritesPerSecond   float64
 	MaxTxnWrites           int
 	MaxValueBytes          int
-	// CurrentMaxValueBytes, if larger than MaxValueBytes, is the limit under which values may
-	// still stand in the store: the store will lower its limit to MaxValueBytes.
+	// CurrentMaxValueBytes, if larger than MaxValueBytes, is the value limit that the store
+	// still enforces: stored values may be that large. The store will lower its limit to
+	// MaxValueBytes.
 	CurrentMaxValueBytes int
-	CloudListLag         time.Duration
-	// CloudRequestsPerSecond is the cloud's limit of requests.
+	// CloudListLag is how far the cloud's lists of machines may lag behind.
+	CloudListLag time.Duration
+	// CloudRequestsPerSecond is the cloud's rate limit of requests.
 	CloudRequestsPerSecond float64
 
-	// Capabilities is what the files under deploy/ switch on.
+	// Capabilities are the optional capabilities that the settings under deploy/ enable.
 	Capabilities Capabilities
 
-	// Incarnation tells the processes of one controller apart.
+	// Incarnation differs for each process of one controller.
 	Incarnation string
 	Policy      Policy
 }
 
-// Capabilities says which optional capabilities are on; see docs/product.md.
+// Capabilities says which optional capabilities are enabled; see docs/product.md.
 type Capabilities struct {
-	// Ranking: the queue order follows the ranking record in the store.
+	// Ranking makes the queue order follow the ranking record in the store.
 	Ranking bool
-	// Promises: each accepted job gets a promised completion date, which PromiseFraction of
-	// them are to keep.
+	// Promises gives each accepted job a promised completion date. PromiseFraction is the
+	// fraction of jobs that are to keep theirs.
 	Promises        bool
 	PromiseFraction float64
-	// Models: replicas are packed, and migrated so that larger ones fit: at most
-	// MaxMigratingFraction of the machines of a kind at a time, and none again within
-	// MigrationCooldown.
+	// Models has replicas of models packed densely, and migrated so that larger replicas fit. At
+	// most MaxMigratingFraction of the machines of a kind may have migrations at a time, and a
+	// replica is not migrated again within MigrationCooldown.
 	Models               bool
 	MaxMigratingFraction float64
 	MigrationCooldown    time.Duration
 }
 
-// Policy holds the operators' own choices; see internal/policy.
+// Policy holds the values that the operators' policy script sets; see internal/policy.
 type Policy struct {
-	// RelaunchFactor is how many times the expected run time a task may take before it is
-	// relaunched: w in the paper.
+	// RelaunchFactor is how many times its expected run time a task may take before it is
+	// relaunched. The paper calls it w.
 	RelaunchFactor float64
-	// RebalanceInterval is how often the leader may move machines between shards.
+	// RebalanceInterval is the least time between two moves of a shard or team that the leader
+	// makes to balance the load.
 	RebalanceInterval time.Duration
-	// HeadroomFactor multiplies the capacity kept free for work that must start at once.
+	// HeadroomFactor multiplies the capacity that is kept free for tasks that must start at
+	// once.
 	HeadroomFactor float64
 	// IdleTimeout is how long an idle machine is kept before it is released.
 	IdleTimeout time.Duration
-	// CostFactors multiplies a machine type's cost when types are compared.
+	// CostFactors multiplies the cost of a machine type, by its name, when types are compared.
 	CostFactors map[string]float64
-	// WorkloadWeights orders workloads of the same urgency; higher goes first.
+	// WorkloadWeights orders workloads of the same urgency: those with a higher weight go first.
 	WorkloadWeights map[string]float64
 }
 
-// DefaultPolicy is what holds without an operators' script.
+// DefaultPolicy returns the policy that applies without an operators' script.
 func DefaultPolicy() Policy {
 	return Policy{
 		RelaunchFactor:    2,
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -10,69 +10,77 @@
 )
 
 const (
-	// shardLeaderTickInterval is how often a shard leader looks at everything unasked.
+	// shardLeaderTickInterval is the time between two sweeps, in which a shard leader checks its
+	// whole state without an event.
 	shardLeaderTickInterval = 500 * time.Millisecond
-	// placementInterval separates two rounds of placement. In a large pool tasks end and
-	// arrive by the dozen a second; a round looks at every machine, and what it places
-	// shares a write.
+	// placementInterval is the least time between two rounds of placement. In a large pool
+	// dozens of tasks end and arrive in a second. Each round looks at every machine, and the
+	// tasks that it places share a store write.
 	placementInterval = 150 * time.Millisecond
 	// epochBumpInterval is the least time between two epoch bumps of a shard leader.
 	epochBumpInterval = 3 * time.Second
-	// persistInterval separates two scans of all jobs for what is to be written, except
-	// after a round of placement: hundreds of heartbeats come in a second.
+	// persistInterval is the least time between two scans of all jobs for changes to write,
+	// because hundreds of heartbeats arrive in a second. A round of placement is followed by a
+	// scan at once.
 	persistInterval = 20 * time.Millisecond
 )
 
 // shardLeader runs the teams and machines of the shards that this controller holds, with the
 // components that exist only for that.
 //
-// There is one while the shard map, as read under the present membership lease, gives this
-// controller a shard; see syncShardLeader. Its methods may be called only while
-// Controller.shardLeader is it. It may be dropped and made anew while a request is under
-// way, so a callback compares Controller.shardLeader or the generation before it uses it.
-// All of its state is lost with it: the next one loads the teams' records and learns of
-// the machines by their heartbeats.
+// A controller has a shard leader while the shard map, as read under the present membership
+// lease, gives it a shard; see syncShardLeader. The methods of a shard leader may be called only
+// while Controller.shardLeader points to it. A shard leader may be dropped and replaced while a
+// request is in flight, so a callback compares Controller.shardLeader or the generation before
+// it uses the shard leader. All its state is lost when it is dropped: the next shard leader
+// loads the teams' records and learns of the machines from their heartbeats.
 //
-// A task's attempt is counted in its job, its machine and its team alike: only
-// attachAttempt, endAttempt and the hand-over of teams and machines change these.
+// A task's attempt is counted in its job, its machine and its team alike. Only attachAttempt,
+// endAttempt and the hand-over of teams and machines change these counts.
 type shardLeader struct {
 	component
 
-	// generation differs for each shard leader of a process.
+	// generation differs for each shard leader of a process. since is when this shard leader was
+	// created.
 	generation int
 	since      time.Time
-	// ready: the records of the first teams have been read, at readyAt.
+	// ready is set at readyAt, when the records of the first teams have been read.
 	ready   bool
 	readyAt time.Time
-	// wakeAt is when tick wants to run next, sweptAt when it last looked at everything.
+	// wakeAt is when tick has to run next. sweptAt is the time of the last sweep.
 	wakeAt  time.Time
 	sweptAt time.Time
 
-	// What it holds; see shard_sync.go.
+	// teams are the held teams by name, and shards the names of the held shards; see
+	// shard_sync.go.
 	teams  map[string]*heldTeam
 	shards map[string]bool
-	// catchAllSince is since when one of the shards has the machines that no segment names.
+	// catchAllSince is when this controller got the catch-all shard, which has the machines that
+	// no segment names. It is zero while another controller holds that shard.
 	catchAllSince time.Time
-	// loadingTeams: records of teams are being read.
+	// loadingTeams is set while the records of teams are being read.
 	loadingTeams bool
 
 	jobs     map[string]*job
 	machines map[string]*machine
-	// machinesByID are the same machines in the order of their ids.
+	// machinesByID has the same machines, sorted by ID.
 	machinesByID []*machine
-	usedByTeam   map[string]model.Resources
+	// usedByTeam is what the live attempts of each team's jobs use.
+	usedByTeam map[string]model.Resources
 	// workloads has the newest job of each workload.
 	workloads map[string]*workload
-	// faultAttribution tells faulty machines from jobs that fail everywhere.
+	// faultAttribution tells faulty machines apart from jobs that fail on every machine.
 	faultAttribution faultattribution.Tracker
 	promiseDates     shardLeaderDates
 
-	// What is published to the peers; see publish.go.
+	// publishedAt is when this shard leader last published an update to the peers, and
+	// loadsPublishedAt when an update last included the loads of the workloads; see publish.go.
 	publishedAt      time.Time
 	loadsPublishedAt time.Time
-	// publishTurn says which part of the machines is published next.
+	// publishTurn is the part of the machines that the last update published, from 0 to
+	// machineUpdateTurns-1.
 	publishTurn int
-	// teamRelease is a team that the leader wants to move, as of teamReleaseAt.
+	// teamRelease is the team that the leader last asked to move, received at teamReleaseAt.
 	teamRelease   sharding.MoveRequest
 	teamReleaseAt time.Time
 
@@ -88,7 +96,7 @@
 	transfers      machineTransfers
 }
 
-// newShardLeader makes a shard leader that leads nothing yet.
+// newShardLeader returns a shard leader that has no teams and no machines yet.
 func (c *Controller) newShardLeader() *shardLeader {
 	s := &shardLeader{
 		since: c.now, generation: int(c.nextID()),
@@ -104,7 +112,8 @@
 	return s
 }
 
-// connectComponents gives each part of a shard leader the environment and the way to the others.
+// connectComponents gives each component of a shard leader the environment and the controller,
+// through which it reaches the other components.
 func (s *shardLeader) connectComponents(shared component) {
 	s.component = shared
 	s.scheduler.component = shared
@@ -119,7 +128,8 @@
 	s.transfers.component = shared
 }
 
-// dropShardLeader ends the shard leadership with all of its state.
+// dropShardLeader ends this controller's shard leadership and discards its state. Without a
+// shard leader it does nothing.
 func (c *Controller) dropShardLeader(reason string) {
 	if c.shardLeader == nil {
 		return
@@ -132,7 +142,7 @@
 	c.shardLeader = nil
 }
 
-// tick ends each Step: it does what is due and sets wakeAt.
+// tick runs at the end of each Step: it does everything that is due and sets wakeAt.
 func (s *shardLeader) tick() {
 	if !s.ready {
 		s.wakeAt = s.now.Add(shardLeaderTickInterval)
@@ -167,8 +177,8 @@
 	}
 }
 
-// sweep does what is done every shardLeaderTickInterval. In a partition the shard leader
-// may be dropped by it.
+// sweep runs the periodic checks, once each shardLeaderTickInterval. In a partition it may drop
+// the shard leader.
 func (s *shardLeader) sweep() {
 	s.failover.sweep()
 	s.controller.ranking.retryRefresh()
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -11,7 +11,8 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// putShard applies a record of a shard to the controller's shard map.
+// putShard applies a shard's record to the controller's shard map. rest makes it the catch-all
+// shard.
 func (c *Controller) putShard(t *testing.T, name, host string, modRevision uint64, rest bool, teams ...string) {
 	t.Helper()
 	b := record.Encode(map[string]any{"host": host, "nonce": host + "#1", "teams": teams, "rest": rest})
@@ -24,7 +25,7 @@
 	c.membership.controllers["b"] = record.Member{Incarnation: "b#1"}
 }
 
-// putSegment applies a shard segment that assigns machines to a shard.
+// putSegment applies a segment that assigns machines to a shard.
 func (c *Controller) putSegment(t *testing.T, shard string, modRevision uint64, ids ...string) {
 	t.Helper()
 	w, assigned := sharding.BumpEpoch(c.requests.storeLimits(), "l"+ids[0], c.membership.shardMap.Shard(shard), ids)
@@ -36,7 +37,8 @@
 	}
 }
 
-// twoControllers is a shard leader with one machine, and another controller's shard.
+// twoControllers returns a controller whose shard leader has one machine, and in whose shard map
+// controller b holds a shard with the team lab.
 func twoControllers(t *testing.T) *Controller {
 	t.Helper()
 	c := largePool(1)
@@ -46,26 +48,26 @@
 	return c
 }
 
-// TestLeaderUpdateMakesNoOwner: the leader's update about a machine makes no controller its
-// owner; a record does.
+// TestLeaderUpdateMakesNoOwner guards against two owners of a machine: the leader's update about
+// a machine must not make a controller its owner, since only a record of the shard map does.
 func TestLeaderUpdateMakesNoOwner(t *testing.T) {
 	c := twoControllers(t)
 	c.putSegment(t, "b", 3, "vm-000077")
 	for _, status := range []string{"running", statusComing, "booting"} {
 		c.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 5, RentalUpdates: []message.RentalUpdate{{ID: "vm-000077", Addr: "x", MachineType: "box", Zone: "z", Status: status}}})
 		if c.shardLeader.machines["vm-000077"] != nil {
-			t.Errorf("got another shard's %s machine as its own by an update, want it left out", status)
+			t.Errorf("another shard's machine with status %s: got it added by a leader update, want it left out", status)
 		}
 	}
 	c.putSegment(t, "a", 4, "vm-000078")
 	c.receiveLeaderUpdate(message.PeerUpdate{From: "b", IsLeaderUpdate: true, Seq: 6, RentalUpdates: []message.RentalUpdate{{ID: "vm-000078", Addr: "x", MachineType: "box", Zone: "z", Status: "running"}}})
 	if c.shardLeader.machines["vm-000078"] == nil {
-		t.Error("got a machine of its own shard left out, want it added")
+		t.Error("machine of the controller's own shard: got it left out, want it added")
 	}
 }
 
-// TestControlUpdatesInOrder: of two answers that overlap each change counts once, and an older
-// one does not undo a newer one.
+// TestControlUpdatesInOrder checks two watch responses that overlap: each change must count
+// once, and the older response must not undo a newer change.
 func TestControlUpdatesInOrder(t *testing.T) {
 	c := twoControllers(t)
 	c.membership.revision = 5
@@ -75,12 +77,13 @@
 	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 9, KeyValues: []message.KeyValue{shardRecord("c", 7), shardRecord("d", 9)}})
 	c.membership.applyControlUpdates(message.StoreResponse{Status: message.StoreOK, Revision: 7, KeyValues: []message.KeyValue{shardRecord("c", 7)}})
 	if s := c.membership.shardMap.Shard("x"); s.Host != "d" || c.membership.revision != 9 {
-		t.Errorf("got shard of %s as of revision %d, want d's as of 9", s.Host, c.membership.revision)
+		t.Errorf("got shard held by %s as of revision %d, want d and 9", s.Host, c.membership.revision)
 	}
 }
 
-// TestTakenOverMachineWithTasks: the former owner may go on answering the machine, so its lease
-// does not expire here before that owner surely stopped.
+// TestTakenOverMachineWithTasks guards against counting a worker's lease as expired too early:
+// the former owner may go on answering the machine's heartbeats after the takeover, so the lease
+// counts from when that owner has certainly stopped.
 func TestTakenOverMachineWithTasks(t *testing.T) {
 	c := twoControllers(t)
 	c.putSegment(t, "b", 3, "vm-000077")
@@ -88,7 +91,7 @@
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
 	c.shardLeader.attachAttempt(j, 0, c.shardLeader.ownedOrRemoteMachine("vm-000077"))
 	if len(c.shardLeader.remoteAttempts.machines) != 1 || c.shardLeader.machines["vm-000077"] != nil {
-		t.Fatal("got another shard's machine among its own, want a remote machine")
+		t.Fatal("got another shard's machine among the controller's own, want a remote machine")
 	}
 	c.putSegment(t, "a", 4, "vm-000077")
 	c.syncShardLeader()
@@ -99,17 +102,18 @@
 	if least := c.now.Add(membershipLeaseTTL + c.renewal.grace() + c.settings.WorkerLease); m.leaseEnd.Before(least) {
 		t.Errorf("got the lease expired after %v, want at least %v", m.leaseEnd.Sub(c.now), least.Sub(c.now))
 	}
-	// It is given away again, with the work on it.
+	// The machine is handed over to b again, with the attempt on it.
 	c.putSegment(t, "b", 5, "vm-000077", "vm-000079")
 	c.syncShardLeader()
 	if a := c.shardLeader.remoteAttempts.machines["vm-000077"]; a == nil || j.tasks[0].machine != a || j.liveTasks != 1 {
-		t.Error("got the attempt on a machine that was given away dropped, want it on the remote machine")
+		t.Error("got the attempt on a handed-over machine dropped, want it on the remote machine")
 	}
 }
 
-// TestLeaseRestartsUnderNewEpoch: a machine that is this owner's under a new epoch may have
-// been another's in between, and one without a heartbeat that has others' work may have been
-// answered by its former owner: their leases count from the last answer that was possible.
+// TestLeaseRestartsUnderNewEpoch guards against counting a worker's lease as expired too early.
+// A machine with a new epoch may have had another owner in between, and a machine without a
+// heartbeat that has another owner's tasks may have been answered by its former owner. Both
+// leases must count from the last possible answer.
 func TestLeaseRestartsUnderNewEpoch(t *testing.T) {
 	c := twoControllers(t)
 	m := c.shardLeader.machinesByID[0]
@@ -122,12 +126,12 @@
 	}
 	c.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: "vm-000088", Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: "job-000900", Index: 0, Attempt: 1}}}}})
 	if m = c.shardLeader.machines["vm-000088"]; m == nil || m.heard || m.leaseEnd.Before(least) {
-		t.Errorf("got machine %+v with others' work, want one not heard of whose lease lasts at least until %v", m, least)
+		t.Errorf("got machine %+v with another owner's task, want one without a heartbeat whose lease lasts at least until %v", m, least)
 	}
 }
 
-// TestRemoteAttemptsAreLeftAlone: what runs on a machine for another controller's job is not
-// stopped before that controller has requested it.
+// TestRemoteAttemptsAreLeftAlone guards against stopping a task of another controller's job on a
+// machine of this controller, before that controller has requested the stop.
 func TestRemoteAttemptsAreLeftAlone(t *testing.T) {
 	c := twoControllers(t)
 	m := c.shardLeader.machinesByID[0]
@@ -143,9 +147,10 @@
 		t.Errorf("got commands %v, want none", commands)
 	}
 	if m.isEmpty() || m.othersUsed.CPU != 1 || m.hasUnknownTasks {
-		t.Errorf("got others' use %v, empty %v, unknown tasks %v; want 1 CPU, false and false", m.othersUsed, m.isEmpty(), m.hasUnknownTasks)
+		t.Errorf("got resources of others' tasks %v, empty %v, unknown tasks %v; want 1 CPU, false and false", m.othersUsed, m.isEmpty(), m.hasUnknownTasks)
 	}
-	// Cancelled, it is stopped without a request: its job's owner may be unreachable.
+	// A task of a cancelled job is stopped without a request: the job's owner may be
+	// unreachable.
 	rec := record.NewOpenJob(&spec, c.now)
 	rec.Cancelled = true
 	c.frontend.watchCache.openJobs[spec.ID] = openJob{2, rec}
@@ -153,16 +158,16 @@
 		t.Errorf("for a cancelled job: got commands %v, want a stop", commands)
 	}
 	c.frontend.watchCache.openJobs[spec.ID] = openJob{1, record.NewOpenJob(&spec, c.now)}
-	// On request it is stopped.
+	// The task is stopped on its owner's request.
 	c.shardLeader.remoteAttempts.receiveRemoteRequests("b", []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}, Intent: remote.Stop}}}})
 	if commands := c.shardLeader.dispatcher.reconcile(m); len(commands) != 1 || commands[0].Kind != model.StopTask {
 		t.Errorf("on request: got commands %v, want a stop", commands)
 	}
 }
 
-// TestCancelledWhileCheckpointing: another owner's task was told to stop with time to
-// checkpoint, and then its job is cancelled. It is ended at once, though that owner is not
-// heard.
+// TestCancelledWhileCheckpointing checks a task of another owner that is stopping with time to
+// checkpoint when its job is cancelled. It must be stopped at once, although that owner is
+// unreachable.
 func TestCancelledWhileCheckpointing(t *testing.T) {
 	c := twoControllers(t)
 	m := c.shardLeader.machinesByID[0]
@@ -185,21 +190,21 @@
 	}
 }
 
-// TestStaleTeamReadIsIgnored: what was read of a team does not count when the team was another
-// shard's in between, whose leader may have written more.
+// TestStaleTeamReadIsIgnored guards against using the records read of a team that belonged to
+// another shard in between, whose leader may have written more.
 func TestStaleTeamReadIsIgnored(t *testing.T) {
 	c := twoControllers(t)
 	staleTeam := &heldTeam{holdID: 1}
 	c.shardLeader.teams["ops"] = &heldTeam{holdID: 2}
 	c.shardLeader.recoverTeams(map[string]*heldTeam{"ops": staleTeam}, nil, nil, c.now)
 	if c.shardLeader.teams["ops"].ready {
-		t.Error("got the team ready by an older read, want it not ready")
+		t.Error("got the team ready after an outdated read, want it not ready")
 	}
 }
 
-// TestHandedOverTeamLeavesTasks: what a team that is handed over leaves running here takes
-// capacity, though no heartbeat has shown it yet, and is not reported as gone while its start
-// may be on its way.
+// TestHandedOverTeamLeavesTasks guards against placing tasks on capacity that is in use: an
+// attempt of a handed-over team takes capacity on its machine, though no heartbeat has shown it.
+// It also must not be reported as gone while its start may still be in flight.
 func TestHandedOverTeamLeavesTasks(t *testing.T) {
 	c := twoControllers(t)
 	c.putShard(t, "a", "a", 6, true, "ops", "lab")
@@ -215,10 +220,10 @@
 	c.putShard(t, "a", "a", 8, true, "ops")
 	c.putShard(t, "b", "b", 8, false, "lab")
 	c.syncShardLeader()
-	// Its start got no answer.
+	// The start of the attempt got no answer.
 	m.unackedStartEpoch, m.seenEpoch = m.epoch, m.epoch
 	if c.shardLeader.jobs[spec.ID] != nil || m.isEmpty() || m.othersUsed.CPU != 3 {
-		t.Fatalf("got others' use %v, empty %v after the hand-over; want 3 CPU and false", m.othersUsed, m.isEmpty())
+		t.Fatalf("after the hand-over: got resources of others' tasks %v, empty %v; want 3 CPU and false", m.othersUsed, m.isEmpty())
 	}
 	requests := []remote.Request{{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
 	publishedState := func() remote.State {
@@ -237,9 +242,9 @@
 	r.Sequence, r.Epoch = 3, m.epoch
 	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if s := publishedState(); s != remote.Unknown {
-		t.Errorf("while its start may be on its way: got state %v, want %v", s, remote.Unknown)
+		t.Errorf("while the start may be in flight: got state %v, want %v", s, remote.Unknown)
 	}
-	// Under a higher epoch it can't be executed any more.
+	// The worker refuses that start after it has seen a higher epoch.
 	c.putSegment(t, "a", 9, m.id)
 	c.syncShardLeader()
 	r = c.poolHeartbeat(0)
@@ -250,8 +255,8 @@
 	}
 }
 
-// TestRemoteStateNeedsCurrentEpoch: an update about a machine counts only from its owner, under
-// the present epoch.
+// TestRemoteStateNeedsCurrentEpoch guards against applying outdated reports of remote attempts:
+// a report about a machine counts only from the machine's owner and under its present epoch.
 func TestRemoteStateNeedsCurrentEpoch(t *testing.T) {
 	c := twoControllers(t)
 	c.putSegment(t, "b", 5, "vm-000077")
@@ -264,10 +269,10 @@
 	publish("b", 4)
 	publish("c", 5)
 	if j.liveTasks != 1 {
-		t.Error("got the attempt gone by an update under an earlier epoch or of another controller, want it live")
+		t.Error("got the attempt ended by an update under an earlier epoch or from another controller, want it live")
 	}
 	publish("b", 5)
 	if j.liveTasks != 0 || j.pendingTasks() != 1 {
-		t.Errorf("got %d live and %d pending tasks by the owner's update, want 0 and 1", j.liveTasks, j.pendingTasks())
+		t.Errorf("after the owner's update: got %d live and %d pending tasks, want 0 and 1", j.liveTasks, j.pendingTasks())
 	}
 }
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -11,37 +11,39 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// shard_planning.go is how the leader changes the shard map. What internal/sharding decides is written
-// on condition that this leader still leads, and counts for everybody, the leader included, only when
-// the watch brings it.
+// shard_planning.go has the leader change the shard map. The leader writes the changes that
+// internal/sharding plans, on condition that it still leads. A change takes effect for every
+// controller, the leader included, only when the watch delivers it.
 
 const (
-	// unlistedGracePeriod is how long the shard map may name a machine that the lists, which lag,
-	// do not show, before the machine counts as gone.
+	// unlistedGracePeriod is how long a machine of the shard map may be missing from the cloud's
+	// lists before it counts as gone. The lists lag behind.
 	unlistedGracePeriod = time.Minute
-	// loadSmoothing is the weight of the newest sample of a team's load, one a second, so that the
-	// load is a mean over about a minute: teams that are alike differ by half from one moment
-	// to the next, and to move one for that would be in vain.
+	// loadSmoothing is the weight of the newest sample of a team's load. With one sample a
+	// second the load is a mean over about a minute. The momentary loads of equal teams differ
+	// by half, and moving a team for such a difference gains nothing.
 	loadSmoothing = 1.0 / 60
 )
 
-// shardPlanning is what the leader knows for changes of the shard map.
+// shardPlanning is the leader's state for planning changes of the shard map. It is lost with the
+// leader.
 type shardPlanning struct {
 	planner *sharding.Planner
-	// writing says that a change is being written. Nothing more is planned before
-	// writtenRevision, of the last write, has been read.
+	// writing is set while a change is being written. After the last write nothing is planned
+	// until the watch has reached its revision, writtenRevision.
 	writing         bool
 	writtenRevision uint64
 
-	// unrecordedMachines were rented for a shard leader or handed over to one, and the shard
-	// map does not say so yet.
+	// unrecordedMachines, by ID, were rented for a shard leader or transferred to one, and the
+	// shard map does not show it yet.
 	unrecordedMachines map[string]sharding.NewMachine
-	// offers, by team, are of the machines that would go with the team. loads are the CPUs that
-	// teams keep busy, smoothed.
+	// offers, by team, list the machines that a shard leader would hand over with the team.
+	// loads, by team, are the smoothed loads in CPUs.
 	offers map[string]sharding.Offer
 	loads  map[string]float64
 }
 
+// newShardPlanning returns the planning state of a new leader.
 func newShardPlanning(c *Controller) shardPlanning {
 	return shardPlanning{
 		planner:            sharding.New(c.requests.storeLimits(), fmt.Sprint(c.membership.leaderModRevision), c.settings.Policy.RebalanceInterval, c.now),
@@ -49,13 +51,14 @@
 	}
 }
 
-// storeLimits are the store's limits.
+// storeLimits returns the store's configured limits.
 func (r *requestTracker) storeLimits() sizelimit.Limits {
 	return sizelimit.Limits{ValueBytes: r.settings.MaxValueBytes, Ops: r.settings.MaxTxnWrites}
 }
 
-// limitsOf are the limits that a transaction keeps to. As long as a controller of the version before
-// may come back, task records keep to what that version reads and writes.
+// limitsOf returns the limits that a transaction must keep to. As long as a controller of the
+// previous version may come back, task records and the limit probe keep to the value limit under
+// which that version reads and writes.
 func (r *requestTracker) limitsOf(op *message.StoreRequest) sizelimit.Limits {
 	l := r.storeLimits()
 	if r.controller.membership.formats.currentFormat().sized {
@@ -69,7 +72,8 @@
 	return l
 }
 
-// planShards writes the next change of the shard map, if there is one.
+// planShards writes the next change of the shard map, if one is due and the shard map has been
+// read up to the last write.
 func (l *leader) planShards() {
 	m := &l.controller.membership
 	planning := &l.sharding
@@ -83,9 +87,10 @@
 	}
 }
 
-// planningInput is what the planner decides on. Machines whose record has come, or that are gone, are
-// unrecorded no longer. Nor are those whose receiver has no shard any more: they stay with the owner
-// that the shard map names, instead of being kept from all.
+// planningInput returns the state that the planner decides on. It drops unrecorded machines that
+// the shard map shows by now or that are gone. It also drops those whose receiver has lost its
+// last shard: such a machine stays with the owner that the shard map names, because otherwise no
+// controller could use it.
 func (l *leader) planningInput() sharding.Input {
 	m := &l.controller.membership
 	planning := &l.sharding
@@ -109,8 +114,9 @@
 	return input
 }
 
-// writeShardMap writes one change. It names the leader's record, so that nothing of a deposed leader is
-// applied, and each record as it was read.
+// writeShardMap writes one change of the shard map in one transaction. The transaction compares
+// the leadership record, so that a deposed leader changes nothing, and each changed record as it
+// was read.
 func (l *leader) writeShardMap(writes []sharding.Write) {
 	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: l.modRevision}}}
 	for _, w := range writes {
@@ -131,14 +137,14 @@
 		}
 		l.sharding.writing = false
 		if d.Status == message.StoreOK || d.Status == message.StoreConflict {
-			// After a conflict the watch is behind.
+			// After a conflict the watch has to catch up before the next plan.
 			l.sharding.writtenRevision = d.Revision
 			return
 		}
 		pause := l.jitter(storeRetryDelay)
 		if d.Status == message.StoreMalformed {
-			// The same would be planned again. Other changes may be written meanwhile, if
-			// what they rest on is different.
+			// The planner would plan the same change again at once. When its input differs, a
+			// plan before this retry may still write other changes.
 			pause = malformedRetryDelay
 		}
 		l.after(pause, func() {
@@ -149,8 +155,9 @@
 	})
 }
 
-// confirmedGone reports whether a machine is gone: its release was confirmed, or the cloud has not
-// listed it for long. The latter proves nothing for the tasks there; it is enough for the shard map.
+// confirmedGone reports whether a machine counts as gone for the shard map: its release was
+// confirmed, or the cloud has not listed it for longer than unlistedGracePeriod. A missing
+// listing does not prove that the machine's tasks have ended, so task state must not rely on it.
 func (l *leader) confirmedGone(id string) bool {
 	if l.confirmedReleases[id] {
 		return true
@@ -162,8 +169,9 @@
 	return unlisted && l.now.Sub(unlistedSince) > unlistedGracePeriod
 }
 
-// markUnlisted notes which machines of the shard map a list does not show. A new machine is missing for
-// a while, and so is all that a former leader rented just before.
+// markUnlisted records which machines of the shard map the cloud's list does not show, and since
+// when. A new machine is missing from the list for a while, and so are the machines that the
+// previous leader rented just before this one.
 func (l *leader) markUnlisted() {
 	l.controller.membership.shardMap.EachMachine(func(id string) {
 		if l.rentals[id] != nil {
@@ -179,7 +187,8 @@
 	}
 }
 
-// recordTeamLoads adds a sample of the CPUs that a shard leader's teams keep busy.
+// recordTeamLoads adds a sample of the loads of a shard leader's teams, in CPUs, to the smoothed
+// loads.
 func (l *leader) recordTeamLoads(teamLoads []message.TeamLoad) {
 	loads := l.sharding.loads
 	for _, x := range teamLoads {
@@ -190,8 +199,8 @@
 	}
 }
 
-// applyOwnUpdate takes in what this controller as shard leader would publish to the leader, and asks it
-// for the team that is to move.
+// applyOwnUpdate gives the leader the data that other shard leaders publish to it: the team
+// loads of this controller's own shard leader and, for the team that is to move, its offers.
 func (l *leader) applyOwnUpdate() {
 	s := l.controller.shardLeader
 	l.recordTeamLoads(s.teamLoads())
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -10,24 +10,27 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
-// shard_sync.go keeps the shard leader in line with the shard map: which teams and machines
-// are this controller's, by the records read so far. What comes is taken over as it runs,
-// what goes is handed over as it runs; nothing else is disturbed.
+// shard_sync.go keeps the shard leader's teams and machines in line with the shard map, as far
+// as its records have been read. Teams and machines are taken over and handed over while their
+// tasks keep running, and no other team or machine is affected.
 
 // heldTeam is a team of a shard that this controller holds.
 type heldTeam struct {
-	// ready: its records have been read, at readyAt.
+	// ready is set at readyAt, when the team's records have been read.
 	ready   bool
 	readyAt time.Time
-	// holdID tells this time that the team is held from others.
+	// holdID identifies this period of holding the team: a team that goes and comes back gets a
+	// new one.
 	holdID int
-	// reassigned: it has been another shard's since it came, even if it is back by now. The
-	// other leader has written of its jobs, so that what is known here is out of date.
+	// reassigned is set when the team has belonged to another shard since this controller got
+	// it, even if it is back by now. The other shard's leader may have written records of its
+	// jobs, so the state held here is out of date.
 	reassigned bool
 }
 
-// markReassignedTeams notes which teams are another shard's as of the revision just applied.
-// It runs after each revision, since one answer may show that a team went and came back.
+// markReassignedTeams marks the held teams that belong to another shard as of the revision just
+// applied. It runs after each revision, because one watch response may show that a team left and
+// came back.
 func (c *Controller) markReassignedTeams() {
 	if c.shardLeader == nil {
 		return
@@ -38,8 +41,9 @@
 	}
 }
 
-// markReassignedAfterReRead does the same when ctl/ has been read anew, which doesn't show
-// what happened in between: only a shard that has not been written since has kept its teams.
+// markReassignedAfterReRead marks the reassigned teams after ctl/ was read again as a whole,
+// which does not show the changes in between. Only a team whose shard record has kept its mod
+// revision has certainly not moved. before is the shard map before the read.
 func (c *Controller) markReassignedAfterReRead(before *sharding.Map) {
 	if c.shardLeader == nil {
 		return
@@ -50,7 +54,7 @@
 	}
 }
 
-// syncShardLeader makes, updates or drops the shard leader to match ctl/.
+// syncShardLeader creates, updates or drops the shard leader to match the records under ctl/.
 func (c *Controller) syncShardLeader() {
 	members := &c.membership
 	if !members.loaded {
@@ -75,6 +79,7 @@
 	c.shardLeader.syncTeams(heldShards)
 }
 
+// shardNames returns the names of shards, in their order.
 func shardNames(heldShards []*sharding.Shard) []string {
 	var out []string
 	for _, x := range heldShards {
@@ -83,7 +88,8 @@
 	return out
 }
 
-// syncTeams hands over the teams that are another shard's now, and loads those that came.
+// syncTeams hands over the held teams that belong to another shard or were reassigned, and loads
+// the teams that are new to this controller.
 func (s *shardLeader) syncTeams(heldShards []*sharding.Shard) {
 	assigned := map[string]bool{}
 	for _, x := range heldShards {
@@ -106,8 +112,9 @@
 	s.loadTeams()
 }
 
-// handOverTeam drops a team and its jobs. Their attempts on machines here go on, as remote
-// attempts in this controller's care, until their new owner asks for them or they end.
+// handOverTeam drops a team and its jobs. Attempts of those jobs on this controller's machines
+// keep running: this controller looks after them as remote attempts until the team's new owner
+// requests them or they end.
 func (s *shardLeader) handOverTeam(team string) {
 	delete(s.teams, team)
 	newOwner := ""
@@ -132,8 +139,9 @@
 				s.remoteAttempts.dropIfEmpty(m)
 				continue
 			}
-			// It runs or may yet start, and takes resources. The job's new owner reads of it
-			// and asks. A start that was never sent is nowhere.
+			// The attempt runs or may still start, so it counts as using the machine's
+			// resources. The job's new owner finds it in the task records and requests its
+			// state. An attempt whose start was never sent does not exist on the machine.
 			a := remote.AttemptID{Job: id, Index: i, Attempt: t.attempt}
 			s.remoteAttempts.registry.Request(s.now, newOwner, remote.Request{Machine: m.id, Attempts: []remote.AttemptRequest{{AttemptID: a}}})
 			if !t.startSent {
@@ -144,7 +152,8 @@
 		delete(s.jobs, id)
 		s.faultAttribution.ForgetJob(id)
 	}
-	// Only now: an attempt of a job held here does not count as another's.
+	// The recount must follow the removal of the jobs: an attempt of a job held here does not
+	// count as another owner's.
 	for _, id := range sortedKeys(affected) {
 		s.remoteAttempts.recountOthersUsed(affected[id])
 		s.controller.markDispatchPending(affected[id])
@@ -155,8 +164,8 @@
 	s.fleet.forgetTeam(team)
 }
 
-// syncMachines hands over the machines that are another shard's now, takes over those that
-// came, and notes new epochs.
+// syncMachines hands over the machines that belong to another owner, takes over the remote
+// machines that this controller owns by the shard map, and applies new epochs.
 func (s *shardLeader) syncMachines(heldShards []*sharding.Shard) {
 	clear(s.shards)
 	catchAll := false
@@ -176,8 +185,10 @@
 		case !mine:
 			s.handOverMachine(m)
 		case x.Epoch != m.epoch:
-			// It may have been another's in between, which this controller has read only now:
-			// what was observed of it, and when its lease ends, count anew.
+			// Another controller may have owned the machine in between, and this controller
+			// learns of that only from the new epoch. Earlier observations are discarded, and
+			// the worker's lease is counted from the last answer that the former owner may
+			// have sent.
 			m.epoch, m.formerOwnerUntil = x.Epoch, s.now.Add(s.controller.renewal.formerOwnerGrace())
 			if !m.leaseEnd.IsZero() {
 				m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
@@ -193,8 +204,8 @@
 	}
 }
 
-// handOverMachine drops a machine that is another shard's now. Attempts of jobs held here stay
-// on it as remote attempts: its new owner is asked about them.
+// handOverMachine drops a machine that belongs to another owner. Attempts of jobs held here stay
+// on it as remote attempts, and the new owner is asked about them.
 func (s *shardLeader) handOverMachine(m *machine) {
 	s.removeMachine(m)
 	s.remoteAttempts.registry.ForgetMachine(m.id)
@@ -207,7 +218,7 @@
 	for _, k := range sortedAttempts(m) {
 		t := m.attempts[k]
 		if !t.startSent {
-			// Never sent, so it is nowhere.
+			// The start was never sent, so the attempt does not exist on the machine.
 			s.endAttempt(s.jobs[k.job], k.index, false)
 			continue
 		}
@@ -219,8 +230,8 @@
 	s.remoteAttempts.requestSoon()
 }
 
-// takeOverMachine makes a remote machine, on which jobs held here have attempts, one of this
-// shard.
+// takeOverMachine turns a remote machine, on which jobs held here have attempts, into one of
+// this controller's own machines, with these attempts.
 func (s *shardLeader) takeOverMachine(asRemote *machine) {
 	s.remoteAttempts.forgetMachine(asRemote.id)
 	asRemote.removed = true
@@ -240,7 +251,8 @@
 		m.attempts[k] = t
 		m.used = m.used.AddScaled(j.Need, 1)
 	}
-	// Its former owner may go on answering it for a while.
+	// The former owner may still answer the machine's heartbeats for a while, and each answer
+	// renews the worker's lease.
 	m.leaseEnd = later(m.leaseEnd, s.controller.renewal.leaseEndAfter(m.formerOwnerUntil))
 	s.remoteAttempts.rePoll(m)
 	if h := s.controller.knowledge.predecessorMachines[m.id]; s.now.Sub(h.receivedAt) < machineUpdateTTL && m.addr == "" {
@@ -249,8 +261,9 @@
 	s.failover.addInherited(m)
 }
 
-// shardCompares are the conditions of a write for these teams: that their shards are as this
-// shard leader has read them. "" stands for any of its shards.
+// shardCompares returns the compares of a write for these teams: that each team's shard record
+// is as this shard leader has read it. An empty team name, or a team that is not held here,
+// stands for any of its shards.
 func (s *shardLeader) shardCompares(teams ...string) []message.Compare {
 	var out []message.Compare
 	for _, t := range teams {
@@ -263,7 +276,8 @@
 			}
 		}
 		if shard == nil {
-			// Nothing is held any more, so the write must fail.
+			// This controller holds no shard, so the write must fail: no record has this mod
+			// revision.
 			out = append(out, message.Compare{Key: record.ShardPrefix + s.settings.Host, ModRevision: ^uint64(0)})
 			continue
 		}
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -15,12 +15,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// sentStoreRequests returns the store requests that the controller has emitted.
 func sentStoreRequests(c *Controller) []message.StoreRequest {
 	return emittedEffects[message.StoreRequest](c)
 }
 
-// TestMalformedIsNotResent guards against sending a request again that the store refuses for
-// its size or form each time: it would use up the rate of requests, and whatever waits for it
+// TestMalformedIsNotResent guards against resending a request that the store refuses each time
+// for its size or form. It would use up the request rate, and everything that depends on it
 // would wait for ever.
 func TestMalformedIsNotResent(t *testing.T) {
 	c := largePool(0)
@@ -30,12 +31,13 @@
 		c.now = c.now.Add(time.Second)
 		c.runTimers()
 	}
-	// What exceeds a limit is not sent.
+	// A request that exceeds a limit is not sent.
 	c.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": strings.Repeat("x", 5000)})}}}, callback)
 	if passSecond(); len(sentStoreRequests(c)) != 0 || !slices.Equal(got, []message.StoreStatus{message.StoreMalformed}) || c.internalErrors != 1 {
 		t.Errorf("got %d requests sent, statuses %v, %d internal errors; want 0, malformed and 1", len(sentStoreRequests(c)), got, c.internalErrors)
 	}
-	// What the store calls malformed is not sent again as it is, but what differs is.
+	// A request that the store called malformed is not sent again unchanged, but a different
+	// request is.
 	op := message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "a", Value: record.Encode(map[string]any{"v": 1})}}}
 	c.requests.toStore(op, callback)
 	c.handleCommand(message.StoreResponse{ID: sentStoreRequests(c)[0].ID, Status: message.StoreMalformed})
@@ -50,8 +52,8 @@
 	}
 }
 
-// TestOneMalformedSegmentAmongOthers: the tasks of a segment that can't be stored are deferred,
-// and those of others in the same write start.
+// TestOneMalformedSegmentAmongOthers checks a write of several segments of which one can't be
+// stored: the tasks of that segment are deferred, and the tasks of the other segments start.
 func TestOneMalformedSegmentAmongOthers(t *testing.T) {
 	c := largePool(4)
 	c.membership.leaseID = 1
@@ -85,15 +87,15 @@
 		c.runTimers()
 	}
 	if !written["task/job-2/0"] || c.shardLeader.jobs["job-2"].liveTasks != 1 {
-		t.Errorf("got writes %v, %d live tasks of job-2; want its segment written and 1", written, c.shardLeader.jobs["job-2"].liveTasks)
+		t.Errorf("got writes %v, %d live tasks of job-2; want the segment of job-2 written, and 1", written, c.shardLeader.jobs["job-2"].liveTasks)
 	}
 	if j := c.shardLeader.jobs["job-1"]; j.liveTasks != 0 || !j.tasks[0].notBefore.After(c.now) {
 		t.Errorf("got %d live tasks of job-1, not before %v; want 0, deferred", j.liveTasks, j.tasks[0].notBefore)
 	}
 }
 
-// TestSegmentsOfLongMachineNames: the rows of a segment stay within a value however long the
-// machines' names are, since the names' common prefix is stored once.
+// TestSegmentsOfLongMachineNames guards against segments that exceed the value limit because the
+// machines have long names. The common prefix of the names is stored once.
 func TestSegmentsOfLongMachineNames(t *testing.T) {
 	for _, maxBytes := range []int{1 << 10, 4 << 10, 16 << 10} {
 		c := largePool(0)
@@ -103,10 +105,10 @@
 		for i := range j.tasksPerSegment {
 			m := c.shardLeader.ensureMachine(fmt.Sprintf("machine-of-a-provider-with-names-longer-than-any-%06d", i))
 			j.nextFresh++
-			t := &j.tasks[i]
-			t.attempt, t.groupStart, t.relaunched = 12, c.now.UnixMilli()+int64(i), true
+			task := &j.tasks[i]
+			task.attempt, task.groupStart, task.relaunched = 12, c.now.UnixMilli()+int64(i), true
 			c.shardLeader.attachAttempt(j, i, m)
-			j.groups[t.groupStart] = &group{startedAt: c.now, relaunchDecided: i%2 == 0}
+			j.groups[task.groupStart] = &group{startedAt: c.now, relaunchDecided: i%2 == 0}
 			j.recordRunTime(time.Duration(100+i) * time.Second)
 		}
 		r := j.segmentRecord(j.segmentOf(0))
@@ -114,7 +116,7 @@
 		if err != nil || size > maxBytes {
 			t.Errorf("got %d rows of %d bytes (error %v), want at most %d bytes", j.tasksPerSegment, size, err, maxBytes)
 		}
-		// A successor reads the names as they were.
+		// A successor reads the complete names.
 		successor := largePool(0)
 		successor.settings.MaxValueBytes = maxBytes
 		recovered := newJob(j.JobSpec, c.now, 1, maxBytes)
@@ -132,8 +134,8 @@
 	}
 }
 
-// TestCommandsAreBounded: a worker with hundreds of tasks to clear is not sent a body beyond
-// the protocol's 64 KiB, and the rest follows.
+// TestCommandsAreBounded guards against sending a worker with many ended tasks a body above the
+// protocol's limit of 64 KiB. The commands beyond the limit follow later.
 func TestCommandsAreBounded(t *testing.T) {
 	c := largePool(1)
 	m := c.shardLeader.machinesByID[0]
@@ -159,22 +161,23 @@
 	if err != nil || len(commands) == 0 || len(b) > sizelimit.MaxBodyBytes {
 		t.Errorf("got %d commands in %d bytes (error %v), want some in at most %d", len(commands), len(b), err, sizelimit.MaxBodyBytes)
 	}
-	// The rest follows with the answer to the next heartbeat, which lists what is left.
+	// The other commands follow with the answer to the next heartbeat, which lists the remaining
+	// tasks.
 	r.Sequence, r.Tasks = 10, r.Tasks[len(commands):]
 	c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
 	if more := c.shardLeader.dispatcher.reconcile(m); len(more) == 0 {
-		t.Error("got no commands for the rest, want some")
+		t.Error("got no commands for the remaining tasks, want some")
 	}
 }
 
-// TestDamagedRecords: a record that claims more elements than it holds is refused before
-// memory is allocated for them.
+// TestDamagedRecords guards against a damaged record that exhausts memory: one that claims more
+// elements than it holds must be refused before memory is allocated for them.
 func TestDamagedRecords(t *testing.T) {
 	long, err := msgpack.Marshal(map[string]any{"t": []int{1}})
 	if err != nil {
 		t.Fatalf("encoding: got error %v, want none", err)
 	}
-	// The list claims to have four thousand million elements.
+	// The list claims to have four billion elements.
 	damaged := append(slices.Clone(long[:3]), 0xdd, 0xff, 0xff, 0xff, 0xff)
 	var r record.TaskSegment
 	if record.Decode(damaged, &r) {
@@ -182,8 +185,8 @@
 	}
 }
 
-// TestSegmentsOfFinishedGroups: a segment stays within a value also when every other task is done,
-// each in a group of its own, and a successor restores the groups with them.
+// TestSegmentsOfFinishedGroups checks that a segment stays within the value limit when every
+// other task is done, each in a group of its own, and that a successor restores the groups.
 func TestSegmentsOfFinishedGroups(t *testing.T) {
 	for _, maxBytes := range []int{1 << 10, 4 << 10, 16 << 10} {
 		c := largePool(0)
@@ -213,15 +216,16 @@
 				t.Errorf("group %d: got %d tasks, want %d", id, g.size(), j.groups[id].size())
 			}
 		}
-		// What the successor writes says the same, though it never knew the done tasks' groups.
+		// The successor writes the same groups, though the record does not say in which group
+		// each done task was.
 		if again := recovered.segmentRecord(recovered.segmentOf(0)); !slices.Equal(again.FinishedInGroups, r.FinishedInGroups) {
 			t.Errorf("got groups %v written by the successor, want %v", again.FinishedInGroups, r.FinishedInGroups)
 		}
 	}
 }
 
-// TestInvalidFinishedGroups: a record whose groups of done tasks make no sense is told, and the
-// rest of it counts.
+// TestInvalidFinishedGroups checks that a record with invalid groups of done tasks is reported
+// as a rejected input, and that the other fields of the record count.
 func TestInvalidFinishedGroups(t *testing.T) {
 	for _, pairs := range [][]int64{{5}, {0, 1}, {1_750_000_000_000, 0}, {1_750_000_000_000, 1 << 40}} {
 		c := largePool(0)
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -6,7 +6,7 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// replyStatus answers with what operators want to know of this controller.
+// replyStatus answers an operator's status query with the state of this controller.
 func (c *Controller) replyStatus(cmd message.QueryStatus) {
 	reply := message.StatusReply{
 		Reply: cmd.Reply, Host: c.settings.Host, Healthy: c.Healthy(c.now), Leader: c.membership.leader.Host,
@@ -33,6 +33,7 @@
 	c.emit(reply)
 }
 
+// teamStatuses returns the owner and the local state of every configured team.
 func (c *Controller) teamStatuses() []message.TeamStatus {
 	var out []message.TeamStatus
 	cpuByTeam := map[string]float64{}
@@ -54,6 +55,7 @@
 	return out
 }
 
+// shardStatuses returns the status of every shard of the shard map.
 func (m *membership) shardStatuses() []message.ShardStatus {
 	var out []message.ShardStatus
 	for _, x := range m.shardMap.Shards() {
@@ -65,6 +67,7 @@
 	return out
 }
 
+// workloadStatuses returns the status of each workload that has jobs here, sorted by name.
 func (s *shardLeader) workloadStatuses() []message.WorkloadStatus {
 	byName := map[string]*message.WorkloadStatus{}
 	for _, j := range s.jobs {
@@ -88,6 +91,7 @@
 	return out
 }
 
+// machineStatuses returns the status of each machine of this shard leader, sorted by ID.
 func (s *shardLeader) machineStatuses() []message.MachineStatus {
 	var out []message.MachineStatus
 	for _, id := range sortedKeys(s.machines) {
@@ -101,7 +105,7 @@
 	return out
 }
 
-// machineState is a machine's state in the words of the operators' pages.
+// machineState returns the name of a machine's state that the operators' pages show.
 func (s *shardLeader) machineState(m *machine) string {
 	switch {
 	case m.releasing:
--- a/internal/controller/team_loading.go
+++ b/internal/controller/team_loading.go
@@ -9,21 +9,24 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// teamLoad reads the records of teams that a shard leader has acquired: the open jobs, as of
-// a moment after the teams came, then the tasks, the migrations and, the first time, the
-// prewarmed images. Nobody who held the teams before can write in between, since each such
-// write compares the mod revision of its own shard.
+// teamLoad reads the records of teams that a shard leader has acquired: the open jobs, as of a
+// moment after the teams were acquired, then the tasks, the migrations and, for the first teams,
+// the prewarmed images. No former holder of the teams can write in between, because each of its
+// writes compares the mod revision of its own shard.
 //
-// A shard leader has one at most. It ends with recoverTeams, or when its leader is dropped.
+// A shard leader has at most one teamLoad. It ends with recoverTeams, or when its shard leader
+// is dropped.
 type teamLoad struct {
 	*shardLeader
+	// requested are the teams to load, as they were held at startedAt.
 	requested      map[string]*heldTeam
 	startedAt      time.Time
 	tasks          []message.KeyValue
 	migrationItems []message.KeyValue
 }
 
-// loadTeams reads the records of the teams that are not ready, unless that is under way.
+// loadTeams starts reading the records of the teams that are not ready, unless a read is under
+// way.
 func (s *shardLeader) loadTeams() {
 	if s.loadingTeams {
 		return
@@ -42,11 +45,13 @@
 	l.readOpenJobs()
 }
 
-// current says that the shard leader that loads still leads.
+// current reports whether the shard leader that started this load is still the controller's.
 func (l *teamLoad) current() bool {
 	return l.controller.shardLeader != nil && l.controller.shardLeader.generation == l.generation
 }
 
+// readOpenJobs reads the open jobs, again and again until that succeeds, and then the other
+// records.
 func (l *teamLoad) readOpenJobs() {
 	l.controller.frontend.watchCache.refresh(func(ok bool) {
 		switch {
@@ -63,6 +68,7 @@
 	})
 }
 
+// listTasks reads the task records and the migrations.
 func (l *teamLoad) listTasks() {
 	l.controller.requests.readAll(record.TaskSegmentPrefix, message.PriorityMembership, l.current, func(tasks []message.KeyValue) {
 		l.tasks = tasks
@@ -77,8 +83,8 @@
 	})
 }
 
-// listPrewarmed reads which images machines hold. They are only a help: without them
-// loading goes on as well.
+// listPrewarmed reads the records of the images that machines hold, after the key from. These
+// records only improve placement: if they can't be read, the load goes on without them.
 func (l *teamLoad) listPrewarmed(from string) {
 	l.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.PrewarmedPrefix, StartAfter: from}, func(d message.StoreResponse) {
 		if !l.current() {
@@ -95,20 +101,23 @@
 	})
 }
 
+// finish hands the records to the shard leader.
 func (l *teamLoad) finish() {
 	l.controller.shardLeader.recoverTeams(l.requested, l.tasks, l.migrationItems, l.startedAt)
 }
 
-// recoverTeams makes the teams ready with the jobs that were read.
+// recoverTeams restores the jobs of the requested teams from the records and marks these teams
+// ready.
 func (s *shardLeader) recoverTeams(requested map[string]*heldTeam, tasks, migrationItems []message.KeyValue, startedAt time.Time) {
 	s.loadingTeams = false
 	firstLoad := !s.ready
-	// Some may have gone while their records were read. Of those that came back others may
-	// have written more meanwhile, so that they are loaded again.
+	// A team may have left while its records were read. If it has come back, its holder in
+	// between may have written more records, so the team is loaded again.
 	teams := slices.DeleteFunc(sortedKeys(requested), func(t string) bool { return s.teams[t] != requested[t] })
 	formats := &s.controller.membership.formats
 	for _, it := range tasks {
-		// Whoever wrote a sized segment knew that all know them.
+		// A sized segment is written only after every controller has recorded that it supports
+		// them, so the segment's format can be adopted.
 		if f, _, ok := formats.parseSegmentKey(it.Key); ok {
 			formats.adoptFormat(f)
 		}
@@ -129,7 +138,7 @@
 	s.scheduler.requestPlacement()
 	s.remoteAttempts.requestSoon()
 	for _, m := range s.machinesByID {
-		// What runs there may have been another shard's until now.
+		// Tasks on the machine may belong to a team that another shard held until this load.
 		s.remoteAttempts.rePoll(m)
 	}
 	if firstLoad {
@@ -141,8 +150,9 @@
 	s.loadTeams()
 }
 
-// recoverJobs adds the open jobs of teams. Those of no team are cancelled ones that an
-// earlier version kept nothing else of.
+// recoverJobs adds the open jobs of the teams and returns them by ID. On the first load it also
+// adds cancelled jobs without a team, of which an earlier version of this program kept no other
+// fields.
 func (s *shardLeader) recoverJobs(teams []string, firstLoad bool) map[string]*job {
 	recovered := map[string]*job{}
 	cache := &s.controller.frontend.watchCache
@@ -169,8 +179,8 @@
 	return recovered
 }
 
-// recoverSegments applies the task records of recovered jobs. The first time those of jobs
-// that are over are queued for deletion.
+// recoverSegments applies the task records of the recovered jobs. On the first load it queues
+// the records of jobs that are over for deletion.
 func (s *shardLeader) recoverSegments(recovered map[string]*job, tasks []message.KeyValue, firstLoad bool) {
 	for _, it := range tasks {
 		id := record.JobIDFromKey(it.Key, record.TaskSegmentPrefix)
@@ -190,8 +200,8 @@
 	}
 }
 
-// adoptPredecessorMachines adds the machines of this shard that other shard leaders have
-// published lately.
+// adoptPredecessorMachines adds the machines of this controller's shards that other shard
+// leaders have published within machineUpdateTTL.
 func (f *failover) adoptPredecessorMachines() {
 	for _, id := range sortedKeys(f.controller.knowledge.predecessorMachines) {
 		h := f.controller.knowledge.predecessorMachines[id]
@@ -206,8 +216,8 @@
 	}
 }
 
-// syncOpenJobs brings the shard leader's jobs in line with open/ after it was read anew, since
-// the watch was too far behind.
+// syncOpenJobs brings the shard leader's jobs in line with the records under open/ after these
+// were read again as a whole because the watch was too far behind.
 func (c *Controller) syncOpenJobs() {
 	s := c.shardLeader
 	if s == nil || !s.ready {
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,8 +1,9 @@
-// Package ratelimit divides a rate that all controllers share, such as the state service's
-// requests a second, by their demands. Each controller publishes its demand, and each computes
-// the same division. While an update is late two views differ for a moment, and the service
-// refuses the excess. Nobody gets less than a floor, so that a controller whose demand grows
-// can show it by using more.
+// Package ratelimit divides a rate limit that all controllers share, such as the state
+// service's requests a second, by the controllers' demands. Each controller publishes its
+// demand, and each computes the same division. While an update is late, the views of two
+// controllers differ for a moment, and the service refuses the excess. No controller gets less
+// than a floor, so that a controller whose demand grows can use more and thereby show its
+// demand.
 package ratelimit
 
 import (
@@ -11,21 +12,21 @@
 )
 
 const (
-	// Headroom is the factor by which an allocation exceeds the demand while there is enough:
-	// the demand is a mean, and requests come unevenly.
+	// Headroom is the factor by which an allocation exceeds the demand while the capacity is
+	// sufficient. It is needed because the demand is a mean and requests arrive unevenly.
 	Headroom = 1.6
-	// minHeadroom is what is left of Headroom when the demands nearly use up the capacity: one
-	// controller's surplus is what the others lack.
+	// minHeadroom is the least headroom factor, which applies when the demands nearly use up the
+	// capacity. Every surplus of one controller is then missing for the others.
 	minHeadroom = 1.2
-	// floorFraction is the part of an equal division that everybody has in any case.
+	// floorFraction is the fraction of an equal share that every controller gets in any case.
 	floorFraction = 0.3
 	// averagingWindow is the time over which a demand is averaged.
 	averagingWindow = 4 * time.Second
 )
 
-// Allocate divides a capacity among demands, all in units a second. Each gets its demand with
-// headroom if there is enough; else small demands are met in full and large ones get equal
-// allocations. What is left over is divided equally. The allocations add up to the capacity.
+// Allocate divides a capacity among demands, all in units a second. If the capacity suffices,
+// each demand is met with headroom. Otherwise small demands are met in full and large ones get
+// equal allocations. The rest is divided equally. The allocations add up to the capacity.
 func Allocate(capacity float64, demands []float64) []float64 {
 	n := len(demands)
 	if n == 0 {
@@ -66,7 +67,7 @@
 	return allocations
 }
 
-// Meter averages a demand. The zero value is ready. It is not safe for concurrent use.
+// Meter averages a demand. Its zero value is ready to use. It is not safe for concurrent use.
 type Meter struct {
 	updatedAt time.Time
 	rate      float64
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -9,9 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestAllocate: the allocations add up to the capacity, nobody is left without, nobody gets
-// less than its demand while there is enough for all, and a larger demand never gets less than
-// a smaller one.
+// TestAllocate checks random divisions: the allocations add up to the capacity, no controller
+// gets less than the floor, every demand is met while the capacity suffices for all, and a
+// larger demand never gets less than a smaller one.
 func TestAllocate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.Float64Range(1, 1000).Draw(t, "capacity")
@@ -34,14 +34,15 @@
 			}
 			for k := range allocations {
 				if demands[i] > demands[k] && allocations[i] < allocations[k]-1e-9*capacity {
-					t.Fatalf("demand %v got %v, smaller demand %v got %v", demands[i], allocations[i], demands[k], allocations[k])
+					t.Fatalf("demand %v: got %v, less than %v for the smaller demand %v", demands[i], allocations[i], allocations[k], demands[k])
 				}
 			}
 		}
 	})
 }
 
-// TestMeter: a steady rate is measured within some seconds, and its end as well.
+// TestMeter checks that the measured rate follows a steady rate, and its end, within some
+// seconds.
 func TestMeter(t *testing.T) {
 	var m Meter
 	now := time.Unix(1_750_000_000, 0)
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestAllocateUnderScarcity: when the demands nearly use up the capacity, small ones keep some
-// headroom, and the rest of it goes to those that lack it.
+// TestAllocateUnderScarcity checks that small demands keep some headroom when the demands nearly
+// use up the capacity, and that the headroom above that goes to the demands that are not met.
 func TestAllocateUnderScarcity(t *testing.T) {
 	for _, p := range Allocate(25, []float64{18, 3, 3})[1:] {
 		if p < 3*1.1 || p > 3*1.3 {
--- a/internal/sharding/assign.go
+++ b/internal/sharding/assign.go
@@ -13,10 +13,11 @@
 	return slices.ContainsFunc(d.capable, func(n Controller) bool { return n.Host == r.Host && n.Incarnation == r.Incarnation })
 }
 
-// teamWeight is a team's part of a controller's load, in CPUs. An idle team counts as one CPU,
-// so that teams are spread before they have work.
+// teamWeight returns a team's part of a controller's load, in CPUs. An idle team counts as one
+// CPU, so that teams are spread before they have tasks.
 func (d *draft) teamWeight(team string) float64 { return 1 + d.input.TeamLoads[team] }
 
+// shardWeight returns the sum of the weights of a shard's teams, in CPUs.
 func (d *draft) shardWeight(r *shardRecord) float64 {
 	total := 0.0
 	for _, t := range r.Teams {
@@ -25,7 +26,7 @@
 	return total
 }
 
-// leastLoaded returns the least loaded recipient; on a tie, the planning controller itself.
+// leastLoaded returns the least loaded recipient. On a tie it prefers the planning controller.
 func (d *draft) leastLoaded() Controller {
 	best := d.recipients[0]
 	for _, n := range d.recipients {
@@ -36,14 +37,15 @@
 	return best
 }
 
+// isEmpty reports whether a shard has neither teams nor machines.
 func (d *draft) isEmpty(name string) bool {
 	r := d.shards[name]
 	return len(r.Teams) == 0 && !r.CatchAll && len(r.Machines) == 0 && !slices.ContainsFunc(d.input.Map.sortedSegments(), func(l *Segment) bool { return l.Shard == name })
 }
 
-// reassignOrphaned gives each shard of a dead controller as a whole to one new holder, because
-// the tasks of its teams run on its machines. The heaviest shard goes first. An empty shard is
-// removed.
+// reassignOrphaned gives each shard of a dead or incapable controller as a whole to one new
+// holder, because the tasks of its teams run on its machines. It places the heaviest shard
+// first, and removes empty shards.
 func (d *draft) reassignOrphaned() {
 	var orphaned []string
 	for _, n := range d.shardNames() {
@@ -66,6 +68,7 @@
 	}
 }
 
+// shardNames returns the names of the draft's shards, sorted.
 func (d *draft) shardNames() []string {
 	out := make([]string, 0, len(d.shards))
 	for n := range d.shards {
@@ -75,13 +78,13 @@
 	return out
 }
 
-// fits reports whether a shard's record stays within its part of the value limit.
+// fits reports whether a shard's record takes at most maxShardFill of the value limit.
 func (d *draft) fits(r *shardRecord) bool {
 	return fitsInto(encode(r), int(maxShardFill*float64(d.planner.limits.ValueBytes)))
 }
 
-// shardFor returns the first shard of the controller that can take one more team, or a new
-// one.
+// shardFor returns the first shard of controller n that has space for one more team in its
+// record. If there is none, it creates a shard.
 func (d *draft) shardFor(n Controller, team string) string {
 	for _, name := range d.shardNames() {
 		r := d.shards[name]
@@ -107,9 +110,10 @@
 	}
 }
 
-// shrinkOversized takes teams out of shards that were written under a larger value limit: such
-// a record could not be written again by any holder. The teams stay unassigned until the next
-// plan, so that no team is in two shards however many writes it takes.
+// shrinkOversized removes teams from shards whose records were written under a larger value
+// limit, because no holder could write such a record again. It reports whether any shard has
+// changed. The removed teams stay unassigned until the next plan, so that no team is in two
+// shards even if the changes take several transactions.
 func (d *draft) shrinkOversized() bool {
 	for _, name := range d.shardNames() {
 		r := d.shards[name]
@@ -124,6 +128,7 @@
 	return len(d.changedShards) > 0
 }
 
+// assignTeam adds a team to a shard of the controller.
 func (d *draft) assignTeam(team string, to Controller) {
 	name := d.shardFor(to, team)
 	r := d.shards[name]
@@ -133,7 +138,7 @@
 	d.loads[to.Host] += d.teamWeight(team)
 }
 
-// assignTeams gives unassigned teams to the least loaded controllers.
+// assignTeams gives each unassigned team to the least loaded controller.
 func (d *draft) assignTeams() {
 	assigned := map[string]bool{}
 	for _, r := range d.shards {
@@ -149,9 +154,9 @@
 	}
 }
 
-// assignCatchAll ensures that one shard has the machines that no segment names. It prefers a
-// shard of the planning controller that has teams, since that controller learns of machines
-// first.
+// assignCatchAll makes a shard with teams the catch-all shard, which has the machines that no
+// segment names, unless there is one. It prefers a shard of the planning controller, which
+// learns of machines first.
 func (d *draft) assignCatchAll() {
 	best := ""
 	for _, n := range d.shardNames() {
--- a/internal/sharding/golden_test.go
+++ b/internal/sharding/golden_test.go
@@ -6,8 +6,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecords: the encoding of shards and segments is stable, and stored records are
-// read.
+// TestGoldenRecords guards against a change of the encoding of shards and segments, under which
+// a new version could not read stored records.
 func TestGoldenRecords(t *testing.T) {
 	records := testgolden.Values{
 		"share": shardRecord{Host: "ctl-2", Incarnation: "n-18.1", Epoch: 411, Teams: []string{"ops", "vision"}, CatchAll: true, CatchAllEpoch: 409, Machines: []string{"vm-000007"}},
@@ -23,7 +23,8 @@
 	testgolden.Full(t, records)
 }
 
-// TestGoldenSegment: a stored segment's machines are read, and encode to the same bytes.
+// TestGoldenSegment checks that the machines of a stored segment are read, and that they are
+// encoded to the same bytes again.
 func TestGoldenSegment(t *testing.T) {
 	shard, groups, err := decodeSegment(testgolden.Bytes(t, "lot"))
 	if err != nil || shard != "ctl-2.1" || len(groups) != 2 || len(groups[0].names) != 10 || groups[0].names[3] != "vm-070008" {
--- a/internal/sharding/invariants_test.go
+++ b/internal/sharding/invariants_test.go
@@ -11,11 +11,13 @@
 	"pgregory.net/rapid"
 )
 
-// simulation is a fleet whose shards are planned.
+// simulation is a fleet of controllers and machines whose shard map is planned and written.
 type simulation struct {
 	*store
-	now          time.Time
-	planner      *Planner
+	now     time.Time
+	planner *Planner
+	// incarnations is the number of each host's last incarnation, negative while the host is
+	// down.
 	incarnations map[string]int
 	incapable    map[string]bool
 	onProbation  map[string]bool
@@ -25,9 +27,11 @@
 	newMachines  []NewMachine
 	offers       map[string]Offer
 	epochBumps   int
-	teamMoves    int
+	// teamMoves counts the teams that changed their holder although the former one is alive.
+	teamMoves int
 }
 
+// newSimulation returns a fleet of so many live hosts and teams, with a leader.
 func newSimulation(l sizelimit.Limits, hosts, teams int) *simulation {
 	w := &simulation{
 		store: newStore(l), now: time.Unix(1_750_000_000, 0), incarnations: map[string]int{}, incapable: map[string]bool{}, onProbation: map[string]bool{},
@@ -43,15 +47,17 @@
 	return w
 }
 
-// electLeader: another controller plans, and knows nothing of its predecessor's intentions.
+// electLeader makes another controller the planner, which has none of its predecessor's state.
 func (w *simulation) electLeader() {
 	w.revision++
 	w.leaderRevision = w.revision
 	w.planner = New(w.limits, fmt.Sprint(w.leaderRevision), 30*time.Second, w.now)
 }
 
+// hosts returns all hosts, also those that are down, sorted.
 func (w *simulation) hosts() []string { return slices.Sorted(maps.Keys(w.incarnations)) }
 
+// input returns the planner's input. The last live host by name is the planning controller.
 func (w *simulation) input() Input {
 	in := Input{Map: w.shardMap, Teams: w.teams, TeamLoads: w.teamLoads, Offers: w.offers, IsGone: func(id string) bool { return w.gone[id] }}
 	for _, h := range w.hosts() {
@@ -68,7 +74,8 @@
 	return in
 }
 
-// planUntilStable plans as long as there is something to write now, and answers pending moves.
+// planUntilStable applies plans until there is nothing more to write at this moment, and answers
+// pending moves with offers.
 func (w *simulation) planUntilStable(t fataler) {
 	for k := 0; ; k++ {
 		if k > 200 {
@@ -103,10 +110,12 @@
 	}
 }
 
+// holderAlive reports whether the incarnation that holds a shard is live.
 func (w *simulation) holderAlive(s *Shard) bool {
 	return w.incarnations[s.Host] > 0 && s.Incarnation == fmt.Sprintf("%s#%d", s.Host, w.incarnations[s.Host])
 }
 
+// ownedBy returns the machines that a host owns, without those that are gone.
 func (w *simulation) ownedBy(host string) []string {
 	var out []string
 	for _, id := range w.machines {
@@ -117,6 +126,7 @@
 	return out
 }
 
+// addMachines rents n machines for a host.
 func (w *simulation) addMachines(host string, n int) {
 	for range n {
 		id := fmt.Sprintf("vm-%06d", len(w.machines)+1)
@@ -125,8 +135,8 @@
 	}
 }
 
-// checkComplete checks a stable shard map: each team has one shard with a live holder, and
-// every machine has an owner, the one that a scan over all records finds as well.
+// checkComplete checks a stable shard map: each team has exactly one shard with a live holder,
+// and every machine has an owner, the same that a scan over all records finds.
 func (w *simulation) checkComplete(t fataler) {
 	shardsPerTeam := map[string]int{}
 	for _, s := range w.shardMap.Shards() {
@@ -163,14 +173,14 @@
 			want = w.shardMap.Shard(newest.segment.Shard)
 		}
 		if want == nil || o.Name != want.Name {
-			t.Fatalf("machine %s: got owner %s, want %v as a scan finds", id, o.Name, want)
+			t.Fatalf("machine %s: got owner %s, want %v, found by a scan over all records", id, o.Name, want)
 		}
 	}
 }
 
-// TestShardingInvariants simulates random restarts, rentals, losses, moves and leader changes:
-// a machine gets a new owner only under a higher epoch, all records stay within their limits,
-// and the shard map becomes stable and complete.
+// TestShardingInvariants simulates random restarts, rentals, losses, moves and leader changes.
+// It checks that a machine gets a new owner only under a higher epoch, that all records stay
+// within their limits, and that the shard map becomes stable and complete.
 func TestShardingInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := sizelimit.Limits{ValueBytes: rapid.SampledFrom([]int{512, 1024, 4096, 16384}).Draw(t, "value"), Ops: rapid.IntRange(4, 24).Draw(t, "ops")}
@@ -178,24 +188,24 @@
 		w.planUntilStable(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"": func(t *rapid.T) { w.now = w.now.Add(time.Second) },
-			"end": func(t *rapid.T) {
+			"stop controller": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
 				if w.incarnations[h] > 0 && len(w.input().Controllers) > 1 {
 					w.incarnations[h] = -w.incarnations[h]
 				}
 			},
-			"start": func(t *rapid.T) {
+			"start controller": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
 				if w.incarnations[h] < 0 {
 					w.incarnations[h] = -w.incarnations[h] + 1
 				}
 			},
-			"degrade": func(t *rapid.T) {
+			"toggle capability": func(t *rapid.T) {
 				h := rapid.SampledFrom(w.hosts()).Draw(t, "host")
 				w.incapable[h] = !w.incapable[h]
 			},
-			"lead change": func(t *rapid.T) { w.electLeader() },
-			"rent": func(t *rapid.T) {
+			"change leader": func(t *rapid.T) { w.electLeader() },
+			"rent machines": func(t *rapid.T) {
 				w.addMachines(rapid.SampledFrom(w.hosts()).Draw(t, "host"), rapid.IntRange(1, 60).Draw(t, "count"))
 			},
 			"lose machines": func(t *rapid.T) {
@@ -205,13 +215,13 @@
 					}
 				}
 			},
-			"raise epoch": func(t *rapid.T) {
+			"bump epoch": func(t *rapid.T) {
 				s := w.shardMap.Team(w.teams[0])
 				if s == nil || !w.holderAlive(s) {
 					return
 				}
 				if mine := w.ownedBy(s.Host); len(mine) > 0 {
-					// Machines of one shard only: each owner is looked up.
+					// Only machines of this shard may be named: BumpEpoch assigns all to it.
 					mine = slices.DeleteFunc(mine, func(id string) bool { o, _ := w.shardMap.Owner(id); return o.Name != s.Name })
 					w.epochBumps++
 					if x, some := BumpEpoch(w.limits, fmt.Sprintf("%s-r%d", s.Incarnation, w.epochBumps), s, mine); len(some) > 0 {
@@ -220,7 +230,7 @@
 					}
 				}
 			},
-			"load": func(t *rapid.T) {
+			"change load": func(t *rapid.T) {
 				w.teamLoads[rapid.SampledFrom(w.teams).Draw(t, "team")] = rapid.Float64Range(0, 500).Draw(t, "cpus")
 			},
 			"wait": func(t *rapid.T) {
--- a/internal/sharding/limits_test.go
+++ b/internal/sharding/limits_test.go
@@ -9,10 +9,10 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// TestShardsAboveTheLimit: shards that were written under a larger value limit can be taken
-// over under a lower one: their teams are divided among more records, in transactions that
-// fit, and no team is ever in two. The first transaction that rewrote such a shard used to be
-// refused for ever.
+// TestShardsAboveTheLimit checks that shards written under a larger value limit can be taken
+// over under a lower one. Rewriting such a shard in one record exceeds the limit, so that the
+// store would refuse the takeover each time. The teams must be divided among more records, in
+// transactions that fit, and no team may be in two shards at any time.
 func TestShardsAboveTheLimit(t *testing.T) {
 	s := newStore(sizelimit.Limits{ValueBytes: 4096, Ops: 12})
 	now := time.Unix(1_750_000_000, 0)
@@ -44,7 +44,7 @@
 				t.Fatalf("limit of %d changes: team %s has no live holder", ops, team)
 			}
 		}
-		// The next round: their holder is dead, and the limits are lower.
+		// In the next round the holder of the shards is dead, and the limits are lower.
 		s.limits = sizelimit.Limits{ValueBytes: 2048, Ops: 4}
 		in.Controllers = []Controller{{Host: "b", Incarnation: "1", Capable: true}, {Host: "c", Incarnation: "1", Capable: true}}
 		in.Self = "b"
--- a/internal/sharding/plan.go
+++ b/internal/sharding/plan.go
@@ -9,36 +9,41 @@
 )
 
 const (
-	// maxSegmentMachines bounds the machines that one segment names. Fewer make more records
-	// for a successor to read; more make each change larger for every watcher. A segment of
-	// this size mostly takes half a KiB.
+	// maxSegmentMachines is the largest number of machines that one segment names. A smaller
+	// limit makes more records for a successor to read; a larger one makes each change larger
+	// for every watcher. A segment of this size takes about half a KiB.
 	maxSegmentMachines = 160
-	// smallSegment is the machine count below which a segment is merged with others.
+	// smallSegment is the number of machines below which a segment is merged with others.
 	smallSegment = maxSegmentMachines / 4
-	// staleFraction is the part of a segment's names that must be obsolete (gone, or named by
-	// a later segment) before it is rewritten.
+	// staleFraction is the fraction of a segment's machines that must be gone, or named by a
+	// later segment, before the segment is rewritten.
 	staleFraction = 0.25
 	// compactEvery is the least time between two writes that only compact records.
 	compactEvery = 5 * time.Second
-	// batchDelay is how long a new machine waits for others to share its segment.
+	// batchDelay is how long a new machine waits for others that can share its segment.
 	batchDelay = 400 * time.Millisecond
-	// minLoadGain is the part of the largest load that a move must win, and imbalanceIntervals
-	// for how many planning intervals that must have been so, before anything moves between
-	// controllers that are both healthy.
-	minLoadGain        = 0.25
+	// minLoadGain is the fraction of the largest load by which a move between two capable
+	// controllers must lower that load.
+	minLoadGain = 0.25
+	// imbalanceIntervals is how long, in planning intervals, such a move must have been
+	// possible before it is made.
 	imbalanceIntervals = 0.5
-	// teamCooldownIntervals is how many planning intervals a moved team stays where it is.
+	// teamCooldownIntervals is how long, in planning intervals, a moved team must stay with its
+	// new holder.
 	teamCooldownIntervals = 4
-	// offerTimeout is how long a controller may take to say which machines go with a team;
-	// refusedBackoff is how long the team is left alone when it does not.
+	// offerTimeout is how long a controller may take to offer the machines that go with a team.
+	// refusedBackoff is how long no move of the team is planned after an offer has failed to
+	// arrive in time.
 	offerTimeout   = 6 * time.Second
 	refusedBackoff = 30 * time.Second
-	// maxShardFill is the part of the value limit that the teams of a shard may take.
+	// maxShardFill is the fraction of the value limit that a shard's record may take when a team
+	// is added.
 	maxShardFill = 0.75
 )
 
-// Controller is a live controller. One that is not Capable can't run shards. One on probation
-// has just started: it keeps what it has, and gets more only if no other controller can.
+// Controller is a live controller. A controller that is not Capable can't run shards. A
+// controller on probation has just started: it keeps its shards, and gets more only if no other
+// capable controller can take them.
 type Controller struct {
 	Host, Incarnation    string
 	Capable, OnProbation bool
@@ -51,32 +56,33 @@
 }
 
 // NewMachine is a machine that was rented for, or is transferred to, the controller on Host.
-// KnownAt is when the planner's controller learned of it.
+// KnownAt is when the planning controller learned of it.
 type NewMachine struct {
 	ID      string
 	Host    string
 	KnownAt time.Time
 }
 
-// Input is the state that a plan is made from.
+// Input is the state from which Plan decides.
 type Input struct {
 	Map *Map
 	// Self is the host of the planning controller, which wins ties between equal loads.
 	Self        string
 	Controllers []Controller
-	// Teams are those of the settings; TeamLoads is what each keeps busy, in CPUs.
+	// Teams are the configured teams. TeamLoads is the load of each team, in CPUs.
 	Teams     []string
 	TeamLoads map[string]float64
-	// Offers are the answers to PendingMove, by team.
+	// Offers, by team, are the offers that shard leaders made for the pending move.
 	Offers map[string]Offer
-	// NewMachines are those that no segment names yet.
+	// NewMachines are the machines that no segment names for their host yet.
 	NewMachines []NewMachine
-	// IsGone reports whether a machine is known to be gone, or certain to be forgotten.
+	// IsGone reports whether a machine is known to be gone, or will certainly be removed from
+	// the fleet.
 	IsGone func(machine string) bool
 }
 
-// Write changes one record if the key's mod revision is ModRevision (0: the key is absent). A
-// nil Value deletes the record.
+// Write changes one record, on condition that the mod revision of its key is ModRevision, which
+// is 0 for an absent key. A nil Value deletes the record.
 type Write struct {
 	IsShard     bool
 	Name        string
@@ -95,18 +101,24 @@
 type Planner struct {
 	limits   sizelimit.Limits
 	interval time.Duration
-	// term prefixes the names of new segments; names are never used again.
+	// term prefixes the names of new segments, and segmentCount numbers them. A name is never
+	// used again.
 	term         string
 	segmentCount int
 
+	// controllers identifies the live incarnations of the last plan. changedAt is when they last
+	// changed or a shard was last moved.
 	controllers string
 	changedAt   time.Time
 	compactedAt time.Time
-	movedAt     map[string]time.Time
+	// movedAt is when each team was last moved.
+	movedAt map[string]time.Time
+	// request is the pending move of a team, made at requestedAt, or nil.
 	request     *MoveRequest
 	requestedAt time.Time
-	refusedAt   map[string]time.Time
-	// imbalancedSince is when a move first became worth its cost; zero while none is.
+	// refusedAt is when a move of each team was last given up because no offer arrived.
+	refusedAt map[string]time.Time
+	// imbalancedSince is since when some move has been worth its cost, and zero while none is.
 	imbalancedSince time.Time
 }
 
@@ -119,8 +131,8 @@
 	}
 }
 
-// PendingMove returns the team that is to move, if any. Its shard leader is to offer the
-// machines that go along.
+// PendingMove returns the team that is to move, if any. Its shard leader is expected to offer
+// the machines that go along.
 func (p *Planner) PendingMove() (MoveRequest, bool) {
 	if p.request == nil {
 		return MoveRequest{}, false
@@ -128,20 +140,23 @@
 	return *p.request, true
 }
 
-// draft is the state of one Plan call: the shard map as it will be, and its writes.
+// draft is the state of one Plan call: the shard map as planned, and the writes that lead to it.
 type draft struct {
 	planner       *Planner
 	input         Input
 	shards        map[string]*shardRecord
 	changedShards map[string]bool
 	segmentWrites []Write
-	loads         map[string]float64
-	capable       []Controller
-	// recipients are the capable controllers that may be given shards and teams.
+	// loads, by host, are the loads of the controllers, in CPUs.
+	loads map[string]float64
+	// capable are the controllers that can run shards, or all controllers if none can.
+	capable []Controller
+	// recipients are the capable controllers that may get more shards and teams.
 	recipients []Controller
 }
 
-// Plan returns what to write next, all of it in one transaction, or nothing.
+// Plan returns the next writes, which belong into one transaction, or nil if nothing is due.
+// Call it again after the watch has delivered the result.
 func (p *Planner) Plan(now time.Time, in Input) []Write {
 	d := &draft{planner: p, input: in, shards: map[string]*shardRecord{}, changedShards: map[string]bool{}, loads: map[string]float64{}}
 	var names []string
@@ -165,7 +180,7 @@
 	}
 	slices.Sort(names)
 	if all := strings.Join(names, ","); all != p.controllers {
-		// Membership has changed: wait before moving anything that need not move.
+		// Membership has changed: wait before making moves that only balance the load.
 		p.controllers, p.changedAt = all, now
 	}
 	for _, s := range in.Map.Shards() {
@@ -196,13 +211,14 @@
 	return d.writes()
 }
 
-// remainingOps is how many more changes fit into the transaction.
+// remainingOps returns how many more changes fit into the transaction.
 func (d *draft) remainingOps() int {
 	return d.planner.limits.Ops - len(d.changedShards) - len(d.segmentWrites)
 }
 
-// writes returns the changes of the draft, as many as a transaction takes; the next plan finds
-// the rest again. A move of a team is never split: it is planned only when nothing else is.
+// writes returns the changes of the draft, as many as fit into a transaction. The next plan
+// finds the rest again. A team's move is never split, because it is planned only when no other
+// change is due.
 func (d *draft) writes() []Write {
 	var out []Write
 	var names []string
--- a/internal/sharding/rebalance.go
+++ b/internal/sharding/rebalance.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// rebalance moves a shard or a team from the most to the least loaded controller, if that wins
-// enough and nothing has moved for a while. A shard moves at once, with its machines. A team
-// moves when its shard leader has offered the machines that go along, so that the receiver
-// does not start with none; its tasks keep running meanwhile.
+// rebalance moves a shard or a team from the most to the least loaded controller, if that gains
+// enough and nothing has moved for the planning interval. A shard moves at once, with its
+// machines. A team moves when its shard leader has offered the machines that go along, so that
+// the receiver does not start without machines. The team's tasks keep running meanwhile.
 func (d *draft) rebalance(now time.Time) {
 	p := d.planner
 	if p.request != nil && d.continueMove(now) {
@@ -46,7 +46,7 @@
 }
 
 // bestMove returns the shard, or else the team, whose move from mostLoaded to leastLoaded
-// levels the load best; both are empty if no move wins enough.
+// balances the load best. Both are empty if no move gains enough.
 func (d *draft) bestMove(mostLoaded, leastLoaded Controller, now time.Time) (shard, team string) {
 	improvement := func(weight float64) float64 {
 		from, to := d.loads[mostLoaded.Host], d.loads[leastLoaded.Host]
@@ -59,7 +59,7 @@
 			candidates = append(candidates, n)
 		}
 	}
-	// Shards first: they take their machines along.
+	// A shard is preferred to a team, because its machines move with it.
 	for _, n := range candidates {
 		if gain := improvement(d.shardWeight(d.shards[n])); len(candidates) > 1 && gain >= minGain && gain > bestGain {
 			shard, bestGain = n, gain
@@ -77,14 +77,16 @@
 	return shard, team
 }
 
-// onCooldown reports whether a team must stay: it has moved recently, or its shard leader has
-// recently not made an offer.
+// onCooldown reports whether a team must stay with its holder: it has moved recently, or its
+// shard leader has recently failed to make an offer in time.
 func (p *Planner) onCooldown(team string, now time.Time) bool {
 	within := func(at time.Time, period time.Duration) bool { return !at.IsZero() && now.Sub(at) < period }
 	return within(p.movedAt[team], teamCooldownIntervals*p.interval) || within(p.refusedAt[team], refusedBackoff)
 }
 
-// continueMove carries on a move that was requested, and reports whether the draft now has it.
+// continueMove advances the requested move, and reports whether the draft includes it. It gives
+// the move up if the team's shard has another holder meanwhile, if the receiver is not a capable
+// controller, or if no offer arrives in time.
 func (d *draft) continueMove(now time.Time) bool {
 	p := d.planner
 	move := *p.request
@@ -94,7 +96,7 @@
 			from = n
 		}
 	}
-	i := slices.IndexFunc(d.capable, func(n Controller) bool { return n.Host == move.To })
+	i := slices.IndexFunc(d.capable, func(controller Controller) bool { return controller.Host == move.To })
 	switch offer, ok := d.input.Offers[move.Team]; {
 	case from == "" || i < 0 || d.shards[from].Host != move.From:
 		p.request = nil
--- a/internal/sharding/record.go
+++ b/internal/sharding/record.go
@@ -1,19 +1,19 @@
-// Package sharding decides which controller runs which teams and owns which machines. It keeps
-// this in records of the state service, the size of each bounded.
+// Package sharding decides which controller runs which teams and owns which machines. The
+// assignment is kept in records of the state service, each of bounded size.
 //
 // A shard is the unit of ownership: it has a holder (one incarnation of a controller) and
 // teams. A shard segment names machines and the shard that they belong to; the one catch-all
-// shard has every machine that no segment names. When a controller dies its shards get new
-// holders, at one change each, however many teams and machines they have.
+// shard has every machine that no segment names. When a controller dies, its shards get new
+// holders. That takes one change for each shard, however many teams and machines it has.
 //
-// Each machine has an epoch: the fencing token under which its owner sends it commands. It is
-// the revision at which the machine came to its owner, and so above all that any earlier owner
-// used. Other changes of shards and segments keep epochs, since a higher one makes every
-// worker concerned send a heartbeat at once.
+// Each machine has an epoch: the fencing token under which its owner sends it commands. The
+// epoch is the revision at which the machine came to its owner, so it is above every epoch that
+// an earlier owner used. Other changes of shards and segments keep the epochs, because a higher
+// epoch makes every worker concerned send a heartbeat at once.
 //
-// The package is pure. Records are applied in the order of their revisions, and none is
-// applied ahead of it. Then two controllers that have read up to the same revision agree about
-// every owner, and one that has read less has a lower epoch.
+// The package does no I/O and reads no clock. Callers apply the records in the order of their
+// revisions. Two controllers that have read up to the same revision then agree about every
+// owner, and a controller that has read less sees a lower epoch or the same owner.
 package sharding
 
 import (
@@ -28,24 +28,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrRecord means that a value is not a record of this package.
+// ErrRecord reports that a value is not a record of this package.
 var ErrRecord = errors.New("sharding: unreadable record")
 
 // shardRecord is the stored form of a shard.
 type shardRecord struct {
-	// Host and Incarnation name the holder. A restarted controller does not go on with the
-	// epochs of its previous incarnation, under which commands may still be in flight. Records
-	// of the legacy format have no Host: there the shard's name is the host.
+	// Host and Incarnation name the holder. A restarted controller does not reuse the epochs of
+	// its previous incarnation, under which commands may still be in flight. Records of the
+	// legacy format have no Host: in them the shard's name is the host.
 	Host        string `msgpack:"host,omitempty"`
 	Incarnation string `msgpack:"nonce"`
-	// Epoch is the revision since which the holder has the shard; 0: the record's own.
+	// Epoch is the revision since which the holder has had the shard; 0 stands for the record's
+	// own revision.
 	Epoch uint64   `msgpack:"e,omitempty"`
 	Teams []string `msgpack:"teams"`
-	// CatchAll: the shard has all machines that no segment names, since CatchAllEpoch (0: the
-	// record's own revision).
+	// CatchAll gives the shard all machines that no segment names, since the revision
+	// CatchAllEpoch; 0 stands for the record's own revision.
 	CatchAll      bool   `msgpack:"rest,omitempty"`
 	CatchAllEpoch uint64 `msgpack:"re,omitempty"`
-	// Machines are those of the legacy format, which named them one by one.
+	// Machines are the shard's machines in the legacy format, which has no segments.
 	Machines []string `msgpack:"machines,omitempty"`
 }
 
@@ -55,11 +56,12 @@
 	Groups []groupRecord `msgpack:"g"`
 }
 
-// groupRecord is machines of a segment that came to its shard at the same revision. Their
-// names are Prefix and a number of Width digits. Runs holds pairs: the gap after the previous
-// run, and the run's length. Names are those without a number.
+// groupRecord is the machines of a segment that came to its shard at the same revision. Their
+// names consist of Prefix and a number of Width digits. Runs holds a pair for each run of
+// consecutive numbers: the gap after the previous run, and the length of the run. Names holds
+// the names without a number.
 type groupRecord struct {
-	//lint:ignore U1000 its tag has rows stored as lists
+	//lint:ignore U1000 its tag makes the encoder store rows as lists
 	_msgpack struct{} `msgpack:",as_array"`
 	Epoch    uint64
 	Prefix   string
@@ -68,16 +70,18 @@
 	Names    []string
 }
 
-// epochGroup is machines with the same epoch; 0 stands for the record's own revision.
+// epochGroup is machines with the same epoch. Epoch 0 stands for the record's own revision.
 type epochGroup struct {
 	epoch uint64
 	names []string
 }
 
-// maxNumberDigits bounds the digits that count as the number in a machine's name.
+// maxNumberDigits is the largest number of trailing digits that count as the number in a
+// machine's name. A number of 18 digits fits a uint64.
 const maxNumberDigits = 18
 
-// splitNumber splits a name into its prefix and the number that it ends with.
+// splitNumber splits a name into its prefix and the number at its end. width is the number of
+// digits. ok is false if the name does not end with a number of at most maxNumberDigits digits.
 func splitNumber(name string) (prefix string, value uint64, width int, ok bool) {
 	prefix = strings.TrimRight(name, "0123456789")
 	digits := name[len(prefix):]
@@ -88,6 +92,8 @@
 	return prefix, value, len(digits), err == nil
 }
 
+// toRecords returns the stored form of the group, one record for each prefix and width, and one
+// for the names without a number.
 func (g *epochGroup) toRecords() []groupRecord {
 	type kind struct {
 		prefix string
@@ -132,10 +138,11 @@
 	return out
 }
 
-// maxRecordMachines bounds the machines that a record may name: one that claims more is
-// damaged, and would exhaust memory.
+// maxRecordMachines is the largest number of machines that a record may name. A record that
+// claims more is damaged, and decoding it would exhaust memory.
 const maxRecordMachines = 1 << 16
 
+// toGroup returns the machines of a stored group. The error is ErrRecord.
 func (r *groupRecord) toGroup() (epochGroup, error) {
 	g := epochGroup{epoch: r.Epoch, names: r.Names}
 	if len(r.Runs)%2 != 0 || r.Width < 0 || r.Width > maxNumberDigits {
@@ -156,6 +163,7 @@
 	return g, nil
 }
 
+// encode encodes a record of this package.
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -174,8 +182,8 @@
 	return encode(&r)
 }
 
-// decode decodes a record. The size check comes first because the msgpack library allocates
-// whatever length a damaged list claims.
+// decode decodes a record; an error wraps ErrRecord. The size check comes first because the
+// msgpack library allocates whatever length a damaged list claims.
 func decode(b []byte, v any) error {
 	if _, err := sizelimit.JSON(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrRecord, err)
@@ -186,6 +194,7 @@
 	return nil
 }
 
+// decodeSegment decodes a segment record; an error wraps ErrRecord.
 func decodeSegment(b []byte) (shard string, groups []epochGroup, err error) {
 	var r segmentRecord
 	if err := decode(b, &r); err != nil {
--- a/internal/sharding/segments.go
+++ b/internal/sharding/segments.go
@@ -10,8 +10,8 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// addSegments names machines for a shard, in as many segments as it takes and the transaction
-// has space for.
+// addSegments adds segments that name the machines for a shard, as far as the transaction has
+// space for them.
 func (d *draft) addSegments(shard string, ids []string) {
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
@@ -24,7 +24,7 @@
 				break
 			}
 			if count == 1 {
-				// The name fits no record: the machine stays with the catch-all shard.
+				// The name is too long for a record: the machine stays with the catch-all shard.
 				value = nil
 				break
 			}
@@ -37,7 +37,7 @@
 	}
 }
 
-// assignNewMachines names the machines that were rented for, or are transferred to,
+// assignNewMachines adds segments for the machines that were rented for, or are transferred to,
 // controllers that do not own them yet.
 func (d *draft) assignNewMachines(now time.Time) {
 	byShard := map[string][]string{}
@@ -46,7 +46,8 @@
 		if o, ok := d.input.Map.Owner(x.ID); ok && o.Host == x.Host || d.input.IsGone(x.ID) {
 			continue
 		}
-		// Its host's catch-all shard, or else the host's first shard with teams.
+		// The machine goes to its host's catch-all shard, or else to the host's first shard
+		// with teams.
 		name := ""
 		for _, n := range d.shardNames() {
 			if r := d.shards[n]; r.Host == x.Host && (name == "" && len(r.Teams) > 0 || r.CatchAll) {
@@ -68,8 +69,9 @@
 	}
 }
 
-// compact rewrites small and stale segments: merged, without machines that are gone or named
-// by a later segment, and each machine with the epoch that it has.
+// compact rewrites small and stale segments: it merges them and leaves out machines that are
+// gone or named by a later segment. Each machine keeps its epoch. A record of the legacy format
+// is rewritten first.
 func (d *draft) compact(now time.Time) {
 	p := d.planner
 	if now.Sub(p.compactedAt) < compactEvery {
@@ -107,7 +109,8 @@
 			candidates[segment.Shard] = append(candidates[segment.Shard], mergeCandidate{segment, groups, count, stale})
 		}
 	}
-	// The shard with the largest saving: each segment less counts one, and each stale one.
+	// The shard with the largest saving is compacted: each removed segment counts one, and each
+	// rewritten stale segment one more.
 	var best []Write
 	bestSaving := 0
 	for _, s := range slices.Sorted(maps.Keys(candidates)) {
@@ -118,8 +121,8 @@
 	d.segmentWrites = append(d.segmentWrites, best...)
 }
 
-// mergeCandidate is a segment that may be rewritten: its current groups, and how many machines
-// they name.
+// mergeCandidate is a segment that may be rewritten, its current groups, and the number of
+// machines that these name.
 type mergeCandidate struct {
 	segment      *Segment
 	groups       []epochGroup
@@ -127,9 +130,10 @@
 	stale        bool
 }
 
-// mergeSegments merges segments of a shard into one, and returns what that saves.
+// mergeSegments returns the writes that merge segments of a shard into one, and the number of
+// segments that this saves, counting each stale segment once more.
 func (d *draft) mergeSegments(shard string, candidates []mergeCandidate) (ws []Write, saving int) {
-	// Smallest first: so most of them fit together.
+	// The smallest segments come first, so that as many as possible fit together.
 	slices.SortStableFunc(candidates, func(a, b mergeCandidate) int { return cmp.Compare(a.machineCount, b.machineCount) })
 	var groups []epochGroup
 	var target *Segment
@@ -164,7 +168,7 @@
 	return append(ws, Write{Name: target.Name, ModRevision: target.ModRevision, Value: value}), saving
 }
 
-// mergeGroups joins groups of the same epoch.
+// mergeGroups joins the groups that have the same epoch, and sorts the result by epoch.
 func mergeGroups(groups []epochGroup) []epochGroup {
 	byEpoch := map[uint64][]string{}
 	for _, g := range groups {
@@ -178,9 +182,10 @@
 	return out
 }
 
-// BumpEpoch names machines that a shard owns already once more, which gives them a higher
-// epoch: unanswered commands of the old epoch can't be executed any more. name must never have
-// been used. It returns the machines that the write covers.
+// BumpEpoch returns a write that names machines once more for the shard that owns them, which
+// gives them a higher epoch: workers then refuse unanswered commands of the old epoch. name must
+// never have been used for a segment. BumpEpoch also returns the machines that the write covers,
+// which may be fewer than requested.
 func BumpEpoch(limits sizelimit.Limits, name string, shard *Shard, machines []string) (Write, []string) {
 	for count := min(len(machines), maxSegmentMachines); count > 0; count /= 2 {
 		v := encodeSegment(shard.Name, []epochGroup{{0, machines[:count]}})
--- a/internal/sharding/shard_map.go
+++ b/internal/sharding/shard_map.go
@@ -12,19 +12,21 @@
 	Name        string
 	Host        string
 	Incarnation string
-	// ModRevision is the record's last change, for the compares of transactions that rely on
-	// the shard.
+	// ModRevision is the revision of the record's last change. Transactions that rely on the
+	// shard compare it.
 	ModRevision uint64
 	Teams       []string
 	CatchAll    bool
 
+	// epoch and catchAllEpoch are the revisions at which the shard came to its holder, and at
+	// which it became the catch-all shard.
 	epoch         uint64
 	catchAllEpoch uint64
-	// legacySegment has the machines that a record of the legacy format names.
+	// legacySegment has the machines that a record of the legacy format names, or is nil.
 	legacySegment *Segment
 }
 
-// Segment is machines that belong to a shard.
+// Segment is a stored list of machines that belong to a shard.
 type Segment struct {
 	Name        string
 	Shard       string
@@ -32,19 +34,19 @@
 	groups      []epochGroup
 }
 
-// Owner is the shard that owns a machine, and the epoch under which.
+// Owner is the shard that owns a machine, and the machine's epoch.
 type Owner struct {
 	*Shard
 	Epoch uint64
 }
 
-// assignment is a segment that names a machine, and since which revision.
+// assignment is a segment that names a machine, and the revision since which it does.
 type assignment struct {
 	segment *Segment
 	epoch   uint64
 }
 
-// HeldSince is the revision at which the shard came to its holder.
+// HeldSince returns the revision at which the shard came to its holder.
 func (s *Shard) HeldSince() uint64 { return s.epoch }
 
 // Map is all shards and segments as of one revision. It is not safe for concurrent use.
@@ -53,11 +55,11 @@
 	segments map[string]*Segment
 	teams    map[string]*Shard
 	catchAll *Shard
-	// current holds, for each named machine, the newest assignment; superseded holds the older
-	// ones, which are few and short-lived.
+	// current holds the newest assignment of each named machine. superseded holds the older
+	// assignments, of which there are few, and not for long.
 	current    map[string]assignment
 	superseded map[string][]assignment
-	// shardNames is sorted, and kept up to date by reindex.
+	// shardNames is sorted. reindex keeps it up to date.
 	shardNames []string
 }
 
@@ -69,8 +71,9 @@
 	}
 }
 
-// ApplyShard applies a shard's record; a nil value means that it was deleted. An error wraps
-// ErrRecord: the record can't be read, and the shard is left out.
+// ApplyShard applies a shard's record. A nil value means that the record was deleted. An error
+// wraps ErrRecord and means that the record can't be read: the shard is then left out of the
+// map.
 func (m *Map) ApplyShard(name string, value []byte, modRevision uint64) error {
 	if old := m.shards[name]; old != nil {
 		m.unassign(old.legacySegment)
@@ -97,8 +100,9 @@
 	return err
 }
 
-// reindex recomputes the holders of the teams and the catch-all shard. Shards are few. If two
-// claim the same, the later one counts; the planner never writes that.
+// reindex recomputes the shard names, the shard of each team and the catch-all shard from all
+// shards, which are few. If two shards claim a team or the catch-all role, the later claim
+// counts; the planner never writes such records.
 func (m *Map) reindex() {
 	m.shardNames = m.shardNames[:0]
 	for n := range m.shards {
@@ -120,7 +124,7 @@
 	}
 }
 
-// ApplySegment applies a segment's record, as ApplyShard does a shard's.
+// ApplySegment applies a segment's record. Its arguments and error are as in ApplyShard.
 func (m *Map) ApplySegment(name string, value []byte, modRevision uint64) error {
 	if old := m.segments[name]; old != nil {
 		m.unassign(old)
@@ -142,11 +146,12 @@
 	return nil
 }
 
-// supersedes reports which of two assignments of a machine counts.
+// supersedes reports whether assignment x of a machine takes precedence over assignment y.
 func (x assignment) supersedes(y assignment) bool {
 	return x.epoch > y.epoch || x.epoch == y.epoch && x.segment.Name > y.segment.Name
 }
 
+// assign adds the assignments of a segment's machines.
 func (m *Map) assign(segment *Segment) {
 	for _, g := range segment.groups {
 		for _, id := range g.names {
@@ -165,6 +170,7 @@
 	}
 }
 
+// unassign removes the assignments of a segment's machines. A nil segment has none.
 func (m *Map) unassign(segment *Segment) {
 	if segment == nil {
 		return
@@ -196,8 +202,9 @@
 	}
 }
 
-// Owner returns a machine's owner, in constant time. ok is false while no record names one:
-// there is no catch-all shard, or the shard of its segment is gone.
+// Owner returns a machine's owner, in constant time. A machine whose segment belongs to no
+// existing shard belongs to the catch-all shard. ok is false if there is no catch-all shard
+// either.
 func (m *Map) Owner(machine string) (o Owner, ok bool) {
 	if x, named := m.current[machine]; named {
 		if s := m.shards[x.segment.Shard]; s != nil {
@@ -213,7 +220,7 @@
 // IsAssigned reports whether a segment names the machine.
 func (m *Map) IsAssigned(machine string) bool { _, ok := m.current[machine]; return ok }
 
-// EachMachine calls fn with every machine that a segment names, in no order.
+// EachMachine calls fn with every machine that a segment names, in no particular order.
 func (m *Map) EachMachine(fn func(machine string)) {
 	for id := range m.current {
 		fn(id)
@@ -223,7 +230,7 @@
 // Team returns the shard that has a team, or nil.
 func (m *Map) Team(team string) *Shard { return m.teams[team] }
 
-// Shard returns the shard of that name, or nil.
+// Shard returns the shard with the given name, or nil.
 func (m *Map) Shard(name string) *Shard { return m.shards[name] }
 
 // Shards returns all shards, sorted by name.
@@ -246,7 +253,8 @@
 	return out
 }
 
-// CanReceiveMachines reports whether a host leads a shard that new machines are named for.
+// CanReceiveMachines reports whether a host holds a shard to which new machines can be assigned:
+// one with teams, or the catch-all shard.
 func (m *Map) CanReceiveMachines(host string) bool {
 	return slices.ContainsFunc(m.shardNames, func(name string) bool {
 		s := m.shards[name]
@@ -254,7 +262,7 @@
 	})
 }
 
-// Counts returns the number of segments, and of the machines that they name.
+// Counts returns the number of segments and the number of machines that they name.
 func (m *Map) Counts() (segments, machines int) { return len(m.segments), len(m.current) }
 
 // Machines returns the machines named for a shard, sorted.
@@ -275,7 +283,7 @@
 	return out
 }
 
-// SegmentsOf returns the names of a shard's segments, in no order.
+// SegmentsOf returns the names of a shard's segments, in no particular order.
 func (m *Map) SegmentsOf(shard string) []string {
 	var out []string
 	for name, l := range m.segments {
@@ -297,7 +305,7 @@
 	return s != nil && s.legacySegment != nil
 }
 
-// currentMachines returns the machines of a segment that no later one names.
+// currentMachines returns the machines of a segment that no later segment names.
 func (m *Map) currentMachines(segment *Segment) []string {
 	var out []string
 	for _, g := range segment.groups {
@@ -310,6 +318,7 @@
 	return out
 }
 
+// sortedSegments returns all segments, sorted by name.
 func (m *Map) sortedSegments() []*Segment {
 	out := make([]*Segment, 0, len(m.segments))
 	for _, l := range m.segments {
--- a/internal/sharding/sharding_test.go
+++ b/internal/sharding/sharding_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestLateRecords: a reader that lags behind sees, for every machine, a lower epoch than that
-// of the present owner, or the same owner.
+// TestLateRecords guards against two owners of a machine that use the same epoch: a reader that
+// lags behind must see the present owner, or a lower epoch than the present owner has.
 func TestLateRecords(t *testing.T) {
 	w := newSimulation(testLimits, 3, 4)
 	w.planUntilStable(t)
@@ -29,13 +29,13 @@
 			o, ok := stale.Owner(id)
 			now, _ := w.shardMap.Owner(id)
 			if ok && o.Epoch >= now.Epoch && (o.Host != now.Host || o.Incarnation != now.Incarnation) {
-				t.Fatalf("machine %s: reader behind sees owner %s with epoch %d, present owner %s has %d; want a lower epoch or the same owner", id, o.Host, o.Epoch, now.Host, now.Epoch)
+				t.Fatalf("machine %s: lagging reader: got owner %s with epoch %d, while the present owner %s has %d; want a lower epoch or the same owner", id, o.Host, o.Epoch, now.Host, now.Epoch)
 			}
 		}
 		if len(unread) > 6 {
 			x := unread[0]
 			unread = unread[1:]
-			// Only the order of revisions matters here.
+			// Only the order of the revisions matters to the lagging map, not their values.
 			if x.IsShard {
 				stale.ApplyShard(x.Name, x.Value, x.ModRevision+1)
 			} else {
@@ -51,9 +51,9 @@
 	}
 }
 
-// TestTenThousand: 10,000 machines, 50 teams and 7 controllers stay within values of 4 KiB and
-// 12 changes a transaction, and a thousand machines rented and a thousand lost in a minute
-// cost a few changes a second.
+// TestTenThousand checks that 10,000 machines, 50 teams and 7 controllers stay within values of
+// 4 KiB and 12 changes a transaction, and that renting and losing a thousand machines each in a
+// minute costs a few changes a second.
 func TestTenThousand(t *testing.T) {
 	w := newSimulation(testLimits, 7, 50)
 	w.planUntilStable(t)
@@ -102,8 +102,8 @@
 	w.checkComplete(t)
 }
 
-// TestSpread: a controller that comes back gets work within a minute, and then nothing moves
-// any more.
+// TestSpread checks that a controller that comes back gets teams within a minute, and that
+// nothing moves afterwards.
 func TestSpread(t *testing.T) {
 	for _, teams := range []int{1, 2, 3, 4, 9, 50} {
 		t.Run(fmt.Sprint(teams), func(t *testing.T) {
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestCompactionKeepsEpochs: records that are merged, and merged again, leave each machine
-// with its owner and epoch.
+// TestCompactionKeepsEpochs guards against a machine that changes its owner or epoch when
+// segments are merged, also repeatedly.
 func TestCompactionKeepsEpochs(t *testing.T) {
 	w := newSimulation(testLimits, 2, 2)
 	w.planUntilStable(t)
@@ -182,8 +182,9 @@
 	}
 }
 
-// TestOnProbation: a controller that has just started keeps what it holds, and gets nothing
-// while another can have it; if all have just started they get it all the same.
+// TestOnProbation checks that a controller that has just started keeps the shards that it holds
+// and gets no others while another controller can have them. If all controllers have just
+// started, they get the shards all the same.
 func TestOnProbation(t *testing.T) {
 	w := newSimulation(testLimits, 3, 3)
 	for _, h := range w.hosts() {
@@ -204,7 +205,7 @@
 	if w.changes != changes {
 		t.Error("controller on probation lost what it holds")
 	}
-	// A restart loses the shard to another holder, for good.
+	// A restarted controller loses its shard to another holder.
 	w.incarnations[holder]++
 	w.planUntilStable(t)
 	if s := w.shardMap.Team(w.teams[0]); s.Host == holder {
@@ -212,8 +213,9 @@
 	}
 }
 
-// TestIncapable: a live controller that can't run shards, since it receives nothing from
-// workers, loses its shards, and gets none while another can; if none can, nothing changes.
+// TestIncapable checks that a live controller that can't run shards, because it receives nothing
+// from workers, loses its shards and gets none while another controller is capable. If no
+// controller is capable, nothing changes.
 func TestIncapable(t *testing.T) {
 	w := newSimulation(testLimits, 2, 1)
 	w.planUntilStable(t)
@@ -232,8 +234,8 @@
 	}
 }
 
-// TestLegacyFormat: shards of the legacy format, which name their machines one by one, are
-// read, and rewritten within their limits.
+// TestLegacyFormat checks that shards of the legacy format, which name their machines one by
+// one, are read and then rewritten as segments within the limits.
 func TestLegacyFormat(t *testing.T) {
 	w := newSimulation(testLimits, 2, 2)
 	var ids []string
@@ -258,11 +260,11 @@
 	}
 	w.checkComplete(t)
 	if o, _ := w.shardMap.Owner("vm-000007"); o.Shard == nil || o.Name != "worker-1" || !w.shardMap.IsAssigned("vm-000007") || len(w.shardMap.Machines("worker-1")) != len(ids) {
-		t.Errorf("after the format migration: got owner %v and %d machines", o, len(w.shardMap.Machines("worker-1")))
+		t.Errorf("after the format migration: got owner %v and %d machines, want worker-1 and %d", o, len(w.shardMap.Machines("worker-1")), len(ids))
 	}
 }
 
-// TestNames: names of any kind survive encoding.
+// TestNames checks that machine names of any form are the same after encoding and decoding.
 func TestNames(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.OneOf(
@@ -290,7 +292,8 @@
 	})
 }
 
-// FuzzRecords: no record, however damaged, makes a reader panic or exhaust memory.
+// FuzzRecords guards against damaged records that make a reader panic or exhaust memory, or
+// whose machines remain in the map after the records are deleted.
 func FuzzRecords(f *testing.F) {
 	f.Add(encodeSegment("s", []epochGroup{{0, []string{"vm-000001", "vm-000002", "odd"}}}))
 	f.Add(encode(&shardRecord{Host: "a", Incarnation: "b", Teams: []string{"t"}, Machines: []string{"vm-1"}}))
@@ -307,7 +310,7 @@
 	})
 }
 
-// BenchmarkOwner measures the lookup that every heartbeat costs.
+// BenchmarkOwner measures the lookup of a machine's owner, which every heartbeat needs.
 func BenchmarkOwner(b *testing.B) {
 	for _, size := range []int{300, 1300, 5000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/sizelimit/sizelimit.go
+++ b/internal/sizelimit/sizelimit.go
@@ -1,8 +1,8 @@
-// Package sizelimit measures messages and transactions before they are sent: the state
-// service, the workers and the other controllers have limits, and refuse whatever exceeds one
-// as malformed, again and again. The protocol counts a body in its JSON form; the package
-// computes an upper bound of that from the MessagePack that is sent, without building the
-// JSON.
+// Package sizelimit measures messages and transactions before they are sent. The state service,
+// the workers and the other controllers have limits, and refuse a message that exceeds one as
+// malformed each time it is sent. The protocol counts a body's bytes in its JSON form. The
+// package computes an upper bound of that size from the MessagePack that is sent, without
+// building the JSON.
 package sizelimit
 
 import (
@@ -16,26 +16,29 @@
 )
 
 const (
-	// MaxKeyBytes is the longest key that the state service takes, in bytes.
+	// MaxKeyBytes is the length of the longest key that the state service accepts, in bytes.
 	MaxKeyBytes = 200
-	// MaxTxnBytes is the largest transaction, in bytes of JSON.
+	// MaxTxnBytes is the size of the largest transaction, in bytes of JSON.
 	MaxTxnBytes = 64 << 10
-	// MaxBodyBytes is the largest body to or from workers and users, in bytes of JSON.
+	// MaxBodyBytes is the size of the largest body to or from workers and users, in bytes of
+	// JSON.
 	MaxBodyBytes = 64 << 10
-	// ComparesPerOp is how many compares a transaction may have for each operation.
+	// ComparesPerOp is the number of compares that a transaction may have for each operation of
+	// Limits.Ops.
 	ComparesPerOp = 4
-	// separatorBytes is what JSON has between two values, or after a key, with the space that
-	// some encoders add.
+	// separatorBytes is the size of the separator between two values or after a key in JSON,
+	// including the space that some encoders add.
 	separatorBytes = 2
-	// maxDepth bounds the nesting of values.
+	// maxDepth is the deepest nesting of values.
 	maxDepth = 64
 )
 
-// ErrValue means that bytes are not one MessagePack value without binary parts.
-var ErrValue = errors.New("sizelimit: not a value")
+// ErrValue reports that bytes are not exactly one MessagePack value without binary parts.
+var ErrValue = errors.New("sizelimit: not a MessagePack value without binary parts")
 
-// JSON returns an upper bound of the length, in bytes, of a MessagePack value as JSON: with
-// spaces after commas and colons, and all but ASCII escaped. The error is ErrValue.
+// JSON returns an upper bound of the length of a MessagePack value as JSON, in bytes. The bound
+// assumes spaces after commas and colons, and escapes for all characters other than ASCII. The
+// error is ErrValue.
 func JSON(b []byte) (int, error) {
 	n, rest, err := valueSize(b, 0)
 	if err == nil && len(rest) > 0 {
@@ -44,6 +47,8 @@
 	return n, err
 }
 
+// valueSize returns the bound for the first value of b, and the bytes after that value. depth is
+// the nesting of the value.
 func valueSize(b []byte, depth int) (int, []byte, error) {
 	if len(b) == 0 || depth > maxDepth {
 		return 0, nil, ErrValue
@@ -64,7 +69,8 @@
 	return typedSize(c, b, depth)
 }
 
-// typedSize measures a value whose first byte c names its type, and b follows it.
+// typedSize returns the bound for a value whose first byte c names its type. b are the bytes
+// after c.
 func typedSize(c byte, b []byte, depth int) (int, []byte, error) {
 	switch c {
 	case 0xc0:
@@ -107,8 +113,8 @@
 	return 0, nil, ErrValue
 }
 
-// sequenceSize measures count values in brackets. A map's keys and values count alike: a colon
-// with a space takes no more than a comma with one.
+// sequenceSize returns the bound for count values in brackets. The keys and values of a map
+// count alike, because a colon with a space takes no more bytes than a comma with a space.
 func sequenceSize(b []byte, count, depth int) (int, []byte, error) {
 	if count > len(b) {
 		return 0, nil, ErrValue
@@ -124,6 +130,7 @@
 	return total, b, nil
 }
 
+// textSize returns the bound for a string of n bytes at the start of b, and the bytes after it.
 func textSize(b []byte, n int) (int, []byte, error) {
 	if n > len(b) {
 		return 0, nil, ErrValue
@@ -149,6 +156,7 @@
 	return n
 }
 
+// readUint reads a big-endian integer of n bytes, and returns the bytes after it.
 func readUint(b []byte, n int) (uint64, []byte, error) {
 	if len(b) < n {
 		return 0, nil, ErrValue
@@ -158,6 +166,7 @@
 	return binary.BigEndian.Uint64(full[:]), b[n:], nil
 }
 
+// digitCount returns the number of decimal digits of u.
 func digitCount(u uint64) int {
 	n := 1
 	for ; u >= 10; u /= 10 {
@@ -168,8 +177,8 @@
 
 // Limits are the configurable limits of the state service.
 type Limits struct {
-	// ValueBytes bounds one value, in bytes of JSON; Ops bounds the puts and deletes of a
-	// transaction.
+	// ValueBytes is the size of the largest value, in bytes of JSON. Ops is the largest number
+	// of puts and deletes in a transaction.
 	ValueBytes int
 	Ops        int
 }
@@ -180,16 +189,17 @@
 	Value []byte
 }
 
-// writeOverhead and compareOverhead bound what the JSON form of a write and of a compare takes
-// beside key and value: field names, braces, a lease or a mod revision.
+// writeOverhead and compareOverhead bound the bytes that a write and a compare take in JSON in
+// addition to key and value: field names, braces, a lease or a mod revision. txnOverhead is the
+// size of an empty transaction.
 const (
 	writeOverhead   = len(`{"put": , "value": , "permit": 18446744073709551615}, `)
 	compareOverhead = len(`{"key": , "stamp": 18446744073709551615}, `)
 	txnOverhead     = len(`{"when": [], "apply": []}`)
 )
 
-// WriteBytes returns what a write takes of a transaction, in bytes. A malformed value counts
-// as exceeding every limit.
+// WriteBytes returns the bytes that a write adds to a transaction. A malformed value counts as
+// exceeding every limit.
 func WriteBytes(w Write) int {
 	n, err := w.valueBytes()
 	if err != nil {
@@ -198,7 +208,8 @@
 	return w.overheadBytes() + n
 }
 
-// valueBytes bounds the value's length as JSON; a delete has none.
+// valueBytes returns an upper bound of the value's length as JSON, in bytes. A delete has no
+// value.
 func (w Write) valueBytes() (int, error) {
 	if w.Value == nil {
 		return 0, nil
@@ -206,13 +217,14 @@
 	return JSON(w.Value)
 }
 
+// overheadBytes returns the bytes that a write takes in addition to its value.
 func (w Write) overheadBytes() int { return writeOverhead + StringSize(w.Key) }
 
-// CompareBytes returns what a compare of a key takes of a transaction, in bytes.
+// CompareBytes returns the bytes that a compare of a key adds to a transaction.
 func CompareBytes(key string) int { return compareOverhead + StringSize(key) }
 
-// CheckTxn returns an error if a transaction exceeds a limit. It names the limit, the key and
-// the size.
+// CheckTxn returns an error if a transaction exceeds a limit. The error names the limit, the key
+// and the size.
 func (l Limits) CheckTxn(compares []string, writes []Write) error {
 	if len(writes) > l.Ops {
 		return fmt.Errorf("sizelimit: %d changes in a transaction: limit %d", len(writes), l.Ops)
@@ -246,12 +258,13 @@
 	return nil
 }
 
+// checkKey returns an error if the state service does not accept the key.
 func checkKey(k string) error {
 	if k == "" || len(k) > MaxKeyBytes {
 		return fmt.Errorf("sizelimit: a key of %d bytes: want 1 to %d", len(k), MaxKeyBytes)
 	}
 	if strings.ContainsAny(k, " \t\r\n") {
-		return fmt.Errorf("sizelimit: key %q has a space in it", k)
+		return fmt.Errorf("sizelimit: key %q contains white space", k)
 	}
 	return nil
 }
--- a/internal/sizelimit/sizelimit_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// anyValue draws what a record may contain.
+// anyValue returns a generator of values that a record may contain, nested up to depth levels.
 func anyValue(depth int) *rapid.Generator[any] {
 	leaf := rapid.OneOf(
 		rapid.Just[any](nil), rapid.Bool().AsAny(), rapid.Int64().AsAny(), rapid.Uint64().AsAny(), rapid.Int8().AsAny(),
@@ -27,7 +27,8 @@
 		rapid.MapOfN(rapid.StringN(0, 12, 24), anyValue(depth-1), 0, 20).AsAny())
 }
 
-// TestJSONIsAnUpperBound: no receiver counts more bytes, however it encodes JSON.
+// TestJSONIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSON
+// with spaces or escapes would count more bytes and refuse a message that passed the check here.
 func TestJSONIsAnUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := anyValue(3).Draw(t, "value")
@@ -44,8 +45,8 @@
 			t.Fatal(err)
 		}
 		spaced, _ := json.MarshalIndent(v, "", "")
-		// Indented JSON has a line end after each comma and bracket; an ASCII encoder escapes
-		// every other character.
+		// Indented JSON has a line end after each comma and bracket. An encoder that writes ASCII
+		// only escapes all other characters.
 		escaped := len(compact)
 		for _, r := range string(compact) {
 			if r > 0x7f {
@@ -53,7 +54,7 @@
 			}
 		}
 		want := max(len(compact), escaped, len(strings.ReplaceAll(string(spaced), "\n", " "))-strings.Count(string(spaced), "[")-strings.Count(string(spaced), "{"))
-		// Only Go escapes <, > and &.
+		// Go escapes <, > and &, and the receivers' encoders do not.
 		want -= 5 * (strings.Count(string(compact), `\u003c`) + strings.Count(string(compact), `\u003e`) + strings.Count(string(compact), `\u0026`))
 		if n < want {
 			t.Fatalf("JSON: got a bound of %d bytes, want at least %d: %s", n, want, compact)
@@ -61,17 +62,19 @@
 	})
 }
 
-// TestJSONOfAnything: what is not a value gives an error, never a panic.
+// TestJSONOfAnything guards against a panic, or a length without an error, on bytes that are not
+// a value.
 func TestJSONOfAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, err := JSON(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
 		if err == nil && n <= 0 {
-			t.Fatal("JSON: got no length and no error")
+			t.Fatalf("JSON: got length %d without an error, want a positive length or an error", n)
 		}
 	})
 }
 
-// TestCheckTxn: the error names the limit that is exceeded.
+// TestCheckTxn checks that a transaction which exceeds a limit is refused, with an error that
+// names the limit.
 func TestCheckTxn(t *testing.T) {
 	l := Limits{ValueBytes: 100, Ops: 2}
 	valueOf := func(n int) []byte {
@@ -89,12 +92,12 @@
 		want     string
 	}{
 		{"fits", []string{"a/b"}, put("a/b", 80), ""},
-		{"value", nil, put("a/b", 100), "key a/b: a value of"},
-		{"changes", nil, []Write{{"a", nil}, {"b", nil}, {"c", nil}}, "3 changes"},
-		{"conditions", make([]string, 9), nil, "9 conditions"},
-		{"key", nil, put(strings.Repeat("k", MaxKeyBytes+1), 1), "a key of 201 bytes"},
-		{"space", nil, put("a b", 1), "has a space"},
-		{"binary", nil, []Write{{"a", []byte{0xc4, 1, 0}}}, "not a value"},
+		{"value too large", nil, put("a/b", 100), "key a/b: a value of"},
+		{"too many changes", nil, []Write{{"a", nil}, {"b", nil}, {"c", nil}}, "3 changes"},
+		{"too many conditions", make([]string, 9), nil, "9 conditions"},
+		{"key too long", nil, put(strings.Repeat("k", MaxKeyBytes+1), 1), "a key of 201 bytes"},
+		{"space in key", nil, put("a b", 1), "contains white space"},
+		{"binary value", nil, []Write{{"a", []byte{0xc4, 1, 0}}}, "not a MessagePack value"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := l.CheckTxn(c.compares, c.writes)
