--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -13,244 +13,259 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// sizedSegmentMark begins the name, within a job's keys, of a segment whose name says its size.
+// sizedSegmentMark begins the name of a sized segment, whose name includes its size, within a
+// job's keys.
 const sizedSegmentMark = "s"
 
-// formatMigration has task records go over to fewer tasks a segment before the store lowers
-// its limit of value sizes.
+// formatMigration has the controllers change to task records with fewer tasks in a segment
+// before the store lowers its limit of value sizes.
 //
-// The previous version of this program numbers segments by the present limit and can't
-// read others, so nothing changes until no controller of that version can come back. Each
-// controller that knows sized segments says so in a record of its own, which outlives it.
-// When all have, which stays true for ever, the leader writes record.FormatKey, and from
-// then on segments are written with their size in the name. Segments of earlier formats
-// are read, and never written again: see docs/design.md, "Two versions, and lower limits".
+// The previous version of this program numbers segments by the present limit and can't read any
+// others. So nothing changes until no controller of that version can come back. Each controller
+// that supports sized segments writes a record of its own that says so and outlives the process.
+// Once every controller has written one, which stays true for ever, the leader writes
+// record.FormatKey. From then on segments are written with their size in the name. Segments of
+// earlier formats are read and never written again: see docs/design.md, "Two versions, and lower
+// limits".
 //
-// It is part of membership and lives as long as the process. Its state follows records
-// that are never taken back, so that a failover changes nothing of it.
+// formatMigration is part of membership and lives as long as the process. Its state follows
+// records that are never removed, so a failover does not change it.
 type formatMigration struct {
 	component
 
-	// support has the controllers that know sized segments.
+	// support has the hosts of the controllers that support sized segments.
 	support map[string]bool
-	// current is the format that all have gone over to, zero before; modRevision is that of
-	// record.FormatKey.
+	// current is the format that all controllers have changed to, and zero before the change.
+	// modRevision is the mod revision of record.FormatKey.
 	current     segmentFormat
 	modRevision uint64
-	// writing: a write of one of these records is under way.
+	// writing is set while a write of one of these records is under way.
 	writing bool
-	// limitsLowered: the store has its new limits. probingLimits: it has lately been asked.
+	// limitsLowered is set when the store was found to enforce its new value limit.
+	// probingLimits is set for malformedRetryDelay after a probe of that limit.
 	limitsLowered bool
 	probingLimits bool
 }
 
-func (f *formatMigration) init() { f.support = map[string]bool{} }
+// init prepares the empty set of supporting controllers.
+func (formats *formatMigration) init() { formats.support = map[string]bool{} }
 
-// segmentFormat is how a job's task records are cut into segments: so many tasks share one. A
-// segment's name is its number or, if sized, the size and the number.
+// segmentFormat is how a job's task records are cut into segments of tasksPerSegment tasks. The
+// name of a segment is its number or, if the format is sized, its size and its number.
 type segmentFormat struct {
 	tasksPerSegment int
 	sized           bool
 }
 
-func (f segmentFormat) nameOf(k int) string {
-	if !f.sized {
-		return strconv.Itoa(k)
+// nameOf returns the name of the segment with this index within a job's keys.
+func (format segmentFormat) nameOf(index int) string {
+	if !format.sized {
+		return strconv.Itoa(index)
 	}
-	return fmt.Sprintf("%s%d.%d", sizedSegmentMark, f.tasksPerSegment, k)
+	return fmt.Sprintf("%s%d.%d", sizedSegmentMark, format.tasksPerSegment, index)
 }
 
-func (f segmentFormat) keyOf(id string, k int) string {
-	return record.TaskSegmentPrefix + id + "/" + f.nameOf(k)
+// keyOf returns the store's key of the job's segment with this index.
+func (format segmentFormat) keyOf(jobID string, index int) string {
+	return record.TaskSegmentPrefix + jobID + "/" + format.nameOf(index)
 }
 
-// currentMaxValueBytes is the limit of value sizes that unsized segments are numbered by.
-func (s *Settings) currentMaxValueBytes() int { return max(s.MaxValueBytes, s.CurrentMaxValueBytes) }
+// currentMaxValueBytes returns the limit of value sizes, in bytes, that the numbers of unsized
+// segments are based on.
+func (settings *Settings) currentMaxValueBytes() int {
+	return max(settings.MaxValueBytes, settings.CurrentMaxValueBytes)
+}
 
-// unsizedFormat is the format of the previous version of this program.
-func (s *Settings) unsizedFormat() segmentFormat {
-	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(s.currentMaxValueBytes())}
+// unsizedFormat returns the format of the previous version of this program.
+func (settings *Settings) unsizedFormat() segmentFormat {
+	return segmentFormat{tasksPerSegment: record.MaxTasksPerSegment(settings.currentMaxValueBytes())}
 }
 
-// currentFormat is the format in which task records are written now.
-func (f *formatMigration) currentFormat() segmentFormat {
-	if f.current.tasksPerSegment > 0 {
-		return f.current
+// currentFormat returns the format in which task records are written at present.
+func (formats *formatMigration) currentFormat() segmentFormat {
+	if formats.current.tasksPerSegment > 0 {
+		return formats.current
 	}
-	return f.settings.unsizedFormat()
+	return formats.settings.unsizedFormat()
 }
 
-// parseSegmentKey reads a segment's format and number from its key.
-func (f *formatMigration) parseSegmentKey(key string) (format segmentFormat, k int, ok bool) {
+// parseSegmentKey returns the format and the number of the segment that a key names. ok is false
+// for a key that no format produces.
+func (formats *formatMigration) parseSegmentKey(key string) (format segmentFormat, index int, ok bool) {
 	name := key[strings.LastIndexByte(key, '/')+1:]
-	format = f.settings.unsizedFormat()
+	format = formats.settings.unsizedFormat()
 	if part, sized := strings.CutPrefix(name, sizedSegmentMark); sized {
 		per, rest, _ := strings.Cut(part, ".")
 		format.sized = true
 		format.tasksPerSegment, _ = strconv.Atoi(per)
 		name = rest
 	}
-	k, err := strconv.Atoi(name)
-	ok = err == nil && k >= 0 && format.tasksPerSegment > 0 && key[strings.LastIndexByte(key, '/')+1:] == format.nameOf(k)
-	return format, k, ok
+	index, err := strconv.Atoi(name)
+	ok = err == nil && index >= 0 && format.tasksPerSegment > 0 && key[strings.LastIndexByte(key, '/')+1:] == format.nameOf(index)
+	return format, index, ok
 }
 
-// applyFormatRecord applies a record under ctl/ about formats. Their deletion changes nothing.
-func (f *formatMigration) applyFormatRecord(it message.KeyValue) {
-	var r record.Format
+// applyFormatRecord applies a format record or format support record under ctl/. The deletion of
+// such a record changes nothing.
+func (formats *formatMigration) applyFormatRecord(kv message.KeyValue) {
+	var rec record.Format
 	switch {
-	case it.Deleted:
-	case it.Key != record.FormatKey:
-		f.support[strings.TrimPrefix(it.Key, record.FormatSupportPrefix)] = true
-	case !record.Decode(it.Value, &r) || r.TasksPerSegment <= 0:
-		f.rejectInput("record", it.Key, "record unreadable")
+	case kv.Deleted:
+	case kv.Key != record.FormatKey:
+		formats.support[strings.TrimPrefix(kv.Key, record.FormatSupportPrefix)] = true
+	case !record.Decode(kv.Value, &rec) || rec.TasksPerSegment <= 0:
+		formats.rejectInput("record", kv.Key, "record unreadable")
 	default:
-		f.modRevision = it.ModRevision
-		f.adoptFormat(segmentFormat{r.TasksPerSegment, true})
+		formats.modRevision = kv.ModRevision
+		formats.adoptFormat(segmentFormat{rec.TasksPerSegment, true})
 	}
 }
 
-// adoptFormat goes over to a format if it is finer than the current one: a format that has
-// come to count for one controller counts for all, and stays.
-func (f *formatMigration) adoptFormat(format segmentFormat) {
-	if !format.sized || format.tasksPerSegment >= f.currentFormat().tasksPerSegment && f.currentFormat().sized {
+// adoptFormat changes to a sized format that has fewer tasks in a segment than the current one.
+// A format that one controller has adopted counts for all, and is never given up.
+func (formats *formatMigration) adoptFormat(format segmentFormat) {
+	if !format.sized || format.tasksPerSegment >= formats.currentFormat().tasksPerSegment && formats.currentFormat().sized {
 		return
 	}
-	f.current = format
-	f.info("task record format migrated", "tasks_per_segment", format.tasksPerSegment)
-	if f.controller.shardLeader == nil {
+	formats.current = format
+	formats.info("task record format migrated", "tasks_per_segment", format.tasksPerSegment)
+	if formats.controller.shardLeader == nil {
 		return
 	}
-	for _, j := range f.controller.shardLeader.jobs {
-		j.changeFormat(format)
+	for _, job := range formats.controller.shardLeader.jobs {
+		job.changeFormat(format)
 	}
 }
 
-// advanceFormat takes the next step of the migration, if one is due: it writes that this
-// controller knows sized segments or, as the leader or with the limits lowered, that all go
-// over to them.
-func (f *formatMigration) advanceFormat() {
-	target := record.MaxTasksPerSegment(f.settings.MaxValueBytes)
-	if f.writing || !f.controller.membership.loaded || f.controller.membership.leaseID == 0 || target >= f.currentFormat().tasksPerSegment {
+// advanceFormat takes the next step of the migration, if one is due. It records that this
+// controller supports sized segments. Once it has, it writes the new format: as the leader when
+// all controllers support it, or as a shard leader when the store has lowered its limit.
+func (formats *formatMigration) advanceFormat() {
+	target := record.MaxTasksPerSegment(formats.settings.MaxValueBytes)
+	if formats.writing || !formats.controller.membership.loaded || formats.controller.membership.leaseID == 0 || target >= formats.currentFormat().tasksPerSegment {
 		return
 	}
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
+	request := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership}
 	rec := record.Encode(record.Format{TasksPerSegment: target})
 	switch {
-	case !f.support[f.settings.Host]:
-		key := record.FormatSupportPrefix + f.settings.Host
-		op.Compares = []message.Compare{{Key: key, ModRevision: 0}}
-		op.Writes = []message.Write{{Key: key, Value: rec}}
-	case f.limitsLowered && f.controller.shardLeader != nil:
-		op.Compares = append(f.controller.shardLeader.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: f.modRevision})
-		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
-	case f.controller.leader != nil && f.allSupportSizedSegments():
-		op.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: f.controller.leader.modRevision}, {Key: record.FormatKey, ModRevision: f.modRevision}}
-		op.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
+	case !formats.support[formats.settings.Host]:
+		key := record.FormatSupportPrefix + formats.settings.Host
+		request.Compares = []message.Compare{{Key: key, ModRevision: 0}}
+		request.Writes = []message.Write{{Key: key, Value: rec}}
+	case formats.limitsLowered && formats.controller.shardLeader != nil:
+		request.Compares = append(formats.controller.shardLeader.shardCompares(""), message.Compare{Key: record.FormatKey, ModRevision: formats.modRevision})
+		request.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
+	case formats.controller.leader != nil && formats.allSupportSizedSegments():
+		request.Compares = []message.Compare{{Key: record.LeaderKey, ModRevision: formats.controller.leader.modRevision}, {Key: record.FormatKey, ModRevision: formats.modRevision}}
+		request.Writes = []message.Write{{Key: record.FormatKey, Value: rec}}
 	default:
 		return
 	}
-	f.writing = true
-	f.controller.requests.toStore(op, func(message.StoreResponse) {
-		// The watch brings the record, whoever wrote it.
-		f.after(f.jitter(storeRetryDelay), func() {
-			f.writing = false
-			f.advanceFormat()
+	formats.writing = true
+	formats.controller.requests.toStore(request, func(message.StoreResponse) {
+		// The watch delivers the record, whichever controller wrote it. Without it the step is
+		// tried again.
+		formats.after(formats.jitter(storeRetryDelay), func() {
+			formats.writing = false
+			formats.advanceFormat()
 		})
 	})
 }
 
-// probeValueLimit finds out whether the store has lowered its limit of value sizes. It does so
-// only after the upgrade, so that no controller of the previous version is left even if one
-// has not written that it knows sized segments, having been cut off since its upgrade. A
-// record may be rejected as malformed for other reasons; a plain text that only the new limit
-// forbids is not.
-func (f *formatMigration) probeValueLimit() {
-	text := record.Encode(strings.Repeat("x", f.settings.MaxValueBytes))
-	if size, err := sizelimit.JSON(text); err != nil || size > f.settings.currentMaxValueBytes() || f.limitsLowered || f.probingLimits || f.currentFormat().sized {
+// probeValueLimit finds out whether the store has lowered its limit of value sizes. The store
+// does so only after the upgrade, when no controller of the previous version is left. That holds
+// even if a controller has not recorded its support, having been cut off from the store since
+// its upgrade. The store may reject a task record as malformed for other reasons, so the probe
+// is a plain text that only the new limit forbids.
+func (formats *formatMigration) probeValueLimit() {
+	text := record.Encode(strings.Repeat("x", formats.settings.MaxValueBytes))
+	if size, err := sizelimit.JSON(text); err != nil || size > formats.settings.currentMaxValueBytes() || formats.limitsLowered || formats.probingLimits || formats.currentFormat().sized {
 		return
 	}
-	f.probingLimits = true
-	f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.LimitProbeKey, Value: text}}}, func(d message.StoreResponse) {
-		f.limitsLowered = d.Status == message.StoreMalformed
-		f.after(malformedRetryDelay, func() { f.probingLimits = false })
-		f.advanceFormat()
+	formats.probingLimits = true
+	formats.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Writes: []message.Write{{Key: record.LimitProbeKey, Value: text}}}, func(response message.StoreResponse) {
+		formats.limitsLowered = response.Status == message.StoreMalformed
+		formats.after(malformedRetryDelay, func() { formats.probingLimits = false })
+		formats.advanceFormat()
 	})
 }
 
-// allSupportSizedSegments says that every controller of the deployment has written that it
-// knows sized segments. Its process of the previous version is over by then and never comes
-// back.
-func (f *formatMigration) allSupportSizedSegments() bool {
-	for _, h := range f.settings.Peers {
-		if !f.support[h] {
+// allSupportSizedSegments reports whether every controller of the deployment has recorded that
+// it supports sized segments. Each controller's process of the previous version has ended by
+// then and never comes back.
+func (formats *formatMigration) allSupportSizedSegments() bool {
+	for _, host := range formats.settings.Peers {
+		if !formats.support[host] {
 			return false
 		}
 	}
-	return f.support[f.settings.Host]
+	return formats.support[formats.settings.Host]
 }
 
-// changeFormat cuts the job's tasks into segments anew. What is durable stays where it stands;
-// what is not, or may not be, has to be written in the new format.
-func (j *job) changeFormat(f segmentFormat) {
-	if f == j.segmentFormat {
+// changeFormat divides the job's tasks into segments of another format. Durable task states stay
+// in the records of the former format. A state that is not durable, or may not be because its
+// write is in flight, is to be written in the new format.
+func (job *job) changeFormat(format segmentFormat) {
+	if format == job.segmentFormat {
 		return
 	}
-	old, oldFormat := j.segments, j.segmentFormat
-	j.segmentFormat, j.segments = f, map[int]*taskSegment{}
-	for _, k := range sortedKeys(old) {
-		c := old[k]
-		if c.modRevision != 0 || c.writeInFlight {
-			j.formerKeys = append(j.formerKeys, oldFormat.keyOf(j.ID, k))
+	old, oldFormat := job.segments, job.segmentFormat
+	job.segmentFormat, job.segments = format, map[int]*taskSegment{}
+	for _, index := range sortedKeys(old) {
+		segment := old[index]
+		if segment.modRevision != 0 || segment.writeInFlight {
+			job.formerKeys = append(job.formerKeys, oldFormat.keyOf(job.ID, index))
 		}
-		for i := k * oldFormat.tasksPerSegment; i < min((k+1)*oldFormat.tasksPerSegment, len(j.tasks)); i++ {
-			t := &j.tasks[i]
-			if t.version == 0 {
+		for i := index * oldFormat.tasksPerSegment; i < min((index+1)*oldFormat.tasksPerSegment, len(job.tasks)); i++ {
+			task := &job.tasks[i]
+			if task.version == 0 {
 				continue
 			}
-			target := j.formerSegment(i, c.rankingRevision)
-			if t.version <= c.persistedVersion {
-				t.version = 1
+			target := job.formerSegment(i, segment.rankingRevision)
+			if task.version <= segment.persistedVersion {
+				task.version = 1
 				continue
 			}
-			target.version, t.version = 2, 2
-			target.urgent, target.changedSince = target.urgent || c.urgent || c.writeInFlight, c.changedSince
-			j.unpersisted = true
+			target.version, task.version = 2, 2
+			target.urgent, target.changedSince = target.urgent || segment.urgent || segment.writeInFlight, segment.changedSince
+			job.unpersisted = true
 		}
 	}
 }
 
-// formerSegment is the segment of a task whose state stands in a record of a former format.
-func (j *job) formerSegment(i int, rankingRevision uint64) *taskSegment {
-	c := j.segmentOf(i)
-	if c.version == 0 {
-		c.version, c.persistedVersion, c.inFlightVersion = 1, 1, 1
+// formerSegment returns the present segment of task i, whose state is stored in a record of a
+// former format. rankingRevision is that of the former segment.
+func (job *job) formerSegment(i int, rankingRevision uint64) *taskSegment {
+	segment := job.segmentOf(i)
+	if segment.version == 0 {
+		segment.version, segment.persistedVersion, segment.inFlightVersion = 1, 1, 1
 	}
-	c.rankingRevision = max(c.rankingRevision, rankingRevision)
-	return c
+	segment.rankingRevision = max(segment.rankingRevision, rankingRevision)
+	return segment
 }
 
-// neverStartedCompares are conditions that nothing of a job's first tasks was ever written, in
-// whatever format that may be when the store checks them.
-func (f *formatMigration) neverStartedCompares(id string) []message.Compare {
+// neverStartedCompares returns compares that hold only if no record of the job's first tasks was
+// ever written, in any format that may be current when the store checks the compares.
+func (formats *formatMigration) neverStartedCompares(jobID string) []message.Compare {
 	var out []message.Compare
-	for _, format := range [...]segmentFormat{f.settings.unsizedFormat(), f.currentFormat(), {record.MaxTasksPerSegment(f.settings.MaxValueBytes), true}} {
-		c := message.Compare{Key: format.keyOf(id, 0), ModRevision: 0}
-		if format.sized && !f.currentFormat().sized && format.tasksPerSegment >= f.currentFormat().tasksPerSegment {
-			// Such a format is never adopted.
+	for _, format := range [...]segmentFormat{formats.settings.unsizedFormat(), formats.currentFormat(), {record.MaxTasksPerSegment(formats.settings.MaxValueBytes), true}} {
+		compare := message.Compare{Key: format.keyOf(jobID, 0), ModRevision: 0}
+		if format.sized && !formats.currentFormat().sized && format.tasksPerSegment >= formats.currentFormat().tasksPerSegment {
+			// A sized format with this many tasks in a segment is never adopted.
 			continue
 		}
-		if !slices.Contains(out, c) {
-			out = append(out, c)
+		if !slices.Contains(out, compare) {
+			out = append(out, compare)
 		}
 	}
 	return out
 }
 
-// compareFormats orders task records: finer formats, which take precedence, come first.
-func (f *formatMigration) compareFormats(a, b message.KeyValue) int {
-	rank := func(it message.KeyValue) int {
-		if format, _, ok := f.parseSegmentKey(it.Key); ok && format.sized {
+// compareFormats orders task records by format, those with fewer tasks in a segment first,
+// because they take precedence over the coarser ones.
+func (formats *formatMigration) compareFormats(a, b message.KeyValue) int {
+	rank := func(kv message.KeyValue) int {
+		if format, _, ok := formats.parseSegmentKey(kv.Key); ok && format.sized {
 			return format.tasksPerSegment
 		}
 		return math.MaxInt
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -10,69 +10,77 @@
 )
 
 const (
-	// shardLeaderTickInterval is how often a shard leader looks at everything unasked.
+	// shardLeaderTickInterval is the time between two sweeps, in which a shard leader checks its
+	// whole state without an event.
 	shardLeaderTickInterval = 500 * time.Millisecond
-	// placementInterval separates two rounds of placement. In a large pool tasks end and
-	// arrive by the dozen a second; a round looks at every machine, and what it places
-	// shares a write.
+	// placementInterval is the least time between two rounds of placement. In a large pool
+	// dozens of tasks end and arrive in a second. Each round looks at every machine, and the
+	// tasks that it places share a store write.
 	placementInterval = 150 * time.Millisecond
 	// epochBumpInterval is the least time between two epoch bumps of a shard leader.
 	epochBumpInterval = 3 * time.Second
-	// persistInterval separates two scans of all jobs for what is to be written, except
-	// after a round of placement: hundreds of heartbeats come in a second.
+	// persistInterval is the least time between two scans of all jobs for changes to write,
+	// because hundreds of heartbeats arrive in a second. A round of placement is followed by a
+	// scan at once.
 	persistInterval = 20 * time.Millisecond
 )
 
 // shardLeader runs the teams and machines of the shards that this controller holds, with the
 // components that exist only for that.
 //
-// There is one while the shard map, as read under the present membership lease, gives this
-// controller a shard; see syncShardLeader. Its methods may be called only while
-// Controller.shardLeader is it. It may be dropped and made anew while a request is under
-// way, so a callback compares Controller.shardLeader or the generation before it uses it.
-// All of its state is lost with it: the next one loads the teams' records and learns of
-// the machines by their heartbeats.
+// A controller has a shard leader while the shard map, as read under the present membership
+// lease, gives it a shard; see syncShardLeader. The methods of a shard leader may be called only
+// while Controller.shardLeader points to it. A shard leader may be dropped and replaced while a
+// request is in flight, so a callback compares Controller.shardLeader or the generation before
+// it uses the shard leader. All its state is lost when it is dropped: the next shard leader
+// loads the teams' records and learns of the machines from their heartbeats.
 //
-// A task's attempt is counted in its job, its machine and its team alike: only
-// attachAttempt, endAttempt and the hand-over of teams and machines change these.
+// A task's attempt is counted in its job, its machine and its team alike. Only attachAttempt,
+// endAttempt and the hand-over of teams and machines change these counts.
 type shardLeader struct {
 	component
 
-	// generation differs for each shard leader of a process.
+	// generation differs for each shard leader of a process. since is when this shard leader was
+	// created.
 	generation int
 	since      time.Time
-	// ready: the records of the first teams have been read, at readyAt.
+	// ready is set at readyAt, when the records of the first teams have been read.
 	ready   bool
 	readyAt time.Time
-	// wakeAt is when tick wants to run next, sweptAt when it last looked at everything.
+	// wakeAt is when tick has to run next. sweptAt is the time of the last sweep.
 	wakeAt  time.Time
 	sweptAt time.Time
 
-	// What it holds; see shard_sync.go.
+	// teams are the held teams by name, and shards the names of the held shards; see
+	// shard_sync.go.
 	teams  map[string]*heldTeam
 	shards map[string]bool
-	// catchAllSince is since when one of the shards has the machines that no segment names.
+	// catchAllSince is when this controller got the catch-all shard, which has the machines that
+	// no segment names. It is zero while another controller holds that shard.
 	catchAllSince time.Time
-	// loadingTeams: records of teams are being read.
+	// loadingTeams is set while the records of teams are being read.
 	loadingTeams bool
 
 	jobs     map[string]*job
 	machines map[string]*machine
-	// machinesByID are the same machines in the order of their ids.
+	// machinesByID has the same machines, sorted by ID.
 	machinesByID []*machine
-	usedByTeam   map[string]model.Resources
+	// usedByTeam is what the live attempts of each team's jobs use.
+	usedByTeam map[string]model.Resources
 	// workloads has the newest job of each workload.
 	workloads map[string]*workload
-	// faultAttribution tells faulty machines from jobs that fail everywhere.
+	// faultAttribution tells faulty machines apart from jobs that fail on every machine.
 	faultAttribution faultattribution.Tracker
 	promiseDates     shardLeaderDates
 
-	// What is published to the peers; see publish.go.
+	// publishedAt is when this shard leader last published an update to the peers, and
+	// loadsPublishedAt when an update last included the loads of the workloads; see publish.go.
 	publishedAt      time.Time
 	loadsPublishedAt time.Time
-	// publishTurn says which part of the machines is published next.
+	// publishTurn is the part of the machines that the last update published, from 0 to
+	// machineUpdateTurns-1.
 	publishTurn int
-	// teamRelease is a team that the leader wants to move, as of teamReleaseAt.
+	// teamRelease is the team that the leader last asked to move, received at teamReleaseAt.
 	teamRelease   sharding.MoveRequest
 	teamReleaseAt time.Time
 
@@ -88,10 +96,10 @@
 	transfers      machineTransfers
 }
 
-// newShardLeader makes a shard leader that leads nothing yet.
-func (c *Controller) newShardLeader() *shardLeader {
-	s := &shardLeader{
-		since: c.now, generation: int(c.nextID()),
+// newShardLeader returns a shard leader that has no teams and no machines yet.
+func (controller *Controller) newShardLeader() *shardLeader {
+	shardLeader := &shardLeader{
+		since: controller.now, generation: int(controller.nextID()),
 		teams: map[string]*heldTeam{}, shards: map[string]bool{},
 		jobs: map[string]*job{}, machines: map[string]*machine{}, usedByTeam: map[string]model.Resources{},
 		workloads:      map[string]*workload{},
@@ -100,93 +108,95 @@
 		fleet:          fleetPlanner{arrivals: map[workloadKey][]arrival{}},
 		persistence:    persistence{prewarmedImages: map[string]map[string]float64{}},
 	}
-	s.connectComponents(component{environment: c.environment, controller: c})
-	return s
+	shardLeader.connectComponents(component{environment: controller.environment, controller: controller})
+	return shardLeader
 }
 
-// connectComponents gives each part of a shard leader the environment and the way to the others.
-func (s *shardLeader) connectComponents(shared component) {
-	s.component = shared
-	s.scheduler.component = shared
-	s.fleet.component = shared
-	s.persistence.component = shared
-	s.failover.component = shared
-	s.dispatcher.component = shared
-	s.dependencies.component = shared
-	s.remoteAttempts.component = shared
-	s.heartbeats.component = shared
-	s.migration.component = shared
-	s.transfers.component = shared
+// connectComponents gives each component of a shard leader the environment and the controller,
+// through which it reaches the other components.
+func (shardLeader *shardLeader) connectComponents(shared component) {
+	shardLeader.component = shared
+	shardLeader.scheduler.component = shared
+	shardLeader.fleet.component = shared
+	shardLeader.persistence.component = shared
+	shardLeader.failover.component = shared
+	shardLeader.dispatcher.component = shared
+	shardLeader.dependencies.component = shared
+	shardLeader.remoteAttempts.component = shared
+	shardLeader.heartbeats.component = shared
+	shardLeader.migration.component = shared
+	shardLeader.transfers.component = shared
 }
 
-// dropShardLeader ends the shard leadership with all of its state.
-func (c *Controller) dropShardLeader(reason string) {
-	if c.shardLeader == nil {
+// dropShardLeader ends this controller's shard leadership and discards its state. Without a
+// shard leader it does nothing.
+func (controller *Controller) dropShardLeader(reason string) {
+	if controller.shardLeader == nil {
 		return
 	}
-	c.info("shard leadership lost", "reason", reason)
-	c.shardLeader.fleet.endPlanningPass()
-	if c.shardLeader.scheduler.packingProfile != nil {
-		c.emit(message.GPUFreeCapacityReport{})
+	controller.info("shard leadership lost", "reason", reason)
+	controller.shardLeader.fleet.endPlanningPass()
+	if controller.shardLeader.scheduler.packingProfile != nil {
+		controller.emit(message.GPUFreeCapacityReport{})
 	}
-	c.shardLeader = nil
+	controller.shardLeader = nil
 }
 
-// tick ends each Step: it does what is due and sets wakeAt.
-func (s *shardLeader) tick() {
-	if !s.ready {
-		s.wakeAt = s.now.Add(shardLeaderTickInterval)
+// tick runs at the end of each Step: it does everything that is due and sets wakeAt.
+func (shardLeader *shardLeader) tick() {
+	if !shardLeader.ready {
+		shardLeader.wakeAt = shardLeader.now.Add(shardLeaderTickInterval)
 		return
 	}
-	if s.now.Sub(s.sweptAt) >= shardLeaderTickInterval {
-		s.sweptAt = s.now
-		if s.sweep(); s.controller.shardLeader != s {
+	if shardLeader.now.Sub(shardLeader.sweptAt) >= shardLeaderTickInterval {
+		shardLeader.sweptAt = shardLeader.now
+		if shardLeader.sweep(); shardLeader.controller.shardLeader != shardLeader {
 			return
 		}
 	}
-	if s.fleet.planningPass != nil {
-		s.fleet.planFleet(false)
+	if shardLeader.fleet.planningPass != nil {
+		shardLeader.fleet.planFleet(false)
 	}
-	if s.scheduler.placementRoundDue() {
-		s.controller.planning.notePlacementRound()
-		s.scheduler.runPlacementRound()
-		s.persistence.writeSoon()
+	if shardLeader.scheduler.placementRoundDue() {
+		shardLeader.controller.planning.notePlacementRound()
+		shardLeader.scheduler.runPlacementRound()
+		shardLeader.persistence.writeSoon()
 	}
-	s.persistence.writeIfDue()
-	s.dispatcher.dispatchAll()
-	s.remoteAttempts.publishRemoteAttempts()
-	if s.remoteAttempts.due {
-		s.remoteAttempts.requestRemoteAttempts()
+	shardLeader.persistence.writeIfDue()
+	shardLeader.dispatcher.dispatchAll()
+	shardLeader.remoteAttempts.publishRemoteAttempts()
+	if shardLeader.remoteAttempts.due {
+		shardLeader.remoteAttempts.requestRemoteAttempts()
 	}
-	s.wakeAt = s.sweptAt.Add(shardLeaderTickInterval)
-	if next := s.persistence.persistedAt.Add(persistInterval); s.persistence.persistedAt != s.now && next.Before(s.wakeAt) {
-		s.wakeAt = next
+	shardLeader.wakeAt = shardLeader.sweptAt.Add(shardLeaderTickInterval)
+	if next := shardLeader.persistence.persistedAt.Add(persistInterval); shardLeader.persistence.persistedAt != shardLeader.now && next.Before(shardLeader.wakeAt) {
+		shardLeader.wakeAt = next
 	}
-	if next := s.scheduler.nextRoundAt(); s.scheduler.placementDue && next.Before(s.wakeAt) {
-		s.wakeAt = next
+	if next := shardLeader.scheduler.nextRoundAt(); shardLeader.scheduler.placementDue && next.Before(shardLeader.wakeAt) {
+		shardLeader.wakeAt = next
 	}
 }
 
-// sweep does what is done every shardLeaderTickInterval. In a partition the shard leader
-// may be dropped by it.
-func (s *shardLeader) sweep() {
-	s.failover.sweep()
-	s.controller.ranking.retryRefresh()
-	s.heartbeats.quarantineNonStarting()
-	if s.controller.partition.checkPartition(); s.controller.shardLeader != s {
+// sweep runs the periodic checks, once each shardLeaderTickInterval. In a partition it may drop
+// the shard leader.
+func (shardLeader *shardLeader) sweep() {
+	shardLeader.failover.sweep()
+	shardLeader.controller.ranking.retryRefresh()
+	shardLeader.heartbeats.quarantineNonStarting()
+	if shardLeader.controller.partition.checkPartition(); shardLeader.controller.shardLeader != shardLeader {
 		return
 	}
-	s.scheduler.relaunch()
-	s.failover.maybeBumpEpoch()
-	s.migration.tick()
-	s.fleet.planFleet(true)
-	s.transfers.update()
-	s.publishToPeers()
-	s.remoteAttempts.requestRemoteAttempts()
-	s.dependencies.updateCriticalPaths()
-	s.controller.promises.tick()
-	s.persistence.writePrewarmed()
-	s.scheduler.reportGPUFreeCapacity()
-	s.scheduler.reportWaits()
-	s.scheduler.requestPlacement()
+	shardLeader.scheduler.relaunch()
+	shardLeader.failover.maybeBumpEpoch()
+	shardLeader.migration.tick()
+	shardLeader.fleet.planFleet(true)
+	shardLeader.transfers.update()
+	shardLeader.publishToPeers()
+	shardLeader.remoteAttempts.requestRemoteAttempts()
+	shardLeader.dependencies.updateCriticalPaths()
+	shardLeader.controller.promises.tick()
+	shardLeader.persistence.writePrewarmed()
+	shardLeader.scheduler.reportGPUFreeCapacity()
+	shardLeader.scheduler.reportWaits()
+	shardLeader.scheduler.requestPlacement()
 }
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -11,194 +11,203 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// shard_planning.go is how the leader changes the shard map. What internal/sharding decides is written
-// on condition that this leader still leads, and counts for everybody, the leader included, only when
-// the watch brings it.
+// shard_planning.go has the leader change the shard map. The leader writes the changes that
+// internal/sharding plans, on condition that it still leads. A change takes effect for every
+// controller, the leader included, only when the watch delivers it.
 
 const (
-	// unlistedGracePeriod is how long the shard map may name a machine that the lists, which lag,
-	// do not show, before the machine counts as gone.
+	// unlistedGracePeriod is how long a machine of the shard map may be missing from the cloud's
+	// lists before it counts as gone. The lists lag behind.
 	unlistedGracePeriod = time.Minute
-	// loadSmoothing is the weight of the newest sample of a team's load, one a second, so that the
-	// load is a mean over about a minute: teams that are alike differ by half from one moment
-	// to the next, and to move one for that would be in vain.
+	// loadSmoothing is the weight of the newest sample of a team's load. With one sample a
+	// second the load is a mean over about a minute. The momentary loads of equal teams differ
+	// by half, and moving a team for such a difference gains nothing.
 	loadSmoothing = 1.0 / 60
 )
 
-// shardPlanning is what the leader knows for changes of the shard map.
+// shardPlanning is the leader's state for planning changes of the shard map. It is lost with the
+// leader.
 type shardPlanning struct {
 	planner *sharding.Planner
-	// writing says that a change is being written. Nothing more is planned before
-	// writtenRevision, of the last write, has been read.
+	// writing is set while a change is being written. After the last write nothing is planned
+	// until the watch has reached its revision, writtenRevision.
 	writing         bool
 	writtenRevision uint64
 
-	// unrecordedMachines were rented for a shard leader or handed over to one, and the shard
-	// map does not say so yet.
+	// unrecordedMachines, by ID, were rented for a shard leader or transferred to one, and the
+	// shard map does not show it yet.
 	unrecordedMachines map[string]sharding.NewMachine
-	// offers, by team, are of the machines that would go with the team. loads are the CPUs that
-	// teams keep busy, smoothed.
+	// offers, by team, list the machines that a shard leader would hand over with the team.
+	// loads, by team, are the smoothed loads in CPUs.
 	offers map[string]sharding.Offer
 	loads  map[string]float64
 }
 
-func newShardPlanning(c *Controller) shardPlanning {
+// newShardPlanning returns the planning state of a new leader.
+func newShardPlanning(controller *Controller) shardPlanning {
 	return shardPlanning{
-		planner:            sharding.New(c.requests.storeLimits(), fmt.Sprint(c.membership.leaderModRevision), c.settings.Policy.RebalanceInterval, c.now),
+		planner:            sharding.New(controller.requests.storeLimits(), fmt.Sprint(controller.membership.leaderModRevision), controller.settings.Policy.RebalanceInterval, controller.now),
 		unrecordedMachines: map[string]sharding.NewMachine{}, offers: map[string]sharding.Offer{}, loads: map[string]float64{},
 	}
 }
 
-// storeLimits are the store's limits.
-func (r *requestTracker) storeLimits() sizelimit.Limits {
-	return sizelimit.Limits{ValueBytes: r.settings.MaxValueBytes, Ops: r.settings.MaxTxnWrites}
+// storeLimits returns the store's configured limits.
+func (tracker *requestTracker) storeLimits() sizelimit.Limits {
+	return sizelimit.Limits{ValueBytes: tracker.settings.MaxValueBytes, Ops: tracker.settings.MaxTxnWrites}
 }
 
-// limitsOf are the limits that a transaction keeps to. As long as a controller of the version before
-// may come back, task records keep to what that version reads and writes.
-func (r *requestTracker) limitsOf(op *message.StoreRequest) sizelimit.Limits {
-	l := r.storeLimits()
-	if r.controller.membership.formats.currentFormat().sized {
-		return l
+// limitsOf returns the limits that a transaction must keep to. As long as a controller of the
+// previous version may come back, task records and the limit probe keep to the value limit under
+// which that version reads and writes.
+func (tracker *requestTracker) limitsOf(request *message.StoreRequest) sizelimit.Limits {
+	limits := tracker.storeLimits()
+	if tracker.controller.membership.formats.currentFormat().sized {
+		return limits
 	}
-	for _, a := range op.Writes {
-		if strings.HasPrefix(a.Key, record.TaskSegmentPrefix) || a.Key == record.LimitProbeKey {
-			l.ValueBytes = r.settings.currentMaxValueBytes()
+	for _, write := range request.Writes {
+		if strings.HasPrefix(write.Key, record.TaskSegmentPrefix) || write.Key == record.LimitProbeKey {
+			limits.ValueBytes = tracker.settings.currentMaxValueBytes()
 		}
 	}
-	return l
+	return limits
 }
 
-// planShards writes the next change of the shard map, if there is one.
-func (l *leader) planShards() {
-	m := &l.controller.membership
-	planning := &l.sharding
-	if planning.writing || m.revision < planning.writtenRevision || !m.loaded || l.now.After(m.leaseValidUntil) {
+// planShards writes the next change of the shard map, if one is due and the shard map has been
+// read up to the last write.
+func (leader *leader) planShards() {
+	members := &leader.controller.membership
+	planning := &leader.sharding
+	if planning.writing || members.revision < planning.writtenRevision || !members.loaded || leader.now.After(members.leaseValidUntil) {
 		return
 	}
-	writes := planning.planner.Plan(l.now, l.planningInput())
+	writes := planning.planner.Plan(leader.now, leader.planningInput())
 	clear(planning.offers)
 	if len(writes) > 0 {
-		l.writeShardMap(writes)
+		leader.writeShardMap(writes)
 	}
 }
 
-// planningInput is what the planner decides on. Machines whose record has come, or that are gone, are
-// unrecorded no longer. Nor are those whose receiver has no shard any more: they stay with the owner
-// that the shard map names, instead of being kept from all.
-func (l *leader) planningInput() sharding.Input {
-	m := &l.controller.membership
-	planning := &l.sharding
-	input := sharding.Input{Map: m.shardMap, Self: l.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: l.confirmedGone}
-	for _, h := range sortedKeys(m.controllers) {
-		r := m.controllers[h]
-		receivesNothing := r.ReceivesNothing || h == l.settings.Host && l.controller.partition.receivesNothing(l.now)
-		input.Controllers = append(input.Controllers, sharding.Controller{Host: h, Incarnation: r.Incarnation, Capable: !receivesNothing, OnProbation: l.controller.membership.recentlyStarted(r)})
+// planningInput returns the state that the planner decides on. It drops unrecorded machines that
+// the shard map shows by now or that are gone. It also drops those whose receiver has lost its
+// last shard: such a machine stays with the owner that the shard map names, because otherwise no
+// controller could use it.
+func (leader *leader) planningInput() sharding.Input {
+	members := &leader.controller.membership
+	planning := &leader.sharding
+	input := sharding.Input{Map: members.shardMap, Self: leader.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: leader.confirmedGone}
+	for _, host := range sortedKeys(members.controllers) {
+		entry := members.controllers[host]
+		receivesNothing := entry.ReceivesNothing || host == leader.settings.Host && leader.controller.partition.receivesNothing(leader.now)
+		input.Controllers = append(input.Controllers, sharding.Controller{Host: host, Incarnation: entry.Incarnation, Capable: !receivesNothing, OnProbation: leader.controller.membership.recentlyStarted(entry)})
 	}
-	for _, t := range l.settings.Teams {
-		input.Teams = append(input.Teams, t.Name)
+	for _, team := range leader.settings.Teams {
+		input.Teams = append(input.Teams, team.Name)
 	}
 	for _, id := range sortedKeys(planning.unrecordedMachines) {
-		r := planning.unrecordedMachines[id]
-		if s, ok := m.shardMap.Owner(id); ok && s.Host == r.Host || l.confirmedGone(id) || !m.shardMap.CanReceiveMachines(r.Host) {
+		entry := planning.unrecordedMachines[id]
+		if owner, ok := members.shardMap.Owner(id); ok && owner.Host == entry.Host || leader.confirmedGone(id) || !members.shardMap.CanReceiveMachines(entry.Host) {
 			delete(planning.unrecordedMachines, id)
 			continue
 		}
-		input.NewMachines = append(input.NewMachines, r)
+		input.NewMachines = append(input.NewMachines, entry)
 	}
 	return input
 }
 
-// writeShardMap writes one change. It names the leader's record, so that nothing of a deposed leader is
-// applied, and each record as it was read.
-func (l *leader) writeShardMap(writes []sharding.Write) {
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: l.modRevision}}}
-	for _, w := range writes {
-		key := record.ShardSegmentPrefix + w.Name
-		if w.IsShard {
-			key = record.ShardPrefix + w.Name
-			l.info("shard map changed", "shard", w.Name, "removed", w.Value == nil)
+// writeShardMap writes one change of the shard map in one transaction. The transaction compares
+// the leadership record, so that a deposed leader changes nothing, and each changed record as it
+// was read.
+func (leader *leader) writeShardMap(writes []sharding.Write) {
+	request := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: record.LeaderKey, ModRevision: leader.modRevision}}}
+	for _, write := range writes {
+		key := record.ShardSegmentPrefix + write.Name
+		if write.IsShard {
+			key = record.ShardPrefix + write.Name
+			leader.info("shard map changed", "shard", write.Name, "removed", write.Value == nil)
 		}
-		op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: w.ModRevision})
-		op.Writes = append(op.Writes, message.Write{Key: key, Value: w.Value})
+		request.Compares = append(request.Compares, message.Compare{Key: key, ModRevision: write.ModRevision})
+		request.Writes = append(request.Writes, message.Write{Key: key, Value: write.Value})
 	}
-	l.sharding.writing = true
-	generation := l.generation
-	l.controller.requests.toStore(op, func(d message.StoreResponse) {
-		l := l.controller.leader
-		if l == nil || l.generation != generation {
+	leader.sharding.writing = true
+	generation := leader.generation
+	leader.controller.requests.toStore(request, func(response message.StoreResponse) {
+		leader := leader.controller.leader
+		if leader == nil || leader.generation != generation {
 			return
 		}
-		l.sharding.writing = false
-		if d.Status == message.StoreOK || d.Status == message.StoreConflict {
-			// After a conflict the watch is behind.
-			l.sharding.writtenRevision = d.Revision
+		leader.sharding.writing = false
+		if response.Status == message.StoreOK || response.Status == message.StoreConflict {
+			// After a conflict the watch has to catch up before the next plan.
+			leader.sharding.writtenRevision = response.Revision
 			return
 		}
-		pause := l.jitter(storeRetryDelay)
-		if d.Status == message.StoreMalformed {
-			// The same would be planned again. Other changes may be written meanwhile, if
-			// what they rest on is different.
+		pause := leader.jitter(storeRetryDelay)
+		if response.Status == message.StoreMalformed {
+			// The planner would plan the same change again at once. When its input differs, a
+			// plan before this retry may still write other changes.
 			pause = malformedRetryDelay
 		}
-		l.after(pause, func() {
-			if l := l.controller.leader; l != nil && l.generation == generation {
-				l.planShards()
+		leader.after(pause, func() {
+			if leader := leader.controller.leader; leader != nil && leader.generation == generation {
+				leader.planShards()
 			}
 		})
 	})
 }
 
-// confirmedGone reports whether a machine is gone: its release was confirmed, or the cloud has not
-// listed it for long. The latter proves nothing for the tasks there; it is enough for the shard map.
-func (l *leader) confirmedGone(id string) bool {
-	if l.confirmedReleases[id] {
+// confirmedGone reports whether a machine counts as gone for the shard map: its release was
+// confirmed, or the cloud has not listed it for longer than unlistedGracePeriod. A missing
+// listing does not prove that the machine's tasks have ended, so task state must not rely on it.
+func (leader *leader) confirmedGone(id string) bool {
+	if leader.confirmedReleases[id] {
 		return true
 	}
-	if r := l.rentals[id]; r != nil {
-		return !r.releasedAt.IsZero()
+	if rental := leader.rentals[id]; rental != nil {
+		return !rental.releasedAt.IsZero()
 	}
-	unlistedSince, unlisted := l.unlistedSince[id]
-	return unlisted && l.now.Sub(unlistedSince) > unlistedGracePeriod
+	unlistedSince, unlisted := leader.unlistedSince[id]
+	return unlisted && leader.now.Sub(unlistedSince) > unlistedGracePeriod
 }
 
-// markUnlisted notes which machines of the shard map a list does not show. A new machine is missing for
-// a while, and so is all that a former leader rented just before.
-func (l *leader) markUnlisted() {
-	l.controller.membership.shardMap.EachMachine(func(id string) {
-		if l.rentals[id] != nil {
-			delete(l.unlistedSince, id)
-		} else if _, known := l.unlistedSince[id]; !known {
-			l.unlistedSince[id] = l.now
+// markUnlisted records which machines of the shard map the cloud's list does not show, and since
+// when. A new machine is missing from the list for a while, and so are the machines that the
+// previous leader rented just before this one.
+func (leader *leader) markUnlisted() {
+	leader.controller.membership.shardMap.EachMachine(func(id string) {
+		if leader.rentals[id] != nil {
+			delete(leader.unlistedSince, id)
+		} else if _, known := leader.unlistedSince[id]; !known {
+			leader.unlistedSince[id] = leader.now
 		}
 	})
-	for id := range l.unlistedSince {
-		if !l.controller.membership.shardMap.IsAssigned(id) {
-			delete(l.unlistedSince, id)
+	for id := range leader.unlistedSince {
+		if !leader.controller.membership.shardMap.IsAssigned(id) {
+			delete(leader.unlistedSince, id)
 		}
 	}
 }
 
-// recordTeamLoads adds a sample of the CPUs that a shard leader's teams keep busy.
-func (l *leader) recordTeamLoads(teamLoads []message.TeamLoad) {
-	loads := l.sharding.loads
-	for _, x := range teamLoads {
-		if _, known := loads[x.Team]; !known {
-			loads[x.Team] = x.CPU
+// recordTeamLoads adds a sample of the loads of a shard leader's teams, in CPUs, to the smoothed
+// loads.
+func (leader *leader) recordTeamLoads(teamLoads []message.TeamLoad) {
+	loads := leader.sharding.loads
+	for _, teamLoad := range teamLoads {
+		if _, known := loads[teamLoad.Team]; !known {
+			loads[teamLoad.Team] = teamLoad.CPU
 		}
-		loads[x.Team] += loadSmoothing * (x.CPU - loads[x.Team])
+		loads[teamLoad.Team] += loadSmoothing * (teamLoad.CPU - loads[teamLoad.Team])
 	}
 }
 
-// applyOwnUpdate takes in what this controller as shard leader would publish to the leader, and asks it
-// for the team that is to move.
-func (l *leader) applyOwnUpdate() {
-	s := l.controller.shardLeader
-	l.recordTeamLoads(s.teamLoads())
-	if a, ok := l.sharding.planner.PendingMove(); ok && a.From == l.settings.Host {
-		s.receiveTeamRelease(a)
-		for _, x := range s.offers() {
-			l.sharding.offers[x.Team] = x
+// applyOwnUpdate gives the leader the data that other shard leaders publish to it: the team
+// loads of this controller's own shard leader and, for the team that is to move, its offers.
+func (leader *leader) applyOwnUpdate() {
+	shardLeader := leader.controller.shardLeader
+	leader.recordTeamLoads(shardLeader.teamLoads())
+	if move, ok := leader.sharding.planner.PendingMove(); ok && move.From == leader.settings.Host {
+		shardLeader.receiveTeamRelease(move)
+		for _, offer := range shardLeader.offers() {
+			leader.sharding.offers[offer.Team] = offer
 		}
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -1,8 +1,9 @@
-// Package ratelimit divides a rate that all controllers share, such as the state service's
-// requests a second, by their demands. Each controller publishes its demand, and each computes
-// the same division. While an update is late two views differ for a moment, and the service
-// refuses the excess. Nobody gets less than a floor, so that a controller whose demand grows
-// can show it by using more.
+// Package ratelimit divides a rate limit that all controllers share, such as the state
+// service's requests a second, by the controllers' demands. Each controller publishes its
+// demand, and each computes the same division. While an update is late, the views of two
+// controllers differ for a moment, and the service refuses the excess. No controller gets less
+// than a floor, so that a controller whose demand grows can use more and thereby show its
+// demand.
 package ratelimit
 
 import (
@@ -11,24 +12,24 @@
 )
 
 const (
-	// Headroom is the factor by which an allocation exceeds the demand while there is enough:
-	// the demand is a mean, and requests come unevenly.
+	// Headroom is the factor by which an allocation exceeds the demand while the capacity is
+	// sufficient. It is needed because the demand is a mean and requests arrive unevenly.
 	Headroom = 1.6
-	// minHeadroom is what is left of Headroom when the demands nearly use up the capacity: one
-	// controller's surplus is what the others lack.
+	// minHeadroom is the least headroom factor, which applies when the demands nearly use up the
+	// capacity. Every surplus of one controller is then missing for the others.
 	minHeadroom = 1.2
-	// floorFraction is the part of an equal division that everybody has in any case.
+	// floorFraction is the fraction of an equal share that every controller gets in any case.
 	floorFraction = 0.3
 	// averagingWindow is the time over which a demand is averaged.
 	averagingWindow = 4 * time.Second
 )
 
-// Allocate divides a capacity among demands, all in units a second. Each gets its demand with
-// headroom if there is enough; else small demands are met in full and large ones get equal
-// allocations. What is left over is divided equally. The allocations add up to the capacity.
+// Allocate divides a capacity among demands, all in units a second. If the capacity suffices,
+// each demand is met with headroom. Otherwise small demands are met in full and large ones get
+// equal allocations. The rest is divided equally. The allocations add up to the capacity.
 func Allocate(capacity float64, demands []float64) []float64 {
-	n := len(demands)
-	if n == 0 {
+	count := len(demands)
+	if count == 0 {
 		return nil
 	}
 	total := 0.0
@@ -39,9 +40,9 @@
 	if total > 0 {
 		headroom = min(Headroom, max(minHeadroom, capacity/total))
 	}
-	floor := floorFraction * capacity / float64(n)
-	allocations := make([]float64, n)
-	order := make([]int, n)
+	floor := floorFraction * capacity / float64(count)
+	allocations := make([]float64, count)
+	order := make([]int, count)
 	for i := range order {
 		order[i] = i
 	}
@@ -55,39 +56,39 @@
 		return 0
 	})
 	remaining := capacity
-	for k, i := range order {
+	for position, i := range order {
 		target := max(floor, headroom*demands[i])
-		allocations[i] = min(target, remaining/float64(n-k))
+		allocations[i] = min(target, remaining/float64(count-position))
 		remaining -= allocations[i]
 	}
 	for i := range allocations {
-		allocations[i] += remaining / float64(n)
+		allocations[i] += remaining / float64(count)
 	}
 	return allocations
 }
 
-// Meter averages a demand. The zero value is ready. It is not safe for concurrent use.
+// Meter averages a demand. Its zero value is ready to use. It is not safe for concurrent use.
 type Meter struct {
 	updatedAt time.Time
 	rate      float64
 	count     float64
 }
 
-// Add records n more units of demand.
-func (m *Meter) Add(n float64) { m.count += n }
+// Add records more units of demand.
+func (meter *Meter) Add(units float64) { meter.count += units }
 
 // Rate returns the average demand, in units a second.
-func (m *Meter) Rate(now time.Time) float64 {
-	if m.updatedAt.IsZero() {
-		m.updatedAt = now
+func (meter *Meter) Rate(now time.Time) float64 {
+	if meter.updatedAt.IsZero() {
+		meter.updatedAt = now
 		return 0
 	}
-	elapsed := now.Sub(m.updatedAt)
+	elapsed := now.Sub(meter.updatedAt)
 	if elapsed < 200*time.Millisecond {
-		return m.rate
+		return meter.rate
 	}
 	weight := min(1, float64(elapsed)/float64(averagingWindow))
-	m.rate += weight * (m.count/elapsed.Seconds() - m.rate)
-	m.updatedAt, m.count = now, 0
-	return m.rate
+	meter.rate += weight * (meter.count/elapsed.Seconds() - meter.rate)
+	meter.updatedAt, meter.count = now, 0
+	return meter.rate
 }
--- a/internal/sharding/record.go
+++ b/internal/sharding/record.go
@@ -1,19 +1,19 @@
-// Package sharding decides which controller runs which teams and owns which machines. It keeps
-// this in records of the state service, the size of each bounded.
+// Package sharding decides which controller runs which teams and owns which machines. The
+// assignment is kept in records of the state service, each of bounded size.
 //
 // A shard is the unit of ownership: it has a holder (one incarnation of a controller) and
 // teams. A shard segment names machines and the shard that they belong to; the one catch-all
-// shard has every machine that no segment names. When a controller dies its shards get new
-// holders, at one change each, however many teams and machines they have.
+// shard has every machine that no segment names. When a controller dies, its shards get new
+// holders. That takes one change for each shard, however many teams and machines it has.
 //
-// Each machine has an epoch: the fencing token under which its owner sends it commands. It is
-// the revision at which the machine came to its owner, and so above all that any earlier owner
-// used. Other changes of shards and segments keep epochs, since a higher one makes every
-// worker concerned send a heartbeat at once.
+// Each machine has an epoch: the fencing token under which its owner sends it commands. The
+// epoch is the revision at which the machine came to its owner, so it is above every epoch that
+// an earlier owner used. Other changes of shards and segments keep the epochs, because a higher
+// epoch makes every worker concerned send a heartbeat at once.
 //
-// The package is pure. Records are applied in the order of their revisions, and none is
-// applied ahead of it. Then two controllers that have read up to the same revision agree about
-// every owner, and one that has read less has a lower epoch.
+// The package does no I/O and reads no clock. Callers apply the records in the order of their
+// revisions. Two controllers that have read up to the same revision then agree about every
+// owner, and a controller that has read less sees a lower epoch or the same owner.
 package sharding
 
 import (
@@ -28,24 +28,25 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ErrRecord means that a value is not a record of this package.
+// ErrRecord reports that a value is not a record of this package.
 var ErrRecord = errors.New("sharding: unreadable record")
 
 // shardRecord is the stored form of a shard.
 type shardRecord struct {
-	// Host and Incarnation name the holder. A restarted controller does not go on with the
-	// epochs of its previous incarnation, under which commands may still be in flight. Records
-	// of the legacy format have no Host: there the shard's name is the host.
+	// Host and Incarnation name the holder. A restarted controller does not reuse the epochs of
+	// its previous incarnation, under which commands may still be in flight. Records of the
+	// legacy format have no Host: in them the shard's name is the host.
 	Host        string `msgpack:"host,omitempty"`
 	Incarnation string `msgpack:"nonce"`
-	// Epoch is the revision since which the holder has the shard; 0: the record's own.
+	// Epoch is the revision since which the holder has had the shard; 0 stands for the record's
+	// own revision.
 	Epoch uint64   `msgpack:"e,omitempty"`
 	Teams []string `msgpack:"teams"`
-	// CatchAll: the shard has all machines that no segment names, since CatchAllEpoch (0: the
-	// record's own revision).
+	// CatchAll gives the shard all machines that no segment names, since the revision
+	// CatchAllEpoch; 0 stands for the record's own revision.
 	CatchAll      bool   `msgpack:"rest,omitempty"`
 	CatchAllEpoch uint64 `msgpack:"re,omitempty"`
-	// Machines are those of the legacy format, which named them one by one.
+	// Machines are the shard's machines in the legacy format, which has no segments.
 	Machines []string `msgpack:"machines,omitempty"`
 }
 
@@ -55,11 +56,12 @@
 	Groups []groupRecord `msgpack:"g"`
 }
 
-// groupRecord is machines of a segment that came to its shard at the same revision. Their
-// names are Prefix and a number of Width digits. Runs holds pairs: the gap after the previous
-// run, and the run's length. Names are those without a number.
+// groupRecord is the machines of a segment that came to its shard at the same revision. Their
+// names consist of Prefix and a number of Width digits. Runs holds a pair for each run of
+// consecutive numbers: the gap after the previous run, and the length of the run. Names holds
+// the names without a number.
 type groupRecord struct {
-	//lint:ignore U1000 its tag has rows stored as lists
+	//lint:ignore U1000 its tag makes the encoder store rows as lists
 	_msgpack struct{} `msgpack:",as_array"`
 	Epoch    uint64
 	Prefix   string
@@ -68,16 +70,18 @@
 	Names    []string
 }
 
-// epochGroup is machines with the same epoch; 0 stands for the record's own revision.
+// epochGroup is machines with the same epoch. Epoch 0 stands for the record's own revision.
 type epochGroup struct {
 	epoch uint64
 	names []string
 }
 
-// maxNumberDigits bounds the digits that count as the number in a machine's name.
+// maxNumberDigits is the largest number of trailing digits that count as the number in a
+// machine's name. A number of 18 digits fits a uint64.
 const maxNumberDigits = 18
 
-// splitNumber splits a name into its prefix and the number that it ends with.
+// splitNumber splits a name into its prefix and the number at its end. width is the number of
+// digits. ok is false if the name does not end with a number of at most maxNumberDigits digits.
 func splitNumber(name string) (prefix string, value uint64, width int, ok bool) {
 	prefix = strings.TrimRight(name, "0123456789")
 	digits := name[len(prefix):]
@@ -88,74 +92,78 @@
 	return prefix, value, len(digits), err == nil
 }
 
-func (g *epochGroup) toRecords() []groupRecord {
+// toRecords returns the stored form of the group, one record for each prefix and width, and one
+// for the names without a number.
+func (group *epochGroup) toRecords() []groupRecord {
 	type kind struct {
 		prefix string
 		width  int
 	}
 	numbersByFormat := map[kind][]uint64{}
 	var unnumbered []string
-	for _, name := range g.names {
-		if p, v, w, ok := splitNumber(name); ok {
-			numbersByFormat[kind{p, w}] = append(numbersByFormat[kind{p, w}], v)
+	for _, name := range group.names {
+		if prefix, value, width, ok := splitNumber(name); ok {
+			numbersByFormat[kind{prefix, width}] = append(numbersByFormat[kind{prefix, width}], value)
 		} else {
 			unnumbered = append(unnumbered, name)
 		}
 	}
 	kinds := make([]kind, 0, len(numbersByFormat))
-	for k := range numbersByFormat {
-		kinds = append(kinds, k)
+	for format := range numbersByFormat {
+		kinds = append(kinds, format)
 	}
 	slices.SortFunc(kinds, func(a, b kind) int { return cmp.Or(strings.Compare(a.prefix, b.prefix), a.width-b.width) })
 	var out []groupRecord
-	for _, k := range kinds {
-		r := groupRecord{Epoch: g.epoch, Prefix: k.prefix, Width: k.width}
-		numbers := numbersByFormat[k]
+	for _, format := range kinds {
+		rec := groupRecord{Epoch: group.epoch, Prefix: format.prefix, Width: format.width}
+		numbers := numbersByFormat[format]
 		slices.Sort(numbers)
 		numbers = slices.Compact(numbers)
 		end := uint64(0)
 		for i := 0; i < len(numbers); {
-			j := i + 1
-			for j < len(numbers) && numbers[j] == numbers[j-1]+1 {
-				j++
+			next := i + 1
+			for next < len(numbers) && numbers[next] == numbers[next-1]+1 {
+				next++
 			}
-			r.Runs = append(r.Runs, numbers[i]-end, uint64(j-i))
-			end = numbers[i] + uint64(j-i)
-			i = j
+			rec.Runs = append(rec.Runs, numbers[i]-end, uint64(next-i))
+			end = numbers[i] + uint64(next-i)
+			i = next
 		}
-		out = append(out, r)
+		out = append(out, rec)
 	}
 	if len(unnumbered) > 0 {
 		slices.Sort(unnumbered)
-		out = append(out, groupRecord{Epoch: g.epoch, Names: slices.Compact(unnumbered)})
+		out = append(out, groupRecord{Epoch: group.epoch, Names: slices.Compact(unnumbered)})
 	}
 	return out
 }
 
-// maxRecordMachines bounds the machines that a record may name: one that claims more is
-// damaged, and would exhaust memory.
+// maxRecordMachines is the largest number of machines that a record may name. A record that
+// claims more is damaged, and decoding it would exhaust memory.
 const maxRecordMachines = 1 << 16
 
-func (r *groupRecord) toGroup() (epochGroup, error) {
-	g := epochGroup{epoch: r.Epoch, names: r.Names}
-	if len(r.Runs)%2 != 0 || r.Width < 0 || r.Width > maxNumberDigits {
-		return g, ErrRecord
+// toGroup returns the machines of a stored group. The error is ErrRecord.
+func (rec *groupRecord) toGroup() (epochGroup, error) {
+	group := epochGroup{epoch: rec.Epoch, names: rec.Names}
+	if len(rec.Runs)%2 != 0 || rec.Width < 0 || rec.Width > maxNumberDigits {
+		return group, ErrRecord
 	}
 	end := uint64(0)
-	for i := 0; i < len(r.Runs); i += 2 {
-		gap, n := r.Runs[i], r.Runs[i+1]
-		if n > maxRecordMachines || len(g.names)+int(n) > maxRecordMachines || gap > 1e18 || end > 1e18 {
-			return g, ErrRecord
+	for i := 0; i < len(rec.Runs); i += 2 {
+		gap, length := rec.Runs[i], rec.Runs[i+1]
+		if length > maxRecordMachines || len(group.names)+int(length) > maxRecordMachines || gap > 1e18 || end > 1e18 {
+			return group, ErrRecord
 		}
-		for v := end + gap; v < end+gap+n; v++ {
-			digits := strconv.FormatUint(v, 10)
-			g.names = append(g.names, r.Prefix+strings.Repeat("0", max(0, r.Width-len(digits)))+digits)
+		for number := end + gap; number < end+gap+length; number++ {
+			digits := strconv.FormatUint(number, 10)
+			group.names = append(group.names, rec.Prefix+strings.Repeat("0", max(0, rec.Width-len(digits)))+digits)
 		}
-		end += gap + n
+		end += gap + length
 	}
-	return g, nil
+	return group, nil
 }
 
+// encode encodes a record of this package.
 func encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -167,15 +175,15 @@
 
 // encodeSegment encodes a segment record.
 func encodeSegment(shard string, groups []epochGroup) []byte {
-	r := segmentRecord{Shard: shard}
-	for _, g := range groups {
-		r.Groups = append(r.Groups, g.toRecords()...)
+	rec := segmentRecord{Shard: shard}
+	for _, group := range groups {
+		rec.Groups = append(rec.Groups, group.toRecords()...)
 	}
-	return encode(&r)
+	return encode(&rec)
 }
 
-// decode decodes a record. The size check comes first because the msgpack library allocates
-// whatever length a damaged list claims.
+// decode decodes a record; an error wraps ErrRecord. The size check comes first because the
+// msgpack library allocates whatever length a damaged list claims.
 func decode(b []byte, v any) error {
 	if _, err := sizelimit.JSON(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrRecord, err)
@@ -186,21 +194,22 @@
 	return nil
 }
 
-func decodeSegment(b []byte) (shard string, groups []epochGroup, err error) {
-	var r segmentRecord
-	if err := decode(b, &r); err != nil {
+// decodeSegment decodes a segment record; an error wraps ErrRecord.
+func decodeSegment(value []byte) (shard string, groups []epochGroup, err error) {
+	var rec segmentRecord
+	if err := decode(value, &rec); err != nil {
 		return "", nil, err
 	}
 	total := 0
-	for i := range r.Groups {
-		g, err := r.Groups[i].toGroup()
+	for i := range rec.Groups {
+		group, err := rec.Groups[i].toGroup()
 		if err != nil {
 			return "", nil, err
 		}
-		if total += len(g.names); total > maxRecordMachines {
+		if total += len(group.names); total > maxRecordMachines {
 			return "", nil, ErrRecord
 		}
-		groups = append(groups, g)
+		groups = append(groups, group)
 	}
-	return r.Shard, groups, nil
+	return rec.Shard, groups, nil
 }
