--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -14,82 +14,87 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// dependencies.go applies internal/pipeline to jobs that depend on others. The graph follows the
-// watch cache and the ends of jobs that were read or written. That a job waits, or is cancelled
-// with a dependency, is derived from the graph by every controller; nobody decides it. A task
-// starts only when all dependencies of its job are durably done. That can't become untrue, so
-// the start needs no compare of its own: no later write, takeover or late transaction changes
-// the end of a job.
+// dependencies.go applies internal/pipeline to jobs that depend on other jobs. The graph is updated
+// from the watch cache and from the ends of jobs that this controller has read or written. Every
+// controller derives from the graph whether a job waits, or is cancelled because a dependency is;
+// no controller decides it for the others. A task starts only when all dependencies of its job are
+// durably done. No later write, takeover or late transaction changes the end of a job, so the
+// transaction of the start needs no compare for the dependencies.
 
 const (
-	// criticalPathInterval separates two computations of the critical paths.
+	// criticalPathInterval is the least time between two computations of the critical paths.
 	criticalPathInterval = time.Second
-	// maxNamedDependencies bounds the names of a job's dependencies in a text.
+	// maxNamedDependencies bounds how many of a job's dependencies a text names.
 	maxNamedDependencies = 5
-	// dependenciesOverhead is the size of the names in a record beside themselves, in bytes.
+	// dependenciesOverhead is the size in bytes that the dependencies take in a record in
+	// addition to their encoded names.
 	dependenciesOverhead = 16
-	// maxBlockingJobs bounds the jobs in a status that others wait for.
+	// maxBlockingJobs bounds the jobs that a status lists as blocking other jobs.
 	maxBlockingJobs = 10
 )
 
-// dependencyTracker looks after the jobs of a shard leader that depend on others or that others
-// depend on. It is part of a shardLeader and its methods are called only while that one leads.
-// Nothing of it is stored: a successor derives it from the graph in the watch cache.
+// dependencyTracker tracks the jobs of a shard leader that depend on other jobs or that other
+// jobs depend on. It is part of a shardLeader, and its methods are called only while that
+// shardLeader is in office. None of its state is stored: the next shard leader derives it from
+// the graph in the watch cache.
 type dependencyTracker struct {
 	component
 
-	// paths are the critical paths of jobs, by job, as of pathsScannedAt.
+	// paths holds the critical paths by job, as of pathsScannedAt.
 	pathsScannedAt time.Time
 	paths          map[string]pipeline.CriticalPath
 }
 
-// dependencyState is what a job keeps of its dependencies and dependents.
+// dependencyState is the part of a job that concerns its dependencies and dependents.
 type dependencyState struct {
-	// dependenciesPending: some dependency is not known to be done. releasedAt is when the
-	// last one was.
+	// dependenciesPending says that at least one dependency is not known to be done. releasedAt
+	// is when the last of them became known to be done.
 	dependenciesPending bool
 	releasedAt          time.Time
-	// cancelDerived: the job is cancelled with a dependency, and its status record may not
-	// say so yet.
+	// cancelDerived says that the job is cancelled because a dependency is, and that its status
+	// record may not be written yet.
 	cancelDerived bool
-	// ownUrgency is the urgency in its record; criticalPath is what its dependents require.
+	// ownUrgency is the urgency in the job's record. criticalPath is what the job's dependents
+	// require.
 	ownUrgency   model.Urgency
 	criticalPath pipeline.CriticalPath
-	// urgencyRaised: its present urgency is that of a dependent.
+	// urgencyRaised says that the job has the higher urgency of a dependent.
 	urgencyRaised bool
 }
 
-// readySince is since when the job waits for nothing but free capacity.
-func (j *job) readySince() time.Time { return later(j.submittedAt, j.releasedAt) }
+// readySince returns the time since which the job has waited for nothing but free capacity.
+func (job *job) readySince() time.Time { return later(job.submittedAt, job.releasedAt) }
 
-// validateDependencies says why a job can't have the dependencies that it names, or nothing.
-func (f *frontend) validateDependencies(s *model.JobSpec) string {
-	if len(s.Dependencies) == 0 {
+// validateDependencies returns why the job cannot have the dependencies in its spec, or "" if it
+// can.
+func (frontend *frontend) validateDependencies(spec *model.JobSpec) string {
+	if len(spec.Dependencies) == 0 {
 		return ""
 	}
-	names := slices.Clone(s.Dependencies)
+	names := slices.Clone(spec.Dependencies)
 	slices.Sort(names)
-	for i, p := range names {
-		if p == s.ID {
+	for i, name := range names {
+		if name == spec.ID {
 			return "prereqs names the job itself"
 		}
-		if i > 0 && names[i-1] == p {
-			return "prereqs names " + p + " twice"
+		if i > 0 && names[i-1] == name {
+			return "prereqs names " + name + " twice"
 		}
 	}
-	without := *s
+	without := *spec
 	without.Dependencies = nil
-	size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(&without, f.now)))
-	freeBytes := f.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
-	if encodedSize := len(pipeline.EncodeNames(s.Dependencies)); err == nil && encodedSize > freeBytes {
-		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has room for %d", len(names), encodedSize, max(freeBytes, 0))
+	size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(&without, frontend.now)))
+	freeBytes := frontend.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
+	if encodedSize := len(pipeline.EncodeNames(spec.Dependencies)); err == nil && encodedSize > freeBytes {
+		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has %d bytes left", len(names), encodedSize, max(freeBytes, 0))
 	}
 	return ""
 }
 
-// checkDependenciesAccepted calls proceed once all names are known to be those of accepted jobs.
-// A job with another name is refused only after a read that began after the request.
-func (f *frontend) checkDependenciesAccepted(request *userRequest, names []string, proceed func()) {
+// checkDependenciesAccepted calls proceed once all named jobs are known to have been accepted.
+// It refuses the request if one of them was never accepted, but only after a read that began
+// after the request.
+func (frontend *frontend) checkDependenciesAccepted(request *userRequest, names []string, proceed func()) {
 	pending, unread, missing := 1, false, []string{}
 	finish := func() {
 		if pending--; pending > 0 {
@@ -97,24 +102,24 @@
 		}
 		switch {
 		case len(missing) > 0:
-			f.answerFromRecord(request, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
+			frontend.answerFromRecord(request, 422, "prereqs names a job that was never accepted: "+slices.Min(missing))
 		case unread:
-			f.refuseRequest(request, "the state service does not answer")
+			frontend.refuseRequest(request, "the state service does not answer")
 		default:
 			proceed()
 		}
 	}
-	for _, p := range names {
-		if f.watchCache.cachedJobState(p) != pipeline.Unknown {
+	for _, name := range names {
+		if frontend.watchCache.cachedJobState(name) != pipeline.Unknown {
 			continue
 		}
 		pending++
-		f.watchCache.readJobRecord(p, func(lookup jobLookup) {
+		frontend.watchCache.readJobRecord(name, func(lookup jobLookup) {
 			switch {
 			case !lookup.ok:
 				unread = true
 			case !lookup.accepted:
-				missing = append(missing, p)
+				missing = append(missing, name)
 			}
 			finish()
 		})
@@ -122,29 +127,29 @@
 	finish()
 }
 
-// acceptedReply is the answer to a submission that was stored. A job with a cancelled dependency
-// is cancelled from the start.
-func (f *frontend) acceptedReply(s *submission) message.UserReply {
-	r := message.UserReply{Status: 201, ID: s.spec.ID, State: string(model.Queued)}
-	for _, p := range s.spec.Dependencies {
-		if f.watchCache.cachedJobState(p) == pipeline.Cancelled {
-			f.cacheFinalStatus(s.spec.ID, model.Cancelled)
-			r.State = string(model.Cancelled)
-			return r
+// acceptedReply returns the answer to a submission that was stored. A job with a cancelled
+// dependency is cancelled from the start.
+func (frontend *frontend) acceptedReply(submission *submission) message.UserReply {
+	reply := message.UserReply{Status: 201, ID: submission.spec.ID, State: string(model.Queued)}
+	for _, name := range submission.spec.Dependencies {
+		if frontend.watchCache.cachedJobState(name) == pipeline.Cancelled {
+			frontend.cacheFinalStatus(submission.spec.ID, model.Cancelled)
+			reply.State = string(model.Cancelled)
+			return reply
 		}
 	}
-	return r.WithDate(s.promisedDate())
+	return reply.WithDate(submission.promisedDate())
 }
 
-// cachedJobState is what this controller knows of a job without a read.
-func (w *watchCache) cachedJobState(id string) pipeline.State {
-	switch w.controller.frontend.finalStatuses[id] {
+// cachedJobState returns what this controller knows of a job without a read.
+func (cache *watchCache) cachedJobState(id string) pipeline.State {
+	switch cache.controller.frontend.finalStatuses[id] {
 	case model.Done:
 		return pipeline.Done
 	case model.Cancelled:
 		return pipeline.Cancelled
 	}
-	cached, open := w.openJobs[id]
+	cached, open := cache.openJobs[id]
 	switch {
 	case open && cached.rec.Cancelled:
 		return pipeline.Cancelled
@@ -154,252 +159,259 @@
 	return pipeline.Unknown
 }
 
-// graph is the graph of the open jobs that depend on others.
-func (w *watchCache) graph() *pipeline.Graph {
-	if w.dependencyGraph == nil {
-		w.dependencyGraph = pipeline.New(w.cachedJobState)
+// graph returns the graph of the open jobs that depend on other jobs.
+func (cache *watchCache) graph() *pipeline.Graph {
+	if cache.dependencyGraph == nil {
+		cache.dependencyGraph = pipeline.New(cache.cachedJobState)
 	}
-	return w.dependencyGraph
+	return cache.dependencyGraph
 }
 
-// rebuildDependencyGraph makes the graph anew after the cache was loaded.
-func (w *watchCache) rebuildDependencyGraph() {
-	w.dependencyGraph = nil
-	for _, id := range sortedKeys(w.openJobs) {
-		cached := w.openJobs[id]
-		w.controller.applyDependencyChanges(w.graph().Put(id, cached.rec.DependencyNames()))
-	}
-	if w.controller.shardLeader == nil {
+// rebuildDependencyGraph builds the graph from scratch after the cache was loaded.
+func (cache *watchCache) rebuildDependencyGraph() {
+	cache.dependencyGraph = nil
+	for _, id := range sortedKeys(cache.openJobs) {
+		cached := cache.openJobs[id]
+		cache.controller.applyDependencyChanges(cache.graph().Put(id, cached.rec.DependencyNames()))
+	}
+	if cache.controller.shardLeader == nil {
 		return
 	}
-	for _, id := range sortedKeys(w.controller.shardLeader.jobs) {
-		w.controller.awaitDependencies(w.controller.shardLeader.jobs[id])
+	for _, id := range sortedKeys(cache.controller.shardLeader.jobs) {
+		cache.controller.awaitDependencies(cache.controller.shardLeader.jobs[id])
 	}
 }
 
-// updateDependencyGraph applies a change of an open record to the graph.
-func (w *watchCache) updateDependencyGraph(kv message.KeyValue) {
+// updateDependencyGraph applies a changed open record to the graph.
+func (cache *watchCache) updateDependencyGraph(kv message.KeyValue) {
 	id := record.JobIDFromKey(kv.Key, record.OpenJobPrefix)
-	cached, open := w.openJobs[id]
+	cached, open := cache.openJobs[id]
 	if open {
-		w.controller.applyDependencyChanges(w.graph().Put(id, cached.rec.DependencyNames()))
+		cache.controller.applyDependencyChanges(cache.graph().Put(id, cached.rec.DependencyNames()))
 	}
-	w.controller.noteDependencyState(id)
+	cache.controller.noteDependencyState(id)
 	if !open {
-		w.controller.readFinalState(id)
-		w.graph().Remove(id)
+		cache.controller.readFinalState(id)
+		cache.graph().Remove(id)
 	}
 }
 
-// noteDependencyState applies to the graph what is now known of a job.
-func (c *Controller) noteDependencyState(id string) {
-	c.applyDependencyChanges(c.frontend.watchCache.graph().SetState(id, c.frontend.watchCache.cachedJobState(id)))
+// noteDependencyState updates the graph with the state that this controller knows of a job.
+func (controller *Controller) noteDependencyState(id string) {
+	controller.applyDependencyChanges(controller.frontend.watchCache.graph().SetState(id, controller.frontend.watchCache.cachedJobState(id)))
 }
 
-// applyDependencyChanges carries out what a change of the graph means for dependent jobs.
-func (c *Controller) applyDependencyChanges(changes []pipeline.Change) {
+// applyDependencyChanges cancels or releases the jobs that changes of the graph affect.
+func (controller *Controller) applyDependencyChanges(changes []pipeline.Change) {
 	for _, change := range changes {
-		var j *job
-		if c.shardLeader != nil {
-			j = c.shardLeader.jobs[change.ID]
+		var job *job
+		if controller.shardLeader != nil {
+			job = controller.shardLeader.jobs[change.ID]
 		}
 		switch {
 		case change.Cancelled:
-			if c.frontend.finalStatuses[change.ID] == "" {
-				c.frontend.cacheFinalStatus(change.ID, model.Cancelled)
+			if controller.frontend.finalStatuses[change.ID] == "" {
+				controller.frontend.cacheFinalStatus(change.ID, model.Cancelled)
 			}
-			j.cancelWithDependency()
-		case j != nil:
-			c.shardLeader.dependencies.releaseJob(j)
+			job.cancelWithDependency()
+		case job != nil:
+			controller.shardLeader.dependencies.releaseJob(job)
 		}
 	}
 }
 
-// cancelWithDependency cancels a job with one of its dependencies. None of its tasks has ever
-// started, since that dependency is not done. Its end is written as any other; see
-// writeJobEnds. j may be nil.
-func (j *job) cancelWithDependency() {
-	if j == nil || j.cancelled || j.hasStarted() {
+// cancelWithDependency cancels a job because one of its dependencies is cancelled. None of the
+// job's tasks has ever started, since that dependency is not done. The job's end is written like
+// any other; see writeJobEnds. job may be nil.
+func (job *job) cancelWithDependency() {
+	if job == nil || job.cancelled || job.hasStarted() {
 		return
 	}
-	j.cancelled, j.cancelDerived = true, true
+	job.cancelled, job.cancelDerived = true, true
 }
 
-// releaseJob lets a job be placed when all its dependencies are done.
-func (d *dependencyTracker) releaseJob(j *job) {
-	if !j.dependenciesPending {
+// releaseJob allows a job to be placed because all its dependencies are done.
+func (dependencies *dependencyTracker) releaseJob(job *job) {
+	if !job.dependenciesPending {
 		return
 	}
-	j.dependenciesPending, j.releasedAt = false, d.now
-	d.controller.shardLeader.scheduler.requestPlacement()
-	d.controller.shardLeader.scheduler.hurryPlacement(j.Workload)
+	job.dependenciesPending, job.releasedAt = false, dependencies.now
+	dependencies.controller.shardLeader.scheduler.requestPlacement()
+	dependencies.controller.shardLeader.scheduler.hurryPlacement(job.Workload)
 }
 
-// awaitDependencies adds a job of this shard leader to the graph and has it wait for its
+// awaitDependencies adds a job of this shard leader to the graph and makes it wait for its
 // dependencies.
-func (c *Controller) awaitDependencies(j *job) {
-	if len(j.Dependencies) == 0 {
+func (controller *Controller) awaitDependencies(job *job) {
+	if len(job.Dependencies) == 0 {
 		return
 	}
-	g := c.frontend.watchCache.graph()
-	c.applyDependencyChanges(g.Put(j.ID, j.Dependencies))
+	graph := controller.frontend.watchCache.graph()
+	controller.applyDependencyChanges(graph.Put(job.ID, job.Dependencies))
 	switch {
-	case g.IsCancelled(j.ID):
-		j.cancelWithDependency()
-	case j.hasStarted() || !j.releasedAt.IsZero():
-	case g.IsReleased(j.ID):
-		j.releasedAt = c.now
+	case graph.IsCancelled(job.ID):
+		job.cancelWithDependency()
+	case job.hasStarted() || !job.releasedAt.IsZero():
+	case graph.IsReleased(job.ID):
+		job.releasedAt = controller.now
 	default:
-		j.dependenciesPending = true
-		for _, p := range g.Unresolved(j.ID, true) {
-			c.readFinalState(p)
+		job.dependenciesPending = true
+		for _, dependency := range graph.Unresolved(job.ID, true) {
+			controller.readFinalState(dependency)
 		}
 	}
 }
 
-// releaseIfStarted releases a job that has started under a former shard leader.
-func (j *job) releaseIfStarted() {
-	if !j.hasStarted() {
+// releaseIfStarted marks a job as released if it has started under a former shard leader. Its
+// earliest start counts as the time of the release.
+func (job *job) releaseIfStarted() {
+	if !job.hasStarted() {
 		return
 	}
-	j.dependenciesPending, j.releasedAt = false, time.Time{}
-	for _, g := range j.groups {
-		if j.releasedAt.IsZero() || g.startedAt.Before(j.releasedAt) {
-			j.releasedAt = g.startedAt
+	job.dependenciesPending, job.releasedAt = false, time.Time{}
+	for _, group := range job.groups {
+		if job.releasedAt.IsZero() || group.startedAt.Before(job.releasedAt) {
+			job.releasedAt = group.startedAt
 		}
 	}
 }
 
-// readFinalState reads the end of a job that is no longer open, if a job here waits for it.
-func (c *Controller) readFinalState(id string) {
-	if c.frontend.watchCache.cachedJobState(id) != pipeline.Unknown || !c.hasWaitingDependents(id) {
+// readFinalState reads the status record of a job that is no longer open, if a job of this shard
+// leader waits for it.
+func (controller *Controller) readFinalState(id string) {
+	if controller.frontend.watchCache.cachedJobState(id) != pipeline.Unknown || !controller.hasWaitingDependents(id) {
 		return
 	}
-	c.frontend.readStatusRecord(id, func(d message.StoreResponse) {
-		if !c.applyFinalState(id, d) {
-			c.after(c.jitter(storeRetryDelay), func() { c.readFinalState(id) })
+	controller.frontend.readStatusRecord(id, func(response message.StoreResponse) {
+		if !controller.applyFinalState(id, response) {
+			controller.after(controller.jitter(storeRetryDelay), func() { controller.readFinalState(id) })
 		}
 	})
 }
 
-// hasWaitingDependents says whether a job of this shard leader waits for a job.
-func (c *Controller) hasWaitingDependents(id string) bool {
-	return c.shardLeader != nil && slices.ContainsFunc(c.frontend.watchCache.graph().Dependents(id), func(after string) bool {
-		j := c.shardLeader.jobs[after]
-		return j != nil && j.dependenciesPending && !j.cancelled
+// hasWaitingDependents reports whether a job of this shard leader waits for the job id.
+func (controller *Controller) hasWaitingDependents(id string) bool {
+	return controller.shardLeader != nil && slices.ContainsFunc(controller.frontend.watchCache.graph().Dependents(id), func(dependent string) bool {
+		job := controller.shardLeader.jobs[dependent]
+		return job != nil && job.dependenciesPending && !job.cancelled
 	})
 }
 
-// applyFinalState takes in the answer to a read of a job's status record, and says whether there
-// was one. A dependency was accepted before its dependents: one that is neither open nor over
-// shows that a record is damaged. Its dependents wait until somebody cancels them.
-func (c *Controller) applyFinalState(id string, d message.StoreResponse) bool {
-	var r record.JobStatus
+// applyFinalState applies the answer to a read of a job's status record. It returns false if the
+// read has to be repeated. A dependency was accepted before its dependents, so a dependency that
+// is neither open nor over shows that a record is damaged. Its dependents wait until a user
+// cancels them.
+func (controller *Controller) applyFinalState(id string, response message.StoreResponse) bool {
+	var rec record.JobStatus
 	switch {
-	case c.frontend.watchCache.cachedJobState(id) != pipeline.Unknown:
-	case d.Status == message.StoreNotFound:
-		c.rejectInput("record", record.OpenJobPrefix+id, "it is needed by others and was never accepted")
-		c.applyDependencyChanges(c.frontend.watchCache.graph().SetState(id, pipeline.Missing))
-	case d.Status != message.StoreOK || len(d.KeyValues) != 1 || !record.Decode(d.KeyValues[0].Value, &r) || !r.Status.IsFinal():
+	case controller.frontend.watchCache.cachedJobState(id) != pipeline.Unknown:
+	case response.Status == message.StoreNotFound:
+		controller.rejectInput("record", record.OpenJobPrefix+id, "other jobs depend on it, but it was never accepted")
+		controller.applyDependencyChanges(controller.frontend.watchCache.graph().SetState(id, pipeline.Missing))
+	case response.Status != message.StoreOK || len(response.KeyValues) != 1 || !record.Decode(response.KeyValues[0].Value, &rec) || !rec.Status.IsFinal():
 		return false
 	default:
-		c.frontend.cacheFinalStatus(id, r.Status)
-		c.promises.cacheDoneDate(id, r)
+		controller.frontend.cacheFinalStatus(id, rec.Status)
+		controller.promises.cacheDoneDate(id, rec)
 	}
 	return true
 }
 
-// lookupWithDependencies is what the store has of an open job, which counts as cancelled if a
-// dependency is: what is not known of these is read first.
-func (f *frontend) lookupWithDependencies(id string, cached *openJob, fn func(jobLookup)) {
-	unread := f.watchCache.graph().Unresolved(id, false)
+// lookupWithDependencies calls fn with what the store contains of an open job. The job counts as
+// cancelled if a dependency is, so dependencies in an unknown state are read first.
+func (frontend *frontend) lookupWithDependencies(id string, cached *openJob, fn func(jobLookup)) {
+	unread := frontend.watchCache.graph().Unresolved(id, false)
 	if len(unread) > 0 && !cached.rec.Cancelled {
-		f.readDependencyStates(id, unread, fn)
+		frontend.readDependencyStates(id, unread, fn)
 		return
 	}
-	f.watchCache.lookupOfOpenJob(id, cached, func(lookup jobLookup) {
-		if f.watchCache.graph().IsCancelled(id) {
+	frontend.watchCache.lookupOfOpenJob(id, cached, func(lookup jobLookup) {
+		if frontend.watchCache.graph().IsCancelled(id) {
 			lookup.rec.Status = model.Cancelled
 		}
 		fn(lookup)
 	})
 }
 
-// readDependencyStates reads the ends of unread, on which a job's state rests, and then the job
-// again.
-func (f *frontend) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
-	left, failed := len(unread), false
-	for _, p := range unread {
-		f.readStatusRecord(p, func(d message.StoreResponse) {
-			failed = !f.controller.applyFinalState(p, d) || failed
-			if left--; left > 0 {
+// readDependencyStates reads the status records of the jobs in unread, on which the state of job
+// id rests, and then reads job id again.
+func (frontend *frontend) readDependencyStates(id string, unread []string, fn func(jobLookup)) {
+	remaining, failed := len(unread), false
+	for _, name := range unread {
+		frontend.readStatusRecord(name, func(response message.StoreResponse) {
+			failed = !frontend.controller.applyFinalState(name, response) || failed
+			if remaining--; remaining > 0 {
 				return
 			}
 			if failed {
 				fn(jobLookup{})
 				return
 			}
-			f.watchCache.readJob(id, fn)
+			frontend.watchCache.readJob(id, fn)
 		})
 	}
 }
 
-// updateCriticalPaths computes what dependents require of the jobs here: the highest urgency of
-// all that depend on a job, and when it has to be over for them to be in time.
-func (d *dependencyTracker) updateCriticalPaths() {
-	s := d.controller.shardLeader
-	if d.now.Sub(d.pathsScannedAt) < criticalPathInterval || !d.controller.frontend.watchCache.graph().HasDependencies() {
+// updateCriticalPaths computes what dependents require of this shard leader's jobs: the highest
+// urgency of all jobs that depend on a job, and when the job has to end for its dependents to be
+// in time.
+func (dependencies *dependencyTracker) updateCriticalPaths() {
+	shardLeader := dependencies.controller.shardLeader
+	if dependencies.now.Sub(dependencies.pathsScannedAt) < criticalPathInterval || !dependencies.controller.frontend.watchCache.graph().HasDependencies() {
 		return
 	}
-	d.pathsScannedAt = d.now
-	paths, cycle := d.controller.frontend.watchCache.graph().CriticalPaths(d.controller.criticalPathTask)
+	dependencies.pathsScannedAt = dependencies.now
+	paths, cycle := dependencies.controller.frontend.watchCache.graph().CriticalPaths(dependencies.controller.criticalPathTask)
 	if len(cycle) > 0 {
-		d.rejectInput("record", record.OpenJobPrefix+cycle[0], "jobs need each other: "+strings.Join(cycle, ", "))
+		dependencies.rejectInput("record", record.OpenJobPrefix+cycle[0], "jobs depend on each other: "+strings.Join(cycle, ", "))
 	}
-	for id := range d.paths {
-		if j := s.jobs[id]; j != nil && paths[id] == (pipeline.CriticalPath{}) {
-			j.setCriticalPath(pipeline.CriticalPath{})
+	for id := range dependencies.paths {
+		if job := shardLeader.jobs[id]; job != nil && paths[id] == (pipeline.CriticalPath{}) {
+			job.setCriticalPath(pipeline.CriticalPath{})
 		}
 	}
-	for id, p := range paths {
-		if j := s.jobs[id]; j != nil {
-			j.setCriticalPath(p)
+	for id, path := range paths {
+		if job := shardLeader.jobs[id]; job != nil {
+			job.setCriticalPath(path)
 		}
 	}
-	d.paths = paths
+	dependencies.paths = paths
 }
 
-// setCriticalPath gives a job what its dependents require.
-func (j *job) setCriticalPath(p pipeline.CriticalPath) {
-	j.criticalPath = p
-	if !j.urgencyRaised {
-		j.ownUrgency = j.Urgency
+// setCriticalPath sets what the job's dependents require, and raises the job's urgency to
+// theirs.
+func (job *job) setCriticalPath(path pipeline.CriticalPath) {
+	job.criticalPath = path
+	if !job.urgencyRaised {
+		job.ownUrgency = job.Urgency
 	}
-	if u := max(j.ownUrgency, model.Urgency(p.Urgency)); u != j.Urgency {
-		j.Urgency, j.rankingVersion = u, -1
+	if urgency := max(job.ownUrgency, model.Urgency(path.Urgency)); urgency != job.Urgency {
+		job.Urgency, job.rankingVersion = urgency, -1
 	}
-	j.urgencyRaised = j.Urgency != j.ownUrgency
+	job.urgencyRaised = job.Urgency != job.ownUrgency
 }
 
-// criticalPathTask is an open job as a step of a critical path.
-func (c *Controller) criticalPathTask(id string) (pipeline.Task, bool) {
-	cached, open := c.frontend.watchCache.openJobs[id]
+// criticalPathTask returns an open job as a step of a critical path. It returns false if the job
+// is not open or is cancelled.
+func (controller *Controller) criticalPathTask(id string) (pipeline.Task, bool) {
+	cached, open := controller.frontend.watchCache.openJobs[id]
 	if !open || cached.rec.Cancelled {
 		return pipeline.Task{}, false
 	}
-	t := pipeline.Task{Urgency: cached.rec.Urgency, RunTime: record.DurationOfSeconds(cached.rec.ExpectedSeconds)}
+	task := pipeline.Task{Urgency: cached.rec.Urgency, RunTime: record.DurationOfSeconds(cached.rec.ExpectedSeconds)}
 	if cached.rec.DeadlineSeconds > 0 {
-		t.Due = time.UnixMilli(cached.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(cached.rec.DeadlineSeconds))
+		task.Due = time.UnixMilli(cached.rec.SubmittedAtMillis).Add(record.DurationOfSeconds(cached.rec.DeadlineSeconds))
 	}
-	if e := c.knowledge.estimators[cached.rec.Workload]; e != nil {
-		t.RunTime = time.Duration(float64(t.RunTime) * e.ratio)
+	if estimator := controller.knowledge.estimators[cached.rec.Workload]; estimator != nil {
+		task.RunTime = time.Duration(float64(task.RunTime) * estimator.ratio)
 	}
-	return t, true
+	return task, true
 }
 
-// describeDependencies names the jobs that a job waits for, and how many more there are.
-func (c *Controller) describeDependencies(id string) string {
-	names := c.frontend.watchCache.graph().PendingDependencies(id)
+// describeDependencies names up to maxNamedDependencies of the jobs that a job waits for, and
+// says how many more there are.
+func (controller *Controller) describeDependencies(id string) string {
+	names := controller.frontend.watchCache.graph().PendingDependencies(id)
 	text := strings.Join(names[:min(len(names), maxNamedDependencies)], ", ")
 	if len(names) > maxNamedDependencies {
 		text += fmt.Sprintf(" and %d others", len(names)-maxNamedDependencies)
@@ -407,25 +419,26 @@
 	return text
 }
 
-// blockingJobs counts the jobs here that wait for others, and lists the ones that most of them
-// wait for and that wait for none themselves.
-func (d *dependencyTracker) blockingJobs() (waiting int, blocking []message.BlockingJobStatus) {
+// blockingJobs counts this shard leader's jobs that wait for other jobs. It also lists up to
+// maxBlockingJobs of the jobs that they wait for, those with the most waiting dependents first;
+// jobs that wait for a dependency themselves are left out.
+func (dependencies *dependencyTracker) blockingJobs() (waiting int, blocking []message.BlockingJobStatus) {
 	count := map[string]int{}
-	for id, j := range d.controller.shardLeader.jobs {
-		if !j.dependenciesPending || j.cancelled {
+	for id, job := range dependencies.controller.shardLeader.jobs {
+		if !job.dependenciesPending || job.cancelled {
 			continue
 		}
 		waiting++
-		for _, p := range d.controller.frontend.watchCache.graph().PendingDependencies(id) {
-			if d.controller.frontend.watchCache.graph().IsReleased(p) {
-				count[p]++
+		for _, dependency := range dependencies.controller.frontend.watchCache.graph().PendingDependencies(id) {
+			if dependencies.controller.frontend.watchCache.graph().IsReleased(dependency) {
+				count[dependency]++
 			}
 		}
 	}
-	for _, p := range sortedKeys(count) {
-		status := message.BlockingJobStatus{Job: p, Dependents: count[p], State: "unknown"}
-		if _, open := d.controller.frontend.watchCache.openJobs[p]; open {
-			status.State = d.controller.frontend.replyWithStatus(p, model.Queued).State
+	for _, dependency := range sortedKeys(count) {
+		status := message.BlockingJobStatus{Job: dependency, Dependents: count[dependency], State: "unknown"}
+		if _, open := dependencies.controller.frontend.watchCache.openJobs[dependency]; open {
+			status.State = dependencies.controller.frontend.replyWithStatus(dependency, model.Queued).State
 		}
 		blocking = append(blocking, status)
 	}
--- a/internal/controller/frontend.go
+++ b/internal/controller/frontend.go
@@ -11,218 +11,228 @@
 )
 
 const (
-	// maxWaitingRequests bounds the requests that wait for the store; more are refused at
-	// once.
+	// maxWaitingRequests bounds the user requests that wait for the store. Further requests are
+	// refused at once.
 	maxWaitingRequests = 400
-	// userRequestTimeout is how long a request may wait for the store before it is refused.
-	// Less than the 2 s that a user waits for a poll.
+	// userRequestTimeout is how long a request may wait for the store before it is refused. It
+	// is less than the 2 s that a user waits for the answer to a poll.
 	userRequestTimeout = 1500 * time.Millisecond
-	// retryAfter is the Retry-After while this controller is only briefly behind, and
-	// retryAfterOutage while the store is unavailable. The latter is spread by a half either
-	// way, so that hundreds who were refused don't return together.
+	// retryAfter is the Retry-After of a refusal while this controller is briefly behind, and
+	// retryAfterOutage the one while the store is unavailable. retryAfterOutage is spread by
+	// half of it in either direction, so that hundreds of refused users do not return at the
+	// same time.
 	retryAfter       = time.Second
 	retryAfterOutage = 2 * time.Second
 )
 
-// frontend answers users: it stores submissions and cancellations, and answers questions
-// about jobs. Every controller has one, whether it leads a shard or not, and Step calls it
-// with each user's request.
+// frontend answers users: it stores submissions and cancellations, and answers queries about
+// jobs. Every controller has a frontend, whether the controller leads a shard or not, and Step
+// calls it with each user request.
 //
-// Invariants: an answer that is not final rests on a read of the store that began after
-// the request came, and has a deadline for its sending; a request is answered once; once
-// an answer said that a job is over, no later one says otherwise. Nothing here has to
-// survive this process: users repeat a request that got no answer.
+// Invariants: an answer with a state that is not final rests on a read of the store that began
+// after the request arrived, and has a deadline for its sending. Each request is answered once.
+// Once an answer has said that a job is over, no later answer says otherwise. None of this state
+// has to survive the process: users repeat a request that got no answer.
 type frontend struct {
 	component
 
-	// watchCache is what this controller knows of open jobs.
+	// watchCache is this controller's copy of the open jobs.
 	watchCache watchCache
-	// progressByJob is what other shard leaders last published of their jobs; for display.
+	// progressByJob is the progress that other shard leaders last published of their jobs. It is
+	// for display only.
 	progressByJob map[string]message.Progress
 
-	// finalStatuses caches final states for good, and endDates the promised dates of done
-	// jobs: milliseconds, and in the lowest byte the date's revision.
+	// finalStatuses caches final job states, which never change. endDates caches the promised
+	// dates of done jobs: milliseconds in the upper bytes, the date's revision in the lowest
+	// byte.
 	finalStatuses map[string]model.JobStatus
 	endDates      map[string]uint64
 
-	// submitQueue has submissions that are not in a transaction yet; submitTxnsInFlight
-	// counts the transactions that are under way.
+	// submitQueue holds submissions that are not part of a transaction yet. submitTxnsInFlight
+	// counts the transactions that the store has not answered.
 	submitQueue        []*submission
 	submitTxnsInFlight int
 
-	// Reads of job status records: who waits for which, the batcher that combines them, and
-	// whether its next round is scheduled.
+	// Reads of job status records: the callbacks that wait for each record, the batcher that
+	// combines the reads, and whether its next round is scheduled.
 	statusWaiters       map[string][]func(message.StoreResponse)
 	readBatches         readbatch.Batcher
 	batchRoundScheduled bool
 
-	// Requests without an answer: how many, and all of them by deadline (with answered ones
-	// in between).
+	// Requests without an answer: their number, and a list in the order of their deadlines,
+	// which still contains some answered requests.
 	waitingRequests    int
 	requestsByDeadline []*userRequest
 
-	// acceptedAt is when a user was last answered that a job is accepted, for
-	// userRequestTimeout; acceptedAnswers are the same in the order of time.
+	// acceptedAt is when a user was last told that a job is accepted, for each such job of the
+	// last userRequestTimeout. acceptedAnswers holds the same answers in the order of time.
 	acceptedAt      map[string]time.Time
 	acceptedAnswers []acceptedAnswer
 }
 
-// acceptedAnswer is an answer that said that a job is accepted.
+// acceptedAnswer records that a user was told that a job is accepted.
 type acceptedAnswer struct {
 	answeredAt time.Time
 	id         string
 }
 
-// noteAccepted notes an answer that says that a job is accepted. It is kept for as long as a
-// request may wait whose read of the store was earlier.
-func (f *frontend) noteAccepted(id string, now time.Time) {
-	for len(f.acceptedAnswers) > 0 && now.Sub(f.acceptedAnswers[0].answeredAt) > userRequestTimeout {
-		if first := f.acceptedAnswers[0]; f.acceptedAt[first.id].Equal(first.answeredAt) {
-			delete(f.acceptedAt, first.id)
+// noteAccepted records that a user was told that a job is accepted. The entry is kept for
+// userRequestTimeout, the longest time that a request may still wait whose read of the store was
+// sent before this answer.
+func (frontend *frontend) noteAccepted(id string, now time.Time) {
+	for len(frontend.acceptedAnswers) > 0 && now.Sub(frontend.acceptedAnswers[0].answeredAt) > userRequestTimeout {
+		if first := frontend.acceptedAnswers[0]; frontend.acceptedAt[first.id].Equal(first.answeredAt) {
+			delete(frontend.acceptedAt, first.id)
 		}
-		f.acceptedAnswers = f.acceptedAnswers[1:]
+		frontend.acceptedAnswers = frontend.acceptedAnswers[1:]
 	}
-	if !f.acceptedAt[id].Equal(now) {
-		f.acceptedAt[id] = now
-		f.acceptedAnswers = append(f.acceptedAnswers, acceptedAnswer{now, id})
+	if !frontend.acceptedAt[id].Equal(now) {
+		frontend.acceptedAt[id] = now
+		frontend.acceptedAnswers = append(frontend.acceptedAnswers, acceptedAnswer{now, id})
 	}
 }
 
 // userRequest is a user's request about one job.
 type userRequest struct {
-	// reply names the request to the API, id is the job.
+	// reply identifies the request to the API, and id is the job.
 	reply uint64
 	id    string
-	// deadline is when it is refused if there is no answer; see userRequestTimeout.
+	// deadline is when the request is refused if it has no answer; see userRequestTimeout.
 	deadline time.Time
 	answered bool
 }
 
-func (f *frontend) init() {
-	f.finalStatuses, f.acceptedAt = map[string]model.JobStatus{}, map[string]time.Time{}
-	f.statusWaiters = map[string][]func(message.StoreResponse){}
+// init creates the frontend's maps.
+func (frontend *frontend) init() {
+	frontend.finalStatuses, frontend.acceptedAt = map[string]model.JobStatus{}, map[string]time.Time{}
+	frontend.statusWaiters = map[string][]func(message.StoreResponse){}
 }
 
-// newUserRequest counts a request as waiting until it is answered.
-func (f *frontend) newUserRequest(reply uint64, id string) *userRequest {
-	request := &userRequest{reply: reply, id: id, deadline: f.now.Add(userRequestTimeout)}
-	f.waitingRequests++
-	if len(f.requestsByDeadline) == 0 {
-		f.after(userRequestTimeout, f.expireUserRequests)
+// newUserRequest adds a request, which counts as waiting until it is answered.
+func (frontend *frontend) newUserRequest(reply uint64, id string) *userRequest {
+	request := &userRequest{reply: reply, id: id, deadline: frontend.now.Add(userRequestTimeout)}
+	frontend.waitingRequests++
+	if len(frontend.requestsByDeadline) == 0 {
+		frontend.after(userRequestTimeout, frontend.expireUserRequests)
 	}
-	f.requestsByDeadline = append(f.requestsByDeadline, request)
+	frontend.requestsByDeadline = append(frontend.requestsByDeadline, request)
 	return request
 }
 
-// expireUserRequests refuses the requests that have waited too long.
-func (f *frontend) expireUserRequests() {
+// expireUserRequests refuses the requests whose deadline has passed.
+func (frontend *frontend) expireUserRequests() {
 	i := 0
-	for ; i < len(f.requestsByDeadline) && !f.requestsByDeadline[i].deadline.After(f.now); i++ {
-		if request := f.requestsByDeadline[i]; !request.answered {
-			f.refuseRequest(request, "the state service does not answer")
+	for ; i < len(frontend.requestsByDeadline) && !frontend.requestsByDeadline[i].deadline.After(frontend.now); i++ {
+		if request := frontend.requestsByDeadline[i]; !request.answered {
+			frontend.refuseRequest(request, "the state service does not answer")
 		}
 	}
-	f.requestsByDeadline = slices.Delete(f.requestsByDeadline, 0, i)
-	if len(f.requestsByDeadline) > 0 {
-		f.after(f.requestsByDeadline[0].deadline.Sub(f.now), f.expireUserRequests)
+	frontend.requestsByDeadline = slices.Delete(frontend.requestsByDeadline, 0, i)
+	if len(frontend.requestsByDeadline) > 0 {
+		frontend.after(frontend.requestsByDeadline[0].deadline.Sub(frontend.now), frontend.expireUserRequests)
 	}
 }
 
-// answerRequest answers a request, unless it has its answer already.
-func (f *frontend) answerRequest(request *userRequest, r message.UserReply) {
+// answerRequest answers a request, unless it has been answered already.
+func (frontend *frontend) answerRequest(request *userRequest, reply message.UserReply) {
 	if request.answered {
 		return
 	}
 	request.answered = true
-	f.waitingRequests--
-	if s, isFinal := f.finalStatuses[request.id]; isFinal && r.Status < 500 && r.State != string(s) {
-		// The read was before the job's end, which another answer may have told since.
-		r = f.replyWithStatus(request.id, s)
+	frontend.waitingRequests--
+	if status, isFinal := frontend.finalStatuses[request.id]; isFinal && reply.Status < 500 && reply.State != string(status) {
+		// The read was sent before the job ended, and another answer may have reported the end
+		// since.
+		reply = frontend.replyWithStatus(request.id, status)
 	}
-	if r.Status < 300 && f.waitingRequests > 0 {
-		f.noteAccepted(request.id, f.now)
+	if reply.Status < 300 && frontend.waitingRequests > 0 {
+		frontend.noteAccepted(request.id, frontend.now)
 	}
-	r.Reply = request.reply
-	if r.ID == "" {
-		r.ID = request.id
+	reply.Reply = request.reply
+	if reply.ID == "" {
+		reply.ID = request.id
 	}
-	if r.Status != 503 && !model.JobStatus(r.State).IsFinal() {
-		// The answer rests on a read that began after the request. Whoever asked waits no
-		// longer than this, and may get a newer answer from another controller then.
-		r.SendDeadline = request.deadline
+	if reply.Status != 503 && !model.JobStatus(reply.State).IsFinal() {
+		// The answer rests on a read that began after the request. The user waits no longer than
+		// this deadline, and may then get a newer answer from another controller.
+		reply.SendDeadline = request.deadline
 	}
-	f.emit(r)
+	frontend.emit(reply)
 }
 
 // refuseRequest answers that the request may be repeated later.
-func (f *frontend) refuseRequest(request *userRequest, reason string) {
-	f.answerRequest(request, message.UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
+func (frontend *frontend) refuseRequest(request *userRequest, reason string) {
+	frontend.answerRequest(request, message.UserReply{Status: 503, Message: reason, RetryAfter: retryAfter})
 }
 
-// refuseIfUnavailable refuses a request at once while nothing can be read or stored, or too
-// much waits. s is what is submitted, or nil.
-func (f *frontend) refuseIfUnavailable(reply uint64, id string, s *model.JobSpec) bool {
+// refuseIfUnavailable refuses a request at once, and returns true, while this controller is
+// starting, the store is unavailable or too many requests are waiting. spec is the submitted
+// job, or nil for other requests.
+func (frontend *frontend) refuseIfUnavailable(reply uint64, id string, spec *model.JobSpec) bool {
 	switch {
-	case !f.controller.membership.ready:
-		f.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
-	case f.controller.membership.storeDown(f.now):
-		f.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is away", RetryAfter: f.spread(retryAfterOutage)})
-	case f.waitingRequests >= maxWaitingRequests || s != nil && f.controller.ranking.overloadRefuses(s):
-		f.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: f.spread(retryAfterOutage)})
+	case !frontend.controller.membership.ready:
+		frontend.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "starting", RetryAfter: retryAfter})
+	case frontend.controller.membership.storeDown(frontend.now):
+		frontend.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "the state service is unavailable", RetryAfter: frontend.spread(retryAfterOutage)})
+	case frontend.waitingRequests >= maxWaitingRequests || spec != nil && frontend.controller.ranking.overloadRefuses(spec):
+		frontend.emit(message.UserReply{Reply: reply, ID: id, Status: 503, Message: "too many requests are waiting", RetryAfter: frontend.spread(retryAfterOutage)})
 	default:
 		return false
 	}
 	return true
 }
 
-// replyWithStatus is the answer with a job's state and what else is known of it here.
-func (f *frontend) replyWithStatus(id string, s model.JobStatus) message.UserReply {
-	r := message.UserReply{Status: 200, ID: id, State: string(s)}
-	if !s.IsFinal() {
-		p := f.progressOf(id)
-		r.Done, r.Running = p.Done, p.Running
-		if p.Running > 0 {
-			r.State = "running"
+// replyWithStatus returns an answer with the given state of a job, and with the progress or
+// promised date that this controller knows of the job.
+func (frontend *frontend) replyWithStatus(id string, status model.JobStatus) message.UserReply {
+	reply := message.UserReply{Status: 200, ID: id, State: string(status)}
+	if !status.IsFinal() {
+		progress := frontend.progressOf(id)
+		reply.Done, reply.Running = progress.Done, progress.Running
+		if progress.Running > 0 {
+			reply.State = "running"
 		}
-	} else if d, ok := f.endDates[id]; ok && s == model.Done {
-		r = r.WithDate(promise.Date{After: time.Duration(d>>8) * time.Millisecond, Revision: int(d & 0xff)})
+	} else if date, ok := frontend.endDates[id]; ok && status == model.Done {
+		reply = reply.WithDate(promise.Date{After: time.Duration(date>>8) * time.Millisecond, Revision: int(date & 0xff)})
 	}
-	return r
+	return reply
 }
 
-// forgetFinalStatus forgets the end of a job whose records have been dropped.
-func (f *frontend) forgetFinalStatus(id string) { delete(f.finalStatuses, id) }
+// forgetFinalStatus removes the cached final state of a job whose records have been deleted.
+func (frontend *frontend) forgetFinalStatus(id string) { delete(frontend.finalStatuses, id) }
 
-// clearEndDates forgets the promised dates of done jobs.
-func (f *frontend) clearEndDates() { f.endDates = map[string]uint64{} }
+// clearEndDates removes the cached promised dates of done jobs.
+func (frontend *frontend) clearEndDates() { frontend.endDates = map[string]uint64{} }
 
-// cacheEndDate notes the promised date of a done job.
-func (f *frontend) cacheEndDate(id string, d promise.Date) {
-	f.endDates[id] = uint64(d.After.Milliseconds())<<8 | uint64(d.Revision)
+// cacheEndDate caches the promised date of a done job.
+func (frontend *frontend) cacheEndDate(id string, date promise.Date) {
+	frontend.endDates[id] = uint64(date.After.Milliseconds())<<8 | uint64(date.Revision)
 }
 
-// progressOf is a job's count of tasks as far as this controller knows; for display.
-func (f *frontend) progressOf(id string) message.Progress {
-	if f.controller.shardLeader != nil {
-		if j := f.controller.shardLeader.jobs[id]; j != nil {
-			return j.progress()
+// progressOf returns a job's task counts as far as this controller knows them, for display.
+func (frontend *frontend) progressOf(id string) message.Progress {
+	if frontend.controller.shardLeader != nil {
+		if job := frontend.controller.shardLeader.jobs[id]; job != nil {
+			return job.progress()
 		}
 	}
-	return f.progressByJob[id]
+	return frontend.progressByJob[id]
 }
 
-func withReply(r message.UserReply, reply uint64) message.UserReply {
-	r.Reply = reply
-	return r
+// withReply returns userReply addressed to the request that reply identifies.
+func withReply(userReply message.UserReply, reply uint64) message.UserReply {
+	userReply.Reply = reply
+	return userReply
 }
 
-// cacheFinalStatus notes the end of a job, which is for good.
-func (f *frontend) cacheFinalStatus(id string, s model.JobStatus) {
-	f.finalStatuses[id] = s
-	delete(f.progressByJob, id)
-	f.controller.noteDependencyState(id)
+// cacheFinalStatus records that a job has ended with the given status, which never changes.
+func (frontend *frontend) cacheFinalStatus(id string, status model.JobStatus) {
+	frontend.finalStatuses[id] = status
+	delete(frontend.progressByJob, id)
+	frontend.controller.noteDependencyState(id)
 }
 
+// boolToFloat returns 1 for true and 0 for false.
 func boolToFloat(b bool) float64 {
 	if b {
 		return 1
--- a/internal/controller/loan_commands.go
+++ b/internal/controller/loan_commands.go
@@ -9,178 +9,186 @@
 // loanTxn is a loan command as a transaction.
 type loanTxn struct {
 	message.StoreRequest
-	// job is the job if this controller runs it, else nil.
+	// job is the job if this controller is its shard leader, else nil.
 	job *job
-	// openUpdate is what becomes of the job's record in open/; its key is "" if it stays.
+	// openUpdate is the change of the job's record in open/. Its key is "" if the record does
+	// not change.
 	openUpdate message.KeyValue
-	// onApplied, if set, runs when the transaction was applied.
+	// onApplied, if set, is called after the transaction was applied.
 	onApplied func()
 }
 
-func (t *loanTxn) compare(key string, modRevision uint64) {
-	t.Compares = append(t.Compares, message.Compare{Key: key, ModRevision: modRevision})
+// compare adds the condition that key has the mod revision modRevision, or is absent if that is
+// 0.
+func (txn *loanTxn) compare(key string, modRevision uint64) {
+	txn.Compares = append(txn.Compares, message.Compare{Key: key, ModRevision: modRevision})
 }
 
-func (t *loanTxn) write(key string, value []byte) {
-	t.Writes = append(t.Writes, message.Write{Key: key, Value: value})
+// write adds a write of key. A nil value deletes the key.
+func (txn *loanTxn) write(key string, value []byte) {
+	txn.Writes = append(txn.Writes, message.Write{Key: key, Value: value})
 }
 
-// runCommand carries out one command as one transaction. It names the record of the one who decides, the leader's for
-// what is lent, the shard of the guests' team for what is borrowed, so that nothing of a deposed one is applied; and
-// the record that the decision rests on.
-func (l *lending) runCommand(cmd message.LoanCommand) {
-	done := func(s message.LoanStatus) { l.emit(message.LoanReply{Reply: cmd.Reply, Status: s}) }
-	t := &loanTxn{StoreRequest: message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}}
-	if !l.addDecider(t, &cmd) || !l.addCommand(t, &cmd) {
-		done(message.LoanNotApplied)
+// runCommand carries out a command as one transaction. The transaction compares the record of
+// the role that decides, so that no command of a deposed controller is applied: the leader's
+// record for lent jobs, the shard of the guests' team for borrowed ones. It also compares the
+// records that the decision rests on.
+func (loans *lending) runCommand(cmd message.LoanCommand) {
+	reply := func(status message.LoanStatus) { loans.emit(message.LoanReply{Reply: cmd.Reply, Status: status}) }
+	txn := &loanTxn{StoreRequest: message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}}
+	if !loans.addDecider(txn, &cmd) || !loans.addCommand(txn, &cmd) {
+		reply(message.LoanNotApplied)
 		return
 	}
-	if t.openUpdate.Key != "" {
-		t.write(t.openUpdate.Key, t.openUpdate.Value)
+	if txn.openUpdate.Key != "" {
+		txn.write(txn.openUpdate.Key, txn.openUpdate.Value)
 	}
-	l.controller.requests.toStore(t.StoreRequest, func(resp message.StoreResponse) {
-		if t.job != nil {
-			t.job.lending = false
+	loans.controller.requests.toStore(txn.StoreRequest, func(response message.StoreResponse) {
+		if txn.job != nil {
+			txn.job.lending = false
 		}
-		switch resp.Status {
+		switch response.Status {
 		case message.StoreOK:
-			t.openUpdate.ModRevision = resp.Revision
-			if t.onApplied != nil {
-				t.onApplied()
+			txn.openUpdate.ModRevision = response.Revision
+			if txn.onApplied != nil {
+				txn.onApplied()
 			}
-			if t.openUpdate.Key != "" {
-				l.controller.observeOwnWrite(t.openUpdate)
+			if txn.openUpdate.Key != "" {
+				loans.controller.observeOwnWrite(txn.openUpdate)
 			}
-			done(message.LoanDurable)
+			reply(message.LoanDurable)
 		case message.StoreConflict, message.StoreRefused, message.StoreMalformed, message.StoreNoLease:
-			done(message.LoanNotApplied)
+			reply(message.LoanNotApplied)
 		default:
 			if cmd.Kind >= message.LoanAccept {
-				// Applied or not: the loans are read again before the next command.
-				l.loaded = false
+				// The transaction may or may not have been applied, so the loans are read again
+				// before the next command.
+				loans.loaded = false
 			}
-			done(message.LoanUncertain)
+			reply(message.LoanUncertain)
 		}
 	})
 }
 
-// addDecider names the record of the one who decides. It returns false if that is not this controller.
-func (l *lending) addDecider(t *loanTxn, cmd *message.LoanCommand) bool {
-	leadsShard := l.controller.shardLeader != nil && l.controller.shardLeader.ready
+// addDecider adds the compare of the record of the role that decides. It returns false if this
+// controller does not have that role.
+func (loans *lending) addDecider(txn *loanTxn, cmd *message.LoanCommand) bool {
+	leadsShard := loans.controller.shardLeader != nil && loans.controller.shardLeader.ready
 	switch borrowing := cmd.Kind >= message.LoanAccept; {
-	case borrowing && leadsShard && l.offloadedJobsLoaded():
-		t.Compares = append(t.Compares, l.controller.shardLeader.shardCompares(l.team)...)
-	case !borrowing && l.controller.leader != nil:
-		t.compare(record.LeaderKey, l.controller.leader.modRevision)
+	case borrowing && leadsShard && loans.offloadedJobsLoaded():
+		txn.Compares = append(txn.Compares, loans.controller.shardLeader.shardCompares(loans.team)...)
+	case !borrowing && loans.controller.leader != nil:
+		txn.compare(record.LeaderKey, loans.controller.leader.modRevision)
 	default:
 		return false
 	}
 	if leadsShard {
-		t.job = l.controller.shardLeader.jobs[cmd.Job]
+		txn.job = loans.controller.shardLeader.jobs[cmd.Job]
 	}
 	return true
 }
 
-// addCommand adds what the command compares and writes. It returns false if it can't be applied to the job as it is
-// known here.
-func (l *lending) addCommand(t *loanTxn, cmd *message.LoanCommand) bool {
-	current, isOpen := l.controller.frontend.watchCache.openJobs[cmd.Job]
+// addCommand adds the compares and writes of the command. It returns false if the command cannot
+// be applied to the job's known state.
+func (loans *lending) addCommand(txn *loanTxn, cmd *message.LoanCommand) bool {
+	current, isOpen := loans.controller.frontend.watchCache.openJobs[cmd.Job]
 	isLent := isOpen && current.rec.LentTo != ""
 	switch cmd.Kind {
 	case message.LoanLend:
-		return l.addLend(t, cmd)
+		return loans.addLend(txn, cmd)
 	case message.LoanTakeBack:
-		return isLent && current.rec.LendCount == cmd.LendCount && addTakeBack(t, cmd, &current)
+		return isLent && current.rec.LendCount == cmd.LendCount && addTakeBack(txn, cmd, &current)
 	case message.LoanSettle:
-		return isLent && current.rec.LendCount == cmd.LendCount && l.addEnd(t, cmd, &current, model.Done)
+		return isLent && current.rec.LendCount == cmd.LendCount && loans.addEnd(txn, cmd, &current, model.Done)
 	case message.LoanEndCancelled:
-		return isLent && current.rec.LendCount == cmd.LendCount && l.addEnd(t, cmd, &current, model.Cancelled)
+		return isLent && current.rec.LendCount == cmd.LendCount && loans.addEnd(txn, cmd, &current, model.Cancelled)
 	case message.LoanAccept:
-		return l.addAccept(t, cmd)
+		return loans.addAccept(txn, cmd)
 	case message.LoanGiveUp:
-		return isOpen && !current.rec.Cancelled && l.addGiveUp(t, cmd, &current)
+		return isOpen && !current.rec.Cancelled && loans.addGiveUp(txn, cmd, &current)
 	case message.LoanDrop:
-		return l.addDrop(t, cmd)
+		return loans.addDrop(txn, cmd)
 	}
 	return true
 }
 
-// addLend lends a job that was never started here to a peer.
-func (l *lending) addLend(t *loanTxn, cmd *message.LoanCommand) bool {
-	j := t.job
-	if j == nil || !j.isLendable() || !l.controller.promises.isDateDurable(j) {
+// addLend lends a job to a peer. No task of the job may ever have started in this cluster.
+func (loans *lending) addLend(txn *loanTxn, cmd *message.LoanCommand) bool {
+	job := txn.job
+	if job == nil || !job.isLendable() || !loans.controller.promises.isDateDurable(job) {
 		return false
 	}
-	rec := j.currentRecord()
+	rec := job.currentRecord()
 	rec.LentTo, rec.LendCount, rec.StopBoundMillis = cmd.Peer, cmd.LendCount, cmd.StopBound.Milliseconds()
-	j.lending = true
-	// Without an answer it may be applied after the job was started here, which leaves its record in
-	// open/ as it is. So the record of the first task must not be there either.
-	t.Compares = append(t.Compares, l.controller.shardLeader.shardCompares(j.Team)...)
-	t.compare(record.OpenJobPrefix+cmd.Job, j.modRevision)
-	t.Compares = append(t.Compares, l.controller.membership.formats.neverStartedCompares(cmd.Job)...)
-	t.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
+	job.lending = true
+	// If the transaction gets no answer, the store may apply it after the job was started in
+	// this cluster. A start does not change the record in open/, so the transaction also
+	// requires that the record of the first task is absent.
+	txn.Compares = append(txn.Compares, loans.controller.shardLeader.shardCompares(job.Team)...)
+	txn.compare(record.OpenJobPrefix+cmd.Job, job.modRevision)
+	txn.Compares = append(txn.Compares, loans.controller.membership.formats.neverStartedCompares(cmd.Job)...)
+	txn.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
 	return true
 }
 
-// addTakeBack takes a lent job back, which may then be started here.
-func addTakeBack(t *loanTxn, cmd *message.LoanCommand, current *openJob) bool {
+// addTakeBack takes a lent job back. Its tasks may then be started in this cluster.
+func addTakeBack(txn *loanTxn, cmd *message.LoanCommand, current *openJob) bool {
 	rec := current.rec
 	rec.LentTo, rec.StopBoundMillis, rec.CancelRequested = "", 0, false
-	t.compare(record.OpenJobPrefix+cmd.Job, current.modRevision)
-	t.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
+	txn.compare(record.OpenJobPrefix+cmd.Job, current.modRevision)
+	txn.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
 	return true
 }
 
-// addEnd ends a lent job that the peer has done, or cancelled.
-func (l *lending) addEnd(t *loanTxn, cmd *message.LoanCommand, current *openJob, status model.JobStatus) bool {
-	endRec := l.controller.promises.endRecordFromCache(cmd.Job, status, current)
-	t.compare(record.OpenJobPrefix+cmd.Job, current.modRevision)
-	t.write(record.JobStatusPrefix+cmd.Job, record.Encode(endRec))
-	t.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Deleted: true}
-	t.onApplied = func() {
-		l.controller.frontend.cacheFinalStatus(cmd.Job, status)
-		l.controller.promises.cacheDoneDate(cmd.Job, endRec)
+// addEnd ends a lent job that the peer has completed or cancelled.
+func (loans *lending) addEnd(txn *loanTxn, cmd *message.LoanCommand, current *openJob, status model.JobStatus) bool {
+	endRec := loans.controller.promises.endRecordFromCache(cmd.Job, status, current)
+	txn.compare(record.OpenJobPrefix+cmd.Job, current.modRevision)
+	txn.write(record.JobStatusPrefix+cmd.Job, record.Encode(endRec))
+	txn.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Deleted: true}
+	txn.onApplied = func() {
+		loans.controller.frontend.cacheFinalStatus(cmd.Job, status)
+		loans.controller.promises.cacheDoneDate(cmd.Job, endRec)
 	}
 	return true
 }
 
-// addAccept borrows a job from a peer: it becomes an open job of the guests' team.
-func (l *lending) addAccept(t *loanTxn, cmd *message.LoanCommand) bool {
+// addAccept borrows a job from a peer: the job becomes an open job of the guests' team.
+func (loans *lending) addAccept(txn *loanTxn, cmd *message.LoanCommand) bool {
 	loan := record.OffloadedJob{Job: cmd.Job}
-	rec := record.NewOpenJob(&cmd.Spec, l.now.Add(-cmd.Age))
+	rec := record.NewOpenJob(&cmd.Spec, loans.now.Add(-cmd.Age))
 	rec.BorrowedLoan = cmd.Loan
-	t.compare(record.OffloadedJobPrefix+cmd.Loan, 0)
-	t.compare(record.OpenJobPrefix+cmd.Job, 0)
-	t.compare(record.JobStatusPrefix+cmd.Job, 0)
-	t.write(record.OffloadedJobPrefix+cmd.Loan, record.Encode(loan))
-	t.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
-	t.onApplied = func() { l.byLoan[cmd.Loan] = loan }
+	txn.compare(record.OffloadedJobPrefix+cmd.Loan, 0)
+	txn.compare(record.OpenJobPrefix+cmd.Job, 0)
+	txn.compare(record.JobStatusPrefix+cmd.Job, 0)
+	txn.write(record.OffloadedJobPrefix+cmd.Loan, record.Encode(loan))
+	txn.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
+	txn.onApplied = func() { loans.byLoan[cmd.Loan] = loan }
 	return true
 }
 
-// addGiveUp cancels a borrowed job, and records why, for its home.
-func (l *lending) addGiveUp(t *loanTxn, cmd *message.LoanCommand, current *openJob) bool {
+// addGiveUp cancels a borrowed job, and records the cause for its home cluster.
+func (loans *lending) addGiveUp(txn *loanTxn, cmd *message.LoanCommand, current *openJob) bool {
 	loan := record.OffloadedJob{Job: cmd.Job, Cause: cmd.Cause}
 	rec := current.rec
-	rec.Cancelled, rec.CancelledAtMillis = true, l.now.UnixMilli()
-	rec.ShrinkToFit(l.settings.MaxValueBytes)
-	t.compare(record.OpenJobPrefix+cmd.Job, current.modRevision)
-	t.write(record.JobStatusPrefix+cmd.Job, record.Encode(l.controller.promises.endRecordFromCache(cmd.Job, model.Cancelled, current)))
-	t.write(record.OffloadedJobPrefix+cmd.Loan, record.Encode(loan))
-	t.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
-	t.onApplied = func() { l.byLoan[cmd.Loan] = loan }
+	rec.Cancelled, rec.CancelledAtMillis = true, loans.now.UnixMilli()
+	rec.ShrinkToFit(loans.settings.MaxValueBytes)
+	txn.compare(record.OpenJobPrefix+cmd.Job, current.modRevision)
+	txn.write(record.JobStatusPrefix+cmd.Job, record.Encode(loans.controller.promises.endRecordFromCache(cmd.Job, model.Cancelled, current)))
+	txn.write(record.OffloadedJobPrefix+cmd.Loan, record.Encode(loan))
+	txn.openUpdate = message.KeyValue{Key: record.OpenJobPrefix + cmd.Job, Value: record.Encode(rec)}
+	txn.onApplied = func() { loans.byLoan[cmd.Loan] = loan }
 	return true
 }
 
-// addDrop removes what is left of a loan whose home knows its end.
-func (l *lending) addDrop(t *loanTxn, cmd *message.LoanCommand) bool {
-	t.compare(record.OpenJobPrefix+cmd.Job, 0)
-	t.write(record.OffloadedJobPrefix+cmd.Loan, nil)
-	t.write(record.JobStatusPrefix+cmd.Job, nil)
-	t.onApplied = func() {
-		delete(l.byLoan, cmd.Loan)
-		l.controller.frontend.forgetFinalStatus(cmd.Job)
+// addDrop deletes the remaining records of a loan whose end the home cluster knows.
+func (loans *lending) addDrop(txn *loanTxn, cmd *message.LoanCommand) bool {
+	txn.compare(record.OpenJobPrefix+cmd.Job, 0)
+	txn.write(record.OffloadedJobPrefix+cmd.Loan, nil)
+	txn.write(record.JobStatusPrefix+cmd.Job, nil)
+	txn.onApplied = func() {
+		delete(loans.byLoan, cmd.Loan)
+		loans.controller.frontend.forgetFinalStatus(cmd.Job)
 	}
 	return true
 }
--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -13,210 +13,216 @@
 )
 
 const (
-	// maxOfferedPerKind is how many machines of a kind are offered to peers that would have to be
-	// rented for them: the cloud does not say how many it has.
+	// maxOfferedPerKind is how many machines of a kind are offered to peers that would have to
+	// be rented first. The cloud does not report how many it has.
 	maxOfferedPerKind = 8
-	// refusalMemory is how long no machine of a kind is expected after a refusal has passed. It is
-	// requested again much sooner; but a plan that counts on it each time would keep jobs here that
-	// then wait.
+	// refusalMemory is how long after the end of a refusal by the cloud no machine of the kind
+	// is expected. The kind is requested again much sooner, but a plan that counted on it each
+	// time would keep jobs in this cluster that then wait.
 	refusalMemory = time.Minute
 )
 
-// queryLoans answers once the watch cache is as of a moment after the query, and takes in what the query brings: the
-// progress of jobs at peers, and until when borrowed jobs may start.
-func (l *lending) queryLoans(c message.QueryLoans) {
-	l.controller.frontend.receiveProgress(c.Progress)
-	if s := l.controller.shardLeader; s != nil {
-		for id, j := range s.jobs {
-			if j.borrowedLoan != "" {
-				if was := j.startableUntil; c.StartableUntil[id].After(was) || c.StartableUntil[id].IsZero() {
-					j.startableUntil = c.StartableUntil[id]
-					if was.Before(l.now) {
-						s.scheduler.requestPlacement()
+// queryLoans applies what the query brings: the progress of jobs at peers, and until when the
+// tasks of borrowed jobs may start. It answers once the watch cache is as of a moment after the
+// query.
+func (loans *lending) queryLoans(query message.QueryLoans) {
+	loans.controller.frontend.receiveProgress(query.Progress)
+	if shardLeader := loans.controller.shardLeader; shardLeader != nil {
+		for id, job := range shardLeader.jobs {
+			if job.borrowedLoan != "" {
+				if previous := job.startableUntil; query.StartableUntil[id].After(previous) || query.StartableUntil[id].IsZero() {
+					job.startableUntil = query.StartableUntil[id]
+					if previous.Before(loans.now) {
+						shardLeader.scheduler.requestPlacement()
 					}
 				}
 			}
 		}
 	}
-	unavailable := func() { l.emit(message.LoanView{Reply: c.Reply, Leader: l.controller.membership.leader.Host}) }
+	unavailable := func() {
+		loans.emit(message.LoanView{Reply: query.Reply, Leader: loans.controller.membership.leader.Host})
+	}
 	runsGuestTeam := func() bool {
-		return l.controller.shardLeader != nil && l.controller.shardLeader.teams[c.GuestTeam] != nil && l.controller.shardLeader.teams[c.GuestTeam].ready
+		return loans.controller.shardLeader != nil && loans.controller.shardLeader.teams[query.GuestTeam] != nil && loans.controller.shardLeader.teams[query.GuestTeam].ready
 	}
-	if runsGuestTeam() && !l.offloadedJobsLoaded() {
-		l.load(c.GuestTeam)
+	if runsGuestTeam() && !loans.offloadedJobsLoaded() {
+		loans.load(query.GuestTeam)
 		unavailable()
 		return
 	}
-	if l.controller.leader == nil && !runsGuestTeam() {
-		l.emit(message.LoanView{Reply: c.Reply, OK: true, Leader: l.controller.membership.leader.Host})
+	if loans.controller.leader == nil && !runsGuestTeam() {
+		loans.emit(message.LoanView{Reply: query.Reply, OK: true, Leader: loans.controller.membership.leader.Host})
 		return
 	}
-	l.controller.frontend.watchCache.refresh(func(ok bool) {
-		if !ok || runsGuestTeam() && !l.offloadedJobsLoaded() {
+	loans.controller.frontend.watchCache.refresh(func(ok bool) {
+		if !ok || runsGuestTeam() && !loans.offloadedJobsLoaded() {
 			unavailable()
 			return
 		}
-		l.emit(l.buildLoanView(c, runsGuestTeam()))
+		loans.emit(loans.buildLoanView(query, runsGuestTeam()))
 	})
 }
 
-// buildLoanView is the answer to a query, with the loans that this controller decides on.
-func (l *lending) buildLoanView(c message.QueryLoans, runsGuestTeam bool) message.LoanView {
-	cache := &l.controller.frontend.watchCache
-	v := message.LoanView{
-		Reply: c.Reply, OK: true, Leader: l.controller.membership.leader.Host, LeaseValidUntil: l.controller.membership.leaseValidUntil,
-		Draining: l.controller.membership.drain.Enabled, RenewedAt: maps.Clone(l.renewedAt), RunsGuestTeam: runsGuestTeam,
+// buildLoanView returns the answer to a query, with the loans that this controller decides on.
+func (loans *lending) buildLoanView(query message.QueryLoans, runsGuestTeam bool) message.LoanView {
+	cache := &loans.controller.frontend.watchCache
+	view := message.LoanView{
+		Reply: query.Reply, OK: true, Leader: loans.controller.membership.leader.Host, LeaseValidUntil: loans.controller.membership.leaseValidUntil,
+		Draining: loans.controller.membership.drain.Enabled, RenewedAt: maps.Clone(loans.renewedAt), RunsGuestTeam: runsGuestTeam,
 	}
-	if l.controller.leader != nil {
-		v.IsLeader, v.Epoch = true, l.controller.leader.modRevision
+	if loans.controller.leader != nil {
+		view.IsLeader, view.Epoch = true, loans.controller.leader.modRevision
 	}
 	if runsGuestTeam {
-		v.GuestTeamEpoch, v.GuestTeamTerm = l.controller.membership.shardMap.Team(c.GuestTeam).HeldSince(), l.term
+		view.GuestTeamEpoch, view.GuestTeamTerm = loans.controller.membership.shardMap.Team(query.GuestTeam).HeldSince(), loans.term
 	}
-	if l.controller.membership.drain.Deadline > 0 {
-		v.DrainDeadline = time.UnixMilli(l.controller.membership.drain.Deadline)
+	if loans.controller.membership.drain.Deadline > 0 {
+		view.DrainDeadline = time.UnixMilli(loans.controller.membership.drain.Deadline)
 	}
 	for _, id := range sortedKeys(cache.openJobs) {
-		if r := cache.openJobs[id].rec; v.IsLeader && r.LentTo != "" {
-			v.Lent = append(v.Lent, message.LentJob{Spec: r.JobSpec(id), SubmittedAt: time.UnixMilli(r.SubmittedAtMillis), Peer: r.LentTo, LendCount: r.LendCount, StopBound: time.Duration(r.StopBoundMillis) * time.Millisecond, CancelRequested: r.CancelRequested})
+		if rec := cache.openJobs[id].rec; view.IsLeader && rec.LentTo != "" {
+			view.Lent = append(view.Lent, message.LentJob{Spec: rec.JobSpec(id), SubmittedAt: time.UnixMilli(rec.SubmittedAtMillis), Peer: rec.LentTo, LendCount: rec.LendCount, StopBound: time.Duration(rec.StopBoundMillis) * time.Millisecond, CancelRequested: rec.CancelRequested})
 		}
 	}
 	if runsGuestTeam {
-		for _, name := range sortedKeys(l.byLoan) {
-			v.Borrowed = append(v.Borrowed, l.buildBorrowedJob(name))
+		for _, name := range sortedKeys(loans.byLoan) {
+			view.Borrowed = append(view.Borrowed, loans.buildBorrowedJob(name))
 		}
 	}
-	if s := l.controller.shardLeader; s != nil && s.ready && c.WithSimulation {
-		l.simulateLoans(&v)
+	if shardLeader := loans.controller.shardLeader; shardLeader != nil && shardLeader.ready && query.WithSimulation {
+		loans.simulateLoans(&view)
 	}
-	return v
+	return view
 }
 
-// buildBorrowedJob is what is known of a loan that was taken.
-func (l *lending) buildBorrowedJob(name string) message.BorrowedJob {
-	g := l.byLoan[name]
-	b := message.BorrowedJob{Loan: name, Job: g.Job, Cause: g.Cause, Status: model.Queued, Started: true}
-	if open, there := l.controller.frontend.watchCache.openJobs[g.Job]; there {
-		b.StatusKnown, b.Spec, b.Ending = true, open.rec.JobSpec(g.Job), open.rec.Cancelled
-	} else if s, ok := l.controller.frontend.finalStatuses[g.Job]; ok {
-		b.StatusKnown, b.Status = true, s
+// buildBorrowedJob returns what this controller knows of a loan that this cluster has taken.
+func (loans *lending) buildBorrowedJob(name string) message.BorrowedJob {
+	loan := loans.byLoan[name]
+	borrowed := message.BorrowedJob{Loan: name, Job: loan.Job, Cause: loan.Cause, Status: model.Queued, Started: true}
+	if open, isOpen := loans.controller.frontend.watchCache.openJobs[loan.Job]; isOpen {
+		borrowed.StatusKnown, borrowed.Spec, borrowed.Ending = true, open.rec.JobSpec(loan.Job), open.rec.Cancelled
+	} else if status, ok := loans.controller.frontend.finalStatuses[loan.Job]; ok {
+		borrowed.StatusKnown, borrowed.Status = true, status
 	} else {
-		l.controller.frontend.readStatusRecord(g.Job, func(d message.StoreResponse) {
-			var r record.JobStatus
-			if d.Status == message.StoreOK && record.Decode(d.KeyValues[0].Value, &r) && r.Status.IsFinal() {
-				l.controller.frontend.cacheFinalStatus(g.Job, r.Status)
+		loans.controller.frontend.readStatusRecord(loan.Job, func(response message.StoreResponse) {
+			var rec record.JobStatus
+			if response.Status == message.StoreOK && record.Decode(response.KeyValues[0].Value, &rec) && rec.Status.IsFinal() {
+				loans.controller.frontend.cacheFinalStatus(loan.Job, rec.Status)
 			}
 		})
 	}
-	p := l.controller.frontend.progressOf(g.Job)
-	b.DoneTasks, b.RunningTasks = p.Done, p.Running
-	if j := l.controller.shardLeader.jobs[g.Job]; j != nil {
-		b.Started = j.hasStarted()
+	progress := loans.controller.frontend.progressOf(loan.Job)
+	borrowed.DoneTasks, borrowed.RunningTasks = progress.Done, progress.Running
+	if job := loans.controller.shardLeader.jobs[loan.Job]; job != nil {
+		borrowed.Started = job.hasStarted()
 	}
-	return b
+	return borrowed
 }
 
-// simulateLoans simulates the queue on the machines there are, and adds to the view which jobs that were never started
-// would end too late here, and which capacity no job of this cluster will want.
-func (l *lending) simulateLoans(v *message.LoanView) {
-	fleet := &l.controller.shardLeader.fleet
-	v.CheapestCPUHour = l.controller.knowledge.cheapestCPUCost()
+// simulateLoans simulates the queue on the present machines. It adds to the view which jobs
+// without a started task would end too late in this cluster, and which capacity no job of this
+// cluster will need.
+func (loans *lending) simulateLoans(view *message.LoanView) {
+	fleet := &loans.controller.shardLeader.fleet
+	view.CheapestCPUHour = loans.controller.knowledge.cheapestCPUCost()
 	capacity := fleet.futureFreeCapacity()
 	sim := fleet.newSimulation(copyFreeCapacity(capacity, nil), capacity.imageIDs, nil)
-	for _, d := range fleet.demands(l.controller.knowledge.planningHorizon(), true, false) {
-		last, unplaceable := time.Time{}, d.count == 0
-		sim.simulate(d, func(_ int, x *simulatedMachine, _, at time.Time) {
-			if unplaceable = unplaceable || x == nil; x != nil {
-				last = later(last, at)
+	for _, demand := range fleet.demands(loans.controller.knowledge.planningHorizon(), true, false) {
+		lastStart, unplaceable := time.Time{}, demand.count == 0
+		sim.simulate(demand, func(_ int, simulated *simulatedMachine, _, start time.Time) {
+			if unplaceable = unplaceable || simulated == nil; simulated != nil {
+				lastStart = later(lastStart, start)
 			}
 		})
-		if d.arrivalSpread > 0 || d.job.borrowedLoan != "" {
+		if demand.arrivalSpread > 0 || demand.job.borrowedLoan != "" {
 			continue
 		}
-		l.addWaitingJob(v, d.job, l.homeFinish(d.job, last, unplaceable))
+		loans.addWaitingJob(view, demand.job, loans.homeFinish(demand.job, lastStart, unplaceable))
 	}
-	l.addFreeCapacity(v, sim)
+	loans.addFreeCapacity(view, sim)
 }
 
-// homeFinish is how long the job is expected to take still here, if the last of its pending tasks starts at lastStart.
-func (l *lending) homeFinish(j *job, lastStart time.Time, unplaceable bool) time.Duration {
-	occupancy := l.controller.shardLeader.fleet.expectedOccupancy(j)
-	finish := lastStart.Add(occupancy).Sub(l.now)
+// homeFinish returns how much longer the job is expected to take in this cluster if the last of
+// its pending tasks starts at lastStart.
+func (loans *lending) homeFinish(job *job, lastStart time.Time, unplaceable bool) time.Duration {
+	occupancy := loans.controller.shardLeader.fleet.expectedOccupancy(job)
+	finish := lastStart.Add(occupancy).Sub(loans.now)
 	if unplaceable {
 		finish = maxLateness
 	}
-	// Pending tasks may also run on machines that are rented for them, unless the cloud has lately
-	// refused the kind.
-	for k, f := range l.rentableKinds() {
-		if j.allowsMachine(k.machineType, k.zone, k.spot) && j.Need.Fits(f.Capacity) {
-			finish = min(finish, f.ProvisioningTime+newMachineFetchTime(&f, j)+occupancy)
+	// Pending tasks may also run on machines that are rented for them, unless the cloud has
+	// recently refused the kind.
+	for kind, machineType := range loans.rentableKinds() {
+		if job.allowsMachine(kind.machineType, kind.zone, kind.spot) && job.Need.Fits(machineType.Capacity) {
+			finish = min(finish, machineType.ProvisioningTime+newMachineFetchTime(&machineType, job)+occupancy)
 		}
 	}
 	return finish
 }
 
-// addWaitingJob adds a job to the view: whether it would be late here, and if it can be lent the job itself.
-func (l *lending) addWaitingJob(v *message.LoanView, j *job, finish time.Duration) {
-	runTime := l.controller.knowledge.expectedRunTime(j)
-	sloDue := l.controller.shardLeader.scheduler.latestStart(j).Add(runTime).Sub(l.now)
+// addWaitingJob adds to the view whether the job would be late in this cluster, and the job
+// itself if it can be lent.
+func (loans *lending) addWaitingJob(view *message.LoanView, job *job, finish time.Duration) {
+	runTime := loans.controller.knowledge.expectedRunTime(job)
+	sloDue := loans.controller.shardLeader.scheduler.latestStart(job).Add(runTime).Sub(loans.now)
 	if finish > sloDue {
-		v.OwnWorkLate, v.LateUrgency = true, max(v.LateUrgency, j.Urgency)
+		view.OwnWorkLate, view.LateUrgency = true, max(view.LateUrgency, job.Urgency)
 	}
-	if j.isLendable() {
-		v.Waiting = append(v.Waiting, message.WaitingJob{Spec: j.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: runTime, LendCount: j.lendCount})
+	if job.isLendable() {
+		view.Waiting = append(view.Waiting, message.WaitingJob{Spec: job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: runTime, LendCount: job.lendCount})
 	}
 }
 
-// addFreeCapacity adds to the view the machines that the simulation left free, those that may be rented, and the images
-// that the free ones have.
-func (l *lending) addFreeCapacity(v *message.LoanView, sim *simulation) {
+// addFreeCapacity adds to the view the machines that the simulation left free, the machines that
+// may be rented, and the images that the free machines have cached.
+func (loans *lending) addFreeCapacity(view *message.LoanView, sim *simulation) {
 	type group struct {
 		kind       machineKind
 		perMachine model.Resources
 	}
 	images := map[string]bool{}
 	count := map[group]int{}
-	for _, x := range sim.machines {
-		if x.machine == nil || x.placements > 0 || !l.controller.shardLeader.scheduler.usable(x.machine) || x.machine.decommissioning {
+	for _, simulated := range sim.machines {
+		if simulated.machine == nil || simulated.placements > 0 || !loans.controller.shardLeader.scheduler.usable(simulated.machine) || simulated.machine.decommissioning {
 			continue
 		}
-		count[group{x.machineKind, x.machine.free()}]++
-		for name, im := range x.machine.images {
-			images[name] = images[name] || im.cached
+		count[group{simulated.machineKind, simulated.machine.free()}]++
+		for name, image := range simulated.machine.images {
+			images[name] = images[name] || image.cached
 		}
 	}
-	for k, f := range l.rentableKinds() {
-		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: k.machineType, Zone: k.zone, Spot: k.spot, PerMachine: f.Capacity, Machines: maxOfferedPerKind, AvailableIn: f.ProvisioningTime, CostPerCPUHour: l.controller.knowledge.costPerHour(k) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+	for kind, machineType := range loans.rentableKinds() {
+		view.FreeCapacity = append(view.FreeCapacity, message.FreeCapacity{MachineType: kind.machineType, Zone: kind.zone, Spot: kind.spot, PerMachine: machineType.Capacity, Machines: maxOfferedPerKind, AvailableIn: machineType.ProvisioningTime, CostPerCPUHour: loans.controller.knowledge.costPerHour(kind) / max(machineType.Capacity.CPU, 1), FetchRate: machineType.ImageFetchRate})
 	}
-	for g, n := range count {
-		f := l.controller.knowledge.machineTypes[g.kind.machineType]
-		v.FreeCapacity = append(v.FreeCapacity, message.FreeCapacity{MachineType: g.kind.machineType, Zone: g.kind.zone, Spot: g.kind.spot, PerMachine: g.perMachine, Machines: n, CostPerCPUHour: l.controller.knowledge.costPerHour(g.kind) / max(f.Capacity.CPU, 1), FetchRate: f.ImageFetchRate})
+	for freeGroup, machines := range count {
+		machineType := loans.controller.knowledge.machineTypes[freeGroup.kind.machineType]
+		view.FreeCapacity = append(view.FreeCapacity, message.FreeCapacity{MachineType: freeGroup.kind.machineType, Zone: freeGroup.kind.zone, Spot: freeGroup.kind.spot, PerMachine: freeGroup.perMachine, Machines: machines, CostPerCPUHour: loans.controller.knowledge.costPerHour(freeGroup.kind) / max(machineType.Capacity.CPU, 1), FetchRate: machineType.ImageFetchRate})
 	}
-	slices.SortFunc(v.FreeCapacity, func(a, b message.FreeCapacity) int {
+	slices.SortFunc(view.FreeCapacity, func(a, b message.FreeCapacity) int {
 		return cmp.Or(strings.Compare(a.MachineType, b.MachineType), strings.Compare(a.Zone, b.Zone), cmp.Compare(boolToFloat(a.Spot), boolToFloat(b.Spot)), cmp.Compare(a.AvailableIn, b.AvailableIn), cmp.Compare(a.PerMachine.CPU, b.PerMachine.CPU), cmp.Compare(a.PerMachine.Memory, b.PerMachine.Memory))
 	})
 	for _, name := range sortedKeys(images) {
 		if images[name] {
-			v.CachedImages = append(v.CachedImages, name)
+			view.CachedImages = append(view.CachedImages, name)
 		}
 	}
 }
 
-// rentableKinds returns the kinds of machines that the cloud has not lately refused.
-func (l *lending) rentableKinds() map[machineKind]model.MachineType {
-	out := map[machineKind]model.MachineType{}
-	if l.controller.shardLeader.fleet.view == nil {
-		return out
-	}
-	for _, f := range l.controller.knowledge.machineTypes {
-		for _, z := range f.Zones {
+// rentableKinds returns the kinds of machines that the cloud has not recently refused.
+func (loans *lending) rentableKinds() map[machineKind]model.MachineType {
+	kinds := map[machineKind]model.MachineType{}
+	if loans.controller.shardLeader.fleet.view == nil {
+		return kinds
+	}
+	for _, machineType := range loans.controller.knowledge.machineTypes {
+		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
-				k := machineKind{f.Name, z, spot}
-				if l.now.Sub(l.controller.shardLeader.fleet.view.blockedUntil[k]) > refusalMemory {
-					out[k] = f
+				kind := machineKind{machineType.Name, zone, spot}
+				if loans.now.Sub(loans.controller.shardLeader.fleet.view.blockedUntil[kind]) > refusalMemory {
+					kinds[kind] = machineType
 				}
 			}
 		}
 	}
-	return out
+	return kinds
 }
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -8,201 +8,220 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// loans.go has the jobs lent to peers and borrowed from them. Decisions are made in internal/overflow; here are the
-// records, and the transactions that carry decisions out. A lent job keeps its record in open/, which says who has
-// it: whatever would start its tasks here names that record's mod revision. A borrowed job is like any other of the
-// guests' team, but it may start only while its home has lately confirmed the loan.
+// loans.go keeps the jobs that are lent to peer clusters and borrowed from them. internal/overflow
+// makes the decisions; this file holds the records and the transactions that carry decisions out. A
+// lent job keeps its record in open/, which names the peer. Every transaction that would start the
+// job's tasks in this cluster compares that record's mod revision. A borrowed job is like any other
+// job of the guests' team, except that its tasks may start only while its home cluster has recently
+// confirmed the loan.
 
 const (
-	// renewalPrefix has the times of answered heartbeats, one record for each home. No loan's name
-	// begins like that, as no cluster's does.
+	// renewalPrefix is the prefix of the records with the times of answered heartbeats, one
+	// record for each home cluster. No loan's name begins with "0/", since no cluster's name
+	// does.
 	renewalPrefix = record.OffloadedJobPrefix + "0/"
-	// lentCancelPoll is how often a pending cancellation checks whether the peer has answered.
+	// lentCancelPoll is the interval at which a pending cancellation checks whether the peer has
+	// answered.
 	lentCancelPoll = 250 * time.Millisecond
 )
 
-// lending owns the loans that this cluster has taken, as its records under record.OffloadedJobPrefix say. It belongs
-// to the controller and may be called at any time from within Step. But the fields count only while this controller
-// leads the shard of the guests' team, in the same term in which they were read: offloadedJobsLoaded says so, and
-// every use of them checks it first.
+// lending holds the loans that this cluster has taken, as read from the records under
+// record.OffloadedJobPrefix. It belongs to the controller, and Step may call it at any time. Its
+// fields are valid only while this controller leads the shard of the guests' team, in the same
+// term in which the loans were read. offloadedJobsLoaded reports that, and every use of the
+// fields checks it first.
 //
-// Invariants: each command is one transaction, which names the record of the one who decides; after one without an
-// answer the loans are read again before the next.
+// Invariants: each command is one transaction, which compares the record of the role that
+// decides: the leader, or the shard of the guests' team. After a transaction without an answer
+// the loans are read again before the next command.
 //
-// At failover nothing is handed over: the next shard leader of the guests' team reads the records.
+// Nothing is handed over at failover: the next shard leader of the guests' team reads the
+// records.
 type lending struct {
 	component
 
-	// team is the guests' team, and term the holdID under which it was held when it was read.
+	// team is the guests' team, and term the holdID under which the team was held when the loans
+	// were read.
 	team    string
 	term    int
 	loaded  bool
 	loading bool
-	// byLoan are the loans taken, by name; renewedAt is when each home was last answered.
+	// byLoan holds the loans that this cluster has taken, by name. renewedAt is when each home
+	// cluster was last answered.
 	byLoan    map[string]record.OffloadedJob
 	renewedAt map[string]time.Time
 }
 
-// loanState is the part of a job that is about loans.
+// loanState is the part of a job that concerns loans.
 type loanState struct {
-	// lentTo is the peer that has the job, or "". lending says that this is being written.
+	// lentTo is the peer that has the job, or "". lending says that a transaction that lends the
+	// job is in flight.
 	lentTo          string
 	lendCount       uint64
 	cancelRequested bool
 	lending         bool
-	// borrowedLoan is the loan by which the job is here, or ""; its tasks may be started until
-	// startableUntil.
+	// borrowedLoan is the loan through which the job is in this cluster, or "". The job's tasks
+	// may be started until startableUntil.
 	borrowedLoan   string
 	startableUntil time.Time
 }
 
 // elsewhere reports whether the job is lent, being lent, or being cancelled at the peer.
-func (l *loanState) elsewhere() bool { return l.lentTo != "" || l.lending || l.cancelRequested }
+func (loan *loanState) elsewhere() bool {
+	return loan.lentTo != "" || loan.lending || loan.cancelRequested
+}
 
-// mayStart reports whether tasks may be started now: those of a borrowed job only while the home has lately confirmed
-// the loan, as it may have taken the job back.
-func (l *loanState) mayStart(now time.Time) bool {
-	return l.borrowedLoan == "" || now.Before(l.startableUntil)
+// mayStart reports whether the job's tasks may be started now. Those of a borrowed job may start
+// only while the home cluster has recently confirmed the loan, because it may have taken the job
+// back.
+func (loan *loanState) mayStart(now time.Time) bool {
+	return loan.borrowedLoan == "" || now.Before(loan.startableUntil)
 }
 
-func (l *loanState) setLoanFrom(r *record.OpenJob) {
-	l.lentTo, l.lendCount, l.cancelRequested, l.borrowedLoan = r.LentTo, r.LendCount, r.CancelRequested, r.BorrowedLoan
+// setLoanFrom copies the loan fields of the job's open record.
+func (loan *loanState) setLoanFrom(rec *record.OpenJob) {
+	loan.lentTo, loan.lendCount, loan.cancelRequested, loan.borrowedLoan = rec.LentTo, rec.LendCount, rec.CancelRequested, rec.BorrowedLoan
 }
 
-// hasStarted reports whether a task of the job was ever started, is being started or waits for its record: each of
-// these makes a task record segment. A job that was only never placed has none.
-func (j *job) hasStarted() bool {
-	return len(j.segments) > 0 || len(j.formerKeys) > 0 || j.liveTasks > 0
+// hasStarted reports whether a task of the job was ever started, is being started or waits for
+// its record to be stored. Each of these creates a task record segment; a job of which no task
+// was ever placed has none.
+func (job *job) hasStarted() bool {
+	return len(job.segments) > 0 || len(job.formerKeys) > 0 || job.liveTasks > 0
 }
 
-// isLendable reports whether the job may be lent: no attempt of it can be anywhere.
-func (j *job) isLendable() bool {
-	return !j.hasStarted() && !j.cancelled && !j.ending && !j.dependenciesPending && !j.elsewhere() && j.borrowedLoan == ""
+// isLendable reports whether the job may be lent, which requires that no attempt of it can exist
+// anywhere.
+func (job *job) isLendable() bool {
+	return !job.hasStarted() && !job.cancelled && !job.ending && !job.dependenciesPending && !job.elsewhere() && job.borrowedLoan == ""
 }
 
-// currentRecord is the job's record in open/ as it stands here.
-func (j *job) currentRecord() record.OpenJob {
-	r := record.NewOpenJob(&j.JobSpec, j.submittedAt)
-	if j.urgencyRaised {
-		r.Urgency = int(j.ownUrgency)
+// currentRecord returns the job's record in open/ as this shard leader knows it.
+func (job *job) currentRecord() record.OpenJob {
+	rec := record.NewOpenJob(&job.JobSpec, job.submittedAt)
+	if job.urgencyRaised {
+		rec.Urgency = int(job.ownUrgency)
 	}
-	r.LendCount, r.BorrowedLoan, r.PromisedMillis = j.lendCount, j.borrowedLoan, int(j.firstPromise.Milliseconds())
-	return r
+	rec.LendCount, rec.BorrowedLoan, rec.PromisedMillis = job.lendCount, job.borrowedLoan, int(job.firstPromise.Milliseconds())
+	return rec
 }
 
-// cancelLentJob records that the user of a lent job cancels it. The request is answered only when the peer has stopped
-// the job or surely runs it no more: any earlier answer could turn out to be wrong.
-func (l *lending) cancelLentJob(w *userRequest, f jobLookup) {
+// cancelLentJob records that the user cancels a lent job. The request is answered only when the
+// peer has stopped the job or can no longer be running it, because any earlier answer could turn
+// out to be wrong.
+func (loans *lending) cancelLentJob(request *userRequest, lookup jobLookup) {
 	retry := func() {
-		l.after(lentCancelPoll, func() {
-			if !w.answered {
-				l.controller.frontend.cancelOpenJob(w)
+		loans.after(lentCancelPoll, func() {
+			if !request.answered {
+				loans.controller.frontend.cancelOpenJob(request)
 			}
 		})
 	}
-	if f.open.CancelRequested {
+	if lookup.open.CancelRequested {
 		retry()
 		return
 	}
-	rec := f.open
+	rec := lookup.open
 	rec.CancelRequested = true
-	it := message.KeyValue{Key: record.OpenJobPrefix + w.id, Value: record.Encode(rec)}
-	l.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: it.Key, ModRevision: f.modRevision}}, Writes: []message.Write{{Key: it.Key, Value: it.Value}}}, func(d message.StoreResponse) {
-		if d.Status == message.StoreOK {
-			it.ModRevision = d.Revision
-			l.controller.observeOwnWrite(it)
+	update := message.KeyValue{Key: record.OpenJobPrefix + request.id, Value: record.Encode(rec)}
+	loans.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityUser, Compares: []message.Compare{{Key: update.Key, ModRevision: lookup.modRevision}}, Writes: []message.Write{{Key: update.Key, Value: update.Value}}}, func(response message.StoreResponse) {
+		if response.Status == message.StoreOK {
+			update.ModRevision = response.Revision
+			loans.controller.observeOwnWrite(update)
 		}
 		retry()
 	})
 }
 
-// offloadedJobsLoaded reports whether the loans were read in this term as shard leader of the guests' team. It may be
-// called only while there is a shard leader.
-func (l *lending) offloadedJobsLoaded() bool {
-	held := l.controller.shardLeader.teams[l.team]
-	return l.loaded && held != nil && held.holdID == l.term
+// offloadedJobsLoaded reports whether the loans were read in the present term as shard leader of
+// the guests' team. It may be called only while this controller is a shard leader.
+func (loans *lending) offloadedJobsLoaded() bool {
+	team := loans.controller.shardLeader.teams[loans.team]
+	return loans.loaded && team != nil && team.holdID == loans.term
 }
 
 // load reads the loans for a new shard leader of the guests' team.
-func (l *lending) load(team string) {
-	if l.loading {
+func (loans *lending) load(team string) {
+	if loans.loading {
 		return
 	}
-	l.loading = true
-	term := l.controller.shardLeader.teams[team].holdID
-	by, renewed := map[string]record.OffloadedJob{}, map[string]time.Time{}
+	loans.loading = true
+	term := loans.controller.shardLeader.teams[team].holdID
+	byLoan, renewedAt := map[string]record.OffloadedJob{}, map[string]time.Time{}
 	var list func(from string)
 	list = func(from string) {
-		l.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(resp message.StoreResponse) {
-			if held := l.controller.shardLeader; resp.Status != message.StoreOK || held == nil || held.teams[team] == nil || held.teams[team].holdID != term {
-				l.loading = false
+		loans.controller.requests.toStore(message.StoreRequest{Kind: message.OpList, Priority: message.PriorityMembership, Key: record.OffloadedJobPrefix, StartAfter: from}, func(response message.StoreResponse) {
+			if shardLeader := loans.controller.shardLeader; response.Status != message.StoreOK || shardLeader == nil || shardLeader.teams[team] == nil || shardLeader.teams[team].holdID != term {
+				loans.loading = false
 				return
 			}
-			for _, it := range resp.KeyValues {
-				var r record.OffloadedJob
+			for _, kv := range response.KeyValues {
+				var rec record.OffloadedJob
 				switch {
-				case !record.Decode(it.Value, &r):
-					l.info("record unreadable", "key", it.Key)
-				case strings.HasPrefix(it.Key, renewalPrefix):
-					renewed[strings.TrimPrefix(it.Key, renewalPrefix)] = time.UnixMilli(r.RenewedAt)
+				case !record.Decode(kv.Value, &rec):
+					loans.info("record unreadable", "key", kv.Key)
+				case strings.HasPrefix(kv.Key, renewalPrefix):
+					renewedAt[strings.TrimPrefix(kv.Key, renewalPrefix)] = time.UnixMilli(rec.RenewedAt)
 				default:
-					by[strings.TrimPrefix(it.Key, record.OffloadedJobPrefix)] = r
+					byLoan[strings.TrimPrefix(kv.Key, record.OffloadedJobPrefix)] = rec
 				}
 			}
-			if resp.Truncated && len(resp.KeyValues) > 0 {
-				list(resp.KeyValues[len(resp.KeyValues)-1].Key)
+			if response.Truncated && len(response.KeyValues) > 0 {
+				list(response.KeyValues[len(response.KeyValues)-1].Key)
 				return
 			}
-			*l = lending{component: l.component, team: team, term: term, loaded: true, byLoan: by, renewedAt: renewed}
+			*loans = lending{component: loans.component, team: team, term: term, loaded: true, byLoan: byLoan, renewedAt: renewedAt}
 		})
 	}
 	list("")
 }
 
-// runRenewCommand writes when each home was last answered.
-func (l *lending) runRenewCommand(c message.RenewCommand) {
-	if l.controller.shardLeader == nil || !l.offloadedJobsLoaded() {
+// runRenewCommand stores when each home cluster was last answered.
+func (loans *lending) runRenewCommand(command message.RenewCommand) {
+	if loans.controller.shardLeader == nil || !loans.offloadedJobsLoaded() {
 		return
 	}
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: l.controller.shardLeader.shardCompares(l.team)}
-	for _, home := range sortedKeys(c.RenewedAt) {
-		if len(op.Writes) < l.settings.MaxTxnWrites {
-			op.Writes = append(op.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJob{RenewedAt: c.RenewedAt[home].UnixMilli()})})
+	request := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: loans.controller.shardLeader.shardCompares(loans.team)}
+	for _, home := range sortedKeys(command.RenewedAt) {
+		if len(request.Writes) < loans.settings.MaxTxnWrites {
+			request.Writes = append(request.Writes, message.Write{Key: renewalPrefix + home, Value: record.Encode(record.OffloadedJob{RenewedAt: command.RenewedAt[home].UnixMilli()})})
 		}
 	}
-	if len(op.Writes) > 0 {
-		l.controller.requests.toStore(op, func(message.StoreResponse) {})
+	if len(request.Writes) > 0 {
+		loans.controller.requests.toStore(request, func(message.StoreResponse) {})
 	}
 }
 
-// runDrainCommand writes whether borrowed jobs are being drained from this cluster. It names the
-// switch that this controller knows, so that one carried out late undoes no newer one.
-func (l *lending) runDrainCommand(c message.DrainCommand) {
-	members := &l.controller.membership
-	wanted := record.Drain{Enabled: c.Enabled, Deadline: c.Deadline.UnixMilli()}
-	op := message.StoreRequest{
+// runDrainCommand stores whether this cluster drains its borrowed jobs. The transaction compares
+// the drain record that this controller knows, so that a command that is carried out late
+// overwrites no newer one.
+func (loans *lending) runDrainCommand(command message.DrainCommand) {
+	membership := &loans.controller.membership
+	wanted := record.Drain{Enabled: command.Enabled, Deadline: command.Deadline.UnixMilli()}
+	request := message.StoreRequest{
 		Kind: message.OpTxn, Priority: message.PriorityUser,
-		Compares: []message.Compare{{Key: record.DrainKey, ModRevision: members.drainModRevision}},
+		Compares: []message.Compare{{Key: record.DrainKey, ModRevision: membership.drainModRevision}},
 		Writes:   []message.Write{{Key: record.DrainKey, Value: record.Encode(wanted)}},
 	}
-	l.controller.requests.toStore(op, func(d message.StoreResponse) {
-		switch d.Status {
+	loans.controller.requests.toStore(request, func(response message.StoreResponse) {
+		switch response.Status {
 		case message.StoreOK:
-			if d.Revision > members.drainModRevision {
-				members.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: op.Writes[0].Value, ModRevision: d.Revision})
+			if response.Revision > membership.drainModRevision {
+				membership.applyControlRecord(message.KeyValue{Key: record.DrainKey, Value: request.Writes[0].Value, ModRevision: response.Revision})
 			}
-			l.emit(message.LoanReply{Reply: c.Reply, Status: message.LoanDurable})
+			loans.emit(message.LoanReply{Reply: command.Reply, Status: message.LoanDurable})
 		case message.StoreConflict:
-			// Another's is newer, or its own stands there and the first answer was lost.
-			members.confirmControlRecords(func() {
+			// Either another controller has written a newer record, or this command was applied
+			// by an earlier attempt whose answer was lost.
+			membership.confirmControlRecords(func() {
 				status := message.LoanNotApplied
-				if members.drain == wanted {
+				if membership.drain == wanted {
 					status = message.LoanDurable
 				}
-				l.emit(message.LoanReply{Reply: c.Reply, Status: status})
+				loans.emit(message.LoanReply{Reply: command.Reply, Status: status})
 			})
 		default:
-			l.emit(message.LoanReply{Reply: c.Reply, Status: message.LoanUncertain})
+			loans.emit(message.LoanReply{Reply: command.Reply, Status: message.LoanUncertain})
 		}
 	})
 }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -13,148 +13,153 @@
 )
 
 const (
-	// maxSubmitTxns bounds the transactions with submissions in flight; what waits meanwhile
-	// shares the next one.
+	// maxSubmitTxns bounds the submission transactions in flight. Submissions that wait
+	// meanwhile share the next transaction.
 	maxSubmitTxns = 3
-	// submitOverheadBytes is the size of a submission in a transaction beside its record: three
-	// keys and what encloses them.
+	// submitOverheadBytes is the size of a submission in a transaction in addition to its
+	// record: three keys and their enclosing fields.
 	submitOverheadBytes = 512
 )
 
-// submission is a job on its way into the store.
+// submission is a submitted job that is not durable yet.
 type submission struct {
 	request     *userRequest
 	spec        model.JobSpec
 	submittedAt time.Time
-	// storeAlone: a transaction that it shared was malformed, so it gets one of its own.
+	// storeAlone says that the store rejected a transaction of several submissions as malformed,
+	// this one among them. It is then stored in a transaction of its own.
 	storeAlone bool
-	// promisedAfter is the promised date, counted from submittedAt; 0 for none.
+	// promisedAfter is the promised date as a duration after submittedAt; 0 if no date is
+	// promised.
 	promisedAfter time.Duration
 }
 
-// promisedDate is the date that its acceptance tells.
-func (s *submission) promisedDate() promise.Date {
-	r := s.openRecord()
-	return r.FirstDate()
+// promisedDate returns the date that the answer to the submission reports.
+func (submission *submission) promisedDate() promise.Date {
+	rec := submission.openRecord()
+	return rec.FirstDate()
 }
 
-// openRecord is the record with which the job becomes open.
-func (s *submission) openRecord() record.OpenJob {
-	r := record.NewOpenJob(&s.spec, s.submittedAt)
-	r.PromisedMillis = int(s.promisedAfter.Milliseconds())
-	return r
+// openRecord returns the record that makes the job open.
+func (submission *submission) openRecord() record.OpenJob {
+	rec := record.NewOpenJob(&submission.spec, submission.submittedAt)
+	rec.PromisedMillis = int(submission.promisedAfter.Milliseconds())
+	return rec
 }
 
-// submitJob checks a job that a user submits and queues it for the store.
-func (f *frontend) submitJob(c message.SubmitJob) {
-	id := c.Spec.ID
-	if s, ok := f.finalStatuses[id]; ok {
-		f.emit(withReply(f.replyWithStatus(id, s), c.Reply))
+// submitJob checks a submitted job and queues it for the store.
+func (frontend *frontend) submitJob(command message.SubmitJob) {
+	id := command.Spec.ID
+	if finalStatus, ok := frontend.finalStatuses[id]; ok {
+		frontend.emit(withReply(frontend.replyWithStatus(id, finalStatus), command.Reply))
 		return
 	}
-	if f.refuseIfUnavailable(c.Reply, id, &c.Spec) {
+	if frontend.refuseIfUnavailable(command.Reply, id, &command.Spec) {
 		return
 	}
-	request := f.newUserRequest(c.Reply, id)
+	request := frontend.newUserRequest(command.Reply, id)
 	status, reason := 0, ""
 	switch {
-	case c.MalformedReason != "":
-		status, reason = 400, c.MalformedReason
-	case f.controller.knowledge.machineTypes == nil:
-		f.answerFromRecord(request, 503, "machine types are not known yet")
+	case command.MalformedReason != "":
+		status, reason = 400, command.MalformedReason
+	case frontend.controller.knowledge.machineTypes == nil:
+		frontend.answerFromRecord(request, 503, "machine types are not known yet")
 		return
 	default:
-		c.Spec = f.restrictToFittingDisks(c.Spec)
-		status, reason = f.validateSpec(&c.Spec)
+		command.Spec = frontend.restrictToFittingDisks(command.Spec)
+		status, reason = frontend.validateSpec(&command.Spec)
 	}
 	if status != 0 {
-		// A known job is never called malformed or impossible, so look before refusing.
-		f.answerFromRecord(request, status, reason)
+		// A job that was accepted before is never called malformed or impossible, so its records
+		// are read before the submission is refused.
+		frontend.answerFromRecord(request, status, reason)
 		return
 	}
-	s := &submission{request: request, spec: c.Spec, submittedAt: f.now}
-	f.checkDependenciesAccepted(request, c.Spec.Dependencies, func() {
-		s.promisedAfter = f.controller.promises.quoteDate(&s.spec)
-		f.submitQueue = append(f.submitQueue, s)
+	submission := &submission{request: request, spec: command.Spec, submittedAt: frontend.now}
+	frontend.checkDependenciesAccepted(request, command.Spec.Dependencies, func() {
+		submission.promisedAfter = frontend.controller.promises.quoteDate(&submission.spec)
+		frontend.submitQueue = append(frontend.submitQueue, submission)
 	})
 }
 
-// flushSubmissions puts the waiting submissions into transactions, many in one. Step calls it
-// after the commands of its batch.
-func (f *frontend) flushSubmissions() {
-	for len(f.submitQueue) > 0 && f.submitTxnsInFlight < maxSubmitTxns {
+// flushSubmissions stores the queued submissions, many in one transaction. Step calls it after
+// it has handled the commands of its batch.
+func (frontend *frontend) flushSubmissions() {
+	for len(frontend.submitQueue) > 0 && frontend.submitTxnsInFlight < maxSubmitTxns {
 		var batch []*submission
 		seen := map[string]bool{}
 		size := 0
-		for len(f.submitQueue) > 0 && len(batch) < f.settings.MaxTxnWrites {
-			s := f.submitQueue[0]
-			if s.request.answered {
-				f.submitQueue = f.submitQueue[1:]
+		for len(frontend.submitQueue) > 0 && len(batch) < frontend.settings.MaxTxnWrites {
+			submission := frontend.submitQueue[0]
+			if submission.request.answered {
+				frontend.submitQueue = frontend.submitQueue[1:]
 				continue
 			}
-			// Two submissions of one id in a transaction would conflict.
-			if seen[s.spec.ID] || len(batch) > 0 && (s.storeAlone || batch[0].storeAlone) {
+			// Two submissions of one job in the same transaction would conflict.
+			if seen[submission.spec.ID] || len(batch) > 0 && (submission.storeAlone || batch[0].storeAlone) {
 				break
 			}
-			bytes, err := sizelimit.JSON(record.Encode(s.openRecord()))
+			bytes, err := sizelimit.JSON(record.Encode(submission.openRecord()))
 			if size += bytes + submitOverheadBytes; (err != nil || size > targetTxnBytes) && len(batch) > 0 {
 				break
 			}
-			seen[s.spec.ID] = true
-			batch = append(batch, s)
-			f.submitQueue = f.submitQueue[1:]
+			seen[submission.spec.ID] = true
+			batch = append(batch, submission)
+			frontend.submitQueue = frontend.submitQueue[1:]
 		}
 		if len(batch) == 0 {
 			break
 		}
-		f.submitTxnsInFlight++
-		f.storeSubmissions(batch)
+		frontend.submitTxnsInFlight++
+		frontend.storeSubmissions(batch)
 	}
 }
 
-// storeSubmissions stores a batch of new jobs in one transaction and answers when it is durable.
-func (f *frontend) storeSubmissions(batch []*submission) {
-	var op message.StoreRequest
-	op.Kind, op.Priority = message.OpTxn, message.PriorityUser
-	for _, s := range batch {
-		id := s.spec.ID
-		// Neither over nor open means never accepted before. One write is enough: the
-		// status record is written when the job is over.
-		op.Compares = append(op.Compares, message.Compare{Key: record.JobStatusPrefix + id, ModRevision: 0}, message.Compare{Key: record.OpenJobPrefix + id, ModRevision: 0})
-		op.Writes = append(op.Writes, message.Write{Key: record.OpenJobPrefix + id, Value: record.Encode(s.openRecord())})
+// storeSubmissions stores a batch of new jobs in one transaction, and answers their requests
+// when the transaction is durable.
+func (frontend *frontend) storeSubmissions(batch []*submission) {
+	var request message.StoreRequest
+	request.Kind, request.Priority = message.OpTxn, message.PriorityUser
+	for _, submission := range batch {
+		id := submission.spec.ID
+		// A job without a status record and without an open record was never accepted. The open
+		// record is enough: the status record is written when the job ends.
+		request.Compares = append(request.Compares, message.Compare{Key: record.JobStatusPrefix + id, ModRevision: 0}, message.Compare{Key: record.OpenJobPrefix + id, ModRevision: 0})
+		request.Writes = append(request.Writes, message.Write{Key: record.OpenJobPrefix + id, Value: record.Encode(submission.openRecord())})
 	}
-	f.controller.requests.toStore(op, func(d message.StoreResponse) {
-		f.submitTxnsInFlight--
-		switch d.Status {
+	frontend.controller.requests.toStore(request, func(response message.StoreResponse) {
+		frontend.submitTxnsInFlight--
+		switch response.Status {
 		case message.StoreOK:
-			for _, s := range batch {
-				f.answerRequest(s.request, f.acceptedReply(s))
-				f.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + s.spec.ID, Value: record.Encode(s.openRecord()), ModRevision: d.Revision})
+			for _, submission := range batch {
+				frontend.answerRequest(submission.request, frontend.acceptedReply(submission))
+				frontend.controller.observeOwnWrite(message.KeyValue{Key: record.OpenJobPrefix + submission.spec.ID, Value: record.Encode(submission.openRecord()), ModRevision: response.Revision})
 			}
 		case message.StoreConflict:
 			var retry []*submission
-			for _, s := range batch {
-				if slices.Contains(d.FailedKeys, record.JobStatusPrefix+s.spec.ID) || slices.Contains(d.FailedKeys, record.OpenJobPrefix+s.spec.ID) {
-					f.answerFromRecord(s.request, 503, "conflict")
+			for _, submission := range batch {
+				if slices.Contains(response.FailedKeys, record.JobStatusPrefix+submission.spec.ID) || slices.Contains(response.FailedKeys, record.OpenJobPrefix+submission.spec.ID) {
+					frontend.answerFromRecord(submission.request, 503, "conflict")
 				} else {
-					retry = append(retry, s)
+					retry = append(retry, submission)
 				}
 			}
-			f.submitQueue = append(retry, f.submitQueue...)
+			frontend.submitQueue = append(retry, frontend.submitQueue...)
 		case message.StoreMalformed:
 			if len(batch) == 1 {
-				s := batch[0]
-				f.answerFromRecord(s.request, 400, fmt.Sprintf("job %s cannot be stored", s.spec.ID))
+				submission := batch[0]
+				frontend.answerFromRecord(submission.request, 400, fmt.Sprintf("job %s cannot be stored", submission.spec.ID))
 				break
 			}
-			// One of several is at fault: each is stored alone, so that the others get through.
-			for _, s := range batch {
-				s.storeAlone = true
+			// At least one submission of the batch is malformed. Each is stored alone, so that the
+			// valid ones are accepted.
+			for _, submission := range batch {
+				submission.storeAlone = true
 			}
-			f.submitQueue = append(batch, f.submitQueue...)
+			frontend.submitQueue = append(batch, frontend.submitQueue...)
 		default:
-			for _, s := range batch {
-				f.refuseRequest(s.request, "the state service does not answer")
+			for _, submission := range batch {
+				frontend.refuseRequest(submission.request, "the state service does not answer")
 			}
 		}
 	})
--- a/internal/controller/watch_cache.go
+++ b/internal/controller/watch_cache.go
@@ -11,156 +11,159 @@
 )
 
 const (
-	// minRefreshInterval separates two reads for users' requests. Requests in between share the
-	// next one: the store doesn't notice the number of polls, which grows with that of jobs.
+	// minRefreshInterval is the least time between two reads for user requests. Requests that
+	// arrive in between share the next read, so the store's load does not grow with the number
+	// of polls, which grows with the number of jobs.
 	minRefreshInterval = 150 * time.Millisecond
-	// maxRefreshInterval keeps the cache from falling far behind when nobody asks. A shard leader
-	// reads more often; see internal/renewalbound.
+	// maxRefreshInterval is the longest time between two reads while no request arrives, so that
+	// the cache does not fall far behind. A shard leader reads more often; see
+	// internal/renewalbound.
 	maxRefreshInterval = 10 * time.Second
 )
 
 // watchCache is this controller's copy of the open jobs, the records under open/. Every
-// controller has one from its start to its end; failover does not touch it. Others read
-// openJobs and asOf, and write nothing.
+// controller keeps its cache from start to exit; failover does not touch it. Other components
+// read openJobs and asOf, and write no field.
 //
-// Invariants: the copy is exact as of revision, and every change is applied once and in
-// order. An answer rests on it only after a read that began after the request (refresh,
-// readJob). asOf never goes back.
+// Invariants: the copy is exact as of revision, and every change is applied once and in order.
+// An answer rests on the copy only after a read that began after the request (refresh, readJob).
+// asOf never goes back.
 type watchCache struct {
 	component
 
-	// loaded: the copy is complete. loading: it is being read from the start.
+	// loaded says that the copy is complete, and loading that it is being read from the start.
 	loaded  bool
 	loading bool
 
-	// The copy: all that was written before asOf is in it. That is when the newest read or
-	// watch that got its answer was sent; answers that prolong leases are bounded by it, see
+	// The copy contains every write that took effect before asOf. asOf is when the newest
+	// answered read or watch was sent. Answers that extend leases are bounded by it; see
 	// renewal_bound.go.
 	revision uint64
 	asOf     time.Time
 	openJobs map[string]openJob
-	// dependencyGraph has the jobs that depend on others, as of the same revision; see
+	// dependencyGraph holds the jobs that depend on other jobs, as of the same revision; see
 	// dependencies.go.
 	dependencyGraph *pipeline.Graph
-	// promisePages are the promised dates, stored beside the jobs.
+	// promisePages holds the promised dates, which are stored next to the jobs.
 	promisePages promise.Pages
 
-	// watching: a watch is open. Only shard leaders have one.
+	// watching says that a watch is open. Only shard leaders have a watch.
 	watching bool
 
-	// Reads for users' requests: who waits for the one in flight, who for the one after it,
-	// and whether that is scheduled.
+	// Reads for user requests: the callbacks that wait for the read in flight, those that wait
+	// for the read after it, and whether that next read is scheduled.
 	readWaiters, nextReadWaiters []func(ok bool)
 	readInFlight                 bool
 	lastReadAt                   time.Time
 	refreshScheduled             bool
 }
 
-// openJob is the record of an open job, with its mod revision.
+// openJob is the record of an open job with its mod revision.
 type openJob struct {
 	modRevision uint64
 	rec         record.OpenJob
 }
 
 // start reads open/ and keeps the copy fresh from then on.
-func (w *watchCache) start() {
-	if w.loaded || w.loading {
+func (cache *watchCache) start() {
+	if cache.loaded || cache.loading {
 		return
 	}
-	w.load()
-	w.keepFresh()
+	cache.load()
+	cache.keepFresh()
 }
 
-// keepFresh reads when nobody has asked for long. It calls itself again.
-func (w *watchCache) keepFresh() {
-	every := maxRefreshInterval
-	if w.controller.shardLeader != nil {
-		every = min(every, w.settings.RenewalBound().ReadInterval())
+// keepFresh reads the changes when no read has been sent for the refresh interval, and schedules
+// itself again.
+func (cache *watchCache) keepFresh() {
+	interval := maxRefreshInterval
+	if cache.controller.shardLeader != nil {
+		interval = min(interval, cache.settings.RenewalBound().ReadInterval())
 	}
-	w.after(every, w.keepFresh)
-	if w.loaded && w.now.Sub(w.lastReadAt) >= every {
-		w.refresh(func(bool) {})
+	cache.after(interval, cache.keepFresh)
+	if cache.loaded && cache.now.Sub(cache.lastReadAt) >= interval {
+		cache.refresh(func(bool) {})
 	}
 }
 
-// load reads open/ from the start, a page at a time.
-func (w *watchCache) load() {
-	w.loading, w.loaded = true, false
-	open, pages := map[string]openJob{}, w.promisePages.ForReRead()
+// load reads open/ from the start, page by page.
+func (cache *watchCache) load() {
+	cache.loading, cache.loaded = true, false
+	open, pages := map[string]openJob{}, cache.promisePages.ForReRead()
 	var revision uint64
-	var began time.Time
+	var firstSentAt time.Time
 	var list func(from string)
 	list = func(from string) {
 		request := message.StoreRequest{Kind: message.OpList, Priority: message.PriorityUser, Key: record.OpenJobPrefix, StartAfter: from}
-		w.controller.requests.toStore(request, func(d message.StoreResponse) {
-			if d.Status != message.StoreOK {
-				w.after(w.jitter(storeRetryDelay), func() { list(from) })
+		cache.controller.requests.toStore(request, func(response message.StoreResponse) {
+			if response.Status != message.StoreOK {
+				cache.after(cache.jitter(storeRetryDelay), func() { list(from) })
 				return
 			}
 			if from == "" {
-				revision, began = d.Revision, d.SentAt
+				revision, firstSentAt = response.Revision, response.SentAt
 			}
-			for _, kv := range d.KeyValues {
-				if !w.controller.promises.applyPage(&pages, kv) {
+			for _, kv := range response.KeyValues {
+				if !cache.controller.promises.applyPage(&pages, kv) {
 					applyOpenJobRecord(open, kv)
 				}
 			}
-			if d.Truncated && len(d.KeyValues) > 0 {
-				list(d.KeyValues[len(d.KeyValues)-1].Key)
+			if response.Truncated && len(response.KeyValues) > 0 {
+				list(response.KeyValues[len(response.KeyValues)-1].Key)
 				return
 			}
-			// Later pages may hold later changes. The next read, from the revision of the
-			// first page, brings them again in order.
-			w.openJobs, w.promisePages, w.revision, w.loaded, w.loading = open, pages, revision, true, false
-			w.asOf = later(w.asOf, began)
-			w.rebuildDependencyGraph()
-			w.controller.syncOpenJobs()
-			w.startNextRefresh()
-			w.watchOpenJobs()
+			// Later pages may contain later changes. The next read starts at the revision of the
+			// first page and brings these changes again, in order.
+			cache.openJobs, cache.promisePages, cache.revision, cache.loaded, cache.loading = open, pages, revision, true, false
+			cache.asOf = later(cache.asOf, firstSentAt)
+			cache.rebuildDependencyGraph()
+			cache.controller.syncOpenJobs()
+			cache.startNextRefresh()
+			cache.watchOpenJobs()
 		})
 	}
 	list("")
 }
 
-// applyOpenJobUpdates applies the answer of a read or a watch: all changes after a revision that
-// was known. Two may be in flight; a change that both bring is applied once.
-func (w *watchCache) applyOpenJobUpdates(d message.StoreResponse) {
-	for _, kv := range d.KeyValues {
-		if kv.ModRevision > w.revision && !w.controller.promises.applyPage(&w.promisePages, kv) {
-			applyOpenJobRecord(w.openJobs, kv)
-			w.updateDependencyGraph(kv)
-			if w.controller.shardLeader != nil {
-				w.controller.shardLeader.applyOpenJob(kv)
+// applyOpenJobUpdates applies the answer to a read or a watch: all changes after a revision that
+// this copy had reached. Two answers may overlap; a change in both is applied once.
+func (cache *watchCache) applyOpenJobUpdates(response message.StoreResponse) {
+	for _, kv := range response.KeyValues {
+		if kv.ModRevision > cache.revision && !cache.controller.promises.applyPage(&cache.promisePages, kv) {
+			applyOpenJobRecord(cache.openJobs, kv)
+			cache.updateDependencyGraph(kv)
+			if cache.controller.shardLeader != nil {
+				cache.controller.shardLeader.applyOpenJob(kv)
 			}
 		}
 	}
-	w.revision = max(w.revision, d.Revision)
-	w.asOf = later(w.asOf, d.SentAt)
+	cache.revision = max(cache.revision, response.Revision)
+	cache.asOf = later(cache.asOf, response.SentAt)
 }
 
-// watchOpenJobs keeps a watch open as long as this controller leads a shard, so that it learns
-// of new jobs at once.
-func (w *watchCache) watchOpenJobs() {
-	if w.watching || !w.loaded || w.controller.shardLeader == nil {
+// watchOpenJobs keeps a watch open as long as this controller leads a shard, so that the shard
+// leader learns of new jobs at once.
+func (cache *watchCache) watchOpenJobs() {
+	if cache.watching || !cache.loaded || cache.controller.shardLeader == nil {
 		return
 	}
-	w.watching = true
+	cache.watching = true
 	request := message.StoreRequest{
 		Kind: message.OpWatch, Priority: message.PriorityMembership,
-		Key: record.OpenJobPrefix, Revision: w.revision, WatchTimeout: watchTimeout,
+		Key: record.OpenJobPrefix, Revision: cache.revision, WatchTimeout: watchTimeout,
 	}
-	w.controller.requests.toStore(request, func(d message.StoreResponse) {
-		w.watching = false
+	cache.controller.requests.toStore(request, func(response message.StoreResponse) {
+		cache.watching = false
 		switch {
-		case !w.loaded:
-			// It is being read from the start.
-		case d.Status == message.StoreOK:
-			w.applyOpenJobUpdates(d)
-			w.watchOpenJobs()
-		case d.Status == message.StoreCompacted:
-			w.load()
+		case !cache.loaded:
+			// The copy is being read from the start.
+		case response.Status == message.StoreOK:
+			cache.applyOpenJobUpdates(response)
+			cache.watchOpenJobs()
+		case response.Status == message.StoreCompacted:
+			cache.load()
 		default:
-			w.after(w.jitter(storeRetryDelay), w.watchOpenJobs)
+			cache.after(cache.jitter(storeRetryDelay), cache.watchOpenJobs)
 		}
 	})
 }
@@ -172,99 +175,103 @@
 		delete(open, id)
 		return
 	}
-	var r record.OpenJob
-	if record.Decode(kv.Value, &r) {
-		open[id] = openJob{kv.ModRevision, r}
+	var rec record.OpenJob
+	if record.Decode(kv.Value, &rec) {
+		open[id] = openJob{kv.ModRevision, rec}
 	}
 }
 
-// refresh calls fn when the copy is as of a moment after this call, or with false when the
-// store gives no answer.
-func (w *watchCache) refresh(fn func(ok bool)) {
-	w.nextReadWaiters = append(w.nextReadWaiters, fn)
-	w.startNextRefresh()
+// refresh calls fn with true when the copy is as of a moment after this call, or with false if
+// the store does not answer.
+func (cache *watchCache) refresh(fn func(ok bool)) {
+	cache.nextReadWaiters = append(cache.nextReadWaiters, fn)
+	cache.startNextRefresh()
 }
 
-// startNextRefresh sends the read that requests wait for, if none is in flight.
-func (w *watchCache) startNextRefresh() {
-	if w.readInFlight || !w.loaded || len(w.nextReadWaiters) == 0 || w.refreshScheduled {
+// startNextRefresh sends the read that the waiting requests need, unless a read is in flight. It
+// delays the read until minRefreshInterval has passed since the last one.
+func (cache *watchCache) startNextRefresh() {
+	if cache.readInFlight || !cache.loaded || len(cache.nextReadWaiters) == 0 || cache.refreshScheduled {
 		return
 	}
-	if wait := w.lastReadAt.Add(minRefreshInterval).Sub(w.now); wait > 0 {
-		w.refreshScheduled = true
-		w.after(wait, func() {
-			w.refreshScheduled = false
-			w.startNextRefresh()
+	if wait := cache.lastReadAt.Add(minRefreshInterval).Sub(cache.now); wait > 0 {
+		cache.refreshScheduled = true
+		cache.after(wait, func() {
+			cache.refreshScheduled = false
+			cache.startNextRefresh()
 		})
 		return
 	}
-	w.readWaiters, w.nextReadWaiters, w.readInFlight, w.lastReadAt = w.nextReadWaiters, nil, true, w.now
-	request := message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: w.revision}
-	w.controller.requests.toStore(request, func(d message.StoreResponse) {
-		w.readInFlight = false
-		waiters := w.readWaiters
-		w.readWaiters = nil
-		ok := d.Status == message.StoreOK
-		if ok && w.loaded {
-			w.applyOpenJobUpdates(d)
+	cache.readWaiters, cache.nextReadWaiters, cache.readInFlight, cache.lastReadAt = cache.nextReadWaiters, nil, true, cache.now
+	request := message.StoreRequest{Kind: message.OpWatch, Priority: message.PriorityUser, Key: record.OpenJobPrefix, Revision: cache.revision}
+	cache.controller.requests.toStore(request, func(response message.StoreResponse) {
+		cache.readInFlight = false
+		waiters := cache.readWaiters
+		cache.readWaiters = nil
+		ok := response.Status == message.StoreOK
+		if ok && cache.loaded {
+			cache.applyOpenJobUpdates(response)
 		}
-		if d.Status == message.StoreCompacted || ok && !w.loaded {
-			// Too far behind: read it from the start. Whoever asked waits for that.
-			w.nextReadWaiters = append(waiters, w.nextReadWaiters...)
-			if !w.loading {
-				w.load()
+		if response.Status == message.StoreCompacted || ok && !cache.loaded {
+			// The copy is too far behind, so it is read from the start. The waiting requests
+			// wait for that.
+			cache.nextReadWaiters = append(waiters, cache.nextReadWaiters...)
+			if !cache.loading {
+				cache.load()
 			}
 			return
 		}
 		for _, fn := range waiters {
 			fn(ok)
 		}
-		w.startNextRefresh()
+		cache.startNextRefresh()
 	})
 }
 
-// jobLookup is what the store has of a job.
+// jobLookup is what the store contains of a job.
 type jobLookup struct {
-	// ok: the store answered. accepted: the job was accepted at some time.
+	// ok says that the store answered, and accepted that the job was accepted at some time.
 	ok, accepted bool
 	rec          record.JobStatus
-	// modRevision and open are of the open record, while the job is not over.
+	// modRevision and open are those of the open record, while the job is not over.
 	modRevision uint64
 	open        record.OpenJob
-	// promisedDate is its newest date, as of the same moment, while it is not over.
+	// promisedDate is the job's newest promised date as of the same moment, while the job is not
+	// over.
 	promisedDate promise.Date
 }
 
-// readJob reads what is durable of a job, as of a moment after this call.
-func (w *watchCache) readJob(id string, fn func(jobLookup)) {
-	w.readJobUsing(id, w.controller.frontend.lookupWithDependencies, fn)
+// readJob calls fn with the job's durable state as of a moment after this call. An open job with
+// a cancelled dependency counts as cancelled.
+func (cache *watchCache) readJob(id string, fn func(jobLookup)) {
+	cache.readJobUsing(id, cache.controller.frontend.lookupWithDependencies, fn)
 }
 
-// readJobRecord is readJob without what follows from the job's dependencies.
-func (w *watchCache) readJobRecord(id string, fn func(jobLookup)) {
-	w.readJobUsing(id, w.lookupOfOpenJob, fn)
+// readJobRecord is readJob without regard to the job's dependencies.
+func (cache *watchCache) readJobRecord(id string, fn func(jobLookup)) {
+	cache.readJobUsing(id, cache.lookupOfOpenJob, fn)
 }
 
-// readJobUsing is either, with onOpen for a job that is open.
-func (w *watchCache) readJobUsing(id string, onOpen func(string, *openJob, func(jobLookup)), fn func(jobLookup)) {
-	w.refresh(func(ok bool) {
+// readJobUsing implements readJob and readJobRecord. It calls onOpen for a job that is open.
+func (cache *watchCache) readJobUsing(id string, onOpen func(string, *openJob, func(jobLookup)), fn func(jobLookup)) {
+	cache.refresh(func(ok bool) {
 		if !ok {
 			fn(jobLookup{})
 			return
 		}
-		if cached, open := w.openJobs[id]; open {
+		if cached, open := cache.openJobs[id]; open {
 			onOpen(id, &cached, fn)
 			return
 		}
-		// Over, or never accepted.
-		w.controller.frontend.readStatusRecord(id, func(d message.StoreResponse) {
-			if d.Status == message.StoreNotFound && w.now.Sub(w.controller.frontend.acceptedAt[id]) <= userRequestTimeout {
-				// It was accepted after the open records were read.
-				w.readJobUsing(id, onOpen, fn)
+		// The job is over or was never accepted.
+		cache.controller.frontend.readStatusRecord(id, func(response message.StoreResponse) {
+			if response.Status == message.StoreNotFound && cache.now.Sub(cache.controller.frontend.acceptedAt[id]) <= userRequestTimeout {
+				// The job was accepted after the open records were read.
+				cache.readJobUsing(id, onOpen, fn)
 				return
 			}
-			lookup := jobLookup{ok: d.Status == message.StoreOK || d.Status == message.StoreNotFound, accepted: d.Status == message.StoreOK}
-			if lookup.accepted && (len(d.KeyValues) != 1 || !record.Decode(d.KeyValues[0].Value, &lookup.rec)) {
+			lookup := jobLookup{ok: response.Status == message.StoreOK || response.Status == message.StoreNotFound, accepted: response.Status == message.StoreOK}
+			if lookup.accepted && (len(response.KeyValues) != 1 || !record.Decode(response.KeyValues[0].Value, &lookup.rec)) {
 				lookup.ok = false
 			}
 			fn(lookup)
@@ -272,13 +279,13 @@
 	})
 }
 
-// lookupOfOpenJob is what an open job's own record says.
-func (w *watchCache) lookupOfOpenJob(id string, cached *openJob, fn func(jobLookup)) {
+// lookupOfOpenJob calls fn with what an open job's own record says.
+func (cache *watchCache) lookupOfOpenJob(id string, cached *openJob, fn func(jobLookup)) {
 	lookup := jobLookup{
 		ok: true, accepted: true,
 		modRevision: cached.modRevision, open: cached.rec,
 		rec:          record.JobStatus{Status: model.Queued, Tasks: cached.rec.Tasks},
-		promisedDate: w.controller.promises.durableDate(id, cached),
+		promisedDate: cache.controller.promises.durableDate(id, cached),
 	}
 	if cached.rec.Cancelled {
 		lookup.rec.Status = model.Cancelled
--- a/internal/pipeline/names.go
+++ b/internal/pipeline/names.go
@@ -7,35 +7,38 @@
 	"strings"
 )
 
-// Names of jobs are encoded as one string, so that hundreds of them fit into a record.
-// Names that end with a number are grouped by their prefix and number of digits; the first
-// number and the steps to the following ones are in base 36. Other names stand as they
-// are. No name may contain the marks.
+// Names of jobs are encoded as one string, so that hundreds of them fit into a record. Names
+// that end in a number are grouped by their prefix and number of digits. A group is written as
+// the prefix, the number of digits, and then, in base 36, the first number and the differences
+// between successive numbers. Other names are written unchanged after wholeMark. No name may
+// contain a mark.
 const (
 	groupMark = ";"
 	partMark  = ":"
 	stepMark  = "."
 	wholeMark = "~"
 	radix     = 36
-	// maxDigits bounds the digits of a number, which has to fit into 64 bits, and maxSteps
+	// maxDigits bounds the digits of a number, which has to fit into 64 bits. maxSteps bounds
 	// the names of one group.
 	maxDigits = 18
 	maxSteps  = 100_000
 )
 
+// numberedName is a name that ends in a number: its prefix, the number of digits and the
+// number's value.
 type numberedName struct {
 	prefix string
 	digits int
 	value  uint64
 }
 
-// EncodeNames encodes a list of names as one string. It doesn't keep their order.
+// EncodeNames encodes a list of names as one string. The encoding does not keep their order.
 func EncodeNames(names []string) string {
 	var numbered []numberedName
 	var groups []string
 	for _, name := range names {
-		if n, ok := parseNumbered(name); ok {
-			numbered = append(numbered, n)
+		if parsed, ok := parseNumbered(name); ok {
+			numbered = append(numbered, parsed)
 		} else {
 			groups = append(groups, wholeMark+name)
 		}
@@ -55,7 +58,7 @@
 	return strings.Join(groups, groupMark)
 }
 
-// parseNumbered splits a name that ends with a number; ok is false for any other.
+// parseNumbered splits a name that ends in a number. ok is false for any other name.
 func parseNumbered(name string) (numberedName, bool) {
 	prefix := strings.TrimRight(name, "0123456789")
 	digits := len(name) - len(prefix)
@@ -66,12 +69,13 @@
 	return numberedName{prefix, digits, value}, err == nil
 }
 
-// DecodeNames decodes what EncodeNames returned, sorted. ok is false for an invalid string.
-func DecodeNames(s string) (names []string, ok bool) {
-	if s == "" {
+// DecodeNames returns the names that EncodeNames has encoded, sorted. ok is false for an invalid
+// string.
+func DecodeNames(encoded string) (names []string, ok bool) {
+	if encoded == "" {
 		return nil, true
 	}
-	for _, group := range strings.Split(s, groupMark) {
+	for _, group := range strings.Split(encoded, groupMark) {
 		if name, whole := strings.CutPrefix(group, wholeMark); whole {
 			names = append(names, name)
 			continue
@@ -86,12 +90,12 @@
 		}
 		value := uint64(0)
 		for _, step := range strings.Split(parts[2], stepMark) {
-			by, err := strconv.ParseUint(step, radix, 62)
-			text := strconv.FormatUint(value+by, 10)
+			difference, err := strconv.ParseUint(step, radix, 62)
+			text := strconv.FormatUint(value+difference, 10)
 			if err != nil || len(text) > digits {
 				return nil, false
 			}
-			value += by
+			value += difference
 			names = append(names, parts[0]+strings.Repeat("0", digits-len(text))+text)
 		}
 	}
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -1,8 +1,8 @@
-// Package pipeline keeps the graph of open jobs and their dependencies: which jobs wait,
-// which are cancelled because a dependency is, and which records have to be read to
-// decide that. It has no clock and sends nothing. A graph is a function of the records'
-// content, in whatever order that arrives: done and cancelled are final, so no change
-// that the graph has reported is ever revoked.
+// Package pipeline maintains the graph of open jobs and their dependencies: which jobs wait,
+// which jobs are cancelled because a dependency is, and which records have to be read to decide
+// that. It has no clock and sends nothing. A graph depends only on the content of the records,
+// not on the order in which they arrive. Done and cancelled are final states, so no change that
+// the graph has reported is ever revoked.
 package pipeline
 
 import "slices"
@@ -13,129 +13,129 @@
 const (
 	// Unknown means that the job's record has to be read.
 	Unknown State = iota
-	// Missing means that the job was never accepted, so that the record that names it is
-	// damaged.
+	// Missing means that the job was never accepted, so the record that names it is damaged.
 	Missing
 	// Open jobs have not ended.
 	Open
-	// Done jobs have all tasks done. This state is final.
+	// Done jobs have completed all their tasks. This state is final.
 	Done
 	// Cancelled jobs were cancelled. This state is final.
 	Cancelled
 )
 
-// Final says that a state never changes again.
-func (s State) Final() bool { return s == Done || s == Cancelled }
+// Final reports whether the state never changes again.
+func (state State) Final() bool { return state == Done || state == Cancelled }
 
 // job is a job with dependencies or dependents.
 type job struct {
 	state State
-	// isOpen says that the job was Put, with its dependencies.
+	// isOpen says that Put has added the job with its dependencies, and Remove has not removed
+	// it.
 	isOpen       bool
 	dependencies []string
 	dependents   map[string]bool
 	// pending counts the dependencies that are not done.
 	pending int
-	// cancelled says that the job or one of its direct or indirect dependencies is.
+	// cancelled says that the job or one of its direct or indirect dependencies is cancelled.
 	cancelled bool
 }
 
-// Graph holds the open jobs that have dependencies, and these. It isn't safe for
+// Graph holds the open jobs that have dependencies, and these dependencies. It is not safe for
 // concurrent use.
 type Graph struct {
 	jobs map[string]*job
-	// lookupState returns the known state of a job that is new to the graph.
+	// lookupState returns the known state of a job that is added to the graph.
 	lookupState func(id string) State
 	// unknownCount counts the jobs in state Unknown.
 	unknownCount int
 }
 
-// Change reports a job that became cancelled by a dependency's cancellation, or else one
-// that is released: all of its dependencies are done.
+// Change reports a job that was cancelled because a dependency is. If Cancelled is false, it
+// reports a job that was released because all its dependencies are done.
 type Change struct {
 	ID        string
 	Cancelled bool
 }
 
-// New returns an empty graph. lookupState returns the known state of a job that is new to
-// the graph.
+// New returns an empty graph. lookupState returns the known state of a job that is added to the
+// graph.
 func New(lookupState func(id string) State) *Graph {
 	return &Graph{jobs: map[string]*job{}, lookupState: lookupState}
 }
 
-// Put enters an open job with its dependencies. It returns the job, if it is cancelled or
-// released at once, and the dependents that are cancelled with it. Dependencies never
-// change: a repeated call has no effect.
-func (g *Graph) Put(id string, dependencies []string) []Change {
-	if len(dependencies) == 0 || g.jobs[id] != nil && g.jobs[id].isOpen {
+// Put adds an open job with its dependencies. It returns the change of the job, if the job is
+// cancelled or released at once, and the changes of the dependents that are cancelled with it. A
+// job's dependencies never change, so a repeated call has no effect.
+func (graph *Graph) Put(id string, dependencies []string) []Change {
+	if len(dependencies) == 0 || graph.jobs[id] != nil && graph.jobs[id].isOpen {
 		return nil
 	}
-	j := g.ensure(id)
-	j.isOpen, j.dependencies = true, dependencies
-	if !j.state.Final() {
-		g.applyState(j, Open)
+	job := graph.ensure(id)
+	job.isOpen, job.dependencies = true, dependencies
+	if !job.state.Final() {
+		graph.applyState(job, Open)
 	}
 	dependencyCancelled := false
 	for _, name := range dependencies {
-		dependency := g.ensure(name)
+		dependency := graph.ensure(name)
 		dependency.dependents[id] = true
 		dependencyCancelled = dependencyCancelled || dependency.cancelled
 		if dependency.state != Done {
-			j.pending++
+			job.pending++
 		}
 	}
 	switch {
-	case j.state == Done || j.cancelled:
+	case job.state == Done || job.cancelled:
 		return nil
 	case dependencyCancelled:
-		return append([]Change{{id, true}}, g.cancelDependents(id)...)
-	case j.pending == 0:
+		return append([]Change{{id, true}}, graph.cancelDependents(id)...)
+	case job.pending == 0:
 		return []Change{{ID: id}}
 	}
 	return nil
 }
 
-// ensure returns a job, which it enters if it is new to the graph.
-func (g *Graph) ensure(id string) *job {
-	j := g.jobs[id]
-	if j == nil {
-		j = &job{state: g.lookupState(id), dependents: map[string]bool{}}
-		j.cancelled = j.state == Cancelled
-		if j.state == Unknown {
-			g.unknownCount++
+// ensure returns a job, and adds it if it is not in the graph.
+func (graph *Graph) ensure(id string) *job {
+	entry := graph.jobs[id]
+	if entry == nil {
+		entry = &job{state: graph.lookupState(id), dependents: map[string]bool{}}
+		entry.cancelled = entry.state == Cancelled
+		if entry.state == Unknown {
+			graph.unknownCount++
 		}
-		g.jobs[id] = j
+		graph.jobs[id] = entry
 	}
-	return j
+	return entry
 }
 
-// applyState sets a job's state and counts unknown ones.
-func (g *Graph) applyState(j *job, s State) {
-	if j.state == Unknown {
-		g.unknownCount--
+// applyState sets a job's state and keeps unknownCount up to date.
+func (graph *Graph) applyState(job *job, state State) {
+	if job.state == Unknown {
+		graph.unknownCount--
 	}
-	if j.state = s; s == Unknown {
-		g.unknownCount++
+	if job.state = state; state == Unknown {
+		graph.unknownCount++
 	}
 }
 
-// SetState sets a job's state and returns the changes of its dependents. A job that isn't
-// in the graph is ignored.
-func (g *Graph) SetState(id string, s State) []Change {
-	j := g.jobs[id]
-	if j == nil || j.state == s || j.state.Final() {
+// SetState sets a job's state and returns the changes of its dependents. It ignores a job that
+// is not in the graph.
+func (graph *Graph) SetState(id string, state State) []Change {
+	job := graph.jobs[id]
+	if job == nil || job.state == state || job.state.Final() {
 		return nil
 	}
-	g.applyState(j, s)
+	graph.applyState(job, state)
 	switch {
-	case s == Cancelled && !j.cancelled:
-		return g.cancelDependents(id)
-	case s != Done || j.cancelled:
+	case state == Cancelled && !job.cancelled:
+		return graph.cancelDependents(id)
+	case state != Done || job.cancelled:
 		return nil
 	}
 	var changes []Change
-	for _, dependent := range sortedIDs(j.dependents) {
-		next := g.jobs[dependent]
+	for _, dependent := range sortedIDs(job.dependents) {
+		next := graph.jobs[dependent]
 		if next.pending--; next.pending == 0 && !next.cancelled {
 			changes = append(changes, Change{ID: dependent})
 		}
@@ -143,106 +143,107 @@
 	return changes
 }
 
-// cancelDependents marks a job and all of its direct and indirect dependents as cancelled,
-// and returns the dependents.
-func (g *Graph) cancelDependents(id string) []Change {
-	var out []Change
-	g.jobs[id].cancelled = true
+// cancelDependents marks a job and all its direct and indirect dependents as cancelled, and
+// returns the changes of the dependents.
+func (graph *Graph) cancelDependents(id string) []Change {
+	var changes []Change
+	graph.jobs[id].cancelled = true
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		for _, dependent := range sortedIDs(g.jobs[queue[0]].dependents) {
-			next := g.jobs[dependent]
+		for _, dependent := range sortedIDs(graph.jobs[queue[0]].dependents) {
+			next := graph.jobs[dependent]
 			if next.cancelled || next.state == Done {
 				continue
 			}
 			next.cancelled = true
-			out = append(out, Change{dependent, true})
+			changes = append(changes, Change{dependent, true})
 			queue = append(queue, dependent)
 		}
 	}
-	return out
+	return changes
 }
 
-// Remove removes a job from the open ones, and drops dependencies that no other job has.
-// SetState reports how the job ended.
-func (g *Graph) Remove(id string) {
-	j := g.jobs[id]
-	if j == nil {
+// Remove removes a job from the open jobs, and drops its dependencies that no other job has.
+// SetState sets how the job ended.
+func (graph *Graph) Remove(id string) {
+	job := graph.jobs[id]
+	if job == nil {
 		return
 	}
-	for _, name := range j.dependencies {
-		if dependency := g.jobs[name]; dependency != nil {
+	for _, name := range job.dependencies {
+		if dependency := graph.jobs[name]; dependency != nil {
 			delete(dependency.dependents, id)
-			g.forget(name)
+			graph.forget(name)
 		}
 	}
-	j.isOpen, j.dependencies, j.pending = false, nil, 0
-	g.forget(id)
+	job.isOpen, job.dependencies, job.pending = false, nil, 0
+	graph.forget(id)
 }
 
 // forget drops a job that is neither open nor a dependency.
-func (g *Graph) forget(id string) {
-	j := g.jobs[id]
-	if j == nil || j.isOpen || len(j.dependents) > 0 {
+func (graph *Graph) forget(id string) {
+	job := graph.jobs[id]
+	if job == nil || job.isOpen || len(job.dependents) > 0 {
 		return
 	}
-	if j.state == Unknown {
-		g.unknownCount--
+	if job.state == Unknown {
+		graph.unknownCount--
 	}
-	delete(g.jobs, id)
+	delete(graph.jobs, id)
 }
 
-// IsCancelled says whether a job or one of its direct or indirect dependencies is
-// cancelled.
-func (g *Graph) IsCancelled(id string) bool {
-	j := g.jobs[id]
-	return j != nil && j.cancelled
+// IsCancelled reports whether a job or one of its direct or indirect dependencies is cancelled.
+func (graph *Graph) IsCancelled(id string) bool {
+	job := graph.jobs[id]
+	return job != nil && job.cancelled
 }
 
-// IsReleased says whether all dependencies of a job are done.
-func (g *Graph) IsReleased(id string) bool {
-	j := g.jobs[id]
-	return j == nil || !j.isOpen || j.pending == 0 && !j.cancelled
+// IsReleased reports whether all dependencies of a job are done. It is true for a job without
+// dependencies.
+func (graph *Graph) IsReleased(id string) bool {
+	job := graph.jobs[id]
+	return job == nil || !job.isOpen || job.pending == 0 && !job.cancelled
 }
 
-// Dependents are the open jobs that depend directly on a job, sorted.
-func (g *Graph) Dependents(id string) []string {
-	if j := g.jobs[id]; j != nil {
-		return sortedIDs(j.dependents)
+// Dependents returns the open jobs that depend directly on a job, sorted.
+func (graph *Graph) Dependents(id string) []string {
+	if job := graph.jobs[id]; job != nil {
+		return sortedIDs(job.dependents)
 	}
 	return nil
 }
 
-// PendingDependencies are the dependencies of a job that are not done.
-func (g *Graph) PendingDependencies(id string) []string {
-	j := g.jobs[id]
-	if j == nil {
+// PendingDependencies returns the dependencies of a job that are not done.
+func (graph *Graph) PendingDependencies(id string) []string {
+	job := graph.jobs[id]
+	if job == nil {
 		return nil
 	}
 	var pending []string
-	for _, name := range j.dependencies {
-		if g.jobs[name].state != Done {
+	for _, name := range job.dependencies {
+		if graph.jobs[name].state != Done {
 			pending = append(pending, name)
 		}
 	}
 	return pending
 }
 
-// Unresolved are the jobs whose records have to be read to decide whether a job is
-// cancelled: its unknown dependencies, direct and indirect, or directOnly.
-func (g *Graph) Unresolved(id string, directOnly bool) []string {
-	j := g.jobs[id]
-	if g.unknownCount == 0 || j == nil || j.cancelled {
+// Unresolved returns the jobs whose records have to be read to decide whether a job is
+// cancelled: its dependencies in state Unknown, direct and indirect, or only the direct ones if
+// directOnly is set.
+func (graph *Graph) Unresolved(id string, directOnly bool) []string {
+	job := graph.jobs[id]
+	if graph.unknownCount == 0 || job == nil || job.cancelled {
 		return nil
 	}
 	var unresolved []string
 	seen := map[string]bool{id: true}
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		for _, name := range g.jobs[queue[0]].dependencies {
+		for _, name := range graph.jobs[queue[0]].dependencies {
 			if seen[name] {
 				continue
 			}
 			seen[name] = true
-			if g.jobs[name].state == Unknown {
+			if graph.jobs[name].state == Unknown {
 				unresolved = append(unresolved, name)
 			} else if !directOnly {
 				queue = append(queue, name)
@@ -252,20 +253,21 @@
 	return unresolved
 }
 
-// HasDependencies says whether any job has dependencies.
-func (g *Graph) HasDependencies() bool { return len(g.jobs) > 0 }
+// HasDependencies reports whether any open job has dependencies.
+func (graph *Graph) HasDependencies() bool { return len(graph.jobs) > 0 }
 
-// WaitingCount is the number of open jobs that wait for dependencies.
-func (g *Graph) WaitingCount() int {
+// WaitingCount returns the number of open jobs that wait for dependencies.
+func (graph *Graph) WaitingCount() int {
 	count := 0
-	for _, j := range g.jobs {
-		if j.isOpen && j.pending > 0 && !j.cancelled {
+	for _, job := range graph.jobs {
+		if job.isOpen && job.pending > 0 && !job.cancelled {
 			count++
 		}
 	}
 	return count
 }
 
+// sortedIDs returns the keys of a set, sorted.
 func sortedIDs(set map[string]bool) []string {
 	out := make([]string, 0, len(set))
 	for id := range set {
--- a/internal/readbatch/readbatch_test.go
+++ b/internal/readbatch/readbatch_test.go
@@ -9,13 +9,14 @@
 	"pgregory.net/rapid"
 )
 
-// pageSize is how many records a list of the model returns.
+// pageSize is how many records a list of the simulated store returns.
 const pageSize = 40
 
-// listAnswer is the model store's result of a list.
-func listAnswer(r Read, stored []string) (last string, more bool) {
-	i, there := slices.BinarySearch(stored, r.After)
-	if there {
+// listAnswer returns the simulated store's result of a list: the last name in it and whether
+// records follow.
+func listAnswer(read Read, stored []string) (last string, more bool) {
+	i, found := slices.BinarySearch(stored, read.After)
+	if found {
 		i++
 	}
 	if more = len(stored)-i > pageSize; more {
@@ -24,46 +25,47 @@
 	return "", false
 }
 
-// TestLookup: whatever is requested and however reads fail, each request is answered by a read
-// that was sent after it and covers it, and in the end none is pending.
+// TestLookup guards against requests that are lost or answered by the wrong read. Whatever is
+// requested and however reads fail, each request is answered by a read that was sent after it
+// and covers its name, and no request stays pending.
 func TestLookup(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stored []string
 		for i := range rapid.IntRange(0, 400).Draw(t, "stored") {
 			stored = append(stored, fmt.Sprintf("job-%06d", 3*i))
 		}
-		var b Batcher
-		open := map[string]int{} // open requests, and the step of the newest
+		var batcher Batcher
+		open := map[string]int{} // open requests, each with the step of the newest request for the name
 		readsOf := map[string][]int{}
 		type flight struct {
-			r    Read
+			read Read
 			step int
 		}
 		var inFlight []flight
 		step := 0
 		send := func() {
 			for {
-				r, ok := b.Next()
+				read, ok := batcher.Next()
 				if !ok {
 					return
 				}
 				step++
-				inFlight = append(inFlight, flight{r, step})
+				inFlight = append(inFlight, flight{read, step})
 			}
 		}
 		finish := func(i int, ok bool) {
-			f := inFlight[i]
+			sent := inFlight[i]
 			inFlight = slices.Delete(inFlight, i, i+1)
 			last, more := "", false
-			if f.r.IsList {
-				last, more = listAnswer(f.r, stored)
+			if sent.read.IsList {
+				last, more = listAnswer(sent.read, stored)
 			}
-			for _, id := range b.Complete(f.r, ok, last, more) {
-				if f.r.IsList && ok && (id <= f.r.After || more && id > last) || !f.r.IsList && id != f.r.ID {
-					t.Fatalf("request for %s is answered by a read that does not cover it", id)
+			for _, id := range batcher.Complete(sent.read, ok, last, more) {
+				if sent.read.IsList && ok && (id <= sent.read.After || more && id > last) || !sent.read.IsList && id != sent.read.ID {
+					t.Fatalf("request for %s was answered by a read that does not cover it", id)
 				}
-				readsOf[id] = append(readsOf[id], f.step)
-				if open[id] < f.step {
+				readsOf[id] = append(readsOf[id], sent.step)
+				if open[id] < sent.step {
 					delete(open, id)
 				}
 			}
@@ -75,7 +77,7 @@
 					step++
 					id := fmt.Sprintf("job-%06d", rapid.IntRange(0, 1300).Draw(t, "id"))
 					open[id] = step
-					b.Request(id)
+					batcher.Request(id)
 				}
 				send()
 			},
@@ -86,11 +88,11 @@
 			},
 		})
 		reads := 0
-		for len(inFlight) > 0 || len(b.pending) > 0 {
+		for len(inFlight) > 0 || len(batcher.pending) > 0 {
 			if len(inFlight) > 0 {
 				finish(0, true)
 			}
-			b.BeginRound()
+			batcher.BeginRound()
 			send()
 			if reads++; reads > 200 {
 				t.Fatal("requests are still pending after 200 rounds")
@@ -102,39 +104,41 @@
 	})
 }
 
-// TestStormIsFewReads: a thousand records cost a few reads, not a thousand.
+// TestStormIsFewReads guards against one read for each record when a thousand records are
+// requested at the same time: about one list a page must answer them. A few records are read
+// singly.
 func TestStormIsFewReads(t *testing.T) {
-	var b Batcher
+	var batcher Batcher
 	var stored []string
 	for i := range 1000 {
 		stored = append(stored, fmt.Sprintf("job-%06d", i))
-		b.Request(stored[i])
+		batcher.Request(stored[i])
 	}
 	reads := 0
-	for len(b.pending) > 0 {
-		r, ok := b.Next()
+	for len(batcher.pending) > 0 {
+		read, ok := batcher.Next()
 		if !ok {
-			b.BeginRound()
+			batcher.BeginRound()
 			continue
 		}
 		reads++
-		last, more := listAnswer(r, stored)
-		b.Complete(r, true, last, more)
+		last, more := listAnswer(read, stored)
+		batcher.Complete(read, true, last, more)
 	}
 	if reads > 1000/pageSize+minListSize {
-		t.Errorf("got %d reads of 1000 records, want about one a page", reads)
+		t.Errorf("got %d reads of 1000 records, want about one per page", reads)
 	}
-	// A few records do not wait for a list; more than a round's single reads wait for the
-	// next.
-	b.BeginRound()
+	// A few records are read without a list. Once a round's single reads are used up, further
+	// records wait for the next round.
+	batcher.BeginRound()
 	for i := range maxSingleReads {
-		b.Request(stored[i])
-		if r, ok := b.Next(); !ok || r.IsList {
+		batcher.Request(stored[i])
+		if read, ok := batcher.Next(); !ok || read.IsList {
 			t.Errorf("read of %s: got no single read, want one", stored[i])
 		}
 	}
-	b.Request(stored[9])
-	if _, ok := b.Next(); ok {
+	batcher.Request(stored[9])
+	if _, ok := batcher.Next(); ok {
 		t.Error("Next after maxSingleReads: got a read, want none in this round")
 	}
 }
