--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -1,8 +1,8 @@
-// Package promise decides about promised completion dates: the date that a job gets
-// when it is accepted, when a date may be revised, how dates are stored in pages, and
-// how many were kept. A date is a time after the job's submission, so that differences
-// between the clocks of controllers don't change it. The package has no clock and sends
-// nothing.
+// Package promise calculates promised completion dates: the date that a job gets when it
+// is accepted, and when a date is revised. It also encodes the pages in which dates are
+// stored, and counts how many dates were kept. A date is a time after the job's
+// submission, so differences between the clocks of controllers don't change it. The
+// package has no clock and sends nothing.
 package promise
 
 import (
@@ -15,26 +15,26 @@
 )
 
 const (
-	// MinRevisionInterval is the shortest time between two dates of a job: a minute,
-	// and 5 s for the clocks of two controllers and the latency of a reply.
+	// MinRevisionInterval is the shortest time between two dates of a job: a minute, plus
+	// 5 s for the clock difference of two controllers and the latency of a reply.
 	MinRevisionInterval = time.Minute + 5*time.Second
-	// MaxRevisions is how often a date may be revised.
+	// MaxRevisions is how often the date of a job may be revised.
 	MaxRevisions = 4
-	// MaxDate bounds a date: nothing runs for more than a year.
+	// MaxDate is the latest date, since no job runs for more than a year.
 	MaxDate = 366 * 24 * time.Hour
-	// roundingStep is what dates are rounded up to: a finer one would pretend a
-	// precision that no estimate has.
+	// roundingStep is the multiple to which dates are rounded up. A smaller step would
+	// suggest a precision that no estimate has.
 	roundingStep = 100 * time.Millisecond
-	// maxNameLen bounds the names in records, in bytes.
+	// maxNameLen is the longest name in a record, in bytes.
 	maxNameLen = 200
 )
 
-// Reason is why a job got a date.
+// Reason says why a job got its date.
 type Reason uint8
 
 // The reasons. All but FirstDate are those of revisions. The numbers are stored.
 const (
-	// FirstDate is the date at the job's acceptance.
+	// FirstDate is the reason of the date at the job's acceptance.
 	FirstDate Reason = iota
 	// MachinesLost means that machines of the job failed.
 	MachinesLost
@@ -49,14 +49,14 @@
 	reasonCount
 )
 
-// String is the reason as users read it.
-func (r Reason) String() string {
-	return [...]string{"first date", "machines lost", "outage", "ranking changed", "mistake in the job", "estimate wrong", "unknown"}[min(r, reasonCount)]
+// String returns the reason as users read it.
+func (reason Reason) String() string {
+	return [...]string{"first date", "machines lost", "outage", "ranking changed", "mistake in the job", "estimate wrong", "unknown"}[min(reason, reasonCount)]
 }
 
-// Job is what of a job determines its date. Expected is the estimated run time of a
-// task, and FetchTime that of its image's fetch. The date of a Standing (long-running)
-// job is when all of its tasks run.
+// Job has the properties of a job that determine its date. Expected is the estimated run
+// time of a task, and FetchTime the time to fetch its image. Standing says that the job is
+// long-running: its date is when all of its tasks run.
 type Job struct {
 	Team, Class         string
 	Tasks               int
@@ -72,25 +72,26 @@
 	Revision int
 }
 
-// Entry is a job's date in a page, and its reason.
+// Entry is a job's date as stored in a page, and the reason for it.
 type Entry struct {
 	Job string
 	Date
 	Reason Reason
 }
 
-// Validate returns why a decoded date is invalid, or "".
-func (d Date) Validate() string {
+// Validate returns the reason why a decoded date is invalid, or "" if it is valid.
+func (date Date) Validate() string {
 	switch {
-	case d.After <= 0 || d.After > MaxDate:
-		return fmt.Sprintf("the date is %v: want more than 0 and up to %v", d.After, MaxDate)
-	case d.Revision < 1 || d.Revision > MaxRevisions+1:
-		return fmt.Sprintf("the revision is %d: want 1 to %d", d.Revision, MaxRevisions+1)
+	case date.After <= 0 || date.After > MaxDate:
+		return fmt.Sprintf("the date is %v: want more than 0 and up to %v", date.After, MaxDate)
+	case date.Revision < 1 || date.Revision > MaxRevisions+1:
+		return fmt.Sprintf("the revision is %d: want 1 to %d", date.Revision, MaxRevisions+1)
 	}
 	return ""
 }
 
-// Round is d as it is promised: rounded up, and at most MaxDate.
+// Round returns a time rounded up to roundingStep and limited to MaxDate, as dates are
+// promised.
 func Round(d time.Duration) time.Duration {
 	return min(max(roundingStep, (d+roundingStep-1)/roundingStep*roundingStep), MaxDate)
 }
@@ -99,59 +100,62 @@
 type Forecast struct {
 	// Age is the time since the submission.
 	Age time.Duration
-	// Remaining is the expected time until the job's end, and RemainingHigh that time
-	// with its spread, from which a new date is made.
+	// Remaining is the expected time until the job's end. RemainingHigh is that time with
+	// the spread of run times added, from which a new date is made.
 	Remaining, RemainingHigh time.Duration
 }
 
 const (
-	// An earlier date is published only if the time left is more than earlyFactor times
-	// what the job needs, and the date is earlier by more than minEarlyGain. It uses up
-	// one of few revisions, half of which are reserved for delays.
+	// earlyFactor and minEarlyGain limit revisions to an earlier date: the time left until
+	// the date must be more than earlyFactor times the time that the job needs, and the
+	// new date earlier by more than minEarlyGain. Each revision uses up one of few, half
+	// of which are reserved for delays.
 	earlyFactor  = 3
 	minEarlyGain = 2 * time.Minute
 )
 
-// Revise returns the next date and true if d is to be revised, else d. That is only if d
-// would be missed or is far too late, at most MaxRevisions times, and not before
-// MinRevisionInterval since d was published; since is that time. A date that has passed
-// is broken and never revised.
-func Revise(d Date, since time.Duration, forecast Forecast) (Date, bool) {
-	if d.Revision == 0 || d.Revision > MaxRevisions || since < MinRevisionInterval || forecast.Age >= d.After {
-		return d, false
+// Revise returns the next date and true if date is to be revised, otherwise date and
+// false. A date is revised only if it would be missed or is far too late, at most
+// MaxRevisions times, and not before MinRevisionInterval has passed since it was
+// published; since is the time since then. A date that has passed is broken and never
+// revised.
+func Revise(date Date, since time.Duration, forecast Forecast) (Date, bool) {
+	if date.Revision == 0 || date.Revision > MaxRevisions || since < MinRevisionInterval || forecast.Age >= date.After {
+		return date, false
 	}
-	next := Date{Round(forecast.Age + max(forecast.Remaining, forecast.RemainingHigh)), d.Revision + 1}
-	switch left := d.After - forecast.Age; {
+	next := Date{Round(forecast.Age + max(forecast.Remaining, forecast.RemainingHigh)), date.Revision + 1}
+	switch left := date.After - forecast.Age; {
 	case forecast.Remaining > left:
-		return next, next.After > d.After
-	case d.Revision <= MaxRevisions/2 && next.After+minEarlyGain < d.After && left > earlyFactor*max(forecast.Remaining, forecast.RemainingHigh):
+		return next, next.After > date.After
+	case date.Revision <= MaxRevisions/2 && next.After+minEarlyGain < date.After && left > earlyFactor*max(forecast.Remaining, forecast.RemainingHigh):
 		return next, true
 	}
-	return d, false
+	return date, false
 }
 
 var (
-	// errRecord says that a record is damaged.
-	errRecord = errors.New("promise: record")
-	// ErrFormat says that another version's format of records was read.
-	ErrFormat = errors.New("promise: another form")
+	// errRecord is wrapped by the errors of damaged records.
+	errRecord = errors.New("promise: damaged record")
+	// ErrFormat is wrapped by the errors of records in another format version.
+	ErrFormat = errors.New("promise: other format version")
 )
 
-// formatVersion is the version of the records' format.
+// formatVersion is the format version of all records of this package.
 const formatVersion = 1
 
-// decode reads a record. The library allocates a list by the length that it claims, so
-// the lengths are checked first.
-func decode(b []byte, v any) error {
-	if _, err := sizelimit.JSON(b); err != nil {
+// decode decodes a record. The library allocates a list by the length that the record
+// claims, so sizelimit checks the lengths first.
+func decode(value []byte, into any) error {
+	if _, err := sizelimit.JSON(value); err != nil {
 		return fmt.Errorf("%w: %w", errRecord, err)
 	}
-	if err := msgpack.Unmarshal(b, v); err != nil {
+	if err := msgpack.Unmarshal(value, into); err != nil {
 		return fmt.Errorf("%w: %w", errRecord, err)
 	}
 	return nil
 }
 
+// checkFormat returns an error that wraps ErrFormat unless version is formatVersion.
 func checkFormat(version int) error {
 	if version != formatVersion {
 		return fmt.Errorf("%w: field v is %d: want %d", ErrFormat, version, formatVersion)
@@ -159,20 +163,21 @@
 	return nil
 }
 
-func encode(v any) []byte {
-	b, err := msgpack.Marshal(v)
+// encode encodes a record.
+func encode(rec any) []byte {
+	value, err := msgpack.Marshal(rec)
 	if err != nil {
 		// Only this package's plain structs come here, which always encode.
 		panic("promise: " + err.Error())
 	}
-	return b
+	return value
 }
 
-// jsonSize is an upper bound of an encoded record's bytes as JSON.
-func jsonSize(b []byte) int {
-	n, err := sizelimit.JSON(b)
+// jsonSize returns an upper bound of the size of an encoded record as JSON, in bytes.
+func jsonSize(value []byte) int {
+	size, err := sizelimit.JSON(value)
 	if err != nil {
 		panic("promise: " + err.Error())
 	}
-	return n
+	return size
 }
--- a/internal/promise/promise_test.go
+++ b/internal/promise/promise_test.go
@@ -14,9 +14,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestRevise: whatever the forecasts, a date is revised at most MaxRevisions times, never
-// within a minute, never after it has passed, and only if it would be missed or is far
-// too late.
+// TestRevise guards against dates that change too often or without need: whatever the
+// forecasts, a date is revised at most MaxRevisions times, never within a minute, never
+// after it has passed, and only if it would be missed or is far too late.
 func TestRevise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seconds := func(name string, most int) time.Duration {
@@ -36,11 +36,11 @@
 			late, early := forecast.Age+forecast.Remaining > date.After, next.After < date.After
 			switch {
 			case since < time.Minute:
-				t.Fatalf("%v revised after %v, want a minute at least", date, since)
+				t.Fatalf("got %v revised after %v, want a minute at least", date, since)
 			case next.Revision != date.Revision+1, next.Revision > MaxRevisions+1, next.Validate() != "":
 				t.Fatalf("got %v after %v, want the next valid revision", next, date)
 			case now >= date.After:
-				t.Fatalf("%v revised at %v, want it to stand once it has passed", date, now)
+				t.Fatalf("got %v revised at %v, want no revision once the date has passed", date, now)
 			case late == early, next.After < forecast.Age+forecast.Remaining:
 				t.Fatalf("got %v after %v for %+v, want a later date for a late job or an earlier one for an early job", next, date, forecast)
 			}
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestTotals: however the ended jobs are divided among leaders and records, the sums are
-// those of the jobs, also of jobs in the others' row.
+// TestTotals guards against lost counts: however the ended jobs are divided among leaders
+// and records, the sums are those of the jobs, including the jobs in the others' row.
 func TestTotals(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1200, 9000).Draw(t, "limit")
@@ -65,10 +65,10 @@
 			totals.Add(end)
 			totals.Revision = uint64(i)
 			if rapid.IntRange(0, 20).Draw(t, "written") == 0 {
-				b := totals.Encode(limit)
-				next, err := DecodeTotals(b)
-				if err != nil || jsonSize(b) > limit || next.Revision != totals.Revision || !bytes.Equal(next.Encode(limit), b) {
-					t.Fatalf("got %d bytes, error %v; want up to %d bytes that decode to the same totals", jsonSize(b), err, limit)
+				value := totals.Encode(limit)
+				next, err := DecodeTotals(value)
+				if err != nil || jsonSize(value) > limit || next.Revision != totals.Revision || !bytes.Equal(next.Encode(limit), value) {
+					t.Fatalf("got %d bytes, error %v; want up to %d bytes that decode to the same totals", jsonSize(value), err, limit)
 				}
 				totals = next.Clone()
 			}
@@ -79,7 +79,7 @@
 	})
 }
 
-// countEnd counts an ended job, apart from the code under test.
+// countEnd counts an ended job independently of the code under test.
 func countEnd(row *Row, end JobEnd) {
 	row.Jobs++
 	if end.Date.Revision == 0 {
@@ -102,20 +102,21 @@
 	name string
 	// spread is the standard deviation of the run times' logarithm.
 	spread float64
-	// wrongEstimates makes run times change from half of their estimates to one and a
-	// half; bursts makes jobs wait from time to time.
+	// wrongEstimates makes run times change from 0.5 to 1.5 times their estimates. bursts
+	// makes jobs wait from time to time.
 	wrongEstimates, bursts bool
-	// wantKept is the least share of dates kept, and wantRatio the largest ratio of the
-	// median date to the median duration.
+	// wantKept is the smallest share of dates that have to be kept, and wantRatio the
+	// largest ratio of the median date to the median duration.
 	wantKept, wantRatio float64
 }
 
-// TestCalibration: in simulated time, with run times whose tail is heavy, estimates that
-// are wrong by half, and bursts that wait, the wanted share of the dates is kept, also
-// when times change. Dates are not padded either: half are promised within 1.6 times what
-// half take, where that is possible at all, and within 2.5 in bursts.
+// TestCalibration guards against dates that are missed too often or are needlessly late.
+// In simulated time, with run times that have a heavy tail, estimates that are wrong by
+// half, and bursts in which jobs wait, the wanted share of dates is kept, also when run
+// times change. The median date is at most 1.6 times the median duration, or 2.5 times
+// with a heavy tail or bursts.
 func TestCalibration(t *testing.T) {
-	for _, c := range []calibrationCase{
+	for _, team := range []calibrationCase{
 		{"quiet", 0.25, false, false, 0.945, 1.6},
 		{"wrong estimates", 0.25, true, false, 0.93, 1.6},
 		{"heavy tail", 0.5, true, false, 0.93, 2.5},
@@ -126,7 +127,7 @@
 			rng := rand.New(rand.NewPCG(seed, 31))
 			quoter := NewQuoter(0.95)
 			for i := range 600 {
-				date, duration := c.simulateJob(t, quoter, rng, i)
+				date, duration := team.simulateJob(t, quoter, rng, i)
 				dates, durations = append(dates, date.Seconds()), append(durations, duration.Seconds())
 			}
 		}
@@ -139,45 +140,46 @@
 		slices.Sort(dates)
 		slices.Sort(durations)
 		share, ratio := float64(kept)/float64(len(dates)), dates[len(dates)/2]/durations[len(durations)/2]
-		t.Logf("%s: %.3f of the dates kept, median date %.2f times the median duration", c.name, share, ratio)
-		if share < c.wantKept || ratio > c.wantRatio {
-			t.Errorf("%s: got %.3f kept, a ratio of %.2f; want %.3f at least, %.2f at most", c.name, share, ratio, c.wantKept, c.wantRatio)
+		t.Logf("%s: %.3f of the dates kept, median date %.2f times the median duration", team.name, share, ratio)
+		if share < team.wantKept || ratio > team.wantRatio {
+			t.Errorf("%s: got %.3f kept, a ratio of %.2f; want %.3f at least, %.2f at most", team.name, share, ratio, team.wantKept, team.wantRatio)
 		}
 	}
 }
 
-// simulateJob simulates job i of a team, from which the quoter learns, and returns its
+// simulateJob simulates job i of a team, has the quoter learn from it, and returns its
 // date and its duration.
-func (c *calibrationCase) simulateJob(t *testing.T, quoter *Quoter, rng *rand.Rand, i int) (date, duration time.Duration) {
+func (team *calibrationCase) simulateJob(t *testing.T, quoter *Quoter, rng *rand.Rand, i int) (date, duration time.Duration) {
 	t.Helper()
 	const expected = 40.0
 	actual := expected
-	if c.wrongEstimates {
+	if team.wrongEstimates {
 		actual = expected * (0.5 + float64(i/200)*0.5)
 	}
 	var wait float64
-	if c.bursts && i%100 >= 80 {
+	if team.bursts && i%100 >= 80 {
 		wait = 120 * rng.Float64()
 	}
 	quoter.UpdateLoad("c", Load{Wait: time.Duration(wait * float64(time.Second)), FreeCapacity: 100, RunRatio: 1, RunSpread: 0.3})
 	job := Job{Team: "t", Class: "c", Tasks: 1 + rng.IntN(30), Expected: expected * time.Second, FetchTime: 2 * time.Second}
-	run := 0.0
+	longest := 0.0
 	for range job.Tasks {
-		run = max(run, actual*math.Exp(c.spread*rng.NormFloat64()))
+		longest = max(longest, actual*math.Exp(team.spread*rng.NormFloat64()))
 	}
-	duration = time.Duration((wait*(0.7+0.6*rng.Float64()) + 2 + run) * float64(time.Second))
+	duration = time.Duration((wait*(0.7+0.6*rng.Float64()) + 2 + longest) * float64(time.Second))
 	base := quoter.Base(job)
 	date, known := quoter.Quote(job)
 	if !known {
-		t.Fatal("the class is not known, though its load was")
+		t.Fatal("got the class unknown after its load was set, want it known")
 	}
 	quoter.LearnFinish(job, base, duration)
 	quoter.LearnOutcome(job, duration <= date)
 	return date, duration
 }
 
-// TestQuoterRoundTrip: a decoded quoter quotes the same, for classes and sizes that were
-// seen. Only as many classes are kept and encoded as fit.
+// TestQuoterRoundTrip guards against quotes that differ between controllers: a decoded
+// quoter quotes the same dates, for classes and sizes that were seen. It also checks that
+// no more classes are kept and encoded than fit.
 func TestQuoterRoundTrip(t *testing.T) {
 	const limit = 1500
 	jobOf := func(i int) Job {
@@ -189,11 +191,11 @@
 		quoter.UpdateLoad(job.Class, Load{Wait: time.Duration(i) * time.Second, FreeCapacity: 10, RunRatio: 1.5, RunSpread: 0.25})
 		quoter.LearnFinish(job, quoter.Base(job), time.Duration(i+1)*time.Minute)
 	}
-	b := quoter.Encode("t", limit)
-	if jsonSize(b) > limit {
-		t.Fatalf("got %d bytes, want %d at most", jsonSize(b), limit)
+	value := quoter.Encode("t", limit)
+	if jsonSize(value) > limit {
+		t.Fatalf("got %d bytes, want %d at most", jsonSize(value), limit)
 	}
-	team, decoded, err := DecodeQuoter(b, 0.95)
+	team, decoded, err := DecodeQuoter(value, 0.95)
 	if err != nil || team != "t" || len(decoded.classes) < 10 || len(quoter.classes) > maxClasses {
 		t.Fatalf("got team %s, %d classes of %d, error %v; want t, 10 classes at least, of %d at most", team, len(decoded.classes), len(quoter.classes), err, maxClasses)
 	}
@@ -204,15 +206,15 @@
 		}
 		want, _ := quoter.Quote(job)
 		got, known := decoded.Quote(job)
-		// The spread isn't encoded, on which long dates depend.
+		// Long dates depend on the spread of ratios, which isn't encoded.
 		if diff := math.Abs(want.Seconds()/got.Seconds() - 1); !known || diff > 0.3 || want < revisableAfter && diff > 0.03 {
 			t.Errorf("%s: got %v, known %v; want about %v", job.Class, got, known, want)
 		}
 	}
 }
 
-// FuzzRecords: no content of a record makes decoding panic, and what is decoded is valid
-// and can be encoded again.
+// FuzzRecords guards against panics on damaged records: decoding fails with an error, or
+// what is decoded is valid and can be encoded and decoded again.
 func FuzzRecords(f *testing.F) {
 	quoter := NewQuoter(0.9)
 	quoter.UpdateLoad("c", Load{Wait: time.Second, FreeCapacity: 3, RunRatio: 1, RunSpread: 0.2})
@@ -222,14 +224,14 @@
 	f.Add(quoter.Encode("t", 4000))
 	f.Add(totals.Encode(4000))
 	f.Add([]byte{0x82, 0xa1, 'v', 1, 0xa1, 'e', 0xdd, 0xff, 0xff, 0xff, 0xff})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		if entries, err := DecodePage(b); err == nil {
+	f.Fuzz(func(t *testing.T, value []byte) {
+		if entries, err := DecodePage(value); err == nil {
 			again, err := DecodePage(encodePage(entries))
 			if err != nil || !maps.Equal(entries, again) {
 				t.Errorf("got page %v, error %v; want %v", again, err, entries)
 			}
 		}
-		if team, quoter, err := DecodeQuoter(b, 0.95); err == nil {
+		if team, quoter, err := DecodeQuoter(value, 0.95); err == nil {
 			if date, _ := quoter.Quote(Job{Team: team, Class: "c", Tasks: 5, Expected: time.Hour}); date <= 0 || date > MaxDate {
 				t.Errorf("got a quote of %v, want more than 0 and up to %v", date, MaxDate)
 			}
@@ -237,7 +239,7 @@
 				t.Errorf("quotes encoded again: got error %v, want none", err)
 			}
 		}
-		if totals, err := DecodeTotals(b); err == nil {
+		if totals, err := DecodeTotals(value); err == nil {
 			if _, err := DecodeTotals(totals.Encode(1 << 20)); err != nil {
 				t.Errorf("totals encoded again: got error %v, want none", err)
 			}
--- a/internal/ranking/derive.go
+++ b/internal/ranking/derive.go
@@ -8,27 +8,29 @@
 	"strings"
 )
 
-// weightedGroup is the workloads that have one weight in a policy script.
+// weightedGroup is the workloads that have the same weight in a policy script.
 type weightedGroup struct {
 	workloads []string
 	weight    float64
 }
 
-// Derive returns the ranking that orders jobs by urgency, and within one urgency by a
-// policy script's weights. fits says whether a record is small enough to be stored. Of
-// more weights than a ranking can hold the smallest are left out and the nearest are
-// merged; lossless says that neither was necessary.
+// Derive returns the ranking that orders jobs by urgency, and jobs of the same urgency by
+// a policy script's weights. fits reports whether a record is small enough to be stored.
+// If there are more weights than a ranking can hold, the workloads with the weights
+// nearest to 0 are left out, and the weights closest to each other are merged. lossless
+// reports that neither was necessary.
 func Derive(weights map[string]float64, fits func(Record) bool) (record Record, lossless bool) {
 	var candidates []weightedGroup
 	lossless = true
-	for name, w := range weights {
+	for name, weight := range weights {
 		switch {
-		case w == 0:
+		case weight == 0:
 		case name == "" || len(name) > maxWorkloadLen || strings.Contains(name, "*"):
-			// In a ranking an asterisk stands for other workloads, in a script it does not.
+			// In a ranking an asterisk stands for the rest of a name, in a policy script
+			// it does not.
 			lossless = false
 		default:
-			candidates = append(candidates, weightedGroup{[]string{name}, w})
+			candidates = append(candidates, weightedGroup{[]string{name}, weight})
 		}
 	}
 	slices.SortFunc(candidates, func(a, b weightedGroup) int {
@@ -50,8 +52,9 @@
 	}
 }
 
-// classesOf returns the classes of one urgency: one for each group, in their order, and
-// one for all other workloads, between the groups of positive and of negative weight.
+// classesOf returns the classes of one urgency: one for each group, in the groups' order,
+// and one for all other workloads, after the groups of positive weight and before those of
+// negative weight.
 func classesOf(urgency string, groups []weightedGroup) []Class {
 	var classes []Class
 	for i, group := range groups {
@@ -66,33 +69,33 @@
 	return classes
 }
 
-// mergeByWeight merges workloads of the same weight, and then the nearest weights of the
-// same sign until there are at most maxGroups. The highest weight comes first. distinct
-// says that no two weights were merged.
-func mergeByWeight(candidates []weightedGroup, maxGroups int) (out []weightedGroup, distinct bool) {
-	for _, w := range candidates {
-		i := slices.IndexFunc(out, func(o weightedGroup) bool { return o.weight == w.weight })
+// mergeByWeight merges workloads of the same weight, and then the closest weights of the
+// same sign until there are at most maxGroups groups. The groups are ordered by weight,
+// the highest first. distinct reports that no two different weights were merged.
+func mergeByWeight(candidates []weightedGroup, maxGroups int) (groups []weightedGroup, distinct bool) {
+	for _, candidate := range candidates {
+		i := slices.IndexFunc(groups, func(group weightedGroup) bool { return group.weight == candidate.weight })
 		if i < 0 {
-			out = append(out, weightedGroup{slices.Clone(w.workloads), w.weight})
+			groups = append(groups, weightedGroup{slices.Clone(candidate.workloads), candidate.weight})
 		} else {
-			out[i].workloads = append(out[i].workloads, w.workloads...)
+			groups[i].workloads = append(groups[i].workloads, candidate.workloads...)
 		}
 	}
-	slices.SortFunc(out, func(a, b weightedGroup) int { return cmp.Compare(b.weight, a.weight) })
+	slices.SortFunc(groups, func(a, b weightedGroup) int { return cmp.Compare(b.weight, a.weight) })
 	distinct = true
-	for len(out) > maxGroups {
+	for len(groups) > maxGroups {
 		nearest, gap := -1, math.Inf(1)
-		for i := range len(out) - 1 {
-			if a, b := out[i], out[i+1]; (a.weight > 0) == (b.weight > 0) && a.weight-b.weight < gap {
+		for i := range len(groups) - 1 {
+			if a, b := groups[i], groups[i+1]; (a.weight > 0) == (b.weight > 0) && a.weight-b.weight < gap {
 				nearest, gap = i, a.weight-b.weight
 			}
 		}
-		out[nearest].workloads = append(out[nearest].workloads, out[nearest+1].workloads...)
-		out = slices.Delete(out, nearest+1, nearest+2)
+		groups[nearest].workloads = append(groups[nearest].workloads, groups[nearest+1].workloads...)
+		groups = slices.Delete(groups, nearest+1, nearest+2)
 		distinct = false
 	}
-	for i := range out {
-		slices.Sort(out[i].workloads)
+	for i := range groups {
+		slices.Sort(groups[i].workloads)
 	}
-	return out, distinct
+	return groups, distinct
 }
--- a/internal/ranking/golden_test.go
+++ b/internal/ranking/golden_test.go
@@ -7,8 +7,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecord: a ranking is encoded as in earlier versions, and one of an earlier
-// version is decoded.
+// TestGoldenRecord guards against changes of the stored format: a ranking is encoded as in
+// earlier versions, and a record of an earlier version is decoded.
 func TestGoldenRecord(t *testing.T) {
 	stored := testgolden.Values{"wire": storedRecord{Format: 3, Revision: 12, SetBy: "ops", SetAt: 1_750_000_000_123, Derived: true, Classes: []storedClass{
 		{Name: "serving", Workloads: []string{"chat", "embed*"}, Urgency: "critical", WaitBoundMS: 90_500, ReservedFraction: 0.25},
--- a/internal/ranking/parse.go
+++ b/internal/ranking/parse.go
@@ -11,7 +11,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// rankingFile is a ranking as an operator writes it.
+// rankingFile is a ranking as an operator writes it. BoundS is the wait bound in seconds,
+// and Part the reserved fraction.
 type rankingFile struct {
 	Class []struct {
 		Name      string   `toml:"name"`
@@ -22,8 +23,8 @@
 	} `toml:"class"`
 }
 
-// Parse reads a ranking's file, as a whole or not at all. An error names line, column and
-// field, and the valid values.
+// Parse reads the file of a ranking. Any error makes the whole file invalid. The error
+// names line, column and field, and the valid values.
 func Parse(text []byte) (Record, error) {
 	var file rankingFile
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&file); err != nil {
@@ -39,37 +40,38 @@
 		}
 		return Record{}, fmt.Errorf("ranking: %w", err)
 	}
-	var r Record
-	for i, c := range file.Class {
-		if !(c.BoundS >= 0 && c.BoundS <= maxWaitBound.Seconds()) {
+	var record Record
+	for i, class := range file.Class {
+		if !(class.BoundS >= 0 && class.BoundS <= maxWaitBound.Seconds()) {
 			row, col := locate(text, i, "bound_s")
-			return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].bound_s: %v: want 0 for the default, or %v to %v seconds", row, col, i, c.BoundS, minWaitBound.Seconds(), maxWaitBound.Seconds())
+			return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].bound_s: %v: want 0 for the default, or %v to %v seconds", row, col, i, class.BoundS, minWaitBound.Seconds(), maxWaitBound.Seconds())
 		}
-		r.Classes = append(r.Classes, Class{c.Name, c.Workloads, c.Urgency, time.Duration(c.BoundS * float64(time.Second)), c.Part})
+		record.Classes = append(record.Classes, Class{class.Name, class.Workloads, class.Urgency, time.Duration(class.BoundS * float64(time.Second)), class.Part})
 	}
-	if problem := r.validate(); problem != nil {
+	if problem := record.validate(); problem != nil {
 		row, col := locate(text, problem.class, problem.field)
 		return Record{}, fmt.Errorf("ranking: %d:%d: field class[%d].%s: %s", row, col, problem.class, problem.field, problem.reason)
 	}
-	return r, nil
+	return record, nil
 }
 
+// classHeader matches the header line of a class.
 var classHeader = regexp.MustCompile(`^\s*\[\[\s*class\s*\]\]`)
 
-// locate returns the line and column of a class's field, from 1. For a field that is not
-// there it returns those of the class's header.
+// locate returns the line and column, counted from 1, of a field in a class. If the class
+// does not have the field, they are those of the class's header.
 func locate(text []byte, class int, field string) (row, col int) {
 	named := regexp.MustCompile(`^\s*"?` + regexp.QuoteMeta(field) + `"?\s*=`)
 	row, col = 1, 1
-	at := -1
+	current := -1
 	for i, line := range strings.Split(string(text), "\n") {
 		indent := 1 + len(line) - len(strings.TrimLeft(line, " \t"))
 		if classHeader.MatchString(line) {
-			if at++; at == class {
+			if current++; current == class {
 				row, col = i+1, indent
 			}
 		}
-		if at == class && named.MatchString(line) {
+		if current == class && named.MatchString(line) {
 			return i + 1, indent
 		}
 	}
--- a/internal/ranking/ranking_test.go
+++ b/internal/ranking/ranking_test.go
@@ -14,9 +14,11 @@
 	"pgregory.net/rapid"
 )
 
+// acceptAll reports that a record of any size fits.
 func acceptAll(Record) bool { return true }
 
-// TestDerivedOrder: the derived ranking orders any two jobs by urgency, then by weight.
+// TestDerivedOrder guards against a change of order when the first ranking is derived: it
+// orders any two jobs by urgency, then by weight, as the policy script does.
 func TestDerivedOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d", "e"}
@@ -28,11 +30,11 @@
 				weights[n] = weight.Draw(t, n)
 			}
 		}
-		r, lossless := Derive(weights, acceptAll)
-		if !lossless || r.validate() != nil {
-			t.Fatalf("%v: got %+v, lossless %v, problem %v; want a valid ranking without loss", weights, r, lossless, r.validate())
+		record, lossless := Derive(weights, acceptAll)
+		if !lossless || record.validate() != nil {
+			t.Fatalf("%v: got %+v, lossless %v, problem %v; want a valid ranking without loss", weights, record, lossless, record.validate())
 		}
-		table := r.Table()
+		table := record.Table()
 		for _, a := range names {
 			for _, b := range names {
 				for ua := range Urgencies {
@@ -48,39 +50,39 @@
 	})
 }
 
-// TestDerivedLimits: whatever the weights, the record can be stored, and no pair of
-// workloads is in the wrong order.
+// TestDerivedLimits guards against a derived ranking that can't be stored or reverses two
+// workloads, whatever the weights.
 func TestDerivedLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.MapOfN(rapid.StringMatching(`[a-z*]{0,110}`), rapid.Float64Range(-1000, 1000), 0, 40).Draw(t, "weights")
-		small := func(r Record) bool { return len(r.Encode()) < 3000 }
-		r, _ := Derive(weights, small)
-		r.Revision = 1
-		if back, err := Decode(r.Encode()); err != nil || len(back.Classes) != len(r.Classes) || !small(r) {
-			t.Fatalf("got %d classes in %d bytes, %d decoded, error %v; want less than 3000 bytes that decode to the same", len(r.Classes), len(r.Encode()), len(back.Classes), err)
+		small := func(record Record) bool { return len(record.Encode()) < 3000 }
+		record, _ := Derive(weights, small)
+		record.Revision = 1
+		if back, err := Decode(record.Encode()); err != nil || len(back.Classes) != len(record.Classes) || !small(record) {
+			t.Fatalf("got %d classes in %d bytes, %d decoded, error %v; want less than 3000 bytes that decode to the same", len(record.Classes), len(record.Encode()), len(back.Classes), err)
 		}
-		table := r.Table()
-		for a, wa := range weights {
-			for b, wb := range weights {
+		table := record.Table()
+		for a, weightA := range weights {
+			for b, weightB := range weights {
 				named := table.ClassName(a, 1) != "normal" && table.ClassName(b, 1) != "normal"
-				if named && wa > wb && table.Rank(a, 1) > table.Rank(b, 1) {
-					t.Fatalf("%s of weight %v ranks behind %s of weight %v", a, wa, b, wb)
+				if named && weightA > weightB && table.Rank(a, 1) > table.Rank(b, 1) {
+					t.Fatalf("got %s of weight %v behind %s of weight %v, want it ahead", a, weightA, b, weightB)
 				}
 			}
 		}
 	})
 }
 
-// TestRank: a job ranks by the first class that matches, and behind all classes by its
-// urgency.
+// TestRank checks that a job ranks by the first class that matches, and behind all classes
+// by its urgency if none matches.
 func TestRank(t *testing.T) {
-	r, err := Parse([]byte("[[class]]\nname = \"crit\"\nurgency = \"critical\"\n[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\", \"outage\"]\nbound_s = 30\npart = 0.1\n" +
+	record, err := Parse([]byte("[[class]]\nname = \"crit\"\nurgency = \"critical\"\n[[class]]\nname = \"rush\"\nworkloads = [\"rush-*\", \"outage\"]\nbound_s = 30\npart = 0.1\n" +
 		"[[class]]\nname = \"late\"\nworkloads = [\"slow\"]\nurgency = \"critical\"\n[[class]]\nname = \"any\"\nworkloads = [\"rush-x\"]\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := r.Table()
-	for _, c := range []struct {
+	table := record.Table()
+	for _, tc := range []struct {
 		workload string
 		urgency  int
 		class    string
@@ -89,8 +91,8 @@
 		{"rush-x", 3, "crit", 0}, {"rush-x", 0, "rush", 1}, {"rush", 2, "(urgent)", 5}, {"outage", 1, "rush", 1}, {"slow", 3, "late", 2},
 		{"slow", 2, "(urgent)", 5}, {"x", 0, "(best_effort)", 7}, {"x", 99, "crit", 0}, {"x", -5, "(best_effort)", 7},
 	} {
-		if class, rank := table.ClassName(c.workload, c.urgency), table.Rank(c.workload, c.urgency); class != c.class || rank != c.rank {
-			t.Errorf("%s of urgency %d: got class %s, rank %d; want %s, %d", c.workload, c.urgency, class, rank, c.class, c.rank)
+		if class, rank := table.ClassName(tc.workload, tc.urgency), table.Rank(tc.workload, tc.urgency); class != tc.class || rank != tc.rank {
+			t.Errorf("%s of urgency %d: got class %s, rank %d; want %s, %d", tc.workload, tc.urgency, class, rank, tc.class, tc.rank)
 		}
 	}
 	if bound, fraction := table.WaitBound("rush-1", 1); bound != 30*time.Second || fraction != 0.1 {
@@ -100,15 +102,15 @@
 	if highest, lowest := none.Rank("x", 3), none.Rank("x", 0); highest != 0 || lowest != 3 {
 		t.Errorf("without a ranking: got ranks %d and %d of the highest and lowest urgency, want 0 and 3", highest, lowest)
 	}
-	if w := strings.Join(r.Warnings(), "\n"); !strings.Contains(w, "urgent") || !strings.Contains(w, "rush-x belongs to class rush") || strings.Contains(w, "critical:") {
-		t.Errorf("got warnings %q, want them for urgent and rush-x only", w)
+	if warnings := strings.Join(record.Warnings(), "\n"); !strings.Contains(warnings, "urgent") || !strings.Contains(warnings, "rush-x belongs to class rush") || strings.Contains(warnings, "critical:") {
+		t.Errorf("got warnings %q, want them for urgent and rush-x only", warnings)
 	}
 }
 
-// TestParseRefuses: invalid files are refused with line, column and field.
+// TestParseRefuses checks that invalid files are refused with line, column and field.
 func TestParseRefuses(t *testing.T) {
 	many := strings.Repeat("[[class]]\nname=\"x\"\nurgency=\"normal\"\n", 17)
-	for _, c := range []struct{ text, want string }{
+	for _, tc := range []struct{ text, want string }{
 		{"", "there is no class"},
 		{"[[class]]\nname = \"a\"", "1:1: field class[0].workloads"},
 		{"[[class]]\n  name = \"a b\"\nurgency=\"normal\"", "2:3: field class[0].name"},
@@ -124,57 +126,57 @@
 		{"[[class]\n", "1:"},
 		{many, "field class[16].name: 17 classes"},
 	} {
-		if _, err := Parse([]byte(c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%.60q: got error %v, want %s", c.text, err, c.want)
+		if _, err := Parse([]byte(tc.text)); err == nil || !strings.Contains(err.Error(), tc.want) {
+			t.Errorf("%.60q: got error %v, want %s", tc.text, err, tc.want)
 		}
 	}
 }
 
-// TestLaterFormat: a record in a later format is distinguished from a damaged one, and its
-// revision can be read.
+// TestLaterFormat guards against a record in a later format that is taken for a damaged
+// one, and checks that its revision can be read.
 func TestLaterFormat(t *testing.T) {
-	b, err := msgpack.Marshal(map[string]any{"v": 2, "rev": 9, "c": "other"})
+	value, err := msgpack.Marshal(map[string]any{"v": 2, "rev": 9, "c": "other"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Decode(b); !errors.Is(err, ErrFormat) || Revision(b) != 9 {
-		t.Errorf("got error %v, revision %d; want %v, 9", err, Revision(b), ErrFormat)
+	if _, err := Decode(value); !errors.Is(err, ErrFormat) || Revision(value) != 9 {
+		t.Errorf("got error %v, revision %d; want %v, 9", err, Revision(value), ErrFormat)
 	}
 }
 
-// FuzzDecode: what is decoded from any bytes can be encoded and decoded again.
+// FuzzDecode checks that what is decoded from any bytes can be encoded and decoded again.
 func FuzzDecode(f *testing.F) {
-	r, _ := Derive(map[string]float64{"a": 1, "b": -1}, acceptAll)
-	r.Revision, r.SetBy = 3, "me"
-	f.Add(r.Encode())
+	record, _ := Derive(map[string]float64{"a": 1, "b": -1}, acceptAll)
+	record.Revision, record.SetBy = 3, "me"
+	f.Add(record.Encode())
 	f.Add([]byte{0x81, 0xa1, 'c', 0xdd, 0xff, 0xff, 0xff, 0xff})
-	f.Fuzz(func(t *testing.T, b []byte) {
-		Revision(b)
-		r, err := Decode(b)
+	f.Fuzz(func(t *testing.T, value []byte) {
+		Revision(value)
+		record, err := Decode(value)
 		if err != nil {
 			return
 		}
-		again, err := Decode(r.Encode())
-		if err != nil || !reflect.DeepEqual(r.Classes, again.Classes) || r.Revision != again.Revision {
-			t.Fatalf("got %+v, error %v; want %+v", again, err, r)
+		again, err := Decode(record.Encode())
+		if err != nil || !reflect.DeepEqual(record.Classes, again.Classes) || record.Revision != again.Revision {
+			t.Fatalf("got %+v, error %v; want %+v", again, err, record)
 		}
-		r.Table().Rank("a", 3)
+		record.Table().Rank("a", 3)
 	})
 }
 
-// FuzzParse: what is parsed from any text can be stored.
+// FuzzParse checks that what is parsed from any text can be stored and decoded again.
 func FuzzParse(f *testing.F) {
 	f.Add("[[class]]\nname = \"a\"\nworkloads = [\"x*\"]\nbound_s = 3\n")
 	f.Add(fmt.Sprintf("class = [{name=%q, urgency=\"normal\"}]", "q"))
-	f.Fuzz(func(t *testing.T, s string) {
-		r, err := Parse([]byte(s))
+	f.Fuzz(func(t *testing.T, text string) {
+		record, err := Parse([]byte(text))
 		if err != nil {
 			return
 		}
-		r.Revision, r.SetBy, r.SetAt = 1, "x", time.UnixMilli(5)
-		if back, err := Decode(r.Encode()); err != nil || len(back.Classes) != len(r.Classes) {
-			t.Fatalf("%q: parsed, but its record decodes to %d classes, error %v; want %d classes", s, len(back.Classes), err, len(r.Classes))
+		record.Revision, record.SetBy, record.SetAt = 1, "x", time.UnixMilli(5)
+		if back, err := Decode(record.Encode()); err != nil || len(back.Classes) != len(record.Classes) {
+			t.Fatalf("%q: parsed, but its record decodes to %d classes, error %v; want %d classes", text, len(back.Classes), err, len(record.Classes))
 		}
-		r.Warnings()
+		record.Warnings()
 	})
 }
