--- a/internal/message/cloud.go
+++ b/internal/message/cloud.go
@@ -12,16 +12,18 @@
 // The outcomes of cloud requests.
 const (
 	CloudOK CloudStatus = iota
-	// CloudNoCapacity: the cloud has no machine of the kind now.
+	// CloudNoCapacity means that the cloud has no machine of the requested kind at present.
 	CloudNoCapacity
-	// CloudRefused: the request was certainly not executed.
+	// CloudRefused means that the request was certainly not executed.
 	CloudRefused
-	// CloudMalformed: the cloud rejected the request as invalid, and did not execute it.
+	// CloudMalformed means that the cloud rejected the request as invalid and did not execute
+	// it.
 	CloudMalformed
-	// CloudUnknown: the request may have been executed, or may still be.
+	// CloudUnknown means that the request may have been executed or may still be executed.
 	CloudUnknown
 )
 
+// String returns the outcome as logs and metrics show it.
 func (s CloudStatus) String() string {
 	return [...]string{"ok", "no_capacity", "refused", "bad", "unknown"}[s]
 }
@@ -37,27 +39,27 @@
 	CloudRelease
 )
 
-// String is the kind as logs and metrics show it.
+// String returns the kind as logs and metrics show it.
 func (k CloudRequestKind) String() string {
 	return [...]string{"types", "list", "rent", "return"}[k]
 }
 
-// CloudRequest is a request to the cloud, which a CloudResponse answers.
+// CloudRequest is a request to the cloud. A CloudResponse answers it.
 type CloudRequest struct {
 	ID uint64
-	// SendDeadline is when the request must have been sent; afterwards it is refused
-	// instead. Between decision and sending the process may have been suspended, and another
-	// controller may lead by then.
+	// SendDeadline is the latest time at which the request may be sent. After it, the server
+	// answers with CloudRefused instead of sending: the process may have been suspended between
+	// the controller's decision and the sending, and another controller may lead by then.
 	SendDeadline time.Time
 	Kind         CloudRequestKind
-	// IdempotencyKey, MachineType, Zone, Spot and Count belong to CloudRent. The same key
-	// never rents twice.
+	// IdempotencyKey, MachineType, Zone, Spot and Count belong to CloudRent. The cloud executes
+	// at most one rental for the same key.
 	IdempotencyKey string
 	MachineType    string
 	Zone           string
 	Spot           bool
 	Count          int
-	// Machines are those to release.
+	// Machines are the IDs of the machines that CloudRelease releases.
 	Machines []string
 	// StartAfter is the ID after which CloudListMachines continues.
 	StartAfter string
@@ -69,9 +71,9 @@
 	Status       CloudStatus
 	MachineTypes []model.MachineType
 	Machines     []model.CloudMachine
-	// Rented are the IDs of the machines rented.
+	// Rented are the IDs of the rented machines.
 	Rented []string
-	// Truncated says that the list goes on after the last of Machines.
+	// Truncated is true if the list has more machines after the last of Machines.
 	Truncated bool
 }
 
--- a/internal/message/loans.go
+++ b/internal/message/loans.go
@@ -6,63 +6,65 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// A loan is a job of one cluster, its home, that runs in another one. Package overflow decides
-// about loans, from a LoanView; a LoanCommand makes one of its decisions durable.
+// A loan lets a job of one cluster, its home, run in another cluster, which borrows the job. The
+// other cluster is a peer. Package overflow decides about loans from a LoanView; a LoanCommand makes
+// a decision durable.
 
 // LoanCommandKind is the transaction that a LoanCommand asks for.
 type LoanCommandKind int
 
-// The kinds of loan commands. The first four concern a job of this cluster and need the leader,
-// the others a job of a peer's and need the shard leader of the team that borrowed jobs run in.
+// The kinds of loan commands. The first four concern a job of this cluster, and only the leader
+// executes them. The others concern a peer's job, and only the shard leader of the team in which
+// borrowed jobs run executes them.
 const (
-	// LoanLend: the peer has the job.
+	// LoanLend records that the job is lent to the peer.
 	LoanLend LoanCommandKind = iota
-	// LoanTakeBack: the job runs here again.
+	// LoanTakeBack records that the job runs in this cluster again.
 	LoanTakeBack
-	// LoanSettle: the peer has done the job.
+	// LoanSettle records that the peer has completed the job.
 	LoanSettle
-	// LoanEndCancelled: the job has ended as its user wanted.
+	// LoanEndCancelled records that the job has ended because its user cancelled it.
 	LoanEndCancelled
-	// LoanAccept: the peer's job is accepted.
+	// LoanAccept accepts the peer's job.
 	LoanAccept
-	// LoanGiveUp: the peer's job is stopped, for Cause.
+	// LoanGiveUp stops the peer's job for the reason in Cause.
 	LoanGiveUp
-	// LoanDrop: the loan is over on both sides, and its records are removed.
+	// LoanDrop removes the records of a loan that has ended in both clusters.
 	LoanDrop
 )
 
-// LoanCommand asks for a transaction about a loan, whose end a LoanReply reports.
+// LoanCommand requests a transaction about a loan. A LoanReply reports the outcome.
 type LoanCommand struct {
 	Reply uint64
 	Kind  LoanCommandKind
-	// Job is the own job, or the name that a borrowed one has in this cluster.
+	// Job is the ID of a job of this cluster, or the ID that a borrowed job has in this cluster.
 	Job string
-	// Loan names the loan of a borrowed job.
+	// Loan is the name of the loan of a borrowed job.
 	Loan string
-	// LendCount tells the loans of an own job apart.
+	// LendCount distinguishes the loans of the same job of this cluster.
 	LendCount uint64
-	// Peer and StopBound belong to LoanLend. StopBound is within how long the peer stops the
-	// job's tasks when the loan ends.
+	// Peer and StopBound belong to LoanLend. StopBound is the longest time that the peer takes to
+	// stop the job's tasks when the loan ends.
 	Peer      string
 	StopBound time.Duration
-	// Spec and Age, the time since the submission, belong to LoanAccept.
+	// Spec and Age belong to LoanAccept. Age is the time since the job's submission.
 	Spec model.JobSpec
 	Age  time.Duration
 	// Cause belongs to LoanGiveUp.
 	Cause string
 }
 
-// LoanStatus is how a LoanCommand, or a DrainCommand, ended.
+// LoanStatus is the outcome of a LoanCommand or a DrainCommand.
 type LoanStatus int
 
 // The outcomes of loan commands.
 const (
-	// LoanDurable: the transaction was applied.
+	// LoanDurable means that the transaction was applied.
 	LoanDurable LoanStatus = iota
-	// LoanNotApplied: the transaction's compares do not hold, or this controller may not make
-	// it. It never will be applied.
+	// LoanNotApplied means that the transaction was not applied and never will be: one of its
+	// compares does not hold, or this controller is not allowed to make it.
 	LoanNotApplied
-	// LoanUncertain: the transaction may have been applied, or may still be.
+	// LoanUncertain means that the transaction may have been applied or may still be applied.
 	LoanUncertain
 )
 
@@ -72,138 +74,145 @@
 	Status LoanStatus
 }
 
-// QueryLoans asks for a LoanView.
+// QueryLoans requests a LoanView.
 type QueryLoans struct {
 	Reply uint64
-	// StartableUntil is until when tasks of a borrowed job may be started, by the job's name
-	// in this cluster. Those of a job that it lacks may not.
+	// StartableUntil is the latest time at which tasks of a borrowed job may be started, by the
+	// job's ID in this cluster. Tasks of a borrowed job without an entry may not be started.
 	StartableUntil map[string]time.Time
-	// Progress is what peers report of own jobs, for users to see.
+	// Progress is the progress that peers report of jobs of this cluster, shown to users.
 	Progress []Progress
-	// WithSimulation asks for what a simulation of the queue shows, which takes time: all of
-	// LoanView from Waiting on.
+	// WithSimulation requests the results of a simulation of the queue: all fields of LoanView
+	// from Waiting on. The simulation takes time.
 	WithSimulation bool
-	// GuestTeam is the team that borrowed jobs run in.
+	// GuestTeam is the team in which borrowed jobs run.
 	GuestTeam string
 }
 
-// LoanView answers a QueryLoans, as of a moment after the query.
+// LoanView answers a QueryLoans with the state at some time after the query.
 type LoanView struct {
 	Reply uint64
-	// OK is false while nothing can be read; the rest is then empty.
+	// OK is false while the controller can read nothing; the other fields are then empty.
 	OK bool
-	// IsLeader says that this controller leads, and so answers peers. Leader is the host
-	// that does.
+	// IsLeader is true if this controller is the leader, which answers peers. Leader is the
+	// leader's host.
 	IsLeader bool
 	Leader   string
-	// Epoch is the leadership's.
+	// Epoch is the mod revision of the leader's record, 0 unless IsLeader is true.
 	Epoch uint64
-	// LeaseValidUntil is when this controller's membership lease ends.
+	// LeaseValidUntil is the time when this controller's membership lease ends.
 	LeaseValidUntil time.Time
-	// RunsGuestTeam says that this controller leads the shard with the guest team, and so
-	// speaks for the cluster as a borrower.
+	// RunsGuestTeam is true if this controller leads the shard that has the guest team. That
+	// controller acts for the cluster towards the homes of borrowed jobs.
 	RunsGuestTeam bool
-	// GuestTeamEpoch is the mod revision since which the shard has had the guest team;
-	// GuestTeamTerm changes whenever this controller takes the team up anew.
+	// GuestTeamEpoch is the mod revision at which the shard got the guest team. GuestTeamTerm
+	// changes whenever this controller takes over the team.
 	GuestTeamEpoch uint64
 	GuestTeamTerm  int
-	// Draining says that the cluster is being emptied of borrowed jobs, and DrainDeadline by
-	// when.
+	// Draining is true while the cluster is being emptied of borrowed jobs. DrainDeadline is the
+	// time by which all of them must be gone.
 	Draining      bool
 	DrainDeadline time.Time
 	Lent          []LentJob
 	Borrowed      []BorrowedJob
-	// RenewedAt is, by home, when the newest heartbeat known to have been answered was sent, in
-	// wall-clock time.
+	// RenewedAt is, by home, the wall-clock time at which this cluster sent the newest heartbeat
+	// that the home is known to have answered.
 	RenewedAt map[string]time.Time
 
-	// Waiting are the own jobs that could be lent.
+	// Waiting are the jobs of this cluster that could be lent.
 	Waiting []WaitingJob
-	// FreeCapacity is what could be offered to peers, and CachedImages which images its
-	// machines have.
+	// FreeCapacity is the capacity that could be offered to peers, and CachedImages are the
+	// images that its machines have.
 	FreeCapacity []FreeCapacity
 	CachedImages []string
-	// OwnWorkLate says that own jobs will miss their objectives, and LateUrgency the highest
-	// urgency among them.
+	// OwnWorkLate is true if jobs of this cluster will miss their objectives. LateUrgency is the
+	// highest urgency among those jobs.
 	OwnWorkLate bool
 	LateUrgency model.Urgency
-	// CheapestCPUHour is the least that a CPU costs here per hour.
+	// CheapestCPUHour is the lowest cost of a CPU per hour in this cluster.
 	CheapestCPUHour float64
 }
 
-// LentJob is an own job that a peer runs.
+// LentJob is a job of this cluster that a peer runs.
 type LentJob struct {
 	Spec        model.JobSpec
 	SubmittedAt time.Time
 	Peer        string
-	// LendCount tells the job's loans apart.
+	// LendCount distinguishes the loans of the same job.
 	LendCount uint64
-	// StopBound is within how long the peer stops the job's tasks when the loan ends.
+	// StopBound is the longest time that the peer takes to stop the job's tasks when the loan
+	// ends.
 	StopBound time.Duration
-	// CancelRequested says that the job's user wants it cancelled.
+	// CancelRequested is true if the user has requested that the job be cancelled.
 	CancelRequested bool
 }
 
-// BorrowedJob is a peer's job that runs here.
+// BorrowedJob is a peer's job that runs in this cluster.
 type BorrowedJob struct {
 	Loan string
-	// Job is the job's name in this cluster.
+	// Job is the job's ID in this cluster.
 	Job  string
 	Spec model.JobSpec
-	// Status is queued, done or cancelled. StatusKnown is false while it has to be read.
+	// Status is queued, done or cancelled. StatusKnown is false while Status has yet to be read
+	// from the state service.
 	Status      model.JobStatus
 	StatusKnown bool
-	// Ending says that the job is cancelled here, but not known to have stopped.
+	// Ending is true if the job is cancelled in this cluster but its tasks are not known to have
+	// stopped.
 	Ending bool
-	// Cause is why the loan was given up, "" while it stands.
+	// Cause is the reason why the loan was given up, "" while the loan is valid.
 	Cause string
-	// Started says that a task was started, or may have been.
+	// Started is true if a task was started or may have been started.
 	Started      bool
 	DoneTasks    int
 	RunningTasks int
 }
 
-// WaitingJob is an own job of which nothing was ever started.
+// WaitingJob is a job of this cluster none of whose tasks was ever started.
 type WaitingJob struct {
 	Spec model.JobSpec
-	// SLODue is in how long the job has to be done for its objective, and HomeFinish in how
-	// long it would be here.
+	// SLODue is the time left to complete the job within its objective. HomeFinish is the
+	// expected time until the job would be done in this cluster.
 	SLODue     time.Duration
 	HomeFinish time.Duration
-	// RunTime is how long a task is expected to run.
+	// RunTime is the expected run time of a task.
 	RunTime   time.Duration
 	LendCount uint64
 }
 
-// FreeCapacity are machines alike that own work will not need for a while.
+// FreeCapacity is a group of machines of one kind that this cluster's jobs will not need for a
+// while.
 type FreeCapacity struct {
 	MachineType string
 	Zone        string
 	Spot        bool
 	PerMachine  model.Resources
 	Machines    int
-	// AvailableIn is in how long there are such machines, for those that have to be rented
-	// first; 0 for those that are there.
+	// AvailableIn is the time until machines that have to be rented first are available; 0 for
+	// machines that the cluster has.
 	AvailableIn time.Duration
-	// CostPerCPUHour is what a CPU costs per hour.
+	// CostPerCPUHour is the cost of a CPU per hour.
 	CostPerCPUHour float64
-	// FetchRate is how fast a machine fetches images, in GB per second.
+	// FetchRate is the rate at which a machine fetches images, in GB per second.
 	FetchRate float64
 }
 
-// DrainCommand begins or ends the draining of borrowed jobs from the cluster. A LoanReply
-// answers it.
+// DrainCommand starts or ends the draining of borrowed jobs from the cluster. A LoanReply answers
+// it.
 type DrainCommand struct {
 	Reply   uint64
 	Enabled bool
-	// Deadline is when all borrowed jobs are to be gone.
+	// Deadline is the time by which all borrowed jobs must be gone.
 	Deadline time.Time
 }
 
-// RenewCommand stores, by home, when the newest answered heartbeat was sent, for a successor.
-// A time that is too early is safe, and so is the loss of the command: a loan then ends
-// sooner.
-type RenewCommand struct{ RenewedAt map[string]time.Time }
+// RenewCommand stores RenewedAt for a successor of this controller. A time that is too early is
+// safe, and so is the loss of the command: a loan then ends sooner.
+type RenewCommand struct {
+	// RenewedAt is, by home, the time at which the newest heartbeat that the home answered was
+	// sent.
+	RenewedAt map[string]time.Time
+}
 
 func (LoanCommand) command() {}
 
--- a/internal/message/peer.go
+++ b/internal/message/peer.go
@@ -9,88 +9,93 @@
 	"github.com/micahill/micahill/internal/sharding"
 )
 
+// Limits on the lists of a PeerUpdate.
 const (
-	// MaxCancellationsPerUpdate bounds the Cancellations of an update, of some hundred bytes
-	// each, and the CancellationAcks. More are left to the jobs' records.
+	// MaxCancellationsPerUpdate is the largest number of Cancellations, of some hundred bytes
+	// each, and of CancellationAcks. Controllers learn of further cancellations from the records
+	// of the jobs.
 	MaxCancellationsPerUpdate = 200
-	// MaxTransferRequests bounds the TransferRequests of an update, MaxTransferKinds the kinds
-	// of one, and MaxTransferOffers the TransferOffers.
+	// MaxTransferRequests is the largest number of TransferRequests, MaxTransferKinds the largest
+	// number of kinds in a request, and MaxTransferOffers the largest number of TransferOffers.
 	MaxTransferRequests = 16
 	MaxTransferKinds    = 64
 	MaxTransferOffers   = 200
-	// MaxReroutedHeartbeats bounds the Rerouted of an update.
+	// MaxReroutedHeartbeats is the largest number of heartbeats in Rerouted.
 	MaxReroutedHeartbeats = 1000
 )
 
-// PeerUpdate is what a controller publishes to another. An update may be lost, late or out of
-// order, so nothing that must hold may rest on it. A part that is empty says nothing.
+// PeerUpdate is a message from one controller to another. An update may be lost, late or out of
+// order, so no invariant may depend on it. An empty field means no information, except where the
+// comment of IsCapacityRequest or IsLeaderUpdate says otherwise.
 type PeerUpdate struct {
 	// From is the sender's host.
 	From string
-	// Incarnation is the sender's when it made the update.
+	// Incarnation is the sender's incarnation when it made the update.
 	Incarnation string
 
-	// Progress is that of the sender's jobs, for users to see.
+	// Progress is the progress of the sender's jobs, shown to users.
 	Progress []Progress
-	// WorkloadLoads and MachineUpdates are for a successor of the sender.
+	// WorkloadLoads and MachineUpdates are the state that a successor of the sender needs.
 	WorkloadLoads  []WorkloadLoad
 	MachineUpdates []MachineUpdate
 
-	// IsCapacityRequest says that the sender, as a shard leader, makes its requests of the
-	// leader: the fields to Offers are meant, also where they are empty.
+	// IsCapacityRequest is true if the sender, as a shard leader, sends its requests to the
+	// leader. The fields from here to Offers then apply even where they are empty.
 	IsCapacityRequest bool
-	// Surplus are machines that the sender has no use for now, by ID.
+	// Surplus are the IDs of machines that the sender does not need at present.
 	Surplus []string
-	// Seq is, in a capacity request, that of the newest leader update which the sender has
-	// applied; in a leader update, its own.
+	// Seq is the sequence number of a leader update. In a leader update, Seq is its own number;
+	// in a capacity request, Seq is that of the newest leader update that the sender has applied.
 	Seq uint64
-	// CapacityRequests are the machines that the sender wants.
+	// CapacityRequests are the machines that the sender requests.
 	CapacityRequests []CapacityRequest
-	// ToRelease are idle machines to give back to the cloud, by ID.
+	// ToRelease are the IDs of idle machines that the leader is to return to the cloud.
 	ToRelease []string
+	// TeamLoads are the loads of the sender's teams.
 	TeamLoads []TeamLoad
-	// Offers are the machines that would go along with a team that is to move.
+	// Offers are the machines that the sender would hand over together with a team that is to
+	// move.
 	Offers []sharding.Offer
 
-	// IsLeaderUpdate says that the sender, as the leader, informs a shard leader: the fields
-	// to TeamRelease are meant, also where they are empty.
+	// IsLeaderUpdate is true if the sender, as the leader, informs a shard leader. The fields
+	// from here to TeamRelease then apply even where they are empty.
 	IsLeaderUpdate bool
-	// SurplusElsewhere counts the machines that other shards could give away.
+	// SurplusElsewhere counts, by kind, the machines that other shards have as surplus.
 	SurplusElsewhere []CapacityRequest
-	// RentalUpdates are machines of the receiver's, among them all that changed after the Seq
-	// of its newest capacity request.
+	// RentalUpdates are rented machines of the receiver. They include all that have changed since
+	// the Seq of the receiver's newest capacity request.
 	RentalUpdates []RentalUpdate
-	// Blocked are the kinds of machines that the cloud has none of now.
+	// Blocked are the kinds of machines for which the cloud has no capacity at present.
 	Blocked []CapacityRequest
-	// TeamRelease are teams that are to move to another shard.
+	// TeamRelease are the teams that are to move to another shard.
 	TeamRelease []sharding.MoveRequest
 
-	// RemoteAttempts are attempts of the sender's jobs on the receiver's machines, and
-	// RemoteStatuses what is known of the receiver's on the sender's machines.
+	// RemoteAttempts are the attempts of the sender's jobs on the receiver's machines.
+	// RemoteStatuses are the states of attempts of the receiver's jobs on the sender's machines.
 	RemoteAttempts []remote.Request
 	RemoteStatuses []remote.MachineStatus
-	// Rates are the requests that the sender needs to make of the state service.
+	// Rates are the rates of requests to the state service that the sender needs.
 	Rates *Rates
-	// StoreUnavailable says that the state service does not answer the sender.
+	// StoreUnavailable is true if the state service does not answer the sender.
 	StoreUnavailable bool
 
-	// HostNeeds are machines that the sender needs empty, and EvacuationCosts what it would
-	// cost the sender to evacuate one. The leader answers with OthersNeeds, what other shards
-	// need, and EvacuationRequests, what the receiver is to evacuate.
+	// HostNeeds are the empty machines that the sender needs, and EvacuationCosts are the costs
+	// of evacuating a machine of the sender. The leader answers with OthersNeeds, the needs of
+	// other shards, and EvacuationRequests, the machines that the receiver is to evacuate.
 	HostNeeds, OthersNeeds, EvacuationRequests []HostNeed
 	EvacuationCosts                            []HostCost
-	// TransferRequests ask for free capacity on machines of other shards, and TransferOffers
-	// are the sender's machines that others may have for theirs. The leader publishes with
-	// OthersTransferRequests what other shards request.
+	// TransferRequests ask for free capacity on machines of other shards. TransferOffers are the
+	// sender's machines that the leader may transfer to satisfy such requests. The leader
+	// publishes the requests of other shards as OthersTransferRequests.
 	TransferRequests, OthersTransferRequests []exchange.TransferRequest
 	TransferOffers                           []exchange.TransferOffer
-	// Quotes are what completion dates for the sender's teams rest on.
+	// Quotes are the data from which controllers compute completion dates for the sender's teams.
 	Quotes []TeamQuotes
-	// Rerouted are heartbeats of the receiver's machines that reached the sender.
+	// Rerouted are heartbeats of the receiver's machines that reached the sender instead.
 	Rerouted []ReroutedHeartbeat
-	// Cancellations are jobs whose users have been answered, by the sender or by another
-	// controller before it, that they are cancelled. CancellationAcks are those that the
-	// sender has learnt of from the receiver, by job.
+	// Cancellations are cancelled jobs whose users have been told so, by the sender or by another
+	// controller that informed the sender. CancellationAcks are the IDs of the jobs whose
+	// cancellation the sender has learnt from the receiver.
 	Cancellations    []Cancellation
 	CancellationAcks []string
 }
@@ -106,33 +111,33 @@
 
 func (SendPeerUpdate) effect() {}
 
-// Progress is how many of a job's tasks are done and running.
+// Progress is the number of a job's tasks that are done and that are running.
 type Progress struct {
 	ID      string
 	Done    int
 	Running int
 }
 
-// WorkloadLoad is what a shard leader has measured of a team's jobs of a workload.
+// WorkloadLoad is the load that a shard leader has measured for a team's jobs of a workload.
 type WorkloadLoad struct {
 	Team     string
 	Workload string
-	// TasksPerSecond is how many tasks are submitted.
+	// TasksPerSecond is the rate of submitted tasks.
 	TasksPerSecond float64
-	// RunTimeRatio is how run times compare with their users' estimates, and Deviation how
-	// much that varies, over Samples tasks.
+	// RunTimeRatio is the ratio of run times to their users' estimates, and Deviation the
+	// deviation of that ratio, over Samples tasks.
 	RunTimeRatio float64
 	Deviation    float64
 	Samples      int
 }
 
-// TeamLoad is the CPUs that a team's tasks take and wait for.
+// TeamLoad is the number of CPUs that a team's tasks use and wait for.
 type TeamLoad struct {
 	Team string
 	CPU  float64
 }
 
-// RentalUpdate is a machine as the leader knows it from the cloud.
+// RentalUpdate describes a rented machine with the leader's information from the cloud.
 type RentalUpdate struct {
 	ID string
 	// Addr is the worker's host and port.
@@ -140,13 +145,13 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	// Status is the leader's account of the rental.
+	// Status is the state of the rental according to the leader.
 	Status string
 	// Age is the time since the machine was rented.
 	Age time.Duration
 }
 
-// MachineUpdate is a machine as its owner knows it.
+// MachineUpdate describes a machine with its owner's information.
 type MachineUpdate struct {
 	ID string
 	// Addr is the worker's host and port.
@@ -154,11 +159,11 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	// Images are the sizes in GB of those that the machine has, by name.
+	// Images are the images on the machine: their sizes in GB, by name.
 	Images map[string]float64
 }
 
-// CapacityRequest is a number of machines of a kind.
+// CapacityRequest is a number of machines of one kind.
 type CapacityRequest struct {
 	MachineType string
 	Zone        string
@@ -166,19 +171,19 @@
 	Count       int
 }
 
-// HostNeed is a kind of which an empty machine is needed, and for what.
+// HostNeed is the need for an empty machine of a kind.
 type HostNeed struct {
 	MachineType string
 	Zone        string
 	Spot        bool
-	// Need is what the waiting task takes.
+	// Need is the resources of the waiting task.
 	Need model.Resources
-	// Workload and Urgency are what the ranking orders needs by.
+	// Workload and Urgency are those of the waiting task's job. The ranking orders needs by them.
 	Workload string
 	Urgency  model.Urgency
 }
 
-// HostCost is how long replicas would be down for a machine of a kind to be evacuated.
+// HostCost is the downtime of replicas that the evacuation of a machine of a kind would cause.
 type HostCost struct {
 	MachineType string
 	Zone        string
@@ -186,22 +191,23 @@
 	Downtime    time.Duration
 }
 
-// TeamQuotes is what quotes for a team rest on, encoded as in its record.
+// TeamQuotes is the data for computing a team's completion dates. Value has the encoding of the
+// team's record in the state service.
 type TeamQuotes struct {
 	Team  string
 	Value []byte
 }
 
-// ReroutedHeartbeat is a heartbeat that reached a controller which does not own its machine.
+// ReroutedHeartbeat identifies a heartbeat that reached a controller other than the machine's owner.
 type ReroutedHeartbeat struct {
-	// ID is the machine's.
+	// ID is the machine's ID.
 	ID                           string
 	Epoch, Incarnation, Sequence uint64
 }
 
-// Cancellation is a job's open/ record as its cancellation has written it.
+// Cancellation is a cancelled job's open/ record, as the cancellation wrote it.
 type Cancellation struct {
-	// ID is the job's.
+	// ID is the job's ID.
 	ID          string
 	Record      []byte
 	ModRevision uint64
--- a/internal/message/peer_validate.go
+++ b/internal/message/peer_validate.go
@@ -7,8 +7,9 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// Validate returns the first thing that is wrong with an update as a *validate.FieldError, nil if
-// it is valid. Fields have the names of the protocol between controllers; see package peer.
+// Validate returns a *validate.FieldError for the first invalid field of the update, or nil if the
+// update is valid. The error has the field's name in the protocol between controllers, which package
+// peer implements.
 func (u *PeerUpdate) Validate() error {
 	var check validate.Check
 	u.validateCapacity(&check)
@@ -22,6 +23,7 @@
 	return check.Err()
 }
 
+// validateCapacity checks the counts of machines and the rates of requests to the state service.
 func (u *PeerUpdate) validateCapacity(check *validate.Check) {
 	checkRequests(check, "wants", u.CapacityRequests)
 	checkRequests(check, "spare", u.SurplusElsewhere)
@@ -32,6 +34,7 @@
 	}
 }
 
+// checkRequests checks the capacity requests in a field.
 func checkRequests(check *validate.Check, field string, requests []CapacityRequest) {
 	for _, r := range requests {
 		check.Name(field+".flavour", r.MachineType, false)
@@ -40,6 +43,7 @@
 	}
 }
 
+// validateLoads checks the loads, the quotes and the progress of jobs.
 func (u *PeerUpdate) validateLoads(check *validate.Check) {
 	for _, l := range u.WorkloadLoads {
 		check.Name("loads.workload", l.Workload, true)
@@ -61,6 +65,7 @@
 	}
 }
 
+// validateMachines checks the machine and rental updates and the rerouted heartbeats.
 func (u *PeerUpdate) validateMachines(check *validate.Check) {
 	for _, m := range u.MachineUpdates {
 		check.Name("hosts.id", m.ID, true)
@@ -78,6 +83,7 @@
 	}
 }
 
+// validateCancellations checks the cancellations and their acknowledgements.
 func (u *PeerUpdate) validateCancellations(check *validate.Check) {
 	check.Count("cancelled", len(u.Cancellations), 0, MaxCancellationsPerUpdate)
 	for _, c := range u.Cancellations {
@@ -89,6 +95,7 @@
 	}
 }
 
+// validateRemoteAttempts checks the attempts of the sender's jobs on the receiver's machines.
 func (u *PeerUpdate) validateRemoteAttempts(check *validate.Check) {
 	for _, r := range u.RemoteAttempts {
 		check.Name("wards.machine", r.Machine, true)
@@ -99,6 +106,7 @@
 	}
 }
 
+// validateEvacuations checks the needs for empty machines and the costs of evacuations.
 func (u *PeerUpdate) validateEvacuations(check *validate.Check) {
 	checkNeeds(check, "needs", u.HostNeeds)
 	checkNeeds(check, "lacks", u.OthersNeeds)
@@ -109,6 +117,7 @@
 	}
 }
 
+// validateTransfers checks the requests and offers of machine transfers.
 func (u *PeerUpdate) validateTransfers(check *validate.Check) {
 	checkTransferRequests(check, "transfer_requests", u.TransferRequests)
 	checkTransferRequests(check, "others_transfer_requests", u.OthersTransferRequests)
@@ -120,6 +129,7 @@
 	}
 }
 
+// checkTransferRequests checks the transfer requests in a field.
 func checkTransferRequests(check *validate.Check, field string, requests []exchange.TransferRequest) {
 	check.Count(field, len(requests), 0, MaxTransferRequests)
 	for _, r := range requests {
@@ -135,12 +145,14 @@
 	}
 }
 
+// checkResources checks the resources in a field.
 func checkResources(check *validate.Check, field string, r model.Resources) {
 	check.Amount(field+".cpu", r.CPU)
 	check.Amount(field+".gpu", r.GPU)
 	check.Amount(field+".memory", r.Memory)
 }
 
+// checkNeeds checks the needs for empty machines in a field.
 func checkNeeds(check *validate.Check, field string, needs []HostNeed) {
 	for _, n := range needs {
 		check.Name(field+".flavour", n.MachineType, true)
@@ -151,6 +163,7 @@
 	}
 }
 
+// validateRemoteStatuses checks the states of attempts on the sender's machines.
 func (u *PeerUpdate) validateRemoteStatuses(check *validate.Check) {
 	for _, s := range u.RemoteStatuses {
 		check.Name("told.machine", s.Machine, true)
--- a/internal/message/peer_validate_test.go
+++ b/internal/message/peer_validate_test.go
@@ -13,7 +13,8 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// TestPeerUpdateValidate has an update with one fault in each part: the fault's field is named.
+// TestPeerUpdateValidate guards against a field that Validate does not check, and against an error
+// that names another field than the first invalid one.
 func TestPeerUpdateValidate(t *testing.T) {
 	kinds := []exchange.Kind{{MachineType: "g8", Zone: "a"}}
 	attempt := remote.AttemptID{Job: "job-000412", Index: -1, Attempt: 2}
@@ -42,22 +43,22 @@
 		{"evacuation request", PeerUpdate{EvacuationRequests: []HostNeed{{}}}, "empty.flavour"},
 		{"evacuation cost", PeerUpdate{EvacuationCosts: []HostCost{{MachineType: "g8", Downtime: -time.Second}}}, "costs.down"},
 		{"transfer request", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: kinds, Need: model.Resources{CPU: -1}, Jobs: 1}}}, "transfer_requests.cpu"},
-		{"transfer request of no kind", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Jobs: 1}}}, "transfer_requests.kinds"},
-		{"transfer request for no job", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: kinds}}}, "transfer_requests.jobs"},
-		{"transfer request with a wait below zero", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: kinds, Jobs: 1, Waited: -time.Second}}}, "transfer_requests.waited"},
+		{"transfer request without kinds", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Jobs: 1}}}, "transfer_requests.kinds"},
+		{"transfer request for zero jobs", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: kinds}}}, "transfer_requests.jobs"},
+		{"transfer request with a negative wait", PeerUpdate{TransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: kinds, Jobs: 1, Waited: -time.Second}}}, "transfer_requests.waited"},
 		{"too many transfer requests", PeerUpdate{TransferRequests: make([]exchange.TransferRequest, MaxTransferRequests+1)}, "transfer_requests"},
 		{"others' transfer request", PeerUpdate{OthersTransferRequests: []exchange.TransferRequest{{Kinds: kinds, Jobs: 1}}}, "others_transfer_requests.team"},
-		{"others' transfer request of a kind without zone", PeerUpdate{OthersTransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: []exchange.Kind{{MachineType: "g8"}}, Jobs: 1}}}, "others_transfer_requests.kinds.zone"},
-		{"transfer offer", PeerUpdate{TransferOffers: []exchange.TransferOffer{{}}}, "transfer_offers.machine"},
-		{"transfer offer of no number", PeerUpdate{TransferOffers: []exchange.TransferOffer{{ID: "vm-1", Free: model.Resources{Memory: math.NaN()}}}}, "transfer_offers.memory"},
-		{"transfer offer with attempts below zero", PeerUpdate{TransferOffers: []exchange.TransferOffer{{ID: "vm-1", Attempts: -1}}}, "transfer_offers.attempts"},
+		{"others' transfer request with a kind without a zone", PeerUpdate{OthersTransferRequests: []exchange.TransferRequest{{Team: "ops", Kinds: []exchange.Kind{{MachineType: "g8"}}, Jobs: 1}}}, "others_transfer_requests.kinds.zone"},
+		{"transfer offer without an ID", PeerUpdate{TransferOffers: []exchange.TransferOffer{{}}}, "transfer_offers.machine"},
+		{"transfer offer with memory that is not a number", PeerUpdate{TransferOffers: []exchange.TransferOffer{{ID: "vm-1", Free: model.Resources{Memory: math.NaN()}}}}, "transfer_offers.memory"},
+		{"transfer offer with negative attempts", PeerUpdate{TransferOffers: []exchange.TransferOffer{{ID: "vm-1", Attempts: -1}}}, "transfer_offers.attempts"},
 		{"remote status", PeerUpdate{RemoteStatuses: []remote.MachineStatus{{Machine: "vm-1", Attempts: []remote.AttemptStatus{{AttemptID: attempt}}}}}, "told.index"},
-		{"the first fault stands", PeerUpdate{CapacityRequests: []CapacityRequest{{Count: -1}}, RemoteStatuses: []remote.MachineStatus{{}}}, "wants.count"},
+		{"two invalid fields: the error names the first", PeerUpdate{CapacityRequests: []CapacityRequest{{Count: -1}}, RemoteStatuses: []remote.MachineStatus{{}}}, "wants.count"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got *validate.FieldError
 			if err := c.update.Validate(); c.want == "" && err != nil || c.want != "" && (!errors.As(err, &got) || got.Field != c.want) {
-				t.Errorf("got error %v, want one of field %q", err, c.want)
+				t.Errorf("got error %v, want an error for field %q (empty: no error)", err, c.want)
 			}
 		})
 	}
--- a/internal/message/promises.go
+++ b/internal/message/promises.go
@@ -2,21 +2,24 @@
 
 import "github.com/micahill/micahill/internal/promise"
 
-// PromiseTotals is what became of the promised dates of all jobs, for the metrics.
+// PromiseTotals summarizes the outcomes of the promised completion dates of all jobs, for the
+// metrics.
 type PromiseTotals struct {
+	// Sum has the totals of all teams and classes.
 	Sum promise.Row
-	// MedianRatio is the median of promised to actual duration, 0 while there is none.
+	// MedianRatio is the median ratio of the promised to the actual duration, 0 while there is
+	// none.
 	MedianRatio float64
 }
 
 func (PromiseTotals) effect() {}
 
-// QueryPromises asks for the promised dates, for operators. A PromiseReply answers it.
+// QueryPromises requests the promised completion dates, for operators. A PromiseReply answers it.
 type QueryPromises struct {
 	Reply uint64
-	// Job and Class limit the answer to one job, and to a workload's jobs.
+	// Job limits the answer to one job, and Class to the jobs of a workload; "" sets no limit.
 	Job, Class string
-	// OnlyAtRisk leaves out the dates that will be kept, as far as is known.
+	// OnlyAtRisk omits the dates that are expected to be met.
 	OnlyAtRisk bool
 }
 
@@ -25,20 +28,22 @@
 // PromiseReply answers a QueryPromises.
 type PromiseReply struct {
 	Reply uint64 `json:"-"`
-	// OK is false if nothing could be read; the rest is then empty.
+	// OK is false if the controller could read nothing; the other fields are then empty.
 	OK bool `json:"-"`
 	// Host is the controller that answers.
 	Host string `json:"host"`
-	// Revision is the state service's revision as of which the totals are.
+	// Revision is the revision of the state service at which the totals were read.
 	Revision uint64 `json:"revision"`
-	// MedianRatio is the median of promised to actual duration, 0 while there is none.
+	// MedianRatio is the median ratio of the promised to the actual duration, 0 while there is
+	// none.
 	MedianRatio float64 `json:"median_ratio"`
-	// PromisedAtAccept counts the dates that were there when their job was accepted.
+	// PromisedAtAccept counts the jobs that had a date when they were accepted.
 	PromisedAtAccept int `json:"with_first_answer"`
-	// Sum and Rows are the totals of jobs that are over, of all and by team and class.
+	// Sum has the totals of all ended jobs, and Rows the totals by team and class.
 	Sum  PromiseRow   `json:"sum"`
 	Rows []PromiseRow `json:"rows"`
-	// Open are the dates of jobs that are not over, and Omitted how many more there are.
+	// Open are the dates of jobs that have not ended. Omitted is the number of such dates that
+	// the answer leaves out.
 	Open    []OpenPromise `json:"open"`
 	Omitted int           `json:"left_out,omitempty"`
 }
@@ -49,32 +54,33 @@
 type PromiseRow struct {
 	Team  string `json:"team"`
 	Class string `json:"class"`
-	// Ended counts the jobs, Made those with a date, and Kept, Broken and Revised those whose
-	// date was met, missed and changed.
+	// Ended counts the jobs, and Made the jobs with a date. Of the latter, Kept counts the jobs
+	// whose date was met, Broken those whose date was missed, and Revised those whose date was
+	// changed.
 	Ended   int `json:"ended"`
 	Made    int `json:"made"`
 	Kept    int `json:"kept"`
 	Broken  int `json:"broken"`
 	Revised int `json:"revised"`
-	// WorstSeconds is by how much a date was missed at worst.
+	// WorstSeconds is the largest delay after a date.
 	WorstSeconds float64 `json:"worst_s"`
 }
 
-// OpenPromise is the promised date of a job that is not over, or of the job that was asked for.
+// OpenPromise is the promised date of a job that has not ended, or of the job that the query names.
 type OpenPromise struct {
 	Job   string `json:"job"`
 	Team  string `json:"team"`
 	Class string `json:"class"`
-	// State is the job's, as users see it.
+	// State is the job's state, as users see it.
 	State string `json:"state"`
 	// PromisedSeconds is the date, in seconds after the submission.
 	PromisedSeconds float64 `json:"promised_s"`
-	// Revision counts the dates up to this one, 0 while there is none. Reason is why it
-	// differs from the one before.
+	// Revision is the number of dates that the job has had, including this date; 0 while there is
+	// none. Reason is why this date differs from the previous date.
 	Revision int    `json:"promise_rev"`
 	Reason   string `json:"why"`
-	// AgeSeconds is the time since the submission, to the end of a job that is over.
+	// AgeSeconds is the time from the submission until now or, for an ended job, until its end.
 	AgeSeconds float64 `json:"age_s"`
-	// AtRisk says that the date has passed, or is expected to be missed.
+	// AtRisk is true if the date has passed or is expected to be missed.
 	AtRisk bool `json:"at_risk"`
 }
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -9,21 +9,22 @@
 const (
 	StoreOK StoreStatus = iota
 	StoreNotFound
-	// StoreConflict: a Compare did not hold; FailedKeys names which.
+	// StoreConflict means that a Compare did not hold; FailedKeys has the keys.
 	StoreConflict
-	// StoreCompacted: the changes after the revision asked for are no longer kept.
+	// StoreCompacted means that the service has deleted the changes after the requested revision.
 	StoreCompacted
-	// StoreNoLease: the lease does not exist, or not any more.
+	// StoreNoLease means that the lease never existed or has expired.
 	StoreNoLease
-	// StoreRefused: the request was certainly not executed.
+	// StoreRefused means that the request was certainly not executed.
 	StoreRefused
-	// StoreMalformed: the service rejected the request as invalid, and did not execute it.
+	// StoreMalformed means that the service rejected the request as invalid and did not execute
+	// it.
 	StoreMalformed
-	// StoreUnknown: the request may have been executed, or may still be.
+	// StoreUnknown means that the request may have been executed or may still be executed.
 	StoreUnknown
 )
 
-// String is the outcome as logs and metrics show it.
+// String returns the outcome as logs and metrics show it.
 func (s StoreStatus) String() string {
 	return [...]string{"ok", "not_found", "conflict", "gone", "no_grant", "refused", "bad", "unknown"}[s]
 }
@@ -42,23 +43,27 @@
 	OpLeaseRevoke
 )
 
-// String is the kind as logs and metrics show it.
+// String returns the kind as logs and metrics show it.
 func (k StoreRequestKind) String() string {
 	return [...]string{"get", "list", "txn", "follow", "grant", "renew", "drop"}[k]
 }
 
-// Priority orders the requests to the state service while they exceed the rate limit.
+// Priority orders the requests to the state service while they exceed the rate limits.
 type Priority int
 
 // The priorities, the most important first.
 const (
+	// PriorityMembership is for the requests that keep the controller a member.
 	PriorityMembership Priority = iota
+	// PriorityUser is for requests on which a user waits.
 	PriorityUser
+	// PriorityStart is for the starts of tasks and for other requests that jobs depend on.
 	PriorityStart
+	// PriorityLazy is for requests on which nothing depends that is urgent.
 	PriorityLazy
 )
 
-// KeyValue is a key with its value. In a watch, Deleted marks a deletion.
+// KeyValue is a key with its value or, in a watch, a change of the key. Deleted marks a deletion.
 type KeyValue struct {
 	Key   string
 	Value []byte
@@ -67,22 +72,22 @@
 	Deleted     bool
 }
 
-// Compare is a condition of a transaction: that the key has this mod revision, 0 for a key
-// that does not exist.
+// Compare is a condition of a transaction. It holds if the key has the given mod revision, which is
+// 0 for a key that does not exist.
 type Compare struct {
 	Key         string
 	ModRevision uint64
 }
 
-// Write is a write of a transaction: a put, or a deletion if Value is nil.
+// Write is an operation of a transaction: a put or, if Value is nil, a deletion.
 type Write struct {
 	Key   string
 	Value []byte
-	// LeaseID is the lease with which the key goes away, 0 for none.
+	// LeaseID is the lease with whose end the service deletes the key, 0 for none.
 	LeaseID uint64
 }
 
-// StoreRequest is a request to the state service, which a StoreResponse answers.
+// StoreRequest is a request to the state service. A StoreResponse answers it.
 type StoreRequest struct {
 	ID       uint64
 	Kind     StoreRequestKind
@@ -91,15 +96,15 @@
 	Key string
 	// StartAfter is the key after which OpList continues.
 	StartAfter string
-	// Revision is the one after which OpWatch reports changes.
+	// Revision is the revision after which OpWatch reports changes.
 	Revision uint64
-	// WatchTimeout is how long OpWatch waits for a change.
+	// WatchTimeout is the longest time that OpWatch waits for a change.
 	WatchTimeout time.Duration
-	// Compares and Writes belong to OpTxn: the writes are applied, all of them, if every
-	// compare holds.
+	// Compares and Writes belong to OpTxn. The service applies all writes if every compare holds,
+	// and none otherwise.
 	Compares []Compare
 	Writes   []Write
-	// LeaseID is the lease to renew or revoke, and TTL the time to live of one to grant.
+	// LeaseID is the lease to renew or revoke. TTL is the time to live of a lease to grant.
 	LeaseID uint64
 	TTL     time.Duration
 }
@@ -108,16 +113,17 @@
 type StoreResponse struct {
 	ID     uint64
 	Status StoreStatus
-	// SentAt is when the request was sent, zero if it never was: a lease counts from then.
+	// SentAt is the time when the request was sent, zero if it was not sent. The time to live of
+	// a lease counts from SentAt.
 	SentAt    time.Time
 	KeyValues []KeyValue
-	// Truncated says that the list or the watch goes on after the last of KeyValues.
+	// Truncated is true if the list or the watch has more entries after the last of KeyValues.
 	Truncated bool
-	// Revision is the state service's as of the response.
+	// Revision is the revision of the state service at the time of the response.
 	Revision uint64
 	// FailedKeys are the keys whose Compare did not hold.
 	FailedKeys []string
-	// LeaseID is the lease that was granted.
+	// LeaseID is the granted lease.
 	LeaseID uint64
 }
 
--- a/internal/message/user.go
+++ b/internal/message/user.go
@@ -11,12 +11,12 @@
 type SubmitJob struct {
 	Reply uint64
 	Spec  model.JobSpec
-	// MalformedReason is what is wrong with a request of which only the job's ID could be
-	// read, "" for nothing. Such a request is rejected unless the job is known already.
+	// MalformedReason is the error of a request of which only the job's ID could be read, "" for
+	// none. The controller rejects such a request unless it knows the job already.
 	MalformedReason string
 }
 
-// QueryJob asks for the state of a job. A UserReply answers it.
+// QueryJob requests the state of a job. A UserReply answers it.
 type QueryJob struct {
 	Reply uint64
 	ID    string
@@ -37,30 +37,31 @@
 // UserReply answers a user's request.
 type UserReply struct {
 	Reply uint64
-	// SendDeadline is when an answer that rests on a read must have been sent; afterwards the
-	// user gets status 503 instead. It is zero for what can't change any more.
+	// SendDeadline is the latest time at which an answer that depends on a read may be sent.
+	// After it, the user gets status 503 instead. It is zero for an answer that can't change
+	// later.
 	SendDeadline time.Time
 	// Status is the HTTP status.
 	Status int
-	// ID is the job's, and State its state as users see it.
+	// ID is the job's ID, and State is the job's state as users see it.
 	ID    string
 	State string
-	// Done and Running count the job's tasks.
+	// Done and Running count the job's tasks in these states.
 	Done    int
 	Running int
-	// Message says what is wrong, "" for nothing.
+	// Message is the error, "" for none.
 	Message string
-	// PromisedAfter is the newest durable date, as time after the submission, and
-	// PromiseRevision its revision, 0 for none.
+	// PromisedAfter is the newest promised completion date that is durable, as the time from the
+	// submission. PromiseRevision is the date's revision, 0 for no date.
 	PromisedAfter   time.Duration
 	PromiseRevision int
-	// RetryAfter is when a refused request may be repeated, 0 for no such hint.
+	// RetryAfter is the time after which the user may repeat a refused request, 0 for no hint.
 	RetryAfter time.Duration
 }
 
 func (UserReply) effect() {}
 
-// WithDate returns the reply with a promised date.
+// WithDate returns a copy of the reply with a promised date.
 func (r UserReply) WithDate(d promise.Date) UserReply {
 	r.PromisedAfter, r.PromiseRevision = d.After, d.Revision
 	return r
--- a/internal/message/worker.go
+++ b/internal/message/worker.go
@@ -6,7 +6,7 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// WorkerHeartbeat is a worker's heartbeat, which a HeartbeatReply answers.
+// WorkerHeartbeat is a worker's heartbeat. A HeartbeatReply answers it.
 type WorkerHeartbeat struct {
 	Reply     uint64
 	Heartbeat model.Heartbeat
@@ -15,33 +15,36 @@
 // HeartbeatReply answers a WorkerHeartbeat.
 type HeartbeatReply struct {
 	Reply uint64
-	// SendDeadline is as in CloudRequest; afterwards the worker gets status 503 instead.
+	// SendDeadline is the latest time at which the reply may be sent, for the same reason as in
+	// CloudRequest. After it, the worker gets status 503 instead.
 	SendDeadline time.Time
-	// StartsDeadline is when start commands must have been sent; afterwards the reply is
-	// sent without them.
+	// StartsDeadline is the latest time at which start commands may be sent. After it, the reply
+	// is sent without them.
 	StartsDeadline time.Time
 	// Status is the HTTP status.
 	Status int
-	// MachineOwner is the controller that the worker is to send its heartbeats to instead,
-	// "" for this one.
+	// MachineOwner is the controller to which the worker is to send its heartbeats instead; ""
+	// for the controller that replies.
 	MachineOwner string
 	// Epoch is the machine's fencing epoch.
 	Epoch    uint64
 	Commands []model.TaskCommand
 }
 
-// WorkerRequest sends commands to a worker, or only asks for its status. A WorkerResponse
-// answers it.
+// WorkerRequest sends commands to a worker or only requests its status. A WorkerResponse answers
+// it.
 type WorkerRequest struct {
 	ID uint64
-	// SendDeadline is as in CloudRequest; afterwards the response is NotSent.
+	// SendDeadline is the latest time at which the request may be sent, for the same reason as in
+	// CloudRequest. After it, the response has NotSent set.
 	SendDeadline time.Time
 	Machine      string
 	// Addr is the worker's host and port.
 	Addr string
-	// StatusOnly says that the worker is only asked for its status.
+	// StatusOnly is true if the request has no commands and only asks for the worker's status.
 	StatusOnly bool
-	// Epoch and Incarnation are those that the worker must have for it to obey Commands.
+	// Epoch and Incarnation are the fencing epoch and the incarnation that the worker must have
+	// to execute Commands.
 	Epoch       uint64
 	Incarnation uint64
 	Commands    []model.TaskCommand
@@ -50,11 +53,11 @@
 // WorkerResponse answers a WorkerRequest.
 type WorkerResponse struct {
 	ID uint64
-	// OK says that the worker obeyed.
+	// OK is true if the worker executed the request.
 	OK bool
-	// NotSent says that the request certainly did not leave.
+	// NotSent is true if the request was certainly not sent.
 	NotSent bool
-	// Heartbeat is the worker's state, nil if it did not answer with one.
+	// Heartbeat is the worker's state, nil if the worker did not answer with a heartbeat.
 	Heartbeat *model.Heartbeat
 }
 
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -14,14 +14,15 @@
 const (
 	// Fetching attempts wait for their image, or for the rest of their gang.
 	Fetching TaskStatus = iota
+	// Running attempts execute their task.
 	Running
-	// Checkpointing attempts were told to stop and save their progress first.
+	// Checkpointing attempts received a stop command and save their progress before they end.
 	Checkpointing
-	// Ended attempts have a cause; the worker keeps them until they are cleared.
+	// Ended attempts have a cause. The worker reports them until it gets a ClearTask command.
 	Ended
 )
 
-// String is the state in words, for messages.
+// String returns the state as a word, for messages.
 func (s TaskStatus) String() string {
 	names := [...]string{"fetching", "running", "checkpointing", "ended"}
 	if s < 0 || int(s) >= len(names) {
@@ -30,19 +31,20 @@
 	return names[s]
 }
 
-// TaskReport is one attempt in a worker's heartbeat.
+// TaskReport describes one attempt in a worker's heartbeat.
 type TaskReport struct {
 	Job     string
 	Index   int
 	Attempt uint64
 	Status  TaskStatus
-	// Cause is why the attempt ended, in the protocol's words, "" if it has not.
+	// Cause is the protocol's name for the reason why the attempt ended; "" if the attempt has
+	// not ended.
 	Cause string
-	// CheckpointStored says that the attempt saved its progress when it was stopped.
+	// CheckpointStored is true if the attempt saved its progress when the worker stopped it.
 	CheckpointStored bool
 }
 
-// Heartbeat is a worker's state, as it sends it by itself and in answer to a request.
+// Heartbeat is the state that a worker reports, periodically and in response to a request.
 type Heartbeat struct {
 	Machine string
 	// Addr is the worker's host and port.
@@ -51,20 +53,21 @@
 	Zone        string
 	Spot        bool
 	// Incarnation starts at 1 and increases whenever the worker's lease expires. Sequence
-	// increases with every heartbeat; the one with the larger pair of both is the newer.
+	// increases with every heartbeat. Of two heartbeats, the one with the higher Incarnation is
+	// newer; if the Incarnations are equal, the one with the higher Sequence is.
 	Incarnation uint64
 	Sequence    uint64
 	// Epoch is the highest fencing epoch that the worker has seen.
 	Epoch uint64
-	// ReclaimIn is the time until the cloud takes the spot machine away; negative if it has
+	// ReclaimIn is the time until the cloud reclaims the spot machine; negative if the cloud has
 	// given no notice.
 	ReclaimIn time.Duration
-	// Tasks are all attempts on the machine, with those that ended and are not cleared.
+	// Tasks has all attempts on the machine, including ended ones that are not yet cleared.
 	Tasks []TaskReport
 }
 
-// Validate returns the first thing that is wrong with a heartbeat as a *validate.FieldError, nil
-// if it is valid. Fields have the names of the workers' protocol.
+// Validate returns a *validate.FieldError for the first invalid field of the heartbeat, or nil if
+// the heartbeat is valid. The error has the field's name in the worker protocol.
 func (r *Heartbeat) Validate() error {
 	var c validate.Check
 	c.Name("host", r.Machine, true)
@@ -81,14 +84,16 @@
 	return c.Err()
 }
 
-// TaskCommandKind is what a worker is to do with an attempt. Its values are the protocol's.
+// TaskCommandKind is the action that a worker performs on an attempt. The values are those of the
+// worker protocol.
 type TaskCommandKind string
 
 // The kinds of commands to a worker.
 const (
+	// StartTask starts an attempt.
 	StartTask TaskCommandKind = "start"
-	// StopTask lets a task with checkpoints save its progress, if the grace period is long
-	// enough for that.
+	// StopTask stops an attempt. A task with checkpoints saves its progress first, if the grace
+	// period is long enough.
 	StopTask TaskCommandKind = "halt"
 	// ClearTask removes an ended attempt from the worker's heartbeats.
 	ClearTask TaskCommandKind = "clear"
@@ -100,6 +105,6 @@
 	Job     string
 	Index   int
 	Attempt uint64
-	// GracePeriod belongs to StopTask: how long the task may take to save its progress.
+	// GracePeriod is how long the task may take to save its progress. Only StopTask uses it.
 	GracePeriod time.Duration
 }
--- a/internal/model/heartbeat_test.go
+++ b/internal/model/heartbeat_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// TestTaskStatusString guards against a wrong name of a state in messages, and against a panic for
+// a value that is no state.
 func TestTaskStatusString(t *testing.T) {
 	for _, c := range []struct {
 		status TaskStatus
--- a/internal/model/job.go
+++ b/internal/model/job.go
@@ -1,17 +1,18 @@
-// Package model has what users, workers and the cloud speak of: jobs and their tasks, teams,
-// machines and their types, heartbeats and commands. Its types have no behaviour beyond
-// what their values mean, and no encoding: the packages at the edge translate them from and
-// to their protocols, and package record from and to what is stored.
+// Package model defines the domain types that the controller shares with users, workers and the
+// cloud: jobs and their tasks, teams, machines and machine types, heartbeats and commands. The
+// types have no encoding of their own: the packages that implement a protocol convert them to and
+// from that protocol, and package record converts them to and from stored records.
 //
-// Amounts of CPU are in virtual CPUs, of GPU in GPUs, and of memory in GB.
+// CPU is in virtual CPUs, GPU in GPUs, and memory in GB.
 package model
 
 import "time"
 
-// Urgency orders jobs: a higher one is served first. Its numbers are stored.
+// Urgency is the priority of a job: a job with a higher urgency is served first. Its numeric values
+// are stored.
 type Urgency int
 
-// The urgencies, the lowest first.
+// The urgencies, in ascending order.
 const (
 	BestEffort Urgency = iota
 	Normal
@@ -23,57 +24,59 @@
 type JobSpec struct {
 	// ID is unique; the user chooses it.
 	ID string
-	// Workload is the class of jobs that objectives and run time estimates go by.
+	// Workload is the class of jobs to which the job belongs. Objectives and run time estimates
+	// are kept for each workload.
 	Workload string
 	Team     string
-	// LongRunning jobs have replicas that run until the job is cancelled; the tasks of
-	// others run to completion.
+	// LongRunning is true for a job whose tasks are replicas that run until the job is
+	// cancelled. The tasks of any other job run to completion.
 	LongRunning bool
-	// Gang says that the tasks run only all together.
+	// Gang is true if the tasks run only all at the same time.
 	Gang    bool
 	Urgency Urgency
-	// Tasks is how many there are; their indexes start at 0.
+	// Tasks is the number of tasks. Their indexes start at 0.
 	Tasks int
-	// Need is what each task takes of its machine.
+	// Need is the resources that each task takes of its machine.
 	Need Resources
-	// Image is what a machine must have fetched before a task can start, and ImageGB its
-	// size.
+	// Image is the image that a machine must have fetched before a task can start on it, and
+	// ImageGB is the size of the image.
 	Image   string
 	ImageGB float64
-	// MachineTypes are those allowed; none means any.
+	// MachineTypes are the allowed machine types; an empty list allows all.
 	MachineTypes []string
-	// Zone is the only one allowed, "" for any.
+	// Zone is the only allowed zone; "" allows all.
 	Zone string
-	// SameZone says that all tasks must be in one zone, and SpreadZones that at most half of
-	// them, rounded up, may be.
+	// SameZone is true if all tasks must run in one zone. SpreadZones is true if at most half of
+	// the tasks, rounded up, may run in one zone.
 	SameZone    bool
 	SpreadZones bool
-	// AllowSpot says that the tasks may run on spot machines.
+	// AllowSpot is true if the tasks may run on spot machines.
 	AllowSpot bool
-	// ExpectedRunTime is the user's estimate of a task's run time without the image fetch,
-	// often wrong by half; 0 for a long-running job.
+	// ExpectedRunTime is the user's estimate of a task's run time without the image fetch; 0 for
+	// a long-running job. The estimate is often wrong by half.
 	ExpectedRunTime time.Duration
-	// CheckpointInterval is after how much progress a task saves a checkpoint; 0 for a task
-	// that never does, and loses its work when it is stopped. CheckpointCost is how long it
-	// takes to save when it is stopped.
+	// CheckpointInterval is the progress between two checkpoints of a task; 0 for a task without
+	// checkpoints, which loses its progress when it is stopped. CheckpointCost is the time that a
+	// task takes to save a checkpoint when it is stopped.
 	CheckpointInterval time.Duration
 	CheckpointCost     time.Duration
-	// Deadline is when the job should be done, counted from its submission; 0 for no deadline.
+	// Deadline is the time from the submission within which the job should be done; 0 for no
+	// deadline.
 	Deadline time.Duration
-	// Dependencies are the jobs that have to be done before any task of this one starts.
+	// Dependencies are the IDs of the jobs that must be done before any task of this job starts.
 	Dependencies []string
 }
 
-// JobStatus is the state of a job that is stored. Whether a queued job runs is known only from
-// its tasks.
+// JobStatus is the stored state of a job. A queued job may be waiting or running: only the states
+// of its tasks show which.
 type JobStatus string
 
-// The states of a job. Their values are stored, and shown to users.
+// The states of a job. Their values are stored and are shown to users.
 const (
 	Queued    JobStatus = "queued"
 	Cancelled JobStatus = "cancelled"
 	Done      JobStatus = "done"
 )
 
-// IsFinal reports whether a job with the status never changes again.
+// IsFinal reports whether a job with the status can never change its status again.
 func (s JobStatus) IsFinal() bool { return s == Cancelled || s == Done }
--- a/internal/model/machine.go
+++ b/internal/model/machine.go
@@ -6,29 +6,30 @@
 	"github.com/micahill/micahill/internal/resource"
 )
 
-// Resources is an amount of what a machine has or a task takes.
+// Resources is an amount of CPU, GPU and memory that a machine has or a task takes.
 type Resources = resource.Resources
 
-// MachineType is a type of machines that the cloud rents out.
+// MachineType is a type of machine that the cloud offers for rent.
 type MachineType struct {
 	Name string
-	// Capacity is what a machine of the type has for tasks.
+	// Capacity is the resources that a machine of the type has for tasks.
 	Capacity Resources
 	// DiskGB is the disk space for images.
 	DiskGB float64
-	// ImageFetchRate is how fast a machine fetches images, in GB per second, give or take a
-	// third.
+	// ImageFetchRate is the rate at which a machine fetches images, in GB per second. Actual
+	// rates differ from it by up to a third.
 	ImageFetchRate float64
-	// CostPerHour and SpotCostPerHour are in the cloud's currency.
+	// CostPerHour and SpotCostPerHour are the prices of a regular and of a spot machine, in the
+	// cloud's currency.
 	CostPerHour     float64
 	SpotCostPerHour float64
-	// ProvisioningTime is the usual time from the rental request to the first heartbeat.
+	// ProvisioningTime is the usual time from a rental request to the machine's first heartbeat.
 	ProvisioningTime time.Duration
-	// Zones are those that have the type.
+	// Zones are the zones that offer the type.
 	Zones []string
 }
 
-// CloudMachine is a machine in the cloud's list of rentals.
+// CloudMachine is a rented machine in the cloud's list.
 type CloudMachine struct {
 	ID string
 	// Addr is the worker's host and port.
@@ -36,8 +37,8 @@
 	MachineType string
 	Zone        string
 	Spot        bool
-	// Status is the cloud's word for the machine's state: booting, running or failed.
+	// Status is the machine's state in the cloud's terms: booting, running or failed.
 	Status string
-	// Age is the time since the rental request.
+	// Age is the time since the machine's rental request.
 	Age time.Duration
 }
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -8,26 +8,27 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// DecodeError says that a value of the state service is not the record that its key
-// promises.
+// DecodeError means that a value in the state service is not a record of the type that belongs to
+// its key.
 type DecodeError struct {
-	// Key is where the value stands.
+	// Key is the key of the value.
 	Key string
-	// Reason is what is wrong with the value.
+	// Reason is why the value can't be decoded.
 	Reason string
-	// cause is what the decoder found.
+	// cause is the decoder's error.
 	cause error
 }
 
+// Error returns the key and the reason.
 func (e *DecodeError) Error() string {
 	return fmt.Sprintf("record: decode %s: %s", e.Key, e.Reason)
 }
 
-// Unwrap returns what the decoder found; sizelimit.ErrValue for a malformed value.
+// Unwrap returns the decoder's error. It is sizelimit.ErrValue for malformed MessagePack.
 func (e *DecodeError) Unwrap() error { return e.cause }
 
-// Encode returns a record in stored form. It panics on a type that MessagePack can't
-// encode, which no record is.
+// Encode returns the stored form of a record. It panics if MessagePack can't encode the type of v,
+// which is the case for no record.
 func Encode(v any) []byte {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -36,8 +37,8 @@
 	return b
 }
 
-// DecodeRecord reads the value that stands at a key into v, a pointer to a record. Its
-// error is a *DecodeError; v may then be partly filled.
+// DecodeRecord decodes the value of a key into v, a pointer to a record. Its error is a
+// *DecodeError; v may then be partly filled.
 func DecodeRecord(key string, b []byte, v any) error {
 	if err := decode(b, v); err != nil {
 		return &DecodeError{Key: key, Reason: err.Error(), cause: err}
@@ -45,11 +46,11 @@
 	return nil
 }
 
-// Decode is DecodeRecord for a caller that drops the error: it reports whether v was read.
+// Decode is like DecodeRecord, but only reports whether it has decoded the value.
 func Decode(b []byte, v any) bool { return decode(b, v) == nil }
 
-// decode checks a value's structure before it is decoded: the library allocates a list by
-// the length that the value states, so that a damaged length could exhaust memory.
+// decode decodes a value after a check of its structure. Without the check a damaged length could
+// exhaust memory, since the library allocates a list of the length that the value states.
 func decode(b []byte, v any) error {
 	if _, err := sizelimit.JSON(b); err != nil {
 		return err
@@ -57,6 +58,6 @@
 	return msgpack.Unmarshal(b, v)
 }
 
-// DurationOfSeconds converts a decimal number of seconds, as records, settings and the
-// protocols have it. A caller checks before that the duration can hold it.
+// DurationOfSeconds converts a decimal number of seconds, the unit of records, settings and the
+// protocols, to a duration. The caller must have checked that a duration can hold the number.
 func DurationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -7,8 +7,8 @@
 	"github.com/micahill/micahill/internal/sizelimit"
 )
 
-// TestDecodeRecord: what is no record fails with its key and the reason, and Decode and
-// DecodeRecord agree.
+// TestDecodeRecord guards against damaged values that are taken for records, and against decode
+// errors without the key or the reason. It also checks that Decode and DecodeRecord agree.
 func TestDecodeRecord(t *testing.T) {
 	valid := Encode(Leader{Host: "ctl-2", Incarnation: "n-18.1"})
 	for _, c := range []struct {
@@ -17,17 +17,17 @@
 		want      error
 		wantValid bool
 	}{
-		{name: "a record", value: valid, wantValid: true},
-		{name: "nothing", value: nil, want: sizelimit.ErrValue},
-		{name: "cut off", value: valid[:len(valid)-1], want: sizelimit.ErrValue},
-		{name: "a list longer than its bytes", value: []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, want: sizelimit.ErrValue},
-		{name: "a value of another kind", value: Encode("ctl-2")},
+		{name: "valid record", value: valid, wantValid: true},
+		{name: "empty value", value: nil, want: sizelimit.ErrValue},
+		{name: "truncated record", value: valid[:len(valid)-1], want: sizelimit.ErrValue},
+		{name: "list with a length beyond the value", value: []byte{0xdd, 0xff, 0xff, 0xff, 0xff}, want: sizelimit.ErrValue},
+		{name: "value of another type", value: Encode("ctl-2")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var r Leader
 			err := DecodeRecord(LeaderKey, c.value, &r)
 			if (err == nil) != c.wantValid {
-				t.Fatalf("got error %v, want a record: %v", err, c.wantValid)
+				t.Fatalf("got error %v, want success: %v", err, c.wantValid)
 			}
 			if got := Decode(c.value, new(Leader)); got != c.wantValid {
 				t.Errorf("Decode: got %v, want %v", got, c.wantValid)
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -11,7 +11,7 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// goldenRecords has a full value of every record, by the name of its golden file.
+// goldenRecords has a value of every record with all fields set, by the name of its golden file.
 var goldenRecords = testgolden.Values{
 	"node":  Member{LeaseID: 411, Incarnation: "n-17.3", ReceivesNothing: true, StartedAt: 1_750_000_000_123},
 	"life":  Incarnation{StartedAt: 1_750_000_001_234, ShortLived: 3},
@@ -43,8 +43,8 @@
 	}},
 }
 
-// TestGoldenRecords checks that records are encoded as they have always been, and that stored
-// ones are still read.
+// TestGoldenRecords guards against a change of the storage format, with which controllers could not
+// read the records that earlier versions stored.
 func TestGoldenRecords(t *testing.T) {
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) { return Encode(v), nil },
@@ -55,8 +55,8 @@
 	testgolden.Full(t, goldenRecords)
 }
 
-// TestGoldenJobSpec checks that an open/ record is read as the specification that it was written
-// from, with every field of it, and is encoded again as it stood.
+// TestGoldenJobSpec guards against a field of a job's specification that is lost between an open/
+// record and the specification, in either direction.
 func TestGoldenJobSpec(t *testing.T) {
 	var r OpenJob
 	if err := DecodeRecord("open/job-000412", testgolden.Bytes(t, "open"), &r); err != nil {
@@ -73,8 +73,8 @@
 	testgolden.Still(t, "open", Encode(again))
 }
 
-// TestGoldenNames checks that keys of the state service, and the words and numbers in records,
-// are what they have always been.
+// TestGoldenNames guards against a change of the keys in the state service, and of the names and
+// numbers in records: controllers could not find or read the records of earlier versions.
 func TestGoldenNames(t *testing.T) {
 	for want, got := range map[string]string{
 		"ctl/":              ControlPrefix,
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -9,10 +9,10 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// OpenJob is the record of a job that is not over: its specification, and what became of it
-// that a successor must know. Whatever ends the job changes or removes this record in the
-// transaction that writes its JobStatus, so that a start, which compares this record's mod
-// revision, can't follow a cancellation.
+// OpenJob is the record of a job that has not ended: its specification, and the state that a
+// successor needs. The transaction that ends the job writes its JobStatus and changes or removes
+// this record. The start of a task compares this record's mod revision, and so can't follow a
+// cancellation.
 type OpenJob struct {
 	Workload    string `msgpack:"w"`
 	Team        string `msgpack:"o"`
@@ -21,52 +21,55 @@
 	// Urgency is a model.Urgency.
 	Urgency int `msgpack:"u"`
 	Tasks   int `msgpack:"n"`
-	// CPU, GPU and Memory (GB) are what each task takes.
+	// CPU, GPU and Memory (in GB) are the resources of each task.
 	CPU    float64 `msgpack:"c"`
 	GPU    float64 `msgpack:"g,omitempty"`
 	Memory float64 `msgpack:"m"`
 	Image  string  `msgpack:"i"`
-	// ImageGB is the image's size.
+	// ImageGB is the size of the image in GB.
 	ImageGB float64 `msgpack:"ig"`
-	// MachineTypes are those allowed; none means any. An empty Zone means any, too.
+	// MachineTypes are the allowed machine types, and Zone is the only allowed zone. An empty
+	// field allows all.
 	MachineTypes []string `msgpack:"f,omitempty"`
 	Zone         string   `msgpack:"z,omitempty"`
 	SameZone     bool     `msgpack:"sp,omitempty"`
 	SpreadZones  bool     `msgpack:"ap,omitempty"`
 	AllowSpot    bool     `msgpack:"l,omitempty"`
-	// ExpectedSeconds is a task's run time as its user estimates it.
+	// ExpectedSeconds is the user's estimate of a task's run time.
 	ExpectedSeconds           float64 `msgpack:"e"`
 	CheckpointIntervalSeconds float64 `msgpack:"se,omitempty"`
 	CheckpointCostSeconds     float64 `msgpack:"sc,omitempty"`
-	// DeadlineSeconds counts from the submission; 0 means no deadline.
+	// DeadlineSeconds is the deadline in seconds after the submission; 0 means no deadline.
 	DeadlineSeconds float64 `msgpack:"d,omitempty"`
-	// SubmittedAtMillis is in Unix milliseconds.
+	// SubmittedAtMillis is the time of the submission in Unix milliseconds.
 	SubmittedAtMillis int64 `msgpack:"at"`
-	// Cancelled jobs stay until their tasks have stopped.
+	// Cancelled is true for a cancelled job. Its record remains until its tasks have stopped.
 	Cancelled bool `msgpack:"x,omitempty"`
-	// CancelledAtMillis is when the transaction that cancelled the job was sent, in Unix
-	// milliseconds by the sender's clock: no user can have had the answer before.
+	// CancelledAtMillis is the time when the transaction that cancelled the job was sent, in Unix
+	// milliseconds by the sender's clock. No user can have got the answer earlier.
 	CancelledAtMillis int64 `msgpack:"xa,omitempty"`
-	// LentTo is the peer cluster that runs the job, "" for none.
+	// LentTo is the other cluster that runs the job, "" for none.
 	LentTo string `msgpack:"ln,omitempty"`
-	// LendCount is how often the job was lent, which tells its loans apart.
+	// LendCount is how often the job was lent. It distinguishes the job's loans.
 	LendCount uint64 `msgpack:"lc,omitempty"`
-	// StopBoundMillis is within how many milliseconds the peer stops the job's tasks when
-	// the loan ends.
+	// StopBoundMillis is the longest time, in milliseconds, that the other cluster takes to stop
+	// the job's tasks when the loan ends.
 	StopBoundMillis int64 `msgpack:"ls,omitempty"`
-	// CancelRequested says that the job's user wants a lent job cancelled, which has to wait
-	// for the peer.
+	// CancelRequested is true if the user has requested the cancellation of a lent job. The
+	// cancellation has to wait for the other cluster.
 	CancelRequested bool `msgpack:"cw,omitempty"`
-	// BorrowedLoan is the loan by which another cluster's job runs here, "" for an own job.
+	// BorrowedLoan is the name of the loan through which another cluster's job runs in this
+	// cluster, "" for a job of this cluster.
 	BorrowedLoan string `msgpack:"gu,omitempty"`
 	// PromisedMillis is the first promised completion date, in milliseconds after the
 	// submission; 0 for none.
 	PromisedMillis int `msgpack:"p,omitempty"`
-	// Dependencies are the jobs that must be done first, as pipeline.EncodeNames writes them.
+	// Dependencies are the IDs of the jobs that must be done first, encoded by
+	// pipeline.EncodeNames.
 	Dependencies string `msgpack:"pr,omitempty"`
 }
 
-// NewOpenJob is the record of a job that was submitted at a time.
+// NewOpenJob returns the record of a job with the given specification and time of submission.
 func NewOpenJob(s *model.JobSpec, at time.Time) OpenJob {
 	return OpenJob{
 		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
@@ -78,7 +81,7 @@
 	}
 }
 
-// JobSpec is the specification that the record holds. The record must be valid.
+// JobSpec returns the specification in the record. The record must be valid.
 func (r *OpenJob) JobSpec(id string) model.JobSpec {
 	return model.JobSpec{
 		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: model.Urgency(r.Urgency),
@@ -89,15 +92,17 @@
 	}
 }
 
-// DependencyNames are the jobs that must be done first; none if the field can't be read, which
-// Validate reports.
+// DependencyNames returns the IDs of the jobs that must be done first. It returns none if the field
+// is invalid, which Validate reports.
 func (r *OpenJob) DependencyNames() []string {
 	names, _ := pipeline.DecodeNames(r.Dependencies)
 	return names
 }
 
-// ShrinkToFit makes a cancelled job's record fit a value of valueBytes, also where it was written
-// under a larger limit. What it drops, field by field, matters only for where a task may start.
+// ShrinkToFit drops fields of a cancelled job's record, one step after the other, until the record
+// fits a value of valueBytes bytes. The record may have been written under a larger limit. The
+// dropped fields only restrict on which machines tasks may start, and tasks of a cancelled job don't
+// start.
 func (r *OpenJob) ShrinkToFit(valueBytes int) {
 	for _, drop := range [...]func(){
 		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
@@ -109,8 +114,9 @@
 	}
 }
 
-// Validate returns the first thing that is wrong with the record as a *validate.FieldError, nil if
-// it is valid. A cancelled job's record that an earlier version shortened has no team, and is valid.
+// Validate returns a *validate.FieldError for the first invalid field of the record, or nil if the
+// record is valid. A cancelled job's record without a team is valid: an earlier version shortened
+// such records.
 func (r *OpenJob) Validate() error {
 	var c validate.Check
 	if r.Cancelled && r.Team == "" {
@@ -125,7 +131,7 @@
 	}
 	c.Count("u", r.Urgency, int(model.BestEffort), int(model.Critical))
 	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
-		return &validate.FieldError{Field: "pr", Found: "is no list of names"}
+		return &validate.FieldError{Field: "pr", Found: "is not a list of job names"}
 	}
 	return c.Err()
 }
--- a/internal/record/loan.go
+++ b/internal/record/loan.go
@@ -1,12 +1,14 @@
 package record
 
-// OffloadedJob is the record of a loan that this cluster took, with Job and Cause, or of when
-// a home cluster last answered, with RenewedAt alone.
+// OffloadedJob is the record of a loan through which this cluster runs another cluster's job. It
+// then has Job and Cause. The record of the time when a home cluster last answered has the same
+// type, with RenewedAt alone.
 type OffloadedJob struct {
-	// Job is the name that the borrowed job has in this cluster.
+	// Job is the ID that the borrowed job has in this cluster.
 	Job string `msgpack:"j,omitempty"`
-	// Cause is why the loan was given up, "" while it stands.
+	// Cause is the reason why the loan was given up, "" while the loan is valid.
 	Cause string `msgpack:"c,omitempty"`
-	// RenewedAt is when the heartbeat was sent that the home answered, in Unix milliseconds.
+	// RenewedAt is the time when this cluster sent the newest heartbeat that the home answered, in
+	// Unix milliseconds.
 	RenewedAt int64 `msgpack:"r,omitempty"`
 }
--- a/internal/record/prewarmed.go
+++ b/internal/record/prewarmed.go
@@ -1,22 +1,22 @@
 package record
 
-// Prewarmed is which images some of a shard's machines hold. A machine is stored by the number
-// at the end of its name, which is shorter than the name.
+// Prewarmed is the record of the images on some of a shard's machines. It has the number at the end
+// of each machine's name instead of the name, to save space.
 type Prewarmed struct {
-	// MachinePrefix is the part of the names before the number.
+	// MachinePrefix is the common part of the machines' names before the number.
 	MachinePrefix string `msgpack:"p"`
-	// NumberWidth is how many digits the number has in the names, with leading zeros.
+	// NumberWidth is the number of digits in the names, including leading zeros.
 	NumberWidth int              `msgpack:"w"`
 	Images      []PrewarmedImage `msgpack:"i"`
 }
 
-// PrewarmedImage is an image and the machines that hold it.
+// PrewarmedImage is an image and the machines that have fetched it.
 type PrewarmedImage struct {
 	//lint:ignore U1000 its tag stores the fields as a list, without names
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
-	// GB is the image's size.
+	// GB is the size of the image in GB.
 	GB float64
-	// Machines are the numbers in the machines' names.
+	// Machines are the numbers at the end of the machines' names.
 	Machines []int
 }
