--- a/internal/listen/freeaddr.go
+++ b/internal/listen/freeaddr.go
@@ -8,20 +8,19 @@
 )
 
 const (
-	// freePortBase and freePortCount are the range that FreeAddr chooses from. It lies below
-	// the range of ephemeral ports.
+	// freePortBase and freePortCount are the start and the size of the range from which FreeAddr
+	// chooses a port. The range is below the range of ephemeral ports.
 	freePortBase  = 20000
 	freePortCount = 10000
-	// freeAttempts bounds the ports that are tried.
+	// freeAttempts is the largest number of ports that FreeAddr tries.
 	freeAttempts = 100
 )
 
-// ErrNoFreePort is the error of FreeAddr when no port that it tried can be listened on.
+// ErrNoFreePort is the error of FreeAddr if it could listen on none of the ports that it tried.
 var ErrNoFreePort = errors.New("listen: no free port found")
 
-// FreeAddr returns a loopback address on which nothing listens, for a server that is started
-// later. It does not take an ephemeral port, which an outgoing connection could get before the
-// server does.
+// FreeAddr returns a loopback address on which nothing listens, for a server that starts later. The
+// port is not an ephemeral port, which an outgoing connection could get before the server does.
 func FreeAddr() (string, error) {
 	for range freeAttempts {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", freePortBase+rand.IntN(freePortCount)))
--- a/internal/listen/ports.go
+++ b/internal/listen/ports.go
@@ -1,6 +1,6 @@
-// Package listen opens the addresses that a controller listens on. A process that is restarted
-// at once may find its port still in use by its former incarnation, or descriptors short. It
-// waits rather than exit, as it may not be restarted once more.
+// Package listen opens the addresses on which a controller listens. After an immediate restart, the
+// process may find its port still in use by the previous process, or may find no free file
+// descriptors. The package then waits, because a process that exits may not be restarted again.
 package listen
 
 import (
@@ -14,15 +14,17 @@
 )
 
 const (
-	// The pause between two attempts doubles from minPause to maxPause.
+	// minPause and maxPause limit the pause between two attempts to listen. The pause doubles after
+	// each attempt.
 	minPause = 20 * time.Millisecond
 	maxPause = 2 * time.Second
-	// logInterval separates log lines about the same address.
+	// logInterval is the shortest time between two log lines about the same address.
 	logInterval = 10 * time.Second
 )
 
-// isTransient reports whether an error of listening may go away by itself. All others are
-// errors of the settings: the address is malformed, not of this machine, or not permitted.
+// isTransient reports whether an error of an attempt to listen may disappear without a change of the
+// settings. Any other error is an error of the settings: the address is malformed, does not belong to
+// the local machine, or is not permitted.
 func isTransient(err error) bool {
 	for _, e := range [...]error{syscall.EADDRINUSE, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR} {
 		if errors.Is(err, e) {
@@ -32,8 +34,9 @@
 	return false
 }
 
-// TCP listens on a TCP address, which is in the given field of the settings. While the address is
-// in use it waits, until the context ends. Its errors name the field.
+// TCP listens on a TCP address, which comes from the given field of the settings. While the address is
+// in use or resources are short, TCP waits until the context ends. Its errors have the name of the
+// field.
 func TCP(ctx context.Context, field, addr string) (net.Listener, error) {
 	var lastLogged time.Time
 	for pause := minPause; ; pause = min(2*pause, maxPause) {
@@ -45,15 +48,15 @@
 			return ln, nil
 		}
 		if !isTransient(err) {
-			return nil, fmt.Errorf("settings: %s %q: cannot listen there: %w", field, addr, err)
+			return nil, fmt.Errorf("settings: %s %q: cannot listen on this address: %w", field, addr, err)
 		}
 		if time.Since(lastLogged) >= logInterval {
 			lastLogged = time.Now()
-			slog.Error("address in use, retrying", "field", field, "addr", addr, "err", err)
+			slog.Error("cannot listen on address yet, retrying", "field", field, "addr", addr, "err", err)
 		}
 		select {
 		case <-ctx.Done():
-			return nil, fmt.Errorf("settings: %s %q: %w", field, addr, ctx.Err())
+			return nil, fmt.Errorf("settings: %s %q: wait for the address: %w", field, addr, ctx.Err())
 		case <-time.After(pause):
 		}
 	}
--- a/internal/listen/ports_test.go
+++ b/internal/listen/ports_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestWaitsForAddressInUse: TCP waits for a port in use, and gets it when it becomes free.
+// TestWaitsForAddressInUse guards against a controller that exits because its port is still in use. TCP
+// must wait, and listen when the port becomes free.
 func TestWaitsForAddressInUse(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,16 +25,17 @@
 	}()
 	select {
 	case err := <-result:
-		t.Fatalf("port in use: got %v at once, want a wait", err)
+		t.Fatalf("port in use: TCP returned %v at once, want it to wait", err)
 	case <-time.After(3 * minPause):
 	}
 	held.Close()
 	if err := <-result; err != nil {
-		t.Errorf("free port: got %v, want no error", err)
+		t.Errorf("port became free: got error %v, want none", err)
 	}
 }
 
-// TestInvalidAddressFails: an address that waiting does not help is an error at once, with the field.
+// TestInvalidAddressFails guards against an endless wait for an invalid address. TCP must return at once
+// an error that names the field of the settings.
 func TestInvalidAddressFails(t *testing.T) {
 	for _, addr := range []string{"nowhere", "192.0.2.1:80", "127.0.0.1:99999"} {
 		t.Run(addr, func(t *testing.T) {
@@ -41,13 +43,13 @@
 			defer cancel()
 			_, err := TCP(ctx, "back", addr)
 			if err == nil || ctx.Err() != nil || !strings.Contains(err.Error(), "back") {
-				t.Errorf("got %v, want an error at once that names the field", err)
+				t.Errorf("got error %v, want one at once that names the field", err)
 			}
 		})
 	}
 }
 
-// TestWaitEndsWithContext: the wait ends with the context.
+// TestWaitEndsWithContext guards against a wait for an address in use that outlasts the context.
 func TestWaitEndsWithContext(t *testing.T) {
 	held, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,6 +59,6 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 2*minPause)
 	defer cancel()
 	if _, err := TCP(ctx, "api_addr", held.Addr().String()); err == nil {
-		t.Error("port in use: got no error, want the context's")
+		t.Error("port in use: got no error, want the context's error")
 	}
 }
--- a/internal/message/store.go
+++ b/internal/message/store.go
@@ -53,13 +53,13 @@
 
 // The priorities, the most important first.
 const (
-	// PriorityMembership is for the requests that keep the controller a member.
+	// PriorityMembership is for the membership lease and for the records that all controllers watch.
 	PriorityMembership Priority = iota
 	// PriorityUser is for requests on which a user waits.
 	PriorityUser
 	// PriorityStart is for the starts of tasks and for other requests that jobs depend on.
 	PriorityStart
-	// PriorityLazy is for requests on which nothing depends that is urgent.
+	// PriorityLazy is for requests that are not urgent.
 	PriorityLazy
 )
 
--- a/internal/message/user.go
+++ b/internal/message/user.go
@@ -62,7 +62,7 @@
 func (UserReply) effect() {}
 
 // WithDate returns a copy of the reply with a promised date.
-func (r UserReply) WithDate(d promise.Date) UserReply {
-	r.PromisedAfter, r.PromiseRevision = d.After, d.Revision
-	return r
+func (reply UserReply) WithDate(date promise.Date) UserReply {
+	reply.PromisedAfter, reply.PromiseRevision = date.After, date.Revision
+	return reply
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics has a controller's Prometheus metrics. Their names, labels and help texts are
-// the operators' and stay as they are.
+// Package metrics provides a controller's Prometheus metrics. Operators' dashboards and alerts depend
+// on the names, labels and help texts, which therefore must not change.
 package metrics
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// namespace is the prefix of all metrics.
+// namespace is the prefix of the names of all metrics.
 const namespace = "micahill"
 
-// Recorder is one controller's metrics. It is safe for concurrent use, except where a method
-// says otherwise.
+// Recorder records one controller's metrics. It is safe for concurrent use, except where the comment
+// of a method says otherwise.
 type Recorder struct {
 	registry       *prometheus.Registry
 	requests       *prometheus.HistogramVec
@@ -28,16 +28,18 @@
 	role           *prometheus.GaugeVec
 	stateRates     *prometheus.GaugeVec
 	internalErrors prometheus.Counter
-	// migrations and gpuCapacity are registered by the first report of them.
+	// migrations and gpuCapacity are registered by the first call of GPUCapacity, which sets
+	// gpuRegistered.
 	migrations, gpuCapacity *prometheus.GaugeVec
 	gpuRegistered           bool
-	// waitingJobs and longestWait are of the jobs left waiting, by team.
+	// waitingJobs and longestWait describe, by team, the jobs that have waited too long for the
+	// placement of a task.
 	waitingJobs, longestWait *prometheus.GaugeVec
 }
 
-// New returns a recorder with its metrics registered.
+// New returns a recorder and registers its metrics, except those of GPUCapacity.
 func New() *Recorder {
-	// A millisecond to some seconds: the timeouts of users and workers.
+	// From a millisecond to some seconds, the range of the timeouts of users and workers.
 	latencyBuckets := prometheus.ExponentialBuckets(0.001, 2.5, 10)
 	newHistogram := func(name, help string, labels ...string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: latencyBuckets}, labels)
@@ -45,7 +47,7 @@
 	newGauge := func(name, help string, labels ...string) *prometheus.GaugeVec {
 		return prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, labels)
 	}
-	r := &Recorder{
+	recorder := &Recorder{
 		registry: prometheus.NewRegistry(),
 		requests: newHistogram("request_seconds", "Answers to users, workers and health checks.", "route", "status"),
 		state:    newHistogram("state_seconds", "Requests to the state service, with waits for their rate.", "kind", "outcome"),
@@ -63,43 +65,45 @@
 		longestWait:    newGauge("left_waiting_longest_seconds", "The longest wait of a job of which no task was placed for 45 s.", "team"),
 		stateRates:     newGauge("state_part", "This controller's part of the state service's limits, a second.", "of"),
 	}
-	r.registry.MustRegister(r.requests, r.state, r.cloud, r.commands, r.steps, r.batch, r.role, r.stateRates, r.internalErrors, r.waitingJobs, r.longestWait)
-	return r
+	recorder.registry.MustRegister(recorder.requests, recorder.state, recorder.cloud, recorder.commands, recorder.steps, recorder.batch, recorder.role, recorder.stateRates, recorder.internalErrors, recorder.waitingJobs, recorder.longestWait)
+	return recorder
 }
 
-// Registry is where optional features register metrics of their own.
-func (r *Recorder) Registry() *prometheus.Registry { return r.registry }
+// Registry returns the registry in which optional features register metrics of their own.
+func (recorder *Recorder) Registry() *prometheus.Registry { return recorder.registry }
 
-// Handler serves the metrics to Prometheus.
-func (r *Recorder) Handler() http.Handler {
-	return promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{})
+// Handler returns the HTTP handler that serves the metrics to Prometheus.
+func (recorder *Recorder) Handler() http.Handler {
+	return promhttp.HandlerFor(recorder.registry, promhttp.HandlerOpts{})
 }
 
-// Request observes the response to a user, a worker or a health check.
-func (r *Recorder) Request(route, status string, took time.Duration) {
-	r.requests.WithLabelValues(route, status).Observe(took.Seconds())
+// Request observes the duration of a request of a user, a worker or a health check, by route and HTTP
+// status.
+func (recorder *Recorder) Request(route, status string, took time.Duration) {
+	recorder.requests.WithLabelValues(route, status).Observe(took.Seconds())
 }
 
-// Step observes a step of the controller and the number of its commands.
-func (r *Recorder) Step(took time.Duration, commands int) {
-	r.steps.Observe(took.Seconds())
-	r.batch.Observe(float64(commands))
+// Step observes the duration of a step of the controller and the number of its commands.
+func (recorder *Recorder) Step(took time.Duration, commands int) {
+	recorder.steps.Observe(took.Seconds())
+	recorder.batch.Observe(float64(commands))
 }
 
-// State observes a request to the state service. Watches are left out, as they wait by design.
-func (r *Recorder) State(kind message.StoreRequestKind, status message.StoreStatus, took time.Duration) {
+// State observes the duration of a request to the state service. It ignores watches, whose duration is
+// mostly the wait for a change.
+func (recorder *Recorder) State(kind message.StoreRequestKind, status message.StoreStatus, took time.Duration) {
 	if kind != message.OpWatch {
-		r.state.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
+		recorder.state.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
 	}
 }
 
-// Cloud observes a request to the cloud.
-func (r *Recorder) Cloud(kind message.CloudRequestKind, status message.CloudStatus, took time.Duration) {
-	r.cloud.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
+// Cloud observes the duration of a request to the cloud.
+func (recorder *Recorder) Cloud(kind message.CloudRequestKind, status message.CloudStatus, took time.Duration) {
+	recorder.cloud.WithLabelValues(kind.String(), status.String()).Observe(took.Seconds())
 }
 
-// Commands observes a direct request to a worker.
-func (r *Recorder) Commands(resp message.WorkerResponse, took time.Duration) {
+// Commands observes the duration of a request that the controller sent to a worker.
+func (recorder *Recorder) Commands(resp message.WorkerResponse, took time.Duration) {
 	outcome := "executed"
 	switch {
 	case resp.Heartbeat == nil:
@@ -107,38 +111,38 @@
 	case !resp.OK:
 		outcome = "refused"
 	}
-	r.commands.WithLabelValues(outcome).Observe(took.Seconds())
+	recorder.commands.WithLabelValues(outcome).Observe(took.Seconds())
 }
 
-// InternalError counts an internal error that the controller survived.
-func (r *Recorder) InternalError() { r.internalErrors.Inc() }
+// InternalError counts an internal error after which the controller continued.
+func (recorder *Recorder) InternalError() { recorder.internalErrors.Inc() }
 
-// Rates sets the controller's part of the state service's limits, per second.
-func (r *Recorder) Rates(rates message.Rates) {
-	r.stateRates.WithLabelValues("requests").Set(rates.Requests)
-	r.stateRates.WithLabelValues("changes").Set(rates.Writes)
+// Rates sets the controller's share of the state service's rate limits, per second.
+func (recorder *Recorder) Rates(rates message.Rates) {
+	recorder.stateRates.WithLabelValues("requests").Set(rates.Requests)
+	recorder.stateRates.WithLabelValues("changes").Set(rates.Writes)
 }
 
-// GPUCapacity sets the free capacity on machines with GPUs and the replica migrations. It must be
-// called from one goroutine only.
-func (r *Recorder) GPUCapacity(report message.GPUFreeCapacityReport) {
-	if !r.gpuRegistered {
-		r.gpuRegistered = true
-		r.registry.MustRegister(r.gpuCapacity, r.migrations)
+// GPUCapacity sets the metrics of the free capacity on machines with GPUs and of the replica
+// migrations. All calls must come from one goroutine.
+func (recorder *Recorder) GPUCapacity(report message.GPUFreeCapacityReport) {
+	if !recorder.gpuRegistered {
+		recorder.gpuRegistered = true
+		recorder.registry.MustRegister(recorder.gpuCapacity, recorder.migrations)
 	}
-	// Kinds of machines come and go, and with them their label values.
-	r.gpuCapacity.Reset()
-	r.migrations.Reset()
-	if m := report.Migrations; m != nil {
+	// Reset removes the label values of kinds of machines that are not in the report.
+	recorder.gpuCapacity.Reset()
+	recorder.migrations.Reset()
+	if migrations := report.Migrations; migrations != nil {
 		expectedDown := 0.0
-		for _, migration := range m.InProgress {
+		for _, migration := range migrations.InProgress {
 			expectedDown = max(expectedDown, migration.ExpectedDownSeconds)
 		}
 		for name, value := range map[string]float64{
-			"under_way": float64(len(m.InProgress)), "planned": float64(m.Plans), "moved": float64(m.Moved), "dropped": float64(m.Dropped),
-			"longest_down_s": m.LongestDownSeconds, "expected_down_s": expectedDown,
+			"under_way": float64(len(migrations.InProgress)), "planned": float64(migrations.Plans), "moved": float64(migrations.Moved), "dropped": float64(migrations.Dropped),
+			"longest_down_s": migrations.LongestDownSeconds, "expected_down_s": expectedDown,
 		} {
-			r.migrations.WithLabelValues(name).Set(value)
+			recorder.migrations.WithLabelValues(name).Set(value)
 		}
 	}
 	for _, kind := range report.Kinds {
@@ -146,30 +150,30 @@
 			"hosts": float64(kind.Machines), "whole": float64(kind.EmptyMachines), "free": kind.FreeGPUs,
 			"pieces": kind.FragmentedGPUs, "largest": kind.LargestReplicaGPUs,
 		} {
-			r.gpuCapacity.WithLabelValues(kind.MachineType, kind.Zone, strconv.FormatBool(kind.Spot), name).Set(value)
+			recorder.gpuCapacity.WithLabelValues(kind.MachineType, kind.Zone, strconv.FormatBool(kind.Spot), name).Set(value)
 		}
 	}
 }
 
-// Waits sets how many jobs of each team are left waiting, and the longest wait. It must
-// be called from one goroutine only.
-func (r *Recorder) Waits(report message.WaitReport) {
-	// Teams come and go, and with them their label values.
-	r.waitingJobs.Reset()
-	r.longestWait.Reset()
+// Waits sets, for each team, the number of jobs that have waited too long for the placement of a task,
+// and their longest wait. All calls must come from one goroutine.
+func (recorder *Recorder) Waits(report message.WaitReport) {
+	// Reset removes the label values of teams that are not in the report.
+	recorder.waitingJobs.Reset()
+	recorder.longestWait.Reset()
 	for _, team := range report.Teams {
-		r.longestWait.WithLabelValues(team.Team).Set(team.Longest.Seconds())
-		r.waitingJobs.WithLabelValues(team.Team).Set(float64(team.Jobs))
+		recorder.longestWait.WithLabelValues(team.Team).Set(team.Longest.Seconds())
+		recorder.waitingJobs.WithLabelValues(team.Team).Set(float64(team.Jobs))
 	}
 }
 
-// Role sets the controller's roles.
-func (r *Recorder) Role(role message.Role) {
+// Role sets the metrics of the controller's roles.
+func (recorder *Recorder) Role(role message.Role) {
 	for name, on := range map[string]bool{"leader": role.Leader, "owner": role.ShardLeader} {
 		value := 0.0
 		if on {
 			value = 1
 		}
-		r.role.WithLabelValues(name).Set(value)
+		recorder.role.WithLabelValues(name).Set(value)
 	}
 }
--- a/internal/metrics/promises.go
+++ b/internal/metrics/promises.go
@@ -5,14 +5,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// RegisterPromises registers the outcome totals of promised dates, and returns the function that
-// sets them. Only the leader counts outcomes; elsewhere the gauges have no values until the
-// controller becomes the leader.
-func RegisterPromises(reg prometheus.Registerer) func(message.PromiseTotals) {
+// RegisterPromises registers the metrics of the outcomes of promised completion dates, and returns the
+// function that sets them. Only the leader counts outcomes, so a controller that has never been the
+// leader has no values.
+func RegisterPromises(registerer prometheus.Registerer) func(message.PromiseTotals) {
 	jobs := prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "promises", Help: "Jobs that are over, as the leader has counted them: all, those with a date, and of these the kept, the broken and the revised."}, []string{"outcome"})
 	worst := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "promise_worst_seconds", Help: "By how much a date was missed at worst."})
 	ratio := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: "promise_ratio", Help: "The median of the promised to the real time."})
-	reg.MustRegister(jobs, worst, ratio)
+	registerer.MustRegister(jobs, worst, ratio)
 	return func(totals message.PromiseTotals) {
 		for name, count := range map[string]int{"ended": totals.Sum.Jobs, "made": totals.Sum.Made, "kept": totals.Sum.Kept, "broken": totals.Sum.Broken, "revised": totals.Sum.Revised} {
 			jobs.WithLabelValues(name).Set(float64(count))
--- a/internal/model/heartbeat.go
+++ b/internal/model/heartbeat.go
@@ -68,20 +68,20 @@
 
 // Validate returns a *validate.FieldError for the first invalid field of the heartbeat, or nil if
 // the heartbeat is valid. The error has the field's name in the worker protocol.
-func (r *Heartbeat) Validate() error {
-	var c validate.Check
-	c.Name("host", r.Machine, true)
-	c.Name("address", r.Addr, false)
-	c.Name("flavour", r.MachineType, false)
-	c.Name("site", r.Zone, false)
-	if r.ReclaimIn >= 0 {
-		c.Amount("recall_s", r.ReclaimIn.Seconds())
+func (heartbeat *Heartbeat) Validate() error {
+	var check validate.Check
+	check.Name("host", heartbeat.Machine, true)
+	check.Name("address", heartbeat.Addr, false)
+	check.Name("flavour", heartbeat.MachineType, false)
+	check.Name("site", heartbeat.Zone, false)
+	if heartbeat.ReclaimIn >= 0 {
+		check.Amount("recall_s", heartbeat.ReclaimIn.Seconds())
 	}
-	for i := range r.Tasks {
-		c.Name("piece", r.Tasks[i].Job, true)
-		c.Count("piece", r.Tasks[i].Index, 0, validate.MaxTasks-1)
+	for i := range heartbeat.Tasks {
+		check.Name("piece", heartbeat.Tasks[i].Job, true)
+		check.Count("piece", heartbeat.Tasks[i].Index, 0, validate.MaxTasks-1)
 	}
-	return c.Err()
+	return check.Err()
 }
 
 // TaskCommandKind is the action that a worker performs on an attempt. The values are those of the
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -60,4 +60,6 @@
 
 // DurationOfSeconds converts a decimal number of seconds, the unit of records, settings and the
 // protocols, to a duration. The caller must have checked that a duration can hold the number.
-func DurationOfSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func DurationOfSeconds(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
--- a/internal/record/codec_test.go
+++ b/internal/record/codec_test.go
@@ -24,8 +24,8 @@
 		{name: "value of another type", value: Encode("ctl-2")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var r Leader
-			err := DecodeRecord(LeaderKey, c.value, &r)
+			var leader Leader
+			err := DecodeRecord(LeaderKey, c.value, &leader)
 			if (err == nil) != c.wantValid {
 				t.Fatalf("got error %v, want success: %v", err, c.wantValid)
 			}
@@ -35,8 +35,8 @@
 			if c.wantValid {
 				return
 			}
-			var de *DecodeError
-			if !errors.As(err, &de) || de.Key != LeaderKey || de.Reason == "" {
+			var decodeErr *DecodeError
+			if !errors.As(err, &decodeErr) || decodeErr.Key != LeaderKey || decodeErr.Reason == "" {
 				t.Errorf("got error %#v, want a DecodeError of %s with a reason", err, LeaderKey)
 			}
 			if c.want != nil && !errors.Is(err, c.want) {
--- a/internal/record/control.go
+++ b/internal/record/control.go
@@ -15,8 +15,8 @@
 }
 
 // ReroutedMachines is a controller's report that it keeps receiving heartbeats of machines that
-// another controller owns. Workers send them to another controller when they can't reach their
-// machine's owner.
+// another controller owns. Workers send them to another controller while the machines' owner is cut
+// off from the workers.
 type ReroutedMachines struct {
 	// Controller is the host of the machines' owner.
 	Controller string `msgpack:"of"`
--- a/internal/record/golden_test.go
+++ b/internal/record/golden_test.go
@@ -58,18 +58,18 @@
 // TestGoldenJobSpec guards against a field of a job's specification that is lost between an open/
 // record and the specification, in either direction.
 func TestGoldenJobSpec(t *testing.T) {
-	var r OpenJob
-	if err := DecodeRecord("open/job-000412", testgolden.Bytes(t, "open"), &r); err != nil {
+	var record OpenJob
+	if err := DecodeRecord("open/job-000412", testgolden.Bytes(t, "open"), &record); err != nil {
 		t.Fatal(err)
 	}
-	s := r.JobSpec("job-000412")
+	spec := record.JobSpec("job-000412")
 	all := maps.Clone(goldenRecords)
-	all["spec"] = s
+	all["spec"] = spec
 	testgolden.Full(t, all)
-	again := NewOpenJob(&s, time.UnixMilli(r.SubmittedAtMillis))
-	again.Cancelled, again.CancelledAtMillis = r.Cancelled, r.CancelledAtMillis
-	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = r.LentTo, r.LendCount, r.StopBoundMillis, r.CancelRequested
-	again.BorrowedLoan, again.PromisedMillis = r.BorrowedLoan, r.PromisedMillis
+	again := NewOpenJob(&spec, time.UnixMilli(record.SubmittedAtMillis))
+	again.Cancelled, again.CancelledAtMillis = record.Cancelled, record.CancelledAtMillis
+	again.LentTo, again.LendCount, again.StopBoundMillis, again.CancelRequested = record.LentTo, record.LendCount, record.StopBoundMillis, record.CancelRequested
+	again.BorrowedLoan, again.PromisedMillis = record.BorrowedLoan, record.PromisedMillis
 	testgolden.Still(t, "open", Encode(again))
 }
 
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -70,44 +70,43 @@
 }
 
 // NewOpenJob returns the record of a job with the given specification and time of submission.
-func NewOpenJob(s *model.JobSpec, at time.Time) OpenJob {
+func NewOpenJob(spec *model.JobSpec, submittedAt time.Time) OpenJob {
 	return OpenJob{
-		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
-		Tasks: s.Tasks, CPU: s.Need.CPU, GPU: s.Need.GPU, Memory: s.Need.Memory,
-		Image: s.Image, ImageGB: s.ImageGB, MachineTypes: s.MachineTypes, Zone: s.Zone,
-		SameZone: s.SameZone, SpreadZones: s.SpreadZones, AllowSpot: s.AllowSpot,
-		ExpectedSeconds: s.ExpectedRunTime.Seconds(), CheckpointIntervalSeconds: s.CheckpointInterval.Seconds(), CheckpointCostSeconds: s.CheckpointCost.Seconds(),
-		DeadlineSeconds: s.Deadline.Seconds(), SubmittedAtMillis: at.UnixMilli(), Dependencies: pipeline.EncodeNames(s.Dependencies),
+		Workload: spec.Workload, Team: spec.Team, LongRunning: spec.LongRunning, Gang: spec.Gang, Urgency: int(spec.Urgency),
+		Tasks: spec.Tasks, CPU: spec.Need.CPU, GPU: spec.Need.GPU, Memory: spec.Need.Memory,
+		Image: spec.Image, ImageGB: spec.ImageGB, MachineTypes: spec.MachineTypes, Zone: spec.Zone,
+		SameZone: spec.SameZone, SpreadZones: spec.SpreadZones, AllowSpot: spec.AllowSpot,
+		ExpectedSeconds: spec.ExpectedRunTime.Seconds(), CheckpointIntervalSeconds: spec.CheckpointInterval.Seconds(), CheckpointCostSeconds: spec.CheckpointCost.Seconds(),
+		DeadlineSeconds: spec.Deadline.Seconds(), SubmittedAtMillis: submittedAt.UnixMilli(), Dependencies: pipeline.EncodeNames(spec.Dependencies),
 	}
 }
 
 // JobSpec returns the specification in the record. The record must be valid.
-func (r *OpenJob) JobSpec(id string) model.JobSpec {
+func (record *OpenJob) JobSpec(id string) model.JobSpec {
 	return model.JobSpec{
-		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: model.Urgency(r.Urgency),
-		Tasks: r.Tasks, Need: model.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
-		MachineTypes: r.MachineTypes, Zone: r.Zone, SameZone: r.SameZone, SpreadZones: r.SpreadZones, AllowSpot: r.AllowSpot,
-		ExpectedRunTime: DurationOfSeconds(r.ExpectedSeconds), CheckpointInterval: DurationOfSeconds(r.CheckpointIntervalSeconds), CheckpointCost: DurationOfSeconds(r.CheckpointCostSeconds),
-		Deadline: DurationOfSeconds(r.DeadlineSeconds), Dependencies: r.DependencyNames(),
+		ID: id, Workload: record.Workload, Team: record.Team, LongRunning: record.LongRunning, Gang: record.Gang, Urgency: model.Urgency(record.Urgency),
+		Tasks: record.Tasks, Need: model.Resources{CPU: record.CPU, GPU: record.GPU, Memory: record.Memory}, Image: record.Image, ImageGB: record.ImageGB,
+		MachineTypes: record.MachineTypes, Zone: record.Zone, SameZone: record.SameZone, SpreadZones: record.SpreadZones, AllowSpot: record.AllowSpot,
+		ExpectedRunTime: DurationOfSeconds(record.ExpectedSeconds), CheckpointInterval: DurationOfSeconds(record.CheckpointIntervalSeconds), CheckpointCost: DurationOfSeconds(record.CheckpointCostSeconds),
+		Deadline: DurationOfSeconds(record.DeadlineSeconds), Dependencies: record.DependencyNames(),
 	}
 }
 
 // DependencyNames returns the IDs of the jobs that must be done first. It returns none if the field
 // is invalid, which Validate reports.
-func (r *OpenJob) DependencyNames() []string {
-	names, _ := pipeline.DecodeNames(r.Dependencies)
+func (record *OpenJob) DependencyNames() []string {
+	names, _ := pipeline.DecodeNames(record.Dependencies)
 	return names
 }
 
 // ShrinkToFit drops fields of a cancelled job's record, one step after the other, until the record
 // fits a value of valueBytes bytes. The record may have been written under a larger limit. The
-// dropped fields only restrict on which machines tasks may start, and tasks of a cancelled job don't
-// start.
-func (r *OpenJob) ShrinkToFit(valueBytes int) {
+// dropped fields matter only for the decision where a task may start.
+func (record *OpenJob) ShrinkToFit(valueBytes int) {
 	for _, drop := range [...]func(){
-		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
+		func() { record.MachineTypes = nil }, func() { record.Image, record.Zone = "", "" }, func() { record.Workload = "" },
 	} {
-		if size, err := sizelimit.JSON(Encode(r)); err == nil && size <= valueBytes {
+		if size, err := sizelimit.JSON(Encode(record)); err == nil && size <= valueBytes {
 			return
 		}
 		drop()
@@ -117,21 +116,21 @@
 // Validate returns a *validate.FieldError for the first invalid field of the record, or nil if the
 // record is valid. A cancelled job's record without a team is valid: an earlier version shortened
 // such records.
-func (r *OpenJob) Validate() error {
-	var c validate.Check
-	if r.Cancelled && r.Team == "" {
+func (record *OpenJob) Validate() error {
+	var check validate.Check
+	if record.Cancelled && record.Team == "" {
 		return nil
 	}
-	c.Count("n", r.Tasks, 1, validate.MaxTasks)
-	for _, f := range [...]struct {
+	check.Count("n", record.Tasks, 1, validate.MaxTasks)
+	for _, amount := range [...]struct {
 		name  string
 		value float64
-	}{{"c", r.CPU}, {"g", r.GPU}, {"m", r.Memory}, {"ig", r.ImageGB}, {"e", r.ExpectedSeconds}, {"se", r.CheckpointIntervalSeconds}, {"sc", r.CheckpointCostSeconds}, {"d", r.DeadlineSeconds}} {
-		c.Amount(f.name, f.value)
+	}{{"c", record.CPU}, {"g", record.GPU}, {"m", record.Memory}, {"ig", record.ImageGB}, {"e", record.ExpectedSeconds}, {"se", record.CheckpointIntervalSeconds}, {"sc", record.CheckpointCostSeconds}, {"d", record.DeadlineSeconds}} {
+		check.Amount(amount.name, amount.value)
 	}
-	c.Count("u", r.Urgency, int(model.BestEffort), int(model.Critical))
-	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
+	check.Count("u", record.Urgency, int(model.BestEffort), int(model.Critical))
+	if _, ok := pipeline.DecodeNames(record.Dependencies); !ok {
 		return &validate.FieldError{Field: "pr", Found: "is not a list of job names"}
 	}
-	return c.Err()
+	return check.Err()
 }
--- a/internal/record/job_status.go
+++ b/internal/record/job_status.go
@@ -34,19 +34,19 @@
 
 // FirstDate returns the completion date that was promised at acceptance. It returns the zero Date if
 // there is none or if the date is beyond MaxDateMillis.
-func (r *OpenJob) FirstDate() promise.Date {
-	if r.PromisedMillis <= 0 || r.PromisedMillis > MaxDateMillis {
+func (record *OpenJob) FirstDate() promise.Date {
+	if record.PromisedMillis <= 0 || record.PromisedMillis > MaxDateMillis {
 		return promise.Date{}
 	}
-	return promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: 1}
+	return promise.Date{After: time.Duration(record.PromisedMillis) * time.Millisecond, Revision: 1}
 }
 
 // Date returns the newest completion date that was promised for a job that is done. It returns the
 // zero Date if the job is not done or has no valid date.
-func (r *JobStatus) Date() promise.Date {
-	d := promise.Date{After: time.Duration(r.PromisedMillis) * time.Millisecond, Revision: r.PromiseRevision}
-	if r.Status != model.Done || r.PromisedMillis > MaxDateMillis || d.Validate() != "" {
+func (record *JobStatus) Date() promise.Date {
+	date := promise.Date{After: time.Duration(record.PromisedMillis) * time.Millisecond, Revision: record.PromiseRevision}
+	if record.Status != model.Done || record.PromisedMillis > MaxDateMillis || date.Validate() != "" {
 		return promise.Date{}
 	}
-	return d
+	return date
 }
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -51,19 +51,19 @@
 
 // FactorMachinePrefix moves the common prefix of the machines' names in the rows to MachinePrefix.
 // Each name keeps at least one byte, since "" means no machine. MachinePrefix is valid UTF-8.
-func (r *TaskSegment) FactorMachinePrefix() {
+func (segment *TaskSegment) FactorMachinePrefix() {
 	prefix, first := "", true
-	for _, row := range r.Rows {
+	for _, row := range segment.Rows {
 		switch {
 		case row.Machine == "":
 		case first:
 			prefix, first = row.Machine[:len(row.Machine)-1], false
 		default:
-			k := 0
-			for k < len(prefix) && k < len(row.Machine)-1 && prefix[k] == row.Machine[k] {
-				k++
+			common := 0
+			for common < len(prefix) && common < len(row.Machine)-1 && prefix[common] == row.Machine[common] {
+				common++
 			}
-			prefix = prefix[:k]
+			prefix = prefix[:common]
 		}
 	}
 	for !utf8.ValidString(prefix) {
@@ -72,9 +72,9 @@
 	if len(prefix) == 0 {
 		return
 	}
-	r.MachinePrefix = prefix
-	for i := range r.Rows {
-		r.Rows[i].Machine = strings.TrimPrefix(r.Rows[i].Machine, prefix)
+	segment.MachinePrefix = prefix
+	for i := range segment.Rows {
+		segment.Rows[i].Machine = strings.TrimPrefix(segment.Rows[i].Machine, prefix)
 	}
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,5 @@
-// Package server runs one controller: it queues commands, passes them to the controller's
-// state machine in batches, and executes the effects that come out.
+// Package server runs one controller. It queues commands, passes them to the controller's state
+// machine in batches, and executes the resulting effects.
 package server
 
 import (
@@ -14,43 +14,46 @@
 )
 
 const (
-	// requestQueueLen bounds the requests that wait for a step; more are refused.
+	// requestQueueLen is the largest number of requests that may wait for a step. Ask refuses
+	// further requests.
 	requestQueueLen = 1024
-	// responseQueueLen is how many responses of other services may wait for a step before
-	// Post blocks.
+	// responseQueueLen is the largest number of responses of other services that may wait for a
+	// step. Post blocks while there are as many.
 	responseQueueLen = 1024
-	// maxBatch bounds the commands of one step.
+	// maxBatch is the largest number of commands in one step.
 	maxBatch = 256
-	// maxIdle bounds the time between two steps.
+	// maxIdle is the longest time between two steps.
 	maxIdle = time.Second
 )
 
-// ErrBusy is the error of Ask when the request queue is full.
+// ErrBusy is the error of Ask if the request queue is full.
 var ErrBusy = errors.New("server: request queue full")
 
-// EffectHandlers execute the effects. Store, Cloud and Worker run on a goroutine for each
-// effect and may block; all others are called by Run between two steps and must not.
+// EffectHandlers are the functions that execute effects. Store, Cloud and Worker run in a goroutine
+// for each effect and may block. Run calls all others between two steps, and they must not block.
 type EffectHandlers struct {
 	Store          func(context.Context, message.StoreRequest) message.StoreResponse
 	Cloud          func(context.Context, message.CloudRequest) message.CloudResponse
 	Worker         func(context.Context, message.WorkerRequest) message.WorkerResponse
 	SendPeerUpdate func(to string, update message.PeerUpdate)
 	RoleChanged    func(message.Role)
-	// SetRates gets this controller's part of the state service's rate limits.
+	// SetRates gets this controller's share of the state service's rate limits.
 	SetRates func(message.Rates)
-	// PromiseTotals gets the outcome totals of promised dates; nil without that feature.
+	// PromiseTotals gets the outcome totals of promised dates. It is nil unless the promises feature
+	// is enabled.
 	PromiseTotals func(message.PromiseTotals)
-	// GPUCapacity gets the free capacity on machines with GPUs, while models are enabled.
+	// GPUCapacity gets the free capacity on machines with GPUs, while the models feature is
+	// enabled.
 	GPUCapacity func(message.GPUFreeCapacityReport)
-	// Waits gets the jobs that are left waiting, by team.
+	// Waits gets the jobs that have waited too long for the placement of a task, by team.
 	Waits func(message.WaitReport)
-	// InternalError is called for every internal error that the controller survives.
+	// InternalError is called for every internal error after which the controller continues.
 	InternalError func()
-	// ObserveStep gets the duration of every step and the number of its commands; may be nil.
+	// ObserveStep gets the duration of every step and the number of its commands. It may be nil.
 	ObserveStep func(took time.Duration, commands int)
 }
 
-// request is a command that waits for its reply.
+// request is a command with the channel for its reply.
 type request struct {
 	newCommand func(reply uint64) message.Command
 	reply      chan message.Effect
@@ -64,14 +67,14 @@
 	requests   chan request
 	responses  chan message.Command
 	healthy    atomic.Bool
-	// stopped is closed when Run returns: from then on nothing takes responses.
+	// stopped is closed when Run returns, after which nothing receives from responses.
 	stopped chan struct{}
 	// replies are the channels of requests in progress, by reply ID. Only Run uses them.
 	replies     map[uint64]chan message.Effect
 	lastReplyID uint64
 }
 
-// New returns a server that Run starts.
+// New returns a server that does nothing until a call of Run.
 func New(ctrl *controller.Controller, handlers EffectHandlers) *Server {
 	return &Server{
 		controller: ctrl, handlers: handlers,
@@ -82,39 +85,39 @@
 	}
 }
 
-// Healthy reports whether the controller could serve requests as of its last step.
-func (s *Server) Healthy() bool { return s.healthy.Load() }
+// Healthy reports whether the controller was able to serve requests at its last step.
+func (server *Server) Healthy() bool { return server.healthy.Load() }
 
-// Ask passes a command to the controller and waits for its reply. The error is ErrBusy or the
-// context's.
-func (s *Server) Ask(ctx context.Context, newCommand func(reply uint64) message.Command) (message.Effect, error) {
+// Ask passes a command to the controller and returns the reply. The error is ErrBusy or the
+// context's error.
+func (server *Server) Ask(ctx context.Context, newCommand func(reply uint64) message.Command) (message.Effect, error) {
 	req := request{newCommand, make(chan message.Effect, 1)}
 	select {
-	case s.requests <- req:
+	case server.requests <- req:
 	default:
 		return nil, ErrBusy
 	}
 	select {
-	case e := <-req.reply:
-		return e, nil
+	case effect := <-req.reply:
+		return effect, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// Post queues a command that has no reply. It blocks while the queue is full, and drops the
-// command once Run has returned.
-func (s *Server) Post(c message.Command) {
+// Post queues a command that has no reply. Post blocks while the queue is full, and drops the command
+// after Run has returned.
+func (server *Server) Post(command message.Command) {
 	select {
-	case s.responses <- c:
-	case <-s.stopped:
+	case server.responses <- command:
+	case <-server.stopped:
 	}
 }
 
-// Run steps the controller until the context ends, and returns the context's error. It is
-// called once.
-func (s *Server) Run(ctx context.Context) error {
-	defer close(s.stopped)
+// Run executes steps of the controller until the context ends, and returns the context's error. It
+// must be called only once.
+func (server *Server) Run(ctx context.Context) error {
+	defer close(server.stopped)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -123,56 +126,56 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-timer.C:
-		case r := <-s.requests:
-			batch = append(batch, s.register(r))
-		case c := <-s.responses:
-			batch = append(batch, c)
+		case req := <-server.requests:
+			batch = append(batch, server.register(req))
+		case command := <-server.responses:
+			batch = append(batch, command)
 		}
-		batch = s.fillBatch(batch)
-		s.step(ctx, batch)
+		batch = server.fillBatch(batch)
+		server.step(ctx, batch)
 		wait := maxIdle
-		if d := s.controller.Deadline(); !d.IsZero() {
-			wait = min(wait, max(time.Until(d), time.Millisecond))
+		if deadline := server.controller.Deadline(); !deadline.IsZero() {
+			wait = min(wait, max(time.Until(deadline), time.Millisecond))
 		}
 		timer.Reset(wait)
 	}
 }
 
-// step passes a batch to the controller and starts the effects. The time that this takes
-// counts as the step's, since no request is served meanwhile.
-func (s *Server) step(ctx context.Context, batch []message.Command) {
+// step passes a batch to the controller and starts the resulting effects. The time for both counts as
+// the duration of the step, since the controller serves no request meanwhile.
+func (server *Server) step(ctx context.Context, batch []message.Command) {
 	now := time.Now()
-	for _, e := range s.controller.Step(now, batch) {
-		s.execute(ctx, e)
+	for _, effect := range server.controller.Step(now, batch) {
+		server.execute(ctx, effect)
 	}
-	s.healthy.Store(s.controller.Healthy(now))
+	server.healthy.Store(server.controller.Healthy(now))
 	took := time.Since(now)
-	s.controller.StepTook(took)
-	if s.handlers.ObserveStep != nil {
-		s.handlers.ObserveStep(took, len(batch))
+	server.controller.StepTook(took)
+	if server.handlers.ObserveStep != nil {
+		server.handlers.ObserveStep(took, len(batch))
 	}
 }
 
-// register notes where the reply to a request goes, and returns its command.
-func (s *Server) register(r request) message.Command {
-	s.lastReplyID++
-	s.replies[s.lastReplyID] = r.reply
-	return r.newCommand(s.lastReplyID)
+// register stores the channel for the reply to a request, and returns the request's command.
+func (server *Server) register(req request) message.Command {
+	server.lastReplyID++
+	server.replies[server.lastReplyID] = req.reply
+	return req.newCommand(server.lastReplyID)
 }
 
-// fillBatch adds what is queued, up to maxBatch commands.
-func (s *Server) fillBatch(batch []message.Command) []message.Command {
+// fillBatch adds queued commands to a batch, up to maxBatch commands in all.
+func (server *Server) fillBatch(batch []message.Command) []message.Command {
 	for len(batch) < maxBatch {
-		// Responses first: they unblock what the requests wait for.
+		// Responses come first, since requests may wait for them.
 		select {
-		case c := <-s.responses:
-			batch = append(batch, c)
+		case command := <-server.responses:
+			batch = append(batch, command)
 			continue
 		default:
 		}
 		select {
-		case r := <-s.requests:
-			batch = append(batch, s.register(r))
+		case req := <-server.requests:
+			batch = append(batch, server.register(req))
 		default:
 			return batch
 		}
@@ -180,76 +183,77 @@
 	return batch
 }
 
-// reply completes a request. The channel has room for the one reply, also when the caller has
-// given up.
-func (s *Server) reply(id uint64, e message.Effect) {
-	if ch := s.replies[id]; ch != nil {
-		delete(s.replies, id)
-		ch <- e
+// reply sends the reply to a request. It does not block, even if the caller has given up: the channel
+// has a buffer for the reply.
+func (server *Server) reply(id uint64, effect message.Effect) {
+	if reply := server.replies[id]; reply != nil {
+		delete(server.replies, id)
+		reply <- effect
 	}
 }
 
-// sendUnlessLate makes a call for an effect and posts the response. If the effect's deadline
-// has passed, it posts the response that stands for that and does not call.
-func (s *Server) sendUnlessLate(e message.Effect, call func() message.Command) {
-	response, _, late := controller.CheckDeadline(e, time.Now())
+// sendUnlessLate makes the call for an effect and posts the response. If the effect's deadline has
+// passed, sendUnlessLate does not call but posts the response for a request that was not sent.
+func (server *Server) sendUnlessLate(effect message.Effect, call func() message.Command) {
+	response, _, late := controller.CheckDeadline(effect, time.Now())
 	if !late {
 		response = call()
 	}
-	s.Post(response)
+	server.Post(response)
 }
 
-// execute starts an effect. Calls to other services get a goroutine each, which ends with its
-// handler's timeout or ctx.
-func (s *Server) execute(ctx context.Context, e message.Effect) {
-	switch e := e.(type) {
+// execute starts an effect. Each call to another service runs in a goroutine of its own, which ends at
+// the latest at the handler's timeout or when ctx ends.
+func (server *Server) execute(ctx context.Context, effect message.Effect) {
+	switch e := effect.(type) {
 	case message.UserReply:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.HeartbeatReply:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.StatusReply:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.RankingReply:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.PromiseReply:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.LoanView:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.LoanReply:
-		s.reply(e.Reply, e)
+		server.reply(e.Reply, e)
 	case message.StoreRequest:
-		go s.sendUnlessLate(e, func() message.Command { return s.handlers.Store(ctx, e) })
+		go server.sendUnlessLate(e, func() message.Command { return server.handlers.Store(ctx, e) })
 	case message.CloudRequest:
-		go s.sendUnlessLate(e, func() message.Command { return s.handlers.Cloud(ctx, e) })
+		go server.sendUnlessLate(e, func() message.Command { return server.handlers.Cloud(ctx, e) })
 	case message.WorkerRequest:
-		go s.sendUnlessLate(e, func() message.Command { return s.handlers.Worker(ctx, e) })
+		go server.sendUnlessLate(e, func() message.Command { return server.handlers.Worker(ctx, e) })
 	case message.SendPeerUpdate:
-		s.handlers.SendPeerUpdate(e.To, e.Update)
+		server.handlers.SendPeerUpdate(e.To, e.Update)
 	case message.Role:
-		s.handlers.RoleChanged(e)
+		server.handlers.RoleChanged(e)
 	case message.Rates:
-		s.handlers.SetRates(e)
+		server.handlers.SetRates(e)
 	case message.PromiseTotals:
-		if s.handlers.PromiseTotals != nil {
-			s.handlers.PromiseTotals(e)
+		if server.handlers.PromiseTotals != nil {
+			server.handlers.PromiseTotals(e)
 		}
 	case message.GPUFreeCapacityReport:
-		s.handlers.GPUCapacity(e)
+		server.handlers.GPUCapacity(e)
 	case message.WaitReport:
-		s.handlers.Waits(e)
+		server.handlers.Waits(e)
 	case message.Log:
-		s.log(e)
+		server.log(e)
 	}
 }
 
-func (s *Server) log(e message.Log) {
+// log writes a log line, and reports a line at level error as an internal error.
+func (server *Server) log(line message.Log) {
 	switch {
-	case e.Debug:
-		slog.Debug(e.Message, e.Args...)
-	case e.Error:
-		slog.Error(e.Message, e.Args...)
-		s.handlers.InternalError()
+	case line.Debug:
+		slog.Debug(line.Message, line.Args...)
+	case line.Error:
+		slog.Error(line.Message, line.Args...)
+		server.handlers.InternalError()
 	default:
-		slog.Info(e.Message, e.Args...)
+		slog.Info(line.Message, line.Args...)
 	}
 }
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -12,7 +12,8 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// newTestServer returns a server whose calls to other services all fail.
+// newTestServer returns a server whose calls to other services all fail. An internal error fails the
+// test.
 func newTestServer(t *testing.T) *Server {
 	t.Helper()
 	ctrl := controller.New(controller.Settings{
@@ -38,21 +39,23 @@
 	})
 }
 
-func askStatus(ctx context.Context, s *Server) (message.Effect, error) {
-	return s.Ask(ctx, func(reply uint64) message.Command { return message.QueryStatus{Reply: reply} })
+// askStatus asks the server for the controller's status.
+func askStatus(ctx context.Context, server *Server) (message.Effect, error) {
+	return server.Ask(ctx, func(reply uint64) message.Command { return message.QueryStatus{Reply: reply} })
 }
 
-// TestAsk: while the server runs, a request gets its reply; Run ends with its context.
+// TestAsk guards against a request without a reply while the server runs, and against a Run that does
+// not end with its context.
 func TestAsk(t *testing.T) {
-	s := newTestServer(t)
+	server := newTestServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- s.Run(ctx) }()
+	go func() { ended <- server.Run(ctx) }()
 	askCtx, cancelAsk := context.WithTimeout(ctx, 10*time.Second)
 	defer cancelAsk()
-	e, err := askStatus(askCtx, s)
-	if _, ok := e.(message.StatusReply); err != nil || !ok {
-		t.Errorf("got %T, %v, want a status reply", e, err)
+	effect, err := askStatus(askCtx, server)
+	if _, ok := effect.(message.StatusReply); err != nil || !ok {
+		t.Errorf("got %T, %v, want a status reply", effect, err)
 	}
 	cancel()
 	if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -60,39 +63,41 @@
 	}
 }
 
-// TestAskBusy: a request beyond the queue's length is refused at once.
+// TestAskBusy guards against a request that waits although the request queue is full. Ask must refuse
+// it at once.
 func TestAskBusy(t *testing.T) {
-	s := newTestServer(t)
+	server := newTestServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for i := range requestQueueLen {
-		if _, err := askStatus(ctx, s); !errors.Is(err, context.Canceled) {
+		if _, err := askStatus(ctx, server); !errors.Is(err, context.Canceled) {
 			t.Fatalf("request %d: got %v, want %v", i, err, context.Canceled)
 		}
 	}
-	if _, err := askStatus(t.Context(), s); !errors.Is(err, ErrBusy) {
+	if _, err := askStatus(t.Context(), server); !errors.Is(err, ErrBusy) {
 		t.Errorf("got %v, want %v", err, ErrBusy)
 	}
 }
 
-// TestPostAfterRun: late responses don't block their goroutines once the server has stopped.
+// TestPostAfterRun guards against a goroutine leak: a response that arrives after the server has stopped
+// must not block its goroutine.
 func TestPostAfterRun(t *testing.T) {
-	s := newTestServer(t)
+	server := newTestServer(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := s.Run(ctx); !errors.Is(err, context.Canceled) {
+	if err := server.Run(ctx); !errors.Is(err, context.Canceled) {
 		t.Fatalf("run: got %v, want %v", err, context.Canceled)
 	}
 	posted := make(chan struct{})
 	go func() {
 		defer close(posted)
 		for range responseQueueLen + 1 {
-			s.Post(message.StoreResponse{})
+			server.Post(message.StoreResponse{})
 		}
 	}()
 	select {
 	case <-posted:
 	case <-time.After(10 * time.Second):
-		t.Error("post blocks after run")
+		t.Error("Post blocks after Run has returned")
 	}
 }
--- a/internal/state/errors.go
+++ b/internal/state/errors.go
@@ -10,36 +10,40 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// What a request to the state service can fail with. Any other error means that the
-// request may have been executed, or may yet be.
+// The errors of requests to the state service. Any other error means that the request may have been
+// executed or may still be executed.
 var (
-	// ErrNotFound: the key or the lease does not exist.
+	// ErrNotFound means that the key or the lease does not exist.
 	ErrNotFound = errors.New("state: not found")
-	// ErrConflict: a transaction's compares do not hold. The response has the failed keys.
+	// ErrConflict means that a compare of a transaction does not hold. The response has the failed
+	// keys.
 	ErrConflict = errors.New("state: compares failed")
-	// ErrCompacted: the service no longer keeps the changes since the revision that a
-	// watch starts from.
+	// ErrCompacted means that the service has deleted changes after the revision from which a
+	// watch starts.
 	ErrCompacted = errors.New("state: revision compacted")
-	// ErrNoLease: a put is attached to a lease that has expired.
+	// ErrNoLease means that a put is attached to an expired lease.
 	ErrNoLease = errors.New("state: no such lease")
-	// ErrMalformed: the service rejects the request as malformed.
+	// ErrMalformed means that the service rejects the request as malformed.
 	ErrMalformed = errors.New("state: malformed request")
-	// ErrNotExecuted: the request was not sent, or the service refused to execute it.
+	// ErrNotExecuted means that the request was not sent or that the service refused to execute
+	// it.
 	ErrNotExecuted = errors.New("state: not executed")
 )
 
-// errRateLimited is a 429: not executed, to be retried.
+// errRateLimited means that the service answered with HTTP status 429. The service did not execute
+// the request, and the client retries.
 var errRateLimited = errors.New("state: rate limit exceeded")
 
-// unexpectedStatusError is an HTTP status that the protocol does not name. It leaves open
-// whether a transaction was executed.
+// unexpectedStatusError is an HTTP status that the protocol does not define. A transaction may or may
+// not have been executed.
 type unexpectedStatusError struct{ code int }
 
+// Error returns a text with the status.
 func (e *unexpectedStatusError) Error() string {
 	return fmt.Sprintf("state: unexpected status %d", e.code)
 }
 
-// errorOf is the error that an HTTP status and the text in the body stand for.
+// errorOf returns the error for an HTTP status and the error text in the response body.
 func errorOf(code int, text string) error {
 	switch code {
 	case http.StatusOK, http.StatusCreated, http.StatusNoContent:
@@ -63,8 +67,8 @@
 	return &unexpectedStatusError{code}
 }
 
-// transportError wraps an error of the HTTP client. A failed dial is ErrNotExecuted: without
-// a connection nothing was sent.
+// transportError wraps an error of the HTTP client. A failed dial becomes ErrNotExecuted, since
+// nothing is sent without a connection.
 func transportError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -73,7 +77,8 @@
 	return fmt.Errorf("state: %w", err)
 }
 
-// statusOf is the outcome, for the controller's state machine, of a request that ended with err.
+// statusOf converts the error of a request of the given kind to an outcome for the controller's state
+// machine.
 func statusOf(kind message.StoreRequestKind, err error) message.StoreStatus {
 	var unexpected *unexpectedStatusError
 	switch {
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -11,7 +11,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// encodeSorted encodes a request's body with the keys of its maps in order.
+// encodeSorted encodes the body of a request with sorted map keys, so that the bytes are the same in
+// every run.
 func encodeSorted(t *testing.T, v any) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -23,7 +24,8 @@
 	return b.Bytes()
 }
 
-// TestGoldenRequests compares the requests to the state service with the golden bytes.
+// TestGoldenRequests guards against a change of the requests, which the state service would not
+// understand.
 func TestGoldenRequests(t *testing.T) {
 	for name, req := range map[string]message.StoreRequest{
 		"txn": {
@@ -51,7 +53,8 @@
 	}
 }
 
-// TestGoldenResponses reads the golden bytes of a response of the state service.
+// TestGoldenResponses guards against a field of the state service's responses that the client does not
+// read or takes for another field.
 func TestGoldenResponses(t *testing.T) {
 	raw := func(s string) msgpack.RawMessage { return append(msgpack.RawMessage{0xa0 | byte(len(s))}, s...) }
 	values := testgolden.Values{"response": response{
@@ -61,20 +64,20 @@
 			{Key: "-", Put: "open/job-000415", Value: raw("three"), ModRevision: 415}, {Key: "-", Remove: "open/job-000416", Value: raw("four"), ModRevision: 416},
 		},
 	}}
-	c := testgolden.Msgpack
-	// A missing value is no bytes, which is not MessagePack.
-	c.Strict = true
-	testgolden.Check(t, c, values)
+	codec := testgolden.Msgpack
+	// A missing value would be encoded as zero bytes, which is not valid MessagePack.
+	codec.Strict = true
+	testgolden.Check(t, codec, values)
 	_, _, body := encodeRequest(message.StoreRequest{Kind: message.OpTxn, Compares: []message.Compare{{Key: "ctl/lead", ModRevision: 411}}, Writes: []message.Write{{Key: "open/job-000412"}}})
 	values["request"] = body
 	testgolden.Full(t, values)
 
-	var r response
-	if err := c.Read(testgolden.Bytes(t, "response"), &r); err != nil {
+	var reply response
+	if err := codec.Read(testgolden.Bytes(t, "response"), &reply); err != nil {
 		t.Fatal(err)
 	}
 	got := message.StoreResponse{Status: message.StoreOK}
-	decodeResponse(&got, true, &r)
+	decodeResponse(&got, true, &reply)
 	want := message.StoreResponse{Status: message.StoreOK, Truncated: true, Revision: 412, FailedKeys: []string{"ctl/lead"}, LeaseID: 413, KeyValues: []message.KeyValue{
 		{Key: "job/job-000411", Value: raw("one"), ModRevision: 411},
 		{Key: "open/job-000412", Value: raw("two"), ModRevision: 414},
--- a/internal/state/ratelimiter.go
+++ b/internal/state/ratelimiter.go
@@ -8,86 +8,90 @@
 )
 
 const (
-	// shortTimeout is for requests that somebody waits for.
+	// shortTimeout is the timeout of requests on whose response somebody waits.
 	shortTimeout = 1300 * time.Millisecond
-	// longTimeout is for lists and lazy writes.
+	// longTimeout is the timeout of lists and of requests of priority lazy.
 	longTimeout = 3 * time.Second
-	// maxQueueWait bounds the wait of a start or a lazy request for its turn.
+	// maxQueueWait is the longest time that a request of priority start or lazy may wait for its
+	// turn.
 	maxQueueWait = 8 * time.Second
-	// userAdvance is how many seconds' worth of the rates users' requests may take in advance.
+	// userAdvance is how far users' requests may exceed the rates in advance, in seconds' worth
+	// of the rates.
 	userAdvance = 1.0
-	// minBurst is what may be sent at once however low the rate.
+	// minBurst is the smallest number of requests that may be sent at once, however low the rate
+	// is. It applies to writes as well.
 	minBurst = 4
 )
 
-// RetryPause is the shortest wait before a retry after a 429, and RetryJitter the upper bound
-// of a random addition to it: the controllers that shared the exceeded rate should not all
-// retry at the same moment.
+// RetryPause is the shortest wait before a retry after HTTP status 429. RetryJitter is the upper
+// bound of a random addition to the wait: the controllers that share the exceeded rate should not
+// all retry at the same moment.
 const (
 	RetryPause  = 60 * time.Millisecond
 	RetryJitter = 120 * time.Millisecond
 )
 
-// RateLimiter keeps a controller's requests to the state service within its part of the
-// limits. It takes the time from its caller, so that the simulation uses it in simulated time.
+// RateLimiter keeps a controller's requests to the state service within the controller's share of the
+// rate limits. It gets the time from its caller, so that the simulation can use it in simulated
+// time.
 type RateLimiter struct {
 	requests *rate.Limiter
 	writes   *rate.Limiter
 }
 
-// NewRateLimiter returns a limiter for rates per second.
-func NewRateLimiter(now time.Time, r message.Rates) *RateLimiter {
+// NewRateLimiter returns a limiter with the given rates.
+func NewRateLimiter(now time.Time, rates message.Rates) *RateLimiter {
 	limiter := &RateLimiter{rate.NewLimiter(1, 1), rate.NewLimiter(1, 1)}
-	limiter.SetRates(now, r)
+	limiter.SetRates(now, rates)
 	return limiter
 }
 
-// SetRates changes the rates, which are per second.
-func (l *RateLimiter) SetRates(now time.Time, r message.Rates) {
-	l.requests.SetLimitAt(now, rate.Limit(r.Requests))
-	l.requests.SetBurstAt(now, max(minBurst, int(r.Requests)))
-	l.writes.SetLimitAt(now, rate.Limit(r.Writes))
-	l.writes.SetBurstAt(now, max(minBurst, int(r.Writes)))
+// SetRates changes the rates.
+func (limiter *RateLimiter) SetRates(now time.Time, rates message.Rates) {
+	limiter.requests.SetLimitAt(now, rate.Limit(rates.Requests))
+	limiter.requests.SetBurstAt(now, max(minBurst, int(rates.Requests)))
+	limiter.writes.SetLimitAt(now, rate.Limit(rates.Writes))
+	limiter.writes.SetBurstAt(now, max(minBurst, int(rates.Writes)))
 }
 
-// Reserve returns how long a request must wait for its turn; ok is false, and nothing is
-// reserved, if that is longer than it may wait. Membership requests never wait, and users'
-// requests only when they alone exceed the rates by userAdvance; both take their part at the
-// cost of the other priorities.
-func (l *RateLimiter) Reserve(now time.Time, req message.StoreRequest) (wait time.Duration, ok bool) {
-	writes := min(len(req.Writes), l.writes.Burst())
-	mayAdvance := l.writes.TokensAt(now) > -userAdvance*float64(l.writes.Limit()) && l.requests.TokensAt(now) > -userAdvance*float64(l.requests.Limit())
+// Reserve reserves a request's part of the rates, and returns how long the request must wait for its
+// turn. If that is longer than the request may wait, ok is false and nothing is reserved. Membership
+// requests never wait. Users' requests wait only after they have taken userAdvance of the rates in
+// advance. Both reduce the rates that are left for the other priorities.
+func (limiter *RateLimiter) Reserve(now time.Time, req message.StoreRequest) (wait time.Duration, ok bool) {
+	writes := min(len(req.Writes), limiter.writes.Burst())
+	mayAdvance := limiter.writes.TokensAt(now) > -userAdvance*float64(limiter.writes.Limit()) && limiter.requests.TokensAt(now) > -userAdvance*float64(limiter.requests.Limit())
 	if req.Priority == message.PriorityMembership || req.Priority == message.PriorityUser && mayAdvance {
-		l.requests.ReserveN(now, 1)
+		limiter.requests.ReserveN(now, 1)
 		if writes > 0 {
-			l.writes.ReserveN(now, writes)
+			limiter.writes.ReserveN(now, writes)
 		}
 		return 0, true
 	}
 	maxWait := Timeout(req)
 	if req.Priority >= message.PriorityStart {
-		// Nobody waits for these, and few are under way at a time. If a large write were
-		// refused because its turn comes after the timeout, small ones would overtake it
-		// for ever.
+		// Nobody waits for requests of these priorities, and only few are in progress at a
+		// time. If a large write were refused because its turn comes after the timeout, small
+		// writes would overtake it for ever.
 		maxWait = maxQueueWait
 	}
-	reservations := []*rate.Reservation{l.requests.ReserveN(now, 1)}
+	reservations := []*rate.Reservation{limiter.requests.ReserveN(now, 1)}
 	if writes > 0 {
-		reservations = append(reservations, l.writes.ReserveN(now, writes))
+		reservations = append(reservations, limiter.writes.ReserveN(now, writes))
 	}
-	for _, r := range reservations {
-		wait = max(wait, r.DelayFrom(now))
+	for _, reservation := range reservations {
+		wait = max(wait, reservation.DelayFrom(now))
 	}
 	if wait <= maxWait {
 		return wait, true
 	}
-	for _, r := range reservations {
-		r.CancelAt(now)
+	for _, reservation := range reservations {
+		reservation.CancelAt(now)
 	}
 	return 0, false
 }
 
-// Timeout is how long the response to a request is waited for.
+// Timeout returns how long the client waits for the response to a request.
 func Timeout(req message.StoreRequest) time.Duration {
 	switch {
 	case req.Kind == message.OpWatch:
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -16,16 +16,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// requestMemory is how many bytes a completed request may leave allocated, and connMemory an
-// idle connection.
+// Limits, in bytes, on the memory that remains allocated: requestMemory for each completed request,
+// and connMemory for each idle connection.
 const (
 	requestMemory = 256
 	connMemory    = 64 << 10
 )
 
-// TestRequestsBySize makes a read and a write for each of thousands of machines, as a failover
-// does. All must be answered within the bound of connections, and neither goroutines nor
-// memory may remain.
+// TestRequestsBySize guards against failed requests, too many connections, and leaks of goroutines or
+// memory during a failover, which reads and writes a record for each of thousands of machines.
 func TestRequestsBySize(t *testing.T) {
 	for _, machines := range []int{2000, 5000} {
 		t.Run(fmt.Sprint(machines), func(t *testing.T) {
@@ -38,8 +37,8 @@
 			srv.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 				switch s {
 				case http.StateNew:
-					k := open.Add(1)
-					for was := mostOpen.Load(); k > was && !mostOpen.CompareAndSwap(was, k); was = mostOpen.Load() {
+					count := open.Add(1)
+					for previous := mostOpen.Load(); count > previous && !mostOpen.CompareAndSwap(previous, count); previous = mostOpen.Load() {
 					}
 				case http.StateClosed, http.StateHijacked:
 					open.Add(-1)
@@ -47,13 +46,13 @@
 			}
 			srv.Start()
 			defer srv.Close()
-			// The rate limits are out of the way.
-			c := New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
-			defer c.http.CloseIdleConnections()
+			// The rate limits are high enough never to delay a request.
+			client := New(strings.TrimPrefix(srv.URL, "http://"), 1e6, 1e6, 1)
+			defer client.http.CloseIdleConnections()
 			var failed atomic.Int64
 			sendRequests := func(requests int) {
 				var wg sync.WaitGroup
-				// The controller has some in flight at a time, not all.
+				// Like the controller, the test has only some requests in flight at a time.
 				slots := make(chan struct{}, 2*maxConns)
 				for i := range requests {
 					slots <- struct{}{}
@@ -64,7 +63,7 @@
 							{Kind: message.OpGet, Priority: message.PriorityLazy, Key: key},
 							{Kind: message.OpTxn, Priority: message.PriorityLazy, Writes: []message.Write{{Key: key, Value: []byte{0xc0}}}},
 						} {
-							if c.Do(context.Background(), req).Status != message.StoreOK {
+							if client.Do(context.Background(), req).Status != message.StoreOK {
 								failed.Add(1)
 							}
 						}
@@ -72,32 +71,33 @@
 				}
 				wg.Wait()
 			}
-			// Warm up: what is allocated once does not count.
+			// Warm up, so that memory that is allocated only once does not count.
 			sendRequests(10 * maxConns)
 			before, routines := heap(), runtime.NumGoroutine()
 			sendRequests(machines)
-			if k := failed.Load(); k > 0 {
-				t.Errorf("got %d failed requests, want 0", k)
+			if count := failed.Load(); count > 0 {
+				t.Errorf("got %d failed requests, want 0", count)
 			}
-			// The server sees some of them close a little later than the client.
-			if m := mostOpen.Load(); m > maxConns*3/2 {
-				t.Errorf("got %d connections at a time, want at most %d", m, maxConns*3/2)
+			// The server sees some connections close a little later than the client does.
+			if most := mostOpen.Load(); most > maxConns*3/2 {
+				t.Errorf("got %d simultaneous connections, want at most %d", most, maxConns*3/2)
 			}
-			// Two goroutines at each end of an idle connection, and some that are ending.
-			if k := runtime.NumGoroutine(); k > routines+5*maxConns {
-				t.Errorf("got %d goroutines, want at most %d", k, routines+5*maxConns)
+			// There are two goroutines at each end of an idle connection, and some goroutines that
+			// are about to end.
+			if count := runtime.NumGoroutine(); count > routines+5*maxConns {
+				t.Errorf("got %d goroutines after the requests, want at most %d", count, routines+5*maxConns)
 			}
 			if kept := heap() - before; kept > int64(maxConns*connMemory+machines*requestMemory) {
-				t.Errorf("got %d KB kept after %d requests, want at most %d", kept>>10, 2*machines, (maxConns*connMemory+machines*requestMemory)>>10)
+				t.Errorf("got %d KB still allocated after %d requests, want at most %d KB", kept>>10, 2*machines, (maxConns*connMemory+machines*requestMemory)>>10)
 			}
 		})
 	}
 }
 
-// heap is the memory in use after a collection, in bytes.
+// heap returns the memory of the heap and the stacks in use after a garbage collection, in bytes.
 func heap() int64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc) + int64(m.StackInuse)
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc) + int64(stats.StackInuse)
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,6 +1,6 @@
-// Package state is the client of the state service: a small, strongly consistent
-// key-value store with transactions, leases and watches. It owns the service's wire form
-// ("Controller nodes -> state service" in the protocol), this controller's part of the
+// Package state is the client of the state service, a small, strongly consistent key-value store
+// with transactions, leases and watches. The package implements the wire format of the service
+// (section "Controller nodes -> state service" of the protocol), the controller's share of the
 // service's rate limits, and the request timeouts.
 package state
 
@@ -20,9 +20,10 @@
 )
 
 const (
-	// maxConns bounds the connections to the service.
+	// maxConns is the largest number of connections to the service.
 	maxConns = 24
-	// maxResponseBytes bounds a response; a page of a list has at most 512 KiB.
+	// maxResponseBytes is the longest response that the client reads. A page of a list has at most
+	// 512 KiB.
 	maxResponseBytes = 4 << 20
 )
 
@@ -33,8 +34,8 @@
 	limiter *RateLimiter
 }
 
-// New returns a client of the service at addr. The limits are those of the whole service, of
-// which each controller has an equal part until SetRates says otherwise.
+// New returns a client of the service at addr. requestsPerSecond and writesPerSecond are the rate
+// limits of the whole service. Each controller has an equal share of them until a call of SetRates.
 func New(addr string, requestsPerSecond, writesPerSecond float64, controllers int) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: time.Second}).DialContext,
@@ -47,50 +48,50 @@
 	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport}, limiter: limiter}
 }
 
-// SetRates sets this controller's part of the limits.
-func (c *Client) SetRates(r message.Rates) { c.limiter.SetRates(time.Now(), r) }
+// SetRates sets this controller's share of the rate limits.
+func (client *Client) SetRates(rates message.Rates) { client.limiter.SetRates(time.Now(), rates) }
 
-// Do executes a request for the controller's state machine, which takes the outcome as a
-// status and not as an error.
-func (c *Client) Do(ctx context.Context, req message.StoreRequest) message.StoreResponse {
-	out, err := c.Execute(ctx, req)
-	out.Status = statusOf(req.Kind, err)
-	return out
+// Do is like Execute, but returns the outcome as the Status of the response, which the controller's
+// state machine uses, and not as an error.
+func (client *Client) Do(ctx context.Context, req message.StoreRequest) message.StoreResponse {
+	result, err := client.Execute(ctx, req)
+	result.Status = statusOf(req.Kind, err)
+	return result
 }
 
-// Execute waits for the request's turn, sends it, and retries while the service's rate limit
-// is exceeded. It sets all fields of the response but Status.
-func (c *Client) Execute(ctx context.Context, req message.StoreRequest) (message.StoreResponse, error) {
-	out := message.StoreResponse{ID: req.ID}
-	wait, ok := c.limiter.Reserve(time.Now(), req)
+// Execute waits for the request's turn, sends the request, and retries while the service's rate limit
+// is exceeded. It sets all fields of the response except Status.
+func (client *Client) Execute(ctx context.Context, req message.StoreRequest) (message.StoreResponse, error) {
+	result := message.StoreResponse{ID: req.ID}
+	wait, ok := client.limiter.Reserve(time.Now(), req)
 	if !ok {
-		return out, fmt.Errorf("%w: turn comes after the deadline", ErrNotExecuted)
+		return result, fmt.Errorf("%w: the rate limits allow the request only after its deadline", ErrNotExecuted)
 	}
 	if wait > 0 {
 		if err := sleep(ctx, wait); err != nil {
-			return out, fmt.Errorf("%w: %w", ErrNotExecuted, err)
+			return result, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, Timeout(req))
 	defer cancel()
 	method, path, body := encodeRequest(req)
 	for {
-		out.SentAt = time.Now()
-		r, err := c.send(ctx, method, path, body)
+		result.SentAt = time.Now()
+		reply, err := client.send(ctx, method, path, body)
 		if errors.Is(err, errRateLimited) {
 			if err := sleep(ctx, RetryPause+rand.N(RetryJitter)); err != nil {
-				return out, fmt.Errorf("%w: %w", ErrNotExecuted, err)
+				return result, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 			}
 			continue
 		}
-		if r != nil {
-			decodeResponse(&out, req.Kind == message.OpGet && err == nil, r)
+		if reply != nil {
+			decodeResponse(&result, req.Kind == message.OpGet && err == nil, reply)
 		}
-		return out, err
+		return result, err
 	}
 }
 
-// sleep waits for d, or returns the context's error if that ends first.
+// sleep waits for d. If the context ends first, sleep returns the context's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
@@ -100,39 +101,39 @@
 	}
 }
 
-// send makes one HTTP request. The response is nil unless the service answered; together with
-// an error it holds what the service says of it.
-func (c *Client) send(ctx context.Context, method, path string, body any) (*response, error) {
+// send makes one HTTP request. The response is nil unless the service answered. If the service
+// answered with an error, send returns both the error and the response, which has the details.
+func (client *Client) send(ctx context.Context, method, path string, body any) (*response, error) {
 	var payload io.Reader
 	if body != nil {
 		b, err := msgpack.Marshal(body)
 		if err != nil {
-			return nil, fmt.Errorf("state: encode: %w", err)
+			return nil, fmt.Errorf("state: encode request: %w", err)
 		}
 		payload = bytes.NewReader(b)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, payload)
+	req, err := http.NewRequestWithContext(ctx, method, client.baseURL+path, payload)
 	if err != nil {
 		return nil, fmt.Errorf("state: %w", err)
 	}
 	if body != nil {
 		req.Header.Set("Content-Type", "application/msgpack")
 	}
-	resp, err := c.http.Do(req)
+	resp, err := client.http.Do(req)
 	if err != nil {
 		return nil, transportError(err)
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return nil, fmt.Errorf("state: read: %w", err)
+		return nil, fmt.Errorf("state: read response: %w", err)
 	}
-	var r response
+	var reply response
 	if len(b) > 0 {
-		// The body of an error only adds to what the status says.
-		if err := msgpack.Unmarshal(b, &r); err != nil && resp.StatusCode == http.StatusOK {
-			return nil, fmt.Errorf("state: decode: %w", err)
+		// The status of an error is enough: its body only adds details and may be malformed.
+		if err := msgpack.Unmarshal(b, &reply); err != nil && resp.StatusCode == http.StatusOK {
+			return nil, fmt.Errorf("state: decode response: %w", err)
 		}
 	}
-	return &r, errorOf(resp.StatusCode, r.Error)
+	return &reply, errorOf(resp.StatusCode, reply.Error)
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -15,9 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestLargeWriteIsNotStarved guards against a fault in which large writes were refused because
-// their turn came after the request's timeout, while small ones took all of the rate: after a
-// restart of all controllers no task was started for ten seconds.
+// TestLargeWriteIsNotStarved guards against the refusal of large writes whose turn comes after the
+// request's timeout because small writes take all of the rate. After a restart of all controllers,
+// this fault would prevent the start of any task for ten seconds.
 func TestLargeWriteIsNotStarved(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		b, err := msgpack.Marshal(map[string]any{"ledger_rev": 1})
@@ -27,17 +27,17 @@
 		w.Write(b)
 	}))
 	defer srv.Close()
-	c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 20, 1)
-	c.SetRates(message.Rates{Requests: 700, Writes: 14})
+	client := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 20, 1)
+	client.SetRates(message.Rates{Requests: 700, Writes: 14})
 	write := func(writes int, priority message.Priority) message.StoreStatus {
 		t.Helper()
 		req := message.StoreRequest{Kind: message.OpTxn, Priority: priority}
 		for i := range writes {
 			req.Writes = append(req.Writes, message.Write{Key: fmt.Sprint("k/", i), Value: []byte{0xc0}})
 		}
-		return c.Do(context.Background(), req).Status
+		return client.Do(context.Background(), req).Status
 	}
-	// Users' writes take a second's worth of the rate in advance.
+	// Users' writes take a second's worth of the write rate in advance.
 	for i := range 2 {
 		if s := write(12, message.PriorityUser); s != message.StoreOK {
 			t.Fatalf("user's write %d: got %v, want %v", i, s, message.StoreOK)
@@ -47,15 +47,16 @@
 	for range 2 {
 		wg.Go(func() {
 			if s := write(12, message.PriorityStart); s != message.StoreOK {
-				t.Errorf("large write of starts: got %v, want %v", s, message.StoreOK)
+				t.Errorf("large write of priority start: got %v, want %v", s, message.StoreOK)
 			}
 		})
 	}
 	wg.Wait()
 }
 
-// TestExecuteErrors: each status of the service is an error that callers can tell apart, and
-// the outcome that the controller's state machine acts on.
+// TestExecuteErrors guards against an HTTP status of the service that gets the wrong error or the wrong
+// outcome. A caller would then treat a request as not executed that may have been executed, or the
+// reverse.
 func TestExecuteErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -69,12 +70,12 @@
 		{"created", message.OpLeaseGrant, http.StatusCreated, "", nil, message.StoreOK},
 		{"missing key", message.OpGet, http.StatusNotFound, "", ErrNotFound, message.StoreNotFound},
 		{"failed compares", message.OpTxn, http.StatusConflict, "", ErrConflict, message.StoreConflict},
-		{"old revision", message.OpWatch, http.StatusGone, "", ErrCompacted, message.StoreCompacted},
+		{"compacted revision", message.OpWatch, http.StatusGone, "", ErrCompacted, message.StoreCompacted},
 		{"expired lease", message.OpTxn, http.StatusBadRequest, "no such lease", ErrNoLease, message.StoreNoLease},
 		{"malformed", message.OpTxn, http.StatusBadRequest, "too many changes", ErrMalformed, message.StoreMalformed},
-		{"outage", message.OpTxn, http.StatusServiceUnavailable, "", ErrNotExecuted, message.StoreRefused},
-		{"unexpected for a transaction", message.OpTxn, http.StatusInternalServerError, "", &unexpectedStatusError{http.StatusInternalServerError}, message.StoreUnknown},
-		{"unexpected for a read", message.OpGet, http.StatusInternalServerError, "", &unexpectedStatusError{http.StatusInternalServerError}, message.StoreRefused},
+		{"service unavailable", message.OpTxn, http.StatusServiceUnavailable, "", ErrNotExecuted, message.StoreRefused},
+		{"unexpected status of a transaction", message.OpTxn, http.StatusInternalServerError, "", &unexpectedStatusError{http.StatusInternalServerError}, message.StoreUnknown},
+		{"unexpected status of a read", message.OpGet, http.StatusInternalServerError, "", &unexpectedStatusError{http.StatusInternalServerError}, message.StoreRefused},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -86,8 +87,8 @@
 				w.Write(b)
 			}))
 			t.Cleanup(srv.Close)
-			c := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 1)
-			got, err := c.Execute(t.Context(), message.StoreRequest{Kind: test.kind, Key: "k"})
+			client := New(strings.TrimPrefix(srv.URL, "http://"), 1000, 1000, 1)
+			got, err := client.Execute(t.Context(), message.StoreRequest{Kind: test.kind, Key: "k"})
 			var want, unexpected *unexpectedStatusError
 			if errors.As(test.err, &want) {
 				if !errors.As(err, &unexpected) || *unexpected != *want {
@@ -99,15 +100,15 @@
 			if got.Revision != 7 {
 				t.Errorf("revision: got %d, want 7", got.Revision)
 			}
-			if s := c.Do(t.Context(), message.StoreRequest{Kind: test.kind, Key: "k"}).Status; s != test.status {
+			if s := client.Do(t.Context(), message.StoreRequest{Kind: test.kind, Key: "k"}).Status; s != test.status {
 				t.Errorf("status: got %v, want %v", s, test.status)
 			}
 		})
 	}
 }
 
-// TestExecuteWithoutAnswer: a request that was not sent was not executed; one without an
-// answer may have been.
+// TestExecuteWithoutAnswer guards against confusing two failures: a request that was not sent was not
+// executed, while a request without an answer may have been executed.
 func TestExecuteWithoutAnswer(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -122,19 +123,19 @@
 			conn.Close()
 		}
 	}()
-	c := New(ln.Addr().String(), 1000, 1000, 1)
+	client := New(ln.Addr().String(), 1000, 1000, 1)
 	req := message.StoreRequest{Kind: message.OpTxn}
-	if _, err := c.Execute(t.Context(), req); err == nil || errors.Is(err, ErrNotExecuted) {
+	if _, err := client.Execute(t.Context(), req); err == nil || errors.Is(err, ErrNotExecuted) {
 		t.Errorf("closed connection: got %v, want an error other than %v", err, ErrNotExecuted)
 	}
-	if s := c.Do(t.Context(), req).Status; s != message.StoreUnknown {
+	if s := client.Do(t.Context(), req).Status; s != message.StoreUnknown {
 		t.Errorf("closed connection: got %v, want %v", s, message.StoreUnknown)
 	}
 	ln.Close()
-	if _, err := c.Execute(t.Context(), req); !errors.Is(err, ErrNotExecuted) {
+	if _, err := client.Execute(t.Context(), req); !errors.Is(err, ErrNotExecuted) {
 		t.Errorf("refused connection: got %v, want %v", err, ErrNotExecuted)
 	}
-	if s := c.Do(t.Context(), req).Status; s != message.StoreRefused {
+	if s := client.Do(t.Context(), req).Status; s != message.StoreRefused {
 		t.Errorf("refused connection: got %v, want %v", s, message.StoreRefused)
 	}
 }
--- a/internal/state/wire.go
+++ b/internal/state/wire.go
@@ -10,10 +10,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// listPage is how many items a list asks for at once.
+// listPage is the number of items that the client requests in one page of a list.
 const listPage = 500
 
-// storedItem is a key in a list, or a change in a watch: then Put or Remove has the key.
+// storedItem is a key in a list or a change in a watch. The key of a change is in Put or Remove.
 type storedItem struct {
 	Key         string             `msgpack:"key"`
 	Put         string             `msgpack:"put"`
@@ -22,7 +22,8 @@
 	ModRevision uint64             `msgpack:"stamp"`
 }
 
-// response has the fields of all responses; each request fills some.
+// response has the fields of the responses to all kinds of requests. A response sets only some of
+// them.
 type response struct {
 	Key         string             `msgpack:"key"`
 	Value       msgpack.RawMessage `msgpack:"value"`
@@ -36,17 +37,19 @@
 	Error       string             `msgpack:"error"`
 }
 
+// compare is a message.Compare in the service's wire format.
 type compare struct {
 	Key         string `msgpack:"key"`
 	ModRevision uint64 `msgpack:"stamp"`
 }
 
+// transaction is the body of a transaction request.
 type transaction struct {
 	Compares []compare        `msgpack:"when"`
 	Writes   []map[string]any `msgpack:"apply,omitempty"`
 }
 
-// encodeRequest is the HTTP form of a request; a nil body means none.
+// encodeRequest returns the HTTP method, path and body of a request. A nil body means no body.
 func encodeRequest(req message.StoreRequest) (method, path string, body any) {
 	switch req.Kind {
 	case message.OpGet:
@@ -70,8 +73,9 @@
 	return http.MethodPost, "/multi", encodeTransaction(req)
 }
 
+// encodeTransaction returns the body of a request of kind OpTxn.
 func encodeTransaction(req message.StoreRequest) transaction {
-	// The service wants a list of compares, even an empty one.
+	// The service requires a list of compares, even an empty one.
 	txn := transaction{Compares: []compare{}}
 	for _, c := range req.Compares {
 		txn.Compares = append(txn.Compares, compare(c))
@@ -91,20 +95,21 @@
 	return txn
 }
 
-// decodeResponse fills out from a response. Only a get that succeeded has a value of its own.
-func decodeResponse(out *message.StoreResponse, hasValue bool, r *response) {
-	out.Revision, out.FailedKeys, out.LeaseID, out.Truncated = r.Revision, r.Failed, r.Lease, r.Truncated
+// decodeResponse copies reply to result. hasValue is true for the response to a successful get,
+// which has a value outside of Items and Changes.
+func decodeResponse(result *message.StoreResponse, hasValue bool, reply *response) {
+	result.Revision, result.FailedKeys, result.LeaseID, result.Truncated = reply.Revision, reply.Failed, reply.Lease, reply.Truncated
 	if hasValue {
-		out.KeyValues = []message.KeyValue{{Key: r.Key, Value: r.Value, ModRevision: r.ModRevision}}
+		result.KeyValues = []message.KeyValue{{Key: reply.Key, Value: reply.Value, ModRevision: reply.ModRevision}}
 	}
-	for _, item := range r.Items {
-		out.KeyValues = append(out.KeyValues, message.KeyValue{Key: item.Key, Value: item.Value, ModRevision: item.ModRevision})
+	for _, item := range reply.Items {
+		result.KeyValues = append(result.KeyValues, message.KeyValue{Key: item.Key, Value: item.Value, ModRevision: item.ModRevision})
 	}
-	for _, change := range r.Changes {
+	for _, change := range reply.Changes {
 		kv := message.KeyValue{Key: change.Put, Value: change.Value, ModRevision: change.ModRevision}
 		if change.Remove != "" {
 			kv.Key, kv.Deleted = change.Remove, true
 		}
-		out.KeyValues = append(out.KeyValues, kv)
+		result.KeyValues = append(result.KeyValues, kv)
 	}
 }
--- a/internal/validate/validate.go
+++ b/internal/validate/validate.go
@@ -1,5 +1,5 @@
-// Package validate checks input before anything is computed from it, and limits the log lines
-// about repeated errors. The package has no clock and writes nothing.
+// Package validate checks input before the program computes with it, and limits the number of log
+// lines about repeated errors. It does not read the clock and does no I/O.
 package validate
 
 import (
@@ -8,28 +8,29 @@
 )
 
 const (
-	// MaxAmount bounds amounts and seconds, so that sums and products can't overflow; it is
-	// far beyond any machine or job.
+	// MaxAmount is the largest amount of a resource and the largest number of seconds, so that
+	// sums and products can't overflow. It is far beyond the values of any machine or job.
 	MaxAmount = 1e8
-	// MaxNameBytes bounds the name of a machine, a machine type, a zone or a team: names go
-	// into records of limited size.
+	// MaxNameBytes is the longest name of a machine, a machine type, a zone or a team, in bytes.
+	// Names are stored in records of limited size.
 	MaxNameBytes = 200
-	// MaxTasks bounds the tasks of a job, by the protocol.
+	// MaxTasks is the largest number of tasks of a job, which the protocol sets.
 	MaxTasks = 100_000
-	// maxCauses bounds the causes that a LogLimiter remembers.
+	// maxCauses is the largest number of causes that a LogLimiter remembers.
 	maxCauses = 256
 )
 
-// FieldError says which field of an input is invalid, and what would be valid. Its text
-// reaches users.
+// FieldError describes an invalid field of an input and the values that would be valid. Users see its
+// text.
 type FieldError struct {
 	Field string
-	// Found says what stands in the field, such as "is missing".
+	// Found is a predicate that describes the invalid value, such as "is missing".
 	Found string
-	// Want says what would be valid, "" where Found says it all.
+	// Want describes the valid values, "" if Found is enough.
 	Want string
 }
 
+// Error returns the text that users see.
 func (e *FieldError) Error() string {
 	if e.Want == "" {
 		return e.Field + " " + e.Found
@@ -37,62 +38,63 @@
 	return e.Field + " " + e.Found + ": want " + e.Want
 }
 
-// Check collects what is wrong with a value; the first problem stands.
+// Check checks the fields of an input and keeps the first error. The zero value is ready for use.
 type Check struct{ first *FieldError }
 
-// Err returns what is wrong as a *FieldError, nil for nothing.
-func (c *Check) Err() error {
-	if c.first == nil {
+// Err returns the first error as a *FieldError, or nil if all checked fields are valid.
+func (check *Check) Err() error {
+	if check.first == nil {
 		return nil
 	}
-	return c.first
+	return check.first
 }
 
-func (c *Check) reject(field, found, want string) {
-	if c.first == nil {
-		c.first = &FieldError{Field: field, Found: found, Want: want}
+// reject records an error unless there is an earlier one.
+func (check *Check) reject(field, found, want string) {
+	if check.first == nil {
+		check.first = &FieldError{Field: field, Found: found, Want: want}
 	}
 }
 
 // IsAmount reports whether f is a finite number from 0 to MaxAmount.
-func IsAmount(f float64) bool { return f >= 0 && f <= MaxAmount }
+func IsAmount(amount float64) bool { return amount >= 0 && amount <= MaxAmount }
 
 // Amount requires a finite number from 0 to MaxAmount.
-func (c *Check) Amount(field string, f float64) {
-	if !IsAmount(f) {
-		c.reject(field, fmt.Sprintf("is %v", f), fmt.Sprintf("a number from 0 to %g", float64(MaxAmount)))
+func (check *Check) Amount(field string, amount float64) {
+	if !IsAmount(amount) {
+		check.reject(field, fmt.Sprintf("is %v", amount), fmt.Sprintf("a number from 0 to %g", float64(MaxAmount)))
 	}
 }
 
 // Count requires a whole number from minimum to maximum.
-func (c *Check) Count(field string, n, minimum, maximum int) {
+func (check *Check) Count(field string, n, minimum, maximum int) {
 	if n < minimum || n > maximum {
-		c.reject(field, fmt.Sprintf("is %d", n), fmt.Sprintf("%d to %d", minimum, maximum))
+		check.reject(field, fmt.Sprintf("is %d", n), fmt.Sprintf("%d to %d", minimum, maximum))
 	}
 }
 
-// Name requires a text of up to MaxNameBytes bytes, which may be empty unless required.
-func (c *Check) Name(field, s string, required bool) {
+// Name requires a name of at most MaxNameBytes bytes. The name may be empty unless required is true.
+func (check *Check) Name(field, s string, required bool) {
 	switch {
 	case required && s == "":
-		c.reject(field, "is missing", "")
+		check.reject(field, "is missing", "")
 	case len(s) > MaxNameBytes:
-		c.reject(field, fmt.Sprintf("has %d bytes", len(s)), fmt.Sprintf("%d at most", MaxNameBytes))
+		check.reject(field, fmt.Sprintf("has %d bytes", len(s)), fmt.Sprintf("%d at most", MaxNameBytes))
 	}
 }
 
-// LogLimiter allows each cause to be logged once a minute. The zero value is ready. It is not
+// LogLimiter allows one log line a minute for each cause. The zero value is ready for use. It is not
 // safe for concurrent use.
 type LogLimiter struct{ loggedAt map[string]time.Time }
 
-// Allow reports whether to log a cause now.
-func (l *LogLimiter) Allow(now time.Time, cause string) bool {
-	if at, ok := l.loggedAt[cause]; ok && now.Sub(at) < time.Minute {
+// Allow reports whether the caller may log a cause at the time now.
+func (limiter *LogLimiter) Allow(now time.Time, cause string) bool {
+	if at, ok := limiter.loggedAt[cause]; ok && now.Sub(at) < time.Minute {
 		return false
 	}
-	if l.loggedAt == nil || len(l.loggedAt) >= maxCauses {
-		l.loggedAt = map[string]time.Time{}
+	if limiter.loggedAt == nil || len(limiter.loggedAt) >= maxCauses {
+		limiter.loggedAt = map[string]time.Time{}
 	}
-	l.loggedAt[cause] = now
+	limiter.loggedAt[cause] = now
 	return true
 }
--- a/internal/validate/validate_test.go
+++ b/internal/validate/validate_test.go
@@ -9,30 +9,32 @@
 	"time"
 )
 
+// TestCheck guards against amounts, names or counts outside of their range that pass the check, and
+// against valid values that don't. The first error is the one that Err returns.
 func TestCheck(t *testing.T) {
 	for _, f := range []float64{math.NaN(), math.Inf(1), -1, 2 * MaxAmount} {
-		var c Check
-		c.Amount("cpu", f)
+		var check Check
+		check.Amount("cpu", f)
 		var field *FieldError
-		if err := c.Err(); !errors.As(err, &field) || field.Field != "cpu" || !strings.HasPrefix(err.Error(), "cpu ") {
-			t.Errorf("Amount(%v): got error %v, want one about cpu", f, err)
+		if err := check.Err(); !errors.As(err, &field) || field.Field != "cpu" || !strings.HasPrefix(err.Error(), "cpu ") {
+			t.Errorf("Amount(%v): got error %v, want one for field cpu", f, err)
 		}
 	}
-	var c Check
-	c.Amount("cpu", 0)
-	c.Name("zone", "", false)
-	c.Count("tasks", 1, 1, 1)
-	if err := c.Err(); err != nil {
+	var check Check
+	check.Amount("cpu", 0)
+	check.Name("zone", "", false)
+	check.Count("tasks", 1, 1, 1)
+	if err := check.Err(); err != nil {
 		t.Errorf("valid input: got error %v, want none", err)
 	}
-	c.Name("host", "", true)
-	c.Count("tasks", -1, 1, MaxTasks)
-	if err := c.Err(); err == nil || err.Error() != "host is missing" {
-		t.Errorf("got error %v, want the first one: host is missing", err)
+	check.Name("host", "", true)
+	check.Count("tasks", -1, 1, MaxTasks)
+	if err := check.Err(); err == nil || err.Error() != "host is missing" {
+		t.Errorf("got error %v, want the first error: host is missing", err)
 	}
 }
 
-// TestFieldErrorText checks the texts of errors, which users see.
+// TestFieldErrorText guards against an unclear or changed text of the errors that users see.
 func TestFieldErrorText(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -54,18 +56,18 @@
 	}
 }
 
-// TestLogLimiter: each cause is logged once a minute, and the number of remembered causes is
-// limited.
+// TestLogLimiter guards against more than one log line a minute for a cause, and against memory that
+// grows with the number of causes.
 func TestLogLimiter(t *testing.T) {
-	var m LogLimiter
+	var limiter LogLimiter
 	now := time.Unix(1_750_000_000, 0)
-	if !m.Allow(now, "a") || m.Allow(now.Add(59*time.Second), "a") || !m.Allow(now, "b") || !m.Allow(now.Add(time.Minute), "a") {
-		t.Error("Allow: got a second line within a minute, or none after it")
+	if !limiter.Allow(now, "a") || limiter.Allow(now.Add(59*time.Second), "a") || !limiter.Allow(now, "b") || !limiter.Allow(now.Add(time.Minute), "a") {
+		t.Error("Allow: got two lines within a minute, none after a minute, or none for another cause")
 	}
 	for i := range 10 * maxCauses {
-		m.Allow(now, fmt.Sprint(i))
+		limiter.Allow(now, fmt.Sprint(i))
 	}
-	if len(m.loggedAt) > maxCauses {
-		t.Errorf("got %d causes remembered, want maxCauses at most", len(m.loggedAt))
+	if len(limiter.loggedAt) > maxCauses {
+		t.Errorf("got %d remembered causes, want at most maxCauses", len(limiter.loggedAt))
 	}
 }
