--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -9,10 +9,10 @@
 	"github.com/micahill/micahill/internal/validate"
 )
 
-// OpenJob is the record of a job that is not over: its specification, and what became of it
-// that a successor must know. Whatever ends the job changes or removes this record in the
-// transaction that writes its JobStatus, so that a start, which compares this record's mod
-// revision, can't follow a cancellation.
+// OpenJob is the record of a job that has not ended: its specification, and the state that a
+// successor needs. The transaction that ends the job writes its JobStatus and changes or removes
+// this record. The start of a task compares this record's mod revision, and so can't follow a
+// cancellation.
 type OpenJob struct {
 	Workload    string `msgpack:"w"`
 	Team        string `msgpack:"o"`
@@ -21,111 +21,116 @@
 	// Urgency is a model.Urgency.
 	Urgency int `msgpack:"u"`
 	Tasks   int `msgpack:"n"`
-	// CPU, GPU and Memory (GB) are what each task takes.
+	// CPU, GPU and Memory (in GB) are the resources of each task.
 	CPU    float64 `msgpack:"c"`
 	GPU    float64 `msgpack:"g,omitempty"`
 	Memory float64 `msgpack:"m"`
 	Image  string  `msgpack:"i"`
-	// ImageGB is the image's size.
+	// ImageGB is the size of the image in GB.
 	ImageGB float64 `msgpack:"ig"`
-	// MachineTypes are those allowed; none means any. An empty Zone means any, too.
+	// MachineTypes are the allowed machine types, and Zone is the only allowed zone. An empty
+	// field allows all.
 	MachineTypes []string `msgpack:"f,omitempty"`
 	Zone         string   `msgpack:"z,omitempty"`
 	SameZone     bool     `msgpack:"sp,omitempty"`
 	SpreadZones  bool     `msgpack:"ap,omitempty"`
 	AllowSpot    bool     `msgpack:"l,omitempty"`
-	// ExpectedSeconds is a task's run time as its user estimates it.
+	// ExpectedSeconds is the user's estimate of a task's run time.
 	ExpectedSeconds           float64 `msgpack:"e"`
 	CheckpointIntervalSeconds float64 `msgpack:"se,omitempty"`
 	CheckpointCostSeconds     float64 `msgpack:"sc,omitempty"`
-	// DeadlineSeconds counts from the submission; 0 means no deadline.
+	// DeadlineSeconds is the deadline in seconds after the submission; 0 means no deadline.
 	DeadlineSeconds float64 `msgpack:"d,omitempty"`
-	// SubmittedAtMillis is in Unix milliseconds.
+	// SubmittedAtMillis is the time of the submission in Unix milliseconds.
 	SubmittedAtMillis int64 `msgpack:"at"`
-	// Cancelled jobs stay until their tasks have stopped.
+	// Cancelled is true for a cancelled job. Its record remains until its tasks have stopped.
 	Cancelled bool `msgpack:"x,omitempty"`
-	// CancelledAtMillis is when the transaction that cancelled the job was sent, in Unix
-	// milliseconds by the sender's clock: no user can have had the answer before.
+	// CancelledAtMillis is the time when the transaction that cancelled the job was sent, in Unix
+	// milliseconds by the sender's clock. No user can have got the answer earlier.
 	CancelledAtMillis int64 `msgpack:"xa,omitempty"`
-	// LentTo is the peer cluster that runs the job, "" for none.
+	// LentTo is the other cluster that runs the job, "" for none.
 	LentTo string `msgpack:"ln,omitempty"`
-	// LendCount is how often the job was lent, which tells its loans apart.
+	// LendCount is how often the job was lent. It distinguishes the job's loans.
 	LendCount uint64 `msgpack:"lc,omitempty"`
-	// StopBoundMillis is within how many milliseconds the peer stops the job's tasks when
-	// the loan ends.
+	// StopBoundMillis is the longest time, in milliseconds, that the other cluster takes to stop
+	// the job's tasks when the loan ends.
 	StopBoundMillis int64 `msgpack:"ls,omitempty"`
-	// CancelRequested says that the job's user wants a lent job cancelled, which has to wait
-	// for the peer.
+	// CancelRequested is true if the user has requested the cancellation of a lent job. The
+	// cancellation has to wait for the other cluster.
 	CancelRequested bool `msgpack:"cw,omitempty"`
-	// BorrowedLoan is the loan by which another cluster's job runs here, "" for an own job.
+	// BorrowedLoan is the name of the loan through which another cluster's job runs in this
+	// cluster, "" for a job of this cluster.
 	BorrowedLoan string `msgpack:"gu,omitempty"`
 	// PromisedMillis is the first promised completion date, in milliseconds after the
 	// submission; 0 for none.
 	PromisedMillis int `msgpack:"p,omitempty"`
-	// Dependencies are the jobs that must be done first, as pipeline.EncodeNames writes them.
+	// Dependencies are the IDs of the jobs that must be done first, encoded by
+	// pipeline.EncodeNames.
 	Dependencies string `msgpack:"pr,omitempty"`
 }
 
-// NewOpenJob is the record of a job that was submitted at a time.
-func NewOpenJob(s *model.JobSpec, at time.Time) OpenJob {
+// NewOpenJob returns the record of a job with the given specification and time of submission.
+func NewOpenJob(spec *model.JobSpec, submittedAt time.Time) OpenJob {
 	return OpenJob{
-		Workload: s.Workload, Team: s.Team, LongRunning: s.LongRunning, Gang: s.Gang, Urgency: int(s.Urgency),
-		Tasks: s.Tasks, CPU: s.Need.CPU, GPU: s.Need.GPU, Memory: s.Need.Memory,
-		Image: s.Image, ImageGB: s.ImageGB, MachineTypes: s.MachineTypes, Zone: s.Zone,
-		SameZone: s.SameZone, SpreadZones: s.SpreadZones, AllowSpot: s.AllowSpot,
-		ExpectedSeconds: s.ExpectedRunTime.Seconds(), CheckpointIntervalSeconds: s.CheckpointInterval.Seconds(), CheckpointCostSeconds: s.CheckpointCost.Seconds(),
-		DeadlineSeconds: s.Deadline.Seconds(), SubmittedAtMillis: at.UnixMilli(), Dependencies: pipeline.EncodeNames(s.Dependencies),
+		Workload: spec.Workload, Team: spec.Team, LongRunning: spec.LongRunning, Gang: spec.Gang, Urgency: int(spec.Urgency),
+		Tasks: spec.Tasks, CPU: spec.Need.CPU, GPU: spec.Need.GPU, Memory: spec.Need.Memory,
+		Image: spec.Image, ImageGB: spec.ImageGB, MachineTypes: spec.MachineTypes, Zone: spec.Zone,
+		SameZone: spec.SameZone, SpreadZones: spec.SpreadZones, AllowSpot: spec.AllowSpot,
+		ExpectedSeconds: spec.ExpectedRunTime.Seconds(), CheckpointIntervalSeconds: spec.CheckpointInterval.Seconds(), CheckpointCostSeconds: spec.CheckpointCost.Seconds(),
+		DeadlineSeconds: spec.Deadline.Seconds(), SubmittedAtMillis: submittedAt.UnixMilli(), Dependencies: pipeline.EncodeNames(spec.Dependencies),
 	}
 }
 
-// JobSpec is the specification that the record holds. The record must be valid.
-func (r *OpenJob) JobSpec(id string) model.JobSpec {
+// JobSpec returns the specification in the record. The record must be valid.
+func (record *OpenJob) JobSpec(id string) model.JobSpec {
 	return model.JobSpec{
-		ID: id, Workload: r.Workload, Team: r.Team, LongRunning: r.LongRunning, Gang: r.Gang, Urgency: model.Urgency(r.Urgency),
-		Tasks: r.Tasks, Need: model.Resources{CPU: r.CPU, GPU: r.GPU, Memory: r.Memory}, Image: r.Image, ImageGB: r.ImageGB,
-		MachineTypes: r.MachineTypes, Zone: r.Zone, SameZone: r.SameZone, SpreadZones: r.SpreadZones, AllowSpot: r.AllowSpot,
-		ExpectedRunTime: DurationOfSeconds(r.ExpectedSeconds), CheckpointInterval: DurationOfSeconds(r.CheckpointIntervalSeconds), CheckpointCost: DurationOfSeconds(r.CheckpointCostSeconds),
-		Deadline: DurationOfSeconds(r.DeadlineSeconds), Dependencies: r.DependencyNames(),
+		ID: id, Workload: record.Workload, Team: record.Team, LongRunning: record.LongRunning, Gang: record.Gang, Urgency: model.Urgency(record.Urgency),
+		Tasks: record.Tasks, Need: model.Resources{CPU: record.CPU, GPU: record.GPU, Memory: record.Memory}, Image: record.Image, ImageGB: record.ImageGB,
+		MachineTypes: record.MachineTypes, Zone: record.Zone, SameZone: record.SameZone, SpreadZones: record.SpreadZones, AllowSpot: record.AllowSpot,
+		ExpectedRunTime: DurationOfSeconds(record.ExpectedSeconds), CheckpointInterval: DurationOfSeconds(record.CheckpointIntervalSeconds), CheckpointCost: DurationOfSeconds(record.CheckpointCostSeconds),
+		Deadline: DurationOfSeconds(record.DeadlineSeconds), Dependencies: record.DependencyNames(),
 	}
 }
 
-// DependencyNames are the jobs that must be done first; none if the field can't be read, which
-// Validate reports.
-func (r *OpenJob) DependencyNames() []string {
-	names, _ := pipeline.DecodeNames(r.Dependencies)
+// DependencyNames returns the IDs of the jobs that must be done first. It returns none if the field
+// is invalid, which Validate reports.
+func (record *OpenJob) DependencyNames() []string {
+	names, _ := pipeline.DecodeNames(record.Dependencies)
 	return names
 }
 
-// ShrinkToFit makes a cancelled job's record fit a value of valueBytes, also where it was written
-// under a larger limit. What it drops, field by field, matters only for where a task may start.
-func (r *OpenJob) ShrinkToFit(valueBytes int) {
+// ShrinkToFit drops fields of a cancelled job's record, one step after the other, until the record
+// fits a value of valueBytes bytes. The record may have been written under a larger limit. The
+// dropped fields matter only for the decision where a task may start.
+func (record *OpenJob) ShrinkToFit(valueBytes int) {
 	for _, drop := range [...]func(){
-		func() { r.MachineTypes = nil }, func() { r.Image, r.Zone = "", "" }, func() { r.Workload = "" },
+		func() { record.MachineTypes = nil }, func() { record.Image, record.Zone = "", "" }, func() { record.Workload = "" },
 	} {
-		if size, err := sizelimit.JSON(Encode(r)); err == nil && size <= valueBytes {
+		if size, err := sizelimit.JSON(Encode(record)); err == nil && size <= valueBytes {
 			return
 		}
 		drop()
 	}
 }
 
-// Validate returns the first thing that is wrong with the record as a *validate.FieldError, nil if
-// it is valid. A cancelled job's record that an earlier version shortened has no team, and is valid.
-func (r *OpenJob) Validate() error {
-	var c validate.Check
-	if r.Cancelled && r.Team == "" {
+// Validate returns a *validate.FieldError for the first invalid field of the record, or nil if the
+// record is valid. A cancelled job's record without a team is valid: an earlier version shortened
+// such records.
+func (record *OpenJob) Validate() error {
+	var check validate.Check
+	if record.Cancelled && record.Team == "" {
 		return nil
 	}
-	c.Count("n", r.Tasks, 1, validate.MaxTasks)
-	for _, f := range [...]struct {
+	check.Count("n", record.Tasks, 1, validate.MaxTasks)
+	for _, amount := range [...]struct {
 		name  string
 		value float64
-	}{{"c", r.CPU}, {"g", r.GPU}, {"m", r.Memory}, {"ig", r.ImageGB}, {"e", r.ExpectedSeconds}, {"se", r.CheckpointIntervalSeconds}, {"sc", r.CheckpointCostSeconds}, {"d", r.DeadlineSeconds}} {
-		c.Amount(f.name, f.value)
+	}{{"c", record.CPU}, {"g", record.GPU}, {"m", record.Memory}, {"ig", record.ImageGB}, {"e", record.ExpectedSeconds}, {"se", record.CheckpointIntervalSeconds}, {"sc", record.CheckpointCostSeconds}, {"d", record.DeadlineSeconds}} {
+		check.Amount(amount.name, amount.value)
 	}
-	c.Count("u", r.Urgency, int(model.BestEffort), int(model.Critical))
-	if _, ok := pipeline.DecodeNames(r.Dependencies); !ok {
-		return &validate.FieldError{Field: "pr", Found: "is no list of names"}
+	check.Count("u", record.Urgency, int(model.BestEffort), int(model.Critical))
+	if _, ok := pipeline.DecodeNames(record.Dependencies); !ok {
+		return &validate.FieldError{Field: "pr", Found: "is not a list of job names"}
 	}
-	return c.Err()
+	return check.Err()
 }
