--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -11,242 +11,253 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// evacuation.go lets shard leaders empty hosts for each other. One with work that fits nowhere, and for which the
-// cloud has no machines, publishes the kinds it needs; others publish what emptying a host would cost them; the
-// leader asks the cheapest of these, which migrates what is there away and has the host as surplus. The host is
-// handed over like any other, by the shard map.
+// evacuation.go lets shard leaders empty hosts for each other. A shard leader with a job that fits on no machine, and
+// for which the cloud refuses machines, publishes the machine kinds that it needs. Other shard leaders publish what
+// emptying a host of these kinds would cost them. The leader asks the shard leader with the lowest cost, which
+// migrates the replicas of the host away. The host is then surplus and is handed over through the shard map, like
+// any surplus host.
 
 const (
-	// refusedWindow is how long a kind counts as refused by the cloud, which is asked again
-	// more often.
+	// refusedWindow is how long a machine kind counts as refused by the cloud. It exceeds
+	// refusedBackoff, after which the cloud is asked again, so that a kind that the cloud keeps
+	// refusing counts as refused without a gap.
 	refusedWindow = 3 * refusedBackoff
-	// maxEvacuationCost is what emptying a host for another shard leader may cost, in downtime.
+	// maxEvacuationCost is how much downtime emptying a host for another shard leader may cost.
 	maxEvacuationCost = time.Minute
-	// evacuationCostInterval is how often a shard leader computes what emptying would cost it.
+	// evacuationCostInterval is how often a shard leader computes the costs of emptying hosts.
 	evacuationCostInterval = 5 * time.Second
-	// hostNeedDelay is how long small tasks are pending before a host is emptied for them: others
-	// may have the capacity on several machines, but only whole machines change hands.
+	// hostNeedDelay is how long small tasks must be pending before a host is requested for them.
+	// Other shard leaders may have the capacity scattered over several machines, but only whole
+	// machines are handed over.
 	hostNeedDelay = 20 * time.Second
-	// maxHostNeeds bounds the kinds in one update.
+	// maxHostNeeds bounds the number of machine kinds in one update.
 	maxHostNeeds = 64
-	// evacuationPrefix begins the name, in migration records, of what a host is emptied for. No
-	// job is named so.
+	// evacuationPrefix begins the name under which migration records hold a host for an
+	// evacuation, in place of a job ID. No job ID begins with it.
 	evacuationPrefix = "~"
-	// maxCostedKinds bounds the kinds for which costs are computed at one time.
+	// maxCostedKinds bounds the number of machine kinds for which a plan is searched in one
+	// computation of costs.
 	maxCostedKinds = 2
 )
 
-// evacuation is what a shard leader knows of others' needs for hosts, and publishes of its own.
+// evacuation holds the host needs and evacuation costs that a shard leader publishes, and the needs that it receives
+// from the leader.
 type evacuation struct {
-	// refusedAt is when the cloud last refused a kind.
+	// refusedAt is when the cloud last refused a machine kind.
 	refusedAt map[machineKind]time.Time
-	// needs are this shard leader's.
+	// needs are the host needs of this shard leader.
 	needs []message.HostNeed
-	// othersNeeds are those of others, and assigned those that this one is asked to empty a host
-	// for, both received from the leader at receivedAt.
+	// othersNeeds are the host needs of other shard leaders. assigned are the needs for which the leader asks this
+	// shard leader to empty a host. Both were received from the leader at receivedAt.
 	othersNeeds, assigned []message.HostNeed
 	receivedAt            time.Time
-	// costs are what emptying hosts for others would cost, as of costedAt.
+	// costs are the costs of emptying hosts for other shard leaders, as computed at costedAt.
 	costs    []message.HostCost
 	costedAt time.Time
 }
 
-// isEvacuationHold reports whether a place is held to empty its host for another shard leader.
+// isEvacuationHold reports whether the job name of a hold stands for an evacuation for another shard leader.
 func isEvacuationHold(job string) bool { return strings.HasPrefix(job, evacuationPrefix) }
 
-// neededJobSpec is the work that needs the host, as far as it is known here.
-func neededJobSpec(h *message.HostNeed) model.JobSpec {
-	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(h)), Workload: h.Workload, Need: h.Need, Urgency: h.Urgency}
+// neededJobSpec returns a job spec that stands for the job that needs the host. It has only the fields that a host
+// need contains.
+func neededJobSpec(need *message.HostNeed) model.JobSpec {
+	return model.JobSpec{ID: evacuationPrefix + kindName(neededKind(need)), Workload: need.Workload, Need: need.Need, Urgency: need.Urgency}
 }
 
-func neededKind(h *message.HostNeed) machineKind { return machineKind{h.MachineType, h.Zone, h.Spot} }
+// neededKind returns the machine kind of a host need.
+func neededKind(need *message.HostNeed) machineKind {
+	return machineKind{need.MachineType, need.Zone, need.Spot}
+}
 
-// receiveHostNeeds takes in what the leader publishes of others' needs.
-func (g *migrationManager) receiveHostNeeds(othersNeeds, assigned []message.HostNeed) {
-	if mv := g.controller.migrations(); mv != nil {
-		mv.evacuation.othersNeeds, mv.evacuation.assigned, mv.evacuation.receivedAt = othersNeeds, assigned, g.now
+// receiveHostNeeds stores the host needs of other shard leaders and the needs assigned to this one, as the leader
+// sends them.
+func (migrations *migrationManager) receiveHostNeeds(othersNeeds, assigned []message.HostNeed) {
+	if state := migrations.controller.migrations(); state != nil {
+		state.evacuation.othersNeeds, state.evacuation.assigned, state.evacuation.receivedAt = othersNeeds, assigned, migrations.now
 	}
 }
 
-// evacuationRequest returns the need for which a host is to be emptied here, by the name that the host is held
-// under; nil if the leader has not asked for it lately.
-func (mv *migrations) evacuationRequest(now time.Time, name string) *message.HostNeed {
-	if now.Sub(mv.evacuation.receivedAt) > updateTTL {
+// evacuationRequest returns the assigned host need with the given hold name. It returns nil if the leader has not
+// requested that evacuation within updateTTL.
+func (state *migrations) evacuationRequest(now time.Time, name string) *message.HostNeed {
+	if now.Sub(state.evacuation.receivedAt) > updateTTL {
 		return nil
 	}
-	for i := range mv.evacuation.assigned {
-		if h := &mv.evacuation.assigned[i]; evacuationPrefix+kindName(neededKind(h)) == name {
-			return h
+	for i := range state.evacuation.assigned {
+		if need := &state.evacuation.assigned[i]; evacuationPrefix+kindName(neededKind(need)) == name {
+			return need
 		}
 	}
 	return nil
 }
 
-// updateHostNeeds computes of which kinds a whole host would help the first job that can't be placed. There are
-// none unless the cloud has lately refused machines.
-func (g *migrationManager) updateHostNeeds(mv *migrations) {
-	b := &mv.evacuation
-	v := g.controller.shardLeader.fleet.view
-	b.needs = nil
-	if v == nil || !g.controller.membership.hasOtherShardLeaders() {
+// updateHostNeeds computes the machine kinds of which an empty host would help the first job that can't be placed.
+// There are none unless the cloud has refused machines within refusedWindow.
+func (migrations *migrationManager) updateHostNeeds(state *migrations) {
+	evacuation := &state.evacuation
+	view := migrations.controller.shardLeader.fleet.view
+	evacuation.needs = nil
+	if view == nil || !migrations.controller.membership.hasOtherShardLeaders() {
 		return
 	}
-	for k, until := range v.blockedUntil {
-		if until.After(g.now) {
-			b.refusedAt[k] = g.now
+	for kind, until := range view.blockedUntil {
+		if until.After(migrations.now) {
+			evacuation.refusedAt[kind] = migrations.now
 		}
 	}
 	refused := false
-	for _, at := range b.refusedAt {
-		refused = refused || g.now.Sub(at) < refusedWindow
+	for _, at := range evacuation.refusedAt {
+		refused = refused || migrations.now.Sub(at) < refusedWindow
 	}
 	if !refused {
 		return
 	}
-	waiting := g.firstInNeedOfHost(mv)
-	if waiting == nil {
+	waitingJob := migrations.firstInNeedOfHost(state)
+	if waitingJob == nil {
 		return
 	}
-	for _, name := range sortedKeys(g.controller.knowledge.machineTypes) {
-		f := g.controller.knowledge.machineTypes[name]
-		if !waiting.Need.Fits(f.Capacity) || !isLarge(waiting.Need, f.Capacity) && g.now.Sub(later(waiting.submittedAt, g.controller.shardLeader.readyAt)) < hostNeedDelay {
+	for _, name := range sortedKeys(migrations.controller.knowledge.machineTypes) {
+		machineType := migrations.controller.knowledge.machineTypes[name]
+		if !waitingJob.Need.Fits(machineType.Capacity) || !isLarge(waitingJob.Need, machineType.Capacity) && migrations.now.Sub(later(waitingJob.submittedAt, migrations.controller.shardLeader.readyAt)) < hostNeedDelay {
 			continue
 		}
-		for _, z := range f.Zones {
+		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
-				k := machineKind{name, z, spot}
-				if waiting.allowsMachine(name, z, spot) && waiting.zoneAllowed(z) && g.now.Sub(b.refusedAt[k]) < refusedWindow && len(b.needs) < maxHostNeeds {
-					b.needs = append(b.needs, message.HostNeed{MachineType: name, Zone: z, Spot: spot, Need: waiting.Need, Workload: waiting.Workload, Urgency: waiting.Urgency})
+				kind := machineKind{name, zone, spot}
+				if waitingJob.allowsMachine(name, zone, spot) && waitingJob.zoneAllowed(zone) && migrations.now.Sub(evacuation.refusedAt[kind]) < refusedWindow && len(evacuation.needs) < maxHostNeeds {
+					evacuation.needs = append(evacuation.needs, message.HostNeed{MachineType: name, Zone: zone, Spot: spot, Need: waitingJob.Need, Workload: waitingJob.Workload, Urgency: waitingJob.Urgency})
 				}
 			}
 		}
 	}
 }
 
-// firstInNeedOfHost returns the first job of the queue that migrations here do not help and that has no capacity in
-// sight, or nil.
-func (g *migrationManager) firstInNeedOfHost(mv *migrations) *job {
-	for _, j := range g.controller.shardLeader.scheduler.jobsInQueueOrder() {
-		// Migrations on its own machines are tried first.
-		if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() || j.Gang || j.borrowedLoan != "" || j.pendingTasks() <= mv.tracker.HeldFor(j.ID) || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
+// firstInNeedOfHost returns the first job in queue order for which migrations within this shard have been tried or
+// can't help, and for which no capacity is free or expected. It returns nil if there is none.
+func (migrations *migrationManager) firstInNeedOfHost(state *migrations) *job {
+	for _, job := range migrations.controller.shardLeader.scheduler.jobsInQueueOrder() {
+		// Migrations between the machines of this shard are tried first.
+		if unschedulable := state.unschedulable[job.ID]; unschedulable != nil && unschedulable.lastTried.IsZero() || job.Gang || job.borrowedLoan != "" || job.pendingTasks() <= state.tracker.HeldFor(job.ID) || !migrations.controller.shardLeader.scheduler.withinQuotaLimit(job) {
 			continue
 		}
-		if g.now.Sub(later(j.readySince(), g.controller.shardLeader.readyAt)) < 2*migrationDelay || g.hasCapacityFor(j) {
+		if migrations.now.Sub(later(job.readySince(), migrations.controller.shardLeader.readyAt)) < 2*migrationDelay || migrations.hasCapacityFor(job) {
 			continue
 		}
-		return j
+		return job
 	}
 	return nil
 }
 
-// hasCapacityFor reports whether a task of j fits somewhere, or a machine for it is expected.
-func (g *migrationManager) hasCapacityFor(j *job) bool {
-	for _, m := range g.controller.shardLeader.machinesByID {
-		if g.controller.shardLeader.scheduler.usable(m) && j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && j.Need.Fits(m.free()) {
+// hasCapacityFor reports whether a task of the job fits on a machine of this shard or a machine for it is expected.
+func (migrations *migrationManager) hasCapacityFor(job *job) bool {
+	for _, machine := range migrations.controller.shardLeader.machinesByID {
+		if migrations.controller.shardLeader.scheduler.usable(machine) && job.allowsMachine(machine.machineType, machine.zone, machine.spot) && job.zoneAllowed(machine.zone) && job.Need.Fits(machine.free()) {
 			return true
 		}
 	}
-	for r := range g.controller.shardLeader.fleet.expectedFor(j) {
-		if j.Need.Fits(g.controller.knowledge.machineTypes[r.machineType].Capacity) {
+	for rental := range migrations.controller.shardLeader.fleet.expectedFor(job) {
+		if job.Need.Fits(migrations.controller.knowledge.machineTypes[rental.machineType].Capacity) {
 			return true
 		}
 	}
 	return false
 }
 
-// planEvacuation begins to empty a host that the leader has asked for, or else computes what emptying hosts would
-// cost.
-func (g *migrationManager) planEvacuation(mv *migrations) {
-	b := &mv.evacuation
-	if g.now.Sub(b.receivedAt) > updateTTL {
-		b.costs = nil
+// planEvacuation starts an evacuation that the leader has requested. If there is none to start, it computes the
+// costs of emptying hosts for other shard leaders.
+func (migrations *migrationManager) planEvacuation(state *migrations) {
+	evacuation := &state.evacuation
+	if migrations.now.Sub(evacuation.receivedAt) > updateTTL {
+		evacuation.costs = nil
 		return
 	}
-	for i := range b.assigned {
-		h := &b.assigned[i]
-		team := g.donorTeam(mv)
-		if team == "" || mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || g.nextMigrationWrite(mv).After(g.now) || g.hasEmptyHost(neededKind(h)) {
+	for i := range evacuation.assigned {
+		need := &evacuation.assigned[i]
+		team := migrations.donorTeam(state)
+		if team == "" || state.tracker.HeldFor(evacuationPrefix+kindName(neededKind(need))) > 0 || migrations.nextMigrationWrite(state).After(migrations.now) || migrations.hasEmptyHost(neededKind(need)) {
 			continue
 		}
-		p := g.evacuationProblem(mv, h)
-		if plan, ok := migration.Find(p); ok {
-			g.begin(mv, team, p, plan)
+		problem := migrations.evacuationProblem(state, need)
+		if plan, ok := migration.Find(problem); ok {
+			migrations.begin(state, team, problem, plan)
 		}
 		return
 	}
-	if len(b.othersNeeds) == 0 || g.now.Sub(b.costedAt) < evacuationCostInterval {
+	if len(evacuation.othersNeeds) == 0 || migrations.now.Sub(evacuation.costedAt) < evacuationCostInterval {
 		return
 	}
-	b.costedAt, b.costs = g.now, nil
+	evacuation.costedAt, evacuation.costs = migrations.now, nil
 	tries := 0
-	for i := range b.othersNeeds {
-		h := &b.othersNeeds[i]
-		if mv.tracker.HeldFor(evacuationPrefix+kindName(neededKind(h))) > 0 || g.hasEmptyHost(neededKind(h)) {
-			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: 0})
+	for i := range evacuation.othersNeeds {
+		need := &evacuation.othersNeeds[i]
+		if state.tracker.HeldFor(evacuationPrefix+kindName(neededKind(need))) > 0 || migrations.hasEmptyHost(neededKind(need)) {
+			evacuation.costs = append(evacuation.costs, message.HostCost{MachineType: need.MachineType, Zone: need.Zone, Spot: need.Spot, Downtime: 0})
 			continue
 		}
 		if tries++; tries > maxCostedKinds {
 			break
 		}
-		if plan, ok := migration.Find(g.evacuationProblem(mv, h)); ok {
-			b.costs = append(b.costs, message.HostCost{MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot, Downtime: plan.Cost})
+		if plan, ok := migration.Find(migrations.evacuationProblem(state, need)); ok {
+			evacuation.costs = append(evacuation.costs, message.HostCost{MachineType: need.MachineType, Zone: need.Zone, Spot: need.Spot, Downtime: plan.Cost})
 		}
 	}
 }
 
-// donorTeam is the team in whose record migrations for others are written: the first with no write under way, or
-// "".
-func (g *migrationManager) donorTeam(mv *migrations) string {
-	for _, t := range sortedKeys(g.controller.shardLeader.teams) {
-		if rec := mv.records[t]; rec != nil && !rec.writing && len(mv.tracker.UnsavedPlans(t)) == 0 && g.controller.shardLeader.teams[t].ready {
-			return t
+// donorTeam returns the team in whose record an evacuation is written: the first ready team, by name, with neither
+// a write in flight nor unsaved plans. It returns "" if there is none.
+func (migrations *migrationManager) donorTeam(state *migrations) string {
+	for _, team := range sortedKeys(migrations.controller.shardLeader.teams) {
+		if rec := state.records[team]; rec != nil && !rec.writing && len(state.tracker.UnsavedPlans(team)) == 0 && migrations.controller.shardLeader.teams[team].ready {
+			return team
 		}
 	}
 	return ""
 }
 
-// hasEmptyHost reports whether there is an empty host of a kind. It will be surplus unless it is needed here.
-func (g *migrationManager) hasEmptyHost(k machineKind) bool {
-	return slices.ContainsFunc(g.controller.shardLeader.machinesByID, func(m *machine) bool {
-		return (machineKind{m.machineType, m.zone, m.spot}) == k && m.isEmpty() && g.controller.shardLeader.scheduler.usable(m)
+// hasEmptyHost reports whether this shard has an empty usable host of a kind. Such a host becomes surplus without an
+// evacuation, unless this shard needs it.
+func (migrations *migrationManager) hasEmptyHost(kind machineKind) bool {
+	return slices.ContainsFunc(migrations.controller.shardLeader.machinesByID, func(machine *machine) bool {
+		return (machineKind{machine.machineType, machine.zone, machine.spot}) == kind && machine.isEmpty() && migrations.controller.shardLeader.scheduler.usable(machine)
 	})
 }
 
-// evacuationProblem is the planner's problem for a whole host of a kind.
-func (g *migrationManager) evacuationProblem(mv *migrations, h *message.HostNeed) *migration.Problem {
-	k := neededKind(h)
-	other := &job{JobSpec: neededJobSpec(h)}
-	p, hosts := g.migrationCandidates(mv, other)
-	p.MaxCost = maxEvacuationCost
-	p.WaitingTask = migration.WaitingTask{Job: other.ID, Need: g.controller.knowledge.machineTypes[h.MachineType].Capacity, Allowed: func(i int) bool {
-		m := hosts[i]
-		return (machineKind{m.machineType, m.zone, m.spot}) == k && !m.isEmpty()
+// evacuationProblem returns the problem of emptying a host of the needed kind, for migration.Find.
+func (migrations *migrationManager) evacuationProblem(state *migrations, need *message.HostNeed) *migration.Problem {
+	kind := neededKind(need)
+	other := &job{JobSpec: neededJobSpec(need)}
+	problem, hosts := migrations.migrationCandidates(state, other)
+	problem.MaxCost = maxEvacuationCost
+	problem.WaitingTask = migration.WaitingTask{Job: other.ID, Need: migrations.controller.knowledge.machineTypes[need.MachineType].Capacity, Allowed: func(hostIndex int) bool {
+		machine := hosts[hostIndex]
+		return (machineKind{machine.machineType, machine.zone, machine.spot}) == kind && !machine.isEmpty()
 	}}
-	return p
+	return problem
 }
 
-// kindNames returns the names of the kinds needed.
-func kindNames(hs []message.HostNeed) []string {
+// kindNames returns the names of the machine kinds of host needs.
+func kindNames(needs []message.HostNeed) []string {
 	var out []string
-	for i := range hs {
-		out = append(out, kindName(neededKind(&hs[i])))
+	for i := range needs {
+		out = append(out, kindName(neededKind(&needs[i])))
 	}
 	return out
 }
 
-// assignEvacuations has the leader decide which shard leader empties a host for which. It returns, by host, the needs
-// of others to publish and the needs assigned.
-func (l *leader) assignEvacuations() (othersNeeds, assigned map[string][]message.HostNeed) {
-	if !l.settings.Capabilities.Models {
+// assignEvacuations decides which shard leader empties a host for which other shard leader. It returns two maps by
+// the host of the shard leader: the needs of other shard leaders, and the needs assigned to it.
+func (leader *leader) assignEvacuations() (othersNeeds, assigned map[string][]message.HostNeed) {
+	if !leader.settings.Capabilities.Models {
 		return nil, nil
 	}
 	needs, costs := map[string][]message.HostNeed{}, map[string][]message.HostCost{}
-	if o := l.controller.shardLeader; o != nil && o.ready && o.migration.state != nil {
-		needs[l.settings.Host], costs[l.settings.Host] = o.migration.state.evacuation.needs, o.migration.state.evacuation.costs
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready && shardLeader.migration.state != nil {
+		needs[leader.settings.Host], costs[leader.settings.Host] = shardLeader.migration.state.evacuation.needs, shardLeader.migration.state.evacuation.costs
 	}
-	for _, host := range sortedKeys(l.updates) {
-		if w, ok := l.freshUpdate(host); ok {
-			needs[host], costs[host] = w.update.HostNeeds, w.update.EvacuationCosts
+	for _, host := range sortedKeys(leader.updates) {
+		if received, ok := leader.freshUpdate(host); ok {
+			needs[host], costs[host] = received.update.HostNeeds, received.update.EvacuationCosts
 		}
 	}
 	var needed []migration.MachineNeed
@@ -255,34 +266,34 @@
 		if len(needs[host]) > 0 {
 			needed = append(needed, migration.MachineNeed{Owner: host, Kinds: kindNames(needs[host])})
 		}
-		for _, c := range costs[host] {
-			offered = append(offered, migration.EvacuationCost{Owner: host, Kind: kindName(machineKind{c.MachineType, c.Zone, c.Spot}), Downtime: c.Downtime})
+		for _, cost := range costs[host] {
+			offered = append(offered, migration.EvacuationCost{Owner: host, Kind: kindName(machineKind{cost.MachineType, cost.Zone, cost.Spot}), Downtime: cost.Downtime})
 		}
 	}
 	othersNeeds, assigned = map[string][]message.HostNeed{}, map[string][]message.HostNeed{}
 	for _, host := range slices.Sorted(maps.Keys(needs)) {
 		if len(needs[host]) > 0 {
-			// One that needs a host itself has none to give.
+			// A shard leader that needs a host itself empties none for others.
 			continue
 		}
-		for _, d := range needed {
-			for _, h := range needs[d.Owner] {
-				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(x message.HostNeed) bool { return neededKind(&x) == neededKind(&h) }) {
-					othersNeeds[host] = append(othersNeeds[host], h)
+		for _, machineNeed := range needed {
+			for _, need := range needs[machineNeed.Owner] {
+				if len(othersNeeds[host]) < maxHostNeeds && !slices.ContainsFunc(othersNeeds[host], func(published message.HostNeed) bool { return neededKind(&published) == neededKind(&need) }) {
+					othersNeeds[host] = append(othersNeeds[host], need)
 				}
 			}
 		}
 	}
-	for _, a := range l.evacuations.Update(l.now, needed, offered) {
-		for _, h := range needs[a.Recipient] {
-			if kindName(neededKind(&h)) == a.Kind {
-				assigned[a.Owner] = append(assigned[a.Owner], h)
+	for _, request := range leader.evacuations.Update(leader.now, needed, offered) {
+		for _, need := range needs[request.Recipient] {
+			if kindName(neededKind(&need)) == request.Kind {
+				assigned[request.Owner] = append(assigned[request.Owner], need)
 				break
 			}
 		}
 	}
-	if o := l.controller.shardLeader; o != nil && o.ready {
-		l.controller.shardLeader.migration.receiveHostNeeds(othersNeeds[l.settings.Host], assigned[l.settings.Host])
+	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
+		leader.controller.shardLeader.migration.receiveHostNeeds(othersNeeds[leader.settings.Host], assigned[leader.settings.Host])
 	}
 	return othersNeeds, assigned
 }
--- a/internal/controller/evacuation_test.go
+++ b/internal/controller/evacuation_test.go
@@ -11,116 +11,120 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// donorController is a shard leader beside another, with two hosts that have half a host's
-// replica each, and nothing that waits.
+// donorController returns a shard leader beside which there is another shard. It has two hosts with
+// a replica of half a host on each, and no pending tasks.
 func donorController(t *testing.T) *Controller {
 	t.Helper()
-	c := hostPool(t)
-	c.putShard(t, "b", "b", 2, false, "lab")
-	delete(c.shardLeader.jobs, "job-large")
-	return c
+	controller := hostPool(t)
+	controller.putShard(t, "b", "b", 2, false, "lab")
+	delete(controller.shardLeader.jobs, "job-large")
+	return controller
 }
 
-// setHostNeeds has the leader say that another shard needs a host, and request one or not.
-func (c *Controller) setHostNeeds(requested bool) {
+// setHostNeeds delivers a message of the leader that another shard needs a host, and if requested is
+// true that this shard leader is to empty one for it.
+func (controller *Controller) setHostNeeds(requested bool) {
 	needs := []message.HostNeed{{MachineType: "host", Zone: "z", Need: model.Resources{CPU: 64, GPU: 8, Memory: 512}, Urgency: model.Normal}}
 	if requested {
-		c.shardLeader.migration.receiveHostNeeds(needs, needs)
+		controller.shardLeader.migration.receiveHostNeeds(needs, needs)
 	} else {
-		c.shardLeader.migration.receiveHostNeeds(needs, nil)
+		controller.shardLeader.migration.receiveHostNeeds(needs, nil)
 	}
 }
 
-// TestHostIsEvacuated: on request a shard leader says what the evacuation of a host would
-// cost, moves its replicas away, and has that host as surplus when it is empty, and no other.
+// TestHostIsEvacuated covers an evacuation from cost to surplus: the shard leader publishes its cost
+// for another shard's need, moves replicas only when the leader requests it, and then counts the
+// emptied host as surplus and no other host.
 func TestHostIsEvacuated(t *testing.T) {
-	c := donorController(t)
-	c.setHostNeeds(false)
-	c.shardLeader.migration.tick()
-	if cs := c.shardLeader.migration.state.evacuation.costs; len(cs) != 1 || cs[0].MachineType != "host" || cs[0].Downtime > 10*time.Second {
-		t.Fatalf("got costs %+v, want those of one host of at most 10 s", cs)
+	controller := donorController(t)
+	controller.setHostNeeds(false)
+	controller.shardLeader.migration.tick()
+	if costs := controller.shardLeader.migration.state.evacuation.costs; len(costs) != 1 || costs[0].MachineType != "host" || costs[0].Downtime > 10*time.Second {
+		t.Fatalf("got costs %+v, want one cost for kind host, of at most 10 s", costs)
 	}
-	if len(c.shardLeader.migration.state.tracker.Plans()) > 0 {
+	if len(controller.shardLeader.migration.state.tracker.Plans()) > 0 {
 		t.Fatal("got an evacuation without a request, want none")
 	}
-	c.setHostNeeds(true)
-	op := c.awaitMigrationWrite(t)
-	if slices.ContainsFunc(op.Compares, func(compare message.Compare) bool {
+	controller.setHostNeeds(true)
+	request := controller.awaitMigrationWrite(t)
+	if slices.ContainsFunc(request.Compares, func(compare message.Compare) bool {
 		return strings.HasPrefix(compare.Key, record.OpenJobPrefix+evacuationPrefix)
 	}) {
-		t.Errorf("got compares %v, want none of the evacuation, which is no job", op.Compares)
+		t.Errorf("got compares %v, want no comparison for the evacuation, which has no job record", request.Compares)
 	}
-	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
-	s := c.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
-	j := c.shardLeader.jobs[s.Job]
-	c.shardLeader.endAttempt(j, 0, false)
-	c.shardLeader.scheduler.placeAll()
-	if j.tasks[0].machine == nil || j.tasks[0].machine.id != s.To {
-		t.Fatalf("got the replica on %v, want %s", j.tasks[0].machine, s.To)
+	controller.requests.storeCallbacks[request.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	step := controller.shardLeader.migration.state.tracker.Plans()[0].Steps[0]
+	job := controller.shardLeader.jobs[step.Job]
+	controller.shardLeader.endAttempt(job, 0, false)
+	controller.shardLeader.scheduler.placeAll()
+	if job.tasks[0].machine == nil || job.tasks[0].machine.id != step.To {
+		t.Fatalf("got the replica on %v, want %s", job.tasks[0].machine, step.To)
 	}
-	c.now = c.now.Add(2 * surplusAfter)
-	for _, m := range c.shardLeader.machinesByID {
-		m.lastHeard = c.now
+	controller.now = controller.now.Add(2 * surplusAfter)
+	for _, machine := range controller.shardLeader.machinesByID {
+		machine.lastHeard = controller.now
 	}
-	c.setHostNeeds(true)
-	if out := c.shardLeader.fleet.surplusForOthers(c.shardLeader.fleet.surplusMachines(c.shardLeader.fleet.futureFreeCapacity(), func(int) bool { return true })); !slices.Equal(out, []string{s.From}) {
-		t.Errorf("got surplus %v, want %s", out, s.From)
+	controller.setHostNeeds(true)
+	if out := controller.shardLeader.fleet.surplusForOthers(controller.shardLeader.fleet.surplusMachines(controller.shardLeader.fleet.futureFreeCapacity(), func(int) bool { return true })); !slices.Equal(out, []string{step.From}) {
+		t.Errorf("got surplus %v, want %s", out, step.From)
 	}
 }
 
-// TestEvacuatedOnlyWhileRequested: when the leader's request has expired, no replica is
-// stopped for it.
+// TestEvacuatedOnlyWhileRequested guards against replicas that are stopped for another shard which
+// may not need the host any more: when the leader's request has expired before the record is
+// durable, no replica is stopped and no capacity stays reserved.
 func TestEvacuatedOnlyWhileRequested(t *testing.T) {
-	c := donorController(t)
-	c.setHostNeeds(true)
-	op := c.awaitMigrationWrite(t)
-	c.now = c.now.Add(updateTTL + time.Second)
-	for _, m := range c.shardLeader.machinesByID {
-		m.lastHeard = c.now
+	controller := donorController(t)
+	controller.setHostNeeds(true)
+	request := controller.awaitMigrationWrite(t)
+	controller.now = controller.now.Add(updateTTL + time.Second)
+	for _, machine := range controller.shardLeader.machinesByID {
+		machine.lastHeard = controller.now
 	}
-	c.requests.storeCallbacks[op.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
-	for _, j := range c.shardLeader.jobs {
-		if j.tasks[0].stopReason != stopNone {
-			t.Errorf("%s: got stop reason %v without a request, want none", j.ID, j.tasks[0].stopReason)
+	controller.requests.storeCallbacks[request.ID](message.StoreResponse{Status: message.StoreOK, Revision: 20})
+	for _, job := range controller.shardLeader.jobs {
+		if job.tasks[0].stopReason != stopNone {
+			t.Errorf("%s: got stop reason %v without a request, want none", job.ID, job.tasks[0].stopReason)
 		}
 	}
-	if len(c.shardLeader.migration.state.tracker.Holds()) > 0 {
-		t.Errorf("got holds %v without a request, want none", c.shardLeader.migration.state.tracker.Holds())
+	if len(controller.shardLeader.migration.state.tracker.Holds()) > 0 {
+		t.Errorf("got holds %v without a request, want none", controller.shardLeader.migration.state.tracker.Holds())
 	}
 }
 
-// TestHostNeedsArePublished: a need is published when a replica waits in vain and the cloud
-// refuses its machine type; not while such a machine is coming, or the cloud still has it.
+// TestHostNeedsArePublished checks that a host need is published when migrations can't help a
+// pending replica and the cloud refuses its machine type. No need is published while such a machine
+// is being provisioned or if the cloud does not refuse the type.
 func TestHostNeedsArePublished(t *testing.T) {
-	c := hostPool(t)
-	c.putShard(t, "b", "b", 2, false, "lab")
-	c.settings.Capabilities.MaxMigratingFraction = 0
-	for _, j := range c.shardLeader.jobs {
-		// None of them yields.
-		j.Urgency = model.Urgent
+	controller := hostPool(t)
+	controller.putShard(t, "b", "b", 2, false, "lab")
+	controller.settings.Capabilities.MaxMigratingFraction = 0
+	for _, job := range controller.shardLeader.jobs {
+		// The replicas on the hosts are more urgent than the pending one and don't yield to it.
+		job.Urgency = model.Urgent
 	}
-	c.shardLeader.jobs["job-large"].Urgency = model.Normal
+	controller.shardLeader.jobs["job-large"].Urgency = model.Normal
 	publishedNeeds := func() int {
 		for range 10 {
-			c.now = c.now.Add(shardLeaderTickInterval)
-			for _, m := range c.shardLeader.machinesByID {
-				m.lastHeard = c.now
+			controller.now = controller.now.Add(shardLeaderTickInterval)
+			for _, machine := range controller.shardLeader.machinesByID {
+				machine.lastHeard = controller.now
 			}
-			c.shardLeader.migration.tick()
+			controller.shardLeader.migration.tick()
 		}
-		return len(c.shardLeader.migration.state.evacuation.needs)
+		return len(controller.shardLeader.migration.state.evacuation.needs)
 	}
-	if k := publishedNeeds(); k != 1 {
-		t.Errorf("got %d kinds needed, want 1", k)
+	if count := publishedNeeds(); count != 1 {
+		t.Errorf("got %d kinds needed, want 1", count)
 	}
-	c.shardLeader.fleet.view.rentals["vm-000009"] = &rental{id: "vm-000009", machineKind: machineKind{"host", "z", false}, rentedAt: c.now, status: "booting"}
-	if k := publishedNeeds(); k != 0 {
-		t.Errorf("got %d kinds needed while a machine is coming, want 0", k)
+	controller.shardLeader.fleet.view.rentals["vm-000009"] = &rental{id: "vm-000009", machineKind: machineKind{"host", "z", false}, rentedAt: controller.now, status: "booting"}
+	if count := publishedNeeds(); count != 0 {
+		t.Errorf("got %d kinds needed while a machine is being provisioned, want 0", count)
 	}
-	delete(c.shardLeader.fleet.view.rentals, "vm-000009")
-	clear(c.shardLeader.fleet.view.blockedUntil)
-	c.now = c.now.Add(refusedWindow)
-	if k := publishedNeeds(); k != 0 {
-		t.Errorf("got %d kinds needed that the cloud still has, want 0", k)
+	delete(controller.shardLeader.fleet.view.rentals, "vm-000009")
+	clear(controller.shardLeader.fleet.view.blockedUntil)
+	controller.now = controller.now.Add(refusedWindow)
+	if count := publishedNeeds(); count != 0 {
+		t.Errorf("got %d kinds needed that the cloud does not refuse, want 0", count)
 	}
 }
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -10,67 +10,75 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// migration.go carries out migrations of replicas: it shows jobs and machines to internal/migration, holds
-// places, stops replicas, and starts them at their targets. A migration decides where a replica runs, never
-// whether: it starts again only on proof that it has ended and after its record, like any task.
+// migration.go carries out migrations of replicas: it passes the state of jobs and machines to
+// internal/migration, reserves capacity, stops replicas, and starts them on their target machines. A migration
+// decides where a replica runs, never whether it runs. Like any task, a migrated replica is started again only
+// after proof that its former attempt has ended and after the record of the new attempt is durable.
 
 // migrationManager owns the migrations of replicas and the evacuation of hosts for other shard leaders. It is
 // part of the shard leader: its methods may be called only while this controller leads a shard. A callback
-// compares the shard leader's generation, and calls the manager that is there.
+// compares the shard leader's generation with the one at the time of the request, and calls the manager of the
+// current shard leader.
 //
-// Invariants: a replica is stopped only after its plan is durable, only while the membership lease is surely
-// valid, and only for a place that is held for it; what is held for one task no other gets.
+// Invariants: a replica is stopped only after its plan is durable, only while the membership lease is certainly
+// valid, and only if capacity is reserved for it on its target. Capacity that is reserved for one task is given
+// to no other task.
 //
-// At failover the plans are recovered from the records of the teams (recoverRecords); all else is learnt anew.
+// At failover the plans are recovered from the records of the teams (recoverRecords). All other state is rebuilt
+// from heartbeats and updates.
 type migrationManager struct {
 	component
 
-	// state is nil until the first call of Controller.migrations with the models capability on.
+	// state is nil until the first call of Controller.migrations with the models capability enabled.
 	state *migrations
 }
 
-// migrations is a shard leader's migrations.
+// migrations is the state of a shard leader's migrations.
 type migrations struct {
 	tracker *migration.Tracker
-	// records, by team, are the stored ones. lastWrite is of any.
+	// records are the teams' records in the store, by team. lastWrite is the time of the last write to any of
+	// them.
 	records   map[string]*migrationRecord
 	lastWrite time.Time
-	// recoveredAt is when records of a predecessor were last recovered.
+	// recoveredAt is when the records of a former shard leader were last recovered.
 	recoveredAt time.Time
 
-	// held are the machines with places held, and pinnedUntil the tasks that wait for theirs.
+	// held are the machines with reserved capacity. pinnedUntil maps each task for which capacity is reserved to
+	// the end of that reservation.
 	held        []*machine
 	pinnedUntil map[taskKey]time.Time
-	// unschedulable are jobs of which a task waits and fits nowhere, by ID.
+	// unschedulable are the jobs with a pending task that fits on no machine, by job ID.
 	unschedulable map[string]*unschedulableReplica
 
-	// evacuation is what shard leaders need of each other.
+	// evacuation is the exchange of host needs and evacuation costs with other shard leaders.
 	evacuation evacuation
-	// lastLogged is when the migrations under way were last logged.
+	// lastLogged is when the migrations in progress were last logged.
 	lastLogged time.Time
 }
 
-// migrationRecord is a team's record as it stands in the store.
+// migrationRecord is the state of a team's record in the store.
 type migrationRecord struct {
 	modRevision uint64
-	writing     bool
-	// rejectedVersion is the version that the store called malformed; it is not sent again.
+	// writing is true while a write or a read of the record is in flight.
+	writing bool
+	// rejectedVersion is the version that the store rejected as malformed; it is not sent again.
 	rejectedVersion uint64
 }
 
-// migrationKey is the key of a team's record.
+// migrationKey returns the store key of a team's record.
 func migrationKey(team string) string { return record.MigrationPrefix + teamKey(team) }
 
-// migrations returns the shard leader's migrations, nil without one or without the models capability.
-func (c *Controller) migrations() *migrations {
-	s := c.shardLeader
-	if !c.settings.Capabilities.Models || s == nil {
+// migrations returns the shard leader's migrations. It is nil if this controller leads no shard or if the models
+// capability is disabled.
+func (controller *Controller) migrations() *migrations {
+	shardLeader := controller.shardLeader
+	if !controller.settings.Capabilities.Models || shardLeader == nil {
 		return nil
 	}
-	return s.migration.ensureState()
+	return shardLeader.migration.ensureState()
 }
 
-// ensureState makes the state on first use.
+// ensureState creates the state on first use and returns it.
 func (g *migrationManager) ensureState() *migrations {
 	if g.state == nil {
 		g.state = &migrations{
@@ -82,204 +90,210 @@
 	return g.state
 }
 
-// maxRecordBytes bounds the record of a team's migrations, as JSON.
-func (g *migrationManager) maxRecordBytes() int { return g.settings.MaxValueBytes * 3 / 4 }
+// maxRecordBytes returns the largest size of a team's migration record, in bytes of JSON.
+func (migrations *migrationManager) maxRecordBytes() int {
+	return migrations.settings.MaxValueBytes * 3 / 4
+}
 
-// read reads the records of all teams and passes them to then.
-func (g *migrationManager) read(then func([]message.KeyValue)) {
-	if !g.settings.Capabilities.Models {
+// read reads the migration records of all teams and passes them to then. It passes nil if the models capability
+// is disabled.
+func (migrations *migrationManager) read(then func([]message.KeyValue)) {
+	if !migrations.settings.Capabilities.Models {
 		then(nil)
 		return
 	}
-	generation := g.controller.shardLeader.generation
-	g.controller.requests.readAll(record.MigrationPrefix, message.PriorityMembership, func() bool {
-		return g.controller.shardLeader != nil && g.controller.shardLeader.generation == generation
+	generation := migrations.controller.shardLeader.generation
+	migrations.controller.requests.readAll(record.MigrationPrefix, message.PriorityMembership, func() bool {
+		return migrations.controller.shardLeader != nil && migrations.controller.shardLeader.generation == generation
 	}, then)
 }
 
-// recoverRecords takes up what predecessors had under way for teams that have come, from items as read.
-func (g *migrationManager) recoverRecords(teams []string, items []message.KeyValue) {
-	mv := g.controller.migrations()
-	if mv == nil {
+// recoverRecords resumes the migrations that a former shard leader had in progress for the given teams, which
+// have just been assigned to this one. The items are the records as read from the store.
+func (migrations *migrationManager) recoverRecords(teams []string, items []message.KeyValue) {
+	state := migrations.controller.migrations()
+	if state == nil {
 		return
 	}
 	for _, team := range teams {
 		rec := &migrationRecord{}
-		mv.tracker.ForgetTeam(team)
-		mv.records[team] = rec
-		for _, it := range items {
-			if it.Key != migrationKey(team) {
+		state.tracker.ForgetTeam(team)
+		state.records[team] = rec
+		for _, item := range items {
+			if item.Key != migrationKey(team) {
 				continue
 			}
-			rec.modRevision = it.ModRevision
-			if err := mv.tracker.Recover(g.now, team, it.Value); err != nil {
-				// Its replicas run, or start like any other.
-				g.rejectInput("record", it.Key, err.Error())
+			rec.modRevision = item.ModRevision
+			if err := state.tracker.Recover(migrations.now, team, item.Value); err != nil {
+				// The plans of an invalid record are given up: the replicas in it go on running, or are placed
+				// like any other task.
+				migrations.rejectInput("record", item.Key, err.Error())
 			}
 		}
 	}
-	mv.recoveredAt = g.now
-	g.updateReservations(mv)
+	state.recoveredAt = migrations.now
+	migrations.updateReservations(state)
 }
 
-// forget drops what is under way for a team that another shard leader has now.
-func (g *migrationManager) forget(team string) {
-	if mv := g.state; mv != nil {
-		mv.tracker.ForgetTeam(team)
-		delete(mv.records, team)
-		g.updateReservations(mv)
+// forget drops the migrations of a team that belongs to another shard leader.
+func (migrations *migrationManager) forget(team string) {
+	if state := migrations.state; state != nil {
+		state.tracker.ForgetTeam(team)
+		delete(state.records, team)
+		migrations.updateReservations(state)
 	}
 }
 
-// tick carries on the migrations under way, plans others, and writes what has changed.
-func (g *migrationManager) tick() {
-	mv := g.controller.migrations()
-	if mv == nil {
+// tick advances the migrations in progress, plans new ones, and writes changed records.
+func (migrations *migrationManager) tick() {
+	state := migrations.controller.migrations()
+	if state == nil {
 		return
 	}
-	g.advance(mv)
-	if g.now.After(g.controller.membership.leaseValidUntil) {
+	migrations.advance(state)
+	if migrations.now.After(migrations.controller.membership.leaseValidUntil) {
 		return
 	}
-	g.plan(mv)
-	g.write(mv)
+	migrations.plan(state)
+	migrations.write(state)
 }
 
-// advance stops the replicas that are to be stopped now. Nothing is stopped by a shard leader that can't be sure
-// that it is one.
-func (g *migrationManager) advance(mv *migrations) {
-	if g.now.After(g.controller.membership.leaseValidUntil) {
+// advance stops the replicas whose migration is due, and updates the reservations. It does nothing if the
+// membership lease may have ended, since another controller may then lead the shard.
+func (migrations *migrationManager) advance(state *migrations) {
+	if migrations.now.After(migrations.controller.membership.leaseValidUntil) {
 		return
 	}
-	for _, s := range mv.tracker.Update(g.now, migrationFacts{g.controller}) {
-		j := g.controller.shardLeader.jobs[s.Job]
-		t := &j.tasks[s.Index]
-		g.info("replica migration started", "job", s.Job, "task", s.Index, "from", t.machine.id)
-		t.stopReason = stopDrain
-		g.controller.markDispatchPending(t.machine)
+	for _, stop := range state.tracker.Update(migrations.now, migrationFacts{migrations.controller}) {
+		job := migrations.controller.shardLeader.jobs[stop.Job]
+		task := &job.tasks[stop.Index]
+		migrations.info("replica migration started", "job", stop.Job, "task", stop.Index, "from", task.machine.id)
+		task.stopReason = stopDrain
+		migrations.controller.markDispatchPending(task.machine)
 	}
-	g.updateReservations(mv)
+	migrations.updateReservations(state)
 }
 
-// updateReservations keeps other tasks off the places that are held, and the tasks that have a place held off
-// other places.
-func (g *migrationManager) updateReservations(mv *migrations) {
-	s := g.controller.shardLeader
-	for _, m := range mv.held {
-		m.reservedForMigration, m.evacuatingForOther = model.Resources{}, false
+// updateReservations applies the tracker's holds to machines and tasks. Other tasks can't use the reserved
+// capacity, and a task for which capacity is reserved is placed only there until its reservation ends.
+func (migrations *migrationManager) updateReservations(state *migrations) {
+	shardLeader := migrations.controller.shardLeader
+	for _, machine := range state.held {
+		machine.reservedForMigration, machine.evacuatingForOther = model.Resources{}, false
 	}
-	mv.held = mv.held[:0]
+	state.held = state.held[:0]
 	pinnedUntil := map[taskKey]time.Time{}
-	for _, h := range mv.tracker.Holds() {
-		if m := s.machines[h.Host]; m != nil {
-			if m.reservedForMigration == (model.Resources{}) {
-				mv.held = append(mv.held, m)
+	for _, hold := range state.tracker.Holds() {
+		if machine := shardLeader.machines[hold.Host]; machine != nil {
+			if machine.reservedForMigration == (model.Resources{}) {
+				state.held = append(state.held, machine)
 			}
-			m.reservedForMigration = m.reservedForMigration.AddScaled(h.Need, 1)
-			m.evacuatingForOther = m.evacuatingForOther || isEvacuationHold(h.Job)
+			machine.reservedForMigration = machine.reservedForMigration.AddScaled(hold.Need, 1)
+			machine.evacuatingForOther = machine.evacuatingForOther || isEvacuationHold(hold.Job)
 		}
-		if h.Index >= 0 {
-			pinnedUntil[taskKey{h.Job, h.Index}] = h.Until
+		if hold.Index >= 0 {
+			pinnedUntil[taskKey{hold.Job, hold.Index}] = hold.Until
 		}
 	}
-	for k, until := range mv.pinnedUntil {
-		if _, still := pinnedUntil[k]; still {
+	for key, until := range state.pinnedUntil {
+		if _, still := pinnedUntil[key]; still {
 			continue
 		}
-		if j := s.jobs[k.job]; j != nil && k.index < len(j.tasks) && j.tasks[k.index].notBefore.Equal(until) {
-			j.tasks[k.index].notBefore = time.Time{}
-			s.scheduler.requestPlacement()
+		if job := shardLeader.jobs[key.job]; job != nil && key.index < len(job.tasks) && job.tasks[key.index].notBefore.Equal(until) {
+			job.tasks[key.index].notBefore = time.Time{}
+			shardLeader.scheduler.requestPlacement()
 		}
 	}
-	for k, until := range pinnedUntil {
-		if j := s.jobs[k.job]; j != nil && k.index < len(j.tasks) {
-			j.tasks[k.index].notBefore = until
+	for key, until := range pinnedUntil {
+		if job := shardLeader.jobs[key.job]; job != nil && key.index < len(job.tasks) {
+			job.tasks[key.index].notBefore = until
 		}
 	}
-	mv.pinnedUntil = pinnedUntil
+	state.pinnedUntil = pinnedUntil
 }
 
-// placeReserved starts the tasks that have a place held, there.
-func (s *scheduler) placeReserved() {
-	mv := s.controller.shardLeader.migration.state
-	if mv == nil || len(mv.tracker.Plans()) == 0 {
+// placeReserved starts the pending tasks for which capacity is reserved, on the machine where it is reserved.
+func (scheduler *scheduler) placeReserved() {
+	state := scheduler.controller.shardLeader.migration.state
+	if state == nil || len(state.tracker.Plans()) == 0 {
 		return
 	}
-	s.controller.shardLeader.migration.advance(mv)
+	scheduler.controller.shardLeader.migration.advance(state)
 	placed := false
-	for _, h := range mv.tracker.Holds() {
-		j, m := s.controller.shardLeader.jobs[h.Job], s.controller.shardLeader.machines[h.Host]
-		if j == nil || m == nil || j.pendingTasks() == 0 || !j.mayStart(s.now) || j.notBefore.After(s.now) || !s.usable(m) {
+	for _, hold := range state.tracker.Holds() {
+		job, machine := scheduler.controller.shardLeader.jobs[hold.Job], scheduler.controller.shardLeader.machines[hold.Host]
+		if job == nil || machine == nil || job.pendingTasks() == 0 || !job.mayStart(scheduler.now) || job.notBefore.After(scheduler.now) || !scheduler.usable(machine) {
 			continue
 		}
-		// What is held for others is not free, what is held for this task is.
-		if !j.Need.Fits(m.free().AddScaled(h.Need, 1)) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !s.withinQuotaLimit(j) {
+		// The free capacity excludes all reservations, so the one for this task is added again.
+		if !job.Need.Fits(machine.free().AddScaled(hold.Need, 1)) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.zoneAllowed(machine.zone) || !scheduler.withinQuotaLimit(job) {
 			continue
 		}
-		i := s.takeReservedTask(mv, j, h.Index, m)
-		if i < 0 {
+		index := scheduler.takeReservedTask(state, job, hold.Index, machine)
+		if index < 0 {
 			continue
 		}
-		if h.Plan != nil {
-			mv.tracker.MarkServed(h.Plan)
+		if hold.Plan != nil {
+			state.tracker.MarkServed(hold.Plan)
 		}
-		s.startAttempt(j, i, m)
+		scheduler.startAttempt(job, index, machine)
 		placed = true
 	}
 	if placed {
-		s.controller.shardLeader.migration.advance(mv)
+		scheduler.controller.shardLeader.migration.advance(state)
 	}
 }
 
-// takeReservedTask removes a task from those pending and returns its index: the one that a place on m is held
-// for, or for a negative index any of the job; -1 if it is not pending.
-func (s *scheduler) takeReservedTask(mv *migrations, j *job, index int, m *machine) int {
-	for k, i := range j.requeued {
-		t := &j.tasks[i]
-		_, pinned := mv.pinnedUntil[taskKey{j.ID, i}]
-		if index >= 0 && i == index || index < 0 && !pinned && !t.notBefore.After(s.now) && !t.avoids(m.id) {
-			j.requeued = slices.Delete(j.requeued, k, k+1)
-			return i
+// takeReservedTask removes a task from the pending tasks of a job and returns its index, or -1 if there is none to
+// take. It takes the task with the given index. With a negative index it takes any pending task for which no
+// other capacity is reserved and that may run on the machine.
+func (scheduler *scheduler) takeReservedTask(state *migrations, job *job, index int, machine *machine) int {
+	for position, taskIndex := range job.requeued {
+		task := &job.tasks[taskIndex]
+		_, pinned := state.pinnedUntil[taskKey{job.ID, taskIndex}]
+		if index >= 0 && taskIndex == index || index < 0 && !pinned && !task.notBefore.After(scheduler.now) && !task.avoids(machine.id) {
+			job.requeued = slices.Delete(job.requeued, position, position+1)
+			return taskIndex
 		}
 	}
-	if index < 0 && j.nextFresh < len(j.tasks) {
-		j.nextFresh++
-		return j.nextFresh - 1
+	if index < 0 && job.nextFresh < len(job.tasks) {
+		job.nextFresh++
+		return job.nextFresh - 1
 	}
 	return -1
 }
 
-// migratingResources is what the replicas of other jobs of the team will take again that are down for their
-// migration: it stays theirs within the team's quota limit.
-func (g *migrationManager) migratingResources(j *job) model.Resources {
+// migratingResources returns the resources of replicas of the team's other jobs that are down for a migration.
+// They count against the team's quota limit, so that these replicas can start again.
+func (migrations *migrationManager) migratingResources(job *job) model.Resources {
 	var sum model.Resources
-	mv := g.state
-	if mv == nil {
+	state := migrations.state
+	if state == nil {
 		return sum
 	}
-	for k := range mv.pinnedUntil {
-		if other := g.controller.shardLeader.jobs[k.job]; other != nil && other != j && other.Team == j.Team && k.index < len(other.tasks) && other.tasks[k.index].machine == nil {
+	for key := range state.pinnedUntil {
+		if other := migrations.controller.shardLeader.jobs[key.job]; other != nil && other != job && other.Team == job.Team && key.index < len(other.tasks) && other.tasks[key.index].machine == nil {
 			sum = sum.AddScaled(other.Need, 1)
 		}
 	}
 	return sum
 }
 
-// reservedTasks counts the pending tasks of a job that have a place held, or for which a migration is about to be
-// planned: no machine is requested for them meanwhile.
-func (g *migrationManager) reservedTasks(j *job) int {
-	mv := g.state
-	if mv == nil {
+// reservedTasks counts the pending tasks of a job for which capacity is reserved or for which a migration is about
+// to be planned. No machine is rented for these tasks.
+func (migrations *migrationManager) reservedTasks(job *job) int {
+	state := migrations.state
+	if state == nil {
 		return 0
 	}
-	k := mv.tracker.HeldFor(j.ID)
-	for _, i := range j.requeued {
-		if _, pinned := mv.pinnedUntil[taskKey{j.ID, i}]; pinned {
-			k++
+	count := state.tracker.HeldFor(job.ID)
+	for _, index := range job.requeued {
+		if _, pinned := state.pinnedUntil[taskKey{job.ID, index}]; pinned {
+			count++
 		}
 	}
-	if x := mv.unschedulable[j.ID]; x != nil && x.lastTried.IsZero() && g.now.Sub(x.since) < 2*migrationDelay {
-		return j.pendingTasks()
+	if unschedulable := state.unschedulable[job.ID]; unschedulable != nil && unschedulable.lastTried.IsZero() && migrations.now.Sub(unschedulable.since) < 2*migrationDelay {
+		return job.pendingTasks()
 	}
-	return k
+	return count
 }
--- a/internal/controller/migration_bench_test.go
+++ b/internal/controller/migration_bench_test.go
@@ -8,45 +8,45 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// BenchmarkMigrations is the cost of migrations in half a second in which a replica of a whole
-// host waits and no three moves free a host for it, with five replicas on each host and as
-// many jobs that wait for other machines.
+// BenchmarkMigrations measures one tick of the migrations, which runs every half second, while a
+// replica that needs a whole host is pending and no plan of three moves frees one. Five replicas run
+// on each host, and for each host there is one pending job that needs machines of another type.
 func BenchmarkMigrations(b *testing.B) {
 	for _, hosts := range []int{100, 300, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			c := largePool(0)
-			c.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
-			c.knowledge.machineTypes["host"] = model.MachineType{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
-			c.shardLeader.migration.recoverRecords([]string{"ops"}, nil)
+			controller := largePool(0)
+			controller.settings.Capabilities = Capabilities{Models: true, MaxMigratingFraction: 0.1, MigrationCooldown: 5 * time.Minute}
+			controller.knowledge.machineTypes["host"] = model.MachineType{Name: "host", Capacity: model.Resources{CPU: 64, GPU: 8, Memory: 512}, ImageFetchRate: 1, CostPerHour: 12, SpotCostPerHour: 4, ProvisioningTime: 40 * time.Second, Zones: []string{"z"}}
+			controller.shardLeader.migration.recoverRecords([]string{"ops"}, nil)
 			for i := range hosts {
-				m := c.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
-				c.shardLeader.heartbeats.applyHeartbeat(m, c.hostHeartbeat(i, 1), true)
-				j := c.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-s%05d", i), Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 5,
-					Need: model.Resources{CPU: 8, GPU: 1, Memory: 64}, Image: fmt.Sprint("img-", i%40), ImageGB: 8}, c.now, 7)
-				j.nextFresh = 5
-				r := c.hostHeartbeat(i, 2)
-				for k := range 5 {
-					c.shardLeader.scheduler.startAttempt(j, k, m)
-					r.Tasks = append(r.Tasks, model.TaskReport{Job: j.ID, Index: k, Attempt: 1, Status: model.Running})
+				machine := controller.shardLeader.ensureMachine(fmt.Sprintf("vm-%06d", i))
+				controller.shardLeader.heartbeats.applyHeartbeat(machine, controller.hostHeartbeat(i, 1), true)
+				job := controller.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-s%05d", i), Workload: "small", Team: "ops", LongRunning: true, Urgency: model.Normal, Tasks: 5,
+					Need: model.Resources{CPU: 8, GPU: 1, Memory: 64}, Image: fmt.Sprint("img-", i%40), ImageGB: 8}, controller.now, 7)
+				job.nextFresh = 5
+				heartbeat := controller.hostHeartbeat(i, 2)
+				for index := range 5 {
+					controller.shardLeader.scheduler.startAttempt(job, index, machine)
+					heartbeat.Tasks = append(heartbeat.Tasks, model.TaskReport{Job: job.ID, Index: index, Attempt: 1, Status: model.Running})
 				}
-				for _, segment := range j.segments {
+				for _, segment := range job.segments {
 					segment.persistedVersion = segment.version
 				}
-				c.shardLeader.heartbeats.applyHeartbeat(m, r, true)
-				c.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, c.now, 7)
+				controller.shardLeader.heartbeats.applyHeartbeat(machine, heartbeat, true)
+				controller.shardLeader.addJob(model.JobSpec{ID: fmt.Sprintf("job-w%05d", i), Workload: "wide", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 32, Memory: 128}, MachineTypes: []string{"rack"}}, controller.now, 7)
 			}
-			c.addReplica("job-large", 8)
+			controller.addReplica("job-large", 8)
 			b.ResetTimer()
 			for b.Loop() {
-				c.now = c.now.Add(migrationRetryInterval)
-				for _, m := range c.shardLeader.machinesByID {
-					m.lastHeard = c.now
+				controller.now = controller.now.Add(migrationRetryInterval)
+				for _, machine := range controller.shardLeader.machinesByID {
+					machine.lastHeard = controller.now
 				}
-				c.effects = nil
-				c.shardLeader.migration.tick()
+				controller.effects = nil
+				controller.shardLeader.migration.tick()
 			}
-			if x := c.shardLeader.migration.state.unschedulable["job-large"]; x == nil || !x.lastTried.Equal(c.now) {
-				b.Fatalf("got replica state %+v, want one that was tried now", x)
+			if entry := controller.shardLeader.migration.state.unschedulable["job-large"]; entry == nil || !entry.lastTried.Equal(controller.now) {
+				b.Fatalf("got state %+v of job-large, want a search for migrations in the last tick", entry)
 			}
 		})
 	}
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -7,292 +7,300 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// migration_plan.go decides when migrations are worth planning, and for which tasks.
+// migration_plan.go decides for which pending tasks migrations are planned, and when.
 
 const (
-	// migrationDelay is how long a task must have been pending and fitted nowhere before
-	// migrations are planned for it: capacity is often free a moment later.
-	// migrationRetryInterval separates two attempts for one job.
-	migrationDelay         = 1500 * time.Millisecond
+	// migrationDelay is how long a pending task must have fitted on no machine before migrations
+	// are planned for it. Capacity often becomes free within that time.
+	migrationDelay = 1500 * time.Millisecond
+	// migrationRetryInterval is the least time between two searches for migrations for one job.
 	migrationRetryInterval = 3 * time.Second
-	// maxMigrationWait bounds the cost of a migration if neither a new machine nor the end of a
-	// task is in sight.
+	// maxMigrationWait bounds the cost of the migrations of a plan if neither a new machine nor
+	// the end of a task is expected sooner.
 	maxMigrationWait = 2 * time.Minute
-	// largeFraction is the part of a machine, in one dimension, from which on a task counts as
-	// large: scattered free capacity is of no use to it.
+	// largeFraction is the fraction of a machine's CPU, GPU or memory from which on a task counts
+	// as large. Such a task can't use free capacity that is scattered over many machines.
 	largeFraction = 0.25
-	// migrationWriteInterval, times the number of shard leaders, separates two writes: all of
-	// them together make at most one in this time. migrationLazyDelay is how long the write of
-	// what only ends a migration may wait.
+	// migrationWriteInterval is the least time between two writes of migration records by all
+	// shard leaders together. Each shard leader waits for it times the number of shard leaders.
 	migrationWriteInterval = 2 * time.Second
-	migrationLazyDelay     = 10 * time.Second
-	// migrationLogInterval is how often the migrations under way are logged.
+	// migrationLazyDelay is how long a write may wait that contains no new plan.
+	migrationLazyDelay = 10 * time.Second
+	// migrationLogInterval is how often the migrations in progress are logged.
 	migrationLogInterval = 30 * time.Second
 )
 
-// unschedulableReplica is a job of which a task is pending and fits on no machine, though all machines together
-// have the capacity.
+// unschedulableReplica is a job with a pending task that fits on no machine, though the free capacity of all
+// machines together suffices.
 type unschedulableReplica struct {
+	// since is when the job was first found unschedulable. lastTried is when migrations were last searched for it,
+	// zero if never.
 	since, lastTried time.Time
 }
 
-// plan looks for migrations for the first job of the queue that needs them.
-func (g *migrationManager) plan(mv *migrations) {
-	s := g.controller.shardLeader
-	if g.now.Sub(mv.lastLogged) >= migrationLogInterval && len(mv.tracker.Plans()) > 0 {
-		mv.lastLogged = g.now
-		t := mv.tracker.Stats
-		g.info("migrations under way", "plans", len(mv.tracker.Plans()), "planned", t.Started, "moved", t.Moved, "dropped", t.Dropped, "longest_down", t.LongestDowntime.Round(time.Millisecond))
+// plan searches for migrations for the first job in queue order that needs them. If no job does, it plans
+// evacuations for other shard leaders.
+func (migrations *migrationManager) plan(state *migrations) {
+	shardLeader := migrations.controller.shardLeader
+	if migrations.now.Sub(state.lastLogged) >= migrationLogInterval && len(state.tracker.Plans()) > 0 {
+		state.lastLogged = migrations.now
+		stats := state.tracker.Stats
+		migrations.info("migrations under way", "plans", len(state.tracker.Plans()), "planned", stats.Started, "moved", stats.Moved, "dropped", stats.Dropped, "longest_down", stats.LongestDowntime.Round(time.Millisecond))
 	}
 	unschedulable := map[string]*unschedulableReplica{}
-	// Of many jobs of one shape only the first scans the machines.
-	alike := map[taskShape]bool{}
-	for id, j := range s.jobs {
-		if !g.waitsForCapacity(mv, j) {
+	// The machines are scanned only once for jobs of the same shape.
+	unschedulableByShape := map[taskShape]bool{}
+	for id, job := range shardLeader.jobs {
+		if !migrations.waitsForCapacity(state, job) {
 			continue
 		}
-		in, known := alike[j.taskShape()]
-		if own := j.SameZone || j.SpreadZones; own || !known {
-			in = g.isUnschedulable(j)
-			if !own {
-				alike[j.taskShape()] = in
+		fitsNowhere, known := unschedulableByShape[job.taskShape()]
+		if zoneSpecific := job.SameZone || job.SpreadZones; zoneSpecific || !known {
+			fitsNowhere = migrations.isUnschedulable(job)
+			if !zoneSpecific {
+				unschedulableByShape[job.taskShape()] = fitsNowhere
 			}
 		}
-		if !in && (mv.unschedulable[id] == nil || mv.tracker.HeldFor(id) == 0) {
+		if !fitsNowhere && (state.unschedulable[id] == nil || state.tracker.HeldFor(id) == 0) {
 			continue
 		}
-		if unschedulable[id] = mv.unschedulable[id]; unschedulable[id] == nil {
-			unschedulable[id] = &unschedulableReplica{since: g.now}
+		if unschedulable[id] = state.unschedulable[id]; unschedulable[id] == nil {
+			unschedulable[id] = &unschedulableReplica{since: migrations.now}
 		}
 	}
-	mv.unschedulable = unschedulable
-	g.updateHostNeeds(mv)
+	state.unschedulable = unschedulable
+	migrations.updateHostNeeds(state)
 	if len(unschedulable) == 0 {
-		g.planEvacuation(mv)
+		migrations.planEvacuation(state)
 		return
 	}
-	for _, j := range g.controller.shardLeader.scheduler.jobsInQueueOrder() {
-		x := unschedulable[j.ID]
-		if x == nil || mv.tracker.HeldFor(j.ID) >= j.pendingTasks() || g.now.Sub(x.since) < migrationDelay || !x.lastTried.IsZero() && g.now.Sub(x.lastTried) < migrationRetryInterval {
+	for _, job := range migrations.controller.shardLeader.scheduler.jobsInQueueOrder() {
+		entry := unschedulable[job.ID]
+		if entry == nil || state.tracker.HeldFor(job.ID) >= job.pendingTasks() || migrations.now.Sub(entry.since) < migrationDelay || !entry.lastTried.IsZero() && migrations.now.Sub(entry.lastTried) < migrationRetryInterval {
 			continue
 		}
-		if rec := mv.records[j.Team]; rec == nil || rec.writing || len(mv.tracker.UnsavedPlans(j.Team)) > 0 || g.nextMigrationWrite(mv).After(g.now) {
-			// The plan would wait for its write, and hold places meanwhile.
+		if rec := state.records[job.Team]; rec == nil || rec.writing || len(state.tracker.UnsavedPlans(job.Team)) > 0 || migrations.nextMigrationWrite(state).After(migrations.now) {
+			// The record can't be written yet. A plan would reserve capacity while it waits for the write.
 			continue
 		}
-		x.lastTried = g.now
-		g.planMigrationFor(mv, j)
+		entry.lastTried = migrations.now
+		migrations.planMigrationFor(state, job)
 		return
 	}
 }
 
-// waitsForCapacity reports whether a task of j is pending that migrations could help: it is large for some type of
-// machine, and has no place held.
-func (g *migrationManager) waitsForCapacity(mv *migrations, j *job) bool {
-	if j.Gang || j.borrowedLoan != "" || g.controller.shardLeader.scheduler.placeableTasks(j) == 0 || !g.controller.shardLeader.scheduler.withinQuotaLimit(j) {
+// waitsForCapacity reports whether a job has a pending task that migrations could help: the task is large for some
+// machine type, and no capacity is reserved for it.
+func (migrations *migrationManager) waitsForCapacity(state *migrations, job *job) bool {
+	if job.Gang || job.borrowedLoan != "" || migrations.controller.shardLeader.scheduler.placeableTasks(job) == 0 || !migrations.controller.shardLeader.scheduler.withinQuotaLimit(job) {
 		return false
 	}
-	if j.pendingTasks() <= mv.tracker.HeldFor(j.ID) && mv.unschedulable[j.ID] == nil {
+	if job.pendingTasks() <= state.tracker.HeldFor(job.ID) && state.unschedulable[job.ID] == nil {
 		return false
 	}
-	for _, f := range g.controller.knowledge.machineTypes {
-		if j.Need.Fits(f.Capacity) && isLarge(j.Need, f.Capacity) {
+	for _, machineType := range migrations.controller.knowledge.machineTypes {
+		if job.Need.Fits(machineType.Capacity) && isLarge(job.Need, machineType.Capacity) {
 			return true
 		}
 	}
 	return false
 }
 
-// isUnschedulable reports whether a task of j fits on no machine, while all of them together have the capacity.
-func (g *migrationManager) isUnschedulable(j *job) bool {
+// isUnschedulable reports whether a task of the job fits on no machine, though the free capacity of all machines
+// together suffices.
+func (migrations *migrationManager) isUnschedulable(job *job) bool {
 	var sum model.Resources
 	large := false
-	for _, m := range g.controller.shardLeader.machinesByID {
-		if !g.controller.shardLeader.scheduler.usable(m) || !j.allowsMachine(m.machineType, m.zone, m.spot) || !j.zoneAllowed(m.zone) || !j.Need.Fits(m.size) {
+	for _, machine := range migrations.controller.shardLeader.machinesByID {
+		if !migrations.controller.shardLeader.scheduler.usable(machine) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.zoneAllowed(machine.zone) || !job.Need.Fits(machine.size) {
 			continue
 		}
-		free := m.free()
-		if j.Need.Fits(free) {
+		free := machine.free()
+		if job.Need.Fits(free) {
 			return false
 		}
-		large = large || isLarge(j.Need, m.size)
+		large = large || isLarge(job.Need, machine.size)
 		sum = sum.AddScaled(model.Resources{CPU: max(0, free.CPU), GPU: max(0, free.GPU), Memory: max(0, free.Memory)}, 1)
 	}
-	return large && j.Need.Fits(sum)
+	return large && job.Need.Fits(sum)
 }
 
-// isLarge reports whether a task needs so much of a machine that scattered free capacity is of no use to it.
+// isLarge reports whether a task needs at least largeFraction of a machine's CPU, memory or GPUs.
 func isLarge(need, size model.Resources) bool {
 	return need.CPU >= largeFraction*size.CPU || need.Memory >= largeFraction*size.Memory || size.GPU > 0 && need.GPU >= largeFraction*size.GPU
 }
 
-// planMigrationFor looks for migrations that make room for a task of j, and begins them.
-func (g *migrationManager) planMigrationFor(mv *migrations, j *job) {
-	p := g.migrationProblem(mv, j)
-	plan, ok := migration.Find(p)
+// planMigrationFor searches for migrations that free capacity for a task of the job, and starts them.
+func (migrations *migrationManager) planMigrationFor(state *migrations, job *job) {
+	problem := migrations.migrationProblem(state, job)
+	plan, ok := migration.Find(problem)
 	if !ok {
-		g.debug("no migration found", "job", j.ID, "max_cost", p.MaxCost)
+		migrations.debug("no migration found", "job", job.ID, "max_cost", problem.MaxCost)
 		return
 	}
-	g.begin(mv, j.Team, p, plan)
+	migrations.begin(state, job.Team, problem, plan)
 }
 
-// begin starts a plan that the planner has found.
-func (g *migrationManager) begin(mv *migrations, team string, p *migration.Problem, plan migration.Plan) {
+// begin starts a plan that migration.Find returned for the problem. The plan is stored in the record of the given
+// team.
+func (migrations *migrationManager) begin(state *migrations, team string, problem *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
-	for _, m := range plan.Moves {
-		_, t := g.movableReplica(m.Job, m.Index)
-		attempts = append(attempts, t.attempt)
+	for _, move := range plan.Moves {
+		_, task := migrations.movableReplica(move.Job, move.Index)
+		attempts = append(attempts, task.attempt)
 	}
-	reason := mv.tracker.Start(g.now, team, &p.WaitingTask, plan, p.MaxCost, attempts, migration.Limits{
-		MaxRecordBytes: g.maxRecordBytes(), MaxMovingFraction: g.settings.Capabilities.MaxMigratingFraction,
+	reason := state.tracker.Start(migrations.now, team, &problem.WaitingTask, plan, problem.MaxCost, attempts, migration.Limits{
+		MaxRecordBytes: migrations.maxRecordBytes(), MaxMovingFraction: migrations.settings.Capabilities.MaxMigratingFraction,
 		KindOf: func(host string) (string, int) {
-			m := g.controller.shardLeader.machines[host]
-			if m == nil {
+			machine := migrations.controller.shardLeader.machines[host]
+			if machine == nil {
 				return "", 0
 			}
-			k, count := machineKind{m.machineType, m.zone, m.spot}, 0
-			for _, o := range g.controller.shardLeader.machinesByID {
-				if (machineKind{o.machineType, o.zone, o.spot}) == k {
+			kind, count := machineKind{machine.machineType, machine.zone, machine.spot}, 0
+			for _, other := range migrations.controller.shardLeader.machinesByID {
+				if (machineKind{other.machineType, other.zone, other.spot}) == kind {
 					count++
 				}
 			}
-			return kindName(k), count
+			return kindName(kind), count
 		},
 	})
 	if reason != "" {
-		g.debug("migration not started", "job", p.WaitingTask.Job, "reason", reason)
+		migrations.debug("migration not started", "job", problem.WaitingTask.Job, "reason", reason)
 		return
 	}
-	g.info("migration planned", "job", p.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "max_cost", p.MaxCost)
-	g.updateReservations(mv)
+	migrations.info("migration planned", "job", problem.WaitingTask.Job, "machine", plan.Host, "moves", len(plan.Moves), "cost", plan.Cost, "max_cost", problem.MaxCost)
+	migrations.updateReservations(state)
 }
 
-// kindName is a kind as logs and records of evacuations have it.
-func kindName(k machineKind) string {
-	name := k.machineType + "/" + k.zone
-	if k.spot {
+// kindName returns the name of a machine kind in logs and in the records of evacuations.
+func kindName(kind machineKind) string {
+	name := kind.machineType + "/" + kind.zone
+	if kind.spot {
 		name += "/spot"
 	}
 	return name
 }
 
-// migrationProblem is the planner's problem for a task of j.
-func (g *migrationManager) migrationProblem(mv *migrations, j *job) *migration.Problem {
-	p, hosts := g.migrationCandidates(mv, j)
-	p.MaxCost = g.maxMigrationCost(j)
-	p.WaitingTask = migration.WaitingTask{Job: j.ID, Need: j.Need, Image: j.Image, ImageGB: j.ImageGB, Allowed: func(h int) bool {
-		m := hosts[h]
-		return j.allowsMachine(m.machineType, m.zone, m.spot) && j.zoneAllowed(m.zone) && m.id != j.avoidedMachine() && !m.reservedForOther(j)
+// migrationProblem returns the problem of freeing capacity for a task of the job, for migration.Find.
+func (migrations *migrationManager) migrationProblem(state *migrations, job *job) *migration.Problem {
+	problem, hosts := migrations.migrationCandidates(state, job)
+	problem.MaxCost = migrations.maxMigrationCost(job)
+	problem.WaitingTask = migration.WaitingTask{Job: job.ID, Need: job.Need, Image: job.Image, ImageGB: job.ImageGB, Allowed: func(hostIndex int) bool {
+		machine := hosts[hostIndex]
+		return job.allowsMachine(machine.machineType, machine.zone, machine.spot) && job.zoneAllowed(machine.zone) && machine.id != job.avoidedMachine() && !machine.reservedForOther(job)
 	}}
-	return p
+	return problem
 }
 
-// migrationCandidates is the problem's hosts, also as machines, and the replicas that may be migrated for a job.
-func (g *migrationManager) migrationCandidates(mv *migrations, j *job) (*migration.Problem, []*machine) {
-	s := g.controller.shardLeader
-	p := &migration.Problem{MaxMoves: migration.MaxMoves}
+// migrationCandidates returns a problem with the usable hosts and with the replicas that may be migrated for the
+// job. It also returns the machines of these hosts, in the same order.
+func (migrations *migrationManager) migrationCandidates(state *migrations, job *job) (*migration.Problem, []*machine) {
+	shardLeader := migrations.controller.shardLeader
+	problem := &migration.Problem{MaxMoves: migration.MaxMoves}
 	var hosts []*machine
-	place := map[*machine]int{}
-	for _, m := range s.machinesByID {
-		if !g.controller.shardLeader.scheduler.usable(m) {
+	hostIndexes := map[*machine]int{}
+	for _, hostMachine := range shardLeader.machinesByID {
+		if !migrations.controller.shardLeader.scheduler.usable(hostMachine) {
 			continue
 		}
-		// A machine that is being decommissioned counts as well: replicas on it don't end by
-		// themselves, and work that fits nowhere else is not to wait beside it.
-		h := migration.Host{
-			ID: m.id, Kind: kindName(machineKind{m.machineType, m.zone, m.spot}), Size: m.size, Free: m.free(),
-			Schedulable: !m.reservedForOther(j), Images: map[string]bool{}, FetchRate: g.controller.knowledge.imageFetchRate(m),
+		// A machine that is being decommissioned is included: the replicas on it don't end by
+		// themselves, and a task that fits on no other machine should not wait while it has capacity.
+		host := migration.Host{
+			ID: hostMachine.id, Kind: kindName(machineKind{hostMachine.machineType, hostMachine.zone, hostMachine.spot}), Size: hostMachine.size, Free: hostMachine.free(),
+			Schedulable: !hostMachine.reservedForOther(job), Images: map[string]bool{}, FetchRate: migrations.controller.knowledge.imageFetchRate(hostMachine),
 		}
-		for name, im := range m.images {
-			if im.cached {
-				h.Images[name] = true
+		for name, image := range hostMachine.images {
+			if image.cached {
+				host.Images[name] = true
 			}
 		}
-		place[m] = len(hosts)
-		hosts, p.Hosts = append(hosts, m), append(p.Hosts, h)
+		hostIndexes[hostMachine] = len(hosts)
+		hosts, problem.Hosts = append(hosts, hostMachine), append(problem.Hosts, host)
 	}
-	// All replicas of a job in one zone may go to the same machines.
-	type like struct{ job, zone string }
-	allowed := map[like]func(int) bool{}
+	// All replicas of a job in one zone may migrate to the same machines.
+	type jobInZone struct{ job, zone string }
+	allowed := map[jobInZone]func(int) bool{}
 	canSpare := map[string]bool{}
-	for _, m := range hosts {
-		for _, k := range sortedAttempts(m) {
-			r, t := g.movableReplica(k.job, k.index)
-			if r == nil || !t.isRunning() || t.stopReason != stopNone || !r.durable(k.index) || !mv.tracker.MayMove(g.now, k.job, k.index) {
+	for _, hostMachine := range hosts {
+		for _, attemptKey := range sortedAttempts(hostMachine) {
+			replica, task := migrations.movableReplica(attemptKey.job, attemptKey.index)
+			if replica == nil || !task.isRunning() || task.stopReason != stopNone || !replica.durable(attemptKey.index) || !state.tracker.MayMove(migrations.now, attemptKey.job, attemptKey.index) {
 				continue
 			}
-			can, known := canSpare[k.job]
+			canMove, known := canSpare[attemptKey.job]
 			if !known {
-				up, of := migrationFacts{g.controller}.RunningReplicas(k.job)
-				can = r != j && (of > 1 || g.yieldsTo(r, j)) && (of == 1 || 2*(up-1) >= of)
-				canSpare[k.job] = can
+				running, total := migrationFacts{migrations.controller}.RunningReplicas(attemptKey.job)
+				canMove = replica != job && (total > 1 || migrations.yieldsTo(replica, job)) && (total == 1 || 2*(running-1) >= total)
+				canSpare[attemptKey.job] = canMove
 			}
-			if !can {
+			if !canMove {
 				continue
 			}
-			key := like{k.job, m.zone}
-			if allowed[key] == nil {
-				allowed[key] = allowedHosts(r, m.zone, hosts)
+			allowedKey := jobInZone{attemptKey.job, hostMachine.zone}
+			if allowed[allowedKey] == nil {
+				allowed[allowedKey] = allowedHosts(replica, hostMachine.zone, hosts)
 			}
-			x := migration.Replica{Job: k.job, Index: k.index, HostIndex: place[m], Need: r.Need, Image: r.Image, ImageGB: r.ImageGB, Movable: true, Allowed: allowed[key]}
-			if r.CheckpointInterval > 0 {
-				x.LostWork = r.CheckpointCost
+			candidate := migration.Replica{Job: attemptKey.job, Index: attemptKey.index, HostIndex: hostIndexes[hostMachine], Need: replica.Need, Image: replica.Image, ImageGB: replica.ImageGB, Movable: true, Allowed: allowed[allowedKey]}
+			if replica.CheckpointInterval > 0 {
+				candidate.LostWork = replica.CheckpointCost
 			}
-			p.Replicas = append(p.Replicas, x)
+			problem.Replicas = append(problem.Replicas, candidate)
 		}
 	}
-	return p, hosts
+	return problem, hosts
 }
 
-// allowedHosts returns which of hosts a replica of j that is in a zone may go to, given j's other tasks.
-func allowedHosts(j *job, zone string, hosts []*machine) func(int) bool {
+// allowedHosts returns a function that reports whether a replica of the job in the given zone may migrate to a
+// host, given the zones of the job's other tasks. The function takes an index of hosts.
+func allowedHosts(job *job, zone string, hosts []*machine) func(int) bool {
 	zoneOK := func(to string) bool {
 		switch {
 		case to == zone:
 			return true
-		case j.SameZone && j.liveTasks > 1:
+		case job.SameZone && job.liveTasks > 1:
 			return false
 		}
-		return !j.SpreadZones || j.liveByZone[""] == 0 && j.liveByZone[to] < (len(j.tasks)+1)/2
+		return !job.SpreadZones || job.liveByZone[""] == 0 && job.liveByZone[to] < (len(job.tasks)+1)/2
 	}
-	return func(h int) bool {
-		m := hosts[h]
-		return j.allowsMachine(m.machineType, m.zone, m.spot) && zoneOK(m.zone) && !m.reservedForOther(j)
+	return func(hostIndex int) bool {
+		machine := hosts[hostIndex]
+		return job.allowsMachine(machine.machineType, machine.zone, machine.spot) && zoneOK(machine.zone) && !machine.reservedForOther(job)
 	}
 }
 
-// maxMigrationCost is what migrations for a task of j may cost: the time until a new machine would be ready and have
-// the image, or until capacity is free, whichever is shorter.
-func (g *migrationManager) maxMigrationCost(j *job) time.Duration {
+// maxMigrationCost returns how much the migrations for a task of the job may cost. It is the time until a new machine
+// would be ready and have the image, or until capacity is expected to become free, whichever is shorter, and at most
+// maxMigrationWait.
+func (migrations *migrationManager) maxMigrationCost(job *job) time.Duration {
 	cost := maxMigrationWait
-	v := g.controller.shardLeader.fleet.view
-	for _, name := range sortedKeys(g.controller.knowledge.machineTypes) {
-		f := g.controller.knowledge.machineTypes[name]
-		if !j.Need.Fits(f.Capacity) {
+	view := migrations.controller.shardLeader.fleet.view
+	for _, name := range sortedKeys(migrations.controller.knowledge.machineTypes) {
+		machineType := migrations.controller.knowledge.machineTypes[name]
+		if !job.Need.Fits(machineType.Capacity) {
 			continue
 		}
-		for _, z := range f.Zones {
+		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
-				k := machineKind{name, z, spot}
-				if !j.allowsMachine(name, z, spot) || !j.zoneAllowed(z) || g.controller.shardLeader.fleet.neverReadyKinds[k] || v == nil || v.blockedUntil[k].After(g.now) {
+				kind := machineKind{name, zone, spot}
+				if !job.allowsMachine(name, zone, spot) || !job.zoneAllowed(zone) || migrations.controller.shardLeader.fleet.neverReadyKinds[kind] || view == nil || view.blockedUntil[kind].After(migrations.now) {
 					continue
 				}
-				cost = min(cost, g.controller.knowledge.timeToReady(k, 0)+newMachineFetchTime(&f, j))
+				cost = min(cost, migrations.controller.knowledge.timeToReady(kind, 0)+newMachineFetchTime(&machineType, job))
 			}
 		}
 	}
-	for r := range g.controller.shardLeader.fleet.expectedFor(j) {
-		if f := g.controller.knowledge.machineTypes[r.machineType]; j.zoneAllowed(r.zone) && j.Need.Fits(f.Capacity) {
-			cost = min(cost, g.controller.knowledge.timeToReady(r.machineKind, g.now.Sub(r.rentedAt))+newMachineFetchTime(&f, j))
+	for rental := range migrations.controller.shardLeader.fleet.expectedFor(job) {
+		if machineType := migrations.controller.knowledge.machineTypes[rental.machineType]; job.zoneAllowed(rental.zone) && job.Need.Fits(machineType.Capacity) {
+			cost = min(cost, migrations.controller.knowledge.timeToReady(rental.machineKind, migrations.now.Sub(rental.rentedAt))+newMachineFetchTime(&machineType, job))
 		}
 	}
-	for _, x := range g.controller.shardLeader.fleet.futureFreeCapacity().machines {
-		if !j.allowsMachine(x.machineKind.machineType, x.machineKind.zone, x.machineKind.spot) || !j.zoneAllowed(x.machineKind.zone) {
+	for _, futureMachine := range migrations.controller.shardLeader.fleet.futureFreeCapacity().machines {
+		if !job.allowsMachine(futureMachine.machineKind.machineType, futureMachine.machineKind.zone, futureMachine.machineKind.spot) || !job.zoneAllowed(futureMachine.machineKind.zone) {
 			continue
 		}
-		if at, ok := x.earliestStart(j.Need, false, g.controller.shardLeader.scheduler.avoidsGPUs(j)); ok {
-			cost = min(cost, at)
+		if start, ok := futureMachine.earliestStart(job.Need, false, migrations.controller.shardLeader.scheduler.avoidsGPUs(job)); ok {
+			cost = min(cost, start)
 		}
 	}
 	return cost
--- a/internal/controller/migration_records.go
+++ b/internal/controller/migration_records.go
@@ -8,147 +8,151 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// nextMigrationWrite is when a record may be written next.
-func (g *migrationManager) nextMigrationWrite(mv *migrations) time.Time {
-	leaders := 0
-	for _, s := range g.controller.membership.shardMap.Shards() {
-		if len(s.Teams) > 0 {
-			leaders++
+// nextMigrationWrite returns the time from which on the next record may be written.
+func (migrations *migrationManager) nextMigrationWrite(state *migrations) time.Time {
+	shardLeaders := 0
+	for _, shard := range migrations.controller.membership.shardMap.Shards() {
+		if len(shard.Teams) > 0 {
+			shardLeaders++
 		}
 	}
-	return mv.lastWrite.Add(migrationWriteInterval * time.Duration(max(1, leaders)))
+	return state.lastWrite.Add(migrationWriteInterval * time.Duration(max(1, shardLeaders)))
 }
 
-// write writes the record of one team, if any is due: new plans at once, ends of migrations when there is time.
-func (g *migrationManager) write(mv *migrations) {
-	if g.nextMigrationWrite(mv).After(g.now) {
+// write writes the record of one team, if a write is due. A record with new plans is written first and without
+// delay; any other change waits for migrationLazyDelay.
+func (migrations *migrationManager) write(state *migrations) {
+	if migrations.nextMigrationWrite(state).After(migrations.now) {
 		return
 	}
-	var best string
+	var bestTeam string
 	var bestSince time.Time
-	bestFresh := false
-	for _, team := range mv.tracker.Teams() {
-		since, fresh, due := mv.tracker.WriteDue(team)
-		rec := mv.records[team]
-		if rec == nil || rec.writing || !due || !fresh && g.now.Sub(since) < migrationLazyDelay {
+	bestHasNewPlans := false
+	for _, team := range state.tracker.Teams() {
+		since, hasNewPlans, due := state.tracker.WriteDue(team)
+		rec := state.records[team]
+		if rec == nil || rec.writing || !due || !hasNewPlans && migrations.now.Sub(since) < migrationLazyDelay {
 			continue
 		}
-		if _, ver := mv.tracker.EncodeRecord(team); ver == rec.rejectedVersion {
+		if _, version := state.tracker.EncodeRecord(team); version == rec.rejectedVersion {
 			continue
 		}
-		if best == "" || fresh && !bestFresh || fresh == bestFresh && since.Before(bestSince) {
-			best, bestSince, bestFresh = team, since, fresh
+		if bestTeam == "" || hasNewPlans && !bestHasNewPlans || hasNewPlans == bestHasNewPlans && since.Before(bestSince) {
+			bestTeam, bestSince, bestHasNewPlans = team, since, hasNewPlans
 		}
 	}
-	if best == "" {
+	if bestTeam == "" {
 		return
 	}
-	mv.lastWrite = g.now
-	g.writeTeam(mv, best)
+	state.lastWrite = migrations.now
+	migrations.writeTeam(state, bestTeam)
 }
 
-// migrationTxn is the transaction that writes a team's record. It names the open record of each job of a new plan, so
-// that none is migrated that was cancelled meanwhile, the shards of their teams, and the record as it was read. It
-// returns false if such a job is open no more.
-func (g *migrationManager) migrationTxn(mv *migrations, team string, value []byte) (message.StoreRequest, bool) {
-	op := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
+// migrationTxn returns the transaction that writes a team's record. The transaction compares the revisions of the
+// open records of all jobs in new plans, so that no job is migrated that was cancelled in the meantime. It also
+// compares the revisions of the shards of these jobs' teams and of the migration record itself. migrationTxn returns
+// false if a job of a new plan is not open any more.
+func (migrations *migrationManager) migrationTxn(state *migrations, team string, value []byte) (message.StoreRequest, bool) {
+	request := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
 	teams := []string{team}
-	for _, e := range mv.tracker.UnsavedPlans(team) {
-		op.Priority = message.PriorityStart
+	for _, plan := range state.tracker.UnsavedPlans(team) {
+		request.Priority = message.PriorityStart
 		var jobs []string
-		if !isEvacuationHold(e.HeldFor) {
-			jobs = append(jobs, e.HeldFor)
+		if !isEvacuationHold(plan.HeldFor) {
+			jobs = append(jobs, plan.HeldFor)
 		}
-		for i := range e.Steps {
-			jobs = append(jobs, e.Steps[i].Job)
+		for i := range plan.Steps {
+			jobs = append(jobs, plan.Steps[i].Job)
 		}
-		for _, id := range jobs {
-			j := g.controller.shardLeader.jobs[id]
-			if j == nil {
-				return op, false
+		for _, jobID := range jobs {
+			job := migrations.controller.shardLeader.jobs[jobID]
+			if job == nil {
+				return request, false
 			}
-			teams = append(teams, j.Team)
-			if c := (message.Compare{Key: record.OpenJobPrefix + id, ModRevision: j.modRevision}); !slices.Contains(op.Compares, c) {
-				op.Compares = append(op.Compares, c)
+			teams = append(teams, job.Team)
+			if compare := (message.Compare{Key: record.OpenJobPrefix + jobID, ModRevision: job.modRevision}); !slices.Contains(request.Compares, compare) {
+				request.Compares = append(request.Compares, compare)
 			}
 		}
 	}
-	key, rec := migrationKey(team), mv.records[team]
-	op.Compares = append(op.Compares, g.controller.shardLeader.shardCompares(teams...)...)
-	op.Compares = append(op.Compares, message.Compare{Key: key, ModRevision: rec.modRevision})
-	op.Writes = []message.Write{{Key: key, Value: value}}
-	return op, true
+	key, rec := migrationKey(team), state.records[team]
+	request.Compares = append(request.Compares, migrations.controller.shardLeader.shardCompares(teams...)...)
+	request.Compares = append(request.Compares, message.Compare{Key: key, ModRevision: rec.modRevision})
+	request.Writes = []message.Write{{Key: key, Value: value}}
+	return request, true
 }
 
-// writeTeam writes a team's record, or deletes it when nothing is under way any more.
-func (g *migrationManager) writeTeam(mv *migrations, team string) {
-	rec := mv.records[team]
-	value, version := mv.tracker.EncodeRecord(team)
-	op, ok := g.migrationTxn(mv, team, value)
+// writeTeam writes a team's record, or deletes it if the team has no migrations and no cooldowns.
+func (migrations *migrationManager) writeTeam(state *migrations, team string) {
+	rec := state.records[team]
+	value, version := state.tracker.EncodeRecord(team)
+	request, ok := migrations.migrationTxn(state, team, value)
 	if !ok {
-		// A job is over: nothing of this plan is to be done.
-		mv.tracker.WriteRefused(team, g.now)
+		// A job of a new plan has ended, so the plan is dropped.
+		state.tracker.WriteRefused(team, migrations.now)
 		return
 	}
 	if value == nil && rec.modRevision == 0 {
-		mv.tracker.MarkPersisted(team, version)
+		state.tracker.MarkPersisted(team, version)
 		return
 	}
 	rec.writing = true
-	generation := g.controller.shardLeader.generation
-	g.controller.requests.toStore(op, func(d message.StoreResponse) {
-		if g.controller.shardLeader == nil || g.controller.shardLeader.generation != generation || mv.records[team] != rec {
+	generation := migrations.controller.shardLeader.generation
+	migrations.controller.requests.toStore(request, func(response message.StoreResponse) {
+		if migrations.controller.shardLeader == nil || migrations.controller.shardLeader.generation != generation || state.records[team] != rec {
 			return
 		}
 		rec.writing = false
-		switch d.Status {
+		switch response.Status {
 		case message.StoreOK:
-			rec.modRevision = d.Revision
+			rec.modRevision = response.Revision
 			if value == nil {
 				rec.modRevision = 0
 			}
-			mv.tracker.MarkPersisted(team, version)
-			g.controller.shardLeader.migration.advance(mv)
+			state.tracker.MarkPersisted(team, version)
+			migrations.controller.shardLeader.migration.advance(state)
 		case message.StoreConflict:
-			if !slices.Contains(d.FailedKeys, migrationKey(team)) {
-				// A job or a shard has changed: planned again, if it is still needed.
-				mv.tracker.WriteRefused(team, g.now)
-				g.controller.shardLeader.migration.updateReservations(mv)
+			if !slices.Contains(response.FailedKeys, migrationKey(team)) {
+				// A job or a shard has changed. The new plans are dropped; tick plans again if capacity is still
+				// needed.
+				state.tracker.WriteRefused(team, migrations.now)
+				migrations.controller.shardLeader.migration.updateReservations(state)
 				return
 			}
-			g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
+			migrations.controller.shardLeader.migration.reReadTeam(state, team, rec)
 		case message.StoreUnknown:
-			g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
+			migrations.controller.shardLeader.migration.reReadTeam(state, team, rec)
 		case message.StoreMalformed:
-			mv.tracker.WriteRefused(team, g.now)
-			_, rec.rejectedVersion = mv.tracker.EncodeRecord(team)
-			g.controller.shardLeader.migration.updateReservations(mv)
+			state.tracker.WriteRefused(team, migrations.now)
+			_, rec.rejectedVersion = state.tracker.EncodeRecord(team)
+			migrations.controller.shardLeader.migration.updateReservations(state)
 		}
 	})
 }
 
-// reReadTeam reads a team's record after a write of this shard leader that may have been applied, or may be later.
-// What stands there was written under its shard. It is written again on top of that.
-func (g *migrationManager) reReadTeam(mv *migrations, team string, rec *migrationRecord) {
+// reReadTeam reads the revision of a team's record after a write with an unknown outcome: the store may have applied
+// it, or may apply it later. Each write compares the shard's revision, so the stored record was written under this
+// shard, and the record is written again on top of the revision that was read.
+func (migrations *migrationManager) reReadTeam(state *migrations, team string, rec *migrationRecord) {
 	rec.writing = true
-	generation := g.controller.shardLeader.generation
-	g.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(d message.StoreResponse) {
-		if g.controller.shardLeader == nil || g.controller.shardLeader.generation != generation || mv.records[team] != rec {
+	generation := migrations.controller.shardLeader.generation
+	migrations.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(response message.StoreResponse) {
+		if migrations.controller.shardLeader == nil || migrations.controller.shardLeader.generation != generation || state.records[team] != rec {
 			return
 		}
-		switch d.Status {
+		switch response.Status {
 		case message.StoreOK:
-			rec.modRevision, rec.writing = d.KeyValues[0].ModRevision, false
+			rec.modRevision, rec.writing = response.KeyValues[0].ModRevision, false
 		case message.StoreNotFound:
 			rec.modRevision, rec.writing = 0, false
 		default:
-			g.after(g.jitter(storeRetryDelay), func() {
-				if g.controller.shardLeader != nil && g.controller.shardLeader.generation == generation && mv.records[team] == rec {
-					g.controller.shardLeader.migration.reReadTeam(mv, team, rec)
+			migrations.after(migrations.jitter(storeRetryDelay), func() {
+				if migrations.controller.shardLeader != nil && migrations.controller.shardLeader.generation == generation && state.records[team] == rec {
+					migrations.controller.shardLeader.migration.reReadTeam(state, team, rec)
 				}
 			})
 			return
 		}
-		mv.tracker.WriteUncertain(team, g.now)
+		state.tracker.WriteUncertain(team, migrations.now)
 	})
 }
--- a/internal/migration/evacuations.go
+++ b/internal/migration/evacuations.go
@@ -6,69 +6,72 @@
 	"time"
 )
 
-// EvacuationCost is what it would cost an owner to evacuate a host of a kind: how long replicas
-// would be down.
+// EvacuationCost is the cost for a shard leader to evacuate a host of a kind, as the time that
+// replicas would be down.
 type EvacuationCost struct {
 	Owner, Kind string
 	Downtime    time.Duration
 }
 
-// MachineNeed is an owner that needs an empty host of one of some kinds.
+// MachineNeed is the need of a shard leader for one empty host of any of the given kinds.
 type MachineNeed struct {
 	Owner string
 	Kinds []string
 }
 
-// EvacuationRequest asks Owner to evacuate a host of a kind for Recipient.
+// EvacuationRequest asks the shard leader Owner to evacuate a host of a kind for the shard leader
+// Recipient.
 type EvacuationRequest struct {
 	Recipient, Owner, Kind string
-	// Until is when the request is given up, and another owner may be asked.
+	// Until is when the request expires. Afterwards another owner may be asked.
 	Until time.Time
 }
 
-// Evacuations has the leader's requests to evacuate hosts for other owners, the shard leaders. A
-// recipient gets one host at a time, and an owner evacuates one at a time: an evacuation may
-// take as long as the longest hold, and may fail. The zero value is ready for use.
+// Evacuations holds the leader's requests to evacuate hosts. A recipient gets one host at a time, and
+// an owner evacuates one host at a time, because an evacuation may take as long as maxHold and may
+// fail. The zero value is ready for use.
 type Evacuations struct {
 	requests []EvacuationRequest
-	// backoffUntil is until when an owner that let a request expire is not asked again.
+	// backoffUntil is, by owner, the time before which an owner that let a request expire is not
+	// asked again.
 	backoffUntil map[string]time.Time
 }
 
 const (
-	// evacuationTimeout is how long an owner has to evacuate a host. One that lets that pass is
-	// not asked again for evacuationBackoff, so that others are.
+	// evacuationTimeout is how long an owner has to evacuate a host.
 	evacuationTimeout = time.Minute
+	// evacuationBackoff is how long an owner is not asked again after it let a request expire, so
+	// that other owners are asked.
 	evacuationBackoff = 15 * time.Second
-	// costGrace is how long an owner that was asked may leave out its cost, which it computes
-	// every few seconds.
+	// costGrace is how long after a request its owner may publish no cost for the kind without
+	// losing the request. Owners compute their costs only every few seconds.
 	costGrace = 15 * time.Second
 )
 
-// Update brings the requests in line with needs and costs, the cheapest first, and returns them.
-// The caller must not change them.
-func (x *Evacuations) Update(now time.Time, needs []MachineNeed, costs []EvacuationCost) []EvacuationRequest {
+// Update removes the requests that have expired or are not needed any more, adds requests for the
+// needs, the cheapest owner first, and returns all requests. The caller must not change them.
+func (evacuations *Evacuations) Update(now time.Time, needs []MachineNeed, costs []EvacuationCost) []EvacuationRequest {
 	needsByOwner := map[string]MachineNeed{}
 	for _, need := range needs {
 		needsByOwner[need.Owner] = need
 	}
 	donating, served := map[string]bool{}, map[string]bool{}
-	x.requests = slices.DeleteFunc(x.requests, func(a EvacuationRequest) bool {
-		if need, found := needsByOwner[a.Recipient]; !found || !slices.Contains(need.Kinds, a.Kind) {
+	evacuations.requests = slices.DeleteFunc(evacuations.requests, func(request EvacuationRequest) bool {
+		if need, found := needsByOwner[request.Recipient]; !found || !slices.Contains(need.Kinds, request.Kind) {
 			return true
 		}
-		if !now.Before(a.Until) {
-			if x.backoffUntil == nil {
-				x.backoffUntil = map[string]time.Time{}
+		if !now.Before(request.Until) {
+			if evacuations.backoffUntil == nil {
+				evacuations.backoffUntil = map[string]time.Time{}
 			}
-			x.backoffUntil[a.Owner] = now.Add(evacuationBackoff)
+			evacuations.backoffUntil[request.Owner] = now.Add(evacuationBackoff)
 			return true
 		}
-		if a.Until.Sub(now) < evacuationTimeout-costGrace && !slices.ContainsFunc(costs, func(cost EvacuationCost) bool { return cost.Owner == a.Owner && cost.Kind == a.Kind }) {
-			// The owner has evacuated the host, or can't any more.
+		if request.Until.Sub(now) < evacuationTimeout-costGrace && !slices.ContainsFunc(costs, func(cost EvacuationCost) bool { return cost.Owner == request.Owner && cost.Kind == request.Kind }) {
+			// The owner has evacuated the host or can't evacuate one any more.
 			return true
 		}
-		donating[a.Owner], served[a.Recipient] = true, true
+		donating[request.Owner], served[request.Recipient] = true, true
 		return false
 	})
 	costs = slices.Clone(costs)
@@ -77,13 +80,13 @@
 	})
 	for _, cost := range costs {
 		for _, need := range needs {
-			// An owner that needs a host itself keeps those it has.
-			if _, needsOne := needsByOwner[cost.Owner]; needsOne || donating[cost.Owner] || served[need.Owner] || now.Before(x.backoffUntil[cost.Owner]) || !slices.Contains(need.Kinds, cost.Kind) {
+			// An owner that needs a host itself evacuates none for others.
+			if _, needsOne := needsByOwner[cost.Owner]; needsOne || donating[cost.Owner] || served[need.Owner] || now.Before(evacuations.backoffUntil[cost.Owner]) || !slices.Contains(need.Kinds, cost.Kind) {
 				continue
 			}
 			donating[cost.Owner], served[need.Owner] = true, true
-			x.requests = append(x.requests, EvacuationRequest{need.Owner, cost.Owner, cost.Kind, now.Add(evacuationTimeout)})
+			evacuations.requests = append(evacuations.requests, EvacuationRequest{need.Owner, cost.Owner, cost.Kind, now.Add(evacuationTimeout)})
 		}
 	}
-	return x.requests
+	return evacuations.requests
 }
--- a/internal/migration/evacuations_test.go
+++ b/internal/migration/evacuations_test.go
@@ -10,11 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// TestEvacuations: each owner that needs a host gets one at a time, of a kind that it can
-// use, from one that needs none, the cheapest first; and no request outlives its need.
+// TestEvacuations checks the requests for drawn needs and costs. Each shard leader that needs a host
+// gets one request at a time, for a kind that it needs. The request goes to the shard leader with the
+// lowest cost that needs no host itself, and it ends with the need.
 func TestEvacuations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var x Evacuations
+		var evacuations Evacuations
 		now := time.Unix(1_750_000_000, 0)
 		var before []EvacuationRequest
 		for range rapid.IntRange(1, 12).Draw(t, "looks") {
@@ -26,38 +27,38 @@
 				if kinds := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"k", "l"}), 0, 2, rapid.ID[string]).Draw(t, "kinds"); len(kinds) > 0 && rapid.Bool().Draw(t, "needs") {
 					needs = append(needs, MachineNeed{owner, kinds})
 				}
-				for _, k := range []string{"k", "l"} {
+				for _, kind := range []string{"k", "l"} {
 					if rapid.Bool().Draw(t, "offers") {
-						costs = append(costs, EvacuationCost{owner, k, time.Duration(rapid.IntRange(0, 9).Draw(t, "down")) * time.Second})
+						costs = append(costs, EvacuationCost{owner, kind, time.Duration(rapid.IntRange(0, 9).Draw(t, "down")) * time.Second})
 					}
 				}
 			}
-			asks := slices.Clone(x.Update(now, needs, costs))
-			needy, giving := map[string]bool{}, map[string]bool{}
-			for _, a := range asks {
-				i := slices.IndexFunc(needs, func(d MachineNeed) bool { return d.Owner == a.Recipient })
-				if i < 0 || !slices.Contains(needs[i].Kinds, a.Kind) || needy[a.Recipient] || giving[a.Owner] || !now.Before(a.Until) {
-					t.Fatalf("got request %+v, want one for each of %+v at most", a, needs)
+			requests := slices.Clone(evacuations.Update(now, needs, costs))
+			recipients, donors := map[string]bool{}, map[string]bool{}
+			for _, request := range requests {
+				i := slices.IndexFunc(needs, func(need MachineNeed) bool { return need.Owner == request.Recipient })
+				if i < 0 || !slices.Contains(needs[i].Kinds, request.Kind) || recipients[request.Recipient] || donors[request.Owner] || !now.Before(request.Until) {
+					t.Fatalf("got request %+v, want at most one for each of the needs %+v", request, needs)
 				}
-				needy[a.Recipient], giving[a.Owner] = true, true
-				if slices.Contains(before, a) {
+				recipients[request.Recipient], donors[request.Owner] = true, true
+				if slices.Contains(before, request) {
 					continue
 				}
-				if slices.ContainsFunc(needs, func(d MachineNeed) bool { return d.Owner == a.Owner }) {
-					t.Fatalf("got a request to %s, which needs a host itself, want none", a.Owner)
+				if slices.ContainsFunc(needs, func(need MachineNeed) bool { return need.Owner == request.Owner }) {
+					t.Fatalf("got a request to %s, which needs a host itself, want none", request.Owner)
 				}
-				at := slices.IndexFunc(costs, func(c EvacuationCost) bool { return c.Owner == a.Owner && c.Kind == a.Kind })
-				if at < 0 {
-					t.Fatalf("got a request to %s, which offers no such host, want none", a.Owner)
+				costIndex := slices.IndexFunc(costs, func(cost EvacuationCost) bool { return cost.Owner == request.Owner && cost.Kind == request.Kind })
+				if costIndex < 0 {
+					t.Fatalf("got a request to %s, which publishes no cost for the kind, want none", request.Owner)
 				}
-				for _, c := range costs {
-					free := !slices.ContainsFunc(asks, func(b EvacuationRequest) bool { return b.Owner == c.Owner }) && !slices.ContainsFunc(needs, func(d MachineNeed) bool { return d.Owner == c.Owner })
-					if free && slices.Contains(needs[i].Kinds, c.Kind) && c.Downtime < costs[at].Downtime && !now.Before(x.backoffUntil[c.Owner]) {
-						t.Fatalf("got request %+v, want the cheaper %+v", a, c)
+				for _, cost := range costs {
+					free := !slices.ContainsFunc(requests, func(other EvacuationRequest) bool { return other.Owner == cost.Owner }) && !slices.ContainsFunc(needs, func(need MachineNeed) bool { return need.Owner == cost.Owner })
+					if free && slices.Contains(needs[i].Kinds, cost.Kind) && cost.Downtime < costs[costIndex].Downtime && !now.Before(evacuations.backoffUntil[cost.Owner]) {
+						t.Fatalf("got request %+v, want the cheaper %+v", request, cost)
 					}
 				}
 			}
-			before = asks
+			before = requests
 		}
 	})
 }
--- a/internal/migration/find.go
+++ b/internal/migration/find.go
@@ -9,234 +9,245 @@
 )
 
 const (
-	// exhaustivePairs is up to how many pairs of a host and a replica a problem is searched
-	// exhaustively. Beyond, the search is bounded: of the hosts that a chain of moves could
-	// pass through only the most promising are tried, and the number of steps is limited.
+	// exhaustivePairs is the largest product of the numbers of hosts and replicas for which the
+	// search is exhaustive. For larger problems the search is bounded: the number of steps is
+	// limited, and of the hosts that another replica must leave first only the most promising
+	// are tried.
 	exhaustivePairs = 100
-	// maxDirectTargets is how many hosts with enough free capacity are tried for a replica.
-	// Three suffice: the other moves of a plan go to at most two of them, and one that no
-	// other move goes to and that costs no more is as good as any behind it.
+	// maxDirectTargets is how many hosts with enough free capacity are tried for a replica, the
+	// cheapest first. Three suffice: the other moves of a plan go to at most two of them, and the
+	// remaining one is at least as cheap as all hosts that are not tried.
 	maxDirectTargets = MaxMoves
-	// maxChainTargets is how many hosts are tried that another replica has to leave first.
+	// maxChainTargets is how many hosts are tried that another replica must leave first.
 	maxChainTargets = 12
-	// maxSteps bounds the moves that a bounded search tries for each length of a plan, which
-	// take some milliseconds.
+	// maxSteps bounds the moves that a bounded search tries for each length of a plan. 20,000
+	// moves take some milliseconds.
 	maxSteps = 20_000
-	// costTolerance is how many times more than the cheapest a plan may cost: what could save
-	// less is not searched for.
+	// costTolerance is the largest ratio of a plan's cost to that of the cheapest plan. Once a
+	// plan is found, plans that would save less than this ratio are not searched for.
 	costTolerance = 1.2
 )
 
-// infeasible is the cost of what can't be done, small enough to be added up.
+// infeasible is the cost of an impossible move. It is small enough that several such costs can be
+// added up without overflow.
 const infeasible = time.Duration(math.MaxInt64 / 8)
 
-// Find searches for the cheapest moves, at most p.MaxMoves and MaxMoves of them, after which the
-// waiting task fits on one host, and reports whether there are any that cost at most
-// p.MaxCost. A move costs the time that its replica is down and the work that its stop loses.
-// In the order of the plan each move has enough free capacity when its turn comes: nothing
-// arrives before what was there has left. Replicas that swap hosts therefore need a third
-// host, and no replica moves twice.
-func Find(p *Problem) (Plan, bool) { return find(p, len(p.Hosts)*len(p.Replicas) <= exhaustivePairs) }
+// Find searches for the cheapest plan after which the waiting task fits on one host. It reports
+// whether there is a plan with at most problem.MaxMoves and MaxMoves moves and a cost of at most
+// problem.MaxCost. A move costs the time that its replica is down and the work that its stop loses.
+// The cost of the plan may exceed that of the cheapest by the factor costTolerance.
+//
+// The moves are ordered such that each has enough free capacity on its target after the moves
+// before it: a replica arrives only after the replicas whose capacity it needs have left. No
+// replica moves twice. Two replicas can therefore swap hosts only with the help of a third move.
+func Find(problem *Problem) (Plan, bool) {
+	return find(problem, len(problem.Hosts)*len(problem.Replicas) <= exhaustivePairs)
+}
 
-// find is Find, exhaustive or bounded.
-func find(p *Problem, exhaustive bool) (Plan, bool) {
-	f := newFinder(p, exhaustive)
-	hosts := f.candidateHosts()
-	for moveLimit := 0; moveLimit <= f.maxMoves; moveLimit++ {
-		f.stepsLeft = maxSteps
-		for _, h := range hosts {
-			if f.shortfall(h, p.WaitingTask.Need).Fits(f.replicasOn[h].largestSums[moveLimit]) {
-				f.destination = h
-				f.touched = append(f.touched[:0], h)
-				f.addFree(h, p.WaitingTask.Need, -1)
-				f.search(moveLimit, 0)
-				f.addFree(h, p.WaitingTask.Need, 1)
+// find implements Find with an exhaustive or a bounded search.
+func find(problem *Problem, exhaustive bool) (Plan, bool) {
+	finder := newFinder(problem, exhaustive)
+	hosts := finder.candidateHosts()
+	for moveLimit := 0; moveLimit <= finder.maxMoves; moveLimit++ {
+		finder.stepsLeft = maxSteps
+		for _, hostIndex := range hosts {
+			if finder.shortfall(hostIndex, problem.WaitingTask.Need).Fits(finder.replicasOn[hostIndex].largestSums[moveLimit]) {
+				finder.destination = hostIndex
+				finder.touched = append(finder.touched[:0], hostIndex)
+				finder.addFree(hostIndex, problem.WaitingTask.Need, -1)
+				finder.search(moveLimit, 0)
+				finder.addFree(hostIndex, problem.WaitingTask.Need, 1)
 			}
 		}
-		if f.found && f.bestCost == 0 {
+		if finder.found && finder.bestCost == 0 {
 			break
 		}
 	}
-	return f.plan(), f.found
+	return finder.plan(), finder.found
 }
 
-// costLimit is the cost from which on a plan is of no use.
-func (f *finder) costLimit() time.Duration {
-	if f.found {
-		return time.Duration(math.Ceil(float64(f.bestCost) / costTolerance))
+// costLimit returns the cost that a further plan must stay below to be useful.
+func (finder *finder) costLimit() time.Duration {
+	if finder.found {
+		return time.Duration(math.Ceil(float64(finder.bestCost) / costTolerance))
 	}
-	if f.problem.MaxCost < 0 {
+	if finder.problem.MaxCost < 0 {
 		return 0
 	}
-	return min(f.problem.MaxCost, infeasible-1) + 1
+	return min(finder.problem.MaxCost, infeasible-1) + 1
 }
 
-// search adds up to left steps, until the waiting task and all replicas that move fit, and keeps
-// the plan if it is the cheapest. If all fits at the end but no order of the moves gets there,
-// two replicas swap hosts and a third has to leave first. That one is on one of their hosts,
-// and is found by those searches in which that host lacks capacity.
-func (f *finder) search(left int, cost time.Duration) {
-	lacking, at := 0, -1
-	for _, h := range f.touched {
-		if (resource.Resources{}).Fits(f.netFree[h]) {
+// search adds up to left further steps until the waiting task and all moved replicas fit on their
+// hosts, and then keeps the plan. The callers add only steps whose cost stays below costLimit. If all
+// replicas fit after the steps but no order of the steps is feasible, two replicas swap hosts and a
+// third must leave first. The third replica is on one of the two hosts, and is found by the searches
+// in which that host lacks capacity.
+func (finder *finder) search(left int, cost time.Duration) {
+	lacking, lackingHost := 0, -1
+	for _, hostIndex := range finder.touched {
+		if (resource.Resources{}).Fits(finder.netFree[hostIndex]) {
 			continue
 		}
-		if lacking++; at < 0 {
-			at = h
+		if lacking++; lackingHost < 0 {
+			lackingHost = hostIndex
 		}
 	}
 	switch {
 	case lacking > left:
 	case lacking > 0:
-		f.tryMovesFrom(at, left, cost)
-	case f.findOrder():
-		f.found, f.bestCost, f.bestHost = true, cost, f.destination
-		f.bestSteps = append(f.bestSteps[:0], f.order...)
+		finder.tryMovesFrom(lackingHost, left, cost)
+	case finder.findOrder():
+		finder.found, finder.bestCost, finder.bestHost = true, cost, finder.destination
+		finder.bestSteps = append(finder.bestSteps[:0], finder.order...)
 	}
 }
 
-// tryMovesFrom tries each replica that could leave a host.
-func (f *finder) tryMovesFrom(h, left int, cost time.Duration) {
-	missing := f.shortfall(h, resource.Resources{})
-	replicas := f.replicasOn[h].replicas
-	for x, i := range replicas {
-		r := &f.problem.Replicas[i]
-		if f.moved[i] || cost+r.LostWork >= f.costLimit() || f.hasTwin(replicas[:x], i) {
+// tryMovesFrom tries to move each replica that could leave a host, which lacks capacity.
+func (finder *finder) tryMovesFrom(hostIndex, left int, cost time.Duration) {
+	missing := finder.shortfall(hostIndex, resource.Resources{})
+	replicas := finder.replicasOn[hostIndex].replicas
+	for position, replicaIndex := range replicas {
+		replica := &finder.problem.Replicas[replicaIndex]
+		if finder.moved[replicaIndex] || cost+replica.LostWork >= finder.costLimit() || finder.hasTwin(replicas[:position], replicaIndex) {
 			continue
 		}
-		// Without this one, the others that may leave must free the rest.
-		if rest := (resource.Resources{CPU: missing.CPU - r.Need.CPU, GPU: missing.GPU - r.Need.GPU, Memory: missing.Memory - r.Need.Memory}); !rest.Fits(f.replicasOn[h].largestSums[left-1]) {
+		// The other replicas that may still leave must free what this replica does not.
+		if rest := (resource.Resources{CPU: missing.CPU - replica.Need.CPU, GPU: missing.GPU - replica.Need.GPU, Memory: missing.Memory - replica.Need.Memory}); !rest.Fits(finder.replicasOn[hostIndex].largestSums[left-1]) {
 			continue
 		}
-		f.moved[i] = true
-		f.addFree(h, r.Need, 1)
-		f.tryTargets(i, left-1, cost+r.LostWork)
-		f.addFree(h, r.Need, -1)
-		f.moved[i] = false
+		finder.moved[replicaIndex] = true
+		finder.addFree(hostIndex, replica.Need, 1)
+		finder.tryTargets(replicaIndex, left-1, cost+replica.LostWork)
+		finder.addFree(hostIndex, replica.Need, -1)
+		finder.moved[replicaIndex] = false
 	}
 }
 
-// hasTwin says that another of some replicas of the same host, which has not moved, could move
-// instead with the same result.
-func (f *finder) hasTwin(replicas []int, i int) bool {
-	r := &f.problem.Replicas[i]
-	if r.Allowed != nil {
+// hasTwin reports whether one of the given replicas of the same host has not moved and could move
+// instead of the replica with the given index, with the same result.
+func (finder *finder) hasTwin(replicas []int, replicaIndex int) bool {
+	replica := &finder.problem.Replicas[replicaIndex]
+	if replica.Allowed != nil {
 		return false
 	}
-	for _, k := range replicas {
-		if o := &f.problem.Replicas[k]; !f.moved[k] && f.classOf[k] == f.classOf[i] && o.Allowed == nil && o.LostWork == r.LostWork {
+	for _, otherIndex := range replicas {
+		if other := &finder.problem.Replicas[otherIndex]; !finder.moved[otherIndex] && finder.classOf[otherIndex] == finder.classOf[replicaIndex] && other.Allowed == nil && other.LostWork == replica.LostWork {
 			return true
 		}
 	}
 	return false
 }
 
-// tryTargets tries each host that a replica could move to, with left moves after it.
-func (f *finder) tryTargets(i, left int, cost time.Duration) {
-	r := &f.problem.Replicas[i]
-	k := f.classOf[i]
-	s := &f.classes[k]
-	try := func(h int, c time.Duration) bool {
-		if h == r.HostIndex || !f.problem.Hosts[h].Schedulable || r.Allowed != nil && !r.Allowed(h) {
+// tryTargets tries each host that a replica could move to, with up to left further moves after it.
+func (finder *finder) tryTargets(replicaIndex, left int, cost time.Duration) {
+	replica := &finder.problem.Replicas[replicaIndex]
+	classIndex := finder.classOf[replicaIndex]
+	class := &finder.classes[classIndex]
+	try := func(hostIndex int, moveCost time.Duration) bool {
+		if hostIndex == replica.HostIndex || !finder.problem.Hosts[hostIndex].Schedulable || replica.Allowed != nil && !replica.Allowed(hostIndex) {
 			return false
 		}
-		if f.stepsLeft--; f.stepsLeft < 0 && !f.exhaustive {
+		if finder.stepsLeft--; finder.stepsLeft < 0 && !finder.exhaustive {
 			return false
 		}
-		f.steps = append(f.steps, step{i, h, c + r.LostWork})
-		n := len(f.touched)
-		if !slices.Contains(f.touched, h) {
-			f.touched = append(f.touched, h)
+		finder.steps = append(finder.steps, step{replicaIndex, hostIndex, moveCost + replica.LostWork})
+		touchedCount := len(finder.touched)
+		if !slices.Contains(finder.touched, hostIndex) {
+			finder.touched = append(finder.touched, hostIndex)
 		}
-		f.addFree(h, s.need, -1)
-		f.search(left, cost+c)
-		f.addFree(h, s.need, 1)
-		f.touched = f.touched[:n]
-		f.steps = f.steps[:len(f.steps)-1]
+		finder.addFree(hostIndex, class.need, -1)
+		finder.search(left, cost+moveCost)
+		finder.addFree(hostIndex, class.need, 1)
+		finder.touched = finder.touched[:touchedCount]
+		finder.steps = finder.steps[:len(finder.steps)-1]
 		return true
 	}
-	for _, h := range f.touched {
-		// What is free there has changed with the steps.
-		if s.need.Fits(f.problem.Hosts[h].Size) {
-			if c := f.fetchTime(s, h); cost+c < f.costLimit() {
-				try(h, c)
+	for _, hostIndex := range finder.touched {
+		// The free capacity of this host differs from that in the problem, for which the lists
+		// of targets are computed.
+		if class.need.Fits(finder.problem.Hosts[hostIndex].Size) {
+			if moveCost := finder.fetchTime(class, hostIndex); cost+moveCost < finder.costLimit() {
+				try(hostIndex, moveCost)
 			}
 		}
 	}
 	tried := 0
-	for _, c := range f.directTargetsFor(k) {
-		if cost+c.cost >= f.costLimit() || tried >= maxDirectTargets {
+	for _, target := range finder.directTargetsFor(classIndex) {
+		if cost+target.cost >= finder.costLimit() || tried >= maxDirectTargets {
 			break
 		}
-		if !slices.Contains(f.touched, c.host) && try(c.host, c.cost) {
+		if !slices.Contains(finder.touched, target.host) && try(target.host, target.cost) {
 			tried++
 		}
 	}
 	if left == 0 {
 		return
 	}
-	c := f.chainTargetsFor(k, left)
-	for _, hosts := range [...][]int{c.withImage, c.withoutImage} {
+	chain := finder.chainTargetsFor(classIndex, left)
+	for _, hosts := range [...][]int{chain.withImage, chain.withoutImage} {
 		tried = 0
-		for _, h := range hosts {
-			if !f.exhaustive && (f.stepsLeft < 0 || tried >= maxChainTargets) {
+		for _, hostIndex := range hosts {
+			if !finder.exhaustive && (finder.stepsLeft < 0 || tried >= maxChainTargets) {
 				break
 			}
-			if d := f.fetchTime(s, h); cost+d < f.costLimit() && !slices.Contains(f.touched, h) && try(h, d) {
+			if moveCost := finder.fetchTime(class, hostIndex); cost+moveCost < finder.costLimit() && !slices.Contains(finder.touched, hostIndex) && try(hostIndex, moveCost) {
 				tried++
 			}
 		}
 	}
 }
 
-// findOrder searches for an order of the steps in which each fits when its turn comes.
-func (f *finder) findOrder() bool {
-	f.order = append(f.order[:0], f.steps...)
-	return f.orderFrom(0)
+// findOrder searches for an order of the steps in which each replica fits on its target after the
+// steps before it. It reports whether there is one, and leaves it in finder.order.
+func (finder *finder) findOrder() bool {
+	finder.order = append(finder.order[:0], finder.steps...)
+	return finder.orderFrom(0)
 }
 
-// orderFrom is findOrder for the steps from at on, the ones before being fixed.
-func (f *finder) orderFrom(at int) bool {
-	if at == len(f.order) {
+// orderFrom searches for such an order of the steps from the given position on. The steps before it are
+// fixed.
+func (finder *finder) orderFrom(position int) bool {
+	if position == len(finder.order) {
 		return true
 	}
-	for x := at; x < len(f.order); x++ {
-		f.order[at], f.order[x] = f.order[x], f.order[at]
-		if f.stepFits(at) && f.orderFrom(at+1) {
+	for next := position; next < len(finder.order); next++ {
+		finder.order[position], finder.order[next] = finder.order[next], finder.order[position]
+		if finder.stepFits(position) && finder.orderFrom(position+1) {
 			return true
 		}
-		f.order[at], f.order[x] = f.order[x], f.order[at]
+		finder.order[position], finder.order[next] = finder.order[next], finder.order[position]
 	}
 	return false
 }
 
-// stepFits says that the replica of a step fits on its host after the steps before it.
-func (f *finder) stepFits(at int) bool {
-	to := f.order[at].to
-	free := f.problem.Hosts[to].Free
-	for _, s := range f.order[:at] {
-		r := &f.problem.Replicas[s.replica]
-		if s.to == to {
-			free = free.AddScaled(r.Need, -1)
+// stepFits reports whether the replica of the step at the given position of finder.order fits on its
+// target after the steps before it.
+func (finder *finder) stepFits(position int) bool {
+	to := finder.order[position].to
+	free := finder.problem.Hosts[to].Free
+	for _, earlier := range finder.order[:position] {
+		replica := &finder.problem.Replicas[earlier.replica]
+		if earlier.to == to {
+			free = free.AddScaled(replica.Need, -1)
 		}
-		if r.HostIndex == to {
-			free = free.AddScaled(r.Need, 1)
+		if replica.HostIndex == to {
+			free = free.AddScaled(replica.Need, 1)
 		}
 	}
-	return f.problem.Replicas[f.order[at].replica].Need.Fits(free)
+	return finder.problem.Replicas[finder.order[position].replica].Need.Fits(free)
 }
 
-// plan is the best plan found.
-func (f *finder) plan() Plan {
-	if !f.found {
+// plan returns the cheapest plan found, or an empty plan.
+func (finder *finder) plan() Plan {
+	if !finder.found {
 		return Plan{}
 	}
-	out := Plan{Host: f.problem.Hosts[f.bestHost].ID, Cost: f.bestCost}
-	for _, s := range f.bestSteps {
-		r := &f.problem.Replicas[s.replica]
+	out := Plan{Host: finder.problem.Hosts[finder.bestHost].ID, Cost: finder.bestCost}
+	for _, step := range finder.bestSteps {
+		replica := &finder.problem.Replicas[step.replica]
 		out.Moves = append(out.Moves, Move{
-			Job: r.Job, Index: r.Index, From: f.problem.Hosts[r.HostIndex].ID, To: f.problem.Hosts[s.to].ID,
-			Need: r.Need, Downtime: s.cost - r.LostWork,
+			Job: replica.Job, Index: replica.Index, From: finder.problem.Hosts[replica.HostIndex].ID, To: finder.problem.Hosts[step.to].ID,
+			Need: replica.Need, Downtime: step.cost - replica.LostWork,
 		})
 	}
 	return out
--- a/internal/migration/golden_test.go
+++ b/internal/migration/golden_test.go
@@ -7,8 +7,9 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenRecord: a team's record is encoded as it has always been; a stored one is decoded,
-// recovered by a tracker, and encoded again as it stood.
+// TestGoldenRecord guards against an accidental change of the record format: the encoding of a team's
+// record equals the stored golden file, and a tracker that recovers the golden record encodes the
+// same bytes again.
 func TestGoldenRecord(t *testing.T) {
 	records := testgolden.Values{"moves": record{Version: formatVersion, Plans: []planRow{{
 		ID: 7, HeldFor: "job-000001", Need: []float64{8.5, 1.25, 64.75}, Host: "vm-000003", Until: 1_750_000_060_123, MaxCost: 61_000,
@@ -27,10 +28,10 @@
 	}, records)
 	testgolden.Full(t, records)
 
-	b := NewTracker(time.Hour)
-	if err := b.Recover(time.UnixMilli(1_750_000_000_000), "team", testgolden.Bytes(t, "moves")); err != nil {
+	tracker := NewTracker(time.Hour)
+	if err := tracker.Recover(time.UnixMilli(1_750_000_000_000), "team", testgolden.Bytes(t, "moves")); err != nil {
 		t.Fatal(err)
 	}
-	value, _ := b.EncodeRecord("team")
+	value, _ := tracker.EncodeRecord("team")
 	testgolden.Still(t, "moves", value)
 }
--- a/internal/migration/limits_test.go
+++ b/internal/migration/limits_test.go
@@ -8,33 +8,33 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestRecordAboveTheLimit: a record that was written under a larger limit of values is
-// trimmed to the lower one by a successor: it drops the cooldowns of replicas first, then
-// plans, which only hold capacity.
+// TestRecordAboveTheLimit guards against a record that can never be written again because it was
+// written under a larger size limit. A successor trims it to the lower limit: it first drops the
+// cooldowns of replicas and then plans, without which only held capacity is lost.
 func TestRecordAboveTheLimit(t *testing.T) {
 	now := time.UnixMilli(1_750_000_000_000)
-	r := validRecord()
-	for i := range maxRecent - len(r.Recent) {
-		r.Recent = append(r.Recent, recentRow{fmt.Sprintf("job-with-a-long-name-%03d", i), 0, now.Add(time.Duration(i+1) * time.Second).UnixMilli()})
+	rec := validRecord()
+	for i := range maxRecent - len(rec.Recent) {
+		rec.Recent = append(rec.Recent, recentRow{fmt.Sprintf("job-with-a-long-name-%03d", i), 0, now.Add(time.Duration(i+1) * time.Second).UnixMilli()})
 	}
-	v, err := msgpack.Marshal(r)
+	value, err := msgpack.Marshal(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, limit := range []int{0, 1536, 300, 40} {
-		b := NewTracker(time.Hour)
-		b.MaxRecordBytes = limit
-		if err := b.Recover(now, "team", v); err != nil {
+		tracker := NewTracker(time.Hour)
+		tracker.MaxRecordBytes = limit
+		if err := tracker.Recover(now, "team", value); err != nil {
 			t.Fatal(err)
 		}
-		_, _, due := b.WriteDue("team")
-		if limit == 0 && (due || len(b.record("team").Recent) != maxRecent) {
+		_, _, due := tracker.WriteDue("team")
+		if limit == 0 && (due || len(tracker.record("team").Recent) != maxRecent) {
 			t.Error("got a trimmed record without a limit, want all of it")
 		}
-		if size := b.recordBytes("team"); limit > 0 && (size > limit || !due) {
+		if size := tracker.recordBytes("team"); limit > 0 && (size > limit || !due) {
 			t.Errorf("got %d bytes, write due %v, want at most %d bytes and a write", size, due, limit)
 		}
-		if limit == 1536 && len(b.Plans()) != len(r.Plans) {
+		if limit == 1536 && len(tracker.Plans()) != len(rec.Plans) {
 			t.Error("got plans dropped, want cooldowns dropped only")
 		}
 	}
--- a/internal/migration/record_test.go
+++ b/internal/migration/record_test.go
@@ -9,19 +9,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// recordTestTime is a minute before the end of validRecord's plan.
+// recordTestTime is one minute before the deadline of validRecord's plan.
 var recordTestTime = time.UnixMilli(1_750_000_000_000)
 
-func encodeRecord(t testing.TB, r record) []byte {
+// encodeRecord returns the msgpack encoding of a record.
+func encodeRecord(t testing.TB, rec record) []byte {
 	t.Helper()
-	value, err := msgpack.Marshal(r)
+	value, err := msgpack.Marshal(rec)
 	if err != nil {
 		t.Fatalf("encoding a record: got error %v, want none", err)
 	}
 	return value
 }
 
-// validRecord has one plan with one step, and one replica that was moved a short time ago.
+// validRecord returns a record with one plan of one step and one recently moved replica.
 func validRecord() record {
 	return record{Version: formatVersion, Plans: []planRow{{
 		ID: 7, HeldFor: "job-000001", Need: []float64{8, 8, 8}, Host: "vm-1", Until: 1_750_000_060_000, MaxCost: 60000,
@@ -29,25 +30,26 @@
 	}}, Recent: []recentRow{{"job-000003", 1, 1_750_000_060_000}}}
 }
 
-// TestInvalidRecords: an invalid record is refused with an error that names the place.
+// TestInvalidRecords checks that an invalid record is rejected as a whole, with an error that names the
+// invalid field.
 func TestInvalidRecords(t *testing.T) {
 	for place, damage := range map[string]func(*record){
-		"v is 2":         func(r *record) { r.Version = 2 },
-		"p[0].n":         func(r *record) { r.Plans[0].Need = nil },
-		"p[0].h":         func(r *record) { r.Plans[0].Host = "" },
-		"p[0].u":         func(r *record) { r.Plans[0].Until = 0 },
-		"p[0].s:":        func(r *record) { r.Plans[0].Steps = nil },
-		"p[0].s[0].t":    func(r *record) { r.Plans[0].Steps[0].Attempt = 0 },
-		"p[0].s[0].f":    func(r *record) { r.Plans[0].Steps[0].To = "vm-1" },
-		"p[0].s[0].j":    func(r *record) { r.Plans[0].Steps[0].Index = -1 },
-		"p[0].s[1]: job": func(r *record) { p := &r.Plans[0]; p.Steps = append(p.Steps, p.Steps[0]) },
-		"p[1].i: 7":      func(r *record) { r.Plans = append(r.Plans, r.Plans[0]) },
-		"r[0]":           func(r *record) { r.Recent[0].Job = "" },
+		"v is 2":         func(rec *record) { rec.Version = 2 },
+		"p[0].n":         func(rec *record) { rec.Plans[0].Need = nil },
+		"p[0].h":         func(rec *record) { rec.Plans[0].Host = "" },
+		"p[0].u":         func(rec *record) { rec.Plans[0].Until = 0 },
+		"p[0].s:":        func(rec *record) { rec.Plans[0].Steps = nil },
+		"p[0].s[0].t":    func(rec *record) { rec.Plans[0].Steps[0].Attempt = 0 },
+		"p[0].s[0].f":    func(rec *record) { rec.Plans[0].Steps[0].To = "vm-1" },
+		"p[0].s[0].j":    func(rec *record) { rec.Plans[0].Steps[0].Index = -1 },
+		"p[0].s[1]: job": func(rec *record) { plan := &rec.Plans[0]; plan.Steps = append(plan.Steps, plan.Steps[0]) },
+		"p[1].i: 7":      func(rec *record) { rec.Plans = append(rec.Plans, rec.Plans[0]) },
+		"r[0]":           func(rec *record) { rec.Recent[0].Job = "" },
 	} {
-		r := validRecord()
-		damage(&r)
+		rec := validRecord()
+		damage(&rec)
 		tracker := NewTracker(time.Minute)
-		err := tracker.Recover(recordTestTime, "team", encodeRecord(t, r))
+		err := tracker.Recover(recordTestTime, "team", encodeRecord(t, rec))
 		if !errors.Is(err, ErrRecord) || len(tracker.Plans()) > 0 {
 			t.Errorf("%s: got error %v and %d plans, want ErrRecord and none", place, err, len(tracker.Plans()))
 			continue
@@ -58,8 +60,10 @@
 	}
 }
 
-// TestRecordIsRecovered: a valid record holds its places again, and its replicas and those
-// moved a short time ago may not move.
+// TestRecordIsRecovered checks that after the recovery of a valid record its capacity is held again, and
+// that neither the replicas of its plans nor the recently moved replicas may move. It guards against
+// a deadline far in the future, from a different clock or a damaged record, that would hold capacity
+// for longer than maxHold.
 func TestRecordIsRecovered(t *testing.T) {
 	tracker, now := NewTracker(time.Minute), recordTestTime
 	if err := tracker.Recover(now, "team", encodeRecord(t, validRecord())); err != nil {
@@ -76,19 +80,19 @@
 			t.Errorf("got %s/%d allowed to move, want not", job.id, job.index)
 		}
 	}
-	// Another controller's clock, or a damaged time, holds no place for ever.
-	r := validRecord()
-	r.Plans[0].Until = now.Add(time.Hour).UnixMilli()
+	// A deadline that is too far in the future is reduced to maxHold from now.
+	rec := validRecord()
+	rec.Plans[0].Until = now.Add(time.Hour).UnixMilli()
 	tracker = NewTracker(time.Minute)
-	if err := tracker.Recover(now, "team", encodeRecord(t, r)); err != nil {
+	if err := tracker.Recover(now, "team", encodeRecord(t, rec)); err != nil {
 		t.Fatalf("got error %v, want none", err)
 	}
 	if until := tracker.Holds()[0].Until; until.Sub(now) > maxHold {
-		t.Errorf("got a place held for %v, want at most %v", until.Sub(now), maxHold)
+		t.Errorf("got capacity held for %v, want at most %v", until.Sub(now), maxHold)
 	}
 }
 
-// FuzzRecord: whatever is recovered can be encoded again.
+// FuzzRecord checks that every record that Recover accepts can be encoded again.
 func FuzzRecord(f *testing.F) {
 	f.Add(encodeRecord(f, validRecord()))
 	f.Fuzz(func(t *testing.T, value []byte) {
--- a/internal/migration/targets.go
+++ b/internal/migration/targets.go
@@ -8,28 +8,29 @@
 	"github.com/micahill/micahill/internal/resource"
 )
 
-// candidateHosts are the hosts that the waiting task may be placed on, one of each group: those
-// with its image first, and of these the one first where the smallest part is missing.
-func (f *finder) candidateHosts() []int {
-	p := f.problem
-	w := &p.WaitingTask
+// candidateHosts returns the hosts on which the waiting task could be placed after at most maxMoves
+// moves, one host of each group. Hosts with the task's image come first. Among equals, the host comes
+// first that lacks the smallest fraction of its size.
+func (finder *finder) candidateHosts() []int {
+	problem := finder.problem
+	waitingTask := &problem.WaitingTask
 	var out []int
 	seen := map[int]bool{}
-	for h := range p.Hosts {
-		m := &p.Hosts[h]
-		if !m.Schedulable || seen[f.hostGroup[h]] || !w.Need.Fits(m.Size) || w.Allowed != nil && !w.Allowed(h) ||
-			!f.shortfall(h, w.Need).Fits(f.replicasOn[h].largestSums[f.maxMoves]) {
+	for hostIndex := range problem.Hosts {
+		host := &problem.Hosts[hostIndex]
+		if !host.Schedulable || seen[finder.hostGroup[hostIndex]] || !waitingTask.Need.Fits(host.Size) || waitingTask.Allowed != nil && !waitingTask.Allowed(hostIndex) ||
+			!finder.shortfall(hostIndex, waitingTask.Need).Fits(finder.replicasOn[hostIndex].largestSums[finder.maxMoves]) {
 			continue
 		}
-		seen[f.hostGroup[h]] = true
-		out = append(out, h)
+		seen[finder.hostGroup[hostIndex]] = true
+		out = append(out, hostIndex)
 	}
-	missingFraction := func(h int) float64 {
-		s, z := f.shortfall(h, w.Need), p.Hosts[h].Size
-		return max(fraction(s.CPU, z.CPU), fraction(s.GPU, z.GPU), fraction(s.Memory, z.Memory))
+	missingFraction := func(hostIndex int) float64 {
+		shortfall, size := finder.shortfall(hostIndex, waitingTask.Need), problem.Hosts[hostIndex].Size
+		return max(fraction(shortfall.CPU, size.CPU), fraction(shortfall.GPU, size.GPU), fraction(shortfall.Memory, size.Memory))
 	}
-	imageRank := func(h int) int {
-		if w.Image != "" && p.Hosts[h].Images[w.Image] {
+	imageRank := func(hostIndex int) int {
+		if waitingTask.Image != "" && problem.Hosts[hostIndex].Images[waitingTask.Image] {
 			return 0
 		}
 		return 1
@@ -40,7 +41,7 @@
 	return out
 }
 
-// fraction is a part of a whole; 0 of nothing.
+// fraction returns part divided by whole, or 0 if whole is not positive.
 func fraction(part, whole float64) float64 {
 	if whole <= 0 {
 		return 0
@@ -48,144 +49,147 @@
 	return part / whole
 }
 
-// shortfall is what a host lacks for a need, after all steps.
-func (f *finder) shortfall(h int, need resource.Resources) resource.Resources {
-	return lack(need, f.netFree[h])
+// shortfall returns how much free capacity a host lacks for a need after all steps.
+func (finder *finder) shortfall(hostIndex int, need resource.Resources) resource.Resources {
+	return lack(need, finder.netFree[hostIndex])
 }
 
-// lack is what free lacks for a need.
+// lack returns by how much a need exceeds the free capacity in each dimension.
 func lack(need, free resource.Resources) resource.Resources {
 	return resource.Resources{CPU: max(0, need.CPU-free.CPU), GPU: max(0, need.GPU-free.GPU), Memory: max(0, need.Memory-free.Memory)}
 }
 
-// addFree adds n times an amount to what is free on a host after all steps.
-func (f *finder) addFree(h int, r resource.Resources, n float64) {
-	f.netFree[h] = f.netFree[h].AddScaled(r, n)
+// addFree adds an amount, multiplied by the given factor, to the free capacity of a host after all steps.
+func (finder *finder) addFree(hostIndex int, amount resource.Resources, factor float64) {
+	finder.netFree[hostIndex] = finder.netFree[hostIndex].AddScaled(amount, factor)
 }
 
-// fetchTime is how long a host takes to fetch the image of a class, infeasible if it can't.
-func (f *finder) fetchTime(s *replicaClass, h int) time.Duration {
-	switch rate := f.problem.Hosts[h].FetchRate; {
-	case s.imageGB <= 0 || f.hasImage[s.image][h]:
+// fetchTime returns how long a host takes to fetch the image of a class. It returns infeasible if the
+// host can't fetch images.
+func (finder *finder) fetchTime(class *replicaClass, hostIndex int) time.Duration {
+	switch rate := finder.problem.Hosts[hostIndex].FetchRate; {
+	case class.imageGB <= 0 || finder.hasImage[class.image][hostIndex]:
 		return 0
 	case rate <= 0:
 		return infeasible
 	default:
-		return time.Duration(min(s.imageGB/rate*float64(time.Second), float64(infeasible)))
+		return time.Duration(min(class.imageGB/rate*float64(time.Second), float64(infeasible)))
 	}
 }
 
-// groupLimiter returns a function that lets pass the first few hosts of each group: one more than
-// are tried, as the replica's own host may be among them.
-func (f *finder) groupLimiter() func(h int) bool {
-	counts := make([]int8, len(f.problem.Hosts))
-	return func(h int) bool {
-		g := f.hostGroup[h]
-		counts[g]++
-		return counts[g] <= maxDirectTargets+1
+// groupLimiter returns a function that returns true for the first maxDirectTargets+1 hosts of each
+// group. That is one more than are tried, as the replica's own host may be among them.
+func (finder *finder) groupLimiter() func(hostIndex int) bool {
+	counts := make([]int8, len(finder.problem.Hosts))
+	return func(hostIndex int) bool {
+		group := finder.hostGroup[hostIndex]
+		counts[group]++
+		return counts[group] <= maxDirectTargets+1
 	}
 }
 
-// hostsFitting are the hosts on which a need fits as they are: those that fetch fastest first, and
-// of these those that it leaves fullest.
-func (f *finder) hostsFitting(z *sizeClass) []int {
-	if z.computed {
-		return z.hosts
-	}
-	z.computed = true
-	pass := f.groupLimiter()
-	for h := range f.problem.Hosts {
-		if m := &f.problem.Hosts[h]; m.Schedulable && z.need.Fits(m.Free) && pass(h) {
-			z.hosts = append(z.hosts, h)
+// hostsFitting returns the hosts on which a need fits without other moves. Hosts with the highest
+// fetch rate come first, and among equals the hosts with the least free capacity.
+func (finder *finder) hostsFitting(class *sizeClass) []int {
+	if class.computed {
+		return class.hosts
+	}
+	class.computed = true
+	pass := finder.groupLimiter()
+	for hostIndex := range finder.problem.Hosts {
+		if host := &finder.problem.Hosts[hostIndex]; host.Schedulable && class.need.Fits(host.Free) && pass(hostIndex) {
+			class.hosts = append(class.hosts, hostIndex)
 		}
 	}
-	slices.SortFunc(z.hosts, func(a, b int) int {
-		x, y := &f.problem.Hosts[a], &f.problem.Hosts[b]
-		return cmp.Or(cmp.Compare(y.FetchRate, x.FetchRate), cmp.Compare(x.Free.GPU, y.Free.GPU), cmp.Compare(x.Free.CPU, y.Free.CPU), cmp.Compare(a, b))
+	slices.SortFunc(class.hosts, func(a, b int) int {
+		hostA, hostB := &finder.problem.Hosts[a], &finder.problem.Hosts[b]
+		return cmp.Or(cmp.Compare(hostB.FetchRate, hostA.FetchRate), cmp.Compare(hostA.Free.GPU, hostB.Free.GPU), cmp.Compare(hostA.Free.CPU, hostB.Free.CPU), cmp.Compare(a, b))
 	})
-	return z.hosts
+	return class.hosts
 }
 
-// directTargetsFor are the hosts on which a class fits as they are, the cheapest first.
-func (f *finder) directTargetsFor(k int) []candidate {
-	if f.directComputed[k] {
-		return f.directTargets[k]
-	}
-	f.directComputed[k] = true
-	s := &f.classes[k]
-	hosts := f.hostsFitting(&f.sizes[s.size])
+// directTargetsFor returns the hosts on which a replica of a class fits without other moves, the
+// cheapest first.
+func (finder *finder) directTargetsFor(classIndex int) []candidate {
+	if finder.directComputed[classIndex] {
+		return finder.directTargets[classIndex]
+	}
+	finder.directComputed[classIndex] = true
+	class := &finder.classes[classIndex]
+	hosts := finder.hostsFitting(&finder.sizes[class.size])
 	out := make([]candidate, 0, len(hosts))
-	for _, h := range hosts {
-		if f.fetchTime(s, h) == 0 {
-			out = append(out, candidate{h, 0})
+	for _, hostIndex := range hosts {
+		if finder.fetchTime(class, hostIndex) == 0 {
+			out = append(out, candidate{hostIndex, 0})
 		}
 	}
-	for _, h := range hosts {
-		if c := f.fetchTime(s, h); c > 0 && c < infeasible {
-			out = append(out, candidate{h, c})
+	for _, hostIndex := range hosts {
+		if cost := finder.fetchTime(class, hostIndex); cost > 0 && cost < infeasible {
+			out = append(out, candidate{hostIndex, cost})
 		}
 	}
-	f.directTargets[k] = out
+	finder.directTargets[classIndex] = out
 	return out
 }
 
-// hostsAfterMoves are the hosts on which a need fits only after at most some moves away from there,
-// those first where these moves are expected to cost least.
-func (f *finder) hostsAfterMoves(z *sizeClass, moves int) []candidate {
-	a := &z.afterMoves[moves]
-	if a.computed {
-		return a.hosts
-	}
-	a.computed = true
-	pass := f.groupLimiter()
-	for h := range f.problem.Hosts {
-		m := &f.problem.Hosts[h]
-		if !m.Schedulable || !z.need.Fits(m.Size) || z.need.Fits(m.Free) {
+// hostsAfterMoves returns the hosts on which a need fits only after other replicas have left, with at
+// most the given number of moves. The hosts with the lowest expected cost of these moves come first.
+func (finder *finder) hostsAfterMoves(class *sizeClass, moves int) []candidate {
+	targets := &class.afterMoves[moves]
+	if targets.computed {
+		return targets.hosts
+	}
+	targets.computed = true
+	pass := finder.groupLimiter()
+	for hostIndex := range finder.problem.Hosts {
+		host := &finder.problem.Hosts[hostIndex]
+		if !host.Schedulable || !class.need.Fits(host.Size) || class.need.Fits(host.Free) {
 			continue
 		}
-		missing := lack(z.need, m.Free)
-		if missing.Fits(f.replicasOn[h].largestSums[moves]) && pass(h) {
-			a.hosts = append(a.hosts, candidate{h, f.clearCost(h, missing)})
+		missing := lack(class.need, host.Free)
+		if missing.Fits(finder.replicasOn[hostIndex].largestSums[moves]) && pass(hostIndex) {
+			targets.hosts = append(targets.hosts, candidate{hostIndex, finder.clearCost(hostIndex, missing)})
 		}
 	}
-	slices.SortFunc(a.hosts, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.host, b.host)) })
-	return a.hosts
+	slices.SortFunc(targets.hosts, func(a, b candidate) int { return cmp.Or(cmp.Compare(a.cost, b.cost), cmp.Compare(a.host, b.host)) })
+	return targets.hosts
 }
 
-// chainTargetsFor are the hosts on which a class fits after at most some moves away from there.
-func (f *finder) chainTargetsFor(k, moves int) *chainHosts {
-	c := &f.chainTargets[k][moves]
-	if c.computed {
-		return c
-	}
-	c.computed = true
-	s := &f.classes[k]
-	hosts := f.hostsAfterMoves(&f.sizes[s.size], moves)
-	c.withoutImage = make([]int, 0, len(hosts))
-	for _, h := range hosts {
-		switch d := f.fetchTime(s, h.host); {
-		case d == 0:
-			c.withImage = append(c.withImage, h.host)
-		case d < infeasible:
-			c.withoutImage = append(c.withoutImage, h.host)
+// chainTargetsFor returns the hosts on which a replica of a class fits only after other replicas have
+// left, with at most the given number of moves.
+func (finder *finder) chainTargetsFor(classIndex, moves int) *chainHosts {
+	chain := &finder.chainTargets[classIndex][moves]
+	if chain.computed {
+		return chain
+	}
+	chain.computed = true
+	class := &finder.classes[classIndex]
+	hosts := finder.hostsAfterMoves(&finder.sizes[class.size], moves)
+	chain.withoutImage = make([]int, 0, len(hosts))
+	for _, target := range hosts {
+		switch cost := finder.fetchTime(class, target.host); {
+		case cost == 0:
+			chain.withImage = append(chain.withImage, target.host)
+		case cost < infeasible:
+			chain.withoutImage = append(chain.withoutImage, target.host)
 		}
 	}
-	return c
+	return chain
 }
 
-// clearCost estimates what it costs to free so much on a host: the least that one replica costs
-// which takes enough and fits on another host as it is; much, but not infeasible, if there is
-// none.
-func (f *finder) clearCost(h int, missing resource.Resources) time.Duration {
+// clearCost estimates the cost of freeing the missing capacity on a host. It is the lowest cost of
+// moving one replica that uses at least that much and fits on another host without other moves. If
+// there is no such replica, the estimate is high but below infeasible.
+func (finder *finder) clearCost(hostIndex int, missing resource.Resources) time.Duration {
 	best := infeasible / 8
-	for _, i := range f.replicasOn[h].replicas {
-		r := &f.problem.Replicas[i]
-		if !missing.Fits(r.Need) {
+	for _, replicaIndex := range finder.replicasOn[hostIndex].replicas {
+		replica := &finder.problem.Replicas[replicaIndex]
+		if !missing.Fits(replica.Need) {
 			continue
 		}
-		for _, c := range f.directTargetsFor(f.classOf[i]) {
-			if c.host != h {
-				best = min(best, r.LostWork+c.cost)
+		for _, target := range finder.directTargetsFor(finder.classOf[replicaIndex]) {
+			if target.host != hostIndex {
+				best = min(best, replica.LostWork+target.cost)
 				break
 			}
 		}
--- a/internal/migration/tracker.go
+++ b/internal/migration/tracker.go
@@ -8,202 +8,212 @@
 )
 
 const (
-	// MaxIntents bounds the moves in a team's record.
+	// MaxIntents bounds the number of moves in a team's record.
 	MaxIntents = 16
-	// maxRecent bounds the replicas in a record that were moved lately.
+	// maxRecent bounds the number of recently moved replicas in a team's record.
 	maxRecent = 64
-	// baseHold is how long a plan may take beyond twice its downtime: for writes, stops with
-	// their checkpoints, and heartbeats. maxHold is the longest that capacity is held.
+	// baseHold is how long a plan may take in addition to twice its downtime. It covers writes,
+	// stops with their checkpoints, and heartbeats.
 	baseHold = 45 * time.Second
-	maxHold  = 5 * time.Minute
-	// costSlack is by how much the moves may exceed their cost before their plan is dropped:
-	// image fetch rates vary by a third.
+	// maxHold is the longest time that capacity is held for a plan.
+	maxHold = 5 * time.Minute
+	// costSlack is by how much the expected downtime of the remaining moves may exceed the
+	// plan's cost limit before the plan is dropped. Image fetch rates vary by a third.
 	costSlack = 5 * time.Second
 )
 
-// Stats sums up the migrations of one tracker.
+// Stats are the totals of the migrations of one tracker.
 type Stats struct {
-	// Started counts plans, Moved replicas that run on their target, and Dropped moves given
-	// up before their replica was stopped.
+	// Started counts plans that were started, Moved replicas that run on their target, and
+	// Dropped moves that were given up before their replica was stopped.
 	Started, Moved, Dropped int
-	// LongestDowntime is the longest time from a stop until the replica was seen to run.
+	// LongestDowntime is the longest time from the stop of a replica until it was reported as
+	// running on its target.
 	LongestDowntime time.Duration
 }
 
-// Limits are what a new plan must keep to.
+// Limits are the limits for a new plan.
 type Limits struct {
-	// MaxRecordBytes bounds the team's record, as JSON.
+	// MaxRecordBytes bounds the team's record, in bytes of JSON.
 	MaxRecordBytes int
-	// MaxMovingFraction bounds the part of the machines of a kind that replicas move away
-	// from at a time; one machine is always allowed.
+	// MaxMovingFraction bounds the fraction of the machines of a kind that replicas move away
+	// from at the same time. One plan is allowed whatever the fraction.
 	MaxMovingFraction float64
-	// KindOf names a host's kind, and says how many machines of it there are.
+	// KindOf returns the name of a host's machine kind and the number of machines of that kind.
 	KindOf func(host string) (string, int)
 }
 
+// replicaKey identifies a replica by its job and task index.
 type replicaKey struct {
 	job   string
 	index int
 }
 
-// teamState is what a team's record should hold besides the plans.
+// teamState is the state of a team's record except for its plans.
 type teamState struct {
-	// recent is until when replicas that were moved are left alone.
+	// recent are the recently moved replicas, with the end of each cooldown.
 	recent map[replicaKey]time.Time
-	// version counts the record's changes; persistedVersion is the one known to be written.
+	// version counts the changes of the record. persistedVersion is the latest version that is
+	// known to be written.
 	version, persistedVersion uint64
-	// changedSince is when the record first differed from the one written.
+	// changedSince is when the record first differed from the written one.
 	changedSince time.Time
 }
 
-// Tracker has the active plans of one shard leader. Instead of being informed of events it asks
-// its ShardState anew at each Update, so that what came late, twice or never does no harm, and
-// a successor that has only the records goes on in the same way. It is not safe for
+// Tracker tracks the active plans of one shard leader. It is not notified of events: at each Update it
+// reads the current state from a ShardState. Late, repeated or lost events therefore do no harm, and
+// a successor that has only the records continues in the same way. A Tracker is not safe for
 // concurrent use.
 type Tracker struct {
-	// Cooldown is how long a replica that was moved is left alone.
+	// Cooldown is how long a replica may not move again after a move.
 	Cooldown time.Duration
-	// MaxRecordBytes bounds a recovered record, as JSON; 0 for no bound.
+	// MaxRecordBytes bounds a recovered record, in bytes of JSON; 0 means no bound.
 	MaxRecordBytes int
 	Stats          Stats
 	plans          []*ActivePlan
 	teams          map[string]*teamState
 }
 
-// NewTracker returns a tracker without plans.
+// NewTracker returns a tracker with the given cooldown and no plans.
 func NewTracker(cooldown time.Duration) *Tracker {
 	return &Tracker{Cooldown: cooldown, teams: map[string]*teamState{}}
 }
 
-func (t *Tracker) teamState(team string) *teamState {
-	s := t.teams[team]
-	if s == nil {
-		s = &teamState{recent: map[replicaKey]time.Time{}}
-		t.teams[team] = s
+// teamState returns the state of a team, which it creates if needed.
+func (tracker *Tracker) teamState(team string) *teamState {
+	state := tracker.teams[team]
+	if state == nil {
+		state = &teamState{recent: map[replicaKey]time.Time{}}
+		tracker.teams[team] = state
 	}
-	return s
+	return state
 }
 
-func (t *Tracker) markChanged(team string, now time.Time) {
-	s := t.teamState(team)
-	if s.version == s.persistedVersion {
-		s.changedSince = now
+// markChanged increments the version of a team's record, so that a write becomes due.
+func (tracker *Tracker) markChanged(team string, now time.Time) {
+	state := tracker.teamState(team)
+	if state.version == state.persistedVersion {
+		state.changedSince = now
 	}
-	s.version++
+	state.version++
 }
 
-// Plans are the active plans, in order. The caller must not change them.
-func (t *Tracker) Plans() []*ActivePlan { return t.plans }
+// Plans returns the active plans, ordered by ID and team. The caller must not change them.
+func (tracker *Tracker) Plans() []*ActivePlan { return tracker.plans }
 
-// MayMove says that a replica is not moving and was not moved lately.
-func (t *Tracker) MayMove(now time.Time, job string, index int) bool {
-	for _, s := range t.teams {
-		if now.Before(s.recent[replicaKey{job, index}]) {
+// MayMove reports whether a replica is neither moving nor in its cooldown after a move.
+func (tracker *Tracker) MayMove(now time.Time, job string, index int) bool {
+	for _, state := range tracker.teams {
+		if now.Before(state.recent[replicaKey{job, index}]) {
 			return false
 		}
 	}
-	return !t.isMoving(job, index)
+	return !tracker.isMoving(job, index)
 }
 
-// isMoving says that a plan has a move of the replica.
-func (t *Tracker) isMoving(job string, index int) bool {
-	return slices.ContainsFunc(t.plans, func(p *ActivePlan) bool { return p.moves(job, index) })
+// isMoving reports whether a plan contains a move of the replica.
+func (tracker *Tracker) isMoving(job string, index int) bool {
+	return slices.ContainsFunc(tracker.plans, func(plan *ActivePlan) bool { return plan.moves(job, index) })
 }
 
-func (p *ActivePlan) moves(job string, index int) bool {
-	return slices.ContainsFunc(p.Steps, func(s Step) bool { return s.Job == job && s.Index == index })
+// moves reports whether the plan contains a move of the replica.
+func (plan *ActivePlan) moves(job string, index int) bool {
+	return slices.ContainsFunc(plan.Steps, func(step Step) bool { return step.Job == job && step.Index == index })
 }
 
-// HeldFor counts the tasks of a job for which capacity is held.
-func (t *Tracker) HeldFor(job string) int {
+// HeldFor counts the plans that hold capacity for a waiting task of the job.
+func (tracker *Tracker) HeldFor(job string) int {
 	count := 0
-	for _, p := range t.plans {
-		if p.HeldFor == job && !p.Served {
+	for _, plan := range tracker.plans {
+		if plan.HeldFor == job && !plan.Served {
 			count++
 		}
 	}
 	return count
 }
 
-// Holds is the capacity held, in order.
-func (t *Tracker) Holds() []Hold {
+// Holds returns the capacity held by the plans, in the order of the plans.
+func (tracker *Tracker) Holds() []Hold {
 	var out []Hold
-	for _, p := range t.plans {
-		for i := range p.Steps {
-			switch s := &p.Steps[i]; s.State {
+	for _, plan := range tracker.plans {
+		for i := range plan.Steps {
+			switch step := &plan.Steps[i]; step.State {
 			case Waiting, Stopping, Gone:
-				out = append(out, Hold{Host: s.To, Job: s.Job, Index: s.Index, Need: s.Need, Until: p.Until})
+				out = append(out, Hold{Host: step.To, Job: step.Job, Index: step.Index, Need: step.Need, Until: plan.Until})
 			case RollingBack:
-				out = append(out, Hold{Host: s.From, Job: s.Job, Index: s.Index, Need: s.Need, Until: p.Until})
+				out = append(out, Hold{Host: step.From, Job: step.Job, Index: step.Index, Need: step.Need, Until: plan.Until})
 			}
 		}
-		if !p.Served {
-			out = append(out, Hold{Host: p.Host, Job: p.HeldFor, Index: -1, Need: p.Need, Until: p.Until, Plan: p})
+		if !plan.Served {
+			out = append(out, Hold{Host: plan.Host, Job: plan.HeldFor, Index: -1, Need: plan.Need, Until: plan.Until, Plan: plan})
 		}
 	}
 	return out
 }
 
-// Start adds a plan of a team, for a task that waits. attempts are those that the plan's moves
-// are of, in order. Its capacity is held from now on, and nothing is stopped before
-// MarkPersisted. Start returns why the plan can't be started, "" if it was.
-func (t *Tracker) Start(now time.Time, team string, task *WaitingTask, plan Plan, maxCost time.Duration, attempts []uint64, limits Limits) string {
+// Start adds a plan for a waiting task to a team's plans. The attempts are the current attempts of the
+// replicas that the plan moves, in the order of the moves. The plan's capacity is held from now on.
+// No replica is stopped before MarkPersisted reports the plan as durable. Start returns "" if the plan
+// was started, otherwise the reason why not.
+func (tracker *Tracker) Start(now time.Time, team string, task *WaitingTask, plan Plan, maxCost time.Duration, attempts []uint64, limits Limits) string {
 	if len(plan.Moves) == 0 || len(plan.Moves) > MaxMoves || len(attempts) != len(plan.Moves) {
-		return "plan has no moves or too many"
+		return "plan has no moves, too many moves or a wrong number of attempts"
 	}
-	id, intents := uint64(now.UnixMilli()), 0
-	for _, p := range t.plans {
-		if p.Team == team {
-			intents += len(p.Steps)
-			id = max(id, p.ID+1)
+	id, moveCount := uint64(now.UnixMilli()), 0
+	for _, active := range tracker.plans {
+		if active.Team == team {
+			moveCount += len(active.Steps)
+			id = max(id, active.ID+1)
 		}
 	}
-	if intents+len(plan.Moves) > MaxIntents {
+	if moveCount+len(plan.Moves) > MaxIntents {
 		return "too many moves in progress"
 	}
-	s := t.teamState(team)
-	if len(s.recent)+intents+len(plan.Moves) > maxRecent {
+	state := tracker.teamState(team)
+	if len(state.recent)+moveCount+len(plan.Moves) > maxRecent {
 		return "too many replicas moved recently"
 	}
-	p := &ActivePlan{ID: id, Team: team, HeldFor: task.Job, Need: task.Need, Host: plan.Host, MaxCost: maxCost}
+	active := &ActivePlan{ID: id, Team: team, HeldFor: task.Job, Need: task.Need, Host: plan.Host, MaxCost: maxCost}
 	var downtime time.Duration
-	for i, m := range plan.Moves {
-		if !t.MayMove(now, m.Job, m.Index) || p.moves(m.Job, m.Index) {
-			return "replica moving or moved recently"
+	for i, move := range plan.Moves {
+		if !tracker.MayMove(now, move.Job, move.Index) || active.moves(move.Job, move.Index) {
+			return "replica is moving or was moved recently"
 		}
-		p.Steps = append(p.Steps, Step{Move: m, Attempt: attempts[i]})
-		downtime += m.Downtime
+		active.Steps = append(active.Steps, Step{Move: move, Attempt: attempts[i]})
+		downtime += move.Downtime
 	}
-	if t.exceedsMovingLimit(p, limits) {
-		return "too many machines of a kind with moves"
+	if tracker.exceedsMovingLimit(active, limits) {
+		return "too many machines of a kind with moving replicas"
 	}
-	p.Until = now.Add(min(baseHold+2*downtime, maxHold))
-	t.addPlan(p)
-	if t.recordBytes(team) > limits.MaxRecordBytes {
-		t.removePlan(p)
-		return "record full"
+	active.Until = now.Add(min(baseHold+2*downtime, maxHold))
+	tracker.addPlan(active)
+	if tracker.recordBytes(team) > limits.MaxRecordBytes {
+		tracker.removePlan(active)
+		return "migration record too large"
 	}
-	t.markChanged(team, now)
-	p.version = s.version
-	t.Stats.Started++
+	tracker.markChanged(team, now)
+	active.version = state.version
+	tracker.Stats.Started++
 	return ""
 }
 
-func (t *Tracker) addPlan(p *ActivePlan) {
-	t.plans = append(t.plans, p)
-	slices.SortFunc(t.plans, func(a, b *ActivePlan) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Team, b.Team)) })
+// addPlan adds a plan and keeps the plans in order.
+func (tracker *Tracker) addPlan(plan *ActivePlan) {
+	tracker.plans = append(tracker.plans, plan)
+	slices.SortFunc(tracker.plans, func(a, b *ActivePlan) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Team, b.Team)) })
 }
 
-func (t *Tracker) removePlan(p *ActivePlan) {
-	t.plans = slices.DeleteFunc(t.plans, func(x *ActivePlan) bool { return x == p })
+// removePlan removes a plan without a change of the record's version.
+func (tracker *Tracker) removePlan(plan *ActivePlan) {
+	tracker.plans = slices.DeleteFunc(tracker.plans, func(other *ActivePlan) bool { return other == plan })
 }
 
-// exceedsMovingLimit says that with a new plan replicas would move away from more machines of a
-// kind than Limits allow.
-func (t *Tracker) exceedsMovingLimit(p *ActivePlan, limits Limits) bool {
+// exceedsMovingLimit reports whether with a new plan replicas would move away from more machines of
+// a kind than the limits allow.
+func (tracker *Tracker) exceedsMovingLimit(plan *ActivePlan, limits Limits) bool {
 	movingHosts := map[string]map[string]bool{}
 	machineCounts := map[string]int{}
-	note := func(host string) string {
+	countHost := func(host string) string {
 		kind, count := limits.KindOf(host)
 		if movingHosts[kind] == nil {
 			movingHosts[kind] = map[string]bool{}
@@ -211,10 +221,10 @@
 		movingHosts[kind][host], machineCounts[kind] = true, count
 		return kind
 	}
-	for _, x := range t.plans {
-		for i := range x.Steps {
-			if s := &x.Steps[i]; s.State < Starting {
-				note(s.From)
+	for _, other := range tracker.plans {
+		for i := range other.Steps {
+			if step := &other.Steps[i]; step.State < Starting {
+				countHost(step.From)
 			}
 		}
 	}
@@ -222,20 +232,22 @@
 	for kind, hosts := range movingHosts {
 		before[kind] = len(hosts)
 	}
-	for i := range p.Steps {
-		// One plan at a time is allowed however few machines there are.
-		if kind := note(p.Steps[i].From); before[kind] > 0 && len(movingHosts[kind]) > int(math.Ceil(limits.MaxMovingFraction*float64(machineCounts[kind]))) {
+	for i := range plan.Steps {
+		// A kind from whose machines no replica moves is not limited: one plan at a time is
+		// allowed however few machines there are.
+		if kind := countHost(plan.Steps[i].From); before[kind] > 0 && len(movingHosts[kind]) > int(math.Ceil(limits.MaxMovingFraction*float64(machineCounts[kind]))) {
 			return true
 		}
 	}
 	return false
 }
 
-// MarkServed notes that the waiting job of a plan got its place.
-func (t *Tracker) MarkServed(p *ActivePlan) { p.Served = true }
+// MarkServed records that a task of the plan's waiting job has been placed.
+func (tracker *Tracker) MarkServed(plan *ActivePlan) { plan.Served = true }
 
-// ForgetTeam drops a team that another shard takes over; its leader recovers the record.
-func (t *Tracker) ForgetTeam(team string) {
-	t.plans = slices.DeleteFunc(t.plans, func(p *ActivePlan) bool { return p.Team == team })
-	delete(t.teams, team)
+// ForgetTeam drops the state of a team that another shard takes over. The leader of that shard recovers
+// the team's record.
+func (tracker *Tracker) ForgetTeam(team string) {
+	tracker.plans = slices.DeleteFunc(tracker.plans, func(plan *ActivePlan) bool { return plan.Team == team })
+	delete(tracker.teams, team)
 }
--- a/internal/migration/tracker_test.go
+++ b/internal/migration/tracker_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-// TestMigrationsSurvive: under lost and late writes, lost hosts and takeovers, replicas are
-// stopped only for durable migrations with a place, and when all faults are over nothing is
-// held for ever, and nothing waits for it.
+// TestMigrationsSurvive runs a Tracker in a model with lost and late writes, lost hosts and failovers. It
+// guards against replicas that are stopped for a plan that is not durable or whose target lacks
+// capacity, and against plans and holds that remain after all faults are over.
 func TestMigrationsSurvive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newLeaderModel()
-		t.Repeat(m.actions())
-		m.heard = true
-		for _, h := range m.hosts {
-			h.usable = true
+		model := newLeaderModel()
+		t.Repeat(model.actions())
+		model.heard = true
+		for _, host := range model.hosts {
+			host.usable = true
 		}
 		for range 8 {
-			m.now = m.now.Add(time.Minute)
-			m.settle()
-			m.placeWaiting(t)
+			model.now = model.now.Add(time.Minute)
+			model.settle()
+			model.placeWaiting(t)
 		}
-		if plans, holds := m.tracker.Plans(), m.tracker.Holds(); len(plans) > 0 || len(holds) > 0 {
+		if plans, holds := model.tracker.Plans(), model.tracker.Holds(); len(plans) > 0 || len(holds) > 0 {
 			t.Fatalf("got plans %+v and holds %+v after all faults, want none", plans, holds)
 		}
 	})
--- a/internal/migration/types.go
+++ b/internal/migration/types.go
@@ -1,10 +1,12 @@
-// Package migration makes room for a replica that fits nowhere, by moving other replicas to
-// other hosts. Find searches for the cheapest few moves; a Tracker carries out the moves of
-// a shard leader's teams; Evacuations coordinates moves that empty a host for another shard.
+// Package migration frees capacity for a task that fits on no host by moving running replicas to
+// other hosts. Find searches for the cheapest plan of a few moves. A Tracker tracks the plans in
+// progress of a shard leader's teams and decides when replicas are stopped. Evacuations decides
+// which shard leader empties a host for which other shard leader.
 //
-// A move is written down before its replica is stopped, and has a deadline, so that a
-// successor goes on with it and no capacity stays reserved for long. The package has no clock
-// and sends nothing; what it decides is for the controller to do. See docs/product.md.
+// A plan is written to the state service before any of its replicas is stopped, so that a
+// successor can continue it. A plan has a deadline, so that no capacity stays reserved for long.
+// The package reads no clock and sends no messages: the controller passes in the time and carries
+// out the decisions. See docs/product.md.
 package migration
 
 import (
@@ -13,19 +15,19 @@
 	"github.com/micahill/micahill/internal/resource"
 )
 
-// Host is a machine as Find sees it.
+// Host is a machine in a Problem.
 type Host struct {
 	ID string
-	// Kind names machines that are alike: type, zone, and whether spot.
+	// Kind names the machine kind: type, zone, and whether it is a spot machine.
 	Kind string
 	Size resource.Resources
-	// Free is what neither tasks nor holds take.
+	// Free is the capacity that neither tasks nor holds use.
 	Free resource.Resources
-	// Schedulable says that replicas may be placed there now.
+	// Schedulable is true if replicas may be placed on the host.
 	Schedulable bool
-	// Images are those that the host has, and FetchRate how fast it fetches others, in GB
-	// per second.
-	Images    map[string]bool
+	// Images are the images that the host has.
+	Images map[string]bool
+	// FetchRate is how fast the host fetches other images, in GB per second.
 	FetchRate float64
 }
 
@@ -38,59 +40,61 @@
 	Need      resource.Resources
 	Image     string
 	ImageGB   float64
-	// Movable says that the job can do without the replica during a move, and that the
-	// replica neither moves nor was moved lately.
+	// Movable is true if the job tolerates that the replica is down during a move, and the
+	// replica is neither moving nor in its cooldown after a move.
 	Movable bool
-	// Allowed says on which hosts, by index, the job allows the replica, given the job's other
-	// tasks; nil allows any.
+	// Allowed reports whether the job allows the replica on the host with the given index of
+	// Problem.Hosts, given the job's other tasks. Nil allows all hosts.
 	Allowed func(host int) bool
-	// LostWork is the time of work that a stop loses.
+	// LostWork is how much running time the replica loses when it is stopped.
 	LostWork time.Duration
 }
 
-// WaitingTask is a task that waits and fits nowhere.
+// WaitingTask is a pending task that fits on no host.
 type WaitingTask struct {
 	Job     string
 	Index   int
 	Need    resource.Resources
 	Image   string
 	ImageGB float64
-	// Allowed is as in Replica.
+	// Allowed reports whether the task may run on a host, as in Replica.
 	Allowed func(host int) bool
 }
 
-// Problem is what Find is to solve.
+// Problem is the input of Find.
 type Problem struct {
 	Hosts       []Host
 	Replicas    []Replica
 	WaitingTask WaitingTask
-	// MaxMoves bounds the number of moves; so does the constant MaxMoves.
+	// MaxMoves bounds the number of moves. The constant MaxMoves bounds it as well.
 	MaxMoves int
-	// MaxCost bounds what the moves may cost: what scaling out or waiting would.
+	// MaxCost bounds the cost of all moves together. The caller sets it to the time that the
+	// waiting task would wait without the moves, for a new host or for free capacity.
 	MaxCost time.Duration
 }
 
-// MaxMoves is the most moves that a plan has.
+// MaxMoves is the largest number of moves in a plan.
 const MaxMoves = 3
 
-// Move is a replica's move from one host to another.
+// Move is the move of one replica from one host to another.
 type Move struct {
 	Job   string
 	Index int
-	// From and To are hosts by ID.
+	// From and To are host IDs.
 	From string
 	To   string
 	Need resource.Resources
-	// Downtime is how long the replica is expected to be down: as long as the host takes to
-	// fetch its image.
+	// Downtime is how long the replica is expected to be down: the time that the target host
+	// takes to fetch its image.
 	Downtime time.Duration
 }
 
-// Plan is a sequence of moves, in this order, after which the waiting task fits on Host.
+// Plan is a sequence of moves after which the waiting task fits on Host.
 type Plan struct {
-	// Host is by ID.
-	Host  string
+	// Host is the ID of the host for the waiting task.
+	Host string
+	// Moves are in the order in which each has enough free capacity on its target.
 	Moves []Move
-	// Cost is the downtime and the lost work of all moves together.
+	// Cost is the sum of the downtime and the lost work of all moves.
 	Cost time.Duration
 }
--- a/internal/migration/update.go
+++ b/internal/migration/update.go
@@ -5,196 +5,201 @@
 	"time"
 )
 
-// Update brings the plans in line with the shard's state, and returns the replicas that are to
-// be stopped now.
-func (t *Tracker) Update(now time.Time, shard ShardState) []StopRequest {
-	t.updatePlans(now, shard)
-	stops := t.decideStops(now, shard)
-	t.expireRecent(now)
+// Update updates the plans from the shard's state and returns the replicas that the caller must stop
+// now.
+func (tracker *Tracker) Update(now time.Time, shard ShardState) []StopRequest {
+	tracker.updatePlans(now, shard)
+	stops := tracker.decideStops(now, shard)
+	tracker.expireRecent(now)
 	return stops
 }
 
-// updatePlans drops the plans that are past their deadline, and updates the others. All are
-// updated before any stop is decided: a replica that goes back takes capacity, which no stop
-// may count on.
-func (t *Tracker) updatePlans(now time.Time, shard ShardState) {
+// updatePlans drops the plans that are past their deadline and updates all others. All plans are
+// updated before any stop is decided, because a replica that is rolled back holds capacity again,
+// which no stop may count on.
+func (tracker *Tracker) updatePlans(now time.Time, shard ShardState) {
 	served := map[string]int{}
-	for _, p := range slices.Clone(t.plans) {
-		if !now.Before(p.Until) {
-			// Replicas that still wait are placed like any others.
-			t.dropPlan(now, p)
+	for _, plan := range slices.Clone(tracker.plans) {
+		if !now.Before(plan.Until) {
+			// Replicas that are still down are placed like any other task.
+			tracker.dropPlan(now, plan)
 			continue
 		}
-		if p.awaitingHosts = p.hasUnheardHost(shard); p.awaitingHosts {
+		if plan.awaitingHosts = plan.hasUnheardHost(shard); plan.awaitingHosts {
 			continue
 		}
-		for i := range p.Steps {
-			t.updateStep(now, p, &p.Steps[i], shard)
+		for i := range plan.Steps {
+			tracker.updateStep(now, plan, &plan.Steps[i], shard)
 		}
-		if !p.Served {
-			served[p.HeldFor]++
-			p.Served = served[p.HeldFor] > shard.WaitingTasks(p.HeldFor) || p.isInfeasible(shard)
+		if !plan.Served {
+			served[plan.HeldFor]++
+			plan.Served = served[plan.HeldFor] > shard.WaitingTasks(plan.HeldFor) || plan.isInfeasible(shard)
 		}
 	}
 }
 
-// decideStops drops what served plans need not move any more, and stops what may be stopped.
-func (t *Tracker) decideStops(now time.Time, shard ShardState) []StopRequest {
+// decideStops drops the waiting moves of served plans, removes the plans that are finished, and returns
+// the replicas that are to be stopped.
+func (tracker *Tracker) decideStops(now time.Time, shard ShardState) []StopRequest {
 	var stops []StopRequest
 	stopped := map[string]int{}
-	for _, p := range slices.Clone(t.plans) {
-		if p.awaitingHosts {
+	for _, plan := range slices.Clone(tracker.plans) {
+		if plan.awaitingHosts {
 			continue
 		}
-		finished := p.Served
-		for i := range p.Steps {
-			s := &p.Steps[i]
+		finished := plan.Served
+		for i := range plan.Steps {
+			step := &plan.Steps[i]
 			switch {
-			case s.State != Waiting:
-				finished = finished && s.State >= Settled
-			case p.Served:
-				s.State = Dropped
-				t.Stats.Dropped++
-			case p.durable && t.mayStop(p, s, shard, stopped[s.Job]):
-				s.State, s.stoppedAt = Stopping, now
-				stopped[s.Job]++
-				t.markMoved(now, p.Team, s)
-				stops = append(stops, StopRequest{s.Job, s.Index, s.Attempt})
+			case step.State != Waiting:
+				finished = finished && step.State >= Settled
+			case plan.Served:
+				step.State = Dropped
+				tracker.Stats.Dropped++
+			case plan.durable && tracker.mayStop(plan, step, shard, stopped[step.Job]):
+				step.State, step.stoppedAt = Stopping, now
+				stopped[step.Job]++
+				tracker.markMoved(now, plan.Team, step)
+				stops = append(stops, StopRequest{step.Job, step.Index, step.Attempt})
 			}
 		}
 		if finished {
-			t.dropPlan(now, p)
+			tracker.dropPlan(now, plan)
 		}
 	}
 	return stops
 }
 
-// expireRecent forgets the replicas whose cooldown is over. A record is rewritten only when it
-// loses the last one.
-func (t *Tracker) expireRecent(now time.Time) {
-	for team, s := range t.teams {
-		for k, until := range s.recent {
+// expireRecent removes the replicas whose cooldown is over. A record is marked as changed only when its
+// last cooldown ends.
+func (tracker *Tracker) expireRecent(now time.Time) {
+	for team, state := range tracker.teams {
+		for key, until := range state.recent {
 			if !now.Before(until) {
-				delete(s.recent, k)
-				if len(s.recent) == 0 {
-					t.markChanged(team, now)
+				delete(state.recent, key)
+				if len(state.recent) == 0 {
+					tracker.markChanged(team, now)
 				}
 			}
 		}
 	}
 }
 
-// hasUnheardHost says that a host of the plan may still be heard of after a takeover. Until
-// then the plan's capacity is held, and nothing is decided.
-func (p *ActivePlan) hasUnheardHost(shard ShardState) bool {
-	return !p.Served && shard.Unheard(p.Host) || slices.ContainsFunc(p.Steps, func(s Step) bool {
-		return s.State < Starting && (shard.Unheard(s.From) || shard.Unheard(s.To))
+// hasUnheardHost reports whether a host of the plan is still expected to send its first heartbeat after
+// a failover. Until then the plan's capacity stays held and its moves are not changed.
+func (plan *ActivePlan) hasUnheardHost(shard ShardState) bool {
+	return !plan.Served && shard.Unheard(plan.Host) || slices.ContainsFunc(plan.Steps, func(step Step) bool {
+		return step.State < Starting && (shard.Unheard(step.From) || shard.Unheard(step.To))
 	})
 }
 
-// updateStep derives a move's state from that of its replica.
-func (t *Tracker) updateStep(now time.Time, p *ActivePlan, s *Step, shard ShardState) {
-	previous := s.State
+// updateStep derives the state of a move from the state of its replica.
+func (tracker *Tracker) updateStep(now time.Time, plan *ActivePlan, step *Step, shard ShardState) {
+	previous := step.State
 	if previous == Settled || previous == Dropped {
 		return
 	}
-	task := shard.Task(s.Job, s.Index)
+	task := shard.Task(step.Job, step.Index)
 	switch {
 	case !task.Known:
-		s.State = Settled
-	case task.Host == "" && task.Attempt > s.Attempt:
-		// Placed since, and lost again: no longer a matter of this move.
-		s.State = Settled
-	case task.Host == "" && previous != RollingBack && t.fitsOn(s, s.To, shard, nil):
-		s.State = Gone
+		step.State = Settled
+	case task.Host == "" && task.Attempt > step.Attempt:
+		// The replica was started again after the move and has ended since. This move is over.
+		step.State = Settled
+	case task.Host == "" && previous != RollingBack && tracker.fitsOn(step, step.To, shard, nil):
+		step.State = Gone
 	case task.Host == "":
-		// The target is lost, or has no capacity yet for a replica that was lost before it
-		// was stopped. The replica does not wait for that: it goes back, if it still can, to
-		// where it was, and the plan's waiting job can't have that place.
-		if s.State = RollingBack; !t.fitsOn(s, s.From, shard, p) {
-			s.State = Settled
+		// The target is lost, or it lacks capacity because the replica ended before its stop was
+		// due. The replica does not wait for the target: it is rolled back to its original
+		// host if it still fits there, even on capacity held for the plan's waiting job.
+		if step.State = RollingBack; !tracker.fitsOn(step, step.From, shard, plan) {
+			step.State = Settled
 		}
-	case task.Attempt > s.Attempt && task.Host == s.To && !task.Running:
-		s.State = Starting
-	case task.Attempt > s.Attempt:
-		s.State = Settled
-	case task.Attempt < s.Attempt || task.Host != s.From:
-		// The record contradicts the shard's state.
-		s.State = Settled
+	case task.Attempt > step.Attempt && task.Host == step.To && !task.Running:
+		step.State = Starting
+	case task.Attempt > step.Attempt:
+		step.State = Settled
+	case task.Attempt < step.Attempt || task.Host != step.From:
+		// The shard's state contradicts the record: the shard's state counts.
+		step.State = Settled
 	case task.Stopping:
-		s.State = Stopping
+		step.State = Stopping
 	}
-	if previous == Waiting && s.State != Waiting {
-		t.markMoved(now, p.Team, s)
+	if previous == Waiting && step.State != Waiting {
+		tracker.markMoved(now, plan.Team, step)
 	}
-	if s.State == Settled && task.Running && task.Host == s.To && !s.stoppedAt.IsZero() {
-		t.Stats.Moved++
-		t.Stats.LongestDowntime = max(t.Stats.LongestDowntime, now.Sub(s.stoppedAt))
+	if step.State == Settled && task.Running && task.Host == step.To && !step.stoppedAt.IsZero() {
+		tracker.Stats.Moved++
+		tracker.Stats.LongestDowntime = max(tracker.Stats.LongestDowntime, now.Sub(step.stoppedAt))
 	}
 }
 
-// fitsOn says that a replica fits on a host beside what is held there for others. What except
-// holds for its waiting job is not counted; except may be nil.
-func (t *Tracker) fitsOn(s *Step, host string, shard ShardState, except *ActivePlan) bool {
+// fitsOn reports whether a replica fits on a host in addition to all capacity held there for other
+// tasks. The capacity that the plan except holds for its waiting job is not counted; except may be nil.
+func (tracker *Tracker) fitsOn(step *Step, host string, shard ShardState, except *ActivePlan) bool {
 	free, ok := shard.FreeCapacity(host)
 	if !ok {
 		return false
 	}
-	for _, h := range t.Holds() {
-		if h.Host == host && (h.Job != s.Job || h.Index != s.Index) && (h.Plan == nil || h.Plan != except) {
-			free = free.AddScaled(h.Need, -1)
+	for _, hold := range tracker.Holds() {
+		if hold.Host == host && (hold.Job != step.Job || hold.Index != step.Index) && (hold.Plan == nil || hold.Plan != except) {
+			free = free.AddScaled(hold.Need, -1)
 		}
 	}
-	return s.Need.Fits(free)
+	return step.Need.Fits(free)
 }
 
+// usable reports whether tasks may be placed on a host.
 func usable(shard ShardState, host string) bool {
 	_, ok := shard.FreeCapacity(host)
 	return ok
 }
 
-// isInfeasible says that a plan can't succeed any more, or now costs more than what it was
-// chosen over.
-func (p *ActivePlan) isInfeasible(shard ShardState) bool {
-	if !usable(shard, p.Host) {
+// isInfeasible reports whether a plan can't succeed any more, or whether its remaining moves cost more
+// than the wait that the plan was preferred to (MaxCost).
+func (plan *ActivePlan) isInfeasible(shard ShardState) bool {
+	if !usable(shard, plan.Host) {
 		return true
 	}
 	var downtime, planned time.Duration
-	for i := range p.Steps {
-		s := &p.Steps[i]
+	for i := range plan.Steps {
+		step := &plan.Steps[i]
 		switch {
-		case s.State == RollingBack || s.State == Dropped:
+		case step.State == RollingBack || step.State == Dropped:
 			return true
-		case s.State == Waiting && !usable(shard, s.To):
+		case step.State == Waiting && !usable(shard, step.To):
 			return true
-		case s.State == Waiting:
-			downtime += shard.Downtime(s.Job, s.To)
-			planned += s.Downtime
+		case step.State == Waiting:
+			downtime += shard.Downtime(step.Job, step.To)
+			planned += step.Downtime
 		}
 	}
-	return downtime > max(p.MaxCost, planned)+costSlack
+	return downtime > max(plan.MaxCost, planned)+costSlack
 }
 
-// mayStop says that a replica may be stopped now: it runs, it fits on its target, and its job
-// can do without it. stopped counts the job's replicas stopped in the same Update.
-func (t *Tracker) mayStop(p *ActivePlan, s *Step, shard ShardState, stopped int) bool {
-	task := shard.Task(s.Job, s.Index)
+// mayStop reports whether a replica may be stopped now: it runs, it fits on its target, and its job
+// tolerates the stop. An only replica may be stopped if it yields to the waiting job; of several
+// replicas at least half must stay running. The argument stopped is the number of the job's replicas
+// that this Update has stopped already.
+func (tracker *Tracker) mayStop(plan *ActivePlan, step *Step, shard ShardState, stopped int) bool {
+	task := shard.Task(step.Job, step.Index)
 	if !task.Running || task.Stopping {
 		return false
 	}
-	running, total := shard.RunningReplicas(s.Job)
-	if total == 1 && !shard.YieldsTo(s.Job, p.HeldFor) || total > 1 && 2*(running-stopped-1) < total {
+	running, total := shard.RunningReplicas(step.Job)
+	if total == 1 && !shard.YieldsTo(step.Job, plan.HeldFor) || total > 1 && 2*(running-stopped-1) < total {
 		return false
 	}
-	return t.fitsOn(s, s.To, shard, nil)
+	return tracker.fitsOn(step, step.To, shard, nil)
 }
 
-// markMoved starts a replica's cooldown.
-func (t *Tracker) markMoved(now time.Time, team string, s *Step) {
-	t.teamState(team).recent[replicaKey{s.Job, s.Index}] = now.Add(t.Cooldown)
+// markMoved starts the cooldown of a replica.
+func (tracker *Tracker) markMoved(now time.Time, team string, step *Step) {
+	tracker.teamState(team).recent[replicaKey{step.Job, step.Index}] = now.Add(tracker.Cooldown)
 }
 
-func (t *Tracker) dropPlan(now time.Time, p *ActivePlan) {
-	t.removePlan(p)
-	t.markChanged(p.Team, now)
+// dropPlan removes a plan and marks its team's record as changed.
+func (tracker *Tracker) dropPlan(now time.Time, plan *ActivePlan) {
+	tracker.removePlan(plan)
+	tracker.markChanged(plan.Team, now)
 }
