--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -1,6 +1,7 @@
-// Package api serves users, workers and the load balancer's health checks over HTTP, and
-// operators on an address of their own. It owns the wire form of jobs; package worker owns that
-// of heartbeats. The routes and bodies are those of the protocol.
+// Package api is a controller's HTTP server. It serves users, workers and the load balancer's
+// health checks on one address, and operators on another. The protocol specifies the routes and
+// the bodies. This package implements the wire format of jobs; package worker implements the
+// wire format of heartbeats.
 package api
 
 import (
@@ -21,21 +22,23 @@
 )
 
 const (
-	// maxBodyBytes is the protocol's limit for request bodies.
+	// maxBodyBytes is the protocol's limit on the size of a request body.
 	maxBodyBytes = 64 << 10
-	// controllerTimeout bounds the wait for the controller's reply; the controller itself
-	// gives up earlier.
+	// controllerTimeout bounds the wait for the controller's reply to a user or a worker. It is
+	// only a backstop, since the controller's own deadline for a request is shorter.
 	controllerTimeout = 1900 * time.Millisecond
 	// headerTimeout, idleTimeout and writeTimeout keep slow or unresponsive clients from
-	// holding sockets for ever.
+	// occupying sockets indefinitely. headerTimeout bounds the reading of the header and also of
+	// the whole request.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 90 * time.Second
 	writeTimeout  = 10 * time.Second
-	// maxHeaderBytes bounds a request's header.
+	// maxHeaderBytes bounds the size of a request's header.
 	maxHeaderBytes = 16 << 10
 )
 
-// Backend is what the handlers need of the server. Its methods are safe for concurrent use.
+// Backend is the part of the server process that the HTTP handlers call. Its methods are safe
+// for concurrent use.
 type Backend interface {
 	// Ask passes a command to the controller and waits for its reply.
 	Ask(ctx context.Context, newCommand func(reply uint64) message.Command) (message.Effect, error)
@@ -43,60 +46,65 @@
 	Healthy() bool
 }
 
-// Observer gets the route, the HTTP status and the duration of every request.
+// Observer receives the route, the HTTP status and the duration of every request.
 type Observer func(route, status string, took time.Duration)
 
+// handlers implements the HTTP handlers of both servers.
 type handlers struct {
 	backend Backend
-	conns   *connTracker
+	// conns tracks the connections of users and workers. It is nil in the operators' server.
+	conns *connTracker
 
 	mu        sync.Mutex
 	rejectLog validate.LogLimiter // guarded by mu
 }
 
-// connContextKey is the key of a request's net.Conn in its context.
+// connContextKey is the key of a request's net.Conn in the request's context.
 type connContextKey struct{}
 
-// Serve listens on addr, for users, workers and health checks, until the context ends. It
-// keeps within its part of so many sockets, and passes every response to observe.
+// Serve listens on addr, for users, workers and health checks, until the context ends. sockets is
+// how many sockets the process may have open; Serve limits the incoming connections to
+// hardLimitFraction of them. It calls observe after every response.
 func Serve(ctx context.Context, addr string, sockets int, backend Backend, observe Observer) error {
-	h := &handlers{backend: backend, conns: newConnTracker(sockets)}
-	e := newEcho()
-	e.Use(observed(observe))
-	e.POST("/v2/runs", h.submitJob)
-	e.GET("/v2/runs/:id", h.queryJob)
-	e.POST("/v2/runs/:id/abort", h.cancelJob)
-	e.GET("/healthz", h.health)
-	e.POST("/v1/report", h.heartbeat)
-	e.HTTPErrorHandler = handleError
-	ln, err := listen.TCP(ctx, "api_addr", addr)
+	handlers := &handlers{backend: backend, conns: newConnTracker(sockets)}
+	router := newEcho()
+	router.Use(observed(observe))
+	router.POST("/v2/runs", handlers.submitJob)
+	router.GET("/v2/runs/:id", handlers.queryJob)
+	router.POST("/v2/runs/:id/abort", handlers.cancelJob)
+	router.GET("/healthz", handlers.health)
+	router.POST("/v1/report", handlers.heartbeat)
+	router.HTTPErrorHandler = handleError
+	listener, err := listen.TCP(ctx, "api_addr", addr)
 	if err != nil {
 		return fmt.Errorf("api: %w", err)
 	}
-	return serve(ctx, &limitedListener{ln, h.conns}, e, h.conns)
+	return serve(ctx, &limitedListener{listener, handlers.conns}, router, handlers.conns)
 }
 
-// ServeOperators serves the status as JSON and the metrics on ln, the controllers' own address,
-// which users can't reach. extraRoutes add the routes of optional features.
-func ServeOperators(ctx context.Context, ln net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
-	h := &handlers{backend: backend}
-	e := newEcho()
-	e.GET("/metrics", echo.WrapHandler(metrics))
-	e.GET("/status", h.status)
+// ServeOperators serves the controller's status as JSON, and its metrics, on listener until the
+// context ends. The listener's address is the controllers' internal one, which users can't reach.
+// Each function in extraRoutes adds the routes of an optional feature.
+func ServeOperators(ctx context.Context, listener net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
+	handlers := &handlers{backend: backend}
+	router := newEcho()
+	router.GET("/metrics", echo.WrapHandler(metrics))
+	router.GET("/status", handlers.status)
 	for _, add := range extraRoutes {
-		add(e)
+		add(router)
 	}
-	return serve(ctx, ln, e, nil)
+	return serve(ctx, listener, router, nil)
 }
 
+// newEcho returns a router that prints nothing at its start.
 func newEcho() *echo.Echo {
-	e := echo.New()
-	e.HideBanner, e.HidePort = true, true
-	return e
+	router := echo.New()
+	router.HideBanner, router.HidePort = true, true
+	return router
 }
 
-// observed passes each response to observe. Errors become responses here, so that their status
-// is known.
+// observed returns a middleware that calls observe after each response. It converts a handler's
+// error to a response first, so that the response's status is known.
 func observed(observe Observer) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
@@ -110,7 +118,8 @@
 	}
 }
 
-// handleError responds with an error's status in the protocol's form.
+// handleError responds to a failed request with the HTTP status of its error, or with a 500 if the
+// error has none, in the protocol's format for errors.
 func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -125,24 +134,25 @@
 	}
 }
 
-// serve serves ln until the context ends. tracker, if not nil, follows the connections.
-func serve(ctx context.Context, ln net.Listener, handler http.Handler, tracker *connTracker) error {
-	srv := &http.Server{
+// serve runs an HTTP server on listener until the context ends. If tracker is not nil, the server
+// reports each connection's state to it, and each request's context holds the request's connection.
+func serve(ctx context.Context, listener net.Listener, handler http.Handler, tracker *connTracker) error {
+	server := &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: headerTimeout,
 		WriteTimeout: writeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	if tracker != nil {
-		srv.ConnState = tracker.trackState
-		srv.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
+		server.ConnState = tracker.trackState
+		server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connContextKey{}, conn)
 		}
 	}
 	go func() {
 		<-ctx.Done()
-		srv.Close()
+		server.Close()
 	}()
-	if err := srv.Serve(ln); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		return fmt.Errorf("api: %w", err)
 	}
 	return nil
--- a/internal/api/conns.go
+++ b/internal/api/conns.go
@@ -9,43 +9,51 @@
 )
 
 const (
-	// hardLimitFraction of the sockets may be incoming connections; the rest is for commands to
-	// workers, the state service, the cloud and the other controllers.
+	// hardLimitFraction is the fraction of the process's sockets that incoming connections may
+	// use. The other sockets are for commands to workers and for connections to the state
+	// service, the cloud and the other controllers.
 	hardLimitFraction = 0.7
-	// softLimitFraction of the sockets in use, the response to a heartbeat closes its
-	// connection. More workers than sockets can be served this way, since a heartbeat takes
-	// a moment and the next one is seconds away. The connections between the two limits are
-	// kept for users and health checks.
+	// softLimitFraction is the fraction of the process's sockets above which the server closes a
+	// worker's connection with its response to a heartbeat. The server can then serve more
+	// workers than it has sockets, since a worker sends a short request once every few seconds.
+	// The connections between the two limits remain available to users and health checks.
 	softLimitFraction = 0.55
-	// minConns is the least hard limit, however few sockets there are.
+	// minConns is the smallest hard limit, in connections, however few sockets there are.
 	minConns = 8
-	// admitRetryInterval is how often a full tracker is tried again.
+	// admitRetryInterval is the longest pause before the listener asks a full tracker again. It
+	// asks earlier when a connection ends or becomes idle.
 	admitRetryInterval = 200 * time.Millisecond
 )
 
-// connTracker keeps the incoming connections within hardLimit. If there is none left for a new
-// connection, it closes the one that has been idle the longest, workers' first: a worker
-// reconnects with its next heartbeat, while a controller that does not accept connections seems
-// to be down.
+// connTracker limits the number of incoming connections to hardLimit. To admit a new connection at
+// the limit, it closes the connection that has been idle the longest, and prefers the connections
+// of workers: a worker reconnects for its next heartbeat, whereas a controller that accepts no
+// connections looks as if it were down. Its methods are safe for concurrent use.
 type connTracker struct {
 	softLimit, hardLimit int
-	// freed has an element after a connection has ended or become idle.
+	// freed has capacity 1, and gets an element when a connection ends, becomes idle or becomes
+	// active.
 	freed chan struct{}
 
 	mu   sync.Mutex
 	open map[net.Conn]*trackedConn
-	// idleWorkers and idleOthers are the connections without a request in progress, the
-	// longest idle first.
+	// idleWorkers and idleOthers list the connections without a request in progress, of workers
+	// and of all other clients. The connection that has been idle the longest is first.
 	idleWorkers, idleOthers *list.List
 }
 
+// trackedConn is the state of one open connection.
 type trackedConn struct {
+	// isWorker is whether the connection has carried a heartbeat.
 	isWorker bool
-	// idleElement is the connection's place in idleList, nil while it is in use.
+	// idleElement is the connection's element of idleList. It is nil while a request is in
+	// progress.
 	idleList    *list.List
 	idleElement *list.Element
 }
 
+// newConnTracker returns a tracker whose limits are fractions of the number of sockets that the
+// process may have open.
 func newConnTracker(sockets int) *connTracker {
 	return &connTracker{
 		softLimit: max(minConns/2, int(softLimitFraction*float64(sockets))), hardLimit: max(minConns, int(hardLimitFraction*float64(sockets))),
@@ -53,66 +61,69 @@
 	}
 }
 
-// trackState is the http.Server's ConnState hook.
-func (c *connTracker) trackState(conn net.Conn, s http.ConnState) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	tracked := c.open[conn]
-	switch s {
+// trackState updates the tracker after a connection's state has changed. It is the ConnState hook of
+// the http.Server.
+func (tracker *connTracker) trackState(conn net.Conn, state http.ConnState) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	tracked := tracker.open[conn]
+	switch state {
 	case http.StateNew:
-		c.open[conn] = &trackedConn{}
+		tracker.open[conn] = &trackedConn{}
 		return
 	case http.StateActive:
-		c.removeIdle(tracked)
+		tracker.removeIdle(tracked)
 	case http.StateIdle:
 		if tracked != nil {
-			c.removeIdle(tracked)
-			if tracked.idleList = c.idleOthers; tracked.isWorker {
-				tracked.idleList = c.idleWorkers
+			tracker.removeIdle(tracked)
+			if tracked.idleList = tracker.idleOthers; tracked.isWorker {
+				tracked.idleList = tracker.idleWorkers
 			}
 			tracked.idleElement = tracked.idleList.PushBack(conn)
 		}
 	case http.StateClosed, http.StateHijacked:
-		c.removeIdle(tracked)
-		delete(c.open, conn)
+		tracker.removeIdle(tracked)
+		delete(tracker.open, conn)
 	}
 	select {
-	case c.freed <- struct{}{}:
+	case tracker.freed <- struct{}{}:
 	default:
 	}
 }
 
-func (c *connTracker) removeIdle(tracked *trackedConn) {
+// removeIdle removes a connection from its list of idle connections, if it is in one. tracked may be
+// nil. The caller holds mu.
+func (tracker *connTracker) removeIdle(tracked *trackedConn) {
 	if tracked != nil && tracked.idleElement != nil {
 		tracked.idleList.Remove(tracked.idleElement)
 		tracked.idleElement = nil
 	}
 }
 
-// markWorker notes that a connection carries heartbeats, and reports whether it should be closed
-// after the response because connections run short.
-func (c *connTracker) markWorker(conn net.Conn) (shouldClose bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if tracked := c.open[conn]; tracked != nil {
+// markWorker records that a connection carries heartbeats. It reports whether the server should
+// close the connection after the response, because more than softLimit connections are open.
+func (tracker *connTracker) markWorker(conn net.Conn) (shouldClose bool) {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if tracked := tracker.open[conn]; tracked != nil {
 		tracked.isWorker = true
 	}
-	return len(c.open) > c.softLimit
+	return len(tracker.open) > tracker.softLimit
 }
 
-// admit reports whether one more connection may be accepted; it closes an idle one if that is
-// needed.
-func (c *connTracker) admit() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if len(c.open) < c.hardLimit {
+// admit reports whether the server may accept one more connection. At the hard limit it first closes
+// an idle connection, and returns false if there is none.
+func (tracker *connTracker) admit() bool {
+	tracker.mu.Lock()
+	defer tracker.mu.Unlock()
+	if len(tracker.open) < tracker.hardLimit {
 		return true
 	}
-	for _, l := range [...]*list.List{c.idleWorkers, c.idleOthers} {
-		if e := l.Front(); e != nil {
-			conn := e.Value.(net.Conn)
-			c.removeIdle(c.open[conn])
-			delete(c.open, conn)
+	for _, idle := range [...]*list.List{tracker.idleWorkers, tracker.idleOthers} {
+		if oldest := idle.Front(); oldest != nil {
+			conn := oldest.Value.(net.Conn)
+			tracker.removeIdle(tracker.open[conn])
+			delete(tracker.open, conn)
 			conn.Close()
 			return true
 		}
@@ -120,18 +131,19 @@
 	return false
 }
 
-// limitedListener accepts a connection only when the tracker admits it.
+// limitedListener is a listener that accepts a connection only when the tracker admits one.
 type limitedListener struct {
 	net.Listener
 	tracker *connTracker
 }
 
-func (l *limitedListener) Accept() (net.Conn, error) {
-	for !l.tracker.admit() {
+// Accept waits until the tracker admits a connection, and accepts the next one.
+func (listener *limitedListener) Accept() (net.Conn, error) {
+	for !listener.tracker.admit() {
 		select {
-		case <-l.tracker.freed:
+		case <-listener.tracker.freed:
 		case <-time.After(admitRetryInterval):
 		}
 	}
-	return l.Listener.Accept()
+	return listener.Listener.Accept()
 }
--- a/internal/api/conns_test.go
+++ b/internal/api/conns_test.go
@@ -13,9 +13,10 @@
 	"time"
 )
 
-// TestMoreWorkersThanSockets guards against workers whose lease expires because idle connections
-// of others take up all sockets: several times as many workers as sockets send heartbeats again
-// and again, and each of these, as well as users and health checks, must get a response at once.
+// TestMoreWorkersThanSockets guards against a worker whose lease expires because the idle
+// connections of other workers use all sockets. Four times as many workers as there are sockets
+// send heartbeats repeatedly. Each heartbeat and each health check must get a response within a
+// few seconds.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -24,12 +25,12 @@
 	go Serve(ctx, addr, sockets, heartbeatBackend{}, ignoreResponses)
 	waitForListener(t, addr)
 	body := encodeHeartbeat(t)
-	var wg sync.WaitGroup
+	var running sync.WaitGroup
 	for range workers {
-		wg.Go(func() {
-			w := testWorker{addr: addr, body: body}
+		running.Go(func() {
+			worker := testWorker{addr: addr, body: body}
 			for range rounds {
-				if err := w.sendWithRetries(); err != nil {
+				if err := worker.sendWithRetries(); err != nil {
 					t.Errorf("heartbeat: got %v, want a response", err)
 					return
 				}
@@ -37,7 +38,7 @@
 			}
 		})
 	}
-	// No connection is kept here, so each request has to be admitted.
+	// This client keeps no connection, so the server has to admit a new one for each request.
 	user := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for range 20 {
 		resp, err := user.Get("http://" + addr + "/healthz")
@@ -48,15 +49,15 @@
 		resp.Body.Close()
 		time.Sleep(10 * time.Millisecond)
 	}
-	wg.Wait()
+	running.Wait()
 }
 
 // waitForListener waits until addr accepts connections.
 func waitForListener(t *testing.T, addr string) {
 	t.Helper()
 	for range 200 {
-		if c, err := net.Dial("tcp", addr); err == nil {
-			c.Close()
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			conn.Close()
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -64,7 +65,7 @@
 	t.Fatalf("no listener on %s, want one", addr)
 }
 
-// testWorker sends heartbeats on a connection that it keeps while the server does.
+// testWorker is a worker that sends heartbeats on one connection until the server closes it.
 type testWorker struct {
 	addr   string
 	body   []byte
@@ -72,19 +73,19 @@
 	reader *bufio.Reader
 }
 
-// sendWithRetries sends a heartbeat, on up to three connections: the server may have closed the
-// kept one meanwhile. Any response but a 200 is an error.
-func (w *testWorker) sendWithRetries() error {
+// sendWithRetries sends a heartbeat. It tries up to three connections, since the server may have
+// closed the open one in the meantime. A response with another status than 200 is an error.
+func (worker *testWorker) sendWithRetries() error {
 	var failure error
 	for range 3 {
-		if w.conn == nil {
-			conn, err := net.DialTimeout("tcp", w.addr, 4*time.Second)
+		if worker.conn == nil {
+			conn, err := net.DialTimeout("tcp", worker.addr, 4*time.Second)
 			if err != nil {
 				return err
 			}
-			w.conn, w.reader = conn, bufio.NewReader(conn)
+			worker.conn, worker.reader = conn, bufio.NewReader(conn)
 		}
-		status, err := w.send()
+		status, err := worker.send()
 		if err == nil && status != http.StatusOK {
 			return fmt.Errorf("status %d", status)
 		}
@@ -92,77 +93,78 @@
 			return nil
 		}
 		failure = err
-		w.conn.Close()
-		w.conn = nil
+		worker.conn.Close()
+		worker.conn = nil
 	}
 	return failure
 }
 
 // send makes one request on the connection and returns the status of the response.
-func (w *testWorker) send() (int, error) {
-	req, err := http.NewRequest(http.MethodPost, "http://"+w.addr+"/v1/report", bytes.NewReader(w.body))
+func (worker *testWorker) send() (int, error) {
+	req, err := http.NewRequest(http.MethodPost, "http://"+worker.addr+"/v1/report", bytes.NewReader(worker.body))
 	if err != nil {
 		return 0, err
 	}
-	w.conn.SetDeadline(time.Now().Add(4 * time.Second))
-	// A failed write shows in the read.
-	req.Write(w.conn)
-	resp, err := http.ReadResponse(w.reader, req)
+	worker.conn.SetDeadline(time.Now().Add(4 * time.Second))
+	// If the write fails, so does the read below.
+	req.Write(worker.conn)
+	resp, err := http.ReadResponse(worker.reader, req)
 	if err != nil {
 		return 0, err
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
 	if resp.Close {
-		w.conn.Close()
-		w.conn = nil
+		worker.conn.Close()
+		worker.conn = nil
 	}
 	return resp.StatusCode, nil
 }
 
-// TestConns: connections stay within the limit; a worker's idle one is closed before a user's,
-// and one with a request in progress never.
+// TestConns checks which connection the tracker closes at the hard limit: an idle connection of a
+// worker before one of a user, and never a connection with a request in progress. Otherwise a busy
+// server would drop requests that it has already accepted.
 func TestConns(t *testing.T) {
-	c := newConnTracker(0)
+	tracker := newConnTracker(0)
 	var all []net.Conn
 	open := func(worker, idle bool) net.Conn {
-		a, b := net.Pipe()
-		t.Cleanup(func() { b.Close() })
-		c.trackState(a, http.StateNew)
-		c.trackState(a, http.StateActive)
+		server, client := net.Pipe()
+		t.Cleanup(func() { client.Close() })
+		tracker.trackState(server, http.StateNew)
+		tracker.trackState(server, http.StateActive)
 		if worker {
-			c.markWorker(a)
+			tracker.markWorker(server)
 		}
 		if idle {
-			c.trackState(a, http.StateIdle)
+			tracker.trackState(server, http.StateIdle)
 		}
-		all = append(all, a)
-		return a
+		all = append(all, server)
+		return server
 	}
 	user := open(false, true)
 	worker := open(true, true)
 	for range minConns - 2 {
 		open(true, false)
 	}
-	if !c.markWorker(worker) {
+	if !tracker.markWorker(worker) {
 		t.Error("markWorker at the hard limit: got false, want true")
 	}
-	if !c.admit() {
+	if !tracker.admit() {
 		t.Fatal("admit with two idle connections: got false, want true")
 	}
-	if c.open[worker] != nil || c.open[user] == nil {
-		t.Errorf("open: got worker %t, user %t, want the user's only", c.open[worker] != nil, c.open[user] != nil)
+	if tracker.open[worker] != nil || tracker.open[user] == nil {
+		t.Errorf("open: got worker %t, user %t, want only the user's", tracker.open[worker] != nil, tracker.open[user] != nil)
 	}
 	open(true, false)
-	if admitted := c.admit(); !admitted || c.open[user] != nil {
-		t.Errorf("last idle connection: got admitted %t, still open %t, want it closed for another", admitted, c.open[user] != nil)
+	if admitted := tracker.admit(); !admitted || tracker.open[user] != nil {
+		t.Errorf("last idle connection: got admitted %t, still open %t, want a new connection admitted and the idle one closed", admitted, tracker.open[user] != nil)
 	}
 	open(true, false)
-	if c.admit() {
+	if tracker.admit() {
 		t.Error("admit with every connection in use: got true, want false")
 	}
-	c.trackState(all[len(all)-1], http.StateClosed)
-	if !c.admit() {
+	tracker.trackState(all[len(all)-1], http.StateClosed)
+	if !tracker.admit() {
 		t.Error("admit after a connection has ended: got false, want true")
 	}
 }
--- a/internal/api/fuzz_test.go
+++ b/internal/api/fuzz_test.go
@@ -9,7 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// FuzzJobRequest: whatever a user sends is a valid job or rejected with a reason.
+// FuzzJobRequest checks that the parser rejects every body that isn't a valid job, and never panics.
+// A job with invalid amounts would otherwise reach the scheduler.
 func FuzzJobRequest(f *testing.F) {
 	valid, err := msgpack.Marshal(validJobRequest())
 	if err != nil {
@@ -26,7 +27,8 @@
 	})
 }
 
-// FuzzHeartbeat: whatever a worker sends is a valid heartbeat or rejected with a reason.
+// FuzzHeartbeat checks that every body that isn't a valid heartbeat is rejected, without a panic. A
+// task without a job or with an unknown status would otherwise reach the scheduler.
 func FuzzHeartbeat(f *testing.F) {
 	reclaimS := 12.5
 	valid, err := msgpack.Marshal(worker.Heartbeat{Machine: "vm-000231", Address: "10.1.0.232:9000", MachineType: "g8", Zone: "a", Incarnation: 1, Sequence: 88, Epoch: 41, ReclaimS: &reclaimS,
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -17,9 +17,12 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
+// ptr returns a pointer to v.
 func ptr[T any](v T) *T { return &v }
 
-// TestGoldenJobRequest decodes a submission from the golden bytes.
+// TestGoldenJobRequest compares a submission with the golden bytes, and decodes them to a job. It
+// guards against a change of the wire format, after which users' submissions would be rejected or
+// read differently.
 func TestGoldenJobRequest(t *testing.T) {
 	requests := testgolden.Values{"job-request": jobRequest{
 		ID: ptr("job-000412"), Workload: ptr("train"), Team: ptr("vision"), Shape: ptr("group"), Urgency: ptr("urgent"), Tasks: ptr(16.0),
@@ -40,7 +43,8 @@
 	}
 }
 
-// TestGoldenResponses compares the responses to users and workers with the golden bytes.
+// TestGoldenResponses compares the responses to users and workers with the golden bytes. It guards
+// against a change of the wire format, which clients and workers could not read.
 func TestGoldenResponses(t *testing.T) {
 	commands := message.HeartbeatReply{Status: 200, Epoch: 411, Commands: []model.TaskCommand{
 		{Kind: model.StartTask, Job: "job-000412", Index: 5, Attempt: 2},
@@ -71,25 +75,25 @@
 		if test.body != "" {
 			body = testgolden.Bytes(t, test.body)
 		}
-		rec := httptest.NewRecorder()
-		c := echo.New().NewContext(httptest.NewRequest(test.method, "/", bytes.NewReader(body)), rec)
+		recorder := httptest.NewRecorder()
+		c := echo.New().NewContext(httptest.NewRequest(test.method, "/", bytes.NewReader(body)), recorder)
 		c.SetParamNames("id")
 		c.SetParamValues("job-000412")
 		if err := test.handle(&handlers{backend: fixedBackend{test.reply}, conns: newConnTracker(8)}, c); err != nil {
 			t.Fatal(err)
 		}
-		// The maps of a response are in random order.
-		var m map[string]any
-		if err := msgpack.Unmarshal(rec.Body.Bytes(), &m); err != nil {
+		// The order of the keys in a response's map is random, so the test sorts them.
+		var decoded map[string]any
+		if err := msgpack.Unmarshal(recorder.Body.Bytes(), &decoded); err != nil {
 			t.Fatal(err)
 		}
 		var sorted bytes.Buffer
-		e := msgpack.NewEncoder(&sorted)
-		e.SetSortMapKeys(true)
-		if err := e.Encode(m); err != nil {
+		encoder := msgpack.NewEncoder(&sorted)
+		encoder.SetSortMapKeys(true)
+		if err := encoder.Encode(decoded); err != nil {
 			t.Fatal(err)
 		}
-		got := strconv.Itoa(rec.Code) + " " + rec.Header().Get(echo.HeaderRetryAfter) + "\n" + sorted.String()
+		got := strconv.Itoa(recorder.Code) + " " + recorder.Header().Get(echo.HeaderRetryAfter) + "\n" + sorted.String()
 		testgolden.Same(t, "response-"+name, []byte(got))
 	}
 }
--- a/internal/api/jobrequest.go
+++ b/internal/api/jobrequest.go
@@ -14,9 +14,10 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// jobRequest is a submission on the wire, as the protocol's "POST /v2/runs" has it. Pointers
-// distinguish a missing field from a zero. Tasks is a decimal number, so that 2.5 is invalid and
-// not 2.
+// jobRequest is the wire format of a submission, as specified by the protocol's "POST /v2/runs".
+// Its fields are pointers to distinguish a missing field from a zero. Tasks is a floating-point
+// number so that 2.5 tasks are rejected rather than truncated to 2. Field names that end in S are
+// seconds.
 type jobRequest struct {
 	ID               *string  `msgpack:"id" validate:"required,runid"`
 	Workload         *string  `msgpack:"workload" validate:"required,min=1,max=100"`
@@ -44,83 +45,92 @@
 // requestValidator checks the validate tags of a jobRequest.
 var requestValidator = newRequestValidator()
 
+// newRequestValidator returns a validator with the tags "runid", "whole" and "amount", whose errors
+// have the fields' names on the wire.
 func newRequestValidator() *validator.Validate {
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("msgpack") })
-	for tag, fn := range map[string]validator.Func{
-		"runid":  func(fl validator.FieldLevel) bool { return jobIDPattern.MatchString(fl.Field().String()) },
-		"whole":  func(fl validator.FieldLevel) bool { f := fl.Field().Float(); return f == math.Trunc(f) },
-		"amount": func(fl validator.FieldLevel) bool { return validate.IsAmount(fl.Field().Float()) },
+	structValidator := validator.New(validator.WithRequiredStructEnabled())
+	structValidator.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("msgpack") })
+	for tag, check := range map[string]validator.Func{
+		"runid": func(level validator.FieldLevel) bool { return jobIDPattern.MatchString(level.Field().String()) },
+		"whole": func(level validator.FieldLevel) bool {
+			number := level.Field().Float()
+			return number == math.Trunc(number)
+		},
+		"amount": func(level validator.FieldLevel) bool { return validate.IsAmount(level.Field().Float()) },
 	} {
-		if err := v.RegisterValidation(tag, fn); err != nil {
+		if err := structValidator.RegisterValidation(tag, check); err != nil {
 			panic("api: " + err.Error())
 		}
 	}
-	return v
+	return structValidator
 }
 
+// urgencies has the urgency for each of its names on the wire.
 var urgencies = map[string]model.Urgency{
 	"critical": model.Critical, "urgent": model.Urgent, "normal": model.Normal, "best_effort": model.BestEffort,
 }
 
-// isMap reports whether b begins with a MessagePack map. The decoder would accept a list as
-// well, and take it for the fields in the order of their declaration.
-func isMap(b []byte) bool {
-	return len(b) > 0 && (msgpcode.IsFixedMap(b[0]) || b[0] == msgpcode.Map16 || b[0] == msgpcode.Map32)
+// isMap reports whether body begins with a MessagePack map. The decoder also accepts a list, whose
+// elements it assigns to the fields in the order of their declaration; the caller must reject that.
+func isMap(body []byte) bool {
+	return len(body) > 0 && (msgpcode.IsFixedMap(body[0]) || body[0] == msgpcode.Map16 || body[0] == msgpcode.Map32)
 }
 
-// mistypedField returns the name of the first field whose value can't be decoded, or "" if the
-// map itself can't be.
-func mistypedField(b []byte) string {
+// mistypedField returns the name of the first field whose value can't be decoded. It returns "" if
+// the map itself can't be decoded.
+func mistypedField(body []byte) string {
 	var values map[string]msgpack.RawMessage
-	if msgpack.Unmarshal(b, &values) != nil {
+	if msgpack.Unmarshal(body, &values) != nil {
 		return ""
 	}
 	fields := reflect.TypeFor[jobRequest]()
 	for i := range fields.NumField() {
-		f := fields.Field(i)
-		name := f.Tag.Get("msgpack")
-		// A null is decoded as no bytes.
-		if v := values[name]; len(v) > 0 && msgpack.Unmarshal(v, reflect.New(f.Type).Interface()) != nil {
-			return name + mistypedIndex(v, f.Type)
+		field := fields.Field(i)
+		name := field.Tag.Get("msgpack")
+		// The decoder returns no bytes for a null, which is allowed here.
+		if value := values[name]; len(value) > 0 && msgpack.Unmarshal(value, reflect.New(field.Type).Interface()) != nil {
+			return name + mistypedIndex(value, field.Type)
 		}
 	}
 	return ""
 }
 
-// mistypedIndex returns the index, in brackets, of a list's first element that can't be decoded,
-// or "" if there is none.
-func mistypedIndex(b []byte, list reflect.Type) string {
+// mistypedIndex returns the index, in brackets, of the first element of a list that can't be decoded.
+// It returns "" if there is no such element or the field is not a list.
+func mistypedIndex(encoded []byte, list reflect.Type) string {
 	var values []msgpack.RawMessage
-	if list.Kind() != reflect.Slice || msgpack.Unmarshal(b, &values) != nil {
+	if list.Kind() != reflect.Slice || msgpack.Unmarshal(encoded, &values) != nil {
 		return ""
 	}
-	for i, v := range values {
-		if len(v) == 0 || msgpack.Unmarshal(v, reflect.New(list.Elem()).Interface()) != nil {
+	for i, value := range values {
+		if len(value) == 0 || msgpack.Unmarshal(value, reflect.New(list.Elem()).Interface()) != nil {
 			return fmt.Sprintf("[%d]", i)
 		}
 	}
 	return ""
 }
 
-// errNotJobMap is the error of a body that is no map, or no map of a job's fields.
+// errNotJobMap reports a body that is not a map, or that can't be decoded as a map of a job's fields.
 var errNotJobMap = errors.New("not a MessagePack map with a job's fields")
 
-// invalidFieldError names a field that is missing or has an invalid value.
+// invalidFieldError reports a field that is missing or has an invalid value.
 type invalidFieldError struct{ field string }
 
-func (e *invalidFieldError) Error() string { return "field " + e.field + " is missing or invalid" }
+// Error names the field as the user wrote it.
+func (invalid *invalidFieldError) Error() string {
+	return "field " + invalid.field + " is missing or invalid"
+}
 
-// parseJobRequest decodes and checks a submission. Its errors are reasons for the user. Together
-// with an error the spec has the ID if that could be decoded: if the job is known, the response
-// is its state, whatever else the body says.
-func parseJobRequest(b []byte) (model.JobSpec, error) {
-	if !isMap(b) {
+// parseJobRequest decodes and checks a submission. The texts of its errors are meant for the user.
+// If there is an error, the spec still has the job's ID if the ID could be decoded: the response for
+// a known job is its state, even if the rest of the body is invalid.
+func parseJobRequest(body []byte) (model.JobSpec, error) {
+	if !isMap(body) {
 		return model.JobSpec{}, errNotJobMap
 	}
 	var request jobRequest
-	if msgpack.Unmarshal(b, &request) != nil {
-		return model.JobSpec{ID: decodeJobID(b)}, explainUndecodable(b)
+	if msgpack.Unmarshal(body, &request) != nil {
+		return model.JobSpec{ID: decodeJobID(body)}, explainUndecodable(body)
 	}
 	if request.ID == nil || !jobIDPattern.MatchString(*request.ID) {
 		return model.JobSpec{}, &invalidFieldError{"id"}
@@ -135,40 +145,42 @@
 	return request.spec(), nil
 }
 
-// explainUndecodable is the error of a map that can't be decoded as a whole.
-func explainUndecodable(b []byte) error {
-	if field := mistypedField(b); field != "" {
+// explainUndecodable returns the error for a map that can't be decoded. The error names the field if
+// the value of a single field is the cause.
+func explainUndecodable(body []byte) error {
+	if field := mistypedField(body); field != "" {
 		return &invalidFieldError{field}
 	}
 	return errNotJobMap
 }
 
-// decodeJobID returns the ID of a request of which other fields can't be decoded, or "".
-func decodeJobID(b []byte) string {
+// decodeJobID returns the job ID of a request whose other fields can't be decoded. It returns "" if
+// the ID is missing or invalid.
+func decodeJobID(body []byte) string {
 	var idOnly struct {
 		ID string `msgpack:"id"`
 	}
-	if msgpack.Unmarshal(b, &idOnly) != nil || !jobIDPattern.MatchString(idOnly.ID) {
+	if msgpack.Unmarshal(body, &idOnly) != nil || !jobIDPattern.MatchString(idOnly.ID) {
 		return ""
 	}
 	return idOnly.ID
 }
 
-// spec converts a valid request.
-func (r *jobRequest) spec() model.JobSpec {
+// spec converts a request that has passed all checks.
+func (request *jobRequest) spec() model.JobSpec {
 	spec := model.JobSpec{
-		ID: *r.ID, Workload: *r.Workload, Team: *r.Team, LongRunning: *r.Shape == "standing", Gang: *r.Shape == "group",
-		Urgency: urgencies[*r.Urgency], Tasks: int(*r.Tasks),
-		Need:  model.Resources{CPU: *r.VCPUs, GPU: *r.GPUs, Memory: *r.MemoryGB},
-		Image: *r.Image, ImageGB: *r.ImageGB, MachineTypes: r.MachineTypes,
-		Dependencies: r.Dependencies, SameZone: *r.ZoneAffinity, SpreadZones: *r.ZoneAntiAffinity, AllowSpot: *r.SpotAllowed,
-		ExpectedRunTime: record.DurationOfSeconds(*r.ExpectedS), CheckpointInterval: record.DurationOfSeconds(*r.CheckpointEveryS), CheckpointCost: record.DurationOfSeconds(*r.CheckpointCostS),
+		ID: *request.ID, Workload: *request.Workload, Team: *request.Team, LongRunning: *request.Shape == "standing", Gang: *request.Shape == "group",
+		Urgency: urgencies[*request.Urgency], Tasks: int(*request.Tasks),
+		Need:  model.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
+		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
+		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
+		ExpectedRunTime: record.DurationOfSeconds(*request.ExpectedS), CheckpointInterval: record.DurationOfSeconds(*request.CheckpointEveryS), CheckpointCost: record.DurationOfSeconds(*request.CheckpointCostS),
 	}
-	if r.Zone != nil {
-		spec.Zone = *r.Zone
+	if request.Zone != nil {
+		spec.Zone = *request.Zone
 	}
-	if r.DeadlineS != nil {
-		spec.Deadline = record.DurationOfSeconds(*r.DeadlineS)
+	if request.DeadlineS != nil {
+		spec.Deadline = record.DurationOfSeconds(*request.DeadlineS)
 	}
 	return spec
 }
--- a/internal/api/jobrequest_test.go
+++ b/internal/api/jobrequest_test.go
@@ -10,15 +10,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// validJobRequest has all fields of the protocol's example of a submission.
+// validJobRequest returns a submission with all fields of the protocol's example.
 func validJobRequest() map[string]any {
 	return map[string]any{"id": "job-000412", "workload": "train", "owner": "vision", "shape": "array", "urgency": "urgent", "pieces": 16,
 		"vcpus": 8.0, "gpus": 1.0, "memory_gb": 64.0, "bundle": "img-07", "image_gb": 6.2, "flavours": []string{"g8"}, "site": nil, "same_place": true,
 		"apart": false, "loaner": true, "expected_s": 240.0, "snapshot_every_s": 30.0, "snapshot_cost_s": 4.0, "due_s": 900.0}
 }
 
-// TestInvalidJobRequests: a submission that lacks a field, or has an invalid one, is rejected with
-// the field's name, and with the ID if that can be decoded.
+// TestInvalidJobRequests checks that a submission with a missing or an invalid field is rejected, and
+// that the error names this field. The job's ID must still be returned if it can be decoded, since
+// the response for a known job depends on it.
 func TestInvalidJobRequests(t *testing.T) {
 	type invalid struct {
 		field string
@@ -33,12 +34,12 @@
 		cases = append(cases, invalid{field, []any{1, "x"}}, invalid{field, map[string]any{"x": 1}})
 	}
 	for _, field := range []string{"vcpus", "gpus", "memory_gb", "image_gb", "expected_s", "snapshot_every_s", "snapshot_cost_s", "due_s"} {
-		for _, x := range []any{-1, -0.001, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, "8", true} {
-			cases = append(cases, invalid{field, x})
+		for _, value := range []any{-1, -0.001, math.NaN(), math.Inf(1), math.Inf(-1), 1e300, "8", true} {
+			cases = append(cases, invalid{field, value})
 		}
 	}
-	for _, x := range []any{0, -1, 100001, 2.5, math.NaN(), math.Inf(1), uint64(math.MaxUint64), "16"} {
-		cases = append(cases, invalid{"pieces", x})
+	for _, value := range []any{0, -1, 100001, 2.5, math.NaN(), math.Inf(1), uint64(math.MaxUint64), "16"} {
+		cases = append(cases, invalid{"pieces", value})
 	}
 	for _, field := range []string{"same_place", "apart", "loaner"} {
 		cases = append(cases, invalid{field, "yes"}, invalid{field, 1})
@@ -53,15 +54,15 @@
 		invalid{"id", ""}, invalid{"id", "000412"}, invalid{"id", "job-"}, invalid{"id", "job-1/2"}, invalid{"id", "job-1 "}, invalid{"id", "job-" + strings.Repeat("1", 65)}, invalid{"id", 412})
 	for _, test := range cases {
 		t.Run(fmt.Sprintf("%s=%v", test.field, test.value), func(t *testing.T) {
-			m := validJobRequest()
-			if m[test.field] = test.value; test.value == absent {
-				delete(m, test.field)
+			request := validJobRequest()
+			if request[test.field] = test.value; test.value == absent {
+				delete(request, test.field)
 			}
-			b, err := msgpack.Marshal(m)
+			body, err := msgpack.Marshal(request)
 			if err != nil {
 				t.Fatal(err)
 			}
-			spec, err := parseJobRequest(b)
+			spec, err := parseJobRequest(body)
 			if err == nil {
 				t.Fatalf("got %+v, want an error", spec)
 			}
@@ -69,30 +70,35 @@
 				t.Errorf("error: got %q, want one that names the field", err)
 			}
 			if hasID := spec.ID == "job-000412"; hasID != (test.field != "id") {
-				t.Errorf("ID: got %q, want it unless it is the invalid field", spec.ID)
+				t.Errorf("ID: got %q, want job-000412, or none if the ID is the invalid field", spec.ID)
 			}
 		})
 	}
 }
 
-// TestAcceptedJobRequests: optional fields may be missing or null, counts may be decimal numbers,
-// unknown fields are ignored; a body that is no map is rejected.
+// TestAcceptedJobRequests checks variants of a valid submission that must be accepted: optional
+// fields that are missing or null, counts as floating-point numbers, and unknown fields. A body that
+// isn't a map must be rejected, even a list of all values in the order of the fields.
 func TestAcceptedJobRequests(t *testing.T) {
 	for _, change := range []func(map[string]any){
 		func(map[string]any) {},
-		func(m map[string]any) { delete(m, "flavours"); delete(m, "site"); delete(m, "due_s") },
-		func(m map[string]any) { m["flavours"], m["site"], m["due_s"] = nil, nil, nil },
-		func(m map[string]any) { m["pieces"], m["vcpus"], m["gpus"] = 16.0, 8, 0 },
-		func(m map[string]any) { m["colour"] = []any{"red"} },
+		func(request map[string]any) {
+			delete(request, "flavours")
+			delete(request, "site")
+			delete(request, "due_s")
+		},
+		func(request map[string]any) { request["flavours"], request["site"], request["due_s"] = nil, nil, nil },
+		func(request map[string]any) { request["pieces"], request["vcpus"], request["gpus"] = 16.0, 8, 0 },
+		func(request map[string]any) { request["colour"] = []any{"red"} },
 	} {
-		m := validJobRequest()
-		change(m)
-		b, err := msgpack.Marshal(m)
+		request := validJobRequest()
+		change(request)
+		body, err := msgpack.Marshal(request)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if spec, err := parseJobRequest(b); err != nil || spec.Tasks != 16 || spec.Need.CPU != 8 {
-			t.Errorf("%v: got %+v, %v, want 16 tasks of 8 CPUs", m, spec, err)
+		if spec, err := parseJobRequest(body); err != nil || spec.Tasks != 16 || spec.Need.CPU != 8 {
+			t.Errorf("%v: got %+v, %v, want 16 tasks of 8 CPUs", request, spec, err)
 		}
 	}
 	var fieldsInOrder []any
@@ -100,13 +106,13 @@
 		"same_place", "apart", "loaner", "expected_s", "snapshot_every_s", "snapshot_cost_s", "due_s"} {
 		fieldsInOrder = append(fieldsInOrder, validJobRequest()[field])
 	}
-	for _, v := range []any{fieldsInOrder, "job-000412", nil, 7, true, []any{}} {
-		b, err := msgpack.Marshal(v)
+	for _, value := range []any{fieldsInOrder, "job-000412", nil, 7, true, []any{}} {
+		body, err := msgpack.Marshal(value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if spec, err := parseJobRequest(b); err == nil {
-			t.Errorf("%v: got %+v, want an error", v, spec)
+		if spec, err := parseJobRequest(body); err == nil {
+			t.Errorf("%v: got %+v, want an error", value, spec)
 		}
 	}
 }
--- a/internal/api/jobs.go
+++ b/internal/api/jobs.go
@@ -12,61 +12,65 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// jobIDPattern is the form of job IDs.
+// jobIDPattern matches valid job IDs.
 var jobIDPattern = regexp.MustCompile(`^job-[0-9A-Za-z_-]{1,64}$`)
 
-// submitJob passes a submission on. A malformed one goes to the controller too if it has an ID:
-// if that job is known, the response is its state.
-func (h *handlers) submitJob(c echo.Context) error {
-	b, err := readBody(c)
+// submitJob passes a submission to the controller. It also passes on a malformed submission that has
+// a valid job ID: if the job is known, the response is the job's state.
+func (handlers *handlers) submitJob(c echo.Context) error {
+	body, err := readBody(c)
 	if err != nil {
 		return err
 	}
-	spec, err := parseJobRequest(b)
+	spec, err := parseJobRequest(body)
 	reason := ""
 	if err != nil {
 		reason = err.Error()
 	}
 	if spec.ID == "" {
-		return h.rejectInput(c, reason)
+		return handlers.rejectInput(c, reason)
 	}
-	return h.forward(c, func(reply uint64) message.Command {
+	return handlers.forward(c, func(reply uint64) message.Command {
 		return message.SubmitJob{Reply: reply, Spec: spec, MalformedReason: reason}
 	})
 }
 
-func (h *handlers) queryJob(c echo.Context) error {
+// queryJob responds with a job's state and its numbers of completed and running tasks.
+func (handlers *handlers) queryJob(c echo.Context) error {
 	id := c.Param("id")
 	if !jobIDPattern.MatchString(id) {
 		return respondError(c, http.StatusNotFound, "no such job")
 	}
-	return h.forward(c, func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} })
+	return handlers.forward(c, func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} })
 }
 
-func (h *handlers) cancelJob(c echo.Context) error {
+// cancelJob passes the cancellation of a job to the controller, and responds with the job's state.
+func (handlers *handlers) cancelJob(c echo.Context) error {
 	id := c.Param("id")
 	if !jobIDPattern.MatchString(id) {
 		return respondError(c, http.StatusNotFound, "no such job")
 	}
-	return h.forward(c, func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} })
+	return handlers.forward(c, func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} })
 }
 
-func (h *handlers) health(c echo.Context) error {
-	if !h.backend.Healthy() {
+// health responds with a 200 if the controller can serve requests, and otherwise with a 503.
+func (handlers *handlers) health(c echo.Context) error {
+	if !handlers.backend.Healthy() {
 		return respondBusy(c)
 	}
 	return respond(c, http.StatusOK, map[string]any{"status": "ok"})
 }
 
-// forward passes a user's command to the controller and responds with its reply.
-func (h *handlers) forward(c echo.Context, newCommand func(reply uint64) message.Command) error {
+// forward passes a user's command to the controller and responds with the controller's reply.
+func (handlers *handlers) forward(c echo.Context, newCommand func(reply uint64) message.Command) error {
 	ctx, cancel := context.WithTimeout(c.Request().Context(), controllerTimeout)
 	defer cancel()
-	reply, err := ask[message.UserReply](ctx, h.backend, newCommand)
+	reply, err := ask[message.UserReply](ctx, handlers.backend, newCommand)
 	if err != nil || ctx.Err() != nil {
 		return respondBusy(c)
 	}
-	// The process may have been paused since the controller replied.
+	// The process may have been paused since the controller replied, so the reply's deadline may
+	// have passed.
 	if _, instead, late := controller.CheckDeadline(reply, time.Now()); late {
 		reply = instead.(message.UserReply)
 	}
--- a/internal/api/ranking.go
+++ b/internal/api/ranking.go
@@ -10,18 +10,18 @@
 	"github.com/micahill/micahill/internal/ranking"
 )
 
-// RankingRoutes adds the routes for the ranking to the operators' server. Reading needs only what
-// this controller knows, and so works while the state service is unavailable.
+// RankingRoutes returns a function that adds the routes for the ranking to the operators' server. A
+// query reads only this controller's memory, so it succeeds while the state service is unavailable.
 func RankingRoutes(backend Backend) func(*echo.Echo) {
-	return func(e *echo.Echo) {
-		e.GET("/ranking", func(c echo.Context) error {
+	return func(router *echo.Echo) {
+		router.GET("/ranking", func(c echo.Context) error {
 			query, err := parseRankingQuery(c)
 			if err != nil {
 				return err
 			}
 			return forwardRanking(c, backend, func(reply uint64) message.Command { query.Reply = reply; return query })
 		})
-		e.POST("/ranking", func(c echo.Context) error {
+		router.POST("/ranking", func(c echo.Context) error {
 			set, err := parseSetRanking(c)
 			if err != nil {
 				return err
@@ -31,7 +31,7 @@
 	}
 }
 
-// parseRankingQuery reads the parameters of a query. Its errors are HTTP errors.
+// parseRankingQuery parses the parameters of a query for the ranking. Its errors are HTTP errors.
 func parseRankingQuery(c echo.Context) (message.QueryRanking, error) {
 	query := message.QueryRanking{Job: c.QueryParam("why"), History: c.QueryParam("history") == "true"}
 	if query.Job != "" && !jobIDPattern.MatchString(query.Job) {
@@ -40,11 +40,11 @@
 	return query, nil
 }
 
-// parseSetRanking reads the parameters and the body of a change. Its errors are HTTP errors. The
-// deadline is ahead of operatorTimeout, so that nothing is written after the operator was told
-// that it failed.
+// parseSetRanking parses the parameters and the body of a request to change the ranking. Its errors
+// are HTTP errors. The command's deadline is earlier than operatorTimeout, so that the controller
+// writes nothing after the operator has been told that the change failed.
 func parseSetRanking(c echo.Context) (message.SetRanking, error) {
-	b, err := readBody(c)
+	body, err := readBody(c)
 	if err != nil {
 		return message.SetRanking{}, err
 	}
@@ -54,7 +54,7 @@
 			return set, echo.NewHTTPError(http.StatusBadRequest, "rev: "+strconv.Quote(c.QueryParam("rev"))+": want a revision, as show gives it")
 		}
 	}
-	if set.Record, err = ranking.Parse(b); err != nil {
+	if set.Record, err = ranking.Parse(body); err != nil {
 		return set, echo.NewHTTPError(http.StatusBadRequest, err.Error())
 	}
 	if set.Record.SetBy = c.QueryParam("by"); set.Record.SetBy == "" || len(set.Record.SetBy) > ranking.MaxSetByLen {
@@ -63,11 +63,12 @@
 	return set, nil
 }
 
-// forwardRanking passes a command to the controller and responds with its reply.
+// forwardRanking passes an operator's command on the ranking to the controller, and responds with the
+// controller's reply as JSON.
 func forwardRanking(c echo.Context, backend Backend, newCommand func(reply uint64) message.Command) error {
 	reply, err := askForOperator[message.RankingReply](c, backend, newCommand)
 	if err != nil {
-		return echo.NewHTTPError(http.StatusServiceUnavailable, "no answer in time")
+		return echo.NewHTTPError(http.StatusServiceUnavailable, "the controller did not reply in time")
 	}
 	if reply.Status != http.StatusOK {
 		return echo.NewHTTPError(reply.Status, reply.Message)
--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -16,19 +16,21 @@
 )
 
 const (
-	// connMemory is how many bytes a worker's connection may take in the server, with its
-	// goroutine and buffers, and workerMemory what one may leave allocated.
+	// connMemory is how many bytes of the server's memory one connection may use, including its
+	// goroutine and buffers. workerMemory is how many bytes may remain allocated for each worker
+	// that has sent a heartbeat.
 	connMemory   = 48 << 10
 	workerMemory = 256
-	// connRoutines is how many goroutines a connection takes, and serverRoutines how many
-	// there are besides.
+	// connRoutines is how many goroutines the server needs for each connection, and
+	// serverRoutines how many other goroutines it may have.
 	connRoutines   = 2
 	serverRoutines = 50
 )
 
-// TestPoolBySize: the heartbeats of thousands of machines, all at once, stay within the
-// connections that follow from the sockets; goroutines and memory follow from the connections
-// and not from the machines; and every heartbeat gets a response.
+// TestPoolBySize guards against goroutines and memory that grow with the number of machines.
+// Thousands of machines send a heartbeat, a hundred of them at a time, and leave their connections
+// open. Goroutines and memory must be in proportion to the limit on connections, which follows from
+// the number of sockets, and every heartbeat must get a response.
 func TestPoolBySize(t *testing.T) {
 	const sockets = 200
 	for _, machines := range []int{2000, 5000} {
@@ -37,61 +39,64 @@
 			defer cancel()
 			addr := unusedAddr(t)
 			body := encodeHeartbeat(t)
-			before, routines := heap(), runtime.NumGoroutine()
+			heapBefore, goroutinesBefore := heap(), runtime.NumGoroutine()
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
 				Serve(ctx, addr, sockets, heartbeatBackend{}, ignoreResponses)
 			}()
 			waitForListener(t, addr)
-			// So many machines send heartbeats at a time. They leave their connections open, up
-			// to four times as many as the server admits.
-			const crowd = 100
+			// concurrentMachines is how many machines send heartbeats at a time. The
+			// machines leave their connections open, up to four times as many as the
+			// server admits.
+			const concurrentMachines = 100
 			hardLimit := int(hardLimitFraction * sockets)
-			var answered, next atomic.Int64
+			var responses, sent atomic.Int64
 			var mostGoroutines int
 			var openConns []net.Conn
-			var mu sync.Mutex
-			var wg sync.WaitGroup
-			for range crowd {
-				wg.Go(func() {
-					for next.Add(1) <= int64(machines) {
-						// The server may close a connection, to admit another, just as it is used.
+			var connsMu sync.Mutex
+			var senders sync.WaitGroup
+			for range concurrentMachines {
+				senders.Go(func() {
+					for sent.Add(1) <= int64(machines) {
+						// The server may close a connection, to admit
+						// another, just when the machine uses it, so the
+						// machine retries.
 						for range 100 {
-							c, ok := sendHeartbeat(addr, body)
-							if c != nil {
-								mu.Lock()
-								if openConns = append(openConns, c); len(openConns) > 4*hardLimit {
+							conn, ok := sendHeartbeat(addr, body)
+							if conn != nil {
+								connsMu.Lock()
+								if openConns = append(openConns, conn); len(openConns) > 4*hardLimit {
 									openConns[0].Close()
 									openConns = openConns[1:]
 								}
-								mu.Unlock()
+								connsMu.Unlock()
 							}
 							if ok {
-								answered.Add(1)
+								responses.Add(1)
 								break
 							}
 						}
-						k := runtime.NumGoroutine()
-						mu.Lock()
-						mostGoroutines = max(mostGoroutines, k)
-						mu.Unlock()
+						count := runtime.NumGoroutine()
+						connsMu.Lock()
+						mostGoroutines = max(mostGoroutines, count)
+						connsMu.Unlock()
 					}
 				})
 			}
-			wg.Wait()
-			if k := answered.Load(); k != int64(machines) {
-				t.Errorf("got %d responses, want %d", k, machines)
+			senders.Wait()
+			if count := responses.Load(); count != int64(machines) {
+				t.Errorf("got %d responses, want %d", count, machines)
 			}
-			if maxGoroutines := routines + crowd + connRoutines*hardLimit + serverRoutines; mostGoroutines > maxGoroutines {
+			if maxGoroutines := goroutinesBefore + concurrentMachines + connRoutines*hardLimit + serverRoutines; mostGoroutines > maxGoroutines {
 				t.Errorf("got %d goroutines, want at most %d", mostGoroutines, maxGoroutines)
 			}
-			for _, c := range openConns {
-				c.Close()
+			for _, conn := range openConns {
+				conn.Close()
 			}
 			openConns = nil
-			if kept := heap() - before; kept > int64(hardLimit*connMemory+machines*workerMemory) {
-				t.Errorf("got %d KB kept after %d machines, want at most %d", kept>>10, machines, (hardLimit*connMemory+machines*workerMemory)>>10)
+			if grown := heap() - heapBefore; grown > int64(hardLimit*connMemory+machines*workerMemory) {
+				t.Errorf("got %d KB kept after %d machines, want at most %d", grown>>10, machines, (hardLimit*connMemory+machines*workerMemory)>>10)
 			}
 			cancel()
 			<-ended
@@ -99,31 +104,31 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat on a connection of its own, which it leaves open, and reports
-// whether it was accepted.
+// sendHeartbeat sends a heartbeat on a new connection. It returns the connection, still open, and
+// whether the server accepted the heartbeat.
 func sendHeartbeat(addr string, body []byte) (net.Conn, bool) {
-	c, err := net.DialTimeout("tcp", addr, 10*time.Second)
+	conn, err := net.DialTimeout("tcp", addr, 10*time.Second)
 	if err != nil {
 		return nil, false
 	}
-	c.SetDeadline(time.Now().Add(10 * time.Second))
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/v1/report", bytes.NewReader(body))
-	if err != nil || req.Write(c) != nil {
-		return c, false
+	if err != nil || req.Write(conn) != nil {
+		return conn, false
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), req)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), req)
 	if err != nil {
-		return c, false
+		return conn, false
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	return c, resp.StatusCode == http.StatusOK
+	return conn, resp.StatusCode == http.StatusOK
 }
 
-// heap is the memory in use after a collection, in bytes.
+// heap returns the size in bytes of the heap and the stacks in use, after a garbage collection.
 func heap() int64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return int64(m.HeapAlloc) + int64(m.StackInuse)
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc) + int64(stats.StackInuse)
 }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -13,11 +13,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// goldenAttempt returns the ID of an attempt.
 func goldenAttempt(job string, index int, attempt uint64) remote.AttemptID {
 	return remote.AttemptID{Job: job, Index: index, Attempt: attempt}
 }
 
-// goldenUpdate sets every field of an update.
+// goldenUpdate is an update in which every field has a value other than zero.
 var goldenUpdate = message.PeerUpdate{
 	From: "ctl-2", Incarnation: "n-18.1", IsCapacityRequest: true, IsLeaderUpdate: true, StoreUnavailable: true, Seq: 4_321,
 	Progress:      []message.Progress{{ID: "job-000411", Done: 7, Running: 9}},
@@ -65,12 +66,14 @@
 	CancellationAcks: []string{"job-000419", "job-000420"},
 }
 
-// TestGoldenUpdate encodes an update as the golden bytes, and decodes these.
+// TestGoldenUpdate checks that an update with all fields encodes to the golden bytes and decodes from
+// them. It guards against a change of the wire format, which controllers of another version could not
+// read.
 func TestGoldenUpdate(t *testing.T) {
 	updates := testgolden.Values{"update": goldenUpdate}
 	testgolden.Check(t, testgolden.Codec{
 		Write: func(v any) ([]byte, error) {
-			// Images are a map, whose order would be random.
+			// Without this option the order of the images, which are a map, is random.
 			return proto.MarshalOptions{Deterministic: true}.Marshal(encodeUpdate(v.(message.PeerUpdate)))
 		},
 		Read: func(b []byte, into any) error {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer sends updates between controllers, as length-delimited protobuf over TCP.
-// Updates may be lost or late: nothing that must hold rests on them.
+// Package peer sends updates between controllers, as length-delimited protobuf messages over TCP.
+// Updates may be lost or late, so the scheduler's invariants do not depend on their arrival.
 package peer
 
 import (
@@ -17,34 +17,40 @@
 )
 
 const (
-	// sendQueueLen bounds the updates that wait for a slow peer; the oldest are dropped.
+	// sendQueueLen is how many updates may wait for a slow peer. When the queue is full, the
+	// sender drops the oldest update.
 	sendQueueLen = 32
-	// dialTimeout and writeTimeout keep an unresponsive host from blocking a sender for long.
+	// dialTimeout and writeTimeout keep an unresponsive host from blocking the sending goroutine
+	// for long.
 	dialTimeout  = 2 * time.Second
 	writeTimeout = 3 * time.Second
-	// idleTimeout ends a connection on which nothing arrives.
+	// idleTimeout is how long the receiver waits for the next update before it closes the
+	// connection.
 	idleTimeout = 2 * time.Minute
-	// minRedialInterval separates attempts to reach a peer.
+	// minRedialInterval is the shortest time between two attempts to connect to a peer.
 	minRedialInterval = time.Second
-	// maxMessageBytes bounds an encoded update.
+	// maxMessageBytes is the maximum size of an encoded update.
 	maxMessageBytes = 1 << 20
-	// maxPeerConns bounds the accepted connections, those of others included.
+	// maxPeerConns is how many connections are handled at a time: those of peers, and those of
+	// other clients until the returned listener has accepted them.
 	maxPeerConns = 32
-	// acceptRetryPause follows a failed accept, such as for lack of descriptors.
+	// acceptRetryPause is the pause after a failed accept, which can fail for lack of file
+	// descriptors.
 	acceptRetryPause = 50 * time.Millisecond
 )
 
-// peerHandshakeByte is the first byte of a peer's connection. Anything else that connects to
-// the address, such as an operator's tool, speaks HTTP, which never begins with it.
+// peerHandshakeByte is the first byte that a peer sends on a connection. All other clients of the
+// address, such as an operator's tool, use HTTP, which never begins with this byte.
 const peerHandshakeByte = 0
 
 // Sender sends updates to the peers. It is safe for concurrent use.
 type Sender struct {
+	// queues has the queue of each peer by the peer's name.
 	queues map[string]chan message.PeerUpdate
 }
 
-// StartSender starts a sender to the peers, given as addresses by name. Its goroutines, one for
-// each peer, end with the context.
+// StartSender starts a sender to the given peers. peers maps each peer's name to its address. The
+// sender's goroutines, one for each peer, end with the context.
 func StartSender(ctx context.Context, peers map[string]string) *Sender {
 	sender := &Sender{queues: map[string]chan message.PeerUpdate{}}
 	for name, addr := range peers {
@@ -55,10 +61,10 @@
 	return sender
 }
 
-// Send queues an update for a peer, dropping the oldest one while the queue is full. An update
-// for an unknown peer is dropped.
-func (s *Sender) Send(to string, update message.PeerUpdate) {
-	queue := s.queues[to]
+// Send queues an update for a peer without waiting. While the queue is full, Send drops the oldest
+// update in it. Send ignores an update for an unknown peer.
+func (sender *Sender) Send(to string, update message.PeerUpdate) {
+	queue := sender.queues[to]
 	for queue != nil {
 		select {
 		case queue <- update:
@@ -72,8 +78,8 @@
 	}
 }
 
-// send writes the queued updates of one peer until the context ends. Updates that find no
-// connection are lost: the next ones say what has become of them.
+// send writes the queued updates to one peer until the context ends. It drops an update while there
+// is no connection, since later updates contain the newer state.
 func send(ctx context.Context, addr string, queue <-chan message.PeerUpdate) {
 	var conn net.Conn
 	var lastDial time.Time
@@ -103,8 +109,8 @@
 		}
 		encoded := encodeUpdate(update)
 		if size := proto.Size(encoded); size > maxMessageBytes {
-			// The receiver would close the connection. The controller bounds what it puts into
-			// an update, so this is an internal error.
+			// The receiver would close the connection. The controller limits the size
+			// of its updates, so this is an internal error.
 			slog.Error("peer update too large", "addr", addr, "bytes", size, "max_bytes", maxMessageBytes)
 			continue
 		}
@@ -117,7 +123,7 @@
 	}
 }
 
-// dial connects to a peer and identifies the connection as a peer's.
+// dial connects to a peer and sends the byte that identifies the connection as a peer's.
 func dial(ctx context.Context, addr string) (net.Conn, error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -131,29 +137,29 @@
 	return conn, nil
 }
 
-// Listen accepts connections on addr until the context ends, and passes each peer's updates to
-// handle, from a goroutine for each connection. Connections of others than peers come out of
-// the listener that it returns.
+// Listen accepts connections on addr until the context ends. It calls handle with each update from a
+// peer, on one goroutine for each connection. The returned listener accepts the connections of all
+// other clients.
 func Listen(ctx context.Context, addr string, handle func(message.PeerUpdate)) (net.Listener, error) {
-	ln, err := listen.TCP(ctx, "back", addr)
+	listener, err := listen.TCP(ctx, "back", addr)
 	if err != nil {
 		return nil, fmt.Errorf("peer: %w", err)
 	}
-	otherConns := &otherConnListener{addr: ln.Addr(), conns: make(chan net.Conn), done: ctx.Done()}
+	otherConns := &otherConnListener{addr: listener.Addr(), conns: make(chan net.Conn), done: ctx.Done()}
 	go func() {
 		<-ctx.Done()
-		ln.Close()
+		listener.Close()
 	}()
-	go acceptLoop(ctx, ln, handle, otherConns)
+	go acceptLoop(ctx, listener, handle, otherConns)
 	return otherConns, nil
 }
 
-// acceptLoop handles each connection on a goroutine of its own, and closes those for which
-// there is no slot.
-func acceptLoop(ctx context.Context, ln net.Listener, handle func(message.PeerUpdate), otherConns *otherConnListener) {
+// acceptLoop accepts connections until the context ends, and handles each one on its own goroutine.
+// It closes a connection at once while maxPeerConns connections are being handled.
+func acceptLoop(ctx context.Context, listener net.Listener, handle func(message.PeerUpdate), otherConns *otherConnListener) {
 	slots := make(chan struct{}, maxPeerConns)
 	for {
-		conn, err := ln.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			if ctx.Err() != nil {
 				return
@@ -173,7 +179,8 @@
 	}
 }
 
-// handleConn distinguishes a peer from others by the first byte.
+// handleConn reads a connection's first byte. If the byte identifies a peer, handleConn receives the
+// peer's updates until the connection ends. Otherwise it passes the connection to otherConns.
 func handleConn(conn net.Conn, handle func(message.PeerUpdate), otherConns *otherConnListener) {
 	conn.SetReadDeadline(time.Now().Add(idleTimeout))
 	reader := bufio.NewReader(conn)
@@ -195,42 +202,48 @@
 	}
 }
 
-// peekedConn is a connection whose first bytes are in the reader's buffer.
+// peekedConn is a connection whose first bytes have been read ahead into the reader's buffer.
 type peekedConn struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-func (p *peekedConn) Read(b []byte) (int, error) { return p.reader.Read(b) }
+// Read reads from the buffer first, and then from the connection.
+func (peeked *peekedConn) Read(buffer []byte) (int, error) { return peeked.reader.Read(buffer) }
 
-// otherConnListener is the listener for connections of others than peers. It ends with the
-// context of Listen, and so does nothing on Close.
+// otherConnListener is a net.Listener for the connections of clients other than peers. It ends with
+// the context of Listen.
 type otherConnListener struct {
 	addr  net.Addr
 	conns chan net.Conn
 	done  <-chan struct{}
 }
 
-func (o *otherConnListener) Accept() (net.Conn, error) {
+// Accept waits for the next connection, and fails with net.ErrClosed after the context has ended.
+func (listener *otherConnListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-o.conns:
-		return c, nil
-	case <-o.done:
+	case conn := <-listener.conns:
+		return conn, nil
+	case <-listener.done:
 		return nil, net.ErrClosed
 	}
 }
 
-func (o *otherConnListener) Close() error   { return nil }
-func (o *otherConnListener) Addr() net.Addr { return o.addr }
+// Close does nothing, since the listener ends with the context of Listen.
+func (listener *otherConnListener) Close() error { return nil }
 
-// receiveUpdates handles a peer's updates until the connection ends or one can't be decoded.
+// Addr returns the address of Listen.
+func (listener *otherConnListener) Addr() net.Addr { return listener.addr }
+
+// receiveUpdates calls handle with each update from a peer, until the connection ends or an update
+// can't be decoded. It closes the connection.
 func receiveUpdates(conn net.Conn, reader *bufio.Reader, handle func(message.PeerUpdate)) {
 	defer conn.Close()
-	opts := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
+	options := protodelim.UnmarshalOptions{MaxSize: maxMessageBytes}
 	for {
 		conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		var pb Update
-		if err := opts.UnmarshalFrom(reader, &pb); err != nil {
+		if err := options.UnmarshalFrom(reader, &pb); err != nil {
 			return
 		}
 		handle(decodeUpdate(&pb))
--- a/internal/peer/wire.go
+++ b/internal/peer/wire.go
@@ -4,8 +4,9 @@
 	"github.com/micahill/micahill/internal/message"
 )
 
-// encodeUpdate and decodeUpdate are the only place where the names of the protobuf fields meet
-// those of the code.
+// encodeUpdate converts an update to its protobuf message. The names of the protobuf fields, which
+// are fixed, differ from those in the code; only this file and wire_parts.go map the one to the
+// other.
 func encodeUpdate(update message.PeerUpdate) *Update {
 	return &Update{
 		From: update.From, Life: update.Incarnation, StateAway: update.StoreUnavailable,
@@ -45,6 +46,7 @@
 	}
 }
 
+// decodeUpdate converts a protobuf message to an update. It does not check the values.
 func decodeUpdate(pb *Update) message.PeerUpdate {
 	return message.PeerUpdate{
 		From: pb.From, Incarnation: pb.Life, StoreUnavailable: pb.StateAway,
@@ -84,11 +86,12 @@
 	}
 }
 
-// mapSlice converts each element; the result of an empty slice is nil, as protobuf decodes it.
-func mapSlice[A, B any](in []A, convert func(A) B) []B {
-	var out []B
-	for _, x := range in {
-		out = append(out, convert(x))
+// mapSlice converts each element of a slice. The result for an empty slice is nil, as the protobuf
+// decoder returns it.
+func mapSlice[A, B any](elements []A, convert func(A) B) []B {
+	var converted []B
+	for _, element := range elements {
+		converted = append(converted, convert(element))
 	}
-	return out
+	return converted
 }
--- a/internal/peer/wire_test.go
+++ b/internal/peer/wire_test.go
@@ -27,7 +27,9 @@
 	return decodeUpdate(&pb)
 }
 
-// TestIncarnationRoundTrip: an update names the incarnation that sent it.
+// TestIncarnationRoundTrip checks that the sender's incarnation, its quotes and the state of its
+// connection to the state service survive encoding and decoding. A receiver could not otherwise tell
+// a restarted sender from its predecessor.
 func TestIncarnationRoundTrip(t *testing.T) {
 	want := message.PeerUpdate{From: "a", Incarnation: "n.2", StoreUnavailable: true, Quotes: []message.TeamQuotes{{Team: "ops", Value: []byte{1, 2}}}}
 	if got := roundTrip(t, want); !reflect.DeepEqual(got, want) {
@@ -35,7 +37,8 @@
 	}
 }
 
-// TestMachineNeedsRoundTrip: whole machines that are needed, and the cost of evacuating one.
+// TestMachineNeedsRoundTrip checks that needs for empty machines, and the cost of evacuating a
+// machine, survive encoding and decoding.
 func TestMachineNeedsRoundTrip(t *testing.T) {
 	need := message.HostNeed{MachineType: "g8", Zone: "z", Spot: true, Need: model.Resources{CPU: 96, GPU: 8, Memory: 700}, Workload: "w", Urgency: model.Urgent}
 	want := message.PeerUpdate{From: "a", HostNeeds: []message.HostNeed{need}, OthersNeeds: []message.HostNeed{need, need}, EvacuationRequests: []message.HostNeed{need}, EvacuationCosts: []message.HostCost{{MachineType: "g8", Zone: "z", Spot: true, Downtime: 16 * time.Second}}}
@@ -44,7 +47,9 @@
 	}
 }
 
-// TestReroutedHeartbeatsRoundTrip: heartbeats of the receiver's machines that reached the sender.
+// TestReroutedHeartbeatsRoundTrip checks that heartbeats of the receiver's machines that reached the
+// sender survive encoding and decoding. By these heartbeats a machine owner detects that it is cut
+// off from its workers.
 func TestReroutedHeartbeatsRoundTrip(t *testing.T) {
 	want := message.PeerUpdate{From: "a", Rerouted: []message.ReroutedHeartbeat{{ID: "vm-1", Epoch: 3, Incarnation: 2, Sequence: 40}}}
 	if got := roundTrip(t, want); !reflect.DeepEqual(got, want) {
@@ -52,7 +57,9 @@
 	}
 }
 
-// FuzzPeerUpdate: whatever another controller sends, this one survives it.
+// FuzzPeerUpdate guards against a controller that panics because of an update from another
+// controller. The seeds have negative counts, infinite and undefined rates, empty names and largest
+// revisions.
 func FuzzPeerUpdate(f *testing.F) {
 	for _, update := range []message.PeerUpdate{
 		{From: "b", Rates: &message.Rates{Requests: math.NaN(), Writes: -1}},
@@ -73,10 +80,10 @@
 		if proto.Unmarshal(b, &pb) != nil {
 			return
 		}
-		c := controller.New(controller.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: controller.DefaultPolicy(),
+		instance := controller.New(controller.Settings{Host: "a", Peers: []string{"b"}, MaxTxnWrites: 12, MaxValueBytes: 4096, StoreRequestsPerSecond: 10, StoreWritesPerSecond: 10, Policy: controller.DefaultPolicy(),
 			Teams: []model.Team{{Name: "ops"}}, Capabilities: controller.Capabilities{Promises: true, PromiseFraction: 0.95}}, rand.New(rand.NewPCG(1, 2)))
 		now := time.Unix(1_750_000_000, 0)
-		c.Step(now, []message.Command{decodeUpdate(&pb)})
-		c.Step(now.Add(2*time.Second), nil)
+		instance.Step(now, []message.Command{decodeUpdate(&pb)})
+		instance.Step(now.Add(2*time.Second), nil)
 	})
 }
