--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,6 +1,6 @@
-// Package cloud is the client of the cloud: it lists machine types, and lists, rents and releases
-// machines. It owns the cloud's wire form ("Controller nodes -> cloud" in the protocol), the rate
-// limit and the request timeout.
+// Package cloud is an HTTP client for the cloud. It lists machine types, and lists, rents and
+// releases machines. It implements the cloud's wire format ("Controller nodes -> cloud" in the
+// protocol), the rate limit and the request timeout.
 package cloud
 
 import (
@@ -20,19 +20,21 @@
 )
 
 const (
-	// requestTimeout bounds a request with its wait for the rate limit; the cloud takes some
-	// tenths of a second.
+	// requestTimeout bounds a request, including its wait for the rate limit. The cloud responds
+	// within some tenths of a second.
 	requestTimeout = 5 * time.Second
-	// dialTimeout bounds the connecting, as part of requestTimeout.
+	// dialTimeout bounds the time to connect, which is part of requestTimeout.
 	dialTimeout = 2 * time.Second
-	// listPage is the most machines that the cloud lists at once.
+	// listPage is the maximum number of machines that the cloud lists in one response.
 	listPage = 500
-	// maxResponseBytes bounds a response.
+	// maxResponseBytes is the maximum size of a response.
 	maxResponseBytes = 4 << 20
-	// rateFraction of the cloud's limit is for this controller. The leader makes nearly all
-	// requests; the rest is for the others, which only list the machine types.
+	// rateFraction is the fraction of the cloud's rate limit that this controller may use. The
+	// leader makes nearly all requests. The remaining fraction is for the other controllers,
+	// which only list the machine types.
 	rateFraction = 0.8
-	// maxConns bounds the connections to the cloud, and maxIdleConns the idle ones.
+	// maxConns is the maximum number of connections to the cloud, and maxIdleConns the maximum
+	// number of idle ones.
 	maxConns     = 8
 	maxIdleConns = 4
 )
@@ -44,8 +46,8 @@
 	limiter *rate.Limiter
 }
 
-// New returns a client of the cloud at addr, whose limit in requests per second is for all
-// controllers together.
+// New returns a client for the cloud at addr. requestsPerSecond is the cloud's rate limit, which all
+// controllers share.
 func New(addr string, requestsPerSecond float64) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -57,86 +59,87 @@
 	return &Client{baseURL: "http://" + addr, http: &http.Client{Transport: transport}, limiter: rate.NewLimiter(rate.Limit(limit), max(1, int(limit)))}
 }
 
-// Do executes a request for the controller's state machine, which takes the outcome as a status
-// and not as an error.
-func (c *Client) Do(ctx context.Context, req message.CloudRequest) message.CloudResponse {
-	out, err := c.Execute(ctx, req)
-	out.Status = statusOf(err)
-	return out
+// Do executes a request for the controller's state machine. It returns the outcome as the response's
+// Status and not as an error.
+func (client *Client) Do(ctx context.Context, request message.CloudRequest) message.CloudResponse {
+	response, err := client.Execute(ctx, request)
+	response.Status = statusOf(err)
+	return response
 }
 
-// Execute waits for the rate limit and sends the request. It sets all fields of the response but
-// Status.
-func (c *Client) Execute(ctx context.Context, req message.CloudRequest) (message.CloudResponse, error) {
-	out := message.CloudResponse{ID: req.ID}
+// Execute waits for the rate limit and sends the request. It sets all fields of the response except
+// Status. See ErrNotExecuted for the meaning of its errors.
+func (client *Client) Execute(ctx context.Context, request message.CloudRequest) (message.CloudResponse, error) {
+	response := message.CloudResponse{ID: request.ID}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	if err := c.limiter.Wait(ctx); err != nil {
-		return out, fmt.Errorf("%w: %w", ErrNotExecuted, err)
+	if err := client.limiter.Wait(ctx); err != nil {
+		return response, fmt.Errorf("%w: %w", ErrNotExecuted, err)
 	}
-	switch req.Kind {
+	switch request.Kind {
 	case message.CloudListTypes:
 		var list machineTypeList
-		err := c.send(ctx, http.MethodGet, "/machine_types", nil, &list)
-		for _, t := range list.Types {
-			out.MachineTypes = append(out.MachineTypes, t.decode())
+		err := client.send(ctx, http.MethodGet, "/machine_types", nil, &list)
+		for _, listed := range list.Types {
+			response.MachineTypes = append(response.MachineTypes, listed.decode())
 		}
-		return out, err
+		return response, err
 	case message.CloudListMachines:
 		query := url.Values{"limit": {strconv.Itoa(listPage)}}
-		if req.StartAfter != "" {
-			query.Set("from", req.StartAfter)
+		if request.StartAfter != "" {
+			query.Set("from", request.StartAfter)
 		}
 		var list machineList
-		err := c.send(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &list)
-		for _, m := range list.Machines {
-			out.Machines = append(out.Machines, m.decode())
+		err := client.send(ctx, http.MethodGet, "/rentals?"+query.Encode(), nil, &list)
+		for _, listed := range list.Machines {
+			response.Machines = append(response.Machines, listed.decode())
 		}
-		out.Truncated = list.Truncated
-		return out, err
+		response.Truncated = list.Truncated
+		return response, err
 	case message.CloudRent:
 		var rented machineIDs
-		err := c.send(ctx, http.MethodPost, "/rentals", rentalRequest{req.IdempotencyKey, req.MachineType, req.Zone, req.Spot, req.Count}, &rented)
-		out.Rented = rented.IDs
-		return out, err
+		err := client.send(ctx, http.MethodPost, "/rentals", rentalRequest{request.IdempotencyKey, request.MachineType, request.Zone, request.Spot, request.Count}, &rented)
+		response.Rented = rented.IDs
+		return response, err
 	case message.CloudRelease:
-		return out, c.send(ctx, http.MethodPost, "/rentals/return", machineIDs{req.Machines}, nil)
+		return response, client.send(ctx, http.MethodPost, "/rentals/return", machineIDs{request.Machines}, nil)
 	}
-	return out, fmt.Errorf("%w: unknown kind of request %d", ErrNotExecuted, req.Kind)
+	return response, fmt.Errorf("%w: unknown kind of request %d", ErrNotExecuted, request.Kind)
 }
 
-// send makes one HTTP request, and decodes the body of a 200 into a given value.
-func (c *Client) send(ctx context.Context, method, path string, body, into any) error {
+// send makes one HTTP request. If the response's status is 200 and into is not nil, send decodes the
+// response's body into it.
+func (client *Client) send(ctx context.Context, method, path string, body, into any) error {
 	var payload io.Reader
 	if body != nil {
-		b, err := msgpack.Marshal(body)
+		encoded, err := msgpack.Marshal(body)
 		if err != nil {
-			return fmt.Errorf("cloud: encode: %w", err)
+			return fmt.Errorf("cloud: encode request: %w", err)
 		}
-		payload = bytes.NewReader(b)
+		payload = bytes.NewReader(encoded)
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, payload)
+	request, err := http.NewRequestWithContext(ctx, method, client.baseURL+path, payload)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
 	if body != nil {
-		req.Header.Set("Content-Type", "application/msgpack")
+		request.Header.Set("Content-Type", "application/msgpack")
 	}
-	resp, err := c.http.Do(req)
+	response, err := client.http.Do(request)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	defer response.Body.Close()
+	encoded, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("cloud: read: %w", err)
+		return fmt.Errorf("cloud: read response: %w", err)
 	}
-	if err := errorOf(resp.StatusCode, b); err != nil {
+	if err := errorOf(response.StatusCode, encoded); err != nil {
 		return err
 	}
 	if into != nil {
-		if err := msgpack.Unmarshal(b, into); err != nil {
-			return fmt.Errorf("cloud: decode: %w", err)
+		if err := msgpack.Unmarshal(encoded, into); err != nil {
+			return fmt.Errorf("cloud: decode response: %w", err)
 		}
 	}
 	return nil
--- a/internal/cloud/cloud_test.go
+++ b/internal/cloud/cloud_test.go
@@ -12,8 +12,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// TestExecuteErrors: each status of the cloud is an error that callers can tell apart, and the
-// outcome that the controller's state machine acts on.
+// TestExecuteErrors checks that each HTTP status of the cloud gives the right error and the right
+// outcome for the controller's state machine. If a refused rental counted as one that may have been
+// executed, or the reverse, the controller would lose or duplicate machines.
 func TestExecuteErrors(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -29,40 +30,41 @@
 		{"malformed", http.StatusBadRequest, nil, ErrMalformed, message.CloudMalformed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				b, err := msgpack.Marshal(test.body)
+			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+				body, err := msgpack.Marshal(test.body)
 				if err != nil {
 					t.Error(err)
 				}
 				w.WriteHeader(test.code)
-				w.Write(b)
+				w.Write(body)
 			}))
-			t.Cleanup(srv.Close)
-			c := New(strings.TrimPrefix(srv.URL, "http://"), 1000)
-			req := message.CloudRequest{ID: 3, Kind: message.CloudRent, IdempotencyKey: "r-1", MachineType: "g8", Zone: "a", Count: 1}
-			got, err := c.Execute(t.Context(), req)
+			t.Cleanup(server.Close)
+			client := New(strings.TrimPrefix(server.URL, "http://"), 1000)
+			request := message.CloudRequest{ID: 3, Kind: message.CloudRent, IdempotencyKey: "r-1", MachineType: "g8", Zone: "a", Count: 1}
+			got, err := client.Execute(t.Context(), request)
 			if !errors.Is(err, test.err) {
 				t.Errorf("error: got %v, want %v", err, test.err)
 			}
 			if got.ID != 3 || (len(got.Rented) == 1) != (test.err == nil) {
-				t.Errorf("got %+v, want ID 3, and a machine unless there is an error", got)
+				t.Errorf("got %+v, want ID 3, and one machine if there is no error, else none", got)
 			}
-			if s := c.Do(t.Context(), req).Status; s != test.status {
-				t.Errorf("status: got %v, want %v", s, test.status)
+			if status := client.Do(t.Context(), request).Status; status != test.status {
+				t.Errorf("status: got %v, want %v", status, test.status)
 			}
 		})
 	}
 }
 
-// TestExecuteWithoutAnswer: a request without an answer may have been executed.
+// TestExecuteWithoutAnswer checks that the outcome of a request without a response is unknown, since
+// the cloud may have executed it.
 func TestExecuteWithoutAnswer(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln.Close()
-	c := New(ln.Addr().String(), 1000)
-	if s := c.Do(t.Context(), message.CloudRequest{Kind: message.CloudRent}).Status; s != message.CloudUnknown {
-		t.Errorf("got %v, want %v", s, message.CloudUnknown)
+	listener.Close()
+	client := New(listener.Addr().String(), 1000)
+	if status := client.Do(t.Context(), message.CloudRequest{Kind: message.CloudRent}).Status; status != message.CloudUnknown {
+		t.Errorf("got %v, want %v", status, message.CloudUnknown)
 	}
 }
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -9,19 +9,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// What a request to the cloud can fail with. Any other error means that the request may have
-// been executed, or may yet be.
+// The errors of a request that the cloud has not executed and will not execute. After any other
+// error, the cloud may have executed the request, or may still execute it.
 var (
-	// ErrNoCapacity: the cloud has no machine of this type, zone and kind to rent.
+	// ErrNoCapacity means that the cloud has no machine to rent of this type and zone, spot or
+	// not.
 	ErrNoCapacity = errors.New("cloud: no capacity")
-	// ErrMalformed: the cloud rejects the request as malformed.
+	// ErrMalformed means that the cloud rejected the request as malformed.
 	ErrMalformed = errors.New("cloud: malformed request")
-	// ErrNotExecuted: the request was not sent, or the cloud refused to execute it.
+	// ErrNotExecuted means that the request was not sent or that the cloud refused to execute it.
 	ErrNotExecuted = errors.New("cloud: not executed")
 )
 
-// errorOf is the error that an HTTP status and a body stand for. The cloud executes nothing with
-// a status other than 200.
+// errorOf returns the error for a response's HTTP status and body, or nil for a 200. The cloud has
+// not executed a request if the status is not 200.
 func errorOf(code int, body []byte) error {
 	switch code {
 	case http.StatusOK:
@@ -39,7 +40,7 @@
 	return fmt.Errorf("%w: status %d", ErrNotExecuted, code)
 }
 
-// statusOf is the outcome, for the controller's state machine, of a request that ended with err.
+// statusOf returns the outcome, for the controller's state machine, of a request that returned err.
 func statusOf(err error) message.CloudStatus {
 	switch {
 	case err == nil:
--- a/internal/cloud/golden_test.go
+++ b/internal/cloud/golden_test.go
@@ -6,7 +6,9 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenWire compares requests to and responses of the cloud with the golden bytes.
+// TestGoldenWire checks that the bodies of requests to the cloud, and of its responses, encode to the
+// golden bytes and decode from them. It guards against a change of the wire format, which the cloud
+// could not read.
 func TestGoldenWire(t *testing.T) {
 	wire := testgolden.Values{
 		"machine-types": machineTypeList{Types: []machineType{{
--- a/internal/cloud/wire.go
+++ b/internal/cloud/wire.go
@@ -5,6 +5,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
+// machineType is the wire format of a machine type. Costs are per hour, FetchRate is in GB per second
+// and ReadyS in seconds.
 type machineType struct {
 	Name            string   `msgpack:"name"`
 	VCPUs           float64  `msgpack:"vcpus"`
@@ -18,14 +20,16 @@
 	Zones           []string `msgpack:"sites"`
 }
 
-func (t machineType) decode() model.MachineType {
+// decode converts a machine type from its wire format.
+func (wire machineType) decode() model.MachineType {
 	return model.MachineType{
-		Name: t.Name, Capacity: model.Resources{CPU: t.VCPUs, GPU: t.GPUs, Memory: t.MemoryGB},
-		DiskGB: t.DiskGB, ImageFetchRate: t.FetchRate, CostPerHour: t.CostPerHour, SpotCostPerHour: t.SpotCostPerHour,
-		ProvisioningTime: record.DurationOfSeconds(t.ReadyS), Zones: t.Zones,
+		Name: wire.Name, Capacity: model.Resources{CPU: wire.VCPUs, GPU: wire.GPUs, Memory: wire.MemoryGB},
+		DiskGB: wire.DiskGB, ImageFetchRate: wire.FetchRate, CostPerHour: wire.CostPerHour, SpotCostPerHour: wire.SpotCostPerHour,
+		ProvisioningTime: record.DurationOfSeconds(wire.ReadyS), Zones: wire.Zones,
 	}
 }
 
+// machine is the wire format of a rented machine. AgeS is the time since it was rented, in seconds.
 type machine struct {
 	ID          string  `msgpack:"id"`
 	Address     string  `msgpack:"address"`
@@ -36,14 +40,16 @@
 	AgeS        float64 `msgpack:"held_s"`
 }
 
-func (m machine) decode() model.CloudMachine {
+// decode converts a rented machine from its wire format.
+func (wire machine) decode() model.CloudMachine {
 	return model.CloudMachine{
-		ID: m.ID, Addr: m.Address, MachineType: m.MachineType, Zone: m.Zone, Spot: m.Spot,
-		Status: m.Status, Age: record.DurationOfSeconds(m.AgeS),
+		ID: wire.ID, Addr: wire.Address, MachineType: wire.MachineType, Zone: wire.Zone, Spot: wire.Spot,
+		Status: wire.Status, Age: record.DurationOfSeconds(wire.AgeS),
 	}
 }
 
-// rentalRequest is the body of a rental. The cloud executes a request ID once.
+// rentalRequest is the body of a request to rent machines. The cloud executes each RequestID only
+// once, so a request can be repeated.
 type rentalRequest struct {
 	RequestID   string `msgpack:"booking"`
 	MachineType string `msgpack:"flavour"`
@@ -52,15 +58,18 @@
 	Count       int    `msgpack:"count"`
 }
 
-// machineIDs is the response to a rental, and the body of a release.
+// machineIDs is the body of the response to a rental, and the body of a request to release machines.
 type machineIDs struct {
 	IDs []string `msgpack:"hosts"`
 }
 
+// machineTypeList is the body of the response to a request to list machine types.
 type machineTypeList struct {
 	Types []machineType `msgpack:"flavours"`
 }
 
+// machineList is the body of the response to a request to list rented machines. Truncated is whether
+// there are more machines than the response lists.
 type machineList struct {
 	Machines  []machine `msgpack:"hosts"`
 	Truncated bool      `msgpack:"truncated"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads and checks a controller's files: the settings, which the platform writes,
-// and those under deploy/ that enable optional features. The TOML keys are fixed; the fields have
-// the names that the code uses.
+// Package config reads and checks a controller's configuration files: the settings file, which the
+// platform writes, and the files under deploy/ that enable optional features. The TOML keys are fixed
+// by the platform, so some of them differ from the names that the code uses.
 package config
 
 import (
@@ -17,7 +17,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Config is the settings file. Unknown fields are ignored. Field names that end in S are seconds.
+// Config is the content of the settings file. Unknown fields are ignored. The values of fields whose
+// names end in S are seconds.
 type Config struct {
 	HostName     string           `toml:"host_name" validate:"required"`
 	Zone         string           `toml:"area" validate:"required"`
@@ -28,7 +29,7 @@
 	Deployment   Deployment       `toml:"deployment"`
 }
 
-// PeerController is another controller of this cluster.
+// PeerController identifies another controller of this cluster.
 type PeerController struct {
 	HostName string `toml:"host_name" validate:"required"`
 	Zone     string `toml:"area"`
@@ -41,7 +42,7 @@
 	State string `toml:"state" validate:"required,hostname_port"`
 }
 
-// Deployment is what all controllers share.
+// Deployment has the settings that are the same for all controllers of the cluster.
 type Deployment struct {
 	InitialSize  int         `toml:"initial_size" validate:"gte=0"`
 	Zones        []string    `toml:"zones" validate:"required,min=1,dive,required"`
@@ -54,7 +55,7 @@
 	Quota        Quota       `toml:"quota"`
 }
 
-// Team has a guaranteed quota and a quota limit; 0 means none.
+// Team has a team's guaranteed quota and quota limit. A value of 0 means that there is none.
 type Team struct {
 	Name           string  `toml:"name" validate:"required"`
 	GuaranteedCPUs float64 `toml:"cpus" validate:"gte=0"`
@@ -72,62 +73,65 @@
 	Factor   float64 `toml:"times" validate:"gte=0"`
 }
 
-// Workers has the timing of heartbeats, worker leases and cancellations.
+// Workers has the interval of heartbeats, the duration of worker leases and the time within which a
+// cancelled job's tasks must end.
 type Workers struct {
 	HeartbeatS    float64 `toml:"report_s" validate:"required,gt=0"`
 	LeaseS        float64 `toml:"lease_s" validate:"required,gt=0"`
 	CancelWithinS float64 `toml:"cancel_s" validate:"required,gt=0"`
 }
 
-// State has the limits of the state service: requests and writes per second, the size of a value
-// and the writes of a transaction.
+// State has the limits of the state service: requests per second, writes per second, the size of a
+// value in KiB and the writes in a transaction.
 type State struct {
 	RPS      float64 `toml:"rps" validate:"required,gt=0"`
 	WriteRPS float64 `toml:"write_rps" validate:"required,gt=0"`
 	ValueKB  float64 `toml:"value_kb" validate:"required,gt=0"`
 	TxnOps   int     `toml:"txn_ops" validate:"required,gte=4"`
-	// Upcoming are the limits that the service will have from some moment on, without further
+	// Upcoming are the limits that the service will switch to at an unknown time without further
 	// notice.
 	Upcoming UpcomingLimits `toml:"next"`
 }
 
-// UpcomingLimits replace the limits of the same names; nil means that a limit does not change.
+// UpcomingLimits are the values that will replace the limits of the same names in State. A nil means
+// that the limit does not change.
 type UpcomingLimits struct {
 	WriteRPS *float64 `toml:"write_rps" validate:"omitnil,gt=0"`
 	ValueKB  *float64 `toml:"value_kb" validate:"omitnil,gt=0"`
 	TxnOps   *int     `toml:"txn_ops" validate:"omitnil,gte=4"`
 }
 
-// Strictest has the stricter of the present and the upcoming limits.
-func (s *State) Strictest() State {
-	strictest := *s
-	if s.Upcoming.WriteRPS != nil {
-		strictest.WriteRPS = min(strictest.WriteRPS, *s.Upcoming.WriteRPS)
+// Strictest returns, for each limit, the stricter of its current and its upcoming value.
+func (state *State) Strictest() State {
+	strictest := *state
+	if state.Upcoming.WriteRPS != nil {
+		strictest.WriteRPS = min(strictest.WriteRPS, *state.Upcoming.WriteRPS)
 	}
-	if s.Upcoming.ValueKB != nil {
-		strictest.ValueKB = min(strictest.ValueKB, *s.Upcoming.ValueKB)
+	if state.Upcoming.ValueKB != nil {
+		strictest.ValueKB = min(strictest.ValueKB, *state.Upcoming.ValueKB)
 	}
-	if s.Upcoming.TxnOps != nil {
-		strictest.TxnOps = min(strictest.TxnOps, *s.Upcoming.TxnOps)
+	if state.Upcoming.TxnOps != nil {
+		strictest.TxnOps = min(strictest.TxnOps, *state.Upcoming.TxnOps)
 	}
 	return strictest
 }
 
-// fieldPath is the path of a limit in the settings, or that of the upcoming one.
-func (s *State) fieldPath(name string, upcoming bool) string {
+// fieldPath returns the path in the settings file of a limit's current or upcoming value.
+func (state *State) fieldPath(name string, upcoming bool) string {
 	if upcoming {
 		return "deployment.state.next." + name
 	}
 	return "deployment.state." + name
 }
 
-// Cloud has the request rate limit of the cloud and the delay of its machine list.
+// Cloud has the cloud's rate limit in requests per second, and the time by which its list of machines
+// may lag behind.
 type Cloud struct {
 	RPS      float64 `toml:"rps" validate:"required,gt=0"`
 	ListLagS float64 `toml:"list_lag_s" validate:"gte=0"`
 }
 
-// Quota is what this process may use: CPUs, memory and sockets.
+// Quota is the number of CPUs, the memory and the number of sockets that this process may use.
 type Quota struct {
 	CPU      float64 `toml:"cpu" validate:"required,gt=0"`
 	MemoryMB float64 `toml:"ram_mb" validate:"required,gte=32"`
@@ -136,17 +140,18 @@
 
 // Load reads and checks a settings file.
 func Load(path string) (*Config, error) {
-	b, err := os.ReadFile(path)
+	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return Parse(b)
+	return Parse(text)
 }
 
-// Parse decodes and checks settings. Its errors are one line and name the field.
-func Parse(b []byte) (*Config, error) {
-	var c Config
-	if err := toml.Unmarshal(b, &c); err != nil {
+// Parse decodes and checks the content of a settings file. The text of an error is one line that
+// names the invalid field, or only the fault if the content is not valid TOML.
+func Parse(text []byte) (*Config, error) {
+	var config Config
+	if err := toml.Unmarshal(text, &config); err != nil {
 		var decodeErr *toml.DecodeError
 		if errors.As(err, &decodeErr) {
 			row, col := decodeErr.Position()
@@ -154,7 +159,7 @@
 		}
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := newValidator().Struct(&c); err != nil {
+	if err := newValidator().Struct(&config); err != nil {
 		var violations validator.ValidationErrors
 		if !errors.As(err, &violations) {
 			return nil, fmt.Errorf("settings: %w", err)
@@ -166,33 +171,33 @@
 		}
 		return nil, fmt.Errorf("settings: field %s: %v does not satisfy %s", field, first.Value(), strings.TrimSpace(first.Tag()+" "+first.Param()))
 	}
-	if invalid := c.checkLimits().invalid; len(invalid) > 0 {
+	if invalid := config.checkLimits().invalid; len(invalid) > 0 {
 		return nil, fmt.Errorf("settings: %v", invalid[0])
 	}
-	return &c, nil
+	return &config, nil
 }
 
-// newValidator returns a validator that names fields as the files do.
+// newValidator returns a validator whose errors have the fields' TOML names.
 func newValidator() *validator.Validate {
-	v := validator.New(validator.WithRequiredStructEnabled())
-	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
-	return v
+	structValidator := validator.New(validator.WithRequiredStructEnabled())
+	structValidator.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("toml") })
+	return structValidator
 }
 
-// Settings converts the file to the controller's settings. incarnation identifies this process
-// among those of the same host.
-func (c *Config) Settings(policy controller.Policy, incarnation string) controller.Settings {
-	deployment := &c.Deployment
+// Settings converts the configuration to the controller's settings. incarnation distinguishes this
+// process from earlier and later processes of the same host.
+func (config *Config) Settings(policy controller.Policy, incarnation string) controller.Settings {
+	deployment := &config.Deployment
 	limits := deployment.State.Strictest()
 	settings := controller.Settings{
-		Host: c.HostName, Zones: deployment.Zones,
+		Host: config.HostName, Zones: deployment.Zones,
 		HeartbeatInterval: record.DurationOfSeconds(deployment.Workers.HeartbeatS), WorkerLease: record.DurationOfSeconds(deployment.Workers.LeaseS),
 		CancellationBound: record.DurationOfSeconds(deployment.Workers.CancelWithinS), MaxClockError: record.DurationOfSeconds(deployment.ClockBoundMS / 1000),
 		MaxTxnWrites: limits.TxnOps, MaxValueBytes: int(limits.ValueKB * 1024), CurrentMaxValueBytes: int(deployment.State.ValueKB * 1024),
 		CloudListLag: record.DurationOfSeconds(deployment.Cloud.ListLagS), CloudRequestsPerSecond: deployment.Cloud.RPS, StoreRequestsPerSecond: deployment.State.RPS, StoreWritesPerSecond: limits.WriteRPS,
 		Incarnation: incarnation, Policy: policy,
 	}
-	for _, peer := range c.Peers {
+	for _, peer := range config.Peers {
 		settings.Peers = append(settings.Peers, peer.HostName)
 	}
 	for _, team := range deployment.Teams {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,17 +8,18 @@
 	"github.com/micahill/micahill/internal/controller"
 )
 
-// readSettings returns an example of valid settings.
+// readSettings returns the content of a valid settings file.
 func readSettings(t *testing.T) string {
 	t.Helper()
-	b, err := os.ReadFile("testdata/settings.toml")
+	text, err := os.ReadFile("testdata/settings.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(b)
+	return string(text)
 }
 
-// TestParse: settings with an invalid field are an error of one line that names the field.
+// TestParse checks that settings with an invalid field give an error of one line that names the
+// field. Operators could not otherwise find the mistake in the log.
 func TestParse(t *testing.T) {
 	valid := readSettings(t)
 	if _, err := Parse([]byte(valid)); err != nil {
@@ -54,8 +55,9 @@
 	}
 }
 
-// TestUpcomingLimits: the stricter of the present and the upcoming limits holds for all writes; the
-// present size of values is kept too, as the segments of stored records depend on it.
+// TestUpcomingLimits checks that all writes keep to the stricter of the current and the upcoming
+// limits, since the service may switch at any time. The current size of values must be kept too,
+// since the segments of stored records depend on it.
 func TestUpcomingLimits(t *testing.T) {
 	valid := readSettings(t)
 	for _, test := range []struct {
@@ -65,17 +67,17 @@
 		txnWrites           int
 		writesPerSecond     float64
 	}{
-		{"none", "", 4096, 4096, 12, 30},
-		{"all stricter", "[deployment.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 4", 2048, 4096, 4, 21},
-		{"one stricter", "[deployment.state.next]\nvalue_kb = 2.0", 2048, 4096, 12, 30},
-		{"all looser", "[deployment.state.next]\nwrite_rps = 90.0\nvalue_kb = 16.0\ntxn_ops = 24", 4096, 4096, 12, 30},
+		{"no upcoming limits", "", 4096, 4096, 12, 30},
+		{"all limits stricter", "[deployment.state.next]\nwrite_rps = 21.0\nvalue_kb = 2.0\ntxn_ops = 4", 2048, 4096, 4, 21},
+		{"one limit stricter", "[deployment.state.next]\nvalue_kb = 2.0", 2048, 4096, 12, 30},
+		{"all limits looser", "[deployment.state.next]\nwrite_rps = 90.0\nvalue_kb = 16.0\ntxn_ops = 24", 4096, 4096, 12, 30},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			c, err := Parse([]byte(strings.Replace(valid, "txn_ops = 12", "txn_ops = 12\n"+test.upcoming, 1)))
+			config, err := Parse([]byte(strings.Replace(valid, "txn_ops = 12", "txn_ops = 12\n"+test.upcoming, 1)))
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := c.Settings(controller.DefaultPolicy(), "n")
+			got := config.Settings(controller.DefaultPolicy(), "n")
 			if got.MaxValueBytes != test.valueBytes || got.CurrentMaxValueBytes != test.present || got.MaxTxnWrites != test.txnWrites || got.StoreWritesPerSecond != test.writesPerSecond {
 				t.Errorf("got %d and %d bytes, %d writes, %g a second, want %+v", got.MaxValueBytes, got.CurrentMaxValueBytes, got.MaxTxnWrites, got.StoreWritesPerSecond, test)
 			}
@@ -83,15 +85,16 @@
 	}
 }
 
-// TestTightSettingsStart: settings that are merely tight are accepted, with a warning that names the
-// field, its value and what would do.
+// TestTightSettingsStart checks that settings which are tight but not invalid are accepted, with a
+// warning that names the field, its value and values that are enough. A controller must not fail to
+// start because of them.
 func TestTightSettingsStart(t *testing.T) {
 	valid := readSettings(t)
-	if c, err := Parse([]byte(valid)); err != nil || len(c.Warnings()) != 0 {
-		t.Errorf("testdata/settings.toml: got %v, warnings %q, want none", err, c.Warnings())
+	if config, err := Parse([]byte(valid)); err != nil || len(config.Warnings()) != 0 {
+		t.Errorf("testdata/settings.toml: got %v, warnings %q, want none", err, config.Warnings())
 	}
 	for _, test := range []struct{ old, new, want string }{
-		{`lease_s = 24.0`, `lease_s = 5.0`, "deployment.workers.lease_s: 5 leaves no time for a lost report; more than 7.75 would do"},
+		{`lease_s = 24.0`, `lease_s = 5.0`, "deployment.workers.lease_s: 5 leaves no time for a lost heartbeat; more than 7.75 would do"},
 		{`cancel_s = 54.0`, `cancel_s = 10.0`, "deployment.workers.cancel_s: 10"},
 		{`rps = 100.0`, `rps = 8.0`, "deployment.state.rps: 8"},
 		{`write_rps = 30.0`, `write_rps = 1.0`, "deployment.state.write_rps: 1"},
@@ -100,11 +103,11 @@
 		{`sockets = 2000`, `sockets = 20`, "deployment.quota.sockets: 20"},
 	} {
 		t.Run(test.new, func(t *testing.T) {
-			c, err := Parse([]byte(strings.Replace(valid, test.old, test.new, 1)))
+			config, err := Parse([]byte(strings.Replace(valid, test.old, test.new, 1)))
 			if err != nil {
 				t.Fatalf("got %v, want no error", err)
 			}
-			if got := c.Warnings(); len(got) != 1 || !strings.Contains(got[0], test.want) || !strings.Contains(got[0], "would do") {
+			if got := config.Warnings(); len(got) != 1 || !strings.Contains(got[0], test.want) || !strings.Contains(got[0], "would do") {
 				t.Errorf("warnings: got %q, want one with %q", got, test.want)
 			}
 		})
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,6 +1,6 @@
-// Package policy runs the operators' Starlark script, once at start and within a step limit. Its
-// result is plain settings, with which operators can prefer and weigh; no decision that a rule of
-// the protocol depends on is up to the script.
+// Package policy runs the operators' Starlark script once, at the controller's start, with a limit on
+// its execution steps. The result is a set of settings, such as cost factors and workload weights.
+// The script can't change any decision on which a rule of the protocol depends.
 package policy
 
 import (
@@ -16,13 +16,14 @@
 	"go.starlark.net/syntax"
 )
 
-// maxSteps bounds the script's execution: an endless loop must not keep a controller from
-// starting.
+// maxSteps is the maximum number of Starlark execution steps of a script. It keeps a script with an
+// endless loop from blocking the controller's start.
 const maxSteps = 1_000_000
 
-// valueRange bounds a setting, both ends included.
+// valueRange is the range of a setting's allowed values, both ends included.
 type valueRange struct{ low, high float64 }
 
+// The ranges of the settings.
 var (
 	relaunchFactorRange = valueRange{1, 100}
 	rebalanceRange      = valueRange{1, 86400} // seconds
@@ -32,28 +33,31 @@
 	workloadWeightRange = valueRange{-1000, 1000}
 )
 
-// fileOptions allow loops, conditions and reassignment at the top level.
+// fileOptions allows while loops, and loops, conditions and reassignment at the top level of a
+// script.
 var fileOptions = &syntax.FileOptions{TopLevelControl: true, GlobalReassign: true, While: true}
 
-// Load runs the script at path; an empty path is the default policy.
+// Load runs the script at path and returns its policy. If path is empty, Load returns the default
+// policy.
 func Load(path string) (controller.Policy, error) {
 	if path == "" {
 		return controller.DefaultPolicy(), nil
 	}
-	src, err := os.ReadFile(path)
+	source, err := os.ReadFile(path)
 	if err != nil {
 		return controller.Policy{}, fmt.Errorf("policy: %w", err)
 	}
-	return Parse(path, src)
+	return Parse(path, source)
 }
 
-// Parse runs a script, of which path is the name in errors. Its global variables are the settings;
-// those that it does not set have their defaults. Errors name file, line and reason.
-func Parse(path string, src []byte) (controller.Policy, error) {
+// Parse runs a script and returns its policy. The script's global variables are the settings; a
+// setting that the script does not assign has its default. path is the script's name in errors.
+// Errors name the file, the line and the reason.
+func Parse(path string, source []byte) (controller.Policy, error) {
 	policy := controller.DefaultPolicy()
 	thread := &starlark.Thread{Name: "policy", Print: func(*starlark.Thread, string) {}}
 	thread.SetMaxExecutionSteps(maxSteps)
-	globals, err := starlark.ExecFileOptions(fileOptions, thread, path, src, nil)
+	globals, err := starlark.ExecFileOptions(fileOptions, thread, path, source, nil)
 	if err != nil {
 		var evalErr *starlark.EvalError
 		if errors.As(err, &evalErr) && len(evalErr.CallStack) > 0 {
@@ -63,14 +67,14 @@
 	}
 	for _, name := range globals.Keys() {
 		if err := applySetting(&policy, name, globals[name]); err != nil {
-			return policy, fmt.Errorf("policy: %s:%d: %w", path, lineOf(path, src, name), err)
+			return policy, fmt.Errorf("policy: %s:%d: %w", path, lineOf(path, source, name), err)
 		}
 	}
 	return policy, nil
 }
 
-// applySetting sets the field of the policy that a global variable stands for. Functions, and
-// names that begin with an underscore, are the script's own.
+// applySetting sets the policy's field for a global variable of the script. It ignores functions, and
+// variables whose names begin with an underscore. Any other unknown name is an error.
 func applySetting(policy *controller.Policy, name string, value starlark.Value) error {
 	switch name {
 	case "relaunch_factor":
@@ -89,62 +93,64 @@
 	if _, ok := value.(starlark.Callable); ok || name[0] == '_' {
 		return nil
 	}
-	return fmt.Errorf("unknown setting %s (a name of your own begins with _)", name)
+	return fmt.Errorf("unknown setting %s (the name of a variable that is no setting must begin with _)", name)
 }
 
-// parseNumber sets target to a number in the allowed range.
-func parseNumber(name string, v starlark.Value, allowed valueRange, target *float64) error {
-	f, ok := starlark.AsFloat(v)
-	if !ok || math.IsNaN(f) || f < allowed.low || f > allowed.high {
-		return fmt.Errorf("%s is %s, want a number from %v to %v", name, v, allowed.low, allowed.high)
+// parseNumber sets target to the value of a setting, which must be a number in the allowed range.
+func parseNumber(name string, value starlark.Value, allowed valueRange, target *float64) error {
+	number, ok := starlark.AsFloat(value)
+	if !ok || math.IsNaN(number) || number < allowed.low || number > allowed.high {
+		return fmt.Errorf("%s is %s, want a number from %v to %v", name, value, allowed.low, allowed.high)
 	}
-	*target = f
+	*target = number
 	return nil
 }
 
-// parseSeconds sets target to a number of seconds in the allowed range.
-func parseSeconds(name string, v starlark.Value, allowed valueRange, target *time.Duration) error {
-	var f float64
-	if err := parseNumber(name, v, allowed, &f); err != nil {
+// parseSeconds sets target to the value of a setting, which must be a number of seconds in the
+// allowed range.
+func parseSeconds(name string, value starlark.Value, allowed valueRange, target *time.Duration) error {
+	var seconds float64
+	if err := parseNumber(name, value, allowed, &seconds); err != nil {
 		return err
 	}
-	*target = record.DurationOfSeconds(f)
+	*target = record.DurationOfSeconds(seconds)
 	return nil
 }
 
-// parseTable sets target to a dict from text to numbers in the allowed range.
-func parseTable(name string, v starlark.Value, allowed valueRange, target *map[string]float64) error {
-	dict, ok := v.(*starlark.Dict)
+// parseTable sets target to the value of a setting, which must be a dict whose keys are strings and
+// whose values are numbers in the allowed range.
+func parseTable(name string, value starlark.Value, allowed valueRange, target *map[string]float64) error {
+	dict, ok := value.(*starlark.Dict)
 	if !ok {
-		return fmt.Errorf("%s is a %s, want a dict", name, v.Type())
+		return fmt.Errorf("%s is a %s, want a dict", name, value.Type())
 	}
-	out := map[string]float64{}
-	for _, kv := range dict.Items() {
-		key, ok := starlark.AsString(kv[0])
+	table := map[string]float64{}
+	for _, entry := range dict.Items() {
+		key, ok := starlark.AsString(entry[0])
 		if !ok {
-			return fmt.Errorf("%s has the key %s, want text", name, kv[0])
+			return fmt.Errorf("%s has the key %s, want a string", name, entry[0])
 		}
-		var f float64
-		if err := parseNumber(fmt.Sprintf("%s[%q]", name, key), kv[1], allowed, &f); err != nil {
+		var number float64
+		if err := parseNumber(fmt.Sprintf("%s[%q]", name, key), entry[1], allowed, &number); err != nil {
 			return err
 		}
-		out[key] = f
+		table[key] = number
 	}
-	*target = out
+	*target = table
 	return nil
 }
 
 // lineOf returns the line of the last assignment to a global variable, or 0 if there is none.
-func lineOf(path string, src []byte, name string) int {
-	f, err := fileOptions.Parse(path, src, 0)
+func lineOf(path string, source []byte, name string) int {
+	file, err := fileOptions.Parse(path, source, 0)
 	if err != nil {
 		return 0
 	}
 	line := 0
-	syntax.Walk(f, func(n syntax.Node) bool {
-		if assign, ok := n.(*syntax.AssignStmt); ok {
-			if id, ok := assign.LHS.(*syntax.Ident); ok && id.Name == name {
-				line = int(id.NamePos.Line)
+	syntax.Walk(file, func(node syntax.Node) bool {
+		if assign, ok := node.(*syntax.AssignStmt); ok {
+			if variable, ok := assign.LHS.(*syntax.Ident); ok && variable.Name == name {
+				line = int(variable.NamePos.Line)
 			}
 		}
 		return true
--- a/internal/worker/golden_test.go
+++ b/internal/worker/golden_test.go
@@ -9,7 +9,8 @@
 	"github.com/micahill/micahill/internal/testgolden"
 )
 
-// TestGoldenWire compares heartbeats and commands on the wire with the golden bytes.
+// TestGoldenWire checks that heartbeats and commands encode to the golden bytes and decode from them.
+// It guards against a change of the wire format, which workers could not read.
 func TestGoldenWire(t *testing.T) {
 	reclaimS := 28.5
 	wire := testgolden.Values{
--- a/internal/worker/wire.go
+++ b/internal/worker/wire.go
@@ -8,7 +8,7 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// TaskReport is the state of one attempt in a heartbeat on the wire.
+// TaskReport is the wire format of one attempt's state in a heartbeat.
 type TaskReport struct {
 	Task         string `msgpack:"piece"` // job ID, slash, task index
 	Attempt      uint64 `msgpack:"try"`
@@ -17,7 +17,7 @@
 	Checkpointed bool   `msgpack:"stored"`
 }
 
-// Heartbeat is a heartbeat on the wire, as the protocol's "POST /v1/report" has it.
+// Heartbeat is the wire format of a heartbeat, as specified by the protocol's "POST /v1/report".
 type Heartbeat struct {
 	Machine     string       `msgpack:"host"`
 	Address     string       `msgpack:"address"`
@@ -27,85 +27,91 @@
 	Incarnation uint64       `msgpack:"tenure"`
 	Sequence    uint64       `msgpack:"tick"`
 	Epoch       uint64       `msgpack:"epoch"`
-	ReclaimS    *float64     `msgpack:"recall_s"` // nil without a reclaim notice
+	ReclaimS    *float64     `msgpack:"recall_s"` // seconds until the machine is reclaimed; nil without a notice
 	Tasks       []TaskReport `msgpack:"pieces"`
 }
 
-// TaskCommand is a command on the wire.
+// TaskCommand is the wire format of a command for one attempt of a task.
 type TaskCommand struct {
 	Kind      string   `msgpack:"verb"`
 	Task      string   `msgpack:"piece"` // job ID, slash, task index
 	Attempt   uint64   `msgpack:"try"`
-	WindDownS *float64 `msgpack:"wind_down_s,omitempty"` // of a stop only
+	WindDownS *float64 `msgpack:"wind_down_s,omitempty"` // seconds; only in a command to stop
 }
 
-// TaskCommands is the body of a direct request, as the protocol's "POST /orders" has it.
+// TaskCommands is the wire format of commands that a controller sends to a worker, as specified by
+// the protocol's "POST /orders".
 type TaskCommands struct {
 	Epoch       uint64        `msgpack:"epoch"`
 	Incarnation uint64        `msgpack:"tenure"`
 	Commands    []TaskCommand `msgpack:"orders"`
 }
 
-// Decode converts a heartbeat from the wire. Tasks without a valid name are left out.
-func (h *Heartbeat) Decode() model.Heartbeat {
-	out := model.Heartbeat{
-		Machine: h.Machine, Addr: h.Address, MachineType: h.MachineType, Zone: h.Zone, Spot: h.Spot,
-		Incarnation: h.Incarnation, Sequence: h.Sequence, Epoch: h.Epoch, ReclaimIn: -1,
+// Decode converts a heartbeat from its wire format. It omits tasks without a valid name. ReclaimIn is
+// negative if the heartbeat has no reclaim notice.
+func (heartbeat *Heartbeat) Decode() model.Heartbeat {
+	decoded := model.Heartbeat{
+		Machine: heartbeat.Machine, Addr: heartbeat.Address, MachineType: heartbeat.MachineType, Zone: heartbeat.Zone, Spot: heartbeat.Spot,
+		Incarnation: heartbeat.Incarnation, Sequence: heartbeat.Sequence, Epoch: heartbeat.Epoch, ReclaimIn: -1,
 	}
-	if h.ReclaimS != nil {
-		out.ReclaimIn = record.DurationOfSeconds(*h.ReclaimS)
+	if heartbeat.ReclaimS != nil {
+		decoded.ReclaimIn = record.DurationOfSeconds(*heartbeat.ReclaimS)
 	}
-	for _, task := range h.Tasks {
+	for _, task := range heartbeat.Tasks {
 		job, index, ok := parseTask(task.Task)
 		if !ok {
 			continue
 		}
-		out.Tasks = append(out.Tasks, model.TaskReport{
+		decoded.Tasks = append(decoded.Tasks, model.TaskReport{
 			Job: job, Index: index, Attempt: task.Attempt, Status: decodeStatus(task.Status), Cause: task.Cause, CheckpointStored: task.Checkpointed,
 		})
 	}
-	return out
+	return decoded
 }
 
+// decodeStatus converts a task's status from its name on the wire.
 func decodeStatus(status string) model.TaskStatus {
 	switch status {
 	case "fetching", "gathering":
-		// A task that waits for the others of its gang has not begun either.
+		// A task that waits for the other tasks of its gang has not started to run either.
 		return model.Fetching
 	case "flushing":
 		return model.Checkpointing
 	case "ended":
 		return model.Ended
 	}
-	// "running", or a status that a later protocol adds: on the machine, and not ended.
+	// The status is "running", or one of a newer version of the protocol. In the latter case the
+	// task is on the machine and has not ended, so it counts as running.
 	return model.Running
 }
 
-// parseTask splits a task's name on the wire.
-func parseTask(s string) (job string, index int, ok bool) {
-	slash := strings.LastIndexByte(s, '/')
+// parseTask splits a task's name on the wire into the job ID and the task index. ok is whether the
+// name is valid.
+func parseTask(name string) (job string, index int, ok bool) {
+	slash := strings.LastIndexByte(name, '/')
 	if slash < 0 {
 		return "", 0, false
 	}
-	index, err := strconv.Atoi(s[slash+1:])
-	return s[:slash], index, err == nil && index >= 0
+	index, err := strconv.Atoi(name[slash+1:])
+	return name[:slash], index, err == nil && index >= 0
 }
 
-// EncodeCommands converts commands to their wire form. The result is not nil, as workers want a
-// list.
+// EncodeCommands converts commands to their wire format. The result is never nil, because workers
+// expect a list and not a null.
 func EncodeCommands(commands []model.TaskCommand) []TaskCommand {
-	out := make([]TaskCommand, 0, len(commands))
-	for _, c := range commands {
-		command := TaskCommand{Kind: encodeKind(c.Kind), Task: c.Job + "/" + strconv.Itoa(c.Index), Attempt: c.Attempt}
-		if c.Kind == model.StopTask {
-			seconds := c.GracePeriod.Seconds()
-			command.WindDownS = &seconds
+	encodedCommands := make([]TaskCommand, 0, len(commands))
+	for _, command := range commands {
+		encoded := TaskCommand{Kind: encodeKind(command.Kind), Task: command.Job + "/" + strconv.Itoa(command.Index), Attempt: command.Attempt}
+		if command.Kind == model.StopTask {
+			seconds := command.GracePeriod.Seconds()
+			encoded.WindDownS = &seconds
 		}
-		out = append(out, command)
+		encodedCommands = append(encodedCommands, encoded)
 	}
-	return out
+	return encodedCommands
 }
 
+// encodeKind returns the name on the wire of a kind of command.
 func encodeKind(kind model.TaskCommandKind) string {
 	switch kind {
 	case model.StartTask:
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is the client of the workers. It owns the wire form of heartbeats and of commands
-// ("Workers -> controller nodes" and "Controller nodes -> workers" in the protocol), and sends
-// commands and status queries to workers directly.
+// Package worker is an HTTP client for the workers, to which it sends commands and status queries. It
+// also implements the wire format of heartbeats and commands ("Workers -> controller nodes" and
+// "Controller nodes -> workers" in the protocol).
 package worker
 
 import (
@@ -18,19 +18,23 @@
 )
 
 const (
-	// dialTimeout and requestTimeout are short: a request to an unresponsive machine must not
-	// block others for long, and the machine's next heartbeat is only seconds away.
+	// dialTimeout and requestTimeout are short, since a request to an unresponsive machine must
+	// not block requests to other machines for long. The controller can send the commands again
+	// in its response to the machine's next heartbeat, a few seconds later. requestTimeout
+	// includes the wait for a slot and the dialing.
 	dialTimeout    = time.Second
 	requestTimeout = 2 * time.Second
-	// maxResponseBytes bounds a response; the protocol's limit is 64 KiB as JSON.
+	// maxResponseBytes is the maximum size of a response; the protocol's limit is 64 KiB as JSON.
 	maxResponseBytes = 256 << 10
-	// idleFraction of the sockets may be idle connections, kept since opening one costs more
-	// than a request. inFlightFraction may be requests in progress; more of them wait for
-	// their turn: a thousand starts may be due at once, and those to unresponsive machines
-	// last until the timeout.
+	// idleFraction is the fraction of the process's sockets that idle connections may use. Idle
+	// connections are kept because opening a connection costs more than a request.
+	// inFlightFraction is the fraction that requests in progress may use. Further requests wait
+	// for a slot: a thousand starts may be due at once, and a request to an unresponsive machine
+	// lasts until the timeout.
 	idleFraction     = 0.12
 	inFlightFraction = 0.1
-	// minIdle and minInFlight are the bounds however few sockets there are.
+	// minIdle and minInFlight are the smallest limits on idle connections and on requests in
+	// progress, however few sockets there are.
 	minIdle     = 16
 	minInFlight = 8
 )
@@ -38,11 +42,12 @@
 // Client sends requests to workers. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
-	// inFlight has an element for each request in progress.
+	// inFlight has one element for each request in progress. Its capacity is their limit.
 	inFlight chan struct{}
 }
 
-// New returns a client that uses its part of so many sockets.
+// New returns a client whose connections are limited to fractions of the number of sockets that the
+// process may have open.
 func New(sockets int) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -54,67 +59,68 @@
 	return &Client{http: &http.Client{Transport: transport}, inFlight: make(chan struct{}, max(minInFlight, int(float64(sockets)*inFlightFraction)))}
 }
 
-// Do executes a request. Without a heartbeat in the response, and unless it is NotSent, the
-// commands may have been executed, or may yet be.
-func (c *Client) Do(ctx context.Context, req message.WorkerRequest) message.WorkerResponse {
-	out := message.WorkerResponse{ID: req.ID}
+// Do sends a request to a worker and returns the response. If the response has no heartbeat and is
+// not marked NotSent, the worker may have executed the commands, or may still execute them.
+func (client *Client) Do(ctx context.Context, request message.WorkerRequest) message.WorkerResponse {
+	response := message.WorkerResponse{ID: request.ID}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	select {
-	case c.inFlight <- struct{}{}:
-		defer func() { <-c.inFlight }()
+	case client.inFlight <- struct{}{}:
+		defer func() { <-client.inFlight }()
 	case <-ctx.Done():
-		out.NotSent = true
-		return out
+		response.NotSent = true
+		return response
 	}
-	if _, _, late := controller.CheckDeadline(req, time.Now()); late || ctx.Err() != nil {
-		// Its turn came with its deadline. The transport would open a connection all the
-		// same, in excess of the slots.
-		out.NotSent = true
-		return out
+	if _, _, late := controller.CheckDeadline(request, time.Now()); late || ctx.Err() != nil {
+		// The request got its slot only at its deadline. The transport would still open a
+		// connection, in excess of the number of slots.
+		response.NotSent = true
+		return response
 	}
-	wire, status, err := c.send(ctx, req)
-	if err != nil || wire.Machine != req.Machine {
-		// Another machine may have taken over the address.
-		return out
+	wire, status, err := client.send(ctx, request)
+	if err != nil || wire.Machine != request.Machine {
+		// Another machine may have been given the address, so its response is ignored.
+		return response
 	}
 	heartbeat := wire.Decode()
-	out.Heartbeat, out.OK = &heartbeat, status == http.StatusOK
-	return out
+	response.Heartbeat, response.OK = &heartbeat, status == http.StatusOK
+	return response
 }
 
-// send makes one HTTP request. The status is 200, or 409 if the worker has executed nothing.
-func (c *Client) send(ctx context.Context, req message.WorkerRequest) (*Heartbeat, int, error) {
+// send makes one HTTP request and returns the worker's heartbeat and the HTTP status. The status is
+// 200, or 409 if the worker has executed none of the commands. Any other status is an error.
+func (client *Client) send(ctx context.Context, request message.WorkerRequest) (*Heartbeat, int, error) {
 	method, path, payload := http.MethodGet, "/status", io.Reader(nil)
-	if !req.StatusOnly {
-		b, err := msgpack.Marshal(TaskCommands{req.Epoch, req.Incarnation, EncodeCommands(req.Commands)})
+	if !request.StatusOnly {
+		body, err := msgpack.Marshal(TaskCommands{request.Epoch, request.Incarnation, EncodeCommands(request.Commands)})
 		if err != nil {
-			return nil, 0, fmt.Errorf("worker: encode: %w", err)
+			return nil, 0, fmt.Errorf("worker: encode commands: %w", err)
 		}
-		method, path, payload = http.MethodPost, "/orders", bytes.NewReader(b)
+		method, path, payload = http.MethodPost, "/orders", bytes.NewReader(body)
 	}
-	httpReq, err := http.NewRequestWithContext(ctx, method, "http://"+req.Addr+path, payload)
+	httpRequest, err := http.NewRequestWithContext(ctx, method, "http://"+request.Addr+path, payload)
 	if err != nil {
 		return nil, 0, fmt.Errorf("worker: %w", err)
 	}
 	if payload != nil {
-		httpReq.Header.Set("Content-Type", "application/msgpack")
+		httpRequest.Header.Set("Content-Type", "application/msgpack")
 	}
-	resp, err := c.http.Do(httpReq)
+	httpResponse, err := client.http.Do(httpRequest)
 	if err != nil {
 		return nil, 0, fmt.Errorf("worker: %w", err)
 	}
-	defer resp.Body.Close()
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	if err != nil {
-		return nil, 0, fmt.Errorf("worker: read: %w", err)
+		return nil, 0, fmt.Errorf("worker: read response: %w", err)
 	}
-	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
-		return nil, 0, fmt.Errorf("worker: unexpected status %d", resp.StatusCode)
+	if httpResponse.StatusCode != http.StatusOK && httpResponse.StatusCode != http.StatusConflict {
+		return nil, 0, fmt.Errorf("worker: status %d, want 200 or 409", httpResponse.StatusCode)
 	}
 	var heartbeat Heartbeat
-	if err := msgpack.Unmarshal(b, &heartbeat); err != nil {
-		return nil, 0, fmt.Errorf("worker: decode: %w", err)
+	if err := msgpack.Unmarshal(body, &heartbeat); err != nil {
+		return nil, 0, fmt.Errorf("worker: decode heartbeat: %w", err)
 	}
-	return &heartbeat, resp.StatusCode, nil
+	return &heartbeat, httpResponse.StatusCode, nil
 }
