--- a/cmd/micahill-lab/days_print.go
+++ b/cmd/micahill-lab/days_print.go
@@ -25,7 +25,7 @@
 	return show(largest.FirstStartS) + "/" + show(largest.AllStartedS)
 }
 
-// printDays prints the results as a table, one day a line, or as JSON, and returns errDaysFailed
+// printDays prints the results as a table, one day a line, or as JSONSize, and returns errDaysFailed
 // if one of them failed. showGroups adds the waits of each class and team.
 func printDays(out io.Writer, results []simulation.DayResult, asJSON, showGroups bool) error {
 	if asJSON {
--- a/cmd/micahill/client.go
+++ b/cmd/micahill/client.go
@@ -15,7 +15,7 @@
 	return requestJSON(ctx, area, "overflow", method, addr, path, nil, target)
 }
 
-// requestJSON sends a request to a controller's own address and decodes the JSON answer into
+// requestJSON sends a request to a controller's own address and decodes the JSONSize answer into
 // target. Errors begin with area; feature is the file under deploy/ that switches on what is
 // asked, without its ending.
 func requestJSON(ctx context.Context, area, feature, method, addr, path string, payload []byte, target any) error {
--- a/cmd/micahill/keys.go
+++ b/cmd/micahill/keys.go
@@ -130,7 +130,7 @@
 	return addDirFlag(c, &dir)
 }
 
-// printKeys prints the certificates as a table or as JSON, and fails when one is not good.
+// printKeys prints the certificates as a table or as JSONSize, and fails when one is not good.
 func printKeys(out io.Writer, infos []certs.Info, asJSON bool, now time.Time) error {
 	problem := ""
 	for _, i := range infos {
--- a/internal/api/api.go
+++ b/internal/api/api.go
@@ -68,7 +68,7 @@
 func Serve(ctx context.Context, addr string, sockets int, backend Backend, observe Observer) error {
 	handlers := &handlers{backend: backend, conns: newConnTracker(sockets)}
 	router := newEcho()
-	router.Use(observed(observe))
+	router.Use(observeResponses(observe))
 	router.POST("/v2/runs", handlers.submitJob)
 	router.GET("/v2/runs/:id", handlers.queryJob)
 	router.POST("/v2/runs/:id/abort", handlers.cancelJob)
@@ -82,7 +82,7 @@
 	return serve(ctx, &limitedListener{listener, handlers.conns}, router, handlers.conns)
 }
 
-// ServeOperators serves the controller's status as JSON, and its metrics, on listener until the
+// ServeOperators serves the controller's status as JSONSize, and its metrics, on listener until the
 // context ends. The listener's address is the controllers' internal one, which users can't reach.
 // Each function in extraRoutes adds the routes of an optional feature.
 func ServeOperators(ctx context.Context, listener net.Listener, backend Backend, metrics http.Handler, extraRoutes ...func(*echo.Echo)) error {
@@ -103,9 +103,9 @@
 	return router
 }
 
-// observed returns a middleware that calls observe after each response. It converts a handler's
+// observeResponses returns a middleware that calls observe after each response. It converts a handler's
 // error to a response first, so that the response's status is known.
-func observed(observe Observer) echo.MiddlewareFunc {
+func observeResponses(observe Observer) echo.MiddlewareFunc {
 	return func(next echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			began := time.Now()
--- a/internal/api/golden_test.go
+++ b/internal/api/golden_test.go
@@ -27,7 +27,7 @@
 	requests := testgolden.Values{"job-request": jobRequest{
 		ID: ptr("job-000412"), Workload: ptr("train"), Team: ptr("vision"), Shape: ptr("group"), Urgency: ptr("urgent"), Tasks: ptr(16.0),
 		VCPUs: ptr(8.5), GPUs: ptr(1.25), MemoryGB: ptr(64.75), Image: ptr("img-07"), ImageGB: ptr(6.2), MachineTypes: []string{"g8", "g4"}, Zone: ptr("a"),
-		ZoneAffinity: ptr(true), ZoneAntiAffinity: ptr(true), SpotAllowed: ptr(true), ExpectedS: ptr(240.5), CheckpointEveryS: ptr(30.25), CheckpointCostS: ptr(4.5), DeadlineS: ptr(900.75),
+		ZoneAffinity: ptr(true), ZoneAntiAffinity: ptr(true), SpotAllowed: ptr(true), ExpectedRunTimeS: ptr(240.5), CheckpointIntervalS: ptr(30.25), CheckpointCostS: ptr(4.5), DeadlineS: ptr(900.75),
 		Dependencies: []string{"job-000398", "job-000402"},
 	}}
 	testgolden.Check(t, testgolden.Msgpack, requests)
--- a/internal/api/jobrequest.go
+++ b/internal/api/jobrequest.go
@@ -19,27 +19,27 @@
 // number so that 2.5 tasks are rejected rather than truncated to 2. Field names that end in S are
 // seconds.
 type jobRequest struct {
-	ID               *string  `msgpack:"id" validate:"required,runid"`
-	Workload         *string  `msgpack:"workload" validate:"required,min=1,max=100"`
-	Team             *string  `msgpack:"owner" validate:"required,min=1,max=100"`
-	Shape            *string  `msgpack:"shape" validate:"required,oneof=array standing group"`
-	Urgency          *string  `msgpack:"urgency" validate:"required,oneof=critical urgent normal best_effort"`
-	Tasks            *float64 `msgpack:"pieces" validate:"required,whole,gte=1,lte=100000"`
-	VCPUs            *float64 `msgpack:"vcpus" validate:"required,amount"`
-	GPUs             *float64 `msgpack:"gpus" validate:"required,amount"`
-	MemoryGB         *float64 `msgpack:"memory_gb" validate:"required,amount"`
-	Image            *string  `msgpack:"bundle" validate:"required,max=200"`
-	ImageGB          *float64 `msgpack:"image_gb" validate:"required,amount"`
-	MachineTypes     []string `msgpack:"flavours" validate:"omitempty,dive,min=1,max=100"`
-	Zone             *string  `msgpack:"site" validate:"omitempty,min=1,max=100"`
-	ZoneAffinity     *bool    `msgpack:"same_place" validate:"required"`
-	ZoneAntiAffinity *bool    `msgpack:"apart" validate:"required"`
-	SpotAllowed      *bool    `msgpack:"loaner" validate:"required"`
-	ExpectedS        *float64 `msgpack:"expected_s" validate:"required,amount"`
-	CheckpointEveryS *float64 `msgpack:"snapshot_every_s" validate:"required,amount"`
-	CheckpointCostS  *float64 `msgpack:"snapshot_cost_s" validate:"required,amount"`
-	DeadlineS        *float64 `msgpack:"due_s" validate:"omitempty,amount"`
-	Dependencies     []string `msgpack:"prereqs" validate:"omitempty,dive,runid"`
+	ID                  *string  `msgpack:"id" validate:"required,runid"`
+	Workload            *string  `msgpack:"workload" validate:"required,min=1,max=100"`
+	Team                *string  `msgpack:"owner" validate:"required,min=1,max=100"`
+	Shape               *string  `msgpack:"shape" validate:"required,oneof=array standing group"`
+	Urgency             *string  `msgpack:"urgency" validate:"required,oneof=critical urgent normal best_effort"`
+	Tasks               *float64 `msgpack:"pieces" validate:"required,whole,gte=1,lte=100000"`
+	VCPUs               *float64 `msgpack:"vcpus" validate:"required,amount"`
+	GPUs                *float64 `msgpack:"gpus" validate:"required,amount"`
+	MemoryGB            *float64 `msgpack:"memory_gb" validate:"required,amount"`
+	Image               *string  `msgpack:"bundle" validate:"required,max=200"`
+	ImageGB             *float64 `msgpack:"image_gb" validate:"required,amount"`
+	MachineTypes        []string `msgpack:"flavours" validate:"omitempty,dive,min=1,max=100"`
+	Zone                *string  `msgpack:"site" validate:"omitempty,min=1,max=100"`
+	ZoneAffinity        *bool    `msgpack:"same_place" validate:"required"`
+	ZoneAntiAffinity    *bool    `msgpack:"apart" validate:"required"`
+	SpotAllowed         *bool    `msgpack:"loaner" validate:"required"`
+	ExpectedRunTimeS    *float64 `msgpack:"expected_s" validate:"required,amount"`
+	CheckpointIntervalS *float64 `msgpack:"snapshot_every_s" validate:"required,amount"`
+	CheckpointCostS     *float64 `msgpack:"snapshot_cost_s" validate:"required,amount"`
+	DeadlineS           *float64 `msgpack:"due_s" validate:"omitempty,amount"`
+	Dependencies        []string `msgpack:"prereqs" validate:"omitempty,dive,runid"`
 }
 
 // requestValidator checks the validate tags of a jobRequest.
@@ -174,7 +174,7 @@
 		Need:  model.Resources{CPU: *request.VCPUs, GPU: *request.GPUs, Memory: *request.MemoryGB},
 		Image: *request.Image, ImageGB: *request.ImageGB, MachineTypes: request.MachineTypes,
 		Dependencies: request.Dependencies, SameZone: *request.ZoneAffinity, SpreadZones: *request.ZoneAntiAffinity, AllowSpot: *request.SpotAllowed,
-		ExpectedRunTime: record.DurationOfSeconds(*request.ExpectedS), CheckpointInterval: record.DurationOfSeconds(*request.CheckpointEveryS), CheckpointCost: record.DurationOfSeconds(*request.CheckpointCostS),
+		ExpectedRunTime: record.DurationOfSeconds(*request.ExpectedRunTimeS), CheckpointInterval: record.DurationOfSeconds(*request.CheckpointIntervalS), CheckpointCost: record.DurationOfSeconds(*request.CheckpointCostS),
 	}
 	if request.Zone != nil {
 		spec.Zone = *request.Zone
--- a/internal/api/size_test.go
+++ b/internal/api/size_test.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// connMemory is how many bytes of the server's memory one connection may use, including its
+	// maxConnMemory is how many bytes of the server's memory one connection may use, including its
 	// goroutine and buffers. workerMemory is how many bytes may remain allocated for each worker
 	// that has sent a heartbeat.
 	connMemory   = 48 << 10
 	workerMemory = 256
-	// connRoutines is how many goroutines the server needs for each connection, and
-	// serverRoutines how many other goroutines it may have.
-	connRoutines   = 2
-	serverRoutines = 50
+	// connGoroutines is how many goroutines the server needs for each connection, and
+	// serverGoroutines how many other goroutines it may have.
+	connGoroutines   = 2
+	serverGoroutines = 50
 )
 
 // TestPoolBySize guards against goroutines and memory that grow with the number of machines.
@@ -39,7 +39,7 @@
 			defer cancel()
 			addr := unusedAddr(t)
 			body := encodeHeartbeat(t)
-			heapBefore, goroutinesBefore := heap(), runtime.NumGoroutine()
+			heapBefore, goroutinesBefore := memoryInUse(), runtime.NumGoroutine()
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
@@ -88,14 +88,14 @@
 			if count := responses.Load(); count != int64(machines) {
 				t.Errorf("got %d responses, want %d", count, machines)
 			}
-			if maxGoroutines := goroutinesBefore + concurrentMachines + connRoutines*hardLimit + serverRoutines; mostGoroutines > maxGoroutines {
+			if maxGoroutines := goroutinesBefore + concurrentMachines + connGoroutines*hardLimit + serverGoroutines; mostGoroutines > maxGoroutines {
 				t.Errorf("got %d goroutines, want at most %d", mostGoroutines, maxGoroutines)
 			}
 			for _, conn := range openConns {
 				conn.Close()
 			}
 			openConns = nil
-			if grown := heap() - heapBefore; grown > int64(hardLimit*connMemory+machines*workerMemory) {
+			if grown := memoryInUse() - heapBefore; grown > int64(hardLimit*connMemory+machines*workerMemory) {
 				t.Errorf("got %d KB kept after %d machines, want at most %d", grown>>10, machines, (hardLimit*connMemory+machines*workerMemory)>>10)
 			}
 			cancel()
@@ -125,8 +125,8 @@
 	return conn, resp.StatusCode == http.StatusOK
 }
 
-// heap returns the size in bytes of the heap and the stacks in use, after a garbage collection.
-func heap() int64 {
+// memoryInUse returns the size in bytes of the heap and the stacks in use, after a garbage collection.
+func memoryInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -25,8 +25,8 @@
 	requestTimeout = 5 * time.Second
 	// dialTimeout bounds the time to connect, which is part of requestTimeout.
 	dialTimeout = 2 * time.Second
-	// listPage is the maximum number of machines that the cloud lists in one response.
-	listPage = 500
+	// listPageSize is the maximum number of machines that the cloud lists in one response.
+	listPageSize = 500
 	// maxResponseBytes is the maximum size of a response.
 	maxResponseBytes = 4 << 20
 	// rateFraction is the fraction of the cloud's rate limit that this controller may use. The
@@ -85,7 +85,7 @@
 		}
 		return response, err
 	case message.CloudListMachines:
-		query := url.Values{"limit": {strconv.Itoa(listPage)}}
+		query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 		if request.StartAfter != "" {
 			query.Set("from", request.StartAfter)
 		}
--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -19,19 +19,19 @@
 	maxReservations     = 16
 )
 
-// queueEntry is some of a job's pending tasks at one position of the queue. goesFirst is set if the
+// queueEntry is some of a job's pending tasks at one position of the queue. promoted is set if the
 // job is overdue and was promoted before other jobs.
 type queueEntry struct {
-	job       *job
-	tasks     int
-	goesFirst bool
+	job      *job
+	tasks    int
+	promoted bool
 }
 
 // machineReservation is an overdue job that needs reserved machines, with the machines that could
 // be reserved for it.
 type machineReservation struct {
-	job   *job
-	hosts []aging.Candidate
+	job        *job
+	candidates []aging.Candidate
 	// fittingMachines counts the machines that a task would fit on if they were empty.
 	fittingMachines int
 	// machinesNeeded is how many machines the job's pending tasks would fill.
@@ -41,22 +41,24 @@
 // waitTime returns how long a job has waited since it was submitted, or since its last dependency
 // was done. The wait does not restart when a task is stopped or lost, because the user has waited
 // from the start.
-func (s *scheduler) waitTime(job *job) time.Duration { return s.now.Sub(job.readySince()) }
+func (scheduler *scheduler) waitTime(job *job) time.Duration {
+	return scheduler.now.Sub(job.readySince())
+}
 
 // queueOrder returns the pending tasks in the order in which they are placed. It also updates the
 // overdue flag of each job.
-func (s *scheduler) queueOrder() []queueEntry {
-	queued := s.queuedJobs()
+func (scheduler *scheduler) queueOrder() []queueEntry {
+	queued := scheduler.queuedJobs()
 	capacities := map[taskShape]float64{}
 	jobs := make([]aging.Job, len(queued))
 	for i, queuedEntry := range queued {
 		job := queuedEntry.job
-		bound, priorityFraction := s.controller.ranking.waitBound(job)
+		bound, priorityFraction := scheduler.controller.ranking.waitBound(job)
 		agingJob := aging.Job{
-			Waited: s.waitTime(job), MaxWait: bound, PriorityFraction: priorityFraction, Urgency: int(job.Urgency), Guaranteed: queuedEntry.guaranteed,
-			WaitingTasks: s.placeableTasks(job), Gang: job.Gang,
+			Waited: scheduler.waitTime(job), MaxWait: bound, PriorityFraction: priorityFraction, Urgency: int(job.Urgency), Guaranteed: queuedEntry.guaranteed,
+			WaitingTasks: scheduler.placeableTasks(job), Gang: job.Gang,
 		}
-		if s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
+		if scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
 			// The job waits until its tasks stop failing, and not behind other jobs, so
 			// it does not age.
 			agingJob.Waited = 0
@@ -65,7 +67,7 @@
 			shape := job.taskShape()
 			capacity, ok := capacities[shape]
 			if !ok {
-				capacity = s.totalCapacityFor(job)
+				capacity = scheduler.totalCapacityFor(job)
 				capacities[shape] = capacity
 			}
 			agingJob.TaskFraction = 1 / max(capacity, 1)
@@ -82,10 +84,10 @@
 }
 
 // jobsInQueueOrder returns the jobs with pending tasks, ordered by their first queue entries.
-func (s *scheduler) jobsInQueueOrder() []*job {
+func (scheduler *scheduler) jobsInQueueOrder() []*job {
 	var jobs []*job
 	seen := map[*job]bool{}
-	for _, entry := range s.queueOrder() {
+	for _, entry := range scheduler.queueOrder() {
 		if !seen[entry.job] {
 			seen[entry.job] = true
 			jobs = append(jobs, entry.job)
@@ -96,10 +98,10 @@
 
 // totalCapacityFor returns how many tasks of the job's shape all usable machines would hold if they
 // were empty.
-func (s *scheduler) totalCapacityFor(job *job) float64 {
-	total, avoidGPUs := 0, s.avoidsGPUsNow(job)
-	for _, machine := range s.controller.shardLeader.machinesByID {
-		if job.allowsMachine(machine.machineType, machine.zone, machine.spot) && s.usable(machine) && s.gpuPolicyAllows(avoidGPUs, machine) {
+func (scheduler *scheduler) totalCapacityFor(job *job) float64 {
+	total, avoidGPUs := 0, scheduler.avoidsGPUsNow(job)
+	for _, machine := range scheduler.controller.shardLeader.machinesByID {
+		if job.allowsMachine(machine.machineType, machine.zone, machine.spot) && scheduler.usable(machine) && scheduler.gpuPolicyAllows(avoidGPUs, machine) {
 			total += machine.size.FitCount(job.Need)
 		}
 	}
@@ -117,11 +119,11 @@
 // can meet none of them, its latest start is so late that no on-demand machine would be rented for
 // it, and the job would wait without end where the cloud refuses spot capacity but offers on-demand
 // machines.
-func (s *scheduler) dueStart(job *job) time.Time {
-	if start := s.latestStart(job); !job.overdue || job.liveTasks > 0 || job.doneTasks > 0 || start.Before(s.now) {
+func (scheduler *scheduler) dueStart(job *job) time.Time {
+	if start := scheduler.latestStart(job); !job.overdue || job.liveTasks > 0 || job.doneTasks > 0 || start.Before(scheduler.now) {
 		return start
 	}
-	return s.now
+	return scheduler.now
 }
 
 // reserveMachines reserves machines for overdue jobs without a live task, such as a job whose task
@@ -130,80 +132,80 @@
 // their end, and no task of another job is placed there. aging.MaxReservedFraction bounds all
 // reservations together. The first pass reserves one machine for each job, so that every job makes
 // progress; the second reserves more machines for the jobs that have waited longest.
-func (s *scheduler) reserveMachines(jobs []*job) {
-	shardLeader := s.controller.shardLeader
-	if s.now.Sub(s.machinesReservedAt) < reservationInterval {
+func (scheduler *scheduler) reserveMachines(jobs []*job) {
+	shardLeader := scheduler.controller.shardLeader
+	if scheduler.now.Sub(scheduler.machinesReservedAt) < reservationInterval {
 		return
 	}
-	s.machinesReservedAt = s.now
+	scheduler.machinesReservedAt = scheduler.now
 	reservedFor := map[string]string{}
 	var reservations []*machineReservation
 	for _, job := range jobs {
 		if job.needsReservation() && len(reservations) < maxReservations {
-			reservations = append(reservations, s.machineReservationFor(job))
+			reservations = append(reservations, scheduler.machineReservationFor(job))
 		}
 	}
 	usable := 0
 	for _, machine := range shardLeader.machinesByID {
-		if len(reservations) > 0 && s.usable(machine) {
+		if len(reservations) > 0 && scheduler.usable(machine) {
 			usable++
 		}
 	}
 	remaining := max(1, int(aging.MaxReservedFraction*float64(usable)))
 	for _, limit := range [...]int{1, usable} {
 		for _, reservation := range reservations {
-			for _, machineID := range aging.Reserve(reservation.hosts, min(remaining, limit, reservation.machinesNeeded), reservation.fittingMachines) {
+			for _, machineID := range aging.Reserve(reservation.candidates, min(remaining, limit, reservation.machinesNeeded), reservation.fittingMachines) {
 				if reservedFor[machineID] == "" {
 					reservedFor[machineID] = reservation.job.ID
 					reservation.machinesNeeded--
 					remaining--
 				}
 			}
-			reservation.hosts = slices.DeleteFunc(reservation.hosts, func(candidate aging.Candidate) bool { return reservedFor[candidate.ID] != "" })
+			reservation.candidates = slices.DeleteFunc(reservation.candidates, func(candidate aging.Candidate) bool { return reservedFor[candidate.ID] != "" })
 		}
 	}
 	for _, machine := range shardLeader.machinesByID {
 		if machine.reservedFor != reservedFor[machine.id] {
 			machine.reservedFor = reservedFor[machine.id]
-			s.debug("machine reservation changed", "machine", machine.id, "for", machine.reservedFor)
+			scheduler.debug("machine reservation changed", "machine", machine.id, "for", machine.reservedFor)
 		}
 	}
 }
 
 // machineReservationFor returns the machines that could be reserved for a job.
-func (s *scheduler) machineReservationFor(job *job) *machineReservation {
+func (scheduler *scheduler) machineReservationFor(job *job) *machineReservation {
 	reservation := &machineReservation{job: job}
-	tasksPerMachine, avoidGPUs := 1, s.avoidsGPUsNow(job)
-	for _, machine := range s.controller.shardLeader.machinesByID {
-		if !s.gpuPolicyAllows(avoidGPUs, machine) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.Need.Fits(machine.size) || !s.usable(machine) {
+	tasksPerMachine, avoidGPUs := 1, scheduler.avoidsGPUsNow(job)
+	for _, machine := range scheduler.controller.shardLeader.machinesByID {
+		if !scheduler.gpuPolicyAllows(avoidGPUs, machine) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.Need.Fits(machine.size) || !scheduler.usable(machine) {
 			continue
 		}
 		reservation.fittingMachines++
 		tasksPerMachine = max(tasksPerMachine, machine.size.FitCount(job.Need))
-		if freeIn, ok := s.timeUntilFits(machine, job.Need); ok && job.zoneAllowed(machine.zone) {
-			reservation.hosts = append(reservation.hosts, aging.Candidate{ID: machine.id, FreeIn: freeIn, Reserved: machine.reservedFor == job.ID})
+		if freeIn, ok := scheduler.timeUntilFits(machine, job.Need); ok && job.zoneAllowed(machine.zone) {
+			reservation.candidates = append(reservation.candidates, aging.Candidate{ID: machine.id, FreeIn: freeIn, Reserved: machine.reservedFor == job.ID})
 		}
 	}
-	reservation.machinesNeeded = (s.placeableTasks(job) + tasksPerMachine - 1) / tasksPerMachine
+	reservation.machinesNeeded = (scheduler.placeableTasks(job) + tasksPerMachine - 1) / tasksPerMachine
 	return reservation
 }
 
 // timeUntilFits returns how long it takes until need fits on a machine if no other task is placed
 // there, based on the expected ends of its live tasks, and whether need fits then.
-func (s *scheduler) timeUntilFits(machine *machine, need model.Resources) (time.Duration, bool) {
+func (scheduler *scheduler) timeUntilFits(machine *machine, need model.Resources) (time.Duration, bool) {
 	free := machine.free()
 	if need.Fits(free) {
 		return 0, true
 	}
 	var last time.Duration
 	for _, key := range sortedAttempts(machine) {
-		job := s.controller.shardLeader.jobs[key.job]
+		job := scheduler.controller.shardLeader.jobs[key.job]
 		if job.LongRunning {
 			continue
 		}
-		remaining := s.controller.knowledge.expectedRunTime(job)
+		remaining := scheduler.controller.knowledge.expectedRunTime(job)
 		if task := machine.attempts[key]; !task.startedAt.IsZero() {
-			remaining = max(remaining-s.now.Sub(task.startedAt), remaining/5)
+			remaining = max(remaining-scheduler.now.Sub(task.startedAt), remaining/5)
 		}
 		last = max(last, remaining)
 		free = free.AddScaled(job.Need, 1)
--- a/internal/controller/arrivals.go
+++ b/internal/controller/arrivals.go
@@ -30,21 +30,21 @@
 const maxBurst = 0.5
 
 // recordArrival records the arrival of a job that has just been submitted.
-func (f *fleetPlanner) recordArrival(j *job) {
+func (planner *fleetPlanner) recordArrival(j *job) {
 	k := workloadKey{j.Team, j.Workload}
-	f.arrivals[k] = append(f.arrivals[k], arrival{f.now, j.Tasks, j.Need, &j.JobSpec})
+	planner.arrivals[k] = append(planner.arrivals[k], arrival{planner.now, j.Tasks, j.Need, &j.JobSpec})
 }
 
 // forgetArrivals drops the arrivals of a team's workload when the team has left this shard.
-func (f *fleetPlanner) forgetArrivals(k workloadKey) { delete(f.arrivals, k) }
+func (planner *fleetPlanner) forgetArrivals(k workloadKey) { delete(planner.arrivals, k) }
 
 // workloadKeysOf returns the keys of a workload for the teams whose jobs of it have arrived here within
 // arrivalWindow, or for which the previous shard leader of the team published a load.
-func (f *fleetPlanner) workloadKeysOf(workload string) []workloadKey {
+func (planner *fleetPlanner) workloadKeysOf(workload string) []workloadKey {
 	var out []workloadKey
-	for _, team := range sortedKeys(f.controller.shardLeader.teams) {
+	for _, team := range sortedKeys(planner.controller.shardLeader.teams) {
 		key := workloadKey{team, workload}
-		if _, inherited := f.controller.knowledge.inheritedLoads[key]; inherited || len(f.arrivals[key]) > 0 {
+		if _, inherited := planner.controller.knowledge.inheritedLoads[key]; inherited || len(planner.arrivals[key]) > 0 {
 			out = append(out, key)
 		}
 	}
@@ -55,19 +55,19 @@
 // exceed the average. Jobs arrive at random, and the standard deviation of their sizes is about the mean
 // size. The sum therefore varies by about one over the square root of the number of jobs: by half where
 // few jobs arrive, by little where hundreds arrive.
-func (f *fleetPlanner) burstFactor(name string, within time.Duration) float64 {
+func (planner *fleetPlanner) burstFactor(name string, within time.Duration) float64 {
 	jobs := 0.0
-	for _, k := range f.workloadKeysOf(name) {
-		jobs += float64(len(f.arrivals[k])) * within.Seconds() / arrivalWindow.Seconds()
+	for _, k := range planner.workloadKeysOf(name) {
+		jobs += float64(len(planner.arrivals[k])) * within.Seconds() / arrivalWindow.Seconds()
 	}
 	return 1 + min(maxBurst, 1/math.Sqrt(max(jobs, 1)))
 }
 
 // arrivalRate returns how many of the workload's tasks arrived per second within the window.
-func (f *fleetPlanner) arrivalRate(name string, window time.Duration) float64 {
+func (planner *fleetPlanner) arrivalRate(name string, window time.Duration) float64 {
 	sum := 0.0
-	for _, k := range f.workloadKeysOf(name) {
-		sum += f.teamArrivalRate(k, window)
+	for _, k := range planner.workloadKeysOf(name) {
+		sum += planner.teamArrivalRate(k, window)
 	}
 	return sum
 }
@@ -75,21 +75,21 @@
 // teamArrivalRate returns the arrival rate of one team's workload in tasks per second. For the part of the
 // window before this shard leader had taken the team over, it assumes the rate that the previous shard
 // leader published.
-func (f *fleetPlanner) teamArrivalRate(key workloadKey, window time.Duration) float64 {
-	arrivals := f.arrivals[key]
-	for len(arrivals) > 0 && f.now.Sub(arrivals[0].arrivedAt) > arrivalWindow {
+func (planner *fleetPlanner) teamArrivalRate(key workloadKey, window time.Duration) float64 {
+	arrivals := planner.arrivals[key]
+	for len(arrivals) > 0 && planner.now.Sub(arrivals[0].arrivedAt) > arrivalWindow {
 		arrivals = arrivals[1:]
 	}
-	f.arrivals[key] = arrivals
-	teamState := f.controller.shardLeader.teams[key.team]
+	planner.arrivals[key] = arrivals
+	teamState := planner.controller.shardLeader.teams[key.team]
 	if teamState == nil || !teamState.ready {
 		return 0
 	}
-	inheritedLoad, inherited := f.controller.knowledge.inheritedLoads[key]
-	span := f.now.Sub(teamState.readyAt)
+	inheritedLoad, inherited := planner.controller.knowledge.inheritedLoads[key]
+	span := planner.now.Sub(teamState.readyAt)
 	sum := 0
 	for _, a := range arrivals {
-		if f.now.Sub(a.arrivedAt) <= window {
+		if planner.now.Sub(a.arrivedAt) <= window {
 			sum += a.tasks
 		}
 	}
@@ -110,12 +110,12 @@
 
 // workloadLoads returns the arrival rates and run time estimates of the teams' workloads, which a successor
 // needs.
-func (f *fleetPlanner) workloadLoads() []message.WorkloadLoad {
+func (planner *fleetPlanner) workloadLoads() []message.WorkloadLoad {
 	var out []message.WorkloadLoad
-	for _, name := range sortedKeys(f.controller.shardLeader.workloads) {
-		for _, key := range f.workloadKeysOf(name) {
-			load := message.WorkloadLoad{Team: key.team, Workload: name, TasksPerSecond: f.teamArrivalRate(key, arrivalWindow), RunTimeRatio: 1}
-			if estimator := f.controller.knowledge.estimators[name]; estimator != nil {
+	for _, name := range sortedKeys(planner.controller.shardLeader.workloads) {
+		for _, key := range planner.workloadKeysOf(name) {
+			load := message.WorkloadLoad{Team: key.team, Workload: name, TasksPerSecond: planner.teamArrivalRate(key, arrivalWindow), RunTimeRatio: 1}
+			if estimator := planner.controller.knowledge.estimators[name]; estimator != nil {
 				load.RunTimeRatio, load.Deviation, load.Samples = estimator.ratio, estimator.deviation, estimator.samples
 			}
 			out = append(out, load)
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -153,8 +153,8 @@
 	if waiting <= len(kinds) {
 		t.Fatalf("got %d waiting jobs with %d kinds of tasks, want more jobs than kinds: the pool is too large for the test", waiting, len(kinds))
 	}
-	if len(round.full) != len(kinds) {
-		t.Errorf("got %d kinds of tasks marked as fitting on no machine, want %d", len(round.full), len(kinds))
+	if len(round.unplaceableShapes) != len(kinds) {
+		t.Errorf("got %d kinds of tasks marked as fitting on no machine, want %d", len(round.unplaceableShapes), len(kinds))
 	}
 	// A heartbeat with the same content as the last one requires no commands.
 	machine := controller.shardLeader.machinesByID[0]
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -53,8 +53,8 @@
 // candidateQueues holds the queues for a list of machines of a simulation. The first indexed
 // machines of the list are in the queues.
 type candidateQueues struct {
-	indexed int
-	all     []*candidateQueue
+	indexedCount int
+	all          []*candidateQueue
 }
 
 // add inserts an entry into the queue with the given key.
@@ -86,8 +86,8 @@
 	need    model.Resources
 	imageGB float64
 	imageID int32
-	// run is how long a task is expected to occupy its machine, without the image fetch.
-	run time.Duration
+	// occupancy is how long a task is expected to occupy its machine, without the image fetch.
+	occupancy time.Duration
 
 	// candidates are all machines; holders are the machines that hold or fetch the image.
 	candidates *shapeCandidates
@@ -115,7 +115,7 @@
 // newRequest returns a request to place the tasks of a job in the simulation.
 func (p *simulation) newRequest(job *job) *placementRequest {
 	req := &placementRequest{
-		job: job, need: job.Need, imageGB: job.ImageGB, imageID: p.imageID(job.Image), run: p.controller.shardLeader.fleet.expectedOccupancy(job), avoidedMachine: -1,
+		job: job, need: job.Need, imageGB: job.ImageGB, imageID: p.imageID(job.Image), occupancy: p.controller.shardLeader.fleet.expectedOccupancy(job), avoidedMachine: -1,
 		fullScan: job.Gang || job.SameZone || job.SpreadZones, zoneLimits: newZoneLimits(job),
 	}
 	if job.Image == "" {
@@ -191,13 +191,13 @@
 		}
 		queues.add(key, simulatedCandidate{start, index, int32(simMachine.placements)})
 	}
-	for ; req.candidates.indexed < len(p.machines); req.candidates.indexed++ {
+	for ; req.candidates.indexedCount < len(p.machines); req.candidates.indexedCount++ {
 		p.spend(1)
-		add(&req.candidates.candidateQueues, int32(req.candidates.indexed), false)
+		add(&req.candidates.candidateQueues, int32(req.candidates.indexedCount), false)
 	}
-	for holders := p.imageHolders[req.imageID]; req.holders.indexed < len(holders); req.holders.indexed++ {
+	for holders := p.imageHolders[req.imageID]; req.holders.indexedCount < len(holders); req.holders.indexedCount++ {
 		p.spend(1)
-		add(req.holders, holders[req.holders.indexed], true)
+		add(req.holders, holders[req.holders.indexedCount], true)
 	}
 }
 
@@ -324,10 +324,10 @@
 	}
 	placed := 0
 	if fetch > 0 {
-		placed = simMachine.placeTasks(req.need, start, fetch+req.run, 1, req.candidates.avoidGPUs)
+		placed = simMachine.placeTasks(req.need, start, fetch+req.occupancy, 1, req.candidates.avoidGPUs)
 	}
 	if more := min(count-placed, simMachine.freeFor(simMachine.free, req.candidates.avoidGPUs).FitCount(req.need)); placed == 0 || more > 0 {
-		placed += simMachine.placeTasks(req.need, start, req.run, count-placed, req.candidates.avoidGPUs)
+		placed += simMachine.placeTasks(req.need, start, req.occupancy, count-placed, req.candidates.avoidGPUs)
 	}
 	req.zoneLimits.add(simMachine.machineKind.zone, placed)
 	return placed, p.now.Add(start + fetch), fetch
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -56,13 +56,13 @@
 // contact polls a machine for its status. The answer contains the worker's incarnation, which
 // commands require. The commands that follow carry the current epoch to the worker.
 func (f *failover) contact(m *machine) {
-	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || f.now.Sub(m.probed) < probeInterval {
+	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || f.now.Sub(m.lastProbedAt) < probeInterval {
 		return
 	}
 	if f.contactsInFlight >= maxContactsInFlight {
 		return
 	}
-	m.statusRequested, m.probed = true, f.now
+	m.statusRequested, m.lastProbedAt = true, f.now
 	f.contactsInFlight++
 	generation, before := f.controller.shardLeader.generation, m.snapshot()
 	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(response message.WorkerResponse) {
@@ -79,10 +79,10 @@
 			return
 		}
 		if m.seenEpoch < m.epoch && !m.dispatchInFlight {
-			f.controller.shardLeader.failover.showEpoch(m)
+			f.controller.shardLeader.failover.sendEpoch(m)
 			return
 		}
-		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOthersAttempts {
+		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOtherShardsAttempts {
 			// The stop may have been lost, and no heartbeat may follow: a machine that reaches
 			// no controller is only heard of through its answers to polls.
 			f.controller.markDispatchPending(m)
@@ -102,8 +102,8 @@
 	}
 }
 
-// showEpoch sends the current epoch to a machine's worker in a request without commands.
-func (f *failover) showEpoch(m *machine) {
+// sendEpoch sends the current epoch to a machine's worker in a request without commands.
+func (f *failover) sendEpoch(m *machine) {
 	generation, epoch := f.controller.shardLeader.generation, m.epoch
 	m.dispatchInFlight = true
 	f.contactsInFlight++
--- a/internal/controller/control_records.go
+++ b/internal/controller/control_records.go
@@ -62,7 +62,7 @@
 	}
 	membership.controller.markReassignedAfterReRead(oldShardMap)
 	membership.controller.ranking.noteAbsence(items)
-	membership.controller.ranking.noteKnown(asOf)
+	membership.controller.ranking.noteKnownAsOf(asOf)
 }
 
 // watchControlRecords watches ctl/ from revision on, and watches again after each answer. The
@@ -112,7 +112,7 @@
 		}
 	}
 	membership.revision = max(membership.revision, response.Revision)
-	membership.controller.ranking.noteKnown(response.SentAt)
+	membership.controller.ranking.noteKnownAsOf(response.SentAt)
 	if changed && membership.loaded {
 		membership.controlRecordsChanged()
 	}
@@ -201,7 +201,7 @@
 		membership.controller.stepDown()
 		wait := time.Duration(0)
 		switch {
-		case membership.controller.partition.receivesNothing(membership.now):
+		case membership.controller.partition.isStandingDown(membership.now):
 			// Other controllers claim leadership first, since this controller was cut off from
 			// the workers.
 			wait = partitionLeadDelay
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -87,7 +87,7 @@
 func (controller *Controller) Step(now time.Time, commands []message.Command) []message.Effect {
 	controller.now = now
 	controller.effects = nil
-	controller.partition.stepBegan()
+	controller.partition.recordStep()
 	if !controller.membership.started {
 		controller.membership.start()
 	}
--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -42,7 +42,7 @@
 		}
 		unresponsive = append(unresponsive, candidate)
 	}
-	pool.ReceivesNothing = h.controller.partition.monitor.ReceivesNothing(h.now, leader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
+	pool.ReceivesNothing = h.controller.partition.monitor.ReceivePartitioned(h.now, leader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// If all machines miss heartbeats at the same time, the fault is probably in this
 		// controller or its network.
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -60,24 +60,24 @@
 // The forecast is the average arrival rate of each workload, multiplied by the policy's headroom factor
 // for workloads with a wait objective. With bursts it includes the random variation of arrivals. With
 // cautious it falls soon after arrivals have ended.
-func (f *fleetPlanner) demands(horizon time.Duration, bursts, cautious bool) []demand {
-	out := f.pendingDemands()
-	out = append(out, f.expectedDemands(horizon, bursts, cautious)...)
+func (planner *fleetPlanner) demands(horizon time.Duration, bursts, cautious bool) []demand {
+	out := planner.pendingDemands()
+	out = append(out, planner.expectedDemands(horizon, bursts, cautious)...)
 	slices.SortStableFunc(out, func(a, b demand) int {
-		return cmp.Compare(f.controller.ranking.rankOf(a.job), f.controller.ranking.rankOf(b.job))
+		return cmp.Compare(planner.controller.ranking.rankOf(a.job), planner.controller.ranking.rankOf(b.job))
 	})
 	return out
 }
 
 // pendingDemands returns the pending tasks of each job in queue order, as far as the teams' quota limits
 // let them run. Tasks for which the migration manager reserves capacity are not counted.
-func (f *fleetPlanner) pendingDemands() []demand {
-	shardLeader := f.controller.shardLeader
+func (planner *fleetPlanner) pendingDemands() []demand {
+	shardLeader := planner.controller.shardLeader
 	counted := map[string]model.Resources{}
 	var out []demand
 	for _, j := range shardLeader.scheduler.jobsInQueueOrder() {
-		count := max(0, f.controller.shardLeader.scheduler.placeableTasks(j)-f.controller.shardLeader.migration.reservedTasks(j))
-		if team := f.team(j.Team); team != nil {
+		count := max(0, planner.controller.shardLeader.scheduler.placeableTasks(j)-planner.controller.shardLeader.migration.reservedTasks(j))
+		if team := planner.team(j.Team); team != nil {
 			used := shardLeader.usedByTeam[j.Team].AddScaled(counted[j.Team], 1)
 			left := model.Resources{CPU: team.QuotaLimit.CPU - used.CPU, GPU: team.QuotaLimit.GPU - used.GPU}
 			if team.QuotaLimit.CPU > 0 {
@@ -95,26 +95,26 @@
 
 // expectedDemands returns the tasks that are expected to arrive within the horizon, for each workload; see
 // demands. Long-running jobs and gangs are not forecast.
-func (f *fleetPlanner) expectedDemands(horizon time.Duration, bursts, cautious bool) []demand {
-	shardLeader := f.controller.shardLeader
+func (planner *fleetPlanner) expectedDemands(horizon time.Duration, bursts, cautious bool) []demand {
+	shardLeader := planner.controller.shardLeader
 	var out []demand
 	for _, name := range sortedKeys(shardLeader.workloads) {
 		workload := shardLeader.workloads[name]
 		if workload.spec.LongRunning || workload.spec.Gang {
 			continue
 		}
-		count := f.arrivalRate(name, arrivalWindow) * horizon.Seconds()
+		count := planner.arrivalRate(name, arrivalWindow) * horizon.Seconds()
 		if cautious {
-			count = min(count, 2*f.arrivalRate(name, recentWindow)*horizon.Seconds())
+			count = min(count, 2*planner.arrivalRate(name, recentWindow)*horizon.Seconds())
 		}
 		if bursts {
-			count *= f.burstFactor(name, horizon)
+			count *= planner.burstFactor(name, horizon)
 		}
-		if f.waitObjective(name) > 0 {
-			count *= f.settings.Policy.HeadroomFactor
+		if planner.waitObjective(name) > 0 {
+			count *= planner.settings.Policy.HeadroomFactor
 		}
 		if k := int(count + 0.5); k > 0 {
-			j := &job{JobSpec: *workload.spec, tasks: make([]task, k), submittedAt: f.now.Add(horizon / 2)}
+			j := &job{JobSpec: *workload.spec, tasks: make([]task, k), submittedAt: planner.now.Add(horizon / 2)}
 			out = append(out, demand{job: j, count: k, latestStart: shardLeader.scheduler.latestStart(j), arrivalSpread: horizon})
 		}
 	}
--- a/internal/controller/dependencies.go
+++ b/internal/controller/dependencies.go
@@ -83,7 +83,7 @@
 	}
 	without := *spec
 	without.Dependencies = nil
-	size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(&without, frontend.now)))
+	size, err := sizelimit.JSONSize(record.Encode(record.NewOpenJob(&without, frontend.now)))
 	freeBytes := frontend.settings.MaxValueBytes - openRecordReserve - size - dependenciesOverhead
 	if encodedSize := len(pipeline.EncodeNames(spec.Dependencies)); err == nil && encodedSize > freeBytes {
 		return fmt.Sprintf("too many prereqs: the %d names take %d bytes of the job's record, which has %d bytes left", len(names), encodedSize, max(freeBytes, 0))
@@ -237,7 +237,7 @@
 	}
 	job.dependenciesPending, job.releasedAt = false, dependencies.now
 	dependencies.controller.shardLeader.scheduler.requestPlacement()
-	dependencies.controller.shardLeader.scheduler.hurryPlacement(job.Workload)
+	dependencies.controller.shardLeader.scheduler.expeditePlacement(job.Workload)
 }
 
 // awaitDependencies adds a job of this shard leader to the graph and makes it wait for its
--- a/internal/controller/due.go
+++ b/internal/controller/due.go
@@ -26,10 +26,10 @@
 func (r *remoteAttempts) requestSoon() { r.due = true }
 
 // forgetTeam removes the recorded arrivals of a team that another shard has taken over.
-func (f *fleetPlanner) forgetTeam(team string) {
-	for k := range f.arrivals {
+func (planner *fleetPlanner) forgetTeam(team string) {
+	for k := range planner.arrivals {
 		if k.team == team {
-			f.forgetArrivals(k)
+			planner.forgetArrivals(k)
 		}
 	}
 }
--- a/internal/controller/evacuation.go
+++ b/internal/controller/evacuation.go
@@ -80,7 +80,7 @@
 
 // evacuationRequest returns the assigned host need with the given hold name. It returns nil if the leader has not
 // requested that evacuation within updateTTL.
-func (state *migrations) evacuationRequest(now time.Time, name string) *message.HostNeed {
+func (state *migrationState) evacuationRequest(now time.Time, name string) *message.HostNeed {
 	if now.Sub(state.evacuation.receivedAt) > updateTTL {
 		return nil
 	}
@@ -94,7 +94,7 @@
 
 // updateHostNeeds computes the machine kinds of which an empty host would help the first job that can't be placed.
 // There are none unless the cloud has refused machines within refusedWindow.
-func (migrations *migrationManager) updateHostNeeds(state *migrations) {
+func (migrations *migrationManager) updateHostNeeds(state *migrationState) {
 	evacuation := &state.evacuation
 	view := migrations.controller.shardLeader.fleet.view
 	evacuation.needs = nil
@@ -113,7 +113,7 @@
 	if !refused {
 		return
 	}
-	waitingJob := migrations.firstInNeedOfHost(state)
+	waitingJob := migrations.firstJobNeedingHost(state)
 	if waitingJob == nil {
 		return
 	}
@@ -133,9 +133,9 @@
 	}
 }
 
-// firstInNeedOfHost returns the first job in queue order for which migrations within this shard have been tried or
+// firstJobNeedingHost returns the first job in queue order for which migrations within this shard have been tried or
 // can't help, and for which no capacity is free or expected. It returns nil if there is none.
-func (migrations *migrationManager) firstInNeedOfHost(state *migrations) *job {
+func (migrations *migrationManager) firstJobNeedingHost(state *migrationState) *job {
 	for _, job := range migrations.controller.shardLeader.scheduler.jobsInQueueOrder() {
 		// Migrations between the machines of this shard are tried first.
 		if unschedulable := state.unschedulable[job.ID]; unschedulable != nil && unschedulable.lastTried.IsZero() || job.Gang || job.borrowedLoan != "" || job.pendingTasks() <= state.tracker.HeldFor(job.ID) || !migrations.controller.shardLeader.scheduler.withinQuotaLimit(job) {
@@ -166,7 +166,7 @@
 
 // planEvacuation starts an evacuation that the leader has requested. If there is none to start, it computes the
 // costs of emptying hosts for other shard leaders.
-func (migrations *migrationManager) planEvacuation(state *migrations) {
+func (migrations *migrationManager) planEvacuation(state *migrationState) {
 	evacuation := &state.evacuation
 	if migrations.now.Sub(evacuation.receivedAt) > updateTTL {
 		evacuation.costs = nil
@@ -180,7 +180,7 @@
 		}
 		problem := migrations.evacuationProblem(state, need)
 		if plan, ok := migration.Find(problem); ok {
-			migrations.begin(state, team, problem, plan)
+			migrations.startPlan(state, team, problem, plan)
 		}
 		return
 	}
@@ -206,7 +206,7 @@
 
 // donorTeam returns the team in whose record an evacuation is written: the first ready team, by name, with neither
 // a write in flight nor unsaved plans. It returns "" if there is none.
-func (migrations *migrationManager) donorTeam(state *migrations) string {
+func (migrations *migrationManager) donorTeam(state *migrationState) string {
 	for _, team := range sortedKeys(migrations.controller.shardLeader.teams) {
 		if rec := state.records[team]; rec != nil && !rec.writing && len(state.tracker.UnsavedPlans(team)) == 0 && migrations.controller.shardLeader.teams[team].ready {
 			return team
@@ -224,7 +224,7 @@
 }
 
 // evacuationProblem returns the problem of emptying a host of the needed kind, for migration.Find.
-func (migrations *migrationManager) evacuationProblem(state *migrations, need *message.HostNeed) *migration.Problem {
+func (migrations *migrationManager) evacuationProblem(state *migrationState, need *message.HostNeed) *migration.Problem {
 	kind := neededKind(need)
 	other := &job{JobSpec: neededJobSpec(need)}
 	problem, hosts := migrations.migrationCandidates(state, other)
--- a/internal/controller/fleet_knowledge.go
+++ b/internal/controller/fleet_knowledge.go
@@ -164,7 +164,7 @@
 			if controller.shardLeader != nil {
 				for _, machine := range controller.shardLeader.machines {
 					if machineType, ok := controller.knowledge.machineTypes[machine.machineType]; ok {
-						machine.size, machine.disk = machineType.Capacity, machineType.DiskGB
+						machine.size, machine.diskGB = machineType.Capacity, machineType.DiskGB
 					}
 				}
 			}
--- a/internal/controller/format_steps_test.go
+++ b/internal/controller/format_steps_test.go
@@ -26,8 +26,8 @@
 	durable map[int]taskState
 	// writtenSized are the tasks whose newest record is in a sized segment.
 	writtenSized map[int]bool
-	// late is a write in the former format that has no answer, or nil.
-	late *lateSegmentWrite
+	// lateWrite is a write in the former format that has no answer, or nil.
+	lateWrite *lateSegmentWrite
 }
 
 // lateSegmentWrite is a write of a segment that the store may apply later, and the task states
@@ -47,8 +47,10 @@
 	return steps
 }
 
-// at returns the seed and the present step, for messages.
-func (steps *formatSteps) at() string { return fmt.Sprint("seed ", steps.seed, " step ", steps.steps) }
+// position returns the seed and the present step, for messages.
+func (steps *formatSteps) position() string {
+	return fmt.Sprint("seed ", steps.seed, " step ", steps.steps)
+}
 
 // statesOf returns the states of a segment's tasks.
 func (steps *formatSteps) statesOf(segment *taskSegment) map[int]taskState {
@@ -66,7 +68,7 @@
 	switch choice := steps.rng.IntN(12); {
 	case choice == 0 && steps.steps > 6 && !steps.sized:
 		steps.changeFormat(t)
-	case choice == 1 && steps.late != nil:
+	case choice == 1 && steps.lateWrite != nil:
 		steps.applyLateWrite()
 	case choice == 2:
 		steps.takeOver(t)
@@ -85,7 +87,7 @@
 	if segment := steps.job.segments[steps.rng.IntN(3)]; segment != nil {
 		key, value := writeSegment(t, steps.controller, steps.job, segment, nil)
 		segment.writeInFlight = true
-		steps.late = &lateSegmentWrite{key, value, steps.statesOf(segment)}
+		steps.lateWrite = &lateSegmentWrite{key, value, steps.statesOf(segment)}
 	}
 	steps.adoptSizedFormat()
 }
@@ -98,26 +100,26 @@
 // applyLateWrite has the store apply the late write. States that sized segments hold take
 // precedence over it.
 func (steps *formatSteps) applyLateWrite() {
-	steps.stored[steps.late.key] = steps.late.value
-	for i, state := range steps.late.states {
+	steps.stored[steps.lateWrite.key] = steps.lateWrite.value
+	for i, state := range steps.lateWrite.states {
 		if !steps.writtenSized[i] {
 			steps.durable[i] = state
 		}
 	}
-	steps.late = nil
+	steps.lateWrite = nil
 }
 
 // takeOver replaces the controller by a successor that recovers the job. The successor's shard
 // has another mod revision, so the store refuses the late write.
 func (steps *formatSteps) takeOver(t *testing.T) {
 	t.Helper()
-	steps.late = nil
+	steps.lateWrite = nil
 	steps.controller = newFormatTestController()
 	if steps.sized {
 		steps.adoptSizedFormat()
 	}
 	steps.job = recoverTestJob(steps.controller, steps.stored)
-	requireSameStates(t, steps.at()+": recovered by a successor", taskStatesOf(steps.job), steps.durable)
+	requireSameStates(t, steps.position()+": recovered by a successor", taskStatesOf(steps.job), steps.durable)
 }
 
 // write writes a random segment, if it has changed.
@@ -129,8 +131,8 @@
 		return
 	}
 	key, value := writeSegment(t, steps.controller, steps.job, segment, steps.stored)
-	if size, err := sizelimit.JSON(value); steps.sized && (err != nil || size > 2048) || steps.sized != strings.Contains(key, "/"+sizedSegmentMark) {
-		t.Fatalf("%s: got %s of %d bytes, want at most 2048 bytes once segments are sized, and a sized name: %v", steps.at(), key, size, steps.sized)
+	if size, err := sizelimit.JSONSize(value); steps.sized && (err != nil || size > 2048) || steps.sized != strings.Contains(key, "/"+sizedSegmentMark) {
+		t.Fatalf("%s: got %s of %d bytes, want at most 2048 bytes once segments are sized, and a sized name: %v", steps.position(), key, size, steps.sized)
 	}
 	for i, state := range steps.statesOf(segment) {
 		steps.durable[i] = state
@@ -144,7 +146,7 @@
 	t.Helper()
 	for i := range 100 {
 		if steps.job.tasks[i].version > 0 && steps.job.durable(i) && taskStateOf(steps.job, i) != steps.durable[i] {
-			t.Fatalf("%s: task %d: got %+v taken for durable, want %+v", steps.at(), i, taskStateOf(steps.job, i), steps.durable[i])
+			t.Fatalf("%s: task %d: got %+v taken for durable, want %+v", steps.position(), i, taskStateOf(steps.job, i), steps.durable[i])
 		}
 	}
 }
@@ -160,7 +162,7 @@
 	}
 	for key := range steps.stored {
 		if strings.HasPrefix(key, record.TaskSegmentPrefix) && !slices.Contains(removed, key) {
-			t.Fatalf("%s: got record %s left after the job's end, want it removed", steps.at(), key)
+			t.Fatalf("%s: got record %s left after the job's end, want it removed", steps.position(), key)
 		}
 	}
 }
--- a/internal/controller/formats.go
+++ b/internal/controller/formats.go
@@ -179,7 +179,7 @@
 // is a plain text that only the new limit forbids.
 func (formats *formatMigration) probeValueLimit() {
 	text := record.Encode(strings.Repeat("x", formats.settings.MaxValueBytes))
-	if size, err := sizelimit.JSON(text); err != nil || size > formats.settings.currentMaxValueBytes() || formats.limitsLowered || formats.probingLimits || formats.currentFormat().sized {
+	if size, err := sizelimit.JSONSize(text); err != nil || size > formats.settings.currentMaxValueBytes() || formats.limitsLowered || formats.probingLimits || formats.currentFormat().sized {
 		return
 	}
 	formats.probingLimits = true
--- a/internal/controller/formats_test.go
+++ b/internal/controller/formats_test.go
@@ -305,7 +305,7 @@
 	small.MachineTypes = spec.MachineTypes[:3]
 	rec.Cancelled, small.Cancelled = true, true
 	rec.ShrinkToFit(2048)
-	if size, err := sizelimit.JSON(record.Encode(rec)); err != nil || size > 2048 || rec.Team != "ops" || rec.Tasks != 7 || rec.CPU != 2 || rec.Validate() != nil {
+	if size, err := sizelimit.JSONSize(record.Encode(rec)); err != nil || size > 2048 || rec.Team != "ops" || rec.Tasks != 7 || rec.CPU != 2 || rec.Validate() != nil {
 		t.Errorf("got %d bytes (error %v) of %+v, want a valid record of at most 2048 with its team, tasks and CPU", size, err, rec)
 	}
 	if small.ShrinkToFit(2048); len(small.MachineTypes) != 3 || small.Image != "img" {
@@ -332,7 +332,7 @@
 				probe = request
 			}
 		}
-		if size, err := sizelimit.JSON(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
+		if size, err := sizelimit.JSONSize(probe.Writes[0].Value); err != nil || size <= 2048 || size > 4096 {
 			t.Fatalf("got a probe of %d bytes (error %v), want more than 2048 and at most 4096", size, err)
 		}
 		controller.requests.storeCallbacks[probe.ID](message.StoreResponse{ID: probe.ID, Status: status})
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -51,23 +51,23 @@
 		// The heartbeat may be from before the worker's restart. Only poll replies are
 		// applied until a heartbeat shows an epoch that the worker can have seen only after
 		// the restart.
-		m.probed = time.Time{}
+		m.lastProbedAt = time.Time{}
 		tracker.controller.shardLeader.failover.contact(m)
 		tracker.controller.renewal.renewWithoutCommands(m, received)
 	case !m.heard && heartbeat.Epoch < m.epoch:
 		if m.addr == "" {
 			tracker.controller.shardLeader.describe(m, heartbeat.Addr, heartbeat.MachineType, heartbeat.Zone, heartbeat.Spot)
 		}
-		if m.unansweredProbes >= unresponsiveProbes && m.unheardHeartbeats >= maxUnprovenReplies {
+		if m.unansweredProbes >= unresponsiveProbes && m.unprovenHeartbeats >= maxUnprovenReplies {
 			tracker.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 		} else {
-			m.unheardHeartbeats++
+			m.unprovenHeartbeats++
 			tracker.controller.renewal.renewWithoutCommands(m, received)
 		}
 		// If the reply to this heartbeat arrives, the worker's next heartbeat shows the
 		// epoch half a second later. The reply to a direct request shows it sooner.
 		if m.incarnation = heartbeat.Incarnation; !m.dispatchInFlight && tracker.controller.shardLeader.failover.contactsInFlight < maxContactsInFlight {
-			tracker.controller.shardLeader.failover.showEpoch(m)
+			tracker.controller.shardLeader.failover.sendEpoch(m)
 		}
 	default:
 		return false
@@ -92,7 +92,7 @@
 // detectReachability looks in a heartbeat that was applied for effects that only a reply or
 // a command of this controller can have caused, and updates m.reachability.
 func (tracker *heartbeatTracker) detectReachability(m *machine, heartbeat *model.Heartbeat, before machineSnapshot) {
-	m.unheardHeartbeats = 0
+	m.unprovenHeartbeats = 0
 	shown := m.shownReachable || before.epoch < m.epoch && heartbeat.Epoch >= m.epoch
 	m.shownReachable = false
 	if !before.heard {
@@ -127,7 +127,7 @@
 // messages.
 func (tracker *heartbeatTracker) probeIfUnreachable(m *machine) {
 	if !m.reachability.Reachable() {
-		m.probed = time.Time{}
+		m.lastProbedAt = time.Time{}
 		tracker.controller.shardLeader.failover.contact(m)
 	}
 }
@@ -184,7 +184,7 @@
 			}
 			m.attempts[key].reported, m.attempts[key].startedAt = false, time.Time{}
 		}
-		tracker.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
+		tracker.controller.shardLeader.remoteAttempts.recountOtherShardsUsed(m)
 	}
 	tracker.applyHeartbeat(m, reply, false)
 	m.shownReachable = false
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -170,7 +170,7 @@
 	if m.restartEpoch != 0 || m.sequence == 1 {
 		t.Fatal("got a copy of the first heartbeat treated as a restart, want it ignored")
 	}
-	c.effects, m.statusRequested, m.probed = nil, false, time.Time{}
+	c.effects, m.statusRequested, m.lastProbedAt = nil, false, time.Time{}
 	m.rerouted = message.ReroutedHeartbeat{ID: m.id, Epoch: m.epoch, Incarnation: m.incarnation, Sequence: 900}
 	c.shardLeader.failover.contact(m)
 	c.answerPoll(t, m, first)
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -129,7 +129,7 @@
 	if !m.heard {
 		m.idleSince = tracker.now
 		tracker.controller.shardLeader.persistence.recoverCachedImages(m)
-		tracker.controller.shardLeader.fleet.becameReady(m)
+		tracker.controller.shardLeader.fleet.recordReady(m)
 	}
 	if !m.heard || leaseExpired {
 		m.replySequence, m.unackedStartEpoch = 0, 0
@@ -362,9 +362,9 @@
 	if !ok || len(j.sortedRunTimes) < 2 {
 		return
 	}
-	m.speedN++
+	m.speedSamples++
 	ratio := runTime.Seconds() / max(median.Seconds(), 0.1)
-	if m.speedN == 1 {
+	if m.speedSamples == 1 {
 		m.speed = ratio
 		return
 	}
@@ -444,6 +444,6 @@
 		})
 	})
 	m.taskReports, m.lastTaskReports = nil, nil
-	tracker.controller.shardLeader.remoteAttempts.recountOthersUsed(m)
+	tracker.controller.shardLeader.remoteAttempts.recountOtherShardsUsed(m)
 	m.images = map[string]*image{}
 }
--- a/internal/controller/huge_job_test.go
+++ b/internal/controller/huge_job_test.go
@@ -85,7 +85,7 @@
 					delete(run.stored, write.Key)
 					continue
 				}
-				size, err := sizelimit.JSON(write.Value)
+				size, err := sizelimit.JSONSize(write.Value)
 				if err != nil {
 					panic(err)
 				}
--- a/internal/controller/impossible_jobs_test.go
+++ b/internal/controller/impossible_jobs_test.go
@@ -12,10 +12,10 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// newOddTypesPool returns a controller that leads a shard, with machine types that restrict
+// newRestrictedTypesPool returns a controller that leads a shard, with machine types that restrict
 // placement: one offered in two zones, one in one zone, one with a small disk, and one offered
 // nowhere.
-func newOddTypesPool() *Controller {
+func newRestrictedTypesPool() *Controller {
 	controller := largePool(0)
 	controller.settings.Zones = []string{"a", "b"}
 	controller.settings.Teams = []model.Team{{Name: "ops"}, {Name: "lab", QuotaLimit: model.Resources{CPU: 40, GPU: 8}}}
@@ -105,7 +105,7 @@
 		}, "400 the description is too long"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, records := submitTestJob(newOddTypesPool(), tc.change)
+			got, records := submitTestJob(newRestrictedTypesPool(), tc.change)
 			if !strings.HasPrefix(got, tc.want) || (tc.want == "") != (got == "") || (tc.want == "") != (len(records) == 1) {
 				t.Errorf("got answer %q and %d records, want answer %q, and one record if there is no answer", got, len(records), tc.want)
 			}
@@ -130,7 +130,7 @@
 		{"fits one of the allowed types", 60, []string{"box", "rack"}, "rack"},
 		{"fits all allowed types", 5, []string{"box", "rack"}, "box rack"},
 	} {
-		_, records := submitTestJob(newOddTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = tc.imageGB, tc.machineTypes })
+		_, records := submitTestJob(newRestrictedTypesPool(), func(s *model.JobSpec) { s.ImageGB, s.MachineTypes = tc.imageGB, tc.machineTypes })
 		if len(records) != 1 || strings.Join(records[0].MachineTypes, " ") != tc.want {
 			t.Errorf("%s: got records %+v, want one with machine types %q", tc.name, records, tc.want)
 		}
--- a/internal/controller/job_records.go
+++ b/internal/controller/job_records.go
@@ -13,7 +13,7 @@
 	id := record.JobIDFromKey(change.Key, record.OpenJobPrefix)
 	j := s.jobs[id]
 	if change.Deleted {
-		if j != nil && j.elsewhere() {
+		if j != nil && j.isLentOrLending() {
 			// The job was lent to a peer cluster. Its shard leader deleted the record after the
 			// peer had reported the outcome.
 			delete(s.jobs, id)
@@ -71,7 +71,7 @@
 	if j.Workload != "" {
 		s.debug("job added", "job", j.ID, "workload", j.Workload, "tasks", j.Tasks, "due", j.Deadline, "image", j.Image, "age", s.now.Sub(j.submittedAt))
 		s.workloads[j.Workload] = &workload{&j.JobSpec, s.now}
-		s.scheduler.hurryPlacement(j.Workload)
+		s.scheduler.expeditePlacement(j.Workload)
 	}
 	s.controller.awaitDependencies(j)
 	return j
--- a/internal/controller/job_validation.go
+++ b/internal/controller/job_validation.go
@@ -42,7 +42,7 @@
 	if reason := f.validateDependencies(spec); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSON(record.Encode(record.NewOpenJob(spec, f.now))); err != nil || size+openRecordReserve > f.settings.MaxValueBytes {
+	if size, err := sizelimit.JSONSize(record.Encode(record.NewOpenJob(spec, f.now))); err != nil || size+openRecordReserve > f.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -248,7 +248,7 @@
 
 // pendingTasks returns the number of tasks that wait for placement.
 func (j *job) pendingTasks() int {
-	if j.cancelled || j.ending || j.dependenciesPending || j.elsewhere() {
+	if j.cancelled || j.ending || j.dependenciesPending || j.isLentOrLending() {
 		return 0
 	}
 	return len(j.tasks) - j.nextFresh + len(j.requeued)
--- a/internal/controller/left_waiting.go
+++ b/internal/controller/left_waiting.go
@@ -28,12 +28,12 @@
 )
 
 const (
-	// capacitySoon is how soon capacity must be expected for a job to wait for that capacity
-	// alone. maxWaitForSoon is the wait after which expected capacity counts no longer: run
+	// expectedCapacityHorizon is how soon capacity must be expected for a job to wait for that capacity
+	// alone. maxWaitForExpectedCapacity is the wait after which expected capacity counts no longer: run
 	// times and boot times are often wrong by half, so capacity may be expected again and again
 	// without coming.
-	capacitySoon   = 15 * time.Second
-	maxWaitForSoon = time.Minute
+	expectedCapacityHorizon    = 15 * time.Second
+	maxWaitForExpectedCapacity = time.Minute
 	// waitReportInterval is the interval between reports of waits to the metrics.
 	waitReportInterval = 5 * time.Second
 	// maxWaitingStatuses bounds the number of waiting jobs listed in a status.
@@ -47,15 +47,15 @@
 	waited time.Duration
 }
 
-// unservedFor returns how long a job has had placeable tasks without any of its tasks being placed,
+// waitSinceLastStart returns how long a job has had placeable tasks without any of its tasks being placed,
 // including the time under earlier owners. If all pending tasks are retries, the wait counts from
 // this shard leader's takeover at the earliest, since the wait under earlier owners is unknown.
-func (s *scheduler) unservedFor(job *job) time.Duration {
+func (scheduler *scheduler) waitSinceLastStart(job *job) time.Duration {
 	since := job.waitingSince
 	if job.nextFresh < len(job.tasks) {
 		since = earlier(since, job.readySince())
 	}
-	return s.now.Sub(later(since, job.lastStarted()))
+	return scheduler.now.Sub(later(since, job.lastStarted()))
 }
 
 // lastStarted returns when a group of the job's tasks was last placed, including groups restored
@@ -69,13 +69,13 @@
 }
 
 // jobsLeftWaiting returns the jobs that are left waiting, the longest wait first.
-func (s *scheduler) jobsLeftWaiting() []waitingJob {
+func (scheduler *scheduler) jobsLeftWaiting() []waitingJob {
 	var waiting []waitingJob
-	for _, job := range s.controller.shardLeader.jobs {
-		if job.waitingSince.IsZero() || s.now.Sub(job.lastPlacedAt) <= leftWaitingAfter || s.placeableTasks(job) == 0 {
+	for _, job := range scheduler.controller.shardLeader.jobs {
+		if job.waitingSince.IsZero() || scheduler.now.Sub(job.lastPlacedAt) <= leftWaitingAfter || scheduler.placeableTasks(job) == 0 {
 			continue
 		}
-		if waited := s.unservedFor(job); waited > leftWaitingAfter {
+		if waited := scheduler.waitSinceLastStart(job); waited > leftWaitingAfter {
 			waiting = append(waiting, waitingJob{job: job, waited: waited})
 		}
 	}
@@ -95,13 +95,13 @@
 // shapeCapacity says which capacity there is for one kind of task: free at present, on a machine
 // that is being provisioned, or to be freed soon by tasks that end.
 type shapeCapacity struct {
-	free, machineComing, freeSoon bool
+	free, machineExpected, freeSoon bool
 }
 
 // newWaitDiagnosis returns a waitDiagnosis for the present state. It must not be kept beyond the
 // current step.
-func (s *scheduler) newWaitDiagnosis() *waitDiagnosis {
-	return &waitDiagnosis{scheduler: s, byShape: map[taskShape]shapeCapacity{}}
+func (scheduler *scheduler) newWaitDiagnosis() *waitDiagnosis {
+	return &waitDiagnosis{scheduler: scheduler, byShape: map[taskShape]shapeCapacity{}}
 }
 
 // reason returns why no task of a job is placed.
@@ -117,9 +117,9 @@
 	switch capacity := diagnosis.capacity(waiting.job); {
 	case capacity.free:
 		return waitsForTurn
-	case waiting.waited >= maxWaitForSoon:
+	case waiting.waited >= maxWaitForExpectedCapacity:
 		return waitsForCapacity
-	case capacity.machineComing:
+	case capacity.machineExpected:
 		return waitsForMachine
 	case capacity.freeSoon:
 		return waitsForTaskEnd
@@ -135,7 +135,7 @@
 	if capacity, known := diagnosis.byShape[shape]; known && alike {
 		return capacity
 	}
-	capacity := shapeCapacity{machineComing: diagnosis.scheduler.machineComing(job)}
+	capacity := shapeCapacity{machineExpected: diagnosis.scheduler.machineExpectedSoon(job)}
 	for _, machine := range diagnosis.scheduler.controller.shardLeader.machinesByID {
 		if machine.id == avoided || !job.Need.Fits(machine.size) || !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !job.zoneAllowed(machine.zone) || machine.reservedForOther(job) || !diagnosis.scheduler.usable(machine) {
 			continue
@@ -146,7 +146,7 @@
 		}
 		if !capacity.freeSoon {
 			freeIn, fits := diagnosis.scheduler.timeUntilFits(machine, job.Need)
-			capacity.freeSoon = fits && freeIn <= capacitySoon
+			capacity.freeSoon = fits && freeIn <= expectedCapacityHorizon
 		}
 	}
 	if alike {
@@ -155,12 +155,12 @@
 	return capacity
 }
 
-// machineComing reports whether a machine that fits a task of the job is expected to be ready
-// within capacitySoon.
-func (s *scheduler) machineComing(job *job) bool {
-	for rental := range s.controller.shardLeader.fleet.expectedFor(job) {
-		fits := job.Need.Fits(s.controller.knowledge.machineTypes[rental.machineType].Capacity)
-		if fits && s.controller.knowledge.timeToReady(rental.machineKind, s.now.Sub(rental.rentedAt)) <= capacitySoon {
+// machineExpected reports whether a machine that fits a task of the job is expected to be ready
+// within expectedCapacityHorizon.
+func (scheduler *scheduler) machineExpectedSoon(job *job) bool {
+	for rental := range scheduler.controller.shardLeader.fleet.expectedFor(job) {
+		fits := job.Need.Fits(scheduler.controller.knowledge.machineTypes[rental.machineType].Capacity)
+		if fits && scheduler.controller.knowledge.timeToReady(rental.machineKind, scheduler.now.Sub(rental.rentedAt)) <= expectedCapacityHorizon {
 			return true
 		}
 	}
@@ -169,10 +169,10 @@
 
 // waitingStatuses returns the jobs that are left waiting, for the status that operators see, at
 // most maxWaitingStatuses.
-func (s *scheduler) waitingStatuses() []message.WaitingJobStatus {
+func (scheduler *scheduler) waitingStatuses() []message.WaitingJobStatus {
 	var statuses []message.WaitingJobStatus
-	diagnosis := s.newWaitDiagnosis()
-	for _, waiting := range s.jobsLeftWaiting() {
+	diagnosis := scheduler.newWaitDiagnosis()
+	for _, waiting := range scheduler.jobsLeftWaiting() {
 		if len(statuses) >= maxWaitingStatuses {
 			break
 		}
@@ -183,13 +183,13 @@
 
 // reportWaits reports to the metrics, once per waitReportInterval, how many jobs of each team are
 // left waiting and for how long.
-func (s *scheduler) reportWaits() {
-	if s.now.Sub(s.waitsReportedAt) < waitReportInterval {
+func (scheduler *scheduler) reportWaits() {
+	if scheduler.now.Sub(scheduler.waitsReportedAt) < waitReportInterval {
 		return
 	}
-	s.waitsReportedAt = s.now
+	scheduler.waitsReportedAt = scheduler.now
 	byTeam := map[string]*message.TeamWaits{}
-	for _, waiting := range s.jobsLeftWaiting() {
+	for _, waiting := range scheduler.jobsLeftWaiting() {
 		teamWaits := byTeam[waiting.job.Team]
 		if teamWaits == nil {
 			// Jobs come longest wait first, so the team's first job has its longest
@@ -203,9 +203,9 @@
 	for _, team := range sortedKeys(byTeam) {
 		report.Teams = append(report.Teams, *byTeam[team])
 	}
-	if len(report.Teams) == 0 && !s.waitsReported {
+	if len(report.Teams) == 0 && !scheduler.waitsReported {
 		return
 	}
-	s.waitsReported = len(report.Teams) > 0
-	s.emit(report)
+	scheduler.waitsReported = len(report.Teams) > 0
+	scheduler.emit(report)
 }
--- a/internal/controller/left_waiting_test.go
+++ b/internal/controller/left_waiting_test.go
@@ -35,9 +35,9 @@
 		{"wait below the limit", leftWaitingAfter - time.Second, nil, ""},
 		{"no free capacity", leftWaitingAfter + time.Second, nil, waitsForCapacity},
 		{"machine coming", leftWaitingAfter + time.Second, (*Controller).expectRack, waitsForMachine},
-		{"machine coming for too long", maxWaitForSoon, (*Controller).expectRack, waitsForCapacity},
+		{"machine coming for too long", maxWaitForExpectedCapacity, (*Controller).expectRack, waitsForCapacity},
 		{"task about to end", leftWaitingAfter + time.Second, func(controller *Controller, _ *job) {
-			controller.shardLeader.jobs["job-long"].ExpectedRunTime = capacitySoon - time.Second
+			controller.shardLeader.jobs["job-long"].ExpectedRunTime = expectedCapacityHorizon - time.Second
 		}, waitsForTaskEnd},
 		{"team at its limit", leftWaitingAfter + time.Second, func(controller *Controller, _ *job) {
 			controller.settings.Teams[0].QuotaLimit.CPU = 30
@@ -84,11 +84,11 @@
 func TestWaitOfNewOwner(t *testing.T) {
 	controller, job := waitingPool(leftWaitingAfter + time.Minute)
 	job.waitingSince = controller.now
-	if got := controller.shardLeader.scheduler.unservedFor(job); got != leftWaitingAfter+time.Minute {
+	if got := controller.shardLeader.scheduler.waitSinceLastStart(job); got != leftWaitingAfter+time.Minute {
 		t.Errorf("after a change of owner: got wait %v, want %v", got, leftWaitingAfter+time.Minute)
 	}
 	job.groups[1] = &group{startedAt: controller.now.Add(-time.Second)}
-	if got := controller.shardLeader.scheduler.unservedFor(job); got != time.Second {
+	if got := controller.shardLeader.scheduler.waitSinceLastStart(job); got != time.Second {
 		t.Errorf("one second after a placement: got wait %v, want 1s", got)
 	}
 }
--- a/internal/controller/loan_commands.go
+++ b/internal/controller/loan_commands.go
@@ -36,7 +36,7 @@
 func (loans *lending) runCommand(cmd message.LoanCommand) {
 	reply := func(status message.LoanStatus) { loans.emit(message.LoanReply{Reply: cmd.Reply, Status: status}) }
 	txn := &loanTxn{StoreRequest: message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}}
-	if !loans.addDecider(txn, &cmd) || !loans.addCommand(txn, &cmd) {
+	if !loans.addDeciderCompares(txn, &cmd) || !loans.addCommand(txn, &cmd) {
 		reply(message.LoanNotApplied)
 		return
 	}
@@ -45,7 +45,7 @@
 	}
 	loans.controller.requests.toStore(txn.StoreRequest, func(response message.StoreResponse) {
 		if txn.job != nil {
-			txn.job.lending = false
+			txn.job.lendInFlight = false
 		}
 		switch response.Status {
 		case message.StoreOK:
@@ -70,9 +70,9 @@
 	})
 }
 
-// addDecider adds the compare of the record of the role that decides. It returns false if this
+// addDeciderCompares adds the compare of the record of the role that decides. It returns false if this
 // controller does not have that role.
-func (loans *lending) addDecider(txn *loanTxn, cmd *message.LoanCommand) bool {
+func (loans *lending) addDeciderCompares(txn *loanTxn, cmd *message.LoanCommand) bool {
 	leadsShard := loans.controller.shardLeader != nil && loans.controller.shardLeader.ready
 	switch borrowing := cmd.Kind >= message.LoanAccept; {
 	case borrowing && leadsShard && loans.offloadedJobsLoaded():
@@ -120,7 +120,7 @@
 	}
 	rec := job.currentRecord()
 	rec.LentTo, rec.LendCount, rec.StopBoundMillis = cmd.Peer, cmd.LendCount, cmd.StopBound.Milliseconds()
-	job.lending = true
+	job.lendInFlight = true
 	// If the transaction gets no answer, the store may apply it after the job was started in
 	// this cluster. A start does not change the record in open/, so the transaction also
 	// requires that the record of the first task is absent.
--- a/internal/controller/loan_queries.go
+++ b/internal/controller/loan_queries.go
@@ -16,10 +16,10 @@
 	// maxOfferedPerKind is how many machines of a kind are offered to peers that would have to
 	// be rented first. The cloud does not report how many it has.
 	maxOfferedPerKind = 8
-	// refusalMemory is how long after the end of a refusal by the cloud no machine of the kind
+	// refusalCooldown is how long after the end of a refusal by the cloud no machine of the kind
 	// is expected. The kind is requested again much sooner, but a plan that counted on it each
 	// time would keep jobs in this cluster that then wait.
-	refusalMemory = time.Minute
+	refusalCooldown = time.Minute
 )
 
 // queryLoans applies what the query brings: the progress of jobs at peers, and until when the
@@ -166,7 +166,7 @@
 	runTime := loans.controller.knowledge.expectedRunTime(job)
 	sloDue := loans.controller.shardLeader.scheduler.latestStart(job).Add(runTime).Sub(loans.now)
 	if finish > sloDue {
-		view.OwnWorkLate, view.LateUrgency = true, max(view.LateUrgency, job.Urgency)
+		view.OwnJobsLate, view.LateUrgency = true, max(view.LateUrgency, job.Urgency)
 	}
 	if job.isLendable() {
 		view.Waiting = append(view.Waiting, message.WaitingJob{Spec: job.JobSpec, SLODue: sloDue, HomeFinish: finish, RunTime: runTime, LendCount: job.lendCount})
@@ -218,7 +218,7 @@
 		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
 				kind := machineKind{machineType.Name, zone, spot}
-				if loans.now.Sub(loans.controller.shardLeader.fleet.view.blockedUntil[kind]) > refusalMemory {
+				if loans.now.Sub(loans.controller.shardLeader.fleet.view.blockedUntil[kind]) > refusalCooldown {
 					kinds[kind] = machineType
 				}
 			}
--- a/internal/controller/loans.go
+++ b/internal/controller/loans.go
@@ -59,16 +59,16 @@
 	lentTo          string
 	lendCount       uint64
 	cancelRequested bool
-	lending         bool
+	lendInFlight    bool
 	// borrowedLoan is the loan through which the job is in this cluster, or "". The job's tasks
 	// may be started until startableUntil.
 	borrowedLoan   string
 	startableUntil time.Time
 }
 
-// elsewhere reports whether the job is lent, being lent, or being cancelled at the peer.
-func (loan *loanState) elsewhere() bool {
-	return loan.lentTo != "" || loan.lending || loan.cancelRequested
+// isLentOrLending reports whether the job is lent, being lent, or being cancelled at the peer.
+func (loan *loanState) isLentOrLending() bool {
+	return loan.lentTo != "" || loan.lendInFlight || loan.cancelRequested
 }
 
 // mayStart reports whether the job's tasks may be started now. Those of a borrowed job may start
@@ -93,7 +93,7 @@
 // isLendable reports whether the job may be lent, which requires that no attempt of it can exist
 // anywhere.
 func (job *job) isLendable() bool {
-	return !job.hasStarted() && !job.cancelled && !job.ending && !job.dependenciesPending && !job.elsewhere() && job.borrowedLoan == ""
+	return !job.hasStarted() && !job.cancelled && !job.ending && !job.dependenciesPending && !job.isLentOrLending() && job.borrowedLoan == ""
 }
 
 // currentRecord returns the job's record in open/ as this shard leader knows it.
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// slowMachine is the ratio of actual to expected run time, averaged over at least
-	// slowSeen tasks, from which a machine is avoided.
-	slowMachine = 1.7
-	slowSeen    = 2 // tasks
+	// slowMachineRatio is the ratio of actual to expected run time, averaged over at least
+	// minSpeedSamples tasks, from which a machine is avoided.
+	slowMachineRatio = 1.7
+	minSpeedSamples  = 2 // tasks
 )
 
 // taskKey identifies a task by its job and its index in the job.
@@ -34,7 +34,7 @@
 	zone        string
 	spot        bool
 	size        model.Resources
-	disk        float64 // GB
+	diskGB      float64 // GB
 
 	// Ownership (written by shardLeader).
 
@@ -55,15 +55,15 @@
 
 	attempts map[taskKey]*task
 	used     model.Resources
-	// othersUsed is the capacity that attempts of other shards' jobs use; hasOthersAttempts
+	// otherShardsUsed is the capacity that attempts of other shards' jobs use; hasOtherShardsAttempts
 	// means that there are such attempts.
-	othersUsed        model.Resources
-	hasOthersAttempts bool
-	images            map[string]*image
+	otherShardsUsed        model.Resources
+	hasOtherShardsAttempts bool
+	images                 map[string]*image
 	// speed is the moving average of the run times of the tasks that finished on the
-	// machine, each as a ratio to the median run time of its job; speedN counts these tasks.
-	speed  float64
-	speedN int
+	// machine, each as a ratio to the median run time of its job; speedSamples counts these tasks.
+	speed        float64
+	speedSamples int
 
 	// State from the machine's messages (written by heartbeatTracker).
 
@@ -100,17 +100,17 @@
 	ownershipCheckedAt time.Time
 	// statusRequested means that a status poll is in flight, which starts no task.
 	statusRequested bool
-	// probed is when the machine was last polled; unansweredProbes counts the polls without
+	// lastProbedAt is when the machine was last polled; unansweredProbes counts the polls without
 	// a reply since the last proven message.
-	probed           time.Time
+	lastProbedAt     time.Time
 	unansweredProbes int
 	// reachability tracks whether the machine receives this controller's messages.
 	// shownReachable means that the message being applied has shown that it does.
-	// unheardHeartbeats counts the answered heartbeats that show no effect of this
+	// unprovenHeartbeats counts the answered heartbeats that show no effect of this
 	// controller; see heartbeat_proof.go.
-	reachability      reachability.Detector
-	shownReachable    bool
-	unheardHeartbeats int
+	reachability       reachability.Detector
+	shownReachable     bool
+	unprovenHeartbeats int
 	// newestMessageAt is when the newest applied message arrived, whether or not it proves
 	// that the machine is alive.
 	newestMessageAt time.Time
@@ -157,17 +157,17 @@
 	// reservedForMigration is the capacity kept free for replicas that migrate to this
 	// machine; see migration.go.
 	reservedForMigration model.Resources
-	// evacuatingForOther means that the machine is kept and emptied so that another shard
+	// evacuatingForOtherShard means that the machine is kept and emptied so that another shard
 	// can use it.
-	evacuatingForOther bool
+	evacuatingForOtherShard bool
 }
 
 // image is a container image on a machine: cached, or being fetched. last is when a task
 // last used it.
 type image struct {
-	sizeGB float64
-	last   time.Time
-	cached bool
+	sizeGB     float64
+	lastUsedAt time.Time
+	cached     bool
 }
 
 // ensureMachine returns the machine with the given id, and adds it if it is unknown.
@@ -179,7 +179,7 @@
 			m.epoch = segment.Epoch
 		}
 		s.machines[id] = m
-		index, _ := slices.BinarySearchFunc(s.machinesByID, id, machineID)
+		index, _ := slices.BinarySearchFunc(s.machinesByID, id, compareMachineID)
 		s.machinesByID = slices.Insert(s.machinesByID, index, m)
 	}
 	return m
@@ -187,19 +187,19 @@
 
 // free returns the capacity of m that is neither used nor reserved.
 func (m *machine) free() model.Resources {
-	return m.size.AddScaled(m.used, -1).AddScaled(m.othersUsed, -1).AddScaled(m.reservedForMigration, -1)
+	return m.size.AddScaled(m.used, -1).AddScaled(m.otherShardsUsed, -1).AddScaled(m.reservedForMigration, -1)
 }
 
 // isEmpty reports whether no task runs on m or may still start there.
-func (m *machine) isEmpty() bool { return len(m.attempts) == 0 && !m.hasOthersAttempts }
+func (m *machine) isEmpty() bool { return len(m.attempts) == 0 && !m.hasOtherShardsAttempts }
 
-// machineID compares the id of m with id, for a binary search by id.
-func machineID(m *machine, id string) int { return strings.Compare(m.id, id) }
+// compareMachineID compares the id of m with id, for a binary search by id.
+func compareMachineID(m *machine, id string) int { return strings.Compare(m.id, id) }
 
 // removeMachine drops a machine that has no attempts left.
 func (s *shardLeader) removeMachine(m *machine) {
 	delete(s.machines, m.id)
-	if index, ok := slices.BinarySearchFunc(s.machinesByID, m.id, machineID); ok && s.machinesByID[index] == m {
+	if index, ok := slices.BinarySearchFunc(s.machinesByID, m.id, compareMachineID); ok && s.machinesByID[index] == m {
 		s.machinesByID = slices.Delete(s.machinesByID, index, index+1)
 	}
 	m.removed = true
@@ -215,7 +215,7 @@
 	}
 	m.addr, m.machineType, m.spot = addr, machineType, spot
 	if spec, ok := s.controller.knowledge.machineTypes[machineType]; ok {
-		m.size, m.disk = spec.Capacity, spec.DiskGB
+		m.size, m.diskGB = spec.Capacity, spec.DiskGB
 	}
 }
 
@@ -241,9 +241,9 @@
 		entry = &image{sizeGB: j.ImageGB}
 		m.images[j.Image] = entry
 	}
-	entry.last = now
+	entry.lastUsedAt = now
 	entry.cached = entry.cached || cached
-	if m.disk <= 0 {
+	if m.diskGB <= 0 {
 		return
 	}
 	for {
@@ -251,12 +251,12 @@
 		for _, other := range m.images {
 			totalGB += other.sizeGB
 		}
-		if totalGB <= m.disk {
+		if totalGB <= m.diskGB {
 			return
 		}
 		for _, name := range sortedKeys(m.images) {
 			other := m.images[name]
-			if name != j.Image && (oldest == "" || other.last.Before(m.images[oldest].last)) {
+			if name != j.Image && (oldest == "" || other.lastUsedAt.Before(m.images[oldest].lastUsedAt)) {
 				oldest = name
 			}
 		}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -251,7 +251,7 @@
 func (membership *membership) register() {
 	leaseID := membership.leaseID
 	key := record.MemberPrefix + membership.settings.Host
-	rec := record.Encode(record.Member{LeaseID: leaseID, Incarnation: membership.incarnation(), ReceivesNothing: membership.controller.partition.receivesNothing(membership.now), StartedAt: membership.startedAt.UnixMilli()})
+	rec := record.Encode(record.Member{LeaseID: leaseID, Incarnation: membership.incarnation(), ReceivesNothing: membership.controller.partition.isStandingDown(membership.now), StartedAt: membership.startedAt.UnixMilli()})
 	membership.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityMembership, Compares: []message.Compare{{Key: key, ModRevision: membership.recordModRevision}}, Writes: []message.Write{{Key: key, Value: rec, LeaseID: leaseID}}}, func(response message.StoreResponse) {
 		if membership.leaseID != leaseID {
 			return
--- a/internal/controller/migration.go
+++ b/internal/controller/migration.go
@@ -30,11 +30,11 @@
 	component
 
 	// state is nil until the first call of Controller.migrations with the models capability enabled.
-	state *migrations
+	state *migrationState
 }
 
-// migrations is the state of a shard leader's migrations.
-type migrations struct {
+// migrationState is the state of a shard leader's migrations.
+type migrationState struct {
 	tracker *migration.Tracker
 	// records are the teams' records in the store, by team. lastWrite is the time of the last write to any of
 	// them.
@@ -70,7 +70,7 @@
 
 // migrations returns the shard leader's migrations. It is nil if this controller leads no shard or if the models
 // capability is disabled.
-func (controller *Controller) migrations() *migrations {
+func (controller *Controller) migrations() *migrationState {
 	shardLeader := controller.shardLeader
 	if !controller.settings.Capabilities.Models || shardLeader == nil {
 		return nil
@@ -79,18 +79,18 @@
 }
 
 // ensureState creates the state on first use and returns it.
-func (g *migrationManager) ensureState() *migrations {
-	if g.state == nil {
-		g.state = &migrations{
-			tracker: migration.NewTracker(g.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
+func (migrations *migrationManager) ensureState() *migrationState {
+	if migrations.state == nil {
+		migrations.state = &migrationState{
+			tracker: migration.NewTracker(migrations.settings.Capabilities.MigrationCooldown), records: map[string]*migrationRecord{},
 			pinnedUntil: map[taskKey]time.Time{}, unschedulable: map[string]*unschedulableReplica{}, evacuation: evacuation{refusedAt: map[machineKind]time.Time{}},
 		}
 	}
-	g.state.tracker.MaxRecordBytes = g.maxRecordBytes()
-	return g.state
+	migrations.state.tracker.MaxRecordBytes = migrations.maxRecordBytes()
+	return migrations.state
 }
 
-// maxRecordBytes returns the largest size of a team's migration record, in bytes of JSON.
+// maxRecordBytes returns the largest size of a team's migration record, in bytes of JSONSize.
 func (migrations *migrationManager) maxRecordBytes() int {
 	return migrations.settings.MaxValueBytes * 3 / 4
 }
@@ -160,7 +160,7 @@
 
 // advance stops the replicas whose migration is due, and updates the reservations. It does nothing if the
 // membership lease may have ended, since another controller may then lead the shard.
-func (migrations *migrationManager) advance(state *migrations) {
+func (migrations *migrationManager) advance(state *migrationState) {
 	if migrations.now.After(migrations.controller.membership.leaseValidUntil) {
 		return
 	}
@@ -176,10 +176,10 @@
 
 // updateReservations applies the tracker's holds to machines and tasks. Other tasks can't use the reserved
 // capacity, and a task for which capacity is reserved is placed only there until its reservation ends.
-func (migrations *migrationManager) updateReservations(state *migrations) {
+func (migrations *migrationManager) updateReservations(state *migrationState) {
 	shardLeader := migrations.controller.shardLeader
 	for _, machine := range state.held {
-		machine.reservedForMigration, machine.evacuatingForOther = model.Resources{}, false
+		machine.reservedForMigration, machine.evacuatingForOtherShard = model.Resources{}, false
 	}
 	state.held = state.held[:0]
 	pinnedUntil := map[taskKey]time.Time{}
@@ -189,7 +189,7 @@
 				state.held = append(state.held, machine)
 			}
 			machine.reservedForMigration = machine.reservedForMigration.AddScaled(hold.Need, 1)
-			machine.evacuatingForOther = machine.evacuatingForOther || isEvacuationHold(hold.Job)
+			machine.evacuatingForOtherShard = machine.evacuatingForOtherShard || isEvacuationHold(hold.Job)
 		}
 		if hold.Index >= 0 {
 			pinnedUntil[taskKey{hold.Job, hold.Index}] = hold.Until
@@ -247,7 +247,7 @@
 // takeReservedTask removes a task from the pending tasks of a job and returns its index, or -1 if there is none to
 // take. It takes the task with the given index. With a negative index it takes any pending task for which no
 // other capacity is reserved and that may run on the machine.
-func (scheduler *scheduler) takeReservedTask(state *migrations, job *job, index int, machine *machine) int {
+func (scheduler *scheduler) takeReservedTask(state *migrationState, job *job, index int, machine *machine) int {
 	for position, taskIndex := range job.requeued {
 		task := &job.tasks[taskIndex]
 		_, pinned := state.pinnedUntil[taskKey{job.ID, taskIndex}]
--- a/internal/controller/migration_facts.go
+++ b/internal/controller/migration_facts.go
@@ -17,7 +17,7 @@
 // jobs lent to a peer, and of jobs borrowed from a peer.
 func (migrations *migrationManager) movableReplica(id string, index int) (*job, *task) {
 	job := migrations.controller.shardLeader.jobs[id]
-	if job == nil || !job.LongRunning || job.Gang || job.cancelled || job.ending || job.elsewhere() || job.borrowedLoan != "" || index >= len(job.tasks) {
+	if job == nil || !job.LongRunning || job.Gang || job.cancelled || job.ending || job.isLentOrLending() || job.borrowedLoan != "" || index >= len(job.tasks) {
 		return nil, nil
 	}
 	return job, &job.tasks[index]
@@ -75,10 +75,10 @@
 	return machine.free().AddScaled(machine.reservedForMigration, 1), facts.controller.shardLeader.scheduler.usable(machine)
 }
 
-// Unheard reports whether this shard leader owns a host from which it has received no heartbeat since it recovered
+// AwaitsHeartbeat reports whether this shard leader owns a host from which it has received no heartbeat since it recovered
 // its records, and may still expect one. It waits for three heartbeat intervals. It implements
 // migration.ShardState.
-func (facts migrationFacts) Unheard(host string) bool {
+func (facts migrationFacts) AwaitsHeartbeat(host string) bool {
 	if _, owned := facts.controller.membership.ownedMachine(host); !owned || facts.controller.knowledge.released[host] {
 		return false
 	}
--- a/internal/controller/migration_plan.go
+++ b/internal/controller/migration_plan.go
@@ -40,7 +40,7 @@
 
 // plan searches for migrations for the first job in queue order that needs them. If no job does, it plans
 // evacuations for other shard leaders.
-func (migrations *migrationManager) plan(state *migrations) {
+func (migrations *migrationManager) plan(state *migrationState) {
 	shardLeader := migrations.controller.shardLeader
 	if migrations.now.Sub(state.lastLogged) >= migrationLogInterval && len(state.tracker.Plans()) > 0 {
 		state.lastLogged = migrations.now
@@ -91,7 +91,7 @@
 
 // waitsForCapacity reports whether a job has a pending task that migrations could help: the task is large for some
 // machine type, and no capacity is reserved for it.
-func (migrations *migrationManager) waitsForCapacity(state *migrations, job *job) bool {
+func (migrations *migrationManager) waitsForCapacity(state *migrationState, job *job) bool {
 	if job.Gang || job.borrowedLoan != "" || migrations.controller.shardLeader.scheduler.placeableTasks(job) == 0 || !migrations.controller.shardLeader.scheduler.withinQuotaLimit(job) {
 		return false
 	}
@@ -131,19 +131,19 @@
 }
 
 // planMigrationFor searches for migrations that free capacity for a task of the job, and starts them.
-func (migrations *migrationManager) planMigrationFor(state *migrations, job *job) {
+func (migrations *migrationManager) planMigrationFor(state *migrationState, job *job) {
 	problem := migrations.migrationProblem(state, job)
 	plan, ok := migration.Find(problem)
 	if !ok {
 		migrations.debug("no migration found", "job", job.ID, "max_cost", problem.MaxCost)
 		return
 	}
-	migrations.begin(state, job.Team, problem, plan)
+	migrations.startPlan(state, job.Team, problem, plan)
 }
 
-// begin starts a plan that migration.Find returned for the problem. The plan is stored in the record of the given
+// startPlan starts a plan that migration.Find returned for the problem. The plan is stored in the record of the given
 // team.
-func (migrations *migrationManager) begin(state *migrations, team string, problem *migration.Problem, plan migration.Plan) {
+func (migrations *migrationManager) startPlan(state *migrationState, team string, problem *migration.Problem, plan migration.Plan) {
 	var attempts []uint64
 	for _, move := range plan.Moves {
 		_, task := migrations.movableReplica(move.Job, move.Index)
@@ -183,7 +183,7 @@
 }
 
 // migrationProblem returns the problem of freeing capacity for a task of the job, for migration.Find.
-func (migrations *migrationManager) migrationProblem(state *migrations, job *job) *migration.Problem {
+func (migrations *migrationManager) migrationProblem(state *migrationState, job *job) *migration.Problem {
 	problem, hosts := migrations.migrationCandidates(state, job)
 	problem.MaxCost = migrations.maxMigrationCost(job)
 	problem.WaitingTask = migration.WaitingTask{Job: job.ID, Need: job.Need, Image: job.Image, ImageGB: job.ImageGB, Allowed: func(hostIndex int) bool {
@@ -195,7 +195,7 @@
 
 // migrationCandidates returns a problem with the usable hosts and with the replicas that may be migrated for the
 // job. It also returns the machines of these hosts, in the same order.
-func (migrations *migrationManager) migrationCandidates(state *migrations, job *job) (*migration.Problem, []*machine) {
+func (migrations *migrationManager) migrationCandidates(state *migrationState, job *job) (*migration.Problem, []*machine) {
 	shardLeader := migrations.controller.shardLeader
 	problem := &migration.Problem{MaxMoves: migration.MaxMoves}
 	var hosts []*machine
--- a/internal/controller/migration_records.go
+++ b/internal/controller/migration_records.go
@@ -9,7 +9,7 @@
 )
 
 // nextMigrationWrite returns the time from which on the next record may be written.
-func (migrations *migrationManager) nextMigrationWrite(state *migrations) time.Time {
+func (migrations *migrationManager) nextMigrationWrite(state *migrationState) time.Time {
 	shardLeaders := 0
 	for _, shard := range migrations.controller.membership.shardMap.Shards() {
 		if len(shard.Teams) > 0 {
@@ -21,7 +21,7 @@
 
 // write writes the record of one team, if a write is due. A record with new plans is written first and without
 // delay; any other change waits for migrationLazyDelay.
-func (migrations *migrationManager) write(state *migrations) {
+func (migrations *migrationManager) write(state *migrationState) {
 	if migrations.nextMigrationWrite(state).After(migrations.now) {
 		return
 	}
@@ -52,7 +52,7 @@
 // open records of all jobs in new plans, so that no job is migrated that was cancelled in the meantime. It also
 // compares the revisions of the shards of these jobs' teams and of the migration record itself. migrationTxn returns
 // false if a job of a new plan is not open any more.
-func (migrations *migrationManager) migrationTxn(state *migrations, team string, value []byte) (message.StoreRequest, bool) {
+func (migrations *migrationManager) migrationTxn(state *migrationState, team string, value []byte) (message.StoreRequest, bool) {
 	request := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy}
 	teams := []string{team}
 	for _, plan := range state.tracker.UnsavedPlans(team) {
@@ -83,7 +83,7 @@
 }
 
 // writeTeam writes a team's record, or deletes it if the team has no migrations and no cooldowns.
-func (migrations *migrationManager) writeTeam(state *migrations, team string) {
+func (migrations *migrationManager) writeTeam(state *migrationState, team string) {
 	rec := state.records[team]
 	value, version := state.tracker.EncodeRecord(team)
 	request, ok := migrations.migrationTxn(state, team, value)
@@ -133,7 +133,7 @@
 // reReadTeam reads the revision of a team's record after a write with an unknown outcome: the store may have applied
 // it, or may apply it later. Each write compares the shard's revision, so the stored record was written under this
 // shard, and the record is written again on top of the revision that was read.
-func (migrations *migrationManager) reReadTeam(state *migrations, team string, rec *migrationRecord) {
+func (migrations *migrationManager) reReadTeam(state *migrationState, team string, rec *migrationRecord) {
 	rec.writing = true
 	generation := migrations.controller.shardLeader.generation
 	migrations.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: migrationKey(team)}, func(response message.StoreResponse) {
--- a/internal/controller/outcomes.go
+++ b/internal/controller/outcomes.go
@@ -297,7 +297,7 @@
 		left, allUp := time.Duration(0), false
 		if promises.controller.shardLeader != nil && promises.controller.shardLeader.jobs[id] != nil {
 			job := promises.controller.shardLeader.jobs[id]
-			allUp = !job.allUpAt.IsZero()
+			allUp = !job.allRunningAt.IsZero()
 			left, _ = promises.forecastRemaining(job, promises.quoterFor(job.Team, true))
 		}
 		openPromise.AtRisk = date.Revision > 0 && !allUp && age+left > date.After
--- a/internal/controller/packing.go
+++ b/internal/controller/packing.go
@@ -39,10 +39,10 @@
 
 // packingProfile describes the usual demand for GPUs, for each machine type that has GPUs.
 type packingProfile struct {
-	// at is when the profile was computed.
-	at time.Time
-	// kinds holds the profiles by machine type. A type on which no demand for GPUs fits has none.
-	kinds map[string]*packing.Profile
+	// computedAt is when the profile was computed.
+	computedAt time.Time
+	// profiles holds the profiles by machine type. A type on which no demand for GPUs fits has none.
+	profiles map[string]*packing.Profile
 	// gpuFallback holds the workloads without GPUs that have waited for longer than
 	// gpuFallbackAfter allows, and may use machines with GPUs.
 	gpuFallback map[string]bool
@@ -57,39 +57,39 @@
 	machineTypes string
 }
 
-// replicaTally sums up the replicas of one shape: their number, the total size of their images, and
+// replicaDemand sums up the replicas of one shape: their number, the total size of their images, and
 // whether any replica waits. The size is in whole megabytes, so that the sum does not depend on the
 // order in which jobs are counted.
-type replicaTally struct {
+type replicaDemand struct {
 	tasks, megabytes int64
-	waits            bool
+	hasWaiting       bool
 }
 
 // currentPackingProfile returns the packing profile, or nil when the models capability is off. It
 // recomputes the profile each packingProfileInterval, from the present jobs and the newest job of
 // each recent workload. The profile therefore needs no records of its own: a successor derives it
 // from the jobs that it takes over.
-func (s *scheduler) currentPackingProfile() *packingProfile {
-	profile := s.packingProfile
-	if !s.settings.Capabilities.Models || profile != nil && s.now.Sub(profile.at) < packingProfileInterval && !s.now.Before(profile.at) {
+func (scheduler *scheduler) currentPackingProfile() *packingProfile {
+	profile := scheduler.packingProfile
+	if !scheduler.settings.Capabilities.Models || profile != nil && scheduler.now.Sub(profile.computedAt) < packingProfileInterval && !scheduler.now.Before(profile.computedAt) {
 		return profile
 	}
-	profile = &packingProfile{at: s.now, kinds: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
-	s.packingProfile = profile
-	tallies := s.tallyReplicas(profile)
+	profile = &packingProfile{computedAt: scheduler.now, profiles: map[string]*packing.Profile{}, gpuFallback: map[string]bool{}}
+	scheduler.packingProfile = profile
+	tallies := scheduler.countReplicas(profile)
 	if len(tallies) == 0 {
 		return profile
 	}
-	s.learnPackingKinds(profile, tallies)
-	s.findGPUFallback(profile)
+	scheduler.buildPackingProfiles(profile, tallies)
+	scheduler.findGPUFallback(profile)
 	return profile
 }
 
-// tallyReplicas counts the replicas with GPUs that are live or pending, and one for each workload seen
+// countReplicas counts the replicas with GPUs that are live or pending, and one for each workload seen
 // within workloadRetention. It sets profile.replicasWaiting if any replica waits and may be placed.
-func (s *scheduler) tallyReplicas(profile *packingProfile) map[replicaShape]replicaTally {
-	shardLeader := s.controller.shardLeader
-	tallies := map[replicaShape]replicaTally{}
+func (scheduler *scheduler) countReplicas(profile *packingProfile) map[replicaShape]replicaDemand {
+	shardLeader := scheduler.controller.shardLeader
+	tallies := map[replicaShape]replicaDemand{}
 	add := func(spec *model.JobSpec, tasks int, waiting bool) {
 		if spec.Need.GPU <= roundingTolerance || tasks <= 0 {
 			return
@@ -98,29 +98,29 @@
 		total := tallies[shape]
 		total.tasks += int64(tasks)
 		total.megabytes += int64(tasks) * int64(spec.ImageGB*1000)
-		total.waits = total.waits || waiting
+		total.hasWaiting = total.hasWaiting || waiting
 		tallies[shape] = total
 		profile.replicasWaiting = profile.replicasWaiting || waiting
 	}
 	for _, j := range shardLeader.jobs {
-		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), s.placeableTasks(j) > 0 && s.withinQuotaLimit(j) && !shardLeader.faultAttribution.FailsEverywhere(j.ID))
+		add(&j.JobSpec, j.liveTasks+j.pendingTasks(), scheduler.placeableTasks(j) > 0 && scheduler.withinQuotaLimit(j) && !shardLeader.faultAttribution.FailsEverywhere(j.ID))
 	}
 	for _, w := range shardLeader.workloads {
-		if s.now.Sub(w.lastSeen) < workloadRetention {
+		if scheduler.now.Sub(w.lastSeen) < workloadRetention {
 			add(w.spec, 1, false)
 		}
 	}
 	return tallies
 }
 
-// learnPackingKinds fills profile.kinds: for each machine type with GPUs, the profile of the replicas that
+// buildPackingProfiles fills profile.kinds: for each machine type with GPUs, the profile of the replicas that
 // may run on it.
-func (s *scheduler) learnPackingKinds(profile *packingProfile, tallies map[replicaShape]replicaTally) {
+func (scheduler *scheduler) buildPackingProfiles(profile *packingProfile, tallies map[replicaShape]replicaDemand) {
 	shapes := slices.SortedFunc(maps.Keys(tallies), func(a, b replicaShape) int {
 		return cmp.Or(cmp.Compare(a.need.GPU, b.need.GPU), cmp.Compare(a.need.CPU, b.need.CPU), cmp.Compare(a.need.Memory, b.need.Memory), cmp.Compare(a.machineTypes, b.machineTypes))
 	})
-	for _, name := range sortedKeys(s.controller.knowledge.machineTypes) {
-		machineType := s.controller.knowledge.machineTypes[name]
+	for _, name := range sortedKeys(scheduler.controller.knowledge.machineTypes) {
+		machineType := scheduler.controller.knowledge.machineTypes[name]
 		if machineType.Capacity.GPU <= roundingTolerance {
 			continue
 		}
@@ -129,58 +129,58 @@
 			if total := tallies[k]; k.machineTypes == "" || slices.Contains(strings.Fields(k.machineTypes), name) {
 				demands = append(demands, packing.Demand{
 					Need: k.need, Tasks: int(min(total.tasks, math.MaxInt32)),
-					GB: float64(total.megabytes) / 1000 / float64(total.tasks), HasWaiting: total.waits,
+					GB: float64(total.megabytes) / 1000 / float64(total.tasks), HasWaiting: total.hasWaiting,
 				})
 			}
 		}
 		if k := packing.NewProfile(machineType.Capacity, machineType.ImageFetchRate, demands); k != nil {
-			profile.kinds[name] = k
+			profile.profiles[name] = k
 		}
 	}
 }
 
 // findGPUFallback fills profile.gpuFallback with the workloads without GPUs that have waited for so long that
 // their tasks may use machines with GPUs.
-func (s *scheduler) findGPUFallback(profile *packingProfile) {
-	shardLeader := s.controller.shardLeader
+func (scheduler *scheduler) findGPUFallback(profile *packingProfile) {
+	shardLeader := scheduler.controller.shardLeader
 	fallbackAfter := gpuFallbackAfter
 	if profile.replicasWaiting {
 		fallbackAfter = 2 * gpuFallbackAfter
 	}
 	for _, j := range shardLeader.jobs {
 		since := later(later(j.readySince(), j.lastPlacedAt), shardLeader.readyAt)
-		if j.Need.GPU <= roundingTolerance && s.now.Sub(since) > fallbackAfter && s.placeableTasks(j) > 0 {
+		if j.Need.GPU <= roundingTolerance && scheduler.now.Sub(since) > fallbackAfter && scheduler.placeableTasks(j) > 0 {
 			profile.gpuFallback[j.Workload] = true
 		}
 	}
 }
 
-// kind returns the profile of a machine type, or nil if the type has none. The receiver may be nil.
-func (profile *packingProfile) kind(machineType string) *packing.Profile {
+// profileFor returns the profile of a machine type, or nil if the type has none. The receiver may be nil.
+func (profile *packingProfile) profileFor(machineType string) *packing.Profile {
 	if profile == nil {
 		return nil
 	}
-	return profile.kinds[machineType]
+	return profile.profiles[machineType]
 }
 
 // avoidsGPUsNow reports whether a job's tasks may use at present only that capacity of machines with
 // GPUs that no replica could use. Unlike avoidsGPUs it considers how long the job has waited, how
 // brief its tasks are, and whether replicas wait.
-func (s *scheduler) avoidsGPUsNow(j *job) bool {
-	profile := s.currentPackingProfile()
-	return s.avoidsGPUs(j) && !profile.gpuFallback[j.Workload] &&
-		(profile.replicasWaiting || j.LongRunning || s.waitObjective(j.Workload) == 0 || s.controller.knowledge.expectedRunTime(j) > maxBriefRunTime)
+func (scheduler *scheduler) avoidsGPUsNow(j *job) bool {
+	profile := scheduler.currentPackingProfile()
+	return scheduler.avoidsGPUs(j) && !profile.gpuFallback[j.Workload] &&
+		(profile.replicasWaiting || j.LongRunning || scheduler.waitObjective(j.Workload) == 0 || scheduler.controller.knowledge.expectedRunTime(j) > maxBriefRunTime)
 }
 
 // avoidsGPUs reports whether no machine with GPUs is to be rented for a job's tasks, because the tasks
 // need no GPU and fit a machine type that has no packing profile.
-func (s *scheduler) avoidsGPUs(j *job) bool {
-	profile := s.currentPackingProfile()
-	if profile == nil || j.Need.GPU > roundingTolerance || len(profile.kinds) == 0 {
+func (scheduler *scheduler) avoidsGPUs(j *job) bool {
+	profile := scheduler.currentPackingProfile()
+	if profile == nil || j.Need.GPU > roundingTolerance || len(profile.profiles) == 0 {
 		return false
 	}
-	for name, machineType := range s.controller.knowledge.machineTypes {
-		if profile.kinds[name] != nil || !j.Need.Fits(machineType.Capacity) {
+	for name, machineType := range scheduler.controller.knowledge.machineTypes {
+		if profile.profiles[name] != nil || !j.Need.Fits(machineType.Capacity) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
@@ -194,33 +194,33 @@
 
 // gpuPolicyAllows reports whether a job's tasks may use all free capacity of a machine. avoidGPUs is
 // the result of avoidsGPUsNow for the job.
-func (s *scheduler) gpuPolicyAllows(avoidGPUs bool, m *machine) bool {
-	return !avoidGPUs || s.currentPackingProfile().kind(m.machineType) == nil
+func (scheduler *scheduler) gpuPolicyAllows(avoidGPUs bool, m *machine) bool {
+	return !avoidGPUs || scheduler.currentPackingProfile().profileFor(m.machineType) == nil
 }
 
 // nonGPUUse returns the CPUs and memory that tasks without GPUs use on a machine. The tasks of other
 // shards' jobs are included if none of them uses GPUs.
-func (s *scheduler) nonGPUUse(m *machine) model.Resources {
+func (scheduler *scheduler) nonGPUUse(m *machine) model.Resources {
 	// Integer sums of millionths do not depend on the order of the attempts in the map.
 	var cpu, memory int64
 	for k := range m.attempts {
-		if j := s.controller.shardLeader.jobs[k.job]; j != nil && j.Need.GPU <= roundingTolerance {
+		if j := scheduler.controller.shardLeader.jobs[k.job]; j != nil && j.Need.GPU <= roundingTolerance {
 			cpu += int64(math.Round(j.Need.CPU / roundingTolerance))
 			memory += int64(math.Round(j.Need.Memory / roundingTolerance))
 		}
 	}
 	used := model.Resources{CPU: float64(cpu) * roundingTolerance, Memory: float64(memory) * roundingTolerance}
-	if m.othersUsed.GPU <= roundingTolerance {
-		used = used.AddScaled(m.othersUsed, 1)
+	if m.otherShardsUsed.GPU <= roundingTolerance {
+		used = used.AddScaled(m.otherShardsUsed, 1)
 	}
 	return used
 }
 
 // rateGPUMachine rates a machine with GPUs for a task of j, in seconds; less is better. It returns false
 // if the task avoids GPUs and does not fit in the capacity that no replica could use.
-func (s *scheduler) rateGPUMachine(profile *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
+func (scheduler *scheduler) rateGPUMachine(profile *packing.Profile, j *job, m *machine, free model.Resources, avoidGPUs bool) (float64, bool) {
 	if avoidGPUs {
-		return 0, j.Need.Fits(profile.NonGPUCapacity(free, s.nonGPUUse(m)))
+		return 0, j.Need.Fits(profile.NonGPUCapacity(free, scheduler.nonGPUUse(m)))
 	}
 	score := profile.FragmentationCost(free, j.Need)
 	if j.Need.GPU > roundingTolerance {
@@ -234,19 +234,19 @@
 // reratePacked rates again the machines on which tasks were placed since the group was last used. A
 // machine that has become partly used is preferred to an empty one; with its former rating it would
 // come after the empty machines.
-func (s *scheduler) reratePacked(round *placementRound, candidates *candidateGroup, j *job) {
+func (scheduler *scheduler) reratePacked(round *placementRound, candidates *candidateGroup, j *job) {
 	for ; candidates.packedSeen < len(round.packedCandidates); candidates.packedSeen++ {
 		candidate := round.packedCandidates[candidates.packedSeen]
-		if score, ok := candidates.rate(s, j, candidate); ok {
+		if score, ok := candidates.rate(scheduler, j, candidate); ok {
 			candidates.push(candidate.fetchSeconds(j), ratedCandidate{candidate, score})
 		}
 	}
 }
 
 // freeCapacityOn returns the free capacity of a machine that the tasks of a group may use.
-func (s *scheduler) freeCapacityOn(candidates *candidateGroup, candidate *candidateMachine) model.Resources {
+func (scheduler *scheduler) freeCapacityOn(candidates *candidateGroup, candidate *candidateMachine) model.Resources {
 	if candidates.avoidGPUs && candidate.packingKind != nil {
-		return candidate.packingKind.NonGPUCapacity(candidate.machine.free(), s.nonGPUUse(candidate.machine))
+		return candidate.packingKind.NonGPUCapacity(candidate.machine.free(), scheduler.nonGPUUse(candidate.machine))
 	}
 	return candidate.machine.free()
 }
@@ -254,60 +254,60 @@
 // freeFor returns the part of a simulated machine's free capacity that a task may use. A task that
 // avoids GPUs may use only what no replica could use.
 func (simMachine *simulatedMachine) freeFor(free model.Resources, avoidGPUs bool) model.Resources {
-	if simMachine.packingKind == nil || !avoidGPUs {
+	if simMachine.packingProfile == nil || !avoidGPUs {
 		return free
 	}
-	rest := simMachine.packingKind.NonGPUSurplus(free)
+	rest := simMachine.packingProfile.NonGPUSurplus(free)
 	return model.Resources{CPU: min(rest.CPU, simMachine.nonGPUFree.CPU), Memory: min(rest.Memory, simMachine.nonGPUFree.Memory)}
 }
 
 // preemptsForReplica reports whether less urgent tasks without GPUs may be preempted for a task of j.
 // Such tasks run on machines with GPUs if no replica could use their capacity when they were placed,
 // or if they were placed before there were replicas.
-func (s *scheduler) preemptsForReplica(j *job) bool {
-	return s.settings.Capabilities.Models && j.Need.GPU > roundingTolerance
+func (scheduler *scheduler) preemptsForReplica(j *job) bool {
+	return scheduler.settings.Capabilities.Models && j.Need.GPU > roundingTolerance
 }
 
 // preemptsOnlyNonGPU reports whether only tasks without GPUs may be preempted for a job: the job needs
 // GPUs, its workload has no wait objective, and it is not overdue.
-func (s *scheduler) preemptsOnlyNonGPU(j *job) bool {
-	return s.preemptsForReplica(j) && !j.placingOverdue && s.waitObjective(j.Workload) == 0
+func (scheduler *scheduler) preemptsOnlyNonGPU(j *job) bool {
+	return scheduler.preemptsForReplica(j) && !j.placingOverdue && scheduler.waitObjective(j.Workload) == 0
 }
 
 // maxPreemptionLoss returns the most run time that may be lost when tasks are preempted for a task of
 // j: the expected run time of that task. The expected run time of a replica says little, so for a
 // replica it is at least maxReplicaPreemptionLoss.
-func (s *scheduler) maxPreemptionLoss(j *job) time.Duration {
-	if s.preemptsForReplica(j) && j.LongRunning {
-		return max(s.controller.knowledge.expectedRunTime(j), maxReplicaPreemptionLoss)
+func (scheduler *scheduler) maxPreemptionLoss(j *job) time.Duration {
+	if scheduler.preemptsForReplica(j) && j.LongRunning {
+		return max(scheduler.controller.knowledge.expectedRunTime(j), maxReplicaPreemptionLoss)
 	}
-	return s.controller.knowledge.expectedRunTime(j)
+	return scheduler.controller.knowledge.expectedRunTime(j)
 }
 
 // utilization returns the fraction of a machine's CPUs that is in use. For a machine with GPUs, when the
 // models capability is on, it is the fraction of the GPUs.
-func (f *fleetPlanner) utilization(m *machine) float64 {
-	if f.settings.Capabilities.Models && m.size.GPU > roundingTolerance {
+func (planner *fleetPlanner) utilization(m *machine) float64 {
+	if planner.settings.Capabilities.Models && m.size.GPU > roundingTolerance {
 		return m.used.GPU / m.size.GPU
 	}
 	return m.used.CPU / max(m.size.CPU, 1)
 }
 
 // gpuFreeCapacity returns the free capacity of the usable machines with GPUs, for each machine kind.
-func (s *scheduler) gpuFreeCapacity() []message.GPUFreeCapacity {
-	if !s.settings.Capabilities.Models {
+func (scheduler *scheduler) gpuFreeCapacity() []message.GPUFreeCapacity {
+	if !scheduler.settings.Capabilities.Models {
 		return nil
 	}
 	byKind := map[machineKind]*packing.FreeCapacity{}
-	for _, m := range s.controller.shardLeader.machinesByID {
-		if m.size.GPU <= roundingTolerance || !s.usable(m) {
+	for _, m := range scheduler.controller.shardLeader.machinesByID {
+		if m.size.GPU <= roundingTolerance || !scheduler.usable(m) {
 			continue
 		}
 		kind := machineKind{m.machineType, m.zone, m.spot}
 		if byKind[kind] == nil {
 			byKind[kind] = &packing.FreeCapacity{}
 		}
-		byKind[kind].Add(s.currentPackingProfile().kind(m.machineType), m.size, m.free())
+		byKind[kind].Add(scheduler.currentPackingProfile().profileFor(m.machineType), m.size, m.free())
 	}
 	var out []message.GPUFreeCapacity
 	for _, kind := range sortedKinds(byKind) {
@@ -322,9 +322,9 @@
 }
 
 // reportGPUFreeCapacity reports gpuFreeCapacity to the metrics once each gpuCapacityInterval.
-func (s *scheduler) reportGPUFreeCapacity() {
-	if p := s.currentPackingProfile(); p != nil && s.now.Sub(s.freeCapacityReportedAt) >= gpuCapacityInterval {
-		s.freeCapacityReportedAt = s.now
-		s.emit(message.GPUFreeCapacityReport{Kinds: s.gpuFreeCapacity(), Migrations: s.controller.migrationsStatus()})
+func (scheduler *scheduler) reportGPUFreeCapacity() {
+	if p := scheduler.currentPackingProfile(); p != nil && scheduler.now.Sub(scheduler.freeCapacityReportedAt) >= gpuCapacityInterval {
+		scheduler.freeCapacityReportedAt = scheduler.now
+		scheduler.emit(message.GPUFreeCapacityReport{Kinds: scheduler.gpuFreeCapacity(), Migrations: scheduler.controller.migrationsStatus()})
 	}
 }
--- a/internal/controller/partition.go
+++ b/internal/controller/partition.go
@@ -67,11 +67,11 @@
 	// reroutesReportedAt is when another controller last published that machines of this
 	// controller report to it.
 	reroutesReportedAt time.Time
-	// receivesNothingUntil is until when this controller stands down after it gave up its
+	// standDownUntil is until when this controller stands down after it gave up its
 	// roles. unheard means that it did so because the workers didn't receive its messages,
 	// although it received theirs.
-	receivesNothingUntil time.Time
-	unheard              bool
+	standDownUntil  time.Time
+	sendPartitioned bool
 	// reachabilityRequestedAt is when a worker was last polled to find out whether it
 	// receives this controller's messages again.
 	reachabilityRequestedAt time.Time
@@ -90,12 +90,12 @@
 
 // receivePartition reports whether this controller stands down because it was partitioned
 // from the workers.
-func (detector *partitionDetector) receivesNothing(now time.Time) bool {
-	return now.Before(detector.receivesNothingUntil)
+func (detector *partitionDetector) isStandingDown(now time.Time) bool {
+	return now.Before(detector.standDownUntil)
 }
 
-// stepBegan records that this controller runs: while it was paused it could receive nothing.
-func (detector *partitionDetector) stepBegan() { detector.monitor.Ran(detector.now) }
+// recordStep records that this controller runs: while it was paused it could receive nothing.
+func (detector *partitionDetector) recordStep() { detector.monitor.RecordRun(detector.now) }
 
 // requestDelivered records evidence that a message to a worker has arrived.
 func (detector *partitionDetector) requestDelivered() { detector.monitor.RequestDelivered() }
@@ -109,15 +109,15 @@
 func (detector *partitionDetector) heartbeatReceived(heartbeat *model.Heartbeat) {
 	detector.monitor.HeartbeatReceived(detector.now)
 	switch {
-	case !detector.receivesNothing(detector.now):
-	case !detector.unheard:
+	case !detector.isStandingDown(detector.now):
+	case !detector.sendPartitioned:
 		detector.endStandDown()
 	case detector.now.Sub(detector.reachabilityRequestedAt) > probeInterval:
 		// This controller received heartbeats all the time; only a poll shows whether the
 		// worker receives its messages again.
 		detector.reachabilityRequestedAt = detector.now
 		detector.controller.requests.toWorker(message.WorkerRequest{Machine: heartbeat.Machine, Addr: heartbeat.Addr, StatusOnly: true}, func(response message.WorkerResponse) {
-			if response.Heartbeat != nil && detector.receivesNothing(detector.now) {
+			if response.Heartbeat != nil && detector.isStandingDown(detector.now) {
 				detector.endStandDown()
 			}
 		})
@@ -142,7 +142,7 @@
 // endStandDown ends the stand-down: this controller registers again and may hold shards and
 // lead.
 func (detector *partitionDetector) endStandDown() {
-	detector.receivesNothingUntil, detector.unheard = time.Time{}, false
+	detector.standDownUntil, detector.sendPartitioned = time.Time{}, false
 	if detector.controller.membership.leaseID != 0 && detector.controller.membership.loaded {
 		detector.controller.membership.register()
 	}
@@ -253,18 +253,18 @@
 			reporting++
 		}
 	}
-	receivePartition := detector.monitor.ReceivesNothing(detector.now, leader.readyAt, reporting, detector.maxHeartbeatInterval())
+	receivePartition := detector.monitor.ReceivePartitioned(detector.now, leader.readyAt, reporting, detector.maxHeartbeatInterval())
 	if !receivePartition {
 		detector.pollRecentMachines()
 	}
-	if !receivePartition && (reporting < 2 || !detector.monitor.Unheard(detector.now)) {
+	if !receivePartition && (reporting < 2 || !detector.monitor.SendPartitioned(detector.now)) {
 		return
 	}
 	detector.info("shard given up: partitioned from workers", "machines", reporting, "heartbeats_received", !receivePartition)
 	leaseID := members.leaseID
-	detector.reroutesReportedAt, detector.receivesNothingUntil, detector.unheard = time.Time{}, detector.now.Add(partitionStandDown), !receivePartition
+	detector.reroutesReportedAt, detector.standDownUntil, detector.sendPartitioned = time.Time{}, detector.now.Add(partitionStandDown), !receivePartition
 	detector.after(partitionStandDown, func() {
-		if !detector.receivesNothing(detector.now) {
+		if !detector.isStandingDown(detector.now) {
 			detector.endStandDown()
 		}
 	})
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -38,10 +38,10 @@
 	// prewarmedImages are the images of workloads with a bounded wait.
 	prewarmedImages    map[string]bool
 	scarcityByWorkload map[string]map[string]scarcity
-	// full are the kinds of tasks that fit on no machine. In a long queue of similar jobs only
+	// unplaceableShapes are the kinds of tasks that fit on no machine. In a long queue of similar jobs only
 	// the first job rates every machine.
-	full            map[taskShape]bool
-	candidateGroups map[candidateGroupKey]*candidateGroup
+	unplaceableShapes map[taskShape]bool
+	candidateGroups   map[candidateGroupKey]*candidateGroup
 	// packedCandidates lists the GPU machines on which this round placed tasks, in the order of
 	// placement and once for each task.
 	packedCandidates []*candidateMachine
@@ -61,7 +61,7 @@
 	// being fetched.
 	fetchRate  float64
 	fetchCount int
-	// packingKind is the usual demand on machines of this type if they have GPUs, and nil
+	// packingProfile is the usual demand on machines of this type if they have GPUs, and nil
 	// otherwise.
 	packingKind *packing.Profile
 }
@@ -86,31 +86,31 @@
 
 // newPlacementRound lists the usable machines with free capacity and computes the part of their
 // ratings that is the same for all jobs.
-func (s *scheduler) newPlacementRound() *placementRound {
+func (scheduler *scheduler) newPlacementRound() *placementRound {
 	round := &placementRound{
 		prewarmedImages: map[string]bool{}, scarcityByWorkload: map[string]map[string]scarcity{},
-		full: map[taskShape]bool{}, candidateGroups: map[candidateGroupKey]*candidateGroup{},
+		unplaceableShapes: map[taskShape]bool{}, candidateGroups: map[candidateGroupKey]*candidateGroup{},
 	}
-	for _, workload := range s.controller.shardLeader.workloads {
-		if s.waitObjective(workload.spec.Workload) > 0 && s.now.Sub(workload.lastSeen) < workloadRetention {
-			for _, key := range s.controller.shardLeader.fleet.workloadKeysOf(workload.spec.Workload) {
-				for _, arrival := range s.controller.shardLeader.fleet.arrivals[key] {
+	for _, workload := range scheduler.controller.shardLeader.workloads {
+		if scheduler.waitObjective(workload.spec.Workload) > 0 && scheduler.now.Sub(workload.lastSeen) < workloadRetention {
+			for _, key := range scheduler.controller.shardLeader.fleet.workloadKeysOf(workload.spec.Workload) {
+				for _, arrival := range scheduler.controller.shardLeader.fleet.arrivals[key] {
 					round.prewarmedImages[arrival.spec.Image] = true
 				}
 			}
 		}
 	}
-	cheapest, costPenalties, usual := s.controller.knowledge.cheapestCPUCost(), map[machineKind]float64{}, s.currentPackingProfile()
-	for _, machine := range s.controller.shardLeader.machinesByID {
+	cheapest, costPenalties, usual := scheduler.controller.knowledge.cheapestCPUCost(), map[machineKind]float64{}, scheduler.currentPackingProfile()
+	for _, machine := range scheduler.controller.shardLeader.machinesByID {
 		free := machine.free()
-		if free.CPU <= roundingTolerance || free.Memory <= roundingTolerance || !s.usable(machine) {
+		if free.CPU <= roundingTolerance || free.Memory <= roundingTolerance || !scheduler.usable(machine) {
 			continue
 		}
-		candidate := &candidateMachine{machine: machine, index: len(round.candidates), fetchRate: s.controller.knowledge.imageFetchRate(machine), packingKind: usual.kind(machine.machineType)}
+		candidate := &candidateMachine{machine: machine, index: len(round.candidates), fetchRate: scheduler.controller.knowledge.imageFetchRate(machine), packingKind: usual.profileFor(machine.machineType)}
 		key := machineKind{machine.machineType, machine.zone, machine.spot}
 		penalty, ok := costPenalties[key]
 		if !ok {
-			penalty = expensivePenalty.Seconds() * (s.controller.knowledge.costPerCPU(machine)/cheapest - 1)
+			penalty = expensivePenalty.Seconds() * (scheduler.controller.knowledge.costPerCPU(machine)/cheapest - 1)
 			costPenalties[key] = penalty
 		}
 		candidate.costPenalty = penalty
@@ -140,10 +140,10 @@
 
 // scarcityFor returns scarcityOf for the job. For jobs whose tasks may run on any machine type, the
 // result is computed once per round and workload.
-func (s *scheduler) scarcityFor(round *placementRound, job *job) map[string]scarcity {
+func (scheduler *scheduler) scarcityFor(round *placementRound, job *job) map[string]scarcity {
 	byType, ok := round.scarcityByWorkload[job.Workload]
 	if !ok || len(job.MachineTypes) > 0 {
-		byType = s.scarcityOf(&job.JobSpec)
+		byType = scheduler.scarcityOf(&job.JobSpec)
 		if len(job.MachineTypes) == 0 {
 			round.scarcityByWorkload[job.Workload] = byType
 		}
@@ -160,8 +160,8 @@
 }
 
 // leftWaiting reports whether the job is left waiting; see leftWaitingAfter.
-func (s *scheduler) leftWaiting(job *job) bool {
-	return !job.waitingSince.IsZero() && s.now.Sub(later(job.waitingSince, job.lastPlacedAt)) > leftWaitingAfter
+func (scheduler *scheduler) leftWaiting(job *job) bool {
+	return !job.waitingSince.IsZero() && scheduler.now.Sub(later(job.waitingSince, job.lastPlacedAt)) > leftWaitingAfter
 }
 
 // candidateGroup holds the machines with capacity for one kind of task: one heap for each fetch
@@ -169,8 +169,8 @@
 // capacity and fetch images, so the first machine of a heap is rated again before use.
 type candidateGroup struct {
 	byFetchTime []*fetchTimeHeap
-	// run is the expected run time in seconds.
-	run         float64
+	// runSeconds is the expected run time in seconds.
+	runSeconds  float64
 	boundedWait bool
 	// leftWaiting allows the job to use machines under decommission.
 	leftWaiting bool
@@ -226,24 +226,24 @@
 
 // candidateGroupFor returns the group of machines for a job's tasks. Similar jobs share a group,
 // except a job that is placed as overdue, or whose tasks depend on the zones of its other tasks.
-func (s *scheduler) candidateGroupFor(round *placementRound, job *job) *candidateGroup {
-	key := candidateGroupKey{job.taskShape(), job.Image, job.ImageGB, s.leftWaiting(job)}
+func (scheduler *scheduler) candidateGroupFor(round *placementRound, job *job) *candidateGroup {
+	key := candidateGroupKey{job.taskShape(), job.Image, job.ImageGB, scheduler.leftWaiting(job)}
 	unshared := job.SameZone || job.SpreadZones || job.placingOverdue
 	if group := round.candidateGroups[key]; group != nil && !unshared {
-		s.reratePacked(round, group, job)
+		scheduler.reratePacked(round, group, job)
 		return group
 	}
 	group := &candidateGroup{
-		run: s.controller.knowledge.expectedRunTime(job).Seconds(), boundedWait: s.waitObjective(job.Workload) > 0,
-		leftWaiting: key.leftWaiting, avoidGPUs: s.avoidsGPUsNow(job), packedSeen: len(round.packedCandidates),
+		runSeconds: scheduler.controller.knowledge.expectedRunTime(job).Seconds(), boundedWait: scheduler.waitObjective(job.Workload) > 0,
+		leftWaiting: key.leftWaiting, avoidGPUs: scheduler.avoidsGPUsNow(job), packedSeen: len(round.packedCandidates),
 	}
 	if !job.placingOverdue {
 		// An overdue job does not keep scarce machines free for workloads that fit fewer
 		// types.
-		group.scarcity = s.scarcityFor(round, job)
+		group.scarcity = scheduler.scarcityFor(round, job)
 	}
 	for _, candidate := range round.candidates {
-		if score, ok := group.rate(s, job, candidate); ok {
+		if score, ok := group.rate(scheduler, job, candidate); ok {
 			group.push(candidate.fetchSeconds(job), ratedCandidate{candidate, score})
 		}
 	}
@@ -273,8 +273,8 @@
 	if !group.boundedWait && candidate.holdsPrewarmed {
 		score += prewarmedPenalty.Seconds()
 	}
-	if machine.speedN >= slowSeen && machine.speed > slowMachine {
-		score += group.run * (machine.speed - 1)
+	if machine.speedSamples >= minSpeedSamples && machine.speed > slowMachineRatio {
+		score += group.runSeconds * (machine.speed - 1)
 	}
 	if typeScarcity == scarceSoon {
 		score += scarcePenalty.Seconds()
@@ -324,16 +324,16 @@
 
 // placeJob places up to count pending tasks of a job on machines that need at most fetch to have
 // the image.
-func (s *scheduler) placeJob(job *job, round *placementRound, fetch time.Duration, count int) {
-	if count <= 0 || job.pendingTasks() == 0 || !s.withinQuotaLimit(job) {
+func (scheduler *scheduler) placeJob(job *job, round *placementRound, fetch time.Duration, count int) {
+	if count <= 0 || job.pendingTasks() == 0 || !scheduler.withinQuotaLimit(job) {
 		return
 	}
 	shape := job.taskShape()
-	leftWaiting := s.leftWaiting(job)
-	if round.full[shape] && !job.placingOverdue && !leftWaiting {
+	leftWaiting := scheduler.leftWaiting(job)
+	if round.unplaceableShapes[shape] && !job.placingOverdue && !leftWaiting {
 		return
 	}
-	candidates := s.candidateGroupFor(round, job)
+	candidates := scheduler.candidateGroupFor(round, job)
 	maxFetchSeconds := fetch.Seconds()
 	// Tasks that avoid the only machines with capacity must not block the job's other tasks.
 	var skipped []int
@@ -342,22 +342,22 @@
 			job.requeued = append(skipped, job.requeued...)
 		}
 	}()
-	for ; count > 0 && job.pendingTasks() > 0 && s.withinQuotaLimit(job); count-- {
-		if leftWaiting && !s.leftWaiting(job) {
+	for ; count > 0 && job.pendingTasks() > 0 && scheduler.withinQuotaLimit(job); count-- {
+		if leftWaiting && !scheduler.leftWaiting(job) {
 			// A task was placed, so the job is not left waiting any more and loses
 			// access to machines under decommission.
-			leftWaiting, candidates = false, s.candidateGroupFor(round, job)
+			leftWaiting, candidates = false, scheduler.candidateGroupFor(round, job)
 		}
-		index := job.takePending(s.now)
+		index := job.takePending(scheduler.now)
 		if index < 0 {
 			return
 		}
 		task := &job.tasks[index]
 		var avoided []ratedCandidate
-		fetchHeap, ok := candidates.best(s, job, maxFetchSeconds)
+		fetchHeap, ok := candidates.best(scheduler, job, maxFetchSeconds)
 		for ok && task.avoids(fetchHeap.elems[0].candidate.machine.id) {
 			avoided = append(avoided, fetchHeap.pop())
-			fetchHeap, ok = candidates.best(s, job, maxFetchSeconds)
+			fetchHeap, ok = candidates.best(scheduler, job, maxFetchSeconds)
 		}
 		if !ok {
 			for _, avoidedCandidate := range avoided {
@@ -368,12 +368,12 @@
 				continue
 			}
 			if fetch == forever && len(avoided) == 0 && !job.SameZone && !job.SpreadZones && !leftWaiting {
-				round.full[shape] = true
+				round.unplaceableShapes[shape] = true
 			}
 			return
 		}
 		candidate := fetchHeap.elems[0].candidate
-		s.startAttempt(job, index, candidate.machine)
+		scheduler.startAttempt(job, index, candidate.machine)
 		candidate.scanImages(round)
 		if candidate.packingKind != nil {
 			round.packedCandidates = append(round.packedCandidates, candidate)
@@ -386,25 +386,25 @@
 
 // startAttempt creates a new live attempt of a task on a machine. The start command is sent once
 // the record of the attempt is durable.
-func (s *scheduler) startAttempt(job *job, index int, machine *machine) {
-	task, groupID := &job.tasks[index], s.now.UnixMilli()
+func (scheduler *scheduler) startAttempt(job *job, index int, machine *machine) {
+	task, groupID := &job.tasks[index], scheduler.now.UnixMilli()
 	taskGroup := job.groups[groupID]
 	if taskGroup == nil {
-		taskGroup = &group{startedAt: s.now}
+		taskGroup = &group{startedAt: scheduler.now}
 		job.groups[groupID] = taskGroup
 	}
 	taskGroup.tasks = append(taskGroup.tasks, index)
 	task.attempt++
-	job.lastPlacedAt = s.now
-	if pause := s.controller.shardLeader.faultAttribution.RetryBackoff(job.ID); pause > 0 {
-		job.notBefore = later(job.notBefore, s.now.Add(s.jitter(pause)))
+	job.lastPlacedAt = scheduler.now
+	if pause := scheduler.controller.shardLeader.faultAttribution.RetryBackoff(job.ID); pause > 0 {
+		job.notBefore = later(job.notBefore, scheduler.now.Add(scheduler.jitter(pause)))
 	}
 	task.groupStart = groupID
-	task.rankingRevision = s.controller.ranking.modRevision
+	task.rankingRevision = scheduler.controller.ranking.modRevision
 	task.startSent, task.reported, task.inherited, task.missedStarts, task.startUnanswered = false, false, false, 0, false
-	s.controller.shardLeader.attachAttempt(job, index, machine)
-	machine.lastPlacedAt = s.now
-	machine.noteImage(job, s.now, false)
-	job.markChanged(index, s.now, true)
-	s.debug("task placed", "job", job.ID, "task", index, "try", task.attempt, "machine", machine.id, "ranking", task.rankingRevision)
+	scheduler.controller.shardLeader.attachAttempt(job, index, machine)
+	machine.lastPlacedAt = scheduler.now
+	machine.noteImage(job, scheduler.now, false)
+	job.markChanged(index, scheduler.now, true)
+	scheduler.debug("task placed", "job", job.ID, "task", index, "try", task.attempt, "machine", machine.id, "ranking", task.rankingRevision)
 }
--- a/internal/controller/planning_pass.go
+++ b/internal/controller/planning_pass.go
@@ -48,28 +48,28 @@
 }
 
 // setView replaces the view with what the leader has published.
-func (f *fleetPlanner) setView(view *fleetView) { f.view = view }
+func (planner *fleetPlanner) setView(view *fleetView) { planner.view = view }
 
 // pausePlanning delays the next slice of a planning pass until the given time.
-func (f *fleetPlanner) pausePlanning(until time.Time) { f.planningPassAt = until }
+func (planner *fleetPlanner) pausePlanning(until time.Time) { planner.planningPassAt = until }
 
 // requestRelease asks the leader to return a machine to the cloud.
-func (f *fleetPlanner) requestRelease(id string) {
-	f.machinesToRelease = append(f.machinesToRelease, id)
+func (planner *fleetPlanner) requestRelease(id string) {
+	planner.machinesToRelease = append(planner.machinesToRelease, id)
 }
 
 // takeReleases returns the machines to release and clears the list.
-func (f *fleetPlanner) takeReleases() []string {
-	ids := f.machinesToRelease
-	f.machinesToRelease = nil
+func (planner *fleetPlanner) takeReleases() []string {
+	ids := planner.machinesToRelease
+	planner.machinesToRelease = nil
 	return ids
 }
 
 // recordNeverReady counts a machine that was given up before it was ready, and adds its cost to the
 // total.
-func (f *fleetPlanner) recordNeverReady(cost float64) {
-	f.neverReadyCount++
-	f.neverReadyCost += cost
+func (planner *fleetPlanner) recordNeverReady(cost float64) {
+	planner.neverReadyCount++
+	planner.neverReadyCost += cost
 }
 
 // planningPass is a scan of the fleet that runs in slices, because simulating a large pool takes
@@ -80,10 +80,10 @@
 type planningPass struct {
 	next func() (struct{}, bool)
 	stop func()
-	// used is the number of units of planning spent in the current slice; sliceLimit is the
+	// spentUnits is the number of units of planning spent in the current slice; sliceLimit is the
 	// number allowed.
-	used, sliceLimit int
-	stopped          bool
+	spentUnits, sliceLimit int
+	stopped                bool
 }
 
 // newPlanningPass returns a pass over scan. scan does not start before the first call of run.
@@ -91,8 +91,8 @@
 	pass := &planningPass{}
 	pass.next, pass.stop = iter.Pull(func(yield func(struct{}) bool) {
 		scan(func(units int) bool {
-			pass.used += units
-			if pass.stopped || pass.used < pass.sliceLimit {
+			pass.spentUnits += units
+			if pass.stopped || pass.spentUnits < pass.sliceLimit {
 				return !pass.stopped
 			}
 			// After yield has returned false it must not be called again.
@@ -105,115 +105,115 @@
 
 // run continues the pass for one slice and reports whether the pass has ended.
 func (pass *planningPass) run(slice int) bool {
-	pass.used, pass.sliceLimit = 0, slice
+	pass.spentUnits, pass.sliceLimit = 0, slice
 	_, more := pass.next()
 	return !more
 }
 
 // planFleet continues the planning pass for one slice. If no pass is in progress, it begins one if
 // startNew is set.
-func (f *fleetPlanner) planFleet(startNew bool) {
-	if f.planningPass == nil && (!startNew || !f.beginPlanningPass()) {
+func (planner *fleetPlanner) planFleet(startNew bool) {
+	if planner.planningPass == nil && (!startNew || !planner.beginPlanningPass()) {
 		return
 	}
-	if f.now.Before(f.planningPassAt) {
+	if planner.now.Before(planner.planningPassAt) {
 		return
 	}
-	if f.now.After(f.controller.membership.leaseValidUntil) {
+	if planner.now.After(planner.controller.membership.leaseValidUntil) {
 		// Another shard leader may have taken over, so this one must not make further
 		// requests.
-		f.endPlanningPass()
+		planner.endPlanningPass()
 		return
 	}
-	pass := f.planningPass
-	if pass.run(f.controller.planning.slices.Slice()) {
-		f.planningPass, f.plannedAt = nil, f.now
+	pass := planner.planningPass
+	if pass.run(planner.controller.planning.slices.Slice()) {
+		planner.planningPass, planner.plannedAt = nil, planner.now
 	}
-	f.controller.planning.noteSlice(pass.used)
+	planner.controller.planning.noteSlice(pass.spentUnits)
 }
 
 // beginPlanningPass prepares a new pass and clears the requests of the last one. It reports whether
 // there is a pass to run: there is none within leaderPeriod of the last pass, and none without a
 // fresh view and a valid lease.
-func (f *fleetPlanner) beginPlanningPass() bool {
-	if f.now.Sub(f.plannedAt) < leaderPeriod {
+func (planner *fleetPlanner) beginPlanningPass() bool {
+	if planner.now.Sub(planner.plannedAt) < leaderPeriod {
 		return false
 	}
-	f.plannedAt = f.now
-	if !f.refreshFleetView() {
+	planner.plannedAt = planner.now
+	if !planner.refreshFleetView() {
 		return false
 	}
-	f.capacityRequests, f.machinesToRelease, f.surplus = nil, nil, nil
-	if f.view == nil || f.now.Sub(f.view.receivedAt) > updateTTL || f.now.After(f.controller.membership.leaseValidUntil) {
+	planner.capacityRequests, planner.machinesToRelease, planner.surplus = nil, nil, nil
+	if planner.view == nil || planner.now.Sub(planner.view.receivedAt) > updateTTL || planner.now.After(planner.controller.membership.leaseValidUntil) {
 		return false
 	}
-	f.leaderUpdateSeq = f.view.seq
-	f.planningPass = newPlanningPass(f.scanFleet)
-	f.planningPassAt = f.now
+	planner.leaderUpdateSeq = planner.view.seq
+	planner.planningPass = newPlanningPass(planner.scanFleet)
+	planner.planningPassAt = planner.now
 	return true
 }
 
 // endPlanningPass aborts a pass in progress. It must be called before a shard leader is dropped,
 // since the coroutine would never end otherwise.
-func (f *fleetPlanner) endPlanningPass() {
-	if f.planningPass != nil {
-		f.planningPass.stop()
-		f.planningPass = nil
+func (planner *fleetPlanner) endPlanningPass() {
+	if planner.planningPass != nil {
+		planner.planningPass.stop()
+		planner.planningPass = nil
 	}
 }
 
 // refreshFleetView rebuilds the view if this controller is itself the leader, and reports whether
 // planning may continue: it may not before the leader has listed the machines.
-func (f *fleetPlanner) refreshFleetView() bool {
-	leader := f.controller.leader
+func (planner *fleetPlanner) refreshFleetView() bool {
+	leader := planner.controller.leader
 	if leader == nil {
 		return true
 	}
 	if !leader.hasListed {
 		return false
 	}
-	view := &fleetView{receivedAt: f.now, rentals: map[string]*rental{}, blockedUntil: leader.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
-	for _, surplus := range leader.surplusExcept(f.settings.Host) {
+	view := &fleetView{receivedAt: planner.now, rentals: map[string]*rental{}, blockedUntil: leader.blockedUntil, pendingRentals: map[machineKind]int{}, surplus: map[machineKind]int{}}
+	for _, surplus := range leader.surplusExcept(planner.settings.Host) {
 		view.surplus[machineKind{surplus.MachineType, surplus.Zone, surplus.Spot}] = surplus.Count
 	}
 	for machineID, rental := range leader.rentals {
-		if rental.releasedAt.IsZero() && leader.assignedHost(machineID) == f.settings.Host {
+		if rental.releasedAt.IsZero() && leader.assignedHost(machineID) == planner.settings.Host {
 			view.rentals[machineID] = rental
 		}
 	}
 	for pending, count := range leader.pendingRentals {
-		if pending.owner == f.settings.Host {
+		if pending.owner == planner.settings.Host {
 			view.pendingRentals[pending.machineKind] = count
 		}
 	}
-	f.setView(view)
+	planner.setView(view)
 	return true
 }
 
 // scanFleet runs a whole planning pass. charge yields between slices; a pass that charge has
 // stopped makes no further requests.
-func (f *fleetPlanner) scanFleet(charge chargeFunc) {
-	shardLeader := f.controller.shardLeader
+func (planner *fleetPlanner) scanFleet(charge chargeFunc) {
+	shardLeader := planner.controller.shardLeader
 	// The live tasks and their expected ends are the same for all parts of the pass, so all
 	// parts share one simulation.
-	sim := f.futureFreeCapacity()
+	sim := planner.futureFreeCapacity()
 	if !charge(len(sim.machines)) {
 		return
 	}
-	f.setNeverReadyKinds(f.kindsNeverReady())
-	if f.now.Sub(f.decommissionedAt) >= leaderPeriod*time.Duration(1+len(shardLeader.machinesByID)/slowDecommissionSize) {
-		f.decommissionExpensive(sim, charge)
-		f.decommissionedAt = f.now
+	planner.setNeverReadyKinds(planner.kindsNeverReady())
+	if planner.now.Sub(planner.decommissionedAt) >= leaderPeriod*time.Duration(1+len(shardLeader.machinesByID)/slowDecommissionSize) {
+		planner.decommissionExpensive(sim, charge)
+		planner.decommissionedAt = planner.now
 	}
-	surplus := f.surplusMachines(sim, charge)
+	surplus := planner.surplusMachines(sim, charge)
 	if !charge(0) {
 		return
 	}
-	f.surplus = f.surplusForOthers(surplus)
-	f.selectReleases(surplus)
-	requests := f.planScaleOut(sim, charge)
+	planner.surplus = planner.surplusForOthers(surplus)
+	planner.selectReleases(surplus)
+	requests := planner.planScaleOut(sim, charge)
 	if !charge(0) {
 		return
 	}
-	f.capacityRequests = requests
+	planner.capacityRequests = requests
 }
--- a/internal/controller/planning_pass_test.go
+++ b/internal/controller/planning_pass_test.go
@@ -18,8 +18,8 @@
 	controller.shardLeader.fleet.planningPass = newPlanningPass(controller.shardLeader.fleet.scanFleet)
 	slices := 1
 	for ; !controller.shardLeader.fleet.planningPass.run(1000); slices++ {
-		if controller.shardLeader.fleet.planningPass.used > 2000+len(controller.shardLeader.machinesByID) {
-			t.Fatalf("got %d units in a slice of 1000, want at most %d", controller.shardLeader.fleet.planningPass.used, 2000+len(controller.shardLeader.machinesByID))
+		if controller.shardLeader.fleet.planningPass.spentUnits > 2000+len(controller.shardLeader.machinesByID) {
+			t.Fatalf("got %d units in a slice of 1000, want at most %d", controller.shardLeader.fleet.planningPass.spentUnits, 2000+len(controller.shardLeader.machinesByID))
 		}
 		if slices > 10_000 {
 			t.Fatalf("scan has not ended after %d slices", slices)
--- a/internal/controller/planning_throttle.go
+++ b/internal/controller/planning_throttle.go
@@ -14,10 +14,10 @@
 type planningThrottle struct {
 	component
 
-	// slices determines the size of the next slice. lastSliceWork is the number of units spent
+	// slices determines the size of the next slice. lastSliceUnits is the number of units spent
 	// by the slice in the last step, 0 if the step had none.
-	slices        throttle.SliceBudget
-	lastSliceWork int
+	slices         throttle.SliceBudget
+	lastSliceUnits int
 	// placementRan is set if the last step contained a placement round.
 	placementRan bool
 }
@@ -26,7 +26,7 @@
 func (planning *planningThrottle) notePlacementRound() { planning.placementRan = true }
 
 // noteSlice records the units spent by the planning slice in this step.
-func (planning *planningThrottle) noteSlice(work int) { planning.lastSliceWork = work }
+func (planning *planningThrottle) noteSlice(work int) { planning.lastSliceUnits = work }
 
 // recordStep records how long the last step took, including sending all its effects.
 func (planning *planningThrottle) recordStep(d time.Duration) {
@@ -34,11 +34,11 @@
 		planning.controller.shardLeader.scheduler.recordRoundDuration(d)
 	}
 	planning.placementRan = false
-	if planning.lastSliceWork == 0 {
+	if planning.lastSliceUnits == 0 {
 		return
 	}
-	pause := planning.slices.Record(planning.lastSliceWork, d)
-	planning.lastSliceWork = 0
+	pause := planning.slices.Record(planning.lastSliceUnits, d)
+	planning.lastSliceUnits = 0
 	if planning.controller.shardLeader != nil {
 		planning.controller.shardLeader.fleet.pausePlanning(planning.now.Add(d + pause))
 	}
--- a/internal/controller/preemption.go
+++ b/internal/controller/preemption.go
@@ -20,10 +20,10 @@
 
 // preemptIfDue calls preempt for a job unless it did so within preemptionInterval. It returns for
 // how many of the job's pending tasks capacity is about to become free.
-func (s *scheduler) preemptIfDue(job *job, fetch time.Duration) int {
-	if s.now.Sub(job.lastPreemptionScan) >= preemptionInterval {
-		job.lastPreemptionScan = s.now
-		job.preemptionCapacity = s.preempt(job, fetch)
+func (scheduler *scheduler) preemptIfDue(job *job, fetch time.Duration) int {
+	if scheduler.now.Sub(job.lastPreemptionScan) >= preemptionInterval {
+		job.lastPreemptionScan = scheduler.now
+		job.preemptionCapacity = scheduler.preempt(job, fetch)
 	}
 	return min(job.preemptionCapacity, job.pendingTasks())
 }
@@ -32,17 +32,17 @@
 // again and again and never finish.
 const maxPreemptions = 2
 
-// hasMaxPreemptions reports whether the only live task of an overdue job must not be preempted
+// preemptionLimitReached reports whether the only live task of an overdue job must not be preempted
 // because the tasks of the job were preempted maxPreemptions times in total. Without this rule each
 // task of the job would be stopped in turn: as soon as the job has no live task, the machine of the
 // stopped task is reserved for it, so the preempting job gains nothing, and the next task is
 // stopped there.
-func (s *scheduler) hasMaxPreemptions(job *job) bool {
+func (scheduler *scheduler) preemptionLimitReached(job *job) bool {
 	if job.liveTasks != 1 {
 		return false
 	}
-	bound, _ := s.controller.ranking.waitBound(job)
-	if agingJob := (aging.Job{Waited: s.waitTime(job), MaxWait: bound, WaitingTasks: 1}); !agingJob.Overdue() {
+	bound, _ := scheduler.controller.ranking.waitBound(job)
+	if agingJob := (aging.Job{Waited: scheduler.waitTime(job), MaxWait: bound, WaitingTasks: 1}); !agingJob.Overdue() {
 		return false
 	}
 	stops := 0
@@ -55,25 +55,25 @@
 // preemptionVictimsOn picks the tasks on a machine that have to be stopped so that one task of the
 // job fits, those with the least lost run time first. free is the machine's capacity without these
 // stops. It returns the tasks, the run time lost, and whether the task of the job then fits.
-func (s *scheduler) preemptionVictimsOn(job *job, machine *machine, free model.Resources) ([]*task, time.Duration, bool) {
+func (scheduler *scheduler) preemptionVictimsOn(job *job, machine *machine, free model.Resources) ([]*task, time.Duration, bool) {
 	type victim struct {
 		t    *task
 		need model.Resources
 		loss time.Duration
 	}
 	var candidates []victim
-	nonGPUOnly := s.preemptsOnlyNonGPU(job)
+	nonGPUOnly := scheduler.preemptsOnlyNonGPU(job)
 	preemptible := machine.attemptsWhere(func(task *task) bool { return task.stopReason == stopNone && task.preemptions < maxPreemptions })
 	for _, key := range preemptible {
 		task := machine.attempts[key]
-		other := s.controller.shardLeader.jobs[key.job]
-		if other.Urgency >= job.Urgency || other.Gang || other.LongRunning || s.hasMaxPreemptions(other) || s.controller.ranking.rankOf(other) < s.controller.ranking.rankOf(job) ||
+		other := scheduler.controller.shardLeader.jobs[key.job]
+		if other.Urgency >= job.Urgency || other.Gang || other.LongRunning || scheduler.preemptionLimitReached(other) || scheduler.controller.ranking.rankOf(other) < scheduler.controller.ranking.rankOf(job) ||
 			nonGPUOnly && other.Need.GPU > roundingTolerance {
 			continue
 		}
 		var loss time.Duration
 		if !task.startedAt.IsZero() {
-			loss = s.now.Sub(task.startedAt)
+			loss = scheduler.now.Sub(task.startedAt)
 			if other.CheckpointInterval > 0 {
 				loss = min(loss%other.CheckpointInterval, other.CheckpointCost)
 			}
@@ -100,7 +100,7 @@
 // It is a cache, since scanning all live tasks for each pending job would take longer than the
 // bounded wait. Its machines are checked again before use.
 type preemptionVictims struct {
-	at time.Time
+	scannedAt time.Time
 	// withCapacity are machines with enough free capacity; withVictims are machines where tasks
 	// may be stopped, ordered by the run time lost, the least first.
 	withCapacity []*machine
@@ -115,36 +115,36 @@
 
 // preemptionVictimsFor returns the cached victims for a job, or scans for them if the cache entry
 // is older than preemptionInterval.
-func (s *scheduler) preemptionVictimsFor(job *job) *preemptionVictims {
-	shardLeader := s.controller.shardLeader
+func (scheduler *scheduler) preemptionVictimsFor(job *job) *preemptionVictims {
+	shardLeader := scheduler.controller.shardLeader
 	key := preemptionVictimsKey{job.taskShape(), job.Urgency}
-	victims := s.preemptionVictims[key]
-	if victims != nil && s.now.Sub(victims.at) < preemptionInterval {
+	victims := scheduler.preemptionVictims[key]
+	if victims != nil && scheduler.now.Sub(victims.scannedAt) < preemptionInterval {
 		return victims
 	}
-	victims = &preemptionVictims{at: s.now}
-	if s.preemptionVictims == nil {
-		s.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
+	victims = &preemptionVictims{scannedAt: scheduler.now}
+	if scheduler.preemptionVictims == nil {
+		scheduler.preemptionVictims = map[preemptionVictimsKey]*preemptionVictims{}
 	}
-	for oldKey, old := range s.preemptionVictims {
-		if s.now.Sub(old.at) > workloadRetention {
-			delete(s.preemptionVictims, oldKey)
+	for oldKey, old := range scheduler.preemptionVictims {
+		if scheduler.now.Sub(old.scannedAt) > workloadRetention {
+			delete(scheduler.preemptionVictims, oldKey)
 		}
 	}
-	s.preemptionVictims[key] = victims
+	scheduler.preemptionVictims[key] = victims
 	type choice struct {
 		m    *machine
 		loss time.Duration
 	}
 	var choices []choice
-	avoidGPUs := s.avoidsGPUsNow(job)
+	avoidGPUs := scheduler.avoidsGPUsNow(job)
 	for _, machine := range shardLeader.machinesByID {
-		if !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !s.usable(machine) || !s.gpuPolicyAllows(avoidGPUs, machine) {
+		if !job.allowsMachine(machine.machineType, machine.zone, machine.spot) || !scheduler.usable(machine) || !scheduler.gpuPolicyAllows(avoidGPUs, machine) {
 			continue
 		}
-		if free := s.freeAfterPreemption(machine); job.Need.Fits(free) {
+		if free := scheduler.freeAfterPreemption(machine); job.Need.Fits(free) {
 			victims.withCapacity = append(victims.withCapacity, machine)
-		} else if _, loss, ok := s.preemptionVictimsOn(job, machine, free); ok {
+		} else if _, loss, ok := scheduler.preemptionVictimsOn(job, machine, free); ok {
 			choices = append(choices, choice{machine, loss})
 		}
 	}
@@ -157,11 +157,11 @@
 
 // freeAfterPreemption returns the free capacity of a machine plus the capacity of preempted tasks
 // that are about to end.
-func (s *scheduler) freeAfterPreemption(machine *machine) model.Resources {
+func (scheduler *scheduler) freeAfterPreemption(machine *machine) model.Resources {
 	free := machine.free()
 	for key, task := range machine.attempts {
-		if task.stopReason == stopPreempt && s.now.Sub(task.stoppedAt) < stopTimeout {
-			free = free.AddScaled(s.controller.shardLeader.jobs[key.job].Need, 1)
+		if task.stopReason == stopPreempt && scheduler.now.Sub(task.stoppedAt) < stopTimeout {
+			free = free.AddScaled(scheduler.controller.shardLeader.jobs[key.job].Need, 1)
 		}
 	}
 	return free
@@ -171,21 +171,21 @@
 // at most fetch to have the image. It stops the tasks with the least lost run time first. It
 // returns for how many of the job's tasks capacity is about to become free, through these stops and
 // earlier ones.
-func (s *scheduler) preempt(job *job, fetch time.Duration) int {
+func (scheduler *scheduler) preempt(job *job, fetch time.Duration) int {
 	remaining := job.pendingTasks()
-	if !s.withinQuotaLimit(job) {
+	if !scheduler.withinQuotaLimit(job) {
 		return 0
 	}
-	victims := s.preemptionVictimsFor(job)
+	victims := scheduler.preemptionVictimsFor(job)
 	suits := func(machine *machine) bool {
-		return !machine.removed && s.usable(machine) && !machine.reservedForOther(job) && job.zoneAllowed(machine.zone) && s.controller.knowledge.fetchTime(machine, job) <= fetch
+		return !machine.removed && scheduler.usable(machine) && !machine.reservedForOther(job) && job.zoneAllowed(machine.zone) && scheduler.controller.knowledge.fetchTime(machine, job) <= fetch
 	}
 	for _, machine := range victims.withCapacity {
 		if remaining > 0 && suits(machine) {
-			remaining -= s.freeAfterPreemption(machine).FitCount(job.Need)
+			remaining -= scheduler.freeAfterPreemption(machine).FitCount(job.Need)
 		}
 	}
-	maxLoss := s.maxPreemptionLoss(job)
+	maxLoss := scheduler.maxPreemptionLoss(job)
 	for _, machine := range victims.withVictims {
 		if remaining <= 0 {
 			break
@@ -193,24 +193,24 @@
 		if !suits(machine) {
 			continue
 		}
-		free := s.freeAfterPreemption(machine)
+		free := scheduler.freeAfterPreemption(machine)
 		if count := free.FitCount(job.Need); count > 0 {
 			// Capacity has become free since the scan: tasks have ended or were stopped
 			// for another job.
 			remaining -= count
 			continue
 		}
-		tasks, loss, ok := s.preemptionVictimsOn(job, machine, free)
+		tasks, loss, ok := scheduler.preemptionVictimsOn(job, machine, free)
 		if !ok || loss > maxLoss {
 			continue
 		}
 		for _, task := range tasks {
-			task.stopReason, task.stoppedAt = stopPreempt, s.now
+			task.stopReason, task.stoppedAt = stopPreempt, scheduler.now
 			task.preemptions++
 		}
-		s.controller.markDispatchPending(machine)
+		scheduler.controller.markDispatchPending(machine)
 		remaining--
-		s.debug("tasks preempted", "for", job.ID, "machine", machine.id, "stopped", len(tasks), "loss", loss)
+		scheduler.debug("tasks preempted", "for", job.ID, "machine", machine.id, "stopped", len(tasks), "loss", loss)
 	}
 	return job.pendingTasks() - max(remaining, 0)
 }
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -24,7 +24,7 @@
 	return prefix, value, len(digits), err == nil
 }
 
-// prewarmedImageOverhead is the size of an image in a record's JSON without its name and its machines, in
+// prewarmedImageOverhead is the size of an image in a record's JSONSize without its name and its machines, in
 // bytes.
 const prewarmedImageOverhead = 32
 
@@ -132,6 +132,6 @@
 		return
 	}
 	for name, gb := range p.prewarmedImages[m.id] {
-		m.images[name] = &image{sizeGB: gb, last: p.controller.shardLeader.readyAt, cached: true}
+		m.images[name] = &image{sizeGB: gb, lastUsedAt: p.controller.shardLeader.readyAt, cached: true}
 	}
 }
--- a/internal/controller/promise_quotes.go
+++ b/internal/controller/promise_quotes.go
@@ -92,8 +92,8 @@
 // machine of the average type: whether images are already cached shows in the durations from which
 // quotes learn.
 func (promises *promiseState) promiseJob(spec *model.JobSpec) promise.Job {
-	if promises.fetchTypeCount != len(promises.controller.knowledge.machineTypes) {
-		promises.fetchTypeCount, promises.perGB = len(promises.controller.knowledge.machineTypes), 0
+	if promises.ratedTypeCount != len(promises.controller.knowledge.machineTypes) {
+		promises.ratedTypeCount, promises.fetchSecondsPerGB = len(promises.controller.knowledge.machineTypes), 0
 		rate, kinds := 0.0, 0.0
 		for _, name := range sortedKeys(promises.controller.knowledge.machineTypes) {
 			if machineType := promises.controller.knowledge.machineTypes[name]; machineType.ImageFetchRate > 0 {
@@ -101,10 +101,10 @@
 			}
 		}
 		if rate > 0 {
-			promises.perGB = kinds / rate
+			promises.fetchSecondsPerGB = kinds / rate
 		}
 	}
-	return promise.Job{Team: spec.Team, Class: spec.Workload, Tasks: spec.Tasks, Expected: spec.ExpectedRunTime, Standing: spec.LongRunning, FetchTime: record.DurationOfSeconds(spec.ImageGB * promises.perGB)}
+	return promise.Job{Team: spec.Team, Class: spec.Workload, Tasks: spec.Tasks, Expected: spec.ExpectedRunTime, LongRunning: spec.LongRunning, FetchTime: record.DurationOfSeconds(spec.ImageGB * promises.fetchSecondsPerGB)}
 }
 
 // quoteDate returns the date for a job that is accepted here, as a time from its submission, or 0
--- a/internal/controller/promises.go
+++ b/internal/controller/promises.go
@@ -66,10 +66,10 @@
 	// totals is the leader's count of dates kept and broken.
 	totals totalsTracker
 
-	// perGB is how many seconds a machine of the average type takes to fetch 1 GB of an image. It
-	// was computed when fetchTypeCount machine types were known.
-	perGB          float64
-	fetchTypeCount int
+	// fetchSecondsPerGB is how many seconds a machine of the average type takes to fetch 1 GB of an image. It
+	// was computed when ratedTypeCount machine types were known.
+	fetchSecondsPerGB float64
+	ratedTypeCount    int
 }
 
 // dateState is the part of a job that concerns its promised date.
@@ -91,8 +91,8 @@
 	// dateUnreadable says that the job's newest date may be in a page that can't be read. The job
 	// then gets no new date, and none is reported.
 	dateUnreadable bool
-	// allUpAt is when all replicas of a long-running job were first running.
-	allUpAt time.Time
+	// allRunningAt is when all replicas of a long-running job were first running.
+	allRunningAt time.Time
 }
 
 // enabled reports whether dates are promised. If it reports false, no method of promiseState has an
@@ -274,17 +274,17 @@
 func (promises *promiseState) updateDate(job *job) {
 	shardLeader := promises.controller.shardLeader
 	writer := shardLeader.promiseDates.pageWriters[job.Team]
-	if writer == nil || job.cancelled || job.doneTasks == len(job.tasks) || job.elsewhere() || job.dependenciesPending || job.borrowedLoan != "" || job.dateUnreadable || job.Workload == "" {
+	if writer == nil || job.cancelled || job.doneTasks == len(job.tasks) || job.isLentOrLending() || job.dependenciesPending || job.borrowedLoan != "" || job.dateUnreadable || job.Workload == "" {
 		return
 	}
 	quoter, promiseJob := promises.quoterFor(job.Team, true), promises.promiseJob(&job.JobSpec)
 	age := promises.now.Sub(job.submittedAt)
 	if job.LongRunning {
-		if job.allUpAt.IsZero() && job.runningTasks == len(job.tasks) {
-			job.allUpAt = promises.now
+		if job.allRunningAt.IsZero() && job.runningTasks == len(job.tasks) {
+			job.allRunningAt = promises.now
 			promises.learnFromDuration(job, age)
 		}
-		if !job.allUpAt.IsZero() && job.promised.Revision > 0 {
+		if !job.allRunningAt.IsZero() && job.promised.Revision > 0 {
 			return
 		}
 	}
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -26,15 +26,15 @@
 	return estimator
 }
 
-// becameReady records, at a machine's first heartbeat, how long the machine took to become ready. It ignores
+// recordReady records, at a machine's first heartbeat, how long the machine took to become ready. It ignores
 // machines rented before this shard leader was ready, since they may have been running for long.
-func (f *fleetPlanner) becameReady(m *machine) {
-	view := f.view
+func (planner *fleetPlanner) recordReady(m *machine) {
+	view := planner.view
 	if view == nil {
 		return
 	}
-	if rental := view.rentals[m.id]; rental != nil && rental.status == "booting" && rental.rentedAt.After(f.controller.shardLeader.readyAt) {
-		f.controller.knowledge.provisioningOf(rental.machineKind).RecordReady(f.now, f.now.Sub(rental.rentedAt))
+	if rental := view.rentals[m.id]; rental != nil && rental.status == "booting" && rental.rentedAt.After(planner.controller.shardLeader.readyAt) {
+		planner.controller.knowledge.provisioningOf(rental.machineKind).RecordReady(planner.now, planner.now.Sub(rental.rentedAt))
 	}
 }
 
@@ -54,14 +54,14 @@
 }
 
 // expectedFor yields the rentals that are not ready yet, that planning counts on and that a job allows.
-func (f *fleetPlanner) expectedFor(j *job) iter.Seq[*rental] {
+func (planner *fleetPlanner) expectedFor(j *job) iter.Seq[*rental] {
 	return func(yield func(*rental) bool) {
-		if f.view == nil {
+		if planner.view == nil {
 			return
 		}
-		for id, rental := range f.view.rentals {
-			m := f.controller.shardLeader.machines[id]
-			counted := (m == nil || !m.heard) && f.controller.knowledge.isExpected(rental)
+		for id, rental := range planner.view.rentals {
+			m := planner.controller.shardLeader.machines[id]
+			counted := (m == nil || !m.heard) && planner.controller.knowledge.isExpected(rental)
 			if counted && j.allowsMachine(rental.machineType, rental.zone, rental.spot) && !yield(rental) {
 				return
 			}
@@ -75,17 +75,17 @@
 }
 
 // kindsNeverReady returns the kinds whose machines have stopped becoming ready.
-func (f *fleetPlanner) kindsNeverReady() map[machineKind]bool {
-	shardLeader := f.controller.shardLeader
+func (planner *fleetPlanner) kindsNeverReady() map[machineKind]bool {
+	shardLeader := planner.controller.shardLeader
 	provisioning := map[machineKind][]boottime.Provisioning{}
-	for id, r := range f.view.rentals {
+	for id, r := range planner.view.rentals {
 		if m := shardLeader.machines[id]; (m == nil || !m.heard) && !r.releasing && r.status == "booting" && r.rentedAt.After(shardLeader.readyAt) {
 			provisioning[r.machineKind] = append(provisioning[r.machineKind], boottime.Provisioning(r.rentedAt))
 		}
 	}
 	neverReady := map[machineKind]bool{}
 	for k, machines := range provisioning {
-		if f.controller.knowledge.provisioningOf(k).NeverReady(f.now, f.controller.knowledge.machineTypes[k.machineType].ProvisioningTime, machines) {
+		if planner.controller.knowledge.provisioningOf(k).NeverReady(planner.now, planner.controller.knowledge.machineTypes[k.machineType].ProvisioningTime, machines) {
 			neverReady[k] = true
 		}
 	}
@@ -93,16 +93,16 @@
 }
 
 // setNeverReadyKinds stores the result of kindsNeverReady and logs the differences from the previous one.
-func (f *fleetPlanner) setNeverReadyKinds(current map[machineKind]bool) {
+func (planner *fleetPlanner) setNeverReadyKinds(current map[machineKind]bool) {
 	for _, k := range sortedKinds(current) {
-		if !f.neverReadyKinds[k] {
-			f.info("machine kind not becoming ready, other kinds requested instead", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
+		if !planner.neverReadyKinds[k] {
+			planner.info("machine kind not becoming ready, other kinds requested instead", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
 		}
 	}
-	for _, k := range sortedKinds(f.neverReadyKinds) {
+	for _, k := range sortedKinds(planner.neverReadyKinds) {
 		if !current[k] {
-			f.info("machine kind requested again", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
+			planner.info("machine kind requested again", "machine_type", k.machineType, "zone", k.zone, "spot", k.spot)
 		}
 	}
-	f.neverReadyKinds = current
+	planner.neverReadyKinds = current
 }
--- a/internal/controller/publish.go
+++ b/internal/controller/publish.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// machineUpdateTurns is the number of updates, one a second, over which all machines are
+	// machineUpdateParts is the number of updates, one a second, over which all machines are
 	// published once. machineUpdateTTL is how long the peers keep the update of a machine.
-	machineUpdateTurns = 5
+	machineUpdateParts = 5
 	machineUpdateTTL   = 15 * time.Second
 	// loadsPublishInterval is how often the loads of the workloads are published.
 	loadsPublishInterval = 5 * time.Second
@@ -22,9 +22,9 @@
 // part of the machines, so that the updates of a large pool are spread over several seconds.
 func (shardLeader *shardLeader) machineUpdates() []message.MachineUpdate {
 	var out []message.MachineUpdate
-	shardLeader.publishTurn = (shardLeader.publishTurn + 1) % machineUpdateTurns
+	shardLeader.publishPart = (shardLeader.publishPart + 1) % machineUpdateParts
 	for i, machine := range shardLeader.machinesByID {
-		if i%machineUpdateTurns != shardLeader.publishTurn {
+		if i%machineUpdateParts != shardLeader.publishPart {
 			continue
 		}
 		id := machine.id
@@ -146,7 +146,7 @@
 					teamCPU += job.Need.CPU
 				}
 			}
-			candidate.teamFraction = teamCPU / max(machine.used.CPU+machine.othersUsed.CPU, teamCPU, roundingTolerance)
+			candidate.teamFraction = teamCPU / max(machine.used.CPU+machine.otherShardsUsed.CPU, teamCPU, roundingTolerance)
 		}
 		choices = append(choices, candidate)
 	}
--- a/internal/controller/queue_order.go
+++ b/internal/controller/queue_order.go
@@ -16,12 +16,12 @@
 	// start. The size is the time that the whole fleet would need for the job's remaining
 	// tasks.
 	jobSizeWeight = 2
-	// minRunTimeLeft is the fraction of the expected run time that must be left before a
+	// minRunTimeFraction is the fraction of the expected run time that must be left before a
 	// deadline for the scheduler to aim for that deadline. It is below 1 because run times are
 	// uncertain.
-	minRunTimeLeft = 0.7
-	// lastDue is the time from ready to due for a job that misses all its objectives.
-	lastDue = 10 * time.Minute
+	minRunTimeFraction = 0.7
+	// dueAfterMissedObjectives is the time from ready to due for a job that misses all its objectives.
+	dueAfterMissedObjectives = 10 * time.Minute
 	// A job without any objective is due after noObjectiveRuns of its run times, but not before
 	// minNoObjectiveDue.
 	noObjectiveRuns   = 4
@@ -33,14 +33,14 @@
 // latestStart returns when a task of the job should start at the latest to meet the earliest
 // objective that the job can still meet. Jobs are placed in this order. A job that can meet no
 // objective is placed last, since before other jobs it would only make them late as well.
-func (s *scheduler) latestStart(job *job) time.Time {
+func (scheduler *scheduler) latestStart(job *job) time.Time {
 	if job.LongRunning {
 		// Replicas should run at all times.
 		return job.readySince()
 	}
-	runTime := s.controller.knowledge.expectedRunTime(job)
-	earliestEnd := s.now.Add(time.Duration(minRunTimeLeft * float64(runTime)))
-	target := job.readySince().Add(lastDue)
+	runTime := scheduler.controller.knowledge.expectedRunTime(job)
+	earliestEnd := scheduler.now.Add(time.Duration(minRunTimeFraction * float64(runTime)))
+	target := job.readySince().Add(dueAfterMissedObjectives)
 	if earliestEnd.After(target) {
 		target = earliestEnd
 	}
@@ -57,7 +57,7 @@
 	if !job.criticalPath.Due.IsZero() {
 		consider(job.criticalPath.Due)
 	}
-	for _, objective := range s.settings.Objectives {
+	for _, objective := range scheduler.settings.Objectives {
 		switch {
 		case objective.Workload != job.Workload:
 		case objective.Kind == "deadline" && job.Deadline > 0 && objective.DeadlineFactor > 0:
@@ -73,22 +73,22 @@
 }
 
 // withinQuotaLimit reports whether one more task of the job keeps its team within its quota limit.
-func (s *scheduler) withinQuotaLimit(job *job) bool {
-	team := s.team(job.Team)
+func (scheduler *scheduler) withinQuotaLimit(job *job) bool {
+	team := scheduler.team(job.Team)
 	if team == nil {
 		return false
 	}
-	used := s.controller.shardLeader.usedByTeam[job.Team].AddScaled(job.Need, 1).AddScaled(s.controller.shardLeader.migration.migratingResources(job), 1)
+	used := scheduler.controller.shardLeader.usedByTeam[job.Team].AddScaled(job.Need, 1).AddScaled(scheduler.controller.shardLeader.migration.migratingResources(job), 1)
 	return (team.QuotaLimit.CPU <= 0 || used.CPU <= team.QuotaLimit.CPU+roundingTolerance) && (team.QuotaLimit.GPU <= 0 || used.GPU <= team.QuotaLimit.GPU+roundingTolerance)
 }
 
 // withinGuaranteedQuota reports whether the job's next task lies within its team's guaranteed quota.
-func (s *scheduler) withinGuaranteedQuota(job *job) bool {
-	team := s.team(job.Team)
+func (scheduler *scheduler) withinGuaranteedQuota(job *job) bool {
+	team := scheduler.team(job.Team)
 	if team == nil || team.GuaranteedQuota.CPU <= 0 && team.GuaranteedQuota.GPU <= 0 {
 		return false
 	}
-	used := s.controller.shardLeader.usedByTeam[job.Team].AddScaled(job.Need, 1)
+	used := scheduler.controller.shardLeader.usedByTeam[job.Team].AddScaled(job.Need, 1)
 	return used.CPU <= team.GuaranteedQuota.CPU+roundingTolerance && used.GPU <= team.GuaranteedQuota.GPU+roundingTolerance
 }
 
@@ -116,13 +116,13 @@
 // fails everywhere gets one retry at a time, after a backoff, to find out whether it still fails:
 // if it has no live task, or while other tasks of it run. It gets more retries if tasks of it have
 // run for longer than any failed one.
-func (s *scheduler) placeableTasks(job *job) int {
-	if job.pendingTasks() == 0 || !job.mayStart(s.now) {
+func (scheduler *scheduler) placeableTasks(job *job) int {
+	if job.pendingTasks() == 0 || !job.mayStart(scheduler.now) {
 		return 0
 	}
-	backsOff := job.notBefore.After(s.now)
-	if s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
-		outlasting, running := s.provenTasks(job)
+	backsOff := job.notBefore.After(scheduler.now)
+	if scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
+		outlasting, running := scheduler.countOutlastingTasks(job)
 		retries := 2*outlasting - job.liveTasks
 		if !backsOff && (job.liveTasks == 0 || running > 0) {
 			retries = max(retries, 1)
@@ -135,12 +135,12 @@
 	return job.pendingTasks()
 }
 
-// provenTasks counts the tasks of a job that have run for longer than any failed one (outlasting),
+// countOutlastingTasks counts the tasks of a job that have run for longer than any failed one (outlasting),
 // and those that have run for at least faultattribution.MinProofRun (running). Each outlasting task
 // allows one further task, so the number of live tasks at most doubles before the new tasks have
 // outlasted the failures as well. A faulty job whose tasks fail after some time has few outlasting
 // tasks, and fewer the more tasks have failed. A job whose tasks fail at once has neither kind.
-func (s *scheduler) provenTasks(job *job) (outlasting, running int) {
+func (scheduler *scheduler) countOutlastingTasks(job *job) (outlasting, running int) {
 	live := 0
 	for i := range job.tasks[:job.nextFresh] {
 		task := &job.tasks[i]
@@ -154,7 +154,7 @@
 			if ran >= faultattribution.MinProofRun {
 				running++
 			}
-			if s.controller.shardLeader.faultAttribution.Outlasts(job.ID, ran) {
+			if scheduler.controller.shardLeader.faultAttribution.Outlasts(job.ID, ran) {
 				outlasting++
 			}
 		}
@@ -167,20 +167,20 @@
 
 // queuedJobs returns the jobs with placeable tasks in the order of compareQueueOrder. It also
 // updates waitingSince of each job.
-func (s *scheduler) queuedJobs() []queuedJob {
+func (scheduler *scheduler) queuedJobs() []queuedJob {
 	var queued []queuedJob
 	cpus := 0.0
-	for _, machine := range s.controller.shardLeader.machinesByID {
+	for _, machine := range scheduler.controller.shardLeader.machinesByID {
 		cpus += machine.size.CPU
 	}
 	var waiting []*job
-	for _, job := range s.controller.shardLeader.jobs {
-		if s.placeableTasks(job) == 0 {
+	for _, job := range scheduler.controller.shardLeader.jobs {
+		if scheduler.placeableTasks(job) == 0 {
 			job.waitingSince = time.Time{}
 			continue
 		}
 		if job.waitingSince.IsZero() {
-			job.waitingSince = s.now
+			job.waitingSince = scheduler.now
 		}
 		waiting = append(waiting, job)
 	}
@@ -188,16 +188,16 @@
 	for _, job := range waiting {
 		// Objectives count jobs. Of two equally urgent jobs, the job with less remaining
 		// run time goes first, which lowers the mean completion time.
-		remaining := float64(len(job.tasks)-job.doneTasks) * job.Need.CPU * s.controller.knowledge.expectedRunTime(job).Seconds()
-		adjustedStart := s.latestStart(job).Add(record.DurationOfSeconds(jobSizeWeight * remaining / max(cpus, 1)))
+		remaining := float64(len(job.tasks)-job.doneTasks) * job.Need.CPU * scheduler.controller.knowledge.expectedRunTime(job).Seconds()
+		adjustedStart := scheduler.latestStart(job).Add(record.DurationOfSeconds(jobSizeWeight * remaining / max(cpus, 1)))
 		queued = append(queued, queuedJob{
-			job: job, guaranteed: s.withinGuaranteedQuota(job), latestStart: adjustedStart,
-			rankingPlace: s.controller.ranking.rankOf(job), weight: s.controller.ranking.policyWeight(job),
-			missesPromise: s.controller.promises.cannotKeepDate(job),
+			job: job, guaranteed: scheduler.withinGuaranteedQuota(job), latestStart: adjustedStart,
+			rankingPlace: scheduler.controller.ranking.rankOf(job), weight: scheduler.controller.ranking.policyWeight(job),
+			missesPromise: scheduler.controller.promises.cannotKeepDate(job),
 		})
 	}
 	slices.SortStableFunc(queued, compareQueueOrder)
-	if s.deferLateJobs(queued) {
+	if scheduler.deferLateJobs(queued) {
 		slices.SortStableFunc(queued, compareQueueOrder)
 	}
 	return queued
@@ -239,7 +239,7 @@
 // deferred any. It takes jobs in queue order. When a job would be late, it defers the largest job
 // taken so far, the late job included (Moore's algorithm, which minimizes the number of late jobs).
 // Objectives count jobs, and one large job that is late in any case would make several others late.
-func (s *scheduler) deferLateJobs(queued []queuedJob) bool {
+func (scheduler *scheduler) deferLateJobs(queued []queuedJob) bool {
 	capacities := map[string]float64{}
 	accumulated := map[string]time.Duration{}
 	onTime := map[string][]*queuedJob{}
@@ -252,17 +252,17 @@
 		}
 		capacity, ok := capacities[job.Workload]
 		if !ok {
-			capacity = s.capacityFor(job)
+			capacity = scheduler.capacityFor(job)
 			capacities[job.Workload] = capacity
 		}
-		runTime := s.controller.knowledge.expectedRunTime(job)
+		runTime := scheduler.controller.knowledge.expectedRunTime(job)
 		entry.workDuration = time.Duration(float64(job.pendingTasks()) * float64(runTime) / max(capacity, 1))
 		key := fmt.Sprint(job.Workload, job.Urgency, entry.guaranteed)
 		onTime[key] = append(onTime[key], entry)
 		accumulated[key] += entry.workDuration
 		// The job's last task starts when the tasks before it are nearly done; its first
 		// tasks start at once.
-		if !s.now.Add(accumulated[key] - runTime).After(s.latestStart(job)) {
+		if !scheduler.now.Add(accumulated[key] - runTime).After(scheduler.latestStart(job)) {
 			continue
 		}
 		largest := 0
@@ -282,29 +282,29 @@
 // capacityFor returns how many tasks of the job's shape its workload can expect to run at a time:
 // its live tasks plus those that fit into free and expected capacity, but at least
 // minCapacityFraction of the capacity of all usable machines.
-func (s *scheduler) capacityFor(job *job) float64 {
+func (scheduler *scheduler) capacityFor(job *job) float64 {
 	live := 0
-	for _, other := range s.controller.shardLeader.jobs {
+	for _, other := range scheduler.controller.shardLeader.jobs {
 		if other.Workload == job.Workload {
 			live += other.liveTasks
 		}
 	}
-	total, free, avoidGPUs := 0, 0, s.avoidsGPUs(job)
-	for _, machine := range s.controller.shardLeader.machinesByID {
-		if job.allowsMachine(machine.machineType, machine.zone, machine.spot) && s.usable(machine) && s.gpuPolicyAllows(avoidGPUs, machine) {
+	total, free, avoidGPUs := 0, 0, scheduler.avoidsGPUs(job)
+	for _, machine := range scheduler.controller.shardLeader.machinesByID {
+		if job.allowsMachine(machine.machineType, machine.zone, machine.spot) && scheduler.usable(machine) && scheduler.gpuPolicyAllows(avoidGPUs, machine) {
 			total += machine.size.FitCount(job.Need)
 			free += machine.free().FitCount(job.Need)
 		}
 	}
-	if view := s.controller.shardLeader.fleet.view; view != nil {
+	if view := scheduler.controller.shardLeader.fleet.view; view != nil {
 		// Machines being provisioned are ready before the objectives of pending jobs have
 		// passed.
-		for rental := range s.controller.shardLeader.fleet.expectedFor(job) {
-			free += s.controller.knowledge.machineTypes[rental.machineType].Capacity.FitCount(job.Need)
+		for rental := range scheduler.controller.shardLeader.fleet.expectedFor(job) {
+			free += scheduler.controller.knowledge.machineTypes[rental.machineType].Capacity.FitCount(job.Need)
 		}
 		for kind, count := range view.pendingRentals {
 			if job.allowsMachine(kind.machineType, kind.zone, kind.spot) {
-				free += count * s.controller.knowledge.machineTypes[kind.machineType].Capacity.FitCount(job.Need)
+				free += count * scheduler.controller.knowledge.machineTypes[kind.machineType].Capacity.FitCount(job.Need)
 			}
 		}
 	}
--- a/internal/controller/ranking.go
+++ b/internal/controller/ranking.go
@@ -157,11 +157,11 @@
 	})
 }
 
-// noteKnown moves asOf forward to a time before which every ranking that was set is known here: the
+// noteKnownAsOf moves asOf forward to a time before which every ranking that was set is known here: the
 // beginning of a read of the control records, or of a successful write that compared the ranking's
 // mod revision. This holds also if another ranking was set since, because that ranking was set
 // after the write.
-func (rankings *rankingState) noteKnown(at time.Time) {
+func (rankings *rankingState) noteKnownAsOf(at time.Time) {
 	rankings.asOf = later(rankings.asOf, at)
 }
 
@@ -304,7 +304,7 @@
 
 // fits reports whether a record is small enough to be stored.
 func (rankings *rankingState) fits(rec ranking.Record) bool {
-	size, err := sizelimit.JSON(rec.Encode())
+	size, err := sizelimit.JSONSize(rec.Encode())
 	return err == nil && float64(size) <= rankingValueFraction*float64(rankings.settings.MaxValueBytes)
 }
 
--- a/internal/controller/ranking_queries.go
+++ b/internal/controller/ranking_queries.go
@@ -213,7 +213,7 @@
 	switch {
 	case job.cancelled:
 		add("it is cancelled")
-	case job.elsewhere():
+	case job.isLentOrLending():
 		add("it is lent to %s", job.lentTo)
 	case job.dependenciesPending:
 		add("it waits for %s", rankings.controller.describeDependencies(job.ID))
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -126,7 +126,7 @@
 		var cmd model.TaskCommand
 		var needed, canWait bool
 		if j := leader.jobs[key.job]; j == nil {
-			cmd, needed = leader.remoteAttempts.commandForOthers(m, report, noStartInFlight)
+			cmd, needed = leader.remoteAttempts.commandForOtherShardsTask(m, report, noStartInFlight)
 			canWait = cmd.Kind == model.ClearTask
 		} else {
 			cmd, needed = dispatcher.commandForReport(m, j, key, report, noStartInFlight)
--- a/internal/controller/recovery.go
+++ b/internal/controller/recovery.go
@@ -51,7 +51,7 @@
 				// the number of its tasks.
 				continue
 			}
-			j.trackFormat(format, index, rec.RankingRevision)
+			j.ensureOwnSegment(format, index, rec.RankingRevision)
 			t.done, t.version, t.attempt = true, 1, 1
 			j.doneTasks++
 			j.nextFresh = max(j.nextFresh, index+1)
@@ -75,7 +75,7 @@
 			f.rejectInput("record", key, "task listed twice")
 			continue
 		}
-		j.trackFormat(format, entry.Index, rec.RankingRevision)
+		j.ensureOwnSegment(format, entry.Index, rec.RankingRevision)
 		t.attempt, t.groupStart, t.relaunched, t.version = entry.Try, entry.Group, entry.Relaunched, 1
 		j.nextFresh = max(j.nextFresh, entry.Index+1)
 		if entry.Machine != "" {
@@ -140,10 +140,10 @@
 // isCovered reports whether a sized segment has already provided the state of task i.
 func (j *job) isCovered(i int) bool { return i < len(j.covered) && j.covered[i] }
 
-// trackFormat records that the state of task i was read from a segment of format f. If f is not the
-// job's own format, trackFormat creates the task's segment in the job's format. The next change of
+// ensureOwnSegment records that the state of task i was read from a segment of format f. If f is not the
+// job's own format, ensureOwnSegment creates the task's segment in the job's format. The next change of
 // the task is then written there.
-func (j *job) trackFormat(format segmentFormat, i int, rankingRevision uint64) {
+func (j *job) ensureOwnSegment(format segmentFormat, i int, rankingRevision uint64) {
 	if format != j.segmentFormat {
 		j.formerSegment(i, rankingRevision)
 	}
--- a/internal/controller/relaunch.go
+++ b/internal/controller/relaunch.go
@@ -19,8 +19,8 @@
 // together has a timer of Policy.RelaunchFactor times the median run time of the job's finished
 // tasks. If at most relaunchFraction of the group is unfinished when the timer expires, the
 // unfinished tasks are relaunched.
-func (s *scheduler) relaunch() {
-	shardLeader := s.controller.shardLeader
+func (scheduler *scheduler) relaunch() {
+	shardLeader := scheduler.controller.shardLeader
 	relaunched := 0
 	for _, jobID := range sortedKeys(shardLeader.jobs) {
 		job := shardLeader.jobs[jobID]
@@ -28,22 +28,22 @@
 			continue
 		}
 		median, hasMedian := job.medianRunTime()
-		factor := s.settings.Policy.RelaunchFactor
+		factor := scheduler.settings.Policy.RelaunchFactor
 		if !hasMedian || job.doneTasks*2 < len(job.tasks) {
 			// No timer runs before half of the job's tasks have finished. A job with
 			// one task never reaches that point, so its limit is longer and based on
 			// the corrected estimate.
-			estimator := s.controller.knowledge.estimators[job.Workload]
+			estimator := scheduler.controller.knowledge.estimators[job.Workload]
 			if len(job.tasks) > 1 || estimator == nil || estimator.samples < 5 {
 				continue
 			}
-			median = s.controller.knowledge.expectedRunTime(job)
+			median = scheduler.controller.knowledge.expectedRunTime(job)
 			factor *= noMedianFactor
 		}
 		limit := time.Duration(factor * float64(median))
 		for _, groupID := range sortedKeys(job.groups) {
 			group := job.groups[groupID]
-			if group.relaunchDecided || s.now.Sub(group.startedAt) < limit {
+			if group.relaunchDecided || scheduler.now.Sub(group.startedAt) < limit {
 				continue
 			}
 			var stragglers []int
@@ -64,7 +64,7 @@
 			if relaunched+len(stragglers) > maxRelaunchesPerScan && relaunched > 0 {
 				continue
 			}
-			if !s.worthRelaunch(job, stragglers, limit) {
+			if !scheduler.shouldRelaunch(job, stragglers, limit) {
 				continue
 			}
 			relaunched += len(stragglers)
@@ -72,25 +72,25 @@
 			for _, index := range stragglers {
 				task := &job.tasks[index]
 				task.relaunched, task.stopReason = true, stopRelaunch
-				s.controller.markDispatchPending(task.machine)
-				job.markChanged(index, s.now, true)
-				s.debug("task relaunched", "job", job.ID, "task", index, "machine", task.machine.id, "limit", limit)
+				scheduler.controller.markDispatchPending(task.machine)
+				job.markChanged(index, scheduler.now, true)
+				scheduler.debug("task relaunched", "job", job.ID, "task", index, "machine", task.machine.id, "limit", limit)
 			}
 		}
 	}
 }
 
-// worthRelaunch reports whether all stragglers may be relaunched: each of them runs, has run for at
+// shouldRelaunch reports whether all stragglers may be relaunched: each of them runs, has run for at
 // least limit without its image fetch, was not relaunched before, and fits on another machine.
-func (s *scheduler) worthRelaunch(job *job, stragglers []int, limit time.Duration) bool {
+func (scheduler *scheduler) shouldRelaunch(job *job, stragglers []int, limit time.Duration) bool {
 	for _, index := range stragglers {
 		task := &job.tasks[index]
-		if task.machine == nil || task.stopReason != stopNone || task.relaunched || task.startedAt.IsZero() || s.now.Sub(task.startedAt) < limit {
+		if task.machine == nil || task.stopReason != stopNone || task.relaunched || task.startedAt.IsZero() || scheduler.now.Sub(task.startedAt) < limit {
 			return false
 		}
-		fits, avoidGPUs := false, s.avoidsGPUsNow(job)
-		for _, machine := range s.controller.shardLeader.machinesByID {
-			if machine != task.machine && s.gpuPolicyAllows(avoidGPUs, machine) && job.Need.Fits(machine.free()) && job.allowsMachine(machine.machineType, machine.zone, machine.spot) && s.usable(machine) {
+		fits, avoidGPUs := false, scheduler.avoidsGPUsNow(job)
+		for _, machine := range scheduler.controller.shardLeader.machinesByID {
+			if machine != task.machine && scheduler.gpuPolicyAllows(avoidGPUs, machine) && job.Need.Fits(machine.free()) && job.allowsMachine(machine.machineType, machine.zone, machine.spot) && scheduler.usable(machine) {
 				fits = true
 				break
 			}
--- a/internal/controller/remote_attempts.go
+++ b/internal/controller/remote_attempts.go
@@ -124,7 +124,7 @@
 		if m.heard {
 			attempts.updateRegistry(m)
 		}
-		attempts.recountOthersUsed(m)
+		attempts.recountOtherShardsUsed(m)
 	}
 }
 
@@ -234,22 +234,22 @@
 	// No command under an epoch older than the machine has shown can take effect. But a
 	// start of this shard leader itself may be in flight, sent before the job's team moved.
 	attempts.registry.ObserveHeartbeat(attempts.now, m.id, tasks, func(job string) bool { return leader.jobs[job] != nil }, leader.dispatcher.noStartInFlight(m))
-	attempts.recountOthersUsed(m)
+	attempts.recountOtherShardsUsed(m)
 }
 
-// recountOthersUsed sums up the capacity that attempts of other shards' jobs use on a
+// recountOtherShardsUsed sums up the capacity that attempts of other shards' jobs use on a
 // machine.
-func (attempts *remoteAttempts) recountOthersUsed(m *machine) {
+func (attempts *remoteAttempts) recountOtherShardsUsed(m *machine) {
 	leader := attempts.controller.shardLeader
-	hadOthersAttempts := m.hasOthersAttempts
-	m.othersUsed, m.hasOthersAttempts, m.hasUnknownTasks = model.Resources{}, false, false
+	hadOthersAttempts := m.hasOtherShardsAttempts
+	m.otherShardsUsed, m.hasOtherShardsAttempts, m.hasUnknownTasks = model.Resources{}, false, false
 	for _, attempt := range attempts.registry.LiveAttempts(m.id) {
 		if leader.jobs[attempt.Job] != nil {
 			continue
 		}
-		m.hasOthersAttempts = true
+		m.hasOtherShardsAttempts = true
 		if cached, open := attempts.controller.frontend.watchCache.openJobs[attempt.Job]; open {
-			m.othersUsed = m.othersUsed.AddScaled(model.Resources{CPU: cached.rec.CPU, GPU: cached.rec.GPU, Memory: cached.rec.Memory}, 1)
+			m.otherShardsUsed = m.otherShardsUsed.AddScaled(model.Resources{CPU: cached.rec.CPU, GPU: cached.rec.GPU, Memory: cached.rec.Memory}, 1)
 		} else {
 			// The attempt's resource use is unknown.
 			m.hasUnknownTasks = true
@@ -258,7 +258,7 @@
 	for key, report := range m.taskReports {
 		m.hasUnknownTasks = m.hasUnknownTasks || report.Status != model.Ended && m.attempts[key] == nil && leader.jobs[key.job] != nil
 	}
-	if hadOthersAttempts && !m.hasOthersAttempts {
+	if hadOthersAttempts && !m.hasOtherShardsAttempts {
 		leader.scheduler.requestPlacement()
 		if len(m.attempts) == 0 {
 			m.idleSince = attempts.now
@@ -266,9 +266,9 @@
 	}
 }
 
-// rePoll applies the newest task reports of a machine again, after attempts on the machine
+// reapplyTaskReports applies the newest task reports of a machine again, after attempts on the machine
 // have become attempts of this shard leader's jobs.
-func (attempts *remoteAttempts) rePoll(m *machine) {
+func (attempts *remoteAttempts) reapplyTaskReports(m *machine) {
 	for _, key := range sortedTasks(m.taskReports) {
 		attempts.controller.shardLeader.heartbeats.applyTaskReport(m, key, m.taskReports[key])
 	}
@@ -279,10 +279,10 @@
 	attempts.controller.markDispatchPending(m)
 }
 
-// commandForOthers returns the command for a reported task that belongs to no job of this
+// commandForOtherShardsTask returns the command for a reported task that belongs to no job of this
 // shard leader, and false if none is needed. Either the job's shard leader has requested the
 // command, or the job is over and the task is cleared.
-func (attempts *remoteAttempts) commandForOthers(m *machine, report model.TaskReport, noStartInFlight bool) (model.TaskCommand, bool) {
+func (attempts *remoteAttempts) commandForOtherShardsTask(m *machine, report model.TaskReport, noStartInFlight bool) (model.TaskCommand, bool) {
 	attempt := remote.AttemptID{Job: report.Job, Index: report.Index, Attempt: report.Attempt}
 	since, request, requested := attempts.registry.Find(m.id, attempt)
 	stop, jobOver := requested && request.Intent == remote.Stop, requested && request.Intent == remote.Settled
@@ -302,7 +302,7 @@
 		// over.
 		stop, jobOver = true, true
 	default:
-		attempts.refreshFor(m)
+		attempts.refreshOpenJobsFor(m)
 		return model.TaskCommand{}, false
 	}
 	command := model.TaskCommand{Job: report.Job, Index: report.Index, Attempt: report.Attempt}
@@ -317,9 +317,9 @@
 	return command, true
 }
 
-// refreshFor refreshes the watch cache, and afterwards has commands dispatched to the
+// refreshOpenJobsFor refreshes the watch cache, and afterwards has commands dispatched to the
 // machine.
-func (attempts *remoteAttempts) refreshFor(m *machine) {
+func (attempts *remoteAttempts) refreshOpenJobsFor(m *machine) {
 	if m.readingOpenJobs {
 		return
 	}
--- a/internal/controller/remote_machines.go
+++ b/internal/controller/remote_machines.go
@@ -1,8 +1,8 @@
 package controller
 
-// machine returns the state of a machine of another owner, and adds it if it is missing. The
+// ensureRemoteMachine returns the state of a machine of another owner, and adds it if it is missing. The
 // state covers only the attempts of this shard leader's jobs on the machine.
-func (attempts *remoteAttempts) machine(id string) *machine {
+func (attempts *remoteAttempts) ensureRemoteMachine(id string) *machine {
 	m := attempts.machines[id]
 	if m == nil {
 		m = &machine{id: id, remote: true, attempts: map[taskKey]*task{}, images: map[string]*image{}}
@@ -31,5 +31,5 @@
 	if _, owned := s.controller.membership.ownedMachine(id); owned {
 		return s.ensureMachine(id)
 	}
-	return s.remoteAttempts.machine(id)
+	return s.remoteAttempts.ensureRemoteMachine(id)
 }
--- a/internal/controller/renewal_bound.go
+++ b/internal/controller/renewal_bound.go
@@ -35,7 +35,7 @@
 // renewalDeadline returns the last moment at which this controller may renew any worker
 // lease, given its membership lease and the cancellations that it knows.
 func (renewer *leaseRenewer) renewalDeadline() time.Time {
-	return earlier(renewer.controller.membership.leaseValidUntil.Add(renewer.grace()), renewer.settings.RenewalBound().Deadline(renewer.controller.frontend.watchCache.asOf))
+	return earlier(renewer.controller.membership.leaseValidUntil.Add(renewer.renewalGrace()), renewer.settings.RenewalBound().Deadline(renewer.controller.frontend.watchCache.asOf))
 }
 
 // startDeadline returns the last moment at which a start command may be sent to any worker.
@@ -65,7 +65,7 @@
 			until = earlier(until, renewer.cancelledJobDeadline(report.Job))
 		}
 	}
-	if settled && !m.hasOthersAttempts {
+	if settled && !m.hasOtherShardsAttempts {
 		return until
 	}
 	for key := range m.attempts {
@@ -140,7 +140,7 @@
 	if renewer.now.After(until) {
 		renewer.controller.markDispatchPending(m)
 		if m.seenEpoch < m.epoch && !m.dispatchInFlight && !renewer.now.After(renewer.controller.membership.leaseValidUntil) && renewer.controller.shardLeader.failover.contactsInFlight < maxContactsInFlight {
-			renewer.controller.shardLeader.failover.showEpoch(m)
+			renewer.controller.shardLeader.failover.sendEpoch(m)
 		}
 		renewer.emit(message.HeartbeatReply{Reply: reply, Status: 503})
 		return until, false
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -73,7 +73,7 @@
 	}
 	// The grace bounds replies as well, since successors rely on it.
 	c.frontend.watchCache.asOf = c.now.Add(time.Hour)
-	c.membership.leaseValidUntil = c.now.Add(-c.renewal.grace())
+	c.membership.leaseValidUntil = c.now.Add(-c.renewal.renewalGrace())
 	if reply := c.heartbeatOf(m, running); reply.Status != 200 || !reply.SendDeadline.Equal(c.now) {
 		t.Errorf("at the end of the grace: got reply %d until %v, want 200 until %v", reply.Status, reply.SendDeadline, c.now)
 	}
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -39,33 +39,33 @@
 // selectReleases requests the release of machines that failed, were never ready, are unresponsive or are
 // faulty, and of surplus machines that have been idle for long enough. The planning pass that computed
 // surplus may have taken a while, so selectReleases checks the present state of each machine.
-func (f *fleetPlanner) selectReleases(surplus map[string]bool) {
-	settled := f.now.Sub(f.controller.shardLeader.since) > settleTime
+func (planner *fleetPlanner) selectReleases(surplus map[string]bool) {
+	settled := planner.now.Sub(planner.controller.shardLeader.since) > settleTime
 	unresponsive := map[string]bool{}
-	for _, id := range f.controller.shardLeader.heartbeats.unresponsiveMachines() {
+	for _, id := range planner.controller.shardLeader.heartbeats.unresponsiveMachines() {
 		unresponsive[id] = true
 	}
-	f.releaseUnpublished(unresponsive, settled)
-	cheapest := f.controller.knowledge.cheapestCPUCost()
-	for _, id := range sortedKeys(f.view.rentals) {
-		rental := f.view.rentals[id]
-		if rental.releasing && f.controller.leader == nil {
+	planner.releaseUnpublished(unresponsive, settled)
+	cheapest := planner.controller.knowledge.cheapestCPUCost()
+	for _, id := range sortedKeys(planner.view.rentals) {
+		rental := planner.view.rentals[id]
+		if rental.releasing && planner.controller.leader == nil {
 			// The release was already requested from the leader, but the request may have
 			// been lost.
-			f.requestRelease(id)
+			planner.requestRelease(id)
 		}
 		if rental.releasing {
 			continue
 		}
-		m := f.controller.shardLeader.machines[id]
-		reason := f.releaseReason(rental, m, settled, unresponsive[id])
-		if reason == "" && m != nil && settled && surplus[id] && f.isIdleExpired(m, cheapest) {
+		m := planner.controller.shardLeader.machines[id]
+		reason := planner.releaseReason(rental, m, settled, unresponsive[id])
+		if reason == "" && m != nil && settled && surplus[id] && planner.isIdleExpired(m, cheapest) {
 			reason = "idle"
 		}
-		if reason == "" || len(f.machinesToRelease) >= maxReleasePerRequest {
+		if reason == "" || len(planner.machinesToRelease) >= maxReleasePerRequest {
 			continue
 		}
-		f.release(rental, m, reason)
+		planner.release(rental, m, reason)
 	}
 }
 
@@ -73,24 +73,24 @@
 // leader's list of rentals. Such a machine may be gone, or the list may be late; only the response to a
 // release request is proof. Machines whose release was already requested are included, since the request
 // may have been lost, or confirmed to another shard leader.
-func (f *fleetPlanner) releaseUnpublished(unresponsive map[string]bool, settled bool) {
-	for _, m := range f.controller.shardLeader.machinesByID {
-		if id := m.id; f.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || f.controller.knowledge.released[id]) && settled && len(f.machinesToRelease) < maxReleasePerRequest {
-			f.controller.knowledge.markReleased(id)
+func (planner *fleetPlanner) releaseUnpublished(unresponsive map[string]bool, settled bool) {
+	for _, m := range planner.controller.shardLeader.machinesByID {
+		if id := m.id; planner.view.rentals[id] == nil && !m.isEmpty() && (unresponsive[id] || m.releasing || planner.controller.knowledge.released[id]) && settled && len(planner.machinesToRelease) < maxReleasePerRequest {
+			planner.controller.knowledge.markReleased(id)
 			m.releasing = true
-			f.requestRelease(id)
+			planner.requestRelease(id)
 		}
 	}
 }
 
 // releaseReason returns why a rental is to be released even if it is needed, or "" if it is not. m is nil
 // if the rental is not a machine of this shard yet.
-func (f *fleetPlanner) releaseReason(rental *rental, m *machine, settled, unresponsive bool) string {
+func (planner *fleetPlanner) releaseReason(rental *rental, m *machine, settled, unresponsive bool) string {
 	switch {
 	case rental.status == "failed":
 		return "failed"
 	case m == nil:
-	case !m.heard && settled && f.controller.knowledge.isGivenUp(rental) && m.isEmpty() && f.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(f.controller.shardLeader.since)):
+	case !m.heard && settled && planner.controller.knowledge.isGivenUp(rental) && m.isEmpty() && planner.now.Sub(m.ownedSince) > min(settleTime, m.ownedSince.Sub(planner.controller.shardLeader.since)):
 		// A machine that another shard leader has just handed over gets settleTime to report,
 		// however long ago it was rented. A machine that came with the takeover of the shard
 		// has had that time once settled is true.
@@ -104,16 +104,16 @@
 }
 
 // release requests the release of a machine. No more tasks are placed on it, even if the request fails.
-func (f *fleetPlanner) release(rental *rental, m *machine, reason string) {
-	f.info("machine released", "machine", rental.id, "reason", reason)
-	if reason == reasonNeverReady && !f.controller.knowledge.released[rental.id] {
+func (planner *fleetPlanner) release(rental *rental, m *machine, reason string) {
+	planner.info("machine released", "machine", rental.id, "reason", reason)
+	if reason == reasonNeverReady && !planner.controller.knowledge.released[rental.id] {
 		// The machine is counted once, however often its release is requested.
-		f.controller.knowledge.provisioningOf(rental.machineKind).RecordGivenUp(f.now)
-		f.recordNeverReady(f.controller.knowledge.costPerHour(rental.machineKind) * f.now.Sub(rental.rentedAt).Hours())
-		f.info("machines given up before they were ready", "count", f.neverReadyCount, "cost", f.neverReadyCost)
+		planner.controller.knowledge.provisioningOf(rental.machineKind).RecordGivenUp(planner.now)
+		planner.recordNeverReady(planner.controller.knowledge.costPerHour(rental.machineKind) * planner.now.Sub(rental.rentedAt).Hours())
+		planner.info("machines given up before they were ready", "count", planner.neverReadyCount, "cost", planner.neverReadyCost)
 	}
-	f.requestRelease(rental.id)
-	f.controller.knowledge.markReleased(rental.id)
+	planner.requestRelease(rental.id)
+	planner.controller.knowledge.markReleased(rental.id)
 	if m != nil {
 		m.releasing = true
 	}
