--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -37,14 +37,14 @@
 // expected ones. It simulates the demands on the machines in use first and then on the cheapest ones, so
 // that the expensive ones become surplus first. Cheap machines are kept idle for longer; see
 // idleRetention.
-func (f *fleetPlanner) surplusMachines(capacity *freeCapacity, charge chargeFunc) map[string]bool {
-	shardLeader := f.controller.shardLeader
+func (planner *fleetPlanner) surplusMachines(capacity *freeCapacity, charge chargeFunc) map[string]bool {
+	shardLeader := planner.controller.shardLeader
 	surplus := map[string]bool{}
-	cheapest := f.controller.knowledge.cheapestCPUCost()
+	cheapest := planner.controller.knowledge.cheapestCPUCost()
 	idle := false
 	for _, m := range shardLeader.machinesByID {
-		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) && m.heard && f.controller.shardLeader.scheduler.usable(m) &&
-			(f.controller.membership.hasOtherShardLeaders() && f.now.Sub(m.idleSince) > surplusAfter || f.isIdleExpired(m, cheapest)) {
+		if m.isEmpty() && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOtherShard) && m.heard && planner.controller.shardLeader.scheduler.usable(m) &&
+			(planner.controller.membership.hasOtherShardLeaders() && planner.now.Sub(m.idleSince) > surplusAfter || planner.isIdleExpired(m, cheapest)) {
 			surplus[m.id] = true
 			idle = true
 		}
@@ -64,10 +64,10 @@
 	simulated := copyFreeCapacity(capacity, decommissioning)
 	slices.SortStableFunc(simulated, func(a, b *simulatedMachine) int {
 		return cmp.Or(cmp.Compare(boolToFloat(a.idle), boolToFloat(b.idle)),
-			cmp.Compare(f.controller.knowledge.costPerCPU(a.machine), f.controller.knowledge.costPerCPU(b.machine)))
+			cmp.Compare(planner.controller.knowledge.costPerCPU(a.machine), planner.controller.knowledge.costPerCPU(b.machine)))
 	})
-	sim := f.newSimulation(simulated, capacity.imageIDs, charge)
-	for _, d := range f.demands(f.controller.knowledge.planningHorizon(), true, true) {
+	sim := planner.newSimulation(simulated, capacity.imageIDs, charge)
+	for _, d := range planner.demands(planner.controller.knowledge.planningHorizon(), true, true) {
 		sim.simulate(d, func(_ int, simMachine *simulatedMachine, _, _ time.Time) {
 			if simMachine != nil {
 				delete(surplus, simMachine.machine.id)
@@ -89,19 +89,19 @@
 
 // surplusForOthers returns the surplus machines to offer to other shard leaders, the most expensive first
 // and at most maxSurplus. It returns none if there is no other shard leader.
-func (f *fleetPlanner) surplusForOthers(surplus map[string]bool) []string {
-	if !f.controller.membership.hasOtherShardLeaders() {
+func (planner *fleetPlanner) surplusForOthers(surplus map[string]bool) []string {
+	if !planner.controller.membership.hasOtherShardLeaders() {
 		return nil
 	}
 	var candidates []*machine
-	for _, m := range f.controller.shardLeader.machinesByID {
-		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOther) &&
-			!m.releasing && !m.reclaimNoticed && !m.faulty && f.now.Sub(m.idleSince) > surplusAfter {
+	for _, m := range planner.controller.shardLeader.machinesByID {
+		if surplus[m.id] && (m.reservedForMigration == (model.Resources{}) || m.evacuatingForOtherShard) &&
+			!m.releasing && !m.reclaimNoticed && !m.faulty && planner.now.Sub(m.idleSince) > surplusAfter {
 			candidates = append(candidates, m)
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b *machine) int {
-		return cmp.Compare(f.controller.knowledge.costPerCPU(b), f.controller.knowledge.costPerCPU(a))
+		return cmp.Compare(planner.controller.knowledge.costPerCPU(b), planner.controller.knowledge.costPerCPU(a))
 	})
 	var out []string
 	for _, m := range candidates[:min(len(candidates), maxSurplus)] {
@@ -112,25 +112,25 @@
 
 // isIdleExpired reports whether a machine has been idle for longer than its idleRetention. cheapest is the
 // lowest cost per CPU.
-func (f *fleetPlanner) isIdleExpired(m *machine, cheapest float64) bool {
-	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && f.now.Sub(m.idleSince) > f.idleRetention(m, cheapest)
+func (planner *fleetPlanner) isIdleExpired(m *machine, cheapest float64) bool {
+	return m.heard && m.isEmpty() && m.reservedForMigration == (model.Resources{}) && planner.now.Sub(m.idleSince) > planner.idleRetention(m, cheapest)
 }
 
 // decommissionExpensive chooses the expensive machines on which no more tasks are started, as long as all
 // tasks would start in time on the other machines. Tasks that run on a decommissioned machine continue to
 // their end. Without decommissioning, tasks would spread over all machines, none would become idle, and
 // the on-demand machines rented for one burst would be paid for indefinitely.
-func (f *fleetPlanner) decommissionExpensive(capacity *freeCapacity, charge chargeFunc) {
+func (planner *fleetPlanner) decommissionExpensive(capacity *freeCapacity, charge chargeFunc) {
 	var expensive []*machine
-	cheapest := f.controller.knowledge.cheapestCPUCost()
-	for _, m := range f.controller.shardLeader.machinesByID {
+	cheapest := planner.controller.knowledge.cheapestCPUCost()
+	for _, m := range planner.controller.shardLeader.machinesByID {
 		// A machine reserved for a job is not in the simulation, which would therefore never find
 		// it needed.
-		if f.controller.shardLeader.scheduler.usable(m) && m.reservedFor == "" && f.controller.knowledge.costPerCPU(m) > expensiveFactor*cheapest {
+		if planner.controller.shardLeader.scheduler.usable(m) && m.reservedFor == "" && planner.controller.knowledge.costPerCPU(m) > expensiveFactor*cheapest {
 			expensive = append(expensive, m)
 		}
 	}
-	shardLeader, chosen := f.controller.shardLeader, map[*machine]bool{}
+	shardLeader, chosen := planner.controller.shardLeader, map[*machine]bool{}
 	// The choice is applied at the end, since the pass may be suspended during the simulations.
 	defer func() {
 		for _, m := range shardLeader.machinesByID {
@@ -138,15 +138,15 @@
 		}
 	}()
 	// Soon after a takeover there is a forecast only if the previous shard leader has published loads.
-	if len(expensive) == 0 || f.now.Sub(shardLeader.since) < recentWindow && len(f.controller.knowledge.inheritedLoads) == 0 {
+	if len(expensive) == 0 || planner.now.Sub(shardLeader.since) < recentWindow && len(planner.controller.knowledge.inheritedLoads) == 0 {
 		return
 	}
 	// The machines with the lowest utilization are tried first.
 	slices.SortStableFunc(expensive, func(a, b *machine) int {
-		return cmp.Compare(f.utilization(a), f.utilization(b))
+		return cmp.Compare(planner.utilization(a), planner.utilization(b))
 	})
-	demands := f.demands(f.controller.knowledge.planningHorizon(), true, false)
-	tolerated := f.simulatedLateness(capacity, demands, nil, charge)
+	demands := planner.demands(planner.controller.knowledge.planningHorizon(), true, false)
+	tolerated := planner.simulatedLateness(capacity, demands, nil, charge)
 	lateness, candidateCount := tolerated, len(expensive)
 	for _, d := range demands {
 		tolerated += time.Duration(d.count) * tolerableDelay
@@ -160,7 +160,7 @@
 		for _, m := range batch {
 			chosen[m] = true
 		}
-		if f.simulatedLateness(capacity, demands, chosen, charge) <= tolerated {
+		if planner.simulatedLateness(capacity, demands, chosen, charge) <= tolerated {
 			expensive = expensive[len(batch):]
 			continue
 		}
@@ -175,13 +175,13 @@
 		}
 		batchSize = max(1, batchSize/2)
 	}
-	f.debug("decommission planned", "expensive", candidateCount, "decommissioning", len(chosen), "late", lateness, "failed_tries", failures)
+	planner.debug("decommission planned", "expensive", candidateCount, "decommissioning", len(chosen), "late", lateness, "failed_tries", failures)
 }
 
 // idleRetention returns how long an idle machine is kept before it may be released. The time is inversely
 // proportional to its cost per CPU, and at least minIdleTime. cheapest is the lowest cost per CPU.
-func (f *fleetPlanner) idleRetention(m *machine, cheapest float64) time.Duration {
-	return max(minIdleTime, time.Duration(float64(f.settings.Policy.IdleTimeout)*cheapest/f.controller.knowledge.costPerCPU(m)))
+func (planner *fleetPlanner) idleRetention(m *machine, cheapest float64) time.Duration {
+	return max(minIdleTime, time.Duration(float64(planner.settings.Policy.IdleTimeout)*cheapest/planner.controller.knowledge.costPerCPU(m)))
 }
 
 // scaleOutPlan is the state of planScaleOut: its simulation and the machines to request, by kind.
@@ -197,10 +197,10 @@
 // If the task would start sooner on a machine rented now, planScaleOut requests a spot machine. It requests
 // an on-demand machine, which costs several times as much, only if the task would otherwise miss its start
 // deadline.
-func (f *fleetPlanner) planScaleOut(capacity *freeCapacity, charge chargeFunc) map[machineKind]int {
-	plan := &scaleOutPlan{sim: f.newSimulation(capacity.machines, capacity.imageIDs, charge), requests: map[machineKind]int{}}
-	f.addExpectedMachines(plan.sim)
-	demands := f.demands(f.controller.knowledge.planningHorizon(), false, false)
+func (planner *fleetPlanner) planScaleOut(capacity *freeCapacity, charge chargeFunc) map[machineKind]int {
+	plan := &scaleOutPlan{sim: planner.newSimulation(capacity.machines, capacity.imageIDs, charge), requests: map[machineKind]int{}}
+	planner.addExpectedMachines(plan.sim)
+	demands := planner.demands(planner.controller.knowledge.planningHorizon(), false, false)
 	for _, d := range demands {
 		plan.unmetCPU += float64(d.count) * d.job.Need.CPU
 	}
@@ -212,24 +212,24 @@
 
 // addExpectedMachines adds to a simulation the machines that are not ready but expected: those being handed
 // over by another shard leader, those being provisioned, and pending rentals.
-func (f *fleetPlanner) addExpectedMachines(sim *simulation) {
-	for _, id := range sortedKeys(f.view.rentals) {
-		rental := f.view.rentals[id]
-		m := f.controller.shardLeader.machines[id]
-		if rental.releasing || rental.status == "returned" || rental.status == "failed" || m != nil && (m.heard || f.expectedToReport(m)) {
+func (planner *fleetPlanner) addExpectedMachines(sim *simulation) {
+	for _, id := range sortedKeys(planner.view.rentals) {
+		rental := planner.view.rentals[id]
+		m := planner.controller.shardLeader.machines[id]
+		if rental.releasing || rental.status == "returned" || rental.status == "failed" || m != nil && (m.heard || planner.expectedToReport(m)) {
 			continue
 		}
-		if rental.status == statusComing || f.now.Sub(rental.handedOverAt) < handoverCooldown {
-			sim.addProvisioning(rental.machineKind, f.now.Add(handoverTime))
+		if rental.status == statusComing || planner.now.Sub(rental.handedOverAt) < handoverCooldown {
+			sim.addProvisioning(rental.machineKind, planner.now.Add(handoverTime))
 			continue
 		}
-		if f.controller.knowledge.isExpected(rental) {
-			sim.addProvisioning(rental.machineKind, f.now.Add(f.controller.knowledge.timeToReady(rental.machineKind, f.now.Sub(rental.rentedAt))))
+		if planner.controller.knowledge.isExpected(rental) {
+			sim.addProvisioning(rental.machineKind, planner.now.Add(planner.controller.knowledge.timeToReady(rental.machineKind, planner.now.Sub(rental.rentedAt))))
 		}
 	}
-	for _, k := range sortedKinds(f.view.pendingRentals) {
-		for range f.view.pendingRentals[k] {
-			sim.addProvisioning(k, sim.now.Add(f.controller.knowledge.timeToReady(k, 0)))
+	for _, k := range sortedKinds(planner.view.pendingRentals) {
+		for range planner.view.pendingRentals[k] {
+			sim.addProvisioning(k, sim.now.Add(planner.controller.knowledge.timeToReady(k, 0)))
 		}
 	}
 }
@@ -310,14 +310,14 @@
 
 // neededElsewhere reports whether another workload with pending tasks fits the machine type, and fits fewer
 // machine types than the workload of spec.
-func (f *fleetPlanner) neededElsewhere(spec *model.JobSpec, machineType string) bool {
-	mine := len(f.controller.knowledge.fittingMachineTypes(spec))
-	for name := range f.controller.shardLeader.scheduler.startDeadlines {
-		workload := f.controller.shardLeader.workloads[name]
+func (planner *fleetPlanner) neededElsewhere(spec *model.JobSpec, machineType string) bool {
+	mine := len(planner.controller.knowledge.fittingMachineTypes(spec))
+	for name := range planner.controller.shardLeader.scheduler.startDeadlines {
+		workload := planner.controller.shardLeader.workloads[name]
 		if name == spec.Workload || workload == nil {
 			continue
 		}
-		if theirs := f.controller.knowledge.fittingMachineTypes(workload.spec); len(theirs) < mine && slices.Contains(theirs, machineType) {
+		if theirs := planner.controller.knowledge.fittingMachineTypes(workload.spec); len(theirs) < mine && slices.Contains(theirs, machineType) {
 			return true
 		}
 	}
@@ -365,7 +365,7 @@
 	if p.surplus[offered.machineKind] > 0 || p.controller.waitObjective(request.job.Workload) > 0 {
 		return 0
 	}
-	return offered.timeToReady - request.run
+	return offered.timeToReady - request.occupancy
 }
 
 // offers returns the kinds of machines that may be rented for a job, in a fixed order. With avoidGPUs, kinds
@@ -375,7 +375,7 @@
 	for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
 		machineType := p.controller.knowledge.machineTypes[name]
 		fit := machineType.Capacity.FitCount(j.Need)
-		if fit == 0 || avoidGPUs && p.controller.shardLeader.scheduler.currentPackingProfile().kind(name) != nil {
+		if fit == 0 || avoidGPUs && p.controller.shardLeader.scheduler.currentPackingProfile().profileFor(name) != nil {
 			continue
 		}
 		for _, zone := range machineType.Zones {
--- a/internal/controller/scarcity.go
+++ b/internal/controller/scarcity.go
@@ -35,19 +35,19 @@
 // the workload of spec, since the other workload fits fewer types. Without this rating, small tasks would
 // fill the only machines on which large tasks fit, and the large tasks would wait while small machines
 // are idle.
-func (s *scheduler) scarcityOf(spec *model.JobSpec) map[string]scarcity {
+func (scheduler *scheduler) scarcityOf(spec *model.JobSpec) map[string]scarcity {
 	var out map[string]scarcity
-	mine := s.controller.knowledge.fittingMachineTypes(spec)
-	for _, workload := range s.controller.shardLeader.workloads {
-		if workload.spec.Workload == spec.Workload || s.now.Sub(workload.lastSeen) > workloadRetention {
+	mine := scheduler.controller.knowledge.fittingMachineTypes(spec)
+	for _, workload := range scheduler.controller.shardLeader.workloads {
+		if workload.spec.Workload == spec.Workload || scheduler.now.Sub(workload.lastSeen) > workloadRetention {
 			continue
 		}
-		theirs := s.controller.knowledge.fittingMachineTypes(workload.spec)
+		theirs := scheduler.controller.knowledge.fittingMachineTypes(workload.spec)
 		if len(theirs) >= len(mine) {
 			continue
 		}
 		rate := scarceSoon
-		if deadline, ok := s.startDeadlines[workload.spec.Workload]; ok && s.controller.ranking.rankOfSpec(workload.spec) <= s.controller.ranking.rankOfSpec(spec) && deadline.Sub(s.now) < scarcityWindow {
+		if deadline, ok := scheduler.startDeadlines[workload.spec.Workload]; ok && scheduler.controller.ranking.rankOfSpec(workload.spec) <= scheduler.controller.ranking.rankOfSpec(spec) && deadline.Sub(scheduler.now) < scarcityWindow {
 			rate = scarceNow
 		}
 		if out == nil {
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -20,15 +20,15 @@
 // default a.
 type scenarioLine struct {
 	*harness
-	d *datadriven.TestData
-	c *harnessController
+	data *datadriven.TestData
+	node *harnessController
 }
 
 // scenarioCommands maps the commands of a scenario to their implementations.
 var scenarioCommands = map[string]func(*scenarioLine){
 	// Controllers and time.
 	"boot":  (*scenarioLine).boot,
-	"end":   (*scenarioLine).end,
+	"end":   (*scenarioLine).endProcess,
 	"news":  (*scenarioLine).connectPeers,
 	"owner": (*scenarioLine).printShardLeaders,
 	"wait":  func(l *scenarioLine) { l.wait(1) },
@@ -61,9 +61,9 @@
 // runLine carries out one line of a scenario and returns what it printed.
 func (harness *harness) runLine(data *datadriven.TestData) string {
 	harness.t.Helper()
-	line := &scenarioLine{harness: harness, d: data, c: harness.controllers["a"]}
+	line := &scenarioLine{harness: harness, data: data, node: harness.controllers["a"]}
 	if data.HasArg("node") {
-		line.c = harness.controllers[line.text("node")]
+		line.node = harness.controllers[line.text("node")]
 	}
 	command := scenarioCommands[data.Cmd]
 	if command == nil {
@@ -73,21 +73,21 @@
 	return harness.flush()
 }
 
-// first returns the first argument of the line, which is a name.
-func (line *scenarioLine) first() string {
+// firstArgument returns the first argument of the line, which is a name.
+func (line *scenarioLine) firstArgument() string {
 	line.t.Helper()
-	if len(line.d.CmdArgs) == 0 {
-		line.d.Fatalf(line.t, "%s: got no argument, want a name", line.d.Cmd)
+	if len(line.data.CmdArgs) == 0 {
+		line.data.Fatalf(line.t, "%s: got no argument, want a name", line.data.Cmd)
 	}
-	return line.d.CmdArgs[0].Key
+	return line.data.CmdArgs[0].Key
 }
 
 // worker returns the worker of the machine that is the first argument of the line.
 func (line *scenarioLine) worker() *scriptedWorker {
 	line.t.Helper()
-	worker := line.machines[line.first()]
+	worker := line.machines[line.firstArgument()]
 	if worker == nil {
-		line.d.Fatalf(line.t, "%s: got unknown machine %s, want one of the %d machines", line.d.Cmd, line.first(), len(line.machines))
+		line.data.Fatalf(line.t, "%s: got unknown machine %s, want one of the %d machines", line.data.Cmd, line.firstArgument(), len(line.machines))
 	}
 	return worker
 }
@@ -95,8 +95,8 @@
 // number returns the value of a numeric argument, or value if the line has no such argument.
 func (line *scenarioLine) number(key string, value float64) float64 {
 	line.t.Helper()
-	if line.d.HasArg(key) {
-		line.d.ScanArgs(line.t, key, &value)
+	if line.data.HasArg(key) {
+		line.data.ScanArgs(line.t, key, &value)
 	}
 	return value
 }
@@ -105,14 +105,14 @@
 func (line *scenarioLine) text(key string) string {
 	line.t.Helper()
 	var value string
-	line.d.ScanArgs(line.t, key, &value)
+	line.data.ScanArgs(line.t, key, &value)
 	return value
 }
 
-// textOfOnly returns the value of only=, or "", which every text contains.
-func (line *scenarioLine) textOfOnly() string {
+// onlyText returns the value of only=, or "", which every text contains.
+func (line *scenarioLine) onlyText() string {
 	line.t.Helper()
-	if !line.d.HasArg("only") {
+	if !line.data.HasArg("only") {
 		return ""
 	}
 	return line.text("only")
@@ -120,7 +120,7 @@
 
 // values returns the values of an argument, or nil if the line has no such argument.
 func (line *scenarioLine) values(key string) []string {
-	for _, argument := range line.d.CmdArgs {
+	for _, argument := range line.data.CmdArgs {
 		if argument.Key == key {
 			return argument.Vals
 		}
@@ -137,32 +137,32 @@
 // boot starts a controller. late=(text): store requests that contain the text get no answer and
 // are executed at deliver. lose=(text): such requests are executed and get no answer.
 func (line *scenarioLine) boot() {
-	node := line.start(line.first())
+	node := line.start(line.firstArgument())
 	for _, mode := range []string{"late", "lose"} {
-		if line.d.HasArg(mode) {
+		if line.data.HasArg(mode) {
 			node.rules = append(node.rules, storeRule{mode: mode, contains: line.text(mode)})
 		}
 	}
 	line.wait(1)
 }
 
-// end ends a controller's process. Requests that it sent may still be applied.
-func (line *scenarioLine) end() { line.controllers[line.first()].controller = nil }
+// endProcess ends a controller's process. Requests that it sent may still be applied.
+func (line *scenarioLine) endProcess() { line.controllers[line.firstArgument()].controller = nil }
 
 // connectPeers connects or disconnects a controller: "on" delivers the updates between it and
 // its peers, any other argument drops them.
-func (line *scenarioLine) connectPeers() { line.c.peersConnected = line.first() == "on" }
+func (line *scenarioLine) connectPeers() { line.node.peersConnected = line.firstArgument() == "on" }
 
 // submit submits a job. Its arguments set the fields of the specification that differ from the
 // defaults.
 func (line *scenarioLine) submit() {
-	spec := model.JobSpec{ID: line.first(), Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: int(line.number("tasks", 1)),
+	spec := model.JobSpec{ID: line.firstArgument(), Workload: "w", Team: "ops", Urgency: model.Normal, Tasks: int(line.number("tasks", 1)),
 		Need: model.Resources{CPU: line.number("cpu", 4), Memory: line.number("cpu", 4)}, Image: "img", ImageGB: 1, ExpectedRunTime: record.DurationOfSeconds(line.number("expected", 20)),
-		SameZone: line.d.HasArg("same"), SpreadZones: line.d.HasArg("apart"), Dependencies: line.values("prereqs")}
-	if line.d.HasArg("team") {
+		SameZone: line.data.HasArg("same"), SpreadZones: line.data.HasArg("apart"), Dependencies: line.values("prereqs")}
+	if line.data.HasArg("team") {
 		spec.Team = line.text("team")
 	}
-	line.pushRequest(line.c, spec.ID, func(reply uint64) message.Command { return message.SubmitJob{Reply: reply, Spec: spec} })
+	line.pushRequest(line.node, spec.ID, func(reply uint64) message.Command { return message.SubmitJob{Reply: reply, Spec: spec} })
 	line.wait(2)
 }
 
@@ -170,63 +170,63 @@
 // lend count, by default 1.
 func (line *scenarioLine) loan() {
 	kinds := []string{"lend", "back", "settle", "cancelled", "accept", "give_up", "drop"}
-	kind := slices.Index(kinds, line.first())
-	if kind < 0 || len(line.d.CmdArgs) < 2 {
-		line.d.Fatalf(line.t, "loan: got %v, want one of %v and a job", line.d.CmdArgs, kinds)
+	kind := slices.Index(kinds, line.firstArgument())
+	if kind < 0 || len(line.data.CmdArgs) < 2 {
+		line.data.Fatalf(line.t, "loan: got %v, want one of %v and a job", line.data.CmdArgs, kinds)
 	}
-	id := line.d.CmdArgs[1].Key
+	id := line.data.CmdArgs[1].Key
 	command := message.LoanCommand{
 		Kind: message.LoanCommandKind(kind), Job: id, LendCount: uint64(line.number("n", 1)), Peer: "west", Loan: "west/" + id + "/1",
 		Spec: model.JobSpec{ID: id, Team: "ops", Urgency: model.Normal, Tasks: 1, Need: model.Resources{CPU: 4, Memory: 4}, Image: "img", ImageGB: 1, ExpectedRunTime: 20 * time.Second},
 	}
-	line.pushRequest(line.c, line.first()+" "+id, func(reply uint64) message.Command { command.Reply = reply; return command })
+	line.pushRequest(line.node, line.firstArgument()+" "+id, func(reply uint64) message.Command { command.Reply = reply; return command })
 	line.wait(0.5)
 }
 
 // view queries the loans. startable=job: the borrowed job may be started during the next 10 s.
 func (line *scenarioLine) view() {
 	query := message.QueryLoans{GuestTeam: "ops", StartableUntil: map[string]time.Time{}}
-	if line.d.HasArg("startable") {
+	if line.data.HasArg("startable") {
 		query.StartableUntil[line.text("startable")] = line.now.Add(10 * time.Second)
 	}
-	line.pushRequest(line.c, "view", func(reply uint64) message.Command { query.Reply = reply; return query })
+	line.pushRequest(line.node, "view", func(reply uint64) message.Command { query.Reply = reply; return query })
 	line.wait(0.5)
 }
 
 // query queries a job.
 func (line *scenarioLine) query() {
-	id := line.first()
-	line.pushRequest(line.c, id, func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} })
+	id := line.firstArgument()
+	line.pushRequest(line.node, id, func(reply uint64) message.Command { return message.QueryJob{Reply: reply, ID: id} })
 	line.wait(0.3)
 }
 
 // cancel cancels a job.
 func (line *scenarioLine) cancel() {
-	id := line.first()
-	line.pushRequest(line.c, id, func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} })
+	id := line.firstArgument()
+	line.pushRequest(line.node, id, func(reply uint64) message.Command { return message.CancelJob{Reply: reply, ID: id} })
 	line.wait(0.3)
 }
 
 // addStoreRule sets the outcome of the controller's store requests that contain the text of
 // only=, or of all requests. ok: removes all rules.
 func (line *scenarioLine) addStoreRule() {
-	mode := line.first()
-	line.c.rules = append(line.c.rules, storeRule{mode: mode, contains: line.textOfOnly()})
+	mode := line.firstArgument()
+	line.node.rules = append(line.node.rules, storeRule{mode: mode, contains: line.onlyText()})
 	if mode == "ok" {
-		line.c.rules = nil
+		line.node.rules = nil
 	}
 }
 
 // deliver executes the held store requests. say: also prints the outcome of each, which shows
 // that the request was made.
 func (line *scenarioLine) deliver() {
-	held := line.c.heldRequests
-	line.c.heldRequests = nil
+	held := line.node.heldRequests
+	line.node.heldRequests = nil
 	for _, request := range held {
 		request.exec(func(response message.StoreResponse) {
 			kind, text, isTxn := strings.Cut(request.text, ": ")
 			switch {
-			case !line.d.HasArg("say"):
+			case !line.data.HasArg("say"):
 			case !isTxn:
 				line.print(fmt.Sprintf("%s tells of %d", kind, len(response.KeyValues)))
 			case response.Status == message.StoreOK:
@@ -238,45 +238,45 @@
 			}
 		})
 	}
-	if !line.d.HasArg("nowait") {
+	if !line.data.HasArg("nowait") {
 		line.run(200 * time.Millisecond)
 	}
 }
 
 // printTxns prints the transactions since the last call that contain the text of only=.
 func (line *scenarioLine) printTxns() {
-	only := line.textOfOnly()
-	for _, txn := range line.c.txns {
+	only := line.onlyText()
+	for _, txn := range line.node.txns {
 		if strings.Contains(txn, only) {
 			line.print(txn)
 		}
 	}
-	line.c.txns = nil
+	line.node.txns = nil
 }
 
 // setCapacity bounds the number of machines that can be rented.
 func (line *scenarioLine) setCapacity() {
-	line.maxMachines, line.unlisted = int(line.number("machines", 2)), line.d.HasArg("unlisted")
+	line.maxMachines, line.unlisted = int(line.number("machines", 2)), line.data.HasArg("unlisted")
 }
 
 // setReleaseMode sets how the cloud answers releases; see harness.releaseMode.
 func (line *scenarioLine) setReleaseMode() {
-	line.releaseMode = line.first()
+	line.releaseMode = line.firstArgument()
 	clear(line.printed)
 }
 
 // setMachine changes a machine, or adds one that no controller rented.
 func (line *scenarioLine) setMachine() {
-	worker := line.machines[line.first()]
+	worker := line.machines[line.firstArgument()]
 	if worker == nil {
-		worker = &scriptedWorker{id: line.first(), zone: "z1", incarnation: 1}
+		worker = &scriptedWorker{id: line.firstArgument(), zone: "z1", incarnation: 1}
 		line.machines[worker.id] = worker
 	}
-	if line.d.HasArg("zone") {
+	if line.data.HasArg("zone") {
 		worker.zone = line.text("zone")
 	}
-	worker.failed, worker.unlisted = line.d.HasArg("failed"), line.d.HasArg("unlisted")
-	if line.d.HasArg("anew") {
+	worker.failed, worker.unlisted = line.data.HasArg("failed"), line.data.HasArg("unlisted")
+	if line.data.HasArg("anew") {
 		// The worker restarts under the same name without any state.
 		worker.incarnation, worker.sequence, worker.epoch = 1, 0, 0
 	}
@@ -286,10 +286,10 @@
 // heartbeat at once, unless the line has the argument once. as=name: keeps a copy, which the
 // command late sends.
 func (line *scenarioLine) heartbeat() {
-	worker, data := line.worker(), line.d
+	worker, data := line.worker(), line.data
 	heartbeat := line.newHeartbeat(data, worker)
 	send := func() {
-		line.pushRequest(line.c, worker.id, func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: heartbeat} })
+		line.pushRequest(line.node, worker.id, func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: heartbeat} })
 	}
 	worker.resend = func() *datadriven.TestData {
 		worker.sequence++
@@ -310,26 +310,26 @@
 
 // lateHeartbeat delivers an unchanged copy of an earlier heartbeat.
 func (line *scenarioLine) lateHeartbeat() {
-	name := line.first()
+	name := line.firstArgument()
 	heartbeat, ok := line.heartbeatCopies[name]
 	if !ok {
-		line.d.Fatalf(line.t, "late: got copy %q, want the name of a heartbeat that was sent with as=", name)
+		line.data.Fatalf(line.t, "late: got copy %q, want the name of a heartbeat that was sent with as=", name)
 	}
-	line.pushRequest(line.c, "late "+name, func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: heartbeat} })
+	line.pushRequest(line.node, "late "+name, func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: heartbeat} })
 	line.run(0)
 }
 
 // keepReporting makes a worker repeat its heartbeat periodically. deaf: no answer or command
 // reaches the worker. off: ends the repetition.
 func (line *scenarioLine) keepReporting() {
-	worker, node, data := line.worker(), line.c, *line.d // a copy, since datadriven reuses d
+	worker, node, data := line.worker(), line.node, *line.data // a copy, since datadriven reuses d
 	worker.repeat = func() {
 		heartbeat := line.newHeartbeat(&data, worker)
 		line.pushRequest(node, "", func(id uint64) message.Command { return message.WorkerHeartbeat{Reply: id, Heartbeat: heartbeat} })
 		line.ignoredReplies[node.lastReply] = worker
 	}
-	worker.repeated, worker.unreachable = &data, line.d.HasArg("deaf")
-	if line.d.HasArg("off") {
+	worker.repeated, worker.unreachable = &data, line.data.HasArg("deaf")
+	if line.data.HasArg("off") {
 		worker.repeat, worker.repeated, worker.unreachable = nil, nil, false
 	}
 }
@@ -337,7 +337,7 @@
 // printWorkerCommands prints the commands and polls that wait for an answer.
 func (line *scenarioLine) printWorkerCommands() {
 	line.run(0)
-	for _, command := range line.c.workerCommands {
+	for _, command := range line.node.workerCommands {
 		text := formatCommands(command.Commands)
 		switch {
 		case command.StatusOnly:
@@ -354,7 +354,7 @@
 // command. from=machine: another machine answers, which has taken over the address.
 func (line *scenarioLine) answerWorkerCommand() {
 	line.run(0)
-	worker, node := line.worker(), line.c
+	worker, node := line.worker(), line.node
 	i := slices.IndexFunc(node.workerCommands, func(command workerCommand) bool { return command.Machine == worker.id && len(command.Commands) > 0 })
 	if i < 0 {
 		i = slices.IndexFunc(node.workerCommands, func(command workerCommand) bool { return command.Machine == worker.id })
@@ -365,19 +365,19 @@
 	}
 	command := node.workerCommands[i]
 	node.workerCommands = slices.Delete(node.workerCommands, i, i+1)
-	if line.d.HasArg("lost") {
+	if line.data.HasArg("lost") {
 		node.push(message.WorkerResponse{ID: command.ID})
 		line.run(0)
 		return
 	}
-	if line.d.HasArg("from") {
+	if line.data.HasArg("from") {
 		worker = line.machines[line.text("from")]
 	}
-	refused := line.d.HasArg("refused")
+	refused := line.data.HasArg("refused")
 	if !command.StatusOnly && !refused && command.Epoch >= worker.epoch {
 		worker.epoch = command.Epoch
 	}
-	heartbeat := line.newHeartbeat(line.d, worker)
+	heartbeat := line.newHeartbeat(line.data, worker)
 	node.push(message.WorkerResponse{ID: command.ID, OK: !refused, Heartbeat: &heartbeat})
 	line.run(0)
 }
@@ -385,7 +385,7 @@
 // putEmptyRecord writes a record that contains an empty map, as a program other than a
 // controller might.
 func (line *scenarioLine) putEmptyRecord() {
-	line.store.Do(line.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: line.first(), Value: line.encode(map[string]any{})}}}, func(message.StoreResponse) {})
+	line.store.Do(line.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: line.firstArgument(), Value: line.encode(map[string]any{})}}}, func(message.StoreResponse) {})
 }
 
 // encode returns the msgpack encoding of v.
@@ -393,7 +393,7 @@
 	line.t.Helper()
 	raw, err := msgpack.Marshal(v)
 	if err != nil {
-		line.t.Fatalf("%s: encoding a record: got error %v, want none", line.d.Cmd, err)
+		line.t.Fatalf("%s: encoding a record: got error %v, want none", line.data.Cmd, err)
 	}
 	return raw
 }
@@ -402,7 +402,7 @@
 // a=(ops) b=(lab)".
 func (line *scenarioLine) assignTeams() {
 	transaction := message.StoreRequest{Kind: message.OpTxn}
-	for _, argument := range line.d.CmdArgs {
+	for _, argument := range line.data.CmdArgs {
 		if argument.Key == "for" {
 			continue
 		}
@@ -422,17 +422,17 @@
 // assignMachines writes a shard segment that contains the given machines, as a leader does. An
 // example is "lot name share=b machines=(vm-1)".
 func (line *scenarioLine) assignMachines() {
-	if !line.d.HasArg("machines") {
-		line.d.Fatalf(line.t, "lot: got no argument machines=, want one")
+	if !line.data.HasArg("machines") {
+		line.data.Fatalf(line.t, "lot: got no argument machines=, want one")
 	}
-	write, _ := sharding.BumpEpoch(sizelimit.Limits{ValueBytes: 4096}, line.first(), &sharding.Shard{Name: line.text("share")}, line.values("machines"))
+	write, _ := sharding.BumpEpoch(sizelimit.Limits{ValueBytes: 4096}, line.firstArgument(), &sharding.Shard{Name: line.text("share")}, line.values("machines"))
 	line.store.Do(line.now, message.StoreRequest{Kind: message.OpTxn, Writes: []message.Write{{Key: "ctl/lot/" + write.Name, Value: write.Value}}}, func(message.StoreResponse) {})
 	line.wait(0.5)
 }
 
 // printKeys prints the store keys with the prefix that is the first argument.
 func (line *scenarioLine) printKeys() {
-	line.store.Do(line.now, message.StoreRequest{Kind: message.OpList, Key: line.first()}, func(response message.StoreResponse) {
+	line.store.Do(line.now, message.StoreRequest{Kind: message.OpList, Key: line.firstArgument()}, func(response message.StoreResponse) {
 		for _, record := range response.KeyValues {
 			line.print(record.Key)
 		}
--- a/internal/controller/scheduler.go
+++ b/internal/controller/scheduler.go
@@ -23,11 +23,11 @@
 	component
 
 	// placementDue is set when a change may allow tasks to be placed, placementUrgent when the
-	// wait of one of these tasks is bounded. placedAt is when the last round began;
+	// wait of one of these tasks is bounded. lastRoundAt is when the last round began;
 	// roundDuration is how long the step that contained the last round took.
 	placementDue    bool
 	placementUrgent bool
-	placedAt        time.Time
+	lastRoundAt     time.Time
 	roundDuration   time.Duration
 
 	// preemptionVictims caches, for each kind of task, the machines where tasks of lower
@@ -53,125 +53,125 @@
 
 // requestPlacement requests a placement round. It is called when a task has become pending or
 // capacity has become free.
-func (s *scheduler) requestPlacement() { s.placementDue = true }
+func (scheduler *scheduler) requestPlacement() { scheduler.placementDue = true }
 
-// hurryPlacement lets the next round start without the usual interval if the wait of the workload's
+// expeditePlacement lets the next round start without the usual interval if the wait of the workload's
 // tasks is bounded. It does not request a round.
-func (s *scheduler) hurryPlacement(workload string) {
-	s.placementUrgent = s.placementUrgent || s.waitObjective(workload) > 0
+func (scheduler *scheduler) expeditePlacement(workload string) {
+	scheduler.placementUrgent = scheduler.placementUrgent || scheduler.waitObjective(workload) > 0
 }
 
 // restartPlacement requests an immediate round and clears the cache of preemption victims. It is
 // called when the ranking has changed.
-func (s *scheduler) restartPlacement() {
-	s.placementDue, s.placementUrgent = true, true
-	s.preemptionVictims = nil
+func (scheduler *scheduler) restartPlacement() {
+	scheduler.placementDue, scheduler.placementUrgent = true, true
+	scheduler.preemptionVictims = nil
 }
 
 // placementRoundDue reports whether a requested round may start now.
-func (s *scheduler) placementRoundDue() bool {
-	return s.placementDue && !s.now.Before(s.nextRoundAt())
+func (scheduler *scheduler) placementRoundDue() bool {
+	return scheduler.placementDue && !scheduler.now.Before(scheduler.nextRoundAt())
 }
 
 // nextRoundAt returns when the next round may start. Rounds start at intervals of at least 2.5
 // times the duration of the last round, which leaves time for other commands however many tasks are
 // pending.
-func (s *scheduler) nextRoundAt() time.Time {
+func (scheduler *scheduler) nextRoundAt() time.Time {
 	gap := placementInterval
-	if s.placementUrgent {
+	if scheduler.placementUrgent {
 		gap = 0
 	}
-	return s.placedAt.Add(max(gap, s.roundDuration*5/2))
+	return scheduler.lastRoundAt.Add(max(gap, scheduler.roundDuration*5/2))
 }
 
 // runPlacementRound runs a placement round and clears all requests for one.
-func (s *scheduler) runPlacementRound() {
-	s.placementDue, s.placementUrgent, s.placedAt = false, false, s.now
-	s.placeAll()
+func (scheduler *scheduler) runPlacementRound() {
+	scheduler.placementDue, scheduler.placementUrgent, scheduler.lastRoundAt = false, false, scheduler.now
+	scheduler.placeAll()
 }
 
 // recordRoundDuration stores how long the step with the last round took.
-func (s *scheduler) recordRoundDuration(d time.Duration) { s.roundDuration = d }
+func (scheduler *scheduler) recordRoundDuration(d time.Duration) { scheduler.roundDuration = d }
 
 // usable reports whether tasks may be placed on a machine at present.
-func (s *scheduler) usable(m *machine) bool {
-	return !s.controller.isRentedForOther(m.id) &&
+func (scheduler *scheduler) usable(m *machine) bool {
+	return !scheduler.controller.isRentedForOther(m.id) &&
 		m.heard && !m.reclaimNoticed && !m.releasing && !m.faulty && !m.hasUnknownTasks &&
 		m.size.CPU > 0 && m.reachability.Reachable() &&
-		!s.controller.shardLeader.heartbeats.unresponsive(m)
+		!scheduler.controller.shardLeader.heartbeats.unresponsive(m)
 }
 
 // placeAll reserves machines for overdue jobs and places pending tasks in queue order.
-func (s *scheduler) placeAll() {
-	entries := s.queueOrder()
+func (scheduler *scheduler) placeAll() {
+	entries := scheduler.queueOrder()
 	var jobs []*job
 	for _, entry := range entries {
-		if entry.goesFirst || !entry.job.overdue {
+		if entry.promoted || !entry.job.overdue {
 			jobs = append(jobs, entry.job)
 		}
 	}
-	s.reserveMachines(jobs)
+	scheduler.reserveMachines(jobs)
 	if len(entries) == 0 {
 		return
 	}
-	if s.now.After(s.controller.membership.leaseValidUntil) || s.controller.ranking.stale {
+	if scheduler.now.After(scheduler.controller.membership.leaseValidUntil) || scheduler.controller.ranking.stale {
 		return
 	}
-	s.placeReserved()
-	round := s.newPlacementRound()
-	s.updateStartDeadlines(entries)
+	scheduler.placeReserved()
+	round := scheduler.newPlacementRound()
+	scheduler.updateStartDeadlines(entries)
 	for _, entry := range entries {
-		entry.job.placingOverdue = entry.goesFirst
-		s.placeQueueEntry(entry.job, round, entry.tasks)
+		entry.job.placingOverdue = entry.promoted
+		scheduler.placeQueueEntry(entry.job, round, entry.tasks)
 		entry.job.placingOverdue = false
 	}
 }
 
 // updateStartDeadlines rebuilds startDeadlines from the queue entries.
-func (s *scheduler) updateStartDeadlines(entries []queueEntry) {
-	s.startDeadlines = map[string]time.Time{}
+func (scheduler *scheduler) updateStartDeadlines(entries []queueEntry) {
+	scheduler.startDeadlines = map[string]time.Time{}
 	for _, entry := range entries {
-		job, latest := entry.job, s.latestStart(entry.job)
-		if earliest, ok := s.startDeadlines[job.Workload]; !ok || latest.Before(earliest) {
-			s.startDeadlines[job.Workload] = latest
+		job, latest := entry.job, scheduler.latestStart(entry.job)
+		if earliest, ok := scheduler.startDeadlines[job.Workload]; !ok || latest.Before(earliest) {
+			scheduler.startDeadlines[job.Workload] = latest
 		}
 	}
 }
 
 // placeQueueEntry places up to count pending tasks of a job.
-func (s *scheduler) placeQueueEntry(job *job, round *placementRound, count int) {
+func (scheduler *scheduler) placeQueueEntry(job *job, round *placementRound, count int) {
 	if job.Gang {
-		s.placeGang(job, round)
+		scheduler.placeGang(job, round)
 		return
 	}
-	most := func() int { return min(count, s.placeableTasks(job)) }
+	most := func() int { return min(count, scheduler.placeableTasks(job)) }
 	place := func(fetch time.Duration, most int) {
 		pending := job.pendingTasks()
-		s.placeJob(job, round, fetch, most)
+		scheduler.placeJob(job, round, fetch, most)
 		count -= pending - job.pendingTasks()
 	}
-	bound := s.waitObjective(job.Workload)
+	bound := scheduler.waitObjective(job.Workload)
 	if bound == 0 || job.Urgency == model.BestEffort {
 		place(forever, most())
-		if (job.placingOverdue || s.preemptsForReplica(job)) && most() > 0 && !s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
+		if (job.placingOverdue || scheduler.preemptsForReplica(job)) && most() > 0 && !scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID) {
 			// An overdue job may preempt tasks of lower urgency; a job with replicas
 			// may preempt only such tasks without GPUs.
-			s.preemptIfDue(job, forever)
+			scheduler.preemptIfDue(job, forever)
 		}
 		return
 	}
 	// A job with a bounded wait is placed in three steps: first on machines that have the image
 	// or can fetch it in time, then by preemption on such machines, and last on machines where
 	// the fetch alone may exceed the bound.
-	left := bound - s.now.Sub(job.readySince()) - commandAndWriteTime
+	left := bound - scheduler.now.Sub(job.readySince()) - commandAndWriteTime
 	place(max(left, 0), most())
 	freeing := 0
 	switch {
-	case s.placeableTasks(job) == 0 || s.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID):
+	case scheduler.placeableTasks(job) == 0 || scheduler.controller.shardLeader.faultAttribution.FailsEverywhere(job.ID):
 	case left > 0:
-		freeing = s.preemptIfDue(job, left)
-	case s.latestStart(job).Sub(s.now) < bound:
-		freeing = s.preemptIfDue(job, forever)
+		freeing = scheduler.preemptIfDue(job, left)
+	case scheduler.latestStart(job).Sub(scheduler.now) < bound:
+		freeing = scheduler.preemptIfDue(job, forever)
 	}
 	place(forever, most()-freeing)
 }
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -179,7 +179,7 @@
 func (p *persistence) noteRankingResponse(txn *segmentTxn, response message.StoreResponse) {
 	switch {
 	case txn.comparesRanking && response.Status == message.StoreOK:
-		p.controller.ranking.noteKnown(response.SentAt)
+		p.controller.ranking.noteKnownAsOf(response.SentAt)
 	case txn.comparesRanking && response.Status == message.StoreConflict && slices.Contains(response.FailedKeys, record.RankingKey):
 		p.controller.ranking.noteOutdated(txn.rankingRevision)
 	}
--- a/internal/controller/shard_leader.go
+++ b/internal/controller/shard_leader.go
@@ -77,9 +77,9 @@
 	// loadsPublishedAt when an update last included the loads of the workloads; see publish.go.
 	publishedAt      time.Time
 	loadsPublishedAt time.Time
-	// publishTurn is the part of the machines that the last update published, from 0 to
-	// machineUpdateTurns-1.
-	publishTurn int
+	// publishPart is the part of the machines that the last update published, from 0 to
+	// machineUpdateParts-1.
+	publishPart int
 	// teamRelease is the team that the leader last asked to move, received at teamReleaseAt.
 	teamRelease   sharding.MoveRequest
 	teamReleaseAt time.Time
--- a/internal/controller/shard_leader_test.go
+++ b/internal/controller/shard_leader_test.go
@@ -99,7 +99,7 @@
 	if machine == nil || len(machine.attempts) != 1 || job.tasks[0].machine != machine || len(controller.shardLeader.remoteAttempts.machines) != 0 {
 		t.Fatal("got the machine without its attempt, want both taken over")
 	}
-	if least := controller.now.Add(membershipLeaseTTL + controller.renewal.grace() + controller.settings.WorkerLease); machine.leaseEnd.Before(least) {
+	if least := controller.now.Add(membershipLeaseTTL + controller.renewal.renewalGrace() + controller.settings.WorkerLease); machine.leaseEnd.Before(least) {
 		t.Errorf("got the lease expired after %v, want at least %v", machine.leaseEnd.Sub(controller.now), least.Sub(controller.now))
 	}
 	// The machine is handed over to b again, with the attempt on it.
@@ -120,7 +120,7 @@
 	machine.formerOwnerUntil, machine.leaseEnd = time.Time{}, controller.renewal.leaseEndAfter(controller.now)
 	controller.putSegment(t, "a", 4, machine.id, "vm-000088")
 	controller.syncShardLeader()
-	least := controller.now.Add(membershipLeaseTTL + controller.renewal.grace() + controller.settings.WorkerLease)
+	least := controller.now.Add(membershipLeaseTTL + controller.renewal.renewalGrace() + controller.settings.WorkerLease)
 	if machine.epoch != 4 || machine.leaseEnd.Before(least) {
 		t.Errorf("got epoch %d, lease expired after %v; want 4 and at least %v", machine.epoch, machine.leaseEnd.Sub(controller.now), least.Sub(controller.now))
 	}
@@ -146,8 +146,8 @@
 	if commands := controller.shardLeader.dispatcher.reconcile(machine); len(commands) != 0 {
 		t.Errorf("got commands %v, want none", commands)
 	}
-	if machine.isEmpty() || machine.othersUsed.CPU != 1 || machine.hasUnknownTasks {
-		t.Errorf("got resources of others' tasks %v, empty %v, unknown tasks %v; want 1 CPU, false and false", machine.othersUsed, machine.isEmpty(), machine.hasUnknownTasks)
+	if machine.isEmpty() || machine.otherShardsUsed.CPU != 1 || machine.hasUnknownTasks {
+		t.Errorf("got resources of others' tasks %v, empty %v, unknown tasks %v; want 1 CPU, false and false", machine.otherShardsUsed, machine.isEmpty(), machine.hasUnknownTasks)
 	}
 	// A task of a cancelled job is stopped without a request: the job's owner may be
 	// unreachable.
@@ -222,8 +222,8 @@
 	controller.syncShardLeader()
 	// The start of the attempt got no answer.
 	machine.unackedStartEpoch, machine.seenEpoch = machine.epoch, machine.epoch
-	if controller.shardLeader.jobs[spec.ID] != nil || machine.isEmpty() || machine.othersUsed.CPU != 3 {
-		t.Fatalf("after the hand-over: got resources of others' tasks %v, empty %v; want 3 CPU and false", machine.othersUsed, machine.isEmpty())
+	if controller.shardLeader.jobs[spec.ID] != nil || machine.isEmpty() || machine.otherShardsUsed.CPU != 3 {
+		t.Fatalf("after the hand-over: got resources of others' tasks %v, empty %v; want 3 CPU and false", machine.otherShardsUsed, machine.isEmpty())
 	}
 	requests := []remote.Request{{Machine: machine.id, Attempts: []remote.AttemptRequest{{AttemptID: remote.AttemptID{Job: spec.ID, Index: 0, Attempt: 1}}}}}
 	publishedState := func() remote.State {
--- a/internal/controller/shard_planning.go
+++ b/internal/controller/shard_planning.go
@@ -97,7 +97,7 @@
 	input := sharding.Input{Map: members.shardMap, Self: leader.settings.Host, TeamLoads: planning.loads, Offers: planning.offers, IsGone: leader.confirmedGone}
 	for _, host := range sortedKeys(members.controllers) {
 		entry := members.controllers[host]
-		receivesNothing := entry.ReceivesNothing || host == leader.settings.Host && leader.controller.partition.receivesNothing(leader.now)
+		receivesNothing := entry.ReceivesNothing || host == leader.settings.Host && leader.controller.partition.isStandingDown(leader.now)
 		input.Controllers = append(input.Controllers, sharding.Controller{Host: host, Incarnation: entry.Incarnation, Capable: !receivesNothing, OnProbation: leader.controller.membership.recentlyStarted(entry)})
 	}
 	for _, team := range leader.settings.Teams {
--- a/internal/controller/shard_sync.go
+++ b/internal/controller/shard_sync.go
@@ -155,7 +155,7 @@
 	// The recount must follow the removal of the jobs: an attempt of a job held here does not
 	// count as another owner's.
 	for _, id := range sortedKeys(affected) {
-		shardLeader.remoteAttempts.recountOthersUsed(affected[id])
+		shardLeader.remoteAttempts.recountOtherShardsUsed(affected[id])
 		shardLeader.controller.markDispatchPending(affected[id])
 	}
 	delete(shardLeader.usedByTeam, team)
@@ -213,7 +213,7 @@
 	if len(machine.attempts) == 0 {
 		return
 	}
-	remoteMachine := shardLeader.remoteAttempts.machine(machine.id)
+	remoteMachine := shardLeader.remoteAttempts.ensureRemoteMachine(machine.id)
 	remoteMachine.zone, remoteMachine.machineType, remoteMachine.spot = machine.zone, machine.machineType, machine.spot
 	for _, key := range sortedAttempts(machine) {
 		task := machine.attempts[key]
@@ -239,7 +239,7 @@
 	if machine.machineType == "" && remoteMachine.machineType != "" {
 		machine.zone, machine.machineType, machine.spot = remoteMachine.zone, remoteMachine.machineType, remoteMachine.spot
 		if machineType, ok := shardLeader.controller.knowledge.machineTypes[remoteMachine.machineType]; ok {
-			machine.size, machine.disk = machineType.Capacity, machineType.DiskGB
+			machine.size, machine.diskGB = machineType.Capacity, machineType.DiskGB
 		}
 	}
 	for _, key := range sortedAttempts(remoteMachine) {
@@ -254,7 +254,7 @@
 	// The former owner may still answer the machine's heartbeats for a while, and each answer
 	// renews the worker's lease.
 	machine.leaseEnd = later(machine.leaseEnd, shardLeader.controller.renewal.leaseEndAfter(machine.formerOwnerUntil))
-	shardLeader.remoteAttempts.rePoll(machine)
+	shardLeader.remoteAttempts.reapplyTaskReports(machine)
 	if update := shardLeader.controller.knowledge.predecessorMachines[machine.id]; shardLeader.now.Sub(update.receivedAt) < machineUpdateTTL && machine.addr == "" {
 		shardLeader.describe(machine, update.Addr, update.MachineType, update.Zone, update.Spot)
 	}
--- a/internal/controller/simulated_machine.go
+++ b/internal/controller/simulated_machine.go
@@ -63,14 +63,14 @@
 
 	// free is the capacity that is free from the time at on. releases, ordered by time, are the
 	// amounts that become free later.
-	at       time.Duration
+	freeFrom time.Duration
 	free     model.Resources
 	releases []release
 
-	// packingKind is the packing profile of the machine type, or nil if the type has none.
+	// packingProfile is the packing profile of the machine type, or nil if the type has none.
 	// nonGPUFree is the capacity that tasks which avoid GPUs may use.
-	packingKind *packing.Profile
-	nonGPUFree  model.Resources
+	packingProfile *packing.Profile
+	nonGPUFree     model.Resources
 }
 
 // release is capacity that becomes free at a time, when some tasks end.
@@ -84,7 +84,7 @@
 func (simMachine *simulatedMachine) earliestStart(need model.Resources, gang, avoidGPUs bool) (time.Duration, bool) {
 	free := simMachine.free
 	if need.Fits(simMachine.freeFor(free, avoidGPUs)) {
-		return simMachine.at, true
+		return simMachine.freeFrom, true
 	}
 	if gang {
 		return 0, false
@@ -93,7 +93,7 @@
 		e := &simMachine.releases[i]
 		free = free.AddScaled(e.need, 1)
 		if need.Fits(simMachine.freeFor(free, avoidGPUs)) {
-			return max(simMachine.at, e.at), true
+			return max(simMachine.freeFrom, e.at), true
 		}
 	}
 	return 0, false
@@ -104,7 +104,7 @@
 func (simMachine *simulatedMachine) placeTasks(need model.Resources, at, run time.Duration, count int, avoidGPUs bool) int {
 	for len(simMachine.releases) > 0 && !need.Fits(simMachine.freeFor(simMachine.free, avoidGPUs)) {
 		simMachine.free = simMachine.free.AddScaled(simMachine.releases[0].need, 1)
-		simMachine.at = max(simMachine.at, simMachine.releases[0].at)
+		simMachine.freeFrom = max(simMachine.freeFrom, simMachine.releases[0].at)
 		simMachine.releases = simMachine.releases[1:]
 	}
 	placed := max(1, min(count, simMachine.freeFor(simMachine.free, avoidGPUs).FitCount(need)))
@@ -123,20 +123,20 @@
 // over, but most likely will, because the cloud lists it as running. Planning counts such a machine as
 // present. If a successor counted only machines that have sent heartbeats, it would rent hundreds of
 // others, which would then stand idle.
-func (f *fleetPlanner) expectedToReport(m *machine) bool {
-	shardLeader := f.controller.shardLeader
-	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || f.now.Sub(shardLeader.readyAt) > 2*f.maxHeartbeatInterval() || f.view == nil {
+func (planner *fleetPlanner) expectedToReport(m *machine) bool {
+	shardLeader := planner.controller.shardLeader
+	if m.heard || m.releasing || m.faulty || m.size.CPU <= 0 || planner.now.Sub(shardLeader.readyAt) > 2*planner.maxHeartbeatInterval() || planner.view == nil {
 		return false
 	}
-	rental := f.view.rentals[m.id]
+	rental := planner.view.rentals[m.id]
 	return rental != nil && rental.status == "running" && !rental.releasing
 }
 
 // futureFreeCapacity returns each usable machine with its free capacity and the capacity that its live
 // tasks will release, as far as their expected ends are known. A task is assumed to run for at least
 // another fifth of its expected run time, also when it has already run for longer than expected.
-func (f *fleetPlanner) futureFreeCapacity() *freeCapacity {
-	shardLeader := f.controller.shardLeader
+func (planner *fleetPlanner) futureFreeCapacity() *freeCapacity {
+	shardLeader := planner.controller.shardLeader
 	capacity := &freeCapacity{machines: make([]*simulatedMachine, 0, len(shardLeader.machinesByID)), imageIDs: map[string]int32{}}
 	storage := make([]simulatedMachine, len(shardLeader.machinesByID))
 	attempts, images := 0, 0
@@ -147,17 +147,17 @@
 	releases, ids := make([]release, 0, attempts), make([]int32, 0, images)
 	profile := shardLeader.scheduler.currentPackingProfile()
 	for i, m := range shardLeader.machinesByID {
-		if !shardLeader.scheduler.usable(m) && !f.expectedToReport(m) || m.reservedFor != "" {
+		if !shardLeader.scheduler.usable(m) && !planner.expectedToReport(m) || m.reservedFor != "" {
 			continue
 		}
 		simMachine := &storage[i]
-		*simMachine = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingKind: profile.kind(m.machineType)}
-		if simMachine.packingKind != nil && !simMachine.idle {
-			simMachine.nonGPUFree = simMachine.packingKind.NonGPUCapacity(simMachine.free, shardLeader.scheduler.nonGPUUse(m))
+		*simMachine = simulatedMachine{machineKind: machineKind{m.machineType, m.zone, m.spot}, machine: m, idle: m.isEmpty(), free: m.free(), packingProfile: profile.profileFor(m.machineType)}
+		if simMachine.packingProfile != nil && !simMachine.idle {
+			simMachine.nonGPUFree = simMachine.packingProfile.NonGPUCapacity(simMachine.free, shardLeader.scheduler.nonGPUUse(m))
 		}
-		releases = f.addReleases(simMachine, releases)
+		releases = planner.addReleases(simMachine, releases)
 		ids = capacity.addImages(simMachine, ids)
-		rate := f.controller.knowledge.imageFetchRate(m)
+		rate := planner.controller.knowledge.imageFetchRate(m)
 		simMachine.secondsPerGB, simMachine.fetchingSecondsPerGB = float64(1+len(simMachine.fetchingImages))/rate, 1/rate/2
 		capacity.machines = append(capacity.machines, simMachine)
 	}
@@ -167,21 +167,21 @@
 // addReleases sets the releases of a machine to what the machine's live tasks release at their expected
 // ends, ordered by time. It appends the releases to the given slice, which has capacity for those of all
 // machines, and returns the extended slice.
-func (f *fleetPlanner) addReleases(simMachine *simulatedMachine, releases []release) []release {
+func (planner *fleetPlanner) addReleases(simMachine *simulatedMachine, releases []release) []release {
 	start := len(releases)
 	for k, attempt := range simMachine.machine.attempts {
-		j := f.controller.shardLeader.jobs[k.job]
+		j := planner.controller.shardLeader.jobs[k.job]
 		if j.LongRunning {
 			continue
 		}
-		run := f.controller.knowledge.expectedRunTime(j)
+		run := planner.controller.knowledge.expectedRunTime(j)
 		left := run
 		switch {
 		case attempt.inherited:
 			// For an inherited attempt only the placement time is known, not its start.
-			left = max(run-f.now.Sub(time.UnixMilli(attempt.groupStart)), run/5)
+			left = max(run-planner.now.Sub(time.UnixMilli(attempt.groupStart)), run/5)
 		case !attempt.startedAt.IsZero():
-			left = max(run-f.now.Sub(attempt.startedAt), run/5)
+			left = max(run-planner.now.Sub(attempt.startedAt), run/5)
 		}
 		releases = append(releases, release{left, j.Need})
 	}
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -60,13 +60,13 @@
 
 // newSimulation creates a simulation on the given machines, which the simulation may change. images
 // maps the names of the images to the numbers that the machines use for them.
-func (f *fleetPlanner) newSimulation(machines []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
-	sim := &simulation{controller: f.controller, now: f.now, machines: machines, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
-	if v := f.view; v != nil {
+func (planner *fleetPlanner) newSimulation(machines []*simulatedMachine, images map[string]int32, charge chargeFunc) *simulation {
+	sim := &simulation{controller: planner.controller, now: planner.now, machines: machines, imageIDs: images, charge: charge, refusedKinds: map[machineKind]bool{}}
+	if v := planner.view; v != nil {
 		for k, until := range v.blockedUntil {
-			sim.refusedKinds[k] = until.After(f.now)
+			sim.refusedKinds[k] = until.After(planner.now)
 		}
-		for k := range f.neverReadyKinds {
+		for k := range planner.neverReadyKinds {
 			sim.refusedKinds[k] = true
 		}
 		sim.surplus = maps.Clone(v.surplus)
@@ -92,8 +92,8 @@
 func (p *simulation) addProvisioning(kind machineKind, ready time.Time) *simulatedMachine {
 	machineType := p.controller.knowledge.machineTypes[kind.machineType]
 	added := &simulatedMachine{
-		machineKind: kind, index: int32(len(p.machines)), at: max(0, ready.Sub(p.now)), free: machineType.Capacity,
-		packingKind: p.controller.shardLeader.scheduler.currentPackingProfile().kind(kind.machineType),
+		machineKind: kind, index: int32(len(p.machines)), freeFrom: max(0, ready.Sub(p.now)), free: machineType.Capacity,
+		packingProfile: p.controller.shardLeader.scheduler.currentPackingProfile().profileFor(kind.machineType),
 	}
 	if machineType.ImageFetchRate > 0 {
 		added.secondsPerGB = 1 / machineType.ImageFetchRate
@@ -144,12 +144,12 @@
 
 // simulatedLateness returns the sum of the delays with which the demands' tasks would start beyond
 // their deadlines and wait objectives, if only the machines of capacity that are not in without existed.
-func (f *fleetPlanner) simulatedLateness(capacity *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
-	sim := f.newSimulation(copyFreeCapacity(capacity, without), capacity.imageIDs, charge)
+func (planner *fleetPlanner) simulatedLateness(capacity *freeCapacity, demands []demand, without map[*machine]bool, charge chargeFunc) time.Duration {
+	sim := planner.newSimulation(copyFreeCapacity(capacity, without), capacity.imageIDs, charge)
 	var total time.Duration
 	for _, d := range demands {
-		bound := f.waitObjective(d.job.Workload)
-		margin := f.controller.knowledge.safetyMargin(d.job)
+		bound := planner.waitObjective(d.job.Workload)
+		margin := planner.controller.knowledge.safetyMargin(d.job)
 		sim.simulate(d, func(count int, simMachine *simulatedMachine, from, at time.Time) {
 			// A task that fits nowhere counts more than any late start. Otherwise the
 			// only machine on which tasks of long run time fit would be decommissioned.
@@ -176,11 +176,11 @@
 }
 
 // expectedOccupancy returns how long a task of the job is expected to occupy its machine.
-func (f *fleetPlanner) expectedOccupancy(j *job) time.Duration {
+func (planner *fleetPlanner) expectedOccupancy(j *job) time.Duration {
 	if j.LongRunning {
 		return forever
 	}
-	return max(f.controller.knowledge.expectedRunTime(j), time.Second)
+	return max(planner.controller.knowledge.expectedRunTime(j), time.Second)
 }
 
 // zoneLimits counts a job's live and simulated tasks by zone. It prevents renting machines in zones in
--- a/internal/controller/size_limits_test.go
+++ b/internal/controller/size_limits_test.go
@@ -112,7 +112,7 @@
 			job.recordRunTime(time.Duration(100+i) * time.Second)
 		}
 		segment := job.segmentRecord(job.segmentOf(0))
-		size, err := sizelimit.JSON(record.Encode(segment))
+		size, err := sizelimit.JSONSize(record.Encode(segment))
 		if err != nil || size > maxBytes {
 			t.Errorf("got %d rows of %d bytes (error %v), want at most %d bytes", job.tasksPerSegment, size, err, maxBytes)
 		}
@@ -203,7 +203,7 @@
 			}
 		}
 		segment := job.segmentRecord(job.segmentOf(0))
-		if size, err := sizelimit.JSON(record.Encode(segment)); err != nil || size > maxBytes {
+		if size, err := sizelimit.JSONSize(record.Encode(segment)); err != nil || size > maxBytes {
 			t.Errorf("got %d rows of %d bytes (error %v), want at most %d bytes", job.tasksPerSegment, size, err, maxBytes)
 		}
 		successor := largePool(0)
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -99,7 +99,7 @@
 			if seen[submission.spec.ID] || len(batch) > 0 && (submission.storeAlone || batch[0].storeAlone) {
 				break
 			}
-			bytes, err := sizelimit.JSON(record.Encode(submission.openRecord()))
+			bytes, err := sizelimit.JSONSize(record.Encode(submission.openRecord()))
 			if size += bytes + submitOverheadBytes; (err != nil || size > targetTxnBytes) && len(batch) > 0 {
 				break
 			}
--- a/internal/controller/team_loading.go
+++ b/internal/controller/team_loading.go
@@ -139,7 +139,7 @@
 	shardLeader.remoteAttempts.requestSoon()
 	for _, machine := range shardLeader.machinesByID {
 		// Tasks on the machine may belong to a team that another shard held until this load.
-		shardLeader.remoteAttempts.rePoll(machine)
+		shardLeader.remoteAttempts.reapplyTaskReports(machine)
 	}
 	if firstLoad {
 		shardLeader.ready, shardLeader.readyAt = true, shardLeader.now
@@ -211,7 +211,7 @@
 		machine := failover.controller.shardLeader.ensureMachine(id)
 		failover.controller.shardLeader.describe(machine, update.Addr, update.MachineType, update.Zone, update.Spot)
 		for name, sizeGB := range update.Images {
-			machine.images[name] = &image{sizeGB: sizeGB, last: failover.now, cached: true}
+			machine.images[name] = &image{sizeGB: sizeGB, lastUsedAt: failover.now, cached: true}
 		}
 	}
 }
@@ -229,7 +229,7 @@
 			if entry.modRevision > shardLeader.jobs[id].modRevision {
 				shardLeader.applyJobRecord(shardLeader.jobs[id], entry.modRevision, &entry.rec)
 			}
-		} else if shardLeader.jobs[id].elsewhere() {
+		} else if shardLeader.jobs[id].isLentOrLending() {
 			delete(shardLeader.jobs, id)
 		}
 	}
--- a/internal/controller/transfer_requests.go
+++ b/internal/controller/transfer_requests.go
@@ -21,12 +21,12 @@
 const partlyRunningWait = 65 * time.Second
 
 const (
-	// quietTime is how long an owner must have placed no task on a machine before it offers the
+	// minTimeSincePlacement is how long an owner must have placed no task on a machine before it offers the
 	// machine for any request. A machine on which the owner has placed a task more recently is
 	// offered only if a job has waited for busyMachineWait.
-	quietTime = 30 * time.Second
+	minTimeSincePlacement = 30 * time.Second
 	// busyMachineWait is how long a job of another shard leader must have waited before machines
-	// are offered that their owner has used within quietTime.
+	// are offered that their owner has used within minTimeSincePlacement.
 	busyMachineWait = 75 * time.Second
 )
 
@@ -170,11 +170,11 @@
 }
 
 // candidates returns an offer for each machine that may be offered. If excludeRecentlyUsed is
-// set, it leaves out machines on which a task was placed within quietTime.
+// set, it leaves out machines on which a task was placed within minTimeSincePlacement.
 func (transfers *machineTransfers) candidates(excludeRecentlyUsed bool) []exchange.TransferOffer {
 	var out []exchange.TransferOffer
 	for _, machine := range transfers.controller.shardLeader.machinesByID {
-		if excludeRecentlyUsed && transfers.now.Sub(machine.lastPlacedAt) < quietTime {
+		if excludeRecentlyUsed && transfers.now.Sub(machine.lastPlacedAt) < minTimeSincePlacement {
 			continue
 		}
 		if transfers.mayOffer(machine) {
@@ -198,7 +198,7 @@
 		return false
 	case !shardLeader.scheduler.usable(machine) || !shardLeader.dispatcher.noStartInFlight(machine):
 		return false
-	case machine.reservedFor != "" || machine.evacuatingForOther || machine.reservedForMigration != (model.Resources{}):
+	case machine.reservedFor != "" || machine.evacuatingForOtherShard || machine.reservedForMigration != (model.Resources{}):
 		return false
 	}
 	for _, attempt := range machine.attempts {
@@ -222,7 +222,7 @@
 		if shardLeader.scheduler.placeableTasks(job) == 0 || !shardLeader.scheduler.withinQuotaLimit(job) || shardLeader.faultAttribution.FailsEverywhere(id) {
 			continue
 		}
-		waited := shardLeader.scheduler.unservedFor(job)
+		waited := shardLeader.scheduler.waitSinceLastStart(job)
 		shape := job.taskShape()
 		if i, known := index[shape]; known {
 			out[i].Waited = max(out[i].Waited, waited)
--- a/internal/controller/transfers.go
+++ b/internal/controller/transfers.go
@@ -12,14 +12,14 @@
 
 // exchangers returns the shard leaders whose last update is fresh, with their requests and
 // offers.
-func (leader *leader) exchangers() []exchange.Exchanger {
-	var out []exchange.Exchanger
+func (leader *leader) exchangers() []exchange.Participant {
+	var out []exchange.Participant
 	if shardLeader := leader.controller.shardLeader; shardLeader != nil && shardLeader.ready {
-		out = append(out, exchange.Exchanger{Host: leader.settings.Host, Requests: shardLeader.transfers.requests, Offers: shardLeader.transfers.offers})
+		out = append(out, exchange.Participant{Host: leader.settings.Host, Requests: shardLeader.transfers.requests, Offers: shardLeader.transfers.offers})
 	}
 	for _, host := range sortedKeys(leader.updates) {
 		if received, ok := leader.freshUpdate(host); ok && received.update.Seq >= leader.requiredSeq[host] {
-			out = append(out, exchange.Exchanger{Host: host, Requests: received.update.TransferRequests, Offers: received.update.TransferOffers})
+			out = append(out, exchange.Participant{Host: host, Requests: received.update.TransferRequests, Offers: received.update.TransferOffers})
 		}
 	}
 	return out
--- a/internal/controller/transfers_test.go
+++ b/internal/controller/transfers_test.go
@@ -11,8 +11,8 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// beside adds a second shard leader, which runs a team of its own.
-func (controller *Controller) beside(t *testing.T) {
+// addOtherShardLeader adds a second shard leader, which runs a team of its own.
+func (controller *Controller) addOtherShardLeader(t *testing.T) {
 	t.Helper()
 	controller.settings.Teams = append(controller.settings.Teams, model.Team{Name: "lab"})
 	controller.putShard(t, "b", "b", 2, false, "lab")
@@ -60,7 +60,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			controller, job := waitingPool(tc.waited)
 			if !tc.alone {
-				controller.beside(t)
+				controller.addOtherShardLeader(t)
 			}
 			if tc.change != nil {
 				tc.change(controller, job)
@@ -85,9 +85,9 @@
 	t.Helper()
 	controller, job := waitingPool(time.Second)
 	delete(controller.shardLeader.jobs, job.ID)
-	controller.beside(t)
+	controller.addOtherShardLeader(t)
 	machine := controller.shardLeader.machinesByID[0]
-	machine.ownedSince, machine.lastPlacedAt = controller.now.Add(-exchange.MinOwnership), controller.now.Add(-quietTime)
+	machine.ownedSince, machine.lastPlacedAt = controller.now.Add(-exchange.MinOwnership), controller.now.Add(-minTimeSincePlacement)
 	for key, attempt := range machine.attempts {
 		attempt.startSent = true
 		controller.shardLeader.heartbeats.applyTaskReport(machine, key, model.TaskReport{Job: key.job, Index: key.index, Attempt: attempt.attempt, Status: model.Running})
@@ -129,7 +129,7 @@
 		{"no heartbeat received", func(_ *Controller, machine *machine) { machine.heard = false }, 0},
 		{"reserved for a job", func(_ *Controller, machine *machine) { machine.reservedFor = "job-000001" }, 0},
 		{"reserved for a migrating replica", func(_ *Controller, machine *machine) { machine.reservedForMigration = model.Resources{CPU: 1} }, 0},
-		{"evacuated for another shard leader", func(_ *Controller, machine *machine) { machine.evacuatingForOther = true }, 0},
+		{"evacuated for another shard leader", func(_ *Controller, machine *machine) { machine.evacuatingForOtherShard = true }, 0},
 		{"a start in flight", func(_ *Controller, machine *machine) { machine.unackedStartEpoch = 1 }, 0},
 		{"a task being stopped", func(_ *Controller, machine *machine) { attemptOf(machine).stopReason = stopPreempt }, 0},
 		{"a task not reported yet", func(_ *Controller, machine *machine) { attemptOf(machine).reported = false }, 0},
@@ -156,7 +156,7 @@
 func transferringLeader(t *testing.T) *Controller {
 	t.Helper()
 	controller, _ := waitingPool(leftWaitingAfter + time.Second)
-	controller.beside(t)
+	controller.addOtherShardLeader(t)
 	controller.putSegment(t, "b", 3, "vm-000077")
 	controller.leader = newLeader(controller)
 	controller.leader.rentals["vm-000077"] = &rental{id: "vm-000077", machineKind: machineKind{"rack", "z", true}, status: "running", rentedAt: controller.now.Add(-time.Hour)}
--- a/internal/controller/worker_lease.go
+++ b/internal/controller/worker_lease.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// grace is how long a shard leader goes on answering its workers after its membership lease
+// renewalGrace is how long a shard leader goes on answering its workers after its membership lease
 // may have ended. It equals a full worker lease, so that a long outage of the store
 // interrupts no task. A successor that reaches the workers need not wait for the end of the
 // grace, since its higher epoch reaches them at once.
-func (renewer *leaseRenewer) grace() time.Duration { return renewer.settings.WorkerLease }
+func (renewer *leaseRenewer) renewalGrace() time.Duration { return renewer.settings.WorkerLease }
 
 const (
 	// clockDrift bounds how far the monotonic clocks of two machines drift apart, as a
@@ -22,7 +22,7 @@
 // after the machine has moved to another owner. A former owner that is alive learns of the
 // move by its watch, or it loses its membership lease and then answers until its grace ends.
 func (renewer *leaseRenewer) formerOwnerGrace() time.Duration {
-	return membershipLeaseTTL + renewer.grace()
+	return membershipLeaseTTL + renewer.renewalGrace()
 }
 
 // leaseEndAfter returns when a worker lease has certainly expired by this controller's clock
--- a/internal/exchange/transfer.go
+++ b/internal/exchange/transfer.go
@@ -26,10 +26,10 @@
 	// sum of MinOwnership and the wait after which an owner makes a TransferRequest is short enough
 	// to leave time within the bound on waiting for the decision and the start.
 	MinOwnership = 20 * time.Second
-	// OldWait is the wait from which on a requesting job takes precedence over those waiting tasks of
-	// the machine's owner for which the machine has no free capacity at present. Below OldWait, the
+	// PrecedenceWait is the wait from which on a requesting job takes precedence over those waiting tasks of
+	// the machine's owner for which the machine has no free capacity at present. Below PrecedenceWait, the
 	// longer wait takes precedence.
-	OldWait = time.Minute
+	PrecedenceWait = time.Minute
 )
 
 // TransferRequest is an owner's request for machines of other owners, for jobs for which the owner has no
@@ -69,7 +69,7 @@
 
 // yieldsTo reports whether the machine may be offered for the request although the task of the machine's
 // owner waits. It may if the task can't use the machine even when the machine is empty. It also may if the
-// task doesn't fit into the free capacity at present, and the requesting job has waited for OldWait or for
+// task doesn't fit into the free capacity at present, and the requesting job has waited for PrecedenceWait or for
 // longer than the task. size is the size of the machine.
 func (task *WaitingTask) yieldsTo(request *TransferRequest, offer *TransferOffer, size resource.Resources) bool {
 	switch {
@@ -78,7 +78,7 @@
 	case task.Need.Fits(offer.Free):
 		return false
 	}
-	return request.Waited >= OldWait || task.Waited < request.Waited
+	return request.Waited >= PrecedenceWait || task.Waited < request.Waited
 }
 
 // SizeOf is a function that returns the size of the machines of a kind.
@@ -128,8 +128,8 @@
 	return out
 }
 
-// Exchanger is an owner with its transfer requests and its offers.
-type Exchanger struct {
+// Participant is an owner with its transfer requests and its offers.
+type Participant struct {
 	Host     string
 	Requests []TransferRequest
 	Offers   []TransferOffer
@@ -139,7 +139,7 @@
 // are met first, each with the machine whose loss costs its owner least. MatchOffers calls allow before each
 // transfer with the team that receives the machine. allow counts the transfer and reports whether it is
 // allowed.
-func MatchOffers(owners []Exchanger, sizeOf SizeOf, limit int, allow func(team string) bool) []Transfer {
+func MatchOffers(owners []Participant, sizeOf SizeOf, limit int, allow func(team string) bool) []Transfer {
 	type request struct {
 		TransferRequest
 		host string
@@ -193,8 +193,8 @@
 
 // teamQuota is the quota of one team: how many transfers are left, and when the quota was last refilled.
 type teamQuota struct {
-	left   int
-	refill time.Time
+	left       int
+	refilledAt time.Time
 }
 
 // Allow reports whether one more transfer to a team is within the quota at the time now, and if so counts
@@ -205,12 +205,12 @@
 	}
 	state := quota.teams[team]
 	if state == nil {
-		state = &teamQuota{left: quotaBurst, refill: now}
+		state = &teamQuota{left: quotaBurst, refilledAt: now}
 		quota.teams[team] = state
 	}
-	if n := int(now.Sub(state.refill) / quotaInterval); n > 0 {
+	if n := int(now.Sub(state.refilledAt) / quotaInterval); n > 0 {
 		state.left = min(quotaBurst, state.left+n)
-		state.refill = state.refill.Add(time.Duration(n) * quotaInterval)
+		state.refilledAt = state.refilledAt.Add(time.Duration(n) * quotaInterval)
 	}
 	if state.left == 0 {
 		return false
--- a/internal/exchange/transfer_test.go
+++ b/internal/exchange/transfer_test.go
@@ -68,7 +68,7 @@
 			requests[j.host] = append(requests[j.host], TransferRequest{Team: j.host, Kinds: j.kinds, Need: j.need, Jobs: 1, Waited: waited})
 		}
 	}
-	var owners []Exchanger
+	var owners []Participant
 	for _, host := range model.hosts {
 		var others []TransferRequest
 		for _, from := range model.hosts {
@@ -82,7 +82,7 @@
 				candidates = append(candidates, TransferOffer{m.id, m.kind, m.free, m.attempts})
 			}
 		}
-		owners = append(owners, Exchanger{host, requests[host], SelectOffers(others, candidates, waiting[host], model.sizeOf, 50)})
+		owners = append(owners, Participant{host, requests[host], SelectOffers(others, candidates, waiting[host], model.sizeOf, 50)})
 	}
 	transfers := MatchOffers(owners, model.sizeOf, 200, func(team string) bool { return model.quota.Allow(model.now, team) })
 	moved := map[string]bool{}
@@ -163,7 +163,7 @@
 	box, rack := Kind{"box", "a", false}, Kind{"rack", "a", false}
 	free := resource.Resources{CPU: 4, Memory: 8}
 	need := resource.Resources{CPU: 2, Memory: 4}
-	owners := []Exchanger{
+	owners := []Participant{
 		{Host: "a", Requests: []TransferRequest{{Team: "ops", Kinds: []Kind{box}, Need: need, Jobs: 1, Waited: 50 * time.Second}}, Offers: []TransferOffer{{ID: "vm-1", Kind: rack, Free: free, Attempts: 1}}},
 		{Host: "b", Requests: []TransferRequest{{Team: "lab", Kinds: []Kind{rack}, Need: need, Jobs: 1, Waited: 50 * time.Second}}, Offers: []TransferOffer{{ID: "vm-2", Kind: box, Free: free, Attempts: 1}}},
 	}
@@ -191,7 +191,7 @@
 	}
 	request := TransferRequest{Team: "lab", Kinds: []Kind{box, rack}, Need: resource.Resources{CPU: 4, Memory: 4}, Jobs: 1, Waited: 46 * time.Second}
 	many, old := request, request
-	many.Jobs, old.Waited = 3, OldWait
+	many.Jobs, old.Waited = 3, PrecedenceWait
 	large := machine("vm-0", 0, 8)
 	large.Kind = rack
 	candidates := []TransferOffer{large, machine("vm-1", 3, 8), machine("vm-2", 1, 8), machine("vm-3", 1, 6), machine("vm-4", 0, 2)}
--- a/internal/lab/scale/table.go
+++ b/internal/lab/scale/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Series is several measurements and the fits through them. Its JSON is read back by later runs.
+// Series is several measurements and the fits through them. Its JSONSize is read back by later runs.
 type Series struct {
 	Measurements []*Measurement `json:"rungs"`
 	Fits         []Fit          `json:"fits"`
--- a/internal/listen/freeaddr.go
+++ b/internal/listen/freeaddr.go
@@ -12,8 +12,8 @@
 	// chooses a port. The range is below the range of ephemeral ports.
 	freePortBase  = 20000
 	freePortCount = 10000
-	// freeAttempts is the largest number of ports that FreeAddr tries.
-	freeAttempts = 100
+	// maxPortAttempts is the largest number of ports that FreeAddr tries.
+	maxPortAttempts = 100
 )
 
 // ErrNoFreePort is the error of FreeAddr if it could listen on none of the ports that it tried.
@@ -22,7 +22,7 @@
 // FreeAddr returns a loopback address on which nothing listens, for a server that starts later. The
 // port is not an ephemeral port, which an outgoing connection could get before the server does.
 func FreeAddr() (string, error) {
-	for range freeAttempts {
+	for range maxPortAttempts {
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", freePortBase+rand.IntN(freePortCount)))
 		if err != nil {
 			continue
--- a/internal/listen/ports.go
+++ b/internal/listen/ports.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// minPause and maxPause limit the pause between two attempts to listen. The pause doubles after
+	// minRetryPause and maxRetryPause limit the pause between two attempts to listen. The pause doubles after
 	// each attempt.
-	minPause = 20 * time.Millisecond
-	maxPause = 2 * time.Second
+	minRetryPause = 20 * time.Millisecond
+	maxRetryPause = 2 * time.Second
 	// logInterval is the shortest time between two log lines about the same address.
 	logInterval = 10 * time.Second
 )
@@ -39,7 +39,7 @@
 // field.
 func TCP(ctx context.Context, field, addr string) (net.Listener, error) {
 	var lastLogged time.Time
-	for pause := minPause; ; pause = min(2*pause, maxPause) {
+	for pause := minRetryPause; ; pause = min(2*pause, maxRetryPause) {
 		ln, err := (&net.ListenConfig{}).Listen(ctx, "tcp", addr)
 		if err == nil {
 			if !lastLogged.IsZero() {
--- a/internal/listen/ports_test.go
+++ b/internal/listen/ports_test.go
@@ -26,7 +26,7 @@
 	select {
 	case err := <-result:
 		t.Fatalf("port in use: TCP returned %v at once, want it to wait", err)
-	case <-time.After(3 * minPause):
+	case <-time.After(3 * minRetryPause):
 	}
 	held.Close()
 	if err := <-result; err != nil {
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer held.Close()
-	ctx, cancel := context.WithTimeout(t.Context(), 2*minPause)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*minRetryPause)
 	defer cancel()
 	if _, err := TCP(ctx, "api_addr", held.Addr().String()); err == nil {
 		t.Error("port in use: got no error, want the context's error")
--- a/internal/message/loans.go
+++ b/internal/message/loans.go
@@ -125,9 +125,9 @@
 	// images that its machines have.
 	FreeCapacity []FreeCapacity
 	CachedImages []string
-	// OwnWorkLate is true if jobs of this cluster will miss their objectives. LateUrgency is the
+	// OwnJobsLate is true if jobs of this cluster will miss their objectives. LateUrgency is the
 	// highest urgency among those jobs.
-	OwnWorkLate bool
+	OwnJobsLate bool
 	LateUrgency model.Urgency
 	// CheapestCPUHour is the lowest cost of a CPU per hour in this cluster.
 	CheapestCPUHour float64
--- a/internal/message/peer_validate.go
+++ b/internal/message/peer_validate.go
@@ -25,17 +25,17 @@
 
 // validateCapacity checks the counts of machines and the rates of requests to the state service.
 func (update *PeerUpdate) validateCapacity(check *validate.Check) {
-	checkRequests(check, "wants", update.CapacityRequests)
-	checkRequests(check, "spare", update.SurplusElsewhere)
-	checkRequests(check, "blocked", update.Blocked)
+	checkCapacityRequests(check, "wants", update.CapacityRequests)
+	checkCapacityRequests(check, "spare", update.SurplusElsewhere)
+	checkCapacityRequests(check, "blocked", update.Blocked)
 	if update.Rates != nil {
 		check.Amount("rates.requests", update.Rates.Requests)
 		check.Amount("rates.changes", update.Rates.Writes)
 	}
 }
 
-// checkRequests checks the capacity requests in a field.
-func checkRequests(check *validate.Check, field string, requests []CapacityRequest) {
+// checkCapacityRequests checks the capacity requests in a field.
+func checkCapacityRequests(check *validate.Check, field string, requests []CapacityRequest) {
 	for _, request := range requests {
 		check.Name(field+".flavour", request.MachineType, false)
 		check.Name(field+".zone", request.Zone, false)
@@ -108,9 +108,9 @@
 
 // validateEvacuations checks the needs for empty machines and the costs of evacuations.
 func (update *PeerUpdate) validateEvacuations(check *validate.Check) {
-	checkNeeds(check, "needs", update.HostNeeds)
-	checkNeeds(check, "lacks", update.OthersNeeds)
-	checkNeeds(check, "empty", update.EvacuationRequests)
+	checkHostNeeds(check, "needs", update.HostNeeds)
+	checkHostNeeds(check, "lacks", update.OthersNeeds)
+	checkHostNeeds(check, "empty", update.EvacuationRequests)
 	for _, c := range update.EvacuationCosts {
 		check.Name("costs.flavour", c.MachineType, true)
 		check.Amount("costs.down", c.Downtime.Seconds())
@@ -152,8 +152,8 @@
 	check.Amount(field+".memory", resources.Memory)
 }
 
-// checkNeeds checks the needs for empty machines in a field.
-func checkNeeds(check *validate.Check, field string, needs []HostNeed) {
+// checkHostNeeds checks the needs for empty machines in a field.
+func checkHostNeeds(check *validate.Check, field string, needs []HostNeed) {
 	for _, need := range needs {
 		check.Name(field+".flavour", need.MachineType, true)
 		check.Name(field+".zone", need.Zone, false)
--- a/internal/migration/find.go
+++ b/internal/migration/find.go
@@ -108,7 +108,7 @@
 	replicas := finder.replicasOn[hostIndex].replicas
 	for position, replicaIndex := range replicas {
 		replica := &finder.problem.Replicas[replicaIndex]
-		if finder.moved[replicaIndex] || cost+replica.LostWork >= finder.costLimit() || finder.hasTwin(replicas[:position], replicaIndex) {
+		if finder.moved[replicaIndex] || cost+replica.LostWork >= finder.costLimit() || finder.hasEquivalent(replicas[:position], replicaIndex) {
 			continue
 		}
 		// The other replicas that may still leave must free what this replica does not.
@@ -123,9 +123,9 @@
 	}
 }
 
-// hasTwin reports whether one of the given replicas of the same host has not moved and could move
+// hasEquivalent reports whether one of the given replicas of the same host has not moved and could move
 // instead of the replica with the given index, with the same result.
-func (finder *finder) hasTwin(replicas []int, replicaIndex int) bool {
+func (finder *finder) hasEquivalent(replicas []int, replicaIndex int) bool {
 	replica := &finder.problem.Replicas[replicaIndex]
 	if replica.Allowed != nil {
 		return false
--- a/internal/migration/finder.go
+++ b/internal/migration/finder.go
@@ -122,7 +122,7 @@
 	finder.directTargets = make([][]candidate, len(finder.classes))
 	finder.directComputed = make([]bool, len(finder.classes))
 	finder.chainTargets = make([][MaxMoves]chainHosts, len(finder.classes))
-	finder.groupAlikeHosts()
+	finder.groupEquivalentHosts()
 	return finder
 }
 
@@ -199,9 +199,9 @@
 	}
 }
 
-// groupAlikeHosts numbers the groups of interchangeable hosts. If a job is restricted to some hosts, or
+// groupEquivalentHosts numbers the groups of interchangeable hosts. If a job is restricted to some hosts, or
 // the search is exhaustive, every host is its own group.
-func (finder *finder) groupAlikeHosts() {
+func (finder *finder) groupEquivalentHosts() {
 	problem := finder.problem
 	finder.hostGroup = make([]int, len(problem.Hosts))
 	distinct := finder.exhaustive || problem.WaitingTask.Allowed != nil
--- a/internal/migration/record.go
+++ b/internal/migration/record.go
@@ -95,14 +95,14 @@
 	return rec
 }
 
-// recordBytes returns the size of a team's record in bytes of JSON, which is how the state service
+// recordBytes returns the size of a team's record in bytes of JSONSize, which is how the state service
 // measures it. It returns math.MaxInt if the record can't be encoded.
 func (tracker *Tracker) recordBytes(team string) int {
 	value, err := msgpack.Marshal(tracker.record(team))
 	if err != nil {
 		return math.MaxInt
 	}
-	size, err := sizelimit.JSON(value)
+	size, err := sizelimit.JSONSize(value)
 	if err != nil {
 		return math.MaxInt
 	}
@@ -236,7 +236,7 @@
 // decodeRecord decodes and validates a record. Its error wraps ErrRecord.
 func decodeRecord(value []byte) (record, error) {
 	var rec record
-	if _, err := sizelimit.JSON(value); err != nil {
+	if _, err := sizelimit.JSONSize(value); err != nil {
 		return rec, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
 	if err := msgpack.Unmarshal(value, &rec); err != nil {
@@ -270,8 +270,8 @@
 		if problem := plan.validate(); problem != "" {
 			return fmt.Sprintf("p[%d].%s", i, problem)
 		}
-		if moveCount += len(plan.Steps); moveCount > MaxIntents {
-			return fmt.Sprintf("p[%d]: want at most %d moves in total", i, MaxIntents)
+		if moveCount += len(plan.Steps); moveCount > MaxRecordMoves {
+			return fmt.Sprintf("p[%d]: want at most %d moves in total", i, MaxRecordMoves)
 		}
 		if ids[plan.ID] {
 			return fmt.Sprintf("p[%d].i: %d appears twice", i, plan.ID)
@@ -299,7 +299,7 @@
 		return "i: want an ID above 0"
 	case !isName(row.HeldFor):
 		return "j: want a job ID"
-	case !isAmounts(row.Need):
+	case !isValidNeed(row.Need):
 		return "n: want three amounts from 0 to 1e9, not all 0"
 	case !isName(row.Host):
 		return "h: want a machine ID"
@@ -323,7 +323,7 @@
 		return "t: want an attempt above 0"
 	case !isName(row.From) || !isName(row.To) || row.From == row.To:
 		return "f: want two different machine IDs in f and o"
-	case !isAmounts(row.Need):
+	case !isValidNeed(row.Need):
 		return "n: want three amounts from 0 to 1e9, not all 0"
 	case row.Downtime < 0 || row.Downtime > maxDowntime.Milliseconds():
 		return "d: want milliseconds of at most 24 hours"
@@ -342,8 +342,8 @@
 // isName reports whether s may be the ID of a job or a machine.
 func isName(s string) bool { return s != "" && len(s) <= sizelimit.MaxKeyBytes }
 
-// isAmounts reports whether the amounts are a valid need of CPU, GPU and memory: three amounts from 0 to 1e9 that
+// isValidNeed reports whether the amounts are a valid need of CPU, GPU and memory: three amounts from 0 to 1e9 that
 // are not all 0.
-func isAmounts(amounts []float64) bool {
+func isValidNeed(amounts []float64) bool {
 	return len(amounts) == 3 && !slices.ContainsFunc(amounts, func(amount float64) bool { return !(amount >= 0 && amount <= 1e9) }) && amounts[0]+amounts[1]+amounts[2] > 0
 }
--- a/internal/migration/step.go
+++ b/internal/migration/step.go
@@ -110,8 +110,8 @@
 	// FreeCapacity returns the capacity of a host that no task uses, including held capacity,
 	// and whether tasks may be placed on the host.
 	FreeCapacity(host string) (resource.Resources, bool)
-	// Unheard reports whether a host has sent no heartbeat since a failover but is expected to.
-	Unheard(host string) bool
+	// AwaitsHeartbeat reports whether a host has sent no heartbeat since a failover but is expected to.
+	AwaitsHeartbeat(host string) bool
 	// Downtime returns how long a replica of a job would be down if it moved to a host now.
 	Downtime(job, host string) time.Duration
 	// YieldsTo reports whether a job's only replica may be stopped for another job.
--- a/internal/migration/targets.go
+++ b/internal/migration/targets.go
@@ -51,11 +51,11 @@
 
 // shortfall returns how much free capacity a host lacks for a need after all steps.
 func (finder *finder) shortfall(hostIndex int, need resource.Resources) resource.Resources {
-	return lack(need, finder.netFree[hostIndex])
+	return missingCapacity(need, finder.netFree[hostIndex])
 }
 
-// lack returns by how much a need exceeds the free capacity in each dimension.
-func lack(need, free resource.Resources) resource.Resources {
+// missingCapacity returns by how much a need exceeds the free capacity in each dimension.
+func missingCapacity(need, free resource.Resources) resource.Resources {
 	return resource.Resources{CPU: max(0, need.CPU-free.CPU), GPU: max(0, need.GPU-free.GPU), Memory: max(0, need.Memory-free.Memory)}
 }
 
@@ -146,7 +146,7 @@
 		if !host.Schedulable || !class.need.Fits(host.Size) || class.need.Fits(host.Free) {
 			continue
 		}
-		missing := lack(class.need, host.Free)
+		missing := missingCapacity(class.need, host.Free)
 		if missing.Fits(finder.replicasOn[hostIndex].largestSums[moves]) && pass(hostIndex) {
 			targets.hosts = append(targets.hosts, candidate{hostIndex, finder.clearCost(hostIndex, missing)})
 		}
--- a/internal/migration/tracker.go
+++ b/internal/migration/tracker.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// MaxIntents bounds the number of moves in a team's record.
-	MaxIntents = 16
+	// MaxRecordMoves bounds the number of moves in a team's record.
+	MaxRecordMoves = 16
 	// maxRecent bounds the number of recently moved replicas in a team's record.
 	maxRecent = 64
 	// baseHold is how long a plan may take in addition to twice its downtime. It covers writes,
@@ -34,7 +34,7 @@
 
 // Limits are the limits for a new plan.
 type Limits struct {
-	// MaxRecordBytes bounds the team's record, in bytes of JSON.
+	// MaxRecordBytes bounds the team's record, in bytes of JSONSize.
 	MaxRecordBytes int
 	// MaxMovingFraction bounds the fraction of the machines of a kind that replicas move away
 	// from at the same time. One plan is allowed whatever the fraction.
@@ -67,7 +67,7 @@
 type Tracker struct {
 	// Cooldown is how long a replica may not move again after a move.
 	Cooldown time.Duration
-	// MaxRecordBytes bounds a recovered record, in bytes of JSON; 0 means no bound.
+	// MaxRecordBytes bounds a recovered record, in bytes of JSONSize; 0 means no bound.
 	MaxRecordBytes int
 	Stats          Stats
 	plans          []*ActivePlan
@@ -166,7 +166,7 @@
 			id = max(id, active.ID+1)
 		}
 	}
-	if moveCount+len(plan.Moves) > MaxIntents {
+	if moveCount+len(plan.Moves) > MaxRecordMoves {
 		return "too many moves in progress"
 	}
 	state := tracker.teamState(team)
--- a/internal/migration/tracker_model_test.go
+++ b/internal/migration/tracker_model_test.go
@@ -108,8 +108,10 @@
 	return uniform(model.freeCPU(id)), model.hosts[id].usable && model.heard
 }
 
-// Unheard reports whether a usable host has sent no heartbeat since a failover.
-func (model *leaderModel) Unheard(id string) bool { return model.hosts[id].usable && !model.heard }
+// AwaitsHeartbeat reports whether a usable host has sent no heartbeat since a failover.
+func (model *leaderModel) AwaitsHeartbeat(id string) bool {
+	return model.hosts[id].usable && !model.heard
+}
 
 // Downtime returns the same downtime for all moves.
 func (model *leaderModel) Downtime(string, string) time.Duration { return 5 * time.Second }
@@ -246,7 +248,7 @@
 func (model *leaderModel) placeWaiting(t *rapid.T) {
 	model.update(t)
 	holds := model.tracker.Holds()
-	model.checkPlaces(t, holds)
+	model.checkHeldCapacity(t, holds)
 	for _, hold := range holds {
 		if model.fitsHold(hold) {
 			model.startHeld(hold)
@@ -277,8 +279,8 @@
 	return model.hosts[hold.Host].usable && model.freeCPU(hold.Host)-model.heldFor(hold.Host, replicaKey{hold.Job, hold.Index}) >= hold.Need.CPU
 }
 
-// checkPlaces checks that each replica that is down fits on the capacity held for it.
-func (model *leaderModel) checkPlaces(t *rapid.T, holds []Hold) {
+// checkHeldCapacity checks that each replica that is down fits on the capacity held for it.
+func (model *leaderModel) checkHeldCapacity(t *rapid.T, holds []Hold) {
 	for _, hold := range holds {
 		if key := (replicaKey{hold.Job, hold.Index}); hold.Index >= 0 && model.heard && model.jobs[hold.Job] > 0 && model.replicas[key].host == "" && !model.fitsHold(hold) {
 			t.Fatalf("%v: got a hold on %s, where it does not fit, want one where it fits or no hold", key, hold.Host)
--- a/internal/migration/update.go
+++ b/internal/migration/update.go
@@ -25,7 +25,7 @@
 			tracker.dropPlan(now, plan)
 			continue
 		}
-		if plan.awaitingHosts = plan.hasUnheardHost(shard); plan.awaitingHosts {
+		if plan.awaitingHosts = plan.awaitsHeartbeat(shard); plan.awaitingHosts {
 			continue
 		}
 		for i := range plan.Steps {
@@ -85,11 +85,11 @@
 	}
 }
 
-// hasUnheardHost reports whether a host of the plan is still expected to send its first heartbeat after
+// awaitsHeartbeat reports whether a host of the plan is still expected to send its first heartbeat after
 // a failover. Until then the plan's capacity stays held and its moves are not changed.
-func (plan *ActivePlan) hasUnheardHost(shard ShardState) bool {
-	return !plan.Served && shard.Unheard(plan.Host) || slices.ContainsFunc(plan.Steps, func(step Step) bool {
-		return step.State < Starting && (shard.Unheard(step.From) || shard.Unheard(step.To))
+func (plan *ActivePlan) awaitsHeartbeat(shard ShardState) bool {
+	return !plan.Served && shard.AwaitsHeartbeat(plan.Host) || slices.ContainsFunc(plan.Steps, func(step Step) bool {
+		return step.State < Starting && (shard.AwaitsHeartbeat(step.From) || shard.AwaitsHeartbeat(step.To))
 	})
 }
 
--- a/internal/overflow/admission.go
+++ b/internal/overflow/admission.go
@@ -18,7 +18,7 @@
 	// FreeCapacity is what was last offered to peers, less what has been accepted
 	// since.
 	FreeCapacity []FreeCapacity
-	// OwnWorkLate says that own jobs wait and will miss their SLO; LateUrgency is
+	// OwnJobsLate says that own jobs wait and will miss their SLO; LateUrgency is
 	// the highest urgency among them.
 	OwnWorkLate bool
 	LateUrgency model.Urgency
@@ -58,11 +58,11 @@
 
 // Pressure is the borrower's own need, for which borrowed jobs are given back.
 type Pressure struct {
-	// OwnWorkLate says that own jobs wait and will miss their SLO; LateUrgency is
+	// OwnJobsLate says that own jobs wait and will miss their SLO; LateUrgency is
 	// the highest urgency among them.
 	OwnWorkLate bool
 	LateUrgency model.Urgency
-	// LateFor is how long OwnWorkLate has held.
+	// LateFor is how long OwnJobsLate has held.
 	LateFor time.Duration
 	// DrainIn is the time left until the cluster must be empty; negative if it is
 	// not being drained.
--- a/internal/overflow/broker/plan.go
+++ b/internal/overflow/broker/plan.go
@@ -13,14 +13,14 @@
 // and gives back loans if own jobs or a drain need the capacity.
 func (b *Broker) updatePressure(now time.Time, view overflow.BorrowerView) {
 	v := &b.view
-	if !v.OwnWorkLate {
+	if !v.OwnJobsLate {
 		b.lateSince = time.Time{}
 	} else if b.lateSince.IsZero() {
 		b.lateSince = now
 	}
-	b.admission = overflow.AdmissionState{LoansIn: len(v.Borrowed), FreeCapacity: view.FreeCapacity, OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency}
-	pressure := overflow.Pressure{OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency, DrainIn: -1}
-	if v.OwnWorkLate {
+	b.admission = overflow.AdmissionState{LoansIn: len(v.Borrowed), FreeCapacity: view.FreeCapacity, OwnWorkLate: v.OwnJobsLate, LateUrgency: v.LateUrgency}
+	pressure := overflow.Pressure{OwnWorkLate: v.OwnJobsLate, LateUrgency: v.LateUrgency, DrainIn: -1}
+	if v.OwnJobsLate {
 		pressure.LateFor = now.Sub(b.lateSince)
 	}
 	cause := overflow.GivenBack
--- a/internal/overflow/broker/poll.go
+++ b/internal/overflow/broker/poll.go
@@ -34,7 +34,7 @@
 	if !withSimulation {
 		// The previous simulation's results hold until the next one.
 		view.Waiting, view.FreeCapacity, view.CachedImages = b.view.Waiting, b.view.FreeCapacity, b.view.CachedImages
-		view.OwnWorkLate, view.LateUrgency, view.CheapestCPUHour = b.view.OwnWorkLate, b.view.LateUrgency, b.view.CheapestCPUHour
+		view.OwnJobsLate, view.LateUrgency, view.CheapestCPUHour = b.view.OwnJobsLate, b.view.LateUrgency, b.view.CheapestCPUHour
 	}
 	b.view = view
 	b.advance(withSimulation, heartbeats)
--- a/internal/overflow/broker/views.go
+++ b/internal/overflow/broker/views.go
@@ -28,7 +28,7 @@
 func (b *Broker) borrowerView() overflow.BorrowerView {
 	v := &b.view
 	view := overflow.BorrowerView{
-		Epoch: v.GuestTeamEpoch, Draining: v.Draining, LendsItself: len(v.Lent) > 0 || v.OwnWorkLate,
+		Epoch: v.GuestTeamEpoch, Draining: v.Draining, LendsItself: len(v.Lent) > 0 || v.OwnJobsLate,
 		StopBound: workerLeaseCount*b.settings.WorkerLease + stopMargin, CachedImages: v.CachedImages, RenewedAt: map[string]time.Time{},
 	}
 	for home, renewedAt := range v.RenewedAt {
--- a/internal/packing/packing_test.go
+++ b/internal/packing/packing_test.go
@@ -12,8 +12,8 @@
 // host is the size of the machines in these tests.
 var host = resource.Resources{CPU: 64, GPU: 8, Memory: 512}
 
-// gpus returns the need of a replica with g GPUs and the given CPU and memory for each GPU.
-func gpus(g, cpu, memory float64) resource.Resources {
+// replicaNeed returns the need of a replica with g GPUs and the given CPU and memory for each GPU.
+func replicaNeed(g, cpu, memory float64) resource.Resources {
 	return resource.Resources{CPU: g * cpu, GPU: g, Memory: g * memory}
 }
 
@@ -21,7 +21,7 @@
 func drawDemands(t *rapid.T, maxCPU int) []Demand {
 	return rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Demand {
 		return Demand{
-			Need: gpus(rapid.SampledFrom([]float64{1, 2, 4, 8}).Draw(t, "gpus"), float64(rapid.IntRange(1, maxCPU).Draw(t, "cpu")),
+			Need: replicaNeed(rapid.SampledFrom([]float64{1, 2, 4, 8}).Draw(t, "gpus"), float64(rapid.IntRange(1, maxCPU).Draw(t, "cpu")),
 				float64(rapid.IntRange(0, 64).Draw(t, "memory"))),
 			Tasks: rapid.IntRange(1, 50).Draw(t, "tasks"), GB: float64(rapid.IntRange(1, 60).Draw(t, "gb")), HasWaiting: rapid.Bool().Draw(t, "waits"),
 		}
@@ -37,7 +37,7 @@
 		profile := NewProfile(host, 1, demands)
 		need := demands[0].Need
 		whole := profile.FragmentationCost(host, need)
-		taken := gpus(float64(rapid.IntRange(1, 7).Draw(t, "taken")), 8, 64)
+		taken := replicaNeed(float64(rapid.IntRange(1, 7).Draw(t, "taken")), 8, 64)
 		partlyUsed := host.AddScaled(taken, -1)
 		if !need.Fits(partlyUsed) {
 			return
@@ -92,8 +92,8 @@
 // that one of the two would always decide a placement. It also checks some results of NonGPUCapacity and
 // FreeCapacity.
 func TestImageOrPacking(t *testing.T) {
-	small, large := gpus(1, 6, 40), gpus(8, 6, 40)
-	demands := []Demand{{Need: small, Tasks: 90, GB: 8}, {Need: gpus(2, 6, 40), Tasks: 10, GB: 16}}
+	small, large := replicaNeed(1, 6, 40), replicaNeed(8, 6, 40)
+	demands := []Demand{{Need: small, Tasks: 90, GB: 8}, {Need: replicaNeed(2, 6, 40), Tasks: 10, GB: 16}}
 	profile := NewProfile(host, 1, demands)
 	partlyUsed := host.AddScaled(small, -3)
 	saved := profile.FragmentationCost(host, small) - profile.FragmentationCost(partlyUsed, small)
@@ -101,7 +101,7 @@
 		t.Errorf("got %v s saved by keeping a host empty, want 4 to 16", saved)
 	}
 	// The loss of capacity for a waiting task counts in full.
-	waits := NewProfile(host, 1, append(demands, Demand{Need: gpus(4, 6, 40), Tasks: 1, GB: 30, HasWaiting: true}))
+	waits := NewProfile(host, 1, append(demands, Demand{Need: replicaNeed(4, 6, 40), Tasks: 1, GB: 30, HasWaiting: true}))
 	four := host.AddScaled(small, -4)
 	if profile.FragmentationCost(four, small) >= waits.FragmentationCost(four, small) {
 		t.Error("got no higher cost for taking the last capacity for a waiting replica, want a higher one than if none waits")
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -11,16 +11,16 @@
 	"pgregory.net/rapid"
 )
 
-// model is a simple reference model of the graph: all jobs ever accepted with their
+// referenceModel is a simple reference model of the graph: all jobs ever accepted with their
 // dependencies, their actual states, and their states as far as the graph has been told.
-type model struct {
+type referenceModel struct {
 	dependencies map[string][]string
 	actual       map[string]State
 	known        map[string]State
 }
 
 // cancelled reports whether a job or one of its dependencies is known to be cancelled.
-func (reference *model) cancelled(id string) bool {
+func (reference *referenceModel) cancelled(id string) bool {
 	if reference.known[id] == Done {
 		return false
 	}
@@ -28,12 +28,12 @@
 }
 
 // released reports whether all dependencies of a job are known to be done.
-func (reference *model) released(id string) bool {
+func (reference *referenceModel) released(id string) bool {
 	return !reference.cancelled(id) && !slices.ContainsFunc(reference.dependencies[id], func(name string) bool { return reference.known[name] != Done })
 }
 
 // urgency returns the highest urgency of a job and its open dependents.
-func (reference *model) urgency(id string) int {
+func (reference *referenceModel) urgency(id string) int {
 	urgency := len(id) + int(id[len(id)-1])%4
 	for dependent, dependencies := range reference.dependencies {
 		if reference.known[dependent] == Open && !reference.cancelled(dependent) && slices.Contains(dependencies, id) {
@@ -44,7 +44,7 @@
 }
 
 // remaining returns the length of the longest path of open dependents, at one second a job.
-func (reference *model) remaining(id string) time.Duration {
+func (reference *referenceModel) remaining(id string) time.Duration {
 	remaining := time.Duration(0)
 	for dependent, dependencies := range reference.dependencies {
 		if reference.known[dependent] == Open && !reference.cancelled(dependent) && slices.Contains(dependencies, id) {
@@ -54,9 +54,9 @@
 	return remaining + time.Second
 }
 
-// graphModel applies the same actions to a graph and to the model.
-type graphModel struct {
-	model
+// graphChecker applies the same actions to a graph and to the model.
+type graphChecker struct {
+	referenceModel
 	graph *Graph
 	// cancelledSeen and releasedSeen hold the jobs that the graph has reported as cancelled and
 	// released.
@@ -64,7 +64,7 @@
 }
 
 // note records the changes that the graph has reported.
-func (checker *graphModel) note(changes []Change) {
+func (checker *graphChecker) note(changes []Change) {
 	for _, change := range changes {
 		if change.Cancelled {
 			checker.cancelledSeen[change.ID] = true
@@ -75,12 +75,12 @@
 }
 
 // pick draws one of the jobs accepted so far.
-func (checker *graphModel) pick(t *rapid.T) string {
+func (checker *graphChecker) pick(t *rapid.T) string {
 	return fmt.Sprint("job-", rapid.IntRange(0, max(0, len(checker.dependencies)-1)).Draw(t, "job"))
 }
 
 // submit accepts a new job with up to three drawn dependencies.
-func (checker *graphModel) submit(t *rapid.T) {
+func (checker *graphChecker) submit(t *rapid.T) {
 	id := fmt.Sprint("job-", len(checker.dependencies))
 	var dependencies []string
 	for range rapid.IntRange(0, min(3, len(checker.dependencies))).Draw(t, "dependencies") {
@@ -93,7 +93,7 @@
 }
 
 // end ends a job. Whether the graph is told the state at once is drawn.
-func (checker *graphModel) end(t *rapid.T, id string, state State) {
+func (checker *graphChecker) end(t *rapid.T, id string, state State) {
 	checker.actual[id] = state
 	seen := rapid.Bool().Draw(t, "seen")
 	if seen || checker.cancelled(id) {
@@ -110,7 +110,7 @@
 }
 
 // check compares the graph to the model.
-func (checker *graphModel) check(t *rapid.T) {
+func (checker *graphChecker) check(t *rapid.T) {
 	paths, cycle := checker.graph.CriticalPaths(func(id string) (Task, bool) {
 		return Task{Urgency: len(id) + int(id[len(id)-1])%4, RunTime: time.Second}, checker.known[id] == Open
 	})
@@ -130,7 +130,7 @@
 }
 
 // checkJob compares one open job of the graph to the model.
-func (checker *graphModel) checkJob(t *rapid.T, id string, paths map[string]CriticalPath) {
+func (checker *graphChecker) checkJob(t *rapid.T, id string, paths map[string]CriticalPath) {
 	cancelled, released := checker.cancelled(id), checker.released(id)
 	if len(checker.dependencies[id]) > 0 {
 		if got := checker.graph.IsCancelled(id); got != cancelled || cancelled && !checker.cancelledSeen[id] {
@@ -139,7 +139,7 @@
 		if got := checker.graph.IsReleased(id); got != released || released != checker.releasedSeen[id] && !cancelled {
 			t.Fatalf("%s: got released %v, reported %v; want %v", id, got, checker.releasedSeen[id], released)
 		}
-		if !cancelled && len(checker.graph.Unresolved(id, false)) == 0 && hasUnknownDependency(&checker.model, id) {
+		if !cancelled && len(checker.graph.Unresolved(id, false)) == 0 && hasUnknownDependency(&checker.referenceModel, id) {
 			t.Fatalf("Unresolved(%s): got no jobs, want its unknown dependencies", id)
 		}
 	}
@@ -153,7 +153,7 @@
 // each step the graph must agree with a search of all jobs.
 func TestGraph(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checker := &graphModel{model: model{map[string][]string{}, map[string]State{}, map[string]State{}}, cancelledSeen: map[string]bool{}, releasedSeen: map[string]bool{}}
+		checker := &graphChecker{referenceModel: referenceModel{map[string][]string{}, map[string]State{}, map[string]State{}}, cancelledSeen: map[string]bool{}, releasedSeen: map[string]bool{}}
 		checker.graph = New(func(id string) State { return checker.known[id] })
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": checker.submit,
@@ -180,7 +180,7 @@
 
 // hasUnknownDependency reports whether a direct or indirect dependency of a job has an unknown
 // state.
-func hasUnknownDependency(reference *model, id string) bool {
+func hasUnknownDependency(reference *referenceModel, id string) bool {
 	return slices.ContainsFunc(reference.dependencies[id], func(name string) bool {
 		return reference.known[name] == Unknown || reference.known[name] == Open && hasUnknownDependency(reference, name)
 	})
--- a/internal/promise/pages.go
+++ b/internal/promise/pages.go
@@ -54,16 +54,16 @@
 	entries := make(map[string]Entry, len(rec.Entries))
 	for i, row := range rec.Entries {
 		if row.MS < 0 || row.MS > int(MaxDate.Milliseconds()) {
-			return nil, fmt.Errorf("%w: field e[%d]: the date is %d ms: want up to %d", errRecord, i, row.MS, MaxDate.Milliseconds())
+			return nil, fmt.Errorf("%w: field e[%d]: the date is %d ms: want up to %d", errDamagedRecord, i, row.MS, MaxDate.Milliseconds())
 		}
 		entry := Entry{row.Job, Date{time.Duration(row.MS) * time.Millisecond, row.Rev}, row.Why}
 		switch problem := entry.Validate(); {
 		case problem != "":
-			return nil, fmt.Errorf("%w: field e[%d]: %s", errRecord, i, problem)
+			return nil, fmt.Errorf("%w: field e[%d]: %s", errDamagedRecord, i, problem)
 		case entry.Job == "" || len(entry.Job) > maxNameLen:
-			return nil, fmt.Errorf("%w: field e[%d]: the job ID has %d bytes: want 1 to %d", errRecord, i, len(entry.Job), maxNameLen)
+			return nil, fmt.Errorf("%w: field e[%d]: the job ID has %d bytes: want 1 to %d", errDamagedRecord, i, len(entry.Job), maxNameLen)
 		case entry.Reason >= reasonCount:
-			return nil, fmt.Errorf("%w: field e[%d]: the reason is %d: want up to %d", errRecord, i, entry.Reason, reasonCount-1)
+			return nil, fmt.Errorf("%w: field e[%d]: the reason is %d: want up to %d", errDamagedRecord, i, entry.Reason, reasonCount-1)
 		}
 		entries[entry.Job] = entry
 	}
@@ -133,7 +133,7 @@
 }
 
 // NewWriter returns a writer that continues the cached pages whose keys begin with prefix.
-// limit is the largest size of a page in bytes as JSON.
+// limit is the largest size of a page in bytes as JSONSize.
 func (pages *Pages) NewWriter(prefix string, limit int) *PageWriter {
 	writer := NewPageWriter(limit)
 	for _, key := range slices.Sorted(maps.Keys(pages.byKey)) {
--- a/internal/promise/promise.go
+++ b/internal/promise/promise.go
@@ -61,7 +61,7 @@
 	Team, Class         string
 	Tasks               int
 	Expected, FetchTime time.Duration
-	Standing            bool
+	LongRunning         bool
 }
 
 // Date is a promised completion date. The zero Date means that there is none.
@@ -134,8 +134,8 @@
 }
 
 var (
-	// errRecord is wrapped by the errors of damaged records.
-	errRecord = errors.New("promise: damaged record")
+	// errDamagedRecord is wrapped by the errors of damaged records.
+	errDamagedRecord = errors.New("promise: damaged record")
 	// ErrFormat is wrapped by the errors of records in another format version.
 	ErrFormat = errors.New("promise: other format version")
 )
@@ -146,11 +146,11 @@
 // decode decodes a record. The library allocates a list by the length that the record
 // claims, so sizelimit checks the lengths first.
 func decode(value []byte, into any) error {
-	if _, err := sizelimit.JSON(value); err != nil {
-		return fmt.Errorf("%w: %w", errRecord, err)
+	if _, err := sizelimit.JSONSize(value); err != nil {
+		return fmt.Errorf("%w: %w", errDamagedRecord, err)
 	}
 	if err := msgpack.Unmarshal(value, into); err != nil {
-		return fmt.Errorf("%w: %w", errRecord, err)
+		return fmt.Errorf("%w: %w", errDamagedRecord, err)
 	}
 	return nil
 }
@@ -173,9 +173,9 @@
 	return value
 }
 
-// jsonSize returns an upper bound of the size of an encoded record as JSON, in bytes.
+// jsonSize returns an upper bound of the size of an encoded record as JSONSize, in bytes.
 func jsonSize(value []byte) int {
-	size, err := sizelimit.JSON(value)
+	size, err := sizelimit.JSONSize(value)
 	if err != nil {
 		panic("promise: " + err.Error())
 	}
--- a/internal/promise/quotes.go
+++ b/internal/promise/quotes.go
@@ -154,7 +154,7 @@
 // and tasks beyond the free capacity wait for the first ones to end.
 func (quoter *Quoter) Base(job Job) time.Duration {
 	load := quoter.Load(job.Class)
-	if job.Standing {
+	if job.LongRunning {
 		return min(max(load.Wait+job.FetchTime, minBase), MaxDate)
 	}
 	runSeconds := job.Expected.Seconds() * max(load.RunRatio, 0.05)
@@ -280,7 +280,7 @@
 func (class *storedClass) factors() []int { return []int{class.F0, class.F1, class.F2, class.F3} }
 
 // Encode returns what other controllers need to quote dates for the team, in up to limit
-// bytes as JSON. It has as many classes as fit, the most recently seen first.
+// bytes as JSONSize. It has as many classes as fit, the most recently seen first.
 func (quoter *Quoter) Encode(team string, limit int) []byte {
 	names := slices.SortedFunc(maps.Keys(quoter.classes), func(a, value string) int { return quoter.classes[value].lastSeen - quoter.classes[a].lastSeen })
 	hundredths := func(f float64) int { return int(math.Round(100 * f)) }
@@ -316,13 +316,13 @@
 		return "", nil, err
 	}
 	if rec.Team == "" || len(rec.Team) > maxNameLen || len(rec.Classes) > maxClasses {
-		return "", nil, fmt.Errorf("%w: fields o, c have %d bytes, %d classes: want 1 to %d, up to %d", errRecord, len(rec.Team), len(rec.Classes), maxNameLen, maxClasses)
+		return "", nil, fmt.Errorf("%w: fields o, c have %d bytes, %d classes: want 1 to %d, up to %d", errDamagedRecord, len(rec.Team), len(rec.Classes), maxNameLen, maxClasses)
 	}
 	quoter := NewQuoter(keepShare)
 	for i := len(rec.Classes) - 1; i >= 0; i-- {
 		stored := rec.Classes[i]
 		if !stored.isValid() || quoter.classes[stored.Name] != nil {
-			return "", nil, fmt.Errorf("%w: field c[%d]: class %q is listed twice, or its name or a number is out of bounds", errRecord, i, stored.Name)
+			return "", nil, fmt.Errorf("%w: field c[%d]: class %q is listed twice, or its name or a number is out of bounds", errDamagedRecord, i, stored.Name)
 		}
 		class := quoter.class(stored.Name)
 		class.load = Load{time.Duration(stored.WaitMS) * time.Millisecond, float64(stored.Room), clampRatio(float64(stored.Ratio) / 100), clampRatio(float64(stored.Dev) / 100)}
--- a/internal/promise/totals.go
+++ b/internal/promise/totals.go
@@ -182,7 +182,7 @@
 	return &clone
 }
 
-// Encode returns the record, in up to limit bytes as JSON if possible. To fit the limit,
+// Encode returns the record, in up to limit bytes as JSONSize if possible. To fit the limit,
 // it merges the rows with the fewest jobs into the others' row. It changes the receiver in
 // the same way, so that it equals what readers of the record decode.
 func (totals *Totals) Encode(limit int) []byte {
@@ -226,26 +226,26 @@
 	}
 	totals := &Totals{Revision: rec.Revision, PromisedAtAccept: rec.PromisedAtAccept, rows: map[[2]string]*Row{}}
 	if len(rec.Ratios) != ratioBuckets || rec.PromisedAtAccept < 0 || len(rec.Rows) > maxRows+1 {
-		return nil, fmt.Errorf("%w: fields h, f, t are %d ratios, %d dates, %d rows: want %d, 0 or more, up to %d", errRecord, len(rec.Ratios), rec.PromisedAtAccept, len(rec.Rows), ratioBuckets, maxRows+1)
+		return nil, fmt.Errorf("%w: fields h, f, t are %d ratios, %d dates, %d rows: want %d, 0 or more, up to %d", errDamagedRecord, len(rec.Ratios), rec.PromisedAtAccept, len(rec.Rows), ratioBuckets, maxRows+1)
 	}
 	for i, count := range rec.Ratios {
 		if count < 0 || count > maxCount {
-			return nil, fmt.Errorf("%w: field h[%d] is %d: want 0 to %d", errRecord, i, count, maxCount)
+			return nil, fmt.Errorf("%w: field h[%d] is %d: want 0 to %d", errDamagedRecord, i, count, maxCount)
 		}
 		totals.ratios[i] = count
 	}
 	for i, row := range rec.Rows {
 		for _, count := range [...]int{row.Jobs, row.Made, row.Kept, row.Broken, row.Revised} {
 			if count < 0 || count > maxCount {
-				return nil, fmt.Errorf("%w: field t[%d] counts %d: want 0 to %d", errRecord, i, count, maxCount)
+				return nil, fmt.Errorf("%w: field t[%d] counts %d: want 0 to %d", errDamagedRecord, i, count, maxCount)
 			}
 		}
 		if row.Kept+row.Broken != row.Made || row.Made > row.Jobs || row.Revised > row.Made || row.WorstMS < 0 || row.WorstMS > int(MaxDate.Milliseconds()) {
-			return nil, fmt.Errorf("%w: field t[%d]: the counts of team %s, class %s contradict each other", errRecord, i, row.Team, row.Class)
+			return nil, fmt.Errorf("%w: field t[%d]: the counts of team %s, class %s contradict each other", errDamagedRecord, i, row.Team, row.Class)
 		}
 		key := [2]string{row.Team, row.Class}
 		if row.Team == "" || len(row.Team) > maxNameLen || len(row.Class) > maxNameLen || totals.rows[key] != nil {
-			return nil, fmt.Errorf("%w: field t[%d]: team %q, class %q: want each pair once, a team, and names of up to %d bytes", errRecord, i, row.Team, row.Class, maxNameLen)
+			return nil, fmt.Errorf("%w: field t[%d]: team %q, class %q: want each pair once, a team, and names of up to %d bytes", errDamagedRecord, i, row.Team, row.Class, maxNameLen)
 		}
 		totals.rows[key] = &Row{row.Team, row.Class, row.Jobs, row.Made, row.Kept, row.Broken, row.Revised, time.Duration(row.WorstMS) * time.Millisecond}
 	}
--- a/internal/ranking/ranking.go
+++ b/internal/ranking/ranking.go
@@ -115,7 +115,7 @@
 	var header struct {
 		Rev uint64 `msgpack:"rev"`
 	}
-	if _, err := sizelimit.JSON(value); err != nil || msgpack.Unmarshal(value, &header) != nil {
+	if _, err := sizelimit.JSONSize(value); err != nil || msgpack.Unmarshal(value, &header) != nil {
 		return 0
 	}
 	return header.Rev
@@ -125,7 +125,7 @@
 // ErrFormat for a later format. Lengths are checked first, since the library allocates by
 // the lengths that a record claims.
 func Decode(value []byte) (Record, error) {
-	if _, err := sizelimit.JSON(value); err != nil {
+	if _, err := sizelimit.JSONSize(value); err != nil {
 		return Record{}, fmt.Errorf("ranking: %w", err)
 	}
 	var header struct {
--- a/internal/reachability/reachability.go
+++ b/internal/reachability/reachability.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	// maxMisses is how many heartbeats in a row may fail to show the effect of the replies
+	// maxMissedEffects is how many heartbeats in a row may fail to show the effect of the replies
 	// before them. A single reply may be lost, or be late and dropped.
-	maxMisses = 2
+	maxMissedEffects = 2
 	// maxUnansweredProbes is how many unanswered probes, without other proof, make a machine
 	// that sends heartbeats count as unreachable.
 	maxUnansweredProbes = 2
-	// gapDoubtEvery is the least time between two suspicions raised by skipped sequence
+	// minGapSuspicionInterval is the least time between two suspicions raised by skipped sequence
 	// numbers alone. Where heartbeats are lost occasionally, or other controllers probe the
 	// machine, a gap proves little.
-	gapDoubtEvery = 30 * time.Second
+	minGapSuspicionInterval = 30 * time.Second
 )
 
 // Detector holds the evidence on whether one machine receives its owner's messages. The zero
@@ -35,13 +35,13 @@
 	// expectsEffect means that a heartbeat has to show the effect of a reply; misses counts the
 	// heartbeats in a row that didn't.
 	expectsEffect bool
-	misses        int
-	// doubtedSince is when the suspicion was raised, or zero if there is none.
+	missedEffects int
+	// suspectedSince is when the suspicion was raised, or zero if there is none.
 	// unansweredProbes counts the probes without an answer since the last proof.
-	doubtedSince     time.Time
+	suspectedSince   time.Time
 	unansweredProbes int
-	// lastGapDoubt is when skipped sequence numbers last raised a suspicion.
-	lastGapDoubt time.Time
+	// lastGapSuspicion is when skipped sequence numbers last raised a suspicion.
+	lastGapSuspicion time.Time
 	// consecutive means that the last heartbeat directly followed the heartbeat before it.
 	// After a failover, machines arrive rerouted by other controllers, so the first gap
 	// means nothing.
@@ -67,7 +67,7 @@
 
 // reset removes the suspicion after a proof.
 func (detector *Detector) reset() {
-	detector.expectsEffect, detector.misses, detector.unansweredProbes, detector.doubtedSince = false, 0, 0, time.Time{}
+	detector.expectsEffect, detector.missedEffects, detector.unansweredProbes, detector.suspectedSince = false, 0, 0, time.Time{}
 }
 
 // ExpectEffect records that a reply was sent whose effect a later heartbeat must show.
@@ -77,7 +77,7 @@
 func (detector *Detector) ProbeUnanswered(now time.Time) {
 	detector.unansweredProbes++
 	if !detector.reachedByReplies {
-		detector.doubt(now)
+		detector.suspect(now)
 	}
 }
 
@@ -86,7 +86,7 @@
 // replies did not arrive.
 func (detector *Detector) Incarnation(now time.Time) {
 	detector.incarnationAt = now
-	detector.doubt(now)
+	detector.suspect(now)
 }
 
 // HeartbeatWithoutEffect records a heartbeat that shows no effect of the owner's replies.
@@ -94,20 +94,20 @@
 // lease is the least time that a lease lasts.
 func (detector *Detector) HeartbeatWithoutEffect(now time.Time, skipped bool, lease time.Duration) {
 	if detector.expectsEffect {
-		if detector.misses++; detector.misses >= maxMisses {
-			detector.doubt(now)
+		if detector.missedEffects++; detector.missedEffects >= maxMissedEffects {
+			detector.suspect(now)
 		}
 	}
-	if skipped && detector.consecutive && now.Sub(detector.lastGapDoubt) > gapDoubtEvery {
-		detector.lastGapDoubt = now
-		detector.doubt(now)
+	if skipped && detector.consecutive && now.Sub(detector.lastGapSuspicion) > minGapSuspicionInterval {
+		detector.lastGapSuspicion = now
+		detector.suspect(now)
 	}
 	detector.consecutive = !skipped
-	since := detector.doubtedSince
+	since := detector.suspectedSince
 	if detector.incarnationAt.After(since) {
 		since = detector.incarnationAt
 	}
-	if !detector.doubtedSince.IsZero() && now.Sub(since) > lease {
+	if !detector.suspectedSince.IsZero() && now.Sub(since) > lease {
 		// The machine's lease would have expired since then if no reply had renewed it.
 		detector.EffectSeen()
 	}
@@ -115,17 +115,17 @@
 
 // ReportedElsewhere records that the machine has sent newer heartbeats to another
 // controller.
-func (detector *Detector) ReportedElsewhere(now time.Time) { detector.doubt(now) }
+func (detector *Detector) ReportedElsewhere(now time.Time) { detector.suspect(now) }
 
-// doubt raises a suspicion, unless there is one already.
-func (detector *Detector) doubt(now time.Time) {
-	if detector.doubtedSince.IsZero() {
-		detector.doubtedSince = now
+// suspect raises a suspicion, unless there is one already.
+func (detector *Detector) suspect(now time.Time) {
+	if detector.suspectedSince.IsZero() {
+		detector.suspectedSince = now
 	}
 }
 
 // Reachable reports whether there is no suspicion that replies and commands fail to arrive.
-func (detector *Detector) Reachable() bool { return detector.doubtedSince.IsZero() }
+func (detector *Detector) Reachable() bool { return detector.suspectedSince.IsZero() }
 
 // Unreachable reports whether unanswered probes have confirmed the suspicion, and how old
 // the suspicion is.
@@ -133,7 +133,7 @@
 	if detector.Reachable() || detector.unansweredProbes < maxUnansweredProbes {
 		return 0, false
 	}
-	return now.Sub(detector.doubtedSince), true
+	return now.Sub(detector.suspectedSince), true
 }
 
 // Machine is an unreachable machine that sends heartbeats. Tasks counts the tasks that run
@@ -155,10 +155,10 @@
 	LastReleased time.Time
 }
 
-// releaseEvery is the least time between two releases during a correlated failure. The fault
+// minReleaseInterval is the least time between two releases during a correlated failure. The fault
 // is then probably in the network, and each machine that is kept is usable again when the
 // fault ends.
-const releaseEvery = 10 * time.Second
+const minReleaseInterval = 10 * time.Second
 
 // SelectReleases returns the ids of the machines to release now. A single machine is
 // released like an unresponsive one: the cloud's confirmation proves that its tasks are
@@ -179,7 +179,7 @@
 	var toRelease []string
 	for _, m := range sorted {
 		switch {
-		case m.UnreachableFor <= policy.SingleTimeout || correlated && (m.UnreachableFor <= policy.LeaseRemaining || now.Sub(policy.LastReleased) < releaseEvery):
+		case m.UnreachableFor <= policy.SingleTimeout || correlated && (m.UnreachableFor <= policy.LeaseRemaining || now.Sub(policy.LastReleased) < minReleaseInterval):
 		case correlated:
 			return append(toRelease, m.ID)
 		default:
--- a/internal/reachability/reachability_test.go
+++ b/internal/reachability/reachability_test.go
@@ -127,7 +127,7 @@
 		switch {
 		case len(unreachable) == reporting && reporting > 1:
 			want = 0
-		case correlated && t0.Sub(policy.LastReleased) < releaseEvery:
+		case correlated && t0.Sub(policy.LastReleased) < minReleaseInterval:
 			want = 0
 		case correlated:
 			want = min(due, 1)
--- a/internal/record/codec.go
+++ b/internal/record/codec.go
@@ -52,7 +52,7 @@
 // decode decodes a value after a check of its structure. Without the check a damaged length could
 // exhaust memory, since the library allocates a list of the length that the value states.
 func decode(b []byte, v any) error {
-	if _, err := sizelimit.JSON(b); err != nil {
+	if _, err := sizelimit.JSONSize(b); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(b, v)
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -106,7 +106,7 @@
 	for _, drop := range [...]func(){
 		func() { record.MachineTypes = nil }, func() { record.Image, record.Zone = "", "" }, func() { record.Workload = "" },
 	} {
-		if size, err := sizelimit.JSON(Encode(record)); err == nil && size <= valueBytes {
+		if size, err := sizelimit.JSONSize(Encode(record)); err == nil && size <= valueBytes {
 			return
 		}
 		drop()
--- a/internal/remote/registry.go
+++ b/internal/remote/registry.go
@@ -23,8 +23,8 @@
 	// requestTTL is how long a request is kept without being repeated. Its sender may have
 	// died, and a successor repeats the request only after it has recovered all records.
 	requestTTL = time.Minute
-	// resendEvery is how often an unchanged status is sent again.
-	resendEvery = time.Second
+	// resendInterval is how often an unchanged status is sent again.
+	resendInterval = time.Second
 	// maxAttemptsPerMessage bounds the attempts in one message to a controller.
 	maxAttemptsPerMessage = 2000
 )
@@ -122,7 +122,7 @@
 	// requested holds the newest request for each attempt.
 	requested map[AttemptID]*requested
 	// reported holds the attempts of the newest heartbeat.
-	reported map[AttemptID]*sighting
+	reported map[AttemptID]*observation
 	// gone holds the time at which each attempt was proven gone.
 	gone map[AttemptID]time.Time
 	// publishedAt is when a status was last sent; changed means that the status has changed
@@ -138,8 +138,8 @@
 	requestedAt time.Time
 }
 
-// sighting is a reported attempt and the time at which it was first reported.
-type sighting struct {
+// observation is a reported attempt and the time at which it was first reported.
+type observation struct {
 	ReportedAttempt
 	since time.Time
 }
@@ -151,7 +151,7 @@
 	}
 	state := registry.machines[machine]
 	if state == nil {
-		state = &machineState{requested: map[AttemptID]*requested{}, reported: map[AttemptID]*sighting{}, gone: map[AttemptID]time.Time{}}
+		state = &machineState{requested: map[AttemptID]*requested{}, reported: map[AttemptID]*observation{}, gone: map[AttemptID]time.Time{}}
 		registry.machines[machine] = state
 	}
 	return state
@@ -194,14 +194,14 @@
 		}
 		state = registry.machineStateOf(machine)
 	}
-	seen := make(map[AttemptID]*sighting, len(reported))
+	seen := make(map[AttemptID]*observation, len(reported))
 	for _, report := range reported {
 		if isOwn(report.Job) && state.requested[report.AttemptID] == nil {
 			continue
 		}
 		known := state.reported[report.AttemptID]
 		if known == nil {
-			known = &sighting{since: now}
+			known = &observation{since: now}
 			state.changed = true
 		}
 		state.changed = state.changed || known.State != report.State
@@ -328,7 +328,7 @@
 }
 
 // DueStatuses returns the status messages that are due, by receiving host. A change is sent
-// at once, and an unchanged status every resendEvery, which makes up for lost messages.
+// at once, and an unchanged status every resendInterval, which makes up for lost messages.
 func (registry *Registry) DueStatuses(now time.Time, infoOf func(machine string) (MachineInfo, bool)) map[string][]MachineStatus {
 	var due map[string][]MachineStatus
 	counts := map[string]int{}
@@ -339,7 +339,7 @@
 			delete(registry.machines, id)
 			continue
 		}
-		if !state.changed && now.Sub(state.publishedAt) < resendEvery {
+		if !state.changed && now.Sub(state.publishedAt) < resendInterval {
 			continue
 		}
 		info, ok := infoOf(id)
--- a/internal/remote/registry_test.go
+++ b/internal/remote/registry_test.go
@@ -309,11 +309,11 @@
 		t.Errorf("DueStatuses without a change: got %v, want none", again)
 	}
 	registry.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, false)
-	if got := registry.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Unknown {
+	if got := registry.DueStatuses(now.Add(resendInterval), infoOf)["a"][0].Attempts[0].State; got != Unknown {
 		t.Errorf("absent without proof: got state %v, want Unknown", got)
 	}
 	registry.ObserveHeartbeat(now, "vm", []ReportedAttempt{{AttemptID: b, State: Running}}, own, true)
-	if got := registry.DueStatuses(now.Add(resendEvery), infoOf)["a"][0].Attempts[0].State; got != Gone {
+	if got := registry.DueStatuses(now.Add(resendInterval), infoOf)["a"][0].Attempts[0].State; got != Gone {
 		t.Errorf("absent with proof: got state %v, want Gone", got)
 	}
 	if len(registry.LiveAttempts("vm")) != 1 || registry.HasUnreported("vm") {
--- a/internal/selfmonitor/selfmonitor.go
+++ b/internal/selfmonitor/selfmonitor.go
@@ -55,27 +55,27 @@
 	}
 }
 
-// Unheard reports a send partition: workers send heartbeats, but no message to them arrives.
-func (monitor *Monitor) Unheard(now time.Time) bool {
+// SendPartitioned reports a send partition: workers send heartbeats, but no message to them arrives.
+func (monitor *Monitor) SendPartitioned(now time.Time) bool {
 	return monitor.unanswered >= minUnanswered && now.Sub(monitor.firstUnanswered) > minSilence && now.Sub(monitor.resumedAt) > minSilence
 }
 
 // HeartbeatReceived records a heartbeat of any worker, whatever the reply to it.
 func (monitor *Monitor) HeartbeatReceived(now time.Time) { monitor.lastHeartbeat = now }
 
-// Ran records that the controller runs. If it was paused before, the pause explains the
+// RecordRun records that the controller runs. If it was paused before, the pause explains the
 // missing heartbeats.
-func (monitor *Monitor) Ran(now time.Time) {
+func (monitor *Monitor) RecordRun(now time.Time) {
 	if now.Sub(monitor.lastRun) > pauseThreshold {
 		monitor.resumedAt = now
 	}
 	monitor.lastRun = now
 }
 
-// ReceivesNothing reports a receive partition: machines that each send a heartbeat at least
+// ReceivePartitioned reports a receive partition: machines that each send a heartbeat at least
 // once per interval can't all have been silent since the last heartbeat by chance. The time
 // before since is ignored.
-func (monitor *Monitor) ReceivesNothing(now, since time.Time, machines int, interval time.Duration) bool {
+func (monitor *Monitor) ReceivePartitioned(now, since time.Time, machines int, interval time.Duration) bool {
 	if machines < 2 {
 		return false
 	}
@@ -121,7 +121,7 @@
 		entry.reappeared, entry.reappearedAt = true, now
 	}
 	entry.lastSent = now
-	if probe = entry.reappeared && now.Sub(entry.probedAt) > probeEvery && now.Sub(entry.answeredAt) > maxReappearance/2; probe {
+	if probe = entry.reappeared && now.Sub(entry.probedAt) > minProbeInterval && now.Sub(entry.answeredAt) > maxReappearance/2; probe {
 		entry.probedAt = now
 	}
 	machines.reroutes[machine] = entry
@@ -138,8 +138,8 @@
 	return probe
 }
 
-// probeEvery is the least time between two probes of a machine that reappeared.
-const probeEvery = 3 * time.Second
+// minProbeInterval is the least time between two probes of a machine that reappeared.
+const minProbeInterval = 3 * time.Second
 
 // ProbeAnswered records that a machine that reappeared answered a probe.
 func (machines *ReroutedMachines) ProbeAnswered(now time.Time, machine string) {
--- a/internal/selfmonitor/selfmonitor_test.go
+++ b/internal/selfmonitor/selfmonitor_test.go
@@ -39,12 +39,12 @@
 				if c.paused && s > c.lastHeard && s < c.now-1 {
 					continue
 				}
-				monitor.Ran(at(s))
+				monitor.RecordRun(at(s))
 				if s == c.lastHeard {
 					monitor.HeartbeatReceived(at(s))
 				}
 			}
-			if got := monitor.ReceivesNothing(at(c.now), at(c.since), c.machines, every); got != c.want {
+			if got := monitor.ReceivePartitioned(at(c.now), at(c.since), c.machines, every); got != c.want {
 				t.Errorf("ReceivesNothing: got %v, want %v", got, c.want)
 			}
 		})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -22,8 +22,8 @@
 	responseQueueLen = 1024
 	// maxBatch is the largest number of commands in one step.
 	maxBatch = 256
-	// maxIdle is the longest time between two steps.
-	maxIdle = time.Second
+	// maxStepInterval is the longest time between two steps.
+	maxStepInterval = time.Second
 )
 
 // ErrBusy is the error of Ask if the request queue is full.
@@ -133,7 +133,7 @@
 		}
 		batch = server.fillBatch(batch)
 		server.step(ctx, batch)
-		wait := maxIdle
+		wait := maxStepInterval
 		if deadline := server.controller.Deadline(); !deadline.IsZero() {
 			wait = min(wait, max(time.Until(deadline), time.Millisecond))
 		}
--- a/internal/sharding/assign.go
+++ b/internal/sharding/assign.go
@@ -121,7 +121,7 @@
 func (draft *draft) shrinkOversized() bool {
 	for _, name := range draft.shardNames() {
 		rec := draft.shards[name]
-		if size, err := sizelimit.JSON(encode(rec)); err != nil || size <= draft.planner.limits.ValueBytes || draft.remainingOps() == 0 {
+		if size, err := sizelimit.JSONSize(encode(rec)); err != nil || size <= draft.planner.limits.ValueBytes || draft.remainingOps() == 0 {
 			continue
 		}
 		for len(rec.Teams) > 1 && !draft.fits(rec) {
--- a/internal/sharding/record.go
+++ b/internal/sharding/record.go
@@ -185,7 +185,7 @@
 // decode decodes a record; an error wraps ErrRecord. The size check comes first because the
 // msgpack library allocates whatever length a damaged list claims.
 func decode(b []byte, v any) error {
-	if _, err := sizelimit.JSON(b); err != nil {
+	if _, err := sizelimit.JSONSize(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrRecord, err)
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
--- a/internal/sharding/segments.go
+++ b/internal/sharding/segments.go
@@ -196,8 +196,8 @@
 	return Write{}, nil
 }
 
-// fitsInto reports whether a record takes at most limit bytes as JSON.
+// fitsInto reports whether a record takes at most limit bytes as JSONSize.
 func fitsInto(value []byte, limit int) bool {
-	size, err := sizelimit.JSON(value)
+	size, err := sizelimit.JSONSize(value)
 	return err == nil && size <= limit
 }
--- a/internal/simulation/state_service.go
+++ b/internal/simulation/state_service.go
@@ -232,7 +232,7 @@
 	answer(out)
 }
 
-// listPage is how many rows a list has without limits; it is small, so that tests read several
+// listPageSize is how many rows a list has without limits; it is small, so that tests read several
 // pages. An answer has at most listBytes.
 const (
 	listPage  = 100
--- a/internal/simulation/store_limits.go
+++ b/internal/simulation/store_limits.go
@@ -17,7 +17,7 @@
 const StoreRateLimited message.StoreStatus = -1
 
 // storeLimits are the limits of the protocol and the settings. Sizes are counted by encoding the
-// JSON, on purpose: the controllers compute them in another way, and would agree with their own
+// JSONSize, on purpose: the controllers compute them in another way, and would agree with their own
 // mistakes.
 type storeLimits struct {
 	valueBytes, writesPerTxn, pageRows int
--- a/internal/simulation/users.go
+++ b/internal/simulation/users.go
@@ -47,7 +47,7 @@
 	// for too long was reported.
 	answeredAt      time.Time
 	silenceReported bool
-	// placedAt is when a task was last started on a machine, and waitingSince since when one waits
+	// lastRoundAt is when a task was last started on a machine, and waitingSince since when one waits
 	// while there is free capacity for it. waitReported: that this was too long was reported.
 	placedAt, waitingSince time.Time
 	waitReported           bool
@@ -364,7 +364,7 @@
 }
 
 const (
-	// maxBodyBytes bounds bodies to workers, and commandBytes is what a command takes as JSON
+	// maxBodyBytes bounds bodies to workers, and commandBytes is what a command takes as JSONSize
 	// beside its job's name.
 	maxBodyBytes = 64 << 10
 	commandBytes = len(`{"verb": "start", "piece": "/100000", "try": 1000, "wind_down_s": 10.0}, `)
--- a/internal/sizelimit/sizelimit_test.go
+++ b/internal/sizelimit/sizelimit_test.go
@@ -27,7 +27,7 @@
 		rapid.MapOfN(rapid.StringN(0, 12, 24), anyValue(depth-1), 0, 20).AsAny())
 }
 
-// TestJSONIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSON
+// TestJSONIsAnUpperBound guards against a bound that is too small: a receiver that encodes JSONSize
 // with spaces or escapes would count more bytes and refuse a message that passed the check here.
 func TestJSONIsAnUpperBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -36,7 +36,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n, err := JSON(b)
+		n, err := JSONSize(b)
 		if err != nil {
 			t.Fatalf("%v: %v", v, err)
 		}
@@ -45,7 +45,7 @@
 			t.Fatal(err)
 		}
 		spaced, _ := json.MarshalIndent(v, "", "")
-		// Indented JSON has a line end after each comma and bracket. An encoder that writes ASCII
+		// Indented JSONSize has a line end after each comma and bracket. An encoder that writes ASCII
 		// only escapes all other characters.
 		escaped := len(compact)
 		for _, r := range string(compact) {
@@ -66,7 +66,7 @@
 // a value.
 func TestJSONOfAnything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n, err := JSON(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
+		n, err := JSONSize(rapid.SliceOf(rapid.Byte()).Draw(t, "bytes"))
 		if err == nil && n <= 0 {
 			t.Fatal("JSON: got no length and no error, want one of them")
 		}
--- a/internal/state/ratelimiter.go
+++ b/internal/state/ratelimiter.go
@@ -15,9 +15,9 @@
 	// maxQueueWait is the longest time that a request of priority start or lazy may wait for its
 	// turn.
 	maxQueueWait = 8 * time.Second
-	// userAdvance is how far users' requests may exceed the rates in advance, in seconds' worth
+	// maxUserAdvance is how far users' requests may exceed the rates in advance, in seconds' worth
 	// of the rates.
-	userAdvance = 1.0
+	maxUserAdvance = 1.0
 	// minBurst is the smallest number of requests that may be sent at once, however low the rate
 	// is. It applies to writes as well.
 	minBurst = 4
@@ -56,11 +56,11 @@
 
 // Reserve reserves a request's part of the rates, and returns how long the request must wait for its
 // turn. If that is longer than the request may wait, ok is false and nothing is reserved. Membership
-// requests never wait. Users' requests wait only after they have taken userAdvance of the rates in
+// requests never wait. Users' requests wait only after they have taken maxUserAdvance of the rates in
 // advance. Both reduce the rates that are left for the other priorities.
 func (limiter *RateLimiter) Reserve(now time.Time, req message.StoreRequest) (wait time.Duration, ok bool) {
 	writes := min(len(req.Writes), limiter.writes.Burst())
-	mayAdvance := limiter.writes.TokensAt(now) > -userAdvance*float64(limiter.writes.Limit()) && limiter.requests.TokensAt(now) > -userAdvance*float64(limiter.requests.Limit())
+	mayAdvance := limiter.writes.TokensAt(now) > -maxUserAdvance*float64(limiter.writes.Limit()) && limiter.requests.TokensAt(now) > -maxUserAdvance*float64(limiter.requests.Limit())
 	if req.Priority == message.PriorityMembership || req.Priority == message.PriorityUser && mayAdvance {
 		limiter.requests.ReserveN(now, 1)
 		if writes > 0 {
--- a/internal/state/size_test.go
+++ b/internal/state/size_test.go
@@ -16,11 +16,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Limits, in bytes, on the memory that remains allocated: requestMemory for each completed request,
-// and connMemory for each idle connection.
+// Limits, in bytes, on the memory that remains allocated: maxRequestMemory for each completed request,
+// and maxConnMemory for each idle connection.
 const (
-	requestMemory = 256
-	connMemory    = 64 << 10
+	maxRequestMemory = 256
+	maxConnMemory    = 64 << 10
 )
 
 // TestRequestsBySize guards against failed requests, too many connections, and leaks of goroutines or
@@ -73,7 +73,7 @@
 			}
 			// Warm up, so that memory that is allocated only once does not count.
 			sendRequests(10 * maxConns)
-			before, routines := heap(), runtime.NumGoroutine()
+			before, routines := memoryInUse(), runtime.NumGoroutine()
 			sendRequests(machines)
 			if count := failed.Load(); count > 0 {
 				t.Errorf("got %d failed requests, want 0", count)
@@ -87,15 +87,15 @@
 			if count := runtime.NumGoroutine(); count > routines+5*maxConns {
 				t.Errorf("got %d goroutines after the requests, want at most %d", count, routines+5*maxConns)
 			}
-			if kept := heap() - before; kept > int64(maxConns*connMemory+machines*requestMemory) {
-				t.Errorf("got %d KB still allocated after %d requests, want at most %d KB", kept>>10, 2*machines, (maxConns*connMemory+machines*requestMemory)>>10)
+			if kept := memoryInUse() - before; kept > int64(maxConns*maxConnMemory+machines*maxRequestMemory) {
+				t.Errorf("got %d KB still allocated after %d requests, want at most %d KB", kept>>10, 2*machines, (maxConns*maxConnMemory+machines*maxRequestMemory)>>10)
 			}
 		})
 	}
 }
 
-// heap returns the memory of the heap and the stacks in use after a garbage collection, in bytes.
-func heap() int64 {
+// memoryInUse returns the memory of the heap and the stacks in use after a garbage collection, in bytes.
+func memoryInUse() int64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/internal/state/wire.go
+++ b/internal/state/wire.go
@@ -10,8 +10,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// listPage is the number of items that the client requests in one page of a list.
-const listPage = 500
+// listPageSize is the number of items that the client requests in one page of a list.
+const listPageSize = 500
 
 // storedItem is a key in a list or a change in a watch. The key of a change is in Put or Remove.
 type storedItem struct {
@@ -55,7 +55,7 @@
 	case message.OpGet:
 		return http.MethodGet, "/store/" + req.Key, nil
 	case message.OpList:
-		query := url.Values{"under": {req.Key}, "limit": {strconv.Itoa(listPage)}}
+		query := url.Values{"under": {req.Key}, "limit": {strconv.Itoa(listPageSize)}}
 		if req.StartAfter != "" {
 			query.Set("from", req.StartAfter)
 		}
--- a/internal/worker/wire.go
+++ b/internal/worker/wire.go
@@ -33,10 +33,10 @@
 
 // TaskCommand is the wire format of a command for one attempt of a task.
 type TaskCommand struct {
-	Kind      string   `msgpack:"verb"`
-	Task      string   `msgpack:"piece"` // job ID, slash, task index
-	Attempt   uint64   `msgpack:"try"`
-	WindDownS *float64 `msgpack:"wind_down_s,omitempty"` // seconds; only in a command to stop
+	Kind         string   `msgpack:"verb"`
+	Task         string   `msgpack:"piece"` // job ID, slash, task index
+	Attempt      uint64   `msgpack:"try"`
+	GracePeriodS *float64 `msgpack:"wind_down_s,omitempty"` // seconds; only in a command to stop
 }
 
 // TaskCommands is the wire format of commands that a controller sends to a worker, as specified by
@@ -104,7 +104,7 @@
 		encoded := TaskCommand{Kind: encodeKind(command.Kind), Task: command.Job + "/" + strconv.Itoa(command.Index), Attempt: command.Attempt}
 		if command.Kind == model.StopTask {
 			seconds := command.GracePeriod.Seconds()
-			encoded.WindDownS = &seconds
+			encoded.GracePeriodS = &seconds
 		}
 		encodedCommands = append(encodedCommands, encoded)
 	}
