--- a/internal/controller/aging.go
+++ b/internal/controller/aging.go
@@ -110,8 +110,8 @@
 
 // needsReservation reports whether machines should be reserved for a job: the job is overdue and
 // has no live task whose end would free capacity for the next task.
-func (j *job) needsReservation() bool {
-	return j.overdue && j.liveTasks == 0 && !j.Gang && j.pendingTasks() > 0
+func (job *job) needsReservation() bool {
+	return job.overdue && job.liveTasks == 0 && !job.Gang && job.pendingTasks() > 0
 }
 
 // dueStart returns when a pending job's tasks should start at the latest, as far as scaling out is
@@ -214,6 +214,6 @@
 }
 
 // reservedForOther reports whether the machine is reserved for a job other than the given one.
-func (m *machine) reservedForOther(job *job) bool {
-	return m.reservedFor != "" && m.reservedFor != job.ID
+func (machine *machine) reservedForOther(job *job) bool {
+	return machine.reservedFor != "" && machine.reservedFor != job.ID
 }
--- a/internal/controller/arrivals.go
+++ b/internal/controller/arrivals.go
@@ -126,11 +126,11 @@
 
 // inheritLoads keeps the workload loads that other shard leaders publish for their teams, in case this
 // controller takes the teams over.
-func (c *Controller) inheritLoads(loads []message.WorkloadLoad) {
+func (controller *Controller) inheritLoads(loads []message.WorkloadLoad) {
 	for _, load := range loads {
-		if c.shardLeader != nil && c.shardLeader.teams[load.Team] != nil {
+		if controller.shardLeader != nil && controller.shardLeader.teams[load.Team] != nil {
 			continue
 		}
-		c.knowledge.inheritLoad(load, c.shardLeader == nil)
+		controller.knowledge.inheritLoad(load, controller.shardLeader == nil)
 	}
 }
--- a/internal/controller/attempts.go
+++ b/internal/controller/attempts.go
@@ -7,20 +7,20 @@
 )
 
 // attachAttempt registers the current attempt of task i as live on m and counts its resources.
-func (s *shardLeader) attachAttempt(j *job, i int, m *machine) {
+func (shardLeader *shardLeader) attachAttempt(j *job, i int, m *machine) {
 	t := &j.tasks[i]
 	t.machine = m
 	j.liveTasks++
 	j.liveByZone[m.zone]++
 	m.attempts[taskKey{j.ID, i}] = t
 	m.used = m.used.AddScaled(j.Need, 1)
-	used := s.usedByTeam[j.Team]
-	s.usedByTeam[j.Team] = used.AddScaled(j.Need, 1)
+	used := shardLeader.usedByTeam[j.Team]
+	shardLeader.usedByTeam[j.Team] = used.AddScaled(j.Need, 1)
 }
 
 // endAttempt removes a live attempt. The caller must have proof that the attempt has ended. If done
 // is false, the task is queued again unless its job is cancelled.
-func (s *shardLeader) endAttempt(j *job, i int, done bool) {
+func (shardLeader *shardLeader) endAttempt(j *job, i int, done bool) {
 	t := &j.tasks[i]
 	m := t.machine
 	if m == nil {
@@ -28,14 +28,14 @@
 	}
 	delete(m.attempts, taskKey{j.ID, i})
 	m.used = m.used.AddScaled(j.Need, -1)
-	s.usedByTeam[j.Team] = s.usedByTeam[j.Team].AddScaled(j.Need, -1)
+	shardLeader.usedByTeam[j.Team] = shardLeader.usedByTeam[j.Team].AddScaled(j.Need, -1)
 	j.liveTasks--
 	j.liveByZone[m.zone]--
 	if len(m.attempts) == 0 {
-		m.idleSince = s.now
+		m.idleSince = shardLeader.now
 		m.used = model.Resources{}
 		if m.remote {
-			s.remoteAttempts.dropIfEmpty(m)
+			shardLeader.remoteAttempts.dropIfEmpty(m)
 		}
 	}
 	if t.isRunning() {
@@ -52,6 +52,6 @@
 	} else if !j.cancelled {
 		j.requeued = append(j.requeued, i)
 	}
-	j.markChanged(i, s.now, done && j.doneTasks == len(j.tasks))
-	s.scheduler.requestPlacement()
+	j.markChanged(i, shardLeader.now, done && j.doneTasks == len(j.tasks))
+	shardLeader.scheduler.requestPlacement()
 }
--- a/internal/controller/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -62,19 +62,19 @@
 }
 
 // holdAllShards makes the controller the leader of one shard with all teams and machines.
-func (c *Controller) holdAllShards() {
-	membership := &c.membership
+func (controller *Controller) holdAllShards() {
+	membership := &controller.membership
 	membership.leaseID, membership.loaded, membership.shardMap = 1, true, sharding.NewMap()
-	membership.controllers = map[string]record.Member{c.settings.Host: {Incarnation: c.incarnation()}}
-	shard := record.Encode(map[string]any{"host": c.settings.Host, "nonce": c.incarnation(), "teams": []string{"ops"}, "rest": true})
-	if err := membership.shardMap.ApplyShard(c.settings.Host, shard, 1); err != nil {
+	membership.controllers = map[string]record.Member{controller.settings.Host: {Incarnation: controller.incarnation()}}
+	shard := record.Encode(map[string]any{"host": controller.settings.Host, "nonce": controller.incarnation(), "teams": []string{"ops"}, "rest": true})
+	if err := membership.shardMap.ApplyShard(controller.settings.Host, shard, 1); err != nil {
 		panic(err)
 	}
 }
 
 // poolHeartbeat returns the first heartbeat of the pool's machine i, without tasks. Every eighth
 // machine is a rack.
-func (c *Controller) poolHeartbeat(index int) *model.Heartbeat {
+func (controller *Controller) poolHeartbeat(index int) *model.Heartbeat {
 	heartbeat := &model.Heartbeat{Machine: fmt.Sprintf("vm-%06d", index), Addr: "x", MachineType: "box", Zone: "z", Spot: true, Incarnation: 1, Sequence: 1, Epoch: 1, ReclaimIn: -1}
 	if index%8 == 0 {
 		heartbeat.MachineType = "rack"
--- a/internal/controller/candidate_queues.go
+++ b/internal/controller/candidate_queues.go
@@ -113,58 +113,58 @@
 }
 
 // newRequest returns a request to place the tasks of a job in the simulation.
-func (p *simulation) newRequest(job *job) *placementRequest {
+func (sim *simulation) newRequest(job *job) *placementRequest {
 	req := &placementRequest{
-		job: job, need: job.Need, imageGB: job.ImageGB, imageID: p.imageID(job.Image), occupancy: p.controller.shardLeader.fleet.expectedOccupancy(job), avoidedMachine: -1,
+		job: job, need: job.Need, imageGB: job.ImageGB, imageID: sim.imageID(job.Image), occupancy: sim.controller.shardLeader.fleet.expectedOccupancy(job), avoidedMachine: -1,
 		fullScan: job.Gang || job.SameZone || job.SpreadZones, zoneLimits: newZoneLimits(job),
 	}
 	if job.Image == "" {
 		req.imageGB = 0
 	}
 	if away := job.avoidedMachine(); away != "" {
-		req.avoidedMachine = int32(slices.IndexFunc(p.machines, func(simMachine *simulatedMachine) bool {
+		req.avoidedMachine = int32(slices.IndexFunc(sim.machines, func(simMachine *simulatedMachine) bool {
 			return simMachine.machine != nil && simMachine.machine.id == away
 		}))
 	}
 	shape := job.taskShape()
-	req.candidates = p.queues[shape]
+	req.candidates = sim.queues[shape]
 	if req.candidates == nil {
-		req.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: p.controller.shardLeader.scheduler.avoidsGPUs(job)}
-		if p.queues == nil {
-			p.queues = map[taskShape]*shapeCandidates{}
+		req.candidates = &shapeCandidates{byImage: map[int32]*candidateQueues{}, avoidGPUs: sim.controller.shardLeader.scheduler.avoidsGPUs(job)}
+		if sim.queues == nil {
+			sim.queues = map[taskShape]*shapeCandidates{}
 		}
-		p.queues[shape] = req.candidates
+		sim.queues[shape] = req.candidates
 	}
 	req.holders = req.candidates.byImage[req.imageID]
 	if req.holders == nil {
 		req.holders = &candidateQueues{}
 		req.candidates.byImage[req.imageID] = req.holders
 	}
-	req.offers = p.offers(job, req.candidates.avoidGPUs)
+	req.offers = sim.offers(job, req.candidates.avoidGPUs)
 	return req
 }
 
 // imageID returns the number of an image in this simulation and assigns one if the image has none.
 // futureFreeCapacity has numbered the images that the machines hold.
-func (p *simulation) imageID(name string) int32 {
-	id, ok := p.imageIDs[name]
+func (sim *simulation) imageID(name string) int32 {
+	id, ok := sim.imageIDs[name]
 	if !ok {
-		id = int32(len(p.imageIDs))
-		p.imageIDs[name] = id
+		id = int32(len(sim.imageIDs))
+		sim.imageIDs[name] = id
 	}
-	for len(p.imageHolders) <= int(id) {
-		p.imageHolders = append(p.imageHolders, nil)
+	for len(sim.imageHolders) <= int(id) {
+		sim.imageHolders = append(sim.imageHolders, nil)
 	}
 	return id
 }
 
 // indexImages rebuilds imageHolders, which lists the machines that hold or fetch each image.
-func (p *simulation) indexImages() {
-	p.imageHolders = make([][]int32, len(p.imageIDs))
-	for i, simMachine := range p.machines {
+func (sim *simulation) indexImages() {
+	sim.imageHolders = make([][]int32, len(sim.imageIDs))
+	for i, simMachine := range sim.machines {
 		for _, set := range [...][]int32{simMachine.placedImages, simMachine.cached, simMachine.fetchingImages} {
 			for _, id := range set {
-				p.imageHolders[id] = append(p.imageHolders[id], int32(i))
+				sim.imageHolders[id] = append(sim.imageHolders[id], int32(i))
 			}
 		}
 	}
@@ -172,9 +172,9 @@
 
 // refreshCandidates adds to the request's queues the machines that joined the simulation, and the
 // machines that got the image, since the last call.
-func (p *simulation) refreshCandidates(req *placementRequest) {
+func (sim *simulation) refreshCandidates(req *placementRequest) {
 	add := func(queues *candidateQueues, index int32, held bool) {
-		simMachine := p.machines[index]
+		simMachine := sim.machines[index]
 		if !req.job.allowsMachine(simMachine.machineKind.machineType, simMachine.machineKind.zone, simMachine.machineKind.spot) {
 			return
 		}
@@ -182,7 +182,7 @@
 		if !ok {
 			return
 		}
-		key := candidateQueueKey{secondsPerGB: simMachine.secondsPerGB, neededElsewhere: p.isNeededElsewhere(req.job, simMachine.machineKind.machineType)}
+		key := candidateQueueKey{secondsPerGB: simMachine.secondsPerGB, neededElsewhere: sim.isNeededElsewhere(req.job, simMachine.machineKind.machineType)}
 		if held {
 			key.secondsPerGB = 0
 			if !slices.Contains(simMachine.placedImages, req.imageID) && !slices.Contains(simMachine.cached, req.imageID) {
@@ -191,12 +191,12 @@
 		}
 		queues.add(key, simulatedCandidate{start, index, int32(simMachine.placements)})
 	}
-	for ; req.candidates.indexedCount < len(p.machines); req.candidates.indexedCount++ {
-		p.spend(1)
+	for ; req.candidates.indexedCount < len(sim.machines); req.candidates.indexedCount++ {
+		sim.spend(1)
 		add(&req.candidates.candidateQueues, int32(req.candidates.indexedCount), false)
 	}
-	for holders := p.imageHolders[req.imageID]; req.holders.indexedCount < len(holders); req.holders.indexedCount++ {
-		p.spend(1)
+	for holders := sim.imageHolders[req.imageID]; req.holders.indexedCount < len(holders); req.holders.indexedCount++ {
+		sim.spend(1)
 		add(req.holders, holders[req.holders.indexedCount], true)
 	}
 }
@@ -204,20 +204,20 @@
 // bestMachine returns the machine on which a task that arrives at from could run first, with its
 // image present, and when. With avoidNeeded it considers only machines that no other pending job
 // depends on. The machine is nil if there is none.
-func (p *simulation) bestMachine(req *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
-	wait := max(0, from.Sub(p.now))
+func (sim *simulation) bestMachine(req *placementRequest, from time.Time, avoidNeeded bool) (*simulatedMachine, time.Time) {
+	wait := max(0, from.Sub(sim.now))
 	if req.fullScan {
-		simMachine, earliest := p.bestByFullScan(req, wait, avoidNeeded)
-		return simMachine, p.now.Add(earliest)
+		simMachine, earliest := sim.bestByFullScan(req, wait, avoidNeeded)
+		return simMachine, sim.now.Add(earliest)
 	}
-	p.refreshCandidates(req)
+	sim.refreshCandidates(req)
 	best, earliest := int32(-1), time.Duration(0)
 	for _, set := range [...][]*candidateQueue{req.candidates.all, req.holders.all} {
 		for _, queue := range set {
 			if avoidNeeded && queue.neededElsewhere {
 				continue
 			}
-			if index, start, ok := p.firstInQueue(queue, req, wait); ok {
+			if index, start, ok := sim.firstInQueue(queue, req, wait); ok {
 				if ready := start + record.DurationOfSeconds(queue.secondsPerGB*req.imageGB); best < 0 || ready < earliest || ready == earliest && index < best {
 					best, earliest = index, ready
 				}
@@ -225,20 +225,20 @@
 		}
 	}
 	if best < 0 {
-		return nil, p.now
+		return nil, sim.now
 	}
-	return p.machines[best], p.now.Add(earliest)
+	return sim.machines[best], sim.now.Add(earliest)
 }
 
 // firstInQueue returns the index of the queue's machine on which a task could start first, and
 // when, relative to the start of the simulation. It corrects stale entries at the front of the
 // queue.
-func (p *simulation) firstInQueue(queue *candidateQueue, req *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
+func (sim *simulation) firstInQueue(queue *candidateQueue, req *placementRequest, wait time.Duration) (int32, time.Duration, bool) {
 	var avoided simulatedCandidate
 	hasAvoided := false
 	for len(queue.elems) > 0 {
 		entry := &queue.elems[0]
-		simMachine := p.machines[entry.index]
+		simMachine := sim.machines[entry.index]
 		if int32(simMachine.placements) != entry.placements {
 			if start, ok := simMachine.earliestStart(req.need, false, req.candidates.avoidGPUs); ok {
 				entry.start, entry.placements = start, int32(simMachine.placements)
@@ -262,7 +262,7 @@
 	index, start := queue.elems[0].index, max(queue.elems[0].start, wait)
 	if queue.elems[0].start < wait {
 		for _, other := range queue.elems[1:min(len(queue.elems), lookAhead)] {
-			if other.start <= wait && other.index < index && other.index != req.avoidedMachine && int32(p.machines[other.index].placements) == other.placements {
+			if other.start <= wait && other.index < index && other.index != req.avoidedMachine && int32(sim.machines[other.index].placements) == other.placements {
 				index = other.index
 			}
 		}
@@ -275,18 +275,18 @@
 
 // bestByFullScan implements bestMachine for tasks that constrain each other by looking at every
 // machine.
-func (p *simulation) bestByFullScan(req *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
+func (sim *simulation) bestByFullScan(req *placementRequest, wait time.Duration, avoidNeeded bool) (*simulatedMachine, time.Duration) {
 	var best *simulatedMachine
 	var earliest time.Duration
-	p.spend(len(p.machines))
-	for i, simMachine := range p.machines {
+	sim.spend(len(sim.machines))
+	for i, simMachine := range sim.machines {
 		if !req.job.allowsMachine(simMachine.machineKind.machineType, simMachine.machineKind.zone, simMachine.machineKind.spot) ||
 			req.zoneLimits.capacity(simMachine.machineKind.zone) == 0 || int32(i) == req.avoidedMachine ||
-			avoidNeeded && p.isNeededElsewhere(req.job, simMachine.machineKind.machineType) {
+			avoidNeeded && sim.isNeededElsewhere(req.job, simMachine.machineKind.machineType) {
 			continue
 		}
 		if start, ok := simMachine.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs); ok {
-			if ready := max(start, wait) + p.fetchTime(simMachine, req); best == nil || ready < earliest {
+			if ready := max(start, wait) + sim.fetchTime(simMachine, req); best == nil || ready < earliest {
 				best, earliest = simMachine, ready
 			}
 		}
@@ -295,7 +295,7 @@
 }
 
 // fetchTime returns how long a machine needs until it has the image.
-func (p *simulation) fetchTime(simMachine *simulatedMachine, req *placementRequest) time.Duration {
+func (sim *simulation) fetchTime(simMachine *simulatedMachine, req *placementRequest) time.Duration {
 	switch {
 	case slices.Contains(simMachine.placedImages, req.imageID) || slices.Contains(simMachine.cached, req.imageID):
 		return 0
@@ -308,16 +308,16 @@
 // placeTasks places up to count tasks on a machine, as many as fit at one time. It returns how many
 // it placed, when the task that has to fetch the image starts to run, and how long the fetch takes;
 // the other tasks count as having the image. With fullScan it places one task.
-func (p *simulation) placeTasks(req *placementRequest, simMachine *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
+func (sim *simulation) placeTasks(req *placementRequest, simMachine *simulatedMachine, from time.Time, count int) (int, time.Time, time.Duration) {
 	start, ok := simMachine.earliestStart(req.need, req.job.Gang, req.candidates.avoidGPUs)
 	if !ok {
 		return count, from, 0
 	}
-	start = max(start, from.Sub(p.now))
-	fetch := p.fetchTime(simMachine, req)
+	start = max(start, from.Sub(sim.now))
+	fetch := sim.fetchTime(simMachine, req)
 	if !slices.Contains(simMachine.placedImages, req.imageID) && !slices.Contains(simMachine.cached, req.imageID) {
 		simMachine.placedImages = append(slices.Clip(simMachine.placedImages), req.imageID)
-		p.imageHolders[req.imageID] = append(p.imageHolders[req.imageID], simMachine.index)
+		sim.imageHolders[req.imageID] = append(sim.imageHolders[req.imageID], simMachine.index)
 	}
 	if req.fullScan {
 		count = 1
@@ -330,5 +330,5 @@
 		placed += simMachine.placeTasks(req.need, start, req.occupancy, count-placed, req.candidates.avoidGPUs)
 	}
 	req.zoneLimits.add(simMachine.machineKind.zone, placed)
-	return placed, p.now.Add(start + fetch), fetch
+	return placed, sim.now.Add(start + fetch), fetch
 }
--- a/internal/controller/contact.go
+++ b/internal/controller/contact.go
@@ -55,118 +55,120 @@
 
 // contact polls a machine for its status. The answer contains the worker's incarnation, which
 // commands require. The commands that follow carry the current epoch to the worker.
-func (f *failover) contact(m *machine) {
-	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || f.now.Sub(m.lastProbedAt) < probeInterval {
+func (failover *failover) contact(m *machine) {
+	if m.addr == "" || m.dispatchInFlight || m.statusRequested || m.releasing || failover.now.Sub(m.lastProbedAt) < probeInterval {
 		return
 	}
-	if f.contactsInFlight >= maxContactsInFlight {
+	if failover.contactsInFlight >= maxContactsInFlight {
 		return
 	}
-	m.statusRequested, m.lastProbedAt = true, f.now
-	f.contactsInFlight++
-	generation, before := f.controller.shardLeader.generation, m.snapshot()
-	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(response message.WorkerResponse) {
-		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != generation {
+	m.statusRequested, m.lastProbedAt = true, failover.now
+	failover.contactsInFlight++
+	generation, before := failover.controller.shardLeader.generation, m.snapshot()
+	failover.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, StatusOnly: true}, func(response message.WorkerResponse) {
+		if failover.controller.shardLeader == nil || failover.controller.shardLeader.generation != generation {
 			return
 		}
 		m.statusRequested = false
-		f.controller.shardLeader.failover.contactsInFlight--
-		f.controller.shardLeader.failover.contactInheritedMachines()
+		failover.controller.shardLeader.failover.contactsInFlight--
+		failover.controller.shardLeader.failover.contactInheritedMachines()
 		if response.NotSent || m.removed {
 			return
 		}
-		if !f.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
+		if !failover.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
 			return
 		}
 		if m.seenEpoch < m.epoch && !m.dispatchInFlight {
-			f.controller.shardLeader.failover.sendEpoch(m)
+			failover.controller.shardLeader.failover.sendEpoch(m)
 			return
 		}
 		if stopping := m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone }); len(stopping) > 0 || m.hasOtherShardsAttempts {
 			// The stop may have been lost, and no heartbeat may follow: a machine that reaches
 			// no controller is only heard of through its answers to polls.
-			f.controller.markDispatchPending(m)
+			failover.controller.markDispatchPending(m)
 		}
 	})
 }
 
 // contactInheritedMachines contacts the next inherited machines, up to maxContactsInFlight at a
 // time. It skips machines whose heartbeats have shown the current epoch in the meantime.
-func (f *failover) contactInheritedMachines() {
-	for len(f.inheritedMachines) > 0 && f.contactsInFlight < maxContactsInFlight {
-		m := f.inheritedMachines[0]
-		f.inheritedMachines = f.inheritedMachines[1:]
+func (failover *failover) contactInheritedMachines() {
+	for len(failover.inheritedMachines) > 0 && failover.contactsInFlight < maxContactsInFlight {
+		m := failover.inheritedMachines[0]
+		failover.inheritedMachines = failover.inheritedMachines[1:]
 		if !m.removed && m.seenEpoch < m.epoch {
-			f.contact(m)
+			failover.contact(m)
 		}
 	}
 }
 
 // sendEpoch sends the current epoch to a machine's worker in a request without commands.
-func (f *failover) sendEpoch(m *machine) {
-	generation, epoch := f.controller.shardLeader.generation, m.epoch
+func (failover *failover) sendEpoch(m *machine) {
+	generation, epoch := failover.controller.shardLeader.generation, m.epoch
 	m.dispatchInFlight = true
-	f.contactsInFlight++
+	failover.contactsInFlight++
 	before := m.snapshot()
-	f.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: f.controller.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(response message.WorkerResponse) {
-		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != generation {
+	failover.controller.requests.toWorker(message.WorkerRequest{Machine: m.id, Addr: m.addr, SendDeadline: failover.controller.membership.leaseValidUntil, Epoch: epoch, Incarnation: m.incarnation}, func(response message.WorkerResponse) {
+		if failover.controller.shardLeader == nil || failover.controller.shardLeader.generation != generation {
 			return
 		}
 		m.dispatchInFlight = false
-		f.controller.shardLeader.failover.contactsInFlight--
-		f.controller.shardLeader.failover.contactInheritedMachines()
+		failover.controller.shardLeader.failover.contactsInFlight--
+		failover.controller.shardLeader.failover.contactInheritedMachines()
 		if m.removed {
 			return
 		}
-		if !response.NotSent && f.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
-			f.controller.markDispatchPending(m)
+		if !response.NotSent && failover.controller.shardLeader.heartbeats.applyPollReply(m, response.Heartbeat, before) {
+			failover.controller.markDispatchPending(m)
 		}
 	})
 }
 
 // addInherited appends a machine to the inherited machines that are to be contacted.
-func (f *failover) addInherited(m *machine) { f.inheritedMachines = append(f.inheritedMachines, m) }
+func (failover *failover) addInherited(m *machine) {
+	failover.inheritedMachines = append(failover.inheritedMachines, m)
+}
 
 // contactAll contacts all machines without waiting for their heartbeats, those with live attempts
 // first. Once a worker has seen the current epoch, no command of an earlier leader takes effect
 // there, and the worker's heartbeats prove that. Machines without attempts are contacted too:
 // otherwise they would stay with an earlier leader that has lost only the store, until the end of
 // that leader's grace period.
-func (f *failover) contactAll() {
-	f.inheritedMachines = slices.Clone(f.controller.shardLeader.machinesByID)
-	f.controller.ranking.sortInheritedByRank(f.inheritedMachines)
-	f.contactInheritedMachines()
+func (failover *failover) contactAll() {
+	failover.inheritedMachines = slices.Clone(failover.controller.shardLeader.machinesByID)
+	failover.controller.ranking.sortInheritedByRank(failover.inheritedMachines)
+	failover.contactInheritedMachines()
 }
 
 // noteHigherEpoch records that a machine's worker has seen a higher epoch than the one under which
 // this controller owns the machine.
-func (f *failover) noteHigherEpoch(machine string) {
-	if f.higherEpochSeen[machine].IsZero() {
-		f.higherEpochSeen[machine] = f.now
+func (failover *failover) noteHigherEpoch(machine string) {
+	if failover.higherEpochSeen[machine].IsZero() {
+		failover.higherEpochSeen[machine] = failover.now
 	}
 }
 
 // clearHigherEpoch records that a machine's worker accepts this controller's epoch, or that another
 // controller owns the machine.
-func (f *failover) clearHigherEpoch(machine string) { delete(f.higherEpochSeen, machine) }
+func (failover *failover) clearHigherEpoch(machine string) { delete(failover.higherEpochSeen, machine) }
 
 // sweep polls silent machines, ends expired leases, drains reclaimed machines and ends attempts
 // that are to be stopped and whose start was never sent.
-func (f *failover) sweep() {
-	leader := f.controller.shardLeader
-	f.contactInheritedMachines()
+func (failover *failover) sweep() {
+	leader := failover.controller.shardLeader
+	failover.contactInheritedMachines()
 	for _, id := range sortedKeys(leader.remoteAttempts.machines) {
 		if m := leader.remoteAttempts.machines[id]; m.reclaimNoticed {
-			f.drainReclaimed(m)
+			failover.drainReclaimed(m)
 		}
 	}
 	for _, m := range slices.Clone(leader.machinesByID) {
-		if m.expectsHeartbeats() && (f.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(f.maxHeartbeatInterval())) || !m.reachability.Reachable()) {
-			f.contact(m)
+		if m.expectsHeartbeats() && (failover.sinceLastHeartbeat(m) > time.Duration(probeAfterIntervals*float64(failover.maxHeartbeatInterval())) || !m.reachability.Reachable()) {
+			failover.contact(m)
 		}
-		if !m.leaseEnd.IsZero() && f.now.After(m.leaseEnd) {
+		if !m.leaseEnd.IsZero() && failover.now.After(m.leaseEnd) {
 			if !m.isEmpty() {
-				f.leaseExpired(m)
+				failover.leaseExpired(m)
 				continue
 			}
 			// If the machine reports again, its worker is another incarnation without tasks.
@@ -174,11 +176,11 @@
 			continue
 		}
 		if m.reclaimNoticed {
-			f.drainReclaimed(m)
+			failover.drainReclaimed(m)
 		}
 		for _, key := range m.attemptsWhere(func(t *task) bool { return t.stopReason != stopNone && !t.startSent }) {
 			// Its start was never sent, so the attempt runs nowhere.
-			f.controller.shardLeader.endAttempt(leader.jobs[key.job], key.index, false)
+			failover.controller.shardLeader.endAttempt(leader.jobs[key.job], key.index, false)
 		}
 	}
 }
@@ -186,72 +188,72 @@
 // leaseExpired ends all attempts on a machine whose worker lease has expired by this controller's
 // clock. It first confirms that this controller still owns the machine, since another owner would
 // have renewed the lease.
-func (f *failover) leaseExpired(m *machine) {
-	if f.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
+func (failover *failover) leaseExpired(m *machine) {
+	if failover.now.Sub(m.ownershipCheckedAt) < leaseCheckInterval {
 		return
 	}
-	m.ownershipCheckedAt = f.now
-	generation := f.controller.shardLeader.generation
-	f.controller.membership.confirmControlRecords(func() {
-		if f.controller.shardLeader == nil || f.controller.shardLeader.generation != generation || m.removed || !f.now.After(m.leaseEnd) {
+	m.ownershipCheckedAt = failover.now
+	generation := failover.controller.shardLeader.generation
+	failover.controller.membership.confirmControlRecords(func() {
+		if failover.controller.shardLeader == nil || failover.controller.shardLeader.generation != generation || m.removed || !failover.now.After(m.leaseEnd) {
 			return
 		}
-		f.info("worker lease expired", "machine", m.id, "attempts", len(m.attempts))
-		f.controller.shardLeader.heartbeats.loseAllAttempts(m, nil)
+		failover.info("worker lease expired", "machine", m.id, "attempts", len(m.attempts))
+		failover.controller.shardLeader.heartbeats.loseAllAttempts(m, nil)
 	})
 }
 
 // drainReclaimed stops the tasks that will not finish before the cloud reclaims the machine. It
 // stops a task with checkpoints as late as still allows one more checkpoint. It stops other tasks
 // at once: their progress is lost in any case, and they can start elsewhere sooner.
-func (f *failover) drainReclaimed(m *machine) {
-	untilReclaim := m.reclaimAt.Sub(f.now)
+func (failover *failover) drainReclaimed(m *machine) {
+	untilReclaim := m.reclaimAt.Sub(failover.now)
 	for _, key := range sortedAttempts(m) {
 		t := m.attempts[key]
-		j := f.controller.shardLeader.jobs[key.job]
+		j := failover.controller.shardLeader.jobs[key.job]
 		if t.stopReason != stopNone {
 			continue
 		}
-		remaining := f.controller.knowledge.expectedRunTime(j)
+		remaining := failover.controller.knowledge.expectedRunTime(j)
 		if !t.startedAt.IsZero() {
-			remaining -= f.now.Sub(t.startedAt)
+			remaining -= failover.now.Sub(t.startedAt)
 		}
 		checkpoints := j.CheckpointInterval > 0 && !t.startedAt.IsZero()
-		if checkpoints && untilReclaim < j.CheckpointCost+f.maxHeartbeatInterval() || !checkpoints && (j.LongRunning || remaining.Seconds() > reclaimNoticeFactor*untilReclaim.Seconds()) {
+		if checkpoints && untilReclaim < j.CheckpointCost+failover.maxHeartbeatInterval() || !checkpoints && (j.LongRunning || remaining.Seconds() > reclaimNoticeFactor*untilReclaim.Seconds()) {
 			t.stopReason = stopDrain
-			f.controller.markDispatchPending(m)
+			failover.controller.markDispatchPending(m)
 		}
 	}
 }
 
 // expectsHeartbeats reports whether the machine should send heartbeats: it has sent some, or it has
 // attempts, perhaps of a former owner.
-func (m *machine) expectsHeartbeats() bool { return m.heard || !m.isEmpty() }
+func (machine *machine) expectsHeartbeats() bool { return machine.heard || !machine.isEmpty() }
 
 // sinceLastHeartbeat returns how long a machine has sent no heartbeat. Time before this shard leader
 // was ready does not count, nor does time before it owned the machine, which may have come with
 // running tasks.
-func (f *failover) sinceLastHeartbeat(m *machine) time.Duration {
-	return f.now.Sub(later(later(m.lastHeard, m.ownedSince), f.controller.shardLeader.readyAt))
+func (failover *failover) sinceLastHeartbeat(m *machine) time.Duration {
+	return failover.now.Sub(later(later(m.lastHeard, m.ownedSince), failover.controller.shardLeader.readyAt))
 }
 
 // unresponsive reports whether a machine has missed heartbeats and does not answer polls. A machine
 // with attempts of a former owner can be unresponsive although this controller never heard it: it
 // may have been lost before the failover.
-func (h *heartbeatTracker) unresponsive(m *machine) bool {
+func (tracker *heartbeatTracker) unresponsive(m *machine) bool {
 	if !m.expectsHeartbeats() {
 		return false
 	}
-	if m.reclaimNoticed && h.now.After(m.reclaimAt) {
+	if m.reclaimNoticed && tracker.now.After(m.reclaimAt) {
 		// The cloud has reclaimed the machine as announced, so no polls are needed.
-		return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.maxHeartbeatInterval()
+		return tracker.controller.shardLeader.failover.sinceLastHeartbeat(m) > tracker.maxHeartbeatInterval()
 	}
-	return h.controller.shardLeader.failover.sinceLastHeartbeat(m) > h.unresponsiveAfter(m) && h.now.Sub(m.reroutedAt) > h.unresponsiveAfter(m)
+	return tracker.controller.shardLeader.failover.sinceLastHeartbeat(m) > tracker.unresponsiveAfter(m) && tracker.now.Sub(m.reroutedAt) > tracker.unresponsiveAfter(m)
 }
 
 // unresponsiveAfter returns how long a machine must have been silent to count as unresponsive.
-func (h *heartbeatTracker) unresponsiveAfter(m *machine) time.Duration {
-	limit := time.Duration(probeAfterIntervals*float64(h.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
+func (tracker *heartbeatTracker) unresponsiveAfter(m *machine) time.Duration {
+	limit := time.Duration(probeAfterIntervals*float64(tracker.maxHeartbeatInterval())) + unresponsiveProbes*probeInterval
 	if m.heard && m.unansweredProbes < unresponsiveProbes {
 		// The machine was polled too rarely, since too many polls were in flight.
 		limit *= 2
--- a/internal/controller/correlated_failure.go
+++ b/internal/controller/correlated_failure.go
@@ -16,25 +16,25 @@
 
 // unresponsiveMachines returns the machines to release, either because they have missed heartbeats
 // or because they receive nothing. See internal/disruption.
-func (h *heartbeatTracker) unresponsiveMachines() []string {
-	pool := disruption.Pool{Lease: h.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * h.settings.StoreWritesPerSecond)}
+func (tracker *heartbeatTracker) unresponsiveMachines() []string {
+	pool := disruption.Pool{Lease: tracker.settings.WorkerLease, MaxStarts: int(releaseAheadSeconds * tracker.settings.StoreWritesPerSecond)}
 	var unresponsive []disruption.Machine
-	leader := h.controller.shardLeader
+	leader := tracker.controller.shardLeader
 	for _, m := range leader.machinesByID {
 		if !m.expectsHeartbeats() || m.releasing {
 			continue
 		}
 		pool.Reporting++
-		if !h.unresponsive(m) {
+		if !tracker.unresponsive(m) {
 			continue
 		}
 		candidate := disruption.Machine{
 			ID: m.id, Tasks: len(m.attempts) + leader.remoteAttempts.registry.LiveCount(m.id),
-			UnresponsiveFor: leader.failover.sinceLastHeartbeat(m) - h.unresponsiveAfter(m),
+			UnresponsiveFor: leader.failover.sinceLastHeartbeat(m) - tracker.unresponsiveAfter(m),
 		}
 		for key := range m.attempts {
 			j := leader.jobs[key.job]
-			latestStart, urgency := leader.scheduler.latestStart(j), h.controller.ranking.inverseRank(j)
+			latestStart, urgency := leader.scheduler.latestStart(j), tracker.controller.ranking.inverseRank(j)
 			isFirst := candidate.LatestStart.IsZero()
 			if isFirst || urgency > candidate.Urgency || urgency == candidate.Urgency && latestStart.Before(candidate.LatestStart) {
 				candidate.Urgency, candidate.LatestStart = urgency, latestStart
@@ -42,16 +42,16 @@
 		}
 		unresponsive = append(unresponsive, candidate)
 	}
-	pool.ReceivesNothing = h.controller.partition.monitor.ReceivePartitioned(h.now, leader.readyAt, pool.Reporting, h.maxHeartbeatInterval())
+	pool.ReceivesNothing = tracker.controller.partition.monitor.ReceivePartitioned(tracker.now, leader.readyAt, pool.Reporting, tracker.maxHeartbeatInterval())
 	if pool.Reporting > 1 && len(unresponsive) == pool.Reporting {
 		// If all machines miss heartbeats at the same time, the fault is probably in this
 		// controller or its network.
 		return nil
 	}
-	toRelease := append(disruption.SelectReleases(pool, unresponsive), h.unreachableMachines(pool.Reporting)...)
-	if disruption.IsCorrelated(pool, len(unresponsive)) && h.now.Sub(h.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
-		h.correlatedFailureLoggedAt = h.now
-		h.info("correlated machine failure", "unresponsive", len(unresponsive), "of", pool.Reporting, "released", len(toRelease))
+	toRelease := append(disruption.SelectReleases(pool, unresponsive), tracker.unreachableMachines(pool.Reporting)...)
+	if disruption.IsCorrelated(pool, len(unresponsive)) && tracker.now.Sub(tracker.correlatedFailureLoggedAt) >= correlatedFailureLogInterval {
+		tracker.correlatedFailureLoggedAt = tracker.now
+		tracker.info("correlated machine failure", "unresponsive", len(unresponsive), "of", pool.Reporting, "released", len(toRelease))
 	}
 	return toRelease
 }
--- a/internal/controller/demand.go
+++ b/internal/controller/demand.go
@@ -27,26 +27,26 @@
 
 // startDeadline returns when a task of the demand that arrives at from should start at the latest. The
 // later an expected task arrives, the later it is due.
-func (d demand) startDeadline(now, from time.Time) time.Time {
-	return d.latestStart.Add(from.Sub(now) - d.arrivalSpread/2)
+func (demand demand) startDeadline(now, from time.Time) time.Time {
+	return demand.latestStart.Add(from.Sub(now) - demand.arrivalSpread/2)
 }
 
 // arrivalAt returns when task i of the demand arrives.
-func (d demand) arrivalAt(now time.Time, i int) time.Time {
-	return now.Add(d.arrivalSpread * time.Duration(i+1) / time.Duration(d.count+1))
+func (demand demand) arrivalAt(now time.Time, i int) time.Time {
+	return now.Add(demand.arrivalSpread * time.Duration(i+1) / time.Duration(demand.count+1))
 }
 
 // arrivalBatches yields the time and the number of tasks of each batch in which the demand arrives:
 // pending tasks in one batch, expected tasks in at most maxArrivalBatches.
-func (d demand) arrivalBatches(now time.Time) iter.Seq2[time.Time, int] {
-	size := max(1, d.count)
-	if d.arrivalSpread > 0 {
-		size = (d.count + maxArrivalBatches - 1) / maxArrivalBatches
+func (demand demand) arrivalBatches(now time.Time) iter.Seq2[time.Time, int] {
+	size := max(1, demand.count)
+	if demand.arrivalSpread > 0 {
+		size = (demand.count + maxArrivalBatches - 1) / maxArrivalBatches
 	}
 	return func(yield func(time.Time, int) bool) {
-		for i := 0; i < d.count; i += size {
-			k := min(size, d.count-i)
-			if !yield(d.arrivalAt(now, i+k/2), k) {
+		for i := 0; i < demand.count; i += size {
+			k := min(size, demand.count-i)
+			if !yield(demand.arrivalAt(now, i+k/2), k) {
 				return
 			}
 		}
--- a/internal/controller/due.go
+++ b/internal/controller/due.go
@@ -6,24 +6,24 @@
 // the shard leader, and the checks whether such an action is due. See shardLeader.tick.
 
 // writeSoon requests that changed records are written in this tick.
-func (p *persistence) writeSoon() { p.persistedAt = time.Time{} }
+func (persistence *persistence) writeSoon() { persistence.persistedAt = time.Time{} }
 
 // writeIfDue writes the changed records unless they were written within persistInterval.
-func (p *persistence) writeIfDue() {
-	if p.now.Sub(p.persistedAt) >= persistInterval {
-		p.persistedAt = p.now
-		p.writeShardLeaderRecords()
+func (persistence *persistence) writeIfDue() {
+	if persistence.now.Sub(persistence.persistedAt) >= persistInterval {
+		persistence.persistedAt = persistence.now
+		persistence.writeShardLeaderRecords()
 	}
 }
 
 // addOrphanedRecord queues the deletion of a task record whose job is over.
-func (p *persistence) addOrphanedRecord(key string) {
-	p.orphanedRecords = append(p.orphanedRecords, key)
+func (persistence *persistence) addOrphanedRecord(key string) {
+	persistence.orphanedRecords = append(persistence.orphanedRecords, key)
 }
 
 // requestSoon requests that the owners of remote machines are asked in this tick about the attempts
 // on these machines.
-func (r *remoteAttempts) requestSoon() { r.due = true }
+func (attempts *remoteAttempts) requestSoon() { attempts.due = true }
 
 // forgetTeam removes the recorded arrivals of a team that another shard has taken over.
 func (planner *fleetPlanner) forgetTeam(team string) {
--- a/internal/controller/epoch_bump.go
+++ b/internal/controller/epoch_bump.go
@@ -12,12 +12,12 @@
 // does so for three kinds of machines: those with an unanswered start that has to be ruled out,
 // since a start of an earlier epoch is not executed; those that have seen a higher epoch than the
 // one under which they are owned; and those whose worker has restarted under the current epoch.
-func (f *failover) maybeBumpEpoch() {
-	leader := f.controller.shardLeader
-	if f.controller.membership.bumpingEpoch || f.now.Sub(f.epochBumpedAt) < epochBumpInterval || f.now.After(f.controller.membership.leaseValidUntil) {
+func (failover *failover) maybeBumpEpoch() {
+	leader := failover.controller.shardLeader
+	if failover.controller.membership.bumpingEpoch || failover.now.Sub(failover.epochBumpedAt) < epochBumpInterval || failover.now.After(failover.controller.membership.leaseValidUntil) {
 		return
 	}
-	needed := len(f.higherEpochSeen) > 0
+	needed := len(failover.higherEpochSeen) > 0
 	for _, m := range leader.machinesByID {
 		needed = needed || m.restartEpoch != 0 && m.restartEpoch == m.epoch || m.unackedStartEpoch != 0 && m.unackedStartEpoch == m.epoch && !m.dispatchUnanswered && m.waitsForStartProof(&leader.remoteAttempts.registry)
 	}
@@ -26,23 +26,23 @@
 	}
 	// Confirm the shard map first: a machine that has seen a higher epoch more likely belongs to
 	// another controller, whose record the watch has not delivered yet.
-	f.epochBumpedAt = f.now
-	f.controller.membership.confirmControlRecords(func() {
-		if f.controller.shardLeader == leader {
-			f.controller.shardLeader.failover.bumpEpoch()
+	failover.epochBumpedAt = failover.now
+	failover.controller.membership.confirmControlRecords(func() {
+		if failover.controller.shardLeader == leader {
+			failover.controller.shardLeader.failover.bumpEpoch()
 		}
 	})
 }
 
 // bumpEpoch writes the segment that gives the machines a higher epoch, for one shard at a time.
-func (f *failover) bumpEpoch() {
-	leader := f.controller.shardLeader
-	if f.controller.membership.bumpingEpoch {
+func (failover *failover) bumpEpoch() {
+	leader := failover.controller.shardLeader
+	if failover.controller.membership.bumpingEpoch {
 		return
 	}
 	byShard := map[string][]string{}
 	add := func(id string) {
-		if shard, owned := f.controller.membership.ownedMachine(id); owned {
+		if shard, owned := failover.controller.membership.ownedMachine(id); owned {
 			byShard[shard.Name] = append(byShard[shard.Name], id)
 		}
 	}
@@ -55,28 +55,28 @@
 			add(m.id)
 		}
 	}
-	for _, id := range sortedKeys(f.higherEpochSeen) {
-		if _, owned := f.controller.membership.ownedMachine(id); !owned {
-			delete(f.higherEpochSeen, id)
-		} else if f.now.Sub(f.higherEpochSeen[id]) > epochBumpInterval {
+	for _, id := range sortedKeys(failover.higherEpochSeen) {
+		if _, owned := failover.controller.membership.ownedMachine(id); !owned {
+			delete(failover.higherEpochSeen, id)
+		} else if failover.now.Sub(failover.higherEpochSeen[id]) > epochBumpInterval {
 			add(id)
 		}
 	}
 	for _, name := range sortedKeys(byShard) {
-		bumpedShard := f.controller.membership.shardMap.Shard(name)
-		f.epochBumps++
-		segment, bumped := sharding.BumpEpoch(f.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", f.incarnation(), leader.generation, f.epochBumps), bumpedShard, byShard[name])
+		bumpedShard := failover.controller.membership.shardMap.Shard(name)
+		failover.epochBumps++
+		segment, bumped := sharding.BumpEpoch(failover.controller.requests.storeLimits(), fmt.Sprintf("%s-%d-%d", failover.incarnation(), leader.generation, failover.epochBumps), bumpedShard, byShard[name])
 		if len(bumped) == 0 {
 			continue
 		}
-		f.controller.membership.epochBumpStarted()
-		f.info("epoch bumped", "machines", len(bumped), "example", bumped[0], "shard", name)
-		f.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: bumpedShard.ModRevision}, {Key: record.ShardSegmentPrefix + segment.Name, ModRevision: 0}},
+		failover.controller.membership.epochBumpStarted()
+		failover.info("epoch bumped", "machines", len(bumped), "example", bumped[0], "shard", name)
+		failover.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart, Compares: []message.Compare{{Key: record.ShardPrefix + name, ModRevision: bumpedShard.ModRevision}, {Key: record.ShardSegmentPrefix + segment.Name, ModRevision: 0}},
 			Writes: []message.Write{{Key: record.ShardSegmentPrefix + segment.Name, Value: segment.Value}}}, func(message.StoreResponse) {
-			f.controller.membership.epochBumpEnded()
-			if f.controller.shardLeader == leader {
+			failover.controller.membership.epochBumpEnded()
+			if failover.controller.shardLeader == leader {
 				for _, id := range bumped {
-					delete(f.higherEpochSeen, id)
+					delete(failover.higherEpochSeen, id)
 				}
 			}
 		})
--- a/internal/controller/estimator.go
+++ b/internal/controller/estimator.go
@@ -21,14 +21,14 @@
 const minEstimatorWeight = 0.08
 
 // updateEstimator updates the estimator of the job's workload with the run time of a finished task.
-func (k *fleetKnowledge) updateEstimator(job *job, runTime time.Duration) {
+func (knowledge *fleetKnowledge) updateEstimator(job *job, runTime time.Duration) {
 	if job.ExpectedRunTime <= 0 {
 		return
 	}
-	workloadEstimator := k.estimators[job.Workload]
+	workloadEstimator := knowledge.estimators[job.Workload]
 	if workloadEstimator == nil {
 		workloadEstimator = &estimator{ratio: 1, deviation: minSafetyFraction}
-		k.estimators[job.Workload] = workloadEstimator
+		knowledge.estimators[job.Workload] = workloadEstimator
 	}
 	workloadEstimator.samples++
 	ratio := runTime.Seconds() / job.ExpectedRunTime.Seconds()
@@ -40,12 +40,12 @@
 
 // expectedRunTime returns the median run time of the job's finished tasks, or, without one, the
 // job's expected run time corrected by the estimator of its workload.
-func (k *fleetKnowledge) expectedRunTime(job *job) time.Duration {
+func (knowledge *fleetKnowledge) expectedRunTime(job *job) time.Duration {
 	if median, ok := job.medianRunTime(); ok {
 		return median
 	}
 	expected := job.ExpectedRunTime
-	if workloadEstimator := k.estimators[job.Workload]; workloadEstimator != nil {
+	if workloadEstimator := knowledge.estimators[job.Workload]; workloadEstimator != nil {
 		expected = time.Duration(float64(expected) * workloadEstimator.ratio)
 	}
 	return expected
--- a/internal/controller/heartbeat_proof.go
+++ b/internal/controller/heartbeat_proof.go
@@ -27,8 +27,8 @@
 // supersedes reports whether a message newer than heartbeat has been applied. The epoch that a
 // worker has seen never decreases: a copy from before a worker restart may have a higher
 // incarnation, but it cannot have the epoch of a later owner.
-func (m *machine) supersedes(heartbeat *model.Heartbeat) bool {
-	return heartbeat.Epoch < m.seenEpoch || heartbeat.Incarnation < m.incarnation || heartbeat.Incarnation == m.incarnation && heartbeat.Sequence <= m.sequence
+func (machine *machine) supersedes(heartbeat *model.Heartbeat) bool {
+	return heartbeat.Epoch < machine.seenEpoch || heartbeat.Incarnation < machine.incarnation || heartbeat.Incarnation == machine.incarnation && heartbeat.Sequence <= machine.sequence
 }
 
 // handleUnprovenHeartbeat answers a heartbeat that proves nothing about the present state of
@@ -85,8 +85,8 @@
 }
 
 // snapshot returns what is known of m at this moment.
-func (m *machine) snapshot() machineSnapshot {
-	return machineSnapshot{m.heard, m.incarnation, m.sequence, m.seenEpoch, m.lastTaskReports}
+func (machine *machine) snapshot() machineSnapshot {
+	return machineSnapshot{machine.heard, machine.incarnation, machine.sequence, machine.seenEpoch, machine.lastTaskReports}
 }
 
 // detectReachability looks in a heartbeat that was applied for effects that only a reply or
--- a/internal/controller/heartbeat_proof_test.go
+++ b/internal/controller/heartbeat_proof_test.go
@@ -25,12 +25,12 @@
 
 // answerPoll answers the poll that the controller has just sent to m with heartbeat, or lets
 // the poll fail if heartbeat is nil.
-func (c *Controller) answerPoll(t *testing.T, m *machine, heartbeat *model.Heartbeat) {
+func (controller *Controller) answerPoll(t *testing.T, m *machine, heartbeat *model.Heartbeat) {
 	t.Helper()
-	for _, request := range emittedEffects[message.WorkerRequest](c) {
+	for _, request := range emittedEffects[message.WorkerRequest](controller) {
 		if request.Machine == m.id {
-			c.effects = nil
-			c.handleCommand(message.WorkerResponse{ID: request.ID, OK: true, Heartbeat: heartbeat})
+			controller.effects = nil
+			controller.handleCommand(message.WorkerResponse{ID: request.ID, OK: true, Heartbeat: heartbeat})
 			return
 		}
 	}
--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -39,14 +39,14 @@
 }
 
 // handleHeartbeat applies a heartbeat whose worker waits for the reply, and emits the reply.
-func (c *Controller) handleHeartbeat(received message.WorkerHeartbeat) {
-	leader := c.shardLeader
+func (controller *Controller) handleHeartbeat(received message.WorkerHeartbeat) {
+	leader := controller.shardLeader
 	heartbeat := &received.Heartbeat
-	c.partition.heartbeatReceived(heartbeat)
-	segment, owned := c.membership.ownedMachine(heartbeat.Machine)
+	controller.partition.heartbeatReceived(heartbeat)
+	segment, owned := controller.membership.ownedMachine(heartbeat.Machine)
 	switch {
 	case leader == nil || !owned:
-		c.rerouteHeartbeat(&received)
+		controller.rerouteHeartbeat(&received)
 		return
 	case heartbeat.Epoch > segment.Epoch:
 		// Another controller owns the machine under a higher epoch: this controller was
@@ -55,17 +55,17 @@
 		// controller. If this controller does own the machine, it needs a higher epoch; see
 		// maybeBumpEpoch.
 		leader.failover.noteHigherEpoch(heartbeat.Machine)
-		c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 421})
+		controller.emit(message.HeartbeatReply{Reply: received.Reply, Status: 421})
 		return
-	case c.now.After(c.renewal.renewalDeadline()):
-		c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
+	case controller.now.After(controller.renewal.renewalDeadline()):
+		controller.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 		return
 	case !leader.ready:
-		c.renewal.renewBeforeRecovery(&received, segment.Epoch)
+		controller.renewal.renewBeforeRecovery(&received, segment.Epoch)
 		return
-	case c.knowledge.released[heartbeat.Machine]:
+	case controller.knowledge.released[heartbeat.Machine]:
 		// The machine's release was requested: it gets no more tasks and will be gone soon.
-		c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
+		controller.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 		return
 	}
 	m := leader.ensureMachine(heartbeat.Machine)
@@ -79,7 +79,7 @@
 	// Computed once for both the lease renewal and the commands: nearly all heartbeats come
 	// from settled machines.
 	settled := m.settled()
-	until, renews := c.renewal.renewLease(m, settled, nil, received.Reply)
+	until, renews := controller.renewal.renewLease(m, settled, nil, received.Reply)
 	if !renews {
 		return
 	}
@@ -90,23 +90,23 @@
 		}
 	}
 	expectAcknowledgment(m, commands)
-	c.emit(message.HeartbeatReply{
+	controller.emit(message.HeartbeatReply{
 		Reply: received.Reply, Status: 200, Epoch: m.epoch, Commands: commands,
-		SendDeadline: until, StartsDeadline: c.ranking.startDispatchDeadline(m),
+		SendDeadline: until, StartsDeadline: controller.ranking.startDispatchDeadline(m),
 	})
 }
 
 // rerouteHeartbeat sends the worker of a machine that this controller doesn't own to the
 // machine's owner, if the owner is known, and reports the reroute to the owner.
-func (c *Controller) rerouteHeartbeat(received *message.WorkerHeartbeat) {
-	ownerHost := c.membership.liveMachineOwner(received.Heartbeat.Machine)
-	if ownerHost == c.settings.Host {
+func (controller *Controller) rerouteHeartbeat(received *message.WorkerHeartbeat) {
+	ownerHost := controller.membership.liveMachineOwner(received.Heartbeat.Machine)
+	if ownerHost == controller.settings.Host {
 		ownerHost = ""
 	}
 	if ownerHost != "" {
-		c.partition.noteRerouted(&received.Heartbeat, ownerHost)
+		controller.partition.noteRerouted(&received.Heartbeat, ownerHost)
 	}
-	c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 421, MachineOwner: ownerHost})
+	controller.emit(message.HeartbeatReply{Reply: received.Reply, Status: 421, MachineOwner: ownerHost})
 }
 
 // applyHeartbeat applies a heartbeat or a poll reply, unless a newer message of the machine
@@ -247,9 +247,9 @@
 
 // attemptsWhere returns the keys of the attempts on m for which matches returns true, sorted by
 // task. The result is usually empty, so sorting all attempts first would be wasted time.
-func (m *machine) attemptsWhere(matches func(*task) bool) []taskKey {
+func (machine *machine) attemptsWhere(matches func(*task) bool) []taskKey {
 	var keys []taskKey
-	for key, t := range m.attempts {
+	for key, t := range machine.attempts {
 		if matches(t) {
 			keys = append(keys, key)
 		}
@@ -261,13 +261,13 @@
 // unchangedBy reports whether a heartbeat contains no changes: the machine runs exactly the
 // expected attempts in the known states. This fast path covers nearly all heartbeats of a
 // large pool.
-func (m *machine) unchangedBy(heartbeat *model.Heartbeat) bool {
-	if len(heartbeat.Tasks) != len(m.attempts) || !slices.Equal(heartbeat.Tasks, m.lastTaskReports) || len(m.taskReports) != len(m.lastTaskReports) {
+func (machine *machine) unchangedBy(heartbeat *model.Heartbeat) bool {
+	if len(heartbeat.Tasks) != len(machine.attempts) || !slices.Equal(heartbeat.Tasks, machine.lastTaskReports) || len(machine.taskReports) != len(machine.lastTaskReports) {
 		return false
 	}
-	for i := range m.lastTaskReports {
-		report := &m.lastTaskReports[i]
-		t := m.attempts[taskKey{report.Job, report.Index}]
+	for i := range machine.lastTaskReports {
+		report := &machine.lastTaskReports[i]
+		t := machine.attempts[taskKey{report.Job, report.Index}]
 		if t == nil || t.attempt != report.Attempt || t.stopReason != stopNone || !t.reported || t.status != report.Status || report.Status == model.Ended {
 			return false
 		}
--- a/internal/controller/job_ends.go
+++ b/internal/controller/job_ends.go
@@ -16,9 +16,9 @@
 
 // writeJobEnds writes the ends of jobs whose tasks are all done, and deletes the records of
 // cancelled jobs that have no live tasks left.
-func (p *persistence) writeJobEnds() {
+func (persistence *persistence) writeJobEnds() {
 	var endedJobs, cancelledDependents []*job
-	for _, j := range p.controller.shardLeader.jobs {
+	for _, j := range persistence.controller.shardLeader.jobs {
 		if !j.ending && j.cancelDerived {
 			cancelledDependents = append(cancelledDependents, j)
 		} else if !j.ending && (j.cancelled && j.liveTasks == 0 || !j.cancelled && j.doneTasks == len(j.tasks)) {
@@ -27,17 +27,17 @@
 	}
 	byName := func(a, b *job) int { return strings.Compare(a.ID, b.ID) }
 	slices.SortFunc(endedJobs, byName)
-	for len(endedJobs) > 0 && p.txnsInFlight < maxSegmentTxns+2 && p.controller.rateLimits.writesAllowed() > 0 {
-		endedJobs = p.writeEndBatch(endedJobs)
+	for len(endedJobs) > 0 && persistence.txnsInFlight < maxSegmentTxns+2 && persistence.controller.rateLimits.writesAllowed() > 0 {
+		endedJobs = persistence.writeEndBatch(endedJobs)
 	}
-	if len(cancelledDependents) > 0 && p.txnsInFlight == 0 && !p.controller.rateLimits.shortOfWrites() {
+	if len(cancelledDependents) > 0 && persistence.txnsInFlight == 0 && !persistence.controller.rateLimits.shortOfWrites() {
 		// Every controller derives from the cancelled dependency that these jobs are cancelled.
 		// Only their records are left to delete, which may wait.
 		slices.SortFunc(cancelledDependents, byName)
-		p.writeEndBatch(cancelledDependents)
+		persistence.writeEndBatch(cancelledDependents)
 	}
-	if len(p.orphanedRecords) > 0 && p.txnsInFlight == 0 && (!p.controller.rateLimits.shortOfWrites() || len(p.orphanedRecords) > maxOrphanedRecords) {
-		p.deleteOrphanedRecords()
+	if len(persistence.orphanedRecords) > 0 && persistence.txnsInFlight == 0 && (!persistence.controller.rateLimits.shortOfWrites() || len(persistence.orphanedRecords) > maxOrphanedRecords) {
+		persistence.deleteOrphanedRecords()
 	}
 }
 
@@ -52,20 +52,20 @@
 
 // writeEndBatch writes the ends of as many jobs as fit in one transaction, and returns the
 // remaining jobs.
-func (p *persistence) writeEndBatch(endedJobs []*job) []*job {
+func (persistence *persistence) writeEndBatch(endedJobs []*job) []*job {
 	txn := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityStart}
-	maxWrites := min(p.settings.MaxTxnWrites, p.controller.rateLimits.writesAllowed())
+	maxWrites := min(persistence.settings.MaxTxnWrites, persistence.controller.rateLimits.writesAllowed())
 	var batch []jobEnd
 	size := 0
 	for len(endedJobs) > 0 {
 		j := endedJobs[0]
-		end := jobEnd{job: j, rec: p.controller.promises.endRecord(j)}
+		end := jobEnd{job: j, rec: persistence.controller.promises.endRecord(j)}
 		var writes []message.Write
 		if !j.cancelled || j.cancelDerived {
 			writes = append(writes, message.Write{Key: record.JobStatusPrefix + j.ID, Value: record.Encode(end.rec)})
 		}
 		writes = append(writes, message.Write{Key: record.OpenJobPrefix + j.ID})
-		compares := append(p.controller.shardLeader.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
+		compares := append(persistence.controller.shardLeader.shardCompares(j.Team), message.Compare{Key: record.OpenJobPrefix + j.ID, ModRevision: j.modRevision})
 		for _, write := range writes {
 			size += sizelimit.WriteBytes(sizelimit.Write{Key: write.Key, Value: write.Value})
 		}
@@ -93,10 +93,10 @@
 		j.ending = true
 		batch, endedJobs = append(batch, end), endedJobs[1:]
 	}
-	generation := p.controller.shardLeader.generation
-	p.writeTxn(txn, func(response message.StoreResponse) {
+	generation := persistence.controller.shardLeader.generation
+	persistence.writeTxn(txn, func(response message.StoreResponse) {
 		for _, end := range batch {
-			p.controller.handleEndResponse(end, response, generation, len(batch) == 1)
+			persistence.controller.handleEndResponse(end, response, generation, len(batch) == 1)
 		}
 	})
 	return endedJobs
@@ -105,20 +105,20 @@
 // handleEndResponse processes the store's response to the transaction that contains a job's end.
 // generation is that of the shard leader that sent the transaction. alone says that the
 // transaction contained no other job's end.
-func (c *Controller) handleEndResponse(end jobEnd, response message.StoreResponse, generation int, alone bool) {
+func (controller *Controller) handleEndResponse(end jobEnd, response message.StoreResponse, generation int, alone bool) {
 	j := end.job
 	if response.Status == message.StoreOK && end.rec.Status == model.Done {
-		c.frontend.cacheFinalStatus(j.ID, model.Done)
-		c.promises.learnFromEnd(j, end.rec)
-		c.debug("job done", "job", j.ID, "workload", j.Workload, "age", c.now.Sub(j.submittedAt))
+		controller.frontend.cacheFinalStatus(j.ID, model.Done)
+		controller.promises.learnFromEnd(j, end.rec)
+		controller.debug("job done", "job", j.ID, "workload", j.Workload, "age", controller.now.Sub(j.submittedAt))
 	}
-	if c.shardLeader == nil || c.shardLeader.generation != generation {
+	if controller.shardLeader == nil || controller.shardLeader.generation != generation {
 		return
 	}
 	retry := func() { j.ending = false }
 	switch response.Status {
 	case message.StoreOK:
-		c.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
+		controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 	case message.StoreConflict:
 		isOthersRecord := func(key string) bool {
 			return strings.HasPrefix(key, record.OpenJobPrefix) && key != record.OpenJobPrefix+j.ID
@@ -128,7 +128,7 @@
 			retry()
 			return
 		}
-		c.shardLeader.persistence.resolveEndConflict(end, generation)
+		controller.shardLeader.persistence.resolveEndConflict(end, generation)
 	case message.StoreMalformed:
 		// One end of several is malformed. Each is written alone, so that the valid ones succeed.
 		if !alone {
@@ -136,66 +136,66 @@
 			retry()
 			return
 		}
-		c.after(malformedRetryDelay, retry)
+		controller.after(malformedRetryDelay, retry)
 	default:
-		c.after(c.jitter(storeRetryDelay), retry)
+		controller.after(controller.jitter(storeRetryDelay), retry)
 	}
 }
 
 // resolveEndConflict reads the job's records to find out why the compares of its end failed. The
 // store may have applied an earlier transaction with the same end whose response was lost.
-func (p *persistence) resolveEndConflict(end jobEnd, generation int) {
+func (persistence *persistence) resolveEndConflict(end jobEnd, generation int) {
 	j := end.job
 	retry := func() { j.ending = false }
 	readStatus := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.JobStatusPrefix + j.ID}
 	readOpen := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: record.OpenJobPrefix + j.ID}
-	p.controller.requests.toStore(readStatus, func(response message.StoreResponse) {
+	persistence.controller.requests.toStore(readStatus, func(response message.StoreResponse) {
 		var statusRecord record.JobStatus
 		if response.Status == message.StoreOK && record.Decode(response.KeyValues[0].Value, &statusRecord) && statusRecord.Status == model.Done {
-			p.controller.frontend.cacheFinalStatus(j.ID, model.Done)
-			p.controller.promises.cacheDoneDate(j.ID, statusRecord)
-			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
-				p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
+			persistence.controller.frontend.cacheFinalStatus(j.ID, model.Done)
+			persistence.controller.promises.cacheDoneDate(j.ID, statusRecord)
+			if persistence.controller.shardLeader != nil && persistence.controller.shardLeader.generation == generation {
+				persistence.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 			}
 			return
 		}
 		if j.cancelled && response.Status == message.StoreOK {
-			p.controller.requests.toStore(readOpen, func(response message.StoreResponse) {
-				if response.Status == message.StoreNotFound && p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
-					p.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
+			persistence.controller.requests.toStore(readOpen, func(response message.StoreResponse) {
+				if response.Status == message.StoreNotFound && persistence.controller.shardLeader != nil && persistence.controller.shardLeader.generation == generation {
+					persistence.controller.shardLeader.persistence.removeEndedJob(j, end.segmentKeys)
 					return
 				}
-				p.after(p.jitter(storeRetryDelay), retry)
+				persistence.after(persistence.jitter(storeRetryDelay), retry)
 			})
 			return
 		}
-		p.after(p.jitter(storeRetryDelay), retry)
+		persistence.after(persistence.jitter(storeRetryDelay), retry)
 	})
 }
 
 // removeEndedJob drops a job whose end is durable, and queues its segments for deletion.
-func (p *persistence) removeEndedJob(j *job, segmentKeys []string) {
-	p.controller.shardLeader.removeJob(j)
-	p.orphanedRecords = append(p.orphanedRecords, segmentKeys...)
+func (persistence *persistence) removeEndedJob(j *job, segmentKeys []string) {
+	persistence.controller.shardLeader.removeJob(j)
+	persistence.orphanedRecords = append(persistence.orphanedRecords, segmentKeys...)
 }
 
 // deleteOrphanedRecords deletes segments of ended jobs. The transaction is conditional on the
 // absence of the job's open record: a segment may have been listed although its job was accepted
 // only after open/ was listed, and then another controller may lead that job.
-func (p *persistence) deleteOrphanedRecords() {
-	count := min(len(p.orphanedRecords), maxLazyWrites, p.settings.MaxTxnWrites)
-	keys := p.orphanedRecords[:count]
-	p.orphanedRecords = slices.Clone(p.orphanedRecords[count:])
-	txn := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares("")}
+func (persistence *persistence) deleteOrphanedRecords() {
+	count := min(len(persistence.orphanedRecords), maxLazyWrites, persistence.settings.MaxTxnWrites)
+	keys := persistence.orphanedRecords[:count]
+	persistence.orphanedRecords = slices.Clone(persistence.orphanedRecords[count:])
+	txn := message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: persistence.controller.shardLeader.shardCompares("")}
 	for _, key := range keys {
 		if open := (message.Compare{Key: record.OpenJobPrefix + record.JobIDFromKey(key, record.TaskSegmentPrefix), ModRevision: 0}); !slices.Contains(txn.Compares, open) {
 			txn.Compares = append(txn.Compares, open)
 		}
 		txn.Writes = append(txn.Writes, message.Write{Key: key})
 	}
-	generation := p.controller.shardLeader.generation
-	p.writeTxn(txn, func(response message.StoreResponse) {
-		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != generation {
+	generation := persistence.controller.shardLeader.generation
+	persistence.writeTxn(txn, func(response message.StoreResponse) {
+		if persistence.controller.shardLeader == nil || persistence.controller.shardLeader.generation != generation {
 			return
 		}
 		if response.Status == message.StoreOK || response.Status == message.StoreMalformed {
@@ -204,9 +204,9 @@
 		keys = slices.DeleteFunc(keys, func(key string) bool {
 			return slices.Contains(response.FailedKeys, record.OpenJobPrefix+record.JobIDFromKey(key, record.TaskSegmentPrefix))
 		})
-		p.after(p.jitter(storeRetryDelay), func() {
-			if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
-				p.controller.shardLeader.persistence.orphanedRecords = append(p.controller.shardLeader.persistence.orphanedRecords, keys...)
+		persistence.after(persistence.jitter(storeRetryDelay), func() {
+			if persistence.controller.shardLeader != nil && persistence.controller.shardLeader.generation == generation {
+				persistence.controller.shardLeader.persistence.orphanedRecords = append(persistence.controller.shardLeader.persistence.orphanedRecords, keys...)
 			}
 		})
 	})
--- a/internal/controller/job_queries.go
+++ b/internal/controller/job_queries.go
@@ -11,44 +11,44 @@
 )
 
 // queryJob handles a user's request for a job's state.
-func (f *frontend) queryJob(command message.QueryJob) {
-	if status, ok := f.finalStatuses[command.ID]; ok {
-		f.emit(withReply(f.replyWithStatus(command.ID, status), command.Reply))
+func (frontend *frontend) queryJob(command message.QueryJob) {
+	if status, ok := frontend.finalStatuses[command.ID]; ok {
+		frontend.emit(withReply(frontend.replyWithStatus(command.ID, status), command.Reply))
 		return
 	}
-	if f.refuseIfUnavailable(command.Reply, command.ID, nil) {
+	if frontend.refuseIfUnavailable(command.Reply, command.ID, nil) {
 		return
 	}
-	f.answerFromRecord(f.newUserRequest(command.Reply, command.ID), 404, "no such job")
+	frontend.answerFromRecord(frontend.newUserRequest(command.Reply, command.ID), 404, "no such job")
 }
 
 // answerFromRecord reads the job's record and answers the request with the job's state. If the job
 // was never accepted, it answers with the given HTTP status and reason.
-func (f *frontend) answerFromRecord(request *userRequest, status int, reason string) {
-	f.watchCache.readJob(request.id, func(lookup jobLookup) {
+func (frontend *frontend) answerFromRecord(request *userRequest, status int, reason string) {
+	frontend.watchCache.readJob(request.id, func(lookup jobLookup) {
 		switch {
 		case !lookup.ok:
-			f.refuseRequest(request, "the state service does not answer")
+			frontend.refuseRequest(request, "the state service does not answer")
 		case lookup.accepted:
-			f.answerRequest(request, f.replyFor(request.id, lookup))
+			frontend.answerRequest(request, frontend.replyFor(request.id, lookup))
 		default:
 			reply := message.UserReply{Status: status, Message: reason}
 			if status == 503 {
 				reply.RetryAfter = retryAfter
 			}
-			f.answerRequest(request, reply)
+			frontend.answerRequest(request, reply)
 		}
 	})
 }
 
 // replyFor returns the reply to a user that describes a job as it has just been read.
-func (f *frontend) replyFor(id string, lookup jobLookup) message.UserReply {
+func (frontend *frontend) replyFor(id string, lookup jobLookup) message.UserReply {
 	rec := lookup.rec
 	if rec.Status.IsFinal() {
-		f.cacheFinalStatus(id, rec.Status)
-		f.controller.promises.cacheDoneDate(id, rec)
+		frontend.cacheFinalStatus(id, rec.Status)
+		frontend.controller.promises.cacheDoneDate(id, rec)
 	}
-	reply := f.replyWithStatus(id, rec.Status)
+	reply := frontend.replyWithStatus(id, rec.Status)
 	if rec.Status == model.Done {
 		reply.Done = rec.Tasks
 	} else if !rec.Status.IsFinal() {
@@ -59,43 +59,43 @@
 
 // readStatusRecord passes the record job/<id> to callback, from a read that begins after this call.
 // Concurrent calls share reads; see internal/readbatch.
-func (f *frontend) readStatusRecord(id string, callback func(message.StoreResponse)) {
-	f.statusWaiters[id] = append(f.statusWaiters[id], callback)
-	f.readBatches.Request(id)
-	f.sendReadBatches()
+func (frontend *frontend) readStatusRecord(id string, callback func(message.StoreResponse)) {
+	frontend.statusWaiters[id] = append(frontend.statusWaiters[id], callback)
+	frontend.readBatches.Request(id)
+	frontend.sendReadBatches()
 }
 
 // sendReadBatches sends the batched reads that are due.
-func (f *frontend) sendReadBatches() {
+func (frontend *frontend) sendReadBatches() {
 	for {
-		read, ok := f.readBatches.Next()
+		read, ok := frontend.readBatches.Next()
 		if !ok {
 			return
 		}
-		if !f.batchRoundScheduled {
-			f.batchRoundScheduled = true
-			f.after(minRefreshInterval, func() {
-				f.batchRoundScheduled = false
-				f.readBatches.BeginRound()
-				f.sendReadBatches()
+		if !frontend.batchRoundScheduled {
+			frontend.batchRoundScheduled = true
+			frontend.after(minRefreshInterval, func() {
+				frontend.batchRoundScheduled = false
+				frontend.readBatches.BeginRound()
+				frontend.sendReadBatches()
 			})
 		}
 		// The read answers the callers that asked before it began.
 		waiters := map[string][]func(message.StoreResponse){}
 		for _, id := range read.Requested() {
-			waiters[id] = f.statusWaiters[id]
-			delete(f.statusWaiters, id)
+			waiters[id] = frontend.statusWaiters[id]
+			delete(frontend.statusWaiters, id)
 		}
 		request := message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityUser, Key: record.JobStatusPrefix + read.ID}
 		if read.IsList {
 			request.Kind, request.Key, request.StartAfter = message.OpList, record.JobStatusPrefix, record.JobStatusPrefix+read.After
 		}
-		f.controller.requests.toStore(request, func(response message.StoreResponse) { f.handleReadBatch(read, response, waiters) })
+		frontend.controller.requests.toStore(request, func(response message.StoreResponse) { frontend.handleReadBatch(read, response, waiters) })
 	}
 }
 
 // handleReadBatch passes the response to a read to the callers in waiters.
-func (f *frontend) handleReadBatch(read readbatch.Read, batchResponse message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
+func (frontend *frontend) handleReadBatch(read readbatch.Read, batchResponse message.StoreResponse, waiters map[string][]func(message.StoreResponse)) {
 	succeeded, last, found := batchResponse.Status == message.StoreOK, "", map[string]message.KeyValue{}
 	for _, kv := range batchResponse.KeyValues {
 		last = strings.TrimPrefix(kv.Key, record.JobStatusPrefix)
@@ -103,15 +103,15 @@
 		var rec record.JobStatus
 		if read.IsList && record.Decode(kv.Value, &rec) && rec.Status.IsFinal() {
 			// A final status never changes, so it is cached even if no request asked for it.
-			f.cacheFinalStatus(last, rec.Status)
-			f.controller.promises.cacheDoneDate(last, rec)
+			frontend.cacheFinalStatus(last, rec.Status)
+			frontend.controller.promises.cacheDoneDate(last, rec)
 		}
 	}
-	settled := f.readBatches.Complete(read, succeeded, last, batchResponse.Truncated && last != "")
+	settled := frontend.readBatches.Complete(read, succeeded, last, batchResponse.Truncated && last != "")
 	// Jobs beyond the part of the list that was returned wait for the next read.
 	for id, callbacks := range waiters {
 		if !slices.Contains(settled, id) {
-			f.statusWaiters[id] = append(callbacks, f.statusWaiters[id]...)
+			frontend.statusWaiters[id] = append(callbacks, frontend.statusWaiters[id]...)
 		}
 	}
 	for _, id := range settled {
@@ -125,5 +125,5 @@
 			callback(response)
 		}
 	}
-	f.sendReadBatches()
+	frontend.sendReadBatches()
 }
--- a/internal/controller/job_validation.go
+++ b/internal/controller/job_validation.go
@@ -14,17 +14,17 @@
 
 // validateSpec checks whether a job can ever run in this cluster. It returns 0 if so, and otherwise
 // an HTTP status and the reason.
-func (f *frontend) validateSpec(spec *model.JobSpec) (int, string) {
+func (frontend *frontend) validateSpec(spec *model.JobSpec) (int, string) {
 	var team *model.Team
-	for i := range f.settings.Teams {
-		if f.settings.Teams[i].Name == spec.Team {
-			team = &f.settings.Teams[i]
+	for i := range frontend.settings.Teams {
+		if frontend.settings.Teams[i].Name == spec.Team {
+			team = &frontend.settings.Teams[i]
 		}
 	}
 	if team == nil {
 		return 422, "unknown owner " + spec.Team
 	}
-	eligible := f.eligibleTypesFor(spec)
+	eligible := frontend.eligibleTypesFor(spec)
 	if len(eligible.machineTypes) == 0 {
 		return 422, "a task fits no allowed flavour"
 	}
@@ -39,10 +39,10 @@
 	if (team.QuotaLimit.CPU > 0 && total.CPU > team.QuotaLimit.CPU+roundingTolerance) || (team.QuotaLimit.GPU > 0 && total.GPU > team.QuotaLimit.GPU+roundingTolerance) {
 		return 422, "the job needs more than its owner's limit"
 	}
-	if reason := f.validateDependencies(spec); reason != "" {
+	if reason := frontend.validateDependencies(spec); reason != "" {
 		return 422, reason
 	}
-	if size, err := sizelimit.JSONSize(record.Encode(record.NewOpenJob(spec, f.now))); err != nil || size+openRecordReserve > f.settings.MaxValueBytes {
+	if size, err := sizelimit.JSONSize(record.Encode(record.NewOpenJob(spec, frontend.now))); err != nil || size+openRecordReserve > frontend.settings.MaxValueBytes {
 		return 400, "the description is too long"
 	}
 	return 0, ""
@@ -59,10 +59,10 @@
 
 // eligibleTypesFor returns the machine types and zones that the job allows, that exist, and that
 // fit a task of the job.
-func (f *frontend) eligibleTypesFor(spec *model.JobSpec) eligibleTypes {
+func (frontend *frontend) eligibleTypesFor(spec *model.JobSpec) eligibleTypes {
 	eligible := eligibleTypes{zones: map[string]bool{}}
-	for _, name := range sortedKeys(f.controller.knowledge.machineTypes) {
-		machineType := f.controller.knowledge.machineTypes[name]
+	for _, name := range sortedKeys(frontend.controller.knowledge.machineTypes) {
+		machineType := frontend.controller.knowledge.machineTypes[name]
 		zones := slices.DeleteFunc(slices.Clone(machineType.Zones), func(zone string) bool { return spec.Zone != "" && spec.Zone != zone })
 		allowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, name)
 		switch {
@@ -82,8 +82,8 @@
 // restrictToFittingDisks returns the spec with its machine types narrowed to those whose disks have
 // space for its image. Placement and scale-out do not check disks; they only check which types the
 // job allows.
-func (f *frontend) restrictToFittingDisks(spec model.JobSpec) model.JobSpec {
-	if eligible := f.eligibleTypesFor(&spec); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
+func (frontend *frontend) restrictToFittingDisks(spec model.JobSpec) model.JobSpec {
+	if eligible := frontend.eligibleTypesFor(&spec); eligible.excludedByDisk && len(eligible.machineTypes) > 0 {
 		spec.MachineTypes = eligible.machineTypes
 	}
 	return spec
--- a/internal/controller/jobs.go
+++ b/internal/controller/jobs.go
@@ -183,30 +183,32 @@
 // format does not contain the task count. Growing the slice may move the tasks in memory, so grow
 // also updates the machines' pointers to them. Otherwise the machines would keep attempts of a
 // cancelled job in a stale copy, and nothing would stop these attempts.
-func (j *job) grow(tasks int) {
-	j.tasks = append(j.tasks, make([]task, tasks-len(j.tasks))...)
-	for i := range j.tasks {
-		if t := &j.tasks[i]; t.machine != nil {
-			t.machine.attempts[taskKey{j.ID, i}] = t
+func (job *job) grow(tasks int) {
+	job.tasks = append(job.tasks, make([]task, tasks-len(job.tasks))...)
+	for i := range job.tasks {
+		if t := &job.tasks[i]; t.machine != nil {
+			t.machine.attempts[taskKey{job.ID, i}] = t
 		}
 	}
 }
 
 // progress returns the task counts that users see.
-func (j *job) progress() message.Progress {
-	return message.Progress{ID: j.ID, Done: j.doneTasks, Running: j.runningTasks}
+func (job *job) progress() message.Progress {
+	return message.Progress{ID: job.ID, Done: job.doneTasks, Running: job.runningTasks}
 }
 
 // isRunning reports whether a worker reports the attempt as running.
-func (t *task) isRunning() bool { return t.machine != nil && t.reported && t.status == model.Running }
+func (task *task) isRunning() bool {
+	return task.machine != nil && task.reported && task.status == model.Running
+}
 
 // recordRunTime records the run time of a finished task.
-func (j *job) recordRunTime(runTime time.Duration) {
-	i, _ := slices.BinarySearch(j.sortedRunTimes, runTime)
-	j.sortedRunTimes = slices.Insert(j.sortedRunTimes, i, runTime)
-	j.recentRunTimes = append(j.recentRunTimes, runTime)
-	if len(j.recentRunTimes) > 2*keptRunTimes {
-		j.recentRunTimes = slices.Clone(j.recentRunTimes[len(j.recentRunTimes)-keptRunTimes:])
+func (job *job) recordRunTime(runTime time.Duration) {
+	i, _ := slices.BinarySearch(job.sortedRunTimes, runTime)
+	job.sortedRunTimes = slices.Insert(job.sortedRunTimes, i, runTime)
+	job.recentRunTimes = append(job.recentRunTimes, runTime)
+	if len(job.recentRunTimes) > 2*keptRunTimes {
+		job.recentRunTimes = slices.Clone(job.recentRunTimes[len(job.recentRunTimes)-keptRunTimes:])
 	}
 }
 
@@ -215,62 +217,62 @@
 const keptRunTimes = 16
 
 // segmentOf returns the segment of task i and creates it if it does not exist.
-func (j *job) segmentOf(i int) *taskSegment {
-	seg := j.segments[i/j.tasksPerSegment]
+func (job *job) segmentOf(i int) *taskSegment {
+	seg := job.segments[i/job.tasksPerSegment]
 	if seg == nil {
-		seg = &taskSegment{index: i / j.tasksPerSegment}
-		j.segments[seg.index] = seg
+		seg = &taskSegment{index: i / job.tasksPerSegment}
+		job.segments[seg.index] = seg
 	}
 	return seg
 }
 
 // segmentKey returns the key of the segment's record in the store.
-func (j *job) segmentKey(seg *taskSegment) string { return j.keyOf(j.ID, seg.index) }
+func (job *job) segmentKey(seg *taskSegment) string { return job.keyOf(job.ID, seg.index) }
 
 // markChanged records that task i changed and has to be written. urgent says that a start or the
 // job's end waits for the write.
-func (j *job) markChanged(i int, now time.Time, urgent bool) {
-	seg := j.segmentOf(i)
+func (job *job) markChanged(i int, now time.Time, urgent bool) {
+	seg := job.segmentOf(i)
 	if seg.version == seg.inFlightVersion || seg.version == seg.persistedVersion {
 		seg.changedSince = now
 	}
 	seg.version++
-	j.unpersisted = true
+	job.unpersisted = true
 	seg.urgent = seg.urgent || urgent
-	j.tasks[i].version = seg.version
+	job.tasks[i].version = seg.version
 }
 
 // durable reports whether the last change of task i is in the store.
-func (j *job) durable(i int) bool {
-	seg := j.segments[i/j.tasksPerSegment]
-	return seg != nil && j.tasks[i].version <= seg.persistedVersion
+func (job *job) durable(i int) bool {
+	seg := job.segments[i/job.tasksPerSegment]
+	return seg != nil && job.tasks[i].version <= seg.persistedVersion
 }
 
 // pendingTasks returns the number of tasks that wait for placement.
-func (j *job) pendingTasks() int {
-	if j.cancelled || j.ending || j.dependenciesPending || j.isLentOrLending() {
+func (job *job) pendingTasks() int {
+	if job.cancelled || job.ending || job.dependenciesPending || job.isLentOrLending() {
 		return 0
 	}
-	return len(j.tasks) - j.nextFresh + len(j.requeued)
+	return len(job.tasks) - job.nextFresh + len(job.requeued)
 }
 
 // takePending removes the next task to place from the queue and returns its index, or -1 if no
 // task may be placed at this time.
-func (j *job) takePending(now time.Time) int {
-	for position, i := range j.requeued {
-		if !j.tasks[i].notBefore.After(now) {
+func (job *job) takePending(now time.Time) int {
+	for position, i := range job.requeued {
+		if !job.tasks[i].notBefore.After(now) {
 			if position == 0 {
 				// The usual case: reslicing avoids moving the elements of a long queue.
-				j.requeued = j.requeued[1:]
+				job.requeued = job.requeued[1:]
 			} else {
-				j.requeued = slices.Delete(j.requeued, position, position+1)
+				job.requeued = slices.Delete(job.requeued, position, position+1)
 			}
 			return i
 		}
 	}
-	if j.nextFresh < len(j.tasks) {
-		j.nextFresh++
-		return j.nextFresh - 1
+	if job.nextFresh < len(job.tasks) {
+		job.nextFresh++
+		return job.nextFresh - 1
 	}
 	return -1
 }
@@ -278,13 +280,13 @@
 // avoidedMachine returns the machine on which none of the job's waiting tasks may be placed, or ""
 // if no machine is excluded for all of them. A simulation must not count this machine's free
 // capacity for the job; otherwise the tasks would wait for it forever.
-func (j *job) avoidedMachine() string {
-	if j.nextFresh < len(j.tasks) || len(j.requeued) == 0 {
+func (job *job) avoidedMachine() string {
+	if job.nextFresh < len(job.tasks) || len(job.requeued) == 0 {
 		return ""
 	}
-	avoided := j.tasks[j.requeued[0]].avoidMachine
-	for _, i := range j.requeued {
-		if t := &j.tasks[i]; t.avoidMachine != avoided || !t.avoids(avoided) {
+	avoided := job.tasks[job.requeued[0]].avoidMachine
+	for _, i := range job.requeued {
+		if t := &job.tasks[i]; t.avoidMachine != avoided || !t.avoids(avoided) {
 			return ""
 		}
 	}
@@ -293,8 +295,8 @@
 
 // avoids reports whether the task must not be placed on the machine because it failed or was too
 // slow there. A task with jobFaultFailures failures or more may be placed on any machine.
-func (t *task) avoids(machine string) bool {
-	return t.avoidMachine == machine && t.failures < jobFaultFailures
+func (task *task) avoids(machine string) bool {
+	return task.avoidMachine == machine && task.failures < jobFaultFailures
 }
 
 // jobFaultFailures is the number of failures of a task from which on a fault of the job itself is
@@ -302,13 +304,13 @@
 const jobFaultFailures = 4
 
 // segmentRecord returns the record to store for the current state of a segment.
-func (j *job) segmentRecord(seg *taskSegment) record.TaskSegment {
+func (job *job) segmentRecord(seg *taskSegment) record.TaskSegment {
 	rec := record.TaskSegment{RankingRevision: seg.rankingRevision}
-	first, end := seg.index*j.tasksPerSegment, min((seg.index+1)*j.tasksPerSegment, len(j.tasks))
+	first, end := seg.index*job.tasksPerSegment, min((seg.index+1)*job.tasksPerSegment, len(job.tasks))
 	groups := map[int64]bool{}
 	finished := map[int64]int64{}
 	for i := first; i < end; i++ {
-		t := &j.tasks[i]
+		t := &job.tasks[i]
 		switch {
 		case t.done:
 			finished[t.groupStart]++
@@ -327,18 +329,18 @@
 		}
 	}
 	for groupID := range groups {
-		if group := j.groups[groupID]; group != nil && group.relaunchDecided {
+		if group := job.groups[groupID]; group != nil && group.relaunchDecided {
 			rec.RelaunchedGroups = append(rec.RelaunchedGroups, groupID)
 		}
 	}
 	slices.Sort(rec.RelaunchedGroups)
-	for _, id := range sortedKeys(j.groups) {
-		if count := finished[id] + j.groups[id].finishedBefore[seg.index]; count > 0 {
+	for _, id := range sortedKeys(job.groups) {
+		if count := finished[id] + job.groups[id].finishedBefore[seg.index]; count > 0 {
 			rec.FinishedInGroups = append(rec.FinishedInGroups, id, count)
 		}
 	}
 	rec.FactorMachinePrefix()
-	for _, d := range j.recentRunTimes[max(0, len(j.recentRunTimes)-keptRunTimes):] {
+	for _, d := range job.recentRunTimes[max(0, len(job.recentRunTimes)-keptRunTimes):] {
 		rec.RunTimes = append(rec.RunTimes, d.Milliseconds())
 	}
 	return rec
@@ -346,39 +348,39 @@
 
 // medianRunTime returns the median run time of the job's finished tasks, and false if no task has
 // finished.
-func (j *job) medianRunTime() (time.Duration, bool) {
-	if len(j.sortedRunTimes) == 0 {
+func (job *job) medianRunTime() (time.Duration, bool) {
+	if len(job.sortedRunTimes) == 0 {
 		return 0, false
 	}
-	return j.sortedRunTimes[len(j.sortedRunTimes)/2], true
+	return job.sortedRunTimes[len(job.sortedRunTimes)/2], true
 }
 
 // allowsMachine reports whether the job's constraints permit its tasks on a machine of the given
 // type and zone. spot says that the machine is a spot machine.
-func (j *job) allowsMachine(machineType, zone string, spot bool) bool {
-	if len(j.MachineTypes) > 0 && !slices.Contains(j.MachineTypes, machineType) {
+func (job *job) allowsMachine(machineType, zone string, spot bool) bool {
+	if len(job.MachineTypes) > 0 && !slices.Contains(job.MachineTypes, machineType) {
 		return false
 	}
-	if j.Zone != "" && j.Zone != zone {
+	if job.Zone != "" && job.Zone != zone {
 		return false
 	}
-	return j.AllowSpot || !spot
+	return job.AllowSpot || !spot
 }
 
 // zoneAllowed reports whether zone affinity (same_place) and anti-affinity (apart) permit another
 // task in a zone, given the zones of the job's live tasks.
-func (j *job) zoneAllowed(zone string) bool {
-	if j.SpreadZones && j.liveByZone[""] > 0 {
+func (job *job) zoneAllowed(zone string) bool {
+	if job.SpreadZones && job.liveByZone[""] > 0 {
 		// After a failover the zone of a machine is unknown until its first heartbeat or
 		// the cloud's next list. For affinity, below, an unknown zone counts as a different zone.
 		return false
 	}
-	if j.SameZone && j.liveTasks > 0 {
-		for otherZone, tasks := range j.liveByZone {
+	if job.SameZone && job.liveTasks > 0 {
+		for otherZone, tasks := range job.liveByZone {
 			if tasks > 0 && otherZone != zone {
 				return false
 			}
 		}
 	}
-	return !j.SpreadZones || j.liveByZone[zone] < (len(j.tasks)+1)/2
+	return !job.SpreadZones || job.liveByZone[zone] < (len(job.tasks)+1)/2
 }
--- a/internal/controller/left_waiting.go
+++ b/internal/controller/left_waiting.go
@@ -60,9 +60,9 @@
 
 // lastStarted returns when a group of the job's tasks was last placed, including groups restored
 // from records.
-func (j *job) lastStarted() time.Time {
-	last := j.lastPlacedAt
-	for _, group := range j.groups {
+func (job *job) lastStarted() time.Time {
+	last := job.lastPlacedAt
+	for _, group := range job.groups {
 		last = later(last, group.startedAt)
 	}
 	return last
--- a/internal/controller/left_waiting_test.go
+++ b/internal/controller/left_waiting_test.go
@@ -74,8 +74,8 @@
 }
 
 // expectRack adds a rented rack that is still booting and should be ready soon.
-func (c *Controller) expectRack(*job) {
-	c.shardLeader.fleet.view.rentals["vm-000008"] = &rental{id: "vm-000008", machineKind: machineKind{"rack", "z", true}, rentedAt: c.now.Add(-10 * time.Second), status: "booting"}
+func (controller *Controller) expectRack(*job) {
+	controller.shardLeader.fleet.view.rentals["vm-000008"] = &rental{id: "vm-000008", machineKind: machineKind{"rack", "z", true}, rentedAt: controller.now.Add(-10 * time.Second), status: "booting"}
 }
 
 // TestWaitOfNewOwner checks that a wait survives a change of owner. A job without a placed task has
--- a/internal/controller/machines.go
+++ b/internal/controller/machines.go
@@ -171,59 +171,61 @@
 }
 
 // ensureMachine returns the machine with the given id, and adds it if it is unknown.
-func (s *shardLeader) ensureMachine(id string) *machine {
-	m := s.machines[id]
+func (shardLeader *shardLeader) ensureMachine(id string) *machine {
+	m := shardLeader.machines[id]
 	if m == nil {
-		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: s.now, ownedSince: s.now, formerOwnerUntil: s.now.Add(s.controller.renewal.formerOwnerGrace())}
-		if segment, ok := s.controller.membership.ownedMachine(id); ok {
+		m = &machine{id: id, attempts: map[taskKey]*task{}, images: map[string]*image{}, idleSince: shardLeader.now, ownedSince: shardLeader.now, formerOwnerUntil: shardLeader.now.Add(shardLeader.controller.renewal.formerOwnerGrace())}
+		if segment, ok := shardLeader.controller.membership.ownedMachine(id); ok {
 			m.epoch = segment.Epoch
 		}
-		s.machines[id] = m
-		index, _ := slices.BinarySearchFunc(s.machinesByID, id, compareMachineID)
-		s.machinesByID = slices.Insert(s.machinesByID, index, m)
+		shardLeader.machines[id] = m
+		index, _ := slices.BinarySearchFunc(shardLeader.machinesByID, id, compareMachineID)
+		shardLeader.machinesByID = slices.Insert(shardLeader.machinesByID, index, m)
 	}
 	return m
 }
 
 // free returns the capacity of m that is neither used nor reserved.
-func (m *machine) free() model.Resources {
-	return m.size.AddScaled(m.used, -1).AddScaled(m.otherShardsUsed, -1).AddScaled(m.reservedForMigration, -1)
+func (machine *machine) free() model.Resources {
+	return machine.size.AddScaled(machine.used, -1).AddScaled(machine.otherShardsUsed, -1).AddScaled(machine.reservedForMigration, -1)
 }
 
 // isEmpty reports whether no task runs on m or may still start there.
-func (m *machine) isEmpty() bool { return len(m.attempts) == 0 && !m.hasOtherShardsAttempts }
+func (machine *machine) isEmpty() bool {
+	return len(machine.attempts) == 0 && !machine.hasOtherShardsAttempts
+}
 
 // compareMachineID compares the id of m with id, for a binary search by id.
 func compareMachineID(m *machine, id string) int { return strings.Compare(m.id, id) }
 
 // removeMachine drops a machine that has no attempts left.
-func (s *shardLeader) removeMachine(m *machine) {
-	delete(s.machines, m.id)
-	if index, ok := slices.BinarySearchFunc(s.machinesByID, m.id, compareMachineID); ok && s.machinesByID[index] == m {
-		s.machinesByID = slices.Delete(s.machinesByID, index, index+1)
+func (shardLeader *shardLeader) removeMachine(m *machine) {
+	delete(shardLeader.machines, m.id)
+	if index, ok := slices.BinarySearchFunc(shardLeader.machinesByID, m.id, compareMachineID); ok && shardLeader.machinesByID[index] == m {
+		shardLeader.machinesByID = slices.Delete(shardLeader.machinesByID, index, index+1)
 	}
 	m.removed = true
-	s.heartbeats.keepLastHeartbeat(m)
-	s.faultAttribution.ForgetMachine(m.id)
+	shardLeader.heartbeats.keepLastHeartbeat(m)
+	shardLeader.faultAttribution.ForgetMachine(m.id)
 }
 
 // describe records a machine's address, type and zone, as reported by its heartbeat, the
 // cloud or a peer.
-func (s *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
+func (shardLeader *shardLeader) describe(m *machine, addr, machineType, zone string, spot bool) {
 	if m.machineType == "" {
-		s.setMachineZone(m, zone)
+		shardLeader.setMachineZone(m, zone)
 	}
 	m.addr, m.machineType, m.spot = addr, machineType, spot
-	if spec, ok := s.controller.knowledge.machineTypes[machineType]; ok {
+	if spec, ok := shardLeader.controller.knowledge.machineTypes[machineType]; ok {
 		m.size, m.diskGB = spec.Capacity, spec.DiskGB
 	}
 }
 
 // setMachineZone changes the zone of a machine, and updates the zone counts of the jobs with
 // attempts on it.
-func (s *shardLeader) setMachineZone(m *machine, zone string) {
+func (shardLeader *shardLeader) setMachineZone(m *machine, zone string) {
 	for key := range m.attempts {
-		j := s.jobs[key.job]
+		j := shardLeader.jobs[key.job]
 		j.liveByZone[m.zone]--
 		j.liveByZone[zone]++
 	}
@@ -232,59 +234,59 @@
 
 // noteImage records that m fetches or has cached the image of j, and removes the images that
 // a least-recently-used cache would have evicted.
-func (m *machine) noteImage(j *job, now time.Time, cached bool) {
+func (machine *machine) noteImage(j *job, now time.Time, cached bool) {
 	if j.Image == "" {
 		return
 	}
-	entry := m.images[j.Image]
+	entry := machine.images[j.Image]
 	if entry == nil {
 		entry = &image{sizeGB: j.ImageGB}
-		m.images[j.Image] = entry
+		machine.images[j.Image] = entry
 	}
 	entry.lastUsedAt = now
 	entry.cached = entry.cached || cached
-	if m.diskGB <= 0 {
+	if machine.diskGB <= 0 {
 		return
 	}
 	for {
 		totalGB, oldest := 0.0, ""
-		for _, other := range m.images {
+		for _, other := range machine.images {
 			totalGB += other.sizeGB
 		}
-		if totalGB <= m.diskGB {
+		if totalGB <= machine.diskGB {
 			return
 		}
-		for _, name := range sortedKeys(m.images) {
-			other := m.images[name]
-			if name != j.Image && (oldest == "" || other.lastUsedAt.Before(m.images[oldest].lastUsedAt)) {
+		for _, name := range sortedKeys(machine.images) {
+			other := machine.images[name]
+			if name != j.Image && (oldest == "" || other.lastUsedAt.Before(machine.images[oldest].lastUsedAt)) {
 				oldest = name
 			}
 		}
 		if oldest == "" {
 			return
 		}
-		delete(m.images, oldest)
+		delete(machine.images, oldest)
 	}
 }
 
 // dropMachine drops a machine that is proven gone, if the present shard leader still has it.
-func (c *Controller) dropMachine(m *machine, why string) {
-	if c.shardLeader == nil || c.shardLeader.machines[m.id] != m {
+func (controller *Controller) dropMachine(m *machine, why string) {
+	if controller.shardLeader == nil || controller.shardLeader.machines[m.id] != m {
 		return
 	}
-	c.debug("machine gone", "machine", m.id, "why", why, "attempts", len(m.attempts))
-	c.shardLeader.heartbeats.loseAllAttempts(m, nil)
-	c.shardLeader.removeMachine(m)
+	controller.debug("machine gone", "machine", m.id, "why", why, "attempts", len(m.attempts))
+	controller.shardLeader.heartbeats.loseAllAttempts(m, nil)
+	controller.shardLeader.removeMachine(m)
 }
 
 // fetchSeconds returns how many seconds the machine needs until it has cached the image of
 // j. fetching is how many images the machine is fetching already, and fetchRate is its fetch
 // rate in GB/s.
-func (m *machine) fetchSeconds(j *job, fetching int, fetchRate float64) float64 {
+func (machine *machine) fetchSeconds(j *job, fetching int, fetchRate float64) float64 {
 	if j.Image == "" || j.ImageGB <= 0 {
 		return 0
 	}
-	switch entry := m.images[j.Image]; {
+	switch entry := machine.images[j.Image]; {
 	case entry == nil:
 		return float64(1+fetching) * j.ImageGB / fetchRate
 	case entry.cached:
--- a/internal/controller/packing_test.go
+++ b/internal/controller/packing_test.go
@@ -28,23 +28,23 @@
 }
 
 // submitReplicas adds a long-running job with the given number of GPUs per replica.
-func (c *Controller) submitReplicas(id, image string, gpus float64, tasks int, urgency model.Urgency) *job {
-	return c.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: urgency, Tasks: tasks,
+func (controller *Controller) submitReplicas(id, image string, gpus float64, tasks int, urgency model.Urgency) *job {
+	return controller.submitTestJob(model.JobSpec{ID: id, Workload: fmt.Sprint("model-", gpus), LongRunning: true, Urgency: urgency, Tasks: tasks,
 		Need: model.Resources{CPU: 6 * gpus, GPU: gpus, Memory: 40 * gpus}, Image: image, ImageGB: 8})
 }
 
 // submitTestJob adds a job of the team ops.
-func (c *Controller) submitTestJob(spec model.JobSpec) *job {
+func (controller *Controller) submitTestJob(spec model.JobSpec) *job {
 	spec.Team = "ops"
-	j := c.shardLeader.addJob(spec, c.now, 1)
+	j := controller.shardLeader.addJob(spec, controller.now, 1)
 	return j
 }
 
 // advance moves the time on by d. All machines then have sent a heartbeat and fetched their images.
-func (c *Controller) advance(d time.Duration) {
-	c.now = c.now.Add(d)
-	for _, m := range c.shardLeader.machinesByID {
-		m.lastHeard = c.now
+func (controller *Controller) advance(d time.Duration) {
+	controller.now = controller.now.Add(d)
+	for _, m := range controller.shardLeader.machinesByID {
+		m.lastHeard = controller.now
 		for _, img := range m.images {
 			img.cached = true
 		}
@@ -52,9 +52,9 @@
 }
 
 // gpuHostCapacity returns the free capacity of the g8 hosts.
-func (c *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
+func (controller *Controller) gpuHostCapacity(t *testing.T) message.GPUFreeCapacity {
 	t.Helper()
-	reports := c.shardLeader.scheduler.gpuFreeCapacity()
+	reports := controller.shardLeader.scheduler.gpuFreeCapacity()
 	if len(reports) != 1 || reports[0].MachineType != "g8" {
 		t.Fatalf("got free capacity %+v, want only that of machine type g8", reports)
 	}
--- a/internal/controller/placement_round.go
+++ b/internal/controller/placement_round.go
@@ -76,10 +76,10 @@
 }
 
 // taskShape returns the shape of the job's tasks.
-func (j *job) taskShape() taskShape {
-	shape := taskShape{workload: j.Workload, need: j.Need, zone: j.Zone, spot: j.AllowSpot}
-	if len(j.MachineTypes) > 0 {
-		shape.machineTypes = strings.Join(j.MachineTypes, " ")
+func (job *job) taskShape() taskShape {
+	shape := taskShape{workload: job.Workload, need: job.Need, zone: job.Zone, spot: job.AllowSpot}
+	if len(job.MachineTypes) > 0 {
+		shape.machineTypes = strings.Join(job.MachineTypes, " ")
 	}
 	return shape
 }
--- a/internal/controller/prewarmed.go
+++ b/internal/controller/prewarmed.go
@@ -31,12 +31,12 @@
 // nextPrewarmedRecord returns a record of the images on the machines from index from on, and the index at
 // which the next record begins. A record holds machines whose ids have the same prefix and number width,
 // and as many as fit in the store's size limit for a value.
-func (p *persistence) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
+func (persistence *persistence) nextPrewarmedRecord(from int) (record.Prewarmed, int) {
 	var prewarmed record.Prewarmed
 	position := map[string]int{}
-	maxBytes := p.settings.MaxValueBytes * 3 / 4
+	maxBytes := persistence.settings.MaxValueBytes * 3 / 4
 	bytesLeft := maxBytes
-	machines := p.controller.shardLeader.machinesByID
+	machines := persistence.controller.shardLeader.machinesByID
 	for ; from < len(machines); from++ {
 		m := machines[from]
 		prefix, value, width, ok := splitMachineNumber(m.id)
@@ -82,33 +82,33 @@
 
 // writePrewarmed writes the next record if prewarmedWriteInterval has passed and no other transaction is in
 // flight. After the last machine it begins again with the first.
-func (p *persistence) writePrewarmed() {
-	if p.writingPrewarmed || p.now.Sub(p.prewarmedWrittenAt) < prewarmedWriteInterval || p.txnsInFlight > 0 || p.now.After(p.controller.membership.leaseValidUntil) {
+func (persistence *persistence) writePrewarmed() {
+	if persistence.writingPrewarmed || persistence.now.Sub(persistence.prewarmedWrittenAt) < prewarmedWriteInterval || persistence.txnsInFlight > 0 || persistence.now.After(persistence.controller.membership.leaseValidUntil) {
 		return
 	}
-	p.prewarmedWrittenAt = p.now
-	if p.prewarmedNextMachine >= len(p.controller.shardLeader.machinesByID) {
-		p.prewarmedNextMachine, p.prewarmedNextKey = 0, 0
+	persistence.prewarmedWrittenAt = persistence.now
+	if persistence.prewarmedNextMachine >= len(persistence.controller.shardLeader.machinesByID) {
+		persistence.prewarmedNextMachine, persistence.prewarmedNextKey = 0, 0
 	}
-	prewarmed, next := p.nextPrewarmedRecord(p.prewarmedNextMachine)
+	prewarmed, next := persistence.nextPrewarmedRecord(persistence.prewarmedNextMachine)
 	if len(prewarmed.Images) == 0 {
-		p.prewarmedNextMachine = next
+		persistence.prewarmedNextMachine = next
 		return
 	}
-	key := record.PrewarmedPrefix + p.settings.Host + "/" + strconv.Itoa(p.prewarmedNextKey)
-	p.prewarmedNextMachine, p.prewarmedNextKey, p.writingPrewarmed = next, p.prewarmedNextKey+1, true
-	generation := p.controller.shardLeader.generation
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: p.controller.shardLeader.shardCompares(""),
+	key := record.PrewarmedPrefix + persistence.settings.Host + "/" + strconv.Itoa(persistence.prewarmedNextKey)
+	persistence.prewarmedNextMachine, persistence.prewarmedNextKey, persistence.writingPrewarmed = next, persistence.prewarmedNextKey+1, true
+	generation := persistence.controller.shardLeader.generation
+	persistence.controller.requests.toStore(message.StoreRequest{Kind: message.OpTxn, Priority: message.PriorityLazy, Compares: persistence.controller.shardLeader.shardCompares(""),
 		Writes: []message.Write{{Key: key, Value: record.Encode(prewarmed)}}}, func(message.StoreResponse) {
-		if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation {
-			p.controller.shardLeader.persistence.writingPrewarmed = false
+		if persistence.controller.shardLeader != nil && persistence.controller.shardLeader.generation == generation {
+			persistence.controller.shardLeader.persistence.writingPrewarmed = false
 		}
 	})
 }
 
 // applyPrewarmedRecord adds the images of a former shard leader's record to p.prewarmedImages. It ignores a
 // record that can't be decoded.
-func (p *persistence) applyPrewarmedRecord(kv message.KeyValue) {
+func (persistence *persistence) applyPrewarmedRecord(kv message.KeyValue) {
 	var prewarmed record.Prewarmed
 	if !record.Decode(kv.Value, &prewarmed) {
 		return
@@ -117,21 +117,21 @@
 		for _, value := range img.Machines {
 			digits := strconv.Itoa(value)
 			id := prewarmed.MachinePrefix + strings.Repeat("0", max(0, prewarmed.NumberWidth-len(digits))) + digits
-			if p.prewarmedImages[id] == nil {
-				p.prewarmedImages[id] = map[string]float64{}
+			if persistence.prewarmedImages[id] == nil {
+				persistence.prewarmedImages[id] = map[string]float64{}
 			}
-			p.prewarmedImages[id][img.Name] = img.GB
+			persistence.prewarmedImages[id][img.Name] = img.GB
 		}
 	}
 }
 
 // recoverCachedImages marks the images that a former shard leader recorded for a machine as cached there.
 // It is called at the machine's first heartbeat, and does nothing if images of the machine are known.
-func (p *persistence) recoverCachedImages(m *machine) {
+func (persistence *persistence) recoverCachedImages(m *machine) {
 	if len(m.images) > 0 {
 		return
 	}
-	for name, gb := range p.prewarmedImages[m.id] {
-		m.images[name] = &image{sizeGB: gb, lastUsedAt: p.controller.shardLeader.readyAt, cached: true}
+	for name, gb := range persistence.prewarmedImages[m.id] {
+		m.images[name] = &image{sizeGB: gb, lastUsedAt: persistence.controller.shardLeader.readyAt, cached: true}
 	}
 }
--- a/internal/controller/provisioning.go
+++ b/internal/controller/provisioning.go
@@ -16,13 +16,13 @@
 const maxReadyFactor = 10
 
 // provisioningOf returns the estimator of a kind, after dropping its samples if they have expired.
-func (k *fleetKnowledge) provisioningOf(kind machineKind) *boottime.Estimator {
-	estimator := k.provisioningTimes[kind]
+func (knowledge *fleetKnowledge) provisioningOf(kind machineKind) *boottime.Estimator {
+	estimator := knowledge.provisioningTimes[kind]
 	if estimator == nil {
 		estimator = &boottime.Estimator{}
-		k.provisioningTimes[kind] = estimator
+		knowledge.provisioningTimes[kind] = estimator
 	}
-	estimator.Expire(k.now, k.machineTypes[kind.machineType].ProvisioningTime)
+	estimator.Expire(knowledge.now, knowledge.machineTypes[kind.machineType].ProvisioningTime)
 	return estimator
 }
 
@@ -40,17 +40,17 @@
 
 // timeToReady returns how much longer a machine that was rented age ago and is not ready yet is likely to
 // take. It is at most maxReadyFactor times the provisioning time that the cloud states.
-func (k *fleetKnowledge) timeToReady(kind machineKind, age time.Duration) time.Duration {
-	machineType := k.machineTypes[kind.machineType]
-	return min(k.provisioningOf(kind).Remaining(age, machineType.ProvisioningTime), maxReadyFactor*machineType.ProvisioningTime)
+func (knowledge *fleetKnowledge) timeToReady(kind machineKind, age time.Duration) time.Duration {
+	machineType := knowledge.machineTypes[kind.machineType]
+	return min(knowledge.provisioningOf(kind).Remaining(age, machineType.ProvisioningTime), maxReadyFactor*machineType.ProvisioningTime)
 }
 
 // isExpected reports whether planning counts on a machine that has sent no heartbeat yet: waiting for the
 // machine is better than renting another.
-func (k *fleetKnowledge) isExpected(rental *rental) bool {
-	machineType, ok := k.machineTypes[rental.machineType]
+func (knowledge *fleetKnowledge) isExpected(rental *rental) bool {
+	machineType, ok := knowledge.machineTypes[rental.machineType]
 	return ok && !rental.releasing && rental.status != "returned" && rental.status != "failed" &&
-		k.provisioningOf(rental.machineKind).IsWorthWaiting(k.now.Sub(rental.rentedAt), machineType.ProvisioningTime)
+		knowledge.provisioningOf(rental.machineKind).IsWorthWaiting(knowledge.now.Sub(rental.rentedAt), machineType.ProvisioningTime)
 }
 
 // expectedFor yields the rentals that are not ready yet, that planning counts on and that a job allows.
@@ -70,8 +70,8 @@
 }
 
 // isGivenUp reports whether a machine that is not ready has taken so long that it is not worth its cost.
-func (k *fleetKnowledge) isGivenUp(rental *rental) bool {
-	return k.provisioningOf(rental.machineKind).GiveUp(k.now.Sub(rental.rentedAt), k.machineTypes[rental.machineType].ProvisioningTime)
+func (knowledge *fleetKnowledge) isGivenUp(rental *rental) bool {
+	return knowledge.provisioningOf(rental.machineKind).GiveUp(knowledge.now.Sub(rental.rentedAt), knowledge.machineTypes[rental.machineType].ProvisioningTime)
 }
 
 // kindsNeverReady returns the kinds whose machines have stopped becoming ready.
--- a/internal/controller/reconcile.go
+++ b/internal/controller/reconcile.go
@@ -33,8 +33,8 @@
 
 // markDispatchPending records that there may be commands for m. In a large pool, checking all
 // machines after every batch of inputs would cost more than handling their heartbeats.
-func (c *Controller) markDispatchPending(m *machine) {
-	if leader := c.shardLeader; leader != nil && !m.dispatchPending {
+func (controller *Controller) markDispatchPending(m *machine) {
+	if leader := controller.shardLeader; leader != nil && !m.dispatchPending {
 		m.dispatchPending = true
 		leader.dispatcher.addDirty(m)
 	}
@@ -73,16 +73,16 @@
 
 // waitsForStartProof reports whether an unanswered start keeps m from being settled: m has a task
 // to clear or an attempt to give up, which is possible only when no start is in flight.
-func (m *machine) waitsForStartProof(registry *remote.Registry) bool {
-	if registry.HasUnreported(m.id) {
+func (machine *machine) waitsForStartProof(registry *remote.Registry) bool {
+	if registry.HasUnreported(machine.id) {
 		return true
 	}
-	for _, t := range m.attempts {
+	for _, t := range machine.attempts {
 		if t.stopReason != stopNone {
 			return true
 		}
 	}
-	for _, report := range m.taskReports {
+	for _, report := range machine.taskReports {
 		if report.Status == model.Ended {
 			return true
 		}
@@ -204,12 +204,12 @@
 
 // settled reports whether the machine runs exactly the attempts that it should, so that there are
 // no commands for it.
-func (m *machine) settled() bool {
-	if len(m.attempts) != len(m.taskReports) {
+func (machine *machine) settled() bool {
+	if len(machine.attempts) != len(machine.taskReports) {
 		return false
 	}
-	for key, t := range m.attempts {
-		report, ok := m.taskReports[key]
+	for key, t := range machine.attempts {
+		report, ok := machine.taskReports[key]
 		if !ok || report.Attempt != t.attempt || t.stopReason != stopNone || report.Status == model.Ended {
 			return false
 		}
--- a/internal/controller/remote_machines.go
+++ b/internal/controller/remote_machines.go
@@ -27,9 +27,9 @@
 
 // ownedOrRemoteMachine returns the machine that a record names, whether or not this
 // controller owns it.
-func (s *shardLeader) ownedOrRemoteMachine(id string) *machine {
-	if _, owned := s.controller.membership.ownedMachine(id); owned {
-		return s.ensureMachine(id)
+func (shardLeader *shardLeader) ownedOrRemoteMachine(id string) *machine {
+	if _, owned := shardLeader.controller.membership.ownedMachine(id); owned {
+		return shardLeader.ensureMachine(id)
 	}
-	return s.remoteAttempts.ensureRemoteMachine(id)
+	return shardLeader.remoteAttempts.ensureRemoteMachine(id)
 }
--- a/internal/controller/renewal_bound.go
+++ b/internal/controller/renewal_bound.go
@@ -25,10 +25,10 @@
 }
 
 // RenewalBound returns the bound on lease renewals that follows from the settings.
-func (s *Settings) RenewalBound() renewalbound.Rule {
+func (settings *Settings) RenewalBound() renewalbound.Rule {
 	return renewalbound.Rule{
-		CancelTimeout: s.CancellationBound, LeaseDuration: s.WorkerLease,
-		ClockMargin: leaseMargin + time.Duration(float64(s.CancellationBound)*clockDrift),
+		CancelTimeout: settings.CancellationBound, LeaseDuration: settings.WorkerLease,
+		ClockMargin: leaseMargin + time.Duration(float64(settings.CancellationBound)*clockDrift),
 	}
 }
 
--- a/internal/controller/renewal_bound_test.go
+++ b/internal/controller/renewal_bound_test.go
@@ -11,30 +11,30 @@
 
 // heartbeatOf sends the next heartbeat of m's worker, which lists tasks, and returns the
 // reply.
-func (c *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) message.HeartbeatReply {
-	heartbeat := c.poolHeartbeat(0)
+func (controller *Controller) heartbeatOf(m *machine, tasks ...model.TaskReport) message.HeartbeatReply {
+	heartbeat := controller.poolHeartbeat(0)
 	heartbeat.Machine, heartbeat.Sequence, heartbeat.Epoch, heartbeat.Tasks = m.id, m.sequence+1, m.epoch, tasks
-	return c.replyToHeartbeat(heartbeat)
+	return controller.replyToHeartbeat(heartbeat)
 }
 
 // replyToHeartbeat handles a heartbeat and returns the reply, or a zero reply if there is
 // none yet.
-func (c *Controller) replyToHeartbeat(heartbeat *model.Heartbeat) message.HeartbeatReply {
-	c.effects = nil
-	c.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
-	for _, reply := range emittedEffects[message.HeartbeatReply](c) {
+func (controller *Controller) replyToHeartbeat(heartbeat *model.Heartbeat) message.HeartbeatReply {
+	controller.effects = nil
+	controller.handleHeartbeat(message.WorkerHeartbeat{Reply: 1, Heartbeat: *heartbeat})
+	for _, reply := range emittedEffects[message.HeartbeatReply](controller) {
 		return reply
 	}
 	return message.HeartbeatReply{}
 }
 
 // setCancelled records that j was cancelled by a write that was sent at the given moment.
-func (c *Controller) setCancelled(j *job, at time.Time) {
+func (controller *Controller) setCancelled(j *job, at time.Time) {
 	rec := record.NewOpenJob(&j.JobSpec, j.submittedAt)
 	rec.Cancelled, rec.CancelledAtMillis = true, at.UnixMilli()
-	c.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
-	if c.shardLeader.jobs[j.ID] != nil {
-		c.shardLeader.applyJobRecord(j, j.modRevision+1, &rec)
+	controller.frontend.watchCache.openJobs[j.ID] = openJob{j.modRevision + 1, rec}
+	if controller.shardLeader.jobs[j.ID] != nil {
+		controller.shardLeader.applyJobRecord(j, j.modRevision+1, &rec)
 	}
 }
 
--- a/internal/controller/scale_in.go
+++ b/internal/controller/scale_in.go
@@ -13,26 +13,26 @@
 
 // adopt adds a rental to the machines of this controller's shard, if the shard map assigns it to the shard.
 // It contacts a machine that is running and has not sent a heartbeat yet.
-func (c *Controller) adopt(rental *rental) {
-	shardLeader := c.shardLeader
+func (controller *Controller) adopt(rental *rental) {
+	shardLeader := controller.shardLeader
 	if shardLeader == nil || rental.status == "failed" || rental.releasing || !shardLeader.ready {
 		return
 	}
-	if _, mine := c.membership.ownedMachine(rental.id); !mine || c.leader != nil && c.leader.sharding.unrecordedMachines[rental.id].Host != "" {
+	if _, mine := controller.membership.ownedMachine(rental.id); !mine || controller.leader != nil && controller.leader.sharding.unrecordedMachines[rental.id].Host != "" {
 		// Another shard leader owns the machine, or is about to.
 		return
 	}
-	m := c.shardLeader.ensureMachine(rental.id)
-	if !c.membership.shardMap.IsAssigned(rental.id) && !shardLeader.catchAllSince.IsZero() && rental.rentedAt.After(shardLeader.catchAllSince) {
+	m := controller.shardLeader.ensureMachine(rental.id)
+	if !controller.membership.shardMap.IsAssigned(rental.id) && !shardLeader.catchAllSince.IsZero() && rental.rentedAt.After(shardLeader.catchAllSince) {
 		// The machine was rented after this shard became the owner of the machines that no
 		// segment names, so it has had no former owner.
 		m.formerOwnerUntil = time.Time{}
 	}
 	if m.machineType == "" || m.addr == "" {
-		c.shardLeader.describe(m, rental.addr, rental.machineType, rental.zone, rental.spot)
+		controller.shardLeader.describe(m, rental.addr, rental.machineType, rental.zone, rental.spot)
 	}
 	if !m.heard && (rental.status == "running" || rental.status == statusComing) && rental.addr != "" {
-		c.shardLeader.failover.contact(m)
+		controller.shardLeader.failover.contact(m)
 	}
 }
 
--- a/internal/controller/scaling.go
+++ b/internal/controller/scaling.go
@@ -78,9 +78,9 @@
 }
 
 // hasOtherShardLeaders reports whether another controller leads a shard that has teams.
-func (m *membership) hasOtherShardLeaders() bool {
-	for _, s := range m.shardMap.Shards() {
-		if s.Host != m.settings.Host && len(s.Teams) > 0 {
+func (membership *membership) hasOtherShardLeaders() bool {
+	for _, s := range membership.shardMap.Shards() {
+		if s.Host != membership.settings.Host && len(s.Teams) > 0 {
 			return true
 		}
 	}
@@ -273,8 +273,8 @@
 
 // timeToReady returns how long a machine of the offered kind takes to be ready: handoverTime while another
 // shard leader has surplus machines of the kind, and otherwise the provisioning time.
-func (p *simulation) timeToReady(o offer) time.Duration {
-	if p.surplus[o.machineKind] > 0 {
+func (sim *simulation) timeToReady(o offer) time.Duration {
+	if sim.surplus[o.machineKind] > 0 {
 		return handoverTime
 	}
 	return o.timeToReady
@@ -282,26 +282,26 @@
 
 // addMachine adds a machine that is to be requested: one that another shard leader hands over, or else one
 // that is rented.
-func (p *simulation) addMachine(kind machineKind) *simulatedMachine {
-	if p.surplus[kind] > 0 {
-		p.surplus[kind]--
-		return p.addProvisioning(kind, p.now.Add(handoverTime))
+func (sim *simulation) addMachine(kind machineKind) *simulatedMachine {
+	if sim.surplus[kind] > 0 {
+		sim.surplus[kind]--
+		return sim.addProvisioning(kind, sim.now.Add(handoverTime))
 	}
-	return p.addProvisioning(kind, p.now.Add(p.controller.knowledge.timeToReady(kind, 0)))
+	return sim.addProvisioning(kind, sim.now.Add(sim.controller.knowledge.timeToReady(kind, 0)))
 }
 
 // scarcityRelief finds an alternative to the chosen machine if pending tasks that fit few other machine
 // types depend on the chosen machine's type. It returns another machine that is free soon enough, or else
 // a spot kind to rent. Present machines come first: otherwise each expected task would request a new
 // machine although hundreds of machines are idle.
-func (p *simulation) scarcityRelief(request *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
-	if chosen == nil || !p.isNeededElsewhere(request.job, chosen.machineKind.machineType) {
+func (sim *simulation) scarcityRelief(request *placementRequest, chosen *simulatedMachine, from time.Time, count int) (*simulatedMachine, machineKind, bool) {
+	if chosen == nil || !sim.isNeededElsewhere(request.job, chosen.machineKind.machineType) {
 		return nil, machineKind{}, false
 	}
-	spotOffer, ok := p.bestKind(request, count, true)
-	ok = ok && !p.isNeededElsewhere(request.job, spotOffer.machineType)
-	if alternative, at := p.bestMachine(request, from, true); alternative != nil {
-		if !ok || !at.After(later(p.now.Add(p.timeToReady(spotOffer)), from).Add(spotOffer.fetchTime+minSafetyMargin)) {
+	spotOffer, ok := sim.bestKind(request, count, true)
+	ok = ok && !sim.isNeededElsewhere(request.job, spotOffer.machineType)
+	if alternative, at := sim.bestMachine(request, from, true); alternative != nil {
+		if !ok || !at.After(later(sim.now.Add(sim.timeToReady(spotOffer)), from).Add(spotOffer.fetchTime+minSafetyMargin)) {
 			return alternative, machineKind{}, false
 		}
 	}
@@ -327,9 +327,9 @@
 // kindWorthRenting returns the kind of machine to rent, if any, for tasks of a demand that arrive at from.
 // placed says whether the tasks fit on a simulated machine, and at is when they would start there. The
 // kind is the cheapest one for count tasks.
-func (p *simulation) kindWorthRenting(request *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
+func (sim *simulation) kindWorthRenting(request *placementRequest, d demand, from time.Time, placed bool, at time.Time, count int) (machineKind, bool) {
 	for _, spot := range [...]bool{true, false} {
-		offered, ok := p.bestKind(request, count, spot)
+		offered, ok := sim.bestKind(request, count, spot)
 		if !ok {
 			continue
 		}
@@ -339,17 +339,17 @@
 		// A new machine has to fetch the image as well, and begins only when the task has
 		// arrived. Otherwise each task expected to arrive after the provisioning time would
 		// request a machine of its own although idle machines only have to fetch the image too.
-		ready := later(p.now.Add(p.timeToReady(offered)), from).Add(offered.fetchTime)
+		ready := later(sim.now.Add(sim.timeToReady(offered)), from).Add(offered.fetchTime)
 		if !at.After(ready.Add(minSafetyMargin)) {
 			continue
 		}
-		late := at.Add(p.controller.knowledge.safetyMargin(d.job)).After(d.startDeadline(p.now, from))
-		if !late && !at.After(ready.Add(p.minPayback(offered, request))) {
+		late := at.Add(sim.controller.knowledge.safetyMargin(d.job)).After(d.startDeadline(sim.now, from))
+		if !late && !at.After(ready.Add(sim.minPayback(offered, request))) {
 			continue
 		}
 		// A surplus machine of another shard leader is already ready. It should not stay idle
 		// while there are tasks that would start sooner on it.
-		if spot || late || p.surplus[offered.machineKind] > 0 {
+		if spot || late || sim.surplus[offered.machineKind] > 0 {
 			return offered.machineKind, true
 		}
 	}
@@ -361,8 +361,8 @@
 // after another, and not each on a machine of its own. For tasks that run for longer than provisioning
 // takes, there is no minimum. Neither is there one for workloads with a wait objective, or for kinds of
 // which another shard leader has surplus machines.
-func (p *simulation) minPayback(offered offer, request *placementRequest) time.Duration {
-	if p.surplus[offered.machineKind] > 0 || p.controller.waitObjective(request.job.Workload) > 0 {
+func (sim *simulation) minPayback(offered offer, request *placementRequest) time.Duration {
+	if sim.surplus[offered.machineKind] > 0 || sim.controller.waitObjective(request.job.Workload) > 0 {
 		return 0
 	}
 	return offered.timeToReady - request.occupancy
@@ -370,19 +370,19 @@
 
 // offers returns the kinds of machines that may be rented for a job, in a fixed order. With avoidGPUs, kinds
 // with a packing profile are left out.
-func (p *simulation) offers(j *job, avoidGPUs bool) []offer {
+func (sim *simulation) offers(j *job, avoidGPUs bool) []offer {
 	var out []offer
-	for _, name := range sortedKeys(p.controller.knowledge.machineTypes) {
-		machineType := p.controller.knowledge.machineTypes[name]
+	for _, name := range sortedKeys(sim.controller.knowledge.machineTypes) {
+		machineType := sim.controller.knowledge.machineTypes[name]
 		fit := machineType.Capacity.FitCount(j.Need)
-		if fit == 0 || avoidGPUs && p.controller.shardLeader.scheduler.currentPackingProfile().profileFor(name) != nil {
+		if fit == 0 || avoidGPUs && sim.controller.shardLeader.scheduler.currentPackingProfile().profileFor(name) != nil {
 			continue
 		}
 		for _, zone := range machineType.Zones {
 			for _, spot := range [...]bool{true, false} {
 				if j.allowsMachine(name, zone, spot) {
 					kind := machineKind{name, zone, spot}
-					out = append(out, offer{kind, fit, p.controller.knowledge.costPerHour(kind), p.controller.knowledge.timeToReady(kind, 0), newMachineFetchTime(&machineType, j)})
+					out = append(out, offer{kind, fit, sim.controller.knowledge.costPerHour(kind), sim.controller.knowledge.timeToReady(kind, 0), newMachineFetchTime(&machineType, j)})
 				}
 			}
 		}
@@ -392,12 +392,12 @@
 
 // bestKind returns the spot or on-demand kind that is cheapest per task for count tasks of a job. Kinds that
 // the cloud has recently refused count only if another shard leader has surplus machines of them.
-func (p *simulation) bestKind(request *placementRequest, count int, spot bool) (offer, bool) {
+func (sim *simulation) bestKind(request *placementRequest, count int, spot bool) (offer, bool) {
 	var best offer
 	var bestCost float64
 	found := false
 	for _, candidate := range request.offers {
-		if candidate.spot != spot || request.zoneLimits.capacity(candidate.zone) == 0 || p.refusedKinds[candidate.machineKind] && p.surplus[candidate.machineKind] == 0 {
+		if candidate.spot != spot || request.zoneLimits.capacity(candidate.zone) == 0 || sim.refusedKinds[candidate.machineKind] && sim.surplus[candidate.machineKind] == 0 {
 			continue
 		}
 		cost := candidate.costPerHour / float64(min(candidate.tasksPerMachine, max(count, 1)))
--- a/internal/controller/segment_txn.go
+++ b/internal/controller/segment_txn.go
@@ -46,13 +46,13 @@
 
 // needsWrite reports whether the segment has changes to write, no write of it is in flight, and the
 // store has not rejected its current version as malformed.
-func (seg *taskSegment) needsWrite() bool {
-	return !seg.writeInFlight && seg.version != seg.persistedVersion && seg.version != seg.rejectedVersion
+func (segment *taskSegment) needsWrite() bool {
+	return !segment.writeInFlight && segment.version != segment.persistedVersion && segment.version != segment.rejectedVersion
 }
 
 // addSegments adds those segments of the jobs to the transaction for which due is true, until the
 // transaction is full or has maxWrites writes.
-func (p *persistence) addSegments(txn *segmentTxn, jobs []*job, maxWrites int, due func(*taskSegment) bool) {
+func (persistence *persistence) addSegments(txn *segmentTxn, jobs []*job, maxWrites int, due func(*taskSegment) bool) {
 	for _, j := range jobs {
 		// The records of a job that is cancelled or done are only deleted; see writeJobEnds.
 		if j.ending || j.cancelled || j.doneTasks == len(j.tasks) {
@@ -63,7 +63,7 @@
 			if !seg.needsWrite() || len(txn.op.Writes) >= maxWrites || !due(seg) || txn.writeAlone || seg.writeAlone && len(txn.op.Writes) > 0 {
 				continue
 			}
-			if !p.addSegment(txn, j, seg) {
+			if !persistence.addSegment(txn, j, seg) {
 				return
 			}
 		}
@@ -73,9 +73,9 @@
 // addSegment adds one segment with its compares to the transaction. It returns false if the
 // transaction is full; the segment then goes into the next transaction. A segment with starts is
 // skipped while the known ranking is outdated.
-func (p *persistence) addSegment(txn *segmentTxn, j *job, seg *taskSegment) bool {
-	hasStarts := p.settings.Capabilities.Ranking && j.segmentHasStarts(seg)
-	if hasStarts && p.controller.ranking.stale {
+func (persistence *persistence) addSegment(txn *segmentTxn, j *job, seg *taskSegment) bool {
+	hasStarts := persistence.settings.Capabilities.Ranking && j.segmentHasStarts(seg)
+	if hasStarts && persistence.controller.ranking.stale {
 		return true
 	}
 	if hasStarts {
@@ -89,13 +89,13 @@
 		compareCount++
 	}
 	if !txn.comparedJobs[id] {
-		if fence = p.controller.shardLeader.shardCompares(j.Team); txn.comparedShards[fence[0].Key] {
+		if fence = persistence.controller.shardLeader.shardCompares(j.Team); txn.comparedShards[fence[0].Key] {
 			fence = nil
 		}
 		compareCount += 1 + len(fence)
 	}
 	txn.size += sizelimit.WriteBytes(sizelimit.Write{Key: j.segmentKey(seg), Value: value}) + compareCount*sizelimit.CompareBytes(record.OpenJobPrefix+id)
-	isFull := txn.size > targetTxnBytes || len(txn.op.Compares)+compareCount > sizelimit.ComparesPerOp*p.settings.MaxTxnWrites
+	isFull := txn.size > targetTxnBytes || len(txn.op.Compares)+compareCount > sizelimit.ComparesPerOp*persistence.settings.MaxTxnWrites
 	if isFull && len(txn.op.Writes) > 0 {
 		return false
 	}
--- a/internal/controller/segments.go
+++ b/internal/controller/segments.go
@@ -75,9 +75,9 @@
 }
 
 // unpersistedJobs returns the jobs with segments to write, the highest-ranked first.
-func (p *persistence) unpersistedJobs() []*job {
+func (persistence *persistence) unpersistedJobs() []*job {
 	var unpersisted []*job
-	for _, j := range p.controller.shardLeader.jobs {
+	for _, j := range persistence.controller.shardLeader.jobs {
 		if !j.unpersisted {
 			continue
 		}
@@ -90,7 +90,7 @@
 		}
 	}
 	// Starts of high-ranked jobs do not wait for those of other jobs.
-	ranking := &p.controller.ranking
+	ranking := &persistence.controller.ranking
 	slices.SortFunc(unpersisted, func(a, b *job) int {
 		return cmp.Or(cmp.Compare(ranking.rankOf(a), ranking.rankOf(b)), a.submittedAt.Compare(b.submittedAt), strings.Compare(a.ID, b.ID))
 	})
@@ -100,73 +100,73 @@
 // writeShardLeaderRecords writes the ends of jobs and segments, and alternates which of the
 // two goes first. After an outage of the store, hundreds of writes of one kind may wait, and
 // writes of the other kind must not wait for all of them.
-func (p *persistence) writeShardLeaderRecords() {
-	p.startsFirst = !p.startsFirst
-	if p.startsFirst {
-		p.writeSegments()
+func (persistence *persistence) writeShardLeaderRecords() {
+	persistence.startsFirst = !persistence.startsFirst
+	if persistence.startsFirst {
+		persistence.writeSegments()
 	}
-	p.writeJobEnds()
-	p.writeSegments()
+	persistence.writeJobEnds()
+	persistence.writeSegments()
 }
 
 // writeSegments writes changed segments. It writes urgent segments at once, and the others
 // together with urgent ones or when they have waited for the delay of lazy writes.
-func (p *persistence) writeSegments() {
-	jobs := p.unpersistedJobs()
-	maxDelay := p.lazyDelay(len(jobs))
-	for len(jobs) > 0 && p.txnsInFlight < maxSegmentTxns && p.controller.rateLimits.writesAllowed() > 0 {
-		txn := p.collectSegments(jobs, maxDelay)
+func (persistence *persistence) writeSegments() {
+	jobs := persistence.unpersistedJobs()
+	maxDelay := persistence.lazyDelay(len(jobs))
+	for len(jobs) > 0 && persistence.txnsInFlight < maxSegmentTxns && persistence.controller.rateLimits.writesAllowed() > 0 {
+		txn := persistence.collectSegments(jobs, maxDelay)
 		if len(txn.included) == 0 {
 			return
 		}
-		p.sendSegments(txn)
+		persistence.sendSegments(txn)
 	}
 }
 
 // lazyDelay returns how long a lazy write may wait. The delay grows with the number of jobs
 // that have changes, since the store's write rate does not.
-func (p *persistence) lazyDelay(jobs int) time.Duration {
-	delay := record.DurationOfSeconds(float64(jobs) / max(1, lazyWriteFraction*p.settings.StoreWritesPerSecond))
+func (persistence *persistence) lazyDelay(jobs int) time.Duration {
+	delay := record.DurationOfSeconds(float64(jobs) / max(1, lazyWriteFraction*persistence.settings.StoreWritesPerSecond))
 	return min(max(delay, lazyWriteDelay), maxLazyWriteDelay)
 }
 
 // collectSegments builds the next transaction from changed segments.
-func (p *persistence) collectSegments(jobs []*job, maxDelay time.Duration) *segmentTxn {
-	txn := newSegmentTxn(p.controller.ranking.modRevision)
-	maxWrites := min(p.settings.MaxTxnWrites, p.controller.rateLimits.writesAllowed())
-	isOverdue := func(seg *taskSegment) bool { return p.now.Sub(seg.changedSince) >= maxDelay }
+func (persistence *persistence) collectSegments(jobs []*job, maxDelay time.Duration) *segmentTxn {
+	txn := newSegmentTxn(persistence.controller.ranking.modRevision)
+	maxWrites := min(persistence.settings.MaxTxnWrites, persistence.controller.rateLimits.writesAllowed())
+	isOverdue := func(seg *taskSegment) bool { return persistence.now.Sub(seg.changedSince) >= maxDelay }
 	crowded := maxDelay > lazyWriteDelay
-	p.addSegments(txn, jobs, maxWrites, func(seg *taskSegment) bool { return seg.urgent })
+	persistence.addSegments(txn, jobs, maxWrites, func(seg *taskSegment) bool { return seg.urgent })
 	switch {
 	case !crowded:
-		p.addSegments(txn, jobs, maxWrites, isOverdue)
+		persistence.addSegments(txn, jobs, maxWrites, isOverdue)
 		if len(txn.included) > 0 {
 			// Lazy writes that are not due yet share the transaction.
-			p.addSegments(txn, jobs, maxWrites, func(*taskSegment) bool { return true })
+			persistence.addSegments(txn, jobs, maxWrites, func(*taskSegment) bool { return true })
 		}
-	case len(txn.included) == 0 && p.lazyTxnsInFlight == 0:
-		p.addSegments(txn, jobs, min(maxLazyWrites, maxWrites), isOverdue)
+	case len(txn.included) == 0 && persistence.lazyTxnsInFlight == 0:
+		persistence.addSegments(txn, jobs, min(maxLazyWrites, maxWrites), isOverdue)
 	}
 	return txn
 }
 
 // sendSegments sends a transaction of segments and applies the store's response to them.
-func (p *persistence) sendSegments(txn *segmentTxn) {
+func (persistence *persistence) sendSegments(txn *segmentTxn) {
 	lazy := 0
 	if txn.op.Priority == message.PriorityLazy {
 		lazy = 1
 	}
-	p.lazyTxnsInFlight += lazy
-	generation, sentAt := p.controller.shardLeader.generation, p.now
-	p.writeTxn(txn.op, func(response message.StoreResponse) {
-		leader := p.controller.shardLeader
+	persistence.lazyTxnsInFlight += lazy
+	generation, sentAt := persistence.controller.shardLeader.generation, persistence.now
+	persistence.writeTxn(txn.op, func(response message.StoreResponse) {
+		leader := persistence.controller.shardLeader
 		if leader == nil || leader.generation != generation {
 			return
 		}
 		leader.persistence.lazyTxnsInFlight -= lazy
 		leader.persistence.noteRankingResponse(txn, response)
-		if took := p.now.Sub(sentAt); took > slowTxnThreshold || response.Status != message.StoreOK {
-			p.debug("store write slow", "took", took, "segments", len(txn.included), "status", response.Status, "lazy", lazy)
+		if took := persistence.now.Sub(sentAt); took > slowTxnThreshold || response.Status != message.StoreOK {
+			persistence.debug("store write slow", "took", took, "segments", len(txn.included), "status", response.Status, "lazy", lazy)
 		}
 		for _, write := range txn.included {
 			leader.persistence.applySegmentResponse(write, response, len(txn.included) == 1)
@@ -176,19 +176,19 @@
 
 // noteRankingResponse tells the ranking whether a transaction that compared the ranking's
 // revision found it current or outdated.
-func (p *persistence) noteRankingResponse(txn *segmentTxn, response message.StoreResponse) {
+func (persistence *persistence) noteRankingResponse(txn *segmentTxn, response message.StoreResponse) {
 	switch {
 	case txn.comparesRanking && response.Status == message.StoreOK:
-		p.controller.ranking.noteKnownAsOf(response.SentAt)
+		persistence.controller.ranking.noteKnownAsOf(response.SentAt)
 	case txn.comparesRanking && response.Status == message.StoreConflict && slices.Contains(response.FailedKeys, record.RankingKey):
-		p.controller.ranking.noteOutdated(txn.rankingRevision)
+		persistence.controller.ranking.noteOutdated(txn.rankingRevision)
 	}
 }
 
 // applySegmentResponse processes the store's response for one segment of a transaction.
 // alone says that the transaction contained no other segment.
-func (p *persistence) applySegmentResponse(write segmentWrite, response message.StoreResponse, alone bool) {
-	if p.controller.shardLeader.jobs[write.job.ID] != write.job || write.job.segments[write.segment.index] != write.segment {
+func (persistence *persistence) applySegmentResponse(write segmentWrite, response message.StoreResponse, alone bool) {
+	if persistence.controller.shardLeader.jobs[write.job.ID] != write.job || write.job.segments[write.segment.index] != write.segment {
 		// The team has moved to another shard leader, which reads the record from the store,
 		// or the segment has been replaced by one in another format.
 		return
@@ -197,14 +197,14 @@
 	case message.StoreOK:
 		write.segment.writeInFlight = false
 		write.segment.modRevision, write.segment.persistedVersion = response.Revision, write.version
-		p.segmentPersisted(write.job, write.segment)
+		persistence.segmentPersisted(write.job, write.segment)
 	case message.StoreConflict:
-		p.resolveSegmentConflict(write.job, write.segment, response.FailedKeys)
+		persistence.resolveSegmentConflict(write.job, write.segment, response.FailedKeys)
 	case message.StoreRefused:
-		p.retrySegment(write.job, write.segment)
+		persistence.retrySegment(write.job, write.segment)
 	case message.StoreUnknown:
 		// The write may have been applied or may be applied later: read the stored record.
-		p.reReadSegment(write.job, write.segment)
+		persistence.reReadSegment(write.job, write.segment)
 	default:
 		// The store would reject the same transaction again. Each segment is written alone to
 		// find the malformed one. The tasks of that segment do not start; those of the other
@@ -212,20 +212,20 @@
 		if !alone {
 			write.segment.writeInFlight, write.segment.urgent, write.segment.writeAlone = false, true, true
 		} else {
-			p.deferMalformedSegment(write.job, write.segment, write.version)
+			persistence.deferMalformedSegment(write.job, write.segment, write.version)
 		}
 	}
 }
 
 // writeTxn sends a transaction of the shard leader and counts it as in flight until the
 // response arrives.
-func (p *persistence) writeTxn(txn message.StoreRequest, callback func(message.StoreResponse)) {
+func (persistence *persistence) writeTxn(txn message.StoreRequest, callback func(message.StoreResponse)) {
 	writes := len(txn.Writes)
-	p.txnsInFlight++
-	p.writesInFlight += writes
-	p.controller.requests.toStore(txn, func(response message.StoreResponse) {
-		p.txnsInFlight--
-		p.writesInFlight -= writes
+	persistence.txnsInFlight++
+	persistence.writesInFlight += writes
+	persistence.controller.requests.toStore(txn, func(response message.StoreResponse) {
+		persistence.txnsInFlight--
+		persistence.writesInFlight -= writes
 		callback(response)
 	})
 }
@@ -233,35 +233,35 @@
 // deferMalformedSegment handles a segment that the store rejected as malformed. rejected is
 // the version that was written. Tasks of the segment whose start was not sent are removed from
 // their machines and queued again. The segment is written again only after another change.
-func (p *persistence) deferMalformedSegment(j *job, seg *taskSegment, rejected uint64) {
-	p.info("task record rejected as malformed", "job", j.ID, "segment", seg.index)
+func (persistence *persistence) deferMalformedSegment(j *job, seg *taskSegment, rejected uint64) {
+	persistence.info("task record rejected as malformed", "job", j.ID, "segment", seg.index)
 	seg.writeInFlight, seg.urgent, seg.writeAlone = false, false, false
 	seg.rejectedVersion = seg.version
-	p.controller.membership.formats.probeValueLimit()
+	persistence.controller.membership.formats.probeValueLimit()
 	for i := seg.index * j.tasksPerSegment; i < min((seg.index+1)*j.tasksPerSegment, j.nextFresh); i++ {
 		if t := &j.tasks[i]; t.machine != nil && !t.startSent && t.version <= rejected {
-			t.notBefore = p.now.Add(malformedRetryDelay)
-			p.controller.shardLeader.endAttempt(j, i, false)
+			t.notBefore = persistence.now.Add(malformedRetryDelay)
+			persistence.controller.shardLeader.endAttempt(j, i, false)
 		}
 	}
 }
 
 // retrySegment writes a segment again after storeRetryDelay.
-func (p *persistence) retrySegment(j *job, seg *taskSegment) {
+func (persistence *persistence) retrySegment(j *job, seg *taskSegment) {
 	seg.urgent = true
-	p.after(p.jitter(storeRetryDelay), func() { seg.writeInFlight = false })
+	persistence.after(persistence.jitter(storeRetryDelay), func() { seg.writeInFlight = false })
 }
 
 // resolveSegmentConflict handles a segment whose transaction failed with a conflict;
 // failedKeys are the keys whose compares failed. If the shard's record or the job's changed, the
 // watches report the change. If the segment itself changed, an earlier write of this shard
 // leader was applied late, and the record that it wrote is still valid.
-func (p *persistence) resolveSegmentConflict(j *job, seg *taskSegment, failedKeys []string) {
+func (persistence *persistence) resolveSegmentConflict(j *job, seg *taskSegment, failedKeys []string) {
 	switch {
 	case slices.ContainsFunc(failedKeys, func(k string) bool { return strings.HasPrefix(k, record.ShardPrefix) }), slices.Contains(failedKeys, record.OpenJobPrefix+j.ID):
-		p.retrySegment(j, seg)
+		persistence.retrySegment(j, seg)
 	case slices.Contains(failedKeys, j.segmentKey(seg)):
-		p.reReadSegment(j, seg)
+		persistence.reReadSegment(j, seg)
 	default:
 		// Another job in the same transaction was cancelled or is over.
 		seg.urgent, seg.writeInFlight = true, false
@@ -270,10 +270,10 @@
 
 // reReadSegment reads a segment's record after a write of unknown outcome, and has the
 // segment written again.
-func (p *persistence) reReadSegment(j *job, seg *taskSegment) {
-	generation := p.controller.shardLeader.generation
-	p.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: j.segmentKey(seg)}, func(response message.StoreResponse) {
-		if p.controller.shardLeader == nil || p.controller.shardLeader.generation != generation || p.controller.shardLeader.jobs[j.ID] != j || j.segments[seg.index] != seg {
+func (persistence *persistence) reReadSegment(j *job, seg *taskSegment) {
+	generation := persistence.controller.shardLeader.generation
+	persistence.controller.requests.toStore(message.StoreRequest{Kind: message.OpGet, Priority: message.PriorityStart, Key: j.segmentKey(seg)}, func(response message.StoreResponse) {
+		if persistence.controller.shardLeader == nil || persistence.controller.shardLeader.generation != generation || persistence.controller.shardLeader.jobs[j.ID] != j || j.segments[seg.index] != seg {
 			return
 		}
 		switch response.Status {
@@ -285,11 +285,11 @@
 			seg.modRevision, seg.writeInFlight, seg.urgent = response.KeyValues[0].ModRevision, false, true
 		case message.StoreNotFound:
 			seg.modRevision = 0
-			p.controller.shardLeader.persistence.retrySegment(j, seg)
+			persistence.controller.shardLeader.persistence.retrySegment(j, seg)
 		default:
-			p.after(p.jitter(storeRetryDelay), func() {
-				if p.controller.shardLeader != nil && p.controller.shardLeader.generation == generation && j.segments[seg.index] == seg {
-					p.controller.shardLeader.persistence.reReadSegment(j, seg)
+			persistence.after(persistence.jitter(storeRetryDelay), func() {
+				if persistence.controller.shardLeader != nil && persistence.controller.shardLeader.generation == generation && j.segments[seg.index] == seg {
+					persistence.controller.shardLeader.persistence.reReadSegment(j, seg)
 				}
 			})
 		}
@@ -298,10 +298,10 @@
 
 // segmentPersisted schedules the dispatch of commands that waited for the segment to be
 // durable.
-func (p *persistence) segmentPersisted(j *job, seg *taskSegment) {
+func (persistence *persistence) segmentPersisted(j *job, seg *taskSegment) {
 	for i := seg.index * j.tasksPerSegment; i < min((seg.index+1)*j.tasksPerSegment, j.nextFresh); i++ {
 		if t := &j.tasks[i]; t.machine != nil && (!t.startSent || t.stopReason != stopNone) {
-			p.controller.markDispatchPending(t.machine)
+			persistence.controller.markDispatchPending(t.machine)
 		}
 	}
 }
--- a/internal/controller/simulation.go
+++ b/internal/controller/simulation.go
@@ -79,58 +79,58 @@
 }
 
 // spend charges units of computation and returns whether to continue.
-func (p *simulation) spend(units int) bool { return p.charge == nil || p.charge(units) }
+func (sim *simulation) spend(units int) bool { return sim.charge == nil || sim.charge(units) }
 
 // nextVisit counts one more visit, the placement of some equal tasks on one machine, and returns whether
 // to continue. Visits are bounded by the size of the pool, not by the number of pending tasks.
-func (p *simulation) nextVisit() bool {
-	p.visits++
-	return p.spend(visitUnits) && p.visits <= max(simulatedVisitLimit, 2*len(p.machines))
+func (sim *simulation) nextVisit() bool {
+	sim.visits++
+	return sim.spend(visitUnits) && sim.visits <= max(simulatedVisitLimit, 2*len(sim.machines))
 }
 
 // addProvisioning adds a machine of a kind that becomes ready at the given time, and returns it.
-func (p *simulation) addProvisioning(kind machineKind, ready time.Time) *simulatedMachine {
-	machineType := p.controller.knowledge.machineTypes[kind.machineType]
+func (sim *simulation) addProvisioning(kind machineKind, ready time.Time) *simulatedMachine {
+	machineType := sim.controller.knowledge.machineTypes[kind.machineType]
 	added := &simulatedMachine{
-		machineKind: kind, index: int32(len(p.machines)), freeFrom: max(0, ready.Sub(p.now)), free: machineType.Capacity,
-		packingProfile: p.controller.shardLeader.scheduler.currentPackingProfile().profileFor(kind.machineType),
+		machineKind: kind, index: int32(len(sim.machines)), freeFrom: max(0, ready.Sub(sim.now)), free: machineType.Capacity,
+		packingProfile: sim.controller.shardLeader.scheduler.currentPackingProfile().profileFor(kind.machineType),
 	}
 	if machineType.ImageFetchRate > 0 {
 		added.secondsPerGB = 1 / machineType.ImageFetchRate
 	}
-	p.machines = append(p.machines, added)
+	sim.machines = append(sim.machines, added)
 	return added
 }
 
 // isNeededElsewhere returns the result of neededElsewhere, which it evaluates once per simulation for
 // each workload and machine type.
-func (p *simulation) isNeededElsewhere(j *job, machineType string) bool {
+func (sim *simulation) isNeededElsewhere(j *job, machineType string) bool {
 	key := [2]string{j.Workload, machineType}
-	needed, ok := p.neededCache[key]
+	needed, ok := sim.neededCache[key]
 	if !ok {
-		if p.neededCache == nil {
-			p.neededCache = map[[2]string]bool{}
+		if sim.neededCache == nil {
+			sim.neededCache = map[[2]string]bool{}
 		}
-		needed = p.controller.shardLeader.fleet.neededElsewhere(&j.JobSpec, machineType)
-		p.neededCache[key] = needed
+		needed = sim.controller.shardLeader.fleet.neededElsewhere(&j.JobSpec, machineType)
+		sim.neededCache[key] = needed
 	}
 	return needed
 }
 
 // simulate places the tasks of a demand. It calls placed for each number of tasks that start together,
 // with their machine, arrival time and start time. The machine is nil for tasks that fit on no machine.
-func (p *simulation) simulate(d demand, placed func(count int, simMachine *simulatedMachine, from, at time.Time)) {
-	request := p.newRequest(d.job)
-	for from, left := range d.arrivalBatches(p.now) {
+func (sim *simulation) simulate(d demand, placed func(count int, simMachine *simulatedMachine, from, at time.Time)) {
+	request := sim.newRequest(d.job)
+	for from, left := range d.arrivalBatches(sim.now) {
 		for left > 0 {
-			if !p.nextVisit() {
+			if !sim.nextVisit() {
 				return
 			}
-			simMachine, at := p.bestMachine(request, from, false)
+			simMachine, at := sim.bestMachine(request, from, false)
 			started := left
 			if simMachine != nil {
 				var fetch time.Duration
-				started, at, fetch = p.placeTasks(request, simMachine, from, left)
+				started, at, fetch = sim.placeTasks(request, simMachine, from, left)
 				if fetch > 0 && started > 1 {
 					placed(started-1, simMachine, from, at.Add(-fetch))
 					left, started = left-(started-1), 1
--- a/internal/controller/stale_heartbeat.go
+++ b/internal/controller/stale_heartbeat.go
@@ -62,16 +62,16 @@
 // handleStaleHeartbeat answers a heartbeat that is a copy of an earlier heartbeat, and
 // reports whether the heartbeat is such a copy. No worker waits for the reply. The worker
 // may have restarted; its reply to a poll will show that.
-func (c *Controller) handleStaleHeartbeat(received *message.WorkerHeartbeat) bool {
-	leader, heartbeat := c.shardLeader, &received.Heartbeat
-	if leader == nil || !leader.ready || c.knowledge.released[heartbeat.Machine] {
+func (controller *Controller) handleStaleHeartbeat(received *message.WorkerHeartbeat) bool {
+	leader, heartbeat := controller.shardLeader, &received.Heartbeat
+	if leader == nil || !leader.ready || controller.knowledge.released[heartbeat.Machine] {
 		return false
 	}
 	last, ok := leader.heartbeats.lastHeartbeat(heartbeat.Machine)
 	if !ok || !last.supersedes(heartbeat) {
 		return false
 	}
-	if segment, owned := c.membership.ownedMachine(heartbeat.Machine); !owned || heartbeat.Epoch > segment.Epoch {
+	if segment, owned := controller.membership.ownedMachine(heartbeat.Machine); !owned || heartbeat.Epoch > segment.Epoch {
 		return false
 	}
 	m := leader.ensureMachine(heartbeat.Machine)
@@ -81,9 +81,9 @@
 	if !m.heard {
 		// Unless the machine sends a new message, it is removed again when this lease has
 		// expired.
-		m.leaseEnd = later(m.leaseEnd, c.renewal.leaseEndAfter(c.now))
+		m.leaseEnd = later(m.leaseEnd, controller.renewal.leaseEndAfter(controller.now))
 	}
 	leader.failover.contact(m)
-	c.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
+	controller.emit(message.HeartbeatReply{Reply: received.Reply, Status: 503})
 	return true
 }
--- a/internal/controller/takeover_test.go
+++ b/internal/controller/takeover_test.go
@@ -45,13 +45,13 @@
 }
 
 // takeOverRecords has the controller's shard leader recover from the given records.
-func (c *Controller) takeOverRecords(open, tasks []message.KeyValue) {
-	cache := &c.frontend.watchCache
+func (controller *Controller) takeOverRecords(open, tasks []message.KeyValue) {
+	cache := &controller.frontend.watchCache
 	cache.openJobs = map[string]openJob{}
 	for _, kv := range open {
 		applyOpenJobRecord(cache.openJobs, kv)
 	}
-	c.shardLeader.recoverTeams(map[string]*heldTeam{"ops": c.shardLeader.teams["ops"]}, tasks, nil, c.now)
+	controller.shardLeader.recoverTeams(map[string]*heldTeam{"ops": controller.shardLeader.teams["ops"]}, tasks, nil, controller.now)
 }
 
 // BenchmarkTakeover measures the recovery of a new shard leader from its last read of records to
--- a/internal/controller/unlisted_test.go
+++ b/internal/controller/unlisted_test.go
@@ -11,20 +11,20 @@
 )
 
 // addJobOn adds a job with one task whose start was sent to m.
-func (c *Controller) addJobOn(id string, m *machine) *job {
-	j := c.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, c.now, 1)
+func (controller *Controller) addJobOn(id string, m *machine) *job {
+	j := controller.shardLeader.addJob(model.JobSpec{ID: id, Workload: "w", Team: "ops", Tasks: 1, Need: model.Resources{CPU: 1, Memory: 1}, ExpectedRunTime: time.Minute}, controller.now, 1)
 	j.nextFresh, j.tasks[0].attempt, j.tasks[0].startSent = 1, 1, true
-	c.shardLeader.attachAttempt(j, 0, m)
+	controller.shardLeader.attachAttempt(j, 0, m)
 	return j
 }
 
 // nextHeartbeat applies the next heartbeat of machine i, which lists only the given tasks.
-func (c *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
-	m := c.shardLeader.machinesByID[i]
-	heartbeat := c.poolHeartbeat(i)
+func (controller *Controller) nextHeartbeat(i int, tasks ...model.TaskReport) {
+	m := controller.shardLeader.machinesByID[i]
+	heartbeat := controller.poolHeartbeat(i)
 	heartbeat.Sequence, heartbeat.Epoch, heartbeat.Tasks = m.sequence+1, m.epoch, tasks
-	c.now = c.now.Add(c.settings.HeartbeatInterval)
-	c.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
+	controller.now = controller.now.Add(controller.settings.HeartbeatInterval)
+	controller.shardLeader.heartbeats.applyHeartbeat(m, heartbeat, true)
 }
 
 // TestStartsNothing checks a machine that sends heartbeats but never starts its tasks: the
