--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,12 +1,12 @@
-// Package certs issues and rotates the certificates by which clusters authenticate
-// each other: the operators' own CA, and a certificate for each cluster. Nothing else
-// is trusted between clusters.
+// Package certs issues and rotates the certificates by which clusters authenticate each
+// other. The operators have a CA of their own, which signs a certificate for each
+// cluster. Clusters trust no other certificates.
 //
-// The CA's directory holds ca.pem (the trusted CAs, the newest first) and ca.key; a
-// cluster's directory holds ca.pem, cert.pem and key.pem. Only their owner may read
-// the files. Rotation takes steps none of which breaks a connection: a new CA is
-// trusted beside the old one, then certificates of the new one are issued, then the
-// old one is dropped.
+// The CA's directory holds ca.pem (the trusted CAs, newest first) and ca.key. A cluster's
+// directory holds ca.pem, cert.pem and key.pem. Only the owner may read the files. A
+// rotation takes three steps, none of which breaks a connection: all clusters trust a new
+// CA in addition to the old one, then every cluster gets a certificate of the new CA, and
+// then the old CA is removed.
 package certs
 
 import (
@@ -31,45 +31,50 @@
 )
 
 const (
-	// CAFile, CAKeyFile, CertFile and KeyFile are the names of the files.
+	// CAFile, CAKeyFile, CertFile and KeyFile are the names of the files in the
+	// directories of the CA and of the clusters.
 	CAFile    = "ca.pem"
 	CAKeyFile = "ca.key"
 	CertFile  = "cert.pem"
 	KeyFile   = "key.pem"
-	// CertValidity is the default validity of a cluster's certificate, and caValidity
-	// that of a CA.
+	// CertValidity is the default validity of a cluster's certificate. caValidity is
+	// the validity of a CA, and the longest one of a cluster's certificate.
 	CertValidity = 90 * 24 * time.Hour
 	caValidity   = 10 * 365 * 24 * time.Hour
-	// backdate allows for clocks that differ.
+	// backdate is how long before its issue a certificate becomes valid, to allow for
+	// clocks that differ.
 	backdate = 10 * time.Minute
-	// ownerOnly and ownerOnlyDir are the modes of files and directories.
+	// ownerOnly and ownerOnlyDir are the modes of the files and directories.
 	ownerOnly    fs.FileMode = 0o600
 	ownerOnlyDir fs.FileMode = 0o700
-	// A certificate names its cluster by a URI: micahill://cluster/NAME.
+	// uriScheme and uriHost are the parts of the URI by which a certificate names its
+	// cluster: micahill://cluster/NAME.
 	uriScheme = "micahill"
 	uriHost   = "cluster"
 )
 
+// clusterName matches the valid names of clusters.
 var clusterName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`)
 
-// IsClusterName says whether a name is valid for a cluster. Valid ones can stand in
+// IsClusterName reports whether name is a valid cluster name. Valid names can be used in
 // certificates and in keys of the state service.
 func IsClusterName(name string) bool { return clusterName.MatchString(name) }
 
 var (
-	// ErrExists says that a directory already holds a CA, which is never overwritten.
-	ErrExists = errors.New("already holds a CA; rotate makes a new one beside it")
-	// ErrRotating says that a rotation has to be finished first.
-	ErrRotating = errors.New("a rotation is under way already")
-	// ErrNotRotating says that there is no rotation to finish.
-	ErrNotRotating = errors.New("no rotation is under way")
-	// ErrInterrupted says that the CA's certificate and key do not fit each other.
+	// ErrExists means that a directory already holds a CA. A CA is never overwritten.
+	ErrExists = errors.New("already holds a CA; use rotate to add a new one")
+	// ErrRotating means that a rotation has to be finished first.
+	ErrRotating = errors.New("a rotation is already in progress")
+	// ErrNotRotating means that there is no rotation to finish.
+	ErrNotRotating = errors.New("no rotation is in progress")
+	// ErrInterrupted means that the CA's certificate and key don't match.
 	ErrInterrupted = errors.New("a rotation was interrupted; run rotate again")
 )
 
-// Init makes a CA in a directory that has none.
+// Init creates a CA in a directory that has none. It creates the directory if necessary.
 func Init(dir string, now time.Time) error {
-	// An interrupted Init leaves a key without a certificate: that is no CA yet.
+	// An interrupted Init leaves a key without a certificate. Such a directory holds no
+	// CA yet.
 	if _, err := os.Stat(filepath.Join(dir, CAFile)); err == nil {
 		return fmt.Errorf("keys: %s %w", dir, ErrExists)
 	}
@@ -79,7 +84,8 @@
 	return newCA(dir, nil, now)
 }
 
-// newCA writes a new CA, with the certificates of oldCAs (in PEM) trusted beside it.
+// newCA creates a CA and writes its key and certificate. The certificates in oldCAs (PEM)
+// stay trusted.
 func newCA(dir string, oldCAs []byte, now time.Time) error {
 	key, serial, err := newKey()
 	if err != nil {
@@ -94,29 +100,29 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	// The key goes first: after an interruption here Issue detects the mismatch, and
-	// Rotate or Init can be run again.
+	// The key is written first. If newCA is interrupted after that, Issue detects that
+	// key and certificate don't match, and Rotate or Init can be run again.
 	if err := writeKey(filepath.Join(dir, CAKeyFile), key); err != nil {
 		return err
 	}
 	return writeFile(filepath.Join(dir, CAFile), append(encodePEM("CERTIFICATE", der), oldCAs...))
 }
 
-// Rotate makes a new CA beside the old one, which stays trusted until FinishRotation.
-// Every cluster must have the new ca.pem before certificates of the new CA are used.
+// Rotate creates a new CA. The old one stays trusted until FinishRotation. Every cluster
+// must have the new ca.pem before any cluster uses a certificate of the new CA.
 func Rotate(dir string, now time.Time) error {
-	certs, text, err := readCerts(filepath.Join(dir, CAFile))
+	certs, caPEM, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return err
 	}
 	if len(certs) > 1 {
 		return fmt.Errorf("keys: %s: %w: %d CAs are trusted; finish it first", dir, ErrRotating, len(certs))
 	}
-	return newCA(dir, text, now)
+	return newCA(dir, caPEM, now)
 }
 
-// FinishRotation ends a rotation: the old CA is no longer trusted. Every cluster must
-// have a certificate of the new one by then.
+// FinishRotation ends a rotation by removing the old CA from the trusted ones. Before
+// that, every cluster must have a certificate of the new CA.
 func FinishRotation(dir string) error {
 	certs, _, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
@@ -128,17 +134,17 @@
 	return writeFile(filepath.Join(dir, CAFile), encodePEM("CERTIFICATE", certs[0].Raw))
 }
 
-// Issue writes a cluster's certificate, signed by the CA in dir, into the directory
-// out, together with the trusted CAs. An earlier certificate there is replaced
-// atomically.
-func Issue(dir, cluster, out string, validity time.Duration, now time.Time) error {
+// Issue creates a key and a certificate for a cluster, signed by the CA in the directory
+// dir, and writes them and the trusted CAs into outDir. It replaces an earlier certificate
+// there atomically.
+func Issue(dir, cluster, outDir string, validity time.Duration, now time.Time) error {
 	if !IsClusterName(cluster) {
-		return fmt.Errorf("keys: %q is no cluster's name: want a small letter, then at most 30 small letters, digits and hyphens", cluster)
+		return fmt.Errorf("keys: invalid cluster name %q: want a lower-case letter, then at most 30 lower-case letters, digits and hyphens", cluster)
 	}
 	if validity <= 0 || validity > caValidity {
-		return fmt.Errorf("keys: a certificate for %s: want more than nothing and at most %s", validity, caValidity)
+		return fmt.Errorf("keys: invalid certificate validity %s: want more than 0 and at most %s", validity, caValidity)
 	}
-	cas, text, err := readCerts(filepath.Join(dir, CAFile))
+	cas, caPEM, err := readCerts(filepath.Join(dir, CAFile))
 	if err != nil {
 		return err
 	}
@@ -146,8 +152,8 @@
 	if err != nil {
 		return err
 	}
-	if pub, ok := cas[0].PublicKey.(*ecdsa.PublicKey); !ok || !pub.Equal(signer.Public()) {
-		return fmt.Errorf("keys: %s does not belong to the newest CA in %s: %w", CAKeyFile, CAFile, ErrInterrupted)
+	if publicKey, ok := cas[0].PublicKey.(*ecdsa.PublicKey); !ok || !publicKey.Equal(signer.Public()) {
+		return fmt.Errorf("keys: %s does not match the newest CA in %s: %w", CAKeyFile, CAFile, ErrInterrupted)
 	}
 	key, serial, err := newKey()
 	if err != nil {
@@ -163,24 +169,24 @@
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	if err := os.MkdirAll(out, ownerOnlyDir); err != nil {
+	if err := os.MkdirAll(outDir, ownerOnlyDir); err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
 	keyPEM, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
-	if filepath.Clean(out) != filepath.Clean(dir) {
-		if err := writeFile(filepath.Join(out, CAFile), text); err != nil {
+	if filepath.Clean(outDir) != filepath.Clean(dir) {
+		if err := writeFile(filepath.Join(outDir, CAFile), caPEM); err != nil {
 			return err
 		}
 	}
-	if err := writeFile(filepath.Join(out, KeyFile), keyPEM); err != nil {
+	if err := writeFile(filepath.Join(outDir, KeyFile), keyPEM); err != nil {
 		return err
 	}
-	// The certificate's file holds the key as well, so that no reader ever sees a key
-	// and a certificate that do not fit each other.
-	return writeFile(filepath.Join(out, CertFile), append(encodePEM("CERTIFICATE", der), keyPEM...))
+	// The certificate's file also holds the key, so that no reader ever reads a key and
+	// a certificate that don't match.
+	return writeFile(filepath.Join(outDir, CertFile), append(encodePEM("CERTIFICATE", der), keyPEM...))
 }
 
 // Info describes one certificate, for operators.
@@ -190,13 +196,14 @@
 	Cluster  string    `json:"cluster,omitempty"`
 	CA       bool      `json:"ca"`
 	NotAfter time.Time `json:"not_after"`
-	// Fingerprint is the first 8 bytes of the SHA-256 sum, in hex.
+	// Fingerprint is the first 8 bytes of the certificate's SHA-256 sum, in hexadecimal.
 	Fingerprint string `json:"fingerprint"`
-	// Problem is why the certificate can't be used, or "".
+	// Problem is a problem with the certificate or its files, or "" if there is none.
 	Problem string `json:"problem,omitempty"`
 }
 
-// Show describes the certificates in a directory and their problems.
+// Show returns descriptions of the certificates in a directory, with their problems at
+// the time now.
 func Show(dir string, now time.Time) ([]Info, error) {
 	var infos []Info
 	cas, _, err := readCerts(filepath.Join(dir, CAFile))
@@ -204,9 +211,9 @@
 		return nil, err
 	}
 	pool := x509.NewCertPool()
-	for _, c := range cas {
-		pool.AddCert(c)
-		infos = append(infos, describe(CAFile, c, now))
+	for _, ca := range cas {
+		pool.AddCert(ca)
+		infos = append(infos, describe(CAFile, ca, now))
 	}
 	certs, _, err := readCerts(filepath.Join(dir, CertFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -217,39 +224,40 @@
 	info := describe(CertFile, certs[0], now)
 	opts := x509.VerifyOptions{Roots: pool, CurrentTime: now, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}
 	if _, err := certs[0].Verify(opts); err != nil && info.Problem == "" {
-		info.Problem = "not of a CA in " + CAFile
+		info.Problem = "not signed by a CA in " + CAFile
 	}
-	for _, f := range []string{CertFile, KeyFile, CAKeyFile} {
-		if st, err := os.Stat(filepath.Join(dir, f)); err == nil && st.Mode().Perm()&0o077 != 0 && info.Problem == "" {
-			info.Problem = f + " can be read by others"
+	for _, file := range []string{CertFile, KeyFile, CAKeyFile} {
+		if fileInfo, err := os.Stat(filepath.Join(dir, file)); err == nil && fileInfo.Mode().Perm()&0o077 != 0 && info.Problem == "" {
+			info.Problem = file + " can be read by others"
 		}
 	}
 	return append(infos, info), nil
 }
 
-func describe(file string, c *x509.Certificate, now time.Time) Info {
-	sum := sha256.Sum256(c.Raw)
-	info := Info{File: file, Name: c.Subject.CommonName, Cluster: ClusterOf(c), CA: c.IsCA, NotAfter: c.NotAfter, Fingerprint: hex.EncodeToString(sum[:8])}
+// describe returns the description of one certificate.
+func describe(file string, cert *x509.Certificate, now time.Time) Info {
+	sum := sha256.Sum256(cert.Raw)
+	info := Info{File: file, Name: cert.Subject.CommonName, Cluster: ClusterOf(cert), CA: cert.IsCA, NotAfter: cert.NotAfter, Fingerprint: hex.EncodeToString(sum[:8])}
 	switch {
-	case now.After(c.NotAfter):
+	case now.After(cert.NotAfter):
 		info.Problem = "expired"
-	case now.Before(c.NotBefore):
+	case now.Before(cert.NotBefore):
 		info.Problem = "not valid yet"
 	}
 	return info
 }
 
-// ClusterOf is the cluster that a certificate names, or "".
-func ClusterOf(c *x509.Certificate) string {
-	for _, u := range c.URIs {
-		if u.Scheme == uriScheme && u.Host == uriHost && len(u.Path) > 1 && IsClusterName(u.Path[1:]) {
-			return u.Path[1:]
+// ClusterOf returns the cluster that a certificate names, or "" if it names none.
+func ClusterOf(cert *x509.Certificate) string {
+	for _, uri := range cert.URIs {
+		if uri.Scheme == uriScheme && uri.Host == uriHost && len(uri.Path) > 1 && IsClusterName(uri.Path[1:]) {
+			return uri.Path[1:]
 		}
 	}
 	return ""
 }
 
-// newKey returns a key, and a random serial number for its certificate.
+// newKey returns a new key and a random serial number for its certificate.
 func newKey() (*ecdsa.PrivateKey, *big.Int, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -262,10 +270,12 @@
 	return key, serial, nil
 }
 
+// encodePEM returns a PEM block of the given type.
 func encodePEM(kind string, der []byte) []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der})
 }
 
+// encodeKey returns a private key in PEM.
 func encodeKey(key *ecdsa.PrivateKey) ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(key)
 	if err != nil {
@@ -274,25 +284,26 @@
 	return encodePEM("PRIVATE KEY", der), nil
 }
 
+// writeKey writes a private key to a PEM file.
 func writeKey(path string, key *ecdsa.PrivateKey) error {
-	b, err := encodeKey(key)
+	content, err := encodeKey(key)
 	if err != nil {
 		return err
 	}
-	return writeFile(path, b)
+	return writeFile(path, content)
 }
 
-// writeFile replaces a file atomically: a reader sees the old content or the new one.
-func writeFile(path string, b []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(path), ".keys-*")
+// writeFile replaces a file atomically: a reader sees either the old or the new content.
+func writeFile(path string, content []byte) error {
+	file, err := os.CreateTemp(filepath.Dir(path), ".keys-*")
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
 	}
-	defer os.Remove(f.Name())
-	_, err = f.Write(b)
-	err = errors.Join(err, f.Chmod(ownerOnly), f.Sync(), f.Close())
+	defer os.Remove(file.Name())
+	_, err = file.Write(content)
+	err = errors.Join(err, file.Chmod(ownerOnly), file.Sync(), file.Close())
 	if err == nil {
-		err = os.Rename(f.Name(), path)
+		err = os.Rename(file.Name(), path)
 	}
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -300,51 +311,51 @@
 	return nil
 }
 
-// readCerts reads the certificates of a PEM file, at least one. It returns the file's
-// content as well.
+// readCerts returns the certificates in a PEM file, and the file's content. It fails if
+// the file holds no certificate.
 func readCerts(path string) ([]*x509.Certificate, []byte, error) {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, fmt.Errorf("keys: %w", err)
 	}
-	var out []*x509.Certificate
-	for rest := b; ; {
-		var p *pem.Block
-		if p, rest = pem.Decode(rest); p == nil {
+	var certs []*x509.Certificate
+	for rest := content; ; {
+		var block *pem.Block
+		if block, rest = pem.Decode(rest); block == nil {
 			break
 		}
-		if p.Type != "CERTIFICATE" {
+		if block.Type != "CERTIFICATE" {
 			continue
 		}
-		c, err := x509.ParseCertificate(p.Bytes)
+		cert, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
 			return nil, nil, fmt.Errorf("keys: %s: %w", path, err)
 		}
-		out = append(out, c)
+		certs = append(certs, cert)
 	}
-	if len(out) == 0 {
+	if len(certs) == 0 {
 		return nil, nil, fmt.Errorf("keys: %s holds no certificate", path)
 	}
-	return out, b, nil
+	return certs, content, nil
 }
 
-// readSigner reads a private key from a PEM file.
+// readSigner returns the private key in a PEM file.
 func readSigner(path string) (crypto.Signer, error) {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %w", err)
 	}
-	p, _ := pem.Decode(b)
-	if p == nil {
+	block, _ := pem.Decode(content)
+	if block == nil {
 		return nil, fmt.Errorf("keys: %s holds no key", path)
 	}
-	k, err := x509.ParsePKCS8PrivateKey(p.Bytes)
+	key, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
 		return nil, fmt.Errorf("keys: %s: %w", path, err)
 	}
-	s, ok := k.(crypto.Signer)
+	signer, ok := key.(crypto.Signer)
 	if !ok {
-		return nil, fmt.Errorf("keys: %s holds no key that signs", path)
+		return nil, fmt.Errorf("keys: the key in %s cannot sign", path)
 	}
-	return s, nil
+	return signer, nil
 }
--- a/internal/certs/tls.go
+++ b/internal/certs/tls.go
@@ -11,24 +11,25 @@
 	"time"
 )
 
-// recheckInterval is the shortest time between two checks of the files for a change.
+// recheckInterval is the shortest interval between two checks of the files for changes.
 const recheckInterval = time.Second
 
-// Store holds a cluster's certificate and the CAs it trusts, and re-reads them when
-// their files change: rotation needs no restart, and open connections go on. It is
-// safe for concurrent use.
+// Store holds a cluster's certificate and the CAs that the cluster trusts. It reads them
+// again when their files change, so that a rotation needs no restart and breaks no open
+// connection. It is safe for concurrent use.
 type Store struct {
 	dir string
 	mu  sync.Mutex
-	// checkedAt is when the files were last checked, and fileState the sizes and
-	// modification times of those that were read.
+	// checkedAt is when the files were last checked. fileState holds the sizes and
+	// modification times of the files when they were last read.
 	checkedAt time.Time
 	fileState string
 	cert      *tls.Certificate
 	pool      *x509.CertPool
 }
 
-// Open reads a cluster's directory. An error names the file.
+// Open returns the store of a cluster's directory. It fails if a file is missing or
+// invalid; the error names the file.
 func Open(dir string) (*Store, error) {
 	s := &Store{dir: dir}
 	if err := s.load(); err != nil {
@@ -37,104 +38,110 @@
 	return s, nil
 }
 
-// Cluster is the cluster that the certificate is for.
-func (s *Store) Cluster() string {
-	cert, _ := s.current()
+// Cluster returns the name of the cluster that the certificate is for.
+func (store *Store) Cluster() string {
+	cert, _ := store.current()
 	return ClusterOf(cert.Leaf)
 }
 
-// NotAfter is when the certificate expires.
-func (s *Store) NotAfter() time.Time {
-	cert, _ := s.current()
+// NotAfter returns when the certificate expires.
+func (store *Store) NotAfter() time.Time {
+	cert, _ := store.current()
 	return cert.Leaf.NotAfter
 }
 
-// readFileState is the state of the files, for a comparison with fileState.
-func (s *Store) readFileState() string {
+// readFileState returns the sizes and modification times of the files, for a comparison
+// with fileState.
+func (store *Store) readFileState() string {
 	state := ""
-	for _, f := range []string{CAFile, CertFile} {
-		if st, err := os.Stat(filepath.Join(s.dir, f)); err == nil {
-			state += fmt.Sprintf("%s %d %d;", f, st.Size(), st.ModTime().UnixNano())
+	for _, file := range []string{CAFile, CertFile} {
+		if info, err := os.Stat(filepath.Join(store.dir, file)); err == nil {
+			state += fmt.Sprintf("%s %d %d;", file, info.Size(), info.ModTime().UnixNano())
 		}
 	}
 	return state
 }
 
-func (s *Store) load() error {
-	// The state is taken first: a change while the files are read is found by the next
-	// check.
-	state := s.readFileState()
-	// The certificate's file holds its key as well, so that the two always fit.
-	path := filepath.Join(s.dir, CertFile)
+// load reads the files. If it fails, the store keeps the certificate and CAs that it has.
+func (store *Store) load() error {
+	// The state is read before the files, so that the next check finds a change made
+	// while the files are being read.
+	state := store.readFileState()
+	// The certificate's file also holds the key, so that certificate and key always
+	// match.
+	path := filepath.Join(store.dir, CertFile)
 	cert, err := tls.LoadX509KeyPair(path, path)
 	if err != nil {
 		return fmt.Errorf("keys: %s: %w", path, err)
 	}
 	if ClusterOf(cert.Leaf) == "" {
-		return fmt.Errorf("keys: %s names no cluster; make it with micahill keys issue", path)
+		return fmt.Errorf("keys: the certificate in %s names no cluster; issue it with micahill keys issue", path)
 	}
-	cas, _, err := readCerts(filepath.Join(s.dir, CAFile))
+	cas, _, err := readCerts(filepath.Join(store.dir, CAFile))
 	if err != nil {
 		return err
 	}
 	pool := x509.NewCertPool()
-	for _, c := range cas {
-		pool.AddCert(c)
+	for _, ca := range cas {
+		pool.AddCert(ca)
 	}
-	s.fileState, s.cert, s.pool = state, &cert, pool
+	store.fileState, store.cert, store.pool = state, &cert, pool
 	return nil
 }
 
-// current returns the present certificate and CAs. While the files can't be read, in
-// the middle of a change or for good, it returns those that were read before.
-func (s *Store) current() (*tls.Certificate, *x509.CertPool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if time.Since(s.checkedAt) > recheckInterval {
-		s.checkedAt = time.Now()
-		if s.readFileState() != s.fileState {
-			if err := s.load(); err != nil {
-				// Read again at the next check, even without a further change.
-				s.fileState = ""
+// current returns the certificate and the CAs, and first reads changed files again. While
+// the files can't be read, for example during a change, it returns the certificate and
+// CAs that were read before.
+func (store *Store) current() (*tls.Certificate, *x509.CertPool) {
+	store.mu.Lock()
+	defer store.mu.Unlock()
+	if time.Since(store.checkedAt) > recheckInterval {
+		store.checkedAt = time.Now()
+		if store.readFileState() != store.fileState {
+			if err := store.load(); err != nil {
+				// Read the files again at the next check, even if they don't change.
+				store.fileState = ""
 			}
 		}
 	}
-	return s.cert, s.pool
+	return store.cert, store.pool
 }
 
-// ErrNotPeer says that a server's certificate names another cluster than the wanted
-// one.
+// ErrNotPeer means that a server's certificate names another cluster than the one that
+// the client wants to connect to.
 var ErrNotPeer = errors.New("keys: the certificate names another cluster")
 
-// ServerConfig is for connections from peers. It requires TLS 1.3 and a certificate of
-// a CA that is trusted at the time of the handshake. PeerOf returns the cluster.
-func (s *Store) ServerConfig() *tls.Config {
+// ServerConfig returns the TLS configuration for connections from peers. It requires TLS
+// 1.3 and a client certificate of a CA that is trusted at the time of the handshake.
+// After the handshake PeerOf returns the client's cluster.
+func (store *Store) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := s.current()
+			cert, pool := store.current()
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert},
 				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
-				// An old ticket must not admit a peer whose CA is no longer trusted.
+				// A session ticket would admit a peer whose CA has since been
+				// removed.
 				SessionTicketsDisabled: true,
 			}, nil
 		},
 	}
 }
 
-// ClientConfig is for one connection to the named peer. A handshake with another
-// cluster fails with ErrNotPeer.
-func (s *Store) ClientConfig(peer string) *tls.Config {
-	cert, pool := s.current()
+// ClientConfig returns the TLS configuration for one connection to the named peer. A
+// handshake with a server of another cluster fails with ErrNotPeer.
+func (store *Store) ClientConfig(peer string) *tls.Config {
+	cert, pool := store.current()
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*cert},
-		// Certificates name a cluster instead of a host: VerifyConnection checks the
-		// chain and the name.
+		// The default verification is disabled because certificates name a cluster
+		// instead of a host. VerifyConnection checks the chain and the cluster.
 		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection checks chain and cluster
 		VerifyConnection: func(state tls.ConnectionState) error {
 			if len(state.PeerCertificates) == 0 {
-				return errors.New("keys: the peer shows no certificate")
+				return errors.New("keys: the peer sent no certificate")
 			}
 			opts := x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth}}
 			if _, err := state.PeerCertificates[0].Verify(opts); err != nil {
@@ -148,8 +155,8 @@
 	}
 }
 
-// PeerOf is the cluster at the other end of a connection whose handshake has been
-// verified, or "".
+// PeerOf returns the cluster that the peer's certificate names, or "" if there is none.
+// The connection's handshake must have been verified.
 func PeerOf(state tls.ConnectionState) string {
 	if len(state.PeerCertificates) == 0 {
 		return ""
--- a/internal/overflow/admission.go
+++ b/internal/overflow/admission.go
@@ -7,25 +7,27 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-// giveBackDelay is how long own jobs must have been late before borrowed ones are
-// given back: a burst that passes by itself is no reason to hand jobs to and fro.
+// giveBackDelay is how long the cluster's own jobs must have been late before borrowed
+// jobs are given back. The delay avoids handing jobs back and forth for a short burst.
 const giveBackDelay = 5 * time.Second
 
-// AdmissionState is what decides whether a job of another cluster is accepted.
+// AdmissionState is the borrower's state by which Admit accepts or refuses a peer's
+// job.
 type AdmissionState struct {
-	// LoansIn is how many loans are held.
+	// LoansIn is the number of loans held.
 	LoansIn int
-	// FreeCapacity is what was last offered to peers, less what has been accepted
-	// since.
+	// FreeCapacity is the capacity last offered to peers, less the capacity of the
+	// jobs accepted since.
 	FreeCapacity []FreeCapacity
-	// OwnWorkLate says that own jobs wait and will miss their SLO; LateUrgency is
-	// the highest urgency among them.
+	// OwnWorkLate means that jobs of this cluster wait and will miss their SLO.
+	// LateUrgency is the highest urgency among these jobs.
 	OwnWorkLate bool
 	LateUrgency model.Urgency
 }
 
-// Admit returns the cause for which a job is refused, or "" if it is accepted. The
-// capacity of an accepted job is then taken out of state.
+// Admit decides whether to accept the job of a Take command. It returns "" and takes
+// the job's capacity out of state if the job is accepted, and the cause of the refusal
+// otherwise.
 func Admit(command Command, state *AdmissionState, limits Limits) Cause {
 	spec := &command.Spec
 	switch {
@@ -56,21 +58,24 @@
 	return ""
 }
 
-// Pressure is the borrower's own need, for which borrowed jobs are given back.
+// Pressure is the borrower's own need for the capacity that borrowed jobs use.
 type Pressure struct {
-	// OwnWorkLate says that own jobs wait and will miss their SLO; LateUrgency is
-	// the highest urgency among them.
+	// OwnWorkLate means that jobs of this cluster wait and will miss their SLO.
+	// LateUrgency is the highest urgency among these jobs.
 	OwnWorkLate bool
 	LateUrgency model.Urgency
-	// LateFor is how long OwnWorkLate has held.
+	// LateFor is how long OwnWorkLate has been true.
 	LateFor time.Duration
-	// DrainIn is the time left until the cluster must be empty; negative if it is
-	// not being drained.
+	// DrainIn is the time left until a drain must have emptied the cluster. It is
+	// negative if the cluster is not being drained.
 	DrainIn time.Duration
 }
 
-// ChooseGiveBacks picks the loans to give back: those that have not started, and
-// started ones only if they would not end before a drain does.
+// ChooseGiveBacks returns the loans to give back under the pressure, in the order of
+// compareLoans. When jobs of this cluster have been late for giveBackDelay, they displace
+// the loans that have not started and are not more urgent than these jobs. A drain
+// displaces the loans that have not started, and the started ones that would not end
+// before the drain does. runTime estimates how long a loan runs.
 func ChooseGiveBacks(loans []BorrowedLoan, pressure Pressure, runTime func(BorrowedLoan) time.Duration) []Loan {
 	var chosen []Loan
 	for _, loan := range loans {
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -1,8 +1,9 @@
-// Package broker runs lending on one controller. It asks the controller for the
-// durable state, lets package overflow decide, has the controller make the decisions
-// durable, and exchanges heartbeats with the peers. The leading controller answers
-// the peers' heartbeats, for what the cluster lends; the one that runs the offloaded
-// jobs' team sends the cluster's own heartbeats, for what it borrows.
+// Package broker runs the lending of jobs between clusters on one controller. It asks
+// the controller for the durable state, lets package overflow decide, has the controller
+// make the decisions durable, and exchanges heartbeats with the peers. The leading
+// controller answers the peers' heartbeats about the jobs that this cluster lends. The
+// controller that runs the offloaded jobs' team sends the cluster's own heartbeats about
+// the jobs that it borrows.
 package broker
 
 import (
@@ -17,38 +18,39 @@
 )
 
 const (
-	// pollInterval is how often the controller is asked for the durable state. A
-	// peer's heartbeat causes a poll of its own at once.
+	// pollInterval is the interval at which the broker asks the controller for the
+	// durable state. A peer's heartbeat causes an additional poll at once.
 	pollInterval = time.Second
-	// idlePollInterval is how often it is asked where no peers are configured.
+	// idlePollInterval replaces pollInterval if no peers are configured.
 	idlePollInterval = 10 * time.Second
-	// simulationInterval is how often the queue's placement is simulated to choose
-	// offers.
+	// simulationInterval is the interval at which the controller simulates the
+	// placement of its queue, from which offers are chosen.
 	simulationInterval = 2 * time.Second
-	// renewalInterval is how often the times of answered heartbeats are stored.
+	// renewalInterval is the interval at which the times of answered heartbeats are
+	// stored.
 	renewalInterval = 5 * time.Second
 	// heartbeatTimeout bounds a heartbeat to a peer, and controllerTimeout a request
 	// to the controller.
 	heartbeatTimeout  = 4 * time.Second
 	controllerTimeout = 3 * time.Second
-	// uncertainRetryPause separates attempts of a transaction whose outcome is not
-	// known.
+	// uncertainRetryPause is the pause between attempts of a transaction whose outcome
+	// is not known.
 	uncertainRetryPause = 500 * time.Millisecond
-	// minWait is the shortest wait between two rounds of the event loop.
+	// minWait is the shortest time for which the event loop waits until the next poll.
 	minWait = 10 * time.Millisecond
-	// queueLen bounds the events that wait for the event loop.
+	// queueLen bounds the number of events that wait for the event loop.
 	queueLen = 256
-	// giveBackCooldown is how long a job that came back stays at home.
+	// giveBackCooldown is how long a job that was taken back is not lent again.
 	giveBackCooldown = 30 * time.Second
-	// workerLeaseCount and stopMargin make the bound on how long tasks may go on
-	// after a loan's end: a shard leader that has lost the state service answers its
-	// workers for one lease, the workers' lease runs one more, and a successor waits
-	// for a third.
+	// workerLeaseCount and stopMargin bound how long tasks may go on running after a
+	// loan's end: workerLeaseCount leases of the workers, plus stopMargin. A shard
+	// leader that has lost the state service answers its workers for one lease, the
+	// workers' own lease runs for a second one, and a successor waits for a third.
 	workerLeaseCount = 3
 	stopMargin       = 10 * time.Second
 )
 
-// Controller is what the broker needs of the controller's server.
+// Controller is the interface by which the broker sends commands to its controller.
 type Controller interface {
 	// Ask sends the command that makeCommand returns and waits for the effect that
 	// replies to it.
@@ -57,38 +59,38 @@
 	Post(message.Command)
 }
 
-// HeartbeatSender sends a heartbeat to one controller of a peer and returns its
-// reply; link.Client is one. An error that wraps link.ErrNotLeader says that another
-// controller of the peer replies.
+// HeartbeatSender sends a heartbeat to one controller of a peer and returns the reply;
+// link.Client implements it. An error that wraps link.ErrNotLeader means that another
+// controller of the peer answers heartbeats.
 type HeartbeatSender interface {
 	SendHeartbeat(ctx context.Context, peer, addr string, heartbeat overflow.Heartbeat) (overflow.HeartbeatReply, error)
 }
 
-// Settings are the broker's, converted from the file under deploy/.
+// Settings are the broker's settings, converted from deploy/overflow.toml.
 type Settings struct {
 	// Cluster is this cluster's name.
 	Cluster string
-	// GuestTeam is the team that runs the peers' offloaded jobs.
+	// GuestTeam is the team under which the peers' offloaded jobs run.
 	GuestTeam     string
 	LendEnabled   bool
 	BorrowEnabled bool
-	// HeartbeatInterval is that of heartbeats to each peer.
+	// HeartbeatInterval is the interval of heartbeats to each peer.
 	HeartbeatInterval time.Duration
-	// LoanLease is how long a borrower may go on without a reply.
+	// LoanLease is how long a borrower may go on running loans without a reply.
 	LoanLease time.Duration
 	// WorkerLease is the lease of this cluster's workers.
 	WorkerLease time.Duration
-	// ClockBound is how far a controller's time of day may be from the true one.
+	// ClockBound bounds the error of a controller's wall clock.
 	ClockBound time.Duration
 	Limits     overflow.Limits
-	// Peers holds the addresses of the controllers of each peer, by its name.
+	// Peers holds the addresses of each peer's controllers, by the peer's cluster name.
 	Peers map[string][]string
 }
 
-// Broker is the lending of one controller. Its event loop, Run, owns all of its
-// state; the exported methods may be called from any goroutine.
+// Broker runs lending on one controller. Its event loop, Run, owns its state. All other
+// exported methods may be called from any goroutine.
 type Broker struct {
-	// ctx is the broker's life time: it ends the loop and what the loop has started.
+	// ctx ends the event loop and the goroutines that the loop has started.
 	ctx            context.Context
 	settings       Settings
 	controller     Controller
@@ -98,8 +100,8 @@
 	events         chan func()
 	statusRequests chan chan Status
 
-	// isLeader and runsGuestTeam are this controller's roles, and epoch and term
-	// those under which lender and borrower were made.
+	// isLeader and runsGuestTeam are this controller's roles. lender was created for
+	// the leader's epoch, and borrower for the guest team's term.
 	isLeader, runsGuestTeam bool
 	epoch                   uint64
 	term                    int
@@ -113,67 +115,73 @@
 	pendingHeartbeats       []pendingHeartbeat
 	// inFlight holds the loans with a transaction in flight.
 	inFlight map[overflow.Loan]bool
-	// returnedAt holds jobs that came back lately, and progress, by job, what peers
-	// report of lent jobs.
+	// returnedAt is when a lent job was taken back, for recently returned jobs.
+	// progress is the progress of lent jobs that peers have reported since the last
+	// query. Both are keyed by job ID.
 	returnedAt map[string]time.Time
 	progress   map[string]message.Progress
-	// lateSince is since when own jobs have been late; zero if they are not.
+	// lateSince is when this cluster's own jobs became late; zero if they are not.
 	lateSince time.Time
+	// admission is the state by which admit accepts peers' jobs.
 	admission overflow.AdmissionState
 }
 
-// pendingHeartbeat is a peer's heartbeat that waits for its reply.
+// pendingHeartbeat is a peer's heartbeat that waits for the next view. result receives
+// the reply.
 type pendingHeartbeat struct {
 	heartbeat overflow.Heartbeat
 	result    chan heartbeatResult
 }
 
+// heartbeatResult is the reply to a heartbeat, or the error that refuses it.
 type heartbeatResult struct {
 	reply overflow.HeartbeatReply
 	err   error
 }
 
-// New returns a broker whose life ends with the context. Run has to be called to
-// start it.
+// New returns a broker that runs until the context ends. The caller starts it with Run.
 func New(ctx context.Context, settings Settings, controller Controller, sender HeartbeatSender, metrics *Metrics, rng *rand.Rand) *Broker {
 	now := time.Now()
-	b := &Broker{
+	broker := &Broker{
 		ctx: ctx, settings: settings, controller: controller, sender: sender, metrics: metrics, rng: rng,
 		events: make(chan func(), queueLen), statusRequests: make(chan chan Status),
 		peers: map[string]*overflow.PeerTracker{}, inFlight: map[overflow.Loan]bool{}, returnedAt: map[string]time.Time{}, progress: map[string]message.Progress{},
 	}
-	b.resetLender(now)
-	b.resetBorrower()
+	broker.resetLender(now)
+	broker.resetBorrower()
 	for name, addrs := range settings.Peers {
-		b.peers[name] = overflow.NewPeerTracker(name, addrs, settings.HeartbeatInterval, now)
+		broker.peers[name] = overflow.NewPeerTracker(name, addrs, settings.HeartbeatInterval, now)
 	}
-	return b
+	return broker
 }
 
-// resetLender forgets what holds for one epoch of the leader only.
-func (b *Broker) resetLender(now time.Time) {
-	b.lender = overflow.NewLender(b.settings.Cluster, now, b.settings.LoanLease)
-	b.dropInFlight(func(l overflow.Loan) bool { return l.Home == b.settings.Cluster })
+// resetLender replaces the Lender, whose state is valid for one epoch of the leader
+// only.
+func (broker *Broker) resetLender(now time.Time) {
+	broker.lender = overflow.NewLender(broker.settings.Cluster, now, broker.settings.LoanLease)
+	broker.dropInFlight(func(loan overflow.Loan) bool { return loan.Home == broker.settings.Cluster })
 }
 
-// resetBorrower forgets what holds for one term of the offloaded jobs' team only.
-func (b *Broker) resetBorrower() {
-	b.borrower = overflow.NewBorrower()
-	b.dropInFlight(func(l overflow.Loan) bool { return l.Home != b.settings.Cluster })
+// resetBorrower replaces the Borrower, whose state is valid for one term of the
+// offloaded jobs' team only.
+func (broker *Broker) resetBorrower() {
+	broker.borrower = overflow.NewBorrower()
+	broker.dropInFlight(func(loan overflow.Loan) bool { return loan.Home != broker.settings.Cluster })
 }
 
-// dropInFlight forgets transactions in flight whose Lender or Borrower is replaced.
-func (b *Broker) dropInFlight(matches func(overflow.Loan) bool) {
-	maps.DeleteFunc(b.inFlight, func(l overflow.Loan, _ bool) bool { return matches(l) })
+// dropInFlight removes from inFlight the loans that match, when their Lender or
+// Borrower is replaced.
+func (broker *Broker) dropInFlight(matches func(overflow.Loan) bool) {
+	maps.DeleteFunc(broker.inFlight, func(loan overflow.Loan, _ bool) bool { return matches(loan) })
 }
 
-// HandleHeartbeat replies to a peer's heartbeat; it is the link server's handler. It
-// fails with link.ErrNotLeader on a controller that doesn't lead, and with
-// link.ErrStale if the heartbeat can't be answered now.
-func (b *Broker) HandleHeartbeat(ctx context.Context, heartbeat overflow.Heartbeat) (overflow.HeartbeatReply, error) {
+// HandleHeartbeat returns the reply to a peer's heartbeat. It is the link.Server's
+// handler. It fails with link.ErrNotLeader on a controller that isn't the leader, and
+// with link.ErrStale if the heartbeat can't be answered now.
+func (broker *Broker) HandleHeartbeat(ctx context.Context, heartbeat overflow.Heartbeat) (overflow.HeartbeatReply, error) {
 	pending := pendingHeartbeat{heartbeat, make(chan heartbeatResult, 1)}
 	select {
-	case b.events <- func() { b.pendingHeartbeats = append(b.pendingHeartbeats, pending) }:
+	case broker.events <- func() { broker.pendingHeartbeats = append(broker.pendingHeartbeats, pending) }:
 	default:
 		return overflow.HeartbeatReply{}, link.ErrStale
 	}
@@ -187,13 +195,14 @@
 	}
 }
 
-// Run is the event loop. It returns the error of the broker's context when that
-// ends.
-func (b *Broker) Run() error {
-	ctx := b.ctx
+// Run runs the event loop until the broker's context ends, and returns the context's
+// error.
+func (broker *Broker) Run() error {
+	ctx := broker.ctx
 	interval := pollInterval
-	if len(b.settings.Peers) == 0 {
-		// Nobody to lend to: only earlier loans need attention.
+	if len(broker.settings.Peers) == 0 {
+		// There is no peer to lend to, but loans of earlier settings may still
+		// have to be ended.
 		interval = idlePollInterval
 	}
 	timer := time.NewTimer(0)
@@ -202,26 +211,26 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case event := <-b.events:
+		case event := <-broker.events:
 			event()
-		case out := <-b.statusRequests:
-			out <- b.status(time.Now())
+		case response := <-broker.statusRequests:
+			response <- broker.status(time.Now())
 			continue
 		case <-timer.C:
 		}
-		b.drainEvents()
-		if len(b.pendingHeartbeats) > 0 || time.Since(b.viewedAt) >= interval {
-			b.poll(ctx)
+		broker.drainEvents()
+		if len(broker.pendingHeartbeats) > 0 || time.Since(broker.viewedAt) >= interval {
+			broker.poll(ctx)
 		}
-		timer.Reset(max(minWait, time.Until(b.viewedAt.Add(interval))))
+		timer.Reset(max(minWait, time.Until(broker.viewedAt.Add(interval))))
 	}
 }
 
-// drainEvents handles all events that wait.
-func (b *Broker) drainEvents() {
+// drainEvents runs all waiting events.
+func (broker *Broker) drainEvents() {
 	for {
 		select {
-		case event := <-b.events:
+		case event := <-broker.events:
 			event()
 		default:
 			return
@@ -229,10 +238,11 @@
 	}
 }
 
-// enqueue hands an event to the event loop, unless the broker's life ends.
-func (b *Broker) enqueue(event func()) {
+// enqueue passes an event to the event loop. It drops the event if the broker's context
+// ends first.
+func (broker *Broker) enqueue(event func()) {
 	select {
-	case b.events <- event:
-	case <-b.ctx.Done():
+	case broker.events <- event:
+	case <-broker.ctx.Done():
 	}
 }
--- a/internal/overflow/broker/heartbeats.go
+++ b/internal/overflow/broker/heartbeats.go
@@ -12,82 +12,84 @@
 	"github.com/micahill/micahill/internal/overflow/link"
 )
 
-// answerHeartbeat takes in a borrower's heartbeat and replies to it.
-func (b *Broker) answerHeartbeat(now time.Time, view overflow.LenderView, heartbeat overflow.Heartbeat) heartbeatResult {
-	peer := b.peers[heartbeat.From]
+// answerHeartbeat processes a borrower's heartbeat and returns the reply, or
+// link.ErrStale if the heartbeat must be refused.
+func (broker *Broker) answerHeartbeat(now time.Time, view overflow.LenderView, heartbeat overflow.Heartbeat) heartbeatResult {
+	peer := broker.peers[heartbeat.From]
 	if peer == nil {
 		return heartbeatResult{err: link.ErrStale}
 	}
-	reply, transitions, ok := b.lender.HandleHeartbeat(now, view, heartbeat)
+	reply, transitions, ok := broker.lender.HandleHeartbeat(now, view, heartbeat)
 	if !ok {
 		return heartbeatResult{err: link.ErrStale}
 	}
 	peer.NoteHeartbeat(now, heartbeat)
 	for _, report := range heartbeat.Loans {
-		if report.Loan.Home == b.settings.Cluster && report.State == overflow.Held {
-			b.progress[report.Loan.Job] = message.Progress{ID: report.Loan.Job, Done: report.DoneTasks, Running: report.RunningTasks}
+		if report.Loan.Home == broker.settings.Cluster && report.State == overflow.Held {
+			broker.progress[report.Loan.Job] = message.Progress{ID: report.Loan.Job, Done: report.DoneTasks, Running: report.RunningTasks}
 		}
-		// A loan that the lender ends only now was offered on the capacity that the
-		// peer had reported.
-		if report.State == overflow.Gone && report.Cause == overflow.NoRoom && slices.ContainsFunc(transitions, func(t overflow.LenderTransition) bool { return t.Loan == report.Loan }) {
+		// The peer has refused a loan for lack of capacity, although the loan was
+		// offered for capacity that the peer had reported. This counts once, when the
+		// lender ends the loan.
+		if report.State == overflow.Gone && report.Cause == overflow.NoRoom && slices.ContainsFunc(transitions, func(transition overflow.LenderTransition) bool { return transition.Loan == report.Loan }) {
 			peer.NoteBroken(now)
 		}
 	}
 	for _, transition := range transitions {
-		b.commitLenderTransition(transition)
+		broker.commitLenderTransition(transition)
 	}
 	return heartbeatResult{reply: reply}
 }
 
-// sendHeartbeat sends a heartbeat to a peer from a goroutine of its own, which ends
-// within heartbeatTimeout.
-func (b *Broker) sendHeartbeat(now time.Time, peer, addr string, view overflow.BorrowerView) {
-	heartbeat := b.borrower.NewHeartbeat(now, b.settings.Cluster, peer, view)
-	if !b.settings.BorrowEnabled {
+// sendHeartbeat starts a goroutine that sends a heartbeat to a peer and enqueues the
+// handling of the outcome. The sending takes heartbeatTimeout at most.
+func (broker *Broker) sendHeartbeat(now time.Time, peer, addr string, view overflow.BorrowerView) {
+	heartbeat := broker.borrower.NewHeartbeat(now, broker.settings.Cluster, peer, view)
+	if !broker.settings.BorrowEnabled {
 		heartbeat.FreeCapacity = nil
 	}
-	borrower, tracker := b.borrower, b.peers[peer]
+	borrower, tracker := broker.borrower, broker.peers[peer]
 	go func() {
-		ctx, cancel := context.WithTimeout(b.ctx, heartbeatTimeout)
+		ctx, cancel := context.WithTimeout(broker.ctx, heartbeatTimeout)
 		defer cancel()
-		reply, err := b.sender.SendHeartbeat(ctx, peer, addr, heartbeat)
+		reply, err := broker.sender.SendHeartbeat(ctx, peer, addr, heartbeat)
 		latency := time.Since(now)
-		b.enqueue(func() {
-			b.metrics.observeReply(peer, err, latency)
+		broker.enqueue(func() {
+			broker.metrics.observeReply(peer, err, latency)
 			switch now := time.Now(); {
 			case errors.Is(err, link.ErrNotLeader):
 				tracker.NoteRedirect(now, "")
 			case err != nil:
 				slog.Debug("overflow: heartbeat failed", "peer", peer, "addr", addr, "err", err)
-				tracker.NoteFailure(now, b.rng)
+				tracker.NoteFailure(now, broker.rng)
 			default:
-				tracker.NoteReply(now, latency, b.rng)
-				if b.borrower == borrower && b.runsGuestTeam {
-					b.handleReply(peer, heartbeat.Sequence, reply)
+				tracker.NoteReply(now, latency, broker.rng)
+				if broker.borrower == borrower && broker.runsGuestTeam {
+					broker.handleReply(peer, heartbeat.Sequence, reply)
 				}
 			}
 		})
 	}()
 }
 
-// handleReply takes in a lender's reply to the heartbeat with that sequence number.
-func (b *Broker) handleReply(peer string, sequence uint64, reply overflow.HeartbeatReply) {
-	for _, transition := range b.borrower.HandleReply(peer, sequence, reply, b.borrowerView(), b.admit) {
-		b.commitBorrowerTransition(transition)
+// handleReply processes a lender's reply to the heartbeat with the sequence number.
+func (broker *Broker) handleReply(peer string, sequence uint64, reply overflow.HeartbeatReply) {
+	for _, transition := range broker.borrower.HandleReply(peer, sequence, reply, broker.borrowerView(), broker.admit) {
+		broker.commitBorrowerTransition(transition)
 	}
 }
 
 // admit returns the cause for which a peer's job is refused, or "" if it is accepted.
-func (b *Broker) admit(command overflow.Command) overflow.Cause {
+func (broker *Broker) admit(command overflow.Command) overflow.Cause {
 	switch {
-	case !b.settings.BorrowEnabled:
+	case !broker.settings.BorrowEnabled:
 		return overflow.Refused
-	case b.view.Draining:
+	case broker.view.Draining:
 		return overflow.Draining
 	}
-	cause := overflow.Admit(command, &b.admission, b.settings.Limits)
+	cause := overflow.Admit(command, &broker.admission, broker.settings.Limits)
 	if cause != "" {
-		b.metrics.countRefusal(cause)
+		broker.metrics.countRefusal(cause)
 	}
 	return cause
 }
--- a/internal/overflow/broker/metrics.go
+++ b/internal/overflow/broker/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// Metrics are the metrics of lending.
+// Metrics holds the Prometheus metrics of lending.
 type Metrics struct {
 	loanGauge    *prometheus.GaugeVec
 	replySeconds *prometheus.HistogramVec
@@ -18,12 +18,12 @@
 	ends         *prometheus.CounterVec
 }
 
-// NewMetrics returns the metrics, registered with reg.
-func NewMetrics(reg prometheus.Registerer) *Metrics {
+// NewMetrics creates the metrics and registers them with reg.
+func NewMetrics(registerer prometheus.Registerer) *Metrics {
 	opts := func(name, help string) prometheus.Opts {
 		return prometheus.Opts{Namespace: "micahill", Subsystem: "overflow", Name: name, Help: help}
 	}
-	m := &Metrics{
+	metrics := &Metrics{
 		loanGauge: prometheus.NewGaugeVec(prometheus.GaugeOpts(opts("loans", "Loans by side: lent or borrowed.")), []string{"side"}),
 		replySeconds: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "micahill", Subsystem: "overflow", Name: "answer_seconds", Help: "Answers of peers to our reports.",
@@ -32,16 +32,18 @@
 		refusals: prometheus.NewCounterVec(prometheus.CounterOpts(opts("refusals_total", "Peers' jobs that were not taken in.")), []string{"reason"}),
 		ends:     prometheus.NewCounterVec(prometheus.CounterOpts(opts("ends_total", "How loans of ours ended.")), []string{"how", "cause"}),
 	}
-	reg.MustRegister(m.loanGauge, m.replySeconds, m.refusals, m.ends)
-	return m
+	registerer.MustRegister(metrics.loanGauge, metrics.replySeconds, metrics.refusals, metrics.ends)
+	return metrics
 }
 
-func (m *Metrics) setLoans(v message.LoanView) {
-	m.loanGauge.WithLabelValues("lent").Set(float64(len(v.Lent)))
-	m.loanGauge.WithLabelValues("borrowed").Set(float64(len(v.Borrowed)))
+// setLoans sets the numbers of lent and of borrowed loans.
+func (metrics *Metrics) setLoans(view message.LoanView) {
+	metrics.loanGauge.WithLabelValues("lent").Set(float64(len(view.Lent)))
+	metrics.loanGauge.WithLabelValues("borrowed").Set(float64(len(view.Borrowed)))
 }
 
-func (m *Metrics) observeReply(peer string, err error, latency time.Duration) {
+// observeReply records the outcome of a heartbeat to a peer and how long it took.
+func (metrics *Metrics) observeReply(peer string, err error, latency time.Duration) {
 	outcome := "ok"
 	switch {
 	case errors.Is(err, link.ErrNotLeader):
@@ -49,11 +51,15 @@
 	case err != nil:
 		outcome = "failed"
 	}
-	m.replySeconds.WithLabelValues(peer, outcome).Observe(latency.Seconds())
+	metrics.replySeconds.WithLabelValues(peer, outcome).Observe(latency.Seconds())
 }
 
-func (m *Metrics) countRefusal(cause overflow.Cause) { m.refusals.WithLabelValues(string(cause)).Inc() }
+// countRefusal counts a peer's job that this cluster refused.
+func (metrics *Metrics) countRefusal(cause overflow.Cause) {
+	metrics.refusals.WithLabelValues(string(cause)).Inc()
+}
 
-func (m *Metrics) countEnd(transition overflow.LenderTransition) {
-	m.ends.WithLabelValues(transition.Kind.String(), string(transition.Cause)).Inc()
+// countEnd counts a lent loan that ended, by the kind of its end and the cause.
+func (metrics *Metrics) countEnd(transition overflow.LenderTransition) {
+	metrics.ends.WithLabelValues(transition.Kind.String(), string(transition.Cause)).Inc()
 }
--- a/internal/overflow/broker/plan.go
+++ b/internal/overflow/broker/plan.go
@@ -9,54 +9,54 @@
 	"github.com/micahill/micahill/internal/overflow"
 )
 
-// updatePressure takes over the simulation's results as limits of what is borrowed,
-// and gives back loans if own jobs or a drain need the capacity.
-func (b *Broker) updatePressure(now time.Time, view overflow.BorrowerView) {
-	v := &b.view
-	if !v.OwnWorkLate {
-		b.lateSince = time.Time{}
-	} else if b.lateSince.IsZero() {
-		b.lateSince = now
-	}
-	b.admission = overflow.AdmissionState{LoansIn: len(v.Borrowed), FreeCapacity: view.FreeCapacity, OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency}
-	pressure := overflow.Pressure{OwnWorkLate: v.OwnWorkLate, LateUrgency: v.LateUrgency, DrainIn: -1}
-	if v.OwnWorkLate {
-		pressure.LateFor = now.Sub(b.lateSince)
+// updatePressure updates the admission state from the simulation's results, and gives
+// back loans if this cluster's own jobs or a drain need their capacity.
+func (broker *Broker) updatePressure(now time.Time, view overflow.BorrowerView) {
+	loanView := &broker.view
+	if !loanView.OwnWorkLate {
+		broker.lateSince = time.Time{}
+	} else if broker.lateSince.IsZero() {
+		broker.lateSince = now
+	}
+	broker.admission = overflow.AdmissionState{LoansIn: len(loanView.Borrowed), FreeCapacity: view.FreeCapacity, OwnWorkLate: loanView.OwnWorkLate, LateUrgency: loanView.LateUrgency}
+	pressure := overflow.Pressure{OwnWorkLate: loanView.OwnWorkLate, LateUrgency: loanView.LateUrgency, DrainIn: -1}
+	if loanView.OwnWorkLate {
+		pressure.LateFor = now.Sub(broker.lateSince)
 	}
 	cause := overflow.GivenBack
-	if v.Draining {
-		pressure.DrainIn = max(0, time.Until(v.DrainDeadline))
+	if loanView.Draining {
+		pressure.DrainIn = max(0, time.Until(loanView.DrainDeadline))
 		cause = overflow.Draining
 	}
 	runTime := func(loan overflow.BorrowedLoan) time.Duration { return loan.Spec.ExpectedRunTime }
 	for _, loan := range overflow.ChooseGiveBacks(view.Borrowed, pressure, runTime) {
-		b.commitBorrowerTransition(overflow.BorrowerTransition{Kind: overflow.GiveUp, Loan: loan, Cause: cause})
+		broker.commitBorrowerTransition(overflow.BorrowerTransition{Kind: overflow.GiveUp, Loan: loan, Cause: cause})
 	}
 }
 
-// lend chooses waiting jobs to lend and hands them over.
-func (b *Broker) lend(now time.Time) {
-	v := &b.view
-	maps.DeleteFunc(b.returnedAt, func(_ string, at time.Time) bool { return now.Sub(at) > giveBackCooldown })
+// lend chooses waiting jobs to lend and starts their transactions.
+func (broker *Broker) lend(now time.Time) {
+	loanView := &broker.view
+	maps.DeleteFunc(broker.returnedAt, func(_ string, at time.Time) bool { return now.Sub(at) > giveBackCooldown })
 	var candidates []overflow.Candidate
-	for _, job := range v.Waiting {
-		_, coolingDown := b.returnedAt[job.Spec.ID]
+	for _, job := range loanView.Waiting {
+		_, coolingDown := broker.returnedAt[job.Spec.ID]
 		candidates = append(candidates, overflow.Candidate{
 			Job: job.Spec.ID, Spec: job.Spec, SLODue: job.SLODue, HomeFinish: job.HomeFinish, RunTime: job.RunTime, LendCount: job.LendCount, CoolingDown: coolingDown,
 		})
 	}
 	loansOut := map[string]int{}
-	for _, lent := range v.Lent {
+	for _, lent := range loanView.Lent {
 		loansOut[lent.Peer]++
 	}
 	var peers []overflow.PeerSnapshot
-	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
-		peers = append(peers, b.peers[name].Snapshot(now, loansOut[name]))
+	for _, name := range slices.Sorted(maps.Keys(broker.peers)) {
+		peers = append(peers, broker.peers[name].Snapshot(now, loansOut[name]))
 	}
-	for _, offer := range overflow.ChooseOffers(candidates, peers, b.settings.Limits, v.CheapestCPUHour) {
-		job := candidates[slices.IndexFunc(candidates, func(c overflow.Candidate) bool { return c.Job == offer.Job })]
-		loan := overflow.Loan{Home: b.settings.Cluster, Job: offer.Job, LendCount: job.LendCount + 1}
+	for _, offer := range overflow.ChooseOffers(candidates, peers, broker.settings.Limits, loanView.CheapestCPUHour) {
+		job := candidates[slices.IndexFunc(candidates, func(candidate overflow.Candidate) bool { return candidate.Job == offer.Job })]
+		loan := overflow.Loan{Home: broker.settings.Cluster, Job: offer.Job, LendCount: job.LendCount + 1}
 		slog.Info("overflow: job lent", "loan", loan, "peer", offer.Peer, "reason", offer.Reason, "peer_finish_in", offer.PeerFinish, "home_finish_in", job.HomeFinish, "slo_due_in", job.SLODue)
-		b.commitLenderTransition(overflow.LenderTransition{Kind: overflow.Lend, Loan: loan, Peer: offer.Peer, StopBound: b.peers[offer.Peer].StopBound()})
+		broker.commitLenderTransition(overflow.LenderTransition{Kind: overflow.Lend, Loan: loan, Peer: offer.Peer, StopBound: broker.peers[offer.Peer].StopBound()})
 	}
 }
--- a/internal/overflow/broker/poll.go
+++ b/internal/overflow/broker/poll.go
@@ -12,135 +12,140 @@
 	"github.com/micahill/micahill/internal/overflow/link"
 )
 
-// poll asks the controller for the durable state and acts on it. Heartbeats that
-// wait are answered from that state, or refused if there is none.
-func (b *Broker) poll(ctx context.Context) {
-	withSimulation := time.Since(b.simulatedAt) >= simulationInterval && len(b.settings.Peers) > 0
-	query := b.newQuery(withSimulation)
+// poll asks the controller for the durable state and acts on it. It answers the waiting
+// heartbeats from that state, or refuses them if the controller returns none.
+func (broker *Broker) poll(ctx context.Context) {
+	withSimulation := time.Since(broker.simulatedAt) >= simulationInterval && len(broker.settings.Peers) > 0
+	query := broker.newQuery(withSimulation)
 	ctx, cancel := context.WithTimeout(ctx, controllerTimeout)
 	defer cancel()
-	effect, err := b.controller.Ask(ctx, func(reply uint64) message.Command { query.Reply = reply; return query })
-	b.viewedAt = time.Now()
+	effect, err := broker.controller.Ask(ctx, func(reply uint64) message.Command { query.Reply = reply; return query })
+	broker.viewedAt = time.Now()
 	view, ok := effect.(message.LoanView)
-	heartbeats := b.pendingHeartbeats
-	b.pendingHeartbeats = nil
+	heartbeats := broker.pendingHeartbeats
+	broker.pendingHeartbeats = nil
 	if err != nil || !ok || !view.OK {
 		for _, pending := range heartbeats {
 			pending.result <- heartbeatResult{err: link.ErrStale}
 		}
 		return
 	}
-	b.updateRoles(view)
+	broker.updateRoles(view)
 	if !withSimulation {
-		// The previous simulation's results hold until the next one.
-		view.Waiting, view.FreeCapacity, view.CachedImages = b.view.Waiting, b.view.FreeCapacity, b.view.CachedImages
-		view.OwnWorkLate, view.LateUrgency, view.CheapestCPUHour = b.view.OwnWorkLate, b.view.LateUrgency, b.view.CheapestCPUHour
+		// The previous simulation's results are used until the next simulation.
+		view.Waiting, view.FreeCapacity, view.CachedImages = broker.view.Waiting, broker.view.FreeCapacity, broker.view.CachedImages
+		view.OwnWorkLate, view.LateUrgency, view.CheapestCPUHour = broker.view.OwnWorkLate, broker.view.LateUrgency, broker.view.CheapestCPUHour
 	}
-	b.view = view
-	b.advance(withSimulation, heartbeats)
+	broker.view = view
+	broker.advance(withSimulation, heartbeats)
 }
 
-// newQuery returns the query of the durable state. With it goes what the broker has
-// learnt of the loans since the last one.
-func (b *Broker) newQuery(withSimulation bool) message.QueryLoans {
-	query := message.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: b.settings.GuestTeam}
-	for _, borrowed := range b.view.Borrowed {
+// newQuery returns the query for the durable state. The query also carries until when
+// tasks of borrowed jobs may be started, and the progress of lent jobs that peers have
+// reported since the last query.
+func (broker *Broker) newQuery(withSimulation bool) message.QueryLoans {
+	query := message.QueryLoans{StartableUntil: map[string]time.Time{}, WithSimulation: withSimulation, GuestTeam: broker.settings.GuestTeam}
+	for _, borrowed := range broker.view.Borrowed {
 		if loan, err := overflow.ParseLoan(borrowed.Loan); err == nil {
-			if until := b.borrower.StartableUntil(loan); !until.IsZero() {
+			if until := broker.borrower.StartableUntil(loan); !until.IsZero() {
 				query.StartableUntil[borrowed.Job] = until
 			}
 		}
 	}
-	for _, job := range slices.Sorted(maps.Keys(b.progress)) {
-		query.Progress = append(query.Progress, b.progress[job])
+	for _, job := range slices.Sorted(maps.Keys(broker.progress)) {
+		query.Progress = append(query.Progress, broker.progress[job])
 	}
-	clear(b.progress)
+	clear(broker.progress)
 	return query
 }
 
-// updateRoles takes over the controller's roles. A new epoch or term starts with a
-// new Lender or Borrower.
-func (b *Broker) updateRoles(view message.LoanView) {
-	if view.IsLeader && (!b.isLeader || view.Epoch != b.epoch) {
+// updateRoles adopts the controller's roles from the view. It creates a new Lender for
+// a new epoch of the leader, and a new Borrower for a new term of the guest team.
+func (broker *Broker) updateRoles(view message.LoanView) {
+	if view.IsLeader && (!broker.isLeader || view.Epoch != broker.epoch) {
 		slog.Info("overflow: lender role started", "epoch", view.Epoch, "lent", len(view.Lent))
-		b.resetLender(b.viewedAt)
-		b.epoch = view.Epoch
+		broker.resetLender(broker.viewedAt)
+		broker.epoch = view.Epoch
 	}
-	if view.RunsGuestTeam && (!b.runsGuestTeam || view.GuestTeamTerm != b.term) {
+	if view.RunsGuestTeam && (!broker.runsGuestTeam || view.GuestTeamTerm != broker.term) {
 		slog.Info("overflow: borrower role started", "epoch", view.GuestTeamEpoch, "borrowed", len(view.Borrowed))
-		b.resetBorrower()
-		b.term, b.renewedAt = view.GuestTeamTerm, b.viewedAt
+		broker.resetBorrower()
+		broker.term, broker.renewedAt = view.GuestTeamTerm, broker.viewedAt
 	}
-	b.isLeader, b.runsGuestTeam = view.IsLeader, view.RunsGuestTeam
+	broker.isLeader, broker.runsGuestTeam = view.IsLeader, view.RunsGuestTeam
 }
 
-// advance acts on the new view: it answers heartbeats, ends expired loans, chooses
-// offers after a simulation, and sends the heartbeats that are due.
-func (b *Broker) advance(simulated bool, heartbeats []pendingHeartbeat) {
-	now := b.viewedAt
-	lenderView, borrowerView := b.lenderView(), b.borrowerView()
+// advance acts on the new view: it answers heartbeats, ends expired loans, chooses jobs
+// to lend if the view has new simulation results, and sends the heartbeats that are due.
+func (broker *Broker) advance(simulated bool, heartbeats []pendingHeartbeat) {
+	now := broker.viewedAt
+	lenderView, borrowerView := broker.lenderView(), broker.borrowerView()
 	for _, pending := range heartbeats {
-		if !b.isLeader {
+		if !broker.isLeader {
 			pending.result <- heartbeatResult{err: link.ErrNotLeader}
 			continue
 		}
-		pending.result <- b.answerHeartbeat(now, lenderView, pending.heartbeat)
+		pending.result <- broker.answerHeartbeat(now, lenderView, pending.heartbeat)
 	}
-	if b.isLeader {
-		b.expireLent(now, lenderView)
+	if broker.isLeader {
+		broker.expireLent(now, lenderView)
 	}
-	if b.runsGuestTeam {
-		b.expireBorrowed(now, borrowerView)
+	if broker.runsGuestTeam {
+		broker.expireBorrowed(now, borrowerView)
 	}
 	if simulated {
-		b.simulatedAt = now
-		b.updatePressure(now, borrowerView)
-		if b.settings.LendEnabled && !b.view.Draining && b.isLeader {
-			b.lend(now)
+		broker.simulatedAt = now
+		broker.updatePressure(now, borrowerView)
+		if broker.settings.LendEnabled && !broker.view.Draining && broker.isLeader {
+			broker.lend(now)
 		}
 	}
-	if b.runsGuestTeam && now.Sub(b.renewedAt) >= renewalInterval {
-		b.renewedAt = now
-		if renewals := b.borrower.Renewals(b.settings.LoanLease, borrowerView); len(renewals) > 0 {
-			b.controller.Post(message.RenewCommand{RenewedAt: renewals})
+	if broker.runsGuestTeam && now.Sub(broker.renewedAt) >= renewalInterval {
+		broker.renewedAt = now
+		if renewals := broker.borrower.Renewals(broker.settings.LoanLease, borrowerView); len(renewals) > 0 {
+			broker.controller.Post(message.RenewCommand{RenewedAt: renewals})
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
-		peer := b.peers[name]
+	for _, name := range slices.Sorted(maps.Keys(broker.peers)) {
+		peer := broker.peers[name]
 		if state, changed := peer.StateChanged(now); changed {
 			slog.Info("overflow: peer state changed", "cluster", name, "state", state, "trust", peer.Trust(now))
 		}
-		if !b.runsGuestTeam {
+		if !broker.runsGuestTeam {
 			continue
 		}
 		if addr, due := peer.NextRequest(now); due {
-			b.sendHeartbeat(now, name, addr, borrowerView)
+			broker.sendHeartbeat(now, name, addr, borrowerView)
 		}
 	}
-	b.metrics.setLoans(b.view)
+	broker.metrics.setLoans(broker.view)
 }
 
-func (b *Broker) expireLent(now time.Time, view overflow.LenderView) {
-	for _, transition := range b.lender.ExpiredLoans(now, view) {
-		if peer := b.peers[b.peerOf(transition.Loan)]; peer != nil {
+// expireLent takes back the lent jobs whose lease has expired, and lowers the trust in
+// their peers.
+func (broker *Broker) expireLent(now time.Time, view overflow.LenderView) {
+	for _, transition := range broker.lender.ExpiredLoans(now, view) {
+		if peer := broker.peers[broker.peerOf(transition.Loan)]; peer != nil {
 			peer.NoteBroken(now)
 		}
-		b.commitLenderTransition(transition)
+		broker.commitLenderTransition(transition)
 	}
 }
 
-func (b *Broker) expireBorrowed(now time.Time, view overflow.BorrowerView) {
+// expireBorrowed notes the acceptances that the view shows as durable, and gives up the
+// borrowed jobs whose lease has expired.
+func (broker *Broker) expireBorrowed(now time.Time, view overflow.BorrowerView) {
 	for _, borrowed := range view.Borrowed {
-		b.borrower.NoteAccepted(borrowed.Loan, true)
+		broker.borrower.NoteAccepted(borrowed.Loan, true)
 	}
-	for _, transition := range b.borrower.ExpiredLoans(now, b.settings.LoanLease, view) {
-		b.commitBorrowerTransition(transition)
+	for _, transition := range broker.borrower.ExpiredLoans(now, broker.settings.LoanLease, view) {
+		broker.commitBorrowerTransition(transition)
 	}
 }
 
-// peerOf is the peer that holds a lent job, or "".
-func (b *Broker) peerOf(loan overflow.Loan) string {
-	for _, lent := range b.view.Lent {
+// peerOf returns the peer that holds a lent loan, or "" if the view doesn't have it.
+func (broker *Broker) peerOf(loan overflow.Loan) string {
+	for _, lent := range broker.view.Lent {
 		if lent.Spec.ID == loan.Job && lent.LendCount == loan.LendCount {
 			return lent.Peer
 		}
--- a/internal/overflow/broker/status.go
+++ b/internal/overflow/broker/status.go
@@ -9,13 +9,13 @@
 	"github.com/micahill/micahill/internal/overflow"
 )
 
-// Status is lending as this controller sees it, for its operators.
+// Status is the state of lending on this controller, for operators.
 type Status struct {
 	Cluster string `json:"cluster"`
-	// IsLeader says whether this controller answers the peers, and Leader which one
-	// does.
+	// IsLeader means that this controller answers the peers' heartbeats. Leader names
+	// the controller that does.
 	IsLeader bool `json:"leads"`
-	// RunsGuestTeam says whether this controller runs what is borrowed.
+	// RunsGuestTeam means that this controller runs the borrowed jobs.
 	RunsGuestTeam bool         `json:"guests"`
 	Leader        string       `json:"leader"`
 	Draining      bool         `json:"draining"`
@@ -25,7 +25,8 @@
 	Borrowed      []LoanStatus `json:"borrowed"`
 }
 
-// PeerStatus is one peer. HeardSeconds is the time since its last heartbeat.
+// PeerStatus is the state of one peer. HeardSeconds is the time since its last
+// heartbeat, and 0 if there was none.
 type PeerStatus struct {
 	Cluster         string  `json:"cluster"`
 	State           string  `json:"state"`
@@ -38,7 +39,7 @@
 	Borrowed        int     `json:"borrowed"`
 }
 
-// LoanStatus is one loan. State is a text for operators.
+// LoanStatus is the state of one loan. State is a text for operators.
 type LoanStatus struct {
 	Loan  string `json:"loan"`
 	Peer  string `json:"peer"`
@@ -46,42 +47,43 @@
 	Tasks int    `json:"tasks"`
 }
 
-// Status returns the status from the event loop. It fails only when the context
-// ends before the loop is free.
-func (b *Broker) Status(ctx context.Context) (Status, error) {
-	out := make(chan Status, 1)
+// Status returns the current status. It waits for the event loop, and fails only if the
+// context ends before the loop is free.
+func (broker *Broker) Status(ctx context.Context) (Status, error) {
+	response := make(chan Status, 1)
 	select {
-	case b.statusRequests <- out:
-		return <-out, nil
+	case broker.statusRequests <- response:
+		return <-response, nil
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	}
 }
 
-func (b *Broker) status(now time.Time) Status {
-	s := Status{Cluster: b.settings.Cluster, IsLeader: b.isLeader, RunsGuestTeam: b.runsGuestTeam, Leader: b.view.Leader, Draining: b.view.Draining, DrainDeadline: b.view.DrainDeadline, Peers: []PeerStatus{}, Lent: []LoanStatus{}, Borrowed: []LoanStatus{}}
-	if !b.isLeader && !b.runsGuestTeam {
-		return s
+// status builds the status. Only a controller with a role lists peers and loans.
+func (broker *Broker) status(now time.Time) Status {
+	result := Status{Cluster: broker.settings.Cluster, IsLeader: broker.isLeader, RunsGuestTeam: broker.runsGuestTeam, Leader: broker.view.Leader, Draining: broker.view.Draining, DrainDeadline: broker.view.DrainDeadline, Peers: []PeerStatus{}, Lent: []LoanStatus{}, Borrowed: []LoanStatus{}}
+	if !broker.isLeader && !broker.runsGuestTeam {
+		return result
 	}
 	lent, borrowed := map[string]int{}, map[string]int{}
-	for _, lentJob := range b.view.Lent {
+	for _, lentJob := range broker.view.Lent {
 		lent[lentJob.Peer]++
 		state := "lent"
 		if lentJob.CancelRequested {
 			state = "being cancelled"
 		}
-		s.Lent = append(s.Lent, LoanStatus{b.loanOf(lentJob).String(), lentJob.Peer, state, lentJob.Spec.Tasks})
+		result.Lent = append(result.Lent, LoanStatus{broker.loanOf(lentJob).String(), lentJob.Peer, state, lentJob.Spec.Tasks})
 	}
-	for _, loan := range b.borrowerView().Borrowed {
+	for _, loan := range broker.borrowerView().Borrowed {
 		borrowed[loan.Loan.Home]++
 		state := loan.State.String()
 		if loan.Ending && loan.State == overflow.Held {
 			state = "given up"
 		}
-		s.Borrowed = append(s.Borrowed, LoanStatus{loan.Loan.String(), loan.Loan.Home, state, loan.Spec.Tasks})
+		result.Borrowed = append(result.Borrowed, LoanStatus{loan.Loan.String(), loan.Loan.Home, state, loan.Spec.Tasks})
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.peers)) {
-		peer := b.peers[name]
+	for _, name := range slices.Sorted(maps.Keys(broker.peers)) {
+		peer := broker.peers[name]
 		status := PeerStatus{
 			Cluster: name, State: peer.State(now).String(), Trust: peer.Trust(now), LatencyMS: float64(peer.Latency().Microseconds()) / 1000,
 			BreakerOpen: !peer.IsReachable(now), OfferedMachines: peer.OfferedMachines(), Lent: lent[name], Borrowed: borrowed[name],
@@ -89,7 +91,7 @@
 		if heardAt := peer.HeardAt(); !heardAt.IsZero() {
 			status.HeardSeconds = now.Sub(heardAt).Seconds()
 		}
-		s.Peers = append(s.Peers, status)
+		result.Peers = append(result.Peers, status)
 	}
-	return s
+	return result
 }
--- a/internal/overflow/broker/views.go
+++ b/internal/overflow/broker/views.go
@@ -8,37 +8,39 @@
 	"github.com/micahill/micahill/internal/overflow"
 )
 
-// lenderView is the controller's last view as the Lender needs it.
-func (b *Broker) lenderView() overflow.LenderView {
-	view := overflow.LenderView{Epoch: b.view.Epoch, LeaseValidUntil: b.view.LeaseValidUntil}
-	for _, lent := range b.view.Lent {
+// lenderView converts the controller's last view for the Lender.
+func (broker *Broker) lenderView() overflow.LenderView {
+	view := overflow.LenderView{Epoch: broker.view.Epoch, LeaseValidUntil: broker.view.LeaseValidUntil}
+	for _, lent := range broker.view.Lent {
 		view.Lent = append(view.Lent, overflow.LentLoan{
-			Loan: b.loanOf(lent), Peer: lent.Peer, Spec: lent.Spec, SubmittedAt: lent.SubmittedAt, StopBound: lent.StopBound, CancelRequested: lent.CancelRequested,
+			Loan: broker.loanOf(lent), Peer: lent.Peer, Spec: lent.Spec, SubmittedAt: lent.SubmittedAt, StopBound: lent.StopBound, CancelRequested: lent.CancelRequested,
 		})
 	}
 	return view
 }
 
-// loanOf is the loan by which a job of this cluster is lent.
-func (b *Broker) loanOf(lent message.LentJob) overflow.Loan {
-	return overflow.Loan{Home: b.settings.Cluster, Job: lent.Spec.ID, LendCount: lent.LendCount}
+// loanOf returns the loan under which a job of this cluster is lent.
+func (broker *Broker) loanOf(lent message.LentJob) overflow.Loan {
+	return overflow.Loan{Home: broker.settings.Cluster, Job: lent.Spec.ID, LendCount: lent.LendCount}
 }
 
-// borrowerView is the controller's last view as the Borrower needs it.
-func (b *Broker) borrowerView() overflow.BorrowerView {
-	v := &b.view
+// borrowerView converts the controller's last view for the Borrower. It leaves out a
+// loan whose name is invalid.
+func (broker *Broker) borrowerView() overflow.BorrowerView {
+	loanView := &broker.view
 	view := overflow.BorrowerView{
-		Epoch: v.GuestTeamEpoch, Draining: v.Draining, LendsItself: len(v.Lent) > 0 || v.OwnWorkLate,
-		StopBound: workerLeaseCount*b.settings.WorkerLease + stopMargin, CachedImages: v.CachedImages, RenewedAt: map[string]time.Time{},
+		Epoch: loanView.GuestTeamEpoch, Draining: loanView.Draining, LendsItself: len(loanView.Lent) > 0 || loanView.OwnWorkLate,
+		StopBound: workerLeaseCount*broker.settings.WorkerLease + stopMargin, CachedImages: loanView.CachedImages, RenewedAt: map[string]time.Time{},
 	}
-	for home, renewedAt := range v.RenewedAt {
-		// Another controller's clock wrote it, and either clock may be off.
-		view.RenewedAt[home] = renewedAt.Add(-2 * b.settings.ClockBound)
+	for home, renewedAt := range loanView.RenewedAt {
+		// The time is from another controller's clock. Either clock may be wrong by
+		// ClockBound.
+		view.RenewedAt[home] = renewedAt.Add(-2 * broker.settings.ClockBound)
 	}
-	for _, capacity := range v.FreeCapacity {
+	for _, capacity := range loanView.FreeCapacity {
 		view.FreeCapacity = append(view.FreeCapacity, overflow.FreeCapacity(capacity))
 	}
-	for _, borrowed := range v.Borrowed {
+	for _, borrowed := range loanView.Borrowed {
 		loan, err := overflow.ParseLoan(borrowed.Loan)
 		if err != nil {
 			continue
@@ -51,8 +53,8 @@
 	return view
 }
 
-// loanState is the state of a borrowed job's loan. While the job's status isn't
-// known, the loan counts as held.
+// loanState returns the state of a borrowed job's loan. The loan counts as held while
+// the job's status isn't known.
 func loanState(borrowed message.BorrowedJob) overflow.LoanState {
 	switch {
 	case borrowed.StatusKnown && borrowed.Status == model.Done:
--- a/internal/overflow/link/errors.go
+++ b/internal/overflow/link/errors.go
@@ -5,27 +5,29 @@
 	"fmt"
 )
 
-// ErrNotLeader says that another controller of the cluster answers heartbeats.
-var ErrNotLeader = errors.New("link: another controller answers")
+// ErrNotLeader means that another controller of the cluster answers heartbeats.
+var ErrNotLeader = errors.New("link: another controller of the cluster answers heartbeats")
 
-// ErrStale says that the heartbeat is older than the last one, or that the cluster
-// can't answer now.
-var ErrStale = errors.New("link: not now")
+// ErrStale means that the heartbeat is not newer than the last one, or that the cluster
+// can't answer heartbeats now.
+var ErrStale = errors.New("link: the heartbeat is outdated or can't be answered now")
 
-// RefusedError is a peer's refusal of a heartbeat, with its reason. It wraps
-// ErrNotLeader or ErrStale if the code says so.
+// RefusedError is a peer's refusal of a heartbeat. It wraps ErrNotLeader or ErrStale if
+// Code is the code of that error.
 type RefusedError struct {
-	Code   Code
+	Code Code
+	// Reason is the peer's explanation, for operators.
 	Reason string
 }
 
-func (r *RefusedError) Error() string {
-	return fmt.Sprintf("link: refused: %s (%s)", r.Reason, r.Code)
+// Error returns the refusal's reason and code.
+func (refusal *RefusedError) Error() string {
+	return fmt.Sprintf("link: refused: %s (%s)", refusal.Reason, refusal.Code)
 }
 
-// Unwrap returns the sentinel error of the refusal's code, or nil.
-func (r *RefusedError) Unwrap() error {
-	switch r.Code {
+// Unwrap returns ErrNotLeader or ErrStale if the code is that of the error, else nil.
+func (refusal *RefusedError) Unwrap() error {
+	switch refusal.Code {
 	case Code_NOT_LEADER:
 		return ErrNotLeader
 	case Code_STALE:
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -1,6 +1,7 @@
-// Package link carries heartbeats and replies between clusters: protobuf frames over
-// TLS 1.3 with certificates on both sides. The names of the wire (report, answer,
-// order, room, flavour) stay within this package.
+// Package link sends heartbeats and replies between clusters, as protobuf frames over
+// TLS 1.3 with certificates on both sides. The names of the protobuf messages and fields
+// are used in this package only: a report is a heartbeat, an answer a reply, an order a
+// command, room is free capacity, and a flavour is a machine type.
 package link
 
 import (
@@ -17,28 +18,32 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Version is the version of the protocol between clusters that this program speaks.
+// Version is the version of the protocol between clusters that this program implements.
 const Version = 1
 
-// ErrForged says that a frame's number is wrong, or a record's MAC: the record was
-// changed, or belongs to another loan, frame, direction or connection.
-var ErrForged = errors.New("link: a record is not bound to its loan")
+// ErrForged means that a frame's sequence number or a record's MAC is wrong. A wrong MAC
+// means that the record was changed, or was made for another loan, frame, direction or
+// connection.
+var ErrForged = errors.New("link: the frame or one of its records is not authentic")
 
-// binder makes and checks the MACs that bind records to their loans on one
-// connection. The key comes out of the TLS handshake, so that only the two ends of
-// the connection have it.
+// binder creates and verifies the MACs that bind records to their loans on one
+// connection. The key is derived from the TLS session, so that only the two ends of the
+// connection know it. lender and borrower are the names of the two clusters.
 type binder struct {
 	key      []byte
 	lender   string
 	borrower string
 }
 
+// exporterLabel is the TLS exporter label of the MAC key. keyBytes and macBytes are the
+// lengths of the key and of a MAC.
 const (
 	exporterLabel = "EXPORTER-micahill-overflow-1"
 	keyBytes      = 32
 	macBytes      = 32
 )
 
+// newBinder returns a binder for a connection, with the key of the TLS session.
 func newBinder(state tls.ConnectionState, borrower, lender string) (*binder, error) {
 	key, err := state.ExportKeyingMaterial(exporterLabel, nil, keyBytes)
 	if err != nil {
@@ -47,62 +52,64 @@
 	return &binder{key: key, borrower: borrower, lender: lender}, nil
 }
 
-// The direction is part of the MAC, so that no heartbeat record can serve as a reply.
+// directionHeartbeat and directionReply are the directions of a frame. The MAC covers the
+// direction, so that a record of a heartbeat is never accepted in a reply, or vice versa.
 const (
 	directionHeartbeat = byte(1)
 	directionReply     = byte(2)
 )
 
-// mac is the MAC of a record. Texts are preceded by their length, so that no two
-// records have the same input.
-func (b *binder) mac(direction byte, seq uint64, x *Bound) ([]byte, error) {
-	h, err := blake3.NewKeyed(b.key)
+// mac returns the MAC of a record. In the MAC's input each string is preceded by its
+// length, so that no two different records have the same input.
+func (binder *binder) mac(direction byte, seq uint64, bound *Bound) ([]byte, error) {
+	hash, err := blake3.NewKeyed(binder.key)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
 	write := func(text []byte) {
-		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(text))))
-		h.Write(text)
+		hash.Write(binary.BigEndian.AppendUint64(nil, uint64(len(text))))
+		hash.Write(text)
 	}
-	h.Write([]byte{direction})
-	h.Write(binary.BigEndian.AppendUint64(nil, seq))
-	for _, s := range []string{b.borrower, b.lender, x.Home, x.Job} {
-		write([]byte(s))
+	hash.Write([]byte{direction})
+	hash.Write(binary.BigEndian.AppendUint64(nil, seq))
+	for _, name := range []string{binder.borrower, binder.lender, bound.Home, bound.Job} {
+		write([]byte(name))
 	}
-	h.Write(binary.BigEndian.AppendUint64(nil, x.N))
-	write(x.Record)
-	return h.Sum(nil)[:macBytes], nil
+	hash.Write(binary.BigEndian.AppendUint64(nil, bound.N))
+	write(bound.Record)
+	return hash.Sum(nil)[:macBytes], nil
 }
 
-// bind encodes a message and binds it to the loan.
-func (b *binder) bind(direction byte, seq uint64, l overflow.Loan, m proto.Message) (*Bound, error) {
-	encoded, err := proto.Marshal(m)
+// bind encodes a message as a record of the loan, with its MAC.
+func (binder *binder) bind(direction byte, seq uint64, loan overflow.Loan, message proto.Message) (*Bound, error) {
+	encoded, err := proto.Marshal(message)
 	if err != nil {
 		return nil, fmt.Errorf("link: %w", err)
 	}
-	x := &Bound{Home: l.Home, Job: l.Job, N: l.LendCount, Record: encoded}
-	x.Mac, err = b.mac(direction, seq, x)
-	return x, err
+	bound := &Bound{Home: loan.Home, Job: loan.Job, N: loan.LendCount, Record: encoded}
+	bound.Mac, err = binder.mac(direction, seq, bound)
+	return bound, err
 }
 
-// verify checks a record's MAC and decodes it into m. It fails with ErrForged if the
-// MAC is wrong.
-func (b *binder) verify(direction byte, seq uint64, x *Bound, m proto.Message) (overflow.Loan, error) {
-	l := overflow.Loan{Home: x.Home, Job: x.Job, LendCount: x.N}
-	want, err := b.mac(direction, seq, x)
+// verify checks a record's MAC, decodes the record into message and returns its loan. It fails
+// with ErrForged if the MAC is wrong.
+func (binder *binder) verify(direction byte, seq uint64, bound *Bound, message proto.Message) (overflow.Loan, error) {
+	loan := overflow.Loan{Home: bound.Home, Job: bound.Job, LendCount: bound.N}
+	want, err := binder.mac(direction, seq, bound)
 	if err != nil {
-		return l, err
+		return loan, err
 	}
-	if subtle.ConstantTimeCompare(want, x.Mac) != 1 {
-		return l, ErrForged
+	if subtle.ConstantTimeCompare(want, bound.Mac) != 1 {
+		return loan, ErrForged
 	}
-	if err := proto.Unmarshal(x.Record, m); err != nil {
-		return l, fmt.Errorf("link: %w", err)
+	if err := proto.Unmarshal(bound.Record, message); err != nil {
+		return loan, fmt.Errorf("link: %w", err)
 	}
-	return l, nil
+	return loan, nil
 }
 
-func (b *binder) encodeHeartbeat(seq uint64, heartbeat overflow.Heartbeat) (*Report, error) {
+// encodeHeartbeat converts a heartbeat for the frame with the sequence number seq.
+func (binder *binder) encodeHeartbeat(seq uint64, heartbeat overflow.Heartbeat) (*Report, error) {
 	report := &Report{
 		From: heartbeat.From, Epoch: heartbeat.Epoch, Tick: heartbeat.Sequence, HomeEpoch: heartbeat.HomeEpoch, Draining: heartbeat.Draining, Lender: heartbeat.LendsItself,
 		StopMs: heartbeat.StopBound.Milliseconds(), Images: heartbeat.CachedImages,
@@ -113,8 +120,8 @@
 			InMs: capacity.AvailableIn.Milliseconds(), Price: capacity.CostPerCPUHour, Rate: capacity.FetchRate,
 		})
 	}
-	for _, l := range heartbeat.Loans {
-		bound, err := b.bind(directionHeartbeat, seq, l.Loan, &LoanReport{State: int32(l.State), Cause: string(l.Cause), Done: int64(l.DoneTasks), Running: int64(l.RunningTasks)})
+	for _, loanReport := range heartbeat.Loans {
+		bound, err := binder.bind(directionHeartbeat, seq, loanReport.Loan, &LoanReport{State: int32(loanReport.State), Cause: string(loanReport.Cause), Done: int64(loanReport.DoneTasks), Running: int64(loanReport.RunningTasks)})
 		if err != nil {
 			return nil, err
 		}
@@ -123,7 +130,9 @@
 	return report, nil
 }
 
-func (b *binder) decodeHeartbeat(seq uint64, report *Report) (overflow.Heartbeat, error) {
+// decodeHeartbeat converts and verifies the heartbeat of the frame with the sequence
+// number seq.
+func (binder *binder) decodeHeartbeat(seq uint64, report *Report) (overflow.Heartbeat, error) {
 	heartbeat := overflow.Heartbeat{
 		From: report.From, Epoch: report.Epoch, Sequence: report.Tick, HomeEpoch: report.HomeEpoch, Draining: report.Draining, LendsItself: report.Lender,
 		StopBound: millis(report.StopMs), CachedImages: report.Images,
@@ -135,27 +144,28 @@
 		})
 	}
 	for _, bound := range report.Loans {
-		var l LoanReport
-		loan, err := b.verify(directionHeartbeat, seq, bound, &l)
+		var loanReport LoanReport
+		loan, err := binder.verify(directionHeartbeat, seq, bound, &loanReport)
 		if err != nil {
 			return heartbeat, err
 		}
-		if l.State < int32(overflow.Held) || l.State > int32(overflow.Gone) {
-			return heartbeat, fmt.Errorf("link: loan %s: state %d is not known", loan, l.State)
+		if loanReport.State < int32(overflow.Held) || loanReport.State > int32(overflow.Gone) {
+			return heartbeat, fmt.Errorf("link: loan %s: unknown loan state %d", loan, loanReport.State)
 		}
-		heartbeat.Loans = append(heartbeat.Loans, overflow.LoanReport{Loan: loan, State: overflow.LoanState(l.State), Cause: overflow.Cause(l.Cause), DoneTasks: int(l.Done), RunningTasks: int(l.Running)})
+		heartbeat.Loans = append(heartbeat.Loans, overflow.LoanReport{Loan: loan, State: overflow.LoanState(loanReport.State), Cause: overflow.Cause(loanReport.Cause), DoneTasks: int(loanReport.Done), RunningTasks: int(loanReport.Running)})
 	}
 	return heartbeat, nil
 }
 
-func (b *binder) encodeReply(seq uint64, reply overflow.HeartbeatReply) (*Answer, error) {
+// encodeReply converts a reply for the frame with the sequence number seq.
+func (binder *binder) encodeReply(seq uint64, reply overflow.HeartbeatReply) (*Answer, error) {
 	answer := &Answer{Epoch: reply.Epoch, LeaseMs: reply.Lease.Milliseconds()}
 	for _, command := range reply.Commands {
 		order := &Order{Verb: int32(command.Kind), AgeMs: command.Age.Milliseconds()}
 		if command.Kind == overflow.Take {
 			order.Spec = encodeSpec(&command.Spec)
 		}
-		bound, err := b.bind(directionReply, seq, command.Loan, order)
+		bound, err := binder.bind(directionReply, seq, command.Loan, order)
 		if err != nil {
 			return nil, err
 		}
@@ -164,17 +174,18 @@
 	return answer, nil
 }
 
-func (b *binder) decodeReply(seq uint64, answer *Answer) (overflow.HeartbeatReply, error) {
+// decodeReply converts and verifies the reply of the frame with the sequence number seq.
+func (binder *binder) decodeReply(seq uint64, answer *Answer) (overflow.HeartbeatReply, error) {
 	reply := overflow.HeartbeatReply{Epoch: answer.Epoch, Lease: millis(answer.LeaseMs)}
 	for _, bound := range answer.Orders {
 		var order Order
-		loan, err := b.verify(directionReply, seq, bound, &order)
+		loan, err := binder.verify(directionReply, seq, bound, &order)
 		if err != nil {
 			return reply, err
 		}
 		command := overflow.Command{Kind: overflow.CommandKind(order.Verb), Loan: loan, Age: millis(order.AgeMs)}
 		if order.Verb < int32(overflow.Take) || order.Verb > int32(overflow.Forget) || command.Kind == overflow.Take && order.Spec == nil {
-			return reply, fmt.Errorf("link: loan %s: order %d is not known", loan, order.Verb)
+			return reply, fmt.Errorf("link: loan %s: unknown or incomplete command %d", loan, order.Verb)
 		}
 		if command.Kind == overflow.Take {
 			command.Spec = decodeSpec(order.Spec)
@@ -184,28 +195,36 @@
 	return reply, nil
 }
 
+// millis returns the duration of n milliseconds.
 func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-func encodeResources(r model.Resources) *Amount {
-	return &Amount{Cpu: r.CPU, Gpu: r.GPU, Memory: r.Memory}
+// encodeResources converts resources to their protobuf message.
+func encodeResources(resources model.Resources) *Amount {
+	return &Amount{Cpu: resources.CPU, Gpu: resources.GPU, Memory: resources.Memory}
 }
 
-func decodeResources(a *Amount) model.Resources {
-	return model.Resources{CPU: a.GetCpu(), GPU: a.GetGpu(), Memory: a.GetMemory()}
+// decodeResources converts resources from their protobuf message. Nil means none.
+func decodeResources(amount *Amount) model.Resources {
+	return model.Resources{CPU: amount.GetCpu(), GPU: amount.GetGpu(), Memory: amount.GetMemory()}
 }
 
-func encodeSpec(s *model.JobSpec) *Spec {
+// encodeSpec converts a job's specification to its protobuf message. It leaves out the ID
+// and the team, which the borrower sets, and the fields that matter only at the home
+// cluster.
+func encodeSpec(spec *model.JobSpec) *Spec {
 	return &Spec{
-		Workload: s.Workload, Urgency: int32(s.Urgency), Tasks: int64(s.Tasks), Need: encodeResources(s.Need),
-		Image: s.Image, ImageGb: s.ImageGB, Spot: s.AllowSpot, ExpectedMs: s.ExpectedRunTime.Milliseconds(),
-		SaveEveryMs: s.CheckpointInterval.Milliseconds(), SaveCostMs: s.CheckpointCost.Milliseconds(), DueMs: s.Deadline.Milliseconds(),
+		Workload: spec.Workload, Urgency: int32(spec.Urgency), Tasks: int64(spec.Tasks), Need: encodeResources(spec.Need),
+		Image: spec.Image, ImageGb: spec.ImageGB, Spot: spec.AllowSpot, ExpectedMs: spec.ExpectedRunTime.Milliseconds(),
+		SaveEveryMs: spec.CheckpointInterval.Milliseconds(), SaveCostMs: spec.CheckpointCost.Milliseconds(), DueMs: spec.Deadline.Milliseconds(),
 	}
 }
 
-func decodeSpec(s *Spec) model.JobSpec {
+// decodeSpec converts a job's specification from its protobuf message. An urgency out of
+// range becomes the nearest valid one.
+func decodeSpec(spec *Spec) model.JobSpec {
 	return model.JobSpec{
-		Workload: s.Workload, Urgency: model.Urgency(min(max(s.Urgency, int32(model.BestEffort)), int32(model.Critical))),
-		Tasks: int(s.Tasks), Need: decodeResources(s.Need), Image: s.Image, ImageGB: s.ImageGb, AllowSpot: s.Spot,
-		ExpectedRunTime: millis(s.ExpectedMs), CheckpointInterval: millis(s.SaveEveryMs), CheckpointCost: millis(s.SaveCostMs), Deadline: millis(s.DueMs),
+		Workload: spec.Workload, Urgency: model.Urgency(min(max(spec.Urgency, int32(model.BestEffort)), int32(model.Critical))),
+		Tasks: int(spec.Tasks), Need: decodeResources(spec.Need), Image: spec.Image, ImageGB: spec.ImageGb, AllowSpot: spec.Spot,
+		ExpectedRunTime: millis(spec.ExpectedMs), CheckpointInterval: millis(spec.SaveEveryMs), CheckpointCost: millis(spec.SaveCostMs), Deadline: millis(spec.DueMs),
 	}
 }
--- a/internal/overflow/model_borrower_test.go
+++ b/internal/overflow/model_borrower_test.go
@@ -5,168 +5,173 @@
 	"time"
 )
 
-// clock is the borrower's steady clock, which drifts.
-func (s *modelSim) clock(b *modelBorrower) time.Time {
-	return s.startedAt.Add(time.Duration(float64(s.now.Sub(s.startedAt)) * b.drift))
+// clock returns the time on the borrower's monotonic clock, which drifts.
+func (sim *modelSim) clock(cluster *modelBorrower) time.Time {
+	return sim.startedAt.Add(time.Duration(float64(sim.now.Sub(sim.startedAt)) * cluster.drift))
 }
 
-func (s *modelSim) borrowerView(b *modelBorrower) BorrowerView {
-	view := BorrowerView{Epoch: b.epoch, Draining: b.draining, StopBound: modelStopBound, RenewedAt: map[string]time.Time{"east": b.renewedAt}}
-	if b.renewedAt.IsZero() {
+// borrowerView returns the borrower's durable state as its leader sees it.
+func (sim *modelSim) borrowerView(cluster *modelBorrower) BorrowerView {
+	view := BorrowerView{Epoch: cluster.epoch, Draining: cluster.draining, StopBound: modelStopBound, RenewedAt: map[string]time.Time{"east": cluster.renewedAt}}
+	if cluster.renewedAt.IsZero() {
 		view.RenewedAt = nil
 	}
-	for loan, held := range b.loans {
+	for loan, held := range cluster.loans {
 		view.Borrowed = append(view.Borrowed, BorrowedLoan{Loan: loan, Spec: held.spec, State: held.state, Cause: held.cause, Ending: held.ending, Started: held.started})
 	}
 	slices.SortFunc(view.Borrowed, func(x, y BorrowedLoan) int { return compareLoans(x.Loan, y.Loan) })
 	return view
 }
 
-// commitBorrower makes a transition durable, perhaps late. It requires the leader
-// and the loan's record to be unchanged.
-func (s *modelSim) commitBorrower(b *modelBorrower, transition BorrowerTransition) {
+// commitBorrower makes a transition durable after a random delay. The transaction is
+// applied only if the leader and the loan's record have not changed since.
+func (sim *modelSim) commitBorrower(cluster *modelBorrower, transition BorrowerTransition) {
 	version := func() int {
-		if held := b.loans[transition.Loan]; held != nil {
+		if held := cluster.loans[transition.Loan]; held != nil {
 			return held.version
 		}
 		return -1
 	}
-	epoch, borrower, decidedAt := b.epoch, b.borrower, version()
+	epoch, borrower, decidedAt := cluster.epoch, cluster.borrower, version()
 	known := false
 	apply := func() {
-		ok := (s.omitted.unfenced || epoch == b.epoch) && version() == decidedAt
+		ok := (sim.omitted.unfenced || epoch == cluster.epoch) && version() == decidedAt
 		if ok {
-			s.applyBorrower(b, transition)
+			sim.applyBorrower(cluster, transition)
 		}
-		if !known && b.borrower == borrower && transition.Kind == Accept {
+		if !known && cluster.borrower == borrower && transition.Kind == Accept {
 			known = true
-			b.borrower.NoteAccepted(transition.Loan, ok)
+			cluster.borrower.NoteAccepted(transition.Loan, ok)
 		}
 	}
-	s.send(apply)
+	sim.send(apply)
 	if transition.Kind == Accept {
-		// A write without a response is repeated until its outcome is known.
+		// A write that gets no response is repeated until its outcome is known.
 		var retry func()
 		retry = func() {
-			if !known && b.borrower == borrower && b.up {
+			if !known && cluster.borrower == borrower && cluster.up {
 				apply()
 				if !known {
-					s.after(2*time.Second, retry)
+					sim.after(2*time.Second, retry)
 				}
 			}
 		}
-		s.after(3*time.Second, retry)
+		sim.after(3*time.Second, retry)
 	}
 }
 
-func (s *modelSim) applyBorrower(b *modelBorrower, transition BorrowerTransition) {
+// applyBorrower changes the borrower's durable state as the transition says.
+func (sim *modelSim) applyBorrower(cluster *modelBorrower, transition BorrowerTransition) {
 	switch transition.Kind {
 	case Accept:
-		b.loans[transition.Loan] = &modelLoan{spec: transition.Spec, remaining: modelRun}
-		s.takenCount++
+		cluster.loans[transition.Loan] = &modelLoan{spec: transition.Spec, remaining: modelRun}
+		sim.takenCount++
 	case GiveUp:
-		held := b.loans[transition.Loan]
+		held := cluster.loans[transition.Loan]
 		if held.state == Held && !held.ending {
-			held.ending, held.cause, held.endAt = true, transition.Cause, s.now.Add(time.Duration(s.rng.IntN(2000))*time.Millisecond)
+			held.ending, held.cause, held.endAt = true, transition.Cause, sim.now.Add(time.Duration(sim.rng.IntN(2000))*time.Millisecond)
 			held.version++
 		}
 	case Drop:
-		delete(b.loans, transition.Loan)
+		delete(cluster.loans, transition.Loan)
 	}
 }
 
-func (s *modelSim) sendHeartbeat(b *modelBorrower) {
-	heartbeat := b.borrower.NewHeartbeat(s.clock(b), b.name, "east", s.borrowerView(b))
-	borrower := b.borrower
-	s.message(b, func() {
-		if !s.lenderUp {
+// sendHeartbeat sends a heartbeat of the borrower to the lender, which replies.
+func (sim *modelSim) sendHeartbeat(cluster *modelBorrower) {
+	heartbeat := cluster.borrower.NewHeartbeat(sim.clock(cluster), cluster.name, "east", sim.borrowerView(cluster))
+	borrower := cluster.borrower
+	sim.message(cluster, func() {
+		if !sim.lenderUp {
 			return
 		}
-		view := s.lenderView()
-		if s.omitted.anyAbsence {
+		view := sim.lenderView()
+		if sim.omitted.anyAbsence {
 			heartbeat.HomeEpoch = view.Epoch
 		}
-		reply, transitions, ok := s.lender.HandleHeartbeat(s.now, view, heartbeat)
+		reply, transitions, ok := sim.lender.HandleHeartbeat(sim.now, view, heartbeat)
 		if !ok {
 			return
 		}
-		s.commitLenderAll(transitions)
-		s.message(b, func() {
-			if b.borrower != borrower || !b.up {
+		sim.commitLenderAll(transitions)
+		sim.message(cluster, func() {
+			if cluster.borrower != borrower || !cluster.up {
 				return
 			}
 			if lender := borrower.lender("east"); heartbeat.Sequence == lender.sequence && !lender.sentAt.IsZero() && reply.Epoch >= lender.epoch {
-				if until := lender.sentAt.Add(reply.Lease); until.After(b.leaseUntil) {
-					b.leaseUntil = until
+				if until := lender.sentAt.Add(reply.Lease); until.After(cluster.leaseUntil) {
+					cluster.leaseUntil = until
 				}
 			}
-			for _, transition := range b.borrower.HandleReply("east", heartbeat.Sequence, reply, s.borrowerView(b), func(Command) Cause { return "" }) {
-				s.commitBorrower(b, transition)
+			for _, transition := range cluster.borrower.HandleReply("east", heartbeat.Sequence, reply, sim.borrowerView(cluster), func(Command) Cause { return "" }) {
+				sim.commitBorrower(cluster, transition)
 			}
 		})
 	})
 }
 
-func (s *modelSim) restartBorrower(b *modelBorrower) {
-	b.epoch++
-	b.borrower, b.up = NewBorrower(), true
-	if s.omitted.freshLeases {
-		b.renewedAt = s.clock(b)
-		b.leaseUntil = b.renewedAt.Add(modelLease)
+// restartBorrower starts a new leader of the borrower, without the state in memory.
+func (sim *modelSim) restartBorrower(cluster *modelBorrower) {
+	cluster.epoch++
+	cluster.borrower, cluster.up = NewBorrower(), true
+	if sim.omitted.freshLeases {
+		cluster.renewedAt = sim.clock(cluster)
+		cluster.leaseUntil = cluster.renewedAt.Add(modelLease)
 	}
-	b.nextAt = s.now
+	cluster.nextAt = sim.now
 }
 
 // stepBorrower advances a borrower and the loans that it holds by one step.
-func (s *modelSim) stepBorrower(b *modelBorrower) {
-	now := s.clock(b)
-	if b.up {
-		view := s.borrowerView(b)
-		for _, transition := range b.borrower.ExpiredLoans(now, modelLease, view) {
-			s.commitBorrower(b, transition)
+func (sim *modelSim) stepBorrower(cluster *modelBorrower) {
+	now := sim.clock(cluster)
+	if cluster.up {
+		view := sim.borrowerView(cluster)
+		for _, transition := range cluster.borrower.ExpiredLoans(now, modelLease, view) {
+			sim.commitBorrower(cluster, transition)
 		}
-		for _, renewedAt := range b.borrower.Renewals(modelLease, view) {
-			b.renewedAt = renewedAt
+		for _, renewedAt := range cluster.borrower.Renewals(modelLease, view) {
+			cluster.renewedAt = renewedAt
 		}
-		if !s.now.Before(b.nextAt) {
-			b.nextAt = s.now.Add(time.Second)
-			s.sendHeartbeat(b)
+		if !sim.now.Before(cluster.nextAt) {
+			cluster.nextAt = sim.now.Add(time.Second)
+			sim.sendHeartbeat(cluster)
 		}
 	}
-	for _, loan := range sortedLoans(b.loans) {
-		s.stepLoan(b, loan, now)
+	for _, loan := range sortedLoans(cluster.loans) {
+		sim.stepLoan(cluster, loan, now)
 	}
 }
 
-func (s *modelSim) stepLoan(b *modelBorrower, loan Loan, now time.Time) {
-	held := b.loans[loan]
-	if held.running && !b.up && s.now.Sub(b.downAt) > modelStopBound/2 {
-		held.running = false // the workers stopped it by themselves
+// stepLoan advances one loan by one step: it stops, starts or runs the loan's tasks.
+func (sim *modelSim) stepLoan(cluster *modelBorrower, loan Loan, now time.Time) {
+	held := cluster.loans[loan]
+	if held.running && !cluster.up && sim.now.Sub(cluster.downAt) > modelStopBound/2 {
+		held.running = false // the workers stop the tasks without any communication
 	}
-	if held.running && now.After(b.leaseUntil.Add(modelStopBound)) {
+	if held.running && now.After(cluster.leaseUntil.Add(modelStopBound)) {
 		held.running = false
 	}
-	if held.ending && held.running && !s.now.Before(held.endAt) {
+	if held.ending && held.running && !sim.now.Before(held.endAt) {
 		held.running = false
 	}
 	if held.state == Held && held.ending && !held.running {
 		held.state = Gone
 		held.version++
 	}
-	if held.state == Held && !held.ending && !held.running && b.up {
-		until := b.borrower.StartableUntil(loan)
-		if s.omitted.unconfirmed {
+	if held.state == Held && !held.ending && !held.running && cluster.up {
+		until := cluster.borrower.StartableUntil(loan)
+		if sim.omitted.unconfirmed {
 			until = now.Add(time.Second)
 		}
 		if now.Before(until) {
 			held.running, held.started = true, true
-			s.startedCount++
+			sim.startedCount++
 		}
 	}
 	if held.running {
 		if held.remaining -= modelStep; held.remaining <= 0 {
 			held.running, held.state = false, Finished
-			s.finishedCount++
+			sim.finishedCount++
 			held.version++
 		}
 	}
--- a/internal/overflow/model_day_test.go
+++ b/internal/overflow/model_day_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// simulateDay simulates a day, with faults drawn before each step. Without omitted
-// rules it then ends the faults and checks that everything comes to its end.
+// simulateDay simulates a day, with a random fault or none before each step. If no rule
+// is omitted, it then ends the faults and checks that all jobs and loans end.
 func simulateDay(chooser chooser, omitted omittedRules) *modelSim {
 	sim := newModelSim(chooser, omitted)
 	steps := chooser.choose("steps", 200, 500)
@@ -20,125 +20,129 @@
 	return sim
 }
 
-// settle ends all faults. Within three minutes every job must end, and no borrower
-// may hold a loan any more.
-func (s *modelSim) settle() {
-	s.lossy = false
-	for _, b := range s.borrowers {
-		b.draining, b.cutUntil = false, s.now
-		if !b.up {
-			s.restartBorrower(b)
+// settle ends all faults and simulates three more minutes. By then every job must have
+// ended, and no borrower may hold a loan.
+func (sim *modelSim) settle() {
+	sim.lossy = false
+	for _, cluster := range sim.borrowers {
+		cluster.draining, cluster.cutUntil = false, sim.now
+		if !cluster.up {
+			sim.restartBorrower(cluster)
 		}
 	}
-	if !s.lenderUp {
-		s.restartLender()
+	if !sim.lenderUp {
+		sim.restartLender()
 	}
 	for range int(3 * time.Minute / modelStep) {
-		for _, job := range s.jobs {
+		for _, job := range sim.jobs {
 			job.startedAtHome = job.startedAtHome || job.peer == ""
 		}
-		s.step()
+		sim.step()
 	}
-	for id, job := range s.jobs {
+	for id, job := range sim.jobs {
 		if job.outcome == "" {
-			s.chooser.fatalf("%s did not end: it is at %q, loan %d", id, job.peer, job.lendCount)
+			sim.chooser.fatalf("%s did not end within three minutes without faults: it is lent to %q with lend count %d", id, job.peer, job.lendCount)
 		}
 	}
-	for _, b := range s.borrowers {
-		if len(b.loans) > 0 {
-			s.chooser.fatalf("%s still holds %v, want no loans", b.name, sortedLoans(b.loans))
+	for _, cluster := range sim.borrowers {
+		if len(cluster.loans) > 0 {
+			sim.chooser.fatalf("%s still holds %v, want no loans", cluster.name, sortedLoans(cluster.loans))
 		}
 	}
 }
 
-func (s *modelSim) step() {
-	s.now = s.now.Add(modelStep)
-	s.runEvents()
-	s.stepLender()
-	for _, b := range s.borrowers {
-		s.stepBorrower(b)
+// step simulates one modelStep and checks the rules after it.
+func (sim *modelSim) step() {
+	sim.now = sim.now.Add(modelStep)
+	sim.runEvents()
+	sim.stepLender()
+	for _, cluster := range sim.borrowers {
+		sim.stepBorrower(cluster)
 	}
-	s.check()
+	sim.check()
 }
 
-// check verifies that no job runs in two places, and no cancelled one anywhere.
-func (s *modelSim) check() {
-	for id, job := range s.jobs {
+// check fails the day if a job runs in two clusters, or if a cancelled job runs.
+func (sim *modelSim) check() {
+	for id, job := range sim.jobs {
 		var places []string
 		if job.peer == "" && job.outcome == "" && job.startedAtHome {
 			places = append(places, "east")
 		}
-		for _, b := range s.borrowers {
-			for loan, held := range b.loans {
+		for _, cluster := range sim.borrowers {
+			for loan, held := range cluster.loans {
 				if loan.Job == id && held.running {
-					places = append(places, fmt.Sprintf("%s#%d", b.name, loan.LendCount))
+					places = append(places, fmt.Sprintf("%s#%d", cluster.name, loan.LendCount))
 				}
 			}
 		}
 		if len(places) > 1 {
-			s.chooser.fatalf("at %v %s runs in %v, want one place", s.now.Sub(s.startedAt), id, places)
+			sim.chooser.fatalf("after %v %s runs in %v, want at most one cluster", sim.now.Sub(sim.startedAt), id, places)
 		}
 		if job.outcome == "cancelled" && len(places) > 0 {
-			s.chooser.fatalf("%s is cancelled and runs in %v", id, places)
+			sim.chooser.fatalf("%s is cancelled and runs in %v, want it to run nowhere", id, places)
 		}
 	}
 }
 
-// fault applies the fault or the user's action with number k. Odd and even numbers
-// are the same fault of different borrowers.
-func (s *modelSim) fault(k int) {
-	b := s.borrowers[k%2]
-	switch k / 2 {
+// fault applies the fault or the user's action with number k; large numbers do nothing.
+// The even number 2n and the odd number 2n+1 cause the same fault of the first and of
+// the second borrower.
+func (sim *modelSim) fault(number int) {
+	cluster := sim.borrowers[number%2]
+	switch number / 2 {
 	case 0:
-		s.lenderUp = false
+		sim.lenderUp = false
 	case 1, 2:
-		if !s.lenderUp {
-			s.restartLender()
+		if !sim.lenderUp {
+			sim.restartLender()
 		}
 	case 3:
-		if b.up {
-			b.up, b.downAt = false, s.now
+		if cluster.up {
+			cluster.up, cluster.downAt = false, sim.now
 		}
 	case 4, 5:
-		if !b.up {
-			s.restartBorrower(b)
+		if !cluster.up {
+			sim.restartBorrower(cluster)
 		}
 	case 6:
-		// A second leader: the first one goes on for a while without knowing.
-		if s.lenderUp {
-			s.restartLender()
+		// A second leader takes over while the first one is still active: messages and
+		// transactions of the first one are still in flight.
+		if sim.lenderUp {
+			sim.restartLender()
 		}
 	case 7:
-		if b.up {
-			s.restartBorrower(b)
+		if cluster.up {
+			sim.restartBorrower(cluster)
 		}
 	case 8:
-		b.draining = !b.draining
+		cluster.draining = !cluster.draining
 	case 9:
-		if job := s.randomJob(); job.outcome == "" && !job.cancelRequested {
+		if job := sim.randomJob(); job.outcome == "" && !job.cancelRequested {
 			job.cancelRequested = true
 			job.version++
 		}
 	case 10, 11, 12, 13, 14, 15, 16, 17:
-		// Lend what has not started at home.
-		job := s.randomJob()
-		if s.lenderUp && job.peer == "" && job.outcome == "" && !job.cancelRequested && !job.startedAtHome {
+		// Lend a job that has not started at home.
+		job := sim.randomJob()
+		if sim.lenderUp && job.peer == "" && job.outcome == "" && !job.cancelRequested && !job.startedAtHome {
 			job.lendCount++
-			job.peer = b.name
+			job.peer = cluster.name
 			job.version++
 		}
 	case 18:
-		// The borrower needs its capacity back.
-		for _, loan := range sortedLoans(b.loans) {
-			if held := b.loans[loan]; b.up && held.state == Held && !held.ending {
-				s.commitBorrower(b, BorrowerTransition{Kind: GiveUp, Loan: loan, Cause: GivenBack})
+		// The borrower gives back its loans, as when its own jobs need the capacity.
+		for _, loan := range sortedLoans(cluster.loans) {
+			if held := cluster.loans[loan]; cluster.up && held.state == Held && !held.ending {
+				sim.commitBorrower(cluster, BorrowerTransition{Kind: GiveUp, Loan: loan, Cause: GivenBack})
 			}
 		}
 	case 19, 20:
-		b.cutUntil = s.now.Add(time.Duration(5+s.rng.IntN(25)) * time.Second)
+		cluster.cutUntil = sim.now.Add(time.Duration(5+sim.rng.IntN(25)) * time.Second)
 	}
 }
 
-func (s *modelSim) randomJob() *modelJob {
-	return s.jobs[fmt.Sprintf("job-%d", s.rng.IntN(len(s.jobs)))]
+// randomJob returns one of the jobs at random.
+func (sim *modelSim) randomJob() *modelJob {
+	return sim.jobs[fmt.Sprintf("job-%d", sim.rng.IntN(len(sim.jobs)))]
 }
--- a/internal/overflow/model_lender_test.go
+++ b/internal/overflow/model_lender_test.go
@@ -6,80 +6,84 @@
 	"github.com/micahill/micahill/internal/model"
 )
 
-func (s *modelSim) lenderView() LenderView {
-	view := LenderView{Epoch: s.epoch, LeaseValidUntil: s.now.Add(time.Second)}
+// lenderView returns the lender's durable state as its leader sees it.
+func (sim *modelSim) lenderView() LenderView {
+	view := LenderView{Epoch: sim.epoch, LeaseValidUntil: sim.now.Add(time.Second)}
 	stopBound := modelStopBound
-	if s.omitted.noStopBound {
+	if sim.omitted.noStopBound {
 		stopBound = 0
 	}
-	for _, id := range sortedJobs(s.jobs) {
-		job := s.jobs[id]
+	for _, id := range sortedJobs(sim.jobs) {
+		job := sim.jobs[id]
 		if job.peer != "" && job.outcome == "" {
-			view.Lent = append(view.Lent, LentLoan{Loan: Loan{"east", id, job.lendCount}, Peer: job.peer, Spec: model.JobSpec{ID: id, Tasks: 1}, SubmittedAt: s.startedAt, StopBound: stopBound, CancelRequested: job.cancelRequested})
+			view.Lent = append(view.Lent, LentLoan{Loan: Loan{"east", id, job.lendCount}, Peer: job.peer, Spec: model.JobSpec{ID: id, Tasks: 1}, SubmittedAt: sim.startedAt, StopBound: stopBound, CancelRequested: job.cancelRequested})
 		}
 	}
 	return view
 }
 
-// commitLender makes a transition durable, perhaps late. It requires the leader and
-// the job's record to be unchanged.
-func (s *modelSim) commitLender(transition LenderTransition) {
-	job := s.jobs[transition.Loan.Job]
-	epoch, version, lender := s.epoch, job.version, s.lender
-	s.send(func() {
-		if !s.omitted.unfenced && epoch != s.epoch {
+// commitLender makes a transition durable after a random delay. The transaction is
+// applied only if the leader and the job's record have not changed since.
+func (sim *modelSim) commitLender(transition LenderTransition) {
+	job := sim.jobs[transition.Loan.Job]
+	epoch, version, lender := sim.epoch, job.version, sim.lender
+	sim.send(func() {
+		if !sim.omitted.unfenced && epoch != sim.epoch {
 			return
 		}
 		if job.version != version || job.outcome != "" || job.peer == "" || job.lendCount != transition.Loan.LendCount {
-			if lender == s.lender {
-				s.lender.CloseFailed(transition.Loan)
+			if lender == sim.lender {
+				sim.lender.CloseFailed(transition.Loan)
 			}
 			return
 		}
 		job.version++
 		switch transition.Kind {
 		case TakeBack:
-			// Mostly the job starts at home at once, sometimes it is lent again.
-			job.peer, job.startedAtHome = "", s.rng.IntN(4) > 0
+			// In three of four cases the job starts at home at once. Otherwise it may be
+			// lent again.
+			job.peer, job.startedAtHome = "", sim.rng.IntN(4) > 0
 		case Settle:
-			s.end(transition.Loan.Job, "done")
+			sim.end(transition.Loan.Job, "done")
 		case EndCancelled:
-			s.end(transition.Loan.Job, "cancelled")
+			sim.end(transition.Loan.Job, "cancelled")
 		}
 	})
-	// Without a response the transaction is tried again.
-	s.after(3*time.Second, func() {
-		if lender == s.lender && s.lenderUp && epoch == s.epoch && job.version == version {
-			s.commitLender(transition)
+	// A transaction that gets no response is repeated.
+	sim.after(3*time.Second, func() {
+		if lender == sim.lender && sim.lenderUp && epoch == sim.epoch && job.version == version {
+			sim.commitLender(transition)
 		}
 	})
 }
 
-func (s *modelSim) commitLenderAll(transitions []LenderTransition) {
+// commitLenderAll makes transitions durable, each in its own transaction.
+func (sim *modelSim) commitLenderAll(transitions []LenderTransition) {
 	for _, transition := range transitions {
-		s.commitLender(transition)
+		sim.commitLender(transition)
 	}
 }
 
-func (s *modelSim) restartLender() {
-	s.epoch++
-	s.lender, s.lenderUp = NewLender("east", s.now, modelLease), true
+// restartLender starts a new leader of the lender, without the state in memory.
+func (sim *modelSim) restartLender() {
+	sim.epoch++
+	sim.lender, sim.lenderUp = NewLender("east", sim.now, modelLease), true
 }
 
 // stepLender advances the lender and the jobs at home by one step.
-func (s *modelSim) stepLender() {
-	if s.lenderUp {
-		s.commitLenderAll(s.lender.ExpiredLoans(s.now, s.lenderView()))
+func (sim *modelSim) stepLender() {
+	if sim.lenderUp {
+		sim.commitLenderAll(sim.lender.ExpiredLoans(sim.now, sim.lenderView()))
 	}
-	for _, id := range sortedJobs(s.jobs) {
-		job := s.jobs[id]
+	for _, id := range sortedJobs(sim.jobs) {
+		job := sim.jobs[id]
 		switch {
 		case job.peer != "" || job.outcome != "":
 		case job.cancelRequested:
-			s.end(id, "cancelled")
+			sim.end(id, "cancelled")
 		case job.startedAtHome:
 			if job.remaining -= modelStep; job.remaining <= 0 {
-				s.end(id, "done")
+				sim.end(id, "done")
 			}
 		}
 	}
--- a/internal/overflow/model_test.go
+++ b/internal/overflow/model_test.go
@@ -13,12 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// The model has a home cluster that lends and two borrowers, each with a state
-// service of its own whose transactions may be applied late, with leaders that end
-// and are replaced at any moment, and with messages that are lost, duplicated,
-// reordered and minutes late. Only the model knows what runs where: after every step
-// each job may run in one place at most, and a job that ends must end once.
+// The model simulates a home cluster that lends jobs to two borrowers. Each cluster has
+// its own state service, whose transactions may be applied late, and leaders that end
+// and are replaced at any moment. Messages are lost, duplicated, reordered and delayed
+// by up to a minute. The model knows where each job runs: after every step a job may run
+// in at most one cluster, and no job may end twice.
 
+// modelStep is the length of a simulation step, modelLease that of a loan's lease,
+// modelStopBound the borrowers' stop bound, and modelRun the run time of each job.
 const (
 	modelStep      = 250 * time.Millisecond
 	modelLease     = 8 * time.Second
@@ -26,13 +28,13 @@
 	modelRun       = 25 * time.Second
 )
 
-// omittedRules takes one rule out of the model's use of the package, to show that
-// the model detects the consequences.
+// omittedRules breaks rules in the model's use of the package. Tests break one rule at
+// a time, to show that the model detects the consequences.
 type omittedRules struct {
 	// noStopBound makes the lender ignore the borrowers' stop bound.
 	noStopBound bool
-	// anyAbsence makes any heartbeat that doesn't list a loan prove that the
-	// borrower doesn't hold it.
+	// anyAbsence makes the lender accept any heartbeat that doesn't list a loan as
+	// proof that the borrower doesn't hold the loan.
 	anyAbsence bool
 	// unconfirmed lets a borrower start accepted loans before the lender confirms
 	// them.
@@ -43,6 +45,7 @@
 	freshLeases bool
 }
 
+// modelJob is the durable record of a job in its home cluster.
 type modelJob struct {
 	lendCount       uint64
 	peer            string // "" while the job is at home
@@ -53,6 +56,7 @@
 	version         int
 }
 
+// modelLoan is the durable record of a loan at a borrower, and the state of its tasks.
 type modelLoan struct {
 	spec      model.JobSpec
 	state     LoanState
@@ -65,6 +69,7 @@
 	version   int
 }
 
+// modelBorrower is a borrowing cluster.
 type modelBorrower struct {
 	name      string
 	epoch     uint64
@@ -75,37 +80,48 @@
 	downAt    time.Time
 	draining  bool
 	cutUntil  time.Time
-	// leaseUntil is the lease that the lender counts on. A stop bound after its end
-	// shard leader and workers have stopped the tasks by themselves.
+	// leaseUntil is the end of the lease that the lender relies on. Within
+	// modelStopBound after it, the shard leader and the workers stop the tasks without
+	// any communication.
 	leaseUntil time.Time
-	drift      float64
-	nextAt     time.Time
+	// drift is the rate of the borrower's clock, as a multiple of the true one.
+	drift  float64
+	nextAt time.Time
 }
 
-// chooser draws a day's random choices and takes the failures.
+// chooser makes the random choices of a simulated day and receives its failures.
 type chooser interface {
 	choose(what string, low, high int) int
 	fatalf(format string, args ...any)
 }
 
-// rapidChooser lets rapid choose, which then searches for the shortest failing day.
+// rapidChooser makes the choices with rapid, which shrinks a failing day.
 type rapidChooser struct{ t *rapid.T }
 
-func (r rapidChooser) choose(what string, low, high int) int {
-	return rapid.IntRange(low, high).Draw(r.t, what)
+// choose draws a number between low and high, both included. what names it in a report.
+func (chooser rapidChooser) choose(what string, low, high int) int {
+	return rapid.IntRange(low, high).Draw(chooser.t, what)
 }
-func (r rapidChooser) fatalf(format string, args ...any) { r.t.Fatalf(format, args...) }
 
-// seededChooser chooses by a seed, and ends a failing day with a panic.
+// fatalf fails the test and ends the day.
+func (chooser rapidChooser) fatalf(format string, args ...any) { chooser.t.Fatalf(format, args...) }
+
+// seededChooser makes the choices with a seeded generator, and panics on a failure.
 type seededChooser struct{ *rand.Rand }
 
-func (s seededChooser) choose(_ string, low, high int) int { return low + s.IntN(high-low+1) }
-func (s seededChooser) fatalf(format string, args ...any)  { panic(fmt.Sprintf(format, args...)) }
+// choose returns a random number between low and high, both included.
+func (chooser seededChooser) choose(_ string, low, high int) int {
+	return low + chooser.IntN(high-low+1)
+}
+
+// fatalf panics, which ends the day.
+func (chooser seededChooser) fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 
+// modelSim simulates one day.
 type modelSim struct {
 	chooser chooser
-	// takenCount, startedCount and finishedCount count loans, to tell a day without
-	// any from a good one.
+	// takenCount, startedCount and finishedCount count the loans that were accepted,
+	// started and finished. A day without any loan tests nothing.
 	takenCount, startedCount, finishedCount int
 	now                                     time.Time
 	startedAt                               time.Time
@@ -122,13 +138,15 @@
 	rng                                     *rand.Rand
 }
 
+// modelEvent is a function that runs at a later time. Events of one time run in the
+// order of seq.
 type modelEvent struct {
 	at  time.Time
 	seq int
 	run func()
 }
 
-// newModelSim returns the sim of a day that has not begun.
+// newModelSim returns the simulation at the start of a day.
 func newModelSim(chooser chooser, omitted omittedRules) *modelSim {
 	start := time.Unix(1_750_000_000, 0)
 	sim := &modelSim{
@@ -145,59 +163,62 @@
 	return sim
 }
 
-func (s *modelSim) after(d time.Duration, run func()) {
-	s.eventCount++
-	s.queue = append(s.queue, modelEvent{s.now.Add(d), s.eventCount, run})
+// after schedules run to be called after the delay.
+func (sim *modelSim) after(delay time.Duration, run func()) {
+	sim.eventCount++
+	sim.queue = append(sim.queue, modelEvent{sim.now.Add(delay), sim.eventCount, run})
 }
 
-// runEvents runs the events that are due, in their order.
-func (s *modelSim) runEvents() {
-	slices.SortStableFunc(s.queue, func(a, b modelEvent) int {
+// runEvents runs the events that are due, by time and then in the order of scheduling.
+func (sim *modelSim) runEvents() {
+	slices.SortStableFunc(sim.queue, func(a, b modelEvent) int {
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
 		return a.seq - b.seq
 	})
-	for len(s.queue) > 0 && !s.queue[0].at.After(s.now) {
-		event := s.queue[0]
-		s.queue = s.queue[1:]
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(sim.now) {
+		event := sim.queue[0]
+		sim.queue = sim.queue[1:]
 		event.run()
 	}
 }
 
-// delay is how long a message or a transaction takes; negative means lost.
-func (s *modelSim) delay() time.Duration {
-	if !s.lossy {
+// delay draws how long a message or a transaction takes. Negative means lost.
+func (sim *modelSim) delay() time.Duration {
+	if !sim.lossy {
 		return 50 * time.Millisecond
 	}
-	switch k := s.rng.IntN(20); {
-	case k == 0:
+	switch choice := sim.rng.IntN(20); {
+	case choice == 0:
 		return -1
-	case k < 3:
-		return time.Duration(s.rng.IntN(60)) * time.Second
-	case k < 5:
-		return time.Duration(s.rng.IntN(6000)) * time.Millisecond
+	case choice < 3:
+		return time.Duration(sim.rng.IntN(60)) * time.Second
+	case choice < 5:
+		return time.Duration(sim.rng.IntN(6000)) * time.Millisecond
 	}
-	return time.Duration(10+s.rng.IntN(200)) * time.Millisecond
+	return time.Duration(10+sim.rng.IntN(200)) * time.Millisecond
 }
 
 // message delivers a message between the lender and a borrower, unless the network
 // between them is cut.
-func (s *modelSim) message(b *modelBorrower, deliver func()) {
-	if !s.now.Before(b.cutUntil) {
-		s.send(deliver)
+func (sim *modelSim) message(cluster *modelBorrower, deliver func()) {
+	if !sim.now.Before(cluster.cutUntil) {
+		sim.send(deliver)
 	}
 }
 
-func (s *modelSim) send(deliver func()) {
-	if d := s.delay(); d >= 0 {
-		s.after(d, deliver)
+// send runs deliver after a random delay, sometimes twice and sometimes never.
+func (sim *modelSim) send(deliver func()) {
+	if delay := sim.delay(); delay >= 0 {
+		sim.after(delay, deliver)
 	}
-	if s.lossy && s.rng.IntN(15) == 0 {
-		s.after(time.Duration(s.rng.IntN(60))*time.Second, deliver)
+	if sim.lossy && sim.rng.IntN(15) == 0 {
+		sim.after(time.Duration(sim.rng.IntN(60))*time.Second, deliver)
 	}
 }
 
+// sortedJobs returns the IDs of the jobs in order.
 func sortedJobs(jobs map[string]*modelJob) []string {
 	var ids []string
 	for id := range jobs {
@@ -207,22 +228,23 @@
 	return ids
 }
 
-// end ends a job, which may happen once.
-func (s *modelSim) end(id, outcome string) {
-	s.jobs[id].outcome = outcome
-	s.endCount[id]++
-	if s.endCount[id] > 1 {
-		s.chooser.fatalf("%s ended %d times, want once", id, s.endCount[id])
+// end records the outcome of a job, and fails the day if the job had already ended.
+func (sim *modelSim) end(id, outcome string) {
+	sim.jobs[id].outcome = outcome
+	sim.endCount[id]++
+	if sim.endCount[id] > 1 {
+		sim.chooser.fatalf("%s ended %d times, want once", id, sim.endCount[id])
 	}
 }
 
-// TestModel simulates random days of lending: no job runs in two places, none ends
-// twice, none is lost, and no borrower keeps anything for ever.
+// TestModel simulates random days of lending with faults. It checks that no job runs in
+// two clusters, ends twice or is lost, and that no borrower keeps a loan for ever.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { simulateDay(rapidChooser{t}, omittedRules{}) })
 }
 
-// TestModelCoverage checks that loans are taken, started and finished in the days.
+// TestModelCoverage checks that the simulated days accept, start and finish loans.
+// Without loans TestModel would pass whatever the package did.
 func TestModelCoverage(t *testing.T) {
 	taken, started, finished := 0, 0, 0
 	for seed := range 50 {
@@ -235,25 +257,25 @@
 	}
 }
 
-// TestModelNotices omits one rule at a time: the model has to detect it. The search
-// starts at a seed whose day is known to fail; when the model changes, so do its
-// days, and the search goes on from there.
+// TestModelNotices omits one rule at a time, and checks that the model detects the
+// omission. The search starts at a seed whose day is known to fail. A change of the
+// model changes the day of each seed; the search then goes on with the next seeds.
 func TestModelNotices(t *testing.T) {
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name      string
 		omitted   omittedRules
 		firstSeed int
 	}{
-		{"the borrower's stop bound is not counted", omittedRules{noStopBound: true}, 21},
-		{"any absence is a proof", omittedRules{anyAbsence: true}, 120},
-		{"started without being confirmed", omittedRules{unconfirmed: true}, 88},
+		{"the lender ignores the borrower's stop bound", omittedRules{noStopBound: true}, 21},
+		{"absence under an earlier epoch is accepted as proof", omittedRules{anyAbsence: true}, 120},
+		{"loans are started before they are confirmed", omittedRules{unconfirmed: true}, 88},
 		{"transactions are not fenced by the leader's epoch", omittedRules{unfenced: true}, 952},
-		{"a new leader takes inherited leases for fresh ones", omittedRules{freshLeases: true}, 506},
+		{"a new leader counts inherited leases from its own start", omittedRules{freshLeases: true}, 506},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := range 1000 {
-				if dayFails(c.firstSeed+seed, c.omitted) {
+				if dayFails(testCase.firstSeed+seed, testCase.omitted) {
 					return
 				}
 			}
@@ -262,7 +284,7 @@
 	}
 }
 
-// dayFails simulates the day of a seed and says whether it failed.
+// dayFails simulates the day of a seed and reports whether it failed.
 func dayFails(seed int, omitted omittedRules) (failed bool) {
 	defer func() {
 		if recover() != nil {
--- a/internal/overflow/offers.go
+++ b/internal/overflow/offers.go
@@ -10,124 +10,133 @@
 	"github.com/micahill/micahill/internal/record"
 )
 
-// FreeCapacity is what a borrower offers on one kind of machine: capacity that own
-// jobs of the same urgency are not expected to need for a while.
+// FreeCapacity is the capacity that a borrower offers on machines of one kind. The
+// borrower's own jobs of the same urgency are not expected to need it for a while.
 type FreeCapacity struct {
 	MachineType string
 	Zone        string
 	Spot        bool
-	// PerMachine is what is free on one machine, and Machines the number of
-	// machines alike.
+	// PerMachine is the free capacity of one machine. Machines is the number of
+	// machines with this free capacity.
 	PerMachine model.Resources
 	Machines   int
-	// AvailableIn is how long until the capacity is there; 0 means now.
+	// AvailableIn is the time until the capacity becomes available; 0 means now.
 	AvailableIn time.Duration
-	// CostPerCPUHour is the cost of one CPU of such a machine for an hour.
+	// CostPerCPUHour is the cost of one CPU of such a machine for one hour.
 	CostPerCPUHour float64
-	// FetchRate is the rate of an image fetch in GB per second; 0 if unknown.
+	// FetchRate is the rate of an image fetch in GB per second; 0 means unknown.
 	FetchRate float64
 }
 
-// Candidate is a waiting job of this cluster of which no task was ever started.
+// Candidate is a waiting job of this cluster. None of its tasks has ever been started.
 type Candidate struct {
 	Job  string
 	Spec model.JobSpec
 	// SLODue is the time left until the job's next SLO; negative if it has passed.
 	SLODue time.Duration
-	// HomeFinish is the time until the job would be done at home, by the placement
-	// simulation.
+	// HomeFinish is the time until the job would be done at home, as the placement
+	// simulation predicts it.
 	HomeFinish time.Duration
-	// RunTime is the run time of one task, by the corrected estimate.
+	// RunTime is the corrected estimate of one task's run time.
 	RunTime time.Duration
 	// LendCount is how often the job has been lent before.
 	LendCount uint64
-	// CoolingDown jobs were given back lately and stay at home for a while.
+	// CoolingDown means that a peer has recently given the job back. The job stays at
+	// home for a while.
 	CoolingDown bool
 }
 
-// PeerSnapshot is what is known of a peer when offers are chosen.
+// PeerSnapshot is a peer's state when offers are chosen.
 type PeerSnapshot struct {
-	Name      string
+	Name string
+	// Available means that the peer sends heartbeats, even if it is being drained.
 	Available bool
 	Draining  bool
-	// Latency is how long its replies take.
+	// Latency is the average time that the peer takes to reply.
 	Latency time.Duration
-	// Trust, from 0 to 1, is how well it has fulfilled its loans lately.
+	// Trust, from 0 to 1, rates how well the peer has recently fulfilled its loans.
 	Trust        float64
 	FreeCapacity []FreeCapacity
 	CachedImages []string
-	// LoansOut is how many of our loans it holds.
+	// LoansOut is the number of this cluster's loans that the peer holds.
 	LoansOut int
-	// LendsItself is set by a peer that lends jobs itself, or would like to.
+	// LendsItself means that the peer has lent jobs of its own, or has late jobs that
+	// it would lend.
 	LendsItself bool
 }
 
-// Limits bound what is lent and borrowed.
+// Limits bound the jobs that a cluster lends and borrows.
 type Limits struct {
 	// LoansOut bounds the loans to one peer, LoansIn the loans borrowed from all
 	// peers, and Tasks the tasks of one loan.
 	LoansOut, LoansIn, Tasks int
 	// Offers bounds how many jobs are lent by one call of ChooseOffers.
 	Offers int
-	// MinGain is by how much sooner a job must be done at the peer. Lending costs
-	// messages, writes and an image fetch, and both finish times are estimates.
+	// MinGain is how much sooner than at home a job must be done at the peer. Lending
+	// costs messages, writes and an image fetch, and both finish times are estimates.
 	MinGain time.Duration
-	// MaxLends is how often one job may be lent.
+	// MaxLends bounds how often one job may be lent.
 	MaxLends uint64
-	// MaxCostRatio is how many times the home cluster's cost a peer's may be.
+	// MaxCostRatio bounds a peer's cost per CPU hour, as a multiple of the home
+	// cluster's.
 	MaxCostRatio float64
 }
 
-// DefaultLimits are the limits where deploy/overflow.toml sets none.
+// DefaultLimits returns the limits that apply where deploy/overflow.toml sets none.
 func DefaultLimits() Limits {
 	return Limits{LoansOut: 32, LoansIn: 64, Tasks: 2000, Offers: 8, MinGain: 5 * time.Second, MaxLends: 2, MaxCostRatio: 3}
 }
 
-// handOver is the time that a hand-over takes beside the network's latency: two
-// writes at either cluster, and the heartbeat that confirms it.
+// handOver is the time that a hand-over takes in addition to the network latency: two
+// writes at each cluster, and the heartbeat that confirms the loan.
 const handOver = 3 * time.Second
 
-// Offer is a job to be lent.
+// Offer is the decision to lend a job to a peer.
 type Offer struct {
 	Job  string
 	Peer string
 	// PeerFinish is the expected time until the job is done at the peer.
 	PeerFinish time.Duration
-	Reason     string
+	// Reason is the reason for lending the job, for operators.
+	Reason string
 }
 
-// capacitySlot is a peer's FreeCapacity with the machines that are still left while
-// offers are chosen.
+// capacitySlot is a FreeCapacity of a peer with the number of its machines that are
+// not yet reserved for an offer.
 type capacitySlot struct {
 	FreeCapacity
 	remaining int
 }
 
-// placement is a way to run a job at a peer.
+// placement is a possible placement of a job on a peer's free capacity.
 type placement struct {
-	peer   string
+	peer string
+	// finish is the expected time until the job is done.
 	finish time.Duration
-	cost   float64 // of one CPU for an hour, on the most expensive machine used
-	parts  []placementPart
+	// cost is the cost of one CPU for one hour on the most expensive machine used.
+	cost  float64
+	parts []placementPart
 }
 
+// placementPart is the number of machines of one slot that a placement uses.
 type placementPart struct {
 	slot     *capacitySlot
 	machines int
 }
 
-// reserve takes the placement's machines out of the peer's capacity.
-func (p *placement) reserve() {
-	for _, part := range p.parts {
+// reserve subtracts the placement's machines from the peer's remaining capacity.
+func (placed *placement) reserve() {
+	for _, part := range placed.parts {
 		part.slot.remaining -= part.machines
 	}
 }
 
-// ChooseOffers picks the jobs to lend and their peers: those that would miss their
-// next SLO at home and would meet it at a peer, with hand-over and image fetch
-// included. Only whole jobs are lent, and only before any of their tasks has been
-// started; docs/overflow.md compares this with lending groups of tasks. homeCost is
-// the cost of a CPU for an hour at home; 0 if unknown.
+// ChooseOffers chooses the jobs to lend and a peer for each of them. It lends a job that
+// would miss its next SLO at home and would meet it at a peer, with the hand-over and
+// the image fetch included. Among several peers it chooses the cheapest, and among
+// equally cheap ones the fastest. Only whole jobs are lent, and only before any of
+// their tasks has been started; docs/overflow.md compares this with lending groups of
+// tasks. homeCost is the cost of one CPU for one hour at home; 0 means unknown.
 func ChooseOffers(candidates []Candidate, peers []PeerSnapshot, limits Limits, homeCost float64) []Offer {
 	candidates = slices.Clone(candidates)
 	slices.SortStableFunc(candidates, func(a, b Candidate) int {
@@ -151,8 +160,8 @@
 		}
 		var best *placement
 		for _, peer := range peers {
-			// A peer that lends itself is as busy as this cluster: jobs would go to
-			// and fro between the two.
+			// A peer that lends jobs itself is as busy as this cluster. Jobs would be
+			// handed back and forth between the two clusters.
 			if !peer.Available || peer.Draining || peer.LendsItself || loansOut[peer.Name] >= maxLoans(limits.LoansOut, peer.Trust) {
 				continue
 			}
@@ -174,21 +183,22 @@
 	return offers
 }
 
-// maxLoans is how many loans a peer may hold. Less trust means fewer, but at least
-// one: otherwise the peer could never earn trust again.
+// maxLoans returns how many loans a peer may hold. The number falls with the trust in
+// the peer, but is at least one, so that a peer with little trust can still show that it
+// fulfils loans.
 func maxLoans(limit int, trust float64) int { return max(1, int(float64(limit)*trust)) }
 
-// isLendable says whether a job may be lent at all. A long-running job never ends,
-// so that a lease on it would only cost, and zones and machine types mean those of
-// the home cluster.
+// isLendable reports whether a job may be lent at all. Long-running jobs may not, since
+// they never end and their leases would have to be renewed for ever. Jobs that require
+// zones or machine types may not, since these are the home cluster's.
 func isLendable(candidate Candidate, limits Limits) bool {
 	spec := &candidate.Spec
 	return !spec.LongRunning && !spec.Gang && spec.Zone == "" && !spec.SameZone && !spec.SpreadZones && len(spec.MachineTypes) == 0 &&
 		spec.Tasks <= limits.Tasks && candidate.LendCount < limits.MaxLends && !candidate.CoolingDown
 }
 
-// isWorthwhile says whether the job would be in time at the peer, sufficiently
-// sooner than at home, and not too expensive.
+// isWorthwhile reports whether the job would meet its SLO at the peer, be done there
+// sooner than at home by at least MinGain, and not be too expensive.
 func isWorthwhile(candidate Candidate, placed *placement, limits Limits, homeCost float64) bool {
 	if placed.finish > candidate.SLODue || placed.finish+limits.MinGain > candidate.HomeFinish {
 		return false
@@ -196,9 +206,9 @@
 	return !(homeCost > 0 && placed.cost > limits.MaxCostRatio*homeCost)
 }
 
-// placeAtPeer places a job on a peer's free capacity, the soonest and then the
-// cheapest first. It returns nil unless all tasks fit at once: a loan that queues at
-// the peer is no better there.
+// placeAtPeer places a job on a peer's free capacity. It uses the capacity that becomes
+// available first, and among equals the cheapest. It returns nil unless all tasks fit
+// at the same time: a job that has to queue at the peer gains nothing.
 func placeAtPeer(candidate Candidate, peer PeerSnapshot, slots []*capacitySlot) *placement {
 	spec := &candidate.Spec
 	placed := &placement{peer: peer.Name}
@@ -230,15 +240,17 @@
 	if unplaced > 0 {
 		return nil
 	}
-	// Lost trust lengthens the estimate: by half of the run time at a trust of 0.5.
+	// Lost trust lengthens the estimate. A trust of 0.5 adds half of the run time.
 	run := time.Duration(float64(candidate.RunTime) * (2 - peer.Trust))
 	placed.finish = handOver + 2*peer.Latency + readyIn + run
 	return placed
 }
 
-// machinesFor is how many machines that hold perMachine tasks each are needed.
+// machinesFor returns how many machines the tasks need if each machine holds perMachine
+// tasks.
 func machinesFor(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
 
+// compareLoans orders loans by home cluster, job and lend count.
 func compareLoans(a, b Loan) int {
 	return cmp.Or(strings.Compare(a.Home, b.Home), strings.Compare(a.Job, b.Job), cmp.Compare(a.LendCount, b.LendCount))
 }
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -13,13 +13,17 @@
 	"pgregory.net/rapid"
 )
 
+// testStart is the time that at counts from.
 var testStart = time.Unix(1_750_000_000, 0)
 
-func at(s float64) time.Time { return testStart.Add(record.DurationOfSeconds(s)) }
+// at returns the time that many seconds after testStart.
+func at(seconds float64) time.Time { return testStart.Add(record.DurationOfSeconds(seconds)) }
 
-func testLoan(n uint64) Loan { return Loan{"east", "job-1", n} }
+// testLoan returns a loan of job-1 of cluster east with the lend count.
+func testLoan(lendCount uint64) Loan { return Loan{"east", "job-1", lendCount} }
 
-// TestParseLoan: a loan's name is read as it is written, and nothing else is.
+// TestParseLoan checks that ParseLoan accepts the names that String writes and rejects
+// all others.
 func TestParseLoan(t *testing.T) {
 	want := testLoan(12)
 	if got, err := ParseLoan(want.String()); err != nil || got != want {
@@ -32,9 +36,10 @@
 	}
 }
 
-// TestReplyToEarlierHeartbeat: a lease runs from the sending of the heartbeat that
-// was answered. A reply to an earlier one than the last must not be counted from the
-// last, which the lender may never have received.
+// TestReplyToEarlierHeartbeat guards against a lease that ends too late. A lease runs
+// from the sending time of the heartbeat that was answered. If the reply to an earlier
+// heartbeat counted from the newest one, which the lender may never have received, the
+// borrower would run tasks after the lender has taken the job back.
 func TestReplyToEarlierHeartbeat(t *testing.T) {
 	borrower := NewBorrower()
 	view := BorrowerView{Epoch: 1, Borrowed: []BorrowedLoan{{Loan: testLoan(1)}}}
@@ -47,9 +52,9 @@
 	}
 	borrower.HandleReply("east", second.Sequence, keep, view, nil)
 	if until, want := borrower.StartableUntil(testLoan(1)), at(18-startMargin.Seconds()); !until.Equal(want) {
-		t.Fatalf("startable until %v, want %v", until.Sub(testStart), want.Sub(testStart))
+		t.Fatalf("after a reply to the newest heartbeat: startable until %v, want %v", until.Sub(testStart), want.Sub(testStart))
 	}
-	// A new leader's reply ends what its predecessor confirmed.
+	// A reply of a new leader replaces the confirmations of its predecessor.
 	third := borrower.NewHeartbeat(at(11), "west", "east", view)
 	borrower.HandleReply("east", third.Sequence, HeartbeatReply{Epoch: 6, Lease: 8 * time.Second}, view, nil)
 	if until := borrower.StartableUntil(testLoan(1)); !until.IsZero() {
@@ -63,42 +68,45 @@
 	}
 }
 
+// testLentLoan is testLoan(1), lent to cluster west.
 var testLentLoan = LentLoan{Loan: testLoan(1), Peer: "west", SubmittedAt: testStart, StopBound: 10 * time.Second, Spec: model.JobSpec{ID: "job-1", Tasks: 1}}
 
+// testLenderView returns a lender's view at epoch 7 that holds one lent loan.
 func testLenderView(now time.Time, loan LentLoan) LenderView {
 	return LenderView{Epoch: 7, LeaseValidUntil: now.Add(time.Second), Lent: []LentLoan{loan}}
 }
 
-// TestLenderProof: what the lender takes for proof that a borrower does not run a
-// job.
+// TestLenderProof checks which heartbeats the lender accepts as proof that a borrower
+// does not run a job. If it took a job back without proof, the job could run in two
+// clusters.
 func TestLenderProof(t *testing.T) {
 	lent, cancelled := testLentLoan, testLentLoan
 	cancelled.CancelRequested = true
 	reports := func(loan Loan, state LoanState, cause Cause) Heartbeat {
 		return Heartbeat{Loans: []LoanReport{{Loan: loan, State: state, Cause: cause}}}
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name       string
 		lent       LentLoan
 		heartbeat  Heartbeat
 		transition string
 		commands   string
 	}{
-		{"absent under this leader: offered", lent, Heartbeat{HomeEpoch: 7}, "", "take"},
-		{"absent under an earlier leader, and cancelled: no proof", cancelled, Heartbeat{HomeEpoch: 6}, "", ""},
-		{"absent under this leader, and cancelled", cancelled, Heartbeat{HomeEpoch: 7}, "end_cancelled", ""},
-		{"absent and draining, under another leader", lent, Heartbeat{HomeEpoch: 6, Draining: true}, "", "take"},
-		{"absent and draining", lent, Heartbeat{HomeEpoch: 7, Draining: true}, "take_back", ""},
+		{"absent, sent under this leader's epoch: offered", lent, Heartbeat{HomeEpoch: 7}, "", "take"},
+		{"absent and cancelled, sent under an earlier epoch: no proof", cancelled, Heartbeat{HomeEpoch: 6}, "", ""},
+		{"absent and cancelled, sent under this leader's epoch", cancelled, Heartbeat{HomeEpoch: 7}, "end_cancelled", ""},
+		{"absent and draining, sent under an earlier epoch", lent, Heartbeat{HomeEpoch: 6, Draining: true}, "", "take"},
+		{"absent and draining, sent under this leader's epoch", lent, Heartbeat{HomeEpoch: 7, Draining: true}, "take_back", ""},
 		{"held", lent, reports(testLoan(1), Held, ""), "", "keep"},
 		{"held and cancelled", cancelled, reports(testLoan(1), Held, ""), "", "stop"},
-		{"gone, whatever the leader", lent, reports(testLoan(1), Gone, GivenBack), "take_back", ""},
+		{"gone, sent under any epoch", lent, reports(testLoan(1), Gone, GivenBack), "take_back", ""},
 		{"finished, though cancelled", cancelled, reports(testLoan(1), Finished, ""), "settle", ""},
 		{"another loan of the job, held", lent, reports(testLoan(0), Held, ""), "", "stop take"},
 		{"another loan of the job, gone", lent, reports(testLoan(0), Gone, ""), "", "forget take"},
 	} {
 		lender := NewLender("east", at(0), 8*time.Second)
-		c.heartbeat.From, c.heartbeat.Epoch, c.heartbeat.Sequence = "west", 3, 1
-		reply, transitions, ok := lender.HandleHeartbeat(at(1), testLenderView(at(1), c.lent), c.heartbeat)
+		testCase.heartbeat.From, testCase.heartbeat.Epoch, testCase.heartbeat.Sequence = "west", 3, 1
+		reply, transitions, ok := lender.HandleHeartbeat(at(1), testLenderView(at(1), testCase.lent), testCase.heartbeat)
 		var kinds []string
 		for _, command := range reply.Commands {
 			kinds = append(kinds, command.Kind.String())
@@ -108,33 +116,36 @@
 		for _, t := range transitions {
 			transition = t.Kind.String()
 		}
-		if !ok || transition != c.transition || commands != c.commands {
-			t.Errorf("%s: got transition %q, commands %q, ok %v; want %q, %q, true", c.name, transition, commands, ok, c.transition, c.commands)
+		if !ok || transition != testCase.transition || commands != testCase.commands {
+			t.Errorf("%s: got transition %q, commands %q, ok %v; want %q, %q, true", testCase.name, transition, commands, ok, testCase.transition, testCase.commands)
 		}
-		if _, _, again := lender.HandleHeartbeat(at(2), testLenderView(at(2), c.lent), c.heartbeat); again {
-			t.Errorf("%s: the same heartbeat is answered twice", c.name)
+		if _, _, again := lender.HandleHeartbeat(at(2), testLenderView(at(2), testCase.lent), testCase.heartbeat); again {
+			t.Errorf("%s: the same heartbeat was answered twice, want it refused the second time", testCase.name)
 		}
 	}
 }
 
-// TestLenderLeases: no heartbeat is answered once a successor may count the leases,
-// and a lease expires after its length, the borrower's stop bound, the clock drift
-// and the margin.
+// TestLenderLeases checks that the lender answers no heartbeat once a successor may
+// count the leases from its own start, and that it takes a loan back only after the
+// lease, the borrower's stop bound, the clock drift and the margin. Otherwise a job
+// could run in two clusters.
 func TestLenderLeases(t *testing.T) {
 	lender := NewLender("east", at(0), 8*time.Second)
 	if _, _, ok := lender.HandleHeartbeat(at(5), LenderView{Epoch: 7, LeaseValidUntil: at(4)}, Heartbeat{From: "west", Epoch: 1, Sequence: 1}); ok {
-		t.Error("a heartbeat is answered when a successor may count the leases already")
+		t.Error("a heartbeat was answered when a successor may already count the leases, want it refused")
 	}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		at   float64
 		want int
 	}{{18.9, 0}, {19.1, 1}} {
-		if got := lender.ExpiredLoans(at(c.at), testLenderView(at(c.at), testLentLoan)); len(got) != c.want {
-			t.Errorf("at %v s: got %v, want %d expired loans", c.at, got, c.want)
+		if got := lender.ExpiredLoans(at(testCase.at), testLenderView(at(testCase.at), testLentLoan)); len(got) != testCase.want {
+			t.Errorf("at %v s: got %v, want %d expired loans", testCase.at, got, testCase.want)
 		}
 	}
 }
 
+// candidate returns a job of 4 tasks that run for 20 s, each on 2 CPUs. sloDue and
+// homeFinish are in seconds.
 func candidate(id string, urgency model.Urgency, sloDue, homeFinish float64) Candidate {
 	return Candidate{
 		Job: id, SLODue: record.DurationOfSeconds(sloDue), HomeFinish: record.DurationOfSeconds(homeFinish), RunTime: 20 * time.Second,
@@ -142,38 +153,39 @@
 	}
 }
 
+// freeMachines returns the free capacity of that number of machines, each with 4 CPUs.
 func freeMachines(machines int) []FreeCapacity {
 	return []FreeCapacity{{MachineType: "box", PerMachine: model.Resources{CPU: 4, Memory: 16}, Machines: machines, CostPerCPUHour: 1, FetchRate: 1}}
 }
 
-// TestChooseOffers: which jobs are lent to which peers.
+// TestChooseOffers checks which jobs are lent to which peers, one rule for each case.
 func TestChooseOffers(t *testing.T) {
 	idle := PeerSnapshot{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2)}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name       string
 		candidates []Candidate
 		peers      []PeerSnapshot
 		want       []string
 	}{
-		{"late at home, in time there", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{idle}, []string{"a>west"}},
+		{"late at home, in time at the peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{idle}, []string{"a>west"}},
 		{"in time at home", []Candidate{candidate("a", model.Normal, 60, 50)}, []PeerSnapshot{idle}, nil},
-		{"late there as well", []Candidate{candidate("a", model.Normal, 20, 90)}, []PeerSnapshot{idle}, nil},
-		{"the image fetch makes it late", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{idle}, nil},
-		{"the image is cached there", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2), CachedImages: []string{"img"}}}, []string{"a>west"}},
-		{"capacity for one: the more urgent goes", []Candidate{candidate("a", model.Normal, 60, 90), candidate("b", model.Urgent, 60, 90)}, []PeerSnapshot{idle}, []string{"b>west"}},
+		{"late at the peer as well", []Candidate{candidate("a", model.Normal, 20, 90)}, []PeerSnapshot{idle}, nil},
+		{"late at the peer because of the image fetch", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{idle}, nil},
+		{"the image is cached at the peer", []Candidate{candidate("a", model.Normal, 24, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, FreeCapacity: freeMachines(2), CachedImages: []string{"img"}}}, []string{"a>west"}},
+		{"capacity for one job: the more urgent one is lent", []Candidate{candidate("a", model.Normal, 60, 90), candidate("b", model.Urgent, 60, 90)}, []PeerSnapshot{idle}, []string{"b>west"}},
 		{"a draining peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Draining: true, Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
 		{"an unresponsive peer", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Trust: 1, FreeCapacity: freeMachines(2)}}, nil},
-		{"a peer that lends itself: no ping-pong", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, LendsItself: true, FreeCapacity: freeMachines(2)}}, nil},
+		{"a peer that lends jobs itself gets none", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 1, LendsItself: true, FreeCapacity: freeMachines(2)}}, nil},
 		{"lost trust lengthens the estimate", []Candidate{candidate("a", model.Normal, 30, 90)}, []PeerSnapshot{{Name: "west", Available: true, Trust: 0.5, FreeCapacity: freeMachines(2)}}, nil},
-		{"the cheaper of two", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 2}}}, idle}, []string{"a>west"}},
-		{"too expensive", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 20}}}}, nil},
+		{"the cheaper of two peers", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 2}}}, idle}, []string{"a>west"}},
+		{"a peer that is too expensive", []Candidate{candidate("a", model.Normal, 60, 90)}, []PeerSnapshot{{Name: "north", Available: true, Trust: 1, FreeCapacity: []FreeCapacity{{PerMachine: model.Resources{CPU: 64, Memory: 64}, Machines: 1, CostPerCPUHour: 20}}}}, nil},
 	} {
 		var got []string
-		for _, offer := range ChooseOffers(c.candidates, c.peers, DefaultLimits(), 1) {
+		for _, offer := range ChooseOffers(testCase.candidates, testCase.peers, DefaultLimits(), 1) {
 			got = append(got, offer.Job+">"+offer.Peer)
 		}
-		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: got %v, want %v", c.name, got, c.want)
+		if !slices.Equal(got, testCase.want) {
+			t.Errorf("%s: got %v, want %v", testCase.name, got, testCase.want)
 		}
 	}
 	lentBefore := candidate("a", model.Normal, 60, 90)
@@ -183,8 +195,9 @@
 	}
 }
 
-// TestOffersWithinLimits: whatever there is to choose from, no peer gets more than its
-// loans and its free capacity, no job is offered twice, and none that gains nothing.
+// TestOffersWithinLimits checks on random candidates and peers that no peer gets more
+// loans than allowed or more tasks than its free capacity holds, that no job is offered
+// twice, and that no job is offered that gains nothing.
 func TestOffersWithinLimits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(uint64(rapid.IntRange(0, 1<<30).Draw(t, "seed")), 1))
@@ -192,9 +205,9 @@
 		limits.LoansOut, limits.Offers = 1+rng.IntN(4), 1+rng.IntN(10)
 		var candidates []Candidate
 		for i := range rng.IntN(12) {
-			c := candidate(string(rune('a'+i)), model.Urgency(rng.IntN(4)), 100*rng.Float64(), 200*rng.Float64())
-			c.Spec.Tasks = 1 + rng.IntN(9)
-			candidates = append(candidates, c)
+			job := candidate(string(rune('a'+i)), model.Urgency(rng.IntN(4)), 100*rng.Float64(), 200*rng.Float64())
+			job.Spec.Tasks = 1 + rng.IntN(9)
+			candidates = append(candidates, job)
 		}
 		var peers []PeerSnapshot
 		for _, name := range []string{"west", "north", "south"} {
@@ -203,33 +216,34 @@
 		offered := map[string]bool{}
 		tasks, loans := map[string]int{}, map[string]int{}
 		for _, offer := range ChooseOffers(candidates, peers, limits, 1) {
-			c := candidates[slices.IndexFunc(candidates, func(c Candidate) bool { return c.Job == offer.Job })]
-			if offered[offer.Job] || c.HomeFinish <= c.SLODue || offer.PeerFinish > c.SLODue || offer.PeerFinish+limits.MinGain > c.HomeFinish {
-				t.Fatalf("got %+v for %+v, want one offer a job, in time and of use", offer, c)
+			job := candidates[slices.IndexFunc(candidates, func(job Candidate) bool { return job.Job == offer.Job })]
+			if offered[offer.Job] || job.HomeFinish <= job.SLODue || offer.PeerFinish > job.SLODue || offer.PeerFinish+limits.MinGain > job.HomeFinish {
+				t.Fatalf("got %+v for %+v, want one offer per job, which meets the SLO and gains at least MinGain", offer, job)
 			}
 			offered[offer.Job] = true
-			tasks[offer.Peer] += c.Spec.Tasks
+			tasks[offer.Peer] += job.Spec.Tasks
 			loans[offer.Peer]++
 		}
 		if len(offered) > limits.Offers {
 			t.Fatalf("got %d offers, want %d at most", len(offered), limits.Offers)
 		}
-		for _, p := range peers {
-			if p.LoansOut+loans[p.Name] > max(p.LoansOut, limits.LoansOut) || tasks[p.Name] > 2*p.FreeCapacity[0].Machines || loans[p.Name] > 0 && (!p.Available || p.Draining) {
-				t.Fatalf("%s: got %d loans with %d tasks, more than fit %+v", p.Name, loans[p.Name], tasks[p.Name], p)
+		for _, peer := range peers {
+			if peer.LoansOut+loans[peer.Name] > max(peer.LoansOut, limits.LoansOut) || tasks[peer.Name] > 2*peer.FreeCapacity[0].Machines || loans[peer.Name] > 0 && (!peer.Available || peer.Draining) {
+				t.Fatalf("%s: got %d loans with %d tasks, more than fit %+v", peer.Name, loans[peer.Name], tasks[peer.Name], peer)
 			}
 		}
 	})
 }
 
-// TestAdmit: which jobs a borrower accepts.
+// TestAdmit checks which jobs a borrower accepts. The cases run in order: jobs accepted
+// earlier use up capacity.
 func TestAdmit(t *testing.T) {
 	take := func(tasks int, urgency model.Urgency) Command {
 		return Command{Kind: Take, Spec: model.JobSpec{Tasks: tasks, Urgency: urgency, Need: model.Resources{CPU: 2, Memory: 2}}}
 	}
 	idle := AdmissionState{FreeCapacity: freeMachines(2)}
 	busy := AdmissionState{FreeCapacity: freeMachines(9), OwnWorkLate: true, LateUrgency: model.Normal}
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name    string
 		state   *AdmissionState
 		tasks   int
@@ -237,19 +251,19 @@
 		want    Cause
 	}{
 		{"fits on both machines", &idle, 3, model.Normal, ""},
-		// The second machine has capacity for one more task, but whole machines are
-		// taken out of what was offered.
-		{"both machines are taken", &idle, 1, model.Normal, NoRoom},
+		// The second machine could hold one more task, but Admit subtracts whole
+		// machines from the offered capacity.
+		{"both machines are in use", &idle, 1, model.Normal, NoRoom},
 		{"own late jobs of the same urgency", &busy, 1, model.Normal, NoRoom},
 		{"own late jobs of a lower urgency", &busy, 1, model.Urgent, ""},
 	} {
-		if got := Admit(take(c.tasks, c.urgency), c.state, DefaultLimits()); got != c.want {
-			t.Errorf("%s: got cause %q, want %q", c.name, got, c.want)
+		if got := Admit(take(testCase.tasks, testCase.urgency), testCase.state, DefaultLimits()); got != testCase.want {
+			t.Errorf("%s: got cause %q, want %q", testCase.name, got, testCase.want)
 		}
 	}
 }
 
-// TestGiveBack: which loans a borrower gives back.
+// TestGiveBack checks which loans a borrower gives back under which pressure.
 func TestGiveBack(t *testing.T) {
 	loans := []BorrowedLoan{
 		{Loan: testLoan(1), Spec: model.JobSpec{Urgency: model.Normal}},
@@ -258,30 +272,30 @@
 		{Loan: testLoan(4), Ending: true}, {Loan: testLoan(5), State: Finished},
 	}
 	runTime := func(BorrowedLoan) time.Duration { return 30 * time.Second }
-	for _, c := range []struct {
+	for _, testCase := range []struct {
 		name     string
 		pressure Pressure
 		want     []uint64
 	}{
-		{"no need", Pressure{DrainIn: -1}, nil},
-		{"a short need", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
-		{"own urgent jobs are late", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
-		{"a drain with time: started jobs may end", Pressure{DrainIn: time.Minute}, []uint64{1, 3}},
-		{"a drain without time", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
+		{"no pressure", Pressure{DrainIn: -1}, nil},
+		{"own jobs late for a short time", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
+		{"own urgent jobs late for long", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
+		{"a drain long enough for started jobs to end", Pressure{DrainIn: time.Minute}, []uint64{1, 3}},
+		{"a drain too short for started jobs to end", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
 	} {
 		var got []uint64
-		for _, loan := range ChooseGiveBacks(loans, c.pressure, runTime) {
+		for _, loan := range ChooseGiveBacks(loans, testCase.pressure, runTime) {
 			got = append(got, loan.LendCount)
 		}
-		if !slices.Equal(got, c.want) {
-			t.Errorf("%s: got loans %v, want %v", c.name, got, c.want)
+		if !slices.Equal(got, testCase.want) {
+			t.Errorf("%s: got loans %v, want %v", testCase.name, got, testCase.want)
 		}
 	}
 }
 
-// TestPeerTracker: the tracker passes over a controller that doesn't reply, pauses
-// ever longer if none of a peer's controllers does, and trusts a peer that flaps
-// again slowly.
+// TestPeerTracker checks that the tracker moves on from a controller that doesn't reply,
+// follows redirects, pauses for longer and longer times if none of a peer's controllers
+// replies, and restores the trust in a peer that was unresponsive only slowly.
 func TestPeerTracker(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	peer := NewPeerTracker("west", []string{"w1", "w2", "w3"}, 2*time.Second, testStart)
--- a/internal/overflow/peer.go
+++ b/internal/overflow/peer.go
@@ -8,18 +8,20 @@
 )
 
 const (
-	// unresponsiveAfter is after how many heartbeat intervals without a heartbeat
-	// a peer counts as unresponsive.
+	// unresponsiveAfter is the number of heartbeat intervals without a heartbeat after
+	// which a peer counts as unresponsive.
 	unresponsiveAfter = 4
-	// trustHalfLife is the time in which half of the lost trust comes back.
+	// trustHalfLife is the time in which half of the lost trust recovers.
 	trustHalfLife = 2 * time.Minute
-	// flapPenalty and brokenLoanPenalty are the factors by which trust falls when
-	// the peer becomes unresponsive, and for each loan it did not fulfil.
+	// flapPenalty is the factor by which trust is multiplied when the peer becomes
+	// unresponsive. brokenLoanPenalty is the factor for each loan that the peer did not
+	// fulfil.
 	flapPenalty       = 0.5
 	brokenLoanPenalty = 0.7
-	// openAfter is how many failures in a row open the circuit breaker. It stays
-	// open for openFirst, and twice as long after each further failure, up to
-	// openMost.
+	// openAfter is the number of consecutive failures that open a peer's circuit
+	// breaker; for a peer with more controllers it is the number of controllers. The
+	// breaker stays open for openFirst, and twice as long after each further failure,
+	// up to openMost.
 	openAfter = 3
 	openFirst = 2 * time.Second
 	openMost  = time.Minute
@@ -28,13 +30,13 @@
 	latencyWeight = 0.2
 )
 
-// PeerState is a peer's state as seen from here.
+// PeerState is a peer's state as this cluster sees it.
 type PeerState int
 
 const (
 	// Unknown peers have never sent a heartbeat.
 	Unknown PeerState = iota
-	// Serving peers send heartbeats and take loans.
+	// Serving peers send heartbeats and accept loans.
 	Serving
 	// DrainingState peers send heartbeats and are being drained.
 	DrainingState
@@ -42,172 +44,186 @@
 	Unresponsive
 )
 
-// String is the state as the status report names it.
-func (s PeerState) String() string {
-	return [...]string{"unknown", "serving", "draining", "silent"}[s]
+// String returns the state's name in the status report and in logs.
+func (state PeerState) String() string {
+	return [...]string{"unknown", "serving", "draining", "silent"}[state]
 }
 
-// PeerTracker is one peer as the leader sees it: which of its controllers to send
-// the next heartbeat to, when, and how far the peer is trusted. It isn't safe for
-// concurrent use.
+// PeerTracker tracks one peer: its state, the trust in it, and when and to which of its
+// controllers the next heartbeat is sent. It isn't safe for concurrent use.
 type PeerTracker struct {
-	Name      string
+	Name string
+	// addrs are the addresses of the peer's controllers. addrIndex modulo their number
+	// is the one that heartbeats go to.
 	addrs     []string
 	addrIndex int
-	interval  time.Duration
-
-	// From the peer's last heartbeat.
-	heardAt      time.Time
-	draining     bool
-	lendsItself  bool
+	// interval is the heartbeat interval. The peer is assumed to use the same one.
+	interval time.Duration
+
+	// heardAt is when the peer's last heartbeat arrived, and zero before the first one.
+	// draining, lendsItself and the fields after lastState are from that heartbeat.
+	heardAt     time.Time
+	draining    bool
+	lendsItself bool
+	// lastState is the state that StateChanged last returned.
 	lastState    PeerState
 	freeCapacity []FreeCapacity
 	cachedImages []string
 	stopBound    time.Duration
 
-	// Of our own heartbeats to the peer.
+	// The following fields describe this cluster's heartbeats to the peer. nextAt is
+	// when the next one is due, and failures the number of consecutive failures.
 	inFlight         bool
 	nextAt           time.Time
 	failures         int
 	breakerOpenUntil time.Time
 	latency          time.Duration
 
-	// trust is the trust as of trustAt; it recovers from then on.
+	// trust is the trust in the peer at trustAt. It recovers from then on.
 	trust   float64
 	trustAt time.Time
 }
 
-// NewPeerTracker returns the tracker of a peer that has never sent a heartbeat.
-// interval is that of heartbeats to it.
+// NewPeerTracker returns the tracker of a peer that has never sent a heartbeat. addrs
+// are the addresses of its controllers, and interval is the heartbeat interval.
 func NewPeerTracker(name string, addrs []string, interval time.Duration, now time.Time) *PeerTracker {
 	return &PeerTracker{Name: name, addrs: addrs, interval: interval, nextAt: now, trust: 1, trustAt: now}
 }
 
-// State is the peer's state now.
-func (p *PeerTracker) State(now time.Time) PeerState {
+// State returns the peer's state at the time now.
+func (tracker *PeerTracker) State(now time.Time) PeerState {
 	switch {
-	case p.heardAt.IsZero():
+	case tracker.heardAt.IsZero():
 		return Unknown
-	case now.Sub(p.heardAt) > unresponsiveAfter*p.interval:
+	case now.Sub(tracker.heardAt) > unresponsiveAfter*tracker.interval:
 		return Unresponsive
-	case p.draining:
+	case tracker.draining:
 		return DrainingState
 	}
 	return Serving
 }
 
-// StateChanged returns the state, and whether it differs from the previous call's.
-// It lowers the trust in a peer that has become unresponsive.
-func (p *PeerTracker) StateChanged(now time.Time) (PeerState, bool) {
-	state := p.State(now)
-	changed := state != p.lastState
+// StateChanged returns the peer's state, and whether it differs from the state that the
+// previous call returned. It lowers the trust in a peer that has become unresponsive.
+func (tracker *PeerTracker) StateChanged(now time.Time) (PeerState, bool) {
+	state := tracker.State(now)
+	changed := state != tracker.lastState
 	if changed && state == Unresponsive {
-		p.reduceTrust(now, flapPenalty)
+		tracker.reduceTrust(now, flapPenalty)
 	}
-	p.lastState = state
+	tracker.lastState = state
 	return state, changed
 }
 
-// Trust is how far the peer is trusted, from 0 to 1. Lost trust comes back slowly.
-func (p *PeerTracker) Trust(now time.Time) float64 {
-	lost := 1 - p.trust
-	return 1 - lost*math.Exp2(-now.Sub(p.trustAt).Seconds()/trustHalfLife.Seconds())
+// Trust returns how far the peer is trusted, from 0 to 1. Lost trust recovers
+// exponentially, with trustHalfLife.
+func (tracker *PeerTracker) Trust(now time.Time) float64 {
+	lost := 1 - tracker.trust
+	return 1 - lost*math.Exp2(-now.Sub(tracker.trustAt).Seconds()/trustHalfLife.Seconds())
 }
 
-func (p *PeerTracker) reduceTrust(now time.Time, factor float64) {
-	p.trust, p.trustAt = p.Trust(now)*factor, now
+// reduceTrust multiplies the trust in the peer by factor.
+func (tracker *PeerTracker) reduceTrust(now time.Time, factor float64) {
+	tracker.trust, tracker.trustAt = tracker.Trust(now)*factor, now
 }
 
-// NoteBroken records a loan that the peer did not fulfil: its lease ran out, or the
-// peer refused it although it had offered the capacity.
-func (p *PeerTracker) NoteBroken(now time.Time) { p.reduceTrust(now, brokenLoanPenalty) }
+// NoteBroken records a loan that the peer did not fulfil: the loan's lease expired, or
+// the peer refused the loan although it had offered the capacity.
+func (tracker *PeerTracker) NoteBroken(now time.Time) { tracker.reduceTrust(now, brokenLoanPenalty) }
 
 // NoteHeartbeat records a heartbeat from the peer.
-func (p *PeerTracker) NoteHeartbeat(now time.Time, heartbeat Heartbeat) {
-	p.heardAt, p.draining, p.lendsItself = now, heartbeat.Draining, heartbeat.LendsItself
-	p.freeCapacity, p.cachedImages, p.stopBound = heartbeat.FreeCapacity, heartbeat.CachedImages, heartbeat.StopBound
+func (tracker *PeerTracker) NoteHeartbeat(now time.Time, heartbeat Heartbeat) {
+	tracker.heardAt, tracker.draining, tracker.lendsItself = now, heartbeat.Draining, heartbeat.LendsItself
+	tracker.freeCapacity, tracker.cachedImages, tracker.stopBound = heartbeat.FreeCapacity, heartbeat.CachedImages, heartbeat.StopBound
 }
 
-// StopBound is how long the peer's tasks may go on after a lease's end, as the peer
-// reported it.
-func (p *PeerTracker) StopBound() time.Duration { return p.stopBound }
+// StopBound returns how long the peer's tasks may go on running after a lease's end, as
+// the peer last reported it.
+func (tracker *PeerTracker) StopBound() time.Duration { return tracker.stopBound }
 
-// Latency is the moving average of the peer's reply times.
-func (p *PeerTracker) Latency() time.Duration { return p.latency }
+// Latency returns the moving average of the peer's reply times.
+func (tracker *PeerTracker) Latency() time.Duration { return tracker.latency }
 
-// IsReachable says whether the circuit breaker lets heartbeats to the peer pass.
-func (p *PeerTracker) IsReachable(now time.Time) bool { return !now.Before(p.breakerOpenUntil) }
+// IsReachable reports whether the peer's circuit breaker is closed, so that heartbeats
+// are sent to the peer.
+func (tracker *PeerTracker) IsReachable(now time.Time) bool {
+	return !now.Before(tracker.breakerOpenUntil)
+}
 
-// HeardAt is when the peer's last heartbeat came; zero for none.
-func (p *PeerTracker) HeardAt() time.Time { return p.heardAt }
+// HeardAt returns when the peer's last heartbeat arrived, and zero if there was none.
+func (tracker *PeerTracker) HeardAt() time.Time { return tracker.heardAt }
 
-// OfferedMachines is the number of machines with capacity that the peer offers.
-func (p *PeerTracker) OfferedMachines() int {
+// OfferedMachines returns the number of machines on which the peer offers capacity.
+func (tracker *PeerTracker) OfferedMachines() int {
 	machines := 0
-	for _, capacity := range p.freeCapacity {
+	for _, capacity := range tracker.freeCapacity {
 		machines += capacity.Machines
 	}
 	return machines
 }
 
-// NextRequest says whether a heartbeat is due, and to which of the peer's
-// controllers. It then counts as in flight, until the outcome is noted; there is one
-// at a time to each peer, so that a slow peer delays no other.
-func (p *PeerTracker) NextRequest(now time.Time) (addr string, due bool) {
-	if p.inFlight || now.Before(p.nextAt) || now.Before(p.breakerOpenUntil) || len(p.addrs) == 0 {
+// NextRequest reports whether a heartbeat to the peer is due, and returns the address of
+// the controller to send it to. The heartbeat then counts as in flight until
+// NoteReply, NoteRedirect or NoteFailure records the outcome. At most one heartbeat to
+// each peer is in flight, so that a slow peer doesn't delay the others.
+func (tracker *PeerTracker) NextRequest(now time.Time) (addr string, due bool) {
+	if tracker.inFlight || now.Before(tracker.nextAt) || now.Before(tracker.breakerOpenUntil) || len(tracker.addrs) == 0 {
 		return "", false
 	}
-	p.inFlight = true
-	return p.addrs[p.addrIndex%len(p.addrs)], true
+	tracker.inFlight = true
+	return tracker.addrs[tracker.addrIndex%len(tracker.addrs)], true
 }
 
-// NoteReply records that the right controller replied after latency.
-func (p *PeerTracker) NoteReply(now time.Time, latency time.Duration, rng *rand.Rand) {
-	p.inFlight, p.failures, p.breakerOpenUntil = false, 0, time.Time{}
-	p.nextAt = now.Add(jitter(p.interval, rng))
-	if p.latency == 0 {
-		p.latency = latency
+// NoteReply records that the controller replied after latency. rng spreads the time of
+// the next heartbeat.
+func (tracker *PeerTracker) NoteReply(now time.Time, latency time.Duration, rng *rand.Rand) {
+	tracker.inFlight, tracker.failures, tracker.breakerOpenUntil = false, 0, time.Time{}
+	tracker.nextAt = now.Add(jitter(tracker.interval, rng))
+	if tracker.latency == 0 {
+		tracker.latency = latency
 	}
-	p.latency += time.Duration(latencyWeight * float64(latency-p.latency))
+	tracker.latency += time.Duration(latencyWeight * float64(latency-tracker.latency))
 }
 
-// NoteRedirect records that another controller takes the heartbeats: to if it is
-// known, which is due at once, and else the next in order.
-func (p *PeerTracker) NoteRedirect(now time.Time, to string) {
-	p.inFlight = false
-	p.nextAt = now
-	if i := slices.Index(p.addrs, to); i >= 0 && i != p.addrIndex%len(p.addrs) {
-		p.addrIndex = i
+// NoteRedirect records that another of the peer's controllers handles heartbeats. If to
+// is the address of another known controller, a heartbeat to it is due at once.
+// Otherwise a heartbeat to the next controller in the list is due after a short pause.
+func (tracker *PeerTracker) NoteRedirect(now time.Time, to string) {
+	tracker.inFlight = false
+	tracker.nextAt = now
+	if i := slices.Index(tracker.addrs, to); i >= 0 && i != tracker.addrIndex%len(tracker.addrs) {
+		tracker.addrIndex = i
 		return
 	}
-	p.addrIndex++
-	p.nextAt = now.Add(p.interval / 8)
-}
-
-// NoteFailure records that a controller did not reply. The next one is due, unless
-// none of the peer's controllers replies: then the circuit breaker opens.
-func (p *PeerTracker) NoteFailure(now time.Time, rng *rand.Rand) {
-	p.inFlight = false
-	p.addrIndex++
-	p.failures++
-	p.nextAt = now.Add(jitter(p.interval/2, rng))
-	if n := p.failures - max(openAfter, len(p.addrs)); n >= 0 {
-		pause := min(openFirst<<min(n, 10), openMost)
-		p.breakerOpenUntil = now.Add(jitter(pause, rng))
+	tracker.addrIndex++
+	tracker.nextAt = now.Add(tracker.interval / 8)
+}
+
+// NoteFailure records that the controller did not reply. The next heartbeat goes to the
+// next controller in the list. When none of the peer's controllers replies, the circuit
+// breaker opens.
+func (tracker *PeerTracker) NoteFailure(now time.Time, rng *rand.Rand) {
+	tracker.inFlight = false
+	tracker.addrIndex++
+	tracker.failures++
+	tracker.nextAt = now.Add(jitter(tracker.interval/2, rng))
+	if excessFailures := tracker.failures - max(openAfter, len(tracker.addrs)); excessFailures >= 0 {
+		pause := min(openFirst<<min(excessFailures, 10), openMost)
+		tracker.breakerOpenUntil = now.Add(jitter(pause, rng))
 	}
 }
 
-// Snapshot is the peer's state as ChooseOffers needs it. loansOut is how many loans
-// of this cluster the peer holds.
-func (p *PeerTracker) Snapshot(now time.Time, loansOut int) PeerSnapshot {
-	state := p.State(now)
+// Snapshot returns the peer's state for ChooseOffers. loansOut is how many of this
+// cluster's loans the peer holds.
+func (tracker *PeerTracker) Snapshot(now time.Time, loansOut int) PeerSnapshot {
+	state := tracker.State(now)
 	return PeerSnapshot{
-		Name: p.Name, Available: state == Serving || state == DrainingState, Draining: p.draining,
-		Latency: p.latency, Trust: p.Trust(now), FreeCapacity: p.freeCapacity, CachedImages: p.cachedImages, LoansOut: loansOut, LendsItself: p.lendsItself,
+		Name: tracker.Name, Available: state == Serving || state == DrainingState, Draining: tracker.draining,
+		Latency: tracker.latency, Trust: tracker.Trust(now), FreeCapacity: tracker.freeCapacity, CachedImages: tracker.cachedImages, LoansOut: loansOut, LendsItself: tracker.lendsItself,
 	}
 }
 
-// jitter spreads d by a quarter either way.
-func jitter(d time.Duration, rng *rand.Rand) time.Duration {
-	return time.Duration(float64(d) * (0.75 + rng.Float64()/2))
+// jitter returns a random duration between 0.75 and 1.25 times the given one.
+func jitter(duration time.Duration, rng *rand.Rand) time.Duration {
+	return time.Duration(float64(duration) * (0.75 + rng.Float64()/2))
 }
