--- a/internal/overflow/admission.go
+++ b/internal/overflow/admission.go
@@ -19,9 +19,9 @@
 	// FreeCapacity is the capacity last offered to peers, less the capacity of the
 	// jobs accepted since.
 	FreeCapacity []FreeCapacity
-	// OwnWorkLate means that jobs of this cluster wait and will miss their SLO.
+	// OwnJobsLate means that jobs of this cluster wait and will miss their SLO.
 	// LateUrgency is the highest urgency among these jobs.
-	OwnWorkLate bool
+	OwnJobsLate bool
 	LateUrgency model.Urgency
 }
 
@@ -33,7 +33,7 @@
 	switch {
 	case state.LoansIn >= limits.LoansIn, spec.Tasks > limits.Tasks:
 		return NoRoom
-	case state.OwnWorkLate && state.LateUrgency >= spec.Urgency:
+	case state.OwnJobsLate && state.LateUrgency >= spec.Urgency:
 		return NoRoom
 	}
 	unplaced := spec.Tasks
@@ -60,11 +60,11 @@
 
 // Pressure is the borrower's own need for the capacity that borrowed jobs use.
 type Pressure struct {
-	// OwnWorkLate means that jobs of this cluster wait and will miss their SLO.
+	// OwnJobsLate means that jobs of this cluster wait and will miss their SLO.
 	// LateUrgency is the highest urgency among these jobs.
-	OwnWorkLate bool
+	OwnJobsLate bool
 	LateUrgency model.Urgency
-	// LateFor is how long OwnWorkLate has been true.
+	// LateFor is how long OwnJobsLate has been true.
 	LateFor time.Duration
 	// DrainIn is the time left until a drain must have emptied the cluster. It is
 	// negative if the cluster is not being drained.
@@ -83,7 +83,7 @@
 			continue
 		}
 		drained := pressure.DrainIn >= 0 && (!loan.Started || runTime(loan) > pressure.DrainIn)
-		displaced := pressure.OwnWorkLate && pressure.LateFor >= giveBackDelay && !loan.Started && loan.Spec.Urgency <= pressure.LateUrgency
+		displaced := pressure.OwnJobsLate && pressure.LateFor >= giveBackDelay && !loan.Started && loan.Spec.Urgency <= pressure.LateUrgency
 		if drained || displaced {
 			chosen = append(chosen, loan.Loan)
 		}
--- a/internal/overflow/broker/plan.go
+++ b/internal/overflow/broker/plan.go
@@ -13,14 +13,14 @@
 // back loans if this cluster's own jobs or a drain need their capacity.
 func (broker *Broker) updatePressure(now time.Time, view overflow.BorrowerView) {
 	loanView := &broker.view
-	if !loanView.OwnWorkLate {
+	if !loanView.OwnJobsLate {
 		broker.lateSince = time.Time{}
 	} else if broker.lateSince.IsZero() {
 		broker.lateSince = now
 	}
-	broker.admission = overflow.AdmissionState{LoansIn: len(loanView.Borrowed), FreeCapacity: view.FreeCapacity, OwnWorkLate: loanView.OwnWorkLate, LateUrgency: loanView.LateUrgency}
-	pressure := overflow.Pressure{OwnWorkLate: loanView.OwnWorkLate, LateUrgency: loanView.LateUrgency, DrainIn: -1}
-	if loanView.OwnWorkLate {
+	broker.admission = overflow.AdmissionState{LoansIn: len(loanView.Borrowed), FreeCapacity: view.FreeCapacity, OwnJobsLate: loanView.OwnJobsLate, LateUrgency: loanView.LateUrgency}
+	pressure := overflow.Pressure{OwnJobsLate: loanView.OwnJobsLate, LateUrgency: loanView.LateUrgency, DrainIn: -1}
+	if loanView.OwnJobsLate {
 		pressure.LateFor = now.Sub(broker.lateSince)
 	}
 	cause := overflow.GivenBack
--- a/internal/overflow/broker/poll.go
+++ b/internal/overflow/broker/poll.go
@@ -34,7 +34,7 @@
 	if !withSimulation {
 		// The previous simulation's results are used until the next simulation.
 		view.Waiting, view.FreeCapacity, view.CachedImages = broker.view.Waiting, broker.view.FreeCapacity, broker.view.CachedImages
-		view.OwnWorkLate, view.LateUrgency, view.CheapestCPUHour = broker.view.OwnWorkLate, broker.view.LateUrgency, broker.view.CheapestCPUHour
+		view.OwnJobsLate, view.LateUrgency, view.CheapestCPUHour = broker.view.OwnJobsLate, broker.view.LateUrgency, broker.view.CheapestCPUHour
 	}
 	broker.view = view
 	broker.advance(withSimulation, heartbeats)
--- a/internal/overflow/broker/views.go
+++ b/internal/overflow/broker/views.go
@@ -29,7 +29,7 @@
 func (broker *Broker) borrowerView() overflow.BorrowerView {
 	loanView := &broker.view
 	view := overflow.BorrowerView{
-		Epoch: loanView.GuestTeamEpoch, Draining: loanView.Draining, LendsItself: len(loanView.Lent) > 0 || loanView.OwnWorkLate,
+		Epoch: loanView.GuestTeamEpoch, Draining: loanView.Draining, LendsItself: len(loanView.Lent) > 0 || loanView.OwnJobsLate,
 		StopBound: workerLeaseCount*broker.settings.WorkerLease + stopMargin, CachedImages: loanView.CachedImages, RenewedAt: map[string]time.Time{},
 	}
 	for home, renewedAt := range loanView.RenewedAt {
--- a/internal/overflow/link/errors.go
+++ b/internal/overflow/link/errors.go
@@ -10,7 +10,7 @@
 
 // ErrStale means that the heartbeat is not newer than the last one, or that the cluster
 // can't answer heartbeats now.
-var ErrStale = errors.New("link: the heartbeat is outdated or can't be answered now")
+var ErrStale = errors.New("link: not now")
 
 // RefusedError is a peer's refusal of a heartbeat. It wraps ErrNotLeader or ErrStale if
 // Code is the code of that error.
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -24,7 +24,7 @@
 // ErrForged means that a frame's sequence number or a record's MAC is wrong. A wrong MAC
 // means that the record was changed, or was made for another loan, frame, direction or
 // connection.
-var ErrForged = errors.New("link: the frame or one of its records is not authentic")
+var ErrForged = errors.New("link: a record is not bound to its loan")
 
 // binder creates and verifies the MACs that bind records to their loans on one
 // connection. The key is derived from the TLS session, so that only the two ends of the
@@ -150,7 +150,7 @@
 			return heartbeat, err
 		}
 		if loanReport.State < int32(overflow.Held) || loanReport.State > int32(overflow.Gone) {
-			return heartbeat, fmt.Errorf("link: loan %s: unknown loan state %d", loan, loanReport.State)
+			return heartbeat, fmt.Errorf("link: loan %s: state %d is not known", loan, loanReport.State)
 		}
 		heartbeat.Loans = append(heartbeat.Loans, overflow.LoanReport{Loan: loan, State: overflow.LoanState(loanReport.State), Cause: overflow.Cause(loanReport.Cause), DoneTasks: int(loanReport.Done), RunningTasks: int(loanReport.Running)})
 	}
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -242,7 +242,7 @@
 		return Command{Kind: Take, Spec: model.JobSpec{Tasks: tasks, Urgency: urgency, Need: model.Resources{CPU: 2, Memory: 2}}}
 	}
 	idle := AdmissionState{FreeCapacity: freeMachines(2)}
-	busy := AdmissionState{FreeCapacity: freeMachines(9), OwnWorkLate: true, LateUrgency: model.Normal}
+	busy := AdmissionState{FreeCapacity: freeMachines(9), OwnJobsLate: true, LateUrgency: model.Normal}
 	for _, testCase := range []struct {
 		name    string
 		state   *AdmissionState
@@ -278,8 +278,8 @@
 		want     []uint64
 	}{
 		{"no pressure", Pressure{DrainIn: -1}, nil},
-		{"own jobs late for a short time", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
-		{"own urgent jobs late for long", Pressure{OwnWorkLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
+		{"own jobs late for a short time", Pressure{OwnJobsLate: true, LateUrgency: model.Urgent, LateFor: time.Second, DrainIn: -1}, nil},
+		{"own urgent jobs late for long", Pressure{OwnJobsLate: true, LateUrgency: model.Urgent, LateFor: time.Minute, DrainIn: -1}, []uint64{1}},
 		{"a drain long enough for started jobs to end", Pressure{DrainIn: time.Minute}, []uint64{1, 3}},
 		{"a drain too short for started jobs to end", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
 	} {
