--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -53,12 +53,12 @@
 	uriHost   = "cluster"
 )
 
-// clusterName matches the valid names of clusters.
-var clusterName = regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`)
+// clusterNamePattern matches the valid names of clusters.
+var clusterNamePattern = regexp.MustCompile(`^[a-z][a-z0-9-]{0,30}$`)
 
 // IsClusterName reports whether name is a valid cluster name. Valid names can be used in
 // certificates and in keys of the state service.
-func IsClusterName(name string) bool { return clusterName.MatchString(name) }
+func IsClusterName(name string) bool { return clusterNamePattern.MatchString(name) }
 
 var (
 	// ErrExists means that a directory already holds a CA. A CA is never overwritten.
--- a/internal/overflow/admission.go
+++ b/internal/overflow/admission.go
@@ -32,9 +32,9 @@
 	spec := &command.Spec
 	switch {
 	case state.LoansIn >= limits.LoansIn, spec.Tasks > limits.Tasks:
-		return NoRoom
+		return NoCapacity
 	case state.OwnJobsLate && state.LateUrgency >= spec.Urgency:
-		return NoRoom
+		return NoCapacity
 	}
 	unplaced := spec.Tasks
 	capacity := slices.Clone(state.FreeCapacity)
@@ -43,7 +43,7 @@
 		if perMachine == 0 || capacity[i].Spot && !spec.AllowSpot {
 			continue
 		}
-		machines := min(capacity[i].Machines, machinesFor(unplaced, perMachine))
+		machines := min(capacity[i].Machines, machinesNeeded(unplaced, perMachine))
 		capacity[i].Machines -= machines
 		unplaced -= min(unplaced, machines*perMachine)
 		if unplaced == 0 {
@@ -51,7 +51,7 @@
 		}
 	}
 	if unplaced > 0 {
-		return NoRoom
+		return NoCapacity
 	}
 	state.FreeCapacity = capacity
 	state.LoansIn++
@@ -71,12 +71,12 @@
 	DrainIn time.Duration
 }
 
-// ChooseGiveBacks returns the loans to give back under the pressure, in the order of
+// ChooseLoansToGiveBack returns the loans to give back under the pressure, in the order of
 // compareLoans. When jobs of this cluster have been late for giveBackDelay, they displace
 // the loans that have not started and are not more urgent than these jobs. A drain
 // displaces the loans that have not started, and the started ones that would not end
 // before the drain does. runTime estimates how long a loan runs.
-func ChooseGiveBacks(loans []BorrowedLoan, pressure Pressure, runTime func(BorrowedLoan) time.Duration) []Loan {
+func ChooseLoansToGiveBack(loans []BorrowedLoan, pressure Pressure, runTime func(BorrowedLoan) time.Duration) []Loan {
 	var chosen []Loan
 	for _, loan := range loans {
 		if !loan.isActive() {
--- a/internal/overflow/borrower.go
+++ b/internal/overflow/borrower.go
@@ -127,7 +127,7 @@
 		}
 		switch command.Kind {
 		case Take:
-			if borrower.take(command, view, accept) {
+			if borrower.handleOffer(command, view, accept) {
 				transitions = append(transitions, BorrowerTransition{Kind: Accept, Loan: command.Loan, Spec: command.Spec, Age: command.Age})
 			}
 		case Keep:
@@ -149,9 +149,9 @@
 	return transitions
 }
 
-// take decides on an offered job and reports whether the caller has to write its
+// handleOffer decides on an offered job and reports whether the caller has to write its
 // acceptance. It ignores an offer of a loan that is held or being accepted.
-func (borrower *Borrower) take(command Command, view BorrowerView, accept func(Command) Cause) bool {
+func (borrower *Borrower) handleOffer(command Command, view BorrowerView, accept func(Command) Cause) bool {
 	if isBorrowed(view, command.Loan) || borrower.accepting[command.Loan] {
 		return false
 	}
--- a/internal/overflow/broker/broker.go
+++ b/internal/overflow/broker/broker.go
@@ -109,7 +109,7 @@
 	borrower                *overflow.Borrower
 	peers                   map[string]*overflow.PeerTracker
 	view                    message.LoanView
-	viewedAt                time.Time
+	polledAt                time.Time
 	simulatedAt             time.Time
 	renewedAt               time.Time
 	pendingHeartbeats       []pendingHeartbeat
@@ -219,10 +219,10 @@
 		case <-timer.C:
 		}
 		broker.drainEvents()
-		if len(broker.pendingHeartbeats) > 0 || time.Since(broker.viewedAt) >= interval {
+		if len(broker.pendingHeartbeats) > 0 || time.Since(broker.polledAt) >= interval {
 			broker.poll(ctx)
 		}
-		timer.Reset(max(minWait, time.Until(broker.viewedAt.Add(interval))))
+		timer.Reset(max(minWait, time.Until(broker.polledAt.Add(interval))))
 	}
 }
 
--- a/internal/overflow/broker/heartbeats.go
+++ b/internal/overflow/broker/heartbeats.go
@@ -31,8 +31,8 @@
 		// The peer has refused a loan for lack of capacity, although the loan was
 		// offered for capacity that the peer had reported. This counts once, when the
 		// lender ends the loan.
-		if report.State == overflow.Gone && report.Cause == overflow.NoRoom && slices.ContainsFunc(transitions, func(transition overflow.LenderTransition) bool { return transition.Loan == report.Loan }) {
-			peer.NoteBroken(now)
+		if report.State == overflow.Gone && report.Cause == overflow.NoCapacity && slices.ContainsFunc(transitions, func(transition overflow.LenderTransition) bool { return transition.Loan == report.Loan }) {
+			peer.NoteBrokenLoan(now)
 		}
 	}
 	for _, transition := range transitions {
--- a/internal/overflow/broker/plan.go
+++ b/internal/overflow/broker/plan.go
@@ -29,7 +29,7 @@
 		cause = overflow.Draining
 	}
 	runTime := func(loan overflow.BorrowedLoan) time.Duration { return loan.Spec.ExpectedRunTime }
-	for _, loan := range overflow.ChooseGiveBacks(view.Borrowed, pressure, runTime) {
+	for _, loan := range overflow.ChooseLoansToGiveBack(view.Borrowed, pressure, runTime) {
 		broker.commitBorrowerTransition(overflow.BorrowerTransition{Kind: overflow.GiveUp, Loan: loan, Cause: cause})
 	}
 }
--- a/internal/overflow/broker/poll.go
+++ b/internal/overflow/broker/poll.go
@@ -20,7 +20,7 @@
 	ctx, cancel := context.WithTimeout(ctx, controllerTimeout)
 	defer cancel()
 	effect, err := broker.controller.Ask(ctx, func(reply uint64) message.Command { query.Reply = reply; return query })
-	broker.viewedAt = time.Now()
+	broker.polledAt = time.Now()
 	view, ok := effect.(message.LoanView)
 	heartbeats := broker.pendingHeartbeats
 	broker.pendingHeartbeats = nil
@@ -37,7 +37,7 @@
 		view.OwnJobsLate, view.LateUrgency, view.CheapestCPUHour = broker.view.OwnJobsLate, broker.view.LateUrgency, broker.view.CheapestCPUHour
 	}
 	broker.view = view
-	broker.advance(withSimulation, heartbeats)
+	broker.handleView(withSimulation, heartbeats)
 }
 
 // newQuery returns the query for the durable state. The query also carries until when
@@ -64,21 +64,21 @@
 func (broker *Broker) updateRoles(view message.LoanView) {
 	if view.IsLeader && (!broker.isLeader || view.Epoch != broker.epoch) {
 		slog.Info("overflow: lender role started", "epoch", view.Epoch, "lent", len(view.Lent))
-		broker.resetLender(broker.viewedAt)
+		broker.resetLender(broker.polledAt)
 		broker.epoch = view.Epoch
 	}
 	if view.RunsGuestTeam && (!broker.runsGuestTeam || view.GuestTeamTerm != broker.term) {
 		slog.Info("overflow: borrower role started", "epoch", view.GuestTeamEpoch, "borrowed", len(view.Borrowed))
 		broker.resetBorrower()
-		broker.term, broker.renewedAt = view.GuestTeamTerm, broker.viewedAt
+		broker.term, broker.renewedAt = view.GuestTeamTerm, broker.polledAt
 	}
 	broker.isLeader, broker.runsGuestTeam = view.IsLeader, view.RunsGuestTeam
 }
 
-// advance acts on the new view: it answers heartbeats, ends expired loans, chooses jobs
+// handleView acts on the new view: it answers heartbeats, ends expired loans, chooses jobs
 // to lend if the view has new simulation results, and sends the heartbeats that are due.
-func (broker *Broker) advance(simulated bool, heartbeats []pendingHeartbeat) {
-	now := broker.viewedAt
+func (broker *Broker) handleView(simulated bool, heartbeats []pendingHeartbeat) {
+	now := broker.polledAt
 	lenderView, borrowerView := broker.lenderView(), broker.borrowerView()
 	for _, pending := range heartbeats {
 		if !broker.isLeader {
@@ -114,7 +114,7 @@
 		if !broker.runsGuestTeam {
 			continue
 		}
-		if addr, due := peer.NextRequest(now); due {
+		if addr, due := peer.NextHeartbeat(now); due {
 			broker.sendHeartbeat(now, name, addr, borrowerView)
 		}
 	}
@@ -126,7 +126,7 @@
 func (broker *Broker) expireLent(now time.Time, view overflow.LenderView) {
 	for _, transition := range broker.lender.ExpiredLoans(now, view) {
 		if peer := broker.peers[broker.peerOf(transition.Loan)]; peer != nil {
-			peer.NoteBroken(now)
+			peer.NoteBrokenLoan(now)
 		}
 		broker.commitLenderTransition(transition)
 	}
--- a/internal/overflow/broker/status.go
+++ b/internal/overflow/broker/status.go
@@ -88,7 +88,7 @@
 			Cluster: name, State: peer.State(now).String(), Trust: peer.Trust(now), LatencyMS: float64(peer.Latency().Microseconds()) / 1000,
 			BreakerOpen: !peer.IsReachable(now), OfferedMachines: peer.OfferedMachines(), Lent: lent[name], Borrowed: borrowed[name],
 		}
-		if heardAt := peer.HeardAt(); !heardAt.IsZero() {
+		if heardAt := peer.LastHeartbeatAt(); !heardAt.IsZero() {
 			status.HeardSeconds = now.Sub(heardAt).Seconds()
 		}
 		result.Peers = append(result.Peers, status)
--- a/internal/overflow/lender.go
+++ b/internal/overflow/lender.go
@@ -101,9 +101,9 @@
 		var command *Command
 		var transition *LenderTransition
 		if report, reported := reports[loan.Loan]; reported {
-			command, transition = lender.reportedLoan(loan, report)
+			command, transition = lender.handleReportedLoan(loan, report)
 		} else {
-			command, transition = lender.absentLoan(now, view.Epoch, loan, heartbeat)
+			command, transition = lender.handleAbsentLoan(now, view.Epoch, loan, heartbeat)
 		}
 		if command != nil {
 			reply.Commands = append(reply.Commands, *command)
@@ -142,9 +142,9 @@
 	return true
 }
 
-// reportedLoan decides on a loan that its borrower's heartbeat lists. Either result may
+// handleReportedLoan decides on a loan that its borrower's heartbeat lists. Either result may
 // be nil.
-func (lender *Lender) reportedLoan(loan LentLoan, report LoanReport) (*Command, *LenderTransition) {
+func (lender *Lender) handleReportedLoan(loan LentLoan, report LoanReport) (*Command, *LenderTransition) {
 	switch {
 	case report.State == Finished:
 		return nil, lender.startClose(LenderTransition{Kind: Settle, Loan: loan.Loan})
@@ -157,11 +157,11 @@
 	return &Command{Kind: Keep, Loan: loan.Loan}, nil
 }
 
-// absentLoan decides on a loan that its borrower's heartbeat doesn't list. Either result
+// handleAbsentLoan decides on a loan that its borrower's heartbeat doesn't list. Either result
 // may be nil. Absence proves that the borrower has not accepted the loan and never will
 // only if the heartbeat's HomeEpoch is this leader's epoch: the borrower had then
 // handled all earlier replies.
-func (lender *Lender) absentLoan(now time.Time, epoch uint64, loan LentLoan, heartbeat Heartbeat) (*Command, *LenderTransition) {
+func (lender *Lender) handleAbsentLoan(now time.Time, epoch uint64, loan LentLoan, heartbeat Heartbeat) (*Command, *LenderTransition) {
 	proven := heartbeat.HomeEpoch == epoch
 	offeredAt := lender.offeredAt[loan.Loan]
 	switch {
--- a/internal/overflow/link/golden_test.go
+++ b/internal/overflow/link/golden_test.go
@@ -24,7 +24,7 @@
 		{Loan: goldenLoan("job-000412", 2), State: overflow.Gone, Cause: overflow.GivenBack, DoneTasks: 5, RunningTasks: 6},
 		{Loan: goldenLoan("job-000413", 300), State: overflow.Finished, Cause: overflow.Stopped, DoneTasks: 7},
 		{Loan: goldenLoan("job-000414", 4), State: overflow.Held, Cause: overflow.Draining},
-		{Loan: goldenLoan("job-000415", 5), State: overflow.Gone, Cause: overflow.NoRoom},
+		{Loan: goldenLoan("job-000415", 5), State: overflow.Gone, Cause: overflow.NoCapacity},
 		{Loan: goldenLoan("job-000416", 6), State: overflow.Gone, Cause: overflow.LeaseExpired},
 		{Loan: goldenLoan("job-000417", 7), State: overflow.Gone, Cause: overflow.Refused},
 	},
--- a/internal/overflow/link/wire.go
+++ b/internal/overflow/link/wire.go
@@ -135,12 +135,12 @@
 func (binder *binder) decodeHeartbeat(seq uint64, report *Report) (overflow.Heartbeat, error) {
 	heartbeat := overflow.Heartbeat{
 		From: report.From, Epoch: report.Epoch, Sequence: report.Tick, HomeEpoch: report.HomeEpoch, Draining: report.Draining, LendsItself: report.Lender,
-		StopBound: millis(report.StopMs), CachedImages: report.Images,
+		StopBound: milliseconds(report.StopMs), CachedImages: report.Images,
 	}
 	for _, room := range report.Room {
 		heartbeat.FreeCapacity = append(heartbeat.FreeCapacity, overflow.FreeCapacity{
 			MachineType: room.Flavour, Zone: room.Zone, Spot: room.Spot, PerMachine: decodeResources(room.Each), Machines: int(room.Machines),
-			AvailableIn: millis(room.InMs), CostPerCPUHour: room.Price, FetchRate: room.Rate,
+			AvailableIn: milliseconds(room.InMs), CostPerCPUHour: room.Price, FetchRate: room.Rate,
 		})
 	}
 	for _, bound := range report.Loans {
@@ -176,14 +176,14 @@
 
 // decodeReply converts and verifies the reply of the frame with the sequence number seq.
 func (binder *binder) decodeReply(seq uint64, answer *Answer) (overflow.HeartbeatReply, error) {
-	reply := overflow.HeartbeatReply{Epoch: answer.Epoch, Lease: millis(answer.LeaseMs)}
+	reply := overflow.HeartbeatReply{Epoch: answer.Epoch, Lease: milliseconds(answer.LeaseMs)}
 	for _, bound := range answer.Orders {
 		var order Order
 		loan, err := binder.verify(directionReply, seq, bound, &order)
 		if err != nil {
 			return reply, err
 		}
-		command := overflow.Command{Kind: overflow.CommandKind(order.Verb), Loan: loan, Age: millis(order.AgeMs)}
+		command := overflow.Command{Kind: overflow.CommandKind(order.Verb), Loan: loan, Age: milliseconds(order.AgeMs)}
 		if order.Verb < int32(overflow.Take) || order.Verb > int32(overflow.Forget) || command.Kind == overflow.Take && order.Spec == nil {
 			return reply, fmt.Errorf("link: loan %s: unknown or incomplete command %d", loan, order.Verb)
 		}
@@ -195,8 +195,8 @@
 	return reply, nil
 }
 
-// millis returns the duration of n milliseconds.
-func millis(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+// milliseconds returns the duration of n milliseconds.
+func milliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // encodeResources converts resources to their protobuf message.
 func encodeResources(resources model.Resources) *Amount {
@@ -225,6 +225,6 @@
 	return model.JobSpec{
 		Workload: spec.Workload, Urgency: model.Urgency(min(max(spec.Urgency, int32(model.BestEffort)), int32(model.Critical))),
 		Tasks: int(spec.Tasks), Need: decodeResources(spec.Need), Image: spec.Image, ImageGB: spec.ImageGb, AllowSpot: spec.Spot,
-		ExpectedRunTime: millis(spec.ExpectedMs), CheckpointInterval: millis(spec.SaveEveryMs), CheckpointCost: millis(spec.SaveCostMs), Deadline: millis(spec.DueMs),
+		ExpectedRunTime: milliseconds(spec.ExpectedMs), CheckpointInterval: milliseconds(spec.SaveEveryMs), CheckpointCost: milliseconds(spec.SaveCostMs), Deadline: milliseconds(spec.DueMs),
 	}
 }
--- a/internal/overflow/model_borrower_test.go
+++ b/internal/overflow/model_borrower_test.go
@@ -7,7 +7,7 @@
 
 // clock returns the time on the borrower's monotonic clock, which drifts.
 func (sim *modelSim) clock(cluster *modelBorrower) time.Time {
-	return sim.startedAt.Add(time.Duration(float64(sim.now.Sub(sim.startedAt)) * cluster.drift))
+	return sim.startedAt.Add(time.Duration(float64(sim.now.Sub(sim.startedAt)) * cluster.clockRate))
 }
 
 // borrowerView returns the borrower's durable state as its leader sees it.
@@ -52,11 +52,11 @@
 			if !known && cluster.borrower == borrower && cluster.up {
 				apply()
 				if !known {
-					sim.after(2*time.Second, retry)
+					sim.schedule(2*time.Second, retry)
 				}
 			}
 		}
-		sim.after(3*time.Second, retry)
+		sim.schedule(3*time.Second, retry)
 	}
 }
 
@@ -64,7 +64,7 @@
 func (sim *modelSim) applyBorrower(cluster *modelBorrower, transition BorrowerTransition) {
 	switch transition.Kind {
 	case Accept:
-		cluster.loans[transition.Loan] = &modelLoan{spec: transition.Spec, remaining: modelRun}
+		cluster.loans[transition.Loan] = &modelLoan{spec: transition.Spec, remaining: modelRunTime}
 		sim.takenCount++
 	case GiveUp:
 		held := cluster.loans[transition.Loan]
--- a/internal/overflow/model_day_test.go
+++ b/internal/overflow/model_day_test.go
@@ -11,7 +11,7 @@
 	sim := newModelSim(chooser, omitted)
 	steps := chooser.choose("steps", 200, 500)
 	for range steps {
-		sim.fault(chooser.choose("fault", 0, 60))
+		sim.injectFault(chooser.choose("fault", 0, 60))
 		sim.step()
 	}
 	if omitted == (omittedRules{}) {
@@ -25,7 +25,7 @@
 func (sim *modelSim) settle() {
 	sim.lossy = false
 	for _, cluster := range sim.borrowers {
-		cluster.draining, cluster.cutUntil = false, sim.now
+		cluster.draining, cluster.partitionedUntil = false, sim.now
 		if !cluster.up {
 			sim.restartBorrower(cluster)
 		}
@@ -85,10 +85,10 @@
 	}
 }
 
-// fault applies the fault or the user's action with number k; large numbers do nothing.
+// injectFault applies the fault or the user's action with number k; large numbers do nothing.
 // The even number 2n and the odd number 2n+1 cause the same fault of the first and of
 // the second borrower.
-func (sim *modelSim) fault(number int) {
+func (sim *modelSim) injectFault(number int) {
 	cluster := sim.borrowers[number%2]
 	switch number / 2 {
 	case 0:
@@ -138,7 +138,7 @@
 			}
 		}
 	case 19, 20:
-		cluster.cutUntil = sim.now.Add(time.Duration(5+sim.rng.IntN(25)) * time.Second)
+		cluster.partitionedUntil = sim.now.Add(time.Duration(5+sim.rng.IntN(25)) * time.Second)
 	}
 }
 
--- a/internal/overflow/model_lender_test.go
+++ b/internal/overflow/model_lender_test.go
@@ -44,13 +44,13 @@
 			// lent again.
 			job.peer, job.startedAtHome = "", sim.rng.IntN(4) > 0
 		case Settle:
-			sim.end(transition.Loan.Job, "done")
+			sim.endJob(transition.Loan.Job, "done")
 		case EndCancelled:
-			sim.end(transition.Loan.Job, "cancelled")
+			sim.endJob(transition.Loan.Job, "cancelled")
 		}
 	})
 	// A transaction that gets no response is repeated.
-	sim.after(3*time.Second, func() {
+	sim.schedule(3*time.Second, func() {
 		if lender == sim.lender && sim.lenderUp && epoch == sim.epoch && job.version == version {
 			sim.commitLender(transition)
 		}
@@ -80,10 +80,10 @@
 		switch {
 		case job.peer != "" || job.outcome != "":
 		case job.cancelRequested:
-			sim.end(id, "cancelled")
+			sim.endJob(id, "cancelled")
 		case job.startedAtHome:
 			if job.remaining -= modelStep; job.remaining <= 0 {
-				sim.end(id, "done")
+				sim.endJob(id, "done")
 			}
 		}
 	}
--- a/internal/overflow/model_test.go
+++ b/internal/overflow/model_test.go
@@ -20,12 +20,12 @@
 // in at most one cluster, and no job may end twice.
 
 // modelStep is the length of a simulation step, modelLease that of a loan's lease,
-// modelStopBound the borrowers' stop bound, and modelRun the run time of each job.
+// modelStopBound the borrowers' stop bound, and modelRunTime the run time of each job.
 const (
 	modelStep      = 250 * time.Millisecond
 	modelLease     = 8 * time.Second
 	modelStopBound = 6 * time.Second
-	modelRun       = 25 * time.Second
+	modelRunTime   = 25 * time.Second
 )
 
 // omittedRules breaks rules in the model's use of the package. Tests break one rule at
@@ -71,22 +71,22 @@
 
 // modelBorrower is a borrowing cluster.
 type modelBorrower struct {
-	name      string
-	epoch     uint64
-	borrower  *Borrower
-	loans     map[Loan]*modelLoan
-	renewedAt time.Time
-	up        bool
-	downAt    time.Time
-	draining  bool
-	cutUntil  time.Time
+	name             string
+	epoch            uint64
+	borrower         *Borrower
+	loans            map[Loan]*modelLoan
+	renewedAt        time.Time
+	up               bool
+	downAt           time.Time
+	draining         bool
+	partitionedUntil time.Time
 	// leaseUntil is the end of the lease that the lender relies on. Within
 	// modelStopBound after it, the shard leader and the workers stop the tasks without
 	// any communication.
 	leaseUntil time.Time
-	// drift is the rate of the borrower's clock, as a multiple of the true one.
-	drift  float64
-	nextAt time.Time
+	// clockRate is the rate of the borrower's clock, as a multiple of the true one.
+	clockRate float64
+	nextAt    time.Time
 }
 
 // chooser makes the random choices of a simulated day and receives its failures.
@@ -155,16 +155,16 @@
 	}
 	sim.lender = NewLender("east", sim.now, modelLease)
 	for i, name := range []string{"west", "north"} {
-		sim.borrowers = append(sim.borrowers, &modelBorrower{name: name, epoch: 1, borrower: NewBorrower(), loans: map[Loan]*modelLoan{}, up: true, drift: []float64{1.0005, 0.9995}[i]})
+		sim.borrowers = append(sim.borrowers, &modelBorrower{name: name, epoch: 1, borrower: NewBorrower(), loans: map[Loan]*modelLoan{}, up: true, clockRate: []float64{1.0005, 0.9995}[i]})
 	}
 	for i := range 12 {
-		sim.jobs[fmt.Sprintf("job-%d", i)] = &modelJob{remaining: modelRun}
+		sim.jobs[fmt.Sprintf("job-%d", i)] = &modelJob{remaining: modelRunTime}
 	}
 	return sim
 }
 
-// after schedules run to be called after the delay.
-func (sim *modelSim) after(delay time.Duration, run func()) {
+// schedule schedules run to be called after the delay.
+func (sim *modelSim) schedule(delay time.Duration, run func()) {
 	sim.eventCount++
 	sim.queue = append(sim.queue, modelEvent{sim.now.Add(delay), sim.eventCount, run})
 }
@@ -203,7 +203,7 @@
 // message delivers a message between the lender and a borrower, unless the network
 // between them is cut.
 func (sim *modelSim) message(cluster *modelBorrower, deliver func()) {
-	if !sim.now.Before(cluster.cutUntil) {
+	if !sim.now.Before(cluster.partitionedUntil) {
 		sim.send(deliver)
 	}
 }
@@ -211,10 +211,10 @@
 // send runs deliver after a random delay, sometimes twice and sometimes never.
 func (sim *modelSim) send(deliver func()) {
 	if delay := sim.delay(); delay >= 0 {
-		sim.after(delay, deliver)
+		sim.schedule(delay, deliver)
 	}
 	if sim.lossy && sim.rng.IntN(15) == 0 {
-		sim.after(time.Duration(sim.rng.IntN(60))*time.Second, deliver)
+		sim.schedule(time.Duration(sim.rng.IntN(60))*time.Second, deliver)
 	}
 }
 
@@ -228,8 +228,8 @@
 	return ids
 }
 
-// end records the outcome of a job, and fails the day if the job had already ended.
-func (sim *modelSim) end(id, outcome string) {
+// endJob records the outcome of a job, and fails the day if the job had already ended.
+func (sim *modelSim) endJob(id, outcome string) {
 	sim.jobs[id].outcome = outcome
 	sim.endCount[id]++
 	if sim.endCount[id] > 1 {
--- a/internal/overflow/offers.go
+++ b/internal/overflow/offers.go
@@ -87,9 +87,9 @@
 	return Limits{LoansOut: 32, LoansIn: 64, Tasks: 2000, Offers: 8, MinGain: 5 * time.Second, MaxLends: 2, MaxCostRatio: 3}
 }
 
-// handOver is the time that a hand-over takes in addition to the network latency: two
+// handOverTime is the time that a hand-over takes in addition to the network latency: two
 // writes at each cluster, and the heartbeat that confirms the loan.
-const handOver = 3 * time.Second
+const handOverTime = 3 * time.Second
 
 // Offer is the decision to lend a job to a peer.
 type Offer struct {
@@ -227,7 +227,7 @@
 		if perMachine == 0 || slot.remaining == 0 || slot.Spot && !spec.AllowSpot {
 			continue
 		}
-		machines := min(slot.remaining, machinesFor(unplaced, perMachine))
+		machines := min(slot.remaining, machinesNeeded(unplaced, perMachine))
 		unplaced -= min(unplaced, machines*perMachine)
 		placed.parts = append(placed.parts, placementPart{slot, machines})
 		fetch := time.Duration(0)
@@ -242,13 +242,13 @@
 	}
 	// Lost trust lengthens the estimate. A trust of 0.5 adds half of the run time.
 	run := time.Duration(float64(candidate.RunTime) * (2 - peer.Trust))
-	placed.finish = handOver + 2*peer.Latency + readyIn + run
+	placed.finish = handOverTime + 2*peer.Latency + readyIn + run
 	return placed
 }
 
-// machinesFor returns how many machines the tasks need if each machine holds perMachine
+// machinesNeeded returns how many machines the tasks need if each machine holds perMachine
 // tasks.
-func machinesFor(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
+func machinesNeeded(tasks, perMachine int) int { return (tasks + perMachine - 1) / perMachine }
 
 // compareLoans orders loans by home cluster, job and lend count.
 func compareLoans(a, b Loan) int {
--- a/internal/overflow/overflow_test.go
+++ b/internal/overflow/overflow_test.go
@@ -30,8 +30,8 @@
 		t.Errorf("got %v, %v; want %v", got, err, want)
 	}
 	for _, name := range []string{"", "east", "east/job-1", "east/job-1/x", "east/job-1/-1", "east/job-1/1/2"} {
-		if got, err := ParseLoan(name); !errors.Is(err, errLoanName) {
-			t.Errorf("%q: got %v, %v; want %v", name, got, err, errLoanName)
+		if got, err := ParseLoan(name); !errors.Is(err, errInvalidLoanName) {
+			t.Errorf("%q: got %v, %v; want %v", name, got, err, errInvalidLoanName)
 		}
 	}
 }
@@ -253,8 +253,8 @@
 		{"fits on both machines", &idle, 3, model.Normal, ""},
 		// The second machine could hold one more task, but Admit subtracts whole
 		// machines from the offered capacity.
-		{"both machines are in use", &idle, 1, model.Normal, NoRoom},
-		{"own late jobs of the same urgency", &busy, 1, model.Normal, NoRoom},
+		{"both machines are in use", &idle, 1, model.Normal, NoCapacity},
+		{"own late jobs of the same urgency", &busy, 1, model.Normal, NoCapacity},
 		{"own late jobs of a lower urgency", &busy, 1, model.Urgent, ""},
 	} {
 		if got := Admit(take(testCase.tasks, testCase.urgency), testCase.state, DefaultLimits()); got != testCase.want {
@@ -284,7 +284,7 @@
 		{"a drain too short for started jobs to end", Pressure{DrainIn: 10 * time.Second}, []uint64{1, 2, 3}},
 	} {
 		var got []uint64
-		for _, loan := range ChooseGiveBacks(loans, testCase.pressure, runTime) {
+		for _, loan := range ChooseLoansToGiveBack(loans, testCase.pressure, runTime) {
 			got = append(got, loan.LendCount)
 		}
 		if !slices.Equal(got, testCase.want) {
@@ -302,7 +302,7 @@
 	now := testStart
 	nextAddr := func() string {
 		for range 1000 {
-			if addr, due := peer.NextRequest(now); due {
+			if addr, due := peer.NextHeartbeat(now); due {
 				return addr
 			}
 			now = now.Add(100 * time.Millisecond)
@@ -322,7 +322,7 @@
 		}
 	}
 	expectAddr("at the start", "w1")
-	if _, due := peer.NextRequest(now); due {
+	if _, due := peer.NextHeartbeat(now); due {
 		t.Fatal("got two heartbeats in flight, want one")
 	}
 	peer.NoteFailure(now, rng)
--- a/internal/overflow/peer.go
+++ b/internal/overflow/peer.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// unresponsiveAfter is the number of heartbeat intervals without a heartbeat after
+	// unresponsiveIntervals is the number of heartbeat intervals without a heartbeat after
 	// which a peer counts as unresponsive.
-	unresponsiveAfter = 4
+	unresponsiveIntervals = 4
 	// trustHalfLife is the time in which half of the lost trust recovers.
 	trustHalfLife = 2 * time.Minute
 	// flapPenalty is the factor by which trust is multiplied when the peer becomes
@@ -18,13 +18,13 @@
 	// fulfil.
 	flapPenalty       = 0.5
 	brokenLoanPenalty = 0.7
-	// openAfter is the number of consecutive failures that open a peer's circuit
+	// breakerFailures is the number of consecutive failures that open a peer's circuit
 	// breaker; for a peer with more controllers it is the number of controllers. The
-	// breaker stays open for openFirst, and twice as long after each further failure,
-	// up to openMost.
-	openAfter = 3
-	openFirst = 2 * time.Second
-	openMost  = time.Minute
+	// breaker stays open for breakerFirstPause, and twice as long after each further failure,
+	// up to breakerMaxPause.
+	breakerFailures   = 3
+	breakerFirstPause = 2 * time.Second
+	breakerMaxPause   = time.Minute
 	// latencyWeight is the weight of the newest reply in the moving average of
 	// reply times.
 	latencyWeight = 0.2
@@ -60,11 +60,11 @@
 	// interval is the heartbeat interval. The peer is assumed to use the same one.
 	interval time.Duration
 
-	// heardAt is when the peer's last heartbeat arrived, and zero before the first one.
+	// lastHeartbeatAt is when the peer's last heartbeat arrived, and zero before the first one.
 	// draining, lendsItself and the fields after lastState are from that heartbeat.
-	heardAt     time.Time
-	draining    bool
-	lendsItself bool
+	lastHeartbeatAt time.Time
+	draining        bool
+	lendsItself     bool
 	// lastState is the state that StateChanged last returned.
 	lastState    PeerState
 	freeCapacity []FreeCapacity
@@ -93,9 +93,9 @@
 // State returns the peer's state at the time now.
 func (tracker *PeerTracker) State(now time.Time) PeerState {
 	switch {
-	case tracker.heardAt.IsZero():
+	case tracker.lastHeartbeatAt.IsZero():
 		return Unknown
-	case now.Sub(tracker.heardAt) > unresponsiveAfter*tracker.interval:
+	case now.Sub(tracker.lastHeartbeatAt) > unresponsiveIntervals*tracker.interval:
 		return Unresponsive
 	case tracker.draining:
 		return DrainingState
@@ -127,13 +127,15 @@
 	tracker.trust, tracker.trustAt = tracker.Trust(now)*factor, now
 }
 
-// NoteBroken records a loan that the peer did not fulfil: the loan's lease expired, or
+// NoteBrokenLoan records a loan that the peer did not fulfil: the loan's lease expired, or
 // the peer refused the loan although it had offered the capacity.
-func (tracker *PeerTracker) NoteBroken(now time.Time) { tracker.reduceTrust(now, brokenLoanPenalty) }
+func (tracker *PeerTracker) NoteBrokenLoan(now time.Time) {
+	tracker.reduceTrust(now, brokenLoanPenalty)
+}
 
 // NoteHeartbeat records a heartbeat from the peer.
 func (tracker *PeerTracker) NoteHeartbeat(now time.Time, heartbeat Heartbeat) {
-	tracker.heardAt, tracker.draining, tracker.lendsItself = now, heartbeat.Draining, heartbeat.LendsItself
+	tracker.lastHeartbeatAt, tracker.draining, tracker.lendsItself = now, heartbeat.Draining, heartbeat.LendsItself
 	tracker.freeCapacity, tracker.cachedImages, tracker.stopBound = heartbeat.FreeCapacity, heartbeat.CachedImages, heartbeat.StopBound
 }
 
@@ -150,8 +152,8 @@
 	return !now.Before(tracker.breakerOpenUntil)
 }
 
-// HeardAt returns when the peer's last heartbeat arrived, and zero if there was none.
-func (tracker *PeerTracker) HeardAt() time.Time { return tracker.heardAt }
+// LastHeartbeatAt returns when the peer's last heartbeat arrived, and zero if there was none.
+func (tracker *PeerTracker) LastHeartbeatAt() time.Time { return tracker.lastHeartbeatAt }
 
 // OfferedMachines returns the number of machines on which the peer offers capacity.
 func (tracker *PeerTracker) OfferedMachines() int {
@@ -162,11 +164,11 @@
 	return machines
 }
 
-// NextRequest reports whether a heartbeat to the peer is due, and returns the address of
+// NextHeartbeat reports whether a heartbeat to the peer is due, and returns the address of
 // the controller to send it to. The heartbeat then counts as in flight until
 // NoteReply, NoteRedirect or NoteFailure records the outcome. At most one heartbeat to
 // each peer is in flight, so that a slow peer doesn't delay the others.
-func (tracker *PeerTracker) NextRequest(now time.Time) (addr string, due bool) {
+func (tracker *PeerTracker) NextHeartbeat(now time.Time) (addr string, due bool) {
 	if tracker.inFlight || now.Before(tracker.nextAt) || now.Before(tracker.breakerOpenUntil) || len(tracker.addrs) == 0 {
 		return "", false
 	}
@@ -207,8 +209,8 @@
 	tracker.addrIndex++
 	tracker.failures++
 	tracker.nextAt = now.Add(jitter(tracker.interval/2, rng))
-	if excessFailures := tracker.failures - max(openAfter, len(tracker.addrs)); excessFailures >= 0 {
-		pause := min(openFirst<<min(excessFailures, 10), openMost)
+	if excessFailures := tracker.failures - max(breakerFailures, len(tracker.addrs)); excessFailures >= 0 {
+		pause := min(breakerFirstPause<<min(excessFailures, 10), breakerMaxPause)
 		tracker.breakerOpenUntil = now.Add(jitter(pause, rng))
 	}
 }
--- a/internal/overflow/types.go
+++ b/internal/overflow/types.go
@@ -37,18 +37,18 @@
 // String returns the loan's name, HOME/JOB/COUNT, for operators and for stored keys.
 func (loan Loan) String() string { return fmt.Sprintf("%s/%s/%d", loan.Home, loan.Job, loan.LendCount) }
 
-// errLoanName means that a string is not the name of a loan.
-var errLoanName = errors.New("overflow: invalid loan name")
+// errInvalidLoanName means that a string is not the name of a loan.
+var errInvalidLoanName = errors.New("overflow: invalid loan name")
 
-// ParseLoan parses a loan's name as String writes it. Its errors wrap errLoanName.
+// ParseLoan parses a loan's name as String writes it. Its errors wrap errInvalidLoanName.
 func ParseLoan(name string) (Loan, error) {
 	parts := strings.Split(name, "/")
 	if len(parts) != 3 {
-		return Loan{}, fmt.Errorf("%w: %q: got %d parts, want 3", errLoanName, name, len(parts))
+		return Loan{}, fmt.Errorf("%w: %q: got %d parts, want 3", errInvalidLoanName, name, len(parts))
 	}
 	lendCount, err := strconv.ParseUint(parts[2], 10, 64)
 	if err != nil {
-		return Loan{}, fmt.Errorf("%w: %q: %w", errLoanName, name, err)
+		return Loan{}, fmt.Errorf("%w: %q: %w", errInvalidLoanName, name, err)
 	}
 	return Loan{Home: parts[0], Job: parts[1], LendCount: lendCount}, nil
 }
@@ -85,8 +85,8 @@
 	// Draining means that the borrower is being drained: it accepts no loans and
 	// gives up the loans that it holds.
 	Draining Cause = "draining"
-	// NoRoom means that the borrower had no free capacity for the job.
-	NoRoom Cause = "no_room"
+	// NoCapacity means that the borrower had no free capacity for the job.
+	NoCapacity Cause = "no_room"
 	// GivenBack loans were returned because the borrower's own jobs needed the
 	// capacity.
 	GivenBack Cause = "given_back"
